--- a/packages/cli/src/lt-cost.c
+++ b/packages/cli/src/lt-cost.c
@@ -168,7 +168,7 @@
       LcLoadReport load;
       now += 100;
       make_report (i % n, now, &load);
-      lc_dispatch_report (dispatch, set->endpoints[i % n].name, &load, now, &actions);
+      lc_dispatch_record_load (dispatch, set->endpoints[i % n].name, &load, now, &actions);
     }
   add (report, "load-report", n, since (begun, DECISIONS), 0);
   lc_dispatch_free (dispatch);
@@ -202,7 +202,7 @@
       snprintf (spec.caller, LB_NAME_MAX, "caller-%" PRIu64, i % 50);
       lc_dispatch_submit (dispatch, &spec, LB_SEC + (LbTime)i, &actions, &retry_after, &error);
     }
-  size_t waiting = lc_dispatch_waiting (dispatch, LC_KIND_LIVE);
+  size_t waiting = lc_dispatch_count_waiting (dispatch, LC_KIND_LIVE);
   if (waiting > 0)
     add (report, "waiting-request", waiting, since (begun, WAITING),
          (held_bytes () - before) / (double)waiting);
@@ -239,14 +239,14 @@
           piece.last = true;
         }
       step->now += 10;
-      if (lc_dispatch_piece (step->dispatch, send->request, send->attempt, &piece, step->now,
-                             &step->actions)
+      if (lc_dispatch_receive_piece (step->dispatch, send->request, send->attempt, &piece,
+                                     step->now, &step->actions)
           == LC_PIECE_FORWARD)
         lc_rollouts_piece (step->rollouts, send->request, &piece, send->endpoint, step->now,
                            &step->rollout_actions);
     }
-  lc_dispatch_ended (step->dispatch, send->request, send->attempt, LC_END_WHOLE, step->now,
-                     &step->actions);
+  lc_dispatch_record_attempt_end (step->dispatch, send->request, send->attempt, LC_END_COMPLETE,
+                                  step->now, &step->actions);
 }
 
 static void
@@ -379,7 +379,8 @@
       make_report (i, step->now, &load);
       load.running = 0;
       load.waiting = 0;
-      lc_dispatch_report (step->dispatch, set->endpoints[i].name, &load, step->now, &step->actions);
+      lc_dispatch_record_load (step->dispatch, set->endpoints[i].name, &load, step->now,
+                               &step->actions);
     }
 }
 
--- a/packages/core/bench/bench-decision.c
+++ b/packages/core/bench/bench-decision.c
@@ -122,7 +122,7 @@
 main (void)
 {
   printf ("%-18s %9s %9s %9s\n", "decision", "endpoints", "us", "bytes/ep");
-  for (const char *const *policy = lc_router_policies (); *policy; policy++)
+  for (const char *const *policy = lc_router_policy_names (); *policy; policy++)
     {
       measure_cost (*policy, 10);
       measure_cost (*policy, 100);
--- a/packages/core/bench/bench-dispatch.c
+++ b/packages/core/bench/bench-dispatch.c
@@ -41,7 +41,7 @@
 init (Bench *bench, size_t n_endpoints, int64_t concurrency, int64_t queue_limit)
 {
   LcDispatchSettings settings = {
-    .longest_view = LB_TIME_NEVER, .queue_limit = queue_limit, .retry_budget = 0.1, .seed = 1
+    .max_report_age = LB_TIME_NEVER, .queue_limit = queue_limit, .retry_budget = 0.1, .seed = 1
   };
 
   memset (bench, 0, sizeof *bench);
@@ -68,8 +68,8 @@
     {
       LcLoadReport report = { .version = 1, .at = bench->now };
 
-      lc_dispatch_report (bench->dispatch, bench->members[i].name, &report, bench->now,
-                          &bench->actions);
+      lc_dispatch_record_load (bench->dispatch, bench->members[i].name, &report, bench->now,
+                               &bench->actions);
     }
 }
 
@@ -125,8 +125,9 @@
 {
   LcPiece piece = { .tokens = 100, .version = 1, .last = true };
 
-  lc_dispatch_piece (bench->dispatch, id, 1, &piece, bench->now, &bench->actions);
-  lc_dispatch_ended (bench->dispatch, id, 1, LC_END_WHOLE, bench->now, &bench->actions);
+  lc_dispatch_receive_piece (bench->dispatch, id, 1, &piece, bench->now, &bench->actions);
+  lc_dispatch_record_attempt_end (bench->dispatch, id, 1, LC_END_COMPLETE, bench->now,
+                                  &bench->actions);
 }
 
 static double
@@ -138,7 +139,7 @@
 static double
 measure_expiry (Bench *bench)
 {
-  size_t n_left = lc_dispatch_waiting (bench->dispatch, LC_KIND_LIVE);
+  size_t n_left = lc_dispatch_count_waiting (bench->dispatch, LC_KIND_LIVE);
   LbTime began = lb_clock_monotonic ();
 
   bench->now += 200 * LB_SEC;
@@ -166,7 +167,7 @@
 
   double cost = micros_each (began, N_REQUESTS);
 
-  expect (lc_dispatch_in_progress (bench.dispatch) == 0, "calls were not answered");
+  expect (lc_dispatch_count_in_progress (bench.dispatch) == 0, "calls were not answered");
   clear (&bench);
   return cost;
 }
@@ -186,7 +187,8 @@
     {
       LcPiece piece = { .offset = i, .tokens = 1, .version = 1 };
 
-      lc_dispatch_piece (bench.dispatch, bench.last_id, 1, &piece, bench.now, &bench.actions);
+      lc_dispatch_receive_piece (bench.dispatch, bench.last_id, 1, &piece, bench.now,
+                                 &bench.actions);
     }
 
   double cost = micros_each (began, N_REQUESTS);
@@ -230,7 +232,7 @@
       drop_actions (&bench);
     }
   cost.take = micros_each (began, n_waiting / 2);
-  expect (lc_dispatch_waiting (bench.dispatch, LC_KIND_LIVE) == n_waiting - n_waiting / 2,
+  expect (lc_dispatch_count_waiting (bench.dispatch, LC_KIND_LIVE) == n_waiting - n_waiting / 2,
           "calls were not taken from the queue");
   cost.expire = measure_expiry (&bench);
   clear (&bench);
--- a/packages/core/bench/bench-routing.c
+++ b/packages/core/bench/bench-routing.c
@@ -498,7 +498,7 @@
           (int)(options->lag / LB_MSEC), 100 * options->lost, options->slow, 100 * options->hot);
   printf ("%-18s %9s %9s %9s %9s %9s %9s %9s %9s\n", "policy", "mean_s", "live_p99", "all_p99",
           "imb_tok", "imb_load", "hits", "queued", "us");
-  for (const char *const *policy = lc_router_policies (); *policy; policy++)
+  for (const char *const *policy = lc_router_policy_names (); *policy; policy++)
     {
       double sums[sizeof (Measures) / sizeof (double)] = { 0 };
 
--- a/packages/core/include/lc-admission.h
+++ b/packages/core/include/lc-admission.h
@@ -8,8 +8,8 @@
 /* Whether a key that is still held may be taken for one when this instance can't ask any more. */
 typedef struct
 {
-  bool refuses_unconfirmed; /* then not, once the configuration was not confirmed for: */
-  LbTime longest_unconfirmed;
+  bool refuse_unconfirmed; /* then not, once the configuration was not confirmed for: */
+  LbTime max_unconfirmed_age;
 } LcAdmissionRules;
 
 /* What a call brings. */
@@ -17,7 +17,7 @@
 {
   const char *key; /* NULL: none */
   size_t n_keys;   /* that it brings */
-  bool needs_none; /* its route is open to all */
+  bool is_public;  /* its route is open to all */
 } LcAdmissionCall;
 
 /* What this instance believes. */
@@ -25,7 +25,7 @@
 {
   const LcOrganisations *organisations; /* NULL: none are declared, and no call needs a key */
   LbTime confirmed_at;                  /* when they were last known to be the newest */
-} LcAdmissionBelief;
+} LcAdmissionView;
 
 typedef struct
 {
@@ -38,7 +38,7 @@
 } LcAdmission;
 
 void lc_admission_decide (const LcAdmissionRules *rules,
-                          const LcAdmissionBelief *belief,
+                          const LcAdmissionView *belief,
                           const LcAdmissionCall *call,
                           LbTime now,
                           LcAdmission *admission);
--- a/packages/core/include/lc-dispatch.h
+++ b/packages/core/include/lc-dispatch.h
@@ -15,7 +15,7 @@
 {
   LC_DELIVER_STREAM, /* pieces go out as they come; the first attempt that sends one is the only one
                       */
-  LC_DELIVER_WHOLE   /* gathered per attempt; the first whole one is the answer */
+  LC_DELIVER_BUFFERED /* gathered per attempt; the first whole one is the answer */
 } LcDelivery;
 
 typedef struct
@@ -39,7 +39,7 @@
   /* When it has to begin in order to end in time; of equal priority the earlier one goes first. 0:
    * none. */
   LbTime latest_start;
-  LbTime wanted_by; /* when it is wanted whole; 0: none */
+  LbTime soft_deadline; /* when it is wanted whole; 0: none */
   int64_t prompt_tokens;
   int64_t expected_tokens;
   uint64_t prefix_hashes[LC_MAX_PREFIX_HASHES];
@@ -47,7 +47,7 @@
   LcVersion min_version;
   LbTime deadline;   /* LB_TIME_NEVER: none */
   int64_t resume_at; /* first token wanted; the submitter has those before */
-  LbName avoid[LC_MAX_AVOID];
+  LbName avoid[LC_MAX_AVOIDED_ENDPOINTS];
   size_t n_avoid;
 } LcRequestSpec;
 
@@ -70,10 +70,10 @@
 /* How an attempt ended, as the node saw it. */
 typedef enum
 {
-  LC_END_WHOLE,           /* the end marker came */
+  LC_END_COMPLETE,        /* the end marker came */
   LC_END_REFUSED,         /* the endpoint itself said that it did not start */
   LC_END_REFUSED_LEAVING, /* the same, because it is leaving */
-  LC_END_NOT_HANDED,      /* no byte was handed to a socket */
+  LC_END_NOT_SENT,        /* no byte was handed to a socket */
   LC_END_BROKEN,          /* connection lost or silent after bytes were handed */
   LC_END_REJECTED,        /* the endpoint answered that the request can never be done */
   LC_END_FAILED           /* the endpoint answered with a failure after it may have run */
@@ -106,9 +106,9 @@
   LbName policy; /* empty: "lentilspindle" */
   int64_t queue_limit;
   LbTime default_deadline;
-  double retry_budget; /* retries and hedges as a share of successes */
-  LbTime hedge_after;  /* for repeatable live calls with no first piece; 0: never */
-  LbTime longest_view; /* age of an endpoint's report above which it comes last; 0: 2.5 s */
+  double retry_budget;   /* retries and hedges as a share of successes */
+  LbTime hedge_after;    /* for repeatable live calls with no first piece; 0: never */
+  LbTime max_report_age; /* age of an endpoint's report above which it comes last; 0: 2.5 s */
   uint64_t seed;
 } LcDispatchSettings;
 
@@ -129,29 +129,29 @@
                          LbError *error);
 /* The submitter is gone: out of the queue, attempts cancelled, no FINISH follows. */
 void lc_dispatch_cancel (LcDispatch *dispatch, LcRequestId request, LbTime now, LbList *actions);
-LcPieceVerdict lc_dispatch_piece (LcDispatch *dispatch,
-                                  LcRequestId request,
-                                  uint32_t attempt,
-                                  const LcPiece *piece,
-                                  LbTime now,
-                                  LbList *actions);
-void lc_dispatch_ended (LcDispatch *dispatch,
-                        LcRequestId request,
-                        uint32_t attempt,
-                        LcAttemptEnd end,
-                        LbTime now,
-                        LbList *actions);
-void lc_dispatch_report (LcDispatch *dispatch,
-                         const char *endpoint,
-                         const LcLoadReport *report,
-                         LbTime now,
-                         LbList *actions);
-void lc_dispatch_leaving (LcDispatch *dispatch,
-                          const char *endpoint,
-                          const char *incarnation,
-                          LcLeavingSource source,
-                          LbTime now,
-                          LbList *actions);
+LcPieceVerdict lc_dispatch_receive_piece (LcDispatch *dispatch,
+                                          LcRequestId request,
+                                          uint32_t attempt,
+                                          const LcPiece *piece,
+                                          LbTime now,
+                                          LbList *actions);
+void lc_dispatch_record_attempt_end (LcDispatch *dispatch,
+                                     LcRequestId request,
+                                     uint32_t attempt,
+                                     LcAttemptEnd end,
+                                     LbTime now,
+                                     LbList *actions);
+void lc_dispatch_record_load (LcDispatch *dispatch,
+                              const char *endpoint,
+                              const LcLoadReport *report,
+                              LbTime now,
+                              LbList *actions);
+void lc_dispatch_mark_leaving (LcDispatch *dispatch,
+                               const char *endpoint,
+                               const char *incarnation,
+                               LcLeavingSource source,
+                               LbTime now,
+                               LbList *actions);
 /* New work is refused "not run" from here on; what runs goes on. */
 void lc_dispatch_drain (LcDispatch *dispatch, LbTime now, LbList *actions);
 void lc_dispatch_tick (LcDispatch *dispatch, LbTime now, LbList *actions);
@@ -159,10 +159,10 @@
 
 /* queries */
 /* Whether the resources that were configured name the plain service. */
-bool lc_dispatch_knows_service (const LcDispatch *dispatch, const char *service);
+bool lc_dispatch_has_service (const LcDispatch *dispatch, const char *service);
 LbTime lc_dispatch_next_tick (const LcDispatch *dispatch);
-size_t lc_dispatch_in_progress (const LcDispatch *dispatch);
-size_t lc_dispatch_waiting (const LcDispatch *dispatch, LcRequestKind kind);
+size_t lc_dispatch_count_in_progress (const LcDispatch *dispatch);
+size_t lc_dispatch_count_waiting (const LcDispatch *dispatch, LcRequestKind kind);
 LcEndpoints *lc_dispatch_endpoints (LcDispatch *dispatch);
 LcQuarantine *lc_dispatch_quarantine (LcDispatch *dispatch);
 /* Actions refused since the start because they would have broken a promise; 0 in a sound program.
--- a/packages/core/include/lc-outgoing.h
+++ b/packages/core/include/lc-outgoing.h
@@ -24,7 +24,7 @@
 } LcOutgoing;
 
 void lc_outgoing_add_header (LcOutgoing *outgoing, const char *name, const char *value);
-const char *lc_outgoing_header (const LcOutgoing *outgoing, const char *name);
+const char *lc_outgoing_find_header (const LcOutgoing *outgoing, const char *name);
 void lc_outgoing_copy (LcOutgoing *target, const LcOutgoing *source);
 void lc_outgoing_clear (LcOutgoing *outgoing);
 
--- a/packages/core/include/lc-router.h
+++ b/packages/core/include/lc-router.h
@@ -3,7 +3,7 @@
 
 #include "lc-endpoints.h"
 
-#define LC_MAX_AVOID 8
+#define LC_MAX_AVOIDED_ENDPOINTS 8
 
 /* What a policy needs to know of a request to place it. */
 typedef struct
@@ -15,12 +15,12 @@
   size_t n_prefix_hashes;
   int64_t prompt_tokens;
   int64_t expected_tokens;
-  LbTime wanted_by;      /* when the answer is wanted whole; 0: no such time */
+  LbTime soft_deadline;  /* when the answer is wanted whole; 0: no such time */
   LbTime submitted;      /* since when it waits */
   LcVersion min_version; /* weights older than this are of no use; 0: any */
   LbTime reported_since; /* endpoints whose last report is older take nothing; 0: any do */
   double live_reserve;
-  LbName avoid[LC_MAX_AVOID]; /* tried before */
+  LbName avoid[LC_MAX_AVOIDED_ENDPOINTS]; /* tried before */
   size_t n_avoid;
 } LcRouteQuery;
 
@@ -30,14 +30,14 @@
   double score; /* smaller is better; seconds for the product's own policy */
 } LcCandidate;
 
-#define LC_MAX_SHOWN 8
+#define LC_MAX_SHOWN_CANDIDATES 8
 
 /* The decision as a value: whom, among which, why. Goes to the log as it is. */
 typedef struct
 {
   LcEndpoint *endpoint; /* NULL: nobody may take it now */
   const char *reason;   /* a constant such as "least-finish-time", "no-capacity", "all-leaving" */
-  LcCandidate shown[LC_MAX_SHOWN]; /* the best few */
+  LcCandidate shown[LC_MAX_SHOWN_CANDIDATES]; /* the best few */
   size_t n_shown;
   size_t n_candidates;
 } LcRouteDecision;
@@ -66,6 +66,6 @@
 LcRouteDecision
 lc_router_choose (LcRouter *router, LcEndpoints *endpoints, const LcRouteQuery *query, LbTime now);
 /* Names of all policies, ended by NULL. */
-const char *const *lc_router_policies (void);
+const char *const *lc_router_policy_names (void);
 
 #endif
--- a/packages/core/src/dispatch/lc-admission.c
+++ b/packages/core/src/dispatch/lc-admission.c
@@ -20,12 +20,12 @@
 static bool
 may_have_lost_it (const LcAdmissionRules *rules, LbTime age)
 {
-  return rules->refuses_unconfirmed && age >= rules->longest_unconfirmed;
+  return rules->refuse_unconfirmed && age >= rules->max_unconfirmed_age;
 }
 
 void
 lc_admission_decide (const LcAdmissionRules *rules,
-                     const LcAdmissionBelief *belief,
+                     const LcAdmissionView *belief,
                      const LcAdmissionCall *call,
                      LbTime now,
                      LcAdmission *admission)
@@ -34,7 +34,7 @@
   const LcOrganisation *holder = NULL;
 
   memset (admission, 0, sizeof *admission);
-  if (!belief->organisations || call->needs_none)
+  if (!belief->organisations || call->is_public)
     return;
   if (call->n_keys > 1)
     {
--- a/packages/core/src/dispatch/lc-candidates.c
+++ b/packages/core/src/dispatch/lc-candidates.c
@@ -79,9 +79,9 @@
   double pace = (double)summary->alone_token_seconds;
   double tokens = (double)query->expected_tokens;
   double waited = (double)(scales->now - query->submitted) / LB_SEC;
-  double left = (double)(query->wanted_by - scales->now) / LB_SEC;
+  double left = (double)(query->soft_deadline - scales->now) / LB_SEC;
 
-  if (!lb_switch_is_on (LB_SWITCH_FULL_PACE) || query->wanted_by == 0 || scales->fastest <= 0
+  if (!lb_switch_is_on (LB_SWITCH_FULL_PACE) || query->soft_deadline == 0 || scales->fastest <= 0
       || pace < SLOW * scales->fastest)
     return false;
   return tokens * pace > left
@@ -175,9 +175,9 @@
 {
   size_t at = decision->n_shown;
 
-  if (at == LC_MAX_SHOWN && decision->shown[at - 1].score <= candidate->score)
+  if (at == LC_MAX_SHOWN_CANDIDATES && decision->shown[at - 1].score <= candidate->score)
     return;
-  if (at < LC_MAX_SHOWN)
+  if (at < LC_MAX_SHOWN_CANDIDATES)
     decision->n_shown++;
   else
     at--;
--- a/packages/core/src/dispatch/lc-dispatch-query.c
+++ b/packages/core/src/dispatch/lc-dispatch-query.c
@@ -33,13 +33,13 @@
 
 /* Requests admitted that have no final answer yet. */
 size_t
-lc_dispatch_in_progress (const LcDispatch *dispatch)
+lc_dispatch_count_in_progress (const LcDispatch *dispatch)
 {
   return HASH_COUNT (dispatch->requests);
 }
 
 size_t
-lc_dispatch_waiting (const LcDispatch *dispatch, LcRequestKind kind)
+lc_dispatch_count_waiting (const LcDispatch *dispatch, LcRequestKind kind)
 {
   size_t waiting = 0;
 
--- a/packages/core/src/dispatch/lc-dispatch.c
+++ b/packages/core/src/dispatch/lc-dispatch.c
@@ -37,8 +37,8 @@
   LcDispatch *dispatch = LB_NEW (LcDispatch);
 
   dispatch->settings = *settings;
-  if (settings->longest_view == 0)
-    dispatch->settings.longest_view = MAX_VIEW;
+  if (settings->max_report_age == 0)
+    dispatch->settings.max_report_age = MAX_VIEW;
   dispatch->router = router;
   dispatch->endpoints = lc_endpoints_new ();
   dispatch->budgets = lc_retry_budgets_new (settings->retry_budget);
@@ -228,7 +228,7 @@
 }
 
 bool
-lc_dispatch_knows_service (const LcDispatch *dispatch, const char *service)
+lc_dispatch_has_service (const LcDispatch *dispatch, const char *service)
 {
   const LcPoolState *pool = find_pool (dispatch, lc_pool_kind (LC_KIND_SERVICE), service);
 
@@ -307,12 +307,12 @@
 }
 
 void
-lc_dispatch_ended (LcDispatch *dispatch,
-                   LcRequestId id,
-                   uint32_t number,
-                   LcAttemptEnd end,
-                   LbTime now,
-                   LbList *actions)
+lc_dispatch_record_attempt_end (LcDispatch *dispatch,
+                                LcRequestId id,
+                                uint32_t number,
+                                LcAttemptEnd end,
+                                LbTime now,
+                                LbList *actions)
 {
   LcRequest *request = lc_dispatch_find (dispatch, id);
   LcAttempt *attempt = request ? lc_request_attempt (request, number) : NULL;
@@ -323,7 +323,7 @@
   LcPoolState *pool = request->pool;
 
   if (end == LC_END_REFUSED_LEAVING)
-    lc_dispatch_leaving (dispatch, attempt->endpoint, "", LC_LEAVING_ENDPOINT, now, actions);
+    lc_dispatch_mark_leaving (dispatch, attempt->endpoint, "", LC_LEAVING_ENDPOINT, now, actions);
   lc_dispatch_end_attempt (dispatch, request, attempt, end, now, actions);
   lc_dispatch_pump (dispatch, pool, now, actions);
 }
@@ -339,11 +339,11 @@
 }
 
 void
-lc_dispatch_report (LcDispatch *dispatch,
-                    const char *endpoint,
-                    const LcLoadReport *report,
-                    LbTime now,
-                    LbList *actions)
+lc_dispatch_record_load (LcDispatch *dispatch,
+                         const char *endpoint,
+                         const LcLoadReport *report,
+                         LbTime now,
+                         LbList *actions)
 {
   LcPoolState *pool = pool_of_endpoint (dispatch, endpoint);
 
@@ -356,12 +356,12 @@
 }
 
 void
-lc_dispatch_leaving (LcDispatch *dispatch,
-                     const char *endpoint,
-                     const char *incarnation,
-                     LcLeavingSource source,
-                     LbTime now,
-                     LbList *actions)
+lc_dispatch_mark_leaving (LcDispatch *dispatch,
+                          const char *endpoint,
+                          const char *incarnation,
+                          LcLeavingSource source,
+                          LbTime now,
+                          LbList *actions)
 {
   LcPoolState *pool = pool_of_endpoint (dispatch, endpoint);
 
--- a/packages/core/src/dispatch/lc-outcome.c
+++ b/packages/core/src/dispatch/lc-outcome.c
@@ -200,7 +200,7 @@
     LcDispatch *dispatch, LcRequest *request, LcAttempt *attempt, LbTime now, LbList *actions)
 {
   uint32_t number = attempt->number;
-  bool all_passed_on = request->delivery == LC_DELIVER_WHOLE
+  bool all_passed_on = request->delivery == LC_DELIVER_BUFFERED
                        || (request->next_token == attempt->offset
                            && (request->owner == 0 || request->owner == number));
   LbName endpoint;
@@ -229,7 +229,7 @@
 static bool
 proves_not_run (LcAttemptEnd end)
 {
-  return end == LC_END_REFUSED || end == LC_END_REFUSED_LEAVING || end == LC_END_NOT_HANDED;
+  return end == LC_END_REFUSED || end == LC_END_REFUSED_LEAVING || end == LC_END_NOT_SENT;
 }
 
 /* What the submitter is told if nothing follows this failure. */
@@ -237,7 +237,7 @@
 error_of (const LcRequest *request, LcAttemptEnd end)
 {
   if (!request->maybe_run)
-    return end == LC_END_NOT_HANDED ? LB_ERROR_NO_ENDPOINT : LB_ERROR_ENDPOINT_REFUSED;
+    return end == LC_END_NOT_SENT ? LB_ERROR_NO_ENDPOINT : LB_ERROR_ENDPOINT_REFUSED;
   if (end == LC_END_REJECTED)
     return LB_ERROR_REJECTED;
   if (end == LC_END_FAILED && request->failure_is_final)
@@ -333,7 +333,7 @@
 static bool
 was_survived (LcAttemptEnd end)
 {
-  return end == LC_END_WHOLE || end == LC_END_REJECTED || end == LC_END_FAILED;
+  return end == LC_END_COMPLETE || end == LC_END_REJECTED || end == LC_END_FAILED;
 }
 
 /* An attempt is over. The request goes on, or its final answer is appended. */
@@ -347,12 +347,12 @@
 {
   if (was_survived (end))
     lc_quarantine_survived (dispatch->quarantine, request->content, now);
-  if (end == LC_END_WHOLE || attempt->whole)
+  if (end == LC_END_COMPLETE || attempt->whole)
     {
       finish_whole (dispatch, request, attempt, now, actions);
       return;
     }
-  request->n_not_handed += end == LC_END_NOT_HANDED;
+  request->n_not_handed += end == LC_END_NOT_SENT;
   if (!proves_not_run (end))
     {
       request->maybe_run = true;
--- a/packages/core/src/dispatch/lc-outgoing.c
+++ b/packages/core/src/dispatch/lc-outgoing.c
@@ -18,7 +18,7 @@
 
 /* NULL when absent. */
 const char *
-lc_outgoing_header (const LcOutgoing *outgoing, const char *name)
+lc_outgoing_find_header (const LcOutgoing *outgoing, const char *name)
 {
   for (size_t i = 0; i < outgoing->n_headers; i++)
     if (strcasecmp (outgoing->headers[i].name, name) == 0)
--- a/packages/core/src/dispatch/lc-pieces.c
+++ b/packages/core/src/dispatch/lc-pieces.c
@@ -77,7 +77,7 @@
 {
   bool next = request->owner == attempt->number && request->next_token == piece->offset;
 
-  return lc_dispatch_check (dispatch, request->delivery == LC_DELIVER_WHOLE || next,
+  return lc_dispatch_check (dispatch, request->delivery == LC_DELIVER_BUFFERED || next,
                             "whole-answers", request->id);
 }
 
@@ -92,12 +92,12 @@
 }
 
 LcPieceVerdict
-lc_dispatch_piece (LcDispatch *dispatch,
-                   LcRequestId id,
-                   uint32_t number,
-                   const LcPiece *piece,
-                   LbTime now,
-                   LbList *actions)
+lc_dispatch_receive_piece (LcDispatch *dispatch,
+                           LcRequestId id,
+                           uint32_t number,
+                           const LcPiece *piece,
+                           LbTime now,
+                           LbList *actions)
 {
   LcRequest *request = lc_dispatch_find (dispatch, id);
   LcAttempt *attempt = request ? lc_request_attempt (request, number) : NULL;
--- a/packages/core/src/dispatch/lc-placement.c
+++ b/packages/core/src/dispatch/lc-placement.c
@@ -75,7 +75,7 @@
 static LbTime
 views_count_since (const LcDispatch *dispatch, LbTime now)
 {
-  LbTime longest = dispatch->settings.longest_view;
+  LbTime longest = dispatch->settings.max_report_age;
 
   return longest < now ? now - longest : 0;
 }
--- a/packages/core/src/dispatch/lc-request.c
+++ b/packages/core/src/dispatch/lc-request.c
@@ -49,7 +49,7 @@
   request->max_attempts = (uint32_t)spec->max_attempts;
   request->prompt_tokens = spec->prompt_tokens;
   request->expected_tokens = spec->expected_tokens;
-  request->wanted_by = spec->wanted_by;
+  request->soft_deadline = spec->soft_deadline;
   request->min_version = spec->min_version;
   request->first_token = spec->resume_at;
   request->next_token = spec->resume_at;
@@ -60,7 +60,8 @@
       = spec->n_prefix_hashes < LC_MAX_PREFIX_HASHES ? spec->n_prefix_hashes : LC_MAX_PREFIX_HASHES;
   request->prefix_hashes
       = copy_or_null (spec->prefix_hashes, request->n_prefix_hashes * sizeof (uint64_t));
-  request->n_avoid = spec->n_avoid < LC_MAX_AVOID ? spec->n_avoid : LC_MAX_AVOID;
+  request->n_avoid
+      = spec->n_avoid < LC_MAX_AVOIDED_ENDPOINTS ? spec->n_avoid : LC_MAX_AVOIDED_ENDPOINTS;
   request->avoid = copy_or_null (spec->avoid, request->n_avoid * sizeof (LbName));
   return request;
 }
@@ -116,7 +117,7 @@
 {
   size_t n = request->n_avoid + request->n_tried;
 
-  if (n == LC_MAX_AVOID)
+  if (n == LC_MAX_AVOIDED_ENDPOINTS)
     return;
   for (size_t i = 0; i < n; i++)
     if (strcmp (request->avoid[i], endpoint) == 0)
@@ -147,7 +148,7 @@
     .n_prefix_hashes = request->n_prefix_hashes,
     .prompt_tokens = request->prompt_tokens,
     .expected_tokens = request->expected_tokens,
-    .wanted_by = request->wanted_by,
+    .soft_deadline = request->soft_deadline,
     .submitted = request->submitted,
     .min_version = request->min_version,
     .live_reserve = request->pool->live_reserve,
--- a/packages/core/src/dispatch/lc-request.h
+++ b/packages/core/src/dispatch/lc-request.h
@@ -38,9 +38,9 @@
   LcHeapNode timer;
   LbTime due; /* when the timer fires; LB_TIME_NEVER: never */
   LbTime submitted;
-  LbTime deadline;  /* of the answer */
-  LbTime wanted_by; /* 0: no such time */
-  LbTime start_by;  /* of the first attempt; not after the deadline */
+  LbTime deadline;      /* of the answer */
+  LbTime soft_deadline; /* 0: no such time */
+  LbTime start_by;      /* of the first attempt; not after the deadline */
   LbTime retry_at;
   LbName caller;
   LbName flow;
--- a/packages/core/src/dispatch/lc-router.c
+++ b/packages/core/src/dispatch/lc-router.c
@@ -44,7 +44,7 @@
 }
 
 const char *const *
-lc_router_policies (void)
+lc_router_policy_names (void)
 {
   return names;
 }
--- a/packages/core/src/rollout/lc-generate.c
+++ b/packages/core/src/rollout/lc-generate.c
@@ -241,7 +241,7 @@
   job->scores = true;
   action->spec.id = job->request;
   action->spec.kind = LC_KIND_SERVICE;
-  action->spec.delivery = LC_DELIVER_WHOLE;
+  action->spec.delivery = LC_DELIVER_BUFFERED;
   LB_COPY (action->spec.pool, trainer->resource.scorer);
   LB_COPY (action->spec.caller, step->spec.subscription);
   action->spec.share = trainer->resource.share;
--- a/packages/core/tests/dispatch-fixture.h
+++ b/packages/core/tests/dispatch-fixture.h
@@ -46,7 +46,7 @@
       const char *name = f->members[i].name;
 
       if (lc_endpoints_find (lc_dispatch_endpoints (f->dispatch), name)->last_reply == 0)
-        lc_dispatch_report (f->dispatch, name, &idle, f->now, &f->actions);
+        lc_dispatch_record_load (f->dispatch, name, &idle, f->now, &f->actions);
     }
 }
 
@@ -149,13 +149,13 @@
 {
   LcPiece piece = { .offset = offset, .tokens = tokens, .version = 1, .last = last };
 
-  return lc_dispatch_piece (f->dispatch, request, attempt, &piece, f->now, &f->actions);
+  return lc_dispatch_receive_piece (f->dispatch, request, attempt, &piece, f->now, &f->actions);
 }
 
 static inline void
 fixture_end (Fixture *f, LcRequestId request, uint32_t attempt, LcAttemptEnd end)
 {
-  lc_dispatch_ended (f->dispatch, request, attempt, end, f->now, &f->actions);
+  lc_dispatch_record_attempt_end (f->dispatch, request, attempt, end, f->now, &f->actions);
 }
 
 static inline void
--- a/packages/core/tests/test-admission.c
+++ b/packages/core/tests/test-admission.c
@@ -1,6 +1,6 @@
 #include "dispatch-fixture.h"
 
-static const LcDispatchSettings settings = { .longest_view = LB_TIME_NEVER,
+static const LcDispatchSettings settings = { .max_report_age = LB_TIME_NEVER,
                                              .queue_limit = 1000,
                                              .default_deadline = 30 * LB_SEC,
                                              .retry_budget = 0.2,
@@ -40,7 +40,7 @@
   LcRequestId next = 0;
 
   f->now += 10 * LB_MSEC;
-  fixture_end (f, running, 1, LC_END_WHOLE);
+  fixture_end (f, running, 1, LC_END_COMPLETE);
   while ((link = lb_list_pop (&f->actions)))
     {
       LcAction *action = LB_CONTAINER (link, LcAction, link);
@@ -73,14 +73,14 @@
   fixture_submit (&f, &low);
   fixture_submit (&f, &high);
   fixture_submit (&f, &second);
-  cr_assert_eq (lc_dispatch_waiting (f.dispatch, LC_KIND_LIVE), 3);
+  cr_assert_eq (lc_dispatch_count_waiting (f.dispatch, LC_KIND_LIVE), 3);
   running = turn (&f, running);
   cr_assert_eq (running, high.id);
   running = turn (&f, running);
   cr_assert_eq (running, second.id);
   running = turn (&f, running);
   cr_assert_eq (running, low.id);
-  cr_assert_eq (lc_dispatch_waiting (f.dispatch, LC_KIND_SAMPLE), 1);
+  cr_assert_eq (lc_dispatch_count_waiting (f.dispatch, LC_KIND_SAMPLE), 1);
   fixture_clear (&f);
 }
 
@@ -249,7 +249,7 @@
   cr_assert_eq (f.error.code, LB_ERROR_OVERLOADED);
   cr_assert_gt (f.retry_after, 0);
   cr_assert (fixture_submit (&f, &fair));
-  cr_assert_eq (lc_dispatch_waiting (f.dispatch, LC_KIND_SAMPLE), 9);
+  cr_assert_eq (lc_dispatch_count_waiting (f.dispatch, LC_KIND_SAMPLE), 9);
   fixture_clear (&f);
 }
 
@@ -308,7 +308,7 @@
 
       cr_assert (fixture_submit (&f, &spec));
     }
-  cr_assert_eq (lc_dispatch_waiting (f.dispatch, LC_KIND_SAMPLE), 14);
+  cr_assert_eq (lc_dispatch_count_waiting (f.dispatch, LC_KIND_SAMPLE), 14);
 
   LcRequestSpec live = spec_of (&f, LC_KIND_LIVE, "shop", 1);
 
@@ -336,11 +336,11 @@
   cr_assert (fixture_submit (&f, &other));
   fixture_expect (&f, LC_ACTION_SEND, same.id);
   fixture_expect (&f, LC_ACTION_SEND, other.id);
-  cr_assert_eq (lc_dispatch_waiting (f.dispatch, LC_KIND_SAMPLE), 1);
+  cr_assert_eq (lc_dispatch_count_waiting (f.dispatch, LC_KIND_SAMPLE), 1);
 
   LcLoadReport report = { .incarnation = "e1-1", .version = 41, .at = f.now };
 
-  lc_dispatch_report (f.dispatch, "e1", &report, f.now, &f.actions);
+  lc_dispatch_record_load (f.dispatch, "e1", &report, f.now, &f.actions);
   fixture_expect (&f, LC_ACTION_SEND, newest.id);
   fixture_clear (&f);
 }
@@ -395,12 +395,12 @@
     }
   fixture_drop_actions (&f);
 
-  size_t waiting = lc_dispatch_waiting (f.dispatch, LC_KIND_LIVE)
-                   + lc_dispatch_waiting (f.dispatch, LC_KIND_SAMPLE);
+  size_t waiting = lc_dispatch_count_waiting (f.dispatch, LC_KIND_LIVE)
+                   + lc_dispatch_count_waiting (f.dispatch, LC_KIND_SAMPLE);
 
   while ((running = turn (&f, running)))
     n_turns++;
   cr_assert_eq (n_turns, waiting);
-  cr_assert_eq (lc_dispatch_in_progress (f.dispatch), 0);
+  cr_assert_eq (lc_dispatch_count_in_progress (f.dispatch), 0);
   fixture_clear (&f);
 }
--- a/packages/core/tests/test-dispatch-answers.c
+++ b/packages/core/tests/test-dispatch-answers.c
@@ -1,9 +1,9 @@
 #include "dispatch-fixture.h"
 
 static const LcDispatchSettings settings
-    = { .longest_view = LB_TIME_NEVER, .queue_limit = 100, .retry_budget = 0.2, .seed = 1 };
+    = { .max_report_age = LB_TIME_NEVER, .queue_limit = 100, .retry_budget = 0.2, .seed = 1 };
 
-static const LcDispatchSettings hedging = { .longest_view = LB_TIME_NEVER,
+static const LcDispatchSettings hedging = { .max_report_age = LB_TIME_NEVER,
                                             .queue_limit = 100,
                                             .retry_budget = 0.2,
                                             .hedge_after = LB_SEC,
@@ -46,10 +46,10 @@
   cr_assert_eq (fixture_piece (&f, spec.id, 1, 0, 2, false), LC_PIECE_DROP);
   cr_assert_eq (fixture_piece (&f, spec.id, 2, 0, 2, false), LC_PIECE_FORWARD);
   cr_assert_eq (fixture_piece (&f, spec.id, 1, 2, 2, true), LC_PIECE_DROP);
-  fixture_end (&f, spec.id, 1, LC_END_WHOLE);
-  cr_assert_eq (lc_dispatch_in_progress (f.dispatch), 1);
+  fixture_end (&f, spec.id, 1, LC_END_COMPLETE);
+  cr_assert_eq (lc_dispatch_count_in_progress (f.dispatch), 1);
   cr_assert_eq (fixture_piece (&f, spec.id, 2, 2, 2, true), LC_PIECE_FORWARD);
-  fixture_end (&f, spec.id, 2, LC_END_WHOLE);
+  fixture_end (&f, spec.id, 2, LC_END_COMPLETE);
   cr_assert_eq (fixture_expect (&f, LC_ACTION_FINISH, spec.id).error, LB_OK);
   cr_assert_eq (fixture_piece (&f, spec.id, 2, 4, 1, false), LC_PIECE_DROP);
   fixture_clear (&f);
@@ -77,7 +77,7 @@
                 "a piece that overlaps what was passed on");
   cr_assert_eq (next_attempt (&f, &spec).resume_at, 3);
   cr_assert_eq (fixture_piece (&f, spec.id, 3, 3, 1, true), LC_PIECE_FORWARD);
-  fixture_end (&f, spec.id, 3, LC_END_WHOLE);
+  fixture_end (&f, spec.id, 3, LC_END_COMPLETE);
   cr_assert_eq (fixture_expect (&f, LC_ACTION_FINISH, spec.id).error, LB_OK);
   fixture_clear (&f);
 }
@@ -101,7 +101,7 @@
   cr_assert_eq (second.resume_at, 5);
   cr_assert_str_neq (second.endpoint, first.endpoint);
   cr_assert_eq (fixture_piece (&f, spec.id, 2, 5, 5, true), LC_PIECE_FORWARD);
-  fixture_end (&f, spec.id, 2, LC_END_WHOLE);
+  fixture_end (&f, spec.id, 2, LC_END_COMPLETE);
   cr_assert_eq (fixture_expect (&f, LC_ACTION_FINISH, spec.id).error, LB_OK);
   fixture_clear (&f);
 }
@@ -176,7 +176,7 @@
   cr_assert_eq (fixture_piece (&f, spec.id, 1, 0, 1, false), LC_PIECE_DROP);
   cr_assert_eq (fixture_piece (&f, spec.id, 1, 1, 1, false), LC_PIECE_DROP);
   cr_assert_eq (fixture_piece (&f, spec.id, 2, 1, 1, true), LC_PIECE_FORWARD);
-  fixture_end (&f, spec.id, 2, LC_END_WHOLE);
+  fixture_end (&f, spec.id, 2, LC_END_COMPLETE);
   cr_assert_eq (fixture_expect (&f, LC_ACTION_FINISH, spec.id).attempt, 2);
   fixture_clear (&f);
 }
@@ -191,14 +191,14 @@
 
   LcRequestSpec spec = fixture_spec (&f, LC_KIND_LIVE);
 
-  spec.delivery = LC_DELIVER_WHOLE;
+  spec.delivery = LC_DELIVER_BUFFERED;
   start (&f, &spec);
   fixture_at (&f, f.now + 2 * LB_SEC);
   fixture_expect (&f, LC_ACTION_SEND, spec.id);
   cr_assert_eq (fixture_piece (&f, spec.id, 1, 0, 3, false), LC_PIECE_FORWARD);
   cr_assert_eq (fixture_piece (&f, spec.id, 2, 0, 4, false), LC_PIECE_FORWARD);
   cr_assert_eq (fixture_piece (&f, spec.id, 2, 4, 4, true), LC_PIECE_FORWARD);
-  fixture_end (&f, spec.id, 2, LC_END_WHOLE);
+  fixture_end (&f, spec.id, 2, LC_END_COMPLETE);
 
   cr_assert_eq (fixture_expect (&f, LC_ACTION_CANCEL, spec.id).attempt, 1);
 
@@ -282,7 +282,8 @@
   spec.failure_is_final = true;
   cr_assert (fixture_submit (&f, &spec));
   cr_assert (fixture_take (&f, LC_ACTION_SEND, spec.id, &send));
-  lc_dispatch_ended (f.dispatch, spec.id, send.attempt, LC_END_FAILED, f.now, &f.actions);
+  lc_dispatch_record_attempt_end (f.dispatch, spec.id, send.attempt, LC_END_FAILED, f.now,
+                                  &f.actions);
   cr_assert (fixture_take (&f, LC_ACTION_FINISH, spec.id, &finish));
   cr_assert_eq (finish.error, LB_ERROR_ENDPOINT_FAILED);
   fixture_clear (&f);
@@ -300,7 +301,8 @@
   LcRequestSpec spec = fixture_spec (&f, LC_KIND_SAMPLE);
   cr_assert (fixture_submit (&f, &spec));
   cr_assert (fixture_take (&f, LC_ACTION_SEND, spec.id, &send));
-  lc_dispatch_ended (f.dispatch, spec.id, send.attempt, LC_END_REJECTED, f.now, &f.actions);
+  lc_dispatch_record_attempt_end (f.dispatch, spec.id, send.attempt, LC_END_REJECTED, f.now,
+                                  &f.actions);
   cr_assert (fixture_take (&f, LC_ACTION_FINISH, spec.id, &finish));
   cr_assert_eq (finish.error, LB_ERROR_REJECTED);
   fixture_clear (&f);
@@ -324,7 +326,8 @@
       while (fixture_take (&f, LC_ACTION_SEND, spec.id, &action))
         {
           sent++;
-          lc_dispatch_ended (f.dispatch, spec.id, action.attempt, LC_END_BROKEN, f.now, &f.actions);
+          lc_dispatch_record_attempt_end (f.dispatch, spec.id, action.attempt, LC_END_BROKEN, f.now,
+                                          &f.actions);
         }
       f.now += 100 * LB_MSEC;
       lc_dispatch_tick (f.dispatch, f.now, &f.actions);
@@ -356,7 +359,8 @@
   lc_dispatch_tick (f.dispatch, f.now, &f.actions);
   cr_assert (fixture_take (&f, LC_ACTION_SEND, spec.id, &second));
   cr_assert_str_neq (first.endpoint, second.endpoint);
-  lc_dispatch_ended (f.dispatch, spec.id, second.attempt, LC_END_WHOLE, f.now, &f.actions);
+  lc_dispatch_record_attempt_end (f.dispatch, spec.id, second.attempt, LC_END_COMPLETE, f.now,
+                                  &f.actions);
   fixture_clear (&f);
 }
 
@@ -384,12 +388,14 @@
   lc_dispatch_tick (f.dispatch, f.now, &f.actions);
   cr_assert (fixture_take (&f, LC_ACTION_SEND, spec.id, &second));
   f.now += 250 * LB_MSEC;
-  lc_dispatch_ended (f.dispatch, spec.id, second.attempt, LC_END_NOT_HANDED, f.now, &f.actions);
+  lc_dispatch_record_attempt_end (f.dispatch, spec.id, second.attempt, LC_END_NOT_SENT, f.now,
+                                  &f.actions);
   lc_dispatch_tick (f.dispatch, f.now, &f.actions);
   cr_assert (fixture_take (&f, LC_ACTION_SEND, spec.id, &third));
   cr_assert_str_neq (third.endpoint, first.endpoint);
   cr_assert_str_neq (third.endpoint, second.endpoint);
-  lc_dispatch_ended (f.dispatch, spec.id, third.attempt, LC_END_WHOLE, f.now, &f.actions);
+  lc_dispatch_record_attempt_end (f.dispatch, spec.id, third.attempt, LC_END_COMPLETE, f.now,
+                                  &f.actions);
   fixture_clear (&f);
 }
 
@@ -500,8 +506,8 @@
   cr_assert_not (take_send (&f, &second));
   for (int i = 1; i < 4; i++)
     if (strcmp (sent[i].endpoint, sent[0].endpoint) != 0)
-      lc_dispatch_ended (f.dispatch, sent[i].request, sent[i].attempt, LC_END_WHOLE, f.now,
-                         &f.actions);
+      lc_dispatch_record_attempt_end (f.dispatch, sent[i].request, sent[i].attempt, LC_END_COMPLETE,
+                                      f.now, &f.actions);
   run_for (&f, 120 * LB_MSEC);
   cr_assert (take_send (&f, &second));
   fixture_clear (&f);
--- a/packages/core/tests/test-dispatch-invariants.c
+++ b/packages/core/tests/test-dispatch-invariants.c
@@ -5,7 +5,7 @@
  * check by hand and look that it refuses that one action and that all else goes on. */
 
 static const LcDispatchSettings settings
-    = { .longest_view = LB_TIME_NEVER, .queue_limit = 100, .retry_budget = 0.2, .seed = 1 };
+    = { .max_report_age = LB_TIME_NEVER, .queue_limit = 100, .retry_budget = 0.2, .seed = 1 };
 
 static LcRequest *
 find (Fixture *f, LcRequestId id)
@@ -45,7 +45,7 @@
   LcRouter router = { .klass = &careless };
 
   fixture_init (&f, &settings, 2, 4);
-  lc_dispatch_leaving (f.dispatch, "e1", "", LC_LEAVING_PLATFORM, f.now, &f.actions);
+  lc_dispatch_mark_leaving (f.dispatch, "e1", "", LC_LEAVING_PLATFORM, f.now, &f.actions);
 
   LcRouter *sound = f.dispatch->router;
   LcRequestSpec spec = fixture_spec (&f, LC_KIND_LIVE);
@@ -78,9 +78,9 @@
   cr_assert (fixture_submit (&f, &running));
   cr_assert (fixture_submit (&f, &order));
   find (&f, order.id)->maybe_run = true;
-  fixture_end (&f, running.id, 1, LC_END_WHOLE);
+  fixture_end (&f, running.id, 1, LC_END_COMPLETE);
   cr_assert_not (fixture_take (&f, LC_ACTION_SEND, order.id, &action));
-  cr_assert_eq (lc_dispatch_in_progress (f.dispatch), 0);
+  cr_assert_eq (lc_dispatch_count_in_progress (f.dispatch), 0);
   expect_one_failure (&f);
   fixture_clear (&f);
 }
@@ -124,7 +124,7 @@
   cr_assert (fixture_submit (&f, &last));
   cr_assert_eq (fixture_piece (&f, last.id, 1, 0, 2, true), LC_PIECE_FORWARD);
   find (&f, last.id)->next_token = 1;
-  fixture_end (&f, last.id, 1, LC_END_WHOLE);
+  fixture_end (&f, last.id, 1, LC_END_COMPLETE);
   cr_assert_eq (fixture_expect (&f, LC_ACTION_FINISH, last.id).error, LB_ERROR_STREAM_BROKEN);
   expect_one_failure (&f);
   fixture_clear (&f);
--- a/packages/core/tests/test-dispatch-leaving.c
+++ b/packages/core/tests/test-dispatch-leaving.c
@@ -1,6 +1,6 @@
 #include "dispatch-fixture.h"
 
-static const LcDispatchSettings settings = { .longest_view = LB_TIME_NEVER,
+static const LcDispatchSettings settings = { .max_report_age = LB_TIME_NEVER,
                                              .queue_limit = 100,
                                              .retry_budget = 0.2,
                                              .hedge_after = LB_SEC,
@@ -9,7 +9,7 @@
 static void
 leave (Fixture *f, const char *endpoint)
 {
-  lc_dispatch_leaving (f->dispatch, endpoint, "", LC_LEAVING_PLATFORM, f->now, &f->actions);
+  lc_dispatch_mark_leaving (f->dispatch, endpoint, "", LC_LEAVING_PLATFORM, f->now, &f->actions);
 }
 
 /* Counts what is sent to the endpoint among the actions so far. */
@@ -50,11 +50,11 @@
     {
       fixture_at (&f, f.now + 100 * LB_MSEC);
       for (int n = 0; n < 8; n++)
-        fixture_end (&f, specs[n].id, 1 + (n < 2), LC_END_WHOLE);
+        fixture_end (&f, specs[n].id, 1 + (n < 2), LC_END_COMPLETE);
     }
   cr_assert_eq (count_sends (&f, "e2"), 0);
   cr_assert_eq (count_sends (&f, "e1"), 6);
-  cr_assert_eq (lc_dispatch_in_progress (f.dispatch), 0);
+  cr_assert_eq (lc_dispatch_count_in_progress (f.dispatch), 0);
   fixture_clear (&f);
 }
 
@@ -104,7 +104,7 @@
 
   cr_assert_eq (finish.error, LB_ERROR_NO_ENDPOINT);
   cr_assert_gt (finish.retry_after, 0);
-  cr_assert_eq (lc_dispatch_in_progress (f.dispatch), 1, "what runs there goes on");
+  cr_assert_eq (lc_dispatch_count_in_progress (f.dispatch), 1, "what runs there goes on");
 
   LcRequestSpec late = fixture_spec (&f, LC_KIND_LIVE);
 
@@ -134,7 +134,7 @@
   fixture_configure (&f);
   cr_assert (lb_list_is_empty (&f.actions));
   cr_assert_eq (fixture_piece (&f, spec.id, 1, 3, 3, true), LC_PIECE_FORWARD);
-  fixture_end (&f, spec.id, 1, LC_END_WHOLE);
+  fixture_end (&f, spec.id, 1, LC_END_COMPLETE);
   cr_assert_eq (fixture_expect (&f, LC_ACTION_FINISH, spec.id).error, LB_OK);
   fixture_configure (&f);
   fixture_clear (&f);
@@ -162,12 +162,12 @@
   cr_assert_eq (f.error.code, LB_ERROR_DRAINING);
   cr_assert_gt (f.retry_after, 0);
   cr_assert_eq (fixture_piece (&f, running.id, 1, 3, 3, true), LC_PIECE_FORWARD);
-  fixture_end (&f, running.id, 1, LC_END_WHOLE);
+  fixture_end (&f, running.id, 1, LC_END_COMPLETE);
   fixture_expect (&f, LC_ACTION_SEND, waiting.id);
   fixture_piece (&f, waiting.id, 1, 0, 3, true);
-  fixture_end (&f, waiting.id, 1, LC_END_WHOLE);
+  fixture_end (&f, waiting.id, 1, LC_END_COMPLETE);
   cr_assert_eq (fixture_expect (&f, LC_ACTION_FINISH, waiting.id).error, LB_OK);
-  cr_assert_eq (lc_dispatch_in_progress (f.dispatch), 0);
+  cr_assert_eq (lc_dispatch_count_in_progress (f.dispatch), 0);
   fixture_clear (&f);
 }
 
@@ -186,7 +186,7 @@
       cr_assert (fixture_submit (&f, &spec));
     }
   fixture_at (&f, f.now + 2 * LB_SEC);
-  cr_assert_eq (lc_dispatch_in_progress (f.dispatch), 0);
+  cr_assert_eq (lc_dispatch_count_in_progress (f.dispatch), 0);
 
   LcRequestSpec next = fixture_spec (&f, LC_KIND_LIVE);
 
@@ -200,11 +200,11 @@
 {
   LcLoadReport load = { .incarnation = "1", .version = 1, .leaving = leaving, .at = f->now };
 
-  lc_dispatch_report (f->dispatch, endpoint, &load, f->now, &f->actions);
+  lc_dispatch_record_load (f->dispatch, endpoint, &load, f->now, &f->actions);
 }
 
 static const LcDispatchSettings asking
-    = { .queue_limit = 100, .retry_budget = 0.2, .longest_view = 0, .seed = 1 };
+    = { .queue_limit = 100, .retry_budget = 0.2, .max_report_age = 0, .seed = 1 };
 
 /* An instance is paused for five seconds. Meanwhile e1 begins to leave and everybody else hears of
  * it. The instance wakes with a call in its socket and an old view in which e1 is fine. */
@@ -338,7 +338,7 @@
 
   const LcLoadReport any_answer = { .at = f.now };
 
-  lc_dispatch_report (f.dispatch, "m1", &any_answer, f.now, &f.actions);
+  lc_dispatch_record_load (f.dispatch, "m1", &any_answer, f.now, &f.actions);
   fixture_expect (&f, LC_ACTION_SEND, spec.id);
   fixture_clear (&f);
 }
@@ -359,7 +359,7 @@
       cr_assert (lb_list_is_empty (&f.actions), "sleep %d", i);
       report (&f, "e1", false);
       fixture_expect (&f, LC_ACTION_SEND, spec.id);
-      fixture_end (&f, spec.id, 1, LC_END_WHOLE);
+      fixture_end (&f, spec.id, 1, LC_END_COMPLETE);
       fixture_drop_actions (&f);
     }
   fixture_clear (&f);
--- a/packages/core/tests/test-dispatch-not-run.c
+++ b/packages/core/tests/test-dispatch-not-run.c
@@ -1,6 +1,6 @@
 #include "dispatch-fixture.h"
 
-static const LcDispatchSettings settings = { .longest_view = LB_TIME_NEVER,
+static const LcDispatchSettings settings = { .max_report_age = LB_TIME_NEVER,
                                              .queue_limit = 100,
                                              .default_deadline = 30 * LB_SEC,
                                              .retry_budget = 0.2,
@@ -48,7 +48,7 @@
 
   cr_assert (fixture_submit (&f, &spec));
 
-  LcAction finish = fail_until_answered (&f, &spec, LC_END_NOT_HANDED, &n_attempts);
+  LcAction finish = fail_until_answered (&f, &spec, LC_END_NOT_SENT, &n_attempts);
 
   cr_assert (lb_error_is_not_run (finish.error));
   cr_assert_gt (finish.retry_after, 0);
@@ -76,7 +76,7 @@
   fixture_expect (&f, LC_ACTION_SEND, spec.id);
   fixture_end (&f, spec.id, 2, LC_END_REFUSED);
   n_attempts = 2;
-  for (int i = 0; i < 100 && lc_dispatch_in_progress (f.dispatch); i++)
+  for (int i = 0; i < 100 && lc_dispatch_count_in_progress (f.dispatch); i++)
     {
       fixture_at (&f, f.now + LB_SEC);
       fixture_end (&f, spec.id, ++n_attempts, LC_END_REFUSED);
@@ -124,7 +124,7 @@
  * it did not run: it may go to another engine and needn't fail. */
 Test (not_run, not_repeatable_is_sent_again_after_a_proof)
 {
-  static const LcAttemptEnd ends[] = { LC_END_REFUSED, LC_END_REFUSED_LEAVING, LC_END_NOT_HANDED };
+  static const LcAttemptEnd ends[] = { LC_END_REFUSED, LC_END_REFUSED_LEAVING, LC_END_NOT_SENT };
 
   for (size_t i = 0; i < 3; i++)
     {
@@ -143,7 +143,7 @@
       fixture_at (&f, f.now + LB_SEC);
       cr_assert_str_neq (fixture_expect (&f, LC_ACTION_SEND, spec.id).endpoint, first.endpoint);
       fixture_piece (&f, spec.id, 2, 0, 1, true);
-      fixture_end (&f, spec.id, 2, LC_END_WHOLE);
+      fixture_end (&f, spec.id, 2, LC_END_COMPLETE);
       cr_assert_eq (fixture_expect (&f, LC_ACTION_FINISH, spec.id).error, LB_OK);
       fixture_clear (&f);
     }
@@ -183,7 +183,7 @@
   waiting.repeatable = false;
   cr_assert (fixture_submit (&f, &running));
   cr_assert (fixture_submit (&f, &waiting));
-  cr_assert_eq (lc_dispatch_waiting (f.dispatch, LC_KIND_LIVE), 1);
+  cr_assert_eq (lc_dispatch_count_waiting (f.dispatch, LC_KIND_LIVE), 1);
   fixture_drop_actions (&f);
   fixture_at (&f, waiting.deadline);
 
@@ -191,7 +191,7 @@
 
   cr_assert_eq (finish.error, LB_ERROR_DEADLINE_BEFORE_START);
   cr_assert_gt (finish.retry_after, 0);
-  fixture_end (&f, running.id, 1, LC_END_WHOLE);
+  fixture_end (&f, running.id, 1, LC_END_COMPLETE);
   fixture_at (&f, f.now + LB_SEC);
   cr_assert_not (fixture_take (&f, LC_ACTION_SEND, waiting.id, &finish));
   fixture_clear (&f);
@@ -211,9 +211,9 @@
   cr_assert (fixture_submit (&f, &running));
   cr_assert (fixture_submit (&f, &waiting));
   lc_dispatch_cancel (f.dispatch, waiting.id, f.now, &f.actions);
-  fixture_end (&f, running.id, 1, LC_END_WHOLE);
+  fixture_end (&f, running.id, 1, LC_END_COMPLETE);
   cr_assert_not (fixture_take (&f, LC_ACTION_SEND, waiting.id, &action));
-  cr_assert_eq (lc_dispatch_in_progress (f.dispatch), 0);
+  cr_assert_eq (lc_dispatch_count_in_progress (f.dispatch), 0);
   fixture_clear (&f);
 }
 
@@ -242,7 +242,7 @@
   for (uint64_t seed = 1; seed <= 16; seed++)
     {
       LcDispatchSettings random = {
-        .longest_view = LB_TIME_NEVER, .queue_limit = 100, .retry_budget = 0.2, .seed = seed
+        .max_report_age = LB_TIME_NEVER, .queue_limit = 100, .retry_budget = 0.2, .seed = seed
       };
       Fixture f;
 
@@ -277,7 +277,7 @@
   spec.max_attempts = 2;
   cr_assert (fixture_submit (&f, &spec));
 
-  LcAction finish = fail_until_answered (&f, &spec, LC_END_NOT_HANDED, &n_attempts);
+  LcAction finish = fail_until_answered (&f, &spec, LC_END_NOT_SENT, &n_attempts);
 
   cr_assert (lb_error_is_not_run (finish.error));
   cr_assert_gt (n_attempts, 2);
--- a/packages/core/tests/test-dispatch-quarantine.c
+++ b/packages/core/tests/test-dispatch-quarantine.c
@@ -68,7 +68,7 @@
   cr_assert (fixture_submit (&f, &last));
   LcAction sent = fixture_expect (&f, LC_ACTION_SEND, first.id);
   hear_ends (&f, BAD, 3);
-  fixture_end (&f, first.id, sent.attempt, LC_END_WHOLE);
+  fixture_end (&f, first.id, sent.attempt, LC_END_COMPLETE);
   LcAction end = fixture_expect (&f, LC_ACTION_FINISH, bad.id);
   cr_assert_eq (end.error, LB_ERROR_QUARANTINED);
   cr_assert_gt (end.retry_after, 0);
@@ -120,7 +120,7 @@
  * nothing: what two other ends beside it said is void. */
 Test (dispatch_quarantine, an_answer_clears_the_content)
 {
-  static const LcAttemptEnd ends[] = { LC_END_WHOLE, LC_END_FAILED, LC_END_REJECTED };
+  static const LcAttemptEnd ends[] = { LC_END_COMPLETE, LC_END_FAILED, LC_END_REJECTED };
   Fixture f;
 
   fixture_init (&f, &(LcDispatchSettings){ .retry_budget = 0.1 }, 2, 8);
--- a/packages/core/tests/test-dispatch-random.c
+++ b/packages/core/tests/test-dispatch-random.c
@@ -157,7 +157,7 @@
 
   spec.repeatable = chance (model, 0.6);
   spec.resumable = spec.repeatable && chance (model, 0.7);
-  spec.delivery = chance (model, 0.6) ? LC_DELIVER_STREAM : LC_DELIVER_WHOLE;
+  spec.delivery = chance (model, 0.6) ? LC_DELIVER_STREAM : LC_DELIVER_BUFFERED;
   spec.priority = (int)gsl_rng_uniform_int (model->random, 5);
   if (chance (model, 0.5))
     spec.deadline = model->f.now + gsl_rng_uniform_int (model->random, 3 * LB_SEC);
@@ -192,7 +192,7 @@
   cr_assert (was_open && !call->done, "a late piece was passed on");
   cr_assert_eq (offset, flight->gathered);
   flight->gathered += tokens;
-  if (call->spec.delivery == LC_DELIVER_WHOLE)
+  if (call->spec.delivery == LC_DELIVER_BUFFERED)
     return;
   cr_assert_eq (offset, call->shown, "pieces of two attempts were mixed");
   cr_assert (call->source == flight->attempt || !find_open (model, call->spec.id, call->source),
@@ -209,7 +209,7 @@
   if (model->leaving[flight->endpoint] && fate < 0.5)
     end (model, flight, LC_END_REFUSED_LEAVING);
   else if (fate < 0.05)
-    end (model, flight, LC_END_NOT_HANDED);
+    end (model, flight, LC_END_NOT_SENT);
   else if (fate < 0.1)
     end (model, flight, LC_END_REFUSED);
   else if (fate < 0.11)
@@ -253,7 +253,7 @@
   if (!flight->begun)
     begin (model, flight);
   else if (flight->next == flight->call->length)
-    end (model, flight, flight->damaged ? LC_END_BROKEN : LC_END_WHOLE);
+    end (model, flight, flight->damaged ? LC_END_BROKEN : LC_END_COMPLETE);
   else if (chance (model, 0.02))
     end (model, flight, LC_END_BROKEN);
   else if (chance (model, 0.02))
@@ -274,8 +274,8 @@
   carry_out (model);
   model->leaving[endpoint] = false;
   snprintf (report.incarnation, sizeof report.incarnation, "%d", ++model->incarnation[endpoint]);
-  lc_dispatch_report (model->f.dispatch, model->f.members[endpoint].name, &report, model->f.now,
-                      &model->f.actions);
+  lc_dispatch_record_load (model->f.dispatch, model->f.members[endpoint].name, &report,
+                           model->f.now, &model->f.actions);
 }
 
 static void
@@ -283,8 +283,8 @@
 {
   model->leaving[endpoint] = true;
   model->keep_running = true;
-  lc_dispatch_leaving (model->f.dispatch, model->f.members[endpoint].name, "", LC_LEAVING_ENDPOINT,
-                       model->f.now, &model->f.actions);
+  lc_dispatch_mark_leaving (model->f.dispatch, model->f.members[endpoint].name, "",
+                            LC_LEAVING_ENDPOINT, model->f.now, &model->f.actions);
   carry_out (model);
   model->keep_running = false;
 }
@@ -367,15 +367,15 @@
       if (model->incarnation[i] > 0)
         snprintf (report.incarnation, sizeof report.incarnation, "%d", model->incarnation[i]);
       if (i != model->removed)
-        lc_dispatch_report (model->f.dispatch, model->f.members[i].name, &report, model->f.now,
-                            &model->f.actions);
+        lc_dispatch_record_load (model->f.dispatch, model->f.members[i].name, &report, model->f.now,
+                                 &model->f.actions);
     }
 }
 
 static void
 run (uint64_t seed)
 {
-  LcDispatchSettings settings = { .longest_view = LB_TIME_NEVER,
+  LcDispatchSettings settings = { .max_report_age = LB_TIME_NEVER,
                                   .queue_limit = 50,
                                   .default_deadline = 5 * LB_SEC,
                                   .retry_budget = 0.5,
@@ -390,13 +390,13 @@
   for (int i = 0; i < N_STEPS; i++)
     step (model, true);
   lc_dispatch_drain (model->f.dispatch, model->f.now, &model->f.actions);
-  for (int i = 0; i < 100 * N_STEPS && lc_dispatch_in_progress (model->f.dispatch); i++)
+  for (int i = 0; i < 100 * N_STEPS && lc_dispatch_count_in_progress (model->f.dispatch); i++)
     {
       if (i % STEPS_BETWEEN_LOADS == 0)
         state_loads (model);
       step (model, false);
     }
-  cr_assert_eq (lc_dispatch_in_progress (model->f.dispatch), 0);
+  cr_assert_eq (lc_dispatch_count_in_progress (model->f.dispatch), 0);
   for (LcRequestId id = 1; id <= model->f.last_id; id++)
     cr_assert (model->calls[id].done, "no final answer");
   for (size_t i = 0; i < lc_endpoints_count (lc_dispatch_endpoints (model->f.dispatch)); i++)
--- a/packages/core/tests/test-dispatch.c
+++ b/packages/core/tests/test-dispatch.c
@@ -1,7 +1,7 @@
 #include "dispatch-fixture.h"
 
 static const LcDispatchSettings settings
-    = { .longest_view = LB_TIME_NEVER, .queue_limit = 100, .retry_budget = 0.2, .seed = 1 };
+    = { .max_report_age = LB_TIME_NEVER, .queue_limit = 100, .retry_budget = 0.2, .seed = 1 };
 
 Test (dispatch, whole_answer_passes_piece_by_piece)
 {
@@ -19,9 +19,9 @@
   cr_assert_str_eq (send.address, "127.0.0.1:9");
   cr_assert_eq (fixture_piece (&f, spec.id, 1, 0, 3, false), LC_PIECE_FORWARD);
   cr_assert_eq (fixture_piece (&f, spec.id, 1, 3, 2, true), LC_PIECE_FORWARD);
-  fixture_end (&f, spec.id, 1, LC_END_WHOLE);
+  fixture_end (&f, spec.id, 1, LC_END_COMPLETE);
   cr_assert_eq (fixture_expect (&f, LC_ACTION_FINISH, spec.id).error, LB_OK);
-  cr_assert_eq (lc_dispatch_in_progress (f.dispatch), 0);
+  cr_assert_eq (lc_dispatch_count_in_progress (f.dispatch), 0);
   fixture_clear (&f);
 }
 
--- a/packages/core/tests/test-organisations.c
+++ b/packages/core/tests/test-organisations.c
@@ -23,8 +23,8 @@
 decide (const LcOrganisations *organisations, LbTime age, bool strict, LcAdmissionCall call)
 {
   const LcAdmissionRules rules
-      = { .refuses_unconfirmed = strict, .longest_unconfirmed = 5 * LB_SEC };
-  const LcAdmissionBelief belief = { .organisations = organisations, .confirmed_at = NOW - age };
+      = { .refuse_unconfirmed = strict, .max_unconfirmed_age = 5 * LB_SEC };
+  const LcAdmissionView belief = { .organisations = organisations, .confirmed_at = NOW - age };
   LcAdmission admission;
 
   lc_admission_decide (&rules, &belief, &call, NOW, &admission);
@@ -95,11 +95,11 @@
 
   cr_assert_eq (decide (NULL, 0, true, (LcAdmissionCall){ 0 }).error, LB_OK);
   cr_assert_eq (
-      decide (organisations, 60 * LB_SEC, true, (LcAdmissionCall){ .needs_none = true }).error,
+      decide (organisations, 60 * LB_SEC, true, (LcAdmissionCall){ .is_public = true }).error,
       LB_OK);
   cr_assert_str_eq (decide (organisations, 0, false,
                             (LcAdmissionCall){
-                                .key = "key-of-mill", .n_keys = 1, .needs_none = true })
+                                .key = "key-of-mill", .n_keys = 1, .is_public = true })
                         .organisation.name,
                     "", "an open route is nobody's, whatever its caller brings");
   lc_organisations_free (organisations);
--- a/packages/core/tests/test-retry.c
+++ b/packages/core/tests/test-retry.c
@@ -67,7 +67,7 @@
 Test (budget, belongs_to_the_caller)
 {
   const LcDispatchSettings settings
-      = { .longest_view = LB_TIME_NEVER, .queue_limit = 100, .retry_budget = 0.25, .seed = 1 };
+      = { .max_report_age = LB_TIME_NEVER, .queue_limit = 100, .retry_budget = 0.25, .seed = 1 };
   Fixture f;
   LcAction action;
   int n_retries = 0;
@@ -78,7 +78,7 @@
       LcRequestSpec good = fixture_spec (&f, LC_KIND_LIVE);
 
       cr_assert (fixture_submit (&f, &good));
-      fixture_end (&f, good.id, 1, LC_END_WHOLE);
+      fixture_end (&f, good.id, 1, LC_END_COMPLETE);
     }
   for (int i = 0; i < 4; i++)
     {
@@ -110,7 +110,7 @@
  * when the engines can bear it least. */
 Test (budget, hedges_spend_it_too)
 {
-  const LcDispatchSettings settings = { .longest_view = LB_TIME_NEVER,
+  const LcDispatchSettings settings = { .max_report_age = LB_TIME_NEVER,
                                         .queue_limit = 100,
                                         .retry_budget = 0.25,
                                         .hedge_after = LB_SEC,
@@ -176,11 +176,11 @@
   Pending pending = { .at = now + SERVICE_TIME,
                       .request = send->request,
                       .attempt = send->attempt,
-                      .end = LC_END_WHOLE };
+                      .end = LC_END_COMPLETE };
 
   if (!out || (storm->kind == OUTAGE_PARTIAL && storm->n_taken++ % 5 >= 2))
     return pending;
-  pending.end = storm->kind == OUTAGE_REFUSES ? LC_END_NOT_HANDED : LC_END_BROKEN;
+  pending.end = storm->kind == OUTAGE_REFUSES ? LC_END_NOT_SENT : LC_END_BROKEN;
   if (storm->kind == OUTAGE_SILENT)
     pending.at = now + 3 * LB_SEC;
   return pending;
@@ -220,7 +220,7 @@
           continue;
         }
       storm->pending[i] = storm->pending[--storm->n_pending];
-      if (pending.end == LC_END_WHOLE)
+      if (pending.end == LC_END_COMPLETE)
         fixture_piece (&storm->f, pending.request, pending.attempt, 0, 10, true);
       fixture_end (&storm->f, pending.request, pending.attempt, pending.end);
       carry_out (storm);
@@ -249,7 +249,7 @@
 run_storm (OutageKind kind)
 {
   LcDispatchSettings settings
-      = { .longest_view = LB_TIME_NEVER, .queue_limit = 4096, .retry_budget = 0.1, .seed = 1 };
+      = { .max_report_age = LB_TIME_NEVER, .queue_limit = 4096, .retry_budget = 0.1, .seed = 1 };
   Storm *storm = LB_NEW (Storm);
 
   storm->kind = kind;
@@ -336,7 +336,7 @@
 Test (retry, a_sample_that_is_refused_goes_to_another_engine_at_once)
 {
   const LcDispatchSettings no_budget = {
-    .longest_view = LB_TIME_NEVER, .queue_limit = 100, .default_deadline = 30 * LB_SEC, .seed = 1
+    .max_report_age = LB_TIME_NEVER, .queue_limit = 100, .default_deadline = 30 * LB_SEC, .seed = 1
   };
   Fixture f;
 
--- a/packages/core/tests/test-router.c
+++ b/packages/core/tests/test-router.c
@@ -10,7 +10,7 @@
 static void
 with_each_policy (void (*check) (LcRouter *router, const char *policy))
 {
-  for (const char *const *name = lc_router_policies (); *name; name++)
+  for (const char *const *name = lc_router_policy_names (); *name; name++)
     {
       LcRouter *router = lc_router_new (*name, 7);
 
--- a/packages/core/tests/test-stream-pace.c
+++ b/packages/core/tests/test-stream-pace.c
@@ -118,7 +118,7 @@
 
   query.kind = LC_KIND_SAMPLE;
   query.expected_tokens = 100; /* 4.8 s at an engine that is well, 19 s at a slow one */
-  query.wanted_by = now + 7 * LB_SEC;
+  query.soft_deadline = now + 7 * LB_SEC;
   query.submitted = now;
   return query;
 }
--- a/packages/node/src/batch/ln-batch-owner.c
+++ b/packages/node/src/batch/ln-batch-owner.c
@@ -120,7 +120,7 @@
                             .hedge_after = lb_switch_is_on (LB_SWITCH_HEDGING) ? TEXT_HEDGE : 0,
                             .organisation_priority = (int)batch->head.organisation_priority,
                             .latest_start = action->latest_start,
-                            .wanted_by = action->wanted_by,
+                            .soft_deadline = action->wanted_by,
                             .prompt_tokens = item->prompt_tokens,
                             .expected_tokens = action->expected_events,
                             .min_version = spec->min_version,
@@ -156,7 +156,7 @@
       = desired ? lc_desired_route (desired, item->scorer.host, item->scorer.path) : NULL;
   LcRequestSpec request = { .id = action->request,
                             .kind = LC_KIND_SERVICE,
-                            .delivery = LC_DELIVER_WHOLE,
+                            .delivery = LC_DELIVER_BUFFERED,
                             .repeatable = true,
                             .expected_tokens = 1 };
 
--- a/packages/node/src/calls/ln-admission.c
+++ b/packages/node/src/calls/ln-admission.c
@@ -26,11 +26,11 @@
 {
   const LnSettings *settings = context->settings;
   const LcAdmissionRules rules
-      = { .refuses_unconfirmed = settings->keys.refuse_unconfirmed,
-          .longest_unconfirmed = settings->keys.longest_unconfirmed_ms * LB_MSEC };
-  const LcAdmissionBelief known
+      = { .refuse_unconfirmed = settings->keys.refuse_unconfirmed,
+          .max_unconfirmed_age = settings->keys.longest_unconfirmed_ms * LB_MSEC };
+  const LcAdmissionView known
       = { .organisations = belief->desired->organisations, .confirmed_at = belief->confirmed_at };
-  const LcAdmissionCall call = { .key = in->key, .n_keys = in->n_keys, .needs_none = is_public };
+  const LcAdmissionCall call = { .key = in->key, .n_keys = in->n_keys, .is_public = is_public };
 
   lc_admission_decide (&rules, &known, &call, lb_clock_monotonic (), admission);
 }
--- a/packages/node/src/calls/ln-call-reader.c
+++ b/packages/node/src/calls/ln-call-reader.c
@@ -260,6 +260,6 @@
       ln_call_free (call);
       return NULL;
     }
-  call->spec.delivery = call->wants_stream ? LC_DELIVER_STREAM : LC_DELIVER_WHOLE;
+  call->spec.delivery = call->wants_stream ? LC_DELIVER_STREAM : LC_DELIVER_BUFFERED;
   return call;
 }
--- a/packages/node/src/calls/ln-call.c
+++ b/packages/node/src/calls/ln-call.c
@@ -172,7 +172,7 @@
   add_version (attempt, piece->version);
   add_version (attempt, piece->kv_reused_version);
   note_finish_reason (attempt, event);
-  if (attempt->call->spec.delivery != LC_DELIVER_WHOLE)
+  if (attempt->call->spec.delivery != LC_DELIVER_BUFFERED)
     return;
   evbuffer_add (attempt->text, text, strlen (text));
   attempt->pieces = lb_realloc (attempt->pieces, (attempt->n_pieces + 1) * sizeof (LcPiece));
--- a/packages/node/src/calls/ln-calls-attempts.c
+++ b/packages/node/src/calls/ln-calls-attempts.c
@@ -82,8 +82,8 @@
   if (calls->context->dialect)
     note_version (calls, call, upstream, piece->version);
   LcPieceVerdict verdict
-      = lc_dispatch_piece (calls->dispatch, call->spec.id, ln_upstream_attempt (upstream), piece,
-                           lb_clock_monotonic (), &actions);
+      = lc_dispatch_receive_piece (calls->dispatch, call->spec.id, ln_upstream_attempt (upstream),
+                                   piece, lb_clock_monotonic (), &actions);
   if (verdict == LC_PIECE_DROP)
     lb_metric_add (&pieces_dropped, 1);
   else
@@ -103,8 +103,8 @@
 log_end (const LnAttempt *attempt, LcAttemptEnd end)
 {
   static const char *const names[] = {
-    [LC_END_WHOLE] = "whole",          [LC_END_REFUSED] = "refused",
-    [LC_END_REFUSED_LEAVING] = "gone", [LC_END_NOT_HANDED] = "not_handed",
+    [LC_END_COMPLETE] = "whole",       [LC_END_REFUSED] = "refused",
+    [LC_END_REFUSED_LEAVING] = "gone", [LC_END_NOT_SENT] = "not_handed",
     [LC_END_BROKEN] = "broken",        [LC_END_REJECTED] = "rejected",
     [LC_END_FAILED] = "failed",
   };
@@ -194,7 +194,7 @@
 static bool
 may_have_begun (LcAttemptEnd end)
 {
-  return end != LC_END_REFUSED && end != LC_END_REFUSED_LEAVING && end != LC_END_NOT_HANDED;
+  return end != LC_END_REFUSED && end != LC_END_REFUSED_LEAVING && end != LC_END_NOT_SENT;
 }
 
 /* An endpoint that ended under a request looks like one that cut an answer. A text that had begun
@@ -231,8 +231,8 @@
     ln_calls_count_began (calls, attempt);
   note_broken (calls, attempt, end);
   LcRequestId id = call->spec.id;
-  lc_dispatch_ended (calls->dispatch, id, ln_upstream_attempt (upstream), end,
-                     lb_clock_monotonic (), &actions);
+  lc_dispatch_record_attempt_end (calls->dispatch, id, ln_upstream_attempt (upstream), end,
+                                  lb_clock_monotonic (), &actions);
   ln_calls_run (calls, &actions);
   ln_crashes_tell (calls->crashes);
   if (end == LC_END_REFUSED_LEAVING)
--- a/packages/node/src/calls/ln-calls-run.c
+++ b/packages/node/src/calls/ln-calls-run.c
@@ -150,8 +150,8 @@
     return;
   ln_attempt_free (attempt);
   lb_log_error (LB_LOG_WARNING, "attempt_not_started", &error);
-  lc_dispatch_ended (calls->dispatch, action->request, action->attempt, LC_END_NOT_HANDED,
-                     lb_clock_monotonic (), actions);
+  lc_dispatch_record_attempt_end (calls->dispatch, action->request, action->attempt,
+                                  LC_END_NOT_SENT, lb_clock_monotonic (), actions);
 }
 
 static void
@@ -200,7 +200,7 @@
                           lb_strndup (body, code == LB_OK ? length : 0));
       return;
     }
-  if (call->spec.delivery == LC_DELIVER_WHOLE && code == LB_OK)
+  if (call->spec.delivery == LC_DELIVER_BUFFERED && code == LB_OK)
     {
       text = winner->text;
       for (size_t i = 0; i < winner->n_pieces; i++)
--- a/packages/node/src/calls/ln-calls.c
+++ b/packages/node/src/calls/ln-calls.c
@@ -93,8 +93,8 @@
     lc_endpoints_listed_live (lc_dispatch_endpoints (calls->dispatch), message->endpoint,
                               lb_clock_monotonic ());
   else
-    lc_dispatch_leaving (calls->dispatch, message->endpoint, message->incarnation, message->source,
-                         lb_clock_monotonic (), &actions);
+    lc_dispatch_mark_leaving (calls->dispatch, message->endpoint, message->incarnation,
+                              message->source, lb_clock_monotonic (), &actions);
   ln_calls_run (calls, &actions);
   ln_calls_tell_leaving (calls, message->endpoint);
 }
@@ -122,7 +122,7 @@
   LB_COPY (report.incarnation, message->endpoint);
   report.running = endpoint->in_flight;
   lb_list_init (&actions);
-  lc_dispatch_report (calls->dispatch, message->endpoint, &report, report.at, &actions);
+  lc_dispatch_record_load (calls->dispatch, message->endpoint, &report, report.at, &actions);
   ln_calls_run (calls, &actions);
 }
 
@@ -165,7 +165,7 @@
   LbList actions;
 
   lb_list_init (&actions);
-  lc_dispatch_report (calls->dispatch, endpoint, report, lb_clock_monotonic (), &actions);
+  lc_dispatch_record_load (calls->dispatch, endpoint, report, lb_clock_monotonic (), &actions);
   ln_calls_run (calls, &actions);
   ln_calls_tell_leaving (calls, endpoint);
   LB_COPY (message.endpoint, endpoint);
@@ -324,10 +324,12 @@
 static void
 set_gauges (const LnCalls *calls)
 {
-  lb_metric_set (&in_progress, (int64_t)lc_dispatch_in_progress (calls->dispatch));
-  lb_metric_set (&waiting_live, (int64_t)lc_dispatch_waiting (calls->dispatch, LC_KIND_LIVE));
-  lb_metric_set (&waiting_samples, (int64_t)lc_dispatch_waiting (calls->dispatch, LC_KIND_SAMPLE));
-  lb_metric_set (&waiting_service, (int64_t)lc_dispatch_waiting (calls->dispatch, LC_KIND_SERVICE));
+  lb_metric_set (&in_progress, (int64_t)lc_dispatch_count_in_progress (calls->dispatch));
+  lb_metric_set (&waiting_live, (int64_t)lc_dispatch_count_waiting (calls->dispatch, LC_KIND_LIVE));
+  lb_metric_set (&waiting_samples,
+                 (int64_t)lc_dispatch_count_waiting (calls->dispatch, LC_KIND_SAMPLE));
+  lb_metric_set (&waiting_service,
+                 (int64_t)lc_dispatch_count_waiting (calls->dispatch, LC_KIND_SERVICE));
   lb_metric_set (&broken_invariants, (int64_t)lc_dispatch_invariant_failures (calls->dispatch));
 }
 
--- a/packages/node/src/calls/ln-routed.c
+++ b/packages/node/src/calls/ln-routed.c
@@ -108,7 +108,7 @@
   call->exchange = exchange;
   call->spec.id = ln_context_next_request (calls->context);
   call->spec.kind = LC_KIND_SERVICE;
-  call->spec.delivery = LC_DELIVER_WHOLE;
+  call->spec.delivery = LC_DELIVER_BUFFERED;
   call->spec.repeatable = route->kind == LC_ROUTE_REPEATABLE;
   call->spec.priority = route->priority;
   call->spec.max_attempts = route->attempts;
@@ -135,7 +135,7 @@
 {
   const char *service = lc_route_service (route, ln_context_draw (calls->context));
 
-  if (lc_dispatch_knows_service (calls->dispatch, service))
+  if (lc_dispatch_has_service (calls->dispatch, service))
     ln_calls_submit (calls, make_call (calls, exchange, route, admission, service, in));
   else
     refuse (exchange, LB_ERROR_NOT_READY, "the endpoints of the route are not known here yet",
--- a/packages/node/src/calls/ln-upstream.c
+++ b/packages/node/src/calls/ln-upstream.c
@@ -256,7 +256,7 @@
 judge_in_dialect (const LnUpstream *upstream, const LhResult *result)
 {
   if (result->failure != LB_OK)
-    return result->bytes_handed ? LC_END_BROKEN : LC_END_NOT_HANDED;
+    return result->bytes_handed ? LC_END_BROKEN : LC_END_NOT_SENT;
   if (!is_named (upstream, upstream->fetch))
     return LC_END_BROKEN;
   switch (upstream->dialect->judge (upstream->status, header_of, upstream->fetch))
@@ -266,15 +266,15 @@
     case LN_REPLY_OTHER_ENDPOINT:
       return LC_END_REFUSED_LEAVING;
     case LN_REPLY_NEVER:
-      return upstream->reader ? LC_END_REJECTED : LC_END_WHOLE;
+      return upstream->reader ? LC_END_REJECTED : LC_END_COMPLETE;
     case LN_REPLY_FAILURE:
-      return upstream->reader ? LC_END_FAILED : LC_END_WHOLE;
+      return upstream->reader ? LC_END_FAILED : LC_END_COMPLETE;
     case LN_REPLY_ANSWER:
       break;
     }
   if (upstream->reader && upstream->status != 200)
     return LC_END_FAILED;
-  return LC_END_WHOLE;
+  return LC_END_COMPLETE;
 }
 
 static LcAttemptEnd
@@ -286,13 +286,13 @@
     return judge_in_dialect (upstream, result);
 
   if (upstream->end_marker)
-    return LC_END_WHOLE;
+    return LC_END_COMPLETE;
   if (result->failure != LB_OK)
-    return result->bytes_handed ? LC_END_BROKEN : LC_END_NOT_HANDED;
+    return result->bytes_handed ? LC_END_BROKEN : LC_END_NOT_SENT;
   if (refusal (upstream, &how))
     return how;
   if (!upstream->stream_id)
-    return states_its_end (upstream) ? LC_END_WHOLE : LC_END_BROKEN;
+    return states_its_end (upstream) ? LC_END_COMPLETE : LC_END_BROKEN;
   return upstream->status == 200 ? LC_END_BROKEN : LC_END_FAILED;
 }
 
--- a/packages/node/src/task/ln-settings.c
+++ b/packages/node/src/task/ln-settings.c
@@ -221,7 +221,7 @@
 static bool
 is_policy (const char *name)
 {
-  for (const char *const *policy = lc_router_policies (); *policy; policy++)
+  for (const char *const *policy = lc_router_policy_names (); *policy; policy++)
     if (strcmp (*policy, name) == 0)
       return true;
   return false;
--- a/packages/sim/src/lx-callers.c
+++ b/packages/sim/src/lx-callers.c
@@ -156,7 +156,7 @@
 fill_service_call (LxCallers *callers, LcRequestSpec *spec)
 {
   spec->kind = LC_KIND_SERVICE;
-  spec->delivery = LC_DELIVER_WHOLE;
+  spec->delivery = LC_DELIVER_BUFFERED;
   spec->repeatable = gsl_rng_uniform (callers->random) < 0.5;
   spec->expected_tokens = 1;
   LB_COPY (spec->pool, callers->world->options.site->service);
--- a/packages/sim/src/lx-engine.c
+++ b/packages/sim/src/lx-engine.c
@@ -215,7 +215,7 @@
 
   send_piece (engine, stream, stream->piece);
   if (stream->offset == stream->spec.length)
-    end_stream (engine, stream, LC_END_WHOLE);
+    end_stream (engine, stream, LC_END_COMPLETE);
   else
     plan_piece (stream, stream->spec.kind == LC_KIND_SAMPLE ? SAMPLE_PIECE : LIVE_PIECE, made_at);
 }
--- a/packages/sim/src/lx-instance.c
+++ b/packages/sim/src/lx-instance.c
@@ -378,7 +378,7 @@
     goto out;
   if (!engine->alive)
     {
-      lx_instance_send_end (instance, engine, &sending->stream, LC_END_NOT_HANDED, 0);
+      lx_instance_send_end (instance, engine, &sending->stream, LC_END_NOT_SENT, 0);
       goto out;
     }
   if (!lx_engine_submit (engine, &sending->stream))
@@ -851,8 +851,8 @@
 on_drained (LxInstance *instance, void *argument)
 {
   LxWorld *world = instance->world;
-  bool idle = lc_dispatch_in_progress (instance->dispatch) == 0
-              && lc_dispatch_waiting (instance->dispatch, LC_KIND_LIVE) == 0
+  bool idle = lc_dispatch_count_in_progress (instance->dispatch) == 0
+              && lc_dispatch_count_waiting (instance->dispatch, LC_KIND_LIVE) == 0
               && lc_rollouts_in_progress (instance->rollouts) == 0;
 
   (void)argument;
@@ -921,8 +921,9 @@
 static void
 take_piece (LxInstance *instance, LxRequest *request, LxAttempt *attempt, const LcPiece *piece)
 {
-  LcPieceVerdict verdict = lc_dispatch_piece (instance->dispatch, request->id, attempt->number,
-                                              piece, now_of (instance), &instance->actions);
+  LcPieceVerdict verdict
+      = lc_dispatch_receive_piece (instance->dispatch, request->id, attempt->number, piece,
+                                   now_of (instance), &instance->actions);
 
   if (verdict != LC_PIECE_FORWARD)
     return;
@@ -955,8 +956,8 @@
   if (delivery->is_end)
     {
       attempt->open = false;
-      lc_dispatch_ended (instance->dispatch, request->id, delivery->attempt, delivery->end,
-                         now_of (instance), &instance->actions);
+      lc_dispatch_record_attempt_end (instance->dispatch, request->id, delivery->attempt,
+                                      delivery->end, now_of (instance), &instance->actions);
     }
   else
     {
@@ -986,8 +987,8 @@
 lx_instance_report (LxInstance *instance, size_t engine, const LcLoadReport *report)
 {
   pass_cache_events (instance, engine);
-  lc_dispatch_report (instance->dispatch, instance->world->engines[engine]->name, report,
-                      now_of (instance), &instance->actions);
+  lc_dispatch_record_load (instance->dispatch, instance->world->engines[engine]->name, report,
+                           now_of (instance), &instance->actions);
   pump (instance);
 }
 
--- a/packages/sim/src/lx-options.c
+++ b/packages/sim/src/lx-options.c
@@ -65,7 +65,7 @@
 static bool
 is_router (const char *name)
 {
-  for (const char *const *policy = lc_router_policies (); *policy; policy++)
+  for (const char *const *policy = lc_router_policy_names (); *policy; policy++)
     if (strcmp (*policy, name) == 0)
       return true;
   return false;
--- a/packages/sim/tests/test-engine.c
+++ b/packages/sim/tests/test-engine.c
@@ -38,7 +38,7 @@
 
   (void)engine;
   (void)stream;
-  cr_assert_eq (end, LC_END_WHOLE);
+  cr_assert_eq (end, LC_END_COMPLETE);
   heard->ends++;
   heard->ended_at = lx_queue_now (heard->queue);
 }
