--- a/fuzz/fuzz-entry.c
+++ b/fuzz/fuzz-entry.c
@@ -14,7 +14,7 @@
 {
   char *text = lb_strndup ((const char *)data, size);
   char *value = strchr (text, '\n');
-  LcListed listed;
+  LcRegistration listed;
   LbError error = { 0 };
 
   if (value)
--- a/packages/cli/src/lt-cost.c
+++ b/packages/cli/src/lt-cost.c
@@ -102,7 +102,7 @@
                             .running = (int64_t)(i * 7 % 20),
                             .waiting = (int64_t)(i * 5 % 3),
                             .tokens_per_second = 60,
-                            .at = now };
+                            .measured_at = now };
   snprintf (report->incarnation, sizeof report->incarnation, "engine-%zu-1", i);
 }
 
@@ -128,7 +128,7 @@
     {
       LcLoadReport load;
       make_report (i, now, &load);
-      lc_endpoints_report (endpoints, lc_endpoints_at (endpoints, i)->member.name, &load, now);
+      lc_endpoints_record_load (endpoints, lc_endpoints_at (endpoints, i)->member.name, &load, now);
     }
   double memory = (held_bytes () - before) / (double)n;
   LbTime begun = lb_clock_monotonic ();
@@ -140,8 +140,8 @@
       LcRouteDecision decision = lc_router_choose (router, endpoints, &query, now);
       if (!decision.endpoint)
         continue;
-      lc_endpoints_sent (decision.endpoint, LC_KIND_LIVE, hashes[2], now);
-      lc_endpoints_ended (decision.endpoint, LC_KIND_LIVE, true, 64, LB_SEC, now);
+      lc_endpoint_request_sent (decision.endpoint, LC_KIND_LIVE, hashes[2], now);
+      lc_endpoint_request_ended (decision.endpoint, LC_KIND_LIVE, true, 64, LB_SEC, now);
     }
   add (report, "routing-decision", n, since (begun, DECISIONS), 0);
   add (report, "endpoint-memory", n, 0, memory);
--- a/packages/core/bench/bench-decision.c
+++ b/packages/core/bench/bench-decision.c
@@ -22,9 +22,10 @@
                               .version = 1,
                               .running = (int64_t)gsl_rng_uniform_int (rng, 24),
                               .tokens_per_second = 30,
-                              .at = now };
+                              .measured_at = now };
 
-      lc_endpoints_report (endpoints, lc_endpoints_at (endpoints, i)->member.name, &report, now);
+      lc_endpoints_record_load (endpoints, lc_endpoints_at (endpoints, i)->member.name, &report,
+                                now);
     }
 }
 
@@ -64,8 +65,8 @@
       LcRouteDecision decision = lc_router_choose (router, endpoints, &query, now);
 
       spent += lb_clock_monotonic () - before;
-      lc_endpoints_sent (decision.endpoint, LC_KIND_LIVE, hashes[N_BLOCKS - 1], now);
-      lc_endpoints_ended (decision.endpoint, LC_KIND_LIVE, true, 100, LB_SEC, now);
+      lc_endpoint_request_sent (decision.endpoint, LC_KIND_LIVE, hashes[N_BLOCKS - 1], now);
+      lc_endpoint_request_ended (decision.endpoint, LC_KIND_LIVE, true, 100, LB_SEC, now);
       if (i % 100 == 0)
         report_all (endpoints, rng, now);
     }
@@ -101,16 +102,17 @@
   print_update ("report", n, began, rounds / n * n);
   began = lb_clock_monotonic ();
   for (int i = 0; i < rounds; i++)
-    lc_endpoints_cache_event (endpoints, set.endpoints[i % n].name, (uint64_t)i / (uint64_t)n + 1,
-                              true, bench_hash ((uint64_t)(i % 100000), 0), i);
+    lc_endpoints_apply_cache_event (endpoints, set.endpoints[i % n].name,
+                                    (uint64_t)i / (uint64_t)n + 1, true,
+                                    bench_hash ((uint64_t)(i % 100000), 0), i);
   print_update ("cache event", n, began, rounds);
   began = lb_clock_monotonic ();
   for (int i = 0; i < rounds; i++)
     {
       LcEndpoint *endpoint = lc_endpoints_at (endpoints, (size_t)(i % n));
 
-      lc_endpoints_sent (endpoint, LC_KIND_LIVE, bench_hash ((uint64_t)(i % 100000), 0), i);
-      lc_endpoints_ended (endpoint, LC_KIND_LIVE, true, 100, LB_SEC, i);
+      lc_endpoint_request_sent (endpoint, LC_KIND_LIVE, bench_hash ((uint64_t)(i % 100000), 0), i);
+      lc_endpoint_request_ended (endpoint, LC_KIND_LIVE, true, 100, LB_SEC, i);
     }
   print_update ("sent and ended", n, began, rounds);
   lc_endpoints_free (endpoints);
--- a/packages/core/bench/bench-dispatch.c
+++ b/packages/core/bench/bench-dispatch.c
@@ -66,7 +66,7 @@
   lc_dispatch_configure (bench->dispatch, &bench->set, bench->now, &bench->actions);
   for (size_t i = 0; i < n_endpoints; i++)
     {
-      LcLoadReport report = { .version = 1, .at = bench->now };
+      LcLoadReport report = { .version = 1, .measured_at = bench->now };
 
       lc_dispatch_report (bench->dispatch, bench->members[i].name, &report, bench->now,
                           &bench->actions);
--- a/packages/core/bench/bench-roster.c
+++ b/packages/core/bench/bench-roster.c
@@ -14,7 +14,7 @@
 #define LISTS 50
 
 static void
-fill (LcListed *listed, LcPlanEntry *planned, size_t index)
+fill (LcRegistration *listed, LcPlanEntry *planned, size_t index)
 {
   snprintf (listed->name, sizeof listed->name, "i-%08zx", index);
   LB_COPY (listed->address, "127.0.0.1:9000");
@@ -29,7 +29,7 @@
 }
 
 static LcVersion
-take_lists (LcRoster *roster, const LcListed *list, size_t n)
+take_lists (LcRoster *roster, const LcRegistration *list, size_t n)
 {
   LcVersion sum = 0;
 
@@ -38,7 +38,7 @@
       LbTime at = round * 400 * LB_MSEC;
       lc_roster_update (roster, list, n, at, at);
       for (size_t i = 0; i < lc_roster_count (roster); i++)
-        sum += lc_roster_version (roster, i);
+        sum += lc_roster_latest_version (roster, i);
     }
   return sum;
 }
@@ -47,7 +47,7 @@
 main (int argc, char **argv)
 {
   size_t n = argc > 1 ? strtoul (argv[1], NULL, 10) : 600;
-  LcListed *list = LB_NEW_ARRAY (LcListed, n);
+  LcRegistration *list = LB_NEW_ARRAY (LcRegistration, n);
   LcEnginePlan plan = { 0 };
   LcRoster *roster = lc_roster_new ();
 
--- a/packages/core/bench/bench-routing.c
+++ b/packages/core/bench/bench-routing.c
@@ -138,7 +138,7 @@
   world->queued += (double)(world->now - request->arrived) / LB_SEC;
   request->endpoint = atoi (decision.endpoint->member.name + strlen ("engine-"));
   request->sent = world->now;
-  lc_endpoints_sent (decision.endpoint, query.kind, hashes[N_BLOCKS - 1], world->now);
+  lc_endpoint_request_sent (decision.endpoint, query.kind, hashes[N_BLOCKS - 1], world->now);
   bench_engine_take (&world->engines[request->endpoint], request);
   return true;
 }
@@ -222,7 +222,7 @@
                           .running = (int64_t)engine->running.length,
                           .waiting = (int64_t)engine->waiting.length,
                           .tokens_per_second = bench_engine_tokens_per_second (engine),
-                          .at = world->now };
+                          .measured_at = world->now };
 
   post (world, (Letter){ .due = world->now + world->options->lag,
                          .instance = instance,
@@ -282,10 +282,10 @@
       return;
     snprintf (name, sizeof name, "engine-%d", letter->endpoint);
     if (letter->is_report)
-      lc_endpoints_report (endpoints, name, &letter->report, world->now);
+      lc_endpoints_record_load (endpoints, name, &letter->report, world->now);
     else
-      lc_endpoints_cache_event (endpoints, name, letter->event.sequence, letter->event.stored,
-                                letter->event.prefix, world->now);
+      lc_endpoints_apply_cache_event (endpoints, name, letter->event.sequence, letter->event.stored,
+                                      letter->event.prefix, world->now);
     lb_list_remove (&world->letters, &letter->link);
     free (letter);
   }
@@ -322,9 +322,9 @@
 
     LcEndpoint *endpoint = lc_endpoints_find (endpoints, name);
 
-    lc_endpoints_first_byte (endpoint, request->first_byte - request->sent, world->now);
-    lc_endpoints_ended (endpoint, request->live ? LC_KIND_LIVE : LC_KIND_SAMPLE, true,
-                        (int64_t)request->tokens, world->now - request->sent, world->now);
+    lc_endpoint_first_byte_received (endpoint, request->first_byte - request->sent, world->now);
+    lc_endpoint_request_ended (endpoint, request->live ? LC_KIND_LIVE : LC_KIND_SAMPLE, true,
+                               (int64_t)request->tokens, world->now - request->sent, world->now);
     keep_latency (world, request);
     lb_list_remove (ended, &request->link);
     free (request);
--- a/packages/core/include/lc-desired.h
+++ b/packages/core/include/lc-desired.h
@@ -53,9 +53,9 @@
 /* What may be ordered of a service's endpoints. */
 typedef struct
 {
-  int64_t min;        /* in each data centre, of both kinds together */
-  int64_t max;        /* the same; 0: none may be ordered */
-  double cheap_price; /* of those that may be taken away, against the others; 0: there are none */
+  int64_t min;       /* in each data centre, of both kinds together */
+  int64_t max;       /* the same; 0: none may be ordered */
+  double spot_price; /* of those that may be taken away, against the others; 0: there are none */
   LcDataCentrePrice prices[LC_MAX_DATA_CENTRES];
   size_t n_prices;
 } LcScalingLimits;
--- a/packages/core/include/lc-entry.h
+++ b/packages/core/include/lc-entry.h
@@ -4,16 +4,16 @@
 #include "lc-membership.h"
 
 /* Addresses that a caller is given. */
-#define LC_ENTRY_ADDRESSES 3
+#define LC_MAX_ENTRY_ADDRESSES 3
 
 /* Chooses the instances that a caller shall connect to, in order; indexes into views. */
 typedef struct
 {
-  size_t chosen[LC_ENTRY_ADDRESSES];
+  size_t chosen[LC_MAX_ENTRY_ADDRESSES];
   size_t n_chosen;
-} LcEntry;
+} LcEntryChoice;
 
-void lc_entry_choose (LcEntry *entry,
+void lc_entry_choose (LcEntryChoice *entry,
                       const LcMemberView *views,
                       size_t n_views,
                       const char *caller,
--- a/packages/core/include/lc-listed.h
+++ b/packages/core/include/lc-registration.h
@@ -1,5 +1,5 @@
-#ifndef LC_LISTED_H
-#define LC_LISTED_H
+#ifndef LC_REGISTRATION_H
+#define LC_REGISTRATION_H
 
 #include "lc-roster.h"
 
@@ -7,7 +7,7 @@
  * change with each load and are told by the engines' plan. */
 
 /* The same entry has the same text. The caller frees. */
-char *lc_listed_to_text (const LcListed *listed);
-bool lc_listed_from_text (const char *text, LcListed *listed);
+char *lc_registration_to_json (const LcRegistration *listed);
+bool lc_registration_from_json (const char *text, LcRegistration *listed);
 
 #endif
--- a/packages/core/include/lc-resources.h
+++ b/packages/core/include/lc-resources.h
@@ -69,7 +69,7 @@
   LbName data_centre;
   bool leaving;
   LbName service;      /* on a shared platform: that it belongs to */
-  bool is_cheap;       /* the same: of the kind that costs less and may be taken away */
+  bool is_spot;        /* the same: of the kind that costs less and may be taken away */
   bool checks_fence;   /* refuses an order that carries an old fencing number */
   int64_t concurrency; /* requests at once the endpoint is sized for */
   /* The endpoint itself states `concurrency`: one that refuses a request below it is busy with
--- a/packages/core/include/lc-scaling.h
+++ b/packages/core/include/lc-scaling.h
@@ -16,9 +16,9 @@
 
 /* commands */
 /* A trainer of the model brought a batch of so many texts. */
-void lc_scaling_demand (LcScaling *scaling, const char *model, int64_t texts, LbTime now);
+void lc_scaling_add_demand (LcScaling *scaling, const char *model, int64_t texts, LbTime now);
 /* Earlier orders, those of other holders too, are not known here: all are given anew. */
-void lc_scaling_restart (LcScaling *scaling);
+void lc_scaling_forget_orders (LcScaling *scaling);
 
 typedef struct
 {
@@ -27,23 +27,23 @@
   int64_t endpoints; /* of the cheaper kind */
 } LcScalingOrder;
 
-/* The next order to give, answered by lc_scaling_ordered; false: there is none now. */
-bool lc_scaling_next (LcScaling *scaling,
-                      const LcDesired *desired,
-                      const LcResourceSet *set,
-                      LbTime now,
-                      LcScalingOrder *order);
+/* The next order to give, answered by lc_scaling_finish_order; false: there is none now. */
+bool lc_scaling_next_order (LcScaling *scaling,
+                            const LcDesired *desired,
+                            const LcResourceSet *set,
+                            LbTime now,
+                            LcScalingOrder *order);
 
 typedef enum
 {
-  LC_SCALING_TAKEN,
+  LC_SCALING_ACCEPTED,
   LC_SCALING_UNKNOWN, /* it may be carried out late, over a newer one: it is given again */
   LC_SCALING_REFUSED  /* none can be had there now */
 } LcScalingOutcome;
 
-void lc_scaling_ordered (LcScaling *scaling,
-                         const LcScalingOrder *order,
-                         LcScalingOutcome outcome,
-                         LbTime now);
+void lc_scaling_finish_order (LcScaling *scaling,
+                              const LcScalingOrder *order,
+                              LcScalingOutcome outcome,
+                              LbTime now);
 
 #endif
--- a/packages/core/include/lc-subset.h
+++ b/packages/core/include/lc-subset.h
@@ -25,22 +25,22 @@
   size_t n_models; /* 0: a plain service */
   int64_t slots;   /* requests that it works on at once; 0: not known */
   bool leaving;
-} LcSubsetEndpoint;
+} LcSubsetRow;
 
 LcSubset *lc_subset_new (void);
 void lc_subset_free (LcSubset *subset);
 
 /* commands: a list, page by page */
-void lc_subset_begin (LcSubset *subset, LbTime now);
+void lc_subset_begin_list (LcSubset *subset, LbTime now);
 /* A row, in the order of the keys; true: the endpoint belongs to the subset. */
-bool lc_subset_add (LcSubset *subset, const char *key, const LcSubsetEndpoint *endpoint);
+bool lc_subset_add_row (LcSubset *subset, const char *key, const LcSubsetRow *endpoint);
 /* A page ends with this key; true: the next one has to be read. is_last: there is none. */
 bool lc_subset_end_page (LcSubset *subset, const char *last_key, bool is_last);
 
 /* commands */
 /* Pages are read until the subset has enough of each service that is expected. */
-void lc_subset_expect_none (LcSubset *subset);
-void lc_subset_expect (LcSubset *subset, const char *service);
+void lc_subset_clear_expected (LcSubset *subset);
+void lc_subset_expect_service (LcSubset *subset, const char *service);
 /* The bound as the publisher chose it; "": the service is known whole. */
 void lc_subset_set_bound (LcSubset *subset, const char *service, const char *bound);
 /* Requests that run at once for one model, at the most. */
@@ -52,8 +52,8 @@
 /* queries */
 /* Rows to ask for at first: as many as the last list needed. */
 int64_t lc_subset_page_size (const LcSubset *subset);
-void lc_subset_each_bound (const LcSubset *subset,
-                           void (*take) (const char *service, const char *bound, void *user),
-                           void *user);
+void lc_subset_foreach_bound (const LcSubset *subset,
+                              void (*take) (const char *service, const char *bound, void *user),
+                              void *user);
 
 #endif
--- a/packages/core/src/dispatch/lc-candidates.c
+++ b/packages/core/src/dispatch/lc-candidates.c
@@ -29,7 +29,7 @@
   const LcRouteQuery *query;
   double fastest; /* seconds of a token at the fastest engine of late; 0: not known */
   bool choosy;    /* passes over what was tried and what is too slow */
-  LbTime void_before;
+  LbTime reports_valid_since;
   LbTime now;
 } Scales;
 
@@ -52,7 +52,7 @@
 }
 
 static void
-add (LcCandidates *candidates, const LcSummary *summary)
+add (LcCandidates *candidates, const LcEndpointSummary *summary)
 {
   candidates->items[candidates->n_items] = (LcCandidate){ .endpoint = summary->endpoint };
   candidates->summaries[candidates->n_items++] = summary;
@@ -73,10 +73,10 @@
  * lose more at the slow one. With two of a model's three engines four times slower, steps took 10.5
  * s in place of 8. */
 static bool
-is_too_slow (const Scales *scales, const LcSummary *summary)
+is_too_slow (const Scales *scales, const LcEndpointSummary *summary)
 {
   const LcRouteQuery *query = scales->query;
-  double pace = (double)summary->alone_token_seconds;
+  double pace = (double)summary->single_stream_token_seconds;
   double tokens = (double)query->expected_tokens;
   double waited = (double)(scales->now - query->submitted) / LB_SEC;
   double left = (double)(query->wanted_by - scales->now) / LB_SEC;
@@ -89,12 +89,15 @@
 }
 
 static void
-weigh (LcCandidates *candidates, const LcSummary *summary, const Scales *scales, Refusals *refusals)
+weigh (LcCandidates *candidates,
+       const LcEndpointSummary *summary,
+       const Scales *scales,
+       Refusals *refusals)
 {
   const LcRouteQuery *query = scales->query;
 
   refusals->known++;
-  if (summary->is_out)
+  if (summary->is_excluded)
     refusals->leaving++;
   else if (summary->version < query->min_version)
     refusals->too_old++;
@@ -107,8 +110,8 @@
   else
     {
       refusals->hopeful++;
-      if (lc_summary_may_take (summary, query->kind, query->live_reserve, scales->void_before,
-                               scales->now))
+      if (lc_endpoint_summary_can_accept (summary, query->kind, query->live_reserve,
+                                          scales->reports_valid_since, scales->now))
         add (candidates, summary);
     }
 }
@@ -149,11 +152,11 @@
                       LbTime now)
 {
   LcEndpointKind kind = query->kind == LC_KIND_SERVICE ? LC_ENDPOINT_SERVICE : LC_ENDPOINT_ENGINE;
-  const LcEndpointGroup *group = lc_endpoints_group (endpoints, kind, query->pool);
+  const LcEndpointGroup *group = lc_endpoints_find_group (endpoints, kind, query->pool);
   Scales scales = { .query = query,
-                    .fastest = group ? group->fastest : 0,
+                    .fastest = group ? group->fastest_token_seconds : 0,
                     .choosy = true,
-                    .void_before = lc_endpoints_void_before (endpoints, now),
+                    .reports_valid_since = lc_endpoints_reports_valid_since (endpoints, now),
                     .now = now };
   Refusals refusals = { 0 };
 
--- a/packages/core/src/dispatch/lc-candidates.h
+++ b/packages/core/src/dispatch/lc-candidates.h
@@ -7,8 +7,8 @@
 /* The endpoints that may take a request, by the same rules for every policy. */
 typedef struct
 {
-  LcCandidate *items;          /* scores are 0 */
-  const LcSummary **summaries; /* of the same candidates */
+  LcCandidate *items;                  /* scores are 0 */
+  const LcEndpointSummary **summaries; /* of the same candidates */
   size_t n_items;
   size_t capacity;
   const char *reason; /* why there are none; NULL when there are */
--- a/packages/core/src/dispatch/lc-dispatch.c
+++ b/packages/core/src/dispatch/lc-dispatch.c
@@ -347,7 +347,7 @@
 {
   LcPoolState *pool = pool_of_endpoint (dispatch, endpoint);
 
-  lc_endpoints_report (dispatch->endpoints, endpoint, report, now);
+  lc_endpoints_record_load (dispatch->endpoints, endpoint, report, now);
   if (!pool)
     return;
   dispatch->keep_running = true;
@@ -365,7 +365,7 @@
 {
   LcPoolState *pool = pool_of_endpoint (dispatch, endpoint);
 
-  if (!lc_endpoints_leaving (dispatch->endpoints, endpoint, incarnation, source, now) || !pool)
+  if (!lc_endpoints_mark_leaving (dispatch->endpoints, endpoint, incarnation, source, now) || !pool)
     return;
   dispatch->keep_running = true;
   lc_dispatch_pump (dispatch, pool, now, actions);
--- a/packages/core/src/dispatch/lc-outcome.c
+++ b/packages/core/src/dispatch/lc-outcome.c
@@ -53,12 +53,12 @@
     LcEndpoint *endpoint, LcRequestKind kind, const LcAttempt *attempt, Closing how, LbTime now)
 {
   if (how == CLOSED_BY_US)
-    lc_endpoints_cancelled (endpoint, kind, now);
+    lc_endpoint_request_cancelled (endpoint, kind, now);
   else if (how == CLOSED_REFUSED)
-    lc_endpoints_refused (endpoint, kind, now);
+    lc_endpoint_request_refused (endpoint, kind, now);
   else
-    lc_endpoints_ended (endpoint, kind, how == CLOSED_WELL, attempt->tokens, now - attempt->sent_at,
-                        now);
+    lc_endpoint_request_ended (endpoint, kind, how == CLOSED_WELL, attempt->tokens,
+                               now - attempt->sent_at, now);
 }
 
 /* Takes the attempt out of all books. */
@@ -87,7 +87,7 @@
   LbTime silence = request->kind == LC_KIND_SAMPLE ? LONG_SILENCE_OF_TEXT : LONG_SILENCE;
 
   return endpoint && !attempt->heard && now - attempt->sent_at >= silence
-         && endpoint->last_reply <= attempt->sent_at;
+         && endpoint->last_reply_at <= attempt->sent_at;
 }
 
 /* A stream that we leave because it stopped says so of its engine: the next text is not to wait
@@ -98,7 +98,7 @@
   LcEndpoint *endpoint = lc_endpoints_find (dispatch->endpoints, attempt->endpoint);
 
   if (endpoint && attempt->piece_at > 0)
-    lc_endpoints_streamed (endpoint, 0, now - attempt->piece_at, now);
+    lc_endpoint_tokens_received (endpoint, 0, now - attempt->piece_at, now);
 }
 
 void
--- a/packages/core/src/dispatch/lc-pieces.c
+++ b/packages/core/src/dispatch/lc-pieces.c
@@ -27,7 +27,7 @@
     lc_quarantine_survived (dispatch->quarantine, request->content, now);
   lc_pool_state_heard (request->pool, request->kind, now - attempt->sent_at);
   if (endpoint)
-    lc_endpoints_first_byte (endpoint, now - attempt->sent_at, now);
+    lc_endpoint_first_byte_received (endpoint, now - attempt->sent_at, now);
   lc_dispatch_set_timer (dispatch, request);
 }
 
@@ -87,7 +87,7 @@
   LcEndpoint *endpoint = lc_endpoints_find (dispatch->endpoints, attempt->endpoint);
 
   if (endpoint && attempt->piece_at > 0)
-    lc_endpoints_streamed (endpoint, piece->tokens, now - attempt->piece_at, now);
+    lc_endpoint_tokens_received (endpoint, piece->tokens, now - attempt->piece_at, now);
   attempt->piece_at = now;
 }
 
--- a/packages/core/src/dispatch/lc-placement.c
+++ b/packages/core/src/dispatch/lc-placement.c
@@ -21,7 +21,7 @@
 {
   LcEndpointKind kind = pool->kind == LC_POOL_SERVICE ? LC_ENDPOINT_SERVICE : LC_ENDPOINT_ENGINE;
 
-  return lc_endpoints_group (dispatch->endpoints, kind, pool->name);
+  return lc_endpoints_find_group (dispatch->endpoints, kind, pool->name);
 }
 
 /* The earliest time at which some endpoint of the pool may take work as far as its breaker goes: 0
@@ -36,14 +36,14 @@
     return LB_TIME_NEVER;
   for (size_t i = 0; i < group->n_slots; i++)
     {
-      const LcSummary *summary = &dispatch->endpoints->summaries[group->slots[i]];
+      const LcEndpointSummary *summary = &dispatch->endpoints->summaries[group->slots[i]];
 
-      if (summary->is_out)
+      if (summary->is_excluded)
         continue;
       if (summary->endpoint->breaker != LC_BREAKER_OPEN)
         return 0;
-      if (summary->endpoint->breaker_until < opens_at)
-        opens_at = summary->endpoint->breaker_until;
+      if (summary->endpoint->breaker_open_until < opens_at)
+        opens_at = summary->endpoint->breaker_open_until;
     }
   return opens_at;
 }
@@ -87,9 +87,9 @@
 
   for (size_t i = 0; group && i < group->n_slots; i++)
     {
-      const LcSummary *summary = &dispatch->endpoints->summaries[group->slots[i]];
+      const LcEndpointSummary *summary = &dispatch->endpoints->summaries[group->slots[i]];
 
-      if (!summary->is_out && summary->reported_at >= since)
+      if (!summary->is_excluded && summary->reported_at >= since)
         return true;
     }
   return false;
@@ -102,7 +102,7 @@
 static LcRouteDecision
 hold_back (LcPoolState *pool, const LcRouteDecision *outdated, LbTime now)
 {
-  if (!lc_entry (outdated->endpoint)->is_reported)
+  if (!lc_endpoint_entry (outdated->endpoint)->is_reported)
     return *outdated;
   if (pool->held_since == 0)
     pool->held_since = now;
@@ -171,8 +171,8 @@
   LB_COPY (action->endpoint, endpoint->member.name);
   LB_COPY (action->address, endpoint->member.address);
   lc_pool_state_started (request->pool, request->kind);
-  lc_endpoints_sent (endpoint, request->kind, n_hashes ? request->prefix_hashes[n_hashes - 1] : 0,
-                     now);
+  lc_endpoint_request_sent (endpoint, request->kind,
+                            n_hashes ? request->prefix_hashes[n_hashes - 1] : 0, now);
   lc_dispatch_set_timer (dispatch, request);
 }
 
--- a/packages/core/src/dispatch/lc-policies.c
+++ b/packages/core/src/dispatch/lc-policies.c
@@ -84,10 +84,10 @@
                        const LcRouteQuery *query,
                        LbTime now)
 {
-  LcBelievedShare shares[MAX_SHARES];
-  size_t n
-      = lc_prefix_belief_shares (endpoints->belief, query->prefix_hashes, query->n_prefix_hashes,
-                                 endpoints->views, endpoints->n_slots, now, shares, MAX_SHARES);
+  LcCachedShare shares[MAX_SHARES];
+  size_t n = lc_prefix_index_find_shares (endpoints->prefix_index, query->prefix_hashes,
+                                          query->n_prefix_hashes, endpoints->caches,
+                                          endpoints->n_slots, now, shares, MAX_SHARES);
 
   grow_shares (policy, endpoints->n_slots);
   for (size_t i = 0; i < n; i++)
@@ -102,7 +102,7 @@
 }
 
 double
-lc_policy_rank (const LcEntry *entry, uint64_t key)
+lc_policy_rank (const LcEndpointEntry *entry, uint64_t key)
 {
   uint64_t pair[2] = { entry->name_hash, key };
   uint64_t hash = XXH3_64bits (pair, sizeof pair);
--- a/packages/core/src/dispatch/lc-policies.h
+++ b/packages/core/src/dispatch/lc-policies.h
@@ -60,6 +60,6 @@
                                      LbTime now);
 void lc_policy_clear_shares (LcPolicy *policy);
 /* The same pair has the same rank (0 < rank <= 1) on all instances: rendezvous hashing. */
-double lc_policy_rank (const LcEntry *entry, uint64_t key);
+double lc_policy_rank (const LcEndpointEntry *entry, uint64_t key);
 
 #endif
--- a/packages/core/src/dispatch/lc-router-finish-time.c
+++ b/packages/core/src/dispatch/lc-router-finish-time.c
@@ -35,7 +35,7 @@
   LcEndpointGroup *group; /* of the pool; there is one, since there are candidates */
   const LcRouteQuery *query;
   const double *shares;
-  double service_seconds;
+  double mean_service_seconds;
   double expected_tokens;
   double whole_prefill_seconds; /* with nothing in the cache */
   double unseen;                /* arrivals since the reports that may have gone anywhere */
@@ -62,8 +62,8 @@
 make_situation (LcPolicy *policy, LcEndpoints *endpoints, const LcRouteQuery *query, LbTime now)
 {
   LcEndpointKind kind = query->kind == LC_KIND_SERVICE ? LC_ENDPOINT_SERVICE : LC_ENDPOINT_ENGINE;
-  LcEndpointGroup *group = lc_endpoints_group (endpoints, kind, query->pool);
-  double seconds = group->service_seconds;
+  LcEndpointGroup *group = lc_endpoints_find_group (endpoints, kind, query->pool);
+  double seconds = group->mean_service_seconds;
   int64_t tokens = query->expected_tokens > 0 ? query->expected_tokens : DEFAULT_EXPECTED_TOKENS;
 
   return (Situation){
@@ -71,15 +71,15 @@
     .group = group,
     .query = query,
     .shares = lc_policy_fill_shares (policy, endpoints, query, now),
-    .service_seconds = seconds > 0 ? seconds : DEFAULT_SERVICE_SECONDS,
+    .mean_service_seconds = seconds > 0 ? seconds : DEFAULT_SERVICE_SECONDS,
     .expected_tokens = (double)tokens,
-    .data_centre = lc_endpoints_data_centre (endpoints, query->data_centre),
+    .data_centre = lc_endpoints_find_data_centre (endpoints, query->data_centre),
     .now = now,
   };
 }
 
 static double
-report_age (const Situation *situation, const LcSummary *summary)
+report_age (const Situation *situation, const LcEndpointSummary *summary)
 {
   if (summary->reported_at == LC_NEVER_REPORTED)
     return 0;
@@ -88,34 +88,35 @@
 
 /* Of what others had running when the report was measured, part has finished since. */
 static double
-still_running (const Situation *situation, const LcSummary *summary)
+still_running (const Situation *situation, const LcEndpointSummary *summary)
 {
-  return situation->service_seconds
-         / (situation->service_seconds + report_age (situation, summary));
+  return situation->mean_service_seconds
+         / (situation->mean_service_seconds + report_age (situation, summary));
 }
 
 /* An endpoint that went silent looks emptier with each second, since what it last reported must
  * have finished, and would draw in the requests of all instances. Silent for longer than the
  * others, it is expected to stay so for as long again; any reply of it ends that. */
 static double
-silent_seconds (const Situation *situation, const LcSummary *summary)
+silent_seconds (const Situation *situation, const LcEndpointSummary *summary)
 {
   double age = report_age (situation, summary);
   double heard = 0;
 
   if (age < situation->silent_after)
     return 0;
-  heard = (double)(situation->now - summary->endpoint->last_reply) / LB_SEC;
+  heard = (double)(situation->now - summary->endpoint->last_reply_at) / LB_SEC;
   heard = heard < age ? heard : age;
   return heard < situation->silent_after ? 0 : heard;
 }
 
 static double
-swap_seconds (const Situation *situation, const LcSummary *summary)
+swap_seconds (const Situation *situation, const LcEndpointSummary *summary)
 {
   const LcEndpoint *endpoint = summary->endpoint;
 
-  if (!summary->is_special || !endpoint->swap_pending || endpoint->swap_until <= situation->now)
+  if (!summary->needs_full_check || !endpoint->swap_pending
+      || endpoint->swap_until <= situation->now)
     return 0;
   return (double)(endpoint->swap_until - situation->now) / LB_SEC;
 }
@@ -123,15 +124,15 @@
 /* What waiting and decoding cost there, and how it grows. A larger batch slows all that is in it,
  * so each added request counts twice: for itself and for the others. */
 static LcLoadPrice
-load_price (const Situation *situation, const LcSummary *summary, double load)
+load_price (const Situation *situation, const LcEndpointSummary *summary, double load)
 {
-  double places = (double)summary->places_inverse;
+  double places = (double)summary->inverse_capacity;
   double decode = situation->query->kind == LC_KIND_SERVICE
-                      ? situation->service_seconds
-                      : situation->expected_tokens * (double)summary->alone_token_seconds;
-  double full = 2 * decode * situation->group->slowdown;
+                      ? situation->mean_service_seconds
+                      : situation->expected_tokens * (double)summary->single_stream_token_seconds;
+  double full = 2 * decode * situation->group->batch_slowdown;
   double fill = (load + 1) * places;
-  double slope = fill <= 1 ? full : situation->service_seconds;
+  double slope = fill <= 1 ? full : situation->mean_service_seconds;
 
   return (LcLoadPrice){ .seconds = decode + full + (fill - 1) * slope,
                         .per_second = 1 / (slope * places) };
@@ -141,7 +142,7 @@
  * average, since those that are there by an old report are no ground to prefer one endpoint to
  * another. */
 static double
-prefill_seconds (const Situation *situation, const LcSummary *summary)
+prefill_seconds (const Situation *situation, const LcEndpointSummary *summary)
 {
   if (!lb_switch_is_on (LB_SWITCH_PREFIX_AFFINITY))
     return situation->whole_prefill_seconds;
@@ -152,15 +153,15 @@
  * each time; and of many instances each takes one of the connections that the endpoint allows. So
  * it keeps to those that it used of late, as long as they are no busier. */
 static double
-connect_seconds (const Situation *situation, const LcSummary *summary)
+connect_seconds (const Situation *situation, const LcEndpointSummary *summary)
 {
   if (situation->query->kind != LC_KIND_SERVICE)
     return 0;
-  return situation->now - summary->endpoint->last_reply < CONNECTION_KEPT ? 0 : CONNECT_SECONDS;
+  return situation->now - summary->endpoint->last_reply_at < CONNECTION_KEPT ? 0 : CONNECT_SECONDS;
 }
 
 static double
-way_seconds (const Situation *situation, const LcSummary *summary)
+way_seconds (const Situation *situation, const LcEndpointSummary *summary)
 {
   if (situation->data_centre == summary->data_centre)
     return 0;
@@ -190,18 +191,18 @@
 
   for (size_t i = 0; i < n; i++)
     {
-      const LcSummary *summary = policy->candidates.summaries[i];
-      double others = (double)summary->others;
+      const LcEndpointSummary *summary = policy->candidates.summaries[i];
+      double others = (double)summary->other_requests;
       double left = others * still_running (situation, summary);
 
       unseen += others - left;
       total += others + summary->in_flight;
       age += report_age (situation, summary);
-      sent += summary->live_since + PRIOR_SENT;
+      sent += summary->live_sent_since_report + PRIOR_SENT;
       policy->loads[i].seconds = left;
     }
-  situation->unseen = unseen * (1 - situation->group->bound_share);
-  situation->bound_per_sent = unseen * situation->group->bound_share / sent;
+  situation->unseen = unseen * (1 - situation->group->prefix_bound_share);
+  situation->bound_per_sent = unseen * situation->group->prefix_bound_share / sent;
   situation->silent_after = larger (MIN_SILENCE_SECONDS, SILENCE_FACTOR * age / (double)n);
   situation->whole_prefill_seconds = prefill * (1 + PREFILL_HOLDS_UP * total / (double)n);
 }
@@ -215,8 +216,8 @@
 
   for (size_t i = 0; i < policy->candidates.n_items; i++)
     {
-      const LcSummary *summary = policy->candidates.summaries[i];
-      double bound = situation->bound_per_sent * (summary->live_since + PRIOR_SENT);
+      const LcEndpointSummary *summary = policy->candidates.summaries[i];
+      double bound = situation->bound_per_sent * (summary->live_sent_since_report + PRIOR_SENT);
       double load = policy->loads[i].seconds + bound + summary->in_flight;
       LcLoadPrice price = load_price (situation, summary, load);
 
@@ -272,7 +273,7 @@
 
   for (size_t i = 0; i < policy->candidates.n_items; i++)
     {
-      const LcSummary *summary = policy->candidates.summaries[i];
+      const LcEndpointSummary *summary = policy->candidates.summaries[i];
       double score = larger (level, policy->loads[i].seconds) + way_seconds (situation, summary)
                      + connect_seconds (situation, summary) + swap_seconds (situation, summary)
                      + silent_seconds (situation, summary) + prefill_seconds (situation, summary);
@@ -286,7 +287,7 @@
 static bool
 is_connected (const LcEndpoint *endpoint, LbTime now)
 {
-  return endpoint->idle_connections > 0 && now - endpoint->idle_at < CONNECTION_KEPT;
+  return endpoint->idle_connections > 0 && now - endpoint->idle_connections_at < CONNECTION_KEPT;
 }
 
 static bool
@@ -348,8 +349,8 @@
   size_t chosen = draw (policy, level, least, now);
   bool is_bound = situation.shares[policy->candidates.summaries[chosen]->slot] > 0;
 
-  situation.group->bound_share
-      += BOUND_WEIGHT * ((is_bound ? 1 : 0) - situation.group->bound_share);
+  situation.group->prefix_bound_share
+      += BOUND_WEIGHT * ((is_bound ? 1 : 0) - situation.group->prefix_bound_share);
   lc_policy_clear_shares (policy);
   return chosen;
 }
--- a/packages/core/src/endpoints/lc-batch-cost.c
+++ b/packages/core/src/endpoints/lc-batch-cost.c
@@ -15,7 +15,7 @@
 }
 
 void
-lc_batch_cost_learn (LcBatchCost *cost, double fill, double token_seconds)
+lc_batch_cost_add_report (LcBatchCost *cost, double fill, double token_seconds)
 {
   double weight = fmax (MIN_WEIGHT, 1 / (cost->reports + 1));
 
--- a/packages/core/src/endpoints/lc-batch-cost.h
+++ b/packages/core/src/endpoints/lc-batch-cost.h
@@ -13,7 +13,7 @@
 } LcBatchCost;
 
 /* Fill is 0..1, token_seconds that of one stream. */
-void lc_batch_cost_learn (LcBatchCost *cost, double fill, double token_seconds);
+void lc_batch_cost_add_report (LcBatchCost *cost, double fill, double token_seconds);
 /* Share of the time alone by which a full batch is longer. */
 double lc_batch_cost_slowdown (const LcBatchCost *cost);
 
--- a/packages/core/src/endpoints/lc-breaker.c
+++ b/packages/core/src/endpoints/lc-breaker.c
@@ -50,7 +50,7 @@
 }
 
 void
-lc_breaker_sent (LcBreaker *breaker, LbTime now)
+lc_breaker_request_sent (LcBreaker *breaker, LbTime now)
 {
   if (breaker->state != LC_BREAKER_OPEN || now < breaker->until)
     return;
@@ -67,7 +67,7 @@
 }
 
 void
-lc_breaker_failed (LcBreaker *breaker, LbTime sent_at, LbTime now)
+lc_breaker_request_failed (LcBreaker *breaker, LbTime sent_at, LbTime now)
 {
   if (is_outdated (breaker, sent_at) || !lb_switch_is_on (LB_SWITCH_BREAKERS))
     return;
@@ -80,7 +80,7 @@
  * the same second: when each gives it a full share at once it fails again, and the breakers open
  * and close in step. */
 void
-lc_breaker_succeeded (LcBreaker *breaker, LbTime sent_at)
+lc_breaker_request_succeeded (LcBreaker *breaker, LbTime sent_at)
 {
   if (is_outdated (breaker, sent_at))
     return;
@@ -93,7 +93,7 @@
 }
 
 int64_t
-lc_breaker_allowance (const LcBreaker *breaker, LbTime now)
+lc_breaker_max_in_flight (const LcBreaker *breaker, LbTime now)
 {
   if (breaker->state == LC_BREAKER_CLOSED)
     return INT64_MAX;
--- a/packages/core/src/endpoints/lc-breaker.h
+++ b/packages/core/src/endpoints/lc-breaker.h
@@ -16,13 +16,13 @@
 } LcBreaker;
 
 /* commands */
-void lc_breaker_sent (LcBreaker *breaker, LbTime now);
+void lc_breaker_request_sent (LcBreaker *breaker, LbTime now);
 /* Sent_at is when the request went out whose result this is. */
-void lc_breaker_succeeded (LcBreaker *breaker, LbTime sent_at);
-void lc_breaker_failed (LcBreaker *breaker, LbTime sent_at, LbTime now);
+void lc_breaker_request_succeeded (LcBreaker *breaker, LbTime sent_at);
+void lc_breaker_request_failed (LcBreaker *breaker, LbTime sent_at, LbTime now);
 
 /* queries */
 /* Requests at once that it lets through; INT64_MAX when closed. */
-int64_t lc_breaker_allowance (const LcBreaker *breaker, LbTime now);
+int64_t lc_breaker_max_in_flight (const LcBreaker *breaker, LbTime now);
 
 #endif
--- a/packages/core/src/endpoints/lc-concurrency.c
+++ b/packages/core/src/endpoints/lc-concurrency.c
@@ -19,7 +19,7 @@
 }
 
 void
-lc_concurrency_resize (LcConcurrency *concurrency, int64_t most)
+lc_concurrency_set_max (LcConcurrency *concurrency, int64_t most)
 {
   if ((double)most == concurrency->most)
     return;
@@ -47,10 +47,10 @@
 }
 
 void
-lc_concurrency_first_byte (LcConcurrency *concurrency,
-                           double waited_seconds,
-                           int64_t in_flight,
-                           LbTime now)
+lc_concurrency_first_byte_received (LcConcurrency *concurrency,
+                                    double waited_seconds,
+                                    int64_t in_flight,
+                                    LbTime now)
 {
   follow_floor (concurrency, waited_seconds);
   if (waited_seconds > QUEUED_FACTOR * concurrency->floor_seconds + QUEUED_SECONDS)
@@ -60,7 +60,7 @@
 }
 
 void
-lc_concurrency_failed (LcConcurrency *concurrency, LbTime now)
+lc_concurrency_request_failed (LcConcurrency *concurrency, LbTime now)
 {
   decrease (concurrency, DECREASE_FAILED, now);
 }
--- a/packages/core/src/endpoints/lc-concurrency.h
+++ b/packages/core/src/endpoints/lc-concurrency.h
@@ -14,12 +14,12 @@
 } LcConcurrency;
 
 void lc_concurrency_init (LcConcurrency *concurrency, int64_t most);
-void lc_concurrency_resize (LcConcurrency *concurrency, int64_t most);
+void lc_concurrency_set_max (LcConcurrency *concurrency, int64_t most);
 /* In_flight is ours at the endpoint, this request included. */
-void lc_concurrency_first_byte (LcConcurrency *concurrency,
-                                double waited_seconds,
-                                int64_t in_flight,
-                                LbTime now);
-void lc_concurrency_failed (LcConcurrency *concurrency, LbTime now);
+void lc_concurrency_first_byte_received (LcConcurrency *concurrency,
+                                         double waited_seconds,
+                                         int64_t in_flight,
+                                         LbTime now);
+void lc_concurrency_request_failed (LcConcurrency *concurrency, LbTime now);
 
 #endif
--- a/packages/core/src/endpoints/lc-endpoint-entry.c
+++ b/packages/core/src/endpoints/lc-endpoint-entry.c
@@ -6,14 +6,14 @@
 #define REPEATS_TO_BE_REGULAR 10
 
 void
-lc_entry_void_belief (LcEntry *entry)
+lc_endpoint_entry_invalidate_prefixes (LcEndpointEntry *entry)
 {
   entry->cache.epoch = ++entry->table->last_epoch;
   entry->cache.last_sequence = 0;
 }
 
 static int64_t
-others_by_report (const LcEntry *entry)
+others_by_report (const LcEndpointEntry *entry)
 {
   const LcLoadReport *report = &entry->endpoint.report;
   int64_t others = report->running + report->waiting - entry->in_flight_at_report;
@@ -24,7 +24,7 @@
 /* By the report, and what we sent and ended since. To count our own growth once for each instance
  * that saw the same report was measured and is worse, see docs/design/0002-routing.md. */
 static int64_t
-load_by_report (const LcEntry *entry)
+load_by_report (const LcEndpointEntry *entry)
 {
   const LcEndpoint *endpoint = &entry->endpoint;
 
@@ -33,7 +33,7 @@
 }
 
 static bool
-is_special (const LcEntry *entry)
+needs_full_check (const LcEndpointEntry *entry)
 {
   const LcEndpoint *endpoint = &entry->endpoint;
 
@@ -43,35 +43,35 @@
 }
 
 static void
-summarise (LcEntry *entry)
+summarise (LcEndpointEntry *entry)
 {
   const LcEndpoint *endpoint = &entry->endpoint;
 
-  entry->table->summaries[endpoint->slot] = (LcSummary){
+  entry->table->summaries[endpoint->slot] = (LcEndpointSummary){
     .endpoint = &entry->endpoint,
-    .reported_at = entry->is_reported ? endpoint->report.at : LC_NEVER_REPORTED,
+    .reported_at = entry->is_reported ? endpoint->report.measured_at : LC_NEVER_REPORTED,
     .version = endpoint->report.version,
-    .size = (float)entry->concurrency.most,
-    .places_inverse = 1 / (float)entry->concurrency.most,
-    .limit = (float)entry->concurrency.limit,
-    .load = (float)load_by_report (entry),
-    .others = (float)others_by_report (entry),
+    .capacity = (float)entry->concurrency.most,
+    .inverse_capacity = 1 / (float)entry->concurrency.most,
+    .concurrency_limit = (float)entry->concurrency.limit,
+    .requests = (float)load_by_report (entry),
+    .other_requests = (float)others_by_report (entry),
     .slot = endpoint->slot,
-    .live_since = (int32_t)entry->live_since_report,
+    .live_sent_since_report = (int32_t)entry->live_since_report,
     .in_flight = (int32_t)endpoint->in_flight,
     .data_centre = (int16_t)entry->data_centre,
-    .alone_token_seconds = (float)entry->alone_token_seconds,
-    .is_out = endpoint->leaving || entry->retired,
-    .is_special = is_special (entry),
+    .single_stream_token_seconds = (float)entry->single_stream_token_seconds,
+    .is_excluded = endpoint->leaving || entry->retired,
+    .needs_full_check = needs_full_check (entry),
   };
 }
 
 LbTime
-lc_endpoints_void_before (const LcEndpoints *endpoints, LbTime now)
+lc_endpoints_reports_valid_since (const LcEndpoints *endpoints, LbTime now)
 {
-  bool regular = endpoints->repeats >= REPEATS_TO_BE_REGULAR;
+  bool regular = endpoints->n_repeated_reports >= REPEATS_TO_BE_REGULAR;
 
-  return regular && now - endpoints->last_event > PAUSE ? now : endpoints->void_before;
+  return regular && now - endpoints->last_event_at > PAUSE ? now : endpoints->reports_valid_since;
 }
 
 /* Every event of the table passes here. A process that was stopped for a while does not know it:
@@ -79,25 +79,25 @@
  * "leaving" to all others. Reports come several times a second, so a gap without any event shows
  * the stop, and nothing that was measured before its end is believed. */
 void
-lc_endpoints_note_time (LcEndpoints *endpoints, LbTime now)
+lc_endpoints_record_event_time (LcEndpoints *endpoints, LbTime now)
 {
-  endpoints->void_before = lc_endpoints_void_before (endpoints, now);
-  endpoints->last_event = now;
+  endpoints->reports_valid_since = lc_endpoints_reports_valid_since (endpoints, now);
+  endpoints->last_event_at = now;
 }
 
 /* Makes what the parts of an entry decided readable in its endpoint and its summary. */
 void
-lc_entry_publish (LcEntry *entry, LbTime now)
+lc_endpoint_entry_publish (LcEndpointEntry *entry, LbTime now)
 {
   LcEndpoint *endpoint = &entry->endpoint;
-  bool leaving = endpoint->member.leaving || lc_leaving_is_left (&entry->leaving);
+  bool leaving = endpoint->member.leaving || lc_leaving_is_current_leaving (&entry->leaving);
 
-  lc_endpoints_note_time (entry->table, now);
+  lc_endpoints_record_event_time (entry->table, now);
   if (leaving && !endpoint->leaving)
     endpoint->leaving_since = now;
   endpoint->leaving = leaving;
   endpoint->breaker = entry->breaker.state;
-  endpoint->breaker_until = entry->breaker.until;
+  endpoint->breaker_open_until = entry->breaker.until;
   endpoint->consecutive_failures = entry->breaker.consecutive_failures;
   endpoint->concurrency_limit = entry->concurrency.limit;
   summarise (entry);
@@ -105,10 +105,10 @@
 
 /* What was learnt of the process behind the endpoint does not hold for the next one. */
 void
-lc_entry_forget_process (LcEntry *entry)
+lc_endpoint_entry_reset_process (LcEndpointEntry *entry)
 {
   entry->endpoint.swap_pending = false;
   memset (&entry->breaker, 0, sizeof entry->breaker);
   lc_concurrency_init (&entry->concurrency, entry->endpoint.member.concurrency);
-  lc_entry_void_belief (entry);
+  lc_endpoint_entry_invalidate_prefixes (entry);
 }
--- a/packages/core/src/endpoints/lc-endpoint-table.h
+++ b/packages/core/src/endpoints/lc-endpoint-table.h
@@ -5,9 +5,9 @@
 #include "lc-breaker.h"
 #include "lc-concurrency.h"
 #include "lc-endpoints.h"
-#include "lc-flight-log.h"
+#include "lc-in-flight-history.h"
 #include "lc-leaving.h"
-#include "lc-prefix-belief.h"
+#include "lc-prefix-index.h"
 #include "lc-stream-pace.h"
 
 #include <uthash.h>
@@ -21,22 +21,22 @@
   LcEndpoint *endpoint;
   LbTime reported_at; /* or LC_NEVER_REPORTED */
   LcVersion version;
-  float size;   /* requests at once it is made for */
-  float limit;  /* requests of ours at once */
-  float load;   /* by the last report, and what we added since */
-  float others; /* requests of others, by the last report */
+  float capacity;          /* requests at once it is made for */
+  float concurrency_limit; /* requests of ours at once */
+  float requests;          /* by the last report, and what we added since */
+  float other_requests;    /* requests of others, by the last report */
   uint32_t slot;
-  int32_t live_since;        /* live requests we sent since the report */
-  int32_t in_flight;         /* ours */
-  int16_t data_centre;       /* index among the table's */
-  bool is_out;               /* leaving, or no longer in the configuration */
-  bool is_special;           /* swap, unknown weights or breaker: the entry must be asked */
-  float alone_token_seconds; /* of one stream with no other beside it */
-  float places_inverse;      /* 1 / size */
-} LcSummary;
+  int32_t live_sent_since_report;    /* live requests we sent since the report */
+  int32_t in_flight;                 /* ours */
+  int16_t data_centre;               /* index among the table's */
+  bool is_excluded;                  /* leaving, or no longer in the configuration */
+  bool needs_full_check;             /* swap, unknown weights or breaker: the entry must be asked */
+  float single_stream_token_seconds; /* of one stream with no other beside it */
+  float inverse_capacity;            /* 1 / size */
+} LcEndpointSummary;
 
 /* What the table keeps of an endpoint beside the part that policies and the node read. */
-typedef struct LcEntry
+typedef struct LcEndpointEntry
 {
   LcEndpoint endpoint; /* first, so that one can be cast to the other */
   uint64_t name_hash;
@@ -46,20 +46,20 @@
   bool is_reported;
   int64_t in_flight_at_report;
   int64_t live_since_report;
-  double alone_token_seconds;
+  double single_stream_token_seconds;
   LcStreamPace pace; /* of our streams there */
   LbTime paced_at;   /* when it was last seen; 0: never */
   LbTime swap_since;
   LcVersion version_before_swap;
   LcBreaker breaker;
-  LcCacheView cache;
+  LcEndpointCache cache;
   LcConcurrency concurrency;
   LcLeaving leaving;
-  LcFlightLog flights;
+  LcInFlightHistory flights;
   LcEndpoints *table;
   size_t index; /* in entries */
   UT_hash_handle hh;
-} LcEntry;
+} LcEndpointEntry;
 
 /* The endpoints of one pool or plain service. */
 typedef struct
@@ -68,61 +68,61 @@
   uint32_t *slots;
   size_t n_slots;
   size_t capacity;
-  double service_seconds; /* mean of our own requests there; 0: none ended yet */
+  double mean_service_seconds; /* mean of our own requests there; 0: none ended yet */
   LcBatchCost batch_cost;
-  double slowdown;    /* by it */
-  LbTime pace_review; /* when paces that were not seen for long are forgotten next */
-  double fastest;     /* seconds of a token at the fastest of late; 0: not known */
-  double bound_share; /* of our requests, those that went where their prompt was cached */
+  double batch_slowdown;        /* by it */
+  LbTime next_pace_review_at;   /* when paces that were not seen for long are forgotten next */
+  double fastest_token_seconds; /* seconds of a token at the fastest of late; 0: not known */
+  double prefix_bound_share;    /* of our requests, those that went where their prompt was cached */
   UT_hash_handle hh;
 } LcEndpointGroup;
 
 struct LcEndpoints
 {
-  LcEntry *by_name;
-  LcEntry **entries; /* without holes */
+  LcEndpointEntry *by_name;
+  LcEndpointEntry **entries; /* without holes */
   size_t n_entries;
   size_t capacity;
-  LcSummary *summaries;      /* by slot */
-  const LcCacheView **views; /* by slot; NULL: free */
+  LcEndpointSummary *summaries;   /* by slot */
+  const LcEndpointCache **caches; /* by slot; NULL: free */
   size_t n_slots;
   LcEndpointGroup *groups;
   LbName *data_centres;
   int n_data_centres;
-  LbTime last_event;  /* of any kind; there is one each time a load report comes */
-  LbTime void_before; /* reports measured earlier are not believed */
-  int64_t repeats;    /* reports that were not the first of their endpoint */
+  LbTime last_event_at;       /* of any kind; there is one each time a load report comes */
+  LbTime reports_valid_since; /* reports measured earlier are not believed */
+  int64_t n_repeated_reports; /* reports that were not the first of their endpoint */
   uint32_t last_epoch;
-  LcPrefixBelief *belief;
+  LcPrefixIndex *prefix_index;
 };
 
-static inline LcEntry *
-lc_entry (const LcEndpoint *endpoint)
+static inline LcEndpointEntry *
+lc_endpoint_entry (const LcEndpoint *endpoint)
 {
-  return (LcEntry *)endpoint;
+  return (LcEndpointEntry *)endpoint;
 }
 
 LcEndpointGroup *
-lc_endpoints_group (const LcEndpoints *endpoints, LcEndpointKind kind, const char *pool);
+lc_endpoints_find_group (const LcEndpoints *endpoints, LcEndpointKind kind, const char *pool);
 /* -1 when no endpoint is there. */
-int lc_endpoints_data_centre (const LcEndpoints *endpoints, const char *name);
+int lc_endpoints_find_data_centre (const LcEndpoints *endpoints, const char *name);
 
 /* NULL when there is none of this name. */
-LcEntry *lc_endpoints_entry (const LcEndpoints *endpoints, const char *name);
+LcEndpointEntry *lc_endpoints_find_entry (const LcEndpoints *endpoints, const char *name);
 
 /* commands on one entry */
-/* Reports measured before this are not believed; see lc_endpoints_note_time. */
-LbTime lc_endpoints_void_before (const LcEndpoints *endpoints, LbTime now);
-void lc_endpoints_note_time (LcEndpoints *endpoints, LbTime now);
-void lc_entry_publish (LcEntry *entry, LbTime now);
-void lc_entry_forget_process (LcEntry *entry);
-void lc_entry_void_belief (LcEntry *entry);
+/* Reports measured before this are not believed; see lc_endpoints_record_event_time. */
+LbTime lc_endpoints_reports_valid_since (const LcEndpoints *endpoints, LbTime now);
+void lc_endpoints_record_event_time (LcEndpoints *endpoints, LbTime now);
+void lc_endpoint_entry_publish (LcEndpointEntry *entry, LbTime now);
+void lc_endpoint_entry_reset_process (LcEndpointEntry *entry);
+void lc_endpoint_entry_invalidate_prefixes (LcEndpointEntry *entry);
 
-/* Void_before: lc_endpoints_void_before, which is the same for all of a decision. */
-bool lc_summary_may_take (const LcSummary *summary,
-                          LcRequestKind kind,
-                          double live_reserve,
-                          LbTime void_before,
-                          LbTime now);
+/* Void_before: lc_endpoints_reports_valid_since, which is the same for all of a decision. */
+bool lc_endpoint_summary_can_accept (const LcEndpointSummary *summary,
+                                     LcRequestKind kind,
+                                     double live_reserve,
+                                     LbTime reports_valid_since,
+                                     LbTime now);
 
 #endif
--- a/packages/core/src/endpoints/lc-endpoints-config.c
+++ b/packages/core/src/endpoints/lc-endpoints-config.c
@@ -14,7 +14,7 @@
 {
   LcEndpoints *endpoints = LB_NEW (LcEndpoints);
 
-  endpoints->belief = lc_prefix_belief_new ();
+  endpoints->prefix_index = lc_prefix_index_new ();
   return endpoints;
 }
 
@@ -43,45 +43,45 @@
     free (endpoints->entries[i]);
   free (endpoints->entries);
   free (endpoints->summaries);
-  free (endpoints->views);
+  free (endpoints->caches);
   free (endpoints->data_centres);
-  lc_prefix_belief_free (endpoints->belief);
+  lc_prefix_index_free (endpoints->prefix_index);
   free (endpoints);
 }
 
-LcEntry *
-lc_endpoints_entry (const LcEndpoints *endpoints, const char *name)
+LcEndpointEntry *
+lc_endpoints_find_entry (const LcEndpoints *endpoints, const char *name)
 {
-  LcEntry *entry = NULL;
+  LcEndpointEntry *entry = NULL;
 
   HASH_FIND_STR (endpoints->by_name, name, entry);
   return entry;
 }
 
 static uint32_t
-take_slot (LcEndpoints *endpoints, const LcCacheView *view)
+take_slot (LcEndpoints *endpoints, const LcEndpointCache *view)
 {
   uint32_t slot = 0;
 
-  while (slot < endpoints->n_slots && endpoints->views[slot])
+  while (slot < endpoints->n_slots && endpoints->caches[slot])
     slot++;
   if (slot == endpoints->n_slots)
     {
       endpoints->n_slots = endpoints->n_slots ? endpoints->n_slots * 2 : 16;
-      endpoints->views
-          = lb_realloc (endpoints->views, endpoints->n_slots * sizeof *endpoints->views);
+      endpoints->caches
+          = lb_realloc (endpoints->caches, endpoints->n_slots * sizeof *endpoints->caches);
       endpoints->summaries
           = lb_realloc (endpoints->summaries, endpoints->n_slots * sizeof *endpoints->summaries);
-      memset (endpoints->views + slot, 0, (endpoints->n_slots - slot) * sizeof *endpoints->views);
+      memset (endpoints->caches + slot, 0, (endpoints->n_slots - slot) * sizeof *endpoints->caches);
     }
-  endpoints->views[slot] = view;
+  endpoints->caches[slot] = view;
   return slot;
 }
 
-static LcEntry *
+static LcEndpointEntry *
 add_entry (LcEndpoints *endpoints, const LcEndpointMember *member)
 {
-  LcEntry *entry = LB_NEW (LcEntry);
+  LcEndpointEntry *entry = LB_NEW (LcEndpointEntry);
 
   if (endpoints->n_entries == endpoints->capacity)
     {
@@ -95,8 +95,8 @@
   entry->name_hash = XXH3_64bits (member->name, strlen (member->name));
   entry->cache.slot = take_slot (endpoints, &entry->cache);
   entry->endpoint.slot = entry->cache.slot;
-  lc_entry_void_belief (entry);
-  entry->alone_token_seconds = DEFAULT_TOKEN_SECONDS;
+  lc_endpoint_entry_invalidate_prefixes (entry);
+  entry->single_stream_token_seconds = DEFAULT_TOKEN_SECONDS;
   lc_concurrency_init (&entry->concurrency, member->concurrency);
   endpoints->entries[endpoints->n_entries++] = entry;
   HASH_ADD_STR (endpoints->by_name, endpoint.member.name, entry);
@@ -104,12 +104,12 @@
 }
 
 static void
-remove_entry (LcEndpoints *endpoints, LcEntry *entry)
+remove_entry (LcEndpoints *endpoints, LcEndpointEntry *entry)
 {
   /* The analyzer does not know that the table holds the entry.
    * NOLINTNEXTLINE(clang-analyzer-core.NullDereference) */
   HASH_DEL (endpoints->by_name, entry);
-  endpoints->views[entry->cache.slot] = NULL;
+  endpoints->caches[entry->cache.slot] = NULL;
   endpoints->n_entries--;
   endpoints->entries[entry->index] = endpoints->entries[endpoints->n_entries];
   endpoints->entries[entry->index]->index = entry->index;
@@ -119,7 +119,7 @@
 /* What it stated is the version of the pool's model that it served before. Were it believed for the
  * new one, requests would go to weights that are too old for them. */
 static void
-forget_weights (LcEntry *entry)
+forget_weights (LcEndpointEntry *entry)
 {
   entry->endpoint.report.version = 0;
   entry->endpoint.swap_pending = false;
@@ -128,7 +128,7 @@
 static void
 take_member (LcEndpoints *endpoints, const LcEndpointMember *member)
 {
-  LcEntry *entry = lc_endpoints_entry (endpoints, member->name);
+  LcEndpointEntry *entry = lc_endpoints_find_entry (endpoints, member->name);
 
   if (!entry)
     entry = add_entry (endpoints, member);
@@ -136,20 +136,20 @@
     {
       memset (&entry->endpoint.report, 0, sizeof entry->endpoint.report);
       entry->is_reported = false;
-      entry->endpoint.last_reply = 0;
-      lc_leaving_begin (&entry->leaving, "");
-      lc_entry_forget_process (entry);
+      entry->endpoint.last_reply_at = 0;
+      lc_leaving_set_incarnation (&entry->leaving, "");
+      lc_endpoint_entry_reset_process (entry);
     }
   if (strcmp (entry->endpoint.member.pool, member->pool) != 0)
     forget_weights (entry);
   entry->retired = false;
   entry->endpoint.member = *member;
-  lc_concurrency_resize (&entry->concurrency, member->concurrency);
+  lc_concurrency_set_max (&entry->concurrency, member->concurrency);
   /* A later revision that no longer says leaving does not bring this incarnation back: some
    * instance may still read the earlier one, and work would go to an endpoint that is on its way
    * out. */
   if (member->leaving)
-    lc_leaving_say (&entry->leaving, "");
+    lc_leaving_mark (&entry->leaving, "");
 }
 
 static void
@@ -157,7 +157,7 @@
 {
   for (size_t i = endpoints->n_entries; i-- > 0;)
     {
-      LcEntry *entry = endpoints->entries[i];
+      LcEndpointEntry *entry = endpoints->entries[i];
 
       if (entry->retired && entry->endpoint.in_flight == 0)
         remove_entry (endpoints, entry);
@@ -172,7 +172,7 @@
 }
 
 LcEndpointGroup *
-lc_endpoints_group (const LcEndpoints *endpoints, LcEndpointKind kind, const char *pool)
+lc_endpoints_find_group (const LcEndpoints *endpoints, LcEndpointKind kind, const char *pool)
 {
   LcEndpointGroup *group = NULL;
   char key[LB_NAME_MAX + 2];
@@ -183,16 +183,16 @@
 }
 
 static void
-join_group (LcEndpoints *endpoints, LcEntry *entry)
+join_group (LcEndpoints *endpoints, LcEndpointEntry *entry)
 {
   LcEndpointKind kind = (LcEndpointKind)entry->endpoint.member.kind;
-  LcEndpointGroup *group = lc_endpoints_group (endpoints, kind, entry->endpoint.member.pool);
+  LcEndpointGroup *group = lc_endpoints_find_group (endpoints, kind, entry->endpoint.member.pool);
 
   if (!group)
     {
       group = LB_NEW (LcEndpointGroup);
       make_group_key (group->key, sizeof group->key, kind, entry->endpoint.member.pool);
-      group->slowdown = lc_batch_cost_slowdown (&group->batch_cost);
+      group->batch_slowdown = lc_batch_cost_slowdown (&group->batch_cost);
       HASH_ADD_STR (endpoints->groups, key, group);
     }
   if (group->n_slots == group->capacity)
@@ -204,7 +204,7 @@
 }
 
 int
-lc_endpoints_data_centre (const LcEndpoints *endpoints, const char *name)
+lc_endpoints_find_data_centre (const LcEndpoints *endpoints, const char *name)
 {
   for (int i = 0; i < endpoints->n_data_centres; i++)
     if (strcmp (endpoints->data_centres[i], name) == 0)
@@ -215,7 +215,7 @@
 static int
 add_data_centre (LcEndpoints *endpoints, const char *name)
 {
-  int known = lc_endpoints_data_centre (endpoints, name);
+  int known = lc_endpoints_find_data_centre (endpoints, name);
 
   if (known >= 0)
     return known;
@@ -236,11 +236,11 @@
   group->n_slots = 0;
   for (size_t i = 0; i < endpoints->n_entries; i++)
     {
-      LcEntry *entry = endpoints->entries[i];
+      LcEndpointEntry *entry = endpoints->entries[i];
 
       entry->data_centre = add_data_centre (endpoints, entry->endpoint.member.data_centre);
       join_group (endpoints, entry);
-      lc_entry_publish (entry, now);
+      lc_endpoint_entry_publish (entry, now);
     }
 }
 
--- a/packages/core/src/endpoints/lc-endpoints.c
+++ b/packages/core/src/endpoints/lc-endpoints.c
@@ -17,26 +17,26 @@
 #define PACE_REVIEW (500 * LB_MSEC)
 
 static void
-end_swap_if_stated (LcEntry *entry)
+end_swap_if_stated (LcEndpointEntry *entry)
 {
   LcEndpoint *endpoint = &entry->endpoint;
   const LcLoadReport *report = &endpoint->report;
 
   if (report->version > 0 && report->version != entry->version_before_swap
-      && report->at >= entry->swap_since)
+      && report->measured_at >= entry->swap_since)
     endpoint->swap_pending = false;
 }
 
 static LcEndpointGroup *
-group_of (const LcEntry *entry)
+group_of (const LcEndpointEntry *entry)
 {
   const LcEndpointMember *member = &entry->endpoint.member;
 
-  return lc_endpoints_group (entry->table, (LcEndpointKind)member->kind, member->pool);
+  return lc_endpoints_find_group (entry->table, (LcEndpointKind)member->kind, member->pool);
 }
 
 static void
-learn_token_time (LcEntry *entry)
+learn_token_time (LcEndpointEntry *entry)
 {
   const LcLoadReport *report = &entry->endpoint.report;
   LcEndpointGroup *group = group_of (entry);
@@ -44,30 +44,33 @@
 
   if (report->tokens_per_second <= 0)
     return;
-  lc_batch_cost_learn (&group->batch_cost, fill, 1 / report->tokens_per_second);
-  group->slowdown = lc_batch_cost_slowdown (&group->batch_cost);
-  entry->alone_token_seconds = 1 / report->tokens_per_second / (1 + group->slowdown * fill);
+  lc_batch_cost_add_report (&group->batch_cost, fill, 1 / report->tokens_per_second);
+  group->batch_slowdown = lc_batch_cost_slowdown (&group->batch_cost);
+  entry->single_stream_token_seconds
+      = 1 / report->tokens_per_second / (1 + group->batch_slowdown * fill);
 }
 
 static void
-take_report (LcEntry *entry, const LcLoadReport *report)
+take_report (LcEndpointEntry *entry, const LcLoadReport *report)
 {
   LcEndpoint *endpoint = &entry->endpoint;
   char known[sizeof endpoint->report.incarnation];
 
   LB_COPY (known, endpoint->report.incarnation);
   if (known[0] && report->incarnation[0] && strcmp (known, report->incarnation) != 0)
-    lc_entry_forget_process (entry);
+    lc_endpoint_entry_reset_process (entry);
   if (report->incarnation[0])
-    lc_leaving_begin (&entry->leaving, report->incarnation);
+    lc_leaving_set_incarnation (&entry->leaving, report->incarnation);
   endpoint->report = *report;
   if (!report->incarnation[0])
     LB_COPY (endpoint->report.incarnation, known);
-  entry->table->repeats += entry->is_reported;
+  entry->table->n_repeated_reports += entry->is_reported;
   entry->is_reported = true;
-  endpoint->sent_since_report = lc_flight_log_sent_after (&entry->flights, report->at);
-  entry->live_since_report = lc_flight_log_live_after (&entry->flights, report->at);
-  entry->in_flight_at_report = lc_flight_log_in_flight_at (&entry->flights, report->at);
+  endpoint->sent_since_report
+      = lc_in_flight_history_sent_after (&entry->flights, report->measured_at);
+  entry->live_since_report
+      = lc_in_flight_history_live_sent_after (&entry->flights, report->measured_at);
+  entry->in_flight_at_report = lc_in_flight_history_count_at (&entry->flights, report->measured_at);
   learn_token_time (entry);
   end_swap_if_stated (entry);
 }
@@ -84,7 +87,7 @@
   sane.version = report->version > 0 ? report->version : 0;
   if (!(report->tokens_per_second > 0 && report->tokens_per_second < MAX_TOKENS_PER_SECOND))
     sane.tokens_per_second = 0;
-  sane.at = report->at < now ? report->at : now;
+  sane.measured_at = report->measured_at < now ? report->measured_at : now;
   return sane;
 }
 
@@ -97,11 +100,11 @@
 
 /* True when it is news that the endpoint is leaving; logged once for each incarnation. */
 static bool
-publish_leaving (LcEntry *entry, LcLeavingSource source, LbTime now)
+publish_leaving (LcEndpointEntry *entry, LcLeavingSource source, LbTime now)
 {
   bool was_leaving = entry->endpoint.leaving;
 
-  lc_entry_publish (entry, now);
+  lc_endpoint_entry_publish (entry, now);
   if (was_leaving || !entry->endpoint.leaving)
     return false;
   lb_log (LB_LOG_INFO, "endpoint-leaving", LB_TEXT ("endpoint", entry->endpoint.member.name),
@@ -113,64 +116,66 @@
 /* Reports are ordered by when they were measured: one that comes after a later one is old and
  * changes nothing, but a "leaving" in it holds for its incarnation. */
 void
-lc_endpoints_report (LcEndpoints *endpoints,
-                     const char *name,
-                     const LcLoadReport *report,
-                     LbTime now)
+lc_endpoints_record_load (LcEndpoints *endpoints,
+                          const char *name,
+                          const LcLoadReport *report,
+                          LbTime now)
 {
-  LcEntry *entry = lc_endpoints_entry (endpoints, name);
+  LcEndpointEntry *entry = lc_endpoints_find_entry (endpoints, name);
 
   if (!entry)
     return;
   LcLoadReport sane = sane_report (report, now);
 
-  if (!report->is_listed)
-    entry->endpoint.last_reply = now;
-  if (!entry->is_reported || sane.at >= entry->endpoint.report.at)
+  if (!report->is_from_registry)
+    entry->endpoint.last_reply_at = now;
+  if (!entry->is_reported || sane.measured_at >= entry->endpoint.report.measured_at)
     take_report (entry, &sane);
   if (report->leaving)
-    lc_leaving_say (&entry->leaving, report->incarnation);
+    lc_leaving_mark (&entry->leaving, report->incarnation);
   publish_leaving (entry, LC_LEAVING_ENDPOINT, now);
 }
 
-/* The platform's list names no incarnation; pass "" with it, and call lc_endpoints_listed_live when
- * the list no longer says leaving. Peers always name the incarnation that they mean. */
+/* The platform's list names no incarnation; pass "" with it, and call
+ * lc_endpoints_clear_platform_leaving when the list no longer says leaving. Peers always name the
+ * incarnation that they mean. */
 bool
-lc_endpoints_leaving (LcEndpoints *endpoints,
-                      const char *name,
-                      const char *incarnation,
-                      LcLeavingSource source,
-                      LbTime now)
+lc_endpoints_mark_leaving (LcEndpoints *endpoints,
+                           const char *name,
+                           const char *incarnation,
+                           LcLeavingSource source,
+                           LbTime now)
 {
-  LcEntry *entry = lc_endpoints_entry (endpoints, name);
+  LcEndpointEntry *entry = lc_endpoints_find_entry (endpoints, name);
 
   if (!entry)
     return false;
   if (source == LC_LEAVING_PLATFORM && incarnation[0] == '\0')
-    lc_leaving_list (&entry->leaving, true);
+    lc_leaving_set_platform_listed (&entry->leaving, true);
   else
-    lc_leaving_say (&entry->leaving, incarnation);
+    lc_leaving_mark (&entry->leaving, incarnation);
   return publish_leaving (entry, source, now);
 }
 
 /* The platform's list names the endpoint and does not say leaving. Takes back only a doubt about
  * which incarnation the list meant, never what was said of the present one. */
 void
-lc_endpoints_listed_live (LcEndpoints *endpoints, const char *name, LbTime now)
+lc_endpoints_clear_platform_leaving (LcEndpoints *endpoints, const char *name, LbTime now)
 {
-  LcEntry *entry = lc_endpoints_entry (endpoints, name);
+  LcEndpointEntry *entry = lc_endpoints_find_entry (endpoints, name);
 
   if (!entry)
     return;
-  lc_leaving_list (&entry->leaving, false);
-  lc_entry_publish (entry, now);
+  lc_leaving_set_platform_listed (&entry->leaving, false);
+  lc_endpoint_entry_publish (entry, now);
 }
 
 /* Until is when the new weights are expected to serve. */
 void
-lc_endpoints_swap (LcEndpoints *endpoints, const char *name, bool pending, LbTime until, LbTime now)
+lc_endpoints_set_swap (
+    LcEndpoints *endpoints, const char *name, bool pending, LbTime until, LbTime now)
 {
-  LcEntry *entry = lc_endpoints_entry (endpoints, name);
+  LcEndpointEntry *entry = lc_endpoints_find_entry (endpoints, name);
 
   if (!entry)
     return;
@@ -181,38 +186,43 @@
     }
   entry->endpoint.swap_pending = pending;
   entry->endpoint.swap_until = until;
-  lc_entry_publish (entry, now);
+  lc_endpoint_entry_publish (entry, now);
 }
 
 void
-lc_endpoints_cache_event (LcEndpoints *endpoints,
-                          const char *name,
-                          uint64_t sequence,
-                          bool stored,
-                          uint64_t prefix_hash,
-                          LbTime now)
+lc_endpoints_apply_cache_event (LcEndpoints *endpoints,
+                                const char *name,
+                                uint64_t sequence,
+                                bool stored,
+                                uint64_t prefix_hash,
+                                LbTime now)
 {
-  LcEntry *entry = lc_endpoints_entry (endpoints, name);
+  LcEndpointEntry *entry = lc_endpoints_find_entry (endpoints, name);
 
   if (entry)
-    lc_prefix_belief_event (endpoints->belief, &entry->cache, sequence, stored, prefix_hash, now);
+    lc_prefix_index_apply_event (endpoints->prefix_index, &entry->cache, sequence, stored,
+                                 prefix_hash, now);
 }
 
 /* Prefix_hash is that of the whole prompt; 0: none. */
 void
-lc_endpoints_sent (LcEndpoint *endpoint, LcRequestKind kind, uint64_t prefix_hash, LbTime now)
+lc_endpoint_request_sent (LcEndpoint *endpoint,
+                          LcRequestKind kind,
+                          uint64_t prefix_hash,
+                          LbTime now)
 {
-  LcEntry *entry = lc_entry (endpoint);
+  LcEndpointEntry *entry = lc_endpoint_entry (endpoint);
 
   endpoint->in_flight++;
   endpoint->in_flight_rollout += kind == LC_KIND_SAMPLE;
   endpoint->sent_since_report++;
   entry->live_since_report += kind != LC_KIND_SAMPLE;
-  lc_flight_log_add (&entry->flights, endpoint->in_flight, true, kind != LC_KIND_SAMPLE, now);
-  lc_breaker_sent (&entry->breaker, now);
+  lc_in_flight_history_add (&entry->flights, endpoint->in_flight, true, kind != LC_KIND_SAMPLE,
+                            now);
+  lc_breaker_request_sent (&entry->breaker, now);
   if (prefix_hash != 0)
-    lc_prefix_belief_sent (entry->table->belief, &entry->cache, prefix_hash, now);
-  lc_entry_publish (entry, now);
+    lc_prefix_index_add_sent (entry->table->prefix_index, &entry->cache, prefix_hash, now);
+  lc_endpoint_entry_publish (entry, now);
 }
 
 static void
@@ -223,26 +233,27 @@
 
 /* Waited is from the sending of the request to its first byte. */
 void
-lc_endpoints_first_byte (LcEndpoint *endpoint, LbTime waited, LbTime now)
+lc_endpoint_first_byte_received (LcEndpoint *endpoint, LbTime waited, LbTime now)
 {
-  LcEntry *entry = lc_entry (endpoint);
+  LcEndpointEntry *entry = lc_endpoint_entry (endpoint);
   double seconds = (double)waited / LB_SEC;
 
-  endpoint->last_reply = now;
+  endpoint->last_reply_at = now;
   ewma_add (&endpoint->ewma_first_byte_seconds, seconds);
-  lc_concurrency_first_byte (&entry->concurrency, seconds, endpoint->in_flight, now);
-  lc_entry_publish (entry, now);
+  lc_concurrency_first_byte_received (&entry->concurrency, seconds, endpoint->in_flight, now);
+  lc_endpoint_entry_publish (entry, now);
 }
 
 /* Seconds of one token at the fastest endpoint of the group; 0: none is known. */
 static double
-fastest_pace (const LcEntry *entry, const LcEndpointGroup *group)
+fastest_pace (const LcEndpointEntry *entry, const LcEndpointGroup *group)
 {
   double fastest = 0;
 
   for (size_t i = 0; i < group->n_slots; i++)
     {
-      const LcEntry *other = lc_entry (entry->table->summaries[group->slots[i]].endpoint);
+      const LcEndpointEntry *other
+          = lc_endpoint_entry (entry->table->summaries[group->slots[i]].endpoint);
       double seconds = other->paced_at > 0 ? lc_stream_pace_token_seconds (&other->pace) : 0;
       if (seconds > 0 && (fastest == 0 || seconds < fastest))
         fastest = seconds;
@@ -251,29 +262,30 @@
 }
 
 static void
-forget_pace (LcEntry *entry, double token_seconds, LbTime now)
+forget_pace (LcEndpointEntry *entry, double token_seconds, LbTime now)
 {
   entry->pace = (LcStreamPace){ 0 };
   entry->paced_at = 0;
-  entry->alone_token_seconds = token_seconds;
-  lc_entry_publish (entry, now);
+  entry->single_stream_token_seconds = token_seconds;
+  lc_endpoint_entry_publish (entry, now);
 }
 
 /* An engine that was slow gets no requests as long as others have room, so nothing would ever show
  * that it is well again. */
 static void
-review_paces (LcEntry *entry, LcEndpointGroup *group, LbTime now)
+review_paces (LcEndpointEntry *entry, LcEndpointGroup *group, LbTime now)
 {
   double fastest = 0;
 
-  if (now < group->pace_review)
+  if (now < group->next_pace_review_at)
     return;
-  group->pace_review = now + PACE_REVIEW;
+  group->next_pace_review_at = now + PACE_REVIEW;
   fastest = fastest_pace (entry, group);
-  group->fastest = fastest;
+  group->fastest_token_seconds = fastest;
   for (size_t i = 0; fastest > 0 && i < group->n_slots; i++)
     {
-      LcEntry *other = lc_entry (entry->table->summaries[group->slots[i]].endpoint);
+      LcEndpointEntry *other
+          = lc_endpoint_entry (entry->table->summaries[group->slots[i]].endpoint);
       if (other->paced_at > 0 && now - other->paced_at > PACE_KEPT)
         forget_pace (other, fastest, now);
     }
@@ -283,13 +295,13 @@
  * there, and until its long texts end, several seconds later, it gets as many new ones as before.
  */
 void
-lc_endpoints_streamed (LcEndpoint *endpoint, int64_t tokens, LbTime interval, LbTime now)
+lc_endpoint_tokens_received (LcEndpoint *endpoint, int64_t tokens, LbTime interval, LbTime now)
 {
-  LcEntry *entry = lc_entry (endpoint);
+  LcEndpointEntry *entry = lc_endpoint_entry (endpoint);
   double seconds = 0;
 
   if (tokens > 0)
-    endpoint->last_reply = now;
+    endpoint->last_reply_at = now;
   if (!lb_switch_is_on (LB_SWITCH_PACE))
     return;
   lc_stream_pace_add (&entry->pace, tokens, interval);
@@ -298,64 +310,64 @@
   review_paces (entry, group_of (entry), now);
   if (seconds == 0 || endpoint->report.tokens_per_second > 0)
     return;
-  entry->alone_token_seconds = seconds;
-  lc_entry_publish (entry, now);
+  entry->single_stream_token_seconds = seconds;
+  lc_endpoint_entry_publish (entry, now);
 }
 
 static void
-learn_service_time (LcEntry *entry, int64_t tokens, LbTime took)
+learn_service_time (LcEndpointEntry *entry, int64_t tokens, LbTime took)
 {
-  ewma_add (&group_of (entry)->service_seconds, (double)took / LB_SEC);
+  ewma_add (&group_of (entry)->mean_service_seconds, (double)took / LB_SEC);
   if (tokens == 0)
     return;
   ewma_add (&entry->endpoint.ewma_token_seconds, (double)took / LB_SEC / (double)tokens);
   if (entry->endpoint.report.tokens_per_second <= 0 && entry->paced_at == 0)
-    entry->alone_token_seconds = entry->endpoint.ewma_token_seconds;
+    entry->single_stream_token_seconds = entry->endpoint.ewma_token_seconds;
 }
 
 static void
-count_out (LcEntry *entry, LcRequestKind kind, LbTime now)
+count_out (LcEndpointEntry *entry, LcRequestKind kind, LbTime now)
 {
   entry->endpoint.in_flight--;
   entry->endpoint.in_flight_rollout -= kind == LC_KIND_SAMPLE;
-  lc_flight_log_add (&entry->flights, entry->endpoint.in_flight, false, false, now);
+  lc_in_flight_history_add (&entry->flights, entry->endpoint.in_flight, false, false, now);
 }
 
 void
-lc_endpoints_connections (LcEndpoint *endpoint, size_t n_idle, LbTime now)
+lc_endpoint_set_idle_connections (LcEndpoint *endpoint, size_t n_idle, LbTime now)
 {
   endpoint->idle_connections = n_idle;
-  endpoint->idle_at = now;
+  endpoint->idle_connections_at = now;
 }
 
 void
-lc_endpoints_cancelled (LcEndpoint *endpoint, LcRequestKind kind, LbTime now)
+lc_endpoint_request_cancelled (LcEndpoint *endpoint, LcRequestKind kind, LbTime now)
 {
-  LcEntry *entry = lc_entry (endpoint);
+  LcEndpointEntry *entry = lc_endpoint_entry (endpoint);
 
   count_out (entry, kind, now);
-  lc_entry_publish (entry, now);
+  lc_endpoint_entry_publish (entry, now);
 }
 
 void
-lc_endpoints_ended (
+lc_endpoint_request_ended (
     LcEndpoint *endpoint, LcRequestKind kind, bool ok, int64_t tokens, LbTime took, LbTime now)
 {
-  LcEntry *entry = lc_entry (endpoint);
+  LcEndpointEntry *entry = lc_endpoint_entry (endpoint);
 
   count_out (entry, kind, now);
   if (ok)
     {
-      endpoint->last_reply = now;
-      lc_breaker_succeeded (&entry->breaker, now - took);
+      endpoint->last_reply_at = now;
+      lc_breaker_request_succeeded (&entry->breaker, now - took);
       learn_service_time (entry, tokens, took);
     }
   else
     {
-      lc_breaker_failed (&entry->breaker, now - took, now);
-      lc_concurrency_failed (&entry->concurrency, now);
+      lc_breaker_request_failed (&entry->breaker, now - took, now);
+      lc_concurrency_request_failed (&entry->concurrency, now);
     }
-  lc_entry_publish (entry, now);
+  lc_endpoint_entry_publish (entry, now);
 }
 
 /* An engine refuses all new requests while it loads weights. Were each refusal a failure, its
@@ -363,24 +375,24 @@
  * weights change, half of the engines would stand idle. One that states its size is asked again
  * shortly instead. */
 void
-lc_endpoints_refused (LcEndpoint *endpoint, LcRequestKind kind, LbTime now)
+lc_endpoint_request_refused (LcEndpoint *endpoint, LcRequestKind kind, LbTime now)
 {
-  LcEntry *entry = lc_entry (endpoint);
+  LcEndpointEntry *entry = lc_endpoint_entry (endpoint);
 
   if (!endpoint->member.states_size)
     {
-      lc_endpoints_ended (endpoint, kind, false, 0, 0, now);
+      lc_endpoint_request_ended (endpoint, kind, false, 0, 0, now);
       return;
     }
   count_out (entry, kind, now);
   entry->refused_until = now + REFUSED_FOR;
-  lc_entry_publish (entry, now);
+  lc_endpoint_entry_publish (entry, now);
 }
 
 LcEndpoint *
 lc_endpoints_find (LcEndpoints *endpoints, const char *name)
 {
-  LcEntry *entry = lc_endpoints_entry (endpoints, name);
+  LcEndpointEntry *entry = lc_endpoints_find_entry (endpoints, name);
 
   return entry ? &entry->endpoint : NULL;
 }
--- a/packages/core/src/endpoints/lc-entry.c
+++ b/packages/core/src/endpoints/lc-entry.c
@@ -19,7 +19,7 @@
 }
 
 static bool
-is_chosen (const LcEntry *entry, size_t index)
+is_chosen (const LcEntryChoice *entry, size_t index)
 {
   for (size_t i = 0; i < entry->n_chosen; i++)
     if (entry->chosen[i] == index)
@@ -35,7 +35,7 @@
 }
 
 static void
-choose_next (LcEntry *entry,
+choose_next (LcEntryChoice *entry,
              const LcMemberView *views,
              size_t n_views,
              const char *caller,
@@ -63,7 +63,7 @@
 /* First one in the caller's data centre, then one elsewhere, so that a caller whose data centre is
  * lost has a good second address; then more of the caller's own. */
 void
-lc_entry_choose (LcEntry *entry,
+lc_entry_choose (LcEntryChoice *entry,
                  const LcMemberView *views,
                  size_t n_views,
                  const char *caller,
@@ -72,6 +72,7 @@
   static const bool order[] = { true, false, true, true, false, false };
 
   entry->n_chosen = 0;
-  for (size_t i = 0; i < sizeof order / sizeof *order && entry->n_chosen < LC_ENTRY_ADDRESSES; i++)
+  for (size_t i = 0; i < sizeof order / sizeof *order && entry->n_chosen < LC_MAX_ENTRY_ADDRESSES;
+       i++)
     choose_next (entry, views, n_views, caller, data_centre, order[i]);
 }
--- a/packages/core/src/endpoints/lc-leaving.c
+++ b/packages/core/src/endpoints/lc-leaving.c
@@ -12,7 +12,8 @@
 static bool
 is_in_ring (const LcLeaving *leaving, uint64_t incarnation)
 {
-  size_t n = leaving->n_left < LC_MAX_LEFT ? leaving->n_left : LC_MAX_LEFT;
+  size_t n = leaving->n_left < LC_MAX_LEAVING_INCARNATIONS ? leaving->n_left
+                                                           : LC_MAX_LEAVING_INCARNATIONS;
 
   for (size_t i = 0; i < n; i++)
     if (leaving->left[i] == incarnation)
@@ -24,14 +25,14 @@
 add_to_ring (LcLeaving *leaving, uint64_t incarnation)
 {
   if (!is_in_ring (leaving, incarnation))
-    leaving->left[leaving->n_left++ % LC_MAX_LEFT] = incarnation;
+    leaving->left[leaving->n_left++ % LC_MAX_LEAVING_INCARNATIONS] = incarnation;
 }
 
 /* The endpoint stated its incarnation. One that was called leaving before it stated its name, or
  * that is seen again after another, is still leaving: without the ring an old report or a report of
  * the next process in between would bring it back. */
 void
-lc_leaving_begin (LcLeaving *leaving, const char *incarnation)
+lc_leaving_set_incarnation (LcLeaving *leaving, const char *incarnation)
 {
   uint64_t hash = hash_of (incarnation);
 
@@ -46,7 +47,7 @@
 
 /* An empty incarnation means the present one. */
 void
-lc_leaving_say (LcLeaving *leaving, const char *incarnation)
+lc_leaving_mark (LcLeaving *leaving, const char *incarnation)
 {
   add_to_ring (leaving, incarnation[0] ? hash_of (incarnation) : leaving->present);
 }
@@ -55,7 +56,7 @@
  * incarnation came, it may speak of the one before: the endpoint is kept out while the list says
  * so, but is not condemned, since nothing would ever bring this incarnation back. */
 void
-lc_leaving_list (LcLeaving *leaving, bool says_leaving)
+lc_leaving_set_platform_listed (LcLeaving *leaving, bool says_leaving)
 {
   if (!says_leaving)
     {
@@ -73,7 +74,7 @@
 }
 
 bool
-lc_leaving_is_left (const LcLeaving *leaving)
+lc_leaving_is_current_leaving (const LcLeaving *leaving)
 {
   if (leaving->doubted)
     return true;
--- a/packages/core/src/endpoints/lc-prefix-belief.c
+++ b/packages/core/src/endpoints/lc-prefix-index.c
@@ -1,4 +1,4 @@
-#include "lc-prefix-belief.h"
+#include "lc-prefix-index.h"
 
 #include "lb-alloc.h"
 
@@ -30,23 +30,23 @@
   Holder holders[MAX_HOLDERS];
 } Prefix;
 
-struct LcPrefixBelief
+struct LcPrefixIndex
 {
   Prefix *prefixes;
   LbList recent; /* least recent first */
 };
 
-LcPrefixBelief *
-lc_prefix_belief_new (void)
+LcPrefixIndex *
+lc_prefix_index_new (void)
 {
-  LcPrefixBelief *belief = LB_NEW (LcPrefixBelief);
+  LcPrefixIndex *belief = LB_NEW (LcPrefixIndex);
 
   lb_list_init (&belief->recent);
   return belief;
 }
 
 static void
-remove_prefix (LcPrefixBelief *belief, Prefix *prefix)
+remove_prefix (LcPrefixIndex *belief, Prefix *prefix)
 {
   HASH_DEL (belief->prefixes, prefix);
   lb_list_remove (&belief->recent, &prefix->recency);
@@ -54,7 +54,7 @@
 }
 
 void
-lc_prefix_belief_free (LcPrefixBelief *belief)
+lc_prefix_index_free (LcPrefixIndex *belief)
 {
   if (!belief)
     return;
@@ -65,7 +65,7 @@
 }
 
 static Prefix *
-find (const LcPrefixBelief *belief, uint64_t hash)
+find (const LcPrefixIndex *belief, uint64_t hash)
 {
   Prefix *prefix = NULL;
 
@@ -74,7 +74,7 @@
 }
 
 static Prefix *
-find_or_add (LcPrefixBelief *belief, uint64_t hash)
+find_or_add (LcPrefixIndex *belief, uint64_t hash)
 {
   Prefix *prefix = find (belief, hash);
 
@@ -95,7 +95,7 @@
 }
 
 static Holder *
-find_holder (Prefix *prefix, const LcCacheView *view)
+find_holder (Prefix *prefix, const LcEndpointCache *view)
 {
   for (uint32_t i = 0; i < prefix->n_holders; i++)
     if (prefix->holders[i].slot == view->slot)
@@ -115,7 +115,8 @@
 }
 
 static void
-learn (LcPrefixBelief *belief, const LcCacheView *view, uint64_t hash, bool confirmed, LbTime now)
+learn (
+    LcPrefixIndex *belief, const LcEndpointCache *view, uint64_t hash, bool confirmed, LbTime now)
 {
   Prefix *prefix = find_or_add (belief, hash);
   Holder *holder = find_holder (prefix, view);
@@ -131,7 +132,7 @@
 }
 
 static void
-forget (LcPrefixBelief *belief, const LcCacheView *view, uint64_t hash)
+forget (LcPrefixIndex *belief, const LcEndpointCache *view, uint64_t hash)
 {
   Prefix *prefix = find (belief, hash);
   Holder *holder = prefix ? find_holder (prefix, view) : NULL;
@@ -147,12 +148,12 @@
  * some weight. An event that comes after a later one was counted as missed and is ignored, since
  * applying it out of order could turn an eviction back into a stored prefix. */
 void
-lc_prefix_belief_event (LcPrefixBelief *belief,
-                        LcCacheView *view,
-                        uint64_t sequence,
-                        bool stored,
-                        uint64_t prefix,
-                        LbTime now)
+lc_prefix_index_apply_event (LcPrefixIndex *belief,
+                             LcEndpointCache *view,
+                             uint64_t sequence,
+                             bool stored,
+                             uint64_t prefix,
+                             LbTime now)
 {
   if (sequence <= view->last_sequence)
     return;
@@ -166,7 +167,10 @@
 }
 
 void
-lc_prefix_belief_sent (LcPrefixBelief *belief, const LcCacheView *view, uint64_t prefix, LbTime now)
+lc_prefix_index_add_sent (LcPrefixIndex *belief,
+                          const LcEndpointCache *view,
+                          uint64_t prefix,
+                          LbTime now)
 {
   Prefix *known = find (belief, prefix);
   Holder *holder = known ? find_holder (known, view) : NULL;
@@ -176,7 +180,7 @@
 }
 
 static double
-confidence (const Holder *holder, const LcCacheView *view, LbTime now)
+confidence (const Holder *holder, const LcEndpointCache *view, LbTime now)
 {
   double age = (double)(now - holder->at) / LB_SEC;
 
@@ -186,14 +190,14 @@
 
 /* Views are by slot; a slot without an endpoint is NULL. */
 size_t
-lc_prefix_belief_shares (const LcPrefixBelief *belief,
-                         const uint64_t *prefixes,
-                         size_t n_prefixes,
-                         const LcCacheView *const *views,
-                         size_t n_views,
-                         LbTime now,
-                         LcBelievedShare *shares,
-                         size_t max)
+lc_prefix_index_find_shares (const LcPrefixIndex *belief,
+                             const uint64_t *prefixes,
+                             size_t n_prefixes,
+                             const LcEndpointCache *const *views,
+                             size_t n_views,
+                             LbTime now,
+                             LcCachedShare *shares,
+                             size_t max)
 {
   size_t n = 0;
 
@@ -204,24 +208,24 @@
       for (uint32_t j = 0; prefix && j < prefix->n_holders && n < max; j++)
         {
           const Holder *holder = &prefix->holders[j];
-          const LcCacheView *view = holder->slot < n_views ? views[holder->slot] : NULL;
+          const LcEndpointCache *view = holder->slot < n_views ? views[holder->slot] : NULL;
 
           if (!view || view->epoch != holder->epoch)
             continue;
-          shares[n++] = (LcBelievedShare){ .slot = holder->slot,
-                                           .share = confidence (holder, view, now) * (double)(i + 1)
-                                                    / (double)n_prefixes };
+          shares[n++] = (LcCachedShare){ .slot = holder->slot,
+                                         .share = confidence (holder, view, now) * (double)(i + 1)
+                                                  / (double)n_prefixes };
         }
     }
   return n;
 }
 
 double
-lc_prefix_belief_share (const LcPrefixBelief *belief,
-                        const uint64_t *prefixes,
-                        size_t n_prefixes,
-                        const LcCacheView *view,
-                        LbTime now)
+lc_prefix_index_share (const LcPrefixIndex *belief,
+                       const uint64_t *prefixes,
+                       size_t n_prefixes,
+                       const LcEndpointCache *view,
+                       LbTime now)
 {
   double best = 0;
 
--- a/packages/core/src/endpoints/lc-listed.c
+++ b/packages/core/src/endpoints/lc-registration.c
@@ -1,4 +1,4 @@
-#include "lc-listed.h"
+#include "lc-registration.h"
 
 #include "lb-alloc.h"
 #include "lb-json.h"
@@ -7,7 +7,7 @@
 #include <string.h>
 
 char *
-lc_listed_to_text (const LcListed *listed)
+lc_registration_to_json (const LcRegistration *listed)
 {
   struct json_object *object = json_object_new_object ();
   struct json_object *models = json_object_new_array ();
@@ -20,14 +20,14 @@
   json_object_object_add (object, "service", json_object_new_string (listed->service));
   json_object_object_add (object, "slots", json_object_new_int64 (listed->slots));
   json_object_object_add (object, "leaving", json_object_new_boolean (listed->leaving));
-  if (listed->is_cheap)
+  if (listed->is_spot)
     json_object_object_add (object, "cheap", json_object_new_boolean (true));
   json_object_object_add (object, "models", models);
   return lb_json_take_text (object, JSON_C_TO_STRING_PLAIN);
 }
 
 static bool
-read_models (struct json_object *models, LcListed *listed)
+read_models (struct json_object *models, LcRegistration *listed)
 {
   size_t n = json_object_is_type (models, json_type_array) ? json_object_array_length (models) : 0;
 
@@ -45,7 +45,7 @@
 }
 
 bool
-lc_listed_from_text (const char *text, LcListed *listed)
+lc_registration_from_json (const char *text, LcRegistration *listed)
 {
   struct json_object *object = json_tokener_parse (text);
 
@@ -56,7 +56,7 @@
   LB_COPY (listed->service, lb_json_text (object, "service", ""));
   listed->slots = lb_json_int (object, "slots", 0);
   listed->leaving = lb_json_bool (object, "leaving", true);
-  listed->is_cheap = lb_json_bool (object, "cheap", false);
+  listed->is_spot = lb_json_bool (object, "cheap", false);
   bool ok = read_models (lb_json_member (object, "models"), listed) && listed->name[0]
             && listed->address[0] && listed->service[0] && listed->slots > 0;
   json_object_put (object);
--- a/packages/core/src/endpoints/lc-roster.c
+++ b/packages/core/src/endpoints/lc-roster.c
@@ -29,7 +29,7 @@
 
 typedef struct
 {
-  LcListed listed;
+  LcRegistration listed;
   size_t model; /* index into listed.models that the engine is used for */
   bool seen;    /* in the list being taken */
 } Entry;
@@ -61,7 +61,7 @@
 }
 
 static bool
-is_same_member (const LcListed *a, const LcListed *b)
+is_same_member (const LcRegistration *a, const LcRegistration *b)
 {
   if (a->n_models != b->n_models || a->leaving != b->leaving || a->slots != b->slots
       || strcmp (a->address, b->address) != 0 || strcmp (a->service, b->service) != 0)
@@ -80,7 +80,7 @@
 } Change;
 
 static void
-log_entry (const char *event, const LcListed *listed)
+log_entry (const char *event, const LcRegistration *listed)
 {
   lb_log (LB_LOG_INFO, event, LB_TEXT ("endpoint", listed->name),
           LB_TEXT ("address", listed->address), LB_TEXT ("service", listed->service),
@@ -89,7 +89,7 @@
 
 /* A change of one endpoint among those of a list. */
 static void
-log_change (Change *change, const LcListed *listed)
+log_change (Change *change, const LcRegistration *listed)
 {
   if (change->n++ < MAX_LINES)
     log_entry (change->event, listed);
@@ -104,7 +104,7 @@
 }
 
 static Entry *
-add_entry (LcRoster *roster, const LcListed *listed, Change *added)
+add_entry (LcRoster *roster, const LcRegistration *listed, Change *added)
 {
   if (roster->n_entries == roster->capacity)
     {
@@ -118,7 +118,7 @@
 }
 
 static bool
-take_entry (LcRoster *roster, Entry *entry, const LcListed *listed, Change *added)
+take_entry (LcRoster *roster, Entry *entry, const LcRegistration *listed, Change *added)
 {
   bool changed = !entry || !is_same_member (&entry->listed, listed);
 
@@ -134,14 +134,15 @@
 static int
 compare_listed (const void *a, const void *b)
 {
-  return strcmp ((*(const LcListed *const *)a)->name, (*(const LcListed *const *)b)->name);
+  return strcmp ((*(const LcRegistration *const *)a)->name,
+                 (*(const LcRegistration *const *)b)->name);
 }
 
 /* In order of the names, as the store and the catalog give it. The caller frees. */
-static const LcListed **
-put_in_order (const LcListed *list, size_t n_list)
+static const LcRegistration **
+put_in_order (const LcRegistration *list, size_t n_list)
 {
-  const LcListed **ordered = LB_NEW_ARRAY (const LcListed *, n_list + 1);
+  const LcRegistration **ordered = LB_NEW_ARRAY (const LcRegistration *, n_list + 1);
   bool in_order = true;
 
   for (size_t i = 0; i < n_list; i++)
@@ -158,9 +159,9 @@
  * work that grows with the square of the endpoints: looked for one by one, the first list of 3,000
  * took every instance longer than an endpoint that leaves may get new work. */
 static bool
-take_list (LcRoster *roster, const LcListed *list, size_t n_list)
+take_list (LcRoster *roster, const LcRegistration *list, size_t n_list)
 {
-  const LcListed **ordered = put_in_order (list, n_list);
+  const LcRegistration **ordered = put_in_order (list, n_list);
   Change added = { .event = "endpoint_listed", .events = "endpoints_listed" };
   size_t n_known = roster->n_entries;
   size_t known = 0;
@@ -386,7 +387,7 @@
 }
 
 bool
-lc_roster_again (LcRoster *roster, LbTime asked_at, LbTime now)
+lc_roster_confirm_list (LcRoster *roster, LbTime asked_at, LbTime now)
 {
   note_list (roster, asked_at, now);
   bool changed = drop_missing (roster, now);
@@ -397,7 +398,7 @@
 
 bool
 lc_roster_update (
-    LcRoster *roster, const LcListed *list, size_t n_list, LbTime asked_at, LbTime now)
+    LcRoster *roster, const LcRegistration *list, size_t n_list, LbTime asked_at, LbTime now)
 {
   bool changed = roster->last_list == 0;
 
@@ -444,8 +445,8 @@
   return roster->n_entries;
 }
 
-const LcListed *
-lc_roster_at (const LcRoster *roster, size_t index)
+const LcRegistration *
+lc_roster_registration (const LcRoster *roster, size_t index)
 {
   return &roster->entries[index].listed;
 }
@@ -459,7 +460,7 @@
 }
 
 LcVersion
-lc_roster_listed_version (const LcRoster *roster, size_t index)
+lc_roster_registered_version (const LcRoster *roster, size_t index)
 {
   const Entry *entry = &roster->entries[index];
 
@@ -467,11 +468,11 @@
 }
 
 LcVersion
-lc_roster_version (const LcRoster *roster, size_t index)
+lc_roster_latest_version (const LcRoster *roster, size_t index)
 {
   const Entry *entry = &roster->entries[index];
   const LcPlanEntry *planned = lc_engine_plan_find (&roster->plan, entry->listed.name);
-  LcVersion listed = lc_roster_listed_version (roster, index);
+  LcVersion listed = lc_roster_registered_version (roster, index);
   bool is_told = planned && strcmp (planned->model, lc_roster_model (roster, index)) == 0;
 
   return is_told && planned->version > listed ? planned->version : listed;
@@ -494,7 +495,7 @@
 static void
 fill_member (const LcRoster *roster, size_t index, bool checks_fence, LcEndpointMember *member)
 {
-  const LcListed *listed = &roster->entries[index].listed;
+  const LcRegistration *listed = &roster->entries[index].listed;
   const char *model = lc_roster_model (roster, index);
 
   member->kind = listed->n_models > 0 ? LC_ENDPOINT_ENGINE : LC_ENDPOINT_SERVICE;
@@ -502,7 +503,7 @@
   LB_COPY (member->pool, listed->n_models > 0 ? model : listed->service);
   LB_COPY (member->service, listed->service);
   LB_COPY (member->address, listed->address);
-  member->is_cheap = listed->is_cheap;
+  member->is_spot = listed->is_spot;
   LB_COPY (member->data_centre, listed->data_centre);
   member->leaving = listed->leaving;
   member->checks_fence = checks_fence;
@@ -511,7 +512,7 @@
 }
 
 LcResourceSet *
-lc_roster_resources (const LcRoster *roster, int64_t revision, bool checks_fence)
+lc_roster_to_resources (const LcRoster *roster, int64_t revision, bool checks_fence)
 {
   LcResourceSet *set = LB_NEW (LcResourceSet);
 
@@ -520,7 +521,7 @@
   set->endpoints = LB_NEW_ARRAY (LcEndpointMember, roster->n_entries);
   for (size_t i = 0; i < roster->n_entries; i++)
     {
-      const LcListed *listed = &roster->entries[i].listed;
+      const LcRegistration *listed = &roster->entries[i].listed;
       for (size_t model = 0; model < listed->n_models; model++)
         add_pool (set, listed->models[model].name);
       fill_member (roster, i, checks_fence, &set->endpoints[i]);
--- a/packages/core/src/endpoints/lc-scaling.c
+++ b/packages/core/src/endpoints/lc-scaling.c
@@ -88,7 +88,7 @@
 }
 
 void
-lc_scaling_demand (LcScaling *scaling, const char *model, int64_t texts, LbTime now)
+lc_scaling_add_demand (LcScaling *scaling, const char *model, int64_t texts, LbTime now)
 {
   Demand *demand = ensure_demand (scaling, model);
 
@@ -98,7 +98,7 @@
 }
 
 void
-lc_scaling_restart (LcScaling *scaling)
+lc_scaling_forget_orders (LcScaling *scaling)
 {
   LB_LIST_FOREACH (&scaling->places, Place, link, place)
   {
@@ -153,15 +153,14 @@
 }
 
 static int64_t
-count (const LcResourceSet *set, const char *service, const char *data_centre, bool is_cheap)
+count (const LcResourceSet *set, const char *service, const char *data_centre, bool is_spot)
 {
   int64_t n = 0;
 
   for (size_t i = 0; i < set->n_endpoints; i++)
     {
       const LcEndpointMember *member = &set->endpoints[i];
-      n += !member->leaving && member->is_cheap == is_cheap
-           && strcmp (member->service, service) == 0
+      n += !member->leaving && member->is_spot == is_spot && strcmp (member->service, service) == 0
            && strcmp (member->data_centre, data_centre) == 0;
     }
   return n;
@@ -254,7 +253,7 @@
 {
   const LcScalingLimits *limits = &service->scaling;
 
-  return limits->max > 0 && limits->cheap_price > 0 && limits->cheap_price < 1;
+  return limits->max > 0 && limits->spot_price > 0 && limits->spot_price < 1;
 }
 
 /* Fewer than were ordered, long enough after the order for them to have come: some were taken away,
@@ -276,11 +275,11 @@
 }
 
 bool
-lc_scaling_next (LcScaling *scaling,
-                 const LcDesired *desired,
-                 const LcResourceSet *set,
-                 LbTime now,
-                 LcScalingOrder *order)
+lc_scaling_next_order (LcScaling *scaling,
+                       const LcDesired *desired,
+                       const LcResourceSet *set,
+                       LbTime now,
+                       LcScalingOrder *order)
 {
   for (size_t i = 0; i < desired->n_services; i++)
     if (wants_cheap (&desired->services[i]))
@@ -299,16 +298,16 @@
 }
 
 void
-lc_scaling_ordered (LcScaling *scaling,
-                    const LcScalingOrder *order,
-                    LcScalingOutcome outcome,
-                    LbTime now)
+lc_scaling_finish_order (LcScaling *scaling,
+                         const LcScalingOrder *order,
+                         LcScalingOutcome outcome,
+                         LbTime now)
 {
   Place *place = ensure_place (scaling, order->service, order->data_centre);
 
   place->busy = false;
   place->next_order = now + ORDER_PERIOD;
-  place->ordered = outcome == LC_SCALING_TAKEN ? order->endpoints : -1;
+  place->ordered = outcome == LC_SCALING_ACCEPTED ? order->endpoints : -1;
   if (outcome == LC_SCALING_REFUSED)
     place->refused_until = now + REFUSED_PERIOD;
 }
--- a/packages/core/src/endpoints/lc-subset.c
+++ b/packages/core/src/endpoints/lc-subset.c
@@ -124,7 +124,7 @@
 }
 
 void
-lc_subset_begin (LcSubset *subset, LbTime now)
+lc_subset_begin_list (LcSubset *subset, LbTime now)
 {
   bool looks_again = now - subset->whole_at >= ABSENT_PERIOD;
 
@@ -163,7 +163,7 @@
 }
 
 bool
-lc_subset_add (LcSubset *subset, const char *key, const LcSubsetEndpoint *endpoint)
+lc_subset_add_row (LcSubset *subset, const char *key, const LcSubsetRow *endpoint)
 {
   Service *service = ensure_service (subset, endpoint->service);
 
@@ -246,7 +246,7 @@
 }
 
 void
-lc_subset_expect_none (LcSubset *subset)
+lc_subset_clear_expected (LcSubset *subset)
 {
   for (Service *service = subset->services; service; service = service->hh.next)
     {
@@ -256,7 +256,7 @@
 }
 
 void
-lc_subset_expect (LcSubset *subset, const char *service)
+lc_subset_expect_service (LcSubset *subset, const char *service)
 {
   ensure_service (subset, service)->is_expected = true;
 }
@@ -309,9 +309,9 @@
 }
 
 void
-lc_subset_each_bound (const LcSubset *subset,
-                      void (*take) (const char *service, const char *bound, void *user),
-                      void *user)
+lc_subset_foreach_bound (const LcSubset *subset,
+                         void (*take) (const char *service, const char *bound, void *user),
+                         void *user)
 {
   for (const Service *service = subset->services; service; service = service->hh.next)
     if (service->bound[0])
--- a/packages/core/src/endpoints/lc-crowding.c
+++ b/packages/core/src/endpoints/lc-utilisation.c
@@ -1,4 +1,4 @@
-#include "lc-crowding.h"
+#include "lc-utilisation.h"
 
 #include "lb-alloc.h"
 
@@ -16,19 +16,19 @@
   UT_hash_handle hh;
 } Service;
 
-struct LcCrowding
+struct LcUtilisation
 {
   Service *services;
 };
 
-LcCrowding *
-lc_crowding_new (void)
+LcUtilisation *
+lc_utilisation_new (void)
 {
-  return LB_NEW (LcCrowding);
+  return LB_NEW (LcUtilisation);
 }
 
 void
-lc_crowding_free (LcCrowding *crowding)
+lc_utilisation_free (LcUtilisation *crowding)
 {
   Service *service, *next;
 
@@ -43,7 +43,10 @@
 }
 
 void
-lc_crowding_note (LcCrowding *crowding, const char *name, int64_t requests, int64_t slots)
+lc_utilisation_add_report (LcUtilisation *crowding,
+                           const char *name,
+                           int64_t requests,
+                           int64_t slots)
 {
   Service *service = NULL;
 
@@ -60,7 +63,7 @@
 }
 
 const char *
-lc_crowding_service (const LcCrowding *crowding)
+lc_utilisation_find_overloaded_service (const LcUtilisation *crowding)
 {
   const Service *busiest = NULL;
 
--- a/packages/core/tests/dispatch-fixture.h
+++ b/packages/core/tests/dispatch-fixture.h
@@ -37,7 +37,7 @@
 static inline void
 fixture_configure (Fixture *f)
 {
-  LcLoadReport idle = { .version = 1, .at = f->now };
+  LcLoadReport idle = { .version = 1, .measured_at = f->now };
 
   f->set.revision++;
   lc_dispatch_configure (f->dispatch, &f->set, f->now, &f->actions);
@@ -45,7 +45,7 @@
     {
       const char *name = f->members[i].name;
 
-      if (lc_endpoints_find (lc_dispatch_endpoints (f->dispatch), name)->last_reply == 0)
+      if (lc_endpoints_find (lc_dispatch_endpoints (f->dispatch), name)->last_reply_at == 0)
         lc_dispatch_report (f->dispatch, name, &idle, f->now, &f->actions);
     }
 }
--- a/packages/core/tests/endpoints-fixture.h
+++ b/packages/core/tests/endpoints-fixture.h
@@ -30,7 +30,7 @@
   LcLoadReport report = { .version = 1 };
 
   for (size_t i = 0; i < f->set.n_endpoints; i++)
-    lc_endpoints_report (f->endpoints, f->members[i].name, &report, 0);
+    lc_endpoints_record_load (f->endpoints, f->members[i].name, &report, 0);
 }
 
 static inline void
@@ -71,17 +71,17 @@
 static inline bool
 fixture_may_take (Fixture *f, const char *name, LbTime now)
 {
-  return lc_endpoint_may_take (fixture_find (f, name), LC_KIND_LIVE, 0, now);
+  return lc_endpoint_can_accept (fixture_find (f, name), LC_KIND_LIVE, 0, now);
 }
 
 /* A report that was measured at its arrival. */
 static inline LcLoadReport
 fixture_report (Fixture *f, const char *name, const char *incarnation, LcVersion version, LbTime at)
 {
-  LcLoadReport report = { .version = version, .at = at };
+  LcLoadReport report = { .version = version, .measured_at = at };
 
   strcpy (report.incarnation, incarnation);
-  lc_endpoints_report (f->endpoints, name, &report, at);
+  lc_endpoints_record_load (f->endpoints, name, &report, at);
   return report;
 }
 
--- a/packages/core/tests/test-admission.c
+++ b/packages/core/tests/test-admission.c
@@ -338,7 +338,7 @@
   fixture_expect (&f, LC_ACTION_SEND, other.id);
   cr_assert_eq (lc_dispatch_waiting (f.dispatch, LC_KIND_SAMPLE), 1);
 
-  LcLoadReport report = { .incarnation = "e1-1", .version = 41, .at = f.now };
+  LcLoadReport report = { .incarnation = "e1-1", .version = 41, .measured_at = f.now };
 
   lc_dispatch_report (f.dispatch, "e1", &report, f.now, &f.actions);
   fixture_expect (&f, LC_ACTION_SEND, newest.id);
--- a/packages/core/tests/test-batch-cost.c
+++ b/packages/core/tests/test-batch-cost.c
@@ -14,7 +14,7 @@
       double fill = gsl_ran_flat (rng, least_fill, most_fill);
       double noise = gsl_ran_flat (rng, 0.97, 1.03);
 
-      lc_batch_cost_learn (&cost, fill, 0.012 * (1 + slowdown * fill) * noise);
+      lc_batch_cost_add_report (&cost, fill, 0.012 * (1 + slowdown * fill) * noise);
     }
   gsl_rng_free (rng);
   return lc_batch_cost_slowdown (&cost);
--- a/packages/core/tests/test-breaker.c
+++ b/packages/core/tests/test-breaker.c
@@ -6,7 +6,7 @@
 fail_times (LcBreaker *breaker, int n, LbTime now)
 {
   for (int i = 0; i < n; i++)
-    lc_breaker_failed (breaker, now, now);
+    lc_breaker_request_failed (breaker, now, now);
 }
 
 /* An engine dies for ten seconds and comes back. All instances see it at the same moment; a full
@@ -18,16 +18,16 @@
   LbTime now = LB_SEC;
 
   fail_times (&breaker, 5, now);
-  cr_assert_eq (lc_breaker_allowance (&breaker, now), 0);
+  cr_assert_eq (lc_breaker_max_in_flight (&breaker, now), 0);
   now = breaker.until;
-  cr_assert_eq (lc_breaker_allowance (&breaker, now), 1);
-  lc_breaker_sent (&breaker, now);
+  cr_assert_eq (lc_breaker_max_in_flight (&breaker, now), 1);
+  lc_breaker_request_sent (&breaker, now);
   for (int64_t expected = 2; expected < 32; expected++)
     {
-      lc_breaker_succeeded (&breaker, now);
-      cr_assert_eq (lc_breaker_allowance (&breaker, now), expected);
+      lc_breaker_request_succeeded (&breaker, now);
+      cr_assert_eq (lc_breaker_max_in_flight (&breaker, now), expected);
     }
-  lc_breaker_succeeded (&breaker, now);
+  lc_breaker_request_succeeded (&breaker, now);
   cr_assert_eq (breaker.state, LC_BREAKER_CLOSED);
 }
 
@@ -44,9 +44,9 @@
       cr_assert_gt (breaker.until - now, last);
       last = breaker.until - now;
       now = breaker.until;
-      lc_breaker_sent (&breaker, now);
-      lc_breaker_failed (&breaker, now, now);
-      cr_assert_eq (lc_breaker_allowance (&breaker, now), 0);
+      lc_breaker_request_sent (&breaker, now);
+      lc_breaker_request_failed (&breaker, now, now);
+      cr_assert_eq (lc_breaker_max_in_flight (&breaker, now), 0);
     }
 }
 
@@ -62,11 +62,11 @@
 
   LbTime again = breaker.until;
 
-  lc_breaker_sent (&breaker, again);
-  lc_breaker_succeeded (&breaker, again);
-  lc_breaker_failed (&breaker, now - 1, again + 1);
+  lc_breaker_request_sent (&breaker, again);
+  lc_breaker_request_succeeded (&breaker, again);
+  lc_breaker_request_failed (&breaker, now - 1, again + 1);
   cr_assert_eq (breaker.state, LC_BREAKER_HALF_OPEN);
-  cr_assert_eq (lc_breaker_allowance (&breaker, again + 1), 2);
+  cr_assert_eq (lc_breaker_max_in_flight (&breaker, again + 1), 2);
 }
 
 /* An engine fails two of three requests, never five in a row. */
@@ -76,9 +76,9 @@
 
   for (int i = 0; i < 30 && breaker.state == LC_BREAKER_CLOSED; i++)
     if (i % 3 == 0)
-      lc_breaker_succeeded (&breaker, i);
+      lc_breaker_request_succeeded (&breaker, i);
     else
-      lc_breaker_failed (&breaker, i, i);
+      lc_breaker_request_failed (&breaker, i, i);
   cr_assert_eq (breaker.state, LC_BREAKER_OPEN);
 }
 
@@ -93,8 +93,8 @@
 
   for (int i = 0; i < 5; i++)
     {
-      lc_endpoints_sent (endpoint, LC_KIND_LIVE, 0, 2);
-      lc_endpoints_ended (endpoint, LC_KIND_LIVE, false, 0, 1, 3);
+      lc_endpoint_request_sent (endpoint, LC_KIND_LIVE, 0, 2);
+      lc_endpoint_request_ended (endpoint, LC_KIND_LIVE, false, 0, 1, 3);
     }
   cr_assert_eq (endpoint->breaker, LC_BREAKER_OPEN);
   cr_assert_not (fixture_may_take (&f, "e0", 4));
--- a/packages/core/tests/test-catalog.c
+++ b/packages/core/tests/test-catalog.c
@@ -1,5 +1,5 @@
 #include "lc-catalog.h"
-#include "lc-listed.h"
+#include "lc-registration.h"
 
 #include "lb-alloc.h"
 
@@ -33,7 +33,7 @@
 
 typedef struct
 {
-  LcListed listed;
+  LcRegistration listed;
   bool exists;
   LbTime changed_at;
 } Endpoint;
@@ -45,7 +45,7 @@
   LbTime given_up;
   bool carried_out;
   /* list */
-  LcListed *list;
+  LcRegistration *list;
   size_t n_list;
   int64_t store_ms;
   /* write */
@@ -66,7 +66,7 @@
   Call list, write, feed;
   LbTime next_list;
   int64_t followed; /* version; 0: not yet */
-  LcListed belief[MAX_ENDPOINTS];
+  LcRegistration belief[MAX_ENDPOINTS];
   size_t n_belief;
   LbTime asked_at;
   int64_t lists;
@@ -161,7 +161,7 @@
   w->n_endpoints = n_endpoints;
   for (size_t i = 0; i < n_endpoints; i++)
     {
-      LcListed *listed = &w->endpoints[i].listed;
+      LcRegistration *listed = &w->endpoints[i].listed;
       snprintf (listed->name, sizeof listed->name, "s-%zu", i);
       snprintf (listed->address, sizeof listed->address, "10.0.0.%zu:80", i);
       LB_COPY (listed->service, "reader");
@@ -232,7 +232,7 @@
 static void
 carry_out_list (World *w, Call *call)
 {
-  call->list = LB_NEW_ARRAY (LcListed, MAX_ENDPOINTS);
+  call->list = LB_NEW_ARRAY (LcRegistration, MAX_ENDPOINTS);
   for (size_t i = 0; i < w->n_endpoints; i++)
     if (w->endpoints[i].exists)
       call->list[call->n_list++] = w->endpoints[i].listed;
@@ -244,7 +244,7 @@
 /* --- an instance --- */
 
 static void
-take_belief (World *w, Instance *instance, const LcListed *list, size_t n, LbTime asked_at)
+take_belief (World *w, Instance *instance, const LcRegistration *list, size_t n, LbTime asked_at)
 {
   (void)w;
   if (asked_at < instance->asked_at)
@@ -255,19 +255,19 @@
 }
 
 static void
-give_list (LcCatalog *catalog, const LcListed *list, size_t n, int64_t store_ms)
+give_list (LcCatalog *catalog, const LcRegistration *list, size_t n, int64_t store_ms)
 {
   LcCatalogItem *items = LB_NEW_ARRAY (LcCatalogItem, n + 1);
 
   for (size_t i = 0; i < n; i++)
     items[i] = (LcCatalogItem){ .key = lb_asprintf ("e:%s", list[i].name),
-                                .text = lc_listed_to_text (&list[i]) };
+                                .text = lc_registration_to_json (&list[i]) };
   lc_catalog_listed (catalog, "e:", items, n, store_ms);
 }
 
 typedef struct
 {
-  LcListed list[MAX_ENDPOINTS];
+  LcRegistration list[MAX_ENDPOINTS];
   size_t n;
 } Belief;
 
@@ -277,7 +277,7 @@
   (void)version;
   Belief *belief = user;
 
-  cr_assert (lc_listed_from_text (text, &belief->list[belief->n]));
+  cr_assert (lc_registration_from_json (text, &belief->list[belief->n]));
   cr_assert_str_eq (belief->list[belief->n].name, name);
   belief->n++;
 }
@@ -728,7 +728,7 @@
     N = 200
   };
   LcCatalog *catalog = lc_catalog_new ("a", "1", 0, LB_SEC);
-  LcListed *list = LB_NEW_ARRAY (LcListed, N);
+  LcRegistration *list = LB_NEW_ARRAY (LcRegistration, N);
   LcCatalogWrite write;
   LbTime now = 10 * LB_SEC;
   int64_t version = 0;
@@ -763,17 +763,17 @@
 
 Test (catalog, an_entry_says_the_same_after_a_round_trip)
 {
-  LcListed listed = { .slots = 6, .n_models = 2, .leaving = true };
-  LcListed read;
+  LcRegistration listed = { .slots = 6, .n_models = 2, .leaving = true };
+  LcRegistration read;
 
   LB_COPY (listed.name, "s-1");
   LB_COPY (listed.address, "10.0.0.1:80");
   LB_COPY (listed.service, "reader");
   LB_COPY (listed.models[0].name, "m0");
   LB_COPY (listed.models[1].name, "m1");
-  char *text = lc_listed_to_text (&listed);
-  cr_assert (lc_listed_from_text (text, &read));
-  char *again = lc_listed_to_text (&read);
+  char *text = lc_registration_to_json (&listed);
+  cr_assert (lc_registration_from_json (text, &read));
+  char *again = lc_registration_to_json (&read);
   cr_assert_str_eq (again, text);
   free (again);
   free (text);
@@ -784,10 +784,10 @@
   static const char *const texts[]
       = { "", "{}", "[]", "{\"name\":\"a\",\"address\":\"b\",\"service\":\"c\",\"slots\":0}",
           "{\"name\":\"a\",\"address\":\"b\",\"service\":\"c\",\"slots\":1,\"models\":[1]}" };
-  LcListed listed;
+  LcRegistration listed;
 
   for (size_t i = 0; i < sizeof texts / sizeof texts[0]; i++)
-    cr_assert_not (lc_listed_from_text (texts[i], &listed), "%s", texts[i]);
+    cr_assert_not (lc_registration_from_json (texts[i], &listed), "%s", texts[i]);
 }
 
 /* Guards against followers that list for themselves between two lists of a slow publisher. */
--- a/packages/core/tests/test-concurrency.c
+++ b/packages/core/tests/test-concurrency.c
@@ -10,7 +10,7 @@
   LcConcurrency concurrency;
 
   lc_concurrency_init (&concurrency, SIZE);
-  lc_concurrency_first_byte (&concurrency, seconds, 1, LB_SEC);
+  lc_concurrency_first_byte_received (&concurrency, seconds, 1, LB_SEC);
   return concurrency;
 }
 
@@ -26,7 +26,8 @@
       bool queues = concurrency.limit > 10;
 
       now = second * LB_SEC;
-      lc_concurrency_first_byte (&concurrency, queues ? 2 : 0.06, (int64_t)concurrency.limit, now);
+      lc_concurrency_first_byte_received (&concurrency, queues ? 2 : 0.06,
+                                          (int64_t)concurrency.limit, now);
     }
   cr_assert_lt (concurrency.limit, 12);
   cr_assert_gt (concurrency.limit, 7);
@@ -39,7 +40,7 @@
   LcConcurrency concurrency = with_floor (0.05);
 
   for (int i = 0; i < SIZE; i++)
-    lc_concurrency_first_byte (&concurrency, 3, SIZE, 2 * LB_SEC + i);
+    lc_concurrency_first_byte_received (&concurrency, 3, SIZE, 2 * LB_SEC + i);
   cr_assert_gt (concurrency.limit, 0.8 * SIZE);
 }
 
@@ -48,11 +49,12 @@
   LcConcurrency concurrency = with_floor (0.05);
 
   for (int second = 2; second < 12; second++)
-    lc_concurrency_failed (&concurrency, second * LB_SEC);
+    lc_concurrency_request_failed (&concurrency, second * LB_SEC);
   cr_assert_lt (concurrency.limit, SIZE / 4.0);
   cr_assert_geq (concurrency.limit, 1);
   for (int i = 0; i < 2000; i++)
-    lc_concurrency_first_byte (&concurrency, 0.05, (int64_t)concurrency.limit, 20 * LB_SEC);
+    lc_concurrency_first_byte_received (&concurrency, 0.05, (int64_t)concurrency.limit,
+                                        20 * LB_SEC);
   cr_assert_float_eq (concurrency.limit, SIZE, 1e-9);
 }
 
@@ -62,9 +64,9 @@
   LcConcurrency concurrency = with_floor (0.05);
   double lowered = 0;
 
-  lc_concurrency_failed (&concurrency, 2 * LB_SEC);
+  lc_concurrency_request_failed (&concurrency, 2 * LB_SEC);
   lowered = concurrency.limit;
   for (int i = 0; i < 100; i++)
-    lc_concurrency_first_byte (&concurrency, 0.05, 1, 3 * LB_SEC);
+    lc_concurrency_first_byte_received (&concurrency, 0.05, 1, 3 * LB_SEC);
   cr_assert_float_eq (concurrency.limit, lowered, 1e-9);
 }
--- a/packages/core/tests/test-dispatch-leaving.c
+++ b/packages/core/tests/test-dispatch-leaving.c
@@ -198,7 +198,8 @@
 static void
 report (Fixture *f, const char *endpoint, bool leaving)
 {
-  LcLoadReport load = { .incarnation = "1", .version = 1, .leaving = leaving, .at = f->now };
+  LcLoadReport load
+      = { .incarnation = "1", .version = 1, .leaving = leaving, .measured_at = f->now };
 
   lc_dispatch_report (f->dispatch, endpoint, &load, f->now, &f->actions);
 }
@@ -336,7 +337,7 @@
   cr_assert (fixture_submit (&f, &spec));
   cr_assert (lb_list_is_empty (&f.actions));
 
-  const LcLoadReport any_answer = { .at = f.now };
+  const LcLoadReport any_answer = { .measured_at = f.now };
 
   lc_dispatch_report (f.dispatch, "m1", &any_answer, f.now, &f.actions);
   fixture_expect (&f, LC_ACTION_SEND, spec.id);
--- a/packages/core/tests/test-dispatch-random.c
+++ b/packages/core/tests/test-dispatch-random.c
@@ -266,7 +266,7 @@
 static void
 restart (Model *model, int endpoint)
 {
-  LcLoadReport report = { .version = 1, .at = model->f.now };
+  LcLoadReport report = { .version = 1, .measured_at = model->f.now };
 
   for (size_t i = model->n_open; i-- > 0;)
     if (i < model->n_open && model->open[i]->endpoint == endpoint)
@@ -362,7 +362,8 @@
 {
   for (int i = 0; i < N_ENDPOINTS; i++)
     {
-      LcLoadReport report = { .version = 1, .leaving = model->leaving[i], .at = model->f.now };
+      LcLoadReport report
+          = { .version = 1, .leaving = model->leaving[i], .measured_at = model->f.now };
 
       if (model->incarnation[i] > 0)
         snprintf (report.incarnation, sizeof report.incarnation, "%d", model->incarnation[i]);
--- a/packages/core/tests/test-endpoints.c
+++ b/packages/core/tests/test-endpoints.c
@@ -11,9 +11,9 @@
 
   LcLoadReport report = fixture_report (&f, "e0", "a", 1, 10);
 
-  cr_assert (lc_endpoints_leaving (f.endpoints, "e0", "", LC_LEAVING_ENDPOINT, 12));
-  cr_assert_not (lc_endpoints_leaving (f.endpoints, "e0", "a", LC_LEAVING_PEER, 12));
-  lc_endpoints_report (f.endpoints, "e0", &report, 13);
+  cr_assert (lc_endpoints_mark_leaving (f.endpoints, "e0", "", LC_LEAVING_ENDPOINT, 12));
+  cr_assert_not (lc_endpoints_mark_leaving (f.endpoints, "e0", "a", LC_LEAVING_PEER, 12));
+  lc_endpoints_record_load (f.endpoints, "e0", &report, 13);
   fixture_report (&f, "e0", "a", 2, 14);
   cr_assert_not (fixture_may_take (&f, "e0", 15));
   fixture_report (&f, "e0", "b", 2, 20);
@@ -52,12 +52,12 @@
 Test (leaving, report_of_the_process_before_changes_nothing)
 {
   Fixture f;
-  LcLoadReport old = { .incarnation = "a", .leaving = true, .version = 1, .at = 15 };
+  LcLoadReport old = { .incarnation = "a", .leaving = true, .version = 1, .measured_at = 15 };
 
   fixture_init (&f, 2);
   fixture_report (&f, "e0", "a", 1, 10);
   fixture_report (&f, "e0", "b", 7, 20);
-  lc_endpoints_report (f.endpoints, "e0", &old, 21);
+  lc_endpoints_record_load (f.endpoints, "e0", &old, 21);
   cr_assert_eq (fixture_find (&f, "e0")->report.version, 7);
   cr_assert (fixture_may_take (&f, "e0", 22));
   fixture_clear (&f);
@@ -71,7 +71,7 @@
 
   fixture_init (&f, 2);
   fixture_report (&f, "e0", "a", 1, 10);
-  cr_assert_not (lc_endpoints_leaving (f.endpoints, "e0", "b", LC_LEAVING_PEER, 11));
+  cr_assert_not (lc_endpoints_mark_leaving (f.endpoints, "e0", "b", LC_LEAVING_PEER, 11));
   cr_assert (fixture_may_take (&f, "e0", 12));
   fixture_report (&f, "e0", "b", 1, 20);
   cr_assert_not (fixture_may_take (&f, "e0", 21));
@@ -86,7 +86,7 @@
   Fixture f;
 
   fixture_init (&f, 2);
-  cr_assert (lc_endpoints_leaving (f.endpoints, "e0", "", LC_LEAVING_ENDPOINT, 5));
+  cr_assert (lc_endpoints_mark_leaving (f.endpoints, "e0", "", LC_LEAVING_ENDPOINT, 5));
   fixture_report (&f, "e0", "a", 1, 10);
   cr_assert_not (fixture_may_take (&f, "e0", 11));
   fixture_clear (&f);
@@ -100,7 +100,7 @@
 
   fixture_init (&f, 2);
   fixture_report (&f, "e0", "a", 1, 10);
-  lc_endpoints_leaving (f.endpoints, "e0", "a", LC_LEAVING_ENDPOINT, 11);
+  lc_endpoints_mark_leaving (f.endpoints, "e0", "a", LC_LEAVING_ENDPOINT, 11);
   fixture_report (&f, "e0", "b", 1, 20);
   fixture_report (&f, "e0", "a", 1, 30);
   cr_assert_not (fixture_may_take (&f, "e0", 31));
@@ -117,14 +117,14 @@
 
   fixture_init (&f, 2);
   fixture_report (&f, "e0", "a", 1, 10);
-  cr_assert (lc_endpoints_leaving (f.endpoints, "e0", "", LC_LEAVING_PLATFORM, 11));
-  lc_endpoints_listed_live (f.endpoints, "e0", 12);
+  cr_assert (lc_endpoints_mark_leaving (f.endpoints, "e0", "", LC_LEAVING_PLATFORM, 11));
+  lc_endpoints_clear_platform_leaving (f.endpoints, "e0", 12);
   cr_assert_not (fixture_may_take (&f, "e0", 13), "the list cannot take back a word on this one");
-  lc_endpoints_leaving (f.endpoints, "e0", "", LC_LEAVING_PLATFORM, 14);
+  lc_endpoints_mark_leaving (f.endpoints, "e0", "", LC_LEAVING_PLATFORM, 14);
   fixture_report (&f, "e0", "b", 1, 20);
-  lc_endpoints_leaving (f.endpoints, "e0", "", LC_LEAVING_PLATFORM, 21);
+  lc_endpoints_mark_leaving (f.endpoints, "e0", "", LC_LEAVING_PLATFORM, 21);
   cr_assert_not (fixture_may_take (&f, "e0", 22));
-  lc_endpoints_listed_live (f.endpoints, "e0", 23);
+  lc_endpoints_clear_platform_leaving (f.endpoints, "e0", 23);
   cr_assert (fixture_may_take (&f, "e0", 24));
   fixture_clear (&f);
 }
@@ -139,11 +139,11 @@
 
   LcEndpoint *endpoint = fixture_find (&f, "e1");
 
-  lc_endpoints_sent (endpoint, LC_KIND_SAMPLE, 0, 10);
+  lc_endpoint_request_sent (endpoint, LC_KIND_SAMPLE, 0, 10);
   f.set.n_endpoints = 1;
   fixture_configure (&f, 11);
   cr_assert_not (fixture_may_take (&f, "e1", 12));
-  lc_endpoints_ended (endpoint, LC_KIND_SAMPLE, true, 5, 10, 20);
+  lc_endpoint_request_ended (endpoint, LC_KIND_SAMPLE, true, 5, 10, 20);
   fixture_configure (&f, 21);
   cr_assert_null (lc_endpoints_find (f.endpoints, "e1"));
   fixture_clear (&f);
@@ -188,7 +188,7 @@
   cr_assert (fixture_may_take (&f, "e0", now));
   now += 10 * LB_SEC;
   cr_assert_not (fixture_may_take (&f, "e0", now), "before any event");
-  lc_endpoints_sent (fixture_find (&f, "e1"), LC_KIND_LIVE, 0, now);
+  lc_endpoint_request_sent (fixture_find (&f, "e1"), LC_KIND_LIVE, 0, now);
   cr_assert_not (fixture_may_take (&f, "e0", now), "an event does not make old words true");
   fixture_report (&f, "e0", "a", 1, now + LB_MSEC);
   cr_assert (fixture_may_take (&f, "e0", now + LB_MSEC));
@@ -222,7 +222,7 @@
 
   fixture_init (&f, 2);
   fixture_report (&f, "e0", "a", 4, 10);
-  lc_endpoints_swap (f.endpoints, "e0", true, 100, 20);
+  lc_endpoints_set_swap (f.endpoints, "e0", true, 100, 20);
   cr_assert (fixture_may_take (&f, "e0", 30), "the old weights still serve");
   cr_assert_not (fixture_may_take (&f, "e0", 100), "due, and nobody said what serves");
   fixture_report (&f, "e0", "a", 0, 110);
@@ -239,12 +239,12 @@
 Test (swap, old_version_stated_after_the_swap_was_due_counts)
 {
   Fixture f;
-  LcLoadReport early = { .incarnation = "a", .version = 4, .at = 90 };
+  LcLoadReport early = { .incarnation = "a", .version = 4, .measured_at = 90 };
 
   fixture_init (&f, 2);
   fixture_report (&f, "e0", "a", 4, 10);
-  lc_endpoints_swap (f.endpoints, "e0", true, 100, 20);
-  lc_endpoints_report (f.endpoints, "e0", &early, 105);
+  lc_endpoints_set_swap (f.endpoints, "e0", true, 100, 20);
+  lc_endpoints_record_load (f.endpoints, "e0", &early, 105);
   cr_assert_not (fixture_may_take (&f, "e0", 106));
   fixture_report (&f, "e0", "a", 4, 110);
   cr_assert (fixture_may_take (&f, "e0", 111));
@@ -262,11 +262,11 @@
 
   for (int i = 0; i < 6; i++)
     {
-      cr_assert (lc_endpoint_may_take (endpoint, LC_KIND_SAMPLE, 0.25, 1));
-      lc_endpoints_sent (endpoint, LC_KIND_SAMPLE, 0, 1);
+      cr_assert (lc_endpoint_can_accept (endpoint, LC_KIND_SAMPLE, 0.25, 1));
+      lc_endpoint_request_sent (endpoint, LC_KIND_SAMPLE, 0, 1);
     }
-  cr_assert_not (lc_endpoint_may_take (endpoint, LC_KIND_SAMPLE, 0.25, 1));
-  cr_assert (lc_endpoint_may_take (endpoint, LC_KIND_LIVE, 0.25, 1));
+  cr_assert_not (lc_endpoint_can_accept (endpoint, LC_KIND_SAMPLE, 0.25, 1));
+  cr_assert (lc_endpoint_can_accept (endpoint, LC_KIND_LIVE, 0.25, 1));
   fixture_clear (&f);
 }
 
@@ -276,14 +276,14 @@
 Test (limits, a_free_place_of_a_report_is_filled_once)
 {
   Fixture f;
-  LcLoadReport report = { .incarnation = "a", .version = 1, .running = 7, .at = 10 };
+  LcLoadReport report = { .incarnation = "a", .version = 1, .running = 7, .measured_at = 10 };
 
   fixture_init (&f, 1);
-  lc_endpoints_report (f.endpoints, "e0", &report, 10);
+  lc_endpoints_record_load (f.endpoints, "e0", &report, 10);
   cr_assert (fixture_may_take (&f, "e0", 11));
-  lc_endpoints_sent (fixture_find (&f, "e0"), LC_KIND_LIVE, 0, 11);
+  lc_endpoint_request_sent (fixture_find (&f, "e0"), LC_KIND_LIVE, 0, 11);
   cr_assert_not (fixture_may_take (&f, "e0", 12));
-  lc_endpoints_ended (fixture_find (&f, "e0"), LC_KIND_LIVE, true, 1, 1, 13);
+  lc_endpoint_request_ended (fixture_find (&f, "e0"), LC_KIND_LIVE, true, 1, 1, 13);
   cr_assert (fixture_may_take (&f, "e0", 14));
   fixture_clear (&f);
 }
@@ -293,15 +293,15 @@
 Test (limits, a_late_report_already_counts_what_was_sent_before_it)
 {
   Fixture f;
-  LcLoadReport report = { .incarnation = "a", .version = 1, .running = 3, .at = 20 };
+  LcLoadReport report = { .incarnation = "a", .version = 1, .running = 3, .measured_at = 20 };
 
   fixture_init (&f, 1);
 
   LcEndpoint *endpoint = fixture_find (&f, "e0");
 
   for (LbTime at = 10; at <= 30; at += 5)
-    lc_endpoints_sent (endpoint, LC_KIND_LIVE, 0, at);
-  lc_endpoints_report (f.endpoints, "e0", &report, 40);
+    lc_endpoint_request_sent (endpoint, LC_KIND_LIVE, 0, at);
+  lc_endpoints_record_load (f.endpoints, "e0", &report, 40);
   cr_assert_eq (endpoint->sent_since_report, 2);
   fixture_clear (&f);
 }
@@ -311,10 +311,10 @@
 Test (membership, another_address_is_another_process)
 {
   Fixture f;
-  LcLoadReport full = { .incarnation = "a", .version = 0, .running = 8, .at = 10 };
+  LcLoadReport full = { .incarnation = "a", .version = 0, .running = 8, .measured_at = 10 };
 
   fixture_init (&f, 1);
-  lc_endpoints_report (f.endpoints, "e0", &full, 10);
+  lc_endpoints_record_load (f.endpoints, "e0", &full, 10);
   cr_assert_not (fixture_may_take (&f, "e0", 11));
   strcpy (f.members[0].address, "127.0.0.1:2");
   fixture_configure (&f, 12);
@@ -333,11 +333,11 @@
 
   fixture_init (&f, 1);
   fixture_report (&f, "e0", "a", 1, 10);
-  lc_endpoints_leaving (f.endpoints, "e0", "a", LC_LEAVING_ENDPOINT, 11);
+  lc_endpoints_mark_leaving (f.endpoints, "e0", "a", LC_LEAVING_ENDPOINT, 11);
   for (int i = 0; i < 5; i++)
     {
-      lc_endpoints_sent (fixture_find (&f, "e0"), LC_KIND_LIVE, 0, 12);
-      lc_endpoints_ended (fixture_find (&f, "e0"), LC_KIND_LIVE, false, 0, 1, 13);
+      lc_endpoint_request_sent (fixture_find (&f, "e0"), LC_KIND_LIVE, 0, 12);
+      lc_endpoint_request_ended (fixture_find (&f, "e0"), LC_KIND_LIVE, false, 0, 1, 13);
     }
   fixture_report (&f, "e0", "", 1, 20);
   cr_assert_eq (fixture_find (&f, "e0")->breaker, LC_BREAKER_OPEN);
@@ -352,10 +352,10 @@
 Test (report, a_time_to_come_does_not_shut_out_later_reports)
 {
   Fixture f;
-  LcLoadReport ahead = { .incarnation = "a", .version = 1, .at = 3600 * LB_SEC };
+  LcLoadReport ahead = { .incarnation = "a", .version = 1, .measured_at = 3600 * LB_SEC };
 
   fixture_init (&f, 1);
-  lc_endpoints_report (f.endpoints, "e0", &ahead, 10);
+  lc_endpoints_record_load (f.endpoints, "e0", &ahead, 10);
   fixture_report (&f, "e0", "a", 2, 20);
   cr_assert_eq (fixture_find (&f, "e0")->report.version, 2);
   fixture_clear (&f);
@@ -364,11 +364,12 @@
 Test (report, nonsense_does_not_draw_in_work)
 {
   Fixture f;
-  LcLoadReport report
-      = { .incarnation = "a", .version = -3, .running = -1000, .tokens_per_second = -5, .at = 10 };
+  LcLoadReport report = {
+    .incarnation = "a", .version = -3, .running = -1000, .tokens_per_second = -5, .measured_at = 10
+  };
 
   fixture_init (&f, 1);
-  lc_endpoints_report (f.endpoints, "e0", &report, 10);
+  lc_endpoints_record_load (f.endpoints, "e0", &report, 10);
   cr_assert_eq (fixture_find (&f, "e0")->report.running, 0);
   cr_assert_not (fixture_may_take (&f, "e0", 11), "a version below 1 is none");
   fixture_clear (&f);
@@ -388,11 +389,11 @@
   LcEndpoint *engine = lc_endpoints_find (f.endpoints, "e0");
   for (int i = 0; i < 8; i++)
     {
-      lc_endpoints_sent (engine, LC_KIND_SAMPLE, 0, now);
-      lc_endpoints_refused (engine, LC_KIND_SAMPLE, now);
-      cr_assert_not (lc_endpoint_may_take (engine, LC_KIND_SAMPLE, 0, now));
+      lc_endpoint_request_sent (engine, LC_KIND_SAMPLE, 0, now);
+      lc_endpoint_request_refused (engine, LC_KIND_SAMPLE, now);
+      cr_assert_not (lc_endpoint_can_accept (engine, LC_KIND_SAMPLE, 0, now));
       now += 150 * LB_MSEC;
-      cr_assert (lc_endpoint_may_take (engine, LC_KIND_SAMPLE, 0, now),
+      cr_assert (lc_endpoint_can_accept (engine, LC_KIND_SAMPLE, 0, now),
                  "it is asked again shortly");
     }
   cr_assert_eq (engine->breaker, LC_BREAKER_CLOSED);
@@ -411,10 +412,11 @@
   f.members[0].states_size = true;
   fixture_configure (&f, now);
   for (int i = 0; i < 2; i++)
-    lc_endpoints_swap (f.endpoints, f.members[i].name, true, now + LB_SEC, now);
+    lc_endpoints_set_swap (f.endpoints, f.members[i].name, true, now + LB_SEC, now);
   cr_assert_not (
-      lc_endpoint_may_take (lc_endpoints_find (f.endpoints, "e0"), LC_KIND_SAMPLE, 0, now));
-  cr_assert (lc_endpoint_may_take (lc_endpoints_find (f.endpoints, "e1"), LC_KIND_SAMPLE, 0, now));
+      lc_endpoint_can_accept (lc_endpoints_find (f.endpoints, "e0"), LC_KIND_SAMPLE, 0, now));
+  cr_assert (
+      lc_endpoint_can_accept (lc_endpoints_find (f.endpoints, "e1"), LC_KIND_SAMPLE, 0, now));
   fixture_clear (&f);
 }
 
@@ -428,16 +430,16 @@
   LbTime now = LB_SEC;
 
   fixture_init (&f, 1);
-  report.at = now;
-  lc_endpoints_report (f.endpoints, "e0", &report, now);
+  report.measured_at = now;
+  lc_endpoints_record_load (f.endpoints, "e0", &report, now);
   strcpy (f.members[0].pool, "writer");
   fixture_configure (&f, now);
   LcEndpoint *engine = lc_endpoints_find (f.endpoints, "e0");
-  cr_assert_not (lc_endpoint_may_take (engine, LC_KIND_SAMPLE, 0, now));
+  cr_assert_not (lc_endpoint_can_accept (engine, LC_KIND_SAMPLE, 0, now));
   report.version = 1;
-  report.at = now + LB_MSEC;
-  lc_endpoints_report (f.endpoints, "e0", &report, now + LB_MSEC);
-  cr_assert (lc_endpoint_may_take (engine, LC_KIND_SAMPLE, 0, now + LB_MSEC));
+  report.measured_at = now + LB_MSEC;
+  lc_endpoints_record_load (f.endpoints, "e0", &report, now + LB_MSEC);
+  cr_assert (lc_endpoint_can_accept (engine, LC_KIND_SAMPLE, 0, now + LB_MSEC));
   cr_assert_eq (engine->report.version, 1);
   fixture_clear (&f);
 }
--- a/packages/core/tests/test-entry.c
+++ b/packages/core/tests/test-entry.c
@@ -22,10 +22,10 @@
     }
 }
 
-static LcEntry
+static LcEntryChoice
 choose (const LcMemberView *views, int caller, const char *data_centre)
 {
-  LcEntry entry;
+  LcEntryChoice entry;
   char name[32];
 
   snprintf (name, sizeof name, "caller-%d", caller);
@@ -48,7 +48,7 @@
   make_views (views);
   for (int caller = 0; caller < 1000; caller++)
     {
-      LcEntry entry = choose (views, caller, "hall-b");
+      LcEntryChoice entry = choose (views, caller, "hall-b");
       cr_assert_eq (entry.n_chosen, 3);
       cr_assert_str_eq (views[entry.chosen[0]].instance.data_centre, "hall-b");
       cr_assert_str_neq (views[entry.chosen[1]].instance.data_centre, "hall-b");
@@ -83,9 +83,9 @@
   for (int caller = 0; caller < 2000; caller++)
     {
       views[3].alive = true;
-      LcEntry before = choose (views, caller, "hall-a");
+      LcEntryChoice before = choose (views, caller, "hall-a");
       views[3].alive = false;
-      LcEntry after = choose (views, caller, "hall-a");
+      LcEntryChoice after = choose (views, caller, "hall-a");
       if (before.chosen[0] != 3)
         cr_assert_eq (before.chosen[0], after.chosen[0]);
       if (before.chosen[0] == 3)
@@ -110,7 +110,7 @@
   views[1].instance.caller_address[0] = '\0';
   for (int caller = 0; caller < 2000; caller++)
     {
-      LcEntry entry = choose (views, caller, "hall-a");
+      LcEntryChoice entry = choose (views, caller, "hall-a");
       for (size_t i = 0; i < entry.n_chosen; i++)
         {
           cr_assert_neq (entry.chosen[i] % 3, 0);
--- a/packages/core/tests/test-roster.c
+++ b/packages/core/tests/test-roster.c
@@ -10,10 +10,10 @@
 
 #define N_ENGINES 9
 
-static LcListed
+static LcRegistration
 engine (int number)
 {
-  LcListed listed = { .slots = 8, .n_models = 2 };
+  LcRegistration listed = { .slots = 8, .n_models = 2 };
 
   snprintf (listed.name, sizeof listed.name, "i-%d", number);
   snprintf (listed.address, sizeof listed.address, "10.0.0.%d:80", number);
@@ -26,7 +26,7 @@
 }
 
 static void
-list_engines (LcListed *list, int n)
+list_engines (LcRegistration *list, int n)
 {
   for (int i = 0; i < n; i++)
     list[i] = engine (i);
@@ -48,7 +48,7 @@
 Test (roster, entries_that_lapsed_with_the_store_count_as_alive_for_a_while)
 {
   LcRoster *roster = lc_roster_new ();
-  LcListed list[N_ENGINES];
+  LcRegistration list[N_ENGINES];
   LbTime now = 10 * LB_SEC;
 
   list_engines (list, N_ENGINES);
@@ -72,7 +72,7 @@
 Test (roster, an_entry_that_goes_while_the_store_answers_is_gone)
 {
   LcRoster *roster = lc_roster_new ();
-  LcListed list[N_ENGINES];
+  LcRegistration list[N_ENGINES];
 
   list_engines (list, N_ENGINES);
   lc_roster_update (roster, list, N_ENGINES, LB_SEC, LB_SEC);
@@ -87,8 +87,8 @@
 {
   LcRoster *first = lc_roster_new ();
   LcRoster *second = lc_roster_new ();
-  LcListed list[N_ENGINES];
-  LcListed reversed[N_ENGINES];
+  LcRegistration list[N_ENGINES];
+  LcRegistration reversed[N_ENGINES];
 
   list_engines (list, N_ENGINES);
   for (int i = 0; i < N_ENGINES; i++)
@@ -97,7 +97,8 @@
   lc_roster_update (second, reversed, N_ENGINES, LB_SEC, LB_SEC);
   for (size_t i = 0; i < N_ENGINES; i++)
     {
-      cr_assert_str_eq (lc_roster_at (first, i)->name, lc_roster_at (second, i)->name);
+      cr_assert_str_eq (lc_roster_registration (first, i)->name,
+                        lc_roster_registration (second, i)->name);
       cr_assert_str_eq (lc_roster_model (first, i), lc_roster_model (second, i));
     }
   cr_assert_geq (count_model (first, "reader"), 4);
@@ -110,7 +111,7 @@
 Test (roster, the_plan_goes_before_the_own_division)
 {
   LcRoster *roster = lc_roster_new ();
-  LcListed list[N_ENGINES];
+  LcRegistration list[N_ENGINES];
   LcEnginePlan plan = { 0 };
   LcPlanEntry entry = { .version = 7 };
 
@@ -124,7 +125,7 @@
     }
   cr_assert (lc_roster_set_plan (roster, &plan));
   cr_assert_eq (count_model (roster, "writer"), N_ENGINES);
-  cr_assert_eq (lc_roster_version (roster, 0), 7);
+  cr_assert_eq (lc_roster_latest_version (roster, 0), 7);
   cr_assert_not (lc_roster_set_plan (roster, &plan), "the same plan again is no news");
   lc_engine_plan_clear (&plan);
   lc_roster_free (roster);
@@ -133,14 +134,14 @@
 Test (roster, resources_hold_a_pool_for_each_model_and_every_endpoint)
 {
   LcRoster *roster = lc_roster_new ();
-  LcListed list[2] = { engine (1), { .slots = 6 } };
+  LcRegistration list[2] = { engine (1), { .slots = 6 } };
 
   LB_COPY (list[1].name, "i-lookup");
   LB_COPY (list[1].address, "10.0.0.9:80");
   LB_COPY (list[1].service, "lookup");
   list[1].leaving = true;
   lc_roster_update (roster, list, 2, LB_SEC, LB_SEC);
-  LcResourceSet *set = lc_roster_resources (roster, 5, true);
+  LcResourceSet *set = lc_roster_to_resources (roster, 5, true);
   cr_assert_eq (set->n_pools, 2);
   cr_assert_eq (set->n_endpoints, 2);
   const LcEndpointMember *lookup = lc_resource_set_endpoint (set, "i-lookup");
@@ -158,10 +159,10 @@
   for (int checks = 0; checks < 2; checks++)
     {
       LcRoster *roster = lc_roster_new ();
-      LcListed listed = engine (1);
+      LcRegistration listed = engine (1);
 
       lc_roster_update (roster, &listed, 1, LB_SEC, LB_SEC);
-      LcResourceSet *set = lc_roster_resources (roster, 1, checks);
+      LcResourceSet *set = lc_roster_to_resources (roster, 1, checks);
       cr_assert_eq (set->endpoints[0].checks_fence, checks);
       lc_resource_set_free (set);
       lc_roster_free (roster);
@@ -174,7 +175,7 @@
 {
   static const int order[] = { 7, 2, 2, 8, 0, 7, 5 };
   LcRoster *roster = lc_roster_new ();
-  LcListed list[N_ENGINES];
+  LcRegistration list[N_ENGINES];
   LbTime now = LB_SEC;
 
   for (size_t i = 0; i < 7; i++)
@@ -198,7 +199,7 @@
     MANY = 1000
   };
   LcRoster *roster = lc_roster_new ();
-  LcListed *list = LB_NEW_ARRAY (LcListed, MANY);
+  LcRegistration *list = LB_NEW_ARRAY (LcRegistration, MANY);
 
   list_engines (list, MANY);
   cr_assert_eq (lc_roster_list_period (roster), 400 * LB_MSEC);
@@ -218,7 +219,7 @@
 Test (roster, a_start_at_the_same_address_ends_the_one_before)
 {
   LcRoster *roster = lc_roster_new ();
-  LcListed list[N_ENGINES];
+  LcRegistration list[N_ENGINES];
   LbTime now = 10 * LB_SEC;
 
   list_engines (list, N_ENGINES);
@@ -228,7 +229,7 @@
   cr_assert (lc_roster_update (roster, list, 4, now, now));
   cr_assert_eq (lc_roster_count (roster), N_ENGINES, "those that lapsed are kept for a while");
   for (size_t i = 0; i < lc_roster_count (roster); i++)
-    cr_assert_str_neq (lc_roster_at (roster, i)->name, "i-3");
+    cr_assert_str_neq (lc_roster_registration (roster, i)->name, "i-3");
   lc_roster_free (roster);
 }
 
@@ -241,7 +242,7 @@
   for (int i = 0; i < 2; i++)
     {
       LcRoster *roster = lc_roster_new ();
-      LcListed list[N_ENGINES];
+      LcRegistration list[N_ENGINES];
       LcEnginePlan plan = { 0 };
       LcPlanEntry planned = { .version = 7 };
       list_engines (list, N_ENGINES);
@@ -253,10 +254,10 @@
       LB_COPY (list[3].name, "i-3@2");
       cr_assert (lc_roster_update (roster, list, N_ENGINES, 2 * LB_SEC, 2 * LB_SEC));
       for (size_t at = 0; at < lc_roster_count (roster); at++)
-        if (strcmp (lc_roster_at (roster, at)->name, "i-3@2") == 0)
+        if (strcmp (lc_roster_registration (roster, at)->name, "i-3@2") == 0)
           {
             cr_assert_str_eq (lc_roster_model (roster, at), pools[i]);
-            cr_assert_eq (lc_roster_version (roster, at), 1, "as it says itself");
+            cr_assert_eq (lc_roster_latest_version (roster, at), 1, "as it says itself");
           }
       lc_engine_plan_clear (&plan);
       lc_roster_free (roster);
@@ -268,7 +269,7 @@
 Test (roster, the_same_list_again_ends_what_it_does_not_name)
 {
   LcRoster *roster = lc_roster_new ();
-  LcListed list[N_ENGINES];
+  LcRegistration list[N_ENGINES];
   LbTime now = 10 * LB_SEC;
 
   list_engines (list, N_ENGINES);
@@ -276,8 +277,9 @@
   lc_roster_update (roster, list, N_ENGINES - 1, now, now);
   cr_assert_eq (lc_roster_count (roster), N_ENGINES);
   for (int i = 1; i < 6; i++)
-    cr_assert_not (lc_roster_again (roster, now + i * 400 * LB_MSEC, now + i * 400 * LB_MSEC));
-  cr_assert (lc_roster_again (roster, now + 3 * LB_SEC, now + 3 * LB_SEC));
+    cr_assert_not (
+        lc_roster_confirm_list (roster, now + i * 400 * LB_MSEC, now + i * 400 * LB_MSEC));
+  cr_assert (lc_roster_confirm_list (roster, now + 3 * LB_SEC, now + 3 * LB_SEC));
   cr_assert_eq (lc_roster_count (roster), N_ENGINES - 1);
   lc_roster_free (roster);
 }
@@ -300,7 +302,7 @@
 Test (roster, work_grows_with_the_list_and_not_with_its_square)
 {
   LcRoster *roster = lc_roster_new ();
-  LcListed *list = LB_NEW_ARRAY (LcListed, MANY_ENGINES);
+  LcRegistration *list = LB_NEW_ARRAY (LcRegistration, MANY_ENGINES);
   double begun;
 
   for (int i = 0; i < MANY_ENGINES; i++)
@@ -323,7 +325,7 @@
 Test (roster, an_entry_listed_twice_is_one)
 {
   LcRoster *roster = lc_roster_new ();
-  LcListed list[] = { engine (2), engine (1), engine (2), engine (3), engine (3) };
+  LcRegistration list[] = { engine (2), engine (1), engine (2), engine (3), engine (3) };
 
   lc_roster_update (roster, list, 3, 1, 1);
   cr_assert_eq (lc_roster_count (roster), 2);
--- a/packages/core/tests/test-router.c
+++ b/packages/core/tests/test-router.c
@@ -30,12 +30,12 @@
   fixture_init (&f, 5);
   for (int i = 0; i < 5; i++)
     fixture_report (&f, f.members[i].name, "a", i == 3 ? 1 : 2, 1);
-  lc_endpoints_leaving (f.endpoints, "e1", "a", LC_LEAVING_PEER, 2);
+  lc_endpoints_mark_leaving (f.endpoints, "e1", "a", LC_LEAVING_PEER, 2);
   strcpy (query.avoid[0], "e2");
   query.n_avoid = 1;
   query.min_version = 2;
   for (int i = 0; i < 7; i++)
-    lc_endpoints_sent (fixture_find (&f, "e4"), LC_KIND_SAMPLE, 0, 2);
+    lc_endpoint_request_sent (fixture_find (&f, "e4"), LC_KIND_SAMPLE, 0, 2);
   query.live_reserve = 0.5;
   query.kind = LC_KIND_SAMPLE;
   for (int i = 0; i < 20; i++)
@@ -86,12 +86,12 @@
   query.n_avoid = 0;
   for (int i = 0; i < 8; i++)
     {
-      lc_endpoints_sent (fixture_find (&f, "e0"), LC_KIND_LIVE, 0, 1);
-      lc_endpoints_sent (fixture_find (&f, "e1"), LC_KIND_LIVE, 0, 1);
+      lc_endpoint_request_sent (fixture_find (&f, "e0"), LC_KIND_LIVE, 0, 1);
+      lc_endpoint_request_sent (fixture_find (&f, "e1"), LC_KIND_LIVE, 0, 1);
     }
   expect_reason (router, &f, &query, "no-capacity");
-  lc_endpoints_leaving (f.endpoints, "e0", "", LC_LEAVING_ENDPOINT, 2);
-  lc_endpoints_leaving (f.endpoints, "e1", "", LC_LEAVING_ENDPOINT, 2);
+  lc_endpoints_mark_leaving (f.endpoints, "e0", "", LC_LEAVING_ENDPOINT, 2);
+  lc_endpoints_mark_leaving (f.endpoints, "e1", "", LC_LEAVING_ENDPOINT, 2);
   expect_reason (router, &f, &query, "all-leaving");
   fixture_clear (&f);
 }
@@ -126,10 +126,11 @@
       fixture_init (&f, 10);
       for (int i = 0; i < 10; i++)
         {
-          LcLoadReport report
-              = { .incarnation = "a", .version = 1, .running = i == 0 ? 1 : 4, .at = LB_SEC };
+          LcLoadReport report = {
+            .incarnation = "a", .version = 1, .running = i == 0 ? 1 : 4, .measured_at = LB_SEC
+          };
 
-          lc_endpoints_report (f.endpoints, f.members[i].name, &report, 2 * LB_SEC);
+          lc_endpoints_record_load (f.endpoints, f.members[i].name, &report, 2 * LB_SEC);
         }
       at_e0 += strcmp (choose (router, &f, &query, 2 * LB_SEC).endpoint->member.name, "e0") == 0;
       lc_router_free (router);
@@ -161,10 +162,10 @@
   fixture_init (&f, 4);
   for (int i = 0; i < 4; i++)
     fixture_report (&f, f.members[i].name, "a", 1, 1);
-  lc_endpoints_cache_event (f.endpoints, "e2", 1, true, 77, 2);
+  lc_endpoints_apply_cache_event (f.endpoints, "e2", 1, true, 77, 2);
   cr_assert_str_eq (choose_with_prefix (&f, 77, 3), "e2");
   for (int i = 0; i < 7; i++)
-    lc_endpoints_sent (fixture_find (&f, "e2"), LC_KIND_LIVE, 0, 3);
+    lc_endpoint_request_sent (fixture_find (&f, "e2"), LC_KIND_LIVE, 0, 3);
   cr_assert_str_neq (choose_with_prefix (&f, 77, 4), "e2");
   fixture_clear (&f);
 }
@@ -179,9 +180,9 @@
   fixture_report (&f, "e0", "a", 1, 1);
   fixture_report (&f, "e1", "a", 1, 1);
   for (int i = 0; i < 5; i++)
-    lc_endpoints_sent (fixture_find (&f, "e1"), LC_KIND_LIVE, 0, 2);
+    lc_endpoint_request_sent (fixture_find (&f, "e1"), LC_KIND_LIVE, 0, 2);
   cr_assert_str_eq (choose_with_prefix (&f, 0, 3), "e0");
-  lc_endpoints_swap (f.endpoints, "e0", true, 30 * LB_SEC, 3);
+  lc_endpoints_set_swap (f.endpoints, "e0", true, 30 * LB_SEC, 3);
   cr_assert_str_eq (choose_with_prefix (&f, 0, 4), "e1");
   fixture_clear (&f);
 }
@@ -198,13 +199,14 @@
   for (LbTime now = LB_SEC; now <= 8 * LB_SEC; now += LB_SEC)
     for (int i = 1; i < 4; i++)
       {
-        LcLoadReport report = { .incarnation = "a", .version = 1, .running = 5, .at = now };
+        LcLoadReport report
+            = { .incarnation = "a", .version = 1, .running = 5, .measured_at = now };
 
-        lc_endpoints_report (f.endpoints, f.members[i].name, &report, now);
+        lc_endpoints_record_load (f.endpoints, f.members[i].name, &report, now);
       }
   for (uint64_t prompt = 1; prompt < 50; prompt++)
     cr_assert_str_neq (choose_with_prefix (&f, prompt, 8 * LB_SEC), "e0");
-  lc_endpoints_first_byte (fixture_find (&f, "e0"), LB_MSEC, 8 * LB_SEC);
+  lc_endpoint_first_byte_received (fixture_find (&f, "e0"), LB_MSEC, 8 * LB_SEC);
   cr_assert_str_eq (choose_with_prefix (&f, 1, 8 * LB_SEC + 1), "e0");
   fixture_clear (&f);
 }
@@ -223,13 +225,14 @@
     f.members[i].kind = LC_ENDPOINT_SERVICE;
   fixture_configure (&f, 1);
   query.kind = LC_KIND_SERVICE;
-  lc_endpoints_sent (fixture_find (&f, "e2"), LC_KIND_SERVICE, 0, now);
-  lc_endpoints_first_byte (fixture_find (&f, "e2"), 20 * LB_MSEC, now);
-  lc_endpoints_ended (fixture_find (&f, "e2"), LC_KIND_SERVICE, true, 0, 20 * LB_MSEC, now);
+  lc_endpoint_request_sent (fixture_find (&f, "e2"), LC_KIND_SERVICE, 0, now);
+  lc_endpoint_first_byte_received (fixture_find (&f, "e2"), 20 * LB_MSEC, now);
+  lc_endpoint_request_ended (fixture_find (&f, "e2"), LC_KIND_SERVICE, true, 0, 20 * LB_MSEC, now);
   for (int i = 0; i < 4; i++)
     {
-      LcLoadReport listed = { .incarnation = "a", .is_listed = true, .at = now + LB_SEC };
-      lc_endpoints_report (f.endpoints, f.members[i].name, &listed, now + LB_SEC);
+      LcLoadReport listed
+          = { .incarnation = "a", .is_from_registry = true, .measured_at = now + LB_SEC };
+      lc_endpoints_record_load (f.endpoints, f.members[i].name, &listed, now + LB_SEC);
     }
   for (int i = 0; i < 40; i++)
     cr_assert_str_eq (choose (router, &f, &query, now + LB_SEC).endpoint->member.name, "e2");
@@ -252,13 +255,13 @@
   fixture_configure (&f, 1);
   query.kind = LC_KIND_SERVICE;
   LbTime now = 100 * LB_SEC;
-  lc_endpoints_sent (fixture_find (&f, "e2"), LC_KIND_SERVICE, 0, now);
-  lc_endpoints_first_byte (fixture_find (&f, "e2"), 20 * LB_MSEC, now);
-  lc_endpoints_ended (fixture_find (&f, "e2"), LC_KIND_SERVICE, true, 0, 20 * LB_MSEC, now);
+  lc_endpoint_request_sent (fixture_find (&f, "e2"), LC_KIND_SERVICE, 0, now);
+  lc_endpoint_first_byte_received (fixture_find (&f, "e2"), 20 * LB_MSEC, now);
+  lc_endpoint_request_ended (fixture_find (&f, "e2"), LC_KIND_SERVICE, true, 0, 20 * LB_MSEC, now);
   for (int i = 0; i < 40; i++)
     cr_assert_str_eq (choose (router, &f, &query, now + LB_SEC).endpoint->member.name, "e2");
   for (int i = 0; i < 4; i++)
-    lc_endpoints_sent (fixture_find (&f, "e2"), LC_KIND_SERVICE, 0, now + LB_SEC);
+    lc_endpoint_request_sent (fixture_find (&f, "e2"), LC_KIND_SERVICE, 0, now + LB_SEC);
   cr_assert_str_neq (choose (router, &f, &query, now + LB_SEC).endpoint->member.name, "e2");
   fixture_clear (&f);
   lc_router_free (router);
--- a/packages/core/tests/test-scaling.c
+++ b/packages/core/tests/test-scaling.c
@@ -21,11 +21,11 @@
 } Scene;
 
 static void
-add_engine (Scene *s, const char *data_centre, bool is_cheap)
+add_engine (Scene *s, const char *data_centre, bool is_spot)
 {
   LcEndpointMember *member = &s->endpoints[s->set.n_endpoints++];
 
-  *member = (LcEndpointMember){ .concurrency = SLOTS, .is_cheap = is_cheap };
+  *member = (LcEndpointMember){ .concurrency = SLOTS, .is_spot = is_spot };
   LB_COPY (member->service, "engines");
   LB_COPY (member->pool, "m");
   LB_COPY (member->data_centre, data_centre);
@@ -37,7 +37,7 @@
   static const char *const data_centres[] = { "a", "b", "c" };
   LcService service = { .scaling = { .min = 1,
                                      .max = 10,
-                                     .cheap_price = 0.25,
+                                     .spot_price = 0.25,
                                      .prices = { { "b", 1.2 }, { "a", 0.8 }, { "c", 1.0 } },
                                      .n_prices = 3 } };
 
@@ -67,11 +67,11 @@
   LcScalingOrder order;
   int64_t found = -1;
 
-  while (lc_scaling_next (s->scaling, s->desired, &s->set, s->now, &order))
+  while (lc_scaling_next_order (s->scaling, s->desired, &s->set, s->now, &order))
     {
       if (strcmp (order.data_centre, data_centre) == 0)
         found = order.endpoints;
-      lc_scaling_ordered (s->scaling, &order, outcome, s->now);
+      lc_scaling_finish_order (s->scaling, &order, outcome, s->now);
     }
   return found;
 }
@@ -81,7 +81,7 @@
 {
   LcScalingOrder order;
 
-  cr_assert_not (lc_scaling_next (s->scaling, s->desired, &s->set, s->now, &order));
+  cr_assert_not (lc_scaling_next_order (s->scaling, s->desired, &s->set, s->now, &order));
 }
 
 /* A step of 100 texts comes and 72 find a place; the others would wait for a second or two, and the
@@ -92,12 +92,12 @@
 
   scene_init (&s);
   assert_nothing_ordered (&s);
-  lc_scaling_demand (s.scaling, "m", 100, s.now);
-  cr_assert_eq (ordered_at (&s, "a", LC_SCALING_TAKEN), 5);
+  lc_scaling_add_demand (s.scaling, "m", 100, s.now);
+  cr_assert_eq (ordered_at (&s, "a", LC_SCALING_ACCEPTED), 5);
   s.now += 4 * LB_SEC;
   for (int i = 0; i < 5; i++)
     add_engine (&s, "a", true);
-  lc_scaling_demand (s.scaling, "m", 100, s.now);
+  lc_scaling_add_demand (s.scaling, "m", 100, s.now);
   s.now += LB_SEC;
   assert_nothing_ordered (&s);
   scene_clear (&s);
@@ -108,10 +108,10 @@
   Scene s;
 
   scene_init (&s);
-  lc_scaling_demand (s.scaling, "m", 1000, s.now);
-  cr_assert_eq (ordered_at (&s, "a", LC_SCALING_TAKEN), 6);
-  lc_scaling_restart (s.scaling);
-  cr_assert_eq (ordered_at (&s, "b", LC_SCALING_TAKEN), 6);
+  lc_scaling_add_demand (s.scaling, "m", 1000, s.now);
+  cr_assert_eq (ordered_at (&s, "a", LC_SCALING_ACCEPTED), 6);
+  lc_scaling_forget_orders (s.scaling);
+  cr_assert_eq (ordered_at (&s, "b", LC_SCALING_ACCEPTED), 6);
   scene_clear (&s);
 }
 
@@ -124,14 +124,14 @@
   scene_init (&s);
   LcScalingOrder order;
 
-  lc_scaling_demand (s.scaling, "m", 100, s.now);
-  cr_assert (lc_scaling_next (s.scaling, s.desired, &s.set, s.now, &order));
+  lc_scaling_add_demand (s.scaling, "m", 100, s.now);
+  cr_assert (lc_scaling_next_order (s.scaling, s.desired, &s.set, s.now, &order));
   cr_assert_str_eq (order.data_centre, "a");
-  lc_scaling_ordered (s.scaling, &order, LC_SCALING_REFUSED, s.now);
+  lc_scaling_finish_order (s.scaling, &order, LC_SCALING_REFUSED, s.now);
   s.now += LB_SEC;
-  cr_assert_eq (ordered_at (&s, "c", LC_SCALING_TAKEN), 5);
+  cr_assert_eq (ordered_at (&s, "c", LC_SCALING_ACCEPTED), 5);
   s.now += 5 * LB_SEC;
-  cr_assert_eq (ordered_at (&s, "a", LC_SCALING_TAKEN), 5, "where they cost least");
+  cr_assert_eq (ordered_at (&s, "a", LC_SCALING_ACCEPTED), 5, "where they cost least");
   scene_clear (&s);
 }
 
@@ -141,12 +141,12 @@
   Scene s;
 
   scene_init (&s);
-  lc_scaling_demand (s.scaling, "m", 100, s.now);
+  lc_scaling_add_demand (s.scaling, "m", 100, s.now);
   cr_assert_eq (ordered_at (&s, "a", LC_SCALING_UNKNOWN), 5);
   s.now += LB_SEC;
   assert_nothing_ordered (&s);
   s.now += 4 * LB_SEC;
-  cr_assert_eq (ordered_at (&s, "a", LC_SCALING_TAKEN), 5);
+  cr_assert_eq (ordered_at (&s, "a", LC_SCALING_ACCEPTED), 5);
   scene_clear (&s);
 }
 
@@ -157,8 +157,8 @@
   Scene s;
 
   scene_init (&s);
-  lc_scaling_demand (s.scaling, "m", 100, s.now);
-  cr_assert_eq (ordered_at (&s, "a", LC_SCALING_TAKEN), 5);
+  lc_scaling_add_demand (s.scaling, "m", 100, s.now);
+  cr_assert_eq (ordered_at (&s, "a", LC_SCALING_ACCEPTED), 5);
   for (int i = 0; i < 5; i++)
     add_engine (&s, "a", true);
   add_engine (&s, "c", false);
@@ -167,8 +167,8 @@
   s.now += 5 * LB_SEC;
   assert_nothing_ordered (&s);
   s.now += 5 * LB_SEC;
-  lc_scaling_demand (s.scaling, "m", 100, s.now);
-  cr_assert_eq (ordered_at (&s, "a", LC_SCALING_TAKEN), 4);
+  lc_scaling_add_demand (s.scaling, "m", 100, s.now);
+  cr_assert_eq (ordered_at (&s, "a", LC_SCALING_ACCEPTED), 4);
   scene_clear (&s);
 }
 
@@ -178,13 +178,13 @@
   Scene s;
 
   scene_init (&s);
-  lc_scaling_demand (s.scaling, "m", 100, s.now);
-  cr_assert_eq (ordered_at (&s, "a", LC_SCALING_TAKEN), 5);
+  lc_scaling_add_demand (s.scaling, "m", 100, s.now);
+  cr_assert_eq (ordered_at (&s, "a", LC_SCALING_ACCEPTED), 5);
   for (int i = 0; i < 5; i++)
     add_engine (&s, "a", true);
   s.now += 25 * LB_SEC;
   assert_nothing_ordered (&s);
   s.now += 11 * LB_SEC;
-  cr_assert_eq (ordered_at (&s, "a", LC_SCALING_TAKEN), 0);
+  cr_assert_eq (ordered_at (&s, "a", LC_SCALING_ACCEPTED), 0);
   scene_clear (&s);
 }
--- a/packages/core/tests/test-stream-pace.c
+++ b/packages/core/tests/test-stream-pace.c
@@ -48,7 +48,7 @@
 stream (Fixture *f, const char *endpoint, LbTime interval, LbTime from, LbTime to)
 {
   for (LbTime now = from; now < to; now += interval)
-    lc_endpoints_streamed (fixture_find (f, endpoint), 1, interval, now);
+    lc_endpoint_tokens_received (fixture_find (f, endpoint), 1, interval, now);
 }
 
 static int
@@ -108,7 +108,7 @@
   stream (f, "e1", SLOW, 1, now);
   stream (f, "e0", USUAL, now - LB_SEC, now);
   for (int i = 0; i < 8; i++)
-    lc_endpoints_sent (fixture_find (f, "e0"), LC_KIND_SAMPLE, 0, now);
+    lc_endpoint_request_sent (fixture_find (f, "e0"), LC_KIND_SAMPLE, 0, now);
 }
 
 static LcRouteQuery
@@ -165,7 +165,7 @@
   Fixture f;
 
   make_slow_and_full (&f, now);
-  lc_endpoints_leaving (f.endpoints, "e0", "", LC_LEAVING_ENDPOINT, now);
+  lc_endpoints_mark_leaving (f.endpoints, "e0", "", LC_LEAVING_ENDPOINT, now);
   cr_assert_str_eq (place (&f, &query, now), "e1");
   query.n_avoid = 1;
   strcpy (query.avoid[0], "e1");
--- a/packages/core/tests/test-subset.c
+++ b/packages/core/tests/test-subset.c
@@ -13,7 +13,7 @@
 typedef struct
 {
   char key[KEY_SIZE];
-  LcSubsetEndpoint endpoint;
+  LcSubsetRow endpoint;
   bool held;
 } Row;
 
@@ -46,9 +46,9 @@
   for (size_t i = 0; i < n_rows; i++)
     {
       random_key (table->rows[i].key);
-      table->rows[i].endpoint = (LcSubsetEndpoint){ .service = i % 5 == 0 ? "plain" : "engines",
-                                                    .n_models = i % 5 == 0 ? 0 : 6,
-                                                    .slots = 6 };
+      table->rows[i].endpoint = (LcSubsetRow){ .service = i % 5 == 0 ? "plain" : "engines",
+                                               .n_models = i % 5 == 0 ? 0 : 6,
+                                               .slots = 6 };
     }
   qsort (table->rows, n_rows, sizeof *table->rows, by_key);
 }
@@ -61,7 +61,7 @@
   bool more = true;
 
   now += LB_SEC;
-  lc_subset_begin (subset, now);
+  lc_subset_begin_list (subset, now);
   table->n_read = 0;
   table->n_pages = 0;
   for (size_t i = 0; i < table->n_rows; i++)
@@ -72,7 +72,8 @@
       bool is_last = end > table->n_rows;
       end = is_last ? table->n_rows : end;
       for (size_t i = table->n_read; i < end; i++)
-        table->rows[i].held = lc_subset_add (subset, table->rows[i].key, &table->rows[i].endpoint);
+        table->rows[i].held
+            = lc_subset_add_row (subset, table->rows[i].key, &table->rows[i].endpoint);
       table->n_read = end;
       table->n_pages++;
       more = lc_subset_end_page (subset, end > 0 ? table->rows[end - 1].key : "", is_last);
@@ -94,8 +95,8 @@
 {
   LcSubset *subset = lc_subset_new ();
 
-  lc_subset_expect (subset, "plain");
-  lc_subset_expect (subset, "engines");
+  lc_subset_expect_service (subset, "plain");
+  lc_subset_expect_service (subset, "engines");
   return subset;
 }
 
@@ -146,8 +147,8 @@
 
   table_init (&table, 3000);
   for (size_t i = 2900; i < 3000; i++)
-    table.rows[i].endpoint = (LcSubsetEndpoint){ .service = "last", .slots = 1 };
-  lc_subset_expect (subset, "last");
+    table.rows[i].endpoint = (LcSubsetRow){ .service = "last", .slots = 1 };
+  lc_subset_expect_service (subset, "last");
   list (subset, &table);
   list (subset, &table);
   cr_assert_eq (count_held (&table, "last"), LC_SUBSET_MIN_ENDPOINTS);
@@ -280,7 +281,7 @@
   size_t n_whole = 0;
 
   table_init (&table, 10000);
-  lc_subset_expect (subset, "absent");
+  lc_subset_expect_service (subset, "absent");
   for (int i = 0; i < 30; i++)
     {
       list (subset, &table);
--- a/packages/node/include/ln-dialect.h
+++ b/packages/node/include/ln-dialect.h
@@ -145,7 +145,7 @@
   const char *service;
   const char *data_centre;
   int64_t endpoints;
-  bool is_cheap; /* of the kind that costs less and may be taken away */
+  bool is_spot; /* of the kind that costs less and may be taken away */
 } LnScaleOrder;
 
 typedef enum
@@ -218,7 +218,7 @@
   LnOperatorRow (*operator_row) (const char *key);
   LcDesired *(*read_desired) (const char *text, LbError *error);
   bool (*read_version) (const char *text, LbName model, LcVersion *version, LbError *error);
-  bool (*read_listed) (const char *key, const char *text, LcListed *listed, LbError *error);
+  bool (*read_listed) (const char *key, const char *text, LcRegistration *listed, LbError *error);
   const char *listed_count_mark; /* before the number in it that counts its writes */
 } LnDialect;
 
--- a/packages/node/src/calls/ln-calls-attempts.c
+++ b/packages/node/src/calls/ln-calls-attempts.c
@@ -61,9 +61,9 @@
           LB_INT ("believed", endpoint->report.version), LB_INT ("stated", version));
   report = endpoint->report;
   report.version = version;
-  report.at = lb_clock_monotonic ();
+  report.measured_at = lb_clock_monotonic ();
   report.running = endpoint->in_flight;
-  lc_endpoints_report (endpoints, endpoint->member.name, &report, report.at);
+  lc_endpoints_record_load (endpoints, endpoint->member.name, &report, report.measured_at);
 }
 
 static void
@@ -130,9 +130,10 @@
   LcEndpoint *endpoint = lc_endpoints_find (lc_dispatch_endpoints (calls->dispatch), name);
 
   if (endpoint)
-    lc_endpoints_connections (endpoint,
-                              lh_pool_count_idle (calls->context->http, endpoint->member.address),
-                              lb_clock_monotonic ());
+    lc_endpoint_set_idle_connections (endpoint,
+                                      lh_pool_count_idle (calls->context->http,
+                                                          endpoint->member.address),
+                                      lb_clock_monotonic ());
 }
 
 /* The endpoint's own word on its load comes with its replies, so it costs no question. */
@@ -151,13 +152,13 @@
   report.version = endpoint->report.version;
   report.running = load.running;
   report.waiting = load.waiting;
-  report.at = lb_clock_monotonic ();
+  report.measured_at = lb_clock_monotonic ();
   /* How many texts of batches run is known beforehand, and they fill engines on purpose. */
   if (call->kind != LN_CALL_SAMPLE)
-    lc_crowding_note (calls->crowding, endpoint->member.service, load.running + load.waiting,
-                      endpoint->member.concurrency);
-  lc_endpoints_report (lc_dispatch_endpoints (calls->dispatch), endpoint->member.name, &report,
-                       report.at);
+    lc_utilisation_add_report (calls->crowding, endpoint->member.service,
+                               load.running + load.waiting, endpoint->member.concurrency);
+  lc_endpoints_record_load (lc_dispatch_endpoints (calls->dispatch), endpoint->member.name, &report,
+                            report.measured_at);
 }
 
 /* Usage counts a request once, from when it was first at an endpoint that did not refuse it: plain
--- a/packages/node/src/calls/ln-calls-private.h
+++ b/packages/node/src/calls/ln-calls-private.h
@@ -1,7 +1,7 @@
 #ifndef LN_CALLS_PRIVATE_H
 #define LN_CALLS_PRIVATE_H
 
-#include "lc-crowding.h"
+#include "lc-utilisation.h"
 #include "ln-admission.h"
 #include "ln-call.h"
 #include "ln-claims.h"
@@ -33,7 +33,7 @@
   struct event *tick;
   LnTick keep_alive;
   LnAdmissionBelief belief; /* routes and organisations of a shared platform */
-  LcCrowding *crowding;
+  LcUtilisation *crowding;
   LbName crowded;       /* as the peers task was told */
   LbTime list_asked_at; /* of the list of endpoints in use; 0: there is none */
   LbName lister;        /* the instance that asked for it */
--- a/packages/node/src/calls/ln-calls.c
+++ b/packages/node/src/calls/ln-calls.c
@@ -90,8 +90,8 @@
 
   lb_list_init (&actions);
   if (message->stays)
-    lc_endpoints_listed_live (lc_dispatch_endpoints (calls->dispatch), message->endpoint,
-                              lb_clock_monotonic ());
+    lc_endpoints_clear_platform_leaving (lc_dispatch_endpoints (calls->dispatch), message->endpoint,
+                                         lb_clock_monotonic ());
   else
     lc_dispatch_leaving (calls->dispatch, message->endpoint, message->incarnation, message->source,
                          lb_clock_monotonic (), &actions);
@@ -113,8 +113,9 @@
 {
   LcEndpoint *endpoint
       = lc_endpoints_find (lc_dispatch_endpoints (calls->dispatch), message->endpoint);
-  LcLoadReport report
-      = { .version = message->version, .at = lb_clock_monotonic (), .is_listed = true };
+  LcLoadReport report = { .version = message->version,
+                          .measured_at = lb_clock_monotonic (),
+                          .is_from_registry = true };
   LbList actions;
 
   if (!endpoint)
@@ -122,7 +123,7 @@
   LB_COPY (report.incarnation, message->endpoint);
   report.running = endpoint->in_flight;
   lb_list_init (&actions);
-  lc_dispatch_report (calls->dispatch, message->endpoint, &report, report.at, &actions);
+  lc_dispatch_report (calls->dispatch, message->endpoint, &report, report.measured_at, &actions);
   ln_calls_run (calls, &actions);
 }
 
@@ -190,8 +191,8 @@
 {
   LnCalls *calls = user;
 
-  lc_endpoints_cache_event (lc_dispatch_endpoints (calls->dispatch), endpoint, sequence, stored,
-                            prefix, lb_clock_monotonic ());
+  lc_endpoints_apply_cache_event (lc_dispatch_endpoints (calls->dispatch), endpoint, sequence,
+                                  stored, prefix, lb_clock_monotonic ());
 }
 
 static void
@@ -244,8 +245,8 @@
       break;
     case LN_ENDPOINT_SWAP:
       swap = (const LnEndpointSwapMessage *)message;
-      lc_endpoints_swap (lc_dispatch_endpoints (calls->dispatch), swap->endpoint, swap->pending,
-                         swap->until, lb_clock_monotonic ());
+      lc_endpoints_set_swap (lc_dispatch_endpoints (calls->dispatch), swap->endpoint, swap->pending,
+                             swap->until, lb_clock_monotonic ());
       break;
     default:
       break;
@@ -298,7 +299,7 @@
   ln_ticker_remove (ln_context_ticker (calls->context), &calls->keep_alive);
   lc_dispatch_free (calls->dispatch);
   lc_desired_unref (calls->belief.desired);
-  lc_crowding_free (calls->crowding);
+  lc_utilisation_free (calls->crowding);
   free (calls);
 }
 
@@ -334,7 +335,7 @@
 static void
 tell_crowded (LnCalls *calls)
 {
-  const char *service = lc_crowding_service (calls->crowding);
+  const char *service = lc_utilisation_find_overloaded_service (calls->crowding);
   LnTask *peers = ln_hub_find (calls->task.hub, "peers");
   LnCrowdedMessage message = { .base = LN_MESSAGE (LN_CROWDED) };
 
@@ -376,7 +377,7 @@
   calls->context = context;
   lb_list_init (&calls->all);
   calls->dispatch = make_dispatch (context);
-  calls->crowding = lc_crowding_new ();
+  calls->crowding = lc_utilisation_new ();
   calls->tickets
       = ln_ticket_calls_new (context->instance, context->incarnation, context->settings->seed);
   calls->claims = ln_claims_new (context->base, context->platform, context->incarnation);
--- a/packages/node/src/calls/ln-poller.c
+++ b/packages/node/src/calls/ln-poller.c
@@ -78,7 +78,7 @@
   (void)fetch;
   Target *target = user;
   struct json_object *object = parse_reply (result);
-  LcLoadReport report = { .at = target->asked_at };
+  LcLoadReport report = { .measured_at = target->asked_at };
 
   target->load = NULL;
   if (result->failure == LB_ERROR_TIMEOUT)
--- a/packages/node/src/config/ln-desired.c
+++ b/packages/node/src/config/ln-desired.c
@@ -163,8 +163,8 @@
 {
   LnConfigMessage message = { .base = LN_MESSAGE (LN_CONFIG) };
 
-  message.set = lc_roster_resources (task->roster, ++task->revision,
-                                     task->context->settings->weights.endpoints_check_fence);
+  message.set = lc_roster_to_resources (task->roster, ++task->revision,
+                                        task->context->settings->weights.endpoints_check_fence);
   message.base.clear = clear_config;
   ln_weight_orders_configure (task->orders, message.set);
   LN_POST (task->task.hub, NULL, message);
@@ -216,9 +216,9 @@
 
   for (size_t i = 0; calls && i < lc_roster_count (task->roster); i++)
     {
-      LnListedMessage message
-          = { .base = LN_MESSAGE (LN_LISTED), .version = lc_roster_version (task->roster, i) };
-      LB_COPY (message.endpoint, lc_roster_at (task->roster, i)->name);
+      LnListedMessage message = { .base = LN_MESSAGE (LN_LISTED),
+                                  .version = lc_roster_latest_version (task->roster, i) };
+      LB_COPY (message.endpoint, lc_roster_registration (task->roster, i)->name);
       LN_POST (task->task.hub, calls, message);
     }
 }
@@ -238,14 +238,14 @@
 
 /* An instance that lists the endpoints itself knows more of them. */
 static bool
-on_catalog_endpoints (const LcListed *list, size_t n_list, LbTime asked_at, void *user)
+on_catalog_endpoints (const LcRegistration *list, size_t n_list, LbTime asked_at, void *user)
 {
   Desired *task = user;
   LbTime now = lb_clock_monotonic ();
 
   if (wants_list (task, now))
     return false;
-  LcListed *known = LB_NEW_ARRAY (LcListed, n_list + 1);
+  LcRegistration *known = LB_NEW_ARRAY (LcRegistration, n_list + 1);
   size_t n_known = 0;
 
   for (size_t i = 0; i < n_list; i++)
@@ -271,7 +271,7 @@
       return;
     }
   tell_list (task, ln_catalog_publisher (task->catalog), asked_at);
-  if (lc_roster_again (task->roster, asked_at, now))
+  if (lc_roster_confirm_list (task->roster, asked_at, now))
     publish_endpoints (task);
   confirm_endpoints (task);
 }
@@ -310,7 +310,7 @@
 }
 
 static void
-on_listed (const LcListed *list, size_t n_list, LbTime asked_at, void *user)
+on_listed (const LcRegistration *list, size_t n_list, LbTime asked_at, void *user)
 {
   Desired *task = user;
   LbTime now = lb_clock_monotonic ();
--- a/packages/node/src/duties/ln-scaler.c
+++ b/packages/node/src/duties/ln-scaler.c
@@ -56,13 +56,13 @@
 {
   scaler->epoch++;
   if (held)
-    lc_scaling_restart (scaler->scaling);
+    lc_scaling_forget_orders (scaler->scaling);
 }
 
 void
 ln_scaler_demand (LnScaler *scaler, const LnDemandMessage *demand, LbTime now)
 {
-  lc_scaling_demand (scaler->scaling, demand->model, demand->texts, now);
+  lc_scaling_add_demand (scaler->scaling, demand->model, demand->texts, now);
 }
 
 void
@@ -85,7 +85,7 @@
   switch (outcome)
     {
     case LN_DUTY_DONE:
-      return LC_SCALING_TAKEN;
+      return LC_SCALING_ACCEPTED;
     case LN_DUTY_UNANSWERED:
       return LC_SCALING_UNKNOWN;
     case LN_DUTY_REFUSED:
@@ -106,7 +106,7 @@
   if (outcome == LN_DUTY_REFUSED)
     ln_duty_lease_doubt (scaler->lease, now);
   if (call->epoch == scaler->epoch)
-    lc_scaling_ordered (scaler->scaling, &call->order, outcome_of (outcome), now);
+    lc_scaling_finish_order (scaler->scaling, &call->order, outcome_of (outcome), now);
   free (call);
 }
 
@@ -119,7 +119,7 @@
   const LnScaleOrder scale = { .service = wanted->service,
                                .data_centre = wanted->data_centre,
                                .endpoints = wanted->endpoints,
-                               .is_cheap = true };
+                               .is_spot = true };
   Call *call = LB_NEW (Call);
   LcOutgoing outgoing;
 
@@ -141,6 +141,6 @@
   if (!scaler->desired || !scaler->set)
     return;
   while (ln_duty_lease_may_order (scaler->lease, unfenced, now)
-         && lc_scaling_next (scaler->scaling, scaler->desired, scaler->set, now, &wanted))
+         && lc_scaling_next_order (scaler->scaling, scaler->desired, scaler->set, now, &wanted))
     order (scaler, &wanted);
 }
--- a/packages/node/src/endpoints/ln-endpoint-list.c
+++ b/packages/node/src/endpoints/ln-endpoint-list.c
@@ -25,8 +25,8 @@
   LbTime asked_at;
   int64_t page_size;
   size_t n_pages;
-  size_t told_pages; /* in the log */
-  LcListed *listed;  /* of the pages so far */
+  size_t told_pages;      /* in the log */
+  LcRegistration *listed; /* of the pages so far */
   size_t n_listed;
   size_t capacity;
 };
@@ -47,7 +47,7 @@
   list->context = context;
   list->handlers = *handlers;
   list->user = user;
-  list->rows_class = (LnRowCacheClass){ .size = sizeof (LcListed),
+  list->rows_class = (LnRowCacheClass){ .size = sizeof (LcRegistration),
                                         .read = read_row,
                                         .count_mark = context->dialect->listed_count_mark };
   list->rows = ln_row_cache_new (&list->rows_class, list);
@@ -72,17 +72,17 @@
 {
   lc_desired_unref (list->desired);
   list->desired = lc_desired_ref (desired);
-  lc_subset_expect_none (list->subset);
+  lc_subset_clear_expected (list->subset);
   for (size_t i = 0; i < desired->n_services; i++)
-    lc_subset_expect (list->subset, desired->services[i].name);
+    lc_subset_expect_service (list->subset, desired->services[i].name);
 }
 
 /* An endpoint of a service that the operators do not name serves no route, and an engine of it
  * would be given weights and texts. Before the routes are known nothing is ruled out. */
-static const LcListed *
+static const LcRegistration *
 read_endpoint (LnEndpointList *list, const LpRow *row, LbError *error)
 {
-  const LcListed *listed = ln_row_cache_read (list->rows, row, error);
+  const LcRegistration *listed = ln_row_cache_read (list->rows, row, error);
 
   if (!listed || !list->desired || lc_desired_service (list->desired, listed->service))
     return listed;
@@ -91,7 +91,7 @@
 }
 
 static void
-keep (LnEndpointList *list, const LcListed *listed)
+keep (LnEndpointList *list, const LcRegistration *listed)
 {
   if (list->n_listed == list->capacity)
     {
@@ -105,18 +105,18 @@
 take_row (LnEndpointList *list, const LpRow *row)
 {
   LbError error = { 0 };
-  const LcListed *listed = read_endpoint (list, row, &error);
+  const LcRegistration *listed = read_endpoint (list, row, &error);
 
   if (!listed)
     {
       ln_unreadable_rows_note (list->unreadable, row->key, &error);
       return;
     }
-  const LcSubsetEndpoint endpoint = { .service = listed->service,
-                                      .n_models = listed->n_models,
-                                      .slots = listed->slots,
-                                      .leaving = listed->leaving };
-  if (lc_subset_add (list->subset, row->key, &endpoint))
+  const LcSubsetRow endpoint = { .service = listed->service,
+                                 .n_models = listed->n_models,
+                                 .slots = listed->slots,
+                                 .leaving = listed->leaving };
+  if (lc_subset_add_row (list->subset, row->key, &endpoint))
     keep (list, listed);
 }
 
@@ -180,7 +180,7 @@
   list->n_listed = 0;
   ln_unreadable_rows_begin (list->unreadable);
   ln_row_cache_begin (list->rows);
-  lc_subset_begin (list->subset, now);
+  lc_subset_begin_list (list->subset, now);
   list->n_pages = 0;
   ask_page (list, "");
 }
--- a/packages/node/src/endpoints/ln-endpoint-list.h
+++ b/packages/node/src/endpoints/ln-endpoint-list.h
@@ -12,7 +12,7 @@
 
 typedef struct
 {
-  void (*on_listed) (const LcListed *list, size_t n_list, LbTime asked_at, void *user);
+  void (*on_listed) (const LcRegistration *list, size_t n_list, LbTime asked_at, void *user);
   void (*on_failed) (void *user);
 } LnEndpointListHandlers;
 
--- a/packages/node/src/front/ln-entry.c
+++ b/packages/node/src/front/ln-entry.c
@@ -35,7 +35,7 @@
 }
 
 static struct json_object *
-addresses_to_json (const LcEntry *entry, const LcMemberView *views)
+addresses_to_json (const LcEntryChoice *entry, const LcMemberView *views)
 {
   struct json_object *addresses = json_object_new_array ();
 
@@ -64,7 +64,7 @@
 
 static void
 reply (LnExchange *exchange,
-       const LcEntry *entry,
+       const LcEntryChoice *entry,
        const LcMemberView *views,
        int64_t time_to_live_ms)
 {
@@ -84,7 +84,7 @@
   size_t n_views = lc_membership_count (membership);
   LcMemberView *views = LB_NEW_ARRAY (LcMemberView, n_views);
   const char *data_centre = ln_exchange_query (exchange, "data_centre");
-  LcEntry entry;
+  LcEntryChoice entry;
 
   lc_membership_view (membership, views);
   if (!data_centre || !is_known_data_centre (views, n_views, data_centre))
--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -7,7 +7,7 @@
 #include "lb-counter.h"
 #include "lb-log.h"
 #include "lc-duty.h"
-#include "lc-listed.h"
+#include "lc-registration.h"
 #include "lp-follow.h"
 #include "ln-fleet-lists.h"
 #include "ln-row-cache.h"
@@ -94,7 +94,7 @@
 read_endpoint (const LpRow *row, void *content, LbError *error, void *user)
 {
   (void)user;
-  return lc_listed_from_text (row->value, content)
+  return lc_registration_from_json (row->value, content)
          || lb_error_set (error, LB_ERROR_BAD_VALUE, row->key, "expected an endpoint");
 }
 
@@ -108,7 +108,7 @@
 
 /* No row counts its writes: each that is written says something else. */
 static const LnRowCacheClass endpoints_class
-    = { .size = sizeof (LcListed), .read = read_endpoint, .count_mark = "\n" };
+    = { .size = sizeof (LcRegistration), .read = read_endpoint, .count_mark = "\n" };
 static const LnRowCacheClass instances_class
     = { .size = sizeof (LcFleetMember), .read = read_instance, .count_mark = "\n" };
 
@@ -156,7 +156,7 @@
 static void
 pass_endpoints (LnCatalog *catalog)
 {
-  Reading reading = { .cache = catalog->endpoints, .size = sizeof (LcListed) };
+  Reading reading = { .cache = catalog->endpoints, .size = sizeof (LcRegistration) };
   LbTime asked_at = lc_catalog_asked_at (catalog->catalog);
   int64_t changes = lc_catalog_changes (catalog->catalog);
 
@@ -168,7 +168,7 @@
       return;
     }
   read_items (catalog, ENDPOINTS, &reading);
-  bool is_taken = catalog->handlers.on_endpoints ((const LcListed *)reading.items, reading.n,
+  bool is_taken = catalog->handlers.on_endpoints ((const LcRegistration *)reading.items, reading.n,
                                                   asked_at, catalog->user);
   catalog->passed_on = is_taken ? changes : -1;
   free (reading.items);
@@ -449,7 +449,7 @@
 
 void
 ln_catalog_listed (
-    LnCatalog *catalog, const LcListed *list, size_t n_list, LbTime asked_at, LbTime now)
+    LnCatalog *catalog, const LcRegistration *list, size_t n_list, LbTime asked_at, LbTime now)
 {
   catalog->own_asked_at = asked_at;
   ln_catalog_forget_list (catalog);
@@ -458,7 +458,7 @@
   LcCatalogItem *items = LB_NEW_ARRAY (LcCatalogItem, n_list + 1);
   for (size_t i = 0; i < n_list; i++)
     items[i] = (LcCatalogItem){ .key = lb_asprintf (ENDPOINTS "%s", list[i].name),
-                                .text = lc_listed_to_text (&list[i]) };
+                                .text = lc_registration_to_json (&list[i]) };
   lc_catalog_listed (catalog->catalog, ENDPOINTS, items, n_list, store_ms (catalog));
   write_next (catalog, now);
 }
@@ -494,7 +494,7 @@
 {
   Bounds bounds = { 0 };
 
-  lc_subset_each_bound (subset, add_bound, &bounds);
+  lc_subset_foreach_bound (subset, add_bound, &bounds);
   if (catalog->is_used && bounds.n > 0)
     lc_catalog_listed (catalog->catalog, BOUNDS, bounds.items, bounds.n, 0);
 }
--- a/packages/node/src/membership/ln-catalog.h
+++ b/packages/node/src/membership/ln-catalog.h
@@ -19,7 +19,7 @@
 {
   /* A list of the endpoints, younger than this instance's own last one. False: it was not used,
    * and the next one is passed on whole, whether it says anything new or not. */
-  bool (*on_endpoints) (const LcListed *list, size_t n_list, LbTime asked_at, void *user);
+  bool (*on_endpoints) (const LcRegistration *list, size_t n_list, LbTime asked_at, void *user);
   /* The list that was last used was true at asked_at as well. */
   void (*on_same_endpoints) (LbTime asked_at, void *user);
   /* What is known of the instances has changed. */
@@ -40,7 +40,7 @@
 void ln_catalog_drain (LnCatalog *catalog);
 /* This instance has listed the endpoints itself; asked_at: on its own clock. */
 void ln_catalog_listed (
-    LnCatalog *catalog, const LcListed *list, size_t n_list, LbTime asked_at, LbTime now);
+    LnCatalog *catalog, const LcRegistration *list, size_t n_list, LbTime asked_at, LbTime now);
 /* The bounds of the subset that this instance has listed, for those who list it next. */
 void ln_catalog_bounds (LnCatalog *catalog, const LcSubset *subset);
 
--- a/packages/node/src/weights/ln-engine-plans.c
+++ b/packages/node/src/weights/ln-engine-plans.c
@@ -280,7 +280,7 @@
 
   for (size_t i = 0; i < lc_roster_count (roster); i++)
     {
-      const LcListed *listed = lc_roster_at (roster, i);
+      const LcRegistration *listed = lc_roster_registration (roster, i);
       if (listed->n_models == 0 || listed->leaving)
         continue;
       LB_COPY (engines[n_engines].engine, listed->name);
--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -274,9 +274,9 @@
 {
   for (size_t i = 0; i < lc_roster_count (roster); i++)
     {
-      const LcListed *listed = lc_roster_at (roster, i);
+      const LcRegistration *listed = lc_roster_registration (roster, i);
       Engine *engine = find_engine (orders, listed->name);
-      LcVersion version = lc_roster_listed_version (roster, i);
+      LcVersion version = lc_roster_registered_version (roster, i);
       /* The list lags behind what the engine stated itself. */
       if (engine && engine->orders_accepted >= 0)
         take_state (engine, version > engine->version ? version : engine->version, asked_at, now);
--- a/packages/sim/src/lx-engine.c
+++ b/packages/sim/src/lx-engine.c
@@ -455,7 +455,7 @@
                             .waiting = (int64_t)engine->waiting.length,
                             .tokens_per_second = 1.0 / seconds_per_token (engine),
                             .kv_used = (double)engine->running.length / (double)engine->concurrency,
-                            .at = lx_queue_now (engine->queue) };
+                            .measured_at = lx_queue_now (engine->queue) };
   snprintf (report->incarnation, sizeof report->incarnation, "%.30s-%u", engine->name,
             engine->life);
 }
--- a/packages/sim/src/lx-instance.c
+++ b/packages/sim/src/lx-instance.c
@@ -977,8 +977,9 @@
     {
       const LxCacheEvent *event = &engine->cache_log[++*cursor % LX_CACHE_LOG];
       if (event->sequence == *cursor)
-        lc_endpoints_cache_event (lc_dispatch_endpoints (instance->dispatch), engine->name,
-                                  event->sequence, event->stored, event->hash, now_of (instance));
+        lc_endpoints_apply_cache_event (lc_dispatch_endpoints (instance->dispatch), engine->name,
+                                        event->sequence, event->stored, event->hash,
+                                        now_of (instance));
     }
 }
 
@@ -1037,8 +1038,8 @@
 void
 lx_instance_swap (LxInstance *instance, size_t engine, bool pending, LbTime until)
 {
-  lc_endpoints_swap (lc_dispatch_endpoints (instance->dispatch),
-                     instance->world->engines[engine]->name, pending, until, now_of (instance));
+  lc_endpoints_set_swap (lc_dispatch_endpoints (instance->dispatch),
+                         instance->world->engines[engine]->name, pending, until, now_of (instance));
 }
 
 void
--- a/standins/si-cloud.c
+++ b/standins/si-cloud.c
@@ -44,7 +44,7 @@
   LB_COPY (order->service, si_json_text (body, "service", ""));
   LB_COPY (order->data_centre, si_json_text (body, "zone", ""));
   order->endpoints = si_json_int (body, "targetGroups", -1);
-  order->is_cheap = si_json_bool (body, "spot", false);
+  order->is_spot = si_json_bool (body, "spot", false);
 }
 
 static int
--- a/standins/si-cloud.h
+++ b/standins/si-cloud.h
@@ -27,7 +27,7 @@
   LbName service;
   LbName data_centre;
   int64_t endpoints;
-  bool is_cheap;
+  bool is_spot;
 } SiScaleOrder;
 
 /* A shared platform beside its store: takes reports of usage and orders of endpoints, from one
