--- a/packages/cli/src/lt-cost.c
+++ b/packages/cli/src/lt-cost.c
@@ -453,16 +453,16 @@
   settings.self = instances[0];
   double before = held_bytes ();
   LcMembership *membership = lc_membership_new (&settings, now);
-  LcLinkId link = lc_membership_accepted (membership, &instances[1], now, &actions);
-  lc_membership_told (membership, link, instances, n, now, &actions);
+  LcLinkId link = lc_membership_link_accepted (membership, &instances[1], now, &actions);
+  lc_membership_updates_received (membership, link, instances, n, now, &actions);
   free_membership_actions (&actions);
   add (report, "peer-memory", n, 0, (held_bytes () - before) / (double)n);
   LbTime begun = lb_clock_monotonic ();
   for (size_t i = 0; i < REPEATS; i++)
     {
       now += LB_SEC / 10;
-      lc_membership_heard (membership, link, now);
-      lc_membership_digest_heard (membership, link, i, now);
+      lc_membership_frame_received (membership, link, now);
+      lc_membership_digest_received (membership, link, i, now);
       lc_membership_tick (membership, now, &actions);
       free_membership_actions (&actions);
     }
--- a/packages/core/bench/bench-membership.c
+++ b/packages/core/bench/bench-membership.c
@@ -85,8 +85,8 @@
 
   lc_detector_init (&detector, period, phase);
   for (LbTime sent = phase; sent < end; sent += period)
-    lc_detector_heard (&detector, sent + 1000 + (LbTime)gsl_rng_uniform_int (rng, 2000));
-  LbTime found = (lc_detector_silent_at (&detector) + TICK - 1) / TICK * TICK;
+    lc_detector_record_arrival (&detector, sent + 1000 + (LbTime)gsl_rng_uniform_int (rng, 2000));
+  LbTime found = (lc_detector_deadline (&detector) + TICK - 1) / TICK * TICK;
   return (double)(found - end) / LB_SEC;
 }
 
@@ -164,7 +164,7 @@
 {
   LcMembershipSettings settings = lc_membership_settings_default ();
 
-  settings.rings = rings;
+  settings.n_rings = rings;
   FakePeers *peers = fake_peers_new (members, &settings, seed);
   fake_peers_start (peers, 0);
   for (size_t i = 1; i < members; i++)
--- a/packages/core/bench/fake-peers.c
+++ b/packages/core/bench/fake-peers.c
@@ -240,8 +240,8 @@
 
   count_bytes (peers, node, target, fake_peers_message_bytes (message));
   if (message->type != LW_PING && message->type != LW_PONG)
-    lc_membership_sent (peers->nodes[node].membership, connection->links[end_of (connection, node)],
-                        peers->now);
+    lc_membership_frame_sent (peers->nodes[node].membership,
+                              connection->links[end_of (connection, node)], peers->now);
   if (connection->silent || !is_path_open (peers, node, target))
     return;
   event.message.instances
@@ -253,7 +253,7 @@
 spread (FakePeers *peers, size_t node, const LwMessage *message, LcLinkId except)
 {
   LcMembership *membership = peers->nodes[node].membership;
-  const char *except_name = lc_membership_link_name (membership, except);
+  const char *except_name = lc_membership_link_peer_name (membership, except);
 
   for (size_t i = 0; i < peers->n_connections; i++)
     {
@@ -261,9 +261,9 @@
       int end = end_of (connection, node);
       if (connection->nodes[end] != node || connection->closed)
         continue;
-      const char *name = lc_membership_link_name (membership, connection->links[end]);
+      const char *name = lc_membership_link_peer_name (membership, connection->links[end]);
       if (name && (!except_name || strcmp (name, except_name) != 0)
-          && lc_membership_link_to (membership, name) == connection->links[end])
+          && lc_membership_find_link (membership, name) == connection->links[end])
         send_on (peers, node, i, message);
     }
 }
@@ -295,7 +295,7 @@
                         .digest = action->digest,
                         .instances = action->instances,
                         .n_instances = action->n_instances,
-                        .answer = action->answer };
+                        .answer = action->is_reply };
 
   if (action->type == LC_MEMBERSHIP_PING)
     message.type = LW_PING;
@@ -307,11 +307,11 @@
     case LC_MEMBERSHIP_CLOSE:
       close_connection (peers, node, action->link);
       break;
-    case LC_MEMBERSHIP_SPREAD:
+    case LC_MEMBERSHIP_BROADCAST:
       spread (peers, node, &message, action->link);
       break;
     case LC_MEMBERSHIP_PING:
-    case LC_MEMBERSHIP_TELL:
+    case LC_MEMBERSHIP_SEND:
     case LC_MEMBERSHIP_COMPARE:
       if (find_connection (peers, node, action->link) != SIZE_MAX)
         send_on (peers, node, find_connection (peers, node, action->link), &message);
@@ -361,10 +361,11 @@
     return;
   count_bytes (peers, dialler, connection->nodes[1], CONNECT_BYTES + 400);
   LcInstance self = *lc_membership_self (dialling);
-  connection->links[1] = lc_membership_accepted (accepting, &self, peers->now, actions);
+  connection->links[1] = lc_membership_link_accepted (accepting, &self, peers->now, actions);
   fake_peers_carry_out (peers, peers->connections[index].nodes[1], actions);
   self = *lc_membership_self (accepting);
-  lc_membership_dialled (dialling, peers->connections[index].links[0], &self, peers->now, actions);
+  lc_membership_link_dialled (dialling, peers->connections[index].links[0], &self, peers->now,
+                              actions);
   fake_peers_carry_out (peers, dialler, actions);
 }
 
@@ -379,20 +380,20 @@
 
   if (connection->closed)
     return;
-  lc_membership_heard (membership, link, peers->now);
+  lc_membership_frame_received (membership, link, peers->now);
   if (message->type == LW_PING)
     {
       pong.digest = lc_membership_digest (membership);
       send_on (peers, event->node, event->connection, &pong);
     }
   else if (message->type == LW_PONG)
-    lc_membership_digest_heard (membership, link, message->digest, peers->now);
+    lc_membership_digest_received (membership, link, message->digest, peers->now);
   else if (message->type == LW_INSTANCES)
-    lc_membership_told (membership, link, message->instances, message->n_instances, peers->now,
-                        actions);
+    lc_membership_updates_received (membership, link, message->instances, message->n_instances,
+                                    peers->now, actions);
   else
-    lc_membership_compared (membership, link, message->instances, message->n_instances,
-                            message->answer, peers->now, actions);
+    lc_membership_summary_received (membership, link, message->instances, message->n_instances,
+                                    message->answer, peers->now, actions);
 }
 
 static bool
@@ -426,7 +427,7 @@
         break;
       case EVENT_REFUSED:
       case EVENT_CLOSED:
-        lc_membership_closed (node->membership, event->link, peers->now, &actions);
+        lc_membership_link_closed (node->membership, event->link, peers->now, &actions);
         break;
       case EVENT_MESSAGE:
         receive (peers, event, &actions);
@@ -481,10 +482,10 @@
   snprintf (settings.self.data_centre, LB_NAME_MAX, "hall-%c", (char)('a' + index % 3));
   snprintf (settings.self.caller_address, LB_NAME_MAX, "%zu.caller.address", index);
   snprintf (settings.self.peer_address, LB_NAME_MAX, "%zu.peer.address", index);
-  settings.seed = gsl_rng_get (peers->rng);
+  settings.random_seed = gsl_rng_get (peers->rng);
   peers->nodes[index].membership = lc_membership_new (&settings, peers->now);
   peers->nodes[index].state = FAKE_RUNNING;
-  lc_membership_seed (peers->nodes[index].membership, "0.peer.address", peers->now);
+  lc_membership_add_seed (peers->nodes[index].membership, "0.peer.address", peers->now);
   if (!ticks)
     push (peers, (Event){ .at = peers->now + delay (peers), .type = EVENT_TICK, .node = index });
 }
--- a/packages/core/include/lc-detector.h
+++ b/packages/core/include/lc-detector.h
@@ -6,21 +6,21 @@
 /* Judges the silence of one connection by the gaps seen on it before. */
 typedef struct
 {
-  LbTime heard;
-  double mean; /* of the gaps between signs of life, microseconds */
-  double deviation;
-  LbTime floor; /* never silent before this */
-  LbTime ceiling;
+  LbTime last_arrival;
+  double mean_gap_us; /* of the gaps between signs of life, microseconds */
+  double gap_deviation_us;
+  LbTime min_timeout; /* never silent before this */
+  LbTime max_timeout;
 } LcDetector;
 
 void lc_detector_init (LcDetector *detector, LbTime period, LbTime now);
 
 /* commands */
-void lc_detector_heard (LcDetector *detector, LbTime now);
-void lc_detector_forgive (LcDetector *detector, LbTime pause, LbTime now);
+void lc_detector_record_arrival (LcDetector *detector, LbTime now);
+void lc_detector_discount_pause (LcDetector *detector, LbTime pause, LbTime now);
 
 /* queries */
-LbTime lc_detector_silent_at (const LcDetector *detector);
-bool lc_detector_is_silent (const LcDetector *detector, LbTime now);
+LbTime lc_detector_deadline (const LcDetector *detector);
+bool lc_detector_has_timed_out (const LcDetector *detector, LbTime now);
 
 #endif
--- a/packages/core/include/lc-duty.h
+++ b/packages/core/include/lc-duty.h
@@ -17,9 +17,9 @@
 int64_t lc_duty_strength (double processor_share, double link_mbps);
 
 /* Place of an instance in an order in which strong machines come first, by its own name and
- * strength alone; smaller is earlier. In 0 .. LC_DUTY_MAX_ORDER. */
-#define LC_DUTY_MAX_ORDER INT64_C (999999999999999999)
-int64_t lc_duty_order (const char *duty, const LcDutyCandidate *candidate);
+ * strength alone; smaller is earlier. In 0 .. LC_DUTY_MAX_SORT_KEY. */
+#define LC_DUTY_MAX_SORT_KEY INT64_C (999999999999999999)
+int64_t lc_duty_sort_key (const char *duty, const LcDutyCandidate *candidate);
 
 /* Position of an instance in the order in which candidates take the duty; 0: it is the first. */
 size_t lc_duty_rank (const char *duty,
@@ -29,9 +29,9 @@
 
 /* Who has the duty; last: who had it until now, "" when nobody did. "" when there is no candidate.
  */
-const char *lc_duty_choose (const char *duty,
-                            const char *last,
-                            const LcDutyCandidate *candidates,
-                            size_t n_candidates);
+const char *lc_duty_choose_holder (const char *duty,
+                                   const char *last,
+                                   const LcDutyCandidate *candidates,
+                                   size_t n_candidates);
 
 #endif
--- a/packages/core/src/membership/lc-catalog.c
+++ b/packages/core/src/membership/lc-catalog.c
@@ -118,7 +118,7 @@
   for (size_t i = 0; i < n_items; i++)
     {
       free (items[i].key);
-      free (items[i].text);
+      free (items[i].value);
     }
   free (items);
 }
@@ -150,7 +150,7 @@
 /* --- following --- */
 
 void
-lc_catalog_begin (LcCatalog *catalog)
+lc_catalog_begin_snapshot (LcCatalog *catalog)
 {
   forget_entries (catalog);
   catalog->changes++;
@@ -224,7 +224,7 @@
 }
 
 void
-lc_catalog_take (LcCatalog *catalog, const char *key, const char *value, int64_t version)
+lc_catalog_apply_row (LcCatalog *catalog, const char *key, const char *value, int64_t version)
 {
   if (strcmp (key, PUBLISHER_KEY) != 0)
     take_item (catalog, key, value, version);
@@ -247,7 +247,7 @@
 }
 
 bool
-lc_catalog_end (LcCatalog *catalog, int64_t store_ms, LbTime now)
+lc_catalog_finish_update (LcCatalog *catalog, int64_t store_ms, LbTime now)
 {
   int64_t age_ms = store_ms - catalog->listed_ms;
 
@@ -267,23 +267,23 @@
 lc_catalog_is_fresh (const LcCatalog *catalog, LbTime now)
 {
   return catalog->heard_at > 0
-         && now - catalog->heard_at < scaled (catalog, LC_CATALOG_SILENCE + catalog->spread);
+         && now - catalog->heard_at < scaled (catalog, LC_CATALOG_MAX_SILENCE + catalog->spread);
 }
 
 LbTime
-lc_catalog_asked_at (const LcCatalog *catalog)
+lc_catalog_valid_at (const LcCatalog *catalog)
 {
   return catalog->asked_at;
 }
 
 int64_t
-lc_catalog_changes (const LcCatalog *catalog)
+lc_catalog_change_count (const LcCatalog *catalog)
 {
   return catalog->changes;
 }
 
 const char *
-lc_catalog_text (const LcCatalog *catalog, const char *key)
+lc_catalog_find_value (const LcCatalog *catalog, const char *key)
 {
   const Entry *entry = find_entry (catalog, key);
 
@@ -291,10 +291,10 @@
 }
 
 void
-lc_catalog_each (const LcCatalog *catalog,
-                 const char *prefix,
-                 void (*take) (const char *name, const char *text, int64_t version, void *user),
-                 void *user)
+lc_catalog_foreach (const LcCatalog *catalog,
+                    const char *prefix,
+                    void (*take) (const char *name, const char *text, int64_t version, void *user),
+                    void *user)
 {
   size_t length = strlen (prefix);
 
@@ -306,13 +306,13 @@
 /* --- publishing --- */
 
 void
-lc_catalog_set_period (LcCatalog *catalog, LbTime period)
+lc_catalog_set_own_period (LcCatalog *catalog, LbTime period)
 {
   catalog->own_period = period;
 }
 
 LbTime
-lc_catalog_period (const LcCatalog *catalog)
+lc_catalog_publish_period (const LcCatalog *catalog)
 {
   return catalog->period;
 }
@@ -331,7 +331,7 @@
 }
 
 const char *
-lc_catalog_publisher (const LcCatalog *catalog)
+lc_catalog_publisher_name (const LcCatalog *catalog)
 {
   return catalog->publisher;
 }
@@ -346,7 +346,7 @@
 }
 
 bool
-lc_catalog_wants_list (const LcCatalog *catalog, LbTime now)
+lc_catalog_needs_listing (const LcCatalog *catalog, LbTime now)
 {
   bool publishes = catalog->rank >= 0 && lc_catalog_is_publisher (catalog);
 
@@ -354,7 +354,7 @@
 }
 
 void
-lc_catalog_listed (
+lc_catalog_set_listing (
     LcCatalog *catalog, const char *prefix, LcCatalogItem *items, size_t n_items, int64_t store_ms)
 {
   List *list = NULL;
@@ -435,12 +435,12 @@
     {
       const LcCatalogItem *item = &list->items[i];
       const Entry *entry = find_entry (catalog, item->key);
-      if (entry && strcmp (entry->text, item->text) == 0)
+      if (entry && strcmp (entry->text, item->value) == 0)
         continue;
       if (write->n_puts > MAX_CHANGES)
         return false;
       add_put (write,
-               (LcCatalogPut){ .key = lb_strdup (item->key), .value = lb_strdup (item->text) });
+               (LcCatalogPut){ .key = lb_strdup (item->key), .value = lb_strdup (item->value) });
     }
   return true;
 }
@@ -505,7 +505,7 @@
 }
 
 bool
-lc_catalog_next_write (LcCatalog *catalog, LbTime now, LcCatalogWrite *write)
+lc_catalog_prepare_write (LcCatalog *catalog, LbTime now, LcCatalogWrite *write)
 {
   memset (write, 0, sizeof *write);
   if (!may_write (catalog, now))
@@ -513,7 +513,7 @@
   add_put (write, (LcCatalogPut){ .key = lb_strdup (PUBLISHER_KEY), .value = NULL });
   bool whole = add_all (catalog, write);
   write->puts[0].value = publisher_to_text (catalog, whole);
-  write->condition = catalog->version;
+  write->expected_version = catalog->version;
   catalog->written_at_version = catalog->version;
   catalog->writing_since = now;
   catalog->own_is_written = whole;
@@ -523,7 +523,7 @@
 /* A write that failed is made again, with what the table says then, unless another one publishes.
  */
 void
-lc_catalog_failed (LcCatalog *catalog, int64_t condition)
+lc_catalog_write_failed (LcCatalog *catalog, int64_t condition)
 {
   if (condition == catalog->written_at_version)
     catalog->own_is_written = false;
--- a/packages/core/src/membership/lc-detector.c
+++ b/packages/core/src/membership/lc-detector.c
@@ -13,52 +13,52 @@
 void
 lc_detector_init (LcDetector *detector, LbTime period, LbTime now)
 {
-  detector->heard = now;
-  detector->mean = (double)period;
-  detector->deviation = (double)period / DEVIATIONS;
-  detector->floor = FLOOR_PERIODS * period;
-  detector->ceiling = CEILING_PERIODS * period;
+  detector->last_arrival = now;
+  detector->mean_gap_us = (double)period;
+  detector->gap_deviation_us = (double)period / DEVIATIONS;
+  detector->min_timeout = FLOOR_PERIODS * period;
+  detector->max_timeout = CEILING_PERIODS * period;
 }
 
 /* Any byte of the other end counts. Gaps well below a period come from bursts of other frames; they
  * would make the history look tighter than the heartbeat is, so they are left out of it. */
 void
-lc_detector_heard (LcDetector *detector, LbTime now)
+lc_detector_record_arrival (LcDetector *detector, LbTime now)
 {
-  double gap = (double)(now - detector->heard);
-  double period = (double)detector->floor / FLOOR_PERIODS;
+  double gap = (double)(now - detector->last_arrival);
+  double period = (double)detector->min_timeout / FLOOR_PERIODS;
 
-  detector->heard = now;
+  detector->last_arrival = now;
   if (gap < period / 2)
     return;
-  double difference = gap - detector->mean;
-  detector->mean += WEIGHT_OF_NEW * difference;
-  detector->deviation += WEIGHT_OF_NEW * (fabs (difference) - detector->deviation);
+  double difference = gap - detector->mean_gap_us;
+  detector->mean_gap_us += WEIGHT_OF_NEW * difference;
+  detector->gap_deviation_us += WEIGHT_OF_NEW * (fabs (difference) - detector->gap_deviation_us);
 }
 
 /* The time that this process itself was paused is no silence of the other end. */
 void
-lc_detector_forgive (LcDetector *detector, LbTime pause, LbTime now)
+lc_detector_discount_pause (LcDetector *detector, LbTime pause, LbTime now)
 {
-  detector->heard += pause;
-  if (detector->heard > now)
-    detector->heard = now;
+  detector->last_arrival += pause;
+  if (detector->last_arrival > now)
+    detector->last_arrival = now;
 }
 
 LbTime
-lc_detector_silent_at (const LcDetector *detector)
+lc_detector_deadline (const LcDetector *detector)
 {
-  LbTime limit = (LbTime)(detector->mean + DEVIATIONS * detector->deviation);
+  LbTime limit = (LbTime)(detector->mean_gap_us + DEVIATIONS * detector->gap_deviation_us);
 
-  if (limit < detector->floor)
-    limit = detector->floor;
-  if (limit > detector->ceiling)
-    limit = detector->ceiling;
-  return detector->heard + limit;
+  if (limit < detector->min_timeout)
+    limit = detector->min_timeout;
+  if (limit > detector->max_timeout)
+    limit = detector->max_timeout;
+  return detector->last_arrival + limit;
 }
 
 bool
-lc_detector_is_silent (const LcDetector *detector, LbTime now)
+lc_detector_has_timed_out (const LcDetector *detector, LbTime now)
 {
-  return now >= lc_detector_silent_at (detector);
+  return now >= lc_detector_deadline (detector);
 }
--- a/packages/core/src/membership/lc-duty.c
+++ b/packages/core/src/membership/lc-duty.c
@@ -38,11 +38,11 @@
 
 /* The scores span the squares of all strengths, from a thousandth of a core with 1 Mbit/s on. */
 int64_t
-lc_duty_order (const char *duty, const LcDutyCandidate *candidate)
+lc_duty_sort_key (const char *duty, const LcDutyCandidate *candidate)
 {
-  double order = (double)LC_DUTY_MAX_ORDER / score (duty, candidate);
+  double order = (double)LC_DUTY_MAX_SORT_KEY / score (duty, candidate);
 
-  return order < (double)LC_DUTY_MAX_ORDER ? (int64_t)order : LC_DUTY_MAX_ORDER;
+  return order < (double)LC_DUTY_MAX_SORT_KEY ? (int64_t)order : LC_DUTY_MAX_SORT_KEY;
 }
 
 /* By name where two scores are equal, so that no two candidates have the same position. */
@@ -84,10 +84,10 @@
  * move open a connection for each place of each engine, and gain nothing. Only where nobody has the
  * duty is one drawn. */
 const char *
-lc_duty_choose (const char *duty,
-                const char *last,
-                const LcDutyCandidate *candidates,
-                size_t n_candidates)
+lc_duty_choose_holder (const char *duty,
+                       const char *last,
+                       const LcDutyCandidate *candidates,
+                       size_t n_candidates)
 {
   const LcDutyCandidate *best = find (last, candidates, n_candidates);
 
--- a/packages/core/src/membership/lc-fleet.c
+++ b/packages/core/src/membership/lc-fleet.c
@@ -151,20 +151,20 @@
 /* While the store is away no row is renewed, and all instances would be taken for dead the moment
  * it answers again: the time without lists does not count. */
 void
-lc_fleet_begin (LcFleet *fleet, const LcFleetList *list)
+lc_fleet_begin_list (LcFleet *fleet, const LcFleetList *list)
 {
-  LbTime gap = fleet->last_list > 0 ? list->at - fleet->last_list : 0;
-  bool was_away = gap > 2 * list->period + list->took + LATE_LIST;
+  LbTime gap = fleet->last_list > 0 ? list->received_at - fleet->last_list : 0;
+  bool was_away = gap > 2 * list->period + list->round_trip + LATE_LIST;
 
-  fleet->allowance = LIST_TIME + SLOW_ANSWERS * list->took;
+  fleet->allowance = LIST_TIME + SLOW_ANSWERS * list->round_trip;
   fleet->store_ms = list->store_ms;
   for (size_t i = 0; i < fleet->n_members; i++)
     {
-      fleet->members[i].seen = false;
+      fleet->members[i].is_in_list = false;
       if (was_away)
-        fleet->members[i].renewed_at += gap + RETURN_TIME;
+        fleet->members[i].version_seen_at += gap + RETURN_TIME;
     }
-  fleet->last_list = list->at;
+  fleet->last_list = list->received_at;
   fleet->changed = false;
 }
 
@@ -194,7 +194,7 @@
  * That it counts as alive until then is wanted: after an outage of the store all rows are old, and
  * batches would be taken from owners that live. */
 void
-lc_fleet_add (LcFleet *fleet, const LcFleetRow *row, int64_t version, LbTime now)
+lc_fleet_add_row (LcFleet *fleet, const LcFleetRow *row, int64_t version, LbTime now)
 {
   LcFleetMember *member = find (fleet, row->name);
 
@@ -204,26 +204,26 @@
       member = &fleet->members[fleet->n_members++];
       *member = (LcFleetMember){ .row = *row,
                                  .version = version,
-                                 .renewed_at = now,
+                                 .version_seen_at = now,
                                  .confirmed = is_young (fleet, row),
                                  .is_new = true };
       fleet->changed = true;
     }
-  member->seen = true;
+  member->is_in_list = true;
   if (version <= member->version)
     return;
   fleet->changed |= !says_the_same (&member->row, row) || !member->confirmed;
   member->confirmed = true;
   member->row = *row;
   member->version = version;
-  member->renewed_at = now;
+  member->version_seen_at = now;
 }
 
 static void
 drop_unseen (LcFleet *fleet)
 {
   for (size_t i = fleet->n_members; i-- > 0;)
-    if (!fleet->members[i].seen)
+    if (!fleet->members[i].is_in_list)
       {
         fleet->members[i] = fleet->members[--fleet->n_members];
         fleet->changed = true;
@@ -240,7 +240,7 @@
   if (!alive || !member->is_new)
     lb_log (LB_LOG_INFO, alive ? "instance_alive" : "instance_lost",
             LB_TEXT ("peer", member->row.name), LB_TEXT ("incarnation", member->row.incarnation),
-            LB_INT ("silent_us", now - member->renewed_at));
+            LB_INT ("silent_us", now - member->version_seen_at));
 }
 
 /* One line for all that are new: a site of 300 instances that starts would write 300 in each. */
@@ -257,7 +257,7 @@
 }
 
 bool
-lc_fleet_end (LcFleet *fleet, LbTime now)
+lc_fleet_finish_list (LcFleet *fleet, LbTime now)
 {
   drop_unseen (fleet);
   log_new (fleet);
@@ -265,7 +265,7 @@
     {
       LcFleetMember *member = &fleet->members[i];
       bool is_self = strcmp (member->row.name, fleet->self) == 0;
-      LbTime silence = now - member->renewed_at;
+      LbTime silence = now - member->version_seen_at;
       bool fresh = is_self || silence < member->row.period + fleet->allowance;
       fleet->changed |= fresh != member->fresh;
       member->fresh = fresh;
@@ -288,7 +288,7 @@
 }
 
 size_t
-lc_fleet_join (const LcFleet *all, const LcFleet *on_duty, LcFleetMember *members)
+lc_fleet_merge (const LcFleet *all, const LcFleet *on_duty, LcFleetMember *members)
 {
   size_t n = all->n_members;
 
--- a/packages/core/src/membership/lc-lease.c
+++ b/packages/core/src/membership/lc-lease.c
@@ -105,10 +105,10 @@
 lc_lease_settings_init (LcLeaseSettings *settings)
 {
   *settings = (LcLeaseSettings){ .duration = 4 * LB_SEC,
-                                 .period = LB_SEC,
-                                 .watch_period = 30 * LB_SEC,
+                                 .poll_period = LB_SEC,
+                                 .observer_poll_period = 30 * LB_SEC,
                                  .order_lifetime = 2 * LB_SEC,
-                                 .drift = 0.01 };
+                                 .max_clock_drift = 0.01 };
 }
 
 LcLease *
@@ -151,7 +151,8 @@
 static LbTime
 own_end (const LcLease *lease, LbTime asked_at)
 {
-  return asked_at + (LbTime)(lease->settings.duration * (1 - lease->settings.drift)) - MARGIN;
+  return asked_at + (LbTime)(lease->settings.duration * (1 - lease->settings.max_clock_drift))
+         - MARGIN;
 }
 
 /* Others count from after they saw the renewal and by the longest it may last. Guards against two
@@ -159,8 +160,8 @@
 static LbTime
 others_end (const LcLease *lease)
 {
-  return lease->version_since + (LbTime)(lease->settings.duration * (1 + lease->settings.drift))
-         + MARGIN;
+  return lease->version_since
+         + (LbTime)(lease->settings.duration * (1 + lease->settings.max_clock_drift)) + MARGIN;
 }
 
 static void
@@ -184,7 +185,7 @@
   lease->written.renewal = ++lease->renewals;
   lease->asked_at[lease->renewals % N_REMEMBERED] = now;
   action->row = lease->written;
-  action->version = lease->version;
+  action->expected_version = lease->version;
 }
 
 static void
@@ -287,7 +288,8 @@
   lease->reading = true;
   lease->read_at = now;
   bool busy = lease->rank >= 0 || is_own (lease);
-  lease->next_read = now + (busy ? lease->settings.period : lease->settings.watch_period);
+  lease->next_read
+      = now + (busy ? lease->settings.poll_period : lease->settings.observer_poll_period);
   add_action (actions, LC_LEASE_READ);
 }
 
@@ -306,12 +308,12 @@
 }
 
 void
-lc_lease_was_read (LcLease *lease,
-                   LbErrorCode error,
-                   const LcLeaseRow *row,
-                   int64_t version,
-                   LbTime now,
-                   LbList *actions)
+lc_lease_read_completed (LcLease *lease,
+                         LbErrorCode error,
+                         const LcLeaseRow *row,
+                         int64_t version,
+                         LbTime now,
+                         LbList *actions)
 {
   lease->reading = false;
   if (error == LB_ERROR_NOT_FOUND)
@@ -341,7 +343,7 @@
 /* After a write whose outcome is unknown, or that lost a race, the next read tells: the row names
  * the renewal that made it. */
 void
-lc_lease_was_written (LcLease *lease, LbErrorCode error, LbTime now, LbList *actions)
+lc_lease_write_completed (LcLease *lease, LbErrorCode error, LbTime now, LbList *actions)
 {
   lease->writing = false;
   if (error == LB_OK)
@@ -364,7 +366,7 @@
 }
 
 void
-lc_lease_holder_ended (LcLease *lease, int64_t version, LbTime now)
+lc_lease_mark_holder_ended (LcLease *lease, int64_t version, LbTime now)
 {
   if (version == 0 || version != lease->version || lease->ended_version == version)
     return;
@@ -376,21 +378,21 @@
  * need not be dead, it may only be cut off; but endpoints that have heard of the next holder refuse
  * its orders, and it stops by itself when its term is over. */
 bool
-lc_lease_holder_has_ended (const LcLease *lease, const LcHolderView *view)
+lc_lease_holder_has_ended (const LcLease *lease, const LcLeaseHolderView *view)
 {
   if (strcmp (view->incarnation, lease->row.incarnation) != 0)
-    return view->version > lease->version;
-  return !view->alive && view->checked_orders;
+    return view->row_version > lease->version;
+  return !view->alive && view->endpoints_check_fence;
 }
 
 int64_t
-lc_lease_version (const LcLease *lease)
+lc_lease_row_version (const LcLease *lease)
 {
   return lease->version;
 }
 
 void
-lc_lease_hint (LcLease *lease, LbTime now)
+lc_lease_read_soon (LcLease *lease, LbTime now)
 {
   lease->next_read = now;
 }
@@ -401,14 +403,14 @@
 takes_turns (const LcLease *lease, LbTime now)
 {
   return lease->from_another && lease->lost_at > 0
-         && now < lease->lost_at + lease->settings.turn_time;
+         && now < lease->lost_at + lease->settings.reacquire_delay;
 }
 
 /* Guards against an order of an earlier holder that was still on its way, at an endpoint that takes
  * any: it would come after ours and undo it. Such an endpoint is ordered only after that order's
  * life has run out; what it then states is read back. */
 bool
-lc_lease_may_order (const LcLease *lease, bool unfenced, LbTime now)
+lc_lease_can_order (const LcLease *lease, bool unfenced, LbTime now)
 {
   if (!lease->held || lease->must_confirm || lease->releasing || now >= lease->valid_until)
     return false;
--- a/packages/core/src/membership/lc-membership-connect.c
+++ b/packages/core/src/membership/lc-membership-connect.c
@@ -15,7 +15,7 @@
 {
   link->open = true;
   LB_COPY (link->name, peer->name);
-  lc_detector_init (&link->detector, membership->settings.period, now);
+  lc_detector_init (&link->detector, membership->settings.heartbeat_period, now);
   link->next_ping = now;
   lc_membership_learn (membership, 0, peer, now);
   LcMember *member = lc_membership_member (membership, peer->name);
@@ -37,10 +37,10 @@
 /* 0 when the peer bears the name of this instance (a seed that is our own address, or two instances
  * of one name): the connection is to be closed. */
 LcLinkId
-lc_membership_accepted (LcMembership *membership,
-                        const LcInstance *peer,
-                        LbTime now,
-                        LbList *actions)
+lc_membership_link_accepted (LcMembership *membership,
+                             const LcInstance *peer,
+                             LbTime now,
+                             LbList *actions)
 {
   if (is_self (membership, peer))
     return 0;
@@ -53,7 +53,7 @@
 static bool
 heard_lately (const LcMembership *membership, const LcMember *member, LbTime now)
 {
-  return now - member->heard < 2 * membership->settings.period;
+  return now - member->heard < 2 * membership->settings.heartbeat_period;
 }
 
 /* The failure: a connection can go silent for good while new ones work, and a member that answers
@@ -64,7 +64,7 @@
 {
   if (member->instance.state == LC_INSTANCE_DEAD)
     return;
-  if (lc_membership_link_to (membership, member->instance.name) == 0
+  if (lc_membership_find_link (membership, member->instance.name) == 0
       || !heard_lately (membership, member, now))
     {
       member->silent = true;
@@ -82,7 +82,7 @@
 
   member->next_dial = now + (vouched ? VOUCHED_REDIAL : REDIAL);
   if (vouched || member->instance.state != LC_INSTANCE_ALIVE
-      || (lc_membership_link_to (membership, member->instance.name) != 0
+      || (lc_membership_find_link (membership, member->instance.name) != 0
           && heard_lately (membership, member, now)))
     return;
   member->silent = true;
@@ -98,11 +98,12 @@
 {
   double wait = (double)REUNION_WAIT * gsl_rng_uniform (membership->rng);
 
-  link->differs_since = now + (LbTime)wait - LC_COMPARE_AFTER_PERIODS * membership->settings.period;
+  link->differs_since
+      = now + (LbTime)wait - LC_COMPARE_AFTER_PERIODS * membership->settings.heartbeat_period;
 }
 
 void
-lc_membership_dialled (
+lc_membership_link_dialled (
     LcMembership *membership, LcLinkId id, const LcInstance *peer, LbTime now, LbList *actions)
 {
   LcPeerLink *link = lc_membership_link (membership, id);
@@ -148,7 +149,7 @@
 }
 
 void
-lc_membership_closed (LcMembership *membership, LcLinkId id, LbTime now, LbList *actions)
+lc_membership_link_closed (LcMembership *membership, LcLinkId id, LbTime now, LbList *actions)
 {
   LcPeerLink *link = lc_membership_link (membership, id);
 
--- a/packages/core/src/membership/lc-membership-contacts.c
+++ b/packages/core/src/membership/lc-membership-contacts.c
@@ -35,7 +35,7 @@
 
 /* An address to begin with, tried for as long as no live member has it. */
 void
-lc_membership_seed (LcMembership *membership, const char *address, LbTime now)
+lc_membership_add_seed (LcMembership *membership, const char *address, LbTime now)
 {
   add_contact (membership, address, false);
   membership->next_contact = now;
@@ -58,11 +58,11 @@
 /* The platform's lagging list: a backstop that names addresses to try and instances that leave. It
  * never makes a member dead or alive, since it lags behind what instances see themselves. */
 void
-lc_membership_listed (LcMembership *membership,
-                      const LcListedInstance *listed,
-                      size_t n_listed,
-                      LbTime now,
-                      LbList *actions)
+lc_membership_apply_platform_list (LcMembership *membership,
+                                   const LcListedInstance *listed,
+                                   size_t n_listed,
+                                   LbTime now,
+                                   LbList *actions)
 {
   (void)now;
   forget_listed (membership);
--- a/packages/core/src/membership/lc-membership-heartbeat.c
+++ b/packages/core/src/membership/lc-membership-heartbeat.c
@@ -9,7 +9,7 @@
 {
   LcMember *member = lc_membership_member (membership, link->name);
 
-  lc_detector_heard (&link->detector, now);
+  lc_detector_record_arrival (&link->detector, now);
   link->unanswered_since = 0;
   if (!member)
     return;
@@ -20,7 +20,7 @@
 }
 
 void
-lc_membership_sent (LcMembership *membership, LcLinkId id, LbTime now)
+lc_membership_frame_sent (LcMembership *membership, LcLinkId id, LbTime now)
 {
   LcPeerLink *link = lc_membership_link (membership, id);
 
@@ -29,7 +29,7 @@
 }
 
 void
-lc_membership_heard (LcMembership *membership, LcLinkId id, LbTime now)
+lc_membership_frame_received (LcMembership *membership, LcLinkId id, LbTime now)
 {
   LcPeerLink *link = lc_membership_link (membership, id);
 
@@ -38,7 +38,7 @@
 }
 
 void
-lc_membership_digest_heard (LcMembership *membership, LcLinkId id, uint64_t digest, LbTime now)
+lc_membership_digest_received (LcMembership *membership, LcLinkId id, uint64_t digest, LbTime now)
 {
   LcPeerLink *link = lc_membership_link (membership, id);
 
@@ -66,7 +66,7 @@
 
   action->link = link->id;
   action->digest = lc_membership_digest (membership);
-  link->next_ping = now + membership->settings.period;
+  link->next_ping = now + membership->settings.heartbeat_period;
 }
 
 /* The failure: news were lost with a connection and no later news repeat them. Each heartbeat
@@ -75,7 +75,8 @@
 compare_if_different (LcMembership *membership, LcPeerLink *link, LbTime now, LbList *actions)
 {
   if (link->differs_since == 0 || now < membership->next_compare
-      || now - link->differs_since < LC_COMPARE_AFTER_PERIODS * membership->settings.period)
+      || now - link->differs_since
+             < LC_COMPARE_AFTER_PERIODS * membership->settings.heartbeat_period)
     return;
   link->differs_since = 0;
   membership->next_compare = now + LC_COMPARE_EVERY;
@@ -92,7 +93,7 @@
 
   /* What was quiet by right until now has no history that could condemn it. */
   if (watched && !link->watched)
-    lc_detector_init (&link->detector, membership->settings.period, now);
+    lc_detector_init (&link->detector, membership->settings.heartbeat_period, now);
   link->watched = watched;
 }
 
@@ -100,9 +101,10 @@
 is_silent (const LcMembership *membership, const LcPeerLink *link, LbTime now)
 {
   if (link->watched)
-    return lc_detector_is_silent (&link->detector, now);
+    return lc_detector_has_timed_out (&link->detector, now);
   return link->unanswered_since != 0
-         && now - link->unanswered_since >= UNANSWERED_PERIODS * membership->settings.period;
+         && now - link->unanswered_since
+                >= UNANSWERED_PERIODS * membership->settings.heartbeat_period;
 }
 
 static bool
@@ -110,10 +112,10 @@
 {
   if (link->watched)
     return now >= link->next_ping;
-  if (link->unanswered_since == 0 && now - link->detector.heard >= IDLE)
-    link->unanswered_since = now - membership->settings.period;
-  bool unanswered
-      = link->unanswered_since != 0 && now - link->unanswered_since >= membership->settings.period;
+  if (link->unanswered_since == 0 && now - link->detector.last_arrival >= IDLE)
+    link->unanswered_since = now - membership->settings.heartbeat_period;
+  bool unanswered = link->unanswered_since != 0
+                    && now - link->unanswered_since >= membership->settings.heartbeat_period;
   return (unanswered || link->differs_since != 0) && now >= link->next_ping;
 }
 
@@ -148,7 +150,7 @@
   action->link = link->id;
   action->reason = LB_ERROR_TIMEOUT;
   if (link->open)
-    membership->totals.silent_connections++;
+    membership->totals.connection_timeouts++;
   lc_membership_lose_link (membership, link, now, actions);
 }
 
--- a/packages/core/src/membership/lc-membership-links.c
+++ b/packages/core/src/membership/lc-membership-links.c
@@ -77,7 +77,7 @@
 }
 
 bool
-lc_membership_want (
+lc_membership_keep_connected (
     LcMembership *membership, const char *name, LbTime until, LbTime now, LbList *actions)
 {
   LcMember *member = lc_membership_member (membership, name);
@@ -86,7 +86,7 @@
     return false;
   if (until > member->wanted_until)
     member->wanted_until = until;
-  if (lc_membership_link_to (membership, name) == 0)
+  if (lc_membership_find_link (membership, name) == 0)
     lc_membership_dial_member (membership, member, now, actions);
   return true;
 }
--- a/packages/core/src/membership/lc-membership-members.c
+++ b/packages/core/src/membership/lc-membership-members.c
@@ -21,7 +21,7 @@
   {
     if (member->instance.state == LC_INSTANCE_SUSPECT && now >= member->condemn_at)
       {
-        membership->totals.condemned++;
+        membership->totals.declared_dead++;
         lc_membership_set_state (membership, member, LC_INSTANCE_DEAD, now);
       }
     if (is_forgotten (membership, member, now))
--- a/packages/core/src/membership/lc-membership-news.c
+++ b/packages/core/src/membership/lc-membership-news.c
@@ -46,7 +46,7 @@
   membership->view_changed = true;
   membership->targets_old = true;
   if (member->instance.state == LC_INSTANCE_SUSPECT)
-    member->condemn_at = now + membership->settings.confirm;
+    member->condemn_at = now + membership->settings.suspicion_timeout;
 }
 
 /* A state found out here. */
@@ -210,12 +210,12 @@
 }
 
 void
-lc_membership_told (LcMembership *membership,
-                    LcLinkId link,
-                    const LcInstance *instances,
-                    size_t n_instances,
-                    LbTime now,
-                    LbList *actions)
+lc_membership_updates_received (LcMembership *membership,
+                                LcLinkId link,
+                                const LcInstance *instances,
+                                size_t n_instances,
+                                LbTime now,
+                                LbList *actions)
 {
   for (size_t i = 0; i < n_instances; i++)
     lc_membership_learn (membership, link, &instances[i], now);
@@ -262,7 +262,7 @@
     }
   if (count == 0)
     return;
-  LcMembershipAction *action = lc_membership_act (actions, LC_MEMBERSHIP_SPREAD);
+  LcMembershipAction *action = lc_membership_act (actions, LC_MEMBERSHIP_BROADCAST);
   action->link = source;
   action->instances = lb_memdup (news, count * sizeof *news);
   action->n_instances = count;
@@ -332,7 +332,7 @@
   count += add_later (&membership->self, told, n_told, &news[count]);
   for (LcMember *member = membership->members; member; member = member->hh.next)
     count += add_later (&member->instance, told, n_told, &news[count]);
-  LcMembershipAction *action = lc_membership_act (actions, LC_MEMBERSHIP_TELL);
+  LcMembershipAction *action = lc_membership_act (actions, LC_MEMBERSHIP_SEND);
   action->link = link;
   action->instances = news;
   action->n_instances = count;
@@ -345,7 +345,7 @@
   LcMembershipAction *action = lc_membership_act (actions, LC_MEMBERSHIP_COMPARE);
 
   action->link = link;
-  action->answer = answer;
+  action->is_reply = answer;
   action->instances = LB_NEW_ARRAY (LcInstance, HASH_COUNT (membership->members) + 1);
   action->instances[action->n_instances++] = short_form (&membership->self);
   for (LcMember *member = membership->members; member; member = member->hh.next)
@@ -353,13 +353,13 @@
 }
 
 void
-lc_membership_compared (LcMembership *membership,
-                        LcLinkId link,
-                        const LcInstance *instances,
-                        size_t n_instances,
-                        bool answer,
-                        LbTime now,
-                        LbList *actions)
+lc_membership_summary_received (LcMembership *membership,
+                                LcLinkId link,
+                                const LcInstance *instances,
+                                size_t n_instances,
+                                bool answer,
+                                LbTime now,
+                                LbList *actions)
 {
   bool more = false;
 
--- a/packages/core/src/membership/lc-membership-query.c
+++ b/packages/core/src/membership/lc-membership-query.c
@@ -72,7 +72,7 @@
     .instance = member->instance,
     .alive = member->instance.state == LC_INSTANCE_ALIVE && !member->silent,
     .draining = member->instance.draining || member->listed_leaving,
-    .changed = member->changed,
+    .changed_at = member->changed,
   };
 }
 
@@ -93,7 +93,7 @@
 }
 
 void
-lc_membership_view (const LcMembership *membership, LcMemberView *views)
+lc_membership_copy_views (const LcMembership *membership, LcMemberView *views)
 {
   size_t count = 0;
 
@@ -118,20 +118,20 @@
 }
 
 LcLinkId
-lc_membership_link_to (const LcMembership *membership, const char *name)
+lc_membership_find_link (const LcMembership *membership, const char *name)
 {
   const LcPeerLink *best = NULL;
 
   for (const LcPeerLink *link = membership->links; link; link = link->hh.next)
     if (link->open && strcmp (link->name, name) == 0
-        && (!best || link->detector.heard > best->detector.heard))
+        && (!best || link->detector.last_arrival > best->detector.last_arrival))
       best = link;
   return best ? best->id : 0;
 }
 
 /* The name of the instance at the other end, NULL when it is not known yet. */
 const char *
-lc_membership_link_name (const LcMembership *membership, LcLinkId id)
+lc_membership_link_peer_name (const LcMembership *membership, LcLinkId id)
 {
   const LcPeerLink *link = lc_membership_link (membership, id);
 
--- a/packages/core/src/membership/lc-membership-watch.c
+++ b/packages/core/src/membership/lc-membership-watch.c
@@ -46,7 +46,7 @@
 {
   membership->targets_old = false;
   membership->n_targets = 0;
-  for (size_t ring = 0; ring < membership->settings.rings; ring++)
+  for (size_t ring = 0; ring < membership->settings.n_rings; ring++)
     {
       const LcMember *member = successor (membership, ring);
       if (!member)
--- a/packages/core/src/membership/lc-membership.c
+++ b/packages/core/src/membership/lc-membership.c
@@ -14,10 +14,10 @@
 LcMembershipSettings
 lc_membership_settings_default (void)
 {
-  return (LcMembershipSettings){ .period = DEFAULT_PERIOD,
-                                 .rings = DEFAULT_RINGS,
+  return (LcMembershipSettings){ .heartbeat_period = DEFAULT_PERIOD,
+                                 .n_rings = DEFAULT_RINGS,
                                  .dial_timeout = DEFAULT_DIAL_TIMEOUT,
-                                 .confirm = DEFAULT_CONFIRM };
+                                 .suspicion_timeout = DEFAULT_CONFIRM };
 }
 
 LcMembership *
@@ -26,12 +26,12 @@
   LcMembership *membership = LB_NEW (LcMembership);
 
   membership->settings = *settings;
-  if (membership->settings.rings > LC_MAX_RINGS)
-    membership->settings.rings = LC_MAX_RINGS;
+  if (membership->settings.n_rings > LC_MAX_RINGS)
+    membership->settings.n_rings = LC_MAX_RINGS;
   membership->self = settings->self;
   membership->self.version = 1;
   membership->rng = gsl_rng_alloc (gsl_rng_taus2);
-  gsl_rng_set (membership->rng, (unsigned long)settings->seed);
+  gsl_rng_set (membership->rng, (unsigned long)settings->random_seed);
   membership->flush_at = LB_TIME_NEVER;
   membership->last_tick = now;
   membership->next_contact = now;
@@ -95,7 +95,7 @@
 void
 lc_membership_tell_one (LcLinkId link, const LcInstance *instance, LbList *actions)
 {
-  LcMembershipAction *action = lc_membership_act (actions, LC_MEMBERSHIP_TELL);
+  LcMembershipAction *action = lc_membership_act (actions, LC_MEMBERSHIP_SEND);
 
   action->link = link;
   action->instances = lb_memdup (instance, sizeof *instance);
@@ -113,13 +113,13 @@
   membership->last_tick = now;
   if (pause <= PAUSE)
     return;
-  membership->totals.pauses++;
+  membership->totals.own_pauses++;
   for (LcPeerLink *link = membership->links; link; link = link->hh.next)
     {
       link->started += pause;
       if (link->unanswered_since)
         link->unanswered_since += pause;
-      lc_detector_forgive (&link->detector, pause, now);
+      lc_detector_discount_pause (&link->detector, pause, now);
     }
   for (LcMember *member = membership->members; member; member = member->hh.next)
     {
--- a/packages/core/tests/test-catalog.c
+++ b/packages/core/tests/test-catalog.c
@@ -221,7 +221,7 @@
   const Row *row = find_row (w, lc_catalog_publisher_key ());
   int64_t version = row && row->value ? row->version : 0;
 
-  call->ok = version == call->write.condition;
+  call->ok = version == call->write.expected_version;
   if (!call->ok)
     return;
   w->version++;
@@ -261,8 +261,8 @@
 
   for (size_t i = 0; i < n; i++)
     items[i] = (LcCatalogItem){ .key = lb_asprintf ("e:%s", list[i].name),
-                                .text = lc_listed_to_text (&list[i]) };
-  lc_catalog_listed (catalog, "e:", items, n, store_ms);
+                                .value = lc_listed_to_text (&list[i]) };
+  lc_catalog_set_listing (catalog, "e:", items, n, store_ms);
 }
 
 typedef struct
@@ -286,7 +286,7 @@
 read_belief (const LcCatalog *catalog, Belief *belief)
 {
   belief->n = 0;
-  lc_catalog_each (catalog, "e:", add_belief, belief);
+  lc_catalog_foreach (catalog, "e:", add_belief, belief);
   return belief->n;
 }
 
@@ -307,21 +307,21 @@
   bool is_base = call->after == 0;
 
   if (is_base)
-    lc_catalog_begin (instance->catalog);
+    lc_catalog_begin_snapshot (instance->catalog);
   for (size_t i = 0; i < w->n_rows; i++)
     {
       const Row *row = &w->rows[i];
       if (row->version <= call->after || row->version > call->until || (is_base && !row->value))
         continue;
-      lc_catalog_take (instance->catalog, row->key, row->value, row->version);
+      lc_catalog_apply_row (instance->catalog, row->key, row->value, row->version);
       w->feed_rows++;
     }
   instance->followed = call->until;
-  if (!lc_catalog_end (instance->catalog, call->store_ms, w->now))
+  if (!lc_catalog_finish_update (instance->catalog, call->store_ms, w->now))
     return;
   static Belief belief;
   read_belief (instance->catalog, &belief);
-  take_belief (w, instance, belief.list, belief.n, lc_catalog_asked_at (instance->catalog));
+  take_belief (w, instance, belief.list, belief.n, lc_catalog_valid_at (instance->catalog));
 }
 
 /* The rows of an answer are those of the moment at which it left the store; here the table is read
@@ -395,7 +395,7 @@
   if (w->now < call->answers && w->now < call->given_up)
     return;
   if (!call->carried_out || w->now < call->answers || !call->ok)
-    lc_catalog_failed (instance->catalog, call->write.condition);
+    lc_catalog_write_failed (instance->catalog, call->write.expected_version);
   call_clear (call);
 }
 
@@ -410,14 +410,14 @@
       call_start (w, &instance->feed);
     }
   if (instance->list.arrives == 0 && w->now >= instance->next_list
-      && lc_catalog_wants_list (instance->catalog, w->now))
+      && lc_catalog_needs_listing (instance->catalog, w->now))
     {
       instance->next_list = w->now + LIST_PERIOD;
       call_start (w, &instance->list);
     }
   if (instance->write.arrives != 0 && !instance->write.carried_out)
     return;
-  if (lc_catalog_next_write (instance->catalog, w->now, &write))
+  if (lc_catalog_prepare_write (instance->catalog, w->now, &write))
     {
       call_clear (&instance->write);
       call_start (w, &instance->write);
@@ -436,7 +436,7 @@
 set_rank (World *w, size_t index)
 {
   Instance *instance = &w->instances[index];
-  const char *publisher = lc_catalog_publisher (instance->catalog);
+  const char *publisher = lc_catalog_publisher_name (instance->catalog);
   int rank = 0;
 
   for (size_t i = 0; i < index && !lc_catalog_is_publisher (instance->catalog); i++)
@@ -655,13 +655,13 @@
 {
   LcCatalog *catalog = lc_catalog_new ("a", "1", 0, LB_SEC);
 
-  lc_catalog_begin (catalog);
-  lc_catalog_take (catalog, "e:s-1", ENTRY ("s-1"), 2);
-  lc_catalog_take (catalog, "publisher", PUBLISHED ("5000", "true"), 3);
-  cr_assert_not (lc_catalog_end (catalog, 7000, LB_SEC));
+  lc_catalog_begin_snapshot (catalog);
+  lc_catalog_apply_row (catalog, "e:s-1", ENTRY ("s-1"), 2);
+  lc_catalog_apply_row (catalog, "publisher", PUBLISHED ("5000", "true"), 3);
+  cr_assert_not (lc_catalog_finish_update (catalog, 7000, LB_SEC));
   cr_assert_not (lc_catalog_is_fresh (catalog, LB_SEC));
-  lc_catalog_take (catalog, "publisher", PUBLISHED ("7000", "true"), 4);
-  cr_assert (lc_catalog_end (catalog, 7100, 2 * LB_SEC));
+  lc_catalog_apply_row (catalog, "publisher", PUBLISHED ("7000", "true"), 4);
+  cr_assert (lc_catalog_finish_update (catalog, 7100, 2 * LB_SEC));
   cr_assert (lc_catalog_is_fresh (catalog, 2 * LB_SEC));
   lc_catalog_free (catalog);
 }
@@ -672,16 +672,16 @@
   LcCatalog *catalog = lc_catalog_new ("a", "1", 0, LB_SEC);
   static Belief belief;
 
-  lc_catalog_begin (catalog);
-  lc_catalog_take (catalog, "e:s-1", ENTRY ("s-1"), 2);
-  lc_catalog_take (catalog, "publisher", PUBLISHED ("5000", "false"), 2);
-  cr_assert_not (lc_catalog_end (catalog, 5010, LB_SEC));
+  lc_catalog_begin_snapshot (catalog);
+  lc_catalog_apply_row (catalog, "e:s-1", ENTRY ("s-1"), 2);
+  lc_catalog_apply_row (catalog, "publisher", PUBLISHED ("5000", "false"), 2);
+  cr_assert_not (lc_catalog_finish_update (catalog, 5010, LB_SEC));
   cr_assert_not (lc_catalog_is_fresh (catalog, LB_SEC));
-  lc_catalog_take (catalog, "e:s-2", ENTRY ("s-2"), 3);
-  lc_catalog_take (catalog, "publisher", PUBLISHED ("5000", "true"), 3);
-  cr_assert (lc_catalog_end (catalog, 5020, LB_SEC));
+  lc_catalog_apply_row (catalog, "e:s-2", ENTRY ("s-2"), 3);
+  lc_catalog_apply_row (catalog, "publisher", PUBLISHED ("5000", "true"), 3);
+  cr_assert (lc_catalog_finish_update (catalog, 5020, LB_SEC));
   cr_assert_eq (read_belief (catalog, &belief), 2);
-  cr_assert_eq (lc_catalog_asked_at (catalog), LB_SEC - 20 * LB_MSEC);
+  cr_assert_eq (lc_catalog_valid_at (catalog), LB_SEC - 20 * LB_MSEC);
   lc_catalog_free (catalog);
 }
 
@@ -692,15 +692,15 @@
   LcCatalog *catalog = lc_catalog_new ("a", "1", 0, LB_SEC);
   static Belief belief;
 
-  lc_catalog_begin (catalog);
-  lc_catalog_take (catalog, "e:s-1", ENTRY ("s-1"), 2);
-  lc_catalog_take (catalog, "e:s-2", ENTRY ("s-2"), 2);
-  lc_catalog_take (catalog, "publisher", PUBLISHED ("5000", "true"), 3);
-  cr_assert (lc_catalog_end (catalog, 5000, LB_SEC));
-  lc_catalog_begin (catalog);
-  lc_catalog_take (catalog, "e:s-2", ENTRY ("s-2"), 2);
-  lc_catalog_take (catalog, "publisher", PUBLISHED ("6000", "true"), 9);
-  cr_assert (lc_catalog_end (catalog, 6000, 2 * LB_SEC));
+  lc_catalog_begin_snapshot (catalog);
+  lc_catalog_apply_row (catalog, "e:s-1", ENTRY ("s-1"), 2);
+  lc_catalog_apply_row (catalog, "e:s-2", ENTRY ("s-2"), 2);
+  lc_catalog_apply_row (catalog, "publisher", PUBLISHED ("5000", "true"), 3);
+  cr_assert (lc_catalog_finish_update (catalog, 5000, LB_SEC));
+  lc_catalog_begin_snapshot (catalog);
+  lc_catalog_apply_row (catalog, "e:s-2", ENTRY ("s-2"), 2);
+  lc_catalog_apply_row (catalog, "publisher", PUBLISHED ("6000", "true"), 9);
+  cr_assert (lc_catalog_finish_update (catalog, 6000, 2 * LB_SEC));
   cr_assert_eq (read_belief (catalog, &belief), 1);
   cr_assert_str_eq (belief.list[0].name, "s-2");
   lc_catalog_free (catalog);
@@ -712,11 +712,11 @@
 {
   LcCatalog *catalog = lc_catalog_new ("a", "1", 299999, LB_SEC);
 
-  lc_catalog_begin (catalog);
-  lc_catalog_take (catalog, "publisher", PUBLISHED ("5000", "true"), 3);
-  cr_assert (lc_catalog_end (catalog, 5000, LB_SEC));
-  cr_assert_not (lc_catalog_wants_list (catalog, LB_SEC + 850 * LB_MSEC));
-  cr_assert (lc_catalog_wants_list (catalog, LB_SEC + 1250 * LB_MSEC));
+  lc_catalog_begin_snapshot (catalog);
+  lc_catalog_apply_row (catalog, "publisher", PUBLISHED ("5000", "true"), 3);
+  cr_assert (lc_catalog_finish_update (catalog, 5000, LB_SEC));
+  cr_assert_not (lc_catalog_needs_listing (catalog, LB_SEC + 850 * LB_MSEC));
+  cr_assert (lc_catalog_needs_listing (catalog, LB_SEC + 1250 * LB_MSEC));
   lc_catalog_free (catalog);
 }
 
@@ -743,15 +743,15 @@
     }
   lc_catalog_set_rank (catalog, 0);
   give_list (catalog, list, N, 5000);
-  while (lc_catalog_next_write (catalog, now, &write))
+  while (lc_catalog_prepare_write (catalog, now, &write))
     {
       cr_assert_leq (write.n_puts, 99);
-      cr_assert_eq (write.condition, version);
+      cr_assert_eq (write.expected_version, version);
       version++;
       writes++;
       for (size_t i = 0; i < write.n_puts; i++)
-        lc_catalog_take (catalog, write.puts[i].key, write.puts[i].value, version);
-      bool is_belief = lc_catalog_end (catalog, 5000, now);
+        lc_catalog_apply_row (catalog, write.puts[i].key, write.puts[i].value, version);
+      bool is_belief = lc_catalog_finish_update (catalog, 5000, now);
       cr_assert_eq (is_belief, writes == 3);
       lc_catalog_write_clear (&write);
     }
@@ -795,16 +795,16 @@
 {
   LcCatalog *catalog = lc_catalog_new ("a", "1", 0, LB_SEC);
 
-  lc_catalog_take (catalog, lc_catalog_publisher_key (),
-                   "{\"publisher\":\"b\",\"incarnation\":\"1\",\"epoch\":1,"
-                   "\"listed_ms\":1000,\"period_ms\":1000,\"whole\":true}",
-                   5);
-  cr_assert (lc_catalog_end (catalog, 1000 + 2000, LB_SEC), "not too old");
-  cr_assert_eq (lc_catalog_period (catalog), LB_SEC);
+  lc_catalog_apply_row (catalog, lc_catalog_publisher_key (),
+                        "{\"publisher\":\"b\",\"incarnation\":\"1\",\"epoch\":1,"
+                        "\"listed_ms\":1000,\"period_ms\":1000,\"whole\":true}",
+                        5);
+  cr_assert (lc_catalog_finish_update (catalog, 1000 + 2000, LB_SEC), "not too old");
+  cr_assert_eq (lc_catalog_publish_period (catalog), LB_SEC);
   cr_assert (lc_catalog_is_fresh (catalog, LB_SEC + 2 * LB_SEC));
   cr_assert_not (lc_catalog_is_fresh (catalog, LB_SEC + 2300 * LB_MSEC));
   lc_catalog_set_rank (catalog, 0);
-  cr_assert_not (lc_catalog_wants_list (catalog, LB_SEC + 1400 * LB_MSEC));
-  cr_assert (lc_catalog_wants_list (catalog, LB_SEC + 1600 * LB_MSEC));
+  cr_assert_not (lc_catalog_needs_listing (catalog, LB_SEC + 1400 * LB_MSEC));
+  cr_assert (lc_catalog_needs_listing (catalog, LB_SEC + 1600 * LB_MSEC));
   lc_catalog_free (catalog);
 }
--- a/packages/core/tests/test-duty.c
+++ b/packages/core/tests/test-duty.c
@@ -21,11 +21,11 @@
 Test (duty, the_order_of_the_list_does_not_count)
 {
   const LcDutyCandidate others[] = { { "d", 1 }, { "b", 1 }, { "a", 1 }, { "c", 1 } };
-  const char *chosen = lc_duty_choose ("reader", "", instances, 4);
+  const char *chosen = lc_duty_choose_holder ("reader", "", instances, 4);
 
-  cr_assert_str_eq (lc_duty_choose ("reader", "", others, 4), chosen);
+  cr_assert_str_eq (lc_duty_choose_holder ("reader", "", others, 4), chosen);
   cr_assert_eq (lc_duty_rank ("reader", chosen, others, 4), 0);
-  cr_assert_str_eq (lc_duty_choose ("reader", "", instances, 0), "");
+  cr_assert_str_eq (lc_duty_choose_holder ("reader", "", instances, 0), "");
 }
 
 /* The instance that ran a model's batches is away for a moment, another one takes them. When it is
@@ -34,10 +34,10 @@
 Test (duty, stays_where_it_was)
 {
   for (size_t i = 0; i < 4; i++)
-    cr_assert_str_eq (lc_duty_choose ("reader", instances[i].name, instances, 4),
+    cr_assert_str_eq (lc_duty_choose_holder ("reader", instances[i].name, instances, 4),
                       instances[i].name);
-  cr_assert_str_eq (lc_duty_choose ("reader", "gone", instances, 4),
-                    lc_duty_choose ("reader", "", instances, 4));
+  cr_assert_str_eq (lc_duty_choose_holder ("reader", "gone", instances, 4),
+                    lc_duty_choose_holder ("reader", "", instances, 4));
 }
 
 /* The step of a model is handed to one of 235 weak machines though 60 strong ones stand beside
@@ -63,7 +63,7 @@
     {
       char duty[16];
       snprintf (duty, sizeof duty, "model-%d", i);
-      const char *chosen = lc_duty_choose (duty, "", fleet, N_STRONG + N_WEAK);
+      const char *chosen = lc_duty_choose_holder (duty, "", fleet, N_STRONG + N_WEAK);
       on_strong += atoi (chosen + strlen ("instance-")) < N_STRONG;
     }
   cr_assert_geq (on_strong, N_DUTIES * 99 / 100);
@@ -89,7 +89,7 @@
     {
       char duty[16];
       snprintf (duty, sizeof duty, "model-%d", i);
-      on_strong += strcmp (lc_duty_choose (duty, "", fleet, 1 + N_WEAK), "instance-0") == 0;
+      on_strong += strcmp (lc_duty_choose_holder (duty, "", fleet, 1 + N_WEAK), "instance-0") == 0;
     }
   cr_assert_geq (on_strong, N_DUTIES * 22 / 100);
   cr_assert_leq (on_strong, N_DUTIES * 36 / 100);
@@ -101,7 +101,7 @@
 {
   const LcDutyCandidate unknown[] = { { "a", 0 }, { "b", -1 } };
 
-  cr_assert_neq (lc_duty_choose ("reader", "", unknown, 2)[0], '\0');
+  cr_assert_neq (lc_duty_choose_holder ("reader", "", unknown, 2)[0], '\0');
   cr_assert_eq (lc_duty_rank ("reader", "a", unknown, 2) + lc_duty_rank ("reader", "b", unknown, 2),
                 1);
 }
--- a/packages/core/tests/test-fleet.c
+++ b/packages/core/tests/test-fleet.c
@@ -27,10 +27,11 @@
   LcFleetRow a = row ("a", "1");
   LcFleetRow b = row ("b", "1");
 
-  lc_fleet_begin (fleet, &(LcFleetList){ .at = now, .took = took, .period = PERIOD });
-  lc_fleet_add (fleet, &a, version_a, now);
-  lc_fleet_add (fleet, &b, version_b, now);
-  return lc_fleet_end (fleet, now);
+  lc_fleet_begin_list (fleet,
+                       &(LcFleetList){ .received_at = now, .round_trip = took, .period = PERIOD });
+  lc_fleet_add_row (fleet, &a, version_a, now);
+  lc_fleet_add_row (fleet, &b, version_b, now);
+  return lc_fleet_finish_list (fleet, now);
 }
 
 static bool
@@ -155,14 +156,16 @@
     {
       if (ms % ALL_MS < DUTY_MS)
         {
-          lc_fleet_begin (all, &(LcFleetList){ .at = now, .period = ALL_MS * LB_MSEC });
-          lc_fleet_add (all, &idle, 5, now);
-          lc_fleet_end (all, now);
+          lc_fleet_begin_list (all,
+                               &(LcFleetList){ .received_at = now, .period = ALL_MS * LB_MSEC });
+          lc_fleet_add_row (all, &idle, 5, now);
+          lc_fleet_finish_list (all, now);
         }
-      lc_fleet_begin (on_duty, &(LcFleetList){ .at = now, .period = DUTY_MS * LB_MSEC });
-      lc_fleet_add (on_duty, &busy, 4, now);
-      lc_fleet_end (on_duty, now);
-      size_t n = lc_fleet_join (all, on_duty, members);
+      lc_fleet_begin_list (on_duty,
+                           &(LcFleetList){ .received_at = now, .period = DUTY_MS * LB_MSEC });
+      lc_fleet_add_row (on_duty, &busy, 4, now);
+      lc_fleet_finish_list (on_duty, now);
+      size_t n = lc_fleet_merge (all, on_duty, members);
       if (!find (members, n, "b")->alive)
         missed_at = now;
     }
@@ -185,15 +188,15 @@
 
   for (LbTime now = LB_SEC; now < 6 * LB_SEC; now += PERIOD)
     {
-      lc_fleet_begin (all, &(LcFleetList){ .at = now, .period = PERIOD });
-      lc_fleet_add (all, &new_start, 10 + now, now);
-      lc_fleet_end (all, now);
-      lc_fleet_begin (on_duty, &(LcFleetList){ .at = now, .period = PERIOD });
-      lc_fleet_add (on_duty, &old_start, 4, now);
-      lc_fleet_add (on_duty, &newcomer, 11 + now, now);
-      lc_fleet_end (on_duty, now);
+      lc_fleet_begin_list (all, &(LcFleetList){ .received_at = now, .period = PERIOD });
+      lc_fleet_add_row (all, &new_start, 10 + now, now);
+      lc_fleet_finish_list (all, now);
+      lc_fleet_begin_list (on_duty, &(LcFleetList){ .received_at = now, .period = PERIOD });
+      lc_fleet_add_row (on_duty, &old_start, 4, now);
+      lc_fleet_add_row (on_duty, &newcomer, 11 + now, now);
+      lc_fleet_finish_list (on_duty, now);
     }
-  size_t n = lc_fleet_join (all, on_duty, members);
+  size_t n = lc_fleet_merge (all, on_duty, members);
   cr_assert_eq (n, 2);
   cr_assert (find (members, n, "b")->alive);
   cr_assert_str_eq (find (members, n, "b")->row.incarnation, "2");
@@ -235,9 +238,10 @@
   LcFleetRow b = row ("b", "1");
 
   b.renewed_ms = renewed_ms_of_b;
-  lc_fleet_begin (fleet, &(LcFleetList){ .at = LB_SEC, .store_ms = 100000, .period = PERIOD });
-  lc_fleet_add (fleet, &b, 5, LB_SEC);
-  lc_fleet_end (fleet, LB_SEC);
+  lc_fleet_begin_list (fleet, &(LcFleetList){
+                                  .received_at = LB_SEC, .store_ms = 100000, .period = PERIOD });
+  lc_fleet_add_row (fleet, &b, 5, LB_SEC);
+  lc_fleet_finish_list (fleet, LB_SEC);
   return fleet;
 }
 
@@ -271,9 +275,9 @@
   LcFleetRow b = row ("b", "1");
 
   cr_assert_not (is_confirmed (fleet, "b"));
-  lc_fleet_begin (fleet, &(LcFleetList){ .at = 2 * LB_SEC, .period = PERIOD });
-  lc_fleet_add (fleet, &b, 6, 2 * LB_SEC);
-  cr_assert (lc_fleet_end (fleet, 2 * LB_SEC), "others are told");
+  lc_fleet_begin_list (fleet, &(LcFleetList){ .received_at = 2 * LB_SEC, .period = PERIOD });
+  lc_fleet_add_row (fleet, &b, 6, 2 * LB_SEC);
+  cr_assert (lc_fleet_finish_list (fleet, 2 * LB_SEC), "others are told");
   cr_assert (is_confirmed (fleet, "b"));
   lc_fleet_free (fleet);
 }
--- a/packages/core/tests/test-lease-ends.c
+++ b/packages/core/tests/test-lease-ends.c
@@ -59,11 +59,11 @@
 
   lb_list_init (&actions);
   lc_lease_tick (lease, STARTED, STARTED, &actions);
-  lc_lease_was_read (lease, LB_ERROR_NOT_FOUND, NULL, 0, STARTED, &actions);
+  lc_lease_read_completed (lease, LB_ERROR_NOT_FOUND, NULL, 0, STARTED, &actions);
   cr_assert (take_write (&actions, &row));
-  lc_lease_was_written (lease, LB_OK, STARTED, &actions);
+  lc_lease_write_completed (lease, LB_OK, STARTED, &actions);
   take_write (&actions, &row);
-  cr_assert (lc_lease_may_order (lease, false, STARTED));
+  cr_assert (lc_lease_can_order (lease, false, STARTED));
   return lease;
 }
 
@@ -77,7 +77,7 @@
   for (LbTime now = STARTED + TICK; now < end; now += TICK)
     lc_lease_tick (lease, now, now, &actions);
   take_write (&actions, &row);
-  return lc_lease_may_order (lease, false, end);
+  return lc_lease_can_order (lease, false, end);
 }
 
 /* An engine is ordered to one version by the new holder and back to the old one by the old holder.
@@ -102,9 +102,9 @@
   LbList actions;
 
   lb_list_init (&actions);
-  lc_lease_hint (lease, now);
+  lc_lease_read_soon (lease, now);
   lc_lease_tick (lease, now, now, &actions);
-  lc_lease_was_read (lease, LB_OK, &row, 7, now, &actions);
+  lc_lease_read_completed (lease, LB_OK, &row, 7, now, &actions);
   return take_write (&actions, &claim) && claim.fence == 5;
 }
 
--- a/packages/core/tests/test-lease.c
+++ b/packages/core/tests/test-lease.c
@@ -110,7 +110,7 @@
   operations[i] = (Operation){ .holder = holder,
                                .is_write = action->type == LC_LEASE_WRITE,
                                .row = action->row,
-                               .version = action->version,
+                               .version = action->expected_version,
                                .apply_at = now + delay () };
   operations[i].reply_at = operations[i].apply_at + delay ();
 }
@@ -168,10 +168,10 @@
   lb_list_init (&actions);
   operation->holder = -1;
   if (operation->is_write)
-    lc_lease_was_written (holder->lease, operation->result, clock_of (holder), &actions);
+    lc_lease_write_completed (holder->lease, operation->result, clock_of (holder), &actions);
   else
-    lc_lease_was_read (holder->lease, operation->result, &operation->row, operation->version,
-                       clock_of (holder), &actions);
+    lc_lease_read_completed (holder->lease, operation->result, &operation->row, operation->version,
+                             clock_of (holder), &actions);
   carry_out (i, &actions);
 }
 
@@ -223,7 +223,7 @@
   for (int i = 0; i < N_HOLDERS; i++)
     {
       if (now < holders[i].paused_until
-          || !lc_lease_may_order (holders[i].lease, false, clock_of (&holders[i])))
+          || !lc_lease_can_order (holders[i].lease, false, clock_of (&holders[i])))
         continue;
       cr_assert_eq (who, -1, "two holders at %lld", (long long)now);
       who = i;
@@ -283,9 +283,9 @@
       LbTime gap = run_until_other (0, 20 * LB_SEC);
       cr_assert_leq (gap, 8 * LB_SEC);
       cr_assert_gt (lc_lease_fence (holders[2].lease), fence);
-      cr_assert_not (lc_lease_may_order (holders[2].lease, true, clock_of (&holders[2])));
+      cr_assert_not (lc_lease_can_order (holders[2].lease, true, clock_of (&holders[2])));
       run (10 * LB_SEC - gap);
-      cr_assert (lc_lease_may_order (holders[2].lease, true, clock_of (&holders[2])));
+      cr_assert (lc_lease_can_order (holders[2].lease, true, clock_of (&holders[2])));
     }
 }
 
@@ -298,7 +298,7 @@
   run (9 * LB_SEC - STEP);
   cr_assert_eq (orderer (), 1);
   now += STEP;
-  cr_assert_not (lc_lease_may_order (holders[0].lease, false, clock_of (&holders[0])));
+  cr_assert_not (lc_lease_can_order (holders[0].lease, false, clock_of (&holders[0])));
   run (5 * LB_SEC);
   cr_assert_eq (orderer (), 1);
 }
@@ -312,7 +312,7 @@
   holders[0].offset -= 9 * LB_SEC;
   run (9 * LB_SEC);
   step_holder (0);
-  cr_assert_not (lc_lease_may_order (holders[0].lease, false, clock_of (&holders[0])));
+  cr_assert_not (lc_lease_can_order (holders[0].lease, false, clock_of (&holders[0])));
   run (5 * LB_SEC);
   cr_assert_eq (orderer (), 1);
 }
@@ -330,7 +330,7 @@
   run (9 * LB_SEC);
   step_holder (0);
   step_operations ();
-  cr_assert_not (lc_lease_may_order (holders[0].lease, false, clock_of (&holders[0])));
+  cr_assert_not (lc_lease_can_order (holders[0].lease, false, clock_of (&holders[0])));
 }
 
 /* The holder is cut off from the table, its clock is the slowest and the other's the fastest that
@@ -351,7 +351,7 @@
       holders[1].tick = STEP;
       for (int step = 0; step < 600; step++)
         {
-          lc_lease_hint (holders[1].lease, clock_of (&holders[1]));
+          lc_lease_read_soon (holders[1].lease, clock_of (&holders[1]));
           run (STEP);
         }
       cr_assert_eq (orderer (), 1);
@@ -518,7 +518,7 @@
   LB_COPY (row.incarnation, "a-1");
   lb_list_init (&actions);
   lc_lease_tick (lease, at, 0, &actions);
-  lc_lease_was_read (lease, LB_OK, &row, version, at, &actions);
+  lc_lease_read_completed (lease, LB_OK, &row, version, at, &actions);
   while ((link = lb_list_pop (&actions)))
     {
       LcLeaseAction *action = LB_CONTAINER (link, LcLeaseAction, link);
@@ -536,9 +536,9 @@
   LcLease *lease = make_candidate ();
 
   cr_assert_not (claims_at (lease, 7, 2 * LB_SEC));
-  lc_lease_holder_ended (lease, 6, 2 * LB_SEC);
+  lc_lease_mark_holder_ended (lease, 6, 2 * LB_SEC);
   cr_assert_not (claims_at (lease, 7, 2100 * LB_MSEC), "that was said of an older row");
-  lc_lease_holder_ended (lease, 7, 2200 * LB_MSEC);
+  lc_lease_mark_holder_ended (lease, 7, 2200 * LB_MSEC);
   cr_assert (claims_at (lease, 7, 2300 * LB_MSEC));
   lc_lease_free (lease);
 }
@@ -549,7 +549,7 @@
   LcLease *lease = make_candidate ();
 
   cr_assert_not (claims_at (lease, 7, 2 * LB_SEC));
-  lc_lease_holder_ended (lease, 7, 2 * LB_SEC);
+  lc_lease_mark_holder_ended (lease, 7, 2 * LB_SEC);
   cr_assert_not (claims_at (lease, 8, 2100 * LB_MSEC));
   lc_lease_free (lease);
 }
@@ -560,13 +560,14 @@
 Test (lease, a_missed_holder_has_ended_where_orders_are_checked)
 {
   LcLease *lease = make_candidate ();
-  LcHolderView view = { .incarnation = "a-1", .version = 9, .checked_orders = true };
+  LcLeaseHolderView view
+      = { .incarnation = "a-1", .row_version = 9, .endpoints_check_fence = true };
 
   cr_assert_not (claims_at (lease, 7, 2 * LB_SEC));
   cr_assert (lc_lease_holder_has_ended (lease, &view));
-  view.checked_orders = false;
+  view.endpoints_check_fence = false;
   cr_assert_not (lc_lease_holder_has_ended (lease, &view));
-  view.checked_orders = true;
+  view.endpoints_check_fence = true;
   view.alive = true;
   cr_assert_not (lc_lease_holder_has_ended (lease, &view));
   lc_lease_free (lease);
@@ -577,11 +578,11 @@
 Test (lease, a_younger_process_of_the_holder_has_ended_it)
 {
   LcLease *lease = make_candidate ();
-  LcHolderView view = { .incarnation = "a-2", .version = 9, .alive = true };
+  LcLeaseHolderView view = { .incarnation = "a-2", .row_version = 9, .alive = true };
 
   cr_assert_not (claims_at (lease, 7, 2 * LB_SEC));
   cr_assert (lc_lease_holder_has_ended (lease, &view));
-  view.version = 6;
+  view.row_version = 6;
   cr_assert_not (lc_lease_holder_has_ended (lease, &view));
   lc_lease_free (lease);
 }
@@ -600,7 +601,7 @@
   LB_COPY (row.incarnation, holder);
   lb_list_init (&actions);
   lc_lease_tick (lease, at, 0, &actions);
-  lc_lease_was_read (lease, LB_OK, &row, fence, at, &actions);
+  lc_lease_read_completed (lease, LB_OK, &row, fence, at, &actions);
   while ((link = lb_list_pop (&actions)))
     {
       LcLeaseAction *action = LB_CONTAINER (link, LcLeaseAction, link);
@@ -608,7 +609,7 @@
       free (action);
     }
   if (claims)
-    lc_lease_was_written (lease, LB_OK, at, &actions);
+    lc_lease_write_completed (lease, LB_OK, at, &actions);
   while ((link = lb_list_pop (&actions)))
     free (LB_CONTAINER (link, LcLeaseAction, link));
 }
@@ -619,7 +620,7 @@
   LcLeaseSettings settings;
 
   lc_lease_settings_init (&settings);
-  settings.turn_time = 3 * LB_SEC;
+  settings.reacquire_delay = 3 * LB_SEC;
   LB_COPY (settings.instance, "b");
   LB_COPY (settings.incarnation, "b");
   LcLease *lease = lc_lease_new (&settings, LB_SEC, 0);
@@ -635,7 +636,7 @@
   LcLease *lease = make_turn_taker ();
 
   see_row (lease, "nobody", 4, 2 * LB_SEC);
-  cr_assert (lc_lease_may_order (lease, false, 2 * LB_SEC));
+  cr_assert (lc_lease_can_order (lease, false, 2 * LB_SEC));
   see_row (lease, "a", 6, 4 * LB_SEC);
   cr_assert_not (lc_lease_is_held (lease));
   see_row (lease, "nobody", 7, 5 * LB_SEC);
@@ -643,9 +644,9 @@
   for (LbTime at = 5 * LB_SEC; at < 7 * LB_SEC; at += LB_SEC / 2)
     {
       see_row (lease, "b", 8, at);
-      cr_assert_not (lc_lease_may_order (lease, false, at), "at %lld", (long long)at);
+      cr_assert_not (lc_lease_can_order (lease, false, at), "at %lld", (long long)at);
     }
   see_row (lease, "b", 8, 7 * LB_SEC);
-  cr_assert (lc_lease_may_order (lease, false, 7100 * LB_MSEC), "three seconds after it lost it");
+  cr_assert (lc_lease_can_order (lease, false, 7100 * LB_MSEC), "three seconds after it lost it");
   lc_lease_free (lease);
 }
--- a/packages/core/tests/test-membership.c
+++ b/packages/core/tests/test-membership.c
@@ -34,9 +34,9 @@
   for (size_t i = 0; i < count; i++)
     {
       LcMembershipTotals one = lc_membership_totals (fake_peers_membership (peers, i));
-      sum.silent_connections += one.silent_connections;
+      sum.connection_timeouts += one.connection_timeouts;
       sum.suspected += one.suspected;
-      sum.condemned += one.condemned;
+      sum.declared_dead += one.declared_dead;
     }
   return sum;
 }
@@ -70,13 +70,13 @@
     fake_peers_silence (peers, 0, i);
   run_for (peers, 3 * LB_SEC);
   LcMembershipTotals totals = totals_of_all (peers, COUNT);
-  cr_assert_geq (totals.silent_connections, 3);
+  cr_assert_geq (totals.connection_timeouts, 3);
   cr_assert_eq (totals.suspected, 0);
   cr_assert_eq (fake_peers_agreeing (peers), COUNT);
   run_for (peers, 60 * LB_SEC);
   totals = totals_of_all (peers, COUNT);
   run_for (peers, 120 * LB_SEC);
-  cr_assert_eq (totals_of_all (peers, COUNT).silent_connections, totals.silent_connections);
+  cr_assert_eq (totals_of_all (peers, COUNT).connection_timeouts, totals.connection_timeouts);
   cr_assert_eq (totals.suspected, 0);
   fake_peers_free (peers);
 }
@@ -95,18 +95,17 @@
   run_for (peers, 20 * LB_SEC);
   int64_t before = fake_peers_bytes (peers, 0);
   for (size_t i = 1; i < COUNT; i++)
-    cr_assert (lc_membership_want (first,
-                                   lc_membership_self (fake_peers_membership (peers, i))->name,
-                                   fake_peers_now (peers) + 60 * LB_SEC, fake_peers_now (peers),
-                                   &actions));
+    cr_assert (lc_membership_keep_connected (
+        first, lc_membership_self (fake_peers_membership (peers, i))->name,
+        fake_peers_now (peers) + 60 * LB_SEC, fake_peers_now (peers), &actions));
   fake_peers_carry_out (peers, 0, &actions);
   run_for (peers, 5 * LB_SEC);
   fake_peers_reset_bytes (peers);
   run_for (peers, 20 * LB_SEC);
   for (size_t i = 1; i < COUNT; i++)
-    cr_assert_neq (
-        lc_membership_link_to (first, lc_membership_self (fake_peers_membership (peers, i))->name),
-        0);
+    cr_assert_neq (lc_membership_find_link (
+                       first, lc_membership_self (fake_peers_membership (peers, i))->name),
+                   0);
   cr_assert_lt (fake_peers_bytes (peers, 0), before * 3 / 2);
   fake_peers_free (peers);
 }
@@ -124,24 +123,24 @@
   for (size_t i = 1; i < COUNT; i++)
     {
       const char *name = lc_membership_self (fake_peers_membership (peers, i))->name;
-      if (lc_membership_link_to (first, name) != 0)
+      if (lc_membership_find_link (first, name) != 0)
         continue;
-      lc_membership_want (first, name, fake_peers_now (peers) + 60 * LB_SEC, fake_peers_now (peers),
-                          &actions);
+      lc_membership_keep_connected (first, name, fake_peers_now (peers) + 60 * LB_SEC,
+                                    fake_peers_now (peers), &actions);
       fake_peers_carry_out (peers, 0, &actions);
       run_for (peers, 10 * LB_SEC);
-      LcLinkId silent = lc_membership_link_to (first, name);
-      lc_membership_sent (first, silent, fake_peers_now (peers));
+      LcLinkId silent = lc_membership_find_link (first, name);
+      lc_membership_frame_sent (first, silent, fake_peers_now (peers));
       run_for (peers, 5 * LB_SEC);
-      cr_assert_eq (lc_membership_link_to (first, name), silent, "it was well and was dropped");
+      cr_assert_eq (lc_membership_find_link (first, name), silent, "it was well and was dropped");
       fake_peers_silence (peers, 0, i);
-      lc_membership_sent (first, silent, fake_peers_now (peers));
+      lc_membership_frame_sent (first, silent, fake_peers_now (peers));
       run_for (peers, 3 * LB_SEC);
-      cr_assert_neq (lc_membership_link_to (first, name), silent);
-      cr_assert_neq (lc_membership_link_to (first, name), 0);
+      cr_assert_neq (lc_membership_find_link (first, name), silent);
+      cr_assert_neq (lc_membership_find_link (first, name), 0);
       break;
     }
-  cr_assert_geq (lc_membership_totals (first).silent_connections, 1);
+  cr_assert_geq (lc_membership_totals (first).connection_timeouts, 1);
   cr_assert_eq (fake_peers_agreeing (peers), COUNT);
   fake_peers_free (peers);
 }
@@ -159,15 +158,16 @@
 
   lb_list_init (&actions);
   for (size_t i = 1; i < count; i++)
-    lc_membership_want (first, lc_membership_self (fake_peers_membership (peers, i))->name, until,
-                        fake_peers_now (peers), &actions);
+    lc_membership_keep_connected (first,
+                                  lc_membership_self (fake_peers_membership (peers, i))->name,
+                                  until, fake_peers_now (peers), &actions);
   fake_peers_carry_out (peers, 0, &actions);
   run_for (peers, 20 * LB_SEC);
   for (size_t i = 1; i < count - 1; i++)
     {
       fake_peers_set_state (peers, i, FAKE_KILLED);
       run_for (peers, 5 * LB_SEC);
-      cr_assert_eq (lc_membership_totals (first).silent_connections, 0);
+      cr_assert_eq (lc_membership_totals (first).connection_timeouts, 0);
     }
   fake_peers_free (peers);
 }
@@ -187,9 +187,9 @@
   run_for (peers, 3 * LB_SEC);
   cr_assert_eq (fake_peers_agreeing (peers), COUNT);
   LcMembershipTotals own = lc_membership_totals (fake_peers_membership (peers, 3));
-  cr_assert_eq (own.pauses, 1);
+  cr_assert_eq (own.own_pauses, 1);
   cr_assert_eq (own.suspected, 0);
-  cr_assert_eq (own.condemned, 0);
+  cr_assert_eq (own.declared_dead, 0);
   fake_peers_free (peers);
 }
 
@@ -224,8 +224,8 @@
   size_t gaps = 0;
 
   for (size_t i = 1; i < COUNT; i++)
-    if (lc_membership_link_to (fake_peers_membership (peers, 0),
-                               lc_membership_self (fake_peers_membership (peers, i))->name)
+    if (lc_membership_find_link (fake_peers_membership (peers, 0),
+                                 lc_membership_self (fake_peers_membership (peers, i))->name)
         != 0)
       {
         fake_peers_cut_pair (peers, 0, i);
@@ -238,7 +238,7 @@
     }
   cr_assert_leq (gaps, 1);
   cr_assert_leq (totals_of_all (peers, COUNT).suspected, 16);
-  cr_assert_eq (totals_of_all (peers, COUNT).condemned, 0);
+  cr_assert_eq (totals_of_all (peers, COUNT).declared_dead, 0);
   fake_peers_free (peers);
 }
 
@@ -276,8 +276,8 @@
   lb_list_init (&actions);
   before.instance.state = LC_INSTANCE_DEAD;
   before.instance.version += 100;
-  lc_membership_told (fake_peers_membership (peers, 0), 0, &before.instance, 1,
-                      fake_peers_now (peers), &actions);
+  lc_membership_updates_received (fake_peers_membership (peers, 0), 0, &before.instance, 1,
+                                  fake_peers_now (peers), &actions);
   cr_assert (lb_list_is_empty (&actions));
   lc_membership_find (fake_peers_membership (peers, 0), "instance-6", &after);
   cr_assert (after.alive);
@@ -301,7 +301,7 @@
       LcInstance rival = *lc_membership_self (first);
       LB_COPY (rival.incarnation, "rival");
       rival.epoch++;
-      lc_membership_told (first, 0, &rival, 1, fake_peers_now (peers), &actions);
+      lc_membership_updates_received (first, 0, &rival, 1, fake_peers_now (peers), &actions);
       run_for (peers, 10 * LB_MSEC);
       if (i == 50)
         cr_assert_eq (lc_membership_totals (first).name_conflicts, 1);
@@ -330,14 +330,14 @@
   run_for (peers, 10 * LB_SEC);
   cr_assert_eq (fake_peers_agreeing (peers), 0);
   for (size_t i = 1; i < 4; i++)
-    lc_membership_listed (fake_peers_membership (peers, i), listed, 3, fake_peers_now (peers),
-                          &actions);
+    lc_membership_apply_platform_list (fake_peers_membership (peers, i), listed, 3,
+                                       fake_peers_now (peers), &actions);
   run_for (peers, 10 * LB_SEC);
   cr_assert_eq (fake_peers_agreeing (peers), 3);
 
   listed[1].leaving = true;
-  lc_membership_listed (fake_peers_membership (peers, 1), listed, 3, fake_peers_now (peers),
-                        &actions);
+  lc_membership_apply_platform_list (fake_peers_membership (peers, 1), listed, 3,
+                                     fake_peers_now (peers), &actions);
   fake_peers_carry_out (peers, 1, &actions);
   cr_assert_not (fake_peers_names (peers, 1, 2));
   fake_peers_free (peers);
@@ -375,12 +375,12 @@
   lc_detector_init (&erratic, 500 * LB_MSEC, now);
   for (int i = 1; i <= 100; i++)
     {
-      lc_detector_heard (&steady, i * 500 * LB_MSEC);
-      lc_detector_heard (&wavering, i * 500 * LB_MSEC + (i % 2) * 250 * LB_MSEC);
-      lc_detector_heard (&erratic, i * 950 * LB_MSEC + (i % 2) * 450 * LB_MSEC);
+      lc_detector_record_arrival (&steady, i * 500 * LB_MSEC);
+      lc_detector_record_arrival (&wavering, i * 500 * LB_MSEC + (i % 2) * 250 * LB_MSEC);
+      lc_detector_record_arrival (&erratic, i * 950 * LB_MSEC + (i % 2) * 450 * LB_MSEC);
     }
   now = 100 * 500 * LB_MSEC;
-  cr_assert_eq (lc_detector_silent_at (&steady), now + LB_SEC);
-  cr_assert_gt (lc_detector_silent_at (&wavering), now + LB_SEC);
-  cr_assert_eq (lc_detector_silent_at (&erratic) - 100 * 950 * LB_MSEC, 1500 * LB_MSEC);
+  cr_assert_eq (lc_detector_deadline (&steady), now + LB_SEC);
+  cr_assert_gt (lc_detector_deadline (&wavering), now + LB_SEC);
+  cr_assert_eq (lc_detector_deadline (&erratic) - 100 * 950 * LB_MSEC, 1500 * LB_MSEC);
 }
--- a/packages/node/src/batch/ln-batch-submit.c
+++ b/packages/node/src/batch/ln-batch-submit.c
@@ -196,7 +196,7 @@
   const char *last = last_runner (call->batches, call->spec.model);
 
   weigh_duties (call->batches, candidates, n);
-  LB_COPY (call->head.preferred, lc_duty_choose (call->spec.model, last, candidates, n));
+  LB_COPY (call->head.preferred, lc_duty_choose_holder (call->spec.model, last, candidates, n));
   free (candidates);
 }
 
--- a/packages/node/src/duties/ln-duty-lease.c
+++ b/packages/node/src/duties/ln-duty-lease.c
@@ -50,9 +50,9 @@
 
   lc_lease_settings_init (&settings);
   settings.duration = receivers_check_fence ? LEASE_DURATION : UNCHECKED_LEASE_DURATION;
-  settings.turn_time = TURN_TIME;
-  settings.period = LEASE_PERIOD;
-  settings.watch_period = LEASE_WATCH_PERIOD;
+  settings.reacquire_delay = TURN_TIME;
+  settings.poll_period = LEASE_PERIOD;
+  settings.observer_poll_period = LEASE_WATCH_PERIOD;
   LB_COPY (settings.instance, context->instance);
   LB_COPY (settings.incarnation, context->incarnation);
   lease->context = context;
@@ -93,7 +93,7 @@
   LbList actions;
 
   lb_list_init (&actions);
-  lc_lease_was_written (lease->lease, error, lb_clock_monotonic (), &actions);
+  lc_lease_write_completed (lease->lease, error, lb_clock_monotonic (), &actions);
   carry_out (lease, &actions);
 }
 
@@ -180,13 +180,13 @@
   for (size_t i = 0; i < lease->n_members; i++)
     {
       const LnMember *member = &lease->members[i];
-      const LcHolderView view = { .incarnation = member->incarnation,
-                                  .version = member->version,
-                                  .alive = member->alive,
-                                  .checked_orders = all_check_fences };
+      const LcLeaseHolderView view = { .incarnation = member->incarnation,
+                                       .row_version = member->version,
+                                       .alive = member->alive,
+                                       .endpoints_check_fence = all_check_fences };
       if (strcmp (member->name, row->holder) == 0
           && lc_lease_holder_has_ended (lease->lease, &view))
-        lc_lease_holder_ended (lease->lease, lc_lease_version (lease->lease), now);
+        lc_lease_mark_holder_ended (lease->lease, lc_lease_row_version (lease->lease), now);
     }
 }
 
@@ -207,7 +207,7 @@
 void
 ln_duty_lease_doubt (LnDutyLease *lease, LbTime now)
 {
-  lc_lease_hint (lease->lease, now);
+  lc_lease_read_soon (lease->lease, now);
 }
 
 void
@@ -242,7 +242,7 @@
 bool
 ln_duty_lease_may_order (const LnDutyLease *lease, bool unfenced, LbTime now)
 {
-  return lc_lease_may_order (lease->lease, unfenced, now);
+  return lc_lease_can_order (lease->lease, unfenced, now);
 }
 
 int64_t
--- a/packages/node/src/duties/ln-lease.c
+++ b/packages/node/src/duties/ln-lease.c
@@ -21,7 +21,7 @@
       if (!lc_lease_row_from_text (rows[0].value, &row))
         error = LB_ERROR_INTERNAL;
     }
-  lc_lease_was_read (lease, error, &row, version, now, actions);
+  lc_lease_read_completed (lease, error, &row, version, now, actions);
 }
 
 void
@@ -33,7 +33,7 @@
                 void *user)
 {
   struct json_object *object = lc_lease_row_to_json (&action->row);
-  const LpCondition condition = { .key = key, .version = action->version };
+  const LpCondition condition = { .key = key, .version = action->expected_version };
   const LpPut put = { .key = key, .value = json_object_to_json_string (object) };
   const LpTransaction transaction
       = { .token = token, .conditions = &condition, .n_conditions = 1, .puts = &put, .n_puts = 1 };
--- a/packages/node/src/front/ln-entry.c
+++ b/packages/node/src/front/ln-entry.c
@@ -86,7 +86,7 @@
   const char *data_centre = ln_exchange_query (exchange, "data_centre");
   LcEntry entry;
 
-  lc_membership_view (membership, views);
+  lc_membership_copy_views (membership, views);
   if (!data_centre || !is_known_data_centre (views, n_views, data_centre))
     data_centre = lc_membership_self (membership)->data_centre;
   lc_entry_choose (&entry, views, n_views, caller_of (exchange), data_centre);
--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -75,13 +75,13 @@
 static void
 on_base (void *user)
 {
-  lc_catalog_begin (((LnCatalog *)user)->catalog);
+  lc_catalog_begin_snapshot (((LnCatalog *)user)->catalog);
 }
 
 static void
 log_publisher (LnCatalog *catalog, const char *before)
 {
-  const char *publisher = lc_catalog_publisher (catalog->catalog);
+  const char *publisher = lc_catalog_publisher_name (catalog->catalog);
 
   if (strcmp (before, publisher) != 0)
     lb_log (LB_LOG_INFO, "catalog_publisher", LB_TEXT ("publisher", publisher),
@@ -149,7 +149,7 @@
 read_items (const LnCatalog *catalog, const char *prefix, Reading *reading)
 {
   ln_row_cache_begin (reading->cache);
-  lc_catalog_each (catalog->catalog, prefix, add_item, reading);
+  lc_catalog_foreach (catalog->catalog, prefix, add_item, reading);
   ln_row_cache_end (reading->cache);
 }
 
@@ -157,8 +157,8 @@
 pass_endpoints (LnCatalog *catalog)
 {
   Reading reading = { .cache = catalog->endpoints, .size = sizeof (LcListed) };
-  LbTime asked_at = lc_catalog_asked_at (catalog->catalog);
-  int64_t changes = lc_catalog_changes (catalog->catalog);
+  LbTime asked_at = lc_catalog_valid_at (catalog->catalog);
+  int64_t changes = lc_catalog_change_count (catalog->catalog);
 
   if (asked_at <= catalog->own_asked_at)
     return;
@@ -178,7 +178,7 @@
 pass_instances (LnCatalog *catalog)
 {
   Reading reading = { .cache = catalog->instances, .size = sizeof (LcFleetMember) };
-  int64_t changes = lc_catalog_changes (catalog->catalog);
+  int64_t changes = lc_catalog_change_count (catalog->catalog);
 
   if (catalog->instances_read == changes)
     return;
@@ -198,13 +198,13 @@
   LnCatalog *catalog = user;
   LbName before;
 
-  LB_COPY (before, lc_catalog_publisher (catalog->catalog));
+  LB_COPY (before, lc_catalog_publisher_name (catalog->catalog));
   for (size_t i = 0; i < n_rows; i++)
     if (strncmp (rows[i].key, PREFIX, strlen (PREFIX)) == 0)
-      lc_catalog_take (catalog->catalog, rows[i].key + strlen (PREFIX), rows[i].value,
-                       rows[i].version);
+      lc_catalog_apply_row (catalog->catalog, rows[i].key + strlen (PREFIX), rows[i].value,
+                            rows[i].version);
   log_publisher (catalog, before);
-  if (!lc_catalog_end (catalog->catalog, store_ms (catalog), lb_clock_monotonic ()))
+  if (!lc_catalog_finish_update (catalog->catalog, store_ms (catalog), lb_clock_monotonic ()))
     return;
   lb_metric_add (&beliefs, 1);
   pass_endpoints (catalog);
@@ -253,7 +253,7 @@
 static size_t
 add_candidates (const LnCatalog *catalog, LcDutyCandidate *candidates)
 {
-  const char *publisher = lc_catalog_publisher (catalog->catalog);
+  const char *publisher = lc_catalog_publisher_name (catalog->catalog);
   size_t n = 0;
 
   for (size_t i = 0; i < catalog->n_members; i++)
@@ -283,7 +283,7 @@
 static int
 drawn_rank (LnCatalog *catalog)
 {
-  const char *publisher = lc_catalog_publisher (catalog->catalog);
+  const char *publisher = lc_catalog_publisher_name (catalog->catalog);
 
   if (!catalog->is_drawn || strcmp (catalog->drawn_without, publisher) != 0)
     catalog->drawn_rank = draw_rank (catalog);
@@ -318,7 +318,7 @@
   if (error != LB_OK)
     {
       lb_log (LB_LOG_INFO, "catalog_not_written", LB_TEXT ("error", lb_error_name (error)));
-      lc_catalog_failed (write->catalog->catalog, write->condition);
+      lc_catalog_write_failed (write->catalog->catalog, write->condition);
     }
   free (write);
 }
@@ -330,11 +330,11 @@
   LpPut *puts = LB_NEW_ARRAY (LpPut, wanted->n_puts);
   Write *write = LB_NEW (Write);
 
-  *write = (Write){ .catalog = catalog, .condition = wanted->condition };
+  *write = (Write){ .catalog = catalog, .condition = wanted->expected_version };
   for (size_t i = 0; i < wanted->n_puts; i++)
     puts[i] = (LpPut){ .key = lb_asprintf ("%s%s", PREFIX, wanted->puts[i].key),
                        .value = wanted->puts[i].value };
-  const LpCondition condition = { .key = puts[0].key, .version = wanted->condition };
+  const LpCondition condition = { .key = puts[0].key, .version = wanted->expected_version };
   const LpTransaction transaction = { .token = "",
                                       .conditions = &condition,
                                       .n_conditions = 1,
@@ -353,7 +353,7 @@
 {
   LcCatalogWrite write;
 
-  if (!lc_catalog_next_write (catalog->catalog, now, &write))
+  if (!lc_catalog_prepare_write (catalog->catalog, now, &write))
     return;
   send_write (catalog, &write);
   lc_catalog_write_clear (&write);
@@ -370,12 +370,12 @@
   LcFleetMember item = *member;
   LcFleetMember told;
   char *key = lb_asprintf (INSTANCES "%s", member->row.name);
-  const char *text = lc_catalog_text (catalog->catalog, key);
+  const char *text = lc_catalog_find_value (catalog->catalog, key);
 
   if (text && lc_fleet_member_from_text (text, &told)
       && strcmp (told.row.incarnation, member->row.incarnation) == 0)
     item.version = told.version;
-  return (LcCatalogItem){ .key = key, .text = lc_fleet_member_to_text (&item) };
+  return (LcCatalogItem){ .key = key, .value = lc_fleet_member_to_text (&item) };
 }
 
 static void
@@ -385,7 +385,7 @@
 
   for (size_t i = 0; i < catalog->n_members; i++)
     items[i] = make_instance (catalog, &catalog->members[i]);
-  lc_catalog_listed (catalog->catalog, INSTANCES, items, catalog->n_members, 0);
+  lc_catalog_set_listing (catalog->catalog, INSTANCES, items, catalog->n_members, 0);
 }
 
 /* A list each fifth of the time allowed keeps within it also when the publisher ends; where the
@@ -406,7 +406,7 @@
   free (catalog->members);
   catalog->members = lb_memdup (members, n_members * sizeof *members);
   catalog->n_members = n_members;
-  lc_catalog_set_period (catalog->catalog, choose_period (catalog));
+  lc_catalog_set_own_period (catalog->catalog, choose_period (catalog));
   catalog->is_drawn = false;
   if (catalog->is_used && catalog->rank >= 0)
     give_fleet (catalog);
@@ -458,8 +458,8 @@
   LcCatalogItem *items = LB_NEW_ARRAY (LcCatalogItem, n_list + 1);
   for (size_t i = 0; i < n_list; i++)
     items[i] = (LcCatalogItem){ .key = lb_asprintf (ENDPOINTS "%s", list[i].name),
-                                .text = lc_listed_to_text (&list[i]) };
-  lc_catalog_listed (catalog->catalog, ENDPOINTS, items, n_list, store_ms (catalog));
+                                .value = lc_listed_to_text (&list[i]) };
+  lc_catalog_set_listing (catalog->catalog, ENDPOINTS, items, n_list, store_ms (catalog));
   write_next (catalog, now);
 }
 
@@ -486,7 +486,7 @@
 
   bounds->items = lb_realloc (bounds->items, (bounds->n + 1) * sizeof *bounds->items);
   bounds->items[bounds->n++]
-      = (LcCatalogItem){ .key = lb_asprintf (BOUNDS "%s", service), .text = lb_strdup (bound) };
+      = (LcCatalogItem){ .key = lb_asprintf (BOUNDS "%s", service), .value = lb_strdup (bound) };
 }
 
 void
@@ -496,7 +496,7 @@
 
   lc_subset_each_bound (subset, add_bound, &bounds);
   if (catalog->is_used && bounds.n > 0)
-    lc_catalog_listed (catalog->catalog, BOUNDS, bounds.items, bounds.n, 0);
+    lc_catalog_set_listing (catalog->catalog, BOUNDS, bounds.items, bounds.n, 0);
 }
 
 static void
@@ -509,13 +509,13 @@
 void
 ln_catalog_take_bounds (const LnCatalog *catalog, LcSubset *subset)
 {
-  lc_catalog_each (catalog->catalog, BOUNDS, take_bound, subset);
+  lc_catalog_foreach (catalog->catalog, BOUNDS, take_bound, subset);
 }
 
 bool
 ln_catalog_wants_list (const LnCatalog *catalog, LbTime now)
 {
-  return !catalog->is_used || lc_catalog_wants_list (catalog->catalog, now);
+  return !catalog->is_used || lc_catalog_needs_listing (catalog->catalog, now);
 }
 
 bool
@@ -527,7 +527,7 @@
 LbTime
 ln_catalog_period (const LnCatalog *catalog)
 {
-  return lc_catalog_period (catalog->catalog);
+  return lc_catalog_publish_period (catalog->catalog);
 }
 
 bool
@@ -539,5 +539,5 @@
 const char *
 ln_catalog_publisher (const LnCatalog *catalog)
 {
-  return lc_catalog_publisher (catalog->catalog);
+  return lc_catalog_publisher_name (catalog->catalog);
 }
--- a/packages/node/src/membership/ln-fleet-lists.c
+++ b/packages/node/src/membership/ln-fleet-lists.c
@@ -86,7 +86,7 @@
     snprintf (key, LN_FLEET_KEY_SIZE, "%s%s", duty_prefixes[0], row->name);
   else
     snprintf (key, LN_FLEET_KEY_SIZE, "%s%018lld-%s", all_prefixes[hash % N_PARTS],
-              (long long)lc_duty_order (TABLE, &candidate), row->name);
+              (long long)lc_duty_sort_key (TABLE, &candidate), row->name);
 }
 
 static bool
@@ -167,7 +167,7 @@
     {
       const LcFleetRow *row = ln_row_cache_read (listing->rows, &rows[i], &error);
       if (row)
-        lc_fleet_add (listing->fleet, row, rows[i].version, now);
+        lc_fleet_add_row (listing->fleet, row, rows[i].version, now);
       else
         lb_log (LB_LOG_WARNING, "instance_row_unreadable", LB_TEXT ("key", rows[i].key));
     }
@@ -179,7 +179,7 @@
   size_t most = lc_fleet_count (lists->all.fleet) + lc_fleet_count (lists->on_duty.fleet);
 
   lists->members = lb_realloc (lists->members, (most + 1) * sizeof *lists->members);
-  lists->n_members = lc_fleet_join (lists->all.fleet, lists->on_duty.fleet, lists->members);
+  lists->n_members = lc_fleet_merge (lists->all.fleet, lists->on_duty.fleet, lists->members);
 }
 
 static void
@@ -222,7 +222,7 @@
   for (size_t i = 0; i < lc_fleet_count (listing->fleet); i++)
     {
       const LcFleetMember *member = lc_fleet_at (listing->fleet, i);
-      if (member->alive || now - member->renewed_at < wait)
+      if (member->alive || now - member->version_seen_at < wait)
         continue;
       remove_row (listing->lists, member);
       return;
@@ -238,8 +238,8 @@
   Listing *listing = user;
   LbTime now = lb_clock_monotonic ();
   const LpPlatform *platform = listing->lists->platform;
-  const LcFleetList list = { .at = now,
-                             .took = now - listing->asked_at,
+  const LcFleetList list = { .received_at = now,
+                             .round_trip = now - listing->asked_at,
                              .store_ms = lp_platform_store_ms (platform),
                              .period = period_of (listing) };
 
@@ -251,7 +251,7 @@
     return;
   if (!listing->begun)
     {
-      lc_fleet_begin (listing->fleet, &list);
+      lc_fleet_begin_list (listing->fleet, &list);
       ln_row_cache_begin (listing->rows);
     }
   listing->begun = true;
@@ -259,7 +259,7 @@
   if (listing->waiting > 0)
     return;
   ln_row_cache_end (listing->rows);
-  bool changed = lc_fleet_end (listing->fleet, now);
+  bool changed = lc_fleet_finish_list (listing->fleet, now);
   if (listing == &listing->lists->all)
     remove_dead (listing, now);
   if (listing->lists->followed)
--- a/packages/node/src/membership/ln-members.c
+++ b/packages/node/src/membership/ln-members.c
@@ -36,11 +36,11 @@
 {
   LcMembershipTotals totals = lc_membership_totals (membership);
 
-  lb_metric_add (&silent_connections, totals.silent_connections - counted->silent_connections);
+  lb_metric_add (&silent_connections, totals.connection_timeouts - counted->connection_timeouts);
   lb_metric_add (&suspected, totals.suspected - counted->suspected);
-  lb_metric_add (&condemned, totals.condemned - counted->condemned);
+  lb_metric_add (&condemned, totals.declared_dead - counted->declared_dead);
   lb_metric_add (&refuted, totals.refuted - counted->refuted);
-  lb_metric_add (&pauses, totals.pauses - counted->pauses);
+  lb_metric_add (&pauses, totals.own_pauses - counted->own_pauses);
   lb_metric_add (&name_conflicts, totals.name_conflicts - counted->name_conflicts);
   *counted = totals;
 }
@@ -101,7 +101,7 @@
 
   message.base.clear = members_clear;
   message.members = LB_NEW_ARRAY (LnMember, n_views);
-  lc_membership_view (membership, views);
+  lc_membership_copy_views (membership, views);
   for (size_t i = 0; i < n_views; i++)
     {
       if (views[i].instance.state == LC_INSTANCE_DEAD)
--- a/packages/node/src/membership/ln-peers-actions.c
+++ b/packages/node/src/membership/ln-peers-actions.c
@@ -19,7 +19,8 @@
   if (connection)
     ln_peers_add_connection (peers, connection, action->link);
   else
-    lc_membership_closed (peers->membership, action->link, lb_clock_monotonic (), &peers->actions);
+    lc_membership_link_closed (peers->membership, action->link, lb_clock_monotonic (),
+                               &peers->actions);
 }
 
 static void
@@ -43,17 +44,17 @@
 send_as_ordered (LnPeers *peers, const LcMembershipAction *action)
 {
   static const LwMessageType types[] = { [LC_MEMBERSHIP_PING] = LW_PING,
-                                         [LC_MEMBERSHIP_SPREAD] = LW_INSTANCES,
-                                         [LC_MEMBERSHIP_TELL] = LW_INSTANCES,
+                                         [LC_MEMBERSHIP_BROADCAST] = LW_INSTANCES,
+                                         [LC_MEMBERSHIP_SEND] = LW_INSTANCES,
                                          [LC_MEMBERSHIP_COMPARE] = LW_COMPARE };
   LwMessage message = { .type = types[action->type],
                         .digest = action->digest,
                         .instances = action->instances,
                         .n_instances = action->n_instances,
-                        .answer = action->answer };
+                        .answer = action->is_reply };
 
   LnPeerConnection *connection = ln_peers_find_connection (peers, action->link);
-  if (action->type == LC_MEMBERSHIP_SPREAD)
+  if (action->type == LC_MEMBERSHIP_BROADCAST)
     ln_peers_send_to_all (peers, &message, action->link);
   else if (connection)
     ln_peers_send_message (peers, connection, &message);
@@ -71,8 +72,8 @@
       close_as_ordered (peers, action);
       break;
     case LC_MEMBERSHIP_PING:
-    case LC_MEMBERSHIP_SPREAD:
-    case LC_MEMBERSHIP_TELL:
+    case LC_MEMBERSHIP_BROADCAST:
+    case LC_MEMBERSHIP_SEND:
     case LC_MEMBERSHIP_COMPARE:
       send_as_ordered (peers, action);
       break;
--- a/packages/node/src/membership/ln-peers-connections.c
+++ b/packages/node/src/membership/ln-peers-connections.c
@@ -54,5 +54,5 @@
 void
 ln_peers_note_sent (const LnPeers *peers, const LnPeerConnection *connection)
 {
-  lc_membership_sent (peers->membership, connection->id, lb_clock_monotonic ());
+  lc_membership_frame_sent (peers->membership, connection->id, lb_clock_monotonic ());
 }
--- a/packages/node/src/membership/ln-peers-frames.c
+++ b/packages/node/src/membership/ln-peers-frames.c
@@ -25,7 +25,7 @@
     return;
   lb_metric_add (&frames_dropped, 1);
   ln_peers_close_connection (peers, connection);
-  lc_membership_closed (peers->membership, id, lb_clock_monotonic (), &peers->actions);
+  lc_membership_link_closed (peers->membership, id, lb_clock_monotonic (), &peers->actions);
 }
 
 void
@@ -45,15 +45,15 @@
 void
 ln_peers_send_to_all (LnPeers *peers, const LwMessage *message, LcLinkId except)
 {
-  const char *except_name = lc_membership_link_name (peers->membership, except);
+  const char *except_name = lc_membership_link_peer_name (peers->membership, except);
   size_t length;
   uint8_t *frame = lw_message_encode (message, &length);
 
   LB_LIST_FOREACH (&peers->connections, LnPeerConnection, link, connection)
   {
-    const char *name = lc_membership_link_name (peers->membership, connection->id);
+    const char *name = lc_membership_link_peer_name (peers->membership, connection->id);
     if (name && (!except_name || strcmp (name, except_name) != 0)
-        && lc_membership_link_to (peers->membership, name) == connection->id)
+        && lc_membership_find_link (peers->membership, name) == connection->id)
       {
         ln_peers_note_sent (peers, connection);
         send_frame (peers, connection, frame, length);
@@ -129,10 +129,11 @@
 static void
 send_to_one (LnPeers *peers, const char *name, const LwMessage *data, LbTime now)
 {
-  LcLinkId id = lc_membership_link_to (peers->membership, name);
+  LcLinkId id = lc_membership_find_link (peers->membership, name);
   size_t length;
 
-  if (!lc_membership_want (peers->membership, name, now + KEEP_FOR_FRAMES, now, &peers->actions))
+  if (!lc_membership_keep_connected (peers->membership, name, now + KEEP_FOR_FRAMES, now,
+                                     &peers->actions))
     {
       lb_metric_add (&frames_dropped, 1);
       return;
--- a/packages/node/src/membership/ln-peers-handlers.c
+++ b/packages/node/src/membership/ln-peers-handlers.c
@@ -11,9 +11,9 @@
   LbTime now = lb_clock_monotonic ();
 
   if (connection->id != 0)
-    lc_membership_dialled (peers->membership, connection->id, peer, now, &peers->actions);
+    lc_membership_link_dialled (peers->membership, connection->id, peer, now, &peers->actions);
   else
-    connection->id = lc_membership_accepted (peers->membership, peer, now, &peers->actions);
+    connection->id = lc_membership_link_accepted (peers->membership, peer, now, &peers->actions);
   if (connection->id == 0)
     ln_peers_close_connection (peers, connection);
   else
@@ -31,7 +31,7 @@
   lb_log_error (error->code == LB_ERROR_CLOSED ? LB_LOG_DEBUG : LB_LOG_WARNING,
                 "peer_connection_failed", error);
   ln_peers_close_connection (peers, connection);
-  lc_membership_closed (peers->membership, id, lb_clock_monotonic (), &peers->actions);
+  lc_membership_link_closed (peers->membership, id, lb_clock_monotonic (), &peers->actions);
   ln_peers_carry_out (peers);
 }
 
@@ -59,22 +59,22 @@
   LcLinkId id = connection->id;
   LbTime now = lb_clock_monotonic ();
 
-  lc_membership_heard (peers->membership, id, now);
+  lc_membership_frame_received (peers->membership, id, now);
   switch (message->type)
     {
     case LW_PING:
       answer_ping (peers, connection);
       break;
     case LW_PONG:
-      lc_membership_digest_heard (peers->membership, id, message->digest, now);
+      lc_membership_digest_received (peers->membership, id, message->digest, now);
       break;
     case LW_INSTANCES:
-      lc_membership_told (peers->membership, id, message->instances, message->n_instances, now,
-                          &peers->actions);
+      lc_membership_updates_received (peers->membership, id, message->instances,
+                                      message->n_instances, now, &peers->actions);
       break;
     case LW_COMPARE:
-      lc_membership_compared (peers->membership, id, message->instances, message->n_instances,
-                              message->answer, now, &peers->actions);
+      lc_membership_summary_received (peers->membership, id, message->instances,
+                                      message->n_instances, message->answer, now, &peers->actions);
       break;
     case LW_DATA:
       ln_peers_receive_data (peers, id, message);
--- a/packages/node/src/membership/ln-peers-list.c
+++ b/packages/node/src/membership/ln-peers-list.c
@@ -61,8 +61,8 @@
       LB_COPY (listed[i].peer_address, list->instances[i].peer_address);
       listed[i].leaving = list->instances[i].leaving;
     }
-  lc_membership_listed (peers->membership, listed, list->n_instances, lb_clock_monotonic (),
-                        &peers->actions);
+  lc_membership_apply_platform_list (peers->membership, listed, list->n_instances,
+                                     lb_clock_monotonic (), &peers->actions);
   free (listed);
   take_leaving_endpoints (peers, list);
   ln_peers_carry_out (peers);
--- a/packages/node/src/membership/ln-peers.c
+++ b/packages/node/src/membership/ln-peers.c
@@ -41,11 +41,11 @@
   LcMembershipSettings membership = lc_membership_settings_default ();
 
   membership.self = describe_self (peers->context);
-  membership.seed
+  membership.random_seed
       = XXH64 (peers->context->incarnation, strlen (peers->context->incarnation), settings->seed);
   peers->membership = lc_membership_new (&membership, now);
   for (size_t i = 0; i < settings->cluster.n_seeds; i++)
-    lc_membership_seed (peers->membership, settings->cluster.seeds[i], now);
+    lc_membership_add_seed (peers->membership, settings->cluster.seeds[i], now);
   ln_members_publish (peers->membership, peers->base.hub);
 }
 
--- a/packages/node/src/rollout/ln-pool-holder.c
+++ b/packages/node/src/rollout/ln-pool-holder.c
@@ -186,7 +186,7 @@
   if (!holder)
     return;
   lb_list_init (&actions);
-  lc_lease_was_written (holder->lease, error, now, &actions);
+  lc_lease_write_completed (holder->lease, error, now, &actions);
   carry_out_lease (holder, &actions);
   if (error == LB_OK && lc_lease_row (holder->lease)->released)
     ln_pool_holders_tell_free (holder->task, holder->pool);
@@ -357,7 +357,7 @@
   lb_log (LB_LOG_WARNING, "weights_order_failed", LB_TEXT ("endpoint", engine->name),
           LB_TEXT ("error", lb_error_name (code)), LB_INT ("status", result->status));
   if (code == LB_ERROR_STALE_FENCE)
-    lc_lease_hint (holder->lease, now);
+    lc_lease_read_soon (holder->lease, now);
 }
 
 static void
@@ -394,8 +394,8 @@
   bool ready = lc_config_is_ready (holder->task->config);
 
   lb_list_init (&actions);
-  lc_weights_tick (holder->weights, ready && lc_lease_may_order (holder->lease, false, now),
-                   ready && lc_lease_may_order (holder->lease, true, now), now, &actions);
+  lc_weights_tick (holder->weights, ready && lc_lease_can_order (holder->lease, false, now),
+                   ready && lc_lease_can_order (holder->lease, true, now), now, &actions);
   while ((link = lb_list_pop (&actions)))
     {
       LcWeightsAction *action = LB_CONTAINER (link, LcWeightsAction, link);
--- a/packages/node/src/rollout/ln-pool-holders.c
+++ b/packages/node/src/rollout/ln-pool-holders.c
@@ -292,7 +292,7 @@
     {
       LnPoolHolder *holder = find_pool (task, lb_json_text (message, "pool", ""));
       if (holder)
-        lc_lease_hint (holder->lease, now);
+        lc_lease_read_soon (holder->lease, now);
     }
   else
     return false;
