--- a/packages/cli/src/lt-cost.c
+++ b/packages/cli/src/lt-cost.c
@@ -242,8 +242,8 @@
       if (lc_dispatch_piece (step->dispatch, send->request, send->attempt, &piece, step->now,
                              &step->actions)
           == LC_PIECE_FORWARD)
-        lc_rollouts_piece (step->rollouts, send->request, &piece, send->endpoint, step->now,
-                           &step->rollout_actions);
+        lc_rollouts_add_piece (step->rollouts, send->request, &piece, send->endpoint, step->now,
+                               &step->rollout_actions);
     }
   lc_dispatch_ended (step->dispatch, send->request, send->attempt, LC_END_WHOLE, step->now,
                      &step->actions);
@@ -259,8 +259,8 @@
     }
   else if (action->type == LC_ACTION_FINISH)
     {
-      lc_rollouts_finished (step->rollouts, action->request, action->error, lb_strdup ("text"),
-                            step->now, &step->rollout_actions);
+      lc_rollouts_finish_generation (step->rollouts, action->request, action->error,
+                                     lb_strdup ("text"), step->now, &step->rollout_actions);
     }
 }
 
@@ -276,14 +276,14 @@
       lc_dispatch_submit (step->dispatch, &action->spec, step->now, &step->actions, &retry_after,
                           &error);
       break;
-    case LC_ROLLOUT_ABANDON:
+    case LC_ROLLOUT_CANCEL:
       lc_dispatch_cancel (step->dispatch, action->spec.id, step->now, &step->actions);
       break;
-    case LC_ROLLOUT_LEDGER:
+    case LC_ROLLOUT_WRITE_LEDGER:
       step->n_ledger++;
       step->ledger_bytes = strlen (action->row_value);
-      lc_rollouts_ledger_done (step->rollouts, action->write, LB_OK, step->now,
-                               &step->rollout_actions);
+      lc_rollouts_finish_ledger_write (step->rollouts, action->write_id, LB_OK, step->now,
+                                       &step->rollout_actions);
       break;
     case LC_ROLLOUT_REPLY:
       step->n_samples += action->n_samples;
@@ -325,7 +325,7 @@
 {
   LB_COPY (spec->subscription, "trainer");
   spec->step = 1;
-  spec->version = 3;
+  spec->trainer_version = 3;
   spec->n_groups = STEP_GROUPS;
   spec->groups = LB_NEW_ARRAY (LcGroupSpec, STEP_GROUPS);
   for (size_t i = 0; i < STEP_GROUPS; i++)
@@ -345,7 +345,7 @@
                     .subscription = "trainer",
                     .step = 1,
                     .cursor = cursor,
-                    .version = 3,
+                    .trainer_version = 3,
                     .max_samples = 64,
                     .wait_until = step->now + LB_SEC };
 
@@ -396,7 +396,7 @@
   fill_step (&spec);
   double before = held_bytes ();
   LbTime begun = lb_clock_monotonic ();
-  lc_rollouts_open (step.rollouts, &spec, 1, step.now, &step.rollout_actions, &error);
+  lc_rollouts_open_step (step.rollouts, &spec, 1, step.now, &step.rollout_actions, &error);
   double memory = held_bytes () - before;
   pump (&step);
   for (uint64_t i = 1; step.n_samples < slots && i < 10000; i++)
--- a/packages/core/bench/bench-dispatch.c
+++ b/packages/core/bench/bench-dispatch.c
@@ -242,7 +242,7 @@
 {
   LcTicketLimits limits = { .lifetime = 600 * LB_SEC,
                             .max_tickets = N_REQUESTS,
-                            .max_kept_size = N_REQUESTS * 200,
+                            .max_answer_bytes = N_REQUESTS * 200,
                             .seed = 1 };
   LcTickets *tickets = lc_tickets_new ("i1", "a", &limits);
   char text[LC_TICKET_SIZE];
@@ -253,7 +253,7 @@
   for (LcRequestId id = 1; id <= N_REQUESTS; id++)
     {
       lc_tickets_issue (tickets, "shop", 0, text, NULL);
-      lc_tickets_use (tickets, text, "shop", 1, id, 0);
+      lc_tickets_redeem (tickets, text, "shop", 1, id, 0);
       lc_tickets_finish (tickets, id, LB_OK, 200, kept, sizeof kept, 0);
     }
 
--- a/packages/core/include/lc-rollouts.h
+++ b/packages/core/include/lc-rollouts.h
@@ -18,7 +18,7 @@
 {
   LbName subscription;
   int64_t step;
-  LcVersion version; /* the trainer's own when it asked */
+  LcVersion trainer_version; /* the trainer's own when it asked */
   LcGroupSpec *groups;
   size_t n_groups;
 } LcStepSpec;
@@ -34,16 +34,16 @@
   const LcLabel *label;
   bool has_score;
   double score;
-} LcDelivered;
+} LcReadySample;
 
 /* What an earlier owner of a step left. */
 typedef struct
 {
-  uint64_t session;           /* of the new owner */
-  const char *ledger;         /* value of the last ledger row; "": there is none */
-  const LcDelivered *samples; /* that were ready and that the trainer may not have */
+  uint64_t session;             /* of the new owner */
+  const char *ledger_cursor;    /* value of the last ledger row; "": there is none */
+  const LcReadySample *samples; /* that were ready and that the trainer may not have */
   size_t n_samples;
-} LcRecovery;
+} LcStepHandover;
 
 /* A pull: cursor is the text of the last reply ("" at the start of a step). */
 typedef struct
@@ -52,22 +52,22 @@
   LbName subscription;
   int64_t step;
   const char *cursor;
-  LcVersion version; /* what the trainer trains now: staleness is judged against it */
+  LcVersion trainer_version; /* what the trainer trains now: staleness is judged against it */
   int64_t max_samples;
   LbTime wait_until;
 } LcPull;
 
 typedef enum
 {
-  LC_ROLLOUT_GENERATE, /* submit to the dispatch a sample: request, spec, prompt, resume_text */
-  LC_ROLLOUT_ABANDON,  /* cancel a request of an earlier GENERATE or SCORE */
-  LC_ROLLOUT_SCORE,    /* ask the scorer about a sample */
-  LC_ROLLOUT_LEDGER,   /* write a batched row under its condition */
-  LC_ROLLOUT_REPLY,    /* answer a pull */
-  /* Stop a request of an earlier GENERATE and report it with lc_rollouts_finished and
+  LC_ROLLOUT_GENERATE,     /* submit to the dispatch a sample: request, spec, prompt, resume_text */
+  LC_ROLLOUT_CANCEL,       /* cancel a request of an earlier GENERATE or SCORE */
+  LC_ROLLOUT_SCORE,        /* ask the scorer about a sample */
+  LC_ROLLOUT_WRITE_LEDGER, /* write a batched row under its condition */
+  LC_ROLLOUT_REPLY,        /* answer a pull */
+  /* Stop a request of an earlier GENERATE and report it with lc_rollouts_finish_generation and
    * LB_ERROR_CLOSED, with the text of exactly those pieces that were reported: another request goes
    * on from there. */
-  LC_ROLLOUT_RECALL
+  LC_ROLLOUT_PREEMPT
 } LcRolloutActionType;
 
 typedef struct
@@ -84,15 +84,15 @@
   LbName scorer;
   const char *text; /* SCORE: the sample */
   /* LEDGER */
-  uint64_t write; /* names the write for lc_rollouts_ledger_done */
-  char *row_key;  /* owned */
+  uint64_t write_id; /* names the write for lc_rollouts_finish_ledger_write */
+  char *row_key;     /* owned */
   char *row_value;
   uint64_t session;
   /* REPLY */
-  uint64_t pull;
+  uint64_t pull_id;
   LbError error; /* code LB_OK: a chunk */
   LbTime retry_after;
-  LcDelivered *samples; /* owned array */
+  LcReadySample *samples; /* owned array */
   size_t n_samples;
   char *cursor;      /* owned */
   int64_t remaining; /* slots not delivered after this chunk */
@@ -112,8 +112,8 @@
   int64_t wasted_tokens;
   double staleness_sum;
   int64_t staleness_max;
-  LbTime opened;
-  LbTime completed; /* 0: not yet */
+  LbTime opened_at;
+  LbTime completed_at; /* 0: not yet */
 } LcStepStatus;
 
 typedef struct
@@ -146,86 +146,86 @@
 lc_rollouts_configure (LcRollouts *rollouts, const LcResourceSet *set, LbTime now, LbList *actions);
 /* Takes over the spec's content. The same step again with the same content is accepted and changes
  * nothing; with other content it is a conflict. session is larger for each later owner. */
-bool lc_rollouts_open (LcRollouts *rollouts,
-                       LcStepSpec *spec,
-                       uint64_t session,
-                       LbTime now,
-                       LbList *actions,
-                       LbError *error);
-/* Opens a step that an earlier owner began. Slots that the ledger names, or for which a sample is
- * given, are not generated again. */
-bool lc_rollouts_take_over (LcRollouts *rollouts,
+bool lc_rollouts_open_step (LcRollouts *rollouts,
                             LcStepSpec *spec,
-                            const LcRecovery *recovery,
+                            uint64_t session,
                             LbTime now,
                             LbList *actions,
                             LbError *error);
+/* Opens a step that an earlier owner began. Slots that the ledger names, or for which a sample is
+ * given, are not generated again. */
+bool lc_rollouts_take_over_step (LcRollouts *rollouts,
+                                 LcStepSpec *spec,
+                                 const LcStepHandover *recovery,
+                                 LbTime now,
+                                 LbList *actions,
+                                 LbError *error);
 /* The same for an owner that left no samples. */
-bool lc_rollouts_recover (LcRollouts *rollouts,
-                          LcStepSpec *spec,
-                          uint64_t session,
-                          const char *ledger,
-                          LbTime now,
-                          LbList *actions,
-                          LbError *error);
+bool lc_rollouts_recover_step (LcRollouts *rollouts,
+                               LcStepSpec *spec,
+                               uint64_t session,
+                               const char *ledger,
+                               LbTime now,
+                               LbList *actions,
+                               LbError *error);
 /* The owner was replaced: stops all work of the step and answers its pulls with STALE_SESSION. */
-void lc_rollouts_lose (
+void lc_rollouts_abort_step (
     LcRollouts *rollouts, const char *subscription, int64_t step, LbTime now, LbList *actions);
 void lc_rollouts_pull (LcRollouts *rollouts, const LcPull *pull, LbTime now, LbList *actions);
 /* The trainer's connection is gone; the chunk stays for its repeat. */
-void lc_rollouts_pull_gone (LcRollouts *rollouts, uint64_t pull);
+void lc_rollouts_cancel_pull (LcRollouts *rollouts, uint64_t pull);
 /* Each piece of a sample's generation, in order. */
-void lc_rollouts_piece (LcRollouts *rollouts,
-                        LcRequestId request,
-                        const LcPiece *piece,
-                        const char *endpoint,
-                        LbTime now,
-                        LbList *actions);
+void lc_rollouts_add_piece (LcRollouts *rollouts,
+                            LcRequestId request,
+                            const LcPiece *piece,
+                            const char *endpoint,
+                            LbTime now,
+                            LbList *actions);
 /* The end of a request; text is taken over (the generated text, after any resume_text). */
-void lc_rollouts_finished (LcRollouts *rollouts,
-                           LcRequestId request,
-                           LbErrorCode error,
-                           char *text,
-                           LbTime now,
-                           LbList *actions);
-void lc_rollouts_scored (LcRollouts *rollouts,
-                         LcRequestId request,
-                         LbErrorCode error,
-                         double score,
-                         LbTime now,
-                         LbList *actions);
-void lc_rollouts_ledger_done (
+void lc_rollouts_finish_generation (LcRollouts *rollouts,
+                                    LcRequestId request,
+                                    LbErrorCode error,
+                                    char *text,
+                                    LbTime now,
+                                    LbList *actions);
+void lc_rollouts_finish_scoring (LcRollouts *rollouts,
+                                 LcRequestId request,
+                                 LbErrorCode error,
+                                 double score,
+                                 LbTime now,
+                                 LbList *actions);
+void lc_rollouts_finish_ledger_write (
     LcRollouts *rollouts, uint64_t write, LbErrorCode error, LbTime now, LbList *actions);
 /* What the fleet serves now: newest version and seconds between versions, for prediction. */
-void lc_rollouts_versions (LcRollouts *rollouts,
-                           const char *pool,
-                           LcVersion newest,
-                           LbTime cadence,
-                           LbTime now,
-                           LbList *actions);
+void lc_rollouts_set_versions (LcRollouts *rollouts,
+                               const char *pool,
+                               LcVersion newest,
+                               LbTime cadence,
+                               LbTime now,
+                               LbList *actions);
 void lc_rollouts_drain (LcRollouts *rollouts, LbTime now, LbList *actions);
 void lc_rollouts_tick (LcRollouts *rollouts, LbTime now, LbList *actions);
 void lc_rollout_action_free (LcRolloutAction *action);
 
 /* queries */
 /* Whether the resources have a subscription of this name. */
-bool lc_rollouts_declares (const LcRollouts *rollouts, const char *subscription);
+bool lc_rollouts_has_subscription (const LcRollouts *rollouts, const char *subscription);
 /* Whether the step's content and subscription are such that it could be opened here. */
-bool lc_rollouts_may_open (const LcRollouts *rollouts, const LcStepSpec *spec, LbError *error);
+bool lc_rollouts_can_open_step (const LcRollouts *rollouts, const LcStepSpec *spec, LbError *error);
 LbTime lc_rollouts_next_tick (const LcRollouts *rollouts);
-bool lc_rollouts_status (const LcRollouts *rollouts,
-                         const char *subscription,
-                         int64_t step,
-                         LcStepStatus *status);
-/* The step's samples that its trainer has not acknowledged, to be given to the next owner. The
- * array is the caller's, what it points to is valid until the next command. */
-size_t lc_rollouts_ready_samples (const LcRollouts *rollouts,
+bool lc_rollouts_get_step_status (const LcRollouts *rollouts,
                                   const char *subscription,
                                   int64_t step,
-                                  LcDelivered **samples);
+                                  LcStepStatus *status);
+/* The step's samples that its trainer has not acknowledged, to be given to the next owner. The
+ * array is the caller's, what it points to is valid until the next command. */
+size_t lc_rollouts_list_unacknowledged (const LcRollouts *rollouts,
+                                        const char *subscription,
+                                        int64_t step,
+                                        LcReadySample **samples);
 /* True for a running request that asks a scorer. */
 bool lc_rollouts_is_scoring (const LcRollouts *rollouts, LcRequestId request);
-size_t lc_rollouts_in_progress (const LcRollouts *rollouts);
+size_t lc_rollouts_count_in_progress (const LcRollouts *rollouts);
 /* Times that a delivery was refused because it would have broken a promise; 0 in a sound program.
  */
 int64_t lc_rollouts_invariant_failures (const LcRollouts *rollouts);
--- a/packages/core/include/lc-ticket.h
+++ b/packages/core/include/lc-ticket.h
@@ -12,24 +12,24 @@
 
 typedef struct
 {
-  LbTime lifetime;      /* of an unused ticket, and of an answer after it came */
-  size_t max_tickets;   /* unused, in progress and answered together */
-  size_t max_kept_size; /* bytes of all kept answers; the oldest give way */
+  LbTime lifetime;         /* of an unused ticket, and of an answer after it came */
+  size_t max_tickets;      /* unused, in progress and answered together */
+  size_t max_answer_bytes; /* bytes of all kept answers; the oldest give way */
   uint64_t seed;
 } LcTicketLimits;
 
 typedef enum
 {
-  LC_TICKET_START,     /* run the call now; this was said to nobody else */
-  LC_TICKET_JOIN,      /* the call is in progress as `request`: wait for its answer */
-  LC_TICKET_KEPT,      /* the answer is in `answer` */
-  LC_TICKET_ELSEWHERE, /* relay to `instance`, which alone may run it */
-  LC_TICKET_REFUSED    /* `error` says why */
-} LcTicketUse;
+  LC_TICKET_RUN,    /* run the call now; this was said to nobody else */
+  LC_TICKET_JOIN,   /* the call is in progress as `request`: wait for its answer */
+  LC_TICKET_REPLAY, /* the answer is in `answer` */
+  LC_TICKET_RELAY,  /* relay to `instance`, which alone may run it */
+  LC_TICKET_REJECT  /* `error` says why */
+} LcTicketAction;
 
 typedef struct
 {
-  LcTicketUse use;
+  LcTicketAction action;
   LcRequestId request;
   int status;         /* HTTP status of the kept answer */
   const char *answer; /* valid until the next command */
@@ -37,7 +37,7 @@
   LbName instance;
   LbName incarnation;
   LbErrorCode error;
-} LcTicketVerdict;
+} LcTicketDecision;
 
 typedef struct LcTickets LcTickets;
 
@@ -48,12 +48,12 @@
 /* commands */
 bool lc_tickets_issue (
     LcTickets *tickets, const char *caller, LbTime now, char text[LC_TICKET_SIZE], LbError *error);
-LcTicketVerdict lc_tickets_use (LcTickets *tickets,
-                                const char *text,
-                                const char *caller,
-                                uint64_t content,
-                                LcRequestId request,
-                                LbTime now);
+LcTicketDecision lc_tickets_redeem (LcTickets *tickets,
+                                    const char *text,
+                                    const char *caller,
+                                    uint64_t content,
+                                    LcRequestId request,
+                                    LbTime now);
 void lc_tickets_finish (LcTickets *tickets,
                         LcRequestId request,
                         LbErrorCode error,
@@ -66,6 +66,6 @@
 /* queries */
 LbTime lc_tickets_next_tick (const LcTickets *tickets);
 size_t lc_tickets_count (const LcTickets *tickets);
-size_t lc_tickets_kept_size (const LcTickets *tickets);
+size_t lc_tickets_answer_bytes (const LcTickets *tickets);
 
 #endif
--- a/packages/core/src/rollout/lc-deliver.c
+++ b/packages/core/src/rollout/lc-deliver.c
@@ -55,7 +55,7 @@
 {
   LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_REPLY);
 
-  action->pull = pull;
+  action->pull_id = pull;
   action->retry_after = retry_after;
   lb_error_set (&action->error, code, "", "%s", detail);
   return action;
@@ -84,9 +84,9 @@
   LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_REPLY);
   const LcChunk *chunk = &step->chunk;
 
-  action->pull = pull->id;
+  action->pull_id = pull->id;
   action->n_samples = chunk->n_slots;
-  action->samples = LB_NEW_ARRAY (LcDelivered, chunk->n_slots);
+  action->samples = LB_NEW_ARRAY (LcReadySample, chunk->n_slots);
   for (size_t i = 0; i < chunk->n_slots; i++)
     action->samples[i] = lc_step_delivered (step, &step->slots[chunk->slots[i]]);
   action->cursor = is_strict (rollouts, step) ? lb_strdup ("")
@@ -101,7 +101,7 @@
   LcCursor *cursor = &step->acked;
 
   cursor->session = step->session;
-  action->pull = pull->id;
+  action->pull_id = pull->id;
   action->cursor
       = is_strict (rollouts, step) ? lb_strdup ("") : lc_cursor_to_text (cursor, step->hash);
   action->remaining = (int64_t)lc_step_unsent (step);
@@ -191,7 +191,7 @@
           LB_INT ("step", step->spec.step), LB_INT ("session", step->session),
           LB_INT ("chunk", step->chunk.cursor.chunk), LB_INT ("samples", step->chunk.n_slots),
           LB_INT ("remaining", lc_step_unsent (step)),
-          LB_INT ("after_ms", (now - step->status.opened) / LB_MSEC));
+          LB_INT ("after_ms", (now - step->status.opened_at) / LB_MSEC));
 }
 
 /* Makes a chunk of what is released and fresh for this pull; false when nothing is. */
@@ -220,8 +220,8 @@
       lc_chunk_clear (&step->chunk);
       return false;
     }
-  if (lc_step_unsent (step) == 0 && step->status.completed == 0)
-    step->status.completed = now;
+  if (lc_step_unsent (step) == 0 && step->status.completed_at == 0)
+    step->status.completed_at = now;
   if (is_strict (rollouts, step))
     step->chunk.change = lc_ledger_want (&step->ledger, true);
   log_chunk (step, now);
@@ -239,7 +239,7 @@
         lc_step_set_state (step, slot, LC_SLOT_READY);
     }
   lc_chunk_clear (&step->chunk);
-  step->status.completed = 0;
+  step->status.completed_at = 0;
 }
 
 /* Serving. */
@@ -378,8 +378,8 @@
   step->acked.session = step->session;
   if (lc_step_unsent (step) == 0)
     step->closed = now;
-  if (lc_step_unsent (step) == 0 && step->status.completed == 0)
-    step->status.completed = now;
+  if (lc_step_unsent (step) == 0 && step->status.completed_at == 0)
+    step->status.completed_at = now;
   lc_ledger_want (&step->ledger, step->closed != 0);
 }
 
@@ -398,7 +398,7 @@
 
   waiting->id = pull->id;
   waiting->max_samples = pull->max_samples > 0 ? pull->max_samples : 1;
-  waiting->version = pull->version;
+  waiting->version = pull->trainer_version;
   waiting->wait_until = pull->wait_until;
   lb_list_append (&step->pulls, &waiting->link);
 }
@@ -427,8 +427,8 @@
     acknowledge (rollouts, step, &cursor, now, actions);
   if (step->chunk.slots && !strict)
     lb_metric_add (&repeated_metric, 1);
-  if (pull->version > step->trainer_version)
-    step->trainer_version = pull->version;
+  if (pull->trainer_version > step->trainer_version)
+    step->trainer_version = pull->trainer_version;
   await (step, pull);
 out:
   lc_cursor_clear (&cursor);
@@ -446,15 +446,15 @@
       || (step->closed && step->ledger.confirmed == step->ledger.wanted))
     return;
 
-  LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_LEDGER);
+  LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_WRITE_LEDGER);
   const LcCursor *cursor = step->chunk.change ? &step->chunk.cursor : &step->acked;
 
-  action->write = ++rollouts->last_write;
+  action->write_id = ++rollouts->last_write;
   action->session = step->session;
   action->row_key
       = lb_asprintf ("ledger/%s/%lld", step->spec.subscription, (long long)step->spec.step);
   action->row_value = lc_cursor_to_text (cursor, step->hash);
-  lc_ledger_start (&step->ledger, action->write, now);
+  lc_ledger_start (&step->ledger, action->write_id, now);
 }
 
 /* While this process was paused another instance may have taken the step over and delivered. The
--- a/packages/core/src/rollout/lc-job.c
+++ b/packages/core/src/rollout/lc-job.c
@@ -58,7 +58,7 @@
 void
 lc_job_abandon (LcRollouts *rollouts, LcJob *job, LbList *actions)
 {
-  LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_ABANDON);
+  LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_CANCEL);
 
   action->spec.id = job->request;
   job->step->status.wasted_tokens += lc_job_made_tokens (job);
--- a/packages/core/src/rollout/lc-label.c
+++ b/packages/core/src/rollout/lc-label.c
@@ -18,16 +18,16 @@
 }
 
 void
-lc_label_add (LcLabel *label, int64_t offset, int64_t tokens, LcVersion version)
+lc_label_add_tokens (LcLabel *label, int64_t offset, int64_t tokens, LcVersion version)
 {
-  lc_label_add_reused (label, offset, tokens, version, 0);
+  lc_label_add_tokens_kv_reused (label, offset, tokens, version, 0);
 }
 
 /* A gap or an overlap means that tokens of two generations would be spliced; a missing version can
  * not be known from anything else. Either shows later as a sample whose label lies, so the label is
  * given up for good: nothing that follows can make it whole again. */
 void
-lc_label_add_reused (
+lc_label_add_tokens_kv_reused (
     LcLabel *label, int64_t offset, int64_t tokens, LcVersion version, LcVersion kv_reused_version)
 {
   LcSpan span = { .version = version, .first = offset, .kv_reused_version = kv_reused_version };
@@ -78,7 +78,7 @@
 
 /* The version that staleness is judged by; 0 for an empty label. */
 LcVersion
-lc_label_oldest (const LcLabel *label)
+lc_label_oldest_version (const LcLabel *label)
 {
   LcVersion oldest = 0;
 
@@ -93,7 +93,7 @@
 int64_t
 lc_label_staleness (const LcLabel *label, LcVersion trainer)
 {
-  int64_t lag = trainer - lc_label_oldest (label);
+  int64_t lag = trainer - lc_label_oldest_version (label);
 
   return lag > 0 ? lag : 0;
 }
--- a/packages/core/src/rollout/lc-result.c
+++ b/packages/core/src/rollout/lc-result.c
@@ -112,13 +112,13 @@
     job->first_piece = now;
   if (elsewhere && piece->tokens > 0 && piece->offset == job->base && lc_job_made_tokens (job) > 0)
     restart_label (job);
-  lc_label_add_reused (&job->label, piece->offset, piece->tokens, piece->version,
-                       piece->kv_reused_version);
+  lc_label_add_tokens_kv_reused (&job->label, piece->offset, piece->tokens, piece->version,
+                                 piece->kv_reused_version);
   job->step->status.tokens += piece->tokens > 0 ? piece->tokens : 0;
   if (!job->label.unlabelled)
     return;
 
-  LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_ABANDON);
+  LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_CANCEL);
   action->spec.id = job->request;
   drop_unlabelled (rollouts, job, now);
 }
@@ -271,7 +271,7 @@
 }
 
 void
-lc_result_take_over (LcRollouts *rollouts, LcStep *step, const LcDelivered *sample)
+lc_result_take_over (LcRollouts *rollouts, LcStep *step, const LcReadySample *sample)
 {
   const LcTrainer *trainer = lc_rollouts_trainer (rollouts, step->spec.subscription);
   LcSlot *slot = lc_step_find_slot (step, sample->group, sample->index);
--- a/packages/core/src/rollout/lc-result.h
+++ b/packages/core/src/rollout/lc-result.h
@@ -17,7 +17,7 @@
 void
 lc_result_scored (LcRollouts *rollouts, LcJob *job, LbErrorCode error, double score, LbTime now);
 /* A sample that an earlier owner of the step had; one without a whole label is left out. */
-void lc_result_take_over (LcRollouts *rollouts, LcStep *step, const LcDelivered *sample);
+void lc_result_take_over (LcRollouts *rollouts, LcStep *step, const LcReadySample *sample);
 /* Throws away what is too old for a trainer at this version, ready or running. */
 void lc_result_discard_stale (
     LcRollouts *rollouts, LcStep *step, LcVersion trainer, int64_t max_lag, LbList *actions);
--- a/packages/core/src/rollout/lc-review.c
+++ b/packages/core/src/rollout/lc-review.c
@@ -86,7 +86,7 @@
 static void
 recall (LcJob *job, LbList *actions)
 {
-  LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_RECALL);
+  LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_PREEMPT);
 
   action->spec.id = job->request;
   job->recalled = true;
--- a/packages/core/src/rollout/lc-rollouts.c
+++ b/packages/core/src/rollout/lc-rollouts.c
@@ -255,12 +255,12 @@
 }
 
 void
-lc_rollouts_versions (LcRollouts *rollouts,
-                      const char *name,
-                      LcVersion newest,
-                      LbTime cadence,
-                      LbTime now,
-                      LbList *actions)
+lc_rollouts_set_versions (LcRollouts *rollouts,
+                          const char *name,
+                          LcVersion newest,
+                          LbTime cadence,
+                          LbTime now,
+                          LbList *actions)
 {
   LcRolloutPool *pool = lc_rollouts_pool (rollouts, name);
 
@@ -289,7 +289,7 @@
 
   if (spec->n_groups == 0)
     return lb_error_set (error, LB_ERROR_BAD_VALUE, "groups", "expected at least one group");
-  if (spec->step < 0 || spec->version < 0)
+  if (spec->step < 0 || spec->trainer_version < 0)
     return lb_error_set (error, LB_ERROR_OUT_OF_RANGE, "step", "expected 0 or more");
   for (size_t i = 0; i < spec->n_groups; i++)
     {
@@ -310,7 +310,7 @@
 }
 
 bool
-lc_rollouts_declares (const LcRollouts *rollouts, const char *subscription)
+lc_rollouts_has_subscription (const LcRollouts *rollouts, const char *subscription)
 {
   const LcTrainer *trainer = lc_rollouts_trainer (rollouts, subscription);
 
@@ -318,9 +318,9 @@
 }
 
 bool
-lc_rollouts_may_open (const LcRollouts *rollouts, const LcStepSpec *spec, LbError *error)
+lc_rollouts_can_open_step (const LcRollouts *rollouts, const LcStepSpec *spec, LbError *error)
 {
-  if (!lc_rollouts_declares (rollouts, spec->subscription))
+  if (!lc_rollouts_has_subscription (rollouts, spec->subscription))
     return lb_error_set (error, LB_ERROR_UNKNOWN_SUBSCRIPTION, spec->subscription,
                          "no subscription of this name is declared");
   if (rollouts->draining)
@@ -337,12 +337,12 @@
 }
 
 bool
-lc_rollouts_take_over (LcRollouts *rollouts,
-                       LcStepSpec *spec,
-                       const LcRecovery *recovery,
-                       LbTime now,
-                       LbList *actions,
-                       LbError *error)
+lc_rollouts_take_over_step (LcRollouts *rollouts,
+                            LcStepSpec *spec,
+                            const LcStepHandover *recovery,
+                            LbTime now,
+                            LbList *actions,
+                            LbError *error)
 {
   LcStep *step = find_step (rollouts, spec->subscription, spec->step);
   LcCursor cursor = { 0 };
@@ -350,10 +350,11 @@
   begin (rollouts, now);
   if (step)
     return is_same (step, spec, error);
-  if (!lc_rollouts_may_open (rollouts, spec, error))
+  if (!lc_rollouts_can_open_step (rollouts, spec, error))
     return false;
   step = lc_step_new (spec, recovery->session, &rollouts->trash, now);
-  bool ok = lc_cursor_from_text (&cursor, recovery->ledger, step->n_slots, step->hash, error);
+  bool ok
+      = lc_cursor_from_text (&cursor, recovery->ledger_cursor, step->n_slots, step->hash, error);
   if (ok)
     {
       lc_deliver_recover (step, &cursor);
@@ -373,32 +374,32 @@
 }
 
 bool
-lc_rollouts_recover (LcRollouts *rollouts,
-                     LcStepSpec *spec,
-                     uint64_t session,
-                     const char *ledger,
-                     LbTime now,
-                     LbList *actions,
-                     LbError *error)
+lc_rollouts_recover_step (LcRollouts *rollouts,
+                          LcStepSpec *spec,
+                          uint64_t session,
+                          const char *ledger,
+                          LbTime now,
+                          LbList *actions,
+                          LbError *error)
 {
-  const LcRecovery recovery = { .session = session, .ledger = ledger };
+  const LcStepHandover recovery = { .session = session, .ledger_cursor = ledger };
 
-  return lc_rollouts_take_over (rollouts, spec, &recovery, now, actions, error);
+  return lc_rollouts_take_over_step (rollouts, spec, &recovery, now, actions, error);
 }
 
 bool
-lc_rollouts_open (LcRollouts *rollouts,
-                  LcStepSpec *spec,
-                  uint64_t session,
-                  LbTime now,
-                  LbList *actions,
-                  LbError *error)
+lc_rollouts_open_step (LcRollouts *rollouts,
+                       LcStepSpec *spec,
+                       uint64_t session,
+                       LbTime now,
+                       LbList *actions,
+                       LbError *error)
 {
-  return lc_rollouts_recover (rollouts, spec, session, "", now, actions, error);
+  return lc_rollouts_recover_step (rollouts, spec, session, "", now, actions, error);
 }
 
 void
-lc_rollouts_lose (
+lc_rollouts_abort_step (
     LcRollouts *rollouts, const char *subscription, int64_t number, LbTime now, LbList *actions)
 {
   LcStep *step = find_step (rollouts, subscription, number);
@@ -423,7 +424,7 @@
   if (!step)
     {
       LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_REPLY);
-      action->pull = pull->id;
+      action->pull_id = pull->id;
       lb_error_set (&action->error, LB_ERROR_UNKNOWN_STEP, "step", "this step is not open here");
       return;
     }
@@ -434,7 +435,7 @@
 }
 
 void
-lc_rollouts_pull_gone (LcRollouts *rollouts, uint64_t id)
+lc_rollouts_cancel_pull (LcRollouts *rollouts, uint64_t id)
 {
   LB_LIST_FOREACH (&rollouts->steps, LcStep, link, step)
   {
@@ -462,12 +463,12 @@
 }
 
 void
-lc_rollouts_piece (LcRollouts *rollouts,
-                   LcRequestId request,
-                   const LcPiece *piece,
-                   const char *endpoint,
-                   LbTime now,
-                   LbList *actions)
+lc_rollouts_add_piece (LcRollouts *rollouts,
+                       LcRequestId request,
+                       const LcPiece *piece,
+                       const char *endpoint,
+                       LbTime now,
+                       LbList *actions)
 {
   LcJob *job = find_job (rollouts, request);
 
@@ -480,12 +481,12 @@
 }
 
 void
-lc_rollouts_finished (LcRollouts *rollouts,
-                      LcRequestId request,
-                      LbErrorCode error,
-                      char *text,
-                      LbTime now,
-                      LbList *actions)
+lc_rollouts_finish_generation (LcRollouts *rollouts,
+                               LcRequestId request,
+                               LbErrorCode error,
+                               char *text,
+                               LbTime now,
+                               LbList *actions)
 {
   LcJob *job = find_job (rollouts, request);
 
@@ -502,12 +503,12 @@
 }
 
 void
-lc_rollouts_scored (LcRollouts *rollouts,
-                    LcRequestId request,
-                    LbErrorCode error,
-                    double score,
-                    LbTime now,
-                    LbList *actions)
+lc_rollouts_finish_scoring (LcRollouts *rollouts,
+                            LcRequestId request,
+                            LbErrorCode error,
+                            double score,
+                            LbTime now,
+                            LbList *actions)
 {
   LcJob *job = find_job (rollouts, request);
 
@@ -531,7 +532,7 @@
 }
 
 void
-lc_rollouts_ledger_done (
+lc_rollouts_finish_ledger_write (
     LcRollouts *rollouts, uint64_t write, LbErrorCode error, LbTime now, LbList *actions)
 {
   LcStep *step = step_of_write (rollouts, write);
@@ -543,7 +544,7 @@
    * trainer may get from there. */
   if (error == LB_ERROR_CONDITION_FAILED || error == LB_ERROR_STALE_SESSION)
     {
-      lc_rollouts_lose (rollouts, step->spec.subscription, step->spec.step, now, actions);
+      lc_rollouts_abort_step (rollouts, step->spec.subscription, step->spec.step, now, actions);
       return;
     }
   lc_ledger_done (&step->ledger, error, gsl_rng_uniform (rollouts->rng), now);
@@ -627,10 +628,10 @@
 /* Queries. */
 
 bool
-lc_rollouts_status (const LcRollouts *rollouts,
-                    const char *subscription,
-                    int64_t number,
-                    LcStepStatus *status)
+lc_rollouts_get_step_status (const LcRollouts *rollouts,
+                             const char *subscription,
+                             int64_t number,
+                             LcStepStatus *status)
 {
   const LcStep *step = find_step (rollouts, subscription, number);
 
@@ -645,15 +646,15 @@
 }
 
 size_t
-lc_rollouts_ready_samples (const LcRollouts *rollouts,
-                           const char *subscription,
-                           int64_t number,
-                           LcDelivered **samples)
+lc_rollouts_list_unacknowledged (const LcRollouts *rollouts,
+                                 const char *subscription,
+                                 int64_t number,
+                                 LcReadySample **samples)
 {
   const LcStep *step = find_step (rollouts, subscription, number);
   size_t n_samples = 0;
 
-  *samples = LB_NEW_ARRAY (LcDelivered, step ? step->n_slots : 0);
+  *samples = LB_NEW_ARRAY (LcReadySample, step ? step->n_slots : 0);
   for (size_t i = 0; step && i < step->n_slots; i++)
     {
       const LcSlot *slot = &step->slots[i];
@@ -674,7 +675,7 @@
 
 /* Requests and pulls that are not answered yet. */
 size_t
-lc_rollouts_in_progress (const LcRollouts *rollouts)
+lc_rollouts_count_in_progress (const LcRollouts *rollouts)
 {
   size_t count = HASH_COUNT (rollouts->jobs);
 
--- a/packages/core/src/rollout/lc-step.c
+++ b/packages/core/src/rollout/lc-step.c
@@ -91,9 +91,9 @@
   step->slots = LB_NEW_ARRAY (LcSlot, step->n_slots);
   step->groups = LB_NEW_ARRAY (LcGroup, step->spec.n_groups);
   step->n_in_state[LC_SLOT_WAITING] = step->n_slots;
-  step->trainer_version = step->spec.version;
+  step->trainer_version = step->spec.trainer_version;
   step->status.slots = (int64_t)step->n_slots;
-  step->status.opened = now;
+  step->status.opened_at = now;
   step->ledger.last = now;
   fill_groups (step);
   lc_cursor_init (&step->acked, step->n_slots);
@@ -177,15 +177,15 @@
   return step->n_slots - step->n_in_state[LC_SLOT_ACKED] - step->n_in_state[LC_SLOT_SENT];
 }
 
-LcDelivered
+LcReadySample
 lc_step_delivered (const LcStep *step, const LcSlot *slot)
 {
-  return (LcDelivered){ .group = lc_step_group_spec (step, slot)->id,
-                        .index = slot->index,
-                        .text = slot->text,
-                        .label = slot->label,
-                        .has_score = slot->has_score,
-                        .score = slot->score };
+  return (LcReadySample){ .group = lc_step_group_spec (step, slot)->id,
+                          .index = slot->index,
+                          .text = slot->text,
+                          .label = slot->label,
+                          .has_score = slot->has_score,
+                          .score = slot->score };
 }
 
 LcSlot *
--- a/packages/core/src/rollout/lc-step.h
+++ b/packages/core/src/rollout/lc-step.h
@@ -127,7 +127,7 @@
 
 /* Queries. */
 size_t lc_step_unsent (const LcStep *step);
-LcDelivered lc_step_delivered (const LcStep *step, const LcSlot *slot);
+LcReadySample lc_step_delivered (const LcStep *step, const LcSlot *slot);
 /* NULL: the step has no such slot. */
 LcSlot *lc_step_find_slot (LcStep *step, const char *group, int64_t index);
 const LcGroupSpec *lc_step_group_spec (const LcStep *step, const LcSlot *slot);
--- a/packages/core/src/rollout/lc-ticket.c
+++ b/packages/core/src/rollout/lc-ticket.c
@@ -146,10 +146,10 @@
   return true;
 }
 
-static LcTicketVerdict
+static LcTicketDecision
 refuse (LbErrorCode error)
 {
-  return (LcTicketVerdict){ .use = LC_TICKET_REFUSED, .error = error };
+  return (LcTicketDecision){ .action = LC_TICKET_REJECT, .error = error };
 }
 
 static bool
@@ -165,7 +165,7 @@
 
 /* Instances may have dots in their names; the two last parts have none. */
 static bool
-parse (const char *text, LcTicketVerdict *verdict, uint64_t *number)
+parse (const char *text, LcTicketDecision *verdict, uint64_t *number)
 {
   char copy[LC_TICKET_SIZE];
 
@@ -199,7 +199,7 @@
                                                      : LB_ERROR_OUTCOME_UNKNOWN;
 }
 
-static LcTicketVerdict
+static LcTicketDecision
 start (LcTickets *tickets, Ticket *ticket, uint64_t content, LcRequestId request)
 {
   lb_list_remove (&tickets->expiring, &ticket->link);
@@ -207,10 +207,10 @@
   ticket->content = content;
   ticket->request = request;
   HASH_ADD (by_request, tickets->running, request, sizeof ticket->request, ticket);
-  return (LcTicketVerdict){ .use = LC_TICKET_START, .request = request };
+  return (LcTicketDecision){ .action = LC_TICKET_RUN, .request = request };
 }
 
-static LcTicketVerdict
+static LcTicketDecision
 use_ticket (LcTickets *tickets, Ticket *ticket, uint64_t content, LcRequestId request)
 {
   if (ticket->state != TICKET_UNUSED && ticket->content != content)
@@ -220,30 +220,30 @@
     case TICKET_UNUSED:
       return start (tickets, ticket, content, request);
     case TICKET_RUNNING:
-      return (LcTicketVerdict){ .use = LC_TICKET_JOIN, .request = ticket->request };
+      return (LcTicketDecision){ .action = LC_TICKET_JOIN, .request = ticket->request };
     case TICKET_ANSWERED:
-      return (LcTicketVerdict){ .use = LC_TICKET_KEPT,
-                                .request = ticket->request,
-                                .status = ticket->status,
-                                .answer = ticket->answer,
-                                .answer_length = ticket->length };
+      return (LcTicketDecision){ .action = LC_TICKET_REPLAY,
+                                 .request = ticket->request,
+                                 .status = ticket->status,
+                                 .answer = ticket->answer,
+                                 .answer_length = ticket->length };
     default:
       return refuse (LB_ERROR_OUTCOME_UNKNOWN);
     }
 }
 
-/* Says what is to be done with a call that carries this ticket. After LC_TICKET_START the call must
+/* Says what is to be done with a call that carries this ticket. After LC_TICKET_RUN the call must
  * be submitted as `request` and its end reported by lc_tickets_finish, whatever that is. content is
  * a hash of the call: the same ticket with another call is LB_ERROR_CONFLICT. */
-LcTicketVerdict
-lc_tickets_use (LcTickets *tickets,
-                const char *text,
-                const char *caller,
-                uint64_t content,
-                LcRequestId request,
-                LbTime now)
+LcTicketDecision
+lc_tickets_redeem (LcTickets *tickets,
+                   const char *text,
+                   const char *caller,
+                   uint64_t content,
+                   LcRequestId request,
+                   LbTime now)
 {
-  LcTicketVerdict verdict = { .use = LC_TICKET_ELSEWHERE };
+  LcTicketDecision verdict = { .action = LC_TICKET_RELAY };
   uint64_t number = 0;
   Ticket *ticket = NULL;
 
@@ -269,7 +269,7 @@
 {
   Ticket *ticket = NULL;
 
-  while (tickets->kept_size + length > tickets->limits.max_kept_size
+  while (tickets->kept_size + length > tickets->limits.max_answer_bytes
          && (ticket = LB_LIST_FIRST (&tickets->kept, Ticket, kept_link)))
     {
       drop_answer (tickets, ticket);
@@ -282,7 +282,7 @@
 {
   make_room (tickets, length);
   ticket->state = TICKET_SPENT;
-  if (tickets->kept_size + length > tickets->limits.max_kept_size)
+  if (tickets->kept_size + length > tickets->limits.max_answer_bytes)
     return;
   ticket->state = TICKET_ANSWERED;
   ticket->status = status;
@@ -343,7 +343,7 @@
 }
 
 size_t
-lc_tickets_kept_size (const LcTickets *tickets)
+lc_tickets_answer_bytes (const LcTickets *tickets)
 {
   return tickets->kept_size;
 }
--- a/packages/core/tests/rollouts-fixture.h
+++ b/packages/core/tests/rollouts-fixture.h
@@ -28,8 +28,8 @@
   bool ledger_silent;       /* writes get no answer */
   char *ledger;             /* the row */
   int n_writes;
-  uint64_t write;    /* the last write */
-  LcDelivered *left; /* samples that an earlier owner left */
+  uint64_t write;      /* the last write */
+  LcReadySample *left; /* samples that an earlier owner left */
   size_t n_left;
   /* the last reply */
   size_t n_replies;
@@ -56,7 +56,7 @@
   owner->cursor = lb_strdup (action->cursor ? action->cursor : "");
   for (size_t i = 0; i < action->n_samples; i++)
     {
-      const LcDelivered *sample = &action->samples[i];
+      const LcReadySample *sample = &action->samples[i];
       snprintf (owner->samples[i], sizeof owner->samples[i], "%s/%d %s", sample->group,
                 (int)sample->index, sample->text);
       owner->labels[i] = *sample->label;
@@ -68,7 +68,7 @@
 {
   LbList more;
 
-  owner->write = action->write;
+  owner->write = action->write_id;
   owner->n_writes++;
   if (owner->ledger_silent)
     return;
@@ -78,7 +78,8 @@
       owner->ledger = lb_strdup (action->row_value);
     }
   lb_list_init (&more);
-  lc_rollouts_ledger_done (owner->rollouts, action->write, owner->ledger_error, owner->now, &more);
+  lc_rollouts_finish_ledger_write (owner->rollouts, action->write_id, owner->ledger_error,
+                                   owner->now, &more);
   owner_take (owner, &more);
 }
 
@@ -107,11 +108,11 @@
           owner->requests[owner->n_requests++] = action->spec;
           owner->n_scores += action->type == LC_ROLLOUT_SCORE;
         }
-      else if (action->type == LC_ROLLOUT_ABANDON)
+      else if (action->type == LC_ROLLOUT_CANCEL)
         owner_take_abandon (owner, action->spec.id);
-      else if (action->type == LC_ROLLOUT_RECALL)
+      else if (action->type == LC_ROLLOUT_PREEMPT)
         owner->last_recalled = action->spec.id;
-      else if (action->type == LC_ROLLOUT_LEDGER)
+      else if (action->type == LC_ROLLOUT_WRITE_LEDGER)
         owner_take_ledger (owner, action);
       else
         owner_take_reply (owner, action);
@@ -192,10 +193,11 @@
 static inline void
 owner_open (Owner *owner, size_t n_groups, int64_t samples, uint64_t session)
 {
-  LcStepSpec spec = { .step = 1, .version = 40, .n_groups = n_groups };
-  LcRecovery recovery = {
-    .session = session, .ledger = owner->ledger, .samples = owner->left, .n_samples = owner->n_left
-  };
+  LcStepSpec spec = { .step = 1, .trainer_version = 40, .n_groups = n_groups };
+  LcStepHandover recovery = { .session = session,
+                              .ledger_cursor = owner->ledger,
+                              .samples = owner->left,
+                              .n_samples = owner->n_left };
   LbError error;
   bool ok = false;
 
@@ -208,8 +210,8 @@
       spec.groups[i].samples = samples;
       spec.groups[i].max_tokens = 1000;
     }
-  OWNER_DO (owner, ok = lc_rollouts_take_over (owner->rollouts, &spec, &recovery, owner->now,
-                                               &actions, &error));
+  OWNER_DO (owner, ok = lc_rollouts_take_over_step (owner->rollouts, &spec, &recovery, owner->now,
+                                                    &actions, &error));
   cr_assert (ok, "%s: %s", error.where, error.detail);
 }
 
@@ -219,7 +221,7 @@
   LcPiece piece = { .offset = offset, .tokens = tokens, .version = version };
 
   OWNER_DO (owner,
-            lc_rollouts_piece (owner->rollouts, request, &piece, "e1", owner->now, &actions));
+            lc_rollouts_add_piece (owner->rollouts, request, &piece, "e1", owner->now, &actions));
 }
 
 static inline void
@@ -229,8 +231,8 @@
 
   owner_take_abandon (owner, request);
   owner->n_abandoned--;
-  OWNER_DO (owner,
-            lc_rollouts_finished (owner->rollouts, request, error, copy, owner->now, &actions));
+  OWNER_DO (owner, lc_rollouts_finish_generation (owner->rollouts, request, error, copy, owner->now,
+                                                  &actions));
 }
 
 /* Whole answers for all requests that run now, made by one version; later starts stay running. */
@@ -257,7 +259,7 @@
   LcPull pull = { .id = id,
                   .step = 1,
                   .cursor = copy,
-                  .version = version,
+                  .trainer_version = version,
                   .max_samples = 64,
                   .wait_until = owner->now + wait };
 
@@ -298,7 +300,7 @@
 {
   LcStepStatus status = { 0 };
 
-  lc_rollouts_status (owner->rollouts, "t", 1, &status);
+  lc_rollouts_get_step_status (owner->rollouts, "t", 1, &status);
   return status;
 }
 
--- a/packages/core/tests/test-label.c
+++ b/packages/core/tests/test-label.c
@@ -9,14 +9,14 @@
   LcLabel label;
 
   lc_label_init (&label);
-  lc_label_add (&label, 0, 7, 40);
-  lc_label_add (&label, 7, 1, 40);
-  lc_label_add (&label, 8, 4, 41);
+  lc_label_add_tokens (&label, 0, 7, 40);
+  lc_label_add_tokens (&label, 7, 1, 40);
+  lc_label_add_tokens (&label, 8, 4, 41);
   cr_assert (lc_label_is_complete (&label, 12));
   cr_assert_eq (label.n_spans, 2);
   cr_assert_eq (label.spans[0].count, 8);
   cr_assert_eq (label.spans[1].first, 8);
-  cr_assert_eq (lc_label_oldest (&label), 40);
+  cr_assert_eq (lc_label_oldest_version (&label), 40);
   cr_assert_eq (lc_label_staleness (&label, 42), 2);
   cr_assert_eq (lc_label_staleness (&label, 39), 0);
 }
@@ -35,9 +35,9 @@
     {
       LcLabel label;
       lc_label_init (&label);
-      lc_label_add (&label, 0, 5, 40);
-      lc_label_add (&label, bad[i].offset, bad[i].tokens, bad[i].version);
-      lc_label_add (&label, 5, 1, 40);
+      lc_label_add_tokens (&label, 0, 5, 40);
+      lc_label_add_tokens (&label, bad[i].offset, bad[i].tokens, bad[i].version);
+      lc_label_add_tokens (&label, 5, 1, 40);
       cr_assert (label.unlabelled, "case %zu", i);
       cr_assert_not (lc_label_is_complete (&label, 6), "case %zu", i);
     }
@@ -50,11 +50,11 @@
   LcLabel label;
 
   lc_label_init (&label);
-  lc_label_add_reused (&label, 0, 5, 40, 38);
-  lc_label_add (&label, 5, 5, 40);
+  lc_label_add_tokens_kv_reused (&label, 0, 5, 40, 38);
+  lc_label_add_tokens (&label, 5, 5, 40);
   cr_assert_eq (label.n_spans, 2);
   cr_assert_eq (label.spans[0].kv_reused_version, 38);
-  cr_assert_eq (lc_label_oldest (&label), 38);
+  cr_assert_eq (lc_label_oldest_version (&label), 38);
   cr_assert (lc_label_is_complete (&label, 10));
 }
 
@@ -64,7 +64,7 @@
 
   lc_label_init (&label);
   for (int64_t i = 0; i <= LC_MAX_SPANS; i++)
-    lc_label_add (&label, i, 1, 40 + i);
+    lc_label_add_tokens (&label, i, 1, 40 + i);
   cr_assert (label.unlabelled);
 }
 
@@ -73,6 +73,6 @@
   LcLabel label;
 
   lc_label_init (&label);
-  lc_label_add (&label, 0, 0, 40);
+  lc_label_add_tokens (&label, 0, 0, 40);
   cr_assert_not (lc_label_is_complete (&label, 0));
 }
--- a/packages/core/tests/test-rollouts-fresh.c
+++ b/packages/core/tests/test-rollouts-fresh.c
@@ -85,8 +85,8 @@
 {
   Owner *owner = owner_new (&plain, 1);
 
-  OWNER_DO (owner, lc_rollouts_versions (owner->rollouts, "reader", 42, 90 * LB_SEC, owner->now,
-                                         &actions));
+  OWNER_DO (owner, lc_rollouts_set_versions (owner->rollouts, "reader", 42, 90 * LB_SEC, owner->now,
+                                             &actions));
   owner_open (owner, 1, 1, 1);
   cr_assert_eq (owner->requests[0].min_version, 39);
   owner_piece (owner, owner->requests[0].id, 0, 10, 40);
--- a/packages/core/tests/test-rollouts-once.c
+++ b/packages/core/tests/test-rollouts-once.c
@@ -213,7 +213,7 @@
   OWNER_DO (first, lc_rollouts_drain (first->rollouts, first->now, &actions));
   owner_pull (first, "", 40);
   cr_assert_eq (first->n_samples, 2);
-  second->n_left = lc_rollouts_ready_samples (first->rollouts, "t", 1, &second->left);
+  second->n_left = lc_rollouts_list_unacknowledged (first->rollouts, "t", 1, &second->left);
   cr_assert_eq (second->n_left, 5);
   owner_open (second, 4, 2, 2);
   cr_assert_eq (owner_running (second), 3);
@@ -276,7 +276,7 @@
   owner_pull (second, "", 40);
   owner_pull (first, second->cursor, 40);
   cr_assert_eq (first->reply_error, LB_ERROR_STALE_SESSION);
-  cr_assert_not (lc_rollouts_status (first->rollouts, "t", 1, &(LcStepStatus){ 0 }));
+  cr_assert_not (lc_rollouts_get_step_status (first->rollouts, "t", 1, &(LcStepStatus){ 0 }));
   owner_free (first);
   owner_free (second);
 }
@@ -321,8 +321,8 @@
   owner_pull_id (owner, 1, "", 40, 5 * LB_SEC);
   cr_assert_eq (owner->n_replies, 0);
   owner->ledger_silent = false;
-  OWNER_DO (owner,
-            lc_rollouts_ledger_done (owner->rollouts, owner->write, LB_OK, owner->now, &actions));
+  OWNER_DO (owner, lc_rollouts_finish_ledger_write (owner->rollouts, owner->write, LB_OK,
+                                                    owner->now, &actions));
   cr_assert_eq (owner->n_replies, 1);
   cr_assert_eq (owner->n_samples, 8);
   cr_assert_str_eq (owner->cursor, "");
@@ -356,9 +356,9 @@
   owner_finish_all (owner, 40);
   owner->ledger_silent = true;
   owner_pull_id (owner, 1, "", 40, 5 * LB_SEC);
-  lc_rollouts_pull_gone (owner->rollouts, 1);
-  OWNER_DO (owner,
-            lc_rollouts_ledger_done (owner->rollouts, owner->write, LB_OK, owner->now, &actions));
+  lc_rollouts_cancel_pull (owner->rollouts, 1);
+  OWNER_DO (owner, lc_rollouts_finish_ledger_write (owner->rollouts, owner->write, LB_OK,
+                                                    owner->now, &actions));
   owner_pull (owner, "", 40);
   cr_assert_eq (owner->n_samples, 8);
   owner_free (owner);
--- a/packages/core/tests/test-rollouts.c
+++ b/packages/core/tests/test-rollouts.c
@@ -20,7 +20,7 @@
   cr_assert_eq (owner->reply_error, LB_OK);
   cr_assert_eq (owner->n_samples, 0);
   cr_assert_eq (owner_status (owner).delivered, 8);
-  cr_assert_eq (lc_rollouts_in_progress (owner->rollouts), 0);
+  cr_assert_eq (lc_rollouts_count_in_progress (owner->rollouts), 0);
   owner_free (owner);
 }
 
@@ -58,12 +58,12 @@
   cr_assert_str_eq (owner->requests[1].pool, "judge");
   owner_pull (owner, "", 40);
   cr_assert_eq (owner->n_samples, 0);
-  OWNER_DO (owner, lc_rollouts_scored (owner->rollouts, owner->requests[1].id,
-                                       LB_ERROR_ENDPOINT_FAILED, 0, owner->now, &actions));
+  OWNER_DO (owner, lc_rollouts_finish_scoring (owner->rollouts, owner->requests[1].id,
+                                               LB_ERROR_ENDPOINT_FAILED, 0, owner->now, &actions));
   owner_wait (owner, LB_SEC);
   cr_assert_eq (owner->n_scores, 2);
-  OWNER_DO (owner, lc_rollouts_scored (owner->rollouts, owner->requests[2].id, LB_OK, 0.5,
-                                       owner->now, &actions));
+  OWNER_DO (owner, lc_rollouts_finish_scoring (owner->rollouts, owner->requests[2].id, LB_OK, 0.5,
+                                               owner->now, &actions));
   owner_pull (owner, "", 40);
   cr_assert_eq (owner->n_samples, 1);
   cr_assert_eq (owner->n_requests, 3);
@@ -84,7 +84,7 @@
                         .endpoints = &engine,
                         .n_endpoints = 1 };
   LcGroupSpec group = { .id = "g", .samples = 50, .max_tokens = 10 };
-  LcStepSpec spec = { .subscription = "u", .step = 1, .version = 40, .n_groups = 1 };
+  LcStepSpec spec = { .subscription = "u", .step = 1, .trainer_version = 40, .n_groups = 1 };
   size_t of_second = 0;
 
   LB_COPY (both[0].name, "t");
@@ -96,7 +96,7 @@
   cr_assert_eq (owner_running (owner), 22);
   group.prompt = lb_strdup ("p");
   spec.groups = lb_memdup (&group, sizeof group);
-  OWNER_DO (owner, lc_rollouts_open (owner->rollouts, &spec, 1, owner->now, &actions, NULL));
+  OWNER_DO (owner, lc_rollouts_open_step (owner->rollouts, &spec, 1, owner->now, &actions, NULL));
   for (size_t i = 0; i < 22; i++)
     {
       owner_piece (owner, owner->requests[i].id, 0, 10, 40);
@@ -119,7 +119,7 @@
   owner_piece (owner, owner->requests[0].id, 0, 10, 40);
   OWNER_DO (owner, lc_rollouts_drain (owner->rollouts, owner->now, &actions));
   cr_assert_eq (owner_running (owner), 1);
-  cr_assert_eq (lc_rollouts_in_progress (owner->rollouts), 1);
+  cr_assert_eq (lc_rollouts_count_in_progress (owner->rollouts), 1);
   owner_free (owner);
 }
 
--- a/packages/core/tests/test-ticket.c
+++ b/packages/core/tests/test-ticket.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 static const LcTicketLimits limits
-    = { .lifetime = 600 * LB_SEC, .max_tickets = 100, .max_kept_size = 100, .seed = 1 };
+    = { .lifetime = 600 * LB_SEC, .max_tickets = 100, .max_answer_bytes = 100, .seed = 1 };
 
 static LcTickets *
 new_tickets (const char *incarnation)
@@ -13,10 +13,10 @@
   return lc_tickets_new ("i1.hall-a", incarnation, &limits);
 }
 
-static LcTicketVerdict
+static LcTicketDecision
 use (LcTickets *tickets, const char *text, LcRequestId request, LbTime now)
 {
-  return lc_tickets_use (tickets, text, "shop", 7, request, now);
+  return lc_tickets_redeem (tickets, text, "shop", 7, request, now);
 }
 
 /* A shopper's order times out at the shop, which sends it again with the same ticket while the
@@ -28,17 +28,17 @@
   char text[LC_TICKET_SIZE];
 
   cr_assert (lc_tickets_issue (tickets, "shop", 0, text, NULL));
-  cr_assert_eq (use (tickets, text, 1, 10).use, LC_TICKET_START);
+  cr_assert_eq (use (tickets, text, 1, 10).action, LC_TICKET_RUN);
 
-  LcTicketVerdict second = use (tickets, text, 2, 20);
+  LcTicketDecision second = use (tickets, text, 2, 20);
 
-  cr_assert_eq (second.use, LC_TICKET_JOIN);
+  cr_assert_eq (second.action, LC_TICKET_JOIN);
   cr_assert_eq (second.request, 1);
   lc_tickets_finish (tickets, 1, LB_OK, 200, "do\0e", 4, 30);
 
-  LcTicketVerdict third = use (tickets, text, 3, 40);
+  LcTicketDecision third = use (tickets, text, 3, 40);
 
-  cr_assert_eq (third.use, LC_TICKET_KEPT);
+  cr_assert_eq (third.action, LC_TICKET_REPLAY);
   cr_assert_eq (third.status, 200);
   cr_assert_eq (third.answer_length, 4);
   cr_assert_eq (memcmp (third.answer, "do\0e", 4), 0, "bytes, not text");
@@ -55,11 +55,11 @@
   char text[LC_TICKET_SIZE];
 
   lc_tickets_issue (before, "shop", 0, text, NULL);
-  cr_assert_eq (use (before, text, 1, 10).use, LC_TICKET_START);
+  cr_assert_eq (use (before, text, 1, 10).action, LC_TICKET_RUN);
 
-  LcTicketVerdict verdict = use (after, text, 1, 20);
+  LcTicketDecision verdict = use (after, text, 1, 20);
 
-  cr_assert_eq (verdict.use, LC_TICKET_REFUSED);
+  cr_assert_eq (verdict.action, LC_TICKET_REJECT);
   cr_assert_eq (verdict.error, LB_ERROR_OUTCOME_UNKNOWN);
   cr_assert_not (lb_error_is_not_run (verdict.error));
   lc_tickets_free (before);
@@ -76,9 +76,9 @@
 
   lc_tickets_issue (owner, "shop", 0, text, NULL);
 
-  LcTicketVerdict verdict = use (other, text, 1, 10);
+  LcTicketDecision verdict = use (other, text, 1, 10);
 
-  cr_assert_eq (verdict.use, LC_TICKET_ELSEWHERE);
+  cr_assert_eq (verdict.action, LC_TICKET_RELAY);
   cr_assert_str_eq (verdict.instance, "i1.hall-a");
   cr_assert_str_eq (verdict.incarnation, "a");
   lc_tickets_free (owner);
@@ -93,14 +93,14 @@
   char text[LC_TICKET_SIZE];
 
   lc_tickets_issue (tickets, "shop", 0, text, NULL);
-  cr_assert_eq (use (tickets, text, 1, 10).use, LC_TICKET_START);
+  cr_assert_eq (use (tickets, text, 1, 10).action, LC_TICKET_RUN);
   lc_tickets_finish (tickets, 1, LB_ERROR_OVERLOADED, 0, NULL, 0, 20);
-  cr_assert_eq (use (tickets, text, 2, 30).use, LC_TICKET_START);
+  cr_assert_eq (use (tickets, text, 2, 30).action, LC_TICKET_RUN);
   lc_tickets_finish (tickets, 2, LB_ERROR_OUTCOME_UNKNOWN, 0, NULL, 0, 40);
 
-  LcTicketVerdict verdict = use (tickets, text, 3, 50);
+  LcTicketDecision verdict = use (tickets, text, 3, 50);
 
-  cr_assert_eq (verdict.use, LC_TICKET_REFUSED);
+  cr_assert_eq (verdict.action, LC_TICKET_REJECT);
   cr_assert_eq (verdict.error, LB_ERROR_OUTCOME_UNKNOWN);
   lc_tickets_free (tickets);
 }
@@ -132,10 +132,11 @@
 
   lc_tickets_issue (tickets, "shop", 0, text, NULL);
   use (tickets, text, 1, 10);
-  cr_assert_eq (lc_tickets_use (tickets, text, "thief", 7, 2, 20).error, LB_ERROR_UNKNOWN_TICKET);
-  cr_assert_eq (lc_tickets_use (tickets, text, "shop", 8, 2, 20).error, LB_ERROR_CONFLICT);
+  cr_assert_eq (lc_tickets_redeem (tickets, text, "thief", 7, 2, 20).error,
+                LB_ERROR_UNKNOWN_TICKET);
+  cr_assert_eq (lc_tickets_redeem (tickets, text, "shop", 8, 2, 20).error, LB_ERROR_CONFLICT);
   text[strlen (text) - 1] ^= 1;
-  cr_assert_eq (use (tickets, text, 2, 20).use, LC_TICKET_REFUSED);
+  cr_assert_eq (use (tickets, text, 2, 20).action, LC_TICKET_REJECT);
   cr_assert_eq (use (tickets, "i1.hall-a.a.ffffffff00000000", 2, 20).error,
                 LB_ERROR_UNKNOWN_TICKET);
   cr_assert_eq (use (tickets, "nonsense", 2, 20).error, LB_ERROR_UNKNOWN_TICKET);
@@ -160,10 +161,10 @@
       cr_assert (lc_tickets_issue (tickets, "shop", 0, text, NULL));
       use (tickets, text, id, 0);
       lc_tickets_finish (tickets, id, LB_OK, 200, answer, sizeof answer, 1);
-      cr_assert_leq (lc_tickets_kept_size (tickets), limits.max_kept_size);
+      cr_assert_leq (lc_tickets_answer_bytes (tickets), limits.max_answer_bytes);
     }
   cr_assert_eq (use (tickets, first, 101, 2).error, LB_ERROR_OUTCOME_UNKNOWN);
-  cr_assert_eq (use (tickets, text, 101, 2).use, LC_TICKET_KEPT);
+  cr_assert_eq (use (tickets, text, 101, 2).action, LC_TICKET_REPLAY);
 
   LbError error = { .code = LB_OK };
 
--- a/packages/node/src/calls/ln-calls-take.c
+++ b/packages/node/src/calls/ln-calls-take.c
@@ -94,7 +94,7 @@
 }
 
 static void
-relay (LnCalls *calls, LnCall *call, const char *ticket, const LcTicketVerdict *verdict)
+relay (LnCalls *calls, LnCall *call, const char *ticket, const LcTicketDecision *verdict)
 {
   const LnRelayTarget target = { .instance = verdict->instance,
                                  .incarnation = verdict->incarnation,
@@ -106,7 +106,7 @@
 }
 
 static void
-reply_kept (LnExchange *exchange, const LcTicketVerdict *verdict)
+reply_kept (LnExchange *exchange, const LcTicketDecision *verdict)
 {
   LnAnswer answer;
 
@@ -119,27 +119,27 @@
 static void
 use_ticket (LnCalls *calls, LnCall *call, const char *ticket)
 {
-  LcTicketVerdict verdict
-      = lc_tickets_use (ln_ticket_calls_table (calls->tickets), ticket, call->spec.caller,
-                        content_hash (call->exchange), call->spec.id, lb_clock_monotonic ());
+  LcTicketDecision verdict
+      = lc_tickets_redeem (ln_ticket_calls_table (calls->tickets), ticket, call->spec.caller,
+                           content_hash (call->exchange), call->spec.id, lb_clock_monotonic ());
   LbError error = { 0 };
 
   call->ticketed = true;
-  switch (verdict.use)
+  switch (verdict.action)
     {
-    case LC_TICKET_START:
+    case LC_TICKET_RUN:
       ln_calls_submit (calls, call);
       return;
     case LC_TICKET_JOIN:
       ln_ticket_calls_join (calls->tickets, call->exchange, verdict.request);
       break;
-    case LC_TICKET_KEPT:
+    case LC_TICKET_REPLAY:
       reply_kept (call->exchange, &verdict);
       break;
-    case LC_TICKET_ELSEWHERE:
+    case LC_TICKET_RELAY:
       relay (calls, call, ticket, &verdict);
       break;
-    case LC_TICKET_REFUSED:
+    case LC_TICKET_REJECT:
       lb_error_set (&error, verdict.error, "x-ticket", "the ticket can't be used");
       ln_exchange_reply_error (call->exchange, &error, 0);
       break;
--- a/packages/node/src/calls/ln-ticket-calls.c
+++ b/packages/node/src/calls/ln-ticket-calls.c
@@ -33,7 +33,7 @@
   LnTicketCalls *calls = LB_NEW (LnTicketCalls);
   const LcTicketLimits limits = { .lifetime = TICKET_LIFE,
                                   .max_tickets = MAX_TICKETS,
-                                  .max_kept_size = MAX_KEPT_BYTES,
+                                  .max_answer_bytes = MAX_KEPT_BYTES,
                                   .seed = seed };
 
   calls->table = lc_tickets_new (instance, incarnation, &limits);
--- a/packages/node/src/rollout/ln-rollouts-owners.c
+++ b/packages/node/src/rollout/ln-rollouts-owners.c
@@ -70,7 +70,8 @@
   LB_LIST_FOREACH (&rollouts->held, LnHeldStep, link, held)
   {
     if (held->open && !held->claiming && !held->releasing
-        && !lc_rollouts_status (rollouts->core, held->key.subscription, held->key.step, &status))
+        && !lc_rollouts_get_step_status (rollouts->core, held->key.subscription, held->key.step,
+                                         &status))
       ln_rollouts_free_held (rollouts, held);
   }
 }
@@ -99,7 +100,7 @@
 static void
 fail_absent (LnRollouts *rollouts, LnStepCall *call)
 {
-  if (lc_rollouts_declares (rollouts->core, call->key.subscription))
+  if (lc_rollouts_has_subscription (rollouts->core, call->key.subscription))
     fail_call (rollouts, call, LB_ERROR_UNKNOWN_STEP, "this step was never opened");
   else
     fail_call (rollouts, call, LB_ERROR_UNKNOWN_SUBSCRIPTION,
@@ -129,10 +130,10 @@
 
   lb_list_init (&actions);
   bool ok = ln_step_spec_read (&spec, call->key.subscription, body, length, &error)
-            && lc_rollouts_open (rollouts->core, &spec, held->owner.session, lb_clock_monotonic (),
-                                 &actions, &error);
+            && lc_rollouts_open_step (rollouts->core, &spec, held->owner.session,
+                                      lb_clock_monotonic (), &actions, &error);
   lc_step_spec_clear (&spec);
-  lc_rollouts_status (rollouts->core, call->key.subscription, call->key.step, &status);
+  lc_rollouts_get_step_status (rollouts->core, call->key.subscription, call->key.step, &status);
   if (ok)
     ln_step_call_reply_open (call, status.slots, held->owner.session, held->durable);
   else
@@ -157,7 +158,7 @@
 {
   LcStepStatus status;
 
-  if (lc_rollouts_status (rollouts->core, call->key.subscription, call->key.step, &status))
+  if (lc_rollouts_get_step_status (rollouts->core, call->key.subscription, call->key.step, &status))
     {
       ln_step_call_reply_status (call, &status, held->owner.session);
       ln_rollouts_end_call (rollouts, call);
@@ -273,14 +274,14 @@
 
   lb_list_init (&actions);
   ln_step_samples_read (&samples, stored->samples, stored->samples_length);
-  const LcRecovery recovery = { .session = answer->owner.session,
-                                .ledger = stored->ledger,
-                                .samples = samples.samples,
-                                .n_samples = samples.n_samples };
+  const LcStepHandover recovery = { .session = answer->owner.session,
+                                    .ledger_cursor = stored->ledger,
+                                    .samples = samples.samples,
+                                    .n_samples = samples.n_samples };
   bool ok = ln_step_spec_read (&spec, held->key.subscription, stored->content,
                                stored->content_length, error)
-            && lc_rollouts_take_over (rollouts->core, &spec, &recovery, lb_clock_monotonic (),
-                                      &actions, error);
+            && lc_rollouts_take_over_step (rollouts->core, &spec, &recovery, lb_clock_monotonic (),
+                                           &actions, error);
   lc_step_spec_clear (&spec);
   ln_step_samples_clear (&samples);
   ln_rollouts_run (rollouts, &actions);
@@ -384,8 +385,8 @@
       return;
     }
   lb_list_init (&actions);
-  lc_rollouts_lose (rollouts->core, held->key.subscription, held->key.step, lb_clock_monotonic (),
-                    &actions);
+  lc_rollouts_abort_step (rollouts->core, held->key.subscription, held->key.step,
+                          lb_clock_monotonic (), &actions);
   ln_rollouts_run (rollouts, &actions);
   ln_rollouts_drop_closed (rollouts);
 }
@@ -478,7 +479,8 @@
   LbList actions;
 
   lb_list_init (&actions);
-  lc_rollouts_lose (rollouts->core, key.subscription, key.step, lb_clock_monotonic (), &actions);
+  lc_rollouts_abort_step (rollouts->core, key.subscription, key.step, lb_clock_monotonic (),
+                          &actions);
   ln_rollouts_run (rollouts, &actions);
   ln_rollouts_drop_closed (rollouts);
 }
@@ -507,9 +509,9 @@
 release (LnRollouts *rollouts, LnHeldStep *held)
 {
   Ask *ask = LB_NEW (Ask);
-  LcDelivered *samples = NULL;
-  size_t n_samples = lc_rollouts_ready_samples (rollouts->core, held->key.subscription,
-                                                held->key.step, &samples);
+  LcReadySample *samples = NULL;
+  size_t n_samples = lc_rollouts_list_unacknowledged (rollouts->core, held->key.subscription,
+                                                      held->key.step, &samples);
   struct json_object *json = ln_step_samples_to_json (samples, n_samples, 0);
 
   *ask = (Ask){ .rollouts = rollouts, .key = held->key };
@@ -531,7 +533,7 @@
     LcStepStatus status = { 0 };
     if (!held->open || held->claiming || held->releasing || held->retry_at > now)
       continue;
-    lc_rollouts_status (rollouts->core, held->key.subscription, held->key.step, &status);
+    lc_rollouts_get_step_status (rollouts->core, held->key.subscription, held->key.step, &status);
     if (status.running > 0)
       continue;
     if (held->durable)
--- a/packages/node/src/rollout/ln-rollouts-run.c
+++ b/packages/node/src/rollout/ln-rollouts-run.c
@@ -81,7 +81,7 @@
 {
   LnSampleCancelMessage message = { .base = LN_MESSAGE (LN_SAMPLE_CANCEL),
                                     .request = action->spec.id,
-                                    .keep = action->type == LC_ROLLOUT_RECALL };
+                                    .keep = action->type == LC_ROLLOUT_PREEMPT };
 
   LN_POST (rollouts->task.hub, ln_hub_find (rollouts->task.hub, "calls"), message);
 }
@@ -94,7 +94,8 @@
   LbList actions;
 
   lb_list_init (&actions);
-  lc_rollouts_ledger_done (rollouts->core, write->write, error, lb_clock_monotonic (), &actions);
+  lc_rollouts_finish_ledger_write (rollouts->core, write->write, error, lb_clock_monotonic (),
+                                   &actions);
   free (write);
   ln_rollouts_run (rollouts, &actions);
   ln_rollouts_drop_closed (rollouts);
@@ -121,12 +122,12 @@
 
   if (!held)
     {
-      lc_rollouts_ledger_done (rollouts->core, action->write, LB_ERROR_STORE_AWAY,
-                               lb_clock_monotonic (), actions);
+      lc_rollouts_finish_ledger_write (rollouts->core, action->write_id, LB_ERROR_STORE_AWAY,
+                                       lb_clock_monotonic (), actions);
       return;
     }
   LedgerWrite *write = LB_NEW (LedgerWrite);
-  *write = (LedgerWrite){ .rollouts = rollouts, .write = action->write };
+  *write = (LedgerWrite){ .rollouts = rollouts, .write = action->write_id };
   ln_step_store_write_ledger (rollouts->store, &held->key, &held->owner, action->row_value,
                               on_ledger_written, write);
 }
@@ -143,7 +144,7 @@
 static void
 reply (LnRollouts *rollouts, const LcRolloutAction *action)
 {
-  LnStepCall *call = ln_rollouts_find_call (&rollouts->calls, action->pull);
+  LnStepCall *call = ln_rollouts_find_call (&rollouts->calls, action->pull_id);
 
   if (!call)
     return;
@@ -168,11 +169,11 @@
     case LC_ROLLOUT_SCORE:
       post_sample (rollouts, action);
       break;
-    case LC_ROLLOUT_ABANDON:
-    case LC_ROLLOUT_RECALL:
+    case LC_ROLLOUT_CANCEL:
+    case LC_ROLLOUT_PREEMPT:
       post_cancel (rollouts, action);
       break;
-    case LC_ROLLOUT_LEDGER:
+    case LC_ROLLOUT_WRITE_LEDGER:
       write_ledger (rollouts, action, actions);
       break;
     case LC_ROLLOUT_REPLY:
--- a/packages/node/src/rollout/ln-rollouts.c
+++ b/packages/node/src/rollout/ln-rollouts.c
@@ -94,7 +94,7 @@
 
   if (!call)
     return;
-  lc_rollouts_pull_gone (rollouts->core, call->id);
+  lc_rollouts_cancel_pull (rollouts->core, call->id);
   call->exchange = NULL;
   ln_exchange_end (exchange);
   /* One that waits for its step's owner ends when that is known. */
@@ -129,8 +129,8 @@
   LbList actions;
 
   lb_list_init (&actions);
-  lc_rollouts_versions (rollouts->core, message->pool, message->newest, message->cadence,
-                        lb_clock_monotonic (), &actions);
+  lc_rollouts_set_versions (rollouts->core, message->pool, message->newest, message->cadence,
+                            lb_clock_monotonic (), &actions);
   ln_rollouts_run (rollouts, &actions);
 }
 
@@ -140,8 +140,8 @@
   LbList actions;
 
   lb_list_init (&actions);
-  lc_rollouts_piece (rollouts->core, message->request, &message->piece, message->endpoint,
-                     lb_clock_monotonic (), &actions);
+  lc_rollouts_add_piece (rollouts->core, message->request, &message->piece, message->endpoint,
+                         lb_clock_monotonic (), &actions);
   ln_rollouts_run (rollouts, &actions);
 }
 
@@ -168,8 +168,8 @@
 
   if (error == LB_OK && !read_score (message->text, &score))
     error = LB_ERROR_ENDPOINT_FAILED;
-  lc_rollouts_scored (rollouts->core, message->request, error, score, lb_clock_monotonic (),
-                      actions);
+  lc_rollouts_finish_scoring (rollouts->core, message->request, error, score, lb_clock_monotonic (),
+                              actions);
 }
 
 static void
@@ -181,9 +181,9 @@
   if (lc_rollouts_is_scoring (rollouts->core, message->request))
     take_score (rollouts, message, &actions);
   else
-    lc_rollouts_finished (rollouts->core, message->request, message->error,
-                          message->text ? lb_strdup (message->text) : NULL, lb_clock_monotonic (),
-                          &actions);
+    lc_rollouts_finish_generation (rollouts->core, message->request, message->error,
+                                   message->text ? lb_strdup (message->text) : NULL,
+                                   lb_clock_monotonic (), &actions);
   ln_rollouts_run (rollouts, &actions);
 }
 
@@ -242,7 +242,8 @@
   const LnRollouts *rollouts = (const LnRollouts *)task;
 
   return rollouts->asks == 0 && lb_list_is_empty (&rollouts->held)
-         && lb_list_is_empty (&rollouts->calls) && lc_rollouts_in_progress (rollouts->core) == 0;
+         && lb_list_is_empty (&rollouts->calls)
+         && lc_rollouts_count_in_progress (rollouts->core) == 0;
 }
 
 static void
--- a/packages/node/src/rollout/ln-step-call.c
+++ b/packages/node/src/rollout/ln-step-call.c
@@ -113,13 +113,13 @@
   struct json_object *object = parse_body (body, length, error);
   const char *cursor = "";
   int64_t wait_ms = 0;
-  bool ok
-      = object && read_integer (object, "step", 0, INT64_MAX, true, &call->key.step, error)
-        && read_text (object, "cursor", &cursor, error)
-        && read_integer (object, "weight_version", 0, INT64_MAX, true, &call->pull.version, error)
-        && read_integer (object, "max_samples", 1, MAX_SAMPLES_PER_PULL, false,
-                         &call->pull.max_samples, error)
-        && read_integer (object, "wait_ms", 0, MAX_WAIT_MS, false, &wait_ms, error);
+  bool ok = object && read_integer (object, "step", 0, INT64_MAX, true, &call->key.step, error)
+            && read_text (object, "cursor", &cursor, error)
+            && read_integer (object, "weight_version", 0, INT64_MAX, true,
+                             &call->pull.trainer_version, error)
+            && read_integer (object, "max_samples", 1, MAX_SAMPLES_PER_PULL, false,
+                             &call->pull.max_samples, error)
+            && read_integer (object, "wait_ms", 0, MAX_WAIT_MS, false, &wait_ms, error);
 
   if (ok)
     {
@@ -145,7 +145,7 @@
     return false;
   /* Before anything is written to the store: a claimed step with bad content could not be opened.
    */
-  bool ok = lc_rollouts_may_open (core, &spec, error) || error->code == LB_ERROR_DRAINING;
+  bool ok = lc_rollouts_can_open_step (core, &spec, error) || error->code == LB_ERROR_DRAINING;
   call->key.step = spec.step;
   lc_step_spec_clear (&spec);
   return ok;
@@ -226,7 +226,7 @@
   memset (spec, 0, sizeof *spec);
   LB_COPY (spec->subscription, subscription);
   ok = object && read_integer (object, "step", 0, INT64_MAX, true, &spec->step, error)
-       && read_integer (object, "weight_version", 0, INT64_MAX, true, &spec->version, error)
+       && read_integer (object, "weight_version", 0, INT64_MAX, true, &spec->trainer_version, error)
        && read_groups (object, spec, error);
   if (!ok)
     lc_step_spec_clear (spec);
@@ -283,7 +283,7 @@
   json_object_object_add (object, "done", json_object_new_boolean (action->remaining == 0));
   json_object_object_add (object, "samples",
                           ln_step_samples_to_json (action->samples, action->n_samples,
-                                                   call->pull.version));
+                                                   call->pull.trainer_version));
   reply (call, 200, object);
 }
 
@@ -308,6 +308,6 @@
                           json_object_new_double (
                               status->delivered ? status->staleness_sum / (double)status->delivered
                                                 : 0));
-  json_object_object_add (object, "done", json_object_new_boolean (status->completed != 0));
+  json_object_object_add (object, "done", json_object_new_boolean (status->completed_at != 0));
   reply (call, 200, object);
 }
--- a/packages/node/src/rollout/ln-step-samples.c
+++ b/packages/node/src/rollout/ln-step-samples.c
@@ -29,7 +29,7 @@
 }
 
 static struct json_object *
-sample_object (const LcDelivered *sample, LcVersion trainer)
+sample_object (const LcReadySample *sample, LcVersion trainer)
 {
   struct json_object *object = json_object_new_object ();
   struct json_object *spans = json_object_new_array ();
@@ -48,7 +48,7 @@
 }
 
 struct json_object *
-ln_step_samples_to_json (const LcDelivered *samples, size_t n_samples, LcVersion trainer)
+ln_step_samples_to_json (const LcReadySample *samples, size_t n_samples, LcVersion trainer)
 {
   struct json_object *array = json_object_new_array ();
 
@@ -72,21 +72,22 @@
   for (size_t i = 0; i < n_spans; i++)
     {
       struct json_object *span = json_object_array_get_idx (spans, i);
-      lc_label_add_reused (label, lb_json_int (span, "first", 0), lb_json_int (span, "count", 0),
-                           lb_json_int (span, "version", 0),
-                           lb_json_int (span, "kv_reused_version", 0));
+      lc_label_add_tokens_kv_reused (label, lb_json_int (span, "first", 0),
+                                     lb_json_int (span, "count", 0),
+                                     lb_json_int (span, "version", 0),
+                                     lb_json_int (span, "kv_reused_version", 0));
     }
   return label;
 }
 
 static bool
-read_sample (struct json_object *object, LcDelivered *sample)
+read_sample (struct json_object *object, LcReadySample *sample)
 {
   struct json_object *score = NULL;
 
-  *sample = (LcDelivered){ .group = lb_json_text (object, "group", NULL),
-                           .index = lb_json_int (object, "index", 0),
-                           .text = lb_json_text (object, "text", NULL) };
+  *sample = (LcReadySample){ .group = lb_json_text (object, "group", NULL),
+                             .index = lb_json_int (object, "index", 0),
+                             .text = lb_json_text (object, "text", NULL) };
   sample->has_score = json_object_object_get_ex (object, "score", &score);
   sample->score = sample->has_score ? json_object_get_double (score) : 0;
   if (!sample->group || !sample->text)
@@ -108,7 +109,7 @@
     return;
 
   size_t n = json_object_array_length (samples->json);
-  samples->samples = LB_NEW_ARRAY (LcDelivered, n);
+  samples->samples = LB_NEW_ARRAY (LcReadySample, n);
   for (size_t i = 0; i < n; i++)
     samples->n_samples += read_sample (json_object_array_get_idx (samples->json, i),
                                        &samples->samples[samples->n_samples]);
--- a/packages/node/src/rollout/ln-step-samples.h
+++ b/packages/node/src/rollout/ln-step-samples.h
@@ -9,12 +9,12 @@
 
 /* trainer: the version that staleness is stated against. */
 struct json_object *
-ln_step_samples_to_json (const LcDelivered *samples, size_t n_samples, LcVersion trainer);
+ln_step_samples_to_json (const LcReadySample *samples, size_t n_samples, LcVersion trainer);
 
 /* Samples with memory of their own. */
 typedef struct
 {
-  LcDelivered *samples;
+  LcReadySample *samples;
   size_t n_samples;
   struct json_object *json; /* what the texts point into */
 } LnStepSamples;
--- a/packages/sim/src/lx-instance.c
+++ b/packages/sim/src/lx-instance.c
@@ -510,9 +510,9 @@
       LxAttempt *heard = find_attempt (request, request->heard);
       if (action->error != LB_OK && heard)
         lx_text_copy (&request->text, &heard->text);
-      lc_rollouts_finished (instance->rollouts, request->id, action->error,
-                            lx_text_render (&request->text), now_of (instance),
-                            &instance->rollout_actions);
+      lc_rollouts_finish_generation (instance->rollouts, request->id, action->error,
+                                     lx_text_render (&request->text), now_of (instance),
+                                     &instance->rollout_actions);
     }
   free_request (instance, request);
 }
@@ -607,8 +607,8 @@
   if (submit (instance, &action->spec, add_sample_job (instance, action), NULL, &retry_after,
               &error))
     return;
-  lc_rollouts_finished (instance->rollouts, id, error.code, NULL, now_of (instance),
-                        &instance->rollout_actions);
+  lc_rollouts_finish_generation (instance->rollouts, id, error.code, NULL, now_of (instance),
+                                 &instance->rollout_actions);
 }
 
 static void
@@ -633,8 +633,9 @@
     return;
   if (request->n_attempts > 0)
     lx_text_copy (&request->text, &request->attempts[request->n_attempts - 1].text);
-  lc_rollouts_finished (instance->rollouts, id, LB_ERROR_CLOSED, lx_text_render (&request->text),
-                        now_of (instance), &instance->rollout_actions);
+  lc_rollouts_finish_generation (instance->rollouts, id, LB_ERROR_CLOSED,
+                                 lx_text_render (&request->text), now_of (instance),
+                                 &instance->rollout_actions);
   abandon (instance, id);
 }
 
@@ -649,8 +650,8 @@
 {
   const StoreReply *reply = argument;
 
-  lc_rollouts_ledger_done (instance->rollouts, reply->write, reply->error, now_of (instance),
-                           &instance->rollout_actions);
+  lc_rollouts_finish_ledger_write (instance->rollouts, reply->write, reply->error,
+                                   now_of (instance), &instance->rollout_actions);
   pump (instance);
 }
 
@@ -672,7 +673,7 @@
   StoreReply *reply = LB_NEW (StoreReply);
   LxWriteFate fate = draw_fate (instance->world);
 
-  reply->write = action->write;
+  reply->write = action->write_id;
   reply->error = lx_store_write (&instance->world->store, action->row_key, action->row_value,
                                  action->session, fate);
   lx_instance_post (instance, fate == LX_WRITE_FINE ? STORE_TIME : STORE_DEADLINE, on_store_reply,
@@ -703,9 +704,9 @@
   Taking *taking = argument;
   LbError error = { 0 };
   int64_t step = taking->spec.step;
-  bool opened
-      = lc_rollouts_recover (instance->rollouts, &taking->spec, taking->session, taking->ledger,
-                             now_of (instance), &instance->rollout_actions, &error);
+  bool opened = lc_rollouts_recover_step (instance->rollouts, &taking->spec, taking->session,
+                                          taking->ledger, now_of (instance),
+                                          &instance->rollout_actions, &error);
 
   lx_world_note (instance->world, "%s opens trainer %zu step %" PRId64 " session %" PRIu64 ": %s",
                  instance->name, taking->trainer + 1, step, taking->session,
@@ -727,7 +728,7 @@
       lc_step_spec_clear (spec);
       return;
     }
-  if (lc_rollouts_status (instance->rollouts, spec->subscription, spec->step, &status))
+  if (lc_rollouts_get_step_status (instance->rollouts, spec->subscription, spec->step, &status))
     {
       lx_trainer_opened (&world->trainers[trainer], instance->index, spec->step);
       lc_step_spec_clear (spec);
@@ -768,13 +769,13 @@
     case LC_ROLLOUT_GENERATE:
       generate (instance, action);
       break;
-    case LC_ROLLOUT_ABANDON:
+    case LC_ROLLOUT_CANCEL:
       abandon (instance, action->spec.id);
       break;
-    case LC_ROLLOUT_RECALL:
+    case LC_ROLLOUT_PREEMPT:
       recall (instance, action->spec.id);
       break;
-    case LC_ROLLOUT_LEDGER:
+    case LC_ROLLOUT_WRITE_LEDGER:
       write_ledger (instance, action);
       break;
     case LC_ROLLOUT_REPLY:
@@ -853,7 +854,7 @@
   LxWorld *world = instance->world;
   bool idle = lc_dispatch_in_progress (instance->dispatch) == 0
               && lc_dispatch_waiting (instance->dispatch, LC_KIND_LIVE) == 0
-              && lc_rollouts_in_progress (instance->rollouts) == 0;
+              && lc_rollouts_count_in_progress (instance->rollouts) == 0;
 
   (void)argument;
   if (!idle && now_of (instance) - instance->drained_at < DRAIN_PATIENCE)
@@ -887,8 +888,8 @@
 void
 lx_instance_lose (LxInstance *instance, const char *subscription, int64_t step)
 {
-  lc_rollouts_lose (instance->rollouts, subscription, step, now_of (instance),
-                    &instance->rollout_actions);
+  lc_rollouts_abort_step (instance->rollouts, subscription, step, now_of (instance),
+                          &instance->rollout_actions);
   pump (instance);
 }
 
@@ -935,8 +936,8 @@
     }
   if (piece->last)
     lx_text_copy (&request->text, &attempt->text);
-  lc_rollouts_piece (instance->rollouts, request->id, piece, attempt->engine->name,
-                     now_of (instance), &instance->rollout_actions);
+  lc_rollouts_add_piece (instance->rollouts, request->id, piece, attempt->engine->name,
+                         now_of (instance), &instance->rollout_actions);
 }
 
 static void
@@ -1044,8 +1045,8 @@
 void
 lx_instance_versions (LxInstance *instance, LcVersion newest, LbTime cadence)
 {
-  lc_rollouts_versions (instance->rollouts, instance->world->options.site->pool, newest, cadence,
-                        now_of (instance), &instance->rollout_actions);
+  lc_rollouts_set_versions (instance->rollouts, instance->world->options.site->pool, newest,
+                            cadence, now_of (instance), &instance->rollout_actions);
   pump (instance);
 }
 
--- a/packages/sim/src/lx-ledger.c
+++ b/packages/sim/src/lx-ledger.c
@@ -130,7 +130,7 @@
   int64_t end = span_end < segment_end ? span_end : segment_end;
 
   if (end > first)
-    lc_label_add (label, first, end - first, span->version);
+    lc_label_add_tokens (label, first, end - first, span->version);
 }
 
 void
--- a/packages/sim/src/lx-trainer.c
+++ b/packages/sim/src/lx-trainer.c
@@ -74,8 +74,8 @@
 {
   LxChunk *chunk = LB_NEW (LxChunk);
 
-  chunk->trainer = (size_t)(action->pull >> 40);
-  chunk->pull = action->pull;
+  chunk->trainer = (size_t)(action->pull_id >> 40);
+  chunk->pull = action->pull_id;
   chunk->error = action->error;
   chunk->retry_after = action->retry_after;
   chunk->cursor = lb_strdup (action->cursor ? action->cursor : "");
@@ -114,7 +114,7 @@
 
   LB_COPY (spec->subscription, trainer->name);
   spec->step = trainer->step;
-  spec->version = trainer->opened_version;
+  spec->trainer_version = trainer->opened_version;
   spec->n_groups = (size_t)options->groups;
   spec->groups = LB_NEW_ARRAY (LcGroupSpec, spec->n_groups);
   for (size_t i = 0; i < spec->n_groups; i++)
@@ -222,7 +222,7 @@
   pulling->cursor = lb_strdup (trainer->cursor);
   pulling->pull = (LcPull){ .id = trainer->pull,
                             .step = trainer->step,
-                            .version = trainer->pull_version,
+                            .trainer_version = trainer->pull_version,
                             .max_samples = world->options.groups * world->options.samples,
                             .wait_until = lx_world_now (world) + PULL_WAIT };
   LB_COPY (pulling->pull.subscription, trainer->name);
