--- a/packages/core/include/lc-batch-head.h
+++ b/packages/core/include/lc-batch-head.h
@@ -15,12 +15,12 @@
   LbName incarnation;
   int64_t epoch; /* one more with each owner */
   bool ended;
-  int64_t total; /* items */
+  int64_t n_items;
   LbName model;
-  int64_t tokens; /* that its texts are expected to have */
+  int64_t expected_tokens; /* that its texts are expected to have */
   /* Instance that shall run it, so that one instance runs all batches of a model and keeps its
    * connections to the engines; it takes the batch from the one that accepted it. */
-  LbName preferred;
+  LbName preferred_instance;
   LbName organisation;           /* that it belongs to; empty: to nobody in particular */
   int64_t organisation_priority; /* when it was accepted; larger first */
   LbName host;                   /* of its route */
@@ -31,11 +31,11 @@
 bool lc_batch_head_from_json (struct json_object *object, LcBatchHead *head);
 
 /* The instance that runs the batch, or shall. */
-const char *lc_batch_head_runner (const LcBatchHead *head);
+const char *lc_batch_head_assigned_instance (const LcBatchHead *head);
 /* Whether a's instance rather than b's is where the next batch of their model goes. */
-bool lc_batch_head_is_later (const LcBatchHead *a,
-                             int64_t version_a,
-                             const LcBatchHead *b,
-                             int64_t version_b);
+bool lc_batch_head_is_preferred_over (const LcBatchHead *a,
+                                      int64_t version_a,
+                                      const LcBatchHead *b,
+                                      int64_t version_b);
 
 #endif
--- a/packages/core/include/lc-batch.h
+++ b/packages/core/include/lc-batch.h
@@ -1,7 +1,7 @@
 #ifndef LC_BATCH_H
 #define LC_BATCH_H
 
-#include "lc-carried.h"
+#include "lc-text-cache.h"
 #include "lc-dispatch.h"
 #include "lc-outgoing.h"
 
@@ -19,7 +19,7 @@
   size_t n_prefix_hashes;
   bool has_scorer;
   LcOutgoing scorer;
-} LcItemSpec;
+} LcBatchItemSpec;
 
 typedef struct
 {
@@ -29,7 +29,7 @@
   int64_t step;
   LcVersion min_version; /* older weights may not make any of its text */
   int64_t target_groups; /* whole groups that the trainer waits for */
-  LcItemSpec *items;
+  LcBatchItemSpec *items;
   size_t n_items;
 } LcBatchSpec;
 
@@ -54,26 +54,26 @@
 typedef struct
 {
   const char *item;
-  int64_t run;    /* of the item's texts: one more each time that it was begun anew */
-  int64_t first;  /* events of the text before these */
-  int64_t events; /* in `text`, with a line feed between two */
+  int64_t restarts;    /* of the item's texts: one more each time that it was begun anew */
+  int64_t first_event; /* events of the text before these */
+  int64_t n_events;    /* in `text`, with a line feed between two */
   const char *text;
   const LcVersion *versions; /* of the text up to here */
   size_t n_versions;
-} LcBatchPart;
+} LcBatchTextPart;
 
 typedef enum
 {
-  LC_BATCH_RUN,   /* submit the item to the dispatch under the id `request` */
-  LC_BATCH_SCORE, /* the same for the item's scorer */
-  LC_BATCH_STOP,  /* cancel `request` */
-  /* Stop `request` and report it with lc_batch_ran and LB_ERROR_CLOSED, with the text of exactly
-   * the pieces that were reported: it goes on elsewhere from there. */
-  LC_BATCH_RECALL,
-  LC_BATCH_WRITE, /* write results from `position` on; answer with lc_batch_written */
+  LC_BATCH_GENERATE, /* submit the item to the dispatch under the id `request` */
+  LC_BATCH_SCORE,    /* the same for the item's scorer */
+  LC_BATCH_CANCEL,   /* cancel `request` */
+  /* Stop `request` and report it with lc_batch_finish_generation and LB_ERROR_CLOSED, with the text
+   * of exactly the pieces that were reported: it goes on elsewhere from there. */
+  LC_BATCH_PREEMPT,
+  LC_BATCH_WRITE_RESULTS, /* write results from `position` on; answer with lc_batch_finish_write */
   /* Write what the texts have more than at the last KEEP, for the next owner; answer with
-   * lc_batch_kept. */
-  LC_BATCH_KEEP
+   * lc_batch_finish_checkpoint. */
+  LC_BATCH_CHECKPOINT
 } LcBatchActionType;
 
 typedef struct
@@ -81,18 +81,19 @@
   LbLink link;
   LcBatchActionType type;
   LcRequestId request;
-  size_t item; /* index into the spec's items */
+  size_t item_index; /* index into the spec's items */
   /* RUN */
-  int64_t resume_at;       /* events that the text so far holds */
-  const char *avoid;       /* endpoint that was too slow; "": none; valid until the next command */
-  int64_t expected_events; /* still to come */
-  LbTime wanted_by;        /* by the trainer */
-  LbTime latest_start;     /* so that it is whole when the trainer wants it */
+  int64_t resume_at; /* events that the text so far holds */
+  const char
+      *avoid_endpoint;      /* endpoint that was too slow; "": none; valid until the next command */
+  int64_t remaining_events; /* still to come */
+  LbTime due_at;            /* by the trainer */
+  LbTime latest_start;      /* so that it is whole when the trainer wants it */
   /* KEEP: valid until the next command */
-  LcBatchPart *parts;
+  LcBatchTextPart *parts;
   size_t n_parts;
-  /* WRITE: valid until lc_batch_written */
-  int64_t position;
+  /* WRITE: valid until lc_batch_finish_write */
+  int64_t first_position;
   const LcBatchResult *const *results;
   size_t n_results;
 } LcBatchAction;
@@ -107,16 +108,16 @@
 
 typedef struct
 {
-  LcBatchHistory *history;  /* not owned */
-  LcCarried *carried;       /* not owned; NULL: every text is made anew */
-  int64_t tokens_per_event; /* 0: not known */
-  int64_t attempts;         /* failures of an item at engines after which it is given up */
-  int64_t score_attempts;   /* the same for its scorer */
+  LcBatchHistory *history;    /* not owned */
+  LcTextCache *text_cache;    /* not owned; NULL: every text is made anew */
+  int64_t tokens_per_event;   /* 0: not known */
+  int64_t max_failures;       /* failures of an item at engines after which it is given up */
+  int64_t max_score_failures; /* the same for its scorer */
   bool resumable;
   bool single_version;
-  LbTime due_at;     /* when the trainer wants all of it */
-  LbTime give_up_at; /* what is not done by then is given up; LB_TIME_NEVER: never */
-  LcRequestId (*next_id) (void *user);
+  LbTime due_at;   /* when the trainer wants all of it */
+  LbTime deadline; /* what is not done by then is given up; LB_TIME_NEVER: never */
+  LcRequestId (*next_request_id) (void *user);
   void *user;
 } LcBatchSettings;
 
@@ -128,43 +129,43 @@
 
 /* commands */
 /* An earlier owner listed the item; before lc_batch_start. */
-void lc_batch_was_listed (LcBatch *batch, const char *item);
+void lc_batch_mark_listed (LcBatch *batch, const char *item);
 void lc_batch_start (LcBatch *batch, LbTime now, LbList *actions);
 /* An earlier owner has kept this of the item; before lc_batch_start. The parts of an item come in
  * the order of their run and first event. */
-void lc_batch_restore (LcBatch *batch, const LcBatchPart *part);
+void lc_batch_restore_text_part (LcBatch *batch, const LcBatchTextPart *part);
 /* One event of a running item's text. */
-void lc_batch_piece (LcBatch *batch,
-                     LcRequestId request,
-                     LcVersion version,
-                     const char *endpoint,
-                     const char *text,
-                     LbTime now);
+void lc_batch_add_piece (LcBatch *batch,
+                         LcRequestId request,
+                         LcVersion version,
+                         const char *endpoint,
+                         const char *text,
+                         LbTime now);
 /* The end of a run. */
-void
-lc_batch_ran (LcBatch *batch, LcRequestId request, LbErrorCode error, LbTime now, LbList *actions);
-void lc_batch_scored (LcBatch *batch,
-                      LcRequestId request,
-                      LbErrorCode error,
-                      const char *score,
-                      LbTime now,
-                      LbList *actions);
+void lc_batch_finish_generation (
+    LcBatch *batch, LcRequestId request, LbErrorCode error, LbTime now, LbList *actions);
+void lc_batch_finish_scoring (LcBatch *batch,
+                              LcRequestId request,
+                              LbErrorCode error,
+                              const char *score,
+                              LbTime now,
+                              LbList *actions);
 /* How the last WRITE ended; a failed one is asked again with the same results at the same
  * positions. */
-void lc_batch_written (LcBatch *batch, bool ok, LbTime now, LbList *actions);
+void lc_batch_finish_write (LcBatch *batch, bool ok, LbTime now, LbList *actions);
 void lc_batch_tick (LcBatch *batch, LbTime now, LbList *actions);
 /* Appends a KEEP with what has come since the last one that was kept; none when there is little. */
-void lc_batch_keep (LcBatch *batch, LbTime now, LbList *actions);
+void lc_batch_checkpoint (LcBatch *batch, LbTime now, LbList *actions);
 /* How the last KEEP ended. */
-void lc_batch_kept (LcBatch *batch, bool ok);
+void lc_batch_finish_checkpoint (LcBatch *batch, bool ok);
 /* Ends all work; nothing is written any more. Texts of groups that are not whole are left for the
  * batch that asks for them again. */
 void lc_batch_stop (LcBatch *batch, LbTime now, LbList *actions);
 
 /* queries */
-const LcBatchSpec *lc_batch_spec (const LcBatch *batch);
-int64_t lc_batch_listed (const LcBatch *batch);
+const LcBatchSpec *lc_batch_get_spec (const LcBatch *batch);
+int64_t lc_batch_count_listed (const LcBatch *batch);
 bool lc_batch_is_done (const LcBatch *batch);
-LbTime lc_batch_next_tick (const LcBatch *batch);
+LbTime lc_batch_next_tick_at (const LcBatch *batch);
 
 #endif
--- a/packages/core/include/lc-dispatch.h
+++ b/packages/core/include/lc-dispatch.h
@@ -20,8 +20,8 @@
 
 typedef struct
 {
-  LcRequestId id;    /* chosen by the submitter; never reused in this process */
-  LcContent content; /* what it asks for */
+  LcRequestId id;        /* chosen by the submitter; never reused in this process */
+  LcFingerprint content; /* what it asks for */
   LcRequestKind kind;
   LcDelivery delivery;
   LbName pool;   /* pool, or service name */
--- a/packages/core/src/batch/lc-batch-carry.c
+++ b/packages/core/src/batch/lc-batch-carry.c
@@ -30,7 +30,7 @@
 /* The organisation is part of it: a text of another one's item under the same id is none of its
  * business. */
 static uint64_t
-content_of (const LcBatchSpec *spec, const LcItemSpec *item)
+content_of (const LcBatchSpec *spec, const LcBatchItemSpec *item)
 {
   uint64_t seed = XXH3_64bits (spec->organisation, strlen (spec->organisation));
   uint64_t hash = add_request (seed, &item->request);
@@ -74,31 +74,31 @@
 
 static void
 leave (const LcBatchSpec *spec,
-       const LcItemSpec *wanted,
+       const LcBatchItemSpec *wanted,
        const LcBatchItem *item,
-       LcCarried *carried,
+       LcTextCache *carried,
        LbTime now)
 {
-  LcCarriedText text = { .content = content_of (spec, wanted),
-                         .whole = item->state >= ITEM_GENERATED,
-                         .events = item->events,
-                         .text = item->result.text,
-                         .versions = item->result.versions,
-                         .n_versions = item->result.n_versions,
-                         .score = item->result.score };
+  LcCachedText text = { .fingerprint = content_of (spec, wanted),
+                        .is_complete = item->state >= ITEM_GENERATED,
+                        .n_events = item->events,
+                        .text = item->result.text,
+                        .versions = item->result.versions,
+                        .n_versions = item->result.n_versions,
+                        .score = item->result.score };
   bool given_up
       = (item->state == ITEM_READY || item->state == ITEM_LISTED) && !item->result.completed;
 
   if (given_up || item->unusable || item->events == 0 || !item->result.text)
     return;
   LB_COPY (text.item, wanted->request.id);
-  lc_carried_put (carried, &text, now);
+  lc_text_cache_put (carried, &text, now);
 }
 
 void
 lc_batch_carry_leave (const LcBatchSpec *spec,
                       const LcBatchItem *items,
-                      LcCarried *carried,
+                      LcTextCache *carried,
                       LbTime now)
 {
   Group *groups = look_at_groups (spec, items, now);
@@ -116,11 +116,11 @@
 
 /* What has begun under one version can't be made sure to go on under it. */
 static bool
-fits_route (const LcCarriedText *text, const LcBatchSettings *settings)
+fits_route (const LcCachedText *text, const LcBatchSettings *settings)
 {
-  if (settings->single_version && (!text->whole || text->n_versions > 1))
+  if (settings->single_version && (!text->is_complete || text->n_versions > 1))
     return false;
-  return text->whole || settings->resumable;
+  return text->is_complete || settings->resumable;
 }
 
 bool
@@ -129,20 +129,21 @@
                      LcBatchItem *item,
                      const LcBatchSettings *settings)
 {
-  const LcItemSpec *wanted = &spec->items[index];
+  const LcBatchItemSpec *wanted = &spec->items[index];
   uint64_t content = content_of (spec, wanted);
-  LcCarriedText text;
+  LcCachedText text;
 
   if (item->state != ITEM_WAITING)
     return false;
-  item->least
-      = lc_carried_length (settings->carried, wanted->request.id, content, &item->least_is_all);
+  item->least = lc_text_cache_count_events (settings->text_cache, wanted->request.id, content,
+                                            &item->least_is_all);
   if (item->least == 0 || item->events > 0
-      || !lc_carried_find (settings->carried, wanted->request.id, content, spec->min_version, &text)
+      || !lc_text_cache_find (settings->text_cache, wanted->request.id, content, spec->min_version,
+                              &text)
       || !fits_route (&text, settings))
     return false;
-  lc_batch_item_begin_with (item, text.text, text.events, text.versions, text.n_versions);
-  if (!text.whole)
+  lc_batch_item_begin_with (item, text.text, text.n_events, text.versions, text.n_versions);
+  if (!text.is_complete)
     return true;
   item->state = ITEM_GENERATED;
   item->result.score = text.score ? lb_strdup (text.score) : NULL;
--- a/packages/core/src/batch/lc-batch-carry.h
+++ b/packages/core/src/batch/lc-batch-carry.h
@@ -11,7 +11,7 @@
 /* Leaves what was made of the groups that are not whole. */
 void lc_batch_carry_leave (const LcBatchSpec *spec,
                            const LcBatchItem *items,
-                           LcCarried *carried,
+                           LcTextCache *carried,
                            LbTime now);
 /* Takes what an earlier batch left of an item that has nothing yet, where its versions fit; else
  * its length alone, so that the longest begins first. The item then waits to go on, or is
--- a/packages/core/src/batch/lc-batch-head.c
+++ b/packages/core/src/batch/lc-batch-head.c
@@ -16,10 +16,10 @@
   json_object_object_add (object, "incarnation", json_object_new_string (head->incarnation));
   json_object_object_add (object, "epoch", json_object_new_int64 (head->epoch));
   json_object_object_add (object, "ended", json_object_new_boolean (head->ended));
-  json_object_object_add (object, "total", json_object_new_int64 (head->total));
+  json_object_object_add (object, "total", json_object_new_int64 (head->n_items));
   json_object_object_add (object, "model", json_object_new_string (head->model));
-  json_object_object_add (object, "tokens", json_object_new_int64 (head->tokens));
-  json_object_object_add (object, "preferred", json_object_new_string (head->preferred));
+  json_object_object_add (object, "tokens", json_object_new_int64 (head->expected_tokens));
+  json_object_object_add (object, "preferred", json_object_new_string (head->preferred_instance));
   if (head->organisation[0])
     {
       json_object_object_add (object, "organisation", json_object_new_string (head->organisation));
@@ -40,31 +40,31 @@
   LB_COPY (head->incarnation, lb_json_text (object, "incarnation", ""));
   head->epoch = lb_json_int (object, "epoch", 0);
   head->ended = lb_json_bool (object, "ended", false);
-  head->total = lb_json_int (object, "total", 0);
+  head->n_items = lb_json_int (object, "total", 0);
   LB_COPY (head->model, lb_json_text (object, "model", ""));
-  head->tokens = lb_json_int (object, "tokens", 0);
-  LB_COPY (head->preferred, lb_json_text (object, "preferred", ""));
+  head->expected_tokens = lb_json_int (object, "tokens", 0);
+  LB_COPY (head->preferred_instance, lb_json_text (object, "preferred", ""));
   LB_COPY (head->organisation, lb_json_text (object, "organisation", ""));
   head->organisation_priority = lb_json_int (object, "organisation_priority", 0);
   LB_COPY (head->host, lb_json_text (object, "host", ""));
   LB_COPY (head->path, lb_json_text (object, "path", ""));
-  return head->batch[0] && head->epoch > 0 && head->total > 0;
+  return head->batch[0] && head->epoch > 0 && head->n_items > 0;
 }
 
 const char *
-lc_batch_head_runner (const LcBatchHead *head)
+lc_batch_head_assigned_instance (const LcBatchHead *head)
 {
-  return head->epoch == 1 && head->preferred[0] ? head->preferred : head->owner;
+  return head->epoch == 1 && head->preferred_instance[0] ? head->preferred_instance : head->owner;
 }
 
 /* Guards against two instances that run a model's batches in turn: an end writes the row anew, so
  * by versions alone the next batch went to the owner whose batch had just ended, beside the one
  * that runs. Each of the two held a connection for each place of each engine. */
 bool
-lc_batch_head_is_later (const LcBatchHead *a,
-                        int64_t version_a,
-                        const LcBatchHead *b,
-                        int64_t version_b)
+lc_batch_head_is_preferred_over (const LcBatchHead *a,
+                                 int64_t version_a,
+                                 const LcBatchHead *b,
+                                 int64_t version_b)
 {
   return a->ended != b->ended ? b->ended : version_a > version_b;
 }
--- a/packages/core/src/batch/lc-batch-item.c
+++ b/packages/core/src/batch/lc-batch-item.c
@@ -53,20 +53,20 @@
 }
 
 static bool
-follows (const LcBatchItem *item, const LcBatchPart *part)
+follows (const LcBatchItem *item, const LcBatchTextPart *part)
 {
-  return part->run == item->run && part->first == item->events;
+  return part->restarts == item->run && part->first_event == item->events;
 }
 
 void
-lc_batch_item_restore (LcBatchItem *item, const LcBatchPart *part)
+lc_batch_item_restore (LcBatchItem *item, const LcBatchTextPart *part)
 {
-  if (part->run > item->newest_run)
-    item->newest_run = part->run;
-  if (part->run > item->run && part->first == 0)
+  if (part->restarts > item->newest_run)
+    item->newest_run = part->restarts;
+  if (part->restarts > item->run && part->first_event == 0)
     {
       lc_batch_item_restart (item);
-      item->run = part->run;
+      item->run = part->restarts;
       item->has_gap = false;
     }
   if (!follows (item, part))
@@ -75,7 +75,7 @@
       return;
     }
   lc_batch_item_append (item, part->text);
-  item->events = part->first + part->events;
+  item->events = part->first_event + part->n_events;
   item->kept = item->events;
   item->kept_length = item->length;
   memcpy (item->result.versions, part->versions, part->n_versions * sizeof *part->versions);
@@ -138,7 +138,9 @@
 /* What is left of the estimated length, and a part of it at least; of a text that an earlier batch
  * saw, its own length goes before the estimate. */
 int64_t
-lc_batch_item_expected_events (const LcBatchItem *item, const LcItemSpec *spec, int64_t per_event)
+lc_batch_item_expected_events (const LcBatchItem *item,
+                               const LcBatchItemSpec *spec,
+                               int64_t per_event)
 {
   int64_t tokens = spec->expected_tokens > 0 ? spec->expected_tokens : spec->max_tokens;
   int64_t events = tokens > 0 ? (tokens + per_event - 1) / per_event : DEFAULT_EVENTS;
@@ -181,18 +183,18 @@
   return item->length - keep_from (item);
 }
 
-LcBatchPart
+LcBatchTextPart
 lc_batch_item_keep (LcBatchItem *item)
 {
   item->keeping = item->events;
   item->keeping_length = item->length;
-  return (LcBatchPart){ .item = item->result.item,
-                        .run = item->run,
-                        .first = item->kept,
-                        .events = item->events - item->kept,
-                        .text = item->result.text + keep_from (item),
-                        .versions = item->result.versions,
-                        .n_versions = item->result.n_versions };
+  return (LcBatchTextPart){ .item = item->result.item,
+                            .restarts = item->run,
+                            .first_event = item->kept,
+                            .n_events = item->events - item->kept,
+                            .text = item->result.text + keep_from (item),
+                            .versions = item->result.versions,
+                            .n_versions = item->result.n_versions };
 }
 
 void
--- a/packages/core/src/batch/lc-batch-item.h
+++ b/packages/core/src/batch/lc-batch-item.h
@@ -66,13 +66,13 @@
                                  LcVersion min_version,
                                  bool single_version);
 /* Takes the next part of what an earlier owner of the batch kept. */
-void lc_batch_item_restore (LcBatchItem *item, const LcBatchPart *part);
+void lc_batch_item_restore (LcBatchItem *item, const LcBatchTextPart *part);
 /* There are no more parts. */
 void lc_batch_item_end_restore (LcBatchItem *item);
 /* The text is made again from its first event. */
 void lc_batch_item_restart (LcBatchItem *item);
 /* Takes what the text has more than is kept, as a part to keep. */
-LcBatchPart lc_batch_item_keep (LcBatchItem *item);
+LcBatchTextPart lc_batch_item_keep (LcBatchItem *item);
 /* How keeping it ended. */
 void lc_batch_item_kept (LcBatchItem *item, bool ok);
 /* After a failure: it waits in this state, longer after each one in a row. */
@@ -80,8 +80,9 @@
 
 /* queries */
 /* Events that are still to come. */
-int64_t
-lc_batch_item_expected_events (const LcBatchItem *item, const LcItemSpec *spec, int64_t per_event);
+int64_t lc_batch_item_expected_events (const LcBatchItem *item,
+                                       const LcBatchItemSpec *spec,
+                                       int64_t per_event);
 /* Of late; 0: not known yet. */
 double lc_batch_item_token_seconds (const LcBatchItem *item, LbTime now);
 /* Enough has come since the text was kept last. */
--- a/packages/core/src/batch/lc-batch-private.h
+++ b/packages/core/src/batch/lc-batch-private.h
@@ -16,7 +16,7 @@
 
 struct LcBatchHistory
 {
-  LcLengths lengths;
+  LcLengthHistogram lengths;
   LcPace pace;
 };
 
--- a/packages/core/src/batch/lc-batch-review.c
+++ b/packages/core/src/batch/lc-batch-review.c
@@ -18,17 +18,18 @@
 move_gain (const LcBatch *batch, const LcBatchItem *item, LbTime now)
 {
   const LcBatchHistory *history = batch->settings.history;
-  const LcProgress progress
+  const LcSampleProgress progress
       = { .tokens = lc_batch_tokens_of (batch, item->run_events),
           .max_tokens = batch->spec.items[lc_batch_index_of (batch, item)].max_tokens,
-          .started = item->started,
-          .first_piece = item->first_piece,
-          .token_seconds = lc_batch_item_token_seconds (item, now) };
+          .started_at = item->started,
+          .first_piece_at = item->first_piece,
+          .recent_seconds_per_token = lc_batch_item_token_seconds (item, now) };
 
   if (item->state != ITEM_RUNNING || item->recalled || item->moves >= MAX_MOVES || item->unusable
       || item->run_events <= LC_BATCH_INTERVALS_TO_LEARN)
     return 0;
-  return lc_straggler_move_gain (&history->lengths, &history->pace, &progress, IDLE_WEIGHT, now);
+  return lc_straggler_move_gain_seconds (&history->lengths, &history->pace, &progress, IDLE_WEIGHT,
+                                         now);
 }
 
 /* A text that can't be used is not awaited: it is made again at once. */
@@ -67,7 +68,7 @@
       item->recalled = true;
       item->moves++;
       LB_COPY (item->avoid, item->endpoint);
-      lc_batch_add_action (actions, LC_BATCH_RECALL)->request = item->request;
+      lc_batch_add_action (actions, LC_BATCH_PREEMPT)->request = item->request;
       lb_log (LB_LOG_INFO, "item_moved", LB_TEXT ("batch", batch->spec.id),
               LB_TEXT ("item", item->result.item), LB_TEXT ("from", item->endpoint),
               LB_INT ("events", item->events), LB_REAL ("gain_seconds", gain));
--- a/packages/core/src/batch/lc-batch-write.c
+++ b/packages/core/src/batch/lc-batch-write.c
@@ -34,10 +34,10 @@
         batch->writing[batch->n_writing++] = &item->result;
       }
     }
-  LcBatchAction *action = lc_batch_add_action (actions, LC_BATCH_WRITE);
+  LcBatchAction *action = lc_batch_add_action (actions, LC_BATCH_WRITE_RESULTS);
   batch->is_writing = true;
   batch->write_at = LB_TIME_NEVER;
-  action->position = batch->n_listed;
+  action->first_position = batch->n_listed;
   action->results = batch->writing;
   action->n_results = batch->n_writing;
 }
@@ -54,7 +54,7 @@
 }
 
 void
-lc_batch_written (LcBatch *batch, bool ok, LbTime now, LbList *actions)
+lc_batch_finish_write (LcBatch *batch, bool ok, LbTime now, LbList *actions)
 {
   batch->is_writing = false;
   if (!ok)
--- a/packages/core/src/batch/lc-batch.c
+++ b/packages/core/src/batch/lc-batch.c
@@ -115,7 +115,7 @@
 }
 
 void
-lc_batch_was_listed (LcBatch *batch, const char *name)
+lc_batch_mark_listed (LcBatch *batch, const char *name)
 {
   batch->n_listed++;
   for (size_t i = 0; i < batch->spec.n_items; i++)
@@ -152,7 +152,7 @@
 static void
 run (LcBatch *batch, LcBatchItem *item, LbTime now, LbList *actions)
 {
-  LcBatchAction *action = lc_batch_add_action (actions, LC_BATCH_RUN);
+  LcBatchAction *action = lc_batch_add_action (actions, LC_BATCH_GENERATE);
 
   item->state = ITEM_RUNNING;
   item->started = now;
@@ -160,16 +160,16 @@
   item->run_events = 0;
   item->pace = (LcStreamPace){ 0 };
   item->recalled = false;
-  item->request = batch->settings.next_id (batch->settings.user);
+  item->request = batch->settings.next_request_id (batch->settings.user);
   action->request = item->request;
-  action->item = lc_batch_index_of (batch, item);
+  action->item_index = lc_batch_index_of (batch, item);
   action->resume_at = item->events;
-  action->avoid = item->avoid;
-  action->expected_events
+  action->avoid_endpoint = item->avoid;
+  action->remaining_events
       = lc_batch_item_expected_events (item, &batch->spec.items[lc_batch_index_of (batch, item)],
                                        lc_batch_tokens_of (batch, 1));
-  action->wanted_by = batch->settings.due_at;
-  action->latest_start = latest_start (batch, action->expected_events);
+  action->due_at = batch->settings.due_at;
+  action->latest_start = latest_start (batch, action->remaining_events);
 }
 
 static void
@@ -178,9 +178,9 @@
   LcBatchAction *action = lc_batch_add_action (actions, LC_BATCH_SCORE);
 
   item->state = ITEM_SCORING;
-  item->request = batch->settings.next_id (batch->settings.user);
+  item->request = batch->settings.next_request_id (batch->settings.user);
   action->request = item->request;
-  action->item = lc_batch_index_of (batch, item);
+  action->item_index = lc_batch_index_of (batch, item);
 }
 
 /* The text is whole. */
@@ -194,7 +194,7 @@
 }
 
 void
-lc_batch_restore (LcBatch *batch, const LcBatchPart *part)
+lc_batch_restore_text_part (LcBatch *batch, const LcBatchTextPart *part)
 {
   for (size_t i = 0; i < batch->spec.n_items; i++)
     {
@@ -210,16 +210,16 @@
  * new is written: many long texts that are written whole do not fit in one transaction, and those
  * of the last items were never kept. */
 void
-lc_batch_keep (LcBatch *batch, LbTime now, LbList *actions)
+lc_batch_checkpoint (LcBatch *batch, LbTime now, LbList *actions)
 {
-  LcBatchPart *parts = NULL;
+  LcBatchTextPart *parts = NULL;
   size_t bytes = 0;
   size_t n = 0;
 
   batch->next_keep = now + KEEP_PERIOD;
   if (!lb_switch_is_on (LB_SWITCH_KEPT_TEXTS))
     return;
-  parts = LB_NEW_ARRAY (LcBatchPart, MAX_PARTS_PER_KEEP);
+  parts = LB_NEW_ARRAY (LcBatchTextPart, MAX_PARTS_PER_KEEP);
   for (size_t i = 0; i < batch->spec.n_items && n < MAX_PARTS_PER_KEEP; i++)
     {
       LcBatchItem *item = &batch->items[i];
@@ -234,14 +234,14 @@
       free (parts);
       return;
     }
-  LcBatchAction *action = lc_batch_add_action (actions, LC_BATCH_KEEP);
+  LcBatchAction *action = lc_batch_add_action (actions, LC_BATCH_CHECKPOINT);
   action->parts = parts;
   action->n_parts = n;
   batch->is_keeping = true;
 }
 
 void
-lc_batch_kept (LcBatch *batch, bool ok)
+lc_batch_finish_checkpoint (LcBatch *batch, bool ok)
 {
   batch->is_keeping = false;
   for (size_t i = 0; i < batch->spec.n_items; i++)
@@ -255,7 +255,7 @@
   size_t n_whole = 0;
   size_t n_begun = 0;
 
-  for (size_t i = 0; batch->settings.carried && i < batch->spec.n_items; i++)
+  for (size_t i = 0; batch->settings.text_cache && i < batch->spec.n_items; i++)
     {
       LcBatchItem *item = &batch->items[i];
       if (!lc_batch_carry_take (&batch->spec, i, item, &batch->settings))
@@ -284,12 +284,12 @@
 }
 
 void
-lc_batch_piece (LcBatch *batch,
-                LcRequestId request,
-                LcVersion version,
-                const char *endpoint,
-                const char *text,
-                LbTime now)
+lc_batch_add_piece (LcBatch *batch,
+                    LcRequestId request,
+                    LcVersion version,
+                    const char *endpoint,
+                    const char *text,
+                    LbTime now)
 {
   LcBatchItem *item = find_request (batch, request);
 
@@ -315,7 +315,7 @@
 
   if (!history || item->first_piece == 0)
     return;
-  lc_lengths_add (&history->lengths, lc_batch_tokens_of (batch, item->events));
+  lc_length_histogram_add (&history->lengths, lc_batch_tokens_of (batch, item->events));
   /* The first event comes at the beginning of the time that is measured. */
   if (item->run_events > LC_BATCH_INTERVALS_TO_LEARN)
     lc_pace_add (&history->pace, lc_batch_tokens_of (batch, item->run_events - 1),
@@ -337,7 +337,8 @@
 }
 
 void
-lc_batch_ran (LcBatch *batch, LcRequestId request, LbErrorCode error, LbTime now, LbList *actions)
+lc_batch_finish_generation (
+    LcBatch *batch, LcRequestId request, LbErrorCode error, LbTime now, LbList *actions)
 {
   LcBatchItem *item = find_request (batch, request);
 
@@ -354,7 +355,7 @@
       return;
     }
   item->failures += error == LB_ERROR_ENDPOINT_FAILED;
-  if (error == LB_ERROR_REJECTED || item->failures >= batch->settings.attempts)
+  if (error == LB_ERROR_REJECTED || item->failures >= batch->settings.max_failures)
     {
       lb_log (LB_LOG_INFO, "item_given_up", LB_TEXT ("batch", batch->spec.id),
               LB_TEXT ("item", item->result.item), LB_TEXT ("error", lb_error_name (error)),
@@ -368,12 +369,12 @@
 }
 
 void
-lc_batch_scored (LcBatch *batch,
-                 LcRequestId request,
-                 LbErrorCode error,
-                 const char *value,
-                 LbTime now,
-                 LbList *actions)
+lc_batch_finish_scoring (LcBatch *batch,
+                         LcRequestId request,
+                         LbErrorCode error,
+                         const char *value,
+                         LbTime now,
+                         LbList *actions)
 {
   LcBatchItem *item = find_request (batch, request);
 
@@ -386,7 +387,7 @@
       return;
     }
   item->score_failures += error == LB_ERROR_ENDPOINT_FAILED;
-  if (item->score_failures >= batch->settings.score_attempts)
+  if (item->score_failures >= batch->settings.max_score_failures)
     {
       lb_log (LB_LOG_INFO, "item_not_scored", LB_TEXT ("batch", batch->spec.id),
               LB_TEXT ("item", item->result.item), LB_INT ("failures", item->score_failures));
@@ -407,7 +408,7 @@
 {
   if (item->request == 0)
     return;
-  lc_batch_add_action (actions, LC_BATCH_STOP)->request = item->request;
+  lc_batch_add_action (actions, LC_BATCH_CANCEL)->request = item->request;
   item->request = 0;
 }
 
@@ -432,7 +433,7 @@
   lc_batch_note_own_pause (batch, now);
   if (batch->is_stopped || !batch->is_started)
     return;
-  if (now >= batch->settings.give_up_at)
+  if (now >= batch->settings.deadline)
     give_up_all (batch, actions);
   for (size_t i = 0; i < batch->spec.n_items; i++)
     {
@@ -447,7 +448,7 @@
   if (now >= batch->next_review)
     lc_batch_review (batch, now, actions);
   if (now >= batch->next_keep && !batch->is_keeping)
-    lc_batch_keep (batch, now, actions);
+    lc_batch_checkpoint (batch, now, actions);
   if (now >= batch->write_at)
     lc_batch_write_ready (batch, actions);
 }
@@ -456,20 +457,20 @@
 lc_batch_stop (LcBatch *batch, LbTime now, LbList *actions)
 {
   batch->is_stopped = true;
-  if (batch->settings.carried)
-    lc_batch_carry_leave (&batch->spec, batch->items, batch->settings.carried, now);
+  if (batch->settings.text_cache)
+    lc_batch_carry_leave (&batch->spec, batch->items, batch->settings.text_cache, now);
   for (size_t i = 0; i < batch->spec.n_items; i++)
     lc_batch_stop_request (&batch->items[i], actions);
 }
 
 const LcBatchSpec *
-lc_batch_spec (const LcBatch *batch)
+lc_batch_get_spec (const LcBatch *batch)
 {
   return &batch->spec;
 }
 
 int64_t
-lc_batch_listed (const LcBatch *batch)
+lc_batch_count_listed (const LcBatch *batch)
 {
   return batch->n_listed;
 }
@@ -481,7 +482,7 @@
 }
 
 LbTime
-lc_batch_next_tick (const LcBatch *batch)
+lc_batch_next_tick_at (const LcBatch *batch)
 {
   LbTime next = batch->write_at;
   bool any_open = false;
@@ -496,6 +497,6 @@
         next = lb_time_earlier (next, item->retry_at);
     }
   return any_open ? lb_time_earlier (lb_time_earlier (next, batch->next_review),
-                                     batch->settings.give_up_at)
+                                     batch->settings.deadline)
                   : next;
 }
--- a/packages/core/src/batch/lc-straggler.c
+++ b/packages/core/src/batch/lc-straggler.c
@@ -36,7 +36,7 @@
 }
 
 static void
-fade (LcLengths *lengths)
+fade (LcLengthHistogram *lengths)
 {
   for (size_t i = 0; i < LC_LENGTH_BUCKETS; i++)
     lengths->buckets[i] /= 2;
@@ -45,7 +45,7 @@
 }
 
 void
-lc_lengths_add (LcLengths *lengths, int64_t tokens)
+lc_length_histogram_add (LcLengthHistogram *lengths, int64_t tokens)
 {
   if (lengths->count >= LENGTHS_KEPT)
     fade (lengths);
@@ -56,7 +56,7 @@
 
 /* Half of the allowed length until samples have ended. */
 double
-lc_lengths_mean (const LcLengths *lengths, int64_t max_tokens)
+lc_length_histogram_mean (const LcLengthHistogram *lengths, int64_t max_tokens)
 {
   if (lengths->count < 1)
     return (double)max_tokens / 2;
@@ -66,7 +66,9 @@
 /* The mean over ended samples that were longer; when none was, the sample is the longest so far and
  * is expected to go as far again, as far as it may. */
 double
-lc_lengths_remaining (const LcLengths *lengths, int64_t tokens, int64_t max_tokens)
+lc_length_histogram_expect_remaining (const LcLengthHistogram *lengths,
+                                      int64_t tokens,
+                                      int64_t max_tokens)
 {
   double sum = 0;
   double count = 0;
@@ -79,13 +81,15 @@
     }
   if (count > 0)
     return fmin (sum / count - (double)tokens, room);
-  return fmin (fmax ((double)tokens, lc_lengths_mean (lengths, max_tokens)), room);
+  return fmin (fmax ((double)tokens, lc_length_histogram_mean (lengths, max_tokens)), room);
 }
 
 double
-lc_lengths_predict (const LcLengths *lengths, const LcGroupLengths *group, int64_t max_tokens)
+lc_length_histogram_predict (const LcLengthHistogram *lengths,
+                             const LcGroupLengths *group,
+                             int64_t max_tokens)
 {
-  double mean = lc_lengths_mean (lengths, max_tokens);
+  double mean = lc_length_histogram_mean (lengths, max_tokens);
 
   return (group->sum + PRIOR_SAMPLES * mean) / ((double)group->count + PRIOR_SAMPLES);
 }
@@ -105,7 +109,7 @@
 }
 
 double
-lc_pace_seconds (const LcPace *pace, double tokens)
+lc_pace_expected_seconds (const LcPace *pace, double tokens)
 {
   if (pace->tokens_per_second <= 0)
     return 0;
@@ -113,35 +117,41 @@
 }
 
 static double
-own_rate (const LcPace *pace, const LcProgress *progress, LbTime now)
+own_rate (const LcPace *pace, const LcSampleProgress *progress, LbTime now)
 {
-  LbTime streamed = now - progress->first_piece;
+  LbTime streamed = now - progress->first_piece_at;
 
-  if (progress->first_piece == 0 || streamed <= 0)
+  if (progress->first_piece_at == 0 || streamed <= 0)
     return pace->tokens_per_second;
-  if (progress->token_seconds > 0)
-    return fmin (1 / progress->token_seconds, pace->tokens_per_second);
+  if (progress->recent_seconds_per_token > 0)
+    return fmin (1 / progress->recent_seconds_per_token, pace->tokens_per_second);
   return fmin ((double)(progress->tokens + UNSEEN_TOKENS) * LB_SEC / streamed,
                pace->tokens_per_second);
 }
 
 static double
-seconds_again (const LcLengths *lengths, const LcPace *pace, const LcProgress *progress)
+seconds_again (const LcLengthHistogram *lengths,
+               const LcPace *pace,
+               const LcSampleProgress *progress)
 {
-  double left = lc_lengths_remaining (lengths, progress->tokens, progress->max_tokens);
+  double left
+      = lc_length_histogram_expect_remaining (lengths, progress->tokens, progress->max_tokens);
 
-  return lc_pace_seconds (pace, (double)progress->tokens + left);
+  return lc_pace_expected_seconds (pace, (double)progress->tokens + left);
 }
 
 static double
-seconds_left (const LcLengths *lengths, const LcPace *pace, const LcProgress *progress, LbTime now)
+seconds_left (const LcLengthHistogram *lengths,
+              const LcPace *pace,
+              const LcSampleProgress *progress,
+              LbTime now)
 {
-  double waited = (double)(now - progress->started) / LB_SEC;
+  double waited = (double)(now - progress->started_at) / LB_SEC;
   double overdue = waited - STUCK_SECONDS - STUCK_WAITS * pace->wait_seconds;
 
-  if (progress->first_piece == 0)
+  if (progress->first_piece_at == 0)
     return seconds_again (lengths, pace, progress) * (overdue > 0 ? 2 + overdue : 1);
-  return lc_lengths_remaining (lengths, progress->tokens, progress->max_tokens)
+  return lc_length_histogram_expect_remaining (lengths, progress->tokens, progress->max_tokens)
          / own_rate (pace, progress, now);
 }
 
@@ -152,17 +162,17 @@
 }
 
 static bool
-knows_enough (const LcLengths *lengths, const LcPace *pace)
+knows_enough (const LcLengthHistogram *lengths, const LcPace *pace)
 {
   return lengths->count >= LENGTHS_ENOUGH && pace->tokens_per_second > 0;
 }
 
 double
-lc_straggler_gain (const LcLengths *lengths,
-                   const LcPace *pace,
-                   const LcProgress *progress,
-                   double idle_weight,
-                   LbTime now)
+lc_straggler_hedge_gain_seconds (const LcLengthHistogram *lengths,
+                                 const LcPace *pace,
+                                 const LcSampleProgress *progress,
+                                 double idle_weight,
+                                 LbTime now)
 {
   if (!knows_enough (lengths, pace))
     return 0;
@@ -173,36 +183,37 @@
 /* The sample waited for a place once; with the same urgency it waits no longer now. The mean over
  * all samples is mostly that of the short ones, which go last. */
 static double
-wait_again (const LcPace *pace, const LcProgress *progress)
+wait_again (const LcPace *pace, const LcSampleProgress *progress)
 {
-  double waited = (double)(progress->first_piece - progress->started) / LB_SEC;
+  double waited = (double)(progress->first_piece_at - progress->started_at) / LB_SEC;
 
   return fmin (waited, pace->wait_seconds);
 }
 
 double
-lc_straggler_move_gain (const LcLengths *lengths,
-                        const LcPace *pace,
-                        const LcProgress *progress,
-                        double idle_weight,
-                        LbTime now)
+lc_straggler_move_gain_seconds (const LcLengthHistogram *lengths,
+                                const LcPace *pace,
+                                const LcSampleProgress *progress,
+                                double idle_weight,
+                                LbTime now)
 {
   if (!knows_enough (lengths, pace) || progress->tokens == 0)
     return 0;
 
-  double left = lc_lengths_remaining (lengths, progress->tokens, progress->max_tokens);
+  double left
+      = lc_length_histogram_expect_remaining (lengths, progress->tokens, progress->max_tokens);
   return seconds_left (lengths, pace, progress, now) - wait_again (pace, progress)
          - margin (idle_weight) * left / pace->tokens_per_second;
 }
 
 /* The original goes on until the hedge is whole; then its tokens are lost. */
 int64_t
-lc_straggler_cost (const LcLengths *lengths,
-                   const LcPace *pace,
-                   const LcProgress *progress,
-                   LbTime now)
+lc_straggler_hedge_cost_tokens (const LcLengthHistogram *lengths,
+                                const LcPace *pace,
+                                const LcSampleProgress *progress,
+                                LbTime now)
 {
   double meanwhile = own_rate (pace, progress, now) * seconds_again (lengths, pace, progress);
 
-  return progress->tokens + (int64_t)(progress->first_piece ? meanwhile : 0);
+  return progress->tokens + (int64_t)(progress->first_piece_at ? meanwhile : 0);
 }
--- a/packages/core/src/batch/lc-straggler.h
+++ b/packages/core/src/batch/lc-straggler.h
@@ -14,7 +14,7 @@
   double buckets[LC_LENGTH_BUCKETS]; /* eight for each doubling */
   double count;
   double sum;
-} LcLengths;
+} LcLengthHistogram;
 
 /* Lengths of a group's samples, ended or expected of those that run: siblings share their prompt.
  */
@@ -36,42 +36,45 @@
 {
   int64_t tokens; /* so far */
   int64_t max_tokens;
-  LbTime started;
-  LbTime first_piece;   /* 0: none yet */
-  double token_seconds; /* of late; 0: not known, then the whole run counts */
-} LcProgress;
+  LbTime started_at;
+  LbTime first_piece_at;           /* 0: none yet */
+  double recent_seconds_per_token; /* of late; 0: not known, then the whole run counts */
+} LcSampleProgress;
 
-void lc_lengths_add (LcLengths *lengths, int64_t tokens);
+void lc_length_histogram_add (LcLengthHistogram *lengths, int64_t tokens);
 /* Expected length of any sample, at most max_tokens. */
-double lc_lengths_mean (const LcLengths *lengths, int64_t max_tokens);
+double lc_length_histogram_mean (const LcLengthHistogram *lengths, int64_t max_tokens);
 /* Expected tokens still to come for a sample that has so many. */
-double lc_lengths_remaining (const LcLengths *lengths, int64_t tokens, int64_t max_tokens);
-double
-lc_lengths_predict (const LcLengths *lengths, const LcGroupLengths *group, int64_t max_tokens);
+double lc_length_histogram_expect_remaining (const LcLengthHistogram *lengths,
+                                             int64_t tokens,
+                                             int64_t max_tokens);
+double lc_length_histogram_predict (const LcLengthHistogram *lengths,
+                                    const LcGroupLengths *group,
+                                    int64_t max_tokens);
 
 void lc_pace_add (LcPace *pace, int64_t tokens, LbTime waited, LbTime streamed);
 /* Seconds that a new sample of so many tokens is expected to take. */
-double lc_pace_seconds (const LcPace *pace, double tokens);
+double lc_pace_expected_seconds (const LcPace *pace, double tokens);
 
 /* Seconds that the running sample is expected to need longer than a second generation of it from
  * the start would, where idle time counts by idle_weight (0..1); 0 or less: do not hedge. It is
  * never the length of a sample that makes it worth a hedge, only the pace of its endpoint: drawing
  * long samples again until a short one comes would teach the trainer's model to be short. */
-double lc_straggler_gain (const LcLengths *lengths,
-                          const LcPace *pace,
-                          const LcProgress *progress,
-                          double idle_weight,
-                          LbTime now);
+double lc_straggler_hedge_gain_seconds (const LcLengthHistogram *lengths,
+                                        const LcPace *pace,
+                                        const LcSampleProgress *progress,
+                                        double idle_weight,
+                                        LbTime now);
 /* The same for going on elsewhere from the tokens that it has. */
-double lc_straggler_move_gain (const LcLengths *lengths,
-                               const LcPace *pace,
-                               const LcProgress *progress,
-                               double idle_weight,
-                               LbTime now);
+double lc_straggler_move_gain_seconds (const LcLengthHistogram *lengths,
+                                       const LcPace *pace,
+                                       const LcSampleProgress *progress,
+                                       double idle_weight,
+                                       LbTime now);
 /* Tokens that are expected to be thrown away if this one is hedged. */
-int64_t lc_straggler_cost (const LcLengths *lengths,
-                           const LcPace *pace,
-                           const LcProgress *progress,
-                           LbTime now);
+int64_t lc_straggler_hedge_cost_tokens (const LcLengthHistogram *lengths,
+                                        const LcPace *pace,
+                                        const LcSampleProgress *progress,
+                                        LbTime now);
 
 #endif
--- a/packages/core/src/batch/lc-carried.c
+++ b/packages/core/src/batch/lc-text-cache.c
@@ -1,4 +1,4 @@
-#include "lc-carried.h"
+#include "lc-text-cache.h"
 
 #include "lb-alloc.h"
 #include "lb-list.h"
@@ -13,14 +13,14 @@
 
 typedef struct
 {
-  LcCarriedText content; /* its texts are owned */
+  LcCachedText content; /* its texts are owned */
   LbTime at;
   size_t bytes;
-  LbLink order; /* in LcCarried.oldest_first */
+  LbLink order; /* in LcTextCache.oldest_first */
   UT_hash_handle hh;
 } Entry;
 
-struct LcCarried
+struct LcTextCache
 {
   Entry *by_item;
   LbList oldest_first;
@@ -28,10 +28,10 @@
   size_t most_bytes;
 };
 
-LcCarried *
-lc_carried_new (size_t most_bytes)
+LcTextCache *
+lc_text_cache_new (size_t most_bytes)
 {
-  LcCarried *carried = LB_NEW (LcCarried);
+  LcTextCache *carried = LB_NEW (LcTextCache);
 
   carried->most_bytes = most_bytes;
   lb_list_init (&carried->oldest_first);
@@ -39,7 +39,7 @@
 }
 
 static void
-remove_entry (LcCarried *carried, Entry *entry)
+remove_entry (LcTextCache *carried, Entry *entry)
 {
   HASH_DEL (carried->by_item, entry);
   lb_list_remove (&carried->oldest_first, &entry->order);
@@ -51,13 +51,13 @@
 }
 
 static Entry *
-oldest (const LcCarried *carried)
+oldest (const LcTextCache *carried)
 {
   return LB_LIST_FIRST (&carried->oldest_first, Entry, order);
 }
 
 void
-lc_carried_free (LcCarried *carried)
+lc_text_cache_free (LcTextCache *carried)
 {
   Entry *entry;
 
@@ -69,7 +69,7 @@
 }
 
 static Entry *
-find_entry (const LcCarried *carried, const char *item)
+find_entry (const LcTextCache *carried, const char *item)
 {
   Entry *entry = NULL;
 
@@ -78,17 +78,18 @@
 }
 
 static bool
-is_further (const LcCarriedText *text, const LcCarriedText *known)
+is_further (const LcCachedText *text, const LcCachedText *known)
 {
-  if (text->content != known->content)
+  if (text->fingerprint != known->fingerprint)
     return true;
-  return text->whole != known->whole ? text->whole : text->events >= known->events;
+  return text->is_complete != known->is_complete ? text->is_complete
+                                                 : text->n_events >= known->n_events;
 }
 
-static LcCarriedText
-copy (const LcCarriedText *text)
+static LcCachedText
+copy (const LcCachedText *text)
 {
-  LcCarriedText copied = *text;
+  LcCachedText copied = *text;
 
   copied.text = lb_strdup (text->text);
   copied.score = text->score ? lb_strdup (text->score) : NULL;
@@ -97,7 +98,7 @@
 }
 
 void
-lc_carried_put (LcCarried *carried, const LcCarriedText *text, LbTime now)
+lc_text_cache_put (LcTextCache *carried, const LcCachedText *text, LbTime now)
 {
   Entry *entry = find_entry (carried, text->item);
 
@@ -117,7 +118,7 @@
 }
 
 void
-lc_carried_expire (LcCarried *carried, LbTime now)
+lc_text_cache_expire (LcTextCache *carried, LbTime now)
 {
   Entry *entry;
 
@@ -127,7 +128,7 @@
 
 /* Weights that are too old for the batch may not have made any of its text. */
 static bool
-fits (const LcCarriedText *text, LcVersion min_version)
+fits (const LcCachedText *text, LcVersion min_version)
 {
   for (size_t i = 0; i < text->n_versions; i++)
     if (text->versions[i] < min_version)
@@ -136,33 +137,36 @@
 }
 
 bool
-lc_carried_find (const LcCarried *carried,
-                 const char *item,
-                 uint64_t content,
-                 LcVersion min_version,
-                 LcCarriedText *found)
+lc_text_cache_find (const LcTextCache *carried,
+                    const char *item,
+                    uint64_t content,
+                    LcVersion min_version,
+                    LcCachedText *found)
 {
   const Entry *entry = find_entry (carried, item);
 
-  if (!entry || entry->content.content != content || !fits (&entry->content, min_version))
+  if (!entry || entry->content.fingerprint != content || !fits (&entry->content, min_version))
     return false;
   *found = entry->content;
   return true;
 }
 
 int64_t
-lc_carried_length (const LcCarried *carried, const char *item, uint64_t content, bool *whole)
+lc_text_cache_count_events (const LcTextCache *carried,
+                            const char *item,
+                            uint64_t content,
+                            bool *whole)
 {
   const Entry *entry = find_entry (carried, item);
 
-  if (!entry || entry->content.content != content)
+  if (!entry || entry->content.fingerprint != content)
     return 0;
-  *whole = entry->content.whole;
-  return entry->content.events;
+  *whole = entry->content.is_complete;
+  return entry->content.n_events;
 }
 
 size_t
-lc_carried_bytes (const LcCarried *carried)
+lc_text_cache_count_bytes (const LcTextCache *carried)
 {
   return carried->bytes;
 }
--- a/packages/core/src/dispatch/lc-dispatch-private.h
+++ b/packages/core/src/dispatch/lc-dispatch-private.h
@@ -43,7 +43,7 @@
 
 /* Until when the request is kept from endpoints, since some ended under its content; 0: it may go.
  */
-LbTime lc_dispatch_kept_until (const LcDispatch *dispatch, LcContent content, LbTime now);
+LbTime lc_dispatch_kept_until (const LcDispatch *dispatch, LcFingerprint content, LbTime now);
 
 /* lc-timers.c */
 void lc_dispatch_set_timer (LcDispatch *dispatch, LcRequest *request);
--- a/packages/core/src/dispatch/lc-dispatch-query.c
+++ b/packages/core/src/dispatch/lc-dispatch-query.c
@@ -49,9 +49,9 @@
 }
 
 LbTime
-lc_dispatch_kept_until (const LcDispatch *dispatch, LcContent content, LbTime now)
+lc_dispatch_kept_until (const LcDispatch *dispatch, LcFingerprint content, LbTime now)
 {
-  LbTime until = lc_quarantine_until (dispatch->quarantine, content);
+  LbTime until = lc_quarantine_ends_at (dispatch->quarantine, content);
 
   return until > now ? until : 0;
 }
--- a/packages/core/src/dispatch/lc-outcome.c
+++ b/packages/core/src/dispatch/lc-outcome.c
@@ -346,7 +346,7 @@
                          LbList *actions)
 {
   if (was_survived (end))
-    lc_quarantine_survived (dispatch->quarantine, request->content, now);
+    lc_quarantine_record_answer (dispatch->quarantine, request->content, now);
   if (end == LC_END_WHOLE || attempt->whole)
     {
       finish_whole (dispatch, request, attempt, now, actions);
--- a/packages/core/src/dispatch/lc-pieces.c
+++ b/packages/core/src/dispatch/lc-pieces.c
@@ -24,7 +24,7 @@
   request->maybe_run = true;
   /* What brings a part that lasts goes on behind it: beginning it ends no endpoint. */
   if (lc_request_keeps_pieces (request))
-    lc_quarantine_survived (dispatch->quarantine, request->content, now);
+    lc_quarantine_record_answer (dispatch->quarantine, request->content, now);
   lc_pool_state_heard (request->pool, request->kind, now - attempt->sent_at);
   if (endpoint)
     lc_endpoints_first_byte (endpoint, now - attempt->sent_at, now);
--- a/packages/core/src/dispatch/lc-request.h
+++ b/packages/core/src/dispatch/lc-request.h
@@ -47,7 +47,7 @@
   double share;
   int organisation_priority;
   int priority;
-  LcContent content;
+  LcFingerprint content;
   LcRequestKind kind;
   LcDelivery delivery;
   LcRequestState state;
--- a/packages/core/src/quarantine/lc-crash-log.c
+++ b/packages/core/src/quarantine/lc-crash-log.c
@@ -181,11 +181,11 @@
 }
 
 bool
-lc_crash_names (const LcCrash *crash, LcContent content)
+lc_crash_names (const LcCrash *crash, LcFingerprint content)
 {
   LB_LIST_FOREACH (&crash->entries, LcReportEntry, link, entry)
   {
-    if (lc_content_is_among (content, entry->report.contents, entry->report.n_contents))
+    if (lc_fingerprint_is_among (content, entry->report.fingerprints, entry->report.n_fingerprints))
       return true;
   }
   return false;
--- a/packages/core/src/quarantine/lc-crash-log.h
+++ b/packages/core/src/quarantine/lc-crash-log.h
@@ -38,6 +38,6 @@
 /* Forgets crashes that are not later than this; false when there is none. */
 bool lc_crash_log_expire (LcCrashLog *log, LbTime before);
 
-bool lc_crash_names (const LcCrash *crash, LcContent content);
+bool lc_crash_names (const LcCrash *crash, LcFingerprint content);
 
 #endif
--- a/packages/core/src/quarantine/lc-content.c
+++ b/packages/core/src/quarantine/lc-fingerprint.c
@@ -1,4 +1,4 @@
-#include "lc-content.h"
+#include "lc-fingerprint.h"
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -16,13 +16,13 @@
 /* The caller is not part of it: what ends an endpoint is what it is given, whichever caller gives
  * it. Its organisation is: what one of them sends must not be the reason to refuse another. Nor are
  * headers, among which ids and times differ with each attempt. */
-LcContent
-lc_content_new (const char *organisation,
-                const char *method,
-                const char *host,
-                const char *path,
-                const char *body,
-                size_t body_length)
+LcFingerprint
+lc_fingerprint_of_request (const char *organisation,
+                           const char *method,
+                           const char *host,
+                           const char *path,
+                           const char *body,
+                           size_t body_length)
 {
   XXH64_hash_t seed = organisation[0] ? add (0, organisation, strlen (organisation)) : 0;
   XXH64_hash_t hash = add (seed, method, strlen (method));
@@ -34,13 +34,13 @@
 }
 
 void
-lc_content_to_text (LcContent content, char text[LC_CONTENT_SIZE])
+lc_fingerprint_to_text (LcFingerprint content, char text[LC_FINGERPRINT_TEXT_SIZE])
 {
-  snprintf (text, LC_CONTENT_SIZE, "%016llx", (unsigned long long)content);
+  snprintf (text, LC_FINGERPRINT_TEXT_SIZE, "%016llx", (unsigned long long)content);
 }
 
 bool
-lc_content_is_among (LcContent content, const LcContent *contents, size_t n_contents)
+lc_fingerprint_is_among (LcFingerprint content, const LcFingerprint *contents, size_t n_contents)
 {
   for (size_t i = 0; i < n_contents; i++)
     if (contents[i] == content)
@@ -48,12 +48,12 @@
   return false;
 }
 
-LcContent
-lc_content_from_text (const char *text)
+LcFingerprint
+lc_fingerprint_from_text (const char *text)
 {
-  bool is_whole = strlen (text) == LC_CONTENT_SIZE - 1;
+  bool is_whole = strlen (text) == LC_FINGERPRINT_TEXT_SIZE - 1;
 
-  if (!is_whole || strspn (text, HEX_DIGITS) != LC_CONTENT_SIZE - 1)
+  if (!is_whole || strspn (text, HEX_DIGITS) != LC_FINGERPRINT_TEXT_SIZE - 1)
     return 0;
   return strtoull (text, NULL, 16);
 }
--- a/packages/core/src/quarantine/lc-quarantine.c
+++ b/packages/core/src/quarantine/lc-quarantine.c
@@ -25,7 +25,7 @@
 typedef struct
 {
   UT_hash_handle hh;
-  LcContent content;
+  LcFingerprint content;
   int n_crashes;       /* that no blamed content explains */
   const LcCrash *last; /* of these */
   LbTime full_at;      /* of the crash that made them enough to blame it */
@@ -35,13 +35,13 @@
 typedef struct
 {
   UT_hash_handle hh;
-  LcContent content;
+  LcFingerprint content;
   LbTime at;
 } Clearance;
 
 typedef struct
 {
-  LcContent content;
+  LcFingerprint content;
   LbTime at;
 } Answered;
 
@@ -58,7 +58,7 @@
 typedef struct
 {
   LbLink link;
-  LcContent content;
+  LcFingerprint content;
   LbTime at;
 } ToTell;
 
@@ -117,7 +117,7 @@
 /* --- who is blamed --- */
 
 static Suspect *
-find_suspect (const LcQuarantine *quarantine, LcContent content)
+find_suspect (const LcQuarantine *quarantine, LcFingerprint content)
 {
   Suspect *suspect = NULL;
 
@@ -126,7 +126,7 @@
 }
 
 static Clearance *
-find_clearance (const LcQuarantine *quarantine, LcContent content)
+find_clearance (const LcQuarantine *quarantine, LcFingerprint content)
 {
   Clearance *clearance = NULL;
 
@@ -135,7 +135,7 @@
 }
 
 static bool
-is_cleared (const LcQuarantine *quarantine, LcContent content, LbTime crashed_at)
+is_cleared (const LcQuarantine *quarantine, LcFingerprint content, LbTime crashed_at)
 {
   const Clearance *clearance = find_clearance (quarantine, content);
 
@@ -143,7 +143,7 @@
 }
 
 static Suspect *
-add_suspect (LcQuarantine *quarantine, LcContent content)
+add_suspect (LcQuarantine *quarantine, LcFingerprint content)
 {
   Suspect *suspect = find_suspect (quarantine, content);
 
@@ -172,9 +172,9 @@
   LB_LIST_FOREACH (&crash->entries, LcReportEntry, link, entry)
   {
     const LcCrashReport *report = &entry->report;
-    for (size_t i = 0; i < report->n_contents; i++)
-      if (!is_cleared (quarantine, report->contents[i], crash->at))
-        count_crash (add_suspect (quarantine, report->contents[i]), crash);
+    for (size_t i = 0; i < report->n_fingerprints; i++)
+      if (!is_cleared (quarantine, report->fingerprints[i], crash->at))
+        count_crash (add_suspect (quarantine, report->fingerprints[i]), crash);
   }
 }
 
@@ -266,7 +266,7 @@
 
 /* --- reports --- */
 
-static void clear (LcQuarantine *quarantine, LcContent content, LbTime at);
+static void clear (LcQuarantine *quarantine, LcFingerprint content, LbTime at);
 
 /* What was answered here shortly before, or since, speaks for the content. */
 static void
@@ -276,7 +276,8 @@
     {
       const Answered *answered = &quarantine->answered[i];
       if (answered->content && report->at <= answered->at + CLEARED_FOR
-          && lc_content_is_among (answered->content, report->contents, report->n_contents))
+          && lc_fingerprint_is_among (answered->content, report->fingerprints,
+                                      report->n_fingerprints))
         clear (quarantine, answered->content, answered->at);
     }
 }
@@ -284,14 +285,14 @@
 static void
 log_quarantined (const LcQuarantine *quarantine, const LcCrashReport *report, LbTime now)
 {
-  char content[LC_CONTENT_SIZE];
+  char content[LC_FINGERPRINT_TEXT_SIZE];
 
-  for (size_t i = 0; i < report->n_contents; i++)
+  for (size_t i = 0; i < report->n_fingerprints; i++)
     {
-      LbTime until = lc_quarantine_until (quarantine, report->contents[i]);
+      LbTime until = lc_quarantine_ends_at (quarantine, report->fingerprints[i]);
       if (until == 0)
         continue;
-      lc_content_to_text (report->contents[i], content);
+      lc_fingerprint_to_text (report->fingerprints[i], content);
       lb_log (LB_LOG_WARNING, "request_quarantined", LB_TEXT ("content", content),
               LB_TEXT ("endpoint", report->endpoint), LB_TEXT ("report", report->id),
               LB_INT ("crashes_to_blame", CRASHES_TO_BLAME),
@@ -300,7 +301,7 @@
 }
 
 void
-lc_quarantine_report (LcQuarantine *quarantine, const LcCrashReport *report, LbTime now)
+lc_quarantine_add_report (LcQuarantine *quarantine, const LcCrashReport *report, LbTime now)
 {
   if (report->at + TERM <= now || !lc_crash_log_add (&quarantine->log, report))
     return;
@@ -310,7 +311,7 @@
 }
 
 void
-lc_quarantine_withdraw (LcQuarantine *quarantine, const char *id)
+lc_quarantine_withdraw_report (LcQuarantine *quarantine, const char *id)
 {
   if (lc_crash_log_withdraw (&quarantine->log, id))
     judge (quarantine);
@@ -319,7 +320,7 @@
 /* --- answers --- */
 
 void
-lc_quarantine_cleared (LcQuarantine *quarantine, LcContent content, LbTime at)
+lc_quarantine_add_clearance (LcQuarantine *quarantine, LcFingerprint content, LbTime at)
 {
   Clearance *clearance = find_clearance (quarantine, content);
 
@@ -335,7 +336,7 @@
 }
 
 static void
-clear (LcQuarantine *quarantine, LcContent content, LbTime at)
+clear (LcQuarantine *quarantine, LcFingerprint content, LbTime at)
 {
   const Clearance *known = find_clearance (quarantine, content);
   ToTell *to_tell = NULL;
@@ -346,11 +347,11 @@
   to_tell->content = content;
   to_tell->at = at;
   lb_list_append (&quarantine->to_tell, &to_tell->link);
-  lc_quarantine_cleared (quarantine, content, at);
+  lc_quarantine_add_clearance (quarantine, content, at);
 }
 
 void
-lc_quarantine_survived (LcQuarantine *quarantine, LcContent content, LbTime now)
+lc_quarantine_record_answer (LcQuarantine *quarantine, LcFingerprint content, LbTime now)
 {
   if (content == 0)
     return;
@@ -361,7 +362,7 @@
 }
 
 bool
-lc_quarantine_next_clearance (LcQuarantine *quarantine, LcContent *content, LbTime *answered_at)
+lc_quarantine_pop_clearance (LcQuarantine *quarantine, LcFingerprint *content, LbTime *answered_at)
 {
   LbLink *link = lb_list_pop (&quarantine->to_tell);
   ToTell *to_tell = NULL;
@@ -392,7 +393,7 @@
 }
 
 LbTime
-lc_quarantine_until (const LcQuarantine *quarantine, LcContent content)
+lc_quarantine_ends_at (const LcQuarantine *quarantine, LcFingerprint content)
 {
   const Suspect *suspect = find_suspect (quarantine, content);
 
@@ -410,7 +411,7 @@
 }
 
 LbTime
-lc_quarantine_term (void)
+lc_quarantine_report_lifetime (void)
 {
   return TERM;
 }
--- a/packages/core/src/rollout/lc-generate.c
+++ b/packages/core/src/rollout/lc-generate.c
@@ -16,13 +16,14 @@
 
 /* Of a sample that runs: what it has and what ended samples say of one that has so much. */
 static double
-expected_length (const LcLengths *lengths, const LcJob *job, int64_t max_tokens)
+expected_length (const LcLengthHistogram *lengths, const LcJob *job, int64_t max_tokens)
 {
-  return (double)job->label.tokens + lc_lengths_remaining (lengths, job->label.tokens, max_tokens);
+  return (double)job->label.tokens
+         + lc_length_histogram_expect_remaining (lengths, job->label.tokens, max_tokens);
 }
 
 static LcGroupLengths
-group_lengths (const LcLengths *lengths, const LcStep *step, size_t index)
+group_lengths (const LcLengthHistogram *lengths, const LcStep *step, size_t index)
 {
   LcGroupLengths sums = { 0 };
   const LcGroup *group = &step->groups[index];
@@ -48,10 +49,10 @@
 static double
 predict (const LcRollouts *rollouts, const LcStep *step, size_t group)
 {
-  const LcLengths *lengths = lc_step_lengths (rollouts, step);
+  const LcLengthHistogram *lengths = lc_step_lengths (rollouts, step);
   LcGroupLengths sums = group_lengths (lengths, step, group);
 
-  return lc_lengths_predict (lengths, &sums, step->spec.groups[group].max_tokens);
+  return lc_length_histogram_predict (lengths, &sums, step->spec.groups[group].max_tokens);
 }
 
 static size_t
@@ -71,8 +72,8 @@
 static double
 urgency (const LcRollouts *rollouts, const LcStep *step, size_t group)
 {
-  double mean
-      = lc_lengths_mean (lc_step_lengths (rollouts, step), step->spec.groups[group].max_tokens);
+  double mean = lc_length_histogram_mean (lc_step_lengths (rollouts, step),
+                                          step->spec.groups[group].max_tokens);
 
   return predict (rollouts, step, group)
          + LEARNING_WEIGHT * mean / (1.0 + (double)count_started (step, group));
@@ -138,13 +139,13 @@
 
   if (!rollouts->settings.predict_staleness)
     return 0;
-  return lc_staleness_min_version (&freshness, lc_pace_seconds (&pool->pace, tokens));
+  return lc_staleness_min_version (&freshness, lc_pace_expected_seconds (&pool->pace, tokens));
 }
 
 static int
 priority_of (const LcRollouts *rollouts, const LcStep *step, double tokens)
 {
-  double times = tokens / lc_lengths_mean (lc_step_lengths (rollouts, step), INT64_MAX);
+  double times = tokens / lc_length_histogram_mean (lc_step_lengths (rollouts, step), INT64_MAX);
 
   return (int)fmin (times, HIGHEST_PRIORITY);
 }
--- a/packages/core/src/rollout/lc-job.c
+++ b/packages/core/src/rollout/lc-job.c
@@ -74,7 +74,7 @@
   }
 }
 
-const LcLengths *
+const LcLengthHistogram *
 lc_step_lengths (const LcRollouts *rollouts, const LcStep *step)
 {
   return &lc_rollouts_trainer (rollouts, step->spec.subscription)->lengths;
--- a/packages/core/src/rollout/lc-job.h
+++ b/packages/core/src/rollout/lc-job.h
@@ -16,6 +16,6 @@
 /* Tokens that the request itself made, without those that it was resumed with. */
 int64_t lc_job_made_tokens (const LcJob *job);
 LcRolloutPool *lc_step_pool (LcRollouts *rollouts, const LcStep *step);
-const LcLengths *lc_step_lengths (const LcRollouts *rollouts, const LcStep *step);
+const LcLengthHistogram *lc_step_lengths (const LcRollouts *rollouts, const LcStep *step);
 
 #endif
--- a/packages/core/src/rollout/lc-result.c
+++ b/packages/core/src/rollout/lc-result.c
@@ -200,7 +200,7 @@
   LcRolloutPool *pool = lc_step_pool (rollouts, job->step);
   LbTime first = job->first_piece ? job->first_piece : now;
 
-  lc_lengths_add (&trainer->lengths, job->label.tokens);
+  lc_length_histogram_add (&trainer->lengths, job->label.tokens);
   lc_pace_add (&pool->pace, lc_job_made_tokens (job), first - job->started, now - first);
 }
 
--- a/packages/core/src/rollout/lc-review.c
+++ b/packages/core/src/rollout/lc-review.c
@@ -14,18 +14,19 @@
                        NULL,
                        "Second generations of a sample that were started");
 
-static LcProgress
+static LcSampleProgress
 progress_of (const LcJob *job)
 {
-  return (LcProgress){ .tokens = job->label.tokens,
-                       .max_tokens = lc_step_group_spec (job->step, lc_job_slot (job))->max_tokens,
-                       .started = job->started,
-                       .first_piece = job->first_piece };
+  return (LcSampleProgress){ .tokens = job->label.tokens,
+                             .max_tokens
+                             = lc_step_group_spec (job->step, lc_job_slot (job))->max_tokens,
+                             .started_at = job->started,
+                             .first_piece_at = job->first_piece };
 }
 
-typedef double (*Gain) (const LcLengths *lengths,
+typedef double (*Gain) (const LcLengthHistogram *lengths,
                         const LcPace *pace,
-                        const LcProgress *progress,
+                        const LcSampleProgress *progress,
                         double idle_weight,
                         LbTime now);
 
@@ -49,10 +50,11 @@
   for (size_t i = 0; i < step->n_slots; i++)
     {
       LcSlot *slot = &step->slots[i];
-      if (!may_be_moved (slot) || (gain_of == lc_straggler_move_gain && slot->moves >= MAX_MOVES))
+      if (!may_be_moved (slot)
+          || (gain_of == lc_straggler_move_gain_seconds && slot->moves >= MAX_MOVES))
         continue;
       LcJob *job = LB_LIST_FIRST (&slot->jobs, LcJob, link);
-      LcProgress progress = progress_of (job);
+      LcSampleProgress progress = progress_of (job);
       double gain
           = gain_of (&trainer->lengths, &pool->pace, &progress, trainer->resource.idle_weight, now);
       if (gain > best_gain)
@@ -99,7 +101,7 @@
   LcJob *job;
 
   while (rollouts->settings.migrate
-         && (job = pick_straggler (rollouts, step, lc_straggler_move_gain, now)))
+         && (job = pick_straggler (rollouts, step, lc_straggler_move_gain_seconds, now)))
     {
       LB_COPY (lc_job_slot (job)->avoid, job->endpoint);
       recall (job, actions);
@@ -114,11 +116,11 @@
   LcJob *job;
 
   while (rollouts->settings.hedging && pool->running < pool->window
-         && (job = pick_straggler (rollouts, step, lc_straggler_gain, now)))
+         && (job = pick_straggler (rollouts, step, lc_straggler_hedge_gain_seconds, now)))
     {
-      LcProgress progress = progress_of (job);
-      int64_t cost
-          = lc_straggler_cost (lc_step_lengths (rollouts, step), &pool->pace, &progress, now);
+      LcSampleProgress progress = progress_of (job);
+      int64_t cost = lc_straggler_hedge_cost_tokens (lc_step_lengths (rollouts, step), &pool->pace,
+                                                     &progress, now);
       if (!fits_budget (rollouts, step, cost))
         return;
       log_review (job, "sample-hedged");
--- a/packages/core/src/rollout/lc-rollouts-state.h
+++ b/packages/core/src/rollout/lc-rollouts-state.h
@@ -25,7 +25,7 @@
   LcSubscription resource;
   int64_t max_lag;
   int64_t running; /* generations */
-  LcLengths lengths;
+  LcLengthHistogram lengths;
   bool declared; /* in the configuration in force */
 } LcTrainer;
 
--- a/packages/core/tests/test-batch-head.c
+++ b/packages/core/tests/test-batch-head.c
@@ -8,7 +8,7 @@
 
 Test (batch_head, says_the_same_after_a_round_trip)
 {
-  LcBatchHead head = { .epoch = 2, .total = 64, .tokens = 900, .ended = true };
+  LcBatchHead head = { .epoch = 2, .n_items = 64, .expected_tokens = 900, .ended = true };
   LcBatchHead read;
 
   LB_COPY (head.batch, "b1");
@@ -41,11 +41,11 @@
  * owner is where that one is. */
 Test (batch_head, the_runner_is_who_was_offered_it_until_another_takes_it)
 {
-  LcBatchHead head = { .epoch = 1, .owner = "a", .preferred = "b" };
+  LcBatchHead head = { .epoch = 1, .owner = "a", .preferred_instance = "b" };
 
-  cr_assert_str_eq (lc_batch_head_runner (&head), "b");
+  cr_assert_str_eq (lc_batch_head_assigned_instance (&head), "b");
   head.epoch = 2;
-  cr_assert_str_eq (lc_batch_head_runner (&head), "a");
+  cr_assert_str_eq (lc_batch_head_assigned_instance (&head), "a");
 }
 
 /* Two steps of a model run on two instances, since an owner died. The first one ends, which writes
@@ -56,8 +56,8 @@
   const LcBatchHead ended = { .ended = true };
   const LcBatchHead runs = { .ended = false };
 
-  cr_assert (lc_batch_head_is_later (&runs, 5, &ended, 9));
-  cr_assert_not (lc_batch_head_is_later (&ended, 9, &runs, 5));
-  cr_assert (lc_batch_head_is_later (&runs, 9, &runs, 5));
-  cr_assert (lc_batch_head_is_later (&ended, 9, &ended, 5));
+  cr_assert (lc_batch_head_is_preferred_over (&runs, 5, &ended, 9));
+  cr_assert_not (lc_batch_head_is_preferred_over (&ended, 9, &runs, 5));
+  cr_assert (lc_batch_head_is_preferred_over (&runs, 9, &runs, 5));
+  cr_assert (lc_batch_head_is_preferred_over (&ended, 9, &ended, 5));
 }
--- a/packages/core/tests/test-batch-keep.c
+++ b/packages/core/tests/test-batch-keep.c
@@ -46,14 +46,16 @@
 owner_init (Owner *owner, size_t n_items)
 {
   LcBatchSpec spec = { .min_version = 4, .n_items = n_items };
-  const LcBatchSettings settings = {
-    .attempts = 3, .resumable = true, .give_up_at = LB_TIME_NEVER, .next_id = next_id, .user = owner
-  };
+  const LcBatchSettings settings = { .max_failures = 3,
+                                     .resumable = true,
+                                     .deadline = LB_TIME_NEVER,
+                                     .next_request_id = next_id,
+                                     .user = owner };
 
   memset (owner, 0, sizeof *owner);
   LB_COPY (spec.id, "b1");
   LB_COPY (spec.model, "reader");
-  spec.items = LB_NEW_ARRAY (LcItemSpec, n_items);
+  spec.items = LB_NEW_ARRAY (LcBatchItemSpec, n_items);
   for (size_t i = 0; i < n_items; i++)
     snprintf (spec.items[i].request.id, LB_NAME_MAX, "item-%zu", i);
   owner->batch = lc_batch_new (&spec, &settings);
@@ -84,11 +86,11 @@
   owner->asked_bytes = 0;
   for (size_t i = 0; i < action->n_parts; i++)
     {
-      const LcBatchPart *part = &action->parts[i];
+      const LcBatchTextPart *part = &action->parts[i];
       Kept *kept = &owner->asked[owner->n_asked++];
-      *kept = (Kept){ .run = part->run,
-                      .first = part->first,
-                      .events = part->events,
+      *kept = (Kept){ .run = part->restarts,
+                      .first = part->first_event,
+                      .events = part->n_events,
                       .text = lb_strdup (part->text),
                       .n_versions = part->n_versions };
       snprintf (kept->item, sizeof kept->item, "%s", part->item);
@@ -105,12 +107,12 @@
   while ((link = lb_list_pop (actions)))
     {
       LcBatchAction *action = LB_CONTAINER (link, LcBatchAction, link);
-      if (action->type == LC_BATCH_RUN)
+      if (action->type == LC_BATCH_GENERATE)
         {
-          owner->running[action->item] = action->request;
-          owner->resume_at[action->item] = action->resume_at;
+          owner->running[action->item_index] = action->request;
+          owner->resume_at[action->item_index] = action->resume_at;
         }
-      else if (action->type == LC_BATCH_KEEP)
+      else if (action->type == LC_BATCH_CHECKPOINT)
         ask_keep (owner, action);
       lc_batch_action_free (action);
     }
@@ -141,7 +143,7 @@
     put_row (owner, &owner->asked[i]);
   owner->bytes += (int64_t)owner->asked_bytes;
   owner->n_asked = 0;
-  lc_batch_kept (owner->batch, told);
+  lc_batch_finish_checkpoint (owner->batch, told);
 }
 
 static void
@@ -150,7 +152,7 @@
   for (size_t i = 0; i < owner->n_asked; i++)
     free (owner->asked[i].text);
   owner->n_asked = 0;
-  lc_batch_kept (owner->batch, false);
+  lc_batch_finish_checkpoint (owner->batch, false);
 }
 
 static void
@@ -177,7 +179,7 @@
 pieces (Owner *owner, int item, int n, const char *text, LbTime now)
 {
   for (int i = 0; i < n; i++)
-    lc_batch_piece (owner->batch, owner->running[item], 4, "engine-1", text, now);
+    lc_batch_add_piece (owner->batch, owner->running[item], 4, "engine-1", text, now);
 }
 
 static int
@@ -201,14 +203,14 @@
   for (size_t i = 0; i < before->n_rows; i++)
     {
       const Kept *row = &before->rows[i];
-      const LcBatchPart part = { .item = row->item,
-                                 .run = row->run,
-                                 .first = row->first,
-                                 .events = row->events,
-                                 .text = row->text,
-                                 .versions = row->versions,
-                                 .n_versions = row->n_versions };
-      lc_batch_restore (next->batch, &part);
+      const LcBatchTextPart part = { .item = row->item,
+                                     .restarts = row->run,
+                                     .first_event = row->first,
+                                     .n_events = row->events,
+                                     .text = row->text,
+                                     .versions = row->versions,
+                                     .n_versions = row->n_versions };
+      lc_batch_restore_text_part (next->batch, &part);
     }
   start (next, now);
 }
--- a/packages/core/tests/test-batch.c
+++ b/packages/core/tests/test-batch.c
@@ -44,7 +44,7 @@
 
   LB_COPY (spec.id, "b1");
   LB_COPY (spec.model, "reader");
-  spec.items = LB_NEW_ARRAY (LcItemSpec, n_items);
+  spec.items = LB_NEW_ARRAY (LcBatchItemSpec, n_items);
   for (size_t i = 0; i < n_items; i++)
     {
       snprintf (spec.items[i].request.id, LB_NAME_MAX, "item-%zu", i);
@@ -58,7 +58,7 @@
 take_write (Fixture *f, const LcBatchAction *action)
 {
   f->writes++;
-  f->position = action->position;
+  f->position = action->first_position;
   f->n_written = action->n_results;
   for (size_t i = 0; i < action->n_results && i < MAX_ITEMS; i++)
     {
@@ -77,26 +77,26 @@
       LcBatchAction *action = LB_CONTAINER (link, LcBatchAction, link);
       switch (action->type)
         {
-        case LC_BATCH_RUN:
-          f->running[action->item] = action->request;
-          f->resume_at[action->item] = action->resume_at;
-          f->latest_start[action->item] = action->latest_start;
+        case LC_BATCH_GENERATE:
+          f->running[action->item_index] = action->request;
+          f->resume_at[action->item_index] = action->resume_at;
+          f->latest_start[action->item_index] = action->latest_start;
           break;
         case LC_BATCH_SCORE:
-          f->scoring[action->item] = action->request;
+          f->scoring[action->item_index] = action->request;
           break;
-        case LC_BATCH_STOP:
+        case LC_BATCH_CANCEL:
           f->stopped++;
           break;
-        case LC_BATCH_RECALL:
+        case LC_BATCH_PREEMPT:
           f->recalled++;
           break;
-        case LC_BATCH_WRITE:
+        case LC_BATCH_WRITE_RESULTS:
           take_write (f, action);
           break;
-        case LC_BATCH_KEEP:
+        case LC_BATCH_CHECKPOINT:
           f->n_parts = action->n_parts;
-          f->part_events = action->parts[0].events;
+          f->part_events = action->parts[0].n_events;
           snprintf (f->part_text, sizeof f->part_text, "%s", action->parts[0].text);
           break;
         }
@@ -112,14 +112,14 @@
   memset (f, 0, sizeof *f);
   lb_list_init (&f->actions);
   f->now = LB_SEC;
-  settings.next_id = next_id;
+  settings.next_request_id = next_id;
   settings.user = f;
-  if (settings.attempts == 0)
-    settings.attempts = 3;
-  if (settings.score_attempts == 0)
-    settings.score_attempts = 3;
-  if (settings.give_up_at == 0)
-    settings.give_up_at = LB_TIME_NEVER;
+  if (settings.max_failures == 0)
+    settings.max_failures = 3;
+  if (settings.max_score_failures == 0)
+    settings.max_score_failures = 3;
+  if (settings.deadline == 0)
+    settings.deadline = LB_TIME_NEVER;
   f->batch = lc_batch_new (&spec, &settings);
 }
 
@@ -133,20 +133,20 @@
 static void
 piece (Fixture *f, int item, LcVersion version, const char *text)
 {
-  lc_batch_piece (f->batch, f->running[item], version, "engine-1", text, f->now);
+  lc_batch_add_piece (f->batch, f->running[item], version, "engine-1", text, f->now);
 }
 
 static void
 end (Fixture *f, int item, LbErrorCode error)
 {
-  lc_batch_ran (f->batch, f->running[item], error, f->now, &f->actions);
+  lc_batch_finish_generation (f->batch, f->running[item], error, f->now, &f->actions);
   take_actions (f);
 }
 
 static void
 written (Fixture *f, bool ok)
 {
-  lc_batch_written (f->batch, ok, f->now, &f->actions);
+  lc_batch_finish_write (f->batch, ok, f->now, &f->actions);
   take_actions (f);
 }
 
@@ -176,7 +176,7 @@
   end (&f, 0, LB_OK);
   cr_assert_neq (f.scoring[0], 0);
   cr_assert_eq (f.writes, 0, "nothing is listed without its score");
-  lc_batch_scored (f.batch, f.scoring[0], LB_OK, "0.5", f.now, &f.actions);
+  lc_batch_finish_scoring (f.batch, f.scoring[0], LB_OK, "0.5", f.now, &f.actions);
   take_actions (&f);
   cr_assert_eq (f.writes, 1);
   cr_assert (f.completed[0]);
@@ -286,7 +286,7 @@
 {
   Fixture f;
 
-  fixture_init (&f, 1, false, (LcBatchSettings){ .resumable = true, .attempts = 2 });
+  fixture_init (&f, 1, false, (LcBatchSettings){ .resumable = true, .max_failures = 2 });
   start (&f);
   end (&f, 0, LB_ERROR_ENDPOINT_FAILED);
   cr_assert_eq (f.writes, 0);
@@ -316,7 +316,7 @@
 {
   Fixture f;
 
-  fixture_init (&f, 2, false, (LcBatchSettings){ .resumable = true, .give_up_at = 5 * LB_SEC });
+  fixture_init (&f, 2, false, (LcBatchSettings){ .resumable = true, .deadline = 5 * LB_SEC });
   start (&f);
   tick (&f, LB_SEC);
   cr_assert_eq (f.stopped, 0);
@@ -334,14 +334,15 @@
 Test (batch, the_next_owner_goes_on_where_the_last_one_ended)
 {
   const LcVersion versions[] = { 4 };
-  const LcBatchPart part
-      = { .item = "item-2", .events = 3, .text = "a\nb\nc", .versions = versions, .n_versions = 1 };
+  const LcBatchTextPart part = {
+    .item = "item-2", .n_events = 3, .text = "a\nb\nc", .versions = versions, .n_versions = 1
+  };
   Fixture f;
 
   fixture_init (&f, 4, false, (LcBatchSettings){ .resumable = true });
-  lc_batch_was_listed (f.batch, "item-0");
-  lc_batch_was_listed (f.batch, "item-3");
-  lc_batch_restore (f.batch, &part);
+  lc_batch_mark_listed (f.batch, "item-0");
+  lc_batch_mark_listed (f.batch, "item-3");
+  lc_batch_restore_text_part (f.batch, &part);
   start (&f);
   cr_assert_eq (f.running[0], 0);
   cr_assert_eq (f.running[3], 0);
@@ -366,7 +367,7 @@
   cr_assert_eq (f.part_events, 9);
   cr_assert_str_eq (f.part_text, "w\nw\nw\nw\nw\nw\nw\nw\nw");
   f.n_parts = 0;
-  lc_batch_kept (f.batch, true);
+  lc_batch_finish_checkpoint (f.batch, true);
   tick (&f, 2 * LB_SEC);
   cr_assert_eq (f.n_parts, 0, "nothing has come since");
   fixture_clear (&f);
@@ -377,9 +378,11 @@
 start_step (Fixture *f, LbTime due_at)
 {
   LcBatchSpec spec = make_spec (2, false);
-  LcBatchSettings settings = {
-    .due_at = due_at, .attempts = 3, .give_up_at = LB_TIME_NEVER, .next_id = next_id, .user = f
-  };
+  LcBatchSettings settings = { .due_at = due_at,
+                               .max_failures = 3,
+                               .deadline = LB_TIME_NEVER,
+                               .next_request_id = next_id,
+                               .user = f };
 
   memset (f, 0, sizeof *f);
   lb_list_init (&f->actions);
@@ -538,7 +541,7 @@
   tick (&f, 10 * LB_SEC);
   cr_assert_eq (f.running[0], 0);
   cr_assert_eq (f.writes, 0);
-  cr_assert_eq (lc_batch_next_tick (f.batch), LB_TIME_NEVER);
+  cr_assert_eq (lc_batch_next_tick_at (f.batch), LB_TIME_NEVER);
   fixture_clear (&f);
 }
 
@@ -546,13 +549,13 @@
 
 /* A second batch of the same model, with what the first one left. */
 static void
-begin_next (Fixture *f, LcCarried *carried, LcVersion min_version, size_t n_items)
+begin_next (Fixture *f, LcTextCache *carried, LcVersion min_version, size_t n_items)
 {
-  const LcBatchSettings settings = { .attempts = 3,
-                                     .score_attempts = 3,
+  const LcBatchSettings settings = { .max_failures = 3,
+                                     .max_score_failures = 3,
                                      .resumable = true,
-                                     .carried = carried,
-                                     .next_id = next_id,
+                                     .text_cache = carried,
+                                     .next_request_id = next_id,
                                      .user = f };
   LcBatchSpec spec = make_spec (n_items, true);
 
@@ -572,7 +575,7 @@
 add_pieces (Fixture *f, size_t item, int n, LcVersion version)
 {
   for (int i = 0; i < n; i++)
-    lc_batch_piece (f->batch, f->running[item], version, "engine-1", "x", f->now);
+    lc_batch_add_piece (f->batch, f->running[item], version, "engine-1", "x", f->now);
 }
 
 /* A trainer ends its step when most groups are whole and asks for the others again, under the same
@@ -581,17 +584,17 @@
 Test (batch, a_text_goes_on_in_the_batch_that_asks_for_it_again)
 {
   Fixture f;
-  LcCarried *carried = lc_carried_new (1 << 20);
+  LcTextCache *carried = lc_text_cache_new (1 << 20);
 
-  fixture_init (&f, 3, true, (LcBatchSettings){ .resumable = true, .carried = carried });
+  fixture_init (&f, 3, true, (LcBatchSettings){ .resumable = true, .text_cache = carried });
   start (&f);
   add_pieces (&f, 0, 5, 6);
   add_pieces (&f, 1, 2, 6);
-  lc_batch_ran (f.batch, f.running[1], LB_OK, f.now, &f.actions);
+  lc_batch_finish_generation (f.batch, f.running[1], LB_OK, f.now, &f.actions);
   take_actions (&f);
-  lc_batch_scored (f.batch, f.scoring[1], LB_OK, "stamp", f.now, &f.actions);
+  lc_batch_finish_scoring (f.batch, f.scoring[1], LB_OK, "stamp", f.now, &f.actions);
   take_actions (&f);
-  lc_batch_written (f.batch, true, f.now, &f.actions);
+  lc_batch_finish_write (f.batch, true, f.now, &f.actions);
   begin_next (&f, carried, 5, 3);
   cr_assert_eq (f.resume_at[0], 5);
   cr_assert_neq (f.running[0], 0);
@@ -601,7 +604,7 @@
   cr_assert_str_eq (f.written[0], "item-1");
   cr_assert_eq (f.resume_at[2], 0);
   lc_batch_free (f.batch);
-  lc_carried_free (carried);
+  lc_text_cache_free (carried);
 }
 
 /* The next batch takes no weights as old as those that made the text: a part of it would break the
@@ -609,37 +612,37 @@
 Test (batch, a_text_of_weights_that_are_too_old_is_made_again)
 {
   Fixture f;
-  LcCarried *carried = lc_carried_new (1 << 20);
+  LcTextCache *carried = lc_text_cache_new (1 << 20);
 
-  fixture_init (&f, 2, true, (LcBatchSettings){ .resumable = true, .carried = carried });
+  fixture_init (&f, 2, true, (LcBatchSettings){ .resumable = true, .text_cache = carried });
   start (&f);
   add_pieces (&f, 0, 3, 5);
   add_pieces (&f, 0, 40, 6);
-  lc_batch_ran (f.batch, f.running[0], LB_OK, f.now, &f.actions);
+  lc_batch_finish_generation (f.batch, f.running[0], LB_OK, f.now, &f.actions);
   take_actions (&f);
   begin_next (&f, carried, 6, 2);
   cr_assert_eq (f.resume_at[0], 0);
   cr_assert_gt (f.latest_start[0], f.latest_start[1], "it is shorter than its estimate");
   lc_batch_free (f.batch);
-  lc_carried_free (carried);
+  lc_text_cache_free (carried);
 }
 
 /* What a group that was whole and read long ago left is of no use, and holds memory. */
 Test (batch, texts_of_whole_groups_are_not_kept)
 {
   Fixture f;
-  LcCarried *carried = lc_carried_new (1 << 20);
+  LcTextCache *carried = lc_text_cache_new (1 << 20);
 
-  fixture_init (&f, 1, false, (LcBatchSettings){ .resumable = true, .carried = carried });
+  fixture_init (&f, 1, false, (LcBatchSettings){ .resumable = true, .text_cache = carried });
   start (&f);
   add_pieces (&f, 0, 3, 6);
-  lc_batch_ran (f.batch, f.running[0], LB_OK, f.now, &f.actions);
+  lc_batch_finish_generation (f.batch, f.running[0], LB_OK, f.now, &f.actions);
   take_actions (&f);
-  lc_batch_written (f.batch, true, f.now, &f.actions);
+  lc_batch_finish_write (f.batch, true, f.now, &f.actions);
   f.now += 5 * LB_SEC;
   lc_batch_stop (f.batch, f.now, &f.actions);
   take_actions (&f);
-  cr_assert_eq (lc_carried_bytes (carried), 0);
+  cr_assert_eq (lc_text_cache_count_bytes (carried), 0);
   lc_batch_free (f.batch);
-  lc_carried_free (carried);
+  lc_text_cache_free (carried);
 }
--- a/packages/core/tests/test-content.c
+++ b/packages/core/tests/test-content.c
@@ -1,35 +1,35 @@
-#include "lc-content.h"
+#include "lc-fingerprint.h"
 
 #include <criterion/criterion.h>
 #include <string.h>
 
-static LcContent
+static LcFingerprint
 content (const char *host, const char *path, const char *body)
 {
-  return lc_content_new ("", "POST", host, path, body, strlen (body));
+  return lc_fingerprint_of_request ("", "POST", host, path, body, strlen (body));
 }
 
 Test (content, is_that_of_all_parts)
 {
-  LcContent first = content ("h", "/a", "x");
+  LcFingerprint first = content ("h", "/a", "x");
 
   cr_assert_eq (first, content ("h", "/a", "x"));
   cr_assert_neq (first, content ("g", "/a", "x"));
   cr_assert_neq (first, content ("h", "/b", "x"));
   cr_assert_neq (first, content ("h", "/a", "y"));
   cr_assert_neq (first, content (NULL, "/a", "x"));
-  cr_assert_neq (first, lc_content_new ("", "PUT", "h", "/a", "x", 1));
-  cr_assert_neq (first, lc_content_new ("mill", "POST", "h", "/a", "x", 1));
+  cr_assert_neq (first, lc_fingerprint_of_request ("", "PUT", "h", "/a", "x", 1));
+  cr_assert_neq (first, lc_fingerprint_of_request ("mill", "POST", "h", "/a", "x", 1));
   cr_assert_neq (content ("h", "/a", "bc"), content ("h", "/ab", "c"));
 }
 
 Test (content, survives_its_text)
 {
-  char text[LC_CONTENT_SIZE];
+  char text[LC_FINGERPRINT_TEXT_SIZE];
 
-  lc_content_to_text (content ("h", "/a", "x"), text);
-  cr_assert_eq (lc_content_from_text (text), content ("h", "/a", "x"));
-  cr_assert_eq (lc_content_from_text (""), 0);
-  cr_assert_eq (lc_content_from_text ("0123456789abcde"), 0);
-  cr_assert_eq (lc_content_from_text ("0123456789abcdeg"), 0);
+  lc_fingerprint_to_text (content ("h", "/a", "x"), text);
+  cr_assert_eq (lc_fingerprint_from_text (text), content ("h", "/a", "x"));
+  cr_assert_eq (lc_fingerprint_from_text (""), 0);
+  cr_assert_eq (lc_fingerprint_from_text ("0123456789abcde"), 0);
+  cr_assert_eq (lc_fingerprint_from_text ("0123456789abcdeg"), 0);
 }
--- a/packages/core/tests/test-dispatch-quarantine.c
+++ b/packages/core/tests/test-dispatch-quarantine.c
@@ -5,20 +5,20 @@
 
 /* Endpoints that ended under the content elsewhere, as other instances tell. */
 static void
-hear_ends (Fixture *f, LcContent content, int n)
+hear_ends (Fixture *f, LcFingerprint content, int n)
 {
-  LcCrashReport crash = { .at = f->now, .contents = { content }, .n_contents = 1 };
+  LcCrashReport crash = { .at = f->now, .fingerprints = { content }, .n_fingerprints = 1 };
 
   for (int i = 0; i < n; i++)
     {
       snprintf (crash.id, sizeof crash.id, "%lu-%d", (unsigned long)content, i);
       snprintf (crash.endpoint, sizeof crash.endpoint, "%lu-gone-%d", (unsigned long)content, i);
-      lc_quarantine_report (lc_dispatch_quarantine (f->dispatch), &crash, f->now);
+      lc_quarantine_add_report (lc_dispatch_quarantine (f->dispatch), &crash, f->now);
     }
 }
 
 static LcRequestSpec
-spec_with (Fixture *f, LcRequestKind kind, LcContent content)
+spec_with (Fixture *f, LcRequestKind kind, LcFingerprint content)
 {
   LcRequestSpec spec = fixture_spec (f, kind);
 
@@ -44,7 +44,7 @@
       cr_assert_not (fixture_submit (&f, &bad));
       cr_assert_eq (f.error.code, LB_ERROR_QUARANTINED);
       cr_assert (lb_error_is_not_run (f.error.code));
-      cr_assert_eq (f.retry_after, lc_quarantine_term ());
+      cr_assert_eq (f.retry_after, lc_quarantine_report_lifetime ());
       cr_assert (fixture_submit (&f, &good));
       fixture_expect (&f, LC_ACTION_SEND, good.id);
       cr_assert (fixture_submit (&f, &unknown));
@@ -124,9 +124,9 @@
   Fixture f;
 
   fixture_init (&f, &(LcDispatchSettings){ .retry_budget = 0.1 }, 2, 8);
-  for (LcContent content = 20; content < 24; content++)
+  for (LcFingerprint content = 20; content < 24; content++)
     {
-      LcContent told = 0;
+      LcFingerprint told = 0;
       LbTime at = 0;
       LcRequestSpec spec = spec_with (&f, LC_KIND_SAMPLE, content);
       spec.failure_is_final = true;
@@ -137,7 +137,7 @@
         fixture_piece (&f, spec.id, sent.attempt, 0, 1, false);
       else
         fixture_end (&f, spec.id, sent.attempt, ends[content - 20]);
-      cr_assert (lc_quarantine_next_clearance (lc_dispatch_quarantine (f.dispatch), &told, &at));
+      cr_assert (lc_quarantine_pop_clearance (lc_dispatch_quarantine (f.dispatch), &told, &at));
       cr_assert_eq (told, content);
     }
   fixture_clear (&f);
@@ -147,7 +147,7 @@
 Test (dispatch_quarantine, a_refusal_clears_nothing)
 {
   Fixture f;
-  LcContent told = 0;
+  LcFingerprint told = 0;
   LbTime at = 0;
 
   fixture_init (&f, &(LcDispatchSettings){ .retry_budget = 0.1 }, 2, 8);
@@ -156,6 +156,6 @@
   cr_assert (fixture_submit (&f, &spec));
   LcAction sent = fixture_expect (&f, LC_ACTION_SEND, spec.id);
   fixture_end (&f, spec.id, sent.attempt, LC_END_REFUSED);
-  cr_assert_not (lc_quarantine_next_clearance (lc_dispatch_quarantine (f.dispatch), &told, &at));
+  cr_assert_not (lc_quarantine_pop_clearance (lc_dispatch_quarantine (f.dispatch), &told, &at));
   fixture_clear (&f);
 }
--- a/packages/core/tests/test-quarantine.c
+++ b/packages/core/tests/test-quarantine.c
@@ -15,9 +15,10 @@
 #define MAX_REPORTS 64
 
 static LcCrashReport
-report (const char *id, const char *endpoint, LbTime at, LcContent first, LcContent second)
+report (const char *id, const char *endpoint, LbTime at, LcFingerprint first, LcFingerprint second)
 {
-  LcCrashReport crash = { .at = at, .contents = { first, second }, .n_contents = second ? 2 : 1 };
+  LcCrashReport crash
+      = { .at = at, .fingerprints = { first, second }, .n_fingerprints = second ? 2 : 1 };
 
   LB_COPY (crash.id, id);
   LB_COPY (crash.endpoint, endpoint);
@@ -26,19 +27,19 @@
 
 /* One instance's report of the end of endpoint number n, all of them a second apart. */
 static void
-end_under (LcQuarantine *quarantine, int n, LcContent first, LcContent second)
+end_under (LcQuarantine *quarantine, int n, LcFingerprint first, LcFingerprint second)
 {
   char name[16];
 
   snprintf (name, sizeof name, "e%d", n);
   LcCrashReport crash = report (name, name, START + n * LB_SEC, first, second);
-  lc_quarantine_report (quarantine, &crash, crash.at);
+  lc_quarantine_add_report (quarantine, &crash, crash.at);
 }
 
 static bool
-is_kept_out (const LcQuarantine *quarantine, LcContent content)
+is_kept_out (const LcQuarantine *quarantine, LcFingerprint content)
 {
-  return lc_quarantine_until (quarantine, content) > 0;
+  return lc_quarantine_ends_at (quarantine, content) > 0;
 }
 
 /* A request under which two endpoints ended runs on, since that may be chance; the third end keeps
@@ -51,7 +52,8 @@
   end_under (quarantine, 2, BAD, 0);
   cr_assert_not (is_kept_out (quarantine, BAD));
   end_under (quarantine, 3, BAD, 0);
-  cr_assert_eq (lc_quarantine_until (quarantine, BAD), START + 3 * LB_SEC + lc_quarantine_term ());
+  cr_assert_eq (lc_quarantine_ends_at (quarantine, BAD),
+                START + 3 * LB_SEC + lc_quarantine_report_lifetime ());
   cr_assert_eq (lc_quarantine_count (quarantine), 1);
   cr_assert_not (is_kept_out (quarantine, GOOD));
   lc_quarantine_free (quarantine);
@@ -66,10 +68,10 @@
   const LcCrashReport second = report ("b", "e1", START + 30 * LB_MSEC, BAD, 0);
   const LcCrashReport other = report ("c", "e2", START + LB_SEC, BAD, 0);
 
-  lc_quarantine_report (quarantine, &first, START + LB_SEC);
-  lc_quarantine_report (quarantine, &other, START + LB_SEC);
-  lc_quarantine_report (quarantine, &second, START + LB_SEC);
-  lc_quarantine_report (quarantine, &second, START + LB_SEC);
+  lc_quarantine_add_report (quarantine, &first, START + LB_SEC);
+  lc_quarantine_add_report (quarantine, &other, START + LB_SEC);
+  lc_quarantine_add_report (quarantine, &second, START + LB_SEC);
+  lc_quarantine_add_report (quarantine, &second, START + LB_SEC);
   cr_assert_not (is_kept_out (quarantine, BAD));
   lc_quarantine_free (quarantine);
 }
@@ -107,7 +109,7 @@
       snprintf (id, sizeof id, "late%d", n);
       LcCrashReport late = report (id, n == 1 ? "e1" : "e2", START + n * LB_SEC, BAD, 0);
       snprintf (late.endpoint, sizeof late.endpoint, "e%d", n);
-      lc_quarantine_report (quarantine, &late, START + 5 * LB_SEC);
+      lc_quarantine_add_report (quarantine, &late, START + 5 * LB_SEC);
     }
   cr_assert (is_kept_out (quarantine, BAD));
   cr_assert_not (is_kept_out (quarantine, GOOD));
@@ -120,25 +122,25 @@
 {
   LcQuarantine *here = lc_quarantine_new ();
   LcQuarantine *elsewhere = lc_quarantine_new ();
-  LcContent content = 0;
+  LcFingerprint content = 0;
   LbTime at = 0;
 
-  lc_quarantine_survived (here, GOOD, START);
+  lc_quarantine_record_answer (here, GOOD, START);
   for (int n = 0; n < 3; n++)
     {
       char name[16];
       snprintf (name, sizeof name, "e%d", n);
       LcCrashReport crash = report (name, name, START + LB_SEC, GOOD, 0);
-      lc_quarantine_report (here, &crash, crash.at);
-      lc_quarantine_report (elsewhere, &crash, crash.at);
+      lc_quarantine_add_report (here, &crash, crash.at);
+      lc_quarantine_add_report (elsewhere, &crash, crash.at);
     }
   cr_assert_not (is_kept_out (here, GOOD));
   cr_assert (is_kept_out (elsewhere, GOOD));
-  cr_assert (lc_quarantine_next_clearance (here, &content, &at));
+  cr_assert (lc_quarantine_pop_clearance (here, &content, &at));
   cr_assert_eq (content, GOOD);
   cr_assert_eq (at, START);
-  cr_assert_not (lc_quarantine_next_clearance (here, &content, &at), "told once");
-  lc_quarantine_cleared (elsewhere, content, at);
+  cr_assert_not (lc_quarantine_pop_clearance (here, &content, &at), "told once");
+  lc_quarantine_add_clearance (elsewhere, content, at);
   cr_assert_not (is_kept_out (elsewhere, GOOD));
   lc_quarantine_free (here);
   lc_quarantine_free (elsewhere);
@@ -149,13 +151,13 @@
 Test (quarantine, an_answer_clears_what_came_before)
 {
   LcQuarantine *quarantine = lc_quarantine_new ();
-  LcContent content = 0;
+  LcFingerprint content = 0;
   LbTime at = 0;
 
   end_under (quarantine, 1, GOOD, 0);
   end_under (quarantine, 2, GOOD, 0);
-  lc_quarantine_survived (quarantine, GOOD, START + 2 * LB_SEC);
-  cr_assert (lc_quarantine_next_clearance (quarantine, &content, &at));
+  lc_quarantine_record_answer (quarantine, GOOD, START + 2 * LB_SEC);
+  cr_assert (lc_quarantine_pop_clearance (quarantine, &content, &at));
   end_under (quarantine, 10, GOOD, 0);
   end_under (quarantine, 11, GOOD, 0);
   cr_assert_not (is_kept_out (quarantine, GOOD));
@@ -167,12 +169,12 @@
 Test (quarantine, what_nobody_suspects_is_not_told)
 {
   LcQuarantine *quarantine = lc_quarantine_new ();
-  LcContent content = 0;
+  LcFingerprint content = 0;
   LbTime at = 0;
 
   for (int i = 0; i < 5000; i++)
-    lc_quarantine_survived (quarantine, GOOD + (LcContent)i, START);
-  cr_assert_not (lc_quarantine_next_clearance (quarantine, &content, &at));
+    lc_quarantine_record_answer (quarantine, GOOD + (LcFingerprint)i, START);
+  cr_assert_not (lc_quarantine_pop_clearance (quarantine, &content, &at));
   lc_quarantine_free (quarantine);
 }
 
@@ -182,13 +184,13 @@
 
   for (int n = 1; n <= 3; n++)
     end_under (quarantine, n, BAD, 0);
-  lc_quarantine_expire (quarantine, START + LB_SEC + lc_quarantine_term () - 1);
+  lc_quarantine_expire (quarantine, START + LB_SEC + lc_quarantine_report_lifetime () - 1);
   cr_assert (is_kept_out (quarantine, BAD));
-  lc_quarantine_withdraw (quarantine, "e2");
+  lc_quarantine_withdraw_report (quarantine, "e2");
   cr_assert_not (is_kept_out (quarantine, BAD));
   end_under (quarantine, 4, BAD, 0);
   cr_assert (is_kept_out (quarantine, BAD));
-  lc_quarantine_expire (quarantine, START + LB_SEC + lc_quarantine_term ());
+  lc_quarantine_expire (quarantine, START + LB_SEC + lc_quarantine_report_lifetime ());
   cr_assert_not (is_kept_out (quarantine, BAD));
   end_under (quarantine, 2, BAD, 0);
   cr_assert (is_kept_out (quarantine, BAD));
@@ -203,7 +205,7 @@
   for (int n = 1; n <= 3; n++)
     end_under (quarantine, n, BAD, 0);
   for (int n = 4; n < 1000; n++)
-    end_under (quarantine, n, GOOD + (LcContent)n, 0);
+    end_under (quarantine, n, GOOD + (LcFingerprint)n, 0);
   cr_assert (is_kept_out (quarantine, BAD));
   cr_assert_eq (lc_quarantine_count (quarantine), 1);
   lc_quarantine_free (quarantine);
@@ -228,14 +230,14 @@
       int parts = end == 0 ? 1 : 1 + (int)gsl_rng_uniform_int (random, 2);
       for (int part = 0; part < parts; part++)
         {
-          LcContent beside = GOOD + gsl_rng_uniform_int (random, 6);
+          LcFingerprint beside = GOOD + gsl_rng_uniform_int (random, 6);
           char name[24];
           snprintf (name, sizeof name, "e%d", end);
           LcCrashReport crash = report ("", name, START + end * 5 * LB_SEC + part * LB_MSEC,
                                         part == 0 ? BAD : beside, beside);
           snprintf (crash.id, sizeof crash.id, "e%d-%d", end, part);
           if (end == 0)
-            crash.n_contents = 1;
+            crash.n_fingerprints = 1;
           reports->reports[reports->n++] = crash;
         }
     }
@@ -247,7 +249,7 @@
   LcQuarantine *quarantine = lc_quarantine_new ();
 
   for (size_t i = 0; i < reports->n; i++)
-    lc_quarantine_report (quarantine, &reports->reports[i], START + 100 * LB_SEC);
+    lc_quarantine_add_report (quarantine, &reports->reports[i], START + 100 * LB_SEC);
   return quarantine;
 }
 
@@ -266,8 +268,8 @@
       gsl_ran_shuffle (random, reports.reports, reports.n, sizeof reports.reports[0]);
       LcQuarantine *other = hear_all (&reports);
       cr_assert (is_kept_out (one, BAD), "seed %lu", seed);
-      cr_assert_eq (lc_quarantine_until (one, BAD), lc_quarantine_until (other, BAD), "seed %lu",
-                    seed);
+      cr_assert_eq (lc_quarantine_ends_at (one, BAD), lc_quarantine_ends_at (other, BAD),
+                    "seed %lu", seed);
       cr_assert_eq (lc_quarantine_count (one), 1, "seed %lu", seed);
       cr_assert_eq (lc_quarantine_count (other), 1, "seed %lu", seed);
       lc_quarantine_free (one);
--- a/packages/node/src/batch/ln-batch-calls.c
+++ b/packages/node/src/batch/ln-batch-calls.c
@@ -54,7 +54,7 @@
 
   if (!batch)
     return;
-  char *text = ln_batch_call_dialect (call)->write_results (batch->head.total, call->position,
+  char *text = ln_batch_call_dialect (call)->write_results (batch->head.n_items, call->position,
                                                             results, n_results, &length);
   ln_batch_call_reply (call, 200, text, length, "application/json");
   free (text);
--- a/packages/node/src/batch/ln-batch-heads.c
+++ b/packages/node/src/batch/ln-batch-heads.c
@@ -111,7 +111,7 @@
 is_offered_here (const LnBatch *batch)
 {
   return batch->head.epoch == 1 && !batch->head.ended && !batch->batches->draining
-         && strcmp (batch->head.preferred, batch->batches->context->instance) == 0;
+         && strcmp (batch->head.preferred_instance, batch->batches->context->instance) == 0;
 }
 
 static void
@@ -139,7 +139,7 @@
 {
   static const char *const tasks[] = { "config", "duties" };
   LnDemandMessage message
-      = { .base = LN_MESSAGE (LN_DEMAND), .tokens = head->tokens, .texts = head->total };
+      = { .base = LN_MESSAGE (LN_DEMAND), .tokens = head->expected_tokens, .texts = head->n_items };
 
   LB_COPY (message.model, head->model);
   for (size_t i = 0; i < sizeof tasks / sizeof tasks[0]; i++)
@@ -249,7 +249,7 @@
 is_run_by (const LnBatch *batch, const char *instance)
 {
   return batch->version > 0 && !batch->head.ended
-         && strcmp (lc_batch_head_runner (&batch->head), instance) == 0;
+         && strcmp (lc_batch_head_assigned_instance (&batch->head), instance) == 0;
 }
 
 /* A model counts with the first of its batches. */
@@ -423,7 +423,7 @@
     return;
   lb_list_init (&actions);
   if (batch->run)
-    lc_batch_keep (batch->run, lb_clock_monotonic (), &actions);
+    lc_batch_checkpoint (batch->run, lb_clock_monotonic (), &actions);
   while ((link = lb_list_pop (&actions)))
     {
       LcBatchAction *action = LB_CONTAINER (link, LcBatchAction, link);
@@ -444,8 +444,8 @@
 bool
 ln_batch_heads_offer (LnBatch *batch, LbTime now)
 {
-  if (!batch->head.preferred[0] || !lb_switch_is_on (LB_SWITCH_OFFERS)
-      || strcmp (batch->head.preferred, batch->batches->context->instance) == 0)
+  if (!batch->head.preferred_instance[0] || !lb_switch_is_on (LB_SWITCH_OFFERS)
+      || strcmp (batch->head.preferred_instance, batch->batches->context->instance) == 0)
     return false;
   batch->held = LN_HELD_OFFERED;
   batch->offered_until = now + OFFER_TIME;
--- a/packages/node/src/batch/ln-batch-load.c
+++ b/packages/node/src/batch/ln-batch-load.c
@@ -82,7 +82,7 @@
 
   if (!goes_on (loading, error))
     return;
-  past->parts = LB_NEW_ARRAY (LcBatchPart, n_rows + 1);
+  past->parts = LB_NEW_ARRAY (LcBatchTextPart, n_rows + 1);
   for (size_t i = 0; i < n_rows; i++)
     if (!ln_batch_part_from_row (&rows[i], &past->parts[past->n_parts++]))
       lb_log (LB_LOG_WARNING, "text_so_far_unreadable", LB_TEXT ("key", rows[i].key));
--- a/packages/node/src/batch/ln-batch-owner.c
+++ b/packages/node/src/batch/ln-batch-owner.c
@@ -109,8 +109,8 @@
 static void
 run_item (LnBatch *batch, const LcBatchAction *action)
 {
-  const LcBatchSpec *spec = lc_batch_spec (batch->run);
-  const LcItemSpec *item = &spec->items[action->item];
+  const LcBatchSpec *spec = lc_batch_get_spec (batch->run);
+  const LcBatchItemSpec *item = &spec->items[action->item_index];
   LcRequestSpec request = { .id = action->request,
                             .kind = LC_KIND_SAMPLE,
                             .delivery = LC_DELIVER_STREAM,
@@ -120,19 +120,19 @@
                             .hedge_after = lb_switch_is_on (LB_SWITCH_HEDGING) ? TEXT_HEDGE : 0,
                             .organisation_priority = (int)batch->head.organisation_priority,
                             .latest_start = action->latest_start,
-                            .wanted_by = action->wanted_by,
+                            .wanted_by = action->due_at,
                             .prompt_tokens = item->prompt_tokens,
-                            .expected_tokens = action->expected_events,
+                            .expected_tokens = action->remaining_events,
                             .min_version = spec->min_version,
                             .deadline = LB_TIME_NEVER,
                             .resume_at = action->resume_at,
-                            .n_avoid = action->avoid[0] ? 1 : 0,
+                            .n_avoid = action->avoid_endpoint[0] ? 1 : 0,
                             .n_prefix_hashes = item->n_prefix_hashes };
 
   LB_COPY (request.pool, spec->model);
   LB_COPY (request.caller, batch->id);
   LB_COPY (request.flow, spec->model);
-  LB_COPY (request.avoid[0], action->avoid);
+  LB_COPY (request.avoid[0], action->avoid_endpoint);
   memcpy (request.prefix_hashes, item->prefix_hashes, sizeof request.prefix_hashes);
   remember (batch, action->request, false);
   submit (batch, &request, &item->request, batch->head.organisation);
@@ -150,7 +150,7 @@
 static void
 score_item (LnBatch *batch, const LcBatchAction *action)
 {
-  const LcItemSpec *item = &lc_batch_spec (batch->run)->items[action->item];
+  const LcBatchItemSpec *item = &lc_batch_get_spec (batch->run)->items[action->item_index];
   const LcDesired *desired = batch->batches->belief.desired;
   const LcRoute *route
       = desired ? lc_desired_route (desired, item->scorer.host, item->scorer.path) : NULL;
@@ -237,7 +237,7 @@
   if (is_current (write))
     {
       lb_list_init (&actions);
-      lc_batch_written (batch->run, ok, lb_clock_monotonic (), &actions);
+      lc_batch_finish_write (batch->run, ok, lb_clock_monotonic (), &actions);
       carry_out (batch, &actions);
     }
   free (write);
@@ -354,7 +354,7 @@
   ln_batch_head_key (batch->id, head);
   entries.conditions[0] = (LpCondition){ .key = head, .version = batch->version };
   for (size_t i = 0; i < action->n_results; i++)
-    add_result (&entries, batch, action->position + (int64_t)i, action->results[i]);
+    add_result (&entries, batch, action->first_position + (int64_t)i, action->results[i]);
   const LpTransaction transaction = { .token = "",
                                       .conditions = entries.conditions,
                                       .n_conditions = entries.n_conditions,
@@ -380,9 +380,9 @@
           free (value);
           continue;
         }
-      puts[n].key
-          = lb_asprintf ("%s%s:%04lld:%06lld", prefix, action->parts[i].item,
-                         (long long)action->parts[i].run, (long long)action->parts[i].first);
+      puts[n].key = lb_asprintf ("%s%s:%04lld:%06lld", prefix, action->parts[i].item,
+                                 (long long)action->parts[i].restarts,
+                                 (long long)action->parts[i].first_event);
       puts[n++].value = value;
     }
   return n;
@@ -408,7 +408,7 @@
   if (error != LB_OK)
     lb_log (LB_LOG_DEBUG, "texts_not_kept", LB_TEXT ("error", lb_error_name (error)));
   if (is_current (write))
-    lc_batch_kept (write->batch->run, error == LB_OK);
+    lc_batch_finish_checkpoint (write->batch->run, error == LB_OK);
   free (write);
 }
 
@@ -421,7 +421,7 @@
   if (n > 0)
     ln_batch_heads_transact (batch, puts, n, LP_PRIORITY_STATUS, on_kept, write_new (batch));
   else
-    lc_batch_kept (batch->run, true);
+    lc_batch_finish_checkpoint (batch->run, true);
   ln_batch_owner_clear_puts (puts, n);
 }
 
@@ -435,22 +435,22 @@
       LcBatchAction *action = LB_CONTAINER (link, LcBatchAction, link);
       switch (action->type)
         {
-        case LC_BATCH_RUN:
+        case LC_BATCH_GENERATE:
           run_item (batch, action);
           break;
         case LC_BATCH_SCORE:
           score_item (batch, action);
           break;
-        case LC_BATCH_STOP:
+        case LC_BATCH_CANCEL:
           stop_request (batch, action->request);
           break;
-        case LC_BATCH_RECALL:
+        case LC_BATCH_PREEMPT:
           recall_request (batch, action->request);
           break;
-        case LC_BATCH_KEEP:
+        case LC_BATCH_CHECKPOINT:
           keep_parts (batch, action);
           break;
-        case LC_BATCH_WRITE:
+        case LC_BATCH_WRITE_RESULTS:
           write_results (batch, action);
           break;
         }
@@ -471,22 +471,22 @@
 {
   const LcRoute *route = route_of (batch);
   LcBatchSettings settings = { .history = ln_batches_history (batch->batches, spec->model),
-                               .carried = lb_switch_is_on (LB_SWITCH_CARRIED_TEXTS)
-                                              ? ln_batches_carried (batch->batches, spec->model)
-                                              : NULL,
+                               .text_cache = lb_switch_is_on (LB_SWITCH_CARRIED_TEXTS)
+                                                 ? ln_batches_carried (batch->batches, spec->model)
+                                                 : NULL,
                                .tokens_per_event = tokens_per_event (batch),
-                               .attempts = route ? route->attempts : DEFAULT_ATTEMPTS,
-                               .score_attempts = DEFAULT_ATTEMPTS + 1,
+                               .max_failures = route ? route->attempts : DEFAULT_ATTEMPTS,
+                               .max_score_failures = DEFAULT_ATTEMPTS + 1,
                                .resumable = !route || route->resumable,
                                .single_version = route && route->single_version,
                                .due_at = batch->first_seen + (route ? route->due : 0),
-                               .give_up_at = LB_TIME_NEVER,
-                               .next_id = next_id,
+                               .deadline = LB_TIME_NEVER,
+                               .next_request_id = next_id,
                                .user = batch->batches->context };
   LbList actions;
 
   if (route && route->give_up > 0)
-    settings.give_up_at = batch->first_seen + route->give_up;
+    settings.deadline = batch->first_seen + route->give_up;
   lb_log (LB_LOG_INFO, "batch_running", LB_TEXT ("batch", batch->id),
           LB_TEXT ("model", spec->model), LB_INT ("step", spec->step),
           LB_INT ("min_version", spec->min_version), LB_INT ("items", spec->n_items),
@@ -497,9 +497,9 @@
   ln_batches_note_owned (batch->batches, true);
   batch->run = lc_batch_new (spec, &settings);
   for (size_t i = 0; i < past->n_listed; i++)
-    lc_batch_was_listed (batch->run, past->listed[i]);
+    lc_batch_mark_listed (batch->run, past->listed[i]);
   for (size_t i = 0; i < past->n_parts; i++)
-    lc_batch_restore (batch->run, &past->parts[i]);
+    lc_batch_restore_text_part (batch->run, &past->parts[i]);
   lb_list_init (&actions);
   lc_batch_start (batch->run, lb_clock_monotonic (), &actions);
   carry_out (batch, &actions);
@@ -515,7 +515,8 @@
   if (!batch->run)
     return;
   lb_log (LB_LOG_INFO, "batch_stopped", LB_TEXT ("batch", batch->id),
-          LB_INT ("listed", lc_batch_listed (batch->run)), LB_BOOL ("ended", batch->head.ended));
+          LB_INT ("listed", lc_batch_count_listed (batch->run)),
+          LB_BOOL ("ended", batch->head.ended));
   lb_list_init (&actions);
   lc_batch_stop (batch->run, lb_clock_monotonic (), &actions);
   carry_out (batch, &actions);
@@ -535,7 +536,7 @@
 
   if (batch->held == LN_HELD_LOADING && now >= batch->retry_at)
     ln_batch_load (batch);
-  if (batch->held != LN_HELD_RUNNING || now < lc_batch_next_tick (batch->run))
+  if (batch->held != LN_HELD_RUNNING || now < lc_batch_next_tick_at (batch->run))
     return;
   lb_list_init (&actions);
   lc_batch_tick (batch->run, now, &actions);
@@ -548,8 +549,9 @@
   const LnBatchRequest *request = find_request (batches, message->request);
 
   if (request && request->batch->run)
-    lc_batch_piece (request->batch->run, message->request, message->piece.version,
-                    message->endpoint, message->text ? message->text : "", lb_clock_monotonic ());
+    lc_batch_add_piece (request->batch->run, message->request, message->piece.version,
+                        message->endpoint, message->text ? message->text : "",
+                        lb_clock_monotonic ());
 }
 
 void
@@ -568,9 +570,9 @@
     return;
   lb_list_init (&actions);
   if (is_score)
-    lc_batch_scored (batch->run, message->request, message->error,
-                     message->text ? message->text : "", now, &actions);
+    lc_batch_finish_scoring (batch->run, message->request, message->error,
+                             message->text ? message->text : "", now, &actions);
   else
-    lc_batch_ran (batch->run, message->request, message->error, now, &actions);
+    lc_batch_finish_generation (batch->run, message->request, message->error, now, &actions);
   carry_out (batch, &actions);
 }
--- a/packages/node/src/batch/ln-batch-rows.c
+++ b/packages/node/src/batch/ln-batch-rows.c
@@ -65,14 +65,14 @@
 }
 
 char *
-ln_batch_part_to_text (const LcBatchPart *part)
+ln_batch_part_to_text (const LcBatchTextPart *part)
 {
   struct json_object *object = json_object_new_object ();
 
   json_object_object_add (object, "item", json_object_new_string (part->item));
-  json_object_object_add (object, "run", json_object_new_int64 (part->run));
-  json_object_object_add (object, "first", json_object_new_int64 (part->first));
-  json_object_object_add (object, "events", json_object_new_int64 (part->events));
+  json_object_object_add (object, "run", json_object_new_int64 (part->restarts));
+  json_object_object_add (object, "first", json_object_new_int64 (part->first_event));
+  json_object_object_add (object, "events", json_object_new_int64 (part->n_events));
   json_object_object_add (object, "versions",
                           lb_json_from_integers (part->versions, part->n_versions));
   json_object_object_add (object, "text", json_object_new_string (part->text));
@@ -80,20 +80,21 @@
 }
 
 bool
-ln_batch_part_from_row (const LpRow *row, LcBatchPart *part)
+ln_batch_part_from_row (const LpRow *row, LcBatchTextPart *part)
 {
   struct json_object *object = row->value ? json_tokener_parse (row->value) : NULL;
   /* One more than a text can have, so that a row with too many shows as such. */
   LcVersion *numbers = LB_NEW_ARRAY (LcVersion, LC_MAX_RESULT_VERSIONS + 1);
   size_t n = lb_json_integers (object, "versions", numbers, LC_MAX_RESULT_VERSIONS + 1);
 
-  *part = (LcBatchPart){ .item = lb_strdup (lb_json_text (object, "item", "")),
-                         .run = lb_json_int (object, "run", 0),
-                         .first = lb_json_int (object, "first", 0),
-                         .events = lb_json_int (object, "events", 0),
-                         .text = lb_strdup (lb_json_text (object, "text", "")),
-                         .versions = numbers,
-                         .n_versions = n };
+  *part = (LcBatchTextPart){ .item = lb_strdup (lb_json_text (object, "item", "")),
+                             .restarts = lb_json_int (object, "run", 0),
+                             .first_event = lb_json_int (object, "first", 0),
+                             .n_events = lb_json_int (object, "events", 0),
+                             .text = lb_strdup (lb_json_text (object, "text", "")),
+                             .versions = numbers,
+                             .n_versions = n };
   json_object_put (object);
-  return part->item[0] && part->run >= 0 && part->first >= 0 && part->events > 0 && n > 0;
+  return part->item[0] && part->restarts >= 0 && part->first_event >= 0 && part->n_events > 0
+         && n > 0;
 }
--- a/packages/node/src/batch/ln-batch-submit.c
+++ b/packages/node/src/batch/ln-batch-submit.c
@@ -173,10 +173,11 @@
       if (strcmp (batch->head.model, model) != 0)
         continue;
       if (!last
-          || lc_batch_head_is_later (&batch->head, batch->version, &last->head, last->version))
+          || lc_batch_head_is_preferred_over (&batch->head, batch->version, &last->head,
+                                              last->version))
         last = batch;
     }
-  return last ? lc_batch_head_runner (&last->head) : "";
+  return last ? lc_batch_head_assigned_instance (&last->head) : "";
 }
 
 /* Guards against one strong machine beside weak ones that gets the batches of all models: each duty
@@ -196,7 +197,7 @@
   const char *last = last_runner (call->batches, call->spec.model);
 
   weigh_duties (call->batches, candidates, n);
-  LB_COPY (call->head.preferred, lc_duty_choose (call->spec.model, last, candidates, n));
+  LB_COPY (call->head.preferred_instance, lc_duty_choose (call->spec.model, last, candidates, n));
   free (candidates);
 }
 
@@ -229,9 +230,9 @@
   LB_COPY (call->head.host, in->host);
   LB_COPY (call->head.path, ln_exchange_path (call->exchange));
   LB_COPY (call->head.model, call->spec.model);
-  call->head.tokens = expected_tokens (&call->spec);
+  call->head.expected_tokens = expected_tokens (&call->spec);
   choose_owner (call);
   call->head.epoch = 1;
-  call->head.total = (int64_t)call->spec.n_items;
+  call->head.n_items = (int64_t)call->spec.n_items;
   store_content (call);
 }
--- a/packages/node/src/batch/ln-batches-private.h
+++ b/packages/node/src/batch/ln-batches-private.h
@@ -82,7 +82,7 @@
 {
   LbName *listed; /* items, by position */
   size_t n_listed;
-  LcBatchPart *parts;
+  LcBatchTextPart *parts;
   size_t n_parts;
 } LnBatchPast;
 
@@ -119,7 +119,7 @@
 void ln_batches_note_owned (LnBatches *batches, bool owns);
 LnBatch *ln_batches_find (LnBatches *batches, const char *id);
 LcBatchHistory *ln_batches_history (LnBatches *batches, const char *model);
-LcCarried *ln_batches_carried (LnBatches *batches, const char *model);
+LcTextCache *ln_batches_carried (LnBatches *batches, const char *model);
 LnBatch *ln_batches_ensure (LnBatches *batches, const char *id);
 void ln_batches_forget (LnBatch *batch);
 
@@ -164,8 +164,8 @@
 char *ln_batch_result_without_text (const LcBatchResult *result, size_t n_pieces);
 /* *n_pieces is 0 when the text is in this row. */
 bool ln_batch_result_from_row (const LpRow *row, LcBatchResult *result, size_t *n_pieces);
-char *ln_batch_part_to_text (const LcBatchPart *part);
-bool ln_batch_part_from_row (const LpRow *row, LcBatchPart *part);
+char *ln_batch_part_to_text (const LcBatchTextPart *part);
+bool ln_batch_part_from_row (const LpRow *row, LcBatchTextPart *part);
 
 /* ln-batch-load.c: reads what a batch that was taken over consists of, then runs it */
 void ln_batch_load (LnBatch *batch);
--- a/packages/node/src/batch/ln-batches.c
+++ b/packages/node/src/batch/ln-batches.c
@@ -26,7 +26,7 @@
 {
   LbName model; /* key */
   LcBatchHistory *history;
-  LcCarried *carried;
+  LcTextCache *carried;
   UT_hash_handle hh;
 } LnModelHistory;
 
@@ -40,7 +40,7 @@
     {
       entry = LB_NEW (LnModelHistory);
       entry->history = lc_batch_history_new ();
-      entry->carried = lc_carried_new (MAX_CARRIED_BYTES);
+      entry->carried = lc_text_cache_new (MAX_CARRIED_BYTES);
       LB_COPY (entry->model, model);
       HASH_ADD_STR (batches->histories, model, entry);
     }
@@ -53,7 +53,7 @@
   return ensure_model (batches, model)->history;
 }
 
-LcCarried *
+LcTextCache *
 ln_batches_carried (LnBatches *batches, const char *model)
 {
   return ensure_model (batches, model)->carried;
@@ -165,7 +165,7 @@
   ln_batch_calls_tick (batches, now);
   ln_batch_cleanup_tick (batches, now);
   for (LnModelHistory *model = batches->histories; model; model = model->hh.next)
-    lc_carried_expire (model->carried, now);
+    lc_text_cache_expire (model->carried, now);
   lb_metric_set (&owned, n_owned);
   ln_batches_note_owned (batches, owns);
 }
@@ -215,7 +215,7 @@
   {
     HASH_DEL (batches->histories, history);
     lc_batch_history_free (history->history);
-    lc_carried_free (history->carried);
+    lc_text_cache_free (history->carried);
     free (history);
   }
   lp_follow_free (batches->rows);
--- a/packages/node/src/calls/ln-call.c
+++ b/packages/node/src/calls/ln-call.c
@@ -62,21 +62,21 @@
   return call->kind == LN_CALL_CHAT ? "/v1/chat/completions" : "/v1/completions";
 }
 
-LcContent
+LcFingerprint
 ln_call_content (const LnCall *call)
 {
   const LcOutgoing *outgoing = &call->outgoing;
   const char *text = NULL;
 
   if (outgoing->path)
-    return lc_content_new (call->organisation, outgoing->method, outgoing->host, outgoing->path,
-                           outgoing->body, outgoing->body_length);
+    return lc_fingerprint_of_request (call->organisation, outgoing->method, outgoing->host,
+                                      outgoing->path, outgoing->body, outgoing->body_length);
   if (!ln_call_is_for_engine (call))
-    return lc_content_new (call->organisation, call->method, NULL, call->path, call->raw_body,
-                           call->raw_length);
+    return lc_fingerprint_of_request (call->organisation, call->method, NULL, call->path,
+                                      call->raw_body, call->raw_length);
   text = json_object_to_json_string_ext (call->body, JSON_FORMAT);
-  return lc_content_new (call->organisation, "POST", NULL, ln_call_engine_path (call), text,
-                         strlen (text));
+  return lc_fingerprint_of_request (call->organisation, "POST", NULL, ln_call_engine_path (call),
+                                    text, strlen (text));
 }
 
 static struct json_object *
--- a/packages/node/src/calls/ln-call.h
+++ b/packages/node/src/calls/ln-call.h
@@ -83,7 +83,7 @@
 /* Where engines take it; not in a dialect. */
 const char *ln_call_engine_path (const LnCall *call);
 /* What it asks for; before its first attempt. */
-LcContent ln_call_content (const LnCall *call);
+LcFingerprint ln_call_content (const LnCall *call);
 /* The JSON for one attempt at an engine; the caller frees it. */
 char *ln_call_engine_body (LnCall *call, const char *stream_id, int64_t resume_at);
 
--- a/packages/node/src/calls/ln-calls-attempts.c
+++ b/packages/node/src/calls/ln-calls-attempts.c
@@ -109,9 +109,9 @@
     [LC_END_FAILED] = "failed",
   };
   const LnCall *call = attempt->call;
-  char content[LC_CONTENT_SIZE];
+  char content[LC_FINGERPRINT_TEXT_SIZE];
 
-  lc_content_to_text (call->spec.content, content);
+  lc_fingerprint_to_text (call->spec.content, content);
   lb_histogram_add (&attempt_time, lb_clock_monotonic () - attempt->sent_at);
   lb_log (LB_LOG_INFO, "attempt_ended", LB_INT ("request", call->spec.id),
           LB_TEXT ("id", call->outgoing.id), LB_TEXT ("caller", call->spec.caller),
--- a/packages/node/src/calls/ln-calls-run.c
+++ b/packages/node/src/calls/ln-calls-run.c
@@ -226,9 +226,9 @@
 static void
 log_given_up (const LnCall *call, LbErrorCode code, LbTime retry_after)
 {
-  char content[LC_CONTENT_SIZE];
+  char content[LC_FINGERPRINT_TEXT_SIZE];
 
-  lc_content_to_text (call->spec.content, content);
+  lc_fingerprint_to_text (call->spec.content, content);
   lb_log (LB_LOG_INFO, "request_given_up", LB_INT ("request", call->spec.id),
           LB_TEXT ("id", call->outgoing.id), LB_TEXT ("pool", call->spec.pool),
           LB_TEXT ("content", content), LB_TEXT ("caller", call->spec.caller),
--- a/packages/node/src/calls/ln-calls.c
+++ b/packages/node/src/calls/ln-calls.c
@@ -176,7 +176,7 @@
 static void
 on_crashed (const char *endpoint,
             LbTime broken_at,
-            const LcContent *contents,
+            const LcFingerprint *contents,
             size_t n_contents,
             void *user)
 {
--- a/packages/node/src/endpoints/ln-crash-row.c
+++ b/packages/node/src/endpoints/ln-crash-row.c
@@ -9,14 +9,14 @@
 #define JSON_FORMAT (JSON_C_TO_STRING_PLAIN | JSON_C_TO_STRING_NOSLASHESCAPE)
 
 struct json_object *
-ln_crash_contents_to_json (const LcContent *contents, size_t n_contents)
+ln_crash_contents_to_json (const LcFingerprint *contents, size_t n_contents)
 {
   struct json_object *array = json_object_new_array ();
-  char text[LC_CONTENT_SIZE];
+  char text[LC_FINGERPRINT_TEXT_SIZE];
 
   for (size_t i = 0; i < n_contents; i++)
     {
-      lc_content_to_text (contents[i], text);
+      lc_fingerprint_to_text (contents[i], text);
       json_object_array_add (array, json_object_new_string (text));
     }
   return array;
@@ -31,7 +31,8 @@
     json_object_object_add (object, "endpoint", json_object_new_string (row->report.endpoint));
   json_object_object_add (object, "at_ms", json_object_new_int64 (row->at_ms));
   json_object_object_add (object, "contents",
-                          ln_crash_contents_to_json (row->report.contents, row->report.n_contents));
+                          ln_crash_contents_to_json (row->report.fingerprints,
+                                                     row->report.n_fingerprints));
   return lb_json_take_text (object, JSON_FORMAT);
 }
 
@@ -41,15 +42,15 @@
   struct json_object *array = lb_json_member (object, "contents");
   size_t n = json_object_is_type (array, json_type_array) ? json_object_array_length (array) : 0;
 
-  for (size_t i = 0; i < n && i < LC_MAX_REPORT_CONTENTS; i++)
+  for (size_t i = 0; i < n && i < LC_MAX_REPORT_FINGERPRINTS; i++)
     {
       const char *text = json_object_get_string (json_object_array_get_idx (array, i));
-      LcContent content = text ? lc_content_from_text (text) : 0;
+      LcFingerprint content = text ? lc_fingerprint_from_text (text) : 0;
       if (content == 0)
         return false;
-      report->contents[report->n_contents++] = content;
+      report->fingerprints[report->n_fingerprints++] = content;
     }
-  return report->n_contents > 0;
+  return report->n_fingerprints > 0;
 }
 
 bool
--- a/packages/node/src/endpoints/ln-crash-row.h
+++ b/packages/node/src/endpoints/ln-crash-row.h
@@ -6,7 +6,7 @@
 /* What an instance tells the others of requests under which endpoints ended, as a row's text. */
 typedef struct
 {
-  bool is_clearance;    /* of report.contents[0]: an endpoint has answered it at report.at */
+  bool is_clearance;    /* of report.fingerprints[0]: an endpoint has answered it at report.at */
   LcCrashReport report; /* else the report; its id is not part of the text */
   int64_t at_ms;        /* report.at by the store's clock; 0: not known */
 } LnCrashRow;
@@ -14,7 +14,7 @@
 struct json_object;
 
 /* Their texts, as rows and log lines name them. */
-struct json_object *ln_crash_contents_to_json (const LcContent *contents, size_t n_contents);
+struct json_object *ln_crash_contents_to_json (const LcFingerprint *contents, size_t n_contents);
 /* The caller frees it. */
 char *ln_crash_row_to_text (const LnCrashRow *row);
 /* Without report.id and report.at. */
--- a/packages/node/src/endpoints/ln-crashes.c
+++ b/packages/node/src/endpoints/ln-crashes.c
@@ -126,7 +126,8 @@
   row = LB_NEW (Row);
   row->key = lb_strdup (key);
   row->heard_at = lb_clock_monotonic ();
-  row->remove_at = at + lc_quarantine_term () + (LbTime)(draw * (double)MAX_REMOVAL_WAIT) + LB_SEC;
+  row->remove_at
+      = at + lc_quarantine_report_lifetime () + (LbTime)(draw * (double)MAX_REMOVAL_WAIT) + LB_SEC;
   lb_list_append (&crashes->rows, &row->link);
 }
 
@@ -145,9 +146,9 @@
   LB_COPY (row.report.id, key);
   remember_row (crashes, key, row.report.at);
   if (row.is_clearance)
-    lc_quarantine_cleared (crashes->quarantine, row.report.contents[0], row.report.at);
+    lc_quarantine_add_clearance (crashes->quarantine, row.report.fingerprints[0], row.report.at);
   else
-    lc_quarantine_report (crashes->quarantine, &row.report, now);
+    lc_quarantine_add_report (crashes->quarantine, &row.report, now);
 }
 
 /* A row is removed when it is too old to count, or by the operators, who let a request run again.
@@ -157,7 +158,7 @@
 {
   Row *row = find_row (crashes, key);
 
-  lc_quarantine_withdraw (crashes->quarantine, key);
+  lc_quarantine_withdraw_report (crashes->quarantine, key);
   if (row)
     drop_row (crashes, row);
 }
@@ -180,7 +181,7 @@
   {
     if (now - row->heard_at < SETTLED_AFTER || is_among (row->key, rows, n_rows))
       continue;
-    lc_quarantine_withdraw (crashes->quarantine, row->key);
+    lc_quarantine_withdraw_report (crashes->quarantine, row->key);
     drop_row (crashes, row);
   }
 }
@@ -250,7 +251,7 @@
 ln_crashes_seen (LnCrashes *crashes,
                  const char *endpoint,
                  LbTime at,
-                 const LcContent *contents,
+                 const LcFingerprint *contents,
                  size_t n_contents)
 {
   const LnContext *context = crashes->context;
@@ -259,12 +260,13 @@
 
   LB_COPY (report->endpoint, endpoint);
   report->at = at;
-  report->n_contents = n_contents < LC_MAX_REPORT_CONTENTS ? n_contents : LC_MAX_REPORT_CONTENTS;
-  memcpy (report->contents, contents, report->n_contents * sizeof *contents);
+  report->n_fingerprints
+      = n_contents < LC_MAX_REPORT_FINGERPRINTS ? n_contents : LC_MAX_REPORT_FINGERPRINTS;
+  memcpy (report->fingerprints, contents, report->n_fingerprints * sizeof *contents);
   snprintf (report->id, sizeof report->id, "%s%s:%s:%s-%llu", PREFIX, endpoint, context->instance,
             context->incarnation, (unsigned long long)++crashes->n_told);
   tell (crashes, report->id, &row);
-  lc_quarantine_report (crashes->quarantine, report, lb_clock_monotonic ());
+  lc_quarantine_add_report (crashes->quarantine, report, lb_clock_monotonic ());
   ln_crashes_tell (crashes);
 }
 
@@ -272,14 +274,14 @@
 ln_crashes_tell (LnCrashes *crashes)
 {
   LnCrashRow row = { .is_clearance = true };
-  char content[LC_CONTENT_SIZE];
-  char key[sizeof PREFIX + LC_CONTENT_SIZE + sizeof "answered:"];
+  char content[LC_FINGERPRINT_TEXT_SIZE];
+  char key[sizeof PREFIX + LC_FINGERPRINT_TEXT_SIZE + sizeof "answered:"];
 
-  row.report.n_contents = 1;
-  while (
-      lc_quarantine_next_clearance (crashes->quarantine, &row.report.contents[0], &row.report.at))
+  row.report.n_fingerprints = 1;
+  while (lc_quarantine_pop_clearance (crashes->quarantine, &row.report.fingerprints[0],
+                                      &row.report.at))
     {
-      lc_content_to_text (row.report.contents[0], content);
+      lc_fingerprint_to_text (row.report.fingerprints[0], content);
       snprintf (key, sizeof key, "%sanswered:%s", PREFIX, content);
       row.at_ms = to_store_ms (crashes, row.report.at);
       tell (crashes, key, &row);
--- a/packages/node/src/endpoints/ln-crashes.h
+++ b/packages/node/src/endpoints/ln-crashes.h
@@ -19,7 +19,7 @@
 void ln_crashes_seen (LnCrashes *crashes,
                       const char *endpoint,
                       LbTime at,
-                      const LcContent *contents,
+                      const LcFingerprint *contents,
                       size_t n_contents);
 /* Tells what the quarantine wants the others to hear. */
 void ln_crashes_tell (LnCrashes *crashes);
--- a/packages/node/src/endpoints/ln-endpoint-checks.c
+++ b/packages/node/src/endpoints/ln-endpoint-checks.c
@@ -19,7 +19,7 @@
  * some ten milliseconds between. */
 #define HOLD_TIME (300 * LB_MSEC)
 /* Of one endpoint: several times what it works on at once. What breaks beyond is not looked at. */
-#define MAX_CONTENTS LC_MAX_REPORT_CONTENTS
+#define MAX_CONTENTS LC_MAX_REPORT_FINGERPRINTS
 
 typedef struct
 {
@@ -29,7 +29,7 @@
   LbName endpoint;
   LbName address;
   LbTime broken_at; /* the first of them */
-  LcContent contents[MAX_CONTENTS];
+  LcFingerprint contents[MAX_CONTENTS];
   size_t n_contents;
 } Check;
 
@@ -158,13 +158,13 @@
 ln_endpoint_checks_broken (LnEndpointChecks *checks,
                            const char *endpoint,
                            const char *address,
-                           LcContent content)
+                           LcFingerprint content)
 {
   Check *check = find (checks, endpoint);
 
   if (!check)
     check = start (checks, endpoint, address);
   if (check && check->n_contents < MAX_CONTENTS
-      && !lc_content_is_among (content, check->contents, check->n_contents))
+      && !lc_fingerprint_is_among (content, check->contents, check->n_contents))
     check->contents[check->n_contents++] = content;
 }
--- a/packages/node/src/endpoints/ln-endpoint-checks.h
+++ b/packages/node/src/endpoints/ln-endpoint-checks.h
@@ -11,7 +11,7 @@
 /* The endpoint has ended, and these broke with it. */
 typedef void (*LnEndpointCrashed) (const char *endpoint,
                                    LbTime broken_at,
-                                   const LcContent *contents,
+                                   const LcFingerprint *contents,
                                    size_t n_contents,
                                    void *user);
 
@@ -24,6 +24,6 @@
 void ln_endpoint_checks_broken (LnEndpointChecks *checks,
                                 const char *endpoint,
                                 const char *address,
-                                LcContent content);
+                                LcFingerprint content);
 
 #endif
--- a/packages/node/tests/test-calls-start.c
+++ b/packages/node/tests/test-calls-start.c
@@ -1,6 +1,6 @@
 #include "node-fixture.h"
 
-#include "lc-content.h"
+#include "lc-fingerprint.h"
 
 /* A platform that answers the scan for crashed endpoints when the test says so. */
 typedef struct
@@ -32,10 +32,11 @@
 static void
 answer_scan (SlowStore *store, const char *path, const char *body)
 {
-  char content[LC_CONTENT_SIZE];
+  char content[LC_FINGERPRINT_TEXT_SIZE];
   LpRow rows[3];
 
-  lc_content_to_text (lc_content_new ("", "POST", NULL, path, body, strlen (body)), content);
+  lc_fingerprint_to_text (lc_fingerprint_of_request ("", "POST", NULL, path, body, strlen (body)),
+                          content);
   for (int i = 0; i < 3; i++)
     rows[i] = (LpRow){ .key = lb_asprintf ("crash/all/e%d", i),
                        .value
--- a/packages/node/tests/test-crashes.c
+++ b/packages/node/tests/test-crashes.c
@@ -202,15 +202,15 @@
 }
 
 static void
-see_end (Instance *instance, const char *endpoint, LcContent content)
+see_end (Instance *instance, const char *endpoint, LcFingerprint content)
 {
   ln_crashes_seen (instance->crashes, endpoint, lb_clock_monotonic (), &content, 1);
 }
 
 static bool
-is_kept_out (const Instance *instance, LcContent content)
+is_kept_out (const Instance *instance, LcFingerprint content)
 {
-  return lc_quarantine_until (instance->quarantine, content) > 0;
+  return lc_quarantine_ends_at (instance->quarantine, content) > 0;
 }
 
 typedef struct
@@ -303,7 +303,7 @@
   see_end (&w.a, "e1", BAD);
   see_end (&w.a, "e2", BAD);
   see_end (&w.a, "e3", BAD);
-  w.store.now_ms += lc_quarantine_term () / LB_MSEC - 1000;
+  w.store.now_ms += lc_quarantine_report_lifetime () / LB_MSEC - 1000;
   instance_init (&fresh, w.base, &w.store.platform, "c");
   tick (&fresh);
   cr_assert (is_kept_out (&fresh, BAD));
@@ -325,9 +325,10 @@
   world_init (&w);
   see_end (&w.a, "e1", BAD);
   cr_assert_not_null (w.store.rows[0].value);
-  ln_crashes_tick (w.a.crashes, lb_clock_monotonic () + lc_quarantine_term ());
+  ln_crashes_tick (w.a.crashes, lb_clock_monotonic () + lc_quarantine_report_lifetime ());
   cr_assert_not_null (w.store.rows[0].value, "no instance may be behind");
-  ln_crashes_tick (w.a.crashes, lb_clock_monotonic () + lc_quarantine_term () + 700 * LB_SEC);
+  ln_crashes_tick (w.a.crashes,
+                   lb_clock_monotonic () + lc_quarantine_report_lifetime () + 700 * LB_SEC);
   cr_assert_null (w.store.rows[0].value);
   world_clear (&w);
 }
@@ -358,7 +359,7 @@
   World w;
 
   world_init (&w);
-  lc_quarantine_survived (w.a.quarantine, GOOD, lb_clock_monotonic ());
+  lc_quarantine_record_answer (w.a.quarantine, GOOD, lb_clock_monotonic ());
   see_end (&w.b, "e1", GOOD);
   see_end (&w.b, "e2", GOOD);
   see_end (&w.b, "e3", GOOD);
@@ -437,7 +438,7 @@
   struct event_base *base = event_base_new ();
   LpPlatform *platform = lp_memory_new (base);
   Instance a, fresh;
-  const LcContent content = BAD;
+  const LcFingerprint content = BAD;
   LbTime now = lb_clock_monotonic ();
 
   instance_init (&a, base, platform, "a");
