--- a/packages/node/src/batch/ln-batch-owner.c
+++ b/packages/node/src/batch/ln-batch-owner.c
@@ -120,7 +120,7 @@
                             .hedge_after = lb_switch_is_on (LB_SWITCH_HEDGING) ? TEXT_HEDGE : 0,
                             .organisation_priority = (int)batch->head.organisation_priority,
                             .latest_start = action->latest_start,
-                            .wanted_by = action->due_at,
+                            .soft_deadline = action->due_at,
                             .prompt_tokens = item->prompt_tokens,
                             .expected_tokens = action->remaining_events,
                             .min_version = spec->min_version,
