--- a/packages/core/include/lc-rollouts.h
+++ b/packages/core/include/lc-rollouts.h
@@ -3,8 +3,10 @@
 
 #include "lc-dispatch.h"
 
-/* Steps of trainers: slots, groups, labels, staleness, cursors, hedges. No I/O: commands return
- * actions for the node, which carries samples to LcDispatch and chunks to trainers. */
+/* The owner's side of trainers' steps: schedules generations, labels and scores samples, enforces
+ * the staleness bound, delivers chunks with cursors, and migrates or hedges stragglers. It does no
+ * I/O: commands add actions for the node, which submits requests to LcDispatch and replies to
+ * trainers. */
 
 typedef struct
 {
@@ -18,14 +20,14 @@
 {
   LbName subscription;
   int64_t step;
-  LcVersion trainer_version; /* the trainer's own when it asked */
+  LcVersion trainer_version; /* when the step was opened */
   LcGroupSpec *groups;
   size_t n_groups;
 } LcStepSpec;
 
 void lc_step_spec_clear (LcStepSpec *spec);
 
-/* A sample ready for its trainer. Pointers are valid until the next command. */
+/* A sample that can be delivered. Pointers are valid until the next command. */
 typedef struct
 {
   const char *group;
@@ -36,37 +38,36 @@
   double score;
 } LcReadySample;
 
-/* What an earlier owner of a step left. */
+/* State of a step left by its earlier owner. */
 typedef struct
 {
   uint64_t session;             /* of the new owner */
-  const char *ledger_cursor;    /* value of the last ledger row; "": there is none */
-  const LcReadySample *samples; /* that were ready and that the trainer may not have */
+  const char *ledger_cursor;    /* value of the ledger row; "": there is none */
+  const LcReadySample *samples; /* not acknowledged when the earlier owner ended */
   size_t n_samples;
 } LcStepHandover;
 
-/* A pull: cursor is the text of the last reply ("" at the start of a step). */
+/* A trainer's request for the next chunk of a step. */
 typedef struct
 {
-  uint64_t id; /* names the waiting reply; chosen by the node */
+  uint64_t id; /* chosen by the node; the reply carries it */
   LbName subscription;
   int64_t step;
-  const char *cursor;
-  LcVersion trainer_version; /* what the trainer trains now: staleness is judged against it */
+  const char *cursor;        /* of the last reply; "" at the start of a step */
+  LcVersion trainer_version; /* current; the staleness bound is applied against it */
   int64_t max_samples;
-  LbTime wait_until;
+  LbTime wait_until; /* answer without samples at this time */
 } LcPull;
 
 typedef enum
 {
-  LC_ROLLOUT_GENERATE,     /* submit to the dispatch a sample: request, spec, prompt, resume_text */
+  LC_ROLLOUT_GENERATE,     /* submit a generation to the dispatch */
   LC_ROLLOUT_CANCEL,       /* cancel a request of an earlier GENERATE or SCORE */
-  LC_ROLLOUT_SCORE,        /* ask the scorer about a sample */
-  LC_ROLLOUT_WRITE_LEDGER, /* write a batched row under its condition */
+  LC_ROLLOUT_SCORE,        /* send a sample to the scorer */
+  LC_ROLLOUT_WRITE_LEDGER, /* write the row, on condition that the session is still the latest */
   LC_ROLLOUT_REPLY,        /* answer a pull */
-  /* Stop a request of an earlier GENERATE and report it with lc_rollouts_finish_generation and
-   * LB_ERROR_CLOSED, with the text of exactly those pieces that were reported: another request goes
-   * on from there. */
+  /* Stop a request of an earlier GENERATE and pass LB_ERROR_CLOSED and the text of exactly those
+   * pieces that were reported to lc_rollouts_finish_generation; another request resumes there. */
   LC_ROLLOUT_PREEMPT
 } LcRolloutActionType;
 
@@ -74,31 +75,31 @@
 {
   LbLink link;
   LcRolloutActionType type;
-  /* GENERATE, SCORE, ABANDON, RECALL */
-  LcRequestSpec spec; /* spec.id names the request */
+  /* GENERATE, SCORE, CANCEL, PREEMPT */
+  LcRequestSpec spec; /* spec.id is the request's id */
   const char *group;  /* owned by the step; valid until the next command */
-  int64_t index;      /* of the sample in its group; the same for hedges and repeats of one slot */
+  int64_t index;      /* of the sample in its group */
   const char *prompt; /* owned by the step; valid until the next command */
   int64_t max_tokens;
-  char *resume_text; /* owned by the action; NULL: from the start */
+  char *resume_text; /* owned; text to resume after; NULL: start from the beginning */
   LbName scorer;
-  const char *text; /* SCORE: the sample */
-  /* LEDGER */
-  uint64_t write_id; /* names the write for lc_rollouts_finish_ledger_write */
+  const char *text; /* SCORE: of the sample */
+  /* WRITE_LEDGER */
+  uint64_t write_id; /* for lc_rollouts_finish_ledger_write */
   char *row_key;     /* owned */
   char *row_value;
   uint64_t session;
   /* REPLY */
   uint64_t pull_id;
-  LbError error; /* code LB_OK: a chunk */
+  LbError error; /* code LB_OK: the reply is a chunk */
   LbTime retry_after;
   LcReadySample *samples; /* owned array */
   size_t n_samples;
   char *cursor;      /* owned */
-  int64_t remaining; /* slots not delivered after this chunk */
+  int64_t remaining; /* slots still to be delivered after this chunk */
 } LcRolloutAction;
 
-/* Totals of a step, for status and the measures. */
+/* Totals of a step, for its status and for benchmarks. */
 typedef struct
 {
   int64_t slots;
@@ -120,16 +121,16 @@
 {
   LbName instance;
   uint64_t seed;
-  /* mechanisms, for measuring each alone; all true in the product */
+  /* All true by default; benchmarks switch them off to measure the effect of each. */
   bool longest_first;
   bool hedging;
   bool resume;
   bool predict_staleness;
   bool group_release;
   bool fair_shares;
-  bool migrate; /* samples of slow endpoints go on elsewhere */
-  /* An owner that found no time to tick for so long may have been replaced meanwhile: it has its
-   * session confirmed by a ledger write before it delivers again. 0: never. */
+  bool migrate; /* resume samples of slow endpoints on other endpoints */
+  /* An owner that ran no command for longer than this may have been replaced, so it confirms its
+   * session by a ledger write before it delivers again. 0: no limit. */
   LbTime pause_limit;
 } LcRolloutSettings;
 
@@ -139,49 +140,55 @@
 LcRollouts *lc_rollouts_new (const LcRolloutSettings *settings);
 void lc_rollouts_free (LcRollouts *rollouts);
 
-/* commands; ids of requests come from next_id so that the node can use the dispatch's numbering */
+/* commands */
+
+/* Takes request ids from next_id, so that the node can use those of the dispatch. */
 void
 lc_rollouts_set_id_source (LcRollouts *rollouts, LcRequestId (*next_id) (void *user), void *user);
 void
 lc_rollouts_configure (LcRollouts *rollouts, const LcResourceSet *set, LbTime now, LbList *actions);
-/* Takes over the spec's content. The same step again with the same content is accepted and changes
- * nothing; with other content it is a conflict. session is larger for each later owner. */
+/* Takes ownership of the spec's content. Opening an open step again has no effect if the content is
+ * the same, and is a conflict otherwise. Each later owner has a larger session. */
 bool lc_rollouts_open_step (LcRollouts *rollouts,
                             LcStepSpec *spec,
                             uint64_t session,
                             LbTime now,
                             LbList *actions,
                             LbError *error);
-/* Opens a step that an earlier owner began. Slots that the ledger names, or for which a sample is
- * given, are not generated again. */
+/* Opens a step of an earlier owner. Slots that the ledger's cursor names, or for which a sample is
+ * handed over, are not generated again. */
 bool lc_rollouts_take_over_step (LcRollouts *rollouts,
                                  LcStepSpec *spec,
-                                 const LcStepHandover *recovery,
+                                 const LcStepHandover *handover,
                                  LbTime now,
                                  LbList *actions,
                                  LbError *error);
-/* The same for an owner that left no samples. */
+/* The same without samples of the earlier owner. */
 bool lc_rollouts_recover_step (LcRollouts *rollouts,
                                LcStepSpec *spec,
                                uint64_t session,
-                               const char *ledger,
+                               const char *ledger_cursor,
                                LbTime now,
                                LbList *actions,
                                LbError *error);
-/* The owner was replaced: stops all work of the step and answers its pulls with STALE_SESSION. */
-void lc_rollouts_abort_step (
-    LcRollouts *rollouts, const char *subscription, int64_t step, LbTime now, LbList *actions);
+/* Removes a step that has a new owner: cancels its requests and answers its pulls with
+ * LB_ERROR_STALE_SESSION. */
+void lc_rollouts_abort_step (LcRollouts *rollouts,
+                             const char *subscription,
+                             int64_t step_number,
+                             LbTime now,
+                             LbList *actions);
 void lc_rollouts_pull (LcRollouts *rollouts, const LcPull *pull, LbTime now, LbList *actions);
-/* The trainer's connection is gone; the chunk stays for its repeat. */
-void lc_rollouts_cancel_pull (LcRollouts *rollouts, uint64_t pull);
-/* Each piece of a sample's generation, in order. */
+/* For a closed connection; the chunk stays available for a repeat of the pull. */
+void lc_rollouts_cancel_pull (LcRollouts *rollouts, uint64_t pull_id);
+/* Receives the next piece of a generation. */
 void lc_rollouts_add_piece (LcRollouts *rollouts,
                             LcRequestId request,
                             const LcPiece *piece,
                             const char *endpoint,
                             LbTime now,
                             LbList *actions);
-/* The end of a request; text is taken over (the generated text, after any resume_text). */
+/* Takes ownership of text, which is what was generated after any resume_text. */
 void lc_rollouts_finish_generation (LcRollouts *rollouts,
                                     LcRequestId request,
                                     LbErrorCode error,
@@ -195,12 +202,13 @@
                                  LbTime now,
                                  LbList *actions);
 void lc_rollouts_finish_ledger_write (
-    LcRollouts *rollouts, uint64_t write, LbErrorCode error, LbTime now, LbList *actions);
-/* What the fleet serves now: newest version and seconds between versions, for prediction. */
+    LcRollouts *rollouts, uint64_t write_id, LbErrorCode error, LbTime now, LbList *actions);
+/* Sets the newest version that the pool serves and the time between versions, both used to predict
+ * staleness; 0: unknown. */
 void lc_rollouts_set_versions (LcRollouts *rollouts,
-                               const char *pool,
-                               LcVersion newest,
-                               LbTime cadence,
+                               const char *pool_name,
+                               LcVersion newest_version,
+                               LbTime version_interval,
                                LbTime now,
                                LbList *actions);
 void lc_rollouts_drain (LcRollouts *rollouts, LbTime now, LbList *actions);
@@ -208,28 +216,28 @@
 void lc_rollout_action_free (LcRolloutAction *action);
 
 /* queries */
-/* Whether the resources have a subscription of this name. */
+/* Whether the current configuration has a subscription of this name. */
 bool lc_rollouts_has_subscription (const LcRollouts *rollouts, const char *subscription);
-/* Whether the step's content and subscription are such that it could be opened here. */
+/* Whether the step is valid, its subscription is configured and this instance isn't draining. */
 bool lc_rollouts_can_open_step (const LcRollouts *rollouts, const LcStepSpec *spec, LbError *error);
 LbTime lc_rollouts_next_tick (const LcRollouts *rollouts);
 bool lc_rollouts_get_step_status (const LcRollouts *rollouts,
                                   const char *subscription,
-                                  int64_t step,
+                                  int64_t step_number,
                                   LcStepStatus *status);
-/* The step's samples that its trainer has not acknowledged, to be given to the next owner. The
- * array is the caller's, what it points to is valid until the next command. */
+/* The step's samples that the trainer has not acknowledged, for handover to the next owner. The
+ * caller frees the array; what it points to is valid until the next command. */
 size_t lc_rollouts_list_unacknowledged (const LcRollouts *rollouts,
                                         const char *subscription,
-                                        int64_t step,
+                                        int64_t step_number,
                                         LcReadySample **samples);
-/* True for a running request that asks a scorer. */
+/* Whether the request is a running scoring. */
 bool lc_rollouts_is_scoring (const LcRollouts *rollouts, LcRequestId request);
+/* Running requests and waiting pulls. */
 size_t lc_rollouts_count_in_progress (const LcRollouts *rollouts);
-/* Times that a delivery was refused because it would have broken a promise; 0 in a sound program.
- */
+/* Deliveries prevented by the invariant checks; anything but 0 is a bug. */
 int64_t lc_rollouts_invariant_failures (const LcRollouts *rollouts);
-/* The content of a step as one number: equal for equal content, on every instance. */
+/* Hash of the step's content, the same on every instance. */
 uint64_t lc_step_spec_hash (const LcStepSpec *spec);
 
 #endif
--- a/packages/core/include/lc-ticket.h
+++ b/packages/core/include/lc-ticket.h
@@ -3,35 +3,35 @@
 
 #include "lc-types.h"
 
-/* Tickets for calls that may run at most once. A ticket names the one incarnation of one instance
- * that may run its call, "INSTANCE.INCARNATION.NUMBER"; whether it has run is known by the memory
- * of that incarnation and by nothing else, so no store is asked and no two instances can disagree.
- */
+/* Tickets (idempotency keys) for calls that must run at most once. A ticket
+ * "INSTANCE.INCARNATION.NUMBER" names the only incarnation of an instance that may run its call.
+ * Whether the call has run is recorded only in the memory of that incarnation, so no store is
+ * needed and no two instances can disagree. */
 
 #define LC_TICKET_SIZE (2 * LB_NAME_MAX + 24)
 
 typedef struct
 {
-  LbTime lifetime;         /* of an unused ticket, and of an answer after it came */
-  size_t max_tickets;      /* unused, in progress and answered together */
-  size_t max_answer_bytes; /* bytes of all kept answers; the oldest give way */
+  LbTime lifetime;    /* counted from the issue of a ticket, and again from the end of its call */
+  size_t max_tickets; /* unused, running, answered and spent ones together */
+  size_t max_answer_bytes; /* limit for all stored answers; the oldest are evicted */
   uint64_t seed;
 } LcTicketLimits;
 
 typedef enum
 {
-  LC_TICKET_RUN,    /* run the call now; this was said to nobody else */
-  LC_TICKET_JOIN,   /* the call is in progress as `request`: wait for its answer */
-  LC_TICKET_REPLAY, /* the answer is in `answer` */
-  LC_TICKET_RELAY,  /* relay to `instance`, which alone may run it */
-  LC_TICKET_REJECT  /* `error` says why */
+  LC_TICKET_RUN,    /* run the call now; returned again only if it is proven not to have run */
+  LC_TICKET_JOIN,   /* the call is running as `request`: wait for its answer */
+  LC_TICKET_REPLAY, /* send the stored `answer` */
+  LC_TICKET_RELAY,  /* relay the call to `instance`, the only one that may run it */
+  LC_TICKET_REJECT  /* fail the call with `error` */
 } LcTicketAction;
 
 typedef struct
 {
   LcTicketAction action;
   LcRequestId request;
-  int status;         /* HTTP status of the kept answer */
+  int status;         /* HTTP status of the stored answer */
   const char *answer; /* valid until the next command */
   size_t answer_length;
   LbName instance;
@@ -51,7 +51,7 @@
 LcTicketDecision lc_tickets_redeem (LcTickets *tickets,
                                     const char *text,
                                     const char *caller,
-                                    uint64_t content,
+                                    uint64_t content_hash,
                                     LcRequestId request,
                                     LbTime now);
 void lc_tickets_finish (LcTickets *tickets,
@@ -59,7 +59,7 @@
                         LbErrorCode error,
                         int status,
                         const char *answer,
-                        size_t length,
+                        size_t answer_length,
                         LbTime now);
 void lc_tickets_tick (LcTickets *tickets, LbTime now);
 
--- a/packages/core/src/rollout/lc-cursor.h
+++ b/packages/core/src/rollout/lc-cursor.h
@@ -3,30 +3,31 @@
 
 #include "lb-error.h"
 
-/* Which samples of a step its trainer has: all that an owner needs to go on exactly where another
- * one stopped. It travels as text through the trainer and through the ledger. */
+/* The set of a step's slots whose samples the trainer has. It is all that a new owner needs to
+ * continue the step without losing or repeating a sample, and is stored as text by the trainer and
+ * in the ledger. */
 typedef struct
 {
-  uint64_t session; /* of the owner that gave it */
-  int64_t chunk;    /* chunks given before and with it */
+  uint64_t session;     /* of the owner that issued the cursor */
+  int64_t chunk_number; /* chunks delivered up to and including this cursor's */
   size_t n_slots;
-  uint8_t *have; /* one bit for each slot */
+  uint8_t *bitmap; /* one bit for each slot */
 } LcCursor;
 
 void lc_cursor_init (LcCursor *cursor, size_t n_slots);
 void lc_cursor_clear (LcCursor *cursor);
 void lc_cursor_copy (LcCursor *target, const LcCursor *source);
 
-void lc_cursor_add (LcCursor *cursor, size_t slot);
-bool lc_cursor_has (const LcCursor *cursor, size_t slot);
-size_t lc_cursor_count (const LcCursor *cursor);
-/* Every slot of the smaller is in the larger. */
-bool lc_cursor_includes (const LcCursor *larger, const LcCursor *smaller);
+void lc_cursor_add_slot (LcCursor *cursor, size_t slot);
+bool lc_cursor_has_slot (const LcCursor *cursor, size_t slot);
+size_t lc_cursor_count_slots (const LcCursor *cursor);
+/* Whether every slot of subset is in cursor. */
+bool lc_cursor_contains (const LcCursor *cursor, const LcCursor *subset);
 
-char *lc_cursor_to_text (const LcCursor *cursor, uint64_t binding);
-/* The cursor is initialised also on failure. binding is the hash of the step's content: a cursor of
- * another step or a damaged one is LB_ERROR_BAD_CURSOR. */
-bool lc_cursor_from_text (
-    LcCursor *cursor, const char *text, size_t n_slots, uint64_t binding, LbError *error);
+char *lc_cursor_encode (const LcCursor *cursor, uint64_t step_hash);
+/* Initialises the cursor, also on failure; an empty text gives an empty cursor. A damaged cursor or
+ * one of a step with another hash fails with LB_ERROR_BAD_CURSOR. */
+bool lc_cursor_decode (
+    LcCursor *cursor, const char *text, size_t n_slots, uint64_t step_hash, LbError *error);
 
 #endif
--- a/packages/core/src/rollout/lc-deliver.c
+++ b/packages/core/src/rollout/lc-deliver.c
@@ -10,7 +10,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define RETRY_AFTER LB_SEC
+#define STORE_RETRY_AFTER LB_SEC
 
 typedef enum
 {
@@ -24,7 +24,7 @@
 
 #define INVARIANT_METRIC(name)                                                                     \
   LB_COUNTER_INIT ("lentilspindle_rollout_invariant_failures_total", "invariant=\"" name "\"",     \
-                   "Deliveries refused because they would have broken a promise")
+                   "Samples not delivered because the delivery would have violated an invariant")
 
 static LbMetric invariant_metrics[N_INVARIANTS]
     = { INVARIANT_METRIC ("label"), INVARIANT_METRIC ("staleness"), INVARIANT_METRIC ("once") };
@@ -33,48 +33,48 @@
                                                     "Samples put into chunks for trainers");
 static LbMetric repeated_metric = LB_COUNTER_INIT ("lentilspindle_rollout_repeated_chunks_total",
                                                    NULL,
-                                                   "Chunks that were given again");
+                                                   "Chunks that were sent again");
 
 static const LcTrainer *
-trainer_of (const LcRollouts *rollouts, const LcStep *step)
+trainer_of_step (const LcRollouts *rollouts, const LcStep *step)
 {
-  return lc_rollouts_trainer (rollouts, step->spec.subscription);
+  return lc_rollouts_find_trainer (rollouts, step->spec.subscription);
 }
 
 static bool
 is_strict (const LcRollouts *rollouts, const LcStep *step)
 {
-  return trainer_of (rollouts, step)->resource.strict;
+  return trainer_of_step (rollouts, step)->subscription.strict;
 }
 
 /* Replies. */
 
 static LcRolloutAction *
 reply_error (
-    uint64_t pull, LbErrorCode code, const char *detail, LbTime retry_after, LbList *actions)
+    uint64_t pull_id, LbErrorCode code, const char *detail, LbTime retry_after, LbList *actions)
 {
   LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_REPLY);
 
-  action->pull_id = pull;
+  action->pull_id = pull_id;
   action->retry_after = retry_after;
   lb_error_set (&action->error, code, "", "%s", detail);
   return action;
 }
 
 static void
-drop_pull (LcStep *step, LcWaitingPull *pull)
+free_pull (LcStep *step, LcWaitingPull *pull)
 {
-  lb_list_remove (&step->pulls, &pull->link);
+  lb_list_remove (&step->waiting_pulls, &pull->link);
   free (pull);
 }
 
 void
 lc_deliver_fail_pulls (LcStep *step, LbErrorCode error, LbTime retry_after, LbList *actions)
 {
-  LB_LIST_FOREACH (&step->pulls, LcWaitingPull, link, pull)
+  LB_LIST_FOREACH (&step->waiting_pulls, LcWaitingPull, link, pull)
   {
     reply_error (pull->id, error, "", retry_after, actions);
-    drop_pull (step, pull);
+    free_pull (step, pull);
   }
 }
 
@@ -88,14 +88,17 @@
   action->n_samples = chunk->n_slots;
   action->samples = LB_NEW_ARRAY (LcReadySample, chunk->n_slots);
   for (size_t i = 0; i < chunk->n_slots; i++)
-    action->samples[i] = lc_step_delivered (step, &step->slots[chunk->slots[i]]);
+    action->samples[i] = lc_step_ready_sample (step, &step->slots[chunk->slots[i]]);
   action->cursor = is_strict (rollouts, step) ? lb_strdup ("")
-                                              : lc_cursor_to_text (&chunk->cursor, step->hash);
-  action->remaining = (int64_t)lc_step_unsent (step);
+                                              : lc_cursor_encode (&chunk->cursor, step->spec_hash);
+  action->remaining = (int64_t)lc_step_count_unsent (step);
 }
 
 static void
-reply_nothing (const LcRollouts *rollouts, LcStep *step, const LcWaitingPull *pull, LbList *actions)
+reply_without_samples (const LcRollouts *rollouts,
+                       LcStep *step,
+                       const LcWaitingPull *pull,
+                       LbList *actions)
 {
   LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_REPLY);
   LcCursor *cursor = &step->acked;
@@ -103,54 +106,57 @@
   cursor->session = step->session;
   action->pull_id = pull->id;
   action->cursor
-      = is_strict (rollouts, step) ? lb_strdup ("") : lc_cursor_to_text (cursor, step->hash);
-  action->remaining = (int64_t)lc_step_unsent (step);
+      = is_strict (rollouts, step) ? lb_strdup ("") : lc_cursor_encode (cursor, step->spec_hash);
+  action->remaining = (int64_t)lc_step_count_unsent (step);
 }
 
 /* Chunks. */
 
-/* Promises 1 to 3, checked again where they are kept, whatever led here. The one sample is refused
- * and made again; the failure shows in the log and in the counter. */
+/* Checks the delivery invariants independently of the code that led here: the label is complete,
+ * the sample is within the staleness bound, and it was not delivered before. A sample that violates
+ * one is logged, counted and not delivered; with a bad label or too stale it is generated again. */
 static bool
-keeps_promises (LcRollouts *rollouts, LcStep *step, size_t at, LcVersion version)
+can_deliver_slot (LcRollouts *rollouts, LcStep *step, size_t slot_index, LcVersion trainer_version)
 {
-  LcSlot *slot = &step->slots[at];
-  Invariant broken = N_INVARIANTS;
+  LcSlot *slot = &step->slots[slot_index];
+  Invariant violated = N_INVARIANTS;
 
   if (!slot->text || !slot->label || !lc_label_is_complete (slot->label, slot->label->tokens))
-    broken = INVARIANT_LABEL;
-  else if (lc_staleness_is_too_old (slot->label, version, trainer_of (rollouts, step)->max_lag))
-    broken = INVARIANT_STALENESS;
-  else if (slot->state != LC_SLOT_READY || lc_cursor_has (&step->acked, at))
-    broken = INVARIANT_ONCE;
-  if (broken == N_INVARIANTS)
+    violated = INVARIANT_LABEL;
+  else if (lc_staleness_is_too_old (slot->label, trainer_version,
+                                    trainer_of_step (rollouts, step)->max_lag))
+    violated = INVARIANT_STALENESS;
+  else if (slot->state != LC_SLOT_READY || lc_cursor_has_slot (&step->acked, slot_index))
+    violated = INVARIANT_ONCE;
+  if (violated == N_INVARIANTS)
     return true;
 
   rollouts->invariant_failures++;
-  lb_metric_add (&invariant_metrics[broken], 1);
-  lb_log (LB_LOG_ERROR, "invariant-failed", LB_TEXT ("invariant", invariant_names[broken]),
+  lb_metric_add (&invariant_metrics[violated], 1);
+  lb_log (LB_LOG_ERROR, "invariant-failed", LB_TEXT ("invariant", invariant_names[violated]),
           LB_TEXT ("subscription", step->spec.subscription), LB_INT ("step", step->spec.step),
           LB_TEXT ("group", lc_step_group_spec (step, slot)->id), LB_INT ("index", slot->index));
-  if (broken != INVARIANT_ONCE)
+  if (violated != INVARIANT_ONCE)
     lc_step_reset_slot (step, slot);
   return false;
 }
 
-/* A group goes out once it is whole: a trainer can not learn from a part of it. */
+/* A group is delivered only as a whole, since a trainer can't learn from a part of it. Without
+ * group_release, nothing is delivered before the whole step is ready. */
 static bool
-is_released (const LcRollouts *rollouts, const LcStep *step, size_t group)
+is_group_released (const LcRollouts *rollouts, const LcStep *step, size_t group_index)
 {
   if (rollouts->settings.group_release)
-    return lc_step_group_is_whole (step, group);
+    return lc_step_is_group_complete (step, group_index);
   return step->n_in_state[LC_SLOT_WAITING] + step->n_in_state[LC_SLOT_RUNNING]
              + step->n_in_state[LC_SLOT_SCORING]
          == 0;
 }
 
 static void
-count_delivery (LcStep *step, const LcSlot *slot, LcVersion version)
+record_delivery (LcStep *step, const LcSlot *slot, LcVersion trainer_version)
 {
-  int64_t staleness = lc_label_staleness (slot->label, version);
+  int64_t staleness = lc_label_staleness (slot->label, trainer_version);
 
   if (!slot->was_sent)
     step->status.staleness_sum += (double)staleness;
@@ -160,28 +166,28 @@
 }
 
 static void
-add_to_chunk (LcStep *step, size_t at, LcVersion version)
+add_to_chunk (LcStep *step, size_t slot_index, LcVersion trainer_version)
 {
   LcChunk *chunk = &step->chunk;
-  LcSlot *slot = &step->slots[at];
+  LcSlot *slot = &step->slots[slot_index];
 
-  chunk->slots[chunk->n_slots++] = at;
-  lc_cursor_add (&chunk->cursor, at);
-  count_delivery (step, slot, version);
+  chunk->slots[chunk->n_slots++] = slot_index;
+  lc_cursor_add_slot (&chunk->cursor, slot_index);
+  record_delivery (step, slot, trainer_version);
   slot->was_sent = true;
   lc_step_set_state (step, slot, LC_SLOT_SENT);
 }
 
 static void
-begin_chunk (LcStep *step, int64_t max_samples, LcVersion version)
+begin_chunk (LcStep *step, int64_t max_samples, LcVersion trainer_version)
 {
   LcChunk *chunk = &step->chunk;
 
   chunk->slots = LB_NEW_ARRAY (size_t, (size_t)max_samples);
   lc_cursor_copy (&chunk->cursor, &step->acked);
   chunk->cursor.session = step->session;
-  chunk->cursor.chunk++;
-  chunk->version = version;
+  chunk->cursor.chunk_number++;
+  chunk->trainer_version = trainer_version;
 }
 
 static void
@@ -189,48 +195,49 @@
 {
   lb_log (LB_LOG_INFO, "chunk-made", LB_TEXT ("subscription", step->spec.subscription),
           LB_INT ("step", step->spec.step), LB_INT ("session", step->session),
-          LB_INT ("chunk", step->chunk.cursor.chunk), LB_INT ("samples", step->chunk.n_slots),
-          LB_INT ("remaining", lc_step_unsent (step)),
+          LB_INT ("chunk", step->chunk.cursor.chunk_number),
+          LB_INT ("samples", step->chunk.n_slots),
+          LB_INT ("remaining", lc_step_count_unsent (step)),
           LB_INT ("after_ms", (now - step->status.opened_at) / LB_MSEC));
 }
 
-/* Makes a chunk of what is released and fresh for this pull; false when nothing is. */
+/* Builds a chunk of the ready samples of released groups; false if there are none. */
 static bool
-make_chunk (LcRollouts *rollouts, LcStep *step, const LcWaitingPull *pull, LbTime now)
+build_chunk (LcRollouts *rollouts, LcStep *step, const LcWaitingPull *pull, LbTime now)
 {
-  int64_t room = (int64_t)step->n_in_state[LC_SLOT_READY];
+  int64_t capacity = (int64_t)step->n_in_state[LC_SLOT_READY];
 
-  if (room == 0)
+  if (capacity == 0)
     return false;
-  if (room > pull->max_samples)
-    room = pull->max_samples;
-  begin_chunk (step, room, pull->version);
-  for (size_t g = 0; g < step->spec.n_groups && (int64_t)step->chunk.n_slots < room; g++)
+  if (capacity > pull->max_samples)
+    capacity = pull->max_samples;
+  begin_chunk (step, capacity, pull->trainer_version);
+  for (size_t g = 0; g < step->spec.n_groups && (int64_t)step->chunk.n_slots < capacity; g++)
     {
       const LcGroup *group = &step->groups[g];
-      if (!is_released (rollouts, step, g))
+      if (!is_group_released (rollouts, step, g))
         continue;
-      for (size_t i = group->first; i < group->first + group->count; i++)
-        if (step->slots[i].state == LC_SLOT_READY && (int64_t)step->chunk.n_slots < room
-            && keeps_promises (rollouts, step, i, pull->version))
-          add_to_chunk (step, i, pull->version);
+      for (size_t i = group->first_slot; i < group->first_slot + group->n_slots; i++)
+        if (step->slots[i].state == LC_SLOT_READY && (int64_t)step->chunk.n_slots < capacity
+            && can_deliver_slot (rollouts, step, i, pull->trainer_version))
+          add_to_chunk (step, i, pull->trainer_version);
     }
   if (step->chunk.n_slots == 0)
     {
       lc_chunk_clear (&step->chunk);
       return false;
     }
-  if (lc_step_unsent (step) == 0 && step->status.completed_at == 0)
+  if (lc_step_count_unsent (step) == 0 && step->status.completed_at == 0)
     step->status.completed_at = now;
   if (is_strict (rollouts, step))
-    step->chunk.change = lc_ledger_want (&step->ledger, true);
+    step->chunk.ledger_change = lc_ledger_add_change (&step->ledger, true);
   log_chunk (step, now);
   return true;
 }
 
-/* Samples of the chunk that the trainer turned out not to have are ready again. */
+/* Makes the chunk's samples that are not acknowledged ready again. */
 static void
-take_back_chunk (LcStep *step)
+revoke_chunk (LcStep *step)
 {
   for (size_t i = 0; i < step->chunk.n_slots; i++)
     {
@@ -242,199 +249,204 @@
   step->status.completed_at = 0;
 }
 
-/* Serving. */
+/* Answering pulls. */
 
 static void
-acknowledge_slot (LcRollouts *rollouts, LcStep *step, size_t at, LbList *actions)
+acknowledge_slot (LcRollouts *rollouts, LcStep *step, size_t slot_index, LbList *actions)
 {
-  LcSlot *slot = &step->slots[at];
+  LcSlot *slot = &step->slots[slot_index];
 
-  lc_slot_abandon (rollouts, slot, actions);
-  lc_step_forget_text (step, slot);
+  lc_slot_cancel_jobs (rollouts, slot, actions);
+  lc_step_clear_sample (step, slot);
   lc_step_set_state (step, slot, LC_SLOT_ACKED);
 }
 
-/* Strict: the ledger names the chunk, so it counts as given from here on. */
+/* For strict subscriptions: the ledger records the chunk, so it counts as delivered once it is
+ * sent. */
 static void
-spend_chunk (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
+acknowledge_strict_chunk (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
 {
   lc_cursor_copy (&step->acked, &step->chunk.cursor);
   for (size_t i = 0; i < step->chunk.n_slots; i++)
     acknowledge_slot (rollouts, step, step->chunk.slots[i], actions);
   lc_chunk_clear (&step->chunk);
   if (step->n_in_state[LC_SLOT_ACKED] == step->n_slots)
-    step->closed = now;
+    step->closed_at = now;
 }
 
-/* A sample that was fresh when its chunk was made may be too old for the trainer that asks for the
- * chunk again: it would be delivered beyond its bound. The chunk is made anew for this pull; should
- * the trainer have the first one after all, its cursor will say so. */
+/* When a pull asks again for the current chunk at a newer trainer version, a sample in it may
+ * exceed the staleness bound by now. The chunk is then revoked and built anew. If the trainer has
+ * received the first chunk after all, its cursor acknowledges that one. */
 static void
-refresh_chunk (LcRollouts *rollouts, LcStep *step, const LcWaitingPull *pull, LbList *actions)
+revoke_stale_chunk (LcRollouts *rollouts, LcStep *step, const LcWaitingPull *pull, LbList *actions)
 {
-  const LcTrainer *trainer = trainer_of (rollouts, step);
+  const LcTrainer *trainer = trainer_of_step (rollouts, step);
   bool stale = false;
 
-  if (!step->chunk.slots || pull->version <= step->chunk.version)
+  if (!step->chunk.slots || pull->trainer_version <= step->chunk.trainer_version)
     return;
   for (size_t i = 0; i < step->chunk.n_slots && !stale; i++)
-    stale = lc_staleness_is_too_old (step->slots[step->chunk.slots[i]].label, pull->version,
+    stale = lc_staleness_is_too_old (step->slots[step->chunk.slots[i]].label, pull->trainer_version,
                                      trainer->max_lag);
   if (!stale)
     return;
-  take_back_chunk (step);
-  lc_result_discard_stale (rollouts, step, pull->version, trainer->max_lag, actions);
+  revoke_chunk (step);
+  lc_result_discard_stale (rollouts, step, pull->trainer_version, trainer->max_lag, actions);
 }
 
 static bool
-is_confirmed (const LcRollouts *rollouts, const LcStep *step)
+has_stored_required_changes (const LcRollouts *rollouts, const LcStep *step)
 {
-  if (!lc_ledger_is_confirmed (&step->ledger, step->must_be_confirmed))
+  if (!lc_ledger_has_stored (&step->ledger, step->required_ledger_change))
     return false;
-  return !is_strict (rollouts, step) || lc_ledger_is_confirmed (&step->ledger, step->chunk.change);
+  return !is_strict (rollouts, step)
+         || lc_ledger_has_stored (&step->ledger, step->chunk.ledger_change);
 }
 
-/* True when the pull was answered. */
+/* Returns whether the pull was answered; if not, it keeps waiting. */
 static bool
-serve_pull (LcRollouts *rollouts, LcStep *step, LcWaitingPull *pull, LbTime now, LbList *actions)
+try_answer_pull (
+    LcRollouts *rollouts, LcStep *step, LcWaitingPull *pull, LbTime now, LbList *actions)
 {
-  bool all_given = lc_step_unsent (step) == 0 && !step->chunk.slots;
+  bool all_delivered = lc_step_count_unsent (step) == 0 && !step->chunk.slots;
 
-  refresh_chunk (rollouts, step, pull, actions);
-  if (!step->chunk.slots && !all_given)
+  revoke_stale_chunk (rollouts, step, pull, actions);
+  if (!step->chunk.slots && !all_delivered)
     {
-      /* Fresh when it was dispatched is not enough: the trainer has gone on since, and shows in
-       * this very pull how far. */
-      lc_result_discard_stale (rollouts, step, pull->version, trainer_of (rollouts, step)->max_lag,
-                               actions);
-      make_chunk (rollouts, step, pull, now);
+      /* The staleness check at dispatch is not enough: the trainer may have advanced since, and
+       * this pull states its current version. */
+      lc_result_discard_stale (rollouts, step, pull->trainer_version,
+                               trainer_of_step (rollouts, step)->max_lag, actions);
+      build_chunk (rollouts, step, pull, now);
     }
-  if (!is_confirmed (rollouts, step))
+  if (!has_stored_required_changes (rollouts, step))
     {
       if (pull->wait_until > now)
         return false;
-      reply_error (pull->id, LB_ERROR_STORE_AWAY, "the ledger can not be written now", RETRY_AFTER,
-                   actions);
+      reply_error (pull->id, LB_ERROR_STORE_AWAY, "the ledger can't be written at present",
+                   STORE_RETRY_AFTER, actions);
       return true;
     }
   if (step->chunk.slots)
     {
       reply_chunk (rollouts, step, pull, actions);
       if (is_strict (rollouts, step))
-        spend_chunk (rollouts, step, now, actions);
+        acknowledge_strict_chunk (rollouts, step, now, actions);
       return true;
     }
-  if (!all_given && pull->wait_until > now)
+  if (!all_delivered && pull->wait_until > now)
     return false;
-  reply_nothing (rollouts, step, pull, actions);
+  reply_without_samples (rollouts, step, pull, actions);
   return true;
 }
 
 void
-lc_deliver_serve (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
+lc_deliver_answer_pulls (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
 {
-  LB_LIST_FOREACH (&step->pulls, LcWaitingPull, link, pull)
+  LB_LIST_FOREACH (&step->waiting_pulls, LcWaitingPull, link, pull)
   {
-    if (serve_pull (rollouts, step, pull, now, actions))
-      drop_pull (step, pull);
+    if (try_answer_pull (rollouts, step, pull, now, actions))
+      free_pull (step, pull);
   }
 }
 
-/* Acknowledgement. */
+/* Acknowledgements. */
 
-/* Later sessions are claimed in the store and belong to one owner each. The first may have had
- * another owner, which opened the step while the store was away and died or lost it: were the
- * cursors that it gave refused, the trainer could never go on with the step. */
+/* Later sessions are claimed in the store and belong to one owner each. Session 1 may have had
+ * another owner that opened the step while the store was unavailable and then died or lost it.
+ * Rejecting that owner's cursors would block the trainer on this step for ever. */
 #define FIRST_SESSION 1
 
 static bool
-may_acknowledge (const LcStep *step, const LcCursor *cursor, LbError *error)
+can_acknowledge (const LcStep *step, const LcCursor *cursor, LbError *error)
 {
-  if (!lc_cursor_includes (cursor, &step->acked))
-    return lb_error_set (error, LB_ERROR_BAD_CURSOR, "cursor",
-                         "a later cursor of this step was already used");
+  if (!lc_cursor_contains (cursor, &step->acked))
+    return lb_error_set (
+        error, LB_ERROR_BAD_CURSOR, "cursor",
+        "lacks samples that were already acknowledged; a later cursor of this step was used");
   if (cursor->session != step->session || step->session == FIRST_SESSION)
     return true;
   for (size_t i = 0; i < step->n_slots; i++)
-    if (lc_cursor_has (cursor, i) && !lc_cursor_has (&step->acked, i) && !step->slots[i].was_sent)
+    if (lc_cursor_has_slot (cursor, i) && !lc_cursor_has_slot (&step->acked, i)
+        && !step->slots[i].was_sent)
       return lb_error_set (error, LB_ERROR_BAD_CURSOR, "cursor",
-                           "names samples that were not given");
+                           "names samples that were not delivered");
   return true;
 }
 
-/* The trainer has what its cursor names, whichever owner gave it. */
+/* The cursor counts whichever owner issued it. Pulls still waiting with an older cursor fail. */
 static void
-acknowledge (
+acknowledge_cursor (
     LcRollouts *rollouts, LcStep *step, const LcCursor *cursor, LbTime now, LbList *actions)
 {
-  if (lc_cursor_count (cursor) == step->n_in_state[LC_SLOT_ACKED])
+  if (lc_cursor_count_slots (cursor) == step->n_in_state[LC_SLOT_ACKED])
     return;
   lc_deliver_fail_pulls (step, LB_ERROR_BAD_CURSOR, 0, actions);
   for (size_t i = 0; i < step->n_slots; i++)
-    if (lc_cursor_has (cursor, i) && step->slots[i].state != LC_SLOT_ACKED)
+    if (lc_cursor_has_slot (cursor, i) && step->slots[i].state != LC_SLOT_ACKED)
       acknowledge_slot (rollouts, step, i, actions);
-  take_back_chunk (step);
+  revoke_chunk (step);
   lc_cursor_copy (&step->acked, cursor);
   step->acked.session = step->session;
-  if (lc_step_unsent (step) == 0)
-    step->closed = now;
-  if (lc_step_unsent (step) == 0 && step->status.completed_at == 0)
+  if (lc_step_count_unsent (step) == 0)
+    step->closed_at = now;
+  if (lc_step_count_unsent (step) == 0 && step->status.completed_at == 0)
     step->status.completed_at = now;
-  lc_ledger_want (&step->ledger, step->closed != 0);
+  lc_ledger_add_change (&step->ledger, step->closed_at != 0);
 }
 
-/* A cursor of a later session: another instance owns the step, and this one was replaced while it
- * was paused or cut off. What it would deliver the trainer may have from the other one. */
+/* A cursor of a later session means that another instance took the step over while this one was
+ * paused or partitioned. Delivering here could repeat samples that the new owner has delivered. */
 static bool
-was_replaced (const LcStep *step, const LcCursor *cursor)
+is_from_later_owner (const LcStep *step, const LcCursor *cursor)
 {
   return cursor->session > step->session;
 }
 
 static void
-await (LcStep *step, const LcPull *pull)
+add_waiting_pull (LcStep *step, const LcPull *pull)
 {
   LcWaitingPull *waiting = LB_NEW (LcWaitingPull);
 
   waiting->id = pull->id;
   waiting->max_samples = pull->max_samples > 0 ? pull->max_samples : 1;
-  waiting->version = pull->trainer_version;
+  waiting->trainer_version = pull->trainer_version;
   waiting->wait_until = pull->wait_until;
-  lb_list_append (&step->pulls, &waiting->link);
+  lb_list_append (&step->waiting_pulls, &waiting->link);
 }
 
 bool
-lc_deliver_pull (
+lc_deliver_accept_pull (
     LcRollouts *rollouts, LcStep *step, const LcPull *pull, LbTime now, LbList *actions)
 {
   LcCursor cursor;
   LbError error = { .code = LB_OK };
   bool strict = is_strict (rollouts, step);
-  bool ok = lc_cursor_from_text (&cursor, pull->cursor, step->n_slots, step->hash, &error);
-  bool replaced = ok && was_replaced (step, &cursor);
+  bool ok = lc_cursor_decode (&cursor, pull->cursor, step->n_slots, step->spec_hash, &error);
+  bool has_later_owner = ok && is_from_later_owner (step, &cursor);
 
   if (ok && strict && pull->cursor[0])
     ok = lb_error_set (&error, LB_ERROR_BAD_CURSOR, "cursor", "expected \"\": strict subscription");
-  if (ok && !strict && !replaced)
-    ok = may_acknowledge (step, &cursor, &error);
-  if (!ok || replaced)
+  if (ok && !strict && !has_later_owner)
+    ok = can_acknowledge (step, &cursor, &error);
+  if (!ok || has_later_owner)
     {
-      reply_error (pull->id, replaced ? LB_ERROR_STALE_SESSION : error.code, error.detail, 0,
+      reply_error (pull->id, has_later_owner ? LB_ERROR_STALE_SESSION : error.code, error.detail, 0,
                    actions);
       goto out;
     }
   if (!strict)
-    acknowledge (rollouts, step, &cursor, now, actions);
+    acknowledge_cursor (rollouts, step, &cursor, now, actions);
   if (step->chunk.slots && !strict)
     lb_metric_add (&repeated_metric, 1);
   if (pull->trainer_version > step->trainer_version)
     step->trainer_version = pull->trainer_version;
-  await (step, pull);
+  add_waiting_pull (step, pull);
 out:
   lc_cursor_clear (&cursor);
-  if (replaced)
-    lc_rollouts_end_step (rollouts, step, LB_ERROR_STALE_SESSION, actions);
-  return !replaced;
+  if (has_later_owner)
+    lc_rollouts_remove_step (rollouts, step, LB_ERROR_STALE_SESSION, actions);
+  return !has_later_owner;
 }
 
 /* The ledger. */
@@ -442,36 +454,36 @@
 void
 lc_deliver_write_ledger (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
 {
-  if (lc_ledger_due (&step->ledger) > now
-      || (step->closed && step->ledger.confirmed == step->ledger.wanted))
+  if (lc_ledger_next_write_at (&step->ledger) > now
+      || (step->closed_at && step->ledger.stored_change == step->ledger.latest_change))
     return;
 
   LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_WRITE_LEDGER);
-  const LcCursor *cursor = step->chunk.change ? &step->chunk.cursor : &step->acked;
+  const LcCursor *cursor = step->chunk.ledger_change ? &step->chunk.cursor : &step->acked;
 
-  action->write_id = ++rollouts->last_write;
+  action->write_id = ++rollouts->last_write_id;
   action->session = step->session;
   action->row_key
       = lb_asprintf ("ledger/%s/%lld", step->spec.subscription, (long long)step->spec.step);
-  action->row_value = lc_cursor_to_text (cursor, step->hash);
-  lc_ledger_start (&step->ledger, action->write_id, now);
+  action->row_value = lc_cursor_encode (cursor, step->spec_hash);
+  lc_ledger_begin_write (&step->ledger, action->write_id, now);
 }
 
-/* While this process was paused another instance may have taken the step over and delivered. The
- * ledger write is conditional on the session, so it tells. */
+/* Another instance may have taken the step over and delivered samples while this process was
+ * paused. The ledger write is conditional on the session, so it fails if that has happened. */
 void
-lc_deliver_confirm_session (LcStep *step)
+lc_deliver_require_session_check (LcStep *step)
 {
-  if (!step->closed)
-    step->must_be_confirmed = lc_ledger_want (&step->ledger, true);
+  if (!step->closed_at)
+    step->required_ledger_change = lc_ledger_add_change (&step->ledger, true);
 }
 
 void
-lc_deliver_recover (LcStep *step, const LcCursor *ledger)
+lc_deliver_restore_acknowledged (LcStep *step, const LcCursor *ledger_cursor)
 {
   for (size_t i = 0; i < step->n_slots; i++)
-    if (lc_cursor_has (ledger, i))
+    if (lc_cursor_has_slot (ledger_cursor, i))
       lc_step_set_state (step, &step->slots[i], LC_SLOT_ACKED);
-  lc_cursor_copy (&step->acked, ledger);
+  lc_cursor_copy (&step->acked, ledger_cursor);
   step->acked.session = step->session;
 }
--- a/packages/core/src/rollout/lc-generate.c
+++ b/packages/core/src/rollout/lc-generate.c
@@ -6,81 +6,82 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A scorer that says nothing for so long is asked again. */
-#define SCORE_DEADLINE (30 * LB_SEC)
-#define BYTES_PER_TOKEN 4
-#define HIGHEST_PRIORITY 10
-#define LEARNING_WEIGHT 2.0
+/* A scoring without an answer for this long is repeated. */
+#define SCORING_TIMEOUT (30 * LB_SEC)
+#define BYTES_PER_TOKEN 4 /* estimate for prompts */
+#define MAX_PRIORITY 10
+#define EXPLORATION_WEIGHT 2.0 /* in mean sample lengths, see scheduling_score */
 
-/* Prediction. */
+/* Prediction of lengths. */
 
-/* Of a sample that runs: what it has and what ended samples say of one that has so much. */
+/* Expected total length of a running sample, given the tokens that it has so far. */
 static double
-expected_length (const LcLengthHistogram *lengths, const LcJob *job, int64_t max_tokens)
+expected_tokens (const LcLengthHistogram *lengths, const LcJob *job, int64_t max_tokens)
 {
   return (double)job->label.tokens
          + lc_length_histogram_expect_remaining (lengths, job->label.tokens, max_tokens);
 }
 
 static LcGroupLengths
-group_lengths (const LcLengthHistogram *lengths, const LcStep *step, size_t index)
+sum_group_lengths (const LcLengthHistogram *lengths, const LcStep *step, size_t index)
 {
-  LcGroupLengths sums = { 0 };
+  LcGroupLengths group_lengths = { 0 };
   const LcGroup *group = &step->groups[index];
   int64_t max_tokens = step->spec.groups[index].max_tokens;
 
-  for (size_t i = group->first; i < group->first + group->count; i++)
+  for (size_t i = group->first_slot; i < group->first_slot + group->n_slots; i++)
     {
       const LcSlot *slot = &step->slots[i];
       const LcJob *job = LB_LIST_FIRST (&slot->jobs, LcJob, link);
 
       if (slot->state >= LC_SLOT_SCORING && slot->label)
-        sums.sum += (double)slot->label->tokens;
+        group_lengths.sum += (double)slot->label->tokens;
       else if (slot->state == LC_SLOT_RUNNING && job)
-        sums.sum += expected_length (lengths, job, max_tokens);
+        group_lengths.sum += expected_tokens (lengths, job, max_tokens);
       else
         continue;
-      sums.count++;
+      group_lengths.count++;
     }
-  return sums;
+  return group_lengths;
 }
 
-/* Expected length of the group's next sample. */
+/* Expected length of the group's next sample, in tokens. */
 static double
-predict (const LcRollouts *rollouts, const LcStep *step, size_t group)
+predict_tokens (const LcRollouts *rollouts, const LcStep *step, size_t group_index)
 {
   const LcLengthHistogram *lengths = lc_step_lengths (rollouts, step);
-  LcGroupLengths sums = group_lengths (lengths, step, group);
+  LcGroupLengths group_lengths = sum_group_lengths (lengths, step, group_index);
 
-  return lc_length_histogram_predict (lengths, &sums, step->spec.groups[group].max_tokens);
+  return lc_length_histogram_predict (lengths, &group_lengths,
+                                      step->spec.groups[group_index].max_tokens);
 }
 
 static size_t
-count_started (const LcStep *step, size_t group)
+count_started (const LcStep *step, size_t group_index)
 {
-  const LcGroup *at = &step->groups[group];
-  size_t started = 0;
+  const LcGroup *group = &step->groups[group_index];
+  size_t n_started = 0;
 
-  for (size_t i = at->first; i < at->first + at->count; i++)
-    started += step->slots[i].state != LC_SLOT_WAITING;
-  return started;
+  for (size_t i = group->first_slot; i < group->first_slot + group->n_slots; i++)
+    n_started += step->slots[i].state != LC_SLOT_WAITING;
+  return n_started;
 }
 
-/* The expected length of the group's next sample, and what there is to learn from it: a group of
- * which little has run tells with one more sample whether its others are long, so that they can
- * begin early. */
+/* Expected length of the group's next sample plus an exploration bonus that shrinks with the number
+ * of started samples: starting a sample of a group with few others shows early whether the whole
+ * group is long. */
 static double
-urgency (const LcRollouts *rollouts, const LcStep *step, size_t group)
+scheduling_score (const LcRollouts *rollouts, const LcStep *step, size_t group_index)
 {
   double mean = lc_length_histogram_mean (lc_step_lengths (rollouts, step),
-                                          step->spec.groups[group].max_tokens);
+                                          step->spec.groups[group_index].max_tokens);
 
-  return predict (rollouts, step, group)
-         + LEARNING_WEIGHT * mean / (1.0 + (double)count_started (step, group));
+  return predict_tokens (rollouts, step, group_index)
+         + EXPLORATION_WEIGHT * mean / (1.0 + (double)count_started (step, group_index));
 }
 
 static bool
-may_start (LcStep *step, const LcSlot *slot, LbTime now)
+can_start (LcStep *step, const LcSlot *slot, LbTime now)
 {
   if (slot->state != LC_SLOT_WAITING)
     return false;
@@ -91,91 +92,94 @@
   return false;
 }
 
-/* The waiting slot that should start next: the one with the most tokens to come, so that the step
- * does not end with a long sample that was begun last. NULL: none may start now. */
+/* Picks the waiting slot with the highest score, longest expected first, so that the step does not
+ * end with a long sample that was started last. Slots with a part of a sample go before all others.
+ * Returns NULL if no slot can start now. */
 static LcSlot *
 pick_slot (const LcRollouts *rollouts, LcStep *step, LbTime now)
 {
   LcSlot *best = NULL;
-  double best_urgency = -1;
+  double best_score = -1;
 
   for (size_t g = 0; g < step->spec.n_groups; g++)
     {
       const LcGroup *group = &step->groups[g];
-      double group_urgency = -1;
+      double group_score = -1;
 
-      for (size_t i = group->first; i < group->first + group->count; i++)
+      for (size_t i = group->first_slot; i < group->first_slot + group->n_slots; i++)
         {
           LcSlot *slot = &step->slots[i];
-          if (!may_start (step, slot, now))
+          if (!can_start (step, slot, now))
             continue;
           if (!rollouts->settings.longest_first)
             return slot;
-          if (group_urgency < 0)
-            group_urgency = urgency (rollouts, step, g);
-          double own = slot->label ? INFINITY : group_urgency;
-          if (own > best_urgency)
+          if (group_score < 0)
+            group_score = scheduling_score (rollouts, step, g);
+          double score = slot->label ? INFINITY : group_score;
+          if (score > best_score)
             {
               best = slot;
-              best_urgency = own;
+              best_score = score;
             }
         }
     }
   return best;
 }
 
-/* Starting. */
+/* Starting requests. */
 
 static LcVersion
 min_version (LcRollouts *rollouts, const LcStep *step, double tokens)
 {
-  const LcTrainer *trainer = lc_rollouts_trainer (rollouts, step->spec.subscription);
+  const LcTrainer *trainer = lc_rollouts_find_trainer (rollouts, step->spec.subscription);
   const LcRolloutPool *pool = lc_step_pool (rollouts, step);
-  LcFreshness freshness = { .max_lag = trainer->max_lag,
-                            .idle_weight = trainer->resource.idle_weight,
-                            .trainer = step->trainer_version,
-                            .newest = pool->newest,
-                            .cadence = pool->cadence };
+  LcStalenessPolicy policy = { .max_lag = trainer->max_lag,
+                               .idle_weight = trainer->subscription.idle_weight,
+                               .trainer_version = step->trainer_version,
+                               .newest_version = pool->newest_version,
+                               .version_interval = pool->version_interval };
 
   if (!rollouts->settings.predict_staleness)
     return 0;
-  return lc_staleness_min_version (&freshness, lc_pace_expected_seconds (&pool->pace, tokens));
+  return lc_staleness_min_version (&policy, lc_pace_expected_seconds (&pool->pace, tokens));
 }
 
+/* The expected length in multiples of the trainer's mean. */
 static int
-priority_of (const LcRollouts *rollouts, const LcStep *step, double tokens)
+request_priority (const LcRollouts *rollouts, const LcStep *step, double tokens)
 {
-  double times = tokens / lc_length_histogram_mean (lc_step_lengths (rollouts, step), INT64_MAX);
+  double relative_length
+      = tokens / lc_length_histogram_mean (lc_step_lengths (rollouts, step), INT64_MAX);
 
-  return (int)fmin (times, HIGHEST_PRIORITY);
+  return (int)fmin (relative_length, MAX_PRIORITY);
 }
 
 static void
-fill_spec (LcRollouts *rollouts, LcRequestSpec *spec, const LcJob *job)
+fill_request_spec (LcRollouts *rollouts, LcRequestSpec *spec, const LcJob *job)
 {
   const LcStep *step = job->step;
   const LcSlot *slot = lc_job_slot (job);
-  const LcTrainer *trainer = lc_rollouts_trainer (rollouts, step->spec.subscription);
-  double tokens = predict (rollouts, step, slot->group);
+  const LcTrainer *trainer = lc_rollouts_find_trainer (rollouts, step->spec.subscription);
+  double tokens = predict_tokens (rollouts, step, slot->group_index);
 
   spec->id = job->request;
   spec->kind = LC_KIND_SAMPLE;
-  spec->delivery = LC_DELIVER_STREAM; /* progress must be seen, for hedges and for resuming */
-  LB_COPY (spec->pool, trainer->resource.pool);
+  spec->delivery = LC_DELIVER_STREAM; /* hedging and resuming need the progress */
+  LB_COPY (spec->pool, trainer->subscription.pool);
   LB_COPY (spec->caller, step->spec.subscription);
-  spec->share = trainer->resource.share;
+  spec->share = trainer->subscription.share;
   spec->repeatable = true;
   spec->resumable = rollouts->settings.resume;
-  spec->priority = rollouts->settings.longest_first ? priority_of (rollouts, step, tokens) : 0;
+  spec->priority = rollouts->settings.longest_first ? request_priority (rollouts, step, tokens) : 0;
   spec->prompt_tokens
       = (int64_t)strlen (lc_step_group_spec (step, slot)->prompt) / BYTES_PER_TOKEN + 1;
   spec->expected_tokens = (int64_t)tokens;
   spec->min_version = min_version (rollouts, step, tokens);
   spec->deadline = LB_TIME_NEVER;
-  spec->resume_at = job->base;
+  spec->resume_at = job->resume_offset;
 }
 
-/* A hedge must not land beside what it hedges. */
+/* A hedge must not run on the endpoint of its original, nor a migrated sample on the slow one. */
 static void
 avoid_endpoint (LcRequestSpec *spec, const char *endpoint)
 {
@@ -185,48 +189,48 @@
   spec->n_avoid++;
 }
 
-/* The part that a broken generation left moves into the job that goes on from it. */
+/* Moves the slot's part of an interrupted generation into the job that resumes it. */
 static void
-take_partial (LcSlot *slot, LcJob *job)
+move_partial_to_job (LcSlot *slot, LcJob *job)
 {
   if (!slot->label)
     return;
   job->label = *slot->label;
-  job->base = job->label.tokens;
-  job->prefix = slot->text;
+  job->resume_offset = job->label.tokens;
+  job->resume_text = slot->text;
   slot->text = NULL;
   free (slot->label);
   slot->label = NULL;
 }
 
 LcJob *
-lc_generate_start (LcRollouts *rollouts,
-                   LcStep *step,
-                   LcSlot *slot,
-                   const LcJob *original,
-                   LbTime now,
-                   LbList *actions)
+lc_generate_start_sample (LcRollouts *rollouts,
+                          LcStep *step,
+                          LcSlot *slot,
+                          const LcJob *original,
+                          LbTime now,
+                          LbList *actions)
 {
   const LcGroupSpec *group = lc_step_group_spec (step, slot);
   LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_GENERATE);
   LcJob *job = lc_job_new (rollouts, step, slot, now);
 
-  job->hedge = original != NULL;
+  job->is_hedge = original != NULL;
   if (original)
     avoid_endpoint (&action->spec, original->endpoint);
   else
     {
-      avoid_endpoint (&action->spec, slot->avoid);
-      take_partial (slot, job);
+      avoid_endpoint (&action->spec, slot->avoid_endpoint);
+      move_partial_to_job (slot, job);
     }
-  lc_step_pool (rollouts, step)->running++;
-  lc_rollouts_trainer (rollouts, step->spec.subscription)->running++;
-  fill_spec (rollouts, &action->spec, job);
+  lc_step_pool (rollouts, step)->n_running++;
+  lc_rollouts_find_trainer (rollouts, step->spec.subscription)->n_running++;
+  fill_request_spec (rollouts, &action->spec, job);
   action->group = group->id;
   action->index = slot->index;
   action->prompt = group->prompt;
   action->max_tokens = group->max_tokens;
-  action->resume_text = job->prefix ? lb_strdup (job->prefix) : NULL;
+  action->resume_text = job->resume_text ? lb_strdup (job->resume_text) : NULL;
   if (slot->state == LC_SLOT_WAITING)
     lc_step_set_state (step, slot, LC_SLOT_RUNNING);
   return job;
@@ -235,20 +239,20 @@
 static void
 start_scoring (LcRollouts *rollouts, LcStep *step, LcSlot *slot, LbTime now, LbList *actions)
 {
-  const LcTrainer *trainer = lc_rollouts_trainer (rollouts, step->spec.subscription);
+  const LcTrainer *trainer = lc_rollouts_find_trainer (rollouts, step->spec.subscription);
   LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_SCORE);
   LcJob *job = lc_job_new (rollouts, step, slot, now);
 
-  job->scores = true;
+  job->is_scoring = true;
   action->spec.id = job->request;
   action->spec.kind = LC_KIND_SERVICE;
   action->spec.delivery = LC_DELIVER_BUFFERED;
-  LB_COPY (action->spec.pool, trainer->resource.scorer);
+  LB_COPY (action->spec.pool, trainer->subscription.scorer);
   LB_COPY (action->spec.caller, step->spec.subscription);
-  action->spec.share = trainer->resource.share;
+  action->spec.share = trainer->subscription.share;
   action->spec.repeatable = true;
-  action->spec.deadline = now + SCORE_DEADLINE;
-  LB_COPY (action->scorer, trainer->resource.scorer);
+  action->spec.deadline = now + SCORING_TIMEOUT;
+  LB_COPY (action->scorer, trainer->subscription.scorer);
   action->group = lc_step_group_spec (step, slot)->id;
   action->index = slot->index;
   action->prompt = lc_step_group_spec (step, slot)->prompt;
@@ -256,7 +260,7 @@
 }
 
 static void
-start_scorings (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
+start_due_scorings (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
 {
   if (step->n_in_state[LC_SLOT_SCORING] == 0)
     return;
@@ -272,29 +276,33 @@
     }
 }
 
-/* The trainer that has the least running for its share goes next, whatever the others have waiting,
- * so that one trainer's burst can not starve another. */
+/* The trainer with the fewest running generations relative to its share goes next, independently of
+ * how many samples wait, so that a burst of one trainer can't starve another. */
 static bool
-goes_before (const LcRollouts *rollouts, const LcTrainer *a, const LcTrainer *b)
+has_lower_usage (const LcRollouts *rollouts, const LcTrainer *a, const LcTrainer *b)
 {
   if (!rollouts->settings.fair_shares)
     return false;
-  return (double)(a->running + 1) * b->resource.share
-         < (double)(b->running + 1) * a->resource.share;
+  return (double)(a->n_running + 1) * b->subscription.share
+         < (double)(b->n_running + 1) * a->subscription.share;
 }
 
 static LcSlot *
-pick_of_pool (LcRollouts *rollouts, const LcRolloutPool *pool, LcStep **chosen_step, LbTime now)
+pick_slot_of_pool (LcRollouts *rollouts,
+                   const LcRolloutPool *pool,
+                   LcStep **chosen_step,
+                   LbTime now)
 {
   LcSlot *chosen = NULL;
   const LcTrainer *chosen_trainer = NULL;
 
   LB_LIST_FOREACH (&rollouts->steps, LcStep, link, step)
   {
-    const LcTrainer *trainer = lc_rollouts_trainer (rollouts, step->spec.subscription);
-    if (step->n_in_state[LC_SLOT_WAITING] == 0 || strcmp (trainer->resource.pool, pool->name) != 0)
+    const LcTrainer *trainer = lc_rollouts_find_trainer (rollouts, step->spec.subscription);
+    if (step->n_in_state[LC_SLOT_WAITING] == 0
+        || strcmp (trainer->subscription.pool, pool->name) != 0)
       continue;
-    if (chosen && !goes_before (rollouts, trainer, chosen_trainer))
+    if (chosen && !has_lower_usage (rollouts, trainer, chosen_trainer))
       continue;
     LcSlot *slot = pick_slot (rollouts, step, now);
     if (!slot)
@@ -307,23 +315,23 @@
 }
 
 void
-lc_generate_fill (LcRollouts *rollouts, LbTime now, LbList *actions)
+lc_generate_start_requests (LcRollouts *rollouts, LbTime now, LbList *actions)
 {
   LB_LIST_FOREACH (&rollouts->steps, LcStep, link, step)
   {
-    start_scorings (rollouts, step, now, actions);
+    start_due_scorings (rollouts, step, now, actions);
   }
   if (rollouts->draining)
     return;
   LB_LIST_FOREACH (&rollouts->pools, LcRolloutPool, link, pool)
   {
-    while (pool->running < pool->window)
+    while (pool->n_running < pool->max_running)
       {
         LcStep *step = NULL;
-        LcSlot *slot = pick_of_pool (rollouts, pool, &step, now);
+        LcSlot *slot = pick_slot_of_pool (rollouts, pool, &step, now);
         if (!slot)
           break;
-        lc_generate_start (rollouts, step, slot, NULL, now, actions);
+        lc_generate_start_sample (rollouts, step, slot, NULL, now, actions);
       }
   }
 }
--- a/packages/core/src/rollout/lc-generate.h
+++ b/packages/core/src/rollout/lc-generate.h
@@ -3,16 +3,16 @@
 
 #include "lc-job.h"
 
-/* Which slot runs next, and how its request looks. */
+/* Scheduling of generations and scorings: which slot runs next, and with which request. */
 
-/* Starts as many generations and scorings as the pools have room for. */
-void lc_generate_fill (LcRollouts *rollouts, LbTime now, LbList *actions);
-/* Starts one; original: the running job that it hedges, or NULL. */
-LcJob *lc_generate_start (LcRollouts *rollouts,
-                          LcStep *step,
-                          LcSlot *slot,
-                          const LcJob *original,
-                          LbTime now,
-                          LbList *actions);
+/* Starts all scorings that are due, and generations up to each pool's limit. */
+void lc_generate_start_requests (LcRollouts *rollouts, LbTime now, LbList *actions);
+/* Starts a generation for the slot; original is the running job that it hedges, or NULL. */
+LcJob *lc_generate_start_sample (LcRollouts *rollouts,
+                                 LcStep *step,
+                                 LcSlot *slot,
+                                 const LcJob *original,
+                                 LbTime now,
+                                 LbList *actions);
 
 #endif
--- a/packages/core/src/rollout/lc-job.h
+++ b/packages/core/src/rollout/lc-job.h
@@ -3,18 +3,18 @@
 
 #include "lc-rollouts-state.h"
 
-/* Requests that run for slots, from their start to their end. */
+/* Running requests of slots. */
 
 LcJob *lc_job_new (LcRollouts *rollouts, LcStep *step, LcSlot *slot, LbTime now);
 void lc_job_free (LcRollouts *rollouts, LcJob *job);
-/* Cancels the request. */
-void lc_job_abandon (LcRollouts *rollouts, LcJob *job, LbList *actions);
-/* Cancels all that runs for the slot. */
-void lc_slot_abandon (LcRollouts *rollouts, LcSlot *slot, LbList *actions);
+/* Cancels the request and frees the job. */
+void lc_job_cancel (LcRollouts *rollouts, LcJob *job, LbList *actions);
+/* Cancels all running requests of the slot. */
+void lc_slot_cancel_jobs (LcRollouts *rollouts, LcSlot *slot, LbList *actions);
 
 LcSlot *lc_job_slot (const LcJob *job);
-/* Tokens that the request itself made, without those that it was resumed with. */
-int64_t lc_job_made_tokens (const LcJob *job);
+/* Tokens that the request itself generated, without those that it was resumed with. */
+int64_t lc_job_generated_tokens (const LcJob *job);
 LcRolloutPool *lc_step_pool (LcRollouts *rollouts, const LcStep *step);
 const LcLengthHistogram *lc_step_lengths (const LcRollouts *rollouts, const LcStep *step);
 
--- a/packages/core/src/rollout/lc-label.c
+++ b/packages/core/src/rollout/lc-label.c
@@ -9,7 +9,7 @@
 }
 
 static bool
-extends_last (const LcLabel *label, const LcSpan *span)
+is_continuation (const LcLabel *label, const LcSpan *span)
 {
   const LcSpan *last = label->n_spans > 0 ? &label->spans[label->n_spans - 1] : NULL;
 
@@ -23,9 +23,8 @@
   lc_label_add_tokens_kv_reused (label, offset, tokens, version, 0);
 }
 
-/* A gap or an overlap means that tokens of two generations would be spliced; a missing version can
- * not be known from anything else. Either shows later as a sample whose label lies, so the label is
- * given up for good: nothing that follows can make it whole again. */
+/* A gap or an overlap means that tokens of two generations are mixed, and a missing version can't
+ * be derived from anything else. Such a label would be wrong, so it becomes unlabelled for good. */
 void
 lc_label_add_tokens_kv_reused (
     LcLabel *label, int64_t offset, int64_t tokens, LcVersion version, LcVersion kv_reused_version)
@@ -39,7 +38,7 @@
       label->unlabelled = true;
       return;
     }
-  if (!extends_last (label, &span))
+  if (!is_continuation (label, &span))
     {
       if (label->n_spans == LC_MAX_SPANS)
         {
@@ -68,15 +67,15 @@
   return covered == tokens;
 }
 
+/* 0 stands for no version. */
 static LcVersion
-older (LcVersion a, LcVersion b)
+older_known (LcVersion a, LcVersion b)
 {
   if (a == 0 || b == 0)
     return a + b;
   return a < b ? a : b;
 }
 
-/* The version that staleness is judged by; 0 for an empty label. */
 LcVersion
 lc_label_oldest_version (const LcLabel *label)
 {
@@ -84,16 +83,16 @@
 
   for (size_t i = 0; i < label->n_spans; i++)
     {
-      oldest = older (oldest, label->spans[i].version);
-      oldest = older (oldest, label->spans[i].kv_reused_version);
+      oldest = older_known (oldest, label->spans[i].version);
+      oldest = older_known (oldest, label->spans[i].kv_reused_version);
     }
   return oldest;
 }
 
 int64_t
-lc_label_staleness (const LcLabel *label, LcVersion trainer)
+lc_label_staleness (const LcLabel *label, LcVersion trainer_version)
 {
-  int64_t lag = trainer - lc_label_oldest_version (label);
+  int64_t lag = trainer_version - lc_label_oldest_version (label);
 
   return lag > 0 ? lag : 0;
 }
--- a/packages/core/src/rollout/lc-ledger.c
+++ b/packages/core/src/rollout/lc-ledger.c
@@ -1,65 +1,66 @@
 #include "lc-ledger.h"
 
-/* Gathers the acknowledgements of several chunks into one write. */
-#define LEDGER_INTERVAL (2 * LB_SEC)
-/* Written also without news, so that a replaced owner that nobody asks any more finds out. */
-#define LEDGER_REFRESH (10 * LB_SEC)
-#define RETRY_FIRST (100 * LB_MSEC)
-#define RETRY_LONGEST (5 * LB_SEC)
+/* Combines the acknowledgements of several chunks into one write. */
+#define BATCH_INTERVAL (2 * LB_SEC)
+/* Without changes the row is written at this interval, so that an owner that gets no more pulls
+ * detects that it was replaced. */
+#define REFRESH_INTERVAL (10 * LB_SEC)
+#define RETRY_DELAY_MIN (100 * LB_MSEC)
+#define RETRY_DELAY_MAX (5 * LB_SEC)
 
 uint64_t
-lc_ledger_want (LcLedger *ledger, bool urgent)
+lc_ledger_add_change (LcLedger *ledger, bool urgent)
 {
-  ledger->wanted++;
+  ledger->latest_change++;
   ledger->urgent |= urgent;
-  return ledger->wanted;
+  return ledger->latest_change;
 }
 
 void
-lc_ledger_start (LcLedger *ledger, uint64_t write, LbTime now)
+lc_ledger_begin_write (LcLedger *ledger, uint64_t write_id, LbTime now)
 {
-  ledger->writing = ledger->wanted;
-  ledger->write = write;
-  ledger->last = now;
+  ledger->writing_change = ledger->latest_change;
+  ledger->write_id = write_id;
+  ledger->last_write_at = now;
 }
 
-/* jitter is a random number in 0..1. */
 void
-lc_ledger_done (LcLedger *ledger, LbErrorCode error, double jitter, LbTime now)
+lc_ledger_end_write (LcLedger *ledger, LbErrorCode error, double jitter, LbTime now)
 {
   if (error == LB_OK)
     {
-      ledger->confirmed = ledger->writing;
-      ledger->urgent = ledger->urgent && ledger->confirmed < ledger->wanted;
-      ledger->failures = 0;
+      ledger->stored_change = ledger->writing_change;
+      ledger->urgent = ledger->urgent && ledger->stored_change < ledger->latest_change;
+      ledger->consecutive_failures = 0;
       ledger->retry_at = 0;
     }
   else
     {
-      LbTime longest = RETRY_FIRST << (ledger->failures < 6 ? ledger->failures : 6);
-      ledger->failures++;
-      if (longest > RETRY_LONGEST)
-        longest = RETRY_LONGEST;
-      ledger->retry_at = now + longest / 2 + (LbTime)(jitter * (double)longest / 2);
+      LbTime delay = RETRY_DELAY_MIN
+                     << (ledger->consecutive_failures < 6 ? ledger->consecutive_failures : 6);
+      ledger->consecutive_failures++;
+      if (delay > RETRY_DELAY_MAX)
+        delay = RETRY_DELAY_MAX;
+      ledger->retry_at = now + delay / 2 + (LbTime)(jitter * (double)delay / 2);
     }
-  ledger->writing = 0;
-  ledger->write = 0;
+  ledger->writing_change = 0;
+  ledger->write_id = 0;
 }
 
 bool
-lc_ledger_is_confirmed (const LcLedger *ledger, uint64_t change)
+lc_ledger_has_stored (const LcLedger *ledger, uint64_t change)
 {
-  return ledger->confirmed >= change;
+  return ledger->stored_change >= change;
 }
 
 LbTime
-lc_ledger_due (const LcLedger *ledger)
+lc_ledger_next_write_at (const LcLedger *ledger)
 {
-  if (ledger->write)
+  if (ledger->write_id)
     return LB_TIME_NEVER;
-  if (ledger->failures > 0)
+  if (ledger->consecutive_failures > 0)
     return ledger->retry_at;
-  if (ledger->confirmed == ledger->wanted)
-    return ledger->last + LEDGER_REFRESH;
-  return ledger->urgent ? ledger->last : ledger->last + LEDGER_INTERVAL;
+  if (ledger->stored_change == ledger->latest_change)
+    return ledger->last_write_at + REFRESH_INTERVAL;
+  return ledger->urgent ? ledger->last_write_at : ledger->last_write_at + BATCH_INTERVAL;
 }
--- a/packages/core/src/rollout/lc-ledger.h
+++ b/packages/core/src/rollout/lc-ledger.h
@@ -3,29 +3,30 @@
 
 #include "lb-error.h"
 
-/* What of a step's deliveries is written to the table, and when. One row a step, overwritten; at
- * most one write at a time. */
+/* Schedules the writes of a step's delivery state to the store: one row for each step, overwritten
+ * each time, with at most one write in progress. */
 typedef struct
 {
-  uint64_t wanted;    /* counts changes of what should be in the row */
-  uint64_t writing;   /* the change that the write in progress carries; 0: none is in progress */
-  uint64_t confirmed; /* the latest change known to be in the row, under our session */
-  uint64_t write;     /* name of the write in progress */
-  bool urgent;        /* a delivery waits for it */
-  int failures;       /* in a row */
-  LbTime last;        /* start of the last write */
+  uint64_t latest_change;  /* number of the latest change that the row should hold */
+  uint64_t writing_change; /* latest change in the write in progress; 0: no write in progress */
+  uint64_t stored_change;  /* latest change known to be in the row, written under our session */
+  uint64_t write_id;       /* of the write in progress; 0: none */
+  bool urgent;             /* a delivery waits for the latest change */
+  int consecutive_failures;
+  LbTime last_write_at; /* start of the last write */
   LbTime retry_at;
 } LcLedger;
 
 /* Commands. */
-/* Notes that the row should change and returns the number to ask lc_ledger_is_confirmed with. */
-uint64_t lc_ledger_want (LcLedger *ledger, bool urgent);
-void lc_ledger_start (LcLedger *ledger, uint64_t write, LbTime now);
-void lc_ledger_done (LcLedger *ledger, LbErrorCode error, double jitter, LbTime now);
+/* Records that the row has to change; returns the change's number for lc_ledger_has_stored. */
+uint64_t lc_ledger_add_change (LcLedger *ledger, bool urgent);
+void lc_ledger_begin_write (LcLedger *ledger, uint64_t write_id, LbTime now);
+/* jitter is a random number in 0..1 that spreads the retry of a failed write. */
+void lc_ledger_end_write (LcLedger *ledger, LbErrorCode error, double jitter, LbTime now);
 
 /* Queries. */
-bool lc_ledger_is_confirmed (const LcLedger *ledger, uint64_t change);
-/* When the next write should start, LB_TIME_NEVER while one is in progress. */
-LbTime lc_ledger_due (const LcLedger *ledger);
+bool lc_ledger_has_stored (const LcLedger *ledger, uint64_t change);
+/* When the next write should start; LB_TIME_NEVER while one is in progress. */
+LbTime lc_ledger_next_write_at (const LcLedger *ledger);
 
 #endif
--- a/packages/core/src/rollout/lc-result.c
+++ b/packages/core/src/rollout/lc-result.c
@@ -8,34 +8,36 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define RETRY_FIRST (100 * LB_MSEC)
-#define RETRY_LONGEST (5 * LB_SEC)
-/* So many failures in a row may come from the part itself: the next start is from the beginning. */
-#define RESUME_TRIES 3
+#define RETRY_DELAY_MIN (100 * LB_MSEC)
+#define RETRY_DELAY_MAX (5 * LB_SEC)
+/* After this many failures in a row the partial sample itself may be the cause, so the next attempt
+ * starts from the beginning. */
+#define MAX_RESUME_FAILURES 3
 
 static LbMetric stale_metric = LB_COUNTER_INIT ("lentilspindle_rollout_discarded_total",
                                                 "reason=\"stale\"",
-                                                "Samples thrown away and generated again");
+                                                "Samples discarded to be generated again");
 static LbMetric unlabelled_metric = LB_COUNTER_INIT ("lentilspindle_rollout_discarded_total",
                                                      "reason=\"unlabelled\"",
-                                                     "Samples thrown away and generated again");
+                                                     "Samples discarded to be generated again");
 
-/* Exponential with full jitter, so that what failed together does not come back together. */
+/* Exponential backoff with full jitter, so that slots that failed together don't retry together. */
 static void
-back_off (LcRollouts *rollouts, LcStep *step, LcSlot *slot, LbTime now)
+delay_retry (LcRollouts *rollouts, LcStep *step, LcSlot *slot, LbTime now)
 {
-  LbTime longest = RETRY_FIRST << (slot->failures < 6 ? slot->failures : 6);
+  LbTime max_delay = RETRY_DELAY_MIN
+                     << (slot->consecutive_failures < 6 ? slot->consecutive_failures : 6);
 
-  if (longest > RETRY_LONGEST)
-    longest = RETRY_LONGEST;
-  slot->failures++;
-  slot->not_before = now + (LbTime)(gsl_rng_uniform (rollouts->rng) * (double)longest);
+  if (max_delay > RETRY_DELAY_MAX)
+    max_delay = RETRY_DELAY_MAX;
+  slot->consecutive_failures++;
+  slot->not_before = now + (LbTime)(gsl_rng_uniform (rollouts->rng) * (double)max_delay);
   if (slot->not_before < step->retry_at)
     step->retry_at = slot->not_before;
 }
 
 static void
-discard (LcStep *step, LcSlot *slot, int64_t *counter, const char *reason)
+discard_sample (LcStep *step, LcSlot *slot, int64_t *counter, const char *reason)
 {
   (*counter)++;
   step->status.wasted_tokens += slot->label ? slot->label->tokens : 0;
@@ -45,73 +47,74 @@
   lc_step_reset_slot (step, slot);
 }
 
-/* What came of it. */
+/* Generations. */
 
-/* Without its twin the slot waits for a new start. */
+/* Frees the job and discards what it generated; the slot waits again unless another job of a hedged
+ * pair still runs for it. */
 static void
-drop_job (LcRollouts *rollouts, LcJob *job, LbTime now, bool failed)
+end_unsuccessful_job (LcRollouts *rollouts, LcJob *job, LbTime now, bool should_back_off)
 {
   LcStep *step = job->step;
   LcSlot *slot = lc_job_slot (job);
 
-  step->status.wasted_tokens += lc_job_made_tokens (job);
+  step->status.wasted_tokens += lc_job_generated_tokens (job);
   lc_job_free (rollouts, job);
   if (!lb_list_is_empty (&slot->jobs))
     return;
   lc_step_reset_slot (step, slot);
-  if (failed)
-    back_off (rollouts, step, slot, now);
+  if (should_back_off)
+    delay_retry (rollouts, step, slot, now);
 }
 
 static void
-drop_unlabelled (LcRollouts *rollouts, LcJob *job, LbTime now)
+end_unlabelled_job (LcRollouts *rollouts, LcJob *job, LbTime now)
 {
   LcStep *step = job->step;
 
   step->status.discarded_unlabelled++;
   lb_metric_add (&unlabelled_metric, 1);
   lb_log (LB_LOG_WARNING, "sample-unlabelled", LB_TEXT ("subscription", step->spec.subscription),
-          LB_INT ("step", step->spec.step), LB_INT ("slot", (int64_t)job->slot),
+          LB_INT ("step", step->spec.step), LB_INT ("slot", (int64_t)job->slot_index),
           LB_TEXT ("endpoint", job->endpoint));
-  drop_job (rollouts, job, now, true);
+  end_unsuccessful_job (rollouts, job, now, true);
 }
 
-/* An attempt that was broken off and begun again elsewhere starts at the base once more: what was
- * said of the tokens of the first attempt does not count for those of the second. The same endpoint
- * at the base again may as well be one stream that repeats itself, and is left to the label, which
- * takes it as an overlap. */
+/* A retry of the request on another endpoint starts at the resume offset again, so the spans of the
+ * first attempt are dropped. A stream of the same endpoint that returns to the resume offset may
+ * just repeat itself; then the label is not reset, and records an overlap. */
 static void
-restart_label (LcJob *job)
+reset_label_to_resume_offset (LcJob *job)
 {
   LcLabel *label = &job->label;
 
-  job->step->status.wasted_tokens += lc_job_made_tokens (job);
+  job->step->status.wasted_tokens += lc_job_generated_tokens (job);
   label->unlabelled = false;
-  while (label->n_spans > 0 && label->spans[label->n_spans - 1].first >= job->base)
+  while (label->n_spans > 0 && label->spans[label->n_spans - 1].first >= job->resume_offset)
     label->n_spans--;
-  label->tokens = job->base;
+  label->tokens = job->resume_offset;
   if (label->n_spans > 0)
     {
       LcSpan *last = &label->spans[label->n_spans - 1];
-      last->count = job->base - last->first;
+      last->count = job->resume_offset - last->first;
     }
 }
 
 void
-lc_result_piece (LcRollouts *rollouts,
-                 LcJob *job,
-                 const LcPiece *piece,
-                 const char *endpoint,
-                 LbTime now,
-                 LbList *actions)
+lc_result_add_piece (LcRollouts *rollouts,
+                     LcJob *job,
+                     const LcPiece *piece,
+                     const char *endpoint,
+                     LbTime now,
+                     LbList *actions)
 {
-  bool elsewhere = strcmp (job->endpoint, endpoint) != 0;
+  bool has_new_endpoint = strcmp (job->endpoint, endpoint) != 0;
 
   LB_COPY (job->endpoint, endpoint);
-  if (job->first_piece == 0)
-    job->first_piece = now;
-  if (elsewhere && piece->tokens > 0 && piece->offset == job->base && lc_job_made_tokens (job) > 0)
-    restart_label (job);
+  if (job->first_piece_at == 0)
+    job->first_piece_at = now;
+  if (has_new_endpoint && piece->tokens > 0 && piece->offset == job->resume_offset
+      && lc_job_generated_tokens (job) > 0)
+    reset_label_to_resume_offset (job);
   lc_label_add_tokens_kv_reused (&job->label, piece->offset, piece->tokens, piece->version,
                                  piece->kv_reused_version);
   job->step->status.tokens += piece->tokens > 0 ? piece->tokens : 0;
@@ -120,139 +123,143 @@
 
   LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_CANCEL);
   action->spec.id = job->request;
-  drop_unlabelled (rollouts, job, now);
+  end_unlabelled_job (rollouts, job, now);
 }
 
 static char *
-join (char *prefix, char *text)
+join_text (char *resume_text, char *text)
 {
-  if (!prefix)
+  if (!resume_text)
     return text;
 
-  char *joined = lb_asprintf ("%s%s", prefix, text);
+  char *whole_text = lb_asprintf ("%s%s", resume_text, text);
   free (text);
-  return joined;
+  return whole_text;
 }
 
-/* Keeps what was generated, so that the next start goes on behind it. */
+/* Stores the generated part in the slot, so that the next generation resumes after it. */
 static void
-keep_partial (LcRollouts *rollouts, LcJob *job, char *text, LbTime now)
+keep_partial_sample (LcRollouts *rollouts, LcJob *job, char *text, LbTime now)
 {
   LcStep *step = job->step;
   LcSlot *slot = lc_job_slot (job);
-  bool recalled = job->recalled;
+  bool was_preempted = job->is_preempted;
 
-  slot->text = join (job->prefix, text);
+  slot->text = join_text (job->resume_text, text);
   slot->label = lb_memdup (&job->label, sizeof job->label);
   lc_step_set_state (step, slot, LC_SLOT_WAITING);
   lc_job_free (rollouts, job);
-  if (!recalled)
-    back_off (rollouts, step, slot, now);
+  if (!was_preempted)
+    delay_retry (rollouts, step, slot, now);
 }
 
-/* What a recalled request had made; its slot goes on from there as soon as there is a place. */
+/* Handles the end of a preempted request: its slot resumes as soon as the pool has room, with no
+ * retry delay. */
 static void
-take_recalled (LcRollouts *rollouts, LcJob *job, char *text, LbTime now)
+finish_preempted (LcRollouts *rollouts, LcJob *job, char *text, LbTime now)
 {
   LcSlot *slot = lc_job_slot (job);
-  bool alone = slot->jobs.length == 1;
+  bool is_only_job = slot->jobs.length == 1;
 
-  if (alone && job->label.tokens > 0 && text && (text[0] || lc_job_made_tokens (job) == 0))
+  if (is_only_job && job->label.tokens > 0 && text
+      && (text[0] || lc_job_generated_tokens (job) == 0))
     {
-      keep_partial (rollouts, job, text, now);
+      keep_partial_sample (rollouts, job, text, now);
       return;
     }
   free (text);
-  drop_job (rollouts, job, now, false);
+  end_unsuccessful_job (rollouts, job, now, false);
 }
 
 static void
-failed (LcRollouts *rollouts, LcJob *job, LbErrorCode error, char *text, LbTime now)
+finish_failed (LcRollouts *rollouts, LcJob *job, LbErrorCode error, char *text, LbTime now)
 {
   LcSlot *slot = lc_job_slot (job);
-  bool may_keep
-      = rollouts->settings.resume && slot->jobs.length == 1 && slot->failures < RESUME_TRIES;
+  bool can_resume = rollouts->settings.resume && slot->jobs.length == 1
+                    && slot->consecutive_failures < MAX_RESUME_FAILURES;
 
   lb_metric_count_error (error);
   lb_log (LB_LOG_INFO, "sample-failed", LB_TEXT ("error", lb_error_name (error)),
           LB_TEXT ("subscription", job->step->spec.subscription),
-          LB_INT ("step", job->step->spec.step), LB_INT ("slot", (int64_t)job->slot),
+          LB_INT ("step", job->step->spec.step), LB_INT ("slot", (int64_t)job->slot_index),
           LB_TEXT ("endpoint", job->endpoint), LB_INT ("tokens", job->label.tokens));
-  if (may_keep && lc_job_made_tokens (job) > 0 && text && text[0])
+  if (can_resume && lc_job_generated_tokens (job) > 0 && text && text[0])
     {
-      keep_partial (rollouts, job, text, now);
+      keep_partial_sample (rollouts, job, text, now);
       return;
     }
-  if (may_keep && lc_job_made_tokens (job) == 0 && job->base > 0)
+  if (can_resume && lc_job_generated_tokens (job) == 0 && job->resume_offset > 0)
     {
       free (text);
-      keep_partial (rollouts, job, lb_strdup (""), now);
+      keep_partial_sample (rollouts, job, lb_strdup (""), now);
       return;
     }
   free (text);
-  drop_job (rollouts, job, now, true);
+  end_unsuccessful_job (rollouts, job, now, true);
 }
 
 static void
-learn (LcRollouts *rollouts, const LcJob *job, LbTime now)
+record_length_and_pace (LcRollouts *rollouts, const LcJob *job, LbTime now)
 {
-  LcTrainer *trainer = lc_rollouts_trainer (rollouts, job->step->spec.subscription);
+  LcTrainer *trainer = lc_rollouts_find_trainer (rollouts, job->step->spec.subscription);
   LcRolloutPool *pool = lc_step_pool (rollouts, job->step);
-  LbTime first = job->first_piece ? job->first_piece : now;
+  LbTime first_piece_at = job->first_piece_at ? job->first_piece_at : now;
 
   lc_length_histogram_add (&trainer->lengths, job->label.tokens);
-  lc_pace_add (&pool->pace, lc_job_made_tokens (job), first - job->started, now - first);
+  lc_pace_add (&pool->pace, lc_job_generated_tokens (job), first_piece_at - job->started_at,
+               now - first_piece_at);
 }
 
-/* The first whole sample fills the slot; its twin is cancelled here, and an answer of the twin that
- * was already under way finds no job and is dropped. */
+/* The first complete sample of a hedged pair wins. The other request is cancelled; if its answer is
+ * already under way, it finds no job and is ignored. */
 static void
-fill_slot (LcRollouts *rollouts, LcJob *job, char *text, LbTime now, LbList *actions)
+complete_slot (LcRollouts *rollouts, LcJob *job, char *text, LbTime now, LbList *actions)
 {
   LcStep *step = job->step;
   LcSlot *slot = lc_job_slot (job);
-  const LcTrainer *trainer = lc_rollouts_trainer (rollouts, step->spec.subscription);
+  const LcTrainer *trainer = lc_rollouts_find_trainer (rollouts, step->spec.subscription);
 
-  learn (rollouts, job, now);
-  slot->text = join (job->prefix, text);
+  record_length_and_pace (rollouts, job, now);
+  slot->text = join_text (job->resume_text, text);
   slot->label = lb_memdup (&job->label, sizeof job->label);
-  slot->failures = 0;
+  slot->consecutive_failures = 0;
   slot->not_before = 0;
   lc_job_free (rollouts, job);
-  lc_slot_abandon (rollouts, slot, actions);
-  lc_step_set_state (step, slot, trainer->resource.scorer[0] ? LC_SLOT_SCORING : LC_SLOT_READY);
+  lc_slot_cancel_jobs (rollouts, slot, actions);
+  lc_step_set_state (step, slot, trainer->subscription.scorer[0] ? LC_SLOT_SCORING : LC_SLOT_READY);
   if (lc_staleness_is_too_old (slot->label, step->trainer_version, trainer->max_lag))
     {
       lb_metric_add (&stale_metric, 1);
-      discard (step, slot, &step->status.discarded_stale, "stale");
+      discard_sample (step, slot, &step->status.discarded_stale, "stale");
     }
 }
 
 void
-lc_result_finished (
+lc_result_finish_generation (
     LcRollouts *rollouts, LcJob *job, LbErrorCode error, char *text, LbTime now, LbList *actions)
 {
-  if (error != LB_OK && job->recalled)
+  if (error != LB_OK && job->is_preempted)
     {
-      take_recalled (rollouts, job, text, now);
+      finish_preempted (rollouts, job, text, now);
       return;
     }
   if (error != LB_OK)
     {
-      failed (rollouts, job, error, text, now);
+      finish_failed (rollouts, job, error, text, now);
       return;
     }
   if (!text || !lc_label_is_complete (&job->label, job->label.tokens))
     {
       free (text);
-      drop_unlabelled (rollouts, job, now);
+      end_unlabelled_job (rollouts, job, now);
       return;
     }
-  fill_slot (rollouts, job, text, now, actions);
+  complete_slot (rollouts, job, text, now, actions);
 }
 
 void
-lc_result_scored (LcRollouts *rollouts, LcJob *job, LbErrorCode error, double score, LbTime now)
+lc_result_finish_scoring (
+    LcRollouts *rollouts, LcJob *job, LbErrorCode error, double score, LbTime now)
 {
   LcStep *step = job->step;
   LcSlot *slot = lc_job_slot (job);
@@ -261,19 +268,19 @@
   if (error != LB_OK)
     {
       lb_metric_count_error (error);
-      back_off (rollouts, step, slot, now);
+      delay_retry (rollouts, step, slot, now);
       return;
     }
-  slot->failures = 0;
+  slot->consecutive_failures = 0;
   slot->has_score = true;
   slot->score = score;
   lc_step_set_state (step, slot, LC_SLOT_READY);
 }
 
 void
-lc_result_take_over (LcRollouts *rollouts, LcStep *step, const LcReadySample *sample)
+lc_result_restore_sample (LcRollouts *rollouts, LcStep *step, const LcReadySample *sample)
 {
-  const LcTrainer *trainer = lc_rollouts_trainer (rollouts, step->spec.subscription);
+  const LcTrainer *trainer = lc_rollouts_find_trainer (rollouts, step->spec.subscription);
   LcSlot *slot = lc_step_find_slot (step, sample->group, sample->index);
 
   if (!slot || slot->state != LC_SLOT_WAITING
@@ -284,48 +291,48 @@
   slot->has_score = sample->has_score;
   slot->score = sample->score;
   lc_step_set_state (step, slot,
-                     trainer->resource.scorer[0] && !sample->has_score ? LC_SLOT_SCORING
-                                                                       : LC_SLOT_READY);
+                     trainer->subscription.scorer[0] && !sample->has_score ? LC_SLOT_SCORING
+                                                                           : LC_SLOT_READY);
 }
 
 /* Staleness. */
 
 static void
-abandon_stale_jobs (LcRollouts *rollouts,
-                    LcStep *step,
-                    LcSlot *slot,
-                    LcVersion trainer,
-                    int64_t max_lag,
-                    LbList *actions)
+cancel_stale_jobs (LcRollouts *rollouts,
+                   LcStep *step,
+                   LcSlot *slot,
+                   LcVersion trainer_version,
+                   int64_t max_lag,
+                   LbList *actions)
 {
   LB_LIST_FOREACH (&slot->jobs, LcJob, link, job)
   {
-    if (job->label.n_spans > 0 && lc_staleness_is_too_old (&job->label, trainer, max_lag))
-      lc_job_abandon (rollouts, job, actions);
+    if (job->label.n_spans > 0 && lc_staleness_is_too_old (&job->label, trainer_version, max_lag))
+      lc_job_cancel (rollouts, job, actions);
   }
   if (!lb_list_is_empty (&slot->jobs))
     return;
   lb_metric_add (&stale_metric, 1);
-  discard (step, slot, &step->status.discarded_stale, "stale while running");
+  discard_sample (step, slot, &step->status.discarded_stale, "stale while running");
 }
 
 void
 lc_result_discard_stale (
-    LcRollouts *rollouts, LcStep *step, LcVersion trainer, int64_t max_lag, LbList *actions)
+    LcRollouts *rollouts, LcStep *step, LcVersion trainer_version, int64_t max_lag, LbList *actions)
 {
   for (size_t i = 0; i < step->n_slots; i++)
     {
       LcSlot *slot = &step->slots[i];
       if (slot->state == LC_SLOT_RUNNING)
         {
-          abandon_stale_jobs (rollouts, step, slot, trainer, max_lag, actions);
+          cancel_stale_jobs (rollouts, step, slot, trainer_version, max_lag, actions);
           continue;
         }
       if (slot->state > LC_SLOT_READY || !slot->label
-          || !lc_staleness_is_too_old (slot->label, trainer, max_lag))
+          || !lc_staleness_is_too_old (slot->label, trainer_version, max_lag))
         continue;
-      lc_slot_abandon (rollouts, slot, actions);
+      lc_slot_cancel_jobs (rollouts, slot, actions);
       lb_metric_add (&stale_metric, 1);
-      discard (step, slot, &step->status.discarded_stale, "stale");
+      discard_sample (step, slot, &step->status.discarded_stale, "stale");
     }
 }
--- a/packages/core/src/rollout/lc-review.c
+++ b/packages/core/src/rollout/lc-review.c
@@ -6,43 +6,42 @@
 #include "lc-generate.h"
 
 #define REVIEW_INTERVAL (100 * LB_MSEC)
-/* A sample that was moved so often stays where it is. */
-#define MAX_MOVES 4
+/* A sample that was migrated this often stays where it is. */
+#define MAX_MIGRATIONS 4
 
-static LbMetric hedges_metric
-    = LB_COUNTER_INIT ("lentilspindle_rollout_hedges_total",
-                       NULL,
-                       "Second generations of a sample that were started");
+static LbMetric hedges_metric = LB_COUNTER_INIT ("lentilspindle_rollout_hedges_total",
+                                                 NULL,
+                                                 "Second generations started for running samples");
 
 static LcSampleProgress
-progress_of (const LcJob *job)
+job_progress (const LcJob *job)
 {
   return (LcSampleProgress){ .tokens = job->label.tokens,
                              .max_tokens
                              = lc_step_group_spec (job->step, lc_job_slot (job))->max_tokens,
-                             .started_at = job->started,
-                             .first_piece_at = job->first_piece };
+                             .started_at = job->started_at,
+                             .first_piece_at = job->first_piece_at };
 }
 
-typedef double (*Gain) (const LcLengthHistogram *lengths,
-                        const LcPace *pace,
-                        const LcSampleProgress *progress,
-                        double idle_weight,
-                        LbTime now);
+typedef double (*GainFunction) (const LcLengthHistogram *lengths,
+                                const LcPace *pace,
+                                const LcSampleProgress *progress,
+                                double idle_weight,
+                                LbTime now);
 
 static bool
-may_be_moved (const LcSlot *slot)
+has_single_running_job (const LcSlot *slot)
 {
   const LcJob *job = LB_LIST_FIRST (&slot->jobs, LcJob, link);
 
-  return slot->state == LC_SLOT_RUNNING && slot->jobs.length == 1 && !job->recalled;
+  return slot->state == LC_SLOT_RUNNING && slot->jobs.length == 1 && !job->is_preempted;
 }
 
-/* The running sample for which the gain is largest; NULL: there is none for any. */
+/* Picks the running sample with the largest gain; NULL if none has a gain above 0. */
 static LcJob *
-pick_straggler (LcRollouts *rollouts, LcStep *step, Gain gain_of, LbTime now)
+pick_straggler (LcRollouts *rollouts, LcStep *step, GainFunction gain_function, LbTime now)
 {
-  const LcTrainer *trainer = lc_rollouts_trainer (rollouts, step->spec.subscription);
+  const LcTrainer *trainer = lc_rollouts_find_trainer (rollouts, step->spec.subscription);
   const LcRolloutPool *pool = lc_step_pool (rollouts, step);
   LcJob *best = NULL;
   double best_gain = 0;
@@ -50,13 +49,14 @@
   for (size_t i = 0; i < step->n_slots; i++)
     {
       LcSlot *slot = &step->slots[i];
-      if (!may_be_moved (slot)
-          || (gain_of == lc_straggler_move_gain_seconds && slot->moves >= MAX_MOVES))
+      if (!has_single_running_job (slot)
+          || (gain_function == lc_straggler_move_gain_seconds
+              && slot->n_migrations >= MAX_MIGRATIONS))
         continue;
       LcJob *job = LB_LIST_FIRST (&slot->jobs, LcJob, link);
-      LcSampleProgress progress = progress_of (job);
-      double gain
-          = gain_of (&trainer->lengths, &pool->pace, &progress, trainer->resource.idle_weight, now);
+      LcSampleProgress progress = job_progress (job);
+      double gain = gain_function (&trainer->lengths, &pool->pace, &progress,
+                                   trainer->subscription.idle_weight, now);
       if (gain > best_gain)
         {
           best = job;
@@ -67,16 +67,17 @@
 }
 
 static bool
-fits_budget (const LcRollouts *rollouts, const LcStep *step, int64_t cost)
+is_within_hedge_budget (const LcRollouts *rollouts, const LcStep *step, int64_t cost_tokens)
 {
-  const LcTrainer *trainer = lc_rollouts_trainer (rollouts, step->spec.subscription);
-  double budget = trainer->resource.hedge_budget * (double)step->status.tokens;
+  const LcTrainer *trainer = lc_rollouts_find_trainer (rollouts, step->spec.subscription);
+  double budget_tokens = trainer->subscription.hedge_budget * (double)step->status.tokens;
 
-  return (double)(step->status.wasted_tokens + step->reserved + cost) <= budget;
+  return (double)(step->status.wasted_tokens + step->reserved_tokens + cost_tokens)
+         <= budget_tokens;
 }
 
 static void
-log_review (const LcJob *job, const char *event)
+log_straggler (const LcJob *job, const char *event)
 {
   lb_log (LB_LOG_INFO, event, LB_TEXT ("subscription", job->step->spec.subscription),
           LB_INT ("step", job->step->spec.step),
@@ -86,60 +87,61 @@
 }
 
 static void
-recall (LcJob *job, LbList *actions)
+preempt (LcJob *job, LbList *actions)
 {
   LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_PREEMPT);
 
   action->spec.id = job->request;
-  job->recalled = true;
-  lc_job_slot (job)->moves++;
+  job->is_preempted = true;
+  lc_job_slot (job)->n_migrations++;
 }
 
 static void
-migrate (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
+migrate_stragglers (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
 {
   LcJob *job;
 
   while (rollouts->settings.migrate
          && (job = pick_straggler (rollouts, step, lc_straggler_move_gain_seconds, now)))
     {
-      LB_COPY (lc_job_slot (job)->avoid, job->endpoint);
-      recall (job, actions);
-      log_review (job, "sample-migrated");
+      LB_COPY (lc_job_slot (job)->avoid_endpoint, job->endpoint);
+      preempt (job, actions);
+      log_straggler (job, "sample-migrated");
     }
 }
 
 static void
-hedge (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
+hedge_stragglers (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
 {
   LcRolloutPool *pool = lc_step_pool (rollouts, step);
   LcJob *job;
 
-  while (rollouts->settings.hedging && pool->running < pool->window
+  while (rollouts->settings.hedging && pool->n_running < pool->max_running
          && (job = pick_straggler (rollouts, step, lc_straggler_hedge_gain_seconds, now)))
     {
-      LcSampleProgress progress = progress_of (job);
-      int64_t cost = lc_straggler_hedge_cost_tokens (lc_step_lengths (rollouts, step), &pool->pace,
-                                                     &progress, now);
-      if (!fits_budget (rollouts, step, cost))
+      LcSampleProgress progress = job_progress (job);
+      int64_t cost_tokens = lc_straggler_hedge_cost_tokens (lc_step_lengths (rollouts, step),
+                                                            &pool->pace, &progress, now);
+      if (!is_within_hedge_budget (rollouts, step, cost_tokens))
         return;
-      log_review (job, "sample-hedged");
-      LcJob *second = lc_generate_start (rollouts, step, lc_job_slot (job), job, now, actions);
-      second->reserved = cost;
-      step->reserved += cost;
+      log_straggler (job, "sample-hedged");
+      LcJob *hedge_job
+          = lc_generate_start_sample (rollouts, step, lc_job_slot (job), job, now, actions);
+      hedge_job->reserved_tokens = cost_tokens;
+      step->reserved_tokens += cost_tokens;
       step->status.hedges++;
       lb_metric_add (&hedges_metric, 1);
     }
 }
 
-/* Only the tail is hedged: while slots wait, a place is worth more to them. */
+/* Hedges only when no slot waits: until then a waiting slot makes better use of the pool's room. */
 void
 lc_review_step (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
 {
-  if (rollouts->draining || now < step->next_review || step->n_in_state[LC_SLOT_RUNNING] == 0)
+  if (rollouts->draining || now < step->next_review_at || step->n_in_state[LC_SLOT_RUNNING] == 0)
     return;
-  step->next_review = now + REVIEW_INTERVAL;
-  migrate (rollouts, step, now, actions);
+  step->next_review_at = now + REVIEW_INTERVAL;
+  migrate_stragglers (rollouts, step, now, actions);
   if (step->n_in_state[LC_SLOT_WAITING] == 0)
-    hedge (rollouts, step, now, actions);
+    hedge_stragglers (rollouts, step, now, actions);
 }
--- a/packages/core/src/rollout/lc-review.h
+++ b/packages/core/src/rollout/lc-review.h
@@ -3,8 +3,8 @@
 
 #include "lc-job.h"
 
-/* Looks at what runs for the step: samples of slow endpoints go on elsewhere, stuck ones of its
- * tail are hedged. */
+/* Detects stragglers among the step's running samples: migrates those on slow endpoints, and hedges
+ * those that are left once no slot of the step waits. */
 void lc_review_step (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions);
 
 #endif
--- a/packages/core/src/rollout/lc-rollouts-state.h
+++ b/packages/core/src/rollout/lc-rollouts-state.h
@@ -6,27 +6,27 @@
 
 #include <gsl/gsl_rng.h>
 
-/* What the parts of LcRollouts share. */
+/* State that the source files of LcRollouts share. */
 
 typedef struct
 {
   LbLink link;
   LbName name;
-  int64_t window; /* generations to have running at once */
-  int64_t running;
-  LcVersion newest;
-  LbTime cadence;
+  int64_t max_running; /* limit of concurrent generations */
+  int64_t n_running;   /* generations */
+  LcVersion newest_version;
+  LbTime version_interval; /* between new versions; 0: unknown */
   LcPace pace;
 } LcRolloutPool;
 
 typedef struct
 {
   LbLink link;
-  LcSubscription resource;
+  LcSubscription subscription;
   int64_t max_lag;
-  int64_t running; /* generations */
+  int64_t n_running; /* generations */
   LcLengthHistogram lengths;
-  bool declared; /* in the configuration in force */
+  bool is_configured; /* the current configuration has the subscription */
 } LcTrainer;
 
 typedef struct
@@ -34,7 +34,7 @@
   LbLink link;
   uint64_t id;
   int64_t max_samples;
-  LcVersion version;
+  LcVersion trainer_version;
   LbTime wait_until;
 } LcWaitingPull;
 
@@ -43,24 +43,27 @@
   LcRolloutSettings settings;
   gsl_rng *rng;
   LbList pools;    /* LcRolloutPool */
-  LbList trainers; /* LcTrainer; never removed, a step may outlive its resource */
+  LbList trainers; /* LcTrainer; never removed, since a step may outlive its subscription */
   LbList steps;    /* LcStep, in the order in which they were opened */
   LcJob *jobs;     /* by request */
-  LcTrash trash;
+  LcDeferredFree deferred_free;
   LcRequestId (*next_id) (void *user);
   void *next_id_user;
   LcRequestId last_id;
-  uint64_t last_write;
-  LbTime last_seen; /* time of the last command */
+  uint64_t last_write_id;
+  LbTime last_command_at;
   bool draining;
   int64_t invariant_failures;
 };
 
 LcRolloutAction *lc_rollouts_add_action (LbList *actions, LcRolloutActionType type);
-LcTrainer *lc_rollouts_trainer (const LcRollouts *rollouts, const char *subscription);
-LcRolloutPool *lc_rollouts_pool (LcRollouts *rollouts, const char *name);
-LcRequestId lc_rollouts_next_id (LcRollouts *rollouts);
-/* Answers the step's pulls, drops its work and forgets it. */
-void lc_rollouts_end_step (LcRollouts *rollouts, LcStep *step, LbErrorCode error, LbList *actions);
+/* NULL: there is no trainer of this subscription. */
+LcTrainer *lc_rollouts_find_trainer (const LcRollouts *rollouts, const char *subscription);
+/* Creates the pool if it is unknown. */
+LcRolloutPool *lc_rollouts_ensure_pool (LcRollouts *rollouts, const char *name);
+LcRequestId lc_rollouts_new_request_id (LcRollouts *rollouts);
+/* Answers the step's pulls with the error, cancels its requests and frees it. */
+void
+lc_rollouts_remove_step (LcRollouts *rollouts, LcStep *step, LbErrorCode error, LbList *actions);
 
 #endif
--- a/packages/core/src/rollout/lc-rollouts.c
+++ b/packages/core/src/rollout/lc-rollouts.c
@@ -12,20 +12,21 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MAX_SLOTS 65536
-/* Room beyond the engines' concurrency, so that no place stays empty until the next send. */
-#define WINDOW_SLACK 1.1
-#define WINDOW_UNKNOWN 64
-/* How long a step stays known after all of it was acknowledged, for a late repeat of the last pull.
- */
-#define KEEP_CLOSED (300 * LB_SEC)
+#define MAX_STEP_SAMPLES 65536
+/* Keeps some generations queued beyond the engines' concurrency, so that no engine slot stays empty
+ * until the next request arrives. */
+#define QUEUE_AHEAD_FACTOR 1.1
+#define DEFAULT_MAX_RUNNING 64 /* of a pool without known engines */
+/* A fully acknowledged step is kept for this long, to answer a late repeat of its last pull. */
+#define CLOSED_STEP_RETENTION (300 * LB_SEC)
 #define DEFAULT_PAUSE_LIMIT LB_SEC
-#define TICK (250 * LB_MSEC)
+/* Well below the pause limit, so that an idle owner of a step is not taken for a paused process. */
+#define TICK_INTERVAL (250 * LB_MSEC)
 
 static LbMetric late_metric
     = LB_COUNTER_INIT ("lentilspindle_rollout_late_total",
                        NULL,
-                       "Events of requests that were over, such as the second of a hedged pair");
+                       "Events of requests that had ended, such as the second of a hedged pair");
 
 LcRolloutSettings
 lc_rollout_settings_default (void)
@@ -85,19 +86,19 @@
   lb_list_init (&actions);
   LB_LIST_FOREACH (&rollouts->steps, LcStep, link, step)
   {
-    lc_rollouts_end_step (rollouts, step, LB_ERROR_DRAINING, &actions);
+    lc_rollouts_remove_step (rollouts, step, LB_ERROR_DRAINING, &actions);
   }
   free_actions (&actions);
   while ((link = lb_list_pop (&rollouts->pools)))
     free (LB_CONTAINER (link, LcRolloutPool, link));
   while ((link = lb_list_pop (&rollouts->trainers)))
     free (LB_CONTAINER (link, LcTrainer, link));
-  lc_trash_empty (&rollouts->trash);
+  lc_deferred_free_run (&rollouts->deferred_free);
   gsl_rng_free (rollouts->rng);
   free (rollouts);
 }
 
-/* What the parts share. */
+/* Helpers shared by the source files of LcRollouts. */
 
 LcRolloutAction *
 lc_rollouts_add_action (LbList *actions, LcRolloutActionType type)
@@ -110,85 +111,85 @@
 }
 
 LcRequestId
-lc_rollouts_next_id (LcRollouts *rollouts)
+lc_rollouts_new_request_id (LcRollouts *rollouts)
 {
   return rollouts->next_id ? rollouts->next_id (rollouts->next_id_user) : ++rollouts->last_id;
 }
 
 LcTrainer *
-lc_rollouts_trainer (const LcRollouts *rollouts, const char *subscription)
+lc_rollouts_find_trainer (const LcRollouts *rollouts, const char *subscription)
 {
   LB_LIST_FOREACH (&rollouts->trainers, LcTrainer, link, trainer)
   {
-    if (strcmp (trainer->resource.name, subscription) == 0)
+    if (strcmp (trainer->subscription.name, subscription) == 0)
       return trainer;
   }
   return NULL;
 }
 
-/* Made when it is first named. */
 LcRolloutPool *
-lc_rollouts_pool (LcRollouts *rollouts, const char *name)
+lc_rollouts_ensure_pool (LcRollouts *rollouts, const char *name)
 {
-  LB_LIST_FOREACH (&rollouts->pools, LcRolloutPool, link, known)
+  LB_LIST_FOREACH (&rollouts->pools, LcRolloutPool, link, existing)
   {
-    if (strcmp (known->name, name) == 0)
-      return known;
+    if (strcmp (existing->name, name) == 0)
+      return existing;
   }
 
   LcRolloutPool *pool = LB_NEW (LcRolloutPool);
   LB_COPY (pool->name, name);
-  pool->window = WINDOW_UNKNOWN;
+  pool->max_running = DEFAULT_MAX_RUNNING;
   lb_list_append (&rollouts->pools, &pool->link);
   return pool;
 }
 
 void
-lc_rollouts_end_step (LcRollouts *rollouts, LcStep *step, LbErrorCode error, LbList *actions)
+lc_rollouts_remove_step (LcRollouts *rollouts, LcStep *step, LbErrorCode error, LbList *actions)
 {
   lc_deliver_fail_pulls (step, error, 0, actions);
   for (size_t i = 0; i < step->n_slots; i++)
-    lc_slot_abandon (rollouts, &step->slots[i], actions);
+    lc_slot_cancel_jobs (rollouts, &step->slots[i], actions);
   lb_list_remove (&rollouts->steps, &step->link);
   lc_step_free (step);
 }
 
 static LcStep *
-find_step (const LcRollouts *rollouts, const char *subscription, int64_t number)
+find_step (const LcRollouts *rollouts, const char *subscription, int64_t step_number)
 {
   LB_LIST_FOREACH (&rollouts->steps, LcStep, link, step)
   {
-    if (step->spec.step == number && strcmp (step->spec.subscription, subscription) == 0)
+    if (step->spec.step == step_number && strcmp (step->spec.subscription, subscription) == 0)
       return step;
   }
   return NULL;
 }
 
-/* Every command begins here: what earlier replies pointed to is freed, and a pause is noticed. */
+/* Every command calls this first: it frees what actions of the last command pointed to, and detects
+ * pauses of this process. */
 static void
-begin (LcRollouts *rollouts, LbTime now)
+begin_command (LcRollouts *rollouts, LbTime now)
 {
-  LbTime gap = now - rollouts->last_seen;
+  LbTime elapsed = now - rollouts->last_command_at;
 
-  lc_trash_empty (&rollouts->trash);
-  if (rollouts->settings.pause_limit > 0 && gap > rollouts->settings.pause_limit)
+  lc_deferred_free_run (&rollouts->deferred_free);
+  if (rollouts->settings.pause_limit > 0 && elapsed > rollouts->settings.pause_limit)
     LB_LIST_FOREACH (&rollouts->steps, LcStep, link, step)
     {
       lb_log (LB_LOG_WARNING, "step-owner-was-paused",
               LB_TEXT ("subscription", step->spec.subscription), LB_INT ("step", step->spec.step),
-              LB_INT ("paused_ms", gap / LB_MSEC));
-      lc_deliver_confirm_session (step);
+              LB_INT ("paused_ms", elapsed / LB_MSEC));
+      lc_deliver_require_session_check (step);
     }
-  rollouts->last_seen = now;
+  rollouts->last_command_at = now;
 }
 
-/* Every command that may have changed what can be given or started ends here. */
+/* Commands that may make samples deliverable or slots startable call this last. */
 static void
-settle (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
+finish_step_command (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
 {
-  lc_deliver_serve (rollouts, step, now, actions);
+  lc_deliver_answer_pulls (rollouts, step, now, actions);
   lc_deliver_write_ledger (rollouts, step, now, actions);
-  lc_generate_fill (rollouts, now, actions);
+  lc_generate_start_requests (rollouts, now, actions);
 }
 
 /* Configuration. */
@@ -201,79 +202,83 @@
 }
 
 static int64_t
-window_of (const LcResourceSet *set, const LcPool *pool)
+compute_max_running (const LcResourceSet *set, const LcPool *pool)
 {
-  int64_t places = 0;
+  int64_t concurrency_sum = 0;
 
   for (size_t i = 0; i < set->n_endpoints; i++)
     {
       const LcEndpointMember *member = &set->endpoints[i];
       if (member->kind == LC_ENDPOINT_ENGINE && !member->leaving
           && strcmp (member->pool, pool->name) == 0)
-        places += member->concurrency;
+        concurrency_sum += member->concurrency;
     }
-  if (places == 0)
-    return WINDOW_UNKNOWN;
-  int64_t window = (int64_t)((double)places * (1 - pool->live_reserve) * WINDOW_SLACK);
-  return window > 0 ? window : 1;
+  if (concurrency_sum == 0)
+    return DEFAULT_MAX_RUNNING;
+  int64_t max_running
+      = (int64_t)((double)concurrency_sum * (1 - pool->live_reserve) * QUEUE_AHEAD_FACTOR);
+  return max_running > 0 ? max_running : 1;
 }
 
 static void
-declare_trainer (LcRollouts *rollouts, const LcResourceSet *set, const LcSubscription *resource)
+configure_trainer (LcRollouts *rollouts,
+                   const LcResourceSet *set,
+                   const LcSubscription *subscription)
 {
-  LcTrainer *trainer = lc_rollouts_trainer (rollouts, resource->name);
+  LcTrainer *trainer = lc_rollouts_find_trainer (rollouts, subscription->name);
 
   if (!trainer)
     {
       trainer = LB_NEW (LcTrainer);
       lb_list_append (&rollouts->trainers, &trainer->link);
     }
-  /* Running work is counted by pool: a step keeps the pool it was opened for. */
+  /* Running generations are counted per pool, so the pool stays the same while any runs. */
   LbName pool;
-  LB_COPY (pool, trainer->running > 0 ? trainer->resource.pool : resource->pool);
-  trainer->resource = *resource;
-  LB_COPY (trainer->resource.pool, pool);
-  trainer->max_lag = lc_resource_set_max_lag (set, resource->name);
-  trainer->declared = true;
-  if (trainer->resource.share <= 0)
-    trainer->resource.share = 1;
+  LB_COPY (pool, trainer->n_running > 0 ? trainer->subscription.pool : subscription->pool);
+  trainer->subscription = *subscription;
+  LB_COPY (trainer->subscription.pool, pool);
+  trainer->max_lag = lc_resource_set_max_lag (set, subscription->name);
+  trainer->is_configured = true;
+  if (trainer->subscription.share <= 0)
+    trainer->subscription.share = 1;
 }
 
 void
 lc_rollouts_configure (LcRollouts *rollouts, const LcResourceSet *set, LbTime now, LbList *actions)
 {
-  begin (rollouts, now);
+  begin_command (rollouts, now);
   LB_LIST_FOREACH (&rollouts->trainers, LcTrainer, link, trainer)
   {
-    trainer->declared = false;
+    trainer->is_configured = false;
   }
   for (size_t i = 0; i < set->n_subscriptions; i++)
-    declare_trainer (rollouts, set, &set->subscriptions[i]);
+    configure_trainer (rollouts, set, &set->subscriptions[i]);
   for (size_t i = 0; i < set->n_pools; i++)
-    lc_rollouts_pool (rollouts, set->pools[i].name)->window = window_of (set, &set->pools[i]);
-  lc_generate_fill (rollouts, now, actions);
+    lc_rollouts_ensure_pool (rollouts, set->pools[i].name)->max_running
+        = compute_max_running (set, &set->pools[i]);
+  lc_generate_start_requests (rollouts, now, actions);
 }
 
 void
 lc_rollouts_set_versions (LcRollouts *rollouts,
-                          const char *name,
-                          LcVersion newest,
-                          LbTime cadence,
+                          const char *pool_name,
+                          LcVersion newest_version,
+                          LbTime version_interval,
                           LbTime now,
                           LbList *actions)
 {
-  LcRolloutPool *pool = lc_rollouts_pool (rollouts, name);
+  LcRolloutPool *pool = lc_rollouts_ensure_pool (rollouts, pool_name);
 
-  begin (rollouts, now);
-  pool->newest = newest;
-  pool->cadence = cadence;
-  lc_generate_fill (rollouts, now, actions);
+  begin_command (rollouts, now);
+  pool->newest_version = newest_version;
+  pool->version_interval = version_interval;
+  lc_generate_start_requests (rollouts, now, actions);
 }
 
 /* Steps. */
 
 static bool
-names_are_unique (const LcStepSpec *spec)
+has_unique_group_ids (const LcStepSpec *spec)
 {
   for (size_t i = 0; i < spec->n_groups; i++)
     for (size_t j = i + 1; j < spec->n_groups; j++)
@@ -285,36 +290,38 @@
 static bool
 check_spec (const LcStepSpec *spec, LbError *error)
 {
-  int64_t slots = 0;
+  int64_t n_samples = 0;
 
   if (spec->n_groups == 0)
     return lb_error_set (error, LB_ERROR_BAD_VALUE, "groups", "expected at least one group");
   if (spec->step < 0 || spec->trainer_version < 0)
-    return lb_error_set (error, LB_ERROR_OUT_OF_RANGE, "step", "expected 0 or more");
+    return lb_error_set (error, LB_ERROR_OUT_OF_RANGE, "step",
+                         "expected a step and a weight version of 0 or more");
   for (size_t i = 0; i < spec->n_groups; i++)
     {
-      if (spec->groups[i].samples < 1 || spec->groups[i].samples > MAX_SLOTS)
+      if (spec->groups[i].samples < 1 || spec->groups[i].samples > MAX_STEP_SAMPLES)
         return lb_error_set (error, LB_ERROR_OUT_OF_RANGE, "groups.samples", "expected 1 to %d",
-                             MAX_SLOTS);
+                             MAX_STEP_SAMPLES);
       if (spec->groups[i].max_tokens < 1)
         return lb_error_set (error, LB_ERROR_OUT_OF_RANGE, "groups.max_tokens",
                              "expected 1 or more");
-      slots += spec->groups[i].samples;
+      n_samples += spec->groups[i].samples;
     }
-  if (slots > MAX_SLOTS)
+  if (n_samples > MAX_STEP_SAMPLES)
     return lb_error_set (error, LB_ERROR_OUT_OF_RANGE, "groups", "expected at most %d samples",
-                         MAX_SLOTS);
-  if (!names_are_unique (spec))
-    return lb_error_set (error, LB_ERROR_BAD_VALUE, "groups.id", "two groups have one name");
+                         MAX_STEP_SAMPLES);
+  if (!has_unique_group_ids (spec))
+    return lb_error_set (error, LB_ERROR_BAD_VALUE, "groups.id",
+                         "expected unique ids; two groups have the same id");
   return true;
 }
 
 bool
 lc_rollouts_has_subscription (const LcRollouts *rollouts, const char *subscription)
 {
-  const LcTrainer *trainer = lc_rollouts_trainer (rollouts, subscription);
+  const LcTrainer *trainer = lc_rollouts_find_trainer (rollouts, subscription);
 
-  return trainer && trainer->declared;
+  return trainer && trainer->is_configured;
 }
 
 bool
@@ -329,17 +336,18 @@
 }
 
 static bool
-is_same (const LcStep *step, const LcStepSpec *spec, LbError *error)
+has_same_spec (const LcStep *step, const LcStepSpec *spec, LbError *error)
 {
-  if (step->hash == lc_step_spec_hash (spec))
+  if (step->spec_hash == lc_step_spec_hash (spec))
     return true;
-  return lb_error_set (error, LB_ERROR_CONFLICT, "step", "this step is open with other content");
+  return lb_error_set (error, LB_ERROR_CONFLICT, "step",
+                       "the step is already open with different content");
 }
 
 bool
 lc_rollouts_take_over_step (LcRollouts *rollouts,
                             LcStepSpec *spec,
-                            const LcStepHandover *recovery,
+                            const LcStepHandover *handover,
                             LbTime now,
                             LbList *actions,
                             LbError *error)
@@ -347,25 +355,25 @@
   LcStep *step = find_step (rollouts, spec->subscription, spec->step);
   LcCursor cursor = { 0 };
 
-  begin (rollouts, now);
+  begin_command (rollouts, now);
   if (step)
-    return is_same (step, spec, error);
+    return has_same_spec (step, spec, error);
   if (!lc_rollouts_can_open_step (rollouts, spec, error))
     return false;
-  step = lc_step_new (spec, recovery->session, &rollouts->trash, now);
+  step = lc_step_new (spec, handover->session, &rollouts->deferred_free, now);
   bool ok
-      = lc_cursor_from_text (&cursor, recovery->ledger_cursor, step->n_slots, step->hash, error);
+      = lc_cursor_decode (&cursor, handover->ledger_cursor, step->n_slots, step->spec_hash, error);
   if (ok)
     {
-      lc_deliver_recover (step, &cursor);
-      for (size_t i = 0; i < recovery->n_samples; i++)
-        lc_result_take_over (rollouts, step, &recovery->samples[i]);
+      lc_deliver_restore_acknowledged (step, &cursor);
+      for (size_t i = 0; i < handover->n_samples; i++)
+        lc_result_restore_sample (rollouts, step, &handover->samples[i]);
       lb_list_append (&rollouts->steps, &step->link);
       lb_log (LB_LOG_INFO, "step-opened", LB_TEXT ("subscription", step->spec.subscription),
-              LB_INT ("step", step->spec.step), LB_INT ("session", recovery->session),
+              LB_INT ("step", step->spec.step), LB_INT ("session", handover->session),
               LB_INT ("slots", step->n_slots),
               LB_INT ("acknowledged", step->n_in_state[LC_SLOT_ACKED]));
-      lc_generate_fill (rollouts, now, actions);
+      lc_generate_start_requests (rollouts, now, actions);
     }
   else
     lc_step_free (step);
@@ -377,14 +385,14 @@
 lc_rollouts_recover_step (LcRollouts *rollouts,
                           LcStepSpec *spec,
                           uint64_t session,
-                          const char *ledger,
+                          const char *ledger_cursor,
                           LbTime now,
                           LbList *actions,
                           LbError *error)
 {
-  const LcStepHandover recovery = { .session = session, .ledger_cursor = ledger };
+  const LcStepHandover handover = { .session = session, .ledger_cursor = ledger_cursor };
 
-  return lc_rollouts_take_over_step (rollouts, spec, &recovery, now, actions, error);
+  return lc_rollouts_take_over_step (rollouts, spec, &handover, now, actions, error);
 }
 
 bool
@@ -399,18 +407,21 @@
 }
 
 void
-lc_rollouts_abort_step (
-    LcRollouts *rollouts, const char *subscription, int64_t number, LbTime now, LbList *actions)
+lc_rollouts_abort_step (LcRollouts *rollouts,
+                        const char *subscription,
+                        int64_t step_number,
+                        LbTime now,
+                        LbList *actions)
 {
-  LcStep *step = find_step (rollouts, subscription, number);
+  LcStep *step = find_step (rollouts, subscription, step_number);
 
-  begin (rollouts, now);
+  begin_command (rollouts, now);
   if (!step)
     return;
   lb_log (LB_LOG_WARNING, "step-lost", LB_TEXT ("subscription", subscription),
-          LB_INT ("step", number), LB_INT ("session", step->session));
-  lc_rollouts_end_step (rollouts, step, LB_ERROR_STALE_SESSION, actions);
-  lc_generate_fill (rollouts, now, actions);
+          LB_INT ("step", step_number), LB_INT ("session", step->session));
+  lc_rollouts_remove_step (rollouts, step, LB_ERROR_STALE_SESSION, actions);
+  lc_generate_start_requests (rollouts, now, actions);
 }
 
 /* Pulls. */
@@ -420,36 +431,37 @@
 {
   LcStep *step = find_step (rollouts, pull->subscription, pull->step);
 
-  begin (rollouts, now);
+  begin_command (rollouts, now);
   if (!step)
     {
       LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_REPLY);
       action->pull_id = pull->id;
-      lb_error_set (&action->error, LB_ERROR_UNKNOWN_STEP, "step", "this step is not open here");
+      lb_error_set (&action->error, LB_ERROR_UNKNOWN_STEP, "step",
+                    "the step is not open on this instance");
       return;
     }
-  if (lc_deliver_pull (rollouts, step, pull, now, actions))
-    settle (rollouts, step, now, actions);
+  if (lc_deliver_accept_pull (rollouts, step, pull, now, actions))
+    finish_step_command (rollouts, step, now, actions);
   else
-    lc_generate_fill (rollouts, now, actions);
+    lc_generate_start_requests (rollouts, now, actions);
 }
 
 void
-lc_rollouts_cancel_pull (LcRollouts *rollouts, uint64_t id)
+lc_rollouts_cancel_pull (LcRollouts *rollouts, uint64_t pull_id)
 {
   LB_LIST_FOREACH (&rollouts->steps, LcStep, link, step)
   {
-    LB_LIST_FOREACH (&step->pulls, LcWaitingPull, link, pull)
+    LB_LIST_FOREACH (&step->waiting_pulls, LcWaitingPull, link, pull)
     {
-      if (pull->id != id)
+      if (pull->id != pull_id)
         continue;
-      lb_list_remove (&step->pulls, &pull->link);
+      lb_list_remove (&step->waiting_pulls, &pull->link);
       free (pull);
     }
   }
 }
 
-/* What comes of requests. */
+/* Results of requests. */
 
 static LcJob *
 find_job (LcRollouts *rollouts, LcRequestId request)
@@ -472,12 +484,12 @@
 {
   LcJob *job = find_job (rollouts, request);
 
-  begin (rollouts, now);
-  if (!job || job->scores)
+  begin_command (rollouts, now);
+  if (!job || job->is_scoring)
     return;
-  lc_result_piece (rollouts, job, piece, endpoint, now, actions);
+  lc_result_add_piece (rollouts, job, piece, endpoint, now, actions);
   if (!lb_list_is_empty (actions))
-    lc_generate_fill (rollouts, now, actions);
+    lc_generate_start_requests (rollouts, now, actions);
 }
 
 void
@@ -490,15 +502,15 @@
 {
   LcJob *job = find_job (rollouts, request);
 
-  begin (rollouts, now);
-  if (!job || job->scores)
+  begin_command (rollouts, now);
+  if (!job || job->is_scoring)
     {
       free (text);
       return;
     }
   LcStep *step = job->step;
-  lc_result_finished (rollouts, job, error, text, now, actions);
-  settle (rollouts, step, now, actions);
+  lc_result_finish_generation (rollouts, job, error, text, now, actions);
+  finish_step_command (rollouts, step, now, actions);
   lc_review_step (rollouts, step, now, actions);
 }
 
@@ -512,20 +524,20 @@
 {
   LcJob *job = find_job (rollouts, request);
 
-  begin (rollouts, now);
-  if (!job || !job->scores)
+  begin_command (rollouts, now);
+  if (!job || !job->is_scoring)
     return;
   LcStep *step = job->step;
-  lc_result_scored (rollouts, job, error, score, now);
-  settle (rollouts, step, now, actions);
+  lc_result_finish_scoring (rollouts, job, error, score, now);
+  finish_step_command (rollouts, step, now, actions);
 }
 
 static LcStep *
-step_of_write (const LcRollouts *rollouts, uint64_t write)
+find_step_of_write (const LcRollouts *rollouts, uint64_t write_id)
 {
   LB_LIST_FOREACH (&rollouts->steps, LcStep, link, step)
   {
-    if (step->ledger.write == write)
+    if (step->ledger.write_id == write_id)
       return step;
   }
   return NULL;
@@ -533,78 +545,77 @@
 
 void
 lc_rollouts_finish_ledger_write (
-    LcRollouts *rollouts, uint64_t write, LbErrorCode error, LbTime now, LbList *actions)
+    LcRollouts *rollouts, uint64_t write_id, LbErrorCode error, LbTime now, LbList *actions)
 {
-  LcStep *step = step_of_write (rollouts, write);
+  LcStep *step = find_step_of_write (rollouts, write_id);
 
-  begin (rollouts, now);
+  begin_command (rollouts, now);
   if (!step)
     return;
-  /* Another instance has taken the step over since: whatever this one would still deliver, the
-   * trainer may get from there. */
+  /* Another instance has taken the step over, and may deliver the samples that this one still
+   * holds. */
   if (error == LB_ERROR_CONDITION_FAILED || error == LB_ERROR_STALE_SESSION)
     {
       lc_rollouts_abort_step (rollouts, step->spec.subscription, step->spec.step, now, actions);
       return;
     }
-  lc_ledger_done (&step->ledger, error, gsl_rng_uniform (rollouts->rng), now);
-  settle (rollouts, step, now, actions);
+  lc_ledger_end_write (&step->ledger, error, gsl_rng_uniform (rollouts->rng), now);
+  finish_step_command (rollouts, step, now, actions);
 }
 
-/* Time. */
+/* Drain and ticks. */
 
 void
 lc_rollouts_drain (LcRollouts *rollouts, LbTime now, LbList *actions)
 {
   LcJob *job, *next;
 
-  begin (rollouts, now);
+  begin_command (rollouts, now);
   rollouts->draining = true;
-  /* What has not begun may never begin here; the step's next owner starts it. */
+  /* Generations without a first piece might never get an engine, so the drain doesn't wait for
+   * them; the step's next owner starts them. */
   HASH_ITER (hh, rollouts->jobs, job, next)
   {
     LcSlot *slot = lc_job_slot (job);
-    if (job->scores || job->first_piece != 0)
+    if (job->is_scoring || job->first_piece_at != 0)
       continue;
     LcStep *step = job->step;
-    lc_job_abandon (rollouts, job, actions);
+    lc_job_cancel (rollouts, job, actions);
     if (lb_list_is_empty (&slot->jobs))
       lc_step_reset_slot (step, slot);
   }
 }
 
 static bool
-is_over (const LcStep *step, LbTime now)
+is_expired (const LcStep *step, LbTime now)
 {
-  return step->closed && now - step->closed > KEEP_CLOSED && !step->ledger.write
-         && lb_list_is_empty (&step->pulls);
+  return step->closed_at && now - step->closed_at > CLOSED_STEP_RETENTION && !step->ledger.write_id
+         && lb_list_is_empty (&step->waiting_pulls);
 }
 
 void
 lc_rollouts_tick (LcRollouts *rollouts, LbTime now, LbList *actions)
 {
-  begin (rollouts, now);
+  begin_command (rollouts, now);
   LB_LIST_FOREACH (&rollouts->steps, LcStep, link, step)
   {
-    if (is_over (step, now))
+    if (is_expired (step, now))
       {
-        lc_rollouts_end_step (rollouts, step, LB_ERROR_UNKNOWN_STEP, actions);
+        lc_rollouts_remove_step (rollouts, step, LB_ERROR_UNKNOWN_STEP, actions);
         continue;
       }
     if (step->retry_at <= now)
       step->retry_at = LB_TIME_NEVER;
-    lc_deliver_serve (rollouts, step, now, actions);
+    lc_deliver_answer_pulls (rollouts, step, now, actions);
     lc_deliver_write_ledger (rollouts, step, now, actions);
   }
-  lc_generate_fill (rollouts, now, actions);
+  lc_generate_start_requests (rollouts, now, actions);
   LB_LIST_FOREACH (&rollouts->steps, LcStep, link, open)
   {
     lc_review_step (rollouts, open, now, actions);
   }
 }
 
-/* An open step is looked at several times within the pause limit, else silence would look like a
- * pause of this process. */
 LbTime
 lc_rollouts_next_tick (const LcRollouts *rollouts)
 {
@@ -613,11 +624,11 @@
   LB_LIST_FOREACH (&rollouts->steps, LcStep, link, step)
   {
     next = lb_time_earlier (next, step->retry_at);
-    next = lb_time_earlier (next, step->closed ? step->closed + KEEP_CLOSED + 1
-                                               : rollouts->last_seen + TICK);
-    if (!step->closed || step->ledger.confirmed != step->ledger.wanted)
-      next = lb_time_earlier (next, lc_ledger_due (&step->ledger));
-    LB_LIST_FOREACH (&step->pulls, LcWaitingPull, link, pull)
+    next = lb_time_earlier (next, step->closed_at ? step->closed_at + CLOSED_STEP_RETENTION + 1
+                                                  : rollouts->last_command_at + TICK_INTERVAL);
+    if (!step->closed_at || step->ledger.stored_change != step->ledger.latest_change)
+      next = lb_time_earlier (next, lc_ledger_next_write_at (&step->ledger));
+    LB_LIST_FOREACH (&step->waiting_pulls, LcWaitingPull, link, pull)
     {
       next = lb_time_earlier (next, pull->wait_until);
     }
@@ -630,10 +641,10 @@
 bool
 lc_rollouts_get_step_status (const LcRollouts *rollouts,
                              const char *subscription,
-                             int64_t number,
+                             int64_t step_number,
                              LcStepStatus *status)
 {
-  const LcStep *step = find_step (rollouts, subscription, number);
+  const LcStep *step = find_step (rollouts, subscription, step_number);
 
   if (!step)
     return false;
@@ -648,10 +659,10 @@
 size_t
 lc_rollouts_list_unacknowledged (const LcRollouts *rollouts,
                                  const char *subscription,
-                                 int64_t number,
+                                 int64_t step_number,
                                  LcReadySample **samples)
 {
-  const LcStep *step = find_step (rollouts, subscription, number);
+  const LcStep *step = find_step (rollouts, subscription, step_number);
   size_t n_samples = 0;
 
   *samples = LB_NEW_ARRAY (LcReadySample, step ? step->n_slots : 0);
@@ -659,7 +670,7 @@
     {
       const LcSlot *slot = &step->slots[i];
       if (slot->state >= LC_SLOT_SCORING && slot->state != LC_SLOT_ACKED && slot->text)
-        (*samples)[n_samples++] = lc_step_delivered (step, slot);
+        (*samples)[n_samples++] = lc_step_ready_sample (step, slot);
     }
   return n_samples;
 }
@@ -670,10 +681,9 @@
   const LcJob *job = NULL;
 
   HASH_FIND (hh, rollouts->jobs, &request, sizeof request, job);
-  return job && job->scores;
+  return job && job->is_scoring;
 }
 
-/* Requests and pulls that are not answered yet. */
 size_t
 lc_rollouts_count_in_progress (const LcRollouts *rollouts)
 {
@@ -681,7 +691,7 @@
 
   LB_LIST_FOREACH (&rollouts->steps, LcStep, link, step)
   {
-    count += step->pulls.length;
+    count += step->waiting_pulls.length;
   }
   return count;
 }
--- a/packages/core/src/rollout/lc-staleness.c
+++ b/packages/core/src/rollout/lc-staleness.c
@@ -3,35 +3,36 @@
 #include "lc-label.h"
 
 bool
-lc_staleness_is_too_old (const LcLabel *label, LcVersion trainer, int64_t max_lag)
+lc_staleness_is_too_old (const LcLabel *label, LcVersion trainer_version, int64_t max_lag)
 {
-  return lc_label_staleness (label, trainer) > max_lag;
+  return lc_label_staleness (label, trainer_version) > max_lag;
 }
 
 static int64_t
-versions_meanwhile (const LcFreshness *freshness, double seconds)
+versions_published_within (const LcStalenessPolicy *policy, double seconds)
 {
-  if (freshness->cadence <= 0)
+  if (policy->version_interval <= 0)
     return 0;
-  return (int64_t)(seconds * LB_SEC / (double)freshness->cadence);
+  return (int64_t)(seconds * LB_SEC / (double)policy->version_interval);
 }
 
-/* The trainer moves on while the sample runs, so the lag left at the start is smaller than the
- * bound. A trainer to which staleness matters more gives up a part of that lag too. It is never
- * more than the newest: a sample must be able to start somewhere. */
+/* The trainer advances while the sample runs, so the lag allowed at the start is max_lag less the
+ * versions expected until the end. idle_weight scales it down for trainers to which staleness
+ * matters more. The result never exceeds the newest version, or no engine could run the sample. */
 LcVersion
-lc_staleness_min_version (const LcFreshness *freshness, double seconds)
+lc_staleness_min_version (const LcStalenessPolicy *policy, double seconds)
 {
-  if (freshness->max_lag == INT64_MAX || freshness->trainer == 0)
+  if (policy->max_lag == INT64_MAX || policy->trainer_version == 0)
     return 0;
-  /* Not known what the engines serve: more than the bound needs might be nowhere to be had. */
-  if (freshness->newest == 0)
-    return freshness->trainer > freshness->max_lag ? freshness->trainer - freshness->max_lag : 0;
+  /* The engines' versions are unknown: anything stricter than the bound might be served nowhere. */
+  if (policy->newest_version == 0)
+    return policy->trainer_version > policy->max_lag ? policy->trainer_version - policy->max_lag
+                                                     : 0;
 
-  int64_t lag = freshness->max_lag - versions_meanwhile (freshness, seconds);
-  lag = lag > 0 ? (int64_t)((double)lag * freshness->idle_weight + 0.5) : 0;
-  LcVersion wanted = freshness->trainer - lag;
-  if (freshness->newest > 0 && wanted > freshness->newest)
-    wanted = freshness->newest;
-  return wanted > 0 ? wanted : 0;
+  int64_t allowed_lag = policy->max_lag - versions_published_within (policy, seconds);
+  allowed_lag = allowed_lag > 0 ? (int64_t)((double)allowed_lag * policy->idle_weight + 0.5) : 0;
+  LcVersion min_version = policy->trainer_version - allowed_lag;
+  if (policy->newest_version > 0 && min_version > policy->newest_version)
+    min_version = policy->newest_version;
+  return min_version > 0 ? min_version : 0;
 }
--- a/packages/core/src/rollout/lc-staleness.h
+++ b/packages/core/src/rollout/lc-staleness.h
@@ -3,18 +3,18 @@
 
 #include "lc-types.h"
 
-/* What one trainer lets be delivered to it, and what is known of the fleet's versions. */
+/* A trainer's staleness bound and what is known of the versions that its pool serves. */
 typedef struct
 {
-  int64_t max_lag;    /* INT64_MAX: no bound */
-  double idle_weight; /* 0..1 */
-  LcVersion trainer;  /* the trainer's latest stated version */
-  LcVersion newest;   /* the newest that any engine of the pool may serve; 0: unknown */
-  LbTime cadence;     /* between versions; 0: unknown */
-} LcFreshness;
+  int64_t max_lag;           /* INT64_MAX: no bound */
+  double idle_weight;        /* 0 (only staleness counts) .. 1 (only idle time) */
+  LcVersion trainer_version; /* latest version that the trainer stated; 0: none */
+  LcVersion newest_version;  /* the newest that any engine of the pool may serve; 0: unknown */
+  LbTime version_interval;   /* between new versions; 0: unknown */
+} LcStalenessPolicy;
 
-bool lc_staleness_is_too_old (const LcLabel *label, LcVersion trainer, int64_t max_lag);
-/* The oldest weights worth starting on, for a sample that takes so many seconds; 0: any. */
-LcVersion lc_staleness_min_version (const LcFreshness *freshness, double seconds);
+bool lc_staleness_is_too_old (const LcLabel *label, LcVersion trainer_version, int64_t max_lag);
+/* The oldest version to start a sample on that will take this many seconds; 0: any. */
+LcVersion lc_staleness_min_version (const LcStalenessPolicy *policy, double seconds);
 
 #endif
--- a/packages/core/src/rollout/lc-step.c
+++ b/packages/core/src/rollout/lc-step.c
@@ -58,33 +58,33 @@
 }
 
 static void
-fill_groups (LcStep *step)
+init_groups (LcStep *step)
 {
-  size_t next = 0;
+  size_t next_slot = 0;
 
   for (size_t g = 0; g < step->spec.n_groups; g++)
     {
       const LcGroupSpec *spec = &step->spec.groups[g];
 
-      step->groups[g] = (LcGroup){ .first = next, .count = (size_t)spec->samples };
-      for (int64_t i = 0; i < spec->samples; i++, next++)
+      step->groups[g] = (LcGroup){ .first_slot = next_slot, .n_slots = (size_t)spec->samples };
+      for (int64_t i = 0; i < spec->samples; i++, next_slot++)
         {
-          step->slots[next].group = g;
-          step->slots[next].index = i;
-          lb_list_init (&step->slots[next].jobs);
+          step->slots[next_slot].group_index = g;
+          step->slots[next_slot].index = i;
+          lb_list_init (&step->slots[next_slot].jobs);
         }
     }
 }
 
 LcStep *
-lc_step_new (LcStepSpec *spec, uint64_t session, LcTrash *trash, LbTime now)
+lc_step_new (LcStepSpec *spec, uint64_t session, LcDeferredFree *deferred, LbTime now)
 {
   LcStep *step = LB_NEW (LcStep);
 
-  step->hash = lc_step_spec_hash (spec);
+  step->spec_hash = lc_step_spec_hash (spec);
   step->spec = *spec;
   memset (spec, 0, sizeof *spec);
-  step->trash = trash;
+  step->deferred_free = deferred;
   step->session = session;
   step->retry_at = LB_TIME_NEVER;
   step->n_slots = count_slots (&step->spec);
@@ -94,33 +94,33 @@
   step->trainer_version = step->spec.trainer_version;
   step->status.slots = (int64_t)step->n_slots;
   step->status.opened_at = now;
-  step->ledger.last = now;
-  fill_groups (step);
+  step->ledger.last_write_at = now;
+  init_groups (step);
   lc_cursor_init (&step->acked, step->n_slots);
-  lb_list_init (&step->pulls);
+  lb_list_init (&step->waiting_pulls);
   return step;
 }
 
 void
-lc_trash_add (LcTrash *trash, void *item)
+lc_deferred_free_add (LcDeferredFree *deferred, void *item)
 {
   if (!item)
     return;
-  if (trash->n_items == trash->capacity)
+  if (deferred->n_items == deferred->capacity)
     {
-      trash->capacity = trash->capacity ? 2 * trash->capacity : 64;
-      trash->items = lb_realloc (trash->items, trash->capacity * sizeof *trash->items);
+      deferred->capacity = deferred->capacity ? 2 * deferred->capacity : 64;
+      deferred->items = lb_realloc (deferred->items, deferred->capacity * sizeof *deferred->items);
     }
-  trash->items[trash->n_items++] = item;
+  deferred->items[deferred->n_items++] = item;
 }
 
 void
-lc_trash_empty (LcTrash *trash)
+lc_deferred_free_run (LcDeferredFree *deferred)
 {
-  for (size_t i = 0; i < trash->n_items; i++)
-    free (trash->items[i]);
-  free (trash->items);
-  memset (trash, 0, sizeof *trash);
+  for (size_t i = 0; i < deferred->n_items; i++)
+    free (deferred->items[i]);
+  free (deferred->items);
+  memset (deferred, 0, sizeof *deferred);
 }
 
 void
@@ -135,14 +135,14 @@
 lc_step_free (LcStep *step)
 {
   for (size_t i = 0; i < step->n_slots; i++)
-    lc_step_forget_text (step, &step->slots[i]);
+    lc_step_clear_sample (step, &step->slots[i]);
   free (step->slots);
   free (step->groups);
   lc_chunk_clear (&step->chunk);
   lc_cursor_clear (&step->acked);
   for (size_t i = 0; i < step->spec.n_groups; i++)
-    lc_trash_add (step->trash, step->spec.groups[i].prompt);
-  lc_trash_add (step->trash, step->spec.groups);
+    lc_deferred_free_add (step->deferred_free, step->spec.groups[i].prompt);
+  lc_deferred_free_add (step->deferred_free, step->spec.groups);
   free (step);
 }
 
@@ -155,10 +155,10 @@
 }
 
 void
-lc_step_forget_text (LcStep *step, LcSlot *slot)
+lc_step_clear_sample (LcStep *step, LcSlot *slot)
 {
-  lc_trash_add (step->trash, slot->text);
-  lc_trash_add (step->trash, slot->label);
+  lc_deferred_free_add (step->deferred_free, slot->text);
+  lc_deferred_free_add (step->deferred_free, slot->label);
   slot->text = NULL;
   slot->label = NULL;
   slot->has_score = false;
@@ -167,18 +167,18 @@
 void
 lc_step_reset_slot (LcStep *step, LcSlot *slot)
 {
-  lc_step_forget_text (step, slot);
+  lc_step_clear_sample (step, slot);
   lc_step_set_state (step, slot, LC_SLOT_WAITING);
 }
 
 size_t
-lc_step_unsent (const LcStep *step)
+lc_step_count_unsent (const LcStep *step)
 {
   return step->n_slots - step->n_in_state[LC_SLOT_ACKED] - step->n_in_state[LC_SLOT_SENT];
 }
 
 LcReadySample
-lc_step_delivered (const LcStep *step, const LcSlot *slot)
+lc_step_ready_sample (const LcStep *step, const LcSlot *slot)
 {
   return (LcReadySample){ .group = lc_step_group_spec (step, slot)->id,
                           .index = slot->index,
@@ -195,9 +195,9 @@
     {
       if (strcmp (step->spec.groups[g].id, group) != 0)
         continue;
-      if (index < 0 || index >= (int64_t)step->groups[g].count)
+      if (index < 0 || index >= (int64_t)step->groups[g].n_slots)
         return NULL;
-      return &step->slots[step->groups[g].first + (size_t)index];
+      return &step->slots[step->groups[g].first_slot + (size_t)index];
     }
   return NULL;
 }
@@ -205,15 +205,15 @@
 const LcGroupSpec *
 lc_step_group_spec (const LcStep *step, const LcSlot *slot)
 {
-  return &step->spec.groups[slot->group];
+  return &step->spec.groups[slot->group_index];
 }
 
 bool
-lc_step_group_is_whole (const LcStep *step, size_t group)
+lc_step_is_group_complete (const LcStep *step, size_t group)
 {
   const LcGroup *at = &step->groups[group];
 
-  for (size_t i = at->first; i < at->first + at->count; i++)
+  for (size_t i = at->first_slot; i < at->first_slot + at->n_slots; i++)
     if (step->slots[i].state < LC_SLOT_READY)
       return false;
   return true;
--- a/packages/core/src/rollout/lc-step.h
+++ b/packages/core/src/rollout/lc-step.h
@@ -12,126 +12,127 @@
 
 typedef enum
 {
-  LC_SLOT_WAITING, /* nothing runs; text and label hold what a broken generation left */
+  LC_SLOT_WAITING, /* to be generated; text and label hold the part of an interrupted generation */
   LC_SLOT_RUNNING, /* one generation, or two when hedged */
   LC_SLOT_SCORING,
   LC_SLOT_READY,
-  LC_SLOT_SENT, /* in the chunk that the trainer has not acknowledged */
+  LC_SLOT_SENT, /* in the current chunk, not acknowledged by the trainer yet */
   LC_SLOT_ACKED
 } LcSlotState;
 
 #define LC_N_SLOT_STATES (LC_SLOT_ACKED + 1)
 
-/* One request that runs for a slot: a generation or a call of the scorer. */
+/* A running request of a slot: a generation, or a call of the scorer. */
 typedef struct
 {
   UT_hash_handle hh;
   LbLink link; /* in the slot's jobs */
   LcRequestId request;
   LcStep *step;
-  size_t slot;
-  bool scores;   /* a call of the scorer, not a generation */
-  bool hedge;    /* the second generation of its slot */
-  bool recalled; /* its end was asked for, to go on in another request */
-  int64_t base;  /* tokens that it was resumed with */
-  char *prefix;  /* their text; NULL: none */
+  size_t slot_index;
+  bool is_scoring;       /* a call of the scorer, not a generation */
+  bool is_hedge;         /* the second generation of its slot */
+  bool is_preempted;     /* was asked to stop, so that another request can resume it */
+  int64_t resume_offset; /* tokens that it was resumed with */
+  char *resume_text;     /* the text of these tokens; NULL: none */
   LcLabel label;
-  LbTime started;
-  LbTime first_piece; /* 0: none yet */
-  int64_t reserved;   /* of the hedge budget, tokens */
-  LbName endpoint;    /* of the latest piece */
+  LbTime started_at;
+  LbTime first_piece_at;   /* 0: no piece yet */
+  int64_t reserved_tokens; /* of the hedge budget */
+  LbName endpoint;         /* of the latest piece */
 } LcJob;
 
 /* The place of one sample: (subscription, step, group, index). */
 typedef struct
 {
-  size_t group;
-  int64_t index;
+  size_t group_index;
+  int64_t index; /* of the sample in its group */
   LcSlotState state;
   LbList jobs;
   char *text;     /* NULL: none */
   LcLabel *label; /* of text */
   bool has_score;
   double score;
-  bool was_sent;     /* in some chunk of this session */
-  int moves;         /* times that it was migrated */
-  LbName avoid;      /* endpoint that was slow with it; empty: none */
-  int failures;      /* in a row */
-  LbTime not_before; /* WAITING, SCORING: no new request earlier */
+  bool was_sent; /* in a chunk of this session */
+  int n_migrations;
+  LbName avoid_endpoint; /* was slow with this sample; empty: none */
+  int consecutive_failures;
+  LbTime not_before; /* in states WAITING and SCORING: earliest start of a new request */
 } LcSlot;
 
 typedef struct
 {
-  size_t first; /* slot */
-  size_t count;
+  size_t first_slot;
+  size_t n_slots;
 } LcGroup;
 
-/* What the trainer was given last and has not acknowledged. */
+/* The samples sent to the trainer last and not acknowledged yet. */
 typedef struct
 {
-  size_t *slots; /* NULL: no chunk is out */
+  size_t *slots; /* indices; NULL: there is no unacknowledged chunk */
   size_t n_slots;
-  LcCursor cursor;   /* acknowledges it */
-  LcVersion version; /* of the trainer that it was checked against */
-  uint64_t change;   /* strict: the ledger change that names it */
+  LcCursor cursor;           /* acknowledges the chunk when the trainer sends it back */
+  LcVersion trainer_version; /* that the samples' staleness was checked against */
+  uint64_t ledger_change;    /* strict subscriptions: the change that records the chunk; else 0 */
 } LcChunk;
 
-/* What the reply of this command may still point to; freed at the next one. */
+/* Memory that actions of the current command may still point to, freed at the next command. */
 typedef struct
 {
   void **items;
   size_t n_items;
   size_t capacity;
-} LcTrash;
+} LcDeferredFree;
 
-void lc_trash_add (LcTrash *trash, void *item);
-void lc_trash_empty (LcTrash *trash);
+void lc_deferred_free_add (LcDeferredFree *deferred, void *item);
+void lc_deferred_free_run (LcDeferredFree *deferred);
 
 struct LcStep
 {
   LbLink link;
   LcStepSpec spec;
-  LcTrash *trash;
-  uint64_t hash;
+  LcDeferredFree *deferred_free;
+  uint64_t spec_hash;
   uint64_t session;
   LcSlot *slots;
   size_t n_slots;
   LcGroup *groups; /* as many as in the spec */
   size_t n_in_state[LC_N_SLOT_STATES];
-  LcVersion trainer_version; /* latest stated */
+  LcVersion trainer_version; /* latest that the trainer stated */
 
   LcCursor acked;
   LcChunk chunk;
-  LbList pulls; /* LcWaitingPull */
+  LbList waiting_pulls; /* LcWaitingPull */
   LcLedger ledger;
-  uint64_t must_be_confirmed; /* ledger change without which nothing is delivered */
+  uint64_t required_ledger_change; /* nothing is delivered before this change is stored */
 
-  int64_t reserved; /* tokens that running hedges may waste */
-  LbTime next_review;
-  LbTime retry_at; /* earliest not_before that was seen */
-  LbTime closed;   /* when all was acknowledged; 0: not yet */
+  int64_t reserved_tokens; /* that running hedges may waste */
+  LbTime next_review_at;
+  LbTime retry_at;  /* earliest not_before of a slot that had to wait */
+  LbTime closed_at; /* when the last sample was acknowledged; 0: not yet */
   LcStepStatus status;
 };
 
-/* Takes over the spec's content. */
-LcStep *lc_step_new (LcStepSpec *spec, uint64_t session, LcTrash *trash, LbTime now);
-/* Its jobs must be gone. */
+/* Takes ownership of the spec's content and clears it. */
+LcStep *lc_step_new (LcStepSpec *spec, uint64_t session, LcDeferredFree *deferred_free, LbTime now);
+/* All jobs of the step must have been freed. */
 void lc_step_free (LcStep *step);
 
 /* Commands. */
 void lc_step_set_state (LcStep *step, LcSlot *slot, LcSlotState state);
-/* Forgets text, label and score: the slot waits for a new generation. */
+/* Clears text, label and score, and sets the state to WAITING. */
 void lc_step_reset_slot (LcStep *step, LcSlot *slot);
-void lc_step_forget_text (LcStep *step, LcSlot *slot);
+void lc_step_clear_sample (LcStep *step, LcSlot *slot);
 void lc_chunk_clear (LcChunk *chunk);
 
 /* Queries. */
-size_t lc_step_unsent (const LcStep *step);
-LcReadySample lc_step_delivered (const LcStep *step, const LcSlot *slot);
+/* Slots that are neither in the current chunk nor acknowledged. */
+size_t lc_step_count_unsent (const LcStep *step);
+LcReadySample lc_step_ready_sample (const LcStep *step, const LcSlot *slot);
 /* NULL: the step has no such slot. */
 LcSlot *lc_step_find_slot (LcStep *step, const char *group, int64_t index);
 const LcGroupSpec *lc_step_group_spec (const LcStep *step, const LcSlot *slot);
-/* A whole group: none of its samples is still to be made. */
-bool lc_step_group_is_whole (const LcStep *step, size_t group);
+/* Whether every sample of the group is generated and scored. */
+bool lc_step_is_group_complete (const LcStep *step, size_t group_index);
 
 #endif
--- a/packages/core/src/rollout/lc-ticket.c
+++ b/packages/core/src/rollout/lc-ticket.c
@@ -10,33 +10,33 @@
 #include <uthash.h>
 #include <xxhash.h>
 
-/* The number of a ticket is a sequence and a random part in one, so that a caller can't arrive at
- * another's answer by counting. */
+/* The upper bits of a ticket's number are a sequence number, the lower ones are random, so that a
+ * caller can't guess another caller's ticket and get its answer. */
 #define RANDOM_BITS 32
 
 typedef enum
 {
   TICKET_UNUSED,
   TICKET_RUNNING,
-  TICKET_ANSWERED, /* the answer is kept */
-  TICKET_SPENT     /* it may have run, and there is no answer to give */
+  TICKET_ANSWERED, /* the answer is stored */
+  TICKET_SPENT     /* the call may have run, and no answer is stored */
 } TicketState;
 
 typedef struct
 {
   UT_hash_handle hh;         /* by number */
-  UT_hash_handle by_request; /* while running */
-  LbLink link;               /* in order of expiry, unless running */
-  LbLink kept_link;          /* while its answer is kept, oldest first */
+  UT_hash_handle hh_request; /* by request, while running */
+  LbLink expiry_link;        /* in LcTickets.by_expiry, unless running */
+  LbLink answered_link;      /* in LcTickets.answered, oldest first, while the answer is stored */
   uint64_t number;
-  uint64_t caller;  /* hash */
-  uint64_t content; /* hash, once used */
+  uint64_t caller_hash;
+  uint64_t content_hash; /* of the call; set when the ticket is first redeemed */
   LcRequestId request;
-  LbTime expires;
+  LbTime expires_at;
   TicketState state;
   int status;
   char *answer;
-  size_t length;
+  size_t answer_length;
 } Ticket;
 
 struct LcTickets
@@ -44,13 +44,13 @@
   LbName instance;
   LbName incarnation;
   LcTicketLimits limits;
-  gsl_rng *random;
-  uint64_t issued;
-  Ticket *tickets;
-  Ticket *running;
-  LbList expiring;
-  LbList kept;
-  size_t kept_size;
+  gsl_rng *rng;
+  uint64_t n_issued;
+  Ticket *tickets; /* by number */
+  Ticket *running; /* by request */
+  LbList by_expiry;
+  LbList answered;
+  size_t answer_bytes;
 };
 
 LcTickets *
@@ -61,34 +61,34 @@
   LB_COPY (tickets->instance, instance);
   LB_COPY (tickets->incarnation, incarnation);
   tickets->limits = *limits;
-  tickets->random = gsl_rng_alloc (gsl_rng_taus2);
-  gsl_rng_set (tickets->random, limits->seed);
-  lb_list_init (&tickets->expiring);
-  lb_list_init (&tickets->kept);
+  tickets->rng = gsl_rng_alloc (gsl_rng_taus2);
+  gsl_rng_set (tickets->rng, limits->seed);
+  lb_list_init (&tickets->by_expiry);
+  lb_list_init (&tickets->answered);
   return tickets;
 }
 
 static void
-drop_answer (LcTickets *tickets, Ticket *ticket)
+free_answer (LcTickets *tickets, Ticket *ticket)
 {
-  if (lb_link_is_linked (&ticket->kept_link))
-    lb_list_remove (&tickets->kept, &ticket->kept_link);
-  tickets->kept_size -= ticket->length;
+  if (lb_link_is_linked (&ticket->answered_link))
+    lb_list_remove (&tickets->answered, &ticket->answered_link);
+  tickets->answer_bytes -= ticket->answer_length;
   free (ticket->answer);
   ticket->answer = NULL;
-  ticket->length = 0;
+  ticket->answer_length = 0;
 }
 
 static void
-drop_ticket (LcTickets *tickets, Ticket *ticket)
+remove_ticket (LcTickets *tickets, Ticket *ticket)
 {
-  drop_answer (tickets, ticket);
-  if (lb_link_is_linked (&ticket->link))
-    lb_list_remove (&tickets->expiring, &ticket->link);
-  /* The analyzer takes a table for empty although it holds the ticket.
+  free_answer (tickets, ticket);
+  if (lb_link_is_linked (&ticket->expiry_link))
+    lb_list_remove (&tickets->by_expiry, &ticket->expiry_link);
+  /* The analyzer assumes that the tables may be empty although they hold the ticket.
    * NOLINTBEGIN(clang-analyzer-core.NullDereference) */
   if (ticket->state == TICKET_RUNNING)
-    HASH_DELETE (by_request, tickets->running, ticket);
+    HASH_DELETE (hh_request, tickets->running, ticket);
   HASH_DELETE (hh, tickets->tickets, ticket);
   /* NOLINTEND(clang-analyzer-core.NullDereference) */
   free (ticket);
@@ -104,50 +104,49 @@
     return;
   HASH_ITER (hh, tickets->tickets, ticket, next)
   {
-    drop_ticket (tickets, ticket);
+    remove_ticket (tickets, ticket);
   }
-  gsl_rng_free (tickets->random);
+  gsl_rng_free (tickets->rng);
   free (tickets);
 }
 
 static uint64_t
-hash_of (const char *caller)
+hash_caller (const char *caller)
 {
   return XXH3_64bits (caller, strlen (caller));
 }
 
 static void
-let_expire (LcTickets *tickets, Ticket *ticket, LbTime now)
+schedule_expiry (LcTickets *tickets, Ticket *ticket, LbTime now)
 {
-  ticket->expires = now + tickets->limits.lifetime;
-  lb_list_append (&tickets->expiring, &ticket->link);
+  ticket->expires_at = now + tickets->limits.lifetime;
+  lb_list_append (&tickets->by_expiry, &ticket->expiry_link);
 }
 
-/* Writes a new ticket of this caller into text. False with LB_ERROR_OVERLOADED when too many live.
- */
+/* Writes a new ticket for this caller into text; fails with LB_ERROR_OVERLOADED at max_tickets. */
 bool
 lc_tickets_issue (
     LcTickets *tickets, const char *caller, LbTime now, char text[LC_TICKET_SIZE], LbError *error)
 {
   lc_tickets_tick (tickets, now);
   if (HASH_COUNT (tickets->tickets) >= tickets->limits.max_tickets)
-    return lb_error_set (error, LB_ERROR_OVERLOADED, "tickets", "%zu live",
-                         tickets->limits.max_tickets);
+    return lb_error_set (error, LB_ERROR_OVERLOADED, "tickets",
+                         "%zu tickets are live, which is the limit", tickets->limits.max_tickets);
 
   Ticket *ticket = LB_NEW (Ticket);
-  uint64_t random = gsl_rng_get (tickets->random);
+  uint64_t random_part = gsl_rng_get (tickets->rng);
 
-  ticket->number = ++tickets->issued << RANDOM_BITS | random;
-  ticket->caller = hash_of (caller);
+  ticket->number = ++tickets->n_issued << RANDOM_BITS | random_part;
+  ticket->caller_hash = hash_caller (caller);
   HASH_ADD (hh, tickets->tickets, number, sizeof ticket->number, ticket);
-  let_expire (tickets, ticket, now);
+  schedule_expiry (tickets, ticket, now);
   snprintf (text, LC_TICKET_SIZE, "%s.%s.%016" PRIx64, tickets->instance, tickets->incarnation,
             ticket->number);
   return true;
 }
 
 static LcTicketDecision
-refuse (LbErrorCode error)
+reject (LbErrorCode error)
 {
   return (LcTicketDecision){ .action = LC_TICKET_REJECT, .error = error };
 }
@@ -163,62 +162,62 @@
   return *end == '\0';
 }
 
-/* Instances may have dots in their names; the two last parts have none. */
+/* Splits "INSTANCE.INCARNATION.NUMBER" at the last two dots, since instance names may have dots. */
 static bool
-parse (const char *text, LcTicketDecision *verdict, uint64_t *number)
+parse_ticket (const char *text, LcTicketDecision *decision, uint64_t *number)
 {
   char copy[LC_TICKET_SIZE];
 
   if (lb_strlcpy (copy, text, sizeof copy) >= sizeof copy)
     return false;
 
-  char *last = strrchr (copy, '.');
+  char *number_dot = strrchr (copy, '.');
 
-  if (!last || !parse_number (last + 1, number))
+  if (!number_dot || !parse_number (number_dot + 1, number))
     return false;
-  *last = '\0';
+  *number_dot = '\0';
 
-  char *middle = strrchr (copy, '.');
+  char *incarnation_dot = strrchr (copy, '.');
 
-  if (!middle || middle == copy || middle[1] == '\0')
+  if (!incarnation_dot || incarnation_dot == copy || incarnation_dot[1] == '\0')
     return false;
-  *middle = '\0';
-  LB_COPY (verdict->instance, copy);
-  LB_COPY (verdict->incarnation, middle + 1);
+  *incarnation_dot = '\0';
+  LB_COPY (decision->instance, copy);
+  LB_COPY (decision->incarnation, incarnation_dot + 1);
   return true;
 }
 
-/* A number that was never issued can't have run. One that was issued and is gone has expired, and
- * whether it ran is no longer known: to call that "not run" could make a caller run it twice. */
+/* A ticket that was never issued can't have run its call. One that was issued and is gone has
+ * expired; reporting it as "not run" could make the caller run its call a second time. */
 static LbErrorCode
-error_without_record (const LcTickets *tickets, uint64_t number)
+missing_ticket_error (const LcTickets *tickets, uint64_t number)
 {
   uint64_t sequence = number >> RANDOM_BITS;
 
-  return sequence == 0 || sequence > tickets->issued ? LB_ERROR_UNKNOWN_TICKET
-                                                     : LB_ERROR_OUTCOME_UNKNOWN;
+  return sequence == 0 || sequence > tickets->n_issued ? LB_ERROR_UNKNOWN_TICKET
+                                                       : LB_ERROR_OUTCOME_UNKNOWN;
 }
 
 static LcTicketDecision
-start (LcTickets *tickets, Ticket *ticket, uint64_t content, LcRequestId request)
+start_call (LcTickets *tickets, Ticket *ticket, uint64_t content_hash, LcRequestId request)
 {
-  lb_list_remove (&tickets->expiring, &ticket->link);
+  lb_list_remove (&tickets->by_expiry, &ticket->expiry_link);
   ticket->state = TICKET_RUNNING;
-  ticket->content = content;
+  ticket->content_hash = content_hash;
   ticket->request = request;
-  HASH_ADD (by_request, tickets->running, request, sizeof ticket->request, ticket);
+  HASH_ADD (hh_request, tickets->running, request, sizeof ticket->request, ticket);
   return (LcTicketDecision){ .action = LC_TICKET_RUN, .request = request };
 }
 
 static LcTicketDecision
-use_ticket (LcTickets *tickets, Ticket *ticket, uint64_t content, LcRequestId request)
+decide (LcTickets *tickets, Ticket *ticket, uint64_t content_hash, LcRequestId request)
 {
-  if (ticket->state != TICKET_UNUSED && ticket->content != content)
-    return refuse (LB_ERROR_CONFLICT);
+  if (ticket->state != TICKET_UNUSED && ticket->content_hash != content_hash)
+    return reject (LB_ERROR_CONFLICT);
   switch (ticket->state)
     {
     case TICKET_UNUSED:
-      return start (tickets, ticket, content, request);
+      return start_call (tickets, ticket, content_hash, request);
     case TICKET_RUNNING:
       return (LcTicketDecision){ .action = LC_TICKET_JOIN, .request = ticket->request };
     case TICKET_ANSWERED:
@@ -226,114 +225,116 @@
                                  .request = ticket->request,
                                  .status = ticket->status,
                                  .answer = ticket->answer,
-                                 .answer_length = ticket->length };
+                                 .answer_length = ticket->answer_length };
     default:
-      return refuse (LB_ERROR_OUTCOME_UNKNOWN);
+      return reject (LB_ERROR_OUTCOME_UNKNOWN);
     }
 }
 
-/* Says what is to be done with a call that carries this ticket. After LC_TICKET_RUN the call must
- * be submitted as `request` and its end reported by lc_tickets_finish, whatever that is. content is
- * a hash of the call: the same ticket with another call is LB_ERROR_CONFLICT. */
+/* Decides how to handle a call that carries this ticket. After LC_TICKET_RUN the call must be
+ * submitted as `request`, and its outcome passed to lc_tickets_finish. The same ticket with another
+ * content_hash is rejected with LB_ERROR_CONFLICT. */
 LcTicketDecision
 lc_tickets_redeem (LcTickets *tickets,
                    const char *text,
                    const char *caller,
-                   uint64_t content,
+                   uint64_t content_hash,
                    LcRequestId request,
                    LbTime now)
 {
-  LcTicketDecision verdict = { .action = LC_TICKET_RELAY };
+  LcTicketDecision decision = { .action = LC_TICKET_RELAY };
   uint64_t number = 0;
   Ticket *ticket = NULL;
 
   lc_tickets_tick (tickets, now);
-  if (!parse (text, &verdict, &number))
-    return refuse (LB_ERROR_UNKNOWN_TICKET);
-  if (strcmp (verdict.instance, tickets->instance) != 0)
-    return verdict;
-  /* An earlier incarnation of this instance took its memory with it: the call may have run. */
-  if (strcmp (verdict.incarnation, tickets->incarnation) != 0)
-    return refuse (LB_ERROR_OUTCOME_UNKNOWN);
+  if (!parse_ticket (text, &decision, &number))
+    return reject (LB_ERROR_UNKNOWN_TICKET);
+  if (strcmp (decision.instance, tickets->instance) != 0)
+    return decision;
+  /* The records of an earlier incarnation are lost with its memory, so the call may have run. */
+  if (strcmp (decision.incarnation, tickets->incarnation) != 0)
+    return reject (LB_ERROR_OUTCOME_UNKNOWN);
   HASH_FIND (hh, tickets->tickets, &number, sizeof number, ticket);
   if (!ticket)
-    return refuse (error_without_record (tickets, number));
-  if (ticket->caller != hash_of (caller))
-    return refuse (LB_ERROR_UNKNOWN_TICKET);
-  return use_ticket (tickets, ticket, content, request);
+    return reject (missing_ticket_error (tickets, number));
+  if (ticket->caller_hash != hash_caller (caller))
+    return reject (LB_ERROR_UNKNOWN_TICKET);
+  return decide (tickets, ticket, content_hash, request);
 }
 
-/* The oldest answers give way to a new one; their tickets stay spent. */
+/* Their tickets become TICKET_SPENT, so that the calls don't run again. */
 static void
-make_room (LcTickets *tickets, size_t length)
+evict_oldest_answers (LcTickets *tickets, size_t answer_length)
 {
   Ticket *ticket = NULL;
 
-  while (tickets->kept_size + length > tickets->limits.max_answer_bytes
-         && (ticket = LB_LIST_FIRST (&tickets->kept, Ticket, kept_link)))
+  while (tickets->answer_bytes + answer_length > tickets->limits.max_answer_bytes
+         && (ticket = LB_LIST_FIRST (&tickets->answered, Ticket, answered_link)))
     {
-      drop_answer (tickets, ticket);
+      free_answer (tickets, ticket);
       ticket->state = TICKET_SPENT;
     }
 }
 
 static void
-keep_answer (LcTickets *tickets, Ticket *ticket, int status, const char *answer, size_t length)
+store_answer (
+    LcTickets *tickets, Ticket *ticket, int status, const char *answer, size_t answer_length)
 {
-  make_room (tickets, length);
+  evict_oldest_answers (tickets, answer_length);
   ticket->state = TICKET_SPENT;
-  if (tickets->kept_size + length > tickets->limits.max_answer_bytes)
+  if (tickets->answer_bytes + answer_length > tickets->limits.max_answer_bytes)
     return;
   ticket->state = TICKET_ANSWERED;
   ticket->status = status;
-  ticket->answer = length ? lb_memdup (answer, length) : NULL;
-  ticket->length = length;
-  tickets->kept_size += length;
-  lb_list_append (&tickets->kept, &ticket->kept_link);
+  ticket->answer = answer_length ? lb_memdup (answer, answer_length) : NULL;
+  ticket->answer_length = answer_length;
+  tickets->answer_bytes += answer_length;
+  lb_list_append (&tickets->answered, &ticket->answered_link);
 }
 
-/* The call of this request has ended. A proof that it did not run makes the ticket valid again; an
- * answer is kept for the next call with the same ticket; anything else spends it. Requests that
- * carry no ticket are ignored. */
+/* Records the outcome of a request: an answer is stored for repeats of the call, proof that the
+ * call did not run makes the ticket unused again, and any other error spends it. Requests without a
+ * ticket are ignored. */
 void
 lc_tickets_finish (LcTickets *tickets,
                    LcRequestId request,
                    LbErrorCode error,
                    int status,
                    const char *answer,
-                   size_t length,
+                   size_t answer_length,
                    LbTime now)
 {
   Ticket *ticket = NULL;
 
-  HASH_FIND (by_request, tickets->running, &request, sizeof request, ticket);
+  HASH_FIND (hh_request, tickets->running, &request, sizeof request, ticket);
   if (!ticket)
     return;
-  HASH_DELETE (by_request, tickets->running, ticket);
+  HASH_DELETE (hh_request, tickets->running, ticket);
   if (error == LB_OK)
-    keep_answer (tickets, ticket, status, answer, length);
+    store_answer (tickets, ticket, status, answer, answer_length);
   else
     ticket->state = lb_error_is_not_run (error) ? TICKET_UNUSED : TICKET_SPENT;
-  let_expire (tickets, ticket, now);
+  schedule_expiry (tickets, ticket, now);
 }
 
-/* Forgets what has expired. Calls in progress never do. */
+/* Removes expired tickets. Tickets of running calls don't expire. */
 void
 lc_tickets_tick (LcTickets *tickets, LbTime now)
 {
   Ticket *ticket = NULL;
 
-  while ((ticket = LB_LIST_FIRST (&tickets->expiring, Ticket, link)) && ticket->expires <= now)
-    drop_ticket (tickets, ticket);
+  while ((ticket = LB_LIST_FIRST (&tickets->by_expiry, Ticket, expiry_link))
+         && ticket->expires_at <= now)
+    remove_ticket (tickets, ticket);
 }
 
-/* When the next ticket expires; LB_TIME_NEVER when none can. */
+/* When the next ticket expires; LB_TIME_NEVER if none will. */
 LbTime
 lc_tickets_next_tick (const LcTickets *tickets)
 {
-  const Ticket *ticket = LB_LIST_FIRST (&tickets->expiring, Ticket, link);
+  const Ticket *ticket = LB_LIST_FIRST (&tickets->by_expiry, Ticket, expiry_link);
 
-  return ticket ? ticket->expires : LB_TIME_NEVER;
+  return ticket ? ticket->expires_at : LB_TIME_NEVER;
 }
 
 size_t
@@ -345,5 +346,5 @@
 size_t
 lc_tickets_answer_bytes (const LcTickets *tickets)
 {
-  return tickets->kept_size;
+  return tickets->answer_bytes;
 }
--- a/packages/core/tests/test-cursor.c
+++ b/packages/core/tests/test-cursor.c
@@ -11,69 +11,70 @@
 
   lc_cursor_init (&cursor, 19);
   cursor.session = 0x1122334455667788;
-  cursor.chunk = 5;
-  lc_cursor_add (&cursor, 0);
-  lc_cursor_add (&cursor, 8);
-  lc_cursor_add (&cursor, 18);
+  cursor.chunk_number = 5;
+  lc_cursor_add_slot (&cursor, 0);
+  lc_cursor_add_slot (&cursor, 8);
+  lc_cursor_add_slot (&cursor, 18);
   return cursor;
 }
 
-Test (cursor, comes_back_as_it_went)
+Test (cursor, is_unchanged_after_encode_and_decode)
 {
   LcCursor cursor = sample_cursor ();
-  LcCursor back;
-  char *text = lc_cursor_to_text (&cursor, 99);
+  LcCursor decoded;
+  char *text = lc_cursor_encode (&cursor, 99);
 
   cr_assert_eq (strspn (text, "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_"),
                 strlen (text));
-  cr_assert (lc_cursor_from_text (&back, text, 19, 99, NULL));
-  cr_assert_eq (back.session, cursor.session);
-  cr_assert_eq (back.chunk, 5);
-  cr_assert_eq (lc_cursor_count (&back), 3);
-  cr_assert (lc_cursor_includes (&back, &cursor) && lc_cursor_includes (&cursor, &back));
-  lc_cursor_add (&back, 3);
-  cr_assert_not (lc_cursor_includes (&cursor, &back));
-  lc_cursor_clear (&back);
+  cr_assert (lc_cursor_decode (&decoded, text, 19, 99, NULL));
+  cr_assert_eq (decoded.session, cursor.session);
+  cr_assert_eq (decoded.chunk_number, 5);
+  cr_assert_eq (lc_cursor_count_slots (&decoded), 3);
+  cr_assert (lc_cursor_contains (&decoded, &cursor) && lc_cursor_contains (&cursor, &decoded));
+  lc_cursor_add_slot (&decoded, 3);
+  cr_assert_not (lc_cursor_contains (&cursor, &decoded));
+  lc_cursor_clear (&decoded);
   lc_cursor_clear (&cursor);
   free (text);
 }
 
-/* A trainer's bug sends the cursor of another step, or a proxy damages it. Taken at its word it
- * would acknowledge samples that the trainer never got: they would be lost. */
-Test (cursor, a_damaged_one_or_that_of_another_step_is_refused)
+/* A trainer sends the cursor of another step, or a proxy damages it. If it were accepted, it would
+ * acknowledge samples that the trainer never received, and they would be lost. */
+Test (cursor, damaged_or_of_another_step_is_rejected)
 {
   LcCursor cursor = sample_cursor ();
-  LcCursor back;
+  LcCursor decoded;
   LbError error;
-  char *text = lc_cursor_to_text (&cursor, 99);
+  char *text = lc_cursor_encode (&cursor, 99);
 
-  cr_assert_not (lc_cursor_from_text (&back, text, 19, 98, &error));
+  cr_assert_not (lc_cursor_decode (&decoded, text, 19, 98, &error));
   cr_assert_eq (error.code, LB_ERROR_BAD_CURSOR);
-  lc_cursor_clear (&back);
-  cr_assert_not (lc_cursor_from_text (&back, text, 20, 99, &error));
-  lc_cursor_clear (&back);
+  lc_cursor_clear (&decoded);
+  cr_assert_not (lc_cursor_decode (&decoded, text, 20, 99, &error));
+  lc_cursor_clear (&decoded);
   for (size_t i = 0; text[i]; i++)
     {
-      char kept = text[i];
-      text[i] = kept == 'A' ? 'B' : 'A';
-      cr_assert_not (lc_cursor_from_text (&back, text, 19, 99, &error), "letter %zu", i);
-      cr_assert_eq (lc_cursor_count (&back), 0);
-      lc_cursor_clear (&back);
-      text[i] = kept;
+      char original = text[i];
+      text[i] = original == 'A' ? 'B' : 'A';
+      cr_assert_not (lc_cursor_decode (&decoded, text, 19, 99, &error), "character %zu was changed",
+                     i);
+      cr_assert_eq (lc_cursor_count_slots (&decoded), 0);
+      lc_cursor_clear (&decoded);
+      text[i] = original;
     }
   text[strlen (text) - 1] = '\0';
-  cr_assert_not (lc_cursor_from_text (&back, text, 19, 99, &error));
-  lc_cursor_clear (&back);
+  cr_assert_not (lc_cursor_decode (&decoded, text, 19, 99, &error));
+  lc_cursor_clear (&decoded);
   lc_cursor_clear (&cursor);
   free (text);
 }
 
-Test (cursor, an_empty_text_is_the_beginning)
+Test (cursor, empty_text_decodes_to_empty_cursor)
 {
   LcCursor cursor;
 
-  cr_assert (lc_cursor_from_text (&cursor, "", 19, 99, NULL));
-  cr_assert_eq (lc_cursor_count (&cursor), 0);
+  cr_assert (lc_cursor_decode (&cursor, "", 19, 99, NULL));
+  cr_assert_eq (lc_cursor_count_slots (&cursor), 0);
   cr_assert_eq (cursor.session, 0);
   lc_cursor_clear (&cursor);
 }
