--- a/packages/core/tests/rollouts-fixture.h
+++ b/packages/core/tests/rollouts-fixture.h
@@ -11,29 +11,29 @@
 
 #define MAX_REQUESTS 512
 
-/* One owner under test with everything around it played by the test: requests that it started,
- * replies to pulls, and a ledger that works unless told otherwise. */
+/* A step owner under test. The fixture stands in for the dispatch, the trainer and the store: it
+ * records requests and replies, and stores ledger writes unless a fault is set. */
 typedef struct
 {
   LcRollouts *rollouts;
   LbTime now;
-  LcRequestSpec requests[MAX_REQUESTS]; /* running, in the order of their start; id 0: over */
+  LcRequestSpec requests[MAX_REQUESTS]; /* in the order of their start; id 0: ended */
   char *resume_texts[MAX_REQUESTS];
   size_t n_requests;
   size_t n_scores;
-  LcRequestId last_abandoned;
-  LcRequestId last_recalled;
-  size_t n_abandoned;
-  LbErrorCode ledger_error; /* what ledger writes come to */
-  bool ledger_silent;       /* writes get no answer */
-  char *ledger;             /* the row */
-  int n_writes;
-  uint64_t write;      /* the last write */
-  LcReadySample *left; /* samples that an earlier owner left */
-  size_t n_left;
-  /* the last reply */
+  LcRequestId last_cancelled;
+  LcRequestId last_preempted;
+  size_t n_cancelled;
+  LbErrorCode ledger_error;    /* result of ledger writes */
+  bool ledger_is_unresponsive; /* writes get no result */
+  char *ledger_row;
+  int n_ledger_writes;
+  uint64_t last_write_id;
+  LcReadySample *handed_over; /* samples of an earlier owner */
+  size_t n_handed_over;
+  /* totals of replies, then the last reply */
   size_t n_replies;
-  int64_t n_given; /* samples of all replies */
+  int64_t n_delivered; /* samples of all replies */
   LbErrorCode reply_error;
   char *cursor;
   int64_t remaining;
@@ -42,15 +42,15 @@
   LcLabel labels[MAX_REQUESTS];
 } Owner;
 
-static inline void owner_take (Owner *owner, LbList *actions);
+static inline void owner_run_actions (Owner *owner, LbList *actions);
 
 static inline void
-owner_take_reply (Owner *owner, const LcRolloutAction *action)
+owner_record_reply (Owner *owner, const LcRolloutAction *action)
 {
   owner->n_replies++;
   owner->reply_error = action->error.code;
   owner->n_samples = action->n_samples;
-  owner->n_given += (int64_t)action->n_samples;
+  owner->n_delivered += (int64_t)action->n_samples;
   owner->remaining = action->remaining;
   free (owner->cursor);
   owner->cursor = lb_strdup (action->cursor ? action->cursor : "");
@@ -64,37 +64,37 @@
 }
 
 static inline void
-owner_take_ledger (Owner *owner, const LcRolloutAction *action)
+owner_run_ledger_write (Owner *owner, const LcRolloutAction *action)
 {
   LbList more;
 
-  owner->write = action->write_id;
-  owner->n_writes++;
-  if (owner->ledger_silent)
+  owner->last_write_id = action->write_id;
+  owner->n_ledger_writes++;
+  if (owner->ledger_is_unresponsive)
     return;
   if (owner->ledger_error == LB_OK)
     {
-      free (owner->ledger);
-      owner->ledger = lb_strdup (action->row_value);
+      free (owner->ledger_row);
+      owner->ledger_row = lb_strdup (action->row_value);
     }
   lb_list_init (&more);
   lc_rollouts_finish_ledger_write (owner->rollouts, action->write_id, owner->ledger_error,
                                    owner->now, &more);
-  owner_take (owner, &more);
+  owner_run_actions (owner, &more);
 }
 
 static inline void
-owner_take_abandon (Owner *owner, LcRequestId request)
+owner_cancel_request (Owner *owner, LcRequestId request)
 {
-  owner->last_abandoned = request;
-  owner->n_abandoned++;
+  owner->last_cancelled = request;
+  owner->n_cancelled++;
   for (size_t i = 0; i < owner->n_requests; i++)
     if (owner->requests[i].id == request)
       owner->requests[i].id = 0;
 }
 
 static inline void
-owner_take (Owner *owner, LbList *actions)
+owner_run_actions (Owner *owner, LbList *actions)
 {
   LbLink *link;
 
@@ -109,24 +109,24 @@
           owner->n_scores += action->type == LC_ROLLOUT_SCORE;
         }
       else if (action->type == LC_ROLLOUT_CANCEL)
-        owner_take_abandon (owner, action->spec.id);
+        owner_cancel_request (owner, action->spec.id);
       else if (action->type == LC_ROLLOUT_PREEMPT)
-        owner->last_recalled = action->spec.id;
+        owner->last_preempted = action->spec.id;
       else if (action->type == LC_ROLLOUT_WRITE_LEDGER)
-        owner_take_ledger (owner, action);
+        owner_run_ledger_write (owner, action);
       else
-        owner_take_reply (owner, action);
+        owner_record_reply (owner, action);
       lc_rollout_action_free (action);
     }
 }
 
-#define OWNER_DO(owner, call)                                                                      \
+#define OWNER_CALL(owner, call)                                                                    \
   do                                                                                               \
     {                                                                                              \
       LbList actions;                                                                              \
       lb_list_init (&actions);                                                                     \
       call;                                                                                        \
-      owner_take ((owner), &actions);                                                              \
+      owner_run_actions ((owner), &actions);                                                       \
     }                                                                                              \
   while (0)
 
@@ -150,20 +150,20 @@
   LB_COPY (resource.name, "t");
   LB_COPY (resource.pool, "reader");
   LB_COPY (bound.subscription, "t");
-  OWNER_DO (owner, lc_rollouts_configure (owner->rollouts, &set, owner->now, &actions));
+  OWNER_CALL (owner, lc_rollouts_configure (owner->rollouts, &set, owner->now, &actions));
 }
 
 static inline Owner *
-owner_new_with (const LcRolloutSettings *chosen,
-                const LcSubscription *subscription,
-                int64_t max_lag)
+owner_new_with_settings (const LcRolloutSettings *chosen,
+                         const LcSubscription *subscription,
+                         int64_t max_lag)
 {
   Owner *owner = LB_NEW (Owner);
   LcRolloutSettings settings = *chosen;
 
   settings.seed = 7;
   owner->now = LB_SEC;
-  owner->ledger = lb_strdup ("");
+  owner->ledger_row = lb_strdup ("");
   owner->cursor = lb_strdup ("");
   owner->rollouts = lc_rollouts_new (&settings);
   owner_configure (owner, subscription, max_lag);
@@ -175,7 +175,7 @@
 {
   LcRolloutSettings settings = lc_rollout_settings_default ();
 
-  return owner_new_with (&settings, subscription, max_lag);
+  return owner_new_with_settings (&settings, subscription, max_lag);
 }
 
 static inline void
@@ -184,20 +184,20 @@
   lc_rollouts_free (owner->rollouts);
   for (size_t i = 0; i < owner->n_requests; i++)
     free (owner->resume_texts[i]);
-  free (owner->ledger);
+  free (owner->ledger_row);
   free (owner->cursor);
   free (owner);
 }
 
-/* Step 1 at version 40: groups g0, g1, ... */
+/* Opens step 1 at trainer version 40 with groups g0, g1, ... */
 static inline void
-owner_open (Owner *owner, size_t n_groups, int64_t samples, uint64_t session)
+owner_open_step (Owner *owner, size_t n_groups, int64_t samples, uint64_t session)
 {
   LcStepSpec spec = { .step = 1, .trainer_version = 40, .n_groups = n_groups };
   LcStepHandover recovery = { .session = session,
-                              .ledger_cursor = owner->ledger,
-                              .samples = owner->left,
-                              .n_samples = owner->n_left };
+                              .ledger_cursor = owner->ledger_row,
+                              .samples = owner->handed_over,
+                              .n_samples = owner->n_handed_over };
   LbError error;
   bool ok = false;
 
@@ -210,18 +210,19 @@
       spec.groups[i].samples = samples;
       spec.groups[i].max_tokens = 1000;
     }
-  OWNER_DO (owner, ok = lc_rollouts_take_over_step (owner->rollouts, &spec, &recovery, owner->now,
-                                                    &actions, &error));
+  OWNER_CALL (owner, ok = lc_rollouts_take_over_step (owner->rollouts, &spec, &recovery, owner->now,
+                                                      &actions, &error));
   cr_assert (ok, "%s: %s", error.where, error.detail);
 }
 
 static inline void
-owner_piece (Owner *owner, LcRequestId request, int64_t offset, int64_t tokens, LcVersion version)
+owner_add_piece (
+    Owner *owner, LcRequestId request, int64_t offset, int64_t tokens, LcVersion version)
 {
   LcPiece piece = { .offset = offset, .tokens = tokens, .version = version };
 
-  OWNER_DO (owner,
-            lc_rollouts_add_piece (owner->rollouts, request, &piece, "e1", owner->now, &actions));
+  OWNER_CALL (owner,
+              lc_rollouts_add_piece (owner->rollouts, request, &piece, "e1", owner->now, &actions));
 }
 
 static inline void
@@ -229,13 +230,13 @@
 {
   char *copy = text ? lb_strdup (text) : NULL;
 
-  owner_take_abandon (owner, request);
-  owner->n_abandoned--;
-  OWNER_DO (owner, lc_rollouts_finish_generation (owner->rollouts, request, error, copy, owner->now,
-                                                  &actions));
+  owner_cancel_request (owner, request);
+  owner->n_cancelled--;
+  OWNER_CALL (owner, lc_rollouts_finish_generation (owner->rollouts, request, error, copy,
+                                                    owner->now, &actions));
 }
 
-/* Whole answers for all requests that run now, made by one version; later starts stay running. */
+/* Finishes all generations that run now with tokens of one version; those started by this go on. */
 static inline void
 owner_finish_all (Owner *owner, LcVersion version)
 {
@@ -247,13 +248,13 @@
       if (spec->id == 0 || spec->kind != LC_KIND_SAMPLE)
         continue;
       LcRequestId id = spec->id;
-      owner_piece (owner, id, spec->resume_at, 10, version);
+      owner_add_piece (owner, id, spec->resume_at, 10, version);
       owner_finish (owner, id, LB_OK, "text");
     }
 }
 
 static inline void
-owner_pull_id (Owner *owner, uint64_t id, const char *cursor, LcVersion version, LbTime wait)
+owner_start_pull (Owner *owner, uint64_t id, const char *cursor, LcVersion version, LbTime wait)
 {
   char *copy = lb_strdup (cursor);
   LcPull pull = { .id = id,
@@ -264,29 +265,29 @@
                   .wait_until = owner->now + wait };
 
   LB_COPY (pull.subscription, "t");
-  OWNER_DO (owner, lc_rollouts_pull (owner->rollouts, &pull, owner->now, &actions));
+  OWNER_CALL (owner, lc_rollouts_pull (owner->rollouts, &pull, owner->now, &actions));
   free (copy);
 }
 
 static inline void
 owner_pull (Owner *owner, const char *cursor, LcVersion version)
 {
-  owner_pull_id (owner, 1, cursor, version, 0);
+  owner_start_pull (owner, 1, cursor, version, 0);
 }
 
-/* Goes on in time as a living process does, ticking on the way. */
+/* Advances time in steps of 100 ms with a tick at each, as a process without pauses does. */
 static inline void
-owner_wait (Owner *owner, LbTime time)
+owner_advance_time (Owner *owner, LbTime time)
 {
   for (LbTime until = owner->now + time; owner->now < until;)
     {
       owner->now += 100 * LB_MSEC;
-      OWNER_DO (owner, lc_rollouts_tick (owner->rollouts, owner->now, &actions));
+      OWNER_CALL (owner, lc_rollouts_tick (owner->rollouts, owner->now, &actions));
     }
 }
 
 static inline size_t
-owner_running (const Owner *owner)
+owner_count_running (const Owner *owner)
 {
   size_t running = 0;
 
--- a/packages/core/tests/test-label.c
+++ b/packages/core/tests/test-label.c
@@ -2,9 +2,9 @@
 
 #include <criterion/criterion.h>
 
-/* The user sees a sample whose first half was written by other weights than its label says. The
- * engine swapped weights in mid-stream; a label made of the version at the start would lie. */
-Test (label, a_swap_in_mid_sample_is_a_second_span)
+/* The engine swaps weights during a stream. A label with only the version at the start would be
+ * wrong for the tokens after the swap. */
+Test (label, weight_swap_during_sample_adds_a_span)
 {
   LcLabel label;
 
@@ -21,9 +21,9 @@
   cr_assert_eq (lc_label_staleness (&label, 39), 0);
 }
 
-/* A trainer learns from a token as if the stated weights had made it, but nobody knows which did:
- * the engine left the version out, or two streams were mixed. No later piece may heal that. */
-Test (label, what_is_missing_or_contradictory_stays_unlabelled)
+/* The engine left the version out, or two streams were mixed, so it is unknown which weights made a
+ * token. A later valid piece must not make the label complete again. */
+Test (label, missing_or_contradictory_version_is_unlabelled_for_good)
 {
   const struct
   {
@@ -43,9 +43,9 @@
     }
 }
 
-/* A sample counts as fresh although half of its attention came from old weights: the engine reused
- * KV cache that version 38 had made. Both versions count. */
-Test (label, reused_kv_cache_counts_as_its_version_too)
+/* The engine reused KV cache that version 38 had computed. Judged by the generating version alone,
+ * the sample would count as fresher than it is. */
+Test (label, version_of_reused_kv_cache_counts_for_staleness)
 {
   LcLabel label;
 
@@ -58,7 +58,7 @@
   cr_assert (lc_label_is_complete (&label, 10));
 }
 
-Test (label, more_spans_than_fit_are_not_cut)
+Test (label, more_spans_than_fit_are_unlabelled_not_truncated)
 {
   LcLabel label;
 
@@ -68,7 +68,7 @@
   cr_assert (label.unlabelled);
 }
 
-Test (label, an_empty_one_is_not_complete)
+Test (label, empty_label_is_not_complete)
 {
   LcLabel label;
 
--- a/packages/core/tests/test-rollouts-labels.c
+++ b/packages/core/tests/test-rollouts-labels.c
@@ -2,35 +2,35 @@
 
 static const LcSubscription plain = { .share = 1, .idle_weight = 0.5 };
 
-/* One sample of one group is running; its request is returned. */
+/* Opens a step with one sample and returns the request that generates it. */
 static LcRequestId
-one_running (Owner *owner)
+open_with_one_sample (Owner *owner)
 {
-  owner_open (owner, 1, 1, 1);
+  owner_open_step (owner, 1, 1, 1);
   cr_assert_eq (owner->n_requests, 1);
   return owner->requests[0].id;
 }
 
-/* A new generation of the slot is running under another request. */
+/* Expects a new generation of the slot and returns its request. */
 static LcRequestId
 expect_regenerated (Owner *owner, LcRequestId old)
 {
-  owner_wait (owner, 6 * LB_SEC);
-  LcRequestId again = owner->requests[owner->n_requests - 1].id;
-  cr_assert_neq (again, 0);
-  cr_assert_neq (again, old);
-  return again;
+  owner_advance_time (owner, 6 * LB_SEC);
+  LcRequestId next_request = owner->requests[owner->n_requests - 1].id;
+  cr_assert_neq (next_request, 0);
+  cr_assert_neq (next_request, old);
+  return next_request;
 }
 
-/* The trainer gets a sample of two weights labelled with one. The engine's weights changed while it
- * streamed; the version at dispatch or at the end is not the version of every token. */
-Test (rollouts_labels, a_swap_in_mid_sample_is_delivered_as_two_spans)
+/* The engine's weights change while it streams. Neither the version at dispatch nor the one at the
+ * end is the version of every token, so the label needs two spans. */
+Test (rollouts_labels, weight_swap_during_sample_is_delivered_as_two_spans)
 {
   Owner *owner = owner_new (&plain, 5);
-  LcRequestId request = one_running (owner);
+  LcRequestId request = open_with_one_sample (owner);
 
-  owner_piece (owner, request, 0, 10, 40);
-  owner_piece (owner, request, 10, 5, 41);
+  owner_add_piece (owner, request, 0, 10, 40);
+  owner_add_piece (owner, request, 10, 5, 41);
   owner_finish (owner, request, LB_OK, "text");
   owner_pull (owner, "", 41);
   cr_assert_eq (owner->n_samples, 1);
@@ -40,21 +40,21 @@
   owner_free (owner);
 }
 
-/* The trainer gets a sample whose label is a guess: after a failed swap the engine streams on
- * without stating a version. The sample must be made again instead. */
-Test (rollouts_labels, a_missing_version_is_regenerated)
+/* After a failed weight swap the engine streams on without stating a version. The label would be a
+ * guess, so the sample must be generated again. */
+Test (rollouts_labels, sample_with_missing_version_is_regenerated)
 {
   Owner *owner = owner_new (&plain, 5);
-  LcRequestId request = one_running (owner);
+  LcRequestId request = open_with_one_sample (owner);
 
-  owner_piece (owner, request, 0, 10, 40);
-  owner_piece (owner, request, 10, 5, 0);
-  cr_assert_eq (owner->last_abandoned, request);
+  owner_add_piece (owner, request, 0, 10, 40);
+  owner_add_piece (owner, request, 10, 5, 0);
+  cr_assert_eq (owner->last_cancelled, request);
   owner_finish (owner, request, LB_OK, "text");
   owner_pull (owner, "", 40);
   cr_assert_eq (owner->n_samples, 0);
   request = expect_regenerated (owner, request);
-  owner_piece (owner, request, 0, 12, 40);
+  owner_add_piece (owner, request, 0, 12, 40);
   owner_finish (owner, request, LB_OK, "again");
   owner_pull (owner, "", 40);
   cr_assert_str_eq (owner->samples[0], "g0/0 again");
@@ -64,15 +64,14 @@
   owner_free (owner);
 }
 
-/* The same with a stream that says two things of one token: it repeats itself under another
- * version, so the text holds tokens of both. */
-Test (rollouts_labels, a_contradictory_version_is_regenerated)
+/* A stream repeats its tokens under another version, so that the text holds tokens of both. */
+Test (rollouts_labels, sample_with_contradictory_versions_is_regenerated)
 {
   Owner *owner = owner_new (&plain, 5);
-  LcRequestId request = one_running (owner);
+  LcRequestId request = open_with_one_sample (owner);
 
-  owner_piece (owner, request, 0, 10, 40);
-  owner_piece (owner, request, 0, 10, 41);
+  owner_add_piece (owner, request, 0, 10, 40);
+  owner_add_piece (owner, request, 0, 10, 41);
   owner_finish (owner, request, LB_OK, "texttext");
   owner_pull (owner, "", 41);
   cr_assert_eq (owner->n_samples, 0);
@@ -81,11 +80,11 @@
   owner_free (owner);
 }
 
-/* An answer without any piece, or whole without a text, is nothing that a label could be of. */
-Test (rollouts_labels, an_answer_without_pieces_is_regenerated)
+/* An answer without any piece states no version for its text. */
+Test (rollouts_labels, answer_without_pieces_is_regenerated)
 {
   Owner *owner = owner_new (&plain, 5);
-  LcRequestId request = one_running (owner);
+  LcRequestId request = open_with_one_sample (owner);
 
   owner_finish (owner, request, LB_OK, "text");
   owner_pull (owner, "", 40);
@@ -96,20 +95,20 @@
   owner_free (owner);
 }
 
-/* The engine dies in mid-sample and the sample goes on at another one, with newer weights. The
- * trainer must see both versions, and the text joined without a gap. */
-Test (rollouts_labels, a_resume_elsewhere_adds_a_span)
+/* The engine dies during a sample, which resumes on another one with newer weights. The trainer
+ * must get both versions, and the text joined without a gap. */
+Test (rollouts_labels, resume_with_other_weights_adds_a_span)
 {
   Owner *owner = owner_new (&plain, 5);
-  LcRequestId request = one_running (owner);
+  LcRequestId request = open_with_one_sample (owner);
 
-  owner_piece (owner, request, 0, 10, 40);
+  owner_add_piece (owner, request, 0, 10, 40);
   owner_finish (owner, request, LB_ERROR_STREAM_BROKEN, "first ");
-  LcRequestId again = expect_regenerated (owner, request);
+  LcRequestId next_request = expect_regenerated (owner, request);
   cr_assert_eq (owner->requests[1].resume_at, 10);
   cr_assert_str_eq (owner->resume_texts[1], "first ");
-  owner_piece (owner, again, 10, 5, 41);
-  owner_finish (owner, again, LB_OK, "second");
+  owner_add_piece (owner, next_request, 10, 5, 41);
+  owner_finish (owner, next_request, LB_OK, "second");
   owner_pull (owner, "", 41);
   cr_assert_str_eq (owner->samples[0], "g0/0 first second");
   cr_assert_eq (owner->labels[0].n_spans, 2);
@@ -118,30 +117,30 @@
   owner_free (owner);
 }
 
-/* The resumed stream begins at another token than it was asked for: two generations spliced. */
-Test (rollouts_labels, a_resume_at_another_offset_is_regenerated)
+/* The resumed stream starts at another offset than requested, so two generations would be mixed. */
+Test (rollouts_labels, resume_at_wrong_offset_is_regenerated)
 {
   Owner *owner = owner_new (&plain, 5);
-  LcRequestId request = one_running (owner);
+  LcRequestId request = open_with_one_sample (owner);
 
-  owner_piece (owner, request, 0, 10, 40);
+  owner_add_piece (owner, request, 0, 10, 40);
   owner_finish (owner, request, LB_ERROR_STREAM_BROKEN, "first ");
-  LcRequestId again = expect_regenerated (owner, request);
-  owner_piece (owner, again, 9, 5, 41);
+  LcRequestId next_request = expect_regenerated (owner, request);
+  owner_add_piece (owner, next_request, 9, 5, 41);
   owner_pull (owner, "", 41);
   cr_assert_eq (owner->n_samples, 0);
-  expect_regenerated (owner, again);
+  expect_regenerated (owner, next_request);
   cr_assert_eq (owner->requests[owner->n_requests - 1].resume_at, 0);
   owner_free (owner);
 }
 
-/* A part that can not be gone on from, for whatever reason, must not be tried for ever. */
-Test (rollouts_labels, resuming_is_given_up_after_some_failures)
+/* A partial sample that can't be resumed, for whatever reason, must not be retried for ever. */
+Test (rollouts_labels, repeatedly_failing_resume_restarts_from_the_beginning)
 {
   Owner *owner = owner_new (&plain, 5);
-  LcRequestId request = one_running (owner);
+  LcRequestId request = open_with_one_sample (owner);
 
-  owner_piece (owner, request, 0, 10, 40);
+  owner_add_piece (owner, request, 0, 10, 40);
   for (int i = 0; i < 4; i++)
     {
       owner_finish (owner, request, LB_ERROR_ENDPOINT_FAILED, "first ");
--- a/packages/core/tests/test-rollouts.c
+++ b/packages/core/tests/test-rollouts.c
@@ -2,11 +2,11 @@
 
 static const LcSubscription plain = { .share = 1, .idle_weight = 0.5, .hedge_budget = 0.1 };
 
-Test (rollouts, a_step_from_open_to_done)
+Test (rollouts, step_is_delivered_and_acknowledged)
 {
   Owner *owner = owner_new (&plain, 2);
 
-  owner_open (owner, 2, 4, 1);
+  owner_open_step (owner, 2, 4, 1);
   cr_assert_eq (owner->n_requests, 8);
   owner_pull (owner, "", 40);
   cr_assert_eq (owner->n_samples, 0);
@@ -24,54 +24,55 @@
   owner_free (owner);
 }
 
-/* The table takes several hundred writes a second for everything. Many small chunks of one step
- * must not each cost one. */
-Test (rollouts, acknowledgements_are_gathered_into_few_writes)
+/* The store's table takes several hundred writes a second in total, so small chunks must not cost
+ * one write each. */
+Test (rollouts, acknowledgements_are_combined_into_few_writes)
 {
   Owner *owner = owner_new (&plain, 2);
 
-  owner_open (owner, 200, 1, 1);
+  owner_open_step (owner, 200, 1, 1);
   for (size_t i = 0; i < 200; i++)
     {
-      owner_piece (owner, owner->requests[i].id, 0, 10, 40);
+      owner_add_piece (owner, owner->requests[i].id, 0, 10, 40);
       owner_finish (owner, owner->requests[i].id, LB_OK, "text");
       owner_pull (owner, owner->cursor, 40);
       cr_assert_eq (owner->n_samples, 1);
-      owner_wait (owner, 100 * LB_MSEC);
+      owner_advance_time (owner, 100 * LB_MSEC);
     }
   owner_pull (owner, owner->cursor, 40);
-  cr_assert_leq (owner->n_writes, 11);
-  cr_assert_geq (owner->n_writes, 9);
+  cr_assert_leq (owner->n_ledger_writes, 11);
+  cr_assert_geq (owner->n_ledger_writes, 9);
   owner_free (owner);
 }
 
-/* The scorer fails and comes back: the sample waits for its score and is not made again. */
-Test (rollouts, scoring_is_retried)
+/* The scorer fails once. The sample waits for its score and is not generated again. */
+Test (rollouts, failed_scoring_is_retried)
 {
   LcSubscription scored = plain;
 
   LB_COPY (scored.scorer, "judge");
   Owner *owner = owner_new (&scored, 2);
-  owner_open (owner, 1, 1, 1);
+  owner_open_step (owner, 1, 1, 1);
   owner_finish_all (owner, 40);
   cr_assert_eq (owner->n_scores, 1);
   cr_assert_str_eq (owner->requests[1].pool, "judge");
   owner_pull (owner, "", 40);
   cr_assert_eq (owner->n_samples, 0);
-  OWNER_DO (owner, lc_rollouts_finish_scoring (owner->rollouts, owner->requests[1].id,
-                                               LB_ERROR_ENDPOINT_FAILED, 0, owner->now, &actions));
-  owner_wait (owner, LB_SEC);
+  OWNER_CALL (owner,
+              lc_rollouts_finish_scoring (owner->rollouts, owner->requests[1].id,
+                                          LB_ERROR_ENDPOINT_FAILED, 0, owner->now, &actions));
+  owner_advance_time (owner, LB_SEC);
   cr_assert_eq (owner->n_scores, 2);
-  OWNER_DO (owner, lc_rollouts_finish_scoring (owner->rollouts, owner->requests[2].id, LB_OK, 0.5,
-                                               owner->now, &actions));
+  OWNER_CALL (owner, lc_rollouts_finish_scoring (owner->rollouts, owner->requests[2].id, LB_OK, 0.5,
+                                                 owner->now, &actions));
   owner_pull (owner, "", 40);
   cr_assert_eq (owner->n_samples, 1);
   cr_assert_eq (owner->n_requests, 3);
   owner_free (owner);
 }
 
-/* Two trainers with one pool: the burst of the first leaves the second its share. */
-Test (rollouts, a_second_trainer_gets_its_share)
+/* Two trainers use one pool. A burst of the first one must leave the second its share. */
+Test (rollouts, second_trainer_gets_its_share)
 {
   Owner *owner = owner_new (&plain, 2);
   LcSubscription both[2] = { plain, plain };
@@ -91,15 +92,15 @@
   LB_COPY (both[1].name, "u");
   LB_COPY (both[0].pool, "reader");
   LB_COPY (both[1].pool, "reader");
-  OWNER_DO (owner, lc_rollouts_configure (owner->rollouts, &set, owner->now, &actions));
-  owner_open (owner, 100, 1, 1);
-  cr_assert_eq (owner_running (owner), 22);
+  OWNER_CALL (owner, lc_rollouts_configure (owner->rollouts, &set, owner->now, &actions));
+  owner_open_step (owner, 100, 1, 1);
+  cr_assert_eq (owner_count_running (owner), 22);
   group.prompt = lb_strdup ("p");
   spec.groups = lb_memdup (&group, sizeof group);
-  OWNER_DO (owner, lc_rollouts_open_step (owner->rollouts, &spec, 1, owner->now, &actions, NULL));
+  OWNER_CALL (owner, lc_rollouts_open_step (owner->rollouts, &spec, 1, owner->now, &actions, NULL));
   for (size_t i = 0; i < 22; i++)
     {
-      owner_piece (owner, owner->requests[i].id, 0, 10, 40);
+      owner_add_piece (owner, owner->requests[i].id, 0, 10, 40);
       owner_finish (owner, owner->requests[i].id, LB_OK, "text");
     }
   for (size_t i = 22; i < owner->n_requests; i++)
@@ -109,29 +110,29 @@
   owner_free (owner);
 }
 
-/* A shutdown never ends: samples that no engine takes were waited for. They are left to the next
- * owner; those that have begun are finished. */
-Test (rollouts, a_drain_waits_only_for_what_has_begun)
+/* A drain that waited for generations without an engine would never end. They are cancelled and
+ * left to the next owner; those with a first piece are finished. */
+Test (rollouts, drain_waits_only_for_started_generations)
 {
   Owner *owner = owner_new (&plain, 2);
 
-  owner_open (owner, 2, 1, 1);
-  owner_piece (owner, owner->requests[0].id, 0, 10, 40);
-  OWNER_DO (owner, lc_rollouts_drain (owner->rollouts, owner->now, &actions));
-  cr_assert_eq (owner_running (owner), 1);
+  owner_open_step (owner, 2, 1, 1);
+  owner_add_piece (owner, owner->requests[0].id, 0, 10, 40);
+  OWNER_CALL (owner, lc_rollouts_drain (owner->rollouts, owner->now, &actions));
+  cr_assert_eq (owner_count_running (owner), 1);
   cr_assert_eq (lc_rollouts_count_in_progress (owner->rollouts), 1);
   owner_free (owner);
 }
 
-/* A step never begins: the bound allows the weights that serve, but staleness weighs so much that
- * newer ones were asked for than any engine is known to have. */
-Test (rollouts, unknown_versions_are_not_asked_for)
+/* idle_weight 0 asks for the newest weights. While the engines' versions are unknown, requiring
+ * more than the bound could leave the step without any engine. */
+Test (rollouts, min_version_with_unknown_versions_is_the_bound)
 {
   LcSubscription fresh = plain;
 
   fresh.idle_weight = 0;
   Owner *owner = owner_new (&fresh, 2);
-  owner_open (owner, 1, 1, 1);
+  owner_open_step (owner, 1, 1, 1);
   cr_assert_eq (owner->requests[0].min_version, 38);
   owner_free (owner);
 }
