--- a/packages/core/src/rollout/lc-cursor.c
+++ b/packages/core/src/rollout/lc-cursor.c
@@ -97,7 +97,7 @@
 base64url_encode (const uint8_t *bytes, size_t length)
 {
   char *text = lb_malloc ((length + 2) / 3 * 4 + 1);
-  size_t n_used = 0;
+  size_t n_written = 0;
   uint32_t bits = 0;
   int n_bits = 0;
 
@@ -105,11 +105,11 @@
     {
       bits = bits << 8 | bytes[i];
       for (n_bits += 8; n_bits >= 6; n_bits -= 6)
-        text[n_used++] = base64url_alphabet[bits >> (n_bits - 6) & 63];
+        text[n_written++] = base64url_alphabet[bits >> (n_bits - 6) & 63];
     }
   if (n_bits > 0)
-    text[n_used++] = base64url_alphabet[bits << (6 - n_bits) & 63];
-  text[n_used] = '\0';
+    text[n_written++] = base64url_alphabet[bits << (6 - n_bits) & 63];
+  text[n_written] = '\0';
   return text;
 }
 
@@ -119,7 +119,7 @@
 {
   uint32_t bits = 0;
   int n_bits = 0;
-  size_t n_used = 0;
+  size_t n_written = 0;
 
   if (strlen (text) != (length * 8 + 5) / 6)
     return false;
@@ -133,9 +133,9 @@
       if (n_bits < 8)
         continue;
       n_bits -= 8;
-      bytes[n_used++] = (uint8_t)(bits >> n_bits);
+      bytes[n_written++] = (uint8_t)(bits >> n_bits);
     }
-  return n_used == length;
+  return n_written == length;
 }
 
 char *
--- a/packages/core/src/rollout/lc-generate.c
+++ b/packages/core/src/rollout/lc-generate.c
@@ -279,7 +279,7 @@
 /* The trainer with the fewest running generations relative to its share goes next, independently of
  * how many samples wait, so that a burst of one trainer can't starve another. */
 static bool
-has_lower_usage (const LcRollouts *rollouts, const LcTrainer *a, const LcTrainer *b)
+has_fewer_running_per_share (const LcRollouts *rollouts, const LcTrainer *a, const LcTrainer *b)
 {
   if (!rollouts->settings.fair_shares)
     return false;
@@ -302,7 +302,7 @@
     if (step->n_in_state[LC_SLOT_WAITING] == 0
         || strcmp (trainer->subscription.pool, pool->name) != 0)
       continue;
-    if (chosen && !has_lower_usage (rollouts, trainer, chosen_trainer))
+    if (chosen && !has_fewer_running_per_share (rollouts, trainer, chosen_trainer))
       continue;
     LcSlot *slot = pick_slot (rollouts, step, now);
     if (!slot)
--- a/packages/core/src/rollout/lc-rollouts.c
+++ b/packages/core/src/rollout/lc-rollouts.c
@@ -610,9 +610,9 @@
     lc_deliver_write_ledger (rollouts, step, now, actions);
   }
   lc_generate_start_requests (rollouts, now, actions);
-  LB_LIST_FOREACH (&rollouts->steps, LcStep, link, open)
+  LB_LIST_FOREACH (&rollouts->steps, LcStep, link, open_step)
   {
-    lc_review_step (rollouts, open, now, actions);
+    lc_review_step (rollouts, open_step, now, actions);
   }
 }
 
--- a/packages/core/src/rollout/lc-step.h
+++ b/packages/core/src/rollout/lc-step.h
@@ -42,7 +42,7 @@
   LbName endpoint;         /* of the latest piece */
 } LcJob;
 
-/* The place of one sample: (subscription, step, group, index). */
+/* State of one sample, which is identified by (subscription, step, group, index). */
 typedef struct
 {
   size_t group_index;
--- a/packages/core/src/rollout/lc-ticket.c
+++ b/packages/core/src/rollout/lc-ticket.c
@@ -187,8 +187,8 @@
   return true;
 }
 
-/* A ticket that was never issued can't have run its call. One that was issued and is gone has
- * expired; reporting it as "not run" could make the caller run its call a second time. */
+/* A ticket that was never issued can't have run its call. One that was issued and is not found
+ * has expired; reporting it as "not run" could make the caller run its call a second time. */
 static LbErrorCode
 missing_ticket_error (const LcTickets *tickets, uint64_t number)
 {
@@ -210,7 +210,7 @@
 }
 
 static LcTicketDecision
-decide (LcTickets *tickets, Ticket *ticket, uint64_t content_hash, LcRequestId request)
+redeem_known_ticket (LcTickets *tickets, Ticket *ticket, uint64_t content_hash, LcRequestId request)
 {
   if (ticket->state != TICKET_UNUSED && ticket->content_hash != content_hash)
     return reject (LB_ERROR_CONFLICT);
@@ -259,7 +259,7 @@
     return reject (missing_ticket_error (tickets, number));
   if (ticket->caller_hash != hash_caller (caller))
     return reject (LB_ERROR_UNKNOWN_TICKET);
-  return decide (tickets, ticket, content_hash, request);
+  return redeem_known_ticket (tickets, ticket, content_hash, request);
 }
 
 /* Their tickets become TICKET_SPENT, so that the calls don't run again. */
--- a/packages/core/tests/rollouts-fixture.h
+++ b/packages/core/tests/rollouts-fixture.h
@@ -66,7 +66,7 @@
 static inline void
 owner_run_ledger_write (Owner *owner, const LcRolloutAction *action)
 {
-  LbList more;
+  LbList next_actions;
 
   owner->last_write_id = action->write_id;
   owner->n_ledger_writes++;
@@ -77,10 +77,10 @@
       free (owner->ledger_row);
       owner->ledger_row = lb_strdup (action->row_value);
     }
-  lb_list_init (&more);
+  lb_list_init (&next_actions);
   lc_rollouts_finish_ledger_write (owner->rollouts, action->write_id, owner->ledger_error,
-                                   owner->now, &more);
-  owner_run_actions (owner, &more);
+                                   owner->now, &next_actions);
+  owner_run_actions (owner, &next_actions);
 }
 
 static inline void
@@ -137,29 +137,29 @@
   LcVersionBound bound = { .name = "fresh", .max_lag = max_lag };
   LcEndpointMember engines[2] = { { .name = "e1", .pool = "reader", .concurrency = 200 },
                                   { .name = "e2", .pool = "reader", .concurrency = 200 } };
-  LcSubscription resource = *subscription;
+  LcSubscription own_subscription = *subscription;
   LcResourceSet set = { .pools = &pool,
                         .n_pools = 1,
-                        .subscriptions = &resource,
+                        .subscriptions = &own_subscription,
                         .n_subscriptions = 1,
                         .bounds = &bound,
                         .n_bounds = 1,
                         .endpoints = engines,
                         .n_endpoints = 2 };
 
-  LB_COPY (resource.name, "t");
-  LB_COPY (resource.pool, "reader");
+  LB_COPY (own_subscription.name, "t");
+  LB_COPY (own_subscription.pool, "reader");
   LB_COPY (bound.subscription, "t");
   OWNER_CALL (owner, lc_rollouts_configure (owner->rollouts, &set, owner->now, &actions));
 }
 
 static inline Owner *
-owner_new_with_settings (const LcRolloutSettings *chosen,
+owner_new_with_settings (const LcRolloutSettings *base_settings,
                          const LcSubscription *subscription,
                          int64_t max_lag)
 {
   Owner *owner = LB_NEW (Owner);
-  LcRolloutSettings settings = *chosen;
+  LcRolloutSettings settings = *base_settings;
 
   settings.seed = 7;
   owner->now = LB_SEC;
@@ -194,7 +194,7 @@
 owner_open_step (Owner *owner, size_t n_groups, int64_t samples, uint64_t session)
 {
   LcStepSpec spec = { .step = 1, .trainer_version = 40, .n_groups = n_groups };
-  LcStepHandover recovery = { .session = session,
+  LcStepHandover handover = { .session = session,
                               .ledger_cursor = owner->ledger_row,
                               .samples = owner->handed_over,
                               .n_samples = owner->n_handed_over };
@@ -210,7 +210,7 @@
       spec.groups[i].samples = samples;
       spec.groups[i].max_tokens = 1000;
     }
-  OWNER_CALL (owner, ok = lc_rollouts_take_over_step (owner->rollouts, &spec, &recovery, owner->now,
+  OWNER_CALL (owner, ok = lc_rollouts_take_over_step (owner->rollouts, &spec, &handover, owner->now,
                                                       &actions, &error));
   cr_assert (ok, "%s: %s", error.where, error.detail);
 }
@@ -254,7 +254,8 @@
 }
 
 static inline void
-owner_start_pull (Owner *owner, uint64_t id, const char *cursor, LcVersion version, LbTime wait)
+owner_start_pull (
+    Owner *owner, uint64_t id, const char *cursor, LcVersion version, LbTime wait_time)
 {
   char *copy = lb_strdup (cursor);
   LcPull pull = { .id = id,
@@ -262,7 +263,7 @@
                   .cursor = copy,
                   .trainer_version = version,
                   .max_samples = 64,
-                  .wait_until = owner->now + wait };
+                  .wait_until = owner->now + wait_time };
 
   LB_COPY (pull.subscription, "t");
   OWNER_CALL (owner, lc_rollouts_pull (owner->rollouts, &pull, owner->now, &actions));
@@ -277,9 +278,9 @@
 
 /* Advances time in steps of 100 ms with a tick at each, as a process without pauses does. */
 static inline void
-owner_advance_time (Owner *owner, LbTime time)
+owner_advance_time (Owner *owner, LbTime duration)
 {
-  for (LbTime until = owner->now + time; owner->now < until;)
+  for (LbTime until = owner->now + duration; owner->now < until;)
     {
       owner->now += 100 * LB_MSEC;
       OWNER_CALL (owner, lc_rollouts_tick (owner->rollouts, owner->now, &actions));
@@ -289,11 +290,11 @@
 static inline size_t
 owner_count_running (const Owner *owner)
 {
-  size_t running = 0;
+  size_t n_running = 0;
 
   for (size_t i = 0; i < owner->n_requests; i++)
-    running += owner->requests[i].id != 0;
-  return running;
+    n_running += owner->requests[i].id != 0;
+  return n_running;
 }
 
 static inline LcStepStatus
--- a/packages/core/tests/test-ticket.c
+++ b/packages/core/tests/test-ticket.c
@@ -105,7 +105,7 @@
   lc_tickets_free (tickets);
 }
 
-/* A slow caller repeats its call after the ticket has expired and its record is gone.
+/* A slow caller repeats its call after the ticket has expired and was removed.
  * LB_ERROR_UNKNOWN_TICKET would count as "not run", and the caller would run the call again with a
  * new ticket. */
 Test (ticket, expired_ticket_is_outcome_unknown)
