--- a/packages/core/include/lc-admission.h
+++ b/packages/core/include/lc-admission.h
@@ -3,42 +3,43 @@
 
 #include "lc-organisations.h"
 
-/* Whose call it is, decided before anything else of it is looked at. No I/O. */
+/* Decides, from its API key alone and before anything else in it is read, whether a call is
+ * admitted and for which organisation. No I/O. */
 
-/* Whether a key that is still held may be taken for one when this instance can't ask any more. */
+/* Whether a known key is still accepted while this instance can't confirm its configuration. */
 typedef struct
 {
-  bool refuse_unconfirmed; /* then not, once the configuration was not confirmed for: */
+  bool refuse_unconfirmed; /* refuse even a known key once the configuration is unconfirmed for: */
   LbTime max_unconfirmed_age;
 } LcAdmissionRules;
 
-/* What a call brings. */
+/* Credentials of one call. */
 typedef struct
 {
   const char *key; /* NULL: none */
-  size_t n_keys;   /* that it brings */
-  bool is_public;  /* its route is open to all */
+  size_t n_keys;   /* keys in the call */
+  bool is_public;  /* the route requires no key */
 } LcAdmissionCall;
 
-/* What this instance believes. */
+/* The organisations as this instance knows them. */
 typedef struct
 {
-  const LcOrganisations *organisations; /* NULL: none are declared, and no call needs a key */
-  LbTime confirmed_at;                  /* when they were last known to be the newest */
+  const LcOrganisations *organisations; /* NULL: none are configured, and no call needs a key */
+  LbTime confirmed_at;                  /* when they were last confirmed to be the newest */
 } LcAdmissionView;
 
 typedef struct
 {
-  LbErrorCode error;           /* LB_OK: it is admitted */
-  const char *reason;          /* for the log and the caller; NULL when it is admitted */
-  LbTime retry_after;          /* 0: there is no use in coming back */
-  LcOrganisation organisation; /* whose call it is; without a name: nobody's in particular */
+  LbErrorCode error;           /* LB_OK: admitted */
+  const char *reason;          /* for the log and the caller; NULL if admitted */
+  LbTime retry_after;          /* 0: retrying is useless */
+  LcOrganisation organisation; /* the key's holder; an empty name: none */
   bool has_digest;
   LcKeyDigest digest; /* of the key */
 } LcAdmission;
 
 void lc_admission_decide (const LcAdmissionRules *rules,
-                          const LcAdmissionView *belief,
+                          const LcAdmissionView *view,
                           const LcAdmissionCall *call,
                           LbTime now,
                           LcAdmission *admission);
--- a/packages/core/include/lc-outgoing.h
+++ b/packages/core/include/lc-outgoing.h
@@ -3,20 +3,20 @@
 
 #include "lc-types.h"
 
-/* A header of an HTTP message; both texts owned. */
+/* A header of an HTTP message; both strings are owned. */
 typedef struct
 {
   char *name;
   char *value;
 } LcHeader;
 
-/* A request that is passed on as its caller wrote it; all texts owned. */
+/* A request that is forwarded as its caller sent it; all strings are owned. */
 typedef struct
 {
-  LbName id; /* of this request, chosen by its caller */
+  LbName id; /* of the request, chosen by its caller */
   char *method;
   char *host;
-  char *path; /* with the query */
+  char *path; /* including the query */
   LcHeader *headers;
   size_t n_headers;
   char *body;
--- a/packages/core/include/lc-router.h
+++ b/packages/core/include/lc-router.h
@@ -5,39 +5,39 @@
 
 #define LC_MAX_AVOIDED_ENDPOINTS 8
 
-/* What a policy needs to know of a request to place it. */
+/* What a policy needs to know about a request to place it. */
 typedef struct
 {
   LcRequestKind kind;
-  const char *pool;              /* pool, or service name */
+  const char *pool;              /* pool or service name */
   const char *data_centre;       /* of this instance */
   const uint64_t *prefix_hashes; /* of the prompt's blocks, longest last */
   size_t n_prefix_hashes;
   int64_t prompt_tokens;
   int64_t expected_tokens;
-  LbTime soft_deadline;  /* when the answer is wanted whole; 0: no such time */
-  LbTime submitted;      /* since when it waits */
-  LcVersion min_version; /* weights older than this are of no use; 0: any */
-  LbTime reported_since; /* endpoints whose last report is older take nothing; 0: any do */
+  LbTime soft_deadline;  /* desired completion time of the whole answer; 0: none */
+  LbTime submitted;      /* start of its wait */
+  LcVersion min_version; /* oldest acceptable weights; 0: any */
+  LbTime reported_since; /* excludes endpoints whose last report is older; 0: none */
   double live_reserve;
-  LbName avoid[LC_MAX_AVOIDED_ENDPOINTS]; /* tried before */
+  LbName avoid[LC_MAX_AVOIDED_ENDPOINTS]; /* endpoints to exclude */
   size_t n_avoid;
 } LcRouteQuery;
 
 typedef struct
 {
   LcEndpoint *endpoint;
-  double score; /* smaller is better; seconds for the product's own policy */
+  double score; /* lower is better; expected seconds for the default policy */
 } LcCandidate;
 
 #define LC_MAX_SHOWN_CANDIDATES 8
 
-/* The decision as a value: whom, among which, why. Goes to the log as it is. */
+/* A routing decision: the endpoint, the candidates and the reason. Logged as it is. */
 typedef struct
 {
-  LcEndpoint *endpoint; /* NULL: nobody may take it now */
+  LcEndpoint *endpoint; /* NULL: no endpoint can take the request now */
   const char *reason;   /* a constant such as "least-finish-time", "no-capacity", "all-leaving" */
-  LcCandidate shown[LC_MAX_SHOWN_CANDIDATES]; /* the best few */
+  LcCandidate shown[LC_MAX_SHOWN_CANDIDATES]; /* those with the best scores */
   size_t n_shown;
   size_t n_candidates;
 } LcRouteDecision;
@@ -60,12 +60,12 @@
   const LcRouterClass *klass;
 };
 
-/* NULL when no policy of this name exists. */
+/* Returns NULL if no policy has this name. */
 LcRouter *lc_router_new (const char *policy, uint64_t seed);
 void lc_router_free (LcRouter *router);
 LcRouteDecision
 lc_router_choose (LcRouter *router, LcEndpoints *endpoints, const LcRouteQuery *query, LbTime now);
-/* Names of all policies, ended by NULL. */
+/* Names of all policies, terminated by NULL. */
 const char *const *lc_router_policy_names (void);
 
 #endif
--- a/packages/core/src/dispatch/lc-candidates.c
+++ b/packages/core/src/dispatch/lc-candidates.c
@@ -6,32 +6,33 @@
 #include <math.h>
 #include <string.h>
 
-/* An engine counts as slow from this multiple of the pace of the fastest on. */
-#define SLOW 1.5
-/* Of a text for an engine at full pace. An engine of eight places with texts of a second has room
- * each 0.13 s on average; what is not placed by then stands behind texts as long as itself. */
-#define MAX_WAIT_SECONDS 2.5
+/* An engine counts as slow if it needs this multiple of the fastest engine's time per token. */
+#define SLOW_FACTOR 1.5
+/* Longest wait of a sample for an engine at full speed. An engine with 8 slots and samples of 1 s
+ * frees a slot every 0.13 s on average; a sample not placed by then queues behind others as long as
+ * itself. */
+#define MAX_SPEED_WAIT_SECONDS 2.5
 
 typedef struct
 {
-  size_t known;
+  size_t total;
   size_t leaving;
-  size_t too_old;
-  size_t unseen;
+  size_t old_weights;
+  size_t outdated_reports;
   size_t avoided;
   size_t too_slow;
-  size_t hopeful; /* that may take it now or when they have room */
-} Refusals;
+  size_t eligible; /* could take the request, now or once they have capacity */
+} FilterCounts;
 
-/* What all endpoints of one decision are weighed by. */
+/* Inputs that are the same for all endpoints of one decision. */
 typedef struct
 {
   const LcRouteQuery *query;
-  double fastest; /* seconds of a token at the fastest engine of late; 0: not known */
-  bool choosy;    /* passes over what was tried and what is too slow */
+  double fastest_token_seconds; /* seconds per token of the currently fastest engine; 0: unknown */
+  bool strict;                  /* also excludes avoided endpoints and slow engines */
   LbTime reports_valid_since;
   LbTime now;
-} Scales;
+} DecisionInputs;
 
 void
 lc_candidates_clear (LcCandidates *candidates)
@@ -42,7 +43,7 @@
 }
 
 static void
-reserve (LcCandidates *candidates, size_t n)
+ensure_capacity (LcCandidates *candidates, size_t n)
 {
   if (candidates->capacity >= n)
     return;
@@ -52,7 +53,7 @@
 }
 
 static void
-add (LcCandidates *candidates, const LcEndpointSummary *summary)
+append_candidate (LcCandidates *candidates, const LcEndpointSummary *summary)
 {
   candidates->items[candidates->n_items] = (LcCandidate){ .endpoint = summary->endpoint };
   candidates->summaries[candidates->n_items++] = summary;
@@ -67,82 +68,84 @@
   return false;
 }
 
-/* Guards against a long text that goes to an engine that has turned slow, since that one alone has
- * room: it is late there for certain, was moved at once, to another slow one, and so on, while an
- * engine at full pace got room some tenths of a second later. It waits for one as long as it would
- * lose more at the slow one. With two of a model's three engines four times slower, steps took 10.5
- * s in place of 8. */
+/* Keeps a long sample away from a slow engine that is the only one with capacity. It would
+ * certainly miss its soft deadline there, and was moved on to another slow engine, and so on,
+ * although an engine at full speed had capacity a few tenths of a second later. The sample waits
+ * for such an engine at most as long as the slow one would cost it. With two of a model's three
+ * engines four times slower, steps took 10.5 s instead of 8 s. */
 static bool
-is_too_slow (const Scales *scales, const LcEndpointSummary *summary)
+is_too_slow (const DecisionInputs *inputs, const LcEndpointSummary *summary)
 {
-  const LcRouteQuery *query = scales->query;
-  double pace = (double)summary->single_stream_token_seconds;
+  const LcRouteQuery *query = inputs->query;
+  double token_seconds = (double)summary->single_stream_token_seconds;
   double tokens = (double)query->expected_tokens;
-  double waited = (double)(scales->now - query->submitted) / LB_SEC;
-  double left = (double)(query->soft_deadline - scales->now) / LB_SEC;
+  double waited = (double)(inputs->now - query->submitted) / LB_SEC;
+  double time_left = (double)(query->soft_deadline - inputs->now) / LB_SEC;
 
-  if (!lb_switch_is_on (LB_SWITCH_FULL_PACE) || query->soft_deadline == 0 || scales->fastest <= 0
-      || pace < SLOW * scales->fastest)
+  if (!lb_switch_is_on (LB_SWITCH_FULL_PACE) || query->soft_deadline == 0
+      || inputs->fastest_token_seconds <= 0
+      || token_seconds < SLOW_FACTOR * inputs->fastest_token_seconds)
     return false;
-  return tokens * pace > left
-         && waited < fmin (MAX_WAIT_SECONDS, tokens * (pace - scales->fastest));
+  return tokens * token_seconds > time_left
+         && waited < fmin (MAX_SPEED_WAIT_SECONDS,
+                           tokens * (token_seconds - inputs->fastest_token_seconds));
 }
 
 static void
-weigh (LcCandidates *candidates,
-       const LcEndpointSummary *summary,
-       const Scales *scales,
-       Refusals *refusals)
+classify (LcCandidates *candidates,
+          const LcEndpointSummary *summary,
+          const DecisionInputs *inputs,
+          FilterCounts *counts)
 {
-  const LcRouteQuery *query = scales->query;
+  const LcRouteQuery *query = inputs->query;
 
-  refusals->known++;
+  counts->total++;
   if (summary->is_excluded)
-    refusals->leaving++;
+    counts->leaving++;
   else if (summary->version < query->min_version)
-    refusals->too_old++;
+    counts->old_weights++;
   else if (query->reported_since > 0 && summary->reported_at < query->reported_since)
-    refusals->unseen++;
-  else if (scales->choosy && query->n_avoid > 0 && is_avoided (query, summary->endpoint))
-    refusals->avoided++;
-  else if (scales->choosy && is_too_slow (scales, summary))
-    refusals->too_slow++;
+    counts->outdated_reports++;
+  else if (inputs->strict && query->n_avoid > 0 && is_avoided (query, summary->endpoint))
+    counts->avoided++;
+  else if (inputs->strict && is_too_slow (inputs, summary))
+    counts->too_slow++;
   else
     {
-      refusals->hopeful++;
+      counts->eligible++;
       if (lc_endpoint_summary_can_accept (summary, query->kind, query->live_reserve,
-                                          scales->reports_valid_since, scales->now))
-        add (candidates, summary);
+                                          inputs->reports_valid_since, inputs->now))
+        append_candidate (candidates, summary);
     }
 }
 
 static const char *
-reason_for_none (const Refusals *refusals)
+reason_without_candidates (const FilterCounts *counts)
 {
-  if (refusals->known == 0)
+  if (counts->total == 0)
     return "no-endpoint";
-  if (refusals->leaving == refusals->known)
+  if (counts->leaving == counts->total)
     return "all-leaving";
-  if (refusals->leaving + refusals->too_old == refusals->known)
+  if (counts->leaving + counts->old_weights == counts->total)
     return "too-old";
-  if (refusals->leaving + refusals->too_old + refusals->unseen == refusals->known)
+  if (counts->leaving + counts->old_weights + counts->outdated_reports == counts->total)
     return "view-too-old";
-  if (refusals->leaving + refusals->too_old + refusals->unseen + refusals->avoided
-      == refusals->known)
+  if (counts->leaving + counts->old_weights + counts->outdated_reports + counts->avoided
+      == counts->total)
     return "all-avoided";
   return "no-capacity";
 }
 
 static void
-weigh_all (LcCandidates *candidates,
-           const LcEndpoints *endpoints,
-           const LcEndpointGroup *group,
-           const Scales *scales,
-           Refusals *refusals)
+classify_all (LcCandidates *candidates,
+              const LcEndpoints *endpoints,
+              const LcEndpointGroup *group,
+              const DecisionInputs *inputs,
+              FilterCounts *counts)
 {
   candidates->n_items = 0;
   for (size_t i = 0; group && i < group->n_slots; i++)
-    weigh (candidates, &endpoints->summaries[group->slots[i]], scales, refusals);
+    classify (candidates, &endpoints->summaries[group->slots[i]], inputs, counts);
 }
 
 void
@@ -153,40 +156,40 @@
 {
   LcEndpointKind kind = query->kind == LC_KIND_SERVICE ? LC_ENDPOINT_SERVICE : LC_ENDPOINT_ENGINE;
   const LcEndpointGroup *group = lc_endpoints_find_group (endpoints, kind, query->pool);
-  Scales scales = { .query = query,
-                    .fastest = group ? group->fastest_token_seconds : 0,
-                    .choosy = true,
-                    .reports_valid_since = lc_endpoints_reports_valid_since (endpoints, now),
-                    .now = now };
-  Refusals refusals = { 0 };
-
-  reserve (candidates, group ? group->n_slots : 0);
-  weigh_all (candidates, endpoints, group, &scales, &refusals);
-  candidates->reason = candidates->n_items > 0 ? NULL : reason_for_none (&refusals);
-  if (query->kind != LC_KIND_SAMPLE || refusals.hopeful > 0
-      || refusals.avoided + refusals.too_slow == 0)
+  DecisionInputs inputs
+      = { .query = query,
+          .fastest_token_seconds = group ? group->fastest_token_seconds : 0,
+          .strict = true,
+          .reports_valid_since = lc_endpoints_reports_valid_since (endpoints, now),
+          .now = now };
+  FilterCounts counts = { 0 };
+
+  ensure_capacity (candidates, group ? group->n_slots : 0);
+  classify_all (candidates, endpoints, group, &inputs, &counts);
+  candidates->reason = candidates->n_items > 0 ? NULL : reason_without_candidates (&counts);
+  if (query->kind != LC_KIND_SAMPLE || counts.eligible > 0 || counts.avoided + counts.too_slow == 0)
     return;
-  /* A sample whose pool has only engines that it was moved away from, or slow ones, waits for
-   * nothing better. */
-  scales.choosy = false;
-  weigh_all (candidates, endpoints, group, &scales, &refusals);
+  /* Waiting gains nothing for a sample whose pool offers only avoided or slow engines, so those
+   * become eligible. */
+  inputs.strict = false;
+  classify_all (candidates, endpoints, group, &inputs, &counts);
   candidates->reason = candidates->n_items > 0 ? NULL : "no-capacity";
 }
 
 static void
-show (LcRouteDecision *decision, const LcCandidate *candidate)
+insert_shown (LcRouteDecision *decision, const LcCandidate *candidate)
 {
-  size_t at = decision->n_shown;
+  size_t index = decision->n_shown;
 
-  if (at == LC_MAX_SHOWN_CANDIDATES && decision->shown[at - 1].score <= candidate->score)
+  if (index == LC_MAX_SHOWN_CANDIDATES && decision->shown[index - 1].score <= candidate->score)
     return;
-  if (at < LC_MAX_SHOWN_CANDIDATES)
+  if (index < LC_MAX_SHOWN_CANDIDATES)
     decision->n_shown++;
   else
-    at--;
-  for (; at > 0 && decision->shown[at - 1].score > candidate->score; at--)
-    decision->shown[at] = decision->shown[at - 1];
-  decision->shown[at] = *candidate;
+    index--;
+  for (; index > 0 && decision->shown[index - 1].score > candidate->score; index--)
+    decision->shown[index] = decision->shown[index - 1];
+  decision->shown[index] = *candidate;
 }
 
 LcRouteDecision
@@ -197,12 +200,12 @@
                                .n_candidates = candidates->n_items };
 
   for (size_t i = 0; i < candidates->n_items; i++)
-    show (&decision, &candidates->items[i]);
+    insert_shown (&decision, &candidates->items[i]);
   return decision;
 }
 
 LcRouteDecision
-lc_candidates_decide_nobody (const LcCandidates *candidates)
+lc_candidates_decide_none (const LcCandidates *candidates)
 {
   return (LcRouteDecision){ .reason = candidates->reason };
 }
--- a/packages/core/src/dispatch/lc-dispatch-query.c
+++ b/packages/core/src/dispatch/lc-dispatch-query.c
@@ -1,6 +1,6 @@
 #include "lc-dispatch-private.h"
 
-/* NULL when the request is not known, or no longer. */
+/* Returns NULL if the request is unknown or already finished. */
 LcRequest *
 lc_dispatch_find (const LcDispatch *dispatch, LcRequestId id)
 {
@@ -20,18 +20,19 @@
   return false;
 }
 
-/* When lc_dispatch_tick must be called next at the latest; LB_TIME_NEVER when nothing is due. */
+/* Returns the latest time of the next lc_dispatch_tick call; LB_TIME_NEVER if nothing is due. */
 LbTime
 lc_dispatch_next_tick (const LcDispatch *dispatch)
 {
-  const LcHeapNode *node = lc_heap_first (&dispatch->timers);
-  LbTime due = node ? LC_HEAP_ENTRY (node, LcRequest, timer)->due : LB_TIME_NEVER;
-  LbTime poll = has_waiting (dispatch) ? dispatch->polled_at + LC_DISPATCH_POLL : LB_TIME_NEVER;
+  const LcHeapNode *node = lc_heap_top (&dispatch->timers);
+  LbTime due = node ? LC_HEAP_ENTRY (node, LcRequest, timer)->timer_due : LB_TIME_NEVER;
+  LbTime poll
+      = has_waiting (dispatch) ? dispatch->polled_at + LC_DISPATCH_POLL_INTERVAL : LB_TIME_NEVER;
 
   return poll < due ? poll : due;
 }
 
-/* Requests admitted that have no final answer yet. */
+/* Counts admitted requests that have no final result yet. */
 size_t
 lc_dispatch_count_in_progress (const LcDispatch *dispatch)
 {
@@ -44,12 +45,12 @@
   size_t waiting = 0;
 
   for (const LcPoolState *pool = dispatch->pools[lc_pool_kind (kind)]; pool; pool = pool->hh.next)
-    waiting += lc_queue_kind_length (pool->queue, kind);
+    waiting += lc_queue_length_of_kind (pool->queue, kind);
   return waiting;
 }
 
 LbTime
-lc_dispatch_kept_until (const LcDispatch *dispatch, LcFingerprint content, LbTime now)
+lc_dispatch_quarantined_until (const LcDispatch *dispatch, LcFingerprint content, LbTime now)
 {
   LbTime until = lc_quarantine_ends_at (dispatch->quarantine, content);
 
@@ -68,8 +69,6 @@
   return dispatch->endpoints;
 }
 
-/* Actions refused since the start because they would have broken a promise; 0 in a sound program.
- */
 uint64_t
 lc_dispatch_invariant_failures (const LcDispatch *dispatch)
 {
--- a/packages/core/src/dispatch/lc-dispatch.c
+++ b/packages/core/src/dispatch/lc-dispatch.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #define DEFAULT_POLICY "lentilspindle"
-#define MAX_VIEW (2500 * LB_MSEC)
+#define DEFAULT_MAX_REPORT_AGE (2500 * LB_MSEC)
 #define DEFAULT_QUEUE_LIMIT 4096
 #define DRAIN_RETRY_AFTER (100 * LB_MSEC)
 
@@ -21,10 +21,11 @@
   const LcRequest *first = LC_HEAP_ENTRY (a, LcRequest, timer);
   const LcRequest *second = LC_HEAP_ENTRY (b, LcRequest, timer);
 
-  return first->due != second->due ? first->due < second->due : first->id < second->id;
+  return first->timer_due != second->timer_due ? first->timer_due < second->timer_due
+                                               : first->id < second->id;
 }
 
-/* NULL when no policy of the settings' name exists. */
+/* Returns NULL if no policy has the name given in the settings. */
 LcDispatch *
 lc_dispatch_new (const LcDispatchSettings *settings)
 {
@@ -38,7 +39,7 @@
 
   dispatch->settings = *settings;
   if (settings->max_report_age == 0)
-    dispatch->settings.max_report_age = MAX_VIEW;
+    dispatch->settings.max_report_age = DEFAULT_MAX_REPORT_AGE;
   dispatch->router = router;
   dispatch->endpoints = lc_endpoints_new ();
   dispatch->budgets = lc_retry_budgets_new (settings->retry_budget);
@@ -58,7 +59,7 @@
   HASH_ITER (hh, dispatch->requests, request, next)
   {
     HASH_DELETE (hh, dispatch->requests, request);
-    lc_queue_remove (request->pool->queue, &request->waiting);
+    lc_queue_remove (request->pool->queue, &request->queue_entry);
     lc_request_free (request);
   }
 }
@@ -103,7 +104,7 @@
 }
 
 static LcPoolState *
-configured_pool (LcDispatch *dispatch, LcPoolKind kind, const char *name)
+ensure_pool (LcDispatch *dispatch, LcPoolKind kind, const char *name)
 {
   LcPoolState *pool = find_pool (dispatch, kind, name);
 
@@ -126,7 +127,7 @@
       pool->configured = false;
   for (size_t i = 0; i < set->n_pools; i++)
     {
-      LcPoolState *pool = configured_pool (dispatch, LC_POOL_ENGINES, set->pools[i].name);
+      LcPoolState *pool = ensure_pool (dispatch, LC_POOL_ENGINES, set->pools[i].name);
 
       pool->live_reserve = set->pools[i].live_reserve;
       if (set->pools[i].queue_limit > 0)
@@ -134,12 +135,12 @@
     }
   for (size_t i = 0; i < set->n_endpoints; i++)
     if (lc_pool_kind_of (&set->endpoints[i]) == LC_POOL_SERVICE)
-      configured_pool (dispatch, LC_POOL_SERVICE, set->endpoints[i].pool);
+      ensure_pool (dispatch, LC_POOL_SERVICE, set->endpoints[i].pool);
 }
 
-/* Pools that the configuration no longer names go with their last request. */
+/* Frees pools that are no longer configured once their last request has finished. */
 static void
-drop_unused_pools (LcDispatch *dispatch)
+free_unused_pools (LcDispatch *dispatch)
 {
   LcPoolState *pool = NULL;
   LcPoolState *next = NULL;
@@ -154,16 +155,16 @@
     }
 }
 
-/* Takes a newer configuration. Attempts at endpoints that it no longer names run to their end. */
+/* Applies a newer configuration. Attempts at endpoints that it removes run to completion. */
 void
 lc_dispatch_configure (LcDispatch *dispatch, const LcResourceSet *set, LbTime now, LbList *actions)
 {
-  dispatch->keep_running = true;
+  dispatch->forbid_cancel = true;
   lc_endpoints_configure (dispatch->endpoints, set, now);
   configure_pools (dispatch, set);
-  lc_dispatch_pump_all (dispatch, now, actions);
-  drop_unused_pools (dispatch);
-  dispatch->keep_running = false;
+  lc_dispatch_send_all_waiting (dispatch, now, actions);
+  free_unused_pools (dispatch);
+  dispatch->forbid_cancel = false;
 }
 
 static bool
@@ -174,55 +175,56 @@
   return lb_error_set (error, code, pool, "request refused before dispatch");
 }
 
-/* Makes room for a newcomer by giving up what is worth less; false when nothing is. */
+/* Drops a waiting request of lower value to admit a new one; false if there is none, or if it has
+ * already been attempted. */
 static bool
-make_room (
+drop_lower_value_request (
     LcDispatch *dispatch, LcPoolState *pool, const LcQueueKey *key, LbTime now, LbList *actions)
 {
-  LcWaiting *victim = lc_queue_victim (pool->queue, key);
+  LcQueueEntry *victim = lc_queue_find_victim (pool->queue, key);
 
   if (!victim)
     return false;
 
-  LcRequest *request = LB_CONTAINER (victim, LcRequest, waiting);
+  LcRequest *request = LB_CONTAINER (victim, LcRequest, queue_entry);
 
   if (request->n_attempts > 0)
     return false;
-  lc_dispatch_give_up (dispatch, request, LB_ERROR_OVERLOADED, 0, now, actions);
+  lc_dispatch_fail_request (dispatch, request, LB_ERROR_OVERLOADED, 0, now, actions);
   return true;
 }
 
-/* Latest time of the first attempt: without a deadline of its own a call still waits no longer than
- * the default one, since somebody sits before it. A stream may then go on for as long as it likes.
- */
+/* Returns the latest start of the first attempt. A call without a deadline waits no longer than the
+ * default one, since its caller is waiting interactively; its stream may then run without limit. */
 static LbTime
-start_by (const LcDispatch *dispatch, const LcRequestSpec *spec, LbTime now)
+start_deadline_of (const LcDispatch *dispatch, const LcRequestSpec *spec, LbTime now)
 {
-  LbTime longest = dispatch->settings.default_deadline;
+  LbTime max_wait = dispatch->settings.default_deadline;
 
-  if (spec->deadline != LB_TIME_NEVER || spec->kind == LC_KIND_SAMPLE || longest <= 0)
+  if (spec->deadline != LB_TIME_NEVER || spec->kind == LC_KIND_SAMPLE || max_wait <= 0)
     return spec->deadline;
-  return now + longest;
+  return now + max_wait;
 }
 
-/* What can't be answered in time is refused early, and what finds no place in the queue. */
+/* Refuses early what can't be answered in time or doesn't fit into the queue. */
 static LbErrorCode
-reason_to_refuse (LcDispatch *dispatch,
-                  LcPoolState *pool,
-                  const LcRequestSpec *spec,
-                  const LcQueueKey *key,
-                  LbTime now,
-                  LbList *actions)
+refusal_reason (LcDispatch *dispatch,
+                LcPoolState *pool,
+                const LcRequestSpec *spec,
+                const LcQueueKey *key,
+                LbTime now,
+                LbList *actions)
 {
-  LbTime latest = start_by (dispatch, spec, now);
+  LbTime latest = start_deadline_of (dispatch, spec, now);
 
   if (latest <= now)
     return LB_ERROR_DEADLINE_BEFORE_START;
-  if (!lc_dispatch_may_wait (spec->kind, lc_dispatch_opens_at (dispatch, pool), latest, now))
+  if (!lc_dispatch_may_wait (spec->kind, lc_dispatch_pool_available_at (dispatch, pool), latest,
+                             now))
     return LB_ERROR_NO_ENDPOINT;
-  if (latest != LB_TIME_NEVER && lc_pool_state_wait (pool, key) >= latest - now)
+  if (latest != LB_TIME_NEVER && lc_pool_state_estimate_wait (pool, key) >= latest - now)
     return LB_ERROR_OVERLOADED;
-  if (lc_pool_state_is_full (pool) && !make_room (dispatch, pool, key, now, actions))
+  if (lc_pool_state_is_full (pool) && !drop_lower_value_request (dispatch, pool, key, now, actions))
     return LB_ERROR_OVERLOADED;
   return LB_OK;
 }
@@ -240,8 +242,8 @@
 {
   LcRequest *request = lc_request_new (spec, pool, now);
 
-  request->waiting.sequence = ++dispatch->sequence;
-  request->start_by = start_by (dispatch, spec, now);
+  request->queue_entry.sequence = ++dispatch->sequence;
+  request->start_deadline = start_deadline_of (dispatch, spec, now);
   HASH_ADD (hh, dispatch->requests, id, sizeof request->id, request);
   pool->n_requests++;
   return request;
@@ -263,12 +265,13 @@
   if (!pool || !pool->configured)
     return refuse (spec->kind == LC_KIND_SERVICE ? LB_ERROR_UNKNOWN_SERVICE : LB_ERROR_UNKNOWN_POOL,
                    0, retry_after, spec->pool, error);
-  /* Endpoints ended under requests like this one, sent by any instance: the next one would too. */
-  LbTime kept_until = lc_dispatch_kept_until (dispatch, spec->content, now);
-  if (kept_until > 0)
-    return refuse (LB_ERROR_QUARANTINED, kept_until - now, retry_after, spec->pool, error);
-  if (!lc_dispatch_check (dispatch, !lc_dispatch_find (dispatch, spec->id),
-                          "request-ids-are-unique", spec->id))
+  /* Endpoints have crashed on the same content, sent by this or other instances; another one would
+   * crash too. */
+  LbTime quarantined_until = lc_dispatch_quarantined_until (dispatch, spec->content, now);
+  if (quarantined_until > 0)
+    return refuse (LB_ERROR_QUARANTINED, quarantined_until - now, retry_after, spec->pool, error);
+  if (!lc_dispatch_check_invariant (dispatch, !lc_dispatch_find (dispatch, spec->id),
+                                    "request-ids-are-unique", spec->id))
     return refuse (LB_ERROR_INVARIANT, 0, retry_after, spec->pool, error);
 
   LcQueueKey key = {
@@ -278,17 +281,17 @@
     .caller = spec->flow[0] ? spec->flow : spec->caller,
     .share = spec->share,
   };
-  LbErrorCode reason = reason_to_refuse (dispatch, pool, spec, &key, now, actions);
+  LbErrorCode reason = refusal_reason (dispatch, pool, spec, &key, now, actions);
 
   if (reason != LB_OK)
-    return refuse (reason, lc_dispatch_retry_hint (dispatch, pool, &key, now), retry_after,
+    return refuse (reason, lc_dispatch_retry_after (dispatch, pool, &key, now), retry_after,
                    spec->pool, error);
 
   LcRequest *request = add_request (dispatch, spec, pool, now);
 
   lc_dispatch_enqueue (dispatch, request);
-  if (lc_dispatch_may_be_next (request))
-    lc_dispatch_pump (dispatch, pool, now, actions);
+  if (lc_dispatch_may_be_placed (request))
+    lc_dispatch_send_waiting (dispatch, pool, now, actions);
   return true;
 }
 
@@ -302,8 +305,8 @@
 
   LcPoolState *pool = request->pool;
 
-  lc_dispatch_forget (dispatch, request, now, actions);
-  lc_dispatch_pump (dispatch, pool, now, actions);
+  lc_dispatch_drop_request (dispatch, request, now, actions);
+  lc_dispatch_send_waiting (dispatch, pool, now, actions);
 }
 
 void
@@ -315,7 +318,7 @@
                                 LbList *actions)
 {
   LcRequest *request = lc_dispatch_find (dispatch, id);
-  LcAttempt *attempt = request ? lc_request_attempt (request, number) : NULL;
+  LcAttempt *attempt = request ? lc_request_find_attempt (request, number) : NULL;
 
   if (!attempt)
     return;
@@ -325,7 +328,7 @@
   if (end == LC_END_REFUSED_LEAVING)
     lc_dispatch_mark_leaving (dispatch, attempt->endpoint, "", LC_LEAVING_ENDPOINT, now, actions);
   lc_dispatch_end_attempt (dispatch, request, attempt, end, now, actions);
-  lc_dispatch_pump (dispatch, pool, now, actions);
+  lc_dispatch_send_waiting (dispatch, pool, now, actions);
 }
 
 static LcPoolState *
@@ -350,9 +353,9 @@
   lc_endpoints_record_load (dispatch->endpoints, endpoint, report, now);
   if (!pool)
     return;
-  dispatch->keep_running = true;
-  lc_dispatch_pump (dispatch, pool, now, actions);
-  dispatch->keep_running = false;
+  dispatch->forbid_cancel = true;
+  lc_dispatch_send_waiting (dispatch, pool, now, actions);
+  dispatch->forbid_cancel = false;
 }
 
 void
@@ -367,9 +370,9 @@
 
   if (!lc_endpoints_mark_leaving (dispatch->endpoints, endpoint, incarnation, source, now) || !pool)
     return;
-  dispatch->keep_running = true;
-  lc_dispatch_pump (dispatch, pool, now, actions);
-  dispatch->keep_running = false;
+  dispatch->forbid_cancel = true;
+  lc_dispatch_send_waiting (dispatch, pool, now, actions);
+  dispatch->forbid_cancel = false;
 }
 
 void
@@ -381,21 +384,21 @@
 }
 
 static void
-run_timer (LcDispatch *dispatch, LcRequest *request, LbTime now, LbList *actions)
+handle_timer (LcDispatch *dispatch, LcRequest *request, LbTime now, LbList *actions)
 {
-  bool waits = request->state == LC_STATE_WAITING;
+  bool is_waiting = request->state == LC_STATE_WAITING;
 
-  if (now >= request->deadline || (waits && now >= request->start_by))
+  if (now >= request->deadline || (is_waiting && now >= request->start_deadline))
     {
-      LbErrorCode error = request->maybe_run || request->state == LC_STATE_RUNNING
+      LbErrorCode error = request->may_have_run || request->state == LC_STATE_RUNNING
                               ? LB_ERROR_DEADLINE
                               : LB_ERROR_DEADLINE_BEFORE_START;
-      lc_dispatch_give_up (dispatch, request, error, 0, now, actions);
+      lc_dispatch_fail_request (dispatch, request, error, 0, now, actions);
     }
   else if (request->state == LC_STATE_BACKOFF)
     lc_dispatch_enqueue (dispatch, request);
   else
-    lc_dispatch_hedge (dispatch, request, now, actions);
+    lc_dispatch_try_hedge (dispatch, request, now, actions);
 }
 
 void
@@ -403,7 +406,7 @@
 {
   LcRequest *request = NULL;
 
-  while ((request = lc_dispatch_due (dispatch, now)))
-    run_timer (dispatch, request, now, actions);
-  lc_dispatch_pump_all (dispatch, now, actions);
+  while ((request = lc_dispatch_find_due (dispatch, now)))
+    handle_timer (dispatch, request, now, actions);
+  lc_dispatch_send_all_waiting (dispatch, now, actions);
 }
--- a/packages/core/src/dispatch/lc-heap.c
+++ b/packages/core/src/dispatch/lc-heap.c
@@ -21,42 +21,42 @@
 }
 
 static void
-put (LcHeap *heap, size_t place, LcHeapNode *node)
+set_node (LcHeap *heap, size_t position, LcHeapNode *node)
 {
-  heap->nodes[place - 1] = node;
-  node->place = place;
+  heap->nodes[position - 1] = node;
+  node->position = position;
 }
 
 static void
 sift_up (LcHeap *heap, LcHeapNode *node)
 {
-  size_t place = node->place;
+  size_t position = node->position;
 
-  while (place > 1 && heap->before (node, heap->nodes[place / 2 - 1]))
+  while (position > 1 && heap->before (node, heap->nodes[position / 2 - 1]))
     {
-      put (heap, place, heap->nodes[place / 2 - 1]);
-      place /= 2;
+      set_node (heap, position, heap->nodes[position / 2 - 1]);
+      position /= 2;
     }
-  put (heap, place, node);
+  set_node (heap, position, node);
 }
 
 static void
 sift_down (LcHeap *heap, LcHeapNode *node)
 {
-  size_t place = node->place;
+  size_t position = node->position;
 
-  while (place * 2 <= heap->length)
+  while (position * 2 <= heap->length)
     {
-      size_t child = place * 2;
+      size_t child = position * 2;
 
       if (child < heap->length && heap->before (heap->nodes[child], heap->nodes[child - 1]))
         child++;
       if (!heap->before (heap->nodes[child - 1], node))
         break;
-      put (heap, place, heap->nodes[child - 1]);
-      place = child;
+      set_node (heap, position, heap->nodes[child - 1]);
+      position = child;
     }
-  put (heap, place, node);
+  set_node (heap, position, node);
 }
 
 void
@@ -68,40 +68,40 @@
       heap->nodes = lb_realloc (heap->nodes, heap->capacity * sizeof *heap->nodes);
     }
   heap->length++;
-  put (heap, heap->length, node);
+  set_node (heap, heap->length, node);
   sift_up (heap, node);
 }
 
-/* Restores the order after the key of this element has changed. */
+/* Restores the heap order after the key of this element has changed. */
 void
-lc_heap_moved (LcHeap *heap, LcHeapNode *node)
+lc_heap_update (LcHeap *heap, LcHeapNode *node)
 {
   sift_up (heap, node);
   sift_down (heap, node);
 }
 
-/* Takes the element out, wherever it is; nothing when it is in no heap. */
+/* Removes the element from any position; no-op if it is in no heap. */
 void
 lc_heap_remove (LcHeap *heap, LcHeapNode *node)
 {
-  size_t place = node->place;
+  size_t position = node->position;
 
-  if (place == 0)
+  if (position == 0)
     return;
 
   LcHeapNode *last = heap->nodes[heap->length - 1];
 
   heap->length--;
-  node->place = 0;
+  node->position = 0;
   if (last == node)
     return;
-  put (heap, place, last);
-  lc_heap_moved (heap, last);
+  set_node (heap, position, last);
+  lc_heap_update (heap, last);
 }
 
-/* The element that comes out next; NULL when the heap is empty. */
+/* Returns the top element; NULL if the heap is empty. */
 LcHeapNode *
-lc_heap_first (const LcHeap *heap)
+lc_heap_top (const LcHeap *heap)
 {
   return heap->length ? heap->nodes[0] : NULL;
 }
--- a/packages/core/src/dispatch/lc-heap.h
+++ b/packages/core/src/dispatch/lc-heap.h
@@ -3,14 +3,14 @@
 
 #include "lb-types.h"
 
-/* Intrusive binary heap: the node lives in the element, so that any element can be taken out in
+/* Intrusive binary heap: the node is embedded in the element, so any element can be removed in
  * O(log n) without a search. */
 typedef struct
 {
-  size_t place; /* 1-based; 0: in no heap */
+  size_t position; /* 1-based; 0: in no heap */
 } LcHeapNode;
 
-/* Strict order: true when a must come out before b. */
+/* Strict weak order: true if a must come out before b. */
 typedef bool (*LcHeapBefore) (const LcHeapNode *a, const LcHeapNode *b);
 
 typedef struct
@@ -27,13 +27,13 @@
 void lc_heap_clear (LcHeap *heap);
 void lc_heap_push (LcHeap *heap, LcHeapNode *node);
 void lc_heap_remove (LcHeap *heap, LcHeapNode *node);
-void lc_heap_moved (LcHeap *heap, LcHeapNode *node);
-LcHeapNode *lc_heap_first (const LcHeap *heap);
+void lc_heap_update (LcHeap *heap, LcHeapNode *node);
+LcHeapNode *lc_heap_top (const LcHeap *heap);
 
 static inline bool
-lc_heap_holds (const LcHeapNode *node)
+lc_heap_node_is_linked (const LcHeapNode *node)
 {
-  return node->place != 0;
+  return node->position != 0;
 }
 
 #endif
--- a/packages/core/src/dispatch/lc-invariant.c
+++ b/packages/core/src/dispatch/lc-invariant.c
@@ -3,20 +3,24 @@
 #include "lb-counter.h"
 #include "lb-log.h"
 
-static LbMetric failures = LB_COUNTER_INIT ("lentilspindle_invariant_failures_total",
-                                            "part=\"dispatch\"",
-                                            "Actions refused because they would break a promise");
+static LbMetric invariant_violations
+    = LB_COUNTER_INIT ("lentilspindle_invariant_failures_total",
+                       "part=\"dispatch\"",
+                       "Actions refused because they would break a promise");
 
-/* Asserts at the point where a promise is kept. Returns holds: on false the caller leaves out the
- * one action and goes on, since a wrong action is worse than a missing one and other requests must
- * not suffer from either. */
+/* Checks an invariant right before the action that could violate it, and returns whether it holds.
+ * If not, the caller skips that one action and continues: a wrong action is worse than a missing
+ * one, and other requests must not be affected. */
 bool
-lc_dispatch_check (LcDispatch *dispatch, bool holds, const char *promise, LcRequestId request)
+lc_dispatch_check_invariant (LcDispatch *dispatch,
+                             bool holds,
+                             const char *invariant,
+                             LcRequestId request)
 {
   if (holds)
     return true;
   dispatch->invariant_failures++;
-  lb_metric_add (&failures, 1);
-  lb_log (LB_LOG_ERROR, "invariant", LB_TEXT ("promise", promise), LB_INT ("request", request));
+  lb_metric_add (&invariant_violations, 1);
+  lb_log (LB_LOG_ERROR, "invariant", LB_TEXT ("promise", invariant), LB_INT ("request", request));
   return false;
 }
--- a/packages/core/src/dispatch/lc-outcome.c
+++ b/packages/core/src/dispatch/lc-outcome.c
@@ -5,24 +5,25 @@
 
 #include <stdlib.h>
 
-/* A request that makes engines fail must not go round all of them. */
-#define MAX_LOST 3
-#define MIN_HINT (100 * LB_MSEC)
-#define HINT_WITHOUT_ENDPOINT LB_SEC
-#define LONG_SILENCE LB_SEC
-/* Of a text, whose first piece comes a few times sooner than this. */
-#define LONG_SILENCE_OF_TEXT (500 * LB_MSEC)
+/* Limits how many engines a request that crashes them can reach. */
+#define MAX_CONSECUTIVE_LOST 3
+#define MIN_RETRY_AFTER (100 * LB_MSEC)
+#define RETRY_AFTER_WITHOUT_ENDPOINT LB_SEC
+#define SILENCE_LIMIT LB_SEC
+/* Of samples: their first piece normally comes several times sooner than this. */
+#define SAMPLE_SILENCE_LIMIT (500 * LB_MSEC)
 
 static LbMetric retries = LB_COUNTER_INIT ("lentilspindle_retries_total",
                                            NULL,
                                            "Attempts made after an earlier one failed");
-static LbMetric given_up = LB_COUNTER_INIT ("lentilspindle_requests_given_up_total",
-                                            NULL,
-                                            "Admitted requests that ended with a typed failure");
-static LbMetric answered
+static LbMetric failed_requests
+    = LB_COUNTER_INIT ("lentilspindle_requests_given_up_total",
+                       NULL,
+                       "Admitted requests that ended with a typed failure");
+static LbMetric answered_requests
     = LB_COUNTER_INIT ("lentilspindle_requests_answered_total", NULL, "Whole answers given");
 
-/* Appends an action to the list; the list owns it. */
+/* Appends a new action to the list, which owns it. */
 LcAction *
 lc_action_new (LcActionType type, LcRequestId request, LbList *actions)
 {
@@ -42,63 +43,70 @@
 
 typedef enum
 {
-  CLOSED_WELL,
-  CLOSED_BADLY, /* speaks against the endpoint */
-  CLOSED_REFUSED,
-  CLOSED_BY_US /* says nothing of the endpoint */
-} Closing;
+  RESULT_SUCCEEDED,
+  RESULT_FAILED, /* the endpoint is to blame */
+  RESULT_REFUSED,
+  RESULT_CANCELLED /* cancelled by this instance: says nothing about the endpoint */
+} AttemptResult;
 
 static void
-tell_endpoint (
-    LcEndpoint *endpoint, LcRequestKind kind, const LcAttempt *attempt, Closing how, LbTime now)
+record_result (LcEndpoint *endpoint,
+               LcRequestKind kind,
+               const LcAttempt *attempt,
+               AttemptResult result,
+               LbTime now)
 {
-  if (how == CLOSED_BY_US)
+  if (result == RESULT_CANCELLED)
     lc_endpoint_request_cancelled (endpoint, kind, now);
-  else if (how == CLOSED_REFUSED)
+  else if (result == RESULT_REFUSED)
     lc_endpoint_request_refused (endpoint, kind, now);
   else
-    lc_endpoint_request_ended (endpoint, kind, how == CLOSED_WELL, attempt->tokens,
+    lc_endpoint_request_ended (endpoint, kind, result == RESULT_SUCCEEDED, attempt->received_tokens,
                                now - attempt->sent_at, now);
 }
 
-/* Takes the attempt out of all books. */
+/* Records the result of the attempt with its endpoint and pool, and removes it. */
 static void
 close_attempt (
-    LcDispatch *dispatch, LcRequest *request, LcAttempt *attempt, Closing how, LbTime now)
+    LcDispatch *dispatch, LcRequest *request, LcAttempt *attempt, AttemptResult result, LbTime now)
 {
   LcEndpoint *endpoint = lc_endpoints_find (dispatch->endpoints, attempt->endpoint);
-  LbTime took = now - attempt->sent_at;
+  LbTime duration = now - attempt->sent_at;
 
   if (endpoint)
-    tell_endpoint (endpoint, request->kind, attempt, how, now);
-  lc_pool_state_ended (request->pool, request->kind, attempt->whole ? took : 0);
-  if (request->owner == attempt->number)
-    request->owner = 0;
-  lc_request_drop_attempt (request, attempt);
+    record_result (endpoint, request->kind, attempt, result, now);
+  lc_pool_state_record_end (request->pool, request->kind, attempt->is_complete ? duration : 0);
+  if (request->forwarded_attempt == attempt->number)
+    request->forwarded_attempt = 0;
+  lc_request_remove_attempt (request, attempt);
 }
 
-/* An endpoint that swallows requests never fails one: each ends by our own cancel, at its deadline
- * or when a hedge won, and the breaker would stay closed. So an attempt that was silent for long
- * counts against an endpoint from which nobody here has heard since it was sent. */
+/* Detects an endpoint that accepts requests and never answers. Each of its attempts ends by our own
+ * cancel, at the deadline or when a hedge wins, so no failure would be recorded and its breaker
+ * would stay closed. A long silent attempt therefore counts as a failure if the endpoint has not
+ * replied to this instance since the attempt was sent. */
 static bool
-is_swallowed (LcDispatch *dispatch, const LcRequest *request, const LcAttempt *attempt, LbTime now)
+is_black_holed (LcDispatch *dispatch,
+                const LcRequest *request,
+                const LcAttempt *attempt,
+                LbTime now)
 {
   const LcEndpoint *endpoint = lc_endpoints_find (dispatch->endpoints, attempt->endpoint);
-  LbTime silence = request->kind == LC_KIND_SAMPLE ? LONG_SILENCE_OF_TEXT : LONG_SILENCE;
+  LbTime limit = request->kind == LC_KIND_SAMPLE ? SAMPLE_SILENCE_LIMIT : SILENCE_LIMIT;
 
-  return endpoint && !attempt->heard && now - attempt->sent_at >= silence
+  return endpoint && !attempt->has_piece && now - attempt->sent_at >= limit
          && endpoint->last_reply_at <= attempt->sent_at;
 }
 
-/* A stream that we leave because it stopped says so of its engine: the next text is not to wait
- * there as well. */
+/* Records the time since the last piece of a cancelled stream: the measured pace of an engine that
+ * stalled falls, and the next samples avoid it. */
 static void
-note_silence (LcDispatch *dispatch, const LcAttempt *attempt, LbTime now)
+record_stall (LcDispatch *dispatch, const LcAttempt *attempt, LbTime now)
 {
   LcEndpoint *endpoint = lc_endpoints_find (dispatch->endpoints, attempt->endpoint);
 
-  if (endpoint && attempt->piece_at > 0)
-    lc_endpoint_tokens_received (endpoint, 0, now - attempt->piece_at, now);
+  if (endpoint && attempt->last_piece_at > 0)
+    lc_endpoint_tokens_received (endpoint, 0, now - attempt->last_piece_at, now);
 }
 
 void
@@ -106,13 +114,14 @@
     LcDispatch *dispatch, LcRequest *request, LcAttempt *attempt, LbTime now, LbList *actions)
 {
   LcAction *action = lc_action_new (LC_ACTION_CANCEL, request->id, actions);
-  Closing how = is_swallowed (dispatch, request, attempt, now) ? CLOSED_BADLY : CLOSED_BY_US;
+  AttemptResult result
+      = is_black_holed (dispatch, request, attempt, now) ? RESULT_FAILED : RESULT_CANCELLED;
 
   action->attempt = attempt->number;
   LB_COPY (action->endpoint, attempt->endpoint);
-  request->maybe_run = true;
-  note_silence (dispatch, attempt, now);
-  close_attempt (dispatch, request, attempt, how, now);
+  request->may_have_run = true;
+  record_stall (dispatch, attempt, now);
+  close_attempt (dispatch, request, attempt, result, now);
 }
 
 static void
@@ -124,119 +133,122 @@
   }
 }
 
-/* Out of every queue and table, running attempts cancelled. What the caller is told comes after. */
+/* Removes the request from all queues and tables and cancels its attempts; the caller then appends
+ * the final action. */
 static void
-take_out (LcDispatch *dispatch, LcRequest *request, LbTime now, LbList *actions)
+detach_request (LcDispatch *dispatch, LcRequest *request, LbTime now, LbList *actions)
 {
   cancel_attempts (dispatch, request, now, actions);
-  lc_queue_remove (request->pool->queue, &request->waiting);
+  lc_queue_remove (request->pool->queue, &request->queue_entry);
   lc_heap_remove (&dispatch->timers, &request->timer);
   HASH_DELETE (hh, dispatch->requests, request);
   request->pool->n_requests--;
 }
 
 void
-lc_dispatch_forget (LcDispatch *dispatch, LcRequest *request, LbTime now, LbList *actions)
+lc_dispatch_drop_request (LcDispatch *dispatch, LcRequest *request, LbTime now, LbList *actions)
 {
-  take_out (dispatch, request, now, actions);
+  detach_request (dispatch, request, now, actions);
   lc_request_free (request);
 }
 
-/* When a caller had better come back: after the time that a request like its own would wait now,
- * and not before the breakers of a pool that takes nothing let a trial through. Spread by half, so
- * that callers who are refused together do not return together. */
+/* Returns when the caller should retry: after the expected wait of such a request, and not before a
+ * breaker lets a probe through if all of the pool's are open. Adds up to half as much again as
+ * jitter, so that callers refused together do not return together. */
 LbTime
-lc_dispatch_retry_hint (LcDispatch *dispatch,
-                        const LcPoolState *pool,
-                        const LcQueueKey *key,
-                        LbTime now)
+lc_dispatch_retry_after (LcDispatch *dispatch,
+                         const LcPoolState *pool,
+                         const LcQueueKey *key,
+                         LbTime now)
 {
-  LbTime hint = lc_pool_state_wait (pool, key);
-  LbTime opens_at = lc_dispatch_opens_at (dispatch, pool);
-
-  if (opens_at == LB_TIME_NEVER)
-    hint = HINT_WITHOUT_ENDPOINT;
-  else if (opens_at - now > hint)
-    hint = opens_at - now;
-  if (hint < MIN_HINT)
-    hint = MIN_HINT;
-  return hint + (LbTime)(gsl_rng_uniform (dispatch->random) * (double)hint / 2);
+  LbTime retry_after = lc_pool_state_estimate_wait (pool, key);
+  LbTime available_at = lc_dispatch_pool_available_at (dispatch, pool);
+
+  if (available_at == LB_TIME_NEVER)
+    retry_after = RETRY_AFTER_WITHOUT_ENDPOINT;
+  else if (available_at - now > retry_after)
+    retry_after = available_at - now;
+  if (retry_after < MIN_RETRY_AFTER)
+    retry_after = MIN_RETRY_AFTER;
+  return retry_after + (LbTime)(gsl_rng_uniform (dispatch->random) * (double)retry_after / 2);
 }
 
-/* The final answer of a request that failed, with a hint when to come back (worked out here when
- * retry_after is 0). It is taken out of every queue first: a copy that
- * still waits could run after its caller was told "not run". */
+/* Ends the request with a failure; retry_after 0: computed here. The request leaves every queue
+ * first: a copy that still waits could run after its caller has received "not run". */
 void
-lc_dispatch_give_up (LcDispatch *dispatch,
-                     LcRequest *request,
-                     LbErrorCode error,
-                     LbTime retry_after,
-                     LbTime now,
-                     LbList *actions)
+lc_dispatch_fail_request (LcDispatch *dispatch,
+                          LcRequest *request,
+                          LbErrorCode error,
+                          LbTime retry_after,
+                          LbTime now,
+                          LbList *actions)
 {
-  LcQueueKey key = lc_request_key (request);
+  LcQueueKey key = lc_request_queue_key (request);
 
-  if (!lc_dispatch_check (dispatch,
-                          !dispatch->keep_running || lb_list_is_empty (&request->attempts),
-                          "shutdown-cuts-nothing", request->id))
+  if (!lc_dispatch_check_invariant (dispatch,
+                                    !dispatch->forbid_cancel
+                                        || lb_list_is_empty (&request->attempts),
+                                    "shutdown-cuts-nothing", request->id))
     return;
   if (retry_after == 0)
-    retry_after = lc_dispatch_retry_hint (dispatch, request->pool, &key, now);
-  take_out (dispatch, request, now, actions);
-  if (!lc_dispatch_check (dispatch, !lb_error_is_not_run (error) || !request->maybe_run,
-                          "not-run-is-a-proof", request->id))
+    retry_after = lc_dispatch_retry_after (dispatch, request->pool, &key, now);
+  detach_request (dispatch, request, now, actions);
+  if (!lc_dispatch_check_invariant (dispatch,
+                                    !lb_error_is_not_run (error) || !request->may_have_run,
+                                    "not-run-is-a-proof", request->id))
     error = LB_ERROR_OUTCOME_UNKNOWN;
 
   LcAction *action = lc_action_new (LC_ACTION_FINISH, request->id, actions);
 
   action->error = error;
   action->retry_after = retry_after;
-  lb_metric_add (&given_up, 1);
+  lb_metric_add (&failed_requests, 1);
   lc_request_free (request);
 }
 
 static void
-finish_whole (
+finish_request (
     LcDispatch *dispatch, LcRequest *request, LcAttempt *attempt, LbTime now, LbList *actions)
 {
   uint32_t number = attempt->number;
-  bool all_passed_on = request->delivery == LC_DELIVER_BUFFERED
-                       || (request->next_token == attempt->offset
-                           && (request->owner == 0 || request->owner == number));
+  bool all_forwarded
+      = request->delivery == LC_DELIVER_BUFFERED
+        || (request->next_token == attempt->next_offset
+            && (request->forwarded_attempt == 0 || request->forwarded_attempt == number));
   LbName endpoint;
 
-  if (!lc_dispatch_check (dispatch, all_passed_on, "whole-answers", request->id))
+  if (!lc_dispatch_check_invariant (dispatch, all_forwarded, "whole-answers", request->id))
     {
-      lc_dispatch_give_up (dispatch, request, LB_ERROR_STREAM_BROKEN, 0, now, actions);
+      lc_dispatch_fail_request (dispatch, request, LB_ERROR_STREAM_BROKEN, 0, now, actions);
       return;
     }
   LB_COPY (endpoint, attempt->endpoint);
   lc_retry_budgets_earn (dispatch->budgets, request->caller);
   lc_retry_budgets_earn (dispatch->budgets, endpoint);
-  attempt->whole = true;
-  close_attempt (dispatch, request, attempt, CLOSED_WELL, now);
-  take_out (dispatch, request, now, actions);
+  attempt->is_complete = true;
+  close_attempt (dispatch, request, attempt, RESULT_SUCCEEDED, now);
+  detach_request (dispatch, request, now, actions);
 
   LcAction *action = lc_action_new (LC_ACTION_FINISH, request->id, actions);
 
   action->attempt = number;
   LB_COPY (action->endpoint, endpoint);
-  lb_metric_add (&answered, 1);
+  lb_metric_add (&answered_requests, 1);
   lc_request_free (request);
 }
 
-/* True for an end that proves that nothing ran at the endpoint. */
+/* Whether this end proves that nothing ran at the endpoint. */
 static bool
 proves_not_run (LcAttemptEnd end)
 {
   return end == LC_END_REFUSED || end == LC_END_REFUSED_LEAVING || end == LC_END_NOT_SENT;
 }
 
-/* What the submitter is told if nothing follows this failure. */
+/* Returns the error of the request if no further attempt follows. */
 static LbErrorCode
-error_of (const LcRequest *request, LcAttemptEnd end)
+error_after (const LcRequest *request, LcAttemptEnd end)
 {
-  if (!request->maybe_run)
+  if (!request->may_have_run)
     return end == LC_END_NOT_SENT ? LB_ERROR_NO_ENDPOINT : LB_ERROR_ENDPOINT_REFUSED;
   if (end == LC_END_REJECTED)
     return LB_ERROR_REJECTED;
@@ -248,95 +260,99 @@
 }
 
 static bool
-may_try_again (const LcRequest *request)
+may_retry (const LcRequest *request)
 {
-  if (!lc_request_has_attempts_left (request) || request->n_lost >= MAX_LOST)
+  if (!lc_request_has_attempts_left (request)
+      || request->n_consecutive_lost >= MAX_CONSECUTIVE_LOST)
     return false;
-  if (!request->maybe_run)
+  if (!request->may_have_run)
     return true;
   return request->repeatable && (request->resumable || !lc_request_has_output (request));
 }
 
-/* A stream that broke after some words and goes on behind them repeats no work, so it can't make a
- * storm; MAX_ATTEMPTS bounds it. Were it paid for, the crash of an engine with many streams would
- * use up the budget with the first few, and all other callers would be left with half an answer
- * although another engine is free. */
+/* Whether a broken stream resumes behind its last piece. This repeats no work and can't cause a
+ * retry storm, so it is not charged to the retry budgets; MAX_ATTEMPTS bounds it. If it were
+ * charged, the crash of an engine with many streams would use up the budget on the first few, and
+ * the other callers would keep half an answer although another engine is free. */
 static bool
-continues (const LcRequest *request, const LcAttempt *attempt, LcAttemptEnd end)
+resumes_stream (const LcRequest *request, const LcAttempt *attempt, LcAttemptEnd end)
 {
-  return end == LC_END_BROKEN && attempt->tokens > 0 && lc_request_keeps_pieces (request);
+  return end == LC_END_BROKEN && attempt->received_tokens > 0
+         && lc_request_is_resumable_stream (request);
 }
 
-/* The endpoint's answer settles the request. */
+/* Whether the endpoint's reply settles the request. */
 static bool
 is_final (const LcRequest *request, LcAttemptEnd end)
 {
   return end == LC_END_REJECTED || (end == LC_END_FAILED && request->failure_is_final);
 }
 
-/* Guards against a long text that waits for an engine which loads weights: it refuses at once,
- * looks idle, and was asked again and again while others had room. A refusal costs next to nothing,
- * so a sample goes to another engine at once; the attempts are bounded all the same. */
+/* Whether the next attempt needs no delay. An engine that loads weights refuses at once and looks
+ * idle, so a delayed sample was sent to it again and again while others had capacity. A refusal
+ * costs almost nothing, so a sample goes to another engine immediately; its number of attempts is
+ * still bounded. */
 static bool
-goes_on_at_once (const LcRequest *request, LcAttemptEnd end)
+is_retried_immediately (const LcRequest *request, LcAttemptEnd end)
 {
   return end == LC_END_REFUSED_LEAVING
          || (end == LC_END_REFUSED && request->kind == LC_KIND_SAMPLE);
 }
 
-/* Goes on after the last running attempt has failed: again at once when the endpoint only refused,
- * else after a delay and (unless it continues) within the budgets, else the final answer. */
+/* Called after the last running attempt has failed. Retries immediately after a mere refusal,
+ * otherwise after a delay and (unless a stream resumes) within the retry budgets; if that is not
+ * allowed, the request fails. */
 static void
-try_again (LcDispatch *dispatch,
-           LcRequest *request,
-           LcAttemptEnd end,
-           bool continued,
-           LbTime now,
-           LbList *actions)
+retry_or_fail (LcDispatch *dispatch,
+               LcRequest *request,
+               LcAttemptEnd end,
+               bool resumed,
+               LbTime now,
+               LbList *actions)
 {
   LbTime delay = lc_retry_delay (dispatch->random, request->n_retries);
-  bool at_once = goes_on_at_once (request, end);
-  bool paid = !at_once && !continued;
+  bool immediately = is_retried_immediately (request, end);
+  bool charged_to_budget = !immediately && !resumed;
 
-  if (is_final (request, end) || !may_try_again (request)
-      || (!at_once && now + delay >= request->deadline)
-      || (paid && !lc_retry_budgets_allow (dispatch->budgets, request->caller)))
+  if (is_final (request, end) || !may_retry (request)
+      || (!immediately && now + delay >= request->deadline)
+      || (charged_to_budget && !lc_retry_budgets_allow (dispatch->budgets, request->caller)))
     {
-      lc_dispatch_give_up (dispatch, request, request->last_error, 0, now, actions);
+      lc_dispatch_fail_request (dispatch, request, request->last_error, 0, now, actions);
       return;
     }
-  request->waiting.cost = 0;
+  request->queue_entry.cost = 0;
   lb_metric_add (&retries, 1);
-  if (at_once)
+  if (immediately)
     {
       lc_dispatch_enqueue (dispatch, request);
       return;
     }
-  if (paid)
+  if (charged_to_budget)
     lc_retry_budgets_spend (dispatch->budgets, request->caller);
-  request->charged = paid;
+  request->retry_charged = charged_to_budget;
   request->n_retries++;
   request->state = LC_STATE_BACKOFF;
   request->retry_at = now + delay;
   lc_dispatch_set_timer (dispatch, request);
 }
 
-static Closing
-closing_of (LcAttemptEnd end)
+static AttemptResult
+result_of (LcAttemptEnd end)
 {
   if (end == LC_END_REFUSED_LEAVING)
-    return CLOSED_BY_US;
-  return end == LC_END_REFUSED ? CLOSED_REFUSED : CLOSED_BADLY;
+    return RESULT_CANCELLED;
+  return end == LC_END_REFUSED ? RESULT_REFUSED : RESULT_FAILED;
 }
 
-/* The endpoint has answered it, be it with a failure, and still runs. */
+/* Whether the endpoint replied, even with a failure, and so survived the request. */
 static bool
-was_survived (LcAttemptEnd end)
+endpoint_survived (LcAttemptEnd end)
 {
   return end == LC_END_COMPLETE || end == LC_END_REJECTED || end == LC_END_FAILED;
 }
 
-/* An attempt is over. The request goes on, or its final answer is appended. */
+/* Handles the end of an attempt: the request is retried or its final action is appended. */
 void
 lc_dispatch_end_attempt (LcDispatch *dispatch,
                          LcRequest *request,
@@ -345,31 +361,33 @@
                          LbTime now,
                          LbList *actions)
 {
-  if (was_survived (end))
+  if (endpoint_survived (end))
     lc_quarantine_record_answer (dispatch->quarantine, request->content, now);
-  if (end == LC_END_COMPLETE || attempt->whole)
+  if (end == LC_END_COMPLETE || attempt->is_complete)
     {
-      finish_whole (dispatch, request, attempt, now, actions);
+      finish_request (dispatch, request, attempt, now, actions);
       return;
     }
-  request->n_not_handed += end == LC_END_NOT_SENT;
+  request->n_not_sent += end == LC_END_NOT_SENT;
   if (!proves_not_run (end))
     {
-      request->maybe_run = true;
-      request->n_lost = attempt->tokens > 0 ? 0 : request->n_lost + 1;
+      request->may_have_run = true;
+      request->n_consecutive_lost
+          = attempt->received_tokens > 0 ? 0 : request->n_consecutive_lost + 1;
     }
-  bool continued = continues (request, attempt, end);
+  bool resumed = resumes_stream (request, attempt, end);
 
-  lc_request_tried (request, attempt->endpoint);
-  close_attempt (dispatch, request, attempt, closing_of (end), now);
-  request->last_error = error_of (request, end);
+  lc_request_add_tried (request, attempt->endpoint);
+  close_attempt (dispatch, request, attempt, result_of (end), now);
+  request->last_error = error_after (request, end);
   if (lb_list_is_empty (&request->attempts))
     {
-      try_again (dispatch, request, end, continued, now, actions);
+      retry_or_fail (dispatch, request, end, resumed, now, actions);
       return;
     }
-  /* Guards against a hedge that asked nobody: the first attempt hung at an endpoint gone dark, the
-   * second could not connect, and the caller waited out its deadline though others were idle. */
+  /* Allows another hedge if this one never reached an endpoint: the first attempt hung at an
+   * unresponsive endpoint, the hedge could not connect, and the caller waited until its deadline
+   * although other endpoints were idle. */
   if (proves_not_run (end))
     request->hedged = false;
   lc_dispatch_set_timer (dispatch, request);
--- a/packages/core/src/dispatch/lc-outgoing.c
+++ b/packages/core/src/dispatch/lc-outgoing.c
@@ -16,7 +16,7 @@
       = (LcHeader){ .name = lb_strdup (name), .value = lb_strdup (value) };
 }
 
-/* NULL when absent. */
+/* Returns NULL if there is no such header. */
 const char *
 lc_outgoing_find_header (const LcOutgoing *outgoing, const char *name)
 {
@@ -27,9 +27,9 @@
 }
 
 static char *
-copy_text (const char *text)
+copy_string (const char *string)
 {
-  return text ? lb_strdup (text) : NULL;
+  return string ? lb_strdup (string) : NULL;
 }
 
 void
@@ -37,9 +37,9 @@
 {
   memset (target, 0, sizeof *target);
   LB_COPY (target->id, source->id);
-  target->method = copy_text (source->method);
-  target->host = copy_text (source->host);
-  target->path = copy_text (source->path);
+  target->method = copy_string (source->method);
+  target->host = copy_string (source->host);
+  target->path = copy_string (source->path);
   for (size_t i = 0; i < source->n_headers; i++)
     lc_outgoing_add_header (target, source->headers[i].name, source->headers[i].value);
   target->body = source->body ? lb_memdup (source->body, source->body_length + 1) : NULL;
--- a/packages/core/src/dispatch/lc-pieces.c
+++ b/packages/core/src/dispatch/lc-pieces.c
@@ -16,38 +16,38 @@
 }
 
 static void
-first_piece (LcDispatch *dispatch, LcRequest *request, LcAttempt *attempt, LbTime now)
+record_first_piece (LcDispatch *dispatch, LcRequest *request, LcAttempt *attempt, LbTime now)
 {
   LcEndpoint *endpoint = lc_endpoints_find (dispatch->endpoints, attempt->endpoint);
 
-  attempt->heard = true;
-  request->maybe_run = true;
-  /* What brings a part that lasts goes on behind it: beginning it ends no endpoint. */
-  if (lc_request_keeps_pieces (request))
+  attempt->has_piece = true;
+  request->may_have_run = true;
+  /* A resumable stream continues behind this piece, so the endpoint has survived starting it. */
+  if (lc_request_is_resumable_stream (request))
     lc_quarantine_record_answer (dispatch->quarantine, request->content, now);
-  lc_pool_state_heard (request->pool, request->kind, now - attempt->sent_at);
+  lc_pool_state_record_first_piece (request->pool, request->kind, now - attempt->sent_at);
   if (endpoint)
     lc_endpoint_first_byte_received (endpoint, now - attempt->sent_at, now);
   lc_dispatch_set_timer (dispatch, request);
 }
 
-/* From here on the answer is this attempt's alone; a hedge that is still silent is closed. */
+/* From here on only this attempt's pieces are forwarded; other attempts are cancelled. */
 static void
-make_owner (
-    LcDispatch *dispatch, LcRequest *request, const LcAttempt *owner, LbTime now, LbList *actions)
+commit_to_attempt (
+    LcDispatch *dispatch, LcRequest *request, const LcAttempt *chosen, LbTime now, LbList *actions)
 {
-  request->owner = owner->number;
+  request->forwarded_attempt = chosen->number;
   LB_LIST_FOREACH (&request->attempts, LcAttempt, link, attempt)
   {
-    if (attempt != owner)
+    if (attempt != chosen)
       lc_dispatch_cancel_attempt (dispatch, request, attempt, now, actions);
   }
 }
 
-/* A gap means that a piece was lost: what follows can't be joined to what the submitter has. The
- * attempt ends here as a broken stream and the answer goes on elsewhere or fails. */
+/* A gap means that a piece was lost, and later pieces can't be joined to what the submitter has.
+ * The attempt ends as a broken stream, and the answer resumes elsewhere or fails. */
 static LcPieceVerdict
-break_at_gap (
+end_attempt_at_gap (
     LcDispatch *dispatch, LcRequest *request, LcAttempt *attempt, LbTime now, LbList *actions)
 {
   LcAction *action = lc_action_new (LC_ACTION_CANCEL, request->id, actions);
@@ -56,39 +56,41 @@
   action->attempt = attempt->number;
   LB_COPY (action->endpoint, attempt->endpoint);
   lc_dispatch_end_attempt (dispatch, request, attempt, LC_END_BROKEN, now, actions);
-  lc_dispatch_pump (dispatch, pool, now, actions);
+  lc_dispatch_send_waiting (dispatch, pool, now, actions);
   return drop_piece ();
 }
 
 static bool
 is_gap (const LcAttempt *attempt, const LcPiece *piece)
 {
-  return piece->offset > attempt->offset
-         || (piece->offset < attempt->offset && piece->offset + piece->tokens > attempt->offset);
+  return piece->offset > attempt->next_offset
+         || (piece->offset < attempt->next_offset
+             && piece->offset + piece->tokens > attempt->next_offset);
 }
 
-/* The last look before a piece is passed on: it is the very next one of the only attempt whose
- * pieces the submitter gets. */
+/* Last check before a piece is forwarded: it must be the next one of the only attempt whose pieces
+ * the submitter gets. */
 static bool
-fits_answer (LcDispatch *dispatch,
-             const LcRequest *request,
-             const LcAttempt *attempt,
-             const LcPiece *piece)
+is_next_piece (LcDispatch *dispatch,
+               const LcRequest *request,
+               const LcAttempt *attempt,
+               const LcPiece *piece)
 {
-  bool next = request->owner == attempt->number && request->next_token == piece->offset;
+  bool is_next
+      = request->forwarded_attempt == attempt->number && request->next_token == piece->offset;
 
-  return lc_dispatch_check (dispatch, request->delivery == LC_DELIVER_BUFFERED || next,
-                            "whole-answers", request->id);
+  return lc_dispatch_check_invariant (dispatch, request->delivery == LC_DELIVER_BUFFERED || is_next,
+                                      "whole-answers", request->id);
 }
 
 static void
-note_pace (LcDispatch *dispatch, LcAttempt *attempt, const LcPiece *piece, LbTime now)
+record_pace (LcDispatch *dispatch, LcAttempt *attempt, const LcPiece *piece, LbTime now)
 {
   LcEndpoint *endpoint = lc_endpoints_find (dispatch->endpoints, attempt->endpoint);
 
-  if (endpoint && attempt->piece_at > 0)
-    lc_endpoint_tokens_received (endpoint, piece->tokens, now - attempt->piece_at, now);
-  attempt->piece_at = now;
+  if (endpoint && attempt->last_piece_at > 0)
+    lc_endpoint_tokens_received (endpoint, piece->tokens, now - attempt->last_piece_at, now);
+  attempt->last_piece_at = now;
 }
 
 LcPieceVerdict
@@ -100,29 +102,29 @@
                            LbList *actions)
 {
   LcRequest *request = lc_dispatch_find (dispatch, id);
-  LcAttempt *attempt = request ? lc_request_attempt (request, number) : NULL;
+  LcAttempt *attempt = request ? lc_request_find_attempt (request, number) : NULL;
 
-  if (!attempt || attempt->whole || piece->tokens < 0)
+  if (!attempt || attempt->is_complete || piece->tokens < 0)
     return drop_piece ();
-  if (!attempt->heard)
-    first_piece (dispatch, request, attempt, now);
+  if (!attempt->has_piece)
+    record_first_piece (dispatch, request, attempt, now);
   if (is_gap (attempt, piece))
-    return break_at_gap (dispatch, request, attempt, now, actions);
-  if (piece->offset < attempt->offset)
+    return end_attempt_at_gap (dispatch, request, attempt, now, actions);
+  if (piece->offset < attempt->next_offset)
     return drop_piece ();
-  if (request->delivery == LC_DELIVER_STREAM && request->owner == 0)
-    make_owner (dispatch, request, attempt, now, actions);
-  if (!fits_answer (dispatch, request, attempt, piece))
+  if (request->delivery == LC_DELIVER_STREAM && request->forwarded_attempt == 0)
+    commit_to_attempt (dispatch, request, attempt, now, actions);
+  if (!is_next_piece (dispatch, request, attempt, piece))
     {
-      lc_dispatch_give_up (dispatch, request, LB_ERROR_STREAM_BROKEN, 0, now, actions);
+      lc_dispatch_fail_request (dispatch, request, LB_ERROR_STREAM_BROKEN, 0, now, actions);
       return drop_piece ();
     }
   if (request->delivery == LC_DELIVER_STREAM)
-    note_pace (dispatch, attempt, piece, now);
-  attempt->offset += piece->tokens;
-  attempt->tokens += piece->tokens;
-  attempt->whole = piece->last;
+    record_pace (dispatch, attempt, piece, now);
+  attempt->next_offset += piece->tokens;
+  attempt->received_tokens += piece->tokens;
+  attempt->is_complete = piece->last;
   if (request->delivery == LC_DELIVER_STREAM)
-    request->next_token = attempt->offset;
+    request->next_token = attempt->next_offset;
   return LC_PIECE_FORWARD;
 }
--- a/packages/core/src/dispatch/lc-placement.c
+++ b/packages/core/src/dispatch/lc-placement.c
@@ -6,31 +6,31 @@
 
 #include <string.h>
 
-/* Requests that are passed over in one round because they fit nowhere now. Bounds the cost of a
+/* Waiting requests skipped in one round because no endpoint can take them now; bounds the cost of a
  * round while a pool is full. */
-#define MAX_PASSED_OVER 16
+#define MAX_SKIPPED_PER_ROUND 16
 #define MAX_BLOCKED_WAIT (200 * LB_MSEC)
-/* A timer that is later shows that this instance itself stood still. */
-#define OWN_PAUSE (300 * LB_MSEC)
-/* Until a second attempt that found no place is tried again. */
-#define HEDGE_AGAIN (100 * LB_MSEC)
-#define MAX_HOLD (1200 * LB_MSEC) /* a little more than a period of the polls for load */
+/* A sample's hedge timer that fires later than this shows that this instance itself was paused. */
+#define MAX_TIMER_LATENESS (300 * LB_MSEC)
+/* Delay before a hedge that found no endpoint is tried again. */
+#define HEDGE_RETRY_DELAY (100 * LB_MSEC)
+#define MAX_POOL_HOLD (1200 * LB_MSEC) /* slightly more than one load polling interval */
 
 static const LcEndpointGroup *
-group_of (const LcDispatch *dispatch, const LcPoolState *pool)
+find_group (const LcDispatch *dispatch, const LcPoolState *pool)
 {
   LcEndpointKind kind = pool->kind == LC_POOL_SERVICE ? LC_ENDPOINT_SERVICE : LC_ENDPOINT_ENGINE;
 
   return lc_endpoints_find_group (dispatch->endpoints, kind, pool->name);
 }
 
-/* The earliest time at which some endpoint of the pool may take work as far as its breaker goes: 0
- * for now, LB_TIME_NEVER when nobody serves the pool. */
+/* Returns the earliest time at which the breaker of some endpoint of the pool lets a request
+ * through: 0 for now, LB_TIME_NEVER if no endpoint serves the pool. */
 LbTime
-lc_dispatch_opens_at (LcDispatch *dispatch, const LcPoolState *pool)
+lc_dispatch_pool_available_at (LcDispatch *dispatch, const LcPoolState *pool)
 {
-  const LcEndpointGroup *group = group_of (dispatch, pool);
-  LbTime opens_at = LB_TIME_NEVER;
+  const LcEndpointGroup *group = find_group (dispatch, pool);
+  LbTime available_at = LB_TIME_NEVER;
 
   if (!pool->configured || !group)
     return LB_TIME_NEVER;
@@ -42,48 +42,50 @@
         continue;
       if (summary->endpoint->breaker != LC_BREAKER_OPEN)
         return 0;
-      if (summary->endpoint->breaker_open_until < opens_at)
-        opens_at = summary->endpoint->breaker_open_until;
+      if (summary->endpoint->breaker_open_until < available_at)
+        available_at = summary->endpoint->breaker_open_until;
     }
-  return opens_at;
+  return available_at;
 }
 
-/* Whether a call may wait for a pool that opens then. While every breaker of a pool is open, calls
- * that wait would pile up and fall on the first endpoint that returns all at once; their callers
- * are told at once when to come back instead. Samples may wait, since nobody sits before them. */
+/* Whether a request may wait for a pool that becomes available at that time. While all breakers of
+ * a pool are open, waiting calls would pile up and hit the first endpoint that returns all at once;
+ * their callers get a retry time immediately instead. Samples may wait, since no caller waits for
+ * them interactively. */
 bool
-lc_dispatch_may_wait (LcRequestKind kind, LbTime opens_at, LbTime start_by, LbTime now)
+lc_dispatch_may_wait (LcRequestKind kind, LbTime available_at, LbTime start_deadline, LbTime now)
 {
-  if (opens_at == LB_TIME_NEVER || opens_at > start_by)
+  if (available_at == LB_TIME_NEVER || available_at > start_deadline)
     return false;
-  return kind == LC_KIND_SAMPLE || opens_at <= now + MAX_BLOCKED_WAIT;
+  return kind == LC_KIND_SAMPLE || available_at <= now + MAX_BLOCKED_WAIT;
 }
 
 void
 lc_dispatch_enqueue (LcDispatch *dispatch, LcRequest *request)
 {
-  LcQueueKey key = lc_request_key (request);
+  LcQueueKey key = lc_request_queue_key (request);
 
   request->state = LC_STATE_WAITING;
-  lc_queue_push (request->pool->queue, &key, &request->waiting);
+  lc_queue_push (request->pool->queue, &key, &request->queue_entry);
   lc_dispatch_set_timer (dispatch, request);
 }
 
-/* An instance that was paused, was cut off from an endpoint or has just begun may not know that the
- * endpoint is leaving: what it sends is new work, seconds after the last had to go there. A report
- * that was asked for since this time proves that the endpoint was not leaving a short while ago. */
+/* Returns the time from which load reports count as current. An instance that was paused, was
+ * partitioned from an endpoint or has just started may not know that the endpoint is leaving, and
+ * would send it new work seconds after it had to stop. A report requested since then proves that
+ * the endpoint was not leaving shortly before. */
 static LbTime
-views_count_since (const LcDispatch *dispatch, LbTime now)
+reports_current_since (const LcDispatch *dispatch, LbTime now)
 {
-  LbTime longest = dispatch->settings.max_report_age;
+  LbTime max_age = dispatch->settings.max_report_age;
 
-  return longest < now ? now - longest : 0;
+  return max_age < now ? now - max_age : 0;
 }
 
 static bool
-has_view (const LcDispatch *dispatch, const LcPoolState *pool, LbTime since)
+has_current_report (const LcDispatch *dispatch, const LcPoolState *pool, LbTime since)
 {
-  const LcEndpointGroup *group = group_of (dispatch, pool);
+  const LcEndpointGroup *group = find_group (dispatch, pool);
 
   for (size_t i = 0; group && i < group->n_slots; i++)
     {
@@ -95,61 +97,65 @@
   return false;
 }
 
-/* Holds a pool back none of whose endpoints has a current view, until one reports. Reports come
- * within milliseconds when it was this instance that slept; when none comes for MAX_HOLD,
- * endpoints do not answer for their load and are taken as they are. Those that were never heard of
- * have been kept out by the table of endpoints for as long already. */
+/* Holds back the requests of a pool whose reports are all outdated until an endpoint reports. If
+ * this instance was paused, reports arrive within milliseconds. If none arrives within
+ * MAX_POOL_HOLD, the endpoints don't report their load and are used as they are. Endpoints that
+ * never reported are not held: the endpoint table has already excluded them for as long. */
 static LcRouteDecision
-hold_back (LcPoolState *pool, const LcRouteDecision *outdated, LbTime now)
+hold_or_use_outdated (LcPoolState *pool, const LcRouteDecision *outdated, LbTime now)
 {
   if (!lc_endpoint_entry (outdated->endpoint)->is_reported)
     return *outdated;
   if (pool->held_since == 0)
     pool->held_since = now;
-  if (now - pool->held_since >= MAX_HOLD)
+  if (now - pool->held_since >= MAX_POOL_HOLD)
     return *outdated;
   return (LcRouteDecision){ .reason = "view-too-old" };
 }
 
-/* Chooses among the endpoints with a current view as long as there is one, be they full. */
+/* Chooses among the endpoints with current reports, even if all of those are full, and among the
+ * others only if there are none. */
 static LcRouteDecision
-route (LcDispatch *dispatch, const LcRequest *request, bool avoid_tried, LbTime now)
+route_request (LcDispatch *dispatch, const LcRequest *request, bool avoid_tried, LbTime now)
 {
-  LcRouteQuery query = lc_request_query (request, dispatch->settings.data_centre, avoid_tried);
+  LcRouteQuery query
+      = lc_request_route_query (request, dispatch->settings.data_centre, avoid_tried);
 
-  query.reported_since = views_count_since (dispatch, now);
+  query.reported_since = reports_current_since (dispatch, now);
 
   LcRouteDecision decision = lc_router_choose (dispatch->router, dispatch->endpoints, &query, now);
 
   if (decision.endpoint)
     request->pool->held_since = 0;
-  if (decision.endpoint || has_view (dispatch, request->pool, query.reported_since))
+  if (decision.endpoint || has_current_report (dispatch, request->pool, query.reported_since))
     return decision;
   query.reported_since = 0;
   decision = lc_router_choose (dispatch->router, dispatch->endpoints, &query, now);
-  return decision.endpoint ? hold_back (request->pool, &decision, now) : decision;
+  return decision.endpoint ? hold_or_use_outdated (request->pool, &decision, now) : decision;
 }
 
 static LcRouteDecision
-choose (LcDispatch *dispatch, const LcRequest *request, LbTime now)
+choose_endpoint (LcDispatch *dispatch, const LcRequest *request, LbTime now)
 {
-  LcRouteDecision decision = route (dispatch, request, true, now);
+  LcRouteDecision decision = route_request (dispatch, request, true, now);
 
   if (decision.endpoint || request->n_tried == 0)
     return decision;
-  return route (dispatch, request, false, now);
+  return route_request (dispatch, request, false, now);
 }
 
-/* The last look before new work goes out. A retry, a hedge, a resume and queued work all pass
- * here, so an endpoint that is leaving gets none of them even when a policy names it by mistake,
- * and a call that may not be repeated gets no second attempt while it may have run. */
+/* Last check before an attempt is sent. Queued requests, retries, hedges and resumed streams all
+ * pass here, so a leaving endpoint gets none of them even if a policy chooses it by mistake, and a
+ * non-repeatable call gets no second attempt while it may have run. */
 static bool
 may_send (LcDispatch *dispatch, const LcRequest *request, const LcEndpoint *endpoint)
 {
-  bool first = lb_list_is_empty (&request->attempts) && !request->maybe_run;
+  bool is_first = lb_list_is_empty (&request->attempts) && !request->may_have_run;
 
-  return lc_dispatch_check (dispatch, !endpoint->leaving, "no-new-work-to-leaving", request->id)
-         && lc_dispatch_check (dispatch, request->repeatable || first, "at-most-once", request->id);
+  return lc_dispatch_check_invariant (dispatch, !endpoint->leaving, "no-new-work-to-leaving",
+                                      request->id)
+         && lc_dispatch_check_invariant (dispatch, request->repeatable || is_first, "at-most-once",
+                                         request->id);
 }
 
 static void
@@ -166,122 +172,125 @@
 
   request->state = LC_STATE_RUNNING;
   action->attempt = attempt->number;
-  action->resume_at = attempt->offset;
+  action->resume_at = attempt->next_offset;
   action->decision = *decision;
   LB_COPY (action->endpoint, endpoint->member.name);
   LB_COPY (action->address, endpoint->member.address);
-  lc_pool_state_started (request->pool, request->kind);
+  lc_pool_state_record_start (request->pool, request->kind);
   lc_endpoint_request_sent (endpoint, request->kind,
                             n_hashes ? request->prefix_hashes[n_hashes - 1] : 0, now);
   lc_dispatch_set_timer (dispatch, request);
 }
 
 static bool
-is_choosy (const LcRequest *request)
+has_constraints (const LcRequest *request)
 {
   return request->min_version > 0 || request->n_avoid > 0;
 }
 
-/* False when a newcomer stands behind one that could be sent nowhere a moment ago, and that asked
- * for nothing special: then there is no place for the newcomer either. */
+/* False if the new request queues behind an unconstrained one that could not be placed a moment
+ * ago: then the new one can't be placed either. */
 bool
-lc_dispatch_may_be_next (const LcRequest *request)
+lc_dispatch_may_be_placed (const LcRequest *request)
 {
-  const LcWaiting *first = lc_queue_first (request->pool->queue);
+  const LcQueueEntry *first = lc_queue_peek (request->pool->queue);
 
-  return first == &request->waiting || is_choosy (LB_CONTAINER (first, LcRequest, waiting));
+  return first == &request->queue_entry
+         || has_constraints (LB_CONTAINER (first, LcRequest, queue_entry));
 }
 
-/* What waited while endpoints ended under the same content, here or at other instances. */
+/* Fails a waiting request whose content has been quarantined since its admission, by crashes here
+ * or at other instances. */
 static void
-keep_out (LcDispatch *dispatch, LcRequest *request, LbTime until, LbTime now, LbList *actions)
+fail_quarantined (
+    LcDispatch *dispatch, LcRequest *request, LbTime until, LbTime now, LbList *actions)
 {
-  LbErrorCode error = request->maybe_run ? request->last_error : LB_ERROR_QUARANTINED;
+  LbErrorCode error = request->may_have_run ? request->last_error : LB_ERROR_QUARANTINED;
 
-  lc_dispatch_give_up (dispatch, request, error, until - now, now, actions);
+  lc_dispatch_fail_request (dispatch, request, error, until - now, now, actions);
 }
 
-/* Sends a request that has been chosen for an endpoint. */
+/* Sends a request to the endpoint that was chosen for it. */
 static void
-place (LcDispatch *dispatch,
-       LcRequest *request,
-       const LcRouteDecision *decision,
-       LbTime now,
-       LbList *actions)
+place_request (LcDispatch *dispatch,
+               LcRequest *request,
+               const LcRouteDecision *decision,
+               LbTime now,
+               LbList *actions)
 {
   const char *endpoint = decision->endpoint->member.name;
-  LbTime kept_until = lc_dispatch_kept_until (dispatch, request->content, now);
+  LbTime quarantined_until = lc_dispatch_quarantined_until (dispatch, request->content, now);
 
-  lc_queue_take (request->pool->queue, &request->waiting);
-  if (kept_until > 0)
+  lc_queue_dequeue (request->pool->queue, &request->queue_entry);
+  if (quarantined_until > 0)
     {
-      keep_out (dispatch, request, kept_until, now, actions);
+      fail_quarantined (dispatch, request, quarantined_until, now, actions);
       return;
     }
   if (!may_send (dispatch, request, decision->endpoint))
     {
-      lc_dispatch_give_up (dispatch, request, LB_ERROR_INVARIANT, 0, now, actions);
+      lc_dispatch_fail_request (dispatch, request, LB_ERROR_INVARIANT, 0, now, actions);
       return;
     }
-  if (request->charged && !lc_retry_budgets_allow (dispatch->budgets, endpoint))
+  if (request->retry_charged && !lc_retry_budgets_allow (dispatch->budgets, endpoint))
     {
-      lc_dispatch_give_up (dispatch, request, request->last_error, 0, now, actions);
+      lc_dispatch_fail_request (dispatch, request, request->last_error, 0, now, actions);
       return;
     }
-  if (request->charged)
+  if (request->retry_charged)
     lc_retry_budgets_spend (dispatch->budgets, endpoint);
-  request->charged = false;
+  request->retry_charged = false;
   send_attempt (dispatch, request, decision, now, actions);
 }
 
-/* Answers what waits for a pool that takes nothing for too long. */
+/* Fails the waiting requests of a pool that stays unavailable for too long. */
 static void
-answer_blocked (LcDispatch *dispatch, LcPoolState *pool, LbTime now, LbList *actions)
+fail_blocked (LcDispatch *dispatch, LcPoolState *pool, LbTime now, LbList *actions)
 {
-  LcWaiting *waiting = NULL;
+  LcQueueEntry *entry = NULL;
 
   if (lc_queue_length (pool->queue) == 0)
     return;
 
-  LbTime opens_at = lc_dispatch_opens_at (dispatch, pool);
+  LbTime available_at = lc_dispatch_pool_available_at (dispatch, pool);
 
-  while ((waiting = lc_queue_first (pool->queue)))
+  while ((entry = lc_queue_peek (pool->queue)))
     {
-      LcRequest *request = LB_CONTAINER (waiting, LcRequest, waiting);
-      LbErrorCode error = request->maybe_run ? request->last_error : LB_ERROR_NO_ENDPOINT;
+      LcRequest *request = LB_CONTAINER (entry, LcRequest, queue_entry);
+      LbErrorCode error = request->may_have_run ? request->last_error : LB_ERROR_NO_ENDPOINT;
 
-      if (lc_dispatch_may_wait (request->kind, opens_at, LB_TIME_NEVER, now))
+      if (lc_dispatch_may_wait (request->kind, available_at, LB_TIME_NEVER, now))
         return;
-      lc_dispatch_give_up (dispatch, request, error, 0, now, actions);
+      lc_dispatch_fail_request (dispatch, request, error, 0, now, actions);
     }
 }
 
-/* Sends as many waiting requests of the pool as fit. Ends at the first that fits nowhere, unless
- * that one is choosy: then others may still fit. */
+/* Sends as many waiting requests of the pool as its endpoints can take. Stops at the first that
+ * fits nowhere, unless that one has constraints: then others may still fit. */
 void
-lc_dispatch_pump (LcDispatch *dispatch, LcPoolState *pool, LbTime now, LbList *actions)
+lc_dispatch_send_waiting (LcDispatch *dispatch, LcPoolState *pool, LbTime now, LbList *actions)
 {
-  LcWaiting *waiting = NULL;
-  int passed_over = 0;
+  LcQueueEntry *entry = NULL;
+  int n_skipped = 0;
 
-  while ((waiting = lc_queue_first (pool->queue)))
+  while ((entry = lc_queue_peek (pool->queue)))
     {
-      LcRequest *request = LB_CONTAINER (waiting, LcRequest, waiting);
-      LcRouteDecision decision = choose (dispatch, request, now);
+      LcRequest *request = LB_CONTAINER (entry, LcRequest, queue_entry);
+      LcRouteDecision decision = choose_endpoint (dispatch, request, now);
 
       if (decision.endpoint)
-        place (dispatch, request, &decision, now, actions);
-      else if (is_choosy (request) && passed_over++ < MAX_PASSED_OVER)
-        lc_queue_set_aside (pool->queue, waiting);
+        place_request (dispatch, request, &decision, now, actions);
+      else if (has_constraints (request) && n_skipped++ < MAX_SKIPPED_PER_ROUND)
+        lc_queue_defer (pool->queue, entry);
       else
         break;
     }
-  lc_queue_restore (pool->queue);
-  answer_blocked (dispatch, pool, now, actions);
+  lc_queue_restore_deferred (pool->queue);
+  fail_blocked (dispatch, pool, now, actions);
 }
 
 void
-lc_dispatch_pump_all (LcDispatch *dispatch, LbTime now, LbList *actions)
+lc_dispatch_send_all_waiting (LcDispatch *dispatch, LbTime now, LbList *actions)
 {
   LcPoolState *next = NULL;
 
@@ -290,15 +299,15 @@
     for (LcPoolState *pool = dispatch->pools[kind]; pool; pool = next)
       {
         next = pool->hh.next;
-        lc_dispatch_pump (dispatch, pool, now, actions);
+        lc_dispatch_send_waiting (dispatch, pool, now, actions);
       }
 }
 
-/* What a second attempt of a call costs is bounded by the budgets of retries. A text takes a place
- * that is free, once, and leaves it when either engine begins; were it paid for, the texts that
- * hang at an engine gone dark would use up the budget with the first three. */
+/* The retry budgets bound the hedges of calls. A sample's hedge is free: it uses a slot that is
+ * idle, once, and is cancelled when either engine starts. If it cost budget, the samples that hang
+ * at an unresponsive engine would use it up with the first three. */
 static bool
-may_hedge_at (LcDispatch *dispatch, const LcRequest *request, const LcEndpoint *endpoint)
+is_hedge_allowed (LcDispatch *dispatch, const LcRequest *request, const LcEndpoint *endpoint)
 {
   const char *name = endpoint->member.name;
 
@@ -308,7 +317,7 @@
 }
 
 static void
-pay_for_hedge (LcDispatch *dispatch, const LcRequest *request, const LcEndpoint *endpoint)
+charge_hedge (LcDispatch *dispatch, const LcRequest *request, const LcEndpoint *endpoint)
 {
   if (request->kind == LC_KIND_SAMPLE)
     return;
@@ -320,37 +329,37 @@
 postpone_hedge (LcDispatch *dispatch, LcRequest *request, const LcAttempt *attempt, LbTime now)
 {
   request->hedged = false;
-  request->hedge_after = now - attempt->sent_at + HEDGE_AGAIN;
+  request->hedge_after = now - attempt->sent_at + HEDGE_RETRY_DELAY;
   lc_dispatch_set_timer (dispatch, request);
 }
 
-/* A second attempt elsewhere for a repeatable call that has heard nothing yet. Guards against an
- * instance that stood still itself: its timer is late then, and the first pieces of its texts, of
- * which it has hundreds, may be there, unread. */
+/* Sends a second attempt of a repeatable request that has not received a piece. Postpones it if
+ * this instance itself was paused: the timer is then late, and first pieces of its hundreds of
+ * samples may be waiting unread. */
 void
-lc_dispatch_hedge (LcDispatch *dispatch, LcRequest *request, LbTime now, LbList *actions)
+lc_dispatch_try_hedge (LcDispatch *dispatch, LcRequest *request, LbTime now, LbList *actions)
 {
   const LcAttempt *attempt = LB_LIST_FIRST (&request->attempts, LcAttempt, link);
-  LbTime due = request->due;
+  LbTime due = request->timer_due;
 
-  /* What is usual may have changed since the timer was set. */
+  /* The usual time to the first piece may have changed since the timer was set. */
   lc_dispatch_set_timer (dispatch, request);
-  if (!attempt || request->due > now)
+  if (!attempt || request->timer_due > now)
     return;
-  if (lc_dispatch_kept_until (dispatch, request->content, now) > 0)
+  if (lc_dispatch_quarantined_until (dispatch, request->content, now) > 0)
     {
       postpone_hedge (dispatch, request, attempt, now);
       return;
     }
-  if (request->kind == LC_KIND_SAMPLE && now - due > OWN_PAUSE)
+  if (request->kind == LC_KIND_SAMPLE && now - due > MAX_TIMER_LATENESS)
     {
       postpone_hedge (dispatch, request, attempt, now);
       return;
     }
   request->hedged = true;
-  lc_request_tried (request, attempt->endpoint);
+  lc_request_add_tried (request, attempt->endpoint);
 
-  LcRouteDecision decision = route (dispatch, request, true, now);
+  LcRouteDecision decision = route_request (dispatch, request, true, now);
   const LcEndpoint *endpoint = decision.endpoint;
 
   if (!endpoint || strcmp (endpoint->member.name, attempt->endpoint) == 0)
@@ -358,9 +367,9 @@
       postpone_hedge (dispatch, request, attempt, now);
       return;
     }
-  if (may_hedge_at (dispatch, request, endpoint) && may_send (dispatch, request, endpoint))
+  if (is_hedge_allowed (dispatch, request, endpoint) && may_send (dispatch, request, endpoint))
     {
-      pay_for_hedge (dispatch, request, endpoint);
+      charge_hedge (dispatch, request, endpoint);
       send_attempt (dispatch, request, &decision, now, actions);
     }
   lc_dispatch_set_timer (dispatch, request);
--- a/packages/core/src/dispatch/lc-policies.c
+++ b/packages/core/src/dispatch/lc-policies.c
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define MAX_SHARES 128
+#define MAX_CACHED_SHARES 128
 
 LcRouter *
 lc_policy_new (const LcPolicyClass *klass, uint64_t seed)
@@ -27,8 +27,8 @@
 
   lc_candidates_clear (&policy->candidates);
   gsl_rng_free (policy->rng);
-  free (policy->shares);
-  free (policy->loads);
+  free (policy->cached_shares);
+  free (policy->load_costs);
   free (policy);
 }
 
@@ -41,14 +41,14 @@
 
   lc_candidates_gather (candidates, endpoints, query, now);
   if (candidates->reason)
-    return lc_candidates_decide_nobody (candidates);
+    return lc_candidates_decide_none (candidates);
 
   size_t chosen = klass->pick (policy, endpoints, query, now);
   return lc_candidates_decide (candidates, chosen, klass->reason);
 }
 
 size_t
-lc_policy_pick_least (LcPolicy *policy)
+lc_policy_pick_lowest_score (LcPolicy *policy)
 {
   const LcCandidates *candidates = &policy->candidates;
   size_t best = 0;
@@ -68,41 +68,43 @@
 }
 
 static void
-grow_shares (LcPolicy *policy, size_t n_slots)
+ensure_shares (LcPolicy *policy, size_t n_slots)
 {
-  if (policy->n_shares >= n_slots)
+  if (policy->n_cached_shares >= n_slots)
     return;
-  policy->shares = lb_realloc (policy->shares, n_slots * sizeof *policy->shares);
-  memset (policy->shares + policy->n_shares, 0,
-          (n_slots - policy->n_shares) * sizeof *policy->shares);
-  policy->n_shares = n_slots;
+  policy->cached_shares
+      = lb_realloc (policy->cached_shares, n_slots * sizeof *policy->cached_shares);
+  memset (policy->cached_shares + policy->n_cached_shares, 0,
+          (n_slots - policy->n_cached_shares) * sizeof *policy->cached_shares);
+  policy->n_cached_shares = n_slots;
 }
 
 const double *
-lc_policy_fill_shares (LcPolicy *policy,
-                       const LcEndpoints *endpoints,
-                       const LcRouteQuery *query,
-                       LbTime now)
+lc_policy_compute_cached_shares (LcPolicy *policy,
+                                 const LcEndpoints *endpoints,
+                                 const LcRouteQuery *query,
+                                 LbTime now)
 {
-  LcCachedShare shares[MAX_SHARES];
+  LcCachedShare shares[MAX_CACHED_SHARES];
   size_t n = lc_prefix_index_find_shares (endpoints->prefix_index, query->prefix_hashes,
                                           query->n_prefix_hashes, endpoints->caches,
-                                          endpoints->n_slots, now, shares, MAX_SHARES);
+                                          endpoints->n_slots, now, shares, MAX_CACHED_SHARES);
 
-  grow_shares (policy, endpoints->n_slots);
+  ensure_shares (policy, endpoints->n_slots);
   for (size_t i = 0; i < n; i++)
-    policy->shares[shares[i].slot] = fmax (policy->shares[shares[i].slot], shares[i].share);
-  return policy->shares;
+    policy->cached_shares[shares[i].slot]
+        = fmax (policy->cached_shares[shares[i].slot], shares[i].share);
+  return policy->cached_shares;
 }
 
 void
-lc_policy_clear_shares (LcPolicy *policy)
+lc_policy_clear_cached_shares (LcPolicy *policy)
 {
-  memset (policy->shares, 0, policy->n_shares * sizeof *policy->shares);
+  memset (policy->cached_shares, 0, policy->n_cached_shares * sizeof *policy->cached_shares);
 }
 
 double
-lc_policy_rank (const LcEndpointEntry *entry, uint64_t key)
+lc_policy_rendezvous_rank (const LcEndpointEntry *entry, uint64_t key)
 {
   uint64_t pair[2] = { entry->name_hash, key };
   uint64_t hash = XXH3_64bits (pair, sizeof pair);
--- a/packages/core/src/dispatch/lc-policies.h
+++ b/packages/core/src/dispatch/lc-policies.h
@@ -8,8 +8,8 @@
 
 typedef struct LcPolicy LcPolicy;
 
-/* A policy differs from others only in how it picks among the candidates; who may take the request
- * at all is decided once for all of them. */
+/* Policies differ only in how they choose among the candidates; which endpoints are candidates is
+ * decided the same way for all of them. */
 typedef struct
 {
   LcRouterClass base;
@@ -18,24 +18,24 @@
   size_t (*pick) (LcPolicy *policy, LcEndpoints *endpoints, const LcRouteQuery *query, LbTime now);
 } LcPolicyClass;
 
-/* What the load of a candidate costs a request, in seconds. */
+/* Cost that the load of a candidate adds to a request. */
 typedef struct
 {
   double seconds;
-  double per_second; /* further requests that make it one second more */
-} LcLoadPrice;
+  double capacity_per_second; /* further requests that raise it by one second */
+} LcLoadCost;
 
 struct LcPolicy
 {
   LcRouter base;
   LcCandidates candidates;
   gsl_rng *rng;
-  uint64_t turn;  /* round-robin */
-  double *shares; /* by slot, all 0 between decisions */
-  size_t n_shares;
-  LcLoadPrice *loads; /* by candidate */
-  size_t n_loads;
-  double level_ratio; /* of the last decision; only saves steps */
+  uint64_t next_turn;    /* round-robin */
+  double *cached_shares; /* by slot, all 0 between decisions */
+  size_t n_cached_shares;
+  LcLoadCost *load_costs; /* by candidate */
+  size_t n_load_costs;
+  double level_ratio; /* of the last decision, to save iterations */
 };
 
 extern const LcPolicyClass lc_policy_random;
@@ -45,21 +45,22 @@
 extern const LcPolicyClass lc_policy_prefix_affinity;
 extern const LcPolicyClass lc_policy_finish_time;
 
-/* The parts of LcRouterClass that all policies share. */
+/* Implementations of LcRouterClass that all policies share. */
 LcRouter *lc_policy_new (const LcPolicyClass *klass, uint64_t seed);
 void lc_policy_free (LcRouter *router);
 LcRouteDecision
 lc_policy_choose (LcRouter *router, LcEndpoints *endpoints, const LcRouteQuery *query, LbTime now);
 
-/* The candidate with the least score, and among equals each with the same chance. */
-size_t lc_policy_pick_least (LcPolicy *policy);
-/* Believed shares of the query's prompt, by slot; valid until lc_policy_clear_shares. */
-const double *lc_policy_fill_shares (LcPolicy *policy,
-                                     const LcEndpoints *endpoints,
-                                     const LcRouteQuery *query,
-                                     LbTime now);
-void lc_policy_clear_shares (LcPolicy *policy);
-/* The same pair has the same rank (0 < rank <= 1) on all instances: rendezvous hashing. */
-double lc_policy_rank (const LcEndpointEntry *entry, uint64_t key);
+/* Returns the candidate with the lowest score; ties are broken uniformly at random. */
+size_t lc_policy_pick_lowest_score (LcPolicy *policy);
+/* Returns by slot the share of the query's prompt that is believed to be cached there; valid until
+ * lc_policy_clear_cached_shares. */
+const double *lc_policy_compute_cached_shares (LcPolicy *policy,
+                                               const LcEndpoints *endpoints,
+                                               const LcRouteQuery *query,
+                                               LbTime now);
+void lc_policy_clear_cached_shares (LcPolicy *policy);
+/* Rendezvous hashing: the same pair has the same rank (0 < rank <= 1) on all instances. */
+double lc_policy_rendezvous_rank (const LcEndpointEntry *entry, uint64_t key);
 
 #endif
--- a/packages/core/src/dispatch/lc-pool.c
+++ b/packages/core/src/dispatch/lc-pool.c
@@ -4,7 +4,7 @@
 
 #include <stdlib.h>
 
-#define MEAN_WEIGHT 0.05
+#define EWMA_WEIGHT 0.05
 
 LcPoolState *
 lc_pool_state_new (LcPoolKind kind, const char *name)
@@ -27,32 +27,32 @@
 }
 
 void
-lc_pool_state_started (LcPoolState *pool, LcRequestKind kind)
+lc_pool_state_record_start (LcPoolState *pool, LcRequestKind kind)
 {
   pool->running[kind]++;
 }
 
 static void
-add_to_mean (double *mean, LbTime sample)
+update_mean (double *mean, LbTime sample)
 {
   double seconds = (double)sample / (double)LB_SEC;
 
-  *mean = *mean > 0 ? *mean + MEAN_WEIGHT * (seconds - *mean) : seconds;
+  *mean = *mean > 0 ? *mean + EWMA_WEIGHT * (seconds - *mean) : seconds;
 }
 
 void
-lc_pool_state_heard (LcPoolState *pool, LcRequestKind kind, LbTime waited)
+lc_pool_state_record_first_piece (LcPoolState *pool, LcRequestKind kind, LbTime waited)
 {
-  add_to_mean (&pool->first_piece_seconds[kind], waited);
+  update_mean (&pool->first_piece_seconds[kind], waited);
 }
 
-/* took: how long a whole answer needed; 0 when the attempt says nothing about that. */
+/* duration: time taken by a complete answer; 0 if the attempt gives no such measurement. */
 void
-lc_pool_state_ended (LcPoolState *pool, LcRequestKind kind, LbTime took)
+lc_pool_state_record_end (LcPoolState *pool, LcRequestKind kind, LbTime duration)
 {
   pool->running[kind]--;
-  if (took > 0)
-    add_to_mean (&pool->mean_seconds[kind], took);
+  if (duration > 0)
+    update_mean (&pool->mean_attempt_seconds[kind], duration);
 }
 
 bool
@@ -61,17 +61,17 @@
   return (int64_t)lc_queue_length (pool->queue) >= pool->queue_limit;
 }
 
-/* How long a newcomer is likely to wait: the requests ahead of it over the rate at which attempts
- * end (Little's law over what runs now). 0 while nothing is known. */
+/* Estimates how long a new request would wait: the number of requests ahead of it over the rate at
+ * which attempts end (Little's law on those running now). 0 while nothing has been measured. */
 LbTime
-lc_pool_state_wait (const LcPoolState *pool, const LcQueueKey *key)
+lc_pool_state_estimate_wait (const LcPoolState *pool, const LcQueueKey *key)
 {
   double rate = 0;
 
   for (int kind = 0; kind < LC_N_KINDS; kind++)
-    if (pool->mean_seconds[kind] > 0)
-      rate += (double)pool->running[kind] / pool->mean_seconds[kind];
+    if (pool->mean_attempt_seconds[kind] > 0)
+      rate += (double)pool->running[kind] / pool->mean_attempt_seconds[kind];
   if (rate <= 0)
     return 0;
-  return (LbTime)(lc_queue_ahead (pool->queue, key) / rate * (double)LB_SEC);
+  return (LbTime)(lc_queue_estimate_ahead (pool->queue, key) / rate * (double)LB_SEC);
 }
--- a/packages/core/src/dispatch/lc-queue.c
+++ b/packages/core/src/dispatch/lc-queue.c
@@ -6,9 +6,9 @@
 #include <string.h>
 #include <uthash.h>
 
-#define PRIORITY_MAX 10
+#define MAX_PRIORITY 10
 
-/* Place of a band among the others: the smaller one comes first, number by number. */
+/* Order of a band among the others: lower comes first, compared member by member. */
 typedef struct
 {
   int kind;
@@ -19,16 +19,16 @@
 typedef struct
 {
   BandRank rank;
-  LcHeap active;  /* flows with requests, by virtual start time */
-  LcHeap backlog; /* the same flows, largest backlog for its share first */
-  LcHeap idle;    /* flows without requests that are still ahead of the virtual time */
+  LcHeap active;  /* flows with ready requests, by virtual start time */
+  LcHeap backlog; /* flows with requests, largest backlog relative to its share first */
+  LcHeap idle;    /* flows without requests whose start is still ahead of the virtual time */
   LcFlow *flows;
   double virtual_time;
   double active_share;
   size_t length;
 } Band;
 
-/* One caller's requests inside one band. */
+/* One caller's requests in one band. */
 struct LcFlow
 {
   UT_hash_handle hh;
@@ -36,8 +36,8 @@
   LcHeapNode backlog_node;
   LcHeapNode idle_node;
   Band *band;
-  LcHeap firsts; /* the request to take first on top; without those set aside */
-  LcHeap lasts;  /* the request to give up first on top; all of them */
+  LcHeap ready;      /* next request to send on top; without the deferred ones */
+  LcHeap shed_order; /* first request to drop on top; all of them */
   double share;
   double start;
   LcRequestKind kind;
@@ -46,15 +46,15 @@
 
 struct LcQueue
 {
-  Band **bands; /* by rank; a band stays when it has become empty */
+  Band **bands; /* in order of rank; empty bands are kept */
   size_t n_bands;
-  LbList aside; /* LcWaiting */
+  LbList deferred; /* LcQueueEntry */
   size_t length;
   size_t kind_length[LC_N_KINDS];
 };
 
 static bool
-goes_before (const LcWaiting *a, const LcWaiting *b)
+is_served_before (const LcQueueEntry *a, const LcQueueEntry *b)
 {
   if (a->priority != b->priority)
     return a->priority > b->priority;
@@ -64,17 +64,17 @@
 }
 
 static bool
-first_before (const LcHeapNode *a, const LcHeapNode *b)
+ready_before (const LcHeapNode *a, const LcHeapNode *b)
 {
-  return goes_before (LC_HEAP_ENTRY (a, LcWaiting, first_node),
-                      LC_HEAP_ENTRY (b, LcWaiting, first_node));
+  return is_served_before (LC_HEAP_ENTRY (a, LcQueueEntry, ready_node),
+                           LC_HEAP_ENTRY (b, LcQueueEntry, ready_node));
 }
 
 static bool
-last_before (const LcHeapNode *a, const LcHeapNode *b)
+shed_before (const LcHeapNode *a, const LcHeapNode *b)
 {
-  return goes_before (LC_HEAP_ENTRY (b, LcWaiting, last_node),
-                      LC_HEAP_ENTRY (a, LcWaiting, last_node));
+  return is_served_before (LC_HEAP_ENTRY (b, LcQueueEntry, shed_node),
+                           LC_HEAP_ENTRY (a, LcQueueEntry, shed_node));
 }
 
 static bool
@@ -91,38 +91,38 @@
 }
 
 static double
-backlog_of (const LcFlow *flow)
+relative_backlog (const LcFlow *flow)
 {
-  return (double)flow->lasts.length / flow->share;
+  return (double)flow->shed_order.length / flow->share;
 }
 
 static bool
 backlog_before (const LcHeapNode *a, const LcHeapNode *b)
 {
-  return backlog_of (LC_HEAP_ENTRY (a, LcFlow, backlog_node))
-         > backlog_of (LC_HEAP_ENTRY (b, LcFlow, backlog_node));
+  return relative_backlog (LC_HEAP_ENTRY (a, LcFlow, backlog_node))
+         > relative_backlog (LC_HEAP_ENTRY (b, LcFlow, backlog_node));
 }
 
 static int
-level_of (int priority)
+priority_level (int priority)
 {
-  if (priority > PRIORITY_MAX)
-    priority = PRIORITY_MAX;
-  if (priority < -PRIORITY_MAX)
-    priority = -PRIORITY_MAX;
-  return PRIORITY_MAX - priority;
+  if (priority > MAX_PRIORITY)
+    priority = MAX_PRIORITY;
+  if (priority < -MAX_PRIORITY)
+    priority = -MAX_PRIORITY;
+  return MAX_PRIORITY - priority;
 }
 
-/* Samples of organisations with the same priority share one band, so that no trainer can pass
- * another by a priority of its own. */
+/* Samples of organisations with the same priority share one band, so that no trainer can overtake
+ * another by its own priority. */
 static BandRank
 rank_of (const LcQueueKey *key)
 {
   static const int kinds[] = { [LC_KIND_LIVE] = 0, [LC_KIND_SERVICE] = 1, [LC_KIND_SAMPLE] = 2 };
 
   return (BandRank){ .kind = kinds[key->kind],
-                     .organisation = level_of (key->organisation_priority),
-                     .level = key->kind == LC_KIND_SAMPLE ? 0 : level_of (key->priority) };
+                     .organisation = priority_level (key->organisation_priority),
+                     .level = key->kind == LC_KIND_SAMPLE ? 0 : priority_level (key->priority) };
 }
 
 static bool
@@ -135,9 +135,9 @@
   return a->level < b->level;
 }
 
-/* Index of the first band that does not come before the rank. */
+/* Returns the index of the first band that does not come before the rank. */
 static size_t
-band_index (const LcQueue *queue, const BandRank *rank)
+find_band_index (const LcQueue *queue, const BandRank *rank)
 {
   size_t index = 0;
 
@@ -171,8 +171,8 @@
 {
   HASH_DELETE (hh, flow->band->flows, flow);
   lc_heap_remove (&flow->band->idle, &flow->idle_node);
-  lc_heap_clear (&flow->firsts);
-  lc_heap_clear (&flow->lasts);
+  lc_heap_clear (&flow->ready);
+  lc_heap_clear (&flow->shed_order);
   free (flow);
 }
 
@@ -197,7 +197,7 @@
 {
   LcQueue *queue = LB_NEW (LcQueue);
 
-  lb_list_init (&queue->aside);
+  lb_list_init (&queue->deferred);
   return queue;
 }
 
@@ -231,14 +231,14 @@
   LB_COPY (flow->caller, key->caller);
   flow->band = band;
   flow->kind = key->kind;
-  lc_heap_init (&flow->firsts, first_before);
-  lc_heap_init (&flow->lasts, last_before);
+  lc_heap_init (&flow->ready, ready_before);
+  lc_heap_init (&flow->shed_order, shed_before);
   HASH_ADD_STR (band->flows, caller, flow);
   return flow;
 }
 
-/* A flow that was idle starts at the band's virtual time at the earliest: it gains no credit by
- * idling, and a flow that had just been served keeps its later start. */
+/* A flow that was idle starts at the band's virtual time at the earliest, so idling earns no
+ * credit; a flow that was served recently keeps its later start. */
 static void
 flow_activate (LcFlow *flow, double share)
 {
@@ -252,14 +252,14 @@
   lc_heap_push (&band->backlog, &flow->backlog_node);
 }
 
-/* Idle flows whose start the virtual time has passed hold nothing worth keeping, and nor does any
- * when nobody waits. */
+/* Frees idle flows whose start the virtual time has passed, since they carry no debt; all of them
+ * if the band is empty. */
 static void
 drop_idle_flows (Band *band)
 {
   LcHeapNode *node = NULL;
 
-  while ((node = lc_heap_first (&band->idle)))
+  while ((node = lc_heap_top (&band->idle)))
     {
       LcFlow *flow = LC_HEAP_ENTRY (node, LcFlow, idle_node);
 
@@ -281,26 +281,26 @@
 }
 
 static void
-make_takeable (LcFlow *flow, LcWaiting *waiting)
+mark_ready (LcFlow *flow, LcQueueEntry *entry)
 {
-  lc_heap_push (&flow->firsts, &waiting->first_node);
-  if (!lc_heap_holds (&flow->active_node))
+  lc_heap_push (&flow->ready, &entry->ready_node);
+  if (!lc_heap_node_is_linked (&flow->active_node))
     lc_heap_push (&flow->band->active, &flow->active_node);
 }
 
 static void
-make_untakeable (LcFlow *flow, LcWaiting *waiting)
+unmark_ready (LcFlow *flow, LcQueueEntry *entry)
 {
-  lc_heap_remove (&flow->firsts, &waiting->first_node);
-  if (flow->firsts.length == 0)
+  lc_heap_remove (&flow->ready, &entry->ready_node);
+  if (flow->ready.length == 0)
     lc_heap_remove (&flow->band->active, &flow->active_node);
 }
 
 static Band *
-ensure_band (LcQueue *queue, const LcQueueKey *key)
+find_or_add_band (LcQueue *queue, const LcQueueKey *key)
 {
   BandRank rank = rank_of (key);
-  size_t index = band_index (queue, &rank);
+  size_t index = find_band_index (queue, &rank);
   Band *band = band_at (queue, index, &rank);
 
   if (band)
@@ -313,132 +313,133 @@
   return queue->bands[index];
 }
 
-/* Adds a request. One that comes back for a retry keeps its sequence and brings cost 0, so it goes
- * before the newer ones of its flow and is not charged twice. */
+/* Adds a request. A retry keeps its sequence number and has cost 0, so it goes before newer
+ * requests of its flow and is not charged twice. */
 void
-lc_queue_push (LcQueue *queue, const LcQueueKey *key, LcWaiting *waiting)
+lc_queue_push (LcQueue *queue, const LcQueueKey *key, LcQueueEntry *entry)
 {
-  Band *band = ensure_band (queue, key);
+  Band *band = find_or_add_band (queue, key);
   LcFlow *flow = find_flow (band, key->caller);
 
   if (!flow)
     flow = flow_new (band, key);
-  if (flow->lasts.length == 0)
+  if (flow->shed_order.length == 0)
     flow_activate (flow, key->share);
-  waiting->flow = flow;
-  waiting->priority = key->priority;
-  make_takeable (flow, waiting);
-  lc_heap_push (&flow->lasts, &waiting->last_node);
-  lc_heap_moved (&band->backlog, &flow->backlog_node);
+  entry->flow = flow;
+  entry->priority = key->priority;
+  mark_ready (flow, entry);
+  lc_heap_push (&flow->shed_order, &entry->shed_node);
+  lc_heap_update (&band->backlog, &flow->backlog_node);
   band->length++;
   queue->length++;
   queue->kind_length[flow->kind]++;
 }
 
-/* Takes a request out without charging its caller: cancelled, given up on, or past its deadline. */
+/* Removes a request without charging its caller: it was cancelled, dropped or reached its
+ * deadline. */
 void
-lc_queue_remove (LcQueue *queue, LcWaiting *waiting)
+lc_queue_remove (LcQueue *queue, LcQueueEntry *entry)
 {
-  LcFlow *flow = waiting->flow;
+  LcFlow *flow = entry->flow;
 
   if (!flow)
     return;
-  if (lb_link_is_linked (&waiting->aside_link))
-    lb_list_remove (&queue->aside, &waiting->aside_link);
+  if (lb_link_is_linked (&entry->deferred_link))
+    lb_list_remove (&queue->deferred, &entry->deferred_link);
   else
-    make_untakeable (flow, waiting);
-  lc_heap_remove (&flow->lasts, &waiting->last_node);
-  waiting->flow = NULL;
+    unmark_ready (flow, entry);
+  lc_heap_remove (&flow->shed_order, &entry->shed_node);
+  entry->flow = NULL;
   flow->band->length--;
   queue->length--;
   queue->kind_length[flow->kind]--;
-  if (flow->lasts.length == 0)
+  if (flow->shed_order.length == 0)
     flow_deactivate (flow);
   else
-    lc_heap_moved (&flow->band->backlog, &flow->backlog_node);
+    lc_heap_update (&flow->band->backlog, &flow->backlog_node);
 }
 
-/* Takes a request out to be sent and charges its caller. */
+/* Removes a request in order to send it, and charges its caller. */
 void
-lc_queue_take (LcQueue *queue, LcWaiting *waiting)
+lc_queue_dequeue (LcQueue *queue, LcQueueEntry *entry)
 {
-  LcFlow *flow = waiting->flow;
+  LcFlow *flow = entry->flow;
   Band *band = flow->band;
 
   if (flow->start > band->virtual_time)
     band->virtual_time = flow->start;
-  flow->start += waiting->cost / flow->share;
-  if (lc_heap_holds (&flow->active_node))
-    lc_heap_moved (&band->active, &flow->active_node);
-  lc_queue_remove (queue, waiting);
+  flow->start += entry->cost / flow->share;
+  if (lc_heap_node_is_linked (&flow->active_node))
+    lc_heap_update (&band->active, &flow->active_node);
+  lc_queue_remove (queue, entry);
 }
 
-/* Passes over this request until lc_queue_restore: it can't be placed now, others perhaps can. */
+/* Skips this request until lc_queue_restore_deferred: it can't be placed now, but others may be. */
 void
-lc_queue_set_aside (LcQueue *queue, LcWaiting *waiting)
+lc_queue_defer (LcQueue *queue, LcQueueEntry *entry)
 {
-  make_untakeable (waiting->flow, waiting);
-  lb_list_append (&queue->aside, &waiting->aside_link);
+  unmark_ready (entry->flow, entry);
+  lb_list_append (&queue->deferred, &entry->deferred_link);
 }
 
 void
-lc_queue_restore (LcQueue *queue)
+lc_queue_restore_deferred (LcQueue *queue)
 {
   LbLink *link = NULL;
 
-  while ((link = lb_list_pop (&queue->aside)))
+  while ((link = lb_list_pop (&queue->deferred)))
     {
-      LcWaiting *waiting = LB_CONTAINER (link, LcWaiting, aside_link);
+      LcQueueEntry *entry = LB_CONTAINER (link, LcQueueEntry, deferred_link);
 
-      make_takeable (waiting->flow, waiting);
+      mark_ready (entry->flow, entry);
     }
 }
 
-/* The request whose turn it is; NULL when none waits. */
-LcWaiting *
-lc_queue_first (const LcQueue *queue)
+/* Returns the request to send next; NULL if none is ready. */
+LcQueueEntry *
+lc_queue_peek (const LcQueue *queue)
 {
   for (size_t i = 0; i < queue->n_bands; i++)
     {
-      LcHeapNode *node = lc_heap_first (&queue->bands[i]->active);
+      LcHeapNode *node = lc_heap_top (&queue->bands[i]->active);
 
       if (node)
-        return LC_HEAP_ENTRY (lc_heap_first (&LC_HEAP_ENTRY (node, LcFlow, active_node)->firsts),
-                              LcWaiting, first_node);
+        return LC_HEAP_ENTRY (lc_heap_top (&LC_HEAP_ENTRY (node, LcFlow, active_node)->ready),
+                              LcQueueEntry, ready_node);
     }
   return NULL;
 }
 
 static double
-backlog_with_one_more (const Band *band, const LcQueueKey *key)
+relative_backlog_with_newcomer (const Band *band, const LcQueueKey *key)
 {
   const LcFlow *flow = find_flow (band, key->caller);
   double share = key->share > 0 ? key->share : 1;
 
-  return ((flow ? (double)flow->lasts.length : 0) + 1) / share;
+  return ((flow ? (double)flow->shed_order.length : 0) + 1) / share;
 }
 
-/* The request to give up for a newcomer: the last one of the caller that is furthest over its share
- * in the least valuable band. NULL when the newcomer itself is the least valuable. */
-LcWaiting *
-lc_queue_victim (const LcQueue *queue, const LcQueueKey *key)
+/* Returns the request to drop for a new one: the last one of the caller that is furthest over its
+ * share in the lowest band. NULL if the new request itself has the lowest value. */
+LcQueueEntry *
+lc_queue_find_victim (const LcQueue *queue, const LcQueueKey *key)
 {
   BandRank rank = rank_of (key);
-  size_t own = band_index (queue, &rank);
-  const Band *own_band = band_at (queue, own, &rank);
+  size_t own_index = find_band_index (queue, &rank);
+  const Band *own_band = band_at (queue, own_index, &rank);
 
-  for (size_t i = queue->n_bands; i-- > own;)
+  for (size_t i = queue->n_bands; i-- > own_index;)
     {
       const Band *band = queue->bands[i];
 
       if (band->length == 0)
         continue;
 
-      LcFlow *flow = LC_HEAP_ENTRY (lc_heap_first (&band->backlog), LcFlow, backlog_node);
+      LcFlow *flow = LC_HEAP_ENTRY (lc_heap_top (&band->backlog), LcFlow, backlog_node);
 
-      if (band == own_band && backlog_of (flow) <= backlog_with_one_more (band, key))
+      if (band == own_band && relative_backlog (flow) <= relative_backlog_with_newcomer (band, key))
         return NULL;
-      return LC_HEAP_ENTRY (lc_heap_first (&flow->lasts), LcWaiting, last_node);
+      return LC_HEAP_ENTRY (lc_heap_top (&flow->shed_order), LcQueueEntry, shed_node);
     }
   return NULL;
 }
@@ -450,31 +451,31 @@
 }
 
 size_t
-lc_queue_kind_length (const LcQueue *queue, LcRequestKind kind)
+lc_queue_length_of_kind (const LcQueue *queue, LcRequestKind kind)
 {
   return queue->kind_length[kind];
 }
 
-/* How many requests are likely to be taken before a newcomer with this key: all of the bands above
- * and, of its own band, what fair sharing lets through before the caller's last request. */
+/* Estimates how many requests go before a new one with this key: all of the higher bands and, in
+ * its own band, those that fair queueing serves before the caller's last request. */
 double
-lc_queue_ahead (const LcQueue *queue, const LcQueueKey *key)
+lc_queue_estimate_ahead (const LcQueue *queue, const LcQueueKey *key)
 {
   BandRank rank = rank_of (key);
-  size_t own = band_index (queue, &rank);
-  const Band *band = band_at (queue, own, &rank);
+  size_t own_index = find_band_index (queue, &rank);
+  const Band *band = band_at (queue, own_index, &rank);
   double share = key->share > 0 ? key->share : 1;
   double ahead = 0;
 
-  for (size_t i = 0; i < own; i++)
+  for (size_t i = 0; i < own_index; i++)
     ahead += (double)queue->bands[i]->length;
   if (!band)
     return ahead;
 
   const LcFlow *flow = find_flow (band, key->caller);
-  double active = band->active_share + (flow && flow->lasts.length ? 0 : share);
-  double turns = (flow ? (double)flow->lasts.length : 0) * active / share;
+  double active = band->active_share + (flow && flow->shed_order.length ? 0 : share);
+  double ahead_in_band = (flow ? (double)flow->shed_order.length : 0) * active / share;
 
-  turns += (active - share) / share;
-  return ahead + (turns < (double)band->length ? turns : (double)band->length);
+  ahead_in_band += (active - share) / share;
+  return ahead + (ahead_in_band < (double)band->length ? ahead_in_band : (double)band->length);
 }
--- a/packages/core/src/dispatch/lc-queue.h
+++ b/packages/core/src/dispatch/lc-queue.h
@@ -4,27 +4,26 @@
 #include "lc-heap.h"
 #include "lc-types.h"
 
-/* The waiting requests of one pool. Bands come strictly one after the other: live calls, then calls
- * of services, then samples; of one kind by the priority of their organisation, then by their own.
- * Inside a band callers share by
- * start-time fair queueing: each caller's flow carries a virtual start time that grows by cost over
- * share for every request taken. Inside a flow the larger priority goes first, then the earlier
- * latest start, then the older. */
+/* The waiting requests of one pool, in bands of strict priority: live calls, then service calls,
+ * then samples; within a kind by the priority of the organisation, then by the request's own.
+ * Within a band, callers share by start-time fair queueing: each caller's flow has a virtual start
+ * time that grows by cost over share with every request sent. Within a flow, higher priority goes
+ * first, then earlier latest start, then the older request. */
 typedef struct LcQueue LcQueue;
 typedef struct LcFlow LcFlow;
 
-/* Lives in the request. */
+/* Embedded in the request. */
 typedef struct
 {
-  LcHeapNode first_node;
-  LcHeapNode last_node;
-  LbLink aside_link;
+  LcHeapNode ready_node;
+  LcHeapNode shed_node;
+  LbLink deferred_link;
   LcFlow *flow; /* NULL: not waiting */
   uint64_t sequence;
   double cost;
   int priority;
   LbTime latest_start; /* 0: none */
-} LcWaiting;
+} LcQueueEntry;
 
 typedef struct
 {
@@ -39,17 +38,17 @@
 void lc_queue_free (LcQueue *queue);
 
 /* commands */
-void lc_queue_push (LcQueue *queue, const LcQueueKey *key, LcWaiting *waiting);
-void lc_queue_take (LcQueue *queue, LcWaiting *waiting);
-void lc_queue_remove (LcQueue *queue, LcWaiting *waiting);
-void lc_queue_set_aside (LcQueue *queue, LcWaiting *waiting);
-void lc_queue_restore (LcQueue *queue);
+void lc_queue_push (LcQueue *queue, const LcQueueKey *key, LcQueueEntry *entry);
+void lc_queue_dequeue (LcQueue *queue, LcQueueEntry *entry);
+void lc_queue_remove (LcQueue *queue, LcQueueEntry *entry);
+void lc_queue_defer (LcQueue *queue, LcQueueEntry *entry);
+void lc_queue_restore_deferred (LcQueue *queue);
 
 /* queries */
-LcWaiting *lc_queue_first (const LcQueue *queue);
-LcWaiting *lc_queue_victim (const LcQueue *queue, const LcQueueKey *key);
+LcQueueEntry *lc_queue_peek (const LcQueue *queue);
+LcQueueEntry *lc_queue_find_victim (const LcQueue *queue, const LcQueueKey *key);
 size_t lc_queue_length (const LcQueue *queue);
-size_t lc_queue_kind_length (const LcQueue *queue, LcRequestKind kind);
-double lc_queue_ahead (const LcQueue *queue, const LcQueueKey *key);
+size_t lc_queue_length_of_kind (const LcQueue *queue, LcRequestKind kind);
+double lc_queue_estimate_ahead (const LcQueue *queue, const LcQueueKey *key);
 
 #endif
--- a/packages/core/src/dispatch/lc-request.c
+++ b/packages/core/src/dispatch/lc-request.c
@@ -5,8 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Of one request, whatever its route allows: a few endpoints that are gone, and bounded in a storm.
- */
+/* Bounds the attempts of one request whatever its route allows: covers a few unreachable endpoints,
+ * and limits retry storms. */
 #define MAX_ATTEMPTS 6
 
 static void *
@@ -16,7 +16,7 @@
 }
 
 static double
-cost_of (const LcRequestSpec *spec)
+queue_cost (const LcRequestSpec *spec)
 {
   int64_t tokens = spec->prompt_tokens + spec->expected_tokens;
 
@@ -30,7 +30,7 @@
 
   request->id = spec->id;
   request->pool = pool;
-  request->due = LB_TIME_NEVER;
+  request->timer_due = LB_TIME_NEVER;
   request->submitted = now;
   request->deadline = spec->deadline;
   request->retry_at = LB_TIME_NEVER;
@@ -53,8 +53,8 @@
   request->min_version = spec->min_version;
   request->first_token = spec->resume_at;
   request->next_token = spec->resume_at;
-  request->waiting.cost = cost_of (spec);
-  request->waiting.latest_start = spec->latest_start;
+  request->queue_entry.cost = queue_cost (spec);
+  request->queue_entry.latest_start = spec->latest_start;
   lb_list_init (&request->attempts);
   request->n_prefix_hashes
       = spec->n_prefix_hashes < LC_MAX_PREFIX_HASHES ? spec->n_prefix_hashes : LC_MAX_PREFIX_HASHES;
@@ -88,14 +88,14 @@
   attempt->number = ++request->n_attempts;
   LB_COPY (attempt->endpoint, endpoint);
   attempt->sent_at = now;
-  attempt->offset = request->next_token;
+  attempt->next_offset = request->next_token;
   lb_list_append (&request->attempts, &attempt->link);
   return attempt;
 }
 
-/* NULL when no such attempt runs. */
+/* Returns NULL if no such attempt is running. */
 LcAttempt *
-lc_request_attempt (const LcRequest *request, uint32_t number)
+lc_request_find_attempt (const LcRequest *request, uint32_t number)
 {
   LB_LIST_FOREACH (&request->attempts, LcAttempt, link, attempt)
   {
@@ -106,14 +106,14 @@
 }
 
 void
-lc_request_drop_attempt (LcRequest *request, LcAttempt *attempt)
+lc_request_remove_attempt (LcRequest *request, LcAttempt *attempt)
 {
   lb_list_remove (&request->attempts, &attempt->link);
   free (attempt);
 }
 
 void
-lc_request_tried (LcRequest *request, const char *endpoint)
+lc_request_add_tried (LcRequest *request, const char *endpoint)
 {
   size_t n = request->n_avoid + request->n_tried;
 
@@ -128,7 +128,7 @@
 }
 
 LcQueueKey
-lc_request_key (const LcRequest *request)
+lc_request_queue_key (const LcRequest *request)
 {
   return (LcQueueKey){ .kind = request->kind,
                        .organisation_priority = request->organisation_priority,
@@ -138,7 +138,7 @@
 }
 
 LcRouteQuery
-lc_request_query (const LcRequest *request, const char *data_centre, bool avoid_tried)
+lc_request_route_query (const LcRequest *request, const char *data_centre, bool avoid_tried)
 {
   LcRouteQuery query = {
     .kind = request->kind,
@@ -160,7 +160,7 @@
   return query;
 }
 
-/* True when the submitter has already been given a part of the answer. */
+/* Whether the submitter has already received part of the answer. */
 bool
 lc_request_has_output (const LcRequest *request)
 {
@@ -168,21 +168,21 @@
 }
 
 bool
-lc_request_keeps_pieces (const LcRequest *request)
+lc_request_is_resumable_stream (const LcRequest *request)
 {
   return request->delivery == LC_DELIVER_STREAM && request->resumable;
 }
 
-/* Guards against a route's limit that is used up by endpoints that are gone: with half of a
- * service's endpoints restarting, a call with 1.5 s to spare was given up after 6 ms and two
- * connections that did not open, while the other half was idle. The limit bounds how many are
- * asked; the dispatch's own bounds all attempts. */
+/* A route's limit counts only attempts that reached an endpoint; MAX_ATTEMPTS bounds all of them.
+ * Otherwise unreachable endpoints used up the limit: with half of a service's endpoints restarting,
+ * a call with 1.5 s left failed after 6 ms and two connection failures, while the other half was
+ * idle. */
 bool
 lc_request_has_attempts_left (const LcRequest *request)
 {
-  uint32_t asked = request->n_attempts - request->n_not_handed;
+  uint32_t n_reached = request->n_attempts - request->n_not_sent;
 
   if (request->n_attempts >= MAX_ATTEMPTS)
     return false;
-  return request->max_attempts == 0 || asked < request->max_attempts;
+  return request->max_attempts == 0 || n_reached < request->max_attempts;
 }
--- a/packages/core/src/dispatch/lc-retry.c
+++ b/packages/core/src/dispatch/lc-retry.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <uthash.h>
 
-#define FIRST_TOKENS 3.0
+#define INITIAL_TOKENS 3.0
 #define MAX_TOKENS 10.0
 #define MAX_BUCKETS 16384
 #define BASE_DELAY (25 * LB_MSEC)
@@ -21,22 +21,22 @@
 
 struct LcRetryBudgets
 {
-  Bucket *buckets; /* the one used last is last */
-  double share;
+  Bucket *buckets; /* in order of last use, oldest first */
+  double earned_per_success;
 };
 
-/* share: tokens earned by each success; 0 allows no retry at all. */
+/* earned_per_success: tokens that each success earns; 0 allows no retries at all. */
 LcRetryBudgets *
-lc_retry_budgets_new (double share)
+lc_retry_budgets_new (double earned_per_success)
 {
   LcRetryBudgets *budgets = LB_NEW (LcRetryBudgets);
 
-  budgets->share = share;
+  budgets->earned_per_success = earned_per_success;
   return budgets;
 }
 
 static void
-drop (LcRetryBudgets *budgets, Bucket *bucket)
+remove_bucket (LcRetryBudgets *budgets, Bucket *bucket)
 {
   HASH_DELETE (hh, budgets->buckets, bucket);
   free (bucket);
@@ -48,12 +48,12 @@
   if (!budgets)
     return;
   while (budgets->buckets)
-    drop (budgets, budgets->buckets);
+    remove_bucket (budgets, budgets->buckets);
   free (budgets);
 }
 
 static Bucket *
-find (const LcRetryBudgets *budgets, const char *name)
+find_bucket (const LcRetryBudgets *budgets, const char *name)
 {
   Bucket *bucket = NULL;
 
@@ -61,20 +61,21 @@
   return bucket;
 }
 
-/* Callers choose their own names, so the table is bounded: the one unused for longest goes. */
+/* Callers choose their own names, so the table is bounded: the least recently used bucket is
+ * evicted. */
 static Bucket *
-touch (LcRetryBudgets *budgets, const char *name)
+touch_bucket (LcRetryBudgets *budgets, const char *name)
 {
-  Bucket *bucket = find (budgets, name);
+  Bucket *bucket = find_bucket (budgets, name);
 
   if (bucket)
     HASH_DELETE (hh, budgets->buckets, bucket);
   else
     {
       if (HASH_COUNT (budgets->buckets) >= MAX_BUCKETS)
-        drop (budgets, budgets->buckets);
+        remove_bucket (budgets, budgets->buckets);
       bucket = LB_NEW (Bucket);
-      bucket->tokens = FIRST_TOKENS;
+      bucket->tokens = INITIAL_TOKENS;
       LB_COPY (bucket->name, name);
     }
   HASH_ADD_STR (budgets->buckets, name, bucket);
@@ -84,9 +85,9 @@
 void
 lc_retry_budgets_earn (LcRetryBudgets *budgets, const char *name)
 {
-  Bucket *bucket = touch (budgets, name);
+  Bucket *bucket = touch_bucket (budgets, name);
 
-  bucket->tokens += budgets->share;
+  bucket->tokens += budgets->earned_per_success;
   if (bucket->tokens > MAX_TOKENS)
     bucket->tokens = MAX_TOKENS;
 }
@@ -94,17 +95,17 @@
 void
 lc_retry_budgets_spend (LcRetryBudgets *budgets, const char *name)
 {
-  touch (budgets, name)->tokens -= 1;
+  touch_bucket (budgets, name)->tokens -= 1;
 }
 
 bool
 lc_retry_budgets_allow (const LcRetryBudgets *budgets, const char *name)
 {
-  const Bucket *bucket = find (budgets, name);
+  const Bucket *bucket = find_bucket (budgets, name);
 
-  if (budgets->share <= 0)
+  if (budgets->earned_per_success <= 0)
     return false;
-  return (bucket ? bucket->tokens : FIRST_TOKENS) >= 1;
+  return (bucket ? bucket->tokens : INITIAL_TOKENS) >= 1;
 }
 
 size_t
@@ -113,8 +114,8 @@
   return HASH_COUNT (budgets->buckets);
 }
 
-/* Full jitter: uniform between nothing and a bound that doubles with each retry, so that requests
- * which failed together do not come back together. */
+/* Full jitter: uniform between 0 and a bound that doubles with each retry, so that requests that
+ * failed together are not retried together. */
 LbTime
 lc_retry_delay (gsl_rng *random, uint32_t n_retries)
 {
--- a/packages/core/src/dispatch/lc-retry.h
+++ b/packages/core/src/dispatch/lc-retry.h
@@ -5,12 +5,12 @@
 
 #include <gsl/gsl_rng.h>
 
-/* Budgets of retries and hedges. Every attempt that succeeds earns its caller and its endpoint
- * a share of a token, every retry or hedge spends a whole one of both. So while nothing
- * succeeds, retries stop by themselves. */
+/* Token buckets for retries and hedges, by caller and by endpoint. Every successful attempt earns a
+ * fraction of a token for both, every retry or hedge costs a whole token of both, so retries stop
+ * while nothing succeeds. */
 typedef struct LcRetryBudgets LcRetryBudgets;
 
-LcRetryBudgets *lc_retry_budgets_new (double share);
+LcRetryBudgets *lc_retry_budgets_new (double earned_per_success);
 void lc_retry_budgets_free (LcRetryBudgets *budgets);
 
 /* commands */
--- a/packages/core/src/dispatch/lc-router-least-outstanding.c
+++ b/packages/core/src/dispatch/lc-router-least-outstanding.c
@@ -1,6 +1,7 @@
 #include "lc-policies.h"
 
-/* Baseline: the fewest requests of this instance's own, as a plain balancer counts them. */
+/* Baseline: the fewest requests of this instance in flight, as a plain load balancer counts
+ * them. */
 static size_t
 pick (LcPolicy *policy, LcEndpoints *endpoints, const LcRouteQuery *query, LbTime now)
 {
@@ -11,7 +12,7 @@
   (void)now;
   for (size_t i = 0; i < candidates->n_items; i++)
     candidates->items[i].score = (double)candidates->items[i].endpoint->in_flight;
-  return lc_policy_pick_least (policy);
+  return lc_policy_pick_lowest_score (policy);
 }
 
 static LcRouter *
--- a/packages/core/src/dispatch/lc-router-power-of-two.c
+++ b/packages/core/src/dispatch/lc-router-power-of-two.c
@@ -1,14 +1,14 @@
 #include "lc-policies.h"
 
 static double
-load (const LcEndpoint *endpoint)
+reported_load (const LcEndpoint *endpoint)
 {
   return (double)(endpoint->report.running + endpoint->report.waiting
                   + endpoint->sent_since_report);
 }
 
-/* Baseline: two at random, then the one with the shorter queue by its report and our own sends
- * since. */
+/* Baseline: two at random, then the one with the lower load by its report and this instance's own
+ * requests since. */
 static size_t
 pick (LcPolicy *policy, LcEndpoints *endpoints, const LcRouteQuery *query, LbTime now)
 {
@@ -19,8 +19,8 @@
   (void)endpoints;
   (void)query;
   (void)now;
-  items[a].score = load (items[a].endpoint);
-  items[b].score = load (items[b].endpoint);
+  items[a].score = reported_load (items[a].endpoint);
+  items[b].score = reported_load (items[b].endpoint);
   return items[b].score < items[a].score ? b : a;
 }
 
--- a/packages/core/src/dispatch/lc-router-prefix-affinity.c
+++ b/packages/core/src/dispatch/lc-router-prefix-affinity.c
@@ -1,7 +1,7 @@
 #include "lc-policies.h"
 
-/* Baseline: where most of the prompt is believed cached, whatever the load there. Nobody believed
- * to hold any of it: by rendezvous of the prompt's first block, so that all instances agree. */
+/* Baseline: the endpoint believed to have cached most of the prompt, regardless of load. If none
+ * has any of it, rendezvous hashing of the prompt's first block makes all instances agree. */
 static size_t
 pick (LcPolicy *policy, LcEndpoints *endpoints, const LcRouteQuery *query, LbTime now)
 {
@@ -10,19 +10,19 @@
   if (query->n_prefix_hashes == 0)
     return gsl_rng_uniform_int (policy->rng, candidates->n_items);
 
-  const double *shares = lc_policy_fill_shares (policy, endpoints, query, now);
+  const double *cached_shares = lc_policy_compute_cached_shares (policy, endpoints, query, now);
   size_t best = 0;
 
   for (size_t i = 0; i < candidates->n_items; i++)
     {
       const LcEndpointEntry *entry = lc_endpoint_entry (candidates->items[i].endpoint);
-      double rank = lc_policy_rank (entry, query->prefix_hashes[0]);
+      double rank = lc_policy_rendezvous_rank (entry, query->prefix_hashes[0]);
 
-      candidates->items[i].score = -shares[entry->endpoint.slot] - rank * 1e-6;
+      candidates->items[i].score = -cached_shares[entry->endpoint.slot] - rank * 1e-6;
       if (candidates->items[i].score < candidates->items[best].score)
         best = i;
     }
-  lc_policy_clear_shares (policy);
+  lc_policy_clear_cached_shares (policy);
   return best;
 }
 
--- a/packages/core/src/dispatch/lc-router-random.c
+++ b/packages/core/src/dispatch/lc-router-random.c
@@ -1,6 +1,6 @@
 #include "lc-policies.h"
 
-/* Baseline: every candidate with the same chance. */
+/* Baseline: uniformly at random. */
 static size_t
 pick (LcPolicy *policy, LcEndpoints *endpoints, const LcRouteQuery *query, LbTime now)
 {
--- a/packages/core/src/dispatch/lc-router-round-robin.c
+++ b/packages/core/src/dispatch/lc-router-round-robin.c
@@ -1,6 +1,6 @@
 #include "lc-policies.h"
 
-/* Baseline: one after the other. Instances begin at different places, as they would when started at
+/* Baseline: round-robin. Instances start at random positions, as if they had been started at
  * different times. */
 static size_t
 pick (LcPolicy *policy, LcEndpoints *endpoints, const LcRouteQuery *query, LbTime now)
@@ -8,9 +8,9 @@
   (void)endpoints;
   (void)query;
   (void)now;
-  if (policy->turn == 0)
-    policy->turn = gsl_rng_get (policy->rng);
-  return policy->turn++ % policy->candidates.n_items;
+  if (policy->next_turn == 0)
+    policy->next_turn = gsl_rng_get (policy->rng);
+  return policy->next_turn++ % policy->candidates.n_items;
 }
 
 static LcRouter *
--- a/packages/core/src/dispatch/lc-router.c
+++ b/packages/core/src/dispatch/lc-router.c
@@ -18,7 +18,7 @@
 
 _Static_assert(sizeof names / sizeof names[0] == N_CLASSES + 1, "a name for each policy");
 
-/* An empty name means the product's own policy. */
+/* An empty name selects the default policy. */
 LcRouter *
 lc_router_new (const char *policy, uint64_t seed)
 {
--- a/packages/core/tests/test-dispatch-invariants.c
+++ b/packages/core/tests/test-dispatch-invariants.c
@@ -77,7 +77,7 @@
   order.repeatable = false;
   cr_assert (fixture_submit (&f, &running));
   cr_assert (fixture_submit (&f, &order));
-  find (&f, order.id)->maybe_run = true;
+  find (&f, order.id)->may_have_run = true;
   fixture_end (&f, running.id, 1, LC_END_COMPLETE);
   cr_assert_not (fixture_take (&f, LC_ACTION_SEND, order.id, &action));
   cr_assert_eq (lc_dispatch_count_in_progress (f.dispatch), 0);
@@ -96,7 +96,8 @@
   LcRequestSpec spec = fixture_spec (&f, LC_KIND_LIVE);
 
   cr_assert (fixture_submit (&f, &spec));
-  lc_dispatch_give_up (f.dispatch, find (&f, spec.id), LB_ERROR_OVERLOADED, 0, f.now, &f.actions);
+  lc_dispatch_fail_request (f.dispatch, find (&f, spec.id), LB_ERROR_OVERLOADED, 0, f.now,
+                            &f.actions);
   cr_assert_eq (fixture_expect (&f, LC_ACTION_FINISH, spec.id).error, LB_ERROR_OUTCOME_UNKNOWN);
   expect_one_failure (&f);
   fixture_clear (&f);
@@ -141,9 +142,10 @@
 
   cr_assert (fixture_submit (&f, &spec));
   fixture_drop_actions (&f);
-  f.dispatch->keep_running = true;
-  lc_dispatch_give_up (f.dispatch, find (&f, spec.id), LB_ERROR_DEADLINE, 0, f.now, &f.actions);
-  f.dispatch->keep_running = false;
+  f.dispatch->forbid_cancel = true;
+  lc_dispatch_fail_request (f.dispatch, find (&f, spec.id), LB_ERROR_DEADLINE, 0, f.now,
+                            &f.actions);
+  f.dispatch->forbid_cancel = false;
   cr_assert (lb_list_is_empty (&f.actions));
   cr_assert_eq (fixture_piece (&f, spec.id, 1, 0, 2, true), LC_PIECE_FORWARD);
   expect_one_failure (&f);
