--- a/packages/core/tests/dispatch-fixture.h
+++ b/packages/core/tests/dispatch-fixture.h
@@ -8,7 +8,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/* A dispatch over a pool "reader" and a service "lookup", and what it last asked for. */
+/* A dispatch over the pool "reader" and the service "lookup", and the actions it has appended. */
 typedef struct
 {
   LcDispatch *dispatch;
@@ -23,7 +23,7 @@
 } Fixture;
 
 static inline void
-fixture_member (Fixture *f, const char *name, int kind, const char *pool, int64_t concurrency)
+fixture_add_endpoint (Fixture *f, const char *name, int kind, const char *pool, int64_t concurrency)
 {
   LcEndpointMember *member = &f->members[f->set.n_endpoints++];
 
@@ -33,7 +33,8 @@
   LB_COPY (member->address, "127.0.0.1:9");
 }
 
-/* Each new endpoint states its load once: one that was never heard of gets no work at first. */
+/* Reports the load of each new endpoint once: endpoints that never reported get no work at
+ * first. */
 static inline void
 fixture_configure (Fixture *f)
 {
@@ -50,7 +51,7 @@
     }
 }
 
-/* n_engines engines e1.. of the pool, and s1, s2 of the service. */
+/* Adds n_engines engines e1.. of the pool, and s1 and s2 of the service. */
 static inline void
 fixture_init (Fixture *f, const LcDispatchSettings *settings, int n_engines, int64_t concurrency)
 {
@@ -69,10 +70,10 @@
       char name[16];
 
       snprintf (name, sizeof name, "e%d", i);
-      fixture_member (f, name, LC_ENDPOINT_ENGINE, "reader", concurrency);
+      fixture_add_endpoint (f, name, LC_ENDPOINT_ENGINE, "reader", concurrency);
     }
-  fixture_member (f, "s1", LC_ENDPOINT_SERVICE, "lookup", concurrency);
-  fixture_member (f, "s2", LC_ENDPOINT_SERVICE, "lookup", concurrency);
+  fixture_add_endpoint (f, "s1", LC_ENDPOINT_SERVICE, "lookup", concurrency);
+  fixture_add_endpoint (f, "s2", LC_ENDPOINT_SERVICE, "lookup", concurrency);
   fixture_configure (f);
 }
 
@@ -94,7 +95,7 @@
 }
 
 static inline LcRequestSpec
-fixture_spec (Fixture *f, LcRequestKind kind)
+fixture_new_spec (Fixture *f, LcRequestKind kind)
 {
   LcRequestSpec spec = { .id = ++f->last_id,
                          .kind = kind,
@@ -114,9 +115,10 @@
   return lc_dispatch_submit (f->dispatch, spec, f->now, &f->actions, &f->retry_after, &f->error);
 }
 
-/* The next action of this type for the request, taken off the list; all before it are dropped. */
+/* Removes the next action of this type for the request from the list; drops all actions before
+ * it. */
 static inline bool
-fixture_take (Fixture *f, LcActionType type, LcRequestId request, LcAction *action)
+fixture_take_action (Fixture *f, LcActionType type, LcRequestId request, LcAction *action)
 {
   LbLink *link = NULL;
   bool found = false;
@@ -134,17 +136,17 @@
 }
 
 static inline LcAction
-fixture_expect (Fixture *f, LcActionType type, LcRequestId request)
+fixture_expect_action (Fixture *f, LcActionType type, LcRequestId request)
 {
   LcAction action = { .type = type };
 
-  cr_assert (fixture_take (f, type, request, &action), "no action %d for request %lu", (int)type,
-             (unsigned long)request);
+  cr_assert (fixture_take_action (f, type, request, &action), "no action %d for request %lu",
+             (int)type, (unsigned long)request);
   return action;
 }
 
 static inline LcPieceVerdict
-fixture_piece (
+fixture_deliver_piece (
     Fixture *f, LcRequestId request, uint32_t attempt, int64_t offset, int64_t tokens, bool last)
 {
   LcPiece piece = { .offset = offset, .tokens = tokens, .version = 1, .last = last };
@@ -153,13 +155,13 @@
 }
 
 static inline void
-fixture_end (Fixture *f, LcRequestId request, uint32_t attempt, LcAttemptEnd end)
+fixture_end_attempt (Fixture *f, LcRequestId request, uint32_t attempt, LcAttemptEnd end)
 {
   lc_dispatch_record_attempt_end (f->dispatch, request, attempt, end, f->now, &f->actions);
 }
 
 static inline void
-fixture_at (Fixture *f, LbTime now)
+fixture_tick_at (Fixture *f, LbTime now)
 {
   f->now = now;
   lc_dispatch_tick (f->dispatch, now, &f->actions);
--- a/packages/core/tests/test-dispatch-invariants.c
+++ b/packages/core/tests/test-dispatch-invariants.c
@@ -1,14 +1,14 @@
 #include "dispatch-fixture.h"
 #include "lc-dispatch-private.h"
 
-/* Each promise has a last check at the point where it is kept. These tests put a fault before the
- * check by hand and look that it refuses that one action and that all else goes on. */
+/* Each invariant is checked right before the action that could violate it. These tests inject a
+ * fault ahead of the check: the check must suppress this one action, and all else must continue. */
 
 static const LcDispatchSettings settings
     = { .max_report_age = LB_TIME_NEVER, .queue_limit = 100, .retry_budget = 0.2, .seed = 1 };
 
 static LcRequest *
-find (Fixture *f, LcRequestId id)
+find_request (Fixture *f, LcRequestId id)
 {
   LcRequest *request = NULL;
 
@@ -16,138 +16,144 @@
   return request;
 }
 
-/* One failure was counted; forgets it, since the fixture allows none. */
+/* Expects exactly one violation and resets the count, since the fixture allows none. */
 static void
-expect_one_failure (Fixture *f)
+expect_one_violation (Fixture *f)
 {
   cr_assert_eq (lc_dispatch_invariant_failures (f->dispatch), 1);
   f->dispatch->invariant_failures = 0;
 }
 
 static LcRouteDecision
-choose_any (LcRouter *router, LcEndpoints *endpoints, const LcRouteQuery *query, LbTime now)
+choose_first_endpoint (LcRouter *router,
+                       LcEndpoints *endpoints,
+                       const LcRouteQuery *query,
+                       LbTime now)
 {
   (void)router;
   (void)now;
   return (LcRouteDecision){
     .endpoint = lc_endpoints_find (endpoints, query->kind == LC_KIND_SERVICE ? "s1" : "e1"),
-    .reason = "careless"
+    .reason = "faulty"
   };
 }
 
-static const LcRouterClass careless = { .name = "careless", .choose = choose_any };
+static const LcRouterClass faulty_policy = { .name = "faulty", .choose = choose_first_endpoint };
 
-/* A routing policy has a fault and names an engine that leaves. The last look before a request goes
- * out catches it: that one request fails, it is counted, and the others go on. */
-Test (invariant, faulty_policy_is_caught)
+/* A faulty routing policy chooses a leaving engine. The check before sending catches it: this
+ * request fails, the violation is counted, and other requests continue. */
+Test (invariant, leaving_endpoint_of_faulty_policy_is_caught)
 {
   Fixture f;
-  LcRouter router = { .klass = &careless };
+  LcRouter router = { .klass = &faulty_policy };
 
   fixture_init (&f, &settings, 2, 4);
   lc_dispatch_mark_leaving (f.dispatch, "e1", "", LC_LEAVING_PLATFORM, f.now, &f.actions);
 
-  LcRouter *sound = f.dispatch->router;
-  LcRequestSpec spec = fixture_spec (&f, LC_KIND_LIVE);
-  LcRequestSpec other = fixture_spec (&f, LC_KIND_SERVICE);
+  LcRouter *working_router = f.dispatch->router;
+  LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec other = fixture_new_spec (&f, LC_KIND_SERVICE);
 
   f.dispatch->router = &router;
   cr_assert (fixture_submit (&f, &spec));
   cr_assert_eq (f.actions.length, 1);
-  cr_assert_eq (fixture_expect (&f, LC_ACTION_FINISH, spec.id).error, LB_ERROR_INVARIANT);
-  expect_one_failure (&f);
+  cr_assert_eq (fixture_expect_action (&f, LC_ACTION_FINISH, spec.id).error, LB_ERROR_INVARIANT);
+  expect_one_violation (&f);
   cr_assert (fixture_submit (&f, &other));
-  fixture_expect (&f, LC_ACTION_SEND, other.id);
-  f.dispatch->router = sound;
+  fixture_expect_action (&f, LC_ACTION_SEND, other.id);
+  f.dispatch->router = working_router;
   fixture_clear (&f);
 }
 
-/* By a fault a call that may have run already is still in the queue, and must not be repeated. When
- * an engine comes free it would be sent a second time. */
-Test (invariant, second_run_is_caught)
+/* Because of a fault, a non-repeatable call that may have run is still in the queue. It must not be
+ * sent again when an engine becomes free. */
+Test (invariant, second_run_of_non_repeatable_call_is_caught)
 {
   Fixture f;
   LcAction action;
 
   fixture_init (&f, &settings, 1, 1);
 
-  LcRequestSpec running = fixture_spec (&f, LC_KIND_LIVE);
-  LcRequestSpec order = fixture_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec running = fixture_new_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec order = fixture_new_spec (&f, LC_KIND_LIVE);
 
   order.repeatable = false;
   cr_assert (fixture_submit (&f, &running));
   cr_assert (fixture_submit (&f, &order));
-  find (&f, order.id)->may_have_run = true;
-  fixture_end (&f, running.id, 1, LC_END_COMPLETE);
-  cr_assert_not (fixture_take (&f, LC_ACTION_SEND, order.id, &action));
+  find_request (&f, order.id)->may_have_run = true;
+  fixture_end_attempt (&f, running.id, 1, LC_END_COMPLETE);
+  cr_assert_not (fixture_take_action (&f, LC_ACTION_SEND, order.id, &action));
   cr_assert_eq (lc_dispatch_count_in_progress (f.dispatch), 0);
-  expect_one_failure (&f);
+  expect_one_violation (&f);
   fixture_clear (&f);
 }
 
-/* By a fault a call that may have run is given up with a reason that says "not run". Its caller
- * would order again. */
-Test (invariant, false_not_run_is_caught)
+/* Because of a fault, a call that may have run fails with a "not run" error. Its caller would
+ * submit it again. */
+Test (invariant, false_not_run_error_is_caught)
 {
   Fixture f;
 
   fixture_init (&f, &settings, 1, 1);
 
-  LcRequestSpec spec = fixture_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
 
   cr_assert (fixture_submit (&f, &spec));
-  lc_dispatch_fail_request (f.dispatch, find (&f, spec.id), LB_ERROR_OVERLOADED, 0, f.now,
+  lc_dispatch_fail_request (f.dispatch, find_request (&f, spec.id), LB_ERROR_OVERLOADED, 0, f.now,
                             &f.actions);
-  cr_assert_eq (fixture_expect (&f, LC_ACTION_FINISH, spec.id).error, LB_ERROR_OUTCOME_UNKNOWN);
-  expect_one_failure (&f);
+  cr_assert_eq (fixture_expect_action (&f, LC_ACTION_FINISH, spec.id).error,
+                LB_ERROR_OUTCOME_UNKNOWN);
+  expect_one_violation (&f);
   fixture_clear (&f);
 }
 
-/* By a fault the count of what was passed on is wrong. The next piece would leave a hole in the
- * answer. */
-Test (invariant, hole_in_an_answer_is_caught)
+/* Because of a fault, the count of forwarded tokens is wrong. The next piece would leave a gap in
+ * the answer. */
+Test (invariant, gap_in_an_answer_is_caught)
 {
   Fixture f;
 
   fixture_init (&f, &settings, 1, 1);
 
-  LcRequestSpec spec = fixture_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
 
   cr_assert (fixture_submit (&f, &spec));
-  cr_assert_eq (fixture_piece (&f, spec.id, 1, 0, 2, false), LC_PIECE_FORWARD);
-  find (&f, spec.id)->next_token = 1;
-  cr_assert_eq (fixture_piece (&f, spec.id, 1, 2, 2, false), LC_PIECE_DROP);
-  cr_assert_eq (fixture_expect (&f, LC_ACTION_FINISH, spec.id).error, LB_ERROR_STREAM_BROKEN);
-  expect_one_failure (&f);
+  cr_assert_eq (fixture_deliver_piece (&f, spec.id, 1, 0, 2, false), LC_PIECE_FORWARD);
+  find_request (&f, spec.id)->next_token = 1;
+  cr_assert_eq (fixture_deliver_piece (&f, spec.id, 1, 2, 2, false), LC_PIECE_DROP);
+  cr_assert_eq (fixture_expect_action (&f, LC_ACTION_FINISH, spec.id).error,
+                LB_ERROR_STREAM_BROKEN);
+  expect_one_violation (&f);
 
-  LcRequestSpec last = fixture_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec last = fixture_new_spec (&f, LC_KIND_LIVE);
 
   cr_assert (fixture_submit (&f, &last));
-  cr_assert_eq (fixture_piece (&f, last.id, 1, 0, 2, true), LC_PIECE_FORWARD);
-  find (&f, last.id)->next_token = 1;
-  fixture_end (&f, last.id, 1, LC_END_COMPLETE);
-  cr_assert_eq (fixture_expect (&f, LC_ACTION_FINISH, last.id).error, LB_ERROR_STREAM_BROKEN);
-  expect_one_failure (&f);
+  cr_assert_eq (fixture_deliver_piece (&f, last.id, 1, 0, 2, true), LC_PIECE_FORWARD);
+  find_request (&f, last.id)->next_token = 1;
+  fixture_end_attempt (&f, last.id, 1, LC_END_COMPLETE);
+  cr_assert_eq (fixture_expect_action (&f, LC_ACTION_FINISH, last.id).error,
+                LB_ERROR_STREAM_BROKEN);
+  expect_one_violation (&f);
   fixture_clear (&f);
 }
 
-/* By a fault a change of configuration gives up a reply that runs. */
-Test (invariant, cut_by_configuration_is_caught)
+/* Because of a fault, a configuration change fails a running request. */
+Test (invariant, cancel_by_configuration_change_is_caught)
 {
   Fixture f;
 
   fixture_init (&f, &settings, 1, 1);
 
-  LcRequestSpec spec = fixture_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
 
   cr_assert (fixture_submit (&f, &spec));
   fixture_drop_actions (&f);
   f.dispatch->forbid_cancel = true;
-  lc_dispatch_fail_request (f.dispatch, find (&f, spec.id), LB_ERROR_DEADLINE, 0, f.now,
+  lc_dispatch_fail_request (f.dispatch, find_request (&f, spec.id), LB_ERROR_DEADLINE, 0, f.now,
                             &f.actions);
   f.dispatch->forbid_cancel = false;
   cr_assert (lb_list_is_empty (&f.actions));
-  cr_assert_eq (fixture_piece (&f, spec.id, 1, 0, 2, true), LC_PIECE_FORWARD);
-  expect_one_failure (&f);
+  cr_assert_eq (fixture_deliver_piece (&f, spec.id, 1, 0, 2, true), LC_PIECE_FORWARD);
+  expect_one_violation (&f);
   fixture_clear (&f);
 }
--- a/packages/core/tests/test-dispatch-leaving.c
+++ b/packages/core/tests/test-dispatch-leaving.c
@@ -7,12 +7,12 @@
                                              .seed = 1 };
 
 static void
-leave (Fixture *f, const char *endpoint)
+mark_leaving (Fixture *f, const char *endpoint)
 {
   lc_dispatch_mark_leaving (f->dispatch, endpoint, "", LC_LEAVING_PLATFORM, f->now, &f->actions);
 }
 
-/* Counts what is sent to the endpoint among the actions so far. */
+/* Counts the attempts sent to the endpoint among the pending actions. */
 static int
 count_sends (Fixture *f, const char *endpoint)
 {
@@ -25,10 +25,9 @@
   return n_sends;
 }
 
-/* Engine e2 is being replaced. Calls wait in the queue, one is retried, one is hedged and one is
- * resumed, all after e2 said that it leaves. Each of them is new work to e2, though none is a new
- * call: e2 would be shut down under it. */
-Test (leaving, no_kind_of_new_work_goes_there)
+/* After e2 is marked as leaving, queued calls, a retry, a hedge and a resumed stream all look for
+ * an endpoint. Each would be new work for e2, which would be shut down under it. */
+Test (leaving, leaving_endpoint_gets_no_new_work_of_any_kind)
 {
   Fixture f;
 
@@ -38,19 +37,19 @@
 
   for (int i = 0; i < 8; i++)
     {
-      specs[i] = fixture_spec (&f, LC_KIND_LIVE);
+      specs[i] = fixture_new_spec (&f, LC_KIND_LIVE);
       cr_assert (fixture_submit (&f, &specs[i]));
     }
-  leave (&f, "e2");
+  mark_leaving (&f, "e2");
   fixture_drop_actions (&f);
-  fixture_piece (&f, specs[0].id, 1, 0, 3, false);
-  fixture_end (&f, specs[0].id, 1, LC_END_BROKEN);
-  fixture_end (&f, specs[1].id, 1, LC_END_FAILED);
+  fixture_deliver_piece (&f, specs[0].id, 1, 0, 3, false);
+  fixture_end_attempt (&f, specs[0].id, 1, LC_END_BROKEN);
+  fixture_end_attempt (&f, specs[1].id, 1, LC_END_FAILED);
   for (int i = 0; i < 50; i++)
     {
-      fixture_at (&f, f.now + 100 * LB_MSEC);
+      fixture_tick_at (&f, f.now + 100 * LB_MSEC);
       for (int n = 0; n < 8; n++)
-        fixture_end (&f, specs[n].id, 1 + (n < 2), LC_END_COMPLETE);
+        fixture_end_attempt (&f, specs[n].id, 1 + (n < 2), LC_END_COMPLETE);
     }
   cr_assert_eq (count_sends (&f, "e2"), 0);
   cr_assert_eq (count_sends (&f, "e1"), 6);
@@ -58,26 +57,26 @@
   fixture_clear (&f);
 }
 
-/* The first to know is the engine itself: it refuses a call because it leaves. The call goes on to
- * another engine at once, at no cost to its caller's budget, and nothing else is sent there. */
-Test (leaving, refusal_marks_the_endpoint)
+/* An engine refuses a call because it is leaving, before any other notice. The call goes to another
+ * engine at once without a charge to its caller's budget, and nothing else is sent to the first. */
+Test (leaving, refusal_as_leaving_marks_the_endpoint)
 {
   Fixture f;
 
   fixture_init (&f, &settings, 3, 10);
 
-  LcRequestSpec spec = fixture_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
 
   spec.repeatable = false;
   cr_assert (fixture_submit (&f, &spec));
 
-  LcAction first = fixture_expect (&f, LC_ACTION_SEND, spec.id);
+  LcAction first = fixture_expect_action (&f, LC_ACTION_SEND, spec.id);
 
-  fixture_end (&f, spec.id, 1, LC_END_REFUSED_LEAVING);
-  cr_assert_str_neq (fixture_expect (&f, LC_ACTION_SEND, spec.id).endpoint, first.endpoint);
+  fixture_end_attempt (&f, spec.id, 1, LC_END_REFUSED_LEAVING);
+  cr_assert_str_neq (fixture_expect_action (&f, LC_ACTION_SEND, spec.id).endpoint, first.endpoint);
   for (int i = 0; i < 10; i++)
     {
-      LcRequestSpec next = fixture_spec (&f, LC_KIND_LIVE);
+      LcRequestSpec next = fixture_new_spec (&f, LC_KIND_LIVE);
 
       cr_assert (fixture_submit (&f, &next));
     }
@@ -85,110 +84,111 @@
   fixture_clear (&f);
 }
 
-/* The last engine of a pool leaves while calls wait for it. Nobody can serve them: they hear so at
- * once, as "not run", and are not kept until their deadlines. */
-Test (leaving, calls_for_a_pool_that_nobody_serves_are_answered)
+/* The last engine of a pool leaves while calls wait for it. They must fail as "not run" at once
+ * instead of waiting until their deadlines. */
+Test (leaving, calls_of_a_pool_without_endpoints_fail_at_once)
 {
   Fixture f;
 
   fixture_init (&f, &settings, 1, 1);
 
-  LcRequestSpec running = fixture_spec (&f, LC_KIND_LIVE);
-  LcRequestSpec waiting = fixture_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec running = fixture_new_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec waiting = fixture_new_spec (&f, LC_KIND_LIVE);
 
   cr_assert (fixture_submit (&f, &running));
   cr_assert (fixture_submit (&f, &waiting));
-  leave (&f, "e1");
+  mark_leaving (&f, "e1");
 
-  LcAction finish = fixture_expect (&f, LC_ACTION_FINISH, waiting.id);
+  LcAction finish = fixture_expect_action (&f, LC_ACTION_FINISH, waiting.id);
 
   cr_assert_eq (finish.error, LB_ERROR_NO_ENDPOINT);
   cr_assert_gt (finish.retry_after, 0);
-  cr_assert_eq (lc_dispatch_count_in_progress (f.dispatch), 1, "what runs there goes on");
+  cr_assert_eq (lc_dispatch_count_in_progress (f.dispatch), 1, "the running call was ended");
 
-  LcRequestSpec late = fixture_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec late = fixture_new_spec (&f, LC_KIND_LIVE);
 
   cr_assert_not (fixture_submit (&f, &late));
   cr_assert_eq (f.error.code, LB_ERROR_NO_ENDPOINT);
   fixture_clear (&f);
 }
 
-/* An operator removes an engine that is in the middle of a shopper's reply. The reply goes on to
- * its end. */
-Test (leaving, removed_endpoint_finishes_what_it_runs)
+/* The configuration removes an engine that is streaming an answer. The stream must run to
+ * completion. */
+Test (leaving, removed_endpoint_completes_running_requests)
 {
   Fixture f;
 
   fixture_init (&f, &settings, 2, 4);
 
-  LcRequestSpec spec = fixture_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
 
   cr_assert (fixture_submit (&f, &spec));
 
-  LcAction first = fixture_expect (&f, LC_ACTION_SEND, spec.id);
+  LcAction first = fixture_expect_action (&f, LC_ACTION_SEND, spec.id);
 
-  fixture_piece (&f, spec.id, 1, 0, 3, false);
+  fixture_deliver_piece (&f, spec.id, 1, 0, 3, false);
   f.members[0] = f.members[strcmp (first.endpoint, "e1") == 0 ? 1 : 0];
   memmove (&f.members[1], &f.members[2], 2 * sizeof f.members[0]);
   f.set.n_endpoints--;
   fixture_configure (&f);
   cr_assert (lb_list_is_empty (&f.actions));
-  cr_assert_eq (fixture_piece (&f, spec.id, 1, 3, 3, true), LC_PIECE_FORWARD);
-  fixture_end (&f, spec.id, 1, LC_END_COMPLETE);
-  cr_assert_eq (fixture_expect (&f, LC_ACTION_FINISH, spec.id).error, LB_OK);
+  cr_assert_eq (fixture_deliver_piece (&f, spec.id, 1, 3, 3, true), LC_PIECE_FORWARD);
+  fixture_end_attempt (&f, spec.id, 1, LC_END_COMPLETE);
+  cr_assert_eq (fixture_expect_action (&f, LC_ACTION_FINISH, spec.id).error, LB_OK);
   fixture_configure (&f);
   fixture_clear (&f);
 }
 
-/* An instance is told to stop while one reply runs and one call waits. New calls are sent away with
- * "not run"; the reply and the call that was let in are both finished. */
-Test (leaving, drain_cuts_nothing)
+/* An instance drains while one call runs and one waits. New calls are refused as "not run"; both
+ * admitted calls are completed. */
+Test (leaving, drain_completes_admitted_requests)
 {
   Fixture f;
 
   fixture_init (&f, &settings, 1, 1);
 
-  LcRequestSpec running = fixture_spec (&f, LC_KIND_LIVE);
-  LcRequestSpec waiting = fixture_spec (&f, LC_KIND_LIVE);
-  LcRequestSpec late = fixture_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec running = fixture_new_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec waiting = fixture_new_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec late = fixture_new_spec (&f, LC_KIND_LIVE);
 
   cr_assert (fixture_submit (&f, &running));
   cr_assert (fixture_submit (&f, &waiting));
-  fixture_piece (&f, running.id, 1, 0, 3, false);
+  fixture_deliver_piece (&f, running.id, 1, 0, 3, false);
   fixture_drop_actions (&f);
   lc_dispatch_drain (f.dispatch, f.now, &f.actions);
   cr_assert (lb_list_is_empty (&f.actions));
   cr_assert_not (fixture_submit (&f, &late));
   cr_assert_eq (f.error.code, LB_ERROR_DRAINING);
   cr_assert_gt (f.retry_after, 0);
-  cr_assert_eq (fixture_piece (&f, running.id, 1, 3, 3, true), LC_PIECE_FORWARD);
-  fixture_end (&f, running.id, 1, LC_END_COMPLETE);
-  fixture_expect (&f, LC_ACTION_SEND, waiting.id);
-  fixture_piece (&f, waiting.id, 1, 0, 3, true);
-  fixture_end (&f, waiting.id, 1, LC_END_COMPLETE);
-  cr_assert_eq (fixture_expect (&f, LC_ACTION_FINISH, waiting.id).error, LB_OK);
+  cr_assert_eq (fixture_deliver_piece (&f, running.id, 1, 3, 3, true), LC_PIECE_FORWARD);
+  fixture_end_attempt (&f, running.id, 1, LC_END_COMPLETE);
+  fixture_expect_action (&f, LC_ACTION_SEND, waiting.id);
+  fixture_deliver_piece (&f, waiting.id, 1, 0, 3, true);
+  fixture_end_attempt (&f, waiting.id, 1, LC_END_COMPLETE);
+  cr_assert_eq (fixture_expect_action (&f, LC_ACTION_FINISH, waiting.id).error, LB_OK);
   cr_assert_eq (lc_dispatch_count_in_progress (f.dispatch), 0);
   fixture_clear (&f);
 }
 
-/* An engine takes calls and never says anything, though its connections stay open. Each call ends
- * by our own cancel at its deadline, so no failure is ever seen, and every call to it is lost. */
-Test (leaving, endpoint_that_swallows_calls_is_found)
+/* An engine accepts calls and never answers, with its connections open. Each call ends by our own
+ * cancel at its deadline, so without special handling no failure would be recorded and every call
+ * sent there would be lost. */
+Test (leaving, unresponsive_endpoint_opens_its_breaker)
 {
   Fixture f;
 
   fixture_init (&f, &settings, 1, 10);
   for (int i = 0; i < 6; i++)
     {
-      LcRequestSpec spec = fixture_spec (&f, LC_KIND_LIVE);
+      LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
 
       spec.deadline = f.now + 2 * LB_SEC;
       cr_assert (fixture_submit (&f, &spec));
     }
-  fixture_at (&f, f.now + 2 * LB_SEC);
+  fixture_tick_at (&f, f.now + 2 * LB_SEC);
   cr_assert_eq (lc_dispatch_count_in_progress (f.dispatch), 0);
 
-  LcRequestSpec next = fixture_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec next = fixture_new_spec (&f, LC_KIND_LIVE);
 
   cr_assert_not (fixture_submit (&f, &next));
   cr_assert_eq (f.error.code, LB_ERROR_NO_ENDPOINT);
@@ -196,7 +196,7 @@
 }
 
 static void
-report (Fixture *f, const char *endpoint, bool leaving)
+report_load (Fixture *f, const char *endpoint, bool leaving)
 {
   LcLoadReport load
       = { .incarnation = "1", .version = 1, .leaving = leaving, .measured_at = f->now };
@@ -204,54 +204,54 @@
   lc_dispatch_record_load (f->dispatch, endpoint, &load, f->now, &f->actions);
 }
 
-static const LcDispatchSettings asking
+static const LcDispatchSettings default_report_age
     = { .queue_limit = 100, .retry_budget = 0.2, .max_report_age = 0, .seed = 1 };
 
-/* An instance is paused for five seconds. Meanwhile e1 begins to leave and everybody else hears of
- * it. The instance wakes with a call in its socket and an old view in which e1 is fine. */
-Test (leaving, instance_that_was_paused_asks_first)
+/* An instance is paused for 5 s while e1 begins to leave. On its return a call is waiting, and its
+ * outdated reports show e1 as available. */
+Test (leaving, paused_instance_waits_for_new_reports)
 {
   Fixture f;
   LcAction action;
 
-  fixture_init (&f, &asking, 2, 4);
-  report (&f, "e1", false);
-  report (&f, "e2", false);
+  fixture_init (&f, &default_report_age, 2, 4);
+  report_load (&f, "e1", false);
+  report_load (&f, "e2", false);
   f.now += 5 * LB_SEC;
 
   LcRequestSpec specs[2];
 
   for (int i = 0; i < 2; i++)
     {
-      specs[i] = fixture_spec (&f, LC_KIND_LIVE);
+      specs[i] = fixture_new_spec (&f, LC_KIND_LIVE);
       cr_assert (fixture_submit (&f, &specs[i]));
     }
   cr_assert (lb_list_is_empty (&f.actions));
-  report (&f, "e1", true);
-  report (&f, "e2", false);
+  report_load (&f, "e1", true);
+  report_load (&f, "e2", false);
   cr_assert_eq (count_sends (&f, "e1"), 0);
   cr_assert_eq (count_sends (&f, "e2"), 2);
-  cr_assert_not (fixture_take (&f, LC_ACTION_FINISH, specs[0].id, &action));
+  cr_assert_not (fixture_take_action (&f, LC_ACTION_FINISH, specs[0].id, &action));
   fixture_clear (&f);
 }
 
-/* Only the way to e1 is lost: its reports stop. Calls go to e2, whose view is fresh. When e2 stops
- * reporting too, calls are held for a moment and then sent all the same, since endpoints that don't
- * tell their load must not stop a pool. */
-Test (leaving, endpoint_with_an_old_view_comes_last)
+/* Only the path to e1 is lost, so its reports stop: calls go to e2, whose reports are current. When
+ * e2 stops reporting too, calls are held briefly and then sent all the same, since endpoints that
+ * don't report their load must not block a pool. */
+Test (leaving, endpoint_with_outdated_report_is_used_last)
 {
   Fixture f;
 
-  fixture_init (&f, &asking, 2, 10);
-  report (&f, "e1", false);
+  fixture_init (&f, &default_report_age, 2, 10);
+  report_load (&f, "e1", false);
   for (int i = 0; i < 5; i++)
     {
       f.now += LB_SEC;
-      report (&f, "e2", false);
+      report_load (&f, "e2", false);
     }
   for (int i = 0; i < 4; i++)
     {
-      LcRequestSpec spec = fixture_spec (&f, LC_KIND_LIVE);
+      LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
 
       cr_assert (fixture_submit (&f, &spec));
     }
@@ -259,39 +259,39 @@
   fixture_drop_actions (&f);
   f.now += 10 * LB_SEC;
 
-  LcRequestSpec last = fixture_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec last = fixture_new_spec (&f, LC_KIND_LIVE);
 
   cr_assert (fixture_submit (&f, &last));
   cr_assert (lb_list_is_empty (&f.actions));
-  fixture_at (&f, f.now + 3 * LB_SEC);
-  fixture_expect (&f, LC_ACTION_SEND, last.id);
+  fixture_tick_at (&f, f.now + 3 * LB_SEC);
+  fixture_expect_action (&f, LC_ACTION_SEND, last.id);
   fixture_clear (&f);
 }
 
-/* The same while e2, whose view is fresh, has no place free: calls wait for it and are not sent to
- * e1 on an old view. Nor to e3, which has just been named and not been heard of. */
-Test (leaving, no_old_view_is_used_while_another_is_fresh)
+/* As above, but e2 is full: calls wait for it instead of going to e1 on an outdated report, or to
+ * e3, which was just added and has not reported yet. */
+Test (leaving, no_outdated_report_is_used_while_another_is_current)
 {
   Fixture f;
 
-  fixture_init (&f, &asking, 2, 1);
+  fixture_init (&f, &default_report_age, 2, 1);
   for (int i = 0; i < 5; i++)
     {
       f.now += LB_SEC;
-      report (&f, "e2", false);
+      report_load (&f, "e2", false);
     }
-  fixture_member (&f, "e3", LC_ENDPOINT_ENGINE, "reader", 1);
+  fixture_add_endpoint (&f, "e3", LC_ENDPOINT_ENGINE, "reader", 1);
   lc_dispatch_configure (f.dispatch, &f.set, f.now, &f.actions);
   for (int i = 0; i < 3; i++)
     {
-      LcRequestSpec spec = fixture_spec (&f, LC_KIND_LIVE);
+      LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
 
       cr_assert (fixture_submit (&f, &spec));
     }
   for (int i = 0; i < 5; i++)
     {
-      fixture_at (&f, f.now + LB_SEC);
-      report (&f, "e2", false);
+      fixture_tick_at (&f, f.now + LB_SEC);
+      report_load (&f, "e2", false);
     }
   cr_assert_eq (count_sends (&f, "e1"), 0);
   cr_assert_eq (count_sends (&f, "e2"), 1);
@@ -299,21 +299,21 @@
   fixture_clear (&f);
 }
 
-/* The way to a whole data centre is lost, eleven engines of twelve. By their last reports they are
- * idle, so a policy prefers them. Calls must still find the twelfth. */
-Test (leaving, many_old_views_hide_no_fresh_one)
+/* The path to eleven of twelve engines is lost. Their last reports show them idle, so the policy
+ * prefers them; calls must still find the twelfth. */
+Test (leaving, many_outdated_reports_do_not_hide_a_current_one)
 {
   Fixture f;
 
-  fixture_init (&f, &asking, 12, 10);
+  fixture_init (&f, &default_report_age, 12, 10);
   for (int i = 0; i < 5; i++)
     {
       f.now += LB_SEC;
-      report (&f, "e12", false);
+      report_load (&f, "e12", false);
     }
   for (int i = 0; i < 5; i++)
     {
-      LcRequestSpec spec = fixture_spec (&f, LC_KIND_LIVE);
+      LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
 
       cr_assert (fixture_submit (&f, &spec));
     }
@@ -321,17 +321,17 @@
   fixture_clear (&f);
 }
 
-/* A plain service has no page for its load: the poller takes any answer for a first word. Its first
- * call waits for that and no longer, though no load ever comes. */
-Test (leaving, service_that_states_no_load_is_used)
+/* A plain service has no load page: the poller takes any reply as a report. The first call waits
+ * for this reply, and no longer. */
+Test (leaving, service_without_load_reports_is_used)
 {
   Fixture f;
 
-  fixture_init (&f, &asking, 1, 1);
-  fixture_member (&f, "m1", LC_ENDPOINT_SERVICE, "mute", 4);
+  fixture_init (&f, &default_report_age, 1, 1);
+  fixture_add_endpoint (&f, "m1", LC_ENDPOINT_SERVICE, "mute", 4);
   lc_dispatch_configure (f.dispatch, &f.set, f.now, &f.actions);
 
-  LcRequestSpec spec = fixture_spec (&f, LC_KIND_SERVICE);
+  LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_SERVICE);
 
   LB_COPY (spec.pool, "mute");
   cr_assert (fixture_submit (&f, &spec));
@@ -340,27 +340,27 @@
   const LcLoadReport any_answer = { .measured_at = f.now };
 
   lc_dispatch_record_load (f.dispatch, "m1", &any_answer, f.now, &f.actions);
-  fixture_expect (&f, LC_ACTION_SEND, spec.id);
+  fixture_expect_action (&f, LC_ACTION_SEND, spec.id);
   fixture_clear (&f);
 }
 
-/* An instance sleeps twice, an hour apart. That it was held back after the first sleep must not
- * count as having waited long enough after the second. */
-Test (leaving, each_sleep_is_waited_out_afresh)
+/* An instance is paused twice, an hour apart. The hold after the first pause must not count as time
+ * already waited after the second. */
+Test (leaving, each_pause_has_its_own_hold)
 {
   Fixture f;
 
-  fixture_init (&f, &asking, 1, 4);
+  fixture_init (&f, &default_report_age, 1, 4);
   for (int i = 0; i < 2; i++)
     {
-      LcRequestSpec spec = fixture_spec (&f, LC_KIND_LIVE);
+      LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
 
       f.now += 3600 * LB_SEC;
       cr_assert (fixture_submit (&f, &spec));
-      cr_assert (lb_list_is_empty (&f.actions), "sleep %d", i);
-      report (&f, "e1", false);
-      fixture_expect (&f, LC_ACTION_SEND, spec.id);
-      fixture_end (&f, spec.id, 1, LC_END_COMPLETE);
+      cr_assert (lb_list_is_empty (&f.actions), "sent before a new report after pause %d", i);
+      report_load (&f, "e1", false);
+      fixture_expect_action (&f, LC_ACTION_SEND, spec.id);
+      fixture_end_attempt (&f, spec.id, 1, LC_END_COMPLETE);
       fixture_drop_actions (&f);
     }
   fixture_clear (&f);
--- a/packages/core/tests/test-dispatch-random.c
+++ b/packages/core/tests/test-dispatch-random.c
@@ -3,50 +3,50 @@
 #include <gsl/gsl_randist.h>
 #include <stdlib.h>
 
-/* Random calls, faults and commands against a model that knows what really ran. What the dispatch
- * says and does is held against the promises after every event. */
+/* Random requests, faults and commands against a model that knows what really ran. After every
+ * event the actions of the dispatch are checked against its invariants. */
 
 #define N_ENDPOINTS 6
-#define STEPS_BETWEEN_LOADS 100 /* about half a second */
+#define STEPS_BETWEEN_REPORTS 100 /* about 0.5 s */
 #define N_STEPS 4000
 #define N_SEEDS 200
-#define MAX_FLIGHTS (8 * N_STEPS)
+#define MAX_ATTEMPTS (8 * N_STEPS)
 
 typedef struct
 {
   LcRequestSpec spec;
-  bool done;       /* answered, refused or given up by its caller */
-  int n_runs;      /* attempts that an endpoint began to work on */
-  int64_t length;  /* of the whole answer */
-  int64_t shown;   /* tokens that the submitter has been given */
-  uint32_t source; /* attempt that gave the last of them */
+  bool done;         /* answered, failed, refused or cancelled */
+  int n_runs;        /* attempts that an endpoint started */
+  int64_t length;    /* of the complete answer */
+  int64_t forwarded; /* tokens forwarded to the submitter */
+  uint32_t source;   /* attempt that delivered the last of them */
 } Call;
 
-/* An attempt as the endpoint sees it. */
+/* An attempt as seen by the endpoint. */
 typedef struct
 {
   Call *call;
   uint32_t attempt;
   int endpoint;
-  bool begun;
-  bool damaged; /* a piece was lost or changed places */
+  bool started;
+  bool damaged; /* a piece was lost or reordered */
   int64_t next;
-  int64_t gathered;
-} Flight;
+  int64_t received;
+} EndpointAttempt;
 
 typedef struct
 {
   Fixture f;
   gsl_rng *random;
-  Call calls[N_STEPS + 1]; /* by request */
-  Flight flights[MAX_FLIGHTS];
-  size_t n_flights;
-  Flight *open[MAX_FLIGHTS];
+  Call calls[N_STEPS + 1]; /* by request id */
+  EndpointAttempt attempts[MAX_ATTEMPTS];
+  size_t n_attempts;
+  EndpointAttempt *open[MAX_ATTEMPTS];
   size_t n_open;
   bool leaving[N_ENDPOINTS];
   int incarnation[N_ENDPOINTS];
-  int removed;       /* from the configuration; -1: none */
-  bool keep_running; /* the present command may cut nothing */
+  int removed;        /* index of the endpoint missing from the configuration; -1: none */
+  bool forbid_cancel; /* the current command must not cancel attempts */
 } Model;
 
 static bool
@@ -65,7 +65,7 @@
   return -1;
 }
 
-static Flight *
+static EndpointAttempt *
 find_open (Model *model, LcRequestId request, uint32_t attempt)
 {
   for (size_t i = 0; i < model->n_open; i++)
@@ -75,10 +75,10 @@
 }
 
 static void
-close_flight (Model *model, const Flight *flight)
+close_running (Model *model, const EndpointAttempt *running)
 {
   for (size_t i = 0; i < model->n_open; i++)
-    if (model->open[i] == flight)
+    if (model->open[i] == running)
       model->open[i] = model->open[--model->n_open];
 }
 
@@ -87,19 +87,20 @@
 {
   Call *call = &model->calls[action->request];
   int endpoint = endpoint_index (model, action->endpoint);
-  Flight *flight = &model->flights[model->n_flights++];
-
-  cr_assert_lt (model->n_flights, MAX_FLIGHTS);
-  cr_assert_not (call->done, "sent after its final answer");
-  cr_assert_not (model->leaving[endpoint], "new work to a leaving endpoint");
-  cr_assert (action->resume_at == 0 || call->spec.resumable, "resumed what can't be");
-  cr_assert_eq (action->resume_at, call->spec.delivery == LC_DELIVER_STREAM ? call->shown : 0);
-  *flight = (Flight){ .call = call,
-                      .attempt = action->attempt,
-                      .endpoint = endpoint,
-                      .next = action->resume_at,
-                      .gathered = action->resume_at };
-  model->open[model->n_open++] = flight;
+  EndpointAttempt *running = &model->attempts[model->n_attempts++];
+
+  cr_assert_lt (model->n_attempts, MAX_ATTEMPTS);
+  cr_assert_not (call->done, "sent after its final result");
+  cr_assert_not (model->leaving[endpoint], "new work was sent to a leaving endpoint");
+  cr_assert (action->resume_at == 0 || call->spec.resumable,
+             "resumed a request that is not resumable");
+  cr_assert_eq (action->resume_at, call->spec.delivery == LC_DELIVER_STREAM ? call->forwarded : 0);
+  *running = (EndpointAttempt){ .call = call,
+                                .attempt = action->attempt,
+                                .endpoint = endpoint,
+                                .next = action->resume_at,
+                                .received = action->resume_at };
+  model->open[model->n_open++] = running;
 }
 
 static void
@@ -107,27 +108,27 @@
 {
   Call *call = &model->calls[action->request];
 
-  cr_assert_not (call->done, "two final answers");
+  cr_assert_not (call->done, "two final results");
   call->done = true;
   if (action->error != LB_OK)
     {
       cr_assert_gt (action->retry_after, 0);
-      cr_assert (!lb_error_is_not_run (action->error) || call->n_runs == 0, "%s, but it ran",
-                 lb_error_name (action->error));
+      cr_assert (!lb_error_is_not_run (action->error) || call->n_runs == 0,
+                 "failed as %s, which means not run, but it ran", lb_error_name (action->error));
       return;
     }
   if (call->spec.delivery == LC_DELIVER_STREAM)
-    cr_assert_eq (call->shown, call->length, "an answer with a part missing");
-  for (size_t i = model->n_flights; i-- > 0;)
-    if (model->flights[i].call == call && model->flights[i].attempt == action->attempt)
+    cr_assert_eq (call->forwarded, call->length, "a complete answer lacks tokens");
+  for (size_t i = model->n_attempts; i-- > 0;)
+    if (model->attempts[i].call == call && model->attempts[i].attempt == action->attempt)
       {
-        cr_assert_eq (model->flights[i].gathered, call->length);
+        cr_assert_eq (model->attempts[i].received, call->length);
         return;
       }
 }
 
 static void
-carry_out (Model *model)
+handle_actions (Model *model)
 {
   LbLink *link = NULL;
 
@@ -141,8 +142,9 @@
         on_finish (model, action);
       else
         {
-          cr_assert_not (model->keep_running, "cut by a command that may cut nothing");
-          close_flight (model, find_open (model, action->request, action->attempt));
+          cr_assert_not (model->forbid_cancel,
+                         "cancelled by a command that must not cancel attempts");
+          close_running (model, find_open (model, action->request, action->attempt));
         }
       lc_action_free (action);
     }
@@ -152,7 +154,7 @@
 submit (Model *model)
 {
   LcRequestKind kind = (LcRequestKind)gsl_rng_uniform_int (model->random, LC_N_KINDS);
-  LcRequestSpec spec = fixture_spec (&model->f, kind);
+  LcRequestSpec spec = fixture_new_spec (&model->f, kind);
   Call *call = &model->calls[spec.id];
 
   spec.repeatable = chance (model, 0.6);
@@ -170,99 +172,100 @@
 }
 
 static void
-end (Model *model, Flight *flight, LcAttemptEnd how)
+end_running (Model *model, EndpointAttempt *running, LcAttemptEnd outcome)
 {
-  close_flight (model, flight);
-  if (how == LC_END_REFUSED_LEAVING)
-    model->leaving[flight->endpoint] = true;
-  fixture_end (&model->f, flight->call->spec.id, flight->attempt, how);
+  close_running (model, running);
+  if (outcome == LC_END_REFUSED_LEAVING)
+    model->leaving[running->endpoint] = true;
+  fixture_end_attempt (&model->f, running->call->spec.id, running->attempt, outcome);
 }
 
-/* Delivers a piece and checks what becomes of it. */
+/* Delivers a piece and checks the verdict. */
 static void
-deliver (Model *model, Flight *flight, int64_t offset, int64_t tokens)
+deliver (Model *model, EndpointAttempt *running, int64_t offset, int64_t tokens)
 {
-  Call *call = flight->call;
+  Call *call = running->call;
   bool last = offset + tokens == call->length;
-  bool was_open = find_open (model, call->spec.id, flight->attempt);
+  bool was_open = find_open (model, call->spec.id, running->attempt);
 
-  if (fixture_piece (&model->f, call->spec.id, flight->attempt, offset, tokens, last)
+  if (fixture_deliver_piece (&model->f, call->spec.id, running->attempt, offset, tokens, last)
       == LC_PIECE_DROP)
     return;
-  cr_assert (was_open && !call->done, "a late piece was passed on");
-  cr_assert_eq (offset, flight->gathered);
-  flight->gathered += tokens;
+  cr_assert (was_open && !call->done, "a late piece was forwarded");
+  cr_assert_eq (offset, running->received);
+  running->received += tokens;
   if (call->spec.delivery == LC_DELIVER_BUFFERED)
     return;
-  cr_assert_eq (offset, call->shown, "pieces of two attempts were mixed");
-  cr_assert (call->source == flight->attempt || !find_open (model, call->spec.id, call->source),
-             "pieces of two attempts at once");
-  call->source = flight->attempt;
-  call->shown += tokens;
+  cr_assert_eq (offset, call->forwarded, "pieces of two attempts were mixed");
+  cr_assert (call->source == running->attempt || !find_open (model, call->spec.id, call->source),
+             "pieces of two open attempts were forwarded");
+  call->source = running->attempt;
+  call->forwarded += tokens;
 }
 
 static void
-begin (Model *model, Flight *flight)
+start_attempt (Model *model, EndpointAttempt *running)
 {
-  double fate = gsl_rng_uniform (model->random);
-
-  if (model->leaving[flight->endpoint] && fate < 0.5)
-    end (model, flight, LC_END_REFUSED_LEAVING);
-  else if (fate < 0.05)
-    end (model, flight, LC_END_NOT_SENT);
-  else if (fate < 0.1)
-    end (model, flight, LC_END_REFUSED);
-  else if (fate < 0.11)
-    end (model, flight, LC_END_REFUSED_LEAVING);
-  else if (fate < 0.13)
-    end (model, flight, LC_END_BROKEN);
+  double draw = gsl_rng_uniform (model->random);
+
+  if (model->leaving[running->endpoint] && draw < 0.5)
+    end_running (model, running, LC_END_REFUSED_LEAVING);
+  else if (draw < 0.05)
+    end_running (model, running, LC_END_NOT_SENT);
+  else if (draw < 0.1)
+    end_running (model, running, LC_END_REFUSED);
+  else if (draw < 0.11)
+    end_running (model, running, LC_END_REFUSED_LEAVING);
+  else if (draw < 0.13)
+    end_running (model, running, LC_END_BROKEN);
   else
     {
-      flight->begun = true;
-      flight->call->n_runs++;
-      cr_assert (flight->call->spec.repeatable || flight->call->n_runs == 1, "ran twice");
+      running->started = true;
+      running->call->n_runs++;
+      cr_assert (running->call->spec.repeatable || running->call->n_runs == 1,
+                 "a non-repeatable call ran twice");
     }
 }
 
 static void
-send_piece (Model *model, Flight *flight)
+send_piece (Model *model, EndpointAttempt *running)
 {
-  int64_t left = flight->call->length - flight->next;
+  int64_t left = running->call->length - running->next;
   int64_t tokens = left < 2 ? left : 1 + (int64_t)gsl_rng_uniform_int (model->random, 2);
-  int64_t offset = flight->next;
+  int64_t offset = running->next;
 
-  flight->next += tokens;
+  running->next += tokens;
   if (chance (model, 0.03))
     {
-      flight->damaged = true;
+      running->damaged = true;
       return;
     }
-  if (chance (model, 0.03) && flight->next < flight->call->length)
+  if (chance (model, 0.03) && running->next < running->call->length)
     {
-      flight->damaged = true;
-      deliver (model, flight, flight->next, 1);
+      running->damaged = true;
+      deliver (model, running, running->next, 1);
     }
-  deliver (model, flight, offset, tokens);
+  deliver (model, running, offset, tokens);
   if (chance (model, 0.05))
-    deliver (model, flight, offset, tokens);
+    deliver (model, running, offset, tokens);
 }
 
 static void
-progress (Model *model, Flight *flight)
+progress (Model *model, EndpointAttempt *running)
 {
-  if (!flight->begun)
-    begin (model, flight);
-  else if (flight->next == flight->call->length)
-    end (model, flight, flight->damaged ? LC_END_BROKEN : LC_END_COMPLETE);
+  if (!running->started)
+    start_attempt (model, running);
+  else if (running->next == running->call->length)
+    end_running (model, running, running->damaged ? LC_END_BROKEN : LC_END_COMPLETE);
   else if (chance (model, 0.02))
-    end (model, flight, LC_END_BROKEN);
+    end_running (model, running, LC_END_BROKEN);
   else if (chance (model, 0.02))
-    end (model, flight, LC_END_FAILED);
+    end_running (model, running, LC_END_FAILED);
   else
-    send_piece (model, flight);
+    send_piece (model, running);
 }
 
-/* A new process of the endpoint: what ran there is lost, and it is no longer leaving. */
+/* Restarts the endpoint's process: its running attempts break, and it is no longer leaving. */
 static void
 restart (Model *model, int endpoint)
 {
@@ -270,8 +273,8 @@
 
   for (size_t i = model->n_open; i-- > 0;)
     if (i < model->n_open && model->open[i]->endpoint == endpoint)
-      end (model, model->open[i], LC_END_BROKEN);
-  carry_out (model);
+      end_running (model, model->open[i], LC_END_BROKEN);
+  handle_actions (model);
   model->leaving[endpoint] = false;
   snprintf (report.incarnation, sizeof report.incarnation, "%d", ++model->incarnation[endpoint]);
   lc_dispatch_record_load (model->f.dispatch, model->f.members[endpoint].name, &report,
@@ -282,15 +285,15 @@
 leave (Model *model, int endpoint)
 {
   model->leaving[endpoint] = true;
-  model->keep_running = true;
+  model->forbid_cancel = true;
   lc_dispatch_mark_leaving (model->f.dispatch, model->f.members[endpoint].name, "",
                             LC_LEAVING_ENDPOINT, model->f.now, &model->f.actions);
-  carry_out (model);
-  model->keep_running = false;
+  handle_actions (model);
+  model->forbid_cancel = false;
 }
 
-/* Leaves a random endpoint out of the configuration, or names all again. Not one that is leaving:
- * the table of endpoints does not remember that for one that it no longer knows. */
+/* Removes a random endpoint from the configuration, or configures all again. Never a leaving one:
+ * the endpoint table forgets that state along with the endpoint. */
 static void
 configure (Model *model)
 {
@@ -299,7 +302,7 @@
   LcEndpointMember kept = model->f.members[removed];
 
   model->removed = model->leaving[removed] || chance (model, 0.5) ? -1 : removed;
-  model->keep_running = true;
+  model->forbid_cancel = true;
   if (model->removed >= 0)
     {
       model->f.members[removed] = model->f.members[n_all - 1];
@@ -308,12 +311,12 @@
   fixture_configure (&model->f);
   model->f.members[removed] = kept;
   model->f.set.n_endpoints = n_all;
-  carry_out (model);
-  model->keep_running = false;
+  handle_actions (model);
+  model->forbid_cancel = false;
 }
 
 static void
-disturb (Model *model)
+change_endpoint (Model *model)
 {
   int endpoint = (int)gsl_rng_uniform_int (model->random, N_ENDPOINTS);
 
@@ -341,24 +344,24 @@
 {
   model->f.now += gsl_rng_uniform_int (model->random, 10 * LB_MSEC);
   if (model->f.now >= lc_dispatch_next_tick (model->f.dispatch))
-    fixture_at (&model->f, model->f.now);
-  carry_out (model);
+    fixture_tick_at (&model->f, model->f.now);
+  handle_actions (model);
   if (may_submit && chance (model, 0.5))
     submit (model);
   else if (may_submit && chance (model, 0.02) && model->f.last_id)
     cancel (model);
   else if (may_submit && chance (model, 0.02))
-    disturb (model);
-  else if (model->n_flights && chance (model, 0.05))
-    deliver (model, &model->flights[gsl_rng_uniform_int (model->random, model->n_flights)], 0, 1);
+    change_endpoint (model);
+  else if (model->n_attempts && chance (model, 0.05))
+    deliver (model, &model->attempts[gsl_rng_uniform_int (model->random, model->n_attempts)], 0, 1);
   else if (model->n_open)
     progress (model, model->open[gsl_rng_uniform_int (model->random, model->n_open)]);
-  carry_out (model);
+  handle_actions (model);
 }
 
-/* What the node's poller hears several times a second. */
+/* Reports all loads, as the node's poller does several times a second. */
 static void
-state_loads (Model *model)
+report_loads (Model *model)
 {
   for (int i = 0; i < N_ENDPOINTS; i++)
     {
@@ -393,13 +396,13 @@
   lc_dispatch_drain (model->f.dispatch, model->f.now, &model->f.actions);
   for (int i = 0; i < 100 * N_STEPS && lc_dispatch_count_in_progress (model->f.dispatch); i++)
     {
-      if (i % STEPS_BETWEEN_LOADS == 0)
-        state_loads (model);
+      if (i % STEPS_BETWEEN_REPORTS == 0)
+        report_loads (model);
       step (model, false);
     }
   cr_assert_eq (lc_dispatch_count_in_progress (model->f.dispatch), 0);
   for (LcRequestId id = 1; id <= model->f.last_id; id++)
-    cr_assert (model->calls[id].done, "no final answer");
+    cr_assert (model->calls[id].done, "no final result");
   for (size_t i = 0; i < lc_endpoints_count (lc_dispatch_endpoints (model->f.dispatch)); i++)
     cr_assert_eq (lc_endpoints_at (lc_dispatch_endpoints (model->f.dispatch), i)->in_flight, 0);
   fixture_clear (&model->f);
@@ -407,7 +410,7 @@
   free (model);
 }
 
-Test (random, promises_hold_for_all_seeds)
+Test (random, invariants_hold_for_all_seeds)
 {
   for (uint64_t seed = 1; seed <= N_SEEDS; seed++)
     run (seed);
--- a/packages/core/tests/test-dispatch.c
+++ b/packages/core/tests/test-dispatch.c
@@ -3,35 +3,35 @@
 static const LcDispatchSettings settings
     = { .max_report_age = LB_TIME_NEVER, .queue_limit = 100, .retry_budget = 0.2, .seed = 1 };
 
-Test (dispatch, whole_answer_passes_piece_by_piece)
+Test (dispatch, answer_is_forwarded_piece_by_piece)
 {
   Fixture f;
 
   fixture_init (&f, &settings, 2, 4);
 
-  LcRequestSpec spec = fixture_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
 
   cr_assert (fixture_submit (&f, &spec));
 
-  LcAction send = fixture_expect (&f, LC_ACTION_SEND, spec.id);
+  LcAction send = fixture_expect_action (&f, LC_ACTION_SEND, spec.id);
 
   cr_assert_eq (send.attempt, 1);
   cr_assert_str_eq (send.address, "127.0.0.1:9");
-  cr_assert_eq (fixture_piece (&f, spec.id, 1, 0, 3, false), LC_PIECE_FORWARD);
-  cr_assert_eq (fixture_piece (&f, spec.id, 1, 3, 2, true), LC_PIECE_FORWARD);
-  fixture_end (&f, spec.id, 1, LC_END_COMPLETE);
-  cr_assert_eq (fixture_expect (&f, LC_ACTION_FINISH, spec.id).error, LB_OK);
+  cr_assert_eq (fixture_deliver_piece (&f, spec.id, 1, 0, 3, false), LC_PIECE_FORWARD);
+  cr_assert_eq (fixture_deliver_piece (&f, spec.id, 1, 3, 2, true), LC_PIECE_FORWARD);
+  fixture_end_attempt (&f, spec.id, 1, LC_END_COMPLETE);
+  cr_assert_eq (fixture_expect_action (&f, LC_ACTION_FINISH, spec.id).error, LB_OK);
   cr_assert_eq (lc_dispatch_count_in_progress (f.dispatch), 0);
   fixture_clear (&f);
 }
 
-Test (dispatch, refusals_are_typed)
+Test (dispatch, refusals_have_error_codes)
 {
   Fixture f;
 
   fixture_init (&f, &settings, 1, 4);
 
-  LcRequestSpec spec = fixture_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
 
   LB_COPY (spec.pool, "nobody");
   cr_assert_not (fixture_submit (&f, &spec));
@@ -39,7 +39,7 @@
   spec.kind = LC_KIND_SERVICE;
   cr_assert_not (fixture_submit (&f, &spec));
   cr_assert_eq (f.error.code, LB_ERROR_UNKNOWN_SERVICE);
-  spec = fixture_spec (&f, LC_KIND_LIVE);
+  spec = fixture_new_spec (&f, LC_KIND_LIVE);
   spec.deadline = f.now;
   cr_assert_not (fixture_submit (&f, &spec));
   cr_assert_eq (f.error.code, LB_ERROR_DEADLINE_BEFORE_START);
--- a/packages/core/tests/test-retry.c
+++ b/packages/core/tests/test-retry.c
@@ -19,11 +19,12 @@
       n_retries++;
     }
   cr_assert_eq (n_retries, 25);
-  cr_assert (lc_retry_budgets_allow (budgets, "pipeline"), "one caller's failures cost another");
+  cr_assert (lc_retry_budgets_allow (budgets, "pipeline"),
+             "retries of one caller were charged to another");
   lc_retry_budgets_free (budgets);
 }
 
-/* Every call brings a new caller name. The table of budgets must not grow with them for ever. */
+/* Every call has a new caller name. The table of budgets must not grow without bound. */
 Test (budget, table_is_bounded)
 {
   LcRetryBudgets *budgets = lc_retry_budgets_new (1e-9);
@@ -38,13 +39,13 @@
       lc_retry_budgets_earn (budgets, "busy");
     }
   cr_assert_leq (lc_retry_budgets_count (budgets), 16384);
-  cr_assert_not (lc_retry_budgets_allow (budgets, "busy"), "the one in use was forgotten");
+  cr_assert_not (lc_retry_budgets_allow (budgets, "busy"), "a recently used bucket was evicted");
   lc_retry_budgets_free (budgets);
 }
 
-/* A hundred calls fail in the same moment. With a fixed delay all hundred return in one moment too
- * and fail again together. */
-Test (delay, spreads_over_its_whole_range)
+/* Calls that fail at the same moment and are retried after a fixed delay would all return, and
+ * fail, together again. */
+Test (delay, is_spread_over_its_whole_range)
 {
   gsl_rng *random = gsl_rng_alloc (gsl_rng_taus2);
   int low = 0;
@@ -62,9 +63,9 @@
   gsl_rng_free (random);
 }
 
-/* One caller's calls break every time while another's go well. The first may not use up what the
- * second has earned at the engines: when one of the good calls breaks it must be tried again. */
-Test (budget, belongs_to_the_caller)
+/* All calls of one caller break. It must not use up what another caller's successes have earned at
+ * the engines: a broken call of the other must still be retried. */
+Test (budget, is_separate_for_each_caller)
 {
   const LcDispatchSettings settings
       = { .max_report_age = LB_TIME_NEVER, .queue_limit = 100, .retry_budget = 0.25, .seed = 1 };
@@ -75,40 +76,40 @@
   fixture_init (&f, &settings, 4, 10);
   for (int i = 0; i < 200; i++)
     {
-      LcRequestSpec good = fixture_spec (&f, LC_KIND_LIVE);
+      LcRequestSpec good = fixture_new_spec (&f, LC_KIND_LIVE);
 
       cr_assert (fixture_submit (&f, &good));
-      fixture_end (&f, good.id, 1, LC_END_COMPLETE);
+      fixture_end_attempt (&f, good.id, 1, LC_END_COMPLETE);
     }
   for (int i = 0; i < 4; i++)
     {
-      LcRequestSpec bad = fixture_spec (&f, LC_KIND_LIVE);
+      LcRequestSpec bad = fixture_new_spec (&f, LC_KIND_LIVE);
 
       LB_COPY (bad.caller, "bad");
       cr_assert (fixture_submit (&f, &bad));
-      fixture_expect (&f, LC_ACTION_SEND, bad.id);
+      fixture_expect_action (&f, LC_ACTION_SEND, bad.id);
       for (uint32_t attempt = 1; attempt < 10; attempt++)
         {
-          fixture_end (&f, bad.id, attempt, LC_END_BROKEN);
-          fixture_at (&f, f.now + 3 * LB_SEC);
-          n_retries += fixture_take (&f, LC_ACTION_SEND, bad.id, &action);
+          fixture_end_attempt (&f, bad.id, attempt, LC_END_BROKEN);
+          fixture_tick_at (&f, f.now + 3 * LB_SEC);
+          n_retries += fixture_take_action (&f, LC_ACTION_SEND, bad.id, &action);
         }
     }
-  cr_assert (n_retries > 0 && n_retries <= 3, "%d retries", n_retries);
+  cr_assert (n_retries > 0 && n_retries <= 3, "%d retries, expected 1 to 3", n_retries);
 
-  LcRequestSpec good = fixture_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec good = fixture_new_spec (&f, LC_KIND_LIVE);
 
   cr_assert (fixture_submit (&f, &good));
-  fixture_end (&f, good.id, 1, LC_END_BROKEN);
+  fixture_end_attempt (&f, good.id, 1, LC_END_BROKEN);
   fixture_drop_actions (&f);
-  fixture_at (&f, f.now + 3 * LB_SEC);
-  fixture_expect (&f, LC_ACTION_SEND, good.id);
+  fixture_tick_at (&f, f.now + 3 * LB_SEC);
+  fixture_expect_action (&f, LC_ACTION_SEND, good.id);
   fixture_clear (&f);
 }
 
-/* All engines are slow to begin, and each call is tried at a second one too: the load doubles just
- * when the engines can bear it least. */
-Test (budget, hedges_spend_it_too)
+/* When all engines are slow to start, hedging every call would double the load at the worst
+ * moment. */
+Test (budget, hedges_spend_the_budget_too)
 {
   const LcDispatchSettings settings = { .max_report_age = LB_TIME_NEVER,
                                         .queue_limit = 100,
@@ -120,17 +121,17 @@
   fixture_init (&f, &settings, 8, 10);
   for (int i = 0; i < 20; i++)
     {
-      LcRequestSpec spec = fixture_spec (&f, LC_KIND_LIVE);
+      LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
 
       cr_assert (fixture_submit (&f, &spec));
     }
   fixture_drop_actions (&f);
-  fixture_at (&f, f.now + 10 * LB_SEC);
-  cr_assert_eq (f.actions.length, 3, "%zu hedges", f.actions.length);
+  fixture_tick_at (&f, f.now + 10 * LB_SEC);
+  cr_assert_eq (f.actions.length, 3, "%zu hedges, expected 3", f.actions.length);
   fixture_clear (&f);
 }
 
-/* One endpoint in virtual time and callers with a steady stream of calls. */
+/* Simulation in virtual time: one endpoint, and callers with a steady rate of calls. */
 
 #define CALLS_PER_SECOND 200
 #define SERVICE_TIME (50 * LB_MSEC)
@@ -141,10 +142,10 @@
 
 typedef enum
 {
-  OUTAGE_REFUSES, /* connections are refused */
-  OUTAGE_BREAKS,  /* takes the call and breaks after a while */
-  OUTAGE_SILENT,  /* takes the call and says nothing; the node closes after 3 s */
-  OUTAGE_PARTIAL  /* breaks two of five in turn: too few for a breaker */
+  OUTAGE_REFUSES, /* refuses connections */
+  OUTAGE_BREAKS,  /* accepts the call, then breaks the connection */
+  OUTAGE_SILENT,  /* accepts the call and never answers; the node closes after 3 s */
+  OUTAGE_PARTIAL  /* breaks two calls of five: too few to open a breaker */
 } OutageKind;
 
 typedef struct
@@ -153,32 +154,32 @@
   LcRequestId request;
   uint32_t attempt;
   LcAttemptEnd end;
-} Pending;
+} PendingEnd;
 
 typedef struct
 {
   Fixture f;
   OutageKind kind;
   gsl_rng *random;
-  Pending pending[MAX_PENDING];
+  PendingEnd pending[MAX_PENDING];
   size_t n_pending;
-  size_t n_taken;                   /* in the outage */
-  int sent[RUN_ENDS / LB_SEC];      /* attempts that the endpoint saw, by second */
-  int submitted[RUN_ENDS / LB_SEC]; /* calls of the callers, by second */
+  size_t n_accepted;                /* during the outage */
+  int sent[RUN_ENDS / LB_SEC];      /* attempts that reached the endpoint, by second */
+  int submitted[RUN_ENDS / LB_SEC]; /* calls submitted, by second */
   int answered[RUN_ENDS / LB_SEC];
-} Storm;
+} StormSimulation;
 
-static Pending
-outcome (Storm *storm, const LcAction *send)
+static PendingEnd
+pending_end_of (StormSimulation *storm, const LcAction *send)
 {
   LbTime now = storm->f.now;
-  bool out = now >= OUTAGE_BEGINS && now < OUTAGE_ENDS;
-  Pending pending = { .at = now + SERVICE_TIME,
-                      .request = send->request,
-                      .attempt = send->attempt,
-                      .end = LC_END_COMPLETE };
+  bool is_out = now >= OUTAGE_BEGINS && now < OUTAGE_ENDS;
+  PendingEnd pending = { .at = now + SERVICE_TIME,
+                         .request = send->request,
+                         .attempt = send->attempt,
+                         .end = LC_END_COMPLETE };
 
-  if (!out || (storm->kind == OUTAGE_PARTIAL && storm->n_taken++ % 5 >= 2))
+  if (!is_out || (storm->kind == OUTAGE_PARTIAL && storm->n_accepted++ % 5 >= 2))
     return pending;
   pending.end = storm->kind == OUTAGE_REFUSES ? LC_END_NOT_SENT : LC_END_BROKEN;
   if (storm->kind == OUTAGE_SILENT)
@@ -187,7 +188,7 @@
 }
 
 static void
-carry_out (Storm *storm)
+handle_actions (StormSimulation *storm)
 {
   LbLink *link = NULL;
 
@@ -199,7 +200,7 @@
       if (action->type == LC_ACTION_SEND)
         {
           cr_assert_lt (storm->n_pending, MAX_PENDING);
-          storm->pending[storm->n_pending++] = outcome (storm, action);
+          storm->pending[storm->n_pending++] = pending_end_of (storm, action);
           storm->sent[second]++;
         }
       storm->answered[second] += action->type == LC_ACTION_FINISH && action->error == LB_OK;
@@ -208,11 +209,11 @@
 }
 
 static void
-end_due (Storm *storm)
+end_due (StormSimulation *storm)
 {
   for (size_t i = 0; i < storm->n_pending;)
     {
-      Pending pending = storm->pending[i];
+      PendingEnd pending = storm->pending[i];
 
       if (pending.at > storm->f.now)
         {
@@ -221,36 +222,36 @@
         }
       storm->pending[i] = storm->pending[--storm->n_pending];
       if (pending.end == LC_END_COMPLETE)
-        fixture_piece (&storm->f, pending.request, pending.attempt, 0, 10, true);
-      fixture_end (&storm->f, pending.request, pending.attempt, pending.end);
-      carry_out (storm);
+        fixture_deliver_piece (&storm->f, pending.request, pending.attempt, 0, 10, true);
+      fixture_end_attempt (&storm->f, pending.request, pending.attempt, pending.end);
+      handle_actions (storm);
     }
 }
 
 static void
-submit_calls (Storm *storm)
+submit_calls (StormSimulation *storm)
 {
   unsigned n = gsl_ran_poisson (storm->random, CALLS_PER_SECOND / 1000.0);
 
   for (unsigned i = 0; i < n; i++)
     {
-      LcRequestSpec spec = fixture_spec (&storm->f, LC_KIND_LIVE);
+      LcRequestSpec spec = fixture_new_spec (&storm->f, LC_KIND_LIVE);
 
       snprintf (spec.caller, sizeof spec.caller, "shop-%u",
                 (unsigned)gsl_rng_uniform_int (storm->random, 20));
       spec.deadline = storm->f.now + 2 * LB_SEC;
       storm->submitted[storm->f.now / LB_SEC]++;
       fixture_submit (&storm->f, &spec);
-      carry_out (storm);
+      handle_actions (storm);
     }
 }
 
-static Storm *
+static StormSimulation *
 run_storm (OutageKind kind)
 {
   LcDispatchSettings settings
       = { .max_report_age = LB_TIME_NEVER, .queue_limit = 4096, .retry_budget = 0.1, .seed = 1 };
-  Storm *storm = LB_NEW (Storm);
+  StormSimulation *storm = LB_NEW (StormSimulation);
 
   storm->kind = kind;
   storm->random = gsl_rng_alloc (gsl_rng_taus2);
@@ -261,14 +262,14 @@
       end_due (storm);
       submit_calls (storm);
       if (now >= lc_dispatch_next_tick (storm->f.dispatch))
-        fixture_at (&storm->f, now);
-      carry_out (storm);
+        fixture_tick_at (&storm->f, now);
+      handle_actions (storm);
     }
   return storm;
 }
 
 static void
-free_storm (Storm *storm)
+free_storm (StormSimulation *storm)
 {
   fixture_clear (&storm->f);
   gsl_rng_free (storm->random);
@@ -285,19 +286,19 @@
   return total;
 }
 
-/* Holds the load in every second from the outage on against the callers' own, and looks that all is
- * answered again in the end. */
+/* Checks that from the outage on the endpoint's load stays near the callers' own rate in every
+ * second, and that all calls are answered again at the end. */
 static void
 expect_no_storm (OutageKind kind)
 {
-  Storm *storm = run_storm (kind);
+  StormSimulation *storm = run_storm (kind);
   LbTime last = RUN_ENDS - 20 * LB_SEC;
 
   for (LbTime at = OUTAGE_BEGINS; at < RUN_ENDS; at += LB_SEC)
     {
       int sent = sum (storm->sent, at, at + LB_SEC);
 
-      cr_expect_leq (sent, CALLS_PER_SECOND * 1.2, "%d sent in second %d", sent,
+      cr_expect_leq (sent, CALLS_PER_SECOND * 1.2, "%d attempts sent in second %d", sent,
                      (int)(at / LB_SEC));
     }
   cr_expect_geq (sum (storm->answered, last, RUN_ENDS),
@@ -305,8 +306,8 @@
   free_storm (storm);
 }
 
-/* An endpoint is away for ten seconds. Callers go on at their pace. If every failed call were tried
- * again as often as it could be, the endpoint would come back to several times its usual load, fail
+/* An endpoint is down for ten seconds while callers continue at their rate. If every failed call
+ * were retried without a budget, the endpoint would return to several times its usual load, fail
  * under it and never recover. */
 Test (storm, connections_refused)
 {
@@ -318,21 +319,21 @@
   expect_no_storm (OUTAGE_BREAKS);
 }
 
-Test (storm, calls_are_swallowed)
+Test (storm, calls_are_never_answered)
 {
   expect_no_storm (OUTAGE_SILENT);
 }
 
-/* The same when the endpoint fails only two calls of five, which opens no breaker: here the budgets
- * alone hold the load down. */
+/* The endpoint fails only two calls of five, which opens no breaker: only the budgets limit the
+ * load. */
 Test (storm, some_calls_break)
 {
   expect_no_storm (OUTAGE_PARTIAL);
 }
 
-/* An engine loads weights and refuses what comes. It looks idle, so a long text was sent there
- * again each 50 to 800 ms, and began a second late although another engine had room. It goes there
- * at once, and a budget without anything left does not stop it. */
+/* An engine that loads weights refuses requests and looks idle, so a long sample was sent to it
+ * again every 50 to 800 ms and started a second late although another engine had capacity. It must
+ * go to the other engine at once, even with an empty budget. */
 Test (retry, a_sample_that_is_refused_goes_to_another_engine_at_once)
 {
   const LcDispatchSettings no_budget = {
@@ -342,12 +343,12 @@
 
   fixture_init (&f, &no_budget, 2, 4);
 
-  LcRequestSpec spec = fixture_spec (&f, LC_KIND_SAMPLE);
+  LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_SAMPLE);
 
   cr_assert (fixture_submit (&f, &spec));
-  LcAction first = fixture_expect (&f, LC_ACTION_SEND, spec.id);
-  fixture_end (&f, spec.id, 1, LC_END_REFUSED);
-  LcAction second = fixture_expect (&f, LC_ACTION_SEND, spec.id);
+  LcAction first = fixture_expect_action (&f, LC_ACTION_SEND, spec.id);
+  fixture_end_attempt (&f, spec.id, 1, LC_END_REFUSED);
+  LcAction second = fixture_expect_action (&f, LC_ACTION_SEND, spec.id);
   cr_assert_str_neq (second.endpoint, first.endpoint);
   fixture_clear (&f);
 }
--- a/packages/core/tests/test-router.c
+++ b/packages/core/tests/test-router.c
@@ -6,7 +6,7 @@
   return lc_router_choose (router, f->endpoints, query, now);
 }
 
-/* Runs the check with each policy. */
+/* Runs the check for each policy. */
 static void
 with_each_policy (void (*check) (LcRouter *router, const char *policy))
 {
@@ -48,9 +48,8 @@
   fixture_clear (&f);
 }
 
-/* Whatever the policy, a request never goes to an endpoint that leaves, was tried before, has
- * weights that are too old or is full: a comparison of policies is honest only with the same
- * filters. */
+/* No policy chooses an endpoint that is leaving, avoided, full or has outdated weights: policies
+ * can be compared only with the same filters. */
 Test (router, all_policies_have_the_same_filters)
 {
   with_each_policy (check_filters);
@@ -96,12 +95,12 @@
   fixture_clear (&f);
 }
 
-Test (router, says_why_nobody_takes_it)
+Test (router, empty_decision_states_the_reason)
 {
   with_each_policy (check_reasons);
 }
 
-Test (router, an_unknown_policy_is_refused_and_an_empty_name_is_the_products_own)
+Test (router, unknown_policy_is_refused_and_empty_name_is_the_default)
 {
   LcRouter *router = lc_router_new ("", 1);
 
@@ -110,10 +109,10 @@
   lc_router_free (router);
 }
 
-/* Ten instances see the same report: e0 is nearly idle, nine others are half full. Each sends a
- * request; if all choose e0, it is the fullest before anyone knows, and the next report moves them
- * all elsewhere at once. */
-Test (finish_time, instances_with_the_same_old_report_do_not_all_choose_the_same)
+/* All instances see the same report: e0 is nearly idle, the nine others are half full. If every
+ * instance chose e0, it would be the fullest before the next report, which would then move them all
+ * elsewhere (herding). */
+Test (finish_time, instances_with_the_same_report_do_not_all_choose_the_same)
 {
   int at_e0 = 0;
 
@@ -136,8 +135,8 @@
       lc_router_free (router);
       fixture_clear (&f);
     }
-  cr_assert_gt (at_e0, 100 / 10, "the emptiest gets more than an even share");
-  cr_assert_lt (at_e0, 50, "but not most");
+  cr_assert_gt (at_e0, 100 / 10, "the emptiest engine did not get more than an even share");
+  cr_assert_lt (at_e0, 50, "the emptiest engine got most requests");
 }
 
 static const char *
@@ -155,7 +154,7 @@
   return name;
 }
 
-Test (finish_time, goes_where_the_prompt_is_cached_unless_that_is_far_fuller)
+Test (finish_time, prefers_the_cached_prompt_unless_that_engine_is_much_fuller)
 {
   Fixture f;
 
@@ -170,9 +169,9 @@
   fixture_clear (&f);
 }
 
-/* A swap of an engine is due in 30 s: a request sent there now would wait behind the load of
- * weights or be cut from its cache. Another engine that is busier is still the sooner one. */
-Test (finish_time, an_engine_about_to_swap_comes_last)
+/* An engine is to swap weights within 30 s: a request sent there would wait for the load or lose
+ * its cache. A busier engine is expected to finish it sooner. */
+Test (finish_time, an_engine_about_to_swap_is_chosen_last)
 {
   Fixture f;
 
@@ -187,10 +186,10 @@
   fixture_clear (&f);
 }
 
-/* An engine hangs with its connections open. Its last report ages, its load is taken to have
- * finished, and it looks the emptiest of all: every instance sends it new requests until their
+/* An engine hangs with its connections open. As its last report ages, its load is assumed to
+ * have finished, so it would look emptiest and attract requests of all instances until their
  * deadlines. */
-Test (finish_time, an_engine_gone_silent_does_not_draw_in_work)
+Test (finish_time, a_silent_engine_does_not_attract_requests)
 {
   Fixture f;
 
@@ -211,8 +210,8 @@
   fixture_clear (&f);
 }
 
-/* Where endpoints are known by the store's list, each list counted as an answer of every endpoint:
- * all seemed to have an open connection, and calls went round them as before. */
+/* Endpoints are known from the store's listing. Each listing counted as a reply of every endpoint,
+ * so all seemed to have an open connection and calls rotated over them. */
 Test (router, a_list_of_the_store_opens_no_connection)
 {
   LcRouteQuery query = fixture_query ();
@@ -240,10 +239,11 @@
   lc_router_free (router);
 }
 
-/* Eighty instances send a call to a service now and then. Each time it went to another endpoint,
- * whose connection had been closed meanwhile: two of three calls opened one, and endpoints ran out
- * of them. An instance keeps to the endpoint that it used of late, unless that one is busier. */
-Test (router, calls_of_a_service_keep_to_open_connections)
+/* Each of eighty instances calls a service only now and then. Rotating over the endpoints, two of
+ * three calls had to open a connection because the old one had been closed meanwhile, and endpoints
+ * ran out of connections. An instance keeps to the endpoint that it used recently, unless that one
+ * is busier. */
+Test (router, service_calls_keep_to_open_connections)
 {
   LcRouteQuery query = fixture_query ();
   LcRouter *router = lc_router_new ("lentilspindle", 7);
