--- a/packages/core/src/dispatch/lc-dispatch-private.h
+++ b/packages/core/src/dispatch/lc-dispatch-private.h
@@ -20,26 +20,26 @@
   LcRequest *requests;
   LcHeap timers; /* LcRequest ordered by timer_due */
   LbTime polled_at;
-  uint64_t sequence;
+  uint64_t last_sequence;
   uint64_t invariant_failures;
   bool draining;
   bool forbid_cancel; /* the current command must not cancel running attempts */
 };
 
 static inline LcPoolKind
-lc_pool_kind (LcRequestKind kind)
+lc_pool_kind_of_request (LcRequestKind kind)
 {
   return kind == LC_KIND_SERVICE ? LC_POOL_SERVICE : LC_POOL_ENGINES;
 }
 
 static inline LcPoolKind
-lc_pool_kind_of (const LcEndpointMember *member)
+lc_pool_kind_of_endpoint (const LcEndpointMember *member)
 {
   return member->kind == LC_ENDPOINT_SERVICE ? LC_POOL_SERVICE : LC_POOL_ENGINES;
 }
 
 /* lc-dispatch-query.c */
-LcRequest *lc_dispatch_find (const LcDispatch *dispatch, LcRequestId id);
+LcRequest *lc_dispatch_find_request (const LcDispatch *dispatch, LcRequestId id);
 
 /* Returns the time until which requests with this content are quarantined because endpoints crashed
  * on it; 0 if they are not. */
@@ -47,7 +47,7 @@
 lc_dispatch_quarantined_until (const LcDispatch *dispatch, LcFingerprint content, LbTime now);
 
 /* lc-timers.c */
-void lc_dispatch_set_timer (LcDispatch *dispatch, LcRequest *request);
+void lc_dispatch_update_timer (LcDispatch *dispatch, LcRequest *request);
 LcRequest *lc_dispatch_find_due (LcDispatch *dispatch, LbTime now);
 
 /* lc-placement.c */
@@ -62,12 +62,12 @@
 void lc_dispatch_try_hedge (LcDispatch *dispatch, LcRequest *request, LbTime now, LbList *actions);
 
 /* lc-outcome.c */
-void lc_dispatch_end_attempt (LcDispatch *dispatch,
-                              LcRequest *request,
-                              LcAttempt *attempt,
-                              LcAttemptEnd end,
-                              LbTime now,
-                              LbList *actions);
+void lc_dispatch_handle_attempt_end (LcDispatch *dispatch,
+                                     LcRequest *request,
+                                     LcAttempt *attempt,
+                                     LcAttemptEnd end,
+                                     LbTime now,
+                                     LbList *actions);
 void lc_dispatch_cancel_attempt (
     LcDispatch *dispatch, LcRequest *request, LcAttempt *attempt, LbTime now, LbList *actions);
 void
--- a/packages/core/src/dispatch/lc-dispatch-query.c
+++ b/packages/core/src/dispatch/lc-dispatch-query.c
@@ -2,7 +2,7 @@
 
 /* Returns NULL if the request is unknown or already finished. */
 LcRequest *
-lc_dispatch_find (const LcDispatch *dispatch, LcRequestId id)
+lc_dispatch_find_request (const LcDispatch *dispatch, LcRequestId id)
 {
   LcRequest *request = NULL;
 
@@ -25,7 +25,7 @@
 lc_dispatch_next_tick (const LcDispatch *dispatch)
 {
   const LcHeapNode *node = lc_heap_top (&dispatch->timers);
-  LbTime due = node ? LC_HEAP_ENTRY (node, LcRequest, timer)->timer_due : LB_TIME_NEVER;
+  LbTime due = node ? LC_HEAP_ENTRY (node, LcRequest, timer_node)->timer_due : LB_TIME_NEVER;
   LbTime poll
       = has_waiting (dispatch) ? dispatch->polled_at + LC_DISPATCH_POLL_INTERVAL : LB_TIME_NEVER;
 
@@ -44,7 +44,8 @@
 {
   size_t waiting = 0;
 
-  for (const LcPoolState *pool = dispatch->pools[lc_pool_kind (kind)]; pool; pool = pool->hh.next)
+  for (const LcPoolState *pool = dispatch->pools[lc_pool_kind_of_request (kind)]; pool;
+       pool = pool->hh.next)
     waiting += lc_queue_length_of_kind (pool->queue, kind);
   return waiting;
 }
--- a/packages/core/src/dispatch/lc-dispatch.c
+++ b/packages/core/src/dispatch/lc-dispatch.c
@@ -11,15 +11,15 @@
 #define DEFAULT_QUEUE_LIMIT 4096
 #define DRAIN_RETRY_AFTER (100 * LB_MSEC)
 
-static LbMetric refused = LB_COUNTER_INIT ("lentilspindle_requests_refused_total",
-                                           NULL,
-                                           "Requests that were not admitted");
+static LbMetric refused_requests = LB_COUNTER_INIT ("lentilspindle_requests_refused_total",
+                                                    NULL,
+                                                    "Requests that were not admitted");
 
 static bool
 timer_before (const LcHeapNode *a, const LcHeapNode *b)
 {
-  const LcRequest *first = LC_HEAP_ENTRY (a, LcRequest, timer);
-  const LcRequest *second = LC_HEAP_ENTRY (b, LcRequest, timer);
+  const LcRequest *first = LC_HEAP_ENTRY (a, LcRequest, timer_node);
+  const LcRequest *second = LC_HEAP_ENTRY (b, LcRequest, timer_node);
 
   return first->timer_due != second->timer_due ? first->timer_due < second->timer_due
                                                : first->id < second->id;
@@ -134,7 +134,7 @@
         pool->queue_limit = set->pools[i].queue_limit;
     }
   for (size_t i = 0; i < set->n_endpoints; i++)
-    if (lc_pool_kind_of (&set->endpoints[i]) == LC_POOL_SERVICE)
+    if (lc_pool_kind_of_endpoint (&set->endpoints[i]) == LC_POOL_SERVICE)
       ensure_pool (dispatch, LC_POOL_SERVICE, set->endpoints[i].pool);
 }
 
@@ -171,7 +171,7 @@
 refuse (LbErrorCode code, LbTime hint, LbTime *retry_after, const char *pool, LbError *error)
 {
   *retry_after = hint;
-  lb_metric_add (&refused, 1);
+  lb_metric_add (&refused_requests, 1);
   return lb_error_set (error, code, pool, "request refused before dispatch");
 }
 
@@ -232,7 +232,8 @@
 bool
 lc_dispatch_has_service (const LcDispatch *dispatch, const char *service)
 {
-  const LcPoolState *pool = find_pool (dispatch, lc_pool_kind (LC_KIND_SERVICE), service);
+  const LcPoolState *pool
+      = find_pool (dispatch, lc_pool_kind_of_request (LC_KIND_SERVICE), service);
 
   return pool && pool->configured;
 }
@@ -242,7 +243,7 @@
 {
   LcRequest *request = lc_request_new (spec, pool, now);
 
-  request->queue_entry.sequence = ++dispatch->sequence;
+  request->queue_entry.sequence = ++dispatch->last_sequence;
   request->start_deadline = start_deadline_of (dispatch, spec, now);
   HASH_ADD (hh, dispatch->requests, id, sizeof request->id, request);
   pool->n_requests++;
@@ -257,7 +258,7 @@
                     LbTime *retry_after,
                     LbError *error)
 {
-  LcPoolState *pool = find_pool (dispatch, lc_pool_kind (spec->kind), spec->pool);
+  LcPoolState *pool = find_pool (dispatch, lc_pool_kind_of_request (spec->kind), spec->pool);
 
   *retry_after = 0;
   if (dispatch->draining)
@@ -270,7 +271,7 @@
   LbTime quarantined_until = lc_dispatch_quarantined_until (dispatch, spec->content, now);
   if (quarantined_until > 0)
     return refuse (LB_ERROR_QUARANTINED, quarantined_until - now, retry_after, spec->pool, error);
-  if (!lc_dispatch_check_invariant (dispatch, !lc_dispatch_find (dispatch, spec->id),
+  if (!lc_dispatch_check_invariant (dispatch, !lc_dispatch_find_request (dispatch, spec->id),
                                     "request-ids-are-unique", spec->id))
     return refuse (LB_ERROR_INVARIANT, 0, retry_after, spec->pool, error);
 
@@ -298,7 +299,7 @@
 void
 lc_dispatch_cancel (LcDispatch *dispatch, LcRequestId id, LbTime now, LbList *actions)
 {
-  LcRequest *request = lc_dispatch_find (dispatch, id);
+  LcRequest *request = lc_dispatch_find_request (dispatch, id);
 
   if (!request)
     return;
@@ -317,7 +318,7 @@
                                 LbTime now,
                                 LbList *actions)
 {
-  LcRequest *request = lc_dispatch_find (dispatch, id);
+  LcRequest *request = lc_dispatch_find_request (dispatch, id);
   LcAttempt *attempt = request ? lc_request_find_attempt (request, number) : NULL;
 
   if (!attempt)
@@ -327,7 +328,7 @@
 
   if (end == LC_END_REFUSED_LEAVING)
     lc_dispatch_mark_leaving (dispatch, attempt->endpoint, "", LC_LEAVING_ENDPOINT, now, actions);
-  lc_dispatch_end_attempt (dispatch, request, attempt, end, now, actions);
+  lc_dispatch_handle_attempt_end (dispatch, request, attempt, end, now, actions);
   lc_dispatch_send_waiting (dispatch, pool, now, actions);
 }
 
@@ -338,7 +339,7 @@
 
   if (!endpoint)
     return NULL;
-  return find_pool (dispatch, lc_pool_kind_of (&endpoint->member), endpoint->member.pool);
+  return find_pool (dispatch, lc_pool_kind_of_endpoint (&endpoint->member), endpoint->member.pool);
 }
 
 void
--- a/packages/core/src/dispatch/lc-outcome.c
+++ b/packages/core/src/dispatch/lc-outcome.c
@@ -10,7 +10,7 @@
 #define MIN_RETRY_AFTER (100 * LB_MSEC)
 #define RETRY_AFTER_WITHOUT_ENDPOINT LB_SEC
 #define SILENCE_LIMIT LB_SEC
-/* Of samples: their first piece normally comes several times sooner than this. */
+/* For samples, whose first piece normally comes several times sooner than this. */
 #define SAMPLE_SILENCE_LIMIT (500 * LB_MSEC)
 
 static LbMetric retries = LB_COUNTER_INIT ("lentilspindle_retries_total",
@@ -140,7 +140,7 @@
 {
   cancel_attempts (dispatch, request, now, actions);
   lc_queue_remove (request->pool->queue, &request->queue_entry);
-  lc_heap_remove (&dispatch->timers, &request->timer);
+  lc_heap_remove (&dispatch->timers, &request->timer_node);
   HASH_DELETE (hh, dispatch->requests, request);
   request->pool->n_requests--;
 }
@@ -334,7 +334,7 @@
   request->n_retries++;
   request->state = LC_STATE_BACKOFF;
   request->retry_at = now + delay;
-  lc_dispatch_set_timer (dispatch, request);
+  lc_dispatch_update_timer (dispatch, request);
 }
 
 static AttemptResult
@@ -354,12 +354,12 @@
 
 /* Handles the end of an attempt: the request is retried or its final action is appended. */
 void
-lc_dispatch_end_attempt (LcDispatch *dispatch,
-                         LcRequest *request,
-                         LcAttempt *attempt,
-                         LcAttemptEnd end,
-                         LbTime now,
-                         LbList *actions)
+lc_dispatch_handle_attempt_end (LcDispatch *dispatch,
+                                LcRequest *request,
+                                LcAttempt *attempt,
+                                LcAttemptEnd end,
+                                LbTime now,
+                                LbList *actions)
 {
   if (endpoint_survived (end))
     lc_quarantine_record_answer (dispatch->quarantine, request->content, now);
@@ -390,5 +390,5 @@
    * although other endpoints were idle. */
   if (proves_not_run (end))
     request->hedged = false;
-  lc_dispatch_set_timer (dispatch, request);
+  lc_dispatch_update_timer (dispatch, request);
 }
--- a/packages/core/src/dispatch/lc-pieces.c
+++ b/packages/core/src/dispatch/lc-pieces.c
@@ -28,7 +28,7 @@
   lc_pool_state_record_first_piece (request->pool, request->kind, now - attempt->sent_at);
   if (endpoint)
     lc_endpoint_first_byte_received (endpoint, now - attempt->sent_at, now);
-  lc_dispatch_set_timer (dispatch, request);
+  lc_dispatch_update_timer (dispatch, request);
 }
 
 /* From here on only this attempt's pieces are forwarded; other attempts are cancelled. */
@@ -55,7 +55,7 @@
 
   action->attempt = attempt->number;
   LB_COPY (action->endpoint, attempt->endpoint);
-  lc_dispatch_end_attempt (dispatch, request, attempt, LC_END_BROKEN, now, actions);
+  lc_dispatch_handle_attempt_end (dispatch, request, attempt, LC_END_BROKEN, now, actions);
   lc_dispatch_send_waiting (dispatch, pool, now, actions);
   return drop_piece ();
 }
@@ -71,10 +71,10 @@
 /* Last check before a piece is forwarded: it must be the next one of the only attempt whose pieces
  * the submitter gets. */
 static bool
-is_next_piece (LcDispatch *dispatch,
-               const LcRequest *request,
-               const LcAttempt *attempt,
-               const LcPiece *piece)
+check_is_next_piece (LcDispatch *dispatch,
+                     const LcRequest *request,
+                     const LcAttempt *attempt,
+                     const LcPiece *piece)
 {
   bool is_next
       = request->forwarded_attempt == attempt->number && request->next_token == piece->offset;
@@ -101,7 +101,7 @@
                            LbTime now,
                            LbList *actions)
 {
-  LcRequest *request = lc_dispatch_find (dispatch, id);
+  LcRequest *request = lc_dispatch_find_request (dispatch, id);
   LcAttempt *attempt = request ? lc_request_find_attempt (request, number) : NULL;
 
   if (!attempt || attempt->is_complete || piece->tokens < 0)
@@ -114,7 +114,7 @@
     return drop_piece ();
   if (request->delivery == LC_DELIVER_STREAM && request->forwarded_attempt == 0)
     commit_to_attempt (dispatch, request, attempt, now, actions);
-  if (!is_next_piece (dispatch, request, attempt, piece))
+  if (!check_is_next_piece (dispatch, request, attempt, piece))
     {
       lc_dispatch_fail_request (dispatch, request, LB_ERROR_STREAM_BROKEN, 0, now, actions);
       return drop_piece ();
--- a/packages/core/src/dispatch/lc-request.h
+++ b/packages/core/src/dispatch/lc-request.h
@@ -35,7 +35,7 @@
   LcRequestId id;
   LcPoolState *pool;
   LcQueueEntry queue_entry;
-  LcHeapNode timer;
+  LcHeapNode timer_node;
   LbTime timer_due; /* LB_TIME_NEVER: no timer */
   LbTime submitted;
   LbTime deadline;       /* of the answer */
--- a/packages/core/src/dispatch/lc-timers.c
+++ b/packages/core/src/dispatch/lc-timers.c
@@ -49,15 +49,15 @@
 /* Must be called after each change of a request's state. One timer per request in a heap: requests
  * that are not due cost nothing in a tick. */
 void
-lc_dispatch_set_timer (LcDispatch *dispatch, LcRequest *request)
+lc_dispatch_update_timer (LcDispatch *dispatch, LcRequest *request)
 {
   request->timer_due = next_due (dispatch, request);
   if (request->timer_due == LB_TIME_NEVER)
-    lc_heap_remove (&dispatch->timers, &request->timer);
-  else if (lc_heap_node_is_linked (&request->timer))
-    lc_heap_update (&dispatch->timers, &request->timer);
+    lc_heap_remove (&dispatch->timers, &request->timer_node);
+  else if (lc_heap_node_is_linked (&request->timer_node))
+    lc_heap_update (&dispatch->timers, &request->timer_node);
   else
-    lc_heap_push (&dispatch->timers, &request->timer);
+    lc_heap_push (&dispatch->timers, &request->timer_node);
 }
 
 /* Returns a request whose timer has expired; NULL if there is none. */
@@ -65,7 +65,7 @@
 lc_dispatch_find_due (LcDispatch *dispatch, LbTime now)
 {
   LcHeapNode *node = lc_heap_top (&dispatch->timers);
-  LcRequest *request = node ? LC_HEAP_ENTRY (node, LcRequest, timer) : NULL;
+  LcRequest *request = node ? LC_HEAP_ENTRY (node, LcRequest, timer_node) : NULL;
 
   return request && request->timer_due <= now ? request : NULL;
 }
