--- a/packages/core/include/lc-catalog.h
+++ b/packages/core/include/lc-catalog.h
@@ -4,101 +4,103 @@
 #include "lb-error.h"
 #include "lb-types.h"
 
-/* Lists that one instance reads for all. Endpoints and instances write their rows each second or
- * two, and to list all of them several times a second is too much for each of hundreds of machines;
- * so one of them, the publisher, lists them and writes what has changed into a table that all
- * others follow. It writes one row anew with each list, which tells the others how old their belief
- * is, and which is the condition of each of its writes: a publisher that was replaced can write
- * nothing more. When that row stands still, another instance takes over, and an instance that has
- * not heard of it for a second reads the lists itself. Nothing here is kept beyond what the rows
- * themselves say. No I/O. */
+/* Shared listing of endpoints and instances. Endpoints and instances write their rows every one or
+ * two seconds; hundreds of instances that each list all rows several times a second would overload
+ * the store. So one instance, the publisher, lists the rows and writes what has changed to a table
+ * that all others follow. It also rewrites its own row with every listing: that row tells followers
+ * how old their snapshot is, and its version is the condition of each of the publisher's writes, so
+ * a publisher that has been replaced can write nothing more. When that row stops changing, another
+ * instance takes over, and an instance that has seen no change for about a second lists the rows
+ * itself. The table holds nothing beyond what the rows themselves say. No I/O. */
 
-/* Between two lists of the publisher. The longest time for which an instance relies on a belief
- * that nobody renews is 9 / 4 of it: with the list before it and its own list after it, it knows of
- * an endpoint that leaves within some four periods. */
+/* Time between two listings by the publisher. An instance relies on a snapshot that is not renewed
+ * for at most 9 / 4 of it; together with the listing before and its own listing afterwards, it
+ * learns of a leaving endpoint within about four periods. */
 #define LC_CATALOG_PERIOD (400 * LB_MSEC)
 #define LC_CATALOG_MAX_SILENCE (LC_CATALOG_PERIOD * 9 / 4)
 
 typedef struct LcCatalog LcCatalog;
 
-/* draw: of this instance, for its place among those that list for themselves. */
+/* draw: random number that spreads the instances which fall back to listing for themselves. */
 LcCatalog *
 lc_catalog_new (const char *instance, const char *incarnation, uint64_t draw, LbTime now);
 void lc_catalog_free (LcCatalog *catalog);
 
-/* commands: following */
-/* All rows are about to be read anew. */
+/* commands: follow the table */
+/* The rows that follow are a complete copy of the table; drops the rows held so far. */
 void lc_catalog_begin_snapshot (LcCatalog *catalog);
-/* A row of the table, by its key there; value NULL: it is gone. */
+/* One changed row of the table; value NULL: the row was deleted. */
 void lc_catalog_apply_row (LcCatalog *catalog, const char *key, const char *value, int64_t version);
-/* The store's answer ends; store_ms: its own clock then. True when there is a new belief. */
+/* Ends the rows of one answer of the store; store_ms: the store's clock at that answer. Returns
+ * true when there is a new complete snapshot. */
 bool lc_catalog_finish_update (LcCatalog *catalog, int64_t store_ms, LbTime now);
 
-/* commands: publishing */
-/* Between two lists of this instance, when it publishes; it tells the others. */
+/* commands: publish */
+/* Time between two listings by this instance while it publishes; written to the publisher's row. */
 void lc_catalog_set_own_period (LcCatalog *catalog, LbTime period);
-/* Place among those that may publish, without the one that does; 0: the first; negative: this
- * instance may not. */
+/* Position in the order of takeover, not counting the current publisher; 0: the first; negative:
+ * this instance must not publish. */
 void lc_catalog_set_rank (LcCatalog *catalog, int rank);
 
-/* One thing that is listed. Keys are those of its list and its name, "LIST:NAME". */
+/* One listed endpoint or instance. The key is the list's prefix and the item's name,
+ * "LIST:NAME". */
 typedef struct
 {
   char *key;
-  char *value; /* what is said of it; the same as long as nothing has changed */
+  char *value; /* its state as text; equal texts mean that nothing changed */
 } LcCatalogItem;
 
-/* This instance has read a list itself, and takes over what it holds; prefix: of its keys, "LIST:".
- * store_ms: the store's clock then; 0: what it says does not grow old with the time since it was
- * read.
- */
+/* Replaces this instance's own listing of one list and takes ownership of the items; prefix: of
+ * their keys, "LIST:". store_ms: the store's clock at the listing; 0: the listing does not age. */
 void lc_catalog_set_listing (
     LcCatalog *catalog, const char *prefix, LcCatalogItem *items, size_t n_items, int64_t store_ms);
 
 typedef struct
 {
   char *key;
-  char *value; /* NULL: the row goes */
+  char *value; /* NULL: deletes the row */
 } LcCatalogPut;
 
-/* Rows to write together, if the publisher's row has this version; 0: if there is none. */
+/* Rows to write in one transaction, on condition that the publisher's row has the expected version;
+ * 0: that the row is absent. */
 typedef struct
 {
   int64_t expected_version;
-  LcCatalogPut *puts; /* the publisher's row is the first */
+  LcCatalogPut *puts; /* the publisher's row comes first */
   size_t n_puts;
 } LcCatalogWrite;
 
 void lc_catalog_write_clear (LcCatalogWrite *write);
-/* Key of the row that is the condition. */
+/* Key of the publisher's row, whose version is the condition of each write. */
 const char *lc_catalog_publisher_key (void);
 
-/* The next write, if there is one to make now. */
+/* Fills in the next write; false when nothing is to be written now. */
 bool lc_catalog_prepare_write (LcCatalog *catalog, LbTime now, LcCatalogWrite *write);
-/* The write under that condition was refused, or nobody knows what became of it. */
-void lc_catalog_write_failed (LcCatalog *catalog, int64_t condition);
+/* The write with that expected version was refused, or its outcome is unknown. */
+void lc_catalog_write_failed (LcCatalog *catalog, int64_t expected_version);
 
 /* queries */
-/* The belief is young enough to go by. */
+/* The snapshot is recent enough to rely on. */
 bool lc_catalog_is_fresh (const LcCatalog *catalog, LbTime now);
-/* This instance has to read the lists: it publishes, is about to, or hears of nobody who does. */
+/* This instance has to list the rows itself: it publishes, is about to take over, or sees no
+ * publisher. */
 bool lc_catalog_needs_listing (const LcCatalog *catalog, LbTime now);
 bool lc_catalog_is_publisher (const LcCatalog *catalog);
-/* Between two lists of the publisher, as it told. */
+/* Time between two listings of the publisher, according to its row. */
 LbTime lc_catalog_publish_period (const LcCatalog *catalog);
-/* Name of the instance that published last; "": none did. */
+/* Name of the instance that published last; "" when none has. */
 const char *lc_catalog_publisher_name (const LcCatalog *catalog);
-/* When the belief was true at least. */
+/* Time as of which the snapshot reflects the store. */
 LbTime lc_catalog_valid_at (const LcCatalog *catalog);
-/* Counts the changes of what the belief holds: where it stands still, so does the belief. */
+/* Number of changes applied to the rows; an equal count means an unchanged snapshot. */
 int64_t lc_catalog_change_count (const LcCatalog *catalog);
-/* What the table says under this key; NULL: nothing. */
+/* Value of this key in the table; NULL when there is none. */
 const char *lc_catalog_find_value (const LcCatalog *catalog, const char *key);
-/* Calls back for each item of a list in the belief, with its key behind the prefix. */
-void
-lc_catalog_foreach (const LcCatalog *catalog,
-                    const char *prefix,
-                    void (*take) (const char *name, const char *text, int64_t version, void *user),
-                    void *user);
+/* Calls back for each row whose key starts with the prefix; name is the rest of the key. */
+void lc_catalog_foreach (
+    const LcCatalog *catalog,
+    const char *prefix,
+    void (*visit) (const char *name, const char *value, int64_t version, void *user),
+    void *user);
 
 #endif
--- a/packages/core/include/lc-detector.h
+++ b/packages/core/include/lc-detector.h
@@ -3,13 +3,13 @@
 
 #include "lc-types.h"
 
-/* Judges the silence of one connection by the gaps seen on it before. */
+/* Failure detector of one connection: derives the timeout from the gaps seen between arrivals. */
 typedef struct
 {
   LbTime last_arrival;
-  double mean_gap_us; /* of the gaps between signs of life, microseconds */
+  double mean_gap_us; /* moving average */
   double gap_deviation_us;
-  LbTime min_timeout; /* never silent before this */
+  LbTime min_timeout; /* bounds of the derived timeout */
   LbTime max_timeout;
 } LcDetector;
 
--- a/packages/core/include/lc-duty.h
+++ b/packages/core/include/lc-duty.h
@@ -3,34 +3,36 @@
 
 #include "lc-types.h"
 
-/* Which instance does a duty: runs the batches of a model, orders the weights. Every instance works
- * it out by itself from the same candidates, and finds the same. No I/O. */
+/* Assigns a duty (running the batches of a model, giving weight orders to engines) to one
+ * instance. Every instance computes the assignment from the same candidates and gets the same
+ * result. No I/O. */
 
 typedef struct
 {
   LbName name;
-  int64_t strength; /* what its machine can bear, see lc_duty_strength */
+  int64_t strength; /* capacity of its machine, see lc_duty_strength */
 } LcDutyCandidate;
 
-/* Of a machine with this share of a processor and this link: the product, in thousandths of a core
- * x Mbit/s. */
+/* Capacity of a machine: its processor share times its link bandwidth, in thousandths of a core x
+ * Mbit/s. */
 int64_t lc_duty_strength (double processor_share, double link_mbps);
 
-/* Place of an instance in an order in which strong machines come first, by its own name and
- * strength alone; smaller is earlier. In 0 .. LC_DUTY_MAX_SORT_KEY. */
+/* Sort key that puts strong machines first, derived from the instance's own name and strength
+ * alone; smaller is earlier. In 0 .. LC_DUTY_MAX_SORT_KEY. */
 #define LC_DUTY_MAX_SORT_KEY INT64_C (999999999999999999)
 int64_t lc_duty_sort_key (const char *duty, const LcDutyCandidate *candidate);
 
-/* Position of an instance in the order in which candidates take the duty; 0: it is the first. */
+/* Position of `self` in the order in which candidates take over the duty; 0 is the first.
+ * n_candidates when `self` is not a candidate. */
 size_t lc_duty_rank (const char *duty,
                      const char *self,
                      const LcDutyCandidate *candidates,
                      size_t n_candidates);
 
-/* Who has the duty; last: who had it until now, "" when nobody did. "" when there is no candidate.
- */
+/* Name of the instance that is to hold the duty, "" when there is no candidate; current: the holder
+ * until now, "" when there was none. */
 const char *lc_duty_choose_holder (const char *duty,
-                                   const char *last,
+                                   const char *current,
                                    const LcDutyCandidate *candidates,
                                    size_t n_candidates);
 
--- a/packages/core/include/lc-instance.h
+++ b/packages/core/include/lc-instance.h
@@ -6,12 +6,12 @@
 typedef enum
 {
   LC_INSTANCE_ALIVE,
-  LC_INSTANCE_SUSPECT, /* neither an old nor a new connection answers somebody */
+  LC_INSTANCE_SUSPECT, /* answers a peer on neither its old nor a new connection */
   LC_INSTANCE_DEAD,
   LC_N_INSTANCE_STATES
 } LcInstanceState;
 
-/* What instances tell one another of one instance. */
+/* State of one instance as instances exchange it. */
 typedef struct
 {
   LbName name;
@@ -23,13 +23,13 @@
   uint64_t version; /* raised only by the instance itself */
   LcInstanceState state;
   bool draining;
-  int64_t load; /* share of its processor in use, in steps of LC_INSTANCE_LOAD_STEP per mille */
+  int64_t load; /* processor use per mille, rounded down to a multiple of LC_INSTANCE_LOAD_STEP */
 } LcInstance;
 
 #define LC_INSTANCE_LOAD_STEP 250
 #define LC_INSTANCE_MAX_LOAD 750
 
-bool lc_instance_supersedes (const LcInstance *news, const LcInstance *known);
+bool lc_instance_supersedes (const LcInstance *update, const LcInstance *known);
 uint64_t lc_instance_digest (const LcInstance *instance);
 
 #endif
--- a/packages/core/src/membership/lc-catalog.c
+++ b/packages/core/src/membership/lc-catalog.c
@@ -9,70 +9,74 @@
 #include <uthash.h>
 
 #define PUBLISHER_KEY "publisher"
-/* Spread over which instances that hear nothing begin to list for themselves, for a publisher that
- * lists each LC_CATALOG_PERIOD. */
-#define SPREAD (300 * LB_MSEC)
-/* A publisher counts as dead when its row stood still for so long, twice its period and a half, and
- * the next one in the order follows so much later: nobody has to list for himself meanwhile. */
-#define MISSED_AFTER (600 * LB_MSEC)
-#define RANK_DELAY (250 * LB_MSEC)
+/* Followers that see no publisher start to list for themselves spread over this time. It is given,
+ * like PUBLISHER_TIMEOUT, TAKEOVER_DELAY_PER_RANK and MAX_SNAPSHOT_AGE_MS, for LC_CATALOG_PERIOD
+ * and scaled to the publisher's period. */
+#define FALLBACK_SPREAD (300 * LB_MSEC)
+/* The publisher counts as failed when its row has not changed for 1.5 periods; each further
+ * candidate takes over this much later, so that no other instance has to list the rows
+ * meanwhile. */
+#define PUBLISHER_TIMEOUT (600 * LB_MSEC)
+#define TAKEOVER_DELAY_PER_RANK (250 * LB_MSEC)
 #define MIN_PERIOD (100 * LB_MSEC)
 #define MAX_PERIOD (10 * LB_SEC)
-/* A belief that was already so old when it was heard does not count: its write came late. */
-#define MAX_AGE_MS 1000
-/* Without an answer for so long a write counts as lost; the table tells what became of it. */
-#define WRITE_TIME LB_SEC
-/* Of a write, beside the publisher's row: the store takes 100 entries in a transaction, one of
- * which is the condition. */
-#define MAX_CHANGES 90
-
-/* A row of the table. */
+/* A snapshot that is already this old when it arrives is not used: the publisher's write was
+ * delayed. */
+#define MAX_SNAPSHOT_AGE_MS 1000
+/* A write without an answer counts as lost after this time; the table then shows whether it was
+ * carried out. */
+#define WRITE_TIMEOUT LB_SEC
+/* Changes per write beside the publisher's row: the store takes 100 entries in a transaction, one
+ * of which is the condition. */
+#define MAX_CHANGES_PER_WRITE 90
+
+/* One row of the table. */
 typedef struct
 {
-  char *key; /* of the hash */
-  char *text;
+  char *key; /* hash key */
+  char *value;
   int64_t version;
   UT_hash_handle hh;
-} Entry;
+} TableRow;
 
-/* What this instance read itself, of one list. */
-typedef struct List
+/* This instance's own last listing of one list. */
+typedef struct Listing
 {
-  char *prefix; /* of the hash */
+  char *prefix; /* hash key */
   LcCatalogItem *items;
   size_t n_items;
   int64_t store_ms;
   UT_hash_handle hh;
-} List;
+} Listing;
 
 struct LcCatalog
 {
   LbName instance;
   LbName incarnation;
-  LbTime spread;
+  LbTime fallback_delay;
   int rank;
-  Entry *entries;
-  /* the publisher's row, as followed */
+  TableRow *rows;
+  /* the publisher's row, as last read */
   int64_t version; /* 0: there is none */
   LbName publisher;
   LbName publisher_incarnation;
-  int64_t epoch;     /* one more with each publisher */
-  LbTime period;     /* between its lists */
-  LbTime own_period; /* of this instance, when it publishes */
-  int64_t listed_ms; /* the store's clock at the list that the rows are those of */
-  bool whole;        /* no change of that list is left to be written */
-  bool news;         /* it has changed since the last belief */
-  bool has_new_keys; /* since the entries were last put in order */
-  int64_t changes;   /* counts those of the entries */
-  LbTime moved_at;   /* when it was last seen to change, or following began */
-  /* the belief: the rows, once they were whole */
-  LbTime asked_at;
-  LbTime heard_at; /* 0: there is none */
+  int64_t epoch;               /* incremented by each new publisher */
+  LbTime period;               /* between its listings */
+  LbTime own_period;           /* of this instance while it publishes */
+  int64_t listed_ms;           /* store's clock at the listing that the rows come from */
+  bool is_complete;            /* every change of that listing has been written */
+  bool publisher_row_changed;  /* changed since the last snapshot */
+  bool needs_sort;             /* rows were added since the last sort */
+  int64_t change_count;        /* to the rows, see lc_catalog_change_count */
+  LbTime publisher_changed_at; /* when the row last changed, or following began */
+  /* the snapshot: the rows as of the last complete listing */
+  LbTime snapshot_valid_at;
+  LbTime snapshot_received_at; /* 0: there is none */
   /* publishing */
-  List *own;                  /* what this instance read last */
-  bool own_is_written;        /* all of it */
-  int64_t written_at_version; /* the condition of the last write */
-  LbTime writing_since;
+  Listing *listings;             /* one for each list */
+  bool all_changes_written;      /* every change of the listings is in a write */
+  int64_t last_expected_version; /* expected version of the last write */
+  LbTime last_write_at;
 };
 
 LcCatalog *
@@ -82,33 +86,33 @@
 
   LB_COPY (catalog->instance, instance);
   LB_COPY (catalog->incarnation, incarnation);
-  catalog->spread = (LbTime)(draw % (uint64_t)SPREAD);
+  catalog->fallback_delay = (LbTime)(draw % (uint64_t)FALLBACK_SPREAD);
   catalog->rank = -1;
   catalog->period = LC_CATALOG_PERIOD;
   catalog->own_period = LC_CATALOG_PERIOD;
-  catalog->moved_at = now;
-  catalog->own_is_written = true;
-  catalog->written_at_version = -1;
+  catalog->publisher_changed_at = now;
+  catalog->all_changes_written = true;
+  catalog->last_expected_version = -1;
   return catalog;
 }
 
 static void
-entry_free (LcCatalog *catalog, Entry *entry)
+remove_row (LcCatalog *catalog, TableRow *row)
 {
-  HASH_DEL (catalog->entries, entry);
-  free (entry->key);
-  free (entry->text);
-  free (entry);
+  HASH_DEL (catalog->rows, row);
+  free (row->key);
+  free (row->value);
+  free (row);
 }
 
 static void
-forget_entries (LcCatalog *catalog)
+remove_all_rows (LcCatalog *catalog)
 {
-  Entry *entry, *next;
+  TableRow *row, *next;
 
-  HASH_ITER (hh, catalog->entries, entry, next)
+  HASH_ITER (hh, catalog->rows, row, next)
   {
-    entry_free (catalog, entry);
+    remove_row (catalog, row);
   }
 }
 
@@ -126,17 +130,17 @@
 void
 lc_catalog_free (LcCatalog *catalog)
 {
-  List *list, *next;
+  Listing *listing, *next;
 
   if (!catalog)
     return;
-  forget_entries (catalog);
-  HASH_ITER (hh, catalog->own, list, next)
+  remove_all_rows (catalog);
+  HASH_ITER (hh, catalog->listings, listing, next)
   {
-    HASH_DEL (catalog->own, list);
-    items_free (list->items, list->n_items);
-    free (list->prefix);
-    free (list);
+    HASH_DEL (catalog->listings, listing);
+    items_free (listing->items, listing->n_items);
+    free (listing->prefix);
+    free (listing);
   }
   free (catalog);
 }
@@ -147,68 +151,69 @@
   return PUBLISHER_KEY;
 }
 
-/* --- following --- */
+/* --- follow the table --- */
 
 void
 lc_catalog_begin_snapshot (LcCatalog *catalog)
 {
-  forget_entries (catalog);
-  catalog->changes++;
+  remove_all_rows (catalog);
+  catalog->change_count++;
   catalog->version = 0;
-  catalog->whole = false;
+  catalog->is_complete = false;
 }
 
-static Entry *
-find_entry (const LcCatalog *catalog, const char *key)
+static TableRow *
+find_row (const LcCatalog *catalog, const char *key)
 {
-  Entry *entry = NULL;
+  TableRow *row = NULL;
 
-  HASH_FIND_STR (catalog->entries, key, entry);
-  return entry;
+  HASH_FIND_STR (catalog->rows, key, row);
+  return row;
 }
 
 static void
-take_item (LcCatalog *catalog, const char *key, const char *value, int64_t version)
+apply_item (LcCatalog *catalog, const char *key, const char *value, int64_t version)
 {
-  Entry *entry = find_entry (catalog, key);
+  TableRow *row = find_row (catalog, key);
 
-  catalog->changes++;
+  catalog->change_count++;
   if (!value)
     {
-      if (entry)
-        entry_free (catalog, entry);
+      if (row)
+        remove_row (catalog, row);
       return;
     }
-  if (!entry)
+  if (!row)
     {
-      entry = LB_NEW (Entry);
-      entry->key = lb_strdup (key);
-      HASH_ADD_KEYPTR (hh, catalog->entries, entry->key, strlen (entry->key), entry);
-      catalog->has_new_keys = true;
+      row = LB_NEW (TableRow);
+      row->key = lb_strdup (key);
+      HASH_ADD_KEYPTR (hh, catalog->rows, row->key, strlen (row->key), row);
+      catalog->needs_sort = true;
     }
-  free (entry->text);
-  entry->text = lb_strdup (value);
-  entry->version = version;
+  free (row->value);
+  row->value = lb_strdup (value);
+  row->version = version;
 }
 
 static LbTime
-sane_period (struct json_object *object)
+read_period (struct json_object *object)
 {
   LbTime period = lb_json_int (object, "period_ms", LC_CATALOG_PERIOD / LB_MSEC) * LB_MSEC;
 
   return period < MIN_PERIOD || period > MAX_PERIOD ? LC_CATALOG_PERIOD : period;
 }
 
-/* All times are multiples of the publisher's period; these are for the shortest one. */
+/* Scales a time, given for LC_CATALOG_PERIOD, to the publisher's period. */
 static LbTime
-scaled (const LcCatalog *catalog, LbTime time)
+scale_to_period (const LcCatalog *catalog, LbTime time)
 {
   return time * catalog->period / LC_CATALOG_PERIOD;
 }
 
-/* A row that can't be read is that of no publisher: it stands still, and is replaced. */
+/* An unreadable row counts as a row without a publisher: it does not change any more and is
+ * replaced. */
 static void
-take_publisher (LcCatalog *catalog, const char *value, int64_t version)
+apply_publisher_row (LcCatalog *catalog, const char *value, int64_t version)
 {
   struct json_object *object = value ? json_tokener_parse (value) : NULL;
 
@@ -216,10 +221,10 @@
   LB_COPY (catalog->publisher, lb_json_text (object, "publisher", ""));
   LB_COPY (catalog->publisher_incarnation, lb_json_text (object, "incarnation", ""));
   catalog->epoch = lb_json_int (object, "epoch", 0);
-  catalog->period = sane_period (object);
+  catalog->period = read_period (object);
   catalog->listed_ms = lb_json_int (object, "listed_ms", 0);
-  catalog->whole = lb_json_bool (object, "whole", false);
-  catalog->news = true;
+  catalog->is_complete = lb_json_bool (object, "whole", false);
+  catalog->publisher_row_changed = true;
   json_object_put (object);
 }
 
@@ -227,23 +232,23 @@
 lc_catalog_apply_row (LcCatalog *catalog, const char *key, const char *value, int64_t version)
 {
   if (strcmp (key, PUBLISHER_KEY) != 0)
-    take_item (catalog, key, value, version);
+    apply_item (catalog, key, value, version);
   else if (version > catalog->version)
-    take_publisher (catalog, value, version);
+    apply_publisher_row (catalog, value, version);
 }
 
 static int
-by_key (const Entry *a, const Entry *b)
+compare_keys (const TableRow *a, const TableRow *b)
 {
   return strcmp (a->key, b->key);
 }
 
 static void
-put_in_order (LcCatalog *catalog)
+sort_rows (LcCatalog *catalog)
 {
-  if (catalog->has_new_keys)
-    HASH_SRT (hh, catalog->entries, by_key);
-  catalog->has_new_keys = false;
+  if (catalog->needs_sort)
+    HASH_SRT (hh, catalog->rows, compare_keys);
+  catalog->needs_sort = false;
 }
 
 bool
@@ -251,59 +256,62 @@
 {
   int64_t age_ms = store_ms - catalog->listed_ms;
 
-  if (!catalog->news)
+  if (!catalog->publisher_row_changed)
     return false;
-  catalog->news = false;
-  catalog->moved_at = now;
-  if (!catalog->whole || age_ms < 0 || age_ms * LB_MSEC > scaled (catalog, MAX_AGE_MS * LB_MSEC))
+  catalog->publisher_row_changed = false;
+  catalog->publisher_changed_at = now;
+  if (!catalog->is_complete || age_ms < 0
+      || age_ms * LB_MSEC > scale_to_period (catalog, MAX_SNAPSHOT_AGE_MS * LB_MSEC))
     return false;
-  put_in_order (catalog);
-  catalog->heard_at = now;
-  catalog->asked_at = now - age_ms * LB_MSEC;
+  sort_rows (catalog);
+  catalog->snapshot_received_at = now;
+  catalog->snapshot_valid_at = now - age_ms * LB_MSEC;
   return true;
 }
 
 bool
 lc_catalog_is_fresh (const LcCatalog *catalog, LbTime now)
 {
-  return catalog->heard_at > 0
-         && now - catalog->heard_at < scaled (catalog, LC_CATALOG_MAX_SILENCE + catalog->spread);
+  return catalog->snapshot_received_at > 0
+         && now - catalog->snapshot_received_at
+                < scale_to_period (catalog, LC_CATALOG_MAX_SILENCE + catalog->fallback_delay);
 }
 
 LbTime
 lc_catalog_valid_at (const LcCatalog *catalog)
 {
-  return catalog->asked_at;
+  return catalog->snapshot_valid_at;
 }
 
 int64_t
 lc_catalog_change_count (const LcCatalog *catalog)
 {
-  return catalog->changes;
+  return catalog->change_count;
 }
 
 const char *
 lc_catalog_find_value (const LcCatalog *catalog, const char *key)
 {
-  const Entry *entry = find_entry (catalog, key);
+  const TableRow *row = find_row (catalog, key);
 
-  return entry ? entry->text : NULL;
+  return row ? row->value : NULL;
 }
 
 void
-lc_catalog_foreach (const LcCatalog *catalog,
-                    const char *prefix,
-                    void (*take) (const char *name, const char *text, int64_t version, void *user),
-                    void *user)
+lc_catalog_foreach (
+    const LcCatalog *catalog,
+    const char *prefix,
+    void (*visit) (const char *name, const char *value, int64_t version, void *user),
+    void *user)
 {
   size_t length = strlen (prefix);
 
-  for (const Entry *entry = catalog->entries; entry; entry = entry->hh.next)
-    if (strncmp (entry->key, prefix, length) == 0)
-      take (entry->key + length, entry->text, entry->version, user);
+  for (const TableRow *row = catalog->rows; row; row = row->hh.next)
+    if (strncmp (row->key, prefix, length) == 0)
+      visit (row->key + length, row->value, row->version, user);
 }
 
-/* --- publishing --- */
+/* --- publish --- */
 
 void
 lc_catalog_set_own_period (LcCatalog *catalog, LbTime period)
@@ -336,13 +344,14 @@
   return catalog->publisher;
 }
 
-/* The publisher, if there is one, has not been heard of for this instance's turn. */
+/* The publisher, if any, has been silent for long enough that it is this instance's turn. */
 static bool
-may_claim (const LcCatalog *catalog, LbTime now)
+can_take_over (const LcCatalog *catalog, LbTime now)
 {
   return catalog->rank >= 0
-         && now - catalog->moved_at
-                >= scaled (catalog, MISSED_AFTER + (LbTime)catalog->rank * RANK_DELAY);
+         && now - catalog->publisher_changed_at
+                >= scale_to_period (catalog, PUBLISHER_TIMEOUT
+                                                 + (LbTime)catalog->rank * TAKEOVER_DELAY_PER_RANK);
 }
 
 bool
@@ -350,46 +359,46 @@
 {
   bool publishes = catalog->rank >= 0 && lc_catalog_is_publisher (catalog);
 
-  return publishes || may_claim (catalog, now) || !lc_catalog_is_fresh (catalog, now);
+  return publishes || can_take_over (catalog, now) || !lc_catalog_is_fresh (catalog, now);
 }
 
 void
 lc_catalog_set_listing (
     LcCatalog *catalog, const char *prefix, LcCatalogItem *items, size_t n_items, int64_t store_ms)
 {
-  List *list = NULL;
+  Listing *listing = NULL;
 
-  HASH_FIND_STR (catalog->own, prefix, list);
-  if (!list)
+  HASH_FIND_STR (catalog->listings, prefix, listing);
+  if (!listing)
     {
-      list = LB_NEW (List);
-      list->prefix = lb_strdup (prefix);
-      HASH_ADD_KEYPTR (hh, catalog->own, list->prefix, strlen (list->prefix), list);
+      listing = LB_NEW (Listing);
+      listing->prefix = lb_strdup (prefix);
+      HASH_ADD_KEYPTR (hh, catalog->listings, listing->prefix, strlen (listing->prefix), listing);
     }
-  items_free (list->items, list->n_items);
-  list->items = items;
-  list->n_items = n_items;
-  list->store_ms = store_ms;
-  catalog->own_is_written = false;
+  items_free (listing->items, listing->n_items);
+  listing->items = items;
+  listing->n_items = n_items;
+  listing->store_ms = store_ms;
+  catalog->all_changes_written = false;
 }
 
-/* The lists are as old as the oldest of them that has an age. */
+/* Time of the oldest listing that ages; 0 when there is none. */
 static int64_t
-own_ms (const LcCatalog *catalog)
+oldest_listing_ms (const LcCatalog *catalog)
 {
   int64_t oldest = 0;
 
-  for (const List *list = catalog->own; list; list = list->hh.next)
-    if (list->store_ms > 0 && (oldest == 0 || list->store_ms < oldest))
-      oldest = list->store_ms;
+  for (const Listing *listing = catalog->listings; listing; listing = listing->hh.next)
+    if (listing->store_ms > 0 && (oldest == 0 || listing->store_ms < oldest))
+      oldest = listing->store_ms;
   return oldest;
 }
 
-/* Nothing is published before there is a list whose age can be told. */
+/* Nothing is published before there is a listing with a known age. */
 static bool
-has_age (const LcCatalog *catalog)
+has_listing_age (const LcCatalog *catalog)
 {
-  return own_ms (catalog) > 0;
+  return oldest_listing_ms (catalog) > 0;
 }
 
 static void
@@ -412,32 +421,32 @@
 }
 
 static char *
-publisher_to_text (const LcCatalog *catalog, bool whole)
+publisher_row_to_text (const LcCatalog *catalog, bool is_complete)
 {
   struct json_object *object = json_object_new_object ();
-  bool is_new = !lc_catalog_is_publisher (catalog);
+  bool is_takeover = !lc_catalog_is_publisher (catalog);
 
   json_object_object_add (object, "publisher", json_object_new_string (catalog->instance));
   json_object_object_add (object, "incarnation", json_object_new_string (catalog->incarnation));
-  json_object_object_add (object, "epoch", json_object_new_int64 (catalog->epoch + is_new));
-  json_object_object_add (object, "listed_ms", json_object_new_int64 (own_ms (catalog)));
+  json_object_object_add (object, "epoch", json_object_new_int64 (catalog->epoch + is_takeover));
+  json_object_object_add (object, "listed_ms", json_object_new_int64 (oldest_listing_ms (catalog)));
   json_object_object_add (object, "period_ms",
                           json_object_new_int64 (catalog->own_period / LB_MSEC));
-  json_object_object_add (object, "whole", json_object_new_boolean (whole));
+  json_object_object_add (object, "whole", json_object_new_boolean (is_complete));
   return lb_json_take_text (object, JSON_C_TO_STRING_PLAIN);
 }
 
-/* What the list has that the table has not; false when there is more than fits. */
+/* Adds the items that are new or differ from the table; false when more changed than fits. */
 static bool
-add_changed (const LcCatalog *catalog, const List *list, LcCatalogWrite *write)
+add_changed_items (const LcCatalog *catalog, const Listing *listing, LcCatalogWrite *write)
 {
-  for (size_t i = 0; i < list->n_items; i++)
+  for (size_t i = 0; i < listing->n_items; i++)
     {
-      const LcCatalogItem *item = &list->items[i];
-      const Entry *entry = find_entry (catalog, item->key);
-      if (entry && strcmp (entry->text, item->value) == 0)
+      const LcCatalogItem *item = &listing->items[i];
+      const TableRow *row = find_row (catalog, item->key);
+      if (row && strcmp (row->value, item->value) == 0)
         continue;
-      if (write->n_puts > MAX_CHANGES)
+      if (write->n_puts > MAX_CHANGES_PER_WRITE)
         return false;
       add_put (write,
                (LcCatalogPut){ .key = lb_strdup (item->key), .value = lb_strdup (item->value) });
@@ -449,82 +458,81 @@
 {
   const char *key;
   UT_hash_handle hh;
-} Key;
+} ListedKey;
 
-/* What the table has that the list has not. */
+/* Adds deletions of the rows that are no longer listed; false when there are more than fit. */
 static bool
-add_gone (const LcCatalog *catalog, const List *list, LcCatalogWrite *write)
+add_deleted_rows (const LcCatalog *catalog, const Listing *listing, LcCatalogWrite *write)
 {
-  Key *keys = LB_NEW_ARRAY (Key, list->n_items + 1);
-  Key *listed = NULL;
-  Key *key = NULL;
-  bool whole = true;
+  ListedKey *keys = LB_NEW_ARRAY (ListedKey, listing->n_items + 1);
+  ListedKey *listed_keys = NULL;
+  ListedKey *key = NULL;
+  bool fits = true;
 
-  for (size_t i = 0; i < list->n_items; i++)
+  for (size_t i = 0; i < listing->n_items; i++)
     {
-      keys[i].key = list->items[i].key;
-      HASH_ADD_KEYPTR (hh, listed, keys[i].key, strlen (keys[i].key), &keys[i]);
+      keys[i].key = listing->items[i].key;
+      HASH_ADD_KEYPTR (hh, listed_keys, keys[i].key, strlen (keys[i].key), &keys[i]);
     }
-  for (const Entry *entry = catalog->entries; entry && whole; entry = entry->hh.next)
+  for (const TableRow *row = catalog->rows; row && fits; row = row->hh.next)
     {
-      if (strncmp (entry->key, list->prefix, strlen (list->prefix)) != 0)
+      if (strncmp (row->key, listing->prefix, strlen (listing->prefix)) != 0)
         continue;
-      HASH_FIND_STR (listed, entry->key, key);
-      whole = key || write->n_puts <= MAX_CHANGES;
-      if (!key && whole)
-        add_put (write, (LcCatalogPut){ .key = lb_strdup (entry->key), .value = NULL });
+      HASH_FIND_STR (listed_keys, row->key, key);
+      fits = key || write->n_puts <= MAX_CHANGES_PER_WRITE;
+      if (!key && fits)
+        add_put (write, (LcCatalogPut){ .key = lb_strdup (row->key), .value = NULL });
     }
-  HASH_CLEAR (hh, listed);
+  HASH_CLEAR (hh, listed_keys);
   free (keys);
-  return whole;
+  return fits;
 }
 
 static bool
-add_all (const LcCatalog *catalog, LcCatalogWrite *write)
+add_all_changes (const LcCatalog *catalog, LcCatalogWrite *write)
 {
-  for (const List *list = catalog->own; list; list = list->hh.next)
-    if (!add_changed (catalog, list, write) || !add_gone (catalog, list, write))
+  for (const Listing *listing = catalog->listings; listing; listing = listing->hh.next)
+    if (!add_changed_items (catalog, listing, write) || !add_deleted_rows (catalog, listing, write))
       return false;
   return true;
 }
 
-/* A write is made on what the table is known to say, so the one before has to have shown there: a
- * write without an answer may have been carried out or not. Once it has shown its answer is not
- * waited for: with an answer that was lost the publisher was silent for a second, and all others
- * listed the endpoints. */
+/* A write is based on the rows as read from the table, so the previous write must have shown up
+ * there: without an answer it may or may not have been carried out. Once it has shown up its answer
+ * is not awaited: a publisher that waited for a lost answer was silent for a second, and all other
+ * instances listed the endpoints. */
 static bool
-may_write (const LcCatalog *catalog, LbTime now)
+can_write (const LcCatalog *catalog, LbTime now)
 {
-  bool is_shown = catalog->version != catalog->written_at_version;
+  bool is_last_write_visible = catalog->version != catalog->last_expected_version;
 
-  if (catalog->own_is_written || catalog->rank < 0 || !has_age (catalog))
+  if (catalog->all_changes_written || catalog->rank < 0 || !has_listing_age (catalog))
     return false;
-  if (!is_shown && now - catalog->writing_since < WRITE_TIME)
+  if (!is_last_write_visible && now - catalog->last_write_at < WRITE_TIMEOUT)
     return false;
-  return lc_catalog_is_publisher (catalog) || may_claim (catalog, now);
+  return lc_catalog_is_publisher (catalog) || can_take_over (catalog, now);
 }
 
 bool
 lc_catalog_prepare_write (LcCatalog *catalog, LbTime now, LcCatalogWrite *write)
 {
   memset (write, 0, sizeof *write);
-  if (!may_write (catalog, now))
+  if (!can_write (catalog, now))
     return false;
   add_put (write, (LcCatalogPut){ .key = lb_strdup (PUBLISHER_KEY), .value = NULL });
-  bool whole = add_all (catalog, write);
-  write->puts[0].value = publisher_to_text (catalog, whole);
+  bool is_complete = add_all_changes (catalog, write);
+  write->puts[0].value = publisher_row_to_text (catalog, is_complete);
   write->expected_version = catalog->version;
-  catalog->written_at_version = catalog->version;
-  catalog->writing_since = now;
-  catalog->own_is_written = whole;
+  catalog->last_expected_version = catalog->version;
+  catalog->last_write_at = now;
+  catalog->all_changes_written = is_complete;
   return true;
 }
 
-/* A write that failed is made again, with what the table says then, unless another one publishes.
- */
+/* Repeats a failed write, based on the table as read by then, unless another instance publishes. */
 void
-lc_catalog_write_failed (LcCatalog *catalog, int64_t condition)
+lc_catalog_write_failed (LcCatalog *catalog, int64_t expected_version)
 {
-  if (condition == catalog->written_at_version)
-    catalog->own_is_written = false;
+  if (expected_version == catalog->last_expected_version)
+    catalog->all_changes_written = false;
 }
--- a/packages/core/src/membership/lc-detector.c
+++ b/packages/core/src/membership/lc-detector.c
@@ -2,41 +2,43 @@
 
 #include <math.h>
 
-/* The silence that condemns lies between two and three periods: below two, one late heartbeat would
- * be enough; above three, the instance would still be named after the three seconds promised. */
-#define FLOOR_PERIODS 2
-#define CEILING_PERIODS 3
+/* The timeout lies between two and three heartbeat periods: below two, one late heartbeat would be
+ * enough to time out; above three, callers would still be sent to a dead instance after the three
+ * seconds allowed. */
+#define MIN_TIMEOUT_PERIODS 2
+#define MAX_TIMEOUT_PERIODS 3
 #define DEVIATIONS 4.0
-#define WEIGHT_OF_NEW 0.125
+#define SMOOTHING_FACTOR 0.125
 
-/* period: the time between heartbeats that the other end was asked for. */
+/* period: time between the heartbeats that the peer is asked for. */
 void
 lc_detector_init (LcDetector *detector, LbTime period, LbTime now)
 {
   detector->last_arrival = now;
   detector->mean_gap_us = (double)period;
   detector->gap_deviation_us = (double)period / DEVIATIONS;
-  detector->min_timeout = FLOOR_PERIODS * period;
-  detector->max_timeout = CEILING_PERIODS * period;
+  detector->min_timeout = MIN_TIMEOUT_PERIODS * period;
+  detector->max_timeout = MAX_TIMEOUT_PERIODS * period;
 }
 
-/* Any byte of the other end counts. Gaps well below a period come from bursts of other frames; they
- * would make the history look tighter than the heartbeat is, so they are left out of it. */
+/* Records an arrival; any byte from the peer counts. Gaps well below a period come from bursts of
+ * other frames and are left out of the average: they would make the timeout tighter than the
+ * heartbeats are. */
 void
 lc_detector_record_arrival (LcDetector *detector, LbTime now)
 {
   double gap = (double)(now - detector->last_arrival);
-  double period = (double)detector->min_timeout / FLOOR_PERIODS;
+  double period = (double)detector->min_timeout / MIN_TIMEOUT_PERIODS;
 
   detector->last_arrival = now;
   if (gap < period / 2)
     return;
   double difference = gap - detector->mean_gap_us;
-  detector->mean_gap_us += WEIGHT_OF_NEW * difference;
-  detector->gap_deviation_us += WEIGHT_OF_NEW * (fabs (difference) - detector->gap_deviation_us);
+  detector->mean_gap_us += SMOOTHING_FACTOR * difference;
+  detector->gap_deviation_us += SMOOTHING_FACTOR * (fabs (difference) - detector->gap_deviation_us);
 }
 
-/* The time that this process itself was paused is no silence of the other end. */
+/* Shifts the last arrival by a pause of this process, which is not silence of the peer. */
 void
 lc_detector_discount_pause (LcDetector *detector, LbTime pause, LbTime now)
 {
@@ -48,13 +50,13 @@
 LbTime
 lc_detector_deadline (const LcDetector *detector)
 {
-  LbTime limit = (LbTime)(detector->mean_gap_us + DEVIATIONS * detector->gap_deviation_us);
+  LbTime timeout = (LbTime)(detector->mean_gap_us + DEVIATIONS * detector->gap_deviation_us);
 
-  if (limit < detector->min_timeout)
-    limit = detector->min_timeout;
-  if (limit > detector->max_timeout)
-    limit = detector->max_timeout;
-  return detector->last_arrival + limit;
+  if (timeout < detector->min_timeout)
+    timeout = detector->min_timeout;
+  if (timeout > detector->max_timeout)
+    timeout = detector->max_timeout;
+  return detector->last_arrival + timeout;
 }
 
 bool
--- a/packages/core/src/membership/lc-fleet.c
+++ b/packages/core/src/membership/lc-fleet.c
@@ -8,33 +8,34 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Renewals that an instance may miss: the answer to one may be lost, and the next goes through
- * another instance when this one was just cut off. */
-#define MISSED_RENEWALS 3
-/* From a renewal's turn to the list that shows it, when the store answers at once. */
-#define LIST_TIME (200 * LB_MSEC)
-/* Answers of a slow store that lie between: to the renewal, which counts twice since rows of one
- * part are written one after the other, and to the list. */
-#define SLOW_ANSWERS 3
+/* Renewals that an instance may miss: the answer to one may be lost, and the next takes the longer
+ * way through another instance when this one was just cut off from the store. */
+#define MAX_MISSED_RENEWALS 3
+/* From a due renewal to the listing that shows it, when the store answers at once. */
+#define LISTING_DELAY (200 * LB_MSEC)
+/* Store round trips between the two, for a slow store: the renewal, which counts twice since rows
+ * of one part are written one after the other, and the listing. */
+#define STORE_ROUND_TRIPS 3
 #define DEFAULT_PERIOD LB_SEC
-/* A row that is renewed less often tells nothing of the last seconds: callers are not sent there
- * before its next renewal. */
-#define MAX_YOUNG_PERIOD (2500 * LB_MSEC)
-/* A list that comes so much later than its turn shows that the store was away. */
-#define LATE_LIST (300 * LB_MSEC)
-/* After it an instance's renewals, of which a few were swallowed, are through again: each waits for
- * half a second before the next one goes out, by itself or through another instance. */
-#define RETURN_TIME (800 * LB_MSEC)
+/* Cap on the period by which a row seen for the first time is judged recent: a row that is renewed
+ * less often says nothing about the last seconds, and callers are not sent there before its next
+ * renewal. */
+#define MAX_RECENT_PERIOD (2500 * LB_MSEC)
+/* A listing that is this much overdue shows that the store was unreachable. */
+#define OUTAGE_THRESHOLD (300 * LB_MSEC)
+/* Time until renewals get through again after such an outage: a few were lost, and each is awaited
+ * for half a second before the next one goes out, directly or through another instance. */
+#define OUTAGE_RECOVERY_TIME (800 * LB_MSEC)
 
 struct LcFleet
 {
   LbName self;
   LcFleetMember *members;
   size_t n_members;
-  size_t next; /* where the next row's member probably is: lists come in the same order */
-  LbTime last_list;
-  LbTime allowance; /* beside the missed renewals, as the store answers now */
-  int64_t store_ms; /* the store's clock at the list being taken; 0: not known */
+  size_t next_index; /* where the next row's member probably is: listings keep their order */
+  LbTime last_list_at;
+  LbTime delay_allowance; /* added to the missed renewals, for the store's current response time */
+  int64_t store_ms;       /* store's clock at the current listing; 0: unknown */
   bool changed;
 };
 
@@ -129,7 +130,7 @@
 }
 
 static size_t
-index_of (const LcFleet *fleet, const char *name, size_t hint)
+find_index (const LcFleet *fleet, const char *name, size_t hint)
 {
   if (hint < fleet->n_members && strcmp (fleet->members[hint].row.name, name) == 0)
     return hint;
@@ -140,36 +141,36 @@
 }
 
 static LcFleetMember *
-find (LcFleet *fleet, const char *name)
+find_member (LcFleet *fleet, const char *name)
 {
-  size_t index = index_of (fleet, name, fleet->next);
+  size_t index = find_index (fleet, name, fleet->next_index);
 
-  fleet->next = index + 1;
+  fleet->next_index = index + 1;
   return index < fleet->n_members ? &fleet->members[index] : NULL;
 }
 
-/* While the store is away no row is renewed, and all instances would be taken for dead the moment
- * it answers again: the time without lists does not count. */
+/* Excludes the time without listings from the silence of instances: nobody can renew while the
+ * store is unreachable, and all instances would look dead as soon as it answers again. */
 void
 lc_fleet_begin_list (LcFleet *fleet, const LcFleetList *list)
 {
-  LbTime gap = fleet->last_list > 0 ? list->received_at - fleet->last_list : 0;
-  bool was_away = gap > 2 * list->period + list->round_trip + LATE_LIST;
+  LbTime gap = fleet->last_list_at > 0 ? list->received_at - fleet->last_list_at : 0;
+  bool had_outage = gap > 2 * list->period + list->round_trip + OUTAGE_THRESHOLD;
 
-  fleet->allowance = LIST_TIME + SLOW_ANSWERS * list->round_trip;
+  fleet->delay_allowance = LISTING_DELAY + STORE_ROUND_TRIPS * list->round_trip;
   fleet->store_ms = list->store_ms;
   for (size_t i = 0; i < fleet->n_members; i++)
     {
       fleet->members[i].is_in_list = false;
-      if (was_away)
-        fleet->members[i].version_seen_at += gap + RETURN_TIME;
+      if (had_outage)
+        fleet->members[i].version_seen_at += gap + OUTAGE_RECOVERY_TIME;
     }
-  fleet->last_list = list->received_at;
+  fleet->last_list_at = list->received_at;
   fleet->changed = false;
 }
 
 static bool
-says_the_same (const LcFleetRow *a, const LcFleetRow *b)
+is_same_state (const LcFleetRow *a, const LcFleetRow *b)
 {
   return strcmp (a->incarnation, b->incarnation) == 0 && a->ready == b->ready
          && a->draining == b->draining && a->cut == b->cut && a->clock_lead_ms == b->clock_lead_ms
@@ -177,26 +178,25 @@
          && strcmp (a->crowded, b->crowded) == 0;
 }
 
-/* Whether a row that was never seen before was written lately. */
+/* Whether a row that is seen for the first time was written recently. */
 static bool
-is_young (const LcFleet *fleet, const LcFleetRow *row)
+is_recent (const LcFleet *fleet, const LcFleetRow *row)
 {
   LbTime age = (fleet->store_ms - row->renewed_ms) * LB_MSEC;
-  LbTime period = row->period < MAX_YOUNG_PERIOD ? row->period : MAX_YOUNG_PERIOD;
+  LbTime period = row->period < MAX_RECENT_PERIOD ? row->period : MAX_RECENT_PERIOD;
 
   return fleet->store_ms > 0 && row->renewed_ms > 0
-         && age < period * MISSED_RENEWALS + fleet->allowance;
+         && age < period * MAX_MISSED_RENEWALS + fleet->delay_allowance;
 }
 
-/* Guards against callers that are sent to an instance which is gone: its row stays in the store for
- * good, and one that has just started sees it for the first time and takes it for alive until it
- * misses its renewals. Such an instance is confirmed by the age of its row, or by its next renewal.
- * That it counts as alive until then is wanted: after an outage of the store all rows are old, and
- * batches would be taken from owners that live. */
+/* A row stays in the store after its instance is gone, and an instance that has just started sees
+ * it for the first time; callers must not be sent there. Such a member is confirmed by the age of
+ * its row or by its next renewal. Until then it still counts as alive: after a store outage all
+ * rows are old, and batches would be taken from owners that are alive. */
 void
 lc_fleet_add_row (LcFleet *fleet, const LcFleetRow *row, int64_t version, LbTime now)
 {
-  LcFleetMember *member = find (fleet, row->name);
+  LcFleetMember *member = find_member (fleet, row->name);
 
   if (!member)
     {
@@ -205,14 +205,14 @@
       *member = (LcFleetMember){ .row = *row,
                                  .version = version,
                                  .version_seen_at = now,
-                                 .confirmed = is_young (fleet, row),
+                                 .confirmed = is_recent (fleet, row),
                                  .is_new = true };
       fleet->changed = true;
     }
   member->is_in_list = true;
   if (version <= member->version)
     return;
-  fleet->changed |= !says_the_same (&member->row, row) || !member->confirmed;
+  fleet->changed |= !is_same_state (&member->row, row) || !member->confirmed;
   member->confirmed = true;
   member->row = *row;
   member->version = version;
@@ -220,7 +220,7 @@
 }
 
 static void
-drop_unseen (LcFleet *fleet)
+remove_unlisted (LcFleet *fleet)
 {
   for (size_t i = fleet->n_members; i-- > 0;)
     if (!fleet->members[i].is_in_list)
@@ -243,9 +243,10 @@
             LB_INT ("silent_us", now - member->version_seen_at));
 }
 
-/* One line for all that are new: a site of 300 instances that starts would write 300 in each. */
+/* Logs one line for all new instances: at the start of a site with 300 instances each would
+ * otherwise write 300. */
 static void
-log_new (const LcFleet *fleet)
+log_new_members (const LcFleet *fleet)
 {
   int64_t n_new = 0;
 
@@ -259,29 +260,30 @@
 bool
 lc_fleet_finish_list (LcFleet *fleet, LbTime now)
 {
-  drop_unseen (fleet);
-  log_new (fleet);
+  remove_unlisted (fleet);
+  log_new_members (fleet);
   for (size_t i = 0; i < fleet->n_members; i++)
     {
       LcFleetMember *member = &fleet->members[i];
       bool is_self = strcmp (member->row.name, fleet->self) == 0;
       LbTime silence = now - member->version_seen_at;
-      bool fresh = is_self || silence < member->row.period + fleet->allowance;
+      bool fresh = is_self || silence < member->row.period + fleet->delay_allowance;
       fleet->changed |= fresh != member->fresh;
       member->fresh = fresh;
       set_alive (fleet, member,
-                 is_self || silence < member->row.period * MISSED_RENEWALS + fleet->allowance, now);
+                 is_self
+                     || silence < member->row.period * MAX_MISSED_RENEWALS + fleet->delay_allowance,
+                 now);
       member->is_new = false;
     }
   return fleet->changed;
 }
 
-/* Of the same start the row on duty tells, since it is renewed more often: an instance that died
- * just after the other one was renewed would be missed as late as any. Of two starts the younger
- * row does.
- */
+/* Whether the row on duty replaces the other one. For the same incarnation it does, since it is
+ * renewed more often: otherwise an instance that died just after renewing its other row would be
+ * detected as late as any. For two incarnations the newer row counts. */
 static bool
-tells (const LcFleetMember *on_duty, const LcFleetMember *other)
+is_duty_row_preferred (const LcFleetMember *on_duty, const LcFleetMember *other)
 {
   return strcmp (on_duty->row.incarnation, other->row.incarnation) == 0
          || on_duty->version > other->version;
@@ -297,10 +299,10 @@
   for (size_t i = 0; i < on_duty->n_members; i++)
     {
       const LcFleetMember *member = &on_duty->members[i];
-      size_t index = index_of (all, member->row.name, all->n_members);
+      size_t index = find_index (all, member->row.name, all->n_members);
       if (index == all->n_members)
         members[n++] = *member;
-      else if (tells (member, &members[index]))
+      else if (is_duty_row_preferred (member, &members[index]))
         members[index] = *member;
     }
   return n;
--- a/packages/core/src/membership/lc-instance.c
+++ b/packages/core/src/membership/lc-instance.c
@@ -3,24 +3,25 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* True when news is later than what is known of the same name: a later incarnation, a later version
- * of the same one, or a worse state of the same version (which only the instance itself can lift,
- * by raising its version). */
+/* True when the update is later than what is known of the same name: a later incarnation, a later
+ * version of the same one, or a worse state of the same version, which only the instance itself can
+ * revoke by raising its version. */
 bool
-lc_instance_supersedes (const LcInstance *news, const LcInstance *known)
+lc_instance_supersedes (const LcInstance *update, const LcInstance *known)
 {
-  if (news->epoch != known->epoch)
-    return news->epoch > known->epoch;
+  if (update->epoch != known->epoch)
+    return update->epoch > known->epoch;
 
-  int order = strcmp (news->incarnation, known->incarnation);
+  int order = strcmp (update->incarnation, known->incarnation);
   if (order != 0)
     return order > 0;
-  if (news->version != known->version)
-    return news->version > known->version;
-  return news->state > known->state;
+  if (update->version != known->version)
+    return update->version > known->version;
+  return update->state > known->state;
 }
 
-/* Two views with the same members in the same states have the same exclusive or of digests. */
+/* Hash of the instance's state; the exclusive or of these hashes is equal for two views with the
+ * same members in the same states. */
 uint64_t
 lc_instance_digest (const LcInstance *instance)
 {
--- a/packages/core/src/membership/lc-lease.c
+++ b/packages/core/src/membership/lc-lease.c
@@ -8,40 +8,41 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MARGIN (100 * LB_MSEC)
-#define RANK_DELAY (500 * LB_MSEC)
+/* Covers, at each end of the lease, an order on its way from the check to the engine. */
+#define SAFETY_MARGIN (100 * LB_MSEC)
+#define CLAIM_DELAY_PER_RANK (500 * LB_MSEC)
 #define MAX_PAUSE LB_SEC
-#define N_REMEMBERED 8
-#define STALE_RETRY (200 * LB_MSEC)
+#define N_REMEMBERED_WRITES 8
+#define STALE_READ_RETRY (200 * LB_MSEC)
 
 struct LcLease
 {
   LcLeaseSettings settings;
   int rank;
-  LcLeaseRow row;        /* as last read */
-  int64_t version;       /* of row; 0: absent */
-  bool seen;             /* the row was read at least once */
-  int64_t ended_version; /* of the row whose holder is known to have ended */
-  LbTime version_since;  /* when this version was first seen */
-  bool reading;
-  LbTime read_at; /* when the read on its way was asked */
-  LbTime next_read;
-  bool writing;
-  LcLeaseRow written; /* the write on its way, or the last */
-  /* When each of the last writes was asked, by number of the renewal. */
-  LbTime asked_at[N_REMEMBERED];
-  int64_t renewals; /* number of the last write */
+  LcLeaseRow row;               /* as last read */
+  int64_t version;              /* of row; 0: absent */
+  bool has_read;                /* the row was read at least once */
+  int64_t ended_holder_version; /* version of the row whose holder is known to have ended */
+  LbTime version_seen_at;       /* when this version was first read */
+  bool is_reading;
+  LbTime read_started_at; /* start of the current or last read */
+  LbTime next_read_at;
+  bool is_writing;
+  LcLeaseRow last_written; /* the current or last write */
+  /* Start of each of the last writes, indexed by renewal modulo N_REMEMBERED_WRITES. */
+  LbTime write_started_at[N_REMEMBERED_WRITES];
+  int64_t last_renewal; /* number of the last write */
   bool held;
-  LbTime valid_until; /* on our clock; no order from then on */
-  LbTime lost_at;     /* 0: it never was */
-  LbTime gained_at;   /* when gained_fence was */
+  LbTime valid_until; /* on this instance's clock; no orders from then on */
+  LbTime lost_at;     /* 0: never */
+  LbTime gained_at;   /* when gained_fence was gained */
   int64_t gained_fence;
-  bool from_another; /* the one that held it when gained_fence was gained */
-  bool must_confirm; /* paused: no order until a renewal asked after it went through */
+  bool gained_from_another; /* another instance held it between this instance's last two claims */
+  bool needs_confirmation;  /* paused: no orders until a renewal started since has succeeded */
   LbTime paused_at;
-  bool releasing;
-  LbTime last_tick;
-  LbTime last_wall;
+  bool is_releasing;
+  LbTime last_tick_at;
+  LbTime last_tick_wall;
 };
 
 static LbMetric metric_gained = LB_COUNTER_INIT ("lentilspindle_lease_changes_total",
@@ -53,7 +54,7 @@
 static LbMetric metric_paused
     = LB_COUNTER_INIT ("lentilspindle_lease_pauses_total",
                        NULL,
-                       "Pauses of this process that a lease holder noticed");
+                       "Pauses of this process detected while it held a lease");
 
 struct json_object *
 lc_lease_row_to_json (const LcLeaseRow *row)
@@ -98,9 +99,9 @@
   return ok;
 }
 
-/* Durations by which another takes over in less than 10 s after a crash: a look (1 s) until the
- * last renewal is seen, its duration (4 s), a look (1 s), two ranks (1 s) and, for endpoints that
- * check no fence, the life of an order (2 s). */
+/* With these durations another instance takes over in less than 10 s after a crash: a poll (1 s)
+ * until the last renewal is seen, the lease's duration (4 s), a poll (1 s), two ranks (1 s) and,
+ * for endpoints that do not check fencing numbers, the lifetime of an order (2 s). */
 void
 lc_lease_settings_init (LcLeaseSettings *settings)
 {
@@ -118,9 +119,9 @@
 
   lease->settings = *settings;
   lease->rank = -1;
-  lease->next_read = now;
-  lease->last_tick = now;
-  lease->last_wall = wall;
+  lease->next_read_at = now;
+  lease->last_tick_at = now;
+  lease->last_tick_wall = wall;
   return lease;
 }
 
@@ -141,31 +142,35 @@
 }
 
 static bool
-is_own (const LcLease *lease)
+is_own_row (const LcLease *lease)
 {
   return strcmp (lease->row.holder, lease->settings.instance) == 0
          && strcmp (lease->row.incarnation, lease->settings.incarnation) == 0;
 }
 
-/* The holder counts from before it asked and by the shortest the lease may last on any clock. */
+/* Expiry for the holder: counted from the start of its write and with the shortest duration that
+ * any clock within the allowed drift may measure. */
 static LbTime
-own_end (const LcLease *lease, LbTime asked_at)
+expiry_for_holder (const LcLease *lease, LbTime write_started_at)
 {
-  return asked_at + (LbTime)(lease->settings.duration * (1 - lease->settings.max_clock_drift))
-         - MARGIN;
+  return write_started_at
+         + (LbTime)(lease->settings.duration * (1 - lease->settings.max_clock_drift))
+         - SAFETY_MARGIN;
 }
 
-/* Others count from after they saw the renewal and by the longest it may last. Guards against two
- * holders whose clocks differ: an engine would be ordered to two versions in turn. */
+/* Expiry for all others: counted from when they read the renewal and with the longest duration.
+ * With the margins on both sides two instances never hold the lease at once, even if their clocks
+ * differ: they would switch an engine back and forth between two versions. */
 static LbTime
-others_end (const LcLease *lease)
+expiry_for_others (const LcLease *lease)
 {
-  return lease->version_since
-         + (LbTime)(lease->settings.duration * (1 + lease->settings.max_clock_drift)) + MARGIN;
+  return lease->version_seen_at
+         + (LbTime)(lease->settings.duration * (1 + lease->settings.max_clock_drift))
+         + SAFETY_MARGIN;
 }
 
 static void
-lose (LcLease *lease, LbTime now, LbList *actions)
+lose_lease (LcLease *lease, LbTime now, LbList *actions)
 {
   if (!lease->held)
     return;
@@ -180,11 +185,11 @@
 {
   LcLeaseAction *action = add_action (actions, LC_LEASE_WRITE);
 
-  lease->writing = true;
-  lease->written = *row;
-  lease->written.renewal = ++lease->renewals;
-  lease->asked_at[lease->renewals % N_REMEMBERED] = now;
-  action->row = lease->written;
+  lease->is_writing = true;
+  lease->last_written = *row;
+  lease->last_written.renewal = ++lease->last_renewal;
+  lease->write_started_at[lease->last_renewal % N_REMEMBERED_WRITES] = now;
+  action->row = lease->last_written;
   action->expected_version = lease->version;
 }
 
@@ -198,27 +203,27 @@
   write_row (lease, &row, now, actions);
 }
 
-/* This write of ours is the row: the lease is ours from when it was asked. */
+/* The row holds a write of this instance: the lease is valid from the start of that write. */
 static void
-confirm (LcLease *lease, const LcLeaseRow *row, LbTime now, LbList *actions)
+confirm_lease (LcLease *lease, const LcLeaseRow *row, LbTime now, LbList *actions)
 {
-  LbTime asked_at = lease->renewals - row->renewal < N_REMEMBERED
-                        ? lease->asked_at[row->renewal % N_REMEMBERED]
-                        : 0;
+  LbTime write_started_at = lease->last_renewal - row->renewal < N_REMEMBERED_WRITES
+                                ? lease->write_started_at[row->renewal % N_REMEMBERED_WRITES]
+                                : 0;
 
   if (row->released)
     return;
-  if (own_end (lease, asked_at) > lease->valid_until)
-    lease->valid_until = own_end (lease, asked_at);
-  if (lease->must_confirm && asked_at >= lease->paused_at)
-    lease->must_confirm = false;
-  if (lease->held || now >= lease->valid_until || lease->releasing)
+  if (expiry_for_holder (lease, write_started_at) > lease->valid_until)
+    lease->valid_until = expiry_for_holder (lease, write_started_at);
+  if (lease->needs_confirmation && write_started_at >= lease->paused_at)
+    lease->needs_confirmation = false;
+  if (lease->held || now >= lease->valid_until || lease->is_releasing)
     return;
   lease->held = true;
   if (row->fence != lease->gained_fence)
     {
       lease->gained_at = now;
-      lease->from_another = row->fence != lease->gained_fence + 1;
+      lease->gained_from_another = row->fence != lease->gained_fence + 1;
     }
   lease->gained_fence = row->fence;
   lb_metric_add (&metric_gained, 1);
@@ -230,77 +235,78 @@
 {
   LcLeaseRow row = lease->row;
 
-  if (row.released && !lease->releasing)
+  if (row.released && !lease->is_releasing)
     claim (lease, now, actions);
   else if (!row.released)
     {
-      row.released = lease->releasing;
+      row.released = lease->is_releasing;
       write_row (lease, &row, now, actions);
     }
 }
 
 static bool
-may_claim (const LcLease *lease, LbTime now)
+can_claim (const LcLease *lease, LbTime now)
 {
-  if (lease->releasing || lease->rank < 0)
+  if (lease->is_releasing || lease->rank < 0)
     return false;
-  if (lease->version == 0 || lease->row.released || lease->ended_version == lease->version)
-    return now >= lease->version_since + lease->rank * RANK_DELAY;
-  return lease->read_at >= others_end (lease) + lease->rank * RANK_DELAY;
+  if (lease->version == 0 || lease->row.released || lease->ended_holder_version == lease->version)
+    return now >= lease->version_seen_at + lease->rank * CLAIM_DELAY_PER_RANK;
+  return lease->read_started_at >= expiry_for_others (lease) + lease->rank * CLAIM_DELAY_PER_RANK;
 }
 
 void
 lc_lease_set_rank (LcLease *lease, int rank)
 {
   if (rank >= 0 && lease->rank < 0)
-    lease->next_read = 0;
+    lease->next_read_at = 0;
   lease->rank = rank;
 }
 
-/* Guards against a holder that was paused past its lease without knowing: two instances would order
- * the same engines. Its loop shows a gap, or its wall clock a step against the other one when the
- * whole machine stood still; either way no order is given until a renewal went through. */
+/* Detects that this process was paused, possibly beyond the end of its lease: another instance may
+ * hold it by then, and both would order the same engines. Either the time between ticks shows a
+ * gap, or, when the whole machine was suspended, the wall clock jumped relative to the monotonic
+ * one. No order is given until a renewal has succeeded. */
 static void
-notice_pause (LcLease *lease, LbTime now, LbTime wall)
+detect_pause (LcLease *lease, LbTime now, LbTime wall)
 {
-  LbTime elapsed = now - lease->last_tick;
-  LbTime elapsed_wall = wall - lease->last_wall;
+  LbTime elapsed = now - lease->last_tick_at;
+  LbTime elapsed_wall = wall - lease->last_tick_wall;
 
-  lease->last_tick = now;
-  lease->last_wall = wall;
+  lease->last_tick_at = now;
+  lease->last_tick_wall = wall;
   if (elapsed <= MAX_PAUSE && elapsed_wall - elapsed <= MAX_PAUSE)
     return;
   if (lease->held)
     lb_metric_add (&metric_paused, 1);
-  lease->must_confirm = true;
+  lease->needs_confirmation = true;
   lease->paused_at = now;
-  lease->next_read = now;
+  lease->next_read_at = now;
 }
 
 void
 lc_lease_tick (LcLease *lease, LbTime now, LbTime wall, LbList *actions)
 {
-  notice_pause (lease, now, wall);
+  detect_pause (lease, now, wall);
   if (lease->held && now >= lease->valid_until)
-    lose (lease, now, actions);
-  if (now < lease->next_read || lease->reading || lease->writing)
+    lose_lease (lease, now, actions);
+  if (now < lease->next_read_at || lease->is_reading || lease->is_writing)
     return;
-  lease->reading = true;
-  lease->read_at = now;
-  bool busy = lease->rank >= 0 || is_own (lease);
-  lease->next_read
-      = now + (busy ? lease->settings.poll_period : lease->settings.observer_poll_period);
+  lease->is_reading = true;
+  lease->read_started_at = now;
+  bool is_participant = lease->rank >= 0 || is_own_row (lease);
+  lease->next_read_at
+      = now + (is_participant ? lease->settings.poll_period : lease->settings.observer_poll_period);
   add_action (actions, LC_LEASE_READ);
 }
 
 static void
-note_row (LcLease *lease, const LcLeaseRow *row, int64_t version, LbTime now)
+update_row (LcLease *lease, const LcLeaseRow *row, int64_t version, LbTime now)
 {
-  if (lease->seen && version == lease->version)
+  if (lease->has_read && version == lease->version)
     return;
-  lease->seen = true;
+  lease->has_read = true;
   lease->version = version;
-  lease->version_since = now;
+  lease->version_seen_at = now;
   if (row)
     lease->row = *row;
   else
@@ -315,68 +321,68 @@
                          LbTime now,
                          LbList *actions)
 {
-  lease->reading = false;
+  lease->is_reading = false;
   if (error == LB_ERROR_NOT_FOUND)
-    note_row (lease, NULL, 0, now);
+    update_row (lease, NULL, 0, now);
   else if (error != LB_OK)
     return;
   else if (version < lease->version)
     {
-      /* Guards against a replica that lags: the holder would see the row of the one before it, and
-       * give up what it holds. */
-      lease->next_read = now + STALE_RETRY;
+      /* A lagging replica still shows the row of the previous holder; acting on it would make the
+       * holder drop its lease. */
+      lease->next_read_at = now + STALE_READ_RETRY;
       return;
     }
   else
-    note_row (lease, row, version, now);
-  if (is_own (lease))
+    update_row (lease, row, version, now);
+  if (is_own_row (lease))
     {
-      confirm (lease, &lease->row, now, actions);
+      confirm_lease (lease, &lease->row, now, actions);
       renew_or_release (lease, now, actions);
       return;
     }
-  lose (lease, now, actions);
-  if (may_claim (lease, now))
+  lose_lease (lease, now, actions);
+  if (can_claim (lease, now))
     claim (lease, now, actions);
 }
 
-/* After a write whose outcome is unknown, or that lost a race, the next read tells: the row names
- * the renewal that made it. */
+/* After a write that lost a race or whose outcome is unknown, the next read decides: the row holds
+ * the number of the write that made it. */
 void
 lc_lease_write_completed (LcLease *lease, LbErrorCode error, LbTime now, LbList *actions)
 {
-  lease->writing = false;
+  lease->is_writing = false;
   if (error == LB_OK)
     {
-      confirm (lease, &lease->written, now, actions);
-      lease->row = lease->written;
-      if (lease->written.released)
-        lose (lease, now, actions);
+      confirm_lease (lease, &lease->last_written, now, actions);
+      lease->row = lease->last_written;
+      if (lease->last_written.released)
+        lose_lease (lease, now, actions);
     }
   else if (error == LB_ERROR_CONDITION_FAILED || error == LB_ERROR_STORE_UNKNOWN)
-    lease->next_read = now;
+    lease->next_read_at = now;
 }
 
 void
 lc_lease_release (LcLease *lease, LbTime now, LbList *actions)
 {
-  lease->releasing = true;
-  lease->next_read = now;
-  lose (lease, now, actions);
+  lease->is_releasing = true;
+  lease->next_read_at = now;
+  lose_lease (lease, now, actions);
 }
 
 void
 lc_lease_mark_holder_ended (LcLease *lease, int64_t version, LbTime now)
 {
-  if (version == 0 || version != lease->version || lease->ended_version == version)
+  if (version == 0 || version != lease->version || lease->ended_holder_version == version)
     return;
-  lease->ended_version = version;
-  lease->next_read = now;
+  lease->ended_holder_version = version;
+  lease->next_read_at = now;
 }
 
-/* A holder that was killed and started again has a younger row under its name. One that is missed
- * need not be dead, it may only be cut off; but endpoints that have heard of the next holder refuse
- * its orders, and it stops by itself when its term is over. */
+/* A newer incarnation under the holder's name shows that the holder was restarted. A holder whose
+ * row is no longer renewed may only be cut off from the store, but endpoints that have seen the
+ * next holder's fencing number refuse its orders, and it stops by itself when its lease expires. */
 bool
 lc_lease_holder_has_ended (const LcLease *lease, const LcLeaseHolderView *view)
 {
@@ -394,27 +400,28 @@
 void
 lc_lease_read_soon (LcLease *lease, LbTime now)
 {
-  lease->next_read = now;
+  lease->next_read_at = now;
 }
 
-/* Guards against two holders that order in turn, each for a moment: what they order can't be told
- * from an old order that comes late. The fencing number shows that another one held it between. */
+/* Whether this instance regained the lease from another holder too recently. Receivers could not
+ * tell the orders of two holders that alternate quickly from old orders that arrive late. A gap
+ * between the fencing numbers shows that another instance held the lease in between. */
 static bool
-takes_turns (const LcLease *lease, LbTime now)
+is_reacquire_delayed (const LcLease *lease, LbTime now)
 {
-  return lease->from_another && lease->lost_at > 0
+  return lease->gained_from_another && lease->lost_at > 0
          && now < lease->lost_at + lease->settings.reacquire_delay;
 }
 
-/* Guards against an order of an earlier holder that was still on its way, at an endpoint that takes
- * any: it would come after ours and undo it. Such an endpoint is ordered only after that order's
- * life has run out; what it then states is read back. */
+/* An endpoint that does not check fencing numbers could carry out an order of the previous holder
+ * after one of this instance and undo it. It gets its first order only when any such order has
+ * expired; the version that it then reports is read back. */
 bool
 lc_lease_can_order (const LcLease *lease, bool unfenced, LbTime now)
 {
-  if (!lease->held || lease->must_confirm || lease->releasing || now >= lease->valid_until)
+  if (!lease->held || lease->needs_confirmation || lease->is_releasing || now >= lease->valid_until)
     return false;
-  if (now - lease->last_tick > MAX_PAUSE || takes_turns (lease, now))
+  if (now - lease->last_tick_at > MAX_PAUSE || is_reacquire_delayed (lease, now))
     return false;
   return !unfenced || now >= lease->gained_at + lease->settings.order_lifetime;
 }
@@ -440,7 +447,7 @@
 bool
 lc_lease_is_released (const LcLease *lease, LbTime now)
 {
-  return !lease->held && (!is_own (lease) || lease->row.released || now >= lease->valid_until);
+  return !lease->held && (!is_own_row (lease) || lease->row.released || now >= lease->valid_until);
 }
 
 const LcLeaseRow *
--- a/packages/core/src/membership/lc-membership-connect.c
+++ b/packages/core/src/membership/lc-membership-connect.c
@@ -4,157 +4,163 @@
 
 #include <string.h>
 
-#define REDIAL (300 * LB_MSEC)
-#define VOUCHED_REDIAL (2 * LB_SEC)
-#define REUNION_WAIT (3 * LB_SEC)
+#define REDIAL_DELAY (300 * LB_MSEC)
+#define REFUTED_REDIAL_DELAY (2 * LB_SEC)
+#define MAX_RETURN_COMPARE_DELAY (3 * LB_SEC)
 
-/* The peer's own words lack what others say of it: tell it, so that it can refute. */
+/* The handshake holds only what the peer says about itself; if others consider it suspect or dead,
+ * this instance sends it that state, so that it can refute. */
 static void
-open_link (
+activate_link (
     LcMembership *membership, LcPeerLink *link, const LcInstance *peer, LbTime now, LbList *actions)
 {
-  link->open = true;
+  link->is_open = true;
   LB_COPY (link->name, peer->name);
   lc_detector_init (&link->detector, membership->settings.heartbeat_period, now);
-  link->next_ping = now;
-  lc_membership_learn (membership, 0, peer, now);
-  LcMember *member = lc_membership_member (membership, peer->name);
+  link->next_ping_at = now;
+  lc_membership_apply_update (membership, 0, peer, now);
+  LcMember *member = lc_membership_lookup_member (membership, peer->name);
   if (!member)
     return;
-  lc_membership_note_heard (membership, link, now);
-  member->vouched_until = 0;
-  member->vouch = 0;
+  lc_membership_record_arrival (membership, link, now);
+  member->suspicion_ignored_until = 0;
+  member->suspicion_ignore_time = 0;
   if (member->instance.state != LC_INSTANCE_ALIVE)
-    lc_membership_tell_one (link->id, &member->instance, actions);
+    lc_membership_send_one (link->id, &member->instance, actions);
 }
 
 static bool
-is_self (const LcMembership *membership, const LcInstance *peer)
+has_own_name (const LcMembership *membership, const LcInstance *peer)
 {
   return strcmp (peer->name, membership->self.name) == 0;
 }
 
-/* 0 when the peer bears the name of this instance (a seed that is our own address, or two instances
- * of one name): the connection is to be closed. */
+/* Returns 0 when the peer has this instance's name (a seed that is its own address, or two
+ * instances of one name). */
 LcLinkId
 lc_membership_link_accepted (LcMembership *membership,
                              const LcInstance *peer,
                              LbTime now,
                              LbList *actions)
 {
-  if (is_self (membership, peer))
+  if (has_own_name (membership, peer))
     return 0;
   LcPeerLink *link = lc_membership_add_link (membership, false, now);
-  open_link (membership, link, peer, now, actions);
-  lc_membership_finish (membership, actions);
+  activate_link (membership, link, peer, now, actions);
+  lc_membership_finish_command (membership, actions);
   return link->id;
 }
 
 static bool
-heard_lately (const LcMembership *membership, const LcMember *member, LbTime now)
+was_heard_recently (const LcMembership *membership, const LcMember *member, LbTime now)
 {
-  return now - member->heard < 2 * membership->settings.heartbeat_period;
+  return now - member->last_heard_at < 2 * membership->settings.heartbeat_period;
 }
 
-/* The failure: a connection can go silent for good while new ones work, and a member that answers
- * would be called dead. So the loss of a connection only stops it from being named here, and a new
- * connection is tried at once; its failure is what makes the member suspect to all. */
+/* A connection can go silent for good while new ones work, and a member that answers would be
+ * called dead. So losing a connection only makes this instance stop naming the member to callers,
+ * and a new connection is tried at once; only if that fails does the member become suspect to
+ * all. */
 static void
-lose_connection (LcMembership *membership, LcMember *member, LbTime now, LbList *actions)
+handle_lost_connection (LcMembership *membership, LcMember *member, LbTime now, LbList *actions)
 {
   if (member->instance.state == LC_INSTANCE_DEAD)
     return;
   if (lc_membership_find_link (membership, member->instance.name) == 0
-      || !heard_lately (membership, member, now))
+      || !was_heard_recently (membership, member, now))
     {
-      member->silent = true;
+      member->is_silent = true;
       membership->view_changed = true;
     }
-  member->next_dial = now;
+  member->next_dial_at = now;
   lc_membership_dial_member (membership, member, now, actions);
 }
 
-/* A new connection could not be opened either. */
+/* A new connection to the member could not be opened either. */
 static void
-fail_dial (LcMembership *membership, LcMember *member, LbTime now)
+handle_failed_dial (LcMembership *membership, LcMember *member, LbTime now)
 {
-  bool vouched = now < member->vouched_until;
+  bool is_suspicion_ignored = now < member->suspicion_ignored_until;
 
-  member->next_dial = now + (vouched ? VOUCHED_REDIAL : REDIAL);
-  if (vouched || member->instance.state != LC_INSTANCE_ALIVE
+  member->next_dial_at = now + (is_suspicion_ignored ? REFUTED_REDIAL_DELAY : REDIAL_DELAY);
+  if (is_suspicion_ignored || member->instance.state != LC_INSTANCE_ALIVE
       || (lc_membership_find_link (membership, member->instance.name) != 0
-          && heard_lately (membership, member, now)))
+          && was_heard_recently (membership, member, now)))
     return;
-  member->silent = true;
+  member->is_silent = true;
   membership->totals.suspected++;
   lc_membership_set_state (membership, member, LC_INSTANCE_SUSPECT, now);
 }
 
-/* The failure: a region comes back, and each of hundreds of instances compares its whole view with
- * the first one it meets. A few comparisons are enough, since their news go to all; so each waits a
- * random while for such news and compares only if the digests differ still. */
+/* After a region returns, each of hundreds of instances would compare its whole view with the first
+ * peer it meets. A few comparisons are enough, since their updates reach all; so each instance
+ * waits for a random time and compares only if the digests still differ. */
 static void
-await_news (LcMembership *membership, LcPeerLink *link, LbTime now)
+delay_comparison (LcMembership *membership, LcPeerLink *link, LbTime now)
 {
-  double wait = (double)REUNION_WAIT * gsl_rng_uniform (membership->rng);
+  double delay = (double)MAX_RETURN_COMPARE_DELAY * gsl_rng_uniform (membership->rng);
 
-  link->differs_since
-      = now + (LbTime)wait - LC_COMPARE_AFTER_PERIODS * membership->settings.heartbeat_period;
+  link->digest_differs_since
+      = now + (LbTime)delay - LC_COMPARE_AFTER_PERIODS * membership->settings.heartbeat_period;
 }
 
 void
 lc_membership_link_dialled (
     LcMembership *membership, LcLinkId id, const LcInstance *peer, LbTime now, LbList *actions)
 {
-  LcPeerLink *link = lc_membership_link (membership, id);
-  LcMember *known = lc_membership_member (membership, peer->name);
-  bool reunion = known && known->instance.state == LC_INSTANCE_DEAD;
+  LcPeerLink *link = lc_membership_lookup_link (membership, id);
+  LcMember *known = lc_membership_lookup_member (membership, peer->name);
+  bool was_dead = known && known->instance.state == LC_INSTANCE_DEAD;
 
   if (!link)
     return;
-  if (is_self (membership, peer))
+  if (has_own_name (membership, peer))
     {
       lc_membership_close_link (membership, link, LB_OK, actions);
       return;
     }
-  LcMember *meant = lc_membership_member (membership, link->name);
-  open_link (membership, link, peer, now, actions);
-  /* Its address now belongs to another instance: that is no sign of life of the one meant. */
-  if (meant && strcmp (meant->instance.name, peer->name) != 0)
-    fail_dial (membership, meant, now);
-  if (!known && now >= membership->next_compare)
+  LcMember *intended = lc_membership_lookup_member (membership, link->name);
+  activate_link (membership, link, peer, now, actions);
+  /* The dialled address now belongs to another instance, which is no sign of life of the intended
+   * one. */
+  if (intended && strcmp (intended->instance.name, peer->name) != 0)
+    handle_failed_dial (membership, intended, now);
+  if (!known && now >= membership->next_compare_at)
     {
-      membership->next_compare = now + LC_COMPARE_EVERY;
-      lc_membership_compare (membership, id, actions);
+      membership->next_compare_at = now + LC_COMPARE_INTERVAL;
+      lc_membership_send_summary (membership, id, actions);
     }
-  else if (reunion)
-    await_news (membership, link, now);
-  lc_membership_finish (membership, actions);
+  else if (was_dead)
+    delay_comparison (membership, link, now);
+  lc_membership_finish_command (membership, actions);
 }
 
 void
-lc_membership_lose_link (LcMembership *membership, LcPeerLink *link, LbTime now, LbList *actions)
+lc_membership_handle_link_loss (LcMembership *membership,
+                                LcPeerLink *link,
+                                LbTime now,
+                                LbList *actions)
 {
-  LcMember *member = lc_membership_member (membership, link->name);
-  bool open = link->open;
-  bool dialled = link->dialled;
+  LcMember *member = lc_membership_lookup_member (membership, link->name);
+  bool was_open = link->is_open;
+  bool was_outgoing = link->is_outgoing;
 
-  lc_membership_drop_link (membership, link);
+  lc_membership_remove_link (membership, link);
   if (!member)
     return;
-  if (!open)
-    fail_dial (membership, member, now);
-  else if (dialled)
-    lose_connection (membership, member, now, actions);
+  if (!was_open)
+    handle_failed_dial (membership, member, now);
+  else if (was_outgoing)
+    handle_lost_connection (membership, member, now, actions);
 }
 
 void
 lc_membership_link_closed (LcMembership *membership, LcLinkId id, LbTime now, LbList *actions)
 {
-  LcPeerLink *link = lc_membership_link (membership, id);
+  LcPeerLink *link = lc_membership_lookup_link (membership, id);
 
   if (!link)
     return;
-  lc_membership_lose_link (membership, link, now, actions);
-  lc_membership_finish (membership, actions);
+  lc_membership_handle_link_loss (membership, link, now, actions);
+  lc_membership_finish_command (membership, actions);
 }
--- a/packages/core/src/membership/lc-membership-contacts.c
+++ b/packages/core/src/membership/lc-membership-contacts.c
@@ -5,8 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CONTACT_EVERY (5 * LB_SEC)
-#define CONTACT_EVERY_ALONE (300 * LB_MSEC)
+#define CONTACT_INTERVAL (5 * LB_SEC)
+#define CONTACT_INTERVAL_ALONE (300 * LB_MSEC)
 
 static LcContact *
 find_contact (const LcMembership *membership, const char *address)
@@ -20,7 +20,7 @@
 }
 
 static void
-add_contact (LcMembership *membership, const char *address, bool listed)
+add_contact (LcMembership *membership, const char *address, bool is_listed)
 {
   LcContact *contact;
 
@@ -29,34 +29,35 @@
     return;
   contact = LB_NEW (LcContact);
   LB_COPY (contact->address, address);
-  contact->listed = listed;
+  contact->is_listed = is_listed;
   lb_list_append (&membership->contacts, &contact->link);
 }
 
-/* An address to begin with, tried for as long as no live member has it. */
+/* Adds an address to start from; it is tried for as long as no live member has it. */
 void
 lc_membership_add_seed (LcMembership *membership, const char *address, LbTime now)
 {
   add_contact (membership, address, false);
-  membership->next_contact = now;
+  membership->next_contact_at = now;
 }
 
 static void
-forget_listed (LcMembership *membership)
+clear_listed (LcMembership *membership)
 {
   LB_LIST_FOREACH (&membership->contacts, LcContact, link, contact)
   {
-    if (!contact->listed)
+    if (!contact->is_listed)
       continue;
     lb_list_remove (&membership->contacts, &contact->link);
     free (contact);
   }
   for (LcMember *member = membership->members; member; member = member->hh.next)
-    member->listed = false;
+    member->is_listed = false;
 }
 
-/* The platform's lagging list: a backstop that names addresses to try and instances that leave. It
- * never makes a member dead or alive, since it lags behind what instances see themselves. */
+/* Applies the platform's list as a fallback: it supplies addresses to try and marks instances as
+ * leaving. It never makes a member dead or alive, since it lags behind what instances observe
+ * themselves. */
 void
 lc_membership_apply_platform_list (LcMembership *membership,
                                    const LcListedInstance *listed,
@@ -65,25 +66,25 @@
                                    LbList *actions)
 {
   (void)now;
-  forget_listed (membership);
-  membership->list_known = true;
+  clear_listed (membership);
+  membership->has_platform_list = true;
   for (size_t i = 0; i < n_listed; i++)
     {
-      LcMember *member = lc_membership_member (membership, listed[i].name);
+      LcMember *member = lc_membership_lookup_member (membership, listed[i].name);
       if (strcmp (listed[i].name, membership->self.name) != 0)
         add_contact (membership, listed[i].peer_address, true);
       if (!member)
         continue;
-      member->listed = true;
-      if (member->listed_leaving != listed[i].leaving)
+      member->is_listed = true;
+      if (member->is_listed_leaving != listed[i].leaving)
         membership->view_changed = true;
-      member->listed_leaving = listed[i].leaving;
+      member->is_listed_leaving = listed[i].leaving;
     }
-  lc_membership_finish (membership, actions);
+  lc_membership_finish_command (membership, actions);
 }
 
 static bool
-is_address_of_live (const LcMembership *membership, const char *address)
+has_live_member (const LcMembership *membership, const char *address)
 {
   for (const LcMember *member = membership->members; member; member = member->hh.next)
     if (member->instance.state != LC_INSTANCE_DEAD
@@ -93,44 +94,44 @@
 }
 
 static bool
-is_alone (const LcMembership *membership)
+has_no_open_link (const LcMembership *membership)
 {
   for (const LcPeerLink *link = membership->links; link; link = link->hh.next)
-    if (link->open)
+    if (link->is_open)
       return false;
   return true;
 }
 
-/* Picks one of several with equal chance, not knowing how many will come: the n-th replaces the
- * choice with chance 1/n. */
+/* Reservoir sampling: picks one of an unknown number of candidates with equal probability; the n-th
+ * replaces the choice with probability 1/n. */
 static bool
-pick (LcMembership *membership, unsigned long *seen)
+is_picked (LcMembership *membership, unsigned long *n_candidates)
 {
-  return gsl_rng_uniform_int (membership->rng, ++*seen) == 0;
+  return gsl_rng_uniform_int (membership->rng, ++*n_candidates) == 0;
 }
 
-/* The failure: two regions that were cut off from one another have condemned each other's members;
- * when the cut has ended nobody would ever speak to them again. One dead or unknown address is
- * tried from time to time, by each instance another one. */
+/* Two regions that were cut off from each other have declared each other's members dead, and after
+ * the cut nothing else would connect them again. So each instance tries one dead or unknown address
+ * from time to time, chosen at random. */
 void
-lc_membership_contact_one (LcMembership *membership, LbTime now, LbList *actions)
+lc_membership_try_contact (LcMembership *membership, LbTime now, LbList *actions)
 {
   const char *name = "";
   const char *address = NULL;
-  unsigned long seen = 0;
+  unsigned long n_candidates = 0;
 
-  if (now < membership->next_contact)
+  if (now < membership->next_contact_at)
     return;
-  LbTime every = is_alone (membership) ? CONTACT_EVERY_ALONE : CONTACT_EVERY;
-  membership->next_contact
-      = now + (LbTime)((double)every * (0.5 + gsl_rng_uniform (membership->rng)));
+  LbTime interval = has_no_open_link (membership) ? CONTACT_INTERVAL_ALONE : CONTACT_INTERVAL;
+  membership->next_contact_at
+      = now + (LbTime)((double)interval * (0.5 + gsl_rng_uniform (membership->rng)));
   LB_LIST_FOREACH (&membership->contacts, LcContact, link, contact)
   {
-    if (!is_address_of_live (membership, contact->address) && pick (membership, &seen))
+    if (!has_live_member (membership, contact->address) && is_picked (membership, &n_candidates))
       address = contact->address;
   }
   for (const LcMember *member = membership->members; member; member = member->hh.next)
-    if (member->instance.state == LC_INSTANCE_DEAD && pick (membership, &seen))
+    if (member->instance.state == LC_INSTANCE_DEAD && is_picked (membership, &n_candidates))
       {
         name = member->instance.name;
         address = member->instance.peer_address;
--- a/packages/core/src/membership/lc-membership-links.c
+++ b/packages/core/src/membership/lc-membership-links.c
@@ -6,19 +6,19 @@
 #include <string.h>
 
 LcPeerLink *
-lc_membership_add_link (LcMembership *membership, bool dialled, LbTime now)
+lc_membership_add_link (LcMembership *membership, bool is_outgoing, LbTime now)
 {
   LcPeerLink *link = LB_NEW (LcPeerLink);
 
-  link->id = ++membership->last_link;
-  link->dialled = dialled;
-  link->started = now;
+  link->id = ++membership->last_link_id;
+  link->is_outgoing = is_outgoing;
+  link->started_at = now;
   HASH_ADD (hh, membership->links, id, sizeof link->id, link);
   return link;
 }
 
 void
-lc_membership_drop_link (LcMembership *membership, LcPeerLink *link)
+lc_membership_remove_link (LcMembership *membership, LcPeerLink *link)
 {
   HASH_DEL (membership->links, link);
   free (link);
@@ -30,27 +30,27 @@
                           LbErrorCode reason,
                           LbList *actions)
 {
-  LcMembershipAction *action = lc_membership_act (actions, LC_MEMBERSHIP_CLOSE);
+  LcMembershipAction *action = lc_membership_add_action (actions, LC_MEMBERSHIP_CLOSE);
 
   action->link = link->id;
   action->reason = reason;
-  lc_membership_drop_link (membership, link);
+  lc_membership_remove_link (membership, link);
 }
 
 static bool
-is_dialling (const LcMembership *membership, const char *address)
+is_dialing (const LcMembership *membership, const char *address)
 {
   for (const LcPeerLink *link = membership->links; link; link = link->hh.next)
-    if (!link->open && strcmp (link->address, address) == 0)
+    if (!link->is_open && strcmp (link->address, address) == 0)
       return true;
   return false;
 }
 
 bool
-lc_membership_has_dialled_link (const LcMembership *membership, const char *name)
+lc_membership_has_outgoing_link (const LcMembership *membership, const char *name)
 {
   for (const LcPeerLink *link = membership->links; link; link = link->hh.next)
-    if (link->dialled && strcmp (link->name, name) == 0)
+    if (link->is_outgoing && strcmp (link->name, name) == 0)
       return true;
   return false;
 }
@@ -59,12 +59,12 @@
 lc_membership_dial (
     LcMembership *membership, const char *name, const char *address, LbTime now, LbList *actions)
 {
-  if (is_dialling (membership, address))
+  if (is_dialing (membership, address))
     return;
   LcPeerLink *link = lc_membership_add_link (membership, true, now);
   LB_COPY (link->name, name);
   LB_COPY (link->address, address);
-  LcMembershipAction *action = lc_membership_act (actions, LC_MEMBERSHIP_DIAL);
+  LcMembershipAction *action = lc_membership_add_action (actions, LC_MEMBERSHIP_DIAL);
   action->link = link->id;
   LB_COPY (action->address, address);
 }
@@ -80,12 +80,12 @@
 lc_membership_keep_connected (
     LcMembership *membership, const char *name, LbTime until, LbTime now, LbList *actions)
 {
-  LcMember *member = lc_membership_member (membership, name);
+  LcMember *member = lc_membership_lookup_member (membership, name);
 
   if (!member)
     return false;
-  if (until > member->wanted_until)
-    member->wanted_until = until;
+  if (until > member->keep_connected_until)
+    member->keep_connected_until = until;
   if (lc_membership_find_link (membership, name) == 0)
     lc_membership_dial_member (membership, member, now, actions);
   return true;
--- a/packages/core/src/membership/lc-membership-members.c
+++ b/packages/core/src/membership/lc-membership-members.c
@@ -1,15 +1,16 @@
 #include "lc-membership-private.h"
 
-#define FORGET_AFTER (2 * 3600 * LB_SEC)
-#define FORGET_AFTER_WITHOUT_LIST (24 * 3600 * LB_SEC)
+#define REMOVE_DEAD_AFTER (2 * 3600 * LB_SEC)
+#define REMOVE_DEAD_AFTER_WITHOUT_LIST (24 * 3600 * LB_SEC)
 
 static bool
-is_forgotten (const LcMembership *membership, const LcMember *member, LbTime now)
+is_removable (const LcMembership *membership, const LcMember *member, LbTime now)
 {
-  LbTime after = membership->list_known ? FORGET_AFTER : FORGET_AFTER_WITHOUT_LIST;
+  LbTime retention
+      = membership->has_platform_list ? REMOVE_DEAD_AFTER : REMOVE_DEAD_AFTER_WITHOUT_LIST;
 
-  return member->instance.state == LC_INSTANCE_DEAD && !member->listed && !member->pending
-         && now - member->changed > after;
+  return member->instance.state == LC_INSTANCE_DEAD && !member->is_listed && !member->is_pending
+         && now - member->changed_at > retention;
 }
 
 void
@@ -19,12 +20,12 @@
 
   HASH_ITER (hh, membership->members, member, next)
   {
-    if (member->instance.state == LC_INSTANCE_SUSPECT && now >= member->condemn_at)
+    if (member->instance.state == LC_INSTANCE_SUSPECT && now >= member->declare_dead_at)
       {
         membership->totals.declared_dead++;
         lc_membership_set_state (membership, member, LC_INSTANCE_DEAD, now);
       }
-    if (is_forgotten (membership, member, now))
-      lc_membership_drop_member (membership, member);
+    if (is_removable (membership, member, now))
+      lc_membership_remove_member (membership, member);
   }
 }
--- a/packages/core/src/membership/lc-membership-private.h
+++ b/packages/core/src/membership/lc-membership-private.h
@@ -7,28 +7,28 @@
 #include <gsl/gsl_rng.h>
 #include <uthash.h>
 
-#define LC_MAX_RINGS 8
-/* Pause between the comparisons that this instance begins. */
-#define LC_COMPARE_EVERY LB_SEC
-/* Two ends compare when their digests have differed for this many periods. */
+#define LC_MEMBERSHIP_MAX_RINGS 8
+/* Minimum time between two view comparisons that this instance starts. */
+#define LC_COMPARE_INTERVAL LB_SEC
+/* Two peers compare their views when their digests have differed for this many periods. */
 #define LC_COMPARE_AFTER_PERIODS 4
 
 typedef struct
 {
   LcInstance instance;
-  LbTime changed;       /* of state or draining */
-  LbTime introduced;    /* when this epoch was first told: news go in full form for a while */
-  LbTime heard;         /* on any connection */
-  LbTime condemn_at;    /* while SUSPECT */
-  LbTime vouched_until; /* it refuted our suspicion: the fault lies between it and us */
-  LbTime vouch;
-  LbTime wanted_until;
-  LbTime next_dial;
-  bool silent; /* its connection went silent or closed, and no new one is open yet */
-  bool listed;
-  bool listed_leaving;
-  bool pending; /* to be told to all connections */
-  LcLinkId told_by;
+  LbTime changed_at;              /* of state or draining */
+  LbTime epoch_learned_at;        /* sent in full form for a while afterwards */
+  LbTime last_heard_at;           /* on any connection */
+  LbTime declare_dead_at;         /* while SUSPECT */
+  LbTime suspicion_ignored_until; /* after it refuted one of this instance */
+  LbTime suspicion_ignore_time;
+  LbTime keep_connected_until;
+  LbTime next_dial_at;
+  bool is_silent; /* its connection timed out or closed, and no new one is open yet */
+  bool is_listed;
+  bool is_listed_leaving;
+  bool is_pending; /* to be sent on all connections */
+  LcLinkId source_link;
   UT_hash_handle hh;
 } LcMember;
 
@@ -38,28 +38,28 @@
   LcLinkId id;
   LbName name; /* empty: not known yet */
   LbName address;
-  bool dialled;
-  bool open;
-  bool watched; /* heartbeats go out on it and their answers are awaited */
-  LbTime started;
-  LbTime next_ping;
+  bool is_outgoing;
+  bool is_open;
+  bool is_watched; /* heartbeats are sent on it and answers expected */
+  LbTime started_at;
+  LbTime next_ping_at;
   LbTime unneeded_since;   /* 0: needed */
-  LbTime unanswered_since; /* something was sent and nothing heard since; 0: no */
+  LbTime unanswered_since; /* a frame was sent and none received since; 0: no */
   LcDetector detector;
-  uint64_t digest;
-  LbTime differs_since; /* 0: both ends have the same view */
+  uint64_t peer_digest;
+  LbTime digest_differs_since; /* 0: both ends have the same view */
   UT_hash_handle hh;
 } LcPeerLink;
 
-/* An address to try that may belong to an unknown instance: a seed or a listed instance. */
+/* An address to try whose instance may be unknown: a seed or an entry of the platform's list. */
 typedef struct
 {
   LbName address;
-  bool listed;
+  bool is_listed;
   LbLink link;
 } LcContact;
 
-/* The whole state; the files lc-membership-*.c share it. */
+/* The state shared by the files lc-membership-*.c. */
 struct LcMembership
 {
   LcMembershipSettings settings;
@@ -67,92 +67,96 @@
   LcMember *members; /* without self */
   LcPeerLink *links;
   LbList contacts;
-  LcLinkId last_link;
+  LcLinkId last_link_id;
   gsl_rng *rng;
-  LbName targets[LC_MAX_RINGS]; /* whom this instance watches */
+  LbName targets[LC_MEMBERSHIP_MAX_RINGS]; /* members that this instance watches */
   size_t n_targets;
-  bool targets_old;
+  bool targets_outdated;
   bool view_changed;
-  bool self_pending;
-  bool list_known;
+  bool is_self_pending;
+  bool has_platform_list;
   uint64_t digest; /* of the view at the end of the last command */
-  LbTime flush_at; /* LB_TIME_NEVER: nothing is pending */
-  LbTime next_contact;
-  LbTime next_compare;
-  LbTime next_load;
-  uint64_t rival_epoch; /* largest epoch of another incarnation of our name */
-  LbTime next_conflict;
-  LbTime last_tick;
+  LbTime flush_at; /* LB_TIME_NEVER: no updates are pending */
+  LbTime next_contact_at;
+  LbTime next_compare_at;
+  LbTime next_load_update_at;
+  uint64_t conflicting_epoch; /* largest epoch of another incarnation of this instance's name */
+  LbTime next_conflict_answer_at;
+  LbTime last_tick_at;
   LcMembershipTotals totals;
 };
 
-LcMember *lc_membership_member (const LcMembership *membership, const char *name);
-LcPeerLink *lc_membership_link (const LcMembership *membership, LcLinkId id);
-LcMembershipAction *lc_membership_act (LbList *actions, LcMembershipActionType type);
-/* At the end of a command: takes the new digest and emits CHANGED once when the view changed. */
-void lc_membership_finish (LcMembership *membership, LbList *actions);
+LcMember *lc_membership_lookup_member (const LcMembership *membership, const char *name);
+LcPeerLink *lc_membership_lookup_link (const LcMembership *membership, LcLinkId id);
+LcMembershipAction *lc_membership_add_action (LbList *actions, LcMembershipActionType type);
+/* Ends a command: when the view changed, updates the digest and emits CHANGED once. */
+void lc_membership_finish_command (LcMembership *membership, LbList *actions);
 uint64_t lc_membership_compute_digest (const LcMembership *membership);
-void lc_membership_tell_one (LcLinkId link, const LcInstance *instance, LbList *actions);
+void lc_membership_send_one (LcLinkId link, const LcInstance *instance, LbList *actions);
 
-/* lc-membership-news.c */
+/* lc-membership-updates.c */
 
-/* Forgets the member, which others may tell of again; member is freed. */
-void lc_membership_drop_member (LcMembership *membership, LcMember *member);
-void
-lc_membership_learn (LcMembership *membership, LcLinkId link, const LcInstance *news, LbTime now);
+/* Removes and frees the member; peers may still report it again. */
+void lc_membership_remove_member (LcMembership *membership, LcMember *member);
+void lc_membership_apply_update (LcMembership *membership,
+                                 LcLinkId link,
+                                 const LcInstance *update,
+                                 LbTime now);
 void lc_membership_set_state (LcMembership *membership,
                               LcMember *member,
                               LcInstanceState state,
                               LbTime now);
-void lc_membership_outbid_rival (LcMembership *membership, LbTime now);
-void lc_membership_announce_self (LcMembership *membership, LbTime now);
-void lc_membership_compare (LcMembership *membership, LcLinkId link, LbList *actions);
-void lc_membership_flush (LcMembership *membership, LbTime now, LbList *actions);
+void lc_membership_resolve_name_conflict (LcMembership *membership, LbTime now);
+void lc_membership_queue_self_update (LcMembership *membership, LbTime now);
+void lc_membership_send_summary (LcMembership *membership, LcLinkId link, LbList *actions);
+void lc_membership_flush_updates (LcMembership *membership, LbTime now, LbList *actions);
 
 /* lc-membership-links.c */
 
-LcPeerLink *lc_membership_add_link (LcMembership *membership, bool dialled, LbTime now);
-/* Forgets a connection that is closed already; link is freed. */
-void lc_membership_drop_link (LcMembership *membership, LcPeerLink *link);
-/* Orders the connection to be closed on purpose, which says nothing about its member; link is
- * freed. */
+LcPeerLink *lc_membership_add_link (LcMembership *membership, bool is_outgoing, LbTime now);
+/* Removes and frees the state of a connection that is closed already. */
+void lc_membership_remove_link (LcMembership *membership, LcPeerLink *link);
+/* Closes a connection that is no longer needed, which says nothing about its member's health; frees
+ * link. */
 void lc_membership_close_link (LcMembership *membership,
                                LcPeerLink *link,
                                LbErrorCode reason,
                                LbList *actions);
-/* Open or being opened. */
-bool lc_membership_has_dialled_link (const LcMembership *membership, const char *name);
-/* Orders a connection, unless one to the address is being opened. name: empty when an address is
- * tried of which nobody knows whose it is. */
+/* Whether a connection that this instance opened is open or being opened. */
+bool lc_membership_has_outgoing_link (const LcMembership *membership, const char *name);
+/* Opens a connection unless one to the address is being opened already. name: empty when it is not
+ * known which instance has the address. */
 void lc_membership_dial (
     LcMembership *membership, const char *name, const char *address, LbTime now, LbList *actions);
 void
 lc_membership_dial_member (LcMembership *membership, LcMember *member, LbTime now, LbList *actions);
 
-/* lc-membership-connect.c: a connection has ended or could not be opened, which is a sign against
- * its member; link is freed. */
-void
-lc_membership_lose_link (LcMembership *membership, LcPeerLink *link, LbTime now, LbList *actions);
+/* lc-membership-connect.c: handles a connection that ended or could not be opened, as evidence
+ * against its member; frees link. */
+void lc_membership_handle_link_loss (LcMembership *membership,
+                                     LcPeerLink *link,
+                                     LbTime now,
+                                     LbList *actions);
 
 /* lc-membership-heartbeat.c */
 
-/* Evidence of life. A member that was silent here speaks again. */
-void lc_membership_note_heard (LcMembership *membership, LcPeerLink *link, LbTime now);
-/* Sends the heartbeats that are due and ends the connections that are silent or unneeded. */
+/* Records a frame from the peer; the member no longer counts as silent. */
+void lc_membership_record_arrival (LcMembership *membership, LcPeerLink *link, LbTime now);
+/* Sends due heartbeats and closes connections that timed out or are no longer needed. */
 void lc_membership_tick_links (LcMembership *membership, LbTime now, LbList *actions);
 
-/* lc-membership-members.c: condemns the suspects that did not refute in time and forgets those that
- * are long dead. */
+/* lc-membership-members.c: declares suspects dead that did not refute in time, and removes members
+ * that have been dead for long. */
 void lc_membership_tick_members (LcMembership *membership, LbTime now);
 
-/* lc-membership-contacts.c: tries the address of a dead or unknown instance when that is due. */
-void lc_membership_contact_one (LcMembership *membership, LbTime now, LbList *actions);
+/* lc-membership-contacts.c: dials the address of a dead or unknown instance when one is due. */
+void lc_membership_try_contact (LcMembership *membership, LbTime now, LbList *actions);
 
 /* lc-membership-watch.c */
 
 void lc_membership_choose_targets (LcMembership *membership);
-/* Dials the targets to which there is no connection, choosing anew when members have changed. */
-void lc_membership_watch_targets (LcMembership *membership, LbTime now, LbList *actions);
+/* Dials targets that have no connection, after choosing targets anew if members have changed. */
+void lc_membership_dial_targets (LcMembership *membership, LbTime now, LbList *actions);
 bool lc_membership_is_target (const LcMembership *membership, const char *name);
 
 #endif
--- a/packages/core/src/membership/lc-membership-query.c
+++ b/packages/core/src/membership/lc-membership-query.c
@@ -5,10 +5,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TICK (100 * LB_MSEC)
+#define TICK_INTERVAL (100 * LB_MSEC)
 
 LcMember *
-lc_membership_member (const LcMembership *membership, const char *name)
+lc_membership_lookup_member (const LcMembership *membership, const char *name)
 {
   LcMember *member;
 
@@ -17,7 +17,7 @@
 }
 
 LcPeerLink *
-lc_membership_link (const LcMembership *membership, LcLinkId id)
+lc_membership_lookup_link (const LcMembership *membership, LcLinkId id)
 {
   LcPeerLink *link;
 
@@ -25,16 +25,16 @@
   return link;
 }
 
-/* When lc_membership_tick is due at the latest. */
+/* Latest time for the next lc_membership_tick. */
 LbTime
 lc_membership_next_tick (const LcMembership *membership)
 {
-  LbTime tick = membership->last_tick + TICK;
+  LbTime next_tick = membership->last_tick_at + TICK_INTERVAL;
 
-  return membership->flush_at < tick ? membership->flush_at : tick;
+  return membership->flush_at < next_tick ? membership->flush_at : next_tick;
 }
 
-/* Stands for the whole view, the dead left out: the time at which they are forgotten differs. */
+/* Digest of the view without dead members, which instances remove at different times. */
 uint64_t
 lc_membership_compute_digest (const LcMembership *membership)
 {
@@ -58,7 +58,7 @@
   return &membership->self;
 }
 
-/* All known instances, this one and the dead that are not forgotten included. */
+/* Number of known instances, including this one and the dead that are not removed yet. */
 size_t
 lc_membership_count (const LcMembership *membership)
 {
@@ -66,18 +66,18 @@
 }
 
 static LcMemberView
-view_of (const LcMember *member)
+member_view (const LcMember *member)
 {
   return (LcMemberView){
     .instance = member->instance,
-    .alive = member->instance.state == LC_INSTANCE_ALIVE && !member->silent,
-    .draining = member->instance.draining || member->listed_leaving,
-    .changed_at = member->changed,
+    .alive = member->instance.state == LC_INSTANCE_ALIVE && !member->is_silent,
+    .draining = member->instance.draining || member->is_listed_leaving,
+    .changed_at = member->changed_at,
   };
 }
 
 static LcMemberView
-view_of_self (const LcMembership *membership)
+self_view (const LcMembership *membership)
 {
   return (LcMemberView){ .instance = membership->self,
                          .is_self = true,
@@ -86,7 +86,7 @@
 }
 
 static int
-by_name (const void *a, const void *b)
+compare_names (const void *a, const void *b)
 {
   return strcmp (((const LcMemberView *)a)->instance.name,
                  ((const LcMemberView *)b)->instance.name);
@@ -97,21 +97,21 @@
 {
   size_t count = 0;
 
-  views[count++] = view_of_self (membership);
+  views[count++] = self_view (membership);
   for (const LcMember *member = membership->members; member; member = member->hh.next)
-    views[count++] = view_of (member);
-  qsort (views, count, sizeof *views, by_name);
+    views[count++] = member_view (member);
+  qsort (views, count, sizeof *views, compare_names);
 }
 
 bool
 lc_membership_find (const LcMembership *membership, const char *name, LcMemberView *view)
 {
-  const LcMember *member = lc_membership_member (membership, name);
+  const LcMember *member = lc_membership_lookup_member (membership, name);
 
   if (strcmp (name, membership->self.name) == 0)
-    *view = view_of_self (membership);
+    *view = self_view (membership);
   else if (member)
-    *view = view_of (member);
+    *view = member_view (member);
   else
     return false;
   return true;
@@ -123,19 +123,19 @@
   const LcPeerLink *best = NULL;
 
   for (const LcPeerLink *link = membership->links; link; link = link->hh.next)
-    if (link->open && strcmp (link->name, name) == 0
+    if (link->is_open && strcmp (link->name, name) == 0
         && (!best || link->detector.last_arrival > best->detector.last_arrival))
       best = link;
   return best ? best->id : 0;
 }
 
-/* The name of the instance at the other end, NULL when it is not known yet. */
+/* Name of the instance at the other end; NULL while it is not known. */
 const char *
 lc_membership_link_peer_name (const LcMembership *membership, LcLinkId id)
 {
-  const LcPeerLink *link = lc_membership_link (membership, id);
+  const LcPeerLink *link = lc_membership_lookup_link (membership, id);
 
-  return link && link->open ? link->name : NULL;
+  return link && link->is_open ? link->name : NULL;
 }
 
 LcMembershipTotals
--- a/packages/core/src/membership/lc-membership-self.c
+++ b/packages/core/src/membership/lc-membership-self.c
@@ -1,9 +1,9 @@
 #include "lc-membership-private.h"
 
-#define LOAD_EVERY (60 * LB_SEC)
-#define LOAD_MARGIN 75
+#define LOAD_UPDATE_INTERVAL (60 * LB_SEC)
+#define LOAD_HYSTERESIS 75
 
-/* Told to all at once: an instance that drains must not be named to callers any more. */
+/* Broadcast without delay: callers must no longer be sent to an instance that drains. */
 void
 lc_membership_set_draining (LcMembership *membership, LbTime now, LbList *actions)
 {
@@ -12,27 +12,28 @@
   membership->self.draining = true;
   membership->self.version++;
   membership->view_changed = true;
-  lc_membership_announce_self (membership, now);
-  lc_membership_flush (membership, now, actions);
-  lc_membership_finish (membership, actions);
+  lc_membership_queue_self_update (membership, now);
+  lc_membership_flush_updates (membership, now, actions);
+  lc_membership_finish_command (membership, actions);
 }
 
-/* The failure: a load that wavers about a step, told by 350 instances, would fill the connections
- * with news of load alone and move callers about. So it is told in steps, with a margin, and at
- * most once a minute. */
+/* A load that fluctuates around a step would, with 350 instances, fill the connections with load
+ * updates and move callers about. So it is published in steps, with hysteresis, and at most once a
+ * minute. */
 void
 lc_membership_set_load (LcMembership *membership, int64_t load, LbTime now, LbList *actions)
 {
-  int64_t known = membership->self.load;
+  int64_t published = membership->self.load;
 
-  if (now < membership->next_load
-      || (load < known + LC_INSTANCE_LOAD_STEP + LOAD_MARGIN && load >= known - LOAD_MARGIN))
+  if (now < membership->next_load_update_at
+      || (load < published + LC_INSTANCE_LOAD_STEP + LOAD_HYSTERESIS
+          && load >= published - LOAD_HYSTERESIS))
     return;
   int64_t step = load / LC_INSTANCE_LOAD_STEP * LC_INSTANCE_LOAD_STEP;
-  membership->next_load = now + LOAD_EVERY;
+  membership->next_load_update_at = now + LOAD_UPDATE_INTERVAL;
   membership->self.load = step > LC_INSTANCE_MAX_LOAD ? LC_INSTANCE_MAX_LOAD : step;
   membership->self.version++;
   membership->view_changed = true;
-  lc_membership_announce_self (membership, now);
-  lc_membership_finish (membership, actions);
+  lc_membership_queue_self_update (membership, now);
+  lc_membership_finish_command (membership, actions);
 }
--- a/packages/core/src/membership/lc-membership-watch.c
+++ b/packages/core/src/membership/lc-membership-watch.c
@@ -13,22 +13,22 @@
 }
 
 static uint64_t
-place_on_ring (const char *name, size_t ring)
+ring_position (const char *name, size_t ring)
 {
   return XXH64 (name, strlen (name), ring);
 }
 
-/* The nearest member after this instance on the ring that is not dead and not chosen yet. */
+/* The nearest successor of this instance on the ring that is neither dead nor chosen already. */
 static const LcMember *
-successor (const LcMembership *membership, size_t ring)
+find_successor (const LcMembership *membership, size_t ring)
 {
-  uint64_t here = place_on_ring (membership->self.name, ring);
+  uint64_t own_position = ring_position (membership->self.name, ring);
   const LcMember *nearest = NULL;
   uint64_t nearest_distance = UINT64_MAX;
 
   for (const LcMember *member = membership->members; member; member = member->hh.next)
     {
-      uint64_t distance = place_on_ring (member->instance.name, ring) - here;
+      uint64_t distance = ring_position (member->instance.name, ring) - own_position;
       if (member->instance.state == LC_INSTANCE_DEAD || distance > nearest_distance
           || lc_membership_is_target (membership, member->instance.name))
         continue;
@@ -38,17 +38,17 @@
   return nearest;
 }
 
-/* A successor on each of several rings: every instance is watched by as many others as it watches,
- * and news reach all in a few steps, since rings in unlike orders make a graph of small diameter.
- */
+/* Chooses a successor on each of several rings: every instance is watched by as many others as it
+ * watches, and updates reach all in a few hops, since rings in unrelated orders form a graph of
+ * small diameter. */
 void
 lc_membership_choose_targets (LcMembership *membership)
 {
-  membership->targets_old = false;
+  membership->targets_outdated = false;
   membership->n_targets = 0;
   for (size_t ring = 0; ring < membership->settings.n_rings; ring++)
     {
-      const LcMember *member = successor (membership, ring);
+      const LcMember *member = find_successor (membership, ring);
       if (!member)
         return;
       memcpy (membership->targets[membership->n_targets++], member->instance.name, LB_NAME_MAX);
@@ -56,15 +56,15 @@
 }
 
 void
-lc_membership_watch_targets (LcMembership *membership, LbTime now, LbList *actions)
+lc_membership_dial_targets (LcMembership *membership, LbTime now, LbList *actions)
 {
-  if (membership->targets_old)
+  if (membership->targets_outdated)
     lc_membership_choose_targets (membership);
   for (size_t i = 0; i < membership->n_targets; i++)
     {
-      LcMember *member = lc_membership_member (membership, membership->targets[i]);
-      if (member && now >= member->next_dial
-          && !lc_membership_has_dialled_link (membership, membership->targets[i]))
+      LcMember *member = lc_membership_lookup_member (membership, membership->targets[i]);
+      if (member && now >= member->next_dial_at
+          && !lc_membership_has_outgoing_link (membership, membership->targets[i]))
         lc_membership_dial_member (membership, member, now, actions);
     }
 }
--- a/packages/core/src/membership/lc-membership.c
+++ b/packages/core/src/membership/lc-membership.c
@@ -7,9 +7,9 @@
 #define DEFAULT_PERIOD (500 * LB_MSEC)
 #define DEFAULT_RINGS 3
 #define DEFAULT_DIAL_TIMEOUT (600 * LB_MSEC)
-#define DEFAULT_CONFIRM (2 * LB_SEC)
-/* A gap in our own loop above this is a pause of this process; ticks are due every 100 ms. */
-#define PAUSE (300 * LB_MSEC)
+#define DEFAULT_SUSPICION_TIMEOUT (2 * LB_SEC)
+/* A gap between ticks, due every 100 ms, above this is a pause of this process. */
+#define PAUSE_THRESHOLD (300 * LB_MSEC)
 
 LcMembershipSettings
 lc_membership_settings_default (void)
@@ -17,7 +17,7 @@
   return (LcMembershipSettings){ .heartbeat_period = DEFAULT_PERIOD,
                                  .n_rings = DEFAULT_RINGS,
                                  .dial_timeout = DEFAULT_DIAL_TIMEOUT,
-                                 .suspicion_timeout = DEFAULT_CONFIRM };
+                                 .suspicion_timeout = DEFAULT_SUSPICION_TIMEOUT };
 }
 
 LcMembership *
@@ -26,15 +26,15 @@
   LcMembership *membership = LB_NEW (LcMembership);
 
   membership->settings = *settings;
-  if (membership->settings.n_rings > LC_MAX_RINGS)
-    membership->settings.n_rings = LC_MAX_RINGS;
+  if (membership->settings.n_rings > LC_MEMBERSHIP_MAX_RINGS)
+    membership->settings.n_rings = LC_MEMBERSHIP_MAX_RINGS;
   membership->self = settings->self;
   membership->self.version = 1;
   membership->rng = gsl_rng_alloc (gsl_rng_taus2);
   gsl_rng_set (membership->rng, (unsigned long)settings->random_seed);
   membership->flush_at = LB_TIME_NEVER;
-  membership->last_tick = now;
-  membership->next_contact = now;
+  membership->last_tick_at = now;
+  membership->next_contact_at = now;
   lb_list_init (&membership->contacts);
   membership->digest = lc_membership_compute_digest (membership);
   return membership;
@@ -66,7 +66,7 @@
 }
 
 LcMembershipAction *
-lc_membership_act (LbList *actions, LcMembershipActionType type)
+lc_membership_add_action (LbList *actions, LcMembershipActionType type)
 {
   LcMembershipAction *action = LB_NEW (LcMembershipAction);
 
@@ -83,62 +83,61 @@
 }
 
 void
-lc_membership_finish (LcMembership *membership, LbList *actions)
+lc_membership_finish_command (LcMembership *membership, LbList *actions)
 {
   if (!membership->view_changed)
     return;
   membership->view_changed = false;
   membership->digest = lc_membership_compute_digest (membership);
-  lc_membership_act (actions, LC_MEMBERSHIP_CHANGED);
+  lc_membership_add_action (actions, LC_MEMBERSHIP_CHANGED);
 }
 
 void
-lc_membership_tell_one (LcLinkId link, const LcInstance *instance, LbList *actions)
+lc_membership_send_one (LcLinkId link, const LcInstance *instance, LbList *actions)
 {
-  LcMembershipAction *action = lc_membership_act (actions, LC_MEMBERSHIP_SEND);
+  LcMembershipAction *action = lc_membership_add_action (actions, LC_MEMBERSHIP_SEND);
 
   action->link = link;
   action->instances = lb_memdup (instance, sizeof *instance);
   action->n_instances = 1;
 }
 
-/* The failure: this process was stopped or starved for a while; on its return every peer looks
- * silent, though their bytes wait unread, and all would be condemned at once. Time in which this
- * loop did not run is no silence of others. */
+/* Excludes a pause of this process from the silence of others. After it every peer looks silent,
+ * though its frames wait unread, and all would be declared dead at once. */
 static void
-forgive_own_pause (LcMembership *membership, LbTime now)
+discount_own_pause (LcMembership *membership, LbTime now)
 {
-  LbTime pause = now - membership->last_tick;
+  LbTime pause = now - membership->last_tick_at;
 
-  membership->last_tick = now;
-  if (pause <= PAUSE)
+  membership->last_tick_at = now;
+  if (pause <= PAUSE_THRESHOLD)
     return;
   membership->totals.own_pauses++;
   for (LcPeerLink *link = membership->links; link; link = link->hh.next)
     {
-      link->started += pause;
+      link->started_at += pause;
       if (link->unanswered_since)
         link->unanswered_since += pause;
       lc_detector_discount_pause (&link->detector, pause, now);
     }
   for (LcMember *member = membership->members; member; member = member->hh.next)
     {
-      member->heard += pause;
-      member->condemn_at += pause;
+      member->last_heard_at += pause;
+      member->declare_dead_at += pause;
     }
 }
 
-/* Does all that is due by now. */
+/* Does everything that is due. */
 void
 lc_membership_tick (LcMembership *membership, LbTime now, LbList *actions)
 {
-  forgive_own_pause (membership, now);
+  discount_own_pause (membership, now);
   lc_membership_tick_links (membership, now, actions);
   lc_membership_tick_members (membership, now);
-  lc_membership_outbid_rival (membership, now);
-  lc_membership_watch_targets (membership, now, actions);
-  lc_membership_contact_one (membership, now, actions);
+  lc_membership_resolve_name_conflict (membership, now);
+  lc_membership_dial_targets (membership, now, actions);
+  lc_membership_try_contact (membership, now, actions);
   if (now >= membership->flush_at)
-    lc_membership_flush (membership, now, actions);
-  lc_membership_finish (membership, actions);
+    lc_membership_flush_updates (membership, now, actions);
+  lc_membership_finish_command (membership, actions);
 }
