--- a/packages/core/tests/test-catalog.c
+++ b/packages/core/tests/test-catalog.c
@@ -9,41 +9,41 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A fleet of instances, the store and its endpoints in virtual time, with faults drawn by a seed.
- */
+/* Simulation of instances, the store and its endpoints in virtual time, with faults drawn from a
+ * seed. */
 
 #define STEP (10 * LB_MSEC)
 #define TICK_STEPS 5
-#define RANK_STEPS 200 /* who is well is known so late */
-#define LIST_PERIOD (400 * LB_MSEC)
+#define RANK_UPDATE_STEPS 200 /* health of instances becomes known only after this delay */
+#define LISTING_PERIOD (400 * LB_MSEC)
 #define FEED_WAIT (700 * LB_MSEC)
-#define CALL_TIME LB_SEC /* a call without an answer is given up */
+#define CALL_TIMEOUT LB_SEC /* when a call without an answer is abandoned */
 #define MAX_ENDPOINTS 250
 #define MAX_ROWS (MAX_ENDPOINTS + 2)
 #define MAX_INSTANCES 300
-/* An endpoint that leaves gets nothing new this long after its entry said so. */
-#define MAX_LATE (1900 * LB_MSEC)
+/* From the change of a leaving endpoint's entry until no instance may send it new work. */
+#define MAX_LEAVING_DELAY (1900 * LB_MSEC)
 
 typedef struct
 {
   char key[LB_NAME_MAX];
-  char *value; /* NULL: gone */
+  char *value; /* NULL: deleted */
   int64_t version;
 } Row;
 
 typedef struct
 {
-  LcRegistration listed;
+  LcRegistration registration;
   bool exists;
   LbTime changed_at;
 } Endpoint;
 
 typedef struct
 {
-  LbTime arrives; /* at the store; 0: no such call */
-  LbTime answers; /* LB_TIME_NEVER: not yet known, or lost */
-  LbTime given_up;
-  bool carried_out;
+  LbTime arrives_at; /* at the store; 0: no call in progress */
+  LbTime answers_at; /* LB_TIME_NEVER: not known yet, or lost */
+  LbTime abandoned_at;
+  bool is_carried_out;
   /* list */
   LcRegistration *list;
   size_t n_list;
@@ -51,25 +51,25 @@
   /* write */
   LcCatalogWrite write;
   bool ok;
-  /* feed */
-  int64_t after;
-  int64_t until; /* version that the answer is about */
+  /* change feed */
+  int64_t from_version;
+  int64_t to_version; /* version up to which the answer goes */
 } Call;
 
 typedef struct
 {
   LcCatalog *catalog;
   int start;
-  LbTime cut_until;
+  LbTime cut_off_until;
   LbTime paused_until;
-  LbTime since; /* in touch */
+  LbTime in_contact_since; /* reachable and running */
   Call list, write, feed;
-  LbTime next_list;
-  int64_t followed; /* version; 0: not yet */
-  LcRegistration belief[MAX_ENDPOINTS];
-  size_t n_belief;
-  LbTime asked_at;
-  int64_t lists;
+  LbTime next_listing_at;
+  int64_t followed_version; /* 0: none yet */
+  LcRegistration snapshot[MAX_ENDPOINTS];
+  size_t n_snapshot;
+  LbTime valid_at;
+  int64_t n_listings;
 } Instance;
 
 typedef struct
@@ -83,14 +83,14 @@
   size_t n_endpoints;
   Instance instances[MAX_INSTANCES];
   size_t n_instances;
-  LbTime away_until; /* the store's outage */
-  int64_t lists;
-  int64_t listed_rows;
-  int64_t feed_rows;
+  LbTime outage_until; /* end of the store's outage */
+  int64_t n_listings;
+  int64_t n_listed_rows;
+  int64_t n_feed_rows;
 } World;
 
 static double
-draw (World *w)
+random_unit (World *w)
 {
   return gsl_rng_uniform (w->rng);
 }
@@ -98,13 +98,13 @@
 static LbTime
 latency (World *w)
 {
-  return 2 * LB_MSEC + (LbTime)(draw (w) * 8 * LB_MSEC);
+  return 2 * LB_MSEC + (LbTime)(random_unit (w) * 8 * LB_MSEC);
 }
 
 static bool
-is_cut (const World *w, const Instance *instance)
+is_cut_off (const World *w, const Instance *instance)
 {
-  return w->now < instance->cut_until || w->now < w->away_until;
+  return w->now < instance->cut_off_until || w->now < w->outage_until;
 }
 
 static bool
@@ -124,9 +124,9 @@
 static void
 call_start (World *w, Call *call)
 {
-  call->arrives = w->now + latency (w);
-  call->answers = LB_TIME_NEVER;
-  call->given_up = w->now + CALL_TIME;
+  call->arrives_at = w->now + latency (w);
+  call->answers_at = LB_TIME_NEVER;
+  call->abandoned_at = w->now + CALL_TIMEOUT;
 }
 
 static void
@@ -142,11 +142,11 @@
   snprintf (name, sizeof name, "i-%zu", index);
   snprintf (incarnation, sizeof incarnation, "%d", ++instance->start);
   instance->catalog = lc_catalog_new (name, incarnation, (uint64_t)gsl_rng_get (w->rng), w->now);
-  instance->followed = 0;
-  instance->n_belief = 0;
-  instance->asked_at = 0;
-  instance->next_list = w->now;
-  instance->since = w->now;
+  instance->followed_version = 0;
+  instance->n_snapshot = 0;
+  instance->valid_at = 0;
+  instance->next_listing_at = w->now;
+  instance->in_contact_since = w->now;
 }
 
 static void
@@ -161,11 +161,11 @@
   w->n_endpoints = n_endpoints;
   for (size_t i = 0; i < n_endpoints; i++)
     {
-      LcRegistration *listed = &w->endpoints[i].listed;
-      snprintf (listed->name, sizeof listed->name, "s-%zu", i);
-      snprintf (listed->address, sizeof listed->address, "10.0.0.%zu:80", i);
-      LB_COPY (listed->service, "reader");
-      listed->slots = 6;
+      LcRegistration *registration = &w->endpoints[i].registration;
+      snprintf (registration->name, sizeof registration->name, "s-%zu", i);
+      snprintf (registration->address, sizeof registration->address, "10.0.0.%zu:80", i);
+      LB_COPY (registration->service, "reader");
+      registration->slots = 6;
       w->endpoints[i].exists = true;
     }
   for (size_t i = 0; i < n_instances; i++)
@@ -235,27 +235,28 @@
   call->list = LB_NEW_ARRAY (LcRegistration, MAX_ENDPOINTS);
   for (size_t i = 0; i < w->n_endpoints; i++)
     if (w->endpoints[i].exists)
-      call->list[call->n_list++] = w->endpoints[i].listed;
+      call->list[call->n_list++] = w->endpoints[i].registration;
   call->store_ms = w->now / LB_MSEC;
-  w->lists++;
-  w->listed_rows += (int64_t)call->n_list;
+  w->n_listings++;
+  w->n_listed_rows += (int64_t)call->n_list;
 }
 
 /* --- an instance --- */
 
 static void
-take_belief (World *w, Instance *instance, const LcRegistration *list, size_t n, LbTime asked_at)
+replace_snapshot (
+    World *w, Instance *instance, const LcRegistration *list, size_t n, LbTime valid_at)
 {
   (void)w;
-  if (asked_at < instance->asked_at)
+  if (valid_at < instance->valid_at)
     return;
-  instance->asked_at = asked_at;
-  memcpy (instance->belief, list, n * sizeof *list);
-  instance->n_belief = n;
+  instance->valid_at = valid_at;
+  memcpy (instance->snapshot, list, n * sizeof *list);
+  instance->n_snapshot = n;
 }
 
 static void
-give_list (LcCatalog *catalog, const LcRegistration *list, size_t n, int64_t store_ms)
+set_listing (LcCatalog *catalog, const LcRegistration *list, size_t n, int64_t store_ms)
 {
   LcCatalogItem *items = LB_NEW_ARRAY (LcCatalogItem, n + 1);
 
@@ -269,68 +270,69 @@
 {
   LcRegistration list[MAX_ENDPOINTS];
   size_t n;
-} Belief;
+} Snapshot;
 
 static void
-add_belief (const char *name, const char *text, int64_t version, void *user)
+add_snapshot_row (const char *name, const char *text, int64_t version, void *user)
 {
   (void)version;
-  Belief *belief = user;
+  Snapshot *snapshot = user;
 
-  cr_assert (lc_registration_from_json (text, &belief->list[belief->n]));
-  cr_assert_str_eq (belief->list[belief->n].name, name);
-  belief->n++;
+  cr_assert (lc_registration_from_json (text, &snapshot->list[snapshot->n]));
+  cr_assert_str_eq (snapshot->list[snapshot->n].name, name);
+  snapshot->n++;
 }
 
 static size_t
-read_belief (const LcCatalog *catalog, Belief *belief)
+read_snapshot (const LcCatalog *catalog, Snapshot *snapshot)
 {
-  belief->n = 0;
-  lc_catalog_foreach (catalog, "e:", add_belief, belief);
-  return belief->n;
+  snapshot->n = 0;
+  lc_catalog_foreach (catalog, "e:", add_snapshot_row, snapshot);
+  return snapshot->n;
 }
 
 static void
-end_list (World *w, Instance *instance)
+finish_list_call (World *w, Instance *instance)
 {
   Call *call = &instance->list;
 
-  give_list (instance->catalog, call->list, call->n_list, call->store_ms);
-  take_belief (w, instance, call->list, call->n_list, call->store_ms * LB_MSEC);
-  instance->lists++;
+  set_listing (instance->catalog, call->list, call->n_list, call->store_ms);
+  replace_snapshot (w, instance, call->list, call->n_list, call->store_ms * LB_MSEC);
+  instance->n_listings++;
 }
 
 static void
-end_feed (World *w, Instance *instance)
+finish_feed_call (World *w, Instance *instance)
 {
   Call *call = &instance->feed;
-  bool is_base = call->after == 0;
+  bool is_base = call->from_version == 0;
 
   if (is_base)
     lc_catalog_begin_snapshot (instance->catalog);
   for (size_t i = 0; i < w->n_rows; i++)
     {
       const Row *row = &w->rows[i];
-      if (row->version <= call->after || row->version > call->until || (is_base && !row->value))
+      if (row->version <= call->from_version || row->version > call->to_version
+          || (is_base && !row->value))
         continue;
       lc_catalog_apply_row (instance->catalog, row->key, row->value, row->version);
-      w->feed_rows++;
+      w->n_feed_rows++;
     }
-  instance->followed = call->until;
+  instance->followed_version = call->to_version;
   if (!lc_catalog_finish_update (instance->catalog, call->store_ms, w->now))
     return;
-  static Belief belief;
-  read_belief (instance->catalog, &belief);
-  take_belief (w, instance, belief.list, belief.n, lc_catalog_valid_at (instance->catalog));
+  static Snapshot snapshot;
+  read_snapshot (instance->catalog, &snapshot);
+  replace_snapshot (w, instance, snapshot.list, snapshot.n,
+                    lc_catalog_valid_at (instance->catalog));
 }
 
-/* The rows of an answer are those of the moment at which it left the store; here the table is read
- * when it arrives, so nothing may have been written between: an answer that was overtaken by a
- * write is asked again. */
+/* An answer holds the rows as of the time when it left the store, but the simulation reads the
+ * table when it arrives. An answer that a write has overtaken is therefore requested again. */
 static bool
 is_overtaken (const World *w, const Call *call)
 {
-  return call->until < w->version;
+  return call->to_version < w->version;
 }
 
 static void
@@ -338,19 +340,20 @@
 {
   Call *call = &instance->feed;
 
-  if (call->arrives == 0 || is_cut (w, instance))
+  if (call->arrives_at == 0 || is_cut_off (w, instance))
     return;
-  if (call->answers == LB_TIME_NEVER && w->now >= call->arrives
-      && (call->after == 0 || w->version > call->after || w->now >= call->arrives + FEED_WAIT))
+  if (call->answers_at == LB_TIME_NEVER && w->now >= call->arrives_at
+      && (call->from_version == 0 || w->version > call->from_version
+          || w->now >= call->arrives_at + FEED_WAIT))
     {
-      call->until = w->version;
+      call->to_version = w->version;
       call->store_ms = w->now / LB_MSEC;
-      call->answers = w->now + latency (w);
+      call->answers_at = w->now + latency (w);
     }
-  if (w->now < call->answers || is_paused (w, instance))
+  if (w->now < call->answers_at || is_paused (w, instance))
     return;
   if (!is_overtaken (w, call))
-    end_feed (w, instance);
+    finish_feed_call (w, instance);
   call_clear (call);
 }
 
@@ -359,42 +362,42 @@
 {
   Call *call = &instance->list;
 
-  if (call->arrives == 0)
+  if (call->arrives_at == 0)
     return;
-  if (!call->carried_out && w->now >= call->arrives && !is_cut (w, instance))
+  if (!call->is_carried_out && w->now >= call->arrives_at && !is_cut_off (w, instance))
     {
       carry_out_list (w, call);
-      call->carried_out = true;
-      call->answers = w->now + latency (w);
+      call->is_carried_out = true;
+      call->answers_at = w->now + latency (w);
     }
   if (is_paused (w, instance))
     return;
-  if (call->carried_out && w->now >= call->answers && !is_cut (w, instance))
-    end_list (w, instance);
-  else if (w->now < call->given_up)
+  if (call->is_carried_out && w->now >= call->answers_at && !is_cut_off (w, instance))
+    finish_list_call (w, instance);
+  else if (w->now < call->abandoned_at)
     return;
   call_clear (call);
 }
 
-/* A write may be carried out after it was given up, and its answer may be lost. */
+/* A write may be carried out after the caller abandoned it, and its answer may be lost. */
 static void
 step_write (World *w, Instance *instance)
 {
   Call *call = &instance->write;
 
-  if (call->arrives == 0)
+  if (call->arrives_at == 0)
     return;
-  if (!call->carried_out && w->now >= call->arrives && !is_cut (w, instance))
+  if (!call->is_carried_out && w->now >= call->arrives_at && !is_cut_off (w, instance))
     {
       carry_out_write (w, call);
-      call->carried_out = true;
-      call->answers = draw (w) < 0.02 ? LB_TIME_NEVER : w->now + latency (w);
+      call->is_carried_out = true;
+      call->answers_at = random_unit (w) < 0.02 ? LB_TIME_NEVER : w->now + latency (w);
     }
   if (is_paused (w, instance))
     return;
-  if (w->now < call->answers && w->now < call->given_up)
+  if (w->now < call->answers_at && w->now < call->abandoned_at)
     return;
-  if (!call->carried_out || w->now < call->answers || !call->ok)
+  if (!call->is_carried_out || w->now < call->answers_at || !call->ok)
     lc_catalog_write_failed (instance->catalog, call->write.expected_version);
   call_clear (call);
 }
@@ -404,18 +407,18 @@
 {
   LcCatalogWrite write;
 
-  if (instance->feed.arrives == 0)
+  if (instance->feed.arrives_at == 0)
     {
-      instance->feed.after = instance->followed;
+      instance->feed.from_version = instance->followed_version;
       call_start (w, &instance->feed);
     }
-  if (instance->list.arrives == 0 && w->now >= instance->next_list
+  if (instance->list.arrives_at == 0 && w->now >= instance->next_listing_at
       && lc_catalog_needs_listing (instance->catalog, w->now))
     {
-      instance->next_list = w->now + LIST_PERIOD;
+      instance->next_listing_at = w->now + LISTING_PERIOD;
       call_start (w, &instance->list);
     }
-  if (instance->write.arrives != 0 && !instance->write.carried_out)
+  if (instance->write.arrives_at != 0 && !instance->write.is_carried_out)
     return;
   if (lc_catalog_prepare_write (instance->catalog, w->now, &write))
     {
@@ -426,12 +429,12 @@
 }
 
 static bool
-is_well (const World *w, const Instance *instance)
+is_healthy (const World *w, const Instance *instance)
 {
-  return w->now >= instance->cut_until + LB_SEC && !is_paused (w, instance);
+  return w->now >= instance->cut_off_until + LB_SEC && !is_paused (w, instance);
 }
 
-/* The first three that are well and not the publisher, by number. */
+/* Ranks the first three healthy instances other than the publisher, by number. */
 static void
 set_rank (World *w, size_t index)
 {
@@ -443,9 +446,9 @@
     {
       char name[16];
       snprintf (name, sizeof name, "i-%zu", i);
-      rank += is_well (w, &w->instances[i]) && strcmp (name, publisher) != 0;
+      rank += is_healthy (w, &w->instances[i]) && strcmp (name, publisher) != 0;
     }
-  lc_catalog_set_rank (instance->catalog, is_well (w, instance) && rank < 3 ? rank : -1);
+  lc_catalog_set_rank (instance->catalog, is_healthy (w, instance) && rank < 3 ? rank : -1);
 }
 
 static void
@@ -456,34 +459,37 @@
 }
 
 static void
-note_touch (World *w, Instance *instance)
+track_contact (World *w, Instance *instance)
 {
-  if (is_cut (w, instance) || is_paused (w, instance))
-    instance->since = w->now;
+  if (is_cut_off (w, instance) || is_paused (w, instance))
+    instance->in_contact_since = w->now;
 }
 
 static bool
-believes_leaving (const Instance *instance, const char *name)
+sees_leaving (const Instance *instance, const char *name)
 {
-  for (size_t i = 0; i < instance->n_belief; i++)
-    if (strcmp (instance->belief[i].name, name) == 0)
-      return instance->belief[i].leaving;
+  for (size_t i = 0; i < instance->n_snapshot; i++)
+    if (strcmp (instance->snapshot[i].name, name) == 0)
+      return instance->snapshot[i].leaving;
   return true;
 }
 
-/* No instance in touch sends new work to an endpoint that said long ago that it leaves. */
+/* No instance in contact with the store sends new work to an endpoint that has been leaving for
+ * longer than MAX_LEAVING_DELAY. */
 static void
 check_leaving (World *w, const Instance *instance, unsigned long seed)
 {
   for (size_t i = 0; i < w->n_endpoints; i++)
     {
       const Endpoint *endpoint = &w->endpoints[i];
-      LbTime known_since
-          = endpoint->changed_at > instance->since ? endpoint->changed_at : instance->since;
-      if ((endpoint->listed.leaving || !endpoint->exists) && w->now - known_since > MAX_LATE)
-        cr_assert (believes_leaving (instance, endpoint->listed.name),
-                   "seed %lu: %s is not known to leave %lld ms later", seed, endpoint->listed.name,
-                   (long long)((w->now - known_since) / LB_MSEC));
+      LbTime visible_since = endpoint->changed_at > instance->in_contact_since
+                                 ? endpoint->changed_at
+                                 : instance->in_contact_since;
+      if ((endpoint->registration.leaving || !endpoint->exists)
+          && w->now - visible_since > MAX_LEAVING_DELAY)
+        cr_assert (sees_leaving (instance, endpoint->registration.name),
+                   "seed %lu: %s is not seen as leaving after %lld ms", seed,
+                   endpoint->registration.name, (long long)((w->now - visible_since) / LB_MSEC));
     }
 }
 
@@ -491,12 +497,12 @@
 step (World *w, unsigned long seed)
 {
   w->now += STEP;
-  if ((w->now / STEP) % RANK_STEPS == 0)
+  if ((w->now / STEP) % RANK_UPDATE_STEPS == 0)
     set_ranks (w);
   for (size_t i = 0; i < w->n_instances; i++)
     {
       Instance *instance = &w->instances[i];
-      note_touch (w, instance);
+      track_contact (w, instance);
       step_write (w, instance);
       step_list (w, instance);
       step_feed (w, instance);
@@ -519,35 +525,35 @@
 {
   Endpoint *endpoint = &w->endpoints[gsl_rng_uniform_int (w->rng, w->n_endpoints)];
 
-  if (draw (w) < 0.5)
-    endpoint->listed.leaving = !endpoint->listed.leaving;
+  if (random_unit (w) < 0.5)
+    endpoint->registration.leaving = !endpoint->registration.leaving;
   else
     endpoint->exists = !endpoint->exists;
   endpoint->changed_at = w->now;
 }
 
 static void
-draw_fault (World *w)
+inject_fault (World *w)
 {
   size_t index = gsl_rng_uniform_int (w->rng, w->n_instances);
-  Instance *instance = &w->instances[draw (w) < 0.5 ? index % 4 : index];
-  double kind = draw (w);
+  Instance *instance = &w->instances[random_unit (w) < 0.5 ? index % 4 : index];
+  double kind = random_unit (w);
 
   if (kind < 0.3)
-    instance->cut_until = w->now + (LbTime)(draw (w) * 4 * LB_SEC);
+    instance->cut_off_until = w->now + (LbTime)(random_unit (w) * 4 * LB_SEC);
   else if (kind < 0.6)
-    instance->paused_until = w->now + (LbTime)(draw (w) * 3 * LB_SEC);
+    instance->paused_until = w->now + (LbTime)(random_unit (w) * 3 * LB_SEC);
   else if (kind < 0.9)
     instance_start (w, (size_t)(instance - w->instances));
   else if (kind < 0.95)
-    w->away_until = w->now + (LbTime)(draw (w) * 3 * LB_SEC);
+    w->outage_until = w->now + (LbTime)(random_unit (w) * 3 * LB_SEC);
   else
     for (size_t i = 0; i < w->n_instances; i++)
       instance_start (w, i);
 }
 
 static void
-check_beliefs (const World *w, unsigned long seed)
+check_snapshots (const World *w, unsigned long seed)
 {
   for (size_t i = 0; i < w->n_instances; i++)
     {
@@ -555,75 +561,78 @@
       size_t n = 0;
       for (size_t k = 0; k < w->n_endpoints; k++)
         n += w->endpoints[k].exists;
-      cr_assert_eq (instance->n_belief, n, "seed %lu: instance %zu knows %zu of %zu", seed, i,
-                    instance->n_belief, n);
+      cr_assert_eq (instance->n_snapshot, n, "seed %lu: instance %zu has %zu of %zu endpoints",
+                    seed, i, instance->n_snapshot, n);
       for (size_t k = 0; k < w->n_endpoints; k++)
         if (w->endpoints[k].exists)
-          cr_assert_eq (believes_leaving (instance, w->endpoints[k].listed.name),
-                        w->endpoints[k].listed.leaving, "seed %lu: instance %zu, endpoint %zu",
-                        seed, i, k);
+          cr_assert_eq (sees_leaving (instance, w->endpoints[k].registration.name),
+                        w->endpoints[k].registration.leaving,
+                        "seed %lu: instance %zu, endpoint %zu", seed, i, k);
     }
 }
 
 static void
-play (size_t n_instances, size_t n_endpoints, LbTime time, unsigned long seed)
+run_scenario (size_t n_instances, size_t n_endpoints, LbTime time, unsigned long seed)
 {
   World *w = LB_NEW (World);
 
   world_init (w, n_instances, n_endpoints, seed);
   for (LbTime end = w->now + time; w->now < end;)
     {
-      run (w, (LbTime)(draw (w) * LB_SEC), seed);
-      if (draw (w) < 0.5)
-        draw_fault (w);
+      run (w, (LbTime)(random_unit (w) * LB_SEC), seed);
+      if (random_unit (w) < 0.5)
+        inject_fault (w);
       change_endpoint (w);
     }
   for (size_t i = 0; i < w->n_instances; i++)
-    w->instances[i].cut_until = w->instances[i].paused_until = 0;
-  w->away_until = 0;
+    w->instances[i].cut_off_until = w->instances[i].paused_until = 0;
+  w->outage_until = 0;
   run (w, 2 * LB_SEC, seed);
-  check_beliefs (w, seed);
+  check_snapshots (w, seed);
   world_clear (w);
   free (w);
 }
 
-/* Instances die, are paused and cut off, the store is away, all lose power, and endpoints come, go
- * and leave meanwhile. Two seconds after the last fault each instance believes what the store says,
- * and in between nobody in touch takes an endpoint that leaves for one that stays. */
-Test (catalog, beliefs_are_those_of_the_store_after_the_last_fault, .timeout = 300)
+/* Instances die, are paused and cut off, the store is unreachable, all instances lose power, and
+ * endpoints come, go and leave meanwhile. Two seconds after the last fault every snapshot matches
+ * the store, and until then no instance in contact with the store takes a leaving endpoint for one
+ * that stays. */
+Test (catalog, snapshots_match_the_store_after_the_last_fault, .timeout = 300)
 {
   const char *seeds = getenv ("CATALOG_SEEDS");
   unsigned long n = seeds ? strtoul (seeds, NULL, 10) : 12;
 
   for (unsigned long seed = 0; seed < n; seed++)
-    play (30, seed % 5 == 0 ? 240 : 20, 20 * LB_SEC, seed);
+    run_scenario (30, seed % 5 == 0 ? 240 : 20, 20 * LB_SEC, seed);
 }
 
-Test (catalog, holds_for_three_hundred_instances, .timeout = 300)
+Test (catalog, snapshots_match_the_store_with_three_hundred_instances, .timeout = 300)
 {
-  play (300, 60, 15 * LB_SEC, 7);
+  run_scenario (300, 60, 15 * LB_SEC, 7);
 }
 
-/* What it is for: 300 instances that each list 60 endpoints read 45,000 rows a second, and a
- * quarter of a thousandth of that when nothing changes. */
-Test (catalog, a_calm_site_reads_what_changes)
+/* Guards the purpose of the catalog: 300 instances that each list 60 endpoints read 45,000 rows a
+ * second, and a quarter of a thousandth of that with the catalog when nothing changes. */
+Test (catalog, an_unchanged_site_reads_few_rows)
 {
   World *w = LB_NEW (World);
 
   world_init (w, 300, 60, 1);
   run (w, 5 * LB_SEC, 1);
-  w->listed_rows = 0;
-  w->feed_rows = 0;
+  w->n_listed_rows = 0;
+  w->n_feed_rows = 0;
   run (w, 10 * LB_SEC, 1);
-  cr_assert_leq (w->listed_rows, 30 * 60, "%lld rows were listed in 10 s",
-                 (long long)w->listed_rows);
-  cr_assert_leq (w->feed_rows, 300 * 30, "%lld rows came as changes", (long long)w->feed_rows);
+  cr_assert_leq (w->n_listed_rows, 30 * 60, "%lld rows listed in 10 s, at most 1800 expected",
+                 (long long)w->n_listed_rows);
+  cr_assert_leq (w->n_feed_rows, 300 * 30,
+                 "%lld rows read from the change feed in 10 s, at most 9000 expected",
+                 (long long)w->n_feed_rows);
   world_clear (w);
   free (w);
 }
 
-/* The publisher loses power. The next one publishes before anybody has to list for himself: 300
- * instances that do so together are what the store and they are spared. */
+/* The publisher loses power. The next one publishes before any other instance has to list the rows
+ * itself: 300 instances listing at the same time would overload the store. */
 Test (catalog, a_dead_publisher_is_replaced_before_others_list)
 {
   World *w = LB_NEW (World);
@@ -634,94 +643,95 @@
   cr_assert (lc_catalog_is_publisher (w->instances[0].catalog));
   w->instances[0].paused_until = w->now + 10 * LB_SEC;
   for (size_t i = 4; i < w->n_instances; i++)
-    before += w->instances[i].lists;
+    before += w->instances[i].n_listings;
   run (w, 3 * LB_SEC, 3);
   for (size_t i = 4; i < w->n_instances; i++)
-    before -= w->instances[i].lists;
-  cr_assert_eq (before, 0, "%lld lists", (long long)-before);
+    before -= w->instances[i].n_listings;
+  cr_assert_eq (before, 0, "followers listed the rows %lld times", (long long)-before);
   world_clear (w);
   free (w);
 }
 
-#define PUBLISHED(ms, whole)                                                                       \
+#define PUBLISHER_ROW(ms, whole)                                                                   \
   "{\"publisher\":\"p\",\"incarnation\":\"1\",\"epoch\":1,\"listed_ms\":" ms ",\"whole\":" whole "}"
-#define ENTRY(name)                                                                                \
+#define REGISTRATION(name)                                                                         \
   "{\"name\":\"" name                                                                              \
   "\",\"address\":\"10.0.0.1:80\",\"service\":\"s\",\"slots\":1,\"leaving\":false}"
 
-/* A publisher's write was held up on its way for two seconds. What it tells is as old, though it
- * comes now: it is not used. */
-Test (catalog, a_belief_that_comes_late_is_not_gone_by)
+/* A publisher's write is delayed by two seconds. The snapshot is that old when it arrives, so it is
+ * not used. */
+Test (catalog, a_delayed_snapshot_is_not_used)
 {
   LcCatalog *catalog = lc_catalog_new ("a", "1", 0, LB_SEC);
 
   lc_catalog_begin_snapshot (catalog);
-  lc_catalog_apply_row (catalog, "e:s-1", ENTRY ("s-1"), 2);
-  lc_catalog_apply_row (catalog, "publisher", PUBLISHED ("5000", "true"), 3);
+  lc_catalog_apply_row (catalog, "e:s-1", REGISTRATION ("s-1"), 2);
+  lc_catalog_apply_row (catalog, "publisher", PUBLISHER_ROW ("5000", "true"), 3);
   cr_assert_not (lc_catalog_finish_update (catalog, 7000, LB_SEC));
   cr_assert_not (lc_catalog_is_fresh (catalog, LB_SEC));
-  lc_catalog_apply_row (catalog, "publisher", PUBLISHED ("7000", "true"), 4);
+  lc_catalog_apply_row (catalog, "publisher", PUBLISHER_ROW ("7000", "true"), 4);
   cr_assert (lc_catalog_finish_update (catalog, 7100, 2 * LB_SEC));
   cr_assert (lc_catalog_is_fresh (catalog, 2 * LB_SEC));
   lc_catalog_free (catalog);
 }
 
-/* More has changed than goes into one write: what has come so far is no list. */
-Test (catalog, half_a_list_is_no_belief)
+/* More has changed than fits into one write: the part received so far is not used as a snapshot. */
+Test (catalog, an_incomplete_listing_is_not_used)
 {
   LcCatalog *catalog = lc_catalog_new ("a", "1", 0, LB_SEC);
-  static Belief belief;
+  static Snapshot snapshot;
 
   lc_catalog_begin_snapshot (catalog);
-  lc_catalog_apply_row (catalog, "e:s-1", ENTRY ("s-1"), 2);
-  lc_catalog_apply_row (catalog, "publisher", PUBLISHED ("5000", "false"), 2);
+  lc_catalog_apply_row (catalog, "e:s-1", REGISTRATION ("s-1"), 2);
+  lc_catalog_apply_row (catalog, "publisher", PUBLISHER_ROW ("5000", "false"), 2);
   cr_assert_not (lc_catalog_finish_update (catalog, 5010, LB_SEC));
   cr_assert_not (lc_catalog_is_fresh (catalog, LB_SEC));
-  lc_catalog_apply_row (catalog, "e:s-2", ENTRY ("s-2"), 3);
-  lc_catalog_apply_row (catalog, "publisher", PUBLISHED ("5000", "true"), 3);
+  lc_catalog_apply_row (catalog, "e:s-2", REGISTRATION ("s-2"), 3);
+  lc_catalog_apply_row (catalog, "publisher", PUBLISHER_ROW ("5000", "true"), 3);
   cr_assert (lc_catalog_finish_update (catalog, 5020, LB_SEC));
-  cr_assert_eq (read_belief (catalog, &belief), 2);
+  cr_assert_eq (read_snapshot (catalog, &snapshot), 2);
   cr_assert_eq (lc_catalog_valid_at (catalog), LB_SEC - 20 * LB_MSEC);
   lc_catalog_free (catalog);
 }
 
-/* The store dropped its history while this instance was cut off, and with it the change that told
- * that an endpoint is gone. The rows are read anew: what is not among them is gone. */
-Test (catalog, rows_that_are_read_anew_replace_the_old_ones)
+/* The store dropped its history while this instance was cut off, and with it the deletion of an
+ * endpoint's row. The rows are then read anew, and a row that is not among them is deleted. */
+Test (catalog, rows_read_anew_replace_the_old_ones)
 {
   LcCatalog *catalog = lc_catalog_new ("a", "1", 0, LB_SEC);
-  static Belief belief;
+  static Snapshot snapshot;
 
   lc_catalog_begin_snapshot (catalog);
-  lc_catalog_apply_row (catalog, "e:s-1", ENTRY ("s-1"), 2);
-  lc_catalog_apply_row (catalog, "e:s-2", ENTRY ("s-2"), 2);
-  lc_catalog_apply_row (catalog, "publisher", PUBLISHED ("5000", "true"), 3);
+  lc_catalog_apply_row (catalog, "e:s-1", REGISTRATION ("s-1"), 2);
+  lc_catalog_apply_row (catalog, "e:s-2", REGISTRATION ("s-2"), 2);
+  lc_catalog_apply_row (catalog, "publisher", PUBLISHER_ROW ("5000", "true"), 3);
   cr_assert (lc_catalog_finish_update (catalog, 5000, LB_SEC));
   lc_catalog_begin_snapshot (catalog);
-  lc_catalog_apply_row (catalog, "e:s-2", ENTRY ("s-2"), 2);
-  lc_catalog_apply_row (catalog, "publisher", PUBLISHED ("6000", "true"), 9);
+  lc_catalog_apply_row (catalog, "e:s-2", REGISTRATION ("s-2"), 2);
+  lc_catalog_apply_row (catalog, "publisher", PUBLISHER_ROW ("6000", "true"), 9);
   cr_assert (lc_catalog_finish_update (catalog, 6000, 2 * LB_SEC));
-  cr_assert_eq (read_belief (catalog, &belief), 1);
-  cr_assert_str_eq (belief.list[0].name, "s-2");
+  cr_assert_eq (read_snapshot (catalog, &snapshot), 1);
+  cr_assert_str_eq (snapshot.list[0].name, "s-2");
   lc_catalog_free (catalog);
 }
 
 /* Nobody publishes any more, and this instance may not: it lists the endpoints itself in time to
- * hear of one that leaves. */
-Test (catalog, silence_ends_what_is_believed)
+ * notice one that leaves. */
+Test (catalog, a_snapshot_expires_without_a_publisher)
 {
   LcCatalog *catalog = lc_catalog_new ("a", "1", 299999, LB_SEC);
 
   lc_catalog_begin_snapshot (catalog);
-  lc_catalog_apply_row (catalog, "publisher", PUBLISHED ("5000", "true"), 3);
+  lc_catalog_apply_row (catalog, "publisher", PUBLISHER_ROW ("5000", "true"), 3);
   cr_assert (lc_catalog_finish_update (catalog, 5000, LB_SEC));
   cr_assert_not (lc_catalog_needs_listing (catalog, LB_SEC + 850 * LB_MSEC));
   cr_assert (lc_catalog_needs_listing (catalog, LB_SEC + 1250 * LB_MSEC));
   lc_catalog_free (catalog);
 }
 
-/* 200 endpoints are listed for the first time: each write holds what the store takes at once. */
-Test (catalog, a_long_list_goes_in_several_writes)
+/* 200 endpoints are listed for the first time: no write exceeds what the store takes in one
+ * transaction. */
+Test (catalog, a_long_listing_is_split_into_several_writes)
 {
   enum
   {
@@ -742,7 +752,7 @@
       list[i].slots = 1;
     }
   lc_catalog_set_rank (catalog, 0);
-  give_list (catalog, list, N, 5000);
+  set_listing (catalog, list, N, 5000);
   while (lc_catalog_prepare_write (catalog, now, &write))
     {
       cr_assert_leq (write.n_puts, 99);
@@ -751,8 +761,8 @@
       writes++;
       for (size_t i = 0; i < write.n_puts; i++)
         lc_catalog_apply_row (catalog, write.puts[i].key, write.puts[i].value, version);
-      bool is_belief = lc_catalog_finish_update (catalog, 5000, now);
-      cr_assert_eq (is_belief, writes == 3);
+      bool has_snapshot = lc_catalog_finish_update (catalog, 5000, now);
+      cr_assert_eq (has_snapshot, writes == 3);
       lc_catalog_write_clear (&write);
     }
   cr_assert_eq (writes, 3);
@@ -761,17 +771,17 @@
   lc_catalog_free (catalog);
 }
 
-Test (catalog, an_entry_says_the_same_after_a_round_trip)
+Test (catalog, a_registration_is_unchanged_after_a_round_trip)
 {
-  LcRegistration listed = { .slots = 6, .n_models = 2, .leaving = true };
+  LcRegistration registration = { .slots = 6, .n_models = 2, .leaving = true };
   LcRegistration read;
 
-  LB_COPY (listed.name, "s-1");
-  LB_COPY (listed.address, "10.0.0.1:80");
-  LB_COPY (listed.service, "reader");
-  LB_COPY (listed.models[0].name, "m0");
-  LB_COPY (listed.models[1].name, "m1");
-  char *text = lc_registration_to_json (&listed);
+  LB_COPY (registration.name, "s-1");
+  LB_COPY (registration.address, "10.0.0.1:80");
+  LB_COPY (registration.service, "reader");
+  LB_COPY (registration.models[0].name, "m0");
+  LB_COPY (registration.models[1].name, "m1");
+  char *text = lc_registration_to_json (&registration);
   cr_assert (lc_registration_from_json (text, &read));
   char *again = lc_registration_to_json (&read);
   cr_assert_str_eq (again, text);
@@ -779,19 +789,20 @@
   free (text);
 }
 
-Test (catalog, nonsense_is_no_entry)
+Test (catalog, invalid_registrations_are_rejected)
 {
   static const char *const texts[]
       = { "", "{}", "[]", "{\"name\":\"a\",\"address\":\"b\",\"service\":\"c\",\"slots\":0}",
           "{\"name\":\"a\",\"address\":\"b\",\"service\":\"c\",\"slots\":1,\"models\":[1]}" };
-  LcRegistration listed;
+  LcRegistration registration;
 
   for (size_t i = 0; i < sizeof texts / sizeof texts[0]; i++)
-    cr_assert_not (lc_registration_from_json (texts[i], &listed), "%s", texts[i]);
+    cr_assert_not (lc_registration_from_json (texts[i], &registration), "%s", texts[i]);
 }
 
-/* Guards against followers that list for themselves between two lists of a slow publisher. */
-Test (catalog, the_publisher_s_period_stretches_all_times)
+/* Guards against followers that list the rows themselves between two listings of a slow
+ * publisher. */
+Test (catalog, timeouts_scale_with_the_publishers_period)
 {
   LcCatalog *catalog = lc_catalog_new ("a", "1", 0, LB_SEC);
 
@@ -799,7 +810,8 @@
                         "{\"publisher\":\"b\",\"incarnation\":\"1\",\"epoch\":1,"
                         "\"listed_ms\":1000,\"period_ms\":1000,\"whole\":true}",
                         5);
-  cr_assert (lc_catalog_finish_update (catalog, 1000 + 2000, LB_SEC), "not too old");
+  cr_assert (lc_catalog_finish_update (catalog, 1000 + 2000, LB_SEC),
+             "a snapshot of two periods' age is not too old");
   cr_assert_eq (lc_catalog_publish_period (catalog), LB_SEC);
   cr_assert (lc_catalog_is_fresh (catalog, LB_SEC + 2 * LB_SEC));
   cr_assert_not (lc_catalog_is_fresh (catalog, LB_SEC + 2300 * LB_MSEC));
--- a/packages/core/tests/test-duty.c
+++ b/packages/core/tests/test-duty.c
@@ -6,32 +6,32 @@
 
 static const LcDutyCandidate instances[] = { { "a", 1 }, { "b", 1 }, { "c", 1 }, { "d", 1 } };
 
-/* All instances miss the owner of a batch at the same moment; each waits for its turn, and exactly
- * one of them is the first. */
-Test (duty, candidates_have_one_order)
+/* All instances notice the loss of a batch's owner at the same time. Each takes over in its turn,
+ * so exactly one of them must be the first. */
+Test (duty, every_candidate_has_a_distinct_rank)
 {
-  bool seen[4] = { false };
+  bool is_rank_taken[4] = { false };
 
   for (size_t i = 0; i < 4; i++)
-    seen[lc_duty_rank ("reader", instances[i].name, instances, 4)] = true;
+    is_rank_taken[lc_duty_rank ("reader", instances[i].name, instances, 4)] = true;
   for (size_t i = 0; i < 4; i++)
-    cr_assert (seen[i]);
+    cr_assert (is_rank_taken[i]);
 }
 
-Test (duty, the_order_of_the_list_does_not_count)
+Test (duty, the_result_is_independent_of_the_list_order)
 {
-  const LcDutyCandidate others[] = { { "d", 1 }, { "b", 1 }, { "a", 1 }, { "c", 1 } };
+  const LcDutyCandidate reordered[] = { { "d", 1 }, { "b", 1 }, { "a", 1 }, { "c", 1 } };
   const char *chosen = lc_duty_choose_holder ("reader", "", instances, 4);
 
-  cr_assert_str_eq (lc_duty_choose_holder ("reader", "", others, 4), chosen);
-  cr_assert_eq (lc_duty_rank ("reader", chosen, others, 4), 0);
+  cr_assert_str_eq (lc_duty_choose_holder ("reader", "", reordered, 4), chosen);
+  cr_assert_eq (lc_duty_rank ("reader", chosen, reordered, 4), 0);
   cr_assert_str_eq (lc_duty_choose_holder ("reader", "", instances, 0), "");
 }
 
-/* The instance that ran a model's batches is away for a moment, another one takes them. When it is
- * back they went back to it, and it opened a connection for each place of each engine anew. They
- * stay where they are as long as that instance is a candidate. */
-Test (duty, stays_where_it_was)
+/* A duty must not move back to an instance that returns after a brief absence: the batches of a
+ * model would open a new connection for each slot of each engine. The holder keeps the duty while
+ * it is a candidate. */
+Test (duty, the_current_holder_keeps_the_duty)
 {
   for (size_t i = 0; i < 4; i++)
     cr_assert_str_eq (lc_duty_choose_holder ("reader", instances[i].name, instances, 4),
@@ -40,10 +40,9 @@
                     lc_duty_choose_holder ("reader", "", instances, 4));
 }
 
-/* The step of a model is handed to one of 235 weak machines though 60 strong ones stand beside
- * them, and takes a quarter of a second longer to begin, at each step and after each loss of power.
- */
-Test (duty, strong_machines_have_nearly_all_duties)
+/* Guards against steps that are handed to one of 235 weak machines next to 60 strong ones: each
+ * such step began a quarter of a second later, and again after each loss of power. */
+Test (duty, strong_machines_get_nearly_all_duties)
 {
   enum
   {
@@ -51,25 +50,26 @@
     N_WEAK = 235,
     N_DUTIES = 1000
   };
-  static LcDutyCandidate fleet[N_STRONG + N_WEAK];
-  int on_strong = 0;
+  static LcDutyCandidate candidates[N_STRONG + N_WEAK];
+  int n_on_strong = 0;
 
   for (int i = 0; i < N_STRONG + N_WEAK; i++)
     {
-      snprintf (fleet[i].name, sizeof fleet[i].name, "instance-%d", i);
-      fleet[i].strength = i < N_STRONG ? lc_duty_strength (0.5, 600) : lc_duty_strength (0.12, 60);
+      snprintf (candidates[i].name, sizeof candidates[i].name, "instance-%d", i);
+      candidates[i].strength
+          = i < N_STRONG ? lc_duty_strength (0.5, 600) : lc_duty_strength (0.12, 60);
     }
   for (int i = 0; i < N_DUTIES; i++)
     {
       char duty[16];
       snprintf (duty, sizeof duty, "model-%d", i);
-      const char *chosen = lc_duty_choose_holder (duty, "", fleet, N_STRONG + N_WEAK);
-      on_strong += atoi (chosen + strlen ("instance-")) < N_STRONG;
+      const char *chosen = lc_duty_choose_holder (duty, "", candidates, N_STRONG + N_WEAK);
+      n_on_strong += atoi (chosen + strlen ("instance-")) < N_STRONG;
     }
-  cr_assert_geq (on_strong, N_DUTIES * 99 / 100);
+  cr_assert_geq (n_on_strong, N_DUTIES * 99 / 100);
 }
 
-/* One machine that bears a little more than many others does not get all duties. */
+/* One machine that is a little stronger than many others does not get all duties. */
 Test (duty, a_single_strong_machine_gets_its_share)
 {
   enum
@@ -77,31 +77,33 @@
     N_WEAK = 99,
     N_DUTIES = 1000
   };
-  static LcDutyCandidate fleet[1 + N_WEAK];
-  int on_strong = 0;
+  static LcDutyCandidate candidates[1 + N_WEAK];
+  int n_on_strong = 0;
 
   for (int i = 0; i < 1 + N_WEAK; i++)
     {
-      snprintf (fleet[i].name, sizeof fleet[i].name, "instance-%d", i);
-      fleet[i].strength = i == 0 ? 6000 : 1000;
+      snprintf (candidates[i].name, sizeof candidates[i].name, "instance-%d", i);
+      candidates[i].strength = i == 0 ? 6000 : 1000;
     }
   for (int i = 0; i < N_DUTIES; i++)
     {
       char duty[16];
       snprintf (duty, sizeof duty, "model-%d", i);
-      on_strong += strcmp (lc_duty_choose_holder (duty, "", fleet, 1 + N_WEAK), "instance-0") == 0;
+      n_on_strong
+          += strcmp (lc_duty_choose_holder (duty, "", candidates, 1 + N_WEAK), "instance-0") == 0;
     }
-  cr_assert_geq (on_strong, N_DUTIES * 22 / 100);
-  cr_assert_leq (on_strong, N_DUTIES * 36 / 100);
+  cr_assert_geq (n_on_strong, N_DUTIES * 22 / 100);
+  cr_assert_leq (n_on_strong, N_DUTIES * 36 / 100);
 }
 
-/* A machine that says nothing of itself, by an older program or a wrong setting, is a candidate all
- * the same: it may be the only one. */
-Test (duty, a_machine_without_strength_can_have_a_duty)
+/* A machine that reports no strength, because of an older version or a wrong setting, is still a
+ * candidate: it may be the only one. */
+Test (duty, a_machine_without_strength_can_hold_a_duty)
 {
-  const LcDutyCandidate unknown[] = { { "a", 0 }, { "b", -1 } };
+  const LcDutyCandidate without_strength[] = { { "a", 0 }, { "b", -1 } };
 
-  cr_assert_neq (lc_duty_choose_holder ("reader", "", unknown, 2)[0], '\0');
-  cr_assert_eq (lc_duty_rank ("reader", "a", unknown, 2) + lc_duty_rank ("reader", "b", unknown, 2),
+  cr_assert_neq (lc_duty_choose_holder ("reader", "", without_strength, 2)[0], '\0');
+  cr_assert_eq (lc_duty_rank ("reader", "a", without_strength, 2)
+                    + lc_duty_rank ("reader", "b", without_strength, 2),
                 1);
 }
--- a/packages/core/tests/test-fleet.c
+++ b/packages/core/tests/test-fleet.c
@@ -9,7 +9,7 @@
 #define PERIOD (500 * LB_MSEC)
 
 static LcFleetRow
-row (const char *name, const char *incarnation)
+make_row (const char *name, const char *incarnation)
 {
   LcFleetRow row = { .ready = true, .period = PERIOD };
 
@@ -19,16 +19,16 @@
   return row;
 }
 
-static LbTime took;
+static LbTime round_trip;
 
 static bool
-list (LcFleet *fleet, int64_t version_a, int64_t version_b, LbTime now)
+read_list (LcFleet *fleet, int64_t version_a, int64_t version_b, LbTime now)
 {
-  LcFleetRow a = row ("a", "1");
-  LcFleetRow b = row ("b", "1");
+  LcFleetRow a = make_row ("a", "1");
+  LcFleetRow b = make_row ("b", "1");
 
-  lc_fleet_begin_list (fleet,
-                       &(LcFleetList){ .received_at = now, .round_trip = took, .period = PERIOD });
+  lc_fleet_begin_list (fleet, &(LcFleetList){
+                                  .received_at = now, .round_trip = round_trip, .period = PERIOD });
   lc_fleet_add_row (fleet, &a, version_a, now);
   lc_fleet_add_row (fleet, &b, version_b, now);
   return lc_fleet_finish_list (fleet, now);
@@ -43,88 +43,89 @@
   return false;
 }
 
-/* A machine loses power. Its row stands still; after three renewals that did not come it is dead,
- * and what it ran is taken over. With four, steps whose longest text takes most of their time were
- * late after each such loss. */
-Test (fleet, an_instance_whose_row_stands_still_is_dead)
+/* A machine loses power and its row stops changing: after three missed renewals the instance is
+ * dead and its work is taken over. With four, steps whose longest text takes most of their time
+ * finished late after each such loss. */
+Test (fleet, an_instance_is_dead_after_three_missed_renewals)
 {
   LcFleet *fleet = lc_fleet_new ("a");
   LbTime now = LB_SEC;
   int64_t version = 10;
 
-  list (fleet, version, 5, now);
+  read_list (fleet, version, 5, now);
   cr_assert (is_alive (fleet, "b"));
-  for (LbTime past = 0; past < 3 * PERIOD; past += PERIOD)
+  for (LbTime silence = 0; silence < 3 * PERIOD; silence += PERIOD)
     {
       now += PERIOD;
-      list (fleet, ++version, 5, now);
+      read_list (fleet, ++version, 5, now);
       cr_assert (is_alive (fleet, "b"));
     }
   now += PERIOD;
-  cr_assert (list (fleet, ++version, 5, now));
+  cr_assert (read_list (fleet, ++version, 5, now));
   cr_assert_not (is_alive (fleet, "b"));
   cr_assert (is_alive (fleet, "a"));
   lc_fleet_free (fleet);
 }
 
-/* The store answers sixty times slower. Rows show late, all of them: nobody is dead. */
-Test (fleet, a_slow_store_kills_nobody)
+/* The store answers sixty times slower, so that all rows show up late: no instance may be declared
+ * dead. */
+Test (fleet, a_slow_store_makes_no_instance_dead)
 {
   LcFleet *fleet = lc_fleet_new ("a");
   LbTime now = LB_SEC;
 
-  took = 250 * LB_MSEC;
-  list (fleet, 1, 5, now);
+  round_trip = 250 * LB_MSEC;
+  read_list (fleet, 1, 5, now);
   for (int i = 0; i < 4; i++)
     {
       now += PERIOD;
-      list (fleet, 2 + i, 5, now);
+      read_list (fleet, 2 + i, 5, now);
       cr_assert (is_alive (fleet, "b"));
     }
   now += PERIOD;
-  list (fleet, 8, 5, now);
-  cr_assert_not (is_alive (fleet, "b"), "but it may be dead all the same");
-  took = 0;
+  read_list (fleet, 8, 5, now);
+  cr_assert_not (is_alive (fleet, "b"), "a slow store must not hide a dead instance");
+  round_trip = 0;
   lc_fleet_free (fleet);
 }
 
-/* The store is away for six seconds and nobody can renew. When it answers again all instances would
- * look dead to one another, and every batch would change its owner. */
-Test (fleet, time_without_the_store_does_not_count)
+/* The store is unreachable for six seconds and nobody can renew. When it answers again, all
+ * instances must not look dead to each other: every batch would change its owner. */
+Test (fleet, a_store_outage_does_not_count_as_silence)
 {
   LcFleet *fleet = lc_fleet_new ("a");
   LbTime now = LB_SEC;
 
-  list (fleet, 1, 2, now);
+  read_list (fleet, 1, 2, now);
   now += 6 * LB_SEC;
-  list (fleet, 1, 2, now);
+  read_list (fleet, 1, 2, now);
   cr_assert (is_alive (fleet, "b"));
   lc_fleet_free (fleet);
 }
 
-/* The store is silent for four seconds. One instance is the first to hear of its return and lists
- * the others 50 ms later; their renewals were swallowed, and the next ones come most of a second
- * after that. It took the owner of a step for dead, and the step began anew elsewhere. */
-Test (fleet, others_have_time_to_renew_when_the_store_is_back)
+/* The store is silent for four seconds. One instance notices its return first and lists the others
+ * 50 ms later; their renewals were lost, and the next ones follow most of a second after that. It
+ * declared the owner of a step dead, and the step started again elsewhere. */
+Test (fleet, instances_have_time_to_renew_after_a_store_outage)
 {
   LcFleet *fleet = lc_fleet_new ("a");
   LbTime now = LB_SEC;
 
-  list (fleet, 1, 2, now);
+  read_list (fleet, 1, 2, now);
   now += 4 * LB_SEC;
   for (int i = 0; i < 5; i++, now += PERIOD)
     {
-      list (fleet, 1, 2, now);
-      cr_assert (is_alive (fleet, "b"), "%d periods after the return", i);
+      read_list (fleet, 1, 2, now);
+      cr_assert (is_alive (fleet, "b"), "dead %d periods after the outage", i);
     }
   now += PERIOD;
-  list (fleet, 1, 2, now);
-  cr_assert_not (is_alive (fleet, "b"), "it does not come back");
+  read_list (fleet, 1, 2, now);
+  cr_assert_not (is_alive (fleet, "b"), "an instance that does not renew again is dead");
   lc_fleet_free (fleet);
 }
 
 static const LcFleetMember *
-find (const LcFleetMember *members, size_t n, const char *name)
+find_member (const LcFleetMember *members, size_t n, const char *name)
 {
   for (size_t i = 0; i < n; i++)
     if (strcmp (members[i].row.name, name) == 0)
@@ -132,10 +133,10 @@
   return NULL;
 }
 
-/* A site of 295 instances renews and lists all of them each few seconds. The owner of a step loses
- * power: by these lists it was missed after 2.5 s, with all texts of its step. Its second row is
- * listed each 0.3 s and shows it sooner. */
-Test (fleet, an_owner_is_missed_by_its_row_on_duty)
+/* A site of 295 instances renews and lists all rows every few seconds. When the owner of a step
+ * lost power, these listings showed it only after 2.5 s, and all texts of its step were late. Its
+ * row on duty is listed every 0.3 s and shows it sooner. */
+Test (fleet, a_row_on_duty_shows_a_dead_owner_sooner)
 {
   enum
   {
@@ -144,78 +145,78 @@
   };
   LcFleet *all = lc_fleet_new ("a");
   LcFleet *on_duty = lc_fleet_new ("a");
-  LcFleetRow idle = row ("b", "1");
-  LcFleetRow busy = row ("b", "1");
+  LcFleetRow general_row = make_row ("b", "1");
+  LcFleetRow duty_row = make_row ("b", "1");
   LcFleetMember members[4];
   LbTime now = LB_SEC;
-  LbTime missed_at = 0;
+  LbTime detected_at = 0;
 
-  idle.period = ALL_MS * LB_MSEC;
-  busy.period = DUTY_MS * LB_MSEC;
-  for (int ms = 0; ms <= 5000 && missed_at == 0; ms += DUTY_MS, now += DUTY_MS * LB_MSEC)
+  general_row.period = ALL_MS * LB_MSEC;
+  duty_row.period = DUTY_MS * LB_MSEC;
+  for (int ms = 0; ms <= 5000 && detected_at == 0; ms += DUTY_MS, now += DUTY_MS * LB_MSEC)
     {
       if (ms % ALL_MS < DUTY_MS)
         {
           lc_fleet_begin_list (all,
                                &(LcFleetList){ .received_at = now, .period = ALL_MS * LB_MSEC });
-          lc_fleet_add_row (all, &idle, 5, now);
+          lc_fleet_add_row (all, &general_row, 5, now);
           lc_fleet_finish_list (all, now);
         }
       lc_fleet_begin_list (on_duty,
                            &(LcFleetList){ .received_at = now, .period = DUTY_MS * LB_MSEC });
-      lc_fleet_add_row (on_duty, &busy, 4, now);
+      lc_fleet_add_row (on_duty, &duty_row, 4, now);
       lc_fleet_finish_list (on_duty, now);
       size_t n = lc_fleet_merge (all, on_duty, members);
-      if (!find (members, n, "b")->alive)
-        missed_at = now;
+      if (!find_member (members, n, "b")->alive)
+        detected_at = now;
     }
-  cr_assert_gt (missed_at, 0);
-  cr_assert_leq (missed_at - LB_SEC, 1200 * LB_MSEC);
+  cr_assert_gt (detected_at, 0);
+  cr_assert_leq (detected_at - LB_SEC, 1200 * LB_MSEC);
   lc_fleet_free (all);
   lc_fleet_free (on_duty);
 }
 
-/* An owner was killed and has started again, without a duty. Its second row is that of the start
- * before, and stands still for good: the younger one tells that it lives. */
-Test (fleet, a_row_on_duty_of_an_earlier_start_does_not_count)
+/* An owner was killed and has started again without a duty. Its row on duty is from the previous
+ * incarnation and does not change any more: the newer row decides that it is alive. */
+Test (fleet, a_row_on_duty_of_an_earlier_incarnation_is_ignored)
 {
   LcFleet *all = lc_fleet_new ("a");
   LcFleet *on_duty = lc_fleet_new ("a");
-  LcFleetRow new_start = row ("b", "2");
-  LcFleetRow old_start = row ("b", "1");
-  LcFleetRow newcomer = row ("c", "1");
+  LcFleetRow current_row = make_row ("b", "2");
+  LcFleetRow old_duty_row = make_row ("b", "1");
+  LcFleetRow newcomer = make_row ("c", "1");
   LcFleetMember members[4];
 
   for (LbTime now = LB_SEC; now < 6 * LB_SEC; now += PERIOD)
     {
       lc_fleet_begin_list (all, &(LcFleetList){ .received_at = now, .period = PERIOD });
-      lc_fleet_add_row (all, &new_start, 10 + now, now);
+      lc_fleet_add_row (all, &current_row, 10 + now, now);
       lc_fleet_finish_list (all, now);
       lc_fleet_begin_list (on_duty, &(LcFleetList){ .received_at = now, .period = PERIOD });
-      lc_fleet_add_row (on_duty, &old_start, 4, now);
+      lc_fleet_add_row (on_duty, &old_duty_row, 4, now);
       lc_fleet_add_row (on_duty, &newcomer, 11 + now, now);
       lc_fleet_finish_list (on_duty, now);
     }
   size_t n = lc_fleet_merge (all, on_duty, members);
   cr_assert_eq (n, 2);
-  cr_assert (find (members, n, "b")->alive);
-  cr_assert_str_eq (find (members, n, "b")->row.incarnation, "2");
-  cr_assert (find (members, n, "c")->alive, "it has no other row yet");
+  cr_assert (find_member (members, n, "b")->alive);
+  cr_assert_str_eq (find_member (members, n, "b")->row.incarnation, "2");
+  cr_assert (find_member (members, n, "c")->alive, "a row on duty alone is enough");
   lc_fleet_free (all);
   lc_fleet_free (on_duty);
 }
 
-/* Callers are told the addresses of instances; one that died is told until it is missed, and those
- * who connect to it wait. One missed renewal is enough to be told last. */
+/* A dead instance's address is still given to callers until it is declared dead, and those who
+ * connect to it wait. After one missed renewal its address is given last. */
 Test (fleet, an_instance_that_missed_a_renewal_is_not_fresh)
 {
   LcFleet *fleet = lc_fleet_new ("a");
   LbTime now = LB_SEC;
 
-  list (fleet, 1, 5, now);
+  read_list (fleet, 1, 5, now);
   cr_assert (lc_fleet_at (fleet, 1)->fresh);
   now += 2 * PERIOD;
-  list (fleet, 2, 5, now);
+  read_list (fleet, 2, 5, now);
   cr_assert (lc_fleet_at (fleet, 1)->alive);
   cr_assert_not (lc_fleet_at (fleet, 1)->fresh);
   lc_fleet_free (fleet);
@@ -230,12 +231,12 @@
   return false;
 }
 
-/* The first list of an instance that has just started; the store's clock stands at 100,000 ms. */
+/* The first listing of an instance that has just started; the store's clock is at 100,000 ms. */
 static LcFleet *
-list_first (int64_t renewed_ms_of_b)
+read_first_list (int64_t renewed_ms_of_b)
 {
   LcFleet *fleet = lc_fleet_new ("a");
-  LcFleetRow b = row ("b", "1");
+  LcFleetRow b = make_row ("b", "1");
 
   b.renewed_ms = renewed_ms_of_b;
   lc_fleet_begin_list (fleet, &(LcFleetList){
@@ -245,46 +246,45 @@
   return fleet;
 }
 
-/* All processes are killed and start again. One machine was taken away 47 s before, and its row
- * still stands in the store. A started instance sees the row for the first time and named that
- * machine to callers, which went to where nobody listens. */
+/* All processes are killed and start again. One machine was removed 47 s before, but its row is
+ * still in the store. A started instance sees the row for the first time and gave that address to
+ * callers, where nothing listens. */
 Test (fleet, an_old_row_seen_for_the_first_time_is_not_confirmed)
 {
-  LcFleet *fleet = list_first (100000 - 47000);
+  LcFleet *fleet = read_first_list (100000 - 47000);
 
   cr_assert_not (is_confirmed (fleet, "b"));
-  cr_assert (is_alive (fleet, "b"),
-             "its batches are not taken from it on the strength of one list");
+  cr_assert (is_alive (fleet, "b"), "its batches must not be taken over after a single listing");
   lc_fleet_free (fleet);
 }
 
 /* All processes are killed and start again within a second. Callers need their addresses at once,
- * before each has renewed its row again. */
-Test (fleet, a_young_row_seen_for_the_first_time_is_confirmed)
+ * before each has renewed its row. */
+Test (fleet, a_recent_row_seen_for_the_first_time_is_confirmed)
 {
-  LcFleet *fleet = list_first (100000 - 900);
+  LcFleet *fleet = read_first_list (100000 - 900);
 
   cr_assert (is_confirmed (fleet, "b"));
   lc_fleet_free (fleet);
 }
 
-/* The row of an instance that had not heard from the store yet does not say when it was written. */
-Test (fleet, a_renewal_that_is_seen_confirms)
+/* The row of an instance that has not heard from the store yet does not say when it was written. */
+Test (fleet, the_next_renewal_confirms_an_instance)
 {
-  LcFleet *fleet = list_first (0);
-  LcFleetRow b = row ("b", "1");
+  LcFleet *fleet = read_first_list (0);
+  LcFleetRow b = make_row ("b", "1");
 
   cr_assert_not (is_confirmed (fleet, "b"));
   lc_fleet_begin_list (fleet, &(LcFleetList){ .received_at = 2 * LB_SEC, .period = PERIOD });
   lc_fleet_add_row (fleet, &b, 6, 2 * LB_SEC);
-  cr_assert (lc_fleet_finish_list (fleet, 2 * LB_SEC), "others are told");
+  cr_assert (lc_fleet_finish_list (fleet, 2 * LB_SEC), "the confirmation counts as a change");
   cr_assert (is_confirmed (fleet, "b"));
   lc_fleet_free (fleet);
 }
 
-Test (fleet, a_row_says_the_same_after_a_round_trip)
+Test (fleet, a_row_is_unchanged_after_a_round_trip)
 {
-  LcFleetRow first = row ("a", "17");
+  LcFleetRow first = make_row ("a", "17");
   LcFleetRow second;
 
   first.draining = true;
--- a/packages/core/tests/test-membership.c
+++ b/packages/core/tests/test-membership.c
@@ -8,7 +8,7 @@
 #define COUNT 40
 
 static FakePeers *
-cluster_new (size_t count)
+start_cluster (size_t count)
 {
   LcMembershipSettings settings = lc_membership_settings_default ();
   FakePeers *peers = fake_peers_new (count, &settings, 7);
@@ -33,19 +33,20 @@
 
   for (size_t i = 0; i < count; i++)
     {
-      LcMembershipTotals one = lc_membership_totals (fake_peers_membership (peers, i));
-      sum.connection_timeouts += one.connection_timeouts;
-      sum.suspected += one.suspected;
-      sum.declared_dead += one.declared_dead;
+      LcMembershipTotals totals = lc_membership_totals (fake_peers_membership (peers, i));
+      sum.connection_timeouts += totals.connection_timeouts;
+      sum.suspected += totals.suspected;
+      sum.declared_dead += totals.declared_dead;
     }
   return sum;
 }
 
-/* Callers that hold the address of a dead instance wait for their timeouts. The instance is killed
- * (its connections end) or its machine vanishes (nothing ends); within 3 s no other may name it. */
-Test (membership, a_dead_instance_is_named_by_nobody_within_three_seconds)
+/* Callers that were given the address of a dead instance wait for their timeouts. The instance is
+ * killed (its connections end) or its machine vanishes (nothing ends); within 3 s no other instance
+ * may give its address to callers. */
+Test (membership, a_dead_instance_is_not_given_to_callers_after_three_seconds)
 {
-  FakePeers *peers = cluster_new (COUNT);
+  FakePeers *peers = start_cluster (COUNT);
 
   fake_peers_set_state (peers, 5, FAKE_KILLED);
   fake_peers_set_state (peers, 9, FAKE_VANISHED);
@@ -58,13 +59,12 @@
   fake_peers_free (peers);
 }
 
-/* Something between two instances forgets their connections: what is written to them vanishes, but
- * new connections work. Callers of a healthy instance would be sent elsewhere, and its tickets
- * called lost. The silence must be found within 3 s, the connections replaced, and nobody
- * suspected. */
-Test (membership, a_silent_connection_is_replaced_and_nobody_condemned)
+/* A middlebox drops the state of connections: what is written to them is lost, but new connections
+ * work. Callers of a healthy instance would be sent elsewhere and its tickets reported as lost. The
+ * silence must be detected within 3 s, the connections replaced, and no instance suspected. */
+Test (membership, a_silent_connection_is_replaced_without_suspicion)
 {
-  FakePeers *peers = cluster_new (COUNT);
+  FakePeers *peers = start_cluster (COUNT);
 
   for (size_t i = 1; i < COUNT; i++)
     fake_peers_silence (peers, 0, i);
@@ -81,12 +81,12 @@
   fake_peers_free (peers);
 }
 
-/* An instance speaks with all others now and then, as when it asks them for their revision. Were
- * each of these connections watched like the few that are meant for it, heartbeats of all pairs
- * would come back by the back door and use up what a node has for control at 350 instances. */
+/* An instance occasionally talks to all others, for example to ask for their revision. If
+ * heartbeats were sent on each of these connections as on those to watched members, all pairs would
+ * exchange them and use up a node's budget for control traffic at 350 instances. */
 Test (membership, connections_for_single_frames_carry_no_heartbeats)
 {
-  FakePeers *peers = cluster_new (COUNT);
+  FakePeers *peers = start_cluster (COUNT);
   LcMembership *first = fake_peers_membership (peers, 0);
   LbList actions;
 
@@ -110,12 +110,11 @@
   fake_peers_free (peers);
 }
 
-/* Such a connection is forgotten by something between the ends while nothing is said on it. The
- * next frame goes nowhere. That must be found within 3 s of the frame, and a new connection be
- * there. */
-Test (membership, a_frame_on_a_silent_connection_finds_it)
+/* A middlebox drops the state of a connection that is idle. The next frame on it is lost. That must
+ * be detected within 3 s of the frame, and a new connection be open. */
+Test (membership, an_unanswered_frame_reveals_a_silent_connection)
 {
-  FakePeers *peers = cluster_new (COUNT);
+  FakePeers *peers = start_cluster (COUNT);
   LcMembership *first = fake_peers_membership (peers, 0);
   LbList actions;
 
@@ -132,7 +131,8 @@
       LcLinkId silent = lc_membership_find_link (first, name);
       lc_membership_frame_sent (first, silent, fake_peers_now (peers));
       run_for (peers, 5 * LB_SEC);
-      cr_assert_eq (lc_membership_find_link (first, name), silent, "it was well and was dropped");
+      cr_assert_eq (lc_membership_find_link (first, name), silent,
+                    "a healthy connection was closed");
       fake_peers_silence (peers, 0, i);
       lc_membership_frame_sent (first, silent, fake_peers_now (peers));
       run_for (peers, 3 * LB_SEC);
@@ -145,13 +145,13 @@
   fake_peers_free (peers);
 }
 
-/* An instance dies, and the one that is watched in its place has a connection that was quiet by
- * right for long. Judged by its last word, it would be dropped as silent and a healthy instance not
- * named. */
-Test (membership, a_quiet_connection_is_not_silent_when_it_becomes_watched)
+/* An instance dies, and the member watched in its place has a connection that was rightly idle for
+ * long. Judged by its last frame it would be closed as silent, and a healthy instance would not be
+ * given to callers. */
+Test (membership, an_idle_connection_is_not_silent_when_it_becomes_watched)
 {
   const size_t count = 6;
-  FakePeers *peers = cluster_new (count);
+  FakePeers *peers = start_cluster (count);
   LcMembership *first = fake_peers_membership (peers, 0);
   LbTime until = fake_peers_now (peers) + 100 * LB_SEC;
   LbList actions;
@@ -172,12 +172,12 @@
   fake_peers_free (peers);
 }
 
-/* An operator's debugger stops an instance for ten seconds. The others rightly stop naming it. When
- * it goes on, every peer looks silent to it, since it read nothing for so long: it would condemn
- * all of them and tell everybody so. It must condemn nobody, and be named again within 3 s. */
-Test (membership, a_paused_instance_condemns_nobody_on_its_return)
+/* A debugger stops an instance for ten seconds, and the others rightly declare it dead. When it
+ * resumes, every peer looks silent to it, since it read nothing meanwhile: it would declare all of
+ * them dead. It must not suspect any, and must be given to callers again within 3 s. */
+Test (membership, a_paused_instance_declares_no_one_dead_on_resume)
 {
-  FakePeers *peers = cluster_new (COUNT);
+  FakePeers *peers = start_cluster (COUNT);
 
   fake_peers_set_state (peers, 3, FAKE_PAUSED);
   run_for (peers, 10 * LB_SEC);
@@ -193,13 +193,13 @@
   fake_peers_free (peers);
 }
 
-/* A line between data centres is cut for an hour. Each side condemns the other and goes on with its
- * own. When the line is back, nobody has a connection to the other side or a reason to open one,
- * and the service stays in two halves. Both must find one another again within seconds. */
-Test (membership, regions_apart_for_an_hour_find_one_another_again)
+/* The line between two data centres is cut for an hour. Each side declares the other dead and
+ * continues. When the line is back, nobody has a connection to the other side or a reason to open
+ * one, and the service would stay split. Both sides must rejoin within seconds. */
+Test (membership, regions_rejoin_after_an_hour_apart)
 {
   const size_t count = 13;
-  FakePeers *peers = cluster_new (count);
+  FakePeers *peers = start_cluster (count);
 
   fake_peers_set_state (peers, 0, FAKE_KILLED); /* the only seed: it must not be needed */
   run_for (peers, 10 * LB_SEC);
@@ -215,13 +215,13 @@
   fake_peers_free (peers);
 }
 
-/* Only the path between two instances is cut; all others reach both. The watcher suspects, the
- * suspected hears of it and refutes, and this goes on for ever: a frame to everybody each second,
- * and a healthy instance named by nobody half of the time. */
-Test (membership, a_cut_between_two_does_not_make_others_waver)
+/* Only the path between two instances is cut; all others reach both. The watcher suspects the
+ * member, which hears of it through others and refutes, and so on for ever: a broadcast each
+ * second, and a healthy instance withheld from callers half of the time. */
+Test (membership, a_cut_between_two_instances_does_not_flap_the_view)
 {
-  FakePeers *peers = cluster_new (COUNT);
-  size_t gaps = 0;
+  FakePeers *peers = start_cluster (COUNT);
+  size_t n_disagreements = 0;
 
   for (size_t i = 1; i < COUNT; i++)
     if (lc_membership_find_link (fake_peers_membership (peers, 0),
@@ -234,19 +234,19 @@
   for (int second = 0; second < 120; second++)
     {
       run_for (peers, LB_SEC);
-      gaps += fake_peers_agreeing (peers) < COUNT - 2;
+      n_disagreements += fake_peers_agreeing (peers) < COUNT - 2;
     }
-  cr_assert_leq (gaps, 1);
+  cr_assert_leq (n_disagreements, 1);
   cr_assert_leq (totals_of_all (peers, COUNT).suspected, 16);
   cr_assert_eq (totals_of_all (peers, COUNT).declared_dead, 0);
   fake_peers_free (peers);
 }
 
-/* An instance that shuts down refuses new work, but callers are still sent to it by others that
- * have not heard. They must have heard well before the first callers' answers run out. */
-Test (membership, a_draining_instance_is_named_by_nobody_at_once)
+/* An instance that shuts down refuses new work, but instances that do not know yet still send
+ * callers to it. All must know well before the first callers' answers expire. */
+Test (membership, a_draining_instance_is_not_given_to_callers)
 {
-  FakePeers *peers = cluster_new (COUNT);
+  FakePeers *peers = start_cluster (COUNT);
   LbList actions;
 
   lb_list_init (&actions);
@@ -258,11 +258,11 @@
   fake_peers_free (peers);
 }
 
-/* An instance is replaced under its old name. Late news of the earlier incarnation (that it is
- * dead) reach instances that already know the new one; they must not make it unnamed. */
-Test (membership, news_of_an_earlier_incarnation_change_nothing)
+/* An instance is replaced under its old name. A late update that the earlier incarnation is dead
+ * reaches instances that already know the new one; it must not hide the new one from callers. */
+Test (membership, updates_of_an_earlier_incarnation_are_ignored)
 {
-  FakePeers *peers = cluster_new (COUNT);
+  FakePeers *peers = start_cluster (COUNT);
   LcMemberView before, after;
   LbList actions;
 
@@ -285,13 +285,13 @@
   fake_peers_free (peers);
 }
 
-/* Two live processes get the same name by mistake. Each outbids the other's epoch whenever it hears
- * of it, and all instances pass that on: a storm of frames out of one wrong line of settings. The
- * first answer must come at once (it may be an honest replacement whose clock is behind), the next
- * ones seldom, and the conflict be counted. */
-Test (membership, two_of_one_name_make_no_storm)
+/* Two live processes get the same name by mistake. Each would outbid the other's epoch whenever it
+ * hears of it, and all instances pass that on: one wrong setting would cause a storm of broadcasts.
+ * The first answer must be immediate (it may be a proper replacement whose clock is behind), later
+ * ones rare, and the conflict counted. */
+Test (membership, a_name_conflict_is_answered_at_a_limited_rate)
 {
-  FakePeers *peers = cluster_new (6);
+  FakePeers *peers = start_cluster (6);
   LcMembership *first = fake_peers_membership (peers, 0);
   LbList actions;
 
@@ -313,9 +313,9 @@
   fake_peers_free (peers);
 }
 
-/* Instances whose seeds are all gone start at the same time, each alone. Each serves callers with
- * itself as the only address. The platform's list, late as it is, must bring them together. */
-Test (membership, the_platform_list_brings_lone_instances_together)
+/* Instances whose seeds are all gone start at the same time, each alone and giving callers only its
+ * own address. The platform's list, although it lags, must connect them. */
+Test (membership, the_platform_list_connects_isolated_instances)
 {
   LcMembershipSettings settings = lc_membership_settings_default ();
   FakePeers *peers = fake_peers_new (4, &settings, 3);
@@ -343,11 +343,12 @@
   fake_peers_free (peers);
 }
 
-/* News are lost with a connection, and nothing later repeats them: one instance goes on naming a
- * draining one for ever. The heartbeats' digests differ, and the views must be compared. */
-Test (membership, lost_news_are_found_by_the_digest)
+/* An update is lost with a connection, and nothing later repeats it: one instance would go on
+ * giving callers the address of a draining one. The heartbeats' digests differ, so the views must
+ * be compared. */
+Test (membership, a_lost_update_is_found_by_the_digest)
 {
-  FakePeers *peers = cluster_new (COUNT);
+  FakePeers *peers = start_cluster (COUNT);
   LbList actions;
 
   lb_list_init (&actions);
@@ -362,25 +363,25 @@
   fake_peers_free (peers);
 }
 
-/* A busy or far peer answers late at times. A fixed limit of two periods would give up its
- * connection again and again; the limit must follow the gaps seen, yet never beyond the ceiling
- * that the three seconds allow. */
-Test (detector, the_limit_follows_the_history_between_its_bounds)
+/* A busy or distant peer sometimes answers late. With a fixed timeout of two periods its connection
+ * would be closed again and again; the timeout must follow the gaps seen, but never exceed the
+ * bound that the three seconds allow. */
+Test (detector, the_timeout_follows_the_gaps_between_its_bounds)
 {
-  LcDetector steady, wavering, erratic;
+  LcDetector steady, jittery, irregular;
   LbTime now = 0;
 
   lc_detector_init (&steady, 500 * LB_MSEC, now);
-  lc_detector_init (&wavering, 500 * LB_MSEC, now);
-  lc_detector_init (&erratic, 500 * LB_MSEC, now);
+  lc_detector_init (&jittery, 500 * LB_MSEC, now);
+  lc_detector_init (&irregular, 500 * LB_MSEC, now);
   for (int i = 1; i <= 100; i++)
     {
       lc_detector_record_arrival (&steady, i * 500 * LB_MSEC);
-      lc_detector_record_arrival (&wavering, i * 500 * LB_MSEC + (i % 2) * 250 * LB_MSEC);
-      lc_detector_record_arrival (&erratic, i * 950 * LB_MSEC + (i % 2) * 450 * LB_MSEC);
+      lc_detector_record_arrival (&jittery, i * 500 * LB_MSEC + (i % 2) * 250 * LB_MSEC);
+      lc_detector_record_arrival (&irregular, i * 950 * LB_MSEC + (i % 2) * 450 * LB_MSEC);
     }
   now = 100 * 500 * LB_MSEC;
   cr_assert_eq (lc_detector_deadline (&steady), now + LB_SEC);
-  cr_assert_gt (lc_detector_deadline (&wavering), now + LB_SEC);
-  cr_assert_eq (lc_detector_deadline (&erratic) - 100 * 950 * LB_MSEC, 1500 * LB_MSEC);
+  cr_assert_gt (lc_detector_deadline (&jittery), now + LB_SEC);
+  cr_assert_eq (lc_detector_deadline (&irregular) - 100 * 950 * LB_MSEC, 1500 * LB_MSEC);
 }
