--- a/packages/core/src/membership/lc-catalog.c
+++ b/packages/core/src/membership/lc-catalog.c
@@ -57,11 +57,11 @@
   int rank;
   TableRow *rows;
   /* the publisher's row, as last read */
-  int64_t version; /* 0: there is none */
+  int64_t publisher_version; /* 0: there is none */
   LbName publisher;
   LbName publisher_incarnation;
-  int64_t epoch;               /* incremented by each new publisher */
-  LbTime period;               /* between its listings */
+  int64_t publisher_epoch;     /* incremented by each new publisher */
+  LbTime publisher_period;     /* between its listings */
   LbTime own_period;           /* of this instance while it publishes */
   int64_t listed_ms;           /* store's clock at the listing that the rows come from */
   bool is_complete;            /* every change of that listing has been written */
@@ -88,7 +88,7 @@
   LB_COPY (catalog->incarnation, incarnation);
   catalog->fallback_delay = (LbTime)(draw % (uint64_t)FALLBACK_SPREAD);
   catalog->rank = -1;
-  catalog->period = LC_CATALOG_PERIOD;
+  catalog->publisher_period = LC_CATALOG_PERIOD;
   catalog->own_period = LC_CATALOG_PERIOD;
   catalog->publisher_changed_at = now;
   catalog->all_changes_written = true;
@@ -158,7 +158,7 @@
 {
   remove_all_rows (catalog);
   catalog->change_count++;
-  catalog->version = 0;
+  catalog->publisher_version = 0;
   catalog->is_complete = false;
 }
 
@@ -207,7 +207,7 @@
 static LbTime
 scale_to_period (const LcCatalog *catalog, LbTime time)
 {
-  return time * catalog->period / LC_CATALOG_PERIOD;
+  return time * catalog->publisher_period / LC_CATALOG_PERIOD;
 }
 
 /* An unreadable row counts as a row without a publisher: it does not change any more and is
@@ -217,11 +217,11 @@
 {
   struct json_object *object = value ? json_tokener_parse (value) : NULL;
 
-  catalog->version = value ? version : 0;
+  catalog->publisher_version = value ? version : 0;
   LB_COPY (catalog->publisher, lb_json_text (object, "publisher", ""));
   LB_COPY (catalog->publisher_incarnation, lb_json_text (object, "incarnation", ""));
-  catalog->epoch = lb_json_int (object, "epoch", 0);
-  catalog->period = read_period (object);
+  catalog->publisher_epoch = lb_json_int (object, "epoch", 0);
+  catalog->publisher_period = read_period (object);
   catalog->listed_ms = lb_json_int (object, "listed_ms", 0);
   catalog->is_complete = lb_json_bool (object, "whole", false);
   catalog->publisher_row_changed = true;
@@ -233,7 +233,7 @@
 {
   if (strcmp (key, PUBLISHER_KEY) != 0)
     apply_item (catalog, key, value, version);
-  else if (version > catalog->version)
+  else if (version > catalog->publisher_version)
     apply_publisher_row (catalog, value, version);
 }
 
@@ -322,7 +322,7 @@
 LbTime
 lc_catalog_publish_period (const LcCatalog *catalog)
 {
-  return catalog->period;
+  return catalog->publisher_period;
 }
 
 void
@@ -334,7 +334,7 @@
 bool
 lc_catalog_is_publisher (const LcCatalog *catalog)
 {
-  return catalog->version > 0 && strcmp (catalog->publisher, catalog->instance) == 0
+  return catalog->publisher_version > 0 && strcmp (catalog->publisher, catalog->instance) == 0
          && strcmp (catalog->publisher_incarnation, catalog->incarnation) == 0;
 }
 
@@ -428,7 +428,8 @@
 
   json_object_object_add (object, "publisher", json_object_new_string (catalog->instance));
   json_object_object_add (object, "incarnation", json_object_new_string (catalog->incarnation));
-  json_object_object_add (object, "epoch", json_object_new_int64 (catalog->epoch + is_takeover));
+  json_object_object_add (object, "epoch",
+                          json_object_new_int64 (catalog->publisher_epoch + is_takeover));
   json_object_object_add (object, "listed_ms", json_object_new_int64 (oldest_listing_ms (catalog)));
   json_object_object_add (object, "period_ms",
                           json_object_new_int64 (catalog->own_period / LB_MSEC));
@@ -504,7 +505,7 @@
 static bool
 can_write (const LcCatalog *catalog, LbTime now)
 {
-  bool is_last_write_visible = catalog->version != catalog->last_expected_version;
+  bool is_last_write_visible = catalog->publisher_version != catalog->last_expected_version;
 
   if (catalog->all_changes_written || catalog->rank < 0 || !has_listing_age (catalog))
     return false;
@@ -522,8 +523,8 @@
   add_put (write, (LcCatalogPut){ .key = lb_strdup (PUBLISHER_KEY), .value = NULL });
   bool is_complete = add_all_changes (catalog, write);
   write->puts[0].value = publisher_row_to_text (catalog, is_complete);
-  write->expected_version = catalog->version;
-  catalog->last_expected_version = catalog->version;
+  write->expected_version = catalog->publisher_version;
+  catalog->last_expected_version = catalog->publisher_version;
   catalog->last_write_at = now;
   catalog->all_changes_written = is_complete;
   return true;
--- a/packages/core/src/membership/lc-detector.c
+++ b/packages/core/src/membership/lc-detector.c
@@ -7,7 +7,7 @@
  * seconds allowed. */
 #define MIN_TIMEOUT_PERIODS 2
 #define MAX_TIMEOUT_PERIODS 3
-#define DEVIATIONS 4.0
+#define TIMEOUT_DEVIATIONS 4.0
 #define SMOOTHING_FACTOR 0.125
 
 /* period: time between the heartbeats that the peer is asked for. */
@@ -16,7 +16,7 @@
 {
   detector->last_arrival = now;
   detector->mean_gap_us = (double)period;
-  detector->gap_deviation_us = (double)period / DEVIATIONS;
+  detector->gap_deviation_us = (double)period / TIMEOUT_DEVIATIONS;
   detector->min_timeout = MIN_TIMEOUT_PERIODS * period;
   detector->max_timeout = MAX_TIMEOUT_PERIODS * period;
 }
@@ -50,7 +50,8 @@
 LbTime
 lc_detector_deadline (const LcDetector *detector)
 {
-  LbTime timeout = (LbTime)(detector->mean_gap_us + DEVIATIONS * detector->gap_deviation_us);
+  LbTime timeout
+      = (LbTime)(detector->mean_gap_us + TIMEOUT_DEVIATIONS * detector->gap_deviation_us);
 
   if (timeout < detector->min_timeout)
     timeout = detector->min_timeout;
--- a/packages/core/src/membership/lc-duty.c
+++ b/packages/core/src/membership/lc-duty.c
@@ -30,7 +30,7 @@
  * Weighted by the strength itself, one of ten duties still went to a weak machine where these are
  * many, and a step there began 0.3 s late. */
 static double
-score (const char *duty, const LcDutyCandidate *candidate)
+compute_score (const char *duty, const LcDutyCandidate *candidate)
 {
   int64_t strength = candidate->strength > MIN_STRENGTH ? candidate->strength : MIN_STRENGTH;
 
@@ -41,7 +41,7 @@
 int64_t
 lc_duty_sort_key (const char *duty, const LcDutyCandidate *candidate)
 {
-  double sort_key = (double)LC_DUTY_MAX_SORT_KEY / score (duty, candidate);
+  double sort_key = (double)LC_DUTY_MAX_SORT_KEY / compute_score (duty, candidate);
 
   return sort_key < (double)LC_DUTY_MAX_SORT_KEY ? (int64_t)sort_key : LC_DUTY_MAX_SORT_KEY;
 }
@@ -50,8 +50,8 @@
 static bool
 is_ranked_before (const char *duty, const LcDutyCandidate *a, const LcDutyCandidate *b)
 {
-  double score_a = score (duty, a);
-  double score_b = score (duty, b);
+  double score_a = compute_score (duty, a);
+  double score_b = compute_score (duty, b);
 
   return score_a != score_b ? score_a > score_b : strcmp (a->name, b->name) < 0;
 }
--- a/packages/core/src/membership/lc-lease.c
+++ b/packages/core/src/membership/lc-lease.c
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Covers, at each end of the lease, an order on its way from the check to the engine. */
+/* Allowance on both sides for an order in transit from its check to the engine. */
 #define SAFETY_MARGIN (100 * LB_MSEC)
 #define CLAIM_DELAY_PER_RANK (500 * LB_MSEC)
 #define MAX_PAUSE LB_SEC
@@ -20,7 +20,7 @@
   LcLeaseSettings settings;
   int rank;
   LcLeaseRow row;               /* as last read */
-  int64_t version;              /* of row; 0: absent */
+  int64_t row_version;          /* of row; 0: absent */
   bool has_read;                /* the row was read at least once */
   int64_t ended_holder_version; /* version of the row whose holder is known to have ended */
   LbTime version_seen_at;       /* when this version was first read */
@@ -190,11 +190,11 @@
   lease->last_written.renewal = ++lease->last_renewal;
   lease->write_started_at[lease->last_renewal % N_REMEMBERED_WRITES] = now;
   action->row = lease->last_written;
-  action->expected_version = lease->version;
+  action->expected_version = lease->row_version;
 }
 
 static void
-claim (LcLease *lease, LbTime now, LbList *actions)
+claim_lease (LcLease *lease, LbTime now, LbList *actions)
 {
   LcLeaseRow row = { .fence = lease->row.fence + 1 };
 
@@ -236,7 +236,7 @@
   LcLeaseRow row = lease->row;
 
   if (row.released && !lease->is_releasing)
-    claim (lease, now, actions);
+    claim_lease (lease, now, actions);
   else if (!row.released)
     {
       row.released = lease->is_releasing;
@@ -249,7 +249,8 @@
 {
   if (lease->is_releasing || lease->rank < 0)
     return false;
-  if (lease->version == 0 || lease->row.released || lease->ended_holder_version == lease->version)
+  if (lease->row_version == 0 || lease->row.released
+      || lease->ended_holder_version == lease->row_version)
     return now >= lease->version_seen_at + lease->rank * CLAIM_DELAY_PER_RANK;
   return lease->read_started_at >= expiry_for_others (lease) + lease->rank * CLAIM_DELAY_PER_RANK;
 }
@@ -302,10 +303,10 @@
 static void
 update_row (LcLease *lease, const LcLeaseRow *row, int64_t version, LbTime now)
 {
-  if (lease->has_read && version == lease->version)
+  if (lease->has_read && version == lease->row_version)
     return;
   lease->has_read = true;
-  lease->version = version;
+  lease->row_version = version;
   lease->version_seen_at = now;
   if (row)
     lease->row = *row;
@@ -326,7 +327,7 @@
     update_row (lease, NULL, 0, now);
   else if (error != LB_OK)
     return;
-  else if (version < lease->version)
+  else if (version < lease->row_version)
     {
       /* A lagging replica still shows the row of the previous holder; acting on it would make the
        * holder drop its lease. */
@@ -343,7 +344,7 @@
     }
   lose_lease (lease, now, actions);
   if (can_claim (lease, now))
-    claim (lease, now, actions);
+    claim_lease (lease, now, actions);
 }
 
 /* After a write that lost a race or whose outcome is unknown, the next read decides: the row holds
@@ -374,7 +375,7 @@
 void
 lc_lease_mark_holder_ended (LcLease *lease, int64_t version, LbTime now)
 {
-  if (version == 0 || version != lease->version || lease->ended_holder_version == version)
+  if (version == 0 || version != lease->row_version || lease->ended_holder_version == version)
     return;
   lease->ended_holder_version = version;
   lease->next_read_at = now;
@@ -387,14 +388,14 @@
 lc_lease_holder_has_ended (const LcLease *lease, const LcLeaseHolderView *view)
 {
   if (strcmp (view->incarnation, lease->row.incarnation) != 0)
-    return view->row_version > lease->version;
+    return view->row_version > lease->row_version;
   return !view->alive && view->endpoints_check_fence;
 }
 
 int64_t
 lc_lease_row_version (const LcLease *lease)
 {
-  return lease->version;
+  return lease->row_version;
 }
 
 void
--- a/packages/core/src/membership/lc-membership-connect.c
+++ b/packages/core/src/membership/lc-membership-connect.c
@@ -57,10 +57,10 @@
   return now - member->last_heard_at < 2 * membership->settings.heartbeat_period;
 }
 
-/* A connection can go silent for good while new ones work, and a member that answers would be
- * called dead. So losing a connection only makes this instance stop naming the member to callers,
- * and a new connection is tried at once; only if that fails does the member become suspect to
- * all. */
+/* A connection can go silent for good while new ones work, and a member that answers must not be
+ * declared dead. So losing a connection only makes this instance stop giving the member's address
+ * to callers, and a new connection is tried at once; only if that fails does the member become
+ * suspect to all. */
 static void
 handle_lost_connection (LcMembership *membership, LcMember *member, LbTime now, LbList *actions)
 {
--- a/packages/core/src/membership/lc-membership-self.c
+++ b/packages/core/src/membership/lc-membership-self.c
@@ -18,8 +18,8 @@
 }
 
 /* A load that fluctuates around a step would, with 350 instances, fill the connections with load
- * updates and move callers about. So it is published in steps, with hysteresis, and at most once a
- * minute. */
+ * updates and shift callers between instances. So it is published in steps, with hysteresis, and at
+ * most once a minute. */
 void
 lc_membership_set_load (LcMembership *membership, int64_t load, LbTime now, LbList *actions)
 {
--- a/packages/core/src/membership/lc-membership-updates.c
+++ b/packages/core/src/membership/lc-membership-updates.c
@@ -11,8 +11,8 @@
  * connections at once. One frame holds this many, and the rest wait for the pause. */
 #define MAX_UPDATES_PER_FLUSH 32
 #define FLUSH_PAUSE (100 * LB_MSEC)
-/* For this long after an incarnation was first heard of, its updates include name and addresses for
- * peers that do not know it yet. */
+/* For this long after an incarnation became known, its updates go out in full form, with addresses,
+ * for peers that do not know it yet. */
 #define FULL_FORM_TIME (10 * LB_SEC)
 #define CONFLICT_ANSWER_INTERVAL (5 * LB_SEC)
 #define FIRST_SUSPICION_IGNORE_TIME (5 * LB_SEC)
@@ -66,9 +66,9 @@
 }
 
 /* If only the path between this instance and the member is cut, this instance would suspect it, the
- * member refute through others, and so on for ever, with a broadcast each time and the member not
- * named to callers half of the time. So after a refutation this instance's suspicions of the member
- * are ignored for a time that doubles; the other watchers still count. */
+ * member refute through others, and so on for ever, with a broadcast each time and the member's
+ * address withheld from callers half of the time. So after a refutation this instance's suspicions
+ * of the member are ignored for a time that doubles; those of other watchers still count. */
 static void
 handle_refutation (LcMembership *membership, LcMember *member, LbTime now)
 {
@@ -129,8 +129,9 @@
   membership->view_changed = true;
 }
 
-/* Handles an update about this instance. One that was paused or cut off would be called dead for
- * ever, although it answers: only it can revoke that, by a version above the one declared dead. */
+/* Handles an update about this instance. An instance that was paused or cut off would remain dead
+ * for all others, although it answers: only it can revoke that, by a version above the one declared
+ * dead. */
 static void
 apply_update_of_self (LcMembership *membership, const LcInstance *update, LbTime now)
 {
@@ -153,8 +154,8 @@
 }
 
 /* Two live processes that have one name by mistake would outbid each other's epoch as soon as they
- * hear of it, tens of times a second and with a broadcast each time. The first conflict is answered
- * at once, later ones at a limited rate; the total is exported as a metric. */
+ * learn of it, tens of times a second and with a broadcast each time. The first conflict is
+ * answered at once, later ones at a limited rate; the total is exported as a metric. */
 void
 lc_membership_resolve_name_conflict (LcMembership *membership, LbTime now)
 {
--- a/packages/core/src/membership/lc-membership.c
+++ b/packages/core/src/membership/lc-membership.c
@@ -4,7 +4,7 @@
 
 #include <stdlib.h>
 
-#define DEFAULT_PERIOD (500 * LB_MSEC)
+#define DEFAULT_HEARTBEAT_PERIOD (500 * LB_MSEC)
 #define DEFAULT_RINGS 3
 #define DEFAULT_DIAL_TIMEOUT (600 * LB_MSEC)
 #define DEFAULT_SUSPICION_TIMEOUT (2 * LB_SEC)
@@ -14,7 +14,7 @@
 LcMembershipSettings
 lc_membership_settings_default (void)
 {
-  return (LcMembershipSettings){ .heartbeat_period = DEFAULT_PERIOD,
+  return (LcMembershipSettings){ .heartbeat_period = DEFAULT_HEARTBEAT_PERIOD,
                                  .n_rings = DEFAULT_RINGS,
                                  .dial_timeout = DEFAULT_DIAL_TIMEOUT,
                                  .suspicion_timeout = DEFAULT_SUSPICION_TIMEOUT };
