--- a/packages/core/include/lc-batch.h
+++ b/packages/core/include/lc-batch.h
@@ -5,16 +5,17 @@
 #include "lc-dispatch.h"
 #include "lc-outgoing.h"
 
-/* A batch of samples at the instance that owns it: which item runs, which result comes at which
- * position, what is tried again and what is given up. No I/O: commands append actions. */
+/* State machine of a batch of samples at the instance that owns it: runs and retries the items,
+ * assigns a position to each result and abandons items that fail for good. No I/O: commands append
+ * actions. */
 
 typedef struct
 {
-  LbName group; /* items of one group share their prompt */
+  LbName group; /* the items of a group share their prompt */
   LcOutgoing request;
   int64_t prompt_tokens;
   int64_t max_tokens;
-  int64_t expected_tokens; /* of the whole text, by its trainer's estimate; 0: not known */
+  int64_t expected_tokens; /* trainer's estimate for the whole text; 0: not known */
   uint64_t prefix_hashes[LC_MAX_PREFIX_HASHES];
   size_t n_prefix_hashes;
   bool has_scorer;
@@ -25,10 +26,10 @@
 {
   LbName id;
   LbName model;
-  LbName organisation; /* that it belongs to; empty: to nobody in particular */
+  LbName organisation; /* that the batch belongs to; empty: none */
   int64_t step;
-  LcVersion min_version; /* older weights may not make any of its text */
-  int64_t target_groups; /* whole groups that the trainer waits for */
+  LcVersion min_version; /* oldest weights that may generate any part of a text */
+  int64_t target_groups; /* complete groups that the trainer waits for */
   LcBatchItemSpec *items;
   size_t n_items;
 } LcBatchSpec;
@@ -37,11 +38,11 @@
 
 #define LC_MAX_RESULT_VERSIONS 16
 
-/* What is listed of an item, at a position that never changes. Owned texts. */
+/* Result of an item, which is listed at a position that never changes. Owns its texts. */
 typedef struct
 {
   LbName item;
-  bool completed; /* else it was given up */
+  bool completed; /* false: the item was abandoned */
   char *text;
   char *score;
   LcVersion versions[LC_MAX_RESULT_VERSIONS];
@@ -50,28 +51,28 @@
 
 void lc_batch_result_clear (LcBatchResult *result);
 
-/* Some events of the text so far of an item that is not done. Not owned texts. */
+/* Consecutive events of the incomplete text of an item. Does not own its texts. */
 typedef struct
 {
   const char *item;
-  int64_t restarts;    /* of the item's texts: one more each time that it was begun anew */
-  int64_t first_event; /* events of the text before these */
-  int64_t n_events;    /* in `text`, with a line feed between two */
+  int64_t restarts;    /* number of times that the text had restarted from its first event */
+  int64_t first_event; /* number of events of the text before these */
+  int64_t n_events;    /* in text, separated by line feeds */
   const char *text;
-  const LcVersion *versions; /* of the text up to here */
+  const LcVersion *versions; /* of the text up to the end of this part */
   size_t n_versions;
 } LcBatchTextPart;
 
 typedef enum
 {
-  LC_BATCH_GENERATE, /* submit the item to the dispatch under the id `request` */
-  LC_BATCH_SCORE,    /* the same for the item's scorer */
+  LC_BATCH_GENERATE, /* submit the item to the dispatch as `request` */
+  LC_BATCH_SCORE,    /* submit the item's scorer as `request` */
   LC_BATCH_CANCEL,   /* cancel `request` */
-  /* Stop `request` and report it with lc_batch_finish_generation and LB_ERROR_CLOSED, with the text
-   * of exactly the pieces that were reported: it goes on elsewhere from there. */
+  /* Cancel `request`; answer with lc_batch_finish_generation and LB_ERROR_CLOSED. No piece may
+   * follow: the text is continued at another endpoint after exactly the pieces that were added. */
   LC_BATCH_PREEMPT,
-  LC_BATCH_WRITE_RESULTS, /* write results from `position` on; answer with lc_batch_finish_write */
-  /* Write what the texts have more than at the last KEEP, for the next owner; answer with
+  LC_BATCH_WRITE_RESULTS, /* write `results`; answer with lc_batch_finish_write */
+  /* Save the events that are new since the last checkpoint, for the next owner; answer with
    * lc_batch_finish_checkpoint. */
   LC_BATCH_CHECKPOINT
 } LcBatchActionType;
@@ -81,18 +82,17 @@
   LbLink link;
   LcBatchActionType type;
   LcRequestId request;
-  size_t item_index; /* index into the spec's items */
-  /* RUN */
-  int64_t resume_at; /* events that the text so far holds */
-  const char
-      *avoid_endpoint;      /* endpoint that was too slow; "": none; valid until the next command */
-  int64_t remaining_events; /* still to come */
-  LbTime due_at;            /* by the trainer */
-  LbTime latest_start;      /* so that it is whole when the trainer wants it */
-  /* KEEP: valid until the next command */
+  size_t item_index; /* index into LcBatchSpec.items */
+  /* LC_BATCH_GENERATE */
+  int64_t resume_at;          /* number of events that the text has */
+  const char *avoid_endpoint; /* that was too slow; "": none; valid until the next command */
+  int64_t remaining_events;   /* estimate */
+  LbTime due_at;              /* when the trainer wants the batch */
+  LbTime latest_start;        /* so that the text is complete at due_at */
+  /* LC_BATCH_CHECKPOINT; valid until the next command */
   LcBatchTextPart *parts;
   size_t n_parts;
-  /* WRITE: valid until lc_batch_finish_write */
+  /* LC_BATCH_WRITE_RESULTS; valid until lc_batch_finish_write */
   int64_t first_position;
   const LcBatchResult *const *results;
   size_t n_results;
@@ -100,7 +100,7 @@
 
 void lc_batch_action_free (LcBatchAction *action);
 
-/* What earlier batches of the same model taught of lengths and pace; outlives the batches. */
+/* Text lengths and stream speed of earlier batches of a model; outlives the batches. */
 typedef struct LcBatchHistory LcBatchHistory;
 
 LcBatchHistory *lc_batch_history_new (void);
@@ -109,39 +109,39 @@
 typedef struct
 {
   LcBatchHistory *history;    /* not owned */
-  LcTextCache *text_cache;    /* not owned; NULL: every text is made anew */
+  LcTextCache *text_cache;    /* not owned; NULL: texts of earlier batches are not reused */
   int64_t tokens_per_event;   /* 0: not known */
-  int64_t max_failures;       /* failures of an item at engines after which it is given up */
-  int64_t max_score_failures; /* the same for its scorer */
-  bool resumable;
-  bool single_version;
-  LbTime due_at;   /* when the trainer wants all of it */
-  LbTime deadline; /* what is not done by then is given up; LB_TIME_NEVER: never */
+  int64_t max_failures;       /* of an item at engines; it is then abandoned */
+  int64_t max_score_failures; /* the same for the scorer */
+  bool resumable;             /* another endpoint can continue a text */
+  bool single_version;        /* one version must generate the whole text */
+  LbTime due_at;              /* when the trainer wants the batch */
+  LbTime deadline;            /* unfinished items are abandoned then; LB_TIME_NEVER: never */
   LcRequestId (*next_request_id) (void *user);
   void *user;
 } LcBatchSettings;
 
 typedef struct LcBatch LcBatch;
 
-/* Takes over the spec's content. */
+/* Takes ownership of the content of the spec. */
 LcBatch *lc_batch_new (LcBatchSpec *spec, const LcBatchSettings *settings);
 void lc_batch_free (LcBatch *batch);
 
 /* commands */
-/* An earlier owner listed the item; before lc_batch_start. */
+/* Marks the item as listed by an earlier owner; before lc_batch_start. */
 void lc_batch_mark_listed (LcBatch *batch, const char *item);
 void lc_batch_start (LcBatch *batch, LbTime now, LbList *actions);
-/* An earlier owner has kept this of the item; before lc_batch_start. The parts of an item come in
- * the order of their run and first event. */
+/* Restores a part from the checkpoint of an earlier owner; before lc_batch_start. The parts of an
+ * item must be ordered by restarts and first_event. */
 void lc_batch_restore_text_part (LcBatch *batch, const LcBatchTextPart *part);
-/* One event of a running item's text. */
+/* Adds one event to the text that the request generates. */
 void lc_batch_add_piece (LcBatch *batch,
                          LcRequestId request,
                          LcVersion version,
                          const char *endpoint,
                          const char *text,
                          LbTime now);
-/* The end of a run. */
+/* Handles the end of a generation request. */
 void lc_batch_finish_generation (
     LcBatch *batch, LcRequestId request, LbErrorCode error, LbTime now, LbList *actions);
 void lc_batch_finish_scoring (LcBatch *batch,
@@ -150,16 +150,14 @@
                               const char *score,
                               LbTime now,
                               LbList *actions);
-/* How the last WRITE ended; a failed one is asked again with the same results at the same
- * positions. */
+/* A failed write is repeated with the same results at the same positions. */
 void lc_batch_finish_write (LcBatch *batch, bool ok, LbTime now, LbList *actions);
 void lc_batch_tick (LcBatch *batch, LbTime now, LbList *actions);
-/* Appends a KEEP with what has come since the last one that was kept; none when there is little. */
+/* Appends LC_BATCH_CHECKPOINT, unless there are only few new events. */
 void lc_batch_checkpoint (LcBatch *batch, LbTime now, LbList *actions);
-/* How the last KEEP ended. */
 void lc_batch_finish_checkpoint (LcBatch *batch, bool ok);
-/* Ends all work; nothing is written any more. Texts of groups that are not whole are left for the
- * batch that asks for them again. */
+/* Cancels all requests; nothing is written any more. Texts of incomplete groups go into the text
+ * cache, for a batch that asks for them again. */
 void lc_batch_stop (LcBatch *batch, LbTime now, LbList *actions);
 
 /* queries */
--- a/packages/core/include/lc-fingerprint.h
+++ b/packages/core/include/lc-fingerprint.h
@@ -3,13 +3,13 @@
 
 #include "lb-types.h"
 
-/* What a request asks for, as one number: equal for requests that ask the same, whatever their ids
- * are, at any instance and after any restart. 0: not known. */
+/* Hash of what a request asks for. Requests that ask for the same have the same fingerprint
+ * whatever their ids are, on any instance and after any restart. 0: not known. */
 typedef uint64_t LcFingerprint;
 
-#define LC_FINGERPRINT_TEXT_SIZE 17 /* of its text, with the NUL */
+#define LC_FINGERPRINT_TEXT_SIZE 17 /* 16 hexadecimal digits and the NUL */
 
-/* host may be NULL; organisation: whose request it is, "" when it is nobody's in particular. */
+/* host may be NULL; organisation is "" if the request belongs to none. */
 LcFingerprint lc_fingerprint_of_request (const char *organisation,
                                          const char *method,
                                          const char *host,
@@ -17,11 +17,11 @@
                                          const char *body,
                                          size_t body_length);
 
-/* 16 hexadecimal digits. */
-void lc_fingerprint_to_text (LcFingerprint content, char text[LC_FINGERPRINT_TEXT_SIZE]);
-bool
-lc_fingerprint_is_among (LcFingerprint content, const LcFingerprint *contents, size_t n_contents);
-/* 0 when the text is none. */
+void lc_fingerprint_to_text (LcFingerprint fingerprint, char text[LC_FINGERPRINT_TEXT_SIZE]);
+bool lc_fingerprint_is_among (LcFingerprint fingerprint,
+                              const LcFingerprint *fingerprints,
+                              size_t n_fingerprints);
+/* 0 if the text is not a fingerprint. */
 LcFingerprint lc_fingerprint_from_text (const char *text);
 
 #endif
--- a/packages/core/include/lc-quarantine.h
+++ b/packages/core/include/lc-quarantine.h
@@ -4,21 +4,21 @@
 #include "lc-fingerprint.h"
 #include "lc-types.h"
 
-/* Requests that are kept from endpoints since endpoints crashed under them. It relies on reports of
- * all instances: which endpoint crashed, and what it was given. No I/O; the verdict depends on the
- * reports alone, not on their order, so all instances come to the same one. */
+/* Quarantine of requests under which endpoints have crashed repeatedly. It is computed from crash
+ * reports of all instances. No I/O; the outcome depends on the set of reports alone, not on their
+ * order, so that all instances refuse the same requests. */
 typedef struct LcQuarantine LcQuarantine;
 
 #define LC_CRASH_REPORT_ID_SIZE 256
 #define LC_MAX_REPORT_FINGERPRINTS 64
 
-/* What one instance saw of an endpoint that crashed. */
+/* Observation of an endpoint's crash by one instance. */
 typedef struct
 {
-  char id[LC_CRASH_REPORT_ID_SIZE]; /* of the report, the same wherever it is heard */
-  LbName endpoint;                  /* with its start, where that is known */
+  char id[LC_CRASH_REPORT_ID_SIZE]; /* the same on all instances */
+  LbName endpoint;                  /* with its incarnation if known */
   LbTime at;
-  LcFingerprint fingerprints[LC_MAX_REPORT_FINGERPRINTS]; /* of the requests that broke with it */
+  LcFingerprint fingerprints[LC_MAX_REPORT_FINGERPRINTS]; /* of the requests that failed with it */
   size_t n_fingerprints;
 } LcCrashReport;
 
@@ -26,27 +26,26 @@
 void lc_quarantine_free (LcQuarantine *quarantine);
 
 /* commands */
-/* A report that is known already changes nothing. */
+/* Has no effect if the report is known already. */
 void lc_quarantine_add_report (LcQuarantine *quarantine, const LcCrashReport *report, LbTime now);
-/* The report was taken back. */
 void lc_quarantine_withdraw_report (LcQuarantine *quarantine, const char *id);
-/* An endpoint has answered the content, here. */
-void lc_quarantine_record_answer (LcQuarantine *quarantine, LcFingerprint content, LbTime now);
-/* The same at another instance, as lc_quarantine_pop_clearance told it there. */
-void lc_quarantine_add_clearance (LcQuarantine *quarantine, LcFingerprint content, LbTime at);
-/* Forgets what is too old to count. */
+/* An endpoint has answered a request of this instance. */
+void lc_quarantine_record_answer (LcQuarantine *quarantine, LcFingerprint fingerprint, LbTime now);
+/* Another instance has announced that an endpoint answered (see lc_quarantine_pop_clearance). */
+void lc_quarantine_add_clearance (LcQuarantine *quarantine, LcFingerprint fingerprint, LbTime at);
+/* Drops reports and clearances that are too old to count. */
 void lc_quarantine_expire (LcQuarantine *quarantine, LbTime now);
-/* A content that was suspected and that an endpoint has answered here: the others have to hear of
- * it. False: there is none. */
-bool
-lc_quarantine_pop_clearance (LcQuarantine *quarantine, LcFingerprint *content, LbTime *answered_at);
+/* Returns a suspected fingerprint that an endpoint has answered here, to be announced to the other
+ * instances; false: there is none. */
+bool lc_quarantine_pop_clearance (LcQuarantine *quarantine,
+                                  LcFingerprint *fingerprint,
+                                  LbTime *answered_at);
 
 /* queries */
-/* Until when the content is kept from endpoints; 0: it is not. */
-LbTime lc_quarantine_ends_at (const LcQuarantine *quarantine, LcFingerprint content);
-/* Contents that are kept from endpoints. */
+/* End of the quarantine; 0: not in quarantine. */
+LbTime lc_quarantine_ends_at (const LcQuarantine *quarantine, LcFingerprint fingerprint);
+/* Number of fingerprints in quarantine. */
 size_t lc_quarantine_count (const LcQuarantine *quarantine);
-/* How long a report counts. */
 LbTime lc_quarantine_report_lifetime (void);
 
 #endif
--- a/packages/core/src/batch/lc-batch-head.c
+++ b/packages/core/src/batch/lc-batch-head.c
@@ -57,9 +57,10 @@
   return head->epoch == 1 && head->preferred_instance[0] ? head->preferred_instance : head->owner;
 }
 
-/* Guards against two instances that run a model's batches in turn: an end writes the row anew, so
- * by versions alone the next batch went to the owner whose batch had just ended, beside the one
- * that runs. Each of the two held a connection for each place of each engine. */
+/* A batch that runs takes precedence over one that has ended, whatever their versions: ending a
+ * batch writes its row again. By versions alone, the next batch went to the instance whose batch
+ * had just ended, so two instances ran the batches of one model in turn, and each held a connection
+ * for every slot of every engine. */
 bool
 lc_batch_head_is_preferred_over (const LcBatchHead *a,
                                  int64_t version_a,
--- a/packages/core/src/batch/lc-batch-item.c
+++ b/packages/core/src/batch/lc-batch-item.c
@@ -5,218 +5,222 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FIRST_DELAY (50 * LB_MSEC) /* before a failed run is tried again; doubles each time */
-#define MAX_DELAY (800 * LB_MSEC)
-/* Of a text whose length nobody estimated. */
-#define DEFAULT_EVENTS 8
-/* Estimates are right at the median and often far off: a text that got longer than its own is taken
- * to go on for this part of it. */
-#define MIN_PART_LEFT 4
-/* Of an addition to what is kept of a text: fewer cost more to write and to read than to make
- * again, a quarter of a second at an engine that makes twelve events a second. */
-#define EVENTS_TO_KEEP 3
-/* A stream that is silent for longer has stopped, for eight times the usual interval at least. */
-#define STOPPED (400 * LB_MSEC)
-
-/* Each event is a line. */
+#define FIRST_RETRY_DELAY (50 * LB_MSEC) /* before the first retry; doubles each time */
+#define MAX_RETRY_DELAY (800 * LB_MSEC)
+/* Of a text without an estimated length. */
+#define DEFAULT_TEXT_EVENTS 8
+/* Estimates are right at the median but often far off: a text always counts as having at least one
+ * such part of its estimated length left. */
+#define MIN_REMAINING_DIVISOR 4
+/* Fewer new events cost more to write and to read than to generate again, which takes a quarter of
+ * a second at an engine with twelve events a second. */
+#define MIN_CHECKPOINT_EVENTS 3
+/* A stream without an event for longer counts as stalled. This is at least eight times the usual
+ * interval between events. */
+#define STALL_THRESHOLD (400 * LB_MSEC)
+
+/* Stores one event a line. */
 void
-lc_batch_item_append (LcBatchItem *item, const char *text)
+lc_batch_item_append_event (LcBatchItem *item, const char *text)
 {
-  size_t length = strlen (text);
-  size_t needed = item->length + length + 2;
+  size_t event_length = strlen (text);
+  size_t needed = item->text_length + event_length + 2;
 
-  if (needed > item->capacity)
+  if (needed > item->text_capacity)
     {
-      item->capacity = 2 * needed;
-      item->result.text = lb_realloc (item->result.text, item->capacity);
+      item->text_capacity = 2 * needed;
+      item->result.text = lb_realloc (item->result.text, item->text_capacity);
     }
-  if (item->events > 0)
-    item->result.text[item->length++] = '\n';
-  memcpy (item->result.text + item->length, text, length + 1);
-  item->length += length;
-  item->events++;
+  if (item->n_events > 0)
+    item->result.text[item->text_length++] = '\n';
+  memcpy (item->result.text + item->text_length, text, event_length + 1);
+  item->text_length += event_length;
+  item->n_events++;
 }
 
 void
-lc_batch_item_begin_with (LcBatchItem *item,
-                          const char *text,
-                          int64_t events,
-                          const LcVersion *versions,
-                          size_t n_versions)
+lc_batch_item_set_text (LcBatchItem *item,
+                        const char *text,
+                        int64_t n_events,
+                        const LcVersion *versions,
+                        size_t n_versions)
 {
   item->result.text = lb_strdup (text);
-  item->length = strlen (text);
-  item->capacity = item->length + 1;
-  item->events = events;
+  item->text_length = strlen (text);
+  item->text_capacity = item->text_length + 1;
+  item->n_events = n_events;
   memcpy (item->result.versions, versions, n_versions * sizeof *versions);
   item->result.n_versions = n_versions;
 }
 
 static bool
-follows (const LcBatchItem *item, const LcBatchTextPart *part)
+is_next_part (const LcBatchItem *item, const LcBatchTextPart *part)
 {
-  return part->restarts == item->run && part->first_event == item->events;
+  return part->restarts == item->restarts && part->first_event == item->n_events;
 }
 
 void
-lc_batch_item_restore (LcBatchItem *item, const LcBatchTextPart *part)
+lc_batch_item_restore_part (LcBatchItem *item, const LcBatchTextPart *part)
 {
-  if (part->restarts > item->newest_run)
-    item->newest_run = part->restarts;
-  if (part->restarts > item->run && part->first_event == 0)
+  if (part->restarts > item->newest_restarts)
+    item->newest_restarts = part->restarts;
+  if (part->restarts > item->restarts && part->first_event == 0)
     {
-      lc_batch_item_restart (item);
-      item->run = part->restarts;
+      lc_batch_item_restart_text (item);
+      item->restarts = part->restarts;
       item->has_gap = false;
     }
-  if (!follows (item, part))
+  if (!is_next_part (item, part))
     {
       item->has_gap = true;
       return;
     }
-  lc_batch_item_append (item, part->text);
-  item->events = part->first_event + part->n_events;
-  item->kept = item->events;
-  item->kept_length = item->length;
+  lc_batch_item_append_event (item, part->text);
+  item->n_events = part->first_event + part->n_events;
+  item->saved_events = item->n_events;
+  item->saved_length = item->text_length;
   memcpy (item->result.versions, part->versions, part->n_versions * sizeof *part->versions);
   item->result.n_versions = part->n_versions;
 }
 
 void
-lc_batch_item_note_version (LcBatchItem *item,
-                            LcVersion version,
-                            LcVersion min_version,
-                            bool single_version)
+lc_batch_item_record_version (LcBatchItem *item,
+                              LcVersion version,
+                              LcVersion min_version,
+                              bool single_version)
 {
   LcBatchResult *result = &item->result;
 
-  /* A text that names no version, or one that is too old, could not be labelled honestly. */
+  /* A text with an event of unknown or too old weights cannot be labelled correctly. */
   if (version <= 0 || version < min_version)
-    item->unusable = true;
+    item->is_unusable = true;
   for (size_t i = 0; i < result->n_versions; i++)
     if (result->versions[i] == version)
       return;
   if (result->n_versions == LC_MAX_RESULT_VERSIONS || (single_version && result->n_versions > 0))
     {
-      item->unusable = true;
+      item->is_unusable = true;
       return;
     }
   result->versions[result->n_versions++] = version;
 }
 
 void
-lc_batch_item_restart (LcBatchItem *item)
+lc_batch_item_restart_text (LcBatchItem *item)
 {
   free (item->result.text);
   item->result.text = NULL;
   item->result.n_versions = 0;
-  item->length = 0;
-  item->capacity = 0;
-  item->run++;
-  item->kept = 0;
-  item->kept_length = 0;
-  item->keeping = 0;
-  item->events = 0;
-  item->unusable = false;
+  item->text_length = 0;
+  item->text_capacity = 0;
+  item->restarts++;
+  item->saved_events = 0;
+  item->saved_length = 0;
+  item->saving_events = 0;
+  item->n_events = 0;
+  item->is_unusable = false;
 }
 
-/* Guards against parts of two texts in one: a write whose answer was lost may have shortened what
- * another one kept, and behind the gap stand events of a text that nobody goes on with. What
- * follows a gap is not taken, and the text goes on under a new number, beside which all older parts
- * count no more. */
+/* Guards against joining parts of two texts. A checkpoint write whose answer was lost may be
+ * carried out late and shorten a row that a later write had extended; the rows behind that gap
+ * belong to a text that is not continued. They are ignored, and the text continues under a new
+ * restart number, which invalidates all older parts. */
 void
-lc_batch_item_end_restore (LcBatchItem *item)
+lc_batch_item_finish_restore (LcBatchItem *item)
 {
   if (!item->has_gap)
     return;
   item->has_gap = false;
-  item->run = item->newest_run + 1;
-  item->kept = 0;
-  item->kept_length = 0;
+  item->restarts = item->newest_restarts + 1;
+  item->saved_events = 0;
+  item->saved_length = 0;
 }
 
-/* What is left of the estimated length, and a part of it at least; of a text that an earlier batch
- * saw, its own length goes before the estimate. */
+/* The estimated length less the events so far, but at least a fraction of the estimate. The length
+ * that an earlier batch saw takes precedence over the estimate. */
 int64_t
-lc_batch_item_expected_events (const LcBatchItem *item,
-                               const LcBatchItemSpec *spec,
-                               int64_t per_event)
+lc_batch_item_expect_remaining_events (const LcBatchItem *item,
+                                       const LcBatchItemSpec *spec,
+                                       int64_t tokens_per_event)
 {
   int64_t tokens = spec->expected_tokens > 0 ? spec->expected_tokens : spec->max_tokens;
-  int64_t events = tokens > 0 ? (tokens + per_event - 1) / per_event : DEFAULT_EVENTS;
-  int64_t left = 0;
-
-  if (item->least_is_all || item->least > events)
-    events = item->least;
-  left = events - item->events;
-  return left > events / MIN_PART_LEFT ? left : events / MIN_PART_LEFT + 1;
+  int64_t events
+      = tokens > 0 ? (tokens + tokens_per_event - 1) / tokens_per_event : DEFAULT_TEXT_EVENTS;
+  int64_t remaining = 0;
+
+  if (item->known_is_complete || item->known_events > events)
+    events = item->known_events;
+  remaining = events - item->n_events;
+  return remaining > events / MIN_REMAINING_DIVISOR ? remaining
+                                                    : events / MIN_REMAINING_DIVISOR + 1;
 }
 
-/* A silence counts as it goes on, so that a stream which stopped is not waited for. */
+/* The current silence counts as an interval, so that the pace of a stalled stream falls before its
+ * next event. */
 double
-lc_batch_item_token_seconds (const LcBatchItem *item, LbTime now)
+lc_batch_item_seconds_per_token (const LcBatchItem *item, LbTime now)
 {
   LcStreamPace pace = item->pace;
 
-  if (now - item->last_piece > STOPPED)
-    lc_stream_pace_add (&pace, 0, now - item->last_piece);
+  if (now - item->last_piece_at > STALL_THRESHOLD)
+    lc_stream_pace_add (&pace, 0, now - item->last_piece_at);
   return lc_stream_pace_token_seconds (&pace);
 }
 
 bool
-lc_batch_item_is_worth_keeping (const LcBatchItem *item)
+lc_batch_item_has_enough_to_checkpoint (const LcBatchItem *item)
 {
-  return item->state == ITEM_RUNNING && !item->unusable
-         && item->events - item->kept >= EVENTS_TO_KEEP;
+  return item->state == ITEM_GENERATING && !item->is_unusable
+         && item->n_events - item->saved_events >= MIN_CHECKPOINT_EVENTS;
 }
 
-/* The line feed before the first of the new events is not part of them. */
+/* Skips the line feed before the first new event. */
 static size_t
-keep_from (const LcBatchItem *item)
+unsaved_offset (const LcBatchItem *item)
 {
-  return item->kept > 0 ? item->kept_length + 1 : 0;
+  return item->saved_events > 0 ? item->saved_length + 1 : 0;
 }
 
 size_t
-lc_batch_item_keep_bytes (const LcBatchItem *item)
+lc_batch_item_count_unsaved_bytes (const LcBatchItem *item)
 {
-  return item->length - keep_from (item);
+  return item->text_length - unsaved_offset (item);
 }
 
 LcBatchTextPart
-lc_batch_item_keep (LcBatchItem *item)
+lc_batch_item_begin_checkpoint (LcBatchItem *item)
 {
-  item->keeping = item->events;
-  item->keeping_length = item->length;
+  item->saving_events = item->n_events;
+  item->saving_length = item->text_length;
   return (LcBatchTextPart){ .item = item->result.item,
-                            .restarts = item->run,
-                            .first_event = item->kept,
-                            .n_events = item->events - item->kept,
-                            .text = item->result.text + keep_from (item),
+                            .restarts = item->restarts,
+                            .first_event = item->saved_events,
+                            .n_events = item->n_events - item->saved_events,
+                            .text = item->result.text + unsaved_offset (item),
                             .versions = item->result.versions,
                             .n_versions = item->result.n_versions };
 }
 
 void
-lc_batch_item_kept (LcBatchItem *item, bool ok)
+lc_batch_item_finish_checkpoint (LcBatchItem *item, bool ok)
 {
-  if (ok && item->keeping > 0)
+  if (ok && item->saving_events > 0)
     {
-      item->kept = item->keeping;
-      item->kept_length = item->keeping_length;
+      item->saved_events = item->saving_events;
+      item->saved_length = item->saving_length;
     }
-  item->keeping = 0;
+  item->saving_events = 0;
 }
 
 void
-lc_batch_item_try_later (LcBatchItem *item, LcBatchItemState state, LbTime now)
+lc_batch_item_schedule_retry (LcBatchItem *item, LcBatchItemState state, LbTime now)
 {
-  LbTime delay = FIRST_DELAY;
+  LbTime delay = FIRST_RETRY_DELAY;
 
-  for (int i = 0; i < item->retries && delay < MAX_DELAY; i++)
+  for (int i = 0; i < item->retries && delay < MAX_RETRY_DELAY; i++)
     delay *= 2;
   item->retries++;
   item->state = state;
   item->request = 0;
-  item->retry_at = now + (delay < MAX_DELAY ? delay : MAX_DELAY);
+  item->retry_at = now + (delay < MAX_RETRY_DELAY ? delay : MAX_RETRY_DELAY);
 }
--- a/packages/core/src/batch/lc-batch-item.h
+++ b/packages/core/src/batch/lc-batch-item.h
@@ -4,12 +4,12 @@
 #include "lc-batch.h"
 #include "lc-stream-pace.h"
 
-/* One item of a batch: how far it is, and its text so far. Private to LcBatch. */
+/* State and text of one item of a batch. Private to LcBatch. */
 
 typedef enum
 {
   ITEM_WAITING,
-  ITEM_RUNNING,
+  ITEM_GENERATING,
   ITEM_GENERATED, /* waits to be scored */
   ITEM_SCORING,
   ITEM_READY, /* its result waits to be written */
@@ -20,74 +20,72 @@
 {
   LbLink ready; /* in LcBatch.ready */
   LcBatchItemState state;
-  LcRequestId request;
+  LcRequestId request; /* current generation or scoring; 0: none */
   LbTime retry_at;
-  int64_t failures; /* answers that said that the endpoint failed */
+  int64_t failures; /* generation requests that ended with LB_ERROR_ENDPOINT_FAILED */
   int64_t score_failures;
-  int retries; /* since the last progress */
-  int64_t events;
-  size_t length; /* of the text so far */
-  size_t capacity;
-  int64_t run;        /* of its texts: one more each time that it is begun anew */
-  int64_t newest_run; /* among the parts that were restored */
-  bool has_gap;       /* some of these do not join */
-  int64_t kept;       /* events of it that the store holds */
-  size_t kept_length; /* of the text up to there */
-  int64_t keeping;    /* events with the KEEP on its way; 0: none */
-  size_t keeping_length;
-  int64_t least;      /* events that the whole text has, as an earlier batch saw; 0: not known */
-  bool least_is_all;  /* it was whole then */
-  LbTime started;     /* of the present run */
-  LbTime first_piece; /* of the present run; 0: none yet */
-  LbTime last_piece;  /* of the present run */
+  int retries;      /* since the last progress */
+  int64_t n_events; /* of the text so far */
+  size_t text_length;
+  size_t text_capacity;
+  int64_t restarts;        /* one more each time that the text restarts from its first event */
+  int64_t newest_restarts; /* largest among the restored parts */
+  bool has_gap;            /* the restored parts are not contiguous */
+  int64_t saved_events;    /* first events of the text, which the store holds */
+  size_t saved_length;     /* of the text up to there */
+  int64_t saving_events;   /* saved_events once the pending checkpoint succeeds; 0: none pending */
+  size_t saving_length;
+  int64_t known_events;   /* that the text had in an earlier batch; 0: not known */
+  bool known_is_complete; /* the text was complete then */
+  LbTime started_at;      /* of the current request */
+  LbTime first_piece_at;  /* of the current request; 0: none yet */
+  LbTime last_piece_at;   /* of the current request */
   LbTime listed_at;
-  LcStreamPace pace;  /* of the present run */
-  int64_t run_events; /* of the present run */
-  LbName endpoint;    /* of the last piece */
-  LbName avoid;       /* endpoint that it was moved away from */
-  int moves;
-  bool recalled;
-  bool unusable; /* its text mixes what may not be mixed: made again from the start */
+  LcStreamPace pace;      /* of the current request */
+  int64_t request_events; /* that the current request has produced */
+  LbName last_endpoint;   /* that sent the last piece */
+  LbName avoid_endpoint;  /* that the item was moved away from last */
+  int n_moves;
+  bool is_preempted;
+  bool is_unusable; /* a version is unknown or too old, or there are too many: the text restarts */
   LcBatchResult result;
 } LcBatchItem;
 
 /* commands */
-/* One event of the text. */
-void lc_batch_item_append (LcBatchItem *item, const char *text);
-/* Begins with a text that an earlier batch made, for an item that has none. */
-void lc_batch_item_begin_with (LcBatchItem *item,
-                               const char *text,
-                               int64_t events,
-                               const LcVersion *versions,
-                               size_t n_versions);
-/* Notes which weights made an event; the text can't be used when they may not have. */
-void lc_batch_item_note_version (LcBatchItem *item,
-                                 LcVersion version,
-                                 LcVersion min_version,
-                                 bool single_version);
-/* Takes the next part of what an earlier owner of the batch kept. */
-void lc_batch_item_restore (LcBatchItem *item, const LcBatchTextPart *part);
-/* There are no more parts. */
-void lc_batch_item_end_restore (LcBatchItem *item);
-/* The text is made again from its first event. */
-void lc_batch_item_restart (LcBatchItem *item);
-/* Takes what the text has more than is kept, as a part to keep. */
-LcBatchTextPart lc_batch_item_keep (LcBatchItem *item);
-/* How keeping it ended. */
-void lc_batch_item_kept (LcBatchItem *item, bool ok);
-/* After a failure: it waits in this state, longer after each one in a row. */
-void lc_batch_item_try_later (LcBatchItem *item, LcBatchItemState state, LbTime now);
+void lc_batch_item_append_event (LcBatchItem *item, const char *text);
+/* Gives an item that has no text yet the one that an earlier batch generated. */
+void lc_batch_item_set_text (LcBatchItem *item,
+                             const char *text,
+                             int64_t n_events,
+                             const LcVersion *versions,
+                             size_t n_versions);
+/* Adds the version of an event to the label; marks the text unusable if that version must not be
+ * part of it. */
+void lc_batch_item_record_version (LcBatchItem *item,
+                                   LcVersion version,
+                                   LcVersion min_version,
+                                   bool single_version);
+/* Appends the next part of an earlier owner's checkpoint. A part that does not continue the text
+ * leaves a gap. */
+void lc_batch_item_restore_part (LcBatchItem *item, const LcBatchTextPart *part);
+/* Must follow the last part. */
+void lc_batch_item_finish_restore (LcBatchItem *item);
+/* Discards the text. */
+void lc_batch_item_restart_text (LcBatchItem *item);
+/* Returns the events that the checkpoint in the store lacks. */
+LcBatchTextPart lc_batch_item_begin_checkpoint (LcBatchItem *item);
+void lc_batch_item_finish_checkpoint (LcBatchItem *item, bool ok);
+/* Waits in this state for a delay that doubles with each failure in a row. */
+void lc_batch_item_schedule_retry (LcBatchItem *item, LcBatchItemState state, LbTime now);
 
 /* queries */
-/* Events that are still to come. */
-int64_t lc_batch_item_expected_events (const LcBatchItem *item,
-                                       const LcBatchItemSpec *spec,
-                                       int64_t per_event);
-/* Of late; 0: not known yet. */
-double lc_batch_item_token_seconds (const LcBatchItem *item, LbTime now);
-/* Enough has come since the text was kept last. */
-bool lc_batch_item_is_worth_keeping (const LcBatchItem *item);
-/* Bytes that the next part to keep has. */
-size_t lc_batch_item_keep_bytes (const LcBatchItem *item);
+/* Estimate of the events still to come. */
+int64_t lc_batch_item_expect_remaining_events (const LcBatchItem *item,
+                                               const LcBatchItemSpec *spec,
+                                               int64_t tokens_per_event);
+/* Recent pace of the stream; 0: not known yet. */
+double lc_batch_item_seconds_per_token (const LcBatchItem *item, LbTime now);
+bool lc_batch_item_has_enough_to_checkpoint (const LcBatchItem *item);
+size_t lc_batch_item_count_unsaved_bytes (const LcBatchItem *item);
 
 #endif
--- a/packages/core/src/batch/lc-batch-private.h
+++ b/packages/core/src/batch/lc-batch-private.h
@@ -4,15 +4,16 @@
 #include "lc-batch-item.h"
 #include "lc-straggler.h"
 
-/* Shared by the files of LcBatch: lc-batch.c runs the items, lc-batch-write.c lists their results,
- * lc-batch-review.c looks for texts that come too slowly or can't be used. */
+/* Shared by the files of LcBatch: lc-batch.c runs the items, lc-batch-write.c writes their results,
+ * lc-batch-review.c moves items whose streams are slow and restarts those whose text is unusable.
+ * */
 
-/* The store takes at most 100 entries in a transaction. */
+/* A transaction of the store takes at most 100 entries. */
 #define LC_BATCH_MAX_RESULTS_PER_WRITE 40
-/* Of text; the store takes 1 MB, encoded. */
-#define LC_BATCH_MAX_BYTES_PER_WRITE (400 << 10)
-/* The pace of a stream with fewer intervals between events is mostly noise. */
-#define LC_BATCH_INTERVALS_TO_LEARN 4
+/* Of text; a transaction of the store takes 1 MB, encoded. */
+#define LC_BATCH_MAX_WRITE_BYTES (400 << 10)
+/* With fewer intervals between events the measured pace of a stream is mostly noise. */
+#define LC_BATCH_MIN_PACE_INTERVALS 4
 
 struct LcBatchHistory
 {
@@ -25,17 +26,17 @@
   LcBatchSpec spec;
   LcBatchSettings settings;
   LcBatchItem *items;
-  LbList ready;
+  LbList ready; /* LcBatchItem.ready; results to write */
   int64_t n_listed;
-  size_t listed_bytes; /* of their texts that are still held */
-  const LcBatchResult **writing;
-  size_t n_writing; /* first ones of ready */
+  size_t retained_bytes; /* of the texts of listed items that are still in memory */
+  const LcBatchResult **results_in_write;
+  size_t n_results_in_write; /* first entries of ready */
   bool is_writing;
-  LbTime next_review;
-  LbTime last_tick;
-  LbTime next_keep;
-  bool is_keeping;
-  LbTime write_at; /* a failed write is asked again */
+  LbTime next_review_at;
+  LbTime last_tick_at;
+  LbTime next_checkpoint_at;
+  bool is_checkpointing;
+  LbTime retry_write_at; /* retry of a failed write */
   bool is_started;
   bool is_stopped;
 };
@@ -43,20 +44,20 @@
 /* lc-batch.c */
 LcBatchAction *lc_batch_add_action (LbList *actions, LcBatchActionType type);
 size_t lc_batch_index_of (const LcBatch *batch, const LcBatchItem *item);
-/* Of so many events. */
-int64_t lc_batch_tokens_of (const LcBatch *batch, int64_t events);
-/* Cancels the item's run or its score, if there is one. */
-void lc_batch_stop_request (LcBatchItem *item, LbList *actions);
+/* Tokens in so many events, by the route's number of tokens per event. */
+int64_t lc_batch_events_to_tokens (const LcBatch *batch, int64_t events);
+/* Cancels the item's generation or scoring request, if there is one. */
+void lc_batch_cancel_request (LcBatchItem *item, LbList *actions);
 
 /* lc-batch-write.c */
-/* The item is done; its result is listed with the next write. */
-void lc_batch_make_ready (LcBatch *batch, LcBatchItem *item, bool completed, LbList *actions);
-/* Asks for a write of what is ready, if none is on its way. */
-void lc_batch_write_ready (LcBatch *batch, LbList *actions);
+/* Queues the result of a finished item for the next write. */
+void lc_batch_queue_result (LcBatch *batch, LcBatchItem *item, bool completed, LbList *actions);
+/* Starts a write of the queued results, unless one is in progress. */
+void lc_batch_start_write (LcBatch *batch, LbList *actions);
 
 /* lc-batch-review.c */
-void lc_batch_review (LcBatch *batch, LbTime now, LbList *actions);
-/* Called each time that the batch is looked at, before anything else. */
-void lc_batch_note_own_pause (LcBatch *batch, LbTime now);
+void lc_batch_review_items (LcBatch *batch, LbTime now, LbList *actions);
+/* Called at the beginning of each tick. */
+void lc_batch_detect_own_pause (LcBatch *batch, LbTime now);
 
 #endif
--- a/packages/core/src/batch/lc-batch-review.c
+++ b/packages/core/src/batch/lc-batch-review.c
@@ -4,91 +4,91 @@
 #include "lb-log.h"
 #include "lb-switch.h"
 
-/* Between looks for texts that come too slowly. */
 #define REVIEW_PERIOD (100 * LB_MSEC)
-/* An item that was moved so often stays where it is. */
+/* An item is not moved more often than this. */
 #define MAX_MOVES 3
-/* Looks for slow texts come this late only when this instance itself stood still. */
-#define OWN_PAUSE (300 * LB_MSEC)
-/* Only the time counts by which the trainer waits longer. */
+/* A review that is this late means that this instance itself was paused. */
+#define MIN_OWN_PAUSE (300 * LB_MSEC)
+/* Weight of the trainer's waiting time against the extra work of a move; 1: only the time counts.
+ * */
 #define IDLE_WEIGHT 1.0
 
-/* Seconds that are won if the running item goes on at another endpoint. */
+/* Seconds saved if the item moves to another endpoint now; 0 or less: it should stay. */
 static double
-move_gain (const LcBatch *batch, const LcBatchItem *item, LbTime now)
+move_gain_seconds (const LcBatch *batch, const LcBatchItem *item, LbTime now)
 {
   const LcBatchHistory *history = batch->settings.history;
   const LcSampleProgress progress
-      = { .tokens = lc_batch_tokens_of (batch, item->run_events),
+      = { .tokens = lc_batch_events_to_tokens (batch, item->request_events),
           .max_tokens = batch->spec.items[lc_batch_index_of (batch, item)].max_tokens,
-          .started_at = item->started,
-          .first_piece_at = item->first_piece,
-          .recent_seconds_per_token = lc_batch_item_token_seconds (item, now) };
+          .started_at = item->started_at,
+          .first_piece_at = item->first_piece_at,
+          .recent_seconds_per_token = lc_batch_item_seconds_per_token (item, now) };
 
-  if (item->state != ITEM_RUNNING || item->recalled || item->moves >= MAX_MOVES || item->unusable
-      || item->run_events <= LC_BATCH_INTERVALS_TO_LEARN)
+  if (item->state != ITEM_GENERATING || item->is_preempted || item->n_moves >= MAX_MOVES
+      || item->is_unusable || item->request_events <= LC_BATCH_MIN_PACE_INTERVALS)
     return 0;
   return lc_straggler_move_gain_seconds (&history->lengths, &history->pace, &progress, IDLE_WEIGHT,
                                          now);
 }
 
-/* A text that can't be used is not awaited: it is made again at once. */
+/* Restarts unusable texts at once rather than when they are complete. */
 static void
-restart_unusable (LcBatch *batch, LbTime now, LbList *actions)
+restart_unusable_texts (LcBatch *batch, LbTime now, LbList *actions)
 {
   for (size_t i = 0; i < batch->spec.n_items; i++)
     {
       LcBatchItem *item = &batch->items[i];
-      if (item->state != ITEM_RUNNING || !item->unusable || item->recalled)
+      if (item->state != ITEM_GENERATING || !item->is_unusable || item->is_preempted)
         continue;
       lb_log (LB_LOG_WARNING, "text_unusable", LB_TEXT ("batch", batch->spec.id),
-              LB_TEXT ("item", item->result.item), LB_TEXT ("endpoint", item->endpoint),
+              LB_TEXT ("item", item->result.item), LB_TEXT ("endpoint", item->last_endpoint),
               LB_INT ("version", item->result.n_versions > 0 ? item->result.versions[0] : 0),
               LB_INT ("min_version", batch->spec.min_version));
-      lc_batch_stop_request (item, actions);
-      lc_batch_item_restart (item);
-      lc_batch_item_try_later (item, ITEM_WAITING, now);
+      lc_batch_cancel_request (item, actions);
+      lc_batch_item_restart_text (item);
+      lc_batch_item_schedule_retry (item, ITEM_WAITING, now);
     }
 }
 
-/* The step is whole only when its slowest texts are. An engine that turned slow makes its streams
- * take several times as long, so the trainer waits for them although other engines have room: such
- * an item goes on elsewhere from what it has. */
+/* A step is complete only when its slowest texts are. An engine that becomes several times slower
+ * would hold up the trainer although other engines have capacity, so the item moves to another
+ * endpoint and continues the text that it has. */
 static void
-move_slow_ones (LcBatch *batch, LbTime now, LbList *actions)
+move_slow_items (LcBatch *batch, LbTime now, LbList *actions)
 {
   if (!batch->settings.history || !batch->settings.resumable || !lb_switch_is_on (LB_SWITCH_MOVES))
     return;
   for (size_t i = 0; i < batch->spec.n_items; i++)
     {
       LcBatchItem *item = &batch->items[i];
-      double gain = move_gain (batch, item, now);
-      if (gain <= 0)
+      double gain_seconds = move_gain_seconds (batch, item, now);
+      if (gain_seconds <= 0)
         continue;
-      item->recalled = true;
-      item->moves++;
-      LB_COPY (item->avoid, item->endpoint);
+      item->is_preempted = true;
+      item->n_moves++;
+      LB_COPY (item->avoid_endpoint, item->last_endpoint);
       lc_batch_add_action (actions, LC_BATCH_PREEMPT)->request = item->request;
       lb_log (LB_LOG_INFO, "item_moved", LB_TEXT ("batch", batch->spec.id),
-              LB_TEXT ("item", item->result.item), LB_TEXT ("from", item->endpoint),
-              LB_INT ("events", item->events), LB_REAL ("gain_seconds", gain));
+              LB_TEXT ("item", item->result.item), LB_TEXT ("from", item->last_endpoint),
+              LB_INT ("events", item->n_events), LB_REAL ("gain_seconds", gain_seconds));
     }
 }
 
-/* Guards against an instance that stood still itself: all its streams look silent before it has
- * read what came meanwhile, and it would move every text. */
+/* After a pause of this instance all its streams look silent until it has read the events that
+ * arrived meanwhile, and a review would move every item, so it is put off. */
 void
-lc_batch_note_own_pause (LcBatch *batch, LbTime now)
+lc_batch_detect_own_pause (LcBatch *batch, LbTime now)
 {
-  if (batch->last_tick > 0 && now - batch->last_tick > REVIEW_PERIOD + OWN_PAUSE)
-    batch->next_review = now + OWN_PAUSE;
-  batch->last_tick = now;
+  if (batch->last_tick_at > 0 && now - batch->last_tick_at > REVIEW_PERIOD + MIN_OWN_PAUSE)
+    batch->next_review_at = now + MIN_OWN_PAUSE;
+  batch->last_tick_at = now;
 }
 
 void
-lc_batch_review (LcBatch *batch, LbTime now, LbList *actions)
+lc_batch_review_items (LcBatch *batch, LbTime now, LbList *actions)
 {
-  batch->next_review = now + REVIEW_PERIOD;
-  restart_unusable (batch, now, actions);
-  move_slow_ones (batch, now, actions);
+  batch->next_review_at = now + REVIEW_PERIOD;
+  restart_unusable_texts (batch, now, actions);
+  move_slow_items (batch, now, actions);
 }
--- a/packages/core/src/batch/lc-batch.c
+++ b/packages/core/src/batch/lc-batch.c
@@ -1,6 +1,6 @@
 #include "lc-batch.h"
 
-#include "lc-batch-carry.h"
+#include "lc-batch-reuse.h"
 #include "lc-batch-item.h"
 #include "lc-batch-private.h"
 #include "lc-straggler.h"
@@ -13,13 +13,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Until the pace of a model is known: that of a usual engine. */
+/* Pace of a usual engine, until that of the model is known. */
 #define DEFAULT_EVENT_SECONDS 0.05
-/* Between two writes of the texts so far: what an owner that ends loses at most, beside the write
- * itself. Four writes a second for each open step. */
-#define KEEP_PERIOD (250 * LB_MSEC)
-/* The store takes 100 entries in a transaction, of which two may stand for the batch's own row. */
-#define MAX_PARTS_PER_KEEP 90
+/* Between checkpoints: bounds the events that are lost with an owner, beside those of a write in
+ * progress. Costs four writes a second for each running step. */
+#define CHECKPOINT_PERIOD (250 * LB_MSEC)
+/* A transaction of the store takes 100 entries, of which two may be for the batch's own row. */
+#define MAX_PARTS_PER_CHECKPOINT 90
 
 void
 lc_batch_spec_clear (LcBatchSpec *spec)
@@ -69,7 +69,7 @@
   memset (spec, 0, sizeof *spec);
   batch->settings = *settings;
   batch->items = LB_NEW_ARRAY (LcBatchItem, batch->spec.n_items);
-  batch->write_at = LB_TIME_NEVER;
+  batch->retry_write_at = LB_TIME_NEVER;
   lb_list_init (&batch->ready);
   for (size_t i = 0; i < batch->spec.n_items; i++)
     LB_COPY (batch->items[i].result.item, batch->spec.items[i].request.id);
@@ -85,7 +85,7 @@
     lc_batch_result_clear (&batch->items[i].result);
   lc_batch_spec_clear (&batch->spec);
   free (batch->items);
-  free (batch->writing);
+  free (batch->results_in_write);
   free (batch);
 }
 
@@ -106,7 +106,7 @@
 }
 
 static LcBatchItem *
-find_request (const LcBatch *batch, LcRequestId request)
+find_item_by_request (const LcBatch *batch, LcRequestId request)
 {
   for (size_t i = 0; request != 0 && i < batch->spec.n_items; i++)
     if (batch->items[i].request == request)
@@ -115,65 +115,67 @@
 }
 
 void
-lc_batch_mark_listed (LcBatch *batch, const char *name)
+lc_batch_mark_listed (LcBatch *batch, const char *item_id)
 {
   batch->n_listed++;
   for (size_t i = 0; i < batch->spec.n_items; i++)
-    if (strcmp (batch->spec.items[i].request.id, name) == 0)
+    if (strcmp (batch->spec.items[i].request.id, item_id) == 0)
       batch->items[i].state = ITEM_LISTED;
 }
 
-/* --- running --- */
+/* --- generation and scoring --- */
 
 int64_t
-lc_batch_tokens_of (const LcBatch *batch, int64_t events)
+lc_batch_events_to_tokens (const LcBatch *batch, int64_t events)
 {
-  int64_t per_event = batch->settings.tokens_per_event;
+  int64_t tokens_per_event = batch->settings.tokens_per_event;
 
-  return events * (per_event > 0 ? per_event : 1);
+  return events * (tokens_per_event > 0 ? tokens_per_event : 1);
 }
 
-/* Guards against a text that begins last and decides when its step is whole. The longest of a step
- * begins first, and with two steps of a trainer open the long texts of the second go before the
- * short ones of the first, which have time. */
+/* Latest start at which a text of so many events is complete when the trainer wants it. Requests
+ * are ordered by it, so that the longest text of a step does not start last and delay the step. Of
+ * two open steps of a trainer, the long texts of the second start before the short ones of the
+ * first, which have time left. */
 static LbTime
-latest_start (const LcBatch *batch, int64_t events)
+compute_latest_start (const LcBatch *batch, int64_t events)
 {
   const LcBatchHistory *history = batch->settings.history;
   double rate = history ? history->pace.tokens_per_second : 0;
   if (!lb_switch_is_on (LB_SWITCH_LATEST_START))
     return 0;
-  double seconds = rate > 0 ? (double)lc_batch_tokens_of (batch, events) / rate
+  double seconds = rate > 0 ? (double)lc_batch_events_to_tokens (batch, events) / rate
                             : (double)events * DEFAULT_EVENT_SECONDS;
 
   return batch->settings.due_at - (LbTime)(seconds * LB_SEC);
 }
 
 static void
-run (LcBatch *batch, LcBatchItem *item, LbTime now, LbList *actions)
+start_generation (LcBatch *batch, LcBatchItem *item, LbTime now, LbList *actions)
 {
   LcBatchAction *action = lc_batch_add_action (actions, LC_BATCH_GENERATE);
 
-  item->state = ITEM_RUNNING;
-  item->started = now;
-  item->first_piece = 0;
-  item->run_events = 0;
+  item->state = ITEM_GENERATING;
+  item->started_at = now;
+  item->first_piece_at = 0;
+  item->request_events = 0;
   item->pace = (LcStreamPace){ 0 };
-  item->recalled = false;
+  item->is_preempted = false;
   item->request = batch->settings.next_request_id (batch->settings.user);
   action->request = item->request;
   action->item_index = lc_batch_index_of (batch, item);
-  action->resume_at = item->events;
-  action->avoid_endpoint = item->avoid;
+  action->resume_at = item->n_events;
+  action->avoid_endpoint = item->avoid_endpoint;
   action->remaining_events
-      = lc_batch_item_expected_events (item, &batch->spec.items[lc_batch_index_of (batch, item)],
-                                       lc_batch_tokens_of (batch, 1));
+      = lc_batch_item_expect_remaining_events (item,
+                                               &batch->spec.items[lc_batch_index_of (batch, item)],
+                                               lc_batch_events_to_tokens (batch, 1));
   action->due_at = batch->settings.due_at;
-  action->latest_start = latest_start (batch, action->remaining_events);
+  action->latest_start = compute_latest_start (batch, action->remaining_events);
 }
 
 static void
-score (LcBatch *batch, LcBatchItem *item, LbList *actions)
+start_scoring (LcBatch *batch, LcBatchItem *item, LbList *actions)
 {
   LcBatchAction *action = lc_batch_add_action (actions, LC_BATCH_SCORE);
 
@@ -183,14 +185,13 @@
   action->item_index = lc_batch_index_of (batch, item);
 }
 
-/* The text is whole. */
 static void
-after_text (LcBatch *batch, LcBatchItem *item, LbList *actions)
+score_or_queue_result (LcBatch *batch, LcBatchItem *item, LbList *actions)
 {
   if (batch->spec.items[lc_batch_index_of (batch, item)].has_scorer && !item->result.score)
-    score (batch, item, actions);
+    start_scoring (batch, item, actions);
   else
-    lc_batch_make_ready (batch, item, true, actions);
+    lc_batch_queue_result (batch, item, true, actions);
 }
 
 void
@@ -201,14 +202,14 @@
       LcBatchItem *item = &batch->items[i];
       if (item->state == ITEM_WAITING && strcmp (batch->spec.items[i].request.id, part->item) == 0
           && part->n_versions <= LC_MAX_RESULT_VERSIONS)
-        lc_batch_item_restore (item, part);
+        lc_batch_item_restore_part (item, part);
     }
 }
 
-/* An owner that is killed or cut off would take all running texts with it, and the longest, on
- * which the step waits, would begin again. The next owner goes on from what was kept. Only what is
- * new is written: many long texts that are written whole do not fit in one transaction, and those
- * of the last items were never kept. */
+/* Saves the new events of running texts, so that the next owner continues them if this one is
+ * killed or cut off; otherwise the longest text, on which the step waits, would restart. Only new
+ * events are written: many long texts that were written as a whole did not fit in one transaction,
+ * and those of the last items were never saved. */
 void
 lc_batch_checkpoint (LcBatch *batch, LbTime now, LbList *actions)
 {
@@ -216,18 +217,18 @@
   size_t bytes = 0;
   size_t n = 0;
 
-  batch->next_keep = now + KEEP_PERIOD;
+  batch->next_checkpoint_at = now + CHECKPOINT_PERIOD;
   if (!lb_switch_is_on (LB_SWITCH_KEPT_TEXTS))
     return;
-  parts = LB_NEW_ARRAY (LcBatchTextPart, MAX_PARTS_PER_KEEP);
-  for (size_t i = 0; i < batch->spec.n_items && n < MAX_PARTS_PER_KEEP; i++)
+  parts = LB_NEW_ARRAY (LcBatchTextPart, MAX_PARTS_PER_CHECKPOINT);
+  for (size_t i = 0; i < batch->spec.n_items && n < MAX_PARTS_PER_CHECKPOINT; i++)
     {
       LcBatchItem *item = &batch->items[i];
-      if (!lc_batch_item_is_worth_keeping (item)
-          || bytes + lc_batch_item_keep_bytes (item) > LC_BATCH_MAX_BYTES_PER_WRITE)
+      if (!lc_batch_item_has_enough_to_checkpoint (item)
+          || bytes + lc_batch_item_count_unsaved_bytes (item) > LC_BATCH_MAX_WRITE_BYTES)
         continue;
-      bytes += lc_batch_item_keep_bytes (item);
-      parts[n++] = lc_batch_item_keep (item);
+      bytes += lc_batch_item_count_unsaved_bytes (item);
+      parts[n++] = lc_batch_item_begin_checkpoint (item);
     }
   if (n == 0)
     {
@@ -237,50 +238,50 @@
   LcBatchAction *action = lc_batch_add_action (actions, LC_BATCH_CHECKPOINT);
   action->parts = parts;
   action->n_parts = n;
-  batch->is_keeping = true;
+  batch->is_checkpointing = true;
 }
 
 void
 lc_batch_finish_checkpoint (LcBatch *batch, bool ok)
 {
-  batch->is_keeping = false;
+  batch->is_checkpointing = false;
   for (size_t i = 0; i < batch->spec.n_items; i++)
-    lc_batch_item_kept (&batch->items[i], ok);
+    lc_batch_item_finish_checkpoint (&batch->items[i], ok);
 }
 
-/* Of groups that an earlier batch did not get whole. */
+/* Texts of groups that an earlier batch did not complete. */
 static void
-take_carried (LcBatch *batch, LbList *actions)
+reuse_cached_texts (LcBatch *batch, LbList *actions)
 {
-  size_t n_whole = 0;
-  size_t n_begun = 0;
+  size_t n_complete = 0;
+  size_t n_partial = 0;
 
   for (size_t i = 0; batch->settings.text_cache && i < batch->spec.n_items; i++)
     {
       LcBatchItem *item = &batch->items[i];
-      if (!lc_batch_carry_take (&batch->spec, i, item, &batch->settings))
+      if (!lc_batch_reuse_text (&batch->spec, i, item, &batch->settings))
         continue;
-      n_whole += item->state == ITEM_GENERATED;
-      n_begun += item->state == ITEM_WAITING;
+      n_complete += item->state == ITEM_GENERATED;
+      n_partial += item->state == ITEM_WAITING;
       if (item->state == ITEM_GENERATED)
-        after_text (batch, item, actions);
+        score_or_queue_result (batch, item, actions);
     }
-  if (n_whole + n_begun > 0)
+  if (n_complete + n_partial > 0)
     lb_log (LB_LOG_INFO, "texts_carried_on", LB_TEXT ("batch", batch->spec.id),
-            LB_INT ("whole", n_whole), LB_INT ("begun", n_begun));
+            LB_INT ("whole", n_complete), LB_INT ("begun", n_partial));
 }
 
 void
 lc_batch_start (LcBatch *batch, LbTime now, LbList *actions)
 {
   batch->is_started = true;
-  batch->next_keep = now + KEEP_PERIOD;
+  batch->next_checkpoint_at = now + CHECKPOINT_PERIOD;
   for (size_t i = 0; i < batch->spec.n_items; i++)
-    lc_batch_item_end_restore (&batch->items[i]);
-  take_carried (batch, actions);
+    lc_batch_item_finish_restore (&batch->items[i]);
+  reuse_cached_texts (batch, actions);
   for (size_t i = 0; i < batch->spec.n_items; i++)
     if (batch->items[i].state == ITEM_WAITING && batch->items[i].retry_at <= now)
-      run (batch, &batch->items[i], now, actions);
+      start_generation (batch, &batch->items[i], now, actions);
 }
 
 void
@@ -291,67 +292,68 @@
                     const char *text,
                     LbTime now)
 {
-  LcBatchItem *item = find_request (batch, request);
+  LcBatchItem *item = find_item_by_request (batch, request);
 
-  if (!item || item->state != ITEM_RUNNING)
+  if (!item || item->state != ITEM_GENERATING)
     return;
-  lc_batch_item_append (item, text);
-  item->run_events++;
+  lc_batch_item_append_event (item, text);
+  item->request_events++;
   item->retries = 0;
-  if (item->first_piece == 0)
-    item->first_piece = now;
+  if (item->first_piece_at == 0)
+    item->first_piece_at = now;
   else
-    lc_stream_pace_add (&item->pace, lc_batch_tokens_of (batch, 1), now - item->last_piece);
-  item->last_piece = now;
-  LB_COPY (item->endpoint, endpoint);
-  lc_batch_item_note_version (item, version, batch->spec.min_version,
-                              batch->settings.single_version);
+    lc_stream_pace_add (&item->pace, lc_batch_events_to_tokens (batch, 1),
+                        now - item->last_piece_at);
+  item->last_piece_at = now;
+  LB_COPY (item->last_endpoint, endpoint);
+  lc_batch_item_record_version (item, version, batch->spec.min_version,
+                                batch->settings.single_version);
 }
 
 static void
-learn (LcBatch *batch, const LcBatchItem *item, LbTime now)
+record_in_history (LcBatch *batch, const LcBatchItem *item, LbTime now)
 {
   LcBatchHistory *history = batch->settings.history;
 
-  if (!history || item->first_piece == 0)
+  if (!history || item->first_piece_at == 0)
     return;
-  lc_length_histogram_add (&history->lengths, lc_batch_tokens_of (batch, item->events));
-  /* The first event comes at the beginning of the time that is measured. */
-  if (item->run_events > LC_BATCH_INTERVALS_TO_LEARN)
-    lc_pace_add (&history->pace, lc_batch_tokens_of (batch, item->run_events - 1),
-                 item->first_piece - item->started, now - item->first_piece);
+  lc_length_histogram_add (&history->lengths, lc_batch_events_to_tokens (batch, item->n_events));
+  /* The measured time begins with the first event, so that one does not count. */
+  if (item->request_events > LC_BATCH_MIN_PACE_INTERVALS)
+    lc_pace_add (&history->pace, lc_batch_events_to_tokens (batch, item->request_events - 1),
+                 item->first_piece_at - item->started_at, now - item->first_piece_at);
 }
 
 static void
-finish_text (LcBatch *batch, LcBatchItem *item, LbTime now, LbList *actions)
+handle_complete_text (LcBatch *batch, LcBatchItem *item, LbTime now, LbList *actions)
 {
-  if (item->unusable || item->events == 0)
+  if (item->is_unusable || item->n_events == 0)
     {
-      lc_batch_item_restart (item);
-      lc_batch_item_try_later (item, ITEM_WAITING, now);
+      lc_batch_item_restart_text (item);
+      lc_batch_item_schedule_retry (item, ITEM_WAITING, now);
       return;
     }
   item->retries = 0;
-  learn (batch, item, now);
-  after_text (batch, item, actions);
+  record_in_history (batch, item, now);
+  score_or_queue_result (batch, item, actions);
 }
 
 void
 lc_batch_finish_generation (
     LcBatch *batch, LcRequestId request, LbErrorCode error, LbTime now, LbList *actions)
 {
-  LcBatchItem *item = find_request (batch, request);
+  LcBatchItem *item = find_item_by_request (batch, request);
 
-  if (!item || item->state != ITEM_RUNNING)
+  if (!item || item->state != ITEM_GENERATING)
     return;
   if (error == LB_OK)
     {
-      finish_text (batch, item, now, actions);
+      handle_complete_text (batch, item, now, actions);
       return;
     }
-  if (error == LB_ERROR_CLOSED && item->recalled)
+  if (error == LB_ERROR_CLOSED && item->is_preempted)
     {
-      run (batch, item, now, actions);
+      start_generation (batch, item, now, actions);
       return;
     }
   item->failures += error == LB_ERROR_ENDPOINT_FAILED;
@@ -360,30 +362,30 @@
       lb_log (LB_LOG_INFO, "item_given_up", LB_TEXT ("batch", batch->spec.id),
               LB_TEXT ("item", item->result.item), LB_TEXT ("error", lb_error_name (error)),
               LB_INT ("failures", item->failures));
-      lc_batch_make_ready (batch, item, false, actions);
+      lc_batch_queue_result (batch, item, false, actions);
       return;
     }
-  if (item->unusable || !batch->settings.resumable)
-    lc_batch_item_restart (item);
-  lc_batch_item_try_later (item, ITEM_WAITING, now);
+  if (item->is_unusable || !batch->settings.resumable)
+    lc_batch_item_restart_text (item);
+  lc_batch_item_schedule_retry (item, ITEM_WAITING, now);
 }
 
 void
 lc_batch_finish_scoring (LcBatch *batch,
                          LcRequestId request,
                          LbErrorCode error,
-                         const char *value,
+                         const char *score,
                          LbTime now,
                          LbList *actions)
 {
-  LcBatchItem *item = find_request (batch, request);
+  LcBatchItem *item = find_item_by_request (batch, request);
 
   if (!item || item->state != ITEM_SCORING)
     return;
   if (error == LB_OK)
     {
-      item->result.score = lb_strdup (value);
-      lc_batch_make_ready (batch, item, true, actions);
+      item->result.score = lb_strdup (score);
+      lc_batch_queue_result (batch, item, true, actions);
       return;
     }
   item->score_failures += error == LB_ERROR_ENDPOINT_FAILED;
@@ -391,20 +393,20 @@
     {
       lb_log (LB_LOG_INFO, "item_not_scored", LB_TEXT ("batch", batch->spec.id),
               LB_TEXT ("item", item->result.item), LB_INT ("failures", item->score_failures));
-      lc_batch_make_ready (batch, item, false, actions);
+      lc_batch_queue_result (batch, item, false, actions);
       return;
     }
-  lc_batch_item_try_later (item, ITEM_GENERATED, now);
+  lc_batch_item_schedule_retry (item, ITEM_GENERATED, now);
 }
 
 static bool
-is_open (const LcBatchItem *item)
+is_unfinished (const LcBatchItem *item)
 {
   return item->state != ITEM_READY && item->state != ITEM_LISTED;
 }
 
 void
-lc_batch_stop_request (LcBatchItem *item, LbList *actions)
+lc_batch_cancel_request (LcBatchItem *item, LbList *actions)
 {
   if (item->request == 0)
     return;
@@ -412,45 +414,45 @@
   item->request = 0;
 }
 
-/* What has not come by the time that the operator sets is given up, so that the trainer does not
- * wait for it for ever. */
+/* Lists all unfinished items as not completed once the operator's time limit has passed, so that
+ * the trainer does not wait for them for ever. */
 static void
-give_up_all (LcBatch *batch, LbList *actions)
+abandon_unfinished_items (LcBatch *batch, LbList *actions)
 {
   for (size_t i = 0; i < batch->spec.n_items; i++)
     {
       LcBatchItem *item = &batch->items[i];
-      if (!is_open (item))
+      if (!is_unfinished (item))
         continue;
-      lc_batch_stop_request (item, actions);
-      lc_batch_make_ready (batch, item, false, actions);
+      lc_batch_cancel_request (item, actions);
+      lc_batch_queue_result (batch, item, false, actions);
     }
 }
 
 void
 lc_batch_tick (LcBatch *batch, LbTime now, LbList *actions)
 {
-  lc_batch_note_own_pause (batch, now);
+  lc_batch_detect_own_pause (batch, now);
   if (batch->is_stopped || !batch->is_started)
     return;
   if (now >= batch->settings.deadline)
-    give_up_all (batch, actions);
+    abandon_unfinished_items (batch, actions);
   for (size_t i = 0; i < batch->spec.n_items; i++)
     {
       LcBatchItem *item = &batch->items[i];
       if (now < item->retry_at)
         continue;
       if (item->state == ITEM_WAITING)
-        run (batch, item, now, actions);
+        start_generation (batch, item, now, actions);
       else if (item->state == ITEM_GENERATED)
-        score (batch, item, actions);
+        start_scoring (batch, item, actions);
     }
-  if (now >= batch->next_review)
-    lc_batch_review (batch, now, actions);
-  if (now >= batch->next_keep && !batch->is_keeping)
+  if (now >= batch->next_review_at)
+    lc_batch_review_items (batch, now, actions);
+  if (now >= batch->next_checkpoint_at && !batch->is_checkpointing)
     lc_batch_checkpoint (batch, now, actions);
-  if (now >= batch->write_at)
-    lc_batch_write_ready (batch, actions);
+  if (now >= batch->retry_write_at)
+    lc_batch_start_write (batch, actions);
 }
 
 void
@@ -458,9 +460,9 @@
 {
   batch->is_stopped = true;
   if (batch->settings.text_cache)
-    lc_batch_carry_leave (&batch->spec, batch->items, batch->settings.text_cache, now);
+    lc_batch_cache_texts (&batch->spec, batch->items, batch->settings.text_cache, now);
   for (size_t i = 0; i < batch->spec.n_items; i++)
-    lc_batch_stop_request (&batch->items[i], actions);
+    lc_batch_cancel_request (&batch->items[i], actions);
 }
 
 const LcBatchSpec *
@@ -484,19 +486,19 @@
 LbTime
 lc_batch_next_tick_at (const LcBatch *batch)
 {
-  LbTime next = batch->write_at;
-  bool any_open = false;
+  LbTime next = batch->retry_write_at;
+  bool any_unfinished = false;
 
   if (batch->is_stopped || !batch->is_started)
     return LB_TIME_NEVER;
   for (size_t i = 0; i < batch->spec.n_items; i++)
     {
       const LcBatchItem *item = &batch->items[i];
-      any_open |= is_open (item);
+      any_unfinished |= is_unfinished (item);
       if (item->state == ITEM_WAITING || item->state == ITEM_GENERATED)
         next = lb_time_earlier (next, item->retry_at);
     }
-  return any_open ? lb_time_earlier (lb_time_earlier (next, batch->next_review),
-                                     batch->settings.deadline)
-                  : next;
+  return any_unfinished ? lb_time_earlier (lb_time_earlier (next, batch->next_review_at),
+                                           batch->settings.deadline)
+                        : next;
 }
--- a/packages/core/src/batch/lc-straggler.c
+++ b/packages/core/src/batch/lc-straggler.c
@@ -3,26 +3,27 @@
 #include <math.h>
 
 #define BUCKETS_PER_DOUBLING 8
-/* Lengths that are remembered: about the last four steps of 2,048 samples. */
-#define LENGTHS_KEPT 8192
-/* Weight of the trainer's mean against the group's own samples. */
+/* About the last four steps of 2,048 samples. */
+#define MAX_HISTORY_SAMPLES 8192
+/* Weight of the trainer's mean length against the samples of the group. */
 #define PRIOR_SAMPLES 1.0
 #define PACE_SMOOTHING 0.1
-/* Fewer ended samples than this say nothing. */
-#define LENGTHS_ENOUGH 8
-/* Without a first piece for so long, beyond what is usual, a sample counts as stuck; less may only
- * mean that it waits for a place. */
+/* With fewer ended samples no prediction is made. */
+#define MIN_HISTORY_SAMPLES 8
+/* A sample without a first piece counts as stuck after this time plus so many mean waits. A shorter
+ * delay may only mean that it waits for a slot. */
 #define STUCK_SECONDS 2.0
-#define STUCK_WAITS 4.0
-/* The pace is not learnt from fewer tokens than this. */
-#define RATE_TOKENS 8
-/* So many may be made beside those seen, since engines send several in one piece. */
-#define UNSEEN_TOKENS 32
-/* A second generation must be expected to be so much faster even where only idle time counts. */
-#define MIN_MARGIN 1.5
+#define STUCK_WAIT_FACTOR 4.0
+/* The rate is not measured on fewer tokens. */
+#define MIN_RATE_TOKENS 8
+/* Tokens that may have been generated beyond those received, since engines send several in one
+ * piece. */
+#define MAX_UNSEEN_TOKENS 32
+/* A second generation must be expected to be this much faster even where only idle time counts. */
+#define MIN_SPEEDUP 1.5
 
 static size_t
-bucket_of (int64_t tokens)
+find_bucket (int64_t tokens)
 {
   size_t bucket = (size_t)(BUCKETS_PER_DOUBLING * log2 ((double)tokens + 1));
 
@@ -36,7 +37,7 @@
 }
 
 static void
-fade (LcLengthHistogram *lengths)
+halve_weights (LcLengthHistogram *lengths)
 {
   for (size_t i = 0; i < LC_LENGTH_BUCKETS; i++)
     lengths->buckets[i] /= 2;
@@ -47,14 +48,13 @@
 void
 lc_length_histogram_add (LcLengthHistogram *lengths, int64_t tokens)
 {
-  if (lengths->count >= LENGTHS_KEPT)
-    fade (lengths);
-  lengths->buckets[bucket_of (tokens)]++;
+  if (lengths->count >= MAX_HISTORY_SAMPLES)
+    halve_weights (lengths);
+  lengths->buckets[find_bucket (tokens)]++;
   lengths->count++;
   lengths->sum += (double)tokens;
 }
 
-/* Half of the allowed length until samples have ended. */
 double
 lc_length_histogram_mean (const LcLengthHistogram *lengths, int64_t max_tokens)
 {
@@ -63,8 +63,8 @@
   return fmin (lengths->sum / lengths->count, (double)max_tokens);
 }
 
-/* The mean over ended samples that were longer; when none was, the sample is the longest so far and
- * is expected to go as far again, as far as it may. */
+/* The mean over the ended samples that were longer. If none was, the sample is the longest so far,
+ * and it is expected to double its length, within max_tokens. */
 double
 lc_length_histogram_expect_remaining (const LcLengthHistogram *lengths,
                                       int64_t tokens,
@@ -72,16 +72,17 @@
 {
   double sum = 0;
   double count = 0;
-  double room = fmax ((double)(max_tokens - tokens), 1);
+  double max_remaining = fmax ((double)(max_tokens - tokens), 1);
 
-  for (size_t i = bucket_of (tokens) + 1; i < LC_LENGTH_BUCKETS; i++)
+  for (size_t i = find_bucket (tokens) + 1; i < LC_LENGTH_BUCKETS; i++)
     {
       sum += bucket_middle (i) * lengths->buckets[i];
       count += lengths->buckets[i];
     }
   if (count > 0)
-    return fmin (sum / count - (double)tokens, room);
-  return fmin (fmax ((double)tokens, lc_length_histogram_mean (lengths, max_tokens)), room);
+    return fmin (sum / count - (double)tokens, max_remaining);
+  return fmin (fmax ((double)tokens, lc_length_histogram_mean (lengths, max_tokens)),
+               max_remaining);
 }
 
 double
@@ -95,17 +96,18 @@
 }
 
 static double
-smooth (double old, double sample)
+update_average (double average, double sample)
 {
-  return old == 0 ? sample : old + PACE_SMOOTHING * (sample - old);
+  return average == 0 ? sample : average + PACE_SMOOTHING * (sample - average);
 }
 
 void
 lc_pace_add (LcPace *pace, int64_t tokens, LbTime waited, LbTime streamed)
 {
-  pace->wait_seconds = smooth (pace->wait_seconds, (double)waited / LB_SEC);
-  if (tokens >= RATE_TOKENS && streamed > 0)
-    pace->tokens_per_second = smooth (pace->tokens_per_second, (double)tokens * LB_SEC / streamed);
+  pace->wait_seconds = update_average (pace->wait_seconds, (double)waited / LB_SEC);
+  if (tokens >= MIN_RATE_TOKENS && streamed > 0)
+    pace->tokens_per_second
+        = update_average (pace->tokens_per_second, (double)tokens * LB_SEC / streamed);
 }
 
 double
@@ -117,7 +119,7 @@
 }
 
 static double
-own_rate (const LcPace *pace, const LcSampleProgress *progress, LbTime now)
+estimate_rate (const LcPace *pace, const LcSampleProgress *progress, LbTime now)
 {
   LbTime streamed = now - progress->first_piece_at;
 
@@ -125,46 +127,46 @@
     return pace->tokens_per_second;
   if (progress->recent_seconds_per_token > 0)
     return fmin (1 / progress->recent_seconds_per_token, pace->tokens_per_second);
-  return fmin ((double)(progress->tokens + UNSEEN_TOKENS) * LB_SEC / streamed,
+  return fmin ((double)(progress->tokens + MAX_UNSEEN_TOKENS) * LB_SEC / streamed,
                pace->tokens_per_second);
 }
 
 static double
-seconds_again (const LcLengthHistogram *lengths,
-               const LcPace *pace,
-               const LcSampleProgress *progress)
+expect_seconds_to_regenerate (const LcLengthHistogram *lengths,
+                              const LcPace *pace,
+                              const LcSampleProgress *progress)
 {
-  double left
+  double remaining
       = lc_length_histogram_expect_remaining (lengths, progress->tokens, progress->max_tokens);
 
-  return lc_pace_expected_seconds (pace, (double)progress->tokens + left);
+  return lc_pace_expected_seconds (pace, (double)progress->tokens + remaining);
 }
 
 static double
-seconds_left (const LcLengthHistogram *lengths,
-              const LcPace *pace,
-              const LcSampleProgress *progress,
-              LbTime now)
+expect_seconds_remaining (const LcLengthHistogram *lengths,
+                          const LcPace *pace,
+                          const LcSampleProgress *progress,
+                          LbTime now)
 {
   double waited = (double)(now - progress->started_at) / LB_SEC;
-  double overdue = waited - STUCK_SECONDS - STUCK_WAITS * pace->wait_seconds;
+  double overdue = waited - STUCK_SECONDS - STUCK_WAIT_FACTOR * pace->wait_seconds;
 
   if (progress->first_piece_at == 0)
-    return seconds_again (lengths, pace, progress) * (overdue > 0 ? 2 + overdue : 1);
+    return expect_seconds_to_regenerate (lengths, pace, progress) * (overdue > 0 ? 2 + overdue : 1);
   return lc_length_histogram_expect_remaining (lengths, progress->tokens, progress->max_tokens)
-         / own_rate (pace, progress, now);
+         / estimate_rate (pace, progress, now);
 }
 
 static double
-margin (double idle_weight)
+required_speedup (double idle_weight)
 {
-  return MIN_MARGIN + (1.0 - idle_weight);
+  return MIN_SPEEDUP + (1.0 - idle_weight);
 }
 
 static bool
-knows_enough (const LcLengthHistogram *lengths, const LcPace *pace)
+has_enough_history (const LcLengthHistogram *lengths, const LcPace *pace)
 {
-  return lengths->count >= LENGTHS_ENOUGH && pace->tokens_per_second > 0;
+  return lengths->count >= MIN_HISTORY_SAMPLES && pace->tokens_per_second > 0;
 }
 
 double
@@ -174,16 +176,16 @@
                                  double idle_weight,
                                  LbTime now)
 {
-  if (!knows_enough (lengths, pace))
+  if (!has_enough_history (lengths, pace))
     return 0;
-  return seconds_left (lengths, pace, progress, now)
-         - margin (idle_weight) * seconds_again (lengths, pace, progress);
+  return expect_seconds_remaining (lengths, pace, progress, now)
+         - required_speedup (idle_weight) * expect_seconds_to_regenerate (lengths, pace, progress);
 }
 
-/* The sample waited for a place once; with the same urgency it waits no longer now. The mean over
- * all samples is mostly that of the short ones, which go last. */
+/* The sample has waited for a slot once; at the same urgency it does not wait longer now. The mean
+ * wait over all samples is mostly that of the short ones, which are served last. */
 static double
-wait_again (const LcPace *pace, const LcSampleProgress *progress)
+expect_wait_seconds (const LcPace *pace, const LcSampleProgress *progress)
 {
   double waited = (double)(progress->first_piece_at - progress->started_at) / LB_SEC;
 
@@ -197,23 +199,25 @@
                                 double idle_weight,
                                 LbTime now)
 {
-  if (!knows_enough (lengths, pace) || progress->tokens == 0)
+  if (!has_enough_history (lengths, pace) || progress->tokens == 0)
     return 0;
 
-  double left
+  double remaining
       = lc_length_histogram_expect_remaining (lengths, progress->tokens, progress->max_tokens);
-  return seconds_left (lengths, pace, progress, now) - wait_again (pace, progress)
-         - margin (idle_weight) * left / pace->tokens_per_second;
+  return expect_seconds_remaining (lengths, pace, progress, now)
+         - expect_wait_seconds (pace, progress)
+         - required_speedup (idle_weight) * remaining / pace->tokens_per_second;
 }
 
-/* The original goes on until the hedge is whole; then its tokens are lost. */
+/* The original continues until the hedge is complete; its tokens are then discarded. */
 int64_t
 lc_straggler_hedge_cost_tokens (const LcLengthHistogram *lengths,
                                 const LcPace *pace,
                                 const LcSampleProgress *progress,
                                 LbTime now)
 {
-  double meanwhile = own_rate (pace, progress, now) * seconds_again (lengths, pace, progress);
+  double tokens_meanwhile = estimate_rate (pace, progress, now)
+                            * expect_seconds_to_regenerate (lengths, pace, progress);
 
-  return progress->tokens + (int64_t)(progress->first_piece_at ? meanwhile : 0);
+  return progress->tokens + (int64_t)(progress->first_piece_at ? tokens_meanwhile : 0);
 }
--- a/packages/core/src/batch/lc-text-cache.c
+++ b/packages/core/src/batch/lc-text-cache.c
@@ -7,16 +7,16 @@
 #include <string.h>
 #include <uthash.h>
 
-/* A group that was not whole comes again in one of its trainer's next steps, which are some seconds
- * apart; after this time its weights are too old as a rule. */
-#define MAX_TIME (60 * LB_SEC)
+/* A trainer asks for an incomplete group again in one of its next steps, which are some seconds
+ * apart. After this time the weights of its texts are usually too old. */
+#define MAX_AGE (60 * LB_SEC)
 
 typedef struct
 {
-  LcCachedText content; /* its texts are owned */
-  LbTime at;
+  LcCachedText text; /* owns its texts and versions */
+  LbTime stored_at;
   size_t bytes;
-  LbLink order; /* in LcTextCache.oldest_first */
+  LbLink link; /* in LcTextCache.oldest_first */
   UT_hash_handle hh;
 } Entry;
 
@@ -25,60 +25,60 @@
   Entry *by_item;
   LbList oldest_first;
   size_t bytes;
-  size_t most_bytes;
+  size_t max_bytes;
 };
 
 LcTextCache *
-lc_text_cache_new (size_t most_bytes)
+lc_text_cache_new (size_t max_bytes)
 {
-  LcTextCache *carried = LB_NEW (LcTextCache);
+  LcTextCache *cache = LB_NEW (LcTextCache);
 
-  carried->most_bytes = most_bytes;
-  lb_list_init (&carried->oldest_first);
-  return carried;
+  cache->max_bytes = max_bytes;
+  lb_list_init (&cache->oldest_first);
+  return cache;
 }
 
 static void
-remove_entry (LcTextCache *carried, Entry *entry)
+remove_entry (LcTextCache *cache, Entry *entry)
 {
-  HASH_DEL (carried->by_item, entry);
-  lb_list_remove (&carried->oldest_first, &entry->order);
-  carried->bytes -= entry->bytes;
-  free ((char *)entry->content.text);
-  free ((char *)entry->content.score);
-  free ((LcVersion *)entry->content.versions);
+  HASH_DEL (cache->by_item, entry);
+  lb_list_remove (&cache->oldest_first, &entry->link);
+  cache->bytes -= entry->bytes;
+  free ((char *)entry->text.text);
+  free ((char *)entry->text.score);
+  free ((LcVersion *)entry->text.versions);
   free (entry);
 }
 
 static Entry *
-oldest (const LcTextCache *carried)
+get_oldest (const LcTextCache *cache)
 {
-  return LB_LIST_FIRST (&carried->oldest_first, Entry, order);
+  return LB_LIST_FIRST (&cache->oldest_first, Entry, link);
 }
 
 void
-lc_text_cache_free (LcTextCache *carried)
+lc_text_cache_free (LcTextCache *cache)
 {
   Entry *entry;
 
-  if (!carried)
+  if (!cache)
     return;
-  while ((entry = oldest (carried)))
-    remove_entry (carried, entry);
-  free (carried);
+  while ((entry = get_oldest (cache)))
+    remove_entry (cache, entry);
+  free (cache);
 }
 
 static Entry *
-find_entry (const LcTextCache *carried, const char *item)
+find_entry (const LcTextCache *cache, const char *item_id)
 {
   Entry *entry = NULL;
 
-  HASH_FIND_STR (carried->by_item, item, entry);
+  HASH_FIND_STR (cache->by_item, item_id, entry);
   return entry;
 }
 
 static bool
-is_further (const LcCachedText *text, const LcCachedText *known)
+can_replace (const LcCachedText *text, const LcCachedText *known)
 {
   if (text->fingerprint != known->fingerprint)
     return true;
@@ -87,48 +87,48 @@
 }
 
 static LcCachedText
-copy (const LcCachedText *text)
+copy_text (const LcCachedText *text)
 {
-  LcCachedText copied = *text;
+  LcCachedText copy = *text;
 
-  copied.text = lb_strdup (text->text);
-  copied.score = text->score ? lb_strdup (text->score) : NULL;
-  copied.versions = lb_memdup (text->versions, text->n_versions * sizeof *text->versions);
-  return copied;
+  copy.text = lb_strdup (text->text);
+  copy.score = text->score ? lb_strdup (text->score) : NULL;
+  copy.versions = lb_memdup (text->versions, text->n_versions * sizeof *text->versions);
+  return copy;
 }
 
 void
-lc_text_cache_put (LcTextCache *carried, const LcCachedText *text, LbTime now)
+lc_text_cache_put (LcTextCache *cache, const LcCachedText *text, LbTime now)
 {
-  Entry *entry = find_entry (carried, text->item);
+  Entry *entry = find_entry (cache, text->item);
 
-  if (entry && !is_further (text, &entry->content))
+  if (entry && !can_replace (text, &entry->text))
     return;
   if (entry)
-    remove_entry (carried, entry);
+    remove_entry (cache, entry);
   entry = LB_NEW (Entry);
-  entry->content = copy (text);
-  entry->at = now;
+  entry->text = copy_text (text);
+  entry->stored_at = now;
   entry->bytes = strlen (text->text) + sizeof *entry;
-  HASH_ADD_STR (carried->by_item, content.item, entry);
-  lb_list_append (&carried->oldest_first, &entry->order);
-  carried->bytes += entry->bytes;
-  while (carried->bytes > carried->most_bytes && (entry = oldest (carried)))
-    remove_entry (carried, entry);
+  HASH_ADD_STR (cache->by_item, text.item, entry);
+  lb_list_append (&cache->oldest_first, &entry->link);
+  cache->bytes += entry->bytes;
+  while (cache->bytes > cache->max_bytes && (entry = get_oldest (cache)))
+    remove_entry (cache, entry);
 }
 
 void
-lc_text_cache_expire (LcTextCache *carried, LbTime now)
+lc_text_cache_expire (LcTextCache *cache, LbTime now)
 {
   Entry *entry;
 
-  while ((entry = oldest (carried)) && now - entry->at > MAX_TIME)
-    remove_entry (carried, entry);
+  while ((entry = get_oldest (cache)) && now - entry->stored_at > MAX_AGE)
+    remove_entry (cache, entry);
 }
 
-/* Weights that are too old for the batch may not have made any of its text. */
+/* Weights older than the batch allows must not have generated any event of the text. */
 static bool
-fits (const LcCachedText *text, LcVersion min_version)
+has_no_older_version (const LcCachedText *text, LcVersion min_version)
 {
   for (size_t i = 0; i < text->n_versions; i++)
     if (text->versions[i] < min_version)
@@ -137,36 +137,37 @@
 }
 
 bool
-lc_text_cache_find (const LcTextCache *carried,
-                    const char *item,
-                    uint64_t content,
+lc_text_cache_find (const LcTextCache *cache,
+                    const char *item_id,
+                    uint64_t fingerprint,
                     LcVersion min_version,
                     LcCachedText *found)
 {
-  const Entry *entry = find_entry (carried, item);
+  const Entry *entry = find_entry (cache, item_id);
 
-  if (!entry || entry->content.fingerprint != content || !fits (&entry->content, min_version))
+  if (!entry || entry->text.fingerprint != fingerprint
+      || !has_no_older_version (&entry->text, min_version))
     return false;
-  *found = entry->content;
+  *found = entry->text;
   return true;
 }
 
 int64_t
-lc_text_cache_count_events (const LcTextCache *carried,
-                            const char *item,
-                            uint64_t content,
-                            bool *whole)
+lc_text_cache_count_events (const LcTextCache *cache,
+                            const char *item_id,
+                            uint64_t fingerprint,
+                            bool *is_complete)
 {
-  const Entry *entry = find_entry (carried, item);
+  const Entry *entry = find_entry (cache, item_id);
 
-  if (!entry || entry->content.fingerprint != content)
+  if (!entry || entry->text.fingerprint != fingerprint)
     return 0;
-  *whole = entry->content.is_complete;
-  return entry->content.n_events;
+  *is_complete = entry->text.is_complete;
+  return entry->text.n_events;
 }
 
 size_t
-lc_text_cache_count_bytes (const LcTextCache *carried)
+lc_text_cache_count_bytes (const LcTextCache *cache)
 {
-  return carried->bytes;
+  return cache->bytes;
 }
--- a/packages/core/src/quarantine/lc-crash-log.c
+++ b/packages/core/src/quarantine/lc-crash-log.c
@@ -6,9 +6,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Reports of one crash differ by the time until each instance notices its broken connection. */
-#define SAME_CRASH (2 * LB_SEC)
-/* Half a megabyte; some fifty crashes of endpoints that ten instances were working with. */
+/* Instances report one crash at different times, as each notices its broken connection. */
+#define SAME_CRASH_WINDOW (2 * LB_SEC)
+/* Half a megabyte; about fifty crashes of endpoints that ten instances were using. */
 #define MAX_REPORTS 512
 
 void
@@ -19,7 +19,7 @@
 }
 
 static void
-drop_crash (LcCrashLog *log, LcCrash *crash)
+remove_crash (LcCrashLog *log, LcCrash *crash)
 {
   LbLink *link;
 
@@ -35,12 +35,12 @@
 {
   LB_LIST_FOREACH (&log->crashes, LcCrash, link, crash)
   {
-    drop_crash (log, crash);
+    remove_crash (log, crash);
   }
 }
 
 static LcReportEntry *
-find_in (const LcCrash *crash, const char *id)
+find_entry (const LcCrash *crash, const char *id)
 {
   LB_LIST_FOREACH (&crash->entries, LcReportEntry, link, entry)
   {
@@ -55,64 +55,63 @@
 {
   LB_LIST_FOREACH (&log->crashes, LcCrash, link, crash)
   {
-    if (find_in (crash, id))
+    if (find_entry (crash, id))
       return true;
   }
   return false;
 }
 
-/* The oldest crash, of those that keep nobody out if there are any. */
+/* Drops the oldest crash, preferably one that no quarantine is based on. */
 static void
-make_room (LcCrashLog *log)
+evict_crash (LcCrashLog *log)
 {
   LcCrash *oldest = NULL;
 
   LB_LIST_FOREACH (&log->crashes, LcCrash, link, crash)
   {
-    if (!oldest || (oldest->explained && !crash->explained))
+    if (!oldest || (oldest->is_attributed && !crash->is_attributed))
       oldest = crash;
   }
   if (!oldest)
     return;
   lb_log (LB_LOG_WARNING, "crash_reports_dropped", LB_INT ("reports", oldest->entries.length),
           LB_TEXT ("endpoint", oldest->endpoint));
-  drop_crash (log, oldest);
+  remove_crash (log, oldest);
 }
 
 static bool
-is_about (const LcCrash *crash, const LcCrashReport *report)
+is_report_of (const LcCrash *crash, const LcCrashReport *report)
 {
   return strcmp (crash->endpoint, report->endpoint) == 0
-         && llabs (crash->at - report->at) <= SAME_CRASH;
+         && llabs (crash->crashed_at - report->at) <= SAME_CRASH_WINDOW;
 }
 
-/* The crash that the report is about, outside the list: its place there may change. */
+/* Takes the crash out of the list, since the report may change its position there. */
 static LcCrash *
-take_out (LcCrashLog *log, const LcCrashReport *report)
+detach_or_create_crash (LcCrashLog *log, const LcCrashReport *report)
 {
-  LcCrash *fresh = NULL;
+  LcCrash *created = NULL;
 
   LB_LIST_FOREACH (&log->crashes, LcCrash, link, crash)
   {
-    if (!is_about (crash, report))
+    if (!is_report_of (crash, report))
       continue;
     lb_list_remove (&log->crashes, &crash->link);
     return crash;
   }
-  fresh = LB_NEW (LcCrash);
-  lb_list_init (&fresh->entries);
-  LB_COPY (fresh->endpoint, report->endpoint);
-  fresh->at = report->at;
-  return fresh;
+  created = LB_NEW (LcCrash);
+  lb_list_init (&created->entries);
+  LB_COPY (created->endpoint, report->endpoint);
+  created->crashed_at = report->at;
+  return created;
 }
 
-/* Before the first one that was later. */
 static void
-insert (LcCrashLog *log, LcCrash *crash)
+insert_by_time (LcCrashLog *log, LcCrash *crash)
 {
   LB_LIST_FOREACH (&log->crashes, LcCrash, link, other)
   {
-    if (other->at <= crash->at)
+    if (other->crashed_at <= crash->crashed_at)
       continue;
     lb_list_insert_before (&log->crashes, &other->link, &crash->link);
     return;
@@ -129,26 +128,26 @@
   if (is_known (log, report->id))
     return false;
   if (log->n_reports >= MAX_REPORTS)
-    make_room (log);
+    evict_crash (log);
   entry = LB_NEW (LcReportEntry);
   entry->report = *report;
-  crash = take_out (log, report);
+  crash = detach_or_create_crash (log, report);
   lb_list_append (&crash->entries, &entry->link);
   log->n_reports++;
-  if (report->at < crash->at)
-    crash->at = report->at;
-  insert (log, crash);
+  if (report->at < crash->crashed_at)
+    crash->crashed_at = report->at;
+  insert_by_time (log, crash);
   return true;
 }
 
 static void
-drop_entry (LcCrashLog *log, LcCrash *crash, LcReportEntry *entry)
+remove_entry (LcCrashLog *log, LcCrash *crash, LcReportEntry *entry)
 {
   lb_list_remove (&crash->entries, &entry->link);
   free (entry);
   log->n_reports--;
   if (lb_list_is_empty (&crash->entries))
-    drop_crash (log, crash);
+    remove_crash (log, crash);
 }
 
 bool
@@ -156,10 +155,10 @@
 {
   LB_LIST_FOREACH (&log->crashes, LcCrash, link, crash)
   {
-    LcReportEntry *entry = find_in (crash, id);
+    LcReportEntry *entry = find_entry (crash, id);
     if (!entry)
       continue;
-    drop_entry (log, crash, entry);
+    remove_entry (log, crash, entry);
     return true;
   }
   return false;
@@ -168,24 +167,25 @@
 bool
 lc_crash_log_expire (LcCrashLog *log, LbTime before)
 {
-  bool any = false;
+  bool any_removed = false;
 
   LB_LIST_FOREACH (&log->crashes, LcCrash, link, crash)
   {
-    if (crash->at > before)
+    if (crash->crashed_at > before)
       continue;
-    drop_crash (log, crash);
-    any = true;
+    remove_crash (log, crash);
+    any_removed = true;
   }
-  return any;
+  return any_removed;
 }
 
 bool
-lc_crash_names (const LcCrash *crash, LcFingerprint content)
+lc_crash_involves (const LcCrash *crash, LcFingerprint fingerprint)
 {
   LB_LIST_FOREACH (&crash->entries, LcReportEntry, link, entry)
   {
-    if (lc_fingerprint_is_among (content, entry->report.fingerprints, entry->report.n_fingerprints))
+    if (lc_fingerprint_is_among (fingerprint, entry->report.fingerprints,
+                                 entry->report.n_fingerprints))
       return true;
   }
   return false;
--- a/packages/core/src/quarantine/lc-crash-log.h
+++ b/packages/core/src/quarantine/lc-crash-log.h
@@ -3,8 +3,7 @@
 
 #include "lc-quarantine.h"
 
-/* The reports that a quarantine relies on, put together by the crash of an endpoint that they are
- * about. */
+/* Crash reports of a quarantine, grouped by the crash that they are about. */
 
 typedef struct
 {
@@ -12,32 +11,32 @@
   LcCrashReport report;
 } LcReportEntry;
 
-/* An endpoint ended, and one instance or several told so. */
+/* Crash of an endpoint, reported by one instance or several. */
 typedef struct
 {
   LbLink link;
-  LbList entries; /* LcReportEntry; one at least */
+  LbList entries; /* LcReportEntry; at least one */
   LbName endpoint;
-  LbTime at;      /* of the earliest report */
-  bool explained; /* by a content that is blamed; the quarantine's */
+  LbTime crashed_at;  /* time of the earliest report */
+  bool is_attributed; /* attributed to a quarantined fingerprint; set by the quarantine */
 } LcCrash;
 
 typedef struct
 {
-  LbList crashes; /* LcCrash, by time */
+  LbList crashes; /* LcCrash, ordered by crashed_at */
   size_t n_reports;
 } LcCrashLog;
 
 void lc_crash_log_init (LcCrashLog *log);
 void lc_crash_log_clear (LcCrashLog *log);
 
-/* False when the report is known already. */
+/* False if the report is known already. */
 bool lc_crash_log_add (LcCrashLog *log, const LcCrashReport *report);
-/* False when there is no such report. */
+/* False if there is no such report. */
 bool lc_crash_log_withdraw (LcCrashLog *log, const char *id);
-/* Forgets crashes that are not later than this; false when there is none. */
+/* Drops crashes at or before this time; false if there are none. */
 bool lc_crash_log_expire (LcCrashLog *log, LbTime before);
 
-bool lc_crash_names (const LcCrash *crash, LcFingerprint content);
+bool lc_crash_involves (const LcCrash *crash, LcFingerprint fingerprint);
 
 #endif
--- a/packages/core/src/quarantine/lc-fingerprint.c
+++ b/packages/core/src/quarantine/lc-fingerprint.c
@@ -8,14 +8,14 @@
 #define HEX_DIGITS "0123456789abcdef"
 
 static XXH64_hash_t
-add (XXH64_hash_t seed, const char *bytes, size_t length)
+hash_bytes (XXH64_hash_t seed, const char *bytes, size_t length)
 {
   return XXH3_64bits_withSeed (bytes, length, seed);
 }
 
-/* The caller is not part of it: what ends an endpoint is what it is given, whichever caller gives
- * it. Its organisation is: what one of them sends must not be the reason to refuse another. Nor are
- * headers, among which ids and times differ with each attempt. */
+/* The caller is not part of the fingerprint: whoever sends a request, its content makes an endpoint
+ * crash. The organisation is, so that the requests of one cannot cause those of another to be
+ * refused. Headers are not, since ids and times in them differ with each attempt. */
 LcFingerprint
 lc_fingerprint_of_request (const char *organisation,
                            const char *method,
@@ -24,26 +24,28 @@
                            const char *body,
                            size_t body_length)
 {
-  XXH64_hash_t seed = organisation[0] ? add (0, organisation, strlen (organisation)) : 0;
-  XXH64_hash_t hash = add (seed, method, strlen (method));
+  XXH64_hash_t seed = organisation[0] ? hash_bytes (0, organisation, strlen (organisation)) : 0;
+  XXH64_hash_t hash = hash_bytes (seed, method, strlen (method));
 
-  hash = add (hash, host ? host : "", host ? strlen (host) : 0);
-  hash = add (hash, path, strlen (path));
-  hash = add (hash, body, body_length);
+  hash = hash_bytes (hash, host ? host : "", host ? strlen (host) : 0);
+  hash = hash_bytes (hash, path, strlen (path));
+  hash = hash_bytes (hash, body, body_length);
   return hash ? hash : 1;
 }
 
 void
-lc_fingerprint_to_text (LcFingerprint content, char text[LC_FINGERPRINT_TEXT_SIZE])
+lc_fingerprint_to_text (LcFingerprint fingerprint, char text[LC_FINGERPRINT_TEXT_SIZE])
 {
-  snprintf (text, LC_FINGERPRINT_TEXT_SIZE, "%016llx", (unsigned long long)content);
+  snprintf (text, LC_FINGERPRINT_TEXT_SIZE, "%016llx", (unsigned long long)fingerprint);
 }
 
 bool
-lc_fingerprint_is_among (LcFingerprint content, const LcFingerprint *contents, size_t n_contents)
+lc_fingerprint_is_among (LcFingerprint fingerprint,
+                         const LcFingerprint *fingerprints,
+                         size_t n_fingerprints)
 {
-  for (size_t i = 0; i < n_contents; i++)
-    if (contents[i] == content)
+  for (size_t i = 0; i < n_fingerprints; i++)
+    if (fingerprints[i] == fingerprint)
       return true;
   return false;
 }
@@ -51,9 +53,9 @@
 LcFingerprint
 lc_fingerprint_from_text (const char *text)
 {
-  bool is_whole = strlen (text) == LC_FINGERPRINT_TEXT_SIZE - 1;
+  bool has_full_length = strlen (text) == LC_FINGERPRINT_TEXT_SIZE - 1;
 
-  if (!is_whole || strspn (text, HEX_DIGITS) != LC_FINGERPRINT_TEXT_SIZE - 1)
+  if (!has_full_length || strspn (text, HEX_DIGITS) != LC_FINGERPRINT_TEXT_SIZE - 1)
     return 0;
   return strtoull (text, NULL, 16);
 }
--- a/packages/core/src/quarantine/lc-quarantine.c
+++ b/packages/core/src/quarantine/lc-quarantine.c
@@ -9,62 +9,64 @@
 #include <string.h>
 #include <uthash.h>
 
-/* Endpoints that crash under one content before it is kept from them. One or two may be chance: the
- * endpoint to which a request goes next may crash for another reason. */
-#define CRASHES_TO_BLAME 3
-/* How long a report counts: a caller that sends the same for hours costs three starts an hour, and
- * what was blamed wrongly, or was repaired, runs again within the hour. */
-#define TERM (3600 * LB_SEC)
-/* An answer clears the content of crashes that come shortly after it: many callers may ask the
- * same, and all endpoints may crash at once for another reason. */
-#define CLEARED_FOR (2 * LB_SEC)
-/* Of answers given here, a few seconds' worth at two hundred a second. */
-#define MAX_ANSWERED 1024
-
-/* A content that a report names. */
+/* Crashes of endpoints under one request before it is quarantined. One or two may be chance: the
+ * next endpoint that the request is sent to may crash for another reason. */
+#define MIN_CRASHES 3
+/* How long a report counts. A caller that sends the same request for hours causes three restarts an
+ * hour, and a request that was quarantined wrongly, or was repaired, is allowed again within the
+ * hour. */
+#define REPORT_LIFETIME (3600 * LB_SEC)
+/* An answer also clears a request of crashes that follow within this time: many callers may send
+ * the same request, and all endpoints may crash at once for another reason. */
+#define CLEARANCE_WINDOW (2 * LB_SEC)
+/* A few seconds of answers on this instance, at two hundred a second. */
+#define MAX_RECENT_ANSWERS 1024
+
+/* A fingerprint in a crash report. */
 typedef struct
 {
   UT_hash_handle hh;
-  LcFingerprint content;
-  int n_crashes;       /* that no blamed content explains */
-  const LcCrash *last; /* of these */
-  LbTime full_at;      /* of the crash that made them enough to blame it */
-  LbTime until;        /* kept from endpoints; 0: not */
+  LcFingerprint fingerprint;
+  int n_crashes;               /* that are not attributed to a quarantined fingerprint */
+  const LcCrash *last_counted; /* the last one counted */
+  LbTime threshold_at;         /* time of crash number MIN_CRASHES */
+  LbTime quarantined_until;    /* 0: not in quarantine */
 } Suspect;
 
 typedef struct
 {
   UT_hash_handle hh;
-  LcFingerprint content;
-  LbTime at;
+  LcFingerprint fingerprint;
+  LbTime answered_at;
 } Clearance;
 
 typedef struct
 {
-  LcFingerprint content;
-  LbTime at;
-} Answered;
+  LcFingerprint fingerprint;
+  LbTime answered_at;
+} RecentAnswer;
 
 struct LcQuarantine
 {
   LcCrashLog log;
   Suspect *suspects;
   Clearance *clearances;
-  Answered answered[MAX_ANSWERED]; /* a ring */
-  size_t next_answered;
-  LbList to_tell; /* ToTell */
+  RecentAnswer answers[MAX_RECENT_ANSWERS]; /* a ring */
+  size_t next_answer;
+  LbList pending_clearances; /* PendingClearance */
 };
 
 typedef struct
 {
   LbLink link;
-  LcFingerprint content;
-  LbTime at;
-} ToTell;
+  LcFingerprint fingerprint;
+  LbTime answered_at;
+} PendingClearance;
 
-static LbMetric in_quarantine = LB_GAUGE_INIT ("lentilspindle_quarantined_requests",
-                                               NULL,
-                                               "Contents of requests that are kept from endpoints");
+static LbMetric quarantined_requests
+    = LB_GAUGE_INIT ("lentilspindle_quarantined_requests",
+                     NULL,
+                     "Contents of requests that are kept from endpoints");
 
 LcQuarantine *
 lc_quarantine_new (void)
@@ -72,7 +74,7 @@
   LcQuarantine *quarantine = LB_NEW (LcQuarantine);
 
   lc_crash_log_init (&quarantine->log);
-  lb_list_init (&quarantine->to_tell);
+  lb_list_init (&quarantine->pending_clearances);
   return quarantine;
 }
 
@@ -109,204 +111,207 @@
     drop_clearance (quarantine, clearance);
   }
   lc_crash_log_clear (&quarantine->log);
-  while ((link = lb_list_pop (&quarantine->to_tell)))
-    free (LB_CONTAINER (link, ToTell, link));
+  while ((link = lb_list_pop (&quarantine->pending_clearances)))
+    free (LB_CONTAINER (link, PendingClearance, link));
   free (quarantine);
 }
 
-/* --- who is blamed --- */
+/* --- suspects --- */
 
 static Suspect *
-find_suspect (const LcQuarantine *quarantine, LcFingerprint content)
+find_suspect (const LcQuarantine *quarantine, LcFingerprint fingerprint)
 {
   Suspect *suspect = NULL;
 
-  HASH_FIND (hh, quarantine->suspects, &content, sizeof content, suspect);
+  HASH_FIND (hh, quarantine->suspects, &fingerprint, sizeof fingerprint, suspect);
   return suspect;
 }
 
 static Clearance *
-find_clearance (const LcQuarantine *quarantine, LcFingerprint content)
+find_clearance (const LcQuarantine *quarantine, LcFingerprint fingerprint)
 {
   Clearance *clearance = NULL;
 
-  HASH_FIND (hh, quarantine->clearances, &content, sizeof content, clearance);
+  HASH_FIND (hh, quarantine->clearances, &fingerprint, sizeof fingerprint, clearance);
   return clearance;
 }
 
 static bool
-is_cleared (const LcQuarantine *quarantine, LcFingerprint content, LbTime crashed_at)
+is_cleared_of_crash (const LcQuarantine *quarantine, LcFingerprint fingerprint, LbTime crashed_at)
 {
-  const Clearance *clearance = find_clearance (quarantine, content);
+  const Clearance *clearance = find_clearance (quarantine, fingerprint);
 
-  return clearance && crashed_at <= clearance->at + CLEARED_FOR;
+  return clearance && crashed_at <= clearance->answered_at + CLEARANCE_WINDOW;
 }
 
 static Suspect *
-add_suspect (LcQuarantine *quarantine, LcFingerprint content)
+find_or_add_suspect (LcQuarantine *quarantine, LcFingerprint fingerprint)
 {
-  Suspect *suspect = find_suspect (quarantine, content);
+  Suspect *suspect = find_suspect (quarantine, fingerprint);
 
   if (suspect)
     return suspect;
   suspect = LB_NEW (Suspect);
-  suspect->content = content;
-  HASH_ADD (hh, quarantine->suspects, content, sizeof suspect->content, suspect);
+  suspect->fingerprint = fingerprint;
+  HASH_ADD (hh, quarantine->suspects, fingerprint, sizeof suspect->fingerprint, suspect);
   return suspect;
 }
 
 static void
 count_crash (Suspect *suspect, const LcCrash *crash)
 {
-  if (suspect->last == crash)
+  if (suspect->last_counted == crash)
     return;
-  suspect->last = crash;
+  suspect->last_counted = crash;
   suspect->n_crashes++;
-  if (suspect->n_crashes == CRASHES_TO_BLAME)
-    suspect->full_at = crash->at;
+  if (suspect->n_crashes == MIN_CRASHES)
+    suspect->threshold_at = crash->crashed_at;
 }
 
 static void
-count_contents (LcQuarantine *quarantine, const LcCrash *crash)
+count_report_fingerprints (LcQuarantine *quarantine, const LcCrash *crash)
 {
   LB_LIST_FOREACH (&crash->entries, LcReportEntry, link, entry)
   {
     const LcCrashReport *report = &entry->report;
     for (size_t i = 0; i < report->n_fingerprints; i++)
-      if (!is_cleared (quarantine, report->fingerprints[i], crash->at))
-        count_crash (add_suspect (quarantine, report->fingerprints[i]), crash);
+      if (!is_cleared_of_crash (quarantine, report->fingerprints[i], crash->crashed_at))
+        count_crash (find_or_add_suspect (quarantine, report->fingerprints[i]), crash);
   }
 }
 
-/* Counts the crashes under each content anew, without those that a blamed one explains. */
+/* Counts the crashes of each suspect, except those attributed to a quarantined one. */
 static void
-count_crashes (LcQuarantine *quarantine)
+recount_crashes (LcQuarantine *quarantine)
 {
   for (Suspect *suspect = quarantine->suspects; suspect; suspect = suspect->hh.next)
     {
       suspect->n_crashes = 0;
-      suspect->last = NULL;
+      suspect->last_counted = NULL;
     }
   LB_LIST_FOREACH (&quarantine->log.crashes, LcCrash, link, crash)
   {
-    if (!crash->explained)
-      count_contents (quarantine, crash);
+    if (!crash->is_attributed)
+      count_report_fingerprints (quarantine, crash);
   }
 }
 
-/* Positive: a is blamed before b. 0: nothing tells them apart. */
+/* Positive if a is the worse suspect: more crashes or, with as many, MIN_CRASHES of them earlier.
+ * 0: equal. */
 static int
-compare (const Suspect *a, const Suspect *b)
+compare_suspects (const Suspect *a, const Suspect *b)
 {
   if (a->n_crashes != b->n_crashes)
     return a->n_crashes > b->n_crashes ? 1 : -1;
-  if (a->full_at != b->full_at)
-    return a->full_at < b->full_at ? 1 : -1;
+  if (a->threshold_at != b->threshold_at)
+    return a->threshold_at < b->threshold_at ? 1 : -1;
   return 0;
 }
 
-/* NULL: nobody has enough crashes. */
+/* NULL: no suspect has MIN_CRASHES crashes. */
 static const Suspect *
-find_worst (const LcQuarantine *quarantine)
+find_worst_suspect (const LcQuarantine *quarantine)
 {
-  const Suspect *worst = NULL;
+  const Suspect *worst_suspect = NULL;
 
   for (const Suspect *suspect = quarantine->suspects; suspect; suspect = suspect->hh.next)
-    if (suspect->n_crashes >= CRASHES_TO_BLAME && (!worst || compare (suspect, worst) > 0))
-      worst = suspect;
-  return worst;
+    if (suspect->n_crashes >= MIN_CRASHES
+        && (!worst_suspect || compare_suspects (suspect, worst_suspect) > 0))
+      worst_suspect = suspect;
+  return worst_suspect;
 }
 
 static void
-blame (LcQuarantine *quarantine, Suspect *suspect)
+quarantine_suspect (LcQuarantine *quarantine, Suspect *suspect)
 {
   LB_LIST_FOREACH (&quarantine->log.crashes, LcCrash, link, crash)
   {
-    if (!lc_crash_names (crash, suspect->content)
-        || is_cleared (quarantine, suspect->content, crash->at))
+    if (!lc_crash_involves (crash, suspect->fingerprint)
+        || is_cleared_of_crash (quarantine, suspect->fingerprint, crash->crashed_at))
       continue;
-    crash->explained = true;
-    suspect->until = crash->at + TERM;
+    crash->is_attributed = true;
+    suspect->quarantined_until = crash->crashed_at + REPORT_LIFETIME;
   }
 }
 
 static void
-blame_all_like (LcQuarantine *quarantine, const Suspect *worst)
+quarantine_equal_suspects (LcQuarantine *quarantine, const Suspect *worst_suspect)
 {
-  const Suspect like = *worst;
+  const Suspect reference = *worst_suspect;
 
   for (Suspect *suspect = quarantine->suspects; suspect; suspect = suspect->hh.next)
-    if (compare (suspect, &like) == 0)
-      blame (quarantine, suspect);
+    if (compare_suspects (suspect, &reference) == 0)
+      quarantine_suspect (quarantine, suspect);
 }
 
-/* Guards against requests that are kept out for what another one did: an endpoint works on several
- * at once, all of them break with it, and those that are tried again meet the bad one again at the
- * next endpoint. The bad one is under every crash, the others under some; so the one with the most
- * crashes is blamed first, of several the one that had enough of them first, and its crashes do not
- * count against anybody else. */
+/* Guards against quarantining requests for crashes that another one caused. An endpoint processes
+ * several requests at once; all of them fail with it, and those that are retried meet the harmful
+ * one again at the next endpoint. Only the harmful one is involved in every crash. So the suspect
+ * with the most crashes is quarantined first, of several the one that reached MIN_CRASHES first,
+ * and its crashes are not counted against the others. */
 static void
-judge (LcQuarantine *quarantine)
+update_quarantine (LcQuarantine *quarantine)
 {
-  const Suspect *worst;
+  const Suspect *worst_suspect;
 
   drop_suspects (quarantine);
   LB_LIST_FOREACH (&quarantine->log.crashes, LcCrash, link, crash)
   {
-    crash->explained = false;
+    crash->is_attributed = false;
   }
-  count_crashes (quarantine);
-  while ((worst = find_worst (quarantine)))
+  recount_crashes (quarantine);
+  while ((worst_suspect = find_worst_suspect (quarantine)))
     {
-      blame_all_like (quarantine, worst);
-      count_crashes (quarantine);
+      quarantine_equal_suspects (quarantine, worst_suspect);
+      recount_crashes (quarantine);
     }
-  lb_metric_set (&in_quarantine, (int64_t)lc_quarantine_count (quarantine));
+  lb_metric_set (&quarantined_requests, (int64_t)lc_quarantine_count (quarantine));
 }
 
 /* --- reports --- */
 
-static void clear (LcQuarantine *quarantine, LcFingerprint content, LbTime at);
+static void
+clear_fingerprint (LcQuarantine *quarantine, LcFingerprint fingerprint, LbTime answered_at);
 
-/* What was answered here shortly before, or since, speaks for the content. */
+/* Clears fingerprints of the report that an endpoint answered on this instance shortly before the
+ * crash or since. */
 static void
-clear_answered (LcQuarantine *quarantine, const LcCrashReport *report)
+apply_recent_answers (LcQuarantine *quarantine, const LcCrashReport *report)
 {
-  for (size_t i = 0; i < MAX_ANSWERED; i++)
+  for (size_t i = 0; i < MAX_RECENT_ANSWERS; i++)
     {
-      const Answered *answered = &quarantine->answered[i];
-      if (answered->content && report->at <= answered->at + CLEARED_FOR
-          && lc_fingerprint_is_among (answered->content, report->fingerprints,
+      const RecentAnswer *answer = &quarantine->answers[i];
+      if (answer->fingerprint && report->at <= answer->answered_at + CLEARANCE_WINDOW
+          && lc_fingerprint_is_among (answer->fingerprint, report->fingerprints,
                                       report->n_fingerprints))
-        clear (quarantine, answered->content, answered->at);
+        clear_fingerprint (quarantine, answer->fingerprint, answer->answered_at);
     }
 }
 
 static void
 log_quarantined (const LcQuarantine *quarantine, const LcCrashReport *report, LbTime now)
 {
-  char content[LC_FINGERPRINT_TEXT_SIZE];
+  char text[LC_FINGERPRINT_TEXT_SIZE];
 
   for (size_t i = 0; i < report->n_fingerprints; i++)
     {
       LbTime until = lc_quarantine_ends_at (quarantine, report->fingerprints[i]);
       if (until == 0)
         continue;
-      lc_fingerprint_to_text (report->fingerprints[i], content);
-      lb_log (LB_LOG_WARNING, "request_quarantined", LB_TEXT ("content", content),
+      lc_fingerprint_to_text (report->fingerprints[i], text);
+      lb_log (LB_LOG_WARNING, "request_quarantined", LB_TEXT ("content", text),
               LB_TEXT ("endpoint", report->endpoint), LB_TEXT ("report", report->id),
-              LB_INT ("crashes_to_blame", CRASHES_TO_BLAME),
-              LB_INT ("for_s", (until - now) / LB_SEC));
+              LB_INT ("crashes_to_blame", MIN_CRASHES), LB_INT ("for_s", (until - now) / LB_SEC));
     }
 }
 
 void
 lc_quarantine_add_report (LcQuarantine *quarantine, const LcCrashReport *report, LbTime now)
 {
-  if (report->at + TERM <= now || !lc_crash_log_add (&quarantine->log, report))
+  if (report->at + REPORT_LIFETIME <= now || !lc_crash_log_add (&quarantine->log, report))
     return;
-  clear_answered (quarantine, report);
-  judge (quarantine);
+  apply_recent_answers (quarantine, report);
+  update_quarantine (quarantine);
   log_quarantined (quarantine, report, now);
 }
 
@@ -314,65 +319,69 @@
 lc_quarantine_withdraw_report (LcQuarantine *quarantine, const char *id)
 {
   if (lc_crash_log_withdraw (&quarantine->log, id))
-    judge (quarantine);
+    update_quarantine (quarantine);
 }
 
 /* --- answers --- */
 
 void
-lc_quarantine_add_clearance (LcQuarantine *quarantine, LcFingerprint content, LbTime at)
+lc_quarantine_add_clearance (LcQuarantine *quarantine,
+                             LcFingerprint fingerprint,
+                             LbTime answered_at)
 {
-  Clearance *clearance = find_clearance (quarantine, content);
+  Clearance *clearance = find_clearance (quarantine, fingerprint);
 
   if (!clearance)
     {
       clearance = LB_NEW (Clearance);
-      clearance->content = content;
-      HASH_ADD (hh, quarantine->clearances, content, sizeof clearance->content, clearance);
+      clearance->fingerprint = fingerprint;
+      HASH_ADD (hh, quarantine->clearances, fingerprint, sizeof clearance->fingerprint, clearance);
     }
-  if (at > clearance->at)
-    clearance->at = at;
-  judge (quarantine);
+  if (answered_at > clearance->answered_at)
+    clearance->answered_at = answered_at;
+  update_quarantine (quarantine);
 }
 
 static void
-clear (LcQuarantine *quarantine, LcFingerprint content, LbTime at)
+clear_fingerprint (LcQuarantine *quarantine, LcFingerprint fingerprint, LbTime answered_at)
 {
-  const Clearance *known = find_clearance (quarantine, content);
-  ToTell *to_tell = NULL;
+  const Clearance *known = find_clearance (quarantine, fingerprint);
+  PendingClearance *pending = NULL;
 
-  if (known && known->at >= at)
+  if (known && known->answered_at >= answered_at)
     return;
-  to_tell = LB_NEW (ToTell);
-  to_tell->content = content;
-  to_tell->at = at;
-  lb_list_append (&quarantine->to_tell, &to_tell->link);
-  lc_quarantine_add_clearance (quarantine, content, at);
+  pending = LB_NEW (PendingClearance);
+  pending->fingerprint = fingerprint;
+  pending->answered_at = answered_at;
+  lb_list_append (&quarantine->pending_clearances, &pending->link);
+  lc_quarantine_add_clearance (quarantine, fingerprint, answered_at);
 }
 
 void
-lc_quarantine_record_answer (LcQuarantine *quarantine, LcFingerprint content, LbTime now)
+lc_quarantine_record_answer (LcQuarantine *quarantine, LcFingerprint fingerprint, LbTime now)
 {
-  if (content == 0)
+  if (fingerprint == 0)
     return;
-  quarantine->answered[quarantine->next_answered] = (Answered){ content, now };
-  quarantine->next_answered = (quarantine->next_answered + 1) % MAX_ANSWERED;
-  if (find_suspect (quarantine, content))
-    clear (quarantine, content, now);
+  quarantine->answers[quarantine->next_answer] = (RecentAnswer){ fingerprint, now };
+  quarantine->next_answer = (quarantine->next_answer + 1) % MAX_RECENT_ANSWERS;
+  if (find_suspect (quarantine, fingerprint))
+    clear_fingerprint (quarantine, fingerprint, now);
 }
 
 bool
-lc_quarantine_pop_clearance (LcQuarantine *quarantine, LcFingerprint *content, LbTime *answered_at)
+lc_quarantine_pop_clearance (LcQuarantine *quarantine,
+                             LcFingerprint *fingerprint,
+                             LbTime *answered_at)
 {
-  LbLink *link = lb_list_pop (&quarantine->to_tell);
-  ToTell *to_tell = NULL;
+  LbLink *link = lb_list_pop (&quarantine->pending_clearances);
+  PendingClearance *pending = NULL;
 
   if (!link)
     return false;
-  to_tell = LB_CONTAINER (link, ToTell, link);
-  *content = to_tell->content;
-  *answered_at = to_tell->at;
-  free (to_tell);
+  pending = LB_CONTAINER (link, PendingClearance, link);
+  *fingerprint = pending->fingerprint;
+  *answered_at = pending->answered_at;
+  free (pending);
   return true;
 }
 
@@ -385,19 +394,19 @@
 
   HASH_ITER (hh, quarantine->clearances, clearance, next)
   {
-    if (clearance->at + TERM <= now)
+    if (clearance->answered_at + REPORT_LIFETIME <= now)
       drop_clearance (quarantine, clearance);
   }
-  if (lc_crash_log_expire (&quarantine->log, now - TERM))
-    judge (quarantine);
+  if (lc_crash_log_expire (&quarantine->log, now - REPORT_LIFETIME))
+    update_quarantine (quarantine);
 }
 
 LbTime
-lc_quarantine_ends_at (const LcQuarantine *quarantine, LcFingerprint content)
+lc_quarantine_ends_at (const LcQuarantine *quarantine, LcFingerprint fingerprint)
 {
-  const Suspect *suspect = find_suspect (quarantine, content);
+  const Suspect *suspect = find_suspect (quarantine, fingerprint);
 
-  return suspect ? suspect->until : 0;
+  return suspect ? suspect->quarantined_until : 0;
 }
 
 size_t
@@ -406,12 +415,12 @@
   size_t n = 0;
 
   for (const Suspect *suspect = quarantine->suspects; suspect; suspect = suspect->hh.next)
-    n += suspect->until > 0;
+    n += suspect->quarantined_until > 0;
   return n;
 }
 
 LbTime
 lc_quarantine_report_lifetime (void)
 {
-  return TERM;
+  return REPORT_LIFETIME;
 }
--- a/packages/node/src/endpoints/ln-crash-frame.h
+++ b/packages/node/src/endpoints/ln-crash-frame.h
@@ -4,9 +4,8 @@
 #include "lc-quarantine.h"
 #include "ln-messages.h"
 
-#define LN_CRASH_TEXT_SIZE                                                                         \
-  2048 /* a report of LC_MAX_REPORT_FINGERPRINTS contents and its names                            \
-        */
+/* A report of LC_MAX_REPORT_FINGERPRINTS contents and its names. */
+#define LN_CRASH_TEXT_SIZE 2048
 
 /* A row of ln-crash-row in a frame between instances. */
 typedef struct
