--- a/packages/core/src/batch/lc-batch-private.h
+++ b/packages/core/src/batch/lc-batch-private.h
@@ -5,8 +5,8 @@
 #include "lc-straggler.h"
 
 /* Shared by the files of LcBatch: lc-batch.c runs the items, lc-batch-write.c writes their results,
- * lc-batch-review.c moves items whose streams are slow and restarts those whose text is unusable.
- * */
+ * lc-batch-review.c moves items whose streams are slow and restarts those whose text is
+ * unusable. */
 
 /* A transaction of the store takes at most 100 entries. */
 #define LC_BATCH_MAX_RESULTS_PER_WRITE 40
--- a/packages/core/src/batch/lc-batch-review.c
+++ b/packages/core/src/batch/lc-batch-review.c
@@ -9,8 +9,8 @@
 #define MAX_MOVES 3
 /* A review that is this late means that this instance itself was paused. */
 #define MIN_OWN_PAUSE (300 * LB_MSEC)
-/* Weight of the trainer's waiting time against the extra work of a move; 1: only the time counts.
- * */
+/* Weight of the trainer's waiting time against the extra work of a move; 1: only the time
+ * counts. */
 #define IDLE_WEIGHT 1.0
 
 /* Seconds saved if the item moves to another endpoint now; 0 or less: it should stay. */
--- a/packages/core/tests/fake-engines.h
+++ b/packages/core/tests/fake-engines.h
@@ -8,9 +8,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Engines of one pool in virtual time, and the part of the node that orders and reads them. */
+/* Simulates the engines of one pool, and the node that orders version changes from them and reads
+ * their reports, in virtual time. */
 
-#define FAKE_STEP (50 * LB_MSEC)
+#define FAKE_TICK_PERIOD (50 * LB_MSEC)
 
 typedef struct
 {
@@ -21,9 +22,9 @@
   LbTime loaded_at;
   LbTime next_report;
   int incarnation;
-  int fail_loads; /* how many of the next loads fail */
+  int fail_loads; /* number of next loads that fail */
   bool dead;
-  bool ignores_orders; /* takes the order and does nothing */
+  bool ignores_orders; /* accepts orders without carrying them out */
 } FakeEngine;
 
 typedef struct
@@ -34,15 +35,15 @@
   size_t n;
   LbTime now;
   LbTime load_time;
-  LbTime load_jitter;  /* engine i takes up to this much longer, evenly spread over the engines */
-  LbTime swap_period;  /* between reports of an engine in a swap */
-  LbTime period;       /* of the others */
-  LbTime answer_limit; /* of the next holder; 0: the default */
+  LbTime load_jitter;  /* largest additional load time; engine i takes i/n of it */
+  LbTime swap_period;  /* between reports of an engine that changes its version */
+  LbTime period;       /* between reports of other engines */
+  LbTime answer_limit; /* of the next lease holder; 0: the default */
   bool fenced;
   bool unfenced;
   size_t orders;
-  size_t most_out;      /* engines that served nothing at the same time, at most */
-  size_t most_swapping; /* loading at the same time, at most */
+  size_t most_out;      /* largest number of engines that were unavailable at the same time */
+  size_t most_swapping; /* largest number of engines that were loading at the same time */
 } FakePool;
 
 static inline void
@@ -72,7 +73,7 @@
       snprintf (member->name, sizeof member->name, "engine-%04zu", i);
       LB_COPY (pool->engines[i].name, member->name);
       pool->engines[i].version = version;
-      pool->engines[i].next_report = pool->now + (LbTime)(i % 20) * FAKE_STEP;
+      pool->engines[i].next_report = pool->now + (LbTime)(i % 20) * FAKE_TICK_PERIOD;
     }
   lc_weights_settings_init (&settings, "reader");
   pool->weights = lc_weights_new (&settings);
@@ -88,7 +89,7 @@
   free (pool->engines);
 }
 
-/* Another instance holds the lease from now: it knows nothing but what engines say. */
+/* Moves the lease to another instance, which knows only what the engines report. */
 static inline void
 fake_pool_new_holder (FakePool *pool, LcVersion newest)
 {
@@ -189,7 +190,7 @@
 static inline void
 fake_pool_run (FakePool *pool, LbTime duration)
 {
-  for (LbTime until = pool->now + duration; pool->now < until; pool->now += FAKE_STEP)
+  for (LbTime until = pool->now + duration; pool->now < until; pool->now += FAKE_TICK_PERIOD)
     {
       for (size_t i = 0; i < pool->n; i++)
         fake_engine_step (pool, &pool->engines[i]);
@@ -208,7 +209,8 @@
   return n;
 }
 
-/* How long until all engines but the dead ones serve the version; at most limit. */
+/* Runs until all engines except dead ones serve the version, at most for limit; returns the time
+ * that it took. */
 static inline LbTime
 fake_pool_run_until_done (FakePool *pool, LcVersion version, LbTime limit)
 {
@@ -218,7 +220,7 @@
   for (size_t i = 0; i < pool->n; i++)
     dead += pool->engines[i].dead;
   while (fake_pool_count (pool, version) < pool->n - dead && pool->now - start < limit)
-    fake_pool_run (pool, FAKE_STEP);
+    fake_pool_run (pool, FAKE_TICK_PERIOD);
   return pool->now - start;
 }
 
--- a/packages/core/tests/test-batch-head.c
+++ b/packages/core/tests/test-batch-head.c
@@ -6,7 +6,7 @@
 #include <json-c/json.h>
 #include <string.h>
 
-Test (batch_head, says_the_same_after_a_round_trip)
+Test (batch_head, json_round_trip_keeps_all_fields)
 {
   LcBatchHead head = { .epoch = 2, .n_items = 64, .expected_tokens = 900, .ended = true };
   LcBatchHead read;
@@ -22,8 +22,8 @@
   json_object_put (object);
 }
 
-/* A row that somebody else wrote, or half of one, must not become a batch without items. */
-Test (batch_head, nonsense_is_no_row)
+/* A foreign or truncated row must not become a batch without items. */
+Test (batch_head, rejects_incomplete_rows)
 {
   static const char *const texts[]
       = { "{}", "{\"batch\": \"b\", \"epoch\": 1, \"total\": 0}", "{\"batch\": 4, \"epoch\": 1}" };
@@ -37,9 +37,8 @@
     }
 }
 
-/* A batch that was offered a moment ago goes to the one it was offered to; one that changed its
- * owner is where that one is. */
-Test (batch_head, the_runner_is_who_was_offered_it_until_another_takes_it)
+/* A new batch runs on its preferred instance; after a change of owner it runs on that owner. */
+Test (batch_head, batch_is_assigned_to_its_preferred_instance_until_the_owner_changes)
 {
   LcBatchHead head = { .epoch = 1, .owner = "a", .preferred_instance = "b" };
 
@@ -48,16 +47,16 @@
   cr_assert_str_eq (lc_batch_head_assigned_instance (&head), "a");
 }
 
-/* Two steps of a model run on two instances, since an owner died. The first one ends, which writes
- * its row anew; the third step must join the second. It went to the first one's instance, the
- * fourth to the second one's, and both kept connections to all engines for good. */
-Test (batch_head, the_next_batch_joins_what_runs_rather_than_what_ended_last)
+/* After an owner died, two steps of a model run on two instances. The first step ends, which writes
+ * its row again; the third step must join the second. It went to the instance of the first step,
+ * and the fourth to that of the second, so both instances kept connections to all engines. */
+Test (batch_head, next_batch_joins_a_running_batch_rather_than_an_ended_one)
 {
   const LcBatchHead ended = { .ended = true };
-  const LcBatchHead runs = { .ended = false };
+  const LcBatchHead running = { .ended = false };
 
-  cr_assert (lc_batch_head_is_preferred_over (&runs, 5, &ended, 9));
-  cr_assert_not (lc_batch_head_is_preferred_over (&ended, 9, &runs, 5));
-  cr_assert (lc_batch_head_is_preferred_over (&runs, 9, &runs, 5));
+  cr_assert (lc_batch_head_is_preferred_over (&running, 5, &ended, 9));
+  cr_assert_not (lc_batch_head_is_preferred_over (&ended, 9, &running, 5));
+  cr_assert (lc_batch_head_is_preferred_over (&running, 9, &running, 5));
   cr_assert (lc_batch_head_is_preferred_over (&ended, 9, &ended, 5));
 }
--- a/packages/core/tests/test-batch.c
+++ b/packages/core/tests/test-batch.c
@@ -8,33 +8,33 @@
 
 #define MAX_ITEMS 9
 
-/* A batch, and the last thing that it asked for each item. */
+/* A batch and its latest action for each item. */
 typedef struct
 {
   LcBatch *batch;
-  LcRequestId last_id;
+  LcRequestId last_request_id;
   LbList actions;
   LbTime now;
-  LcRequestId running[MAX_ITEMS]; /* 0: none */
+  LcRequestId generating[MAX_ITEMS]; /* 0: none */
   int64_t resume_at[MAX_ITEMS];
   LbTime latest_start[MAX_ITEMS];
   LcRequestId scoring[MAX_ITEMS];
-  int stopped;
-  int recalled;
-  int64_t position; /* of the last WRITE */
-  char written[MAX_ITEMS][16];
+  int n_cancelled;
+  int n_preempted;
+  int64_t first_position; /* of the last write */
+  char written_items[MAX_ITEMS][16];
   bool completed[MAX_ITEMS];
-  size_t n_written; /* results in the last WRITE */
-  int writes;
+  size_t n_written; /* results in the last write */
+  int n_writes;
   size_t n_parts;
   int64_t part_events;
   char part_text[64];
 } Fixture;
 
 static LcRequestId
-next_id (void *user)
+next_request_id (void *user)
 {
-  return ++((Fixture *)user)->last_id;
+  return ++((Fixture *)user)->last_request_id;
 }
 
 static LcBatchSpec
@@ -55,20 +55,20 @@
 }
 
 static void
-take_write (Fixture *f, const LcBatchAction *action)
+record_write (Fixture *f, const LcBatchAction *action)
 {
-  f->writes++;
-  f->position = action->first_position;
+  f->n_writes++;
+  f->first_position = action->first_position;
   f->n_written = action->n_results;
   for (size_t i = 0; i < action->n_results && i < MAX_ITEMS; i++)
     {
-      snprintf (f->written[i], sizeof f->written[i], "%s", action->results[i]->item);
+      snprintf (f->written_items[i], sizeof f->written_items[i], "%s", action->results[i]->item);
       f->completed[i] = action->results[i]->completed;
     }
 }
 
 static void
-take_actions (Fixture *f)
+handle_actions (Fixture *f)
 {
   LbLink *link;
 
@@ -78,7 +78,7 @@
       switch (action->type)
         {
         case LC_BATCH_GENERATE:
-          f->running[action->item_index] = action->request;
+          f->generating[action->item_index] = action->request;
           f->resume_at[action->item_index] = action->resume_at;
           f->latest_start[action->item_index] = action->latest_start;
           break;
@@ -86,13 +86,13 @@
           f->scoring[action->item_index] = action->request;
           break;
         case LC_BATCH_CANCEL:
-          f->stopped++;
+          f->n_cancelled++;
           break;
         case LC_BATCH_PREEMPT:
-          f->recalled++;
+          f->n_preempted++;
           break;
         case LC_BATCH_WRITE_RESULTS:
-          take_write (f, action);
+          record_write (f, action);
           break;
         case LC_BATCH_CHECKPOINT:
           f->n_parts = action->n_parts;
@@ -112,7 +112,7 @@
   memset (f, 0, sizeof *f);
   lb_list_init (&f->actions);
   f->now = LB_SEC;
-  settings.next_request_id = next_id;
+  settings.next_request_id = next_request_id;
   settings.user = f;
   if (settings.max_failures == 0)
     settings.max_failures = 3;
@@ -124,30 +124,30 @@
 }
 
 static void
-start (Fixture *f)
+start_batch (Fixture *f)
 {
   lc_batch_start (f->batch, f->now, &f->actions);
-  take_actions (f);
+  handle_actions (f);
 }
 
 static void
-piece (Fixture *f, int item, LcVersion version, const char *text)
+add_piece (Fixture *f, int item, LcVersion version, const char *text)
 {
-  lc_batch_add_piece (f->batch, f->running[item], version, "engine-1", text, f->now);
+  lc_batch_add_piece (f->batch, f->generating[item], version, "engine-1", text, f->now);
 }
 
 static void
-end (Fixture *f, int item, LbErrorCode error)
+finish_generation (Fixture *f, int item, LbErrorCode error)
 {
-  lc_batch_finish_generation (f->batch, f->running[item], error, f->now, &f->actions);
-  take_actions (f);
+  lc_batch_finish_generation (f->batch, f->generating[item], error, f->now, &f->actions);
+  handle_actions (f);
 }
 
 static void
-written (Fixture *f, bool ok)
+finish_write (Fixture *f, bool ok)
 {
   lc_batch_finish_write (f->batch, ok, f->now, &f->actions);
-  take_actions (f);
+  handle_actions (f);
 }
 
 static void
@@ -155,7 +155,7 @@
 {
   f->now += later;
   lc_batch_tick (f->batch, f->now, &f->actions);
-  take_actions (f);
+  handle_actions (f);
 }
 
 static void
@@ -164,174 +164,175 @@
   lc_batch_free (f->batch);
 }
 
-Test (batch, a_text_is_scored_only_when_it_is_whole_and_listed_with_its_score)
+Test (batch, complete_text_is_scored_before_it_is_listed)
 {
   Fixture f;
 
   fixture_init (&f, 1, true, (LcBatchSettings){ .resumable = true });
-  start (&f);
-  piece (&f, 0, 4, "a");
-  piece (&f, 0, 5, "b");
+  start_batch (&f);
+  add_piece (&f, 0, 4, "a");
+  add_piece (&f, 0, 5, "b");
   cr_assert_eq (f.scoring[0], 0);
-  end (&f, 0, LB_OK);
+  finish_generation (&f, 0, LB_OK);
   cr_assert_neq (f.scoring[0], 0);
-  cr_assert_eq (f.writes, 0, "nothing is listed without its score");
+  cr_assert_eq (f.n_writes, 0, "a result must not be written before it is scored");
   lc_batch_finish_scoring (f.batch, f.scoring[0], LB_OK, "0.5", f.now, &f.actions);
-  take_actions (&f);
-  cr_assert_eq (f.writes, 1);
+  handle_actions (&f);
+  cr_assert_eq (f.n_writes, 1);
   cr_assert (f.completed[0]);
-  written (&f, true);
+  finish_write (&f, true);
   cr_assert (lc_batch_is_done (f.batch));
   fixture_clear (&f);
 }
 
-/* An engine crashes after two events of a text. It goes on elsewhere behind them, and the label
- * names the versions of both runs, since the text holds events of both. */
-Test (batch, a_broken_run_goes_on_behind_what_it_brought)
+/* An engine crashes after two events of a text. The next request continues the text after them, and
+ * the label holds the versions of both requests. */
+Test (batch, broken_stream_resumes_after_its_last_event)
 {
   Fixture f;
 
   fixture_init (&f, 1, false, (LcBatchSettings){ .resumable = true });
-  start (&f);
-  piece (&f, 0, 4, "a");
-  piece (&f, 0, 4, "b");
-  LcRequestId first = f.running[0];
-  end (&f, 0, LB_ERROR_STREAM_BROKEN);
+  start_batch (&f);
+  add_piece (&f, 0, 4, "a");
+  add_piece (&f, 0, 4, "b");
+  LcRequestId previous = f.generating[0];
+  finish_generation (&f, 0, LB_ERROR_STREAM_BROKEN);
   tick (&f, LB_SEC);
-  cr_assert_neq (f.running[0], first);
+  cr_assert_neq (f.generating[0], previous);
   cr_assert_eq (f.resume_at[0], 2);
-  piece (&f, 0, 5, "c");
-  end (&f, 0, LB_OK);
+  add_piece (&f, 0, 5, "c");
+  finish_generation (&f, 0, LB_OK);
   cr_assert_eq (f.n_written, 1);
   fixture_clear (&f);
 }
 
-/* A text is made under weights that are older than the step allows. It is thrown away whole and
- * made again: neither a label that hides them nor a stale sample may reach the trainer. */
-Test (batch, a_text_of_weights_too_old_is_made_again_from_the_start)
+/* A text generated by weights older than the step allows is discarded and restarts: neither a false
+ * label nor a stale sample may reach the trainer. */
+Test (batch, text_of_too_old_version_restarts)
 {
   Fixture f;
 
   fixture_init (&f, 1, false, (LcBatchSettings){ .resumable = true });
-  start (&f);
-  piece (&f, 0, 3, "a");
-  end (&f, 0, LB_OK);
-  cr_assert_eq (f.writes, 0);
+  start_batch (&f);
+  add_piece (&f, 0, 3, "a");
+  finish_generation (&f, 0, LB_OK);
+  cr_assert_eq (f.n_writes, 0);
   tick (&f, LB_SEC);
   cr_assert_eq (f.resume_at[0], 0);
   fixture_clear (&f);
 }
 
-/* The first event shows that the weights are too old. The rest of the text, six seconds of it, is
- * not awaited. */
-Test (batch, a_text_that_cannot_be_used_is_stopped_early)
+/* The first event shows that the weights are too old. The other six seconds of the text are not
+ * awaited. */
+Test (batch, unusable_text_is_cancelled_before_it_is_complete)
 {
   Fixture f;
 
   fixture_init (&f, 1, false, (LcBatchSettings){ .resumable = true });
-  start (&f);
-  LcRequestId first = f.running[0];
-  piece (&f, 0, 3, "a");
+  start_batch (&f);
+  LcRequestId previous = f.generating[0];
+  add_piece (&f, 0, 3, "a");
   tick (&f, 200 * LB_MSEC);
-  cr_assert_eq (f.stopped, 1);
+  cr_assert_eq (f.n_cancelled, 1);
   tick (&f, LB_SEC);
-  cr_assert_neq (f.running[0], first);
+  cr_assert_neq (f.generating[0], previous);
   cr_assert_eq (f.resume_at[0], 0);
   fixture_clear (&f);
 }
 
-Test (batch, a_text_of_two_versions_is_made_again_where_one_is_asked_for)
+Test (batch, single_version_text_restarts_after_a_version_change)
 {
   Fixture f;
 
   fixture_init (&f, 1, false, (LcBatchSettings){ .resumable = true, .single_version = true });
-  start (&f);
-  piece (&f, 0, 4, "a");
-  piece (&f, 0, 5, "b");
-  end (&f, 0, LB_OK);
-  cr_assert_eq (f.writes, 0);
+  start_batch (&f);
+  add_piece (&f, 0, 4, "a");
+  add_piece (&f, 0, 5, "b");
+  finish_generation (&f, 0, LB_OK);
+  cr_assert_eq (f.n_writes, 0);
   fixture_clear (&f);
 }
 
-/* The store carries a write out and its answer is lost. The same results are written again at the
- * same positions, also when another one got ready meanwhile: were that one put first, a position
- * would hold two results. */
-Test (batch, a_write_without_answer_is_repeated_with_the_same_content)
+/* The store carries out a write whose answer is lost. The same results are written again at the
+ * same positions, even if another one became ready meanwhile; otherwise a position would hold two
+ * results. */
+Test (batch, failed_write_is_repeated_with_the_same_results)
 {
   Fixture f;
 
   fixture_init (&f, 2, false, (LcBatchSettings){ .resumable = true });
-  start (&f);
-  piece (&f, 1, 4, "x");
-  end (&f, 1, LB_OK);
-  cr_assert_str_eq (f.written[0], "item-1");
-  piece (&f, 0, 4, "y");
-  end (&f, 0, LB_OK);
-  cr_assert_eq (f.writes, 1, "one write is on its way at a time");
-  written (&f, false);
+  start_batch (&f);
+  add_piece (&f, 1, 4, "x");
+  finish_generation (&f, 1, LB_OK);
+  cr_assert_str_eq (f.written_items[0], "item-1");
+  add_piece (&f, 0, 4, "y");
+  finish_generation (&f, 0, LB_OK);
+  cr_assert_eq (f.n_writes, 1, "only one write may be in progress");
+  finish_write (&f, false);
   tick (&f, 200 * LB_MSEC);
-  cr_assert_eq (f.writes, 2);
-  cr_assert_eq (f.position, 0);
+  cr_assert_eq (f.n_writes, 2);
+  cr_assert_eq (f.first_position, 0);
   cr_assert_eq (f.n_written, 1);
-  cr_assert_str_eq (f.written[0], "item-1");
-  written (&f, true);
-  cr_assert_eq (f.position, 1);
-  cr_assert_str_eq (f.written[0], "item-0");
+  cr_assert_str_eq (f.written_items[0], "item-1");
+  finish_write (&f, true);
+  cr_assert_eq (f.first_position, 1);
+  cr_assert_str_eq (f.written_items[0], "item-0");
   fixture_clear (&f);
 }
 
-/* An engine answers each run of an item with a failure. After the route's number of attempts the
- * item is given up; one less would take a sample from the trainer that could have been made. */
-Test (batch, an_item_is_given_up_after_the_failures_that_the_route_allows)
+/* An engine fails each request of an item. The item is abandoned after max_failures of them, and
+ * not earlier, since the trainer would miss a sample that could have been generated. */
+Test (batch, item_is_abandoned_after_max_failures)
 {
   Fixture f;
 
   fixture_init (&f, 1, false, (LcBatchSettings){ .resumable = true, .max_failures = 2 });
-  start (&f);
-  end (&f, 0, LB_ERROR_ENDPOINT_FAILED);
-  cr_assert_eq (f.writes, 0);
+  start_batch (&f);
+  finish_generation (&f, 0, LB_ERROR_ENDPOINT_FAILED);
+  cr_assert_eq (f.n_writes, 0);
   tick (&f, LB_SEC);
-  end (&f, 0, LB_ERROR_NO_ENDPOINT);
+  finish_generation (&f, 0, LB_ERROR_NO_ENDPOINT);
   tick (&f, LB_SEC);
-  cr_assert_eq (f.writes, 0, "only answers that say so count as failures");
-  end (&f, 0, LB_ERROR_ENDPOINT_FAILED);
-  cr_assert_eq (f.writes, 1);
+  cr_assert_eq (f.n_writes, 0, "only LB_ERROR_ENDPOINT_FAILED counts as a failure");
+  finish_generation (&f, 0, LB_ERROR_ENDPOINT_FAILED);
+  cr_assert_eq (f.n_writes, 1);
   cr_assert_not (f.completed[0]);
   fixture_clear (&f);
 }
 
-Test (batch, an_item_that_can_never_be_done_is_given_up_at_once)
+Test (batch, rejected_item_is_abandoned_at_once)
 {
   Fixture f;
 
   fixture_init (&f, 1, false, (LcBatchSettings){ .resumable = true });
-  start (&f);
-  end (&f, 0, LB_ERROR_REJECTED);
-  cr_assert_eq (f.writes, 1);
+  start_batch (&f);
+  finish_generation (&f, 0, LB_ERROR_REJECTED);
+  cr_assert_eq (f.n_writes, 1);
   cr_assert_not (f.completed[0]);
   fixture_clear (&f);
 }
 
-Test (batch, what_is_not_done_in_time_is_given_up_and_its_work_stopped)
+Test (batch, unfinished_items_are_cancelled_and_abandoned_at_the_deadline)
 {
   Fixture f;
 
   fixture_init (&f, 2, false, (LcBatchSettings){ .resumable = true, .deadline = 5 * LB_SEC });
-  start (&f);
+  start_batch (&f);
   tick (&f, LB_SEC);
-  cr_assert_eq (f.stopped, 0);
+  cr_assert_eq (f.n_cancelled, 0);
   tick (&f, 5 * LB_SEC);
-  cr_assert_eq (f.stopped, 2);
-  cr_assert_eq (f.n_written, 1, "the first write holds what was ready when it was made");
-  written (&f, true);
-  written (&f, true);
+  cr_assert_eq (f.n_cancelled, 2);
+  cr_assert_eq (f.n_written, 1,
+                "the first write holds the results that were ready when it started");
+  finish_write (&f, true);
+  finish_write (&f, true);
   cr_assert (lc_batch_is_done (f.batch));
   fixture_clear (&f);
 }
 
-/* The owner is killed. The next one finds two results listed and the beginning of a third text: it
- * runs neither of the two again, writes behind them, and goes on with the third. */
-Test (batch, the_next_owner_goes_on_where_the_last_one_ended)
+/* After the owner is killed, the next one finds two listed results and a part of a third text. It
+ * does not generate the two again, writes behind them and continues the third. */
+Test (batch, next_owner_continues_listed_and_partial_items)
 {
   const LcVersion versions[] = { 4 };
   const LcBatchTextPart part = {
@@ -343,25 +344,25 @@
   lc_batch_mark_listed (f.batch, "item-0");
   lc_batch_mark_listed (f.batch, "item-3");
   lc_batch_restore_text_part (f.batch, &part);
-  start (&f);
-  cr_assert_eq (f.running[0], 0);
-  cr_assert_eq (f.running[3], 0);
-  cr_assert_neq (f.running[1], 0);
+  start_batch (&f);
+  cr_assert_eq (f.generating[0], 0);
+  cr_assert_eq (f.generating[3], 0);
+  cr_assert_neq (f.generating[1], 0);
   cr_assert_eq (f.resume_at[2], 3);
-  piece (&f, 1, 5, "z");
-  end (&f, 1, LB_OK);
-  cr_assert_eq (f.position, 2);
+  add_piece (&f, 1, 5, "z");
+  finish_generation (&f, 1, LB_OK);
+  cr_assert_eq (f.first_position, 2);
   fixture_clear (&f);
 }
 
-Test (batch, keeps_the_texts_so_far_once_a_second)
+Test (batch, checkpoint_is_written_only_for_new_events)
 {
   Fixture f;
 
   fixture_init (&f, 1, false, (LcBatchSettings){ .resumable = true });
-  start (&f);
+  start_batch (&f);
   for (int i = 0; i < 9; i++)
-    piece (&f, 0, 4, "w");
+    add_piece (&f, 0, 4, "w");
   tick (&f, 2 * LB_SEC);
   cr_assert_eq (f.n_parts, 1);
   cr_assert_eq (f.part_events, 9);
@@ -369,11 +370,11 @@
   f.n_parts = 0;
   lc_batch_finish_checkpoint (f.batch, true);
   tick (&f, 2 * LB_SEC);
-  cr_assert_eq (f.n_parts, 0, "nothing has come since");
+  cr_assert_eq (f.n_parts, 0, "no checkpoint without new events");
   fixture_clear (&f);
 }
 
-/* A step of two texts, the first ten times as long as the second. */
+/* A step of two texts; the first is expected to be ten times as long as the second. */
 static void
 start_step (Fixture *f, LbTime due_at)
 {
@@ -381,7 +382,7 @@
   LcBatchSettings settings = { .due_at = due_at,
                                .max_failures = 3,
                                .deadline = LB_TIME_NEVER,
-                               .next_request_id = next_id,
+                               .next_request_id = next_request_id,
                                .user = f };
 
   memset (f, 0, sizeof *f);
@@ -389,260 +390,262 @@
   spec.items[0].expected_tokens = 100;
   spec.items[1].expected_tokens = 10;
   f->batch = lc_batch_new (&spec, &settings);
-  start (f);
+  start_batch (f);
 }
 
-/* A trainer that is behind submits a step a second after another. The long texts of the second
- * began after the short ones of the first, which had seconds to spare, and its step was late. What
- * has to begin first goes first, whichever step it is of. */
-Test (batch, what_has_to_begin_first_goes_first)
+/* A trainer that is behind submits a second step a second after the first. The long texts of the
+ * second started after the short ones of the first, which had seconds to spare, and the second step
+ * was late. */
+Test (batch, latest_start_orders_texts_across_steps)
 {
-  Fixture first;
-  Fixture second;
+  Fixture first_step;
+  Fixture second_step;
 
-  start_step (&first, 7 * LB_SEC);
-  start_step (&second, 8 * LB_SEC);
-  cr_assert_lt (first.latest_start[0], first.latest_start[1], "the longest of a step");
-  cr_assert_lt (second.latest_start[0], first.latest_start[1]);
-  cr_assert_lt (first.latest_start[0], second.latest_start[0]);
-  fixture_clear (&first);
-  fixture_clear (&second);
+  start_step (&first_step, 7 * LB_SEC);
+  start_step (&second_step, 8 * LB_SEC);
+  cr_assert_lt (first_step.latest_start[0], first_step.latest_start[1],
+                "the longest text of a step must start first");
+  cr_assert_lt (second_step.latest_start[0], first_step.latest_start[1]);
+  cr_assert_lt (first_step.latest_start[0], second_step.latest_start[0]);
+  fixture_clear (&first_step);
+  fixture_clear (&second_step);
 }
 
-/* A batch whose texts were all well: 20 events, one each 20 ms. */
+/* Records texts of 20 events at an interval of 20 ms. */
 static void
-teach (LcBatchHistory *history)
+fill_history (LcBatchHistory *history)
 {
   Fixture f;
 
   fixture_init (&f, MAX_ITEMS, false,
                 (LcBatchSettings){ .resumable = true, .history = history, .tokens_per_event = 50 });
-  start (&f);
+  start_batch (&f);
   for (int item = 0; item < MAX_ITEMS - 1; item++)
     {
       for (int event = 0; event < 20; event++)
         {
           f.now += 20 * LB_MSEC;
-          piece (&f, item, 4, "w");
+          add_piece (&f, item, 4, "w");
         }
-      end (&f, item, LB_OK);
+      finish_generation (&f, item, LB_OK);
     }
   fixture_clear (&f);
 }
 
-/* Another batch after it, with looks for slow texts each 100 ms. */
+/* Starts a batch that uses the history; its streams are reviewed every 100 ms. */
 static void
-start_taught (Fixture *f, LcBatchHistory *history)
+start_with_history (Fixture *f, LcBatchHistory *history)
 {
   fixture_init (f, 2, false,
                 (LcBatchSettings){ .resumable = true, .history = history, .tokens_per_event = 50 });
-  start (f);
+  start_batch (f);
 }
 
 static void
-stream (Fixture *f, int events, LbTime interval)
+add_pieces_at_interval (Fixture *f, int events, LbTime interval)
 {
   for (int event = 0; event < events; event++)
     {
       tick (f, interval);
-      piece (f, 0, 4, "w");
+      add_piece (f, 0, 4, "w");
     }
 }
 
-/* One engine in five has turned five times slower. The step would wait for the texts there; they go
- * on elsewhere, each from what it has. */
-Test (batch, texts_at_a_slow_engine_are_recalled)
+/* One engine in five becomes five times slower. Its texts move to other endpoints and continue
+ * after their last event, so that the step does not wait for them. */
+Test (batch, text_at_a_slow_engine_is_moved)
 {
   LcBatchHistory *history = lc_batch_history_new ();
   Fixture f;
 
-  teach (history);
-  start_taught (&f, history);
-  stream (&f, 6, 200 * LB_MSEC);
-  cr_assert_eq (f.recalled, 1);
-  LcRequestId before = f.running[0];
-  end (&f, 0, LB_ERROR_CLOSED);
-  cr_assert_neq (f.running[0], before, "it goes on at once");
+  fill_history (history);
+  start_with_history (&f, history);
+  add_pieces_at_interval (&f, 6, 200 * LB_MSEC);
+  cr_assert_eq (f.n_preempted, 1);
+  LcRequestId previous = f.generating[0];
+  finish_generation (&f, 0, LB_ERROR_CLOSED);
+  cr_assert_neq (f.generating[0], previous, "expected a new request at once");
   cr_assert_eq (f.resume_at[0], 6);
   fixture_clear (&f);
   lc_batch_history_free (history);
 }
 
-/* An engine turns four times slower when a long text has run there for two seconds. By the mean
- * over its whole run the text looks well for seconds more, and the step comes late by what is left
- * of it. What came of late counts. */
-Test (batch, a_text_whose_engine_turns_slow_late_is_recalled_soon)
+/* An engine becomes four times slower after a text has run there for two seconds. By the mean over
+ * the whole stream the text looked normal for seconds more, and the step was late by the rest of
+ * it; so the recent pace counts. */
+Test (batch, text_is_moved_soon_after_its_engine_slows_down)
 {
   LcBatchHistory *history = lc_batch_history_new ();
   Fixture f;
 
-  teach (history);
-  start_taught (&f, history);
-  stream (&f, 100, 20 * LB_MSEC);
-  cr_assert_eq (f.recalled, 0);
-  stream (&f, 12, 80 * LB_MSEC);
-  cr_assert_eq (f.recalled, 1);
+  fill_history (history);
+  start_with_history (&f, history);
+  add_pieces_at_interval (&f, 100, 20 * LB_MSEC);
+  cr_assert_eq (f.n_preempted, 0);
+  add_pieces_at_interval (&f, 12, 80 * LB_MSEC);
+  cr_assert_eq (f.n_preempted, 1);
   fixture_clear (&f);
   lc_batch_history_free (history);
 }
 
-/* An engine goes dark: its connections stay open and nothing comes. The text waited there for the
- * two seconds after which a stream counts as broken. */
-Test (batch, a_text_that_stopped_is_recalled_soon)
+/* An engine sends nothing more on connections that stay open. Its text waited for the two seconds
+ * after which a stream counts as broken. */
+Test (batch, stalled_text_is_moved_soon)
 {
   LcBatchHistory *history = lc_batch_history_new ();
   Fixture f;
 
-  teach (history);
-  start_taught (&f, history);
-  stream (&f, 20, 20 * LB_MSEC);
+  fill_history (history);
+  start_with_history (&f, history);
+  add_pieces_at_interval (&f, 20, 20 * LB_MSEC);
   for (int i = 0; i < 3; i++)
     tick (&f, 100 * LB_MSEC);
-  cr_assert_eq (f.recalled, 0, "a short silence proves nothing");
+  cr_assert_eq (f.n_preempted, 0, "a silence of 300 ms must not move the text");
   for (int i = 0; i < 5; i++)
     tick (&f, 100 * LB_MSEC);
-  cr_assert_eq (f.recalled, 1);
+  cr_assert_eq (f.n_preempted, 1);
   fixture_clear (&f);
   lc_batch_history_free (history);
 }
 
-/* The instance itself is frozen for two seconds. When it wakes its timer comes before what its
- * streams brought meanwhile: all of them look silent, and it would move every text. */
-Test (batch, an_own_pause_moves_no_text)
+/* The instance itself is paused for two seconds. Then its timer runs before the events that its
+ * streams received meanwhile are read: all streams look silent, and all texts would be moved. */
+Test (batch, pause_of_the_instance_moves_no_text)
 {
   LcBatchHistory *history = lc_batch_history_new ();
   Fixture f;
 
-  teach (history);
-  start_taught (&f, history);
-  stream (&f, 20, 20 * LB_MSEC);
+  fill_history (history);
+  start_with_history (&f, history);
+  add_pieces_at_interval (&f, 20, 20 * LB_MSEC);
   tick (&f, 2 * LB_SEC);
   for (int event = 0; event < 100; event++)
-    piece (&f, 0, 4, "w");
+    add_piece (&f, 0, 4, "w");
   for (int i = 0; i < 3; i++)
     tick (&f, 100 * LB_MSEC);
-  cr_assert_eq (f.recalled, 0);
+  cr_assert_eq (f.n_preempted, 0);
   fixture_clear (&f);
   lc_batch_history_free (history);
 }
 
-/* The trainer ends the step: nothing of it may start any more, and nothing more is listed. */
-Test (batch, an_ended_batch_stops_its_work_and_writes_nothing)
+/* When the trainer ends the step, no request may start and nothing may be written any more. */
+Test (batch, stopped_batch_cancels_its_requests_and_writes_nothing)
 {
   Fixture f;
 
   fixture_init (&f, 3, false, (LcBatchSettings){ .resumable = true });
-  start (&f);
-  end (&f, 0, LB_ERROR_NO_ENDPOINT);
+  start_batch (&f);
+  finish_generation (&f, 0, LB_ERROR_NO_ENDPOINT);
   lc_batch_stop (f.batch, f.now, &f.actions);
-  take_actions (&f);
-  cr_assert_eq (f.stopped, 2);
-  memset (f.running, 0, sizeof f.running);
+  handle_actions (&f);
+  cr_assert_eq (f.n_cancelled, 2);
+  memset (f.generating, 0, sizeof f.generating);
   tick (&f, 10 * LB_SEC);
-  cr_assert_eq (f.running[0], 0);
-  cr_assert_eq (f.writes, 0);
+  cr_assert_eq (f.generating[0], 0);
+  cr_assert_eq (f.n_writes, 0);
   cr_assert_eq (lc_batch_next_tick_at (f.batch), LB_TIME_NEVER);
   fixture_clear (&f);
 }
 
-/* --- texts that go from one batch to the next --- */
+/* --- reuse of texts by a later batch --- */
 
-/* A second batch of the same model, with what the first one left. */
+/* Stops the batch and starts another of the same model with the same text cache. */
 static void
-begin_next (Fixture *f, LcTextCache *carried, LcVersion min_version, size_t n_items)
+start_next_batch (Fixture *f, LcTextCache *cache, LcVersion min_version, size_t n_items)
 {
   const LcBatchSettings settings = { .max_failures = 3,
                                      .max_score_failures = 3,
                                      .resumable = true,
-                                     .text_cache = carried,
-                                     .next_request_id = next_id,
+                                     .text_cache = cache,
+                                     .next_request_id = next_request_id,
                                      .user = f };
   LcBatchSpec spec = make_spec (n_items, true);
 
   lc_batch_stop (f->batch, f->now, &f->actions);
-  take_actions (f);
+  handle_actions (f);
   lc_batch_free (f->batch);
-  memset (f->running, 0, sizeof f->running);
+  memset (f->generating, 0, sizeof f->generating);
   memset (f->scoring, 0, sizeof f->scoring);
-  f->writes = 0;
+  f->n_writes = 0;
   spec.min_version = min_version;
   f->batch = lc_batch_new (&spec, &settings);
   lc_batch_start (f->batch, f->now, &f->actions);
-  take_actions (f);
+  handle_actions (f);
 }
 
 static void
 add_pieces (Fixture *f, size_t item, int n, LcVersion version)
 {
   for (int i = 0; i < n; i++)
-    lc_batch_add_piece (f->batch, f->running[item], version, "engine-1", "x", f->now);
+    lc_batch_add_piece (f->batch, f->generating[item], version, "engine-1", "x", f->now);
 }
 
-/* A trainer ends its step when most groups are whole and asks for the others again, under the same
- * ids, in its next one. The long text on which it waited began from its first event there, and was
- * late again; texts of its group that were whole were made a second time. */
-Test (batch, a_text_goes_on_in_the_batch_that_asks_for_it_again)
+/* A trainer ends its step when most groups are complete and asks for the others again, under the
+ * same ids, in its next step. There the long text that it had waited for restarted and was late
+ * again, and complete texts of its group were generated a second time. */
+Test (batch, later_batch_reuses_texts_of_incomplete_groups)
 {
   Fixture f;
-  LcTextCache *carried = lc_text_cache_new (1 << 20);
+  LcTextCache *cache = lc_text_cache_new (1 << 20);
 
-  fixture_init (&f, 3, true, (LcBatchSettings){ .resumable = true, .text_cache = carried });
-  start (&f);
+  fixture_init (&f, 3, true, (LcBatchSettings){ .resumable = true, .text_cache = cache });
+  start_batch (&f);
   add_pieces (&f, 0, 5, 6);
   add_pieces (&f, 1, 2, 6);
-  lc_batch_finish_generation (f.batch, f.running[1], LB_OK, f.now, &f.actions);
-  take_actions (&f);
+  lc_batch_finish_generation (f.batch, f.generating[1], LB_OK, f.now, &f.actions);
+  handle_actions (&f);
   lc_batch_finish_scoring (f.batch, f.scoring[1], LB_OK, "stamp", f.now, &f.actions);
-  take_actions (&f);
+  handle_actions (&f);
   lc_batch_finish_write (f.batch, true, f.now, &f.actions);
-  begin_next (&f, carried, 5, 3);
+  start_next_batch (&f, cache, 5, 3);
   cr_assert_eq (f.resume_at[0], 5);
-  cr_assert_neq (f.running[0], 0);
-  cr_assert_eq (f.running[1], 0, "it is whole");
-  cr_assert_eq (f.scoring[1], 0, "and has its score");
+  cr_assert_neq (f.generating[0], 0);
+  cr_assert_eq (f.generating[1], 0, "a complete text must not be generated again");
+  cr_assert_eq (f.scoring[1], 0, "a scored text must not be scored again");
   cr_assert_eq (f.n_written, 1);
-  cr_assert_str_eq (f.written[0], "item-1");
+  cr_assert_str_eq (f.written_items[0], "item-1");
   cr_assert_eq (f.resume_at[2], 0);
   lc_batch_free (f.batch);
-  lc_text_cache_free (carried);
+  lc_text_cache_free (cache);
 }
 
-/* The next batch takes no weights as old as those that made the text: a part of it would break the
- * bound of staleness. Its length is known all the same. */
-Test (batch, a_text_of_weights_that_are_too_old_is_made_again)
+/* The next batch does not allow a version of the cached text, which would exceed its staleness
+ * bound. The length of the text is used all the same. */
+Test (batch, cached_text_of_too_old_version_restarts)
 {
   Fixture f;
-  LcTextCache *carried = lc_text_cache_new (1 << 20);
+  LcTextCache *cache = lc_text_cache_new (1 << 20);
 
-  fixture_init (&f, 2, true, (LcBatchSettings){ .resumable = true, .text_cache = carried });
-  start (&f);
+  fixture_init (&f, 2, true, (LcBatchSettings){ .resumable = true, .text_cache = cache });
+  start_batch (&f);
   add_pieces (&f, 0, 3, 5);
   add_pieces (&f, 0, 40, 6);
-  lc_batch_finish_generation (f.batch, f.running[0], LB_OK, f.now, &f.actions);
-  take_actions (&f);
-  begin_next (&f, carried, 6, 2);
+  lc_batch_finish_generation (f.batch, f.generating[0], LB_OK, f.now, &f.actions);
+  handle_actions (&f);
+  start_next_batch (&f, cache, 6, 2);
   cr_assert_eq (f.resume_at[0], 0);
-  cr_assert_gt (f.latest_start[0], f.latest_start[1], "it is shorter than its estimate");
+  cr_assert_gt (f.latest_start[0], f.latest_start[1],
+                "the cached length must replace the longer estimate");
   lc_batch_free (f.batch);
-  lc_text_cache_free (carried);
+  lc_text_cache_free (cache);
 }
 
-/* What a group that was whole and read long ago left is of no use, and holds memory. */
-Test (batch, texts_of_whole_groups_are_not_kept)
+/* The texts of a complete group that was read long ago would only take up memory. */
+Test (batch, texts_of_complete_groups_are_not_cached)
 {
   Fixture f;
-  LcTextCache *carried = lc_text_cache_new (1 << 20);
+  LcTextCache *cache = lc_text_cache_new (1 << 20);
 
-  fixture_init (&f, 1, false, (LcBatchSettings){ .resumable = true, .text_cache = carried });
-  start (&f);
+  fixture_init (&f, 1, false, (LcBatchSettings){ .resumable = true, .text_cache = cache });
+  start_batch (&f);
   add_pieces (&f, 0, 3, 6);
-  lc_batch_finish_generation (f.batch, f.running[0], LB_OK, f.now, &f.actions);
-  take_actions (&f);
+  lc_batch_finish_generation (f.batch, f.generating[0], LB_OK, f.now, &f.actions);
+  handle_actions (&f);
   lc_batch_finish_write (f.batch, true, f.now, &f.actions);
   f.now += 5 * LB_SEC;
   lc_batch_stop (f.batch, f.now, &f.actions);
-  take_actions (&f);
-  cr_assert_eq (lc_text_cache_count_bytes (carried), 0);
+  handle_actions (&f);
+  cr_assert_eq (lc_text_cache_count_bytes (cache), 0);
   lc_batch_free (f.batch);
-  lc_text_cache_free (carried);
+  lc_text_cache_free (cache);
 }
--- a/packages/core/tests/test-carried.c
+++ b/packages/core/tests/test-carried.c
@@ -16,43 +16,44 @@
   return text;
 }
 
-Test (carried, holds_the_text_that_has_come_furthest)
+Test (carried, keeps_the_most_complete_text)
 {
-  LcTextCache *carried = lc_text_cache_new (1 << 20);
+  LcTextCache *cache = lc_text_cache_new (1 << 20);
   LcCachedText text = make_text ("i", 9);
   LcCachedText found;
 
-  lc_text_cache_put (carried, &text, LB_SEC);
+  lc_text_cache_put (cache, &text, LB_SEC);
   text.n_events = 4;
-  lc_text_cache_put (carried, &text, LB_SEC);
-  cr_assert (lc_text_cache_find (carried, "i", 7, 4, &found));
+  lc_text_cache_put (cache, &text, LB_SEC);
+  cr_assert (lc_text_cache_find (cache, "i", 7, 4, &found));
   cr_assert_eq (found.n_events, 9);
   text.is_complete = true;
-  lc_text_cache_put (carried, &text, LB_SEC);
-  cr_assert (lc_text_cache_find (carried, "i", 7, 4, &found));
+  lc_text_cache_put (cache, &text, LB_SEC);
+  cr_assert (lc_text_cache_find (cache, "i", 7, 4, &found));
   cr_assert (found.is_complete);
-  lc_text_cache_free (carried);
+  lc_text_cache_free (cache);
 }
 
-/* An id that another trainer uses for something else must not get this text. */
-Test (carried, another_content_under_the_id_is_another_text)
+/* Another trainer that uses the same id for another item must not get this text. */
+Test (carried, does_not_find_another_fingerprint_or_an_older_version)
 {
-  LcTextCache *carried = lc_text_cache_new (1 << 20);
+  LcTextCache *cache = lc_text_cache_new (1 << 20);
   LcCachedText text = make_text ("i", 9);
   LcCachedText found;
-  bool whole;
+  bool is_complete;
 
-  lc_text_cache_put (carried, &text, LB_SEC);
-  cr_assert_not (lc_text_cache_find (carried, "i", 8, 4, &found));
-  cr_assert_eq (lc_text_cache_count_events (carried, "i", 8, &whole), 0);
-  cr_assert_not (lc_text_cache_find (carried, "i", 7, 5, &found), "a part is of version 4");
-  cr_assert_eq (lc_text_cache_count_events (carried, "i", 7, &whole), 9);
-  lc_text_cache_free (carried);
+  lc_text_cache_put (cache, &text, LB_SEC);
+  cr_assert_not (lc_text_cache_find (cache, "i", 8, 4, &found));
+  cr_assert_eq (lc_text_cache_count_events (cache, "i", 8, &is_complete), 0);
+  cr_assert_not (lc_text_cache_find (cache, "i", 7, 5, &found),
+                 "version 4 generated part of the text");
+  cr_assert_eq (lc_text_cache_count_events (cache, "i", 7, &is_complete), 9);
+  lc_text_cache_free (cache);
 }
 
-Test (carried, is_bounded_in_bytes_and_in_time)
+Test (carried, is_bounded_in_bytes_and_age)
 {
-  LcTextCache *carried = lc_text_cache_new (1000);
+  LcTextCache *cache = lc_text_cache_new (1000);
   LcCachedText found;
 
   for (int i = 0; i < 100; i++)
@@ -60,12 +61,12 @@
       char name[16];
       snprintf (name, sizeof name, "i%d", i);
       LcCachedText text = make_text (name, 1);
-      lc_text_cache_put (carried, &text, LB_SEC);
-      cr_assert_leq (lc_text_cache_count_bytes (carried), 1000);
+      lc_text_cache_put (cache, &text, LB_SEC);
+      cr_assert_leq (lc_text_cache_count_bytes (cache), 1000);
     }
-  cr_assert (lc_text_cache_find (carried, "i99", 7, 4, &found), "the newest stays");
-  cr_assert_not (lc_text_cache_find (carried, "i0", 7, 4, &found));
-  lc_text_cache_expire (carried, 120 * LB_SEC);
-  cr_assert_eq (lc_text_cache_count_bytes (carried), 0);
-  lc_text_cache_free (carried);
+  cr_assert (lc_text_cache_find (cache, "i99", 7, 4, &found), "the newest entry must stay");
+  cr_assert_not (lc_text_cache_find (cache, "i0", 7, 4, &found));
+  lc_text_cache_expire (cache, 120 * LB_SEC);
+  cr_assert_eq (lc_text_cache_count_bytes (cache), 0);
+  lc_text_cache_free (cache);
 }
