--- a/packages/core/src/batch/lc-batch-item.c
+++ b/packages/core/src/batch/lc-batch-item.c
@@ -158,7 +158,7 @@
 /* The current silence counts as an interval, so that the pace of a stalled stream falls before its
  * next event. */
 double
-lc_batch_item_seconds_per_token (const LcBatchItem *item, LbTime now)
+lc_batch_item_estimate_seconds_per_token (const LcBatchItem *item, LbTime now)
 {
   LcStreamPace pace = item->pace;
 
@@ -176,7 +176,7 @@
 
 /* Skips the line feed before the first new event. */
 static size_t
-unsaved_offset (const LcBatchItem *item)
+get_unsaved_offset (const LcBatchItem *item)
 {
   return item->saved_events > 0 ? item->saved_length + 1 : 0;
 }
@@ -184,7 +184,7 @@
 size_t
 lc_batch_item_count_unsaved_bytes (const LcBatchItem *item)
 {
-  return item->text_length - unsaved_offset (item);
+  return item->text_length - get_unsaved_offset (item);
 }
 
 LcBatchTextPart
@@ -196,7 +196,7 @@
                             .restarts = item->restarts,
                             .first_event = item->saved_events,
                             .n_events = item->n_events - item->saved_events,
-                            .text = item->result.text + unsaved_offset (item),
+                            .text = item->result.text + get_unsaved_offset (item),
                             .versions = item->result.versions,
                             .n_versions = item->result.n_versions };
 }
--- a/packages/core/src/batch/lc-batch-item.h
+++ b/packages/core/src/batch/lc-batch-item.h
@@ -84,7 +84,7 @@
                                                const LcBatchItemSpec *spec,
                                                int64_t tokens_per_event);
 /* Recent pace of the stream; 0: not known yet. */
-double lc_batch_item_seconds_per_token (const LcBatchItem *item, LbTime now);
+double lc_batch_item_estimate_seconds_per_token (const LcBatchItem *item, LbTime now);
 bool lc_batch_item_has_enough_to_checkpoint (const LcBatchItem *item);
 size_t lc_batch_item_count_unsaved_bytes (const LcBatchItem *item);
 
--- a/packages/core/src/batch/lc-batch-private.h
+++ b/packages/core/src/batch/lc-batch-private.h
@@ -43,7 +43,7 @@
 
 /* lc-batch.c */
 LcBatchAction *lc_batch_add_action (LbList *actions, LcBatchActionType type);
-size_t lc_batch_index_of (const LcBatch *batch, const LcBatchItem *item);
+size_t lc_batch_find_item_index (const LcBatch *batch, const LcBatchItem *item);
 /* Tokens in so many events, by the route's number of tokens per event. */
 int64_t lc_batch_events_to_tokens (const LcBatch *batch, int64_t events);
 /* Cancels the item's generation or scoring request, if there is one. */
--- a/packages/core/src/batch/lc-batch-reuse.c
+++ b/packages/core/src/batch/lc-batch-reuse.c
@@ -75,12 +75,12 @@
 
 static void
 cache_text (const LcBatchSpec *spec,
-            const LcBatchItemSpec *spec_item,
+            const LcBatchItemSpec *item_spec,
             const LcBatchItem *item,
             LcTextCache *cache,
             LbTime now)
 {
-  LcCachedText text = { .fingerprint = hash_item (spec, spec_item),
+  LcCachedText text = { .fingerprint = hash_item (spec, item_spec),
                         .is_complete = item->state >= ITEM_GENERATED,
                         .n_events = item->n_events,
                         .text = item->result.text,
@@ -92,7 +92,7 @@
 
   if (was_abandoned || item->is_unusable || item->n_events == 0 || !item->result.text)
     return;
-  LB_COPY (text.item, spec_item->request.id);
+  LB_COPY (text.item, item_spec->request.id);
   lc_text_cache_put (cache, &text, now);
 }
 
@@ -131,16 +131,16 @@
                      LcBatchItem *item,
                      const LcBatchSettings *settings)
 {
-  const LcBatchItemSpec *spec_item = &spec->items[index];
-  uint64_t item_hash = hash_item (spec, spec_item);
+  const LcBatchItemSpec *item_spec = &spec->items[index];
+  uint64_t item_hash = hash_item (spec, item_spec);
   LcCachedText text;
 
   if (item->state != ITEM_WAITING)
     return false;
-  item->known_events = lc_text_cache_count_events (settings->text_cache, spec_item->request.id,
+  item->known_events = lc_text_cache_count_events (settings->text_cache, item_spec->request.id,
                                                    item_hash, &item->known_is_complete);
   if (item->known_events == 0 || item->n_events > 0
-      || !lc_text_cache_find (settings->text_cache, spec_item->request.id, item_hash,
+      || !lc_text_cache_find (settings->text_cache, item_spec->request.id, item_hash,
                               spec->min_version, &text)
       || !can_reuse (&text, settings))
     return false;
--- a/packages/core/src/batch/lc-batch-review.c
+++ b/packages/core/src/batch/lc-batch-review.c
@@ -15,15 +15,15 @@
 
 /* Seconds saved if the item moves to another endpoint now; 0 or less: it should stay. */
 static double
-move_gain_seconds (const LcBatch *batch, const LcBatchItem *item, LbTime now)
+estimate_move_gain_seconds (const LcBatch *batch, const LcBatchItem *item, LbTime now)
 {
   const LcBatchHistory *history = batch->settings.history;
   const LcSampleProgress progress
       = { .tokens = lc_batch_events_to_tokens (batch, item->request_events),
-          .max_tokens = batch->spec.items[lc_batch_index_of (batch, item)].max_tokens,
+          .max_tokens = batch->spec.items[lc_batch_find_item_index (batch, item)].max_tokens,
           .started_at = item->started_at,
           .first_piece_at = item->first_piece_at,
-          .recent_seconds_per_token = lc_batch_item_seconds_per_token (item, now) };
+          .recent_seconds_per_token = lc_batch_item_estimate_seconds_per_token (item, now) };
 
   if (item->state != ITEM_GENERATING || item->is_preempted || item->n_moves >= MAX_MOVES
       || item->is_unusable || item->request_events <= LC_BATCH_MIN_PACE_INTERVALS)
@@ -62,7 +62,7 @@
   for (size_t i = 0; i < batch->spec.n_items; i++)
     {
       LcBatchItem *item = &batch->items[i];
-      double gain_seconds = move_gain_seconds (batch, item, now);
+      double gain_seconds = estimate_move_gain_seconds (batch, item, now);
       if (gain_seconds <= 0)
         continue;
       item->is_preempted = true;
--- a/packages/core/src/batch/lc-batch.c
+++ b/packages/core/src/batch/lc-batch.c
@@ -100,7 +100,7 @@
 }
 
 size_t
-lc_batch_index_of (const LcBatch *batch, const LcBatchItem *item)
+lc_batch_find_item_index (const LcBatch *batch, const LcBatchItem *item)
 {
   return (size_t)(item - batch->items);
 }
@@ -163,13 +163,12 @@
   item->is_preempted = false;
   item->request = batch->settings.next_request_id (batch->settings.user);
   action->request = item->request;
-  action->item_index = lc_batch_index_of (batch, item);
+  action->item_index = lc_batch_find_item_index (batch, item);
   action->resume_at = item->n_events;
   action->avoid_endpoint = item->avoid_endpoint;
-  action->remaining_events
-      = lc_batch_item_expect_remaining_events (item,
-                                               &batch->spec.items[lc_batch_index_of (batch, item)],
-                                               lc_batch_events_to_tokens (batch, 1));
+  action->remaining_events = lc_batch_item_expect_remaining_events (
+      item, &batch->spec.items[lc_batch_find_item_index (batch, item)],
+      lc_batch_events_to_tokens (batch, 1));
   action->due_at = batch->settings.due_at;
   action->latest_start = compute_latest_start (batch, action->remaining_events);
 }
@@ -182,13 +181,13 @@
   item->state = ITEM_SCORING;
   item->request = batch->settings.next_request_id (batch->settings.user);
   action->request = item->request;
-  action->item_index = lc_batch_index_of (batch, item);
+  action->item_index = lc_batch_find_item_index (batch, item);
 }
 
 static void
 score_or_queue_result (LcBatch *batch, LcBatchItem *item, LbList *actions)
 {
-  if (batch->spec.items[lc_batch_index_of (batch, item)].has_scorer && !item->result.score)
+  if (batch->spec.items[lc_batch_find_item_index (batch, item)].has_scorer && !item->result.score)
     start_scoring (batch, item, actions);
   else
     lc_batch_queue_result (batch, item, true, actions);
--- a/packages/core/src/batch/lc-straggler.c
+++ b/packages/core/src/batch/lc-straggler.c
@@ -31,7 +31,7 @@
 }
 
 static double
-bucket_middle (size_t bucket)
+get_bucket_middle (size_t bucket)
 {
   return exp2 (((double)bucket + 0.5) / BUCKETS_PER_DOUBLING) - 1;
 }
@@ -76,7 +76,7 @@
 
   for (size_t i = find_bucket (tokens) + 1; i < LC_LENGTH_BUCKETS; i++)
     {
-      sum += bucket_middle (i) * lengths->buckets[i];
+      sum += get_bucket_middle (i) * lengths->buckets[i];
       count += lengths->buckets[i];
     }
   if (count > 0)
@@ -158,7 +158,7 @@
 }
 
 static double
-required_speedup (double idle_weight)
+get_required_speedup (double idle_weight)
 {
   return MIN_SPEEDUP + (1.0 - idle_weight);
 }
@@ -179,7 +179,8 @@
   if (!has_enough_history (lengths, pace))
     return 0;
   return expect_seconds_remaining (lengths, pace, progress, now)
-         - required_speedup (idle_weight) * expect_seconds_to_regenerate (lengths, pace, progress);
+         - get_required_speedup (idle_weight)
+               * expect_seconds_to_regenerate (lengths, pace, progress);
 }
 
 /* The sample has waited for a slot once; at the same urgency it does not wait longer now. The mean
@@ -206,7 +207,7 @@
       = lc_length_histogram_expect_remaining (lengths, progress->tokens, progress->max_tokens);
   return expect_seconds_remaining (lengths, pace, progress, now)
          - expect_wait_seconds (pace, progress)
-         - required_speedup (idle_weight) * remaining / pace->tokens_per_second;
+         - get_required_speedup (idle_weight) * remaining / pace->tokens_per_second;
 }
 
 /* The original continues until the hedge is complete; its tokens are then discarded. */
