--- a/packages/core/include/lc-endpoints.h
+++ b/packages/core/include/lc-endpoints.h
@@ -3,21 +3,20 @@
 
 #include "lc-resources.h"
 
-/* What an engine or service says of itself; arrives late. */
+/* Load and state as reported by an engine or service; may arrive late or out of order. */
 typedef struct
 {
-  char incarnation[40]; /* changes with each start of the endpoint's process */
+  char incarnation[40]; /* changes with each start of the endpoint's process; "": not stated */
   bool leaving;
-  LcVersion version; /* weights that serve now; 0 while a swap goes on or failed */
+  LcVersion version; /* of the weights being served; 0: a swap is in progress or has failed */
   int64_t running;
   int64_t waiting;
-  double tokens_per_second; /* of one stream at present load; 0: unknown */
-  double kv_used;           /* 0..1 */
-  LbTime measured_at;       /* when the endpoint measured it, on our clock */
-  bool is_from_registry;    /* by the store; the endpoint itself said nothing */
+  double tokens_per_second; /* of one stream at the present load; 0: unknown */
+  double kv_used;           /* share of the KV cache in use, 0..1 */
+  LbTime measured_at;       /* converted to this instance's clock */
+  bool is_from_registry;    /* read from the store, not sent by the endpoint */
 } LcLoadReport;
 
-/* The breaker of an endpoint. */
 typedef enum
 {
   LC_BREAKER_CLOSED,
@@ -25,27 +24,27 @@
   LC_BREAKER_HALF_OPEN
 } LcBreakerState;
 
-/* All this instance knows of one endpoint. Owned by LcEndpoints; read by policies. */
+/* This instance's view of one endpoint. Owned by LcEndpoints; read by routing policies. */
 typedef struct LcEndpoint
 {
   LcEndpointMember member;
-  uint32_t slot; /* stable index while the endpoint is known */
+  uint32_t slot; /* index in the table, stable while the endpoint is known */
   LcLoadReport report;
-  bool leaving; /* one way for this incarnation, from whichever source */
+  bool leaving; /* from any source; never cleared for the same incarnation */
   LbTime leaving_since;
   bool swap_pending; /* weights are about to change or in an unknown state */
-  LbTime swap_until;
-  int64_t in_flight; /* our own requests running there */
+  LbTime swap_until; /* when the new weights are expected to serve */
+  int64_t in_flight; /* this instance's requests there */
   int64_t in_flight_rollout;
   int64_t sent_since_report;
-  double concurrency_limit; /* adaptive */
+  double concurrency_limit; /* adaptive, for this instance's requests */
   double ewma_token_seconds;
   double ewma_first_byte_seconds;
   LcBreakerState breaker;
   LbTime breaker_open_until;
   int64_t consecutive_failures;
   LbTime last_reply_at;
-  size_t idle_connections; /* of ours, kept open, when this was last told */
+  size_t idle_connections; /* open and idle, as of idle_connections_at */
   LbTime idle_connections_at;
 } LcEndpoint;
 
@@ -64,19 +63,20 @@
 
 /* commands */
 void lc_endpoints_configure (LcEndpoints *endpoints, const LcResourceSet *set, LbTime now);
-/* A report with a new incarnation clears leaving, breaker and belief. */
+/* A report with a new incarnation clears leaving, the breaker and cached prefixes. */
 void lc_endpoints_record_load (LcEndpoints *endpoints,
                                const char *name,
                                const LcLoadReport *report,
                                LbTime now);
-/* Marks this incarnation as leaving; true when it was news. */
+/* Marks an incarnation as leaving, "" the current one; true if the endpoint was not leaving
+ * before. */
 bool lc_endpoints_mark_leaving (LcEndpoints *endpoints,
                                 const char *name,
                                 const char *incarnation,
                                 LcLeavingSource source,
                                 LbTime now);
-/* The platform's list names the endpoint and no longer says leaving: ends the doubt that its word
- * left after a new incarnation came, nothing else. */
+/* The platform's list names the endpoint and does not mark it as leaving. Clears only a mark of the
+ * list that may have meant an earlier incarnation. */
 void lc_endpoints_clear_platform_leaving (LcEndpoints *endpoints, const char *name, LbTime now);
 void lc_endpoints_set_swap (
     LcEndpoints *endpoints, const char *name, bool pending, LbTime until, LbTime now);
@@ -91,24 +91,23 @@
                                uint64_t prefix_hash,
                                LbTime now);
 void lc_endpoint_first_byte_received (LcEndpoint *endpoint, LbTime waited, LbTime now);
-/* What a stream of ours brought there since its last piece. */
+/* A stream delivered tokens, or none, in the interval since its previous chunk. */
 void
 lc_endpoint_tokens_received (LcEndpoint *endpoint, int64_t tokens, LbTime interval, LbTime now);
-/* ok is false for a failure that speaks against the endpoint (not for a cancel of ours). */
+/* ok: false for a failure of the endpoint, as opposed to a cancellation by this instance. */
 void lc_endpoint_request_ended (
     LcEndpoint *endpoint, LcRequestKind kind, bool ok, int64_t tokens, LbTime took, LbTime now);
-/* Connections of ours to it that are open and idle now. */
 void lc_endpoint_set_idle_connections (LcEndpoint *endpoint, size_t n_idle, LbTime now);
-/* The endpoint said that it did not start the request. */
+/* The endpoint rejected the request without starting it. */
 void lc_endpoint_request_refused (LcEndpoint *endpoint, LcRequestKind kind, LbTime now);
-/* We closed the attempt ourselves, which says nothing of the endpoint. */
+/* This instance cancelled the attempt; it counts neither as a success nor as a failure. */
 void lc_endpoint_request_cancelled (LcEndpoint *endpoint, LcRequestKind kind, LbTime now);
 
 /* queries */
 LcEndpoint *lc_endpoints_find (LcEndpoints *endpoints, const char *name);
 size_t lc_endpoints_count (const LcEndpoints *endpoints);
 LcEndpoint *lc_endpoints_at (LcEndpoints *endpoints, size_t index);
-/* Believed share of the prompt found in the endpoint's prefix cache, 0..1. */
+/* Expected share of the prompt in the endpoint's prefix cache, 0..1. */
 double lc_endpoint_cached_share (const LcEndpoint *endpoint,
                                  const uint64_t *prefix_hashes,
                                  size_t n_hashes,
--- a/packages/core/include/lc-entry.h
+++ b/packages/core/include/lc-entry.h
@@ -3,17 +3,17 @@
 
 #include "lc-membership.h"
 
-/* Addresses that a caller is given. */
+/* Addresses returned to a caller. */
 #define LC_MAX_ENTRY_ADDRESSES 3
 
-/* Chooses the instances that a caller shall connect to, in order; indexes into views. */
+/* The instances that a caller is told to connect to, in order of preference. */
 typedef struct
 {
-  size_t chosen[LC_MAX_ENTRY_ADDRESSES];
+  size_t chosen[LC_MAX_ENTRY_ADDRESSES]; /* indexes into views */
   size_t n_chosen;
 } LcEntryChoice;
 
-void lc_entry_choose (LcEntryChoice *entry,
+void lc_entry_choose (LcEntryChoice *choice,
                       const LcMemberView *views,
                       size_t n_views,
                       const char *caller,
--- a/packages/core/include/lc-registration.h
+++ b/packages/core/include/lc-registration.h
@@ -3,11 +3,11 @@
 
 #include "lc-roster.h"
 
-/* An endpoint's entry as instances tell it one another: all but the versions of its weights, which
- * change with each load and are told by the engines' plan. */
+/* An endpoint's registration as JSON, as instances exchange it. Leaves out the weight versions,
+ * which change with each load and are part of the engine plan. */
 
-/* The same entry has the same text. The caller frees. */
-char *lc_registration_to_json (const LcRegistration *listed);
-bool lc_registration_from_json (const char *text, LcRegistration *listed);
+/* Equal registrations give equal texts. The caller frees. */
+char *lc_registration_to_json (const LcRegistration *registration);
+bool lc_registration_from_json (const char *text, LcRegistration *registration);
 
 #endif
--- a/packages/core/include/lc-roster.h
+++ b/packages/core/include/lc-roster.h
@@ -4,8 +4,8 @@
 #include "lc-engine-plan.h"
 #include "lc-resources.h"
 
-/* The endpoints that register themselves in the store, as this instance believes them to be, and
- * which model each engine is used for. No I/O. */
+/* This instance's view of the endpoints that are registered in the store, and the model that each
+ * engine is used for. No I/O. */
 
 #define LC_MAX_MODELS 8
 
@@ -15,18 +15,18 @@
   LcVersion version;
 } LcModelVersion;
 
-/* One start of an endpoint as its own entry in the store tells: a new start has a new name, also
- * where it kept its id, so that no belief outlives the start that it is about. */
+/* An endpoint's registration in the store. Each start of an endpoint has a new name, even if its id
+ * stays the same, so that no state of an earlier process is applied to a later one. */
 typedef struct
 {
   LbName name;
   LbName address;
   LbName data_centre;
   LbName service;
-  int64_t slots; /* requests that it works on at once */
+  int64_t slots; /* concurrent requests that it can process */
   bool leaving;
-  bool is_spot;                         /* of the kind that costs less and may be taken away */
-  LcModelVersion models[LC_MAX_MODELS]; /* none: a plain service */
+  bool is_spot;                         /* on preemptible capacity, at a lower price */
+  LcModelVersion models[LC_MAX_MODELS]; /* n_models 0: a plain service */
   size_t n_models;
 } LcRegistration;
 
@@ -36,29 +36,31 @@
 void lc_roster_free (LcRoster *roster);
 
 /* commands */
-/* A whole list that the store gave at asked_at; true when the resource set has changed. */
+/* Applies a complete list, requested from the store at asked_at. True if the resource set
+ * changed. */
 bool lc_roster_update (
     LcRoster *roster, const LcRegistration *list, size_t n_list, LbTime asked_at, LbTime now);
-/* The list that was taken last was true at asked_at as well. */
+/* The store's list, requested at asked_at, is the same as last time. True if the resource set
+ * changed, which it may when the grace period after an outage of the store has ended. */
 bool lc_roster_confirm_list (LcRoster *roster, LbTime asked_at, LbTime now);
-/* Which engine is used for which model, as the planning instance says; engines that it does not
- * name are divided evenly. True when the resource set has changed. */
+/* Sets the planning instance's assignment of engines to models. Engines that the plan does not name
+ * are divided evenly. True if the resource set changed. */
 bool lc_roster_set_plan (LcRoster *roster, const LcEnginePlan *plan);
 
 /* queries */
-/* From asking for a list of the endpoints to asking for the next one. */
+/* Time between two requests for the list of endpoints. */
 LbTime lc_roster_list_period (const LcRoster *roster);
 size_t lc_roster_count (const LcRoster *roster);
 const LcRegistration *lc_roster_registration (const LcRoster *roster, size_t index);
 /* The model that the engine is used for; "" for a plain service. */
 const char *lc_roster_model (const LcRoster *roster, size_t index);
-/* The version that the engine has of the model it is used for, by the list or by the plan,
- * whichever knows of the later one; 0: none. */
+/* The engine's version of the model that it is used for: the later one of its registration and the
+ * plan; 0: none. */
 LcVersion lc_roster_latest_version (const LcRoster *roster, size_t index);
-/* The same by the engine's own entry alone. */
+/* The same, from the engine's registration alone. */
 LcVersion lc_roster_registered_version (const LcRoster *roster, size_t index);
-/* A pool for each model and each endpoint in its pool. checks_fence: whether engines refuse orders
- * with an old fencing number, which the list does not say. */
+/* Builds a set with a pool for each model and a member for each endpoint. checks_fence: whether
+ * engines reject orders with an outdated fencing number, which registrations do not state. */
 LcResourceSet *lc_roster_to_resources (const LcRoster *roster, int64_t revision, bool checks_fence);
 
 #endif
--- a/packages/core/include/lc-scaling.h
+++ b/packages/core/include/lc-scaling.h
@@ -3,11 +3,10 @@
 
 #include "lc-desired.h"
 
-/* How many endpoints of the cheaper kind a service shall have in each data centre, so that the
- * texts of a trainer's step find a place as soon as they are asked for: the longest of them takes
- * most of the time that its step has, and whatever it waits is lost. Endpoints of the full price
- * are left as they are; the cheaper ones may be taken away at any moment, and what is due does not
- * rely on them. No I/O. */
+/* Decides how many spot endpoints a service should have in each data centre, so that the
+ * generations of a trainer's step start without queueing: the longest of them takes most of its
+ * step's time, and any wait delays the step. The number of on-demand endpoints is not changed. Spot
+ * endpoints may be preempted at any time; meeting a due time does not depend on them. No I/O. */
 
 typedef struct LcScaling LcScaling;
 
@@ -15,19 +14,21 @@
 void lc_scaling_free (LcScaling *scaling);
 
 /* commands */
-/* A trainer of the model brought a batch of so many texts. */
-void lc_scaling_add_demand (LcScaling *scaling, const char *model, int64_t texts, LbTime now);
-/* Earlier orders, those of other holders too, are not known here: all are given anew. */
+/* A trainer submitted a batch of n_generations for the model. */
+void
+lc_scaling_add_demand (LcScaling *scaling, const char *model, int64_t n_generations, LbTime now);
+/* For a new lease holder, which does not know the orders of earlier holders: all are given
+ * again. */
 void lc_scaling_forget_orders (LcScaling *scaling);
 
 typedef struct
 {
   LbName service;
   LbName data_centre;
-  int64_t endpoints; /* of the cheaper kind */
+  int64_t endpoints; /* spot endpoints wanted in total */
 } LcScalingOrder;
 
-/* The next order to give, answered by lc_scaling_finish_order; false: there is none now. */
+/* The next order to send, to be followed by lc_scaling_finish_order; false: none now. */
 bool lc_scaling_next_order (LcScaling *scaling,
                             const LcDesired *desired,
                             const LcResourceSet *set,
@@ -37,8 +38,8 @@
 typedef enum
 {
   LC_SCALING_ACCEPTED,
-  LC_SCALING_UNKNOWN, /* it may be carried out late, over a newer one: it is given again */
-  LC_SCALING_REFUSED  /* none can be had there now */
+  LC_SCALING_UNKNOWN, /* no answer; may be executed late, after a newer order: it is sent again */
+  LC_SCALING_REFUSED  /* no capacity there now */
 } LcScalingOutcome;
 
 void lc_scaling_finish_order (LcScaling *scaling,
--- a/packages/core/include/lc-utilisation.h
+++ b/packages/core/include/lc-utilisation.h
@@ -5,23 +5,23 @@
 
 #include <stdint.h>
 
-/* How busy the known endpoints of each service are, by what their replies state. Answers a load
- * that outgrows the subset of endpoints that is known. No I/O. */
+/* Mean utilisation of the known endpoints of each service, from the load that their replies state.
+ * Tells when the subset of known endpoints is too small for the load. No I/O. */
 
 typedef struct LcUtilisation LcUtilisation;
 
 LcUtilisation *lc_utilisation_new (void);
-void lc_utilisation_free (LcUtilisation *crowding);
+void lc_utilisation_free (LcUtilisation *utilisation);
 
 /* commands */
-/* A reply stated requests that run or wait, and places. */
-void lc_utilisation_add_report (LcUtilisation *crowding,
+/* Load stated by one reply: requests running or waiting at the endpoint, and its slots. */
+void lc_utilisation_add_report (LcUtilisation *utilisation,
                                 const char *service,
                                 int64_t requests,
                                 int64_t slots);
 
 /* queries */
-/* The service whose endpoints are the busiest, above the limit; "": none. */
-const char *lc_utilisation_find_overloaded_service (const LcUtilisation *crowding);
+/* The most utilised service, if it is overloaded; "": none. */
+const char *lc_utilisation_find_overloaded_service (const LcUtilisation *utilisation);
 
 #endif
--- a/packages/core/src/endpoints/lc-batch-cost.c
+++ b/packages/core/src/endpoints/lc-batch-cost.c
@@ -3,13 +3,15 @@
 #include <math.h>
 
 #define PRIOR_SLOWDOWN 1.0
-#define PRIOR_VARIANCE 0.002 /* of the fill; reports that hardly differ in it say little */
-#define MIN_WEIGHT 0.005     /* of a new report */
+/* Variance of the fill at which the prior and the reports weigh the same: reports with nearly equal
+ * fill hold little information on the slope. */
+#define PRIOR_VARIANCE 0.002
+#define MIN_WEIGHT 0.005 /* of a new report in the means */
 #define MIN_SLOWDOWN 0.05
 #define MAX_SLOWDOWN 5.0
 
 static void
-mix (double *mean, double value, double weight)
+update_mean (double *mean, double value, double weight)
 {
   *mean += weight * (value - *mean);
 }
@@ -17,27 +19,28 @@
 void
 lc_batch_cost_add_report (LcBatchCost *cost, double fill, double token_seconds)
 {
-  double weight = fmax (MIN_WEIGHT, 1 / (cost->reports + 1));
+  double weight = fmax (MIN_WEIGHT, 1 / (cost->n_reports + 1));
 
-  cost->reports++;
-  mix (&cost->fill, fill, weight);
-  mix (&cost->seconds, token_seconds, weight);
-  mix (&cost->fill_squared, fill * fill, weight);
-  mix (&cost->fill_by_seconds, fill * token_seconds, weight);
+  cost->n_reports++;
+  update_mean (&cost->mean_fill, fill, weight);
+  update_mean (&cost->mean_token_seconds, token_seconds, weight);
+  update_mean (&cost->mean_fill_squared, fill * fill, weight);
+  update_mean (&cost->mean_fill_token_seconds, fill * token_seconds, weight);
 }
 
 double
 lc_batch_cost_slowdown (const LcBatchCost *cost)
 {
-  double variance = cost->fill_squared - cost->fill * cost->fill;
-  double covariance = cost->fill_by_seconds - cost->fill * cost->seconds;
-  double prior_slope = PRIOR_SLOWDOWN * cost->seconds / (1 + PRIOR_SLOWDOWN * cost->fill);
+  double variance = cost->mean_fill_squared - cost->mean_fill * cost->mean_fill;
+  double covariance = cost->mean_fill_token_seconds - cost->mean_fill * cost->mean_token_seconds;
+  double prior_slope
+      = PRIOR_SLOWDOWN * cost->mean_token_seconds / (1 + PRIOR_SLOWDOWN * cost->mean_fill);
   double slope = (covariance + PRIOR_VARIANCE * prior_slope) / (variance + PRIOR_VARIANCE);
-  double alone = cost->seconds - slope * cost->fill;
+  double intercept = cost->mean_token_seconds - slope * cost->mean_fill;
 
-  if (cost->reports == 0)
+  if (cost->n_reports == 0)
     return PRIOR_SLOWDOWN;
-  if (alone <= 0)
+  if (intercept <= 0)
     return MAX_SLOWDOWN;
-  return fmin (MAX_SLOWDOWN, fmax (MIN_SLOWDOWN, slope / alone));
+  return fmin (MAX_SLOWDOWN, fmax (MIN_SLOWDOWN, slope / intercept));
 }
--- a/packages/core/src/endpoints/lc-batch-cost.h
+++ b/packages/core/src/endpoints/lc-batch-cost.h
@@ -1,20 +1,21 @@
 #ifndef LC_BATCH_COST_H
 #define LC_BATCH_COST_H
 
-/* How much longer a token takes in a full batch than alone, learnt from load reports of a pool: a
- * line through the time of a token over how full the batch was, recent reports weighing more. */
+/* Estimates how much slower a token is generated in a full batch than by a single stream: an
+ * exponentially weighted linear regression of seconds per token on batch fill, from a pool's load
+ * reports. */
 typedef struct
 {
-  double reports;
-  double fill; /* means */
-  double seconds;
-  double fill_squared;
-  double fill_by_seconds;
+  double n_reports;
+  double mean_fill;
+  double mean_token_seconds;
+  double mean_fill_squared;
+  double mean_fill_token_seconds; /* of fill times token seconds */
 } LcBatchCost;
 
-/* Fill is 0..1, token_seconds that of one stream. */
+/* fill: share of the batch in use, 0..1; token_seconds: seconds per token of one stream. */
 void lc_batch_cost_add_report (LcBatchCost *cost, double fill, double token_seconds);
-/* Share of the time alone by which a full batch is longer. */
+/* Relative increase of seconds per token from a single stream to a full batch; 1: twice as slow. */
 double lc_batch_cost_slowdown (const LcBatchCost *cost);
 
 #endif
--- a/packages/core/src/endpoints/lc-breaker.c
+++ b/packages/core/src/endpoints/lc-breaker.c
@@ -2,93 +2,93 @@
 
 #include "lb-switch.h"
 
-#define FAILURES_TO_OPEN 5
-#define RATIO_TO_OPEN 0.5
-#define RATIO_WEIGHT 0.1
-#define RESULTS_FOR_RATIO 10
-#define FIRST_WAIT LB_SEC
-#define MAX_WAIT (5 * LB_SEC)
+#define CONSECUTIVE_FAILURES_TO_OPEN 5
+#define FAILURE_RATIO_TO_OPEN 0.5
+#define FAILURE_RATIO_WEIGHT 0.1
+#define MIN_RESULTS_FOR_RATIO 10
+#define MIN_OPEN_TIME LB_SEC
+#define MAX_OPEN_TIME (5 * LB_SEC)
 #define TRIALS_TO_CLOSE 32
 
 static void
 open_breaker (LcBreaker *breaker, LbTime now)
 {
-  LbTime wait = FIRST_WAIT;
+  LbTime open_time = MIN_OPEN_TIME;
 
-  for (int64_t i = 0; i < breaker->openings && wait < MAX_WAIT; i++)
-    wait *= 2;
+  for (int64_t i = 0; i < breaker->consecutive_openings && open_time < MAX_OPEN_TIME; i++)
+    open_time *= 2;
   breaker->state = LC_BREAKER_OPEN;
-  breaker->until = now + (wait < MAX_WAIT ? wait : MAX_WAIT);
-  breaker->openings++;
-  breaker->trials = 0;
+  breaker->open_until = now + (open_time < MAX_OPEN_TIME ? open_time : MAX_OPEN_TIME);
+  breaker->consecutive_openings++;
+  breaker->max_trials = 0;
 }
 
 static void
 close_breaker (LcBreaker *breaker)
 {
   breaker->state = LC_BREAKER_CLOSED;
-  breaker->openings = 0;
+  breaker->consecutive_openings = 0;
   breaker->failure_ratio = 0;
-  breaker->results = 0;
+  breaker->n_results = 0;
 }
 
 static void
-count_result (LcBreaker *breaker, bool failed)
+record_result (LcBreaker *breaker, bool failed)
 {
-  breaker->results++;
-  breaker->failure_ratio += RATIO_WEIGHT * ((failed ? 1 : 0) - breaker->failure_ratio);
+  breaker->n_results++;
+  breaker->failure_ratio += FAILURE_RATIO_WEIGHT * ((failed ? 1 : 0) - breaker->failure_ratio);
   breaker->consecutive_failures = failed ? breaker->consecutive_failures + 1 : 0;
 }
 
-/* An endpoint that fails every other request never fails five times in a row: the ratio finds it.
- */
+/* The ratio detects an endpoint that fails many requests, but never enough in a row. */
 static bool
-is_bad (const LcBreaker *breaker)
+should_open (const LcBreaker *breaker)
 {
-  return breaker->consecutive_failures >= FAILURES_TO_OPEN
-         || (breaker->results >= RESULTS_FOR_RATIO && breaker->failure_ratio > RATIO_TO_OPEN);
+  return breaker->consecutive_failures >= CONSECUTIVE_FAILURES_TO_OPEN
+         || (breaker->n_results >= MIN_RESULTS_FOR_RATIO
+             && breaker->failure_ratio > FAILURE_RATIO_TO_OPEN);
 }
 
 void
 lc_breaker_request_sent (LcBreaker *breaker, LbTime now)
 {
-  if (breaker->state != LC_BREAKER_OPEN || now < breaker->until)
+  if (breaker->state != LC_BREAKER_OPEN || now < breaker->open_until)
     return;
   breaker->state = LC_BREAKER_HALF_OPEN;
-  breaker->trials = 1;
+  breaker->max_trials = 1;
 }
 
-/* Results of requests sent before the endpoint was tried again say nothing of how it is now: those
- * that hung through an outage fail late and would open the breaker again and again. */
+/* Results of requests sent before the first trial are ignored: requests that hung during an outage
+ * time out late and would reopen the breaker although the endpoint has recovered. */
 static bool
-is_outdated (const LcBreaker *breaker, LbTime sent_at)
+predates_trial (const LcBreaker *breaker, LbTime sent_at)
 {
-  return breaker->state != LC_BREAKER_CLOSED && sent_at < breaker->until;
+  return breaker->state != LC_BREAKER_CLOSED && sent_at < breaker->open_until;
 }
 
 void
 lc_breaker_request_failed (LcBreaker *breaker, LbTime sent_at, LbTime now)
 {
-  if (is_outdated (breaker, sent_at) || !lb_switch_is_on (LB_SWITCH_BREAKERS))
+  if (predates_trial (breaker, sent_at) || !lb_switch_is_on (LB_SWITCH_BREAKERS))
     return;
-  count_result (breaker, true);
-  if (breaker->state == LC_BREAKER_HALF_OPEN || is_bad (breaker))
+  record_result (breaker, true);
+  if (breaker->state == LC_BREAKER_HALF_OPEN || should_open (breaker))
     open_breaker (breaker, now);
 }
 
-/* Each good answer of a trial lets one more go at once. All instances see an endpoint come back in
- * the same second: when each gives it a full share at once it fails again, and the breakers open
- * and close in step. */
+/* Half open, each success raises the concurrency by one. All instances see an endpoint recover in
+ * the same second: if each sent its full share at once, the endpoint would fail again, and the
+ * breakers of all instances would open and close in step. */
 void
 lc_breaker_request_succeeded (LcBreaker *breaker, LbTime sent_at)
 {
-  if (is_outdated (breaker, sent_at))
+  if (predates_trial (breaker, sent_at))
     return;
-  count_result (breaker, false);
+  record_result (breaker, false);
   if (breaker->state != LC_BREAKER_HALF_OPEN)
     return;
-  breaker->trials++;
-  if (breaker->trials >= TRIALS_TO_CLOSE)
+  breaker->max_trials++;
+  if (breaker->max_trials >= TRIALS_TO_CLOSE)
     close_breaker (breaker);
 }
 
@@ -98,6 +98,6 @@
   if (breaker->state == LC_BREAKER_CLOSED)
     return INT64_MAX;
   if (breaker->state == LC_BREAKER_OPEN)
-    return now < breaker->until ? 0 : 1;
-  return breaker->trials;
+    return now < breaker->open_until ? 0 : 1;
+  return breaker->max_trials;
 }
--- a/packages/core/src/endpoints/lc-concurrency.c
+++ b/packages/core/src/endpoints/lc-concurrency.c
@@ -2,65 +2,69 @@
 
 #include <math.h>
 
-#define LEAST 1.0
-#define DECREASE_SLOW 0.9
-#define DECREASE_FAILED 0.7
-#define QUEUED_FACTOR 3.0
-#define QUEUED_SECONDS 0.25 /* beyond the factor: short waits are noise, not a queue */
-#define FLOOR_RISE 0.002    /* per first byte, so that the floor follows slower hardware */
-#define BETWEEN_DECREASES                                                                          \
-  LB_SEC /* one decrease for one bad moment, not one per request in flight */
+#define MIN_LIMIT 1.0
+#define SLOW_DECREASE_FACTOR 0.9
+#define FAILED_DECREASE_FACTOR 0.7
+/* Requests queue at the endpoint when the time to first byte exceeds SLOW_FACTOR times the minimum
+ * by more than SLOW_EXTRA_SECONDS; smaller differences are noise. */
+#define SLOW_FACTOR 3.0
+#define SLOW_EXTRA_SECONDS 0.25
+/* Per first byte, so that the minimum rises when the hardware gets slower. */
+#define MIN_RISE_WEIGHT 0.002
+/* Delays of the requests in flight share one cause and cause one decrease, not one each. */
+#define DECREASE_PERIOD LB_SEC
 
 void
-lc_concurrency_init (LcConcurrency *concurrency, int64_t most)
+lc_concurrency_init (LcConcurrency *concurrency, int64_t max)
 {
-  *concurrency = (LcConcurrency){ .most = (double)(most > 1 ? most : 1) };
-  concurrency->limit = concurrency->most;
+  *concurrency = (LcConcurrency){ .max = (double)(max > 1 ? max : 1) };
+  concurrency->limit = concurrency->max;
 }
 
 void
-lc_concurrency_set_max (LcConcurrency *concurrency, int64_t most)
+lc_concurrency_set_max (LcConcurrency *concurrency, int64_t max)
 {
-  if ((double)most == concurrency->most)
+  if ((double)max == concurrency->max)
     return;
-  concurrency->most = (double)(most > 1 ? most : 1);
-  concurrency->limit = concurrency->most;
+  concurrency->max = (double)(max > 1 ? max : 1);
+  concurrency->limit = concurrency->max;
 }
 
 static void
 decrease (LcConcurrency *concurrency, double factor, LbTime now)
 {
-  if (concurrency->lowered != 0 && now - concurrency->lowered < BETWEEN_DECREASES)
+  if (concurrency->decreased_at != 0 && now - concurrency->decreased_at < DECREASE_PERIOD)
     return;
-  concurrency->lowered = now;
-  concurrency->limit = fmax (LEAST, concurrency->limit * factor);
+  concurrency->decreased_at = now;
+  concurrency->limit = fmax (MIN_LIMIT, concurrency->limit * factor);
 }
 
 static void
-follow_floor (LcConcurrency *concurrency, double waited_seconds)
+update_min_first_byte (LcConcurrency *concurrency, double first_byte_seconds)
 {
-  double floor = concurrency->floor_seconds;
+  double min_seconds = concurrency->min_first_byte_seconds;
 
-  concurrency->floor_seconds = floor == 0 || waited_seconds < floor
-                                   ? waited_seconds
-                                   : floor + FLOOR_RISE * (waited_seconds - floor);
+  concurrency->min_first_byte_seconds
+      = min_seconds == 0 || first_byte_seconds < min_seconds
+            ? first_byte_seconds
+            : min_seconds + MIN_RISE_WEIGHT * (first_byte_seconds - min_seconds);
 }
 
 void
 lc_concurrency_first_byte_received (LcConcurrency *concurrency,
-                                    double waited_seconds,
+                                    double first_byte_seconds,
                                     int64_t in_flight,
                                     LbTime now)
 {
-  follow_floor (concurrency, waited_seconds);
-  if (waited_seconds > QUEUED_FACTOR * concurrency->floor_seconds + QUEUED_SECONDS)
-    decrease (concurrency, DECREASE_SLOW, now);
+  update_min_first_byte (concurrency, first_byte_seconds);
+  if (first_byte_seconds > SLOW_FACTOR * concurrency->min_first_byte_seconds + SLOW_EXTRA_SECONDS)
+    decrease (concurrency, SLOW_DECREASE_FACTOR, now);
   else if ((double)in_flight * 2 >= concurrency->limit)
-    concurrency->limit = fmin (concurrency->most, concurrency->limit + 1 / concurrency->limit);
+    concurrency->limit = fmin (concurrency->max, concurrency->limit + 1 / concurrency->limit);
 }
 
 void
 lc_concurrency_request_failed (LcConcurrency *concurrency, LbTime now)
 {
-  decrease (concurrency, DECREASE_FAILED, now);
+  decrease (concurrency, FAILED_DECREASE_FACTOR, now);
 }
--- a/packages/core/src/endpoints/lc-concurrency.h
+++ b/packages/core/src/endpoints/lc-concurrency.h
@@ -3,21 +3,22 @@
 
 #include "lb-types.h"
 
-/* How many requests of ours an endpoint is given at once: additive increase while first bytes come
- * as fast as they used to, multiplicative decrease when they queue there or requests fail. */
+/* Adaptive (AIMD) limit of this instance's concurrent requests at an endpoint: additive increase
+ * while the time to first byte stays low, multiplicative decrease when it grows or requests
+ * fail. */
 typedef struct
 {
   double limit;
-  double most;          /* what the endpoint is sized for */
-  double floor_seconds; /* what a first byte takes without a queue */
-  LbTime lowered;       /* when it was last decreased */
+  double max;                    /* concurrency that the endpoint is sized for */
+  double min_first_byte_seconds; /* without queueing */
+  LbTime decreased_at;           /* 0: never */
 } LcConcurrency;
 
-void lc_concurrency_init (LcConcurrency *concurrency, int64_t most);
-void lc_concurrency_set_max (LcConcurrency *concurrency, int64_t most);
-/* In_flight is ours at the endpoint, this request included. */
+void lc_concurrency_init (LcConcurrency *concurrency, int64_t max);
+void lc_concurrency_set_max (LcConcurrency *concurrency, int64_t max);
+/* in_flight: this instance's requests at the endpoint, including this one. */
 void lc_concurrency_first_byte_received (LcConcurrency *concurrency,
-                                         double waited_seconds,
+                                         double first_byte_seconds,
                                          int64_t in_flight,
                                          LbTime now);
 void lc_concurrency_request_failed (LcConcurrency *concurrency, LbTime now);
--- a/packages/core/src/endpoints/lc-endpoint-entry.c
+++ b/packages/core/src/endpoints/lc-endpoint-entry.c
@@ -2,8 +2,10 @@
 
 #include <string.h>
 
-#define PAUSE (2 * LB_SEC)
-#define REPEATS_TO_BE_REGULAR 10
+/* A longer gap between events shows that this process was stopped, once MIN_REPEATED_REPORTS show
+ * that reports come regularly. */
+#define MIN_PAUSE (2 * LB_SEC)
+#define MIN_REPEATED_REPORTS 10
 
 void
 lc_endpoint_entry_invalidate_prefixes (LcEndpointEntry *entry)
@@ -13,18 +15,19 @@
 }
 
 static int64_t
-others_by_report (const LcEndpointEntry *entry)
+count_other_requests (const LcEndpointEntry *entry)
 {
   const LcLoadReport *report = &entry->endpoint.report;
-  int64_t others = report->running + report->waiting - entry->in_flight_at_report;
+  int64_t n_others = report->running + report->waiting - entry->in_flight_at_report;
 
-  return others > 0 ? others : 0;
+  return n_others > 0 ? n_others : 0;
 }
 
-/* By the report, and what we sent and ended since. To count our own growth once for each instance
- * that saw the same report was measured and is worse, see docs/design/0002-routing.md. */
+/* The last report, corrected by what this instance has sent and completed since. Multiplying this
+ * correction by the number of instances that saw the same report gives worse routing, see
+ * docs/design/0002-routing.md. */
 static int64_t
-load_by_report (const LcEndpointEntry *entry)
+estimate_requests (const LcEndpointEntry *entry)
 {
   const LcEndpoint *endpoint = &entry->endpoint;
 
@@ -43,7 +46,7 @@
 }
 
 static void
-summarise (LcEndpointEntry *entry)
+update_summary (LcEndpointEntry *entry)
 {
   const LcEndpoint *endpoint = &entry->endpoint;
 
@@ -51,17 +54,17 @@
     .endpoint = &entry->endpoint,
     .reported_at = entry->is_reported ? endpoint->report.measured_at : LC_NEVER_REPORTED,
     .version = endpoint->report.version,
-    .capacity = (float)entry->concurrency.most,
-    .inverse_capacity = 1 / (float)entry->concurrency.most,
+    .capacity = (float)entry->concurrency.max,
+    .inverse_capacity = 1 / (float)entry->concurrency.max,
     .concurrency_limit = (float)entry->concurrency.limit,
-    .requests = (float)load_by_report (entry),
-    .other_requests = (float)others_by_report (entry),
+    .requests = (float)estimate_requests (entry),
+    .other_requests = (float)count_other_requests (entry),
     .slot = endpoint->slot,
-    .live_sent_since_report = (int32_t)entry->live_since_report,
+    .live_sent_since_report = (int32_t)entry->live_sent_since_report,
     .in_flight = (int32_t)endpoint->in_flight,
     .data_centre = (int16_t)entry->data_centre,
     .single_stream_token_seconds = (float)entry->single_stream_token_seconds,
-    .is_excluded = endpoint->leaving || entry->retired,
+    .is_excluded = endpoint->leaving || entry->is_retired,
     .needs_full_check = needs_full_check (entry),
   };
 }
@@ -69,15 +72,17 @@
 LbTime
 lc_endpoints_reports_valid_since (const LcEndpoints *endpoints, LbTime now)
 {
-  bool regular = endpoints->n_repeated_reports >= REPEATS_TO_BE_REGULAR;
+  bool reports_are_regular = endpoints->n_repeated_reports >= MIN_REPEATED_REPORTS;
 
-  return regular && now - endpoints->last_event_at > PAUSE ? now : endpoints->reports_valid_since;
+  return reports_are_regular && now - endpoints->last_event_at > MIN_PAUSE
+             ? now
+             : endpoints->reports_valid_since;
 }
 
-/* Every event of the table passes here. A process that was stopped for a while does not know it:
- * its first act may be to send the retry of a stream that broke meanwhile to an endpoint that said
- * "leaving" to all others. Reports come several times a second, so a gap without any event shows
- * the stop, and nothing that was measured before its end is believed. */
+/* Called for every event of the table, to detect that this process was stopped for a while: reports
+ * come several times a second, so a gap without any event shows a stop. Reports measured before its
+ * end are ignored. Without this, the retry of a stream that broke during the stop could be sent to
+ * an endpoint that has announced meanwhile that it is leaving. */
 void
 lc_endpoints_record_event_time (LcEndpoints *endpoints, LbTime now)
 {
@@ -85,7 +90,7 @@
   endpoints->last_event_at = now;
 }
 
-/* Makes what the parts of an entry decided readable in its endpoint and its summary. */
+/* Copies the state of the entry's components to its endpoint and its summary. */
 void
 lc_endpoint_entry_publish (LcEndpointEntry *entry, LbTime now)
 {
@@ -97,13 +102,13 @@
     endpoint->leaving_since = now;
   endpoint->leaving = leaving;
   endpoint->breaker = entry->breaker.state;
-  endpoint->breaker_open_until = entry->breaker.until;
+  endpoint->breaker_open_until = entry->breaker.open_until;
   endpoint->consecutive_failures = entry->breaker.consecutive_failures;
   endpoint->concurrency_limit = entry->concurrency.limit;
-  summarise (entry);
+  update_summary (entry);
 }
 
-/* What was learnt of the process behind the endpoint does not hold for the next one. */
+/* Discards state that belongs to the endpoint's previous process. */
 void
 lc_endpoint_entry_reset_process (LcEndpointEntry *entry)
 {
--- a/packages/core/src/endpoints/lc-endpoints-config.c
+++ b/packages/core/src/endpoints/lc-endpoints-config.c
@@ -7,7 +7,7 @@
 
 #define DEFAULT_TOKEN_SECONDS 0.02
 
-/* Which endpoints there are: membership, pools, data centres. */
+/* The set of endpoints: configuration, pools, data centres. */
 
 LcEndpoints *
 lc_endpoints_new (void)
@@ -59,7 +59,7 @@
 }
 
 static uint32_t
-take_slot (LcEndpoints *endpoints, const LcEndpointCache *view)
+allocate_slot (LcEndpoints *endpoints, const LcEndpointCache *view)
 {
   uint32_t slot = 0;
 
@@ -93,7 +93,7 @@
   entry->index = endpoints->n_entries;
   entry->endpoint.member = *member;
   entry->name_hash = XXH3_64bits (member->name, strlen (member->name));
-  entry->cache.slot = take_slot (endpoints, &entry->cache);
+  entry->cache.slot = allocate_slot (endpoints, &entry->cache);
   entry->endpoint.slot = entry->cache.slot;
   lc_endpoint_entry_invalidate_prefixes (entry);
   entry->single_stream_token_seconds = DEFAULT_TOKEN_SECONDS;
@@ -106,7 +106,7 @@
 static void
 remove_entry (LcEndpoints *endpoints, LcEndpointEntry *entry)
 {
-  /* The analyzer does not know that the table holds the entry.
+  /* The analyzer can't see that by_name contains the entry.
    * NOLINTNEXTLINE(clang-analyzer-core.NullDereference) */
   HASH_DEL (endpoints->by_name, entry);
   endpoints->caches[entry->cache.slot] = NULL;
@@ -116,17 +116,17 @@
   free (entry);
 }
 
-/* What it stated is the version of the pool's model that it served before. Were it believed for the
- * new one, requests would go to weights that are too old for them. */
+/* The reported version is that of the previous pool's model. Kept for the new pool, it would route
+ * requests to weights that are too old for them. */
 static void
-forget_weights (LcEndpointEntry *entry)
+clear_weights (LcEndpointEntry *entry)
 {
   entry->endpoint.report.version = 0;
   entry->endpoint.swap_pending = false;
 }
 
 static void
-take_member (LcEndpoints *endpoints, const LcEndpointMember *member)
+apply_member (LcEndpoints *endpoints, const LcEndpointMember *member)
 {
   LcEndpointEntry *entry = lc_endpoints_find_entry (endpoints, member->name);
 
@@ -141,25 +141,24 @@
       lc_endpoint_entry_reset_process (entry);
     }
   if (strcmp (entry->endpoint.member.pool, member->pool) != 0)
-    forget_weights (entry);
-  entry->retired = false;
+    clear_weights (entry);
+  entry->is_retired = false;
   entry->endpoint.member = *member;
   lc_concurrency_set_max (&entry->concurrency, member->concurrency);
-  /* A later revision that no longer says leaving does not bring this incarnation back: some
-   * instance may still read the earlier one, and work would go to an endpoint that is on its way
-   * out. */
+  /* A later revision without the mark does not clear it for this incarnation: the endpoint may
+   * already be shutting down, and other instances may still use the earlier revision. */
   if (member->leaving)
     lc_leaving_mark (&entry->leaving, "");
 }
 
 static void
-drop_retired (LcEndpoints *endpoints)
+remove_retired (LcEndpoints *endpoints)
 {
   for (size_t i = endpoints->n_entries; i-- > 0;)
     {
       LcEndpointEntry *entry = endpoints->entries[i];
 
-      if (entry->retired && entry->endpoint.in_flight == 0)
+      if (entry->is_retired && entry->endpoint.in_flight == 0)
         remove_entry (endpoints, entry);
     }
 }
@@ -183,7 +182,7 @@
 }
 
 static void
-join_group (LcEndpoints *endpoints, LcEndpointEntry *entry)
+add_to_group (LcEndpoints *endpoints, LcEndpointEntry *entry)
 {
   LcEndpointKind kind = (LcEndpointKind)entry->endpoint.member.kind;
   LcEndpointGroup *group = lc_endpoints_find_group (endpoints, kind, entry->endpoint.member.pool);
@@ -239,21 +238,21 @@
       LcEndpointEntry *entry = endpoints->entries[i];
 
       entry->data_centre = add_data_centre (endpoints, entry->endpoint.member.data_centre);
-      join_group (endpoints, entry);
+      add_to_group (endpoints, entry);
       lc_endpoint_entry_publish (entry, now);
     }
 }
 
-/* Brings the table in line with the set. An endpoint that the set no longer names takes no new
- * work; it is forgotten at the first later call that finds none of our requests there, so pointers
- * to it stay valid until then. */
+/* Updates the table to the set. An endpoint that is no longer in the set gets no new requests. It
+ * is removed by the first later call that finds no requests of this instance there, and pointers to
+ * it stay valid until then. */
 void
 lc_endpoints_configure (LcEndpoints *endpoints, const LcResourceSet *set, LbTime now)
 {
   for (size_t i = 0; i < endpoints->n_entries; i++)
-    endpoints->entries[i]->retired = true;
+    endpoints->entries[i]->is_retired = true;
   for (size_t i = 0; i < set->n_endpoints; i++)
-    take_member (endpoints, &set->endpoints[i]);
-  drop_retired (endpoints);
+    apply_member (endpoints, &set->endpoints[i]);
+  remove_retired (endpoints);
   rebuild_groups (endpoints, now);
 }
--- a/packages/core/src/endpoints/lc-endpoints-query.c
+++ b/packages/core/src/endpoints/lc-endpoints-query.c
@@ -1,6 +1,6 @@
 #include "lc-endpoint-table.h"
 
-#define REPORT_TRUSTED_FOR (10 * LB_SEC)
+#define MAX_REPORT_AGE (10 * LB_SEC) /* an older report does not limit requests */
 
 size_t
 lc_endpoints_count (const LcEndpoints *endpoints)
@@ -26,11 +26,11 @@
                                 now);
 }
 
-/* A swap that fails partway leaves weights that nobody can name: samples would come back unlabelled
- * and live callers would get answers of a half-loaded model. The endpoint is out until a report
- * that was measured after the swap was due states a version. */
+/* A swap that fails halfway leaves weights of no known version: samples would be unlabelled, and
+ * live callers would get answers from a half-loaded model. The endpoint gets no requests until a
+ * report measured after the swap was due states a version. */
 static bool
-weights_are_known (const LcEndpointEntry *entry, LbTime now)
+has_known_weights (const LcEndpointEntry *entry, LbTime now)
 {
   const LcEndpoint *endpoint = &entry->endpoint;
 
@@ -42,29 +42,30 @@
          || endpoint->report.measured_at >= endpoint->swap_until;
 }
 
-/* A fresh instance has heard of no endpoint that is leaving; its configuration may still name it,
- * and the first request would go there seconds after all others stopped. So an endpoint is heard
- * before it gets work. */
+/* A new instance does not know yet which endpoints are leaving, and its configuration may still
+ * name them. So an endpoint gets requests only after a report or a reply: otherwise a new instance
+ * would send the first ones seconds after all other instances stopped. */
 static bool
-is_heard (const LcEndpointEntry *entry)
+has_been_heard (const LcEndpointEntry *entry)
 {
   return entry->is_reported || entry->endpoint.last_reply_at > 0;
 }
 
 static bool
-special_may_take (const LcEndpoint *endpoint, LbTime now)
+full_check_accepts (const LcEndpoint *endpoint, LbTime now)
 {
   const LcEndpointEntry *entry = lc_endpoint_entry (endpoint);
-  bool refuses
+  bool is_refusing
       = now < entry->refused_until
         || (endpoint->member.states_size && endpoint->swap_pending && now < endpoint->swap_until);
 
-  return !refuses && is_heard (entry) && weights_are_known (entry, now)
+  return !is_refusing && has_been_heard (entry) && has_known_weights (entry, now)
          && endpoint->in_flight < lc_breaker_max_in_flight (&entry->breaker, now);
 }
 
-/* Leaving, open breaker, unknown weights and full endpoints take nothing; samples leave the live
- * reserve free. Reads no entry unless something is special, so that 600 of them stay unread. */
+/* Refuses endpoints that are leaving, have an open breaker, serve unknown weights or are full;
+ * samples leave the live reserve free. Reads the entry only if needs_full_check: a decision may
+ * scan 600 summaries. */
 bool
 lc_endpoint_summary_can_accept (const LcEndpointSummary *summary,
                                 LcRequestKind kind,
@@ -76,13 +77,13 @@
 
   if (summary->is_excluded || (float)summary->in_flight >= summary->concurrency_limit * share)
     return false;
-  if (summary->needs_full_check && !special_may_take (summary->endpoint, now))
+  if (summary->needs_full_check && !full_check_accepts (summary->endpoint, now))
     return false;
   if (summary->reported_at == LC_NEVER_REPORTED)
     return true;
   if (summary->reported_at < reports_valid_since)
     return false;
-  if (now - summary->reported_at > REPORT_TRUSTED_FOR)
+  if (now - summary->reported_at > MAX_REPORT_AGE)
     return true;
   return summary->requests < summary->capacity * share;
 }
--- a/packages/core/src/endpoints/lc-endpoints.c
+++ b/packages/core/src/endpoints/lc-endpoints.c
@@ -8,27 +8,28 @@
 #include <string.h>
 
 #define EWMA_WEIGHT 0.1
-/* A load takes about a second; one request in this time finds out that it is over. */
-#define REFUSED_FOR (120 * LB_MSEC)
+/* Time between two requests to an endpoint that rejects them, to find out when a weight load, which
+ * takes about a second, has ended. */
+#define REFUSAL_BACKOFF (120 * LB_MSEC)
 #define MAX_TOKENS_PER_SECOND 1e6
-/* An endpoint of which no stream was seen for so long is tried again as if it were well: engines
- * turn slow for five to ten seconds. */
-#define PACE_KEPT (4 * LB_SEC)
-#define PACE_REVIEW (500 * LB_MSEC)
+/* The pace of an endpoint without streams is discarded after this time, so that a slow endpoint is
+ * tried again: engines are slow for five to ten seconds at a time. */
+#define MAX_PACE_AGE (4 * LB_SEC)
+#define PACE_REVIEW_PERIOD (500 * LB_MSEC)
 
 static void
-end_swap_if_stated (LcEndpointEntry *entry)
+end_swap_if_confirmed (LcEndpointEntry *entry)
 {
   LcEndpoint *endpoint = &entry->endpoint;
   const LcLoadReport *report = &endpoint->report;
 
   if (report->version > 0 && report->version != entry->version_before_swap
-      && report->measured_at >= entry->swap_since)
+      && report->measured_at >= entry->swap_started_at)
     endpoint->swap_pending = false;
 }
 
 static LcEndpointGroup *
-group_of (const LcEndpointEntry *entry)
+find_group (const LcEndpointEntry *entry)
 {
   const LcEndpointMember *member = &entry->endpoint.member;
 
@@ -36,11 +37,11 @@
 }
 
 static void
-learn_token_time (LcEndpointEntry *entry)
+update_token_time (LcEndpointEntry *entry)
 {
   const LcLoadReport *report = &entry->endpoint.report;
-  LcEndpointGroup *group = group_of (entry);
-  double fill = fmin (1, (double)report->running / entry->concurrency.most);
+  LcEndpointGroup *group = find_group (entry);
+  double fill = fmin (1, (double)report->running / entry->concurrency.max);
 
   if (report->tokens_per_second <= 0)
     return;
@@ -51,44 +52,46 @@
 }
 
 static void
-take_report (LcEndpointEntry *entry, const LcLoadReport *report)
+apply_report (LcEndpointEntry *entry, const LcLoadReport *report)
 {
   LcEndpoint *endpoint = &entry->endpoint;
-  char known[sizeof endpoint->report.incarnation];
+  char known_incarnation[sizeof endpoint->report.incarnation];
 
-  LB_COPY (known, endpoint->report.incarnation);
-  if (known[0] && report->incarnation[0] && strcmp (known, report->incarnation) != 0)
+  LB_COPY (known_incarnation, endpoint->report.incarnation);
+  if (known_incarnation[0] && report->incarnation[0]
+      && strcmp (known_incarnation, report->incarnation) != 0)
     lc_endpoint_entry_reset_process (entry);
   if (report->incarnation[0])
     lc_leaving_set_incarnation (&entry->leaving, report->incarnation);
   endpoint->report = *report;
   if (!report->incarnation[0])
-    LB_COPY (endpoint->report.incarnation, known);
+    LB_COPY (endpoint->report.incarnation, known_incarnation);
   entry->table->n_repeated_reports += entry->is_reported;
   entry->is_reported = true;
   endpoint->sent_since_report
-      = lc_in_flight_history_sent_after (&entry->flights, report->measured_at);
-  entry->live_since_report
-      = lc_in_flight_history_live_sent_after (&entry->flights, report->measured_at);
-  entry->in_flight_at_report = lc_in_flight_history_count_at (&entry->flights, report->measured_at);
-  learn_token_time (entry);
-  end_swap_if_stated (entry);
+      = lc_in_flight_history_sent_after (&entry->in_flight_history, report->measured_at);
+  entry->live_sent_since_report
+      = lc_in_flight_history_live_sent_after (&entry->in_flight_history, report->measured_at);
+  entry->in_flight_at_report
+      = lc_in_flight_history_count_at (&entry->in_flight_history, report->measured_at);
+  update_token_time (entry);
+  end_swap_if_confirmed (entry);
 }
 
-/* What an endpoint says of itself may be nonsense: a negative load would draw in all work, and a
- * time to come would make every later report an old one. */
+/* Corrects invalid values: a negative load would attract all requests, and a time in the future
+ * would make every later report look outdated. */
 static LcLoadReport
-sane_report (const LcLoadReport *report, LbTime now)
+sanitise_report (const LcLoadReport *report, LbTime now)
 {
-  LcLoadReport sane = *report;
+  LcLoadReport sanitised = *report;
 
-  sane.running = report->running > 0 ? report->running : 0;
-  sane.waiting = report->waiting > 0 ? report->waiting : 0;
-  sane.version = report->version > 0 ? report->version : 0;
+  sanitised.running = report->running > 0 ? report->running : 0;
+  sanitised.waiting = report->waiting > 0 ? report->waiting : 0;
+  sanitised.version = report->version > 0 ? report->version : 0;
   if (!(report->tokens_per_second > 0 && report->tokens_per_second < MAX_TOKENS_PER_SECOND))
-    sane.tokens_per_second = 0;
-  sane.measured_at = report->measured_at < now ? report->measured_at : now;
-  return sane;
+    sanitised.tokens_per_second = 0;
+  sanitised.measured_at = report->measured_at < now ? report->measured_at : now;
+  return sanitised;
 }
 
 static const char *const leaving_sources[] = {
@@ -98,9 +101,9 @@
   [LC_LEAVING_PEER] = "peer",
 };
 
-/* True when it is news that the endpoint is leaving; logged once for each incarnation. */
+/* True if the endpoint was not leaving before; logged once for each incarnation. */
 static bool
-publish_leaving (LcEndpointEntry *entry, LcLeavingSource source, LbTime now)
+publish_and_log_leaving (LcEndpointEntry *entry, LcLeavingSource source, LbTime now)
 {
   bool was_leaving = entry->endpoint.leaving;
 
@@ -113,8 +116,8 @@
   return true;
 }
 
-/* Reports are ordered by when they were measured: one that comes after a later one is old and
- * changes nothing, but a "leaving" in it holds for its incarnation. */
+/* Reports are ordered by when they were measured. An outdated one changes nothing, but if it says
+ * leaving, its incarnation is marked. */
 void
 lc_endpoints_record_load (LcEndpoints *endpoints,
                           const char *name,
@@ -125,20 +128,19 @@
 
   if (!entry)
     return;
-  LcLoadReport sane = sane_report (report, now);
+  LcLoadReport sanitised = sanitise_report (report, now);
 
   if (!report->is_from_registry)
     entry->endpoint.last_reply_at = now;
-  if (!entry->is_reported || sane.measured_at >= entry->endpoint.report.measured_at)
-    take_report (entry, &sane);
+  if (!entry->is_reported || sanitised.measured_at >= entry->endpoint.report.measured_at)
+    apply_report (entry, &sanitised);
   if (report->leaving)
     lc_leaving_mark (&entry->leaving, report->incarnation);
-  publish_leaving (entry, LC_LEAVING_ENDPOINT, now);
+  publish_and_log_leaving (entry, LC_LEAVING_ENDPOINT, now);
 }
 
-/* The platform's list names no incarnation; pass "" with it, and call
- * lc_endpoints_clear_platform_leaving when the list no longer says leaving. Peers always name the
- * incarnation that they mean. */
+/* The platform's list names no incarnation: pass "", and call lc_endpoints_clear_platform_leaving
+ * when the list no longer marks the endpoint. Peers always name the incarnation. */
 bool
 lc_endpoints_mark_leaving (LcEndpoints *endpoints,
                            const char *name,
@@ -154,11 +156,9 @@
     lc_leaving_set_platform_listed (&entry->leaving, true);
   else
     lc_leaving_mark (&entry->leaving, incarnation);
-  return publish_leaving (entry, source, now);
+  return publish_and_log_leaving (entry, source, now);
 }
 
-/* The platform's list names the endpoint and does not say leaving. Takes back only a doubt about
- * which incarnation the list meant, never what was said of the present one. */
 void
 lc_endpoints_clear_platform_leaving (LcEndpoints *endpoints, const char *name, LbTime now)
 {
@@ -170,7 +170,6 @@
   lc_endpoint_entry_publish (entry, now);
 }
 
-/* Until is when the new weights are expected to serve. */
 void
 lc_endpoints_set_swap (
     LcEndpoints *endpoints, const char *name, bool pending, LbTime until, LbTime now)
@@ -181,7 +180,7 @@
     return;
   if (pending && !entry->endpoint.swap_pending)
     {
-      entry->swap_since = now;
+      entry->swap_started_at = now;
       entry->version_before_swap = entry->endpoint.report.version;
     }
   entry->endpoint.swap_pending = pending;
@@ -204,7 +203,7 @@
                                  prefix_hash, now);
 }
 
-/* Prefix_hash is that of the whole prompt; 0: none. */
+/* prefix_hash: of the whole prompt; 0: none. */
 void
 lc_endpoint_request_sent (LcEndpoint *endpoint,
                           LcRequestKind kind,
@@ -216,9 +215,9 @@
   endpoint->in_flight++;
   endpoint->in_flight_rollout += kind == LC_KIND_SAMPLE;
   endpoint->sent_since_report++;
-  entry->live_since_report += kind != LC_KIND_SAMPLE;
-  lc_in_flight_history_add (&entry->flights, endpoint->in_flight, true, kind != LC_KIND_SAMPLE,
-                            now);
+  entry->live_sent_since_report += kind != LC_KIND_SAMPLE;
+  lc_in_flight_history_add (&entry->in_flight_history, endpoint->in_flight, true,
+                            kind != LC_KIND_SAMPLE, now);
   lc_breaker_request_sent (&entry->breaker, now);
   if (prefix_hash != 0)
     lc_prefix_index_add_sent (entry->table->prefix_index, &entry->cache, prefix_hash, now);
@@ -226,12 +225,12 @@
 }
 
 static void
-ewma_add (double *mean, double sample)
+update_ewma (double *mean, double sample)
 {
   *mean = *mean > 0 ? *mean + EWMA_WEIGHT * (sample - *mean) : sample;
 }
 
-/* Waited is from the sending of the request to its first byte. */
+/* waited: from sending the request to its first byte. */
 void
 lc_endpoint_first_byte_received (LcEndpoint *endpoint, LbTime waited, LbTime now)
 {
@@ -239,14 +238,14 @@
   double seconds = (double)waited / LB_SEC;
 
   endpoint->last_reply_at = now;
-  ewma_add (&endpoint->ewma_first_byte_seconds, seconds);
+  update_ewma (&endpoint->ewma_first_byte_seconds, seconds);
   lc_concurrency_first_byte_received (&entry->concurrency, seconds, endpoint->in_flight, now);
   lc_endpoint_entry_publish (entry, now);
 }
 
-/* Seconds of one token at the fastest endpoint of the group; 0: none is known. */
+/* Seconds per token at the fastest endpoint of the group; 0: not known. */
 static double
-fastest_pace (const LcEndpointEntry *entry, const LcEndpointGroup *group)
+find_fastest_token_seconds (const LcEndpointEntry *entry, const LcEndpointGroup *group)
 {
   double fastest = 0;
 
@@ -254,7 +253,8 @@
     {
       const LcEndpointEntry *other
           = lc_endpoint_entry (entry->table->summaries[group->slots[i]].endpoint);
-      double seconds = other->paced_at > 0 ? lc_stream_pace_token_seconds (&other->pace) : 0;
+      double seconds
+          = other->stream_pace_at > 0 ? lc_stream_pace_token_seconds (&other->stream_pace) : 0;
       if (seconds > 0 && (fastest == 0 || seconds < fastest))
         fastest = seconds;
     }
@@ -262,16 +262,16 @@
 }
 
 static void
-forget_pace (LcEndpointEntry *entry, double token_seconds, LbTime now)
+reset_pace (LcEndpointEntry *entry, double token_seconds, LbTime now)
 {
-  entry->pace = (LcStreamPace){ 0 };
-  entry->paced_at = 0;
+  entry->stream_pace = (LcStreamPace){ 0 };
+  entry->stream_pace_at = 0;
   entry->single_stream_token_seconds = token_seconds;
   lc_endpoint_entry_publish (entry, now);
 }
 
-/* An engine that was slow gets no requests as long as others have room, so nothing would ever show
- * that it is well again. */
+/* Discards outdated paces. A slow engine gets no requests while others have capacity, so without
+ * this its recovery would never be noticed. */
 static void
 review_paces (LcEndpointEntry *entry, LcEndpointGroup *group, LbTime now)
 {
@@ -279,21 +279,21 @@
 
   if (now < group->next_pace_review_at)
     return;
-  group->next_pace_review_at = now + PACE_REVIEW;
-  fastest = fastest_pace (entry, group);
+  group->next_pace_review_at = now + PACE_REVIEW_PERIOD;
+  fastest = find_fastest_token_seconds (entry, group);
   group->fastest_token_seconds = fastest;
   for (size_t i = 0; fastest > 0 && i < group->n_slots; i++)
     {
       LcEndpointEntry *other
           = lc_endpoint_entry (entry->table->summaries[group->slots[i]].endpoint);
-      if (other->paced_at > 0 && now - other->paced_at > PACE_KEPT)
-        forget_pace (other, fastest, now);
+      if (other->stream_pace_at > 0 && now - other->stream_pace_at > MAX_PACE_AGE)
+        reset_pace (other, fastest, now);
     }
 }
 
-/* Guards against an engine that turns slow: it is known by the whole time of requests that ended
- * there, and until its long texts end, several seconds later, it gets as many new ones as before.
- */
+/* Detects an engine that becomes slow while its generations still run. The duration of completed
+ * requests shows it several seconds later, and until then the engine would get as many new requests
+ * as before. */
 void
 lc_endpoint_tokens_received (LcEndpoint *endpoint, int64_t tokens, LbTime interval, LbTime now)
 {
@@ -304,10 +304,10 @@
     endpoint->last_reply_at = now;
   if (!lb_switch_is_on (LB_SWITCH_PACE))
     return;
-  lc_stream_pace_add (&entry->pace, tokens, interval);
-  entry->paced_at = now;
-  seconds = lc_stream_pace_token_seconds (&entry->pace);
-  review_paces (entry, group_of (entry), now);
+  lc_stream_pace_add (&entry->stream_pace, tokens, interval);
+  entry->stream_pace_at = now;
+  seconds = lc_stream_pace_token_seconds (&entry->stream_pace);
+  review_paces (entry, find_group (entry), now);
   if (seconds == 0 || endpoint->report.tokens_per_second > 0)
     return;
   entry->single_stream_token_seconds = seconds;
@@ -315,22 +315,23 @@
 }
 
 static void
-learn_service_time (LcEndpointEntry *entry, int64_t tokens, LbTime took)
+update_service_time (LcEndpointEntry *entry, int64_t tokens, LbTime took)
 {
-  ewma_add (&group_of (entry)->mean_service_seconds, (double)took / LB_SEC);
+  update_ewma (&find_group (entry)->mean_service_seconds, (double)took / LB_SEC);
   if (tokens == 0)
     return;
-  ewma_add (&entry->endpoint.ewma_token_seconds, (double)took / LB_SEC / (double)tokens);
-  if (entry->endpoint.report.tokens_per_second <= 0 && entry->paced_at == 0)
+  update_ewma (&entry->endpoint.ewma_token_seconds, (double)took / LB_SEC / (double)tokens);
+  if (entry->endpoint.report.tokens_per_second <= 0 && entry->stream_pace_at == 0)
     entry->single_stream_token_seconds = entry->endpoint.ewma_token_seconds;
 }
 
 static void
-count_out (LcEndpointEntry *entry, LcRequestKind kind, LbTime now)
+record_request_end (LcEndpointEntry *entry, LcRequestKind kind, LbTime now)
 {
   entry->endpoint.in_flight--;
   entry->endpoint.in_flight_rollout -= kind == LC_KIND_SAMPLE;
-  lc_in_flight_history_add (&entry->flights, entry->endpoint.in_flight, false, false, now);
+  lc_in_flight_history_add (&entry->in_flight_history, entry->endpoint.in_flight, false, false,
+                            now);
 }
 
 void
@@ -345,7 +346,7 @@
 {
   LcEndpointEntry *entry = lc_endpoint_entry (endpoint);
 
-  count_out (entry, kind, now);
+  record_request_end (entry, kind, now);
   lc_endpoint_entry_publish (entry, now);
 }
 
@@ -355,12 +356,12 @@
 {
   LcEndpointEntry *entry = lc_endpoint_entry (endpoint);
 
-  count_out (entry, kind, now);
+  record_request_end (entry, kind, now);
   if (ok)
     {
       endpoint->last_reply_at = now;
       lc_breaker_request_succeeded (&entry->breaker, now - took);
-      learn_service_time (entry, tokens, took);
+      update_service_time (entry, tokens, took);
     }
   else
     {
@@ -370,10 +371,10 @@
   lc_endpoint_entry_publish (entry, now);
 }
 
-/* An engine refuses all new requests while it loads weights. Were each refusal a failure, its
- * breaker would open and let it have one request, then two, long after the load: as often as
- * weights change, half of the engines would stand idle. One that states its size is asked again
- * shortly instead. */
+/* An engine rejects all new requests while it loads weights. If each rejection counted as a
+ * failure, its breaker would open and admit one request, then two, long after the load; with
+ * frequent weight updates half of the engines would be idle. An endpoint that states its size is
+ * tried again after a short time instead. */
 void
 lc_endpoint_request_refused (LcEndpoint *endpoint, LcRequestKind kind, LbTime now)
 {
@@ -384,8 +385,8 @@
       lc_endpoint_request_ended (endpoint, kind, false, 0, 0, now);
       return;
     }
-  count_out (entry, kind, now);
-  entry->refused_until = now + REFUSED_FOR;
+  record_request_end (entry, kind, now);
+  entry->refused_until = now + REFUSAL_BACKOFF;
   lc_endpoint_entry_publish (entry, now);
 }
 
--- a/packages/core/src/endpoints/lc-entry.c
+++ b/packages/core/src/endpoints/lc-entry.c
@@ -4,10 +4,11 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Weighted rendezvous hashing: the instance with the largest score gets the caller. A change of one
- * instance moves only the callers that it had or gets, and callers share out by weight. */
+/* Weighted rendezvous hashing: the instance with the largest score gets the caller. Callers are
+ * distributed by weight, and a change of one instance moves only the callers that it loses or
+ * gets. */
 static double
-score (const LcMemberView *view, const char *caller)
+rendezvous_score (const LcMemberView *view, const char *caller)
 {
   const LcInstance *instance = &view->instance;
   uint64_t hash
@@ -19,60 +20,62 @@
 }
 
 static bool
-is_chosen (const LcEntryChoice *entry, size_t index)
+is_chosen (const LcEntryChoice *choice, size_t index)
 {
-  for (size_t i = 0; i < entry->n_chosen; i++)
-    if (entry->chosen[i] == index)
+  for (size_t i = 0; i < choice->n_chosen; i++)
+    if (choice->chosen[i] == index)
       return true;
   return false;
 }
 
-/* An instance that drains or is suspected would refuse or not answer; it is never named. */
+/* A draining instance would reject the caller, a suspected one might not answer. */
 static bool
-may_be_named (const LcMemberView *view)
+can_be_chosen (const LcMemberView *view)
 {
   return view->alive && !view->draining && view->instance.caller_address[0] != '\0';
 }
 
 static void
-choose_next (LcEntryChoice *entry,
+choose_next (LcEntryChoice *choice,
              const LcMemberView *views,
              size_t n_views,
              const char *caller,
              const char *data_centre,
-             bool inside)
+             bool same_data_centre)
 {
   double best = -1.0;
   size_t chosen = 0;
 
   for (size_t i = 0; i < n_views; i++)
     {
-      bool is_inside = strcmp (views[i].instance.data_centre, data_centre) == 0;
-      if (is_inside != inside || !may_be_named (&views[i]) || is_chosen (entry, i))
+      bool in_same_data_centre = strcmp (views[i].instance.data_centre, data_centre) == 0;
+      if (in_same_data_centre != same_data_centre || !can_be_chosen (&views[i])
+          || is_chosen (choice, i))
         continue;
-      double own = score (&views[i], caller);
-      if (own <= best)
+      double candidate_score = rendezvous_score (&views[i], caller);
+      if (candidate_score <= best)
         continue;
-      best = own;
+      best = candidate_score;
       chosen = i;
     }
   if (best >= 0)
-    entry->chosen[entry->n_chosen++] = chosen;
+    choice->chosen[choice->n_chosen++] = chosen;
 }
 
-/* First one in the caller's data centre, then one elsewhere, so that a caller whose data centre is
- * lost has a good second address; then more of the caller's own. */
+/* First an instance in the caller's data centre; then one elsewhere, so that the second address
+ * works when the caller's data centre fails; then more in the caller's data centre. */
 void
-lc_entry_choose (LcEntryChoice *entry,
+lc_entry_choose (LcEntryChoice *choice,
                  const LcMemberView *views,
                  size_t n_views,
                  const char *caller,
                  const char *data_centre)
 {
-  static const bool order[] = { true, false, true, true, false, false };
+  static const bool prefer_same_data_centre[] = { true, false, true, true, false, false };
 
-  entry->n_chosen = 0;
-  for (size_t i = 0; i < sizeof order / sizeof *order && entry->n_chosen < LC_MAX_ENTRY_ADDRESSES;
+  choice->n_chosen = 0;
+  for (size_t i = 0; i < sizeof prefer_same_data_centre / sizeof *prefer_same_data_centre
+                     && choice->n_chosen < LC_MAX_ENTRY_ADDRESSES;
        i++)
-    choose_next (entry, views, n_views, caller, data_centre, order[i]);
+    choose_next (choice, views, n_views, caller, data_centre, prefer_same_data_centre[i]);
 }
--- a/packages/core/src/endpoints/lc-in-flight-history.c
+++ b/packages/core/src/endpoints/lc-in-flight-history.c
@@ -2,56 +2,59 @@
 
 void
 lc_in_flight_history_add (
-    LcInFlightHistory *log, int64_t in_flight, bool sent, bool live, LbTime now)
+    LcInFlightHistory *history, int64_t in_flight, bool is_sent, bool is_live, LbTime now)
 {
-  log->changes[log->n_changes++ % LC_IN_FLIGHT_HISTORY_LENGTH] = (LcInFlightChange){
-    .at = now, .in_flight = (int32_t)in_flight, .sent = sent, .live = live
+  history->changes[history->n_changes++ % LC_IN_FLIGHT_HISTORY_LENGTH] = (LcInFlightChange){
+    .at = now, .in_flight = (int32_t)in_flight, .is_sent = is_sent, .is_live = is_live
   };
 }
 
 static size_t
-oldest_kept (const LcInFlightHistory *log)
+oldest_change_index (const LcInFlightHistory *history)
 {
-  return log->n_changes > LC_IN_FLIGHT_HISTORY_LENGTH ? log->n_changes - LC_IN_FLIGHT_HISTORY_LENGTH
-                                                      : 0;
+  return history->n_changes > LC_IN_FLIGHT_HISTORY_LENGTH
+             ? history->n_changes - LC_IN_FLIGHT_HISTORY_LENGTH
+             : 0;
 }
 
 static const LcInFlightChange *
-change (const LcInFlightHistory *log, size_t i)
+change_at (const LcInFlightHistory *history, size_t i)
 {
-  return &log->changes[i % LC_IN_FLIGHT_HISTORY_LENGTH];
+  return &history->changes[i % LC_IN_FLIGHT_HISTORY_LENGTH];
 }
 
-/* Before the oldest change that is kept the count is taken to be what that change began from. */
+/* For times before the oldest change that is kept, returns the count before that change. */
 int64_t
-lc_in_flight_history_count_at (const LcInFlightHistory *log, LbTime at)
+lc_in_flight_history_count_at (const LcInFlightHistory *history, LbTime at)
 {
-  size_t oldest = oldest_kept (log);
+  size_t oldest = oldest_change_index (history);
 
-  if (log->n_changes == 0)
+  if (history->n_changes == 0)
     return 0;
-  for (size_t i = log->n_changes; i-- > oldest;)
-    if (change (log, i)->at <= at)
-      return change (log, i)->in_flight;
-  return change (log, oldest)->in_flight + (change (log, oldest)->sent ? -1 : 1);
+  for (size_t i = history->n_changes; i-- > oldest;)
+    if (change_at (history, i)->at <= at)
+      return change_at (history, i)->in_flight;
+  return change_at (history, oldest)->in_flight + (change_at (history, oldest)->is_sent ? -1 : 1);
 }
 
 int64_t
-lc_in_flight_history_sent_after (const LcInFlightHistory *log, LbTime at)
+lc_in_flight_history_sent_after (const LcInFlightHistory *history, LbTime at)
 {
-  int64_t sent = 0;
+  int64_t n_sent = 0;
 
-  for (size_t i = log->n_changes; i-- > oldest_kept (log) && change (log, i)->at > at;)
-    sent += change (log, i)->sent;
-  return sent;
+  for (size_t i = history->n_changes;
+       i-- > oldest_change_index (history) && change_at (history, i)->at > at;)
+    n_sent += change_at (history, i)->is_sent;
+  return n_sent;
 }
 
 int64_t
-lc_in_flight_history_live_sent_after (const LcInFlightHistory *log, LbTime at)
+lc_in_flight_history_live_sent_after (const LcInFlightHistory *history, LbTime at)
 {
-  int64_t sent = 0;
+  int64_t n_sent = 0;
 
-  for (size_t i = log->n_changes; i-- > oldest_kept (log) && change (log, i)->at > at;)
-    sent += change (log, i)->sent && change (log, i)->live;
-  return sent;
+  for (size_t i = history->n_changes;
+       i-- > oldest_change_index (history) && change_at (history, i)->at > at;)
+    n_sent += change_at (history, i)->is_sent && change_at (history, i)->is_live;
+  return n_sent;
 }
--- a/packages/core/src/endpoints/lc-in-flight-history.h
+++ b/packages/core/src/endpoints/lc-in-flight-history.h
@@ -9,25 +9,25 @@
 {
   LbTime at;
   int32_t in_flight; /* after the change */
-  bool sent;         /* else ended */
-  bool live;
+  bool is_sent;      /* false: a request ended */
+  bool is_live;      /* a live request was sent */
 } LcInFlightChange;
 
-/* The last changes of the number of our own requests at an endpoint, to know what a load report
- * that was measured some time ago already counted. */
+/* The latest changes of the number of this instance's requests at an endpoint, to find out which of
+ * them a load report that was measured in the past already includes. */
 typedef struct
 {
   LcInFlightChange changes[LC_IN_FLIGHT_HISTORY_LENGTH];
-  size_t n_changes; /* ever */
+  size_t n_changes; /* including those overwritten */
 } LcInFlightHistory;
 
 /* commands */
 void lc_in_flight_history_add (
-    LcInFlightHistory *log, int64_t in_flight, bool sent, bool live, LbTime now);
+    LcInFlightHistory *history, int64_t in_flight, bool is_sent, bool is_live, LbTime now);
 
 /* queries */
-int64_t lc_in_flight_history_count_at (const LcInFlightHistory *log, LbTime at);
-int64_t lc_in_flight_history_sent_after (const LcInFlightHistory *log, LbTime at);
-int64_t lc_in_flight_history_live_sent_after (const LcInFlightHistory *log, LbTime at);
+int64_t lc_in_flight_history_count_at (const LcInFlightHistory *history, LbTime at);
+int64_t lc_in_flight_history_sent_after (const LcInFlightHistory *history, LbTime at);
+int64_t lc_in_flight_history_live_sent_after (const LcInFlightHistory *history, LbTime at);
 
 #endif
--- a/packages/core/src/endpoints/lc-leaving.c
+++ b/packages/core/src/endpoints/lc-leaving.c
@@ -4,81 +4,81 @@
 #include <xxhash.h>
 
 static uint64_t
-hash_of (const char *incarnation)
+hash_incarnation (const char *incarnation)
 {
   return incarnation[0] ? XXH3_64bits (incarnation, strlen (incarnation)) : 0;
 }
 
 static bool
-is_in_ring (const LcLeaving *leaving, uint64_t incarnation)
+is_marked (const LcLeaving *leaving, uint64_t incarnation)
 {
-  size_t n = leaving->n_left < LC_MAX_LEAVING_INCARNATIONS ? leaving->n_left
-                                                           : LC_MAX_LEAVING_INCARNATIONS;
+  size_t n = leaving->n_marked < LC_MAX_LEAVING_INCARNATIONS ? leaving->n_marked
+                                                             : LC_MAX_LEAVING_INCARNATIONS;
 
   for (size_t i = 0; i < n; i++)
-    if (leaving->left[i] == incarnation)
+    if (leaving->marked[i] == incarnation)
       return true;
   return false;
 }
 
 static void
-add_to_ring (LcLeaving *leaving, uint64_t incarnation)
+add_mark (LcLeaving *leaving, uint64_t incarnation)
 {
-  if (!is_in_ring (leaving, incarnation))
-    leaving->left[leaving->n_left++ % LC_MAX_LEAVING_INCARNATIONS] = incarnation;
+  if (!is_marked (leaving, incarnation))
+    leaving->marked[leaving->n_marked++ % LC_MAX_LEAVING_INCARNATIONS] = incarnation;
 }
 
-/* The endpoint stated its incarnation. One that was called leaving before it stated its name, or
- * that is seen again after another, is still leaving: without the ring an old report or a report of
- * the next process in between would bring it back. */
+/* The endpoint stated its incarnation. An incarnation stays marked if it was marked before its name
+ * was known, or if it is seen again after another one. Without the ring buffer, an outdated report
+ * or one of the next process in between would clear the mark. */
 void
 lc_leaving_set_incarnation (LcLeaving *leaving, const char *incarnation)
 {
-  uint64_t hash = hash_of (incarnation);
+  uint64_t hash = hash_incarnation (incarnation);
 
-  if (hash == leaving->present)
+  if (hash == leaving->current)
     return;
-  if (leaving->present == 0 && is_in_ring (leaving, 0))
-    add_to_ring (leaving, hash);
-  else if (leaving->present != 0)
-    leaving->doubted = false;
-  leaving->present = hash;
+  if (leaving->current == 0 && is_marked (leaving, 0))
+    add_mark (leaving, hash);
+  else if (leaving->current != 0)
+    leaving->is_ambiguous = false;
+  leaving->current = hash;
 }
 
-/* An empty incarnation means the present one. */
+/* incarnation: "" for the current one. */
 void
 lc_leaving_mark (LcLeaving *leaving, const char *incarnation)
 {
-  add_to_ring (leaving, incarnation[0] ? hash_of (incarnation) : leaving->present);
+  add_mark (leaving, incarnation[0] ? hash_incarnation (incarnation) : leaving->current);
 }
 
-/* The platform's list names no incarnation and lags. When it goes on saying "leaving" after a new
- * incarnation came, it may speak of the one before: the endpoint is kept out while the list says
- * so, but is not condemned, since nothing would ever bring this incarnation back. */
+/* The platform's list names no incarnation and lags. If it still marks the endpoint after a new
+ * incarnation appeared, it may mean the one before. The endpoint is then treated as leaving while
+ * it is listed, but the new incarnation gets no mark, since a mark is never cleared. */
 void
-lc_leaving_set_platform_listed (LcLeaving *leaving, bool says_leaving)
+lc_leaving_set_platform_listed (LcLeaving *leaving, bool is_listed)
 {
-  if (!says_leaving)
+  if (!is_listed)
     {
-      leaving->listed = false;
-      leaving->doubted = false;
+      leaving->platform_listed = false;
+      leaving->is_ambiguous = false;
       return;
     }
-  if (!leaving->listed)
-    leaving->listed_for = leaving->present;
-  leaving->listed = true;
-  if (leaving->listed_for == leaving->present && leaving->present != 0)
-    add_to_ring (leaving, leaving->present);
+  if (!leaving->platform_listed)
+    leaving->platform_listed_for = leaving->current;
+  leaving->platform_listed = true;
+  if (leaving->platform_listed_for == leaving->current && leaving->current != 0)
+    add_mark (leaving, leaving->current);
   else
-    leaving->doubted = true;
+    leaving->is_ambiguous = true;
 }
 
 bool
 lc_leaving_is_current_leaving (const LcLeaving *leaving)
 {
-  if (leaving->doubted)
+  if (leaving->is_ambiguous)
     return true;
-  if (leaving->present == 0)
-    return leaving->n_left > 0;
-  return is_in_ring (leaving, leaving->present);
+  if (leaving->current == 0)
+    return leaving->n_marked > 0;
+  return is_marked (leaving, leaving->current);
 }
--- a/packages/core/src/endpoints/lc-leaving.h
+++ b/packages/core/src/endpoints/lc-leaving.h
@@ -5,23 +5,22 @@
 
 #define LC_MAX_LEAVING_INCARNATIONS 8
 
-/* Which incarnations of an endpoint are leaving. Incarnations are kept as hashes; 0 is one whose
- * name is not known yet. */
+/* The incarnations of an endpoint that are marked as leaving, as hashes of their names; 0: an
+ * incarnation whose name is not known yet. */
 typedef struct
 {
-  uint64_t present;
-  uint64_t
-      left[LC_MAX_LEAVING_INCARNATIONS]; /* ring of incarnations that somebody called leaving */
-  size_t n_left;                         /* ever added */
-  bool listed;         /* the platform's list says leaving, without naming an incarnation */
-  uint64_t listed_for; /* the present one when the list began to say so */
-  bool doubted; /* the list says leaving, but perhaps of an incarnation before the present one */
+  uint64_t current;
+  uint64_t marked[LC_MAX_LEAVING_INCARNATIONS]; /* ring buffer of incarnations marked as leaving */
+  size_t n_marked;                              /* marked so far, including those overwritten */
+  bool platform_listed;         /* the platform's list marks the endpoint as leaving */
+  uint64_t platform_listed_for; /* current incarnation when the list first marked the endpoint */
+  bool is_ambiguous;            /* the list's mark may be meant for an earlier incarnation */
 } LcLeaving;
 
 /* commands */
 void lc_leaving_set_incarnation (LcLeaving *leaving, const char *incarnation);
 void lc_leaving_mark (LcLeaving *leaving, const char *incarnation);
-void lc_leaving_set_platform_listed (LcLeaving *leaving, bool says_leaving);
+void lc_leaving_set_platform_listed (LcLeaving *leaving, bool is_listed);
 
 /* queries */
 bool lc_leaving_is_current_leaving (const LcLeaving *leaving);
--- a/packages/core/src/endpoints/lc-prefix-index.c
+++ b/packages/core/src/endpoints/lc-prefix-index.c
@@ -8,17 +8,19 @@
 
 #define MAX_PREFIXES 65536
 #define MAX_HOLDERS 16
-#define CONFIDENCE_SENT 0.95 /* our request went there; the engine may not have kept it */
+/* Of a prefix known only from a request sent there: the engine may not have kept it. */
+#define SENT_CONFIDENCE 0.95
 #define HALF_LIFE_SECONDS 300.0
-#define LOSS_PER_MISSED_EVENT 0.005 /* every second one evicts one of about a hundred */
+/* Every other event evicts one of about a hundred prefixes. */
+#define DECAY_PER_MISSED_EVENT 0.005
 
 typedef struct
 {
   LbTime at;
-  float lost; /* of the endpoint when this was learnt */
+  float missed_decay; /* of the endpoint's cache when the holder was added */
   uint32_t slot;
   uint32_t epoch;
-  bool confirmed; /* by a cache event */
+  bool is_confirmed; /* by a cache event */
 } Holder;
 
 typedef struct
@@ -33,78 +35,78 @@
 struct LcPrefixIndex
 {
   Prefix *prefixes;
-  LbList recent; /* least recent first */
+  LbList by_recency; /* least recent first */
 };
 
 LcPrefixIndex *
 lc_prefix_index_new (void)
 {
-  LcPrefixIndex *belief = LB_NEW (LcPrefixIndex);
+  LcPrefixIndex *index = LB_NEW (LcPrefixIndex);
 
-  lb_list_init (&belief->recent);
-  return belief;
+  lb_list_init (&index->by_recency);
+  return index;
 }
 
 static void
-remove_prefix (LcPrefixIndex *belief, Prefix *prefix)
+remove_prefix (LcPrefixIndex *index, Prefix *prefix)
 {
-  HASH_DEL (belief->prefixes, prefix);
-  lb_list_remove (&belief->recent, &prefix->recency);
+  HASH_DEL (index->prefixes, prefix);
+  lb_list_remove (&index->by_recency, &prefix->recency);
   free (prefix);
 }
 
 void
-lc_prefix_index_free (LcPrefixIndex *belief)
+lc_prefix_index_free (LcPrefixIndex *index)
 {
-  if (!belief)
+  if (!index)
     return;
-  HASH_CLEAR (hh, belief->prefixes);
-  LB_LIST_FOREACH (&belief->recent, Prefix, recency, prefix)
+  HASH_CLEAR (hh, index->prefixes);
+  LB_LIST_FOREACH (&index->by_recency, Prefix, recency, prefix)
   free (prefix);
-  free (belief);
+  free (index);
 }
 
 static Prefix *
-find (const LcPrefixIndex *belief, uint64_t hash)
+find_prefix (const LcPrefixIndex *index, uint64_t hash)
 {
   Prefix *prefix = NULL;
 
-  HASH_FIND (hh, belief->prefixes, &hash, sizeof hash, prefix);
+  HASH_FIND (hh, index->prefixes, &hash, sizeof hash, prefix);
   return prefix;
 }
 
 static Prefix *
-find_or_add (LcPrefixIndex *belief, uint64_t hash)
+touch_prefix (LcPrefixIndex *index, uint64_t hash)
 {
-  Prefix *prefix = find (belief, hash);
+  Prefix *prefix = find_prefix (index, hash);
 
   if (prefix)
     {
-      lb_list_remove (&belief->recent, &prefix->recency);
-      lb_list_append (&belief->recent, &prefix->recency);
+      lb_list_remove (&index->by_recency, &prefix->recency);
+      lb_list_append (&index->by_recency, &prefix->recency);
       return prefix;
     }
-  prefix = LB_LIST_FIRST (&belief->recent, Prefix, recency);
-  if (prefix && belief->recent.length >= MAX_PREFIXES)
-    remove_prefix (belief, prefix);
+  prefix = LB_LIST_FIRST (&index->by_recency, Prefix, recency);
+  if (prefix && index->by_recency.length >= MAX_PREFIXES)
+    remove_prefix (index, prefix);
   prefix = LB_NEW (Prefix);
   prefix->hash = hash;
-  HASH_ADD (hh, belief->prefixes, hash, sizeof prefix->hash, prefix);
-  lb_list_append (&belief->recent, &prefix->recency);
+  HASH_ADD (hh, index->prefixes, hash, sizeof prefix->hash, prefix);
+  lb_list_append (&index->by_recency, &prefix->recency);
   return prefix;
 }
 
 static Holder *
-find_holder (Prefix *prefix, const LcEndpointCache *view)
+find_holder (Prefix *prefix, const LcEndpointCache *cache)
 {
   for (uint32_t i = 0; i < prefix->n_holders; i++)
-    if (prefix->holders[i].slot == view->slot)
+    if (prefix->holders[i].slot == cache->slot)
       return &prefix->holders[i];
   return NULL;
 }
 
 static Holder *
-oldest_holder (Prefix *prefix)
+find_oldest_holder (Prefix *prefix)
 {
   Holder *oldest = &prefix->holders[0];
 
@@ -115,86 +117,89 @@
 }
 
 static void
-learn (
-    LcPrefixIndex *belief, const LcEndpointCache *view, uint64_t hash, bool confirmed, LbTime now)
+add_holder (LcPrefixIndex *index,
+            const LcEndpointCache *cache,
+            uint64_t hash,
+            bool is_confirmed,
+            LbTime now)
 {
-  Prefix *prefix = find_or_add (belief, hash);
-  Holder *holder = find_holder (prefix, view);
+  Prefix *prefix = touch_prefix (index, hash);
+  Holder *holder = find_holder (prefix, cache);
 
   if (!holder)
     holder = prefix->n_holders < MAX_HOLDERS ? &prefix->holders[prefix->n_holders++]
-                                             : oldest_holder (prefix);
+                                             : find_oldest_holder (prefix);
   *holder = (Holder){ .at = now,
-                      .lost = (float)view->lost,
-                      .slot = view->slot,
-                      .epoch = view->epoch,
-                      .confirmed = confirmed };
+                      .missed_decay = (float)cache->missed_decay,
+                      .slot = cache->slot,
+                      .epoch = cache->epoch,
+                      .is_confirmed = is_confirmed };
 }
 
 static void
-forget (LcPrefixIndex *belief, const LcEndpointCache *view, uint64_t hash)
+remove_holder (LcPrefixIndex *index, const LcEndpointCache *cache, uint64_t hash)
 {
-  Prefix *prefix = find (belief, hash);
-  Holder *holder = prefix ? find_holder (prefix, view) : NULL;
+  Prefix *prefix = find_prefix (index, hash);
+  Holder *holder = prefix ? find_holder (prefix, cache) : NULL;
 
   if (!holder)
     return;
   *holder = prefix->holders[--prefix->n_holders];
   if (prefix->n_holders == 0)
-    remove_prefix (belief, prefix);
+    remove_prefix (index, prefix);
 }
 
-/* An event that was missed may have been the eviction of anything believed so far: all of it loses
- * some weight. An event that comes after a later one was counted as missed and is ignored, since
- * applying it out of order could turn an eviction back into a stored prefix. */
+/* A missed event may have evicted any of the cache's prefixes, so it lowers the confidence in all
+ * of them. An event that arrives after a later one has been counted as missed and is ignored:
+ * applied out of order it could restore a prefix that was evicted. */
 void
-lc_prefix_index_apply_event (LcPrefixIndex *belief,
-                             LcEndpointCache *view,
+lc_prefix_index_apply_event (LcPrefixIndex *index,
+                             LcEndpointCache *cache,
                              uint64_t sequence,
                              bool stored,
                              uint64_t prefix,
                              LbTime now)
 {
-  if (sequence <= view->last_sequence)
+  if (sequence <= cache->last_sequence)
     return;
-  if (view->last_sequence > 0)
-    view->lost += LOSS_PER_MISSED_EVENT * (double)(sequence - view->last_sequence - 1);
-  view->last_sequence = sequence;
+  if (cache->last_sequence > 0)
+    cache->missed_decay += DECAY_PER_MISSED_EVENT * (double)(sequence - cache->last_sequence - 1);
+  cache->last_sequence = sequence;
   if (stored)
-    learn (belief, view, prefix, true, now);
+    add_holder (index, cache, prefix, true, now);
   else
-    forget (belief, view, prefix);
+    remove_holder (index, cache, prefix);
 }
 
 void
-lc_prefix_index_add_sent (LcPrefixIndex *belief,
-                          const LcEndpointCache *view,
+lc_prefix_index_add_sent (LcPrefixIndex *index,
+                          const LcEndpointCache *cache,
                           uint64_t prefix,
                           LbTime now)
 {
-  Prefix *known = find (belief, prefix);
-  Holder *holder = known ? find_holder (known, view) : NULL;
-  bool confirmed = holder && holder->epoch == view->epoch && holder->confirmed;
+  Prefix *found = find_prefix (index, prefix);
+  Holder *holder = found ? find_holder (found, cache) : NULL;
+  bool is_confirmed = holder && holder->epoch == cache->epoch && holder->is_confirmed;
 
-  learn (belief, view, prefix, confirmed, now);
+  add_holder (index, cache, prefix, is_confirmed, now);
 }
 
 static double
-confidence (const Holder *holder, const LcEndpointCache *view, LbTime now)
+holder_confidence (const Holder *holder, const LcEndpointCache *cache, LbTime now)
 {
   double age = (double)(now - holder->at) / LB_SEC;
 
-  return (holder->confirmed ? 1 : CONFIDENCE_SENT)
-         * exp ((double)holder->lost - view->lost - age * M_LN2 / HALF_LIFE_SECONDS);
+  return (holder->is_confirmed ? 1 : SENT_CONFIDENCE)
+         * exp ((double)holder->missed_decay - cache->missed_decay
+                - age * M_LN2 / HALF_LIFE_SECONDS);
 }
 
-/* Views are by slot; a slot without an endpoint is NULL. */
 size_t
-lc_prefix_index_find_shares (const LcPrefixIndex *belief,
+lc_prefix_index_find_shares (const LcPrefixIndex *index,
                              const uint64_t *prefixes,
                              size_t n_prefixes,
-                             const LcEndpointCache *const *views,
-                             size_t n_views,
+                             const LcEndpointCache *const *caches,
+                             size_t n_caches,
                              LbTime now,
                              LcCachedShare *shares,
                              size_t max)
@@ -203,39 +208,40 @@
 
   for (size_t i = n_prefixes; i-- > 0;)
     {
-      const Prefix *prefix = find (belief, prefixes[i]);
+      const Prefix *prefix = find_prefix (index, prefixes[i]);
 
       for (uint32_t j = 0; prefix && j < prefix->n_holders && n < max; j++)
         {
           const Holder *holder = &prefix->holders[j];
-          const LcEndpointCache *view = holder->slot < n_views ? views[holder->slot] : NULL;
+          const LcEndpointCache *cache = holder->slot < n_caches ? caches[holder->slot] : NULL;
 
-          if (!view || view->epoch != holder->epoch)
+          if (!cache || cache->epoch != holder->epoch)
             continue;
           shares[n++] = (LcCachedShare){ .slot = holder->slot,
-                                         .share = confidence (holder, view, now) * (double)(i + 1)
-                                                  / (double)n_prefixes };
+                                         .share = holder_confidence (holder, cache, now)
+                                                  * (double)(i + 1) / (double)n_prefixes };
         }
     }
   return n;
 }
 
 double
-lc_prefix_index_share (const LcPrefixIndex *belief,
+lc_prefix_index_share (const LcPrefixIndex *index,
                        const uint64_t *prefixes,
                        size_t n_prefixes,
-                       const LcEndpointCache *view,
+                       const LcEndpointCache *cache,
                        LbTime now)
 {
   double best = 0;
 
   for (size_t i = n_prefixes; i-- > 0;)
     {
-      Prefix *prefix = find (belief, prefixes[i]);
-      const Holder *holder = prefix ? find_holder (prefix, view) : NULL;
+      Prefix *prefix = find_prefix (index, prefixes[i]);
+      const Holder *holder = prefix ? find_holder (prefix, cache) : NULL;
 
-      if (holder && holder->epoch == view->epoch)
-        best = fmax (best, confidence (holder, view, now) * (double)(i + 1) / (double)n_prefixes);
+      if (holder && holder->epoch == cache->epoch)
+        best = fmax (best,
+                     holder_confidence (holder, cache, now) * (double)(i + 1) / (double)n_prefixes);
     }
   return best;
 }
--- a/packages/core/src/endpoints/lc-prefix-index.h
+++ b/packages/core/src/endpoints/lc-prefix-index.h
@@ -3,56 +3,58 @@
 
 #include "lb-list.h"
 
-/* Which endpoints are believed to hold which prompt prefixes in their caches. Built from cache
- * events that come late and with gaps, and from what was sent. A wrong belief costs time, never an
- * answer. Kept by prefix, so that a decision looks up the prompt's few prefixes and not every
- * endpoint. */
+/* Approximate index of the endpoints that hold a prompt prefix in their cache, from cache events,
+ * which arrive late and with gaps, and from the requests sent. A wrong entry costs time, but does
+ * not change answers. Keyed by prefix, so that a decision looks up the few prefixes of the prompt
+ * and not every endpoint. */
 typedef struct LcPrefixIndex LcPrefixIndex;
 
-/* An endpoint as the belief knows it: whatever was believed under an earlier epoch is void. */
+/* The prefix cache of one endpoint. Index entries of an earlier epoch are invalid. */
 typedef struct
 {
   uint32_t slot;
   uint32_t epoch;
-  uint64_t last_sequence; /* of cache events */
-  double lost;            /* grows with each event missed */
+  uint64_t last_sequence; /* of the latest cache event */
+  double missed_decay;    /* grows with each missed event; confidence falls exponentially with it */
 } LcEndpointCache;
 
 typedef struct
 {
   uint32_t slot;
-  double share; /* of the prompt, 0..1 */
+  double share; /* expected share of the prompt in the cache, 0..1 */
 } LcCachedShare;
 
 LcPrefixIndex *lc_prefix_index_new (void);
-void lc_prefix_index_free (LcPrefixIndex *belief);
+void lc_prefix_index_free (LcPrefixIndex *index);
 
 /* commands */
-void lc_prefix_index_apply_event (LcPrefixIndex *belief,
-                                  LcEndpointCache *view,
+void lc_prefix_index_apply_event (LcPrefixIndex *index,
+                                  LcEndpointCache *cache,
                                   uint64_t sequence,
                                   bool stored,
                                   uint64_t prefix,
                                   LbTime now);
-void lc_prefix_index_add_sent (LcPrefixIndex *belief,
-                               const LcEndpointCache *view,
+void lc_prefix_index_add_sent (LcPrefixIndex *index,
+                               const LcEndpointCache *cache,
                                uint64_t prefix,
                                LbTime now);
 
 /* queries */
-/* Fills at most max shares, one for each pair of prefix and holder, and returns how many. */
-size_t lc_prefix_index_find_shares (const LcPrefixIndex *belief,
+/* prefixes: hashes of the prompt's prefixes, shortest first; caches: by slot, NULL for a free slot.
+ * Fills in at most max shares, one for each pair of prefix and holder, and returns their number. */
+size_t lc_prefix_index_find_shares (const LcPrefixIndex *index,
                                     const uint64_t *prefixes,
                                     size_t n_prefixes,
-                                    const LcEndpointCache *const *views,
-                                    size_t n_views,
+                                    const LcEndpointCache *const *caches,
+                                    size_t n_caches,
                                     LbTime now,
                                     LcCachedShare *shares,
                                     size_t max);
-double lc_prefix_index_share (const LcPrefixIndex *belief,
+/* The largest share of one endpoint. */
+double lc_prefix_index_share (const LcPrefixIndex *index,
                               const uint64_t *prefixes,
                               size_t n_prefixes,
-                              const LcEndpointCache *view,
+                              const LcEndpointCache *cache,
                               LbTime now);
 
 #endif
--- a/packages/core/src/endpoints/lc-roster.c
+++ b/packages/core/src/endpoints/lc-roster.c
@@ -8,30 +8,31 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* A list that comes so long after the one before shows that the store was away, for this instance
- * at least: several times the interval at which lists are read. */
-#define AWAY (1500 * LB_MSEC)
-/* Entries that lapsed while the store was away come back within two seconds of its return if the
- * endpoint lives; a little more for the list that shows them. */
-#define RETURN_GRACE (2400 * LB_MSEC)
-/* Between two lists of the endpoints, each of which costs every instance a call. */
-#define LIST_PERIOD (400 * LB_MSEC)
-/* So that a list's bytes and work, which grow with the endpoints, stay within some 400 rows a
- * second up to the longest period. */
+/* A longer gap between two lists shows that the store was unavailable, at least to this instance.
+ * It is several times the usual period. */
+#define MIN_OUTAGE_GAP (1500 * LB_MSEC)
+/* Registrations that expired during an outage of the store are renewed within two seconds of its
+ * recovery if the endpoint is alive; the rest is for the list that contains them. */
+#define OUTAGE_GRACE (2400 * LB_MSEC)
+/* Each list costs every instance one call to the store. */
+#define MIN_LIST_PERIOD (400 * LB_MSEC)
+/* Limits the cost of listing, which grows with the number of endpoints, to about 400 rows per
+ * second up to MAX_LIST_PERIOD. */
 #define LIST_PERIOD_PER_ENDPOINT (LB_SEC / 400)
-/* An endpoint that leaves gets no new work 2 s after it said so: this period, the list's answer and
- * its taking fit, with half a second to spare. */
+/* A leaving endpoint must get no new requests later than 2 s after it announced it. This period,
+ * the reply and its processing fit in that time, with half a second to spare. */
 #define MAX_LIST_PERIOD (900 * LB_MSEC)
 #define FIRST_CAPACITY 16
-/* Endpoints that a list adds or removes with a line for each; of more one line tells the number. */
-#define MAX_LINES 16
+/* Endpoints added or removed by one list that are logged one by one; further ones are only
+ * counted. */
+#define MAX_LOGGED_CHANGES 16
 #define POOL_QUEUE_LIMIT 100000
 
 typedef struct
 {
-  LcRegistration listed;
-  size_t model; /* index into listed.models that the engine is used for */
-  bool seen;    /* in the list being taken */
+  LcRegistration registration;
+  size_t model;   /* index into registration.models of the one that the engine is used for */
+  bool is_listed; /* in the latest list */
 } Entry;
 
 struct LcRoster
@@ -40,8 +41,8 @@
   size_t n_entries;
   size_t capacity;
   LcEnginePlan plan;
-  LbTime last_list; /* when the last list was asked for; 0: none came yet */
-  LbTime grace_until;
+  LbTime last_list_at; /* when the latest list was requested; 0: none received yet */
+  LbTime grace_until;  /* unlisted endpoints are kept until then */
 };
 
 LcRoster *
@@ -74,37 +75,36 @@
 
 typedef struct
 {
-  const char *event;  /* of one endpoint */
-  const char *events; /* of many */
+  const char *single_event;  /* logged for one endpoint */
+  const char *summary_event; /* logged with the number of endpoints */
   size_t n;
-} Change;
+} ChangeLog;
 
 static void
-log_entry (const char *event, const LcRegistration *listed)
+log_registration (const char *single_event, const LcRegistration *registration)
 {
-  lb_log (LB_LOG_INFO, event, LB_TEXT ("endpoint", listed->name),
-          LB_TEXT ("address", listed->address), LB_TEXT ("service", listed->service),
-          LB_BOOL ("leaving", listed->leaving));
+  lb_log (LB_LOG_INFO, single_event, LB_TEXT ("endpoint", registration->name),
+          LB_TEXT ("address", registration->address), LB_TEXT ("service", registration->service),
+          LB_BOOL ("leaving", registration->leaving));
 }
 
-/* A change of one endpoint among those of a list. */
 static void
-log_change (Change *change, const LcRegistration *listed)
+log_change (ChangeLog *change_log, const LcRegistration *registration)
 {
-  if (change->n++ < MAX_LINES)
-    log_entry (change->event, listed);
+  if (change_log->n++ < MAX_LOGGED_CHANGES)
+    log_registration (change_log->single_event, registration);
 }
 
 static void
-log_rest (const LcRoster *roster, const Change *change)
+log_summary (const LcRoster *roster, const ChangeLog *change_log)
 {
-  if (change->n > MAX_LINES)
-    lb_log (LB_LOG_INFO, change->events, LB_INT ("endpoints", change->n),
+  if (change_log->n > MAX_LOGGED_CHANGES)
+    lb_log (LB_LOG_INFO, change_log->summary_event, LB_INT ("endpoints", change_log->n),
             LB_INT ("known", roster->n_entries));
 }
 
 static Entry *
-add_entry (LcRoster *roster, const LcRegistration *listed, Change *added)
+add_entry (LcRoster *roster, const LcRegistration *registration, ChangeLog *added)
 {
   if (roster->n_entries == roster->capacity)
     {
@@ -113,180 +113,186 @@
     }
   Entry *entry = &roster->entries[roster->n_entries++];
   memset (entry, 0, sizeof *entry);
-  log_change (added, listed);
+  log_change (added, registration);
   return entry;
 }
 
 static bool
-take_entry (LcRoster *roster, Entry *entry, const LcRegistration *listed, Change *added)
+apply_registration (LcRoster *roster,
+                    Entry *entry,
+                    const LcRegistration *registration,
+                    ChangeLog *added)
 {
-  bool changed = !entry || !is_same_member (&entry->listed, listed);
+  bool changed = !entry || !is_same_member (&entry->registration, registration);
 
   if (!entry)
-    entry = add_entry (roster, listed, added);
-  else if (listed->leaving && !entry->listed.leaving)
-    log_entry ("endpoint_lists_leaving", listed);
-  entry->listed = *listed;
-  entry->seen = true;
+    entry = add_entry (roster, registration, added);
+  else if (registration->leaving && !entry->registration.leaving)
+    log_registration ("endpoint_lists_leaving", registration);
+  entry->registration = *registration;
+  entry->is_listed = true;
   return changed;
 }
 
 static int
-compare_listed (const void *a, const void *b)
+compare_registrations (const void *a, const void *b)
 {
   return strcmp ((*(const LcRegistration *const *)a)->name,
                  (*(const LcRegistration *const *)b)->name);
 }
 
-/* In order of the names, as the store and the catalog give it. The caller frees. */
+/* Sorted by name; the store and the catalog usually return it in this order. The caller frees. */
 static const LcRegistration **
-put_in_order (const LcRegistration *list, size_t n_list)
+sort_by_name (const LcRegistration *list, size_t n_list)
 {
-  const LcRegistration **ordered = LB_NEW_ARRAY (const LcRegistration *, n_list + 1);
-  bool in_order = true;
+  const LcRegistration **sorted = LB_NEW_ARRAY (const LcRegistration *, n_list + 1);
+  bool is_sorted = true;
 
   for (size_t i = 0; i < n_list; i++)
     {
-      ordered[i] = &list[i];
-      in_order &= i == 0 || strcmp (list[i - 1].name, list[i].name) <= 0;
+      sorted[i] = &list[i];
+      is_sorted &= i == 0 || strcmp (list[i - 1].name, list[i].name) <= 0;
     }
-  if (!in_order)
-    qsort (ordered, n_list, sizeof *ordered, compare_listed);
-  return ordered;
+  if (!is_sorted)
+    qsort (sorted, n_list, sizeof *sorted, compare_registrations);
+  return sorted;
 }
 
-/* The entries are in the same order, those that came with this list behind them. Guards against
- * work that grows with the square of the endpoints: looked for one by one, the first list of 3,000
- * took every instance longer than an endpoint that leaves may get new work. */
+/* Merges the sorted list into the entries: known entries are sorted by name, and new ones are
+ * appended after them. A search for each endpoint takes quadratic time: with 3,000 endpoints, the
+ * first list took every instance longer than the time limit for sending requests to a leaving
+ * endpoint. */
 static bool
-take_list (LcRoster *roster, const LcRegistration *list, size_t n_list)
+merge_list (LcRoster *roster, const LcRegistration *list, size_t n_list)
 {
-  const LcRegistration **ordered = put_in_order (list, n_list);
-  Change added = { .event = "endpoint_listed", .events = "endpoints_listed" };
-  size_t n_known = roster->n_entries;
-  size_t known = 0;
+  const LcRegistration **sorted = sort_by_name (list, n_list);
+  ChangeLog added = { .single_event = "endpoint_listed", .summary_event = "endpoints_listed" };
+  size_t n_sorted = roster->n_entries;
+  size_t index = 0;
   bool changed = false;
 
   for (size_t i = 0; i < n_list; i++)
     {
-      const char *name = ordered[i]->name;
-      while (known < n_known && strcmp (roster->entries[known].listed.name, name) < 0)
-        known++;
-      size_t at = known;
-      if (known == n_known || strcmp (roster->entries[known].listed.name, name) != 0)
-        at = roster->n_entries - 1; /* listed twice */
-      bool is_there = at < roster->n_entries && strcmp (roster->entries[at].listed.name, name) == 0;
-      changed |= take_entry (roster, is_there ? &roster->entries[at] : NULL, ordered[i], &added);
+      const char *name = sorted[i]->name;
+      while (index < n_sorted && strcmp (roster->entries[index].registration.name, name) < 0)
+        index++;
+      size_t position = index;
+      if (index == n_sorted || strcmp (roster->entries[index].registration.name, name) != 0)
+        position = roster->n_entries - 1; /* appended just now, if the list names it twice */
+      bool is_known = position < roster->n_entries
+                      && strcmp (roster->entries[position].registration.name, name) == 0;
+      changed |= apply_registration (roster, is_known ? &roster->entries[position] : NULL,
+                                     sorted[i], &added);
     }
-  log_rest (roster, &added);
-  free (ordered);
+  log_summary (roster, &added);
+  free (sorted);
   return changed;
 }
 
 static const Entry *
-find_address (const LcRoster *roster, const char *address)
+find_listed_address (const LcRoster *roster, const char *address)
 {
   for (size_t i = 0; i < roster->n_entries; i++)
-    if (roster->entries[i].seen && strcmp (roster->entries[i].listed.address, address) == 0)
+    if (roster->entries[i].is_listed
+        && strcmp (roster->entries[i].registration.address, address) == 0)
       return &roster->entries[i];
   return NULL;
 }
 
-/* Whether the list names another endpoint at the address of the one that it does not name: then
- * that one has ended, whatever the store lost while it was away. */
+/* The listed endpoint at the address of one that is not listed, or NULL. If there is one, the
+ * earlier process has ended, even if the store lost registrations in an outage. */
 static const Entry *
-successor_of (const LcRoster *roster, const Entry *missing)
+find_successor (const LcRoster *roster, const Entry *missing)
 {
-  return missing->seen ? NULL : find_address (roster, missing->listed.address);
+  return missing->is_listed ? NULL : find_listed_address (roster, missing->registration.address);
 }
 
-/* An engine that started again keeps the model that it was used for: divided anew it would have to
- * load another one's weights in the middle of a step. What it has is not known until it says so. */
+/* A restarted engine keeps its planned model: another assignment would make it load other weights
+ * in the middle of a step. Its version is unknown until it reports it. */
 static void
-keep_model (LcRoster *roster, const Entry *before, const Entry *after)
+inherit_planned_model (LcRoster *roster, const Entry *previous, const Entry *successor)
 {
-  const LcPlanEntry *planned = lc_engine_plan_find (&roster->plan, before->listed.name);
+  const LcPlanEntry *planned = lc_engine_plan_find (&roster->plan, previous->registration.name);
   LcPlanEntry entry = { .version = 0 };
 
-  if (!planned || strcmp (before->listed.service, after->listed.service) != 0)
+  if (!planned || strcmp (previous->registration.service, successor->registration.service) != 0)
     return;
-  LB_COPY (entry.engine, after->listed.name);
+  LB_COPY (entry.engine, successor->registration.name);
   LB_COPY (entry.model, planned->model);
   lc_engine_plan_note (&roster->plan, &entry);
 }
 
 static void
-remove_entry (LcRoster *roster, size_t index, Change *removed)
+remove_entry (LcRoster *roster, size_t index, ChangeLog *removed)
 {
-  log_change (removed, &roster->entries[index].listed);
+  log_change (removed, &roster->entries[index].registration);
   memmove (&roster->entries[index], &roster->entries[index + 1],
            (roster->n_entries - index - 1) * sizeof *roster->entries);
   roster->n_entries--;
 }
 
-/* Those whose address another one has taken. */
+/* Removes entries whose address is now used by another endpoint. */
 static bool
-drop_succeeded (LcRoster *roster)
+remove_replaced (LcRoster *roster)
 {
-  Change removed = { .event = "endpoint_gone", .events = "endpoints_gone" };
+  ChangeLog removed = { .single_event = "endpoint_gone", .summary_event = "endpoints_gone" };
 
   for (size_t i = roster->n_entries; i-- > 0;)
     {
-      const Entry *after = successor_of (roster, &roster->entries[i]);
-      if (!after)
+      const Entry *successor = find_successor (roster, &roster->entries[i]);
+      if (!successor)
         continue;
-      keep_model (roster, &roster->entries[i], after);
+      inherit_planned_model (roster, &roster->entries[i], successor);
       remove_entry (roster, i, &removed);
     }
-  log_rest (roster, &removed);
+  log_summary (roster, &removed);
   return removed.n > 0;
 }
 
-/* While the store was away it dropped the entries of endpoints that could not renew them, although
- * they live. Were those taken for gone, all work would fall on the few that are left, or on none.
- */
+/* In an outage of the store, registrations expire because live endpoints can't renew them. If these
+ * endpoints were removed, all requests would go to the few remaining ones, or to none. */
 static bool
-drop_missing (LcRoster *roster, LbTime now)
+remove_unlisted (LcRoster *roster, LbTime now)
 {
-  Change removed = { .event = "endpoint_gone", .events = "endpoints_gone" };
+  ChangeLog removed = { .single_event = "endpoint_gone", .summary_event = "endpoints_gone" };
 
   if (now < roster->grace_until)
     return false;
   for (size_t i = roster->n_entries; i-- > 0;)
-    if (!roster->entries[i].seen)
+    if (!roster->entries[i].is_listed)
       remove_entry (roster, i, &removed);
-  log_rest (roster, &removed);
+  log_summary (roster, &removed);
   return removed.n > 0;
 }
 
 static int
-by_name (const void *a, const void *b)
+compare_names (const void *a, const void *b)
 {
-  return strcmp (((const Entry *)a)->listed.name, ((const Entry *)b)->listed.name);
+  return strcmp (((const Entry *)a)->registration.name, ((const Entry *)b)->registration.name);
 }
 
 static uint64_t
-affinity (const char *engine, const char *model)
+engine_model_score (const char *engine, const char *model)
 {
   return XXH3_64bits_withSeed (engine, strlen (engine), XXH3_64bits (model, strlen (model)));
 }
 
-/* How the engines of one service are divided so far. */
+/* The engines of one service and how many of them are assigned to each model. */
 typedef struct
 {
   const char *service;
   size_t n_engines;
-  size_t of_model[LC_MAX_MODELS];
-} Division;
+  size_t n_of_model[LC_MAX_MODELS];
+} ModelDivision;
 
 static bool
-counts (const Entry *entry)
+counts_for_division (const Entry *entry)
 {
-  return !entry->listed.leaving && entry->listed.n_models > 0;
+  return !entry->registration.leaving && entry->registration.n_models > 0;
 }
 
-static Division *
-find_division (Division *divisions, size_t n, const char *service)
+static ModelDivision *
+find_division (ModelDivision *divisions, size_t n, const char *service)
 {
   for (size_t i = 0; i < n; i++)
     if (strcmp (divisions[i].service, service) == 0)
@@ -294,35 +300,35 @@
   return NULL;
 }
 
-/* Returns their number. */
+/* Returns the number of services with engines. */
 static size_t
-count_engines (const LcRoster *roster, Division *divisions)
+count_engines (const LcRoster *roster, ModelDivision *divisions)
 {
   size_t n = 0;
 
   for (size_t i = 0; i < roster->n_entries; i++)
     {
       const Entry *entry = &roster->entries[i];
-      if (entry->listed.n_models == 0)
+      if (entry->registration.n_models == 0)
         continue;
-      Division *division = find_division (divisions, n, entry->listed.service);
+      ModelDivision *division = find_division (divisions, n, entry->registration.service);
       if (!division)
         {
           division = &divisions[n++];
-          division->service = entry->listed.service;
+          division->service = entry->registration.service;
         }
-      division->n_engines += counts (entry);
+      division->n_engines += counts_for_division (entry);
     }
   return n;
 }
 
 static bool
-take_planned (const LcRoster *roster, Entry *entry)
+apply_plan (const LcRoster *roster, Entry *entry)
 {
-  const LcPlanEntry *planned = lc_engine_plan_find (&roster->plan, entry->listed.name);
+  const LcPlanEntry *planned = lc_engine_plan_find (&roster->plan, entry->registration.name);
 
-  for (size_t model = 0; planned && model < entry->listed.n_models; model++)
-    if (strcmp (entry->listed.models[model].name, planned->model) == 0)
+  for (size_t model = 0; planned && model < entry->registration.n_models; model++)
+    if (strcmp (entry->registration.models[model].name, planned->model) == 0)
       {
         entry->model = model;
         return true;
@@ -331,17 +337,18 @@
 }
 
 static void
-choose_model (Entry *entry, const Division *division)
+choose_model (Entry *entry, const ModelDivision *division)
 {
-  size_t n_models = entry->listed.n_models;
-  size_t most = (division->n_engines + n_models - 1) / n_models;
+  size_t n_models = entry->registration.n_models;
+  size_t max_engines = (division->n_engines + n_models - 1) / n_models;
   uint64_t best = 0;
   bool chosen = false;
 
   for (size_t model = 0; model < n_models; model++)
     {
-      uint64_t score = affinity (entry->listed.name, entry->listed.models[model].name);
-      if (division->of_model[model] >= most && !entry->listed.leaving)
+      uint64_t score
+          = engine_model_score (entry->registration.name, entry->registration.models[model].name);
+      if (division->n_of_model[model] >= max_engines && !entry->registration.leaving)
         continue;
       if (!chosen || score > best)
         {
@@ -352,45 +359,45 @@
     }
 }
 
-/* Engines that hold several models are divided among them: each new version of a model is then
- * loaded by its own engines only, not by all. Every instance finds the same division from the same
- * list, since the engine's and the model's names alone decide, within an equal share for each
- * model; one that leaves changes the place of few others. */
+/* Assigns a model to each engine that holds several, so that a new version of a model is loaded by
+ * its own engines only. Rendezvous hashing of engine and model names, limited to an equal share for
+ * each model: every instance gets the same division from the same list, and the removal of an
+ * engine changes the model of few others. */
 static void
 divide_engines (LcRoster *roster)
 {
-  Division *divisions = LB_NEW_ARRAY (Division, roster->n_entries + 1);
+  ModelDivision *divisions = LB_NEW_ARRAY (ModelDivision, roster->n_entries + 1);
 
   if (roster->n_entries > 0)
-    qsort (roster->entries, roster->n_entries, sizeof *roster->entries, by_name);
+    qsort (roster->entries, roster->n_entries, sizeof *roster->entries, compare_names);
   size_t n = count_engines (roster, divisions);
   for (size_t i = 0; i < roster->n_entries; i++)
     {
       Entry *entry = &roster->entries[i];
-      Division *division = find_division (divisions, n, entry->listed.service);
-      if (!division || entry->listed.n_models == 0)
+      ModelDivision *division = find_division (divisions, n, entry->registration.service);
+      if (!division || entry->registration.n_models == 0)
         continue;
-      if (!take_planned (roster, entry))
+      if (!apply_plan (roster, entry))
         choose_model (entry, division);
-      if (counts (entry))
-        division->of_model[entry->model]++;
+      if (counts_for_division (entry))
+        division->n_of_model[entry->model]++;
     }
   free (divisions);
 }
 
 static void
-note_list (LcRoster *roster, LbTime asked_at, LbTime now)
+record_list_time (LcRoster *roster, LbTime asked_at, LbTime now)
 {
-  if (roster->last_list > 0 && asked_at - roster->last_list > AWAY)
-    roster->grace_until = now + RETURN_GRACE;
-  roster->last_list = asked_at;
+  if (roster->last_list_at > 0 && asked_at - roster->last_list_at > MIN_OUTAGE_GAP)
+    roster->grace_until = now + OUTAGE_GRACE;
+  roster->last_list_at = asked_at;
 }
 
 bool
 lc_roster_confirm_list (LcRoster *roster, LbTime asked_at, LbTime now)
 {
-  note_list (roster, asked_at, now);
-  bool changed = drop_missing (roster, now);
+  record_list_time (roster, asked_at, now);
+  bool changed = remove_unlisted (roster, now);
   if (changed)
     divide_engines (roster);
   return changed;
@@ -400,14 +407,14 @@
 lc_roster_update (
     LcRoster *roster, const LcRegistration *list, size_t n_list, LbTime asked_at, LbTime now)
 {
-  bool changed = roster->last_list == 0;
+  bool changed = roster->last_list_at == 0;
 
-  note_list (roster, asked_at, now);
+  record_list_time (roster, asked_at, now);
   for (size_t i = 0; i < roster->n_entries; i++)
-    roster->entries[i].seen = false;
-  changed |= take_list (roster, list, n_list);
-  changed |= drop_succeeded (roster);
-  changed |= drop_missing (roster, now);
+    roster->entries[i].is_listed = false;
+  changed |= merge_list (roster, list, n_list);
+  changed |= remove_replaced (roster);
+  changed |= remove_unlisted (roster, now);
   if (changed)
     divide_engines (roster);
   return changed;
@@ -423,8 +430,8 @@
   for (size_t i = 0; i < roster->n_entries; i++)
     {
       Entry *entry = &roster->entries[i];
-      size_t before = entry->model;
-      changed |= take_planned (roster, entry) && entry->model != before;
+      size_t previous = entry->model;
+      changed |= apply_plan (roster, entry) && entry->model != previous;
     }
   return changed;
 }
@@ -434,8 +441,8 @@
 {
   LbTime period = (LbTime)roster->n_entries * LIST_PERIOD_PER_ENDPOINT;
 
-  if (period < LIST_PERIOD)
-    return LIST_PERIOD;
+  if (period < MIN_LIST_PERIOD)
+    return MIN_LIST_PERIOD;
   return period < MAX_LIST_PERIOD ? period : MAX_LIST_PERIOD;
 }
 
@@ -448,7 +455,7 @@
 const LcRegistration *
 lc_roster_registration (const LcRoster *roster, size_t index)
 {
-  return &roster->entries[index].listed;
+  return &roster->entries[index].registration;
 }
 
 const char *
@@ -456,7 +463,7 @@
 {
   const Entry *entry = &roster->entries[index];
 
-  return entry->listed.n_models > 0 ? entry->listed.models[entry->model].name : "";
+  return entry->registration.n_models > 0 ? entry->registration.models[entry->model].name : "";
 }
 
 LcVersion
@@ -464,18 +471,18 @@
 {
   const Entry *entry = &roster->entries[index];
 
-  return entry->listed.n_models > 0 ? entry->listed.models[entry->model].version : 0;
+  return entry->registration.n_models > 0 ? entry->registration.models[entry->model].version : 0;
 }
 
 LcVersion
 lc_roster_latest_version (const LcRoster *roster, size_t index)
 {
   const Entry *entry = &roster->entries[index];
-  const LcPlanEntry *planned = lc_engine_plan_find (&roster->plan, entry->listed.name);
-  LcVersion listed = lc_roster_registered_version (roster, index);
-  bool is_told = planned && strcmp (planned->model, lc_roster_model (roster, index)) == 0;
+  const LcPlanEntry *planned = lc_engine_plan_find (&roster->plan, entry->registration.name);
+  LcVersion registered = lc_roster_registered_version (roster, index);
+  bool is_planned = planned && strcmp (planned->model, lc_roster_model (roster, index)) == 0;
 
-  return is_told && planned->version > listed ? planned->version : listed;
+  return is_planned && planned->version > registered ? planned->version : registered;
 }
 
 static void
@@ -495,20 +502,20 @@
 static void
 fill_member (const LcRoster *roster, size_t index, bool checks_fence, LcEndpointMember *member)
 {
-  const LcRegistration *listed = &roster->entries[index].listed;
+  const LcRegistration *registration = &roster->entries[index].registration;
   const char *model = lc_roster_model (roster, index);
 
-  member->kind = listed->n_models > 0 ? LC_ENDPOINT_ENGINE : LC_ENDPOINT_SERVICE;
-  LB_COPY (member->name, listed->name);
-  LB_COPY (member->pool, listed->n_models > 0 ? model : listed->service);
-  LB_COPY (member->service, listed->service);
-  LB_COPY (member->address, listed->address);
-  member->is_spot = listed->is_spot;
-  LB_COPY (member->data_centre, listed->data_centre);
-  member->leaving = listed->leaving;
+  member->kind = registration->n_models > 0 ? LC_ENDPOINT_ENGINE : LC_ENDPOINT_SERVICE;
+  LB_COPY (member->name, registration->name);
+  LB_COPY (member->pool, registration->n_models > 0 ? model : registration->service);
+  LB_COPY (member->service, registration->service);
+  LB_COPY (member->address, registration->address);
+  member->is_spot = registration->is_spot;
+  LB_COPY (member->data_centre, registration->data_centre);
+  member->leaving = registration->leaving;
   member->checks_fence = checks_fence;
   member->states_size = true;
-  member->concurrency = listed->slots;
+  member->concurrency = registration->slots;
 }
 
 LcResourceSet *
@@ -521,9 +528,9 @@
   set->endpoints = LB_NEW_ARRAY (LcEndpointMember, roster->n_entries);
   for (size_t i = 0; i < roster->n_entries; i++)
     {
-      const LcRegistration *listed = &roster->entries[i].listed;
-      for (size_t model = 0; model < listed->n_models; model++)
-        add_pool (set, listed->models[model].name);
+      const LcRegistration *registration = &roster->entries[i].registration;
+      for (size_t model = 0; model < registration->n_models; model++)
+        add_pool (set, registration->models[model].name);
       fill_member (roster, i, checks_fence, &set->endpoints[i]);
     }
   return set;
--- a/packages/core/src/endpoints/lc-scaling.c
+++ b/packages/core/src/endpoints/lc-scaling.c
@@ -6,43 +6,44 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A model that brought no batch for so long has stopped: several of its steps' periods. */
-#define DEMAND_MEMORY (20 * LB_SEC)
-/* Between two orders for one place. An order without an answer may be carried out seconds later;
- * the next one puts it right. */
+/* A model without a batch for this time is no longer trained; several times the period of its
+ * steps. */
+#define DEMAND_LIFETIME (20 * LB_SEC)
+/* Between two orders for one location. An order without an answer may still be executed seconds
+ * later; the next order corrects the number. */
 #define ORDER_PERIOD (4 * LB_SEC)
-/* Where none could be had they are looked for elsewhere, and there again after this time. */
-#define REFUSED_PERIOD (5 * LB_SEC)
-/* Fewer are ordered only after they were enough for so long: while endpoints are replaced there are
- * some more for a moment, and one that leaves breaks its texts off. */
-#define LOWER_AFTER (10 * LB_SEC)
+/* A location without capacity is skipped for this time, in favour of others. */
+#define REFUSAL_BACKOFF (5 * LB_SEC)
+/* Fewer endpoints are ordered only when fewer have been sufficient for this time: there is a short
+ * excess while endpoints are replaced, and stopping an endpoint interrupts its generations. */
+#define SCALE_DOWN_DELAY (10 * LB_SEC)
 
 typedef struct
 {
   LbLink link;
   LbName model;
-  int64_t texts; /* of the largest batch that is remembered */
-  LbTime at;
+  int64_t n_generations; /* of the largest batch within DEMAND_LIFETIME */
+  LbTime updated_at;
 } Demand;
 
-/* A service in a data centre. */
+/* The spot endpoints of a service in one data centre. */
 typedef struct
 {
   LbLink link;
   LbName service;
   LbName data_centre;
-  int64_t wanted;
-  LbTime lower_since; /* that fewer than were ordered would do; 0: they would not */
+  int64_t n_wanted;
+  LbTime excess_since; /* when fewer than ordered became sufficient; 0: they are not */
   LbTime refused_until;
-  int64_t ordered; /* by the last order that was taken; -1: not known */
-  bool busy;       /* an order is on its way */
-  LbTime next_order;
-} Place;
+  int64_t n_ordered;     /* by the latest accepted order; -1: not known */
+  bool is_order_pending; /* an order has no outcome yet */
+  LbTime next_order_at;
+} Location;
 
 struct LcScaling
 {
   LbList demands;
-  LbList places;
+  LbList locations;
 };
 
 LcScaling *
@@ -51,7 +52,7 @@
   LcScaling *scaling = LB_NEW (LcScaling);
 
   lb_list_init (&scaling->demands);
-  lb_list_init (&scaling->places);
+  lb_list_init (&scaling->locations);
   return scaling;
 }
 
@@ -64,15 +65,15 @@
   {
     free (demand);
   }
-  LB_LIST_FOREACH (&scaling->places, Place, link, place)
+  LB_LIST_FOREACH (&scaling->locations, Location, link, location)
   {
-    free (place);
+    free (location);
   }
   free (scaling);
 }
 
 static Demand *
-ensure_demand (LcScaling *scaling, const char *model)
+find_or_add_demand (LcScaling *scaling, const char *model)
 {
   Demand *found = NULL;
 
@@ -88,48 +89,49 @@
 }
 
 void
-lc_scaling_add_demand (LcScaling *scaling, const char *model, int64_t texts, LbTime now)
+lc_scaling_add_demand (LcScaling *scaling, const char *model, int64_t n_generations, LbTime now)
 {
-  Demand *demand = ensure_demand (scaling, model);
+  Demand *demand = find_or_add_demand (scaling, model);
 
-  if (texts >= demand->texts || now - demand->at >= DEMAND_MEMORY)
-    demand->texts = texts;
-  demand->at = now;
+  if (n_generations >= demand->n_generations || now - demand->updated_at >= DEMAND_LIFETIME)
+    demand->n_generations = n_generations;
+  demand->updated_at = now;
 }
 
 void
 lc_scaling_forget_orders (LcScaling *scaling)
 {
-  LB_LIST_FOREACH (&scaling->places, Place, link, place)
+  LB_LIST_FOREACH (&scaling->locations, Location, link, location)
   {
-    place->ordered = -1;
-    place->busy = false;
-    place->next_order = 0;
-    place->refused_until = 0;
-    place->lower_since = 0;
+    location->n_ordered = -1;
+    location->is_order_pending = false;
+    location->next_order_at = 0;
+    location->refused_until = 0;
+    location->excess_since = 0;
   }
 }
 
-static Place *
-ensure_place (LcScaling *scaling, const char *service, const char *data_centre)
+static Location *
+find_or_add_location (LcScaling *scaling, const char *service, const char *data_centre)
 {
-  Place *found = NULL;
+  Location *found = NULL;
 
-  LB_LIST_FOREACH (&scaling->places, Place, link, place)
+  LB_LIST_FOREACH (&scaling->locations, Location, link, location)
   {
-    if (strcmp (place->service, service) == 0 && strcmp (place->data_centre, data_centre) == 0)
-      return place;
+    if (strcmp (location->service, service) == 0
+        && strcmp (location->data_centre, data_centre) == 0)
+      return location;
   }
-  found = LB_NEW (Place);
-  found->ordered = -1;
+  found = LB_NEW (Location);
+  found->n_ordered = -1;
   LB_COPY (found->service, service);
   LB_COPY (found->data_centre, data_centre);
-  lb_list_append (&scaling->places, &found->link);
+  lb_list_append (&scaling->locations, &found->link);
   return found;
 }
 
 static const char *
-service_of (const LcResourceSet *set, const char *model)
+find_service_of_model (const LcResourceSet *set, const char *model)
 {
   for (size_t i = 0; i < set->n_endpoints; i++)
     if (strcmp (set->endpoints[i].pool, model) == 0)
@@ -137,23 +139,30 @@
   return "";
 }
 
-/* Texts of one step of each model that the service's engines serve: the next step of a model comes
- * when most texts of the one before have ended. */
+/* Generations of one step of each model that the service's engines serve: a model's next step
+ * starts when most generations of its previous step have ended. */
 static int64_t
-texts_wanted (const LcScaling *scaling, const LcResourceSet *set, const char *service, LbTime now)
+count_wanted_generations (const LcScaling *scaling,
+                          const LcResourceSet *set,
+                          const char *service,
+                          LbTime now)
 {
-  int64_t texts = 0;
+  int64_t n_generations = 0;
 
   LB_LIST_FOREACH (&scaling->demands, Demand, link, demand)
   {
-    if (now - demand->at < DEMAND_MEMORY && strcmp (service_of (set, demand->model), service) == 0)
-      texts += demand->texts;
+    if (now - demand->updated_at < DEMAND_LIFETIME
+        && strcmp (find_service_of_model (set, demand->model), service) == 0)
+      n_generations += demand->n_generations;
   }
-  return texts;
+  return n_generations;
 }
 
 static int64_t
-count (const LcResourceSet *set, const char *service, const char *data_centre, bool is_spot)
+count_endpoints (const LcResourceSet *set,
+                 const char *service,
+                 const char *data_centre,
+                 bool is_spot)
 {
   int64_t n = 0;
 
@@ -167,7 +176,7 @@
 }
 
 static int64_t
-slots_of_one (const LcResourceSet *set, const char *service)
+slots_per_endpoint (const LcResourceSet *set, const char *service)
 {
   for (size_t i = 0; i < set->n_endpoints; i++)
     if (strcmp (set->endpoints[i].service, service) == 0 && set->endpoints[i].concurrency > 0)
@@ -175,26 +184,27 @@
   return 0;
 }
 
-/* Endpoints that the texts need beside those of the full price; 0 where there is no telling. */
+/* Spot endpoints needed in addition to the on-demand ones; 0 if the endpoints' size is not
+ * known. */
 static int64_t
-cheap_wanted (const LcScaling *scaling,
-              const LcService *service,
-              const LcResourceSet *set,
-              LbTime now)
+count_wanted_spot_endpoints (const LcScaling *scaling,
+                             const LcService *service,
+                             const LcResourceSet *set,
+                             LbTime now)
 {
-  int64_t slots = slots_of_one (set, service->name);
-  int64_t wanted = 0;
+  int64_t slots = slots_per_endpoint (set, service->name);
+  int64_t n_wanted = 0;
 
   if (slots == 0)
     return 0;
-  wanted = (texts_wanted (scaling, set, service->name, now) + slots - 1) / slots;
+  n_wanted = (count_wanted_generations (scaling, set, service->name, now) + slots - 1) / slots;
   for (size_t i = 0; i < service->scaling.n_prices; i++)
-    wanted -= count (set, service->name, service->scaling.prices[i].data_centre, false);
-  return wanted > 0 ? wanted : 0;
+    n_wanted -= count_endpoints (set, service->name, service->scaling.prices[i].data_centre, false);
+  return n_wanted > 0 ? n_wanted : 0;
 }
 
 static int
-by_price (const void *a, const void *b)
+compare_prices (const void *a, const void *b)
 {
   double first = ((const LcDataCentrePrice *)a)->price;
   double second = ((const LcDataCentrePrice *)b)->price;
@@ -203,75 +213,84 @@
 }
 
 static int64_t
-room_of (const Place *place, const LcService *service, const LcResourceSet *set, LbTime now)
+max_spot_endpoints (const Location *location,
+                    const LcService *service,
+                    const LcResourceSet *set,
+                    LbTime now)
 {
-  int64_t room = service->scaling.max - count (set, place->service, place->data_centre, false);
+  int64_t max_endpoints = service->scaling.max
+                          - count_endpoints (set, location->service, location->data_centre, false);
 
-  /* Those that are there can be kept all the same. */
-  if (now < place->refused_until)
-    room = count (set, place->service, place->data_centre, true);
-  return room > 0 ? room : 0;
+  /* Existing endpoints can be kept. */
+  if (now < location->refused_until)
+    max_endpoints = count_endpoints (set, location->service, location->data_centre, true);
+  return max_endpoints > 0 ? max_endpoints : 0;
 }
 
 static void
-set_wanted (Place *place, int64_t wanted, LbTime now)
+set_wanted (Location *location, int64_t n_wanted, LbTime now)
 {
-  bool is_lower = wanted < place->ordered;
-
-  if (!is_lower)
-    place->lower_since = 0;
-  else if (place->lower_since == 0)
-    place->lower_since = now;
-  if (!is_lower || now - place->lower_since >= LOWER_AFTER)
-    place->wanted = wanted;
+  bool has_excess = n_wanted < location->n_ordered;
+
+  if (!has_excess)
+    location->excess_since = 0;
+  else if (location->excess_since == 0)
+    location->excess_since = now;
+  if (!has_excess || now - location->excess_since >= SCALE_DOWN_DELAY)
+    location->n_wanted = n_wanted;
   else
-    place->wanted = place->ordered;
+    location->n_wanted = location->n_ordered;
 }
 
-/* The cheapest data centres first, each up to its limit, which holds for both kinds together. */
+/* Fills the cheapest data centres first, each up to its limit, which includes on-demand
+ * endpoints. */
 static void
-share_out (LcScaling *scaling, const LcService *service, const LcResourceSet *set, LbTime now)
+distribute_endpoints (LcScaling *scaling,
+                      const LcService *service,
+                      const LcResourceSet *set,
+                      LbTime now)
 {
   LcDataCentrePrice prices[LC_MAX_DATA_CENTRES];
   size_t n = service->scaling.n_prices;
-  int64_t left = cheap_wanted (scaling, service, set, now);
+  int64_t n_remaining = count_wanted_spot_endpoints (scaling, service, set, now);
 
   memcpy (prices, service->scaling.prices, n * sizeof *prices);
-  qsort (prices, n, sizeof *prices, by_price);
+  qsort (prices, n, sizeof *prices, compare_prices);
   for (size_t i = 0; i < n; i++)
     {
-      Place *place = ensure_place (scaling, service->name, prices[i].data_centre);
-      int64_t room = room_of (place, service, set, now);
-      int64_t wanted = left < room ? left : room;
-      left -= wanted;
-      set_wanted (place, wanted, now);
+      Location *location = find_or_add_location (scaling, service->name, prices[i].data_centre);
+      int64_t max_endpoints = max_spot_endpoints (location, service, set, now);
+      int64_t n_wanted = n_remaining < max_endpoints ? n_remaining : max_endpoints;
+      n_remaining -= n_wanted;
+      set_wanted (location, n_wanted, now);
     }
 }
 
 static bool
-wants_cheap (const LcService *service)
+can_use_spot (const LcService *service)
 {
   const LcScalingLimits *limits = &service->scaling;
 
   return limits->max > 0 && limits->spot_price > 0 && limits->spot_price < 1;
 }
 
-/* Fewer than were ordered, long enough after the order for them to have come: some were taken away,
- * or never were to be had. */
+/* There are fewer endpoints than ordered, and the order is old enough for them to have started:
+ * some were preempted or never became available. */
 static bool
-has_lost_some (const Place *place, const LcResourceSet *set)
+is_missing_endpoints (const Location *location, const LcResourceSet *set)
 {
-  return count (set, place->service, place->data_centre, true) < place->ordered;
+  return count_endpoints (set, location->service, location->data_centre, true)
+         < location->n_ordered;
 }
 
 static bool
-is_due (const Place *place, const LcResourceSet *set, LbTime now)
+is_order_due (const Location *location, const LcResourceSet *set, LbTime now)
 {
-  if (place->busy || now < place->next_order)
+  if (location->is_order_pending || now < location->next_order_at)
     return false;
-  if (place->ordered < 0)
-    return place->wanted > 0 && now >= place->refused_until;
-  return place->wanted != place->ordered || has_lost_some (place, set);
+  if (location->n_ordered < 0)
+    return location->n_wanted > 0 && now >= location->refused_until;
+  return location->n_wanted != location->n_ordered || is_missing_endpoints (location, set);
 }
 
 bool
@@ -282,16 +301,16 @@
                        LcScalingOrder *order)
 {
   for (size_t i = 0; i < desired->n_services; i++)
-    if (wants_cheap (&desired->services[i]))
-      share_out (scaling, &desired->services[i], set, now);
-  LB_LIST_FOREACH (&scaling->places, Place, link, place)
+    if (can_use_spot (&desired->services[i]))
+      distribute_endpoints (scaling, &desired->services[i], set, now);
+  LB_LIST_FOREACH (&scaling->locations, Location, link, location)
   {
-    if (!is_due (place, set, now))
+    if (!is_order_due (location, set, now))
       continue;
-    place->busy = true;
-    *order = (LcScalingOrder){ .endpoints = place->wanted };
-    LB_COPY (order->service, place->service);
-    LB_COPY (order->data_centre, place->data_centre);
+    location->is_order_pending = true;
+    *order = (LcScalingOrder){ .endpoints = location->n_wanted };
+    LB_COPY (order->service, location->service);
+    LB_COPY (order->data_centre, location->data_centre);
     return true;
   }
   return false;
@@ -303,11 +322,11 @@
                          LcScalingOutcome outcome,
                          LbTime now)
 {
-  Place *place = ensure_place (scaling, order->service, order->data_centre);
+  Location *location = find_or_add_location (scaling, order->service, order->data_centre);
 
-  place->busy = false;
-  place->next_order = now + ORDER_PERIOD;
-  place->ordered = outcome == LC_SCALING_ACCEPTED ? order->endpoints : -1;
+  location->is_order_pending = false;
+  location->next_order_at = now + ORDER_PERIOD;
+  location->n_ordered = outcome == LC_SCALING_ACCEPTED ? order->endpoints : -1;
   if (outcome == LC_SCALING_REFUSED)
-    place->refused_until = now + REFUSED_PERIOD;
+    location->refused_until = now + REFUSAL_BACKOFF;
 }
--- a/packages/core/src/endpoints/lc-stream-pace.h
+++ b/packages/core/src/endpoints/lc-stream-pace.h
@@ -3,17 +3,17 @@
 
 #include "lb-types.h"
 
-/* How fast tokens come lately: over the last second or so of streaming, so that an engine that
- * turns slow shows while its long texts still run. */
+/* Recent token rate of streams, averaged over about the last second of streaming, to detect an
+ * engine that becomes slow while its long generations are still running. */
 typedef struct
 {
-  double seconds; /* of streaming, older ones count less */
-  double tokens;  /* that came in them */
+  double seconds; /* of streaming, with exponential decay */
+  double tokens;  /* received in that time, with the same decay */
 } LcStreamPace;
 
-/* What one stream brought since its last piece. */
+/* One stream received tokens, or none, in the interval since its previous chunk. */
 void lc_stream_pace_add (LcStreamPace *pace, int64_t tokens, LbTime interval);
-/* 0: not known yet. */
+/* Seconds per token; 0: not known yet. */
 double lc_stream_pace_token_seconds (const LcStreamPace *pace);
 
 #endif
--- a/packages/core/src/endpoints/lc-subset.c
+++ b/packages/core/src/endpoints/lc-subset.c
@@ -7,35 +7,37 @@
 #include <uthash.h>
 
 #define MAX_PAGE_ROWS 500
-/* Rows asked for beyond those of the last list: a few rows come and go between two lists. */
+/* Rows requested in addition to those of the previous list, since a few are added between two
+ * lists. */
 #define SPARE_ROWS 32
-/* A subset is extended when it holds less than this part of what is needed. */
-#define LOW_PERCENT 75
-/* It is cut when it holds more than this part: endpoints of a deployment that starts come one after
- * the other, and the bound of the first ones takes in all that come later. */
-#define HIGH_PERCENT 200
-/* Places for each request that runs at once: a request takes one while the next step's begin. */
+/* A subset with less than this percentage of the endpoints wanted is extended. */
+#define EXTEND_BELOW_PERCENT 75
+/* A subset with more than this percentage is cut. While a deployment starts, endpoints register one
+ * after the other, and a bound set for the first ones also includes all that register later. */
+#define CUT_ABOVE_PERCENT 200
+/* A request may still hold its slot when those of the next step start. */
 #define SLOTS_PER_REQUEST 2
-/* Between two lists of the whole table for a service without any endpoint. */
-#define ABSENT_PERIOD (10 * LB_SEC)
-/* Between two extensions by load: the calls go to the new endpoints, and replies tell of it. */
+/* Between two lists of the whole table that look for a service without endpoints. */
+#define ABSENT_RETRY_PERIOD (10 * LB_SEC)
+/* Between two extensions due to load, until calls reach the new endpoints and replies show the
+ * effect. */
 #define GROW_PERIOD (3 * LB_SEC)
 #define GROW_FACTOR 1.5
 
 typedef struct
 {
-  LbName name;   /* key */
-  LbName bound;  /* the last key of the subset; "": all belong to it */
-  size_t ready;  /* in service, in the list being read */
-  size_t models; /* that its engines hold, at the most; 0: a plain service */
-  int64_t slots; /* of one endpoint, as the last row told */
-  double growth; /* of what is needed, by load; 0: none */
+  LbName name;     /* key */
+  LbName bound;    /* last key of the subset; "": all endpoints belong to it */
+  size_t n_ready;  /* endpoints in service in the subset, in the current list */
+  size_t n_models; /* maximum held by one of its engines; 0: a plain service */
+  int64_t slots;   /* of one endpoint, from the latest row */
+  double growth;   /* relative increase of the endpoints wanted, due to load */
   LbTime grown_at;
   bool is_expected;
-  bool is_listed;   /* a row of the list being read is of it */
-  bool is_absent;   /* the last list of the whole table had no row of it */
-  bool is_extended; /* in the list being read */
-  LbName enough_at; /* key in the list being read at which there were enough; "": not yet */
+  bool is_listed;        /* the current list has a row of it */
+  bool is_absent;        /* the last list of the whole table had no row of it */
+  bool is_extended;      /* by the current list */
+  LbName sufficient_key; /* key in the current list where the subset was sufficient; "": not yet */
   UT_hash_handle hh;
 } Service;
 
@@ -50,13 +52,13 @@
 {
   Service *services;
   Model *models;
-  int64_t max_requests; /* of all models */
-  size_t n_rows;        /* of the list being read, up to the last one that was needed */
-  size_t n_read;
+  int64_t max_requests; /* maximum over the models */
+  size_t n_rows_needed; /* of the current list, up to the last row in the subset */
+  size_t n_rows_read;
   int64_t page_size;
-  LbTime begun_at;
-  LbTime whole_at; /* when the last list of the whole table began */
-  bool is_small;   /* the whole table is one page: there are no bounds */
+  LbTime list_started_at;
+  LbTime full_list_at; /* start of the last list of the whole table */
+  bool fits_one_page;  /* there are no bounds */
 };
 
 LcSubset *
@@ -65,7 +67,7 @@
   LcSubset *subset = LB_NEW (LcSubset);
 
   subset->page_size = MAX_PAGE_ROWS;
-  subset->is_small = true;
+  subset->fits_one_page = true;
   return subset;
 }
 
@@ -91,7 +93,7 @@
 }
 
 static Service *
-ensure_service (LcSubset *subset, const char *name)
+find_or_add_service (LcSubset *subset, const char *name)
 {
   Service *service = NULL;
 
@@ -104,128 +106,128 @@
   return service;
 }
 
-/* Endpoints of the service that the subset shall hold. */
+/* Number of endpoints in service that the subset should hold. */
 static size_t
-needed (const LcSubset *subset, const Service *service)
+count_wanted_endpoints (const LcSubset *subset, const Service *service)
 {
   int64_t slots = service->slots > 0 ? service->slots : 1;
-  size_t of_model = (size_t)((subset->max_requests * SLOTS_PER_REQUEST + slots - 1) / slots);
+  size_t n_wanted = (size_t)((subset->max_requests * SLOTS_PER_REQUEST + slots - 1) / slots);
 
-  if (of_model < LC_SUBSET_MIN_ENDPOINTS || service->models == 0)
-    of_model = LC_SUBSET_MIN_ENDPOINTS;
-  return (size_t)((double)(of_model * (service->models > 0 ? service->models : 1))
+  if (n_wanted < LC_SUBSET_MIN_ENDPOINTS || service->n_models == 0)
+    n_wanted = LC_SUBSET_MIN_ENDPOINTS;
+  return (size_t)((double)(n_wanted * (service->n_models > 0 ? service->n_models : 1))
                   * (1 + service->growth));
 }
 
 static bool
-is_low (const LcSubset *subset, const Service *service)
+is_too_small (const LcSubset *subset, const Service *service)
 {
-  return service->ready * 100 < needed (subset, service) * LOW_PERCENT;
+  return service->n_ready * 100 < count_wanted_endpoints (subset, service) * EXTEND_BELOW_PERCENT;
 }
 
 void
 lc_subset_begin_list (LcSubset *subset, LbTime now)
 {
-  bool looks_again = now - subset->whole_at >= ABSENT_PERIOD;
+  bool retry_absent = now - subset->full_list_at >= ABSENT_RETRY_PERIOD;
 
-  subset->begun_at = now;
+  subset->list_started_at = now;
   for (Service *service = subset->services; service; service = service->hh.next)
     {
-      service->ready = 0;
+      service->n_ready = 0;
       service->is_listed = false;
-      service->is_absent &= !looks_again;
+      service->is_absent &= !retry_absent;
       service->is_extended = false;
-      service->enough_at[0] = '\0';
+      service->sufficient_key[0] = '\0';
     }
-  subset->n_rows = 0;
-  subset->n_read = 0;
+  subset->n_rows_needed = 0;
+  subset->n_rows_read = 0;
 }
 
-/* Rows come in order, so the endpoints up to the bound are counted when the first one behind it
- * comes. */
+/* Rows are sorted, so all endpoints up to the bound have been counted at the first row after it. */
 static bool
-is_within (const LcSubset *subset, Service *service, const char *key)
+belongs_to_subset (const LcSubset *subset, Service *service, const char *key)
 {
-  if (subset->is_small)
+  if (subset->fits_one_page)
     return true;
-  if (service->ready * 100 >= needed (subset, service) * HIGH_PERCENT)
+  if (service->n_ready * 100 >= count_wanted_endpoints (subset, service) * CUT_ABOVE_PERCENT)
     {
-      LB_COPY (service->bound, service->enough_at);
+      LB_COPY (service->bound, service->sufficient_key);
       return false;
     }
   if (service->bound[0] == '\0' || strcmp (key, service->bound) <= 0)
     return true;
-  service->is_extended |= is_low (subset, service);
-  if (!service->is_extended || service->ready >= needed (subset, service))
+  service->is_extended |= is_too_small (subset, service);
+  if (!service->is_extended || service->n_ready >= count_wanted_endpoints (subset, service))
     return false;
   LB_COPY (service->bound, key);
   return true;
 }
 
 bool
-lc_subset_add_row (LcSubset *subset, const char *key, const LcSubsetRow *endpoint)
+lc_subset_add_row (LcSubset *subset, const char *key, const LcSubsetRow *row)
 {
-  Service *service = ensure_service (subset, endpoint->service);
+  Service *service = find_or_add_service (subset, row->service);
 
-  subset->n_read++;
+  subset->n_rows_read++;
   service->is_listed = true;
-  if (endpoint->n_models > service->models)
-    service->models = endpoint->n_models;
-  if (endpoint->slots > 0)
-    service->slots = endpoint->slots;
-  if (!is_within (subset, service, key))
+  if (row->n_models > service->n_models)
+    service->n_models = row->n_models;
+  if (row->slots > 0)
+    service->slots = row->slots;
+  if (!belongs_to_subset (subset, service, key))
     return false;
-  subset->n_rows = subset->n_read;
-  service->ready += !endpoint->leaving;
-  if (service->enough_at[0] == '\0' && service->ready >= needed (subset, service))
-    LB_COPY (service->enough_at, key);
-  if (service->bound[0] == '\0' && !subset->is_small)
-    LB_COPY (service->bound, service->enough_at);
+  subset->n_rows_needed = subset->n_rows_read;
+  service->n_ready += !row->leaving;
+  if (service->sufficient_key[0] == '\0'
+      && service->n_ready >= count_wanted_endpoints (subset, service))
+    LB_COPY (service->sufficient_key, key);
+  if (service->bound[0] == '\0' && !subset->fits_one_page)
+    LB_COPY (service->bound, service->sufficient_key);
   return true;
 }
 
 static bool
-wants_more (const LcSubset *subset, const Service *service, const char *last_key)
+needs_next_page (const LcSubset *subset, const Service *service, const char *last_key)
 {
   if (!service->is_expected || service->is_absent)
     return false;
   if (service->bound[0] == '\0')
     return true;
   return strcmp (last_key, service->bound) < 0
-         || (service->is_extended && service->ready < needed (subset, service))
-         || is_low (subset, service);
+         || (service->is_extended && service->n_ready < count_wanted_endpoints (subset, service))
+         || is_too_small (subset, service);
 }
 
 static int64_t
 next_page_size (const LcSubset *subset, bool is_whole)
 {
-  size_t rows = subset->n_rows + SPARE_ROWS;
+  size_t rows = subset->n_rows_needed + SPARE_ROWS;
 
   return is_whole || rows > MAX_PAGE_ROWS ? MAX_PAGE_ROWS : (int64_t)rows;
 }
 
 static void
-note_whole (LcSubset *subset)
+finish_full_list (LcSubset *subset)
 {
-  subset->whole_at = subset->begun_at;
-  subset->is_small = subset->n_read < MAX_PAGE_ROWS;
+  subset->full_list_at = subset->list_started_at;
+  subset->fits_one_page = subset->n_rows_read < MAX_PAGE_ROWS;
   for (Service *service = subset->services; service; service = service->hh.next)
     {
       service->is_absent = !service->is_listed;
-      if (subset->is_small)
+      if (subset->fits_one_page)
         service->bound[0] = '\0';
     }
 }
 
 static void
-note_large (LcSubset *subset)
+set_initial_bounds (LcSubset *subset)
 {
-  if (!subset->is_small)
+  if (!subset->fits_one_page)
     return;
-  subset->is_small = false;
+  subset->fits_one_page = false;
   for (Service *service = subset->services; service; service = service->hh.next)
     if (service->bound[0] == '\0')
-      LB_COPY (service->bound, service->enough_at);
+      LB_COPY (service->bound, service->sufficient_key);
 }
 
 bool
@@ -233,13 +235,13 @@
 {
   if (is_last)
     {
-      note_whole (subset);
-      subset->page_size = next_page_size (subset, subset->n_rows == subset->n_read);
+      finish_full_list (subset);
+      subset->page_size = next_page_size (subset, subset->n_rows_needed == subset->n_rows_read);
       return false;
     }
-  note_large (subset);
+  set_initial_bounds (subset);
   for (const Service *service = subset->services; service; service = service->hh.next)
-    if (wants_more (subset, service, last_key))
+    if (needs_next_page (subset, service, last_key))
       return true;
   subset->page_size = next_page_size (subset, false);
   return false;
@@ -258,43 +260,43 @@
 void
 lc_subset_expect_service (LcSubset *subset, const char *service)
 {
-  ensure_service (subset, service)->is_expected = true;
+  find_or_add_service (subset, service)->is_expected = true;
 }
 
 void
 lc_subset_set_bound (LcSubset *subset, const char *service, const char *bound)
 {
-  Service *known = ensure_service (subset, service);
+  Service *found = find_or_add_service (subset, service);
 
-  LB_COPY (known->bound, bound);
+  LB_COPY (found->bound, bound);
 }
 
 void
 lc_subset_set_demand (LcSubset *subset, const char *model, int64_t requests)
 {
-  Model *known = NULL;
+  Model *found = NULL;
 
-  HASH_FIND_STR (subset->models, model, known);
-  if (!known)
+  HASH_FIND_STR (subset->models, model, found);
+  if (!found)
     {
-      known = LB_NEW (Model);
-      LB_COPY (known->name, model);
-      HASH_ADD_STR (subset->models, name, known);
+      found = LB_NEW (Model);
+      LB_COPY (found->name, model);
+      HASH_ADD_STR (subset->models, name, found);
     }
-  known->requests = requests;
+  found->requests = requests;
   subset->max_requests = 0;
-  for (known = subset->models; known; known = known->hh.next)
-    if (known->requests > subset->max_requests)
-      subset->max_requests = known->requests;
+  for (found = subset->models; found; found = found->hh.next)
+    if (found->requests > subset->max_requests)
+      subset->max_requests = found->requests;
 }
 
 void
 lc_subset_grow (LcSubset *subset, const char *name, LbTime now)
 {
-  Service *service = ensure_service (subset, name);
+  Service *service = find_or_add_service (subset, name);
 
-  /* There are no more, or those that were asked for last have not been listed yet. */
-  if (service->bound[0] == '\0' || service->ready < needed (subset, service))
+  /* All endpoints are known, or those of the last extension are not listed yet. */
+  if (service->bound[0] == '\0' || service->n_ready < count_wanted_endpoints (subset, service))
     return;
   if (service->grown_at > 0 && now - service->grown_at < GROW_PERIOD)
     return;
@@ -310,10 +312,10 @@
 
 void
 lc_subset_foreach_bound (const LcSubset *subset,
-                         void (*take) (const char *service, const char *bound, void *user),
+                         void (*callback) (const char *service, const char *bound, void *user),
                          void *user)
 {
   for (const Service *service = subset->services; service; service = service->hh.next)
     if (service->bound[0])
-      take (service->name, service->bound, user);
+      callback (service->name, service->bound, user);
 }
--- a/packages/core/src/endpoints/lc-utilisation.c
+++ b/packages/core/src/endpoints/lc-utilisation.c
@@ -5,14 +5,14 @@
 #include <stdlib.h>
 #include <uthash.h>
 
-#define WEIGHT 0.05 /* of a new reply in the mean */
-/* Share of the places that is taken, from which on requests begin to wait at some endpoints. */
-#define LIMIT 0.6
+#define REPLY_WEIGHT 0.05 /* of a new reply in the mean */
+/* Above this mean utilisation requests start to queue at some endpoints. */
+#define OVERLOAD_THRESHOLD 0.6
 
 typedef struct
 {
-  LbName name; /* key */
-  double busy; /* mean share of the places that is taken */
+  LbName name;             /* key */
+  double mean_utilisation; /* requests per slot, exponentially weighted */
   UT_hash_handle hh;
 } Service;
 
@@ -28,22 +28,22 @@
 }
 
 void
-lc_utilisation_free (LcUtilisation *crowding)
+lc_utilisation_free (LcUtilisation *utilisation)
 {
   Service *service, *next;
 
-  if (!crowding)
+  if (!utilisation)
     return;
-  HASH_ITER (hh, crowding->services, service, next)
+  HASH_ITER (hh, utilisation->services, service, next)
   {
-    HASH_DEL (crowding->services, service);
+    HASH_DEL (utilisation->services, service);
     free (service);
   }
-  free (crowding);
+  free (utilisation);
 }
 
 void
-lc_utilisation_add_report (LcUtilisation *crowding,
+lc_utilisation_add_report (LcUtilisation *utilisation,
                            const char *name,
                            int64_t requests,
                            int64_t slots)
@@ -52,23 +52,25 @@
 
   if (slots <= 0)
     return;
-  HASH_FIND_STR (crowding->services, name, service);
+  HASH_FIND_STR (utilisation->services, name, service);
   if (!service)
     {
       service = LB_NEW (Service);
       LB_COPY (service->name, name);
-      HASH_ADD_STR (crowding->services, name, service);
+      HASH_ADD_STR (utilisation->services, name, service);
     }
-  service->busy += ((double)requests / (double)slots - service->busy) * WEIGHT;
+  service->mean_utilisation
+      += ((double)requests / (double)slots - service->mean_utilisation) * REPLY_WEIGHT;
 }
 
 const char *
-lc_utilisation_find_overloaded_service (const LcUtilisation *crowding)
+lc_utilisation_find_overloaded_service (const LcUtilisation *utilisation)
 {
   const Service *busiest = NULL;
 
-  for (const Service *service = crowding->services; service; service = service->hh.next)
-    if (service->busy > LIMIT && (!busiest || service->busy > busiest->busy))
+  for (const Service *service = utilisation->services; service; service = service->hh.next)
+    if (service->mean_utilisation > OVERLOAD_THRESHOLD
+        && (!busiest || service->mean_utilisation > busiest->mean_utilisation))
       busiest = service;
   return busiest ? busiest->name : "";
 }
--- a/packages/core/tests/test-breaker.c
+++ b/packages/core/tests/test-breaker.c
@@ -19,7 +19,7 @@
 
   fail_times (&breaker, 5, now);
   cr_assert_eq (lc_breaker_max_in_flight (&breaker, now), 0);
-  now = breaker.until;
+  now = breaker.open_until;
   cr_assert_eq (lc_breaker_max_in_flight (&breaker, now), 1);
   lc_breaker_request_sent (&breaker, now);
   for (int64_t expected = 2; expected < 32; expected++)
@@ -41,9 +41,9 @@
   fail_times (&breaker, 5, now);
   for (int i = 0; i < 4; i++)
     {
-      cr_assert_gt (breaker.until - now, last);
-      last = breaker.until - now;
-      now = breaker.until;
+      cr_assert_gt (breaker.open_until - now, last);
+      last = breaker.open_until - now;
+      now = breaker.open_until;
       lc_breaker_request_sent (&breaker, now);
       lc_breaker_request_failed (&breaker, now, now);
       cr_assert_eq (lc_breaker_max_in_flight (&breaker, now), 0);
@@ -60,7 +60,7 @@
 
   fail_times (&breaker, 5, now);
 
-  LbTime again = breaker.until;
+  LbTime again = breaker.open_until;
 
   lc_breaker_request_sent (&breaker, again);
   lc_breaker_request_succeeded (&breaker, again);
