--- a/packages/core/include/lc-entry.h
+++ b/packages/core/include/lc-entry.h
@@ -6,7 +6,7 @@
 /* Addresses returned to a caller. */
 #define LC_MAX_ENTRY_ADDRESSES 3
 
-/* The instances that a caller is told to connect to, in order of preference. */
+/* The instances that a caller should connect to, in order of preference. */
 typedef struct
 {
   size_t chosen[LC_MAX_ENTRY_ADDRESSES]; /* indexes into views */
--- a/packages/core/src/endpoints/lc-concurrency.c
+++ b/packages/core/src/endpoints/lc-concurrency.c
@@ -31,7 +31,7 @@
 }
 
 static void
-decrease (LcConcurrency *concurrency, double factor, LbTime now)
+decrease_limit (LcConcurrency *concurrency, double factor, LbTime now)
 {
   if (concurrency->decreased_at != 0 && now - concurrency->decreased_at < DECREASE_PERIOD)
     return;
@@ -58,7 +58,7 @@
 {
   update_min_first_byte (concurrency, first_byte_seconds);
   if (first_byte_seconds > SLOW_FACTOR * concurrency->min_first_byte_seconds + SLOW_EXTRA_SECONDS)
-    decrease (concurrency, SLOW_DECREASE_FACTOR, now);
+    decrease_limit (concurrency, SLOW_DECREASE_FACTOR, now);
   else if ((double)in_flight * 2 >= concurrency->limit)
     concurrency->limit = fmin (concurrency->max, concurrency->limit + 1 / concurrency->limit);
 }
@@ -66,5 +66,5 @@
 void
 lc_concurrency_request_failed (LcConcurrency *concurrency, LbTime now)
 {
-  decrease (concurrency, FAILED_DECREASE_FACTOR, now);
+  decrease_limit (concurrency, FAILED_DECREASE_FACTOR, now);
 }
--- a/packages/core/tests/endpoints-fixture.h
+++ b/packages/core/tests/endpoints-fixture.h
@@ -7,12 +7,12 @@
 #include <stdio.h>
 #include <string.h>
 
-#define FIXTURE_MOST 32
+#define FIXTURE_MAX_ENDPOINTS 32
 
-/* Engines e0, e1, ... of pool "reader", each sized for 8 requests at once. */
+/* Engines e0, e1, ... of pool "reader", each sized for 8 concurrent requests. */
 typedef struct
 {
-  LcEndpointMember members[FIXTURE_MOST];
+  LcEndpointMember members[FIXTURE_MAX_ENDPOINTS];
   LcResourceSet set;
   LcEndpoints *endpoints;
 } Fixture;
@@ -23,9 +23,9 @@
   lc_endpoints_configure (f->endpoints, &f->set, now);
 }
 
-/* First words, without an incarnation. */
+/* A first report of each engine, without an incarnation. */
 static inline void
-fixture_hear_all (Fixture *f)
+fixture_report_all (Fixture *f)
 {
   LcLoadReport report = { .version = 1 };
 
@@ -50,7 +50,7 @@
   f->set.n_endpoints = n;
   f->endpoints = lc_endpoints_new ();
   fixture_configure (f, 0);
-  fixture_hear_all (f);
+  fixture_report_all (f);
 }
 
 static inline void
@@ -69,12 +69,12 @@
 }
 
 static inline bool
-fixture_may_take (Fixture *f, const char *name, LbTime now)
+fixture_can_accept (Fixture *f, const char *name, LbTime now)
 {
   return lc_endpoint_can_accept (fixture_find (f, name), LC_KIND_LIVE, 0, now);
 }
 
-/* A report that was measured at its arrival. */
+/* A report that arrives without delay: measured and received at the same time. */
 static inline LcLoadReport
 fixture_report (Fixture *f, const char *name, const char *incarnation, LcVersion version, LbTime at)
 {
--- a/packages/core/tests/test-breaker.c
+++ b/packages/core/tests/test-breaker.c
@@ -3,21 +3,20 @@
 #include "lc-breaker.h"
 
 static void
-fail_times (LcBreaker *breaker, int n, LbTime now)
+fail_repeatedly (LcBreaker *breaker, int n, LbTime now)
 {
   for (int i = 0; i < n; i++)
     lc_breaker_request_failed (breaker, now, now);
 }
 
-/* An engine dies for ten seconds and comes back. All instances see it at the same moment; a full
- * share from each at once would knock it over again. So first one request, then one more for each
- * good answer, until the limit no longer matters. */
-Test (breaker, returns_a_little_at_a_time)
+/* An engine fails for ten seconds and recovers. All instances notice it at the same time; a full
+ * share from each of them at once would overload it again. */
+Test (breaker, half_open_adds_one_request_per_success)
 {
   LcBreaker breaker = { 0 };
   LbTime now = LB_SEC;
 
-  fail_times (&breaker, 5, now);
+  fail_repeatedly (&breaker, 5, now);
   cr_assert_eq (lc_breaker_max_in_flight (&breaker, now), 0);
   now = breaker.open_until;
   cr_assert_eq (lc_breaker_max_in_flight (&breaker, now), 1);
@@ -31,18 +30,18 @@
   cr_assert_eq (breaker.state, LC_BREAKER_CLOSED);
 }
 
-/* An engine that fails each trial is asked less and less often. */
-Test (breaker, waits_longer_after_each_failed_trial)
+/* An engine that fails each trial request is tried less and less often. */
+Test (breaker, open_time_grows_with_each_failed_trial)
 {
   LcBreaker breaker = { 0 };
   LbTime now = LB_SEC;
-  LbTime last = 0;
+  LbTime last_open_time = 0;
 
-  fail_times (&breaker, 5, now);
+  fail_repeatedly (&breaker, 5, now);
   for (int i = 0; i < 4; i++)
     {
-      cr_assert_gt (breaker.open_until - now, last);
-      last = breaker.open_until - now;
+      cr_assert_gt (breaker.open_until - now, last_open_time);
+      last_open_time = breaker.open_until - now;
       now = breaker.open_until;
       lc_breaker_request_sent (&breaker, now);
       lc_breaker_request_failed (&breaker, now, now);
@@ -50,27 +49,27 @@
     }
 }
 
-/* An engine was silent for ten seconds and serves again. Requests that hung through the silence
- * fail one after the other by their deadlines; each would open the breaker anew, and the engine
- * would stand idle for as long as the longest deadline. */
-Test (breaker, failures_of_requests_from_before_do_not_open_it_again)
+/* An engine did not respond for ten seconds and has recovered. Requests that hung during the outage
+ * reach their deadlines one after the other; if each reopened the breaker, the engine would stay
+ * idle until the longest deadline. */
+Test (breaker, late_failures_of_earlier_requests_do_not_reopen_it)
 {
   LcBreaker breaker = { 0 };
   LbTime now = LB_SEC;
 
-  fail_times (&breaker, 5, now);
+  fail_repeatedly (&breaker, 5, now);
 
-  LbTime again = breaker.open_until;
+  LbTime first_trial_at = breaker.open_until;
 
-  lc_breaker_request_sent (&breaker, again);
-  lc_breaker_request_succeeded (&breaker, again);
-  lc_breaker_request_failed (&breaker, now - 1, again + 1);
+  lc_breaker_request_sent (&breaker, first_trial_at);
+  lc_breaker_request_succeeded (&breaker, first_trial_at);
+  lc_breaker_request_failed (&breaker, now - 1, first_trial_at + 1);
   cr_assert_eq (breaker.state, LC_BREAKER_HALF_OPEN);
-  cr_assert_eq (lc_breaker_max_in_flight (&breaker, again + 1), 2);
+  cr_assert_eq (lc_breaker_max_in_flight (&breaker, first_trial_at + 1), 2);
 }
 
-/* An engine fails two of three requests, never five in a row. */
-Test (breaker, opens_for_a_bad_share_without_five_in_a_row)
+/* An engine fails two of three requests, but never five in a row. */
+Test (breaker, opens_for_a_high_failure_ratio_without_five_in_a_row)
 {
   LcBreaker breaker = { 0 };
 
@@ -82,7 +81,7 @@
   cr_assert_eq (breaker.state, LC_BREAKER_OPEN);
 }
 
-Test (breaker, a_new_process_begins_closed)
+Test (breaker, new_incarnation_starts_with_a_closed_breaker)
 {
   Fixture f;
 
@@ -97,8 +96,8 @@
       lc_endpoint_request_ended (endpoint, LC_KIND_LIVE, false, 0, 1, 3);
     }
   cr_assert_eq (endpoint->breaker, LC_BREAKER_OPEN);
-  cr_assert_not (fixture_may_take (&f, "e0", 4));
+  cr_assert_not (fixture_can_accept (&f, "e0", 4));
   fixture_report (&f, "e0", "b", 1, 10);
-  cr_assert (fixture_may_take (&f, "e0", 11));
+  cr_assert (fixture_can_accept (&f, "e0", 11));
   fixture_clear (&f);
 }
--- a/packages/core/tests/test-concurrency.c
+++ b/packages/core/tests/test-concurrency.c
@@ -2,71 +2,71 @@
 
 #include <criterion/criterion.h>
 
-#define SIZE 32
+#define MAX_CONCURRENCY 32
 
 static LcConcurrency
-with_floor (double seconds)
+new_concurrency (double min_first_byte_seconds)
 {
   LcConcurrency concurrency;
 
-  lc_concurrency_init (&concurrency, SIZE);
-  lc_concurrency_first_byte_received (&concurrency, seconds, 1, LB_SEC);
+  lc_concurrency_init (&concurrency, MAX_CONCURRENCY);
+  lc_concurrency_first_byte_received (&concurrency, min_first_byte_seconds, 1, LB_SEC);
   return concurrency;
 }
 
-/* An engine was declared for 32 requests but queues beyond ten: first bytes take seconds and live
- * calls wait behind samples. The limit must come down until first bytes are quick again. */
-Test (concurrency, comes_down_while_first_bytes_queue)
+/* An engine is declared for 32 requests but queues beyond ten: first bytes take seconds and live
+ * calls wait behind samples. The limit must decrease until first bytes are fast again. */
+Test (concurrency, decreases_while_first_bytes_are_slow)
 {
-  LcConcurrency concurrency = with_floor (0.05);
+  LcConcurrency concurrency = new_concurrency (0.05);
   LbTime now = LB_SEC;
 
   for (int second = 2; second < 30; second++)
     {
-      bool queues = concurrency.limit > 10;
+      bool is_queueing = concurrency.limit > 10;
 
       now = second * LB_SEC;
-      lc_concurrency_first_byte_received (&concurrency, queues ? 2 : 0.06,
+      lc_concurrency_first_byte_received (&concurrency, is_queueing ? 2 : 0.06,
                                           (int64_t)concurrency.limit, now);
     }
   cr_assert_lt (concurrency.limit, 12);
   cr_assert_gt (concurrency.limit, 7);
 }
 
-/* One slow moment delays all that is in flight. Lowered once for each, the limit would fall to 1
- * and the engine would stand idle. */
-Test (concurrency, is_lowered_once_for_one_bad_moment)
+/* One slow period delays all requests in flight. If each of them decreased the limit, it would fall
+ * to 1 and the engine would be nearly idle. */
+Test (concurrency, decreases_once_for_concurrent_slow_requests)
 {
-  LcConcurrency concurrency = with_floor (0.05);
+  LcConcurrency concurrency = new_concurrency (0.05);
 
-  for (int i = 0; i < SIZE; i++)
-    lc_concurrency_first_byte_received (&concurrency, 3, SIZE, 2 * LB_SEC + i);
-  cr_assert_gt (concurrency.limit, 0.8 * SIZE);
+  for (int i = 0; i < MAX_CONCURRENCY; i++)
+    lc_concurrency_first_byte_received (&concurrency, 3, MAX_CONCURRENCY, 2 * LB_SEC + i);
+  cr_assert_gt (concurrency.limit, 0.8 * MAX_CONCURRENCY);
 }
 
-Test (concurrency, returns_to_the_declared_size_and_no_further)
+Test (concurrency, recovers_to_the_declared_size_and_no_further)
 {
-  LcConcurrency concurrency = with_floor (0.05);
+  LcConcurrency concurrency = new_concurrency (0.05);
 
   for (int second = 2; second < 12; second++)
     lc_concurrency_request_failed (&concurrency, second * LB_SEC);
-  cr_assert_lt (concurrency.limit, SIZE / 4.0);
+  cr_assert_lt (concurrency.limit, MAX_CONCURRENCY / 4.0);
   cr_assert_geq (concurrency.limit, 1);
   for (int i = 0; i < 2000; i++)
     lc_concurrency_first_byte_received (&concurrency, 0.05, (int64_t)concurrency.limit,
                                         20 * LB_SEC);
-  cr_assert_float_eq (concurrency.limit, SIZE, 1e-9);
+  cr_assert_float_eq (concurrency.limit, MAX_CONCURRENCY, 1e-9);
 }
 
-/* An idle endpoint answers fast whatever its limit is, which proves nothing about a higher one. */
-Test (concurrency, does_not_grow_unused)
+/* Fast first bytes at an idle endpoint do not show that it could handle a higher limit. */
+Test (concurrency, does_not_increase_while_unused)
 {
-  LcConcurrency concurrency = with_floor (0.05);
-  double lowered = 0;
+  LcConcurrency concurrency = new_concurrency (0.05);
+  double decreased_limit = 0;
 
   lc_concurrency_request_failed (&concurrency, 2 * LB_SEC);
-  lowered = concurrency.limit;
+  decreased_limit = concurrency.limit;
   for (int i = 0; i < 100; i++)
     lc_concurrency_first_byte_received (&concurrency, 0.05, 1, 3 * LB_SEC);
-  cr_assert_float_eq (concurrency.limit, lowered, 1e-9);
+  cr_assert_float_eq (concurrency.limit, decreased_limit, 1e-9);
 }
--- a/packages/core/tests/test-crowding.c
+++ b/packages/core/tests/test-crowding.c
@@ -2,22 +2,23 @@
 
 #include <criterion/criterion.h>
 
-/* Guards against a subset that grows for a burst at one endpoint, or not at all under load. */
-Test (crowding, names_the_service_whose_endpoints_are_full)
+/* Guards against a subset that grows because of a burst at one endpoint, or does not grow under
+ * load. */
+Test (utilisation, finds_the_service_with_sustained_high_utilisation)
 {
-  LcUtilisation *crowding = lc_utilisation_new ();
+  LcUtilisation *utilisation = lc_utilisation_new ();
 
-  lc_utilisation_add_report (crowding, "a", 12, 6);
-  lc_utilisation_add_report (crowding, "b", 1, 6);
-  cr_assert_str_eq (lc_utilisation_find_overloaded_service (crowding), "");
+  lc_utilisation_add_report (utilisation, "a", 12, 6);
+  lc_utilisation_add_report (utilisation, "b", 1, 6);
+  cr_assert_str_eq (lc_utilisation_find_overloaded_service (utilisation), "");
   for (int i = 0; i < 100; i++)
     {
-      lc_utilisation_add_report (crowding, "a", 5, 6);
-      lc_utilisation_add_report (crowding, "b", 1, 6);
+      lc_utilisation_add_report (utilisation, "a", 5, 6);
+      lc_utilisation_add_report (utilisation, "b", 1, 6);
     }
-  cr_assert_str_eq (lc_utilisation_find_overloaded_service (crowding), "a");
+  cr_assert_str_eq (lc_utilisation_find_overloaded_service (utilisation), "a");
   for (int i = 0; i < 100; i++)
-    lc_utilisation_add_report (crowding, "a", 2, 6);
-  cr_assert_str_eq (lc_utilisation_find_overloaded_service (crowding), "");
-  lc_utilisation_free (crowding);
+    lc_utilisation_add_report (utilisation, "a", 2, 6);
+  cr_assert_str_eq (lc_utilisation_find_overloaded_service (utilisation), "");
+  lc_utilisation_free (utilisation);
 }
--- a/packages/core/tests/test-roster.c
+++ b/packages/core/tests/test-roster.c
@@ -11,25 +11,25 @@
 #define N_ENGINES 9
 
 static LcRegistration
-engine (int number)
+make_engine (int number)
 {
-  LcRegistration listed = { .slots = 8, .n_models = 2 };
-
-  snprintf (listed.name, sizeof listed.name, "i-%d", number);
-  snprintf (listed.address, sizeof listed.address, "10.0.0.%d:80", number);
-  LB_COPY (listed.service, "engines");
-  LB_COPY (listed.models[0].name, "reader");
-  LB_COPY (listed.models[1].name, "writer");
-  listed.models[0].version = 1;
-  listed.models[1].version = 1;
-  return listed;
+  LcRegistration registration = { .slots = 8, .n_models = 2 };
+
+  snprintf (registration.name, sizeof registration.name, "i-%d", number);
+  snprintf (registration.address, sizeof registration.address, "10.0.0.%d:80", number);
+  LB_COPY (registration.service, "engines");
+  LB_COPY (registration.models[0].name, "reader");
+  LB_COPY (registration.models[1].name, "writer");
+  registration.models[0].version = 1;
+  registration.models[1].version = 1;
+  return registration;
 }
 
 static void
-list_engines (LcRegistration *list, int n)
+fill_list (LcRegistration *list, int n)
 {
   for (int i = 0; i < n; i++)
-    list[i] = engine (i);
+    list[i] = make_engine (i);
 }
 
 static int
@@ -42,16 +42,16 @@
   return count;
 }
 
-/* The store is away for four seconds; nobody can renew an entry, and the store drops them all. The
- * first list after its return is empty. Were it believed, all engines would be gone at once
- * although they serve. */
-Test (roster, entries_that_lapsed_with_the_store_count_as_alive_for_a_while)
+/* The store is unavailable for four seconds, no registration can be renewed, and all expire. If
+ * the empty list after its recovery were applied, all engines would be removed although they are
+ * alive. */
+Test (roster, registrations_expired_in_a_store_outage_are_kept_for_a_grace_period)
 {
   LcRoster *roster = lc_roster_new ();
   LcRegistration list[N_ENGINES];
   LbTime now = 10 * LB_SEC;
 
-  list_engines (list, N_ENGINES);
+  fill_list (list, N_ENGINES);
   cr_assert (lc_roster_update (roster, list, N_ENGINES, now, now));
   now += 4 * LB_SEC;
   lc_roster_update (roster, list, 0, now, now);
@@ -64,33 +64,34 @@
       now += 400 * LB_MSEC;
       lc_roster_update (roster, list, 4, now, now);
     }
-  cr_assert_eq (lc_roster_count (roster), 4, "what has not come back by then is gone");
+  cr_assert_eq (lc_roster_count (roster), 4,
+                "endpoints not listed again are removed after the grace period");
   lc_roster_free (roster);
 }
 
-/* An engine is lost while the store answers as always: it takes no work from the next list on. */
-Test (roster, an_entry_that_goes_while_the_store_answers_is_gone)
+/* Without an outage of the store, a lost engine is removed by the next list. */
+Test (roster, unlisted_endpoint_is_removed_without_an_outage)
 {
   LcRoster *roster = lc_roster_new ();
   LcRegistration list[N_ENGINES];
 
-  list_engines (list, N_ENGINES);
+  fill_list (list, N_ENGINES);
   lc_roster_update (roster, list, N_ENGINES, LB_SEC, LB_SEC);
   cr_assert (lc_roster_update (roster, list, N_ENGINES - 1, 1400 * LB_MSEC, 1400 * LB_MSEC));
   cr_assert_eq (lc_roster_count (roster), N_ENGINES - 1);
   lc_roster_free (roster);
 }
 
-/* Two models on nine engines: each instance must find the same division by itself, or weights would
- * be loaded where nobody asks for them. */
-Test (roster, engines_are_divided_alike_whatever_the_order_of_the_list)
+/* Two models on nine engines: each instance must compute the same division, or weights would be
+ * loaded by engines that get no requests for them. */
+Test (roster, division_of_engines_does_not_depend_on_the_order_of_the_list)
 {
   LcRoster *first = lc_roster_new ();
   LcRoster *second = lc_roster_new ();
   LcRegistration list[N_ENGINES];
   LcRegistration reversed[N_ENGINES];
 
-  list_engines (list, N_ENGINES);
+  fill_list (list, N_ENGINES);
   for (int i = 0; i < N_ENGINES; i++)
     reversed[i] = list[N_ENGINES - 1 - i];
   lc_roster_update (first, list, N_ENGINES, LB_SEC, LB_SEC);
@@ -107,15 +108,15 @@
   lc_roster_free (second);
 }
 
-/* The plan says more than the engine's own entry, which lags: its model, and that it has loaded. */
-Test (roster, the_plan_goes_before_the_own_division)
+/* The plan's model and version take precedence: an engine's registration lags behind its loads. */
+Test (roster, plan_takes_precedence_over_division)
 {
   LcRoster *roster = lc_roster_new ();
   LcRegistration list[N_ENGINES];
   LcEnginePlan plan = { 0 };
   LcPlanEntry entry = { .version = 7 };
 
-  list_engines (list, N_ENGINES);
+  fill_list (list, N_ENGINES);
   lc_roster_update (roster, list, N_ENGINES, LB_SEC, LB_SEC);
   LB_COPY (entry.model, "writer");
   for (int i = 0; i < N_ENGINES; i++)
@@ -126,7 +127,7 @@
   cr_assert (lc_roster_set_plan (roster, &plan));
   cr_assert_eq (count_model (roster, "writer"), N_ENGINES);
   cr_assert_eq (lc_roster_latest_version (roster, 0), 7);
-  cr_assert_not (lc_roster_set_plan (roster, &plan), "the same plan again is no news");
+  cr_assert_not (lc_roster_set_plan (roster, &plan), "the same plan again changes nothing");
   lc_engine_plan_clear (&plan);
   lc_roster_free (roster);
 }
@@ -134,7 +135,7 @@
 Test (roster, resources_hold_a_pool_for_each_model_and_every_endpoint)
 {
   LcRoster *roster = lc_roster_new ();
-  LcRegistration list[2] = { engine (1), { .slots = 6 } };
+  LcRegistration list[2] = { make_engine (1), { .slots = 6 } };
 
   LB_COPY (list[1].name, "i-lookup");
   LB_COPY (list[1].address, "10.0.0.9:80");
@@ -152,16 +153,17 @@
   lc_roster_free (roster);
 }
 
-/* A deployment whose engines obey any holder of the lease: believed to check, they would be ordered
- * by the next holder while the last order of the one before is on its way. */
-Test (roster, engines_check_orders_only_where_the_operators_say_so)
+/* Engines that accept orders of any lease holder must not be treated as checking the fencing
+ * number: a new holder would send orders while the last one of the previous holder is still in
+ * transit. */
+Test (roster, engines_check_fencing_numbers_only_if_configured)
 {
   for (int checks = 0; checks < 2; checks++)
     {
       LcRoster *roster = lc_roster_new ();
-      LcRegistration listed = engine (1);
+      LcRegistration registration = make_engine (1);
 
-      lc_roster_update (roster, &listed, 1, LB_SEC, LB_SEC);
+      lc_roster_update (roster, &registration, 1, LB_SEC, LB_SEC);
       LcResourceSet *set = lc_roster_to_resources (roster, 1, checks);
       cr_assert_eq (set->endpoints[0].checks_fence, checks);
       lc_resource_set_free (set);
@@ -169,9 +171,9 @@
     }
 }
 
-/* New endpoints come with a list in any order, some more than once; each has one entry, and the
- * next list finds it again. */
-Test (roster, an_endpoint_has_one_entry_whatever_the_order_of_the_lists)
+/* A list contains new endpoints in any order, some more than once. Each must get one entry, which
+ * the next list must find again. */
+Test (roster, endpoint_has_one_entry_for_any_order_of_the_list)
 {
   static const int order[] = { 7, 2, 2, 8, 0, 7, 5 };
   LcRoster *roster = lc_roster_new ();
@@ -179,63 +181,64 @@
   LbTime now = LB_SEC;
 
   for (size_t i = 0; i < 7; i++)
-    list[i] = engine (order[i]);
+    list[i] = make_engine (order[i]);
   cr_assert (lc_roster_update (roster, list, 7, now, now));
   cr_assert_eq (lc_roster_count (roster), 5);
-  list_engines (list, N_ENGINES);
+  fill_list (list, N_ENGINES);
   cr_assert (lc_roster_update (roster, list, N_ENGINES, now + LB_SEC, now + LB_SEC));
   cr_assert_eq (lc_roster_count (roster), N_ENGINES);
   cr_assert_not (lc_roster_update (roster, list, N_ENGINES, now + 2 * LB_SEC, now + 2 * LB_SEC));
   lc_roster_free (roster);
 }
 
-/* A thousand endpoints were listed by each of a hundred instances each 0.4 s: some 60% of a core of
- * each, and calls waited. Larger lists are asked less often, but soon enough for one that leaves.
- */
-Test (roster, larger_lists_are_asked_less_often)
+/* Listing a thousand endpoints every 0.4 s on each of a hundred instances took some 60% of a core
+ * per instance and delayed calls. Longer lists are requested less often, but often enough to notice
+ * an endpoint that is leaving in time. */
+Test (roster, longer_lists_are_requested_less_often)
 {
   enum
   {
-    MANY = 1000
+    N_REGISTRATIONS = 1000
   };
   LcRoster *roster = lc_roster_new ();
-  LcRegistration *list = LB_NEW_ARRAY (LcRegistration, MANY);
+  LcRegistration *list = LB_NEW_ARRAY (LcRegistration, N_REGISTRATIONS);
 
-  list_engines (list, MANY);
+  fill_list (list, N_REGISTRATIONS);
   cr_assert_eq (lc_roster_list_period (roster), 400 * LB_MSEC);
   lc_roster_update (roster, list, 60, LB_SEC, LB_SEC);
   cr_assert_eq (lc_roster_list_period (roster), 400 * LB_MSEC);
   lc_roster_update (roster, list, 300, 2 * LB_SEC, 2 * LB_SEC);
   cr_assert_eq (lc_roster_list_period (roster), 750 * LB_MSEC);
-  lc_roster_update (roster, list, MANY, 3 * LB_SEC, 3 * LB_SEC);
+  lc_roster_update (roster, list, N_REGISTRATIONS, 3 * LB_SEC, 3 * LB_SEC);
   cr_assert_eq (lc_roster_list_period (roster), 900 * LB_MSEC);
   free (list);
   lc_roster_free (roster);
 }
 
-/* An engine restarts within a second under its id while the store is away. Were its start before
- * kept as alive until the grace is over, requests would be planned for both, its load, its pace and
- * its cache be believed of a process that has ended. */
-Test (roster, a_start_at_the_same_address_ends_the_one_before)
+/* An engine restarts under the same id during an outage of the store. If its previous registration
+ * were kept for the grace period, requests would be routed to both, with the load, pace and cache
+ * of a process that has ended. */
+Test (roster, new_registration_replaces_one_with_the_same_address)
 {
   LcRoster *roster = lc_roster_new ();
   LcRegistration list[N_ENGINES];
   LbTime now = 10 * LB_SEC;
 
-  list_engines (list, N_ENGINES);
+  fill_list (list, N_ENGINES);
   lc_roster_update (roster, list, N_ENGINES, now, now);
   now += 4 * LB_SEC;
   LB_COPY (list[3].name, "i-3@2");
   cr_assert (lc_roster_update (roster, list, 4, now, now));
-  cr_assert_eq (lc_roster_count (roster), N_ENGINES, "those that lapsed are kept for a while");
+  cr_assert_eq (lc_roster_count (roster), N_ENGINES,
+                "expired registrations are kept for the grace period");
   for (size_t i = 0; i < lc_roster_count (roster); i++)
     cr_assert_str_neq (lc_roster_registration (roster, i)->name, "i-3");
   lc_roster_free (roster);
 }
 
-/* The model that the plan has for it stays: else the engine would load another one's weights in the
- * middle of a step. Its version is not known until it says so. */
-Test (roster, a_start_keeps_the_model_of_the_one_before)
+/* A restarted engine must keep its planned model, or it would load other weights in the middle of a
+ * step. Its version is not known until it reports it. */
+Test (roster, restarted_engine_keeps_its_planned_model)
 {
   static const char *const pools[] = { "reader", "writer" };
 
@@ -245,7 +248,7 @@
       LcRegistration list[N_ENGINES];
       LcEnginePlan plan = { 0 };
       LcPlanEntry planned = { .version = 7 };
-      list_engines (list, N_ENGINES);
+      fill_list (list, N_ENGINES);
       lc_roster_update (roster, list, N_ENGINES, LB_SEC, LB_SEC);
       LB_COPY (planned.engine, "i-3");
       LB_COPY (planned.model, pools[i]);
@@ -257,22 +260,23 @@
         if (strcmp (lc_roster_registration (roster, at)->name, "i-3@2") == 0)
           {
             cr_assert_str_eq (lc_roster_model (roster, at), pools[i]);
-            cr_assert_eq (lc_roster_latest_version (roster, at), 1, "as it says itself");
+            cr_assert_eq (lc_roster_latest_version (roster, at), 1,
+                          "the version in its registration");
           }
       lc_engine_plan_clear (&plan);
       lc_roster_free (roster);
     }
 }
 
-/* The list before said that an engine is gone, just after the store was back. It is believed for a
- * while, and not for ever where no later list says anything new. */
-Test (roster, the_same_list_again_ends_what_it_does_not_name)
+/* After an outage of the store, an engine that is not listed is kept for the grace period. It must
+ * be removed afterwards, even if all later lists are unchanged. */
+Test (roster, unchanged_list_removes_unlisted_endpoints_after_the_grace_period)
 {
   LcRoster *roster = lc_roster_new ();
   LcRegistration list[N_ENGINES];
   LbTime now = 10 * LB_SEC;
 
-  list_engines (list, N_ENGINES);
+  fill_list (list, N_ENGINES);
   lc_roster_update (roster, list, N_ENGINES, LB_SEC, LB_SEC);
   lc_roster_update (roster, list, N_ENGINES - 1, now, now);
   cr_assert_eq (lc_roster_count (roster), N_ENGINES);
@@ -284,8 +288,8 @@
   lc_roster_free (roster);
 }
 
-#define MANY_ENGINES 20000
-#define MANY_SECONDS 1.0 /* compared pair by pair it takes twenty */
+#define N_MANY_ENGINES 20000
+#define MAX_PROCESSOR_SECONDS 1.0 /* a quadratic algorithm takes twenty */
 
 static double
 processor_seconds (void)
@@ -296,36 +300,37 @@
   return (double)time.tv_sec + (double)time.tv_nsec / 1e9;
 }
 
-/* All machines of a large site start after its power is back. Each of them took its first list of
- * the endpoints by comparing all with all, and did so again with each change; an endpoint that said
- * meanwhile that it leaves still got requests when its time for that was over. */
-Test (roster, work_grows_with_the_list_and_not_with_its_square)
+/* All machines of a large site start after a power failure. With quadratic time for the first list
+ * and for each change, an endpoint that announced meanwhile that it is leaving still got requests
+ * after the time limit. */
+Test (roster, processing_time_is_not_quadratic)
 {
   LcRoster *roster = lc_roster_new ();
-  LcRegistration *list = LB_NEW_ARRAY (LcRegistration, MANY_ENGINES);
-  double begun;
+  LcRegistration *list = LB_NEW_ARRAY (LcRegistration, N_MANY_ENGINES);
+  double started_at;
 
-  for (int i = 0; i < MANY_ENGINES; i++)
+  for (int i = 0; i < N_MANY_ENGINES; i++)
     {
-      list[i] = engine (i);
-      snprintf (list[i].name, sizeof list[i].name, "i-%07d", i * 7919 % MANY_ENGINES);
+      list[i] = make_engine (i);
+      snprintf (list[i].name, sizeof list[i].name, "i-%07d", i * 7919 % N_MANY_ENGINES);
     }
-  begun = processor_seconds ();
-  cr_assert (lc_roster_update (roster, list, MANY_ENGINES, 1, 1));
+  started_at = processor_seconds ();
+  cr_assert (lc_roster_update (roster, list, N_MANY_ENGINES, 1, 1));
   list[0].leaving = true;
-  cr_assert (lc_roster_update (roster, list, MANY_ENGINES, 2, 2));
-  cr_assert_lt (processor_seconds () - begun, MANY_SECONDS);
-  cr_assert_eq (lc_roster_count (roster), MANY_ENGINES);
-  cr_assert_eq (count_model (roster, "reader"), MANY_ENGINES / 2);
+  cr_assert (lc_roster_update (roster, list, N_MANY_ENGINES, 2, 2));
+  cr_assert_lt (processor_seconds () - started_at, MAX_PROCESSOR_SECONDS);
+  cr_assert_eq (lc_roster_count (roster), N_MANY_ENGINES);
+  cr_assert_eq (count_model (roster, "reader"), N_MANY_ENGINES / 2);
   free (list);
   lc_roster_free (roster);
 }
 
-/* A list that names an endpoint twice, known or new, says nothing of two. */
-Test (roster, an_entry_listed_twice_is_one)
+/* A known or new endpoint may be listed twice. */
+Test (roster, endpoint_listed_twice_has_one_entry)
 {
   LcRoster *roster = lc_roster_new ();
-  LcRegistration list[] = { engine (2), engine (1), engine (2), engine (3), engine (3) };
+  LcRegistration list[]
+      = { make_engine (2), make_engine (1), make_engine (2), make_engine (3), make_engine (3) };
 
   lc_roster_update (roster, list, 3, 1, 1);
   cr_assert_eq (lc_roster_count (roster), 2);
--- a/packages/core/tests/test-scaling.c
+++ b/packages/core/tests/test-scaling.c
@@ -6,11 +6,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define SLOTS 6
+#define SLOTS_PER_ENDPOINT 6
 #define MAX_ENDPOINTS 128
 
-/* Engines of one service in three data centres, of which b is the dearest and a the cheapest; four
- * of the full price in each. */
+/* Four on-demand engines of one service in each of three data centres; a is the cheapest, b the
+ * most expensive. */
 typedef struct
 {
   LcScaling *scaling;
@@ -18,21 +18,21 @@
   LcResourceSet set;
   LcEndpointMember endpoints[MAX_ENDPOINTS];
   LbTime now;
-} Scene;
+} Fixture;
 
 static void
-add_engine (Scene *s, const char *data_centre, bool is_spot)
+add_engine (Fixture *fixture, const char *data_centre, bool is_spot)
 {
-  LcEndpointMember *member = &s->endpoints[s->set.n_endpoints++];
+  LcEndpointMember *member = &fixture->endpoints[fixture->set.n_endpoints++];
 
-  *member = (LcEndpointMember){ .concurrency = SLOTS, .is_spot = is_spot };
+  *member = (LcEndpointMember){ .concurrency = SLOTS_PER_ENDPOINT, .is_spot = is_spot };
   LB_COPY (member->service, "engines");
   LB_COPY (member->pool, "m");
   LB_COPY (member->data_centre, data_centre);
 }
 
 static void
-scene_init (Scene *s)
+fixture_init (Fixture *fixture)
 {
   static const char *const data_centres[] = { "a", "b", "c" };
   LcService service = { .scaling = { .min = 1,
@@ -41,150 +41,154 @@
                                      .prices = { { "b", 1.2 }, { "a", 0.8 }, { "c", 1.0 } },
                                      .n_prices = 3 } };
 
-  memset (s, 0, sizeof *s);
-  s->now = 100 * LB_SEC;
-  s->scaling = lc_scaling_new ();
-  s->desired = lc_desired_new (1);
+  memset (fixture, 0, sizeof *fixture);
+  fixture->now = 100 * LB_SEC;
+  fixture->scaling = lc_scaling_new ();
+  fixture->desired = lc_desired_new (1);
   LB_COPY (service.name, "engines");
-  lc_desired_add_service (s->desired, &service);
-  s->set.endpoints = s->endpoints;
+  lc_desired_add_service (fixture->desired, &service);
+  fixture->set.endpoints = fixture->endpoints;
   for (int i = 0; i < 12; i++)
-    add_engine (s, data_centres[i % 3], false);
+    add_engine (fixture, data_centres[i % 3], false);
 }
 
 static void
-scene_clear (Scene *s)
+fixture_clear (Fixture *fixture)
 {
-  lc_scaling_free (s->scaling);
-  lc_desired_unref (s->desired);
+  lc_scaling_free (fixture->scaling);
+  lc_desired_unref (fixture->desired);
 }
 
-/* Endpoints that the next order is for in the data centre; -1: there is no order for it. All
- * orders have the same outcome. */
+/* Finishes all orders that are due with the outcome. Returns the endpoints ordered in the data
+ * centre; -1: none were ordered there. */
 static int64_t
-ordered_at (Scene *s, const char *data_centre, LcScalingOutcome outcome)
+run_orders (Fixture *fixture, const char *data_centre, LcScalingOutcome outcome)
 {
   LcScalingOrder order;
   int64_t found = -1;
 
-  while (lc_scaling_next_order (s->scaling, s->desired, &s->set, s->now, &order))
+  while (lc_scaling_next_order (fixture->scaling, fixture->desired, &fixture->set, fixture->now,
+                                &order))
     {
       if (strcmp (order.data_centre, data_centre) == 0)
         found = order.endpoints;
-      lc_scaling_finish_order (s->scaling, &order, outcome, s->now);
+      lc_scaling_finish_order (fixture->scaling, &order, outcome, fixture->now);
     }
   return found;
 }
 
 static void
-assert_nothing_ordered (Scene *s)
+assert_nothing_ordered (Fixture *fixture)
 {
   LcScalingOrder order;
 
-  cr_assert_not (lc_scaling_next_order (s->scaling, s->desired, &s->set, s->now, &order));
+  cr_assert_not (lc_scaling_next_order (fixture->scaling, fixture->desired, &fixture->set,
+                                        fixture->now, &order));
 }
 
-/* A step of 100 texts comes and 72 find a place; the others would wait for a second or two, and the
- * longest of them end too late. Five more engines are ordered where they cost least. */
-Test (scaling, a_step_finds_a_place_for_each_text)
+/* A step has 100 generations and there are 72 slots: the others would wait for a second or two, and
+ * the longest of them would end too late. Five more engines are ordered in the cheapest data
+ * centre. */
+Test (scaling, orders_a_slot_for_each_generation_of_a_step)
 {
-  Scene s;
+  Fixture fixture;
 
-  scene_init (&s);
-  assert_nothing_ordered (&s);
-  lc_scaling_add_demand (s.scaling, "m", 100, s.now);
-  cr_assert_eq (ordered_at (&s, "a", LC_SCALING_ACCEPTED), 5);
-  s.now += 4 * LB_SEC;
+  fixture_init (&fixture);
+  assert_nothing_ordered (&fixture);
+  lc_scaling_add_demand (fixture.scaling, "m", 100, fixture.now);
+  cr_assert_eq (run_orders (&fixture, "a", LC_SCALING_ACCEPTED), 5);
+  fixture.now += 4 * LB_SEC;
   for (int i = 0; i < 5; i++)
-    add_engine (&s, "a", true);
-  lc_scaling_add_demand (s.scaling, "m", 100, s.now);
-  s.now += LB_SEC;
-  assert_nothing_ordered (&s);
-  scene_clear (&s);
+    add_engine (&fixture, "a", true);
+  lc_scaling_add_demand (fixture.scaling, "m", 100, fixture.now);
+  fixture.now += LB_SEC;
+  assert_nothing_ordered (&fixture);
+  fixture_clear (&fixture);
 }
 
-Test (scaling, no_data_centre_gets_more_than_it_may)
+Test (scaling, limit_of_a_data_centre_is_kept)
 {
-  Scene s;
-
-  scene_init (&s);
-  lc_scaling_add_demand (s.scaling, "m", 1000, s.now);
-  cr_assert_eq (ordered_at (&s, "a", LC_SCALING_ACCEPTED), 6);
-  lc_scaling_forget_orders (s.scaling);
-  cr_assert_eq (ordered_at (&s, "b", LC_SCALING_ACCEPTED), 6);
-  scene_clear (&s);
+  Fixture fixture;
+
+  fixture_init (&fixture);
+  lc_scaling_add_demand (fixture.scaling, "m", 1000, fixture.now);
+  cr_assert_eq (run_orders (&fixture, "a", LC_SCALING_ACCEPTED), 6);
+  lc_scaling_forget_orders (fixture.scaling);
+  cr_assert_eq (run_orders (&fixture, "b", LC_SCALING_ACCEPTED), 6);
+  fixture_clear (&fixture);
 }
 
-/* All cheap engines of a data centre are taken away, and for some seconds none is to be had there.
- * They are ordered elsewhere, and there again later. */
-Test (scaling, what_is_refused_in_one_place_is_had_in_another)
+/* All spot engines of a data centre are preempted, and it has no capacity for some seconds. They
+ * are ordered elsewhere, and in that data centre again later. */
+Test (scaling, refused_endpoints_are_ordered_in_another_data_centre)
 {
-  Scene s;
+  Fixture fixture;
 
-  scene_init (&s);
+  fixture_init (&fixture);
   LcScalingOrder order;
 
-  lc_scaling_add_demand (s.scaling, "m", 100, s.now);
-  cr_assert (lc_scaling_next_order (s.scaling, s.desired, &s.set, s.now, &order));
+  lc_scaling_add_demand (fixture.scaling, "m", 100, fixture.now);
+  cr_assert (
+      lc_scaling_next_order (fixture.scaling, fixture.desired, &fixture.set, fixture.now, &order));
   cr_assert_str_eq (order.data_centre, "a");
-  lc_scaling_finish_order (s.scaling, &order, LC_SCALING_REFUSED, s.now);
-  s.now += LB_SEC;
-  cr_assert_eq (ordered_at (&s, "c", LC_SCALING_ACCEPTED), 5);
-  s.now += 5 * LB_SEC;
-  cr_assert_eq (ordered_at (&s, "a", LC_SCALING_ACCEPTED), 5, "where they cost least");
-  scene_clear (&s);
+  lc_scaling_finish_order (fixture.scaling, &order, LC_SCALING_REFUSED, fixture.now);
+  fixture.now += LB_SEC;
+  cr_assert_eq (run_orders (&fixture, "c", LC_SCALING_ACCEPTED), 5);
+  fixture.now += 5 * LB_SEC;
+  cr_assert_eq (run_orders (&fixture, "a", LC_SCALING_ACCEPTED), 5, "the cheapest data centre");
+  fixture_clear (&fixture);
 }
 
-/* An order without an answer may be carried out after a newer one: it is given again. */
-Test (scaling, an_order_without_an_answer_is_given_again)
+/* An order without an answer may be executed after a newer one, so it is sent again. */
+Test (scaling, order_without_an_answer_is_sent_again)
 {
-  Scene s;
-
-  scene_init (&s);
-  lc_scaling_add_demand (s.scaling, "m", 100, s.now);
-  cr_assert_eq (ordered_at (&s, "a", LC_SCALING_UNKNOWN), 5);
-  s.now += LB_SEC;
-  assert_nothing_ordered (&s);
-  s.now += 4 * LB_SEC;
-  cr_assert_eq (ordered_at (&s, "a", LC_SCALING_ACCEPTED), 5);
-  scene_clear (&s);
+  Fixture fixture;
+
+  fixture_init (&fixture);
+  lc_scaling_add_demand (fixture.scaling, "m", 100, fixture.now);
+  cr_assert_eq (run_orders (&fixture, "a", LC_SCALING_UNKNOWN), 5);
+  fixture.now += LB_SEC;
+  assert_nothing_ordered (&fixture);
+  fixture.now += 4 * LB_SEC;
+  cr_assert_eq (run_orders (&fixture, "a", LC_SCALING_ACCEPTED), 5);
+  fixture_clear (&fixture);
 }
 
-/* Engines of the full price are replaced one after the other, the new one first: for a moment there
- * are some more. Were as many cheap ones let go each time, their texts would break off. */
-Test (scaling, fewer_are_ordered_only_after_a_while)
+/* On-demand engines are replaced one after the other, and each new one starts before the old one
+ * stops. If spot engines were released for each short excess, their generations would be
+ * interrupted. */
+Test (scaling, scales_down_only_after_a_delay)
 {
-  Scene s;
+  Fixture fixture;
 
-  scene_init (&s);
-  lc_scaling_add_demand (s.scaling, "m", 100, s.now);
-  cr_assert_eq (ordered_at (&s, "a", LC_SCALING_ACCEPTED), 5);
+  fixture_init (&fixture);
+  lc_scaling_add_demand (fixture.scaling, "m", 100, fixture.now);
+  cr_assert_eq (run_orders (&fixture, "a", LC_SCALING_ACCEPTED), 5);
   for (int i = 0; i < 5; i++)
-    add_engine (&s, "a", true);
-  add_engine (&s, "c", false);
-  s.now += 6 * LB_SEC;
-  assert_nothing_ordered (&s);
-  s.now += 5 * LB_SEC;
-  assert_nothing_ordered (&s);
-  s.now += 5 * LB_SEC;
-  lc_scaling_add_demand (s.scaling, "m", 100, s.now);
-  cr_assert_eq (ordered_at (&s, "a", LC_SCALING_ACCEPTED), 4);
-  scene_clear (&s);
+    add_engine (&fixture, "a", true);
+  add_engine (&fixture, "c", false);
+  fixture.now += 6 * LB_SEC;
+  assert_nothing_ordered (&fixture);
+  fixture.now += 5 * LB_SEC;
+  assert_nothing_ordered (&fixture);
+  fixture.now += 5 * LB_SEC;
+  lc_scaling_add_demand (fixture.scaling, "m", 100, fixture.now);
+  cr_assert_eq (run_orders (&fixture, "a", LC_SCALING_ACCEPTED), 4);
+  fixture_clear (&fixture);
 }
 
-/* The trainers have stopped. */
-Test (scaling, without_demand_all_are_let_go)
+Test (scaling, releases_all_spot_endpoints_without_demand)
 {
-  Scene s;
+  Fixture fixture;
 
-  scene_init (&s);
-  lc_scaling_add_demand (s.scaling, "m", 100, s.now);
-  cr_assert_eq (ordered_at (&s, "a", LC_SCALING_ACCEPTED), 5);
+  fixture_init (&fixture);
+  lc_scaling_add_demand (fixture.scaling, "m", 100, fixture.now);
+  cr_assert_eq (run_orders (&fixture, "a", LC_SCALING_ACCEPTED), 5);
   for (int i = 0; i < 5; i++)
-    add_engine (&s, "a", true);
-  s.now += 25 * LB_SEC;
-  assert_nothing_ordered (&s);
-  s.now += 11 * LB_SEC;
-  cr_assert_eq (ordered_at (&s, "a", LC_SCALING_ACCEPTED), 0);
-  scene_clear (&s);
+    add_engine (&fixture, "a", true);
+  fixture.now += 25 * LB_SEC;
+  assert_nothing_ordered (&fixture);
+  fixture.now += 11 * LB_SEC;
+  cr_assert_eq (run_orders (&fixture, "a", LC_SCALING_ACCEPTED), 0);
+  fixture_clear (&fixture);
 }
--- a/packages/core/tests/test-stream-pace.c
+++ b/packages/core/tests/test-stream-pace.c
@@ -4,55 +4,55 @@
 
 #include "lc-stream-pace.h"
 
-#define USUAL (48 * LB_MSEC) /* between two pieces of an engine that is well */
-#define SLOW (4 * USUAL)
+#define NORMAL_INTERVAL (48 * LB_MSEC) /* between two chunks */
+#define SLOW_INTERVAL (4 * NORMAL_INTERVAL)
 
-Test (pace, follows_a_change_within_the_window)
+Test (pace, follows_a_change_within_the_time_constant)
 {
   LcStreamPace pace = { 0 };
 
-  cr_assert_eq (lc_stream_pace_token_seconds (&pace), 0, "nothing is known yet");
+  cr_assert_eq (lc_stream_pace_token_seconds (&pace), 0, "no data yet");
   for (int i = 0; i < 100; i++)
-    lc_stream_pace_add (&pace, 1, USUAL);
+    lc_stream_pace_add (&pace, 1, NORMAL_INTERVAL);
   cr_assert_float_eq (lc_stream_pace_token_seconds (&pace), 0.048, 0.002);
   for (int i = 0; i < 5; i++)
-    lc_stream_pace_add (&pace, 1, SLOW);
+    lc_stream_pace_add (&pace, 1, SLOW_INTERVAL);
   cr_assert_gt (lc_stream_pace_token_seconds (&pace), 0.048 * 1.5);
 }
 
-/* An instance stands still for half a second and then reads ten pieces at once. Its engine was not
- * slow: had it been taken for slow, each text there would have been moved. */
-Test (pace, pieces_read_late_make_up_for_the_time_before_them)
+/* An instance is paused for half a second and then reads ten chunks at once. Its engine was not
+ * slow; if it were treated as slow, each generation there would be moved. */
+Test (pace, chunks_read_late_compensate_for_the_interval_before_them)
 {
   LcStreamPace pace = { 0 };
 
   for (int i = 0; i < 40; i++)
-    lc_stream_pace_add (&pace, 1, USUAL);
-  lc_stream_pace_add (&pace, 1, 10 * USUAL);
+    lc_stream_pace_add (&pace, 1, NORMAL_INTERVAL);
+  lc_stream_pace_add (&pace, 1, 10 * NORMAL_INTERVAL);
   for (int i = 0; i < 9; i++)
     lc_stream_pace_add (&pace, 1, 0);
   cr_assert_float_eq (lc_stream_pace_token_seconds (&pace), 0.048, 0.003);
 }
 
-Test (pace, a_silence_counts_as_slow)
+Test (pace, time_without_chunks_counts_as_slow)
 {
   LcStreamPace pace = { 0 };
 
   for (int i = 0; i < 40; i++)
-    lc_stream_pace_add (&pace, 1, USUAL);
+    lc_stream_pace_add (&pace, 1, NORMAL_INTERVAL);
   lc_stream_pace_add (&pace, 0, 500 * LB_MSEC);
   cr_assert_gt (lc_stream_pace_token_seconds (&pace), 0.048 * 1.5);
 }
 
 static void
-stream (Fixture *f, const char *endpoint, LbTime interval, LbTime from, LbTime to)
+stream_tokens (Fixture *f, const char *endpoint, LbTime interval, LbTime from, LbTime to)
 {
   for (LbTime now = from; now < to; now += interval)
     lc_endpoint_tokens_received (fixture_find (f, endpoint), 1, interval, now);
 }
 
 static int
-count_chosen (Fixture *f, const char *endpoint, LbTime now)
+count_decisions_for (Fixture *f, const char *endpoint, LbTime now)
 {
   LcRouteQuery query = fixture_query ();
   LcRouter *router = lc_router_new ("lentilspindle", 7);
@@ -66,31 +66,31 @@
   return n;
 }
 
-/* One engine of four turns four times slower. New texts went there as before until the long ones
- * that it had ended, seconds later, and a trainer's step waited for them. It gets none while the
- * others have room; once nothing was seen of it for a while it is tried again. */
-Test (pace, an_engine_that_turns_slow_gets_nothing_while_others_have_room)
+/* One of four engines becomes four times slower. Until its long generations ended, seconds later,
+ * new ones were still sent there, and a trainer's step waited for them. It must get none while the
+ * others have capacity, and be tried again once its pace is outdated. */
+Test (pace, slow_engine_gets_no_requests_while_others_have_capacity)
 {
   Fixture f;
 
   fixture_init (&f, 4);
   for (int i = 0; i < 4; i++)
-    stream (&f, f.members[i].name, USUAL, 1, 2 * LB_SEC);
-  cr_assert_gt (count_chosen (&f, "e3", 2 * LB_SEC), 0);
-  stream (&f, "e3", SLOW, 2 * LB_SEC, 3 * LB_SEC);
+    stream_tokens (&f, f.members[i].name, NORMAL_INTERVAL, 1, 2 * LB_SEC);
+  cr_assert_gt (count_decisions_for (&f, "e3", 2 * LB_SEC), 0);
+  stream_tokens (&f, "e3", SLOW_INTERVAL, 2 * LB_SEC, 3 * LB_SEC);
   for (int i = 0; i < 3; i++)
-    stream (&f, f.members[i].name, USUAL, 2 * LB_SEC, 3 * LB_SEC);
-  cr_assert_eq (count_chosen (&f, "e3", 3 * LB_SEC), 0);
+    stream_tokens (&f, f.members[i].name, NORMAL_INTERVAL, 2 * LB_SEC, 3 * LB_SEC);
+  cr_assert_eq (count_decisions_for (&f, "e3", 3 * LB_SEC), 0);
   for (int i = 0; i < 3; i++)
-    stream (&f, f.members[i].name, USUAL, 3 * LB_SEC, 9 * LB_SEC);
-  cr_assert_gt (count_chosen (&f, "e3", 9 * LB_SEC), 0, "it may be well again");
+    stream_tokens (&f, f.members[i].name, NORMAL_INTERVAL, 3 * LB_SEC, 9 * LB_SEC);
+  cr_assert_gt (count_decisions_for (&f, "e3", 9 * LB_SEC), 0, "it may have recovered");
   fixture_clear (&f);
 }
 
-/* --- a text that would be late at a slow engine --- */
+/* --- a generation that would be late on a slow engine --- */
 
 static const char *
-place (Fixture *f, const LcRouteQuery *query, LbTime now)
+choose_endpoint (Fixture *f, const LcRouteQuery *query, LbTime now)
 {
   LcRouter *router = lc_router_new ("lentilspindle", 7);
   LcRouteDecision decision = lc_router_choose (router, f->endpoints, query, now);
@@ -99,76 +99,76 @@
   return decision.endpoint ? decision.endpoint->member.name : "";
 }
 
-/* Of the two engines of a model one has turned slow; the other one is full for the moment. */
+/* One of a model's two engines, e1, has become slow; the other one is full. */
 static void
 make_slow_and_full (Fixture *f, LbTime now)
 {
   fixture_init (f, 2);
-  stream (f, "e0", USUAL, 1, now);
-  stream (f, "e1", SLOW, 1, now);
-  stream (f, "e0", USUAL, now - LB_SEC, now);
+  stream_tokens (f, "e0", NORMAL_INTERVAL, 1, now);
+  stream_tokens (f, "e1", SLOW_INTERVAL, 1, now);
+  stream_tokens (f, "e0", NORMAL_INTERVAL, now - LB_SEC, now);
   for (int i = 0; i < 8; i++)
     lc_endpoint_request_sent (fixture_find (f, "e0"), LC_KIND_SAMPLE, 0, now);
 }
 
 static LcRouteQuery
-long_text (LbTime now)
+long_generation_query (LbTime now)
 {
   LcRouteQuery query = fixture_query ();
 
   query.kind = LC_KIND_SAMPLE;
-  query.expected_tokens = 100; /* 4.8 s at an engine that is well, 19 s at a slow one */
+  query.expected_tokens = 100; /* 4.8 s on a normal engine, 19 s on a slow one */
   query.soft_deadline = now + 7 * LB_SEC;
   query.submitted = now;
   return query;
 }
 
-/* Two of a model's three engines are slow and have room. The longest text of a step goes to one of
- * them, is found to be too slow there, moves to the other slow one and back; the step comes 3 s
- * late though the third engine had room a moment later. Now it waits for that one; a short text,
- * which is in time anywhere, does not. */
-Test (pace, a_long_text_waits_for_an_engine_at_full_pace)
+/* Two of a model's three engines are slow and have capacity. The longest generation of a step was
+ * sent to one of them, found too slow, and moved to the other slow one and back; the step was 3 s
+ * late although the third engine had capacity a moment later. It must wait for that engine; a short
+ * generation, which is in time on any engine, must not. */
+Test (pace, long_generation_waits_for_an_engine_at_full_pace)
 {
   LbTime now = 3 * LB_SEC;
-  LcRouteQuery query = long_text (now);
+  LcRouteQuery query = long_generation_query (now);
   Fixture f;
 
   make_slow_and_full (&f, now);
-  cr_assert_str_eq (place (&f, &query, now), "");
+  cr_assert_str_eq (choose_endpoint (&f, &query, now), "");
   query.expected_tokens = 5;
-  cr_assert_str_eq (place (&f, &query, now), "e1");
+  cr_assert_str_eq (choose_endpoint (&f, &query, now), "e1");
   fixture_clear (&f);
 }
 
-/* A text that was to wait for ever would be worse off than a slow one. */
-Test (pace, a_long_text_waits_no_longer_than_it_would_lose)
+/* A generation that waits for ever is worse than a slow one. */
+Test (pace, long_generation_waits_no_longer_than_it_would_lose)
 {
   LbTime now = 3 * LB_SEC;
-  LcRouteQuery query = long_text (now);
+  LcRouteQuery query = long_generation_query (now);
   Fixture f;
 
   make_slow_and_full (&f, now);
   query.submitted = now - 2 * LB_SEC;
-  cr_assert_str_eq (place (&f, &query, now), "");
+  cr_assert_str_eq (choose_endpoint (&f, &query, now), "");
   query.submitted = now - 3 * LB_SEC;
-  cr_assert_str_eq (place (&f, &query, now), "e1",
-                    "it would lose 14 s there, but has waited enough");
+  cr_assert_str_eq (choose_endpoint (&f, &query, now), "e1",
+                    "it would lose 14 s there, but has waited for the maximum time");
   fixture_clear (&f);
 }
 
-/* The engine that is well goes away: nothing better is left to wait for, also for a text that was
- * moved away from the other one. */
-Test (pace, a_long_text_takes_a_slow_engine_when_no_other_is_left)
+/* The normal engine leaves, so there is no better one to wait for, not even for a generation that
+ * was moved away from the slow one. */
+Test (pace, long_generation_uses_a_slow_engine_when_no_other_is_left)
 {
   LbTime now = 3 * LB_SEC;
-  LcRouteQuery query = long_text (now);
+  LcRouteQuery query = long_generation_query (now);
   Fixture f;
 
   make_slow_and_full (&f, now);
   lc_endpoints_mark_leaving (f.endpoints, "e0", "", LC_LEAVING_ENDPOINT, now);
-  cr_assert_str_eq (place (&f, &query, now), "e1");
+  cr_assert_str_eq (choose_endpoint (&f, &query, now), "e1");
   query.n_avoid = 1;
   strcpy (query.avoid[0], "e1");
-  cr_assert_str_eq (place (&f, &query, now), "e1");
+  cr_assert_str_eq (choose_endpoint (&f, &query, now), "e1");
   fixture_clear (&f);
 }
--- a/packages/core/tests/test-subset.c
+++ b/packages/core/tests/test-subset.c
@@ -13,31 +13,31 @@
 typedef struct
 {
   char key[KEY_SIZE];
-  LcSubsetRow endpoint;
-  bool held;
+  LcSubsetRow columns;
+  bool is_in_subset;
 } Row;
 
 typedef struct
 {
   Row *rows;
   size_t n_rows;
-  size_t n_read; /* by the last list */
-  size_t n_pages;
+  size_t n_rows_read; /* by the latest list */
+  size_t n_pages;     /* the same */
 } Table;
 
 static int
-by_key (const void *a, const void *b)
+compare_keys (const void *a, const void *b)
 {
   return strcmp (((const Row *)a)->key, ((const Row *)b)->key);
 }
 
 static void
-random_key (char *key)
+make_random_key (char *key)
 {
   snprintf (key, KEY_SIZE, "%08lx%08lx", random (), random ());
 }
 
-/* One in five is a plain service, the others are engines of six models. */
+/* Every fifth endpoint is a plain service, the others are engines with six models. */
 static void
 table_init (Table *table, size_t n_rows)
 {
@@ -45,48 +45,48 @@
   *table = (Table){ .rows = LB_NEW_ARRAY (Row, n_rows), .n_rows = n_rows };
   for (size_t i = 0; i < n_rows; i++)
     {
-      random_key (table->rows[i].key);
-      table->rows[i].endpoint = (LcSubsetRow){ .service = i % 5 == 0 ? "plain" : "engines",
-                                               .n_models = i % 5 == 0 ? 0 : 6,
-                                               .slots = 6 };
+      make_random_key (table->rows[i].key);
+      table->rows[i].columns = (LcSubsetRow){ .service = i % 5 == 0 ? "plain" : "engines",
+                                              .n_models = i % 5 == 0 ? 0 : 6,
+                                              .slots = 6 };
     }
-  qsort (table->rows, n_rows, sizeof *table->rows, by_key);
+  qsort (table->rows, n_rows, sizeof *table->rows, compare_keys);
 }
 
 static LbTime now = LB_SEC;
 
 static void
-list (LcSubset *subset, Table *table)
+read_list (LcSubset *subset, Table *table)
 {
   bool more = true;
 
   now += LB_SEC;
   lc_subset_begin_list (subset, now);
-  table->n_read = 0;
+  table->n_rows_read = 0;
   table->n_pages = 0;
   for (size_t i = 0; i < table->n_rows; i++)
-    table->rows[i].held = false;
+    table->rows[i].is_in_subset = false;
   while (more)
     {
-      size_t end = table->n_read + (size_t)lc_subset_page_size (subset);
+      size_t end = table->n_rows_read + (size_t)lc_subset_page_size (subset);
       bool is_last = end > table->n_rows;
       end = is_last ? table->n_rows : end;
-      for (size_t i = table->n_read; i < end; i++)
-        table->rows[i].held
-            = lc_subset_add_row (subset, table->rows[i].key, &table->rows[i].endpoint);
-      table->n_read = end;
+      for (size_t i = table->n_rows_read; i < end; i++)
+        table->rows[i].is_in_subset
+            = lc_subset_add_row (subset, table->rows[i].key, &table->rows[i].columns);
+      table->n_rows_read = end;
       table->n_pages++;
       more = lc_subset_end_page (subset, end > 0 ? table->rows[end - 1].key : "", is_last);
     }
 }
 
 static size_t
-count_held (const Table *table, const char *service)
+count_in_subset (const Table *table, const char *service)
 {
   size_t n = 0;
 
   for (size_t i = 0; i < table->n_rows; i++)
-    n += table->rows[i].held && strcmp (table->rows[i].endpoint.service, service) == 0;
+    n += table->rows[i].is_in_subset && strcmp (table->rows[i].columns.service, service) == 0;
   return n;
 }
 
@@ -100,8 +100,8 @@
   return subset;
 }
 
-/* Guards against rows read and kept that grow with the endpoints. */
-Test (subset, holds_as_many_of_ten_thousand_as_of_twenty_thousand)
+/* The rows read and kept must not grow with the number of endpoints. */
+Test (subset, size_does_not_depend_on_the_number_of_endpoints)
 {
   const size_t sizes[] = { 10000, 20000 };
 
@@ -111,19 +111,19 @@
       Table table;
 
       table_init (&table, sizes[i]);
-      list (subset, &table);
-      list (subset, &table);
+      read_list (subset, &table);
+      read_list (subset, &table);
       cr_assert_eq (table.n_pages, 1);
-      cr_assert_leq (table.n_read, PAGE_ROWS);
-      cr_assert_eq (count_held (&table, "plain"), LC_SUBSET_MIN_ENDPOINTS);
-      cr_assert_eq (count_held (&table, "engines"), 6 * LC_SUBSET_MIN_ENDPOINTS);
+      cr_assert_leq (table.n_rows_read, PAGE_ROWS);
+      cr_assert_eq (count_in_subset (&table, "plain"), LC_SUBSET_MIN_ENDPOINTS);
+      cr_assert_eq (count_in_subset (&table, "engines"), 6 * LC_SUBSET_MIN_ENDPOINTS);
       lc_subset_free (subset);
       free (table.rows);
     }
 }
 
-/* Guards against a small deployment that loses endpoints to a bound. */
-Test (subset, a_small_table_is_known_whole)
+/* A small deployment must not lose endpoints to a bound. */
+Test (subset, small_table_is_known_completely)
 {
   LcSubset *subset = subset_new ();
   Table table;
@@ -131,45 +131,46 @@
   table_init (&table, 450);
   for (int i = 0; i < 3; i++)
     {
-      list (subset, &table);
+      read_list (subset, &table);
       cr_assert_eq (table.n_pages, 1);
-      cr_assert_eq (count_held (&table, "plain") + count_held (&table, "engines"), 450);
+      cr_assert_eq (count_in_subset (&table, "plain") + count_in_subset (&table, "engines"), 450);
     }
   lc_subset_free (subset);
   free (table.rows);
 }
 
-/* Guards against a service without a known endpoint because its names are the last in order. */
-Test (subset, a_service_at_the_end_of_the_order_is_found)
+/* A service whose keys are the last in the table must not be left without a known endpoint. */
+Test (subset, service_at_the_end_of_the_table_is_found)
 {
   LcSubset *subset = subset_new ();
   Table table;
 
   table_init (&table, 3000);
   for (size_t i = 2900; i < 3000; i++)
-    table.rows[i].endpoint = (LcSubsetRow){ .service = "last", .slots = 1 };
+    table.rows[i].columns = (LcSubsetRow){ .service = "last", .slots = 1 };
   lc_subset_expect_service (subset, "last");
-  list (subset, &table);
-  list (subset, &table);
-  cr_assert_eq (count_held (&table, "last"), LC_SUBSET_MIN_ENDPOINTS);
-  cr_assert_eq (count_held (&table, "plain"), LC_SUBSET_MIN_ENDPOINTS);
+  read_list (subset, &table);
+  read_list (subset, &table);
+  cr_assert_eq (count_in_subset (&table, "last"), LC_SUBSET_MIN_ENDPOINTS);
+  cr_assert_eq (count_in_subset (&table, "plain"), LC_SUBSET_MIN_ENDPOINTS);
   lc_subset_free (subset);
   free (table.rows);
 }
 
-/* Guards against endpoints that come and go with each list, with the work that they have. */
-Test (subset, churn_moves_no_other_endpoint)
+/* Guards against endpoints that leave and enter the subset with each list, along with their
+ * requests. */
+Test (subset, churn_does_not_displace_other_endpoints)
 {
   LcSubset *subset = subset_new ();
   Table table;
 
   table_init (&table, 10000);
-  list (subset, &table);
+  read_list (subset, &table);
   for (size_t i = 0; i < 40; i++)
-    table.rows[i * 10].endpoint.leaving = true;
-  list (subset, &table);
-  size_t held = count_held (&table, "engines") + count_held (&table, "plain");
-  cr_assert_eq (held, 7 * LC_SUBSET_MIN_ENDPOINTS, "leaving ones keep their places");
+    table.rows[i * 10].columns.leaving = true;
+  read_list (subset, &table);
+  size_t n_in_subset = count_in_subset (&table, "engines") + count_in_subset (&table, "plain");
+  cr_assert_eq (n_in_subset, 7 * LC_SUBSET_MIN_ENDPOINTS, "leaving endpoints stay in the subset");
   lc_subset_free (subset);
   free (table.rows);
 }
@@ -180,33 +181,33 @@
   Table table;
 
   table_init (&table, 10000);
-  list (subset, &table);
+  read_list (subset, &table);
   table.rows += 250;
   table.n_rows -= 250;
-  list (subset, &table);
-  cr_assert_eq (count_held (&table, "engines"), 6 * LC_SUBSET_MIN_ENDPOINTS);
-  cr_assert_eq (count_held (&table, "plain"), LC_SUBSET_MIN_ENDPOINTS);
+  read_list (subset, &table);
+  cr_assert_eq (count_in_subset (&table, "engines"), 6 * LC_SUBSET_MIN_ENDPOINTS);
+  cr_assert_eq (count_in_subset (&table, "plain"), LC_SUBSET_MIN_ENDPOINTS);
   lc_subset_free (subset);
   free (table.rows - 250);
 }
 
-/* Guards against a step of 2,048 texts that waits for the engines of a small one. */
-Test (subset, grows_with_the_requests_that_run_at_once)
+/* A step of 2,048 generations must not have to wait for the engines of a small subset. */
+Test (subset, grows_with_the_number_of_concurrent_requests)
 {
   LcSubset *subset = subset_new ();
   Table table;
 
   table_init (&table, 10000);
-  list (subset, &table);
+  read_list (subset, &table);
   lc_subset_set_demand (subset, "m", 2048);
-  list (subset, &table);
-  cr_assert_geq (count_held (&table, "engines"), 6 * 2 * 2048 / 6);
+  read_list (subset, &table);
+  cr_assert_geq (count_in_subset (&table, "engines"), 6 * 2 * 2048 / 6);
   lc_subset_free (subset);
   free (table.rows);
 }
 
-/* Guards against two instances that use different endpoints: the publisher's bound counts. */
-Test (subset, follows_the_bounds_that_were_published)
+/* All instances must use the same endpoints, those up to the publisher's bound. */
+Test (subset, follows_published_bounds)
 {
   LcSubset *subset = subset_new ();
   Table table;
@@ -214,67 +215,67 @@
   table_init (&table, 10000);
   lc_subset_set_bound (subset, "engines", table.rows[499].key);
   lc_subset_set_bound (subset, "plain", table.rows[399].key);
-  list (subset, &table);
-  list (subset, &table);
+  read_list (subset, &table);
+  read_list (subset, &table);
   for (size_t i = 0; i < table.n_rows; i++)
     {
-      bool is_engine = table.rows[i].endpoint.n_models > 0;
-      cr_assert_eq (table.rows[i].held, i <= (is_engine ? 499 : 399), "row %zu", i);
+      bool is_engine = table.rows[i].columns.n_models > 0;
+      cr_assert_eq (table.rows[i].is_in_subset, i <= (is_engine ? 499 : 399), "row %zu", i);
     }
   lc_subset_free (subset);
   free (table.rows);
 }
 
-/* Guards against a load that outgrows the subset while other endpoints are idle. */
-Test (subset, grows_while_its_endpoints_are_crowded)
+/* A load must not overload the subset while other endpoints are idle. */
+Test (subset, grows_while_its_endpoints_are_overloaded)
 {
   LcSubset *subset = subset_new ();
   Table table;
 
   table_init (&table, 10000);
-  list (subset, &table);
+  read_list (subset, &table);
   lc_subset_grow (subset, "plain", now);
   lc_subset_grow (subset, "plain", now + LB_SEC);
-  list (subset, &table);
-  size_t held = count_held (&table, "plain");
-  cr_assert_geq (held, LC_SUBSET_MIN_ENDPOINTS * 3 / 2 - 1);
-  cr_assert_leq (held, LC_SUBSET_MIN_ENDPOINTS * 3 / 2 + 1, "once in a few seconds");
+  read_list (subset, &table);
+  size_t n_in_subset = count_in_subset (&table, "plain");
+  cr_assert_geq (n_in_subset, LC_SUBSET_MIN_ENDPOINTS * 3 / 2 - 1);
+  cr_assert_leq (n_in_subset, LC_SUBSET_MIN_ENDPOINTS * 3 / 2 + 1,
+                 "grows at most once in a few seconds");
   for (int i = 1; i <= 10; i++)
     {
       lc_subset_grow (subset, "plain", now + i * 4 * LB_SEC);
-      list (subset, &table);
+      read_list (subset, &table);
     }
-  cr_assert_geq (count_held (&table, "plain"), 1900);
+  cr_assert_geq (count_in_subset (&table, "plain"), 1900);
   lc_subset_free (subset);
   free (table.rows);
 }
 
-/* Guards against a subset that was chosen while endpoints still registered, and takes in all that
- * come later. */
-Test (subset, is_cut_when_the_endpoints_between_its_bounds_multiply)
+/* A subset that is chosen before all endpoints have registered must not include all that register
+ * later. */
+Test (subset, is_cut_when_many_endpoints_register_within_its_bounds)
 {
   LcSubset *subset = subset_new ();
   Table few;
   Table all;
 
   table_init (&few, 800);
-  list (subset, &few);
+  read_list (subset, &few);
   table_init (&all, 10000);
-  list (subset, &all);
-  cr_assert_leq (count_held (&all, "engines"), 2 * 6 * LC_SUBSET_MIN_ENDPOINTS);
-  list (subset, &all);
-  cr_assert_eq (count_held (&all, "engines"), 6 * LC_SUBSET_MIN_ENDPOINTS);
-  cr_assert_eq (count_held (&all, "plain"), LC_SUBSET_MIN_ENDPOINTS);
-  list (subset, &all);
+  read_list (subset, &all);
+  cr_assert_leq (count_in_subset (&all, "engines"), 2 * 6 * LC_SUBSET_MIN_ENDPOINTS);
+  read_list (subset, &all);
+  cr_assert_eq (count_in_subset (&all, "engines"), 6 * LC_SUBSET_MIN_ENDPOINTS);
+  cr_assert_eq (count_in_subset (&all, "plain"), LC_SUBSET_MIN_ENDPOINTS);
+  read_list (subset, &all);
   cr_assert_eq (all.n_pages, 1);
   lc_subset_free (subset);
   free (few.rows);
   free (all.rows);
 }
 
-/* Guards against lists of the whole table, one after the other, for a service that has no endpoint.
- */
-Test (subset, a_service_without_endpoints_is_looked_for_now_and_then)
+/* A service without endpoints must not cause each list to read the whole table. */
+Test (subset, service_without_endpoints_is_searched_periodically)
 {
   LcSubset *subset = subset_new ();
   Table table;
@@ -284,35 +285,35 @@
   lc_subset_expect_service (subset, "absent");
   for (int i = 0; i < 30; i++)
     {
-      list (subset, &table);
+      read_list (subset, &table);
       n_whole += table.n_pages > 1;
     }
   cr_assert_leq (n_whole, 4);
-  table.rows[9990].endpoint.service = "absent";
+  table.rows[9990].columns.service = "absent";
   for (int i = 0; i < 11; i++)
-    list (subset, &table);
-  cr_assert (table.rows[9990].held);
+    read_list (subset, &table);
+  cr_assert (table.rows[9990].is_in_subset);
   lc_subset_free (subset);
   free (table.rows);
 }
 
-/* Guards against a need that overflows while a service stays crowded with all its endpoints known.
- */
-Test (subset, does_not_grow_beyond_the_endpoints_that_there_are)
+/* The number of endpoints wanted must not overflow while a service stays overloaded with all of its
+ * endpoints known. */
+Test (subset, does_not_grow_beyond_the_existing_endpoints)
 {
   LcSubset *subset = subset_new ();
   Table table;
 
   table_init (&table, 10000);
-  list (subset, &table);
-  list (subset, &table);
+  read_list (subset, &table);
+  read_list (subset, &table);
   for (int i = 1; i <= 200; i++)
     {
       lc_subset_grow (subset, "plain", now + i * 4 * LB_SEC);
-      list (subset, &table);
+      read_list (subset, &table);
     }
-  cr_assert_eq (count_held (&table, "plain"), 2000);
-  cr_assert_eq (count_held (&table, "engines"), 6 * LC_SUBSET_MIN_ENDPOINTS);
+  cr_assert_eq (count_in_subset (&table, "plain"), 2000);
+  cr_assert_eq (count_in_subset (&table, "engines"), 6 * LC_SUBSET_MIN_ENDPOINTS);
   lc_subset_free (subset);
   free (table.rows);
 }
