--- a/packages/node/include/ln-exchange.h
+++ b/packages/node/include/ln-exchange.h
@@ -7,8 +7,8 @@
 
 /* One HTTP request of a caller, trainer or operator, and its reply. The front task reads the
  * request whole, checks sizes and times, and posts LN_EXCHANGE to the task whose route matched;
- * that task owns it until it has replied. When the caller goes away first, LN_EXCHANGE_GONE is
- * posted to the owner; the exchange stays valid until the owner calls ln_exchange_end or a reply
+ * that task owns it until it has replied. When the caller goes away first, LN_CALLER_DISCONNECTED
+ * is posted to the owner; the exchange stays valid until the owner calls ln_exchange_end or a reply
  * function. */
 typedef struct LnExchange LnExchange;
 
--- a/packages/node/include/ln-messages.h
+++ b/packages/node/include/ln-messages.h
@@ -14,33 +14,33 @@
  * instances), "store" (the platform). */
 typedef enum
 {
-  LN_EXCHANGE,          /* front -> the task of the route */
-  LN_EXCHANGE_GONE,     /* front -> the owner: the caller went away */
-  LN_CONFIG,            /* config -> all: a newer revision is in force here */
-  LN_SAMPLE,            /* rollouts -> calls: generate a sample or ask a scorer */
-  LN_SAMPLE_CANCEL,     /* rollouts -> calls */
-  LN_SAMPLE_PIECE,      /* calls -> rollouts */
-  LN_SAMPLE_DONE,       /* calls -> rollouts */
-  LN_VERSIONS,          /* config -> rollouts: newest version and cadence of a pool */
-  LN_ENDPOINT_REPORT,   /* calls -> config: what an endpoint said of itself */
-  LN_ENDPOINT_LEAVING,  /* any -> calls: first that says leaving wins */
-  LN_ENDPOINT_SWAP,     /* config -> calls: weights are about to change */
-  LN_MEMBERS,           /* peers -> all: the view of live instances changed */
-  LN_FLEET,             /* peers -> config: the same with all that their rows say */
-  LN_FLEET_HEARD,       /* config -> peers: what the catalog tells of the instances */
-  LN_FLEET_FOLLOWED,    /* config -> peers: whether the catalog is followed has changed */
-  LN_PEER_SEND,         /* any -> peers: a frame for one instance or all */
-  LN_PEER_FRAME,        /* peers -> the task named in the frame */
-  LN_DRAINING,          /* main -> all */
-  LN_DESIRED,           /* config -> all: routes and services of the shared platform */
-  LN_DESIRED_CONFIRMED, /* config -> all: the last LN_DESIRED is still the newest */
-  LN_LIST_TAKEN,        /* config -> calls: which list of the endpoints is in use */
-  LN_LISTED,            /* config -> calls: an endpoint is still listed, with this version */
-  LN_DEMAND,            /* rollouts -> config, duties: a trainer brought a batch */
-  LN_DUTY,              /* rollouts, config -> all: whether this instance has a duty has changed */
-  LN_BEGAN,             /* calls -> duties: an organisation's request began to run */
-  LN_CROWDED,           /* calls -> peers: which service's endpoints are nearly full has changed */
-  LN_READY              /* config -> all: whether new work may be taken has changed */
+  LN_EXCHANGE,              /* front -> the task of the route */
+  LN_CALLER_DISCONNECTED,   /* front -> the owner: the caller went away */
+  LN_CONFIG,                /* config -> all: a newer revision is in force here */
+  LN_SAMPLE,                /* rollouts -> calls: generate a sample or ask a scorer */
+  LN_SAMPLE_CANCEL,         /* rollouts -> calls */
+  LN_SAMPLE_PIECE,          /* calls -> rollouts */
+  LN_SAMPLE_DONE,           /* calls -> rollouts */
+  LN_POOL_VERSION,          /* config -> rollouts: newest version and cadence of a pool */
+  LN_ENDPOINT_REPORT,       /* calls -> config: what an endpoint said of itself */
+  LN_ENDPOINT_LEAVING,      /* any -> calls: first that says leaving wins */
+  LN_ENDPOINT_SWAP,         /* config -> calls: weights are about to change */
+  LN_MEMBERS,               /* peers -> all: the view of live instances changed */
+  LN_FLEET,                 /* peers -> config: the same with all that their rows say */
+  LN_CATALOG_MEMBERS,       /* config -> peers: what the catalog tells of the instances */
+  LN_CATALOG_FOLLOWED,      /* config -> peers: whether the catalog is followed has changed */
+  LN_PEER_SEND,             /* any -> peers: a frame for one instance or all */
+  LN_PEER_FRAME,            /* peers -> the task named in the frame */
+  LN_DRAINING,              /* main -> all */
+  LN_DESIRED,               /* config -> all: routes and services of the shared platform */
+  LN_DESIRED_CONFIRMED,     /* config -> all: the last LN_DESIRED is still the newest */
+  LN_ENDPOINT_LIST_APPLIED, /* config -> calls: which list of the endpoints is in use */
+  LN_ENDPOINT_LISTED,       /* config -> calls: an endpoint is still listed, with this version */
+  LN_DEMAND,                /* rollouts -> config, duties: a trainer brought a batch */
+  LN_DUTY,               /* rollouts, config -> all: whether this instance has a duty has changed */
+  LN_REQUEST_STARTED,    /* calls -> duties: an organisation's request began to run */
+  LN_SERVICE_OVERLOADED, /* calls -> peers: which service's endpoints are nearly full has changed */
+  LN_READY               /* config -> all: whether new work may be taken has changed */
 } LnMessageType;
 
 typedef struct
@@ -70,7 +70,8 @@
 {
   LnMessage base;
   LcRequestId request;
-  bool keep; /* answer with LN_SAMPLE_DONE, LB_ERROR_CLOSED and the text of the pieces posted */
+  bool return_partial; /* answer with LN_SAMPLE_DONE, LB_ERROR_CLOSED and the text of the pieces
+                          posted */
 } LnSampleCancelMessage;
 
 typedef struct
@@ -96,7 +97,7 @@
   LbName pool;
   LcVersion newest;
   LbTime cadence;
-} LnVersionsMessage;
+} LnPoolVersionMessage;
 
 typedef struct
 {
@@ -111,7 +112,7 @@
   LbName endpoint;
   char incarnation[40]; /* empty: the present one */
   LcLeavingSource source;
-  bool stays; /* the platform's list no longer says leaving */
+  bool withdrawn; /* the platform's list no longer says leaving */
 } LnEndpointLeavingMessage;
 
 typedef struct
@@ -137,16 +138,16 @@
 typedef struct
 {
   LnMessage base;
-  LbTime asked_at;
-  LbName lister; /* the instance that asked for it */
-} LnListTakenMessage;
+  LbTime requested_at;
+  LbName listed_by; /* the instance that asked for it */
+} LnEndpointListAppliedMessage;
 
 typedef struct
 {
   LnMessage base;
   LbName endpoint;
   LcVersion version; /* of the model that it is used for; 0: a plain service */
-} LnListedMessage;
+} LnEndpointListedMessage;
 
 typedef struct
 {
@@ -160,7 +161,7 @@
 {
   LnMessage base;
   LbName service; /* "": none */
-} LnCrowdedMessage;
+} LnServiceOverloadedMessage;
 
 /* One instance as this one sees it. */
 typedef struct
@@ -199,7 +200,7 @@
 {
   LnMessage base;
   bool followed; /* the instances need not be listed here */
-} LnFleetFollowedMessage;
+} LnCatalogFollowedMessage;
 
 /* The payload is msgpack; topic names the receiving task ("config", "rollouts", "calls"). */
 typedef struct
@@ -216,7 +217,7 @@
   LnMessage base;
   LbName organisation;
   LbTime at;
-} LnBeganMessage;
+} LnRequestStartedMessage;
 
 typedef struct
 {
@@ -234,9 +235,9 @@
 /* What others have to take over when this instance dies. */
 typedef enum
 {
-  LN_DUTY_BATCHES, /* it runs some */
-  LN_DUTY_ORDERS,  /* it holds the lease to order weights */
-  LN_DUTY_CALLS,   /* it holds the lease to call the platform */
+  LN_DUTY_BATCHES,        /* it runs some */
+  LN_DUTY_WEIGHT_ORDERS,  /* it holds the lease to order weights */
+  LN_DUTY_PLATFORM_CALLS, /* it holds the lease to call the platform */
   LN_N_DUTIES
 } LnDuty;
 
--- a/packages/node/src/batch/ln-batch-calls.c
+++ b/packages/node/src/batch/ln-batch-calls.c
@@ -360,7 +360,7 @@
                  const LnInbound *in,
                  LcAdmission *admission)
 {
-  const LnAdmissionBelief *belief = &batches->belief;
+  const LnAdmissionState *belief = &batches->belief;
 
   if (!belief->desired)
     {
--- a/packages/node/src/batch/ln-batch-owner.c
+++ b/packages/node/src/batch/ln-batch-owner.c
@@ -180,7 +180,7 @@
 recall_request (LnBatch *batch, LcRequestId id)
 {
   LnSampleCancelMessage message
-      = { .base = LN_MESSAGE (LN_SAMPLE_CANCEL), .request = id, .keep = true };
+      = { .base = LN_MESSAGE (LN_SAMPLE_CANCEL), .request = id, .return_partial = true };
 
   LN_POST (batch->batches->task.hub, ln_hub_find (batch->batches->task.hub, "calls"), message);
 }
--- a/packages/node/src/batch/ln-batches-private.h
+++ b/packages/node/src/batch/ln-batches-private.h
@@ -100,7 +100,7 @@
   LnTask task; /* first */
   LnContext *context;
   LnTick tick;
-  LnAdmissionBelief belief; /* desired state */
+  LnAdmissionState belief; /* desired state */
   LnMember *members;
   size_t n_members;
   int64_t members_change; /* counts the lists of members that came; 0: none is known */
--- a/packages/node/src/batch/ln-batches.c
+++ b/packages/node/src/batch/ln-batches.c
@@ -112,11 +112,11 @@
       ln_ticker_note_work (ln_context_ticker (batches->context), lb_clock_monotonic ());
       ln_batch_calls_take (batches, ((const LnExchangeMessage *)message)->exchange);
       break;
-    case LN_EXCHANGE_GONE:
+    case LN_CALLER_DISCONNECTED:
       ln_batch_calls_gone (batches, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_DESIRED:
-      ln_admission_belief_take (&batches->belief, (const LnDesiredMessage *)message);
+      ln_admission_state_update (&batches->belief, (const LnDesiredMessage *)message);
       break;
     case LN_DESIRED_CONFIRMED:
       batches->belief.confirmed_at = ((const LnDesiredConfirmedMessage *)message)->at;
--- a/packages/node/src/calls/ln-admission.c
+++ b/packages/node/src/calls/ln-admission.c
@@ -10,7 +10,7 @@
                        "Calls refused for the key that they brought, or did not");
 
 void
-ln_admission_belief_take (LnAdmissionBelief *belief, const LnDesiredMessage *message)
+ln_admission_state_update (LnAdmissionState *belief, const LnDesiredMessage *message)
 {
   lc_desired_unref (belief->desired);
   belief->desired = lc_desired_ref (message->desired);
@@ -19,7 +19,7 @@
 
 void
 ln_admission_check (const LnContext *context,
-                    const LnAdmissionBelief *belief,
+                    const LnAdmissionState *belief,
                     bool is_public,
                     const LnInbound *in,
                     LcAdmission *admission)
@@ -37,7 +37,7 @@
 
 void
 ln_admission_refuse (LnExchange *exchange,
-                     const LnAdmissionBelief *belief,
+                     const LnAdmissionState *belief,
                      const LnInbound *in,
                      const LcAdmission *admission)
 {
--- a/packages/node/src/calls/ln-admission.h
+++ b/packages/node/src/calls/ln-admission.h
@@ -14,19 +14,19 @@
 {
   LcDesired *desired; /* a reference; NULL: none is known */
   LbTime confirmed_at;
-} LnAdmissionBelief;
+} LnAdmissionState;
 
 /* Another desired state is in force. */
-void ln_admission_belief_take (LnAdmissionBelief *belief, const LnDesiredMessage *message);
+void ln_admission_state_update (LnAdmissionState *belief, const LnDesiredMessage *message);
 
 void ln_admission_check (const LnContext *context,
-                         const LnAdmissionBelief *belief,
+                         const LnAdmissionState *belief,
                          bool is_public,
                          const LnInbound *in,
                          LcAdmission *admission);
 /* Final answer to a call that is not admitted; the exchange is gone afterwards. */
 void ln_admission_refuse (LnExchange *exchange,
-                          const LnAdmissionBelief *belief,
+                          const LnAdmissionState *belief,
                           const LnInbound *in,
                           const LcAdmission *admission);
 
--- a/packages/node/src/calls/ln-calls-attempts.c
+++ b/packages/node/src/calls/ln-calls-attempts.c
@@ -168,7 +168,8 @@
 {
   LnCall *call = attempt->call;
   LnTask *duties = ln_hub_find (calls->task.hub, "duties");
-  LnBeganMessage message = { .base = LN_MESSAGE (LN_BEGAN), .at = attempt->sent_at };
+  LnRequestStartedMessage message
+      = { .base = LN_MESSAGE (LN_REQUEST_STARTED), .at = attempt->sent_at };
 
   if (call->is_counted || call->kind != LN_CALL_SERVICE || !call->organisation[0] || !duties)
     return;
--- a/packages/node/src/calls/ln-calls-private.h
+++ b/packages/node/src/calls/ln-calls-private.h
@@ -32,7 +32,7 @@
   LnCrashes *crashes;
   struct event *tick;
   LnTick keep_alive;
-  LnAdmissionBelief belief; /* routes and organisations of a shared platform */
+  LnAdmissionState belief; /* routes and organisations of a shared platform */
   LcUtilisation *crowding;
   LbName crowded;       /* as the peers task was told */
   LbTime list_asked_at; /* of the list of endpoints in use; 0: there is none */
--- a/packages/node/src/calls/ln-calls.c
+++ b/packages/node/src/calls/ln-calls.c
@@ -77,7 +77,7 @@
 {
   LnCall *call = ln_calls_find (calls, message->request);
 
-  if (call && message->keep)
+  if (call && message->return_partial)
     ln_calls_recall (calls, call);
   else if (call)
     ln_calls_cancel (calls, call);
@@ -89,7 +89,7 @@
   LbList actions;
 
   lb_list_init (&actions);
-  if (message->stays)
+  if (message->withdrawn)
     lc_endpoints_clear_platform_leaving (lc_dispatch_endpoints (calls->dispatch), message->endpoint,
                                          lb_clock_monotonic ());
   else
@@ -109,7 +109,7 @@
 /* The store's list tells that the endpoint lives and which weights it has, but not its load: what
  * this instance has running there stands in until a reply states it. */
 static void
-take_listed (LnCalls *calls, const LnListedMessage *message)
+take_listed (LnCalls *calls, const LnEndpointListedMessage *message)
 {
   LcEndpoint *endpoint
       = lc_endpoints_find (lc_dispatch_endpoints (calls->dispatch), message->endpoint);
@@ -129,10 +129,10 @@
 }
 
 static void
-take_list (LnCalls *calls, const LnListTakenMessage *message)
+take_list (LnCalls *calls, const LnEndpointListAppliedMessage *message)
 {
-  calls->list_asked_at = message->asked_at;
-  LB_COPY (calls->lister, message->lister);
+  calls->list_asked_at = message->requested_at;
+  LB_COPY (calls->lister, message->listed_by);
 }
 
 static void
@@ -207,7 +207,7 @@
     case LN_EXCHANGE:
       ln_calls_take (calls, ((const LnExchangeMessage *)message)->exchange);
       break;
-    case LN_EXCHANGE_GONE:
+    case LN_CALLER_DISCONNECTED:
       caller_gone (((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_CONFIG:
@@ -232,17 +232,17 @@
       take_frame (calls, (const LnPeerMessage *)message);
       break;
     case LN_DESIRED:
-      ln_admission_belief_take (&calls->belief, (const LnDesiredMessage *)message);
+      ln_admission_state_update (&calls->belief, (const LnDesiredMessage *)message);
       ln_routed_review (calls);
       break;
     case LN_DESIRED_CONFIRMED:
       calls->belief.confirmed_at = ((const LnDesiredConfirmedMessage *)message)->at;
       break;
-    case LN_LIST_TAKEN:
-      take_list (calls, (const LnListTakenMessage *)message);
+    case LN_ENDPOINT_LIST_APPLIED:
+      take_list (calls, (const LnEndpointListAppliedMessage *)message);
       break;
-    case LN_LISTED:
-      take_listed (calls, (const LnListedMessage *)message);
+    case LN_ENDPOINT_LISTED:
+      take_listed (calls, (const LnEndpointListedMessage *)message);
       break;
     case LN_ENDPOINT_SWAP:
       swap = (const LnEndpointSwapMessage *)message;
@@ -340,7 +340,7 @@
 {
   const char *service = lc_utilisation_find_overloaded_service (calls->crowding);
   LnTask *peers = ln_hub_find (calls->task.hub, "peers");
-  LnCrowdedMessage message = { .base = LN_MESSAGE (LN_CROWDED) };
+  LnServiceOverloadedMessage message = { .base = LN_MESSAGE (LN_SERVICE_OVERLOADED) };
 
   if (!peers || strcmp (service, calls->crowded) == 0)
     return;
--- a/packages/node/src/config/ln-config.c
+++ b/packages/node/src/config/ln-config.c
@@ -266,7 +266,7 @@
     case LN_EXCHANGE:
       ln_config_api_exchange (task, ((const LnExchangeMessage *)message)->exchange);
       break;
-    case LN_EXCHANGE_GONE:
+    case LN_CALLER_DISCONNECTED:
       ln_config_api_gone (task, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_MEMBERS:
--- a/packages/node/src/config/ln-desired.c
+++ b/packages/node/src/config/ln-desired.c
@@ -119,7 +119,7 @@
 static void
 take_version (Desired *task, const char *text)
 {
-  LnVersionsMessage message = { .base = LN_MESSAGE (LN_VERSIONS) };
+  LnPoolVersionMessage message = { .base = LN_MESSAGE (LN_POOL_VERSION) };
   LbError error = { 0 };
   LnTask *rollouts = ln_hub_find (task->task.hub, "rollouts");
 
@@ -216,8 +216,8 @@
 
   for (size_t i = 0; calls && i < lc_roster_count (task->roster); i++)
     {
-      LnListedMessage message = { .base = LN_MESSAGE (LN_LISTED),
-                                  .version = lc_roster_latest_version (task->roster, i) };
+      LnEndpointListedMessage message = { .base = LN_MESSAGE (LN_ENDPOINT_LISTED),
+                                          .version = lc_roster_latest_version (task->roster, i) };
       LB_COPY (message.endpoint, lc_roster_registration (task->roster, i)->name);
       LN_POST (task->task.hub, calls, message);
     }
@@ -227,9 +227,10 @@
 tell_list (Desired *task, const char *lister, LbTime asked_at)
 {
   LnTask *calls = ln_hub_find (task->task.hub, "calls");
-  LnListTakenMessage message = { .base = LN_MESSAGE (LN_LIST_TAKEN), .asked_at = asked_at };
+  LnEndpointListAppliedMessage message
+      = { .base = LN_MESSAGE (LN_ENDPOINT_LIST_APPLIED), .requested_at = asked_at };
 
-  LB_COPY (message.lister, lister);
+  LB_COPY (message.listed_by, lister);
   if (calls)
     LN_POST (task->task.hub, calls, message);
 }
@@ -287,7 +288,7 @@
 {
   Desired *task = user;
   LnTask *peers = ln_hub_find (task->task.hub, "peers");
-  LnFleetMessage message = { .base = LN_MESSAGE (LN_FLEET_HEARD), .n_members = n_members };
+  LnFleetMessage message = { .base = LN_MESSAGE (LN_CATALOG_MEMBERS), .n_members = n_members };
 
   if (!peers)
     return;
@@ -301,7 +302,8 @@
 {
   LnTask *peers = ln_hub_find (task->task.hub, "peers");
   bool followed = !ln_catalog_wants_fleet (task->catalog, now);
-  LnFleetFollowedMessage message = { .base = LN_MESSAGE (LN_FLEET_FOLLOWED), .followed = followed };
+  LnCatalogFollowedMessage message
+      = { .base = LN_MESSAGE (LN_CATALOG_FOLLOWED), .followed = followed };
 
   if (!peers || followed == task->fleet_is_followed)
     return;
@@ -385,7 +387,8 @@
 note_orders (Desired *task)
 {
   bool held = ln_weight_orders_is_held (task->orders);
-  LnDutyMessage message = { .base = LN_MESSAGE (LN_DUTY), .duty = LN_DUTY_ORDERS, .held = held };
+  LnDutyMessage message
+      = { .base = LN_MESSAGE (LN_DUTY), .duty = LN_DUTY_WEIGHT_ORDERS, .held = held };
 
   if (held == task->orders_weights)
     return;
--- a/packages/node/src/duties/ln-duties.c
+++ b/packages/node/src/duties/ln-duties.c
@@ -42,7 +42,8 @@
 static void
 tell_held (Duties *duties, bool held)
 {
-  LnDutyMessage message = { .base = LN_MESSAGE (LN_DUTY), .duty = LN_DUTY_CALLS, .held = held };
+  LnDutyMessage message
+      = { .base = LN_MESSAGE (LN_DUTY), .duty = LN_DUTY_PLATFORM_CALLS, .held = held };
 
   if (held == duties->was_held)
     return;
@@ -107,11 +108,11 @@
 receive (LnTask *task, const LnMessage *message)
 {
   Duties *duties = (Duties *)task;
-  const LnBeganMessage *began = (const LnBeganMessage *)message;
+  const LnRequestStartedMessage *began = (const LnRequestStartedMessage *)message;
 
   if (message->type == LN_MEMBERS)
     take_members (duties, (const LnMembersMessage *)message);
-  else if (message->type == LN_BEGAN && duties->rows)
+  else if (message->type == LN_REQUEST_STARTED && duties->rows)
     ln_usage_rows_began (duties->rows, began->organisation,
                          ln_true_time_ms (duties->time, began->at));
   else if (duties->scaler)
--- a/packages/node/src/front/ln-exchange.c
+++ b/packages/node/src/front/ln-exchange.c
@@ -25,7 +25,7 @@
 {
   LbLink link; /* in LnCallers.exchanges until it is answered */
   LbList *all;
-  int references; /* one until it is answered, one for LN_EXCHANGE_GONE on its way */
+  int references; /* one until it is answered, one for LN_CALLER_DISCONNECTED on its way */
   uint64_t id;
   LnHub *hub;
   LnTask *owner;
@@ -122,7 +122,7 @@
 void
 ln_exchange_caller_gone (LnExchange *exchange)
 {
-  LnExchangeMessage message = { .base = LN_MESSAGE (LN_EXCHANGE_GONE), .exchange = exchange };
+  LnExchangeMessage message = { .base = LN_MESSAGE (LN_CALLER_DISCONNECTED), .exchange = exchange };
 
   if (exchange->gone)
     return;
--- a/packages/node/src/membership/ln-fleet.c
+++ b/packages/node/src/membership/ln-fleet.c
@@ -345,16 +345,16 @@
     case LN_DUTY:
       note_duty (task, (const LnDutyMessage *)message, lb_clock_monotonic ());
       break;
-    case LN_FLEET_FOLLOWED:
+    case LN_CATALOG_FOLLOWED:
       ln_fleet_lists_set_followed (task->lists,
-                                   ((const LnFleetFollowedMessage *)message)->followed);
+                                   ((const LnCatalogFollowedMessage *)message)->followed);
       break;
-    case LN_FLEET_HEARD:
+    case LN_CATALOG_MEMBERS:
       ln_fleet_lists_hear (task->lists, ((const LnFleetMessage *)message)->members,
                            ((const LnFleetMessage *)message)->n_members);
       break;
-    case LN_CROWDED:
-      LB_COPY (task->own.crowded, ((const LnCrowdedMessage *)message)->service);
+    case LN_SERVICE_OVERLOADED:
+      LB_COPY (task->own.crowded, ((const LnServiceOverloadedMessage *)message)->service);
       break;
     case LN_READY:
       task->own.ready = ((const LnReadyMessage *)message)->ready;
--- a/packages/node/src/membership/ln-peers-list.c
+++ b/packages/node/src/membership/ln-peers-list.c
@@ -25,8 +25,9 @@
 say_leaving (LnPeers *peers, const char *endpoint, bool stays)
 {
   LnTask *calls = ln_hub_find (peers->base.hub, "calls");
-  LnEndpointLeavingMessage message
-      = { .base = LN_MESSAGE (LN_ENDPOINT_LEAVING), .source = LC_LEAVING_PLATFORM, .stays = stays };
+  LnEndpointLeavingMessage message = { .base = LN_MESSAGE (LN_ENDPOINT_LEAVING),
+                                       .source = LC_LEAVING_PLATFORM,
+                                       .withdrawn = stays };
 
   if (!calls)
     return;
--- a/packages/node/src/rollout/ln-pool-holders.c
+++ b/packages/node/src/rollout/ln-pool-holders.c
@@ -213,8 +213,8 @@
 post_newest (LnConfigTask *task, const char *pool, LcVersion newest, LbTime cadence)
 {
   LnTask *rollouts = ln_hub_find (task->task.hub, "rollouts");
-  LnVersionsMessage message
-      = { .base = LN_MESSAGE (LN_VERSIONS), .newest = newest, .cadence = cadence };
+  LnPoolVersionMessage message
+      = { .base = LN_MESSAGE (LN_POOL_VERSION), .newest = newest, .cadence = cadence };
 
   if (!rollouts)
     return;
--- a/packages/node/src/rollout/ln-rollouts-run.c
+++ b/packages/node/src/rollout/ln-rollouts-run.c
@@ -81,7 +81,7 @@
 {
   LnSampleCancelMessage message = { .base = LN_MESSAGE (LN_SAMPLE_CANCEL),
                                     .request = action->spec.id,
-                                    .keep = action->type == LC_ROLLOUT_PREEMPT };
+                                    .return_partial = action->type == LC_ROLLOUT_PREEMPT };
 
   LN_POST (rollouts->task.hub, ln_hub_find (rollouts->task.hub, "calls"), message);
 }
--- a/packages/node/src/rollout/ln-rollouts.c
+++ b/packages/node/src/rollout/ln-rollouts.c
@@ -124,7 +124,7 @@
 }
 
 static void
-take_versions (LnRollouts *rollouts, const LnVersionsMessage *message)
+take_versions (LnRollouts *rollouts, const LnPoolVersionMessage *message)
 {
   LbList actions;
 
@@ -197,7 +197,7 @@
     case LN_EXCHANGE:
       take_exchange (rollouts, ((const LnExchangeMessage *)message)->exchange);
       break;
-    case LN_EXCHANGE_GONE:
+    case LN_CALLER_DISCONNECTED:
       trainer_gone (rollouts, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_CONFIG:
@@ -209,8 +209,8 @@
     case LN_SAMPLE_DONE:
       take_done (rollouts, (const LnSampleDoneMessage *)message);
       break;
-    case LN_VERSIONS:
-      take_versions (rollouts, (const LnVersionsMessage *)message);
+    case LN_POOL_VERSION:
+      take_versions (rollouts, (const LnPoolVersionMessage *)message);
       break;
     case LN_READY:
       rollouts->ready = ((const LnReadyMessage *)message)->ready;
--- a/packages/node/tests/node-fixture.h
+++ b/packages/node/tests/node-fixture.h
@@ -25,7 +25,7 @@
 
 /* The front and calls tasks in one process with the test. The test holds the other ends of all
  * sockets: it plays the callers and the endpoints byte by byte and runs the loop in between. */
-#define FIXTURE_PATIENCE (20 * LB_SEC)
+#define FIXTURE_TIMEOUT (20 * LB_SEC)
 
 typedef struct
 {
@@ -89,20 +89,20 @@
 }
 
 static inline void
-fixture_pump (Fixture *f)
+fixture_run_loop_once (Fixture *f)
 {
   event_base_loop (f->base, EVLOOP_NONBLOCK);
   usleep (200);
 }
 
 /* Runs the loop until the condition holds; fails the test when it does not for too long. */
-#define FIXTURE_UNTIL(f, condition)                                                                \
+#define FIXTURE_WAIT_UNTIL(f, condition)                                                           \
   do                                                                                               \
     {                                                                                              \
-      LbTime end_ = lb_clock_monotonic () + FIXTURE_PATIENCE;                                      \
+      LbTime end_ = lb_clock_monotonic () + FIXTURE_TIMEOUT;                                       \
       bool met_ = false;                                                                           \
       while (!(met_ = (condition)) && lb_clock_monotonic () < end_)                                \
-        fixture_pump (f);                                                                          \
+        fixture_run_loop_once (f);                                                                 \
       cr_assert (met_, "never came true: %s", #condition);                                         \
     }                                                                                              \
   while (0)
@@ -186,7 +186,7 @@
 }
 
 static inline void
-peer_forget (Peer *peer)
+peer_clear_text (Peer *peer)
 {
   peer->length = 0;
   peer->text[0] = '\0';
@@ -253,15 +253,15 @@
 endpoint_accept (Fixture *f, int listener, Peer *peer)
 {
   memset (peer, 0, sizeof *peer);
-  FIXTURE_UNTIL (f, endpoint_try_accept (listener, peer));
+  FIXTURE_WAIT_UNTIL (f, endpoint_try_accept (listener, peer));
 }
 
 static inline void
 endpoint_accept_stream (Fixture *f, int listener, Peer *peer, char id[96])
 {
   endpoint_accept (f, listener, peer);
-  FIXTURE_UNTIL (f, peer_has (peer, "\"request_id\":\""));
-  FIXTURE_UNTIL (f, peer_has (peer, "}"));
+  FIXTURE_WAIT_UNTIL (f, peer_has (peer, "\"request_id\":\""));
+  FIXTURE_WAIT_UNTIL (f, peer_has (peer, "}"));
   sscanf (strstr (peer->text, "\"request_id\":\"") + 14, "%95[^\"]", id);
 }
 
@@ -336,7 +336,7 @@
   cr_assert (message.set, "%s %s", error.where, error.detail);
   json_object_put (object);
   ln_post (f->context.hub, NULL, &message.base, sizeof message);
-  fixture_pump (f);
+  fixture_run_loop_once (f);
   lc_resource_set_free (message.set);
 }
 
--- a/packages/node/tests/test-calls-start.c
+++ b/packages/node/tests/test-calls-start.c
@@ -56,7 +56,7 @@
 
   caller_open (f, &caller);
   caller_post (&caller, "/services/s/order", "", "BAD");
-  FIXTURE_UNTIL (f, peer_has (&caller, "not_run"));
+  FIXTURE_WAIT_UNTIL (f, peer_has (&caller, "not_run"));
   cr_assert (strstr (caller.text, error), "expected %s, got %s", error, caller.text);
   peer_close (&caller);
 }
--- a/packages/node/tests/test-calls.c
+++ b/packages/node/tests/test-calls.c
@@ -38,12 +38,12 @@
   Peer tries[2] = { 0 };
   int chosen = -1;
 
-  FIXTURE_UNTIL (&s->f, (chosen = endpoint_try_accept (s->listener[0], &tries[0])   ? 0
-                                  : endpoint_try_accept (s->listener[1], &tries[1]) ? 1
-                                                                                    : -1)
-                            >= 0);
+  FIXTURE_WAIT_UNTIL (&s->f, (chosen = endpoint_try_accept (s->listener[0], &tries[0])   ? 0
+                                       : endpoint_try_accept (s->listener[1], &tries[1]) ? 1
+                                                                                         : -1)
+                                 >= 0);
   *peer = tries[chosen];
-  FIXTURE_UNTIL (&s->f, peer_has (peer, "\"request_id\":\""));
+  FIXTURE_WAIT_UNTIL (&s->f, peer_has (peer, "\"request_id\":\""));
   sscanf (strstr (peer->text, "\"request_id\":\"") + 14, "%95[^\"]", id);
   return chosen;
 }
@@ -60,15 +60,15 @@
   endpoint_accept_stream (&s.f, s.listener[0], &engine, id);
   endpoint_send_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", false);
-  FIXTURE_UNTIL (&s.f, peer_has (&caller, " one"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, " one"));
   cr_assert_not (strstr (caller.text, id));
   cr_assert_not (strstr (caller.text, "[DONE]"));
   endpoint_send_token (&engine, id, 1, " two", true);
   endpoint_send_end (&engine);
-  FIXTURE_UNTIL (&s.f, peer_has (&caller, "data: [DONE]"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "data: [DONE]"));
   cr_assert (strstr (caller.text, "x-endpoint: e0"));
   cr_assert (strstr (caller.text, " two"));
-  FIXTURE_UNTIL (&s.f, ln_hub_is_idle (s.f.context.hub));
+  FIXTURE_WAIT_UNTIL (&s.f, ln_hub_is_idle (s.f.context.hub));
   peer_close (&engine);
   peer_close (&caller);
   setup_clear (&s);
@@ -91,7 +91,7 @@
   endpoint_send_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", true);
   endpoint_send_end (&engine);
-  FIXTURE_UNTIL (&s.f, peer_is_closed (&caller));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_is_closed (&caller));
   cr_assert_not (strstr (caller.text, "chunked"), "%s", caller.text);
   cr_assert_not (strstr (caller.text, "Content-Length"), "%s", caller.text);
   cr_assert (strstr (caller.text, "\r\n\r\ndata: {"), "%s", caller.text);
@@ -115,7 +115,7 @@
   endpoint_send_token (&engine, id, 0, " one", false);
   endpoint_send_token (&engine, id, 1, " two", true);
   endpoint_send_end (&engine);
-  FIXTURE_UNTIL (&s.f, peer_has (&caller, "completion_tokens"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "completion_tokens"));
   cr_assert (strstr (caller.text, "\"text\":\" one two\""), "%s", caller.text);
   cr_assert (strstr (caller.text, "x-weight-versions: 40"));
   cr_assert (strstr (caller.text, "\"completion_tokens\":2"));
@@ -138,10 +138,10 @@
   endpoint_accept_stream (&s.f, s.listener[0], &engine, id);
   endpoint_send_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", false);
-  FIXTURE_UNTIL (&s.f, peer_has (&caller, " one"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, " one"));
   peer_close (&caller);
-  FIXTURE_UNTIL (&s.f, peer_is_closed (&engine));
-  FIXTURE_UNTIL (&s.f, ln_hub_is_idle (s.f.context.hub));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_is_closed (&engine));
+  FIXTURE_WAIT_UNTIL (&s.f, ln_hub_is_idle (s.f.context.hub));
   peer_close (&engine);
   setup_clear (&s);
 }
@@ -164,7 +164,7 @@
       endpoint_send_token (&engine, id, 0, " one", true);
       endpoint_send_end (&engine);
       peer_close (&caller);
-      FIXTURE_UNTIL (&s.f, ln_hub_is_idle (s.f.context.hub));
+      FIXTURE_WAIT_UNTIL (&s.f, ln_hub_is_idle (s.f.context.hub));
       peer_close (&engine);
     }
   setup_clear (&s);
@@ -184,10 +184,10 @@
   endpoint_accept_stream (&s.f, s.listener[0], &engine, id);
   endpoint_send_head (&engine);
   endpoint_send_token (&engine, "other-1.1", 0, " secret", false);
-  FIXTURE_UNTIL (&s.f, peer_has (&caller, "error"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "error"));
   cr_assert_not (strstr (caller.text, "secret"));
   cr_assert (strstr (caller.text, "outcome_unknown"), "%s", caller.text);
-  FIXTURE_UNTIL (&s.f, peer_is_closed (&engine));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_is_closed (&engine));
   peer_close (&engine);
   peer_close (&caller);
   setup_clear (&s);
@@ -208,7 +208,7 @@
   endpoint_send_head (&engine);
   endpoint_send_chunk (&engine,
                        "data: {\"id\":null,\"choices\":[{\"index\":0,\"text\":\"x\"}]}\n\n");
-  FIXTURE_UNTIL (&s.f, peer_has (&caller, "outcome_unknown"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "outcome_unknown"));
   peer_close (&engine);
   peer_close (&caller);
   setup_clear (&s);
@@ -230,8 +230,8 @@
       = lb_asprintf ("HTTP/1.1 503 Busy\r\nContent-Length: %zu\r\n\r\n%s", sizeof body - 1, body);
   peer_send (&engine, reply);
   free (reply);
-  FIXTURE_UNTIL (&s.f, peer_has (&caller, "endpoint_failed"));
-  FIXTURE_UNTIL (&s.f, peer_has (&caller, "\"not_run\":false"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "endpoint_failed"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "\"not_run\":false"));
   peer_close (&engine);
   peer_close (&caller);
   setup_clear (&s);
@@ -259,14 +259,14 @@
   accept_any (&s, &engine, id);
   endpoint_send_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", false);
-  FIXTURE_UNTIL (&s.f, peer_has (&caller, " one"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, " one"));
   accept_any (&s, &again, id);
-  FIXTURE_UNTIL (&s.f, peer_has (&again, "\"offset\":1"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&again, "\"offset\":1"));
   cr_assert (strstr (again.text, "\"text\":\" one\""), "%s", again.text);
   endpoint_send_head (&again);
   endpoint_send_token (&again, id, 1, " two", true);
   endpoint_send_end (&again);
-  FIXTURE_UNTIL (&s.f, peer_has (&caller, "data: [DONE]"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "data: [DONE]"));
   cr_assert (strstr (caller.text, " two"));
   peer_close (&engine);
   peer_close (&again);
@@ -289,7 +289,7 @@
   endpoint_send_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", false);
   peer_send (&engine, "0\r\n\r\n");
-  FIXTURE_UNTIL (&s.f, peer_has (&caller, "\"error\""));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "\"error\""));
   cr_assert_not (strstr (caller.text, "[DONE]"));
   cr_assert (strstr (caller.text, "\"not_run\":false"));
   peer_close (&engine);
@@ -309,7 +309,7 @@
   caller_open (&s.f, &caller);
   caller_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\nx-deadline-ms: 1000\r\n",
                BODY (""));
-  FIXTURE_UNTIL (&s.f, peer_has (&caller, "not_run"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "not_run"));
   cr_assert (strstr (caller.text, "\"not_run\":true"), "%s", caller.text);
   cr_assert (strstr (caller.text, "x-not-run: 1"));
   peer_close (&caller);
@@ -330,7 +330,7 @@
   caller_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\n", BODY (""));
   int chosen = accept_any (&s, &engine, id);
   peer_close (&engine);
-  FIXTURE_UNTIL (&s.f, peer_has (&caller, "outcome_unknown"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "outcome_unknown"));
   cr_assert (strstr (caller.text, "\"not_run\":false"), "%s", caller.text);
   cr_assert_not (strstr (caller.text, "x-not-run"));
   cr_assert_not (endpoint_try_accept (s.listener[1 - chosen], &other));
@@ -359,7 +359,7 @@
   endpoint_send_head (&next);
   endpoint_send_token (&next, id, 0, " one", true);
   endpoint_send_end (&next);
-  FIXTURE_UNTIL (&s.f, peer_has (&caller, "\"text\":\" one\""));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "\"text\":\" one\""));
   peer_close (&engine);
   peer_close (&next);
   peer_close (&caller);
@@ -372,7 +372,7 @@
   endpoint_send_head (engine);
   endpoint_send_token (engine, id, 0, text, true);
   endpoint_send_end (engine);
-  FIXTURE_UNTIL (&s->f, peer_read (engine));
+  FIXTURE_WAIT_UNTIL (&s->f, peer_read (engine));
 }
 
 /* Connections that are kept for reuse have gone silent while they were idle, all at once, since
@@ -400,17 +400,17 @@
   endpoint_accept_stream (&s.f, s.listener[0], &kept[1], second);
   answer_one_token (&s, &kept[0], id, " one");
   answer_one_token (&s, &kept[1], second, " one");
-  FIXTURE_UNTIL (&s.f, ln_hub_is_idle (s.f.context.hub));
-  peer_forget (&caller);
-  peer_forget (&kept[0]);
-  peer_forget (&kept[1]);
+  FIXTURE_WAIT_UNTIL (&s.f, ln_hub_is_idle (s.f.context.hub));
+  peer_clear_text (&caller);
+  peer_clear_text (&kept[0]);
+  peer_clear_text (&kept[1]);
 
   caller_post (&caller, "/v1/completions", "", BODY (""));
-  FIXTURE_UNTIL (&s.f, peer_has (&kept[0], "POST /v1") || peer_has (&kept[1], "POST /v1"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&kept[0], "POST /v1") || peer_has (&kept[1], "POST /v1"));
   endpoint_accept_stream (&s.f, s.listener[0], &fresh, id);
   answer_one_token (&s, &fresh, id, " two");
-  FIXTURE_UNTIL (&s.f, peer_has (&caller, "\"text\":\" two\""));
-  FIXTURE_UNTIL (&s.f, peer_is_closed (&kept[0]) && peer_is_closed (&kept[1]));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "\"text\":\" two\""));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_is_closed (&kept[0]) && peer_is_closed (&kept[1]));
   cr_assert_not (strstr (kept[0].text, "POST") && strstr (kept[1].text, "POST"));
   peer_close (&kept[0]);
   peer_close (&kept[1]);
@@ -443,7 +443,7 @@
       message.members[i].draining = i == 3;
     }
   LN_POST (s->f.context.hub, NULL, message);
-  fixture_pump (&s->f);
+  fixture_run_loop_once (&s->f);
 }
 
 /* The instance is told to shut down while an answer streams. The stream goes on to its end, new
@@ -460,21 +460,21 @@
   endpoint_accept_stream (&s.f, s.listener[0], &engine, id);
   endpoint_send_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", false);
-  FIXTURE_UNTIL (&s.f, peer_has (&caller, " one"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, " one"));
   post_members (&s);
   ln_hub_drain (s.f.context.hub);
   caller_open (&s.f, &late);
   caller_post (&late, "/v1/completions", "", BODY (""));
-  FIXTURE_UNTIL (&s.f, peer_has (&late, "draining"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&late, "draining"));
   cr_assert (strstr (late.text, "x-not-run: 1"));
   cr_assert (strstr (late.text, "x-entry-stale: 1"));
   cr_assert (strstr (late.text, "x-entry: 10.0.0.2:80\r\n"), "%s", late.text);
-  FIXTURE_UNTIL (&s.f, peer_is_closed (&late));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_is_closed (&late));
   cr_assert_not (ln_hub_is_idle (s.f.context.hub));
   endpoint_send_token (&engine, id, 1, " two", true);
   endpoint_send_end (&engine);
-  FIXTURE_UNTIL (&s.f, peer_has (&caller, "data: [DONE]"));
-  FIXTURE_UNTIL (&s.f, ln_hub_is_idle (s.f.context.hub));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "data: [DONE]"));
+  FIXTURE_WAIT_UNTIL (&s.f, ln_hub_is_idle (s.f.context.hub));
   peer_close (&engine);
   peer_close (&caller);
   peer_close (&late);
@@ -519,13 +519,13 @@
                                  id, text, offset++);
       char *chunk = lb_asprintf ("%zx\r\n%s\r\n", strlen (event), event);
       size_t sent = 0;
-      FIXTURE_UNTIL (&s.f,
-                     send_some (&engine, chunk, strlen (chunk), &sent) || peer_is_closed (&engine));
+      FIXTURE_WAIT_UNTIL (&s.f, send_some (&engine, chunk, strlen (chunk), &sent)
+                                    || peer_is_closed (&engine));
       free (event);
       free (chunk);
     }
   cr_assert (engine.closed, "the engine's stream went on after %d MB", offset * text_length >> 20);
-  FIXTURE_UNTIL (&s.f, ln_hub_is_idle (s.f.context.hub));
+  FIXTURE_WAIT_UNTIL (&s.f, ln_hub_is_idle (s.f.context.hub));
   free (text);
   peer_close (&engine);
   peer_close (&caller);
@@ -546,8 +546,8 @@
   endpoint_accept_stream (&s.f, s.listener[0], &engine, id);
   endpoint_send_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", false);
-  FIXTURE_UNTIL (&s.f, peer_has (&caller, " one"));
-  FIXTURE_UNTIL (&s.f, peer_has (&caller, ": keep-alive"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, " one"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, ": keep-alive"));
   peer_close (&engine);
   peer_close (&caller);
   setup_clear (&s);
@@ -570,7 +570,7 @@
   endpoint_accept (&f, listener, &service);
   peer_send (&service, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf an or");
   peer_close (&service);
-  FIXTURE_UNTIL (&f, peer_has (&caller, "outcome_unknown"));
+  FIXTURE_WAIT_UNTIL (&f, peer_has (&caller, "outcome_unknown"));
   cr_assert_not (strstr (caller.text, "half"));
   peer_close (&caller);
   fixture_clear (&f);
@@ -590,11 +590,11 @@
   caller_post (&caller, "/services/s/orders?shop=4",
                "x-shop: saigon\r\nContent-Type: application/x-www-form-urlencoded\r\n", "a=b");
   endpoint_accept (&f, listener, &service);
-  FIXTURE_UNTIL (&f, peer_has (&service, "a=b"));
+  FIXTURE_WAIT_UNTIL (&f, peer_has (&service, "a=b"));
   cr_assert (strstr (service.text, "POST /orders?shop=4 HTTP/1.1"), "%s", service.text);
   cr_assert (strstr (service.text, "x-shop: saigon"));
   peer_send (&service, "HTTP/1.1 418 Teapot\r\nx-kind: short\r\nContent-Length: 5\r\n\r\nstout");
-  FIXTURE_UNTIL (&f, peer_has (&caller, "stout"));
+  FIXTURE_WAIT_UNTIL (&f, peer_has (&caller, "stout"));
   cr_assert (strstr (caller.text, " 418 "));
   cr_assert (strstr (caller.text, "x-kind: short"));
   peer_close (&service);
--- a/packages/node/tests/test-front.c
+++ b/packages/node/tests/test-front.c
@@ -7,7 +7,7 @@
 
   caller_open (f, &caller);
   peer_send (&caller, request);
-  FIXTURE_UNTIL (f, peer_has (&caller, "not_run"));
+  FIXTURE_WAIT_UNTIL (f, peer_has (&caller, "not_run"));
   cr_assert (strstr (caller.text, status), "expected %s, got %s", status, caller.text);
   cr_assert (strstr (caller.text, type), "expected %s, got %s", type, caller.text);
   peer_close (&caller);
@@ -27,15 +27,15 @@
   caller_open (&f, &caller);
   peer_send (&caller,
              "POST /v1/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 1000000\r\n\r\n");
-  LbTime end = lb_clock_monotonic () + FIXTURE_PATIENCE;
+  LbTime end = lb_clock_monotonic () + FIXTURE_TIMEOUT;
   while (!peer_has (&caller, "too_slow") && lb_clock_monotonic () < end)
     {
       send (caller.fd, "a", 1, 0);
-      fixture_pump (&f);
+      fixture_run_loop_once (&f);
     }
   cr_assert (strstr (caller.text, "408"), "%s", caller.text);
   cr_assert (strstr (caller.text, "too_slow"));
-  FIXTURE_UNTIL (&f, peer_is_closed (&caller));
+  FIXTURE_WAIT_UNTIL (&f, peer_is_closed (&caller));
   peer_close (&caller);
   fixture_clear (&f);
 }
@@ -51,11 +51,11 @@
   fixture_start (&f);
   caller_open (&f, &caller);
   peer_send (&caller, "GET /healthz HTTP/1.1\r\nHost: h\r\nx-long: ");
-  LbTime end = lb_clock_monotonic () + FIXTURE_PATIENCE;
+  LbTime end = lb_clock_monotonic () + FIXTURE_TIMEOUT;
   while (!peer_has (&caller, "too_slow") && lb_clock_monotonic () < end)
     {
       send (caller.fd, "a", 1, 0);
-      fixture_pump (&f);
+      fixture_run_loop_once (&f);
     }
   cr_assert (strstr (caller.text, "too_slow"), "%s", caller.text);
   peer_close (&caller);
@@ -73,11 +73,11 @@
 
   peer_send (caller, begin);
   for (int i = 0; i < 5; i++)
-    fixture_pump (f);
+    fixture_run_loop_once (f);
   peer_send (caller, request + first);
-  FIXTURE_UNTIL (f, peer_has (caller, "not_run"));
+  FIXTURE_WAIT_UNTIL (f, peer_has (caller, "not_run"));
   cr_assert (strstr (caller->text, named), "cut after \"%s\": %s", begin, caller->text);
-  peer_forget (caller);
+  peer_clear_text (caller);
   free (request);
   free (named);
   free (begin);
@@ -113,12 +113,12 @@
   fixture_configure (&f, NULL, NULL);
   caller_open (&f, &caller);
   peer_send (&caller, "GET /nowhere/0123456789 HTTP/1.1\r\nHost: h\r\n\r\nGET /elsew");
-  FIXTURE_UNTIL (&f, peer_has (&caller, "GET /nowhere/0123456789\""));
-  peer_forget (&caller);
+  FIXTURE_WAIT_UNTIL (&f, peer_has (&caller, "GET /nowhere/0123456789\""));
+  peer_clear_text (&caller);
   for (int i = 0; i < 5; i++)
-    fixture_pump (&f);
+    fixture_run_loop_once (&f);
   peer_send (&caller, "here/zyx HTTP/1.1\r\nHost: h\r\n\r\n");
-  FIXTURE_UNTIL (&f, peer_has (&caller, "not_run"));
+  FIXTURE_WAIT_UNTIL (&f, peer_has (&caller, "not_run"));
   cr_assert (strstr (caller.text, "GET /elsewhere/zyx\""), "%s", caller.text);
   peer_close (&caller);
   fixture_clear (&f);
@@ -135,7 +135,7 @@
   fixture_start (&f);
   caller_open (&f, &caller);
   peer_send (&caller, "GET /health");
-  FIXTURE_UNTIL (&f, peer_has (&caller, "too_slow"));
+  FIXTURE_WAIT_UNTIL (&f, peer_has (&caller, "too_slow"));
   cr_assert (strstr (caller.text, "408"), "%s", caller.text);
   peer_close (&caller);
   fixture_clear (&f);
@@ -237,7 +237,7 @@
                                    headers[i]);
       caller_open (&f, &caller);
       peer_send (&caller, request);
-      FIXTURE_UNTIL (&f, peer_is_closed (&caller));
+      FIXTURE_WAIT_UNTIL (&f, peer_is_closed (&caller));
       cr_assert (strstr (caller.text, " 400 "), "%s: %s", headers[i], caller.text);
       cr_assert_not (strstr (caller.text, " 404 "), "%s: %s", headers[i], caller.text);
       peer_close (&caller);
@@ -274,7 +274,7 @@
       size_t length = requests[i].length > 0 ? requests[i].length : strlen (requests[i].text);
       caller_open (&f, &caller);
       cr_assert_eq (write (caller.fd, requests[i].text, length), (ssize_t)length);
-      FIXTURE_UNTIL (&f, peer_is_closed (&caller));
+      FIXTURE_WAIT_UNTIL (&f, peer_is_closed (&caller));
       cr_assert (strstr (caller.text, " 400 "), "%zu: %s", i, caller.text);
       cr_assert_eq (strstr (caller.text, " 200 ") != NULL, i == 4, "%zu: %s", i, caller.text);
       peer_close (&caller);
@@ -293,7 +293,7 @@
   peer_send (&caller,
              "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\nGET /nowhere HTTP/1.1\r\nHost: h\r\n\r\n"
              "GET /readyz HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
-  FIXTURE_UNTIL (&f, peer_is_closed (&caller));
+  FIXTURE_WAIT_UNTIL (&f, peer_is_closed (&caller));
   char *alive = strstr (caller.text, "alive");
   char *unknown = strstr (caller.text, "unknown_path");
   char *ready = strstr (caller.text, "ready\n");
@@ -314,12 +314,12 @@
   fixture_start (&f);
   caller_open (&f, &first);
   peer_send (&first, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n");
-  FIXTURE_UNTIL (&f, peer_has (&first, "alive"));
+  FIXTURE_WAIT_UNTIL (&f, peer_has (&first, "alive"));
   caller_open (&f, &second);
-  FIXTURE_UNTIL (&f, peer_is_closed (&second));
-  peer_forget (&first);
+  FIXTURE_WAIT_UNTIL (&f, peer_is_closed (&second));
+  peer_clear_text (&first);
   peer_send (&first, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n");
-  FIXTURE_UNTIL (&f, peer_has (&first, "alive"));
+  FIXTURE_WAIT_UNTIL (&f, peer_has (&first, "alive"));
   peer_close (&first);
   peer_close (&second);
   fixture_clear (&f);
@@ -333,7 +333,7 @@
   fixture_init (&f);
   fixture_start (&f);
   LN_POST (f.context.hub, NULL, ready);
-  fixture_pump (&f);
+  fixture_run_loop_once (&f);
   expect_refusal (&f, "GET /readyz HTTP/1.1\r\nHost: h\r\n\r\n", " 503 ", "not_ready");
   expect_refusal (&f,
                   "POST /v1/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 26\r\n\r\n"
@@ -356,13 +356,13 @@
     {
       caller_open (&f, &caller);
       peer_send (&caller, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n");
-      FIXTURE_UNTIL (&f, peer_has (&caller, "alive"));
+      FIXTURE_WAIT_UNTIL (&f, peer_has (&caller, "alive"));
       errno = EAGAIN;
       peer_close (&caller);
       for (int turn = 0; turn < 20; turn++)
         {
           errno = EAGAIN;
-          fixture_pump (&f);
+          fixture_run_loop_once (&f);
         }
     }
   fixture_clear (&f);
--- a/packages/node/tests/test-recorder.c
+++ b/packages/node/tests/test-recorder.c
@@ -37,11 +37,11 @@
   endpoint_send_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", true);
   endpoint_send_end (&engine);
-  FIXTURE_UNTIL (&f, peer_has (&caller, " one"));
+  FIXTURE_WAIT_UNTIL (&f, peer_has (&caller, " one"));
   caller_post (&caller, "/services/s/order", "", "tea");
   endpoint_accept (&f, services, &service);
   peer_close (&service);
-  FIXTURE_UNTIL (&f, peer_has (&caller, "outcome_unknown"));
+  FIXTURE_WAIT_UNTIL (&f, peer_has (&caller, "outcome_unknown"));
   peer_close (&engine);
   peer_close (&caller);
   fixture_clear (&f);
--- a/packages/node/tests/test-tickets.c
+++ b/packages/node/tests/test-tickets.c
@@ -91,9 +91,9 @@
 get_ticket (Setup *s, Peer *caller, char ticket[160])
 {
   caller_post (caller, "/v1/tickets", "", "");
-  FIXTURE_UNTIL (&s->f, peer_has (caller, "expires_in_ms"));
+  FIXTURE_WAIT_UNTIL (&s->f, peer_has (caller, "expires_in_ms"));
   sscanf (strstr (caller->text, "\"ticket\":\"") + 10, "%159[^\"]", ticket);
-  peer_forget (caller);
+  peer_clear_text (caller);
 }
 
 static void
@@ -123,7 +123,7 @@
 
   for (int i = 0; i < 50; i++)
     {
-      fixture_pump (&s->f);
+      fixture_run_loop_once (&s->f);
       cr_assert_not (endpoint_try_accept (s->listener, &peer), "ran again: %s", peer.text);
     }
 }
@@ -142,10 +142,10 @@
   order (&caller, "x-ticket", ticket);
   endpoint_accept (&s.f, s.listener, &service);
   service_reply (&service, "order 7");
-  FIXTURE_UNTIL (&s.f, peer_has (&caller, "order 7"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "order 7"));
   caller_open (&s.f, &again);
   order (&again, "x-ticket", ticket);
-  FIXTURE_UNTIL (&s.f, peer_has (&again, "order 7"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&again, "order 7"));
   cr_assert (strstr (again.text, "text/plain"));
   peer_close (&service);
   expect_no_call (&s);
@@ -172,8 +172,8 @@
   order (&again, "x-ticket", ticket);
   expect_no_call (&s);
   service_reply (&service, "order 7");
-  FIXTURE_UNTIL (&s.f, peer_has (&again, "order 7"));
-  FIXTURE_UNTIL (&s.f, ln_hub_is_idle (s.f.context.hub));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&again, "order 7"));
+  FIXTURE_WAIT_UNTIL (&s.f, ln_hub_is_idle (s.f.context.hub));
   peer_close (&service);
   peer_close (&again);
   fixture_clear (&s.f);
@@ -193,10 +193,10 @@
   order (&caller, "x-ticket", ticket);
   endpoint_accept (&s.f, s.listener, &service);
   peer_close (&service);
-  FIXTURE_UNTIL (&s.f, peer_has (&caller, "outcome_unknown"));
-  peer_forget (&caller);
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "outcome_unknown"));
+  peer_clear_text (&caller);
   order (&caller, "x-ticket", ticket);
-  FIXTURE_UNTIL (&s.f, peer_has (&caller, "outcome_unknown"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "outcome_unknown"));
   expect_no_call (&s);
   peer_close (&caller);
   fixture_clear (&s.f);
@@ -211,7 +211,7 @@
   setup_init (&s);
   caller_open (&s.f, &caller);
   order (&caller, "x-ticket", "i9.b2.0000000000000001");
-  FIXTURE_UNTIL (&s.f, peer_has (&caller, "outcome_unknown"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "outcome_unknown"));
   cr_assert (strstr (caller.text, "\"not_run\":false"));
   expect_no_call (&s);
   peer_close (&caller);
@@ -236,7 +236,7 @@
   LB_COPY (message.members[0].caller_address, address);
   message.members[0].alive = true;
   LN_POST (s->f.context.hub, NULL, message);
-  fixture_pump (&s->f);
+  fixture_run_loop_once (&s->f);
 }
 
 /* The caller comes to another instance with its ticket. Only the one that the ticket names may run
@@ -258,7 +258,7 @@
   cr_assert (strstr (other.text, "x-caller: 127.0.0.1"));
   cr_assert (strstr (other.text, "x-relayed-by: i1"));
   service_reply (&other, "order 7");
-  FIXTURE_UNTIL (&s.f, peer_has (&caller, "order 7"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "order 7"));
   expect_no_call (&s);
   peer_close (&other);
   peer_close (&caller);
@@ -278,7 +278,7 @@
   caller_open (&s.f, &caller);
   caller_post (&caller, "/services/s/order",
                "x-relayed-by: i3\r\nx-ticket: i2.b1.0000000000000001\r\n", "tea");
-  FIXTURE_UNTIL (&s.f, peer_has (&caller, "outcome_unknown"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "outcome_unknown"));
   peer_close (&caller);
   fixture_clear (&s.f);
 }
@@ -293,11 +293,11 @@
   order (&caller, "idempotency-key", "k1");
   endpoint_accept (&s.f, s.listener, &service);
   service_reply (&service, "order 7");
-  FIXTURE_UNTIL (&s.f, peer_has (&caller, "order 7"));
-  peer_forget (&caller);
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "order 7"));
+  peer_clear_text (&caller);
   peer_close (&service);
   order (&caller, "idempotency-key", "k1");
-  FIXTURE_UNTIL (&s.f, peer_has (&caller, "order 7"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "order 7"));
   expect_no_call (&s);
   cr_assert_eq (s.store.transactions, 2);
   peer_close (&caller);
@@ -315,7 +315,7 @@
   s.store.transact_error = LB_ERROR_STORE_AWAY;
   caller_open (&s.f, &caller);
   order (&caller, "idempotency-key", "k1");
-  FIXTURE_UNTIL (&s.f, peer_has (&caller, "store_away"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "store_away"));
   cr_assert (strstr (caller.text, "x-not-run: 1"));
   expect_no_call (&s);
   peer_close (&caller);
@@ -336,7 +336,7 @@
   order (&caller, "idempotency-key", "k1");
   endpoint_accept (&s.f, s.listener, &service);
   service_reply (&service, "order 7");
-  FIXTURE_UNTIL (&s.f, peer_has (&caller, "order 7"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "order 7"));
   peer_close (&service);
   peer_close (&caller);
   fixture_clear (&s.f);
@@ -356,15 +356,15 @@
   s.store.applies = true;
   caller_open (&s.f, &caller);
   order (&caller, "idempotency-key", "k1");
-  FIXTURE_UNTIL (&s.f, peer_has (&caller, "x-not-run: 1"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "x-not-run: 1"));
   expect_no_call (&s);
-  peer_forget (&caller);
+  peer_clear_text (&caller);
   s.store.transact_error = LB_OK;
   s.store.get_error = LB_OK;
   order (&caller, "idempotency-key", "k1");
   endpoint_accept (&s.f, s.listener, &service);
   service_reply (&service, "order 7");
-  FIXTURE_UNTIL (&s.f, peer_has (&caller, "order 7"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "order 7"));
   peer_close (&service);
   peer_close (&caller);
   fixture_clear (&s.f);
