--- a/packages/node/src/config/ln-config-api.c
+++ b/packages/node/src/config/ln-config-api.c
@@ -363,7 +363,7 @@
   json_object_object_add (object, "changes_waiting",
                           json_object_new_int64 ((int64_t)task->changes.length));
   json_object_object_add (object, "instances", instances);
-  ln_pool_holders_add_status (task, object);
+  ln_pool_controllers_add_status (task, object);
   ln_exchange_reply_json (exchange, 200, object);
 }
 
--- a/packages/node/src/config/ln-config-task.h
+++ b/packages/node/src/config/ln-config-task.h
@@ -20,12 +20,12 @@
   bool reading; /* a read of the head row by poll is on its way */
   bool listing; /* a read of the platform's list of instances is on its way */
   LbTime next_listing;
-  LbList changes;   /* LnChange, one at a time from the front */
-  LbList watches;   /* LnWatch */
-  LbList holders;   /* LnPoolHolder */
-  LbList questions; /* LnPoolQuestion */
-  uint64_t last_serial;
-  struct json_object *swaps; /* to be told to peers at the end of the tick; NULL: none */
+  LbList changes;          /* LnChange, one at a time from the front */
+  LbList watches;          /* LnWatch */
+  LbList pool_controllers; /* LnPoolController */
+  LbList pool_operations;  /* LnPoolOperation */
+  uint64_t last_controller_serial;
+  struct json_object *unsent_swaps; /* to be told to peers at the end of the tick; NULL: none */
   bool draining;
 } LnConfigTask;
 
@@ -48,15 +48,15 @@
 void ln_config_change_tick (LnConfigTask *task, LbTime now);
 void ln_config_change_clear (LnConfigTask *task);
 
-/* ln-pool-holders.c: leases of pools and roll-outs of weights. */
-void ln_pool_holders_configure (LnConfigTask *task, const LcResourceSet *set);
-void ln_pool_holders_members_changed (LnConfigTask *task);
-void ln_pool_holders_tick (LnConfigTask *task, LbTime now);
-bool ln_pool_holders_receive (LnConfigTask *task, struct json_object *message);
-void ln_pool_holders_add_status (LnConfigTask *task, struct json_object *status);
-void ln_pool_holders_drain (LnConfigTask *task);
-bool ln_pool_holders_are_released (const LnConfigTask *task);
-void ln_pool_holders_clear (LnConfigTask *task);
+/* ln-pool-controllers.c: leases of pools and roll-outs of weights. */
+void ln_pool_controllers_configure (LnConfigTask *task, const LcResourceSet *set);
+void ln_pool_controllers_update_ranks (LnConfigTask *task);
+void ln_pool_controllers_tick (LnConfigTask *task, LbTime now);
+bool ln_pool_controllers_receive (LnConfigTask *task, struct json_object *message);
+void ln_pool_controllers_add_status (LnConfigTask *task, struct json_object *status);
+void ln_pool_controllers_drain (LnConfigTask *task);
+bool ln_pool_controllers_are_released (const LnConfigTask *task);
+void ln_pool_controllers_clear (LnConfigTask *task);
 
 struct json_object *ln_config_in_force_json (const LnConfigTask *task, int64_t revision);
 void ln_config_set_etag (LnExchange *exchange, int64_t revision);
--- a/packages/node/src/config/ln-config.c
+++ b/packages/node/src/config/ln-config.c
@@ -84,7 +84,7 @@
   message.base.clear = clear_config_message;
   message.set = lc_resource_set_copy (set);
   LN_POST (task->task.hub, NULL, message);
-  ln_pool_holders_configure (task, set);
+  ln_pool_controllers_configure (task, set);
 }
 
 static void
@@ -207,7 +207,7 @@
   lc_config_tick (task->config, now, &actions);
   ln_config_carry_out (task, &actions);
   list_instances (task, now);
-  ln_pool_holders_tick (task, now);
+  ln_pool_controllers_tick (task, now);
   ln_config_api_tick (task, now);
 }
 
@@ -225,7 +225,7 @@
   lb_list_init (&actions);
   lc_config_members (task->config, members, message->n_members, lb_clock_monotonic (), &actions);
   ln_config_carry_out (task, &actions);
-  ln_pool_holders_members_changed (task);
+  ln_pool_controllers_update_ranks (task);
   free (members);
 }
 
@@ -240,7 +240,7 @@
       = lb_settings_parse (frame->payload, frame->length, frame->instance, &error);
 
   lb_list_init (&actions);
-  if (object && ln_pool_holders_receive (task, object))
+  if (object && ln_pool_controllers_receive (task, object))
     goto out;
   if (object && lc_config_message_from_json (object, &message, &error))
     lc_config_receive (task->config, frame->instance, &message, now, &actions);
@@ -287,7 +287,7 @@
 
   task->draining = true;
   ln_config_api_drain (task);
-  ln_pool_holders_drain (task);
+  ln_pool_controllers_drain (task);
 }
 
 static bool
@@ -295,7 +295,8 @@
 {
   const LnConfigTask *task = (const LnConfigTask *)base;
 
-  return ln_config_api_is_idle (task) && (!task->draining || ln_pool_holders_are_released (task));
+  return ln_config_api_is_idle (task)
+         && (!task->draining || ln_pool_controllers_are_released (task));
 }
 
 static void
@@ -304,7 +305,7 @@
   LnConfigTask *task = config_task (base);
 
   ln_config_api_clear (task);
-  ln_pool_holders_clear (task);
+  ln_pool_controllers_clear (task);
   event_free (task->timer);
   ln_config_store_free (task->store);
   lc_config_free (task->config);
@@ -332,8 +333,8 @@
   task->store = ln_config_store_new (context->base, context->platform);
   lb_list_init (&task->changes);
   lb_list_init (&task->watches);
-  lb_list_init (&task->holders);
-  lb_list_init (&task->questions);
+  lb_list_init (&task->pool_controllers);
+  lb_list_init (&task->pool_operations);
   task->timer = event_new (context->base, -1, EV_PERSIST, on_tick, task);
   event_add (task->timer, &tick);
   return &task->task;
--- a/packages/node/src/rollout/ln-pool-holder.c
+++ b/packages/node/src/rollout/ln-pool-controller.c
@@ -1,4 +1,4 @@
-#include "ln-pool-holder.h"
+#include "ln-pool-controller.h"
 
 #include "ln-lease.h"
 
@@ -29,7 +29,7 @@
 typedef struct LnPoolEngine
 {
   LbName name; /* key */
-  LnPoolHolder *holder;
+  LnPoolController *holder;
   LbName address;
   LhFetch *look;
   LhFetch *order;
@@ -50,31 +50,31 @@
   free (engine);
 }
 
-static LnPoolQuestion *
-question_new (const LnPoolHolder *holder)
+static LnPoolOperation *
+question_new (const LnPoolController *holder)
 {
-  LnPoolQuestion *question = LB_NEW (LnPoolQuestion);
+  LnPoolOperation *question = LB_NEW (LnPoolOperation);
 
   question->task = holder->task;
   question->serial = holder->serial;
-  lb_list_append (&holder->task->questions, &question->link);
+  lb_list_append (&holder->task->pool_operations, &question->link);
   return question;
 }
 
-static LnPoolHolder *
-question_end (LnPoolQuestion *question)
+static LnPoolController *
+question_end (LnPoolOperation *question)
 {
-  LnPoolHolder *holder = ln_pool_holders_find (question->task, question->serial);
+  LnPoolController *holder = ln_pool_controllers_find (question->task, question->serial);
 
-  lb_list_remove (&question->task->questions, &question->link);
+  lb_list_remove (&question->task->pool_operations, &question->link);
   free (question);
   return holder;
 }
 
-LnPoolHolder *
-ln_pool_holder_new (LnConfigTask *task, const char *pool, uint64_t serial)
+LnPoolController *
+ln_pool_controller_new (LnConfigTask *task, const char *pool, uint64_t serial)
 {
-  LnPoolHolder *holder = LB_NEW (LnPoolHolder);
+  LnPoolController *holder = LB_NEW (LnPoolController);
   LcLeaseSettings lease;
   LcWeightsSettings weights;
 
@@ -91,7 +91,7 @@
 }
 
 void
-ln_pool_holder_free (LnPoolHolder *holder)
+ln_pool_controller_free (LnPoolController *holder)
 {
   Engine *engine, *next;
 
@@ -105,7 +105,7 @@
 }
 
 static Engine *
-find_engine (LnPoolHolder *holder, const char *name)
+find_engine (LnPoolController *holder, const char *name)
 {
   Engine *engine;
 
@@ -114,7 +114,7 @@
 }
 
 static void
-configure_engine (LnPoolHolder *holder, const LcEndpointMember *member)
+configure_engine (LnPoolController *holder, const LcEndpointMember *member)
 {
   Engine *engine = find_engine (holder, member->name);
 
@@ -130,7 +130,7 @@
 }
 
 void
-ln_pool_holder_configure (LnPoolHolder *holder, const LcResourceSet *set)
+ln_pool_controller_configure (LnPoolController *holder, const LcResourceSet *set)
 {
   Engine *engine, *next;
 
@@ -150,12 +150,12 @@
 
 /* --- the lease --- */
 
-static void carry_out_lease (LnPoolHolder *holder, LbList *actions);
+static void carry_out_lease (LnPoolController *holder, LbList *actions);
 
 static void
 on_lease_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
-  LnPoolHolder *holder = question_end (user);
+  LnPoolController *holder = question_end (user);
   LbList actions;
 
   if (!holder)
@@ -166,7 +166,7 @@
 }
 
 static void
-read_lease (LnPoolHolder *holder)
+read_lease (LnPoolController *holder)
 {
   char key[KEY_MAX];
   LpPlatform *platform = holder->task->context->platform;
@@ -179,7 +179,7 @@
 on_lease_written (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
-  LnPoolHolder *holder = question_end (user);
+  LnPoolController *holder = question_end (user);
   LbTime now = lb_clock_monotonic ();
   LbList actions;
 
@@ -189,11 +189,11 @@
   lc_lease_write_completed (holder->lease, error, now, &actions);
   carry_out_lease (holder, &actions);
   if (error == LB_OK && lc_lease_row (holder->lease)->released)
-    ln_pool_holders_tell_free (holder->task, holder->pool);
+    ln_pool_controllers_announce_release (holder->task, holder->pool);
 }
 
 static void
-write_lease (LnPoolHolder *holder, const LcLeaseAction *action)
+write_lease (LnPoolController *holder, const LcLeaseAction *action)
 {
   char key[KEY_MAX], token[KEY_MAX * 2];
 
@@ -205,7 +205,7 @@
 }
 
 static void
-note_lease (LnPoolHolder *holder, const LcLeaseAction *action)
+note_lease (LnPoolController *holder, const LcLeaseAction *action)
 {
   bool gained = action->type == LC_LEASE_GAINED;
   LbTime now = lb_clock_monotonic ();
@@ -219,7 +219,7 @@
 }
 
 static void
-carry_out_lease (LnPoolHolder *holder, LbList *actions)
+carry_out_lease (LnPoolController *holder, LbList *actions)
 {
   LbLink *link;
 
@@ -244,7 +244,7 @@
 }
 
 void
-ln_pool_holder_release (LnPoolHolder *holder, LbTime now)
+ln_pool_controller_release (LnPoolController *holder, LbTime now)
 {
   LbList actions;
 
@@ -266,14 +266,14 @@
 }
 
 static void
-carry_out_swaps (LnPoolHolder *holder, LbList *actions, LbTime now)
+carry_out_swaps (LnPoolController *holder, LbList *actions, LbTime now)
 {
   LbLink *link;
 
   while ((link = lb_list_pop (actions)))
     {
       LcWeightsAction *action = LB_CONTAINER (link, LcWeightsAction, link);
-      ln_pool_holders_tell_swap (holder->task, action, now);
+      ln_pool_controllers_announce_swap (holder->task, action, now);
       free (action);
     }
 }
@@ -283,7 +283,7 @@
 {
   (void)fetch;
   Engine *engine = user;
-  LnPoolHolder *holder = engine->holder;
+  LnPoolController *holder = engine->holder;
   LbTime now = lb_clock_monotonic ();
   LcWeightReport report = { .asked_at = engine->look_at };
   LbList actions;
@@ -344,7 +344,7 @@
 {
   (void)fetch;
   Engine *engine = user;
-  LnPoolHolder *holder = engine->holder;
+  LnPoolController *holder = engine->holder;
   LbTime now = lb_clock_monotonic ();
   LbErrorCode code = outcome_of_order (result);
 
@@ -361,7 +361,7 @@
 }
 
 static void
-send_order (LnPoolHolder *holder, const LcWeightsAction *action)
+send_order (LnPoolController *holder, const LcWeightsAction *action)
 {
   Engine *engine = find_engine (holder, action->endpoint);
   const LhHandlers handlers = { .on_done = on_ordered };
@@ -387,7 +387,7 @@
 }
 
 static void
-tick_weights (LnPoolHolder *holder, LbTime now)
+tick_weights (LnPoolController *holder, LbTime now)
 {
   LbLink *link;
   LbList actions;
@@ -400,7 +400,7 @@
     {
       LcWeightsAction *action = LB_CONTAINER (link, LcWeightsAction, link);
       if (action->type == LC_WEIGHTS_SWAP)
-        ln_pool_holders_tell_swap (holder->task, action, now);
+        ln_pool_controllers_announce_swap (holder->task, action, now);
       else
         send_order (holder, action);
       free (action);
@@ -412,7 +412,7 @@
 static void
 on_newest (LbErrorCode error, int64_t version, void *user)
 {
-  LnPoolHolder *holder = question_end (user);
+  LnPoolController *holder = question_end (user);
 
   if (!holder)
     return;
@@ -424,7 +424,7 @@
 }
 
 static void
-ask_newest (LnPoolHolder *holder, LbTime now)
+ask_newest (LnPoolController *holder, LbTime now)
 {
   LpPlatform *platform = holder->task->context->platform;
 
@@ -436,7 +436,7 @@
 }
 
 static void
-tell_newest (LnPoolHolder *holder, LbTime now)
+tell_newest (LnPoolController *holder, LbTime now)
 {
   LcWeightsStatus status;
 
@@ -445,11 +445,11 @@
     return;
   holder->told = status.target;
   holder->next_told = now + TELL_PERIOD;
-  ln_pool_holders_tell_newest (holder, &status);
+  ln_pool_controllers_announce_newest (holder, &status);
 }
 
 void
-ln_pool_holder_tick (LnPoolHolder *holder, LbTime now)
+ln_pool_controller_tick (LnPoolController *holder, LbTime now)
 {
   LbList actions;
 
--- a/packages/node/src/rollout/ln-pool-holders.c
+++ b/packages/node/src/rollout/ln-pool-controllers.c
@@ -1,4 +1,4 @@
-#include "ln-pool-holder.h"
+#include "ln-pool-controller.h"
 
 #include "lb-alloc.h"
 #include "lb-clock.h"
@@ -12,10 +12,10 @@
 
 #define CANDIDATES 3
 
-LnPoolHolder *
-ln_pool_holders_find (LnConfigTask *task, uint64_t serial)
+LnPoolController *
+ln_pool_controllers_find (LnConfigTask *task, uint64_t serial)
 {
-  LB_LIST_FOREACH (&task->holders, LnPoolHolder, link, holder)
+  LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, holder)
   {
     if (holder->serial == serial)
       return holder;
@@ -23,10 +23,10 @@
   return NULL;
 }
 
-static LnPoolHolder *
+static LnPoolController *
 find_pool (LnConfigTask *task, const char *pool)
 {
-  LB_LIST_FOREACH (&task->holders, LnPoolHolder, link, holder)
+  LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, holder)
   {
     if (strcmp (holder->pool, pool) == 0)
       return holder;
@@ -75,14 +75,14 @@
 static void
 update_ranks (LnConfigTask *task)
 {
-  LB_LIST_FOREACH (&task->holders, LnPoolHolder, link, holder)
+  LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, holder)
   {
     lc_lease_set_rank (holder->lease, rank_of (task, holder->pool));
   }
 }
 
 void
-ln_pool_holders_members_changed (LnConfigTask *task)
+ln_pool_controllers_update_ranks (LnConfigTask *task)
 {
   update_ranks (task);
 }
@@ -98,65 +98,66 @@
 
 /* A pool that has no engines any more has nobody to order; its lease lapses. */
 void
-ln_pool_holders_configure (LnConfigTask *task, const LcResourceSet *set)
+ln_pool_controllers_configure (LnConfigTask *task, const LcResourceSet *set)
 {
-  LB_LIST_FOREACH (&task->holders, LnPoolHolder, link, holder)
+  LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, holder)
   {
     if (has_engines (set, holder->pool))
       continue;
-    lb_list_remove (&task->holders, &holder->link);
-    ln_pool_holder_free (holder);
+    lb_list_remove (&task->pool_controllers, &holder->link);
+    ln_pool_controller_free (holder);
   }
   for (size_t i = 0; i < set->n_pools; i++)
     {
-      LnPoolHolder *holder = find_pool (task, set->pools[i].name);
+      LnPoolController *holder = find_pool (task, set->pools[i].name);
       if (!has_engines (set, set->pools[i].name))
         continue;
       if (!holder)
         {
-          holder = ln_pool_holder_new (task, set->pools[i].name, ++task->last_serial);
-          lb_list_append (&task->holders, &holder->link);
+          holder
+              = ln_pool_controller_new (task, set->pools[i].name, ++task->last_controller_serial);
+          lb_list_append (&task->pool_controllers, &holder->link);
         }
-      ln_pool_holder_configure (holder, set);
+      ln_pool_controller_configure (holder, set);
     }
   update_ranks (task);
 }
 
 void
-ln_pool_holders_tick (LnConfigTask *task, LbTime now)
+ln_pool_controllers_tick (LnConfigTask *task, LbTime now)
 {
-  LB_LIST_FOREACH (&task->holders, LnPoolHolder, link, holder)
+  LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, holder)
   {
-    ln_pool_holder_tick (holder, now);
+    ln_pool_controller_tick (holder, now);
   }
-  if (task->swaps)
+  if (task->unsent_swaps)
     {
       struct json_object *message = json_object_new_object ();
       json_object_object_add (message, "type", json_object_new_string ("swaps"));
-      json_object_object_add (message, "swaps", task->swaps);
-      task->swaps = NULL;
+      json_object_object_add (message, "swaps", task->unsent_swaps);
+      task->unsent_swaps = NULL;
       ln_config_send (task, "", message);
     }
 }
 
 void
-ln_pool_holders_drain (LnConfigTask *task)
+ln_pool_controllers_drain (LnConfigTask *task)
 {
   LbTime now = lb_clock_monotonic ();
 
   update_ranks (task);
-  LB_LIST_FOREACH (&task->holders, LnPoolHolder, link, holder)
+  LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, holder)
   {
-    ln_pool_holder_release (holder, now);
+    ln_pool_controller_release (holder, now);
   }
 }
 
 bool
-ln_pool_holders_are_released (const LnConfigTask *task)
+ln_pool_controllers_are_released (const LnConfigTask *task)
 {
   LbTime now = lb_clock_monotonic ();
 
-  LB_LIST_FOREACH (&task->holders, LnPoolHolder, link, holder)
+  LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, holder)
   {
     if (!lc_lease_is_released (holder->lease, now))
       return false;
@@ -165,18 +166,18 @@
 }
 
 void
-ln_pool_holders_clear (LnConfigTask *task)
+ln_pool_controllers_clear (LnConfigTask *task)
 {
   LbLink *link;
 
-  LB_LIST_FOREACH (&task->holders, LnPoolHolder, link, holder)
+  LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, holder)
   {
-    lb_list_remove (&task->holders, &holder->link);
-    ln_pool_holder_free (holder);
+    lb_list_remove (&task->pool_controllers, &holder->link);
+    ln_pool_controller_free (holder);
   }
-  while ((link = lb_list_pop (&task->questions)))
-    free (LB_CONTAINER (link, LnPoolQuestion, link));
-  json_object_put (task->swaps);
+  while ((link = lb_list_pop (&task->pool_operations)))
+    free (LB_CONTAINER (link, LnPoolOperation, link));
+  json_object_put (task->unsent_swaps);
 }
 
 /* --- what other tasks and instances are told --- */
@@ -196,7 +197,7 @@
 
 /* Peers are told once a tick, of all swaps together. */
 void
-ln_pool_holders_tell_swap (LnConfigTask *task, const LcWeightsAction *action, LbTime now)
+ln_pool_controllers_announce_swap (LnConfigTask *task, const LcWeightsAction *action, LbTime now)
 {
   struct json_object *swap = json_object_new_object ();
 
@@ -204,9 +205,9 @@
   json_object_object_add (swap, "endpoint", json_object_new_string (action->endpoint));
   json_object_object_add (swap, "pending", json_object_new_boolean (action->pending));
   json_object_object_add (swap, "for_ms", json_object_new_int64 ((action->until - now) / LB_MSEC));
-  if (!task->swaps)
-    task->swaps = json_object_new_array ();
-  json_object_array_add (task->swaps, swap);
+  if (!task->unsent_swaps)
+    task->unsent_swaps = json_object_new_array ();
+  json_object_array_add (task->unsent_swaps, swap);
 }
 
 static void
@@ -223,7 +224,7 @@
 }
 
 void
-ln_pool_holders_tell_newest (LnPoolHolder *holder, const LcWeightsStatus *status)
+ln_pool_controllers_announce_newest (LnPoolController *holder, const LcWeightsStatus *status)
 {
   struct json_object *message = json_object_new_object ();
 
@@ -238,7 +239,7 @@
 }
 
 void
-ln_pool_holders_tell_free (LnConfigTask *task, const char *pool)
+ln_pool_controllers_announce_release (LnConfigTask *task, const char *pool)
 {
   struct json_object *message = json_object_new_object ();
 
@@ -267,7 +268,7 @@
 static void
 receive_newest (LnConfigTask *task, struct json_object *message)
 {
-  LnPoolHolder *holder = find_pool (task, lb_json_text (message, "pool", ""));
+  LnPoolController *holder = find_pool (task, lb_json_text (message, "pool", ""));
   int64_t fence = lb_json_int (message, "fence", 0);
 
   if (!holder || fence < holder->heard_fence)
@@ -279,7 +280,7 @@
 
 /* False when the message is none of a pool's holder. */
 bool
-ln_pool_holders_receive (LnConfigTask *task, struct json_object *message)
+ln_pool_controllers_receive (LnConfigTask *task, struct json_object *message)
 {
   const char *type = lb_json_text (message, "type", "");
   LbTime now = lb_clock_monotonic ();
@@ -290,7 +291,7 @@
     receive_newest (task, message);
   else if (strcmp (type, "lease_free") == 0)
     {
-      LnPoolHolder *holder = find_pool (task, lb_json_text (message, "pool", ""));
+      LnPoolController *holder = find_pool (task, lb_json_text (message, "pool", ""));
       if (holder)
         lc_lease_read_soon (holder->lease, now);
     }
@@ -302,7 +303,7 @@
 /* --- status --- */
 
 static struct json_object *
-lease_json (const LnPoolHolder *holder)
+lease_json (const LnPoolController *holder)
 {
   struct json_object *object = json_object_new_object ();
   const LcLeaseRow *row = lc_lease_row (holder->lease);
@@ -317,7 +318,7 @@
 }
 
 static struct json_object *
-roll_out_json (const LnPoolHolder *holder)
+roll_out_json (const LnPoolController *holder)
 {
   LcWeightsStatus status;
   struct json_object *object = json_object_new_object ();
@@ -338,12 +339,12 @@
 
 /* Adds "leases", and "roll_outs" of those held here. */
 void
-ln_pool_holders_add_status (LnConfigTask *task, struct json_object *status)
+ln_pool_controllers_add_status (LnConfigTask *task, struct json_object *status)
 {
   struct json_object *leases = json_object_new_array ();
   struct json_object *roll_outs = json_object_new_array ();
 
-  LB_LIST_FOREACH (&task->holders, LnPoolHolder, link, holder)
+  LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, holder)
   {
     json_object_array_add (leases, lease_json (holder));
     if (lc_lease_is_held (holder->lease))
