--- a/packages/node/src/config/ln-desired.c
+++ b/packages/node/src/config/ln-desired.c
@@ -130,7 +130,8 @@
     }
   lb_log (LB_LOG_INFO, "version_named", LB_TEXT ("model", message.pool),
           LB_INT ("version", message.newest));
-  ln_weight_orders_newest (task->orders, message.pool, message.newest, lb_clock_monotonic ());
+  ln_weight_orders_set_newest_version (task->orders, message.pool, message.newest,
+                                       lb_clock_monotonic ());
   if (rollouts)
     LN_POST (task->task.hub, rollouts, message);
 }
@@ -206,7 +207,7 @@
 {
   Desired *task = user;
 
-  ln_engine_plans_note (task->plans, entry);
+  ln_engine_plans_update_engine (task->plans, entry);
 }
 
 static void
@@ -321,7 +322,7 @@
   tell_list (task, task->context->instance, asked_at);
   if (lc_roster_update (task->roster, list, n_list, asked_at, now))
     publish_endpoints (task);
-  ln_weight_orders_listed (task->orders, task->roster, asked_at, now);
+  ln_weight_orders_apply_list (task->orders, task->roster, asked_at, now);
   confirm_endpoints (task);
   tell_ready (task);
 }
@@ -345,7 +346,7 @@
 static bool
 wants_list (const Desired *task, LbTime now)
 {
-  return task->owns_batches || ln_weight_orders_is_held (task->orders)
+  return task->owns_batches || ln_weight_orders_has_lease (task->orders)
          || ln_catalog_wants_list (task->catalog, now);
 }
 
@@ -384,7 +385,7 @@
 static void
 note_orders (Desired *task)
 {
-  bool held = ln_weight_orders_is_held (task->orders);
+  bool held = ln_weight_orders_has_lease (task->orders);
   LnDutyMessage message = { .base = LN_MESSAGE (LN_DUTY), .duty = LN_DUTY_ORDERS, .held = held };
 
   if (held == task->orders_weights)
@@ -419,10 +420,10 @@
   ln_weight_orders_tick (task->orders, now);
   note_orders (task);
   ln_engine_plans_set_needed (task->plans,
-                              task->owns_batches || ln_weight_orders_is_held (task->orders)
-                                  || ln_weight_orders_is_candidate (task->orders),
+                              task->owns_batches || ln_weight_orders_has_lease (task->orders)
+                                  || ln_weight_orders_is_lease_candidate (task->orders),
                               now);
-  ln_engine_plans_tick (task->plans, task->roster, ln_weight_orders_is_held (task->orders), now);
+  ln_engine_plans_tick (task->plans, task->roster, ln_weight_orders_has_lease (task->orders), now);
 }
 
 static void
@@ -435,7 +436,7 @@
 static void
 note_demand (Desired *task, const LnDemandMessage *demand, LbTime now)
 {
-  ln_engine_plans_demand (task->plans, demand->model, demand->tokens, now);
+  ln_engine_plans_add_demand (task->plans, demand->model, demand->tokens, now);
   lc_subset_set_demand (ln_endpoint_list_subset (task->list), demand->model, demand->texts);
 }
 
@@ -444,7 +445,7 @@
 {
   lp_follow_set_wait (task->rows, message->is_left_out ? LEFT_OUT_WATCH_WAIT : WATCH_WAIT);
   if (!task->draining)
-    ln_weight_orders_members (task->orders, message);
+    ln_weight_orders_set_members (task->orders, message);
 }
 
 static void
@@ -473,7 +474,7 @@
 
   task->draining = true;
   ln_catalog_drain (task->catalog);
-  ln_weight_orders_release (task->orders, lb_clock_monotonic ());
+  ln_weight_orders_release_lease (task->orders, lb_clock_monotonic ());
 }
 
 static bool
@@ -481,7 +482,8 @@
 {
   const Desired *task = (const Desired *)base;
 
-  return !task->draining || ln_weight_orders_is_released (task->orders, lb_clock_monotonic ());
+  return !task->draining
+         || ln_weight_orders_is_lease_released (task->orders, lb_clock_monotonic ());
 }
 
 static void
--- a/packages/node/src/weights/ln-engine-plans.c
+++ b/packages/node/src/weights/ln-engine-plans.c
@@ -149,7 +149,7 @@
 }
 
 void
-ln_engine_plans_demand (LnEnginePlans *plans, const char *model, int64_t tokens, LbTime now)
+ln_engine_plans_add_demand (LnEnginePlans *plans, const char *model, int64_t tokens, LbTime now)
 {
   lc_demand_add (plans->demand, model, (double)tokens, now);
 }
@@ -244,7 +244,7 @@
 }
 
 void
-ln_engine_plans_note (LnEnginePlans *plans, const LcPlanEntry *entry)
+ln_engine_plans_update_engine (LnEnginePlans *plans, const LcPlanEntry *entry)
 {
   const LcPlanEntry *wanted = lc_engine_plan_find (&plans->wanted, entry->engine);
 
--- a/packages/node/src/weights/ln-engine-plans.h
+++ b/packages/node/src/weights/ln-engine-plans.h
@@ -17,9 +17,10 @@
  * at once, else now and then. */
 void ln_engine_plans_set_needed (LnEnginePlans *plans, bool needed, LbTime now);
 void ln_engine_plans_free (LnEnginePlans *plans);
-void ln_engine_plans_demand (LnEnginePlans *plans, const char *model, int64_t tokens, LbTime now);
+void
+ln_engine_plans_add_demand (LnEnginePlans *plans, const char *model, int64_t tokens, LbTime now);
 /* What this instance learnt of an engine that it ordered. */
-void ln_engine_plans_note (LnEnginePlans *plans, const LcPlanEntry *entry);
+void ln_engine_plans_update_engine (LnEnginePlans *plans, const LcPlanEntry *entry);
 void
 ln_engine_plans_tick (LnEnginePlans *plans, const LcRoster *roster, bool may_write, LbTime now);
 
--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -225,7 +225,10 @@
 }
 
 void
-ln_weight_orders_newest (LnWeightOrders *orders, const char *model, LcVersion version, LbTime now)
+ln_weight_orders_set_newest_version (LnWeightOrders *orders,
+                                     const char *model,
+                                     LcVersion version,
+                                     LbTime now)
 {
   lc_weights_newest (ensure_model (orders, model)->weights, version, now);
 }
@@ -267,10 +270,10 @@
 }
 
 void
-ln_weight_orders_listed (LnWeightOrders *orders,
-                         const LcRoster *roster,
-                         LbTime asked_at,
-                         LbTime now)
+ln_weight_orders_apply_list (LnWeightOrders *orders,
+                             const LcRoster *roster,
+                             LbTime asked_at,
+                             LbTime now)
 {
   for (size_t i = 0; i < lc_roster_count (roster); i++)
     {
@@ -505,31 +508,31 @@
 }
 
 void
-ln_weight_orders_members (LnWeightOrders *orders, const LnMembersMessage *members)
+ln_weight_orders_set_members (LnWeightOrders *orders, const LnMembersMessage *members)
 {
   ln_duty_lease_members (orders->lease, members);
 }
 
 void
-ln_weight_orders_release (LnWeightOrders *orders, LbTime now)
+ln_weight_orders_release_lease (LnWeightOrders *orders, LbTime now)
 {
   ln_duty_lease_release (orders->lease, now);
 }
 
 bool
-ln_weight_orders_is_held (const LnWeightOrders *orders)
+ln_weight_orders_has_lease (const LnWeightOrders *orders)
 {
   return ln_duty_lease_is_held (orders->lease);
 }
 
 bool
-ln_weight_orders_is_candidate (const LnWeightOrders *orders)
+ln_weight_orders_is_lease_candidate (const LnWeightOrders *orders)
 {
   return ln_duty_lease_is_candidate (orders->lease);
 }
 
 bool
-ln_weight_orders_is_released (const LnWeightOrders *orders, LbTime now)
+ln_weight_orders_is_lease_released (const LnWeightOrders *orders, LbTime now)
 {
   return ln_duty_lease_is_released (orders->lease, now);
 }
--- a/packages/node/src/weights/ln-weight-orders.h
+++ b/packages/node/src/weights/ln-weight-orders.h
@@ -17,18 +17,20 @@
 
 void ln_weight_orders_configure (LnWeightOrders *orders, const LcResourceSet *set);
 /* What the store's list told at asked_at. */
-void ln_weight_orders_listed (LnWeightOrders *orders,
-                              const LcRoster *roster,
-                              LbTime asked_at,
-                              LbTime now);
-void
-ln_weight_orders_newest (LnWeightOrders *orders, const char *model, LcVersion version, LbTime now);
-void ln_weight_orders_members (LnWeightOrders *orders, const LnMembersMessage *members);
+void ln_weight_orders_apply_list (LnWeightOrders *orders,
+                                  const LcRoster *roster,
+                                  LbTime asked_at,
+                                  LbTime now);
+void ln_weight_orders_set_newest_version (LnWeightOrders *orders,
+                                          const char *model,
+                                          LcVersion version,
+                                          LbTime now);
+void ln_weight_orders_set_members (LnWeightOrders *orders, const LnMembersMessage *members);
 void ln_weight_orders_tick (LnWeightOrders *orders, LbTime now);
-void ln_weight_orders_release (LnWeightOrders *orders, LbTime now);
-bool ln_weight_orders_is_held (const LnWeightOrders *orders);
+void ln_weight_orders_release_lease (LnWeightOrders *orders, LbTime now);
+bool ln_weight_orders_has_lease (const LnWeightOrders *orders);
 /* Among the few that may hold the lease next. */
-bool ln_weight_orders_is_candidate (const LnWeightOrders *orders);
-bool ln_weight_orders_is_released (const LnWeightOrders *orders, LbTime now);
+bool ln_weight_orders_is_lease_candidate (const LnWeightOrders *orders);
+bool ln_weight_orders_is_lease_released (const LnWeightOrders *orders, LbTime now);
 
 #endif
