--- a/packages/core/bench/bench-roster.c
+++ b/packages/core/bench/bench-roster.c
@@ -55,7 +55,7 @@
     {
       LcPlanEntry planned = { .version = 0 };
       fill (&list[i], &planned, i);
-      lc_engine_plan_note (&plan, &planned);
+      lc_engine_plan_put (&plan, &planned);
     }
   LbTime begun = lb_clock_monotonic ();
   lc_roster_update (roster, list, n, 1, 1);
--- a/packages/core/include/lc-desired.h
+++ b/packages/core/include/lc-desired.h
@@ -9,10 +9,10 @@
 
 typedef enum
 {
-  LC_ROUTE_REPEATABLE, /* a call that may run more than once */
-  LC_ROUTE_ONCE,       /* a call that runs at most once */
-  LC_ROUTE_STREAM,     /* a streamed answer */
-  LC_ROUTE_BATCH       /* a batch of samples, accepted now and run later */
+  LC_ROUTE_IDEMPOTENT,   /* a call that may run more than once */
+  LC_ROUTE_AT_MOST_ONCE, /* a call that runs at most once */
+  LC_ROUTE_STREAM,       /* a streamed answer */
+  LC_ROUTE_BATCH         /* a batch of samples, accepted now and run later */
 } LcRouteKind;
 
 #define LC_MAX_ROUTE_TARGETS 8
@@ -29,12 +29,12 @@
   LbName host;
   char prefix[128];
   LcRouteKind kind;
-  LbTime timeout;   /* longest time that a caller is kept waiting; 0: its deadline alone counts */
-  LbTime goal;      /* an answer within it is worth most */
-  LbTime give_up;   /* BATCH: an item may be given up so long after the submission; 0: never */
-  LbTime due;       /* BATCH: all results are wanted so long after the submission */
-  int64_t attempts; /* most endpoints that one request is sent to */
-  int priority;     /* larger first */
+  LbTime timeout; /* longest time that a caller is kept waiting; 0: its deadline alone counts */
+  LbTime latency_goal;  /* an answer within it is worth most */
+  LbTime item_expiry;   /* BATCH: an item may be given up so long after the submission; 0: never */
+  LbTime due_after;     /* BATCH: all results are wanted so long after the submission */
+  int64_t max_attempts; /* most endpoints that one request is sent to */
+  int priority;         /* larger first */
   bool resumable;
   bool is_public;      /* needs no key where organisations are declared */
   bool single_version; /* BATCH: a result must be of one weight version */
@@ -73,8 +73,8 @@
 {
   int64_t max_header_bytes;
   int64_t max_body_bytes;
-  LbTime header_time;
-  LbTime idle_time;
+  LbTime header_timeout;
+  LbTime idle_timeout;
 } LcCallerLimits;
 
 typedef struct
@@ -92,17 +92,18 @@
 LcDesired *lc_desired_new (int64_t version);
 LcDesired *lc_desired_ref (LcDesired *desired);
 void lc_desired_unref (LcDesired *desired);
-/* Both copy; lc_desired_sort comes after the last. */
+/* Both copy; lc_desired_sort_routes comes after the last. */
 void lc_desired_add_route (LcDesired *desired, const LcRoute *route);
 void lc_desired_add_service (LcDesired *desired, const LcService *service);
-void lc_desired_sort (LcDesired *desired);
+void lc_desired_sort_routes (LcDesired *desired);
 
 /* The route with the longest prefix that begins the path; NULL: none. */
-const LcRoute *lc_desired_route (const LcDesired *desired, const char *host, const char *path);
-const LcService *lc_desired_service (const LcDesired *desired, const char *name);
+const LcRoute *
+lc_desired_match_route (const LcDesired *desired, const char *host, const char *path);
+const LcService *lc_desired_find_service (const LcDesired *desired, const char *name);
 /* When a repeatable call that has heard nothing is worth a second attempt elsewhere; 0: never. */
-LbTime lc_route_hedge_after (const LcRoute *route);
+LbTime lc_route_hedge_delay (const LcRoute *route);
 /* One of the route's services by weight; draw is in 0..1. */
-const char *lc_route_service (const LcRoute *route, double draw);
+const char *lc_route_choose_service (const LcRoute *route, double draw);
 
 #endif
--- a/packages/core/include/lc-engine-plan.h
+++ b/packages/core/include/lc-engine-plan.h
@@ -29,7 +29,7 @@
 /* NULL: the plan does not name the engine. */
 const LcPlanEntry *lc_engine_plan_find (const LcEnginePlan *plan, const char *engine);
 /* Notes what became of an engine; true when that is news. */
-bool lc_engine_plan_note (LcEnginePlan *plan, const LcPlanEntry *entry);
+bool lc_engine_plan_put (LcEnginePlan *plan, const LcPlanEntry *entry);
 /* Takes out engines that are not among these. */
 bool lc_engine_plan_retain (LcEnginePlan *plan, const LcPlanEntry *engines, size_t n_engines);
 bool lc_engine_plan_is_same (const LcEnginePlan *a, const LcEnginePlan *b);
@@ -38,9 +38,9 @@
  */
 #define LC_ENGINE_PLAN_PARTS 16
 /* Entries of one part; the caller clears. */
-void lc_engine_plan_part (const LcEnginePlan *plan, size_t index, LcEnginePlan *part);
+void lc_engine_plan_copy_part (const LcEnginePlan *plan, size_t index, LcEnginePlan *part);
 /* All parts together; the caller clears. */
-void lc_engine_plan_join (const LcEnginePlan *parts, LcEnginePlan *plan);
+void lc_engine_plan_join_parts (const LcEnginePlan *parts, LcEnginePlan *plan);
 struct json_object *lc_engine_plan_to_json (const LcEnginePlan *plan);
 bool lc_engine_plan_from_json (struct json_object *object, LcEnginePlan *plan);
 
@@ -51,17 +51,17 @@
 void lc_demand_free (LcDemand *demand);
 void lc_demand_add (LcDemand *demand, const char *model, double tokens, LbTime now);
 bool lc_demand_is_empty (const LcDemand *demand); /* nobody has brought anything yet */
-double lc_demand_of (const LcDemand *demand, const char *model, LbTime now);
+double lc_demand_tokens (const LcDemand *demand, const char *model, LbTime now);
 
 /* Changes the plan so that engines are shared out by demand, evenly while there is none; every
  * model keeps one engine at least. True when it changed. engines holds each engine and the model
  * that it is used for now. */
-bool lc_engine_plan_divide (LcEnginePlan *plan,
-                            const LcPlanEntry *engines,
-                            size_t n_engines,
-                            const LbName *models,
-                            size_t n_models,
-                            const LcDemand *demand,
-                            LbTime now);
+bool lc_engine_plan_rebalance (LcEnginePlan *plan,
+                               const LcPlanEntry *engines,
+                               size_t n_engines,
+                               const LbName *models,
+                               size_t n_models,
+                               const LcDemand *demand,
+                               LbTime now);
 
 #endif
--- a/packages/core/include/lc-load-time.h
+++ b/packages/core/include/lc-load-time.h
@@ -15,12 +15,12 @@
 
 /* commands */
 /* The end of a load that was ordered so long ago has shown. */
-void lc_load_time_add (LcLoadTime *load, LbTime time);
+void lc_load_time_add_sample (LcLoadTime *load, LbTime time);
 
 /* queries */
 /* From the order to the first question. */
-LbTime lc_load_time_first (const LcLoadTime *load);
+LbTime lc_load_time_first_poll_delay (const LcLoadTime *load);
 /* From one question to the next. */
-LbTime lc_load_time_next (const LcLoadTime *load);
+LbTime lc_load_time_poll_interval (const LcLoadTime *load);
 
 #endif
--- a/packages/core/include/lc-organisations.h
+++ b/packages/core/include/lc-organisations.h
@@ -14,11 +14,11 @@
 } LcKeyDigest;
 
 /* Of the text by which a log names a key, with the NUL: eight hexadecimal digits of its digest. */
-#define LC_KEY_MARK_SIZE 9
+#define LC_KEY_LOG_ID_SIZE 9
 
 /* False when the library refuses, which it does for want of memory alone. */
-bool lc_key_digest (const char *key, LcKeyDigest *digest);
-void lc_key_mark (const LcKeyDigest *digest, char mark[LC_KEY_MARK_SIZE]);
+bool lc_key_compute_digest (const char *key, LcKeyDigest *digest);
+void lc_key_format_log_id (const LcKeyDigest *digest, char mark[LC_KEY_LOG_ID_SIZE]);
 /* The digest as text, 64 hexadecimal digits. */
 #define LC_KEY_DIGEST_TEXT_SIZE (2 * LC_KEY_DIGEST_SIZE + 1)
 void lc_key_digest_to_text (const LcKeyDigest *digest, char text[LC_KEY_DIGEST_TEXT_SIZE]);
@@ -49,8 +49,8 @@
 /* queries */
 size_t lc_organisations_count (const LcOrganisations *organisations);
 /* NULL: nobody holds the key. */
-const LcOrganisation *lc_organisations_holder (const LcOrganisations *organisations,
-                                               const LcKeyDigest *digest);
+const LcOrganisation *lc_organisations_find_by_key (const LcOrganisations *organisations,
+                                                    const LcKeyDigest *digest);
 /* NULL: none has the name. */
 const LcOrganisation *lc_organisations_find (const LcOrganisations *organisations,
                                              const char *name);
--- a/packages/core/include/lc-resources.h
+++ b/packages/core/include/lc-resources.h
@@ -74,7 +74,7 @@
   int64_t concurrency; /* requests at once the endpoint is sized for */
   /* The endpoint itself states `concurrency`: one that refuses a request below it is busy with
    * something else, an order for example, and is not smaller than it says. */
-  bool states_size;
+  bool reports_concurrency;
 } LcEndpointMember;
 
 /* A whole accepted configuration, immutable once built. */
@@ -103,9 +103,10 @@
 const char *lc_resource_kind_name (LcResourceKind kind);
 bool lc_resource_kind_from_name (const char *name, LcResourceKind *kind);
 
-const LcPool *lc_resource_set_pool (const LcResourceSet *set, const char *name);
-const LcSubscription *lc_resource_set_subscription (const LcResourceSet *set, const char *name);
-const LcEndpointMember *lc_resource_set_endpoint (const LcResourceSet *set, const char *name);
+const LcPool *lc_resource_set_find_pool (const LcResourceSet *set, const char *name);
+const LcSubscription *lc_resource_set_find_subscription (const LcResourceSet *set,
+                                                         const char *name);
+const LcEndpointMember *lc_resource_set_find_endpoint (const LcResourceSet *set, const char *name);
 /* The tightest bound of a subscription, in versions; INT64_MAX when none is declared. */
 int64_t lc_resource_set_max_lag (const LcResourceSet *set, const char *subscription);
 
--- a/packages/core/include/lc-swap-turns.h
+++ b/packages/core/include/lc-swap-turns.h
@@ -12,13 +12,13 @@
 } LcSwapCandidate;
 
 /* Index of the model whose engines lack fresh weights most; n when nobody wants a load. */
-size_t lc_swap_turns_next (const LcSwapCandidate *candidates, size_t n);
+size_t lc_swap_turns_choose_model (const LcSwapCandidate *candidates, size_t n);
 
 /* Share of the engines that load weights at full speed together; more at once slow one another
  * down. On all sizes known it is a fifth, rounded up. */
-#define LC_SWAP_TURNS_PERCENT 20
+#define LC_SWAP_TURNS_MAX_LOADING_PERCENT 20
 
 /* Engines that may load at once, of all models together. */
-size_t lc_swap_turns_most (size_t n_engines);
+size_t lc_swap_turns_max_loads (size_t n_engines);
 
 #endif
--- a/packages/core/include/lc-true-time.h
+++ b/packages/core/include/lc-true-time.h
@@ -9,6 +9,6 @@
  * that. No I/O. */
 
 /* The median; n > 0. */
-int64_t lc_true_time_lead (const int64_t *leads, size_t n);
+int64_t lc_true_time_median_offset (const int64_t *leads, size_t n);
 
 #endif
--- a/packages/core/include/lc-usage-reports.h
+++ b/packages/core/include/lc-usage-reports.h
@@ -12,18 +12,19 @@
 typedef struct
 {
   int64_t window_ms;
-  int64_t
-      settle_ms; /* after its end until its rows are taken to be whole, while the store is well */
-  int64_t latest_ms; /* after its end it is decided by whatever rows there are */
+  int64_t settle_delay_ms; /* after its end until its rows are taken to be whole, while the store is
+                              well */
+  int64_t max_delay_ms;    /* after its end it is decided by whatever rows there are */
 } LcUsageReportSettings;
 
 typedef enum
 {
-  LC_USAGE_READ,   /* the reports that were decided: answer with was_read */
-  LC_USAGE_COUNT,  /* add up the rows of the window: answer with counted */
-  LC_USAGE_DECIDE, /* write `text` for the window if nothing stands there: answer with decided */
-  LC_USAGE_SEND,   /* report `text`: answer with sent */
-  LC_USAGE_CLOSE   /* remove the window's rows and note that it was sent: answer with closed */
+  LC_USAGE_READ_REPORTS,  /* the reports that were decided: answer with was_read */
+  LC_USAGE_SUM_ROWS,      /* add up the rows of the window: answer with counted */
+  LC_USAGE_RECORD_REPORT, /* write `text` for the window if nothing stands there: answer with
+                             decided */
+  LC_USAGE_SEND_REPORT,   /* report `text`: answer with sent */
+  LC_USAGE_CLOSE_WINDOW /* remove the window's rows and note that it was sent: answer with closed */
 } LcUsageActionType;
 
 typedef struct
@@ -36,10 +37,10 @@
 /* How a report was received. */
 typedef enum
 {
-  LC_USAGE_TAKEN,
-  LC_USAGE_UNANSWERED, /* it may be taken, or be taken later */
-  LC_USAGE_REFUSED     /* not now, or not from this holder */
-} LcUsageReceipt;
+  LC_USAGE_ACCEPTED,
+  LC_USAGE_NO_ANSWER, /* it may be taken, or be taken later */
+  LC_USAGE_REFUSED    /* not now, or not from this holder */
+} LcUsageSendResult;
 
 typedef struct LcUsageReports LcUsageReports;
 
@@ -48,34 +49,41 @@
 
 /* commands */
 /* This instance has the duty from now on, and knows nothing of what earlier holders did. */
-void lc_usage_reports_begin (LcUsageReports *reports);
-void lc_usage_reports_end (LcUsageReports *reports);
+void lc_usage_reports_duty_acquired (LcUsageReports *reports);
+void lc_usage_reports_duty_lost (LcUsageReports *reports);
 /* A report that an earlier holder decided; before was_read. */
-void
-lc_usage_reports_found (LcUsageReports *reports, int64_t window, const char *text, bool is_sent);
+void lc_usage_reports_add_recorded (LcUsageReports *reports,
+                                    int64_t window,
+                                    const char *text,
+                                    bool is_sent);
 /* Rows of counts of the window stand in the store; before was_read. */
-void lc_usage_reports_has_rows (LcUsageReports *reports, int64_t window);
-void lc_usage_reports_was_read (LcUsageReports *reports, bool ok, LbTime now);
+void lc_usage_reports_add_row_window (LcUsageReports *reports, int64_t window);
+void lc_usage_reports_read_completed (LcUsageReports *reports, bool ok, LbTime now);
 /* counts: NULL: the rows could not be read. */
-void lc_usage_reports_counted (LcUsageReports *reports,
-                               int64_t window,
-                               LcUsageCounts *counts,
-                               LbTime now);
+void lc_usage_reports_sum_completed (LcUsageReports *reports,
+                                     int64_t window,
+                                     LcUsageCounts *counts,
+                                     LbTime now);
 /* other: what stands there already; NULL: nothing did, or the outcome is not known. */
-void lc_usage_reports_decided (
+void lc_usage_reports_record_completed (
     LcUsageReports *reports, int64_t window, bool ok, const char *other, LbTime now);
+void lc_usage_reports_send_completed (LcUsageReports *reports,
+                                      int64_t window,
+                                      LcUsageSendResult receipt,
+                                      LbTime now);
 void
-lc_usage_reports_sent (LcUsageReports *reports, int64_t window, LcUsageReceipt receipt, LbTime now);
-void lc_usage_reports_closed (LcUsageReports *reports, int64_t window, bool ok, LbTime now);
+lc_usage_reports_close_completed (LcUsageReports *reports, int64_t window, bool ok, LbTime now);
 /* The store failed to answer here. */
 void lc_usage_reports_store_failed (LcUsageReports *reports, LbTime now);
 /* The next thing to do; false: nothing now. true_ms: Unix milliseconds. */
-bool
-lc_usage_reports_next (LcUsageReports *reports, int64_t true_ms, LbTime now, LcUsageAction *action);
+bool lc_usage_reports_next_action (LcUsageReports *reports,
+                                   int64_t true_ms,
+                                   LbTime now,
+                                   LcUsageAction *action);
 
 /* queries */
 /* Another one each time that this instance gets the duty; 0: it does not have it. An answer to an
  * action of an earlier one must not be passed on: it would be taken for that of the present one. */
-int64_t lc_usage_reports_epoch (const LcUsageReports *reports);
+int64_t lc_usage_reports_duty_epoch (const LcUsageReports *reports);
 
 #endif
--- a/packages/core/include/lc-usage.h
+++ b/packages/core/include/lc-usage.h
@@ -19,9 +19,9 @@
 bool lc_usage_counts_add_text (LcUsageCounts *counts, const char *text, LbError *error);
 /* Raises counts to those of others where these are larger: of two rows of one start the later one
  * holds all that the earlier one does. */
-void lc_usage_counts_raise (LcUsageCounts *counts, const LcUsageCounts *others);
-void lc_usage_counts_add_all (LcUsageCounts *counts, const LcUsageCounts *others);
-int64_t lc_usage_counts_of (const LcUsageCounts *counts, const char *organisation);
+void lc_usage_counts_merge_maximum (LcUsageCounts *counts, const LcUsageCounts *others);
+void lc_usage_counts_add_counts (LcUsageCounts *counts, const LcUsageCounts *others);
+int64_t lc_usage_counts_get (const LcUsageCounts *counts, const char *organisation);
 /* By name, so that the same counts make the same text. The caller frees. */
 char *lc_usage_counts_to_text (LcUsageCounts *counts);
 
@@ -40,16 +40,16 @@
 
 /* commands */
 /* true_ms: Unix milliseconds when it began to run. */
-void lc_usage_began (LcUsage *usage, const char *organisation, int64_t true_ms);
-/* The next row to write, answered by lc_usage_written; its text is the caller's to free. Rows of
- * one window are at least `period` apart. False: there is none now. */
+void lc_usage_count_request (LcUsage *usage, const char *organisation, int64_t true_ms);
+/* The next row to write, answered by lc_usage_write_completed; its text is the caller's to free.
+ * Rows of one window are at least `period` apart. False: there is none now. */
 bool lc_usage_next_row (LcUsage *usage, LbTime period, LbTime now, LcUsageRow *row);
 /* Whether the write went through; one that did not is made again. */
-void lc_usage_written (LcUsage *usage, int64_t window, bool ok);
+void lc_usage_write_completed (LcUsage *usage, int64_t window, bool ok);
 /* Windows before this one are of no use any more. */
-void lc_usage_forget (LcUsage *usage, int64_t before);
+void lc_usage_remove_before (LcUsage *usage, int64_t before);
 
 /* queries */
-bool lc_usage_is_written (const LcUsage *usage);
+bool lc_usage_is_fully_written (const LcUsage *usage);
 
 #endif
--- a/packages/core/src/config/lc-config-confirm.c
+++ b/packages/core/src/config/lc-config-confirm.c
@@ -10,14 +10,15 @@
   LbTime rounds = HASH_COUNT (config->peers) / LC_CONFIG_ASKS_PER_PERIOD + 1;
   LbTime bound = 2 * rounds * LC_CONFIG_ASK_PERIOD;
 
-  return bound > config->settings.confirm_bound ? bound : config->settings.confirm_bound;
+  return bound > config->settings.max_confirmation_age ? bound
+                                                       : config->settings.max_confirmation_age;
 }
 
 bool
 lc_config_is_store_confirmed (const LcConfig *config, LbTime now)
 {
   return config->store_confirmed_at >= 0
-         && now - config->store_confirmed_at <= config->settings.confirm_bound;
+         && now - config->store_confirmed_at <= config->settings.max_confirmation_age;
 }
 
 /* Peers that answered an ASK which was sent at this time or later. */
@@ -62,7 +63,7 @@
 {
   for (const LcConfigPeer *peer = config->peers; peer; peer = peer->hh.next)
     if (!is_settled (config, peer) && peer->answered_to < now - answer_bound (config)
-        && peer->intent_at < now - config->settings.confirm_bound)
+        && peer->intent_at < now - config->settings.max_confirmation_age)
       return true;
   return false;
 }
--- a/packages/core/src/config/lc-config-query.c
+++ b/packages/core/src/config/lc-config-query.c
@@ -29,7 +29,7 @@
 
 /* True when some known instance is neither alive nor known to have left. */
 bool
-lc_config_has_unseen_members (const LcConfig *config)
+lc_config_has_absent_members (const LcConfig *config)
 {
   for (const LcConfigPeer *peer = config->peers; peer; peer = peer->hh.next)
     if (!peer->alive)
@@ -37,21 +37,21 @@
   return false;
 }
 
-LcInForce
-lc_config_in_force (const LcConfig *config, int64_t revision)
+LcActiveCount
+lc_config_count_active (const LcConfig *config, int64_t revision)
 {
-  LcInForce result = { .on = config->set->revision >= revision, .of = 1 };
+  LcActiveCount result = { .active = config->set->revision >= revision, .known = 1 };
 
   for (const LcConfigPeer *peer = config->peers; peer; peer = peer->hh.next)
     {
-      result.on += peer->revision >= revision;
-      result.of++;
+      result.active += peer->revision >= revision;
+      result.known++;
     }
   return result;
 }
 
 void
-lc_config_visit (const LcConfig *config, LcConfigVisit visit, void *user)
+lc_config_visit_instances (const LcConfig *config, LcConfigVisit visit, void *user)
 {
   visit (config->settings.instance, config->set->revision, true, false, user);
   for (const LcConfigPeer *peer = config->peers; peer; peer = peer->hh.next)
@@ -59,7 +59,7 @@
 }
 
 LbTime
-lc_config_next_tick (const LcConfig *config)
+lc_config_next_tick_at (const LcConfig *config)
 {
   return config->next_poll < config->next_ask ? config->next_poll : config->next_ask;
 }
--- a/packages/core/src/config/lc-config.c
+++ b/packages/core/src/config/lc-config.c
@@ -106,8 +106,8 @@
 {
   LbTime period = (LbTime)(HASH_COUNT (config->peers) + 1) * LB_SEC / HEAD_READS_PER_SECOND;
 
-  if (period < config->settings.poll)
-    period = config->settings.poll;
+  if (period < config->settings.min_poll_period)
+    period = config->settings.min_poll_period;
   return period + (LbTime)(period * POLL_JITTER * (2 * gsl_rng_uniform (config->rng) - 1));
 }
 
@@ -121,7 +121,7 @@
     return;
   config->ready = ready;
   lb_metric_set (&metric_ready, ready);
-  add_action (actions, LC_CONFIG_READY)->ready = ready;
+  add_action (actions, LC_CONFIG_READINESS_CHANGED)->ready = ready;
 }
 
 static LcConfigMessage *
@@ -139,7 +139,7 @@
 static void
 send_have (LcConfig *config, const char *to, LbTime asked_at, LbTime now, LbList *actions)
 {
-  LcConfigMessage *have = send (actions, to, LC_CONFIG_HAVE, config->set->revision);
+  LcConfigMessage *have = send (actions, to, LC_CONFIG_MESSAGE_STATUS, config->set->revision);
 
   have->asked_at = asked_at;
   have->confirmed
@@ -167,14 +167,15 @@
   lc_resource_set_free (config->set);
   config->set = set;
   lb_metric_set (&metric_revision, set->revision);
-  add_action (actions, LC_CONFIG_IN_FORCE)->set = set;
+  add_action (actions, LC_CONFIG_ACTIVATED)->set = set;
   return true;
 }
 
 static LcConfigMessage *
 ask (LcConfig *config, LcConfigPeer *peer, LbTime now, LbList *actions)
 {
-  LcConfigMessage *message = send (actions, peer->name, LC_CONFIG_ASK, config->set->revision);
+  LcConfigMessage *message
+      = send (actions, peer->name, LC_CONFIG_MESSAGE_QUERY, config->set->revision);
 
   peer->asked_at = now;
   message->asked_at = now;
@@ -202,9 +203,10 @@
 }
 
 /* The view of the membership. An instance that is missing from it stays known until
- * lc_config_forget: one that is cut off must not shrink the majority that the rest needs. */
+ * lc_config_remove_instance: one that is cut off must not shrink the majority that the rest needs.
+ */
 void
-lc_config_members (
+lc_config_update_members (
     LcConfig *config, const LcConfigMember *members, size_t n_members, LbTime now, LbList *actions)
 {
   LcConfigPeer *peer, *next;
@@ -228,7 +230,7 @@
       continue;
     peer->alive = false;
     if (peer->draining)
-      lc_config_forget (config, peer->name);
+      lc_config_remove_instance (config, peer->name);
   }
   if (!config->confirmed)
     ask_all (config, now, actions);
@@ -237,7 +239,7 @@
 
 /* The platform says that this instance is gone for good. */
 void
-lc_config_forget (LcConfig *config, const char *instance)
+lc_config_remove_instance (LcConfig *config, const char *instance)
 {
   LcConfigPeer *peer = find_peer (config, instance);
 
@@ -250,12 +252,12 @@
 /* The store named its head revision in a read that began at asked_at; set is given (and taken over)
  * when it is newer than what was in force then. */
 void
-lc_config_store_answered (LcConfig *config,
-                          int64_t revision,
-                          LcResourceSet *set,
-                          LbTime asked_at,
-                          LbTime now,
-                          LbList *actions)
+lc_config_store_read_completed (LcConfig *config,
+                                int64_t revision,
+                                LcResourceSet *set,
+                                LbTime asked_at,
+                                LbTime now,
+                                LbList *actions)
 {
   if (set)
     offer (config, set, actions);
@@ -271,7 +273,7 @@
 }
 
 void
-lc_config_store_failed (LcConfig *config, LbTime now, LbList *actions)
+lc_config_store_read_failed (LcConfig *config, LbTime now, LbList *actions)
 {
   config->next_poll = now + poll_period (config);
   update_ready (config, now, actions);
@@ -280,12 +282,12 @@
 /* This instance committed the change that made set (taken over): in force here, and news for all.
  */
 void
-lc_config_committed (LcConfig *config,
-                     LcResourceSet *set,
-                     struct json_object *change,
-                     LbTime asked_at,
-                     LbTime now,
-                     LbList *actions)
+lc_config_change_committed (LcConfig *config,
+                            LcResourceSet *set,
+                            struct json_object *change,
+                            LbTime asked_at,
+                            LbTime now,
+                            LbList *actions)
 {
   int64_t revision = set->revision;
 
@@ -294,7 +296,7 @@
   if (asked_at > config->store_confirmed_at)
     config->store_confirmed_at = asked_at;
   config->settled = config->announced;
-  send (actions, "", LC_CONFIG_NEWS, revision)->body = json_object_get (change);
+  send (actions, "", LC_CONFIG_MESSAGE_CHANGE, revision)->body = json_object_get (change);
   update_ready (config, now, actions);
 }
 
@@ -305,7 +307,7 @@
   if (peer->wanted_at > 0 && now - peer->wanted_at < LC_CONFIG_ASK_PERIOD)
     return;
   peer->wanted_at = now;
-  send (actions, peer->name, LC_CONFIG_WANT, config->set->revision);
+  send (actions, peer->name, LC_CONFIG_MESSAGE_FETCH, config->set->revision);
 }
 
 static void
@@ -377,34 +379,34 @@
 }
 
 void
-lc_config_receive (
+lc_config_message_received (
     LcConfig *config, const char *from, const LcConfigMessage *message, LbTime now, LbList *actions)
 {
   LcConfigPeer *peer = ensure_peer (config, from);
 
   if (message->revision > peer->revision)
     peer->revision = message->revision;
-  if (message->type == LC_CONFIG_HAVE)
+  if (message->type == LC_CONFIG_MESSAGE_STATUS)
     peer->confirmed = message->confirmed;
   switch (message->type)
     {
-    case LC_CONFIG_NEWS:
+    case LC_CONFIG_MESSAGE_CHANGE:
       receive_news (config, peer, message, now, actions);
       break;
-    case LC_CONFIG_ASK:
+    case LC_CONFIG_MESSAGE_QUERY:
       if (message->intent > 0)
         note_intent (peer, message, now);
       send_have (config, from, message->asked_at, now, actions);
       break;
-    case LC_CONFIG_HAVE:
+    case LC_CONFIG_MESSAGE_STATUS:
       receive_have (config, peer, message, now, actions);
       break;
-    case LC_CONFIG_WANT:
+    case LC_CONFIG_MESSAGE_FETCH:
       if (message->revision < config->set->revision)
-        send (actions, from, LC_CONFIG_SET, config->set->revision)->body
+        send (actions, from, LC_CONFIG_MESSAGE_SNAPSHOT, config->set->revision)->body
             = lc_resource_set_to_json (config->set);
       break;
-    case LC_CONFIG_SET:
+    case LC_CONFIG_MESSAGE_SNAPSHOT:
       receive_set (config, peer, message, now, actions);
       break;
     }
@@ -412,7 +414,7 @@
 }
 
 void
-lc_config_announce (LcConfig *config, LbTime now, LbList *actions)
+lc_config_announce_change (LcConfig *config, LbTime now, LbList *actions)
 {
   config->announced++;
   config->announced_at = now;
@@ -422,7 +424,7 @@
 
 /* The change that was announced is known not to have been committed. */
 void
-lc_config_settle (LcConfig *config, LbTime now, LbList *actions)
+lc_config_change_abandoned (LcConfig *config, LbTime now, LbList *actions)
 {
   config->settled = config->announced;
   send_have (config, "", 0, now, actions);
@@ -430,7 +432,7 @@
 
 /* Asks those that are not known to have the revision in force here. */
 void
-lc_config_ask_behind (LcConfig *config, LbTime now, LbList *actions)
+lc_config_query_outdated_peers (LcConfig *config, LbTime now, LbList *actions)
 {
   for (LcConfigPeer *peer = config->peers; peer; peer = peer->hh.next)
     if (peer->revision < config->set->revision)
@@ -464,8 +466,9 @@
   if (now >= config->next_ask)
     {
       config->next_ask = now + LC_CONFIG_ASK_PERIOD;
-      bool doubtful = !config->confirmed || config->store_confirmed_at < 0
-                      || now - config->store_confirmed_at > config->settings.confirm_bound / 4;
+      bool doubtful
+          = !config->confirmed || config->store_confirmed_at < 0
+            || now - config->store_confirmed_at > config->settings.max_confirmation_age / 4;
       if (doubtful)
         ask_some (config, now, actions);
     }
--- a/packages/core/src/config/lc-desired.c
+++ b/packages/core/src/config/lc-desired.c
@@ -62,7 +62,7 @@
 }
 
 void
-lc_desired_sort (LcDesired *desired)
+lc_desired_sort_routes (LcDesired *desired)
 {
   if (desired->n_routes > 0)
     qsort (desired->routes, desired->n_routes, sizeof *desired->routes, by_prefix_length);
@@ -79,7 +79,7 @@
 }
 
 const LcRoute *
-lc_desired_route (const LcDesired *desired, const char *host, const char *path)
+lc_desired_match_route (const LcDesired *desired, const char *host, const char *path)
 {
   for (size_t i = 0; i < desired->n_routes; i++)
     {
@@ -91,7 +91,7 @@
 }
 
 const LcService *
-lc_desired_service (const LcDesired *desired, const char *name)
+lc_desired_find_service (const LcDesired *desired, const char *name)
 {
   for (size_t i = 0; i < desired->n_services; i++)
     if (strcmp (desired->services[i].name, name) == 0)
@@ -103,15 +103,15 @@
  * deadline. A second attempt after this part of the goal still answers within it as a rule, and few
  * ordinary calls take so long. */
 LbTime
-lc_route_hedge_after (const LcRoute *route)
+lc_route_hedge_delay (const LcRoute *route)
 {
   if (!lb_switch_is_on (LB_SWITCH_HEDGING))
     return 0;
-  return route->kind == LC_ROUTE_REPEATABLE ? route->goal * HEDGE_PERCENT / 100 : 0;
+  return route->kind == LC_ROUTE_IDEMPOTENT ? route->latency_goal * HEDGE_PERCENT / 100 : 0;
 }
 
 const char *
-lc_route_service (const LcRoute *route, double draw)
+lc_route_choose_service (const LcRoute *route, double draw)
 {
   int64_t total = 0;
 
--- a/packages/core/src/config/lc-resources-check.c
+++ b/packages/core/src/config/lc-resources-check.c
@@ -31,7 +31,7 @@
   for (size_t i = 0; i < set->n_subscriptions; i++)
     {
       const LcSubscription *subscription = &set->subscriptions[i];
-      if (!lc_resource_set_pool (set, subscription->pool))
+      if (!lc_resource_set_find_pool (set, subscription->pool))
         return bad_reference (file, LC_RESOURCE_SUBSCRIPTION, subscription->name,
                               "pool: no such pool", error);
       if (subscription->scorer[0] && !has_service (set, subscription->scorer))
@@ -39,7 +39,7 @@
                               "scorer: no endpoint of type service has this pool", error);
     }
   for (size_t i = 0; i < set->n_bounds; i++)
-    if (!lc_resource_set_subscription (set, set->bounds[i].subscription))
+    if (!lc_resource_set_find_subscription (set, set->bounds[i].subscription))
       return bad_reference (file, LC_RESOURCE_VERSION_BOUND, set->bounds[i].name,
                             "subscription: no such subscription", error);
   return true;
@@ -80,11 +80,11 @@
 
   for (size_t i = 0; i < set->n_endpoints; i++)
     if (set->endpoints[i].kind == LC_ENDPOINT_ENGINE)
-      has_engine[lc_resource_set_pool (set, set->endpoints[i].pool) - set->pools] = true;
+      has_engine[lc_resource_set_find_pool (set, set->endpoints[i].pool) - set->pools] = true;
   for (size_t i = 0; ok && i < set->n_endpoints; i++)
     {
       const LcEndpointMember *endpoint = &set->endpoints[i];
-      const LcPool *pool = lc_resource_set_pool (set, endpoint->pool);
+      const LcPool *pool = lc_resource_set_find_pool (set, endpoint->pool);
       if (endpoint->kind == LC_ENDPOINT_SERVICE && pool && has_engine[pool - set->pools])
         ok = bad_reference (file, LC_RESOURCE_ENDPOINT, endpoint->name,
                             "pool: a service may not be in a pool that has engines", error);
@@ -99,7 +99,7 @@
   for (size_t i = 0; i < set->n_endpoints; i++)
     {
       const LcEndpointMember *endpoint = &set->endpoints[i];
-      if (endpoint->kind == LC_ENDPOINT_ENGINE && !lc_resource_set_pool (set, endpoint->pool))
+      if (endpoint->kind == LC_ENDPOINT_ENGINE && !lc_resource_set_find_pool (set, endpoint->pool))
         return bad_reference (file, LC_RESOURCE_ENDPOINT, endpoint->name, "pool: no such pool",
                               error);
     }
--- a/packages/core/src/config/lc-resources.c
+++ b/packages/core/src/config/lc-resources.c
@@ -523,19 +523,19 @@
 }
 
 const LcPool *
-lc_resource_set_pool (const LcResourceSet *set, const char *name)
+lc_resource_set_find_pool (const LcResourceSet *set, const char *name)
 {
   return find (set, LC_RESOURCE_POOL, name);
 }
 
 const LcSubscription *
-lc_resource_set_subscription (const LcResourceSet *set, const char *name)
+lc_resource_set_find_subscription (const LcResourceSet *set, const char *name)
 {
   return find (set, LC_RESOURCE_SUBSCRIPTION, name);
 }
 
 const LcEndpointMember *
-lc_resource_set_endpoint (const LcResourceSet *set, const char *name)
+lc_resource_set_find_endpoint (const LcResourceSet *set, const char *name)
 {
   return find (set, LC_RESOURCE_ENDPOINT, name);
 }
--- a/packages/core/src/dispatch/lc-admission.c
+++ b/packages/core/src/dispatch/lc-admission.c
@@ -47,13 +47,13 @@
       refuse (admission, LB_ERROR_UNAUTHORIZED, "the call carries no API key", 0);
       return;
     }
-  admission->has_digest = lc_key_digest (call->key, &admission->digest);
+  admission->has_digest = lc_key_compute_digest (call->key, &admission->digest);
   if (!admission->has_digest)
     {
       refuse (admission, LB_ERROR_NOT_READY, "the API key could not be hashed", RETRY_AFTER);
       return;
     }
-  holder = lc_organisations_holder (view->organisations, &admission->digest);
+  holder = lc_organisations_find_by_key (view->organisations, &admission->digest);
   if (holder)
     admission->organisation = *holder;
   if (holder && may_be_revoked (rules, age))
--- a/packages/core/src/endpoints/lc-endpoints-query.c
+++ b/packages/core/src/endpoints/lc-endpoints-query.c
@@ -55,9 +55,9 @@
 special_may_take (const LcEndpoint *endpoint, LbTime now)
 {
   const LcEndpointEntry *entry = lc_endpoint_entry (endpoint);
-  bool refuses
-      = now < entry->refused_until
-        || (endpoint->member.states_size && endpoint->swap_pending && now < endpoint->swap_until);
+  bool refuses = now < entry->refused_until
+                 || (endpoint->member.reports_concurrency && endpoint->swap_pending
+                     && now < endpoint->swap_until);
 
   return !refuses && is_heard (entry) && weights_are_known (entry, now)
          && endpoint->in_flight < lc_breaker_max_in_flight (&entry->breaker, now);
--- a/packages/core/src/endpoints/lc-endpoints.c
+++ b/packages/core/src/endpoints/lc-endpoints.c
@@ -379,7 +379,7 @@
 {
   LcEndpointEntry *entry = lc_endpoint_entry (endpoint);
 
-  if (!endpoint->member.states_size)
+  if (!endpoint->member.reports_concurrency)
     {
       lc_endpoint_request_ended (endpoint, kind, false, 0, 0, now);
       return;
--- a/packages/core/src/endpoints/lc-roster.c
+++ b/packages/core/src/endpoints/lc-roster.c
@@ -212,7 +212,7 @@
     return;
   LB_COPY (entry.engine, after->listed.name);
   LB_COPY (entry.model, planned->model);
-  lc_engine_plan_note (&roster->plan, &entry);
+  lc_engine_plan_put (&roster->plan, &entry);
 }
 
 static void
@@ -481,14 +481,14 @@
 static void
 add_pool (LcResourceSet *set, const char *model)
 {
-  if (lc_resource_set_pool (set, model))
+  if (lc_resource_set_find_pool (set, model))
     return;
   set->pools = lb_realloc (set->pools, (set->n_pools + 1) * sizeof *set->pools);
   LcPool *pool = &set->pools[set->n_pools++];
   memset (pool, 0, sizeof *pool);
   LB_COPY (pool->name, model);
   LB_COPY (pool->model, model);
-  pool->roll_out_percent = LC_SWAP_TURNS_PERCENT;
+  pool->roll_out_percent = LC_SWAP_TURNS_MAX_LOADING_PERCENT;
   pool->queue_limit = POOL_QUEUE_LIMIT;
 }
 
@@ -507,7 +507,7 @@
   LB_COPY (member->data_centre, listed->data_centre);
   member->leaving = listed->leaving;
   member->checks_fence = checks_fence;
-  member->states_size = true;
+  member->reports_concurrency = true;
   member->concurrency = listed->slots;
 }
 
--- a/packages/core/src/usage/lc-organisations.c
+++ b/packages/core/src/usage/lc-organisations.c
@@ -9,7 +9,7 @@
 #include <string.h>
 #include <uthash.h>
 
-#define MARK_BYTES ((LC_KEY_MARK_SIZE - 1) / 2)
+#define MARK_BYTES ((LC_KEY_LOG_ID_SIZE - 1) / 2)
 
 typedef struct
 {
@@ -32,7 +32,7 @@
 };
 
 bool
-lc_key_digest (const char *key, LcKeyDigest *digest)
+lc_key_compute_digest (const char *key, LcKeyDigest *digest)
 {
   return EVP_Digest (key, strlen (key), digest->bytes, NULL, EVP_sha256 (), NULL) == 1;
 }
@@ -45,7 +45,7 @@
 }
 
 void
-lc_key_mark (const LcKeyDigest *digest, char mark[LC_KEY_MARK_SIZE])
+lc_key_format_log_id (const LcKeyDigest *digest, char mark[LC_KEY_LOG_ID_SIZE])
 {
   bytes_to_text (digest->bytes, MARK_BYTES, mark);
 }
@@ -145,13 +145,13 @@
 lc_organisations_add_key (LcOrganisations *organisations, const LcKeyDigest *digest, LbError *error)
 {
   Key *key = find_key (organisations, digest);
-  char mark[LC_KEY_MARK_SIZE];
+  char mark[LC_KEY_LOG_ID_SIZE];
 
   if (key && key->holder == organisations->last)
     return true;
   if (key)
     {
-      lc_key_mark (digest, mark);
+      lc_key_format_log_id (digest, mark);
       return lb_error_set (error, LB_ERROR_BAD_VALUE, organisations->last->organisation.name,
                            "its key %s is that of %s as well", mark,
                            key->holder->organisation.name);
@@ -170,7 +170,7 @@
 }
 
 const LcOrganisation *
-lc_organisations_holder (const LcOrganisations *organisations, const LcKeyDigest *digest)
+lc_organisations_find_by_key (const LcOrganisations *organisations, const LcKeyDigest *digest)
 {
   const Key *key = find_key (organisations, digest);
 
--- a/packages/core/src/usage/lc-true-time.c
+++ b/packages/core/src/usage/lc-true-time.c
@@ -8,7 +8,7 @@
 
 /* Milliseconds since 1970 fit a double without loss. */
 int64_t
-lc_true_time_lead (const int64_t *leads, size_t n)
+lc_true_time_median_offset (const int64_t *leads, size_t n)
 {
   double *values = LB_NEW_ARRAY (double, n);
 
--- a/packages/core/src/usage/lc-usage-reports.c
+++ b/packages/core/src/usage/lc-usage-reports.c
@@ -82,7 +82,7 @@
 }
 
 void
-lc_usage_reports_begin (LcUsageReports *reports)
+lc_usage_reports_duty_acquired (LcUsageReports *reports)
 {
   drop_all (reports);
   reports->epoch++;
@@ -94,7 +94,7 @@
 }
 
 void
-lc_usage_reports_end (LcUsageReports *reports)
+lc_usage_reports_duty_lost (LcUsageReports *reports)
 {
   drop_all (reports);
   reports->active = false;
@@ -129,14 +129,17 @@
 }
 
 void
-lc_usage_reports_has_rows (LcUsageReports *reports, int64_t number)
+lc_usage_reports_add_row_window (LcUsageReports *reports, int64_t number)
 {
   if (reports->active && !reports->has_read)
     note_first (reports, number);
 }
 
 void
-lc_usage_reports_found (LcUsageReports *reports, int64_t number, const char *text, bool is_sent)
+lc_usage_reports_add_recorded (LcUsageReports *reports,
+                               int64_t number,
+                               const char *text,
+                               bool is_sent)
 {
   Window *window = NULL;
 
@@ -149,7 +152,7 @@
 }
 
 void
-lc_usage_reports_was_read (LcUsageReports *reports, bool ok, LbTime now)
+lc_usage_reports_read_completed (LcUsageReports *reports, bool ok, LbTime now)
 {
   reports->is_reading = false;
   reports->has_read = ok;
@@ -179,10 +182,10 @@
 }
 
 void
-lc_usage_reports_counted (LcUsageReports *reports,
-                          int64_t number,
-                          LcUsageCounts *counts,
-                          LbTime now)
+lc_usage_reports_sum_completed (LcUsageReports *reports,
+                                int64_t number,
+                                LcUsageCounts *counts,
+                                LbTime now)
 {
   Window *window = answered (reports, number, counts != NULL, now);
 
@@ -193,7 +196,7 @@
 }
 
 void
-lc_usage_reports_decided (
+lc_usage_reports_record_completed (
     LcUsageReports *reports, int64_t number, bool ok, const char *other, LbTime now)
 {
   Window *window = answered (reports, number, ok || other, now);
@@ -208,16 +211,19 @@
 }
 
 void
-lc_usage_reports_sent (LcUsageReports *reports, int64_t number, LcUsageReceipt receipt, LbTime now)
+lc_usage_reports_send_completed (LcUsageReports *reports,
+                                 int64_t number,
+                                 LcUsageSendResult receipt,
+                                 LbTime now)
 {
-  Window *window = answered (reports, number, receipt == LC_USAGE_TAKEN, now);
+  Window *window = answered (reports, number, receipt == LC_USAGE_ACCEPTED, now);
 
   if (window)
     window->state = WINDOW_SENT;
 }
 
 void
-lc_usage_reports_closed (LcUsageReports *reports, int64_t number, bool ok, LbTime now)
+lc_usage_reports_close_completed (LcUsageReports *reports, int64_t number, bool ok, LbTime now)
 {
   Window *window = answered (reports, number, ok, now);
 
@@ -257,9 +263,9 @@
   bool store_is_well
       = reports->store_failed_at == 0 || now - reports->store_failed_at >= STORE_RETURN;
 
-  if (since_end < reports->settings.settle_ms)
+  if (since_end < reports->settings.settle_delay_ms)
     return false;
-  return store_is_well || since_end >= reports->settings.latest_ms;
+  return store_is_well || since_end >= reports->settings.max_delay_ms;
 }
 
 static bool
@@ -272,16 +278,16 @@
   switch (window->state)
     {
     case WINDOW_OPEN:
-      *type = LC_USAGE_COUNT;
+      *type = LC_USAGE_SUM_ROWS;
       return is_whole (reports, window, true_ms, now);
     case WINDOW_COUNTED:
-      *type = LC_USAGE_DECIDE;
+      *type = LC_USAGE_RECORD_REPORT;
       return true;
     case WINDOW_DECIDED:
-      *type = LC_USAGE_SEND;
+      *type = LC_USAGE_SEND_REPORT;
       return true;
     case WINDOW_SENT:
-      *type = LC_USAGE_CLOSE;
+      *type = LC_USAGE_CLOSE_WINDOW;
       return true;
     case WINDOW_CLOSED:
       break;
@@ -295,12 +301,15 @@
   if (reports->is_reading || now < reports->read_again_at)
     return false;
   reports->is_reading = true;
-  *action = (LcUsageAction){ .type = LC_USAGE_READ };
+  *action = (LcUsageAction){ .type = LC_USAGE_READ_REPORTS };
   return true;
 }
 
 bool
-lc_usage_reports_next (LcUsageReports *reports, int64_t true_ms, LbTime now, LcUsageAction *action)
+lc_usage_reports_next_action (LcUsageReports *reports,
+                              int64_t true_ms,
+                              LbTime now,
+                              LcUsageAction *action)
 {
   int64_t present = true_ms / reports->settings.window_ms;
 
@@ -325,7 +334,7 @@
 }
 
 int64_t
-lc_usage_reports_epoch (const LcUsageReports *reports)
+lc_usage_reports_duty_epoch (const LcUsageReports *reports)
 {
   return reports->active ? reports->epoch : 0;
 }
--- a/packages/core/src/usage/lc-usage.c
+++ b/packages/core/src/usage/lc-usage.c
@@ -87,7 +87,7 @@
 }
 
 void
-lc_usage_counts_raise (LcUsageCounts *counts, const LcUsageCounts *others)
+lc_usage_counts_merge_maximum (LcUsageCounts *counts, const LcUsageCounts *others)
 {
   for (const Count *other = others->all; other; other = other->hh.next)
     {
@@ -98,14 +98,14 @@
 }
 
 void
-lc_usage_counts_add_all (LcUsageCounts *counts, const LcUsageCounts *others)
+lc_usage_counts_add_counts (LcUsageCounts *counts, const LcUsageCounts *others)
 {
   for (const Count *other = others->all; other; other = other->hh.next)
     lc_usage_counts_add (counts, other->organisation, other->requests);
 }
 
 int64_t
-lc_usage_counts_of (const LcUsageCounts *counts, const char *organisation)
+lc_usage_counts_get (const LcUsageCounts *counts, const char *organisation)
 {
   const Count *count = find (counts, organisation);
 
@@ -192,7 +192,7 @@
 }
 
 void
-lc_usage_began (LcUsage *usage, const char *organisation, int64_t true_ms)
+lc_usage_count_request (LcUsage *usage, const char *organisation, int64_t true_ms)
 {
   int64_t number = true_ms / usage->window_ms;
   Window *window = find_window (usage, number);
@@ -226,7 +226,7 @@
 }
 
 void
-lc_usage_written (LcUsage *usage, int64_t number, bool ok)
+lc_usage_write_completed (LcUsage *usage, int64_t number, bool ok)
 {
   Window *window = find_window (usage, number);
 
@@ -237,7 +237,7 @@
 }
 
 void
-lc_usage_forget (LcUsage *usage, int64_t before)
+lc_usage_remove_before (LcUsage *usage, int64_t before)
 {
   LB_LIST_FOREACH (&usage->windows, Window, link, window)
   {
@@ -247,7 +247,7 @@
 }
 
 bool
-lc_usage_is_written (const LcUsage *usage)
+lc_usage_is_fully_written (const LcUsage *usage)
 {
   LB_LIST_FOREACH (&usage->windows, Window, link, window)
   {
--- a/packages/core/src/weights/lc-engine-plan.c
+++ b/packages/core/src/weights/lc-engine-plan.c
@@ -92,7 +92,7 @@
 }
 
 bool
-lc_engine_plan_note (LcEnginePlan *plan, const LcPlanEntry *entry)
+lc_engine_plan_put (LcEnginePlan *plan, const LcPlanEntry *entry)
 {
   size_t place = place_of (plan, entry->engine);
 
@@ -158,7 +158,7 @@
 }
 
 void
-lc_engine_plan_part (const LcEnginePlan *plan, size_t index, LcEnginePlan *part)
+lc_engine_plan_copy_part (const LcEnginePlan *plan, size_t index, LcEnginePlan *part)
 {
   memset (part, 0, sizeof *part);
   for (size_t i = 0; i < plan->n_entries; i++)
@@ -173,7 +173,7 @@
 }
 
 void
-lc_engine_plan_join (const LcEnginePlan *parts, LcEnginePlan *plan)
+lc_engine_plan_join_parts (const LcEnginePlan *parts, LcEnginePlan *plan)
 {
   memset (plan, 0, sizeof *plan);
   for (size_t i = 0; i < LC_ENGINE_PLAN_PARTS; i++)
@@ -213,7 +213,7 @@
     LB_COPY (entry.engine, engine);
     LB_COPY (entry.model, lb_json_text (item, "model", ""));
     if (entry.model[0])
-      lc_engine_plan_note (plan, &entry);
+      lc_engine_plan_put (plan, &entry);
   }
   return true;
 }
@@ -291,7 +291,7 @@
 }
 
 double
-lc_demand_of (const LcDemand *demand, const char *model, LbTime now)
+lc_demand_tokens (const LcDemand *demand, const char *model, LbTime now)
 {
   const Work *work = find_work (demand, model);
 
@@ -329,11 +329,11 @@
   double total = 0;
 
   for (size_t i = 0; i < n_models; i++)
-    total += lc_demand_of (demand, models[i], now);
+    total += lc_demand_tokens (demand, models[i], now);
   for (size_t i = 0; i < n_models; i++)
     {
       double part
-          = total > 0 ? lc_demand_of (demand, models[i], now) / total : 1 / (double)n_models;
+          = total > 0 ? lc_demand_tokens (demand, models[i], now) / total : 1 / (double)n_models;
       shares[i] = (Share){ .name = models[i], .share = 1 + part * (double)(n_engines - n_models) };
     }
 }
@@ -385,7 +385,7 @@
         continue;
       LB_COPY (entry.engine, engines[i].engine);
       LB_COPY (entry.model, engines[i].model);
-      changed |= lc_engine_plan_note (plan, &entry);
+      changed |= lc_engine_plan_put (plan, &entry);
     }
   return changed;
 }
@@ -413,13 +413,13 @@
 }
 
 bool
-lc_engine_plan_divide (LcEnginePlan *plan,
-                       const LcPlanEntry *engines,
-                       size_t n_engines,
-                       const LbName *models,
-                       size_t n_models,
-                       const LcDemand *demand,
-                       LbTime now)
+lc_engine_plan_rebalance (LcEnginePlan *plan,
+                          const LcPlanEntry *engines,
+                          size_t n_engines,
+                          const LbName *models,
+                          size_t n_models,
+                          const LcDemand *demand,
+                          LbTime now)
 {
   Share *shares = LB_NEW_ARRAY (Share, n_models + 1);
   LcPlanEntry *wanted = lb_memdup (engines, n_engines * sizeof *engines);
--- a/packages/core/src/weights/lc-load-time.c
+++ b/packages/core/src/weights/lc-load-time.c
@@ -16,7 +16,7 @@
 #define MIN_NEXT (40 * LB_MSEC)
 
 void
-lc_load_time_add (LcLoadTime *load, LbTime time)
+lc_load_time_add_sample (LcLoadTime *load, LbTime time)
 {
   LbTime mean = load->mean > 0 ? load->mean : FIRST_MEAN;
 
@@ -30,13 +30,13 @@
 }
 
 LbTime
-lc_load_time_first (const LcLoadTime *load)
+lc_load_time_first_poll_delay (const LcLoadTime *load)
 {
   return (LbTime)(FIRST_PART * (double)mean_of (load));
 }
 
 LbTime
-lc_load_time_next (const LcLoadTime *load)
+lc_load_time_poll_interval (const LcLoadTime *load)
 {
   return lb_time_later ((LbTime)(NEXT_PART * (double)mean_of (load)), MIN_NEXT);
 }
--- a/packages/core/src/weights/lc-swap-turns.c
+++ b/packages/core/src/weights/lc-swap-turns.c
@@ -13,7 +13,7 @@
   double engines = (double)status->engines;
 
   return ((double)status->usable + (double)status->swapping) / engines
-         + ((double)status->done + (double)status->swapping) / engines / 100;
+         + ((double)status->on_target + (double)status->swapping) / engines / 100;
 }
 
 static bool
@@ -22,11 +22,11 @@
   const LcWeightsStatus *status = &candidate->status;
 
   return !candidate->blocked && status->engines > 0 && status->target > 0
-         && status->done + status->swapping < status->engines;
+         && status->on_target + status->swapping < status->engines;
 }
 
 size_t
-lc_swap_turns_next (const LcSwapCandidate *candidates, size_t n)
+lc_swap_turns_choose_model (const LcSwapCandidate *candidates, size_t n)
 {
   size_t best = n;
 
@@ -38,9 +38,9 @@
 }
 
 size_t
-lc_swap_turns_most (size_t n_engines)
+lc_swap_turns_max_loads (size_t n_engines)
 {
   if (!lb_switch_is_on (LB_SWITCH_LOADS_IN_TURN))
     return n_engines;
-  return (n_engines * LC_SWAP_TURNS_PERCENT + 99) / 100;
+  return (n_engines * LC_SWAP_TURNS_MAX_LOADING_PERCENT + 99) / 100;
 }
--- a/packages/core/src/weights/lc-weights.c
+++ b/packages/core/src/weights/lc-weights.c
@@ -53,12 +53,12 @@
   int64_t percent;
   int64_t limit; /* -1: percent counts */
   LbTime newest_at;
-  LbTime cadence;
+  LbTime version_interval;
   LbTime load_time; /* mean, from order to report */
   double tokens;    /* of the rate's bucket */
   LbTime tokens_at;
   LbTime restarted_at;
-  LcWeightsWait wait;
+  LcWeightsWaitReason wait_reason;
 };
 
 static LbMetric metric_orders
@@ -79,10 +79,10 @@
 {
   *settings = (LcWeightsSettings){ .orders_per_second = 60,
                                    .burst = 60,
-                                   .load_limit = 120 * LB_SEC,
-                                   .report_limit = 10 * LB_SEC,
-                                   .answer_limit = 10 * LB_SEC,
-                                   .patience = 30 * LB_SEC };
+                                   .load_timeout = 120 * LB_SEC,
+                                   .report_timeout = 10 * LB_SEC,
+                                   .first_report_timeout = 10 * LB_SEC,
+                                   .lost_engine_timeout = 30 * LB_SEC };
   LB_COPY (settings->pool, pool);
 }
 
@@ -164,7 +164,7 @@
 lc_weights_configure (LcWeights *weights, const LcResourceSet *set, LbTime now)
 {
   Engine *engine, *next;
-  const LcPool *pool = lc_resource_set_pool (set, weights->settings.pool);
+  const LcPool *pool = lc_resource_set_find_pool (set, weights->settings.pool);
 
   for (engine = weights->engines; engine; engine = engine->hh.next)
     engine->configured = false;
@@ -196,7 +196,7 @@
 }
 
 void
-lc_weights_newest (LcWeights *weights, LcVersion version, LbTime now)
+lc_weights_set_newest (LcWeights *weights, LcVersion version, LbTime now)
 {
   /* An answer that was late on the wire, or a replica that lags. */
   if (version <= weights->newest)
@@ -204,7 +204,8 @@
   if (weights->newest > 0)
     {
       LbTime interval = (now - weights->newest_at) / (version - weights->newest);
-      weights->cadence = weights->cadence == 0 ? interval : mean (weights->cadence, interval);
+      weights->version_interval
+          = weights->version_interval == 0 ? interval : mean (weights->version_interval, interval);
     }
   weights->newest = version;
   weights->newest_at = now;
@@ -216,7 +217,7 @@
  * once, and callers would find none. Each engine counts as out until it has told its state, and one
  * that is loading by anyone's order counts as a swap. */
 void
-lc_weights_restart (LcWeights *weights, LbTime now)
+lc_weights_lease_changed (LcWeights *weights, LbTime now)
 {
   weights->restarted_at = now;
   for (Engine *engine = weights->engines; engine; engine = engine->hh.next)
@@ -231,15 +232,15 @@
 }
 
 static void
-add_swap (Engine *engine, bool pending, LbTime until, LbList *actions)
+add_swap (Engine *engine, bool pending, LbTime expected_at, LbList *actions)
 {
   LcWeightsAction *action = LB_NEW (LcWeightsAction);
 
   engine->pending = pending;
-  action->type = LC_WEIGHTS_SWAP;
+  action->type = LC_WEIGHTS_UPDATE_ROUTING;
   LB_COPY (action->endpoint, engine->name);
   action->pending = pending;
-  action->until = until;
+  action->expected_at = expected_at;
   lb_list_append (actions, &action->link);
 }
 
@@ -290,7 +291,7 @@
 {
   if (engine->loading_since == 0)
     engine->loading_since = now;
-  if (now - engine->loading_since <= weights->settings.load_limit)
+  if (now - engine->loading_since <= weights->settings.load_timeout)
     {
       set_state (engine, ENGINE_SWAPPING, now);
       return;
@@ -306,17 +307,17 @@
 {
   return engine->ordered != 0 && !report->loading && report->version != engine->ordered
          && report->failed_version != engine->ordered
-         && report->asked_at < engine->ordered_at + ACCEPT_GRACE;
+         && report->requested_at < engine->ordered_at + ACCEPT_GRACE;
 }
 
 void
-lc_weights_report (
+lc_weights_report_received (
     LcWeights *weights, const char *name, const LcWeightReport *report, LbTime now, LbList *actions)
 {
   Engine *engine = find_engine (weights, name);
 
-  if (!engine || report->asked_at < weights->restarted_at
-      || report->asked_at < engine->report.asked_at)
+  if (!engine || report->requested_at < weights->restarted_at
+      || report->requested_at < engine->report.requested_at)
     return;
   engine->reported_at = now;
   if (is_before_order (engine, report))
@@ -340,7 +341,7 @@
 /* After a failure the order may have been taken or not: reports tell, and until then the engine
  * counts as in a swap. */
 void
-lc_weights_ordered (LcWeights *weights, const char *name, LbErrorCode error, LbTime now)
+lc_weights_order_answered (LcWeights *weights, const char *name, LbErrorCode error, LbTime now)
 {
   Engine *engine = find_engine (weights, name);
 
@@ -348,13 +349,13 @@
     return;
   note_failure (engine, now);
   set_state (engine, ENGINE_UNKNOWN, now);
-  engine->report.asked_at = now;
+  engine->report.requested_at = now;
 }
 
 static void
 note_silence (const LcWeights *weights, Engine *engine, LbTime now)
 {
-  if (now - engine->reported_at > weights->settings.report_limit)
+  if (now - engine->reported_at > weights->settings.report_timeout)
     set_state (engine, ENGINE_UNKNOWN, now);
 }
 
@@ -368,10 +369,11 @@
   size_t swapping;
   size_t failed;
   size_t refused; /* the target */
-  size_t done;
+  size_t on_target;
   size_t usable;
   size_t unknown;
-  bool waits_for_lost; /* an engine that does not serve has been out for less than the patience */
+  bool waits_for_lost; /* an engine that does not serve has been out for less than the
+                          lost_engine_timeout */
 } View;
 
 /* Not asked yet since the lease became ours, so that a holder before may have ordered it. For a
@@ -381,7 +383,7 @@
 may_be_swapping (const LcWeights *weights, const Engine *engine, LbTime now)
 {
   return engine->state == ENGINE_UNKNOWN && engine->reported_at < weights->restarted_at
-         && now - weights->restarted_at < weights->settings.answer_limit;
+         && now - weights->restarted_at < weights->settings.first_report_timeout;
 }
 
 static void
@@ -400,11 +402,11 @@
         {
           view->serving++;
           view->serving_capacity += engine->member.concurrency;
-          view->done += engine->report.version == weights->target;
+          view->on_target += engine->report.version == weights->target;
           view->usable += engine->report.version >= weights->target - 1;
         }
       else
-        view->waits_for_lost |= now - engine->out_since < weights->settings.patience;
+        view->waits_for_lost |= now - engine->out_since < weights->settings.lost_engine_timeout;
     }
 }
 
@@ -430,12 +432,13 @@
     limit = MIN_FAILED_TO_HALT;
   if (limit > MAX_FAILED_TO_HALT)
     limit = MAX_FAILED_TO_HALT;
-  return view->done == 0 && view->refused >= limit;
+  return view->on_target == 0 && view->refused >= limit;
 }
 
 /* Guards against live callers that find no engine while many are in a swap. What serves after this
  * one stops must still cover the live reserve, and one engine at least must serve. An engine that
- * is lost for good would hold up all others for ever; after the patience they go one at a time. */
+ * is lost for good would hold up all others for ever; after the lost_engine_timeout they go one at
+ * a time. */
 static bool
 leaves_capacity (const LcWeights *weights, const View *view, const Engine *engine)
 {
@@ -477,13 +480,13 @@
         bool fenced,
         bool unfenced,
         LbTime now,
-        LcWeightsWait *wait)
+        LcWeightsWaitReason *wait)
 {
   Engine *best = NULL;
   bool halted = is_halted (weights, view);
 
-  *wait = view->swapping > 0 ? LC_WEIGHTS_GOING
-                             : (view->unknown > 0 ? LC_WEIGHTS_UNKNOWN : LC_WEIGHTS_IDLE);
+  *wait = view->swapping > 0 ? LC_WEIGHTS_IN_PROGRESS
+                             : (view->unknown > 0 ? LC_WEIGHTS_STATE_UNKNOWN : LC_WEIGHTS_IDLE);
   for (Engine *engine = weights->engines; engine; engine = engine->hh.next)
     {
       if (!is_wanted (weights, engine))
@@ -516,7 +519,7 @@
   engine->ordered_at = now;
   weights->tokens -= 1;
   lb_metric_add (&metric_orders, 1);
-  action->type = LC_WEIGHTS_ORDER;
+  action->type = LC_WEIGHTS_ORDER_LOAD;
   LB_COPY (action->endpoint, engine->name);
   LB_COPY (action->address, engine->member.address);
   action->version = weights->target;
@@ -535,7 +538,7 @@
 }
 
 void
-lc_weights_set_limit (LcWeights *weights, int64_t limit)
+lc_weights_set_swap_limit (LcWeights *weights, int64_t limit)
 {
   weights->limit = limit;
 }
@@ -549,24 +552,24 @@
   refill (weights, now);
   for (engine = weights->engines; engine; engine = engine->hh.next)
     note_silence (weights, engine, now);
-  weights->wait = LC_WEIGHTS_IDLE;
+  weights->wait_reason = LC_WEIGHTS_IDLE;
   if (weights->target <= 0)
     return;
   for (;;)
     {
       look (weights, now, &view);
-      engine = choose (weights, &view, fenced, unfenced, now, &weights->wait);
+      engine = choose (weights, &view, fenced, unfenced, now, &weights->wait_reason);
       if (!engine)
         return;
       bool halted = is_halted (weights, &view);
       if (view.swapping >= (halted ? 1 : swap_limit (weights, &view)))
         {
-          weights->wait = halted ? LC_WEIGHTS_HALTED : LC_WEIGHTS_GOING;
+          weights->wait_reason = halted ? LC_WEIGHTS_HALTED : LC_WEIGHTS_IN_PROGRESS;
           return;
         }
       if (weights->tokens < 1)
         {
-          weights->wait = LC_WEIGHTS_RATE;
+          weights->wait_reason = LC_WEIGHTS_RATE_LIMITED;
           return;
         }
       order (weights, engine, now, actions);
@@ -580,18 +583,18 @@
 
   look (weights, now, &view);
   *status = (LcWeightsStatus){ .target = weights->target,
-                               .cadence = weights->cadence,
+                               .version_interval = weights->version_interval,
                                .engines = view.engines,
-                               .done = view.done,
+                               .on_target = view.on_target,
                                .usable = view.usable,
                                .swapping = view.swapping,
                                .unknown = view.unknown,
                                .failed = view.failed,
-                               .wait = weights->wait };
+                               .wait_reason = weights->wait_reason };
 }
 
 const char *
-lc_weights_wait_name (LcWeightsWait wait)
+lc_weights_wait_reason_name (LcWeightsWaitReason wait)
 {
   return wait_names[wait];
 }
--- a/packages/core/tests/fake-engines.h
+++ b/packages/core/tests/fake-engines.h
@@ -78,7 +78,7 @@
   lc_weights_settings_init (&settings, "reader");
   pool->weights = lc_weights_new (&settings);
   lc_weights_configure (pool->weights, pool->set, pool->now);
-  lc_weights_restart (pool->weights, pool->now);
+  lc_weights_lease_changed (pool->weights, pool->now);
 }
 
 static inline void
@@ -97,12 +97,12 @@
 
   lc_weights_settings_init (&settings, "reader");
   if (pool->answer_limit > 0)
-    settings.answer_limit = pool->answer_limit;
+    settings.first_report_timeout = pool->answer_limit;
   lc_weights_free (pool->weights);
   pool->weights = lc_weights_new (&settings);
   lc_weights_configure (pool->weights, pool->set, pool->now);
-  lc_weights_restart (pool->weights, pool->now);
-  lc_weights_newest (pool->weights, newest, pool->now);
+  lc_weights_lease_changed (pool->weights, pool->now);
+  lc_weights_set_newest (pool->weights, newest, pool->now);
 }
 
 static inline void
@@ -135,12 +135,12 @@
   LB_LIST_FOREACH (&actions, LcWeightsAction, link, action)
   {
     size_t i = (size_t)atoi (action->endpoint + strlen ("engine-"));
-    if (action->type != LC_WEIGHTS_ORDER)
+    if (action->type != LC_WEIGHTS_ORDER_LOAD)
       continue;
     pool->orders++;
     pool->engines[i].next_report = pool->now + pool->swap_period;
     if (pool->engines[i].dead)
-      lc_weights_ordered (pool->weights, action->endpoint, LB_ERROR_CLOSED, pool->now);
+      lc_weights_order_answered (pool->weights, action->endpoint, LB_ERROR_CLOSED, pool->now);
     else if (!pool->engines[i].ignores_orders)
       fake_engine_load (pool, i, action->version);
   }
@@ -151,7 +151,7 @@
 fake_engine_step (FakePool *pool, FakeEngine *engine)
 {
   LbList actions;
-  LcWeightReport report = { .asked_at = pool->now };
+  LcWeightReport report = { .requested_at = pool->now };
 
   if (engine->loading && pool->now >= engine->loaded_at)
     {
@@ -169,7 +169,7 @@
   report.failed_version = engine->failed;
   snprintf (report.incarnation, sizeof report.incarnation, "%d", engine->incarnation);
   lb_list_init (&actions);
-  lc_weights_report (pool->weights, engine->name, &report, pool->now, &actions);
+  lc_weights_report_received (pool->weights, engine->name, &report, pool->now, &actions);
   fake_pool_drop_actions (&actions);
 }
 
--- a/packages/core/tests/test-config.c
+++ b/packages/core/tests/test-config.c
@@ -16,7 +16,7 @@
 setup (void)
 {
   const LcConfigSettings settings
-      = { .instance = "i1", .confirm_bound = BOUND, .poll = LB_SEC, .seed = 7 };
+      = { .instance = "i1", .max_confirmation_age = BOUND, .min_poll_period = LB_SEC, .seed = 7 };
 
   now = START;
   lb_list_init (&actions);
@@ -59,19 +59,19 @@
 
   for (int i = 0; i < n; i++)
     members[i] = (LcConfigMember){ .name = names[i], .incarnation = "a", .alive = i < first_lost };
-  lc_config_members (config, members, (size_t)n, now, &actions);
+  lc_config_update_members (config, members, (size_t)n, now, &actions);
 }
 
 static void
 receive (const char *from, LcConfigMessage message)
 {
-  lc_config_receive (config, from, &message, now, &actions);
+  lc_config_message_received (config, from, &message, now, &actions);
 }
 
 static void
 have (const char *from, int64_t revision, LbTime asked_at)
 {
-  receive (from, (LcConfigMessage){ .type = LC_CONFIG_HAVE,
+  receive (from, (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_STATUS,
                                     .revision = revision,
                                     .asked_at = asked_at,
                                     .age = -1,
@@ -83,7 +83,7 @@
 {
   LcResourceSet *set = make_set (revision);
 
-  receive (from, (LcConfigMessage){ .type = LC_CONFIG_SET,
+  receive (from, (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_SNAPSHOT,
                                     .revision = revision,
                                     .body = lc_resource_set_to_json (set) });
   lc_resource_set_free (set);
@@ -94,8 +94,8 @@
 {
   bool newer = revision > lc_config_revision (config);
 
-  lc_config_store_answered (config, revision, newer ? make_set (revision) : NULL, now, now,
-                            &actions);
+  lc_config_store_read_completed (config, revision, newer ? make_set (revision) : NULL, now, now,
+                                  &actions);
 }
 
 static void
@@ -131,10 +131,11 @@
 {
   become_ready (4);
   struct json_object *change = json_tokener_parse ("{\"apply\": []}");
-  receive ("i2", (LcConfigMessage){ .type = LC_CONFIG_NEWS, .revision = 5, .body = change });
+  receive ("i2",
+           (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_CHANGE, .revision = 5, .body = change });
 
   cr_assert_eq (lc_config_revision (config), 5);
-  cr_assert_eq (count_sent ("i2", LC_CONFIG_HAVE), 1);
+  cr_assert_eq (count_sent ("i2", LC_CONFIG_MESSAGE_STATUS), 1);
   json_object_put (change);
 }
 
@@ -145,7 +146,8 @@
   become_ready (4);
   give_set ("i2", 6);
   struct json_object *change = json_tokener_parse ("{\"apply\": []}");
-  receive ("i2", (LcConfigMessage){ .type = LC_CONFIG_NEWS, .revision = 5, .body = change });
+  receive ("i2",
+           (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_CHANGE, .revision = 5, .body = change });
   give_set ("i3", 5);
 
   cr_assert_eq (lc_config_revision (config), 6);
@@ -161,7 +163,7 @@
   for (int i = 0; i < 10; i++)
     {
       tick_after (LB_SEC);
-      lc_config_store_answered (config, 5, make_set (5), now, now, &actions);
+      lc_config_store_read_completed (config, 5, make_set (5), now, now, &actions);
     }
 
   cr_assert_eq (lc_config_revision (config), 6);
@@ -174,9 +176,10 @@
 {
   become_ready (4);
   struct json_object *change = json_tokener_parse ("{\"apply\": []}");
-  receive ("i2", (LcConfigMessage){ .type = LC_CONFIG_NEWS, .revision = 6, .body = change });
+  receive ("i2",
+           (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_CHANGE, .revision = 6, .body = change });
   cr_assert_eq (lc_config_revision (config), 4);
-  cr_assert_eq (count_sent ("i2", LC_CONFIG_WANT), 1);
+  cr_assert_eq (count_sent ("i2", LC_CONFIG_MESSAGE_FETCH), 1);
   give_set ("i2", 6);
 
   cr_assert_eq (lc_config_revision (config), 6);
@@ -187,11 +190,11 @@
  * configuration if it served at once: it serves when most of its peers have told theirs. */
 Test (config, new_instance_with_the_store_away_waits_for_a_majority_of_peers)
 {
-  lc_config_store_failed (config, now, &actions);
+  lc_config_store_read_failed (config, now, &actions);
   tick_after (LB_SEC);
   cr_assert_not (lc_config_is_ready (config));
   see_members (3, 3);
-  cr_assert_eq (count_sent ("i2", LC_CONFIG_ASK), 1);
+  cr_assert_eq (count_sent ("i2", LC_CONFIG_MESSAGE_QUERY), 1);
   LbTime asked_at = now;
   now += LB_MSEC;
   have ("i2", 4, asked_at);
@@ -266,8 +269,8 @@
       have ("i2", 4, now);
     }
   cr_assert_not (lc_config_is_ready (config));
-  lc_config_forget (config, "i4");
-  lc_config_forget (config, "i5");
+  lc_config_remove_instance (config, "i4");
+  lc_config_remove_instance (config, "i5");
   tick_after (LB_SEC / 2);
 
   cr_assert (lc_config_is_ready (config), "the platform says that two are gone");
@@ -276,7 +279,7 @@
 static void
 announce (const char *from, int64_t intent)
 {
-  receive (from, (LcConfigMessage){ .type = LC_CONFIG_ASK,
+  receive (from, (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_QUERY,
                                     .revision = 4,
                                     .asked_at = now,
                                     .age = -1,
@@ -337,9 +340,11 @@
   see_members (3, 3);
   become_ready (4);
   announce ("i4", 1);
-  receive ("i4",
-           (LcConfigMessage){
-               .type = LC_CONFIG_HAVE, .revision = 4, .age = -1, .confirmed = true, .intent = 1 });
+  receive ("i4", (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_STATUS,
+                                    .revision = 4,
+                                    .age = -1,
+                                    .confirmed = true,
+                                    .intent = 1 });
   pass_without_store (60, false);
 
   cr_assert (lc_config_is_ready (config));
@@ -356,7 +361,8 @@
   pass_without_store (60, false);
   cr_assert (lc_config_is_ready (config), "by a newer revision");
 
-  receive ("i4", (LcConfigMessage){ .type = LC_CONFIG_ASK, .revision = 5, .age = -1, .intent = 2 });
+  receive ("i4", (LcConfigMessage){
+                     .type = LC_CONFIG_MESSAGE_QUERY, .revision = 5, .age = -1, .intent = 2 });
   now += 12 * LB_SEC;
   store_says (5);
   pass_without_store (60, false);
@@ -372,7 +378,7 @@
   tick_after (LB_SEC);
   LbTime asked_at = now;
   now += 60 * LB_SEC;
-  receive ("i2", (LcConfigMessage){ .type = LC_CONFIG_HAVE,
+  receive ("i2", (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_STATUS,
                                     .revision = 4,
                                     .asked_at = asked_at,
                                     .age = 0,
@@ -387,10 +393,10 @@
   see_members (2, 2);
   become_ready (4);
   have ("i2", 4, now);
-  cr_assert_eq (lc_config_in_force (config, 4).on, 2);
-  cr_assert_eq (lc_config_in_force (config, 4).of, 3);
+  cr_assert_eq (lc_config_count_active (config, 4).active, 2);
+  cr_assert_eq (lc_config_count_active (config, 4).known, 3);
   const LcConfigMember restarted = { .name = "i2", .incarnation = "b", .alive = true };
-  lc_config_members (config, &restarted, 1, now, &actions);
+  lc_config_update_members (config, &restarted, 1, now, &actions);
 
-  cr_assert_eq (lc_config_in_force (config, 4).on, 1);
+  cr_assert_eq (lc_config_count_active (config, 4).active, 1);
 }
--- a/packages/core/tests/test-desired.c
+++ b/packages/core/tests/test-desired.c
@@ -8,7 +8,7 @@
 static void
 add_route (LcDesired *desired, const char *name, const char *host, const char *prefix)
 {
-  LcRoute route = { .kind = LC_ROUTE_REPEATABLE };
+  LcRoute route = { .kind = LC_ROUTE_IDEMPOTENT };
 
   LB_COPY (route.name, name);
   LB_COPY (route.host, host);
@@ -19,7 +19,7 @@
 static const char *
 route_of (const LcDesired *desired, const char *host, const char *path)
 {
-  const LcRoute *route = lc_desired_route (desired, host, path);
+  const LcRoute *route = lc_desired_match_route (desired, host, path);
 
   return route ? route->name : "";
 }
@@ -33,7 +33,7 @@
   add_route (desired, "short", "shop.example", "/a/");
   add_route (desired, "long", "shop.example", "/a/b/");
   add_route (desired, "other", "mail.example", "/a/b/c/");
-  lc_desired_sort (desired);
+  lc_desired_sort_routes (desired);
   cr_assert_str_eq (route_of (desired, "shop.example", "/a/x"), "short");
   cr_assert_str_eq (route_of (desired, "shop.example", "/a/b/c/d"), "long");
   cr_assert_str_eq (route_of (desired, "SHOP.example:8080", "/a/b/"), "long");
@@ -57,8 +57,8 @@
 {
   LcRoute route = { .n_targets = 2, .targets = { { "a", 90 }, { "b", 10 } } };
 
-  cr_assert_str_eq (lc_route_service (&route, 0), "a");
-  cr_assert_str_eq (lc_route_service (&route, 0.89), "a");
-  cr_assert_str_eq (lc_route_service (&route, 0.91), "b");
-  cr_assert_str_eq (lc_route_service (&route, 1), "b");
+  cr_assert_str_eq (lc_route_choose_service (&route, 0), "a");
+  cr_assert_str_eq (lc_route_choose_service (&route, 0.89), "a");
+  cr_assert_str_eq (lc_route_choose_service (&route, 0.91), "b");
+  cr_assert_str_eq (lc_route_choose_service (&route, 1), "b");
 }
--- a/packages/core/tests/test-endpoints.c
+++ b/packages/core/tests/test-endpoints.c
@@ -384,7 +384,7 @@
   LbTime now = LB_SEC;
 
   fixture_init (&f, 1);
-  f.members[0].states_size = true;
+  f.members[0].reports_concurrency = true;
   fixture_configure (&f, now);
   LcEndpoint *engine = lc_endpoints_find (f.endpoints, "e0");
   for (int i = 0; i < 8; i++)
@@ -409,7 +409,7 @@
   LbTime now = LB_SEC;
 
   fixture_init (&f, 2);
-  f.members[0].states_size = true;
+  f.members[0].reports_concurrency = true;
   fixture_configure (&f, now);
   for (int i = 0; i < 2; i++)
     lc_endpoints_set_swap (f.endpoints, f.members[i].name, true, now + LB_SEC, now);
--- a/packages/core/tests/test-engine-plan.c
+++ b/packages/core/tests/test-engine-plan.c
@@ -45,7 +45,7 @@
   make_engines (engines);
   lc_demand_add (demand, "short", 1000, now);
   lc_demand_add (demand, "long", 4000, now);
-  cr_assert (lc_engine_plan_divide (&plan, engines, N, models, 2, demand, now));
+  cr_assert (lc_engine_plan_rebalance (&plan, engines, N, models, 2, demand, now));
   cr_assert_eq (count (&plan, "long"), 7);
   cr_assert_eq (count (&plan, "short"), 3);
   lc_engine_plan_clear (&plan);
@@ -63,9 +63,9 @@
   make_engines (engines);
   lc_demand_add (demand, "short", 1000, now);
   lc_demand_add (demand, "long", 1100, now);
-  lc_engine_plan_divide (&plan, engines, N, models, 2, demand, now);
+  lc_engine_plan_rebalance (&plan, engines, N, models, 2, demand, now);
   cr_assert_eq (count (&plan, "short"), 5);
-  cr_assert_not (lc_engine_plan_divide (&plan, engines, N, models, 2, demand, now));
+  cr_assert_not (lc_engine_plan_rebalance (&plan, engines, N, models, 2, demand, now));
   lc_engine_plan_clear (&plan);
   lc_demand_free (demand);
 }
@@ -79,7 +79,7 @@
 
   make_engines (engines);
   lc_demand_add (demand, "long", 1e9, now);
-  lc_engine_plan_divide (&plan, engines, N, models, 2, demand, now);
+  lc_engine_plan_rebalance (&plan, engines, N, models, 2, demand, now);
   cr_assert_eq (count (&plan, "short"), 1);
   lc_engine_plan_clear (&plan);
   lc_demand_free (demand);
@@ -90,8 +90,8 @@
   LcDemand *demand = lc_demand_new ();
 
   lc_demand_add (demand, "m", 800, LB_SEC);
-  cr_assert_float_eq (lc_demand_of (demand, "m", 21 * LB_SEC), 400, 1);
-  cr_assert_eq (lc_demand_of (demand, "other", LB_SEC), 0);
+  cr_assert_float_eq (lc_demand_tokens (demand, "m", 21 * LB_SEC), 400, 1);
+  cr_assert_eq (lc_demand_tokens (demand, "other", LB_SEC), 0);
   lc_demand_free (demand);
 }
 
@@ -105,16 +105,16 @@
   LbTime now = LB_SEC;
 
   make_engines (engines);
-  lc_engine_plan_divide (&plan, engines, N, models, 2, demand, now);
+  lc_engine_plan_rebalance (&plan, engines, N, models, 2, demand, now);
   LcPlanEntry loaded = { .version = 9 };
   LB_COPY (loaded.engine, "i-1");
   LB_COPY (loaded.model, "long");
-  lc_engine_plan_note (&plan, &loaded);
+  lc_engine_plan_put (&plan, &loaded);
   LB_COPY (engines[1].model, "short");
-  cr_assert (lc_engine_plan_divide (&plan, engines, N, models, 2, demand, now));
+  cr_assert (lc_engine_plan_rebalance (&plan, engines, N, models, 2, demand, now));
   cr_assert_str_eq (lc_engine_plan_find (&plan, "i-1")->model, "short");
   cr_assert_eq (lc_engine_plan_find (&plan, "i-1")->version, 0);
-  cr_assert (lc_engine_plan_divide (&plan, engines, N - 1, models, 2, demand, now));
+  cr_assert (lc_engine_plan_rebalance (&plan, engines, N - 1, models, 2, demand, now));
   cr_assert_null (lc_engine_plan_find (&plan, "i-9"), "one that has gone is named no more");
   lc_engine_plan_clear (&plan);
   lc_demand_free (demand);
@@ -128,7 +128,7 @@
 
   LB_COPY (entry.engine, "i-1");
   LB_COPY (entry.model, "m");
-  lc_engine_plan_note (&plan, &entry);
+  lc_engine_plan_put (&plan, &entry);
   struct json_object *object = lc_engine_plan_to_json (&plan);
   cr_assert (lc_engine_plan_from_json (object, &read));
   cr_assert (lc_engine_plan_is_same (&plan, &read));
@@ -149,7 +149,7 @@
       LcPlanEntry entry = { .version = (LcVersion)i };
       LB_COPY (entry.engine, names[i]);
       LB_COPY (entry.model, "m");
-      cr_assert (lc_engine_plan_note (&plan, &entry));
+      cr_assert (lc_engine_plan_put (&plan, &entry));
     }
   cr_assert_eq (plan.n_entries, 5);
   cr_assert_eq (lc_engine_plan_find (&plan, "i-1")->version, 4);
@@ -231,9 +231,9 @@
       gsl_rng_set (random, seed);
       draw_init (&draw, random);
       for (size_t i = 0; i < draw.n_engines; i++)
-        lc_engine_plan_note (&before, &draw.engines[i]);
-      lc_engine_plan_divide (&after, draw.engines, draw.n_engines, draw.models, draw.n_models,
-                             draw.demand, LB_SEC);
+        lc_engine_plan_put (&before, &draw.engines[i]);
+      lc_engine_plan_rebalance (&after, draw.engines, draw.n_engines, draw.models, draw.n_models,
+                                draw.demand, LB_SEC);
       cr_assert_eq (after.n_entries, draw.n_engines, "seed %lu", seed);
       if (draw.n_engines > draw.n_models && draw.n_models > 1)
         cr_assert_leq (unevenness (&draw, &after), unevenness (&draw, &before) + 1e-6, "seed %lu",
@@ -241,8 +241,8 @@
       for (size_t i = 0; i < draw.n_models; i++)
         cr_assert (count (&after, draw.models[i]) > 0 || count (&before, draw.models[i]) == 0,
                    "seed %lu: a model lost its last engine", seed);
-      cr_assert_not (lc_engine_plan_divide (&after, after.entries, after.n_entries, draw.models,
-                                            draw.n_models, draw.demand, LB_SEC),
+      cr_assert_not (lc_engine_plan_rebalance (&after, after.entries, after.n_entries, draw.models,
+                                               draw.n_models, draw.demand, LB_SEC),
                      "seed %lu: the same again moves nothing", seed);
       lc_engine_plan_clear (&before);
       lc_engine_plan_clear (&after);
@@ -278,7 +278,7 @@
   lc_demand_add (demand, "light", 800, LB_SEC);
   lc_demand_add (demand, "heavy", 1150, LB_SEC);
   lc_demand_add (demand, "middle", 1179, LB_SEC);
-  lc_engine_plan_divide (&plan, engines, 9, three, 3, demand, LB_SEC);
+  lc_engine_plan_rebalance (&plan, engines, 9, three, 3, demand, LB_SEC);
   cr_assert_eq (count (&plan, "light"), 3);
   cr_assert_eq (count (&plan, "heavy"), 3);
   cr_assert_eq (count (&plan, "middle"), 3);
@@ -298,7 +298,7 @@
 
   make_nine (engines, three, uses);
   cr_assert (lc_demand_is_empty (demand));
-  lc_engine_plan_divide (&plan, engines, 9, three, 3, demand, LB_SEC);
+  lc_engine_plan_rebalance (&plan, engines, 9, three, 3, demand, LB_SEC);
   cr_assert_eq (count (&plan, "a"), 3);
   cr_assert_eq (count (&plan, "b"), 3);
   cr_assert_eq (count (&plan, "c"), 3);
@@ -329,13 +329,13 @@
     }
   for (size_t i = 0; i < LC_ENGINE_PLAN_PARTS; i++)
     {
-      lc_engine_plan_part (&plan, i, &parts[i]);
+      lc_engine_plan_copy_part (&plan, i, &parts[i]);
       struct json_object *object = lc_engine_plan_to_json (&parts[i]);
       cr_assert_lt (strlen (json_object_to_json_string_ext (object, JSON_C_TO_STRING_PLAIN)),
                     ROW_BYTES);
       json_object_put (object);
     }
-  lc_engine_plan_join (parts, &joined);
+  lc_engine_plan_join_parts (parts, &joined);
   cr_assert (lc_engine_plan_is_same (&plan, &joined));
   for (size_t i = 0; i < LC_ENGINE_PLAN_PARTS; i++)
     lc_engine_plan_clear (&parts[i]);
--- a/packages/core/tests/test-load-time.c
+++ b/packages/core/tests/test-load-time.c
@@ -26,11 +26,11 @@
   for (int i = 0; i < N_LOADS; i++)
     {
       LbTime end = shows + (LbTime)((gsl_rng_uniform (rng) - 0.5) * (double)jitter);
-      LbTime at = first > 0 ? first : lc_load_time_first (&load);
+      LbTime at = first > 0 ? first : lc_load_time_first_poll_delay (&load);
       int n = 1;
       for (; at < end; n++)
-        at += next > 0 ? next : lc_load_time_next (&load);
-      lc_load_time_add (&load, at);
+        at += next > 0 ? next : lc_load_time_poll_interval (&load);
+      lc_load_time_add_sample (&load, at);
       if (i < N_LEARNING)
         continue;
       outcome.delay += (at - end) / (N_LOADS - N_LEARNING);
--- a/packages/core/tests/test-organisations.c
+++ b/packages/core/tests/test-organisations.c
@@ -15,7 +15,7 @@
 
   LB_COPY (organisation.name, name);
   cr_assert (lc_organisations_add (organisations, &organisation, NULL));
-  cr_assert (lc_key_digest (key, &digest));
+  cr_assert (lc_key_compute_digest (key, &digest));
   cr_assert (lc_organisations_add_key (organisations, &digest, NULL));
 }
 
@@ -141,7 +141,7 @@
 
   cr_assert_not (lc_organisations_add (organisations, &again, &error));
   cr_assert (lc_organisations_add (organisations, &third, &error));
-  lc_key_digest ("key-of-post", &digest);
+  lc_key_compute_digest ("key-of-post", &digest);
   cr_assert_not (lc_organisations_add_key (organisations, &digest, &error));
   cr_assert (strstr (error.detail, "post"));
   cr_assert_not (strstr (error.detail, "key-of-post"), "errors name keys by their mark alone");
@@ -153,7 +153,7 @@
   LcKeyDigest digest, same;
   char text[LC_KEY_DIGEST_TEXT_SIZE];
 
-  lc_key_digest ("abc", &digest);
+  lc_key_compute_digest ("abc", &digest);
   lc_key_digest_to_text (&digest, text);
   cr_assert_str_eq (text, "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
   cr_assert (lc_key_digest_from_text (text, &same));
--- a/packages/core/tests/test-resources.c
+++ b/packages/core/tests/test-resources.c
@@ -47,9 +47,9 @@
   struct json_object *second = lc_resource_set_to_json (again);
 
   cr_assert_eq (set->revision, 3);
-  cr_assert_float_eq (lc_resource_set_subscription (set, "t")->idle_weight, 0.1, 1e-9);
+  cr_assert_float_eq (lc_resource_set_find_subscription (set, "t")->idle_weight, 0.1, 1e-9);
   cr_assert_eq (lc_resource_set_max_lag (set, "t"), 2);
-  cr_assert_str_eq (lc_resource_set_endpoint (set, "e1")->address, "127.0.0.1:1");
+  cr_assert_str_eq (lc_resource_set_find_endpoint (set, "e1")->address, "127.0.0.1:1");
   cr_assert (json_object_equal (first, second));
   json_object_put (first);
   json_object_put (second);
@@ -124,8 +124,8 @@
                 &error);
 
   cr_assert_eq (next->n_endpoints, 5);
-  cr_assert_str_eq (lc_resource_set_endpoint (next, "e3")->address, "127.0.0.1:33");
-  cr_assert_str_eq (lc_resource_set_endpoint (next, "e9")->address, "127.0.0.1:9");
+  cr_assert_str_eq (lc_resource_set_find_endpoint (next, "e3")->address, "127.0.0.1:33");
+  cr_assert_str_eq (lc_resource_set_find_endpoint (next, "e9")->address, "127.0.0.1:9");
   assert_like_read_anew (next);
   lc_resource_set_free (set);
   lc_resource_set_free (next);
@@ -144,9 +144,9 @@
                 &error);
 
   cr_assert_eq (next->revision, 4);
-  cr_assert_null (lc_resource_set_endpoint (next, "e1"));
-  cr_assert_not_null (lc_resource_set_endpoint (next, "e2"));
-  cr_assert_eq (lc_resource_set_pool (next, "reader")->weight_version, 9);
+  cr_assert_null (lc_resource_set_find_endpoint (next, "e1"));
+  cr_assert_not_null (lc_resource_set_find_endpoint (next, "e2"));
+  cr_assert_eq (lc_resource_set_find_pool (next, "reader")->weight_version, 9);
   assert_like_read_anew (next);
   lc_resource_set_free (set);
   lc_resource_set_free (next);
--- a/packages/core/tests/test-roster.c
+++ b/packages/core/tests/test-roster.c
@@ -121,7 +121,7 @@
   for (int i = 0; i < N_ENGINES; i++)
     {
       snprintf (entry.engine, sizeof entry.engine, "i-%d", i);
-      lc_engine_plan_note (&plan, &entry);
+      lc_engine_plan_put (&plan, &entry);
     }
   cr_assert (lc_roster_set_plan (roster, &plan));
   cr_assert_eq (count_model (roster, "writer"), N_ENGINES);
@@ -144,7 +144,7 @@
   LcResourceSet *set = lc_roster_to_resources (roster, 5, true);
   cr_assert_eq (set->n_pools, 2);
   cr_assert_eq (set->n_endpoints, 2);
-  const LcEndpointMember *lookup = lc_resource_set_endpoint (set, "i-lookup");
+  const LcEndpointMember *lookup = lc_resource_set_find_endpoint (set, "i-lookup");
   cr_assert_eq (lookup->kind, LC_ENDPOINT_SERVICE);
   cr_assert_str_eq (lookup->pool, "lookup");
   cr_assert (lookup->leaving);
@@ -249,7 +249,7 @@
       lc_roster_update (roster, list, N_ENGINES, LB_SEC, LB_SEC);
       LB_COPY (planned.engine, "i-3");
       LB_COPY (planned.model, pools[i]);
-      lc_engine_plan_note (&plan, &planned);
+      lc_engine_plan_put (&plan, &planned);
       lc_roster_set_plan (roster, &plan);
       LB_COPY (list[3].name, "i-3@2");
       cr_assert (lc_roster_update (roster, list, N_ENGINES, 2 * LB_SEC, 2 * LB_SEC));
--- a/packages/core/tests/test-swap-turns.c
+++ b/packages/core/tests/test-swap-turns.c
@@ -7,7 +7,7 @@
 {
   return (LcSwapCandidate){
     .status
-    = { .target = 5, .engines = engines, .usable = usable, .done = done, .swapping = swapping }
+    = { .target = 5, .engines = engines, .usable = usable, .on_target = done, .swapping = swapping }
   };
 }
 
@@ -18,14 +18,14 @@
 {
   const LcSwapCandidate candidates[] = { candidate (5, 5, 3, 0), candidate (5, 1, 0, 0) };
 
-  cr_assert_eq (lc_swap_turns_next (candidates, 2), 1);
+  cr_assert_eq (lc_swap_turns_choose_model (candidates, 2), 1);
 }
 
 Test (swap_turns, among_equals_the_one_with_the_fewest_new_weights_is_next)
 {
   const LcSwapCandidate candidates[] = { candidate (5, 5, 3, 0), candidate (5, 5, 1, 0) };
 
-  cr_assert_eq (lc_swap_turns_next (candidates, 2), 1);
+  cr_assert_eq (lc_swap_turns_choose_model (candidates, 2), 1);
 }
 
 /* Two trainers name weights a second apart, each with engines that its next step can still use. All
@@ -35,7 +35,7 @@
 {
   const LcSwapCandidate candidates[] = { candidate (8, 6, 0, 2), candidate (8, 8, 0, 0) };
 
-  cr_assert_eq (lc_swap_turns_next (candidates, 2), 1);
+  cr_assert_eq (lc_swap_turns_choose_model (candidates, 2), 1);
 }
 
 Test (swap_turns, nobody_is_next_when_all_have_or_load_the_newest)
@@ -43,7 +43,7 @@
   LcSwapCandidate candidates[] = { candidate (5, 5, 4, 1), candidate (5, 2, 1, 0) };
 
   candidates[1].blocked = true;
-  cr_assert_eq (lc_swap_turns_next (candidates, 2), 2);
+  cr_assert_eq (lc_swap_turns_choose_model (candidates, 2), 2);
 }
 
 /* One of nine engines is taken away. Were the share rounded down, one engine would load at a time
@@ -51,11 +51,11 @@
  * waited 6 s for the first engine with weights that were new enough. */
 Test (swap_turns, a_fifth_of_the_engines_loads_at_once_rounded_up)
 {
-  cr_assert_eq (lc_swap_turns_most (9), 2);
-  cr_assert_eq (lc_swap_turns_most (8), 2);
-  cr_assert_eq (lc_swap_turns_most (38), 8);
-  cr_assert_eq (lc_swap_turns_most (44), 9);
-  cr_assert_eq (lc_swap_turns_most (5), 1);
-  cr_assert_eq (lc_swap_turns_most (1), 1);
-  cr_assert_eq (lc_swap_turns_most (0), 0);
+  cr_assert_eq (lc_swap_turns_max_loads (9), 2);
+  cr_assert_eq (lc_swap_turns_max_loads (8), 2);
+  cr_assert_eq (lc_swap_turns_max_loads (38), 8);
+  cr_assert_eq (lc_swap_turns_max_loads (44), 9);
+  cr_assert_eq (lc_swap_turns_max_loads (5), 1);
+  cr_assert_eq (lc_swap_turns_max_loads (1), 1);
+  cr_assert_eq (lc_swap_turns_max_loads (0), 0);
 }
--- a/packages/core/tests/test-usage-reports.c
+++ b/packages/core/tests/test-usage-reports.c
@@ -58,7 +58,7 @@
 world_init (unsigned long seed, bool faults)
 {
   const LcUsageReportSettings settings
-      = { .window_ms = WINDOW_MS, .settle_ms = SETTLE_MS, .latest_ms = LATEST_MS };
+      = { .window_ms = WINDOW_MS, .settle_delay_ms = SETTLE_MS, .max_delay_ms = LATEST_MS };
 
   memset (&w, 0, sizeof w);
   w.faults = faults;
@@ -114,7 +114,7 @@
       {
         w.calls[i] = (Call){ .used = true,
                              .holder = holder,
-                             .epoch = lc_usage_reports_epoch (w.holders[holder]),
+                             .epoch = lc_usage_reports_duty_epoch (w.holders[holder]),
                              .type = action->type,
                              .window = action->window,
                              .text = action->text ? lb_strdup (action->text) : NULL,
@@ -129,7 +129,7 @@
 static bool
 goes_to_platform (const Call *call)
 {
-  return call->type == LC_USAGE_SEND;
+  return call->type == LC_USAGE_SEND_REPORT;
 }
 
 static void
@@ -155,16 +155,16 @@
   call->ok = w.now >= away_until;
   if (!call->ok)
     return;
-  if (call->type == LC_USAGE_SEND)
+  if (call->type == LC_USAGE_SEND_REPORT)
     take_report (call);
-  else if (call->type == LC_USAGE_CLOSE)
+  else if (call->type == LC_USAGE_CLOSE_WINDOW)
     w.closed[call->window] = true;
-  else if (call->type == LC_USAGE_DECIDE && *row)
+  else if (call->type == LC_USAGE_RECORD_REPORT && *row)
     {
       call->ok = false;
       call->other = lb_strdup (*row);
     }
-  else if (call->type == LC_USAGE_DECIDE)
+  else if (call->type == LC_USAGE_RECORD_REPORT)
     *row = lb_strdup (call->text);
 }
 
@@ -173,10 +173,10 @@
 {
   for (int i = 0; call->ok && i < N_WINDOWS; i++)
     if (w.decided[i])
-      lc_usage_reports_found (reports, i, w.decided[i], w.closed[i]);
+      lc_usage_reports_add_recorded (reports, i, w.decided[i], w.closed[i]);
     else if (w.truth[i] > 0)
-      lc_usage_reports_has_rows (reports, i);
-  lc_usage_reports_was_read (reports, call->ok, w.now);
+      lc_usage_reports_add_row_window (reports, i);
+  lc_usage_reports_read_completed (reports, call->ok, w.now);
 }
 
 static void
@@ -185,7 +185,7 @@
   LcUsageCounts *counts = lc_usage_counts_new ();
 
   lc_usage_counts_add (counts, "post", w.truth[call->window]);
-  lc_usage_reports_counted (reports, call->window, call->ok ? counts : NULL, w.now);
+  lc_usage_reports_sum_completed (reports, call->window, call->ok ? counts : NULL, w.now);
   lc_usage_counts_free (counts);
 }
 
@@ -195,26 +195,26 @@
   LcUsageReports *reports = w.holders[call->holder];
   bool ok = call->ok && !call->answer_lost;
 
-  if (call->epoch != lc_usage_reports_epoch (reports))
+  if (call->epoch != lc_usage_reports_duty_epoch (reports))
     return;
   switch (call->type)
     {
-    case LC_USAGE_READ:
+    case LC_USAGE_READ_REPORTS:
       answer_read (reports, call);
       break;
-    case LC_USAGE_COUNT:
+    case LC_USAGE_SUM_ROWS:
       answer_count (reports, call);
       break;
-    case LC_USAGE_DECIDE:
-      lc_usage_reports_decided (reports, call->window, ok, call->answer_lost ? NULL : call->other,
-                                w.now);
+    case LC_USAGE_RECORD_REPORT:
+      lc_usage_reports_record_completed (reports, call->window, ok,
+                                         call->answer_lost ? NULL : call->other, w.now);
       break;
-    case LC_USAGE_SEND:
-      lc_usage_reports_sent (reports, call->window, ok ? LC_USAGE_TAKEN : LC_USAGE_UNANSWERED,
-                             w.now);
+    case LC_USAGE_SEND_REPORT:
+      lc_usage_reports_send_completed (reports, call->window,
+                                       ok ? LC_USAGE_ACCEPTED : LC_USAGE_NO_ANSWER, w.now);
       break;
-    case LC_USAGE_CLOSE:
-      lc_usage_reports_closed (reports, call->window, ok, w.now);
+    case LC_USAGE_CLOSE_WINDOW:
+      lc_usage_reports_close_completed (reports, call->window, ok, w.now);
       break;
     }
   if (!ok && !goes_to_platform (call))
@@ -247,8 +247,8 @@
       call_clear (call);
     }
   for (int i = 0; i < N_HOLDERS; i++)
-    while (lc_usage_reports_next (w.holders[i], true_ms (), w.now, &action))
-      if (action.type == LC_USAGE_READ || action.window < N_WINDOWS)
+    while (lc_usage_reports_next_action (w.holders[i], true_ms (), w.now, &action))
+      if (action.type == LC_USAGE_READ_REPORTS || action.window < N_WINDOWS)
         send (i, &action);
 }
 
@@ -258,9 +258,9 @@
   int holder = (int)gsl_rng_uniform_int (w.random, N_HOLDERS);
 
   if (chance (0.005))
-    lc_usage_reports_begin (w.holders[holder]);
+    lc_usage_reports_duty_acquired (w.holders[holder]);
   else if (chance (0.005))
-    lc_usage_reports_end (w.holders[holder]);
+    lc_usage_reports_duty_lost (w.holders[holder]);
   if (chance (0.003))
     w.store_away_until = w.now + (LbTime)(gsl_rng_uniform (w.random) * 6 * LB_SEC);
   if (chance (0.003))
@@ -281,7 +281,7 @@
 Test (usage_reports, each_window_is_reported_in_time)
 {
   world_init (1, false);
-  lc_usage_reports_begin (w.holders[0]);
+  lc_usage_reports_duty_acquired (w.holders[0]);
   while (true_ms () < 60000)
     turn ();
   for (int64_t window = 0; window < 11; window++)
@@ -298,15 +298,15 @@
 Test (usage_reports, the_next_holder_repeats_and_catches_up)
 {
   world_init (2, false);
-  lc_usage_reports_begin (w.holders[0]);
+  lc_usage_reports_duty_acquired (w.holders[0]);
   while (!w.decided[1])
     turn ();
-  lc_usage_reports_end (w.holders[0]);
+  lc_usage_reports_duty_lost (w.holders[0]);
   w.truth[1] += 7; /* rows that came too late for the decision */
   while (true_ms () < 25000)
     turn ();
   cr_assert_null (w.taken[2]);
-  lc_usage_reports_begin (w.holders[1]);
+  lc_usage_reports_duty_acquired (w.holders[1]);
   while (true_ms () < 28000)
     turn ();
   cr_assert_str_eq (w.taken[1], w.decided[1]);
@@ -320,7 +320,7 @@
 Test (usage_reports, a_window_is_not_decided_while_the_store_is_away)
 {
   world_init (3, false);
-  lc_usage_reports_begin (w.holders[0]);
+  lc_usage_reports_duty_acquired (w.holders[0]);
   while (true_ms () < 7400)
     turn ();
   w.store_away_until = w.now + 2 * LB_SEC;
@@ -343,7 +343,7 @@
   for (unsigned long seed = 1; seed <= n_seeds; seed++)
     {
       world_init (seed, true);
-      lc_usage_reports_begin (w.holders[0]);
+      lc_usage_reports_duty_acquired (w.holders[0]);
       while (true_ms () < (N_WINDOWS - 4) * WINDOW_MS)
         {
           turn ();
@@ -352,8 +352,8 @@
       w.faults = false;
       w.store_away_until = w.platform_away_until = 0;
       for (int i = 1; i < N_HOLDERS; i++)
-        lc_usage_reports_end (w.holders[i]);
-      lc_usage_reports_begin (w.holders[0]);
+        lc_usage_reports_duty_lost (w.holders[i]);
+      lc_usage_reports_duty_acquired (w.holders[0]);
       while (true_ms () < N_WINDOWS * WINDOW_MS)
         turn ();
       for (int64_t window = 0; window < N_WINDOWS - 4; window++)
@@ -368,9 +368,9 @@
 {
   LcUsageAction action;
 
-  cr_assert (lc_usage_reports_next (reports, 8 * 1000, now, &action));
+  cr_assert (lc_usage_reports_next_action (reports, 8 * 1000, now, &action));
   cr_assert_eq (action.type, type);
-  cr_assert_eq (action.window, type == LC_USAGE_READ ? action.window : 0);
+  cr_assert_eq (action.window, type == LC_USAGE_READ_REPORTS ? action.window : 0);
   return action.text;
 }
 
@@ -379,20 +379,20 @@
 Test (usage_reports, the_decision_that_stands_is_sent)
 {
   const LcUsageReportSettings settings
-      = { .window_ms = WINDOW_MS, .settle_ms = SETTLE_MS, .latest_ms = LATEST_MS };
+      = { .window_ms = WINDOW_MS, .settle_delay_ms = SETTLE_MS, .max_delay_ms = LATEST_MS };
   LcUsageReports *reports = lc_usage_reports_new (&settings);
   LcUsageCounts *counts = lc_usage_counts_new ();
 
   lc_usage_counts_add (counts, "post", 5);
-  lc_usage_reports_begin (reports);
-  next_text (reports, LC_USAGE_READ, 0);
-  lc_usage_reports_has_rows (reports, 0);
-  lc_usage_reports_was_read (reports, true, 0);
-  next_text (reports, LC_USAGE_COUNT, 0);
-  lc_usage_reports_counted (reports, 0, counts, 0);
-  cr_assert_str_eq (next_text (reports, LC_USAGE_DECIDE, 0), "{\"post\":5}");
-  lc_usage_reports_decided (reports, 0, false, "{\"post\":3}", 0);
-  cr_assert_str_eq (next_text (reports, LC_USAGE_SEND, 0), "{\"post\":3}");
+  lc_usage_reports_duty_acquired (reports);
+  next_text (reports, LC_USAGE_READ_REPORTS, 0);
+  lc_usage_reports_add_row_window (reports, 0);
+  lc_usage_reports_read_completed (reports, true, 0);
+  next_text (reports, LC_USAGE_SUM_ROWS, 0);
+  lc_usage_reports_sum_completed (reports, 0, counts, 0);
+  cr_assert_str_eq (next_text (reports, LC_USAGE_RECORD_REPORT, 0), "{\"post\":5}");
+  lc_usage_reports_record_completed (reports, 0, false, "{\"post\":3}", 0);
+  cr_assert_str_eq (next_text (reports, LC_USAGE_SEND_REPORT, 0), "{\"post\":3}");
   lc_usage_counts_free (counts);
   lc_usage_reports_free (reports);
 }
--- a/packages/core/tests/test-usage.c
+++ b/packages/core/tests/test-usage.c
@@ -22,15 +22,15 @@
 {
   LcUsage *usage = lc_usage_new (WINDOW_MS);
 
-  lc_usage_began (usage, "post", 4999);
-  lc_usage_began (usage, "mill", 5000);
-  lc_usage_began (usage, "mill", 9999);
+  lc_usage_count_request (usage, "post", 4999);
+  lc_usage_count_request (usage, "mill", 5000);
+  lc_usage_count_request (usage, "mill", 9999);
   assert_next (usage, 0, 0, "{\"post\":1}");
   assert_next (usage, 0, 1, "{\"mill\":2}");
-  cr_assert_not (lc_usage_is_written (usage));
-  lc_usage_written (usage, 0, true);
-  lc_usage_written (usage, 1, true);
-  cr_assert (lc_usage_is_written (usage));
+  cr_assert_not (lc_usage_is_fully_written (usage));
+  lc_usage_write_completed (usage, 0, true);
+  lc_usage_write_completed (usage, 1, true);
+  cr_assert (lc_usage_is_fully_written (usage));
   lc_usage_free (usage);
 }
 
@@ -41,11 +41,11 @@
   LcUsage *usage = lc_usage_new (WINDOW_MS);
   LcUsageRow row;
 
-  lc_usage_began (usage, "post", 1);
+  lc_usage_count_request (usage, "post", 1);
   assert_next (usage, 0, 0, "{\"post\":1}");
-  lc_usage_began (usage, "post", 2);
+  lc_usage_count_request (usage, "post", 2);
   cr_assert_not (lc_usage_next_row (usage, PERIOD, 10 * PERIOD, &row), "one is on its way");
-  lc_usage_written (usage, 0, true);
+  lc_usage_write_completed (usage, 0, true);
   cr_assert_not (lc_usage_next_row (usage, PERIOD, PERIOD - 1, &row));
   assert_next (usage, PERIOD, 0, "{\"post\":2}");
   lc_usage_free (usage);
@@ -56,14 +56,14 @@
 {
   LcUsage *usage = lc_usage_new (WINDOW_MS);
 
-  lc_usage_began (usage, "post", 1);
+  lc_usage_count_request (usage, "post", 1);
   assert_next (usage, 0, 0, "{\"post\":1}");
-  lc_usage_written (usage, 0, false);
-  cr_assert_not (lc_usage_is_written (usage));
+  lc_usage_write_completed (usage, 0, false);
+  cr_assert_not (lc_usage_is_fully_written (usage));
   assert_next (usage, PERIOD, 0, "{\"post\":1}");
-  lc_usage_written (usage, 0, true);
-  lc_usage_forget (usage, 1);
-  cr_assert (lc_usage_is_written (usage));
+  lc_usage_write_completed (usage, 0, true);
+  lc_usage_remove_before (usage, 1);
+  cr_assert (lc_usage_is_fully_written (usage));
   lc_usage_free (usage);
 }
 
@@ -78,12 +78,12 @@
 
   cr_assert (lc_usage_counts_add_text (start, "{\"post\":5,\"mill\":1}", &error));
   cr_assert (lc_usage_counts_add_text (old, "{\"post\":3}", &error));
-  lc_usage_counts_raise (start, old);
+  lc_usage_counts_merge_maximum (start, old);
   lc_usage_counts_add (total, "post", 2);
-  lc_usage_counts_add_all (total, start);
-  cr_assert_eq (lc_usage_counts_of (total, "post"), 7);
-  cr_assert_eq (lc_usage_counts_of (total, "mill"), 1);
-  cr_assert_eq (lc_usage_counts_of (total, "none"), 0);
+  lc_usage_counts_add_counts (total, start);
+  cr_assert_eq (lc_usage_counts_get (total, "post"), 7);
+  cr_assert_eq (lc_usage_counts_get (total, "mill"), 1);
+  cr_assert_eq (lc_usage_counts_get (total, "none"), 0);
   cr_assert_not (lc_usage_counts_add_text (total, "[1]", &error));
   cr_assert_eq (error.code, LB_ERROR_BAD_JSON);
   lc_usage_counts_free (start);
@@ -96,7 +96,7 @@
 Test (true_time, a_few_clocks_that_jump_change_nothing)
 {
   const int64_t leads[] = { 1003, 1001, 3002, 3001, 999, 1002, -998, 1000, 1001, 1004 };
-  int64_t lead = lc_true_time_lead (leads, sizeof leads / sizeof leads[0]);
+  int64_t lead = lc_true_time_median_offset (leads, sizeof leads / sizeof leads[0]);
 
   cr_assert_geq (lead, 1000);
   cr_assert_leq (lead, 1004);
--- a/packages/core/tests/test-weights.c
+++ b/packages/core/tests/test-weights.c
@@ -30,7 +30,7 @@
 
 Test (weights, roll_out_goes_in_waves_under_the_percent)
 {
-  lc_weights_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest (pool.weights, 41, pool.now);
   LbTime took = fake_pool_run_until_done (&pool, 41, 60 * LB_SEC);
 
   cr_assert_lt (took, 14 * LB_SEC);
@@ -38,7 +38,7 @@
   cr_assert_eq (pool.orders, 12);
   fake_pool_run (&pool, 10 * LB_SEC);
   cr_assert_eq (pool.orders, 12);
-  cr_assert_eq (status ().wait, LC_WEIGHTS_IDLE);
+  cr_assert_eq (status ().wait_reason, LC_WEIGHTS_IDLE);
 }
 
 /* Routing weighs an engine by when its new weights are expected; the guess becomes what is seen. */
@@ -46,17 +46,17 @@
 {
   LbList actions;
 
-  lc_weights_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest (pool.weights, 41, pool.now);
   fake_pool_run_until_done (&pool, 41, 60 * LB_SEC);
   fake_pool_run (&pool, LB_SEC);
-  lc_weights_newest (pool.weights, 42, pool.now);
+  lc_weights_set_newest (pool.weights, 42, pool.now);
   lb_list_init (&actions);
   lc_weights_tick (pool.weights, true, true, pool.now, &actions);
   const LcWeightsAction *swap = LB_LIST_FIRST (&actions, LcWeightsAction, link);
 
-  cr_assert_eq (swap->type, LC_WEIGHTS_SWAP);
-  cr_assert_geq (swap->until - pool.now, pool.load_time);
-  cr_assert_lt (swap->until - pool.now, pool.load_time + LB_SEC);
+  cr_assert_eq (swap->type, LC_WEIGHTS_UPDATE_ROUTING);
+  cr_assert_geq (swap->expected_at - pool.now, pool.load_time);
+  cr_assert_lt (swap->expected_at - pool.now, pool.load_time + LB_SEC);
   fake_pool_drop_actions (&actions);
 }
 
@@ -66,7 +66,7 @@
 {
   fake_pool_clear (&pool);
   fake_pool_init (&pool, 10, 100, 0.6, 40);
-  lc_weights_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest (pool.weights, 41, pool.now);
   fake_pool_run_until_done (&pool, 41, 60 * LB_SEC);
 
   cr_assert_eq (fake_pool_count (&pool, 41), 10);
@@ -78,7 +78,7 @@
 {
   fake_pool_clear (&pool);
   fake_pool_init (&pool, 2, 100, 0, 40);
-  lc_weights_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest (pool.weights, 41, pool.now);
   fake_pool_run_until_done (&pool, 41, 60 * LB_SEC);
 
   cr_assert_eq (fake_pool_count (&pool, 41), 2);
@@ -89,7 +89,7 @@
 {
   fake_pool_clear (&pool);
   fake_pool_init (&pool, 1, 25, 0.25, 40);
-  lc_weights_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest (pool.weights, 41, pool.now);
   fake_pool_run_until_done (&pool, 41, 60 * LB_SEC);
 
   cr_assert_eq (fake_pool_count (&pool, 41), 1);
@@ -99,7 +99,7 @@
 Test (weights, failed_load_is_tried_again_and_holds_up_nobody)
 {
   pool.engines[0].fail_loads = 1;
-  lc_weights_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest (pool.weights, 41, pool.now);
   fake_pool_run_until_done (&pool, 41, 60 * LB_SEC);
 
   cr_assert_eq (fake_pool_count (&pool, 41), 12);
@@ -112,7 +112,7 @@
 Test (weights, load_that_always_fails_is_tried_less_and_less)
 {
   pool.engines[0].fail_loads = 1000;
-  lc_weights_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest (pool.weights, 41, pool.now);
   fake_pool_run (&pool, 120 * LB_SEC);
 
   cr_assert_eq (fake_pool_count (&pool, 41), 11);
@@ -128,13 +128,13 @@
   LcWeightReport report = { .version = 40, .incarnation = "0" };
 
   fake_pool_run (&pool, 2 * LB_SEC);
-  lc_weights_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest (pool.weights, 41, pool.now);
   fake_pool_tick (&pool);
   cr_assert_eq (pool.orders, 3);
   lb_list_init (&actions);
-  report.asked_at = pool.now - 1;
+  report.requested_at = pool.now - 1;
   for (size_t i = 0; i < pool.n; i++)
-    lc_weights_report (pool.weights, pool.engines[i].name, &report, pool.now, &actions);
+    lc_weights_report_received (pool.weights, pool.engines[i].name, &report, pool.now, &actions);
   cr_assert (lb_list_is_empty (&actions), "routing must not be told that a swap is over");
   fake_pool_tick (&pool);
 
@@ -146,10 +146,10 @@
 Test (weights, lease_regained_mid_roll_out)
 {
   fake_pool_run (&pool, 2 * LB_SEC);
-  lc_weights_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest (pool.weights, 41, pool.now);
   for (size_t i = 9; i < 12; i++)
     fake_engine_load (&pool, i, 41);
-  lc_weights_restart (pool.weights, pool.now);
+  lc_weights_lease_changed (pool.weights, pool.now);
   fake_pool_run_until_done (&pool, 41, 60 * LB_SEC);
 
   cr_assert_eq (fake_pool_count (&pool, 41), 12);
@@ -162,14 +162,14 @@
 {
   for (size_t i = 0; i < pool.n; i++)
     pool.engines[i].fail_loads = 1000;
-  lc_weights_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest (pool.weights, 41, pool.now);
   fake_pool_run (&pool, 120 * LB_SEC);
   cr_assert_geq (fake_pool_count (&pool, 40), 3);
-  cr_assert_eq (status ().wait, LC_WEIGHTS_HALTED);
+  cr_assert_eq (status ().wait_reason, LC_WEIGHTS_HALTED);
 
   for (size_t i = 0; i < pool.n; i++)
     pool.engines[i].fail_loads = 0;
-  lc_weights_newest (pool.weights, 42, pool.now);
+  lc_weights_set_newest (pool.weights, 42, pool.now);
   LbTime took = fake_pool_run_until_done (&pool, 42, 60 * LB_SEC);
   cr_assert_lt (took, 20 * LB_SEC, "failures of 41 must not hold up 42");
   pool.set->pools[0].weight_version = 40;
@@ -182,7 +182,7 @@
  * began anew, six of twelve would be out at once. It reads them first and counts what loads. */
 Test (weights, crash_of_the_holder_mid_roll_out)
 {
-  lc_weights_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest (pool.weights, 41, pool.now);
   fake_pool_run (&pool, 3 * LB_SEC / 2);
   cr_assert_eq (pool.most_swapping, 3);
   fake_pool_new_holder (&pool, 41);
@@ -197,10 +197,10 @@
  * to the newest directly, and those that had the middle one come last. */
 Test (weights, newer_version_mid_roll_out)
 {
-  lc_weights_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest (pool.weights, 41, pool.now);
   fake_pool_run (&pool, 4 * LB_SEC);
   size_t had_41 = fake_pool_count (&pool, 41);
-  lc_weights_newest (pool.weights, 42, pool.now);
+  lc_weights_set_newest (pool.weights, 42, pool.now);
   fake_pool_run_until_done (&pool, 42, 60 * LB_SEC);
 
   cr_assert_eq (fake_pool_count (&pool, 42), 12);
@@ -216,7 +216,7 @@
 
   for (; version < 61; version++)
     {
-      lc_weights_newest (pool.weights, version, pool.now);
+      lc_weights_set_newest (pool.weights, version, pool.now);
       fake_pool_run (&pool, 3 * LB_SEC);
     }
   for (size_t i = 0; i < pool.n; i++)
@@ -228,7 +228,7 @@
 /* An operator rolls back as a new revision that names the version before. */
 Test (weights, roll_back_as_a_new_revision)
 {
-  lc_weights_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest (pool.weights, 41, pool.now);
   fake_pool_run (&pool, 5 * LB_SEC);
   pool.set->pools[0].weight_version = 40;
   lc_weights_configure (pool.weights, pool.set, pool.now);
@@ -242,7 +242,7 @@
  * seen by what the engine states, and ordered again. */
 Test (weights, engine_that_ignores_fences_is_read_back)
 {
-  lc_weights_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest (pool.weights, 41, pool.now);
   fake_pool_run_until_done (&pool, 41, 60 * LB_SEC);
   fake_engine_load (&pool, 3, 40);
   fake_pool_run (&pool, 3 * LB_SEC);
@@ -260,10 +260,10 @@
     pool.set->endpoints[i].checks_fence = false;
   lc_weights_configure (pool.weights, pool.set, pool.now);
   pool.unfenced = false;
-  lc_weights_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest (pool.weights, 41, pool.now);
   fake_pool_run (&pool, 60 * LB_SEC);
   cr_assert_eq (fake_pool_count (&pool, 41), 6);
-  cr_assert_eq (status ().wait, LC_WEIGHTS_NO_LEASE);
+  cr_assert_eq (status ().wait_reason, LC_WEIGHTS_NO_LEASE);
   pool.unfenced = true;
   fake_pool_run_until_done (&pool, 41, 60 * LB_SEC);
 
@@ -280,7 +280,7 @@
   pool.engines[1].dead = true;
   pool.engines[2].dead = true;
   fake_pool_run (&pool, 12 * LB_SEC);
-  lc_weights_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest (pool.weights, 41, pool.now);
   fake_pool_run (&pool, 20 * LB_SEC);
   cr_assert_eq (pool.engines[0].version, 40);
   fake_pool_run (&pool, 40 * LB_SEC);
@@ -293,7 +293,7 @@
 Test (weights, order_without_effect_is_given_again)
 {
   pool.engines[5].ignores_orders = true;
-  lc_weights_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest (pool.weights, 41, pool.now);
   fake_pool_run (&pool, 20 * LB_SEC);
   cr_assert_eq (fake_pool_count (&pool, 41), 11);
   pool.engines[5].ignores_orders = false;
@@ -309,7 +309,7 @@
   fake_pool_run (&pool, 2 * LB_SEC);
   for (size_t i = 0; i < 3; i++)
     pool.engines[i].dead = true;
-  lc_weights_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest (pool.weights, 41, pool.now);
 
   cr_assert_lt (fake_pool_run_until_done (&pool, 41, 60 * LB_SEC), 9 * LB_SEC);
 }
@@ -319,7 +319,7 @@
 {
   fake_pool_run (&pool, 2 * LB_SEC);
   pool.load_time = 10000 * LB_SEC;
-  lc_weights_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest (pool.weights, 41, pool.now);
   fake_pool_run (&pool, LB_SEC);
   pool.load_time = 2 * LB_SEC;
   fake_pool_run (&pool, 100 * LB_SEC);
@@ -334,14 +334,14 @@
 Test (weights, reports_from_before_the_restart_say_nothing)
 {
   LbList actions;
-  LcWeightReport report = { .version = 40, .incarnation = "0", .asked_at = pool.now };
+  LcWeightReport report = { .version = 40, .incarnation = "0", .requested_at = pool.now };
 
   lb_list_init (&actions);
   pool.now += LB_SEC;
-  lc_weights_newest (pool.weights, 41, pool.now);
-  lc_weights_restart (pool.weights, pool.now);
+  lc_weights_set_newest (pool.weights, 41, pool.now);
+  lc_weights_lease_changed (pool.weights, pool.now);
   for (size_t i = 0; i < pool.n; i++)
-    lc_weights_report (pool.weights, pool.engines[i].name, &report, pool.now, &actions);
+    lc_weights_report_received (pool.weights, pool.engines[i].name, &report, pool.now, &actions);
   fake_pool_tick (&pool);
 
   cr_assert_eq (pool.orders, 0);
@@ -399,7 +399,7 @@
 {
   for (size_t i = 0; i < 4; i++)
     pool.engines[i].ignores_orders = true;
-  lc_weights_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest (pool.weights, 41, pool.now);
   fake_pool_run (&pool, 60 * LB_SEC);
 
   cr_assert_eq (fake_pool_count (&pool, 41), 8);
@@ -408,9 +408,9 @@
 /* An answer of the weight store that was late names an older version: no engine goes back. */
 Test (weights, newest_never_goes_back)
 {
-  lc_weights_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest (pool.weights, 41, pool.now);
   fake_pool_run_until_done (&pool, 41, 60 * LB_SEC);
-  lc_weights_newest (pool.weights, 40, pool.now);
+  lc_weights_set_newest (pool.weights, 40, pool.now);
   fake_pool_run (&pool, 20 * LB_SEC);
 
   cr_assert_eq (fake_pool_count (&pool, 41), 12);
@@ -421,7 +421,7 @@
   fake_pool_clear (&pool);
   fake_pool_init (&pool, 600, 100, 0, 40);
   fake_pool_run (&pool, 2 * LB_SEC);
-  lc_weights_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest (pool.weights, 41, pool.now);
   fake_pool_run (&pool, LB_SEC);
 
   cr_assert_leq (pool.orders, 60 + 60 + 3);
@@ -435,7 +435,7 @@
   switch (gsl_rng_uniform_int (rng, 6))
     {
     case 0:
-      lc_weights_newest (pool.weights, ++*version, pool.now);
+      lc_weights_set_newest (pool.weights, ++*version, pool.now);
       break;
     case 1:
       fake_pool_new_holder (&pool, *version);
@@ -469,7 +469,7 @@
   LcVersion version = 41;
 
   gsl_rng_set (rng, 11);
-  lc_weights_newest (pool.weights, version, pool.now);
+  lc_weights_set_newest (pool.weights, version, pool.now);
   for (int i = 0; i < 2000; i++)
     {
       strike (rng, &version);
--- a/packages/node/src/batch/ln-batch-calls.c
+++ b/packages/node/src/batch/ln-batch-calls.c
@@ -348,7 +348,7 @@
   const LcRoute *route = NULL;
 
   if (kind_of (in->kind) == LN_BATCH_CALL_SUBMIT)
-    route = lc_desired_route (batches->belief.desired, in->host, ln_exchange_path (exchange));
+    route = lc_desired_match_route (batches->belief.desired, in->host, ln_exchange_path (exchange));
   return route && route->is_public;
 }
 
--- a/packages/node/src/batch/ln-batch-owner.c
+++ b/packages/node/src/batch/ln-batch-owner.c
@@ -61,16 +61,16 @@
 {
   const LcDesired *desired = batch->batches->belief.desired;
 
-  return desired ? lc_desired_route (desired, batch->head.host, batch->head.path) : NULL;
+  return desired ? lc_desired_match_route (desired, batch->head.host, batch->head.path) : NULL;
 }
 
 static int64_t
 tokens_per_event (const LnBatch *batch)
 {
   const LcRoute *route = route_of (batch);
-  const LcService *service
-      = route ? lc_desired_service (batch->batches->belief.desired, lc_route_service (route, 0))
-              : NULL;
+  const LcService *service = route ? lc_desired_find_service (batch->batches->belief.desired,
+                                                              lc_route_choose_service (route, 0))
+                                   : NULL;
 
   return service && service->tokens_per_event > 0 ? service->tokens_per_event : 1;
 }
@@ -153,7 +153,7 @@
   const LcBatchItemSpec *item = &lc_batch_get_spec (batch->run)->items[action->item_index];
   const LcDesired *desired = batch->batches->belief.desired;
   const LcRoute *route
-      = desired ? lc_desired_route (desired, item->scorer.host, item->scorer.path) : NULL;
+      = desired ? lc_desired_match_route (desired, item->scorer.host, item->scorer.path) : NULL;
   LcRequestSpec request = { .id = action->request,
                             .kind = LC_KIND_SERVICE,
                             .delivery = LC_DELIVER_BUFFERED,
@@ -167,11 +167,12 @@
       return;
     }
   request.priority = route->priority;
-  request.max_attempts = route->attempts;
-  request.hedge_after = lc_route_hedge_after (route);
+  request.max_attempts = route->max_attempts;
+  request.hedge_after = lc_route_hedge_delay (route);
   request.deadline = lb_clock_monotonic () + (route->timeout > 0 ? route->timeout : SCORE_TIME);
   LB_COPY (request.caller, route->name);
-  LB_COPY (request.pool, lc_route_service (route, ln_context_draw (batch->batches->context)));
+  LB_COPY (request.pool,
+           lc_route_choose_service (route, ln_context_draw (batch->batches->context)));
   submit (batch, &request, &item->scorer, "");
 }
 
@@ -475,18 +476,18 @@
                                                  ? ln_batches_carried (batch->batches, spec->model)
                                                  : NULL,
                                .tokens_per_event = tokens_per_event (batch),
-                               .max_failures = route ? route->attempts : DEFAULT_ATTEMPTS,
+                               .max_failures = route ? route->max_attempts : DEFAULT_ATTEMPTS,
                                .max_score_failures = DEFAULT_ATTEMPTS + 1,
                                .resumable = !route || route->resumable,
                                .single_version = route && route->single_version,
-                               .due_at = batch->first_seen + (route ? route->due : 0),
+                               .due_at = batch->first_seen + (route ? route->due_after : 0),
                                .deadline = LB_TIME_NEVER,
                                .next_request_id = next_id,
                                .user = batch->batches->context };
   LbList actions;
 
-  if (route && route->give_up > 0)
-    settings.deadline = batch->first_seen + route->give_up;
+  if (route && route->item_expiry > 0)
+    settings.deadline = batch->first_seen + route->item_expiry;
   lb_log (LB_LOG_INFO, "batch_running", LB_TEXT ("batch", batch->id),
           LB_TEXT ("model", spec->model), LB_INT ("step", spec->step),
           LB_INT ("min_version", spec->min_version), LB_INT ("items", spec->n_items),
--- a/packages/node/src/calls/ln-admission.c
+++ b/packages/node/src/calls/ln-admission.c
@@ -42,11 +42,11 @@
                      const LcAdmission *admission)
 {
   LbTime age = lb_clock_monotonic () - belief->confirmed_at;
-  char mark[LC_KEY_MARK_SIZE] = "";
+  char mark[LC_KEY_LOG_ID_SIZE] = "";
   LbError error = { 0 };
 
   if (admission->has_digest)
-    lc_key_mark (&admission->digest, mark);
+    lc_key_format_log_id (&admission->digest, mark);
   lb_metric_add (&refused, 1);
   lb_log (LB_LOG_INFO, "call_not_admitted", LB_TEXT ("id", in->id), LB_TEXT ("batch", in->batch),
           LB_TEXT ("path", ln_exchange_path (exchange)), LB_TEXT ("key", mark),
--- a/packages/node/src/calls/ln-routed.c
+++ b/packages/node/src/calls/ln-routed.c
@@ -109,10 +109,10 @@
   call->spec.id = ln_context_next_request (calls->context);
   call->spec.kind = LC_KIND_SERVICE;
   call->spec.delivery = LC_DELIVER_BUFFERED;
-  call->spec.repeatable = route->kind == LC_ROUTE_REPEATABLE;
+  call->spec.repeatable = route->kind == LC_ROUTE_IDEMPOTENT;
   call->spec.priority = route->priority;
-  call->spec.max_attempts = route->attempts;
-  call->spec.hedge_after = lc_route_hedge_after (route);
+  call->spec.max_attempts = route->max_attempts;
+  call->spec.hedge_after = lc_route_hedge_delay (route);
   call->spec.expected_tokens = 1;
   call->spec.deadline = deadline_of (calls, route, in, lb_clock_monotonic ());
   LB_COPY (call->spec.caller, route->name);
@@ -133,7 +133,7 @@
         const LcAdmission *admission,
         const LnInbound *in)
 {
-  const char *service = lc_route_service (route, ln_context_draw (calls->context));
+  const char *service = lc_route_choose_service (route, ln_context_draw (calls->context));
 
   if (lc_dispatch_has_service (calls->dispatch, service))
     ln_calls_submit (calls, make_call (calls, exchange, route, admission, service, in));
@@ -156,7 +156,7 @@
       refuse (exchange, LB_ERROR_NOT_READY, "no routes are known here yet", RETRY_WITHOUT_ROUTES);
       return;
     }
-  route = lc_desired_route (desired, in.host, ln_exchange_path (exchange));
+  route = lc_desired_match_route (desired, in.host, ln_exchange_path (exchange));
   if (!route)
     {
       lb_log (LB_LOG_INFO, "no_route", LB_TEXT ("id", in.id), LB_TEXT ("host", in.host),
@@ -190,7 +190,7 @@
   if (!call->has_key || !call->exchange || call->was_sent)
     return false;
   if (desired->organisations)
-    holder = lc_organisations_holder (desired->organisations, &call->key);
+    holder = lc_organisations_find_by_key (desired->organisations, &call->key);
   return !holder || strcmp (holder->name, call->organisation) != 0;
 }
 
--- a/packages/node/src/config/ln-config-api.c
+++ b/packages/node/src/config/ln-config-api.c
@@ -184,8 +184,8 @@
 
   lb_list_init (&actions);
   if (read->error == LB_OK)
-    lc_config_store_answered (task->config, read->revision, read->set, read->asked_at, now,
-                              &actions);
+    lc_config_store_read_completed (task->config, read->revision, read->set, read->asked_at, now,
+                                    &actions);
   ln_config_carry_out (task, &actions);
   reply_resources (task, call->exchange);
   free (call);
@@ -226,11 +226,11 @@
 {
   struct json_object *object = json_object_new_object ();
   BehindSearch search = { .revision = revision, .behind = json_object_new_array () };
-  LcInForce in_force = lc_config_in_force (task->config, revision);
+  LcActiveCount in_force = lc_config_count_active (task->config, revision);
 
-  lc_config_visit (task->config, add_behind, &search);
-  json_object_object_add (object, "on", json_object_new_int64 ((int64_t)in_force.on));
-  json_object_object_add (object, "of", json_object_new_int64 ((int64_t)in_force.of));
+  lc_config_visit_instances (task->config, add_behind, &search);
+  json_object_object_add (object, "on", json_object_new_int64 ((int64_t)in_force.active));
+  json_object_object_add (object, "of", json_object_new_int64 ((int64_t)in_force.known));
   json_object_object_add (object, "behind", search.behind);
   return object;
 }
@@ -256,9 +256,9 @@
 has_news (const LnConfigTask *task, const LnWatch *watch)
 {
   int64_t revision = lc_config_revision (task->config);
-  LcInForce in_force = lc_config_in_force (task->config, revision);
+  LcActiveCount in_force = lc_config_count_active (task->config, revision);
 
-  return revision > watch->after || in_force.on != watch->on || in_force.of != watch->of;
+  return revision > watch->after || in_force.active != watch->on || in_force.known != watch->of;
 }
 
 static void
@@ -266,12 +266,12 @@
 {
   LnWatch *watch = LB_NEW (LnWatch);
   int64_t wait_ms = query_integer (exchange, "wait_ms", 0);
-  LcInForce in_force = lc_config_in_force (task->config, lc_config_revision (task->config));
+  LcActiveCount in_force = lc_config_count_active (task->config, lc_config_revision (task->config));
 
   watch->exchange = exchange;
   watch->after = query_integer (exchange, "after", 0);
-  watch->on = in_force.on;
-  watch->of = in_force.of;
+  watch->on = in_force.active;
+  watch->of = in_force.known;
   watch->until = now + (wait_ms * LB_MSEC < MAX_WATCH ? wait_ms * LB_MSEC : MAX_WATCH);
   lb_list_append (&task->watches, &watch->link);
 }
@@ -296,7 +296,7 @@
       }
   }
   if (ask)
-    lc_config_ask_behind (task->config, now, &actions);
+    lc_config_query_outdated_peers (task->config, now, &actions);
   ln_config_carry_out (task, &actions);
 }
 
@@ -352,7 +352,7 @@
   struct json_object *instances = json_object_new_array ();
   LbTime age = lc_config_confirmation_age (task->config, lb_clock_monotonic ());
 
-  lc_config_visit (task->config, add_instance, instances);
+  lc_config_visit_instances (task->config, add_instance, instances);
   json_object_object_add (object, "instance", json_object_new_string (task->context->instance));
   json_object_object_add (object, "revision",
                           json_object_new_int64 (lc_config_revision (task->config)));
--- a/packages/node/src/config/ln-config-change.c
+++ b/packages/node/src/config/ln-config-change.c
@@ -165,8 +165,8 @@
   lb_log (LB_LOG_INFO, "config_accepted", LB_INT ("revision", revision),
           LB_TEXT ("who", change->who), LB_TEXT ("token", change->token));
   lb_list_init (&actions);
-  lc_config_committed (task->config, change->next, change->body, asked_at, lb_clock_monotonic (),
-                       &actions);
+  lc_config_change_committed (task->config, change->next, change->body, asked_at,
+                              lb_clock_monotonic (), &actions);
   change->next = NULL;
   ln_config_carry_out (task, &actions);
   change_accepted (change, revision, false);
@@ -180,7 +180,7 @@
   lb_list_init (&actions);
   change->state = CHANGE_ASKING;
   change->asked_at = lb_clock_monotonic ();
-  lc_config_announce (change->task->config, change->asked_at, &actions);
+  lc_config_announce_change (change->task->config, change->asked_at, &actions);
   ln_config_carry_out (change->task, &actions);
   ln_config_change_tick (change->task, change->asked_at);
 }
@@ -220,7 +220,7 @@
   LbList actions;
 
   lb_list_init (&actions);
-  lc_config_settle (change->task->config, lb_clock_monotonic (), &actions);
+  lc_config_change_abandoned (change->task->config, lb_clock_monotonic (), &actions);
   ln_config_carry_out (change->task, &actions);
 }
 
@@ -258,8 +258,8 @@
       return;
     }
   lb_list_init (&actions);
-  lc_config_store_answered (task->config, read->revision, read->set, read->asked_at,
-                            lb_clock_monotonic (), &actions);
+  lc_config_store_read_completed (task->config, read->revision, read->set, read->asked_at,
+                                  lb_clock_monotonic (), &actions);
   ln_config_carry_out (task, &actions);
 
   int64_t revision = lc_config_revision (task->config);
--- a/packages/node/src/config/ln-config.c
+++ b/packages/node/src/config/ln-config.c
@@ -64,12 +64,12 @@
   task->reading = false;
   lb_list_init (&actions);
   if (read->error == LB_OK)
-    lc_config_store_answered (task->config, read->revision, read->set, read->asked_at, now,
-                              &actions);
+    lc_config_store_read_completed (task->config, read->revision, read->set, read->asked_at, now,
+                                    &actions);
   else
     {
       lb_metric_count_error (read->error);
-      lc_config_store_failed (task->config, now, &actions);
+      lc_config_store_read_failed (task->config, now, &actions);
     }
   ln_config_carry_out (task, &actions);
 }
@@ -114,10 +114,10 @@
     case LC_CONFIG_SEND:
       ln_config_send (task, action->to, lc_config_message_to_json (&action->message));
       break;
-    case LC_CONFIG_IN_FORCE:
+    case LC_CONFIG_ACTIVATED:
       put_in_force (task, action->set);
       break;
-    case LC_CONFIG_READY:
+    case LC_CONFIG_READINESS_CHANGED:
       tell_ready (task, action->ready);
       break;
     }
@@ -174,11 +174,11 @@
   for (;;)
     {
       GoneSearch search = { .list = list };
-      lc_config_visit (task->config, search_gone, &search);
+      lc_config_visit_instances (task->config, search_gone, &search);
       if (!search.gone[0])
         return;
       lb_log (LB_LOG_INFO, "config_instance_gone", LB_TEXT ("gone", search.gone));
-      lc_config_forget (task->config, search.gone);
+      lc_config_remove_instance (task->config, search.gone);
     }
 }
 
@@ -187,7 +187,7 @@
 {
   LpPlatform *platform = task->context->platform;
 
-  if (task->listing || now < task->next_listing || !lc_config_has_unseen_members (task->config))
+  if (task->listing || now < task->next_listing || !lc_config_has_absent_members (task->config))
     return;
   task->listing = true;
   task->next_listing = now + LISTING_PERIOD;
@@ -223,7 +223,8 @@
                                    .alive = message->members[i].alive,
                                    .draining = message->members[i].draining };
   lb_list_init (&actions);
-  lc_config_members (task->config, members, message->n_members, lb_clock_monotonic (), &actions);
+  lc_config_update_members (task->config, members, message->n_members, lb_clock_monotonic (),
+                            &actions);
   ln_config_carry_out (task, &actions);
   ln_pool_holders_members_changed (task);
   free (members);
@@ -243,7 +244,7 @@
   if (object && ln_pool_holders_receive (task, object))
     goto out;
   if (object && lc_config_message_from_json (object, &message, &error))
-    lc_config_receive (task->config, frame->instance, &message, now, &actions);
+    lc_config_message_received (task->config, frame->instance, &message, now, &actions);
   else
     {
       lb_metric_count_error (error.code);
@@ -319,8 +320,8 @@
 ln_config_new (LnContext *context)
 {
   LnConfigTask *task = LB_NEW (LnConfigTask);
-  LcConfigSettings settings = { .confirm_bound = CONFIRM_BOUND,
-                                .poll = HEAD_POLL,
+  LcConfigSettings settings = { .max_confirmation_age = CONFIRM_BOUND,
+                                .min_poll_period = HEAD_POLL,
                                 .seed = context->settings->seed ^ (uint64_t)lb_clock_monotonic () };
   const struct timeval tick = { .tv_usec = TICK };
 
--- a/packages/node/src/config/ln-desired.c
+++ b/packages/node/src/config/ln-desired.c
@@ -249,7 +249,7 @@
   size_t n_known = 0;
 
   for (size_t i = 0; i < n_list; i++)
-    if (!task->desired || lc_desired_service (task->desired, list[i].service))
+    if (!task->desired || lc_desired_find_service (task->desired, list[i].service))
       known[n_known++] = list[i];
   tell_list (task, ln_catalog_publisher (task->catalog), asked_at);
   if (lc_roster_update (task->roster, known, n_known, asked_at, now))
--- a/packages/node/src/duties/ln-true-time.c
+++ b/packages/node/src/duties/ln-true-time.c
@@ -38,7 +38,7 @@
     if (members->members[i].alive && members->members[i].clock_lead_ms != 0)
       leads[n++] = members->members[i].clock_lead_ms;
   if (n > 0)
-    time->lead = lc_true_time_lead (leads, n);
+    time->lead = lc_true_time_median_offset (leads, n);
   free (leads);
 }
 
--- a/packages/node/src/duties/ln-usage-reporter.c
+++ b/packages/node/src/duties/ln-usage-reporter.c
@@ -59,8 +59,8 @@
 {
   const LcUsageReportSettings rules
       = { .window_ms = settings->duties.usage_window_s * 1000,
-          .settle_ms = SETTLE_MS,
-          .latest_ms = settings->duties.usage_due_s * 1000 - SENDING_MS };
+          .settle_delay_ms = SETTLE_MS,
+          .max_delay_ms = settings->duties.usage_due_s * 1000 - SENDING_MS };
 
   return lc_usage_reports_new (&rules);
 }
@@ -89,9 +89,9 @@
 ln_usage_reporter_set_held (LnUsageReporter *reporter, bool held)
 {
   if (held)
-    lc_usage_reports_begin (reporter->reports);
+    lc_usage_reports_duty_acquired (reporter->reports);
   else
-    lc_usage_reports_end (reporter->reports);
+    lc_usage_reports_duty_lost (reporter->reports);
 }
 
 static Step *
@@ -100,7 +100,7 @@
   Step *step = LB_NEW (Step);
 
   step->reporter = reporter;
-  step->epoch = lc_usage_reports_epoch (reporter->reports);
+  step->epoch = lc_usage_reports_duty_epoch (reporter->reports);
   step->window = action->window;
   step->text = action->text ? lb_strdup (action->text) : NULL;
   return step;
@@ -117,7 +117,7 @@
 static bool
 is_current (const Step *step)
 {
-  return step->epoch == lc_usage_reports_epoch (step->reporter->reports);
+  return step->epoch == lc_usage_reports_duty_epoch (step->reporter->reports);
 }
 
 /* One answer that was lost says nothing of the rows of others. While the store is away lists fail
@@ -142,9 +142,9 @@
   const char *counts = lb_json_text (object, "counts", NULL);
 
   if (counts)
-    lc_usage_reports_found (step->reporter->reports,
-                            strtoll (row->key + strlen (REPORT_PREFIX), NULL, 10), counts,
-                            lb_json_bool (object, "sent", false));
+    lc_usage_reports_add_recorded (step->reporter->reports,
+                                   strtoll (row->key + strlen (REPORT_PREFIX), NULL, 10), counts,
+                                   lb_json_bool (object, "sent", false));
   else
     lb_log (LB_LOG_ERROR, "usage_report_unreadable", LB_TEXT ("key", row->key));
   json_object_put (object);
@@ -156,7 +156,7 @@
   if (--step->waiting > 0)
     return;
   if (is_current (step))
-    lc_usage_reports_was_read (step->reporter->reports, !step->failed, lb_clock_monotonic ());
+    lc_usage_reports_read_completed (step->reporter->reports, !step->failed, lb_clock_monotonic ());
   step_free (step);
 }
 
@@ -182,7 +182,7 @@
   note_error (step, error, "read");
   step->failed |= error != LB_OK;
   if (n_rows > 0 && is_current (step) && ln_usage_window_of_key (rows[0].key) >= 0)
-    lc_usage_reports_has_rows (step->reporter->reports, ln_usage_window_of_key (rows[0].key));
+    lc_usage_reports_add_row_window (step->reporter->reports, ln_usage_window_of_key (rows[0].key));
   end_read (step);
 }
 
@@ -215,12 +215,12 @@
     {
       LcUsageCounts *row = lc_usage_counts_new ();
       if (rows[i].value && lc_usage_counts_add_text (row, rows[i].value, &error))
-        lc_usage_counts_raise (start, row);
+        lc_usage_counts_merge_maximum (start, row);
       else
         lb_log_error (LB_LOG_ERROR, "usage_row_unreadable", &error);
       lc_usage_counts_free (row);
     }
-  lc_usage_counts_add_all (total, start);
+  lc_usage_counts_add_counts (total, start);
   lc_usage_counts_free (start);
 }
 
@@ -254,8 +254,8 @@
   if (--step->waiting > 0)
     return;
   if (is_current (step))
-    lc_usage_reports_counted (step->reporter->reports, step->window,
-                              step->failed ? NULL : step->counts, lb_clock_monotonic ());
+    lc_usage_reports_sum_completed (step->reporter->reports, step->window,
+                                    step->failed ? NULL : step->counts, lb_clock_monotonic ());
   step_free (step);
 }
 
@@ -304,8 +304,9 @@
 
   note_error (step, error, "decide");
   if (is_current (step))
-    lc_usage_reports_decided (step->reporter->reports, step->window, false,
-                              lb_json_text (object, "counts", NULL), lb_clock_monotonic ());
+    lc_usage_reports_record_completed (step->reporter->reports, step->window, false,
+                                       lb_json_text (object, "counts", NULL),
+                                       lb_clock_monotonic ());
   json_object_put (object);
   step_free (step);
 }
@@ -326,8 +327,8 @@
       return;
     }
   if (is_current (step))
-    lc_usage_reports_decided (step->reporter->reports, step->window, error == LB_OK, NULL,
-                              lb_clock_monotonic ());
+    lc_usage_reports_record_completed (step->reporter->reports, step->window, error == LB_OK, NULL,
+                                       lb_clock_monotonic ());
   step_free (step);
 }
 
@@ -352,15 +353,15 @@
 
 /* --- a report is sent --- */
 
-static LcUsageReceipt
+static LcUsageSendResult
 receipt_of (LnDutyOutcome outcome)
 {
   switch (outcome)
     {
     case LN_DUTY_DONE:
-      return LC_USAGE_TAKEN;
+      return LC_USAGE_ACCEPTED;
     case LN_DUTY_UNANSWERED:
-      return LC_USAGE_UNANSWERED;
+      return LC_USAGE_NO_ANSWER;
     case LN_DUTY_REFUSED:
     case LN_DUTY_BUSY:
       break;
@@ -380,7 +381,7 @@
   if (outcome == LN_DUTY_REFUSED)
     ln_duty_lease_doubt (reporter->lease, now);
   if (is_current (step))
-    lc_usage_reports_sent (reporter->reports, step->window, receipt_of (outcome), now);
+    lc_usage_reports_send_completed (reporter->reports, step->window, receipt_of (outcome), now);
   step_free (step);
 }
 
@@ -456,8 +457,8 @@
 
   note_error (step, error, "close");
   if (is_current (step))
-    lc_usage_reports_closed (step->reporter->reports, step->window, error == LB_OK,
-                             lb_clock_monotonic ());
+    lc_usage_reports_close_completed (step->reporter->reports, step->window, error == LB_OK,
+                                      lb_clock_monotonic ());
   step_free (step);
 }
 
@@ -484,19 +485,19 @@
 {
   switch (action->type)
     {
-    case LC_USAGE_READ:
+    case LC_USAGE_READ_REPORTS:
       read_reports (reporter, action);
       break;
-    case LC_USAGE_COUNT:
+    case LC_USAGE_SUM_ROWS:
       count (reporter, action);
       break;
-    case LC_USAGE_DECIDE:
+    case LC_USAGE_RECORD_REPORT:
       decide (reporter, action);
       break;
-    case LC_USAGE_SEND:
+    case LC_USAGE_SEND_REPORT:
       send (reporter, action);
       break;
-    case LC_USAGE_CLOSE:
+    case LC_USAGE_CLOSE_WINDOW:
       close_window (reporter, action);
       break;
     }
@@ -509,6 +510,6 @@
   LcUsageAction action;
 
   while (ln_duty_lease_may_order (reporter->lease, unfenced, now)
-         && lc_usage_reports_next (reporter->reports, true_ms, now, &action))
+         && lc_usage_reports_next_action (reporter->reports, true_ms, now, &action))
     carry_out (reporter, &action);
 }
--- a/packages/node/src/duties/ln-usage-rows.c
+++ b/packages/node/src/duties/ln-usage-rows.c
@@ -87,7 +87,7 @@
 void
 ln_usage_rows_began (LnUsageRows *rows, const char *organisation, int64_t true_ms)
 {
-  lc_usage_began (rows->usage, organisation, true_ms);
+  lc_usage_count_request (rows->usage, organisation, true_ms);
 }
 
 static void
@@ -102,7 +102,7 @@
   if (error != LB_OK)
     lb_log (LB_LOG_INFO, "usage_row_not_written", LB_INT ("window", write->window),
             LB_TEXT ("error", lb_error_name (error)));
-  lc_usage_written (write->rows->usage, write->window, error == LB_OK);
+  lc_usage_write_completed (write->rows->usage, write->window, error == LB_OK);
   free (write);
 }
 
@@ -139,11 +139,11 @@
       write_row (rows, &row);
       free (row.text);
     }
-  lc_usage_forget (rows->usage, true_ms / rows->window_ms - MAX_BEHIND);
+  lc_usage_remove_before (rows->usage, true_ms / rows->window_ms - MAX_BEHIND);
 }
 
 bool
 ln_usage_rows_is_written (const LnUsageRows *rows)
 {
-  return lc_usage_is_written (rows->usage);
+  return lc_usage_is_fully_written (rows->usage);
 }
--- a/packages/node/src/endpoints/ln-endpoint-list.c
+++ b/packages/node/src/endpoints/ln-endpoint-list.c
@@ -84,7 +84,7 @@
 {
   const LcRegistration *listed = ln_row_cache_read (list->rows, row, error);
 
-  if (!listed || !list->desired || lc_desired_service (list->desired, listed->service))
+  if (!listed || !list->desired || lc_desired_find_service (list->desired, listed->service))
     return listed;
   lb_error_set (error, LB_ERROR_UNKNOWN_SERVICE, row->key, "no such service: %s", listed->service);
   return NULL;
--- a/packages/node/src/front/ln-front.c
+++ b/packages/node/src/front/ln-front.c
@@ -192,7 +192,7 @@
 
   callers->max_body = (size_t)larger (settings->http.max_body_bytes, limits->max_body_bytes);
   callers->max_header = (size_t)larger (settings->http.max_header_bytes, limits->max_header_bytes);
-  callers->idle_time = larger (LN_CALLER_IDLE_TIME, limits->idle_time);
+  callers->idle_time = larger (LN_CALLER_IDLE_TIME, limits->idle_timeout);
 }
 
 static void
--- a/packages/node/src/rollout/ln-pool-holder.c
+++ b/packages/node/src/rollout/ln-pool-holder.c
@@ -212,7 +212,7 @@
 
   lb_log (LB_LOG_INFO, gained ? "lease_gained" : "lease_lost", LB_TEXT ("pool", holder->pool),
           LB_INT ("fence", action->row.fence), LB_TEXT ("holder", action->row.holder));
-  lc_weights_restart (holder->weights, now);
+  lc_weights_lease_changed (holder->weights, now);
   holder->next_told = now;
   for (Engine *engine = holder->engines; engine; engine = engine->hh.next)
     engine->next_look = now;
@@ -285,7 +285,7 @@
   Engine *engine = user;
   LnPoolHolder *holder = engine->holder;
   LbTime now = lb_clock_monotonic ();
-  LcWeightReport report = { .asked_at = engine->look_at };
+  LcWeightReport report = { .requested_at = engine->look_at };
   LbList actions;
   struct json_object *object = result->status == 200 ? parse_reply (result) : NULL;
 
@@ -300,7 +300,7 @@
   report.running = json_object_get_int64 (lb_json_member (object, "running"));
   json_object_put (object);
   lb_list_init (&actions);
-  lc_weights_report (holder->weights, engine->name, &report, now, &actions);
+  lc_weights_report_received (holder->weights, engine->name, &report, now, &actions);
   carry_out_swaps (holder, &actions, now);
 }
 
@@ -350,7 +350,7 @@
 
   engine->order = NULL;
   engine->next_look = now;
-  lc_weights_ordered (holder->weights, engine->name, code, now);
+  lc_weights_order_answered (holder->weights, engine->name, code, now);
   if (code == LB_OK)
     return;
   lb_metric_count_error (code);
@@ -399,7 +399,7 @@
   while ((link = lb_list_pop (&actions)))
     {
       LcWeightsAction *action = LB_CONTAINER (link, LcWeightsAction, link);
-      if (action->type == LC_WEIGHTS_SWAP)
+      if (action->type == LC_WEIGHTS_UPDATE_ROUTING)
         ln_pool_holders_tell_swap (holder->task, action, now);
       else
         send_order (holder, action);
@@ -418,7 +418,7 @@
     return;
   holder->asking_newest = false;
   if (error == LB_OK)
-    lc_weights_newest (holder->weights, version, lb_clock_monotonic ());
+    lc_weights_set_newest (holder->weights, version, lb_clock_monotonic ());
   else if (error != LB_ERROR_NOT_FOUND)
     lb_metric_count_error (error);
 }
--- a/packages/node/src/rollout/ln-pool-holders.c
+++ b/packages/node/src/rollout/ln-pool-holders.c
@@ -68,7 +68,7 @@
 
   if (task->draining)
     return -1;
-  lc_config_visit (task->config, count_before, &search);
+  lc_config_visit_instances (task->config, count_before, &search);
   return search.before < CANDIDATES ? search.before : -1;
 }
 
@@ -200,10 +200,11 @@
 {
   struct json_object *swap = json_object_new_object ();
 
-  post_swap (task, action->endpoint, action->pending, action->until);
+  post_swap (task, action->endpoint, action->pending, action->expected_at);
   json_object_object_add (swap, "endpoint", json_object_new_string (action->endpoint));
   json_object_object_add (swap, "pending", json_object_new_boolean (action->pending));
-  json_object_object_add (swap, "for_ms", json_object_new_int64 ((action->until - now) / LB_MSEC));
+  json_object_object_add (swap, "for_ms",
+                          json_object_new_int64 ((action->expected_at - now) / LB_MSEC));
   if (!task->swaps)
     task->swaps = json_object_new_array ();
   json_object_array_add (task->swaps, swap);
@@ -228,12 +229,13 @@
   struct json_object *message = json_object_new_object ();
 
   holder->heard_fence = lc_lease_fence (holder->lease);
-  post_newest (holder->task, holder->pool, status->target, status->cadence);
+  post_newest (holder->task, holder->pool, status->target, status->version_interval);
   json_object_object_add (message, "type", json_object_new_string ("newest"));
   json_object_object_add (message, "pool", json_object_new_string (holder->pool));
   json_object_object_add (message, "fence", json_object_new_int64 (holder->heard_fence));
   json_object_object_add (message, "version", json_object_new_int64 (status->target));
-  json_object_object_add (message, "cadence_ms", json_object_new_int64 (status->cadence / LB_MSEC));
+  json_object_object_add (message, "cadence_ms",
+                          json_object_new_int64 (status->version_interval / LB_MSEC));
   ln_config_send (holder->task, "", message);
 }
 
@@ -326,13 +328,15 @@
   json_object_object_add (object, "pool", json_object_new_string (holder->pool));
   json_object_object_add (object, "version", json_object_new_int64 (status.target));
   json_object_object_add (object, "engines", json_object_new_int64 ((int64_t)status.engines));
-  json_object_object_add (object, "done", json_object_new_int64 ((int64_t)status.done));
+  json_object_object_add (object, "done", json_object_new_int64 ((int64_t)status.on_target));
   json_object_object_add (object, "swapping", json_object_new_int64 ((int64_t)status.swapping));
   json_object_object_add (object, "failed", json_object_new_int64 ((int64_t)status.failed));
   json_object_object_add (object, "unknown", json_object_new_int64 ((int64_t)status.unknown));
-  json_object_object_add (object, "cadence_ms", json_object_new_int64 (status.cadence / LB_MSEC));
+  json_object_object_add (object, "cadence_ms",
+                          json_object_new_int64 (status.version_interval / LB_MSEC));
   json_object_object_add (object, "waits",
-                          json_object_new_string (lc_weights_wait_name (status.wait)));
+                          json_object_new_string (
+                              lc_weights_wait_reason_name (status.wait_reason)));
   return object;
 }
 
--- a/packages/node/src/rollout/ln-rollouts-run.c
+++ b/packages/node/src/rollout/ln-rollouts-run.c
@@ -32,7 +32,7 @@
 static const char *
 model_of (const LnRollouts *rollouts, const char *pool)
 {
-  const LcPool *resource = rollouts->set ? lc_resource_set_pool (rollouts->set, pool) : NULL;
+  const LcPool *resource = rollouts->set ? lc_resource_set_find_pool (rollouts->set, pool) : NULL;
 
   return resource && resource->model[0] ? resource->model : pool;
 }
--- a/packages/node/src/weights/ln-engine-plans.c
+++ b/packages/node/src/weights/ln-engine-plans.c
@@ -107,7 +107,7 @@
   if (!is_taken)
     return;
   lc_engine_plan_clear (&plans->plan);
-  lc_engine_plan_join (plans->parts, &plans->plan);
+  lc_engine_plan_join_parts (plans->parts, &plans->plan);
   plans->on_plan (&plans->plan, plans->user);
 }
 
@@ -208,7 +208,7 @@
   for (size_t i = 0; i < LC_ENGINE_PLAN_PARTS; i++)
     {
       LcEnginePlan part;
-      lc_engine_plan_part (&plans->wanted, i, &part);
+      lc_engine_plan_copy_part (&plans->wanted, i, &part);
       plans->is_written[i] = !lc_engine_plan_is_same (&part, &plans->parts[i]);
       if (plans->is_written[i])
         add_part (plans, i, &part, write);
@@ -250,7 +250,7 @@
 
   /* What was learnt of the model that the engine served before does not bring it back. */
   if (plans->is_writer && (!wanted || strcmp (wanted->model, entry->model) == 0))
-    lc_engine_plan_note (&plans->wanted, entry);
+    lc_engine_plan_put (&plans->wanted, entry);
 }
 
 static size_t
@@ -290,7 +290,8 @@
         n_models = add_model (models, n_models, listed->models[model].name);
     }
   ln_stall_note ("division of engines");
-  lc_engine_plan_divide (&plans->wanted, engines, n_engines, models, n_models, plans->demand, now);
+  lc_engine_plan_rebalance (&plans->wanted, engines, n_engines, models, n_models, plans->demand,
+                            now);
   free (engines);
 }
 
--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -81,7 +81,7 @@
     }
   LB_LIST_FOREACH (&orders->models, Model, link, model)
   {
-    lc_weights_restart (model->weights, now);
+    lc_weights_lease_changed (model->weights, now);
   }
 }
 
@@ -152,8 +152,8 @@
     return model;
   model = LB_NEW (Model);
   lc_weights_settings_init (&settings, name);
-  settings.load_limit = LOAD_LIMIT;
-  settings.answer_limit = ANSWER_LIMIT;
+  settings.load_timeout = LOAD_LIMIT;
+  settings.first_report_timeout = ANSWER_LIMIT;
   model->orders = orders;
   model->weights = lc_weights_new (&settings);
   LB_COPY (model->name, name);
@@ -227,7 +227,7 @@
 void
 ln_weight_orders_newest (LnWeightOrders *orders, const char *model, LcVersion version, LbTime now)
 {
-  lc_weights_newest (ensure_model (orders, model)->weights, version, now);
+  lc_weights_set_newest (ensure_model (orders, model)->weights, version, now);
 }
 
 /* --- what engines have --- */
@@ -248,7 +248,7 @@
 take_state (Engine *engine, LcVersion version, LbTime asked_at, LbTime now)
 {
   Model *model = find_model (engine->orders, engine->model);
-  LcWeightReport report = { .version = version, .asked_at = asked_at };
+  LcWeightReport report = { .version = version, .requested_at = asked_at };
   LbLink *link;
   LbList actions;
 
@@ -261,7 +261,7 @@
   report.loading = engine->ordered != 0;
   LB_COPY (report.incarnation, engine->name);
   lb_list_init (&actions);
-  lc_weights_report (model->weights, engine->name, &report, now, &actions);
+  lc_weights_report_received (model->weights, engine->name, &report, now, &actions);
   while ((link = lb_list_pop (&actions)))
     free (LB_CONTAINER (link, LcWeightsAction, link));
 }
@@ -295,12 +295,12 @@
   take_state (engine, version, engine->asked_at, now);
   if (engine->ordered != 0)
     {
-      engine->look_at = now + lc_load_time_next (&orders->load_time);
+      engine->look_at = now + lc_load_time_poll_interval (&orders->load_time);
       return;
     }
   if (ordered == 0 || version < ordered)
     return;
-  lc_load_time_add (&orders->load_time, now - engine->ordered_at);
+  lc_load_time_add_sample (&orders->load_time, now - engine->ordered_at);
   tick_models (orders, now);
 }
 
@@ -393,7 +393,7 @@
   engine->orders_accepted = -1;
   engine->look_at = now + LOOK_RETRY;
   if (model)
-    lc_weights_ordered (model->weights, engine->name, error, now);
+    lc_weights_order_answered (model->weights, engine->name, error, now);
   if (error == LB_ERROR_STALE_FENCE)
     ln_duty_lease_doubt (orders->lease, now);
 }
@@ -418,7 +418,7 @@
   order.orders_before = engine->orders_accepted;
   engine->ordered = action->version;
   engine->ordered_at = now;
-  engine->look_at = now + lc_load_time_first (&orders->load_time);
+  engine->look_at = now + lc_load_time_first_poll_delay (&orders->load_time);
   orders->context->dialect->write_order (&order, &outgoing);
   if (engine->order)
     lh_fetch_cancel (engine->order);
@@ -445,9 +445,9 @@
   while ((link = lb_list_pop (&actions)))
     {
       LcWeightsAction *action = LB_CONTAINER (link, LcWeightsAction, link);
-      if (action->type == LC_WEIGHTS_ORDER)
+      if (action->type == LC_WEIGHTS_ORDER_LOAD)
         send_order (model->orders, action, now);
-      ordered |= action->type == LC_WEIGHTS_ORDER;
+      ordered |= action->type == LC_WEIGHTS_ORDER_LOAD;
       free (action);
     }
   return ordered;
@@ -460,7 +460,7 @@
   size_t n = orders->models.length;
   LcSwapCandidate *candidates = LB_NEW_ARRAY (LcSwapCandidate, n + 1);
   Model **models = LB_NEW_ARRAY (Model *, n + 1);
-  size_t most = lc_swap_turns_most (HASH_COUNT (orders->engines));
+  size_t most = lc_swap_turns_max_loads (HASH_COUNT (orders->engines));
   size_t swapping = 0;
   size_t next = 0;
 
@@ -470,10 +470,10 @@
     lc_weights_status (model->weights, now, &candidates[next].status);
     swapping += candidates[next++].status.swapping;
   }
-  while (swapping < most && (next = lc_swap_turns_next (candidates, n)) < n)
+  while (swapping < most && (next = lc_swap_turns_choose_model (candidates, n)) < n)
     {
       LcWeightsStatus *status = &candidates[next].status;
-      lc_weights_set_limit (models[next]->weights, (int64_t)status->swapping + 1);
+      lc_weights_set_swap_limit (models[next]->weights, (int64_t)status->swapping + 1);
       candidates[next].blocked = !tick_model (models[next], now);
       swapping += !candidates[next].blocked;
       lc_weights_status (models[next]->weights, now, status);
--- a/packages/sim/src/lx-instance-config.c
+++ b/packages/sim/src/lx-instance-config.c
@@ -43,8 +43,8 @@
 {
   const Mail *mail = argument;
 
-  lc_config_receive (instance->config, mail->from, &mail->message, now_of (instance),
-                     &instance->config_actions);
+  lc_config_message_received (instance->config, mail->from, &mail->message, now_of (instance),
+                              &instance->config_actions);
   pump_config (instance);
 }
 
@@ -105,10 +105,10 @@
   HeadRead *head = argument;
 
   if (head->failed)
-    lc_config_store_failed (instance->config, now_of (instance), &instance->config_actions);
+    lc_config_store_read_failed (instance->config, now_of (instance), &instance->config_actions);
   else
-    lc_config_store_answered (instance->config, head->revision, head->set, head->asked_at,
-                              now_of (instance), &instance->config_actions);
+    lc_config_store_read_completed (instance->config, head->revision, head->set, head->asked_at,
+                                    now_of (instance), &instance->config_actions);
   head->set = NULL;
   pump_config (instance);
 }
@@ -142,10 +142,10 @@
     case LC_CONFIG_SEND:
       send_message (instance, action);
       break;
-    case LC_CONFIG_IN_FORCE:
+    case LC_CONFIG_ACTIVATED:
       lx_instance_configure (instance, lc_config_set (instance->config));
       break;
-    case LC_CONFIG_READY:
+    case LC_CONFIG_READINESS_CHANGED:
       break;
     }
 }
@@ -175,7 +175,7 @@
       lc_config_action_free (action);
     }
 
-  LbTime due = lc_config_next_tick (instance->config);
+  LbTime due = lc_config_next_tick_at (instance->config);
   if (due >= instance->config_tick_at)
     return;
   instance->config_tick_at = due;
@@ -209,7 +209,8 @@
                                      .alive = seems_alive (other, now_of (instance)),
                                      .draining = other->draining };
     }
-  lc_config_members (instance->config, members, n, now_of (instance), &instance->config_actions);
+  lc_config_update_members (instance->config, members, n, now_of (instance),
+                            &instance->config_actions);
   pump_config (instance);
   lx_instance_post (instance, MEMBERS_EVERY, on_members, NULL, NULL);
 }
@@ -217,8 +218,8 @@
 void
 lx_instance_config_start (LxInstance *instance)
 {
-  LcConfigSettings settings = { .confirm_bound = 10 * LB_SEC,
-                                .poll = 2 * LB_SEC,
+  LcConfigSettings settings = { .max_confirmation_age = 10 * LB_SEC,
+                                .min_poll_period = 2 * LB_SEC,
                                 .seed = instance->world->options.seed * 77 + instance->index };
 
   LB_COPY (settings.instance, instance->name);
@@ -264,8 +265,8 @@
 {
   Change *change = argument;
 
-  lc_config_committed (instance->config, change->next, change->change, change->asked_at,
-                       now_of (instance), &instance->config_actions);
+  lc_config_change_committed (instance->config, change->next, change->change, change->asked_at,
+                              now_of (instance), &instance->config_actions);
   change->next = NULL;
   pump_config (instance);
 }
@@ -283,7 +284,7 @@
     next = lx_registry_commit (&world->registry, change->revision, change->change);
   if (!next)
     {
-      lc_config_settle (instance->config, now, &instance->config_actions);
+      lc_config_change_abandoned (instance->config, now, &instance->config_actions);
       pump_config (instance);
       return;
     }
@@ -310,7 +311,7 @@
   change->change = json_object_get (content);
   change->revision = lc_config_revision (instance->config);
   change->asked_at = now_of (instance);
-  lc_config_announce (instance->config, now_of (instance), &instance->config_actions);
+  lc_config_announce_change (instance->config, now_of (instance), &instance->config_actions);
   pump_config (instance);
   lx_instance_post (instance, ACCEPT_WAIT, on_commit, change, drop_change);
 }
