--- a/packages/core/src/endpoints/lc-endpoints-query.c
+++ b/packages/core/src/endpoints/lc-endpoints-query.c
@@ -55,9 +55,9 @@
 full_check_accepts (const LcEndpoint *endpoint, LbTime now)
 {
   const LcEndpointEntry *entry = lc_endpoint_entry (endpoint);
-  bool refuses = now < entry->refused_until
-                 || (endpoint->member.reports_concurrency && endpoint->swap_pending
-                     && now < endpoint->swap_until);
+  bool is_refusing = now < entry->refused_until
+                     || (endpoint->member.reports_concurrency && endpoint->swap_pending
+                         && now < endpoint->swap_until);
 
   return !is_refusing && has_been_heard (entry) && has_known_weights (entry, now)
          && endpoint->in_flight < lc_breaker_max_in_flight (&entry->breaker, now);
--- a/packages/core/src/endpoints/lc-roster.c
+++ b/packages/core/src/endpoints/lc-roster.c
@@ -515,7 +515,7 @@
   member->leaving = registration->leaving;
   member->checks_fence = checks_fence;
   member->reports_concurrency = true;
-  member->concurrency = listed->slots;
+  member->concurrency = registration->slots;
 }
 
 LcResourceSet *
--- a/packages/node/src/rollout/ln-pool-controllers.c
+++ b/packages/node/src/rollout/ln-pool-controllers.c
@@ -206,9 +206,9 @@
   json_object_object_add (swap, "pending", json_object_new_boolean (action->pending));
   json_object_object_add (swap, "for_ms",
                           json_object_new_int64 ((action->expected_at - now) / LB_MSEC));
-  if (!task->swaps)
-    task->swaps = json_object_new_array ();
-  json_object_array_add (task->swaps, swap);
+  if (!task->unsent_swaps)
+    task->unsent_swaps = json_object_new_array ();
+  json_object_array_add (task->unsent_swaps, swap);
 }
 
 static void
