--- a/packages/node/src/calls/ln-calls-attempts.c
+++ b/packages/node/src/calls/ln-calls-attempts.c
@@ -208,8 +208,8 @@
   bool goes_on = attempt->tokens > 0 && spec->resumable && spec->delivery == LC_DELIVER_STREAM;
 
   if (end == LC_END_BROKEN && !goes_on && ln_upstream_was_closed (upstream))
-    ln_endpoint_checks_broken (calls->checks, ln_upstream_endpoint (upstream),
-                               ln_upstream_address (upstream), spec->content);
+    ln_endpoint_checks_request_failed (calls->checks, ln_upstream_endpoint (upstream),
+                                       ln_upstream_address (upstream), spec->content);
 }
 
 /* The attempt stays only until the actions that its end brings have run: a FINISH among them takes
@@ -235,7 +235,7 @@
   lc_dispatch_record_attempt_end (calls->dispatch, id, ln_upstream_attempt (upstream), end,
                                   lb_clock_monotonic (), &actions);
   ln_calls_run (calls, &actions);
-  ln_crashes_tell (calls->crashes);
+  ln_crashes_publish_clearances (calls->crashes);
   if (end == LC_END_REFUSED_LEAVING)
     ln_calls_tell_leaving (calls, ln_upstream_endpoint (upstream));
   call = ln_calls_find (calls, id);
--- a/packages/node/src/calls/ln-calls-take.c
+++ b/packages/node/src/calls/ln-calls-take.c
@@ -244,7 +244,7 @@
     }
   /* A busy instance that has just started may have its resources first, and would crash one more
    * endpoint with a request that all others refuse. */
-  if (!ln_crashes_is_known (calls->crashes, lb_clock_monotonic ()))
+  if (!ln_crashes_is_ready (calls->crashes, lb_clock_monotonic ()))
     {
       refuse (calls, exchange, LB_ERROR_NOT_READY, "crashed endpoints are not known here yet");
       return;
--- a/packages/node/src/calls/ln-calls.c
+++ b/packages/node/src/calls/ln-calls.c
@@ -102,8 +102,8 @@
 void
 ln_calls_tell_leaving (LnCalls *calls, const char *endpoint)
 {
-  ln_leaving_tell (calls->leaving,
-                   lc_endpoints_find (lc_dispatch_endpoints (calls->dispatch), endpoint));
+  ln_leaving_announce (calls->leaving,
+                       lc_endpoints_find (lc_dispatch_endpoints (calls->dispatch), endpoint));
 }
 
 /* The store's list tells that the endpoint lives and which weights it has, but not its load: what
@@ -140,9 +140,9 @@
 {
   LnEndpointLeavingMessage heard;
 
-  if (ln_crashes_hear (calls->crashes, frame))
+  if (ln_crashes_receive_frame (calls->crashes, frame))
     return;
-  if (ln_leaving_hear (calls->leaving, frame, &heard))
+  if (ln_leaving_receive_frame (calls->leaving, frame, &heard))
     take_leaving (calls, &heard);
 }
 
@@ -184,7 +184,7 @@
 {
   LnCalls *calls = user;
 
-  ln_crashes_seen (calls->crashes, endpoint, broken_at, contents, n_contents);
+  ln_crashes_report_crash (calls->crashes, endpoint, broken_at, contents, n_contents);
 }
 
 static void
--- a/packages/node/src/config/ln-desired.c
+++ b/packages/node/src/config/ln-desired.c
@@ -108,7 +108,7 @@
   task->desired = desired;
   /* Which endpoints are used depends on the services that it names. */
   ln_endpoint_list_set_desired (task->list, desired);
-  ln_catalog_forget_list (task->catalog);
+  ln_catalog_invalidate_list (task->catalog);
   lb_metric_set (&desired_version, desired->version);
   message.desired = lc_desired_ref (desired);
   message.base.clear = clear_desired;
@@ -251,7 +251,7 @@
   for (size_t i = 0; i < n_list; i++)
     if (!task->desired || lc_desired_service (task->desired, list[i].service))
       known[n_known++] = list[i];
-  tell_list (task, ln_catalog_publisher (task->catalog), asked_at);
+  tell_list (task, ln_catalog_publisher_name (task->catalog), asked_at);
   if (lc_roster_update (task->roster, known, n_known, asked_at, now))
     publish_endpoints (task);
   confirm_endpoints (task);
@@ -267,10 +267,10 @@
 
   if (wants_list (task, now))
     {
-      ln_catalog_forget_list (task->catalog);
+      ln_catalog_invalidate_list (task->catalog);
       return;
     }
-  tell_list (task, ln_catalog_publisher (task->catalog), asked_at);
+  tell_list (task, ln_catalog_publisher_name (task->catalog), asked_at);
   if (lc_roster_confirm_list (task->roster, asked_at, now))
     publish_endpoints (task);
   confirm_endpoints (task);
@@ -300,7 +300,7 @@
 note_followed (Desired *task, LbTime now)
 {
   LnTask *peers = ln_hub_find (task->task.hub, "peers");
-  bool followed = !ln_catalog_wants_fleet (task->catalog, now);
+  bool followed = !ln_catalog_needs_member_list (task->catalog, now);
   LnFleetFollowedMessage message = { .base = LN_MESSAGE (LN_FLEET_FOLLOWED), .followed = followed };
 
   if (!peers || followed == task->fleet_is_followed)
@@ -316,8 +316,8 @@
   LbTime now = lb_clock_monotonic ();
 
   task->listed = true;
-  ln_catalog_bounds (task->catalog, ln_endpoint_list_subset (task->list));
-  ln_catalog_listed (task->catalog, list, n_list, asked_at, now);
+  ln_catalog_set_subset_bounds (task->catalog, ln_endpoint_list_subset (task->list));
+  ln_catalog_set_endpoint_list (task->catalog, list, n_list, asked_at, now);
   tell_list (task, task->context->instance, asked_at);
   if (lc_roster_update (task->roster, list, n_list, asked_at, now))
     publish_endpoints (task);
@@ -336,7 +336,7 @@
 static LbTime
 list_period (const Desired *task)
 {
-  return ln_catalog_is_publisher (task->catalog) ? ln_catalog_period (task->catalog)
+  return ln_catalog_is_publisher (task->catalog) ? ln_catalog_publish_period (task->catalog)
                                                  : lc_roster_list_period (task->roster);
 }
 
@@ -346,7 +346,7 @@
 wants_list (const Desired *task, LbTime now)
 {
   return task->owns_batches || ln_weight_orders_is_held (task->orders)
-         || ln_catalog_wants_list (task->catalog, now);
+         || ln_catalog_needs_endpoint_list (task->catalog, now);
 }
 
 static void
@@ -362,10 +362,10 @@
 {
   task->next_list = now + list_period (task);
   if (ln_catalog_is_publisher (task->catalog))
-    ln_catalog_each_crowded (task->catalog, grow, task);
+    ln_catalog_foreach_overloaded_service (task->catalog, grow, task);
   else
-    ln_catalog_take_bounds (task->catalog, ln_endpoint_list_subset (task->list));
-  ln_endpoint_list_ask (task->list, now);
+    ln_catalog_apply_subset_bounds (task->catalog, ln_endpoint_list_subset (task->list));
+  ln_endpoint_list_request (task->list, now);
 }
 
 /* Others need to know for how long they may go by the desired state. */
@@ -405,10 +405,10 @@
   note_confirmed (task);
   ln_catalog_tick (task->catalog, lc_roster_count (task->roster), now);
   note_followed (task, now);
-  bool listing = ln_endpoint_list_is_asked (task->list);
+  bool listing = ln_endpoint_list_is_in_progress (task->list);
   if (!listing && now >= task->next_list && wants_list (task, now))
     list_endpoints (task, now);
-  else if (listing && now - ln_endpoint_list_asked_at (task->list) > period
+  else if (listing && now - ln_endpoint_list_requested_at (task->list) > period
            && now >= task->next_list && now - task->last_tick < MAX_PAUSE)
     {
       /* The store does not answer: the endpoints are believed to be as they were. */
@@ -459,7 +459,7 @@
   if (message->type == LN_MEMBERS)
     take_members (task, (const LnMembersMessage *)message);
   else if (message->type == LN_FLEET)
-    ln_catalog_fleet (task->catalog, fleet->members, fleet->n_members);
+    ln_catalog_set_members (task->catalog, fleet->members, fleet->n_members);
   else if (message->type == LN_DUTY)
     note_duty (task, (const LnDutyMessage *)message);
   else if (message->type == LN_DEMAND)
@@ -508,8 +508,8 @@
 ln_desired_new (LnContext *context)
 {
   static const LnCatalogHandlers catalog_handlers = { .on_endpoints = on_catalog_endpoints,
-                                                      .on_same_endpoints = on_same_endpoints,
-                                                      .on_fleet = on_catalog_fleet };
+                                                      .on_endpoints_confirmed = on_same_endpoints,
+                                                      .on_members = on_catalog_fleet };
   static const LnEndpointListHandlers list_handlers
       = { .on_listed = on_listed, .on_failed = on_not_listed };
   const LpFollowSettings rows = { .table = context->dialect->operator_table,
--- a/packages/node/src/endpoints/ln-crash-row.c
+++ b/packages/node/src/endpoints/ln-crash-row.c
@@ -9,7 +9,7 @@
 #define JSON_FORMAT (JSON_C_TO_STRING_PLAIN | JSON_C_TO_STRING_NOSLASHESCAPE)
 
 struct json_object *
-ln_crash_contents_to_json (const LcFingerprint *contents, size_t n_contents)
+ln_crash_fingerprints_to_json (const LcFingerprint *contents, size_t n_contents)
 {
   struct json_object *array = json_object_new_array ();
   char text[LC_FINGERPRINT_TEXT_SIZE];
@@ -31,8 +31,8 @@
     json_object_object_add (object, "endpoint", json_object_new_string (row->report.endpoint));
   json_object_object_add (object, "at_ms", json_object_new_int64 (row->at_ms));
   json_object_object_add (object, "contents",
-                          ln_crash_contents_to_json (row->report.fingerprints,
-                                                     row->report.n_fingerprints));
+                          ln_crash_fingerprints_to_json (row->report.fingerprints,
+                                                         row->report.n_fingerprints));
   return lb_json_take_text (object, JSON_FORMAT);
 }
 
--- a/packages/node/src/endpoints/ln-crash-row.h
+++ b/packages/node/src/endpoints/ln-crash-row.h
@@ -14,7 +14,8 @@
 struct json_object;
 
 /* Their texts, as rows and log lines name them. */
-struct json_object *ln_crash_contents_to_json (const LcFingerprint *contents, size_t n_contents);
+struct json_object *ln_crash_fingerprints_to_json (const LcFingerprint *contents,
+                                                   size_t n_contents);
 /* The caller frees it. */
 char *ln_crash_row_to_text (const LnCrashRow *row);
 /* Without report.id and report.at. */
--- a/packages/node/src/endpoints/ln-crashes.c
+++ b/packages/node/src/endpoints/ln-crashes.c
@@ -201,7 +201,7 @@
       hear (crashes, rows[i].key, rows[i].value, now);
     else
       hear_removal (crashes, rows[i].key);
-  ln_crashes_tell (crashes);
+  ln_crashes_publish_clearances (crashes);
 }
 
 static void
@@ -248,11 +248,11 @@
 }
 
 void
-ln_crashes_seen (LnCrashes *crashes,
-                 const char *endpoint,
-                 LbTime at,
-                 const LcFingerprint *contents,
-                 size_t n_contents)
+ln_crashes_report_crash (LnCrashes *crashes,
+                         const char *endpoint,
+                         LbTime at,
+                         const LcFingerprint *contents,
+                         size_t n_contents)
 {
   const LnContext *context = crashes->context;
   LnCrashRow row = { .at_ms = to_store_ms (crashes, at) };
@@ -267,11 +267,11 @@
             context->incarnation, (unsigned long long)++crashes->n_told);
   tell (crashes, report->id, &row);
   lc_quarantine_add_report (crashes->quarantine, report, lb_clock_monotonic ());
-  ln_crashes_tell (crashes);
+  ln_crashes_publish_clearances (crashes);
 }
 
 void
-ln_crashes_tell (LnCrashes *crashes)
+ln_crashes_publish_clearances (LnCrashes *crashes)
 {
   LnCrashRow row = { .is_clearance = true };
   char content[LC_FINGERPRINT_TEXT_SIZE];
@@ -289,14 +289,14 @@
 }
 
 bool
-ln_crashes_hear (LnCrashes *crashes, const LnPeerMessage *frame)
+ln_crashes_receive_frame (LnCrashes *crashes, const LnPeerMessage *frame)
 {
   LnCrashFrame told;
 
   if (!ln_crash_frame_read (frame, &told))
     return false;
   hear (crashes, told.key, told.text, lb_clock_monotonic ());
-  ln_crashes_tell (crashes);
+  ln_crashes_publish_clearances (crashes);
   return true;
 }
 
@@ -315,7 +315,7 @@
 }
 
 bool
-ln_crashes_is_known (const LnCrashes *crashes, LbTime now)
+ln_crashes_is_ready (const LnCrashes *crashes, LbTime now)
 {
   bool has_read = crashes->follow ? lp_follow_has_listed (crashes->follow) : crashes->has_scanned;
 
--- a/packages/node/src/endpoints/ln-endpoint-checks.c
+++ b/packages/node/src/endpoints/ln-endpoint-checks.c
@@ -83,7 +83,7 @@
                                        [LH_REACH_CLOSED] = "closed",
                                        [LH_REACH_REFUSED] = "refused",
                                        [LH_REACH_SILENT] = "silent" };
-  struct json_object *contents = ln_crash_contents_to_json (check->contents, check->n_contents);
+  struct json_object *contents = ln_crash_fingerprints_to_json (check->contents, check->n_contents);
 
   lb_log (LB_LOG_INFO, "endpoint_checked", LB_TEXT ("endpoint", check->endpoint),
           LB_TEXT ("connections", names[outcome]),
@@ -155,10 +155,10 @@
 }
 
 void
-ln_endpoint_checks_broken (LnEndpointChecks *checks,
-                           const char *endpoint,
-                           const char *address,
-                           LcFingerprint content)
+ln_endpoint_checks_request_failed (LnEndpointChecks *checks,
+                                   const char *endpoint,
+                                   const char *address,
+                                   LcFingerprint content)
 {
   Check *check = find (checks, endpoint);
 
--- a/packages/node/src/endpoints/ln-endpoint-checks.h
+++ b/packages/node/src/endpoints/ln-endpoint-checks.h
@@ -21,9 +21,9 @@
 
 /* A request broke at the endpoint before it brought anything. Requests that break there while the
  * check runs share its outcome. */
-void ln_endpoint_checks_broken (LnEndpointChecks *checks,
-                                const char *endpoint,
-                                const char *address,
-                                LcFingerprint content);
+void ln_endpoint_checks_request_failed (LnEndpointChecks *checks,
+                                        const char *endpoint,
+                                        const char *address,
+                                        LcFingerprint content);
 
 #endif
--- a/packages/node/src/endpoints/ln-endpoint-list.c
+++ b/packages/node/src/endpoints/ln-endpoint-list.c
@@ -172,7 +172,7 @@
 }
 
 void
-ln_endpoint_list_ask (LnEndpointList *list, LbTime now)
+ln_endpoint_list_request (LnEndpointList *list, LbTime now)
 {
   list->is_asked = true;
   list->asked_at = now;
@@ -186,13 +186,13 @@
 }
 
 bool
-ln_endpoint_list_is_asked (const LnEndpointList *list)
+ln_endpoint_list_is_in_progress (const LnEndpointList *list)
 {
   return list->is_asked;
 }
 
 LbTime
-ln_endpoint_list_asked_at (const LnEndpointList *list)
+ln_endpoint_list_requested_at (const LnEndpointList *list)
 {
   return list->asked_at;
 }
--- a/packages/node/src/endpoints/ln-endpoint-list.h
+++ b/packages/node/src/endpoints/ln-endpoint-list.h
@@ -24,11 +24,11 @@
 /* Endpoints of services that it does not name are left out. Keeps a reference. */
 void ln_endpoint_list_set_desired (LnEndpointList *list, LcDesired *desired);
 /* Only while no list is asked for. */
-void ln_endpoint_list_ask (LnEndpointList *list, LbTime now);
+void ln_endpoint_list_request (LnEndpointList *list, LbTime now);
 
 /* queries */
-bool ln_endpoint_list_is_asked (const LnEndpointList *list);
-LbTime ln_endpoint_list_asked_at (const LnEndpointList *list);
+bool ln_endpoint_list_is_in_progress (const LnEndpointList *list);
+LbTime ln_endpoint_list_requested_at (const LnEndpointList *list);
 LcSubset *ln_endpoint_list_subset (LnEndpointList *list);
 
 #endif
--- a/packages/node/src/endpoints/ln-leaving.c
+++ b/packages/node/src/endpoints/ln-leaving.c
@@ -97,7 +97,7 @@
  * others send it new work until they have polled it themselves. What is in the resources all know
  * already, and without its incarnation nobody could tell which life of the endpoint was meant. */
 void
-ln_leaving_tell (LnLeaving *leaving, const LcEndpoint *endpoint)
+ln_leaving_announce (LnLeaving *leaving, const LcEndpoint *endpoint)
 {
   LnTask *peers = ln_hub_find (leaving->task->hub, "peers");
 
@@ -118,7 +118,9 @@
 }
 
 bool
-ln_leaving_hear (LnLeaving *leaving, const LnPeerMessage *frame, LnEndpointLeavingMessage *heard)
+ln_leaving_receive_frame (LnLeaving *leaving,
+                          const LnPeerMessage *frame,
+                          LnEndpointLeavingMessage *heard)
 {
   msgpack_unpacked unpacked;
   size_t offset = 0;
--- a/packages/node/src/endpoints/ln-leaving.h
+++ b/packages/node/src/endpoints/ln-leaving.h
@@ -12,10 +12,12 @@
 
 /* Tells all instances, once for each incarnation, that the endpoint leaves; nothing when it stays.
  */
-void ln_leaving_tell (LnLeaving *leaving, const LcEndpoint *endpoint);
+void ln_leaving_announce (LnLeaving *leaving, const LcEndpoint *endpoint);
 
-/* Reads a frame of ln_leaving_tell; false when it is not one. What was heard is not told again. */
-bool
-ln_leaving_hear (LnLeaving *leaving, const LnPeerMessage *frame, LnEndpointLeavingMessage *heard);
+/* Reads a frame of ln_leaving_announce; false when it is not one. What was heard is not told again.
+ */
+bool ln_leaving_receive_frame (LnLeaving *leaving,
+                               const LnPeerMessage *frame,
+                               LnEndpointLeavingMessage *heard);
 
 #endif
--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -164,7 +164,7 @@
     return;
   if (catalog->passed_on == changes)
     {
-      catalog->handlers.on_same_endpoints (asked_at, catalog->user);
+      catalog->handlers.on_endpoints_confirmed (asked_at, catalog->user);
       return;
     }
   read_items (catalog, ENDPOINTS, &reading);
@@ -186,7 +186,7 @@
   read_items (catalog, INSTANCES, &reading);
   if (reading.n > 0
       && (reading.version != catalog->instances_version || reading.n != catalog->n_instances))
-    catalog->handlers.on_fleet ((const LcFleetMember *)reading.items, reading.n, catalog->user);
+    catalog->handlers.on_members ((const LcFleetMember *)reading.items, reading.n, catalog->user);
   catalog->instances_version = reading.version;
   catalog->n_instances = reading.n;
   free (reading.items);
@@ -401,7 +401,7 @@
 }
 
 void
-ln_catalog_fleet (LnCatalog *catalog, const LcFleetMember *members, size_t n_members)
+ln_catalog_set_members (LnCatalog *catalog, const LcFleetMember *members, size_t n_members)
 {
   free (catalog->members);
   catalog->members = lb_memdup (members, n_members * sizeof *members);
@@ -413,7 +413,7 @@
 }
 
 void
-ln_catalog_forget_list (LnCatalog *catalog)
+ln_catalog_invalidate_list (LnCatalog *catalog)
 {
   catalog->passed_on = -1;
 }
@@ -448,11 +448,11 @@
 }
 
 void
-ln_catalog_listed (
+ln_catalog_set_endpoint_list (
     LnCatalog *catalog, const LcRegistration *list, size_t n_list, LbTime asked_at, LbTime now)
 {
   catalog->own_asked_at = asked_at;
-  ln_catalog_forget_list (catalog);
+  ln_catalog_invalidate_list (catalog);
   if (!catalog->is_used)
     return;
   LcCatalogItem *items = LB_NEW_ARRAY (LcCatalogItem, n_list + 1);
@@ -464,9 +464,9 @@
 }
 
 void
-ln_catalog_each_crowded (const LnCatalog *catalog,
-                         void (*take) (const char *service, void *user),
-                         void *user)
+ln_catalog_foreach_overloaded_service (const LnCatalog *catalog,
+                                       void (*take) (const char *service, void *user),
+                                       void *user)
 {
   for (size_t i = 0; i < catalog->n_members; i++)
     if (catalog->members[i].alive && catalog->members[i].row.crowded[0])
@@ -490,7 +490,7 @@
 }
 
 void
-ln_catalog_bounds (LnCatalog *catalog, const LcSubset *subset)
+ln_catalog_set_subset_bounds (LnCatalog *catalog, const LcSubset *subset)
 {
   Bounds bounds = { 0 };
 
@@ -507,25 +507,25 @@
 }
 
 void
-ln_catalog_take_bounds (const LnCatalog *catalog, LcSubset *subset)
+ln_catalog_apply_subset_bounds (const LnCatalog *catalog, LcSubset *subset)
 {
   lc_catalog_foreach (catalog->catalog, BOUNDS, take_bound, subset);
 }
 
 bool
-ln_catalog_wants_list (const LnCatalog *catalog, LbTime now)
+ln_catalog_needs_endpoint_list (const LnCatalog *catalog, LbTime now)
 {
   return !catalog->is_used || lc_catalog_needs_listing (catalog->catalog, now);
 }
 
 bool
-ln_catalog_wants_fleet (const LnCatalog *catalog, LbTime now)
+ln_catalog_needs_member_list (const LnCatalog *catalog, LbTime now)
 {
-  return catalog->rank >= 0 || ln_catalog_wants_list (catalog, now);
+  return catalog->rank >= 0 || ln_catalog_needs_endpoint_list (catalog, now);
 }
 
 LbTime
-ln_catalog_period (const LnCatalog *catalog)
+ln_catalog_publish_period (const LnCatalog *catalog)
 {
   return lc_catalog_publish_period (catalog->catalog);
 }
@@ -537,7 +537,7 @@
 }
 
 const char *
-ln_catalog_publisher (const LnCatalog *catalog)
+ln_catalog_publisher_name (const LnCatalog *catalog)
 {
   return lc_catalog_publisher_name (catalog->catalog);
 }
--- a/packages/node/src/membership/ln-fleet-lists.c
+++ b/packages/node/src/membership/ln-fleet-lists.c
@@ -76,7 +76,7 @@
 static const char *const duty_prefixes[] = { TABLE "/" DUTY_PART "/" };
 
 void
-ln_fleet_key (const LcFleetRow *row, bool on_duty, char *key)
+ln_fleet_row_key (const LcFleetRow *row, bool on_duty, char *key)
 {
   uint64_t hash = XXH3_64bits (row->name, strlen (row->name));
   LcDutyCandidate candidate = { .strength = row->strength };
@@ -200,7 +200,7 @@
   const LpTransaction transaction
       = { .token = "", .conditions = &condition, .n_conditions = 1, .puts = &put, .n_puts = 1 };
 
-  ln_fleet_key (&member->row, false, key);
+  ln_fleet_row_key (&member->row, false, key);
   lists->platform->klass->transact (lists->platform, &transaction, LP_PRIORITY_STATUS, on_removed,
                                     NULL);
 }
@@ -300,7 +300,7 @@
 /* Guards against what was listed long ago: the time without lists looks like an outage of the
  * store, in which nobody could renew, and one that left meanwhile would count as alive. */
 void
-ln_fleet_lists_set_followed (LnFleetLists *lists, bool followed)
+ln_fleet_lists_set_catalog_followed (LnFleetLists *lists, bool followed)
 {
   lists->is_unsaid |= lists->followed && !followed;
   if (followed && !lists->followed)
@@ -313,7 +313,7 @@
 
 /* A list of this instance's own that is still on its way does not count. */
 void
-ln_fleet_lists_hear (LnFleetLists *lists, const LcFleetMember *members, size_t n_members)
+ln_fleet_lists_set_members (LnFleetLists *lists, const LcFleetMember *members, size_t n_members)
 {
   if (!lists->followed)
     return;
@@ -333,7 +333,7 @@
 }
 
 bool
-ln_fleet_lists_shows_on_duty (const LnFleetLists *lists, const char *instance)
+ln_fleet_lists_has_duty_row (const LnFleetLists *lists, const char *instance)
 {
   const LcFleet *fleet = lists->on_duty.fleet;
 
@@ -344,7 +344,7 @@
 }
 
 bool
-ln_fleet_lists_leaves_out (const LnFleetLists *lists, const char *instance)
+ln_fleet_lists_has_omitted (const LnFleetLists *lists, const char *instance)
 {
   if (lists->n_members * 100 < (size_t)LN_FLEET_DIRECTORY_MAX * FULL_PERCENT)
     return false;
--- a/packages/node/src/membership/ln-fleet-lists.h
+++ b/packages/node/src/membership/ln-fleet-lists.h
@@ -14,7 +14,7 @@
 
 /* Key of the row of an instance, with or without a duty. Rows are in the order of the directory. */
 #define LN_FLEET_KEY_SIZE (LB_NAME_MAX + 32)
-void ln_fleet_key (const LcFleetRow *row, bool on_duty, char *key);
+void ln_fleet_row_key (const LcFleetRow *row, bool on_duty, char *key);
 
 typedef struct LnFleetLists LnFleetLists;
 
@@ -28,14 +28,15 @@
 /* commands */
 void ln_fleet_lists_tick (LnFleetLists *lists, LbTime now);
 /* Somebody else lists the instances, and tells what he knows; or nobody does any more. */
-void ln_fleet_lists_set_followed (LnFleetLists *lists, bool followed);
-void ln_fleet_lists_hear (LnFleetLists *lists, const LcFleetMember *members, size_t n_members);
+void ln_fleet_lists_set_catalog_followed (LnFleetLists *lists, bool followed);
+void
+ln_fleet_lists_set_members (LnFleetLists *lists, const LcFleetMember *members, size_t n_members);
 
 /* queries */
 /* The directory is full, and does not hold the instance. */
-bool ln_fleet_lists_leaves_out (const LnFleetLists *lists, const char *instance);
+bool ln_fleet_lists_has_omitted (const LnFleetLists *lists, const char *instance);
 /* The last list of those on duty shows the instance, this start of it or an earlier one. */
-bool ln_fleet_lists_shows_on_duty (const LnFleetLists *lists, const char *instance);
+bool ln_fleet_lists_has_duty_row (const LnFleetLists *lists, const char *instance);
 size_t ln_fleet_lists_count (const LnFleetLists *lists);
 const LcFleetMember *ln_fleet_lists_at (const LnFleetLists *lists, size_t index);
 
--- a/packages/node/src/membership/ln-fleet-renewal.c
+++ b/packages/node/src/membership/ln-fleet-renewal.c
@@ -68,7 +68,7 @@
   const LpTransaction transaction
       = { .token = "", .puts = &put, .n_puts = 1, .time = RENEWAL_TIME };
 
-  ln_fleet_key (renewal->row, on_duty, key);
+  ln_fleet_row_key (renewal->row, on_duty, key);
   renewal->platform->klass->transact (renewal->platform, &transaction, LP_PRIORITY_STATUS, done,
                                       renewal);
 }
@@ -142,7 +142,7 @@
 }
 
 static LbTime
-period_of (const LnFleetListing *listing)
+period_of (const LnFleetListSummary *listing)
 {
   if (listing->is_left_out)
     return LEFT_OUT_PERIOD;
@@ -150,7 +150,7 @@
 }
 
 void
-ln_fleet_renewal_tick (LnFleetRenewal *renewal, const LnFleetListing *listing, LbTime now)
+ln_fleet_renewal_tick (LnFleetRenewal *renewal, const LnFleetListSummary *listing, LbTime now)
 {
   LbTime period = period_of (listing);
 
@@ -170,7 +170,7 @@
 }
 
 void
-ln_fleet_renewal_tell (LnFleetRenewal *renewal, LbTime now)
+ln_fleet_renewal_write_now (LnFleetRenewal *renewal, LbTime now)
 {
   renew (renewal, now);
   if (is_on_duty (renewal, now) && !renewal->removes_duty_row)
--- a/packages/node/src/membership/ln-fleet-renewal.h
+++ b/packages/node/src/membership/ln-fleet-renewal.h
@@ -21,11 +21,11 @@
   size_t n_instances;
   bool is_left_out; /* the directory has no place for this instance */
   bool has_duty_row;
-} LnFleetListing;
+} LnFleetListSummary;
 
-void ln_fleet_renewal_tick (LnFleetRenewal *renewal, const LnFleetListing *listing, LbTime now);
+void ln_fleet_renewal_tick (LnFleetRenewal *renewal, const LnFleetListSummary *listing, LbTime now);
 /* The row says something new: it is written at once. */
-void ln_fleet_renewal_tell (LnFleetRenewal *renewal, LbTime now);
+void ln_fleet_renewal_write_now (LnFleetRenewal *renewal, LbTime now);
 /* This instance has got a duty, or ended one. */
 void ln_fleet_renewal_set_duty (LnFleetRenewal *renewal, bool has_duty, LbTime now);
 
--- a/packages/node/src/membership/ln-fleet.c
+++ b/packages/node/src/membership/ln-fleet.c
@@ -48,7 +48,7 @@
   LnMembersMessage message = { .base = LN_MESSAGE (LN_MEMBERS) };
 
   message.n_members = ln_fleet_lists_count (task->lists);
-  message.is_left_out = ln_fleet_lists_leaves_out (task->lists, task->own.name);
+  message.is_left_out = ln_fleet_lists_has_omitted (task->lists, task->own.name);
   message.members = LB_NEW_ARRAY (LnMember, message.n_members + 1);
   message.base.clear = clear_members;
   for (size_t i = 0; i < message.n_members; i++)
@@ -146,8 +146,8 @@
   if (cut == task->own.cut)
     return;
   task->own.cut = cut;
-  if (!ln_fleet_lists_leaves_out (task->lists, task->own.name))
-    ln_fleet_renewal_tell (task->renewal, now);
+  if (!ln_fleet_lists_has_omitted (task->lists, task->own.name))
+    ln_fleet_renewal_write_now (task->renewal, now);
 }
 
 /* Told anew only when it has changed by more than answers of the store may vary: each change of a
@@ -171,10 +171,10 @@
 
   note_reach (task, now);
   note_clock (task, now);
-  const LnFleetListing listing
+  const LnFleetListSummary listing
       = { .n_instances = ln_fleet_lists_count (task->lists),
-          .is_left_out = ln_fleet_lists_leaves_out (task->lists, task->own.name),
-          .has_duty_row = ln_fleet_lists_shows_on_duty (task->lists, task->own.name) };
+          .is_left_out = ln_fleet_lists_has_omitted (task->lists, task->own.name),
+          .has_duty_row = ln_fleet_lists_has_duty_row (task->lists, task->own.name) };
   ln_fleet_renewal_tick (task->renewal, &listing, now);
   ln_ticker_set_idle (ln_context_ticker (task->context),
                       listing.is_left_out && !has_duty (task) && !task->own.draining);
@@ -346,19 +346,19 @@
       note_duty (task, (const LnDutyMessage *)message, lb_clock_monotonic ());
       break;
     case LN_FLEET_FOLLOWED:
-      ln_fleet_lists_set_followed (task->lists,
-                                   ((const LnFleetFollowedMessage *)message)->followed);
+      ln_fleet_lists_set_catalog_followed (task->lists,
+                                           ((const LnFleetFollowedMessage *)message)->followed);
       break;
     case LN_FLEET_HEARD:
-      ln_fleet_lists_hear (task->lists, ((const LnFleetMessage *)message)->members,
-                           ((const LnFleetMessage *)message)->n_members);
+      ln_fleet_lists_set_members (task->lists, ((const LnFleetMessage *)message)->members,
+                                  ((const LnFleetMessage *)message)->n_members);
       break;
     case LN_CROWDED:
       LB_COPY (task->own.crowded, ((const LnCrowdedMessage *)message)->service);
       break;
     case LN_READY:
       task->own.ready = ((const LnReadyMessage *)message)->ready;
-      ln_fleet_renewal_tell (task->renewal, lb_clock_monotonic ());
+      ln_fleet_renewal_write_now (task->renewal, lb_clock_monotonic ());
       break;
     default:
       break;
@@ -372,7 +372,7 @@
   Fleet *task = (Fleet *)base;
 
   task->own.draining = true;
-  ln_fleet_renewal_tell (task->renewal, lb_clock_monotonic ());
+  ln_fleet_renewal_write_now (task->renewal, lb_clock_monotonic ());
 }
 
 static void
--- a/packages/node/src/membership/ln-frame-window.c
+++ b/packages/node/src/membership/ln-frame-window.c
@@ -59,7 +59,7 @@
 /* Frames reach an instance on several paths and out of order; one that is more than WINDOW behind
  * the newest counts as seen. */
 bool
-ln_frame_window_note (LnFrameWindow *window, const char *name, uint64_t epoch, uint64_t sequence)
+ln_frame_window_add (LnFrameWindow *window, const char *name, uint64_t epoch, uint64_t sequence)
 {
   Origin *origin = find_or_add (window, name);
 
--- a/packages/node/src/membership/ln-frame-window.h
+++ b/packages/node/src/membership/ln-frame-window.h
@@ -10,6 +10,6 @@
 void ln_frame_window_free (LnFrameWindow *window);
 /* True when this frame of the origin was not seen before; it is then noted as seen. */
 bool
-ln_frame_window_note (LnFrameWindow *window, const char *origin, uint64_t epoch, uint64_t sequence);
+ln_frame_window_add (LnFrameWindow *window, const char *origin, uint64_t epoch, uint64_t sequence);
 
 #endif
--- a/packages/node/src/membership/ln-members.c
+++ b/packages/node/src/membership/ln-members.c
@@ -32,7 +32,7 @@
                                                   "Another incarnation claimed this name");
 
 void
-ln_members_count (const LcMembership *membership, LcMembershipTotals *counted)
+ln_members_update_counters (const LcMembership *membership, LcMembershipTotals *counted)
 {
   LcMembershipTotals totals = lc_membership_totals (membership);
 
--- a/packages/node/src/membership/ln-members.h
+++ b/packages/node/src/membership/ln-members.h
@@ -7,6 +7,6 @@
 /* Posts the present view as LN_MEMBERS to all tasks, logs it and sets the gauges. */
 void ln_members_publish (const LcMembership *membership, LnHub *hub);
 /* Adds to the counters what the totals of the membership have grown by since `counted`. */
-void ln_members_count (const LcMembership *membership, LcMembershipTotals *counted);
+void ln_members_update_counters (const LcMembership *membership, LcMembershipTotals *counted);
 
 #endif
--- a/packages/node/src/membership/ln-peers-actions.c
+++ b/packages/node/src/membership/ln-peers-actions.c
@@ -55,7 +55,7 @@
 
   LnPeerConnection *connection = ln_peers_find_connection (peers, action->link);
   if (action->type == LC_MEMBERSHIP_BROADCAST)
-    ln_peers_send_to_all (peers, &message, action->link);
+    ln_peers_broadcast (peers, &message, action->link);
   else if (connection)
     ln_peers_send_message (peers, connection, &message);
 }
@@ -95,7 +95,7 @@
 }
 
 void
-ln_peers_carry_out (LnPeers *peers)
+ln_peers_run_actions (LnPeers *peers)
 {
   LbLink *link;
 
@@ -105,6 +105,6 @@
       carry_out_one (peers, action);
       lc_membership_action_free (action);
     }
-  ln_members_count (peers->membership, &peers->counted);
+  ln_members_update_counters (peers->membership, &peers->counted);
   set_timer (peers);
 }
--- a/packages/node/src/membership/ln-peers-frames.c
+++ b/packages/node/src/membership/ln-peers-frames.c
@@ -36,14 +36,14 @@
 
   send_frame (peers, connection, frame, length);
   if (message->type != LW_PING && message->type != LW_PONG)
-    ln_peers_note_sent (peers, connection);
+    ln_peers_record_sent (peers, connection);
   free (frame);
 }
 
 /* One frame to each instance to which a connection is open, but not on the connection except. Two
  * instances may have a connection in each direction; the one heard last is taken. */
 void
-ln_peers_send_to_all (LnPeers *peers, const LwMessage *message, LcLinkId except)
+ln_peers_broadcast (LnPeers *peers, const LwMessage *message, LcLinkId except)
 {
   const char *except_name = lc_membership_link_peer_name (peers->membership, except);
   size_t length;
@@ -55,7 +55,7 @@
     if (name && (!except_name || strcmp (name, except_name) != 0)
         && lc_membership_find_link (peers->membership, name) == connection->id)
       {
-        ln_peers_note_sent (peers, connection);
+        ln_peers_record_sent (peers, connection);
         send_frame (peers, connection, frame, length);
       }
   }
@@ -67,19 +67,19 @@
 {
   LnPeerConnection *connection = user;
 
-  ln_peers_note_sent (connection->user, connection);
+  ln_peers_record_sent (connection->user, connection);
   if (!ln_peer_connection_send (connection, frame, length))
     lb_metric_add (&frames_dropped, 1);
 }
 
 void
-ln_peers_flush_waiting (LnPeers *peers, LnPeerConnection *connection, const char *name)
+ln_peers_flush_outbox (LnPeers *peers, LnPeerConnection *connection, const char *name)
 {
   ln_outbox_flush (&peers->outbox, name, send_waiting, connection);
 }
 
 void
-ln_peers_expire_frames (LnPeers *peers, LbTime now)
+ln_peers_expire_outbox (LnPeers *peers, LbTime now)
 {
   lb_metric_add (&frames_dropped, (int64_t)ln_outbox_expire (&peers->outbox, now));
 }
@@ -113,17 +113,17 @@
 /* A frame to all is passed on over all connections, so that the sender need not have one to each.
  */
 void
-ln_peers_receive_data (LnPeers *peers, LcLinkId from, const LwMessage *message)
+ln_peers_handle_data (LnPeers *peers, LcLinkId from, const LwMessage *message)
 {
   if (strcmp (message->origin, lc_membership_self (peers->membership)->name) == 0)
     return;
   if (message->to_all
-      && !ln_frame_window_note (peers->window, message->origin, message->origin_epoch,
-                                message->sequence))
+      && !ln_frame_window_add (peers->window, message->origin, message->origin_epoch,
+                               message->sequence))
     return;
   deliver (peers, message->origin, message->topic, message->payload, message->length);
   if (message->to_all)
-    ln_peers_send_to_all (peers, message, from);
+    ln_peers_broadcast (peers, message, from);
 }
 
 static void
@@ -150,7 +150,7 @@
 }
 
 void
-ln_peers_receive_send (LnPeers *peers, const LnPeerMessage *message)
+ln_peers_send_data (LnPeers *peers, const LnPeerMessage *message)
 {
   const LcInstance *self = lc_membership_self (peers->membership);
   LwMessage data = { .type = LW_DATA,
@@ -164,11 +164,11 @@
   if (data.to_all)
     {
       data.sequence = ++peers->sequence;
-      ln_peers_send_to_all (peers, &data, 0);
+      ln_peers_broadcast (peers, &data, 0);
     }
   else if (strcmp (message->instance, self->name) == 0)
     deliver (peers, self->name, message->topic, message->payload, message->length);
   else
     send_to_one (peers, message->instance, &data, lb_clock_monotonic ());
-  ln_peers_carry_out (peers);
+  ln_peers_run_actions (peers);
 }
--- a/packages/node/src/membership/ln-peers-handlers.c
+++ b/packages/node/src/membership/ln-peers-handlers.c
@@ -17,8 +17,8 @@
   if (connection->id == 0)
     ln_peers_close_connection (peers, connection);
   else
-    ln_peers_flush_waiting (peers, connection, peer->name);
-  ln_peers_carry_out (peers);
+    ln_peers_flush_outbox (peers, connection, peer->name);
+  ln_peers_run_actions (peers);
 }
 
 static void
@@ -32,7 +32,7 @@
                 "peer_connection_failed", error);
   ln_peers_close_connection (peers, connection);
   lc_membership_link_closed (peers->membership, id, lb_clock_monotonic (), &peers->actions);
-  ln_peers_carry_out (peers);
+  ln_peers_run_actions (peers);
 }
 
 static void
@@ -77,7 +77,7 @@
                                       message->n_instances, message->answer, now, &peers->actions);
       break;
     case LW_DATA:
-      ln_peers_receive_data (peers, id, message);
+      ln_peers_handle_data (peers, id, message);
       break;
     case LW_HELLO:
     case LW_CHALLENGE:
@@ -86,7 +86,7 @@
       refuse_message (peers, connection);
       return;
     }
-  ln_peers_carry_out (peers);
+  ln_peers_run_actions (peers);
 }
 
 const LnPeerHandlers ln_peers_handlers
--- a/packages/node/src/membership/ln-peers-list.c
+++ b/packages/node/src/membership/ln-peers-list.c
@@ -65,7 +65,7 @@
                                      lb_clock_monotonic (), &peers->actions);
   free (listed);
   take_leaving_endpoints (peers, list);
-  ln_peers_carry_out (peers);
+  ln_peers_run_actions (peers);
 }
 
 /* The platform is freed right after the tasks and drops what it has not answered: on_list never
@@ -97,7 +97,7 @@
 }
 
 void
-ln_peers_ask_for_list (LnPeers *peers, LbTime now)
+ln_peers_request_list (LnPeers *peers, LbTime now)
 {
   LpPlatform *platform = peers->context->platform;
 
--- a/packages/node/src/membership/ln-peers-listen.c
+++ b/packages/node/src/membership/ln-peers-listen.c
@@ -58,7 +58,7 @@
 
 /* The failure: a client that connects and says nothing would hold a socket for ever. */
 void
-ln_peers_close_unproved (LnPeers *peers, LbTime now)
+ln_peers_close_unauthenticated (LnPeers *peers, LbTime now)
 {
   LB_LIST_FOREACH (&peers->connections, LnPeerConnection, link, connection)
   {
--- a/packages/node/src/membership/ln-peers-private.h
+++ b/packages/node/src/membership/ln-peers-private.h
@@ -45,7 +45,7 @@
 void ln_peers_close_connection (LnPeers *peers, LnPeerConnection *connection);
 void ln_peers_free_connections (LbList *connections);
 /* Tells the membership that an answer is awaited on the connection from now on. */
-void ln_peers_note_sent (const LnPeers *peers, const LnPeerConnection *connection);
+void ln_peers_record_sent (const LnPeers *peers, const LnPeerConnection *connection);
 
 /* ln-peers-frames.c: those that send may close the connection and add actions; the caller carries
  * them out. */
@@ -53,15 +53,15 @@
 void ln_peers_send_message (LnPeers *peers, LnPeerConnection *connection, const LwMessage *message);
 /* One frame to each instance to which a connection is open, but not to the one at the other end of
  * except (0: to all). */
-void ln_peers_send_to_all (LnPeers *peers, const LwMessage *message, LcLinkId except);
+void ln_peers_broadcast (LnPeers *peers, const LwMessage *message, LcLinkId except);
 /* Sends what waited in the outbox for the instance at the other end. */
-void ln_peers_flush_waiting (LnPeers *peers, LnPeerConnection *connection, const char *name);
+void ln_peers_flush_outbox (LnPeers *peers, LnPeerConnection *connection, const char *name);
 /* Gives up the frames that have waited in the outbox for too long. */
-void ln_peers_expire_frames (LnPeers *peers, LbTime now);
+void ln_peers_expire_outbox (LnPeers *peers, LbTime now);
 /* A frame of another instance for one of our tasks, and to pass on when it is to all. */
-void ln_peers_receive_data (LnPeers *peers, LcLinkId from, const LwMessage *message);
+void ln_peers_handle_data (LnPeers *peers, LcLinkId from, const LwMessage *message);
 /* A frame of one of our tasks for one instance or for all. */
-void ln_peers_receive_send (LnPeers *peers, const LnPeerMessage *message);
+void ln_peers_send_data (LnPeers *peers, const LnPeerMessage *message);
 
 /* ln-peers-handlers.c: for every connection, dialled or accepted; their user is the LnPeers. */
 extern const LnPeerHandlers ln_peers_handlers;
@@ -70,7 +70,7 @@
 
 /* Does all that the membership has ordered and sets the timer for its next tick: the last step of
  * every handler that changes the membership. */
-void ln_peers_carry_out (LnPeers *peers);
+void ln_peers_run_actions (LnPeers *peers);
 
 /* ln-peers-listen.c */
 
@@ -78,10 +78,10 @@
  * logged, when it cannot be bound. */
 bool ln_peers_start_listening (LnPeers *peers);
 /* Closes the accepted connections that have not proved the key in time. */
-void ln_peers_close_unproved (LnPeers *peers, LbTime now);
+void ln_peers_close_unauthenticated (LnPeers *peers, LbTime now);
 
 /* ln-peers-list.c: reads the platform's list of instances when that is due. */
-void ln_peers_ask_for_list (LnPeers *peers, LbTime now);
+void ln_peers_request_list (LnPeers *peers, LbTime now);
 
 /* ln-peers-load.c: tells the membership the load of this instance when that is due. */
 void ln_peers_measure_load (LnPeers *peers, LbTime now);
--- a/packages/node/src/membership/ln-peers.c
+++ b/packages/node/src/membership/ln-peers.c
@@ -60,12 +60,12 @@
   if (!peers->membership)
     join (peers, now);
   ln_peers_free_connections (&peers->closed);
-  ln_peers_close_unproved (peers, now);
-  ln_peers_expire_frames (peers, now);
-  ln_peers_ask_for_list (peers, now);
+  ln_peers_close_unauthenticated (peers, now);
+  ln_peers_expire_outbox (peers, now);
+  ln_peers_request_list (peers, now);
   ln_peers_measure_load (peers, now);
   lc_membership_tick (peers->membership, now, &peers->actions);
-  ln_peers_carry_out (peers);
+  ln_peers_run_actions (peers);
 }
 
 static void
@@ -83,7 +83,7 @@
   if (!peers->membership)
     return;
   lc_membership_set_draining (peers->membership, lb_clock_monotonic (), &peers->actions);
-  ln_peers_carry_out (peers);
+  ln_peers_run_actions (peers);
 }
 
 static void
@@ -99,7 +99,7 @@
       receive_exchange (peers, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_PEER_SEND:
-      ln_peers_receive_send (peers, (const LnPeerMessage *)message);
+      ln_peers_send_data (peers, (const LnPeerMessage *)message);
       break;
     case LN_DRAINING:
       peers_drain (task);
--- a/packages/node/tests/test-crashes.c
+++ b/packages/node/tests/test-crashes.c
@@ -204,7 +204,7 @@
 static void
 see_end (Instance *instance, const char *endpoint, LcFingerprint content)
 {
-  ln_crashes_seen (instance->crashes, endpoint, lb_clock_monotonic (), &content, 1);
+  ln_crashes_report_crash (instance->crashes, endpoint, lb_clock_monotonic (), &content, 1);
 }
 
 static bool
@@ -417,7 +417,7 @@
       see_end (&a, endpoints[i], BAD);
       event_base_loop (base, EVLOOP_NONBLOCK);
       cr_assert_eq (a.peers->frames, (int)i + 1);
-      cr_assert (ln_crashes_hear (b.crashes, &a.peers->last));
+      cr_assert (ln_crashes_receive_frame (b.crashes, &a.peers->last));
     }
   cr_assert (is_kept_out (&b, BAD));
   instance_init (&fresh, base, platform, "c");
@@ -444,7 +444,7 @@
   instance_init (&a, base, platform, "a");
   tick (&a);
   for (int i = 2; i >= 0; i--)
-    ln_crashes_seen (a.crashes, "e1", now - i * 10 * LB_SEC, &content, 1);
+    ln_crashes_report_crash (a.crashes, "e1", now - i * 10 * LB_SEC, &content, 1);
   cr_assert (is_kept_out (&a, BAD));
   instance_init (&fresh, base, platform, "b");
   tick (&fresh);
@@ -491,7 +491,7 @@
   const LnPeerMessage frame = { .payload = garbled, .length = sizeof garbled };
 
   instance_init (&a, base, platform, "a");
-  cr_assert_not (ln_crashes_hear (a.crashes, &frame));
+  cr_assert_not (ln_crashes_receive_frame (a.crashes, &frame));
   instance_clear (&a);
   platform->klass->free (platform);
   event_base_free (base);
--- a/packages/node/tests/test-fleet-directory.c
+++ b/packages/node/tests/test-fleet-directory.c
@@ -89,7 +89,7 @@
       name_instance (i, row.name);
       LB_COPY (row.incarnation, "1");
       LB_COPY (row.caller_address, "10.0.0.1:80");
-      ln_fleet_key (&row, false, store->rows[i].key);
+      ln_fleet_row_key (&row, false, store->rows[i].key);
       struct json_object *object = lc_fleet_row_to_json (&row);
       store->rows[i].value = lb_strdup (json_object_to_json_string (object));
       json_object_put (object);
@@ -150,8 +150,8 @@
   LnFleetLists *lists = ln_fleet_lists_new (&store.platform, "front-0", on_change, NULL);
   ln_fleet_lists_tick (lists, lb_clock_monotonic ());
   cr_assert_eq (ln_fleet_lists_count (lists), 100);
-  cr_assert_not (ln_fleet_lists_leaves_out (lists, "front-99"));
-  cr_assert_not (ln_fleet_lists_leaves_out (lists, "unknown"));
+  cr_assert_not (ln_fleet_lists_has_omitted (lists, "front-99"));
+  cr_assert_not (ln_fleet_lists_has_omitted (lists, "unknown"));
   ln_fleet_lists_free (lists);
   store_clear (&store);
 }
@@ -168,7 +168,7 @@
   for (size_t i = 0; i < 1000; i++)
     {
       name_instance (i, name);
-      n_left_out += ln_fleet_lists_leaves_out (lists, name);
+      n_left_out += ln_fleet_lists_has_omitted (lists, name);
     }
   cr_assert_eq (n_left_out, 1000 - LN_FLEET_DIRECTORY_MAX);
   ln_fleet_lists_free (lists);
--- a/packages/node/tests/test-fleet-lists.c
+++ b/packages/node/tests/test-fleet-lists.c
@@ -120,11 +120,11 @@
   renew (&store);
   ln_fleet_lists_tick (lists, lb_clock_monotonic ());
   cr_assert (find (lists, "gone")->confirmed);
-  ln_fleet_lists_set_followed (lists, true);
+  ln_fleet_lists_set_catalog_followed (lists, true);
   store.instances[1].is_gone = true;
   usleep (3 * PERIOD + PERIOD);
   renew (&store);
-  ln_fleet_lists_set_followed (lists, false);
+  ln_fleet_lists_set_catalog_followed (lists, false);
   ln_fleet_lists_tick (lists, lb_clock_monotonic ());
   cr_assert_not (find (lists, "gone")->confirmed);
   cr_assert (find (lists, "b")->confirmed);
--- a/packages/node/tests/test-fleet-renewal.c
+++ b/packages/node/tests/test-fleet-renewal.c
@@ -79,7 +79,7 @@
 static void
 tick (Setup *s)
 {
-  const LnFleetListing listing
+  const LnFleetListSummary listing
       = { .n_instances = 295, .is_left_out = s->is_left_out, .has_duty_row = s->listed };
 
   ln_fleet_renewal_tick (s->renewal, &listing, s->now);
@@ -102,7 +102,7 @@
   char key[LN_FLEET_KEY_SIZE];
   size_t n = 0;
 
-  ln_fleet_key (&s->row, on_duty, key);
+  ln_fleet_row_key (&s->row, on_duty, key);
   for (size_t i = 0; i < s->store.n_writes; i++)
     n += strcmp (s->store.writes[i].key, key) == 0 && s->store.writes[i].removes == removes;
   return n;
--- a/packages/node/tests/test-leaving.c
+++ b/packages/node/tests/test-leaving.c
@@ -70,7 +70,7 @@
 static void
 tell (Fixture *f)
 {
-  ln_leaving_tell (f->leaving, &f->endpoint);
+  ln_leaving_announce (f->leaving, &f->endpoint);
   event_base_loop (f->base, EVLOOP_NONBLOCK);
 }
 
@@ -103,7 +103,7 @@
   f.endpoint.leaving = true;
   tell (&f);
   const LnPeerMessage frame = { .payload = f.peers->payload, .length = f.peers->length };
-  cr_assert (ln_leaving_hear (other.leaving, &frame, &heard));
+  cr_assert (ln_leaving_receive_frame (other.leaving, &frame, &heard));
   cr_assert_str_eq (heard.endpoint, "e1");
   cr_assert_str_eq (heard.incarnation, "life-1");
   cr_assert_eq (heard.source, LC_LEAVING_PEER);
@@ -123,7 +123,7 @@
   const LnPeerMessage wrong_type = { .payload = bytes, .length = sizeof bytes - 1 };
   const LnPeerMessage cut = { .payload = bytes, .length = 3 };
 
-  cr_assert_not (ln_leaving_hear (f.leaving, &wrong_type, &heard));
-  cr_assert_not (ln_leaving_hear (f.leaving, &cut, &heard));
+  cr_assert_not (ln_leaving_receive_frame (f.leaving, &wrong_type, &heard));
+  cr_assert_not (ln_leaving_receive_frame (f.leaving, &cut, &heard));
   clear (&f);
 }
