--- a/packages/node/src/rollout/ln-pool-controller.c
+++ b/packages/node/src/rollout/ln-pool-controller.c
@@ -17,64 +17,65 @@
 #include <string.h>
 #include <uthash.h>
 
-#define NEWEST_PERIOD LB_SEC
-#define TELL_PERIOD (10 * LB_SEC)
-#define LOOK_PERIOD LB_SEC
-#define LOOKS_PER_SECOND 200
-#define SWAP_LOOK_PERIOD (LB_SEC / 4)
-#define LOOK_SILENCE (2 * LB_SEC)
+#define NEWEST_QUERY_PERIOD LB_SEC
+#define ANNOUNCEMENT_PERIOD (10 * LB_SEC)
+#define LOAD_PERIOD LB_SEC
+#define MAX_LOAD_REQUESTS_PER_SECOND 200
+#define SWAP_LOAD_PERIOD (LB_SEC / 4)
+#define ENGINE_IDLE_TIMEOUT (2 * LB_SEC)
 #define KEY_MAX 96
 
-/* An engine of the pool as the holder orders it and reads it back. */
+/* An engine of the pool and the requests to it that are in progress. */
 typedef struct LnPoolEngine
 {
   LbName name; /* key */
-  LnPoolController *holder;
+  LnPoolController *controller;
   LbName address;
-  LhFetch *look;
-  LhFetch *order;
-  LbTime look_at; /* when the look on its way was asked */
-  LbTime next_look;
-  bool configured;
+  LhFetch *load_request;  /* GET /load; NULL: none */
+  LhFetch *order_request; /* POST /orders; NULL: none */
+  LbTime load_requested_at;
+  LbTime next_load_request_at;
+  bool is_configured;
   UT_hash_handle hh;
 } Engine;
 
 static void
 engine_free (Engine *engine)
 {
-  if (engine->look)
-    lh_fetch_cancel (engine->look);
-  if (engine->order)
-    lh_fetch_cancel (engine->order);
-  HASH_DEL (engine->holder->engines, engine);
+  if (engine->load_request)
+    lh_fetch_cancel (engine->load_request);
+  if (engine->order_request)
+    lh_fetch_cancel (engine->order_request);
+  HASH_DEL (engine->controller->engines, engine);
   free (engine);
 }
 
 static LnPoolOperation *
-question_new (const LnPoolController *holder)
+operation_new (const LnPoolController *controller)
 {
-  LnPoolOperation *question = LB_NEW (LnPoolOperation);
+  LnPoolOperation *operation = LB_NEW (LnPoolOperation);
 
-  question->task = holder->task;
-  question->serial = holder->serial;
-  lb_list_append (&holder->task->pool_operations, &question->link);
-  return question;
+  operation->task = controller->task;
+  operation->controller_serial = controller->serial;
+  lb_list_append (&controller->task->pool_operations, &operation->link);
+  return operation;
 }
 
 static LnPoolController *
-question_end (LnPoolOperation *question)
+operation_end (LnPoolOperation *operation)
 {
-  LnPoolController *holder = ln_pool_controllers_find (question->task, question->serial);
+  LnPoolController *controller
+      = ln_pool_controllers_find (operation->task, operation->controller_serial);
 
-  lb_list_remove (&question->task->pool_operations, &question->link);
-  free (question);
-  return holder;
+  lb_list_remove (&operation->task->pool_operations, &operation->link);
+  free (operation);
+  return controller;
 }
 
 LnPoolController *
 ln_pool_controller_new (LnConfigTask *task, const char *pool, uint64_t serial)
 {
-  LnPoolController *holder = LB_NEW (LnPoolController);
+  LnPoolController *controller = LB_NEW (LnPoolController);
   LcLeaseSettings lease;
   LcWeightsSettings weights;
 
@@ -82,144 +83,145 @@
   LB_COPY (lease.instance, task->context->instance);
   LB_COPY (lease.incarnation, task->context->incarnation);
   lc_weights_settings_init (&weights, pool);
-  holder->task = task;
-  holder->serial = serial;
-  LB_COPY (holder->pool, pool);
-  holder->lease = lc_lease_new (&lease, lb_clock_monotonic (), lb_clock_wall_ms () * LB_MSEC);
-  holder->weights = lc_weights_new (&weights);
-  return holder;
+  controller->task = task;
+  controller->serial = serial;
+  LB_COPY (controller->pool, pool);
+  controller->lease = lc_lease_new (&lease, lb_clock_monotonic (), lb_clock_wall_ms () * LB_MSEC);
+  controller->weights = lc_weights_new (&weights);
+  return controller;
 }
 
 void
-ln_pool_controller_free (LnPoolController *holder)
+ln_pool_controller_free (LnPoolController *controller)
 {
   Engine *engine, *next;
 
-  HASH_ITER (hh, holder->engines, engine, next)
+  HASH_ITER (hh, controller->engines, engine, next)
   {
     engine_free (engine);
   }
-  lc_lease_free (holder->lease);
-  lc_weights_free (holder->weights);
-  free (holder);
+  lc_lease_free (controller->lease);
+  lc_weights_free (controller->weights);
+  free (controller);
 }
 
 static Engine *
-find_engine (LnPoolController *holder, const char *name)
+find_engine (LnPoolController *controller, const char *name)
 {
   Engine *engine;
 
-  HASH_FIND_STR (holder->engines, name, engine);
+  HASH_FIND_STR (controller->engines, name, engine);
   return engine;
 }
 
 static void
-configure_engine (LnPoolController *holder, const LcEndpointMember *member)
+configure_engine (LnPoolController *controller, const LcEndpointMember *member)
 {
-  Engine *engine = find_engine (holder, member->name);
+  Engine *engine = find_engine (controller, member->name);
 
   if (!engine)
     {
       engine = LB_NEW (Engine);
-      engine->holder = holder;
+      engine->controller = controller;
       LB_COPY (engine->name, member->name);
-      HASH_ADD_STR (holder->engines, name, engine);
+      HASH_ADD_STR (controller->engines, name, engine);
     }
   LB_COPY (engine->address, member->address);
-  engine->configured = true;
+  engine->is_configured = true;
 }
 
 void
-ln_pool_controller_configure (LnPoolController *holder, const LcResourceSet *set)
+ln_pool_controller_configure (LnPoolController *controller, const LcResourceSet *set)
 {
   Engine *engine, *next;
 
-  for (engine = holder->engines; engine; engine = engine->hh.next)
-    engine->configured = false;
+  for (engine = controller->engines; engine; engine = engine->hh.next)
+    engine->is_configured = false;
   for (size_t i = 0; i < set->n_endpoints; i++)
     if (set->endpoints[i].kind == LC_ENDPOINT_ENGINE && !set->endpoints[i].leaving
-        && strcmp (set->endpoints[i].pool, holder->pool) == 0)
-      configure_engine (holder, &set->endpoints[i]);
-  HASH_ITER (hh, holder->engines, engine, next)
+        && strcmp (set->endpoints[i].pool, controller->pool) == 0)
+      configure_engine (controller, &set->endpoints[i]);
+  HASH_ITER (hh, controller->engines, engine, next)
   {
-    if (!engine->configured)
+    if (!engine->is_configured)
       engine_free (engine);
   }
-  lc_weights_configure (holder->weights, set, lb_clock_monotonic ());
+  lc_weights_configure (controller->weights, set, lb_clock_monotonic ());
 }
 
 /* --- the lease --- */
 
-static void carry_out_lease (LnPoolController *holder, LbList *actions);
+static void run_lease_actions (LnPoolController *controller, LbList *actions);
 
 static void
 on_lease_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
-  LnPoolController *holder = question_end (user);
+  LnPoolController *controller = operation_end (user);
   LbList actions;
 
-  if (!holder)
+  if (!controller)
     return;
   lb_list_init (&actions);
-  ln_lease_was_read (holder->lease, error, rows, n_rows, lb_clock_monotonic (), &actions);
-  carry_out_lease (holder, &actions);
+  ln_lease_was_read (controller->lease, error, rows, n_rows, lb_clock_monotonic (), &actions);
+  run_lease_actions (controller, &actions);
 }
 
 static void
-read_lease (LnPoolController *holder)
+read_lease (LnPoolController *controller)
 {
   char key[KEY_MAX];
-  LpPlatform *platform = holder->task->context->platform;
+  LpPlatform *platform = controller->task->context->platform;
 
-  snprintf (key, sizeof key, "lease/%s", holder->pool);
-  platform->klass->get (platform, key, on_lease_read, question_new (holder));
+  snprintf (key, sizeof key, "lease/%s", controller->pool);
+  platform->klass->get (platform, key, on_lease_read, operation_new (controller));
 }
 
 static void
 on_lease_written (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
-  LnPoolController *holder = question_end (user);
+  LnPoolController *controller = operation_end (user);
   LbTime now = lb_clock_monotonic ();
   LbList actions;
 
-  if (!holder)
+  if (!controller)
     return;
   lb_list_init (&actions);
-  lc_lease_write_completed (holder->lease, error, now, &actions);
-  carry_out_lease (holder, &actions);
-  if (error == LB_OK && lc_lease_row (holder->lease)->released)
-    ln_pool_controllers_announce_release (holder->task, holder->pool);
+  lc_lease_write_completed (controller->lease, error, now, &actions);
+  run_lease_actions (controller, &actions);
+  if (error == LB_OK && lc_lease_row (controller->lease)->released)
+    ln_pool_controllers_announce_release (controller->task, controller->pool);
 }
 
 static void
-write_lease (LnPoolController *holder, const LcLeaseAction *action)
+write_lease (LnPoolController *controller, const LcLeaseAction *action)
 {
   char key[KEY_MAX], token[KEY_MAX * 2];
 
-  snprintf (key, sizeof key, "lease/%s", holder->pool);
-  snprintf (token, sizeof token, "lease-%s-%s-%llu-%lld", holder->pool, action->row.incarnation,
-            (unsigned long long)holder->serial, (long long)action->row.renewal);
-  ln_lease_write (holder->task->context->platform, key, token, action, on_lease_written,
-                  question_new (holder));
+  snprintf (key, sizeof key, "lease/%s", controller->pool);
+  snprintf (token, sizeof token, "lease-%s-%s-%llu-%lld", controller->pool, action->row.incarnation,
+            (unsigned long long)controller->serial, (long long)action->row.renewal);
+  ln_lease_write (controller->task->context->platform, key, token, action, on_lease_written,
+                  operation_new (controller));
 }
 
 static void
-note_lease (LnPoolController *holder, const LcLeaseAction *action)
+handle_lease_change (LnPoolController *controller, const LcLeaseAction *action)
 {
-  bool gained = action->type == LC_LEASE_GAINED;
+  bool is_gained = action->type == LC_LEASE_GAINED;
   LbTime now = lb_clock_monotonic ();
 
-  lb_log (LB_LOG_INFO, gained ? "lease_gained" : "lease_lost", LB_TEXT ("pool", holder->pool),
-          LB_INT ("fence", action->row.fence), LB_TEXT ("holder", action->row.holder));
-  lc_weights_restart (holder->weights, now);
-  holder->next_told = now;
-  for (Engine *engine = holder->engines; engine; engine = engine->hh.next)
-    engine->next_look = now;
+  lb_log (LB_LOG_INFO, is_gained ? "lease_gained" : "lease_lost",
+          LB_TEXT ("pool", controller->pool), LB_INT ("fence", action->row.fence),
+          LB_TEXT ("holder", action->row.holder));
+  lc_weights_restart (controller->weights, now);
+  controller->next_announcement_at = now;
+  for (Engine *engine = controller->engines; engine; engine = engine->hh.next)
+    engine->next_load_request_at = now;
 }
 
 static void
-carry_out_lease (LnPoolController *holder, LbList *actions)
+run_lease_actions (LnPoolController *controller, LbList *actions)
 {
   LbLink *link;
 
@@ -229,14 +231,14 @@
       switch (action->type)
         {
         case LC_LEASE_READ:
-          read_lease (holder);
+          read_lease (controller);
           break;
         case LC_LEASE_WRITE:
-          write_lease (holder, action);
+          write_lease (controller, action);
           break;
         case LC_LEASE_GAINED:
         case LC_LEASE_LOST:
-          note_lease (holder, action);
+          handle_lease_change (controller, action);
           break;
         }
       free (action);
@@ -244,16 +246,16 @@
 }
 
 void
-ln_pool_controller_release (LnPoolController *holder, LbTime now)
+ln_pool_controller_release (LnPoolController *controller, LbTime now)
 {
   LbList actions;
 
   lb_list_init (&actions);
-  lc_lease_release (holder->lease, now, &actions);
-  carry_out_lease (holder, &actions);
+  lc_lease_release (controller->lease, now, &actions);
+  run_lease_actions (controller, &actions);
 }
 
-/* --- engines: orders and what they state --- */
+/* --- engines: load reports and orders --- */
 
 static struct json_object *
 parse_reply (const LhResult *result)
@@ -266,30 +268,30 @@
 }
 
 static void
-carry_out_swaps (LnPoolController *holder, LbList *actions, LbTime now)
+announce_swaps (LnPoolController *controller, LbList *actions, LbTime now)
 {
   LbLink *link;
 
   while ((link = lb_list_pop (actions)))
     {
       LcWeightsAction *action = LB_CONTAINER (link, LcWeightsAction, link);
-      ln_pool_controllers_announce_swap (holder->task, action, now);
+      ln_pool_controllers_announce_swap (controller->task, action, now);
       free (action);
     }
 }
 
 static void
-on_looked (LhFetch *fetch, const LhResult *result, void *user)
+on_load_received (LhFetch *fetch, const LhResult *result, void *user)
 {
   (void)fetch;
   Engine *engine = user;
-  LnPoolController *holder = engine->holder;
+  LnPoolController *controller = engine->controller;
   LbTime now = lb_clock_monotonic ();
-  LcWeightReport report = { .asked_at = engine->look_at };
+  LcWeightReport report = { .asked_at = engine->load_requested_at };
   LbList actions;
   struct json_object *object = result->status == 200 ? parse_reply (result) : NULL;
 
-  engine->look = NULL;
+  engine->load_request = NULL;
   if (!object)
     return;
   LB_COPY (report.incarnation, lb_json_text (object, "incarnation", ""));
@@ -300,32 +302,34 @@
   report.running = json_object_get_int64 (lb_json_member (object, "running"));
   json_object_put (object);
   lb_list_init (&actions);
-  lc_weights_report (holder->weights, engine->name, &report, now, &actions);
-  carry_out_swaps (holder, &actions, now);
+  lc_weights_report (controller->weights, engine->name, &report, now, &actions);
+  announce_swaps (controller, &actions, now);
 }
 
 static void
-look (Engine *engine, LbTime now)
+request_load (Engine *engine, LbTime now)
 {
-  const LhHandlers handlers = { .on_done = on_looked };
-  const LhRequest request
-      = { .method = "GET", .address = engine->address, .path = "/load", .silence = LOOK_SILENCE };
-  LbTime period = (LbTime)HASH_COUNT (engine->holder->engines) * LB_SEC / LOOKS_PER_SECOND;
-
-  if (period < LOOK_PERIOD)
-    period = LOOK_PERIOD;
-  if (lc_weights_is_swapping (engine->holder->weights, engine->name))
-    period = SWAP_LOOK_PERIOD;
-  engine->next_look = now + period;
-  engine->look_at = now;
-  engine->look
-      = lh_fetch_start (engine->holder->task->context->http, &request, &handlers, engine, NULL);
+  const LhHandlers handlers = { .on_done = on_load_received };
+  const LhRequest request = {
+    .method = "GET", .address = engine->address, .path = "/load", .silence = ENGINE_IDLE_TIMEOUT
+  };
+  LbTime period
+      = (LbTime)HASH_COUNT (engine->controller->engines) * LB_SEC / MAX_LOAD_REQUESTS_PER_SECOND;
+
+  if (period < LOAD_PERIOD)
+    period = LOAD_PERIOD;
+  if (lc_weights_is_swapping (engine->controller->weights, engine->name))
+    period = SWAP_LOAD_PERIOD;
+  engine->next_load_request_at = now + period;
+  engine->load_requested_at = now;
+  engine->load_request
+      = lh_fetch_start (engine->controller->task->context->http, &request, &handlers, engine, NULL);
 }
 
 static LbErrorCode
-outcome_of_order (const LhResult *result)
+order_error (const LhResult *result)
 {
-  LbErrorCode code = LB_ERROR_ENDPOINT_FAILED;
+  LbErrorCode error = LB_ERROR_ENDPOINT_FAILED;
   struct json_object *object = NULL;
 
   if (result->failure != LB_OK)
@@ -334,134 +338,137 @@
     return LB_OK;
   object = parse_reply (result);
   if (strcmp (lb_json_text (lb_json_member (object, "error"), "type", ""), "stale_fence") == 0)
-    code = LB_ERROR_STALE_FENCE;
+    error = LB_ERROR_STALE_FENCE;
   json_object_put (object);
-  return code;
+  return error;
 }
 
 static void
-on_ordered (LhFetch *fetch, const LhResult *result, void *user)
+on_order_answered (LhFetch *fetch, const LhResult *result, void *user)
 {
   (void)fetch;
   Engine *engine = user;
-  LnPoolController *holder = engine->holder;
+  LnPoolController *controller = engine->controller;
   LbTime now = lb_clock_monotonic ();
-  LbErrorCode code = outcome_of_order (result);
+  LbErrorCode error = order_error (result);
 
-  engine->order = NULL;
-  engine->next_look = now;
-  lc_weights_ordered (holder->weights, engine->name, code, now);
-  if (code == LB_OK)
+  engine->order_request = NULL;
+  engine->next_load_request_at = now;
+  lc_weights_ordered (controller->weights, engine->name, error, now);
+  if (error == LB_OK)
     return;
-  lb_metric_count_error (code);
+  lb_metric_count_error (error);
   lb_log (LB_LOG_WARNING, "weights_order_failed", LB_TEXT ("endpoint", engine->name),
-          LB_TEXT ("error", lb_error_name (code)), LB_INT ("status", result->status));
-  if (code == LB_ERROR_STALE_FENCE)
-    lc_lease_read_soon (holder->lease, now);
+          LB_TEXT ("error", lb_error_name (error)), LB_INT ("status", result->status));
+  if (error == LB_ERROR_STALE_FENCE)
+    lc_lease_read_soon (controller->lease, now);
 }
 
 static void
-send_order (LnPoolController *holder, const LcWeightsAction *action)
+send_order (LnPoolController *controller, const LcWeightsAction *action)
 {
-  Engine *engine = find_engine (holder, action->endpoint);
-  const LhHandlers handlers = { .on_done = on_ordered };
+  Engine *engine = find_engine (controller, action->endpoint);
+  const LhHandlers handlers = { .on_done = on_order_answered };
   LhRequest request = { .method = "POST",
                         .address = action->address,
                         .path = "/orders",
-                        .silence = LOOK_SILENCE,
+                        .silence = ENGINE_IDLE_TIMEOUT,
                         .fresh_connection = true };
   char *body = lb_asprintf ("{\"order\": \"load_weights\", \"pool\": \"%s\", \"version\": %lld, "
                             "\"fence\": %lld}",
-                            holder->pool, (long long)action->version,
-                            (long long)lc_lease_fence (holder->lease));
+                            controller->pool, (long long)action->version,
+                            (long long)lc_lease_fence (controller->lease));
 
-  lb_log (LB_LOG_INFO, "weights_order", LB_TEXT ("pool", holder->pool),
+  lb_log (LB_LOG_INFO, "weights_order", LB_TEXT ("pool", controller->pool),
           LB_TEXT ("endpoint", action->endpoint), LB_INT ("version", action->version),
-          LB_INT ("fence", lc_lease_fence (holder->lease)));
+          LB_INT ("fence", lc_lease_fence (controller->lease)));
   request.body = body;
   request.body_length = strlen (body);
-  if (engine->order)
-    lh_fetch_cancel (engine->order);
-  engine->order = lh_fetch_start (holder->task->context->http, &request, &handlers, engine, NULL);
+  if (engine->order_request)
+    lh_fetch_cancel (engine->order_request);
+  engine->order_request
+      = lh_fetch_start (controller->task->context->http, &request, &handlers, engine, NULL);
   free (body);
 }
 
 static void
-tick_weights (LnPoolController *holder, LbTime now)
+tick_weights (LnPoolController *controller, LbTime now)
 {
   LbLink *link;
   LbList actions;
-  bool ready = lc_config_is_ready (holder->task->config);
+  bool ready = lc_config_is_ready (controller->task->config);
 
   lb_list_init (&actions);
-  lc_weights_tick (holder->weights, ready && lc_lease_can_order (holder->lease, false, now),
-                   ready && lc_lease_can_order (holder->lease, true, now), now, &actions);
+  lc_weights_tick (controller->weights, ready && lc_lease_can_order (controller->lease, false, now),
+                   ready && lc_lease_can_order (controller->lease, true, now), now, &actions);
   while ((link = lb_list_pop (&actions)))
     {
       LcWeightsAction *action = LB_CONTAINER (link, LcWeightsAction, link);
       if (action->type == LC_WEIGHTS_SWAP)
-        ln_pool_controllers_announce_swap (holder->task, action, now);
+        ln_pool_controllers_announce_swap (controller->task, action, now);
       else
-        send_order (holder, action);
+        send_order (controller, action);
       free (action);
     }
 }
 
-/* --- the newest version --- */
+/* --- newest weight version --- */
 
 static void
-on_newest (LbErrorCode error, int64_t version, void *user)
+on_newest_version (LbErrorCode error, int64_t version, void *user)
 {
-  LnPoolController *holder = question_end (user);
+  LnPoolController *controller = operation_end (user);
 
-  if (!holder)
+  if (!controller)
     return;
-  holder->asking_newest = false;
+  controller->is_querying_newest = false;
   if (error == LB_OK)
-    lc_weights_newest (holder->weights, version, lb_clock_monotonic ());
+    lc_weights_newest (controller->weights, version, lb_clock_monotonic ());
   else if (error != LB_ERROR_NOT_FOUND)
     lb_metric_count_error (error);
 }
 
 static void
-ask_newest (LnPoolController *holder, LbTime now)
+query_newest_version (LnPoolController *controller, LbTime now)
 {
-  LpPlatform *platform = holder->task->context->platform;
+  LpPlatform *platform = controller->task->context->platform;
 
-  if (holder->asking_newest || now < holder->next_newest)
+  if (controller->is_querying_newest || now < controller->next_newest_query_at)
     return;
-  holder->asking_newest = true;
-  holder->next_newest = now + NEWEST_PERIOD;
-  platform->klass->weights (platform, holder->pool, on_newest, question_new (holder));
+  controller->is_querying_newest = true;
+  controller->next_newest_query_at = now + NEWEST_QUERY_PERIOD;
+  platform->klass->weights (platform, controller->pool, on_newest_version,
+                            operation_new (controller));
 }
 
 static void
-tell_newest (LnPoolController *holder, LbTime now)
+announce_newest_version (LnPoolController *controller, LbTime now)
 {
   LcWeightsStatus status;
 
-  lc_weights_status (holder->weights, now, &status);
-  if (status.target == 0 || (status.target == holder->told && now < holder->next_told))
+  lc_weights_status (controller->weights, now, &status);
+  if (status.target == 0
+      || (status.target == controller->announced_version && now < controller->next_announcement_at))
     return;
-  holder->told = status.target;
-  holder->next_told = now + TELL_PERIOD;
-  ln_pool_controllers_announce_newest (holder, &status);
+  controller->announced_version = status.target;
+  controller->next_announcement_at = now + ANNOUNCEMENT_PERIOD;
+  ln_pool_controllers_announce_newest (controller, &status);
 }
 
 void
-ln_pool_controller_tick (LnPoolController *holder, LbTime now)
+ln_pool_controller_tick (LnPoolController *controller, LbTime now)
 {
   LbList actions;
 
   lb_list_init (&actions);
-  lc_lease_tick (holder->lease, now, lb_clock_wall_ms () * LB_MSEC, &actions);
-  carry_out_lease (holder, &actions);
-  if (!lc_lease_is_held (holder->lease))
+  lc_lease_tick (controller->lease, now, lb_clock_wall_ms () * LB_MSEC, &actions);
+  run_lease_actions (controller, &actions);
+  if (!lc_lease_is_held (controller->lease))
     return;
-  ask_newest (holder, now);
-  tell_newest (holder, now);
-  for (Engine *engine = holder->engines; engine; engine = engine->hh.next)
-    if (!engine->look && now >= engine->next_look)
-      look (engine, now);
-  tick_weights (holder, now);
+  query_newest_version (controller, now);
+  announce_newest_version (controller, now);
+  for (Engine *engine = controller->engines; engine; engine = engine->hh.next)
+    if (!engine->load_request && now >= engine->next_load_request_at)
+      request_load (engine, now);
+  tick_weights (controller, now);
 }
--- a/packages/node/src/rollout/ln-pool-controllers.c
+++ b/packages/node/src/rollout/ln-pool-controllers.c
@@ -10,26 +10,26 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define CANDIDATES 3
+#define MAX_CANDIDATES 3
 
 LnPoolController *
 ln_pool_controllers_find (LnConfigTask *task, uint64_t serial)
 {
-  LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, holder)
+  LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, controller)
   {
-    if (holder->serial == serial)
-      return holder;
+    if (controller->serial == serial)
+      return controller;
   }
   return NULL;
 }
 
 static LnPoolController *
-find_pool (LnConfigTask *task, const char *pool)
+find_by_pool (LnConfigTask *task, const char *pool)
 {
-  LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, holder)
+  LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, controller)
   {
-    if (strcmp (holder->pool, pool) == 0)
-      return holder;
+    if (strcmp (controller->pool, pool) == 0)
+      return controller;
   }
   return NULL;
 }
@@ -37,7 +37,7 @@
 /* --- candidates --- */
 
 static uint64_t
-weight_of (const char *pool, const char *instance)
+rendezvous_weight (const char *pool, const char *instance)
 {
   return XXH64 (instance, strlen (instance), XXH64 (pool, strlen (pool), 0));
 }
@@ -45,39 +45,41 @@
 typedef struct
 {
   const char *pool;
-  const char *self;
-  int before; /* instances that come before this one */
+  const char *own_name;
+  int n_preferred; /* candidates with a higher weight than this instance */
 } RankSearch;
 
 static void
-count_before (const char *instance, int64_t revision, bool alive, bool draining, void *user)
+count_preferred (const char *instance, int64_t revision, bool alive, bool draining, void *user)
 {
   (void)revision;
   RankSearch *search = user;
 
-  if (alive && !draining && strcmp (instance, search->self) != 0
-      && weight_of (search->pool, instance) > weight_of (search->pool, search->self))
-    search->before++;
+  if (alive && !draining && strcmp (instance, search->own_name) != 0
+      && rendezvous_weight (search->pool, instance)
+             > rendezvous_weight (search->pool, search->own_name))
+    search->n_preferred++;
 }
 
-/* Rendezvous hashing spreads pools over instances, and only a few of them watch each lease row. */
+/* Returns this instance's position among the candidates for the pool's lease; -1: it is none.
+ * Rendezvous hashing spreads the pools over the instances, and only a few watch each lease row. */
 static int
-rank_of (const LnConfigTask *task, const char *pool)
+compute_rank (const LnConfigTask *task, const char *pool)
 {
-  RankSearch search = { .pool = pool, .self = task->context->instance };
+  RankSearch search = { .pool = pool, .own_name = task->context->instance };
 
   if (task->draining)
     return -1;
-  lc_config_visit (task->config, count_before, &search);
-  return search.before < CANDIDATES ? search.before : -1;
+  lc_config_visit (task->config, count_preferred, &search);
+  return search.n_preferred < MAX_CANDIDATES ? search.n_preferred : -1;
 }
 
 static void
 update_ranks (LnConfigTask *task)
 {
-  LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, holder)
+  LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, controller)
   {
-    lc_lease_set_rank (holder->lease, rank_of (task, holder->pool));
+    lc_lease_set_rank (controller->lease, compute_rank (task, controller->pool));
   }
 }
 
@@ -96,29 +98,30 @@
   return false;
 }
 
-/* A pool that has no engines any more has nobody to order; its lease lapses. */
+/* Removes the controller of a pool that has no engines left: there is nothing to order, and the
+ * lease expires. */
 void
 ln_pool_controllers_configure (LnConfigTask *task, const LcResourceSet *set)
 {
-  LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, holder)
+  LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, controller)
   {
-    if (has_engines (set, holder->pool))
+    if (has_engines (set, controller->pool))
       continue;
-    lb_list_remove (&task->pool_controllers, &holder->link);
-    ln_pool_controller_free (holder);
+    lb_list_remove (&task->pool_controllers, &controller->link);
+    ln_pool_controller_free (controller);
   }
   for (size_t i = 0; i < set->n_pools; i++)
     {
-      LnPoolController *holder = find_pool (task, set->pools[i].name);
+      LnPoolController *controller = find_by_pool (task, set->pools[i].name);
       if (!has_engines (set, set->pools[i].name))
         continue;
-      if (!holder)
+      if (!controller)
         {
-          holder
+          controller
               = ln_pool_controller_new (task, set->pools[i].name, ++task->last_controller_serial);
-          lb_list_append (&task->pool_controllers, &holder->link);
+          lb_list_append (&task->pool_controllers, &controller->link);
         }
-      ln_pool_controller_configure (holder, set);
+      ln_pool_controller_configure (controller, set);
     }
   update_ranks (task);
 }
@@ -126,9 +129,9 @@
 void
 ln_pool_controllers_tick (LnConfigTask *task, LbTime now)
 {
-  LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, holder)
+  LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, controller)
   {
-    ln_pool_controller_tick (holder, now);
+    ln_pool_controller_tick (controller, now);
   }
   if (task->unsent_swaps)
     {
@@ -146,9 +149,9 @@
   LbTime now = lb_clock_monotonic ();
 
   update_ranks (task);
-  LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, holder)
+  LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, controller)
   {
-    ln_pool_controller_release (holder, now);
+    ln_pool_controller_release (controller, now);
   }
 }
 
@@ -157,9 +160,9 @@
 {
   LbTime now = lb_clock_monotonic ();
 
-  LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, holder)
+  LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, controller)
   {
-    if (!lc_lease_is_released (holder->lease, now))
+    if (!lc_lease_is_released (controller->lease, now))
       return false;
   }
   return true;
@@ -170,24 +173,24 @@
 {
   LbLink *link;
 
-  LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, holder)
+  LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, controller)
   {
-    lb_list_remove (&task->pool_controllers, &holder->link);
-    ln_pool_controller_free (holder);
+    lb_list_remove (&task->pool_controllers, &controller->link);
+    ln_pool_controller_free (controller);
   }
   while ((link = lb_list_pop (&task->pool_operations)))
     free (LB_CONTAINER (link, LnPoolOperation, link));
   json_object_put (task->unsent_swaps);
 }
 
-/* --- what other tasks and instances are told --- */
+/* --- announcements to other tasks and instances --- */
 
 static void
-post_swap (LnConfigTask *task, const char *endpoint, bool pending, LbTime until)
+post_swap (LnConfigTask *task, const char *endpoint, bool is_pending, LbTime until)
 {
   LnTask *calls = ln_hub_find (task->task.hub, "calls");
   LnEndpointSwapMessage message
-      = { .base = LN_MESSAGE (LN_ENDPOINT_SWAP), .pending = pending, .until = until };
+      = { .base = LN_MESSAGE (LN_ENDPOINT_SWAP), .pending = is_pending, .until = until };
 
   if (!calls)
     return;
@@ -195,7 +198,7 @@
   LN_POST (task->task.hub, calls, message);
 }
 
-/* Peers are told once a tick, of all swaps together. */
+/* Notifies the calls task at once; peers get all swaps of a tick in one message. */
 void
 ln_pool_controllers_announce_swap (LnConfigTask *task, const LcWeightsAction *action, LbTime now)
 {
@@ -211,11 +214,11 @@
 }
 
 static void
-post_newest (LnConfigTask *task, const char *pool, LcVersion newest, LbTime cadence)
+post_newest_version (LnConfigTask *task, const char *pool, LcVersion newest_version, LbTime cadence)
 {
   LnTask *rollouts = ln_hub_find (task->task.hub, "rollouts");
   LnPoolVersionMessage message
-      = { .base = LN_MESSAGE (LN_POOL_VERSION), .newest = newest, .cadence = cadence };
+      = { .base = LN_MESSAGE (LN_POOL_VERSION), .newest = newest_version, .cadence = cadence };
 
   if (!rollouts)
     return;
@@ -224,18 +227,18 @@
 }
 
 void
-ln_pool_controllers_announce_newest (LnPoolController *holder, const LcWeightsStatus *status)
+ln_pool_controllers_announce_newest (LnPoolController *controller, const LcWeightsStatus *status)
 {
   struct json_object *message = json_object_new_object ();
 
-  holder->heard_fence = lc_lease_fence (holder->lease);
-  post_newest (holder->task, holder->pool, status->target, status->cadence);
+  controller->highest_fence = lc_lease_fence (controller->lease);
+  post_newest_version (controller->task, controller->pool, status->target, status->cadence);
   json_object_object_add (message, "type", json_object_new_string ("newest"));
-  json_object_object_add (message, "pool", json_object_new_string (holder->pool));
-  json_object_object_add (message, "fence", json_object_new_int64 (holder->heard_fence));
+  json_object_object_add (message, "pool", json_object_new_string (controller->pool));
+  json_object_object_add (message, "fence", json_object_new_int64 (controller->highest_fence));
   json_object_object_add (message, "version", json_object_new_int64 (status->target));
   json_object_object_add (message, "cadence_ms", json_object_new_int64 (status->cadence / LB_MSEC));
-  ln_config_send (holder->task, "", message);
+  ln_config_send (controller->task, "", message);
 }
 
 void
@@ -264,21 +267,21 @@
     }
 }
 
-/* What an earlier holder tells is old: it may have been paused with the message half sent. */
+/* Ignores the announcement of an earlier lease holder, which may have been paused while sending. */
 static void
-receive_newest (LnConfigTask *task, struct json_object *message)
+receive_newest_version (LnConfigTask *task, struct json_object *message)
 {
-  LnPoolController *holder = find_pool (task, lb_json_text (message, "pool", ""));
+  LnPoolController *controller = find_by_pool (task, lb_json_text (message, "pool", ""));
   int64_t fence = lb_json_int (message, "fence", 0);
 
-  if (!holder || fence < holder->heard_fence)
+  if (!controller || fence < controller->highest_fence)
     return;
-  holder->heard_fence = fence;
-  post_newest (task, holder->pool, lb_json_int (message, "version", 0),
-               lb_json_int (message, "cadence_ms", 0) * LB_MSEC);
+  controller->highest_fence = fence;
+  post_newest_version (task, controller->pool, lb_json_int (message, "version", 0),
+                       lb_json_int (message, "cadence_ms", 0) * LB_MSEC);
 }
 
-/* False when the message is none of a pool's holder. */
+/* Returns false if the message is not for pool controllers. */
 bool
 ln_pool_controllers_receive (LnConfigTask *task, struct json_object *message)
 {
@@ -288,12 +291,12 @@
   if (strcmp (type, "swaps") == 0)
     receive_swaps (task, message, now);
   else if (strcmp (type, "newest") == 0)
-    receive_newest (task, message);
+    receive_newest_version (task, message);
   else if (strcmp (type, "lease_free") == 0)
     {
-      LnPoolController *holder = find_pool (task, lb_json_text (message, "pool", ""));
-      if (holder)
-        lc_lease_read_soon (holder->lease, now);
+      LnPoolController *controller = find_by_pool (task, lb_json_text (message, "pool", ""));
+      if (controller)
+        lc_lease_read_soon (controller->lease, now);
     }
   else
     return false;
@@ -303,28 +306,28 @@
 /* --- status --- */
 
 static struct json_object *
-lease_json (const LnPoolController *holder)
+lease_to_json (const LnPoolController *controller)
 {
   struct json_object *object = json_object_new_object ();
-  const LcLeaseRow *row = lc_lease_row (holder->lease);
+  const LcLeaseRow *row = lc_lease_row (controller->lease);
 
-  json_object_object_add (object, "pool", json_object_new_string (holder->pool));
+  json_object_object_add (object, "pool", json_object_new_string (controller->pool));
   json_object_object_add (object, "holder",
                           json_object_new_string (row->released ? "" : row->holder));
   json_object_object_add (object, "fence", json_object_new_int64 (row->fence));
   json_object_object_add (object, "held_here",
-                          json_object_new_boolean (lc_lease_is_held (holder->lease)));
+                          json_object_new_boolean (lc_lease_is_held (controller->lease)));
   return object;
 }
 
 static struct json_object *
-roll_out_json (const LnPoolController *holder)
+roll_out_to_json (const LnPoolController *controller)
 {
   LcWeightsStatus status;
   struct json_object *object = json_object_new_object ();
 
-  lc_weights_status (holder->weights, lb_clock_monotonic (), &status);
-  json_object_object_add (object, "pool", json_object_new_string (holder->pool));
+  lc_weights_status (controller->weights, lb_clock_monotonic (), &status);
+  json_object_object_add (object, "pool", json_object_new_string (controller->pool));
   json_object_object_add (object, "version", json_object_new_int64 (status.target));
   json_object_object_add (object, "engines", json_object_new_int64 ((int64_t)status.engines));
   json_object_object_add (object, "done", json_object_new_int64 ((int64_t)status.done));
@@ -337,18 +340,18 @@
   return object;
 }
 
-/* Adds "leases", and "roll_outs" of those held here. */
+/* Adds "leases" of all pools, and "roll_outs" of those whose lease this instance holds. */
 void
 ln_pool_controllers_add_status (LnConfigTask *task, struct json_object *status)
 {
   struct json_object *leases = json_object_new_array ();
   struct json_object *roll_outs = json_object_new_array ();
 
-  LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, holder)
+  LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, controller)
   {
-    json_object_array_add (leases, lease_json (holder));
-    if (lc_lease_is_held (holder->lease))
-      json_object_array_add (roll_outs, roll_out_json (holder));
+    json_object_array_add (leases, lease_to_json (controller));
+    if (lc_lease_is_held (controller->lease))
+      json_object_array_add (roll_outs, roll_out_to_json (controller));
   }
   json_object_object_add (status, "leases", leases);
   json_object_object_add (status, "roll_outs", roll_outs);
