--- a/packages/node/src/rollout/ln-rollouts-owners.c
+++ b/packages/node/src/rollout/ln-rollouts-owners.c
@@ -13,70 +13,71 @@
 #include <string.h>
 
 #define RETRY_AFTER (500 * LB_MSEC)
-#define MAX_ROUNDS 3
-/* How often a write that failed is tried again: of a step that was opened while the store was away,
- * and of one that is left. */
-#define WRITE_INTERVAL LB_SEC
-/* The step is left without the store's knowledge then: its next owner finds this one gone. */
-#define RELEASE_TRIES 10
+#define MAX_OWNER_LOOKUPS 3
+/* Time until a failed claim of a step that was opened while the store was unavailable, or a failed
+ * release, is repeated. */
+#define WRITE_RETRY_INTERVAL LB_SEC
+/* After these the step is dropped without a release. Its row still names this instance, so the next
+ * owner claims it once this instance is gone. */
+#define MAX_RELEASE_ATTEMPTS 10
 
 typedef struct
 {
   LnRollouts *rollouts;
   LnStepKey key;
-} Ask;
+} StepOperation;
 
 static bool
-is_key (const LnStepKey *a, const LnStepKey *b)
+is_same_key (const LnStepKey *a, const LnStepKey *b)
 {
   return a->step == b->step && strcmp (a->subscription, b->subscription) == 0;
 }
 
-LnHeldStep *
-ln_rollouts_find_held (LnRollouts *rollouts, const LnStepKey *key)
+LnTrackedStep *
+ln_rollouts_find_step (LnRollouts *rollouts, const LnStepKey *key)
 {
-  LB_LIST_FOREACH (&rollouts->held, LnHeldStep, link, held)
+  LB_LIST_FOREACH (&rollouts->steps, LnTrackedStep, link, step)
   {
-    if (is_key (&held->key, key))
-      return held;
+    if (is_same_key (&step->key, key))
+      return step;
   }
   return NULL;
 }
 
-static LnHeldStep *
-held_new (LnRollouts *rollouts, const LnStepKey *key)
+static LnTrackedStep *
+add_step (LnRollouts *rollouts, const LnStepKey *key)
 {
-  LnHeldStep *held = LB_NEW (LnHeldStep);
+  LnTrackedStep *step = LB_NEW (LnTrackedStep);
 
-  held->key = *key;
-  lb_list_init (&held->calls);
-  lb_list_append (&rollouts->held, &held->link);
-  return held;
+  step->key = *key;
+  lb_list_init (&step->waiting_calls);
+  lb_list_append (&rollouts->steps, &step->link);
+  return step;
 }
 
 void
-ln_rollouts_free_held (LnRollouts *rollouts, LnHeldStep *held)
+ln_rollouts_remove_step (LnRollouts *rollouts, LnTrackedStep *step)
 {
-  lb_list_remove (&rollouts->held, &held->link);
-  free (held->content);
-  free (held);
+  lb_list_remove (&rollouts->steps, &step->link);
+  free (step->content);
+  free (step);
 }
 
 void
-ln_rollouts_drop_closed (LnRollouts *rollouts)
+ln_rollouts_remove_closed_steps (LnRollouts *rollouts)
 {
   LcStepStatus status;
 
-  LB_LIST_FOREACH (&rollouts->held, LnHeldStep, link, held)
+  LB_LIST_FOREACH (&rollouts->steps, LnTrackedStep, link, step)
   {
-    if (held->open && !held->claiming && !held->releasing
-        && !lc_rollouts_get_step_status (rollouts->core, held->key.subscription, held->key.step,
+    if (step->is_open && !step->is_claiming && !step->is_releasing
+        && !lc_rollouts_get_step_status (rollouts->core, step->key.subscription, step->key.step,
                                          &status))
-      ln_rollouts_free_held (rollouts, held);
+      ln_rollouts_remove_step (rollouts, step);
   }
 }
 
-/* Calls. */
+/* --- calls --- */
 
 void
 ln_rollouts_end_call (LnRollouts *rollouts, LnStepCall *call)
@@ -98,13 +99,13 @@
 }
 
 static void
-fail_absent (LnRollouts *rollouts, LnStepCall *call)
+fail_unknown_step (LnRollouts *rollouts, LnStepCall *call)
 {
   if (lc_rollouts_has_subscription (rollouts->core, call->key.subscription))
-    fail_call (rollouts, call, LB_ERROR_UNKNOWN_STEP, "this step was never opened");
+    fail_call (rollouts, call, LB_ERROR_UNKNOWN_STEP, "the step was never opened");
   else
     fail_call (rollouts, call, LB_ERROR_UNKNOWN_SUBSCRIPTION,
-               "no subscription of this name is declared");
+               "the configuration has no subscription of this name");
 }
 
 LnStepCall *
@@ -119,7 +120,7 @@
 }
 
 static void
-open_here (LnRollouts *rollouts, LnStepCall *call, const LnHeldStep *held)
+open_step (LnRollouts *rollouts, LnStepCall *call, const LnTrackedStep *step)
 {
   LcStepSpec spec;
   LcStepStatus status = { 0 };
@@ -129,67 +130,68 @@
   LbList actions;
 
   lb_list_init (&actions);
-  bool ok = ln_step_spec_read (&spec, call->key.subscription, body, length, &error)
-            && lc_rollouts_open_step (rollouts->core, &spec, held->owner.session,
+  bool ok = ln_step_spec_parse (&spec, call->key.subscription, body, length, &error)
+            && lc_rollouts_open_step (rollouts->core, &spec, step->owner.session,
                                       lb_clock_monotonic (), &actions, &error);
   lc_step_spec_clear (&spec);
   lc_rollouts_get_step_status (rollouts->core, call->key.subscription, call->key.step, &status);
   if (ok)
-    ln_step_call_reply_open (call, status.slots, held->owner.session, held->durable);
+    ln_step_call_reply_open (call, status.slots, step->owner.session, step->is_durable);
   else
     ln_step_call_reply_error (call, &error, 0);
   ln_rollouts_end_call (rollouts, call);
-  ln_rollouts_run (rollouts, &actions);
+  ln_rollouts_run_actions (rollouts, &actions);
 }
 
 static void
-pull_here (LnRollouts *rollouts, LnStepCall *call)
+start_pull (LnRollouts *rollouts, LnStepCall *call)
 {
   LbList actions;
 
   lb_list_init (&actions);
   lb_list_append (&rollouts->calls, &call->link);
   lc_rollouts_pull (rollouts->core, &call->pull, lb_clock_monotonic (), &actions);
-  ln_rollouts_run (rollouts, &actions);
+  ln_rollouts_run_actions (rollouts, &actions);
 }
 
 static void
-status_here (LnRollouts *rollouts, LnStepCall *call, const LnHeldStep *held)
+reply_status (LnRollouts *rollouts, LnStepCall *call, const LnTrackedStep *step)
 {
   LcStepStatus status;
 
   if (lc_rollouts_get_step_status (rollouts->core, call->key.subscription, call->key.step, &status))
     {
-      ln_step_call_reply_status (call, &status, held->owner.session);
+      ln_step_call_reply_status (call, &status, step->owner.session);
       ln_rollouts_end_call (rollouts, call);
     }
   else
-    fail_call (rollouts, call, LB_ERROR_UNKNOWN_STEP, "this step was closed");
+    fail_call (rollouts, call, LB_ERROR_UNKNOWN_STEP, "the step is closed");
 }
 
 static void
-serve_here (LnRollouts *rollouts, LnStepCall *call, const LnHeldStep *held)
+serve_call (LnRollouts *rollouts, LnStepCall *call, const LnTrackedStep *step)
 {
   switch (call->type)
     {
     case LN_STEP_OPEN:
-      open_here (rollouts, call, held);
+      open_step (rollouts, call, step);
       break;
     case LN_STEP_PULL:
-      pull_here (rollouts, call);
+      start_pull (rollouts, call);
       break;
     case LN_STEP_STATUS:
-      status_here (rollouts, call, held);
+      reply_status (rollouts, call, step);
       break;
     }
 }
 
-/* Who lives. */
+/* --- liveness of owners --- */
 
-/* An instance that is not in the view, or there as another incarnation, is gone. Should the view be
- * wrong, two owners work for a while and the session in rows and cursors lets one of them count. */
+/* An instance that is missing from the membership view, or there as another incarnation, counts as
+ * dead. If the view is wrong, a step has two owners for a while; the session in rows and cursors
+ * makes sure that only one of them delivers. */
 static bool
-is_alive (const LnRollouts *rollouts, const LnStepOwner *owner)
+is_owner_alive (const LnRollouts *rollouts, const LnStepOwner *owner)
 {
   for (size_t i = 0; i < rollouts->n_members; i++)
     {
@@ -201,51 +203,54 @@
   return false;
 }
 
-/* Relaying. */
+/* --- relays --- */
 
 static void
-on_relayed (LnStepCall *call, LbErrorCode failure, void *user)
+on_relay_done (LnStepCall *call, LbErrorCode failure, void *user)
 {
   LnRollouts *rollouts = user;
 
   if (failure == LB_OK || !call->exchange)
     ln_rollouts_end_call (rollouts, call);
   else
-    fail_call (rollouts, call, LB_ERROR_NOT_READY, "the step's owner does not answer");
+    fail_call (rollouts, call, LB_ERROR_NOT_READY,
+               "the step's owner did not answer the relayed call");
 }
 
 static void
-relay (LnRollouts *rollouts, LnStepCall *call, const LnStepOwner *owner)
+relay_call (LnRollouts *rollouts, LnStepCall *call, const LnStepOwner *owner)
 {
   if (ln_exchange_header (call->exchange, "x-relayed-by"))
     {
-      fail_call (rollouts, call, LB_ERROR_NOT_READY, "the step has moved");
+      fail_call (rollouts, call, LB_ERROR_NOT_READY,
+                 "the call was relayed to an instance that does not own the step");
       return;
     }
-  if (!ln_step_relay_start (rollouts->context, call, owner, on_relayed, rollouts))
+  if (!ln_step_relay_start (rollouts->context, call, owner, on_relay_done, rollouts))
     {
-      fail_call (rollouts, call, LB_ERROR_NOT_READY, "the step's owner can not be reached");
+      fail_call (rollouts, call, LB_ERROR_NOT_READY,
+                 "the call could not be relayed to the step's owner");
       return;
     }
   lb_list_append (&rollouts->calls, &call->link);
 }
 
 void
-ln_rollouts_recall_relays (LnRollouts *rollouts)
+ln_rollouts_reroute_relays (LnRollouts *rollouts)
 {
   LB_LIST_FOREACH (&rollouts->calls, LnStepCall, link, call)
   {
-    if (!call->relay || is_alive (rollouts, &call->relayed_to))
+    if (!call->relay || is_owner_alive (rollouts, &call->relay_owner))
       continue;
     ln_step_relay_cancel (call);
     lb_list_remove (&rollouts->calls, &call->link);
-    ln_rollouts_resolve (rollouts, call);
+    ln_rollouts_route_call (rollouts, call);
   }
 }
 
-/* An instance on its way out takes no step over; another one does when it is asked. */
+/* A draining instance doesn't claim steps; it relays the call to one that does. */
 static void
-pass_on (LnRollouts *rollouts, LnStepCall *call)
+relay_to_other_member (LnRollouts *rollouts, LnStepCall *call)
 {
   for (size_t i = 0; i < rollouts->n_members; i++)
     {
@@ -256,291 +261,294 @@
       LB_COPY (other.instance, member->name);
       LB_COPY (other.incarnation, member->incarnation);
       LB_COPY (other.address, member->caller_address);
-      relay (rollouts, call, &other);
+      relay_call (rollouts, call, &other);
       return;
     }
   fail_call (rollouts, call, LB_ERROR_DRAINING, "this instance is shutting down");
 }
 
-/* Owners. */
+/* --- claims --- */
 
 static bool
-recover (LnRollouts *rollouts, const LnHeldStep *held, const LnStepAnswer *answer, LbError *error)
+take_over_step (LnRollouts *rollouts,
+                const LnTrackedStep *step,
+                const LnStepClaimResult *result,
+                LbError *error)
 {
-  const LnStepStored *stored = &answer->stored;
+  const LnStoredStep *stored = &result->stored;
   LnStepSamples samples;
   LcStepSpec spec;
   LbList actions;
 
   lb_list_init (&actions);
-  ln_step_samples_read (&samples, stored->samples, stored->samples_length);
-  const LcStepHandover recovery = { .session = answer->owner.session,
+  ln_step_samples_parse (&samples, stored->samples, stored->samples_length);
+  const LcStepHandover handover = { .session = result->owner.session,
                                     .ledger_cursor = stored->ledger,
                                     .samples = samples.samples,
                                     .n_samples = samples.n_samples };
-  bool ok = ln_step_spec_read (&spec, held->key.subscription, stored->content,
-                               stored->content_length, error)
-            && lc_rollouts_take_over_step (rollouts->core, &spec, &recovery, lb_clock_monotonic (),
+  bool ok = ln_step_spec_parse (&spec, step->key.subscription, stored->content,
+                                stored->content_length, error)
+            && lc_rollouts_take_over_step (rollouts->core, &spec, &handover, lb_clock_monotonic (),
                                            &actions, error);
   lc_step_spec_clear (&spec);
   ln_step_samples_clear (&samples);
-  ln_rollouts_run (rollouts, &actions);
+  ln_rollouts_run_actions (rollouts, &actions);
   return ok;
 }
 
-/* The calls that waited for the step's owner, in the order in which they came. */
+/* Serves or relays the calls that waited for the step's owner, in the order of their arrival. */
 static void
-answer_waiting (LnRollouts *rollouts, LbList *waiting, const LnStepAnswer *answer)
+serve_waiting_calls (LnRollouts *rollouts, LbList *waiting_calls, const LnStepClaimResult *result)
 {
   LbLink *link;
 
-  while ((link = lb_list_pop (waiting)))
+  while ((link = lb_list_pop (waiting_calls)))
     {
       LnStepCall *call = LB_CONTAINER (link, LnStepCall, link);
-      LnHeldStep *held = ln_rollouts_find_held (rollouts, &call->key);
+      LnTrackedStep *step = ln_rollouts_find_step (rollouts, &call->key);
       if (!call->exchange)
         ln_rollouts_end_call (rollouts, call);
-      else if (answer->outcome == LN_STEP_OURS && held && held->open)
-        serve_here (rollouts, call, held);
-      else if (answer->outcome == LN_STEP_ELSEWHERE)
-        relay (rollouts, call, &answer->owner);
-      else if (answer->outcome == LN_STEP_FREE)
-        pass_on (rollouts, call);
-      else if (answer->outcome == LN_STEP_ABSENT)
-        fail_absent (rollouts, call);
+      else if (result->outcome == LN_STEP_OWNED_HERE && step && step->is_open)
+        serve_call (rollouts, call, step);
+      else if (result->outcome == LN_STEP_OWNED_ELSEWHERE)
+        relay_call (rollouts, call, &result->owner);
+      else if (result->outcome == LN_STEP_UNOWNED)
+        relay_to_other_member (rollouts, call);
+      else if (result->outcome == LN_STEP_NOT_FOUND)
+        fail_unknown_step (rollouts, call);
       else
-        fail_call (rollouts, call, answer->error ? answer->error : LB_ERROR_NOT_READY,
-                   "the step's owner is not known");
+        fail_call (rollouts, call, result->error ? result->error : LB_ERROR_NOT_READY,
+                   "the step's owner could not be determined");
     }
 }
 
-/* A step may begin while the store is away: its row follows when the store is back. Until then a
- * second instance that is asked to open it does not know of this one; each takes the cursors of the
- * other, which name what the trainer has. */
+/* A step may be opened while the store is unavailable; its row is written when the store is back.
+ * Until then another instance may open the same step as well. Each accepts the cursors of the
+ * other, as they name the samples that the trainer has. */
 static bool
-opens_without_store (const LnHeldStep *held, const LnStepAnswer *answer)
+can_open_without_store (const LnTrackedStep *step, const LnStepClaimResult *result)
 {
-  return held->content && answer->outcome == LN_STEP_FAILED
-         && (answer->error == LB_ERROR_STORE_AWAY || answer->error == LB_ERROR_STORE_UNKNOWN
-             || answer->error == LB_ERROR_STORE_BUSY);
+  return step->content && result->outcome == LN_STEP_CLAIM_FAILED
+         && (result->error == LB_ERROR_STORE_AWAY || result->error == LB_ERROR_STORE_UNKNOWN
+             || result->error == LB_ERROR_STORE_BUSY);
 }
 
 static void
-take_held (LnHeldStep *held, const LnStepOwner *owner, bool durable)
+mark_open (LnTrackedStep *step, const LnStepOwner *owner, bool is_durable)
 {
-  held->owner = *owner;
-  held->open = true;
-  held->durable = durable;
-  if (durable)
+  step->owner = *owner;
+  step->is_open = true;
+  step->is_durable = is_durable;
+  if (is_durable)
     {
-      free (held->content);
-      held->content = NULL;
+      free (step->content);
+      step->content = NULL;
     }
 }
 
 static void
-settle_new (LnRollouts *rollouts, LnHeldStep *held, LnStepAnswer *answer)
+finish_lookup (LnRollouts *rollouts, LnTrackedStep *step, LnStepClaimResult *result)
 {
-  LbList waiting = { 0 };
+  LbList waiting_calls = { 0 };
   LbError error = { .code = LB_OK };
   LbLink *link;
 
-  lb_list_init (&waiting);
-  while ((link = lb_list_pop (&held->calls)))
-    lb_list_append (&waiting, link);
-  if (opens_without_store (held, answer))
+  lb_list_init (&waiting_calls);
+  while ((link = lb_list_pop (&step->waiting_calls)))
+    lb_list_append (&waiting_calls, link);
+  if (can_open_without_store (step, result))
     {
       LnStepOwner own = { .session = 1 };
-      take_held (held, &own, false);
-      held->retry_at = lb_clock_monotonic () + WRITE_INTERVAL;
-      answer->outcome = LN_STEP_OURS;
+      mark_open (step, &own, false);
+      step->retry_at = lb_clock_monotonic () + WRITE_RETRY_INTERVAL;
+      result->outcome = LN_STEP_OWNED_HERE;
     }
-  else if (answer->outcome == LN_STEP_OURS
-           && (!answer->stored.content || recover (rollouts, held, answer, &error)))
-    take_held (held, &answer->owner, true);
+  else if (result->outcome == LN_STEP_OWNED_HERE
+           && (!result->stored.content || take_over_step (rollouts, step, result, &error)))
+    mark_open (step, &result->owner, true);
   else
     {
-      if (answer->outcome == LN_STEP_OURS)
-        *answer = (LnStepAnswer){ .outcome = LN_STEP_FAILED, .error = error.code };
-      ln_rollouts_free_held (rollouts, held);
+      if (result->outcome == LN_STEP_OWNED_HERE)
+        *result = (LnStepClaimResult){ .outcome = LN_STEP_CLAIM_FAILED, .error = error.code };
+      ln_rollouts_remove_step (rollouts, step);
     }
-  answer_waiting (rollouts, &waiting, answer);
-  ln_rollouts_drop_closed (rollouts);
+  serve_waiting_calls (rollouts, &waiting_calls, result);
+  ln_rollouts_remove_closed_steps (rollouts);
 }
 
-/* The late claim of a step that was opened while the store was away. */
+/* Handles the claim of a step that was opened while the store was unavailable. */
 static void
-settle_late (LnRollouts *rollouts, LnHeldStep *held, const LnStepAnswer *answer)
+finish_late_claim (LnRollouts *rollouts, LnTrackedStep *step, const LnStepClaimResult *result)
 {
   LbList actions;
 
-  if (answer->outcome == LN_STEP_OURS && answer->owner.session == held->owner.session)
+  if (result->outcome == LN_STEP_OWNED_HERE && result->owner.session == step->owner.session)
     {
-      take_held (held, &answer->owner, true);
+      mark_open (step, &result->owner, true);
       return;
     }
-  if (answer->outcome == LN_STEP_FAILED)
+  if (result->outcome == LN_STEP_CLAIM_FAILED)
     {
-      held->retry_at = lb_clock_monotonic () + WRITE_INTERVAL;
+      step->retry_at = lb_clock_monotonic () + WRITE_RETRY_INTERVAL;
       return;
     }
   lb_list_init (&actions);
-  lc_rollouts_abort_step (rollouts->core, held->key.subscription, held->key.step,
+  lc_rollouts_abort_step (rollouts->core, step->key.subscription, step->key.step,
                           lb_clock_monotonic (), &actions);
-  ln_rollouts_run (rollouts, &actions);
-  ln_rollouts_drop_closed (rollouts);
+  ln_rollouts_run_actions (rollouts, &actions);
+  ln_rollouts_remove_closed_steps (rollouts);
 }
 
 static void
-on_answer (const LnStepAnswer *given, void *user)
-{
-  Ask *ask = user;
-  LnRollouts *rollouts = ask->rollouts;
-  LnHeldStep *held = ln_rollouts_find_held (rollouts, &ask->key);
-  LnStepAnswer answer = *given;
-
-  free (ask);
-  rollouts->asks--;
-  held->claiming = false;
-  if (held->open)
-    settle_late (rollouts, held, &answer);
+on_claim_done (const LnStepClaimResult *claim_result, void *user)
+{
+  StepOperation *operation = user;
+  LnRollouts *rollouts = operation->rollouts;
+  LnTrackedStep *step = ln_rollouts_find_step (rollouts, &operation->key);
+  LnStepClaimResult result = *claim_result;
+
+  free (operation);
+  rollouts->n_operations--;
+  step->is_claiming = false;
+  if (step->is_open)
+    finish_late_claim (rollouts, step, &result);
   else
-    settle_new (rollouts, held, &answer);
+    finish_lookup (rollouts, step, &result);
 }
 
 static bool
-owner_is_alive (const LnStepOwner *owner, void *user)
+is_owner_alive_callback (const LnStepOwner *owner, void *user)
 {
-  const Ask *ask = user;
+  const StepOperation *operation = user;
 
-  return is_alive (ask->rollouts, owner);
+  return is_owner_alive (operation->rollouts, owner);
 }
 
 static void
-ask_owner (LnRollouts *rollouts, LnHeldStep *held)
+start_claim (LnRollouts *rollouts, LnTrackedStep *step)
 {
-  Ask *ask = LB_NEW (Ask);
+  StepOperation *operation = LB_NEW (StepOperation);
 
-  *ask = (Ask){ .rollouts = rollouts, .key = held->key };
-  held->claiming = true;
-  rollouts->asks++;
-  ln_step_claim_ask (rollouts->store,
-                     &(LnStepAsk){ .key = held->key,
-                                   .content = held->content,
-                                   .own_session = held->open ? held->owner.session : 0,
-                                   .incarnation = rollouts->context->incarnation,
-                                   .may_claim = !rollouts->draining,
-                                   .is_alive = owner_is_alive,
-                                   .done = on_answer,
-                                   .user = ask });
+  *operation = (StepOperation){ .rollouts = rollouts, .key = step->key };
+  step->is_claiming = true;
+  rollouts->n_operations++;
+  ln_step_claim_start (rollouts->store, &(LnStepClaimRequest){
+                                            .key = step->key,
+                                            .content = step->content,
+                                            .own_session = step->is_open ? step->owner.session : 0,
+                                            .incarnation = rollouts->context->incarnation,
+                                            .may_claim = !rollouts->is_draining,
+                                            .is_owner_alive = is_owner_alive_callback,
+                                            .done = on_claim_done,
+                                            .user = operation });
 }
 
 void
-ln_rollouts_resolve (LnRollouts *rollouts, LnStepCall *call)
+ln_rollouts_route_call (LnRollouts *rollouts, LnStepCall *call)
 {
-  LnHeldStep *held = ln_rollouts_find_held (rollouts, &call->key);
+  LnTrackedStep *step = ln_rollouts_find_step (rollouts, &call->key);
   size_t length;
 
-  if (held && held->open)
+  if (step && step->is_open)
     {
-      serve_here (rollouts, call, held);
+      serve_call (rollouts, call, step);
       return;
     }
-  if (++call->rounds > MAX_ROUNDS)
+  if (++call->owner_lookups > MAX_OWNER_LOOKUPS)
     {
-      fail_call (rollouts, call, LB_ERROR_NOT_READY, "the step moves between instances");
+      fail_call (rollouts, call, LB_ERROR_NOT_READY, "the step's owner keeps changing");
       return;
     }
-  if (!held)
-    held = held_new (rollouts, &call->key);
-  if (call->type == LN_STEP_OPEN && !held->content && !held->claiming)
-    held->content = lb_strdup (ln_exchange_body (call->exchange, &length));
-  lb_list_append (&held->calls, &call->link);
-  if (!held->claiming)
-    ask_owner (rollouts, held);
+  if (!step)
+    step = add_step (rollouts, &call->key);
+  if (call->type == LN_STEP_OPEN && !step->content && !step->is_claiming)
+    step->content = lb_strdup (ln_exchange_body (call->exchange, &length));
+  lb_list_append (&step->waiting_calls, &call->link);
+  if (!step->is_claiming)
+    start_claim (rollouts, step);
 }
 
 static void
-claim_late (LnRollouts *rollouts, LbTime now)
+start_late_claims (LnRollouts *rollouts, LbTime now)
 {
-  LB_LIST_FOREACH (&rollouts->held, LnHeldStep, link, held)
+  LB_LIST_FOREACH (&rollouts->steps, LnTrackedStep, link, step)
   {
-    if (held->open && !held->durable && !held->claiming && held->retry_at <= now)
-      ask_owner (rollouts, held);
+    if (step->is_open && !step->is_durable && !step->is_claiming && step->retry_at <= now)
+      start_claim (rollouts, step);
   }
 }
 
-/* Leaving steps. */
+/* --- releases --- */
 
 static void
-give_up (LnRollouts *rollouts, const LnHeldStep *held)
+abort_step (LnRollouts *rollouts, const LnTrackedStep *step)
 {
-  LnStepKey key = held->key;
+  LnStepKey key = step->key;
   LbList actions;
 
   lb_list_init (&actions);
   lc_rollouts_abort_step (rollouts->core, key.subscription, key.step, lb_clock_monotonic (),
                           &actions);
-  ln_rollouts_run (rollouts, &actions);
-  ln_rollouts_drop_closed (rollouts);
+  ln_rollouts_run_actions (rollouts, &actions);
+  ln_rollouts_remove_closed_steps (rollouts);
 }
 
 static void
 on_released (LbErrorCode error, void *user)
 {
-  Ask *ask = user;
-  LnRollouts *rollouts = ask->rollouts;
-  LnHeldStep *held = ln_rollouts_find_held (rollouts, &ask->key);
+  StepOperation *operation = user;
+  LnRollouts *rollouts = operation->rollouts;
+  LnTrackedStep *step = ln_rollouts_find_step (rollouts, &operation->key);
 
-  free (ask);
-  rollouts->asks--;
-  if (!held)
+  free (operation);
+  rollouts->n_operations--;
+  if (!step)
     return;
-  lb_log (LB_LOG_INFO, "step-released", LB_TEXT ("subscription", held->key.subscription),
-          LB_INT ("step", held->key.step), LB_TEXT ("error", lb_error_name (error)));
-  held->releasing = false;
-  held->retry_at = lb_clock_monotonic () + WRITE_INTERVAL;
+  lb_log (LB_LOG_INFO, "step-released", LB_TEXT ("subscription", step->key.subscription),
+          LB_INT ("step", step->key.step), LB_TEXT ("error", lb_error_name (error)));
+  step->is_releasing = false;
+  step->retry_at = lb_clock_monotonic () + WRITE_RETRY_INTERVAL;
   if (error == LB_OK || error == LB_ERROR_CONDITION_FAILED
-      || ++held->release_tries >= RELEASE_TRIES)
-    give_up (rollouts, held);
+      || ++step->release_attempts >= MAX_RELEASE_ATTEMPTS)
+    abort_step (rollouts, step);
 }
 
 static void
-release (LnRollouts *rollouts, LnHeldStep *held)
+release_step (LnRollouts *rollouts, LnTrackedStep *step)
 {
-  Ask *ask = LB_NEW (Ask);
+  StepOperation *operation = LB_NEW (StepOperation);
   LcReadySample *samples = NULL;
-  size_t n_samples = lc_rollouts_list_unacknowledged (rollouts->core, held->key.subscription,
-                                                      held->key.step, &samples);
+  size_t n_samples = lc_rollouts_list_unacknowledged (rollouts->core, step->key.subscription,
+                                                      step->key.step, &samples);
   struct json_object *json = ln_step_samples_to_json (samples, n_samples, 0);
 
-  *ask = (Ask){ .rollouts = rollouts, .key = held->key };
-  held->releasing = true;
-  rollouts->asks++;
-  ln_step_store_release (rollouts->store, &held->key, &held->owner,
+  *operation = (StepOperation){ .rollouts = rollouts, .key = step->key };
+  step->is_releasing = true;
+  rollouts->n_operations++;
+  ln_step_store_release (rollouts->store, &step->key, &step->owner,
                          json_object_to_json_string_ext (json, JSON_C_TO_STRING_PLAIN), on_released,
-                         ask);
+                         operation);
   json_object_put (json);
   free (samples);
 }
 
-/* A step is left once nothing of it runs here, so that no generation is cut off. */
+/* Releases only steps without running requests, so that no generation is interrupted. */
 static void
-release_steps (LnRollouts *rollouts, LbTime now)
+release_idle_steps (LnRollouts *rollouts, LbTime now)
 {
-  LB_LIST_FOREACH (&rollouts->held, LnHeldStep, link, held)
+  LB_LIST_FOREACH (&rollouts->steps, LnTrackedStep, link, step)
   {
     LcStepStatus status = { 0 };
-    if (!held->open || held->claiming || held->releasing || held->retry_at > now)
+    if (!step->is_open || step->is_claiming || step->is_releasing || step->retry_at > now)
       continue;
-    lc_rollouts_get_step_status (rollouts->core, held->key.subscription, held->key.step, &status);
+    lc_rollouts_get_step_status (rollouts->core, step->key.subscription, step->key.step, &status);
     if (status.running > 0)
       continue;
-    if (held->durable)
-      release (rollouts, held);
-    else if (now - rollouts->draining_since > RELEASE_TRIES * WRITE_INTERVAL)
+    if (step->is_durable)
+      release_step (rollouts, step);
+    else if (now - rollouts->draining_since > MAX_RELEASE_ATTEMPTS * WRITE_RETRY_INTERVAL)
       {
-        give_up (rollouts, held);
+        abort_step (rollouts, step);
         return;
       }
   }
@@ -551,7 +559,7 @@
 {
   LbTime now = lb_clock_monotonic ();
 
-  claim_late (rollouts, now);
-  if (rollouts->draining)
-    release_steps (rollouts, now);
+  start_late_claims (rollouts, now);
+  if (rollouts->is_draining)
+    release_idle_steps (rollouts, now);
 }
--- a/packages/node/src/rollout/ln-rollouts-private.h
+++ b/packages/node/src/rollout/ln-rollouts-private.h
@@ -5,57 +5,59 @@
 #include "ln-messages.h"
 #include "ln-step-call.h"
 
-/* A step that this instance works on, or looks for the owner of. */
+/* A step that this instance owns, or whose owner it is looking up. */
 typedef struct
 {
   LbLink link;
   LnStepKey key;
   LnStepOwner owner;
-  bool open;      /* in the core; else the owner is being looked up */
-  bool durable;   /* its row is known to be in the table */
-  bool claiming;  /* an ask is in progress */
-  bool releasing; /* it is being left to another instance */
-  int release_tries;
-  char *content;   /* while not durable, and for an open that waits */
-  LbTime retry_at; /* of the claim or the release */
-  LbList calls;    /* LnStepCall that wait for the owner to be known */
-} LnHeldStep;
+  bool is_open;      /* owned by this instance, in the core; else the owner is being looked up */
+  bool is_durable;   /* its owner row is known to be stored */
+  bool is_claiming;  /* a lookup or claim is in progress */
+  bool is_releasing; /* its release to another instance is in progress */
+  int release_attempts;
+  char *content;        /* body of the open request, until the step is durable; NULL: none */
+  LbTime retry_at;      /* of the claim or the release */
+  LbList waiting_calls; /* LnStepCall, until the owner is known */
+} LnTrackedStep;
 
-/* Trainers' steps: owns the core of them and carries its actions out. */
+/* The task "rollouts": serves the steps of trainers. Runs LcRollouts and does the I/O that it
+ * requests. */
 typedef struct
 {
   LnTask task; /* first */
   LnContext *context;
   LcRollouts *core;
   LnStepStore *store;
-  LcResourceSet *set;
+  LcResourceSet *resources;
   LnMember *members;
   size_t n_members;
-  struct event *tick;
-  LbList held;  /* LnHeldStep */
-  LbList calls; /* LnStepCall that wait in the core or for a relay */
-  size_t asks;  /* in progress */
-  bool ready;   /* the resources in force are confirmed */
-  bool draining;
+  struct event *timer;
+  LbList steps;        /* LnTrackedStep */
+  LbList calls;        /* LnStepCall that wait in the core or for a relay */
+  size_t n_operations; /* claims and releases in progress */
+  bool is_ready;       /* the resources in force are confirmed */
+  bool is_draining;
   LbTime draining_since;
 } LnRollouts;
 
 /* ln-rollouts-run.c: actions of the core */
-void ln_rollouts_run (LnRollouts *rollouts, LbList *actions);
+void ln_rollouts_run_actions (LnRollouts *rollouts, LbList *actions);
 
-/* ln-rollouts-owners.c: which instance works on a step */
+/* ln-rollouts-owners.c: which instance owns a step */
 
-/* Answers the call here, or finds out who should. */
-void ln_rollouts_resolve (LnRollouts *rollouts, LnStepCall *call);
+/* Serves the call if the step is open here, else looks up the owner and relays the call to it. */
+void ln_rollouts_route_call (LnRollouts *rollouts, LnStepCall *call);
 void ln_rollouts_end_call (LnRollouts *rollouts, LnStepCall *call);
-/* A relay to an owner that has died would wait for its silence. */
-void ln_rollouts_recall_relays (LnRollouts *rollouts);
-/* Forgets steps that the core has closed or lost. */
-void ln_rollouts_drop_closed (LnRollouts *rollouts);
-/* Writes steps to the store that were opened while it was away; leaves steps while draining. */
+/* Routes calls again that were relayed to an owner that has died since, instead of waiting for the
+ * relay to time out. */
+void ln_rollouts_reroute_relays (LnRollouts *rollouts);
+/* Removes steps that the core has closed or aborted. */
+void ln_rollouts_remove_closed_steps (LnRollouts *rollouts);
+/* Claims steps that were opened while the store was unavailable; releases steps while draining. */
 void ln_rollouts_tick_owners (LnRollouts *rollouts);
-void ln_rollouts_free_held (LnRollouts *rollouts, LnHeldStep *held);
-LnHeldStep *ln_rollouts_find_held (LnRollouts *rollouts, const LnStepKey *key);
+void ln_rollouts_remove_step (LnRollouts *rollouts, LnTrackedStep *step);
+LnTrackedStep *ln_rollouts_find_step (LnRollouts *rollouts, const LnStepKey *key);
 LnStepCall *ln_rollouts_find_call (LbList *calls, uint64_t id);
 
 #endif
--- a/packages/node/src/rollout/ln-rollouts-run.c
+++ b/packages/node/src/rollout/ln-rollouts-run.c
@@ -12,16 +12,16 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define DRAIN_TICK (50 * LB_MSEC)
+#define DRAIN_TICK_PERIOD (50 * LB_MSEC)
 
 typedef struct
 {
   LnRollouts *rollouts;
-  uint64_t write;
+  uint64_t write_id;
 } LedgerWrite;
 
 static void
-clear_sample (LnMessage *message)
+clear_sample_message (LnMessage *message)
 {
   LnSampleMessage *sample = (LnSampleMessage *)message;
 
@@ -30,20 +30,21 @@
 }
 
 static const char *
-model_of (const LnRollouts *rollouts, const char *pool)
+model_name (const LnRollouts *rollouts, const char *pool)
 {
-  const LcPool *resource = rollouts->set ? lc_resource_set_pool (rollouts->set, pool) : NULL;
+  const LcPool *resource
+      = rollouts->resources ? lc_resource_set_pool (rollouts->resources, pool) : NULL;
 
   return resource && resource->model[0] ? resource->model : pool;
 }
 
 static char *
-generate_body (const LnRollouts *rollouts, const LcRolloutAction *action)
+build_generate_body (const LnRollouts *rollouts, const LcRolloutAction *action)
 {
   struct json_object *object = json_object_new_object ();
 
   json_object_object_add (object, "model",
-                          json_object_new_string (model_of (rollouts, action->spec.pool)));
+                          json_object_new_string (model_name (rollouts, action->spec.pool)));
   json_object_object_add (object, "prompt", json_object_new_string (action->prompt));
   json_object_object_add (object, "max_tokens", json_object_new_int64 (action->max_tokens));
   json_object_object_add (object, "stream", json_object_new_boolean (true));
@@ -51,7 +52,7 @@
 }
 
 static char *
-score_body (const LcRolloutAction *action)
+build_score_body (const LcRolloutAction *action)
 {
   struct json_object *object = json_object_new_object ();
 
@@ -65,12 +66,13 @@
 {
   LnSampleMessage message = { .base = LN_MESSAGE (LN_SAMPLE), .spec = action->spec };
 
-  message.base.clear = clear_sample;
-  /* Siblings share their prompt, so an endpoint that has it in its cache is worth waiting for. */
+  message.base.clear = clear_sample_message;
+  /* The samples of a group share their prompt, so an endpoint that has it cached is worth waiting
+   * for. */
   if (action->type == LC_ROLLOUT_GENERATE)
     ln_call_hash_prompt (&message.spec, action->prompt, strlen (action->prompt));
-  message.body
-      = action->type == LC_ROLLOUT_SCORE ? score_body (action) : generate_body (rollouts, action);
+  message.body = action->type == LC_ROLLOUT_SCORE ? build_score_body (action)
+                                                  : build_generate_body (rollouts, action);
   message.resume_text = action->resume_text;
   action->resume_text = NULL;
   LN_POST (rollouts->task.hub, ln_hub_find (rollouts->task.hub, "calls"), message);
@@ -94,23 +96,23 @@
   LbList actions;
 
   lb_list_init (&actions);
-  lc_rollouts_finish_ledger_write (rollouts->core, write->write, error, lb_clock_monotonic (),
+  lc_rollouts_finish_ledger_write (rollouts->core, write->write_id, error, lb_clock_monotonic (),
                                    &actions);
   free (write);
-  ln_rollouts_run (rollouts, &actions);
-  ln_rollouts_drop_closed (rollouts);
+  ln_rollouts_run_actions (rollouts, &actions);
+  ln_rollouts_remove_closed_steps (rollouts);
 }
 
-static LnHeldStep *
-find_ledger_owner (LnRollouts *rollouts, const LcRolloutAction *action)
+static LnTrackedStep *
+find_step_of_ledger_row (LnRollouts *rollouts, const LcRolloutAction *action)
 {
-  LB_LIST_FOREACH (&rollouts->held, LnHeldStep, link, held)
+  LB_LIST_FOREACH (&rollouts->steps, LnTrackedStep, link, step)
   {
-    char *key = lb_asprintf ("ledger/%s/%lld", held->key.subscription, (long long)held->key.step);
-    bool same = strcmp (key, action->row_key) == 0;
+    char *key = lb_asprintf ("ledger/%s/%lld", step->key.subscription, (long long)step->key.step);
+    bool is_match = strcmp (key, action->row_key) == 0;
     free (key);
-    if (same && held->open && held->durable)
-      return held;
+    if (is_match && step->is_open && step->is_durable)
+      return step;
   }
   return NULL;
 }
@@ -118,31 +120,31 @@
 static void
 write_ledger (LnRollouts *rollouts, const LcRolloutAction *action, LbList *actions)
 {
-  LnHeldStep *held = find_ledger_owner (rollouts, action);
+  LnTrackedStep *step = find_step_of_ledger_row (rollouts, action);
 
-  if (!held)
+  if (!step)
     {
       lc_rollouts_finish_ledger_write (rollouts->core, action->write_id, LB_ERROR_STORE_AWAY,
                                        lb_clock_monotonic (), actions);
       return;
     }
   LedgerWrite *write = LB_NEW (LedgerWrite);
-  *write = (LedgerWrite){ .rollouts = rollouts, .write = action->write_id };
-  ln_step_store_write_ledger (rollouts->store, &held->key, &held->owner, action->row_value,
+  *write = (LedgerWrite){ .rollouts = rollouts, .write_id = action->write_id };
+  ln_step_store_write_ledger (rollouts->store, &step->key, &step->owner, action->row_value,
                               on_ledger_written, write);
 }
 
-/* The step went to another instance meanwhile: the trainer's call follows it there. */
+/* Routes the trainer's call again, since another instance has claimed the step meanwhile. */
 static void
-follow (LnRollouts *rollouts, LnStepCall *call)
+reroute_call (LnRollouts *rollouts, LnStepCall *call)
 {
   lb_list_remove (&rollouts->calls, &call->link);
-  ln_rollouts_drop_closed (rollouts);
-  ln_rollouts_resolve (rollouts, call);
+  ln_rollouts_remove_closed_steps (rollouts);
+  ln_rollouts_route_call (rollouts, call);
 }
 
 static void
-reply (LnRollouts *rollouts, const LcRolloutAction *action)
+reply_to_pull (LnRollouts *rollouts, const LcRolloutAction *action)
 {
   LnStepCall *call = ln_rollouts_find_call (&rollouts->calls, action->pull_id);
 
@@ -150,7 +152,7 @@
     return;
   if (action->error.code == LB_ERROR_STALE_SESSION && call->exchange)
     {
-      follow (rollouts, call);
+      reroute_call (rollouts, call);
       return;
     }
   if (action->error.code == LB_OK)
@@ -177,7 +179,7 @@
       write_ledger (rollouts, action, actions);
       break;
     case LC_ROLLOUT_REPLY:
-      reply (rollouts, action);
+      reply_to_pull (rollouts, action);
       break;
     }
 }
@@ -187,22 +189,22 @@
 {
   LbTime next = lc_rollouts_next_tick (rollouts->core);
 
-  if (rollouts->draining && !lb_list_is_empty (&rollouts->held))
-    next = lb_clock_monotonic () + DRAIN_TICK;
+  if (rollouts->is_draining && !lb_list_is_empty (&rollouts->steps))
+    next = lb_clock_monotonic () + DRAIN_TICK_PERIOD;
   if (next == LB_TIME_NEVER)
     {
-      evtimer_del (rollouts->tick);
+      evtimer_del (rollouts->timer);
       return;
     }
   LbTime wait = next - lb_clock_monotonic ();
   if (wait < LB_MSEC)
     wait = LB_MSEC;
   const struct timeval tv = lb_time_to_timeval (wait);
-  evtimer_add (rollouts->tick, &tv);
+  evtimer_add (rollouts->timer, &tv);
 }
 
 void
-ln_rollouts_run (LnRollouts *rollouts, LbList *actions)
+ln_rollouts_run_actions (LnRollouts *rollouts, LbList *actions)
 {
   LbLink *link;
 
--- a/packages/node/src/rollout/ln-rollouts.c
+++ b/packages/node/src/rollout/ln-rollouts.c
@@ -20,133 +20,134 @@
 
   lb_list_init (&actions);
   lc_rollouts_tick (rollouts->core, lb_clock_monotonic (), &actions);
-  ln_rollouts_run (rollouts, &actions);
-  ln_rollouts_drop_closed (rollouts);
+  ln_rollouts_run_actions (rollouts, &actions);
+  ln_rollouts_remove_closed_steps (rollouts);
   ln_rollouts_tick_owners (rollouts);
 }
 
-/* Messages. */
+/* --- messages --- */
 
 static bool
 is_open_here (LnRollouts *rollouts, const LnStepCall *call)
 {
-  const LnHeldStep *held = ln_rollouts_find_held (rollouts, &call->key);
+  const LnTrackedStep *step = ln_rollouts_find_step (rollouts, &call->key);
 
-  return held && held->open;
+  return step && step->is_open;
 }
 
-/* A trainer stays at the address that answers it. Were its calls passed on for as long as it makes
- * them, one would always be in progress and a drain would never end; refused, it turns to another
- * instance. A step that is still held here goes on being served. */
+/* Once the drain time is over, a call is refused unless its step is still open here. A trainer
+ * keeps using an address that answers: if its calls were relayed without a limit, one would always
+ * be in progress and the drain would never end. A refused trainer switches to another instance. */
 static bool
-turns_away (LnRollouts *rollouts, const LnStepCall *call, LbTime now)
+must_refuse (LnRollouts *rollouts, const LnStepCall *call, LbTime now)
 {
-  LbTime drain = rollouts->context->settings->drain.drain_ms * LB_MSEC;
+  LbTime drain_time = rollouts->context->settings->drain.drain_ms * LB_MSEC;
 
-  return rollouts->draining && now - rollouts->draining_since > drain
+  return rollouts->is_draining && now - rollouts->draining_since > drain_time
          && !is_open_here (rollouts, call);
 }
 
 static void
-take_exchange (LnRollouts *rollouts, LnExchange *exchange)
+receive_exchange (LnRollouts *rollouts, LnExchange *exchange)
 {
   LbError error = { .code = LB_OK };
   LbTime now = lb_clock_monotonic ();
-  LnStepCall *call = ln_step_call_read (exchange, rollouts->core, now, &error);
+  LnStepCall *call = ln_step_call_parse (exchange, rollouts->core, now, &error);
 
-  if (call && turns_away (rollouts, call, now))
+  if (call && must_refuse (rollouts, call, now))
     {
       lb_error_set (&error, LB_ERROR_DRAINING, "", "this instance is shutting down");
       ln_exchange_reply_error (exchange, &error, LB_SEC);
       ln_step_call_free (call);
       return;
     }
-  if (call && (rollouts->ready || is_open_here (rollouts, call)))
+  if (call && (rollouts->is_ready || is_open_here (rollouts, call)))
     {
-      ln_rollouts_resolve (rollouts, call);
+      ln_rollouts_route_call (rollouts, call);
       return;
     }
   if (call)
     {
-      lb_error_set (&error, LB_ERROR_NOT_READY, "", "the resources in force are not confirmed");
+      lb_error_set (&error, LB_ERROR_NOT_READY, "",
+                    "this instance has not confirmed its resources yet");
       ln_step_call_free (call);
     }
   ln_exchange_reply_error (exchange, &error, call ? LB_SEC : 0);
 }
 
 static LnStepCall *
-find_waiting (LnRollouts *rollouts, uint64_t id)
+find_pending_call (LnRollouts *rollouts, uint64_t id)
 {
   LnStepCall *call = ln_rollouts_find_call (&rollouts->calls, id);
 
-  LB_LIST_FOREACH (&rollouts->held, LnHeldStep, link, held)
+  LB_LIST_FOREACH (&rollouts->steps, LnTrackedStep, link, step)
   {
     if (!call)
-      call = ln_rollouts_find_call (&held->calls, id);
+      call = ln_rollouts_find_call (&step->waiting_calls, id);
   }
   return call;
 }
 
 static void
-trainer_gone (LnRollouts *rollouts, LnExchange *exchange)
+handle_disconnect (LnRollouts *rollouts, LnExchange *exchange)
 {
-  LnStepCall *call = find_waiting (rollouts, ln_exchange_id (exchange));
+  LnStepCall *call = find_pending_call (rollouts, ln_exchange_id (exchange));
 
   if (!call)
     return;
   lc_rollouts_cancel_pull (rollouts->core, call->id);
   call->exchange = NULL;
   ln_exchange_end (exchange);
-  /* One that waits for its step's owner ends when that is known. */
+  /* A call that waits for the step's owner ends when the lookup is done. */
   if (ln_rollouts_find_call (&rollouts->calls, call->id))
     ln_rollouts_end_call (rollouts, call);
 }
 
 static void
-take_config (LnRollouts *rollouts, const LcResourceSet *set)
+apply_config (LnRollouts *rollouts, const LcResourceSet *set)
 {
   LbList actions;
 
   lb_list_init (&actions);
-  lc_resource_set_free (rollouts->set);
-  rollouts->set = lc_resource_set_copy (set);
-  lc_rollouts_configure (rollouts->core, rollouts->set, lb_clock_monotonic (), &actions);
-  ln_rollouts_run (rollouts, &actions);
+  lc_resource_set_free (rollouts->resources);
+  rollouts->resources = lc_resource_set_copy (set);
+  lc_rollouts_configure (rollouts->core, rollouts->resources, lb_clock_monotonic (), &actions);
+  ln_rollouts_run_actions (rollouts, &actions);
 }
 
 static void
-take_members (LnRollouts *rollouts, const LnMembersMessage *message)
+update_members (LnRollouts *rollouts, const LnMembersMessage *message)
 {
   free (rollouts->members);
   rollouts->members = lb_memdup (message->members, message->n_members * sizeof (LnMember));
   rollouts->n_members = message->n_members;
-  ln_rollouts_recall_relays (rollouts);
+  ln_rollouts_reroute_relays (rollouts);
 }
 
 static void
-take_versions (LnRollouts *rollouts, const LnPoolVersionMessage *message)
+update_pool_version (LnRollouts *rollouts, const LnPoolVersionMessage *message)
 {
   LbList actions;
 
   lb_list_init (&actions);
   lc_rollouts_set_versions (rollouts->core, message->pool, message->newest, message->cadence,
                             lb_clock_monotonic (), &actions);
-  ln_rollouts_run (rollouts, &actions);
+  ln_rollouts_run_actions (rollouts, &actions);
 }
 
 static void
-take_piece (LnRollouts *rollouts, const LnSamplePieceMessage *message)
+receive_piece (LnRollouts *rollouts, const LnSamplePieceMessage *message)
 {
   LbList actions;
 
   lb_list_init (&actions);
   lc_rollouts_add_piece (rollouts->core, message->request, &message->piece, message->endpoint,
                          lb_clock_monotonic (), &actions);
-  ln_rollouts_run (rollouts, &actions);
+  ln_rollouts_run_actions (rollouts, &actions);
 }
 
 static bool
-read_score (const char *text, double *score)
+parse_score (const char *text, double *score)
 {
   struct json_object *object = text ? json_tokener_parse (text) : NULL;
   struct json_object *member = NULL;
@@ -161,30 +162,30 @@
 }
 
 static void
-take_score (LnRollouts *rollouts, const LnSampleDoneMessage *message, LbList *actions)
+receive_score (LnRollouts *rollouts, const LnSampleDoneMessage *message, LbList *actions)
 {
   LbErrorCode error = message->error;
   double score = 0;
 
-  if (error == LB_OK && !read_score (message->text, &score))
+  if (error == LB_OK && !parse_score (message->text, &score))
     error = LB_ERROR_ENDPOINT_FAILED;
   lc_rollouts_finish_scoring (rollouts->core, message->request, error, score, lb_clock_monotonic (),
                               actions);
 }
 
 static void
-take_done (LnRollouts *rollouts, const LnSampleDoneMessage *message)
+receive_result (LnRollouts *rollouts, const LnSampleDoneMessage *message)
 {
   LbList actions;
 
   lb_list_init (&actions);
   if (lc_rollouts_is_scoring (rollouts->core, message->request))
-    take_score (rollouts, message, &actions);
+    receive_score (rollouts, message, &actions);
   else
     lc_rollouts_finish_generation (rollouts->core, message->request, message->error,
                                    message->text ? lb_strdup (message->text) : NULL,
                                    lb_clock_monotonic (), &actions);
-  ln_rollouts_run (rollouts, &actions);
+  ln_rollouts_run_actions (rollouts, &actions);
 }
 
 static void
@@ -195,28 +196,28 @@
   switch ((LnMessageType)message->type)
     {
     case LN_EXCHANGE:
-      take_exchange (rollouts, ((const LnExchangeMessage *)message)->exchange);
+      receive_exchange (rollouts, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_CALLER_DISCONNECTED:
-      trainer_gone (rollouts, ((const LnExchangeMessage *)message)->exchange);
+      handle_disconnect (rollouts, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_CONFIG:
-      take_config (rollouts, ((const LnConfigMessage *)message)->set);
+      apply_config (rollouts, ((const LnConfigMessage *)message)->set);
       break;
     case LN_SAMPLE_PIECE:
-      take_piece (rollouts, (const LnSamplePieceMessage *)message);
+      receive_piece (rollouts, (const LnSamplePieceMessage *)message);
       break;
     case LN_SAMPLE_DONE:
-      take_done (rollouts, (const LnSampleDoneMessage *)message);
+      receive_result (rollouts, (const LnSampleDoneMessage *)message);
       break;
     case LN_POOL_VERSION:
-      take_versions (rollouts, (const LnPoolVersionMessage *)message);
+      update_pool_version (rollouts, (const LnPoolVersionMessage *)message);
       break;
     case LN_READY:
-      rollouts->ready = ((const LnReadyMessage *)message)->ready;
+      rollouts->is_ready = ((const LnReadyMessage *)message)->ready;
       break;
     case LN_MEMBERS:
-      take_members (rollouts, (const LnMembersMessage *)message);
+      update_members (rollouts, (const LnMembersMessage *)message);
       break;
     default:
       break;
@@ -224,16 +225,16 @@
 }
 
 static void
-drain (LnTask *task)
+start_drain (LnTask *task)
 {
   LnRollouts *rollouts = (LnRollouts *)task;
   LbList actions;
 
-  rollouts->draining = true;
+  rollouts->is_draining = true;
   rollouts->draining_since = lb_clock_monotonic ();
   lb_list_init (&actions);
   lc_rollouts_drain (rollouts->core, lb_clock_monotonic (), &actions);
-  ln_rollouts_run (rollouts, &actions);
+  ln_rollouts_run_actions (rollouts, &actions);
 }
 
 static bool
@@ -241,7 +242,7 @@
 {
   const LnRollouts *rollouts = (const LnRollouts *)task;
 
-  return rollouts->asks == 0 && lb_list_is_empty (&rollouts->held)
+  return rollouts->n_operations == 0 && lb_list_is_empty (&rollouts->steps)
          && lb_list_is_empty (&rollouts->calls)
          && lc_rollouts_count_in_progress (rollouts->core) == 0;
 }
@@ -260,30 +261,32 @@
 }
 
 static void
-rollouts_free (LnTask *task)
+free_rollouts (LnTask *task)
 {
   LnRollouts *rollouts = (LnRollouts *)task;
 
   free_calls (&rollouts->calls);
-  LB_LIST_FOREACH (&rollouts->held, LnHeldStep, link, held)
+  LB_LIST_FOREACH (&rollouts->steps, LnTrackedStep, link, step)
   {
-    free_calls (&held->calls);
-    ln_rollouts_free_held (rollouts, held);
+    free_calls (&step->waiting_calls);
+    ln_rollouts_remove_step (rollouts, step);
   }
   ln_step_store_free (rollouts->store);
   lc_rollouts_free (rollouts->core);
-  lc_resource_set_free (rollouts->set);
+  lc_resource_set_free (rollouts->resources);
   free (rollouts->members);
-  event_free (rollouts->tick);
+  event_free (rollouts->timer);
   free (rollouts);
 }
 
-static const LnTaskClass rollouts_class = {
-  .name = "rollouts", .receive = receive, .drain = drain, .is_idle = is_idle, .free = rollouts_free
-};
+static const LnTaskClass rollouts_class = { .name = "rollouts",
+                                            .receive = receive,
+                                            .drain = start_drain,
+                                            .is_idle = is_idle,
+                                            .free = free_rollouts };
 
 static LcRequestId
-next_request (void *user)
+new_request_id (void *user)
 {
   return ln_context_next_request (user);
 }
@@ -300,10 +303,10 @@
   rollouts->task.hub = context->hub;
   rollouts->context = context;
   rollouts->core = lc_rollouts_new (&settings);
-  lc_rollouts_set_id_source (rollouts->core, next_request, context);
+  lc_rollouts_set_id_source (rollouts->core, new_request_id, context);
   rollouts->store = ln_step_store_new (context);
-  rollouts->tick = evtimer_new (context->base, on_tick, rollouts);
-  lb_list_init (&rollouts->held);
+  rollouts->timer = evtimer_new (context->base, on_tick, rollouts);
+  lb_list_init (&rollouts->steps);
   lb_list_init (&rollouts->calls);
   return &rollouts->task;
 }
--- a/packages/node/src/rollout/ln-step-call.c
+++ b/packages/node/src/rollout/ln-step-call.c
@@ -10,68 +10,70 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define PREFIX "/v1/subscriptions/"
+#define PATH_PREFIX "/v1/subscriptions/"
 #define MAX_WAIT_MS 30000
 #define MAX_SAMPLES_PER_PULL 4096
 #define MAX_TOKENS 10000000
 
 static bool
-split_path (const char *path, LbName subscription, const char **rest, LbError *error)
+split_path (const char *path, LbName subscription, const char **subpath, LbError *error)
 {
-  bool fits = strncmp (path, PREFIX, strlen (PREFIX)) == 0;
-  const char *name = fits ? path + strlen (PREFIX) : "";
+  bool has_prefix = strncmp (path, PATH_PREFIX, strlen (PATH_PREFIX)) == 0;
+  const char *name = has_prefix ? path + strlen (PATH_PREFIX) : "";
   const char *slash = strchr (name, '/');
 
   if (!slash || slash == name || slash - name >= LB_NAME_MAX)
-    return lb_error_set (error, LB_ERROR_UNKNOWN_PATH, path, "expected " PREFIX "NAME/...");
+    return lb_error_set (error, LB_ERROR_UNKNOWN_PATH, path, "expected " PATH_PREFIX "NAME/...");
   memcpy (subscription, name, (size_t)(slash - name));
   subscription[slash - name] = '\0';
-  *rest = slash + 1;
+  *subpath = slash + 1;
   return true;
 }
 
 static bool
-read_type (LnStepCall *call, const char *method, const char *rest, LbError *error)
+parse_call_type (LnStepCall *call, const char *method, const char *subpath, LbError *error)
 {
-  bool posted = strcmp (method, "POST") == 0;
+  bool is_post = strcmp (method, "POST") == 0;
   char *end = NULL;
 
-  if (posted && strcmp (rest, "steps") == 0)
+  if (is_post && strcmp (subpath, "steps") == 0)
     call->type = LN_STEP_OPEN;
-  else if (posted && strcmp (rest, "pull") == 0)
+  else if (is_post && strcmp (subpath, "pull") == 0)
     call->type = LN_STEP_PULL;
-  else if (strcmp (method, "GET") == 0 && strncmp (rest, "steps/", 6) == 0)
+  else if (strcmp (method, "GET") == 0 && strncmp (subpath, "steps/", 6) == 0)
     {
       call->type = LN_STEP_STATUS;
-      call->key.step = strtoll (rest + 6, &end, 10);
-      if (end == rest + 6 || *end)
-        return lb_error_set (error, LB_ERROR_BAD_VALUE, "step", "expected a number in the path");
+      call->key.step = strtoll (subpath + 6, &end, 10);
+      if (end == subpath + 6 || *end)
+        return lb_error_set (error, LB_ERROR_BAD_VALUE, "step",
+                             "expected a whole number after steps/");
     }
   else
-    return lb_error_set (error, LB_ERROR_UNKNOWN_PATH, rest, "expected steps, steps/N or pull");
+    return lb_error_set (error, LB_ERROR_UNKNOWN_PATH, subpath,
+                         "expected POST steps, GET steps/N or POST pull");
   return true;
 }
 
-/* An absent key leaves value as it is unless it is required. */
+/* An absent key that is not required leaves value unchanged. */
 static bool
 read_integer (struct json_object *object,
               const char *key,
-              int64_t low,
-              int64_t high,
-              bool required,
+              int64_t min,
+              int64_t max,
+              bool is_required,
               int64_t *value,
               LbError *error)
 {
   struct json_object *member = NULL;
 
   if (!json_object_object_get_ex (object, key, &member))
-    return !required || lb_error_set (error, LB_ERROR_MISSING_KEY, key, "this key is required");
+    return !is_required || lb_error_set (error, LB_ERROR_MISSING_KEY, key, "this key is required");
   if (!json_object_is_type (member, json_type_int))
     return lb_error_set (error, LB_ERROR_BAD_VALUE, key, "expected a whole number");
   *value = json_object_get_int64 (member);
-  if (*value < low || *value > high)
-    return lb_error_set (error, LB_ERROR_OUT_OF_RANGE, key, "expected %lld to %lld", (long long)low,
-                         (long long)high);
+  if (*value < min || *value > max)
+    return lb_error_set (error, LB_ERROR_OUT_OF_RANGE, key, "expected %lld to %lld", (long long)min,
+                         (long long)max);
   return true;
 }
 
@@ -83,7 +85,7 @@
   if (!json_object_object_get_ex (object, key, &member))
     return lb_error_set (error, LB_ERROR_MISSING_KEY, key, "this key is required");
   if (!json_object_is_type (member, json_type_string))
-    return lb_error_set (error, LB_ERROR_BAD_VALUE, key, "expected a text");
+    return lb_error_set (error, LB_ERROR_BAD_VALUE, key, "expected a string");
   *text = json_object_get_string (member);
   return true;
 }
@@ -106,7 +108,7 @@
 }
 
 static bool
-read_pull (LnStepCall *call, LbTime now, LbError *error)
+parse_pull (LnStepCall *call, LbTime now, LbError *error)
 {
   size_t length;
   const char *body = ln_exchange_body (call->exchange, &length);
@@ -135,16 +137,16 @@
 }
 
 static bool
-read_open (LnStepCall *call, const LcRollouts *core, LbError *error)
+parse_open (LnStepCall *call, const LcRollouts *core, LbError *error)
 {
   size_t length;
   const char *body = ln_exchange_body (call->exchange, &length);
   LcStepSpec spec = { 0 };
 
-  if (!ln_step_spec_read (&spec, call->key.subscription, body, length, error))
+  if (!ln_step_spec_parse (&spec, call->key.subscription, body, length, error))
     return false;
-  /* Before anything is written to the store: a claimed step with bad content could not be opened.
-   */
+  /* Checked before the store is written, since a step claimed with invalid content could not be
+   * opened. A draining instance relays the call. */
   bool ok = lc_rollouts_can_open_step (core, &spec, error) || error->code == LB_ERROR_DRAINING;
   call->key.step = spec.step;
   lc_step_spec_clear (&spec);
@@ -152,20 +154,20 @@
 }
 
 LnStepCall *
-ln_step_call_read (LnExchange *exchange, const LcRollouts *core, LbTime now, LbError *error)
+ln_step_call_parse (LnExchange *exchange, const LcRollouts *core, LbTime now, LbError *error)
 {
   LnStepCall *call = LB_NEW (LnStepCall);
-  const char *rest = "";
+  const char *subpath = "";
 
   call->exchange = exchange;
   call->id = ln_exchange_id (exchange);
   call->pull.max_samples = MAX_SAMPLES_PER_PULL;
-  if (!split_path (ln_exchange_path (exchange), call->key.subscription, &rest, error)
-      || !read_type (call, ln_exchange_method (exchange), rest, error))
+  if (!split_path (ln_exchange_path (exchange), call->key.subscription, &subpath, error)
+      || !parse_call_type (call, ln_exchange_method (exchange), subpath, error))
     goto fail;
-  if (call->type == LN_STEP_PULL && !read_pull (call, now, error))
+  if (call->type == LN_STEP_PULL && !parse_pull (call, now, error))
     goto fail;
-  if (call->type == LN_STEP_OPEN && !read_open (call, core, error))
+  if (call->type == LN_STEP_OPEN && !parse_open (call, core, error))
     goto fail;
   return call;
 fail:
@@ -181,43 +183,42 @@
 }
 
 static bool
-read_group (struct json_object *object, LcGroupSpec *group, LbError *error)
+parse_group (struct json_object *object, LcGroupSpec *group, LbError *error)
 {
   const char *id = "";
   const char *prompt = "";
 
   if (!json_object_is_type (object, json_type_object))
-    return lb_error_set (error, LB_ERROR_BAD_VALUE, "groups", "expected objects");
+    return lb_error_set (error, LB_ERROR_BAD_VALUE, "groups", "expected a list of objects");
   if (!read_text (object, "id", &id, error) || !read_text (object, "prompt", &prompt, error)
       || !read_integer (object, "samples", 1, INT32_MAX, true, &group->samples, error)
       || !read_integer (object, "max_tokens", 1, MAX_TOKENS, true, &group->max_tokens, error))
     return false;
   if (strlen (id) >= LB_NAME_MAX)
-    return lb_error_set (error, LB_ERROR_OUT_OF_RANGE, "groups.id", "the text is too long");
+    return lb_error_set (error, LB_ERROR_OUT_OF_RANGE, "groups.id", "the id is too long");
   LB_COPY (group->id, id);
   group->prompt = lb_strdup (prompt);
   return true;
 }
 
 static bool
-read_groups (struct json_object *object, LcStepSpec *spec, LbError *error)
+parse_groups (struct json_object *object, LcStepSpec *spec, LbError *error)
 {
   struct json_object *groups = NULL;
 
   if (!json_object_object_get_ex (object, "groups", &groups)
       || !json_object_is_type (groups, json_type_array))
-    return lb_error_set (error, LB_ERROR_MISSING_KEY, "groups", "expected a list of groups");
+    return lb_error_set (error, LB_ERROR_MISSING_KEY, "groups", "expected an array of groups");
   spec->n_groups = json_object_array_length (groups);
   spec->groups = LB_NEW_ARRAY (LcGroupSpec, spec->n_groups);
   for (size_t i = 0; i < spec->n_groups; i++)
-    if (!read_group (json_object_array_get_idx (groups, i), &spec->groups[i], error))
+    if (!parse_group (json_object_array_get_idx (groups, i), &spec->groups[i], error))
       return false;
   return true;
 }
 
-/* The spec is to be cleared only on success. */
 bool
-ln_step_spec_read (
+ln_step_spec_parse (
     LcStepSpec *spec, const char *subscription, const char *body, size_t length, LbError *error)
 {
   struct json_object *object = parse_body (body, length, error);
@@ -227,14 +228,14 @@
   LB_COPY (spec->subscription, subscription);
   ok = object && read_integer (object, "step", 0, INT64_MAX, true, &spec->step, error)
        && read_integer (object, "weight_version", 0, INT64_MAX, true, &spec->trainer_version, error)
-       && read_groups (object, spec, error);
+       && parse_groups (object, spec, error);
   if (!ok)
     lc_step_spec_clear (spec);
   json_object_put (object);
   return ok;
 }
 
-/* Replies. */
+/* --- replies --- */
 
 void
 ln_step_call_reply_error (LnStepCall *call, const LbError *error, LbTime retry_after)
@@ -245,7 +246,7 @@
 }
 
 static void
-reply (LnStepCall *call, int status, struct json_object *object)
+send_reply (LnStepCall *call, int status, struct json_object *object)
 {
   if (call->exchange)
     ln_exchange_reply_json (call->exchange, status, object);
@@ -269,7 +270,7 @@
   add_integer (object, "samples", samples);
   add_integer (object, "session", (int64_t)session);
   json_object_object_add (object, "durable", json_object_new_boolean (durable));
-  reply (call, 202, object);
+  send_reply (call, 202, object);
 }
 
 void
@@ -284,7 +285,7 @@
   json_object_object_add (object, "samples",
                           ln_step_samples_to_json (action->samples, action->n_samples,
                                                    call->pull.trainer_version));
-  reply (call, 200, object);
+  send_reply (call, 200, object);
 }
 
 void
@@ -309,5 +310,5 @@
                               status->delivered ? status->staleness_sum / (double)status->delivered
                                                 : 0));
   json_object_object_add (object, "done", json_object_new_boolean (status->completed_at != 0));
-  reply (call, 200, object);
+  send_reply (call, 200, object);
 }
--- a/packages/node/src/rollout/ln-step-call.h
+++ b/packages/node/src/rollout/ln-step-call.h
@@ -15,33 +15,33 @@
   LN_STEP_STATUS
 } LnStepCallType;
 
-/* A trainer's call from its arrival to its reply. */
+/* A trainer's call, from its arrival to its reply. */
 typedef struct
 {
   LbLink link;
   LnStepCallType type;
-  LnExchange *exchange; /* NULL: the trainer is gone */
-  uint64_t id;          /* the exchange's */
+  LnExchange *exchange; /* NULL: the trainer has disconnected */
+  uint64_t id;          /* of the exchange */
   LnStepKey key;
-  LcPull pull;           /* PULL */
-  char *cursor;          /* PULL: what pull.cursor points to */
-  int rounds;            /* times that its step's owner was looked up */
-  struct LhFetch *relay; /* to the owner; NULL: none */
-  LnStepOwner relayed_to;
-  void *user; /* for the relay */
+  LcPull pull;           /* of a PULL */
+  char *cursor;          /* owned; pull.cursor points to it */
+  int owner_lookups;     /* of its step, made for this call */
+  struct LhFetch *relay; /* request to the owner; NULL: none */
+  LnStepOwner relay_owner;
+  void *relay_state; /* of ln-step-relay.c */
 } LnStepCall;
 
-/* NULL and a typed error when path or body is not as docs/API.md has it, or the core could not open
- * the step. */
+/* Returns NULL and sets error if path or body is not as in docs/API.md, or if the core would
+ * reject the step. */
 LnStepCall *
-ln_step_call_read (LnExchange *exchange, const LcRollouts *core, LbTime now, LbError *error);
+ln_step_call_parse (LnExchange *exchange, const LcRollouts *core, LbTime now, LbError *error);
 void ln_step_call_free (LnStepCall *call);
 
-/* Reads the content of a step from the body of its POST. */
-bool ln_step_spec_read (
+/* Parses the body of the request that opens a step. On failure spec needs no clearing. */
+bool ln_step_spec_parse (
     LcStepSpec *spec, const char *subscription, const char *body, size_t length, LbError *error);
 
-/* Replies; they end the exchange. */
+/* Replies; each ends the exchange. */
 void ln_step_call_reply_error (LnStepCall *call, const LbError *error, LbTime retry_after);
 void ln_step_call_reply_open (LnStepCall *call, int64_t samples, uint64_t session, bool durable);
 void ln_step_call_reply_chunk (LnStepCall *call, const LcRolloutAction *action);
--- a/packages/node/src/rollout/ln-step-claim.c
+++ b/packages/node/src/rollout/ln-step-claim.c
@@ -6,150 +6,151 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Races with other instances for one step end within a few rounds: one of them has won. */
-#define MAX_ROUNDS 4
+/* A claim that loses to another instance is repeated from the lookup. One instance wins each race,
+ * so a few rounds are enough. */
+#define MAX_CLAIM_ATTEMPTS 4
 
 typedef struct
 {
   LnStepStore *store;
-  LnStepAsk ask;
+  LnStepClaimRequest request;
   char *content;
-  LnStepOwner owner;
-  int rounds;
+  LnStepOwner owner; /* as last read or claimed */
+  int attempts;
 } Claim;
 
-static void find (Claim *claim);
+static void read_owner (Claim *claim);
 
 static void
-claim_end (Claim *claim, LnStepAnswer *answer)
+finish_claim (Claim *claim, LnStepClaimResult *result)
 {
-  answer->owner = claim->owner;
-  claim->ask.done (answer, claim->ask.user);
+  result->owner = claim->owner;
+  claim->request.done (result, claim->request.user);
   free (claim->content);
   free (claim);
 }
 
 static void
-claim_fail (Claim *claim, LbErrorCode error)
+fail_claim (Claim *claim, LbErrorCode error)
 {
-  LnStepAnswer answer = { .outcome = LN_STEP_FAILED, .error = error };
+  LnStepClaimResult result = { .outcome = LN_STEP_CLAIM_FAILED, .error = error };
 
-  claim_end (claim, &answer);
+  finish_claim (claim, &result);
 }
 
 static void
-on_loaded (LbErrorCode error, const LnStepStored *stored, void *user)
+on_step_loaded (LbErrorCode error, const LnStoredStep *stored, void *user)
 {
-  LnStepAnswer answer = { .outcome = LN_STEP_OURS, .stored = *stored };
+  LnStepClaimResult result = { .outcome = LN_STEP_OWNED_HERE, .stored = *stored };
 
   if (error != LB_OK)
-    claim_fail (user, error);
+    fail_claim (user, error);
   else
-    claim_end (user, &answer);
+    finish_claim (user, &result);
 }
 
 static void
 log_claim (const Claim *claim, const LnStepOwner *seen)
 {
-  lb_log (LB_LOG_INFO, "step-claimed", LB_TEXT ("subscription", claim->ask.key.subscription),
-          LB_INT ("step", claim->ask.key.step), LB_INT ("session", claim->owner.session),
+  lb_log (LB_LOG_INFO, "step-claimed", LB_TEXT ("subscription", claim->request.key.subscription),
+          LB_INT ("step", claim->request.key.step), LB_INT ("session", claim->owner.session),
           LB_TEXT ("from", seen->instance));
 }
 
 static void
-on_claimed (LbErrorCode error, const LnStepOwner *owner, void *user)
+on_claim_written (LbErrorCode error, const LnStepOwner *owner, void *user)
 {
   Claim *claim = user;
   LnStepOwner seen = claim->owner;
-  LnStepAnswer answer = { .outcome = LN_STEP_OURS };
+  LnStepClaimResult result = { .outcome = LN_STEP_OWNED_HERE };
 
-  if (error == LB_ERROR_CONDITION_FAILED && ++claim->rounds < MAX_ROUNDS)
+  if (error == LB_ERROR_CONDITION_FAILED && ++claim->attempts < MAX_CLAIM_ATTEMPTS)
     {
-      find (claim);
+      read_owner (claim);
       return;
     }
   if (error != LB_OK)
     {
-      claim_fail (claim, error);
+      fail_claim (claim, error);
       return;
     }
   claim->owner = *owner;
   log_claim (claim, &seen);
-  if (seen.version == 0)
-    claim_end (claim, &answer);
+  if (seen.row_version == 0)
+    finish_claim (claim, &result);
   else
-    ln_step_store_load (claim->store, &claim->ask.key, &claim->owner, on_loaded, claim);
+    ln_step_store_load (claim->store, &claim->request.key, &claim->owner, on_step_loaded, claim);
 }
 
-/* A row that names this process although it does not work on the step is what a claim left of which
- * the reply was lost, or a step that was closed here: it is claimed anew, under a new session. */
+/* A row that names this process although the step is not open here is left from a claim whose reply
+ * was lost, or from a step that was closed here. It is claimed again, under a new session. */
 static bool
-is_held_elsewhere (const Claim *claim, const LnStepOwner *owner)
+is_owned_elsewhere (const Claim *claim, const LnStepOwner *owner)
 {
-  return strcmp (owner->incarnation, claim->ask.incarnation) != 0
-         && claim->ask.is_alive (owner, claim->ask.user);
+  return strcmp (owner->incarnation, claim->request.incarnation) != 0
+         && claim->request.is_owner_alive (owner, claim->request.user);
 }
 
 static bool
-is_held_here (const Claim *claim, const LnStepOwner *owner)
+is_owned_here (const Claim *claim, const LnStepOwner *owner)
 {
-  return strcmp (owner->incarnation, claim->ask.incarnation) == 0
-         && claim->ask.own_session == owner->session;
+  return strcmp (owner->incarnation, claim->request.incarnation) == 0
+         && claim->request.own_session == owner->session;
 }
 
 static void
-on_found (LbErrorCode error, const LnStepOwner *owner, void *user)
+on_owner_read (LbErrorCode error, const LnStepOwner *owner, void *user)
 {
   Claim *claim = user;
-  LnStepAnswer answer = { .outcome = LN_STEP_ABSENT };
+  LnStepClaimResult result = { .outcome = LN_STEP_NOT_FOUND };
 
   if (error != LB_OK)
     {
-      claim_fail (claim, error);
+      fail_claim (claim, error);
       return;
     }
   claim->owner = *owner;
-  if (owner->version == 0 && !claim->content)
+  if (owner->row_version == 0 && !claim->content)
     {
-      claim_end (claim, &answer);
+      finish_claim (claim, &result);
       return;
     }
-  if (owner->version != 0 && is_held_here (claim, owner))
+  if (owner->row_version != 0 && is_owned_here (claim, owner))
     {
-      answer.outcome = LN_STEP_OURS;
-      claim_end (claim, &answer);
+      result.outcome = LN_STEP_OWNED_HERE;
+      finish_claim (claim, &result);
       return;
     }
-  if (owner->version != 0 && is_held_elsewhere (claim, owner))
+  if (owner->row_version != 0 && is_owned_elsewhere (claim, owner))
     {
-      answer.outcome = LN_STEP_ELSEWHERE;
-      claim_end (claim, &answer);
+      result.outcome = LN_STEP_OWNED_ELSEWHERE;
+      finish_claim (claim, &result);
       return;
     }
-  if (!claim->ask.may_claim)
+  if (!claim->request.may_claim)
     {
-      answer.outcome = LN_STEP_FREE;
-      claim_end (claim, &answer);
+      result.outcome = LN_STEP_UNOWNED;
+      finish_claim (claim, &result);
       return;
     }
-  ln_step_store_claim (claim->store, &claim->ask.key, owner,
-                       owner->version == 0 ? claim->content : NULL, on_claimed, claim);
+  ln_step_store_claim (claim->store, &claim->request.key, owner,
+                       owner->row_version == 0 ? claim->content : NULL, on_claim_written, claim);
 }
 
 static void
-find (Claim *claim)
+read_owner (Claim *claim)
 {
-  ln_step_store_find (claim->store, &claim->ask.key, on_found, claim);
+  ln_step_store_read_owner (claim->store, &claim->request.key, on_owner_read, claim);
 }
 
 void
-ln_step_claim_ask (LnStepStore *store, const LnStepAsk *ask)
+ln_step_claim_start (LnStepStore *store, const LnStepClaimRequest *request)
 {
   Claim *claim = LB_NEW (Claim);
 
   claim->store = store;
-  claim->ask = *ask;
-  claim->ask.content = NULL;
-  claim->content = ask->content ? lb_strdup (ask->content) : NULL;
-  find (claim);
+  claim->request = *request;
+  claim->request.content = NULL;
+  claim->content = request->content ? lb_strdup (request->content) : NULL;
+  read_owner (claim);
 }
--- a/packages/node/src/rollout/ln-step-claim.h
+++ b/packages/node/src/rollout/ln-step-claim.h
@@ -3,40 +3,40 @@
 
 #include "ln-step-store.h"
 
-/* Finds out who owns a step, and takes it when nobody who lives does. */
+/* Looks up the owner of a step, and claims the step if it has no live owner. */
 
 typedef enum
 {
-  LN_STEP_OURS,      /* this incarnation owns it; content and ledger are given */
-  LN_STEP_ELSEWHERE, /* owner is another instance that lives */
-  LN_STEP_ABSENT,    /* nobody ever opened it */
-  LN_STEP_FREE,      /* nobody who lives owns it, and the asker may not */
-  LN_STEP_FAILED     /* see error */
-} LnStepOutcome;
+  LN_STEP_OWNED_HERE,      /* by this incarnation */
+  LN_STEP_OWNED_ELSEWHERE, /* by another live instance, see owner */
+  LN_STEP_NOT_FOUND,       /* it was never opened */
+  LN_STEP_UNOWNED,         /* it has no live owner, and may_claim was false */
+  LN_STEP_CLAIM_FAILED     /* see error */
+} LnStepClaimOutcome;
 
 typedef struct
 {
-  LnStepOutcome outcome;
+  LnStepClaimOutcome outcome;
   LbErrorCode error;
   LnStepOwner owner;
-  LnStepStored stored; /* valid during the call; no content when the asker gave it */
-} LnStepAnswer;
+  LnStoredStep stored; /* valid during the callback; empty unless there was an earlier owner */
+} LnStepClaimResult;
 
-typedef bool (*LnStepIsAlive) (const LnStepOwner *owner, void *user);
-typedef void (*LnStepClaimDone) (const LnStepAnswer *answer, void *user);
+typedef bool (*LnStepIsOwnerAlive) (const LnStepOwner *owner, void *user);
+typedef void (*LnStepClaimDone) (const LnStepClaimResult *result, void *user);
 
 typedef struct
 {
   LnStepKey key;
-  const char *content;     /* opens the step with it when it is absent; NULL: only finds it */
-  uint64_t own_session;    /* what this incarnation works under already; 0: nothing */
+  const char *content;     /* opens a step that was never opened; NULL: it stays so */
+  uint64_t own_session;    /* under which the step is open here already; 0: it is not */
   const char *incarnation; /* of this process */
   bool may_claim;
-  LnStepIsAlive is_alive; /* asked about other incarnations only */
-  LnStepClaimDone done;   /* once, never from inside the call, unless the store was freed */
+  LnStepIsOwnerAlive is_owner_alive; /* called for other incarnations only */
+  LnStepClaimDone done; /* called once, after the start has returned; never if the store is freed */
   void *user;
-} LnStepAsk;
+} LnStepClaimRequest;
 
-void ln_step_claim_ask (LnStepStore *store, const LnStepAsk *ask);
+void ln_step_claim_start (LnStepStore *store, const LnStepClaimRequest *request);
 
 #endif
--- a/packages/node/src/rollout/ln-step-relay.c
+++ b/packages/node/src/rollout/ln-step-relay.c
@@ -8,8 +8,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Beyond the time that the trainer itself wants to wait. */
-#define RELAY_SILENCE (3 * LB_SEC)
+/* Idle time allowed in addition to the time that the trainer waits for samples. */
+#define RELAY_TIMEOUT_MARGIN (3 * LB_SEC)
 
 typedef struct
 {
@@ -19,7 +19,7 @@
 } Relay;
 
 static void
-on_done (LhFetch *fetch, const LhResult *result, void *user)
+on_reply_received (LhFetch *fetch, const LhResult *result, void *user)
 {
   Relay *relay = user;
   LnStepCall *call = relay->call;
@@ -29,7 +29,7 @@
 
   free (relay);
   call->relay = NULL;
-  call->user = NULL;
+  call->relay_state = NULL;
   if (result->failure == LB_OK && call->exchange)
     {
       if (retry_after)
@@ -42,11 +42,11 @@
 }
 
 static LbTime
-silence_of (const LnStepCall *call)
+relay_idle_timeout (const LnStepCall *call)
 {
   LbTime wait = call->type == LN_STEP_PULL ? call->pull.wait_until - lb_clock_monotonic () : 0;
 
-  return RELAY_SILENCE + (wait > 0 ? wait : 0);
+  return RELAY_TIMEOUT_MARGIN + (wait > 0 ? wait : 0);
 }
 
 bool
@@ -56,7 +56,7 @@
                      LnStepRelayDone done,
                      void *user)
 {
-  static const LhHandlers handlers = { .on_done = on_done };
+  static const LhHandlers handlers = { .on_done = on_reply_received };
   const LhHeader headers[]
       = { { "Content-Type", "application/json" }, { "x-relayed-by", context->instance } };
   LbError error = { .code = LB_OK };
@@ -70,11 +70,11 @@
                               .n_headers = 2,
                               .body = body,
                               .body_length = length,
-                              .silence = silence_of (call) };
+                              .silence = relay_idle_timeout (call) };
 
   *relay = (Relay){ .call = call, .done = done, .user = user };
-  call->relayed_to = *owner;
-  call->user = relay;
+  call->relay_owner = *owner;
+  call->relay_state = relay;
   call->relay = lh_fetch_start (context->http, &request, &handlers, relay, &error);
   if (call->relay)
     {
@@ -84,7 +84,7 @@
     }
   lb_log_error (LB_LOG_WARNING, "step-call-not-relayed", &error);
   free (relay);
-  call->user = NULL;
+  call->relay_state = NULL;
   return false;
 }
 
@@ -94,7 +94,7 @@
   if (!call->relay)
     return;
   lh_fetch_cancel (call->relay);
-  free (call->user);
+  free (call->relay_state);
   call->relay = NULL;
-  call->user = NULL;
+  call->relay_state = NULL;
 }
--- a/packages/node/src/rollout/ln-step-relay.h
+++ b/packages/node/src/rollout/ln-step-relay.h
@@ -3,12 +3,13 @@
 
 #include "ln-step-call.h"
 
-/* Passes a trainer's call on to the instance that owns its step. */
+/* Relays a trainer's call to the instance that owns its step. */
 
 typedef void (*LnStepRelayDone) (LnStepCall *call, LbErrorCode failure, void *user);
 
-/* done is called once unless cancelled: with LB_OK when the trainer has been answered with what the
- * owner said, else the call is still to be answered. False when nothing could be sent. */
+/* done is called once unless the relay is cancelled: with LB_OK after the owner's reply was passed
+ * to the trainer, else with a failure, and the call still needs a reply. Returns false, and never
+ * calls done, if the request could not be sent. */
 bool ln_step_relay_start (LnContext *context,
                           LnStepCall *call,
                           const LnStepOwner *owner,
--- a/packages/node/src/rollout/ln-step-samples.c
+++ b/packages/node/src/rollout/ln-step-samples.c
@@ -16,7 +16,7 @@
 }
 
 static struct json_object *
-span_object (const LcSpan *span)
+span_to_json (const LcSpan *span)
 {
   struct json_object *object = json_object_new_object ();
 
@@ -29,7 +29,7 @@
 }
 
 static struct json_object *
-sample_object (const LcReadySample *sample, LcVersion trainer)
+sample_to_json (const LcReadySample *sample, LcVersion trainer_version)
 {
   struct json_object *object = json_object_new_object ();
   struct json_object *spans = json_object_new_array ();
@@ -40,27 +40,27 @@
   add_integer (object, "tokens", sample->label->tokens);
   if (sample->has_score)
     json_object_object_add (object, "score", json_object_new_double (sample->score));
-  add_integer (object, "staleness", lc_label_staleness (sample->label, trainer));
+  add_integer (object, "staleness", lc_label_staleness (sample->label, trainer_version));
   for (size_t i = 0; i < sample->label->n_spans; i++)
-    json_object_array_add (spans, span_object (&sample->label->spans[i]));
+    json_object_array_add (spans, span_to_json (&sample->label->spans[i]));
   json_object_object_add (object, "spans", spans);
   return object;
 }
 
 struct json_object *
-ln_step_samples_to_json (const LcReadySample *samples, size_t n_samples, LcVersion trainer)
+ln_step_samples_to_json (const LcReadySample *samples, size_t n_samples, LcVersion trainer_version)
 {
   struct json_object *array = json_object_new_array ();
 
   for (size_t i = 0; i < n_samples; i++)
-    json_object_array_add (array, sample_object (&samples[i], trainer));
+    json_object_array_add (array, sample_to_json (&samples[i], trainer_version));
   return array;
 }
 
-/* Built by the same function that builds it from an engine's pieces, so that no other label than
- * one of those can come back. */
+/* Uses the function that builds labels from an engine's pieces, so that stored data can't produce a
+ * label that pieces couldn't. */
 static LcLabel *
-read_label (struct json_object *object)
+parse_label (struct json_object *object)
 {
   struct json_object *spans = NULL;
   LcLabel *label = LB_NEW (LcLabel);
@@ -81,7 +81,7 @@
 }
 
 static bool
-read_sample (struct json_object *object, LcReadySample *sample)
+parse_sample (struct json_object *object, LcReadySample *sample)
 {
   struct json_object *score = NULL;
 
@@ -92,12 +92,12 @@
   sample->score = sample->has_score ? json_object_get_double (score) : 0;
   if (!sample->group || !sample->text)
     return false;
-  sample->label = read_label (object);
+  sample->label = parse_label (object);
   return true;
 }
 
 void
-ln_step_samples_read (LnStepSamples *samples, const char *text, size_t length)
+ln_step_samples_parse (LnStepSamples *samples, const char *text, size_t length)
 {
   struct json_tokener *tokener = json_tokener_new ();
 
@@ -108,11 +108,11 @@
   if (!json_object_is_type (samples->json, json_type_array))
     return;
 
-  size_t n = json_object_array_length (samples->json);
-  samples->samples = LB_NEW_ARRAY (LcReadySample, n);
-  for (size_t i = 0; i < n; i++)
-    samples->n_samples += read_sample (json_object_array_get_idx (samples->json, i),
-                                       &samples->samples[samples->n_samples]);
+  size_t n_entries = json_object_array_length (samples->json);
+  samples->samples = LB_NEW_ARRAY (LcReadySample, n_entries);
+  for (size_t i = 0; i < n_entries; i++)
+    samples->n_samples += parse_sample (json_object_array_get_idx (samples->json, i),
+                                        &samples->samples[samples->n_samples]);
 }
 
 void
--- a/packages/node/src/rollout/ln-step-samples.h
+++ b/packages/node/src/rollout/ln-step-samples.h
@@ -5,22 +5,22 @@
 
 struct json_object;
 
-/* Samples as JSON: for trainers, and for the next owner of a step. */
+/* JSON form of samples, for trainers and for the next owner of a step. */
 
-/* trainer: the version that staleness is stated against. */
+/* Staleness is computed against trainer_version. */
 struct json_object *
-ln_step_samples_to_json (const LcReadySample *samples, size_t n_samples, LcVersion trainer);
+ln_step_samples_to_json (const LcReadySample *samples, size_t n_samples, LcVersion trainer_version);
 
-/* Samples with memory of their own. */
+/* Parsed samples. */
 typedef struct
 {
   LcReadySample *samples;
   size_t n_samples;
-  struct json_object *json; /* what the texts point into */
+  struct json_object *json; /* owns the strings of the samples */
 } LnStepSamples;
 
-/* What is not a whole sample is left out. text may be NULL. */
-void ln_step_samples_read (LnStepSamples *samples, const char *text, size_t length);
+/* Skips entries that lack a group or a text. text may be NULL. */
+void ln_step_samples_parse (LnStepSamples *samples, const char *text, size_t length);
 void ln_step_samples_clear (LnStepSamples *samples);
 
 #endif
--- a/packages/node/src/rollout/ln-step-store.c
+++ b/packages/node/src/rollout/ln-step-store.c
@@ -10,9 +10,9 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Rows of a subscription's step are deleted with the claim of the step so many later, in the same
- * transaction: the table stays bounded without writes of its own. */
-#define KEPT_STEPS 64
+/* The claim of step N deletes the rows of the subscription's step N - RETAINED_STEPS in the same
+ * transaction, which bounds the table without extra writes. */
+#define RETAINED_STEPS 64
 
 struct LnStepStore
 {
@@ -21,17 +21,17 @@
   LbList operations;
 };
 
-/* One call of the task that waits for the platform. */
+/* An operation of the platform in progress. */
 typedef struct
 {
   LbLink link;
   LnStepStore *store;
   LnStepKey key;
-  LnStepOwner owner; /* wanted or own */
+  LnStepOwner owner; /* this incarnation's row, stored or to be stored */
   char *token;
   char *row_key;
   char *row_value;
-  char *ledger;
+  char *ledger; /* value of the ledger row, read by a load */
   char *content;
   size_t content_length;
   LnStepOwnerDone owner_done;
@@ -67,9 +67,9 @@
   free (operation);
 }
 
-/* The store was freed while the platform still had the call. */
+/* Frees the operation if its store was freed while the platform processed it. */
 static bool
-is_orphan (Operation *operation)
+free_if_orphaned (Operation *operation)
 {
   if (operation->store)
     return false;
@@ -104,42 +104,43 @@
 }
 
 static char *
-step_key (const LnStepKey *key)
+owner_row_key (const LnStepKey *key)
 {
   return lb_asprintf ("step/%s/%lld", key->subscription, (long long)key->step);
 }
 
 static char *
-ledger_key (const LnStepKey *key)
+ledger_row_key (const LnStepKey *key)
 {
   return lb_asprintf ("ledger/%s/%lld", key->subscription, (long long)key->step);
 }
 
-/* Named by the content, so that an instance that loses the race for a step can not overwrite what
- * the winner works on. */
+/* The key contains a hash of the content, so that an instance that loses the race to open a step
+ * can't overwrite the content of the winner. */
 static char *
-object_key (const LnStepKey *key, const LnStepOwner *owner)
+content_object_key (const LnStepKey *key, const LnStepOwner *owner)
 {
-  return lb_asprintf ("steps/%s/%lld/%s", key->subscription, (long long)key->step, owner->content);
+  return lb_asprintf ("steps/%s/%lld/%s", key->subscription, (long long)key->step,
+                      owner->content_hash);
 }
 
-/* What the owner of that session left. */
+/* Samples left by the owner of that session. */
 static char *
-samples_key (const LnStepKey *key, uint64_t session)
+samples_object_key (const LnStepKey *key, uint64_t session)
 {
   return lb_asprintf ("steps/%s/%lld/ready-%llu", key->subscription, (long long)key->step,
                       (unsigned long long)session);
 }
 
 static char *
-owner_to_text (const LnStepOwner *owner)
+owner_to_json (const LnStepOwner *owner)
 {
   struct json_object *object = json_object_new_object ();
 
   json_object_object_add (object, "instance", json_object_new_string (owner->instance));
   json_object_object_add (object, "incarnation", json_object_new_string (owner->incarnation));
   json_object_object_add (object, "address", json_object_new_string (owner->address));
-  json_object_object_add (object, "content", json_object_new_string (owner->content));
+  json_object_object_add (object, "content", json_object_new_string (owner->content_hash));
   json_object_object_add (object, "session", json_object_new_int64 ((int64_t)owner->session));
   return lb_json_take_text (object, JSON_C_TO_STRING_PLAIN);
 }
@@ -150,24 +151,24 @@
   struct json_object *object = json_tokener_parse (row->value);
 
   memset (owner, 0, sizeof *owner);
-  owner->version = row->version;
+  owner->row_version = row->version;
   owner->session = (uint64_t)json_object_get_int64 (lb_json_member (object, "session"));
   LB_COPY (owner->instance, lb_json_text (object, "instance", ""));
   LB_COPY (owner->incarnation, lb_json_text (object, "incarnation", ""));
   LB_COPY (owner->address, lb_json_text (object, "address", ""));
-  LB_COPY (owner->content, lb_json_text (object, "content", ""));
+  LB_COPY (owner->content_hash, lb_json_text (object, "content", ""));
   json_object_put (object);
 }
 
-/* Finding. */
+/* --- reading the owner --- */
 
 static void
-on_found (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
+on_owner_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
   Operation *operation = user;
   LnStepOwner owner = { 0 };
 
-  if (is_orphan (operation))
+  if (free_if_orphaned (operation))
     return;
   if (error == LB_ERROR_NOT_FOUND)
     error = LB_OK;
@@ -178,27 +179,30 @@
 }
 
 void
-ln_step_store_find (LnStepStore *store, const LnStepKey *key, LnStepOwnerDone done, void *user)
+ln_step_store_read_owner (LnStepStore *store,
+                          const LnStepKey *key,
+                          LnStepOwnerDone done,
+                          void *user)
 {
   Operation *operation = operation_new (store, key, user);
   LpPlatform *platform = platform_of (operation);
 
   operation->owner_done = done;
-  operation->row_key = step_key (key);
-  platform->klass->get (platform, operation->row_key, on_found, operation);
+  operation->row_key = owner_row_key (key);
+  platform->klass->get (platform, operation->row_key, on_owner_read, operation);
 }
 
-/* Claiming. */
+/* --- claiming --- */
 
 static void
-end_claim (Operation *operation, LbErrorCode error)
+finish_claim (Operation *operation, LbErrorCode error)
 {
   operation->owner_done (error, &operation->owner, operation->user);
   operation_free (operation);
 }
 
 static bool
-is_own (const Operation *operation, const LnStepOwner *owner)
+is_own_claim (const Operation *operation, const LnStepOwner *owner)
 {
   return strcmp (owner->incarnation, operation->owner.incarnation) == 0
          && owner->session == operation->owner.session;
@@ -210,55 +214,56 @@
   Operation *operation = user;
   LnStepOwner owner = { 0 };
 
-  if (is_orphan (operation))
+  if (free_if_orphaned (operation))
     return;
   if (error == LB_OK && n_rows > 0)
     owner_from_row (&owner, &rows[0]);
-  operation->owner.version = owner.version;
-  if (error == LB_OK && !is_own (operation, &owner))
+  operation->owner.row_version = owner.row_version;
+  if (error == LB_OK && !is_own_claim (operation, &owner))
     error = LB_ERROR_CONDITION_FAILED;
-  end_claim (operation, error == LB_ERROR_NOT_FOUND ? LB_ERROR_STORE_AWAY : error);
+  finish_claim (operation, error == LB_ERROR_NOT_FOUND ? LB_ERROR_STORE_AWAY : error);
 }
 
-/* The reply of a write can be lost after the write took effect. Concluding "not claimed" from that
- * would leave a step whose row names this instance while nobody works on it, and a condition that
- * failed may have failed on our own first write: so the row is read back before either is said. */
+/* The reply to a write may be lost after the write took effect, and a condition may have failed
+ * because of an earlier attempt of the same write. Reporting either as a failure would leave a row
+ * that names this instance while no instance serves the step, so the row is read back first. */
 static void
-on_claimed (LbErrorCode error, const LpRow *row, void *user)
+on_claim_written (LbErrorCode error, const LpRow *row, void *user)
 {
   Operation *operation = user;
 
-  if (is_orphan (operation))
+  if (free_if_orphaned (operation))
     return;
   LpPlatform *platform = platform_of (operation);
   (void)row;
   if (error == LB_OK || error == LB_ERROR_STORE_UNKNOWN || error == LB_ERROR_CONDITION_FAILED)
     platform->klass->get (platform, operation->row_key, on_claim_read_back, operation);
   else
-    end_claim (operation, error);
+    finish_claim (operation, error);
 }
 
 static void
-transact_claim (Operation *operation)
+write_claim (Operation *operation)
 {
   LpPlatform *platform = platform_of (operation);
-  LnStepKey old = operation->key;
-  LpCondition condition = { .key = operation->row_key, .version = operation->owner.version };
+  LnStepKey expired_key = operation->key;
+  LpCondition condition = { .key = operation->row_key, .version = operation->owner.row_version };
 
-  old.step -= KEPT_STEPS;
-  char *old_step = step_key (&old);
-  char *old_ledger = ledger_key (&old);
+  expired_key.step -= RETAINED_STEPS;
+  char *expired_owner_row = owner_row_key (&expired_key);
+  char *expired_ledger_row = ledger_row_key (&expired_key);
   LpPut puts[] = { { .key = operation->row_key, .value = operation->row_value },
-                   { .key = old_step },
-                   { .key = old_ledger } };
+                   { .key = expired_owner_row },
+                   { .key = expired_ledger_row } };
   LpTransaction transaction = { .token = operation->token,
                                 .conditions = &condition,
                                 .n_conditions = 1,
                                 .puts = puts,
                                 .n_puts = sizeof puts / sizeof puts[0] };
-  platform->klass->transact (platform, &transaction, LP_PRIORITY_LEDGER, on_claimed, operation);
-  free (old_step);
-  free (old_ledger);
+  platform->klass->transact (platform, &transaction, LP_PRIORITY_LEDGER, on_claim_written,
+                             operation);
+  free (expired_owner_row);
+  free (expired_ledger_row);
 }
 
 static void
@@ -268,12 +273,12 @@
 
   (void)bytes;
   (void)length;
-  if (is_orphan (operation))
+  if (free_if_orphaned (operation))
     return;
   if (error == LB_OK)
-    transact_claim (operation);
+    write_claim (operation);
   else
-    end_claim (operation, error);
+    finish_claim (operation, error);
 }
 
 void
@@ -295,27 +300,27 @@
   LB_COPY (owner->incarnation, store->context->incarnation);
   LB_COPY (owner->address, store->context->caller_address);
   if (content)
-    snprintf (owner->content, sizeof owner->content, "%016llx",
+    snprintf (owner->content_hash, sizeof owner->content_hash, "%016llx",
               (unsigned long long)XXH64 (content, strlen (content), 0));
-  operation->row_key = step_key (key);
-  operation->row_value = owner_to_text (owner);
+  operation->row_key = owner_row_key (key);
+  operation->row_value = owner_to_json (owner);
   if (!content)
     {
-      transact_claim (operation);
+      write_claim (operation);
       return;
     }
-  char *object = object_key (key, owner);
+  char *object = content_object_key (key, owner);
   platform->klass->put_object (platform, object, content, strlen (content), on_content_stored,
                                operation);
   free (object);
 }
 
-/* Loading. */
+/* --- loading --- */
 
 static void
-end_load (Operation *operation, LbErrorCode error, const char *samples, size_t length)
+finish_load (Operation *operation, LbErrorCode error, const char *samples, size_t length)
 {
-  const LnStepStored stored = { .content = operation->content,
+  const LnStoredStep stored = { .content = operation->content,
                                 .content_length = operation->content_length,
                                 .ledger = operation->ledger,
                                 .samples = samples,
@@ -325,53 +330,53 @@
   operation_free (operation);
 }
 
-/* Samples are a help only: without them the slots are generated again. */
+/* Missing samples are not an error: their slots are generated again. */
 static void
-on_samples (LbErrorCode error, const char *bytes, size_t length, void *user)
+on_samples_loaded (LbErrorCode error, const char *bytes, size_t length, void *user)
 {
   Operation *operation = user;
 
-  if (is_orphan (operation))
+  if (free_if_orphaned (operation))
     return;
-  end_load (operation, LB_OK, error == LB_OK ? bytes : NULL, error == LB_OK ? length : 0);
+  finish_load (operation, LB_OK, error == LB_OK ? bytes : NULL, error == LB_OK ? length : 0);
 }
 
 static void
-on_content (LbErrorCode error, const char *bytes, size_t length, void *user)
+on_content_loaded (LbErrorCode error, const char *bytes, size_t length, void *user)
 {
   Operation *operation = user;
 
-  if (is_orphan (operation))
+  if (free_if_orphaned (operation))
     return;
   if (error != LB_OK)
     {
-      end_load (operation, error, NULL, 0);
+      finish_load (operation, error, NULL, 0);
       return;
     }
   LpPlatform *platform = platform_of (operation);
-  char *object = samples_key (&operation->key, operation->owner.session - 1);
+  char *object = samples_object_key (&operation->key, operation->owner.session - 1);
   operation->content = lb_strndup (bytes, length);
   operation->content_length = length;
-  platform->klass->get_object (platform, object, on_samples, operation);
+  platform->klass->get_object (platform, object, on_samples_loaded, operation);
   free (object);
 }
 
 static void
-on_ledger_row (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
+on_ledger_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
   Operation *operation = user;
 
-  if (is_orphan (operation))
+  if (free_if_orphaned (operation))
     return;
   if (error != LB_OK && error != LB_ERROR_NOT_FOUND)
     {
-      end_load (operation, error, NULL, 0);
+      finish_load (operation, error, NULL, 0);
       return;
     }
   LpPlatform *platform = platform_of (operation);
-  char *object = object_key (&operation->key, &operation->owner);
+  char *object = content_object_key (&operation->key, &operation->owner);
   operation->ledger = lb_strdup (error == LB_OK && n_rows > 0 ? rows[0].value : "");
-  platform->klass->get_object (platform, object, on_content, operation);
+  platform->klass->get_object (platform, object, on_content_loaded, operation);
   free (object);
 }
 
@@ -387,37 +392,38 @@
 
   operation->owner = *owner;
   operation->load_done = done;
-  operation->row_key = ledger_key (key);
-  platform->klass->get (platform, operation->row_key, on_ledger_row, operation);
+  operation->row_key = ledger_row_key (key);
+  platform->klass->get (platform, operation->row_key, on_ledger_read, operation);
 }
 
-/* Writing. */
+/* --- writing the ledger, releasing --- */
 
+/* A ledger value contains the session and the chunk, so an equal row is this write. */
 static void
-on_ledger_read_back (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
+on_row_read_back (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
   Operation *operation = user;
 
-  if (is_orphan (operation))
+  if (free_if_orphaned (operation))
     return;
-  bool written = error == LB_OK && n_rows > 0 && strcmp (rows[0].value, operation->row_value) == 0;
-  operation->write_done (written ? LB_OK : LB_ERROR_STORE_AWAY, operation->user);
+  bool is_written
+      = error == LB_OK && n_rows > 0 && strcmp (rows[0].value, operation->row_value) == 0;
+  operation->write_done (is_written ? LB_OK : LB_ERROR_STORE_AWAY, operation->user);
   operation_free (operation);
 }
 
-/* The value carries session and chunk, so an equal row is our own write. */
 static void
-on_written (LbErrorCode error, const LpRow *row, void *user)
+on_row_written (LbErrorCode error, const LpRow *row, void *user)
 {
   Operation *operation = user;
 
   (void)row;
-  if (is_orphan (operation))
+  if (free_if_orphaned (operation))
     return;
   if (error == LB_ERROR_STORE_UNKNOWN)
     {
       LpPlatform *platform = platform_of (operation);
-      platform->klass->get (platform, operation->row_key, on_ledger_read_back, operation);
+      platform->klass->get (platform, operation->row_key, on_row_read_back, operation);
       return;
     }
   operation->write_done (error, operation->user);
@@ -428,7 +434,7 @@
 write_row (Operation *operation, const LnStepOwner *own, const char *condition_key)
 {
   LpPlatform *platform = platform_of (operation);
-  LpCondition condition = { .key = condition_key, .version = own->version };
+  LpCondition condition = { .key = condition_key, .version = own->row_version };
   LpPut put = { .key = operation->row_key, .value = operation->row_value };
   LpTransaction transaction = { .token = operation->token,
                                 .conditions = &condition,
@@ -436,11 +442,11 @@
                                 .puts = &put,
                                 .n_puts = 1 };
 
-  platform->klass->transact (platform, &transaction, LP_PRIORITY_LEDGER, on_written, operation);
+  platform->klass->transact (platform, &transaction, LP_PRIORITY_LEDGER, on_row_written, operation);
 }
 
-/* The condition is on the owner's row, which changes with each new owner and with nothing else: an
- * owner that was paused while another took over fails here, however late its write arrives. */
+/* The condition is on the owner's row, which changes with each new owner and never otherwise. The
+ * write of an owner that was paused while another took over fails, however late it arrives. */
 void
 ln_step_store_write_ledger (LnStepStore *store,
                             const LnStepKey *key,
@@ -450,10 +456,10 @@
                             void *user)
 {
   Operation *operation = operation_new (store, key, user);
-  char *owner_key = step_key (key);
+  char *owner_key = owner_row_key (key);
 
   operation->write_done = done;
-  operation->row_key = ledger_key (key);
+  operation->row_key = ledger_row_key (key);
   operation->row_value = lb_strdup (value);
   write_row (operation, own, owner_key);
   free (owner_key);
@@ -466,7 +472,7 @@
 
   (void)bytes;
   (void)length;
-  if (is_orphan (operation))
+  if (free_if_orphaned (operation))
     return;
   if (error == LB_OK)
     {
@@ -477,7 +483,7 @@
   operation_free (operation);
 }
 
-/* The samples first: once the row says that nobody owns the step, the next owner may look. */
+/* Stores the samples first: the next owner may load them as soon as the row has no owner. */
 void
 ln_step_store_release (LnStepStore *store,
                        const LnStepKey *key,
@@ -489,13 +495,13 @@
   Operation *operation = operation_new (store, key, user);
   LpPlatform *platform = platform_of (operation);
   LnStepOwner released = { .session = own->session };
-  char *object = samples_key (key, own->session);
+  char *object = samples_object_key (key, own->session);
 
-  LB_COPY (released.content, own->content);
+  LB_COPY (released.content_hash, own->content_hash);
   operation->owner = *own;
   operation->write_done = done;
-  operation->row_key = step_key (key);
-  operation->row_value = owner_to_text (&released);
+  operation->row_key = owner_row_key (key);
+  operation->row_value = owner_to_json (&released);
   platform->klass->put_object (platform, object, samples, strlen (samples), on_samples_stored,
                                operation);
   free (object);
--- a/packages/node/src/rollout/ln-step-store.h
+++ b/packages/node/src/rollout/ln-step-store.h
@@ -3,8 +3,8 @@
 
 #include "ln-context.h"
 
-/* What of a step must outlast its owner, in the platform's table and object store: who owns it (one
- * row), what its trainer has (one ledger row), what was asked for (one object). */
+/* State of steps that outlives their owners, in the platform's table and object store: the owner (a
+ * row), the trainer's cursor (a ledger row), and what the trainer asked for (an object). */
 typedef struct LnStepStore LnStepStore;
 
 typedef struct
@@ -13,39 +13,44 @@
   int64_t step;
 } LnStepKey;
 
+/* The row that names a step's owner. */
 typedef struct
 {
   LbName instance; /* empty: released by its last owner */
   char incarnation[40];
-  LbName address;   /* where the owner takes callers */
-  char content[24]; /* names the object with what was asked for */
-  uint64_t session;
-  int64_t version; /* of the row; 0: the row is absent */
+  LbName address;        /* where the owner accepts callers */
+  char content_hash[24]; /* part of the key of the object with what the trainer asked for */
+  uint64_t session;      /* incremented by each claim */
+  int64_t row_version;   /* 0: the row is absent */
 } LnStepOwner;
 
-/* Each callback is called exactly once, never from inside the call, unless the store was freed. */
+/* Each callback is called exactly once, after the function has returned; never if the store is
+ * freed first. */
 typedef void (*LnStepOwnerDone) (LbErrorCode error, const LnStepOwner *owner, void *user);
-/* What is stored of a step; valid during the call. */
+/* What is stored for a step, without its owner; valid during the callback. */
 typedef struct
 {
-  const char *content; /* the body of the trainer's request */
+  const char *content; /* body of the request that opened the step */
   size_t content_length;
-  const char *ledger;  /* "": none */
-  const char *samples; /* that the last owner left; NULL: none */
+  const char *ledger;  /* value of the ledger row; "": there is none */
+  const char *samples; /* JSON, left by the last owner; NULL: none */
   size_t samples_length;
-} LnStepStored;
+} LnStoredStep;
 
-typedef void (*LnStepLoadDone) (LbErrorCode error, const LnStepStored *stored, void *user);
+typedef void (*LnStepLoadDone) (LbErrorCode error, const LnStoredStep *stored, void *user);
 typedef void (*LnStepWriteDone) (LbErrorCode error, void *user);
 
 LnStepStore *ln_step_store_new (LnContext *context);
 void ln_step_store_free (LnStepStore *store);
 
-/* LB_OK also when there is no row: the owner's version is 0 then. */
-void
-ln_step_store_find (LnStepStore *store, const LnStepKey *key, LnStepOwnerDone done, void *user);
-/* Makes this incarnation the owner, with the next session, if the row still is as it was seen.
- * content is stored first; NULL: it already is. CONDITION_FAILED: another instance was faster. */
+/* A missing row is LB_OK with a row_version of 0. */
+void ln_step_store_read_owner (LnStepStore *store,
+                               const LnStepKey *key,
+                               LnStepOwnerDone done,
+                               void *user);
+/* Makes this incarnation the owner under the next session, on condition that the row still has the
+ * version that was seen; CONDITION_FAILED: another instance has claimed the step. content is stored
+ * first; NULL: it is stored already. */
 void ln_step_store_claim (LnStepStore *store,
                           const LnStepKey *key,
                           const LnStepOwner *seen,
@@ -64,7 +69,8 @@
                                  const char *value,
                                  LnStepWriteDone done,
                                  void *user);
-/* Leaves the step, with samples for its next owner, to the instance that is asked for it next. */
+/* Stores samples for the next owner and removes the owner from the row, so that the next instance
+ * that gets a call for the step can claim it. */
 void ln_step_store_release (LnStepStore *store,
                             const LnStepKey *key,
                             const LnStepOwner *own,
--- a/packages/node/tests/steps-fixture.h
+++ b/packages/node/tests/steps-fixture.h
@@ -18,62 +18,62 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define PATIENCE (30 * LB_SEC)
+#define TIMEOUT (30 * LB_SEC)
 #define MAX_SLOTS 64
 
 typedef enum
 {
   STORE_WORKS,
-  STORE_AWAY,       /* nothing is applied */
-  STORE_LOSES_REPLY /* a write is applied, its outcome is not known */
+  STORE_UNAVAILABLE, /* no operation is applied */
+  STORE_LOSES_REPLY  /* a write is applied, and its outcome reported as unknown */
 } StoreMode;
 
-/* The in-memory platform behind faults. */
+/* The in-memory platform with injected faults. */
 typedef struct
 {
   LpPlatform platform; /* first */
   LpPlatform *inner;
   StoreMode mode;
   int writes;
-} Store;
+} FaultyStore;
 
-/* Plays the calls task: answers each sample at once with ten tokens, or keeps it. */
+/* Stands in for the task "calls": answers each sample at once with ten tokens, or holds it. */
 typedef struct
 {
   LnTask task; /* first */
-  bool keeps;
-  int samples;
-  size_t n_prefix_hashes; /* of the sample with most */
-  LcRequestId kept[MAX_SLOTS];
-  size_t n_kept;
-} Calls;
+  bool holds_samples;
+  int n_samples;
+  size_t n_prefix_hashes; /* largest of any sample */
+  LcRequestId held[MAX_SLOTS];
+  size_t n_held;
+} FakeCalls;
 
 typedef struct
 {
   LnContext context;
   LnSettings settings;
-  Calls calls;
+  FakeCalls calls;
   LnTask *front;
   LnTask *rollouts;
-  bool alive; /* as the others see it */
+  bool alive; /* in the membership view of both instances */
   bool draining;
 } Instance;
 
-/* Two instances on one store, and a trainer. */
+/* Two instances with one store, and a trainer. */
 typedef struct
 {
   struct event_base *base;
-  Store store;
+  FaultyStore store;
   Instance instances[2];
   struct LhPool *http;
   /* the trainer */
   char *cursor;
-  int seen[MAX_SLOTS]; /* how often each sample came */
+  int received[MAX_SLOTS]; /* how often each sample was delivered */
   int status;
   char *reply;
-  int pending; /* calls without an answer */
+  int n_pending; /* calls without a reply */
   bool strict;
-} World;
+} Cluster;
 
 static inline void store_transact (LpPlatform *platform,
                                    const LpTransaction *transaction,
@@ -81,52 +81,53 @@
                                    LpTransactDone done,
                                    void *user);
 
-/* One answer that is told later, as the platform's are. */
+/* A reply that is delivered from the event loop, as those of the platform are. */
 typedef struct
 {
-  Store *store;
+  FaultyStore *store;
   LpTransactDone done;
   LpRowsDone rows_done;
   LpObjectDone object_done;
   LbErrorCode error;
   void *user;
-} Later;
+} DeferredReply;
 
 static inline void
-later_tell (evutil_socket_t fd, short what, void *user)
+deliver_reply (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
-  Later later = *(Later *)user;
+  DeferredReply reply = *(DeferredReply *)user;
 
   free (user);
-  if (later.done)
-    later.done (later.error, NULL, later.user);
-  else if (later.rows_done)
-    later.rows_done (later.error, NULL, 0, later.user);
+  if (reply.done)
+    reply.done (reply.error, NULL, reply.user);
+  else if (reply.rows_done)
+    reply.rows_done (reply.error, NULL, 0, reply.user);
   else
-    later.object_done (later.error, NULL, 0, later.user);
+    reply.object_done (reply.error, NULL, 0, reply.user);
 }
 
-static struct event_base *store_base;
+static struct event_base *store_event_base;
 
 static inline void
-tell_later (Later later)
+defer_reply (DeferredReply reply)
 {
   const struct timeval now = { 0 };
 
-  event_base_once (store_base, -1, EV_TIMEOUT, later_tell, lb_memdup (&later, sizeof later), &now);
+  event_base_once (store_event_base, -1, EV_TIMEOUT, deliver_reply,
+                   lb_memdup (&reply, sizeof reply), &now);
 }
 
 static inline void
-store_lost (LbErrorCode error, const LpRow *row, void *user)
+lose_reply (LbErrorCode error, const LpRow *row, void *user)
 {
-  Later *later = user;
+  DeferredReply *reply = user;
 
   (void)error;
   (void)row;
-  later->done (LB_ERROR_STORE_UNKNOWN, NULL, later->user);
-  free (later);
+  reply->done (LB_ERROR_STORE_UNKNOWN, NULL, reply->user);
+  free (reply);
 }
 
 static inline void
@@ -136,15 +137,16 @@
                 LpTransactDone done,
                 void *user)
 {
-  Store *store = (Store *)platform;
-  Later later = { .store = store, .done = done, .error = LB_ERROR_STORE_AWAY, .user = user };
+  FaultyStore *store = (FaultyStore *)platform;
+  DeferredReply reply
+      = { .store = store, .done = done, .error = LB_ERROR_STORE_AWAY, .user = user };
 
   store->writes++;
-  if (store->mode == STORE_AWAY)
-    tell_later (later);
+  if (store->mode == STORE_UNAVAILABLE)
+    defer_reply (reply);
   else if (store->mode == STORE_LOSES_REPLY)
-    store->inner->klass->transact (store->inner, transaction, priority, store_lost,
-                                   lb_memdup (&later, sizeof later));
+    store->inner->klass->transact (store->inner, transaction, priority, lose_reply,
+                                   lb_memdup (&reply, sizeof reply));
   else
     store->inner->klass->transact (store->inner, transaction, priority, done, user);
 }
@@ -152,10 +154,10 @@
 static inline void
 store_get (LpPlatform *platform, const char *key, LpRowsDone done, void *user)
 {
-  Store *store = (Store *)platform;
+  FaultyStore *store = (FaultyStore *)platform;
 
-  if (store->mode == STORE_AWAY)
-    tell_later ((Later){ .rows_done = done, .error = LB_ERROR_STORE_AWAY, .user = user });
+  if (store->mode == STORE_UNAVAILABLE)
+    defer_reply ((DeferredReply){ .rows_done = done, .error = LB_ERROR_STORE_AWAY, .user = user });
   else
     store->inner->klass->get (store->inner, key, done, user);
 }
@@ -168,10 +170,11 @@
                   LpObjectDone done,
                   void *user)
 {
-  Store *store = (Store *)platform;
+  FaultyStore *store = (FaultyStore *)platform;
 
-  if (store->mode == STORE_AWAY)
-    tell_later ((Later){ .object_done = done, .error = LB_ERROR_STORE_AWAY, .user = user });
+  if (store->mode == STORE_UNAVAILABLE)
+    defer_reply (
+        (DeferredReply){ .object_done = done, .error = LB_ERROR_STORE_AWAY, .user = user });
   else
     store->inner->klass->put_object (store->inner, key, bytes, length, done, user);
 }
@@ -179,7 +182,7 @@
 static inline void
 store_get_object (LpPlatform *platform, const char *key, LpObjectDone done, void *user)
 {
-  Store *store = (Store *)platform;
+  FaultyStore *store = (FaultyStore *)platform;
 
   store->inner->klass->get_object (store->inner, key, done, user);
 }
@@ -191,7 +194,7 @@
                                              .get_object = store_get_object };
 
 static inline void
-calls_begin (Calls *calls, LcRequestId request)
+calls_post_piece (FakeCalls *calls, LcRequestId request)
 {
   LnSamplePieceMessage piece = { .base = LN_MESSAGE (LN_SAMPLE_PIECE),
                                  .request = request,
@@ -202,7 +205,7 @@
 }
 
 static inline void
-calls_end (Calls *calls, LcRequestId request)
+calls_post_done (FakeCalls *calls, LcRequestId request)
 {
   LnSampleDoneMessage done = { .base = LN_MESSAGE (LN_SAMPLE_DONE), .request = request };
 
@@ -213,7 +216,7 @@
 static inline void
 calls_receive (LnTask *task, const LnMessage *message)
 {
-  Calls *calls = (Calls *)task;
+  FakeCalls *calls = (FakeCalls *)task;
 
   if (message->type != LN_SAMPLE)
     return;
@@ -221,13 +224,13 @@
   const LcRequestSpec *spec = &((const LnSampleMessage *)message)->spec;
   if (spec->n_prefix_hashes > calls->n_prefix_hashes)
     calls->n_prefix_hashes = spec->n_prefix_hashes;
-  calls->samples++;
-  if (calls->keeps)
-    calls->kept[calls->n_kept++] = request;
+  calls->n_samples++;
+  if (calls->holds_samples)
+    calls->held[calls->n_held++] = request;
   else
     {
-      calls_begin (calls, request);
-      calls_end (calls, request);
+      calls_post_piece (calls, request);
+      calls_post_done (calls, request);
     }
 }
 
@@ -241,7 +244,7 @@
     = { .name = "calls", .receive = calls_receive, .free = calls_free };
 
 static inline void
-world_tell_members (World *world)
+cluster_send_members (Cluster *cluster)
 {
   for (size_t to = 0; to < 2; to++)
     {
@@ -251,7 +254,7 @@
       memset (members, 0, sizeof members);
       for (size_t i = 0; i < 2; i++)
         {
-          const Instance *instance = &world->instances[i];
+          const Instance *instance = &cluster->instances[i];
           LB_COPY (members[i].name, instance->context.instance);
           LB_COPY (members[i].incarnation, instance->context.incarnation);
           LB_COPY (members[i].caller_address, instance->context.caller_address);
@@ -260,17 +263,17 @@
           members[i].is_self = i == to;
         }
       message.members = members;
-      Instance *instance = &world->instances[to];
+      Instance *instance = &cluster->instances[to];
       instance->rollouts->klass->receive (instance->rollouts, &message.base);
     }
 }
 
 static inline void
-instance_configure (World *world, Instance *instance)
+instance_configure (Cluster *cluster, Instance *instance)
 {
   LcPool pool = { .name = "reader" };
   LcSubscription subscription
-      = { .name = "t", .pool = "reader", .share = 1, .strict = world->strict };
+      = { .name = "t", .pool = "reader", .share = 1, .strict = cluster->strict };
   LcVersionBound bound = { .name = "b", .subscription = "t", .max_lag = 2 };
   LcResourceSet set = { .pools = &pool,
                         .n_pools = 1,
@@ -286,17 +289,17 @@
 }
 
 static inline void
-instance_init (World *world, Instance *instance, const char *name)
+instance_init (Cluster *cluster, Instance *instance, const char *name)
 {
   LnContext *context = &instance->context;
 
   ln_settings_init (&instance->settings);
   LB_COPY (instance->settings.instance.caller_address, "127.0.0.1:0");
-  context->base = world->base;
+  context->base = cluster->base;
   context->settings = &instance->settings;
-  context->platform = &world->store.platform;
-  context->hub = ln_hub_new (world->base);
-  context->http = lh_pool_new (world->base);
+  context->platform = &cluster->store.platform;
+  context->hub = ln_hub_new (cluster->base);
+  context->http = lh_pool_new (cluster->base);
   LB_COPY (context->instance, name);
   snprintf (context->incarnation, sizeof context->incarnation, "%s-1", name);
   instance->alive = true;
@@ -306,164 +309,172 @@
   ln_hub_add (context->hub, instance->front);
   ln_hub_add (context->hub, &instance->calls.task);
   ln_hub_add (context->hub, instance->rollouts);
-  instance_configure (world, instance);
+  instance_configure (cluster, instance);
 }
 
-static inline World *
-world_new (bool strict)
+static inline Cluster *
+cluster_new (bool strict)
 {
-  World *world = LB_NEW (World);
+  Cluster *cluster = LB_NEW (Cluster);
 
   signal (SIGPIPE, SIG_IGN);
   lb_log_init (LB_LOG_OFF, 2, "test");
-  world->strict = strict;
-  world->base = event_base_new ();
-  store_base = world->base;
-  world->store.platform.klass = &store_class;
-  world->store.inner = lp_memory_new (world->base);
-  world->http = lh_pool_new (world->base);
-  world->cursor = lb_strdup ("");
-  instance_init (world, &world->instances[0], "i1");
-  instance_init (world, &world->instances[1], "i2");
-  world_tell_members (world);
-  return world;
+  cluster->strict = strict;
+  cluster->base = event_base_new ();
+  store_event_base = cluster->base;
+  cluster->store.platform.klass = &store_class;
+  cluster->store.inner = lp_memory_new (cluster->base);
+  cluster->http = lh_pool_new (cluster->base);
+  cluster->cursor = lb_strdup ("");
+  instance_init (cluster, &cluster->instances[0], "i1");
+  instance_init (cluster, &cluster->instances[1], "i2");
+  cluster_send_members (cluster);
+  return cluster;
 }
 
 static inline void
-world_free (World *world)
+cluster_free (Cluster *cluster)
 {
   for (size_t i = 0; i < 2; i++)
     {
-      ln_hub_free (world->instances[i].context.hub);
-      lh_pool_free (world->instances[i].context.http);
-      ln_settings_clear (&world->instances[i].settings);
+      ln_hub_free (cluster->instances[i].context.hub);
+      lh_pool_free (cluster->instances[i].context.http);
+      ln_settings_clear (&cluster->instances[i].settings);
     }
-  lh_pool_free (world->http);
-  world->store.inner->klass->free (world->store.inner);
-  event_base_free (world->base);
-  free (world->cursor);
-  free (world->reply);
-  free (world);
+  lh_pool_free (cluster->http);
+  cluster->store.inner->klass->free (cluster->store.inner);
+  event_base_free (cluster->base);
+  free (cluster->cursor);
+  free (cluster->reply);
+  free (cluster);
 }
 
 static inline void
-world_pump (World *world)
+cluster_run_once (Cluster *cluster)
 {
-  event_base_loop (world->base, EVLOOP_ONCE | EVLOOP_NONBLOCK);
+  event_base_loop (cluster->base, EVLOOP_ONCE | EVLOOP_NONBLOCK);
 }
 
-#define WORLD_UNTIL(world, condition)                                                              \
+#define CLUSTER_UNTIL(cluster, condition)                                                          \
   do                                                                                               \
     {                                                                                              \
-      LbTime end_ = lb_clock_monotonic () + PATIENCE;                                              \
+      LbTime end_ = lb_clock_monotonic () + TIMEOUT;                                               \
       while (!(condition) && lb_clock_monotonic () < end_)                                         \
-        world_pump (world);                                                                        \
-      cr_assert ((condition), "never came true: %s", #condition);                                  \
+        cluster_run_once (cluster);                                                                \
+      cr_assert ((condition), "timed out waiting for: %s", #condition);                            \
     }                                                                                              \
   while (0)
 
 static inline void
-world_on_done (LhFetch *fetch, const LhResult *result, void *user)
+cluster_on_reply (LhFetch *fetch, const LhResult *result, void *user)
 {
-  World *world = user;
+  Cluster *cluster = user;
 
   (void)fetch;
-  free (world->reply);
-  world->reply = lb_strndup (result->body ? result->body : "", result->body_length);
-  world->status = result->status;
-  world->pending--;
+  free (cluster->reply);
+  cluster->reply = lb_strndup (result->body ? result->body : "", result->body_length);
+  cluster->status = result->status;
+  cluster->n_pending--;
 }
 
-/* Sends a call of the trainer without waiting for the answer. */
+/* Sends a call of the trainer without waiting for the reply. */
 static inline void
-world_send_to (
-    World *world, size_t instance, const char *subscription, const char *what, const char *body)
-{
-  static const LhHandlers handlers = { .on_done = world_on_done };
-  char *path = lb_asprintf ("/v1/subscriptions/%s/%s", subscription, what);
+cluster_send_to (Cluster *cluster,
+                 size_t instance,
+                 const char *subscription,
+                 const char *subpath,
+                 const char *body)
+{
+  static const LhHandlers handlers = { .on_done = cluster_on_reply };
+  char *path = lb_asprintf ("/v1/subscriptions/%s/%s", subscription, subpath);
   const LhRequest request = { .method = body ? "POST" : "GET",
-                              .address = world->instances[instance].context.caller_address,
+                              .address = cluster->instances[instance].context.caller_address,
                               .path = path,
                               .body = body ? body : "",
                               .body_length = body ? strlen (body) : 0 };
   LbError error;
 
-  world->pending++;
-  cr_assert (lh_fetch_start (world->http, &request, &handlers, world, &error), "%s", error.detail);
+  cluster->n_pending++;
+  cr_assert (lh_fetch_start (cluster->http, &request, &handlers, cluster, &error), "%s",
+             error.detail);
   free (path);
 }
 
 static inline void
-world_send (World *world, size_t instance, const char *what, const char *body)
+cluster_send (Cluster *cluster, size_t instance, const char *subpath, const char *body)
 {
-  world_send_to (world, instance, "t", what, body);
+  cluster_send_to (cluster, instance, "t", subpath, body);
 }
 
 static inline void
-world_send_open (World *world, size_t instance)
-{
-  world_send (world, instance, "steps",
-              "{\"step\":1,\"weight_version\":40,\"groups\":["
-              "{\"id\":\"g0\",\"prompt\":\"Read this smudged envelope and name the village of its "
-              "sender, if it can be read at all: \",\"samples\":2,\"max_tokens\":64},"
-              "{\"id\":\"g1\",\"prompt\":\"q\",\"samples\":2,\"max_tokens\":64}]}");
+cluster_send_open (Cluster *cluster, size_t instance)
+{
+  cluster_send (
+      cluster, instance, "steps",
+      "{\"step\":1,\"weight_version\":40,\"groups\":["
+      "{\"id\":\"g0\",\"prompt\":\"Read this smudged envelope and name the village of its "
+      "sender, if it can be read at all: \",\"samples\":2,\"max_tokens\":64},"
+      "{\"id\":\"g1\",\"prompt\":\"q\",\"samples\":2,\"max_tokens\":64}]}");
 }
 
 static inline void
-world_open (World *world, size_t instance)
+cluster_open_step (Cluster *cluster, size_t instance)
 {
-  world_send_open (world, instance);
-  WORLD_UNTIL (world, world->pending == 0);
+  cluster_send_open (cluster, instance);
+  CLUSTER_UNTIL (cluster, cluster->n_pending == 0);
 }
 
 static inline void
-world_send_pull (World *world, size_t instance, int max_samples, int wait_ms)
+cluster_send_pull (Cluster *cluster, size_t instance, int max_samples, int wait_ms)
 {
   char *body = lb_asprintf ("{\"step\":1,\"cursor\":\"%s\",\"weight_version\":40,"
                             "\"max_samples\":%d,\"wait_ms\":%d}",
-                            world->cursor, max_samples, wait_ms);
+                            cluster->cursor, max_samples, wait_ms);
 
-  world_send (world, instance, "pull", body);
+  cluster_send (cluster, instance, "pull", body);
   free (body);
 }
 
-/* Takes the samples and the cursor of the reply in, as a trainer does. Returns how many came. */
+/* Records the samples and the cursor of the last reply, as a trainer does. Returns the number of
+ * samples. */
 static inline size_t
-world_take (World *world)
+cluster_accept_reply (Cluster *cluster)
 {
-  struct json_object *reply = json_tokener_parse (world->reply);
+  struct json_object *reply = json_tokener_parse (cluster->reply);
   struct json_object *cursor = NULL, *samples = NULL, *group = NULL, *index = NULL;
 
-  cr_assert (json_object_object_get_ex (reply, "cursor", &cursor), "%s", world->reply);
+  cr_assert (json_object_object_get_ex (reply, "cursor", &cursor), "%s", cluster->reply);
   json_object_object_get_ex (reply, "samples", &samples);
-  free (world->cursor);
-  world->cursor = lb_strdup (json_object_get_string (cursor));
-  size_t n = json_object_array_length (samples);
-  for (size_t i = 0; i < n; i++)
+  free (cluster->cursor);
+  cluster->cursor = lb_strdup (json_object_get_string (cursor));
+  size_t n_samples = json_object_array_length (samples);
+  for (size_t i = 0; i < n_samples; i++)
     {
       struct json_object *sample = json_object_array_get_idx (samples, i);
       json_object_object_get_ex (sample, "group", &group);
       json_object_object_get_ex (sample, "index", &index);
-      world->seen[2 * (json_object_get_string (group)[1] - '0') + json_object_get_int (index)]++;
+      cluster
+          ->received[2 * (json_object_get_string (group)[1] - '0') + json_object_get_int (index)]++;
     }
   json_object_put (reply);
-  return n;
+  return n_samples;
 }
 
 static inline size_t
-world_pull (World *world, size_t instance, int max_samples)
+cluster_pull (Cluster *cluster, size_t instance, int max_samples)
 {
-  world_send_pull (world, instance, max_samples, 5000);
-  WORLD_UNTIL (world, world->pending == 0);
-  cr_assert_eq (world->status, 200, "%d %s", world->status, world->reply);
-  return world_take (world);
+  cluster_send_pull (cluster, instance, max_samples, 5000);
+  CLUSTER_UNTIL (cluster, cluster->n_pending == 0);
+  cr_assert_eq (cluster->status, 200, "%d %s", cluster->status, cluster->reply);
+  return cluster_accept_reply (cluster);
 }
 
 static inline void
-world_expect_each_once (const World *world)
+cluster_expect_each_sample_once (const Cluster *cluster)
 {
   for (int i = 0; i < 4; i++)
-    cr_assert_eq (world->seen[i], 1, "sample %d came %d times", i, world->seen[i]);
+    cr_assert_eq (cluster->received[i], 1, "sample %d was delivered %d times, expected once", i,
+                  cluster->received[i]);
 }
 
 #endif
--- a/packages/node/tests/test-steps.c
+++ b/packages/node/tests/test-steps.c
@@ -2,32 +2,32 @@
 
 #include "ln-step-store.h"
 
-/* The trainer asks an instance that does not own its step, as it may. */
-Test (steps, a_pull_at_another_instance_is_passed_on)
+/* A trainer may call any instance, also one that does not own its step. */
+Test (steps, pull_at_an_instance_that_is_not_the_owner_is_relayed)
 {
-  World *world = world_new (false);
+  Cluster *cluster = cluster_new (false);
 
-  world_open (world, 0);
-  cr_assert_eq (world->status, 202, "%s", world->reply);
-  cr_assert (strstr (world->reply, "\"session\":1"));
-  cr_assert (strstr (world->reply, "\"durable\":true"));
-  cr_assert_eq (world_pull (world, 1, 2), 2);
-  cr_assert_eq (world_pull (world, 0, 2), 2);
-  world_send (world, 1, "steps/1", NULL);
-  WORLD_UNTIL (world, world->pending == 0);
-  cr_assert (strstr (world->reply, "\"delivered\":4"), "%s", world->reply);
-  world_expect_each_once (world);
-  cr_assert_eq (world->instances[1].calls.samples, 0);
-  cr_assert_eq (world->instances[0].calls.n_prefix_hashes, 1);
-  world_free (world);
+  cluster_open_step (cluster, 0);
+  cr_assert_eq (cluster->status, 202, "%s", cluster->reply);
+  cr_assert (strstr (cluster->reply, "\"session\":1"));
+  cr_assert (strstr (cluster->reply, "\"durable\":true"));
+  cr_assert_eq (cluster_pull (cluster, 1, 2), 2);
+  cr_assert_eq (cluster_pull (cluster, 0, 2), 2);
+  cluster_send (cluster, 1, "steps/1", NULL);
+  CLUSTER_UNTIL (cluster, cluster->n_pending == 0);
+  cr_assert (strstr (cluster->reply, "\"delivered\":4"), "%s", cluster->reply);
+  cluster_expect_each_sample_once (cluster);
+  cr_assert_eq (cluster->instances[1].calls.n_samples, 0);
+  cr_assert_eq (cluster->instances[0].calls.n_prefix_hashes, 1);
+  cluster_free (cluster);
 }
 
-Test (steps, an_unknown_step_and_bad_input_have_their_types)
+Test (steps, unknown_step_and_invalid_input_return_their_error_types)
 {
-  World *world = world_new (false);
+  Cluster *cluster = cluster_new (false);
   const struct
   {
-    const char *what, *body, *type;
+    const char *subpath, *body, *type;
   } bad[] = { { "pull", "{\"step\":9,\"cursor\":\"\",\"weight_version\":1}", "unknown_step" },
               { "pull", "{\"cursor\":\"\",\"weight_version\":1}", "missing_key" },
               { "pull", "[", "bad_json" },
@@ -37,166 +37,169 @@
 
   for (size_t i = 0; i < sizeof bad / sizeof bad[0]; i++)
     {
-      world_send (world, 0, bad[i].what, bad[i].body);
-      WORLD_UNTIL (world, world->pending == 0);
-      cr_assert (strstr (world->reply, bad[i].type), "%s: %s", bad[i].type, world->reply);
+      cluster_send (cluster, 0, bad[i].subpath, bad[i].body);
+      CLUSTER_UNTIL (cluster, cluster->n_pending == 0);
+      cr_assert (strstr (cluster->reply, bad[i].type), "%s: %s", bad[i].type, cluster->reply);
     }
-  cr_assert_eq (world->store.writes, 0);
-  world_free (world);
+  cr_assert_eq (cluster->store.writes, 0);
+  cluster_free (cluster);
 }
 
-/* A trainer misspells its subscription. Told that its step is unknown, it would post the step again
- * and again; told that the subscription is, it knows what to mend. */
-Test (steps, an_unknown_subscription_is_not_called_an_unknown_step)
+/* A trainer with a misspelt subscription would post its step again and again if the error said that
+ * the step is unknown. */
+Test (steps, unknown_subscription_is_not_reported_as_unknown_step)
 {
-  World *world = world_new (false);
+  Cluster *cluster = cluster_new (false);
 
-  world_send_to (world, 0, "tt", "pull", "{\"step\":9,\"cursor\":\"\",\"weight_version\":1}");
-  WORLD_UNTIL (world, world->pending == 0);
-  cr_assert (strstr (world->reply, "unknown_subscription"), "%s", world->reply);
-  world_free (world);
+  cluster_send_to (cluster, 0, "tt", "pull", "{\"step\":9,\"cursor\":\"\",\"weight_version\":1}");
+  CLUSTER_UNTIL (cluster, cluster->n_pending == 0);
+  cr_assert (strstr (cluster->reply, "unknown_subscription"), "%s", cluster->reply);
+  cluster_free (cluster);
 }
 
-/* The owner dies with half of the step given. The trainer asks another instance, which must go on
- * exactly behind what the trainer has, although the ledger knows nothing of it yet. */
-Test (steps, the_owner_dies_and_another_goes_on)
+/* The owner dies after it delivered half of the step. The next owner must continue right after the
+ * samples that the trainer has, although the ledger has no record of them yet. */
+Test (steps, step_continues_at_another_instance_after_its_owner_died)
 {
-  World *world = world_new (false);
+  Cluster *cluster = cluster_new (false);
 
-  world_open (world, 0);
-  cr_assert_eq (world_pull (world, 0, 2), 2);
-  world->instances[0].alive = false;
-  world_tell_members (world);
-  cr_assert_eq (world_pull (world, 1, 4), 2);
-  world_expect_each_once (world);
-  world_send (world, 1, "steps/1", NULL);
-  WORLD_UNTIL (world, world->pending == 0);
-  cr_assert (strstr (world->reply, "\"session\":2"), "%s", world->reply);
-  world_free (world);
+  cluster_open_step (cluster, 0);
+  cr_assert_eq (cluster_pull (cluster, 0, 2), 2);
+  cluster->instances[0].alive = false;
+  cluster_send_members (cluster);
+  cr_assert_eq (cluster_pull (cluster, 1, 4), 2);
+  cluster_expect_each_sample_once (cluster);
+  cluster_send (cluster, 1, "steps/1", NULL);
+  CLUSTER_UNTIL (cluster, cluster->n_pending == 0);
+  cr_assert (strstr (cluster->reply, "\"session\":2"), "%s", cluster->reply);
+  cluster_free (cluster);
 }
 
-/* The owner was only thought dead: it comes back and gets the trainer's next pull. It must not go
- * on from its own state; the trainer's cursor names a later session, and the call follows it. */
-Test (steps, an_owner_that_comes_back_does_not_deliver)
+/* The owner was wrongly taken for dead and replaced. Then it gets the trainer's next pull. It must
+ * not deliver from its own state: the cursor names a later session, so the call is relayed to
+ * the owner of that session. */
+Test (steps, owner_that_was_replaced_does_not_deliver)
 {
-  World *world = world_new (false);
+  Cluster *cluster = cluster_new (false);
 
-  world_open (world, 0);
-  cr_assert_eq (world_pull (world, 0, 1), 1);
-  world->instances[0].alive = false;
-  world_tell_members (world);
-  cr_assert_eq (world_pull (world, 1, 1), 1);
-  world->instances[0].alive = true;
-  world_tell_members (world);
-  cr_assert_eq (world_pull (world, 0, 4), 2);
-  world_expect_each_once (world);
-  world_free (world);
+  cluster_open_step (cluster, 0);
+  cr_assert_eq (cluster_pull (cluster, 0, 1), 1);
+  cluster->instances[0].alive = false;
+  cluster_send_members (cluster);
+  cr_assert_eq (cluster_pull (cluster, 1, 1), 1);
+  cluster->instances[0].alive = true;
+  cluster_send_members (cluster);
+  cr_assert_eq (cluster_pull (cluster, 0, 4), 2);
+  cluster_expect_each_sample_once (cluster);
+  cluster_free (cluster);
 }
 
-/* The same for a strict trainer, whose pull does not tell: the condition on the owner's row does,
- * before a chunk leaves. */
-Test (steps, a_strict_owner_that_comes_back_fails_at_the_ledger)
+/* The same for a strict subscription, where the pull does not reveal the new owner: the condition
+ * on the owner's row fails before a chunk is sent. */
+Test (steps, replaced_owner_of_a_strict_step_fails_to_write_the_ledger)
 {
-  World *world = world_new (true);
+  Cluster *cluster = cluster_new (true);
 
-  world_open (world, 0);
-  cr_assert_eq (world_pull (world, 0, 1), 1);
-  world->instances[0].alive = false;
-  world_tell_members (world);
-  cr_assert_eq (world_pull (world, 1, 1), 1);
-  world->instances[0].alive = true;
-  world_tell_members (world);
-  cr_assert_eq (world_pull (world, 0, 4), 2);
-  world_expect_each_once (world);
-  world_free (world);
+  cluster_open_step (cluster, 0);
+  cr_assert_eq (cluster_pull (cluster, 0, 1), 1);
+  cluster->instances[0].alive = false;
+  cluster_send_members (cluster);
+  cr_assert_eq (cluster_pull (cluster, 1, 1), 1);
+  cluster->instances[0].alive = true;
+  cluster_send_members (cluster);
+  cr_assert_eq (cluster_pull (cluster, 0, 4), 2);
+  cluster_expect_each_sample_once (cluster);
+  cluster_free (cluster);
 }
 
-/* The store's replies are lost after the writes took effect. Taken for failures, the step would
- * never open, or a strict chunk would be given twice; each outcome is read back instead. */
-Test (steps, lost_replies_of_the_store_are_read_back)
+/* The store's replies are lost after the writes took effect. If these counted as failures, the step
+ * would never open or a strict chunk would be delivered twice; so each outcome is read back. */
+Test (steps, writes_with_lost_replies_are_read_back)
 {
-  World *world = world_new (true);
+  Cluster *cluster = cluster_new (true);
 
-  world->store.mode = STORE_LOSES_REPLY;
-  world_open (world, 0);
-  cr_assert_eq (world->status, 202, "%s", world->reply);
-  cr_assert (strstr (world->reply, "\"durable\":true"), "%s", world->reply);
-  cr_assert_eq (world_pull (world, 0, 2), 2);
-  cr_assert_eq (world_pull (world, 0, 2), 2);
-  world_expect_each_once (world);
-  cr_assert_eq (world->store.writes, 3);
-  world_free (world);
+  cluster->store.mode = STORE_LOSES_REPLY;
+  cluster_open_step (cluster, 0);
+  cr_assert_eq (cluster->status, 202, "%s", cluster->reply);
+  cr_assert (strstr (cluster->reply, "\"durable\":true"), "%s", cluster->reply);
+  cr_assert_eq (cluster_pull (cluster, 0, 2), 2);
+  cr_assert_eq (cluster_pull (cluster, 0, 2), 2);
+  cluster_expect_each_sample_once (cluster);
+  cr_assert_eq (cluster->store.writes, 3);
+  cluster_free (cluster);
 }
 
-/* The store is away when the step opens. The trainer need not wait; the row follows when the store
- * is back, and then another instance can take over. */
-Test (steps, a_step_opens_while_the_store_is_away)
+/* The store is unavailable when the step opens. The trainer need not wait: the row is written when
+ * the store is back, and then another instance can take over. */
+Test (steps, step_opens_while_the_store_is_unavailable)
 {
-  World *world = world_new (false);
+  Cluster *cluster = cluster_new (false);
 
-  world->store.mode = STORE_AWAY;
-  world_open (world, 0);
-  cr_assert_eq (world->status, 202, "%s", world->reply);
-  cr_assert (strstr (world->reply, "\"durable\":false"), "%s", world->reply);
-  cr_assert_eq (world_pull (world, 0, 2), 2);
-  int writes = world->store.writes;
-  world->store.mode = STORE_WORKS;
-  WORLD_UNTIL (world, world->store.writes > writes);
-  cr_assert_eq (world_pull (world, 1, 4), 2);
-  world_expect_each_once (world);
-  world_free (world);
+  cluster->store.mode = STORE_UNAVAILABLE;
+  cluster_open_step (cluster, 0);
+  cr_assert_eq (cluster->status, 202, "%s", cluster->reply);
+  cr_assert (strstr (cluster->reply, "\"durable\":false"), "%s", cluster->reply);
+  cr_assert_eq (cluster_pull (cluster, 0, 2), 2);
+  int writes = cluster->store.writes;
+  cluster->store.mode = STORE_WORKS;
+  CLUSTER_UNTIL (cluster, cluster->store.writes > writes);
+  cr_assert_eq (cluster_pull (cluster, 1, 4), 2);
+  cluster_expect_each_sample_once (cluster);
+  cluster_free (cluster);
 }
 
-/* Two instances are asked to open the same step at the same moment, as by a trainer that lost its
- * patience. One owns it, both answer as one. */
-Test (steps, a_race_to_open_has_one_winner)
+/* Two instances get the request to open the same step at the same time, as from a trainer that
+ * timed out and tried again. One becomes the owner, and both serve the step's calls. */
+Test (steps, concurrent_opens_have_one_owner)
 {
-  World *world = world_new (false);
+  Cluster *cluster = cluster_new (false);
 
-  world_send_open (world, 1);
-  world_open (world, 0);
-  cr_assert_eq (world->status, 202, "%s", world->reply);
-  cr_assert_eq (world_pull (world, 0, 2), 2);
-  cr_assert_eq (world_pull (world, 1, 2), 2);
-  world_expect_each_once (world);
-  cr_assert (world->instances[0].calls.samples == 0 || world->instances[1].calls.samples == 0);
-  world_free (world);
+  cluster_send_open (cluster, 1);
+  cluster_open_step (cluster, 0);
+  cr_assert_eq (cluster->status, 202, "%s", cluster->reply);
+  cr_assert_eq (cluster_pull (cluster, 0, 2), 2);
+  cr_assert_eq (cluster_pull (cluster, 1, 2), 2);
+  cluster_expect_each_sample_once (cluster);
+  cr_assert (cluster->instances[0].calls.n_samples == 0
+             || cluster->instances[1].calls.n_samples == 0);
+  cluster_free (cluster);
 }
 
 typedef struct
 {
-  int answers;
+  int n_replies;
   LbErrorCode error;
   LnStepOwner owner;
-} Claimed;
+} OwnerResult;
 
 static void
-on_claimed (LbErrorCode error, const LnStepOwner *owner, void *user)
+on_owner_result (LbErrorCode error, const LnStepOwner *owner, void *user)
 {
-  *(Claimed *)user = (Claimed){ .answers = 1, .error = error, .owner = *owner };
+  *(OwnerResult *)user = (OwnerResult){ .n_replies = 1, .error = error, .owner = *owner };
 }
 
-/* Two instances saw the same owner die. The slower one's claim arrives after the faster one has
- * begun to deliver: it must fail on what it saw, or both would go on under one session. */
-Test (steps, a_claim_on_an_old_view_fails)
+/* Two instances saw the same owner die, and the claim of the slower one arrives after the faster
+ * one has begun to deliver. It must fail because of the row version that it read, or both would
+ * deliver under the same session. */
+Test (steps, claim_with_an_outdated_row_version_fails)
 {
-  World *world = world_new (false);
+  Cluster *cluster = cluster_new (false);
   const LnStepKey key = { .subscription = "t", .step = 1 };
   const LnStepOwner nobody = { 0 };
   LnStepStore *stores[2];
-  Claimed claimed = { 0 };
+  OwnerResult result = { 0 };
 
   for (size_t i = 0; i < 2; i++)
     {
-      stores[i] = ln_step_store_new (&world->instances[i].context);
-      claimed.answers = 0;
-      ln_step_store_claim (stores[i], &key, &nobody, "{}", on_claimed, &claimed);
-      WORLD_UNTIL (world, claimed.answers == 1);
-      cr_assert_eq (claimed.error, i == 0 ? LB_OK : LB_ERROR_CONDITION_FAILED);
+      stores[i] = ln_step_store_new (&cluster->instances[i].context);
+      result.n_replies = 0;
+      ln_step_store_claim (stores[i], &key, &nobody, "{}", on_owner_result, &result);
+      CLUSTER_UNTIL (cluster, result.n_replies == 1);
+      cr_assert_eq (result.error, i == 0 ? LB_OK : LB_ERROR_CONDITION_FAILED);
     }
   ln_step_store_free (stores[0]);
   ln_step_store_free (stores[1]);
-  world_free (world);
+  cluster_free (cluster);
 }
 
 static void
@@ -207,82 +210,82 @@
   *(bool *)user = true;
 }
 
-/* A step's row was damaged by hand: nulls and numbers stand where names belong. Asking for the step
- * took the instance down with all its callers, as a null was copied as if it were a text. */
-Test (steps, a_damaged_row_names_no_owner)
+/* A step's row was damaged by hand and has nulls and numbers in place of strings. A call for the
+ * step crashed the instance, as a null was copied like a string. */
+Test (steps, damaged_row_names_no_owner)
 {
-  World *world = world_new (false);
+  Cluster *cluster = cluster_new (false);
   const LnStepKey key = { .subscription = "t", .step = 1 };
   const LpPut put = { .key = "step/t/1",
                       .value = "{\"instance\":null,\"incarnation\":7,\"address\":null,"
                                "\"content\":null,\"session\":3}" };
   const LpTransaction transaction = { .token = "damage", .puts = &put, .n_puts = 1 };
-  LnStepStore *store = ln_step_store_new (&world->instances[0].context);
-  Claimed found = { 0 };
+  LnStepStore *store = ln_step_store_new (&cluster->instances[0].context);
+  OwnerResult result = { 0 };
   bool done = false;
 
-  store_transact (&world->store.platform, &transaction, LP_PRIORITY_LEDGER, on_put, &done);
-  WORLD_UNTIL (world, done);
-  ln_step_store_find (store, &key, on_claimed, &found);
-  WORLD_UNTIL (world, found.answers == 1);
-  cr_assert_eq (found.error, LB_OK);
-  cr_assert_str_empty (found.owner.instance);
-  cr_assert_str_empty (found.owner.incarnation);
-  cr_assert_str_empty (found.owner.address);
-  cr_assert_str_empty (found.owner.content);
-  cr_assert_eq (found.owner.session, 3);
-  cr_assert (found.owner.version > 0);
+  store_transact (&cluster->store.platform, &transaction, LP_PRIORITY_LEDGER, on_put, &done);
+  CLUSTER_UNTIL (cluster, done);
+  ln_step_store_read_owner (store, &key, on_owner_result, &result);
+  CLUSTER_UNTIL (cluster, result.n_replies == 1);
+  cr_assert_eq (result.error, LB_OK);
+  cr_assert_str_empty (result.owner.instance);
+  cr_assert_str_empty (result.owner.incarnation);
+  cr_assert_str_empty (result.owner.address);
+  cr_assert_str_empty (result.owner.content_hash);
+  cr_assert_eq (result.owner.session, 3);
+  cr_assert (result.owner.row_version > 0);
   ln_step_store_free (store);
-  world_free (world);
+  cluster_free (cluster);
 }
 
-/* The owner is shut down in order, with samples ready and others running. It must finish those that
- * run and leave all of them to the next owner: nothing is made twice. */
-Test (steps, a_draining_owner_hands_its_samples_over)
+/* The owner drains while some samples are ready and others are running. It must finish the running
+ * ones and hand all over to the next owner, so that no sample is generated twice. */
+Test (steps, draining_owner_hands_its_samples_over)
 {
-  World *world = world_new (false);
-  Instance *first = &world->instances[0];
+  Cluster *cluster = cluster_new (false);
+  Instance *first = &cluster->instances[0];
 
-  first->calls.keeps = true;
-  world_open (world, 0);
-  WORLD_UNTIL (world, first->calls.n_kept == 4);
+  first->calls.holds_samples = true;
+  cluster_open_step (cluster, 0);
+  CLUSTER_UNTIL (cluster, first->calls.n_held == 4);
   for (size_t i = 0; i < 4; i++)
-    calls_begin (&first->calls, first->calls.kept[i]);
-  calls_end (&first->calls, first->calls.kept[0]);
+    calls_post_piece (&first->calls, first->calls.held[i]);
+  calls_post_done (&first->calls, first->calls.held[0]);
   for (int i = 0; i < 10; i++)
-    world_pump (world);
+    cluster_run_once (cluster);
   first->draining = true;
-  world_tell_members (world);
+  cluster_send_members (cluster);
   ln_hub_drain (first->context.hub);
-  world_send_pull (world, 0, 4, 5000);
-  /* Time enough for several ticks, in which it must not leave the step. */
+  cluster_send_pull (cluster, 0, 4, 5000);
+  /* Several drain ticks pass, in which the step must not be released. */
   LbTime until = lb_clock_monotonic () + 300 * LB_MSEC;
-  WORLD_UNTIL (world, lb_clock_monotonic () > until);
+  CLUSTER_UNTIL (cluster, lb_clock_monotonic () > until);
   cr_assert_not (ln_hub_is_idle (first->context.hub));
   for (size_t i = 1; i < 4; i++)
-    calls_end (&first->calls, first->calls.kept[i]);
-  WORLD_UNTIL (world, world->pending == 0);
-  world_take (world);
-  WORLD_UNTIL (world, ln_hub_is_idle (first->context.hub));
-  world_pull (world, 1, 4);
-  world_expect_each_once (world);
-  cr_assert_eq (world->instances[1].calls.samples, 0);
-  world_free (world);
+    calls_post_done (&first->calls, first->calls.held[i]);
+  CLUSTER_UNTIL (cluster, cluster->n_pending == 0);
+  cluster_accept_reply (cluster);
+  CLUSTER_UNTIL (cluster, ln_hub_is_idle (first->context.hub));
+  cluster_pull (cluster, 1, 4);
+  cluster_expect_each_sample_once (cluster);
+  cr_assert_eq (cluster->instances[1].calls.n_samples, 0);
+  cluster_free (cluster);
 }
 
-/* A step opened at an instance that shuts down goes to one that does not. */
-Test (steps, a_draining_instance_passes_a_new_step_on)
+/* A draining instance relays the request to open a step to one that is not draining. */
+Test (steps, draining_instance_relays_the_open_of_a_step)
 {
-  World *world = world_new (false);
+  Cluster *cluster = cluster_new (false);
 
-  world->instances[0].draining = true;
-  world_tell_members (world);
-  ln_hub_drain (world->instances[0].context.hub);
-  world_open (world, 0);
-  cr_assert_eq (world->status, 202, "%s", world->reply);
-  cr_assert_eq (world_pull (world, 0, 4), 4);
-  world_expect_each_once (world);
-  cr_assert_eq (world->instances[0].calls.samples, 0);
-  WORLD_UNTIL (world, ln_hub_is_idle (world->instances[0].context.hub));
-  world_free (world);
+  cluster->instances[0].draining = true;
+  cluster_send_members (cluster);
+  ln_hub_drain (cluster->instances[0].context.hub);
+  cluster_open_step (cluster, 0);
+  cr_assert_eq (cluster->status, 202, "%s", cluster->reply);
+  cr_assert_eq (cluster_pull (cluster, 0, 4), 4);
+  cluster_expect_each_sample_once (cluster);
+  cr_assert_eq (cluster->instances[0].calls.n_samples, 0);
+  CLUSTER_UNTIL (cluster, ln_hub_is_idle (cluster->instances[0].context.hub));
+  cluster_free (cluster);
 }
