--- a/packages/node/src/batch/ln-batch-call.c
+++ b/packages/node/src/batch/ln-batch-call.c
@@ -7,9 +7,9 @@
 
 #include <stdlib.h>
 
-#define MAX_TRIES 4
-/* The store takes a few tens of milliseconds at most when it is well. */
-#define RETRY_PERIOD (80 * LB_MSEC)
+#define MAX_ATTEMPTS 4
+/* A healthy store answers within a few tens of milliseconds. */
+#define RETRY_DELAY (80 * LB_MSEC)
 
 static const char *const kind_names[] = {
   [LN_BATCH_CALL_SUBMIT] = "submit",
@@ -21,9 +21,9 @@
 void
 ln_batch_call_free (LnBatchCall *call)
 {
-  lb_list_remove (&call->batches->exchanges, &call->link);
+  lb_list_remove (&call->batches->calls, &call->link);
   lc_batch_spec_clear (&call->spec);
-  lc_batch_result_clear (&call->long_result);
+  lc_batch_result_clear (&call->split_result);
   free (call->body);
   free (call);
 }
@@ -56,7 +56,7 @@
 
   lb_log (LB_LOG_INFO, "batch_call_failed", LB_TEXT ("batch", call->id),
           LB_TEXT ("call", kind_names[call->kind]), LB_TEXT ("error", lb_error_name (code)),
-          LB_INT ("tries", call->tries));
+          LB_INT ("tries", call->failed_attempts));
   lb_error_set (&error, code, call->id, "%s", detail);
   if (call->exchange)
     ln_exchange_reply_error (call->exchange, &error, retry_after);
@@ -64,12 +64,13 @@
 }
 
 void
-ln_batch_call_fail_store_away (LnBatchCall *call)
+ln_batch_call_fail_store_unavailable (LnBatchCall *call)
 {
-  ln_batch_call_fail (call, LB_ERROR_STORE_AWAY, "the store does not answer", LN_BATCH_STORE_RETRY);
+  ln_batch_call_fail (call, LB_ERROR_STORE_AWAY, "the store is not responding",
+                      LN_BATCH_STORE_RETRY_AFTER);
 }
 
-/* Guards against a caller without a good key who learns from the answer which batches there are. */
+/* Prevents a caller without a valid key from learning which batches exist. */
 void
 ln_batch_call_fail_not_found (LnBatchCall *call, const char *what)
 {
@@ -84,15 +85,15 @@
 bool
 ln_batch_call_schedule_retry (LnBatchCall *call)
 {
-  if (++call->tries >= MAX_TRIES || !call->exchange)
+  if (++call->failed_attempts >= MAX_ATTEMPTS || !call->exchange)
     return false;
-  call->retry_at = lb_clock_monotonic () + RETRY_PERIOD;
+  call->retry_at = lb_clock_monotonic () + RETRY_DELAY;
   return true;
 }
 
 void
-ln_batch_call_try_again_or_fail (LnBatchCall *call)
+ln_batch_call_retry_or_fail (LnBatchCall *call)
 {
   if (!ln_batch_call_schedule_retry (call))
-    ln_batch_call_fail_store_away (call);
+    ln_batch_call_fail_store_unavailable (call);
 }
--- a/packages/node/src/batch/ln-batch-calls.c
+++ b/packages/node/src/batch/ln-batch-calls.c
@@ -12,28 +12,28 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define POLL (150 * LB_MSEC) /* between looks for a result that somebody waits for */
-#define MAX_WAIT LB_SEC
-#define PAGE_ROWS 200
+#define RESULT_POLL_PERIOD (150 * LB_MSEC) /* while a caller waits for a result */
+#define MAX_RESULT_WAIT LB_SEC
+#define MAX_PAGE_ROWS 200
 
-static void begin (LnBatchCall *call);
+static void start_call (LnBatchCall *call);
 
-/* There is none under the name; perhaps there is one that belongs to nobody in particular. */
+/* The organisation has no batch with this id; one without an organisation may exist. */
 static void
-look_further (LnBatchCall *call)
+try_public_id (LnBatchCall *call)
 {
-  if (call->open_id[0] == '\0')
+  if (call->public_id[0] == '\0')
     {
       ln_batch_call_fail_not_found (call, "no such batch");
       return;
     }
-  LB_COPY (call->id, call->open_id);
-  call->open_id[0] = '\0';
-  begin (call);
+  LB_COPY (call->id, call->public_id);
+  call->public_id[0] = '\0';
+  start_call (call);
 }
 
-/* The batch, or NULL after a reply that there is none: what an ended batch left may be removed
- * while a call about it waits for the store. */
+/* NULL after replying "not found": an ended batch may be cleaned up while a call about it waits for
+ * the store. */
 static LnBatch *
 find_batch_or_reply (LnBatchCall *call)
 {
@@ -44,7 +44,7 @@
   return batch;
 }
 
-/* --- results are read --- */
+/* --- reading results --- */
 
 static void
 reply_results (LnBatchCall *call, const LcBatchResult *results, size_t n_results)
@@ -61,16 +61,16 @@
 }
 
 static void
-on_pieces (LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
+on_chunks_listed (LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
 {
   (void)version;
   LnBatchCall *call = user;
   size_t length = 0;
 
   call->waits_for_store = false;
-  if (error != LB_OK || n_rows < call->n_pieces)
+  if (error != LB_OK || n_rows < call->n_chunks)
     {
-      ln_batch_call_try_again_or_fail (call);
+      ln_batch_call_retry_or_fail (call);
       return;
     }
   for (size_t i = 0; i < n_rows; i++)
@@ -80,39 +80,39 @@
   char *end = text;
   for (size_t i = 0; i < n_rows; i++)
     end = stpcpy (end, rows[i].value);
-  free (call->long_result.text);
-  call->long_result.text = text;
-  reply_results (call, &call->long_result, 1);
+  free (call->split_result.text);
+  call->split_result.text = text;
+  reply_results (call, &call->split_result, 1);
 }
 
-/* The result is answered by itself; its text lies in further rows. */
+/* The reply will hold this result alone, with the text that its chunks make up. */
 static void
-read_pieces (LnBatchCall *call, LcBatchResult *result, size_t n_pieces)
+list_chunks (LnBatchCall *call, LcBatchResult *result, size_t n_chunks)
 {
   char prefix[LN_BATCH_KEY_SIZE];
 
-  lc_batch_result_clear (&call->long_result);
-  call->long_result = *result;
+  lc_batch_result_clear (&call->split_result);
+  call->split_result = *result;
   memset (result, 0, sizeof *result);
-  call->n_pieces = n_pieces;
-  ln_batch_text_prefix (call->id, call->position, prefix);
+  call->n_chunks = n_chunks;
+  ln_batch_chunks_prefix (call->id, call->position, prefix);
   call->waits_for_store = true;
   ln_batch_call_platform (call)->klass->list (ln_batch_call_platform (call), prefix, NULL, 0,
-                                              on_pieces, call);
+                                              on_chunks_listed, call);
 }
 
-/* Up to the first whose text lies elsewhere. */
+/* Replies with the results up to the first whose text is stored in chunks. */
 static void
-answer_rows (LnBatchCall *call, const LpRow *rows, size_t n_rows)
+reply_rows (LnBatchCall *call, const LpRow *rows, size_t n_rows)
 {
   LcBatchResult *results = LB_NEW_ARRAY (LcBatchResult, n_rows + 1);
-  size_t n_pieces = 0;
+  size_t n_chunks = 0;
   size_t n = 0;
 
-  while (n < n_rows && ln_batch_result_from_row (&rows[n], &results[n], &n_pieces) && n_pieces == 0)
+  while (n < n_rows && ln_batch_result_from_row (&rows[n], &results[n], &n_chunks) && n_chunks == 0)
     n++;
-  if (n == 0 && n_pieces > 0)
-    read_pieces (call, &results[0], n_pieces);
+  if (n == 0 && n_chunks > 0)
+    list_chunks (call, &results[0], n_chunks);
   else
     reply_results (call, results, n);
   for (size_t i = 0; i <= n; i++)
@@ -121,7 +121,7 @@
 }
 
 static void
-on_results (LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
+on_results_listed (LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
 {
   (void)version;
   LnBatchCall *call = user;
@@ -130,48 +130,49 @@
   call->waits_for_store = false;
   if (error != LB_OK)
     {
-      ln_batch_call_try_again_or_fail (call);
+      ln_batch_call_retry_or_fail (call);
       return;
     }
-  if (n_rows == 0 && now < call->give_up_at && call->exchange)
-    call->retry_at = now + POLL;
+  if (n_rows == 0 && now < call->wait_until && call->exchange)
+    call->retry_at = now + RESULT_POLL_PERIOD;
   else
-    answer_rows (call, rows, n_rows);
+    reply_rows (call, rows, n_rows);
 }
 
 static void
 read_results (LnBatchCall *call)
 {
   char prefix[LN_BATCH_KEY_SIZE];
-  char from[16];
+  char first_key[16];
 
   ln_batch_result_prefix (call->id, prefix);
-  snprintf (from, sizeof from, "%06lld", (long long)call->position);
+  snprintf (first_key, sizeof first_key, "%06lld", (long long)call->position);
   call->waits_for_store = true;
-  ln_batch_call_platform (call)->klass->list (ln_batch_call_platform (call), prefix, from,
-                                              PAGE_ROWS, on_results, call);
+  ln_batch_call_platform (call)->klass->list (ln_batch_call_platform (call), prefix, first_key,
+                                              MAX_PAGE_ROWS, on_results_listed, call);
 }
 
-/* --- an item's body is read --- */
+/* --- reading the body of an item --- */
 
 static void
-on_content (LbErrorCode error, const char *bytes, size_t length, void *user)
+on_content_read (LbErrorCode error, const char *bytes, size_t length, void *user)
 {
   LnBatchCall *call = user;
-  LbError problem = { 0 };
+  LbError parse_error = { 0 };
 
   call->waits_for_store = false;
   if (error == LB_ERROR_NOT_FOUND)
     {
-      look_further (call);
+      try_public_id (call);
       return;
     }
   if (error == LB_OK
-      && !ln_batch_call_dialect (call)->read_batch (bytes, length, call->id, &call->spec, &problem))
-    error = problem.code;
+      && !ln_batch_call_dialect (call)->read_batch (bytes, length, call->id, &call->spec,
+                                                    &parse_error))
+    error = parse_error.code;
   if (error != LB_OK)
     {
-      ln_batch_call_try_again_or_fail (call);
+      ln_batch_call_retry_or_fail (call);
       return;
     }
   for (size_t i = 0; i < call->spec.n_items; i++)
@@ -191,13 +192,13 @@
 {
   char key[LN_BATCH_KEY_SIZE];
 
-  ln_batch_object_key (call->id, key);
+  ln_batch_content_key (call->id, key);
   call->waits_for_store = true;
-  ln_batch_call_platform (call)->klass->get_object (ln_batch_call_platform (call), key, on_content,
-                                                    call);
+  ln_batch_call_platform (call)->klass->get_object (ln_batch_call_platform (call), key,
+                                                    on_content_read, call);
 }
 
-/* --- a batch is ended --- */
+/* --- ending a batch --- */
 
 static void
 reply_ended (LnBatchCall *call)
@@ -206,7 +207,7 @@
 }
 
 static void
-on_ended (LbErrorCode error, const LpRow *row, void *user)
+on_end_written (LbErrorCode error, const LpRow *row, void *user)
 {
   LnBatchCall *call = user;
   LnBatch *batch = ln_batches_find (call->batches, call->id);
@@ -221,14 +222,14 @@
       ended = (LpRow){ .key = row->key,
                        .value = json_object_to_json_string (object),
                        .version = row->version };
-      ln_batch_heads_take (call->batches, &ended);
+      ln_batch_heads_apply_row (call->batches, &ended);
       json_object_put (object);
       reply_ended (call);
       return;
     }
   if (error == LB_ERROR_CONDITION_FAILED && row->value)
-    ln_batch_heads_take (call->batches, row);
-  ln_batch_call_try_again_or_fail (call);
+    ln_batch_heads_apply_row (call->batches, row);
+  ln_batch_call_retry_or_fail (call);
 }
 
 static void
@@ -250,19 +251,19 @@
   const LpPut put = { .key = key, .value = json_object_to_json_string (object) };
   ln_batch_head_key (call->id, key);
   call->waits_for_store = true;
-  ln_batch_heads_transact (batch, &put, 1, LP_PRIORITY_LEDGER, on_ended, call);
+  ln_batch_heads_write_if_unchanged (batch, &put, 1, LP_PRIORITY_LEDGER, on_end_written, call);
   json_object_put (object);
 }
 
 /* --- all calls --- */
 
 static void
-go_on (LnBatchCall *call)
+continue_call (LnBatchCall *call)
 {
   switch (call->kind)
     {
     case LN_BATCH_CALL_SUBMIT:
-      ln_batch_submit_again (call);
+      ln_batch_submit_retry (call);
       break;
     case LN_BATCH_CALL_RESULTS:
       read_results (call);
@@ -276,29 +277,29 @@
     }
 }
 
-/* Whether there is such a batch. Another instance may have accepted it a moment ago, so only the
- * store can say no. */
+/* Only the store shows whether the batch exists: another instance may have accepted it a moment
+ * ago. */
 static void
-on_head (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
+on_head_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
   LnBatchCall *call = user;
 
   call->waits_for_store = false;
   if (error == LB_ERROR_NOT_FOUND)
     {
-      look_further (call);
+      try_public_id (call);
       return;
     }
-  if (error == LB_OK && n_rows > 0 && ln_batch_heads_take (call->batches, &rows[0]))
+  if (error == LB_OK && n_rows > 0 && ln_batch_heads_apply_row (call->batches, &rows[0]))
     {
-      go_on (call);
+      continue_call (call);
       return;
     }
-  ln_batch_call_try_again_or_fail (call);
+  ln_batch_call_retry_or_fail (call);
 }
 
 static void
-begin (LnBatchCall *call)
+start_call (LnBatchCall *call)
 {
   const LnBatch *batch = ln_batches_find (call->batches, call->id);
   char key[LN_BATCH_KEY_SIZE];
@@ -307,16 +308,17 @@
   if (call->kind == LN_BATCH_CALL_SUBMIT || call->kind == LN_BATCH_CALL_ITEM
       || (batch && batch->version > 0))
     {
-      go_on (call);
+      continue_call (call);
       return;
     }
   ln_batch_head_key (call->id, key);
   call->waits_for_store = true;
-  ln_batch_call_platform (call)->klass->get (ln_batch_call_platform (call), key, on_head, call);
+  ln_batch_call_platform (call)->klass->get (ln_batch_call_platform (call), key, on_head_read,
+                                             call);
 }
 
 static LnBatchCallKind
-kind_of (LnInboundKind kind)
+get_call_kind (LnInboundKind kind)
 {
   switch (kind)
     {
@@ -331,63 +333,66 @@
     }
 }
 
-/* An instance that does not know yet which organisations there are can't tell whose a batch is. */
+/* Without the list of organisations, the organisation of a caller cannot be determined. */
 static void
-refuse_not_ready (LnExchange *exchange)
+reject_not_ready (LnExchange *exchange)
 {
   LbError error = { 0 };
 
-  lb_error_set (&error, LB_ERROR_NOT_READY, "", "no organisations are known here yet");
-  ln_exchange_reply_error (exchange, &error, LN_BATCH_STORE_RETRY);
+  lb_error_set (&error, LB_ERROR_NOT_READY, "",
+                "this instance has not received the organisations yet");
+  ln_exchange_reply_error (exchange, &error, LN_BATCH_STORE_RETRY_AFTER);
 }
 
-/* Only a submission has a route that may be open; of all other calls the batch itself tells. */
+/* Only a submission has a route, which may be public; for other calls the batch decides. */
 static bool
-is_public (const LnBatches *batches, const LnExchange *exchange, const LnInbound *in)
+is_public_submission (const LnBatches *batches, const LnExchange *exchange, const LnInbound *in)
 {
   const LcRoute *route = NULL;
 
-  if (kind_of (in->kind) == LN_BATCH_CALL_SUBMIT)
-    route = lc_desired_route (batches->belief.desired, in->host, ln_exchange_path (exchange));
+  if (get_call_kind (in->kind) == LN_BATCH_CALL_SUBMIT)
+    route = lc_desired_route (batches->admission_state.desired, in->host,
+                              ln_exchange_path (exchange));
   return route && route->is_public;
 }
 
-/* False after a refusal. A caller without a good key still finds batches that belong to nobody in
- * particular. */
+/* False after rejecting the call. A caller without a valid key may still access batches without an
+ * organisation. */
 static bool
 check_admission (const LnBatches *batches,
                  LnExchange *exchange,
                  const LnInbound *in,
                  LcAdmission *admission)
 {
-  const LnAdmissionState *belief = &batches->belief;
+  const LnAdmissionState *admission_state = &batches->admission_state;
 
-  if (!belief->desired)
+  if (!admission_state->desired)
     {
-      refuse_not_ready (exchange);
+      reject_not_ready (exchange);
       return false;
     }
-  ln_admission_check (batches->context, belief, is_public (batches, exchange, in), in, admission);
-  if (admission->error == LB_OK || kind_of (in->kind) != LN_BATCH_CALL_SUBMIT)
+  ln_admission_check (batches->context, admission_state,
+                      is_public_submission (batches, exchange, in), in, admission);
+  if (admission->error == LB_OK || get_call_kind (in->kind) != LN_BATCH_CALL_SUBMIT)
     return true;
-  ln_admission_refuse (exchange, belief, in, admission);
+  ln_admission_refuse (exchange, admission_state, in, admission);
   return false;
 }
 
 static bool
-name_batch (LnBatchCall *call, const LnInbound *in)
+set_batch_name (LnBatchCall *call, const LnInbound *in)
 {
   bool is_submission = call->kind == LN_BATCH_CALL_SUBMIT;
   const char *organisation = call->admission.organisation.name;
   const char *id = is_submission ? (in->id ? in->id : "") : in->batch;
 
-  if (organisation[0] && !is_submission && !ln_batch_name ("", id, call->open_id))
+  if (organisation[0] && !is_submission && !ln_batch_build_name ("", id, call->public_id))
     return false;
-  return ln_batch_name (organisation, id, call->id);
+  return ln_batch_build_name (organisation, id, call->id);
 }
 
 void
-ln_batch_calls_take (LnBatches *batches, LnExchange *exchange)
+ln_batch_calls_receive (LnBatches *batches, LnExchange *exchange)
 {
   LnBatchCall *call = NULL;
   LcAdmission admission;
@@ -401,24 +406,27 @@
   call->admission = admission;
   call->batches = batches;
   call->exchange = exchange;
-  call->kind = kind_of (in.kind);
+  call->kind = get_call_kind (in.kind);
   call->position = in.position;
-  call->give_up_at = now + (in.wait < MAX_WAIT ? in.wait : MAX_WAIT);
+  call->wait_until = now + (in.wait < MAX_RESULT_WAIT ? in.wait : MAX_RESULT_WAIT);
   call->retry_at = LB_TIME_NEVER;
   LB_COPY (call->item, in.item ? in.item : "");
   ln_exchange_set_user (exchange, call);
-  lb_list_append (&batches->exchanges, &call->link);
-  if (!name_batch (call, &in))
-    ln_batch_call_fail (call, LB_ERROR_BAD_VALUE, "expected the id of a batch", 0);
+  lb_list_append (&batches->calls, &call->link);
+  if (!set_batch_name (call, &in))
+    ln_batch_call_fail (
+        call, LB_ERROR_BAD_VALUE,
+        "invalid batch id: it is empty or too long, contains '/' or ends in '~' and a hash", 0);
   else if (call->kind == LN_BATCH_CALL_SUBMIT)
     ln_batch_submit (call, &in);
   else
-    begin (call);
+    start_call (call);
 }
 
-/* A submission goes on without its caller: the row may be on its way already. */
+/* A submission that waits for the store continues without its caller: the write of the row may
+ * already be in progress. */
 void
-ln_batch_calls_gone (LnBatches *batches, LnExchange *exchange)
+ln_batch_calls_caller_disconnected (LnBatches *batches, LnExchange *exchange)
 {
   (void)batches;
   LnBatchCall *call = ln_exchange_user (exchange);
@@ -434,17 +442,17 @@
 void
 ln_batch_calls_tick (LnBatches *batches, LbTime now)
 {
-  LB_LIST_FOREACH (&batches->exchanges, LnBatchCall, link, call)
+  LB_LIST_FOREACH (&batches->calls, LnBatchCall, link, call)
   {
     if (!call->waits_for_store && now >= call->retry_at)
-      begin (call);
+      start_call (call);
   }
 }
 
 void
-ln_batch_calls_clear (LnBatches *batches)
+ln_batch_calls_free_all (LnBatches *batches)
 {
-  LB_LIST_FOREACH (&batches->exchanges, LnBatchCall, link, call)
+  LB_LIST_FOREACH (&batches->calls, LnBatchCall, link, call)
   {
     ln_batch_call_free (call);
   }
--- a/packages/node/src/batch/ln-batch-heads.c
+++ b/packages/node/src/batch/ln-batch-heads.c
@@ -13,65 +13,66 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Rows of one batch lie in one part, so that they can be written together; batches are spread over
- * parts because each takes a bounded number of writes a second. */
-#define N_PARTS 16
+/* Partitions of each table. All rows of a batch are in one partition, so that one transaction can
+ * write them; batches are spread because each partition accepts a limited rate of writes. */
+#define N_PARTITIONS 16
 #define TABLE "head"
-#define WATCH_WAIT                                                                                 \
-  (800 * LB_MSEC) /* an end must reach the owner within 3 s, also over a silent                    \
-                   * connection, which is found after this wait */
-#define WATCH_RETRY (150 * LB_MSEC)
-#define OFFER_TIME (300 * LB_MSEC) /* several round trips to the store */
-/* An owner that no list shows may have just got its first duty: its row on duty is written, listed
- * and published within this time. */
-#define UNKNOWN_OWNER_TIME (2500 * LB_MSEC)
-/* Instances take a batch over in turn, one after the other, so that they do not all write. */
-#define RANK_DELAY (400 * LB_MSEC)
+/* The end of a batch must reach its owner within 3 s, also when the watch's connection is silently
+ * dead, which is detected after this time. */
+#define WATCH_TIMEOUT (800 * LB_MSEC)
+#define WATCH_RETRY_DELAY (150 * LB_MSEC)
+#define OFFER_TIMEOUT (300 * LB_MSEC) /* several round trips to the store */
+/* An owner that is not in the list of members may have just got its first duty: its member row is
+ * written, listed and published within this time. */
+#define UNKNOWN_OWNER_GRACE (2500 * LB_MSEC)
+/* Each next candidate takes a batch over this much later, so that they do not all write. */
+#define TAKEOVER_DELAY_PER_RANK (400 * LB_MSEC)
 
 static unsigned
-part_of (const char *id)
+get_partition (const char *id)
 {
-  return (unsigned)(XXH3_64bits (id, strlen (id)) % N_PARTS);
+  return (unsigned)(XXH3_64bits (id, strlen (id)) % N_PARTITIONS);
 }
 
 void
 ln_batch_head_key (const char *id, char *key)
 {
-  snprintf (key, LN_BATCH_KEY_SIZE, TABLE "/%02x/%s", part_of (id), id);
+  snprintf (key, LN_BATCH_KEY_SIZE, TABLE "/%02x/%s", get_partition (id), id);
 }
 
 void
 ln_batch_result_prefix (const char *id, char *key)
 {
-  snprintf (key, LN_BATCH_KEY_SIZE, "result/%02x/%s:", part_of (id), id);
+  snprintf (key, LN_BATCH_KEY_SIZE, "result/%02x/%s:", get_partition (id), id);
 }
 
 void
-ln_batch_part_prefix (const char *id, char *key)
+ln_batch_checkpoint_prefix (const char *id, char *key)
 {
-  snprintf (key, LN_BATCH_KEY_SIZE, "begun/%02x/%s:", part_of (id), id);
+  snprintf (key, LN_BATCH_KEY_SIZE, "begun/%02x/%s:", get_partition (id), id);
 }
 
 void
-ln_batch_texts_prefix (const char *id, char *key)
+ln_batch_all_chunks_prefix (const char *id, char *key)
 {
-  snprintf (key, LN_BATCH_KEY_SIZE, "more/%02x/%s:", part_of (id), id);
+  snprintf (key, LN_BATCH_KEY_SIZE, "more/%02x/%s:", get_partition (id), id);
 }
 
 void
-ln_batch_text_prefix (const char *id, int64_t position, char *key)
+ln_batch_chunks_prefix (const char *id, int64_t position, char *key)
 {
-  snprintf (key, LN_BATCH_KEY_SIZE, "more/%02x/%s:%06lld:", part_of (id), id, (long long)position);
+  snprintf (key, LN_BATCH_KEY_SIZE, "more/%02x/%s:%06lld:", get_partition (id), id,
+            (long long)position);
 }
 
 void
-ln_batch_object_key (const char *id, char *key)
+ln_batch_content_key (const char *id, char *key)
 {
   snprintf (key, LN_BATCH_KEY_SIZE, "batch-%s", id);
 }
 
 static bool
-is_ours (const LnBatch *batch)
+is_owned_here (const LnBatch *batch)
 {
   const LnContext *context = batch->batches->context;
 
@@ -79,9 +80,10 @@
          && strcmp (batch->head.incarnation, context->incarnation) == 0;
 }
 
-/* Ours by the row, though nothing runs here: the write that made it ours was taken for lost. */
+/* The row names this process as owner, but nothing runs here: the write that claimed the batch was
+ * considered failed. */
 static void
-adopt (LnBatch *batch)
+adopt_batch (LnBatch *batch)
 {
   if (batch->batches->draining)
     return;
@@ -91,22 +93,22 @@
 }
 
 static bool
-is_held (const LnBatch *batch)
+is_active_here (const LnBatch *batch)
 {
-  return batch->held == LN_HELD_RUNNING || batch->held == LN_HELD_LOADING
-         || batch->held == LN_HELD_OFFERED;
+  return batch->state == LN_BATCH_RUNNING || batch->state == LN_BATCH_LOADING
+         || batch->state == LN_BATCH_OFFERED;
 }
 
 void
-ln_batch_heads_review (LnBatch *batch)
+ln_batch_heads_adopt_if_owned (LnBatch *batch)
 {
-  if (batch->held == LN_HELD_NOT && is_ours (batch) && !batch->head.ended)
-    adopt (batch);
+  if (batch->state == LN_BATCH_NOT_OWNED && is_owned_here (batch) && !batch->head.ended)
+    adopt_batch (batch);
 }
 
-static void take_over (LnBatch *batch);
+static void claim_batch (LnBatch *batch);
 
-/* The first owner offers the batch to the instance that shall run it. */
+/* The first owner, whose epoch is 1, offers the batch to the preferred instance. */
 static bool
 is_offered_here (const LnBatch *batch)
 {
@@ -115,27 +117,27 @@
 }
 
 static void
-note_change (LnBatch *batch, const LcBatchHead *before)
+handle_head_change (LnBatch *batch, const LcBatchHead *old_head)
 {
-  if (batch->head.ended && !before->ended)
+  if (batch->head.ended && !old_head->ended)
     {
       batch->ended_at = lb_clock_monotonic ();
       lb_log (LB_LOG_INFO, "batch_ended", LB_TEXT ("batch", batch->id));
     }
-  if (batch->head.epoch != before->epoch)
-    batch->orphan_since = 0;
-  /* A younger row of ours: a write that was taken for lost was carried out after all, and what runs
-   * here could list nothing more under the row before. */
-  if (is_held (batch)
-      && (batch->head.ended || !is_ours (batch) || batch->head.epoch != before->epoch))
+  if (batch->head.epoch != old_head->epoch)
+    batch->orphaned_since = 0;
+  /* A new epoch of this owner: a write that was considered failed was carried out. What runs here
+   * was started under the row before and could list no more results. */
+  if (is_active_here (batch)
+      && (batch->head.ended || !is_owned_here (batch) || batch->head.epoch != old_head->epoch))
     ln_batch_owner_stop (batch);
-  if (batch->held == LN_HELD_NOT && !is_ours (batch) && is_offered_here (batch))
-    take_over (batch);
-  ln_batch_heads_review (batch);
+  if (batch->state == LN_BATCH_NOT_OWNED && !is_owned_here (batch) && is_offered_here (batch))
+    claim_batch (batch);
+  ln_batch_heads_adopt_if_owned (batch);
 }
 
 void
-ln_batch_heads_tell_demand (LnBatches *batches, const LcBatchHead *head)
+ln_batch_heads_publish_demand (LnBatches *batches, const LcBatchHead *head)
 {
   static const char *const tasks[] = { "config", "duties" };
   LnDemandMessage message
@@ -151,7 +153,7 @@
 }
 
 bool
-ln_batch_heads_take (LnBatches *batches, const LpRow *row)
+ln_batch_heads_apply_row (LnBatches *batches, const LpRow *row)
 {
   struct json_object *object = row->value ? json_tokener_parse (row->value) : NULL;
   LcBatchHead head;
@@ -164,26 +166,27 @@
       return false;
     }
   LnBatch *batch = ln_batches_ensure (batches, head.batch);
-  LcBatchHead before = batch->head;
+  LcBatchHead old_head = batch->head;
   if (row->version <= batch->version)
     return true;
-  /* Ended ones count as well: an instance that has just begun, and divides the engines, would know
-   * the one or two steps alone that are open, and move engines for the lengths of their texts. */
+  /* Ended batches count as well: an instance that has just started and divides the engines would
+   * otherwise know only the one or two open steps, and move engines because of the lengths of their
+   * texts. */
   if (batch->version == 0)
-    ln_batch_heads_tell_demand (batches, &head);
+    ln_batch_heads_publish_demand (batches, &head);
   batch->head = head;
   batch->version = row->version;
-  batch->version_at = lb_clock_monotonic ();
-  note_change (batch, &before);
+  batch->version_seen_at = lb_clock_monotonic ();
+  handle_head_change (batch, &old_head);
   return true;
 }
 
-/* --- taking over --- */
+/* --- takeover --- */
 
-/* An owner that runs under another incarnation now has lost the batch, if its present row is
- * younger than the batch's: else it is this instance's view of it that is old. */
+/* An owner with another incarnation has restarted and lost the batch, if its member row is newer
+ * than the batch's row; otherwise the member list is outdated. */
 static LnOwnerState
-find_owner (const LnBatch *batch)
+find_owner_state (const LnBatch *batch)
 {
   const LnBatches *batches = batch->batches;
 
@@ -201,30 +204,32 @@
   return LN_OWNER_UNKNOWN;
 }
 
-/* Asked for each batch twenty times a second, of hundreds of members, which change seldom. */
+/* Caches the owner's state: this runs 20 times per second for each batch, and there are hundreds of
+ * members, which rarely change. */
 static bool
-owner_is_alive (LnBatch *batch, LbTime now)
+is_owner_alive (LnBatch *batch, LbTime now)
 {
   const LnBatches *batches = batch->batches;
 
-  if (batch->owner_members != batches->members_change || batch->owner_version != batch->version)
-    batch->owner_state = find_owner (batch);
-  batch->owner_members = batches->members_change;
-  batch->owner_version = batch->version;
+  if (batch->owner_members_change != batches->members_change_count
+      || batch->owner_row_version != batch->version)
+    batch->owner_state = find_owner_state (batch);
+  batch->owner_members_change = batches->members_change_count;
+  batch->owner_row_version = batch->version;
   return batch->owner_state == LN_OWNER_ALIVE
          || (batch->owner_state == LN_OWNER_UNKNOWN
-             && now - batch->version_at < UNKNOWN_OWNER_TIME);
+             && now - batch->version_seen_at < UNKNOWN_OWNER_GRACE);
 }
 
 static size_t
-add_candidates (const LnBatches *batches, bool cut, LcDutyCandidate *candidates)
+add_candidates (const LnBatches *batches, bool is_cut_off, LcDutyCandidate *candidates)
 {
   size_t n = 0;
 
   for (size_t i = 0; i < batches->n_members; i++)
     {
       const LnMember *member = &batches->members[i];
-      if (!member->alive || !member->confirmed || member->draining || member->cut != cut)
+      if (!member->alive || !member->confirmed || member->draining || member->cut != is_cut_off)
         continue;
       LB_COPY (candidates[n].name, member->name);
       candidates[n++].strength = member->strength;
@@ -232,10 +237,10 @@
   return n;
 }
 
-/* Guards against an owner that can't reach the store: it hears late of the batch, and each list of
- * results goes through another instance. Only when all are cut are cut ones taken. */
+/* Excludes instances that are cut off from the store, unless all are: such an owner learns late of
+ * the batch, and each of its lists of results goes through another instance. */
 LcDutyCandidate *
-ln_batches_candidates (const LnBatches *batches, size_t *n)
+ln_batches_list_candidates (const LnBatches *batches, size_t *n)
 {
   LcDutyCandidate *candidates = LB_NEW_ARRAY (LcDutyCandidate, batches->n_members + 1);
 
@@ -246,79 +251,78 @@
 }
 
 static bool
-is_run_by (const LnBatch *batch, const char *instance)
+is_assigned_to (const LnBatch *batch, const char *instance)
 {
   return batch->version > 0 && !batch->head.ended
          && strcmp (lc_batch_head_assigned_instance (&batch->head), instance) == 0;
 }
 
-/* A model counts with the first of its batches. */
+/* Prevents a model with several batches from being counted more than once. */
 static bool
 is_first_of_model (const LnBatches *batches, const LnBatch *batch, const char *instance)
 {
   for (const LnBatch *other = batches->by_id; other != batch; other = other->hh.next)
-    if (is_run_by (other, instance) && strcmp (other->head.model, batch->head.model) == 0)
+    if (is_assigned_to (other, instance) && strcmp (other->head.model, batch->head.model) == 0)
       return false;
   return true;
 }
 
 size_t
-ln_batches_count_models (const LnBatches *batches, const char *instance)
+ln_batches_count_assigned_models (const LnBatches *batches, const char *instance)
 {
   size_t n = 0;
 
   for (const LnBatch *batch = batches->by_id; batch; batch = batch->hh.next)
-    n += is_run_by (batch, instance) && is_first_of_model (batches, batch, instance);
+    n += is_assigned_to (batch, instance) && is_first_of_model (batches, batch, instance);
   return n;
 }
 
 size_t
-ln_batch_heads_rank (const LnBatch *batch, const char *duty)
+ln_batch_heads_get_rank (const LnBatch *batch, const char *duty)
 {
   size_t n;
-  LcDutyCandidate *candidates = ln_batches_candidates (batch->batches, &n);
+  LcDutyCandidate *candidates = ln_batches_list_candidates (batch->batches, &n);
   size_t rank = lc_duty_rank (duty, batch->batches->context->instance, candidates, n);
 
   free (candidates);
   return rank;
 }
 
-/* The batch's row as it is now that the write went through; the watch may have shown it, or a later
- * one, already. */
+/* Applies the row that was written, unless the watch has already shown it or a later one. */
 static void
-note_written (LnBatch *batch, int64_t version)
+apply_written_head (LnBatch *batch, int64_t version)
 {
   if (version <= batch->version)
     return;
   batch->version = version;
-  batch->head = batch->written;
+  batch->head = batch->pending_head;
 }
 
 static void
-on_taken (LbErrorCode error, const LpRow *row, void *user)
+on_claim_written (LbErrorCode error, const LpRow *row, void *user)
 {
   LnBatch *batch = user;
 
-  if (batch->held != LN_HELD_TAKING)
+  if (batch->state != LN_BATCH_CLAIMING)
     return;
-  batch->held = LN_HELD_NOT;
-  batch->orphan_since = 0;
+  batch->state = LN_BATCH_NOT_OWNED;
+  batch->orphaned_since = 0;
   lb_log (LB_LOG_INFO, "batch_taken_over", LB_TEXT ("batch", batch->id),
-          LB_INT ("epoch", batch->written.epoch), LB_TEXT ("outcome", lb_error_name (error)));
+          LB_INT ("epoch", batch->pending_head.epoch), LB_TEXT ("outcome", lb_error_name (error)));
   if (error == LB_OK)
-    note_written (batch, row->version);
+    apply_written_head (batch, row->version);
   else if (error == LB_ERROR_CONDITION_FAILED && row->value)
-    ln_batch_heads_take (batch->batches, row);
-  ln_batch_heads_review (batch);
+    ln_batch_heads_apply_row (batch->batches, row);
+  ln_batch_heads_adopt_if_owned (batch);
 }
 
 void
-ln_batch_heads_transact (const LnBatch *batch,
-                         const LpPut *puts,
-                         size_t n_puts,
-                         LpPriority priority,
-                         LpTransactDone done,
-                         void *user)
+ln_batch_heads_write_if_unchanged (const LnBatch *batch,
+                                   const LpPut *puts,
+                                   size_t n_puts,
+                                   LpPriority priority,
+                                   LpTransactDone done,
+                                   void *user)
 {
   LpPlatform *platform = batch->batches->context->platform;
   char key[LN_BATCH_KEY_SIZE];
@@ -331,95 +335,100 @@
   platform->klass->transact (platform, &transaction, priority, done, user);
 }
 
-/* Writes the row with another owner, and further rows beside it. */
+/* Writes the batch's row with another owner, together with further rows. */
 static void
-write_rows (
-    LnBatch *batch, const LcBatchHead *head, const LpPut *more, size_t n_more, LpTransactDone done)
+write_head (LnBatch *batch,
+            const LcBatchHead *head,
+            const LpPut *more_puts,
+            size_t n_more_puts,
+            LpTransactDone done)
 {
   struct json_object *object = lc_batch_head_to_json (head);
   char key[LN_BATCH_KEY_SIZE];
-  LpPut puts[LN_BATCH_MAX_PARTS + 1]
+  LpPut puts[LN_BATCH_MAX_CHECKPOINT_PARTS + 1]
       = { { .key = key, .value = json_object_to_json_string (object) } };
 
-  for (size_t i = 0; i < n_more; i++)
-    puts[i + 1] = more[i];
+  for (size_t i = 0; i < n_more_puts; i++)
+    puts[i + 1] = more_puts[i];
   ln_batch_head_key (batch->id, key);
-  ln_batch_heads_transact (batch, puts, n_more + 1, LP_PRIORITY_LEDGER, done, batch);
+  ln_batch_heads_write_if_unchanged (batch, puts, n_more_puts + 1, LP_PRIORITY_LEDGER, done, batch);
   json_object_put (object);
 }
 
 static void
-take_over (LnBatch *batch)
+claim_batch (LnBatch *batch)
 {
   LcBatchHead head = batch->head;
 
-  batch->held = LN_HELD_TAKING;
-  ln_batches_note_owned (batch->batches, true);
+  batch->state = LN_BATCH_CLAIMING;
+  ln_batches_publish_ownership (batch->batches, true);
   head.epoch++;
   LB_COPY (head.owner, batch->batches->context->instance);
   LB_COPY (head.incarnation, batch->batches->context->incarnation);
-  batch->written = head;
-  write_rows (batch, &head, NULL, 0, on_taken);
+  batch->pending_head = head;
+  write_head (batch, &head, NULL, 0, on_claim_written);
 }
 
-/* The offer's time is over: this instance takes the batch back by a write of its own, before it
- * runs it. Guards against two late ones. The watch that tells of a taken offer may be late here: a
- * run would make each text a second time and could list nothing; the write's condition fails
- * instead. And the instance that it was offered to may hear of it late, when it is cut off: it
- * would take the batch in the middle of the run, with the loss of all texts that were not kept.
- * Without an answer the batch is run here: nobody else may have been able to take it. */
+/* When the offer expires, this instance claims the batch by a write before it runs it. This covers
+ * two delays. The watch may show late that the offer was accepted: running the batch here would
+ * generate each text twice and could list nothing; instead, the condition of the write fails. The
+ * preferred instance, if it is cut off, may see the offer late: it would take the batch over in the
+ * middle of the run, and all texts since the last checkpoint would be lost; the new epoch ends the
+ * offer. If the write gets no answer, the batch is run here, as no other instance may have been
+ * able to take it. */
 static void
-end_offer (LnBatch *batch)
+expire_offer (LnBatch *batch)
 {
-  take_over (batch);
+  claim_batch (batch);
 }
 
-/* A batch whose owner is gone is run by the next instance in the order of its model, so that all
- * batches of the model go to one instance, which opens one set of connections to the engines. An
- * owner that was only paused finds its row changed, and lists nothing more. */
+/* Takes over a batch whose owner is not alive. Candidates are ranked by the model, so that all
+ * batches of a model go to one instance, which opens one set of connections to the engines. An
+ * owner that was only paused finds the row changed and lists no more results. */
 static void
-look_after (LnBatch *batch, LbTime now)
+check_ownership (LnBatch *batch, LbTime now)
 {
-  if (batch->held == LN_HELD_OFFERED && now >= batch->offered_until)
-    end_offer (batch);
-  if (batch->held != LN_HELD_NOT || batch->head.ended || batch->version == 0
-      || batch->batches->members_change == 0 || batch->batches->draining
-      || owner_is_alive (batch, now))
+  if (batch->state == LN_BATCH_OFFERED && now >= batch->offer_expires_at)
+    expire_offer (batch);
+  if (batch->state != LN_BATCH_NOT_OWNED || batch->head.ended || batch->version == 0
+      || batch->batches->members_change_count == 0 || batch->batches->draining
+      || is_owner_alive (batch, now))
     {
-      batch->orphan_since = 0;
+      batch->orphaned_since = 0;
       return;
     }
-  if (batch->orphan_since == 0)
-    batch->orphan_since = now;
-  if (now - batch->orphan_since
-      >= (LbTime)ln_batch_heads_rank (batch, batch->head.model) * RANK_DELAY)
-    take_over (batch);
+  if (batch->orphaned_since == 0)
+    batch->orphaned_since = now;
+  if (now - batch->orphaned_since
+      >= (LbTime)ln_batch_heads_get_rank (batch, batch->head.model) * TAKEOVER_DELAY_PER_RANK)
+    claim_batch (batch);
 }
 
 static void
-on_released (LbErrorCode error, const LpRow *row, void *user)
+on_release_written (LbErrorCode error, const LpRow *row, void *user)
 {
   LnBatch *batch = user;
 
   if (error == LB_OK)
-    note_written (batch, row->version);
+    apply_written_head (batch, row->version);
   lb_log (LB_LOG_INFO, "batch_released", LB_TEXT ("batch", batch->id),
           LB_TEXT ("outcome", lb_error_name (error)));
-  batch->held = LN_HELD_NOT;
+  batch->state = LN_BATCH_NOT_OWNED;
 }
 
-/* This instance stops: another one shall not wait until it is missed, and gets the texts so far. */
+/* On shutdown, saves the incomplete texts and clears the owner, so that another instance can
+ * continue without first detecting that this one is gone. */
 void
 ln_batch_heads_release (LnBatch *batch)
 {
   LcBatchHead head = batch->head;
 
-  LpPut puts[LN_BATCH_MAX_PARTS];
+  LpPut puts[LN_BATCH_MAX_CHECKPOINT_PARTS];
   size_t n = 0;
   LbList actions;
   LbLink *link;
 
-  if (!is_held (batch))
+  if (!is_active_here (batch))
     return;
   lb_list_init (&actions);
   if (batch->run)
@@ -427,78 +436,80 @@
   while ((link = lb_list_pop (&actions)))
     {
       LcBatchAction *action = LB_CONTAINER (link, LcBatchAction, link);
-      n = ln_batch_owner_puts (batch, action, puts, LN_BATCH_MAX_PARTS);
+      n = ln_batch_owner_build_checkpoint_puts (batch, action, puts, LN_BATCH_MAX_CHECKPOINT_PARTS);
       lc_batch_action_free (action);
     }
   ln_batch_owner_stop (batch);
-  batch->held = LN_HELD_RELEASING;
+  batch->state = LN_BATCH_RELEASING;
   LB_COPY (head.owner, "");
   LB_COPY (head.incarnation, "");
-  batch->written = head;
-  write_rows (batch, &head, puts, n, on_released);
+  batch->pending_head = head;
+  write_head (batch, &head, puts, n, on_release_written);
   ln_batch_owner_clear_puts (puts, n);
 }
 
-/* An instance that was killed a moment ago is still taken for alive: the instance that accepted the
- * batch runs it itself when the offer is not taken at once. */
+/* The preferred instance may have been killed without being detected yet, so this instance runs the
+ * batch itself when the offer is not accepted in time. */
 bool
 ln_batch_heads_offer (LnBatch *batch, LbTime now)
 {
   if (!batch->head.preferred_instance[0] || !lb_switch_is_on (LB_SWITCH_OFFERS)
       || strcmp (batch->head.preferred_instance, batch->batches->context->instance) == 0)
     return false;
-  batch->held = LN_HELD_OFFERED;
-  batch->offered_until = now + OFFER_TIME;
+  batch->state = LN_BATCH_OFFERED;
+  batch->offer_expires_at = now + OFFER_TIMEOUT;
   return true;
 }
 
 /* --- all rows --- */
 
-/* A row that is gone belonged to a batch that was ended long ago. */
+/* A removed row belonged to a batch that ended long ago. */
 static void
-take_change (LnBatches *batches, const LpRow *row)
+apply_change (LnBatches *batches, const LpRow *row)
 {
   LnBatch *batch = NULL;
 
   if (row->value)
     {
-      ln_batch_heads_take (batches, row);
+      ln_batch_heads_apply_row (batches, row);
       return;
     }
   batch = ln_batches_find (batches, row->key + strlen (TABLE "/00/"));
-  if (batch && batch != batches->cleaned && batch->held == LN_HELD_NOT)
-    ln_batches_forget (batch);
+  if (batch && batch != batches->cleanup_batch && batch->state == LN_BATCH_NOT_OWNED)
+    ln_batches_remove (batch);
 }
 
 static void
-on_rows (const LpRow *rows, size_t n_rows, void *user)
+on_rows_changed (const LpRow *rows, size_t n_rows, void *user)
 {
   for (size_t i = 0; i < n_rows; i++)
-    take_change (user, &rows[i]);
+    apply_change (user, &rows[i]);
 }
 
 void
-ln_batch_heads_follow (LnBatches *batches)
+ln_batch_heads_start_watch (LnBatches *batches)
 {
-  static const char *const parts[]
+  static const char *const prefixes[]
       = { TABLE "/00/", TABLE "/01/", TABLE "/02/", TABLE "/03/", TABLE "/04/", TABLE "/05/",
           TABLE "/06/", TABLE "/07/", TABLE "/08/", TABLE "/09/", TABLE "/0a/", TABLE "/0b/",
           TABLE "/0c/", TABLE "/0d/", TABLE "/0e/", TABLE "/0f/" };
   const LpFollowSettings settings = { .table = TABLE,
-                                      .prefixes = parts,
-                                      .n_prefixes = N_PARTS,
-                                      .wait = WATCH_WAIT,
-                                      .retry = WATCH_RETRY,
+                                      .prefixes = prefixes,
+                                      .n_prefixes = N_PARTITIONS,
+                                      .wait = WATCH_TIMEOUT,
+                                      .retry = WATCH_RETRY_DELAY,
                                       .tries_history = true };
 
-  _Static_assert(sizeof parts / sizeof parts[0] == N_PARTS, "a prefix for each part");
-  batches->rows = lp_follow_new (batches->context->platform, &settings, on_rows, batches);
+  _Static_assert(sizeof prefixes / sizeof prefixes[0] == N_PARTITIONS,
+                 "one prefix for each partition");
+  batches->row_watch
+      = lp_follow_new (batches->context->platform, &settings, on_rows_changed, batches);
 }
 
 void
 ln_batch_heads_tick (LnBatches *batches, LbTime now)
 {
   for (LnBatch *batch = batches->by_id; batch; batch = batch->hh.next)
-    look_after (batch, now);
-  lp_follow_tick (batches->rows, now);
+    check_ownership (batch, now);
+  lp_follow_tick (batches->row_watch, now);
 }
--- a/packages/node/src/batch/ln-batch-load.c
+++ b/packages/node/src/batch/ln-batch-load.c
@@ -8,144 +8,144 @@
 
 #include <stdlib.h>
 
-#define LOAD_RETRY                                                                                 \
-  (200 * LB_MSEC) /* a read that failed is tried again about as often as others                    \
-                   */
+#define LOAD_RETRY_DELAY (200 * LB_MSEC) /* about as often as other reads are retried */
 
-/* What is read of a batch that was taken over: its content, then what is listed, then the texts
- * that the owner before had begun. */
+/* Reads a batch that was taken over: its content, then its listed results, then the checkpoints of
+ * the incomplete texts. */
 typedef struct
 {
   LnBatch *batch;
   int64_t epoch;
   LcBatchSpec spec;
-  LnBatchPast past;
-} Loading;
+  LnBatchSavedProgress saved;
+} BatchLoad;
 
 static void
-past_clear (LnBatchPast *past)
+saved_progress_clear (LnBatchSavedProgress *saved)
 {
-  for (size_t i = 0; i < past->n_parts; i++)
+  for (size_t i = 0; i < saved->n_parts; i++)
     {
-      free ((char *)past->parts[i].item);
-      free ((char *)past->parts[i].text);
-      free ((LcVersion *)past->parts[i].versions);
+      free ((char *)saved->parts[i].item);
+      free ((char *)saved->parts[i].text);
+      free ((LcVersion *)saved->parts[i].versions);
     }
-  free (past->parts);
-  free (past->listed);
+  free (saved->parts);
+  free (saved->listed);
 }
 
 static void
-loading_free (Loading *loading)
+load_free (BatchLoad *load)
 {
-  lc_batch_spec_clear (&loading->spec);
-  past_clear (&loading->past);
-  free (loading);
+  lc_batch_spec_clear (&load->spec);
+  saved_progress_clear (&load->saved);
+  free (load);
 }
 
 static bool
-is_outdated (const Loading *loading)
+is_outdated (const BatchLoad *load)
 {
-  return loading->batch->held != LN_HELD_LOADING || loading->batch->head.epoch != loading->epoch;
+  return load->batch->state != LN_BATCH_LOADING || load->batch->head.epoch != load->epoch;
 }
 
 static void
-load_again (Loading *loading, LbErrorCode error)
+schedule_load_retry (BatchLoad *load, LbErrorCode error)
 {
-  lb_log (LB_LOG_WARNING, "batch_not_loaded", LB_TEXT ("batch", loading->batch->id),
+  lb_log (LB_LOG_WARNING, "batch_not_loaded", LB_TEXT ("batch", load->batch->id),
           LB_TEXT ("error", lb_error_name (error)));
-  loading->batch->retry_at = lb_clock_monotonic () + LOAD_RETRY;
-  loading_free (loading);
+  load->batch->load_retry_at = lb_clock_monotonic () + LOAD_RETRY_DELAY;
+  load_free (load);
 }
 
-/* False: this read is of no use any more, or failed, and ends here. */
+/* False after ending the load, because its batch is no longer owned at its epoch or the read
+ * failed. */
 static bool
-goes_on (Loading *loading, LbErrorCode error)
+check_read (BatchLoad *load, LbErrorCode error)
 {
-  if (is_outdated (loading))
+  if (is_outdated (load))
     {
-      loading_free (loading);
+      load_free (load);
       return false;
     }
   if (error == LB_OK)
     return true;
-  load_again (loading, error);
+  schedule_load_retry (load, error);
   return false;
 }
 
 static void
-on_parts (LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
+on_checkpoints_listed (
+    LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
 {
   (void)version;
-  Loading *loading = user;
-  LnBatchPast *past = &loading->past;
+  BatchLoad *load = user;
+  LnBatchSavedProgress *saved = &load->saved;
 
-  if (!goes_on (loading, error))
+  if (!check_read (load, error))
     return;
-  past->parts = LB_NEW_ARRAY (LcBatchTextPart, n_rows + 1);
+  saved->parts = LB_NEW_ARRAY (LcBatchTextPart, n_rows + 1);
   for (size_t i = 0; i < n_rows; i++)
-    if (!ln_batch_part_from_row (&rows[i], &past->parts[past->n_parts++]))
+    if (!ln_batch_part_from_row (&rows[i], &saved->parts[saved->n_parts++]))
       lb_log (LB_LOG_WARNING, "text_so_far_unreadable", LB_TEXT ("key", rows[i].key));
-  ln_batch_owner_run (loading->batch, &loading->spec, past);
-  loading_free (loading);
+  ln_batch_owner_start (load->batch, &load->spec, saved);
+  load_free (load);
 }
 
 static void
 on_results_listed (LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
 {
   (void)version;
-  Loading *loading = user;
-  LpPlatform *platform = loading->batch->batches->context->platform;
-  LnBatchPast *past = &loading->past;
+  BatchLoad *load = user;
+  LpPlatform *platform = load->batch->batches->context->platform;
+  LnBatchSavedProgress *saved = &load->saved;
   char prefix[LN_BATCH_KEY_SIZE];
 
-  if (!goes_on (loading, error))
+  if (!check_read (load, error))
     return;
-  past->listed = LB_NEW_ARRAY (LbName, n_rows + 1);
+  saved->listed = LB_NEW_ARRAY (LbName, n_rows + 1);
   for (size_t i = 0; i < n_rows; i++)
     {
       LcBatchResult result;
-      size_t n_pieces;
-      ln_batch_result_from_row (&rows[i], &result, &n_pieces);
-      lb_strlcpy (past->listed[past->n_listed++], result.item, LB_NAME_MAX);
+      size_t n_chunks;
+      ln_batch_result_from_row (&rows[i], &result, &n_chunks);
+      lb_strlcpy (saved->listed[saved->n_listed++], result.item, LB_NAME_MAX);
       lc_batch_result_clear (&result);
     }
-  ln_batch_part_prefix (loading->batch->id, prefix);
-  platform->klass->list (platform, prefix, NULL, 0, on_parts, loading);
+  ln_batch_checkpoint_prefix (load->batch->id, prefix);
+  platform->klass->list (platform, prefix, NULL, 0, on_checkpoints_listed, load);
 }
 
 static void
-on_content (LbErrorCode error, const char *bytes, size_t length, void *user)
+on_content_read (LbErrorCode error, const char *bytes, size_t length, void *user)
 {
-  Loading *loading = user;
-  LnBatch *batch = loading->batch;
+  BatchLoad *load = user;
+  LnBatch *batch = load->batch;
   LpPlatform *platform = batch->batches->context->platform;
   char prefix[LN_BATCH_KEY_SIZE];
-  LbError problem = { 0 };
+  LbError parse_error = { 0 };
 
-  if (!goes_on (loading, error))
+  if (!check_read (load, error))
     return;
-  if (!batch->batches->context->dialect->read_batch (bytes, length, batch->id, &loading->spec,
-                                                     &problem))
+  if (!batch->batches->context->dialect->read_batch (bytes, length, batch->id, &load->spec,
+                                                     &parse_error))
     {
-      load_again (loading, problem.code);
+      schedule_load_retry (load, parse_error.code);
       return;
     }
   ln_batch_result_prefix (batch->id, prefix);
-  platform->klass->list (platform, prefix, NULL, 0, on_results_listed, loading);
+  platform->klass->list (platform, prefix, NULL, 0, on_results_listed, load);
 }
 
 void
 ln_batch_load (LnBatch *batch)
 {
   LpPlatform *platform = batch->batches->context->platform;
-  Loading *loading = LB_NEW (Loading);
+  BatchLoad *load = LB_NEW (BatchLoad);
   char key[LN_BATCH_KEY_SIZE];
 
-  batch->held = LN_HELD_LOADING;
-  batch->retry_at = LB_TIME_NEVER;
-  loading->batch = batch;
-  loading->epoch = batch->head.epoch;
-  ln_batch_object_key (batch->id, key);
-  platform->klass->get_object (platform, key, on_content, loading);
+  batch->state = LN_BATCH_LOADING;
+  batch->load_retry_at = LB_TIME_NEVER;
+  load->batch = batch;
+  load->epoch = batch->head.epoch;
+  ln_batch_content_key (batch->id, key);
+  platform->klass->get_object (platform, key, on_content_read, load);
 }
--- a/packages/node/src/batch/ln-batch-name.c
+++ b/packages/node/src/batch/ln-batch-name.c
@@ -6,27 +6,27 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* '~' and sixteen hexadecimal digits. */
-#define HASH_LENGTH 17
+/* Of '~' and 16 hexadecimal digits. */
+#define HASH_SUFFIX_LENGTH 17
 
-/* Guards against an id that is another batch's whole name: without an organisation the id is the
- * name as it stands. */
+/* Such an id could be another batch's full name: without an organisation, the id is the name. */
 static bool
-ends_like_a_name (const char *id)
+has_hash_suffix (const char *id)
 {
   size_t length = strlen (id);
 
-  return length >= HASH_LENGTH && id[length - HASH_LENGTH] == '~'
-         && strspn (id + length - HASH_LENGTH + 1, "0123456789abcdef") == HASH_LENGTH - 1;
+  return length >= HASH_SUFFIX_LENGTH && id[length - HASH_SUFFIX_LENGTH] == '~'
+         && strspn (id + length - HASH_SUFFIX_LENGTH + 1, "0123456789abcdef")
+                == HASH_SUFFIX_LENGTH - 1;
 }
 
 bool
-ln_batch_name (const char *organisation, const char *id, LbName name)
+ln_batch_build_name (const char *organisation, const char *id, LbName name)
 {
   size_t length = strlen (id);
 
-  if (length == 0 || length + HASH_LENGTH >= LB_NAME_MAX || strchr (id, '/')
-      || ends_like_a_name (id))
+  if (length == 0 || length + HASH_SUFFIX_LENGTH >= LB_NAME_MAX || strchr (id, '/')
+      || has_hash_suffix (id))
     return false;
   if (organisation[0] == '\0')
     lb_strlcpy (name, id, LB_NAME_MAX);
--- a/packages/node/src/batch/ln-batch-name.h
+++ b/packages/node/src/batch/ln-batch-name.h
@@ -3,11 +3,11 @@
 
 #include "lb-types.h"
 
-/* The name under which a batch is kept: its caller's id, and behind it a hash of the organisation
- * that it belongs to. So two organisations that choose the same id have two batches, and nobody
- * finds one by a key that is not its organisation's. */
+/* A batch is stored under the id that its caller chose, followed by a hash of its organisation. So
+ * two organisations can use the same id for different batches, and a batch can be found only with a
+ * key of its organisation. */
 
-/* organisation: "" where the batch belongs to nobody in particular. False: the id can't be one. */
-bool ln_batch_name (const char *organisation, const char *id, LbName name);
+/* organisation: "" for a batch without one. False: the id is not valid. */
+bool ln_batch_build_name (const char *organisation, const char *id, LbName name);
 
 #endif
--- a/packages/node/src/batch/ln-batch-owner.c
+++ b/packages/node/src/batch/ln-batch-owner.c
@@ -12,25 +12,27 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define DEFAULT_ATTEMPTS 3
-/* A text without its first event goes to a second engine: several times the usual 0.15 s. An engine
- * that has gone dark would hold it until its stream counts as broken, 2 s of a step's 8. */
-#define TEXT_HEDGE (600 * LB_MSEC)
-#define SCORE_TIME (2 * LB_SEC) /* for a scorer whose route states no time */
-/* Of one transaction, by the store. LcBatch gives at most 40 results at once, and 400 KiB of text
- * or a single one: 81 rows and conditions and at most 13 pieces. */
-#define MAX_ENTRIES 100
-/* What one transaction can carry: 1 MB, of which encoding takes a quarter. */
-#define MAX_TEXT_BYTES ((size_t)(700 << 10))
-
-static LbMetric listed = LB_COUNTER_INIT ("lentilspindle_batch_results_total",
-                                          NULL,
-                                          "Results of items that were written to the store");
+#define DEFAULT_MAX_ATTEMPTS 3
+/* A text without a first event after this time is hedged to a second engine; the usual time is
+ * 0.15 s. An unresponsive engine would delay it until its stream is considered broken, 2 s of a
+ * step's 8 s. */
+#define TEXT_HEDGE_DELAY (600 * LB_MSEC)
+#define SCORE_TIMEOUT (2 * LB_SEC) /* for a scorer whose route has no timeout */
+/* A limit of the store. LcBatch writes at most 40 results at once, with at
+ * most 400 KiB of text unless it is a single result: 81 rows and conditions and up to 13 chunks. */
+#define MAX_TRANSACTION_ENTRIES 100
+/* A transaction holds 1 MB, a quarter of which is taken by the encoding. */
+#define MAX_STORED_TEXT_BYTES ((size_t)(700 << 10))
+
+static LbMetric results_written
+    = LB_COUNTER_INIT ("lentilspindle_batch_results_total",
+                       NULL,
+                       "Results of items that were written to the store");
 
 /* --- requests --- */
 
 static void
-remember (LnBatch *batch, LcRequestId id, bool is_score)
+add_request (LnBatch *batch, LcRequestId id, bool is_score)
 {
   LnBatchRequest *request = LB_NEW (LnBatchRequest);
 
@@ -50,33 +52,33 @@
 }
 
 static void
-forget (LnBatches *batches, LnBatchRequest *request)
+remove_request (LnBatches *batches, LnBatchRequest *request)
 {
   HASH_DEL (batches->requests, request);
   free (request);
 }
 
 static const LcRoute *
-route_of (const LnBatch *batch)
+get_route (const LnBatch *batch)
 {
-  const LcDesired *desired = batch->batches->belief.desired;
+  const LcDesired *desired = batch->batches->admission_state.desired;
 
   return desired ? lc_desired_route (desired, batch->head.host, batch->head.path) : NULL;
 }
 
 static int64_t
-tokens_per_event (const LnBatch *batch)
+get_tokens_per_event (const LnBatch *batch)
 {
-  const LcRoute *route = route_of (batch);
-  const LcService *service
-      = route ? lc_desired_service (batch->batches->belief.desired, lc_route_service (route, 0))
-              : NULL;
+  const LcRoute *route = get_route (batch);
+  const LcService *service = route ? lc_desired_service (batch->batches->admission_state.desired,
+                                                         lc_route_service (route, 0))
+                                   : NULL;
 
   return service && service->tokens_per_event > 0 ? service->tokens_per_event : 1;
 }
 
 static void
-clear_sample (LnMessage *base)
+clear_sample_message (LnMessage *base)
 {
   LnSampleMessage *message = (LnSampleMessage *)base;
 
@@ -85,12 +87,12 @@
   free (message->outgoing);
 }
 
-/* organisation: whose name the endpoint is told; "": none. */
+/* organisation: name that is sent to the endpoint; "": none. */
 static void
-submit (LnBatch *batch,
-        const LcRequestSpec *spec,
-        const LcOutgoing *outgoing,
-        const char *organisation)
+post_request (LnBatch *batch,
+              const LcRequestSpec *spec,
+              const LcOutgoing *outgoing,
+              const char *organisation)
 {
   LnSampleMessage message = { .base = LN_MESSAGE (LN_SAMPLE), .spec = *spec };
   LnTask *calls = ln_hub_find (batch->batches->task.hub, "calls");
@@ -100,42 +102,43 @@
   if (!message.outgoing->host)
     message.outgoing->host = lb_strdup (batch->head.host);
   LB_COPY (message.organisation, organisation);
-  message.base.clear = clear_sample;
+  message.base.clear = clear_sample_message;
   LN_POST (batch->batches->task.hub, calls, message);
 }
 
-/* All steps of a trainer share as one, so that the order is by what is wanted first. Lengths count
- * in events, the pieces in which engines hand out a text. */
+/* All batches of a model are one flow in fair sharing, so that they are ordered by due time.
+ * Lengths are in events, the pieces of text that an engine streams. */
 static void
-run_item (LnBatch *batch, const LcBatchAction *action)
+generate_item (LnBatch *batch, const LcBatchAction *action)
 {
   const LcBatchSpec *spec = lc_batch_get_spec (batch->run);
   const LcBatchItemSpec *item = &spec->items[action->item_index];
-  LcRequestSpec request = { .id = action->request,
-                            .kind = LC_KIND_SAMPLE,
-                            .delivery = LC_DELIVER_STREAM,
-                            .repeatable = true,
-                            .resumable = true,
-                            .failure_is_final = true,
-                            .hedge_after = lb_switch_is_on (LB_SWITCH_HEDGING) ? TEXT_HEDGE : 0,
-                            .organisation_priority = (int)batch->head.organisation_priority,
-                            .latest_start = action->latest_start,
-                            .soft_deadline = action->due_at,
-                            .prompt_tokens = item->prompt_tokens,
-                            .expected_tokens = action->remaining_events,
-                            .min_version = spec->min_version,
-                            .deadline = LB_TIME_NEVER,
-                            .resume_at = action->resume_at,
-                            .n_avoid = action->avoid_endpoint[0] ? 1 : 0,
-                            .n_prefix_hashes = item->n_prefix_hashes };
+  LcRequestSpec request
+      = { .id = action->request,
+          .kind = LC_KIND_SAMPLE,
+          .delivery = LC_DELIVER_STREAM,
+          .repeatable = true,
+          .resumable = true,
+          .failure_is_final = true,
+          .hedge_after = lb_switch_is_on (LB_SWITCH_HEDGING) ? TEXT_HEDGE_DELAY : 0,
+          .organisation_priority = (int)batch->head.organisation_priority,
+          .latest_start = action->latest_start,
+          .soft_deadline = action->due_at,
+          .prompt_tokens = item->prompt_tokens,
+          .expected_tokens = action->remaining_events,
+          .min_version = spec->min_version,
+          .deadline = LB_TIME_NEVER,
+          .resume_at = action->resume_at,
+          .n_avoid = action->avoid_endpoint[0] ? 1 : 0,
+          .n_prefix_hashes = item->n_prefix_hashes };
 
   LB_COPY (request.pool, spec->model);
   LB_COPY (request.caller, batch->id);
   LB_COPY (request.flow, spec->model);
   LB_COPY (request.avoid[0], action->avoid_endpoint);
   memcpy (request.prefix_hashes, item->prefix_hashes, sizeof request.prefix_hashes);
-  remember (batch, action->request, false);
-  submit (batch, &request, &item->request, batch->head.organisation);
+  add_request (batch, action->request, false);
+  post_request (batch, &request, &item->request, batch->head.organisation);
 }
 
 static void
@@ -151,7 +154,7 @@
 score_item (LnBatch *batch, const LcBatchAction *action)
 {
   const LcBatchItemSpec *item = &lc_batch_get_spec (batch->run)->items[action->item_index];
-  const LcDesired *desired = batch->batches->belief.desired;
+  const LcDesired *desired = batch->batches->admission_state.desired;
   const LcRoute *route
       = desired ? lc_desired_route (desired, item->scorer.host, item->scorer.path) : NULL;
   LcRequestSpec request = { .id = action->request,
@@ -160,7 +163,7 @@
                             .repeatable = true,
                             .expected_tokens = 1 };
 
-  remember (batch, action->request, true);
+  add_request (batch, action->request, true);
   if (!route)
     {
       fail_request (batch, action->request, LB_ERROR_UNKNOWN_PATH);
@@ -169,15 +172,15 @@
   request.priority = route->priority;
   request.max_attempts = route->attempts;
   request.hedge_after = lc_route_hedge_after (route);
-  request.deadline = lb_clock_monotonic () + (route->timeout > 0 ? route->timeout : SCORE_TIME);
+  request.deadline = lb_clock_monotonic () + (route->timeout > 0 ? route->timeout : SCORE_TIMEOUT);
   LB_COPY (request.caller, route->name);
   LB_COPY (request.pool, lc_route_service (route, ln_context_draw (batch->batches->context)));
-  submit (batch, &request, &item->scorer, "");
+  post_request (batch, &request, &item->scorer, "");
 }
 
-/* The text so far comes back with the answer. */
+/* Cancels the request; its answer follows after all pieces of the text so far. */
 static void
-recall_request (LnBatch *batch, LcRequestId id)
+preempt_request (LnBatch *batch, LcRequestId id)
 {
   LnSampleCancelMessage message
       = { .base = LN_MESSAGE (LN_SAMPLE_CANCEL), .request = id, .return_partial = true };
@@ -186,42 +189,42 @@
 }
 
 static void
-stop_request (LnBatch *batch, LcRequestId id)
+cancel_request (LnBatch *batch, LcRequestId id)
 {
   LnSampleCancelMessage message = { .base = LN_MESSAGE (LN_SAMPLE_CANCEL), .request = id };
   LnBatchRequest *request = find_request (batch->batches, id);
 
   if (!request)
     return;
-  forget (batch->batches, request);
+  remove_request (batch->batches, request);
   LN_POST (batch->batches->task.hub, ln_hub_find (batch->batches->task.hub, "calls"), message);
 }
 
 /* --- writing results --- */
 
-static void carry_out (LnBatch *batch, LbList *actions);
+static void execute_actions (LnBatch *batch, LbList *actions);
 
-/* A write on its way. The batch may be lost, and even be owned again, before it is answered: then
- * the answer is about another run's results. */
+/* A write in progress. The batch may be lost, and even owned again, before the answer arrives,
+ * which then belongs to an earlier run. */
 typedef struct
 {
   LnBatch *batch;
   const LcBatch *run;
   int64_t epoch;
-} Write;
+} BatchWrite;
 
-static Write *
+static BatchWrite *
 write_new (LnBatch *batch)
 {
-  Write *write = LB_NEW (Write);
+  BatchWrite *write = LB_NEW (BatchWrite);
 
-  *write = (Write){ .batch = batch, .run = batch->run, .epoch = batch->head.epoch };
+  *write = (BatchWrite){ .batch = batch, .run = batch->run, .epoch = batch->head.epoch };
   return write;
 }
 
-/* Whether its answer is about what runs now. */
+/* Whether the answer belongs to the present run. */
 static bool
-is_current (const Write *write)
+is_current (const BatchWrite *write)
 {
   const LnBatch *batch = write->batch;
 
@@ -229,7 +232,7 @@
 }
 
 static void
-finish_write (Write *write, bool ok)
+finish_write (BatchWrite *write, bool ok)
 {
   LnBatch *batch = write->batch;
   LbList actions;
@@ -238,22 +241,22 @@
     {
       lb_list_init (&actions);
       lc_batch_finish_write (batch->run, ok, lb_clock_monotonic (), &actions);
-      carry_out (batch, &actions);
+      execute_actions (batch, &actions);
     }
   free (write);
 }
 
-/* The row of the batch is as it was, so the condition that failed is that the positions are free:
- * an earlier try of this very write was carried out. Nobody else can have written there. */
+/* If the batch's row is unchanged, the condition that failed is that the positions are free: an
+ * earlier attempt of this write was carried out, as no other instance can have written there. */
 static void
 on_head_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
-  Write *write = user;
+  BatchWrite *write = user;
   LnBatch *batch = write->batch;
   bool unchanged = error == LB_OK && n_rows > 0 && rows[0].version == batch->version;
 
   if (error == LB_OK && n_rows > 0 && !unchanged)
-    ln_batch_heads_take (batch->batches, &rows[0]);
+    ln_batch_heads_apply_row (batch->batches, &rows[0]);
   finish_write (write, unchanged);
 }
 
@@ -261,7 +264,7 @@
 on_results_written (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
-  Write *write = user;
+  BatchWrite *write = user;
   LnBatch *batch = write->batch;
   LpPlatform *platform = batch->batches->context->platform;
   char key[LN_BATCH_KEY_SIZE];
@@ -280,38 +283,42 @@
 
 typedef struct
 {
-  LpPut puts[MAX_ENTRIES];
+  LpPut puts[MAX_TRANSACTION_ENTRIES];
   size_t n_puts;
-  LpCondition conditions[MAX_ENTRIES];
+  LpCondition conditions[MAX_TRANSACTION_ENTRIES];
   size_t n_conditions;
-} Entries;
+} TransactionEntries;
 
 static void
-entries_clear (Entries *entries)
+entries_clear (TransactionEntries *entries)
 {
   ln_batch_owner_clear_puts (entries->puts, entries->n_puts);
 }
 
-/* A text that one row can't hold goes in pieces beside its result's row, in the same transaction.
- */
+/* Splits a text that is too long for one row into chunks, in the transaction that writes the row of
+ * its result. */
 static size_t
-add_pieces (Entries *entries, const LnBatch *batch, int64_t position, const char *text)
+add_text_chunks (TransactionEntries *entries,
+                 const LnBatch *batch,
+                 int64_t position,
+                 const char *text)
 {
   size_t length = strlen (text);
   size_t n = 0;
   char prefix[LN_BATCH_KEY_SIZE];
 
-  ln_batch_text_prefix (batch->id, position, prefix);
-  for (size_t start = 0; start < length; start += LN_BATCH_ROW_BYTES, n++)
+  ln_batch_chunks_prefix (batch->id, position, prefix);
+  for (size_t start = 0; start < length; start += LN_BATCH_MAX_ROW_BYTES, n++)
     entries->puts[entries->n_puts++]
         = (LpPut){ .key = lb_asprintf ("%s%02zu", prefix, n),
-                   .value = lb_strndup (text + start, LN_BATCH_ROW_BYTES) };
+                   .value = lb_strndup (text + start, LN_BATCH_MAX_ROW_BYTES) };
   return n;
 }
 
-/* Without a place for it the batch would never be whole, and nothing behind it would be listed. */
+/* Abandons an item whose text is too long to be stored: otherwise the batch would never be
+ * complete, and no result after this one would be listed. */
 static char *
-give_up_text (const LnBatch *batch, const LcBatchResult *result)
+abandon_long_text (const LnBatch *batch, const LcBatchResult *result)
 {
   LcBatchResult failed = *result;
 
@@ -320,22 +327,26 @@
           LB_INT ("bytes", strlen (result->text)));
   failed.completed = false;
   failed.text = NULL;
-  return ln_batch_result_to_text (&failed);
+  return ln_batch_result_to_json (&failed);
 }
 
 static void
-add_result (Entries *entries, const LnBatch *batch, int64_t position, const LcBatchResult *result)
+add_result (TransactionEntries *entries,
+            const LnBatch *batch,
+            int64_t position,
+            const LcBatchResult *result)
 {
   char prefix[LN_BATCH_KEY_SIZE];
-  char *value = ln_batch_result_to_text (result);
+  char *value = ln_batch_result_to_json (result);
 
-  if (strlen (value) > LN_BATCH_ROW_BYTES)
+  if (strlen (value) > LN_BATCH_MAX_ROW_BYTES)
     {
       free (value);
-      value = strlen (result->text) > MAX_TEXT_BYTES
-                  ? give_up_text (batch, result)
-                  : ln_batch_result_without_text (result, add_pieces (entries, batch, position,
-                                                                      result->text));
+      value = strlen (result->text) > MAX_STORED_TEXT_BYTES
+                  ? abandon_long_text (batch, result)
+                  : ln_batch_result_to_json_without_text (result,
+                                                          add_text_chunks (entries, batch, position,
+                                                                           result->text));
     }
   ln_batch_result_prefix (batch->id, prefix);
   char *key = lb_asprintf ("%s%06lld", prefix, (long long)position);
@@ -347,12 +358,12 @@
 write_results (LnBatch *batch, const LcBatchAction *action)
 {
   LpPlatform *platform = batch->batches->context->platform;
-  char head[LN_BATCH_KEY_SIZE];
-  Write *write = write_new (batch);
-  Entries entries = { .n_conditions = 1 };
+  char head_key[LN_BATCH_KEY_SIZE];
+  BatchWrite *write = write_new (batch);
+  TransactionEntries entries = { .n_conditions = 1 };
 
-  ln_batch_head_key (batch->id, head);
-  entries.conditions[0] = (LpCondition){ .key = head, .version = batch->version };
+  ln_batch_head_key (batch->id, head_key);
+  entries.conditions[0] = (LpCondition){ .key = head_key, .version = batch->version };
   for (size_t i = 0; i < action->n_results; i++)
     add_result (&entries, batch, action->first_position + (int64_t)i, action->results[i]);
   const LpTransaction transaction = { .token = "",
@@ -360,22 +371,25 @@
                                       .n_conditions = entries.n_conditions,
                                       .puts = entries.puts,
                                       .n_puts = entries.n_puts };
-  lb_metric_add (&listed, (int64_t)action->n_results);
+  lb_metric_add (&results_written, (int64_t)action->n_results);
   platform->klass->transact (platform, &transaction, LP_PRIORITY_LEDGER, on_results_written, write);
   entries_clear (&entries);
 }
 
 size_t
-ln_batch_owner_puts (const LnBatch *batch, const LcBatchAction *action, LpPut *puts, size_t max)
+ln_batch_owner_build_checkpoint_puts (const LnBatch *batch,
+                                      const LcBatchAction *action,
+                                      LpPut *puts,
+                                      size_t max)
 {
   char prefix[LN_BATCH_KEY_SIZE];
   size_t n = 0;
 
-  ln_batch_part_prefix (batch->id, prefix);
+  ln_batch_checkpoint_prefix (batch->id, prefix);
   for (size_t i = 0; i < action->n_parts && n < max; i++)
     {
-      char *value = ln_batch_part_to_text (&action->parts[i]);
-      if (strlen (value) > LN_BATCH_ROW_BYTES)
+      char *value = ln_batch_part_to_json (&action->parts[i]);
+      if (strlen (value) > LN_BATCH_MAX_ROW_BYTES)
         {
           free (value);
           continue;
@@ -398,12 +412,12 @@
     }
 }
 
-/* The texts so far are a convenience: a write that fails is made good by the next. */
+/* A checkpoint only saves work after a takeover; a failed write is made up for by the next one. */
 static void
-on_kept (LbErrorCode error, const LpRow *row, void *user)
+on_checkpoint_written (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
-  Write *write = user;
+  BatchWrite *write = user;
 
   if (error != LB_OK)
     lb_log (LB_LOG_DEBUG, "texts_not_kept", LB_TEXT ("error", lb_error_name (error)));
@@ -413,20 +427,22 @@
 }
 
 static void
-keep_parts (LnBatch *batch, const LcBatchAction *action)
+write_checkpoint (LnBatch *batch, const LcBatchAction *action)
 {
-  LpPut puts[LN_BATCH_MAX_PARTS];
-  size_t n = ln_batch_owner_puts (batch, action, puts, LN_BATCH_MAX_PARTS);
+  LpPut puts[LN_BATCH_MAX_CHECKPOINT_PARTS];
+  size_t n
+      = ln_batch_owner_build_checkpoint_puts (batch, action, puts, LN_BATCH_MAX_CHECKPOINT_PARTS);
 
   if (n > 0)
-    ln_batch_heads_transact (batch, puts, n, LP_PRIORITY_STATUS, on_kept, write_new (batch));
+    ln_batch_heads_write_if_unchanged (batch, puts, n, LP_PRIORITY_STATUS, on_checkpoint_written,
+                                       write_new (batch));
   else
     lc_batch_finish_checkpoint (batch->run, true);
   ln_batch_owner_clear_puts (puts, n);
 }
 
 static void
-carry_out (LnBatch *batch, LbList *actions)
+execute_actions (LnBatch *batch, LbList *actions)
 {
   LbLink *link;
 
@@ -436,19 +452,19 @@
       switch (action->type)
         {
         case LC_BATCH_GENERATE:
-          run_item (batch, action);
+          generate_item (batch, action);
           break;
         case LC_BATCH_SCORE:
           score_item (batch, action);
           break;
         case LC_BATCH_CANCEL:
-          stop_request (batch, action->request);
+          cancel_request (batch, action->request);
           break;
         case LC_BATCH_PREEMPT:
-          recall_request (batch, action->request);
+          preempt_request (batch, action->request);
           break;
         case LC_BATCH_CHECKPOINT:
-          keep_parts (batch, action);
+          write_checkpoint (batch, action);
           break;
         case LC_BATCH_WRITE_RESULTS:
           write_results (batch, action);
@@ -458,51 +474,52 @@
     }
 }
 
-/* --- from owning to running --- */
+/* --- running a batch --- */
 
 static LcRequestId
-next_id (void *user)
+next_request_id (void *user)
 {
   return ln_context_next_request (user);
 }
 
 void
-ln_batch_owner_run (LnBatch *batch, LcBatchSpec *spec, const LnBatchPast *past)
-{
-  const LcRoute *route = route_of (batch);
-  LcBatchSettings settings = { .history = ln_batches_history (batch->batches, spec->model),
-                               .text_cache = lb_switch_is_on (LB_SWITCH_CARRIED_TEXTS)
-                                                 ? ln_batches_carried (batch->batches, spec->model)
-                                                 : NULL,
-                               .tokens_per_event = tokens_per_event (batch),
-                               .max_failures = route ? route->attempts : DEFAULT_ATTEMPTS,
-                               .max_score_failures = DEFAULT_ATTEMPTS + 1,
-                               .resumable = !route || route->resumable,
-                               .single_version = route && route->single_version,
-                               .due_at = batch->first_seen + (route ? route->due : 0),
-                               .deadline = LB_TIME_NEVER,
-                               .next_request_id = next_id,
-                               .user = batch->batches->context };
+ln_batch_owner_start (LnBatch *batch, LcBatchSpec *spec, const LnBatchSavedProgress *saved)
+{
+  const LcRoute *route = get_route (batch);
+  LcBatchSettings settings
+      = { .history = ln_batches_get_history (batch->batches, spec->model),
+          .text_cache = lb_switch_is_on (LB_SWITCH_CARRIED_TEXTS)
+                            ? ln_batches_get_text_cache (batch->batches, spec->model)
+                            : NULL,
+          .tokens_per_event = get_tokens_per_event (batch),
+          .max_failures = route ? route->attempts : DEFAULT_MAX_ATTEMPTS,
+          .max_score_failures = DEFAULT_MAX_ATTEMPTS + 1,
+          .resumable = !route || route->resumable,
+          .single_version = route && route->single_version,
+          .due_at = batch->first_seen_at + (route ? route->due : 0),
+          .deadline = LB_TIME_NEVER,
+          .next_request_id = next_request_id,
+          .user = batch->batches->context };
   LbList actions;
 
   if (route && route->give_up > 0)
-    settings.deadline = batch->first_seen + route->give_up;
+    settings.deadline = batch->first_seen_at + route->give_up;
   lb_log (LB_LOG_INFO, "batch_running", LB_TEXT ("batch", batch->id),
           LB_TEXT ("model", spec->model), LB_INT ("step", spec->step),
           LB_INT ("min_version", spec->min_version), LB_INT ("items", spec->n_items),
-          LB_INT ("listed", past->n_listed), LB_INT ("begun", past->n_parts),
+          LB_INT ("listed", saved->n_listed), LB_INT ("begun", saved->n_parts),
           LB_INT ("epoch", batch->head.epoch));
   LB_COPY (spec->organisation, batch->head.organisation);
-  batch->held = LN_HELD_RUNNING;
-  ln_batches_note_owned (batch->batches, true);
+  batch->state = LN_BATCH_RUNNING;
+  ln_batches_publish_ownership (batch->batches, true);
   batch->run = lc_batch_new (spec, &settings);
-  for (size_t i = 0; i < past->n_listed; i++)
-    lc_batch_mark_listed (batch->run, past->listed[i]);
-  for (size_t i = 0; i < past->n_parts; i++)
-    lc_batch_restore_text_part (batch->run, &past->parts[i]);
+  for (size_t i = 0; i < saved->n_listed; i++)
+    lc_batch_mark_listed (batch->run, saved->listed[i]);
+  for (size_t i = 0; i < saved->n_parts; i++)
+    lc_batch_restore_text_part (batch->run, &saved->parts[i]);
   lb_list_init (&actions);
   lc_batch_start (batch->run, lb_clock_monotonic (), &actions);
-  carry_out (batch, &actions);
+  execute_actions (batch, &actions);
 }
 
 void
@@ -511,7 +528,7 @@
   LnBatchRequest *request, *next;
   LbList actions;
 
-  batch->held = LN_HELD_NOT;
+  batch->state = LN_BATCH_NOT_OWNED;
   if (!batch->run)
     return;
   lb_log (LB_LOG_INFO, "batch_stopped", LB_TEXT ("batch", batch->id),
@@ -519,11 +536,11 @@
           LB_BOOL ("ended", batch->head.ended));
   lb_list_init (&actions);
   lc_batch_stop (batch->run, lb_clock_monotonic (), &actions);
-  carry_out (batch, &actions);
+  execute_actions (batch, &actions);
   HASH_ITER (hh, batch->batches->requests, request, next)
   {
     if (request->batch == batch)
-      forget (batch->batches, request);
+      remove_request (batch->batches, request);
   }
   lc_batch_free (batch->run);
   batch->run = NULL;
@@ -534,17 +551,17 @@
 {
   LbList actions;
 
-  if (batch->held == LN_HELD_LOADING && now >= batch->retry_at)
+  if (batch->state == LN_BATCH_LOADING && now >= batch->load_retry_at)
     ln_batch_load (batch);
-  if (batch->held != LN_HELD_RUNNING || now < lc_batch_next_tick_at (batch->run))
+  if (batch->state != LN_BATCH_RUNNING || now < lc_batch_next_tick_at (batch->run))
     return;
   lb_list_init (&actions);
   lc_batch_tick (batch->run, now, &actions);
-  carry_out (batch, &actions);
+  execute_actions (batch, &actions);
 }
 
 void
-ln_batch_owner_piece (LnBatches *batches, const LnSamplePieceMessage *message)
+ln_batch_owner_receive_piece (LnBatches *batches, const LnSamplePieceMessage *message)
 {
   const LnBatchRequest *request = find_request (batches, message->request);
 
@@ -555,7 +572,7 @@
 }
 
 void
-ln_batch_owner_done (LnBatches *batches, const LnSampleDoneMessage *message)
+ln_batch_owner_finish_request (LnBatches *batches, const LnSampleDoneMessage *message)
 {
   LnBatchRequest *request = find_request (batches, message->request);
   LnBatch *batch = request ? request->batch : NULL;
@@ -565,7 +582,7 @@
 
   if (!request)
     return;
-  forget (batches, request);
+  remove_request (batches, request);
   if (!batch->run)
     return;
   lb_list_init (&actions);
@@ -574,5 +591,5 @@
                              message->text ? message->text : "", now, &actions);
   else
     lc_batch_finish_generation (batch->run, message->request, message->error, now, &actions);
-  carry_out (batch, &actions);
+  execute_actions (batch, &actions);
 }
--- a/packages/node/src/batch/ln-batch-rows.c
+++ b/packages/node/src/batch/ln-batch-rows.c
@@ -11,9 +11,9 @@
 
 #define JSON_FORMAT (JSON_C_TO_STRING_PLAIN | JSON_C_TO_STRING_NOSLASHESCAPE)
 
-/* Everything but the text. */
+/* All fields except the text. */
 static struct json_object *
-result_to_json (const LcBatchResult *result)
+result_to_object (const LcBatchResult *result)
 {
   struct json_object *object = json_object_new_object ();
 
@@ -27,9 +27,9 @@
 }
 
 char *
-ln_batch_result_to_text (const LcBatchResult *result)
+ln_batch_result_to_json (const LcBatchResult *result)
 {
-  struct json_object *object = result_to_json (result);
+  struct json_object *object = result_to_object (result);
 
   json_object_object_add (object, "text",
                           json_object_new_string (result->text ? result->text : ""));
@@ -37,20 +37,20 @@
 }
 
 char *
-ln_batch_result_without_text (const LcBatchResult *result, size_t n_pieces)
+ln_batch_result_to_json_without_text (const LcBatchResult *result, size_t n_chunks)
 {
-  struct json_object *object = result_to_json (result);
+  struct json_object *object = result_to_object (result);
 
-  json_object_object_add (object, "pieces", json_object_new_int64 ((int64_t)n_pieces));
+  json_object_object_add (object, "pieces", json_object_new_int64 ((int64_t)n_chunks));
   return lb_json_take_text (object, JSON_FORMAT);
 }
 
 bool
-ln_batch_result_from_row (const LpRow *row, LcBatchResult *result, size_t *n_pieces)
+ln_batch_result_from_row (const LpRow *row, LcBatchResult *result, size_t *n_chunks)
 {
   struct json_object *object = row->value ? json_tokener_parse (row->value) : NULL;
   const char *score = lb_json_text (object, "score", NULL);
-  int64_t pieces = lb_json_int (object, "pieces", 0);
+  int64_t chunks = lb_json_int (object, "pieces", 0);
 
   memset (result, 0, sizeof *result);
   LB_COPY (result->item, lb_json_text (object, "item", ""));
@@ -59,13 +59,13 @@
   result->score = score ? lb_strdup (score) : NULL;
   result->n_versions
       = lb_json_integers (object, "versions", result->versions, LC_MAX_RESULT_VERSIONS);
-  *n_pieces = pieces > 0 ? (size_t)pieces : 0;
+  *n_chunks = chunks > 0 ? (size_t)chunks : 0;
   json_object_put (object);
   return result->item[0] != '\0';
 }
 
 char *
-ln_batch_part_to_text (const LcBatchTextPart *part)
+ln_batch_part_to_json (const LcBatchTextPart *part)
 {
   struct json_object *object = json_object_new_object ();
 
@@ -83,16 +83,16 @@
 ln_batch_part_from_row (const LpRow *row, LcBatchTextPart *part)
 {
   struct json_object *object = row->value ? json_tokener_parse (row->value) : NULL;
-  /* One more than a text can have, so that a row with too many shows as such. */
-  LcVersion *numbers = LB_NEW_ARRAY (LcVersion, LC_MAX_RESULT_VERSIONS + 1);
-  size_t n = lb_json_integers (object, "versions", numbers, LC_MAX_RESULT_VERSIONS + 1);
+  /* One more than a text may have, so that a row with too many is detected. */
+  LcVersion *versions = LB_NEW_ARRAY (LcVersion, LC_MAX_RESULT_VERSIONS + 1);
+  size_t n = lb_json_integers (object, "versions", versions, LC_MAX_RESULT_VERSIONS + 1);
 
   *part = (LcBatchTextPart){ .item = lb_strdup (lb_json_text (object, "item", "")),
                              .restarts = lb_json_int (object, "run", 0),
                              .first_event = lb_json_int (object, "first", 0),
                              .n_events = lb_json_int (object, "events", 0),
                              .text = lb_strdup (lb_json_text (object, "text", "")),
-                             .versions = numbers,
+                             .versions = versions,
                              .n_versions = n };
   json_object_put (object);
   return part->item[0] && part->restarts >= 0 && part->first_event >= 0 && part->n_events > 0
--- a/packages/node/src/batch/ln-batch-submit.c
+++ b/packages/node/src/batch/ln-batch-submit.c
@@ -11,8 +11,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-static LbMetric accepted
-    = LB_COUNTER_INIT ("lentilspindle_batches_accepted_total", NULL, "Batches accepted here");
+static LbMetric batches_accepted = LB_COUNTER_INIT ("lentilspindle_batches_accepted_total",
+                                                    NULL,
+                                                    "Batches that this instance accepted");
 
 static void
 reply_accepted (LnBatchCall *call)
@@ -21,40 +22,40 @@
 }
 
 static void
-own_and_run (LnBatchCall *call, int64_t version)
+accept_batch (LnBatchCall *call, int64_t version)
 {
   LnBatches *batches = call->batches;
   LnBatch *batch = ln_batches_ensure (batches, call->id);
-  const LnBatchPast nothing = { 0 };
+  const LnBatchSavedProgress no_progress = { 0 };
 
-  lb_metric_add (&accepted, 1);
+  lb_metric_add (&batches_accepted, 1);
   lb_log (LB_LOG_INFO, "batch_accepted", LB_TEXT ("batch", call->id),
-          LB_INT ("items", call->spec.n_items), LB_INT ("tries", call->tries));
+          LB_INT ("items", call->spec.n_items), LB_INT ("tries", call->failed_attempts));
   if (batch->version == 0)
-    ln_batch_heads_tell_demand (batches, &call->head);
+    ln_batch_heads_publish_demand (batches, &call->head);
   if (version > batch->version)
     {
       batch->head = call->head;
       batch->version = version;
     }
-  if (batch->held != LN_HELD_NOT || batch->version != version
+  if (batch->state != LN_BATCH_NOT_OWNED || batch->version != version
       || ln_batch_heads_offer (batch, lb_clock_monotonic ()))
     return;
-  ln_batch_owner_run (batch, &call->spec, &nothing);
+  ln_batch_owner_start (batch, &call->spec, &no_progress);
   if (batches->draining)
     ln_batch_heads_release (batch);
 }
 
-/* "Not run" may only be said when the row is known not to be there: a write without an answer may
- * be carried out seconds later, and its batch would run. */
+/* Only when the row is known not to exist may the caller be told that the batch will not run: a
+ * write without an answer may be carried out seconds later. */
 static void
-give_up_submission (LnBatchCall *call)
+fail_submission (LnBatchCall *call)
 {
-  if (call->maybe_accepted)
+  if (call->may_be_accepted)
     ln_batch_call_fail (call, LB_ERROR_OUTCOME_UNKNOWN,
-                        "the store did not say whether it took the batch", 0);
+                        "the store did not confirm whether the batch was written", 0);
   else
-    ln_batch_call_fail_store_away (call);
+    ln_batch_call_fail_store_unavailable (call);
 }
 
 static void
@@ -64,30 +65,30 @@
   LnBatch *batch = ln_batches_ensure (call->batches, call->id);
 
   call->waits_for_store = false;
-  if (batch->held == LN_HELD_TAKING)
-    batch->held = LN_HELD_NOT;
+  if (batch->state == LN_BATCH_CLAIMING)
+    batch->state = LN_BATCH_NOT_OWNED;
   if (error == LB_OK)
     {
-      own_and_run (call, row->version);
+      accept_batch (call, row->version);
       reply_accepted (call);
     }
   else if (error == LB_ERROR_CONDITION_FAILED)
     {
-      /* It was accepted before, here or elsewhere. */
+      /* The batch was accepted before, here or by another instance. */
       if (row->value)
-        ln_batch_heads_take (call->batches, row);
-      /* Guards against a batch that is ours and that nobody runs: an earlier try of this write was
-       * carried out, and the watch showed its row while this one was still on its way. */
-      ln_batch_heads_review (batch);
+        ln_batch_heads_apply_row (call->batches, row);
+      /* Prevents a batch that is owned here but does not run: an earlier attempt of this write was
+       * carried out, and the watch showed its row while this write was still in progress. */
+      ln_batch_heads_adopt_if_owned (batch);
       reply_accepted (call);
     }
   else
     {
-      call->maybe_accepted |= error == LB_ERROR_STORE_UNKNOWN;
+      call->may_be_accepted |= error == LB_ERROR_STORE_UNKNOWN;
       if (!ln_batch_call_schedule_retry (call))
         {
-          ln_batch_heads_review (batch);
-          give_up_submission (call);
+          ln_batch_heads_adopt_if_owned (batch);
+          fail_submission (call);
         }
     }
 }
@@ -103,9 +104,9 @@
   const LpTransaction transaction
       = { .token = "", .conditions = &condition, .n_conditions = 1, .puts = &put, .n_puts = 1 };
 
-  /* The watch may show the row before the write is answered. */
-  if (batch->held == LN_HELD_NOT)
-    batch->held = LN_HELD_TAKING;
+  /* Prevents adoption of the batch when the watch shows the row before the write is answered. */
+  if (batch->state == LN_BATCH_NOT_OWNED)
+    batch->state = LN_BATCH_CLAIMING;
   ln_batch_head_key (call->id, key);
   call->waits_for_store = true;
   ln_batch_call_platform (call)->klass->transact (ln_batch_call_platform (call), &transaction,
@@ -123,36 +124,36 @@
   call->waits_for_store = false;
   if (error == LB_OK)
     {
-      call->stored = true;
+      call->is_content_stored = true;
       write_head (call);
     }
   else
-    ln_batch_call_try_again_or_fail (call);
+    ln_batch_call_retry_or_fail (call);
 }
 
-/* The content first: a row without it would be a batch that nobody can run. */
+/* The content is stored before the row: a batch without content could not be run. */
 static void
 store_content (LnBatchCall *call)
 {
   char key[LN_BATCH_KEY_SIZE];
 
-  ln_batch_object_key (call->id, key);
+  ln_batch_content_key (call->id, key);
   call->waits_for_store = true;
   ln_batch_call_platform (call)->klass->put_object (ln_batch_call_platform (call), key, call->body,
                                                     call->body_length, on_content_stored, call);
 }
 
 void
-ln_batch_submit_again (LnBatchCall *call)
+ln_batch_submit_retry (LnBatchCall *call)
 {
-  if (call->stored)
+  if (call->is_content_stored)
     write_head (call);
   else
     store_content (call);
 }
 
 static int64_t
-expected_tokens (const LcBatchSpec *spec)
+sum_expected_tokens (const LcBatchSpec *spec)
 {
   int64_t tokens = 0;
 
@@ -162,9 +163,9 @@
   return tokens;
 }
 
-/* Where the model's latest batch went; "" when none is known. */
+/* Instance to which the model's latest batch is assigned; "" when none is known. */
 static const char *
-last_runner (const LnBatches *batches, const char *model)
+find_last_instance (const LnBatches *batches, const char *model)
 {
   const LnBatch *last = NULL;
 
@@ -180,23 +181,24 @@
   return last ? lc_batch_head_assigned_instance (&last->head) : "";
 }
 
-/* Guards against one strong machine beside weak ones that gets the batches of all models: each duty
- * that a machine has leaves it so much less for the next. */
+/* Divides each strength by the number of models that are assigned already, plus one: otherwise a
+ * strong machine among weak ones would get the batches of all models. */
 static void
-weigh_duties (const LnBatches *batches, LcDutyCandidate *candidates, size_t n)
+divide_strengths (const LnBatches *batches, LcDutyCandidate *candidates, size_t n)
 {
   for (size_t i = 0; i < n; i++)
-    candidates[i].strength /= 1 + (int64_t)ln_batches_count_models (batches, candidates[i].name);
+    candidates[i].strength
+        /= 1 + (int64_t)ln_batches_count_assigned_models (batches, candidates[i].name);
 }
 
 static void
-choose_owner (LnBatchCall *call)
+choose_preferred_instance (LnBatchCall *call)
 {
   size_t n;
-  LcDutyCandidate *candidates = ln_batches_candidates (call->batches, &n);
-  const char *last = last_runner (call->batches, call->spec.model);
+  LcDutyCandidate *candidates = ln_batches_list_candidates (call->batches, &n);
+  const char *last = find_last_instance (call->batches, call->spec.model);
 
-  weigh_duties (call->batches, candidates, n);
+  divide_strengths (call->batches, candidates, n);
   LB_COPY (call->head.preferred_instance,
            lc_duty_choose_holder (call->spec.model, last, candidates, n));
   free (candidates);
@@ -231,8 +233,8 @@
   LB_COPY (call->head.host, in->host);
   LB_COPY (call->head.path, ln_exchange_path (call->exchange));
   LB_COPY (call->head.model, call->spec.model);
-  call->head.expected_tokens = expected_tokens (&call->spec);
-  choose_owner (call);
+  call->head.expected_tokens = sum_expected_tokens (&call->spec);
+  choose_preferred_instance (call);
   call->head.epoch = 1;
   call->head.n_items = (int64_t)call->spec.n_items;
   store_content (call);
--- a/packages/node/src/batch/ln-batches-private.h
+++ b/packages/node/src/batch/ln-batches-private.h
@@ -17,76 +17,76 @@
 #include <uthash.h>
 
 #define LN_BATCH_KEY_SIZE 160
-#define LN_BATCH_ROW_BYTES ((size_t)(60 << 10)) /* the store takes 64 KiB */
-/* Parts of texts in a transaction, which takes 100 entries, with the batch's row as its condition
- * and as one of its writes. */
-#define LN_BATCH_MAX_PARTS 90
-/* When to come back after a refusal because the store does not answer: its short outages last some
- * seconds, and a batch is worth little when it comes much later. */
-#define LN_BATCH_STORE_RETRY (400 * LB_MSEC)
+#define LN_BATCH_MAX_ROW_BYTES ((size_t)(60 << 10)) /* the store accepts rows of 64 KiB */
+/* Checkpoint parts in one transaction. The store accepts 100 entries, among them the batch's row as
+ * the condition and as one of the writes. */
+#define LN_BATCH_MAX_CHECKPOINT_PARTS 90
+/* When a caller may retry after a failure because the store is unavailable: short outages last some
+ * seconds, and a batch that arrives much later is worth little. */
+#define LN_BATCH_STORE_RETRY_AFTER (400 * LB_MSEC)
 
 typedef struct LnBatches LnBatches;
 
 typedef enum
 {
-  LN_HELD_NOT,     /* another instance owns it, or nobody does */
-  LN_HELD_TAKING,  /* the row that makes it ours is being written */
-  LN_HELD_OFFERED, /* ours, until the instance that shall run it takes it */
-  LN_HELD_LOADING, /* ours; its content and what is listed are being read */
-  LN_HELD_RUNNING,
-  LN_HELD_RELEASING
-} LnHeld;
+  LN_BATCH_NOT_OWNED, /* owned by another instance, or by none */
+  LN_BATCH_CLAIMING,  /* the row that names this instance as owner is being written */
+  LN_BATCH_OFFERED,   /* owned here until the preferred instance takes it over */
+  LN_BATCH_LOADING,   /* owned here; its content and saved progress are being read */
+  LN_BATCH_RUNNING,
+  LN_BATCH_RELEASING /* the row without an owner is being written */
+} LnBatchState;
 
 typedef enum
 {
-  LN_OWNER_UNKNOWN, /* no list of instances shows it */
+  LN_OWNER_UNKNOWN, /* not in the list of members */
   LN_OWNER_ALIVE,
   LN_OWNER_GONE
 } LnOwnerState;
 
-/* What of an ended batch is removed next. */
+/* What the cleanup of an ended batch removes next, in this order; the batch's row comes last. */
 typedef enum
 {
-  LN_CLEAN_RESULTS,
-  LN_CLEAN_TEXTS, /* in rows of their own */
-  LN_CLEAN_PARTS,
-  LN_CLEAN_OBJECT
-} LnCleanStep;
+  LN_CLEANUP_RESULTS,
+  LN_CLEANUP_TEXT_CHUNKS, /* of texts that do not fit into the row of their result */
+  LN_CLEANUP_CHECKPOINTS,
+  LN_CLEANUP_CONTENT
+} LnCleanupStep;
 
-/* A batch as the store's row tells, and the work on it while this instance owns it. */
+/* A batch as its row in the store describes it, and its state here while this instance owns it. */
 typedef struct
 {
   LbName id; /* key */
   LnBatches *batches;
   LcBatchHead head;
-  int64_t version;     /* of the row */
-  LcBatchHead written; /* TAKING, RELEASING: what is being written */
-  LnHeld held;
-  LcBatch *run; /* RUNNING */
-  LbTime first_seen;
-  LnOwnerState owner_state; /* by these members and this version of the row: */
-  int64_t owner_members;
-  int64_t owner_version;
-  LbTime version_at;   /* when this version was first seen */
-  LbTime orphan_since; /* when its owner was first missed; 0: it has one */
-  LbTime retry_at;     /* LOADING: after a failure */
-  LbTime offered_until;
-  LbTime ended_at; /* when this instance saw that it is ended; 0: it is not */
-  LbTime clean_at; /* not before, after a failure */
-  LnCleanStep clean_step;
+  int64_t version;          /* of the row; 0: the row is not known */
+  LcBatchHead pending_head; /* CLAIMING, RELEASING: in the write in progress */
+  LnBatchState state;
+  LcBatch *run; /* RUNNING; else NULL */
+  LbTime first_seen_at;
+  LnOwnerState owner_state; /* computed from these versions of the members and of the row: */
+  int64_t owner_members_change;
+  int64_t owner_row_version;
+  LbTime version_seen_at; /* when this version was first seen */
+  LbTime orphaned_since;  /* since when its owner is not alive; 0: it is */
+  LbTime load_retry_at;   /* LOADING: after a failure */
+  LbTime offer_expires_at;
+  LbTime ended_at;         /* when this instance learned of the end; 0: not ended */
+  LbTime cleanup_retry_at; /* after a failure */
+  LnCleanupStep cleanup_step;
   UT_hash_handle hh;
 } LnBatch;
 
-/* What earlier owners of a batch left. */
+/* Progress of a batch that earlier owners stored. */
 typedef struct
 {
-  LbName *listed; /* items, by position */
+  LbName *listed; /* items with a result, by position */
   size_t n_listed;
   LcBatchTextPart *parts;
   size_t n_parts;
-} LnBatchPast;
+} LnBatchSavedProgress;
 
-/* A request of the dispatch on behalf of an item. */
+/* A request to the dispatch that generates or scores an item. */
 typedef struct
 {
   LcRequestId request; /* key */
@@ -97,98 +97,102 @@
 
 struct LnBatches
 {
-  LnTask task; /* first */
+  LnTask task; /* must be first */
   LnContext *context;
   LnTick tick;
-  LnAdmissionState belief; /* desired state */
+  LnAdmissionState admission_state; /* routes and organisations */
   LnMember *members;
   size_t n_members;
-  int64_t members_change; /* counts the lists of members that came; 0: none is known */
+  int64_t members_change_count; /* number of member lists received; 0: members are not known */
   LnBatch *by_id;
-  LnBatch *cleaned; /* whose rows are being removed; NULL: none */
-  struct LnModelHistory *histories;
+  LnBatch *cleanup_batch; /* whose rows are being removed; NULL: none */
+  struct LnModelHistory *model_histories;
   LnBatchRequest *requests;
-  LbList exchanges; /* LnBatchExchange that are being answered */
-  LpFollow *rows;   /* of all batches */
-  bool owns;        /* as the peers task was told */
+  LbList calls;        /* LnBatchCall in progress */
+  LpFollow *row_watch; /* on the rows of all batches */
+  bool owns_any;       /* a batch, as last published to the other tasks */
   bool draining;
 };
 
 /* ln-batches.c */
-/* This instance has a batch, or has none any more. */
-void ln_batches_note_owned (LnBatches *batches, bool owns);
+/* Notifies the other tasks when this instance gets its first batch or no longer owns any. */
+void ln_batches_publish_ownership (LnBatches *batches, bool owns_any);
 LnBatch *ln_batches_find (LnBatches *batches, const char *id);
-LcBatchHistory *ln_batches_history (LnBatches *batches, const char *model);
-LcTextCache *ln_batches_carried (LnBatches *batches, const char *model);
+LcBatchHistory *ln_batches_get_history (LnBatches *batches, const char *model);
+LcTextCache *ln_batches_get_text_cache (LnBatches *batches, const char *model);
 LnBatch *ln_batches_ensure (LnBatches *batches, const char *id);
-void ln_batches_forget (LnBatch *batch);
+void ln_batches_remove (LnBatch *batch);
 
-/* ln-batch-heads.c: the rows of batches, whose owner is gone, and taking them over */
+/* ln-batch-heads.c: the rows of batches; takes over batches that have lost their owner */
 void ln_batch_head_key (const char *id, char *key);
-void ln_batch_object_key (const char *id, char *key);
+void ln_batch_content_key (const char *id, char *key);
 void ln_batch_result_prefix (const char *id, char *key);
-void ln_batch_part_prefix (const char *id, char *key);
-/* Of the pieces of all long texts, and of the one at a position. */
-void ln_batch_texts_prefix (const char *id, char *key);
-void ln_batch_text_prefix (const char *id, int64_t position, char *key);
-/* The place of this instance among those that may do the duty for the batch; 0: the first. */
-size_t ln_batch_heads_rank (const LnBatch *batch, const char *duty);
-/* Writes rows under the condition that the batch's own row is as this instance knows it. */
-void ln_batch_heads_transact (const LnBatch *batch,
-                              const LpPut *puts,
-                              size_t n_puts,
-                              LpPriority priority,
-                              LpTransactDone done,
-                              void *user);
-/* A trainer brought the batch: engines are divided, and ordered, by what is asked for. */
-void ln_batch_heads_tell_demand (LnBatches *batches, const LcBatchHead *head);
-/* Takes a row that was read or written; false when it can't be read. */
-bool ln_batch_heads_take (LnBatches *batches, const LpRow *row);
-/* Begins to run the batch if its row says that it is ours and nothing runs. */
-void ln_batch_heads_review (LnBatch *batch);
-void ln_batch_heads_follow (LnBatches *batches);
+void ln_batch_checkpoint_prefix (const char *id, char *key);
+/* Chunks of all texts that do not fit into one row, and of the text at one position. */
+void ln_batch_all_chunks_prefix (const char *id, char *key);
+void ln_batch_chunks_prefix (const char *id, int64_t position, char *key);
+/* Rank of this instance among the candidates for the duty; 0 is the first. */
+size_t ln_batch_heads_get_rank (const LnBatch *batch, const char *duty);
+/* Writes rows on the condition that the batch's own row still has the version known here. */
+void ln_batch_heads_write_if_unchanged (const LnBatch *batch,
+                                        const LpPut *puts,
+                                        size_t n_puts,
+                                        LpPriority priority,
+                                        LpTransactDone done,
+                                        void *user);
+/* Reports the demand of a new batch to the tasks that divide the engines among the models and scale
+ * the services. */
+void ln_batch_heads_publish_demand (LnBatches *batches, const LcBatchHead *head);
+/* Applies a row that was read or written, unless a newer one is known; false when it cannot be
+ * parsed. */
+bool ln_batch_heads_apply_row (LnBatches *batches, const LpRow *row);
+/* Starts to run the batch if its row names this process as owner and it does not run yet. */
+void ln_batch_heads_adopt_if_owned (LnBatch *batch);
+void ln_batch_heads_start_watch (LnBatches *batches);
 void ln_batch_heads_tick (LnBatches *batches, LbTime now);
 void ln_batch_heads_release (LnBatch *batch);
-/* Accepted here: offers it to the instance that shall run it. False: there is none but this one. */
+/* Offers a batch that was accepted here to its preferred instance. False: this instance runs it. */
 bool ln_batch_heads_offer (LnBatch *batch, LbTime now);
-/* Models whose open batches the instance runs, or shall. */
-size_t ln_batches_count_models (const LnBatches *batches, const char *instance);
-/* Alive instances that take new work; the caller frees. */
-LcDutyCandidate *ln_batches_candidates (const LnBatches *batches, size_t *n);
-
-/* ln-batch-rows.c: what the rows of a batch hold. Texts are the caller's to free; false: a row that
- * can't be read, whose result still has to be cleared. */
-char *ln_batch_result_to_text (const LcBatchResult *result);
-/* The same for a result whose text lies in n_pieces rows of its own, since one row can't hold it.
- */
-char *ln_batch_result_without_text (const LcBatchResult *result, size_t n_pieces);
-/* *n_pieces is 0 when the text is in this row. */
-bool ln_batch_result_from_row (const LpRow *row, LcBatchResult *result, size_t *n_pieces);
-char *ln_batch_part_to_text (const LcBatchTextPart *part);
+/* Number of models with open batches that are assigned to the instance. */
+size_t ln_batches_count_assigned_models (const LnBatches *batches, const char *instance);
+/* Live instances that accept new batches; the caller frees. */
+LcDutyCandidate *ln_batches_list_candidates (const LnBatches *batches, size_t *n);
+
+/* ln-batch-rows.c: encoding of the rows of a batch. The caller frees the texts; false: the row
+ * cannot be parsed, and the result still has to be cleared. */
+char *ln_batch_result_to_json (const LcBatchResult *result);
+/* The same for a result whose text is too long for one row and is stored in n_chunks other rows. */
+char *ln_batch_result_to_json_without_text (const LcBatchResult *result, size_t n_chunks);
+/* *n_chunks is 0 when the text is in this row. */
+bool ln_batch_result_from_row (const LpRow *row, LcBatchResult *result, size_t *n_chunks);
+char *ln_batch_part_to_json (const LcBatchTextPart *part);
 bool ln_batch_part_from_row (const LpRow *row, LcBatchTextPart *part);
 
-/* ln-batch-load.c: reads what a batch that was taken over consists of, then runs it */
+/* ln-batch-load.c: reads the content and the saved progress of a batch, then runs it */
 void ln_batch_load (LnBatch *batch);
 
-/* ln-batch-owner.c: running what is owned */
-void ln_batch_owner_run (LnBatch *batch, LcBatchSpec *spec, const LnBatchPast *past);
-/* Rows for the parts of a KEEP; returns how many. A part too long for a row is left out: the next
- * owner goes on from what stands before it. Cleared by ln_batch_owner_clear_puts. */
-size_t
-ln_batch_owner_puts (const LnBatch *batch, const LcBatchAction *action, LpPut *puts, size_t max);
+/* ln-batch-owner.c: runs the batches that this instance owns */
+void ln_batch_owner_start (LnBatch *batch, LcBatchSpec *spec, const LnBatchSavedProgress *saved);
+/* Builds the rows of an LC_BATCH_CHECKPOINT and returns their number; they are freed by
+ * ln_batch_owner_clear_puts. A part that is too long for a row is left out: the next owner
+ * continues the text after the parts before it. */
+size_t ln_batch_owner_build_checkpoint_puts (const LnBatch *batch,
+                                             const LcBatchAction *action,
+                                             LpPut *puts,
+                                             size_t max);
 void ln_batch_owner_clear_puts (LpPut *puts, size_t n);
 void ln_batch_owner_stop (LnBatch *batch);
 void ln_batch_owner_tick (LnBatch *batch, LbTime now);
-void ln_batch_owner_piece (LnBatches *batches, const LnSamplePieceMessage *message);
-void ln_batch_owner_done (LnBatches *batches, const LnSampleDoneMessage *message);
+void ln_batch_owner_receive_piece (LnBatches *batches, const LnSamplePieceMessage *message);
+void ln_batch_owner_finish_request (LnBatches *batches, const LnSampleDoneMessage *message);
 
-/* ln-batch-cleanup.c: what ended batches left in the store */
+/* ln-batch-cleanup.c: removes ended batches from the store */
 void ln_batch_cleanup_tick (LnBatches *batches, LbTime now);
 
 /* ln-batch-calls.c: callers' requests about batches */
-void ln_batch_calls_take (LnBatches *batches, LnExchange *exchange);
-void ln_batch_calls_gone (LnBatches *batches, LnExchange *exchange);
+void ln_batch_calls_receive (LnBatches *batches, LnExchange *exchange);
+void ln_batch_calls_caller_disconnected (LnBatches *batches, LnExchange *exchange);
 void ln_batch_calls_tick (LnBatches *batches, LbTime now);
-void ln_batch_calls_clear (LnBatches *batches);
+void ln_batch_calls_free_all (LnBatches *batches);
 
 #endif
--- a/packages/node/src/batch/ln-batches.c
+++ b/packages/node/src/batch/ln-batches.c
@@ -10,23 +10,23 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TICK (50 * LB_MSEC)
-/* Between two reads of the batches' rows by an instance outside the directory. */
-#define IDLE_GAP (2 * LB_SEC)
+#define TICK_PERIOD (50 * LB_MSEC)
+/* Between two watches of the batches' rows on an instance that the full directory leaves out. */
+#define IDLE_WATCH_GAP (2 * LB_SEC)
 
-static LbMetric owned
+static LbMetric batches_owned
     = LB_GAUGE_INIT ("lentilspindle_batches_owned", NULL, "Batches that this instance runs");
 
-/* Texts of a model's groups that were not whole, held for the next steps: a few steps of 2,048
- * samples of 2 KB, of which less than half may come again. */
-#define MAX_CARRIED_BYTES ((size_t)(16 << 20))
+/* Per model, for the texts of incomplete groups: a few steps of 2,048 samples of 2 KB, of which
+ * less than half may be requested again. */
+#define MAX_TEXT_CACHE_BYTES ((size_t)(16 << 20))
 
-/* What the batches of one model taught and left. */
+/* Statistics and reusable texts of the batches of one model. */
 typedef struct LnModelHistory
 {
   LbName model; /* key */
   LcBatchHistory *history;
-  LcTextCache *carried;
+  LcTextCache *text_cache;
   UT_hash_handle hh;
 } LnModelHistory;
 
@@ -35,28 +35,28 @@
 {
   LnModelHistory *entry = NULL;
 
-  HASH_FIND_STR (batches->histories, model, entry);
+  HASH_FIND_STR (batches->model_histories, model, entry);
   if (!entry)
     {
       entry = LB_NEW (LnModelHistory);
       entry->history = lc_batch_history_new ();
-      entry->carried = lc_text_cache_new (MAX_CARRIED_BYTES);
+      entry->text_cache = lc_text_cache_new (MAX_TEXT_CACHE_BYTES);
       LB_COPY (entry->model, model);
-      HASH_ADD_STR (batches->histories, model, entry);
+      HASH_ADD_STR (batches->model_histories, model, entry);
     }
   return entry;
 }
 
 LcBatchHistory *
-ln_batches_history (LnBatches *batches, const char *model)
+ln_batches_get_history (LnBatches *batches, const char *model)
 {
   return ensure_model (batches, model)->history;
 }
 
 LcTextCache *
-ln_batches_carried (LnBatches *batches, const char *model)
+ln_batches_get_text_cache (LnBatches *batches, const char *model)
 {
-  return ensure_model (batches, model)->carried;
+  return ensure_model (batches, model)->text_cache;
 }
 
 LnBatch *
@@ -77,32 +77,33 @@
     return batch;
   batch = LB_NEW (LnBatch);
   batch->batches = batches;
-  batch->first_seen = lb_clock_monotonic ();
+  batch->first_seen_at = lb_clock_monotonic ();
   LB_COPY (batch->id, id);
   HASH_ADD_STR (batches->by_id, id, batch);
   return batch;
 }
 
 void
-ln_batches_forget (LnBatch *batch)
+ln_batches_remove (LnBatch *batch)
 {
   HASH_DEL (batch->batches->by_id, batch);
   free (batch);
 }
 
 static void
-take_members (LnBatches *batches, const LnMembersMessage *message)
+set_members (LnBatches *batches, const LnMembersMessage *message)
 {
   free (batches->members);
   batches->members = lb_memdup (message->members, message->n_members * sizeof (LnMember));
   batches->n_members = message->n_members;
-  batches->members_change++;
-  /* Nobody offers it batches; a call about one that it does not know asks the store. */
-  lp_follow_set_gap (batches->rows, message->is_left_out && !batches->owns ? IDLE_GAP : 0);
+  batches->members_change_count++;
+  /* An instance that is left out gets no offers; a call about an unknown batch reads the store. */
+  lp_follow_set_gap (batches->row_watch,
+                     message->is_left_out && !batches->owns_any ? IDLE_WATCH_GAP : 0);
 }
 
 static void
-receive (LnTask *base, const LnMessage *message)
+handle_message (LnTask *base, const LnMessage *message)
 {
   LnBatches *batches = (LnBatches *)base;
 
@@ -110,25 +111,25 @@
     {
     case LN_EXCHANGE:
       ln_ticker_note_work (ln_context_ticker (batches->context), lb_clock_monotonic ());
-      ln_batch_calls_take (batches, ((const LnExchangeMessage *)message)->exchange);
+      ln_batch_calls_receive (batches, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_CALLER_DISCONNECTED:
-      ln_batch_calls_gone (batches, ((const LnExchangeMessage *)message)->exchange);
+      ln_batch_calls_caller_disconnected (batches, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_DESIRED:
-      ln_admission_state_update (&batches->belief, (const LnDesiredMessage *)message);
+      ln_admission_state_update (&batches->admission_state, (const LnDesiredMessage *)message);
       break;
     case LN_DESIRED_CONFIRMED:
-      batches->belief.confirmed_at = ((const LnDesiredConfirmedMessage *)message)->at;
+      batches->admission_state.confirmed_at = ((const LnDesiredConfirmedMessage *)message)->at;
       break;
     case LN_MEMBERS:
-      take_members (batches, (const LnMembersMessage *)message);
+      set_members (batches, (const LnMembersMessage *)message);
       break;
     case LN_SAMPLE_PIECE:
-      ln_batch_owner_piece (batches, (const LnSamplePieceMessage *)message);
+      ln_batch_owner_receive_piece (batches, (const LnSamplePieceMessage *)message);
       break;
     case LN_SAMPLE_DONE:
-      ln_batch_owner_done (batches, (const LnSampleDoneMessage *)message);
+      ln_batch_owner_finish_request (batches, (const LnSampleDoneMessage *)message);
       break;
     default:
       break;
@@ -136,13 +137,14 @@
 }
 
 void
-ln_batches_note_owned (LnBatches *batches, bool owns)
+ln_batches_publish_ownership (LnBatches *batches, bool owns_any)
 {
-  LnDutyMessage message = { .base = LN_MESSAGE (LN_DUTY), .duty = LN_DUTY_BATCHES, .held = owns };
+  LnDutyMessage message
+      = { .base = LN_MESSAGE (LN_DUTY), .duty = LN_DUTY_BATCHES, .held = owns_any };
 
-  if (owns == batches->owns)
+  if (owns_any == batches->owns_any)
     return;
-  batches->owns = owns;
+  batches->owns_any = owns_any;
   LN_POST (batches->task.hub, NULL, message);
 }
 
@@ -152,22 +154,22 @@
   LnBatches *batches = user;
   LbTime now = lb_clock_monotonic ();
   int64_t n_owned = 0;
-  bool owns = false;
+  bool owns_any = false;
 
   ln_stall_note ("tick of rollouts");
   ln_batch_heads_tick (batches, now);
   for (LnBatch *batch = batches->by_id; batch; batch = batch->hh.next)
     {
       ln_batch_owner_tick (batch, now);
-      n_owned += batch->held == LN_HELD_RUNNING;
-      owns |= batch->held != LN_HELD_NOT && batch->held != LN_HELD_RELEASING;
+      n_owned += batch->state == LN_BATCH_RUNNING;
+      owns_any |= batch->state != LN_BATCH_NOT_OWNED && batch->state != LN_BATCH_RELEASING;
     }
   ln_batch_calls_tick (batches, now);
   ln_batch_cleanup_tick (batches, now);
-  for (LnModelHistory *model = batches->histories; model; model = model->hh.next)
-    lc_text_cache_expire (model->carried, now);
-  lb_metric_set (&owned, n_owned);
-  ln_batches_note_owned (batches, owns);
+  for (LnModelHistory *model = batches->model_histories; model; model = model->hh.next)
+    lc_text_cache_expire (model->text_cache, now);
+  lb_metric_set (&batches_owned, n_owned);
+  ln_batches_publish_ownership (batches, owns_any);
 }
 
 static void
@@ -186,9 +188,9 @@
   const LnBatches *batches = (const LnBatches *)base;
 
   for (const LnBatch *batch = batches->by_id; batch; batch = batch->hh.next)
-    if (batch->held != LN_HELD_NOT)
+    if (batch->state != LN_BATCH_NOT_OWNED)
       return false;
-  return lb_list_is_empty (&batches->exchanges);
+  return lb_list_is_empty (&batches->calls);
 }
 
 static void
@@ -199,7 +201,7 @@
   LnBatchRequest *request, *next_request;
   LnModelHistory *history, *next_history;
 
-  ln_batch_calls_clear (batches);
+  ln_batch_calls_free_all (batches);
   HASH_ITER (hh, batches->requests, request, next_request)
   {
     HASH_DEL (batches->requests, request);
@@ -211,25 +213,27 @@
     lc_batch_free (batch->run);
     free (batch);
   }
-  HASH_ITER (hh, batches->histories, history, next_history)
+  HASH_ITER (hh, batches->model_histories, history, next_history)
   {
-    HASH_DEL (batches->histories, history);
+    HASH_DEL (batches->model_histories, history);
     lc_batch_history_free (history->history);
-    lc_text_cache_free (history->carried);
+    lc_text_cache_free (history->text_cache);
     free (history);
   }
-  lp_follow_free (batches->rows);
-  lc_desired_unref (batches->belief.desired);
+  lp_follow_free (batches->row_watch);
+  lc_desired_unref (batches->admission_state.desired);
   free (batches->members);
   ln_ticker_remove (ln_context_ticker (batches->context), &batches->tick);
   free (batches);
 }
 
-static const LnTaskClass batches_class = {
-  .name = "rollouts", .receive = receive, .drain = drain, .is_idle = is_idle, .free = free_task
-};
+static const LnTaskClass batches_class = { .name = "rollouts",
+                                           .receive = handle_message,
+                                           .drain = drain,
+                                           .is_idle = is_idle,
+                                           .free = free_task };
 
-/* Batches of samples on a shared platform. Runs as the task "rollouts". */
+/* Runs batches of samples on a shared platform, as the task "rollouts". */
 LnTask *
 ln_batches_new (LnContext *context)
 {
@@ -238,9 +242,9 @@
   batches->task.klass = &batches_class;
   batches->task.hub = context->hub;
   batches->context = context;
-  lb_list_init (&batches->exchanges);
-  ln_batch_heads_follow (batches);
-  batches->tick = (LnTick){ .period = TICK, .call = on_tick, .user = batches };
+  lb_list_init (&batches->calls);
+  ln_batch_heads_start_watch (batches);
+  batches->tick = (LnTick){ .period = TICK_PERIOD, .call = on_tick, .user = batches };
   ln_ticker_add (ln_context_ticker (context), &batches->tick);
   return &batches->task;
 }
--- a/packages/node/src/weights/ln-engine-plans.c
+++ b/packages/node/src/weights/ln-engine-plans.c
@@ -13,77 +13,77 @@
 #include <string.h>
 
 #define TABLE "plan"
-/* With the lease, away from the unnamed part, to which endpoints and operators write. */
+/* The partition of the lease, and not the unnamed one, to which endpoints and operators write. */
 #define PREFIX TABLE "/weights/"
 #define KEY_SIZE 32
-#define WATCH_WAIT (900 * LB_MSEC) /* a watch whose connection went silent is given up after it */
-#define WATCH_RETRY (200 * LB_MSEC)
-/* Of an instance that sends nothing to engines: rows change with each load, several times a second.
- */
-#define IDLE_PAUSE (5 * LB_SEC)
-/* Loads begin and end several times a second where there are many engines; one write tells of all.
+#define WATCH_TIMEOUT (900 * LB_MSEC) /* also detects a silently dead connection */
+#define WATCH_RETRY_DELAY (200 * LB_MSEC)
+/* Of an instance that sends nothing to engines: each load changes rows, several times per second.
  */
+#define IDLE_READ_PAUSE (5 * LB_SEC)
+/* With many engines, loads begin and end several times per second; one write covers them all. */
 #define WRITE_PERIOD (150 * LB_MSEC)
-/* Between two divisions; batches come every few seconds, and each brings the demand up to date. */
-#define DIVIDE_PERIOD (2 * LB_SEC)
-/* A writer that knows of no step may just not have read the rows of batches yet. */
-#define LISTING_TIME (3 * LB_SEC)
+/* Between two divisions of the engines among the models; batches arrive every few seconds, and each
+ * updates the demand. */
+#define DIVISION_PERIOD (2 * LB_SEC)
+/* A new writer without any demand may not have read the rows of batches yet. */
+#define DEMAND_LISTING_TIME (3 * LB_SEC)
 
 struct LnEnginePlans
 {
   LnContext *context;
   void (*on_plan) (const LcEnginePlan *plan, void *user);
   void *user;
-  LcEnginePlan parts[LC_ENGINE_PLAN_PARTS]; /* as the rows say */
+  LcEnginePlan parts[LC_ENGINE_PLAN_PARTS]; /* as stored */
   int64_t versions[LC_ENGINE_PLAN_PARTS];
-  LcEnginePlan plan;   /* of all parts */
-  LcEnginePlan wanted; /* as it shall be, where this instance writes it */
+  LcEnginePlan plan;    /* of all parts */
+  LcEnginePlan desired; /* to be stored, if is_writer */
   bool is_writer;
   LbTime writer_since;
-  LpFollow *rows;
+  LpFollow *row_watch;
   LcDemand *demand;
-  bool writing;
-  bool writes_again;                     /* the last write failed */
-  bool is_written[LC_ENGINE_PLAN_PARTS]; /* by the write on its way, or the last */
-  LbTime next_write;
-  LbTime next_division;
+  bool is_write_pending;
+  bool must_retry_write;
+  bool is_in_write[LC_ENGINE_PLAN_PARTS]; /* in the write in progress, or in the last one */
+  LbTime next_write_at;
+  LbTime next_division_at;
 };
 
 static void
-part_key (size_t index, char *key)
+format_part_key (size_t index, char *key)
 {
   snprintf (key, KEY_SIZE, PREFIX "%02zx", index);
 }
 
-/* Index of the part that the row holds; LC_ENGINE_PLAN_PARTS: none. */
+/* Index of the part that is stored under the key; LC_ENGINE_PLAN_PARTS: none. */
 static size_t
-part_of_key (const char *key)
+find_part_index (const char *key)
 {
-  char known[KEY_SIZE];
+  char part_key[KEY_SIZE];
 
   for (size_t i = 0; i < LC_ENGINE_PLAN_PARTS; i++)
     {
-      part_key (i, known);
-      if (strcmp (key, known) == 0)
+      format_part_key (i, part_key);
+      if (strcmp (key, part_key) == 0)
         return i;
     }
   return LC_ENGINE_PLAN_PARTS;
 }
 
-/* True when it is news. */
+/* True when the row was newer than the one known and could be parsed. */
 static bool
-take_row (LnEnginePlans *plans, const LpRow *row)
+apply_row (LnEnginePlans *plans, const LpRow *row)
 {
-  size_t index = part_of_key (row->key);
+  size_t index = find_part_index (row->key);
   struct json_object *object = row->value ? json_tokener_parse (row->value) : NULL;
   LcEnginePlan part;
-  bool is_taken = false;
+  bool is_applied = false;
 
   if (index == LC_ENGINE_PLAN_PARTS || row->version <= plans->versions[index])
     goto out;
   plans->versions[index] = row->version;
-  is_taken = lc_engine_plan_from_json (object, &part);
-  if (!is_taken)
+  is_applied = lc_engine_plan_from_json (object, &part);
+  if (!is_applied)
     {
       lb_log (LB_LOG_WARNING, "engine_plan_unreadable", LB_TEXT ("key", row->key),
               LB_INT ("version", row->version));
@@ -93,18 +93,18 @@
   plans->parts[index] = part;
 out:
   json_object_put (object);
-  return is_taken;
+  return is_applied;
 }
 
 static void
-on_rows (const LpRow *rows, size_t n_rows, void *user)
+on_rows_changed (const LpRow *rows, size_t n_rows, void *user)
 {
   LnEnginePlans *plans = user;
-  bool is_taken = false;
+  bool is_applied = false;
 
   for (size_t i = 0; i < n_rows; i++)
-    is_taken |= take_row (plans, &rows[i]);
-  if (!is_taken)
+    is_applied |= apply_row (plans, &rows[i]);
+  if (!is_applied)
     return;
   lc_engine_plan_clear (&plans->plan);
   lc_engine_plan_join (plans->parts, &plans->plan);
@@ -117,23 +117,25 @@
                      void *user)
 {
   static const char *const prefixes[] = { PREFIX };
-  const LpFollowSettings settings = {
-    .table = TABLE, .prefixes = prefixes, .n_prefixes = 1, .wait = WATCH_WAIT, .retry = WATCH_RETRY
-  };
+  const LpFollowSettings settings = { .table = TABLE,
+                                      .prefixes = prefixes,
+                                      .n_prefixes = 1,
+                                      .wait = WATCH_TIMEOUT,
+                                      .retry = WATCH_RETRY_DELAY };
   LnEnginePlans *plans = LB_NEW (LnEnginePlans);
 
   plans->context = context;
   plans->on_plan = on_plan;
   plans->user = user;
   plans->demand = lc_demand_new ();
-  plans->rows = lp_follow_new (context->platform, &settings, on_rows, plans);
+  plans->row_watch = lp_follow_new (context->platform, &settings, on_rows_changed, plans);
   return plans;
 }
 
 void
 ln_engine_plans_set_needed (LnEnginePlans *plans, bool needed, LbTime now)
 {
-  lp_follow_set_pause (plans->rows, needed ? 0 : IDLE_PAUSE, now);
+  lp_follow_set_pause (plans->row_watch, needed ? 0 : IDLE_READ_PAUSE, now);
 }
 
 void
@@ -142,9 +144,9 @@
   for (size_t i = 0; i < LC_ENGINE_PLAN_PARTS; i++)
     lc_engine_plan_clear (&plans->parts[i]);
   lc_engine_plan_clear (&plans->plan);
-  lc_engine_plan_clear (&plans->wanted);
+  lc_engine_plan_clear (&plans->desired);
   lc_demand_free (plans->demand);
-  lp_follow_free (plans->rows);
+  lp_follow_free (plans->row_watch);
   free (plans);
 }
 
@@ -154,24 +156,25 @@
   lc_demand_add (plans->demand, model, (double)tokens, now);
 }
 
-/* Guards against a part whose write failed and that says what no row says until it changes. */
+/* After a failed write, clears the part so that it is written again: it would otherwise differ from
+ * its row until its next change. */
 static void
-forget_part (LnEnginePlans *plans, size_t index)
+invalidate_part (LnEnginePlans *plans, size_t index)
 {
   lc_engine_plan_clear (&plans->parts[index]);
-  plans->writes_again = true;
+  plans->must_retry_write = true;
 }
 
 static void
-on_written (LbErrorCode error, const LpRow *row, void *user)
+on_plan_written (LbErrorCode error, const LpRow *row, void *user)
 {
   LnEnginePlans *plans = user;
 
-  plans->writing = false;
+  plans->is_write_pending = false;
   for (size_t i = 0; i < LC_ENGINE_PLAN_PARTS; i++)
-    if (plans->is_written[i] && error != LB_OK)
-      forget_part (plans, i);
-    else if (plans->is_written[i] && row->version > plans->versions[i])
+    if (plans->is_in_write[i] && error != LB_OK)
+      invalidate_part (plans, i);
+    else if (plans->is_in_write[i] && row->version > plans->versions[i])
       plans->versions[i] = row->version;
   if (error != LB_OK)
     lb_log (LB_LOG_WARNING, "engine_plan_not_written", LB_TEXT ("error", lb_error_name (error)));
@@ -184,15 +187,15 @@
   LpCondition conditions[LC_ENGINE_PLAN_PARTS];
   LpPut puts[LC_ENGINE_PLAN_PARTS];
   size_t n;
-} Write;
+} PlanWrite;
 
-/* This instance need not wait for its own row. */
+/* Updates the known part at once: this instance need not wait until the watch shows its own row. */
 static void
-add_part (LnEnginePlans *plans, size_t index, LcEnginePlan *part, Write *write)
+add_part (LnEnginePlans *plans, size_t index, LcEnginePlan *part, PlanWrite *write)
 {
   size_t n = write->n++;
 
-  part_key (index, write->keys[n]);
+  format_part_key (index, write->keys[n]);
   write->objects[n] = lc_engine_plan_to_json (part);
   write->conditions[n] = (LpCondition){ .key = write->keys[n], .version = plans->versions[index] };
   write->puts[n] = (LpPut){ .key = write->keys[n],
@@ -203,14 +206,14 @@
 }
 
 static void
-add_changed_parts (LnEnginePlans *plans, Write *write)
+add_changed_parts (LnEnginePlans *plans, PlanWrite *write)
 {
   for (size_t i = 0; i < LC_ENGINE_PLAN_PARTS; i++)
     {
       LcEnginePlan part;
-      lc_engine_plan_part (&plans->wanted, i, &part);
-      plans->is_written[i] = !lc_engine_plan_is_same (&part, &plans->parts[i]);
-      if (plans->is_written[i])
+      lc_engine_plan_part (&plans->desired, i, &part);
+      plans->is_in_write[i] = !lc_engine_plan_is_same (&part, &plans->parts[i]);
+      if (plans->is_in_write[i])
         add_part (plans, i, &part, write);
       else
         lc_engine_plan_clear (&part);
@@ -221,11 +224,11 @@
 write_plan (LnEnginePlans *plans, LbTime now)
 {
   LpPlatform *platform = plans->context->platform;
-  Write write = { .n = 0 };
+  PlanWrite write = { .n = 0 };
 
-  plans->writes_again = false;
+  plans->must_retry_write = false;
   add_changed_parts (plans, &write);
-  /* The rows that failed have shown as wanted since then. */
+  /* Since the failed write, the watch has shown its rows with the desired content. */
   if (write.n == 0)
     return;
   const LpTransaction transaction = { .token = "",
@@ -233,24 +236,24 @@
                                       .n_conditions = write.n,
                                       .puts = write.puts,
                                       .n_puts = write.n };
-  plans->writing = true;
-  plans->next_write = now + WRITE_PERIOD;
-  platform->klass->transact (platform, &transaction, LP_PRIORITY_STATUS, on_written, plans);
+  plans->is_write_pending = true;
+  plans->next_write_at = now + WRITE_PERIOD;
+  platform->klass->transact (platform, &transaction, LP_PRIORITY_STATUS, on_plan_written, plans);
   for (size_t i = 0; i < write.n; i++)
     json_object_put (write.objects[i]);
   lc_engine_plan_clear (&plans->plan);
-  lc_engine_plan_copy (&plans->plan, &plans->wanted);
+  lc_engine_plan_copy (&plans->plan, &plans->desired);
   plans->on_plan (&plans->plan, plans->user);
 }
 
 void
 ln_engine_plans_update_engine (LnEnginePlans *plans, const LcPlanEntry *entry)
 {
-  const LcPlanEntry *wanted = lc_engine_plan_find (&plans->wanted, entry->engine);
+  const LcPlanEntry *desired = lc_engine_plan_find (&plans->desired, entry->engine);
 
-  /* What was learnt of the model that the engine served before does not bring it back. */
-  if (plans->is_writer && (!wanted || strcmp (wanted->model, entry->model) == 0))
-    lc_engine_plan_note (&plans->wanted, entry);
+  /* State of the model that the engine served before must not revert its assignment. */
+  if (plans->is_writer && (!desired || strcmp (desired->model, entry->model) == 0))
+    lc_engine_plan_note (&plans->desired, entry);
 }
 
 static size_t
@@ -265,13 +268,13 @@
 }
 
 static bool
-knows_demand (const LnEnginePlans *plans, LbTime now)
+is_demand_known (const LnEnginePlans *plans, LbTime now)
 {
-  return !lc_demand_is_empty (plans->demand) || now - plans->writer_since >= LISTING_TIME;
+  return !lc_demand_is_empty (plans->demand) || now - plans->writer_since >= DEMAND_LISTING_TIME;
 }
 
 static void
-divide (LnEnginePlans *plans, const LcRoster *roster, LbTime now)
+divide_engines (LnEnginePlans *plans, const LcRoster *roster, LbTime now)
 {
   LcPlanEntry *engines = LB_NEW_ARRAY (LcPlanEntry, lc_roster_count (roster) + 1);
   LbName models[LC_MAX_MODELS];
@@ -280,28 +283,28 @@
 
   for (size_t i = 0; i < lc_roster_count (roster); i++)
     {
-      const LcRegistration *listed = lc_roster_registration (roster, i);
-      if (listed->n_models == 0 || listed->leaving)
+      const LcRegistration *registration = lc_roster_registration (roster, i);
+      if (registration->n_models == 0 || registration->leaving)
         continue;
-      LB_COPY (engines[n_engines].engine, listed->name);
+      LB_COPY (engines[n_engines].engine, registration->name);
       LB_COPY (engines[n_engines].model, lc_roster_model (roster, i));
       n_engines++;
-      for (size_t model = 0; model < listed->n_models; model++)
-        n_models = add_model (models, n_models, listed->models[model].name);
+      for (size_t model = 0; model < registration->n_models; model++)
+        n_models = add_model (models, n_models, registration->models[model].name);
     }
   ln_stall_note ("division of engines");
-  lc_engine_plan_divide (&plans->wanted, engines, n_engines, models, n_models, plans->demand, now);
+  lc_engine_plan_divide (&plans->desired, engines, n_engines, models, n_models, plans->demand, now);
   free (engines);
 }
 
-/* The writer begins with what the one before it wrote. */
+/* A new writer starts from the plan of the previous one. */
 static void
 set_writer (LnEnginePlans *plans, bool is_writer, LbTime now)
 {
   if (is_writer && !plans->is_writer)
     {
-      lc_engine_plan_clear (&plans->wanted);
-      lc_engine_plan_copy (&plans->wanted, &plans->plan);
+      lc_engine_plan_clear (&plans->desired);
+      lc_engine_plan_copy (&plans->desired, &plans->plan);
       plans->writer_since = now;
     }
   plans->is_writer = is_writer;
@@ -310,16 +313,16 @@
 void
 ln_engine_plans_tick (LnEnginePlans *plans, const LcRoster *roster, bool may_write, LbTime now)
 {
-  lp_follow_tick (plans->rows, now);
-  set_writer (plans, may_write && lp_follow_has_listed (plans->rows), now);
+  lp_follow_tick (plans->row_watch, now);
+  set_writer (plans, may_write && lp_follow_has_listed (plans->row_watch), now);
   if (!plans->is_writer)
     return;
-  if (now >= plans->next_division && knows_demand (plans, now))
+  if (now >= plans->next_division_at && is_demand_known (plans, now))
     {
-      plans->next_division = now + DIVIDE_PERIOD;
-      divide (plans, roster, now);
+      plans->next_division_at = now + DIVISION_PERIOD;
+      divide_engines (plans, roster, now);
     }
-  if (!plans->writing && now >= plans->next_write
-      && (plans->writes_again || !lc_engine_plan_is_same (&plans->wanted, &plans->plan)))
+  if (!plans->is_write_pending && now >= plans->next_write_at
+      && (plans->must_retry_write || !lc_engine_plan_is_same (&plans->desired, &plans->plan)))
     write_plan (plans, now);
 }
--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -18,12 +18,12 @@
 #include <uthash.h>
 
 #define DUTY "weights"
-#define ORDER_SILENCE (1200 * LB_MSEC) /* an order without an answer counts as lost then */
-#define LOAD_LIMIT (6 * LB_SEC)        /* several times the load of an engine on its own */
-#define LOOK_RETRY (120 * LB_MSEC)     /* after a question or an order that failed */
-/* All engines are asked as soon as the lease is held, and answer within some 10 ms, loading or not.
- */
-#define ANSWER_LIMIT (400 * LB_MSEC)
+#define RESPONSE_TIMEOUT (1200 * LB_MSEC) /* of orders and state queries */
+#define LOAD_TIMEOUT (6 * LB_SEC)         /* several times the load time of a single engine */
+#define QUERY_RETRY_DELAY (120 * LB_MSEC) /* after a failed query or order */
+/* All engines are queried as soon as the lease is held, and answer within some 10 ms, whether they
+ * are loading or not. */
+#define STATE_TIMEOUT (400 * LB_MSEC)
 
 typedef struct Engine Engine;
 
@@ -34,7 +34,7 @@
   LnWeightOrders *orders;
   LbName name;
   LcWeights *weights;
-  bool configured;
+  bool is_configured;
 } Model;
 
 struct Engine
@@ -43,15 +43,15 @@
   LnWeightOrders *orders;
   LbName address;
   LbName model;
-  int64_t orders_accepted; /* as it stated; -1: it has to be asked before it is ordered */
+  int64_t orders_accepted; /* in all, as it stated; -1: must be queried before the next order */
   LcVersion version;
-  LcVersion ordered; /* by the order that has not taken effect yet; 0: none */
+  LcVersion ordered_version; /* by the order in progress; 0: none */
   LbTime ordered_at;
-  LbTime look_at;
-  LbTime asked_at; /* when the look on its way was sent */
-  LhFetch *order;
-  LhFetch *look;
-  bool configured;
+  LbTime next_query_at;
+  LbTime query_sent_at; /* of the query in progress */
+  LhFetch *order_fetch;
+  LhFetch *query_fetch;
+  bool is_configured;
   UT_hash_handle hh;
 };
 
@@ -62,22 +62,23 @@
   void *user;
   LnDutyLease *lease;
   LcLoadTime load_time;
-  bool all_check_fences; /* all engines refuse an order with an old fencing number */
+  bool all_check_fences; /* all engines reject an order with an old fencing number */
   LbList models;
   Engine *engines;
 };
 
-/* What the holder before knew of an engine, and of its own orders, is not known here. */
+/* The lease was gained or lost: discards the engines' states, since the orders of the previous
+ * holder are not known here. */
 static void
-begin_anew (LbTime now, void *user)
+discard_states (LbTime now, void *user)
 {
   LnWeightOrders *orders = user;
 
   for (Engine *engine = orders->engines; engine; engine = engine->hh.next)
     {
-      engine->ordered = 0;
+      engine->ordered_version = 0;
       engine->orders_accepted = -1;
-      engine->look_at = now;
+      engine->next_query_at = now;
     }
   LB_LIST_FOREACH (&orders->models, Model, link, model)
   {
@@ -97,7 +98,7 @@
   orders->user = user;
   orders->lease
       = ln_duty_lease_new (context, DUTY, context->settings->weights.endpoints_check_fence,
-                           begin_anew, orders);
+                           discard_states, orders);
   lb_list_init (&orders->models);
   return orders;
 }
@@ -105,10 +106,10 @@
 static void
 engine_free (Engine *engine)
 {
-  if (engine->order)
-    lh_fetch_cancel (engine->order);
-  if (engine->look)
-    lh_fetch_cancel (engine->look);
+  if (engine->order_fetch)
+    lh_fetch_cancel (engine->order_fetch);
+  if (engine->query_fetch)
+    lh_fetch_cancel (engine->query_fetch);
   HASH_DEL (engine->orders->engines, engine);
   free (engine);
 }
@@ -152,8 +153,8 @@
     return model;
   model = LB_NEW (Model);
   lc_weights_settings_init (&settings, name);
-  settings.load_limit = LOAD_LIMIT;
-  settings.answer_limit = ANSWER_LIMIT;
+  settings.load_limit = LOAD_TIMEOUT;
+  settings.answer_limit = STATE_TIMEOUT;
   model->orders = orders;
   model->weights = lc_weights_new (&settings);
   LB_COPY (model->name, name);
@@ -183,13 +184,13 @@
       LB_COPY (engine->name, member->name);
       HASH_ADD_STR (orders->engines, name, engine);
     }
-  engine->configured = true;
+  engine->is_configured = true;
   LB_COPY (engine->address, member->address);
-  /* What is known of one model's weights says nothing of another's: requests would go to weights
-   * that the engine does not have, and their texts be thrown away for their age. */
+  /* The state of one model's weights does not apply to another's: requests would be sent to weights
+   * that the engine does not have, and their texts discarded as stale. */
   if (strcmp (engine->model, member->pool) != 0)
     {
-      engine->ordered = 0;
+      engine->ordered_version = 0;
       engine->version = 0;
     }
   LB_COPY (engine->model, member->pool);
@@ -201,7 +202,7 @@
   Engine *engine, *next;
 
   for (engine = orders->engines; engine; engine = engine->hh.next)
-    engine->configured = false;
+    engine->is_configured = false;
   orders->all_check_fences = true;
   for (size_t i = 0; i < set->n_endpoints; i++)
     {
@@ -213,7 +214,7 @@
     }
   HASH_ITER (hh, orders->engines, engine, next)
   {
-    if (!engine->configured)
+    if (!engine->is_configured)
       engine_free (engine);
   }
   for (size_t i = 0; i < set->n_pools; i++)
@@ -233,22 +234,22 @@
   lc_weights_newest (ensure_model (orders, model)->weights, version, now);
 }
 
-/* --- what engines have --- */
+/* --- states of engines --- */
 
 static void
-tell_engine (const Engine *engine)
+publish_engine (const Engine *engine)
 {
-  LcPlanEntry entry = { .version = engine->version, .loading = engine->ordered != 0 };
+  LcPlanEntry entry = { .version = engine->version, .loading = engine->ordered_version != 0 };
 
   LB_COPY (entry.engine, engine->name);
   LB_COPY (entry.model, engine->model);
   engine->orders->on_engine (&entry, engine->orders->user);
 }
 
-/* Takes what the engine stated when it was asked at asked_at. An order that was given counts as
- * being carried out until the version shows, or for so long that it must have failed. */
+/* Applies the version that the engine stated at asked_at. An order counts as in progress until the
+ * engine has the ordered version, or until LOAD_TIMEOUT, after which it must have failed. */
 static void
-take_state (Engine *engine, LcVersion version, LbTime asked_at, LbTime now)
+apply_version (Engine *engine, LcVersion version, LbTime asked_at, LbTime now)
 {
   Model *model = find_model (engine->orders, engine->model);
   LcWeightReport report = { .version = version, .asked_at = asked_at };
@@ -258,10 +259,11 @@
   if (!model)
     return;
   engine->version = version;
-  if (engine->ordered != 0 && (version >= engine->ordered || now - engine->ordered_at > LOAD_LIMIT))
-    engine->ordered = 0;
-  tell_engine (engine);
-  report.loading = engine->ordered != 0;
+  if (engine->ordered_version != 0
+      && (version >= engine->ordered_version || now - engine->ordered_at > LOAD_TIMEOUT))
+    engine->ordered_version = 0;
+  publish_engine (engine);
+  report.loading = engine->ordered_version != 0;
   LB_COPY (report.incarnation, engine->name);
   lb_list_init (&actions);
   lc_weights_report (model->weights, engine->name, &report, now, &actions);
@@ -277,38 +279,39 @@
 {
   for (size_t i = 0; i < lc_roster_count (roster); i++)
     {
-      const LcRegistration *listed = lc_roster_registration (roster, i);
-      Engine *engine = find_engine (orders, listed->name);
+      const LcRegistration *registration = lc_roster_registration (roster, i);
+      Engine *engine = find_engine (orders, registration->name);
       LcVersion version = lc_roster_registered_version (roster, i);
-      /* The list lags behind what the engine stated itself. */
+      /* The list lags behind the engine's own statements. */
       if (engine && engine->orders_accepted >= 0)
-        take_state (engine, version > engine->version ? version : engine->version, asked_at, now);
+        apply_version (engine, version > engine->version ? version : engine->version, asked_at,
+                       now);
     }
 }
 
 static void tick_models (LnWeightOrders *orders, LbTime now);
 
-/* The end of a load makes room for the next one at once: until the next tick it would be 25 ms. */
+/* The end of a load starts the next one at once: waiting for the next tick would take 25 ms. */
 static void
-take_answer (Engine *engine, LcVersion version, LbTime now)
+handle_queried_version (Engine *engine, LcVersion version, LbTime now)
 {
   LnWeightOrders *orders = engine->orders;
-  LcVersion ordered = engine->ordered;
+  LcVersion ordered_version = engine->ordered_version;
 
-  take_state (engine, version, engine->asked_at, now);
-  if (engine->ordered != 0)
+  apply_version (engine, version, engine->query_sent_at, now);
+  if (engine->ordered_version != 0)
     {
-      engine->look_at = now + lc_load_time_next (&orders->load_time);
+      engine->next_query_at = now + lc_load_time_next (&orders->load_time);
       return;
     }
-  if (ordered == 0 || version < ordered)
+  if (ordered_version == 0 || version < ordered_version)
     return;
   lc_load_time_add (&orders->load_time, now - engine->ordered_at);
   tick_models (orders, now);
 }
 
 static void
-on_looked (LhFetch *fetch, const LhResult *result, void *user)
+on_state_read (LhFetch *fetch, const LhResult *result, void *user)
 {
   (void)fetch;
   Engine *engine = user;
@@ -316,11 +319,11 @@
   LnEngineState state;
   LbError error = { 0 };
 
-  engine->look = NULL;
-  engine->look_at = now + LOOK_RETRY;
+  engine->query_fetch = NULL;
+  engine->next_query_at = now + QUERY_RETRY_DELAY;
   if (result->failure != LB_OK || result->status != 200)
     {
-      /* It is asked again, and its load counts as failed when its time is over. */
+      /* The query is repeated, and a load in progress fails at its timeout. */
       lb_log (LB_LOG_INFO, "engine_state_not_read", LB_TEXT ("endpoint", engine->name),
               LB_TEXT ("error", lb_error_name (result->failure)),
               LB_INT ("status", result->status));
@@ -334,26 +337,27 @@
       return;
     }
   engine->orders_accepted = state.orders;
-  take_answer (engine, state.version, now);
+  handle_queried_version (engine, state.version, now);
 }
 
 static void
-look (Engine *engine, LbTime now)
+query_state (Engine *engine, LbTime now)
 {
-  const LhHandlers handlers = { .on_done = on_looked };
+  const LhHandlers handlers = { .on_done = on_state_read };
   const LhRequest request = { .method = "GET",
                               .address = engine->address,
                               .path = engine->orders->context->dialect->state_path,
-                              .silence = ORDER_SILENCE };
+                              .silence = RESPONSE_TIMEOUT };
 
-  engine->asked_at = now;
-  engine->look = lh_fetch_start (engine->orders->context->http, &request, &handlers, engine, NULL);
+  engine->query_sent_at = now;
+  engine->query_fetch
+      = lh_fetch_start (engine->orders->context->http, &request, &handlers, engine, NULL);
 }
 
 /* --- orders --- */
 
 static LbErrorCode
-error_of (LnOrderOutcome outcome)
+get_outcome_error (LnOrderOutcome outcome)
 {
   switch (outcome)
     {
@@ -371,30 +375,31 @@
 }
 
 static void
-on_ordered (LhFetch *fetch, const LhResult *result, void *user)
+on_order_answered (LhFetch *fetch, const LhResult *result, void *user)
 {
   (void)fetch;
   Engine *engine = user;
   LnWeightOrders *orders = engine->orders;
   Model *model = find_model (orders, engine->model);
   LbTime now = lb_clock_monotonic ();
-  LbErrorCode error = result->failure != LB_OK
-                          ? result->failure
-                          : error_of (orders->context->dialect->judge_order (result->status));
+  LbErrorCode error
+      = result->failure != LB_OK
+            ? result->failure
+            : get_outcome_error (orders->context->dialect->judge_order (result->status));
 
-  engine->order = NULL;
+  engine->order_fetch = NULL;
   lb_log (error == LB_OK ? LB_LOG_INFO : LB_LOG_WARNING, "weights_ordered",
           LB_TEXT ("endpoint", engine->name), LB_TEXT ("outcome", lb_error_name (error)),
-          LB_INT ("status", result->status), LB_INT ("version", engine->ordered));
+          LB_INT ("status", result->status), LB_INT ("version", engine->ordered_version));
   if (error == LB_OK)
     {
       engine->orders_accepted += result->status == 202;
       return;
     }
-  /* It may have been accepted, and be carried out later: the engine is asked what it has. */
-  engine->ordered = 0;
+  /* The order may have been accepted and may be carried out later, so the engine is queried. */
+  engine->ordered_version = 0;
   engine->orders_accepted = -1;
-  engine->look_at = now + LOOK_RETRY;
+  engine->next_query_at = now + QUERY_RETRY_DELAY;
   if (model)
     lc_weights_ordered (model->weights, engine->name, error, now);
   if (error == LB_ERROR_STALE_FENCE)
@@ -405,8 +410,8 @@
 send_order (LnWeightOrders *orders, const LcWeightsAction *action, LbTime now)
 {
   Engine *engine = find_engine (orders, action->endpoint);
-  const LhHandlers handlers = { .on_done = on_ordered };
-  LhRequest request = { .silence = ORDER_SILENCE };
+  const LhHandlers handlers = { .on_done = on_order_answered };
+  LhRequest request = { .silence = RESPONSE_TIMEOUT };
   LcOutgoing outgoing;
   LnWeightsOrder order = { .endpoint = action->endpoint,
                            .version = action->version,
@@ -419,28 +424,29 @@
   request.address = engine->address;
   order.model = engine->model;
   order.orders_before = engine->orders_accepted;
-  engine->ordered = action->version;
+  engine->ordered_version = action->version;
   engine->ordered_at = now;
-  engine->look_at = now + lc_load_time_first (&orders->load_time);
+  engine->next_query_at = now + lc_load_time_first (&orders->load_time);
   orders->context->dialect->write_order (&order, &outgoing);
-  if (engine->order)
-    lh_fetch_cancel (engine->order);
-  tell_engine (engine);
+  if (engine->order_fetch)
+    lh_fetch_cancel (engine->order_fetch);
+  publish_engine (engine);
   lb_log (LB_LOG_INFO, "weights_order", LB_TEXT ("endpoint", engine->name),
           LB_TEXT ("model", engine->model), LB_INT ("version", order.version),
           LB_INT ("fence", order.fence), LB_INT ("orders_before", order.orders_before));
-  engine->order = ln_fetch_outgoing (orders->context, &outgoing, &request, &handlers, engine, NULL);
+  engine->order_fetch
+      = ln_fetch_outgoing (orders->context, &outgoing, &request, &handlers, engine, NULL);
   lc_outgoing_clear (&outgoing);
 }
 
-/* True when the model ordered a load. */
+/* True when a load was ordered. */
 static bool
 tick_model (Model *model, LbTime now)
 {
   const LnDutyLease *lease = model->orders->lease;
   LbLink *link;
   LbList actions;
-  bool ordered = false;
+  bool has_ordered = false;
 
   lb_list_init (&actions);
   lc_weights_tick (model->weights, ln_duty_lease_may_order (lease, false, now),
@@ -450,20 +456,21 @@
       LcWeightsAction *action = LB_CONTAINER (link, LcWeightsAction, link);
       if (action->type == LC_WEIGHTS_ORDER)
         send_order (model->orders, action, now);
-      ordered |= action->type == LC_WEIGHTS_ORDER;
+      has_ordered |= action->type == LC_WEIGHTS_ORDER;
       free (action);
     }
-  return ordered;
+  return has_ordered;
 }
 
-/* One load after the other, each for the model that needs it most, as long as there is room. */
+/* Orders loads one by one, each for the model that needs it most, up to the limit of concurrent
+ * loads. */
 static void
 tick_models (LnWeightOrders *orders, LbTime now)
 {
   size_t n = orders->models.length;
   LcSwapCandidate *candidates = LB_NEW_ARRAY (LcSwapCandidate, n + 1);
   Model **models = LB_NEW_ARRAY (Model *, n + 1);
-  size_t most = lc_swap_turns_most (HASH_COUNT (orders->engines));
+  size_t max_swapping = lc_swap_turns_most (HASH_COUNT (orders->engines));
   size_t swapping = 0;
   size_t next = 0;
 
@@ -473,7 +480,7 @@
     lc_weights_status (model->weights, now, &candidates[next].status);
     swapping += candidates[next++].status.swapping;
   }
-  while (swapping < most && (next = lc_swap_turns_next (candidates, n)) < n)
+  while (swapping < max_swapping && (next = lc_swap_turns_next (candidates, n)) < n)
     {
       LcWeightsStatus *status = &candidates[next].status;
       lc_weights_set_limit (models[next]->weights, (int64_t)status->swapping + 1);
@@ -485,16 +492,16 @@
   free (candidates);
 }
 
-/* The list lags by a second or more: an engine in a swap is asked itself, and so is one whose count
- * of orders is not known, since each order names the count before it. */
+/* The list lags by a second or more, so an engine in a swap is queried itself. So is one whose
+ * count of orders is not known, since each order states the count before it. */
 static bool
-wants_look (const Engine *engine)
+needs_query (const Engine *engine)
 {
-  return engine->ordered != 0 || engine->orders_accepted < 0;
+  return engine->ordered_version != 0 || engine->orders_accepted < 0;
 }
 
-/* An instance without the lease has nothing to do for the engines; there may be hundreds of such
- * instances, and this runs forty times a second. */
+/* Does nothing for the engines without the lease: there may be hundreds of such instances, and this
+ * runs 40 times per second. */
 void
 ln_weight_orders_tick (LnWeightOrders *orders, LbTime now)
 {
@@ -503,8 +510,9 @@
     return;
   tick_models (orders, now);
   for (Engine *engine = orders->engines; engine; engine = engine->hh.next)
-    if (wants_look (engine) && !engine->order && !engine->look && now >= engine->look_at)
-      look (engine, now);
+    if (needs_query (engine) && !engine->order_fetch && !engine->query_fetch
+        && now >= engine->next_query_at)
+      query_state (engine, now);
 }
 
 void
--- a/packages/node/src/weights/ln-weight-orders.h
+++ b/packages/node/src/weights/ln-weight-orders.h
@@ -5,18 +5,18 @@
 #include "ln-context.h"
 #include "ln-messages.h"
 
-/* Who orders engines to load weights on a shared platform, and the orders: one lease for all
- * models, and for each model the roll-out that LcWeights decides. */
+/* Orders engines on a shared platform to load weights. The holder of one lease gives the orders for
+ * all models; LcWeights decides the roll-out of each model. */
 typedef struct LnWeightOrders LnWeightOrders;
 
-/* on_engine: what was learnt of an engine, or that it was ordered. */
+/* on_engine: called when an engine's state was learned or the engine was ordered to load. */
 LnWeightOrders *ln_weight_orders_new (LnContext *context,
                                       void (*on_engine) (const LcPlanEntry *entry, void *user),
                                       void *user);
 void ln_weight_orders_free (LnWeightOrders *orders);
 
 void ln_weight_orders_configure (LnWeightOrders *orders, const LcResourceSet *set);
-/* What the store's list told at asked_at. */
+/* Applies the versions that the store's list stated at asked_at. */
 void ln_weight_orders_apply_list (LnWeightOrders *orders,
                                   const LcRoster *roster,
                                   LbTime asked_at,
@@ -29,7 +29,7 @@
 void ln_weight_orders_tick (LnWeightOrders *orders, LbTime now);
 void ln_weight_orders_release_lease (LnWeightOrders *orders, LbTime now);
 bool ln_weight_orders_has_lease (const LnWeightOrders *orders);
-/* Among the few that may hold the lease next. */
+/* Whether this instance is among the few that may hold the lease next. */
 bool ln_weight_orders_is_lease_candidate (const LnWeightOrders *orders);
 bool ln_weight_orders_is_lease_released (const LnWeightOrders *orders, LbTime now);
 
