--- a/packages/node/src/batch/ln-batch-calls.c
+++ b/packages/node/src/batch/ln-batch-calls.c
@@ -85,7 +85,7 @@
   reply_results (call, &call->split_result, 1);
 }
 
-/* The reply will hold this result alone, with the text that its chunks make up. */
+/* Reads the chunks of the result's text; the reply will hold this result alone. */
 static void
 list_chunks (LnBatchCall *call, LcBatchResult *result, size_t n_chunks)
 {
--- a/packages/node/src/batch/ln-batch-owner.c
+++ b/packages/node/src/batch/ln-batch-owner.c
@@ -18,8 +18,8 @@
  * step's 8 s. */
 #define TEXT_HEDGE_DELAY (600 * LB_MSEC)
 #define SCORE_TIMEOUT (2 * LB_SEC) /* for a scorer whose route has no timeout */
-/* A limit of the store. LcBatch writes at most 40 results at once, with at
- * most 400 KiB of text unless it is a single result: 81 rows and conditions and up to 13 chunks. */
+/* A limit of the store. LcBatch writes at most 40 results at once, with at most 400 KiB of text
+ * unless it is a single result: 81 rows and conditions and up to 13 chunks. */
 #define MAX_TRANSACTION_ENTRIES 100
 /* A transaction holds 1 MB, a quarter of which is taken by the encoding. */
 #define MAX_STORED_TEXT_BYTES ((size_t)(700 << 10))
@@ -412,7 +412,7 @@
     }
 }
 
-/* A checkpoint only saves work after a takeover; a failed write is made up for by the next one. */
+/* A checkpoint only saves work after a takeover; the next one makes up for a failed write. */
 static void
 on_checkpoint_written (LbErrorCode error, const LpRow *row, void *user)
 {
--- a/packages/node/src/weights/ln-engine-plans.c
+++ b/packages/node/src/weights/ln-engine-plans.c
@@ -18,8 +18,7 @@
 #define KEY_SIZE 32
 #define WATCH_TIMEOUT (900 * LB_MSEC) /* also detects a silently dead connection */
 #define WATCH_RETRY_DELAY (200 * LB_MSEC)
-/* Of an instance that sends nothing to engines: each load changes rows, several times per second.
- */
+/* For an instance that sends nothing to engines: loads change rows several times per second. */
 #define IDLE_READ_PAUSE (5 * LB_SEC)
 /* With many engines, loads begin and end several times per second; one write covers them all. */
 #define WRITE_PERIOD (150 * LB_MSEC)
