--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -153,8 +153,8 @@
     return model;
   model = LB_NEW (Model);
   lc_weights_settings_init (&settings, name);
-  settings.load_limit = LOAD_TIMEOUT;
-  settings.answer_limit = STATE_TIMEOUT;
+  settings.load_timeout = LOAD_TIMEOUT;
+  settings.first_report_timeout = STATE_TIMEOUT;
   model->orders = orders;
   model->weights = lc_weights_new (&settings);
   LB_COPY (model->name, name);
