--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -16,23 +16,25 @@
 #include <string.h>
 
 #define TABLE "catalog"
-/* All rows lie in one part: each write is made under the condition of one of them. */
-#define PREFIX TABLE "/all/"
-#define DUTY TABLE
-#define ENDPOINTS "e:"
-#define INSTANCES "i:"
-#define BOUNDS "b:"                /* of the subset of the endpoints, by service */
-#define WATCH_WAIT (700 * LB_MSEC) /* a silent connection is found after it */
-#define WATCH_RETRY (100 * LB_MSEC)
-/* Of a write: what comes later is told by the next list. */
-#define WRITE_TIME (500 * LB_MSEC)
-#define N_CANDIDATES 3
-/* Fewer are listed for less than what following costs: 12 endpoints are 16 kB/s at 2.5 lists a
- * second, 90 are 114. */
-#define MIN_ENDPOINTS 41
-/* Instances known from which on each write of the catalog costs hundreds of answers. */
-#define FULL_DIRECTORY (LN_FLEET_DIRECTORY_MAX * 9 / 10)
-#define MAX_PERIOD LB_SEC
+/* All rows are in one part of the table, since each write is conditional on the version of one of
+ * them. */
+#define KEY_PREFIX TABLE "/all/"
+#define PUBLISHER_DUTY TABLE
+#define ENDPOINT_PREFIX "e:"
+#define INSTANCE_PREFIX "i:"
+#define BOUND_PREFIX "b:"             /* bounds of the endpoint subset, by service */
+#define WATCH_TIMEOUT (700 * LB_MSEC) /* also the time until a silent connection is noticed */
+#define WATCH_RETRY_DELAY (100 * LB_MSEC)
+/* A write that takes longer is superseded by the next listing. */
+#define WRITE_TIMEOUT (500 * LB_MSEC)
+#define MAX_CANDIDATES 3
+/* Below this number of endpoints, listing costs less than following the catalog: at 2.5 lists per
+ * second, a list of 12 endpoints is 16 kB/s, one of 90 is 114 kB/s. */
+#define MIN_ENDPOINTS_TO_FOLLOW 41
+/* From this number of known instances on, each write of the catalog causes hundreds of answers to
+ * followers. */
+#define LARGE_FLEET_INSTANCES (LN_FLEET_DIRECTORY_MAX * 9 / 10)
+#define MAX_PUBLISH_PERIOD LB_SEC
 
 struct LnCatalog
 {
@@ -40,31 +42,31 @@
   LnCatalogHandlers handlers;
   void *user;
   LcCatalog *catalog;
-  LpFollow *rows;
-  LnRowCache *endpoints; /* that are followed */
-  LnRowCache *instances;
-  int64_t passed_on;         /* the changes up to which endpoints were; -1: no list is in use */
-  int64_t instances_read;    /* the changes up to which instances were read */
-  int64_t instances_version; /* newest row of the instances in the last belief */
-  size_t n_instances;        /* in it */
-  bool is_used;              /* there were endpoints enough, once */
+  LpFollow *follower;
+  LnRowCache *endpoint_cache; /* parsed rows of the table */
+  LnRowCache *instance_cache;
+  int64_t delivered_change_count; /* at the last endpoint list; -1: deliver the next in full */
+  int64_t instances_change_count; /* change count at which the instances were last read */
+  int64_t last_instances_version; /* newest row version of the instances last read */
+  size_t n_last_instances;        /* number of the instances last read */
+  bool is_active;                 /* there have been enough endpoints at some time */
   bool draining;
-  int rank;
-  LcFleetMember *members; /* as this instance knows them */
+  int rank;               /* in the order of takeover; -1: not a candidate */
+  LcFleetMember *members; /* own view of all instances */
   size_t n_members;
-  int drawn_rank; /* among these members, without this publisher: */
-  LbName drawn_without;
-  bool is_drawn;
-  LbTime own_asked_at; /* of this instance's last list of the endpoints */
+  int cached_rank; /* valid for these members and this publisher */
+  LbName cached_rank_publisher;
+  bool is_rank_cached;
+  LbTime own_list_requested_at; /* when this instance last requested its own endpoint list */
 };
 
-static LbMetric beliefs
+static LbMetric snapshots_received
     = LB_COUNTER_INIT ("lentilspindle_catalog_beliefs_total",
                        NULL,
-                       "Lists of endpoints that were heard of through the catalog");
-static LbMetric writes = LB_COUNTER_INIT ("lentilspindle_catalog_writes_total",
-                                          NULL,
-                                          "Writes of the catalog by this instance");
+                       "Complete snapshots received through the catalog");
+static LbMetric writes_sent = LB_COUNTER_INIT ("lentilspindle_catalog_writes_total",
+                                               NULL,
+                                               "Writes to the catalog by this instance");
 
 static int64_t
 store_ms (const LnCatalog *catalog)
@@ -73,7 +75,7 @@
 }
 
 static void
-on_base (void *user)
+on_snapshot_begin (void *user)
 {
   lc_catalog_begin_snapshot (((LnCatalog *)user)->catalog);
 }
@@ -88,108 +90,110 @@
             LB_TEXT ("before", before));
 }
 
-/* --- the belief --- */
+/* --- following --- */
 
 static bool
-read_endpoint (const LpRow *row, void *content, LbError *error, void *user)
+parse_endpoint (const LpRow *row, void *parsed, LbError *error, void *user)
 {
   (void)user;
-  return lc_registration_from_json (row->value, content)
-         || lb_error_set (error, LB_ERROR_BAD_VALUE, row->key, "expected an endpoint");
+  return lc_registration_from_json (row->value, parsed)
+         || lb_error_set (error, LB_ERROR_BAD_VALUE, row->key, "expected the row of an endpoint");
 }
 
 static bool
-read_instance (const LpRow *row, void *content, LbError *error, void *user)
+parse_instance (const LpRow *row, void *parsed, LbError *error, void *user)
 {
   (void)user;
-  return lc_fleet_member_from_text (row->value, content)
-         || lb_error_set (error, LB_ERROR_BAD_VALUE, row->key, "expected an instance");
+  return lc_fleet_member_from_text (row->value, parsed)
+         || lb_error_set (error, LB_ERROR_BAD_VALUE, row->key, "expected the row of an instance");
 }
 
-/* No row counts its writes: each that is written says something else. */
-static const LnRowCacheClass endpoints_class
-    = { .size = sizeof (LcRegistration), .read = read_endpoint, .count_mark = "\n" };
-static const LnRowCacheClass instances_class
-    = { .size = sizeof (LcFleetMember), .read = read_instance, .count_mark = "\n" };
+/* Rows of the catalog have no write counter, so every new version is parsed. */
+static const LnRowCacheClass endpoint_row_class
+    = { .size = sizeof (LcRegistration), .read = parse_endpoint, .count_mark = "\n" };
+static const LnRowCacheClass instance_row_class
+    = { .size = sizeof (LcFleetMember), .read = parse_instance, .count_mark = "\n" };
 
 typedef struct
 {
   LnRowCache *cache;
-  char *items; /* one after the other */
-  size_t size; /* of one */
-  size_t n;
+  char *items; /* array of n_items items */
+  size_t item_size;
+  size_t n_items;
   size_t capacity;
-  int64_t version; /* the newest */
-} Reading;
+  int64_t newest_version; /* of the rows read */
+} RowReader;
 
 static void
-add_item (const char *name, const char *text, int64_t version, void *user)
+append_item (const char *name, const char *text, int64_t version, void *user)
 {
-  Reading *reading = user;
+  RowReader *reader = user;
   const LpRow row = { .key = name, .value = text, .version = version };
   LbError error = { 0 };
-  const void *content = ln_row_cache_read (reading->cache, &row, &error);
+  const void *parsed = ln_row_cache_read (reader->cache, &row, &error);
 
-  if (version > reading->version)
-    reading->version = version;
-  if (!content)
+  if (version > reader->newest_version)
+    reader->newest_version = version;
+  if (!parsed)
     {
       lb_log_error (LB_LOG_WARNING, "catalog_row_unreadable", &error);
       return;
     }
-  if (reading->n == reading->capacity)
+  if (reader->n_items == reader->capacity)
     {
-      reading->capacity = reading->capacity > 0 ? 2 * reading->capacity : MIN_ENDPOINTS;
-      reading->items = lb_realloc (reading->items, reading->capacity * reading->size);
+      reader->capacity = reader->capacity > 0 ? 2 * reader->capacity : MIN_ENDPOINTS_TO_FOLLOW;
+      reader->items = lb_realloc (reader->items, reader->capacity * reader->item_size);
     }
-  memcpy (reading->items + reading->n++ * reading->size, content, reading->size);
+  memcpy (reader->items + reader->n_items++ * reader->item_size, parsed, reader->item_size);
 }
 
 static void
-read_items (const LnCatalog *catalog, const char *prefix, Reading *reading)
+read_rows (const LnCatalog *catalog, const char *prefix, RowReader *reader)
 {
-  ln_row_cache_begin (reading->cache);
-  lc_catalog_foreach (catalog->catalog, prefix, add_item, reading);
-  ln_row_cache_end (reading->cache);
+  ln_row_cache_begin (reader->cache);
+  lc_catalog_foreach (catalog->catalog, prefix, append_item, reader);
+  ln_row_cache_end (reader->cache);
 }
 
 static void
-pass_endpoints (LnCatalog *catalog)
+deliver_endpoints (LnCatalog *catalog)
 {
-  Reading reading = { .cache = catalog->endpoints, .size = sizeof (LcRegistration) };
-  LbTime asked_at = lc_catalog_valid_at (catalog->catalog);
+  RowReader reader = { .cache = catalog->endpoint_cache, .item_size = sizeof (LcRegistration) };
+  LbTime valid_at = lc_catalog_valid_at (catalog->catalog);
   int64_t changes = lc_catalog_change_count (catalog->catalog);
 
-  if (asked_at <= catalog->own_asked_at)
+  if (valid_at <= catalog->own_list_requested_at)
     return;
-  if (catalog->passed_on == changes)
+  if (catalog->delivered_change_count == changes)
     {
-      catalog->handlers.on_endpoints_confirmed (asked_at, catalog->user);
+      catalog->handlers.on_endpoints_confirmed (valid_at, catalog->user);
       return;
     }
-  read_items (catalog, ENDPOINTS, &reading);
-  bool is_taken = catalog->handlers.on_endpoints ((const LcRegistration *)reading.items, reading.n,
-                                                  asked_at, catalog->user);
-  catalog->passed_on = is_taken ? changes : -1;
-  free (reading.items);
+  read_rows (catalog, ENDPOINT_PREFIX, &reader);
+  bool is_used = catalog->handlers.on_endpoints ((const LcRegistration *)reader.items,
+                                                 reader.n_items, valid_at, catalog->user);
+  catalog->delivered_change_count = is_used ? changes : -1;
+  free (reader.items);
 }
 
 static void
-pass_instances (LnCatalog *catalog)
+deliver_instances (LnCatalog *catalog)
 {
-  Reading reading = { .cache = catalog->instances, .size = sizeof (LcFleetMember) };
+  RowReader reader = { .cache = catalog->instance_cache, .item_size = sizeof (LcFleetMember) };
   int64_t changes = lc_catalog_change_count (catalog->catalog);
 
-  if (catalog->instances_read == changes)
+  if (catalog->instances_change_count == changes)
     return;
-  catalog->instances_read = changes;
-  read_items (catalog, INSTANCES, &reading);
-  if (reading.n > 0
-      && (reading.version != catalog->instances_version || reading.n != catalog->n_instances))
-    catalog->handlers.on_members ((const LcFleetMember *)reading.items, reading.n, catalog->user);
-  catalog->instances_version = reading.version;
-  catalog->n_instances = reading.n;
-  free (reading.items);
+  catalog->instances_change_count = changes;
+  read_rows (catalog, INSTANCE_PREFIX, &reader);
+  if (reader.n_items > 0
+      && (reader.newest_version != catalog->last_instances_version
+          || reader.n_items != catalog->n_last_instances))
+    catalog->handlers.on_members ((const LcFleetMember *)reader.items, reader.n_items,
+                                  catalog->user);
+  catalog->last_instances_version = reader.newest_version;
+  catalog->n_last_instances = reader.n_items;
+  free (reader.items);
 }
 
 static void
@@ -200,58 +204,58 @@
 
   LB_COPY (before, lc_catalog_publisher_name (catalog->catalog));
   for (size_t i = 0; i < n_rows; i++)
-    if (strncmp (rows[i].key, PREFIX, strlen (PREFIX)) == 0)
-      lc_catalog_apply_row (catalog->catalog, rows[i].key + strlen (PREFIX), rows[i].value,
+    if (strncmp (rows[i].key, KEY_PREFIX, strlen (KEY_PREFIX)) == 0)
+      lc_catalog_apply_row (catalog->catalog, rows[i].key + strlen (KEY_PREFIX), rows[i].value,
                             rows[i].version);
   log_publisher (catalog, before);
   if (!lc_catalog_finish_update (catalog->catalog, store_ms (catalog), lb_clock_monotonic ()))
     return;
-  lb_metric_add (&beliefs, 1);
-  pass_endpoints (catalog);
-  pass_instances (catalog);
+  lb_metric_add (&snapshots_received, 1);
+  deliver_endpoints (catalog);
+  deliver_instances (catalog);
 }
 
 LnCatalog *
 ln_catalog_new (LnContext *context, const LnCatalogHandlers *handlers, void *user)
 {
-  static const char *const prefixes[] = { PREFIX };
+  static const char *const prefixes[] = { KEY_PREFIX };
   const LpFollowSettings settings = { .table = TABLE,
                                       .prefixes = prefixes,
                                       .n_prefixes = 1,
-                                      .wait = WATCH_WAIT,
-                                      .retry = WATCH_RETRY,
-                                      .on_base = on_base };
+                                      .wait = WATCH_TIMEOUT,
+                                      .retry = WATCH_RETRY_DELAY,
+                                      .on_base = on_snapshot_begin };
   LnCatalog *catalog = LB_NEW (LnCatalog);
 
   catalog->context = context;
   catalog->handlers = *handlers;
   catalog->user = user;
   catalog->rank = -1;
-  catalog->passed_on = -1;
+  catalog->delivered_change_count = -1;
   catalog->catalog = lc_catalog_new (context->instance, context->incarnation,
                                      ln_context_seed (context), lb_clock_monotonic ());
-  catalog->rows = lp_follow_new (context->platform, &settings, on_rows, catalog);
-  catalog->endpoints = ln_row_cache_new (&endpoints_class, NULL);
-  catalog->instances = ln_row_cache_new (&instances_class, NULL);
+  catalog->follower = lp_follow_new (context->platform, &settings, on_rows, catalog);
+  catalog->endpoint_cache = ln_row_cache_new (&endpoint_row_class, NULL);
+  catalog->instance_cache = ln_row_cache_new (&instance_row_class, NULL);
   return catalog;
 }
 
 void
 ln_catalog_free (LnCatalog *catalog)
 {
-  lp_follow_free (catalog->rows);
+  lp_follow_free (catalog->follower);
   lc_catalog_free (catalog->catalog);
-  ln_row_cache_free (catalog->endpoints);
-  ln_row_cache_free (catalog->instances);
+  ln_row_cache_free (catalog->endpoint_cache);
+  ln_row_cache_free (catalog->instance_cache);
   free (catalog->members);
   free (catalog);
 }
 
 /* --- publishing --- */
 
-/* One that is cut off from the store, or leaves, is no publisher. */
+/* An instance that is draining or cut off from the store can't publish. */
 static size_t
-add_candidates (const LnCatalog *catalog, LcDutyCandidate *candidates)
+collect_candidates (const LnCatalog *catalog, LcDutyCandidate *candidates)
 {
   const char *publisher = lc_catalog_publisher_name (catalog->catalog);
   size_t n = 0;
@@ -269,87 +273,88 @@
 }
 
 static int
-draw_rank (const LnCatalog *catalog)
+compute_rank (const LnCatalog *catalog)
 {
   LcDutyCandidate *candidates = LB_NEW_ARRAY (LcDutyCandidate, catalog->n_members + 1);
-  size_t n = add_candidates (catalog, candidates);
-  size_t rank = lc_duty_rank (DUTY, catalog->context->instance, candidates, n);
+  size_t n = collect_candidates (catalog, candidates);
+  size_t rank = lc_duty_rank (PUBLISHER_DUTY, catalog->context->instance, candidates, n);
 
   free (candidates);
-  return rank < N_CANDIDATES && rank < n ? (int)rank : -1;
+  return rank < MAX_CANDIDATES && rank < n ? (int)rank : -1;
 }
 
-/* Asked for with each tick, of hundreds of members, which change seldom. */
+/* Cached, because it is needed on each tick and there may be hundreds of members, which change
+ * seldom. */
 static int
-drawn_rank (LnCatalog *catalog)
+get_cached_rank (LnCatalog *catalog)
 {
   const char *publisher = lc_catalog_publisher_name (catalog->catalog);
 
-  if (!catalog->is_drawn || strcmp (catalog->drawn_without, publisher) != 0)
-    catalog->drawn_rank = draw_rank (catalog);
-  LB_COPY (catalog->drawn_without, publisher);
-  catalog->is_drawn = true;
-  return catalog->drawn_rank;
+  if (!catalog->is_rank_cached || strcmp (catalog->cached_rank_publisher, publisher) != 0)
+    catalog->cached_rank = compute_rank (catalog);
+  LB_COPY (catalog->cached_rank_publisher, publisher);
+  catalog->is_rank_cached = true;
+  return catalog->cached_rank;
 }
 
 static int
 find_rank (LnCatalog *catalog)
 {
   LpPlatform *platform = catalog->context->platform;
-  bool is_cut = !lp_platform_is_reached (platform);
+  bool is_cut_off = !lp_platform_is_reached (platform);
 
-  if (catalog->draining || is_cut || !lp_follow_has_listed (catalog->rows))
+  if (catalog->draining || is_cut_off || !lp_follow_has_listed (catalog->follower))
     return -1;
-  return lc_catalog_is_publisher (catalog->catalog) ? 0 : drawn_rank (catalog);
+  return lc_catalog_is_publisher (catalog->catalog) ? 0 : get_cached_rank (catalog);
 }
 
 typedef struct
 {
   LnCatalog *catalog;
-  int64_t condition;
-} Write;
+  int64_t expected_version;
+} PendingWrite;
 
 static void
-on_written (LbErrorCode error, const LpRow *row, void *user)
+on_write_done (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
-  Write *write = user;
+  PendingWrite *write = user;
 
   if (error != LB_OK)
     {
       lb_log (LB_LOG_INFO, "catalog_not_written", LB_TEXT ("error", lb_error_name (error)));
-      lc_catalog_write_failed (write->catalog->catalog, write->condition);
+      lc_catalog_write_failed (write->catalog->catalog, write->expected_version);
     }
   free (write);
 }
 
 static void
-send_write (LnCatalog *catalog, const LcCatalogWrite *wanted)
+send_write (LnCatalog *catalog, const LcCatalogWrite *next)
 {
   LpPlatform *platform = catalog->context->platform;
-  LpPut *puts = LB_NEW_ARRAY (LpPut, wanted->n_puts);
-  Write *write = LB_NEW (Write);
-
-  *write = (Write){ .catalog = catalog, .condition = wanted->expected_version };
-  for (size_t i = 0; i < wanted->n_puts; i++)
-    puts[i] = (LpPut){ .key = lb_asprintf ("%s%s", PREFIX, wanted->puts[i].key),
-                       .value = wanted->puts[i].value };
-  const LpCondition condition = { .key = puts[0].key, .version = wanted->expected_version };
+  LpPut *puts = LB_NEW_ARRAY (LpPut, next->n_puts);
+  PendingWrite *write = LB_NEW (PendingWrite);
+
+  *write = (PendingWrite){ .catalog = catalog, .expected_version = next->expected_version };
+  for (size_t i = 0; i < next->n_puts; i++)
+    puts[i] = (LpPut){ .key = lb_asprintf ("%s%s", KEY_PREFIX, next->puts[i].key),
+                       .value = next->puts[i].value };
+  const LpCondition condition = { .key = puts[0].key, .version = next->expected_version };
   const LpTransaction transaction = { .token = "",
                                       .conditions = &condition,
                                       .n_conditions = 1,
                                       .puts = puts,
-                                      .n_puts = wanted->n_puts,
-                                      .time = WRITE_TIME };
-  lb_metric_add (&writes, 1);
-  platform->klass->transact (platform, &transaction, LP_PRIORITY_STATUS, on_written, write);
-  for (size_t i = 0; i < wanted->n_puts; i++)
+                                      .n_puts = next->n_puts,
+                                      .time = WRITE_TIMEOUT };
+  lb_metric_add (&writes_sent, 1);
+  platform->klass->transact (platform, &transaction, LP_PRIORITY_STATUS, on_write_done, write);
+  for (size_t i = 0; i < next->n_puts; i++)
     free ((char *)puts[i].key);
   free (puts);
 }
 
 static void
-write_next (LnCatalog *catalog, LbTime now)
+send_next_write (LnCatalog *catalog, LbTime now)
 {
   LcCatalogWrite write;
 
@@ -359,45 +364,45 @@
   lc_catalog_write_clear (&write);
 }
 
-/* --- */
+/* --- listing --- */
 
-/* The version of an instance's row moves with each renewal; what counts is that of the first one
- * seen of its start. Where the catalog names that start already, its version stays, so that a
- * publisher which follows another one has nothing to change. */
+/* The version of an instance's row changes with each renewal; the catalog has the version that was
+ * first seen of its incarnation. If the catalog has a row of that incarnation already, its version
+ * is kept, so that a new publisher does not have to rewrite all rows. */
 static LcCatalogItem
-make_instance (const LnCatalog *catalog, const LcFleetMember *member)
+make_instance_item (const LnCatalog *catalog, const LcFleetMember *member)
 {
   LcFleetMember item = *member;
-  LcFleetMember told;
-  char *key = lb_asprintf (INSTANCES "%s", member->row.name);
+  LcFleetMember published;
+  char *key = lb_asprintf (INSTANCE_PREFIX "%s", member->row.name);
   const char *text = lc_catalog_find_value (catalog->catalog, key);
 
-  if (text && lc_fleet_member_from_text (text, &told)
-      && strcmp (told.row.incarnation, member->row.incarnation) == 0)
-    item.version = told.version;
+  if (text && lc_fleet_member_from_text (text, &published)
+      && strcmp (published.row.incarnation, member->row.incarnation) == 0)
+    item.version = published.version;
   return (LcCatalogItem){ .key = key, .value = lc_fleet_member_to_text (&item) };
 }
 
 static void
-give_fleet (LnCatalog *catalog)
+update_instance_listing (LnCatalog *catalog)
 {
   LcCatalogItem *items = LB_NEW_ARRAY (LcCatalogItem, catalog->n_members + 1);
 
   for (size_t i = 0; i < catalog->n_members; i++)
-    items[i] = make_instance (catalog, &catalog->members[i]);
-  lc_catalog_set_listing (catalog->catalog, INSTANCES, items, catalog->n_members, 0);
+    items[i] = make_instance_item (catalog, &catalog->members[i]);
+  lc_catalog_set_listing (catalog->catalog, INSTANCE_PREFIX, items, catalog->n_members, 0);
 }
 
-/* A list each fifth of the time allowed keeps within it also when the publisher ends; where the
- * fleet is small more often costs little. */
+/* With a period of one fifth of the limit (drain.endpoint_ms), the limit is kept even if the
+ * publisher fails. For a small fleet the shorter default period costs little. */
 static LbTime
-choose_period (const LnCatalog *catalog)
+choose_publish_period (const LnCatalog *catalog)
 {
   LbTime period = catalog->context->settings->drain.endpoint_ms * LB_MSEC / 5;
 
-  if (catalog->n_members < FULL_DIRECTORY || period < LC_CATALOG_PERIOD)
+  if (catalog->n_members < LARGE_FLEET_INSTANCES || period < LC_CATALOG_PERIOD)
     return LC_CATALOG_PERIOD;
-  return period < MAX_PERIOD ? period : MAX_PERIOD;
+  return period < MAX_PUBLISH_PERIOD ? period : MAX_PUBLISH_PERIOD;
 }
 
 void
@@ -406,16 +411,16 @@
   free (catalog->members);
   catalog->members = lb_memdup (members, n_members * sizeof *members);
   catalog->n_members = n_members;
-  lc_catalog_set_own_period (catalog->catalog, choose_period (catalog));
-  catalog->is_drawn = false;
-  if (catalog->is_used && catalog->rank >= 0)
-    give_fleet (catalog);
+  lc_catalog_set_own_period (catalog->catalog, choose_publish_period (catalog));
+  catalog->is_rank_cached = false;
+  if (catalog->is_active && catalog->rank >= 0)
+    update_instance_listing (catalog);
 }
 
 void
 ln_catalog_invalidate_list (LnCatalog *catalog)
 {
-  catalog->passed_on = -1;
+  catalog->delivered_change_count = -1;
 }
 
 void
@@ -424,7 +429,7 @@
   catalog->draining = true;
 }
 
-/* A new candidate has not told yet what it knows of the instances. */
+/* A new candidate has not set its listing of the instances yet. */
 static void
 set_rank (LnCatalog *catalog, int rank)
 {
@@ -433,74 +438,78 @@
   catalog->rank = rank;
   lc_catalog_set_rank (catalog->catalog, rank);
   if (is_new && catalog->n_members > 0)
-    give_fleet (catalog);
+    update_instance_listing (catalog);
 }
 
 void
 ln_catalog_tick (LnCatalog *catalog, size_t n_endpoints, LbTime now)
 {
-  catalog->is_used |= n_endpoints >= MIN_ENDPOINTS;
-  if (!catalog->is_used)
+  catalog->is_active |= n_endpoints >= MIN_ENDPOINTS_TO_FOLLOW;
+  if (!catalog->is_active)
     return;
-  lp_follow_tick (catalog->rows, now);
+  lp_follow_tick (catalog->follower, now);
   set_rank (catalog, find_rank (catalog));
-  write_next (catalog, now);
+  send_next_write (catalog, now);
 }
 
 void
-ln_catalog_set_endpoint_list (
-    LnCatalog *catalog, const LcRegistration *list, size_t n_list, LbTime asked_at, LbTime now)
+ln_catalog_set_endpoint_list (LnCatalog *catalog,
+                              const LcRegistration *endpoints,
+                              size_t n_endpoints,
+                              LbTime requested_at,
+                              LbTime now)
 {
-  catalog->own_asked_at = asked_at;
+  catalog->own_list_requested_at = requested_at;
   ln_catalog_invalidate_list (catalog);
-  if (!catalog->is_used)
+  if (!catalog->is_active)
     return;
-  LcCatalogItem *items = LB_NEW_ARRAY (LcCatalogItem, n_list + 1);
-  for (size_t i = 0; i < n_list; i++)
-    items[i] = (LcCatalogItem){ .key = lb_asprintf (ENDPOINTS "%s", list[i].name),
-                                .value = lc_registration_to_json (&list[i]) };
-  lc_catalog_set_listing (catalog->catalog, ENDPOINTS, items, n_list, store_ms (catalog));
-  write_next (catalog, now);
+  LcCatalogItem *items = LB_NEW_ARRAY (LcCatalogItem, n_endpoints + 1);
+  for (size_t i = 0; i < n_endpoints; i++)
+    items[i] = (LcCatalogItem){ .key = lb_asprintf (ENDPOINT_PREFIX "%s", endpoints[i].name),
+                                .value = lc_registration_to_json (&endpoints[i]) };
+  lc_catalog_set_listing (catalog->catalog, ENDPOINT_PREFIX, items, n_endpoints,
+                          store_ms (catalog));
+  send_next_write (catalog, now);
 }
 
 void
 ln_catalog_foreach_overloaded_service (const LnCatalog *catalog,
-                                       void (*take) (const char *service, void *user),
+                                       void (*callback) (const char *service, void *user),
                                        void *user)
 {
   for (size_t i = 0; i < catalog->n_members; i++)
     if (catalog->members[i].alive && catalog->members[i].row.crowded[0])
-      take (catalog->members[i].row.crowded, user);
+      callback (catalog->members[i].row.crowded, user);
 }
 
 typedef struct
 {
   LcCatalogItem *items;
   size_t n;
-} Bounds;
+} BoundItems;
 
 static void
-add_bound (const char *service, const char *bound, void *user)
+append_bound (const char *service, const char *bound, void *user)
 {
-  Bounds *bounds = user;
+  BoundItems *bounds = user;
 
   bounds->items = lb_realloc (bounds->items, (bounds->n + 1) * sizeof *bounds->items);
-  bounds->items[bounds->n++]
-      = (LcCatalogItem){ .key = lb_asprintf (BOUNDS "%s", service), .value = lb_strdup (bound) };
+  bounds->items[bounds->n++] = (LcCatalogItem){ .key = lb_asprintf (BOUND_PREFIX "%s", service),
+                                                .value = lb_strdup (bound) };
 }
 
 void
 ln_catalog_set_subset_bounds (LnCatalog *catalog, const LcSubset *subset)
 {
-  Bounds bounds = { 0 };
+  BoundItems bounds = { 0 };
 
-  lc_subset_foreach_bound (subset, add_bound, &bounds);
-  if (catalog->is_used && bounds.n > 0)
-    lc_catalog_set_listing (catalog->catalog, BOUNDS, bounds.items, bounds.n, 0);
+  lc_subset_foreach_bound (subset, append_bound, &bounds);
+  if (catalog->is_active && bounds.n > 0)
+    lc_catalog_set_listing (catalog->catalog, BOUND_PREFIX, bounds.items, bounds.n, 0);
 }
 
 static void
-take_bound (const char *service, const char *bound, int64_t version, void *user)
+apply_bound (const char *service, const char *bound, int64_t version, void *user)
 {
   (void)version;
   lc_subset_set_bound (user, service, bound);
@@ -509,13 +518,13 @@
 void
 ln_catalog_apply_subset_bounds (const LnCatalog *catalog, LcSubset *subset)
 {
-  lc_catalog_foreach (catalog->catalog, BOUNDS, take_bound, subset);
+  lc_catalog_foreach (catalog->catalog, BOUND_PREFIX, apply_bound, subset);
 }
 
 bool
 ln_catalog_needs_endpoint_list (const LnCatalog *catalog, LbTime now)
 {
-  return !catalog->is_used || lc_catalog_needs_listing (catalog->catalog, now);
+  return !catalog->is_active || lc_catalog_needs_listing (catalog->catalog, now);
 }
 
 bool
@@ -533,7 +542,7 @@
 bool
 ln_catalog_is_publisher (const LnCatalog *catalog)
 {
-  return catalog->is_used && lc_catalog_is_publisher (catalog->catalog);
+  return catalog->is_active && lc_catalog_is_publisher (catalog->catalog);
 }
 
 const char *
--- a/packages/node/src/membership/ln-catalog.h
+++ b/packages/node/src/membership/ln-catalog.h
@@ -8,21 +8,25 @@
 #include "ln-context.h"
 #include "ln-messages.h"
 
-/* The catalog of endpoints and instances in a shared store: follows it, and publishes it when it is
- * this instance's turn. On sites with few endpoints there is none, and each instance lists all
- * itself. */
+/* Follows the shared catalog of endpoints and instances (lc-catalog.h) in the store, and publishes
+ * it while this instance is the publisher. Sites with few endpoints have no catalog: there each
+ * instance lists all rows itself. */
 
 typedef struct LnCatalog LnCatalog;
 
-/* What is heard of through the catalog. */
+/* Callbacks for what the catalog says. */
 typedef struct
 {
-  /* A list of the endpoints, younger than this instance's own last one. False: it was not used,
-   * and the next one is passed on whole, whether it says anything new or not. */
-  bool (*on_endpoints) (const LcRegistration *list, size_t n_list, LbTime asked_at, void *user);
-  /* The list that was last used was true at asked_at as well. */
-  void (*on_endpoints_confirmed) (LbTime asked_at, void *user);
-  /* What is known of the instances has changed. */
+  /* A list of the endpoints that is more recent than this instance's own last one. The handler
+   * returns false if it did not use the list: the next snapshot is then delivered in full even if
+   * it is unchanged. valid_at: time as of which the list reflects the store. */
+  bool (*on_endpoints) (const LcRegistration *endpoints,
+                        size_t n_endpoints,
+                        LbTime valid_at,
+                        void *user);
+  /* The last list that was used is still correct as of valid_at. */
+  void (*on_endpoints_confirmed) (LbTime valid_at, void *user);
+  /* The instances or their states have changed. */
   void (*on_members) (const LcFleetMember *members, size_t n_members, void *user);
 } LnCatalogHandlers;
 
@@ -30,37 +34,41 @@
 void ln_catalog_free (LnCatalog *catalog);
 
 /* commands */
-/* n_endpoints: that this instance knows. */
+/* n_endpoints: number of endpoints that this instance knows. */
 void ln_catalog_tick (LnCatalog *catalog, size_t n_endpoints, LbTime now);
-/* What this instance knows of all instances, itself included. */
+/* Sets the state of all instances, including this one, as this instance knows it. */
 void ln_catalog_set_members (LnCatalog *catalog, const LcFleetMember *members, size_t n_members);
-/* The next list is passed on whole. */
+/* The next snapshot of the endpoints is delivered in full, even if it is unchanged. */
 void ln_catalog_invalidate_list (LnCatalog *catalog);
-/* This instance ends: it publishes nothing more. */
+/* This instance is shutting down: it stops publishing. */
 void ln_catalog_drain (LnCatalog *catalog);
-/* This instance has listed the endpoints itself; asked_at: on its own clock. */
-void ln_catalog_set_endpoint_list (
-    LnCatalog *catalog, const LcRegistration *list, size_t n_list, LbTime asked_at, LbTime now);
-/* The bounds of the subset that this instance has listed, for those who list it next. */
+/* Sets the list of endpoints that this instance read itself; requested_at: by its own clock. */
+void ln_catalog_set_endpoint_list (LnCatalog *catalog,
+                                   const LcRegistration *endpoints,
+                                   size_t n_endpoints,
+                                   LbTime requested_at,
+                                   LbTime now);
+/* Sets the bounds of the subset that this instance has listed, to be published for the instances
+ * that list endpoints themselves. */
 void ln_catalog_set_subset_bounds (LnCatalog *catalog, const LcSubset *subset);
 
 /* queries */
-/* Calls back for each service that an instance tells to be crowded. */
+/* Calls back for each service that a live instance reports as overloaded. */
 void ln_catalog_foreach_overloaded_service (const LnCatalog *catalog,
-                                            void (*take) (const char *service, void *user),
+                                            void (*callback) (const char *service, void *user),
                                             void *user);
-/* Sets the bounds that the publisher has told. */
+/* Sets the published bounds in the subset. */
 void ln_catalog_apply_subset_bounds (const LnCatalog *catalog, LcSubset *subset);
-/* The endpoints have to be listed here. */
+/* This instance has to list the endpoints itself. */
 bool ln_catalog_needs_endpoint_list (const LnCatalog *catalog, LbTime now);
-/* The instances have to be listed here: also by those who publish next, so that they know at once
- * of one that died together with the publisher. */
+/* This instance has to list the instances itself. The candidates for publishing always do, so that
+ * they notice at once an instance that failed together with the publisher. */
 bool ln_catalog_needs_member_list (const LnCatalog *catalog, LbTime now);
-/* Between two lists of the publisher. */
+/* Time between two listings by the publisher. */
 LbTime ln_catalog_publish_period (const LnCatalog *catalog);
-/* Others wait for this instance's lists. */
+/* The other instances rely on this instance's listings. */
 bool ln_catalog_is_publisher (const LnCatalog *catalog);
-/* The instance that publishes; "": none has. */
+/* Name of the instance that published last; "": none has. */
 const char *ln_catalog_publisher_name (const LnCatalog *catalog);
 
 #endif
--- a/packages/node/src/membership/ln-fleet-lists.c
+++ b/packages/node/src/membership/ln-fleet-lists.c
@@ -16,61 +16,63 @@
 #include <xxhash.h>
 
 #define TABLE "instance"
-/* Guards against a store that takes so many writes a second in each part: in the unnamed one, to
- * which endpoints and operators write as well, renewals of 84 instances waited for a second, and
- * instances were missed in turn, with the batches and the lease they had. Each part is a list of
- * its own, so there are few. */
+/* Rows are divided into parts, because the store limits the write rate of each part. In the unnamed
+ * part, which endpoints and operators write to as well, renewals of 84 instances were delayed by a
+ * second, so that live instances were taken for dead and lost their batches and their lease. Each
+ * part costs one list call, so there are few. */
 #define N_PARTS 8
 #define DUTY_PART "duty"
-#define MAX_ROWS_OF_PART (LN_FLEET_DIRECTORY_MAX / N_PARTS)
-#define FULL_PERCENT 90 /* of the directory's places, since rows of dead instances take some */
-/* Rows of instances that have been dead for so long are removed: they would fill the directory. */
-#define REMOVE_AFTER (60 * LB_SEC)
-#define REMOVE_SPREAD (30 * LB_SEC) /* so that not all who list remove the same rows */
-
-/* Between two lists of all instances: at most some hundred rows a second. */
-#define LIST_PERIOD (250 * LB_MSEC)
+#define MAX_ROWS_PER_PART (LN_FLEET_DIRECTORY_MAX / N_PARTS)
+#define FULL_PERCENT 90 /* of the capacity, since rows of dead instances occupy some of it */
+/* Rows of instances are removed after they have been dead for this time; otherwise they would fill
+ * the directory. */
+#define REMOVE_DEAD_AFTER (60 * LB_SEC)
+#define REMOVE_DEAD_SPREAD (30 * LB_SEC) /* so that not all instances remove the same rows */
+
+/* Time between two lists of the directory, which limits the rate to a few hundred rows per second.
+ */
+#define MIN_LIST_PERIOD (250 * LB_MSEC)
 #define LIST_PERIOD_PER_INSTANCE (8 * LB_MSEC)
-/* After a list that a busy store refused, and spread over the instances: a fleet that starts asks
- * more than the store takes. */
-#define BUSY_PAUSE (300 * LB_MSEC)
-#define BUSY_SPREAD LB_SEC
-/* Between two lists of those on duty, a dozen: with a renewal each 0.3 s a dead owner is missed 1.5
- * s after its last one, and not after 2.5 s as by the lists of 295 instances. On small sites all
- * are listed more often. */
+/* Delay after the store refused a list because it was busy, spread over the instances: a starting
+ * fleet sends more requests than the store accepts. */
+#define BUSY_RETRY_DELAY (300 * LB_MSEC)
+#define BUSY_RETRY_SPREAD LB_SEC
+/* Time between two lists of the instances on duty, about a dozen. With a renewal every 0.3 s, a
+ * dead owner is detected 1.5 s after its last renewal; by the directory of 295 instances it would
+ * take 2.5 s. On small sites the directory is listed more often. */
 #define DUTY_LIST_PERIOD (300 * LB_MSEC)
 
-/* The rows of some parts, listed together. */
+/* One list of rows, read from one or more parts of the table. */
 typedef struct
 {
   LnFleetLists *lists;
   const char *const *prefixes;
   size_t n_prefixes;
-  int64_t limit; /* rows of each part; 0: all */
+  int64_t row_limit; /* maximum of rows per part; 0: no limit */
   LcFleet *fleet;
-  LnRowCache *rows;
-  size_t waiting; /* parts that were asked for and did not answer */
-  bool begun;
-  bool failed;
-  LbTime asked_at; /* of the list on its way */
-  LbTime next;
+  LnRowCache *row_cache;
+  size_t n_pending; /* parts whose answer is pending */
+  bool has_begun;
+  bool has_failed;
+  LbTime requested_at; /* time of the request that is in progress */
+  LbTime next_list_at;
 } Listing;
 
 struct LnFleetLists
 {
   LpPlatform *platform;
   LbName self;
-  Listing all;
+  Listing directory;
   Listing on_duty;
-  LcFleetMember *members; /* of both, or as heard */
+  LcFleetMember *members; /* merged from both lists, or as set from the catalog */
   size_t n_members;
-  bool followed;  /* another instance lists for this one */
-  bool is_unsaid; /* what was heard no longer counts, and what the next list says is not told yet */
+  bool is_followed; /* the catalog is followed, and nothing is listed here */
+  bool must_report; /* following has ended: report the next list even if it is unchanged */
   void (*on_change) (void *user);
   void *user;
 };
 
-static const char *const all_prefixes[N_PARTS]
+static const char *const directory_prefixes[N_PARTS]
     = { TABLE "/0/", TABLE "/1/", TABLE "/2/", TABLE "/3/",
         TABLE "/4/", TABLE "/5/", TABLE "/6/", TABLE "/7/" };
 static const char *const duty_prefixes[] = { TABLE "/" DUTY_PART "/" };
@@ -85,24 +87,24 @@
   if (on_duty)
     snprintf (key, LN_FLEET_KEY_SIZE, "%s%s", duty_prefixes[0], row->name);
   else
-    snprintf (key, LN_FLEET_KEY_SIZE, "%s%018lld-%s", all_prefixes[hash % N_PARTS],
+    snprintf (key, LN_FLEET_KEY_SIZE, "%s%018lld-%s", directory_prefixes[hash % N_PARTS],
               (long long)lc_duty_sort_key (TABLE, &candidate), row->name);
 }
 
 static bool
-read_row (const LpRow *row, void *content, LbError *error, void *user)
+parse_row (const LpRow *row, void *parsed, LbError *error, void *user)
 {
   (void)user;
   struct json_object *object = row->value ? json_tokener_parse (row->value) : NULL;
-  bool ok = object && lc_fleet_row_from_json (object, content);
+  bool ok = object && lc_fleet_row_from_json (object, parsed);
 
   json_object_put (object);
   return ok
          || lb_error_set (error, LB_ERROR_BAD_VALUE, row->key, "expected the row of an instance");
 }
 
-static const LnRowCacheClass rows_class
-    = { .size = sizeof (LcFleetRow), .read = read_row, .count_mark = "\"renewed_ms\":" };
+static const LnRowCacheClass row_class
+    = { .size = sizeof (LcFleetRow), .read = parse_row, .count_mark = "\"renewed_ms\":" };
 
 static void
 listing_init (Listing *listing,
@@ -110,14 +112,14 @@
               const char *self,
               const char *const *prefixes,
               size_t n_prefixes,
-              int64_t limit)
+              int64_t row_limit)
 {
   listing->lists = lists;
   listing->fleet = lc_fleet_new (self);
-  listing->rows = ln_row_cache_new (&rows_class, NULL);
+  listing->row_cache = ln_row_cache_new (&row_class, NULL);
   listing->prefixes = prefixes;
   listing->n_prefixes = n_prefixes;
-  listing->limit = limit;
+  listing->row_limit = row_limit;
 }
 
 LnFleetLists *
@@ -132,7 +134,7 @@
   LB_COPY (lists->self, self);
   lists->on_change = on_change;
   lists->user = user;
-  listing_init (&lists->all, lists, self, all_prefixes, N_PARTS, MAX_ROWS_OF_PART);
+  listing_init (&lists->directory, lists, self, directory_prefixes, N_PARTS, MAX_ROWS_PER_PART);
   listing_init (&lists->on_duty, lists, self, duty_prefixes, 1, 0);
   return lists;
 }
@@ -140,22 +142,22 @@
 void
 ln_fleet_lists_free (LnFleetLists *lists)
 {
-  lc_fleet_free (lists->all.fleet);
+  lc_fleet_free (lists->directory.fleet);
   lc_fleet_free (lists->on_duty.fleet);
-  ln_row_cache_free (lists->all.rows);
-  ln_row_cache_free (lists->on_duty.rows);
+  ln_row_cache_free (lists->directory.row_cache);
+  ln_row_cache_free (lists->on_duty.row_cache);
   free (lists->members);
   free (lists);
 }
 
 static LbTime
-period_of (const Listing *listing)
+list_period (const Listing *listing)
 {
   LbTime n = (LbTime)lc_fleet_count (listing->fleet);
 
   return listing == &listing->lists->on_duty
              ? DUTY_LIST_PERIOD
-             : lb_time_later (LIST_PERIOD, n * LIST_PERIOD_PER_INSTANCE);
+             : lb_time_later (MIN_LIST_PERIOD, n * LIST_PERIOD_PER_INSTANCE);
 }
 
 static void
@@ -165,7 +167,7 @@
 
   for (size_t i = 0; i < n_rows; i++)
     {
-      const LcFleetRow *row = ln_row_cache_read (listing->rows, &rows[i], &error);
+      const LcFleetRow *row = ln_row_cache_read (listing->row_cache, &rows[i], &error);
       if (row)
         lc_fleet_add_row (listing->fleet, row, rows[i].version, now);
       else
@@ -174,16 +176,16 @@
 }
 
 static void
-join (LnFleetLists *lists)
+merge_members (LnFleetLists *lists)
 {
-  size_t most = lc_fleet_count (lists->all.fleet) + lc_fleet_count (lists->on_duty.fleet);
+  size_t max = lc_fleet_count (lists->directory.fleet) + lc_fleet_count (lists->on_duty.fleet);
 
-  lists->members = lb_realloc (lists->members, (most + 1) * sizeof *lists->members);
-  lists->n_members = lc_fleet_merge (lists->all.fleet, lists->on_duty.fleet, lists->members);
+  lists->members = lb_realloc (lists->members, (max + 1) * sizeof *lists->members);
+  lists->n_members = lc_fleet_merge (lists->directory.fleet, lists->on_duty.fleet, lists->members);
 }
 
 static void
-on_removed (LbErrorCode error, const LpRow *row, void *user)
+on_row_removed (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)user;
 
@@ -201,23 +203,23 @@
       = { .token = "", .conditions = &condition, .n_conditions = 1, .puts = &put, .n_puts = 1 };
 
   ln_fleet_row_key (&member->row, false, key);
-  lists->platform->klass->transact (lists->platform, &transaction, LP_PRIORITY_STATUS, on_removed,
-                                    NULL);
+  lists->platform->klass->transact (lists->platform, &transaction, LP_PRIORITY_STATUS,
+                                    on_row_removed, NULL);
 }
 
-/* A part of `most` by this instance's name. */
+/* Delay below `max`, derived from this instance's name. */
 static LbTime
-draw_of (const LnFleetLists *lists, LbTime most)
+delay_by_name (const LnFleetLists *lists, LbTime max)
 {
-  return (LbTime)(XXH3_64bits (lists->self, strlen (lists->self)) % (uint64_t)most);
+  return (LbTime)(XXH3_64bits (lists->self, strlen (lists->self)) % (uint64_t)max);
 }
 
-/* Only one of each list, so that a fleet that lost its power is not read as a fleet of rows to
- * remove. */
+/* At most one row per list, so that the rows of a fleet that lost its power are not all removed at
+ * once. */
 static void
-remove_dead (const Listing *listing, LbTime now)
+remove_one_dead (const Listing *listing, LbTime now)
 {
-  LbTime wait = REMOVE_AFTER + draw_of (listing->lists, REMOVE_SPREAD);
+  LbTime wait = REMOVE_DEAD_AFTER + delay_by_name (listing->lists, REMOVE_DEAD_SPREAD);
 
   for (size_t i = 0; i < lc_fleet_count (listing->fleet); i++)
     {
@@ -229,93 +231,96 @@
     }
 }
 
-/* Only all parts together tell who is there; when one is missing the others count with the next
- * list. */
+/* The list counts only when all parts have been read. If one fails, the whole list is requested
+ * again. */
 static void
-on_list (LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
+on_part_listed (LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
 {
   (void)version;
   Listing *listing = user;
   LbTime now = lb_clock_monotonic ();
   const LpPlatform *platform = listing->lists->platform;
   const LcFleetList list = { .received_at = now,
-                             .round_trip = now - listing->asked_at,
+                             .round_trip = now - listing->requested_at,
                              .store_ms = lp_platform_store_ms (platform),
-                             .period = period_of (listing) };
+                             .period = list_period (listing) };
 
-  listing->waiting--;
-  listing->failed |= error != LB_OK;
+  listing->n_pending--;
+  listing->has_failed |= error != LB_OK;
   if (error == LB_ERROR_STORE_BUSY)
-    listing->next = now + BUSY_PAUSE + draw_of (listing->lists, BUSY_SPREAD);
-  if (listing->failed)
+    listing->next_list_at
+        = now + BUSY_RETRY_DELAY + delay_by_name (listing->lists, BUSY_RETRY_SPREAD);
+  if (listing->has_failed)
     return;
-  if (!listing->begun)
+  if (!listing->has_begun)
     {
       lc_fleet_begin_list (listing->fleet, &list);
-      ln_row_cache_begin (listing->rows);
+      ln_row_cache_begin (listing->row_cache);
     }
-  listing->begun = true;
+  listing->has_begun = true;
   add_rows (listing, rows, n_rows, now);
-  if (listing->waiting > 0)
+  if (listing->n_pending > 0)
     return;
-  ln_row_cache_end (listing->rows);
+  ln_row_cache_end (listing->row_cache);
   bool changed = lc_fleet_finish_list (listing->fleet, now);
-  if (listing == &listing->lists->all)
-    remove_dead (listing, now);
-  if (listing->lists->followed)
+  if (listing == &listing->lists->directory)
+    remove_one_dead (listing, now);
+  if (listing->lists->is_followed)
     return;
-  join (listing->lists);
-  if (changed || listing->lists->is_unsaid)
+  merge_members (listing->lists);
+  if (changed || listing->lists->must_report)
     listing->lists->on_change (listing->lists->user);
-  listing->lists->is_unsaid = false;
+  listing->lists->must_report = false;
 }
 
 static void
-tick (Listing *listing, LbTime now)
+list_if_due (Listing *listing, LbTime now)
 {
   LpPlatform *platform = listing->lists->platform;
 
-  if (listing->waiting > 0 || now < listing->next)
+  if (listing->n_pending > 0 || now < listing->next_list_at)
     return;
-  listing->waiting = listing->n_prefixes;
-  listing->failed = false;
-  listing->begun = false;
-  listing->asked_at = now;
-  listing->next = now + period_of (listing);
+  listing->n_pending = listing->n_prefixes;
+  listing->has_failed = false;
+  listing->has_begun = false;
+  listing->requested_at = now;
+  listing->next_list_at = now + list_period (listing);
   for (size_t i = 0; i < listing->n_prefixes; i++)
-    platform->klass->list (platform, listing->prefixes[i], NULL, listing->limit, on_list, listing);
+    platform->klass->list (platform, listing->prefixes[i], NULL, listing->row_limit, on_part_listed,
+                           listing);
 }
 
 static void
-forget (Listing *listing, const char *self)
+reset_listing (Listing *listing, const char *self)
 {
   lc_fleet_free (listing->fleet);
-  ln_row_cache_free (listing->rows);
+  ln_row_cache_free (listing->row_cache);
   listing->fleet = lc_fleet_new (self);
-  listing->rows = ln_row_cache_new (&rows_class, NULL);
-  listing->begun = false;
-  listing->failed = listing->waiting > 0;
+  listing->row_cache = ln_row_cache_new (&row_class, NULL);
+  listing->has_begun = false;
+  listing->has_failed = listing->n_pending > 0;
 }
 
-/* Guards against what was listed long ago: the time without lists looks like an outage of the
- * store, in which nobody could renew, and one that left meanwhile would count as alive. */
+/* Drops the old lists when following begins. Otherwise the time without lists would look like an
+ * outage of the store, in which no instance could renew its row, and an instance that left
+ * meanwhile would count as alive. */
 void
-ln_fleet_lists_set_catalog_followed (LnFleetLists *lists, bool followed)
+ln_fleet_lists_set_catalog_followed (LnFleetLists *lists, bool is_followed)
 {
-  lists->is_unsaid |= lists->followed && !followed;
-  if (followed && !lists->followed)
+  lists->must_report |= lists->is_followed && !is_followed;
+  if (is_followed && !lists->is_followed)
     {
-      forget (&lists->all, lists->self);
-      forget (&lists->on_duty, lists->self);
+      reset_listing (&lists->directory, lists->self);
+      reset_listing (&lists->on_duty, lists->self);
     }
-  lists->followed = followed;
+  lists->is_followed = is_followed;
 }
 
-/* A list of this instance's own that is still on its way does not count. */
+/* While following, an own list that is still in progress is ignored. */
 void
 ln_fleet_lists_set_members (LnFleetLists *lists, const LcFleetMember *members, size_t n_members)
 {
-  if (!lists->followed)
+  if (!lists->is_followed)
     return;
   lists->members = lb_realloc (lists->members, (n_members + 1) * sizeof *lists->members);
   memcpy (lists->members, members, n_members * sizeof *members);
@@ -326,10 +331,10 @@
 void
 ln_fleet_lists_tick (LnFleetLists *lists, LbTime now)
 {
-  if (lists->followed)
+  if (lists->is_followed)
     return;
-  tick (&lists->all, now);
-  tick (&lists->on_duty, now);
+  list_if_due (&lists->directory, now);
+  list_if_due (&lists->on_duty, now);
 }
 
 bool
--- a/packages/node/src/membership/ln-fleet-lists.h
+++ b/packages/node/src/membership/ln-fleet-lists.h
@@ -5,20 +5,22 @@
 
 struct LpPlatform;
 
-/* Reads the rows of instances in a shared store: the directory now and then, those that run batches
- * or order weights often, since a dead one of these is to be missed soon. The directory is all
- * instances of a small fleet, and of a large one a sample in which strong machines come first. */
+/* Lists the rows of instances in a shared store. There are two lists: the directory, and the
+ * instances on duty (those that run batches or order weights). The latter is read more often, since
+ * their failure has to be detected soon. The directory holds all instances of a small fleet; of a
+ * large fleet it holds a sample that prefers strong machines. */
 
-/* Instances that the directory holds at most; those on duty come beside them. */
+/* Capacity of the directory; instances on duty are listed in addition. */
 #define LN_FLEET_DIRECTORY_MAX 192
 
-/* Key of the row of an instance, with or without a duty. Rows are in the order of the directory. */
+/* Key of an instance's row in the directory, or of its row on duty. Within a part of the table,
+ * keys sort in the order of preference for the directory. */
 #define LN_FLEET_KEY_SIZE (LB_NAME_MAX + 32)
 void ln_fleet_row_key (const LcFleetRow *row, bool on_duty, char *key);
 
 typedef struct LnFleetLists LnFleetLists;
 
-/* on_change: who is there or what they say has changed; see ln_fleet_lists_at. */
+/* on_change: the instances or their states have changed; see ln_fleet_lists_at. */
 LnFleetLists *ln_fleet_lists_new (struct LpPlatform *platform,
                                   const char *self,
                                   void (*on_change) (void *user),
@@ -27,15 +29,17 @@
 
 /* commands */
 void ln_fleet_lists_tick (LnFleetLists *lists, LbTime now);
-/* Somebody else lists the instances, and tells what he knows; or nobody does any more. */
-void ln_fleet_lists_set_catalog_followed (LnFleetLists *lists, bool followed);
+/* While the catalog is followed, this instance lists nothing itself: it gets the members through
+ * ln_fleet_lists_set_members. */
+void ln_fleet_lists_set_catalog_followed (LnFleetLists *lists, bool is_followed);
 void
 ln_fleet_lists_set_members (LnFleetLists *lists, const LcFleetMember *members, size_t n_members);
 
 /* queries */
-/* The directory is full, and does not hold the instance. */
+/* The directory is full and does not contain the instance. */
 bool ln_fleet_lists_has_omitted (const LnFleetLists *lists, const char *instance);
-/* The last list of those on duty shows the instance, this start of it or an earlier one. */
+/* The last list of the instances on duty contains a row of the instance, from its current or an
+ * earlier incarnation. */
 bool ln_fleet_lists_has_duty_row (const LnFleetLists *lists, const char *instance);
 size_t ln_fleet_lists_count (const LnFleetLists *lists);
 const LcFleetMember *ln_fleet_lists_at (const LnFleetLists *lists, size_t index);
--- a/packages/node/src/membership/ln-fleet-renewal.c
+++ b/packages/node/src/membership/ln-fleet-renewal.c
@@ -10,31 +10,35 @@
 #include <json-c/json.h>
 #include <stdlib.h>
 
-/* Renewals and lists of all instances together stay within a bounded number of calls a second. */
-#define RENEW_PERIOD (500 * LB_MSEC)
+/* The periods grow with the fleet, so that the rate of renewals and lists of all instances together
+ * is bounded. */
+#define MIN_RENEW_PERIOD (500 * LB_MSEC)
 #define RENEW_PERIOD_PER_INSTANCE (8 * LB_MSEC)
-/* Of an instance that nobody lists. */
-#define LEFT_OUT_PERIOD (10 * LB_SEC)
-/* Of an instance on duty, of which there are few: until it is missed its texts stand still, and the
- * longest of a step have a second or two to spare. */
-#define DUTY_PERIOD (300 * LB_MSEC)
-#define DUTY_FOR (10 * LB_SEC) /* after its last batch: the next step comes soon */
-/* Without an answer for so long a renewal goes through another instance, before it is missed. */
-#define RENEWAL_TIME (500 * LB_MSEC)
-#define MAX_RENEWALS_ON_THEIR_WAY 4
+/* For an instance that no instance lists. */
+#define OMITTED_RENEW_PERIOD (10 * LB_SEC)
+/* For instances on duty, of which there are few. Until such an instance is detected as dead, its
+ * samples make no progress, and the longest samples of a step have only a second or two to spare.
+ */
+#define DUTY_RENEW_PERIOD (300 * LB_MSEC)
+/* Kept up after the last batch, since the next step follows soon. */
+#define DUTY_LINGER_TIME (10 * LB_SEC)
+/* A renewal without an answer for this time is sent through another instance, early enough that no
+ * renewal counts as missed. */
+#define RENEWAL_TIMEOUT (500 * LB_MSEC)
+#define MAX_RENEWALS_IN_FLIGHT 4
 
 struct LnFleetRenewal
 {
   LpPlatform *platform;
   LcFleetRow *row;
-  int on_their_way;
-  LbTime next; /* of the row that each instance has */
-  LbTime next_on_duty;
-  LbTime period; /* of the row that each instance has */
+  int n_in_flight;
+  LbTime next_renewal_at; /* of the row in the directory */
+  LbTime next_duty_renewal_at;
+  LbTime period; /* of the row in the directory */
   bool has_duty;
-  LbTime duty_until;     /* counts as having one until then */
-  bool has_duty_row;     /* it may stand in the store */
-  bool removes_duty_row; /* the removal is on its way */
+  LbTime duty_until;         /* treated as on duty until then */
+  bool may_have_duty_row;    /* the store may contain one */
+  bool is_removing_duty_row; /* its removal is in progress */
 };
 
 LnFleetRenewal *
@@ -44,7 +48,7 @@
 
   renewal->platform = platform;
   renewal->row = row;
-  renewal->period = RENEW_PERIOD;
+  renewal->period = MIN_RENEW_PERIOD;
   return renewal;
 }
 
@@ -66,34 +70,34 @@
   char key[LN_FLEET_KEY_SIZE];
   const LpPut put = { .key = key, .value = value };
   const LpTransaction transaction
-      = { .token = "", .puts = &put, .n_puts = 1, .time = RENEWAL_TIME };
+      = { .token = "", .puts = &put, .n_puts = 1, .time = RENEWAL_TIMEOUT };
 
   ln_fleet_row_key (renewal->row, on_duty, key);
   renewal->platform->klass->transact (renewal->platform, &transaction, LP_PRIORITY_STATUS, done,
                                       renewal);
 }
 
-/* A renewal whose answer was lost holds up no later one: they may come in any order, since each
- * only shows that this instance lives. */
+/* Later renewals do not wait for one whose answer was lost. They may arrive in any order, since
+ * each only shows that this instance is alive. */
 static void
 on_renewed (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
   LnFleetRenewal *renewal = user;
 
-  renewal->on_their_way--;
+  renewal->n_in_flight--;
   if (error != LB_OK)
     lb_log (LB_LOG_DEBUG, "instance_not_renewed", LB_TEXT ("error", lb_error_name (error)));
 }
 
 static void
-renew_row (LnFleetRenewal *renewal, bool on_duty, LbTime period, LbTime now)
+write_renewal (LnFleetRenewal *renewal, bool on_duty, LbTime period, LbTime now)
 {
   struct json_object *object = NULL;
 
-  if (renewal->on_their_way >= MAX_RENEWALS_ON_THEIR_WAY)
+  if (renewal->n_in_flight >= MAX_RENEWALS_IN_FLIGHT)
     return;
-  renewal->on_their_way++;
+  renewal->n_in_flight++;
   renewal->row->period = period;
   renewal->row->renewed_ms = lp_platform_store_ms_at (renewal->platform, now);
   object = lc_fleet_row_to_json (renewal->row);
@@ -102,18 +106,18 @@
 }
 
 static void
-renew (LnFleetRenewal *renewal, LbTime now)
+renew_directory_row (LnFleetRenewal *renewal, LbTime now)
 {
-  renewal->next = now + renewal->period;
-  renew_row (renewal, false, renewal->period, now);
+  renewal->next_renewal_at = now + renewal->period;
+  write_renewal (renewal, false, renewal->period, now);
 }
 
 static void
-renew_on_duty (LnFleetRenewal *renewal, LbTime now)
+renew_duty_row (LnFleetRenewal *renewal, LbTime now)
 {
-  renewal->next_on_duty = now + DUTY_PERIOD;
-  renewal->has_duty_row = true;
-  renew_row (renewal, true, DUTY_PERIOD, now);
+  renewal->next_duty_renewal_at = now + DUTY_RENEW_PERIOD;
+  renewal->may_have_duty_row = true;
+  write_renewal (renewal, true, DUTY_RENEW_PERIOD, now);
 }
 
 static void
@@ -122,66 +126,66 @@
   (void)row;
   LnFleetRenewal *renewal = user;
 
-  renewal->removes_duty_row = false;
+  renewal->is_removing_duty_row = false;
   if (error == LB_OK)
-    renewal->has_duty_row = false;
+    renewal->may_have_duty_row = false;
   else
     lb_log (LB_LOG_DEBUG, "duty_row_not_removed", LB_TEXT ("error", lb_error_name (error)));
 }
 
-/* Guards against an instance that is taken for dead after its last duty: the row stands still while
- * it still goes before the other one. So its removal is asked again until the store has confirmed
- * it, and when the row is listed after that: a renewal without an answer may be carried out late,
- * and an instance that was killed leaves its row to its next start. */
+/* A row on duty takes precedence over the row in the directory, so a stale one would make this
+ * instance count as dead after its last duty. The removal is therefore repeated until the store has
+ * confirmed it, and again whenever the row is listed after that: an unanswered renewal may still be
+ * applied late, and an instance that was killed leaves its row to its next incarnation. */
 static void
 remove_duty_row (LnFleetRenewal *renewal, LbTime now)
 {
-  renewal->next_on_duty = now + DUTY_PERIOD;
-  renewal->removes_duty_row = true;
+  renewal->next_duty_renewal_at = now + DUTY_RENEW_PERIOD;
+  renewal->is_removing_duty_row = true;
   write_row (renewal, true, NULL, on_duty_row_removed);
 }
 
 static LbTime
-period_of (const LnFleetListSummary *listing)
+renew_period (const LnFleetListSummary *summary)
 {
-  if (listing->is_left_out)
-    return LEFT_OUT_PERIOD;
-  return lb_time_later (RENEW_PERIOD, (LbTime)listing->n_instances * RENEW_PERIOD_PER_INSTANCE);
+  if (summary->is_omitted)
+    return OMITTED_RENEW_PERIOD;
+  return lb_time_later (MIN_RENEW_PERIOD, (LbTime)summary->n_instances * RENEW_PERIOD_PER_INSTANCE);
 }
 
 void
-ln_fleet_renewal_tick (LnFleetRenewal *renewal, const LnFleetListSummary *listing, LbTime now)
+ln_fleet_renewal_tick (LnFleetRenewal *renewal, const LnFleetListSummary *summary, LbTime now)
 {
-  LbTime period = period_of (listing);
+  LbTime period = renew_period (summary);
 
-  renewal->has_duty_row |= listing->has_duty_row;
-  /* An instance that has just got a place shows at once that it lives. */
-  if (period < renewal->period && renewal->next > now + period)
-    renewal->next = now + period;
+  renewal->may_have_duty_row |= summary->has_duty_row;
+  /* An instance that has just been added to the directory renews its row at once. */
+  if (period < renewal->period && renewal->next_renewal_at > now + period)
+    renewal->next_renewal_at = now + period;
   renewal->period = period;
-  if (now >= renewal->next)
-    renew (renewal, now);
-  if (now < renewal->next_on_duty || renewal->removes_duty_row)
+  if (now >= renewal->next_renewal_at)
+    renew_directory_row (renewal, now);
+  if (now < renewal->next_duty_renewal_at || renewal->is_removing_duty_row)
     return;
   if (is_on_duty (renewal, now))
-    renew_on_duty (renewal, now);
-  else if (renewal->has_duty_row && renewal->on_their_way == 0)
+    renew_duty_row (renewal, now);
+  else if (renewal->may_have_duty_row && renewal->n_in_flight == 0)
     remove_duty_row (renewal, now);
 }
 
 void
 ln_fleet_renewal_write_now (LnFleetRenewal *renewal, LbTime now)
 {
-  renew (renewal, now);
-  if (is_on_duty (renewal, now) && !renewal->removes_duty_row)
-    renew_on_duty (renewal, now);
+  renew_directory_row (renewal, now);
+  if (is_on_duty (renewal, now) && !renewal->is_removing_duty_row)
+    renew_duty_row (renewal, now);
 }
 
 void
 ln_fleet_renewal_set_duty (LnFleetRenewal *renewal, bool has_duty, LbTime now)
 {
   renewal->has_duty = has_duty;
-  renewal->duty_until = now + DUTY_FOR;
-  if (has_duty && !renewal->removes_duty_row)
-    renew_on_duty (renewal, now);
+  renewal->duty_until = now + DUTY_LINGER_TIME;
+  if (has_duty && !renewal->is_removing_duty_row)
+    renew_duty_row (renewal, now);
 }
--- a/packages/node/src/membership/ln-fleet-renewal.h
+++ b/packages/node/src/membership/ln-fleet-renewal.h
@@ -5,28 +5,30 @@
 
 struct LpPlatform;
 
-/* Renews the row of this instance in a shared store, by which the others see that it lives. One
- * that runs batches or orders weights has a second row, which is renewed and listed more often. */
+/* Renews this instance's row in a shared store, from which the other instances see that it is
+ * alive. An instance on duty (one that runs batches or orders weights) has a second row, which is
+ * renewed and listed more often. */
 
 typedef struct LnFleetRenewal LnFleetRenewal;
 
-/* What the row says of this instance is the caller's to change, in `row`, before it tells so. */
+/* The caller keeps the state in `row` up to date; changes go out with the next renewal or with
+ * ln_fleet_renewal_write_now. */
 LnFleetRenewal *ln_fleet_renewal_new (struct LpPlatform *platform, LcFleetRow *row);
 void ln_fleet_renewal_free (LnFleetRenewal *renewal);
 
 /* commands */
-/* What the lists of the instances show. */
+/* Results of the lists of instances. */
 typedef struct
 {
   size_t n_instances;
-  bool is_left_out; /* the directory has no place for this instance */
-  bool has_duty_row;
+  bool is_omitted;   /* the directory is full without this instance */
+  bool has_duty_row; /* a row on duty of this instance was listed */
 } LnFleetListSummary;
 
-void ln_fleet_renewal_tick (LnFleetRenewal *renewal, const LnFleetListSummary *listing, LbTime now);
-/* The row says something new: it is written at once. */
+void ln_fleet_renewal_tick (LnFleetRenewal *renewal, const LnFleetListSummary *summary, LbTime now);
+/* Writes the row at once, because the state in it has changed. */
 void ln_fleet_renewal_write_now (LnFleetRenewal *renewal, LbTime now);
-/* This instance has got a duty, or ended one. */
+/* Sets whether this instance has any duty. */
 void ln_fleet_renewal_set_duty (LnFleetRenewal *renewal, bool has_duty, LbTime now);
 
 #endif
--- a/packages/node/src/membership/ln-fleet.c
+++ b/packages/node/src/membership/ln-fleet.c
@@ -18,22 +18,22 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TICK (100 * LB_MSEC)
+#define TICK_PERIOD (100 * LB_MSEC)
 #define MAX_ENTRY_ADDRESSES 64
-#define CLOCK_TOLERANCE_MS 25
-#define RETRY_WITHOUT_ADDRESS (300 * LB_MSEC)
+#define CLOCK_LEAD_TOLERANCE_MS 25
+#define NOT_READY_RETRY_AFTER (300 * LB_MSEC)
 
-/* Instances of a shared platform and the addresses that callers are given. Runs as the task
- * "peers". */
+/* The task "peers" on a shared platform: membership from rows in the store, the addresses that
+ * callers get, and store calls on behalf of other instances. */
 typedef struct
 {
   LnTask task; /* first */
   LnContext *context;
   LnTick tick;
-  LcFleetRow own;
-  LnFleetRenewal *renewal; /* of own */
+  LcFleetRow own_row;
+  LnFleetRenewal *renewal; /* of own_row */
   LnFleetLists *lists;
-  bool duties[LN_N_DUTIES];
+  bool has_duty[LN_N_DUTIES];
 } Fleet;
 
 static void
@@ -43,12 +43,12 @@
 }
 
 static void
-publish (Fleet *task)
+post_members (Fleet *task)
 {
   LnMembersMessage message = { .base = LN_MESSAGE (LN_MEMBERS) };
 
   message.n_members = ln_fleet_lists_count (task->lists);
-  message.is_left_out = ln_fleet_lists_has_omitted (task->lists, task->own.name);
+  message.is_left_out = ln_fleet_lists_has_omitted (task->lists, task->own_row.name);
   message.members = LB_NEW_ARRAY (LnMember, message.n_members + 1);
   message.base.clear = clear_members;
   for (size_t i = 0; i < message.n_members; i++)
@@ -78,7 +78,7 @@
 }
 
 static void
-tell_config (Fleet *task)
+post_fleet_to_config (Fleet *task)
 {
   LnTask *config = ln_hub_find (task->task.hub, "config");
   size_t n = ln_fleet_lists_count (task->lists);
@@ -91,18 +91,19 @@
   LN_POST (task->task.hub, config, message);
 }
 
-/* Each instance begins elsewhere, so that no few are named by all. */
+/* Members in an order that starts at a different one on each instance, so that not all instances
+ * name the same few. */
 static const LcFleetMember *
-member_from (const Fleet *task, size_t index)
+get_rotated_member (const Fleet *task, size_t index)
 {
   size_t n = ln_fleet_lists_count (task->lists);
 
   return ln_fleet_lists_at (task->lists, (ln_context_seed (task->context) % n + index) % n);
 }
 
-/* Others through which the store can be reached. */
+/* Sets the instances through which the store can be reached. */
 static void
-tell_peers (Fleet *task)
+set_platform_peers (Fleet *task)
 {
   LpPlatform *platform = task->context->platform;
   LbName addresses[LP_MAX_PEERS];
@@ -110,9 +111,9 @@
 
   for (size_t i = 0; i < ln_fleet_lists_count (task->lists) && n < LP_MAX_PEERS; i++)
     {
-      const LcFleetMember *member = member_from (task, i);
+      const LcFleetMember *member = get_rotated_member (task, i);
       if (member->alive && member->row.peer_address[0]
-          && strcmp (member->row.name, task->own.name) != 0)
+          && strcmp (member->row.name, task->own_row.name) != 0)
         lb_strlcpy (addresses[n++], member->row.peer_address, LB_NAME_MAX);
     }
   if (platform->klass->set_peers)
@@ -120,47 +121,48 @@
 }
 
 static void
-on_change (void *user)
+on_lists_changed (void *user)
 {
-  publish (user);
-  tell_config (user);
-  tell_peers (user);
+  post_members (user);
+  post_fleet_to_config (user);
+  set_platform_peers (user);
 }
 
 static bool
-has_duty (const Fleet *task)
+has_any_duty (const Fleet *task)
 {
   for (int duty = 0; duty < LN_N_DUTIES; duty++)
-    if (task->duties[duty])
+    if (task->has_duty[duty])
       return true;
   return false;
 }
 
-/* Others give this instance no batches while it is cut, so it tells them at once. */
+/* Writes the row at once, since other instances must not assign batches to this one while it is cut
+ * off from the store. */
 static void
-note_reach (Fleet *task, LbTime now)
+update_reachability (Fleet *task, LbTime now)
 {
   const LpPlatform *platform = task->context->platform;
-  bool cut = !lp_platform_is_reached (platform);
+  bool is_cut_off = !lp_platform_is_reached (platform);
 
-  if (cut == task->own.cut)
+  if (is_cut_off == task->own_row.cut)
     return;
-  task->own.cut = cut;
-  if (!ln_fleet_lists_has_omitted (task->lists, task->own.name))
+  task->own_row.cut = is_cut_off;
+  if (!ln_fleet_lists_has_omitted (task->lists, task->own_row.name))
     ln_fleet_renewal_write_now (task->renewal, now);
 }
 
-/* Told anew only when it has changed by more than answers of the store may vary: each change of a
- * row is read by all. */
+/* Updates the published value only when it changes by more than the jitter of the store's answers,
+ * because every change of a row is read by all instances. */
 static void
-note_clock (Fleet *task, LbTime now)
+update_clock_lead (Fleet *task, LbTime now)
 {
   int64_t lead = ln_true_time_own_lead (task->context, now);
 
   if (task->context->settings->duties.n_kinds == 0 || lead == 0)
     return;
-  if (llabs (lead - task->own.clock_lead_ms) > CLOCK_TOLERANCE_MS)
-    task->own.clock_lead_ms = lead;
+  if (llabs (lead - task->own_row.clock_lead_ms) > CLOCK_LEAD_TOLERANCE_MS)
+    task->own_row.clock_lead_ms = lead;
 }
 
 static void
@@ -169,19 +171,19 @@
   Fleet *task = user;
   LbTime now = lb_clock_monotonic ();
 
-  note_reach (task, now);
-  note_clock (task, now);
-  const LnFleetListSummary listing
+  update_reachability (task, now);
+  update_clock_lead (task, now);
+  const LnFleetListSummary summary
       = { .n_instances = ln_fleet_lists_count (task->lists),
-          .is_left_out = ln_fleet_lists_has_omitted (task->lists, task->own.name),
-          .has_duty_row = ln_fleet_lists_has_duty_row (task->lists, task->own.name) };
-  ln_fleet_renewal_tick (task->renewal, &listing, now);
+          .is_omitted = ln_fleet_lists_has_omitted (task->lists, task->own_row.name),
+          .has_duty_row = ln_fleet_lists_has_duty_row (task->lists, task->own_row.name) };
+  ln_fleet_renewal_tick (task->renewal, &summary, now);
   ln_ticker_set_idle (ln_context_ticker (task->context),
-                      listing.is_left_out && !has_duty (task) && !task->own.draining);
+                      summary.is_omitted && !has_any_duty (task) && !task->own_row.draining);
   ln_fleet_lists_tick (task->lists, now);
 }
 
-/* --- the addresses that callers are given --- */
+/* --- addresses for callers --- */
 
 static void
 add_address (const char **addresses, size_t *n, const char *address)
@@ -193,46 +195,50 @@
     addresses[(*n)++] = address;
 }
 
-/* Whether callers may be sent there. */
+/* Callers may be directed to this instance. */
 static bool
-may_be_named (const LcFleetMember *member)
+is_available (const LcFleetMember *member)
 {
   return member->alive && member->confirmed && member->row.ready && !member->row.draining;
 }
 
-/* Of the other instances: those that missed no renewal or all, near ones or far ones. */
+/* Adds other instances: only those that missed no renewal, or all; those in the same data centre,
+ * or the rest. */
 static void
-add_others (const Fleet *task, bool fresh, bool near, const char **addresses, size_t *n)
+add_other_addresses (
+    const Fleet *task, bool must_be_fresh, bool same_data_centre, const char **addresses, size_t *n)
 {
   for (size_t i = 0; i < ln_fleet_lists_count (task->lists); i++)
     {
-      const LcFleetMember *member = member_from (task, i);
-      bool is_near = strcmp (member->row.data_centre, task->own.data_centre) == 0;
-      if (may_be_named (member) && member->fresh >= fresh && is_near == near
-          && strcmp (member->row.name, task->own.name) != 0)
+      const LcFleetMember *member = get_rotated_member (task, i);
+      bool is_in_data_centre = strcmp (member->row.data_centre, task->own_row.data_centre) == 0;
+      if (is_available (member) && member->fresh >= must_be_fresh
+          && is_in_data_centre == same_data_centre
+          && strcmp (member->row.name, task->own_row.name) != 0)
         add_address (addresses, n, member->row.caller_address);
     }
 }
 
-/* This instance itself knows best whether it is ready. Only so many are told: those that missed no
- * renewal first, since one that did may be dead, and a caller that connects to it waits for a
- * second; among them near ones first. */
+/* This instance comes first if it is ready, since it knows its own state best. The number of
+ * addresses is limited: instances that missed no renewal go first, since one that did may be dead,
+ * and a caller that connects to it waits for a second; among these, instances in the same data
+ * centre go first. */
 static size_t
 choose_addresses (const Fleet *task, const char **addresses)
 {
   size_t n = 0;
 
-  if (task->own.ready && !task->own.draining)
-    add_address (addresses, &n, task->own.caller_address);
-  add_others (task, true, true, addresses, &n);
-  add_others (task, true, false, addresses, &n);
-  add_others (task, false, true, addresses, &n);
-  add_others (task, false, false, addresses, &n);
+  if (task->own_row.ready && !task->own_row.draining)
+    add_address (addresses, &n, task->own_row.caller_address);
+  add_other_addresses (task, true, true, addresses, &n);
+  add_other_addresses (task, true, false, addresses, &n);
+  add_other_addresses (task, false, true, addresses, &n);
+  add_other_addresses (task, false, false, addresses, &n);
   return n;
 }
 
 static void
-answer_entry (Fleet *task, LnExchange *exchange)
+answer_entry_request (Fleet *task, LnExchange *exchange)
 {
   const char *addresses[MAX_ENTRY_ADDRESSES];
   size_t n = choose_addresses (task, addresses);
@@ -242,7 +248,7 @@
   if (n == 0)
     {
       lb_error_set (&error, LB_ERROR_NOT_READY, "", "no instance is known to be ready");
-      ln_exchange_reply_error (exchange, &error, RETRY_WITHOUT_ADDRESS);
+      ln_exchange_reply_error (exchange, &error, NOT_READY_RETRY_AFTER);
       return;
     }
   char *text = task->context->dialect->write_entry (addresses, n, ttl);
@@ -250,54 +256,53 @@
   free (text);
 }
 
-/* --- calls to the store for others --- */
+/* --- store calls for other instances --- */
 
 typedef struct
 {
   LnExchange *exchange;
-} PeerCall;
+} RelayedCall;
 
 static void
-on_carried_out (LbErrorCode error, int status, const char *body, size_t length, void *user)
+on_call_completed (LbErrorCode error, int status, const char *body, size_t length, void *user)
 {
-  PeerCall *call = user;
-  LbError problem = { 0 };
+  RelayedCall *call = user;
+  LbError reply_error = { 0 };
 
   if (status != 0)
     ln_exchange_reply_text (call->exchange, status, "application/json", body, length);
   else
     {
-      /* 503 tells the asker that nothing was done; a status that promises nothing, that it may have
-       * been. */
-      lb_error_set (&problem,
+      /* 503 means that the call was not carried out, the other status that it may have been. */
+      lb_error_set (&reply_error,
                     error == LB_ERROR_STORE_AWAY ? LB_ERROR_STORE_AWAY : LB_ERROR_OUTCOME_UNKNOWN,
-                    "", "the store did not answer here either");
-      ln_exchange_reply_error (call->exchange, &problem, 0);
+                    "", "the store did not answer this instance either");
+      ln_exchange_reply_error (call->exchange, &reply_error, 0);
     }
   free (call);
 }
 
-/* Guards against a peer that asks an instance which is cut off as well: it would wait here for a
- * whole deadline, and hears at once instead that it has to ask another one. */
+/* Refuses at once if this instance is cut off from the store as well; otherwise the peer would wait
+ * for a whole deadline before it tries another instance. */
 static bool
-refuse_when_cut (const LpPlatform *platform, LnExchange *exchange)
+refuse_if_cut_off (const LpPlatform *platform, LnExchange *exchange)
 {
   LbError error = { 0 };
 
   if (lp_platform_is_reached (platform))
     return false;
-  lb_error_set (&error, LB_ERROR_STORE_AWAY, "", "the store can't be reached from here either");
+  lb_error_set (&error, LB_ERROR_STORE_AWAY, "", "this instance can't reach the store either");
   ln_exchange_reply_error (exchange, &error, 0);
   return true;
 }
 
 static void
-carry_out_for_peer (Fleet *task, LnExchange *exchange)
+relay_call (Fleet *task, LnExchange *exchange)
 {
   LpPlatform *platform = task->context->platform;
   const char *method = ln_exchange_header (exchange, LP_PEER_METHOD_HEADER);
   const char *path = ln_exchange_header (exchange, LP_PEER_PATH_HEADER);
-  PeerCall *call = NULL;
+  RelayedCall *call = NULL;
   LbError error = { 0 };
   size_t length;
   const char *body = ln_exchange_body (exchange, &length);
@@ -305,31 +310,31 @@
   if (!method || !path || !lh_method_is_known (method) || !platform->klass->carry_out)
     {
       lb_error_set (&error, LB_ERROR_BAD_REQUEST, LP_PEER_PATH_HEADER,
-                    "expected a call to the store");
+                    "expected the method and path of a store call");
       ln_exchange_reply_error (exchange, &error, 0);
       return;
     }
-  if (refuse_when_cut (platform, exchange))
+  if (refuse_if_cut_off (platform, exchange))
     return;
-  call = LB_NEW (PeerCall);
+  call = LB_NEW (RelayedCall);
   call->exchange = exchange;
-  platform->klass->carry_out (platform, method, path, body, length, on_carried_out, call);
+  platform->klass->carry_out (platform, method, path, body, length, on_call_completed, call);
 }
 
 static void
-take_exchange (Fleet *task, LnExchange *exchange)
+handle_exchange (Fleet *task, LnExchange *exchange)
 {
   if (strcmp (ln_exchange_path (exchange), LP_PEER_PATH) == 0)
-    carry_out_for_peer (task, exchange);
+    relay_call (task, exchange);
   else
-    answer_entry (task, exchange);
+    answer_entry_request (task, exchange);
 }
 
 static void
-note_duty (Fleet *task, const LnDutyMessage *message, LbTime now)
+update_duty (Fleet *task, const LnDutyMessage *message, LbTime now)
 {
-  task->duties[message->duty] = message->held;
-  ln_fleet_renewal_set_duty (task->renewal, has_duty (task), now);
+  task->has_duty[message->duty] = message->held;
+  ln_fleet_renewal_set_duty (task->renewal, has_any_duty (task), now);
 }
 
 static void
@@ -340,10 +345,10 @@
   switch ((LnMessageType)message->type)
     {
     case LN_EXCHANGE:
-      take_exchange (task, ((const LnExchangeMessage *)message)->exchange);
+      handle_exchange (task, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_DUTY:
-      note_duty (task, (const LnDutyMessage *)message, lb_clock_monotonic ());
+      update_duty (task, (const LnDutyMessage *)message, lb_clock_monotonic ());
       break;
     case LN_CATALOG_FOLLOWED:
       ln_fleet_lists_set_catalog_followed (task->lists,
@@ -354,10 +359,10 @@
                                   ((const LnFleetMessage *)message)->n_members);
       break;
     case LN_SERVICE_OVERLOADED:
-      LB_COPY (task->own.crowded, ((const LnServiceOverloadedMessage *)message)->service);
+      LB_COPY (task->own_row.crowded, ((const LnServiceOverloadedMessage *)message)->service);
       break;
     case LN_READY:
-      task->own.ready = ((const LnReadyMessage *)message)->ready;
+      task->own_row.ready = ((const LnReadyMessage *)message)->ready;
       ln_fleet_renewal_write_now (task->renewal, lb_clock_monotonic ());
       break;
     default:
@@ -365,13 +370,13 @@
     }
 }
 
-/* Told at once, so that callers go elsewhere from their next look on. */
+/* Writes the row at once, so that callers avoid this instance from their next lookup on. */
 static void
 drain (LnTask *base)
 {
   Fleet *task = (Fleet *)base;
 
-  task->own.draining = true;
+  task->own_row.draining = true;
   ln_fleet_renewal_write_now (task->renewal, lb_clock_monotonic ());
 }
 
@@ -397,16 +402,16 @@
   task->task.klass = &fleet_class;
   task->task.hub = context->hub;
   task->context = context;
-  LB_COPY (task->own.name, context->instance);
-  LB_COPY (task->own.incarnation, context->incarnation);
-  LB_COPY (task->own.data_centre, context->settings->instance.data_centre);
-  LB_COPY (task->own.caller_address, context->caller_address);
-  LB_COPY (task->own.peer_address, context->peer_address);
-  task->own.strength = lc_duty_strength (context->settings->instance.processor_share,
-                                         context->settings->instance.link_mbps);
-  task->renewal = ln_fleet_renewal_new (context->platform, &task->own);
-  task->lists = ln_fleet_lists_new (context->platform, context->instance, on_change, task);
-  task->tick = (LnTick){ .period = TICK, .call = on_tick, .user = task };
+  LB_COPY (task->own_row.name, context->instance);
+  LB_COPY (task->own_row.incarnation, context->incarnation);
+  LB_COPY (task->own_row.data_centre, context->settings->instance.data_centre);
+  LB_COPY (task->own_row.caller_address, context->caller_address);
+  LB_COPY (task->own_row.peer_address, context->peer_address);
+  task->own_row.strength = lc_duty_strength (context->settings->instance.processor_share,
+                                             context->settings->instance.link_mbps);
+  task->renewal = ln_fleet_renewal_new (context->platform, &task->own_row);
+  task->lists = ln_fleet_lists_new (context->platform, context->instance, on_lists_changed, task);
+  task->tick = (LnTick){ .period = TICK_PERIOD, .call = on_tick, .user = task };
   ln_ticker_add (ln_context_ticker (context), &task->tick);
   return &task->task;
 }
--- a/packages/node/src/membership/ln-frame-window.c
+++ b/packages/node/src/membership/ln-frame-window.c
@@ -5,14 +5,14 @@
 #include <stdlib.h>
 #include <uthash.h>
 
-#define WINDOW 64
+#define WINDOW_FRAMES 64
 
 typedef struct
 {
   LbName origin;
   uint64_t epoch;
-  uint64_t highest;
-  uint64_t seen; /* bit n: the frame highest - n */
+  uint64_t highest_sequence;
+  uint64_t seen_bits; /* bit n: the frame highest_sequence - n */
   UT_hash_handle hh;
 } Origin;
 
@@ -43,7 +43,7 @@
 }
 
 static Origin *
-find_or_add (LnFrameWindow *window, const char *name)
+find_or_add_origin (LnFrameWindow *window, const char *name)
 {
   Origin *origin;
 
@@ -56,32 +56,32 @@
   return origin;
 }
 
-/* Frames reach an instance on several paths and out of order; one that is more than WINDOW behind
- * the newest counts as seen. */
+/* Frames reach an instance on several paths and out of order; a frame that is WINDOW_FRAMES or more
+ * behind the newest counts as seen. */
 bool
 ln_frame_window_add (LnFrameWindow *window, const char *name, uint64_t epoch, uint64_t sequence)
 {
-  Origin *origin = find_or_add (window, name);
+  Origin *origin = find_or_add_origin (window, name);
 
   if (epoch < origin->epoch)
     return false;
   if (epoch > origin->epoch)
     {
       origin->epoch = epoch;
-      origin->highest = sequence;
-      origin->seen = 1;
+      origin->highest_sequence = sequence;
+      origin->seen_bits = 1;
       return true;
     }
-  if (sequence > origin->highest)
+  if (sequence > origin->highest_sequence)
     {
-      uint64_t ahead = sequence - origin->highest;
-      origin->seen = (ahead < WINDOW ? origin->seen << ahead : 0) | 1;
-      origin->highest = sequence;
+      uint64_t ahead = sequence - origin->highest_sequence;
+      origin->seen_bits = (ahead < WINDOW_FRAMES ? origin->seen_bits << ahead : 0) | 1;
+      origin->highest_sequence = sequence;
       return true;
     }
-  uint64_t behind = origin->highest - sequence;
-  if (behind >= WINDOW || (origin->seen >> behind & 1))
+  uint64_t behind = origin->highest_sequence - sequence;
+  if (behind >= WINDOW_FRAMES || (origin->seen_bits >> behind & 1))
     return false;
-  origin->seen |= 1ULL << behind;
+  origin->seen_bits |= 1ULL << behind;
   return true;
 }
--- a/packages/node/src/membership/ln-frame-window.h
+++ b/packages/node/src/membership/ln-frame-window.h
@@ -3,12 +3,14 @@
 
 #include "lb-types.h"
 
-/* Which frames to all have been seen, by origin, so that each is delivered and passed on once. */
+/* Duplicate detection for broadcast frames, per origin, so that each frame is delivered and
+ * forwarded once. */
 typedef struct LnFrameWindow LnFrameWindow;
 
 LnFrameWindow *ln_frame_window_new (void);
 void ln_frame_window_free (LnFrameWindow *window);
-/* True when this frame of the origin was not seen before; it is then noted as seen. */
+/* Returns true if the frame was not seen before, and records it as seen. epoch: incarnation of the
+ * origin. */
 bool
 ln_frame_window_add (LnFrameWindow *window, const char *origin, uint64_t epoch, uint64_t sequence);
 
--- a/packages/node/src/membership/ln-members.c
+++ b/packages/node/src/membership/ln-members.c
@@ -9,27 +9,33 @@
 
 static LbMetric members_alive = LB_GAUGE_INIT ("lentilspindle_members_alive",
                                                NULL,
-                                               "Instances seen alive, this one included");
+                                               "Instances that are alive, including this one");
 static LbMetric members_known
-    = LB_GAUGE_INIT ("lentilspindle_members_known", NULL, "Instances known and not forgotten");
-static LbMetric silent_connections = LB_COUNTER_INIT ("lentilspindle_peer_silent_connections_total",
-                                                      NULL,
-                                                      "Connections given up as silent");
-static LbMetric suspected = LB_COUNTER_INIT ("lentilspindle_members_suspected_total",
-                                             NULL,
-                                             "Suspicions raised by this instance");
-static LbMetric condemned = LB_COUNTER_INIT ("lentilspindle_members_condemned_total",
-                                             NULL,
-                                             "Suspected instances called dead here");
-static LbMetric refuted = LB_COUNTER_INIT ("lentilspindle_members_refuted_total",
-                                           NULL,
-                                           "Suspicions refuted by the suspected instance");
-static LbMetric pauses = LB_COUNTER_INIT ("lentilspindle_own_pauses_total",
-                                          NULL,
-                                          "Gaps in the own loop taken for a pause");
-static LbMetric name_conflicts = LB_COUNTER_INIT ("lentilspindle_name_conflicts_total",
-                                                  NULL,
-                                                  "Another incarnation claimed this name");
+    = LB_GAUGE_INIT ("lentilspindle_members_known",
+                     NULL,
+                     "Known instances, including suspected and dead ones");
+static LbMetric silent_connections
+    = LB_COUNTER_INIT ("lentilspindle_peer_silent_connections_total",
+                       NULL,
+                       "Connections closed because the peer was silent");
+static LbMetric suspicions = LB_COUNTER_INIT ("lentilspindle_members_suspected_total",
+                                              NULL,
+                                              "Instances that this instance has begun to suspect");
+static LbMetric deaths
+    = LB_COUNTER_INIT ("lentilspindle_members_condemned_total",
+                       NULL,
+                       "Suspected instances that this instance has declared dead");
+static LbMetric refutations = LB_COUNTER_INIT ("lentilspindle_members_refuted_total",
+                                               NULL,
+                                               "Suspicions refuted by the suspected instance");
+static LbMetric own_pauses = LB_COUNTER_INIT (
+    "lentilspindle_own_pauses_total",
+    NULL,
+    "Gaps in this instance's event loop that were treated as pauses of the process");
+static LbMetric name_conflicts
+    = LB_COUNTER_INIT ("lentilspindle_name_conflicts_total",
+                       NULL,
+                       "Other incarnations that claimed this instance's name");
 
 void
 ln_members_update_counters (const LcMembership *membership, LcMembershipTotals *counted)
@@ -37,16 +43,16 @@
   LcMembershipTotals totals = lc_membership_totals (membership);
 
   lb_metric_add (&silent_connections, totals.connection_timeouts - counted->connection_timeouts);
-  lb_metric_add (&suspected, totals.suspected - counted->suspected);
-  lb_metric_add (&condemned, totals.declared_dead - counted->declared_dead);
-  lb_metric_add (&refuted, totals.refuted - counted->refuted);
-  lb_metric_add (&pauses, totals.own_pauses - counted->own_pauses);
+  lb_metric_add (&suspicions, totals.suspected - counted->suspected);
+  lb_metric_add (&deaths, totals.declared_dead - counted->declared_dead);
+  lb_metric_add (&refutations, totals.refuted - counted->refuted);
+  lb_metric_add (&own_pauses, totals.own_pauses - counted->own_pauses);
   lb_metric_add (&name_conflicts, totals.name_conflicts - counted->name_conflicts);
   *counted = totals;
 }
 
 static LnMember
-member_of (const LcMemberView *view)
+make_member (const LcMemberView *view)
 {
   LnMember member = { .alive = view->alive, .draining = view->draining, .is_self = view->is_self };
 
@@ -58,6 +64,7 @@
   return member;
 }
 
+/* NULL: simply alive. */
 static const char *
 state_name (const LcMemberView *view)
 {
@@ -68,25 +75,25 @@
   return view->draining ? "draining" : NULL;
 }
 
-/* One line for each change, naming those that are not simply alive. */
+/* Logs one line per change, with the instances that are not simply alive. */
 static void
-log_view (const LcMemberView *views, size_t n_views, size_t alive)
+log_members (const LcMemberView *views, size_t n_views, size_t alive)
 {
-  struct json_object *others = json_object_new_object ();
+  struct json_object *exceptions = json_object_new_object ();
 
   for (size_t i = 0; i < n_views; i++)
     {
       const char *state = state_name (&views[i]);
       if (state)
-        json_object_object_add (others, views[i].instance.name, json_object_new_string (state));
+        json_object_object_add (exceptions, views[i].instance.name, json_object_new_string (state));
     }
   lb_log (LB_LOG_INFO, "members", LB_INT ("alive", alive), LB_INT ("known", n_views),
-          LB_JSON ("others", json_object_to_json_string (others)));
-  json_object_put (others);
+          LB_JSON ("others", json_object_to_json_string (exceptions)));
+  json_object_put (exceptions);
 }
 
 static void
-members_clear (LnMessage *message)
+clear_members (LnMessage *message)
 {
   free (((LnMembersMessage *)message)->members);
 }
@@ -99,7 +106,7 @@
   LnMembersMessage message = { .base = LN_MESSAGE (LN_MEMBERS) };
   size_t alive = 0;
 
-  message.base.clear = members_clear;
+  message.base.clear = clear_members;
   message.members = LB_NEW_ARRAY (LnMember, n_views);
   lc_membership_copy_views (membership, views);
   for (size_t i = 0; i < n_views; i++)
@@ -107,9 +114,9 @@
       if (views[i].instance.state == LC_INSTANCE_DEAD)
         continue;
       alive += views[i].alive;
-      message.members[message.n_members++] = member_of (&views[i]);
+      message.members[message.n_members++] = make_member (&views[i]);
     }
-  log_view (views, n_views, alive);
+  log_members (views, n_views, alive);
   lb_metric_set (&members_alive, (int64_t)alive);
   lb_metric_set (&members_known, (int64_t)n_views);
   free (views);
--- a/packages/node/src/membership/ln-members.h
+++ b/packages/node/src/membership/ln-members.h
@@ -4,9 +4,10 @@
 #include "lc-membership.h"
 #include "ln-messages.h"
 
-/* Posts the present view as LN_MEMBERS to all tasks, logs it and sets the gauges. */
+/* Posts the current view as LN_MEMBERS to all tasks, logs it and sets the gauges. */
 void ln_members_publish (const LcMembership *membership, LnHub *hub);
-/* Adds to the counters what the totals of the membership have grown by since `counted`. */
+/* Adds the growth of the membership's totals since `counted` to the counters, and updates
+ * `counted`. */
 void ln_members_update_counters (const LcMembership *membership, LcMembershipTotals *counted);
 
 #endif
--- a/packages/node/src/membership/ln-outbox.c
+++ b/packages/node/src/membership/ln-outbox.c
@@ -7,7 +7,7 @@
 
 #define MAX_FRAMES 1024
 #define MAX_BYTES ((size_t)16 << 20)
-#define MAX_WAIT (5 * LB_SEC)
+#define MAX_QUEUE_TIME (5 * LB_SEC)
 
 typedef struct
 {
@@ -15,8 +15,8 @@
   LbName instance;
   uint8_t *frame;
   size_t length;
-  LbTime until;
-} Waiting;
+  LbTime expires_at;
+} QueuedFrame;
 
 void
 ln_outbox_init (LnOutbox *outbox)
@@ -26,20 +26,20 @@
 }
 
 static void
-remove_waiting (LnOutbox *outbox, Waiting *waiting)
+remove_frame (LnOutbox *outbox, QueuedFrame *queued)
 {
-  lb_list_remove (&outbox->frames, &waiting->link);
-  outbox->bytes -= waiting->length;
-  free (waiting->frame);
-  free (waiting);
+  lb_list_remove (&outbox->frames, &queued->link);
+  outbox->bytes -= queued->length;
+  free (queued->frame);
+  free (queued);
 }
 
 void
 ln_outbox_clear (LnOutbox *outbox)
 {
-  LB_LIST_FOREACH (&outbox->frames, Waiting, link, waiting)
+  LB_LIST_FOREACH (&outbox->frames, QueuedFrame, link, queued)
   {
-    remove_waiting (outbox, waiting);
+    remove_frame (outbox, queued);
   }
 }
 
@@ -51,25 +51,25 @@
       free (frame);
       return false;
     }
-  Waiting *waiting = LB_NEW (Waiting);
-  LB_COPY (waiting->instance, instance);
-  waiting->frame = frame;
-  waiting->length = length;
-  waiting->until = now + MAX_WAIT;
+  QueuedFrame *queued = LB_NEW (QueuedFrame);
+  LB_COPY (queued->instance, instance);
+  queued->frame = frame;
+  queued->length = length;
+  queued->expires_at = now + MAX_QUEUE_TIME;
   outbox->bytes += length;
-  lb_list_append (&outbox->frames, &waiting->link);
+  lb_list_append (&outbox->frames, &queued->link);
   return true;
 }
 
 void
 ln_outbox_flush (LnOutbox *outbox, const char *instance, LnOutboxSend send, void *user)
 {
-  LB_LIST_FOREACH (&outbox->frames, Waiting, link, waiting)
+  LB_LIST_FOREACH (&outbox->frames, QueuedFrame, link, queued)
   {
-    if (strcmp (waiting->instance, instance) != 0)
+    if (strcmp (queued->instance, instance) != 0)
       continue;
-    send (waiting->frame, waiting->length, user);
-    remove_waiting (outbox, waiting);
+    send (queued->frame, queued->length, user);
+    remove_frame (outbox, queued);
   }
 }
 
@@ -78,10 +78,10 @@
 {
   size_t before = outbox->frames.length;
 
-  LB_LIST_FOREACH (&outbox->frames, Waiting, link, waiting)
+  LB_LIST_FOREACH (&outbox->frames, QueuedFrame, link, queued)
   {
-    if (now >= waiting->until)
-      remove_waiting (outbox, waiting);
+    if (now >= queued->expires_at)
+      remove_frame (outbox, queued);
   }
   return before - outbox->frames.length;
 }
--- a/packages/node/src/membership/ln-outbox.h
+++ b/packages/node/src/membership/ln-outbox.h
@@ -3,7 +3,8 @@
 
 #include "lb-list.h"
 
-/* Frames for instances to which no connection is open yet; bounded in number, bytes and time. */
+/* Queue of frames for instances to which no connection is open yet; bounded in number, bytes and
+ * time. */
 typedef struct
 {
   LbList frames;
@@ -14,12 +15,12 @@
 
 void ln_outbox_init (LnOutbox *outbox);
 void ln_outbox_clear (LnOutbox *outbox);
-/* Takes the frame over. False (and frees it) when the outbox is full. */
+/* Takes ownership of the frame. Returns false, and frees the frame, if the outbox is full. */
 bool
 ln_outbox_add (LnOutbox *outbox, const char *instance, uint8_t *frame, size_t length, LbTime now);
-/* Hands over the frames that wait for this instance, oldest first. */
+/* Sends the queued frames for this instance, oldest first. */
 void ln_outbox_flush (LnOutbox *outbox, const char *instance, LnOutboxSend send, void *user);
-/* Frees frames that waited too long; returns how many. */
+/* Drops frames that were queued for too long; returns their number. */
 size_t ln_outbox_expire (LnOutbox *outbox, LbTime now);
 
 #endif
--- a/packages/node/src/membership/ln-peer-connection.c
+++ b/packages/node/src/membership/ln-peer-connection.c
@@ -14,18 +14,18 @@
 #include <string.h>
 #include <sys/socket.h>
 
-/* Bytes that may wait unsent on one connection: two of the largest frames. */
+/* Maximum of unsent bytes per connection: two frames of maximum size. */
 #define MAX_UNSENT (2 * LW_FRAME_CAP)
 
 static LbMetric bytes_sent = LB_COUNTER_INIT ("lentilspindle_peer_bytes_sent_total",
                                               NULL,
-                                              "Bytes of frames given to other instances");
+                                              "Bytes of frames sent to other instances");
 static LbMetric bytes_received = LB_COUNTER_INIT ("lentilspindle_peer_bytes_received_total",
                                                   NULL,
-                                                  "Bytes of frames got from other instances");
+                                                  "Bytes of frames received from other instances");
 
 static void
-fail (LnPeerConnection *connection, const LbError *error)
+report_failure (LnPeerConnection *connection, const LbError *error)
 {
   connection->handlers->failed (connection, error, connection->user);
 }
@@ -41,7 +41,7 @@
 }
 
 static bool
-shake_hands (LnPeerConnection *connection, const LwMessage *message, LbError *error)
+continue_handshake (LnPeerConnection *connection, const LwMessage *message, LbError *error)
 {
   LwMessage answer;
 
@@ -65,15 +65,16 @@
   if (connection->handshake.done)
     connection->handlers->received (connection, &message, connection->user);
   else
-    ok = shake_hands (connection, &message, error);
+    ok = continue_handshake (connection, &message, error);
   lw_message_clear (&message);
   return ok;
 }
 
-/* Reads one frame from the buffer; waits for the rest of a partial one in one go, since pulling the
- * bytes together again at each arrival would copy a large frame hundreds of times. */
+/* Reads one frame from the buffer. For a partial frame it sets the low watermark to the frame's
+ * end: making the bytes contiguous again at each arrival would copy a large frame hundreds of
+ * times. */
 static LwFrameResult
-read_one (LnPeerConnection *connection, struct evbuffer *input, LbError *error)
+read_frame (LnPeerConnection *connection, struct evbuffer *input, LbError *error)
 {
   size_t cap = connection->handshake.done ? LW_FRAME_CAP : LW_FRAME_CAP_UNPROVED;
   size_t length = evbuffer_get_length (input);
@@ -88,7 +89,7 @@
   lb_metric_add (&bytes_received, (int64_t)frame.consumed);
   if (!receive_frame (connection, &frame, error))
     return LW_FRAME_BAD;
-  if (!connection->closed)
+  if (!connection->is_closed)
     evbuffer_drain (input, frame.consumed);
   return LW_FRAME_WHOLE;
 }
@@ -101,11 +102,11 @@
   LbError error = { .code = LB_OK };
 
   bufferevent_setwatermark (stream, EV_READ, 0, 0);
-  while (!connection->closed && result == LW_FRAME_WHOLE
+  while (!connection->is_closed && result == LW_FRAME_WHOLE
          && evbuffer_get_length (bufferevent_get_input (stream)) > 0)
-    result = read_one (connection, bufferevent_get_input (stream), &error);
-  if (!connection->closed && result == LW_FRAME_BAD)
-    fail (connection, &error);
+    result = read_frame (connection, bufferevent_get_input (stream), &error);
+  if (!connection->is_closed && result == LW_FRAME_BAD)
+    report_failure (connection, &error);
 }
 
 static void
@@ -133,14 +134,14 @@
   if (!(what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)))
     return;
   lb_error_set (&error, LB_ERROR_CLOSED, "peer", "%s",
-                what & BEV_EVENT_EOF ? "end of stream"
+                what & BEV_EVENT_EOF ? "the peer closed the connection"
                                      : evutil_socket_error_to_string (evutil_socket_geterror (-1)));
-  fail (connection, &error);
+  report_failure (connection, &error);
 }
 
 static LnPeerConnection *
 connection_new (struct bufferevent *stream,
-                bool dialler,
+                bool is_dialler,
                 const char *key,
                 const LcInstance *self,
                 const LnPeerHandlers *handlers,
@@ -159,7 +160,7 @@
   connection->handlers = handlers;
   connection->user = user;
   connection->stream = stream;
-  lw_handshake_init (&connection->handshake, dialler, key, self, nonce);
+  lw_handshake_init (&connection->handshake, is_dialler, key, self, nonce);
   bufferevent_setcb (stream, on_read, NULL, on_event, connection);
   bufferevent_enable (stream, EV_READ | EV_WRITE);
   return connection;
@@ -182,7 +183,8 @@
   LnPeerConnection *connection = connection_new (stream, true, key, self, handlers, user);
   if (!connection)
     return NULL;
-  /* The handlers must not run inside this call, when the owner does not know the connection yet. */
+  /* Without callbacks during the connect: the handlers must not be called before the owner knows
+   * the connection. */
   bufferevent_setcb (stream, NULL, NULL, NULL, NULL);
   int failed = bufferevent_socket_connect (stream, (struct sockaddr *)&target, length);
   bufferevent_setcb (stream, on_read, NULL, on_event, connection);
@@ -213,9 +215,9 @@
 void
 ln_peer_connection_close (LnPeerConnection *connection)
 {
-  if (connection->closed)
+  if (connection->is_closed)
     return;
-  connection->closed = true;
+  connection->is_closed = true;
   bufferevent_free (connection->stream);
   connection->stream = NULL;
 }
@@ -227,11 +229,12 @@
   free (connection);
 }
 
-/* The failure: a peer that reads nothing makes this process store all that is sent to it. */
+/* Limits the unsent bytes; otherwise a peer that reads nothing would make this process buffer all
+ * frames sent to it. */
 bool
 ln_peer_connection_send (LnPeerConnection *connection, const uint8_t *frame, size_t length)
 {
-  if (connection->closed)
+  if (connection->is_closed)
     return true;
   struct evbuffer *output = bufferevent_get_output (connection->stream);
   if (evbuffer_get_length (output) + length > MAX_UNSENT)
--- a/packages/node/src/membership/ln-peer-connection.h
+++ b/packages/node/src/membership/ln-peer-connection.h
@@ -8,30 +8,31 @@
 struct event_base;
 typedef struct LnPeerConnection LnPeerConnection;
 
-/* What the owner of a connection is told. It may close the connection inside any of these. */
+/* Callbacks to the owner of a connection, which may close the connection inside any of them. */
 typedef struct
 {
-  /* The key is proved in both directions. */
+  /* The handshake is done: both ends have proved that they know the key. */
   void (*opened) (LnPeerConnection *connection, const LcInstance *peer, void *user);
   void (*received) (LnPeerConnection *connection, const LwMessage *message, void *user);
-  /* Closed by the other end or by a fault; the connection is to be closed by the owner. */
+  /* The other end closed the connection, or it failed; the owner has to close it. */
   void (*failed) (LnPeerConnection *connection, const LbError *error, void *user);
 } LnPeerHandlers;
 
-/* A TCP connection to another instance that speaks in frames. */
+/* TCP connection to another instance, which carries frames. */
 struct LnPeerConnection
 {
-  LbLink link;      /* the owner's */
-  uint64_t id;      /* the owner's */
-  LbTime opened_by; /* the owner's */
+  LbLink link;               /* used by the owner */
+  uint64_t id;               /* used by the owner */
+  LbTime handshake_deadline; /* used by the owner */
+
   const LnPeerHandlers *handlers;
   void *user;
   struct bufferevent *stream;
   LwHandshake handshake;
-  bool closed;
+  bool is_closed;
 };
 
-/* NULL when the address is not one or no socket can be had. */
+/* NULL if the address is invalid or no socket can be created. */
 LnPeerConnection *ln_peer_connection_dial (struct event_base *base,
                                            const char *address,
                                            const char *key,
@@ -44,11 +45,12 @@
                                              const LcInstance *self,
                                              const LnPeerHandlers *handlers,
                                              void *user);
-/* Closes the socket; no handler is called any more. The memory stays until _free. */
+/* Closes the socket; no handler is called from then on. The memory is released by _free. */
 void ln_peer_connection_close (LnPeerConnection *connection);
 void ln_peer_connection_free (LnPeerConnection *connection);
 
-/* frame: of lw_message_encode. False when too much waits unsent: the other end does not read. */
+/* frame: made by lw_message_encode. False if too many bytes are unsent, because the other end does
+ * not read, or if the write fails. */
 bool ln_peer_connection_send (LnPeerConnection *connection, const uint8_t *frame, size_t length);
 
 #endif
--- a/packages/node/src/membership/ln-peers-actions.c
+++ b/packages/node/src/membership/ln-peers-actions.c
@@ -6,10 +6,10 @@
 #include "lb-time.h"
 #include "ln-members.h"
 
-#define MIN_TIMER LB_MSEC
+#define MIN_TIMER_DELAY LB_MSEC
 
 static void
-open_connection (LnPeers *peers, const LcMembershipAction *action)
+dial_peer (LnPeers *peers, const LcMembershipAction *action)
 {
   LnPeerConnection *connection
       = ln_peer_connection_dial (peers->context->base, action->address,
@@ -24,7 +24,7 @@
 }
 
 static void
-close_as_ordered (LnPeers *peers, const LcMembershipAction *action)
+close_link (LnPeers *peers, const LcMembershipAction *action)
 {
   LnPeerConnection *connection = ln_peers_find_connection (peers, action->link);
 
@@ -41,13 +41,13 @@
 }
 
 static void
-send_as_ordered (LnPeers *peers, const LcMembershipAction *action)
+send_action_message (LnPeers *peers, const LcMembershipAction *action)
 {
-  static const LwMessageType types[] = { [LC_MEMBERSHIP_PING] = LW_PING,
-                                         [LC_MEMBERSHIP_BROADCAST] = LW_INSTANCES,
-                                         [LC_MEMBERSHIP_SEND] = LW_INSTANCES,
-                                         [LC_MEMBERSHIP_COMPARE] = LW_COMPARE };
-  LwMessage message = { .type = types[action->type],
+  static const LwMessageType message_types[] = { [LC_MEMBERSHIP_PING] = LW_PING,
+                                                 [LC_MEMBERSHIP_BROADCAST] = LW_INSTANCES,
+                                                 [LC_MEMBERSHIP_SEND] = LW_INSTANCES,
+                                                 [LC_MEMBERSHIP_COMPARE] = LW_COMPARE };
+  LwMessage message = { .type = message_types[action->type],
                         .digest = action->digest,
                         .instances = action->instances,
                         .n_instances = action->n_instances,
@@ -61,21 +61,21 @@
 }
 
 static void
-carry_out_one (LnPeers *peers, const LcMembershipAction *action)
+run_action (LnPeers *peers, const LcMembershipAction *action)
 {
   switch (action->type)
     {
     case LC_MEMBERSHIP_DIAL:
-      open_connection (peers, action);
+      dial_peer (peers, action);
       break;
     case LC_MEMBERSHIP_CLOSE:
-      close_as_ordered (peers, action);
+      close_link (peers, action);
       break;
     case LC_MEMBERSHIP_PING:
     case LC_MEMBERSHIP_BROADCAST:
     case LC_MEMBERSHIP_SEND:
     case LC_MEMBERSHIP_COMPARE:
-      send_as_ordered (peers, action);
+      send_action_message (peers, action);
       break;
     case LC_MEMBERSHIP_CHANGED:
       ln_members_publish (peers->membership, peers->base.hub);
@@ -88,8 +88,8 @@
 {
   LbTime wait = lc_membership_next_tick (peers->membership) - lb_clock_monotonic ();
 
-  if (wait < MIN_TIMER)
-    wait = MIN_TIMER;
+  if (wait < MIN_TIMER_DELAY)
+    wait = MIN_TIMER_DELAY;
   struct timeval delay = lb_time_to_timeval (wait);
   event_add (peers->timer, &delay);
 }
@@ -102,9 +102,9 @@
   while ((link = lb_list_pop (&peers->actions)))
     {
       LcMembershipAction *action = LB_CONTAINER (link, LcMembershipAction, link_in_list);
-      carry_out_one (peers, action);
+      run_action (peers, action);
       lc_membership_action_free (action);
     }
-  ln_members_update_counters (peers->membership, &peers->counted);
+  ln_members_update_counters (peers->membership, &peers->counted_totals);
   set_timer (peers);
 }
--- a/packages/node/src/membership/ln-peers-connections.c
+++ b/packages/node/src/membership/ln-peers-connections.c
@@ -3,10 +3,9 @@
 #include "lb-clock.h"
 #include "lb-counter.h"
 
-static LbMetric connections_open
-    = LB_GAUGE_INIT ("lentilspindle_peer_connections",
-                     NULL,
-                     "Connections to other instances, both directions");
+static LbMetric open_connections = LB_GAUGE_INIT ("lentilspindle_peer_connections",
+                                                  NULL,
+                                                  "Open connections to and from other instances");
 
 LnPeerConnection *
 ln_peers_find_connection (const LnPeers *peers, LcLinkId id)
@@ -20,9 +19,9 @@
 }
 
 static void
-count_connections (const LnPeers *peers)
+update_connection_gauge (const LnPeers *peers)
 {
-  lb_metric_set (&connections_open, (int64_t)peers->connections.length);
+  lb_metric_set (&open_connections, (int64_t)peers->connections.length);
 }
 
 void
@@ -30,7 +29,7 @@
 {
   connection->id = id;
   lb_list_append (&peers->connections, &connection->link);
-  count_connections (peers);
+  update_connection_gauge (peers);
 }
 
 void
@@ -38,8 +37,8 @@
 {
   ln_peer_connection_close (connection);
   lb_list_remove (&peers->connections, &connection->link);
-  lb_list_append (&peers->closed, &connection->link);
-  count_connections (peers);
+  lb_list_append (&peers->closed_connections, &connection->link);
+  update_connection_gauge (peers);
 }
 
 void
--- a/packages/node/src/membership/ln-peers-frames.c
+++ b/packages/node/src/membership/ln-peers-frames.c
@@ -8,14 +8,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A connection opened to send a frame stays open for more of them. */
-#define KEEP_FOR_FRAMES (30 * LB_SEC)
+/* A connection that was opened to send a frame is kept open this long for further frames. */
+#define KEEP_CONNECTED_TIME (30 * LB_SEC)
 
 static LbMetric frames_dropped = LB_COUNTER_INIT ("lentilspindle_peer_frames_dropped_total",
                                                   NULL,
-                                                  "Frames given up before they were sent");
+                                                  "Frames dropped before they were sent");
 
-/* A connection on which too much waits unsent is as good as silent: its end closes it. */
+/* Closes the connection if its peer does not read: too many unsent bytes count like silence. */
 static void
 send_frame (LnPeers *peers, LnPeerConnection *connection, const uint8_t *frame, size_t length)
 {
@@ -40,8 +40,8 @@
   free (frame);
 }
 
-/* One frame to each instance to which a connection is open, but not on the connection except. Two
- * instances may have a connection in each direction; the one heard last is taken. */
+/* Two instances may have a connection in each direction; the frame goes over the one that a frame
+ * arrived on last. */
 void
 ln_peers_broadcast (LnPeers *peers, const LwMessage *message, LcLinkId except)
 {
@@ -63,7 +63,7 @@
 }
 
 static void
-send_waiting (const uint8_t *frame, size_t length, void *user)
+send_queued_frame (const uint8_t *frame, size_t length, void *user)
 {
   LnPeerConnection *connection = user;
 
@@ -75,7 +75,7 @@
 void
 ln_peers_flush_outbox (LnPeers *peers, LnPeerConnection *connection, const char *name)
 {
-  ln_outbox_flush (&peers->outbox, name, send_waiting, connection);
+  ln_outbox_flush (&peers->outbox, name, send_queued_frame, connection);
 }
 
 void
@@ -85,13 +85,14 @@
 }
 
 static void
-peer_message_clear (LnMessage *message)
+clear_peer_message (LnMessage *message)
 {
   free (((LnPeerMessage *)message)->payload);
 }
 
 static void
-deliver (LnPeers *peers, const char *sender, const char *topic, const char *payload, size_t length)
+deliver_to_task (
+    LnPeers *peers, const char *sender, const char *topic, const char *payload, size_t length)
 {
   LnTask *task = ln_hub_find (peers->base.hub, topic);
   LnPeerMessage message = { .base = LN_MESSAGE (LN_PEER_FRAME), .length = length };
@@ -101,7 +102,7 @@
       lb_log (LB_LOG_WARNING, "peer_frame_without_task", LB_TEXT ("topic", topic));
       return;
     }
-  message.base.clear = peer_message_clear;
+  message.base.clear = clear_peer_message;
   LB_COPY (message.instance, sender);
   LB_COPY (message.topic, topic);
   message.payload = lb_malloc (length + 1);
@@ -110,29 +111,29 @@
   LN_POST (peers->base.hub, task, message);
 }
 
-/* A frame to all is passed on over all connections, so that the sender need not have one to each.
- */
+/* Broadcast frames are forwarded over all connections, since the sender does not have one to each
+ * instance. */
 void
 ln_peers_handle_data (LnPeers *peers, LcLinkId from, const LwMessage *message)
 {
   if (strcmp (message->origin, lc_membership_self (peers->membership)->name) == 0)
     return;
   if (message->to_all
-      && !ln_frame_window_add (peers->window, message->origin, message->origin_epoch,
+      && !ln_frame_window_add (peers->seen_frames, message->origin, message->origin_epoch,
                                message->sequence))
     return;
-  deliver (peers, message->origin, message->topic, message->payload, message->length);
+  deliver_to_task (peers, message->origin, message->topic, message->payload, message->length);
   if (message->to_all)
     ln_peers_broadcast (peers, message, from);
 }
 
 static void
-send_to_one (LnPeers *peers, const char *name, const LwMessage *data, LbTime now)
+send_to_instance (LnPeers *peers, const char *name, const LwMessage *data, LbTime now)
 {
   LcLinkId id = lc_membership_find_link (peers->membership, name);
   size_t length;
 
-  if (!lc_membership_keep_connected (peers->membership, name, now + KEEP_FOR_FRAMES, now,
+  if (!lc_membership_keep_connected (peers->membership, name, now + KEEP_CONNECTED_TIME, now,
                                      &peers->actions))
     {
       lb_metric_add (&frames_dropped, 1);
@@ -167,8 +168,8 @@
       ln_peers_broadcast (peers, &data, 0);
     }
   else if (strcmp (message->instance, self->name) == 0)
-    deliver (peers, self->name, message->topic, message->payload, message->length);
+    deliver_to_task (peers, self->name, message->topic, message->payload, message->length);
   else
-    send_to_one (peers, message->instance, &data, lb_clock_monotonic ());
+    send_to_instance (peers, message->instance, &data, lb_clock_monotonic ());
   ln_peers_run_actions (peers);
 }
--- a/packages/node/src/membership/ln-peers-handlers.c
+++ b/packages/node/src/membership/ln-peers-handlers.c
@@ -44,11 +44,12 @@
 }
 
 static void
-refuse_message (LnPeers *peers, LnPeerConnection *connection)
+reject_message (LnPeers *peers, LnPeerConnection *connection)
 {
   LbError error;
 
-  lb_error_set (&error, LB_ERROR_FRAME_GARBLED, "peer", "a handshake message out of turn");
+  lb_error_set (&error, LB_ERROR_FRAME_GARBLED, "peer",
+                "unexpected handshake message after the handshake");
   on_failed (connection, &error, peers);
 }
 
@@ -83,7 +84,7 @@
     case LW_CHALLENGE:
     case LW_PROOF:
     case LW_N_MESSAGES:
-      refuse_message (peers, connection);
+      reject_message (peers, connection);
       return;
     }
   ln_peers_run_actions (peers);
--- a/packages/node/src/membership/ln-peers-list.c
+++ b/packages/node/src/membership/ln-peers-list.c
@@ -8,12 +8,12 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define LIST_LEAST (2 * LB_SEC)
-#define LIST_MOST (30 * LB_SEC)
-#define LIST_PER_INSTANCE (200 * LB_MSEC)
+#define MIN_LIST_PERIOD (2 * LB_SEC)
+#define MAX_LIST_PERIOD (30 * LB_SEC)
+#define LIST_PERIOD_PER_INSTANCE (200 * LB_MSEC)
 
 static bool
-is_listed (const char *const *names, size_t n_names, const char *name)
+has_name (const char *const *names, size_t n_names, const char *name)
 {
   for (size_t i = 0; i < n_names; i++)
     if (strcmp (names[i], name) == 0)
@@ -22,7 +22,7 @@
 }
 
 static void
-say_leaving (LnPeers *peers, const char *endpoint, bool stays)
+post_endpoint_leaving (LnPeers *peers, const char *endpoint, bool stays)
 {
   LnTask *calls = ln_hub_find (peers->base.hub, "calls");
   LnEndpointLeavingMessage message = { .base = LN_MESSAGE (LN_ENDPOINT_LEAVING),
@@ -35,24 +35,25 @@
   LN_POST (peers->base.hub, calls, message);
 }
 
-/* Passes on which endpoints the platform's list says are leaving, and which no longer. */
+/* Posts which endpoints are leaving according to the platform's list, and which no longer are. */
 static void
-take_leaving_endpoints (LnPeers *peers, const LpInstanceList *list)
+apply_leaving_endpoints (LnPeers *peers, const LpInstanceList *list)
 {
-  for (size_t i = 0; i < peers->n_leaving; i++)
-    if (!is_listed (list->leaving_endpoints, list->n_leaving_endpoints, peers->leaving[i]))
-      say_leaving (peers, peers->leaving[i], true);
-  peers->leaving = lb_realloc (peers->leaving, list->n_leaving_endpoints * sizeof (LbName));
-  peers->n_leaving = list->n_leaving_endpoints;
-  for (size_t i = 0; i < peers->n_leaving; i++)
+  for (size_t i = 0; i < peers->n_leaving_endpoints; i++)
+    if (!has_name (list->leaving_endpoints, list->n_leaving_endpoints, peers->leaving_endpoints[i]))
+      post_endpoint_leaving (peers, peers->leaving_endpoints[i], true);
+  peers->leaving_endpoints
+      = lb_realloc (peers->leaving_endpoints, list->n_leaving_endpoints * sizeof (LbName));
+  peers->n_leaving_endpoints = list->n_leaving_endpoints;
+  for (size_t i = 0; i < peers->n_leaving_endpoints; i++)
     {
-      say_leaving (peers, list->leaving_endpoints[i], false);
-      LB_COPY (peers->leaving[i], list->leaving_endpoints[i]);
+      post_endpoint_leaving (peers, list->leaving_endpoints[i], false);
+      LB_COPY (peers->leaving_endpoints[i], list->leaving_endpoints[i]);
     }
 }
 
 static void
-take_list (LnPeers *peers, const LpInstanceList *list)
+apply_list (LnPeers *peers, const LpInstanceList *list)
 {
   LcListedInstance *listed = LB_NEW_ARRAY (LcListedInstance, list->n_instances);
 
@@ -65,36 +66,37 @@
   lc_membership_apply_platform_list (peers->membership, listed, list->n_instances,
                                      lb_clock_monotonic (), &peers->actions);
   free (listed);
-  take_leaving_endpoints (peers, list);
+  apply_leaving_endpoints (peers, list);
   ln_peers_run_actions (peers);
 }
 
-/* The platform is freed right after the tasks and drops what it has not answered: on_list never
- * sees a task that has ended, and an unanswered call leaves nothing behind. */
+/* The platform is freed right after the tasks and drops its pending calls, so on_list is never
+ * called after its task was freed, and a pending call leaks nothing. */
 static void
 on_list (LbErrorCode error, const LpInstanceList *list, void *user)
 {
   LnPeers *peers = user;
 
-  peers->listing = false;
+  peers->is_list_pending = false;
   if (error == LB_OK)
-    take_list (peers, list);
+    apply_list (peers, list);
 }
 
-/* The list grows with the instances and each instance reads it, so the pause grows with them too:
- * some instance still reads it every LIST_PER_INSTANCE and tells the others who leaves. Spread, so
- * that instances that started together do not read together. */
+/* The list grows with the number of instances, and each instance reads it, so the period grows with
+ * that number too: on average one instance still reads it every LIST_PERIOD_PER_INSTANCE and
+ * notifies the others of leaving instances. Random, so that instances that started together do not
+ * read it together. */
 static LbTime
-list_pause (const LnPeers *peers, LbTime now)
+choose_list_period (const LnPeers *peers, LbTime now)
 {
-  LbTime pause = (LbTime)lc_membership_count (peers->membership) * LIST_PER_INSTANCE;
+  LbTime period = (LbTime)lc_membership_count (peers->membership) * LIST_PERIOD_PER_INSTANCE;
   LbTime spread = (LbTime)(XXH64 (&now, sizeof now, peers->context->settings->seed) % 512);
 
-  if (pause < LIST_LEAST)
-    pause = LIST_LEAST;
-  if (pause > LIST_MOST)
-    pause = LIST_MOST;
-  return pause - pause * spread / 2048;
+  if (period < MIN_LIST_PERIOD)
+    period = MIN_LIST_PERIOD;
+  if (period > MAX_LIST_PERIOD)
+    period = MAX_LIST_PERIOD;
+  return period - period * spread / 2048;
 }
 
 void
@@ -102,9 +104,9 @@
 {
   LpPlatform *platform = peers->context->platform;
 
-  if (now < peers->next_list || peers->listing || !platform)
+  if (now < peers->next_list_at || peers->is_list_pending || !platform)
     return;
-  peers->next_list = now + list_pause (peers, now);
-  peers->listing = true;
+  peers->next_list_at = now + choose_list_period (peers, now);
+  peers->is_list_pending = true;
   platform->klass->instances (platform, on_list, peers);
 }
--- a/packages/node/src/membership/ln-peers-listen.c
+++ b/packages/node/src/membership/ln-peers-listen.c
@@ -12,13 +12,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* An accepted connection must prove the key within this time. */
+/* An accepted connection has to finish the handshake within this time. */
 #define HANDSHAKE_TIMEOUT (2 * LB_SEC)
-/* Accepted connections that have not proved the key. */
-#define MAX_UNPROVED 256
+/* Maximum of accepted connections whose handshake is not done. */
+#define MAX_UNAUTHENTICATED 256
 
 static size_t
-count_unproved (const LnPeers *peers)
+count_unauthenticated (const LnPeers *peers)
 {
   size_t count = 0;
 
@@ -41,7 +41,7 @@
   (void)length;
   LnPeers *peers = user;
 
-  if (!peers->membership || count_unproved (peers) >= MAX_UNPROVED)
+  if (!peers->membership || count_unauthenticated (peers) >= MAX_UNAUTHENTICATED)
     {
       evutil_closesocket (fd);
       return;
@@ -52,17 +52,17 @@
                                    peers);
   if (!connection)
     return;
-  connection->opened_by = lb_clock_monotonic () + HANDSHAKE_TIMEOUT;
+  connection->handshake_deadline = lb_clock_monotonic () + HANDSHAKE_TIMEOUT;
   ln_peers_add_connection (peers, connection, 0);
 }
 
-/* The failure: a client that connects and says nothing would hold a socket for ever. */
+/* Otherwise a client that connects and sends nothing would hold a socket forever. */
 void
 ln_peers_close_unauthenticated (LnPeers *peers, LbTime now)
 {
   LB_LIST_FOREACH (&peers->connections, LnPeerConnection, link, connection)
   {
-    if (connection->id != 0 || now < connection->opened_by)
+    if (connection->id != 0 || now < connection->handshake_deadline)
       continue;
     lb_metric_count_error (LB_ERROR_TIMEOUT);
     ln_peers_close_connection (peers, connection);
@@ -70,7 +70,7 @@
 }
 
 static void
-note_bound_address (LnPeers *peers)
+store_bound_address (LnPeers *peers)
 {
   struct sockaddr_in bound = { 0 };
   socklen_t length = sizeof bound;
@@ -82,9 +82,9 @@
             ntohs (bound.sin_port));
 }
 
-/* libevent's own reader of addresses refuses port 0, which asks the kernel to choose one. */
+/* Own parser, because libevent's rejects port 0, which lets the kernel choose a port. */
 static bool
-read_listen_address (const char *text, struct sockaddr_in *address)
+parse_listen_address (const char *text, struct sockaddr_in *address)
 {
   const char *colon = strrchr (text, ':');
   char ip[INET_ADDRSTRLEN] = "";
@@ -98,7 +98,7 @@
 }
 
 static bool
-cannot_listen (const char *address)
+report_listen_error (const char *address)
 {
   LbError error;
 
@@ -112,15 +112,16 @@
 ln_peers_start_listening (LnPeers *peers)
 {
   const char *address = peers->context->settings->instance.peer_address;
-  struct sockaddr_in wanted = { 0 };
-
-  if (!read_listen_address (address, &wanted))
-    return cannot_listen (address);
-  peers->listener = evconnlistener_new_bind (peers->context->base, on_accept, peers,
-                                             LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, -1,
-                                             (struct sockaddr *)&wanted, sizeof wanted);
+  struct sockaddr_in listen_address = { 0 };
+
+  if (!parse_listen_address (address, &listen_address))
+    return report_listen_error (address);
+  peers->listener
+      = evconnlistener_new_bind (peers->context->base, on_accept, peers,
+                                 LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, -1,
+                                 (struct sockaddr *)&listen_address, sizeof listen_address);
   if (!peers->listener)
-    return cannot_listen (address);
-  note_bound_address (peers);
+    return report_listen_error (address);
+  store_bound_address (peers);
   return true;
 }
--- a/packages/node/src/membership/ln-peers-load.c
+++ b/packages/node/src/membership/ln-peers-load.c
@@ -2,10 +2,10 @@
 
 #include <sys/resource.h>
 
-#define LOAD_EVERY (5 * LB_SEC)
+#define LOAD_PERIOD (5 * LB_SEC)
 
 static LbTime
-processor_time (void)
+read_cpu_time (void)
 {
   struct rusage usage;
 
@@ -14,17 +14,18 @@
          + usage.ru_stime.tv_usec;
 }
 
-/* One event loop an instance: the share of one core that it uses is its load. */
+/* The load is the share of one core that the process used, in thousandths: an instance has a single
+ * event loop. */
 void
 ln_peers_measure_load (LnPeers *peers, LbTime now)
 {
-  if (now < peers->next_load)
+  if (now < peers->next_load_at)
     return;
-  LbTime used = processor_time ();
-  LbTime since = now - peers->next_load + LOAD_EVERY;
-  int64_t load = (used - peers->used_processor) * 1000 / since;
-  if (peers->next_load > 0)
+  LbTime cpu_time = read_cpu_time ();
+  LbTime elapsed = now - peers->next_load_at + LOAD_PERIOD;
+  int64_t load = (cpu_time - peers->cpu_time_used) * 1000 / elapsed;
+  if (peers->next_load_at > 0)
     lc_membership_set_load (peers->membership, load, now, &peers->actions);
-  peers->used_processor = used;
-  peers->next_load = now + LOAD_EVERY;
+  peers->cpu_time_used = cpu_time;
+  peers->next_load_at = now + LOAD_PERIOD;
 }
--- a/packages/node/src/membership/ln-peers-private.h
+++ b/packages/node/src/membership/ln-peers-private.h
@@ -11,79 +11,82 @@
 #include <event2/event.h>
 #include <event2/listener.h>
 
-/* The connections to other instances: carries out what the membership decides and passes frames
- * between the tasks of two instances. The files ln-peers-*.c share this state. */
+/* State of the task "peers", shared by the files ln-peers-*.c: it runs the actions of the
+ * membership protocol on connections to other instances, and carries frames between tasks of
+ * different instances. */
 typedef struct
 {
   LnTask base; /* first */
   LnContext *context;
   struct evconnlistener *listener;
-  LbName *leaving; /* endpoints, by the last list of the platform */
-  size_t n_leaving;
+  LbName *leaving_endpoints; /* endpoints that the platform's last list marks as leaving */
+  size_t n_leaving_endpoints;
   struct event *timer;
-  LcMembership *membership; /* NULL until the loop runs and all addresses are known */
+  LcMembership *membership; /* NULL until the event loop runs and all addresses are known */
   LbList connections;
-  LbList closed; /* freed at the next timer: a handler of theirs may be running */
+  LbList closed_connections; /* freed at the next timer event: a handler may be running */
   LbList actions;
-  LnFrameWindow *window;
+  LnFrameWindow *seen_frames;
   LnOutbox outbox;
-  uint64_t sequence;
-  bool listing; /* a call for the list is in progress */
-  LbTime next_list;
-  LbTime next_load;
-  LbTime used_processor;
-  LcMembershipTotals counted;
+  uint64_t sequence;    /* of the last broadcast frame */
+  bool is_list_pending; /* a request for the platform's list is in progress */
+  LbTime next_list_at;
+  LbTime next_load_at;
+  LbTime cpu_time_used;              /* at the last measurement */
+  LcMembershipTotals counted_totals; /* already added to the counters */
 } LnPeers;
 
 /* ln-peers-connections.c */
 
-/* NULL for id 0, which connections have that are accepted and have not proved the key. */
+/* NULL for id 0, which is that of accepted connections whose handshake is not done. */
 LnPeerConnection *ln_peers_find_connection (const LnPeers *peers, LcLinkId id);
-/* Takes ownership. id: 0 until the membership has given one to an accepted connection. */
+/* Takes ownership. id: 0 for an accepted connection until the membership assigns one. */
 void ln_peers_add_connection (LnPeers *peers, LnPeerConnection *connection, LcLinkId id);
-/* Does not tell the membership. The memory stays until the next timer. */
+/* Does not notify the membership. The memory is freed at the next timer event. */
 void ln_peers_close_connection (LnPeers *peers, LnPeerConnection *connection);
 void ln_peers_free_connections (LbList *connections);
-/* Tells the membership that an answer is awaited on the connection from now on. */
+/* Tells the membership that a frame was sent on the connection, for which it expects an answer. */
 void ln_peers_record_sent (const LnPeers *peers, const LnPeerConnection *connection);
 
-/* ln-peers-frames.c: those that send may close the connection and add actions; the caller carries
- * them out. */
+/* ln-peers-frames.c: functions that send may close the connection and add actions; the caller has
+ * to call ln_peers_run_actions. */
 
 void ln_peers_send_message (LnPeers *peers, LnPeerConnection *connection, const LwMessage *message);
-/* One frame to each instance to which a connection is open, but not to the one at the other end of
- * except (0: to all). */
+/* Sends one frame to each instance to which a connection is open, except to the peer of the link
+ * `except` (0: to all). */
 void ln_peers_broadcast (LnPeers *peers, const LwMessage *message, LcLinkId except);
-/* Sends what waited in the outbox for the instance at the other end. */
+/* Sends the frames queued in the outbox for the instance at the other end. */
 void ln_peers_flush_outbox (LnPeers *peers, LnPeerConnection *connection, const char *name);
-/* Gives up the frames that have waited in the outbox for too long. */
+/* Drops the frames that were queued in the outbox for too long. */
 void ln_peers_expire_outbox (LnPeers *peers, LbTime now);
-/* A frame of another instance for one of our tasks, and to pass on when it is to all. */
+/* Delivers a frame from another instance to a local task, and forwards it if it is a broadcast. */
 void ln_peers_handle_data (LnPeers *peers, LcLinkId from, const LwMessage *message);
-/* A frame of one of our tasks for one instance or for all. */
+/* Sends a local task's frame to one instance or to all. */
 void ln_peers_send_data (LnPeers *peers, const LnPeerMessage *message);
 
-/* ln-peers-handlers.c: for every connection, dialled or accepted; their user is the LnPeers. */
+/* ln-peers-handlers.c: handlers of all connections, dialled or accepted; their `user` is the
+ * LnPeers. */
 extern const LnPeerHandlers ln_peers_handlers;
 
 /* ln-peers-actions.c */
 
-/* Does all that the membership has ordered and sets the timer for its next tick: the last step of
- * every handler that changes the membership. */
+/* Runs the pending actions of the membership and sets the timer for its next tick. Must be the last
+ * step of every handler that changes the membership. */
 void ln_peers_run_actions (LnPeers *peers);
 
 /* ln-peers-listen.c */
 
-/* Binds the peer address of the settings and writes the bound one into the context. False, and
- * logged, when it cannot be bound. */
+/* Binds the configured peer address and stores the bound address in the context. Logs the error and
+ * returns false if it cannot be bound. */
 bool ln_peers_start_listening (LnPeers *peers);
-/* Closes the accepted connections that have not proved the key in time. */
+/* Closes accepted connections whose handshake was not done in time. */
 void ln_peers_close_unauthenticated (LnPeers *peers, LbTime now);
 
-/* ln-peers-list.c: reads the platform's list of instances when that is due. */
+/* ln-peers-list.c: requests the platform's list of instances when it is due. */
 void ln_peers_request_list (LnPeers *peers, LbTime now);
 
-/* ln-peers-load.c: tells the membership the load of this instance when that is due. */
+/* ln-peers-load.c: measures this instance's load when it is due, and passes it to the membership.
+ */
 void ln_peers_measure_load (LnPeers *peers, LbTime now);
 
 #endif
--- a/packages/node/src/membership/ln-peers.c
+++ b/packages/node/src/membership/ln-peers.c
@@ -9,9 +9,9 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* The failure: two processes of one name start in the same millisecond and have the same epoch;
- * then nobody sees that they are two. So the epoch has sixteen bits of the incarnation below the
- * clock. */
+/* Two processes of one name that start in the same millisecond must not have the same epoch, since
+ * then no instance would see that they are two. So the epoch is the clock followed by sixteen bits
+ * of a hash of the incarnation. */
 static uint64_t
 make_epoch (const char *incarnation)
 {
@@ -33,9 +33,9 @@
   return self;
 }
 
-/* Not before the loop runs: only then are the addresses of all tasks bound. */
+/* Called once the event loop runs, because only then the addresses of all tasks are bound. */
 static void
-join (LnPeers *peers, LbTime now)
+start_membership (LnPeers *peers, LbTime now)
 {
   const LnSettings *settings = peers->context->settings;
   LcMembershipSettings membership = lc_membership_settings_default ();
@@ -58,8 +58,8 @@
   LbTime now = lb_clock_monotonic ();
 
   if (!peers->membership)
-    join (peers, now);
-  ln_peers_free_connections (&peers->closed);
+    start_membership (peers, now);
+  ln_peers_free_connections (&peers->closed_connections);
   ln_peers_close_unauthenticated (peers, now);
   ln_peers_expire_outbox (peers, now);
   ln_peers_request_list (peers, now);
@@ -69,7 +69,7 @@
 }
 
 static void
-receive_exchange (LnPeers *peers, LnExchange *exchange)
+answer_entry_request (LnPeers *peers, LnExchange *exchange)
 {
   ln_exchange_set_owner (exchange, &peers->base);
   ln_entry_answer (exchange, peers->membership, peers->context->settings->drain.entry_ttl_ms);
@@ -92,11 +92,11 @@
   LnPeers *peers = (LnPeers *)task;
 
   if (!peers->membership)
-    join (peers, lb_clock_monotonic ());
+    start_membership (peers, lb_clock_monotonic ());
   switch (message->type)
     {
     case LN_EXCHANGE:
-      receive_exchange (peers, ((const LnExchangeMessage *)message)->exchange);
+      answer_entry_request (peers, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_PEER_SEND:
       ln_peers_send_data (peers, (const LnPeerMessage *)message);
@@ -116,13 +116,13 @@
   LbLink *link;
 
   ln_peers_free_connections (&peers->connections);
-  ln_peers_free_connections (&peers->closed);
+  ln_peers_free_connections (&peers->closed_connections);
   while ((link = lb_list_pop (&peers->actions)))
     lc_membership_action_free (LB_CONTAINER (link, LcMembershipAction, link_in_list));
   ln_outbox_clear (&peers->outbox);
-  ln_frame_window_free (peers->window);
+  ln_frame_window_free (peers->seen_frames);
   lc_membership_free (peers->membership);
-  free (peers->leaving);
+  free (peers->leaving_endpoints);
   if (peers->listener)
     evconnlistener_free (peers->listener);
   event_free (peers->timer);
@@ -132,20 +132,20 @@
 static const LnTaskClass peers_class
     = { .name = "peers", .receive = peers_receive, .drain = peers_drain, .free = peers_free };
 
-/* Binds the peer address of the settings and writes the bound one into the context. NULL when it
- * cannot be bound. */
+/* Binds the configured peer address and stores the bound address in the context. NULL if it cannot
+ * be bound. */
 LnTask *
 ln_peers_new (LnContext *context)
 {
   LnPeers *peers = LB_NEW (LnPeers);
-  struct timeval at_once = { 0 };
+  struct timeval no_delay = { 0 };
 
   peers->base.klass = &peers_class;
   peers->context = context;
   peers->timer = event_new (context->base, -1, 0, on_timer, peers);
-  peers->window = ln_frame_window_new ();
+  peers->seen_frames = ln_frame_window_new ();
   lb_list_init (&peers->connections);
-  lb_list_init (&peers->closed);
+  lb_list_init (&peers->closed_connections);
   lb_list_init (&peers->actions);
   ln_outbox_init (&peers->outbox);
   if (!ln_peers_start_listening (peers))
@@ -153,6 +153,6 @@
       peers_free (&peers->base);
       return NULL;
     }
-  event_add (peers->timer, &at_once);
+  event_add (peers->timer, &no_delay);
   return &peers->base;
 }
