--- a/packages/node/src/endpoints/ln-crash-frame.c
+++ b/packages/node/src/endpoints/ln-crash-frame.c
@@ -40,19 +40,19 @@
 }
 
 static bool
-read_fields (const msgpack_object *object, LnCrashFrame *told)
+parse_fields (const msgpack_object *object, LnCrashFrame *row)
 {
   const msgpack_object *fields = object->via.array.ptr;
   char kind[sizeof KIND];
 
   return object->type == MSGPACK_OBJECT_ARRAY && object->via.array.size == N_FIELDS
          && ln_unpack_text (&fields[0], kind, sizeof kind) && strcmp (kind, KIND) == 0
-         && ln_unpack_text (&fields[1], told->key, sizeof told->key)
-         && ln_unpack_text (&fields[2], told->text, sizeof told->text);
+         && ln_unpack_text (&fields[1], row->key, sizeof row->key)
+         && ln_unpack_text (&fields[2], row->text, sizeof row->text);
 }
 
 bool
-ln_crash_frame_read (const LnPeerMessage *frame, LnCrashFrame *told)
+ln_crash_frame_read (const LnPeerMessage *frame, LnCrashFrame *row)
 {
   msgpack_unpacked unpacked;
   size_t offset = 0;
@@ -61,7 +61,7 @@
   msgpack_unpacked_init (&unpacked);
   ok = msgpack_unpack_next (&unpacked, frame->payload, frame->length, &offset)
            == MSGPACK_UNPACK_SUCCESS
-       && read_fields (&unpacked.data, told);
+       && parse_fields (&unpacked.data, row);
   msgpack_unpacked_destroy (&unpacked);
   return ok;
 }
--- a/packages/node/src/endpoints/ln-crash-row.c
+++ b/packages/node/src/endpoints/ln-crash-row.c
@@ -9,14 +9,14 @@
 #define JSON_FORMAT (JSON_C_TO_STRING_PLAIN | JSON_C_TO_STRING_NOSLASHESCAPE)
 
 struct json_object *
-ln_crash_fingerprints_to_json (const LcFingerprint *contents, size_t n_contents)
+ln_crash_fingerprints_to_json (const LcFingerprint *fingerprints, size_t n_fingerprints)
 {
   struct json_object *array = json_object_new_array ();
   char text[LC_FINGERPRINT_TEXT_SIZE];
 
-  for (size_t i = 0; i < n_contents; i++)
+  for (size_t i = 0; i < n_fingerprints; i++)
     {
-      lc_fingerprint_to_text (contents[i], text);
+      lc_fingerprint_to_text (fingerprints[i], text);
       json_object_array_add (array, json_object_new_string (text));
     }
   return array;
@@ -37,7 +37,7 @@
 }
 
 static bool
-read_contents (struct json_object *object, LcCrashReport *report)
+parse_fingerprints (struct json_object *object, LcCrashReport *report)
 {
   struct json_object *array = lb_json_member (object, "contents");
   size_t n = json_object_is_type (array, json_type_array) ? json_object_array_length (array) : 0;
@@ -45,10 +45,10 @@
   for (size_t i = 0; i < n && i < LC_MAX_REPORT_FINGERPRINTS; i++)
     {
       const char *text = json_object_get_string (json_object_array_get_idx (array, i));
-      LcFingerprint content = text ? lc_fingerprint_from_text (text) : 0;
-      if (content == 0)
+      LcFingerprint fingerprint = text ? lc_fingerprint_from_text (text) : 0;
+      if (fingerprint == 0)
         return false;
-      report->fingerprints[report->n_fingerprints++] = content;
+      report->fingerprints[report->n_fingerprints++] = fingerprint;
     }
   return report->n_fingerprints > 0;
 }
@@ -64,7 +64,9 @@
   row->is_clearance = !endpoint;
   row->at_ms = lb_json_int (object, "at_ms", 0);
   LB_COPY (row->report.endpoint, endpoint ? endpoint : "");
-  ok = json_object_is_type (object, json_type_object) && read_contents (object, &row->report);
+  ok = json_object_is_type (object, json_type_object) && parse_fingerprints (object, &row->report);
   json_object_put (object);
-  return ok || lb_error_set (error, LB_ERROR_BAD_VALUE, "contents", "expected contents in hex");
+  return ok
+         || lb_error_set (error, LB_ERROR_BAD_VALUE, "contents",
+                          "expected an array of fingerprints in hex");
 }
--- a/packages/node/src/endpoints/ln-crashes.c
+++ b/packages/node/src/endpoints/ln-crashes.c
@@ -16,55 +16,57 @@
 #include <string.h>
 
 #define TABLE "crash"
-#define PREFIX TABLE "/all/"
-/* Of one watch. A connection that went silent is found after it, in less than the three seconds in
- * which a bad request has to be known everywhere; a shorter one costs more than half a call of
- * the store a second, of every instance. */
-#define WATCH_WAIT (2 * LB_SEC)
-#define RETRY (100 * LB_MSEC)
-/* Of a row whose reports no longer count; spread, so that not all instances remove the same. */
-#define MAX_REMOVAL_WAIT (600 * LB_SEC)
-/* Where rows can't be followed: a frame may be lost with its connection. */
+#define KEY_PREFIX TABLE "/all/"
+/* Timeout of one watch, and so the time until a silent connection is noticed. It is below the three
+ * seconds within which all instances have to know of a bad request; a shorter one would cost each
+ * instance more than half a store call per second. */
+#define WATCH_TIMEOUT (2 * LB_SEC)
+#define WATCH_RETRY_DELAY (100 * LB_MSEC)
+/* Maximum random delay before an expired row is removed, so that not all instances remove the same
+ * rows. */
+#define MAX_REMOVAL_DELAY (600 * LB_SEC)
+/* Where rows can't be followed, they are scanned, since frames may be lost with their connection.
+ */
 #define SCAN_PERIOD (5 * LB_SEC)
-/* A row that was told so recently may be missing in a list that was asked for before. */
-#define SETTLED_AFTER (10 * LB_SEC)
-/* How long a new instance waits for the rows of before: some answers of a store that is slow. */
-#define MAX_START (2 * LB_SEC)
-/* Rows that are remembered here, to be removed one day. */
-#define MAX_ROWS 1024
-
-/* A row that stands in the store. */
+/* A row that was received less than this ago may be missing from a list requested before that. */
+#define SETTLE_TIME (10 * LB_SEC)
+/* How long a new instance waits for the existing rows: a few answers of a slow store. */
+#define MAX_INITIAL_READ_TIME (2 * LB_SEC)
+/* Maximum of rows that this instance keeps track of, to remove them when they expire. */
+#define MAX_KNOWN_ROWS 1024
+
+/* A row that is in the store. */
 typedef struct
 {
   LbLink link;
   char *key;
-  LbTime heard_at;
+  LbTime received_at;
   LbTime remove_at;
-} Row;
+} KnownRow;
 
 struct LnCrashes
 {
   LnContext *context;
   LcQuarantine *quarantine;
-  LpFollow *follow; /* NULL: the platform's rows can't be followed, and are scanned */
+  LpFollow *follower; /* NULL: rows can't be followed on this platform, and are scanned */
   LbList rows;
   LnUnwrittenRows *unwritten;
-  uint64_t n_told;
-  LbTime store_offset; /* from the own clock to the store's */
-  bool knows_store_time;
-  LbTime next_scan;
+  uint64_t report_count;
+  LbTime store_clock_offset; /* the store's clock minus the own clock */
+  bool has_store_clock;
+  LbTime next_scan_at;
   bool is_scanning;
-  bool is_base; /* the rows that follow are all there are */
+  bool is_complete_copy; /* the next rows are a complete copy of the table */
   bool has_scanned;
-  LbTime started;
+  LbTime started_at;
 };
 
-/* --- times --- */
+/* --- clocks --- */
 
-/* Times in rows are by the store's steady clock, which all instances hear of in its answers; where
- * the store has none, by the time of day. That is good enough for terms of an hour. */
+/* Times in rows are by the store's steady clock, which all instances know from its answers; without
+ * one, by the time of day, which is accurate enough for lifetimes of an hour. */
 static void
-note_store_time (LnCrashes *crashes)
+update_store_clock (LnCrashes *crashes)
 {
   LpPlatform *platform = crashes->context->platform;
   int64_t ms
@@ -72,31 +74,32 @@
 
   if (ms == 0)
     return;
-  crashes->store_offset = ms * LB_MSEC - lb_clock_monotonic ();
-  crashes->knows_store_time = true;
+  crashes->store_clock_offset = ms * LB_MSEC - lb_clock_monotonic ();
+  crashes->has_store_clock = true;
 }
 
 static int64_t
 to_store_ms (const LnCrashes *crashes, LbTime at)
 {
-  return crashes->knows_store_time ? (at + crashes->store_offset) / LB_MSEC : 0;
+  return crashes->has_store_clock ? (at + crashes->store_clock_offset) / LB_MSEC : 0;
 }
 
-/* What can't be placed in time happened now: it counts for longer rather than not at all. */
+/* Times that are unknown or in the future count as now: the report lasts longer than it should
+ * rather than not counting at all. */
 static LbTime
 from_store_ms (const LnCrashes *crashes, int64_t ms, LbTime now)
 {
-  LbTime at = ms * LB_MSEC - crashes->store_offset;
+  LbTime at = ms * LB_MSEC - crashes->store_clock_offset;
 
-  return ms > 0 && crashes->knows_store_time && at < now ? at : now;
+  return ms > 0 && crashes->has_store_clock && at < now ? at : now;
 }
 
-/* --- rows heard --- */
+/* --- reading rows --- */
 
-static Row *
-find_row (const LnCrashes *crashes, const char *key)
+static KnownRow *
+find_known_row (const LnCrashes *crashes, const char *key)
 {
-  LB_LIST_FOREACH (&crashes->rows, Row, link, row)
+  LB_LIST_FOREACH (&crashes->rows, KnownRow, link, row)
   {
     if (strcmp (row->key, key) == 0)
       return row;
@@ -105,7 +108,7 @@
 }
 
 static void
-drop_row (LnCrashes *crashes, Row *row)
+remove_known_row (LnCrashes *crashes, KnownRow *row)
 {
   lb_list_remove (&crashes->rows, &row->link);
   free (row->key);
@@ -113,26 +116,26 @@
 }
 
 static void
-remember_row (LnCrashes *crashes, const char *key, LbTime at)
+add_known_row (LnCrashes *crashes, const char *key, LbTime at)
 {
   double draw = ln_context_draw (crashes->context);
-  Row *oldest = LB_LIST_FIRST (&crashes->rows, Row, link);
-  Row *row = NULL;
+  KnownRow *oldest = LB_LIST_FIRST (&crashes->rows, KnownRow, link);
+  KnownRow *row = NULL;
 
-  if (find_row (crashes, key))
+  if (find_known_row (crashes, key))
     return;
-  if (oldest && crashes->rows.length >= MAX_ROWS)
-    drop_row (crashes, oldest);
-  row = LB_NEW (Row);
+  if (oldest && crashes->rows.length >= MAX_KNOWN_ROWS)
+    remove_known_row (crashes, oldest);
+  row = LB_NEW (KnownRow);
   row->key = lb_strdup (key);
-  row->heard_at = lb_clock_monotonic ();
+  row->received_at = lb_clock_monotonic ();
   row->remove_at
-      = at + lc_quarantine_report_lifetime () + (LbTime)(draw * (double)MAX_REMOVAL_WAIT) + LB_SEC;
+      = at + lc_quarantine_report_lifetime () + (LbTime)(draw * (double)MAX_REMOVAL_DELAY) + LB_SEC;
   lb_list_append (&crashes->rows, &row->link);
 }
 
 static void
-hear (LnCrashes *crashes, const char *key, const char *text, LbTime now)
+apply_row (LnCrashes *crashes, const char *key, const char *text, LbTime now)
 {
   LnCrashRow row;
   LbError error = { 0 };
@@ -144,27 +147,26 @@
     }
   row.report.at = from_store_ms (crashes, row.at_ms, now);
   LB_COPY (row.report.id, key);
-  remember_row (crashes, key, row.report.at);
+  add_known_row (crashes, key, row.report.at);
   if (row.is_clearance)
     lc_quarantine_add_clearance (crashes->quarantine, row.report.fingerprints[0], row.report.at);
   else
     lc_quarantine_add_report (crashes->quarantine, &row.report, now);
 }
 
-/* A row is removed when it is too old to count, or by the operators, who let a request run again.
- */
+/* A row is removed when it has expired, or by operators who release a request from quarantine. */
 static void
-hear_removal (LnCrashes *crashes, const char *key)
+apply_removal (LnCrashes *crashes, const char *key)
 {
-  Row *row = find_row (crashes, key);
+  KnownRow *row = find_known_row (crashes, key);
 
   lc_quarantine_withdraw_report (crashes->quarantine, key);
   if (row)
-    drop_row (crashes, row);
+    remove_known_row (crashes, row);
 }
 
 static bool
-is_among (const char *key, const LpRow *rows, size_t n_rows)
+has_key (const char *key, const LpRow *rows, size_t n_rows)
 {
   for (size_t i = 0; i < n_rows; i++)
     if (strcmp (rows[i].key, key) == 0)
@@ -172,51 +174,51 @@
   return false;
 }
 
-/* The rows are all that stand in the store: others were removed while this instance did not hear.
- */
+/* rows: a complete copy of the table. Known rows that are missing from it were removed without this
+ * instance being notified. */
 static void
-forget_missing (LnCrashes *crashes, const LpRow *rows, size_t n_rows, LbTime now)
+forget_missing_rows (LnCrashes *crashes, const LpRow *rows, size_t n_rows, LbTime now)
 {
-  LB_LIST_FOREACH (&crashes->rows, Row, link, row)
+  LB_LIST_FOREACH (&crashes->rows, KnownRow, link, row)
   {
-    if (now - row->heard_at < SETTLED_AFTER || is_among (row->key, rows, n_rows))
+    if (now - row->received_at < SETTLE_TIME || has_key (row->key, rows, n_rows))
       continue;
     lc_quarantine_withdraw_report (crashes->quarantine, row->key);
-    drop_row (crashes, row);
+    remove_known_row (crashes, row);
   }
 }
 
 static void
-take_rows (LnCrashes *crashes, const LpRow *rows, size_t n_rows)
+apply_rows (LnCrashes *crashes, const LpRow *rows, size_t n_rows)
 {
   LbTime now = lb_clock_monotonic ();
 
-  if (crashes->is_base)
-    forget_missing (crashes, rows, n_rows, now);
-  crashes->is_base = false;
+  if (crashes->is_complete_copy)
+    forget_missing_rows (crashes, rows, n_rows, now);
+  crashes->is_complete_copy = false;
 
-  note_store_time (crashes);
+  update_store_clock (crashes);
   for (size_t i = 0; i < n_rows; i++)
     if (rows[i].value)
-      hear (crashes, rows[i].key, rows[i].value, now);
+      apply_row (crashes, rows[i].key, rows[i].value, now);
     else
-      hear_removal (crashes, rows[i].key);
+      apply_removal (crashes, rows[i].key);
   ln_crashes_publish_clearances (crashes);
 }
 
 static void
 on_rows (const LpRow *rows, size_t n_rows, void *user)
 {
-  take_rows (user, rows, n_rows);
+  apply_rows (user, rows, n_rows);
 }
 
 static void
-on_base (void *user)
+on_snapshot_begin (void *user)
 {
   LnCrashes *crashes = user;
 
-  note_store_time (crashes);
-  crashes->is_base = true;
+  update_store_clock (crashes);
+  crashes->is_complete_copy = true;
 }
 
 static void
@@ -227,22 +229,22 @@
   crashes->is_scanning = false;
   if (error != LB_OK && error != LB_ERROR_NOT_FOUND)
     return;
-  crashes->next_scan = lb_clock_monotonic () + SCAN_PERIOD;
+  crashes->next_scan_at = lb_clock_monotonic () + SCAN_PERIOD;
   crashes->has_scanned = true;
-  crashes->is_base = true;
-  take_rows (crashes, rows, error == LB_OK ? n_rows : 0);
+  crashes->is_complete_copy = true;
+  apply_rows (crashes, rows, error == LB_OK ? n_rows : 0);
 }
 
-/* --- rows told --- */
+/* --- writing rows --- */
 
-/* Where rows can't be followed, instances that run hear of them by frames. */
+/* Where rows can't be followed, running instances get them in frames. */
 static void
-tell (LnCrashes *crashes, const char *key, const LnCrashRow *row)
+publish_row (LnCrashes *crashes, const char *key, const LnCrashRow *row)
 {
   char *text = ln_crash_row_to_text (row);
 
-  remember_row (crashes, key, row->report.at);
-  if (!crashes->follow)
+  add_known_row (crashes, key, row->report.at);
+  if (!crashes->follower)
     ln_crash_frame_send (crashes->context->hub, key, text);
   ln_unwritten_rows_add (crashes->unwritten, key, text);
 }
@@ -251,8 +253,8 @@
 ln_crashes_report_crash (LnCrashes *crashes,
                          const char *endpoint,
                          LbTime at,
-                         const LcFingerprint *contents,
-                         size_t n_contents)
+                         const LcFingerprint *fingerprints,
+                         size_t n_fingerprints)
 {
   const LnContext *context = crashes->context;
   LnCrashRow row = { .at_ms = to_store_ms (crashes, at) };
@@ -261,11 +263,11 @@
   LB_COPY (report->endpoint, endpoint);
   report->at = at;
   report->n_fingerprints
-      = n_contents < LC_MAX_REPORT_FINGERPRINTS ? n_contents : LC_MAX_REPORT_FINGERPRINTS;
-  memcpy (report->fingerprints, contents, report->n_fingerprints * sizeof *contents);
-  snprintf (report->id, sizeof report->id, "%s%s:%s:%s-%llu", PREFIX, endpoint, context->instance,
-            context->incarnation, (unsigned long long)++crashes->n_told);
-  tell (crashes, report->id, &row);
+      = n_fingerprints < LC_MAX_REPORT_FINGERPRINTS ? n_fingerprints : LC_MAX_REPORT_FINGERPRINTS;
+  memcpy (report->fingerprints, fingerprints, report->n_fingerprints * sizeof *fingerprints);
+  snprintf (report->id, sizeof report->id, "%s%s:%s:%s-%llu", KEY_PREFIX, endpoint,
+            context->instance, context->incarnation, (unsigned long long)++crashes->report_count);
+  publish_row (crashes, report->id, &row);
   lc_quarantine_add_report (crashes->quarantine, report, lb_clock_monotonic ());
   ln_crashes_publish_clearances (crashes);
 }
@@ -274,110 +276,111 @@
 ln_crashes_publish_clearances (LnCrashes *crashes)
 {
   LnCrashRow row = { .is_clearance = true };
-  char content[LC_FINGERPRINT_TEXT_SIZE];
-  char key[sizeof PREFIX + LC_FINGERPRINT_TEXT_SIZE + sizeof "answered:"];
+  char text[LC_FINGERPRINT_TEXT_SIZE];
+  char key[sizeof KEY_PREFIX + LC_FINGERPRINT_TEXT_SIZE + sizeof "answered:"];
 
   row.report.n_fingerprints = 1;
   while (lc_quarantine_pop_clearance (crashes->quarantine, &row.report.fingerprints[0],
                                       &row.report.at))
     {
-      lc_fingerprint_to_text (row.report.fingerprints[0], content);
-      snprintf (key, sizeof key, "%sanswered:%s", PREFIX, content);
+      lc_fingerprint_to_text (row.report.fingerprints[0], text);
+      snprintf (key, sizeof key, "%sanswered:%s", KEY_PREFIX, text);
       row.at_ms = to_store_ms (crashes, row.report.at);
-      tell (crashes, key, &row);
+      publish_row (crashes, key, &row);
     }
 }
 
 bool
 ln_crashes_receive_frame (LnCrashes *crashes, const LnPeerMessage *frame)
 {
-  LnCrashFrame told;
+  LnCrashFrame row;
 
-  if (!ln_crash_frame_read (frame, &told))
+  if (!ln_crash_frame_read (frame, &row))
     return false;
-  hear (crashes, told.key, told.text, lb_clock_monotonic ());
+  apply_row (crashes, row.key, row.text, lb_clock_monotonic ());
   ln_crashes_publish_clearances (crashes);
   return true;
 }
 
-/* --- */
+/* --- periodic work --- */
 
 static void
-remove_old (LnCrashes *crashes, LbTime now)
+remove_expired_rows (LnCrashes *crashes, LbTime now)
 {
-  LB_LIST_FOREACH (&crashes->rows, Row, link, row)
+  LB_LIST_FOREACH (&crashes->rows, KnownRow, link, row)
   {
     if (row->remove_at > now)
       continue;
     ln_unwritten_rows_add (crashes->unwritten, row->key, NULL);
-    drop_row (crashes, row);
+    remove_known_row (crashes, row);
   }
 }
 
 bool
 ln_crashes_is_ready (const LnCrashes *crashes, LbTime now)
 {
-  bool has_read = crashes->follow ? lp_follow_has_listed (crashes->follow) : crashes->has_scanned;
+  bool has_read
+      = crashes->follower ? lp_follow_has_listed (crashes->follower) : crashes->has_scanned;
 
-  return has_read || now - crashes->started >= MAX_START;
+  return has_read || now - crashes->started_at >= MAX_INITIAL_READ_TIME;
 }
 
 static void
-scan (LnCrashes *crashes, LbTime now)
+scan_if_due (LnCrashes *crashes, LbTime now)
 {
   LpPlatform *platform = crashes->context->platform;
 
-  if (crashes->is_scanning || now < crashes->next_scan)
+  if (crashes->is_scanning || now < crashes->next_scan_at)
     return;
   crashes->is_scanning = true;
-  platform->klass->scan (platform, PREFIX, on_scanned, crashes);
+  platform->klass->scan (platform, KEY_PREFIX, on_scanned, crashes);
 }
 
 void
 ln_crashes_tick (LnCrashes *crashes, LbTime now)
 {
-  if (crashes->follow)
-    lp_follow_tick (crashes->follow, now);
+  if (crashes->follower)
+    lp_follow_tick (crashes->follower, now);
   else
     {
-      note_store_time (crashes);
-      scan (crashes, now);
+      update_store_clock (crashes);
+      scan_if_due (crashes, now);
     }
   lc_quarantine_expire (crashes->quarantine, now);
   ln_unwritten_rows_try_again (crashes->unwritten);
-  remove_old (crashes, now);
+  remove_expired_rows (crashes, now);
 }
 
 LnCrashes *
 ln_crashes_new (LnContext *context, LcQuarantine *quarantine)
 {
-  static const char *const prefixes[] = { PREFIX };
+  static const char *const prefixes[] = { KEY_PREFIX };
   const LpFollowSettings settings = { .table = TABLE,
                                       .prefixes = prefixes,
                                       .n_prefixes = 1,
-                                      .wait = WATCH_WAIT,
-                                      .retry = RETRY,
-                                      .on_base = on_base };
+                                      .wait = WATCH_TIMEOUT,
+                                      .retry = WATCH_RETRY_DELAY,
+                                      .on_base = on_snapshot_begin };
   LnCrashes *crashes = LB_NEW (LnCrashes);
 
   crashes->context = context;
   crashes->quarantine = quarantine;
-  crashes->started = lb_clock_monotonic ();
+  crashes->started_at = lb_clock_monotonic ();
   lb_list_init (&crashes->rows);
   crashes->unwritten = ln_unwritten_rows_new (context->platform, context->incarnation);
   if (context->platform->klass->watch)
-    crashes->follow = lp_follow_new (context->platform, &settings, on_rows, crashes);
+    crashes->follower = lp_follow_new (context->platform, &settings, on_rows, crashes);
   return crashes;
 }
 
 void
 ln_crashes_free (LnCrashes *crashes)
 {
-  LB_LIST_FOREACH (&crashes->rows, Row, link, row)
+  LB_LIST_FOREACH (&crashes->rows, KnownRow, link, row)
   {
-    drop_row (crashes, row);
+    remove_known_row (crashes, row);
   }
   ln_unwritten_rows_free (crashes->unwritten);
-  lp_follow_free (crashes->follow);
+  lp_follow_free (crashes->follower);
   free (crashes);
 }
--- a/packages/node/src/endpoints/ln-crashes.h
+++ b/packages/node/src/endpoints/ln-crashes.h
@@ -5,27 +5,27 @@
 #include "ln-context.h"
 #include "ln-messages.h"
 
-/* Tells the other instances under which requests endpoints ended, and hears it from them: a caller
- * sends its request to any of them. It is kept in the platform's store, so that a restart of all
- * instances forgets nothing. */
+/* Shares crash reports (which requests endpoints crashed under) and clearances among the instances,
+ * since a caller may send the same request to any of them. They are kept as rows in the platform's
+ * store, so that they survive a restart of all instances. */
 typedef struct LnCrashes LnCrashes;
 
 LnCrashes *ln_crashes_new (LnContext *context, LcQuarantine *quarantine);
 void ln_crashes_free (LnCrashes *crashes);
 
-/* Reads what others wrote, and writes again what the store did not take. */
+/* Reads the rows of other instances, and retries writes that failed. */
 void ln_crashes_tick (LnCrashes *crashes, LbTime now);
-/* An endpoint has ended under requests of this instance. */
+/* Reports that an endpoint crashed under requests of this instance. */
 void ln_crashes_report_crash (LnCrashes *crashes,
                               const char *endpoint,
                               LbTime at,
-                              const LcFingerprint *contents,
-                              size_t n_contents);
-/* Tells what the quarantine wants the others to hear. */
+                              const LcFingerprint *fingerprints,
+                              size_t n_fingerprints);
+/* Publishes the pending clearances of the quarantine (see lc_quarantine_pop_clearance). */
 void ln_crashes_publish_clearances (LnCrashes *crashes);
-/* What was told before this instance started is known, or could not be had in good time. */
+/* The rows written before this instance started have been read, or could not be read in time. */
 bool ln_crashes_is_ready (const LnCrashes *crashes, LbTime now);
-/* A frame of another instance; false when it is not one of these. */
+/* Handles a frame from another instance; false if it is of another kind or malformed. */
 bool ln_crashes_receive_frame (LnCrashes *crashes, const LnPeerMessage *frame);
 
 #endif
--- a/packages/node/src/endpoints/ln-endpoint-checks.c
+++ b/packages/node/src/endpoints/ln-endpoint-checks.c
@@ -13,24 +13,24 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Of one check: a hundred round trips between data centres. */
-#define CHECK_TIME (250 * LB_MSEC)
-/* A process that ends loses its connections before it stops listening; on a busy machine there lie
- * some ten milliseconds between. */
-#define HOLD_TIME (300 * LB_MSEC)
-/* Of one endpoint: several times what it works on at once. What breaks beyond is not looked at. */
-#define MAX_CONTENTS LC_MAX_REPORT_FINGERPRINTS
+/* Timeout of one probe: a hundred round trips between data centres. */
+#define PROBE_TIMEOUT (250 * LB_MSEC)
+/* How long a probe's connection is watched. A process that exits loses its connections before its
+ * listening socket, on a busy machine by some ten milliseconds. */
+#define PROBE_HOLD_TIME (300 * LB_MSEC)
+/* Per endpoint: several times its concurrent requests. Further failed requests are ignored. */
+#define MAX_FINGERPRINTS LC_MAX_REPORT_FINGERPRINTS
 
 typedef struct
 {
   LbLink link;
   LnEndpointChecks *owner;
-  LhReach *reach;
+  LhReach *probe;
   LbName endpoint;
   LbName address;
-  LbTime broken_at; /* the first of them */
-  LcFingerprint contents[MAX_CONTENTS];
-  size_t n_contents;
+  LbTime failed_at; /* the first failure */
+  LcFingerprint fingerprints[MAX_FINGERPRINTS];
+  size_t n_fingerprints;
 } Check;
 
 struct LnEndpointChecks
@@ -41,7 +41,7 @@
   LbList running;
 };
 
-static LbMetric crashed
+static LbMetric crashes_seen
     = LB_COUNTER_INIT ("lentilspindle_endpoint_crashes_seen_total",
                        NULL,
                        "Endpoints that crashed under requests of this instance");
@@ -70,7 +70,7 @@
 {
   LB_LIST_FOREACH (&checks->running, Check, link, check)
   {
-    lh_reach_cancel (check->reach);
+    lh_reach_cancel (check->probe);
     check_free (check);
   }
   free (checks);
@@ -83,40 +83,42 @@
                                        [LH_REACH_CLOSED] = "closed",
                                        [LH_REACH_REFUSED] = "refused",
                                        [LH_REACH_SILENT] = "silent" };
-  struct json_object *contents = ln_crash_fingerprints_to_json (check->contents, check->n_contents);
+  struct json_object *fingerprints
+      = ln_crash_fingerprints_to_json (check->fingerprints, check->n_fingerprints);
 
   lb_log (LB_LOG_INFO, "endpoint_checked", LB_TEXT ("endpoint", check->endpoint),
           LB_TEXT ("connections", names[outcome]),
-          LB_INT ("took_us", lb_clock_monotonic () - check->broken_at),
-          LB_JSON ("broken", json_object_to_json_string_ext (contents, JSON_C_TO_STRING_PLAIN)));
-  json_object_put (contents);
+          LB_INT ("took_us", lb_clock_monotonic () - check->failed_at),
+          LB_JSON ("broken",
+                   json_object_to_json_string_ext (fingerprints, JSON_C_TO_STRING_PLAIN)));
+  json_object_put (fingerprints);
 }
 
-static bool look (Check *check, LbTime hold);
+static bool start_probe (Check *check, LbTime hold);
 
-/* Guards against an endpoint that is just ending and counts as alive: it takes the connection and
- * drops it when it stops listening, which a second one then shows. An endpoint that lives drops
- * connections as well where it has too many. */
+/* If the connection was accepted and then closed, probes a second time. An endpoint that is just
+ * exiting does that, and refuses the second connection; one that is alive may close connections
+ * because it has too many. */
 static void
-on_checked (LhReachOutcome outcome, void *user)
+on_probe_done (LhReachOutcome outcome, void *user)
 {
   Check *check = user;
   const LnEndpointChecks *checks = check->owner;
 
   log_outcome (check, outcome);
-  if (outcome == LH_REACH_CLOSED && look (check, 0))
+  if (outcome == LH_REACH_CLOSED && start_probe (check, 0))
     return;
   if (outcome == LH_REACH_REFUSED)
     {
-      lb_metric_add (&crashed, 1);
-      checks->on_crashed (check->endpoint, check->broken_at, check->contents, check->n_contents,
-                          checks->user);
+      lb_metric_add (&crashes_seen, 1);
+      checks->on_crashed (check->endpoint, check->failed_at, check->fingerprints,
+                          check->n_fingerprints, checks->user);
     }
   check_free (check);
 }
 
 static Check *
-find (LnEndpointChecks *checks, const char *endpoint)
+find_check (LnEndpointChecks *checks, const char *endpoint)
 {
   LB_LIST_FOREACH (&checks->running, Check, link, check)
   {
@@ -127,26 +129,26 @@
 }
 
 static bool
-look (Check *check, LbTime hold)
+start_probe (Check *check, LbTime hold)
 {
-  const LhReachTimes times = { .open = CHECK_TIME, .hold = hold };
+  const LhReachTimes times = { .open = PROBE_TIMEOUT, .hold = hold };
 
-  check->reach
-      = lh_reach_start (check->owner->context->base, check->address, &times, on_checked, check);
-  return check->reach != NULL;
+  check->probe
+      = lh_reach_start (check->owner->context->base, check->address, &times, on_probe_done, check);
+  return check->probe != NULL;
 }
 
 static Check *
-start (LnEndpointChecks *checks, const char *endpoint, const char *address)
+start_check (LnEndpointChecks *checks, const char *endpoint, const char *address)
 {
   Check *check = LB_NEW (Check);
 
   check->owner = checks;
-  check->broken_at = lb_clock_monotonic ();
+  check->failed_at = lb_clock_monotonic ();
   LB_COPY (check->endpoint, endpoint);
   LB_COPY (check->address, address);
   lb_list_append (&checks->running, &check->link);
-  if (look (check, HOLD_TIME))
+  if (start_probe (check, PROBE_HOLD_TIME))
     return check;
   lb_log (LB_LOG_WARNING, "endpoint_not_checked", LB_TEXT ("endpoint", endpoint),
           LB_TEXT ("address", address));
@@ -158,13 +160,13 @@
 ln_endpoint_checks_request_failed (LnEndpointChecks *checks,
                                    const char *endpoint,
                                    const char *address,
-                                   LcFingerprint content)
+                                   LcFingerprint fingerprint)
 {
-  Check *check = find (checks, endpoint);
+  Check *check = find_check (checks, endpoint);
 
   if (!check)
-    check = start (checks, endpoint, address);
-  if (check && check->n_contents < MAX_CONTENTS
-      && !lc_fingerprint_is_among (content, check->contents, check->n_contents))
-    check->contents[check->n_contents++] = content;
+    check = start_check (checks, endpoint, address);
+  if (check && check->n_fingerprints < MAX_FINGERPRINTS
+      && !lc_fingerprint_is_among (fingerprint, check->fingerprints, check->n_fingerprints))
+    check->fingerprints[check->n_fingerprints++] = fingerprint;
 }
--- a/packages/node/src/endpoints/ln-endpoint-checks.h
+++ b/packages/node/src/endpoints/ln-endpoint-checks.h
@@ -4,26 +4,26 @@
 #include "lc-quarantine.h"
 #include "ln-context.h"
 
-/* Tells an endpoint that has ended from one that cut a single answer: both close the connection of
- * a request, but only the first one takes no new connection right after. */
+/* Distinguishes a crashed endpoint from one that aborted a single answer. Both close the connection
+ * of the request, but only a crashed one refuses new connections right afterwards. */
 typedef struct LnEndpointChecks LnEndpointChecks;
 
-/* The endpoint has ended, and these broke with it. */
+/* The endpoint crashed, and the requests with these fingerprints failed with it. */
 typedef void (*LnEndpointCrashed) (const char *endpoint,
-                                   LbTime broken_at,
-                                   const LcFingerprint *contents,
-                                   size_t n_contents,
+                                   LbTime failed_at,
+                                   const LcFingerprint *fingerprints,
+                                   size_t n_fingerprints,
                                    void *user);
 
 LnEndpointChecks *
 ln_endpoint_checks_new (LnContext *context, LnEndpointCrashed on_crashed, void *user);
 void ln_endpoint_checks_free (LnEndpointChecks *checks);
 
-/* A request broke at the endpoint before it brought anything. Requests that break there while the
- * check runs share its outcome. */
+/* A request failed at the endpoint before any byte of an answer arrived. Requests that fail there
+ * while the check runs share its outcome. */
 void ln_endpoint_checks_request_failed (LnEndpointChecks *checks,
                                         const char *endpoint,
                                         const char *address,
-                                        LcFingerprint content);
+                                        LcFingerprint fingerprint);
 
 #endif
--- a/packages/node/src/endpoints/ln-endpoint-list.c
+++ b/packages/node/src/endpoints/ln-endpoint-list.c
@@ -16,27 +16,27 @@
   LnContext *context;
   LnEndpointListHandlers handlers;
   void *user;
-  LnRowCacheClass rows_class;
-  LnRowCache *rows;
-  LnUnreadableRows *unreadable;
+  LnRowCacheClass row_class;
+  LnRowCache *row_cache;
+  LnUnreadableRows *unreadable_rows;
   LcSubset *subset;
-  LcDesired *desired; /* NULL: not known yet */
-  bool is_asked;
-  LbTime asked_at;
+  LcDesired *desired; /* NULL: unknown so far */
+  bool is_in_progress;
+  LbTime requested_at;
   int64_t page_size;
   size_t n_pages;
-  size_t told_pages;      /* in the log */
-  LcRegistration *listed; /* of the pages so far */
-  size_t n_listed;
+  size_t logged_pages;           /* number of pages last logged */
+  LcRegistration *registrations; /* from the pages read so far */
+  size_t n_registrations;
   size_t capacity;
 };
 
 static bool
-read_row (const LpRow *row, void *content, LbError *error, void *user)
+parse_row (const LpRow *row, void *parsed, LbError *error, void *user)
 {
   const LnEndpointList *list = user;
 
-  return list->context->dialect->read_listed (row->key, row->value, content, error);
+  return list->context->dialect->read_listed (row->key, row->value, parsed, error);
 }
 
 LnEndpointList *
@@ -47,11 +47,11 @@
   list->context = context;
   list->handlers = *handlers;
   list->user = user;
-  list->rows_class = (LnRowCacheClass){ .size = sizeof (LcRegistration),
-                                        .read = read_row,
-                                        .count_mark = context->dialect->listed_count_mark };
-  list->rows = ln_row_cache_new (&list->rows_class, list);
-  list->unreadable = ln_unreadable_rows_new ();
+  list->row_class = (LnRowCacheClass){ .size = sizeof (LcRegistration),
+                                       .read = parse_row,
+                                       .count_mark = context->dialect->listed_count_mark };
+  list->row_cache = ln_row_cache_new (&list->row_class, list);
+  list->unreadable_rows = ln_unreadable_rows_new ();
   list->subset = lc_subset_new ();
   return list;
 }
@@ -59,11 +59,11 @@
 void
 ln_endpoint_list_free (LnEndpointList *list)
 {
-  ln_unreadable_rows_free (list->unreadable);
-  ln_row_cache_free (list->rows);
+  ln_unreadable_rows_free (list->unreadable_rows);
+  ln_row_cache_free (list->row_cache);
   lc_subset_free (list->subset);
   lc_desired_unref (list->desired);
-  free (list->listed);
+  free (list->registrations);
   free (list);
 }
 
@@ -77,63 +77,68 @@
     lc_subset_expect_service (list->subset, desired->services[i].name);
 }
 
-/* An endpoint of a service that the operators do not name serves no route, and an engine of it
- * would be given weights and texts. Before the routes are known nothing is ruled out. */
+/* Rejects endpoints of services that are not in the desired state: they serve no route, and an
+ * engine among them would be given weights and samples. Until the desired state is known, no
+ * endpoint is rejected. */
 static const LcRegistration *
-read_endpoint (LnEndpointList *list, const LpRow *row, LbError *error)
+read_registration (LnEndpointList *list, const LpRow *row, LbError *error)
 {
-  const LcRegistration *listed = ln_row_cache_read (list->rows, row, error);
+  const LcRegistration *registration = ln_row_cache_read (list->row_cache, row, error);
 
-  if (!listed || !list->desired || lc_desired_find_service (list->desired, listed->service))
-    return listed;
-  lb_error_set (error, LB_ERROR_UNKNOWN_SERVICE, row->key, "no such service: %s", listed->service);
+  if (!registration || !list->desired
+      || lc_desired_find_service (list->desired, registration->service))
+    return registration;
+  lb_error_set (error, LB_ERROR_UNKNOWN_SERVICE, row->key, "no such service: %s",
+                registration->service);
   return NULL;
 }
 
 static void
-keep (LnEndpointList *list, const LcRegistration *listed)
+append_registration (LnEndpointList *list, const LcRegistration *registration)
 {
-  if (list->n_listed == list->capacity)
+  if (list->n_registrations == list->capacity)
     {
       list->capacity = list->capacity > 0 ? 2 * list->capacity : 64;
-      list->listed = lb_realloc (list->listed, list->capacity * sizeof *list->listed);
+      list->registrations
+          = lb_realloc (list->registrations, list->capacity * sizeof *list->registrations);
     }
-  list->listed[list->n_listed++] = *listed;
+  list->registrations[list->n_registrations++] = *registration;
 }
 
 static void
-take_row (LnEndpointList *list, const LpRow *row)
+add_row (LnEndpointList *list, const LpRow *row)
 {
   LbError error = { 0 };
-  const LcRegistration *listed = read_endpoint (list, row, &error);
+  const LcRegistration *registration = read_registration (list, row, &error);
 
-  if (!listed)
+  if (!registration)
     {
-      ln_unreadable_rows_note (list->unreadable, row->key, &error);
+      ln_unreadable_rows_note (list->unreadable_rows, row->key, &error);
       return;
     }
-  const LcSubsetRow endpoint = { .service = listed->service,
-                                 .n_models = listed->n_models,
-                                 .slots = listed->slots,
-                                 .leaving = listed->leaving };
-  if (lc_subset_add_row (list->subset, row->key, &endpoint))
-    keep (list, listed);
+  const LcSubsetRow subset_row = { .service = registration->service,
+                                   .n_models = registration->n_models,
+                                   .slots = registration->slots,
+                                   .leaving = registration->leaving };
+  if (lc_subset_add_row (list->subset, row->key, &subset_row))
+    append_registration (list, registration);
 }
 
 static void
-finish (LnEndpointList *list)
+finish_list (LnEndpointList *list)
 {
-  ln_unreadable_rows_end (list->unreadable);
-  ln_row_cache_end (list->rows);
-  list->is_asked = false;
-  if (list->n_pages != list->told_pages)
+  ln_unreadable_rows_end (list->unreadable_rows);
+  ln_row_cache_end (list->row_cache);
+  list->is_in_progress = false;
+  if (list->n_pages != list->logged_pages)
     lb_log (LB_LOG_INFO, "endpoint_pages", LB_INT ("pages", list->n_pages),
-            LB_INT ("before", list->told_pages), LB_INT ("known", list->n_listed));
-  list->told_pages = list->n_pages;
-  list->handlers.on_listed (list->listed, list->n_listed, list->asked_at, list->user);
+            LB_INT ("before", list->logged_pages), LB_INT ("known", list->n_registrations));
+  list->logged_pages = list->n_pages;
+  list->handlers.on_listed (list->registrations, list->n_registrations, list->requested_at,
+                            list->user);
 }
 
-static void ask_page (LnEndpointList *list, const char *after);
+static void request_page (LnEndpointList *list, const char *after);
 
 static void
 on_page (LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
@@ -146,22 +151,22 @@
   if (error != LB_OK)
     {
       lb_log (LB_LOG_DEBUG, "endpoints_not_listed", LB_TEXT ("error", lb_error_name (error)));
-      list->is_asked = false;
+      list->is_in_progress = false;
       list->handlers.on_failed (list->user);
       return;
     }
   list->n_pages++;
   for (size_t i = 0; i < n_rows; i++)
-    take_row (list, &rows[i]);
+    add_row (list, &rows[i]);
   if (lc_subset_end_page (list->subset, last, is_last))
-    ask_page (list, last);
+    request_page (list, last);
   else
-    finish (list);
+    finish_list (list);
 }
 
-/* after: the last key of the page before; "": the first page. */
+/* after: last key of the previous page; "": requests the first page. */
 static void
-ask_page (LnEndpointList *list, const char *after)
+request_page (LnEndpointList *list, const char *after)
 {
   LpPlatform *platform = list->context->platform;
   const char *prefix = list->context->dialect->endpoint_rows;
@@ -174,27 +179,27 @@
 void
 ln_endpoint_list_request (LnEndpointList *list, LbTime now)
 {
-  list->is_asked = true;
-  list->asked_at = now;
+  list->is_in_progress = true;
+  list->requested_at = now;
   list->page_size = lc_subset_page_size (list->subset);
-  list->n_listed = 0;
-  ln_unreadable_rows_begin (list->unreadable);
-  ln_row_cache_begin (list->rows);
+  list->n_registrations = 0;
+  ln_unreadable_rows_begin (list->unreadable_rows);
+  ln_row_cache_begin (list->row_cache);
   lc_subset_begin_list (list->subset, now);
   list->n_pages = 0;
-  ask_page (list, "");
+  request_page (list, "");
 }
 
 bool
 ln_endpoint_list_is_in_progress (const LnEndpointList *list)
 {
-  return list->is_asked;
+  return list->is_in_progress;
 }
 
 LbTime
 ln_endpoint_list_requested_at (const LnEndpointList *list)
 {
-  return list->asked_at;
+  return list->requested_at;
 }
 
 LcSubset *
--- a/packages/node/src/endpoints/ln-endpoint-list.h
+++ b/packages/node/src/endpoints/ln-endpoint-list.h
@@ -6,13 +6,16 @@
 #include "lc-subset.h"
 #include "ln-context.h"
 
-/* Lists the endpoints from the shared platform's store, page by page, up to what the subset needs.
+/* Lists endpoints from the shared platform's store, page by page, as far as the subset needs them.
  */
 typedef struct LnEndpointList LnEndpointList;
 
 typedef struct
 {
-  void (*on_listed) (const LcRegistration *list, size_t n_list, LbTime asked_at, void *user);
+  void (*on_listed) (const LcRegistration *endpoints,
+                     size_t n_endpoints,
+                     LbTime requested_at,
+                     void *user);
   void (*on_failed) (void *user);
 } LnEndpointListHandlers;
 
@@ -21,9 +24,9 @@
 void ln_endpoint_list_free (LnEndpointList *list);
 
 /* commands */
-/* Endpoints of services that it does not name are left out. Keeps a reference. */
+/* Endpoints of services that are not in the desired state are omitted. Keeps a reference. */
 void ln_endpoint_list_set_desired (LnEndpointList *list, LcDesired *desired);
-/* Only while no list is asked for. */
+/* Starts a list. Must not be called while one is in progress. */
 void ln_endpoint_list_request (LnEndpointList *list, LbTime now);
 
 /* queries */
--- a/packages/node/src/endpoints/ln-leaving.c
+++ b/packages/node/src/endpoints/ln-leaving.c
@@ -18,12 +18,12 @@
   LbName endpoint;
   char incarnation[sizeof ((LcLoadReport *)NULL)->incarnation];
   UT_hash_handle hh;
-} Told;
+} AnnouncedEndpoint;
 
 struct LnLeaving
 {
   LnTask *task;
-  Told *told;
+  AnnouncedEndpoint *announced;
 };
 
 LnLeaving *
@@ -38,33 +38,33 @@
 void
 ln_leaving_free (LnLeaving *leaving)
 {
-  Told *told = NULL;
-  Told *next = NULL;
+  AnnouncedEndpoint *announced = NULL;
+  AnnouncedEndpoint *next = NULL;
 
-  HASH_ITER (hh, leaving->told, told, next)
+  HASH_ITER (hh, leaving->announced, announced, next)
   {
-    HASH_DELETE (hh, leaving->told, told);
-    free (told);
+    HASH_DELETE (hh, leaving->announced, announced);
+    free (announced);
   }
   free (leaving);
 }
 
-/* True when it was not noted for this incarnation before. */
+/* Returns true if the endpoint had not been marked for this incarnation. */
 static bool
-note (LnLeaving *leaving, const char *endpoint, const char *incarnation)
+mark_announced (LnLeaving *leaving, const char *endpoint, const char *incarnation)
 {
-  Told *told = NULL;
+  AnnouncedEndpoint *announced = NULL;
 
-  HASH_FIND_STR (leaving->told, endpoint, told);
-  if (told && strcmp (told->incarnation, incarnation) == 0)
+  HASH_FIND_STR (leaving->announced, endpoint, announced);
+  if (announced && strcmp (announced->incarnation, incarnation) == 0)
     return false;
-  if (!told)
+  if (!announced)
     {
-      told = LB_NEW (Told);
-      LB_COPY (told->endpoint, endpoint);
-      HASH_ADD_STR (leaving->told, endpoint, told);
+      announced = LB_NEW (AnnouncedEndpoint);
+      LB_COPY (announced->endpoint, endpoint);
+      HASH_ADD_STR (leaving->announced, endpoint, announced);
     }
-  LB_COPY (told->incarnation, incarnation);
+  LB_COPY (announced->incarnation, incarnation);
   return true;
 }
 
@@ -75,7 +75,7 @@
 }
 
 static void
-send_to_all (LnTask *peers, const LcEndpoint *endpoint)
+broadcast_leaving (LnTask *peers, const LcEndpoint *endpoint)
 {
   LnPeerMessage message = { .base = LN_MESSAGE (LN_PEER_SEND), .topic = TOPIC };
   msgpack_sbuffer buffer;
@@ -93,9 +93,11 @@
   LN_POST (peers->hub, peers, message);
 }
 
-/* The failure: an endpoint tells one instance that it leaves (a refusal, a load report), and the
- * others send it new work until they have polled it themselves. What is in the resources all know
- * already, and without its incarnation nobody could tell which life of the endpoint was meant. */
+/* An endpoint announces that it is leaving to a single instance, in a refusal or a load report;
+ * without this notification the others would send it new work until they have polled it themselves.
+ * Endpoints that are marked as leaving in the resources are skipped, since all instances know
+ * these; so are those without an incarnation, since the others could not tell which incarnation is
+ * meant. */
 void
 ln_leaving_announce (LnLeaving *leaving, const LcEndpoint *endpoint)
 {
@@ -104,36 +106,36 @@
   if (!endpoint || !endpoint->leaving || endpoint->member.leaving || !peers
       || endpoint->report.incarnation[0] == '\0')
     return;
-  if (note (leaving, endpoint->member.name, endpoint->report.incarnation))
-    send_to_all (peers, endpoint);
+  if (mark_announced (leaving, endpoint->member.name, endpoint->report.incarnation))
+    broadcast_leaving (peers, endpoint);
 }
 
 static bool
-read_fields (const msgpack_object *object, LnEndpointLeavingMessage *heard)
+parse_fields (const msgpack_object *object, LnEndpointLeavingMessage *message)
 {
   return object->type == MSGPACK_OBJECT_ARRAY && object->via.array.size == N_FIELDS
-         && ln_unpack_text (&object->via.array.ptr[0], heard->endpoint, sizeof heard->endpoint)
-         && ln_unpack_text (&object->via.array.ptr[1], heard->incarnation,
-                            sizeof heard->incarnation);
+         && ln_unpack_text (&object->via.array.ptr[0], message->endpoint, sizeof message->endpoint)
+         && ln_unpack_text (&object->via.array.ptr[1], message->incarnation,
+                            sizeof message->incarnation);
 }
 
 bool
 ln_leaving_receive_frame (LnLeaving *leaving,
                           const LnPeerMessage *frame,
-                          LnEndpointLeavingMessage *heard)
+                          LnEndpointLeavingMessage *message)
 {
   msgpack_unpacked unpacked;
   size_t offset = 0;
 
-  memset (heard, 0, sizeof *heard);
-  heard->source = LC_LEAVING_PEER;
+  memset (message, 0, sizeof *message);
+  message->source = LC_LEAVING_PEER;
   msgpack_unpacked_init (&unpacked);
   bool ok = msgpack_unpack_next (&unpacked, frame->payload, frame->length, &offset)
                 == MSGPACK_UNPACK_SUCCESS
-            && read_fields (&unpacked.data, heard);
+            && parse_fields (&unpacked.data, message);
   msgpack_unpacked_destroy (&unpacked);
   if (ok)
-    note (leaving, heard->endpoint, heard->incarnation);
+    mark_announced (leaving, message->endpoint, message->incarnation);
   else
     lb_metric_count_error (LB_ERROR_FRAME_GARBLED);
   return ok;
--- a/packages/node/src/endpoints/ln-leaving.h
+++ b/packages/node/src/endpoints/ln-leaving.h
@@ -4,20 +4,20 @@
 #include "lc-endpoints.h"
 #include "ln-messages.h"
 
-/* What this instance tells the others of endpoints that leave, and hears from them. */
+/* Notifies the other instances of leaving endpoints, and reads such notifications from them. */
 typedef struct LnLeaving LnLeaving;
 
 LnLeaving *ln_leaving_new (LnTask *task);
 void ln_leaving_free (LnLeaving *leaving);
 
-/* Tells all instances, once for each incarnation, that the endpoint leaves; nothing when it stays.
- */
+/* Notifies all instances, once per incarnation, that the endpoint is leaving; does nothing if it is
+ * not. */
 void ln_leaving_announce (LnLeaving *leaving, const LcEndpoint *endpoint);
 
-/* Reads a frame of ln_leaving_announce; false when it is not one. What was heard is not told again.
- */
+/* Reads a frame of ln_leaving_announce; false if it is malformed. The endpoint is then not
+ * announced again by this instance. */
 bool ln_leaving_receive_frame (LnLeaving *leaving,
                                const LnPeerMessage *frame,
-                               LnEndpointLeavingMessage *heard);
+                               LnEndpointLeavingMessage *message);
 
 #endif
