--- a/packages/node/tests/test-crashes.c
+++ b/packages/node/tests/test-crashes.c
@@ -11,12 +11,13 @@
 #include <string.h>
 #include <unistd.h>
 
-#define BAD 7
-#define GOOD 8
+#define BAD_REQUEST 7
+#define GOOD_REQUEST 8
 #define MAX_ROWS 32
-#define STORE_MS 5000000 /* the store's clock when a test begins */
+#define STORE_MS 5000000 /* the store's clock at the start of a test */
 
-/* A store in which rows are listed and watched, and that can be away. One for all instances. */
+/* A store, shared by all instances, whose rows can be listed and watched, and which can be
+ * unavailable. */
 typedef struct
 {
   LpPlatform platform; /* first */
@@ -24,11 +25,11 @@
   size_t n_rows;
   int64_t version;
   int64_t now_ms;
-  bool away;
+  bool is_unavailable;
 } Store;
 
 static Store *
-store_of (LpPlatform *platform)
+get_store (LpPlatform *platform)
 {
   return (Store *)platform;
 }
@@ -65,12 +66,12 @@
                void *user)
 {
   (void)priority;
-  Store *store = store_of (platform);
+  Store *store = get_store (platform);
   const LpRow answer = { .key = transaction->puts[0].key, .version = store->version + 1 };
 
-  if (!store->away)
+  if (!store->is_unavailable)
     put_row (store, transaction->puts[0].key, transaction->puts[0].value);
-  done (store->away ? LB_ERROR_STORE_AWAY : LB_OK, &answer, user);
+  done (store->is_unavailable ? LB_ERROR_STORE_AWAY : LB_OK, &answer, user);
 }
 
 static void
@@ -84,9 +85,9 @@
   (void)prefix;
   (void)from;
   (void)limit;
-  Store *store = store_of (platform);
+  Store *store = get_store (platform);
 
-  if (store->away)
+  if (store->is_unavailable)
     done (LB_ERROR_STORE_AWAY, NULL, 0, 0, user);
   else
     done (LB_OK, store->rows, store->n_rows, store->version, user);
@@ -101,7 +102,7 @@
             void *user)
 {
   (void)wait;
-  Store *store = store_of (platform);
+  Store *store = get_store (platform);
   LpRow changed[MAX_ROWS];
   size_t n = 0;
 
@@ -109,7 +110,7 @@
   for (size_t i = 0; i < store->n_rows; i++)
     if (store->rows[i].version > after)
       changed[n++] = store->rows[i];
-  if (store->away)
+  if (store->is_unavailable)
     done (LB_ERROR_STORE_AWAY, NULL, 0, 0, user);
   else
     done (LB_OK, changed, n, store->version, user);
@@ -121,13 +122,13 @@
   return ((const Store *)platform)->now_ms;
 }
 
-static const LpPlatformClass followed_class = { .name = "followed",
-                                                .transact = fake_transact,
-                                                .list = fake_list,
-                                                .watch = fake_watch,
-                                                .store_ms = fake_store_ms };
+static const LpPlatformClass store_class = { .name = "followed",
+                                             .transact = fake_transact,
+                                             .list = fake_list,
+                                             .watch = fake_watch,
+                                             .store_ms = fake_store_ms };
 
-/* Stands where the peers task is: keeps what it was asked to send. */
+/* Replaces the peers task: counts the frames that it is asked to send and keeps the last one. */
 typedef struct
 {
   LnTask task;
@@ -157,7 +158,7 @@
 static const LnTaskClass peers_class
     = { .name = "peers", .receive = peers_receive, .free = peers_free };
 
-/* One instance, as far as endpoints that end go. */
+/* The parts of an instance that handle crashes of endpoints. */
 typedef struct
 {
   LnContext context;
@@ -202,15 +203,15 @@
 }
 
 static void
-see_end (Instance *instance, const char *endpoint, LcFingerprint content)
+report_crash (Instance *instance, const char *endpoint, LcFingerprint fingerprint)
 {
-  ln_crashes_report_crash (instance->crashes, endpoint, lb_clock_monotonic (), &content, 1);
+  ln_crashes_report_crash (instance->crashes, endpoint, lb_clock_monotonic (), &fingerprint, 1);
 }
 
 static bool
-is_kept_out (const Instance *instance, LcFingerprint content)
+is_quarantined (const Instance *instance, LcFingerprint fingerprint)
 {
-  return lc_quarantine_ends_at (instance->quarantine, content) > 0;
+  return lc_quarantine_ends_at (instance->quarantine, fingerprint) > 0;
 }
 
 typedef struct
@@ -225,7 +226,7 @@
 {
   memset (w, 0, sizeof *w);
   w->base = event_base_new ();
-  w->store.platform.klass = &followed_class;
+  w->store.platform.klass = &store_class;
   w->store.now_ms = STORE_MS;
   instance_init (&w->a, w->base, &w->store.platform, "a");
   instance_init (&w->b, w->base, &w->store.platform, "b");
@@ -246,133 +247,134 @@
   event_base_free (w->base);
 }
 
-/* Three endpoints end under one request, which went to two instances: neither has seen enough
- * alone, and both know it. So does one that starts afterwards. */
-Test (crashes, go_through_the_store)
+/* Three endpoints crash under one request that went to two instances. Neither has seen enough
+ * crashes alone, but both quarantine the request, and so does an instance that starts afterwards.
+ */
+Test (crashes, reports_are_shared_through_the_store)
 {
   World w;
   Instance fresh;
 
   world_init (&w);
-  see_end (&w.a, "e1", BAD);
-  see_end (&w.b, "e2", BAD);
-  see_end (&w.a, "e3", BAD);
+  report_crash (&w.a, "e1", BAD_REQUEST);
+  report_crash (&w.b, "e2", BAD_REQUEST);
+  report_crash (&w.a, "e3", BAD_REQUEST);
   tick (&w.a);
   tick (&w.b);
-  cr_assert (is_kept_out (&w.a, BAD));
-  cr_assert (is_kept_out (&w.b, BAD));
-  cr_assert_eq (w.a.peers->frames + w.b.peers->frames, 0, "the store tells all");
+  cr_assert (is_quarantined (&w.a, BAD_REQUEST));
+  cr_assert (is_quarantined (&w.b, BAD_REQUEST));
+  cr_assert_eq (w.a.peers->frames + w.b.peers->frames, 0,
+                "no frames are needed where rows are followed");
   instance_init (&fresh, w.base, &w.store.platform, "a");
   tick (&fresh);
-  cr_assert (is_kept_out (&fresh, BAD));
+  cr_assert (is_quarantined (&fresh, BAD_REQUEST));
   instance_clear (&fresh);
   world_clear (&w);
 }
 
-/* The store is away while endpoints end. What was seen is written once it is back. */
-Test (crashes, are_told_when_the_store_is_back)
+/* The store is unavailable while endpoints crash. The reports are written once it is back. */
+Test (crashes, reports_are_written_when_the_store_is_back)
 {
   World w;
 
   world_init (&w);
-  w.store.away = true;
-  see_end (&w.a, "e1", BAD);
-  see_end (&w.a, "e2", BAD);
-  see_end (&w.a, "e3", BAD);
+  w.store.is_unavailable = true;
+  report_crash (&w.a, "e1", BAD_REQUEST);
+  report_crash (&w.a, "e2", BAD_REQUEST);
+  report_crash (&w.a, "e3", BAD_REQUEST);
   tick (&w.a);
-  cr_assert (is_kept_out (&w.a, BAD));
+  cr_assert (is_quarantined (&w.a, BAD_REQUEST));
   cr_assert_eq (w.store.n_rows, 0);
-  w.store.away = false;
+  w.store.is_unavailable = false;
   tick (&w.a);
   cr_assert_eq (w.store.n_rows, 3);
   usleep (150000);
   tick (&w.b);
   tick (&w.b);
-  cr_assert (is_kept_out (&w.b, BAD));
+  cr_assert (is_quarantined (&w.b, BAD_REQUEST));
   world_clear (&w);
 }
 
-/* Reports are placed in time by the store's clock, since instances' own clocks differ: what ended
- * long ago counts no more for an instance that starts now. */
-Test (crashes, of_long_ago_do_not_count)
+/* Times of reports are by the store's clock, since the clocks of instances differ: expired reports
+ * do not count for an instance that starts now. */
+Test (crashes, expired_reports_do_not_count)
 {
   World w;
   Instance fresh;
 
   world_init (&w);
-  see_end (&w.a, "e1", BAD);
-  see_end (&w.a, "e2", BAD);
-  see_end (&w.a, "e3", BAD);
+  report_crash (&w.a, "e1", BAD_REQUEST);
+  report_crash (&w.a, "e2", BAD_REQUEST);
+  report_crash (&w.a, "e3", BAD_REQUEST);
   w.store.now_ms += lc_quarantine_report_lifetime () / LB_MSEC - 1000;
   instance_init (&fresh, w.base, &w.store.platform, "c");
   tick (&fresh);
-  cr_assert (is_kept_out (&fresh, BAD));
+  cr_assert (is_quarantined (&fresh, BAD_REQUEST));
   instance_clear (&fresh);
   w.store.now_ms += 2000;
   instance_init (&fresh, w.base, &w.store.platform, "c");
   tick (&fresh);
-  cr_assert_not (is_kept_out (&fresh, BAD));
+  cr_assert_not (is_quarantined (&fresh, BAD_REQUEST));
   instance_clear (&fresh);
   world_clear (&w);
 }
 
-/* Nothing in the store expires by itself: without this it would fill with reports of endpoints that
- * ended months ago. */
-Test (crashes, that_count_no_more_are_removed)
+/* Guards against a store that fills with expired reports: its rows do not expire by themselves. */
+Test (crashes, expired_rows_are_removed)
 {
   World w;
 
   world_init (&w);
-  see_end (&w.a, "e1", BAD);
+  report_crash (&w.a, "e1", BAD_REQUEST);
   cr_assert_not_null (w.store.rows[0].value);
   ln_crashes_tick (w.a.crashes, lb_clock_monotonic () + lc_quarantine_report_lifetime ());
-  cr_assert_not_null (w.store.rows[0].value, "no instance may be behind");
+  cr_assert_not_null (w.store.rows[0].value, "a row is kept for some time after it expires");
   ln_crashes_tick (w.a.crashes,
                    lb_clock_monotonic () + lc_quarantine_report_lifetime () + 700 * LB_SEC);
   cr_assert_null (w.store.rows[0].value);
   world_clear (&w);
 }
 
-/* The operators know better, and remove the rows that keep a request out. It runs again at once. */
-Test (crashes, that_the_operators_remove_count_no_more)
+/* Operators remove the rows that keep a request in quarantine, and it is released at once. */
+Test (crashes, rows_removed_by_operators_no_longer_count)
 {
   World w;
 
   world_init (&w);
-  see_end (&w.a, "e1", BAD);
-  see_end (&w.b, "e2", BAD);
-  see_end (&w.b, "e3", BAD);
+  report_crash (&w.a, "e1", BAD_REQUEST);
+  report_crash (&w.b, "e2", BAD_REQUEST);
+  report_crash (&w.b, "e3", BAD_REQUEST);
   tick (&w.a);
-  cr_assert (is_kept_out (&w.a, BAD));
+  cr_assert (is_quarantined (&w.a, BAD_REQUEST));
   put_row (&w.store, w.store.rows[1].key, NULL);
   tick (&w.a);
   tick (&w.b);
-  cr_assert_not (is_kept_out (&w.a, BAD));
-  cr_assert_not (is_kept_out (&w.b, BAD));
+  cr_assert_not (is_quarantined (&w.a, BAD_REQUEST));
+  cr_assert_not (is_quarantined (&w.b, BAD_REQUEST));
   world_clear (&w);
 }
 
-/* All endpoints end at once under a request that many callers make. The instance that has answered
- * it says so, and the others let it run. */
-Test (crashes, an_answer_at_one_instance_clears_at_all)
+/* All endpoints stop at once under a request that many callers send. An instance that got an answer
+ * to it publishes a clearance, and the other instances release the request. */
+Test (crashes, an_answer_at_one_instance_clears_the_request_at_all)
 {
   World w;
 
   world_init (&w);
-  lc_quarantine_record_answer (w.a.quarantine, GOOD, lb_clock_monotonic ());
-  see_end (&w.b, "e1", GOOD);
-  see_end (&w.b, "e2", GOOD);
-  see_end (&w.b, "e3", GOOD);
-  cr_assert (is_kept_out (&w.b, GOOD));
+  lc_quarantine_record_answer (w.a.quarantine, GOOD_REQUEST, lb_clock_monotonic ());
+  report_crash (&w.b, "e1", GOOD_REQUEST);
+  report_crash (&w.b, "e2", GOOD_REQUEST);
+  report_crash (&w.b, "e3", GOOD_REQUEST);
+  cr_assert (is_quarantined (&w.b, GOOD_REQUEST));
   tick (&w.a);
   tick (&w.b);
-  cr_assert_not (is_kept_out (&w.a, GOOD));
-  cr_assert_not (is_kept_out (&w.b, GOOD));
+  cr_assert_not (is_quarantined (&w.a, GOOD_REQUEST));
+  cr_assert_not (is_quarantined (&w.b, GOOD_REQUEST));
   world_clear (&w);
 }
 
-/* A row that can't be read names nobody, and the others hold. */
-Test (crashes, a_row_that_is_none_changes_nothing)
+/* A malformed row is ignored, and the other rows count. */
+Test (crashes, a_malformed_row_is_ignored)
 {
   static const char *const texts[] = { "",
                                        "[]",
@@ -391,19 +393,19 @@
       snprintf (key, sizeof key, "crash/all/bad-%zu", i);
       put_row (&w.store, key, texts[i]);
     }
-  see_end (&w.b, "e1", BAD);
-  see_end (&w.b, "e2", BAD);
-  see_end (&w.b, "e3", BAD);
+  report_crash (&w.b, "e1", BAD_REQUEST);
+  report_crash (&w.b, "e2", BAD_REQUEST);
+  report_crash (&w.b, "e3", BAD_REQUEST);
   tick (&w.a);
-  cr_assert (is_kept_out (&w.a, BAD));
+  cr_assert (is_quarantined (&w.a, BAD_REQUEST));
   cr_assert_eq (lc_quarantine_count (w.a.quarantine), 1);
   world_clear (&w);
 }
 
 /* --- a platform whose rows can't be followed --- */
 
-/* Instances that run hear by frames; one that starts reads the rows. */
-Test (crashes, go_by_frames_where_rows_can_not_be_followed)
+/* Running instances get reports in frames; a starting one reads the rows. */
+Test (crashes, reports_go_in_frames_where_rows_can_not_be_followed)
 {
   struct event_base *base = event_base_new ();
   LpPlatform *platform = lp_memory_new (base);
@@ -414,16 +416,16 @@
   instance_init (&b, base, platform, "b");
   for (size_t i = 0; i < 3; i++)
     {
-      see_end (&a, endpoints[i], BAD);
+      report_crash (&a, endpoints[i], BAD_REQUEST);
       event_base_loop (base, EVLOOP_NONBLOCK);
       cr_assert_eq (a.peers->frames, (int)i + 1);
       cr_assert (ln_crashes_receive_frame (b.crashes, &a.peers->last));
     }
-  cr_assert (is_kept_out (&b, BAD));
+  cr_assert (is_quarantined (&b, BAD_REQUEST));
   instance_init (&fresh, base, platform, "c");
   tick (&fresh);
   event_base_loop (base, EVLOOP_NONBLOCK);
-  cr_assert (is_kept_out (&fresh, BAD));
+  cr_assert (is_quarantined (&fresh, BAD_REQUEST));
   instance_clear (&fresh);
   instance_clear (&a);
   instance_clear (&b);
@@ -431,33 +433,33 @@
   event_base_free (base);
 }
 
-/* One service that its supervisor starts again under its name crashes three times under a request,
- * ten seconds apart. An instance that starts afterwards must not take that for one crash. */
-Test (crashes, keep_their_times_where_the_store_has_no_clock)
+/* An endpoint that its supervisor restarts under the same name crashes three times under a request,
+ * ten seconds apart. An instance that starts afterwards must not count that as one crash. */
+Test (crashes, reports_keep_their_times_where_the_store_has_no_clock)
 {
   struct event_base *base = event_base_new ();
   LpPlatform *platform = lp_memory_new (base);
   Instance a, fresh;
-  const LcFingerprint content = BAD;
+  const LcFingerprint fingerprint = BAD_REQUEST;
   LbTime now = lb_clock_monotonic ();
 
   instance_init (&a, base, platform, "a");
   tick (&a);
   for (int i = 2; i >= 0; i--)
-    ln_crashes_report_crash (a.crashes, "e1", now - i * 10 * LB_SEC, &content, 1);
-  cr_assert (is_kept_out (&a, BAD));
+    ln_crashes_report_crash (a.crashes, "e1", now - i * 10 * LB_SEC, &fingerprint, 1);
+  cr_assert (is_quarantined (&a, BAD_REQUEST));
   instance_init (&fresh, base, platform, "b");
   tick (&fresh);
   event_base_loop (base, EVLOOP_NONBLOCK);
-  cr_assert (is_kept_out (&fresh, BAD));
+  cr_assert (is_quarantined (&fresh, BAD_REQUEST));
   instance_clear (&fresh);
   instance_clear (&a);
   platform->klass->free (platform);
   event_base_free (base);
 }
 
-/* A frame was lost with its connection: the next scan tells what it said. */
-Test (crashes, a_scan_makes_good_what_frames_did_not_tell)
+/* A frame was lost with its connection; the next scan reads the report. */
+Test (crashes, a_scan_reads_reports_whose_frames_were_lost)
 {
   struct event_base *base = event_base_new ();
   LpPlatform *platform = lp_memory_new (base);
@@ -468,21 +470,21 @@
   instance_init (&b, base, platform, "b");
   ln_crashes_tick (b.crashes, now);
   event_base_loop (base, EVLOOP_NONBLOCK);
-  see_end (&a, "e1", BAD);
-  see_end (&a, "e2", BAD);
-  see_end (&a, "e3", BAD);
+  report_crash (&a, "e1", BAD_REQUEST);
+  report_crash (&a, "e2", BAD_REQUEST);
+  report_crash (&a, "e3", BAD_REQUEST);
   event_base_loop (base, EVLOOP_NONBLOCK);
-  cr_assert_not (is_kept_out (&b, BAD));
+  cr_assert_not (is_quarantined (&b, BAD_REQUEST));
   ln_crashes_tick (b.crashes, now + 6 * LB_SEC);
   event_base_loop (base, EVLOOP_NONBLOCK);
-  cr_assert (is_kept_out (&b, BAD));
+  cr_assert (is_quarantined (&b, BAD_REQUEST));
   instance_clear (&a);
   instance_clear (&b);
   platform->klass->free (platform);
   event_base_free (base);
 }
 
-Test (crashes, other_frames_are_left_to_others)
+Test (crashes, frames_of_other_kinds_are_rejected)
 {
   struct event_base *base = event_base_new ();
   LpPlatform *platform = lp_memory_new (base);
--- a/packages/node/tests/test-fleet-directory.c
+++ b/packages/node/tests/test-fleet-directory.c
@@ -19,14 +19,15 @@
   char *value;
 } Row;
 
-/* A store with the rows of a fleet, which answers at once and counts what it gives. */
+/* A store with the rows of a fleet that answers at once and counts the lists and the rows returned.
+ */
 typedef struct
 {
   LpPlatform platform; /* first */
-  Row *rows;           /* by key */
+  Row *rows;           /* sorted by key */
   size_t n_rows;
   size_t n_lists;
-  size_t n_given;
+  size_t n_rows_returned;
 } Store;
 
 static int64_t
@@ -55,7 +56,7 @@
                            .value = store->rows[i].value,
                            .version = (int64_t)i + 1 };
   store->n_lists++;
-  store->n_given += n;
+  store->n_rows_returned += n;
   done (LB_OK, rows, n, (int64_t)store->n_rows, user);
   free (rows);
 }
@@ -64,13 +65,13 @@
     = { .name = "test", .list = store_list, .store_ms = store_ms };
 
 static int
-by_key (const void *a, const void *b)
+compare_keys (const void *a, const void *b)
 {
   return strcmp (((const Row *)a)->key, ((const Row *)b)->key);
 }
 
 static void
-name_instance (size_t index, char *name)
+format_name (size_t index, char *name)
 {
   snprintf (name, LB_NAME_MAX, "front-%zu", index);
 }
@@ -86,7 +87,7 @@
       LcFleetRow row = { .ready = true, .period = LB_SEC };
       row.strength = i < N_STRONG ? lc_duty_strength (0.5, 600) : lc_duty_strength (0.12, 60);
       row.renewed_ms = store_ms (&store->platform);
-      name_instance (i, row.name);
+      format_name (i, row.name);
       LB_COPY (row.incarnation, "1");
       LB_COPY (row.caller_address, "10.0.0.1:80");
       ln_fleet_row_key (&row, false, store->rows[i].key);
@@ -94,7 +95,7 @@
       store->rows[i].value = lb_strdup (json_object_to_json_string (object));
       json_object_put (object);
     }
-  qsort (store->rows, n_instances, sizeof *store->rows, by_key);
+  qsort (store->rows, n_instances, sizeof *store->rows, compare_keys);
 }
 
 static void
@@ -121,8 +122,8 @@
   return n;
 }
 
-/* Guards against rows read and instances kept that grow with the fleet. */
-Test (fleet_directory, one_thousand_cost_what_two_thousand_cost)
+/* Guards against a cost of listing, in rows read and instances kept, that grows with the fleet. */
+Test (fleet_directory, listing_cost_does_not_grow_with_the_fleet)
 {
   const size_t sizes[] = { 1000, 2000 };
 
@@ -132,7 +133,7 @@
       store_init (&store, sizes[i]);
       LnFleetLists *lists = ln_fleet_lists_new (&store.platform, "front-0", on_change, NULL);
       ln_fleet_lists_tick (lists, lb_clock_monotonic ());
-      cr_assert_eq (store.n_given, LN_FLEET_DIRECTORY_MAX);
+      cr_assert_eq (store.n_rows_returned, LN_FLEET_DIRECTORY_MAX);
       cr_assert_leq (store.n_lists, 9);
       cr_assert_eq (ln_fleet_lists_count (lists), LN_FLEET_DIRECTORY_MAX);
       cr_assert_geq (count_strong (lists) * 100, LN_FLEET_DIRECTORY_MAX * 80);
@@ -141,8 +142,8 @@
     }
 }
 
-/* Guards against a small fleet of which not all are known. */
-Test (fleet_directory, a_small_fleet_is_known_whole)
+/* Guards against instances of a small fleet that are not in the directory. */
+Test (fleet_directory, a_small_fleet_is_known_completely)
 {
   Store store;
 
@@ -156,10 +157,10 @@
   store_clear (&store);
 }
 
-Test (fleet_directory, those_without_a_place_know_it)
+Test (fleet_directory, omitted_instances_detect_that_they_are_omitted)
 {
   Store store;
-  size_t n_left_out = 0;
+  size_t n_omitted = 0;
   LbName name;
 
   store_init (&store, 1000);
@@ -167,10 +168,10 @@
   ln_fleet_lists_tick (lists, lb_clock_monotonic ());
   for (size_t i = 0; i < 1000; i++)
     {
-      name_instance (i, name);
-      n_left_out += ln_fleet_lists_has_omitted (lists, name);
+      format_name (i, name);
+      n_omitted += ln_fleet_lists_has_omitted (lists, name);
     }
-  cr_assert_eq (n_left_out, 1000 - LN_FLEET_DIRECTORY_MAX);
+  cr_assert_eq (n_omitted, 1000 - LN_FLEET_DIRECTORY_MAX);
   ln_fleet_lists_free (lists);
   store_clear (&store);
 }
--- a/packages/node/tests/test-fleet-lists.c
+++ b/packages/node/tests/test-fleet-lists.c
@@ -16,10 +16,10 @@
 {
   LcFleetRow row;
   int64_t version;
-  bool is_gone; /* renews no more */
+  bool has_stopped; /* no longer renews its row */
 } Instance;
 
-/* A store that holds the rows of two instances, both in one part, and answers at once. */
+/* A store with the rows of two instances, both in one part, that answers at once. */
 typedef struct
 {
   LpPlatform platform; /* first */
@@ -65,10 +65,10 @@
     = { .name = "test", .list = store_list, .store_ms = store_ms };
 
 static void
-renew (Store *store)
+renew_all (Store *store)
 {
   for (size_t i = 0; i < 2; i++)
-    if (!store->instances[i].is_gone)
+    if (!store->instances[i].has_stopped)
       {
         store->instances[i].version = ++store->version;
         store->instances[i].row.renewed_ms = store_ms (&store->platform);
@@ -99,7 +99,7 @@
 }
 
 static const LcFleetMember *
-find (const LnFleetLists *lists, const char *name)
+find_member (const LnFleetLists *lists, const char *name)
 {
   for (size_t i = 0; i < ln_fleet_lists_count (lists); i++)
     if (strcmp (ln_fleet_lists_at (lists, i)->row.name, name) == 0)
@@ -107,26 +107,26 @@
   return NULL;
 }
 
-/* An instance lists the others when it starts, then relies on what another one lists. A machine is
- * taken away. Half a minute later the instance lists for itself again: it remembered the machine as
- * one that lived, took the time without lists for an outage of the store, and named the machine to
- * all callers. */
-Test (fleet_lists, who_left_while_another_one_listed_is_not_confirmed)
+/* An instance lists the others at its start and then follows the catalog; meanwhile a machine is
+ * removed. When the instance listed for itself again half a minute later, it treated the time
+ * without lists as an outage of the store, counted the removed machine as alive, and gave its
+ * address to all callers. */
+Test (fleet_lists, an_instance_that_left_while_following_is_not_confirmed)
 {
   Store store;
 
   store_init (&store);
   LnFleetLists *lists = ln_fleet_lists_new (&store.platform, "a", on_change, NULL);
-  renew (&store);
+  renew_all (&store);
   ln_fleet_lists_tick (lists, lb_clock_monotonic ());
-  cr_assert (find (lists, "gone")->confirmed);
+  cr_assert (find_member (lists, "gone")->confirmed);
   ln_fleet_lists_set_catalog_followed (lists, true);
-  store.instances[1].is_gone = true;
+  store.instances[1].has_stopped = true;
   usleep (3 * PERIOD + PERIOD);
-  renew (&store);
+  renew_all (&store);
   ln_fleet_lists_set_catalog_followed (lists, false);
   ln_fleet_lists_tick (lists, lb_clock_monotonic ());
-  cr_assert_not (find (lists, "gone")->confirmed);
-  cr_assert (find (lists, "b")->confirmed);
+  cr_assert_not (find_member (lists, "gone")->confirmed);
+  cr_assert (find_member (lists, "b")->confirmed);
   ln_fleet_lists_free (lists);
 }
--- a/packages/node/tests/test-fleet-renewal.c
+++ b/packages/node/tests/test-fleet-renewal.c
@@ -13,12 +13,12 @@
 typedef struct
 {
   char key[LN_FLEET_KEY_SIZE];
-  bool removes;
+  bool is_removal;
   LpTransactDone done;
   void *user;
 } Write;
 
-/* A store that answers when the test says so. */
+/* A store that records writes and answers them when the test says so. */
 typedef struct
 {
   LpPlatform platform; /* first */
@@ -39,7 +39,7 @@
 
   cr_assert_lt (store->n_writes, MAX_WRITES);
   Write *write = &store->writes[store->n_writes++];
-  *write = (Write){ .removes = !transaction->puts[0].value, .done = done, .user = user };
+  *write = (Write){ .is_removal = !transaction->puts[0].value, .done = done, .user = user };
   snprintf (write->key, sizeof write->key, "%s", transaction->puts[0].key);
 }
 
@@ -61,8 +61,8 @@
   LcFleetRow row;
   LnFleetRenewal *renewal;
   LbTime now;
-  bool listed; /* the row on duty */
-  bool is_left_out;
+  bool is_duty_row_listed; /* the row on duty is in the last list */
+  bool is_omitted;
 } Setup;
 
 static void
@@ -79,17 +79,17 @@
 static void
 tick (Setup *s)
 {
-  const LnFleetListSummary listing
-      = { .n_instances = 295, .is_left_out = s->is_left_out, .has_duty_row = s->listed };
+  const LnFleetListSummary summary
+      = { .n_instances = 295, .is_omitted = s->is_omitted, .has_duty_row = s->is_duty_row_listed };
 
-  ln_fleet_renewal_tick (s->renewal, &listing, s->now);
+  ln_fleet_renewal_tick (s->renewal, &summary, s->now);
 }
 
-/* Ticks each 100 ms, with answers. */
+/* Ticks every 100 ms and answers all writes. */
 static void
-run (Setup *s, LbTime time)
+run_for (Setup *s, LbTime duration)
 {
-  for (LbTime end = s->now + time; s->now < end; s->now += 100 * LB_MSEC)
+  for (LbTime end = s->now + duration; s->now < end; s->now += 100 * LB_MSEC)
     {
       tick (s);
       answer_all (&s->store, LB_OK);
@@ -97,14 +97,14 @@
 }
 
 static size_t
-count (Setup *s, bool on_duty, bool removes)
+count_writes (Setup *s, bool on_duty, bool is_removal)
 {
   char key[LN_FLEET_KEY_SIZE];
   size_t n = 0;
 
   ln_fleet_row_key (&s->row, on_duty, key);
   for (size_t i = 0; i < s->store.n_writes; i++)
-    n += strcmp (s->store.writes[i].key, key) == 0 && s->store.writes[i].removes == removes;
+    n += strcmp (s->store.writes[i].key, key) == 0 && s->store.writes[i].is_removal == is_removal;
   return n;
 }
 
@@ -113,75 +113,77 @@
   Setup s;
 
   setup_init (&s);
-  run (&s, 3 * LB_SEC);
-  cr_assert_eq (count (&s, false, false), 2);
-  cr_assert_eq (count (&s, true, false), 0);
+  run_for (&s, 3 * LB_SEC);
+  cr_assert_eq (count_writes (&s, false, false), 2);
+  cr_assert_eq (count_writes (&s, true, false), 0);
   ln_fleet_renewal_set_duty (s.renewal, true, s.now);
-  run (&s, 3 * LB_SEC);
-  cr_assert_geq (count (&s, true, false), 10);
-  cr_assert_leq (count (&s, false, false), 3);
+  run_for (&s, 3 * LB_SEC);
+  cr_assert_geq (count_writes (&s, true, false), 10);
+  cr_assert_leq (count_writes (&s, false, false), 3);
   ln_fleet_renewal_free (s.renewal);
 }
 
-/* An instance ran batches and runs none any more. Its second row stands still from then on; were it
- * left there, the others would take the instance for dead. The first removal has no answer. */
-Test (fleet_renewal, the_second_row_goes_with_the_duty)
+/* An instance no longer runs batches. If its row on duty, which is no longer renewed, stayed in the
+ * store, the other instances would consider it dead. The outcome of the first removal is unknown.
+ */
+Test (fleet_renewal, the_duty_row_is_removed_after_the_duty)
 {
   Setup s;
 
   setup_init (&s);
   ln_fleet_renewal_set_duty (s.renewal, true, s.now);
-  run (&s, LB_SEC);
+  run_for (&s, LB_SEC);
   ln_fleet_renewal_set_duty (s.renewal, false, s.now);
-  run (&s, 10 * LB_SEC);
-  cr_assert_eq (count (&s, true, true), 0, "the next step comes soon");
-  s.listed = true;
+  run_for (&s, 10 * LB_SEC);
+  cr_assert_eq (count_writes (&s, true, true), 0, "the duty row is kept for the next step");
+  s.is_duty_row_listed = true;
   s.now += LB_SEC;
   tick (&s);
   answer_all (&s.store, LB_OK);
   s.now += 100 * LB_MSEC;
   tick (&s);
-  s.listed = false;
-  cr_assert_eq (count (&s, true, true), 1);
+  s.is_duty_row_listed = false;
+  cr_assert_eq (count_writes (&s, true, true), 1);
   answer_all (&s.store, LB_ERROR_STORE_UNKNOWN);
-  run (&s, LB_SEC);
-  cr_assert_eq (count (&s, true, true), 2);
-  run (&s, 5 * LB_SEC);
-  cr_assert_eq (count (&s, true, true), 2, "it is known to be gone");
+  run_for (&s, LB_SEC);
+  cr_assert_eq (count_writes (&s, true, true), 2);
+  run_for (&s, 5 * LB_SEC);
+  cr_assert_eq (count_writes (&s, true, true), 2, "the removal is confirmed");
   ln_fleet_renewal_free (s.renewal);
 }
 
-/* The second row was removed. A renewal of before, whose answer was lost, is carried out after
- * that: the row is back, older with each second. */
-Test (fleet_renewal, a_second_row_that_comes_back_is_removed_again)
+/* A renewal whose answer was lost is applied after the row on duty was removed, so that a stale row
+ * is back. */
+Test (fleet_renewal, a_duty_row_that_reappears_is_removed_again)
 {
   Setup s;
 
   setup_init (&s);
   ln_fleet_renewal_set_duty (s.renewal, true, s.now);
-  run (&s, LB_SEC);
+  run_for (&s, LB_SEC);
   ln_fleet_renewal_set_duty (s.renewal, false, s.now);
-  run (&s, 12 * LB_SEC);
-  cr_assert_eq (count (&s, true, true), 1);
-  s.listed = true;
-  run (&s, LB_SEC);
-  s.listed = false;
-  cr_assert_geq (count (&s, true, true), 2);
+  run_for (&s, 12 * LB_SEC);
+  cr_assert_eq (count_writes (&s, true, true), 1);
+  s.is_duty_row_listed = true;
+  run_for (&s, LB_SEC);
+  s.is_duty_row_listed = false;
+  cr_assert_geq (count_writes (&s, true, true), 2);
   ln_fleet_renewal_free (s.renewal);
 }
 
-/* Guards against renewals that grow with the fleet: nobody lists an instance without a place. */
-Test (fleet_renewal, an_instance_left_out_renews_seldom_until_it_has_a_place)
+/* Guards against a renewal rate that grows with the fleet: instances that are not in the directory
+ * renew seldom, since no instance lists them. */
+Test (fleet_renewal, an_omitted_instance_renews_seldom_until_it_is_in_the_directory)
 {
   Setup s;
 
   setup_init (&s);
-  s.is_left_out = true;
-  run (&s, 30 * LB_SEC);
-  cr_assert_leq (count (&s, false, false), 4);
-  size_t before = count (&s, false, false);
-  s.is_left_out = false;
-  run (&s, 2500 * LB_MSEC);
-  cr_assert_geq (count (&s, false, false), before + 1);
+  s.is_omitted = true;
+  run_for (&s, 30 * LB_SEC);
+  cr_assert_leq (count_writes (&s, false, false), 4);
+  size_t before = count_writes (&s, false, false);
+  s.is_omitted = false;
+  run_for (&s, 2500 * LB_MSEC);
+  cr_assert_geq (count_writes (&s, false, false), before + 1);
   ln_fleet_renewal_free (s.renewal);
 }
--- a/packages/node/tests/test-leaving.c
+++ b/packages/node/tests/test-leaving.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Stands where the peers task is: keeps what it was asked to send. */
+/* Replaces the peers task: counts the frames that it is asked to send and keeps the last one. */
 typedef struct
 {
   LnTask task;
@@ -16,7 +16,7 @@
 } FakePeers;
 
 static void
-fake_receive (LnTask *task, const LnMessage *message)
+fake_peers_receive (LnTask *task, const LnMessage *message)
 {
   FakePeers *peers = (FakePeers *)task;
   const LnPeerMessage *frame = (const LnPeerMessage *)message;
@@ -27,13 +27,13 @@
 }
 
 static void
-fake_free (LnTask *task)
+fake_peers_free (LnTask *task)
 {
   free (task);
 }
 
-static const LnTaskClass fake_class
-    = { .name = "peers", .receive = fake_receive, .free = fake_free };
+static const LnTaskClass fake_peers_class
+    = { .name = "peers", .receive = fake_peers_receive, .free = fake_peers_free };
 
 typedef struct
 {
@@ -45,13 +45,13 @@
 } Fixture;
 
 static Fixture
-fixture (void)
+fixture_new (void)
 {
   Fixture f = { .base = event_base_new () };
 
   f.hub = ln_hub_new (f.base);
   f.peers = LB_NEW (FakePeers);
-  f.peers->task.klass = &fake_class;
+  f.peers->task.klass = &fake_peers_class;
   ln_hub_add (f.hub, &f.peers->task);
   f.leaving = ln_leaving_new (&f.peers->task);
   LB_COPY (f.endpoint.member.name, "e1");
@@ -60,7 +60,7 @@
 }
 
 static void
-clear (Fixture *f)
+fixture_free (Fixture *f)
 {
   ln_leaving_free (f->leaving);
   ln_hub_free (f->hub);
@@ -68,62 +68,62 @@
 }
 
 static void
-tell (Fixture *f)
+announce (Fixture *f)
 {
   ln_leaving_announce (f->leaving, &f->endpoint);
   event_base_loop (f->base, EVLOOP_NONBLOCK);
 }
 
-/* An engine answers one instance "leaving" and goes on working for its last streams. The other
- * instances have polled it a moment before, so for seconds they would send it new work that it
- * refuses. The first to learn it tells the others, once for each life of the engine. */
-Test (leaving, is_told_once_for_each_incarnation)
+/* Guards against new work for an engine that is leaving: it has announced that to one instance, and
+ * the others, which polled it just before, would send it work for seconds. The first instance to
+ * know notifies the others, once per incarnation of the engine. */
+Test (leaving, is_announced_once_per_incarnation)
 {
-  Fixture f = fixture ();
+  Fixture f = fixture_new ();
 
-  tell (&f);
-  cr_assert_eq (f.peers->frames, 0, "it stays");
+  announce (&f);
+  cr_assert_eq (f.peers->frames, 0, "the endpoint is not leaving");
   f.endpoint.leaving = true;
-  tell (&f);
-  tell (&f);
+  announce (&f);
+  announce (&f);
   cr_assert_eq (f.peers->frames, 1);
   LB_COPY (f.endpoint.report.incarnation, "life-2");
-  tell (&f);
+  announce (&f);
   cr_assert_eq (f.peers->frames, 2);
-  clear (&f);
+  fixture_free (&f);
 }
 
-/* Two instances that tell each other what they heard from each other would never stop. */
-Test (leaving, what_was_heard_is_not_told_again)
+/* Guards against two instances that send each other's notifications back and forth without end. */
+Test (leaving, a_received_notification_is_not_announced_again)
 {
-  Fixture f = fixture ();
-  Fixture other = fixture ();
-  LnEndpointLeavingMessage heard;
+  Fixture f = fixture_new ();
+  Fixture other = fixture_new ();
+  LnEndpointLeavingMessage message;
 
   f.endpoint.leaving = true;
-  tell (&f);
+  announce (&f);
   const LnPeerMessage frame = { .payload = f.peers->payload, .length = f.peers->length };
-  cr_assert (ln_leaving_receive_frame (other.leaving, &frame, &heard));
-  cr_assert_str_eq (heard.endpoint, "e1");
-  cr_assert_str_eq (heard.incarnation, "life-1");
-  cr_assert_eq (heard.source, LC_LEAVING_PEER);
+  cr_assert (ln_leaving_receive_frame (other.leaving, &frame, &message));
+  cr_assert_str_eq (message.endpoint, "e1");
+  cr_assert_str_eq (message.incarnation, "life-1");
+  cr_assert_eq (message.source, LC_LEAVING_PEER);
   other.endpoint.leaving = true;
-  tell (&other);
+  announce (&other);
   cr_assert_eq (other.peers->frames, 0);
-  clear (&other);
-  clear (&f);
+  fixture_free (&other);
+  fixture_free (&f);
 }
 
-Test (leaving, a_garbled_frame_is_refused)
+Test (leaving, a_malformed_frame_is_rejected)
 {
-  Fixture f = fixture ();
-  LnEndpointLeavingMessage heard;
+  Fixture f = fixture_new ();
+  LnEndpointLeavingMessage message;
   char bytes[] = "\x92\xa2"
                  "e1\x07";
   const LnPeerMessage wrong_type = { .payload = bytes, .length = sizeof bytes - 1 };
   const LnPeerMessage cut = { .payload = bytes, .length = 3 };
 
-  cr_assert_not (ln_leaving_receive_frame (f.leaving, &wrong_type, &heard));
-  cr_assert_not (ln_leaving_receive_frame (f.leaving, &cut, &heard));
-  clear (&f);
+  cr_assert_not (ln_leaving_receive_frame (f.leaving, &wrong_type, &message));
+  cr_assert_not (ln_leaving_receive_frame (f.leaving, &cut, &message));
+  fixture_free (&f);
 }
--- a/packages/node/tests/test-peers.c
+++ b/packages/node/tests/test-peers.c
@@ -23,17 +23,18 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define PATIENCE (30 * LB_SEC)
-/* More than one instance has connections to, so that frames to all have to be passed on. */
+#define TIMEOUT (30 * LB_SEC)
+/* More than the number of instances that one has connections to, so that broadcast frames have to
+ * be forwarded. */
 #define MAX_INSTANCES 10
 
-/* A task that notes what the peers task of its instance tells. */
+/* A task that records the messages from the peers task of its instance. */
 typedef struct
 {
   LnTask base;
   LnMember members[MAX_INSTANCES];
   size_t n_members;
-  size_t frames;
+  size_t n_frames;
   char last_payload[64];
   LbName last_sender;
 } Listener;
@@ -54,7 +55,7 @@
 } World;
 
 static void
-note_members (Listener *listener, const LnMembersMessage *message)
+record_members (Listener *listener, const LnMembersMessage *message)
 {
   listener->n_members = message->n_members;
   for (size_t i = 0; i < message->n_members && i < MAX_INSTANCES; i++)
@@ -68,10 +69,10 @@
   const LnPeerMessage *frame = (const LnPeerMessage *)message;
 
   if (message->type == LN_MEMBERS)
-    note_members (listener, (const LnMembersMessage *)message);
+    record_members (listener, (const LnMembersMessage *)message);
   if (message->type != LN_PEER_FRAME)
     return;
-  listener->frames++;
+  listener->n_frames++;
   LB_COPY (listener->last_payload, frame->payload);
   LB_COPY (listener->last_sender, frame->instance);
 }
@@ -95,7 +96,7 @@
 }
 
 static Instance *
-start (World *world, const char *key, const char *seed)
+start_instance (World *world, const char *key, const char *seed)
 {
   Instance *instance = &world->instances[world->n_instances++];
 
@@ -119,7 +120,7 @@
 }
 
 static void
-stop (Instance *instance)
+stop_instance (Instance *instance)
 {
   ln_hub_free (instance->context.hub);
   ln_settings_clear (&instance->settings);
@@ -129,24 +130,24 @@
 world_clear (World *world)
 {
   for (size_t i = 0; i < world->n_instances; i++)
-    stop (&world->instances[i]);
+    stop_instance (&world->instances[i]);
   event_base_free (world->base);
 }
 
 static void
-pump (World *world)
+run_loop_once (World *world)
 {
   event_base_loop (world->base, EVLOOP_NONBLOCK);
   usleep (500);
 }
 
-#define UNTIL(world, condition)                                                                    \
+#define WAIT_UNTIL(world, condition)                                                               \
   do                                                                                               \
     {                                                                                              \
-      LbTime end_ = lb_clock_monotonic () + PATIENCE;                                              \
+      LbTime end_ = lb_clock_monotonic () + TIMEOUT;                                               \
       while (!(condition) && lb_clock_monotonic () < end_)                                         \
-        pump (world);                                                                              \
-      cr_assert ((condition), "never came true: %s", #condition);                                  \
+        run_loop_once (world);                                                                     \
+      cr_assert ((condition), "still false at the timeout: %s", #condition);                       \
     }                                                                                              \
   while (0)
 
@@ -170,7 +171,7 @@
 }
 
 static int64_t
-metric (const char *name)
+read_metric (const char *name)
 {
   char *text = lb_metric_render ();
   char *start = lb_asprintf ("\n%s ", name);
@@ -200,56 +201,56 @@
   ln_post (from->context.hub, from->peers, &message.base, sizeof message);
 }
 
-Test (peers, instances_find_one_another_and_frames_arrive_once)
+Test (peers, instances_discover_each_other_and_frames_arrive_once)
 {
   World world;
 
   world_init (&world);
-  Instance *first = start (&world, "key", NULL);
-  pump (&world);
+  Instance *first = start_instance (&world, "key", NULL);
+  run_loop_once (&world);
   while (world.n_instances < MAX_INSTANCES)
-    start (&world, "key", first->context.peer_address);
+    start_instance (&world, "key", first->context.peer_address);
   for (size_t i = 0; i < MAX_INSTANCES; i++)
-    UNTIL (&world, count_alive (&world.instances[i]) == MAX_INSTANCES);
+    WAIT_UNTIL (&world, count_alive (&world.instances[i]) == MAX_INSTANCES);
 
   Instance *sender = &world.instances[5];
   send_to (sender, "", "to all");
   for (size_t i = 0; i < MAX_INSTANCES; i++)
-    UNTIL (&world, i == 5 || world.instances[i].listener->frames == 1);
+    WAIT_UNTIL (&world, i == 5 || world.instances[i].listener->n_frames == 1);
   send_to (&world.instances[1], "i4", "to one");
-  UNTIL (&world, world.instances[3].listener->frames == 2);
+  WAIT_UNTIL (&world, world.instances[3].listener->n_frames == 2);
   cr_assert_str_eq (world.instances[3].listener->last_payload, "to one");
   cr_assert_str_eq (world.instances[3].listener->last_sender, "i2");
   for (int i = 0; i < 200; i++)
-    pump (&world);
+    run_loop_once (&world);
   for (size_t i = 0; i < MAX_INSTANCES; i++)
-    cr_assert_eq (world.instances[i].listener->frames, i == 5 ? 0 : i == 3 ? 2 : 1);
+    cr_assert_eq (world.instances[i].listener->n_frames, i == 5 ? 0 : i == 3 ? 2 : 1);
 
   ln_hub_drain (first->context.hub);
   for (size_t i = 1; i < MAX_INSTANCES; i++)
-    UNTIL (&world, sees_draining (&world.instances[i], "i1"));
+    WAIT_UNTIL (&world, sees_draining (&world.instances[i], "i1"));
   world_clear (&world);
 }
 
-/* An instance of another cluster is given a seed of this one by mistake. If its key were not asked
- * for, both clusters would mix members and configurations. It must stay alone, and a count must
- * tell the operator why. */
+/* Guards against two clusters that mix members and configurations, after an instance of one was
+ * given a seed of the other by mistake. The key keeps it out, and a counter shows the operator why.
+ */
 Test (peers, an_instance_with_another_key_stays_alone)
 {
   World world;
 
   world_init (&world);
-  Instance *first = start (&world, "key", NULL);
-  pump (&world);
-  Instance *stranger = start (&world, "other key", first->context.peer_address);
-  UNTIL (&world, metric ("lentilspindle_errors_total{type=\"wrong_key\"}") >= 2);
+  Instance *first = start_instance (&world, "key", NULL);
+  run_loop_once (&world);
+  Instance *other = start_instance (&world, "other key", first->context.peer_address);
+  WAIT_UNTIL (&world, read_metric ("lentilspindle_errors_total{type=\"wrong_key\"}") >= 2);
   cr_assert_eq (count_alive (first), 1);
-  cr_assert_eq (count_alive (stranger), 1);
+  cr_assert_eq (count_alive (other), 1);
   world_clear (&world);
 }
 
 static int
-connect_raw (const Instance *instance)
+connect_client (const Instance *instance)
 {
   struct sockaddr_storage to;
   int length = sizeof to;
@@ -270,9 +271,9 @@
   return got == 0 || (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
 }
 
-/* Somebody scans the ports, an old program speaks another version, a frame is damaged, or a length
- * of gigabytes arrives; or a connection is opened and nothing is ever said. Each must cost its own
- * connection, be counted by its type, and nothing else: the other instances go on. */
+/* Guards against faulty clients that disturb the cluster: port scans, other protocol versions,
+ * damaged frames, lengths of gigabytes, connections on which nothing is sent. Each closes its own
+ * connection only and is counted by type; the other instances are not affected. */
 Test (peers, bad_frames_close_their_own_connection_with_a_counted_error)
 {
   static const struct
@@ -290,29 +291,29 @@
   World world;
 
   world_init (&world);
-  Instance *first = start (&world, "key", NULL);
-  pump (&world);
-  start (&world, "key", first->context.peer_address);
-  UNTIL (&world, count_alive (first) == 2);
+  Instance *first = start_instance (&world, "key", NULL);
+  run_loop_once (&world);
+  start_instance (&world, "key", first->context.peer_address);
+  WAIT_UNTIL (&world, count_alive (first) == 2);
   for (size_t i = 0; i < sizeof cases / sizeof *cases; i++)
     {
-      int64_t before = metric (cases[i].counter);
-      int fd = connect_raw (first);
+      int64_t before = read_metric (cases[i].counter);
+      int fd = connect_client (first);
       cr_assert_eq (send (fd, cases[i].bytes, 8, 0), 8);
-      UNTIL (&world, is_closed (fd));
-      cr_assert_eq (metric (cases[i].counter), before + 1, "case %zu", i);
+      WAIT_UNTIL (&world, is_closed (fd));
+      cr_assert_eq (read_metric (cases[i].counter), before + 1, "case %zu", i);
       close (fd);
     }
-  int dumb = connect_raw (first);
-  UNTIL (&world, is_closed (dumb));
-  cr_assert_geq (metric ("lentilspindle_errors_total{type=\"timeout\"}"), 1);
-  close (dumb);
+  int silent_fd = connect_client (first);
+  WAIT_UNTIL (&world, is_closed (silent_fd));
+  cr_assert_geq (read_metric ("lentilspindle_errors_total{type=\"timeout\"}"), 1);
+  close (silent_fd);
   cr_assert_eq (count_alive (first), 2);
   world_clear (&world);
 }
 
-/* Stands between two instances; once it has lost track, what is written to its connections goes
- * nowhere, though they stay open. */
+/* Proxy between two instances; when `drops_bytes` is set, it discards what arrives on its
+ * connections but keeps them open. */
 typedef struct
 {
   World *world;
@@ -320,101 +321,101 @@
   LbName address;
   LbName target;
   struct bufferevent *ends[2];
-  bool lost;
-} Middle;
+  bool drops_bytes;
+} Proxy;
 
 static void
-pass_on (struct bufferevent *from, void *user)
+proxy_forward (struct bufferevent *from, void *user)
 {
-  Middle *middle = user;
+  Proxy *proxy = user;
   struct evbuffer *input = bufferevent_get_input (from);
 
-  if (middle->lost)
+  if (proxy->drops_bytes)
     evbuffer_drain (input, evbuffer_get_length (input));
   else
-    bufferevent_write_buffer (middle->ends[from == middle->ends[0]], input);
+    bufferevent_write_buffer (proxy->ends[from == proxy->ends[0]], input);
 }
 
 static void
-connect_through (struct evconnlistener *listener,
-                 evutil_socket_t fd,
-                 struct sockaddr *address,
-                 int length,
-                 void *user)
+proxy_accept (struct evconnlistener *listener,
+              evutil_socket_t fd,
+              struct sockaddr *address,
+              int length,
+              void *user)
 {
   (void)listener;
   (void)address;
   (void)length;
-  Middle *middle = user;
+  Proxy *proxy = user;
   struct sockaddr_storage to;
   int to_length = sizeof to;
 
-  if (middle->ends[0])
+  if (proxy->ends[0])
     {
       evutil_closesocket (fd);
       return;
     }
-  evutil_parse_sockaddr_port (middle->target, (struct sockaddr *)&to, &to_length);
-  middle->ends[0] = bufferevent_socket_new (middle->world->base, fd, BEV_OPT_CLOSE_ON_FREE);
-  middle->ends[1] = bufferevent_socket_new (middle->world->base, -1, BEV_OPT_CLOSE_ON_FREE);
-  bufferevent_socket_connect (middle->ends[1], (struct sockaddr *)&to, to_length);
+  evutil_parse_sockaddr_port (proxy->target, (struct sockaddr *)&to, &to_length);
+  proxy->ends[0] = bufferevent_socket_new (proxy->world->base, fd, BEV_OPT_CLOSE_ON_FREE);
+  proxy->ends[1] = bufferevent_socket_new (proxy->world->base, -1, BEV_OPT_CLOSE_ON_FREE);
+  bufferevent_socket_connect (proxy->ends[1], (struct sockaddr *)&to, to_length);
   for (int i = 0; i < 2; i++)
     {
-      bufferevent_setcb (middle->ends[i], pass_on, NULL, NULL, middle);
-      bufferevent_enable (middle->ends[i], EV_READ | EV_WRITE);
+      bufferevent_setcb (proxy->ends[i], proxy_forward, NULL, NULL, proxy);
+      bufferevent_enable (proxy->ends[i], EV_READ | EV_WRITE);
     }
 }
 
 static void
-middle_init (Middle *middle, World *world, const char *target)
+proxy_init (Proxy *proxy, World *world, const char *target)
 {
   struct sockaddr_in at = { .sin_family = AF_INET };
   socklen_t length = sizeof at;
 
-  memset (middle, 0, sizeof *middle);
-  middle->world = world;
-  LB_COPY (middle->target, target);
+  memset (proxy, 0, sizeof *proxy);
+  proxy->world = world;
+  LB_COPY (proxy->target, target);
   at.sin_addr.s_addr = htonl (INADDR_LOOPBACK);
-  middle->listener
-      = evconnlistener_new_bind (world->base, connect_through, middle, LEV_OPT_CLOSE_ON_FREE, -1,
+  proxy->listener
+      = evconnlistener_new_bind (world->base, proxy_accept, proxy, LEV_OPT_CLOSE_ON_FREE, -1,
                                  (struct sockaddr *)&at, sizeof at);
-  getsockname (evconnlistener_get_fd (middle->listener), (struct sockaddr *)&at, &length);
-  snprintf (middle->address, LB_NAME_MAX, "127.0.0.1:%d", ntohs (at.sin_port));
+  getsockname (evconnlistener_get_fd (proxy->listener), (struct sockaddr *)&at, &length);
+  snprintf (proxy->address, LB_NAME_MAX, "127.0.0.1:%d", ntohs (at.sin_port));
 }
 
 static void
-middle_clear (Middle *middle)
+proxy_clear (Proxy *proxy)
 {
-  evconnlistener_free (middle->listener);
+  evconnlistener_free (proxy->listener);
   for (int i = 0; i < 2; i++)
-    bufferevent_free (middle->ends[i]);
+    bufferevent_free (proxy->ends[i]);
 }
 
-/* Something between two instances loses track of their open connection: bytes go nowhere, no end is
- * told. Frames would be lost and a healthy instance called dead. The silence must be found, a new
- * connection opened, frames arrive again, and nobody be suspected by either. */
-Test (peers, a_connection_that_swallows_bytes_is_replaced)
+/* A middlebox between two instances drops the state of their open connection: bytes are lost and
+ * neither end is notified. Guards against lost frames and a healthy instance that is declared dead:
+ * the silence is detected and a new connection opened, and neither instance suspects the other. */
+Test (peers, a_connection_that_loses_bytes_is_replaced)
 {
   World world;
-  Middle middle;
+  Proxy proxy;
 
   world_init (&world);
-  Instance *first = start (&world, "key", NULL);
-  pump (&world);
-  middle_init (&middle, &world, first->context.peer_address);
-  Instance *second = start (&world, "key", middle.address);
-  UNTIL (&world, count_alive (first) == 2 && count_alive (second) == 2);
-  cr_assert (middle.ends[0]);
-
-  middle.lost = true;
-  LbTime lost = lb_clock_monotonic ();
-  UNTIL (&world, metric ("lentilspindle_peer_silent_connections_total") > 0);
-  LbTime found = lb_clock_monotonic () - lost;
-  UNTIL (&world, count_alive (first) == 2 && count_alive (second) == 2);
+  Instance *first = start_instance (&world, "key", NULL);
+  run_loop_once (&world);
+  proxy_init (&proxy, &world, first->context.peer_address);
+  Instance *second = start_instance (&world, "key", proxy.address);
+  WAIT_UNTIL (&world, count_alive (first) == 2 && count_alive (second) == 2);
+  cr_assert (proxy.ends[0]);
+
+  proxy.drops_bytes = true;
+  LbTime lost_at = lb_clock_monotonic ();
+  WAIT_UNTIL (&world, read_metric ("lentilspindle_peer_silent_connections_total") > 0);
+  LbTime detection_time = lb_clock_monotonic () - lost_at;
+  WAIT_UNTIL (&world, count_alive (first) == 2 && count_alive (second) == 2);
   send_to (second, "i1", "over the new one");
-  UNTIL (&world, first->listener->frames == 1);
-  cr_assert_eq (metric ("lentilspindle_members_suspected_total"), 0);
-  cr_log_info ("found after %.2f s", (double)found / LB_SEC);
-  middle_clear (&middle);
+  WAIT_UNTIL (&world, first->listener->n_frames == 1);
+  cr_assert_eq (read_metric ("lentilspindle_members_suspected_total"), 0);
+  cr_log_info ("silence detected after %.2f s", (double)detection_time / LB_SEC);
+  proxy_clear (&proxy);
   world_clear (&world);
 }
