--- a/packages/node/include/ln-context.h
+++ b/packages/node/include/ln-context.h
@@ -18,7 +18,7 @@
   struct event_base *base;
   LnHub *hub;
   const LnSettings *settings;
-  struct LhPool *http; /* towards endpoints and other instances */
+  struct LhPool *http_pool; /* towards endpoints and other instances */
   struct LpPlatform *platform;
   const struct LnDialect *dialect; /* of a shared platform; NULL: the product's own interface */
   LbName instance;                 /* name of this instance */
@@ -26,16 +26,16 @@
   LbName caller_address;           /* as bound, with the real port */
   LbName metrics_address;          /* as bound; empty: none of its own */
   LbName peer_address;
-  LcRequestId next_request; /* the last id given; see ln_context_next_request */
-  gsl_rng *random;          /* NULL before the first draw */
-  struct LnTicker *ticker;  /* NULL before it is asked for */
+  LcRequestId last_request_id; /* the last id given; see ln_context_next_request_id */
+  gsl_rng *rng;                /* NULL before the first draw */
+  struct LnTicker *ticker;     /* NULL before it is asked for */
 } LnContext;
 
-LcRequestId ln_context_next_request (LnContext *context);
+LcRequestId ln_context_next_request_id (LnContext *context);
 /* Seed of this instance's random choices: of the settings, and another one for each instance. */
-uint64_t ln_context_seed (const LnContext *context);
+uint64_t ln_context_random_seed (const LnContext *context);
 /* From 0 to below 1. */
-double ln_context_draw (LnContext *context);
+double ln_context_random_uniform (LnContext *context);
 /* The timer of all tasks. */
 struct LnTicker *ln_context_ticker (LnContext *context);
 void ln_context_clear (LnContext *context);
--- a/packages/node/include/ln-exchange.h
+++ b/packages/node/include/ln-exchange.h
@@ -27,7 +27,7 @@
 /* How often the request has the header. */
 size_t ln_exchange_count_header (const LnExchange *exchange, const char *name);
 const char *ln_exchange_body (const LnExchange *exchange, size_t *length); /* ended by NUL */
-const char *ln_exchange_peer (const LnExchange *exchange);                 /* IP of the caller */
+const char *ln_exchange_caller_ip (const LnExchange *exchange);            /* IP of the caller */
 void ln_exchange_set_owner (LnExchange *exchange, LnTask *owner);
 void ln_exchange_set_header (LnExchange *exchange, const char *name, const char *value);
 
@@ -39,8 +39,8 @@
 void ln_exchange_reply_error (LnExchange *exchange, const LbError *error, LbTime retry_after);
 
 /* A reply in pieces. After stream_start come pieces, then end. */
-void ln_exchange_stream_start (LnExchange *exchange, int status, const char *type);
-void ln_exchange_stream_piece (LnExchange *exchange, const char *bytes, size_t length);
+void ln_exchange_start_stream (LnExchange *exchange, int status, const char *type);
+void ln_exchange_write_stream (LnExchange *exchange, const char *bytes, size_t length);
 void ln_exchange_end (LnExchange *exchange);
 
 #endif
--- a/packages/node/include/ln-messages.h
+++ b/packages/node/include/ln-messages.h
@@ -58,9 +58,10 @@
 typedef struct
 {
   LnMessage base;
-  LcRequestSpec spec; /* spec.id from ln_context_next_request; kind SERVICE: a call of a scorer */
-  char *body;         /* owned: JSON for the endpoint */
-  char *resume_text;  /* owned; NULL: from the start */
+  LcRequestSpec
+      spec;          /* spec.id from ln_context_next_request_id; kind SERVICE: a call of a scorer */
+  char *body;        /* owned: JSON for the endpoint */
+  char *resume_text; /* owned; NULL: from the start */
   /* In a dialect: what to send, owned, in place of body and resume_text. */
   LcOutgoing *outgoing;
   LbName organisation; /* whose request it is; "": nobody's in particular */
--- a/packages/node/include/ln-task.h
+++ b/packages/node/include/ln-task.h
@@ -43,7 +43,7 @@
 void ln_hub_free (LnHub *hub);
 
 void ln_hub_add (LnHub *hub, LnTask *task);
-LnTask *ln_hub_find (const LnHub *hub, const char *name);
+LnTask *ln_hub_find_task (const LnHub *hub, const char *name);
 /* Copies size bytes of the message (allocated with lb_malloc) and takes over what it owns. */
 void ln_post (LnHub *hub, LnTask *to, const LnMessage *message, size_t size);
 void ln_hub_drain (LnHub *hub);
--- a/packages/node/include/ln-ticker.h
+++ b/packages/node/include/ln-ticker.h
@@ -15,21 +15,21 @@
 {
   LbLink link;
   LbTime period;
-  void (*call) (void *user);
+  void (*callback) (void *user);
   void *user;
   LbTime due;
-} LnTick;
+} LnPeriodicCall;
 
 LnTicker *ln_ticker_new (struct event_base *base);
 void ln_ticker_free (LnTicker *ticker);
 
 /* commands */
 /* Called for the first time in the loop's next turn. */
-void ln_ticker_add (LnTicker *ticker, LnTick *tick);
-void ln_ticker_remove (LnTicker *ticker, LnTick *tick);
+void ln_ticker_add (LnTicker *ticker, LnPeriodicCall *tick);
+void ln_ticker_remove (LnTicker *ticker, LnPeriodicCall *tick);
 /* Nothing here is urgent: all are called less often, unless work has come lately. */
 void ln_ticker_set_idle (LnTicker *ticker, bool is_idle);
 /* Work has come: for some seconds all are called at their own periods. */
-void ln_ticker_note_work (LnTicker *ticker, LbTime now);
+void ln_ticker_report_work (LnTicker *ticker, LbTime now);
 
 #endif
--- a/packages/node/main/lentilspindled.c
+++ b/packages/node/main/lentilspindled.c
@@ -40,8 +40,8 @@
   struct event *signals[N_SIGNALS];
   const char *config;        /* path of the settings file; NULL: none */
   struct event *drain_timer; /* runs while draining */
-  LnTick log_tick;
-  LnStall *stall;
+  LnPeriodicCall log_tick;
+  LnStallDetector *stall;
   LbTime drain_until;
   bool draining;
 } Daemon;
@@ -277,16 +277,16 @@
     lb_switch_set_off (daemon->settings.measure.off[i]);
   context->base = event_base_new ();
   context->hub = ln_hub_new (context->base);
-  context->http = lh_pool_new (context->base);
+  context->http_pool = lh_pool_new (context->base);
   if (daemon->settings.platform.kind == LN_PLATFORM_SHARED)
     context->dialect = pf_dialect ();
   context->platform = make_platform (&daemon->settings, context->base);
   daemon->signals[0] = evsignal_new (context->base, SIGTERM, on_signal, daemon);
   daemon->signals[1] = evsignal_new (context->base, SIGINT, on_signal, daemon);
   daemon->signals[2] = evsignal_new (context->base, SIGHUP, on_reload, daemon);
-  daemon->log_tick = (LnTick){ .period = LOG_PERIOD, .call = flush_log };
+  daemon->log_tick = (LnPeriodicCall){ .period = LOG_PERIOD, .callback = flush_log };
   ln_ticker_add (ln_context_ticker (context), &daemon->log_tick);
-  daemon->stall = ln_stall_new (context->base, LN_STALL_CPU_LIMIT);
+  daemon->stall = ln_stall_detector_new (context->base, LN_STALL_CPU_LIMIT);
   daemon->drain_timer = event_new (context->base, -1, EV_PERSIST, exit_when_idle, daemon);
   for (int i = 0; i < N_SIGNALS; i++)
     event_add (daemon->signals[i], NULL);
@@ -299,12 +299,12 @@
 
   ln_hub_free (context->hub);
   context->platform->klass->free (context->platform);
-  lh_pool_free (context->http);
+  lh_pool_free (context->http_pool);
   ln_context_clear (context);
   for (int i = 0; i < N_SIGNALS; i++)
     event_free (daemon->signals[i]);
   event_free (daemon->drain_timer);
-  ln_stall_free (daemon->stall);
+  ln_stall_detector_free (daemon->stall);
   /* Connections that were just freed are still held by work that libevent put off: it is lost with
    * the base, and what it holds with it. One turn carries it out. */
   event_base_loop (context->base, EVLOOP_NONBLOCK);
--- a/packages/node/src/batch/ln-batch-calls.c
+++ b/packages/node/src/batch/ln-batch-calls.c
@@ -406,7 +406,7 @@
   call->give_up_at = now + (in.wait < MAX_WAIT ? in.wait : MAX_WAIT);
   call->retry_at = LB_TIME_NEVER;
   LB_COPY (call->item, in.item ? in.item : "");
-  ln_exchange_set_user (exchange, call);
+  ln_exchange_set_user_data (exchange, call);
   lb_list_append (&batches->exchanges, &call->link);
   if (!name_batch (call, &in))
     ln_batch_call_fail (call, LB_ERROR_BAD_VALUE, "expected the id of a batch", 0);
@@ -421,7 +421,7 @@
 ln_batch_calls_gone (LnBatches *batches, LnExchange *exchange)
 {
   (void)batches;
-  LnBatchCall *call = ln_exchange_user (exchange);
+  LnBatchCall *call = ln_exchange_user_data (exchange);
 
   if (!call)
     return;
--- a/packages/node/src/batch/ln-batch-heads.c
+++ b/packages/node/src/batch/ln-batch-heads.c
@@ -144,7 +144,7 @@
   LB_COPY (message.model, head->model);
   for (size_t i = 0; i < sizeof tasks / sizeof tasks[0]; i++)
     {
-      LnTask *task = ln_hub_find (batches->task.hub, tasks[i]);
+      LnTask *task = ln_hub_find_task (batches->task.hub, tasks[i]);
       if (task)
         LN_POST (batches->task.hub, task, message);
     }
--- a/packages/node/src/batch/ln-batch-owner.c
+++ b/packages/node/src/batch/ln-batch-owner.c
@@ -93,7 +93,7 @@
         const char *organisation)
 {
   LnSampleMessage message = { .base = LN_MESSAGE (LN_SAMPLE), .spec = *spec };
-  LnTask *calls = ln_hub_find (batch->batches->task.hub, "calls");
+  LnTask *calls = ln_hub_find_task (batch->batches->task.hub, "calls");
 
   message.outgoing = LB_NEW (LcOutgoing);
   lc_outgoing_copy (message.outgoing, outgoing);
@@ -172,7 +172,7 @@
   request.deadline = lb_clock_monotonic () + (route->timeout > 0 ? route->timeout : SCORE_TIME);
   LB_COPY (request.caller, route->name);
   LB_COPY (request.pool,
-           lc_route_choose_service (route, ln_context_draw (batch->batches->context)));
+           lc_route_choose_service (route, ln_context_random_uniform (batch->batches->context)));
   submit (batch, &request, &item->scorer, "");
 }
 
@@ -183,7 +183,7 @@
   LnSampleCancelMessage message
       = { .base = LN_MESSAGE (LN_SAMPLE_CANCEL), .request = id, .return_partial = true };
 
-  LN_POST (batch->batches->task.hub, ln_hub_find (batch->batches->task.hub, "calls"), message);
+  LN_POST (batch->batches->task.hub, ln_hub_find_task (batch->batches->task.hub, "calls"), message);
 }
 
 static void
@@ -195,7 +195,7 @@
   if (!request)
     return;
   forget (batch->batches, request);
-  LN_POST (batch->batches->task.hub, ln_hub_find (batch->batches->task.hub, "calls"), message);
+  LN_POST (batch->batches->task.hub, ln_hub_find_task (batch->batches->task.hub, "calls"), message);
 }
 
 /* --- writing results --- */
@@ -464,7 +464,7 @@
 static LcRequestId
 next_id (void *user)
 {
-  return ln_context_next_request (user);
+  return ln_context_next_request_id (user);
 }
 
 void
--- a/packages/node/src/batch/ln-batches-private.h
+++ b/packages/node/src/batch/ln-batches-private.h
@@ -99,7 +99,7 @@
 {
   LnTask task; /* first */
   LnContext *context;
-  LnTick tick;
+  LnPeriodicCall tick;
   LnAdmissionState belief; /* desired state */
   LnMember *members;
   size_t n_members;
--- a/packages/node/src/batch/ln-batches.c
+++ b/packages/node/src/batch/ln-batches.c
@@ -109,7 +109,7 @@
   switch ((LnMessageType)message->type)
     {
     case LN_EXCHANGE:
-      ln_ticker_note_work (ln_context_ticker (batches->context), lb_clock_monotonic ());
+      ln_ticker_report_work (ln_context_ticker (batches->context), lb_clock_monotonic ());
       ln_batch_calls_take (batches, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_CALLER_DISCONNECTED:
@@ -154,7 +154,7 @@
   int64_t n_owned = 0;
   bool owns = false;
 
-  ln_stall_note ("tick of rollouts");
+  ln_stall_set_activity ("tick of rollouts");
   ln_batch_heads_tick (batches, now);
   for (LnBatch *batch = batches->by_id; batch; batch = batch->hh.next)
     {
@@ -240,7 +240,7 @@
   batches->context = context;
   lb_list_init (&batches->exchanges);
   ln_batch_heads_follow (batches);
-  batches->tick = (LnTick){ .period = TICK, .call = on_tick, .user = batches };
+  batches->tick = (LnPeriodicCall){ .period = TICK, .callback = on_tick, .user = batches };
   ln_ticker_add (ln_context_ticker (context), &batches->tick);
   return &batches->task;
 }
--- a/packages/node/src/calls/ln-call-reader.c
+++ b/packages/node/src/calls/ln-call-reader.c
@@ -77,7 +77,7 @@
   if (caller && strlen (caller) >= sizeof spec->caller)
     return lb_error_set (error, LB_ERROR_OUT_OF_RANGE, "x-caller", "expected at most %d bytes",
                          LB_NAME_MAX - 1);
-  LB_COPY (spec->caller, caller && *caller ? caller : ln_exchange_peer (exchange));
+  LB_COPY (spec->caller, caller && *caller ? caller : ln_exchange_caller_ip (exchange));
   spec->priority = (int)priority;
   spec->deadline = now + deadline_ms * LB_MSEC;
   if (is_set (exchange, "x-not-repeatable") || ln_exchange_header (exchange, "x-ticket")
@@ -230,7 +230,7 @@
   const char *body = ln_exchange_body (exchange, &length);
   call->raw_body = lb_memdup (body, length + 1);
   call->raw_length = length;
-  ln_exchange_each_header (exchange, copy_header, call);
+  ln_exchange_foreach_header (exchange, copy_header, call);
   call->spec.repeatable = is_safe_method (call->method) || is_set (exchange, "x-repeatable");
   call->spec.expected_tokens = 1;
   return true;
--- a/packages/node/src/calls/ln-call.c
+++ b/packages/node/src/calls/ln-call.c
@@ -196,7 +196,7 @@
   call->stream_begun = true;
   ln_exchange_set_header (call->exchange, "x-endpoint", endpoint);
   ln_exchange_set_header (call->exchange, "Cache-Control", "no-cache");
-  ln_exchange_stream_start (call->exchange, 200, "text/event-stream");
+  ln_exchange_start_stream (call->exchange, 200, "text/event-stream");
 }
 
 void
@@ -212,7 +212,7 @@
   if (call->exchange && !call->stream_begun)
     begin_stream (call, endpoint);
   if (call->exchange)
-    ln_exchange_stream_piece (call->exchange, line, length);
+    ln_exchange_write_stream (call->exchange, line, length);
   call->last_sent = lb_clock_monotonic ();
   free (line);
 }
@@ -224,7 +224,7 @@
 
   if (!call->exchange || !call->stream_begun || call->last_sent > before)
     return;
-  ln_exchange_stream_piece (call->exchange, comment, sizeof comment - 1);
+  ln_exchange_write_stream (call->exchange, comment, sizeof comment - 1);
   call->last_sent = now;
 }
 
@@ -378,7 +378,7 @@
     reply_service (call, winner);
   else if (call->wants_stream)
     {
-      ln_exchange_stream_piece (call->exchange, done_event, sizeof done_event - 1);
+      ln_exchange_write_stream (call->exchange, done_event, sizeof done_event - 1);
       ln_exchange_end (call->exchange);
     }
   else
--- a/packages/node/src/calls/ln-calls-attempts.c
+++ b/packages/node/src/calls/ln-calls-attempts.c
@@ -42,7 +42,7 @@
   LB_COPY (message.endpoint, endpoint);
   message.text = calls->context->dialect ? lb_strdup (text) : NULL;
   message.base.clear = clear_piece;
-  LN_POST (calls->task.hub, ln_hub_find (calls->task.hub, "rollouts"), message);
+  LN_POST (calls->task.hub, ln_hub_find_task (calls->task.hub, "rollouts"), message);
 }
 
 /* An engine's own event is the best word on its weights: the list lags, and the plan may be wrong.
@@ -131,7 +131,7 @@
 
   if (endpoint)
     lc_endpoint_set_idle_connections (endpoint,
-                                      lh_pool_count_idle (calls->context->http,
+                                      lh_pool_count_idle (calls->context->http_pool,
                                                           endpoint->member.address),
                                       lb_clock_monotonic ());
 }
@@ -167,7 +167,7 @@
 ln_calls_count_began (LnCalls *calls, const LnAttempt *attempt)
 {
   LnCall *call = attempt->call;
-  LnTask *duties = ln_hub_find (calls->task.hub, "duties");
+  LnTask *duties = ln_hub_find_task (calls->task.hub, "duties");
   LnRequestStartedMessage message
       = { .base = LN_MESSAGE (LN_REQUEST_STARTED), .at = attempt->sent_at };
 
@@ -270,7 +270,8 @@
           .stream_id = stream_id,
           .name = call->outgoing.id,
           .silence = calls->context->settings->calls.stream_silence_ms * LB_MSEC };
-  LnUpstream *upstream = ln_upstream_start (calls->context->http, &spec, &handlers, attempt, error);
+  LnUpstream *upstream
+      = ln_upstream_start (calls->context->http_pool, &spec, &handlers, attempt, error);
   free (body);
   return upstream;
 }
@@ -302,7 +303,7 @@
                                 .name = call->outgoing.id,
                                 .silence = service_silence (call) };
 
-  return ln_upstream_start (calls->context->http, &spec, &handlers, attempt, error);
+  return ln_upstream_start (calls->context->http_pool, &spec, &handlers, attempt, error);
 }
 
 static LhHeader *
@@ -361,7 +362,8 @@
   dialect->write_words (&words, &added);
   LhHeader *headers = join_headers (&call->outgoing, &added, &spec.n_headers);
   spec.headers = headers;
-  LnUpstream *upstream = ln_upstream_start (calls->context->http, &spec, &handlers, attempt, error);
+  LnUpstream *upstream
+      = ln_upstream_start (calls->context->http_pool, &spec, &handlers, attempt, error);
   free (headers);
   lc_outgoing_clear (&added);
   return upstream;
--- a/packages/node/src/calls/ln-calls-private.h
+++ b/packages/node/src/calls/ln-calls-private.h
@@ -31,7 +31,7 @@
   LnEndpointChecks *checks;
   LnCrashes *crashes;
   struct event *tick;
-  LnTick keep_alive;
+  LnPeriodicCall keep_alive;
   LnAdmissionState belief; /* routes and organisations of a shared platform */
   LcUtilisation *crowding;
   LbName crowded;       /* as the peers task was told */
--- a/packages/node/src/calls/ln-calls-run.c
+++ b/packages/node/src/calls/ln-calls-run.c
@@ -126,7 +126,7 @@
 
   message.text = text;
   message.base.clear = clear_sample_done;
-  LN_POST (calls->task.hub, ln_hub_find (calls->task.hub, "rollouts"), message);
+  LN_POST (calls->task.hub, ln_hub_find_task (calls->task.hub, "rollouts"), message);
 }
 
 static void
--- a/packages/node/src/calls/ln-calls-take.c
+++ b/packages/node/src/calls/ln-calls-take.c
@@ -63,7 +63,7 @@
       return;
     }
   if (!lc_tickets_issue (ln_ticket_calls_table (calls->tickets),
-                         caller && *caller ? caller : ln_exchange_peer (exchange),
+                         caller && *caller ? caller : ln_exchange_caller_ip (exchange),
                          lb_clock_monotonic (), text, &error))
     {
       ln_exchange_reply_error (exchange, &error, LB_SEC);
@@ -206,12 +206,12 @@
   call->holder.klass = &call_class;
   call->owner = calls;
   call->exchange = exchange;
-  call->spec.id = ln_context_next_request (calls->context);
+  call->spec.id = ln_context_next_request_id (calls->context);
   snprintf (call->stream_id, sizeof call->stream_id, "cmpl-%s-%llu", calls->context->incarnation,
             (unsigned long long)call->spec.id);
   LB_COPY (call->outgoing.id, call->stream_id);
   ln_exchange_set_header (exchange, "x-request-id", call->outgoing.id);
-  ln_exchange_set_user (exchange, call);
+  ln_exchange_set_user_data (exchange, call);
   return call;
 }
 
--- a/packages/node/src/calls/ln-calls.c
+++ b/packages/node/src/calls/ln-calls.c
@@ -35,7 +35,7 @@
 static void
 caller_gone (LnExchange *exchange)
 {
-  LnHolder *holder = ln_exchange_user (exchange);
+  LnHolder *holder = ln_exchange_user_data (exchange);
 
   if (holder)
     holder->klass->caller_gone (holder);
@@ -163,7 +163,7 @@
 {
   LnCalls *calls = user;
   LnEndpointReportMessage message = { .base = LN_MESSAGE (LN_ENDPOINT_REPORT), .report = *report };
-  LnTask *config = ln_hub_find (calls->task.hub, "config");
+  LnTask *config = ln_hub_find_task (calls->task.hub, "config");
   LbList actions;
 
   lb_list_init (&actions);
@@ -316,7 +316,7 @@
                                   .default_deadline = settings->calls.default_deadline_ms * LB_MSEC,
                                   .retry_budget = settings->calls.retry_budget,
                                   .hedge_after = settings->calls.hedge_after_ms * LB_MSEC,
-                                  .seed = ln_context_seed (context) };
+                                  .seed = ln_context_random_seed (context) };
 
   LB_COPY (dispatch.data_centre, settings->instance.data_centre);
   LB_COPY (dispatch.policy, settings->calls.policy);
@@ -339,7 +339,7 @@
 tell_crowded (LnCalls *calls)
 {
   const char *service = lc_utilisation_find_overloaded_service (calls->crowding);
-  LnTask *peers = ln_hub_find (calls->task.hub, "peers");
+  LnTask *peers = ln_hub_find_task (calls->task.hub, "peers");
   LnServiceOverloadedMessage message = { .base = LN_MESSAGE (LN_SERVICE_OVERLOADED) };
 
   if (!peers || strcmp (service, calls->crowded) == 0)
@@ -393,9 +393,10 @@
   calls->tick = evtimer_new (context->base, ln_calls_on_tick, calls);
   if (!context->dialect)
     calls->poller
-        = ln_poller_new (context->base, context->http,
+        = ln_poller_new (context->base, context->http_pool,
                          context->settings->calls.load_poll_ms * LB_MSEC, &handlers, calls);
-  calls->keep_alive = (LnTick){ .period = KEEP_ALIVE / 2, .call = on_keep_alive, .user = calls };
+  calls->keep_alive
+      = (LnPeriodicCall){ .period = KEEP_ALIVE / 2, .callback = on_keep_alive, .user = calls };
   ln_ticker_add (ln_context_ticker (context), &calls->keep_alive);
   return &calls->task;
 }
--- a/packages/node/src/calls/ln-relay.c
+++ b/packages/node/src/calls/ln-relay.c
@@ -209,7 +209,7 @@
                             query ? query : "");
 
   snprintf (left_ms, sizeof left_ms, "%lld", (long long)(left > 0 ? left / LB_MSEC : 0));
-  ln_exchange_each_header (relay->exchange, copy_header, &headers);
+  ln_exchange_foreach_header (relay->exchange, copy_header, &headers);
   add_header (&headers, "x-ticket", target->ticket);
   add_header (&headers, "x-caller", target->caller);
   add_header (&headers, "x-deadline-ms", left_ms);
@@ -223,7 +223,7 @@
                               .body = body,
                               .body_length = length,
                               .silence = (left > 0 ? left : 0) + MARGIN };
-  LhFetch *fetch = lh_fetch_start (relays->context->http, &request, &handlers, relay, error);
+  LhFetch *fetch = lh_fetch_start (relays->context->http_pool, &request, &handlers, relay, error);
   free (headers.items);
   free (path);
   return fetch;
@@ -258,5 +258,5 @@
   lb_metric_add (&relayed, 1);
   lb_log (LB_LOG_INFO, "relayed", LB_INT ("exchange", ln_exchange_id (exchange)),
           LB_TEXT ("to", member->name), LB_TEXT ("reason", "ticket"));
-  ln_exchange_set_user (exchange, relay);
+  ln_exchange_set_user_data (exchange, relay);
 }
--- a/packages/node/src/calls/ln-routed.c
+++ b/packages/node/src/calls/ln-routed.c
@@ -26,7 +26,7 @@
 static void
 pass_on (LnCalls *calls, LnExchange *exchange, const char *name)
 {
-  LnTask *task = ln_hub_find (calls->task.hub, name);
+  LnTask *task = ln_hub_find_task (calls->task.hub, name);
   LnExchangeMessage message = { .base = LN_MESSAGE (LN_EXCHANGE), .exchange = exchange };
 
   ln_exchange_set_owner (exchange, task);
@@ -63,7 +63,7 @@
   call->outgoing.host = lb_strdup (in->host);
   call->outgoing.body = lb_memdup (body, length + 1);
   call->outgoing.body_length = length;
-  ln_exchange_each_header (exchange, copy_header, &copy);
+  ln_exchange_foreach_header (exchange, copy_header, &copy);
 }
 
 /* The caller's own deadline, or the longest time that the operators want it kept waiting. */
@@ -106,7 +106,7 @@
   call->holder.klass = &call_class;
   call->owner = calls;
   call->exchange = exchange;
-  call->spec.id = ln_context_next_request (calls->context);
+  call->spec.id = ln_context_next_request_id (calls->context);
   call->spec.kind = LC_KIND_SERVICE;
   call->spec.delivery = LC_DELIVER_BUFFERED;
   call->spec.repeatable = route->kind == LC_ROUTE_IDEMPOTENT;
@@ -119,7 +119,7 @@
   LB_COPY (call->spec.pool, service);
   set_organisation (call, admission);
   copy_request (calls, call, exchange, in);
-  ln_exchange_set_user (exchange, call);
+  ln_exchange_set_user_data (exchange, call);
   return call;
 }
 
@@ -133,7 +133,7 @@
         const LcAdmission *admission,
         const LnInbound *in)
 {
-  const char *service = lc_route_choose_service (route, ln_context_draw (calls->context));
+  const char *service = lc_route_choose_service (route, ln_context_random_uniform (calls->context));
 
   if (lc_dispatch_has_service (calls->dispatch, service))
     ln_calls_submit (calls, make_call (calls, exchange, route, admission, service, in));
--- a/packages/node/src/calls/ln-ticket-calls.c
+++ b/packages/node/src/calls/ln-ticket-calls.c
@@ -87,7 +87,7 @@
   join->exchange = exchange;
   join->request = request;
   lb_list_append (&calls->joins, &join->link);
-  ln_exchange_set_user (exchange, join);
+  ln_exchange_set_user_data (exchange, join);
 }
 
 static void
--- a/packages/node/src/config/ln-config-change.c
+++ b/packages/node/src/config/ln-config-change.c
@@ -326,7 +326,7 @@
     snprintf (change->token, sizeof change->token, "%s-%llu", change->task->context->incarnation,
               (unsigned long long)ln_exchange_id (change->exchange));
   snprintf (change->who, sizeof change->who, "%.60s@%.60s", operator_name ? operator_name : "",
-            ln_exchange_peer (change->exchange));
+            ln_exchange_caller_ip (change->exchange));
 }
 
 static bool
--- a/packages/node/src/config/ln-config.c
+++ b/packages/node/src/config/ln-config.c
@@ -40,7 +40,7 @@
 void
 ln_config_send (LnConfigTask *task, const char *instance, struct json_object *object)
 {
-  LnTask *peers = ln_hub_find (task->task.hub, "peers");
+  LnTask *peers = ln_hub_find_task (task->task.hub, "peers");
   LnPeerMessage message = { .base = LN_MESSAGE (LN_PEER_SEND), .topic = TOPIC };
 
   if (peers)
--- a/packages/node/src/config/ln-desired.c
+++ b/packages/node/src/config/ln-desired.c
@@ -39,7 +39,7 @@
 {
   LnTask task; /* first */
   LnContext *context;
-  LnTick tick;
+  LnPeriodicCall tick;
   LcDesired *desired;
   LcRoster *roster;
   LnEndpointList *list;
@@ -121,7 +121,7 @@
 {
   LnPoolVersionMessage message = { .base = LN_MESSAGE (LN_POOL_VERSION) };
   LbError error = { 0 };
-  LnTask *rollouts = ln_hub_find (task->task.hub, "rollouts");
+  LnTask *rollouts = ln_hub_find_task (task->task.hub, "rollouts");
 
   if (!task->context->dialect->read_version (text, message.pool, &message.newest, &error))
     {
@@ -175,7 +175,7 @@
 static void
 tell_swap (Desired *task, const LcPlanEntry *entry)
 {
-  LnTask *calls = ln_hub_find (task->task.hub, "calls");
+  LnTask *calls = ln_hub_find_task (task->task.hub, "calls");
   LnEndpointSwapMessage message = { .base = LN_MESSAGE (LN_ENDPOINT_SWAP),
                                     .pending = entry->loading,
                                     .until = lb_clock_monotonic () + MAX_LOAD };
@@ -213,7 +213,7 @@
 static void
 confirm_endpoints (Desired *task)
 {
-  LnTask *calls = ln_hub_find (task->task.hub, "calls");
+  LnTask *calls = ln_hub_find_task (task->task.hub, "calls");
 
   for (size_t i = 0; calls && i < lc_roster_count (task->roster); i++)
     {
@@ -227,7 +227,7 @@
 static void
 tell_list (Desired *task, const char *lister, LbTime asked_at)
 {
-  LnTask *calls = ln_hub_find (task->task.hub, "calls");
+  LnTask *calls = ln_hub_find_task (task->task.hub, "calls");
   LnEndpointListAppliedMessage message
       = { .base = LN_MESSAGE (LN_ENDPOINT_LIST_APPLIED), .requested_at = asked_at };
 
@@ -288,7 +288,7 @@
 on_catalog_fleet (const LcFleetMember *members, size_t n_members, void *user)
 {
   Desired *task = user;
-  LnTask *peers = ln_hub_find (task->task.hub, "peers");
+  LnTask *peers = ln_hub_find_task (task->task.hub, "peers");
   LnFleetMessage message = { .base = LN_MESSAGE (LN_CATALOG_MEMBERS), .n_members = n_members };
 
   if (!peers)
@@ -301,7 +301,7 @@
 static void
 note_followed (Desired *task, LbTime now)
 {
-  LnTask *peers = ln_hub_find (task->task.hub, "peers");
+  LnTask *peers = ln_hub_find_task (task->task.hub, "peers");
   bool followed = !ln_catalog_needs_member_list (task->catalog, now);
   LnCatalogFollowedMessage message
       = { .base = LN_MESSAGE (LN_CATALOG_FOLLOWED), .followed = followed };
@@ -404,7 +404,7 @@
   LbTime now = lb_clock_monotonic ();
   LbTime period = list_period (task);
 
-  ln_stall_note ("tick of config");
+  ln_stall_set_activity ("tick of config");
   lp_follow_tick (task->rows, now);
   note_confirmed (task);
   ln_catalog_tick (task->catalog, lc_roster_count (task->roster), now);
@@ -534,7 +534,7 @@
   task->plans = ln_engine_plans_new (context, on_plan, task);
   task->rows = lp_follow_new (context->platform, &rows, on_operator_rows, task);
   task->last_tick = lb_clock_monotonic ();
-  task->tick = (LnTick){ .period = TICK, .call = on_tick, .user = task };
+  task->tick = (LnPeriodicCall){ .period = TICK, .callback = on_tick, .user = task };
   ln_ticker_add (ln_context_ticker (context), &task->tick);
   return &task->task;
 }
--- a/packages/node/src/duties/ln-scaler.c
+++ b/packages/node/src/duties/ln-scaler.c
@@ -44,7 +44,7 @@
 void
 ln_scaler_free (LnScaler *scaler)
 {
-  ln_platform_calls_clear (&scaler->calls);
+  ln_platform_calls_cancel (&scaler->calls);
   lc_scaling_free (scaler->scaling);
   lc_desired_unref (scaler->desired);
   lc_resource_set_free (scaler->set);
@@ -128,7 +128,7 @@
   lb_log (LB_LOG_INFO, "endpoints_ordered", LB_TEXT ("service", wanted->service),
           LB_TEXT ("data_centre", wanted->data_centre), LB_INT ("endpoints", wanted->endpoints),
           LB_INT ("fence", words.fence));
-  ln_platform_call (context, &scaler->calls, &outgoing, on_ordered, call);
+  ln_platform_call_start (context, &scaler->calls, &outgoing, on_ordered, call);
   lc_outgoing_clear (&outgoing);
 }
 
--- a/packages/node/src/duties/ln-usage-reporter.c
+++ b/packages/node/src/duties/ln-usage-reporter.c
@@ -80,7 +80,7 @@
 void
 ln_usage_reporter_free (LnUsageReporter *reporter)
 {
-  ln_platform_calls_clear (&reporter->calls);
+  ln_platform_calls_cancel (&reporter->calls);
   lc_usage_reports_free (reporter->reports);
   free (reporter);
 }
@@ -396,7 +396,8 @@
   context->dialect->write_usage (&words, action->window, action->text, &outgoing);
   lb_log (LB_LOG_INFO, "usage_report", LB_INT ("window", action->window),
           LB_INT ("fence", words.fence));
-  ln_platform_call (context, &reporter->calls, &outgoing, on_sent, step_new (reporter, action));
+  ln_platform_call_start (context, &reporter->calls, &outgoing, on_sent,
+                          step_new (reporter, action));
   lc_outgoing_clear (&outgoing);
 }
 
--- a/packages/node/src/endpoints/ln-crash-frame.c
+++ b/packages/node/src/endpoints/ln-crash-frame.c
@@ -19,7 +19,7 @@
 void
 ln_crash_frame_send (LnHub *hub, const char *key, const char *text)
 {
-  LnTask *peers = ln_hub_find (hub, "peers");
+  LnTask *peers = ln_hub_find_task (hub, "peers");
   LnPeerMessage message = { .base = LN_MESSAGE (LN_PEER_SEND), .topic = TOPIC };
   msgpack_sbuffer buffer;
   msgpack_packer packer;
--- a/packages/node/src/endpoints/ln-crashes.c
+++ b/packages/node/src/endpoints/ln-crashes.c
@@ -115,7 +115,7 @@
 static void
 remember_row (LnCrashes *crashes, const char *key, LbTime at)
 {
-  double draw = ln_context_draw (crashes->context);
+  double draw = ln_context_random_uniform (crashes->context);
   Row *oldest = LB_LIST_FIRST (&crashes->rows, Row, link);
   Row *row = NULL;
 
@@ -244,7 +244,7 @@
   remember_row (crashes, key, row->report.at);
   if (!crashes->follow)
     ln_crash_frame_send (crashes->context->hub, key, text);
-  ln_unwritten_rows_add (crashes->unwritten, key, text);
+  ln_unwritten_rows_write (crashes->unwritten, key, text);
 }
 
 void
@@ -309,7 +309,7 @@
   {
     if (row->remove_at > now)
       continue;
-    ln_unwritten_rows_add (crashes->unwritten, row->key, NULL);
+    ln_unwritten_rows_write (crashes->unwritten, row->key, NULL);
     drop_row (crashes, row);
   }
 }
@@ -344,7 +344,7 @@
       scan (crashes, now);
     }
   lc_quarantine_expire (crashes->quarantine, now);
-  ln_unwritten_rows_try_again (crashes->unwritten);
+  ln_unwritten_rows_retry (crashes->unwritten);
   remove_old (crashes, now);
 }
 
--- a/packages/node/src/endpoints/ln-endpoint-list.c
+++ b/packages/node/src/endpoints/ln-endpoint-list.c
@@ -48,8 +48,8 @@
   list->handlers = *handlers;
   list->user = user;
   list->rows_class = (LnRowCacheClass){ .size = sizeof (LcRegistration),
-                                        .read = read_row,
-                                        .count_mark = context->dialect->listed_count_mark };
+                                        .parse = read_row,
+                                        .counter_prefix = context->dialect->listed_count_mark };
   list->rows = ln_row_cache_new (&list->rows_class, list);
   list->unreadable = ln_unreadable_rows_new ();
   list->subset = lc_subset_new ();
@@ -82,7 +82,7 @@
 static const LcRegistration *
 read_endpoint (LnEndpointList *list, const LpRow *row, LbError *error)
 {
-  const LcRegistration *listed = ln_row_cache_read (list->rows, row, error);
+  const LcRegistration *listed = ln_row_cache_parse (list->rows, row, error);
 
   if (!listed || !list->desired || lc_desired_find_service (list->desired, listed->service))
     return listed;
@@ -109,7 +109,7 @@
 
   if (!listed)
     {
-      ln_unreadable_rows_note (list->unreadable, row->key, &error);
+      ln_unreadable_rows_report (list->unreadable, row->key, &error);
       return;
     }
   const LcSubsetRow endpoint = { .service = listed->service,
@@ -123,8 +123,8 @@
 static void
 finish (LnEndpointList *list)
 {
-  ln_unreadable_rows_end (list->unreadable);
-  ln_row_cache_end (list->rows);
+  ln_unreadable_rows_end_list (list->unreadable);
+  ln_row_cache_end_list (list->rows);
   list->is_asked = false;
   if (list->n_pages != list->told_pages)
     lb_log (LB_LOG_INFO, "endpoint_pages", LB_INT ("pages", list->n_pages),
@@ -178,8 +178,8 @@
   list->asked_at = now;
   list->page_size = lc_subset_page_size (list->subset);
   list->n_listed = 0;
-  ln_unreadable_rows_begin (list->unreadable);
-  ln_row_cache_begin (list->rows);
+  ln_unreadable_rows_begin_list (list->unreadable);
+  ln_row_cache_begin_list (list->rows);
   lc_subset_begin_list (list->subset, now);
   list->n_pages = 0;
   ask_page (list, "");
--- a/packages/node/src/endpoints/ln-leaving.c
+++ b/packages/node/src/endpoints/ln-leaving.c
@@ -99,7 +99,7 @@
 void
 ln_leaving_announce (LnLeaving *leaving, const LcEndpoint *endpoint)
 {
-  LnTask *peers = ln_hub_find (leaving->task->hub, "peers");
+  LnTask *peers = ln_hub_find_task (leaving->task->hub, "peers");
 
   if (!endpoint || !endpoint->leaving || endpoint->member.leaving || !peers
       || endpoint->report.incarnation[0] == '\0')
--- a/packages/node/src/front/ln-entry.c
+++ b/packages/node/src/front/ln-entry.c
@@ -22,7 +22,7 @@
 
   if (!caller || !caller[0])
     caller = ln_exchange_header (exchange, "x-caller");
-  return caller && caller[0] ? caller : ln_exchange_peer (exchange);
+  return caller && caller[0] ? caller : ln_exchange_caller_ip (exchange);
 }
 
 static bool
@@ -79,7 +79,7 @@
 }
 
 void
-ln_entry_answer (LnExchange *exchange, const LcMembership *membership, int64_t time_to_live_ms)
+ln_entry_reply (LnExchange *exchange, const LcMembership *membership, int64_t time_to_live_ms)
 {
   size_t n_views = lc_membership_count (membership);
   LcMemberView *views = LB_NEW_ARRAY (LcMemberView, n_views);
--- a/packages/node/src/front/ln-entry.h
+++ b/packages/node/src/front/ln-entry.h
@@ -5,7 +5,6 @@
 #include "ln-exchange.h"
 
 /* Answers GET /v1/entry from the present view. */
-void
-ln_entry_answer (LnExchange *exchange, const LcMembership *membership, int64_t time_to_live_ms);
+void ln_entry_reply (LnExchange *exchange, const LcMembership *membership, int64_t time_to_live_ms);
 
 #endif
--- a/packages/node/src/front/ln-exchange-private.h
+++ b/packages/node/src/front/ln-exchange-private.h
@@ -12,13 +12,13 @@
 /* At the end of the process: what its owners have not answered. */
 void ln_exchange_free_all (LbList *exchanges);
 /* What the owner wants to find again when the caller goes away. */
-void ln_exchange_set_user (LnExchange *exchange, void *user);
-void *ln_exchange_user (const LnExchange *exchange);
+void ln_exchange_set_user_data (LnExchange *exchange, void *user);
+void *ln_exchange_user_data (const LnExchange *exchange);
 /* The query as it came, NULL when there is none. */
 const char *ln_exchange_raw_query (const LnExchange *exchange);
 /* Calls visit for each header of the request. */
-void ln_exchange_each_header (const LnExchange *exchange,
-                              void (*visit) (const char *name, const char *value, void *user),
-                              void *user);
+void ln_exchange_foreach_header (const LnExchange *exchange,
+                                 void (*visit) (const char *name, const char *value, void *user),
+                                 void *user);
 
 #endif
--- a/packages/node/src/front/ln-exchange.c
+++ b/packages/node/src/front/ln-exchange.c
@@ -196,9 +196,9 @@
 }
 
 void
-ln_exchange_each_header (const LnExchange *exchange,
-                         void (*visit) (const char *name, const char *value, void *user),
-                         void *user)
+ln_exchange_foreach_header (const LnExchange *exchange,
+                            void (*visit) (const char *name, const char *value, void *user),
+                            void *user)
 {
   evhtp_kv_t *header;
 
@@ -219,19 +219,19 @@
 }
 
 const char *
-ln_exchange_peer (const LnExchange *exchange)
+ln_exchange_caller_ip (const LnExchange *exchange)
 {
   return exchange->peer;
 }
 
 void
-ln_exchange_set_user (LnExchange *exchange, void *user)
+ln_exchange_set_user_data (LnExchange *exchange, void *user)
 {
   exchange->user = user;
 }
 
 void *
-ln_exchange_user (const LnExchange *exchange)
+ln_exchange_user_data (const LnExchange *exchange)
 {
   return exchange->user;
 }
@@ -348,7 +348,7 @@
       struct json_object *object = error_object (error);
       char *event
           = lb_asprintf ("data: %s\n\n", json_object_to_json_string_ext (object, JSON_FORMAT));
-      ln_exchange_stream_piece (exchange, event, strlen (event));
+      ln_exchange_write_stream (exchange, event, strlen (event));
       exchange->status = lb_error_http_status (error->code);
       free (event);
       json_object_put (object);
@@ -371,7 +371,7 @@
 }
 
 void
-ln_exchange_stream_start (LnExchange *exchange, int status, const char *type)
+ln_exchange_start_stream (LnExchange *exchange, int status, const char *type)
 {
   exchange->streaming = true;
   exchange->status = status;
@@ -391,7 +391,7 @@
 }
 
 void
-ln_exchange_stream_piece (LnExchange *exchange, const char *bytes, size_t length)
+ln_exchange_write_stream (LnExchange *exchange, const char *bytes, size_t length)
 {
   struct evbuffer *piece;
 
--- a/packages/node/src/front/ln-front.c
+++ b/packages/node/src/front/ln-front.c
@@ -79,9 +79,9 @@
   LnInbound inbound;
 
   if (is_from_peer && strcmp (ln_exchange_path (exchange), LP_PEER_PATH) == 0)
-    return ln_hub_find (front->task.hub, "peers");
+    return ln_hub_find_task (front->task.hub, "peers");
   front->context->dialect->read_inbound (exchange, &inbound);
-  return ln_hub_find (front->task.hub, tasks[inbound.kind]);
+  return ln_hub_find_task (front->task.hub, tasks[inbound.kind]);
 }
 
 static LnTask *
@@ -95,7 +95,7 @@
     if (route_matches (&routes[i], ln_exchange_method (exchange), ln_exchange_path (exchange))
         && (!best || strlen (routes[i].prefix) > strlen (best->prefix)))
       best = &routes[i];
-  return best ? ln_hub_find (front->task.hub, best->task) : NULL;
+  return best ? ln_hub_find_task (front->task.hub, best->task) : NULL;
 }
 
 /* Replies are never made from inside evhtp's own callbacks, so what the front answers itself goes
--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -108,9 +108,9 @@
 
 /* No row counts its writes: each that is written says something else. */
 static const LnRowCacheClass endpoints_class
-    = { .size = sizeof (LcRegistration), .read = read_endpoint, .count_mark = "\n" };
+    = { .size = sizeof (LcRegistration), .parse = read_endpoint, .counter_prefix = "\n" };
 static const LnRowCacheClass instances_class
-    = { .size = sizeof (LcFleetMember), .read = read_instance, .count_mark = "\n" };
+    = { .size = sizeof (LcFleetMember), .parse = read_instance, .counter_prefix = "\n" };
 
 typedef struct
 {
@@ -128,7 +128,7 @@
   Reading *reading = user;
   const LpRow row = { .key = name, .value = text, .version = version };
   LbError error = { 0 };
-  const void *content = ln_row_cache_read (reading->cache, &row, &error);
+  const void *content = ln_row_cache_parse (reading->cache, &row, &error);
 
   if (version > reading->version)
     reading->version = version;
@@ -148,9 +148,9 @@
 static void
 read_items (const LnCatalog *catalog, const char *prefix, Reading *reading)
 {
-  ln_row_cache_begin (reading->cache);
+  ln_row_cache_begin_list (reading->cache);
   lc_catalog_foreach (catalog->catalog, prefix, add_item, reading);
-  ln_row_cache_end (reading->cache);
+  ln_row_cache_end_list (reading->cache);
 }
 
 static void
@@ -229,7 +229,7 @@
   catalog->rank = -1;
   catalog->passed_on = -1;
   catalog->catalog = lc_catalog_new (context->instance, context->incarnation,
-                                     ln_context_seed (context), lb_clock_monotonic ());
+                                     ln_context_random_seed (context), lb_clock_monotonic ());
   catalog->rows = lp_follow_new (context->platform, &settings, on_rows, catalog);
   catalog->endpoints = ln_row_cache_new (&endpoints_class, NULL);
   catalog->instances = ln_row_cache_new (&instances_class, NULL);
--- a/packages/node/src/membership/ln-fleet-lists.c
+++ b/packages/node/src/membership/ln-fleet-lists.c
@@ -102,7 +102,7 @@
 }
 
 static const LnRowCacheClass rows_class
-    = { .size = sizeof (LcFleetRow), .read = read_row, .count_mark = "\"renewed_ms\":" };
+    = { .size = sizeof (LcFleetRow), .parse = read_row, .counter_prefix = "\"renewed_ms\":" };
 
 static void
 listing_init (Listing *listing,
@@ -165,7 +165,7 @@
 
   for (size_t i = 0; i < n_rows; i++)
     {
-      const LcFleetRow *row = ln_row_cache_read (listing->rows, &rows[i], &error);
+      const LcFleetRow *row = ln_row_cache_parse (listing->rows, &rows[i], &error);
       if (row)
         lc_fleet_add_row (listing->fleet, row, rows[i].version, now);
       else
@@ -252,13 +252,13 @@
   if (!listing->begun)
     {
       lc_fleet_begin_list (listing->fleet, &list);
-      ln_row_cache_begin (listing->rows);
+      ln_row_cache_begin_list (listing->rows);
     }
   listing->begun = true;
   add_rows (listing, rows, n_rows, now);
   if (listing->waiting > 0)
     return;
-  ln_row_cache_end (listing->rows);
+  ln_row_cache_end_list (listing->rows);
   bool changed = lc_fleet_finish_list (listing->fleet, now);
   if (listing == &listing->lists->all)
     remove_dead (listing, now);
--- a/packages/node/src/membership/ln-fleet.c
+++ b/packages/node/src/membership/ln-fleet.c
@@ -29,7 +29,7 @@
 {
   LnTask task; /* first */
   LnContext *context;
-  LnTick tick;
+  LnPeriodicCall tick;
   LcFleetRow own;
   LnFleetRenewal *renewal; /* of own */
   LnFleetLists *lists;
@@ -80,7 +80,7 @@
 static void
 tell_config (Fleet *task)
 {
-  LnTask *config = ln_hub_find (task->task.hub, "config");
+  LnTask *config = ln_hub_find_task (task->task.hub, "config");
   size_t n = ln_fleet_lists_count (task->lists);
   LnFleetMessage message = { .base = LN_MESSAGE (LN_FLEET), .n_members = n };
 
@@ -97,7 +97,7 @@
 {
   size_t n = ln_fleet_lists_count (task->lists);
 
-  return ln_fleet_lists_at (task->lists, (ln_context_seed (task->context) % n + index) % n);
+  return ln_fleet_lists_at (task->lists, (ln_context_random_seed (task->context) % n + index) % n);
 }
 
 /* Others through which the store can be reached. */
@@ -406,7 +406,7 @@
                                          context->settings->instance.link_mbps);
   task->renewal = ln_fleet_renewal_new (context->platform, &task->own);
   task->lists = ln_fleet_lists_new (context->platform, context->instance, on_change, task);
-  task->tick = (LnTick){ .period = TICK, .call = on_tick, .user = task };
+  task->tick = (LnPeriodicCall){ .period = TICK, .callback = on_tick, .user = task };
   ln_ticker_add (ln_context_ticker (context), &task->tick);
   return &task->task;
 }
--- a/packages/node/src/membership/ln-peers-frames.c
+++ b/packages/node/src/membership/ln-peers-frames.c
@@ -93,7 +93,7 @@
 static void
 deliver (LnPeers *peers, const char *sender, const char *topic, const char *payload, size_t length)
 {
-  LnTask *task = ln_hub_find (peers->base.hub, topic);
+  LnTask *task = ln_hub_find_task (peers->base.hub, topic);
   LnPeerMessage message = { .base = LN_MESSAGE (LN_PEER_FRAME), .length = length };
 
   if (!task)
--- a/packages/node/src/membership/ln-peers-list.c
+++ b/packages/node/src/membership/ln-peers-list.c
@@ -24,7 +24,7 @@
 static void
 say_leaving (LnPeers *peers, const char *endpoint, bool stays)
 {
-  LnTask *calls = ln_hub_find (peers->base.hub, "calls");
+  LnTask *calls = ln_hub_find_task (peers->base.hub, "calls");
   LnEndpointLeavingMessage message = { .base = LN_MESSAGE (LN_ENDPOINT_LEAVING),
                                        .source = LC_LEAVING_PLATFORM,
                                        .withdrawn = stays };
--- a/packages/node/src/membership/ln-peers.c
+++ b/packages/node/src/membership/ln-peers.c
@@ -72,7 +72,7 @@
 receive_exchange (LnPeers *peers, LnExchange *exchange)
 {
   ln_exchange_set_owner (exchange, &peers->base);
-  ln_entry_answer (exchange, peers->membership, peers->context->settings->drain.entry_ttl_ms);
+  ln_entry_reply (exchange, peers->membership, peers->context->settings->drain.entry_ttl_ms);
 }
 
 static void
--- a/packages/node/src/rollout/ln-pool-controller.c
+++ b/packages/node/src/rollout/ln-pool-controller.c
@@ -318,8 +318,8 @@
     period = SWAP_LOOK_PERIOD;
   engine->next_look = now + period;
   engine->look_at = now;
-  engine->look
-      = lh_fetch_start (engine->holder->task->context->http, &request, &handlers, engine, NULL);
+  engine->look = lh_fetch_start (engine->holder->task->context->http_pool, &request, &handlers,
+                                 engine, NULL);
 }
 
 static LbErrorCode
@@ -382,7 +382,8 @@
   request.body_length = strlen (body);
   if (engine->order)
     lh_fetch_cancel (engine->order);
-  engine->order = lh_fetch_start (holder->task->context->http, &request, &handlers, engine, NULL);
+  engine->order
+      = lh_fetch_start (holder->task->context->http_pool, &request, &handlers, engine, NULL);
   free (body);
 }
 
--- a/packages/node/src/rollout/ln-pool-controllers.c
+++ b/packages/node/src/rollout/ln-pool-controllers.c
@@ -185,7 +185,7 @@
 static void
 post_swap (LnConfigTask *task, const char *endpoint, bool pending, LbTime until)
 {
-  LnTask *calls = ln_hub_find (task->task.hub, "calls");
+  LnTask *calls = ln_hub_find_task (task->task.hub, "calls");
   LnEndpointSwapMessage message
       = { .base = LN_MESSAGE (LN_ENDPOINT_SWAP), .pending = pending, .until = until };
 
@@ -214,7 +214,7 @@
 static void
 post_newest (LnConfigTask *task, const char *pool, LcVersion newest, LbTime cadence)
 {
-  LnTask *rollouts = ln_hub_find (task->task.hub, "rollouts");
+  LnTask *rollouts = ln_hub_find_task (task->task.hub, "rollouts");
   LnPoolVersionMessage message
       = { .base = LN_MESSAGE (LN_POOL_VERSION), .newest = newest, .cadence = cadence };
 
--- a/packages/node/src/rollout/ln-rollouts-run.c
+++ b/packages/node/src/rollout/ln-rollouts-run.c
@@ -73,7 +73,7 @@
       = action->type == LC_ROLLOUT_SCORE ? score_body (action) : generate_body (rollouts, action);
   message.resume_text = action->resume_text;
   action->resume_text = NULL;
-  LN_POST (rollouts->task.hub, ln_hub_find (rollouts->task.hub, "calls"), message);
+  LN_POST (rollouts->task.hub, ln_hub_find_task (rollouts->task.hub, "calls"), message);
 }
 
 static void
@@ -83,7 +83,7 @@
                                     .request = action->spec.id,
                                     .return_partial = action->type == LC_ROLLOUT_PREEMPT };
 
-  LN_POST (rollouts->task.hub, ln_hub_find (rollouts->task.hub, "calls"), message);
+  LN_POST (rollouts->task.hub, ln_hub_find_task (rollouts->task.hub, "calls"), message);
 }
 
 static void
--- a/packages/node/src/rollout/ln-rollouts.c
+++ b/packages/node/src/rollout/ln-rollouts.c
@@ -285,7 +285,7 @@
 static LcRequestId
 next_request (void *user)
 {
-  return ln_context_next_request (user);
+  return ln_context_next_request_id (user);
 }
 
 LnTask *
@@ -294,7 +294,7 @@
   LnRollouts *rollouts = LB_NEW (LnRollouts);
   LcRolloutSettings settings = lc_rollout_settings_default ();
 
-  settings.seed = ln_context_seed (context);
+  settings.seed = ln_context_random_seed (context);
   LB_COPY (settings.instance, context->instance);
   rollouts->task.klass = &rollouts_class;
   rollouts->task.hub = context->hub;
--- a/packages/node/src/rollout/ln-step-relay.c
+++ b/packages/node/src/rollout/ln-step-relay.c
@@ -75,7 +75,7 @@
   *relay = (Relay){ .call = call, .done = done, .user = user };
   call->relayed_to = *owner;
   call->user = relay;
-  call->relay = lh_fetch_start (context->http, &request, &handlers, relay, &error);
+  call->relay = lh_fetch_start (context->http_pool, &request, &handlers, relay, &error);
   if (call->relay)
     {
       lb_log (LB_LOG_INFO, "step-call-relayed", LB_TEXT ("subscription", call->key.subscription),
--- a/packages/node/src/store/ln-platform-call.c
+++ b/packages/node/src/store/ln-platform-call.c
@@ -19,7 +19,7 @@
   LbList *calls; /* that it stands in */
   const LnContext *context;
   LhFetch *fetch;
-  LnPlatformCalled called;
+  LnPlatformCallDone called;
   void *user;
   LbTime sent_at;
   LbName path;
@@ -57,11 +57,11 @@
 /* Each on a connection of its own: calls are seconds apart, and one that was kept may have gone
  * silent meanwhile. */
 void
-ln_platform_call (const LnContext *context,
-                  LbList *calls,
-                  const LcOutgoing *outgoing,
-                  LnPlatformCalled called,
-                  void *user)
+ln_platform_call_start (const LnContext *context,
+                        LbList *calls,
+                        const LcOutgoing *outgoing,
+                        LnPlatformCallDone called,
+                        void *user)
 {
   const LhHandlers handlers = { .on_done = on_done };
   const LhRequest request = { .address = context->settings->duties.address,
@@ -78,7 +78,7 @@
                   .sent_at = lb_clock_monotonic () };
   LB_COPY (call->path, outgoing->path);
   lb_list_append (calls, &call->link);
-  call->fetch = ln_fetch_outgoing (context, outgoing, &request, &handlers, call, &error);
+  call->fetch = ln_fetch_start_outgoing (context, outgoing, &request, &handlers, call, &error);
   if (call->fetch)
     return;
   lb_log_error (LB_LOG_WARNING, "platform_not_called", &error);
@@ -86,7 +86,7 @@
 }
 
 void
-ln_platform_calls_clear (LbList *calls)
+ln_platform_calls_cancel (LbList *calls)
 {
   LB_LIST_FOREACH (calls, Call, link, call)
   {
--- a/packages/node/src/store/ln-platform-call.h
+++ b/packages/node/src/store/ln-platform-call.h
@@ -8,15 +8,15 @@
 
 /* A call of a duty to the platform beside its store: made once, and answered once. */
 
-typedef void (*LnPlatformCalled) (LnDutyOutcome outcome, void *user);
+typedef void (*LnPlatformCallDone) (LnDutyOutcome outcome, void *user);
 
 /* calls: where it stands while it is on its way. */
-void ln_platform_call (const LnContext *context,
-                       LbList *calls,
-                       const LcOutgoing *outgoing,
-                       LnPlatformCalled called,
-                       void *user);
+void ln_platform_call_start (const LnContext *context,
+                             LbList *calls,
+                             const LcOutgoing *outgoing,
+                             LnPlatformCallDone called,
+                             void *user);
 /* Ends those on their way; they are answered as LN_DUTY_UNANSWERED. */
-void ln_platform_calls_clear (LbList *calls);
+void ln_platform_calls_cancel (LbList *calls);
 
 #endif
--- a/packages/node/src/store/ln-row-cache.c
+++ b/packages/node/src/store/ln-row-cache.c
@@ -69,14 +69,14 @@
 }
 
 void
-ln_row_cache_begin (LnRowCache *cache)
+ln_row_cache_begin_list (LnRowCache *cache)
 {
   for (Entry *entry = cache->entries; entry; entry = entry->hh.next)
     entry->seen = false;
 }
 
 void
-ln_row_cache_end (LnRowCache *cache)
+ln_row_cache_end_list (LnRowCache *cache)
 {
   Entry *entry, *next;
 
@@ -115,7 +115,7 @@
   const char *text = row->value ? row->value : "";
 
   entry->version = row->version;
-  if (entry->text && is_same (entry->text, text, cache->klass->count_mark))
+  if (entry->text && is_same (entry->text, text, cache->klass->counter_prefix))
     {
       lb_metric_add (&rows_same, 1);
       return;
@@ -123,11 +123,11 @@
   lb_metric_add (&rows_read, 1);
   free (entry->text);
   entry->text = lb_strdup (text);
-  entry->is_readable = cache->klass->read (row, entry->content, &entry->error, cache->user);
+  entry->is_readable = cache->klass->parse (row, entry->content, &entry->error, cache->user);
 }
 
 const void *
-ln_row_cache_read (LnRowCache *cache, const LpRow *row, LbError *error)
+ln_row_cache_parse (LnRowCache *cache, const LpRow *row, LbError *error)
 {
   Entry *entry = NULL;
 
--- a/packages/node/src/store/ln-row-cache.h
+++ b/packages/node/src/store/ln-row-cache.h
@@ -13,9 +13,9 @@
 {
   size_t size; /* of what a row says */
   /* False with an error: the row can't be read. */
-  bool (*read) (const LpRow *row, void *content, LbError *error, void *user);
+  bool (*parse) (const LpRow *row, void *content, LbError *error, void *user);
   /* What stands before the number that counts the row's writes, for example "\"count\":". */
-  const char *count_mark;
+  const char *counter_prefix;
 } LnRowCacheClass;
 
 typedef struct LnRowCache LnRowCache;
@@ -24,11 +24,11 @@
 void ln_row_cache_free (LnRowCache *cache);
 
 /* commands: between begin and end lies one list */
-void ln_row_cache_begin (LnRowCache *cache);
+void ln_row_cache_begin_list (LnRowCache *cache);
 /* What the row says, valid until the next list; NULL with an error when it can't be read. The count
  * of its writes may be that of an earlier one. */
-const void *ln_row_cache_read (LnRowCache *cache, const LpRow *row, LbError *error);
+const void *ln_row_cache_parse (LnRowCache *cache, const LpRow *row, LbError *error);
 /* Forgets rows that the list did not hold. */
-void ln_row_cache_end (LnRowCache *cache);
+void ln_row_cache_end_list (LnRowCache *cache);
 
 #endif
--- a/packages/node/src/store/ln-unreadable-rows.c
+++ b/packages/node/src/store/ln-unreadable-rows.c
@@ -45,14 +45,14 @@
 }
 
 void
-ln_unreadable_rows_begin (LnUnreadableRows *rows)
+ln_unreadable_rows_begin_list (LnUnreadableRows *rows)
 {
   for (Row *row = rows->by_key; row; row = row->hh.next)
     row->seen = false;
 }
 
 void
-ln_unreadable_rows_note (LnUnreadableRows *rows, const char *key, const LbError *reason)
+ln_unreadable_rows_report (LnUnreadableRows *rows, const char *key, const LbError *reason)
 {
   Row *row = NULL;
 
@@ -68,7 +68,7 @@
 }
 
 void
-ln_unreadable_rows_end (LnUnreadableRows *rows)
+ln_unreadable_rows_end_list (LnUnreadableRows *rows)
 {
   Row *row, *next;
 
--- a/packages/node/src/store/ln-unreadable-rows.h
+++ b/packages/node/src/store/ln-unreadable-rows.h
@@ -13,9 +13,9 @@
 void ln_unreadable_rows_free (LnUnreadableRows *rows);
 
 /* Between two calls of begin lies one list. */
-void ln_unreadable_rows_begin (LnUnreadableRows *rows);
-void ln_unreadable_rows_note (LnUnreadableRows *rows, const char *key, const LbError *reason);
+void ln_unreadable_rows_begin_list (LnUnreadableRows *rows);
+void ln_unreadable_rows_report (LnUnreadableRows *rows, const char *key, const LbError *reason);
 /* Forgets what the list did not hold any more. */
-void ln_unreadable_rows_end (LnUnreadableRows *rows);
+void ln_unreadable_rows_end_list (LnUnreadableRows *rows);
 
 #endif
--- a/packages/node/src/store/ln-unwritten-rows.c
+++ b/packages/node/src/store/ln-unwritten-rows.c
@@ -102,7 +102,7 @@
 }
 
 void
-ln_unwritten_rows_add (LnUnwrittenRows *rows, const char *key, char *text)
+ln_unwritten_rows_write (LnUnwrittenRows *rows, const char *key, char *text)
 {
   Row *row = LB_NEW (Row);
 
@@ -118,7 +118,7 @@
 }
 
 void
-ln_unwritten_rows_try_again (LnUnwrittenRows *rows)
+ln_unwritten_rows_retry (LnUnwrittenRows *rows)
 {
   LB_LIST_FOREACH (&rows->rows, Row, link, row)
   {
--- a/packages/node/src/store/ln-unwritten-rows.h
+++ b/packages/node/src/store/ln-unwritten-rows.h
@@ -13,8 +13,8 @@
 void ln_unwritten_rows_free (LnUnwrittenRows *rows);
 
 /* Writes it at once. Takes the text over; NULL: the row is removed. */
-void ln_unwritten_rows_add (LnUnwrittenRows *rows, const char *key, char *text);
+void ln_unwritten_rows_write (LnUnwrittenRows *rows, const char *key, char *text);
 /* Those that the store did not take. */
-void ln_unwritten_rows_try_again (LnUnwrittenRows *rows);
+void ln_unwritten_rows_retry (LnUnwrittenRows *rows);
 
 #endif
--- a/packages/node/src/task/ln-context.c
+++ b/packages/node/src/task/ln-context.c
@@ -7,27 +7,27 @@
 
 /* The next id of a request of this process; never given twice. */
 LcRequestId
-ln_context_next_request (LnContext *context)
+ln_context_next_request_id (LnContext *context)
 {
-  return ++context->next_request;
+  return ++context->last_request_id;
 }
 
 /* Instances that choose alike among equals would all send to the same endpoint. */
 uint64_t
-ln_context_seed (const LnContext *context)
+ln_context_random_seed (const LnContext *context)
 {
   return XXH64 (context->instance, strlen (context->instance), context->settings->seed);
 }
 
 double
-ln_context_draw (LnContext *context)
+ln_context_random_uniform (LnContext *context)
 {
-  if (!context->random)
+  if (!context->rng)
     {
-      context->random = gsl_rng_alloc (gsl_rng_taus2);
-      gsl_rng_set (context->random, (unsigned long)ln_context_seed (context));
+      context->rng = gsl_rng_alloc (gsl_rng_taus2);
+      gsl_rng_set (context->rng, (unsigned long)ln_context_random_seed (context));
     }
-  return gsl_rng_uniform (context->random);
+  return gsl_rng_uniform (context->rng);
 }
 
 LnTicker *
@@ -43,7 +43,7 @@
 {
   ln_ticker_free (context->ticker);
   context->ticker = NULL;
-  if (context->random)
-    gsl_rng_free (context->random);
-  context->random = NULL;
+  if (context->rng)
+    gsl_rng_free (context->rng);
+  context->rng = NULL;
 }
--- a/packages/node/src/task/ln-fetch-outgoing.c
+++ b/packages/node/src/task/ln-fetch-outgoing.c
@@ -5,12 +5,12 @@
 #include <stdlib.h>
 
 LhFetch *
-ln_fetch_outgoing (const LnContext *context,
-                   const LcOutgoing *outgoing,
-                   const LhRequest *request,
-                   const LhHandlers *handlers,
-                   void *user,
-                   LbError *error)
+ln_fetch_start_outgoing (const LnContext *context,
+                         const LcOutgoing *outgoing,
+                         const LhRequest *request,
+                         const LhHandlers *handlers,
+                         void *user,
+                         LbError *error)
 {
   LhHeader *headers = LB_NEW_ARRAY (LhHeader, outgoing->n_headers + 1);
   LhRequest whole = *request;
@@ -24,7 +24,7 @@
   whole.n_headers = outgoing->n_headers;
   whole.body = outgoing->body;
   whole.body_length = outgoing->body_length;
-  fetch = lh_fetch_start (context->http, &whole, handlers, user, error);
+  fetch = lh_fetch_start (context->http_pool, &whole, handlers, user, error);
   free (headers);
   return fetch;
 }
--- a/packages/node/src/task/ln-stall.c
+++ b/packages/node/src/task/ln-stall.c
@@ -19,7 +19,7 @@
 /* The exit status of an error in the program itself, by sysexits.h. */
 #define STALLED_STATUS 70
 
-struct LnStall
+struct LnStallDetector
 {
   struct event *timer;
   LbTime expected;
@@ -33,7 +33,7 @@
                          "By how much the event loop came late to its timer, four times a second");
 
 void
-ln_stall_note (const char *what)
+ln_stall_set_activity (const char *what)
 {
   doing = what;
 }
@@ -58,7 +58,7 @@
 }
 
 static void
-arm (const LnStall *stall)
+arm (const LnStallDetector *stall)
 {
   const struct itimerval limit = { .it_value = lb_time_to_timeval (stall->cpu_limit) };
 
@@ -71,7 +71,7 @@
 {
   (void)fd;
   (void)what;
-  LnStall *stall = user;
+  LnStallDetector *stall = user;
   LbTime now = lb_clock_monotonic ();
   LbTime late = now > stall->expected ? now - stall->expected : 0;
 
@@ -82,12 +82,12 @@
   arm (stall);
 }
 
-LnStall *
-ln_stall_new (struct event_base *base, LbTime cpu_limit)
+LnStallDetector *
+ln_stall_detector_new (struct event_base *base, LbTime cpu_limit)
 {
   const struct timeval period = { .tv_usec = PERIOD };
   const struct sigaction action = { .sa_handler = on_limit };
-  LnStall *stall = LB_NEW (LnStall);
+  LnStallDetector *stall = LB_NEW (LnStallDetector);
 
   stall->cpu_limit = cpu_limit;
   stall->expected = lb_clock_monotonic () + PERIOD;
@@ -99,7 +99,7 @@
 }
 
 void
-ln_stall_free (LnStall *stall)
+ln_stall_detector_free (LnStallDetector *stall)
 {
   const struct itimerval off = { .it_value = { 0 } };
 
--- a/packages/node/src/task/ln-task.c
+++ b/packages/node/src/task/ln-task.c
@@ -28,13 +28,13 @@
 {
   if (message->to)
     {
-      ln_stall_note (message->to->klass->name);
+      ln_stall_set_activity (message->to->klass->name);
       message->to->klass->receive (message->to, message);
       return;
     }
   LB_LIST_FOREACH (&hub->tasks, LnTask, link, task)
   {
-    ln_stall_note (task->klass->name);
+    ln_stall_set_activity (task->klass->name);
     task->klass->receive (task, message);
   }
 }
@@ -98,7 +98,7 @@
 }
 
 LnTask *
-ln_hub_find (const LnHub *hub, const char *name)
+ln_hub_find_task (const LnHub *hub, const char *name)
 {
   LB_LIST_FOREACH (&hub->tasks, LnTask, link, task)
   {
--- a/packages/node/src/task/ln-ticker.c
+++ b/packages/node/src/task/ln-ticker.c
@@ -44,12 +44,12 @@
   LbTime now = lb_clock_monotonic ();
 
   arm (ticker, now);
-  LB_LIST_FOREACH (&ticker->ticks, LnTick, link, tick)
+  LB_LIST_FOREACH (&ticker->ticks, LnPeriodicCall, link, tick)
   {
     if (tick->due > now + TOLERANCE)
       continue;
     tick->due = now + tick->period;
-    tick->call (tick->user);
+    tick->callback (tick->user);
   }
 }
 
@@ -73,7 +73,7 @@
 }
 
 void
-ln_ticker_add (LnTicker *ticker, LnTick *tick)
+ln_ticker_add (LnTicker *ticker, LnPeriodicCall *tick)
 {
   tick->due = 0;
   lb_list_append (&ticker->ticks, &tick->link);
@@ -81,7 +81,7 @@
 }
 
 void
-ln_ticker_remove (LnTicker *ticker, LnTick *tick)
+ln_ticker_remove (LnTicker *ticker, LnPeriodicCall *tick)
 {
   lb_list_remove (&ticker->ticks, &tick->link);
 }
@@ -95,7 +95,7 @@
 }
 
 void
-ln_ticker_note_work (LnTicker *ticker, LbTime now)
+ln_ticker_report_work (LnTicker *ticker, LbTime now)
 {
   if (is_slow (ticker, now))
     event_active (ticker->timer, EV_TIMEOUT, 0);
--- a/packages/node/src/weights/ln-engine-plans.c
+++ b/packages/node/src/weights/ln-engine-plans.c
@@ -289,7 +289,7 @@
       for (size_t model = 0; model < listed->n_models; model++)
         n_models = add_model (models, n_models, listed->models[model].name);
     }
-  ln_stall_note ("division of engines");
+  ln_stall_set_activity ("division of engines");
   lc_engine_plan_rebalance (&plans->wanted, engines, n_engines, models, n_models, plans->demand,
                             now);
   free (engines);
--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -347,7 +347,8 @@
                               .silence = ORDER_SILENCE };
 
   engine->asked_at = now;
-  engine->look = lh_fetch_start (engine->orders->context->http, &request, &handlers, engine, NULL);
+  engine->look
+      = lh_fetch_start (engine->orders->context->http_pool, &request, &handlers, engine, NULL);
 }
 
 /* --- orders --- */
@@ -429,7 +430,8 @@
   lb_log (LB_LOG_INFO, "weights_order", LB_TEXT ("endpoint", engine->name),
           LB_TEXT ("model", engine->model), LB_INT ("version", order.version),
           LB_INT ("fence", order.fence), LB_INT ("orders_before", order.orders_before));
-  engine->order = ln_fetch_outgoing (orders->context, &outgoing, &request, &handlers, engine, NULL);
+  engine->order
+      = ln_fetch_start_outgoing (orders->context, &outgoing, &request, &handlers, engine, NULL);
   lc_outgoing_clear (&outgoing);
 }
 
--- a/packages/node/tests/node-fixture.h
+++ b/packages/node/tests/node-fixture.h
@@ -65,7 +65,7 @@
   f->context.base = f->base;
   f->context.settings = &f->settings;
   f->context.hub = ln_hub_new (f->base);
-  f->context.http = lh_pool_new (f->base);
+  f->context.http_pool = lh_pool_new (f->base);
   if (!f->context.platform)
     f->context.platform = lp_memory_new (f->base);
   LB_COPY (f->context.instance, "i1");
@@ -83,7 +83,7 @@
 {
   ln_hub_free (f->context.hub);
   f->context.platform->klass->free (f->context.platform);
-  lh_pool_free (f->context.http);
+  lh_pool_free (f->context.http_pool);
   ln_settings_clear (&f->settings);
   event_base_free (f->base);
 }
--- a/packages/node/tests/steps-fixture.h
+++ b/packages/node/tests/steps-fixture.h
@@ -198,7 +198,7 @@
                                  .piece = { .tokens = 10, .version = 40 },
                                  .endpoint = "e1" };
 
-  LN_POST (calls->task.hub, ln_hub_find (calls->task.hub, "rollouts"), piece);
+  LN_POST (calls->task.hub, ln_hub_find_task (calls->task.hub, "rollouts"), piece);
 }
 
 static inline void
@@ -207,7 +207,7 @@
   LnSampleDoneMessage done = { .base = LN_MESSAGE (LN_SAMPLE_DONE), .request = request };
 
   done.text = "text";
-  LN_POST (calls->task.hub, ln_hub_find (calls->task.hub, "rollouts"), done);
+  LN_POST (calls->task.hub, ln_hub_find_task (calls->task.hub, "rollouts"), done);
 }
 
 static inline void
@@ -296,7 +296,7 @@
   context->settings = &instance->settings;
   context->platform = &world->store.platform;
   context->hub = ln_hub_new (world->base);
-  context->http = lh_pool_new (world->base);
+  context->http_pool = lh_pool_new (world->base);
   LB_COPY (context->instance, name);
   snprintf (context->incarnation, sizeof context->incarnation, "%s-1", name);
   instance->alive = true;
@@ -335,7 +335,7 @@
   for (size_t i = 0; i < 2; i++)
     {
       ln_hub_free (world->instances[i].context.hub);
-      lh_pool_free (world->instances[i].context.http);
+      lh_pool_free (world->instances[i].context.http_pool);
       ln_settings_clear (&world->instances[i].settings);
     }
   lh_pool_free (world->http);
--- a/packages/node/tests/test-context.c
+++ b/packages/node/tests/test-context.c
@@ -14,8 +14,8 @@
 
   for (int i = 0; i < 1000; i++)
     {
-      double first = ln_context_draw (&a);
-      double second = ln_context_draw (&b);
+      double first = ln_context_random_uniform (&a);
+      double second = ln_context_random_uniform (&b);
       cr_assert (first >= 0 && first < 1);
       same += first == second;
     }
--- a/packages/node/tests/test-row-cache.c
+++ b/packages/node/tests/test-row-cache.c
@@ -23,7 +23,7 @@
 }
 
 static const LnRowCacheClass klass
-    = { .size = sizeof (Content), .read = read_row, .count_mark = "\"count\":" };
+    = { .size = sizeof (Content), .parse = read_row, .counter_prefix = "\"count\":" };
 
 static const Content *
 read_list (LnRowCache *cache, const char *value, int64_t version)
@@ -31,9 +31,9 @@
   const LpRow row = { .key = "t//a", .value = value, .version = version };
   LbError error = { 0 };
 
-  ln_row_cache_begin (cache);
-  const Content *content = ln_row_cache_read (cache, &row, &error);
-  ln_row_cache_end (cache);
+  ln_row_cache_begin_list (cache);
+  const Content *content = ln_row_cache_parse (cache, &row, &error);
+  ln_row_cache_end_list (cache);
   return content;
 }
 
@@ -94,8 +94,8 @@
 
   n_reads = 0;
   read_list (cache, "{}", 1);
-  ln_row_cache_begin (cache);
-  ln_row_cache_end (cache);
+  ln_row_cache_begin_list (cache);
+  ln_row_cache_end_list (cache);
   read_list (cache, "{}", 1);
   cr_assert_eq (n_reads, 2);
   ln_row_cache_free (cache);
--- a/packages/node/tests/test-stall.c
+++ b/packages/node/tests/test-stall.c
@@ -13,8 +13,8 @@
   struct event_base *base = event_base_new ();
   volatile int turns = 0;
 
-  ln_stall_new (base, 100 * LB_MSEC);
-  ln_stall_note ("a circle");
+  ln_stall_detector_new (base, 100 * LB_MSEC);
+  ln_stall_set_activity ("a circle");
   for (;;)
     turns++;
 }
@@ -23,11 +23,11 @@
 Test (stall, a_loop_that_waits_goes_on)
 {
   struct event_base *base = event_base_new ();
-  LnStall *stall = ln_stall_new (base, 100 * LB_MSEC);
+  LnStallDetector *stall = ln_stall_detector_new (base, 100 * LB_MSEC);
   LbTime end = lb_clock_monotonic () + 400 * LB_MSEC;
 
   while (lb_clock_monotonic () < end)
     event_base_loop (base, EVLOOP_ONCE);
-  ln_stall_free (stall);
+  ln_stall_detector_free (stall);
   event_base_free (base);
 }
--- a/packages/node/tests/test-ticker.c
+++ b/packages/node/tests/test-ticker.c
@@ -38,8 +38,8 @@
 Test (ticker, an_idle_process_is_woken_seldom_until_work_comes)
 {
   Setup s = { .base = event_base_new () };
-  LnTick fast = { .period = 50 * LB_MSEC, .call = count_fast, .user = &s };
-  LnTick slow = { .period = 400 * LB_MSEC, .call = count_slow, .user = &s };
+  LnPeriodicCall fast = { .period = 50 * LB_MSEC, .callback = count_fast, .user = &s };
+  LnPeriodicCall slow = { .period = 400 * LB_MSEC, .callback = count_slow, .user = &s };
 
   s.ticker = ln_ticker_new (s.base);
   ln_ticker_add (s.ticker, &fast);
@@ -50,7 +50,7 @@
   cr_assert_leq (s.n_fast, 5);
   cr_assert_leq (s.n_slow, 3);
   int before = s.n_fast;
-  ln_ticker_note_work (s.ticker, lb_clock_monotonic ());
+  ln_ticker_report_work (s.ticker, lb_clock_monotonic ());
   run_for (&s, 900);
   cr_assert_gt (s.n_fast - before, before);
   ln_ticker_remove (s.ticker, &fast);
