--- a/packages/node/src/batch/ln-batch-calls.c
+++ b/packages/node/src/batch/ln-batch-calls.c
@@ -411,7 +411,7 @@
   call->wait_until = now + (in.wait < MAX_RESULT_WAIT ? in.wait : MAX_RESULT_WAIT);
   call->retry_at = LB_TIME_NEVER;
   LB_COPY (call->item, in.item ? in.item : "");
-  ln_exchange_set_user (exchange, call);
+  ln_exchange_set_user_data (exchange, call);
   lb_list_append (&batches->calls, &call->link);
   if (!set_batch_name (call, &in))
     ln_batch_call_fail (
@@ -429,7 +429,7 @@
 ln_batch_calls_caller_disconnected (LnBatches *batches, LnExchange *exchange)
 {
   (void)batches;
-  LnBatchCall *call = ln_exchange_user (exchange);
+  LnBatchCall *call = ln_exchange_user_data (exchange);
 
   if (!call)
     return;
--- a/packages/node/src/batch/ln-batch-owner.c
+++ b/packages/node/src/batch/ln-batch-owner.c
@@ -96,7 +96,7 @@
               const char *organisation)
 {
   LnSampleMessage message = { .base = LN_MESSAGE (LN_SAMPLE), .spec = *spec };
-  LnTask *calls = ln_hub_find (batch->batches->task.hub, "calls");
+  LnTask *calls = ln_hub_find_task (batch->batches->task.hub, "calls");
 
   message.outgoing = LB_NEW (LcOutgoing);
   lc_outgoing_copy (message.outgoing, outgoing);
@@ -176,7 +176,7 @@
   request.deadline = lb_clock_monotonic () + (route->timeout > 0 ? route->timeout : SCORE_TIMEOUT);
   LB_COPY (request.caller, route->name);
   LB_COPY (request.pool,
-           lc_route_choose_service (route, ln_context_draw (batch->batches->context)));
+           lc_route_choose_service (route, ln_context_random_uniform (batch->batches->context)));
   post_request (batch, &request, &item->scorer, "");
 }
 
@@ -187,7 +187,7 @@
   LnSampleCancelMessage message
       = { .base = LN_MESSAGE (LN_SAMPLE_CANCEL), .request = id, .return_partial = true };
 
-  LN_POST (batch->batches->task.hub, ln_hub_find (batch->batches->task.hub, "calls"), message);
+  LN_POST (batch->batches->task.hub, ln_hub_find_task (batch->batches->task.hub, "calls"), message);
 }
 
 static void
@@ -199,7 +199,7 @@
   if (!request)
     return;
   remove_request (batch->batches, request);
-  LN_POST (batch->batches->task.hub, ln_hub_find (batch->batches->task.hub, "calls"), message);
+  LN_POST (batch->batches->task.hub, ln_hub_find_task (batch->batches->task.hub, "calls"), message);
 }
 
 /* --- writing results --- */
@@ -481,7 +481,7 @@
 static LcRequestId
 next_request_id (void *user)
 {
-  return ln_context_next_request (user);
+  return ln_context_next_request_id (user);
 }
 
 void
--- a/packages/node/src/batch/ln-batches-private.h
+++ b/packages/node/src/batch/ln-batches-private.h
@@ -99,7 +99,7 @@
 {
   LnTask task; /* must be first */
   LnContext *context;
-  LnTick tick;
+  LnPeriodicCall tick;
   LnAdmissionState admission_state; /* routes and organisations */
   LnMember *members;
   size_t n_members;
--- a/packages/node/src/batch/ln-batches.c
+++ b/packages/node/src/batch/ln-batches.c
@@ -110,7 +110,7 @@
   switch ((LnMessageType)message->type)
     {
     case LN_EXCHANGE:
-      ln_ticker_note_work (ln_context_ticker (batches->context), lb_clock_monotonic ());
+      ln_ticker_report_work (ln_context_ticker (batches->context), lb_clock_monotonic ());
       ln_batch_calls_receive (batches, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_CALLER_DISCONNECTED:
@@ -156,7 +156,7 @@
   int64_t n_owned = 0;
   bool owns_any = false;
 
-  ln_stall_note ("tick of rollouts");
+  ln_stall_set_activity ("tick of rollouts");
   ln_batch_heads_tick (batches, now);
   for (LnBatch *batch = batches->by_id; batch; batch = batch->hh.next)
     {
@@ -244,7 +244,7 @@
   batches->context = context;
   lb_list_init (&batches->calls);
   ln_batch_heads_start_watch (batches);
-  batches->tick = (LnTick){ .period = TICK_PERIOD, .call = on_tick, .user = batches };
+  batches->tick = (LnPeriodicCall){ .period = TICK_PERIOD, .callback = on_tick, .user = batches };
   ln_ticker_add (ln_context_ticker (context), &batches->tick);
   return &batches->task;
 }
--- a/packages/node/src/endpoints/ln-crashes.c
+++ b/packages/node/src/endpoints/ln-crashes.c
@@ -118,7 +118,7 @@
 static void
 add_known_row (LnCrashes *crashes, const char *key, LbTime at)
 {
-  double draw = ln_context_draw (crashes->context);
+  double draw = ln_context_random_uniform (crashes->context);
   KnownRow *oldest = LB_LIST_FIRST (&crashes->rows, KnownRow, link);
   KnownRow *row = NULL;
 
@@ -246,7 +246,7 @@
   add_known_row (crashes, key, row->report.at);
   if (!crashes->follower)
     ln_crash_frame_send (crashes->context->hub, key, text);
-  ln_unwritten_rows_add (crashes->unwritten, key, text);
+  ln_unwritten_rows_write (crashes->unwritten, key, text);
 }
 
 void
@@ -311,7 +311,7 @@
   {
     if (row->remove_at > now)
       continue;
-    ln_unwritten_rows_add (crashes->unwritten, row->key, NULL);
+    ln_unwritten_rows_write (crashes->unwritten, row->key, NULL);
     remove_known_row (crashes, row);
   }
 }
@@ -347,7 +347,7 @@
       scan_if_due (crashes, now);
     }
   lc_quarantine_expire (crashes->quarantine, now);
-  ln_unwritten_rows_try_again (crashes->unwritten);
+  ln_unwritten_rows_retry (crashes->unwritten);
   remove_expired_rows (crashes, now);
 }
 
--- a/packages/node/src/endpoints/ln-endpoint-list.c
+++ b/packages/node/src/endpoints/ln-endpoint-list.c
@@ -48,8 +48,8 @@
   list->handlers = *handlers;
   list->user = user;
   list->row_class = (LnRowCacheClass){ .size = sizeof (LcRegistration),
-                                       .read = parse_row,
-                                       .count_mark = context->dialect->listed_count_mark };
+                                       .parse = parse_row,
+                                       .counter_prefix = context->dialect->listed_count_mark };
   list->row_cache = ln_row_cache_new (&list->row_class, list);
   list->unreadable_rows = ln_unreadable_rows_new ();
   list->subset = lc_subset_new ();
@@ -83,7 +83,7 @@
 static const LcRegistration *
 read_registration (LnEndpointList *list, const LpRow *row, LbError *error)
 {
-  const LcRegistration *registration = ln_row_cache_read (list->row_cache, row, error);
+  const LcRegistration *registration = ln_row_cache_parse (list->row_cache, row, error);
 
   if (!registration || !list->desired
       || lc_desired_find_service (list->desired, registration->service))
@@ -113,7 +113,7 @@
 
   if (!registration)
     {
-      ln_unreadable_rows_note (list->unreadable_rows, row->key, &error);
+      ln_unreadable_rows_report (list->unreadable_rows, row->key, &error);
       return;
     }
   const LcSubsetRow subset_row = { .service = registration->service,
@@ -127,8 +127,8 @@
 static void
 finish_list (LnEndpointList *list)
 {
-  ln_unreadable_rows_end (list->unreadable_rows);
-  ln_row_cache_end (list->row_cache);
+  ln_unreadable_rows_end_list (list->unreadable_rows);
+  ln_row_cache_end_list (list->row_cache);
   list->is_in_progress = false;
   if (list->n_pages != list->logged_pages)
     lb_log (LB_LOG_INFO, "endpoint_pages", LB_INT ("pages", list->n_pages),
@@ -183,8 +183,8 @@
   list->requested_at = now;
   list->page_size = lc_subset_page_size (list->subset);
   list->n_registrations = 0;
-  ln_unreadable_rows_begin (list->unreadable_rows);
-  ln_row_cache_begin (list->row_cache);
+  ln_unreadable_rows_begin_list (list->unreadable_rows);
+  ln_row_cache_begin_list (list->row_cache);
   lc_subset_begin_list (list->subset, now);
   list->n_pages = 0;
   request_page (list, "");
--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -110,9 +110,9 @@
 
 /* Rows of the catalog have no write counter, so every new version is parsed. */
 static const LnRowCacheClass endpoint_row_class
-    = { .size = sizeof (LcRegistration), .read = parse_endpoint, .count_mark = "\n" };
+    = { .size = sizeof (LcRegistration), .parse = parse_endpoint, .counter_prefix = "\n" };
 static const LnRowCacheClass instance_row_class
-    = { .size = sizeof (LcFleetMember), .read = parse_instance, .count_mark = "\n" };
+    = { .size = sizeof (LcFleetMember), .parse = parse_instance, .counter_prefix = "\n" };
 
 typedef struct
 {
@@ -130,7 +130,7 @@
   RowReader *reader = user;
   const LpRow row = { .key = name, .value = text, .version = version };
   LbError error = { 0 };
-  const void *parsed = ln_row_cache_read (reader->cache, &row, &error);
+  const void *parsed = ln_row_cache_parse (reader->cache, &row, &error);
 
   if (version > reader->newest_version)
     reader->newest_version = version;
@@ -150,9 +150,9 @@
 static void
 read_rows (const LnCatalog *catalog, const char *prefix, RowReader *reader)
 {
-  ln_row_cache_begin (reader->cache);
+  ln_row_cache_begin_list (reader->cache);
   lc_catalog_foreach (catalog->catalog, prefix, append_item, reader);
-  ln_row_cache_end (reader->cache);
+  ln_row_cache_end_list (reader->cache);
 }
 
 static void
@@ -233,7 +233,7 @@
   catalog->rank = -1;
   catalog->delivered_change_count = -1;
   catalog->catalog = lc_catalog_new (context->instance, context->incarnation,
-                                     ln_context_seed (context), lb_clock_monotonic ());
+                                     ln_context_random_seed (context), lb_clock_monotonic ());
   catalog->follower = lp_follow_new (context->platform, &settings, on_rows, catalog);
   catalog->endpoint_cache = ln_row_cache_new (&endpoint_row_class, NULL);
   catalog->instance_cache = ln_row_cache_new (&instance_row_class, NULL);
--- a/packages/node/src/membership/ln-fleet-lists.c
+++ b/packages/node/src/membership/ln-fleet-lists.c
@@ -104,7 +104,7 @@
 }
 
 static const LnRowCacheClass row_class
-    = { .size = sizeof (LcFleetRow), .read = parse_row, .count_mark = "\"renewed_ms\":" };
+    = { .size = sizeof (LcFleetRow), .parse = parse_row, .counter_prefix = "\"renewed_ms\":" };
 
 static void
 listing_init (Listing *listing,
@@ -167,7 +167,7 @@
 
   for (size_t i = 0; i < n_rows; i++)
     {
-      const LcFleetRow *row = ln_row_cache_read (listing->row_cache, &rows[i], &error);
+      const LcFleetRow *row = ln_row_cache_parse (listing->row_cache, &rows[i], &error);
       if (row)
         lc_fleet_add_row (listing->fleet, row, rows[i].version, now);
       else
@@ -255,13 +255,13 @@
   if (!listing->has_begun)
     {
       lc_fleet_begin_list (listing->fleet, &list);
-      ln_row_cache_begin (listing->row_cache);
+      ln_row_cache_begin_list (listing->row_cache);
     }
   listing->has_begun = true;
   add_rows (listing, rows, n_rows, now);
   if (listing->n_pending > 0)
     return;
-  ln_row_cache_end (listing->row_cache);
+  ln_row_cache_end_list (listing->row_cache);
   bool changed = lc_fleet_finish_list (listing->fleet, now);
   if (listing == &listing->lists->directory)
     remove_one_dead (listing, now);
--- a/packages/node/src/membership/ln-fleet.c
+++ b/packages/node/src/membership/ln-fleet.c
@@ -29,7 +29,7 @@
 {
   LnTask task; /* first */
   LnContext *context;
-  LnTick tick;
+  LnPeriodicCall tick;
   LcFleetRow own_row;
   LnFleetRenewal *renewal; /* of own_row */
   LnFleetLists *lists;
@@ -80,7 +80,7 @@
 static void
 post_fleet_to_config (Fleet *task)
 {
-  LnTask *config = ln_hub_find (task->task.hub, "config");
+  LnTask *config = ln_hub_find_task (task->task.hub, "config");
   size_t n = ln_fleet_lists_count (task->lists);
   LnFleetMessage message = { .base = LN_MESSAGE (LN_FLEET), .n_members = n };
 
@@ -98,7 +98,7 @@
 {
   size_t n = ln_fleet_lists_count (task->lists);
 
-  return ln_fleet_lists_at (task->lists, (ln_context_seed (task->context) % n + index) % n);
+  return ln_fleet_lists_at (task->lists, (ln_context_random_seed (task->context) % n + index) % n);
 }
 
 /* Sets the instances through which the store can be reached. */
@@ -411,7 +411,7 @@
                                              context->settings->instance.link_mbps);
   task->renewal = ln_fleet_renewal_new (context->platform, &task->own_row);
   task->lists = ln_fleet_lists_new (context->platform, context->instance, on_lists_changed, task);
-  task->tick = (LnTick){ .period = TICK_PERIOD, .call = on_tick, .user = task };
+  task->tick = (LnPeriodicCall){ .period = TICK_PERIOD, .callback = on_tick, .user = task };
   ln_ticker_add (ln_context_ticker (context), &task->tick);
   return &task->task;
 }
--- a/packages/node/src/membership/ln-peers-frames.c
+++ b/packages/node/src/membership/ln-peers-frames.c
@@ -94,7 +94,7 @@
 deliver_to_task (
     LnPeers *peers, const char *sender, const char *topic, const char *payload, size_t length)
 {
-  LnTask *task = ln_hub_find (peers->base.hub, topic);
+  LnTask *task = ln_hub_find_task (peers->base.hub, topic);
   LnPeerMessage message = { .base = LN_MESSAGE (LN_PEER_FRAME), .length = length };
 
   if (!task)
--- a/packages/node/src/rollout/ln-pool-controller.c
+++ b/packages/node/src/rollout/ln-pool-controller.c
@@ -322,8 +322,8 @@
     period = SWAP_LOAD_PERIOD;
   engine->next_load_request_at = now + period;
   engine->load_requested_at = now;
-  engine->load_request
-      = lh_fetch_start (engine->controller->task->context->http, &request, &handlers, engine, NULL);
+  engine->load_request = lh_fetch_start (engine->controller->task->context->http_pool, &request,
+                                         &handlers, engine, NULL);
 }
 
 static LbErrorCode
@@ -387,7 +387,7 @@
   if (engine->order_request)
     lh_fetch_cancel (engine->order_request);
   engine->order_request
-      = lh_fetch_start (controller->task->context->http, &request, &handlers, engine, NULL);
+      = lh_fetch_start (controller->task->context->http_pool, &request, &handlers, engine, NULL);
   free (body);
 }
 
--- a/packages/node/src/rollout/ln-rollouts.c
+++ b/packages/node/src/rollout/ln-rollouts.c
@@ -288,7 +288,7 @@
 static LcRequestId
 new_request_id (void *user)
 {
-  return ln_context_next_request (user);
+  return ln_context_next_request_id (user);
 }
 
 LnTask *
@@ -297,7 +297,7 @@
   LnRollouts *rollouts = LB_NEW (LnRollouts);
   LcRolloutSettings settings = lc_rollout_settings_default ();
 
-  settings.seed = ln_context_seed (context);
+  settings.seed = ln_context_random_seed (context);
   LB_COPY (settings.instance, context->instance);
   rollouts->task.klass = &rollouts_class;
   rollouts->task.hub = context->hub;
--- a/packages/node/src/weights/ln-engine-plans.c
+++ b/packages/node/src/weights/ln-engine-plans.c
@@ -291,7 +291,7 @@
       for (size_t model = 0; model < registration->n_models; model++)
         n_models = add_model (models, n_models, registration->models[model].name);
     }
-  ln_stall_note ("division of engines");
+  ln_stall_set_activity ("division of engines");
   lc_engine_plan_rebalance (&plans->desired, engines, n_engines, models, n_models, plans->demand,
                             now);
   free (engines);
--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -351,7 +351,7 @@
 
   engine->query_sent_at = now;
   engine->query_fetch
-      = lh_fetch_start (engine->orders->context->http, &request, &handlers, engine, NULL);
+      = lh_fetch_start (engine->orders->context->http_pool, &request, &handlers, engine, NULL);
 }
 
 /* --- orders --- */
@@ -435,7 +435,7 @@
           LB_TEXT ("model", engine->model), LB_INT ("version", order.version),
           LB_INT ("fence", order.fence), LB_INT ("orders_before", order.orders_before));
   engine->order_fetch
-      = ln_fetch_outgoing (orders->context, &outgoing, &request, &handlers, engine, NULL);
+      = ln_fetch_start_outgoing (orders->context, &outgoing, &request, &handlers, engine, NULL);
   lc_outgoing_clear (&outgoing);
 }
 
--- a/packages/node/tests/steps-fixture.h
+++ b/packages/node/tests/steps-fixture.h
@@ -201,7 +201,7 @@
                                  .piece = { .tokens = 10, .version = 40 },
                                  .endpoint = "e1" };
 
-  LN_POST (calls->task.hub, ln_hub_find (calls->task.hub, "rollouts"), piece);
+  LN_POST (calls->task.hub, ln_hub_find_task (calls->task.hub, "rollouts"), piece);
 }
 
 static inline void
@@ -210,7 +210,7 @@
   LnSampleDoneMessage done = { .base = LN_MESSAGE (LN_SAMPLE_DONE), .request = request };
 
   done.text = "text";
-  LN_POST (calls->task.hub, ln_hub_find (calls->task.hub, "rollouts"), done);
+  LN_POST (calls->task.hub, ln_hub_find_task (calls->task.hub, "rollouts"), done);
 }
 
 static inline void
@@ -299,7 +299,7 @@
   context->settings = &instance->settings;
   context->platform = &cluster->store.platform;
   context->hub = ln_hub_new (cluster->base);
-  context->http = lh_pool_new (cluster->base);
+  context->http_pool = lh_pool_new (cluster->base);
   LB_COPY (context->instance, name);
   snprintf (context->incarnation, sizeof context->incarnation, "%s-1", name);
   instance->alive = true;
@@ -338,7 +338,7 @@
   for (size_t i = 0; i < 2; i++)
     {
       ln_hub_free (cluster->instances[i].context.hub);
-      lh_pool_free (cluster->instances[i].context.http);
+      lh_pool_free (cluster->instances[i].context.http_pool);
       ln_settings_clear (&cluster->instances[i].settings);
     }
   lh_pool_free (cluster->http);
