--- a/packages/core/include/lc-change.h
+++ b/packages/core/include/lc-change.h
@@ -3,13 +3,13 @@
 
 #include "lc-resources.h"
 
-/* A change of an operator: {"apply": [RESOURCE...], "delete": [{"kind", "name"}]}. */
+/* A change request of an operator: {"apply": [RESOURCE...], "delete": [{"kind", "name"}]}. */
 
 #define LC_CHANGE_MAX_ITEMS 2000
 
-/* The set that follows from the change, with the next revision, checked as a whole; NULL and a
- * typed error on the first fault. A resource of apply replaces the one of its kind and name as a
- * whole. Pure: the same set and change give the same next set on every instance. */
+/* Returns the validated set after the change, with the next revision; NULL and an error for the
+ * first fault. A resource in "apply" replaces the whole resource of its kind and name.
+ * Deterministic: the same set and change give the same result on every instance. */
 LcResourceSet *lc_change_apply (const LcResourceSet *set,
                                 struct json_object *change,
                                 const char *file,
--- a/packages/core/include/lc-desired.h
+++ b/packages/core/include/lc-desired.h
@@ -4,15 +4,15 @@
 #include "lc-organisations.h"
 #include "lc-resources.h"
 
-/* The routes and services that the operators of a shared platform declare for the whole
- * deployment. Immutable once built, shared by reference. */
+/* Desired state: routes and services that the operators of a shared platform declare for the whole
+ * deployment. Immutable once built, reference-counted. */
 
 typedef enum
 {
-  LC_ROUTE_IDEMPOTENT,   /* a call that may run more than once */
-  LC_ROUTE_AT_MOST_ONCE, /* a call that runs at most once */
-  LC_ROUTE_STREAM,       /* a streamed answer */
-  LC_ROUTE_BATCH         /* a batch of samples, accepted now and run later */
+  LC_ROUTE_IDEMPOTENT,   /* calls that may run more than once */
+  LC_ROUTE_AT_MOST_ONCE, /* calls that must not run twice */
+  LC_ROUTE_STREAM,       /* calls with a streamed answer */
+  LC_ROUTE_BATCH         /* batches of samples, accepted at once and run later */
 } LcRouteKind;
 
 #define LC_MAX_ROUTE_TARGETS 8
@@ -27,17 +27,17 @@
 {
   LbName name;
   LbName host;
-  char prefix[128];
+  char prefix[128]; /* of the path */
   LcRouteKind kind;
-  LbTime timeout; /* longest time that a caller is kept waiting; 0: its deadline alone counts */
-  LbTime latency_goal;  /* an answer within it is worth most */
-  LbTime item_expiry;   /* BATCH: an item may be given up so long after the submission; 0: never */
-  LbTime due_after;     /* BATCH: all results are wanted so long after the submission */
-  int64_t max_attempts; /* most endpoints that one request is sent to */
+  LbTime timeout;       /* longest wait of a caller; 0: only the deadline of the call */
+  LbTime latency_goal;  /* answers within it have the highest value */
+  LbTime item_expiry;   /* BATCH: items may be dropped this long after submission; 0: never */
+  LbTime due_after;     /* BATCH: all results are due this long after submission */
+  int64_t max_attempts; /* endpoints that one request is sent to */
   int priority;         /* larger first */
   bool resumable;
   bool is_public;      /* needs no key where organisations are declared */
-  bool single_version; /* BATCH: a result must be of one weight version */
+  bool single_version; /* BATCH: each result must come from one weight version */
   LcRouteTarget targets[LC_MAX_ROUTE_TARGETS];
   size_t n_targets;
 } LcRoute;
@@ -45,17 +45,17 @@
 typedef struct
 {
   LbName data_centre;
-  double price; /* of an endpoint there, against others */
+  double price; /* of an endpoint there, relative to the other data centres */
 } LcDataCentrePrice;
 
 #define LC_MAX_DATA_CENTRES 16
 
-/* What may be ordered of a service's endpoints. */
+/* Limits for ordering endpoints of a service. */
 typedef struct
 {
-  int64_t min;       /* in each data centre, of both kinds together */
-  int64_t max;       /* the same; 0: none may be ordered */
-  double spot_price; /* of those that may be taken away, against the others; 0: there are none */
+  int64_t min;       /* in each data centre, spot and regular endpoints together */
+  int64_t max;       /* as min; 0: none may be ordered */
+  double spot_price; /* relative to regular endpoints; 0: there are no spot endpoints */
   LcDataCentrePrice prices[LC_MAX_DATA_CENTRES];
   size_t n_prices;
 } LcScalingLimits;
@@ -64,11 +64,11 @@
 {
   LbName name;
   LcScalingLimits scaling;
-  int64_t max_connections;  /* of one endpoint, from all instances together */
-  int64_t tokens_per_event; /* of an engine's stream; 0: not known, or a plain service */
+  int64_t max_connections;  /* to one endpoint, of all instances together */
+  int64_t tokens_per_event; /* of an engine's stream; 0: not known or a plain service */
 } LcService;
 
-/* What callers may send, and how slowly. */
+/* Limits for requests and connections of callers. */
 typedef struct
 {
   int64_t max_header_bytes;
@@ -92,18 +92,18 @@
 LcDesired *lc_desired_new (int64_t version);
 LcDesired *lc_desired_ref (LcDesired *desired);
 void lc_desired_unref (LcDesired *desired);
-/* Both copy; lc_desired_sort_routes comes after the last. */
+/* Both copy. lc_desired_sort_routes must be called after the last route. */
 void lc_desired_add_route (LcDesired *desired, const LcRoute *route);
 void lc_desired_add_service (LcDesired *desired, const LcService *service);
 void lc_desired_sort_routes (LcDesired *desired);
 
-/* The route with the longest prefix that begins the path; NULL: none. */
+/* Returns the route of the host with the longest prefix of the path; NULL if there is none. */
 const LcRoute *
 lc_desired_match_route (const LcDesired *desired, const char *host, const char *path);
 const LcService *lc_desired_find_service (const LcDesired *desired, const char *name);
-/* When a repeatable call that has heard nothing is worth a second attempt elsewhere; 0: never. */
+/* Time without an answer after which a call is hedged on another endpoint; 0: never. */
 LbTime lc_route_hedge_delay (const LcRoute *route);
-/* One of the route's services by weight; draw is in 0..1. */
-const char *lc_route_choose_service (const LcRoute *route, double draw);
+/* Chooses a service of the route by weight. random: between 0 and 1. */
+const char *lc_route_choose_service (const LcRoute *route, double random);
 
 #endif
--- a/packages/core/src/config/lc-change.c
+++ b/packages/core/src/config/lc-change.c
@@ -11,13 +11,13 @@
 {
   struct json_object *apply;
   struct json_object *delete;
-} Change;
+} ChangeLists;
 
 static bool
-read_list (struct json_object *value, const char *key, const char *file, LbError *error)
+check_list (struct json_object *value, const char *key, const char *file, LbError *error)
 {
   if (!json_object_is_type (value, json_type_array))
-    return lb_error_set (error, LB_ERROR_BAD_VALUE, file, "%s: expected a list", key);
+    return lb_error_set (error, LB_ERROR_BAD_VALUE, file, "%s: expected an array", key);
   if (json_object_array_length (value) > LC_CHANGE_MAX_ITEMS)
     return lb_error_set (error, LB_ERROR_OUT_OF_RANGE, file, "%s: expected at most %d items", key,
                          LC_CHANGE_MAX_ITEMS);
@@ -25,7 +25,7 @@
 }
 
 static bool
-read_change (struct json_object *object, Change *change, const char *file, LbError *error)
+read_lists (struct json_object *object, ChangeLists *change, const char *file, LbError *error)
 {
   if (!json_object_is_type (object, json_type_object))
     return lb_error_set (error, LB_ERROR_BAD_VALUE, file, "expected an object");
@@ -36,23 +36,22 @@
     else if (strcmp (key, "delete") == 0)
       change->delete = value;
     else
-      return lb_error_set (error, LB_ERROR_UNKNOWN_KEY, file, "%s: no key of this name is known",
-                           key);
-    if (!read_list (value, key, file, error))
+      return lb_error_set (error, LB_ERROR_UNKNOWN_KEY, file, "%s: unknown key", key);
+    if (!check_list (value, key, file, error))
       return false;
   }
   return true;
 }
 
-/* Each resource may be named once in a change: whether it is to be there would depend on the order.
- */
+/* Rejects a second item for a resource: the result would depend on the order of the items. seen:
+ * "KIND/NAME" of the items so far. */
 static bool
-note_item (struct json_object *seen,
-           struct json_object *item,
-           const char *key,
-           size_t i,
-           const char *file,
-           LbError *error)
+check_item (struct json_object *seen,
+            struct json_object *item,
+            const char *key,
+            size_t i,
+            const char *file,
+            LbError *error)
 {
   char id[512];
   const char *kind = lb_json_text (item, "kind", NULL);
@@ -60,22 +59,23 @@
 
   if (!kind || !name)
     return lb_error_set (error, LB_ERROR_MISSING_KEY, file,
-                         "%s[%zu]: expected an object with kind and name", key, i);
+                         "%s[%zu]: expected an object with keys kind and name", key, i);
   snprintf (id, sizeof id, "%s/%s", kind, name);
   if (json_object_object_get_ex (seen, id, NULL))
-    return lb_error_set (error, LB_ERROR_BAD_VALUE, file, "%s[%zu]: %s is given twice", key, i, id);
+    return lb_error_set (error, LB_ERROR_BAD_VALUE, file, "%s[%zu]: duplicate resource %s", key, i,
+                         id);
   json_object_object_add (seen, id, json_object_new_boolean (true));
   return true;
 }
 
 static size_t
-length_of (struct json_object *list)
+list_length (struct json_object *list)
 {
   return list ? json_object_array_length (list) : 0;
 }
 
 static bool
-remove_items (LcResourceSet *set,
+delete_items (LcResourceSet *set,
               struct json_object *list,
               struct json_object *seen,
               const char *file,
@@ -83,14 +83,15 @@
 {
   LcResourceKind kind;
 
-  for (size_t i = 0; i < length_of (list); i++)
+  for (size_t i = 0; i < list_length (list); i++)
     {
       struct json_object *item = json_object_array_get_idx (list, i);
-      if (!note_item (seen, item, "delete", i, file, error))
+      if (!check_item (seen, item, "delete", i, file, error))
         return false;
       if (!lc_resource_kind_from_name (lb_json_text (item, "kind", NULL), &kind)
           || !lc_resource_set_remove (set, kind, lb_json_text (item, "name", NULL)))
-        return lb_error_set (error, LB_ERROR_UNKNOWN_RESOURCE, file, "delete[%zu]: no %s/%s", i,
+        return lb_error_set (error, LB_ERROR_UNKNOWN_RESOURCE, file,
+                             "delete[%zu]: %s/%s does not exist", i,
                              lb_json_text (item, "kind", NULL), lb_json_text (item, "name", NULL));
     }
   return true;
@@ -103,10 +104,10 @@
            const char *file,
            LbError *error)
 {
-  for (size_t i = 0; i < length_of (list); i++)
+  for (size_t i = 0; i < list_length (list); i++)
     {
       struct json_object *item = json_object_array_get_idx (list, i);
-      if (!note_item (seen, item, "apply", i, file, error)
+      if (!check_item (seen, item, "apply", i, file, error)
           || !lc_resource_set_put (set, item, i, file, error))
         return false;
     }
@@ -119,15 +120,15 @@
                  const char *file,
                  LbError *error)
 {
-  Change parts = { NULL, NULL };
+  ChangeLists lists = { NULL, NULL };
 
-  if (!read_change (change, &parts, file, error))
+  if (!read_lists (change, &lists, file, error))
     return NULL;
   struct json_object *seen = json_object_new_object ();
-  LcResourceSet *next = lc_resource_set_copy_with_room (set, length_of (parts.apply));
+  LcResourceSet *next = lc_resource_set_copy_with_room (set, list_length (lists.apply));
   next->revision++;
-  bool ok = remove_items (next, parts.delete, seen, file, error)
-            && put_items (next, parts.apply, seen, file, error)
+  bool ok = delete_items (next, lists.delete, seen, file, error)
+            && put_items (next, lists.apply, seen, file, error)
             && lc_resource_set_check (next, file, error);
   json_object_put (seen);
   if (ok)
--- a/packages/core/src/config/lc-config-confirm.c
+++ b/packages/core/src/config/lc-config-confirm.c
@@ -1,17 +1,17 @@
 #include "lc-config-private.h"
 
-/* How long a new process waits for its peers to name a newer revision than the store did. */
-#define SETTLE (LB_SEC / 2)
+/* Time that a new process waits for its peers to report a newer revision than the store did. */
+#define STARTUP_DELAY (LB_SEC / 2)
 
-/* With many instances one round of ASK takes longer than the bound. */
+/* Age up to which an answer of a peer counts. With many instances one round of queries takes longer
+ * than max_confirmation_age. */
 static LbTime
-answer_bound (const LcConfig *config)
+max_answer_age (const LcConfig *config)
 {
-  LbTime rounds = HASH_COUNT (config->peers) / LC_CONFIG_ASKS_PER_PERIOD + 1;
-  LbTime bound = 2 * rounds * LC_CONFIG_ASK_PERIOD;
+  LbTime rounds = HASH_COUNT (config->peers) / LC_CONFIG_QUERIES_PER_PERIOD + 1;
+  LbTime age = 2 * rounds * LC_CONFIG_QUERY_PERIOD;
 
-  return bound > config->settings.max_confirmation_age ? bound
-                                                       : config->settings.max_confirmation_age;
+  return age > config->settings.max_confirmation_age ? age : config->settings.max_confirmation_age;
 }
 
 bool
@@ -21,58 +21,59 @@
          && now - config->store_confirmed_at <= config->settings.max_confirmation_age;
 }
 
-/* Peers that answered an ASK which was sent at this time or later. */
+/* Counts peers that answered a query sent at queried_since or later. */
 static size_t
-count_answers (const LcConfig *config, LbTime asked_since)
+count_answers (const LcConfig *config, LbTime queried_since)
 {
   size_t answers = 0;
 
   for (const LcConfigPeer *peer = config->peers; peer; peer = peer->hh.next)
-    answers += peer->confirmed && peer->answered_to > 0 && peer->answered_to >= asked_since;
+    answers += peer->confirmed && peer->answered_query_at > 0
+               && peer->answered_query_at >= queried_since;
   return answers;
 }
 
-/* True when this instance and those that answered an ASK of asked_since or later are more than half
- * of all known.
+/* Returns true if this instance and the peers that answered a query sent at queried_since or later
+ * are a majority of all known instances.
  *
- * Guards against a change that is accepted where this instance can't see it: an operator would
- * see a revision in force while a cut-off part goes on with the one before. A change is accepted
- * only by an instance that reaches a majority, and two majorities share a member. */
+ * Prevents a network partition from accepting a change that the other side can't see, where an
+ * operator would find a revision active while other instances still use the previous one. Only an
+ * instance that reaches a majority may accept a change, and any two majorities share a member. */
 bool
-lc_config_has_majority (const LcConfig *config, LbTime asked_since)
+lc_config_has_majority (const LcConfig *config, LbTime queried_since)
 {
   size_t all = HASH_COUNT (config->peers) + 1;
 
-  return 2 * (count_answers (config, asked_since) + 1) > all;
+  return 2 * (count_answers (config, queried_since) + 1) > all;
 }
 
 static bool
-is_settled (const LcConfig *config, const LcConfigPeer *peer)
+is_intent_settled (const LcConfig *config, const LcConfigPeer *peer)
 {
-  return peer->intent == 0 || config->set->revision > peer->intent_base
-         || config->store_confirmed_at >= peer->intent_at + LC_CONFIG_COMMIT_LIFE;
+  return peer->intent == 0 || config->set->revision > peer->intent_base_revision
+         || config->store_confirmed_at >= peer->intent_at + LC_CONFIG_MAX_COMMIT_DURATION;
 }
 
-/* True when an instance has announced a change and was not heard of since.
+/* Returns true if an instance announced a change and has not been heard from since.
  *
- * Guards against a cut in the moment of acceptance: the majority that let the change pass would go
- * on with the revision before for as long as the parting lasts, while the operator was told that
- * the new one is accepted. Until its outcome is known, only the store confirms. */
+ * Guards against a partition at the moment of acceptance: the majority that let the change pass
+ * would use the previous revision for as long as the partition lasts, although the operator was
+ * told that the new one is accepted. Until the outcome is known, only the store confirms. */
 bool
 lc_config_is_in_doubt (const LcConfig *config, LbTime now)
 {
   for (const LcConfigPeer *peer = config->peers; peer; peer = peer->hh.next)
-    if (!is_settled (config, peer) && peer->answered_to < now - answer_bound (config)
+    if (!is_intent_settled (config, peer) && peer->answered_query_at < now - max_answer_age (config)
         && peer->intent_at < now - config->settings.max_confirmation_age)
       return true;
   return false;
 }
 
-/* A new process knows nothing itself, so only its peers count. */
+/* A majority of the peers alone must confirm, since a new process has no knowledge of its own. */
 static bool
 peers_confirm_new_process (const LcConfig *config, LbTime now)
 {
-  size_t answers = count_answers (config, now - answer_bound (config));
+  size_t answers = count_answers (config, now - max_answer_age (config));
 
   if (answers == 0 || 2 * answers <= HASH_COUNT (config->peers))
     return false;
@@ -82,7 +83,6 @@
   return true;
 }
 
-/* A peer that named a newer revision has yet to send it. */
 static bool
 is_behind_a_peer (const LcConfig *config)
 {
@@ -92,17 +92,16 @@
   return false;
 }
 
-/* Whether new work may be taken with the revision in force. */
 bool
-lc_config_may_take_work (const LcConfig *config, LbTime now)
+lc_config_can_accept_work (const LcConfig *config, LbTime now)
 {
   if (config->confirmed)
     return lc_config_is_store_confirmed (config, now)
-           || (lc_config_has_majority (config, now - answer_bound (config))
+           || (lc_config_has_majority (config, now - max_answer_age (config))
                && !lc_config_is_in_doubt (config, now));
-  /* Guards against a stale read by a new process: callers would see a revision go back when an
-   * instance is replaced. Its peers are asked too before the first call is served. */
+  /* Guards against a stale read by a new process, where callers would see the revision go back when
+   * an instance is replaced: its peers are queried as well before it serves the first call. */
   if (lc_config_is_store_confirmed (config, now))
-    return !is_behind_a_peer (config) && now - config->started_at >= SETTLE;
+    return !is_behind_a_peer (config) && now - config->started_at >= STARTUP_DELAY;
   return peers_confirm_new_process (config, now);
 }
--- a/packages/core/src/config/lc-config-message.c
+++ b/packages/core/src/config/lc-config-message.c
@@ -4,9 +4,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-static const char *const type_names[] = { "news", "ask", "have", "want", "set" };
+static const char *const type_names[] = { [LC_CONFIG_MESSAGE_CHANGE] = "news",
+                                          [LC_CONFIG_MESSAGE_QUERY] = "ask",
+                                          [LC_CONFIG_MESSAGE_STATUS] = "have",
+                                          [LC_CONFIG_MESSAGE_FETCH] = "want",
+                                          [LC_CONFIG_MESSAGE_SNAPSHOT] = "set" };
 
-#define N_TYPES (sizeof type_names / sizeof type_names[0])
+#define N_MESSAGE_TYPES (sizeof type_names / sizeof type_names[0])
 
 void
 lc_config_message_clear (LcConfigMessage *message)
@@ -43,25 +47,25 @@
   return true;
 }
 
-/* The body stays shared with the object until lc_config_message_clear. */
+/* The message keeps a reference to the body until lc_config_message_clear. */
 bool
 lc_config_message_from_json (struct json_object *object, LcConfigMessage *message, LbError *error)
 {
   struct json_object *member = NULL;
-  const char *name = "";
+  const char *type_name = "";
 
   memset (message, 0, sizeof *message);
   if (json_object_object_get_ex (object, "type", &member))
-    name = json_object_get_string (member);
+    type_name = json_object_get_string (member);
   size_t type = 0;
-  while (type < N_TYPES && strcmp (type_names[type], name ? name : "") != 0)
+  while (type < N_MESSAGE_TYPES && strcmp (type_names[type], type_name ? type_name : "") != 0)
     type++;
-  if (type == N_TYPES || !read_integer (object, "revision", &message->revision)
+  if (type == N_MESSAGE_TYPES || !read_integer (object, "revision", &message->revision)
       || !read_integer (object, "asked_at", &message->asked_at)
       || !read_integer (object, "age", &message->age)
       || !read_integer (object, "intent", &message->intent))
     return lb_error_set (error, LB_ERROR_FRAME_GARBLED, "config",
-                         "a key is missing or of the wrong type");
+                         "type, revision, asked_at, age or intent is missing or invalid");
   message->type = (LcConfigMessageType)type;
   if (json_object_object_get_ex (object, "confirmed", &member))
     message->confirmed = json_object_get_boolean (member);
--- a/packages/core/src/config/lc-config-private.h
+++ b/packages/core/src/config/lc-config-private.h
@@ -6,28 +6,28 @@
 #include <gsl/gsl_rng.h>
 #include <uthash.h>
 
-/* How often others are asked, and how many of them each time. */
-#define LC_CONFIG_ASK_PERIOD (LB_SEC / 2)
-#define LC_CONFIG_ASKS_PER_PERIOD 20
+/* Peers are queried this often, and this many each time. */
+#define LC_CONFIG_QUERY_PERIOD (LB_SEC / 2)
+#define LC_CONFIG_QUERIES_PER_PERIOD 20
 
-/* From the announcement of a change until its transaction can't take effect any more. */
-#define LC_CONFIG_COMMIT_LIFE (10 * LB_SEC)
+/* From the announcement of a change until its transaction can no longer take effect. */
+#define LC_CONFIG_MAX_COMMIT_DURATION (10 * LB_SEC)
 
-/* What is known of another instance. */
+/* Known state of another instance. */
 typedef struct
 {
   LbName name; /* key */
   LbName incarnation;
   bool alive;
   bool draining;
-  bool listed; /* in the last view of the membership */
+  bool is_listed; /* in the latest list of members */
   bool confirmed;
   int64_t revision;
-  LbTime asked_at;    /* our last ASK */
-  LbTime answered_to; /* asked_at of the youngest ASK that it answered; 0: none */
-  LbTime wanted_at;
-  int64_t intent;      /* number of the change it announced; 0: none that is unsettled */
-  int64_t intent_base; /* the revision that change was made from */
+  LbTime queried_at;
+  LbTime answered_query_at; /* send time of the latest query that it answered; 0: none */
+  LbTime fetched_at;        /* time of the latest FETCH sent to it */
+  int64_t intent;           /* number of its announced change; 0: none with an unknown outcome */
+  int64_t intent_base_revision;
   LbTime intent_at;
   UT_hash_handle hh;
 } LcConfigPeer;
@@ -36,22 +36,22 @@
 {
   LcConfigSettings settings;
   gsl_rng *rng;
-  LcConfigPeer *peers; /* all known but this instance */
+  LcConfigPeer *peers; /* all known instances except this one */
   LcResourceSet *set;
-  bool confirmed; /* some revision of this process was confirmed by store or majority */
+  bool confirmed; /* store or majority have confirmed some revision of this process */
   bool ready;
   LbTime started_at;
-  LbTime store_confirmed_at; /* -1: never; the youngest known, our clock */
-  LbTime next_poll;
-  LbTime next_ask;
-  int64_t announced; /* changes of this instance */
-  int64_t settled;   /* the last of them whose outcome is known */
+  LbTime store_confirmed_at; /* latest known confirmation by the store, own clock; -1: none */
+  LbTime next_poll_at;
+  LbTime next_query_at;
+  int64_t announced_change; /* number of the last change that this instance announced */
+  int64_t settled_change;   /* number of the last one with a known outcome */
   LbTime announced_at;
 };
 
-/* lc-config-confirm.c: whether what is in force may be relied on. */
+/* lc-config-confirm.c: validity of the active revision. */
 bool lc_config_is_store_confirmed (const LcConfig *config, LbTime now);
 bool lc_config_is_in_doubt (const LcConfig *config, LbTime now);
-bool lc_config_may_take_work (const LcConfig *config, LbTime now);
+bool lc_config_can_accept_work (const LcConfig *config, LbTime now);
 
 #endif
--- a/packages/core/src/config/lc-config-query.c
+++ b/packages/core/src/config/lc-config-query.c
@@ -12,22 +12,22 @@
   return config->set->revision;
 }
 
-/* Whether new work may be taken with the revision in force. */
+/* Returns true if new work may be accepted with the active revision. */
 bool
 lc_config_is_ready (const LcConfig *config)
 {
   return config->ready;
 }
 
-/* Age of the youngest confirmation by the store that this instance knows of, its own or a peer's;
- * -1 when it knows of none. */
+/* Returns the age of the latest confirmation by the store that this instance or a peer received; -1
+ * if none is known. */
 LbTime
 lc_config_confirmation_age (const LcConfig *config, LbTime now)
 {
   return config->store_confirmed_at < 0 ? -1 : now - config->store_confirmed_at;
 }
 
-/* True when some known instance is neither alive nor known to have left. */
+/* Returns true if a known instance is not alive but has not left either. */
 bool
 lc_config_has_absent_members (const LcConfig *config)
 {
@@ -61,5 +61,6 @@
 LbTime
 lc_config_next_tick_at (const LcConfig *config)
 {
-  return config->next_poll < config->next_ask ? config->next_poll : config->next_ask;
+  return config->next_poll_at < config->next_query_at ? config->next_poll_at
+                                                      : config->next_query_at;
 }
--- a/packages/core/src/config/lc-config.c
+++ b/packages/core/src/config/lc-config.c
@@ -8,20 +8,21 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Reads of the head row by all instances together stay under this, of about 2,000 a second. */
-#define HEAD_READS_PER_SECOND 175
-#define POLL_JITTER 0.2
-
-static LbMetric metric_revision
-    = LB_GAUGE_INIT ("lentilspindle_config_revision", NULL, "Revision in force in this process");
-static LbMetric metric_ignored
+/* Of all instances together; the store serves about 2,000 requests per second. */
+#define MAX_HEAD_READS_PER_SECOND 175
+#define POLL_JITTER 0.2 /* fraction of the period, in either direction */
+
+static LbMetric metric_revision = LB_GAUGE_INIT ("lentilspindle_config_revision",
+                                                 NULL,
+                                                 "Active configuration revision of this process");
+static LbMetric metric_outdated
     = LB_COUNTER_INIT ("lentilspindle_config_stale_ignored_total",
                        NULL,
-                       "Older sets, pushes and reads that were not put in force");
+                       "Outdated sets, pushes and store reads that were ignored");
 static LbMetric metric_ready
     = LB_GAUGE_INIT ("lentilspindle_config_ready",
                      NULL,
-                     "1 when the configuration allows new work to be taken");
+                     "1 if the configuration allows new work to be accepted");
 
 static LcConfigAction *
 add_action (LbList *actions, LcConfigActionType type)
@@ -57,8 +58,8 @@
   config->set = empty_set ();
   config->started_at = now;
   config->store_confirmed_at = -1;
-  config->next_poll = now;
-  config->next_ask = now;
+  config->next_poll_at = now;
+  config->next_query_at = now;
   return config;
 }
 
@@ -89,7 +90,7 @@
 }
 
 static LcConfigPeer *
-ensure_peer (LcConfig *config, const char *name)
+get_or_add_peer (LcConfig *config, const char *name)
 {
   LcConfigPeer *peer = find_peer (config, name);
 
@@ -102,9 +103,9 @@
 }
 
 static LbTime
-poll_period (const LcConfig *config)
+random_poll_period (const LcConfig *config)
 {
-  LbTime period = (LbTime)(HASH_COUNT (config->peers) + 1) * LB_SEC / HEAD_READS_PER_SECOND;
+  LbTime period = (LbTime)(HASH_COUNT (config->peers) + 1) * LB_SEC / MAX_HEAD_READS_PER_SECOND;
 
   if (period < config->settings.min_poll_period)
     period = config->settings.min_poll_period;
@@ -112,9 +113,9 @@
 }
 
 static void
-update_ready (LcConfig *config, LbTime now, LbList *actions)
+update_readiness (LcConfig *config, LbTime now, LbList *actions)
 {
-  bool ready = lc_config_may_take_work (config, now);
+  bool ready = lc_config_can_accept_work (config, now);
 
   config->confirmed |= ready;
   if (ready == config->ready)
@@ -125,7 +126,7 @@
 }
 
 static LcConfigMessage *
-send (LbList *actions, const char *to, LcConfigMessageType type, int64_t revision)
+send_message (LbList *actions, const char *to, LcConfigMessageType type, int64_t revision)
 {
   LcConfigAction *action = add_action (actions, LC_CONFIG_SEND);
 
@@ -137,30 +138,31 @@
 }
 
 static void
-send_have (LcConfig *config, const char *to, LbTime asked_at, LbTime now, LbList *actions)
+send_status (LcConfig *config, const char *to, LbTime asked_at, LbTime now, LbList *actions)
 {
-  LcConfigMessage *have = send (actions, to, LC_CONFIG_MESSAGE_STATUS, config->set->revision);
+  LcConfigMessage *status
+      = send_message (actions, to, LC_CONFIG_MESSAGE_STATUS, config->set->revision);
 
-  have->asked_at = asked_at;
-  have->confirmed
+  status->asked_at = asked_at;
+  status->confirmed
       = config->confirmed
         && (lc_config_is_store_confirmed (config, now) || !lc_config_is_in_doubt (config, now));
-  have->intent = config->settled;
-  have->age = lc_config_confirmation_age (config, now);
+  status->intent = config->settled_change;
+  status->age = lc_config_confirmation_age (config, now);
 }
 
-/* Puts a set in force unless this process has a newer one.
+/* Activates a set, which it takes over, unless its revision is not newer than the active one.
  *
- * Guards against a revision that goes back: an old push that was late on the wire, an old copy of
- * a peer or a stale read of the store would undo what operators saw accepted. Every way in ends
- * here, and the number of a revision is given once, under a condition, by the store. */
+ * Guards against a revision that goes back: a delayed push, an old copy of a peer or a stale read
+ * of the store would undo a change that operators saw accepted. All sets pass through here, and
+ * the store assigns each revision number once, by a conditional write. */
 static bool
-offer (LcConfig *config, LcResourceSet *set, LbList *actions)
+activate_if_newer (LcConfig *config, LcResourceSet *set, LbList *actions)
 {
   if (set->revision <= config->set->revision)
     {
       if (set->revision < config->set->revision)
-        lb_metric_add (&metric_ignored, 1);
+        lb_metric_add (&metric_outdated, 1);
       lc_resource_set_free (set);
       return false;
     }
@@ -172,39 +174,38 @@
 }
 
 static LcConfigMessage *
-ask (LcConfig *config, LcConfigPeer *peer, LbTime now, LbList *actions)
+send_query (LcConfig *config, LcConfigPeer *peer, LbTime now, LbList *actions)
 {
   LcConfigMessage *message
-      = send (actions, peer->name, LC_CONFIG_MESSAGE_QUERY, config->set->revision);
+      = send_message (actions, peer->name, LC_CONFIG_MESSAGE_QUERY, config->set->revision);
 
-  peer->asked_at = now;
+  peer->queried_at = now;
   message->asked_at = now;
   return message;
 }
 
 static void
-ask_all (LcConfig *config, LbTime now, LbList *actions)
+query_all_peers (LcConfig *config, LbTime now, LbList *actions)
 {
   for (LcConfigPeer *peer = config->peers; peer; peer = peer->hh.next)
-    ask (config, peer, now, actions);
+    send_query (config, peer, now, actions);
 }
 
-/* What the process before had in force says nothing of the new one of the same name. */
+/* The state of the previous process of this name does not apply to the new one. */
 static void
-peer_restarted (LcConfigPeer *peer, const char *incarnation)
+reset_peer (LcConfigPeer *peer, const char *incarnation)
 {
   if (peer->incarnation[0])
     {
       peer->revision = 0;
       peer->confirmed = false;
-      peer->answered_to = 0;
+      peer->answered_query_at = 0;
     }
   LB_COPY (peer->incarnation, incarnation);
 }
 
-/* The view of the membership. An instance that is missing from it stays known until
- * lc_config_remove_instance: one that is cut off must not shrink the majority that the rest needs.
- */
+/* An instance that is missing from the members stays known until lc_config_remove_instance: the
+ * loss of instances by a partition must not lower the majority that the rest needs. */
 void
 lc_config_update_members (
     LcConfig *config, const LcConfigMember *members, size_t n_members, LbTime now, LbList *actions)
@@ -212,32 +213,32 @@
   LcConfigPeer *peer, *next;
 
   for (peer = config->peers; peer; peer = peer->hh.next)
-    peer->listed = false;
+    peer->is_listed = false;
   for (size_t i = 0; i < n_members; i++)
     {
       if (strcmp (members[i].name, config->settings.instance) == 0)
         continue;
-      peer = ensure_peer (config, members[i].name);
+      peer = get_or_add_peer (config, members[i].name);
       if (strcmp (peer->incarnation, members[i].incarnation) != 0)
-        peer_restarted (peer, members[i].incarnation);
-      peer->listed = true;
+        reset_peer (peer, members[i].incarnation);
+      peer->is_listed = true;
       peer->alive = members[i].alive;
       peer->draining = members[i].draining;
     }
   HASH_ITER (hh, config->peers, peer, next)
   {
-    if (peer->listed)
+    if (peer->is_listed)
       continue;
     peer->alive = false;
     if (peer->draining)
       lc_config_remove_instance (config, peer->name);
   }
   if (!config->confirmed)
-    ask_all (config, now, actions);
-  update_ready (config, now, actions);
+    query_all_peers (config, now, actions);
+  update_readiness (config, now, actions);
 }
 
-/* The platform says that this instance is gone for good. */
+/* For an instance that the platform reports as permanently removed. */
 void
 lc_config_remove_instance (LcConfig *config, const char *instance)
 {
@@ -249,113 +250,120 @@
   free (peer);
 }
 
-/* The store named its head revision in a read that began at asked_at; set is given (and taken over)
- * when it is newer than what was in force then. */
+/* revision: head revision of the store, from a read that began at read_at. set: taken over; given
+ * if the revision is newer than the active one at the time of the read. */
 void
 lc_config_store_read_completed (LcConfig *config,
                                 int64_t revision,
                                 LcResourceSet *set,
-                                LbTime asked_at,
+                                LbTime read_at,
                                 LbTime now,
                                 LbList *actions)
 {
   if (set)
-    offer (config, set, actions);
+    activate_if_newer (config, set, actions);
   if (revision < config->set->revision)
-    /* A replica that lags; it says nothing of what is accepted now. */
-    lb_metric_add (&metric_ignored, 1);
-  else if (revision == config->set->revision && asked_at > config->store_confirmed_at)
-    config->store_confirmed_at = asked_at;
-  if (asked_at >= config->announced_at + LC_CONFIG_COMMIT_LIFE)
-    config->settled = config->announced;
-  config->next_poll = now + poll_period (config);
-  update_ready (config, now, actions);
+    /* Answer of a lagging replica; does not confirm anything. */
+    lb_metric_add (&metric_outdated, 1);
+  else if (revision == config->set->revision && read_at > config->store_confirmed_at)
+    config->store_confirmed_at = read_at;
+  if (read_at >= config->announced_at + LC_CONFIG_MAX_COMMIT_DURATION)
+    config->settled_change = config->announced_change;
+  config->next_poll_at = now + random_poll_period (config);
+  update_readiness (config, now, actions);
 }
 
 void
 lc_config_store_read_failed (LcConfig *config, LbTime now, LbList *actions)
 {
-  config->next_poll = now + poll_period (config);
-  update_ready (config, now, actions);
+  config->next_poll_at = now + random_poll_period (config);
+  update_readiness (config, now, actions);
 }
 
-/* This instance committed the change that made set (taken over): in force here, and news for all.
- */
+/* This instance committed the change that led to set (taken over): activates the set and broadcasts
+ * the change. */
 void
 lc_config_change_committed (LcConfig *config,
                             LcResourceSet *set,
                             struct json_object *change,
-                            LbTime asked_at,
+                            LbTime committed_at,
                             LbTime now,
                             LbList *actions)
 {
   int64_t revision = set->revision;
 
-  if (!offer (config, set, actions))
+  if (!activate_if_newer (config, set, actions))
     return;
-  if (asked_at > config->store_confirmed_at)
-    config->store_confirmed_at = asked_at;
-  config->settled = config->announced;
-  send (actions, "", LC_CONFIG_MESSAGE_CHANGE, revision)->body = json_object_get (change);
-  update_ready (config, now, actions);
+  if (committed_at > config->store_confirmed_at)
+    config->store_confirmed_at = committed_at;
+  config->settled_change = config->announced_change;
+  send_message (actions, "", LC_CONFIG_MESSAGE_CHANGE, revision)->body = json_object_get (change);
+  update_readiness (config, now, actions);
 }
 
-/* A peer has something newer: its whole set, at most once per LC_CONFIG_ASK_PERIOD and peer. */
+/* Requests the newer set of a peer, at most once per peer and LC_CONFIG_QUERY_PERIOD. */
 static void
-want (LcConfig *config, LcConfigPeer *peer, LbTime now, LbList *actions)
+fetch_set (LcConfig *config, LcConfigPeer *peer, LbTime now, LbList *actions)
 {
-  if (peer->wanted_at > 0 && now - peer->wanted_at < LC_CONFIG_ASK_PERIOD)
+  if (peer->fetched_at > 0 && now - peer->fetched_at < LC_CONFIG_QUERY_PERIOD)
     return;
-  peer->wanted_at = now;
-  send (actions, peer->name, LC_CONFIG_MESSAGE_FETCH, config->set->revision);
+  peer->fetched_at = now;
+  send_message (actions, peer->name, LC_CONFIG_MESSAGE_FETCH, config->set->revision);
 }
 
 static void
-receive_news (
-    LcConfig *config, LcConfigPeer *peer, const LcConfigMessage *news, LbTime now, LbList *actions)
+handle_change (LcConfig *config,
+               LcConfigPeer *peer,
+               const LcConfigMessage *message,
+               LbTime now,
+               LbList *actions)
 {
   LbError error;
   LcResourceSet *next = NULL;
 
-  if (news->body && news->revision == config->set->revision + 1)
-    next = lc_change_apply (config->set, news->body, peer->name, &error);
+  if (message->body && message->revision == config->set->revision + 1)
+    next = lc_change_apply (config->set, message->body, peer->name, &error);
   if (next)
-    offer (config, next, actions);
-  else if (news->revision > config->set->revision)
-    want (config, peer, now, actions);
-  else if (news->revision < config->set->revision)
-    lb_metric_add (&metric_ignored, 1);
-  if (news->revision <= config->set->revision)
-    send_have (config, peer->name, 0, now, actions);
+    activate_if_newer (config, next, actions);
+  else if (message->revision > config->set->revision)
+    fetch_set (config, peer, now, actions);
+  else if (message->revision < config->set->revision)
+    lb_metric_add (&metric_outdated, 1);
+  if (message->revision <= config->set->revision)
+    send_status (config, peer->name, 0, now, actions);
 }
 
-/* An age counts only in an answer to our own ASK, and from the time we asked: a message that lay in
- * a socket of a paused process would else make an old confirmation look young. */
+/* An age counts only in a reply to a query of this process, and from the time the query was sent:
+ * otherwise a reply that waited in the socket of a paused process would make an old confirmation
+ * look recent. */
 static void
-receive_have (
-    LcConfig *config, LcConfigPeer *peer, const LcConfigMessage *have, LbTime now, LbList *actions)
+handle_status (LcConfig *config,
+               LcConfigPeer *peer,
+               const LcConfigMessage *status,
+               LbTime now,
+               LbList *actions)
 {
-  if (have->asked_at > 0 && have->asked_at <= now && have->asked_at > peer->answered_to)
+  if (status->asked_at > 0 && status->asked_at <= now && status->asked_at > peer->answered_query_at)
     {
-      peer->answered_to = have->asked_at;
-      peer->revision = have->revision;
-      LbTime confirmed_at = have->asked_at - have->age;
-      if (have->age >= 0 && have->revision == config->set->revision
+      peer->answered_query_at = status->asked_at;
+      peer->revision = status->revision;
+      LbTime confirmed_at = status->asked_at - status->age;
+      if (status->age >= 0 && status->revision == config->set->revision
           && confirmed_at > config->store_confirmed_at)
         config->store_confirmed_at = confirmed_at;
     }
-  if (have->intent >= peer->intent)
+  if (status->intent >= peer->intent)
     peer->intent = 0;
-  if (have->revision > config->set->revision && have->confirmed)
-    want (config, peer, now, actions);
+  if (status->revision > config->set->revision && status->confirmed)
+    fetch_set (config, peer, now, actions);
 }
 
 static void
-receive_set (LcConfig *config,
-             LcConfigPeer *peer,
-             const LcConfigMessage *message,
-             LbTime now,
-             LbList *actions)
+handle_snapshot (LcConfig *config,
+                 LcConfigPeer *peer,
+                 const LcConfigMessage *message,
+                 LbTime now,
+                 LbList *actions)
 {
   LbError error;
   LcResourceSet *set
@@ -366,15 +374,15 @@
       lb_metric_count_error (LB_ERROR_FRAME_GARBLED);
       return;
     }
-  if (offer (config, set, actions))
-    send_have (config, peer->name, 0, now, actions);
+  if (activate_if_newer (config, set, actions))
+    send_status (config, peer->name, 0, now, actions);
 }
 
 static void
-note_intent (LcConfigPeer *peer, const LcConfigMessage *message, LbTime now)
+record_intent (LcConfigPeer *peer, const LcConfigMessage *message, LbTime now)
 {
   peer->intent = message->intent;
-  peer->intent_base = message->revision;
+  peer->intent_base_revision = message->revision;
   peer->intent_at = now;
 }
 
@@ -382,7 +390,7 @@
 lc_config_message_received (
     LcConfig *config, const char *from, const LcConfigMessage *message, LbTime now, LbList *actions)
 {
-  LcConfigPeer *peer = ensure_peer (config, from);
+  LcConfigPeer *peer = get_or_add_peer (config, from);
 
   if (message->revision > peer->revision)
     peer->revision = message->revision;
@@ -391,86 +399,86 @@
   switch (message->type)
     {
     case LC_CONFIG_MESSAGE_CHANGE:
-      receive_news (config, peer, message, now, actions);
+      handle_change (config, peer, message, now, actions);
       break;
     case LC_CONFIG_MESSAGE_QUERY:
       if (message->intent > 0)
-        note_intent (peer, message, now);
-      send_have (config, from, message->asked_at, now, actions);
+        record_intent (peer, message, now);
+      send_status (config, from, message->asked_at, now, actions);
       break;
     case LC_CONFIG_MESSAGE_STATUS:
-      receive_have (config, peer, message, now, actions);
+      handle_status (config, peer, message, now, actions);
       break;
     case LC_CONFIG_MESSAGE_FETCH:
       if (message->revision < config->set->revision)
-        send (actions, from, LC_CONFIG_MESSAGE_SNAPSHOT, config->set->revision)->body
+        send_message (actions, from, LC_CONFIG_MESSAGE_SNAPSHOT, config->set->revision)->body
             = lc_resource_set_to_json (config->set);
       break;
     case LC_CONFIG_MESSAGE_SNAPSHOT:
-      receive_set (config, peer, message, now, actions);
+      handle_snapshot (config, peer, message, now, actions);
       break;
     }
-  update_ready (config, now, actions);
+  update_readiness (config, now, actions);
 }
 
 void
 lc_config_announce_change (LcConfig *config, LbTime now, LbList *actions)
 {
-  config->announced++;
+  config->announced_change++;
   config->announced_at = now;
   for (LcConfigPeer *peer = config->peers; peer; peer = peer->hh.next)
-    ask (config, peer, now, actions)->intent = config->announced;
+    send_query (config, peer, now, actions)->intent = config->announced_change;
 }
 
-/* The change that was announced is known not to have been committed. */
+/* The announced change is known not to be committed. */
 void
 lc_config_change_abandoned (LcConfig *config, LbTime now, LbList *actions)
 {
-  config->settled = config->announced;
-  send_have (config, "", 0, now, actions);
+  config->settled_change = config->announced_change;
+  send_status (config, "", 0, now, actions);
 }
 
-/* Asks those that are not known to have the revision in force here. */
+/* Queries peers that are not known to have the active revision of this instance. */
 void
 lc_config_query_outdated_peers (LcConfig *config, LbTime now, LbList *actions)
 {
   for (LcConfigPeer *peer = config->peers; peer; peer = peer->hh.next)
     if (peer->revision < config->set->revision)
-      ask (config, peer, now, actions);
+      send_query (config, peer, now, actions);
 }
 
-/* Asks those first that were asked longest ago. */
+/* Starts with the peers whose last query is longest ago. */
 static void
-ask_some (LcConfig *config, LbTime now, LbList *actions)
+query_oldest_peers (LcConfig *config, LbTime now, LbList *actions)
 {
-  for (size_t n = 0; n < LC_CONFIG_ASKS_PER_PERIOD; n++)
+  for (size_t n = 0; n < LC_CONFIG_QUERIES_PER_PERIOD; n++)
     {
       LcConfigPeer *oldest = NULL;
       for (LcConfigPeer *peer = config->peers; peer; peer = peer->hh.next)
-        if (!oldest || peer->asked_at < oldest->asked_at)
+        if (!oldest || peer->queried_at < oldest->queried_at)
           oldest = peer;
-      if (!oldest || oldest->asked_at == now)
+      if (!oldest || oldest->queried_at == now)
         return;
-      ask (config, oldest, now, actions);
+      send_query (config, oldest, now, actions);
     }
 }
 
 void
 lc_config_tick (LcConfig *config, LbTime now, LbList *actions)
 {
-  if (now >= config->next_poll)
+  if (now >= config->next_poll_at)
     {
-      config->next_poll = now + poll_period (config);
+      config->next_poll_at = now + random_poll_period (config);
       add_action (actions, LC_CONFIG_READ_STORE);
     }
-  if (now >= config->next_ask)
+  if (now >= config->next_query_at)
     {
-      config->next_ask = now + LC_CONFIG_ASK_PERIOD;
-      bool doubtful
+      config->next_query_at = now + LC_CONFIG_QUERY_PERIOD;
+      bool needs_confirmation
           = !config->confirmed || config->store_confirmed_at < 0
             || now - config->store_confirmed_at > config->settings.max_confirmation_age / 4;
-      if (doubtful)
-        ask_some (config, now, actions);
+      if (needs_confirmation)
+        query_oldest_peers (config, now, actions);
     }
-  update_ready (config, now, actions);
+  update_readiness (config, now, actions);
 }
--- a/packages/core/src/config/lc-desired.c
+++ b/packages/core/src/config/lc-desired.c
@@ -7,7 +7,7 @@
 #include <string.h>
 #include <strings.h>
 
-#define HEDGE_PERCENT 70 /* of the goal */
+#define HEDGE_DELAY_PERCENT 70 /* of the latency goal */
 
 LcDesired *
 lc_desired_new (int64_t version)
@@ -53,7 +53,7 @@
 }
 
 static int
-by_prefix_length (const void *a, const void *b)
+compare_prefix_lengths (const void *a, const void *b)
 {
   size_t first = strlen (((const LcRoute *)a)->prefix);
   size_t second = strlen (((const LcRoute *)b)->prefix);
@@ -65,12 +65,12 @@
 lc_desired_sort_routes (LcDesired *desired)
 {
   if (desired->n_routes > 0)
-    qsort (desired->routes, desired->n_routes, sizeof *desired->routes, by_prefix_length);
+    qsort (desired->routes, desired->n_routes, sizeof *desired->routes, compare_prefix_lengths);
 }
 
-/* The port that a caller may name beside the host selects nothing. */
+/* A port in the Host header is ignored. */
 static bool
-host_matches (const LcRoute *route, const char *host)
+matches_host (const LcRoute *route, const char *host)
 {
   size_t length = strlen (route->host);
 
@@ -84,7 +84,7 @@
   for (size_t i = 0; i < desired->n_routes; i++)
     {
       const LcRoute *route = &desired->routes[i];
-      if (host_matches (route, host) && strncmp (path, route->prefix, strlen (route->prefix)) == 0)
+      if (matches_host (route, host) && strncmp (path, route->prefix, strlen (route->prefix)) == 0)
         return route;
     }
   return NULL;
@@ -99,29 +99,29 @@
   return NULL;
 }
 
-/* An endpoint that swallows a request, or has turned slow, makes its caller wait until the
- * deadline. A second attempt after this part of the goal still answers within it as a rule, and few
- * ordinary calls take so long. */
+/* Without a hedge, an endpoint that does not answer or has become slow keeps the caller waiting
+ * until the deadline. A second attempt after HEDGE_DELAY_PERCENT of the latency goal usually still
+ * answers within the goal, and few ordinary calls take that long. */
 LbTime
 lc_route_hedge_delay (const LcRoute *route)
 {
   if (!lb_switch_is_on (LB_SWITCH_HEDGING))
     return 0;
-  return route->kind == LC_ROUTE_IDEMPOTENT ? route->latency_goal * HEDGE_PERCENT / 100 : 0;
+  return route->kind == LC_ROUTE_IDEMPOTENT ? route->latency_goal * HEDGE_DELAY_PERCENT / 100 : 0;
 }
 
 const char *
-lc_route_choose_service (const LcRoute *route, double draw)
+lc_route_choose_service (const LcRoute *route, double random)
 {
   int64_t total = 0;
 
   for (size_t i = 0; i < route->n_targets; i++)
     total += route->targets[i].weight;
-  double left = draw * (double)total;
+  double remaining = random * (double)total;
   for (size_t i = 0; i < route->n_targets; i++)
     {
-      left -= (double)route->targets[i].weight;
-      if (left < 0)
+      remaining -= (double)route->targets[i].weight;
+      if (remaining < 0)
         return route->targets[i].service;
     }
   return route->n_targets > 0 ? route->targets[route->n_targets - 1].service : "";
--- a/packages/core/src/config/lc-resources-check.c
+++ b/packages/core/src/config/lc-resources-check.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 static bool
-bad_reference (
+fail_reference (
     const char *file, LcResourceKind kind, const char *name, const char *text, LbError *error)
 {
   char where[192];
@@ -32,16 +32,17 @@
     {
       const LcSubscription *subscription = &set->subscriptions[i];
       if (!lc_resource_set_find_pool (set, subscription->pool))
-        return bad_reference (file, LC_RESOURCE_SUBSCRIPTION, subscription->name,
-                              "pool: no such pool", error);
+        return fail_reference (file, LC_RESOURCE_SUBSCRIPTION, subscription->name,
+                               "pool: does not exist", error);
       if (subscription->scorer[0] && !has_service (set, subscription->scorer))
-        return bad_reference (file, LC_RESOURCE_SUBSCRIPTION, subscription->name,
-                              "scorer: no endpoint of type service has this pool", error);
+        return fail_reference (file, LC_RESOURCE_SUBSCRIPTION, subscription->name,
+                               "scorer: no endpoint of type service has this name as its pool",
+                               error);
     }
   for (size_t i = 0; i < set->n_bounds; i++)
     if (!lc_resource_set_find_subscription (set, set->bounds[i].subscription))
-      return bad_reference (file, LC_RESOURCE_VERSION_BOUND, set->bounds[i].name,
-                            "subscription: no such subscription", error);
+      return fail_reference (file, LC_RESOURCE_VERSION_BOUND, set->bounds[i].name,
+                             "subscription: does not exist", error);
   return true;
 }
 
@@ -53,9 +54,9 @@
   return strcmp ((*first)->address, (*second)->address);
 }
 
-/* One process under two names would be counted as twice its capacity. */
+/* The capacity of a process with two names would count twice. */
 static bool
-check_addresses (const LcResourceSet *set, const char *file, LbError *error)
+check_addresses_are_unique (const LcResourceSet *set, const char *file, LbError *error)
 {
   bool ok = true;
   const LcEndpointMember **sorted = LB_NEW_ARRAY (const LcEndpointMember *, set->n_endpoints);
@@ -65,15 +66,15 @@
   qsort (sorted, set->n_endpoints, sizeof *sorted, compare_addresses);
   for (size_t i = 1; ok && i < set->n_endpoints; i++)
     if (strcmp (sorted[i - 1]->address, sorted[i]->address) == 0)
-      ok = bad_reference (file, LC_RESOURCE_ENDPOINT, sorted[i]->name,
-                          "address: another endpoint has it", error);
+      ok = fail_reference (file, LC_RESOURCE_ENDPOINT, sorted[i]->name,
+                           "address: already used by another endpoint", error);
   free (sorted);
   return ok;
 }
 
-/* The router takes all endpoints of a pool as alike. */
+/* The router treats all endpoints of a pool alike. */
 static bool
-check_mixed (const LcResourceSet *set, const char *file, LbError *error)
+check_pools_are_uniform (const LcResourceSet *set, const char *file, LbError *error)
 {
   bool *has_engine = LB_NEW_ARRAY (bool, set->n_pools);
   bool ok = true;
@@ -86,8 +87,9 @@
       const LcEndpointMember *endpoint = &set->endpoints[i];
       const LcPool *pool = lc_resource_set_find_pool (set, endpoint->pool);
       if (endpoint->kind == LC_ENDPOINT_SERVICE && pool && has_engine[pool - set->pools])
-        ok = bad_reference (file, LC_RESOURCE_ENDPOINT, endpoint->name,
-                            "pool: a service may not be in a pool that has engines", error);
+        ok = fail_reference (file, LC_RESOURCE_ENDPOINT, endpoint->name,
+                             "pool: has engines, so it can't have endpoints of type service",
+                             error);
     }
   free (has_engine);
   return ok;
@@ -100,10 +102,11 @@
     {
       const LcEndpointMember *endpoint = &set->endpoints[i];
       if (endpoint->kind == LC_ENDPOINT_ENGINE && !lc_resource_set_find_pool (set, endpoint->pool))
-        return bad_reference (file, LC_RESOURCE_ENDPOINT, endpoint->name, "pool: no such pool",
-                              error);
+        return fail_reference (file, LC_RESOURCE_ENDPOINT, endpoint->name, "pool: does not exist",
+                               error);
     }
-  return check_mixed (set, file, error) && check_addresses (set, file, error);
+  return check_pools_are_uniform (set, file, error)
+         && check_addresses_are_unique (set, file, error);
 }
 
 bool
--- a/packages/core/src/config/lc-resources.c
+++ b/packages/core/src/config/lc-resources.c
@@ -19,10 +19,10 @@
 static const double preset_idle_weights[] = { 0.5, 0.9, 0.1 };
 static const char *const endpoint_types[] = { "engine", "service", NULL };
 
-#define TEXT(type_name, json_key, member, must)                                                    \
+#define TEXT(type_name, json_key, member, is_required)                                             \
   {                                                                                                \
     .key = (json_key), .type = LB_SETTING_TEXT, .offset = offsetof (type_name, member),            \
-    .size = sizeof (LbName), .required = (must)                                                    \
+    .size = sizeof (LbName), .required = (is_required)                                             \
   }
 #define NUMBER(type_name, json_key, member, kind, low, high)                                       \
   {                                                                                                \
@@ -85,7 +85,7 @@
   { .key = NULL },
 };
 
-/* Where the resources of one kind live in a set. Every element begins with its name. */
+/* Layout of the resources of one kind in a set. The first member of each resource is its name. */
 typedef struct
 {
   const char *name;
@@ -94,9 +94,9 @@
   size_t items_offset;
   size_t count_offset;
   size_t max_count;
-} KindClass;
+} ResourceKindInfo;
 
-static const KindClass kinds[LC_N_RESOURCE_KINDS] = {
+static const ResourceKindInfo kinds[LC_N_RESOURCE_KINDS] = {
   [LC_RESOURCE_POOL] = { "pool", pool_specs, sizeof (LcPool), offsetof (LcResourceSet, pools),
                          offsetof (LcResourceSet, n_pools), MAX_POOLS },
   [LC_RESOURCE_SUBSCRIPTION] = { "subscription", subscription_specs, sizeof (LcSubscription),
@@ -111,13 +111,13 @@
 };
 
 static char **
-items_of (const LcResourceSet *set, LcResourceKind kind)
+items_field (const LcResourceSet *set, LcResourceKind kind)
 {
   return (char **)((char *)set + kinds[kind].items_offset);
 }
 
 static size_t *
-count_of (const LcResourceSet *set, LcResourceKind kind)
+count_field (const LcResourceSet *set, LcResourceKind kind)
 {
   return (size_t *)((char *)set + kinds[kind].count_offset);
 }
@@ -129,11 +129,11 @@
 }
 
 static const void *
-find (const LcResourceSet *set, LcResourceKind kind, const char *name)
+find_resource (const LcResourceSet *set, LcResourceKind kind, const char *name)
 {
-  if (*count_of (set, kind) == 0)
+  if (*count_field (set, kind) == 0)
     return NULL;
-  return bsearch (name, *items_of (set, kind), *count_of (set, kind), kinds[kind].size,
+  return bsearch (name, *items_field (set, kind), *count_field (set, kind), kinds[kind].size,
                   compare_names);
 }
 
@@ -148,9 +148,9 @@
     *(LcEndpointMember *)item = (LcEndpointMember){ .checks_fence = true, .concurrency = 32 };
 }
 
-/* Names become parts of URLs, row keys and log lines. */
+/* Names appear in URLs, row keys and log lines. */
 static bool
-is_name (const char *name)
+is_valid_name (const char *name)
 {
   static const char allowed[] = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._-";
 
@@ -158,7 +158,7 @@
 }
 
 static bool
-is_address (const char *address)
+is_valid_address (const char *address)
 {
   LbName host;
   struct in_addr ip;
@@ -174,7 +174,6 @@
          && port <= 65535;
 }
 
-/* "FILE: KIND/NAME" or, while these are not known, "FILE: resources[INDEX]". */
 void
 lc_resource_format_where (
     char *where, size_t size, const char *file, size_t index, const char *kind, const char *name)
@@ -186,7 +185,7 @@
 }
 
 static struct json_object *
-without_kind (struct json_object *object)
+copy_without_kind (struct json_object *object)
 {
   struct json_object *copy = json_object_new_object ();
 
@@ -202,14 +201,14 @@
 read_item (
     struct json_object *object, LcResourceKind kind, void *item, const char *where, LbError *error)
 {
-  struct json_object *body = without_kind (object);
+  struct json_object *body = copy_without_kind (object);
 
   set_defaults (kind, item);
   bool ok = lb_settings_apply (body, kinds[kind].specs, item, where, error);
   json_object_put (body);
   if (!ok)
     return false;
-  if (!is_name (item))
+  if (!is_valid_name (item))
     return lb_error_set (error, LB_ERROR_BAD_VALUE, where,
                          "name: expected letters, digits, '-', '_' and '.'");
   if (kind == LC_RESOURCE_SUBSCRIPTION)
@@ -217,13 +216,13 @@
       LcSubscription *subscription = item;
       subscription->idle_weight = preset_idle_weights[subscription->preset];
     }
-  if (kind == LC_RESOURCE_ENDPOINT && !is_address (((LcEndpointMember *)item)->address))
+  if (kind == LC_RESOURCE_ENDPOINT && !is_valid_address (((LcEndpointMember *)item)->address))
     return lb_error_set (error, LB_ERROR_BAD_VALUE, where,
-                         "address: expected an IP number and a port, as in 127.0.0.1:9000");
+                         "address: expected an IPv4 address and a port, as in 127.0.0.1:9000");
   return true;
 }
 
-/* Reads the kind of a resource; where is set for all further errors. */
+/* Also formats the location of the resource, for all further errors. */
 static bool
 read_kind (struct json_object *object,
            size_t index,
@@ -239,7 +238,7 @@
   if (!json_object_is_type (object, json_type_object))
     return lb_error_set (error, LB_ERROR_BAD_VALUE, where, "expected an object");
   if (!name)
-    return lb_error_set (error, LB_ERROR_MISSING_KEY, where, "kind: this key is required");
+    return lb_error_set (error, LB_ERROR_MISSING_KEY, where, "kind: key is missing");
   if (!lc_resource_kind_from_name (name, kind))
     return lb_error_set (error, LB_ERROR_BAD_VALUE, where,
                          "kind: expected one of: pool subscription version_bound endpoint");
@@ -249,10 +248,10 @@
 static bool
 check_count (const LcResourceSet *set, LcResourceKind kind, const char *where, LbError *error)
 {
-  if (*count_of (set, kind) < kinds[kind].max_count)
+  if (*count_field (set, kind) < kinds[kind].max_count)
     return true;
-  return lb_error_set (error, LB_ERROR_OUT_OF_RANGE, where, "expected at most %zu of this kind",
-                       kinds[kind].max_count);
+  return lb_error_set (error, LB_ERROR_OUT_OF_RANGE, where,
+                       "expected at most %zu resources of this kind", kinds[kind].max_count);
 }
 
 static bool
@@ -265,23 +264,23 @@
   if (!read_kind (object, index, file, where, sizeof where, &kind, error)
       || !check_count (set, kind, where, error))
     return false;
-  size_t *count = count_of (set, kind);
-  if (!read_item (object, kind, *items_of (set, kind) + *count * kinds[kind].size, where, error))
+  size_t *count = count_field (set, kind);
+  if (!read_item (object, kind, *items_field (set, kind) + *count * kinds[kind].size, where, error))
     return false;
   (*count)++;
   return true;
 }
 
-/* The place of the name in order, or where it would be. */
+/* Returns the index of the name in the sorted resources, or the index to insert it at. */
 static size_t
-place_of (const LcResourceSet *set, LcResourceKind kind, const char *name)
+find_position (const LcResourceSet *set, LcResourceKind kind, const char *name)
 {
-  size_t low = 0, high = *count_of (set, kind);
+  size_t low = 0, high = *count_field (set, kind);
 
   while (low < high)
     {
       size_t middle = (low + high) / 2;
-      if (strcmp (*items_of (set, kind) + middle * kinds[kind].size, name) < 0)
+      if (strcmp (*items_field (set, kind) + middle * kinds[kind].size, name) < 0)
         low = middle + 1;
       else
         high = middle;
@@ -290,10 +289,10 @@
 }
 
 static bool
-is_at (const LcResourceSet *set, LcResourceKind kind, size_t place, const char *name)
+has_name_at (const LcResourceSet *set, LcResourceKind kind, size_t position, const char *name)
 {
-  return place < *count_of (set, kind)
-         && strcmp (*items_of (set, kind) + place * kinds[kind].size, name) == 0;
+  return position < *count_field (set, kind)
+         && strcmp (*items_field (set, kind) + position * kinds[kind].size, name) == 0;
 }
 
 bool
@@ -307,17 +306,17 @@
   if (!read_kind (object, index, file, where, sizeof where, &kind, error))
     return false;
   size_t size = kinds[kind].size;
-  size_t *count = count_of (set, kind);
+  size_t *count = count_field (set, kind);
   char *item = lb_calloc (1, size);
   if (!read_item (object, kind, item, where, error))
     goto out;
-  size_t place = place_of (set, kind, item);
-  char *slot = *items_of (set, kind) + place * size;
-  if (!is_at (set, kind, place, item))
+  size_t position = find_position (set, kind, item);
+  char *slot = *items_field (set, kind) + position * size;
+  if (!has_name_at (set, kind, position, item))
     {
       if (!check_count (set, kind, where, error))
         goto out;
-      memmove (slot + size, slot, (*count - place) * size);
+      memmove (slot + size, slot, (*count - position) * size);
       (*count)++;
     }
   memcpy (slot, item, size);
@@ -331,41 +330,45 @@
 lc_resource_set_remove (LcResourceSet *set, LcResourceKind kind, const char *name)
 {
   size_t size = kinds[kind].size;
-  size_t *count = count_of (set, kind);
-  size_t place = place_of (set, kind, name);
-  char *slot = *items_of (set, kind) + place * size;
+  size_t *count = count_field (set, kind);
+  size_t position = find_position (set, kind, name);
+  char *slot = *items_field (set, kind) + position * size;
 
-  if (!is_at (set, kind, place, name))
+  if (!has_name_at (set, kind, position, name))
     return false;
   (*count)--;
-  memmove (slot, slot + size, (*count - place) * size);
+  memmove (slot, slot + size, (*count - position) * size);
   return true;
 }
 
 static bool
-check_doubled (const LcResourceSet *set, LcResourceKind kind, const char *file, LbError *error)
+check_names_are_unique (const LcResourceSet *set,
+                        LcResourceKind kind,
+                        const char *file,
+                        LbError *error)
 {
   char where[192];
-  const char *items = *items_of (set, kind);
+  const char *items = *items_field (set, kind);
 
-  for (size_t i = 1; i < *count_of (set, kind); i++)
+  for (size_t i = 1; i < *count_field (set, kind); i++)
     {
       const char *item = items + i * kinds[kind].size;
       if (strcmp (item - kinds[kind].size, item) != 0)
         continue;
       lc_resource_format_where (where, sizeof where, file, 0, kinds[kind].name, item);
-      return lb_error_set (error, LB_ERROR_BAD_VALUE, where, "name: given twice");
+      return lb_error_set (error, LB_ERROR_BAD_VALUE, where,
+                           "name: already used by another resource of this kind");
     }
   return true;
 }
 
 static bool
-fill (LcResourceSet *set, struct json_object *list, const char *file, LbError *error)
+read_resources (LcResourceSet *set, struct json_object *list, const char *file, LbError *error)
 {
   size_t length = json_object_array_length (list);
 
   for (int kind = 0; kind < LC_N_RESOURCE_KINDS; kind++)
-    *items_of (set, kind)
+    *items_field (set, kind)
         = lb_calloc (length < kinds[kind].max_count ? length : kinds[kind].max_count,
                      kinds[kind].size);
   for (size_t i = 0; i < length; i++)
@@ -373,23 +376,23 @@
       return false;
   for (int kind = 0; kind < LC_N_RESOURCE_KINDS; kind++)
     {
-      qsort (*items_of (set, kind), *count_of (set, kind), kinds[kind].size, compare_names);
-      if (!check_doubled (set, kind, file, error))
+      qsort (*items_field (set, kind), *count_field (set, kind), kinds[kind].size, compare_names);
+      if (!check_names_are_unique (set, kind, file, error))
         return false;
     }
   return lc_resource_set_check (set, file, error);
 }
 
-/* Faults of the outer object: unknown keys and a revision or list of the wrong type. */
+/* Reads the keys of the outermost object. */
 static bool
-read_outer (struct json_object *object,
-            int64_t *revision,
-            struct json_object **list,
-            const char *file,
-            LbError *error)
+read_document (struct json_object *object,
+               int64_t *revision,
+               struct json_object **list,
+               const char *file,
+               LbError *error)
 {
   if (!json_object_is_type (object, json_type_object))
-    return lb_error_set (error, LB_ERROR_BAD_VALUE, file, "expected an object with resources");
+    return lb_error_set (error, LB_ERROR_BAD_VALUE, file, "expected an object with key resources");
   json_object_object_foreach (object, key, value)
   {
     if (strcmp (key, "resources") == 0 && json_object_is_type (value, json_type_array))
@@ -397,13 +400,12 @@
     else if (strcmp (key, "revision") == 0 && json_object_is_type (value, json_type_int))
       *revision = json_object_get_int64 (value);
     else if (strcmp (key, "resources") == 0 || strcmp (key, "revision") == 0)
-      return lb_error_set (error, LB_ERROR_BAD_VALUE, file, "%s: wrong type", key);
+      return lb_error_set (error, LB_ERROR_BAD_VALUE, file, "%s: has the wrong type", key);
     else
-      return lb_error_set (error, LB_ERROR_UNKNOWN_KEY, file, "%s: no key of this name is known",
-                           key);
+      return lb_error_set (error, LB_ERROR_UNKNOWN_KEY, file, "%s: unknown key", key);
   }
   if (!*list)
-    return lb_error_set (error, LB_ERROR_MISSING_KEY, file, "resources: this key is required");
+    return lb_error_set (error, LB_ERROR_MISSING_KEY, file, "resources: key is missing");
   if (*revision < 0)
     return lb_error_set (error, LB_ERROR_OUT_OF_RANGE, file, "revision: expected 0 or more");
   return true;
@@ -415,7 +417,8 @@
   struct json_object *list = NULL;
   LcResourceSet *set = LB_NEW (LcResourceSet);
 
-  if (read_outer (object, &set->revision, &list, file, error) && fill (set, list, file, error))
+  if (read_document (object, &set->revision, &list, file, error)
+      && read_resources (set, list, file, error))
     return set;
   lc_resource_set_free (set);
   return NULL;
@@ -456,7 +459,7 @@
   return object;
 }
 
-/* {"revision", "resources"}: every key of every resource, in order of kind and name. */
+/* Writes every key of every resource, sorted by kind and name. */
 struct json_object *
 lc_resource_set_to_json (const LcResourceSet *set)
 {
@@ -464,9 +467,9 @@
   struct json_object *list = json_object_new_array ();
 
   for (int kind = 0; kind < LC_N_RESOURCE_KINDS; kind++)
-    for (size_t i = 0; i < *count_of (set, kind); i++)
+    for (size_t i = 0; i < *count_field (set, kind); i++)
       json_object_array_add (list,
-                             item_to_json (kind, *items_of (set, kind) + i * kinds[kind].size));
+                             item_to_json (kind, *items_field (set, kind) + i * kinds[kind].size));
   json_object_object_add (object, "revision", json_object_new_int64 (set->revision));
   json_object_object_add (object, "resources", list);
   return object;
@@ -479,11 +482,11 @@
 
   for (int kind = 0; kind < LC_N_RESOURCE_KINDS; kind++)
     {
-      size_t used = *count_of (set, kind) * kinds[kind].size;
+      size_t used = *count_field (set, kind) * kinds[kind].size;
       char *items = lb_malloc (used + room * kinds[kind].size);
       if (used > 0)
-        memcpy (items, *items_of (set, kind), used);
-      *items_of (copy, kind) = items;
+        memcpy (items, *items_field (set, kind), used);
+      *items_field (copy, kind) = items;
     }
   return copy;
 }
@@ -500,7 +503,7 @@
   if (!set)
     return;
   for (int kind = 0; kind < LC_N_RESOURCE_KINDS; kind++)
-    free (*items_of (set, kind));
+    free (*items_field (set, kind));
   free (set);
 }
 
@@ -525,19 +528,19 @@
 const LcPool *
 lc_resource_set_find_pool (const LcResourceSet *set, const char *name)
 {
-  return find (set, LC_RESOURCE_POOL, name);
+  return find_resource (set, LC_RESOURCE_POOL, name);
 }
 
 const LcSubscription *
 lc_resource_set_find_subscription (const LcResourceSet *set, const char *name)
 {
-  return find (set, LC_RESOURCE_SUBSCRIPTION, name);
+  return find_resource (set, LC_RESOURCE_SUBSCRIPTION, name);
 }
 
 const LcEndpointMember *
 lc_resource_set_find_endpoint (const LcResourceSet *set, const char *name)
 {
-  return find (set, LC_RESOURCE_ENDPOINT, name);
+  return find_resource (set, LC_RESOURCE_ENDPOINT, name);
 }
 
 int64_t
