--- a/packages/core/include/lc-organisations.h
+++ b/packages/core/include/lc-organisations.h
@@ -3,8 +3,8 @@
 
 #include "lb-error.h"
 
-/* Who callers are: organisations, and the keys by which they are known. Keys are held as digests
- * alone, so that no log, dump or row of ours can give one away. Filled once, then only read. */
+/* Organisations and the API keys that identify them as callers. Only digests of keys are stored,
+ * so that no log, core dump or stored row reveals a key. Filled once, then read-only. */
 
 #define LC_KEY_DIGEST_SIZE 32
 
@@ -13,13 +13,13 @@
   unsigned char bytes[LC_KEY_DIGEST_SIZE];
 } LcKeyDigest;
 
-/* Of the text by which a log names a key, with the NUL: eight hexadecimal digits of its digest. */
+/* Size, with the NUL, of a key's id in logs: the first eight hexadecimal digits of its digest. */
 #define LC_KEY_LOG_ID_SIZE 9
 
-/* False when the library refuses, which it does for want of memory alone. */
+/* Returns false if OpenSSL fails, which happens only when memory runs out. */
 bool lc_key_compute_digest (const char *key, LcKeyDigest *digest);
-void lc_key_format_log_id (const LcKeyDigest *digest, char mark[LC_KEY_LOG_ID_SIZE]);
-/* The digest as text, 64 hexadecimal digits. */
+void lc_key_format_log_id (const LcKeyDigest *digest, char log_id[LC_KEY_LOG_ID_SIZE]);
+/* Size, with the NUL, of a digest as 64 hexadecimal digits. */
 #define LC_KEY_DIGEST_TEXT_SIZE (2 * LC_KEY_DIGEST_SIZE + 1)
 void lc_key_digest_to_text (const LcKeyDigest *digest, char text[LC_KEY_DIGEST_TEXT_SIZE]);
 bool lc_key_digest_from_text (const char *text, LcKeyDigest *digest);
@@ -27,7 +27,7 @@
 typedef struct
 {
   LbName name;
-  int priority; /* larger first; it goes before that of a route */
+  int priority; /* larger first; has precedence over the priority of a route */
 } LcOrganisation;
 
 typedef struct LcOrganisations LcOrganisations;
@@ -36,22 +36,22 @@
 void lc_organisations_free (LcOrganisations *organisations);
 
 /* commands */
-/* False with an error: it has no name, or another one has the same. */
+/* Returns false with an error if the name is empty or already in use. */
 bool lc_organisations_add (LcOrganisations *organisations,
                            const LcOrganisation *organisation,
                            LbError *error);
-/* Of the organisation that was added last. False with an error: another one has the same key, and
- * whose call it is could not be told. */
+/* Adds a key to the organisation that was added last. Returns false with an error if another
+ * organisation has the same key, since the key would not identify the caller. */
 bool lc_organisations_add_key (LcOrganisations *organisations,
                                const LcKeyDigest *digest,
                                LbError *error);
 
 /* queries */
 size_t lc_organisations_count (const LcOrganisations *organisations);
-/* NULL: nobody holds the key. */
+/* Returns the organisation that has the key; NULL if there is none. */
 const LcOrganisation *lc_organisations_find_by_key (const LcOrganisations *organisations,
                                                     const LcKeyDigest *digest);
-/* NULL: none has the name. */
+/* Returns NULL if no organisation has the name. */
 const LcOrganisation *lc_organisations_find (const LcOrganisations *organisations,
                                              const char *name);
 
--- a/packages/core/include/lc-true-time.h
+++ b/packages/core/include/lc-true-time.h
@@ -3,12 +3,12 @@
 
 #include "lb-types.h"
 
-/* True time as the instances know it together. The time of day of a machine may jump by seconds and
- * back; the steady clock of a shared store does not, but says nothing of the hour. So each instance
- * tells by how much its time of day is ahead of the store's clock, and all go by the median of
- * that. No I/O. */
+/* Wall-clock time that all instances agree on. The wall clock of a machine may jump by seconds; the
+ * monotonic clock of the shared store does not, but is not related to the time of day. So each
+ * instance publishes the offset of its wall clock from the store's clock, and all use the median
+ * of these offsets. No I/O. */
 
-/* The median; n > 0. */
-int64_t lc_true_time_median_offset (const int64_t *leads, size_t n);
+/* n must be above 0. */
+int64_t lc_true_time_median_offset (const int64_t *offsets, size_t n);
 
 #endif
--- a/packages/core/include/lc-usage-reports.h
+++ b/packages/core/include/lc-usage-reports.h
@@ -3,43 +3,43 @@
 
 #include "lc-usage.h"
 
-/* The reports of usage as the holder of the duty makes them: which window is due, from which rows
- * it is added up, and what is sent. What is sent for a window is decided once: it is written to the
- * store under the condition that nothing stands there, before it is sent for the first time, and
- * every later holder repeats just that. So there are never two reports of one window that differ.
- * No I/O: each action is answered once by the command of its name. */
+/* Usage reports, sent by the holder of the usage duty: sums the rows of each window and sends the
+ * result to the platform. The text of a report is recorded in the store, on condition that none is
+ * recorded yet, before it is first sent; every later holder sends the recorded text. So no two
+ * reports of one window ever differ. No I/O: each action is answered exactly once by its command.
+ */
 
 typedef struct
 {
   int64_t window_ms;
-  int64_t settle_delay_ms; /* after its end until its rows are taken to be whole, while the store is
-                              well */
-  int64_t max_delay_ms;    /* after its end it is decided by whatever rows there are */
+  /* From the end of a window until its rows are considered complete, if the store is available. */
+  int64_t settle_delay_ms;
+  /* From the end of a window until it is reported from whatever rows there are. */
+  int64_t max_delay_ms;
 } LcUsageReportSettings;
 
 typedef enum
 {
-  LC_USAGE_READ_REPORTS,  /* the reports that were decided: answer with was_read */
-  LC_USAGE_SUM_ROWS,      /* add up the rows of the window: answer with counted */
-  LC_USAGE_RECORD_REPORT, /* write `text` for the window if nothing stands there: answer with
-                             decided */
-  LC_USAGE_SEND_REPORT,   /* report `text`: answer with sent */
-  LC_USAGE_CLOSE_WINDOW /* remove the window's rows and note that it was sent: answer with closed */
+  LC_USAGE_READ_REPORTS,  /* read the recorded reports; answered by read_completed */
+  LC_USAGE_SUM_ROWS,      /* sum the rows of the window; answered by sum_completed */
+  LC_USAGE_RECORD_REPORT, /* record text if the window has none; answered by record_completed */
+  LC_USAGE_SEND_REPORT,   /* send text to the platform; answered by send_completed */
+  LC_USAGE_CLOSE_WINDOW /* delete the rows, mark the report as sent; answered by close_completed */
 } LcUsageActionType;
 
 typedef struct
 {
   LcUsageActionType type;
   int64_t window;
-  const char *text; /* DECIDE, SEND: valid until the next command */
+  const char *text; /* RECORD_REPORT, SEND_REPORT: valid until the next command */
 } LcUsageAction;
 
-/* How a report was received. */
+/* Result of sending a report. */
 typedef enum
 {
   LC_USAGE_ACCEPTED,
-  LC_USAGE_NO_ANSWER, /* it may be taken, or be taken later */
-  LC_USAGE_REFUSED    /* not now, or not from this holder */
+  LC_USAGE_NO_ANSWER, /* the platform may have accepted it, or may still do so */
+  LC_USAGE_REFUSED    /* at present, or from this holder */
 } LcUsageSendResult;
 
 typedef struct LcUsageReports LcUsageReports;
@@ -48,42 +48,44 @@
 void lc_usage_reports_free (LcUsageReports *reports);
 
 /* commands */
-/* This instance has the duty from now on, and knows nothing of what earlier holders did. */
+/* This instance holds the duty from now on; starts without any state of earlier holders. */
 void lc_usage_reports_duty_acquired (LcUsageReports *reports);
 void lc_usage_reports_duty_lost (LcUsageReports *reports);
-/* A report that an earlier holder decided; before was_read. */
+/* Adds a report that is recorded in the store; before read_completed. */
 void lc_usage_reports_add_recorded (LcUsageReports *reports,
                                     int64_t window,
                                     const char *text,
                                     bool is_sent);
-/* Rows of counts of the window stand in the store; before was_read. */
+/* Adds a window that has rows in the store; before read_completed. */
 void lc_usage_reports_add_row_window (LcUsageReports *reports, int64_t window);
 void lc_usage_reports_read_completed (LcUsageReports *reports, bool ok, LbTime now);
-/* counts: NULL: the rows could not be read. */
+/* counts: NULL if the rows could not be read. */
 void lc_usage_reports_sum_completed (LcUsageReports *reports,
                                      int64_t window,
                                      LcUsageCounts *counts,
                                      LbTime now);
-/* other: what stands there already; NULL: nothing did, or the outcome is not known. */
+/* recorded: text that was already recorded for the window; NULL if there was none or the outcome
+ * is not known. */
 void lc_usage_reports_record_completed (
-    LcUsageReports *reports, int64_t window, bool ok, const char *other, LbTime now);
+    LcUsageReports *reports, int64_t window, bool ok, const char *recorded, LbTime now);
 void lc_usage_reports_send_completed (LcUsageReports *reports,
                                       int64_t window,
-                                      LcUsageSendResult receipt,
+                                      LcUsageSendResult result,
                                       LbTime now);
 void
 lc_usage_reports_close_completed (LcUsageReports *reports, int64_t window, bool ok, LbTime now);
-/* The store failed to answer here. */
+/* A request to the store failed on this instance. */
 void lc_usage_reports_store_failed (LcUsageReports *reports, LbTime now);
-/* The next thing to do; false: nothing now. true_ms: Unix milliseconds. */
+/* Returns false if there is nothing to do now. true_ms: Unix milliseconds, see lc-true-time.h. */
 bool lc_usage_reports_next_action (LcUsageReports *reports,
                                    int64_t true_ms,
                                    LbTime now,
                                    LcUsageAction *action);
 
 /* queries */
-/* Another one each time that this instance gets the duty; 0: it does not have it. An answer to an
- * action of an earlier one must not be passed on: it would be taken for that of the present one. */
+/* Number that changes each time this instance acquires the duty; 0: it does not hold it. Answers
+ * to actions of an earlier epoch must be dropped, since they can't be told from those to the
+ * actions of the present one. */
 int64_t lc_usage_reports_duty_epoch (const LcUsageReports *reports);
 
 #endif
--- a/packages/core/src/usage/lc-organisations.c
+++ b/packages/core/src/usage/lc-organisations.c
@@ -9,25 +9,25 @@
 #include <string.h>
 #include <uthash.h>
 
-#define MARK_BYTES ((LC_KEY_LOG_ID_SIZE - 1) / 2)
+#define LOG_ID_BYTES ((LC_KEY_LOG_ID_SIZE - 1) / 2)
 
 typedef struct
 {
-  LcOrganisation organisation; /* first */
-  UT_hash_handle hh;           /* by name */
+  LcOrganisation organisation;
+  UT_hash_handle hh; /* by name */
 } Entry;
 
 typedef struct
 {
   LcKeyDigest digest;
-  const Entry *holder;
+  const Entry *entry;
   UT_hash_handle hh; /* by digest */
 } Key;
 
 struct LcOrganisations
 {
   Entry *entries;
-  Entry *last; /* that was added */
+  Entry *last_added;
   Key *keys;
 };
 
@@ -38,22 +38,22 @@
 }
 
 static void
-bytes_to_text (const unsigned char *bytes, size_t n, char *text)
+format_hex (const unsigned char *bytes, size_t n, char *text)
 {
   for (size_t i = 0; i < n; i++)
     snprintf (text + 2 * i, 3, "%02x", bytes[i]);
 }
 
 void
-lc_key_format_log_id (const LcKeyDigest *digest, char mark[LC_KEY_LOG_ID_SIZE])
+lc_key_format_log_id (const LcKeyDigest *digest, char log_id[LC_KEY_LOG_ID_SIZE])
 {
-  bytes_to_text (digest->bytes, MARK_BYTES, mark);
+  format_hex (digest->bytes, LOG_ID_BYTES, log_id);
 }
 
 void
 lc_key_digest_to_text (const LcKeyDigest *digest, char text[LC_KEY_DIGEST_TEXT_SIZE])
 {
-  bytes_to_text (digest->bytes, LC_KEY_DIGEST_SIZE, text);
+  format_hex (digest->bytes, LC_KEY_DIGEST_SIZE, text);
 }
 
 bool
@@ -116,20 +116,20 @@
   Entry *entry = NULL;
 
   if (organisation->name[0] == '\0')
-    return lb_error_set (error, LB_ERROR_MISSING_KEY, "name", "an organisation needs a name");
+    return lb_error_set (error, LB_ERROR_MISSING_KEY, "name", "organisation has an empty name");
   if (find_entry (organisations, organisation->name))
     return lb_error_set (error, LB_ERROR_BAD_VALUE, organisation->name,
-                         "two organisations have this name");
+                         "another organisation has the same name");
   entry = LB_NEW (Entry);
   entry->organisation = *organisation;
   HASH_ADD_KEYPTR (hh, organisations->entries, entry->organisation.name,
                    strlen (entry->organisation.name), entry);
-  organisations->last = entry;
+  organisations->last_added = entry;
   return true;
 }
 
-/* The table finds a key by its digest, so the time that takes tells nothing of a key that almost
- * fits; the comparison that decides takes the same time for all. */
+/* The lookup is by digest and the final comparison takes constant time, so timing reveals nothing
+ * about how close a guessed key is. */
 static Key *
 find_key (const LcOrganisations *organisations, const LcKeyDigest *digest)
 {
@@ -145,20 +145,20 @@
 lc_organisations_add_key (LcOrganisations *organisations, const LcKeyDigest *digest, LbError *error)
 {
   Key *key = find_key (organisations, digest);
-  char mark[LC_KEY_LOG_ID_SIZE];
+  char log_id[LC_KEY_LOG_ID_SIZE];
 
-  if (key && key->holder == organisations->last)
+  if (key && key->entry == organisations->last_added)
     return true;
   if (key)
     {
-      lc_key_format_log_id (digest, mark);
-      return lb_error_set (error, LB_ERROR_BAD_VALUE, organisations->last->organisation.name,
-                           "its key %s is that of %s as well", mark,
-                           key->holder->organisation.name);
+      lc_key_format_log_id (digest, log_id);
+      return lb_error_set (error, LB_ERROR_BAD_VALUE, organisations->last_added->organisation.name,
+                           "key %s already belongs to organisation %s", log_id,
+                           key->entry->organisation.name);
     }
   key = LB_NEW (Key);
   key->digest = *digest;
-  key->holder = organisations->last;
+  key->entry = organisations->last_added;
   HASH_ADD (hh, organisations->keys, digest, sizeof key->digest, key);
   return true;
 }
@@ -174,7 +174,7 @@
 {
   const Key *key = find_key (organisations, digest);
 
-  return key ? &key->holder->organisation : NULL;
+  return key ? &key->entry->organisation : NULL;
 }
 
 const LcOrganisation *
--- a/packages/core/src/usage/lc-true-time.c
+++ b/packages/core/src/usage/lc-true-time.c
@@ -6,14 +6,14 @@
 #include <gsl/gsl_statistics.h>
 #include <stdlib.h>
 
-/* Milliseconds since 1970 fit a double without loss. */
+/* A double holds milliseconds since 1970 without loss. */
 int64_t
-lc_true_time_median_offset (const int64_t *leads, size_t n)
+lc_true_time_median_offset (const int64_t *offsets, size_t n)
 {
   double *values = LB_NEW_ARRAY (double, n);
 
   for (size_t i = 0; i < n; i++)
-    values[i] = (double)leads[i];
+    values[i] = (double)offsets[i];
   gsl_sort (values, 1, n);
   double median = gsl_stats_median_from_sorted_data (values, 1, n);
   free (values);
--- a/packages/core/src/usage/lc-usage-reports.c
+++ b/packages/core/src/usage/lc-usage-reports.c
@@ -6,19 +6,21 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* After an action that failed. */
-#define RETRY (250 * LB_MSEC)
-/* Instances write what they could not, and rows that were on their way arrive. */
-#define STORE_RETURN (1500 * LB_MSEC)
-/* Windows that ended without a holder and are caught up; older ones are long overdue. */
-#define MAX_BEHIND 24
+/* Between a failed action and its repetition. */
+#define RETRY_DELAY (250 * LB_MSEC)
+/* Once the store is available again, instances need this time to write the rows that failed, and
+ * delayed writes arrive. */
+#define STORE_RECOVERY_DELAY (1500 * LB_MSEC)
+/* Windows that ended while no instance held the duty and are still reported; older ones are long
+ * overdue. */
+#define MAX_CATCH_UP_WINDOWS 24
 
 typedef enum
 {
-  WINDOW_OPEN,    /* its rows are not whole yet */
-  WINDOW_COUNTED, /* text is what shall be decided */
-  WINDOW_DECIDED, /* text stands in the store */
-  WINDOW_SENT,    /* and was taken */
+  WINDOW_OPEN,     /* its rows are not complete yet */
+  WINDOW_SUMMED,   /* text is to be recorded */
+  WINDOW_RECORDED, /* text is recorded in the store */
+  WINDOW_SENT,     /* the platform accepted text */
   WINDOW_CLOSED
 } WindowState;
 
@@ -28,21 +30,21 @@
   int64_t number;
   WindowState state;
   char *text;
-  bool busy; /* an action is on its way */
+  bool has_pending_action;
   LbTime retry_at;
 } Window;
 
 struct LcUsageReports
 {
   LcUsageReportSettings settings;
-  LbList windows; /* by number */
-  int64_t first;  /* window that is looked after; -1: the one that runs when the duty begins */
-  int64_t epoch;  /* counts the times that this instance got the duty */
-  bool active;
+  LbList windows;
+  int64_t first_window; /* oldest window to report; -1: none known yet, becomes the current one */
+  int64_t epoch;        /* incremented each time the duty is acquired */
+  bool has_duty;
   bool has_read;
   bool is_reading;
-  LbTime read_again_at;
-  LbTime store_failed_at; /* 0: it did not */
+  LbTime next_read_at;
+  LbTime store_failed_at; /* 0: never */
 };
 
 LcUsageReports *
@@ -56,7 +58,7 @@
 }
 
 static void
-drop (LcUsageReports *reports, Window *window)
+remove_window (LcUsageReports *reports, Window *window)
 {
   lb_list_remove (&reports->windows, &window->link);
   free (window->text);
@@ -64,11 +66,11 @@
 }
 
 static void
-drop_all (LcUsageReports *reports)
+remove_all_windows (LcUsageReports *reports)
 {
   LB_LIST_FOREACH (&reports->windows, Window, link, window)
   {
-    drop (reports, window);
+    remove_window (reports, window);
   }
 }
 
@@ -77,31 +79,31 @@
 {
   if (!reports)
     return;
-  drop_all (reports);
+  remove_all_windows (reports);
   free (reports);
 }
 
 void
 lc_usage_reports_duty_acquired (LcUsageReports *reports)
 {
-  drop_all (reports);
+  remove_all_windows (reports);
   reports->epoch++;
-  reports->first = -1;
-  reports->active = true;
+  reports->first_window = -1;
+  reports->has_duty = true;
   reports->has_read = false;
   reports->is_reading = false;
-  reports->read_again_at = 0;
+  reports->next_read_at = 0;
 }
 
 void
 lc_usage_reports_duty_lost (LcUsageReports *reports)
 {
-  drop_all (reports);
-  reports->active = false;
+  remove_all_windows (reports);
+  reports->has_duty = false;
 }
 
 static Window *
-find (const LcUsageReports *reports, int64_t number)
+find_window (const LcUsageReports *reports, int64_t number)
 {
   LB_LIST_FOREACH (&reports->windows, Window, link, window)
   {
@@ -112,7 +114,7 @@
 }
 
 static Window *
-add (LcUsageReports *reports, int64_t number)
+add_window (LcUsageReports *reports, int64_t number)
 {
   Window *window = LB_NEW (Window);
 
@@ -122,17 +124,17 @@
 }
 
 static void
-note_first (LcUsageReports *reports, int64_t number)
+lower_first_window (LcUsageReports *reports, int64_t number)
 {
-  if (reports->first < 0 || number < reports->first)
-    reports->first = number;
+  if (reports->first_window < 0 || number < reports->first_window)
+    reports->first_window = number;
 }
 
 void
 lc_usage_reports_add_row_window (LcUsageReports *reports, int64_t number)
 {
-  if (reports->active && !reports->has_read)
-    note_first (reports, number);
+  if (reports->has_duty && !reports->has_read)
+    lower_first_window (reports, number);
 }
 
 void
@@ -143,11 +145,11 @@
 {
   Window *window = NULL;
 
-  if (!reports->active || reports->has_read || find (reports, number))
+  if (!reports->has_duty || reports->has_read || find_window (reports, number))
     return;
-  note_first (reports, number);
-  window = add (reports, number);
-  window->state = is_sent ? WINDOW_CLOSED : WINDOW_DECIDED;
+  lower_first_window (reports, number);
+  window = add_window (reports, number);
+  window->state = is_sent ? WINDOW_CLOSED : WINDOW_RECORDED;
   window->text = lb_strdup (text);
 }
 
@@ -156,9 +158,9 @@
 {
   reports->is_reading = false;
   reports->has_read = ok;
-  reports->read_again_at = now + RETRY;
+  reports->next_read_at = now + RETRY_DELAY;
   if (!ok)
-    drop_all (reports);
+    remove_all_windows (reports);
 }
 
 void
@@ -167,17 +169,18 @@
   reports->store_failed_at = now;
 }
 
-/* The window of an answer, if it is still that of this holder's action. */
+/* Returns the window of a successful answer; NULL if the action failed, which is then retried
+ * later, or if no action of the window is pending. */
 static Window *
-answered (LcUsageReports *reports, int64_t number, bool ok, LbTime now)
+finish_action (LcUsageReports *reports, int64_t number, bool ok, LbTime now)
 {
-  Window *window = find (reports, number);
+  Window *window = find_window (reports, number);
 
-  if (!window || !window->busy)
+  if (!window || !window->has_pending_action)
     return NULL;
-  window->busy = false;
+  window->has_pending_action = false;
   if (!ok)
-    window->retry_at = now + RETRY;
+    window->retry_at = now + RETRY_DELAY;
   return ok ? window : NULL;
 }
 
@@ -187,36 +190,36 @@
                                 LcUsageCounts *counts,
                                 LbTime now)
 {
-  Window *window = answered (reports, number, counts != NULL, now);
+  Window *window = finish_action (reports, number, counts != NULL, now);
 
   if (!window)
     return;
-  window->state = WINDOW_COUNTED;
+  window->state = WINDOW_SUMMED;
   window->text = lc_usage_counts_to_text (counts);
 }
 
 void
 lc_usage_reports_record_completed (
-    LcUsageReports *reports, int64_t number, bool ok, const char *other, LbTime now)
+    LcUsageReports *reports, int64_t number, bool ok, const char *recorded, LbTime now)
 {
-  Window *window = answered (reports, number, ok || other, now);
+  Window *window = finish_action (reports, number, ok || recorded, now);
 
   if (!window)
     return;
-  window->state = WINDOW_DECIDED;
-  if (!other)
+  window->state = WINDOW_RECORDED;
+  if (!recorded)
     return;
   free (window->text);
-  window->text = lb_strdup (other);
+  window->text = lb_strdup (recorded);
 }
 
 void
 lc_usage_reports_send_completed (LcUsageReports *reports,
                                  int64_t number,
-                                 LcUsageSendResult receipt,
+                                 LcUsageSendResult result,
                                  LbTime now)
 {
-  Window *window = answered (reports, number, receipt == LC_USAGE_ACCEPTED, now);
+  Window *window = finish_action (reports, number, result == LC_USAGE_ACCEPTED, now);
 
   if (window)
     window->state = WINDOW_SENT;
@@ -225,65 +228,65 @@
 void
 lc_usage_reports_close_completed (LcUsageReports *reports, int64_t number, bool ok, LbTime now)
 {
-  Window *window = answered (reports, number, ok, now);
+  Window *window = finish_action (reports, number, ok, now);
 
   if (window)
     window->state = WINDOW_CLOSED;
 }
 
-/* Windows follow one another without a gap from the first one of which the store tells anything. */
+/* Every window from the first one found in the store to the current one must be reported. */
 static void
-open_windows (LcUsageReports *reports, int64_t present)
+add_missing_windows (LcUsageReports *reports, int64_t current)
 {
-  if (reports->first < 0)
-    reports->first = present;
-  if (reports->first < present - MAX_BEHIND)
-    reports->first = present - MAX_BEHIND;
-  for (int64_t number = reports->first; number <= present; number++)
-    if (!find (reports, number))
-      add (reports, number);
+  if (reports->first_window < 0)
+    reports->first_window = current;
+  if (reports->first_window < current - MAX_CATCH_UP_WINDOWS)
+    reports->first_window = current - MAX_CATCH_UP_WINDOWS;
+  for (int64_t number = reports->first_window; number <= current; number++)
+    if (!find_window (reports, number))
+      add_window (reports, number);
 }
 
 static void
-forget_old (LcUsageReports *reports)
+remove_old_windows (LcUsageReports *reports)
 {
   LB_LIST_FOREACH (&reports->windows, Window, link, window)
   {
-    if (!window->busy && window->number < reports->first)
-      drop (reports, window);
+    if (!window->has_pending_action && window->number < reports->first_window)
+      remove_window (reports, window);
   }
 }
 
-/* Guards against counts that are missing because their rows could not be written: while the store
- * was away, and a moment after its return, none is whole. */
+/* Guards against missing counts of rows that could not be written: no window is complete while the
+ * store is unavailable or shortly after. */
 static bool
-is_whole (const LcUsageReports *reports, const Window *window, int64_t true_ms, LbTime now)
+is_complete (const LcUsageReports *reports, const Window *window, int64_t true_ms, LbTime now)
 {
-  int64_t since_end = true_ms - (window->number + 1) * reports->settings.window_ms;
-  bool store_is_well
-      = reports->store_failed_at == 0 || now - reports->store_failed_at >= STORE_RETURN;
+  int64_t ms_since_end = true_ms - (window->number + 1) * reports->settings.window_ms;
+  bool store_is_available
+      = reports->store_failed_at == 0 || now - reports->store_failed_at >= STORE_RECOVERY_DELAY;
 
-  if (since_end < reports->settings.settle_delay_ms)
+  if (ms_since_end < reports->settings.settle_delay_ms)
     return false;
-  return store_is_well || since_end >= reports->settings.max_delay_ms;
+  return store_is_available || ms_since_end >= reports->settings.max_delay_ms;
 }
 
 static bool
-next_of (const LcUsageReports *reports,
-         const Window *window,
-         int64_t true_ms,
-         LbTime now,
-         LcUsageActionType *type)
+next_action_type (const LcUsageReports *reports,
+                  const Window *window,
+                  int64_t true_ms,
+                  LbTime now,
+                  LcUsageActionType *type)
 {
   switch (window->state)
     {
     case WINDOW_OPEN:
       *type = LC_USAGE_SUM_ROWS;
-      return is_whole (reports, window, true_ms, now);
-    case WINDOW_COUNTED:
+      return is_complete (reports, window, true_ms, now);
+    case WINDOW_SUMMED:
       *type = LC_USAGE_RECORD_REPORT;
       return true;
-    case WINDOW_DECIDED:
+    case WINDOW_RECORDED:
       *type = LC_USAGE_SEND_REPORT;
       return true;
     case WINDOW_SENT:
@@ -296,9 +299,9 @@
 }
 
 static bool
-next_read (LcUsageReports *reports, LbTime now, LcUsageAction *action)
+next_read_action (LcUsageReports *reports, LbTime now, LcUsageAction *action)
 {
-  if (reports->is_reading || now < reports->read_again_at)
+  if (reports->is_reading || now < reports->next_read_at)
     return false;
   reports->is_reading = true;
   *action = (LcUsageAction){ .type = LC_USAGE_READ_REPORTS };
@@ -311,22 +314,23 @@
                               LbTime now,
                               LcUsageAction *action)
 {
-  int64_t present = true_ms / reports->settings.window_ms;
+  int64_t current = true_ms / reports->settings.window_ms;
 
-  if (!reports->active)
+  if (!reports->has_duty)
     return false;
   if (!reports->has_read)
-    return next_read (reports, now, action);
-  open_windows (reports, present);
-  forget_old (reports);
-  for (int64_t number = reports->first; number <= present; number++)
+    return next_read_action (reports, now, action);
+  add_missing_windows (reports, current);
+  remove_old_windows (reports);
+  for (int64_t number = reports->first_window; number <= current; number++)
     {
-      Window *window = find (reports, number);
+      Window *window = find_window (reports, number);
       LcUsageActionType type;
 
-      if (window->busy || now < window->retry_at || !next_of (reports, window, true_ms, now, &type))
+      if (window->has_pending_action || now < window->retry_at
+          || !next_action_type (reports, window, true_ms, now, &type))
         continue;
-      window->busy = true;
+      window->has_pending_action = true;
       *action = (LcUsageAction){ .type = type, .window = number, .text = window->text };
       return true;
     }
@@ -336,5 +340,5 @@
 int64_t
 lc_usage_reports_duty_epoch (const LcUsageReports *reports)
 {
-  return reports->active ? reports->epoch : 0;
+  return reports->has_duty ? reports->epoch : 0;
 }
--- a/packages/core/src/usage/lc-usage.c
+++ b/packages/core/src/usage/lc-usage.c
@@ -18,7 +18,7 @@
 
 struct LcUsageCounts
 {
-  Count *all;
+  Count *by_organisation;
 };
 
 typedef struct
@@ -26,9 +26,9 @@
   LbLink link;
   int64_t number;
   LcUsageCounts *counts;
-  bool changed; /* since the last row that was handed out */
-  bool writing;
-  LbTime next_row;
+  bool changed; /* since the last row that was returned */
+  bool is_being_written;
+  LbTime next_row_at;
 } Window;
 
 struct LcUsage
@@ -50,48 +50,48 @@
 
   if (!counts)
     return;
-  HASH_ITER (hh, counts->all, count, next)
+  HASH_ITER (hh, counts->by_organisation, count, next)
   {
-    HASH_DEL (counts->all, count);
+    HASH_DEL (counts->by_organisation, count);
     free (count);
   }
   free (counts);
 }
 
 static Count *
-find (const LcUsageCounts *counts, const char *organisation)
+find_count (const LcUsageCounts *counts, const char *organisation)
 {
   Count *count = NULL;
 
-  HASH_FIND_STR (counts->all, organisation, count);
+  HASH_FIND_STR (counts->by_organisation, organisation, count);
   return count;
 }
 
 static Count *
-ensure (LcUsageCounts *counts, const char *organisation)
+get_or_add_count (LcUsageCounts *counts, const char *organisation)
 {
-  Count *count = find (counts, organisation);
+  Count *count = find_count (counts, organisation);
 
   if (count)
     return count;
   count = LB_NEW (Count);
   LB_COPY (count->organisation, organisation);
-  HASH_ADD_STR (counts->all, organisation, count);
+  HASH_ADD_STR (counts->by_organisation, organisation, count);
   return count;
 }
 
 void
 lc_usage_counts_add (LcUsageCounts *counts, const char *organisation, int64_t requests)
 {
-  ensure (counts, organisation)->requests += requests;
+  get_or_add_count (counts, organisation)->requests += requests;
 }
 
 void
 lc_usage_counts_merge_maximum (LcUsageCounts *counts, const LcUsageCounts *others)
 {
-  for (const Count *other = others->all; other; other = other->hh.next)
+  for (const Count *other = others->by_organisation; other; other = other->hh.next)
     {
-      Count *count = ensure (counts, other->organisation);
+      Count *count = get_or_add_count (counts, other->organisation);
       if (other->requests > count->requests)
         count->requests = other->requests;
     }
@@ -100,14 +100,14 @@
 void
 lc_usage_counts_add_counts (LcUsageCounts *counts, const LcUsageCounts *others)
 {
-  for (const Count *other = others->all; other; other = other->hh.next)
+  for (const Count *other = others->by_organisation; other; other = other->hh.next)
     lc_usage_counts_add (counts, other->organisation, other->requests);
 }
 
 int64_t
 lc_usage_counts_get (const LcUsageCounts *counts, const char *organisation)
 {
-  const Count *count = find (counts, organisation);
+  const Count *count = find_count (counts, organisation);
 
   return count ? count->requests : 0;
 }
@@ -119,7 +119,8 @@
   bool ok = json_object_is_type (object, json_type_object);
 
   if (!ok)
-    lb_error_set (error, LB_ERROR_BAD_JSON, "usage", "expected counts by organisation");
+    lb_error_set (error, LB_ERROR_BAD_JSON, "usage",
+                  "expected an object of counts by organisation");
   else
     {
       json_object_object_foreach (object, name, value)
@@ -132,7 +133,7 @@
 }
 
 static int
-by_name (const Count *a, const Count *b)
+compare_names (const Count *a, const Count *b)
 {
   return strcmp (a->organisation, b->organisation);
 }
@@ -142,13 +143,13 @@
 {
   struct json_object *object = json_object_new_object ();
 
-  HASH_SRT (hh, counts->all, by_name);
-  for (const Count *count = counts->all; count; count = count->hh.next)
+  HASH_SRT (hh, counts->by_organisation, compare_names);
+  for (const Count *count = counts->by_organisation; count; count = count->hh.next)
     json_object_object_add (object, count->organisation, json_object_new_int64 (count->requests));
   return lb_json_take_text (object, JSON_C_TO_STRING_PLAIN);
 }
 
-/* --- the windows of an instance --- */
+/* --- windows of one instance --- */
 
 LcUsage *
 lc_usage_new (int64_t window_ms)
@@ -161,7 +162,7 @@
 }
 
 static void
-drop (LcUsage *usage, Window *window)
+remove_window (LcUsage *usage, Window *window)
 {
   lb_list_remove (&usage->windows, &window->link);
   lc_usage_counts_free (window->counts);
@@ -175,7 +176,7 @@
     return;
   LB_LIST_FOREACH (&usage->windows, Window, link, window)
   {
-    drop (usage, window);
+    remove_window (usage, window);
   }
   free (usage);
 }
@@ -213,11 +214,11 @@
 {
   LB_LIST_FOREACH (&usage->windows, Window, link, window)
   {
-    if (!window->changed || window->writing || now < window->next_row)
+    if (!window->changed || window->is_being_written || now < window->next_row_at)
       continue;
     window->changed = false;
-    window->writing = true;
-    window->next_row = now + period;
+    window->is_being_written = true;
+    window->next_row_at = now + period;
     row->window = window->number;
     row->text = lc_usage_counts_to_text (window->counts);
     return true;
@@ -232,17 +233,17 @@
 
   if (!window)
     return;
-  window->writing = false;
+  window->is_being_written = false;
   window->changed |= !ok;
 }
 
 void
-lc_usage_remove_before (LcUsage *usage, int64_t before)
+lc_usage_remove_before (LcUsage *usage, int64_t first_kept)
 {
   LB_LIST_FOREACH (&usage->windows, Window, link, window)
   {
-    if (window->number < before && !window->writing)
-      drop (usage, window);
+    if (window->number < first_kept && !window->is_being_written)
+      remove_window (usage, window);
   }
 }
 
@@ -251,7 +252,7 @@
 {
   LB_LIST_FOREACH (&usage->windows, Window, link, window)
   {
-    if (window->changed || window->writing)
+    if (window->changed || window->is_being_written)
       return false;
   }
   return true;
