--- a/packages/core/include/lc-load-time.h
+++ b/packages/core/include/lc-load-time.h
@@ -3,24 +3,24 @@
 
 #include "lb-error.h"
 
-/* When an engine that loads weights is asked whether it has them. What engines state of themselves
- * is some 100 ms old, and how long loads take differs from site to site and with their number: it
- * is learned from the loads before. Asked late, the next engine's load begins late; asked often, it
- * costs questions. No I/O. */
+/* Times to poll an engine that loads weights for the end of the load. Load reports are about 100 ms
+ * old, and load times vary between sites and with the number of concurrent loads, so they are
+ * learned from earlier loads. A late poll delays the load of the next engine; frequent polls cost
+ * requests. No I/O. */
 
 typedef struct
 {
-  LbTime mean; /* from an order to the answer that showed the load's end; 0: none was seen */
+  LbTime mean; /* from an order to the poll that showed the end of the load; 0: none seen yet */
 } LcLoadTime;
 
 /* commands */
-/* The end of a load that was ordered so long ago has shown. */
+/* time: from an order to the poll that showed the end of the load. */
 void lc_load_time_add_sample (LcLoadTime *load, LbTime time);
 
 /* queries */
-/* From the order to the first question. */
+/* From the order to the first poll. */
 LbTime lc_load_time_first_poll_delay (const LcLoadTime *load);
-/* From one question to the next. */
+/* Between further polls. */
 LbTime lc_load_time_poll_interval (const LcLoadTime *load);
 
 #endif
--- a/packages/core/include/lc-swap-turns.h
+++ b/packages/core/include/lc-swap-turns.h
@@ -3,22 +3,23 @@
 
 #include "lc-weights.h"
 
-/* Models share the few loads of weights that go at full speed at once: this decides whose engine is
- * next. */
+/* Scheduling of weight loads among models: only a few loads at once run at full speed, and this
+ * chooses the model that may start the next one. */
 typedef struct
 {
   LcWeightsStatus status;
-  bool blocked; /* it could order nothing when it was its turn */
+  bool blocked; /* gave no order the last time it was chosen */
 } LcSwapCandidate;
 
-/* Index of the model whose engines lack fresh weights most; n when nobody wants a load. */
+/* Returns the index of the model with the fewest engines that have usable weights; n if no model
+ * needs a load. */
 size_t lc_swap_turns_choose_model (const LcSwapCandidate *candidates, size_t n);
 
-/* Share of the engines that load weights at full speed together; more at once slow one another
- * down. On all sizes known it is a fifth, rounded up. */
+/* Engines that can load at full speed at the same time, in percent of all engines; more slow each
+ * other down. One fifth, rounded up, for all known sizes. */
 #define LC_SWAP_TURNS_MAX_LOADING_PERCENT 20
 
-/* Engines that may load at once, of all models together. */
+/* Returns how many engines may load at once, over all models. */
 size_t lc_swap_turns_max_loads (size_t n_engines);
 
 #endif
--- a/packages/core/include/lc-weights.h
+++ b/packages/core/include/lc-weights.h
@@ -3,27 +3,27 @@
 
 #include "lc-resources.h"
 
-/* Roll-out of a weight version over the engines of one pool: which engine is ordered next, and why
- * the rest waits. Keeps nothing that a new holder of the pool's lease could not read from the
- * engines. No I/O: commands append actions; the caller orders, reads engines back, and reports. */
+/* Rolling update of the weights on the engines of one pool: chooses the engine that is ordered next
+ * to load the target version, and states why the others wait. Has no state that a new holder of the
+ * pool's lease could not read from the engines. No I/O: commands append actions; the caller sends
+ * the orders, polls the engines and passes on their reports. */
 
-/* What an engine said of its weights. */
+/* Weight state that an engine reports. */
 typedef struct
 {
   char incarnation[40];
-  LcVersion version; /* 0: no whole version is loaded */
+  LcVersion version; /* 0: no complete version is loaded */
   bool loading;
   LcVersion failed_version; /* 0: none */
   bool leaving;
-  int64_t running;
-  LbTime requested_at; /* when the question was sent, our clock */
+  int64_t running;     /* requests */
+  LbTime requested_at; /* time at which this process sent the request for the report */
 } LcWeightReport;
 
 typedef enum
 {
-  LC_WEIGHTS_UPDATE_ROUTING, /* tell routing: weights are about to change (pending) or are whole
-                                again */
-  LC_WEIGHTS_ORDER_LOAD      /* order version at the endpoint; always comes after its SWAP */
+  LC_WEIGHTS_UPDATE_ROUTING, /* a swap of weights on the endpoint begins (pending) or has ended */
+  LC_WEIGHTS_ORDER_LOAD      /* order the endpoint to load version; follows its UPDATE_ROUTING */
 } LcWeightsActionType;
 
 typedef struct
@@ -34,19 +34,22 @@
   LbName address;
   LcVersion version;
   bool pending;
-  LbTime expected_at; /* SWAP: when the new weights are expected to serve */
+  LbTime expected_at; /* UPDATE_ROUTING: expected end of the swap */
 } LcWeightsAction;
 
 typedef struct
 {
   LbName pool;
-  double orders_per_second; /* the weight store's rate */
+  double orders_per_second; /* rate limit of the weight store */
   int64_t burst;
-  LbTime load_timeout;         /* a load that takes longer has failed */
-  LbTime report_timeout;       /* an engine with no report for this long is not known */
-  LbTime first_report_timeout; /* one that has not told its state for this long since the lease
-                                * became ours is not taken to load by an earlier holder's order */
-  LbTime lost_engine_timeout;  /* see lc-weights.c: how long a lost engine holds up the others */
+  LbTime load_timeout;   /* a load that takes longer has failed */
+  LbTime report_timeout; /* the state of an engine without a report for this long is unknown */
+  /* An engine without a report for this long after the lease was gained no longer counts as
+   * loading by an order of an earlier holder. */
+  LbTime first_report_timeout;
+  /* An engine that has not served for longer than this no longer blocks swaps that leave less
+   * capacity than the live reserve; the others then swap one at a time. */
+  LbTime lost_engine_timeout;
 } LcWeightsSettings;
 
 void lc_weights_settings_init (LcWeightsSettings *settings, const char *pool);
@@ -58,23 +61,24 @@
 
 /* commands */
 void lc_weights_configure (LcWeights *weights, const LcResourceSet *set, LbTime now);
-/* The newest version in the weight store; counts while the pool's resource names none. */
+/* version: newest one in the weight store; the target unless the pool's resource names another. */
 void lc_weights_set_newest (LcWeights *weights, LcVersion version, LbTime now);
-/* The lease is ours from now, or was lost: what engines said before is not relied on. */
+/* The lease was gained or lost: the known state of the engines is discarded. */
 void lc_weights_lease_changed (LcWeights *weights, LbTime now);
 void lc_weights_report_received (LcWeights *weights,
                                  const char *endpoint,
                                  const LcWeightReport *report,
                                  LbTime now,
                                  LbList *actions);
-/* How an ORDER was answered: LB_OK, or a failure after which the engine's state is read back. */
+/* error: LB_OK, or the failure of an ORDER_LOAD; the engine must then report its state. */
 void
 lc_weights_order_answered (LcWeights *weights, const char *endpoint, LbErrorCode error, LbTime now);
-/* fenced, unfenced: whether engines that check, or do not check, the fencing number may be ordered
- * now. */
+/* fenced, unfenced: orders may be given now to engines that check fencing numbers, or to those that
+ * do not. */
 void lc_weights_tick (LcWeights *weights, bool fenced, bool unfenced, LbTime now, LbList *actions);
 
-/* Most engines in a swap at once, in place of the pool's roll_out_percent; -1: that one counts. */
+/* Sets how many engines may swap at once, in place of the pool's roll_out_percent; -1: no limit of
+ * its own, the percentage applies. */
 void lc_weights_set_swap_limit (LcWeights *weights, int64_t limit);
 
 /* queries */
@@ -83,29 +87,29 @@
   LC_WEIGHTS_IDLE,          /* nothing to do */
   LC_WEIGHTS_IN_PROGRESS,   /* swaps are in progress */
   LC_WEIGHTS_NO_LEASE,      /* orders may not be given now */
-  LC_WEIGHTS_RATE_LIMITED,  /* the weight store's rate is used up */
-  LC_WEIGHTS_CAPACITY,      /* another swap would take live capacity below the reserve */
-  LC_WEIGHTS_STATE_UNKNOWN, /* engines have not told their state */
-  LC_WEIGHTS_BACKOFF,       /* loads failed; tried again later */
-  LC_WEIGHTS_HALTED         /* loads of this version fail everywhere */
+  LC_WEIGHTS_RATE_LIMITED,  /* by the weight store */
+  LC_WEIGHTS_CAPACITY,      /* another swap would reduce live capacity below the reserve */
+  LC_WEIGHTS_STATE_UNKNOWN, /* engines have not reported their state */
+  LC_WEIGHTS_BACKOFF,       /* loads failed and are retried later */
+  LC_WEIGHTS_HALTED         /* loads of this version fail on all engines */
 } LcWeightsWaitReason;
 
 typedef struct
 {
   LcVersion target;
-  LbTime version_interval; /* mean time between newest versions; 0: not known */
+  LbTime version_interval; /* mean time between new versions; 0: not known */
   size_t engines;
   size_t on_target;
-  size_t usable; /* serve with weights at most one version older than the target */
+  size_t usable; /* serve weights at most one version older than the target */
   size_t swapping;
   size_t unknown;
-  size_t failed; /* whose last load of the target failed */
+  size_t failed; /* last load of the target failed */
   LcWeightsWaitReason wait_reason;
 } LcWeightsStatus;
 
 void lc_weights_status (const LcWeights *weights, LbTime now, LcWeightsStatus *status);
-const char *lc_weights_wait_reason_name (LcWeightsWaitReason wait);
-/* Whether the engine is to be asked soon: it is in a swap. */
+const char *lc_weights_wait_reason_name (LcWeightsWaitReason reason);
+/* The engine is in a swap, so its state should be polled soon. */
 bool lc_weights_is_swapping (const LcWeights *weights, const char *endpoint);
 
 #endif
--- a/packages/core/src/weights/lc-engine-plan.c
+++ b/packages/core/src/weights/lc-engine-plan.c
@@ -11,21 +11,20 @@
 #include <uthash.h>
 #include <xxhash.h>
 
-/* Trainers bring a batch every few seconds, of very different lengths: the mean is over several. */
-#define HALF_LIFE (20 * LB_SEC)
-/* Engines by which one model must lack its share and another have too many, together, before one is
- * moved, and beside them a part of an even share: less is noise of the lengths of texts, which in
+/* Trainers submit a batch every few seconds, with very different lengths; spans several batches. */
+#define DEMAND_HALF_LIFE (20 * LB_SEC)
+/* Engines that one model lacks plus those that another has in excess, before the first engine is
+ * moved: a constant plus a fraction of an even share. Less is noise of the text lengths, which over
  * five steps of 40 texts is a tenth of the share, and each move costs a load of weights and the
  * engine's cache. */
 #define MIN_IMBALANCE 1.4
-#define MIN_IMBALANCE_PART 0.1
-/* Once engines are moved at all, the division becomes as even as whole engines allow. A move
- * changes the sum of the squares of what models lack by 2 - 2 x (lack of the one + spare of the
- * other), so it brings the division nearer to the demand only where these two are over 1 together;
- * the hundredth is far above what rounding adds. Each move then lowers that sum, so the moves end.
- * Without it, two models with a lack of 0.7 and a spare of 0.2 took the same engine from each other
- * for ever, and the instance stood still. */
-#define MIN_GAIN 1.01
+#define MIN_IMBALANCE_SHARE 0.1
+/* The same for further moves, which make the assignment as even as whole engines allow. A move
+ * changes the sum of the squared deviations by 2 - 2 x (lack + excess), so it is an improvement
+ * only if lack and excess together are above 1; 0.01 is far above rounding errors. Each move lowers
+ * the sum, so the loop ends. Without this bound, two models with a lack of 0.7 and an excess of 0.2
+ * took the same engine from each other in an endless loop, which blocked the instance. */
+#define MIN_IMBALANCE_AFTER_FIRST 1.01
 
 void
 lc_engine_plan_clear (LcEnginePlan *plan)
@@ -41,10 +40,10 @@
   target->entries = lb_memdup (source->entries, source->n_entries * sizeof *source->entries);
 }
 
-/* Where the engine's entry is, or belongs: entries are in order of the engines' names. Looked for
- * one by one, 1,000 engines took each instance 3 ms for each list of them. */
+/* Returns the index of the engine's entry, or the index to insert it at. Entries are sorted by
+ * engine name: with a linear search, each list of 1,000 engines took every instance 3 ms. */
 static size_t
-place_of (const LcEnginePlan *plan, const char *engine)
+find_position (const LcEnginePlan *plan, const char *engine)
 {
   size_t low = 0;
   size_t high = plan->n_entries;
@@ -61,17 +60,17 @@
 }
 
 static bool
-is_at (const LcEnginePlan *plan, size_t place, const char *engine)
+has_engine_at (const LcEnginePlan *plan, size_t position, const char *engine)
 {
-  return place < plan->n_entries && strcmp (plan->entries[place].engine, engine) == 0;
+  return position < plan->n_entries && strcmp (plan->entries[position].engine, engine) == 0;
 }
 
 const LcPlanEntry *
 lc_engine_plan_find (const LcEnginePlan *plan, const char *engine)
 {
-  size_t place = place_of (plan, engine);
+  size_t position = find_position (plan, engine);
 
-  return is_at (plan, place, engine) ? &plan->entries[place] : NULL;
+  return has_engine_at (plan, position, engine) ? &plan->entries[position] : NULL;
 }
 
 static bool
@@ -82,32 +81,32 @@
 }
 
 static void
-insert_at (LcEnginePlan *plan, size_t place, const LcPlanEntry *entry)
+insert_at (LcEnginePlan *plan, size_t position, const LcPlanEntry *entry)
 {
   plan->entries = lb_realloc (plan->entries, (plan->n_entries + 1) * sizeof *plan->entries);
-  memmove (&plan->entries[place + 1], &plan->entries[place],
-           (plan->n_entries - place) * sizeof *plan->entries);
-  plan->entries[place] = *entry;
+  memmove (&plan->entries[position + 1], &plan->entries[position],
+           (plan->n_entries - position) * sizeof *plan->entries);
+  plan->entries[position] = *entry;
   plan->n_entries++;
 }
 
 bool
 lc_engine_plan_put (LcEnginePlan *plan, const LcPlanEntry *entry)
 {
-  size_t place = place_of (plan, entry->engine);
+  size_t position = find_position (plan, entry->engine);
 
-  if (!is_at (plan, place, entry->engine))
+  if (!has_engine_at (plan, position, entry->engine))
     {
-      insert_at (plan, place, entry);
+      insert_at (plan, position, entry);
       return true;
     }
-  bool changed = !is_same_entry (&plan->entries[place], entry);
-  plan->entries[place] = *entry;
+  bool changed = !is_same_entry (&plan->entries[position], entry);
+  plan->entries[position] = *entry;
   return changed;
 }
 
 static bool
-is_among (const LcPlanEntry *entry, const LcPlanEntry *engines, size_t n_engines)
+is_listed (const LcPlanEntry *entry, const LcPlanEntry *engines, size_t n_engines)
 {
   for (size_t i = 0; i < n_engines; i++)
     if (strcmp (engines[i].engine, entry->engine) == 0)
@@ -121,7 +120,7 @@
   size_t n_kept = 0;
 
   for (size_t i = 0; i < plan->n_entries; i++)
-    if (is_among (&plan->entries[i], engines, n_engines))
+    if (is_listed (&plan->entries[i], engines, n_engines))
       plan->entries[n_kept++] = plan->entries[i];
   bool changed = n_kept != plan->n_entries;
   plan->n_entries = n_kept;
@@ -143,13 +142,13 @@
 }
 
 static size_t
-part_of (const char *engine)
+part_index (const char *engine)
 {
   return XXH3_64bits (engine, strlen (engine)) % LC_ENGINE_PLAN_PARTS;
 }
 
 static void
-append (LcEnginePlan *plan, const LcPlanEntry *entries, size_t n_entries)
+append_entries (LcEnginePlan *plan, const LcPlanEntry *entries, size_t n_entries)
 {
   plan->entries
       = lb_realloc (plan->entries, (plan->n_entries + n_entries + 1) * sizeof *plan->entries);
@@ -162,12 +161,12 @@
 {
   memset (part, 0, sizeof *part);
   for (size_t i = 0; i < plan->n_entries; i++)
-    if (part_of (plan->entries[i].engine) == index)
-      append (part, &plan->entries[i], 1);
+    if (part_index (plan->entries[i].engine) == index)
+      append_entries (part, &plan->entries[i], 1);
 }
 
 static int
-by_engine (const void *a, const void *b)
+compare_engines (const void *a, const void *b)
 {
   return strcmp (((const LcPlanEntry *)a)->engine, ((const LcPlanEntry *)b)->engine);
 }
@@ -178,9 +177,9 @@
   memset (plan, 0, sizeof *plan);
   for (size_t i = 0; i < LC_ENGINE_PLAN_PARTS; i++)
     if (parts[i].n_entries > 0)
-      append (plan, parts[i].entries, parts[i].n_entries);
+      append_entries (plan, parts[i].entries, parts[i].n_entries);
   if (plan->n_entries > 0)
-    qsort (plan->entries, plan->n_entries, sizeof *plan->entries, by_engine);
+    qsort (plan->entries, plan->n_entries, sizeof *plan->entries, compare_engines);
 }
 
 struct json_object *
@@ -224,13 +223,13 @@
 {
   LbName model; /* key */
   double tokens;
-  LbTime at;
+  LbTime updated_at;
   UT_hash_handle hh;
-} Work;
+} ModelDemand;
 
 struct LcDemand
 {
-  Work *by_model;
+  ModelDemand *by_model;
 };
 
 LcDemand *
@@ -242,46 +241,48 @@
 void
 lc_demand_free (LcDemand *demand)
 {
-  Work *work, *next;
+  ModelDemand *model_demand, *next;
 
   if (!demand)
     return;
-  HASH_ITER (hh, demand->by_model, work, next)
+  HASH_ITER (hh, demand->by_model, model_demand, next)
   {
-    HASH_DEL (demand->by_model, work);
-    free (work);
+    HASH_DEL (demand->by_model, model_demand);
+    free (model_demand);
   }
   free (demand);
 }
 
-static Work *
-find_work (const LcDemand *demand, const char *model)
+static ModelDemand *
+find_model_demand (const LcDemand *demand, const char *model)
 {
-  Work *work = NULL;
+  ModelDemand *model_demand = NULL;
 
-  HASH_FIND_STR (demand->by_model, model, work);
-  return work;
+  HASH_FIND_STR (demand->by_model, model, model_demand);
+  return model_demand;
 }
 
 static double
-decayed (const Work *work, LbTime now)
+decayed_tokens (const ModelDemand *model_demand, LbTime now)
 {
-  return work->tokens * exp2 (-(double)(now - work->at) / (double)HALF_LIFE);
+  return model_demand->tokens
+         * exp2 (-(double)(now - model_demand->updated_at) / (double)DEMAND_HALF_LIFE);
 }
 
 void
 lc_demand_add (LcDemand *demand, const char *model, double tokens, LbTime now)
 {
-  Work *work = find_work (demand, model);
+  ModelDemand *model_demand = find_model_demand (demand, model);
 
-  if (!work)
+  if (!model_demand)
     {
-      work = LB_NEW (Work);
-      LB_COPY (work->model, model);
-      HASH_ADD_STR (demand->by_model, model, work);
+      model_demand = LB_NEW (ModelDemand);
+      LB_COPY (model_demand->model, model);
+      HASH_ADD_STR (demand->by_model, model, model_demand);
     }
-  work->tokens = (work->at > 0 ? decayed (work, now) : 0) + tokens;
-  work->at = now;
+  model_demand->tokens
+      = (model_demand->updated_at > 0 ? decayed_tokens (model_demand, now) : 0) + tokens;
+  model_demand->updated_at = now;
 }
 
 bool
@@ -293,18 +294,18 @@
 double
 lc_demand_tokens (const LcDemand *demand, const char *model, LbTime now)
 {
-  const Work *work = find_work (demand, model);
+  const ModelDemand *model_demand = find_model_demand (demand, model);
 
-  return work ? decayed (work, now) : 0;
+  return model_demand ? decayed_tokens (model_demand, now) : 0;
 }
 
-/* --- the division --- */
+/* --- assignment of engines --- */
 
 typedef struct
 {
   const char *name;
-  double share; /* engines that its demand is worth, one at least */
-  double has;
+  double share; /* number of engines by demand, at least 1 */
+  double n_engines;
 } Share;
 
 static size_t
@@ -316,15 +317,15 @@
   return n;
 }
 
-/* Each model has one engine; the others go by demand, or evenly as long as there is none: engines
- * that were listed one after the other may be divided 5, 3 and 1, and the first steps wait. */
+/* Each model gets one engine; the others are shared by demand, or evenly without demand: engines
+ * that registered one after the other may be assigned 5, 3 and 1, and first steps would wait. */
 static void
-fill_shares (Share *shares,
-             const LbName *models,
-             size_t n_models,
-             size_t n_engines,
-             const LcDemand *demand,
-             LbTime now)
+compute_shares (Share *shares,
+                const LbName *models,
+                size_t n_models,
+                size_t n_engines,
+                const LcDemand *demand,
+                LbTime now)
 {
   double total = 0;
 
@@ -332,36 +333,37 @@
     total += lc_demand_tokens (demand, models[i], now);
   for (size_t i = 0; i < n_models; i++)
     {
-      double part
+      double fraction
           = total > 0 ? lc_demand_tokens (demand, models[i], now) / total : 1 / (double)n_models;
-      shares[i] = (Share){ .name = models[i], .share = 1 + part * (double)(n_engines - n_models) };
+      shares[i]
+          = (Share){ .name = models[i], .share = 1 + fraction * (double)(n_engines - n_models) };
     }
 }
 
-/* The model that lacks most, and the one that has most to spare; true when an engine moved between
- * them brings the division nearer to the demand. */
+/* Finds the model that lacks most engines and the one with the largest excess. Returns true if an
+ * engine should move between them. */
 static bool
-find_move (const Share *shares, size_t n, double least, size_t *to, size_t *from)
+find_move (const Share *shares, size_t n, double min_imbalance, size_t *to, size_t *from)
 {
   double lack;
-  double spare;
+  double excess;
 
   *to = 0;
   *from = 0;
   for (size_t i = 1; i < n; i++)
     {
-      if (shares[i].share - shares[i].has > shares[*to].share - shares[*to].has)
+      if (shares[i].share - shares[i].n_engines > shares[*to].share - shares[*to].n_engines)
         *to = i;
-      if (shares[i].has - shares[i].share > shares[*from].has - shares[*from].share)
+      if (shares[i].n_engines - shares[i].share > shares[*from].n_engines - shares[*from].share)
         *from = i;
     }
-  lack = shares[*to].share - shares[*to].has;
-  spare = shares[*from].has - shares[*from].share;
-  return lack + spare >= least && shares[*from].has > 1;
+  lack = shares[*to].share - shares[*to].n_engines;
+  excess = shares[*from].n_engines - shares[*from].share;
+  return lack + excess >= min_imbalance && shares[*from].n_engines > 1;
 }
 
 static void
-move_one (LcPlanEntry *engines, size_t n_engines, const char *from, const char *to)
+reassign_one_engine (LcPlanEntry *engines, size_t n_engines, const char *from, const char *to)
 {
   for (size_t i = 0; i < n_engines; i++)
     if (strcmp (engines[i].model, from) == 0)
@@ -371,9 +373,9 @@
       }
 }
 
-/* What is known of weights does not hold for another model. */
+/* An entry that changes its model loses its version, which was one of the previous model. */
 static bool
-apply (LcEnginePlan *plan, const LcPlanEntry *engines, size_t n_engines)
+update_plan (LcEnginePlan *plan, const LcPlanEntry *engines, size_t n_engines)
 {
   bool changed = lc_engine_plan_retain (plan, engines, n_engines);
 
@@ -390,11 +392,11 @@
   return changed;
 }
 
-/* Gives engines of models with too many to those with too few, one after the other. */
+/* Moves engines one by one from models with too many to models with too few. */
 static void
-move_by_demand (LcPlanEntry *engines, size_t n_engines, Share *shares, size_t n_models)
+balance_by_demand (LcPlanEntry *engines, size_t n_engines, Share *shares, size_t n_models)
 {
-  double least = MIN_IMBALANCE + MIN_IMBALANCE_PART * (double)n_engines / (double)n_models;
+  double min_imbalance = MIN_IMBALANCE + MIN_IMBALANCE_SHARE * (double)n_engines / (double)n_models;
   size_t to = 0;
   size_t from = 0;
 
@@ -402,13 +404,14 @@
     {
       size_t model = find_share (shares, n_models, engines[i].model);
       if (model < n_models)
-        shares[model].has++;
+        shares[model].n_engines++;
     }
-  for (; find_move (shares, n_models, least, &to, &from); least = MIN_GAIN)
+  for (; find_move (shares, n_models, min_imbalance, &to, &from);
+       min_imbalance = MIN_IMBALANCE_AFTER_FIRST)
     {
-      move_one (engines, n_engines, shares[from].name, shares[to].name);
-      shares[from].has--;
-      shares[to].has++;
+      reassign_one_engine (engines, n_engines, shares[from].name, shares[to].name);
+      shares[from].n_engines--;
+      shares[to].n_engines++;
     }
 }
 
@@ -422,15 +425,15 @@
                           LbTime now)
 {
   Share *shares = LB_NEW_ARRAY (Share, n_models + 1);
-  LcPlanEntry *wanted = lb_memdup (engines, n_engines * sizeof *engines);
+  LcPlanEntry *assigned = lb_memdup (engines, n_engines * sizeof *engines);
 
   if (n_models > 1 && n_engines > n_models && lb_switch_is_on (LB_SWITCH_DIVISION))
     {
-      fill_shares (shares, models, n_models, n_engines, demand, now);
-      move_by_demand (wanted, n_engines, shares, n_models);
+      compute_shares (shares, models, n_models, n_engines, demand, now);
+      balance_by_demand (assigned, n_engines, shares, n_models);
     }
-  bool changed = apply (plan, wanted, n_engines);
-  free (wanted);
+  bool changed = update_plan (plan, assigned, n_engines);
+  free (assigned);
   free (shares);
   return changed;
 }
--- a/packages/core/src/weights/lc-load-time.c
+++ b/packages/core/src/weights/lc-load-time.c
@@ -2,41 +2,41 @@
 
 #include "lb-time.h"
 
-/* As long as no load was seen: engines of today take about 0.9 s, and tell it 0.2 s later. */
-#define FIRST_MEAN (1100 * LB_MSEC)
-#define WEIGHT 0.2 /* of the latest load in the mean */
-/* Asked this part of the mean after the order, and again after that part: the mean of what shows is
- * a little later than the end itself, so that the first question is sometimes right and the mean
- * can fall. Of loads that end after 1.12 s as their engines state it, the end is seen 24 ms later
- * in the mean, with 1.9 questions; it was 50 ms and 2.3 with questions after 1.01 s and each 0.12
- * s. */
-#define FIRST_PART 0.96
-#define NEXT_PART 0.045
-/* Less is no use: the answer itself takes some ms. */
-#define MIN_NEXT (40 * LB_MSEC)
+/* Before the first sample: engines take about 0.9 s, and report the end 0.2 s later. */
+#define INITIAL_MEAN (1100 * LB_MSEC)
+#define EWMA_WEIGHT 0.2 /* of the latest sample */
+/* Of the mean. A poll sees the end of a load a little late, so the first poll is slightly earlier
+ * than the mean: it sometimes finds the load ended, and the mean can decrease. Loads that end
+ * after 1.12 s are seen 24 ms late on average, with 1.9 polls; with a first poll after 1.01 s and
+ * an interval of 0.12 s it was 50 ms and 2.3 polls. */
+#define FIRST_POLL_FACTOR 0.96
+#define POLL_INTERVAL_FACTOR 0.045
+/* A shorter interval does not help, since an answer takes several ms. */
+#define MIN_POLL_INTERVAL (40 * LB_MSEC)
 
 void
 lc_load_time_add_sample (LcLoadTime *load, LbTime time)
 {
-  LbTime mean = load->mean > 0 ? load->mean : FIRST_MEAN;
+  LbTime mean = load->mean > 0 ? load->mean : INITIAL_MEAN;
 
-  load->mean = mean + (LbTime)(WEIGHT * (double)(time - mean));
+  load->mean = mean + (LbTime)(EWMA_WEIGHT * (double)(time - mean));
 }
 
 static LbTime
-mean_of (const LcLoadTime *load)
+current_mean (const LcLoadTime *load)
 {
-  return load->mean > 0 ? load->mean : FIRST_MEAN;
+  return load->mean > 0 ? load->mean : INITIAL_MEAN;
 }
 
 LbTime
 lc_load_time_first_poll_delay (const LcLoadTime *load)
 {
-  return (LbTime)(FIRST_PART * (double)mean_of (load));
+  return (LbTime)(FIRST_POLL_FACTOR * (double)current_mean (load));
 }
 
 LbTime
 lc_load_time_poll_interval (const LcLoadTime *load)
 {
-  return lb_time_later ((LbTime)(NEXT_PART * (double)mean_of (load)), MIN_NEXT);
+  return lb_time_later ((LbTime)(POLL_INTERVAL_FACTOR * (double)current_mean (load)),
+                        MIN_POLL_INTERVAL);
 }
--- a/packages/core/src/weights/lc-swap-turns.c
+++ b/packages/core/src/weights/lc-swap-turns.c
@@ -2,11 +2,11 @@
 
 #include "lb-switch.h"
 
-/* Share of the model's engines that the next step can use, and among equals the share that has the
- * newest weights or gets them. The next step of a trainer takes weights that are one version old,
- * so an engine two versions behind is lost to it, and one that is one behind is not yet. Loads on
- * their way count in both: else the first of equal models gets all loads that go at full speed
- * together, and the next step of another finds none of its engines ready. */
+/* Share of the model's engines that its trainer's next step can use; ties are broken by the share
+ * that has or loads the newest weights. The next step accepts weights one version old, so engines
+ * two versions behind are unusable for it. Loads in progress count in both shares: otherwise the
+ * first of several equal models would get all loads, and the next step of another model would find
+ * none of its engines ready. */
 static double
 readiness (const LcWeightsStatus *status)
 {
@@ -17,7 +17,7 @@
 }
 
 static bool
-wants_load (const LcSwapCandidate *candidate)
+needs_load (const LcSwapCandidate *candidate)
 {
   const LcWeightsStatus *status = &candidate->status;
 
@@ -28,13 +28,14 @@
 size_t
 lc_swap_turns_choose_model (const LcSwapCandidate *candidates, size_t n)
 {
-  size_t best = n;
+  size_t least_ready = n;
 
   for (size_t i = 0; i < n; i++)
-    if (wants_load (&candidates[i])
-        && (best == n || readiness (&candidates[i].status) < readiness (&candidates[best].status)))
-      best = i;
-  return best;
+    if (needs_load (&candidates[i])
+        && (least_ready == n
+            || readiness (&candidates[i].status) < readiness (&candidates[least_ready].status)))
+      least_ready = i;
+  return least_ready;
 }
 
 size_t
--- a/packages/core/src/weights/lc-weights.c
+++ b/packages/core/src/weights/lc-weights.c
@@ -7,18 +7,19 @@
 #include <string.h>
 #include <uthash.h>
 
-#define ACCEPT_GRACE LB_SEC /* from an accepted order until a report must show the load */
-#define FIRST_BACKOFF (2 * LB_SEC)
+/* From an accepted order until the engine's reports must show the load. */
+#define LOAD_START_TIMEOUT LB_SEC
+#define INITIAL_BACKOFF (2 * LB_SEC)
 #define MAX_BACKOFF (60 * LB_SEC)
 #define EWMA_WEIGHT 0.3
-#define FIRST_LOAD_TIME (5 * LB_SEC) /* expected until one was seen */
-#define MIN_FAILED_TO_HALT 2
-#define MAX_FAILED_TO_HALT 5
+#define INITIAL_LOAD_TIME (5 * LB_SEC) /* before the first load has ended */
+#define MIN_FAILED_ENGINES_TO_HALT 2
+#define MAX_FAILED_ENGINES_TO_HALT 5
 
 typedef enum
 {
-  ENGINE_UNKNOWN, /* has not told its state lately */
-  ENGINE_EMPTY,   /* no whole version, nothing loading */
+  ENGINE_UNKNOWN, /* no recent report */
+  ENGINE_EMPTY,   /* no complete version, not loading */
   ENGINE_SERVING,
   ENGINE_SWAPPING
 } EngineState;
@@ -29,16 +30,16 @@
   LcEndpointMember member;
   EngineState state;
   LcWeightReport report;
-  LbTime reported_at;
-  LbTime out_since;     /* when it stopped to serve; 0: serves */
-  LbTime loading_since; /* first report of the load in progress; 0: none */
-  LcVersion ordered;
+  LbTime last_report_at;
+  LbTime not_serving_since; /* 0: serving */
+  LbTime loading_since;     /* time of the first report of the present load; 0: none */
+  LcVersion ordered_version;
   LbTime ordered_at;
-  int failures;         /* in a row, of the target */
-  bool refused_version; /* it stated that it failed to load the target */
+  int failures;       /* consecutive failed loads of the target */
+  bool target_failed; /* as reported by the engine */
   LbTime retry_at;
-  bool pending; /* routing was told that a swap is pending */
-  bool configured;
+  bool swap_pending; /* routing was notified that a swap is pending */
+  bool is_configured;
   UT_hash_handle hh;
 } Engine;
 
@@ -47,32 +48,36 @@
   LcWeightsSettings settings;
   Engine *engines;
   LcVersion newest;
-  LcVersion pinned; /* weight_version of the pool; 0: the newest */
+  LcVersion pinned_version; /* weight_version of the pool; 0: the newest version is the target */
   LcVersion target;
   double live_reserve;
-  int64_t percent;
-  int64_t limit; /* -1: percent counts */
+  int64_t roll_out_percent;
+  int64_t swap_limit; /* -1: the percentage applies */
   LbTime newest_at;
   LbTime version_interval;
-  LbTime load_time; /* mean, from order to report */
-  double tokens;    /* of the rate's bucket */
-  LbTime tokens_at;
-  LbTime restarted_at;
+  LbTime mean_load_time; /* from an order to the report of its end */
+  double tokens;         /* of the token bucket for orders */
+  LbTime tokens_updated_at;
+  LbTime lease_changed_at;
   LcWeightsWaitReason wait_reason;
 };
 
-static LbMetric metric_orders
-    = LB_COUNTER_INIT ("lentilspindle_weight_orders_total", NULL, "Orders to load weights");
+static LbMetric metric_orders = LB_COUNTER_INIT ("lentilspindle_weight_orders_total",
+                                                 NULL,
+                                                 "Orders given to engines to load weights");
 static LbMetric metric_failures = LB_COUNTER_INIT ("lentilspindle_weight_load_failures_total",
                                                    NULL,
-                                                   "Loads that failed or took too long");
-static LbMetric metric_strays = LB_COUNTER_INIT (
+                                                   "Weight loads that failed or timed out");
+static LbMetric metric_unexpected_versions = LB_COUNTER_INIT (
     "lentilspindle_weight_strays_total",
     NULL,
-    "Engines that stated another version after a load than they were ordered to");
+    "Loads after which the engine reported another version than it was ordered to load");
 
-static const char *const wait_names[]
-    = { "idle", "going", "no_lease", "rate", "capacity", "unknown", "backoff", "halted" };
+static const char *const wait_reason_names[]
+    = { [LC_WEIGHTS_IDLE] = "idle",         [LC_WEIGHTS_IN_PROGRESS] = "going",
+        [LC_WEIGHTS_NO_LEASE] = "no_lease", [LC_WEIGHTS_RATE_LIMITED] = "rate",
+        [LC_WEIGHTS_CAPACITY] = "capacity", [LC_WEIGHTS_STATE_UNKNOWN] = "unknown",
+        [LC_WEIGHTS_BACKOFF] = "backoff",   [LC_WEIGHTS_HALTED] = "halted" };
 
 void
 lc_weights_settings_init (LcWeightsSettings *settings, const char *pool)
@@ -93,8 +98,8 @@
 
   weights->settings = *settings;
   weights->tokens = (double)settings->burst;
-  weights->load_time = FIRST_LOAD_TIME;
-  weights->limit = -1;
+  weights->mean_load_time = INITIAL_LOAD_TIME;
+  weights->swap_limit = -1;
   return weights;
 }
 
@@ -131,7 +136,7 @@
 }
 
 static Engine *
-ensure_engine (LcWeights *weights, const char *name, LbTime now)
+get_or_add_engine (LcWeights *weights, const char *name, LbTime now)
 {
   Engine *engine = find_engine (weights, name);
 
@@ -139,16 +144,16 @@
     return engine;
   engine = LB_NEW (Engine);
   LB_COPY (engine->name, name);
-  engine->out_since = now;
+  engine->not_serving_since = now;
   HASH_ADD_STR (weights->engines, name, engine);
   return engine;
 }
 
-/* A new target: failures of the one before say nothing of it. */
+/* Failed loads of the previous target do not count for a new one. */
 static void
 update_target (LcWeights *weights)
 {
-  LcVersion target = weights->pinned > 0 ? weights->pinned : weights->newest;
+  LcVersion target = weights->pinned_version > 0 ? weights->pinned_version : weights->newest;
 
   if (target == weights->target)
     return;
@@ -167,30 +172,30 @@
   const LcPool *pool = lc_resource_set_find_pool (set, weights->settings.pool);
 
   for (engine = weights->engines; engine; engine = engine->hh.next)
-    engine->configured = false;
+    engine->is_configured = false;
   for (size_t i = 0; pool && i < set->n_endpoints; i++)
     {
       const LcEndpointMember *member = &set->endpoints[i];
       if (member->kind != LC_ENDPOINT_ENGINE || member->leaving
           || strcmp (member->pool, weights->settings.pool) != 0)
         continue;
-      engine = ensure_engine (weights, member->name, now);
+      engine = get_or_add_engine (weights, member->name, now);
       engine->member = *member;
-      engine->configured = true;
+      engine->is_configured = true;
     }
   HASH_ITER (hh, weights->engines, engine, next)
   {
-    if (!engine->configured)
+    if (!engine->is_configured)
       remove_engine (weights, engine);
   }
-  weights->pinned = pool ? pool->weight_version : 0;
+  weights->pinned_version = pool ? pool->weight_version : 0;
   weights->live_reserve = pool ? pool->live_reserve : 0;
-  weights->percent = pool ? pool->roll_out_percent : 0;
+  weights->roll_out_percent = pool ? pool->roll_out_percent : 0;
   update_target (weights);
 }
 
 static LbTime
-mean (LbTime before, LbTime latest)
+moving_average (LbTime before, LbTime latest)
 {
   return (LbTime)(EWMA_WEIGHT * latest + (1 - EWMA_WEIGHT) * before);
 }
@@ -198,45 +203,46 @@
 void
 lc_weights_set_newest (LcWeights *weights, LcVersion version, LbTime now)
 {
-  /* An answer that was late on the wire, or a replica that lags. */
+  /* Delayed answer, or answer of a lagging replica. */
   if (version <= weights->newest)
     return;
   if (weights->newest > 0)
     {
       LbTime interval = (now - weights->newest_at) / (version - weights->newest);
-      weights->version_interval
-          = weights->version_interval == 0 ? interval : mean (weights->version_interval, interval);
+      weights->version_interval = weights->version_interval == 0
+                                      ? interval
+                                      : moving_average (weights->version_interval, interval);
     }
   weights->newest = version;
   weights->newest_at = now;
   update_target (weights);
 }
 
-/* Guards against a holder that relies on what it knew when it held the lease before, or that starts
- * with nothing while its predecessor crashed in the middle: too many engines would be in a swap at
- * once, and callers would find none. Each engine counts as out until it has told its state, and one
- * that is loading by anyone's order counts as a swap. */
+/* Guards against a holder that relies on state from an earlier lease, or that starts without state
+ * after its predecessor crashed during a roll-out: too many engines would swap at once, and callers
+ * would find none. Each engine counts as not serving until it has reported its state, and one that
+ * loads by anyone's order counts as swapping. */
 void
 lc_weights_lease_changed (LcWeights *weights, LbTime now)
 {
-  weights->restarted_at = now;
+  weights->lease_changed_at = now;
   for (Engine *engine = weights->engines; engine; engine = engine->hh.next)
     {
       engine->state = ENGINE_UNKNOWN;
-      engine->out_since = now;
+      engine->not_serving_since = now;
       engine->loading_since = 0;
-      engine->ordered = 0;
+      engine->ordered_version = 0;
       engine->failures = 0;
       engine->retry_at = 0;
     }
 }
 
 static void
-add_swap (Engine *engine, bool pending, LbTime expected_at, LbList *actions)
+add_routing_update (Engine *engine, bool pending, LbTime expected_at, LbList *actions)
 {
   LcWeightsAction *action = LB_NEW (LcWeightsAction);
 
-  engine->pending = pending;
+  engine->swap_pending = pending;
   action->type = LC_WEIGHTS_UPDATE_ROUTING;
   LB_COPY (action->endpoint, engine->name);
   action->pending = pending;
@@ -245,14 +251,14 @@
 }
 
 static void
-note_failure (Engine *engine, LbTime now)
+record_failure (Engine *engine, LbTime now)
 {
-  LbTime backoff = FIRST_BACKOFF;
+  LbTime backoff = INITIAL_BACKOFF;
 
   for (int i = 0; i < engine->failures && backoff < MAX_BACKOFF; i++)
     backoff *= 2;
   engine->failures++;
-  engine->ordered = 0;
+  engine->ordered_version = 0;
   engine->retry_at = now + (backoff < MAX_BACKOFF ? backoff : MAX_BACKOFF);
   lb_metric_add (&metric_failures, 1);
 }
@@ -261,33 +267,33 @@
 set_state (Engine *engine, EngineState state, LbTime now)
 {
   if (state == ENGINE_SERVING)
-    engine->out_since = 0;
-  else if (engine->state == ENGINE_SERVING || engine->out_since == 0)
-    engine->out_since = now;
+    engine->not_serving_since = 0;
+  else if (engine->state == ENGINE_SERVING || engine->not_serving_since == 0)
+    engine->not_serving_since = now;
   engine->state = state;
 }
 
-/* The order we gave has come to an end, as the engine states itself. One that had no effect (it did
- * nothing, was started anew, or took another order in between) counts as failed too: without a
- * pause it would be given again at once, and such engines would use up the places of all others. */
+/* Ends the pending order after a report that no load is in progress. An order without effect (the
+ * engine ignored it, restarted, or accepted another order) counts as failed too: without a backoff
+ * it would be repeated at once, and such engines would take the turns of all others. */
 static void
-end_order (LcWeights *weights, Engine *engine, LbTime now)
+finish_order (LcWeights *weights, Engine *engine, LbTime now)
 {
-  if (engine->ordered == 0)
+  if (engine->ordered_version == 0)
     return;
-  if (engine->report.version == engine->ordered)
-    weights->load_time = mean (weights->load_time, now - engine->ordered_at);
+  if (engine->report.version == engine->ordered_version)
+    weights->mean_load_time = moving_average (weights->mean_load_time, now - engine->ordered_at);
   else
     {
-      lb_metric_add (&metric_strays, engine->report.version > 0);
-      note_failure (engine, now);
+      lb_metric_add (&metric_unexpected_versions, engine->report.version > 0);
+      record_failure (engine, now);
     }
-  engine->ordered = 0;
+  engine->ordered_version = 0;
 }
 
-/* A load that never ends must not keep its place in the roll-out for good. */
+/* A load that hangs must not count against the limit of concurrent swaps forever. */
 static void
-note_loading (const LcWeights *weights, Engine *engine, LbTime now)
+handle_loading (const LcWeights *weights, Engine *engine, LbTime now)
 {
   if (engine->loading_since == 0)
     engine->loading_since = now;
@@ -296,18 +302,19 @@
       set_state (engine, ENGINE_SWAPPING, now);
       return;
     }
-  if (engine->ordered != 0)
-    note_failure (engine, now);
+  if (engine->ordered_version != 0)
+    record_failure (engine, now);
   set_state (engine, ENGINE_UNKNOWN, now);
 }
 
-/* A report that was asked for before the order, or before it can have begun, says nothing of it. */
+/* Returns true for a report requested before the order or before its load can have started. */
 static bool
-is_before_order (const Engine *engine, const LcWeightReport *report)
+is_older_than_order (const Engine *engine, const LcWeightReport *report)
 {
-  return engine->ordered != 0 && !report->loading && report->version != engine->ordered
-         && report->failed_version != engine->ordered
-         && report->requested_at < engine->ordered_at + ACCEPT_GRACE;
+  return engine->ordered_version != 0 && !report->loading
+         && report->version != engine->ordered_version
+         && report->failed_version != engine->ordered_version
+         && report->requested_at < engine->ordered_at + LOAD_START_TIMEOUT;
 }
 
 void
@@ -316,50 +323,50 @@
 {
   Engine *engine = find_engine (weights, name);
 
-  if (!engine || report->requested_at < weights->restarted_at
+  if (!engine || report->requested_at < weights->lease_changed_at
       || report->requested_at < engine->report.requested_at)
     return;
-  engine->reported_at = now;
-  if (is_before_order (engine, report))
+  engine->last_report_at = now;
+  if (is_older_than_order (engine, report))
     return;
   engine->report = *report;
   if (report->loading)
     {
-      note_loading (weights, engine, now);
+      handle_loading (weights, engine, now);
       return;
     }
   engine->loading_since = 0;
-  end_order (weights, engine, now);
+  finish_order (weights, engine, now);
   if (report->version == weights->target)
     engine->failures = 0;
-  engine->refused_version = report->failed_version > 0 && report->failed_version == weights->target;
+  engine->target_failed = report->failed_version > 0 && report->failed_version == weights->target;
   set_state (engine, report->version > 0 ? ENGINE_SERVING : ENGINE_EMPTY, now);
-  if (engine->pending && report->version > 0)
-    add_swap (engine, false, now, actions);
+  if (engine->swap_pending && report->version > 0)
+    add_routing_update (engine, false, now, actions);
 }
 
-/* After a failure the order may have been taken or not: reports tell, and until then the engine
- * counts as in a swap. */
+/* After a failure it is not known whether the engine accepted the order: its state is unknown until
+ * the next report. */
 void
 lc_weights_order_answered (LcWeights *weights, const char *name, LbErrorCode error, LbTime now)
 {
   Engine *engine = find_engine (weights, name);
 
-  if (!engine || error == LB_OK || engine->ordered == 0)
+  if (!engine || error == LB_OK || engine->ordered_version == 0)
     return;
-  note_failure (engine, now);
+  record_failure (engine, now);
   set_state (engine, ENGINE_UNKNOWN, now);
   engine->report.requested_at = now;
 }
 
 static void
-note_silence (const LcWeights *weights, Engine *engine, LbTime now)
+check_report_age (const LcWeights *weights, Engine *engine, LbTime now)
 {
-  if (now - engine->reported_at > weights->settings.report_timeout)
+  if (now - engine->last_report_at > weights->settings.report_timeout)
     set_state (engine, ENGINE_UNKNOWN, now);
 }
 
-/* What the pool looks like now. Capacity is in requests at once. */
+/* Summary of the pool. Capacity is in concurrent requests. */
 typedef struct
 {
   int64_t capacity;
@@ -367,155 +374,155 @@
   size_t engines;
   size_t serving;
   size_t swapping;
-  size_t failed;
-  size_t refused; /* the target */
+  size_t failed;          /* last load of the target failed or timed out */
+  size_t reported_failed; /* reported a failed load of the target */
   size_t on_target;
   size_t usable;
   size_t unknown;
-  bool waits_for_lost; /* an engine that does not serve has been out for less than the
-                          lost_engine_timeout */
-} View;
+  bool has_recently_lost_engine; /* stopped serving less than lost_engine_timeout ago */
+} PoolState;
 
-/* Not asked yet since the lease became ours, so that a holder before may have ordered it. For a
- * while only: engines that load answer like others, and those that do not answer at all took the
- * places of loads from those that do. */
+/* Returns true if an earlier holder of the lease may have ordered the engine: it has not reported
+ * since the lease was gained. Ends after first_report_timeout: engines that load do report, and
+ * those that never answer would otherwise take the turns of those that do. */
 static bool
 may_be_swapping (const LcWeights *weights, const Engine *engine, LbTime now)
 {
-  return engine->state == ENGINE_UNKNOWN && engine->reported_at < weights->restarted_at
-         && now - weights->restarted_at < weights->settings.first_report_timeout;
+  return engine->state == ENGINE_UNKNOWN && engine->last_report_at < weights->lease_changed_at
+         && now - weights->lease_changed_at < weights->settings.first_report_timeout;
 }
 
 static void
-look (const LcWeights *weights, LbTime now, View *view)
+compute_pool_state (const LcWeights *weights, LbTime now, PoolState *pool)
 {
-  memset (view, 0, sizeof *view);
+  memset (pool, 0, sizeof *pool);
   for (const Engine *engine = weights->engines; engine; engine = engine->hh.next)
     {
-      view->engines++;
-      view->capacity += engine->member.concurrency;
-      view->failed += engine->failures > 0;
-      view->refused += engine->refused_version;
-      view->swapping += engine->state == ENGINE_SWAPPING || may_be_swapping (weights, engine, now);
-      view->unknown += engine->state == ENGINE_UNKNOWN;
+      pool->engines++;
+      pool->capacity += engine->member.concurrency;
+      pool->failed += engine->failures > 0;
+      pool->reported_failed += engine->target_failed;
+      pool->swapping += engine->state == ENGINE_SWAPPING || may_be_swapping (weights, engine, now);
+      pool->unknown += engine->state == ENGINE_UNKNOWN;
       if (engine->state == ENGINE_SERVING)
         {
-          view->serving++;
-          view->serving_capacity += engine->member.concurrency;
-          view->on_target += engine->report.version == weights->target;
-          view->usable += engine->report.version >= weights->target - 1;
+          pool->serving++;
+          pool->serving_capacity += engine->member.concurrency;
+          pool->on_target += engine->report.version == weights->target;
+          pool->usable += engine->report.version >= weights->target - 1;
         }
       else
-        view->waits_for_lost |= now - engine->out_since < weights->settings.lost_engine_timeout;
+        pool->has_recently_lost_engine
+            |= now - engine->not_serving_since < weights->settings.lost_engine_timeout;
     }
 }
 
 static size_t
-swap_limit (const LcWeights *weights, const View *view)
+max_swaps (const LcWeights *weights, const PoolState *pool)
 {
-  size_t limit = view->engines * (size_t)weights->percent / 100;
+  size_t limit = pool->engines * (size_t)weights->roll_out_percent / 100;
 
-  if (weights->limit >= 0)
-    return (size_t)weights->limit;
+  if (weights->swap_limit >= 0)
+    return (size_t)weights->swap_limit;
   return limit > 0 ? limit : 1;
 }
 
-/* Guards against a version that no engine can load: one after the other would be taken out of
- * service for nothing until none is left. Once a few have stated that they failed and none has the
- * version, only those are tried again, one at a time. */
+/* Guards against a version that no engine can load, which would take one engine after the other out
+ * of service until none is left. Once some engines have reported a failed load and none has the
+ * version, only those are retried, one at a time. */
 static bool
-is_halted (const LcWeights *weights, const View *view)
+is_halted (const LcWeights *weights, const PoolState *pool)
 {
-  size_t limit = swap_limit (weights, view);
+  size_t limit = max_swaps (weights, pool);
 
-  if (limit < MIN_FAILED_TO_HALT)
-    limit = MIN_FAILED_TO_HALT;
-  if (limit > MAX_FAILED_TO_HALT)
-    limit = MAX_FAILED_TO_HALT;
-  return view->on_target == 0 && view->refused >= limit;
+  if (limit < MIN_FAILED_ENGINES_TO_HALT)
+    limit = MIN_FAILED_ENGINES_TO_HALT;
+  if (limit > MAX_FAILED_ENGINES_TO_HALT)
+    limit = MAX_FAILED_ENGINES_TO_HALT;
+  return pool->on_target == 0 && pool->reported_failed >= limit;
 }
 
-/* Guards against live callers that find no engine while many are in a swap. What serves after this
- * one stops must still cover the live reserve, and one engine at least must serve. An engine that
- * is lost for good would hold up all others for ever; after the lost_engine_timeout they go one at
- * a time. */
+/* Guards against live callers that find no engine while many swap: without this engine, the others
+ * must still cover the live reserve, and at least one must serve. A permanently lost engine would
+ * block all others forever, so after lost_engine_timeout they swap one at a time. */
 static bool
-leaves_capacity (const LcWeights *weights, const View *view, const Engine *engine)
+leaves_enough_capacity (const LcWeights *weights, const PoolState *pool, const Engine *engine)
 {
   if (engine->state != ENGINE_SERVING)
     return true;
-  int64_t left = view->serving_capacity - engine->member.concurrency;
-  if (view->serving > 1 && (double)left >= weights->live_reserve * (double)view->capacity)
+  int64_t remaining_capacity = pool->serving_capacity - engine->member.concurrency;
+  if (pool->serving > 1
+      && (double)remaining_capacity >= weights->live_reserve * (double)pool->capacity)
     return true;
-  return view->swapping == 0 && !view->waits_for_lost;
+  return pool->swapping == 0 && !pool->has_recently_lost_engine;
 }
 
 static bool
-is_wanted (const LcWeights *weights, const Engine *engine)
+needs_load (const LcWeights *weights, const Engine *engine)
 {
   return engine->report.version != weights->target && !engine->report.leaving
          && (engine->state == ENGINE_SERVING || engine->state == ENGINE_EMPTY);
 }
 
-/* Those without weights first, since they serve nobody; then the oldest, so that each engine gets
- * its turn when versions come faster than a roll-out takes; then the least busy. */
+/* Engines without weights come first, since they serve no one; then those with the oldest version,
+ * so that none starves if versions come faster than a roll-out takes; then the least busy. */
 static bool
-is_before (const LcWeights *weights, const Engine *a, const Engine *b)
+has_precedence (const LcWeights *weights, const Engine *a, const Engine *b)
 {
   if (!b)
     return true;
   if ((a->state == ENGINE_EMPTY) != (b->state == ENGINE_EMPTY))
     return a->state == ENGINE_EMPTY;
-  int64_t behind_a = llabs (weights->target - a->report.version);
-  int64_t behind_b = llabs (weights->target - b->report.version);
-  if (behind_a != behind_b)
-    return behind_a > behind_b;
+  int64_t lag_a = llabs (weights->target - a->report.version);
+  int64_t lag_b = llabs (weights->target - b->report.version);
+  if (lag_a != lag_b)
+    return lag_a > lag_b;
   return a->report.running < b->report.running;
 }
 
-/* The next engine to order, or NULL and why none. */
+/* Returns the engine to order next; NULL, with the reason, if there is none. */
 static Engine *
-choose (const LcWeights *weights,
-        const View *view,
-        bool fenced,
-        bool unfenced,
-        LbTime now,
-        LcWeightsWaitReason *wait)
+choose_engine (const LcWeights *weights,
+               const PoolState *pool,
+               bool fenced,
+               bool unfenced,
+               LbTime now,
+               LcWeightsWaitReason *reason)
 {
   Engine *best = NULL;
-  bool halted = is_halted (weights, view);
+  bool halted = is_halted (weights, pool);
 
-  *wait = view->swapping > 0 ? LC_WEIGHTS_IN_PROGRESS
-                             : (view->unknown > 0 ? LC_WEIGHTS_STATE_UNKNOWN : LC_WEIGHTS_IDLE);
+  *reason = pool->swapping > 0 ? LC_WEIGHTS_IN_PROGRESS
+                               : (pool->unknown > 0 ? LC_WEIGHTS_STATE_UNKNOWN : LC_WEIGHTS_IDLE);
   for (Engine *engine = weights->engines; engine; engine = engine->hh.next)
     {
-      if (!is_wanted (weights, engine))
+      if (!needs_load (weights, engine))
         continue;
-      if (halted && !engine->refused_version)
+      if (halted && !engine->target_failed)
         {
-          *wait = LC_WEIGHTS_HALTED;
+          *reason = LC_WEIGHTS_HALTED;
           continue;
         }
       if (engine->member.checks_fence ? !fenced : !unfenced)
-        *wait = LC_WEIGHTS_NO_LEASE;
+        *reason = LC_WEIGHTS_NO_LEASE;
       else if (now < engine->retry_at)
-        *wait = halted ? LC_WEIGHTS_HALTED : LC_WEIGHTS_BACKOFF;
-      else if (!leaves_capacity (weights, view, engine))
-        *wait = LC_WEIGHTS_CAPACITY;
-      else if (is_before (weights, engine, best))
+        *reason = halted ? LC_WEIGHTS_HALTED : LC_WEIGHTS_BACKOFF;
+      else if (!leaves_enough_capacity (weights, pool, engine))
+        *reason = LC_WEIGHTS_CAPACITY;
+      else if (has_precedence (weights, engine, best))
         best = engine;
     }
   return best;
 }
 
 static void
-order (LcWeights *weights, Engine *engine, LbTime now, LbList *actions)
+order_load (LcWeights *weights, Engine *engine, LbTime now, LbList *actions)
 {
   LcWeightsAction *action = LB_NEW (LcWeightsAction);
 
-  add_swap (engine, true, now + weights->load_time, actions);
+  add_routing_update (engine, true, now + weights->mean_load_time, actions);
   set_state (engine, ENGINE_SWAPPING, now);
-  engine->ordered = weights->target;
+  engine->ordered_version = weights->target;
   engine->ordered_at = now;
   weights->tokens -= 1;
   lb_metric_add (&metric_orders, 1);
@@ -527,42 +534,42 @@
 }
 
 static void
-refill (LcWeights *weights, LbTime now)
+refill_tokens (LcWeights *weights, LbTime now)
 {
-  double elapsed = (double)(now - weights->tokens_at) / LB_SEC;
+  double elapsed = (double)(now - weights->tokens_updated_at) / LB_SEC;
 
   weights->tokens += elapsed * weights->settings.orders_per_second;
   if (weights->tokens > (double)weights->settings.burst)
     weights->tokens = (double)weights->settings.burst;
-  weights->tokens_at = now;
+  weights->tokens_updated_at = now;
 }
 
 void
 lc_weights_set_swap_limit (LcWeights *weights, int64_t limit)
 {
-  weights->limit = limit;
+  weights->swap_limit = limit;
 }
 
 void
 lc_weights_tick (LcWeights *weights, bool fenced, bool unfenced, LbTime now, LbList *actions)
 {
-  View view;
+  PoolState pool;
   Engine *engine;
 
-  refill (weights, now);
+  refill_tokens (weights, now);
   for (engine = weights->engines; engine; engine = engine->hh.next)
-    note_silence (weights, engine, now);
+    check_report_age (weights, engine, now);
   weights->wait_reason = LC_WEIGHTS_IDLE;
   if (weights->target <= 0)
     return;
   for (;;)
     {
-      look (weights, now, &view);
-      engine = choose (weights, &view, fenced, unfenced, now, &weights->wait_reason);
+      compute_pool_state (weights, now, &pool);
+      engine = choose_engine (weights, &pool, fenced, unfenced, now, &weights->wait_reason);
       if (!engine)
         return;
-      bool halted = is_halted (weights, &view);
-      if (view.swapping >= (halted ? 1 : swap_limit (weights, &view)))
+      bool halted = is_halted (weights, &pool);
+      if (pool.swapping >= (halted ? 1 : max_swaps (weights, &pool)))
         {
           weights->wait_reason = halted ? LC_WEIGHTS_HALTED : LC_WEIGHTS_IN_PROGRESS;
           return;
@@ -572,31 +579,31 @@
           weights->wait_reason = LC_WEIGHTS_RATE_LIMITED;
           return;
         }
-      order (weights, engine, now, actions);
+      order_load (weights, engine, now, actions);
     }
 }
 
 void
 lc_weights_status (const LcWeights *weights, LbTime now, LcWeightsStatus *status)
 {
-  View view;
+  PoolState pool;
 
-  look (weights, now, &view);
+  compute_pool_state (weights, now, &pool);
   *status = (LcWeightsStatus){ .target = weights->target,
                                .version_interval = weights->version_interval,
-                               .engines = view.engines,
-                               .on_target = view.on_target,
-                               .usable = view.usable,
-                               .swapping = view.swapping,
-                               .unknown = view.unknown,
-                               .failed = view.failed,
+                               .engines = pool.engines,
+                               .on_target = pool.on_target,
+                               .usable = pool.usable,
+                               .swapping = pool.swapping,
+                               .unknown = pool.unknown,
+                               .failed = pool.failed,
                                .wait_reason = weights->wait_reason };
 }
 
 const char *
-lc_weights_wait_reason_name (LcWeightsWaitReason wait)
+lc_weights_wait_reason_name (LcWeightsWaitReason reason)
 {
-  return wait_names[wait];
+  return wait_reason_names[reason];
 }
 
 bool
