--- a/packages/core/tests/test-config.c
+++ b/packages/core/tests/test-config.c
@@ -5,7 +5,7 @@
 #include <json-c/json.h>
 #include <string.h>
 
-#define BOUND (8 * LB_SEC)
+#define MAX_AGE (8 * LB_SEC)
 #define START (100 * LB_SEC)
 
 static LcConfig *config;
@@ -16,7 +16,7 @@
 setup (void)
 {
   const LcConfigSettings settings
-      = { .instance = "i1", .max_confirmation_age = BOUND, .min_poll_period = LB_SEC, .seed = 7 };
+      = { .instance = "i1", .max_confirmation_age = MAX_AGE, .min_poll_period = LB_SEC, .seed = 7 };
 
   now = START;
   lb_list_init (&actions);
@@ -50,15 +50,15 @@
   return set;
 }
 
-/* Members i2 .. i(n), all alive but those from first_lost on. */
+/* n peers i2, i3, ..., alive except those from index first_dead on. */
 static void
-see_members (int n, int first_lost)
+update_members (int n, int first_dead)
 {
   static const char *const names[] = { "i2", "i3", "i4", "i5" };
   LcConfigMember members[4];
 
   for (int i = 0; i < n; i++)
-    members[i] = (LcConfigMember){ .name = names[i], .incarnation = "a", .alive = i < first_lost };
+    members[i] = (LcConfigMember){ .name = names[i], .incarnation = "a", .alive = i < first_dead };
   lc_config_update_members (config, members, (size_t)n, now, &actions);
 }
 
@@ -69,7 +69,7 @@
 }
 
 static void
-have (const char *from, int64_t revision, LbTime asked_at)
+receive_status (const char *from, int64_t revision, LbTime asked_at)
 {
   receive (from, (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_STATUS,
                                     .revision = revision,
@@ -79,7 +79,7 @@
 }
 
 static void
-give_set (const char *from, int64_t revision)
+receive_snapshot (const char *from, int64_t revision)
 {
   LcResourceSet *set = make_set (revision);
 
@@ -90,7 +90,7 @@
 }
 
 static void
-store_says (int64_t revision)
+read_store (int64_t revision)
 {
   bool newer = revision > lc_config_revision (config);
 
@@ -119,17 +119,17 @@
 }
 
 static void
-become_ready (int64_t revision)
+make_ready (int64_t revision)
 {
-  store_says (revision);
+  read_store (revision);
   now += LB_SEC;
-  store_says (revision);
+  read_store (revision);
   cr_assert (lc_config_is_ready (config));
 }
 
-Test (config, news_carry_the_change_and_are_confirmed)
+Test (config, pushed_change_is_applied_and_acknowledged)
 {
-  become_ready (4);
+  make_ready (4);
   struct json_object *change = json_tokener_parse ("{\"apply\": []}");
   receive ("i2",
            (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_CHANGE, .revision = 5, .body = change });
@@ -139,27 +139,27 @@
   json_object_put (change);
 }
 
-/* An operator sees revision 6 in force, then calls are routed as in revision 5 again: the push of
- * 5 was late on the wire and came after that of 6. */
+/* The push of revision 5 is delayed and arrives after that of 6: calls would be routed by revision
+ * 5 again after operators saw 6 active. */
 Test (config, late_old_push_does_not_revert)
 {
-  become_ready (4);
-  give_set ("i2", 6);
+  make_ready (4);
+  receive_snapshot ("i2", 6);
   struct json_object *change = json_tokener_parse ("{\"apply\": []}");
   receive ("i2",
            (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_CHANGE, .revision = 5, .body = change });
-  give_set ("i3", 5);
+  receive_snapshot ("i3", 5);
 
   cr_assert_eq (lc_config_revision (config), 6);
   json_object_put (change);
 }
 
-/* An operator sees revision 6 in force, then 5 again after a poll: the read of the head row was
- * answered by a replica that lags. Such a read is no confirmation either. */
+/* A lagging replica answers the read of the head row with revision 5 although 6 is active. The read
+ * must neither activate 5 nor count as a confirmation. */
 Test (config, stale_read_does_not_revert_and_does_not_confirm)
 {
-  see_members (2, 2);
-  become_ready (6);
+  update_members (2, 2);
+  make_ready (6);
   for (int i = 0; i < 10; i++)
     {
       tick_after (LB_SEC);
@@ -170,114 +170,114 @@
   cr_assert_not (lc_config_is_ready (config));
 }
 
-/* A push is lost. The next one can't be applied to what this instance has; it asks the sender for
- * the whole set rather than guess. */
-Test (config, gap_in_the_news_is_filled_by_the_whole_set)
+/* A push is lost, so the next change can't be applied: the instance fetches the whole set from the
+ * sender. */
+Test (config, lost_push_is_recovered_by_fetching_the_set)
 {
-  become_ready (4);
+  make_ready (4);
   struct json_object *change = json_tokener_parse ("{\"apply\": []}");
   receive ("i2",
            (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_CHANGE, .revision = 6, .body = change });
   cr_assert_eq (lc_config_revision (config), 4);
   cr_assert_eq (count_sent ("i2", LC_CONFIG_MESSAGE_FETCH), 1);
-  give_set ("i2", 6);
+  receive_snapshot ("i2", 6);
 
   cr_assert_eq (lc_config_revision (config), 6);
   json_object_put (change);
 }
 
-/* An instance is replaced while the store is away. Callers would be routed by an empty or old
- * configuration if it served at once: it serves when most of its peers have told theirs. */
-Test (config, new_instance_with_the_store_away_waits_for_a_majority_of_peers)
+/* An instance is replaced while the store is unavailable. Serving at once would route callers by an
+ * empty or old configuration; it serves once a majority of its peers has reported theirs. */
+Test (config, new_instance_without_store_waits_for_a_majority_of_peers)
 {
   lc_config_store_read_failed (config, now, &actions);
   tick_after (LB_SEC);
   cr_assert_not (lc_config_is_ready (config));
-  see_members (3, 3);
+  update_members (3, 3);
   cr_assert_eq (count_sent ("i2", LC_CONFIG_MESSAGE_QUERY), 1);
   LbTime asked_at = now;
   now += LB_MSEC;
-  have ("i2", 4, asked_at);
-  give_set ("i2", 4);
+  receive_status ("i2", 4, asked_at);
+  receive_snapshot ("i2", 4);
   cr_assert_not (lc_config_is_ready (config));
-  have ("i3", 5, asked_at);
-  cr_assert_not (lc_config_is_ready (config), "i3 has a newer one");
-  give_set ("i3", 5);
+  receive_status ("i3", 5, asked_at);
+  cr_assert_not (lc_config_is_ready (config), "i3 reported a newer revision");
+  receive_snapshot ("i3", 5);
 
   cr_assert (lc_config_is_ready (config));
   cr_assert_eq (lc_config_revision (config), 5);
 }
 
-/* An instance is replaced, and its first read of the store is stale: callers that saw revision 5
- * would be served by 4. The peers name 5 before the first call is taken. */
+/* The first store read of a replaced instance is stale: callers that saw revision 5 would be served
+ * by 4. Its peers must report 5 before it accepts the first call. */
 Test (config, new_instance_with_a_stale_read_waits_for_its_peers)
 {
-  see_members (2, 2);
-  store_says (4);
-  have ("i2", 5, now);
+  update_members (2, 2);
+  read_store (4);
+  receive_status ("i2", 5, now);
   now += LB_SEC;
-  store_says (4);
+  read_store (4);
   cr_assert_not (lc_config_is_ready (config));
-  give_set ("i2", 5);
-  store_says (5);
+  receive_snapshot ("i2", 5);
+  read_store (5);
 
   cr_assert (lc_config_is_ready (config));
 }
 
-/* An instance is cut off from the store and all others for minutes; a change is accepted
- * elsewhere. It would go on with the old one for all that time: it stops taking new work. */
-Test (config, instance_that_is_cut_off_alone_stops_new_work)
+/* An instance is partitioned from the store and all others for minutes while a change is accepted
+ * elsewhere. It must stop accepting work instead of using the old revision all that time. */
+Test (config, isolated_instance_stops_accepting_work)
 {
-  see_members (2, 2);
-  become_ready (4);
-  see_members (0, 0);
+  update_members (2, 2);
+  make_ready (4);
+  update_members (0, 0);
   for (int i = 0; i < 18; i++)
     tick_after (LB_SEC / 2);
   cr_assert_not (lc_config_is_ready (config));
-  store_says (5);
+  read_store (5);
 
   cr_assert (lc_config_is_ready (config));
 }
 
-/* The store is down for an hour. All instances see each other, nothing can be accepted: callers
- * must not notice. */
-Test (config, long_outage_of_the_store_does_not_stop_a_majority)
+/* The store is down for an hour, so no change can be accepted. Instances that reach a majority must
+ * keep serving. */
+Test (config, store_outage_does_not_stop_a_majority)
 {
-  see_members (4, 4);
-  become_ready (4);
+  update_members (4, 4);
+  make_ready (4);
   for (int i = 0; i < 120; i++)
     {
       tick_after (LB_SEC / 2);
       LbTime asked_at = now;
       now += LB_MSEC;
-      have ("i2", 4, asked_at);
-      have ("i3", 4, asked_at);
+      receive_status ("i2", 4, asked_at);
+      receive_status ("i3", 4, asked_at);
       cr_assert (lc_config_is_ready (config), "second %d", i / 2);
     }
 }
 
-/* Two of five instances are cut off with the store away. The membership forgets the other three;
- * the two must not take themselves for all there is. */
-Test (config, lost_instances_still_count_for_the_majority)
+/* Two of five instances are partitioned from the others and the store. The membership drops the
+ * other three, but the two must not count as a majority. */
+Test (config, unreachable_instances_still_count_for_the_majority)
 {
-  see_members (4, 4);
-  become_ready (4);
-  see_members (1, 1);
+  update_members (4, 4);
+  make_ready (4);
+  update_members (1, 1);
   for (int i = 0; i < 20; i++)
     {
       tick_after (LB_SEC / 2);
-      have ("i2", 4, now);
+      receive_status ("i2", 4, now);
     }
   cr_assert_not (lc_config_is_ready (config));
   lc_config_remove_instance (config, "i4");
   lc_config_remove_instance (config, "i5");
   tick_after (LB_SEC / 2);
 
-  cr_assert (lc_config_is_ready (config), "the platform says that two are gone");
+  cr_assert (lc_config_is_ready (config), "the platform removed two instances");
 }
 
 static void
-announce (const char *from, int64_t intent)
+receive_intent (const char *from, int64_t intent)
 {
   receive (from, (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_QUERY,
                                     .revision = 4,
@@ -286,95 +286,95 @@
                                     .intent = intent });
 }
 
-/* Passes seconds in which the store is away, i2 and i3 answer, and i4 only if it may. */
+/* Runs for some seconds without the store; i2 and i3 answer, i4 only if i4_answers. */
 static void
-pass_without_store (int seconds, bool i4_answers)
+run_without_store (int seconds, bool i4_answers)
 {
   for (int i = 0; i < 2 * seconds; i++)
     {
       tick_after (LB_SEC / 2);
-      have ("i2", lc_config_revision (config), now);
-      have ("i3", lc_config_revision (config), now);
+      receive_status ("i2", lc_config_revision (config), now);
+      receive_status ("i3", lc_config_revision (config), now);
       if (i4_answers)
-        have ("i4", lc_config_revision (config), now);
+        receive_status ("i4", lc_config_revision (config), now);
     }
 }
 
-/* i4 announces a change, a majority answers, i4 commits it and is cut off from the others in that
- * moment, with the store. The others would go on with revision 4 for the hour of the parting while
- * the operator at i4 sees 5 accepted: without the store they must stop. */
-Test (config, cut_in_the_moment_of_acceptance_leaves_a_doubt)
+/* i4 announces a change, a majority answers, and a partition separates i4 and the store from the
+ * others as i4 commits it. The others would use revision 4 for as long as the partition lasts,
+ * while the operator at i4 sees 5 accepted: without the store they must stop. */
+Test (config, partition_during_a_commit_stops_new_work)
 {
-  see_members (3, 3);
-  become_ready (4);
-  announce ("i4", 1);
-  pass_without_store (5, false);
+  update_members (3, 3);
+  make_ready (4);
+  receive_intent ("i4", 1);
+  run_without_store (5, false);
   cr_assert (lc_config_is_ready (config));
-  pass_without_store (20, false);
+  run_without_store (20, false);
   cr_assert_not (lc_config_is_ready (config));
   drop_actions ();
-  announce ("i2", 0);
+  receive_intent ("i2", 0);
   LcConfigAction *answer = LB_LIST_FIRST (&actions, LcConfigAction, link);
-  cr_assert_not (answer->message.confirmed, "a doubtful one is no help to others");
-  store_says (5);
-  pass_without_store (60, false);
+  cr_assert_not (answer->message.confirmed, "a revision in doubt must not confirm others");
+  read_store (5);
+  run_without_store (60, false);
 
-  cr_assert (lc_config_is_ready (config), "the outcome is known");
+  cr_assert (lc_config_is_ready (config), "the store answered, so the outcome is known");
 }
 
-/* The store goes away while i4 commits. As long as i4 answers that it knows of nothing newer,
- * nobody has anything newer in force, and the service goes on. */
-Test (config, no_doubt_while_the_announcer_answers)
+/* The store fails while i4 commits. As long as i4 answers with the old revision, no instance has a
+ * newer one active, and work continues. */
+Test (config, pending_change_does_not_stop_work_while_its_announcer_answers)
 {
-  see_members (3, 3);
-  become_ready (4);
-  announce ("i4", 1);
-  pass_without_store (60, true);
+  update_members (3, 3);
+  make_ready (4);
+  receive_intent ("i4", 1);
+  run_without_store (60, true);
 
   cr_assert (lc_config_is_ready (config));
 }
 
-/* The announced change was refused by the store, which goes away later, and i4 with it. */
-Test (config, settled_change_leaves_no_doubt)
+/* The store rejected the announced change; later the store and i4 become unreachable. */
+Test (config, abandoned_change_does_not_stop_work)
 {
-  see_members (3, 3);
-  become_ready (4);
-  announce ("i4", 1);
+  update_members (3, 3);
+  make_ready (4);
+  receive_intent ("i4", 1);
   receive ("i4", (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_STATUS,
                                     .revision = 4,
                                     .age = -1,
                                     .confirmed = true,
                                     .intent = 1 });
-  pass_without_store (60, false);
+  run_without_store (60, false);
 
   cr_assert (lc_config_is_ready (config));
 }
 
-/* i4 announces a change and crashes. What others learn afterwards settles it: a newer revision, or
- * the store's word from when the change can't take effect any more. */
-Test (config, later_news_settle_an_announced_change)
+/* i4 announces a change and crashes. The outcome is settled by a newer revision, or by a store read
+ * from the time when the change can no longer take effect. */
+Test (config, newer_revision_or_store_read_settles_an_announced_change)
 {
-  see_members (3, 3);
-  become_ready (4);
-  announce ("i4", 1);
-  give_set ("i2", 5);
-  pass_without_store (60, false);
-  cr_assert (lc_config_is_ready (config), "by a newer revision");
+  update_members (3, 3);
+  make_ready (4);
+  receive_intent ("i4", 1);
+  receive_snapshot ("i2", 5);
+  run_without_store (60, false);
+  cr_assert (lc_config_is_ready (config), "settled by a newer revision");
 
   receive ("i4", (LcConfigMessage){
                      .type = LC_CONFIG_MESSAGE_QUERY, .revision = 5, .age = -1, .intent = 2 });
   now += 12 * LB_SEC;
-  store_says (5);
-  pass_without_store (60, false);
-  cr_assert (lc_config_is_ready (config), "by the store");
+  read_store (5);
+  run_without_store (60, false);
+  cr_assert (lc_config_is_ready (config), "settled by the store");
 }
 
-/* An instance is paused for a minute; an answer with a young confirmation waits in its socket.
- * Counted from its arrival it would make an old confirmation young. */
-Test (config, age_counts_from_the_question)
+/* While an instance is paused for a minute, an answer with a recent confirmation waits in its
+ * socket. Counted from the arrival, an old confirmation would look recent. */
+Test (config, confirmation_age_counts_from_the_query)
 {
-  see_members (1, 1);
-  become_ready (4);
+  update_members (1, 1);
+  make_ready (4);
   tick_after (LB_SEC);
   LbTime asked_at = now;
   now += 60 * LB_SEC;
@@ -388,11 +388,11 @@
   cr_assert_geq (lc_config_confirmation_age (config, now), 60 * LB_SEC);
 }
 
-Test (config, watch_counts_and_a_restarted_peer_starts_from_nothing)
+Test (config, active_count_forgets_the_revision_of_a_restarted_peer)
 {
-  see_members (2, 2);
-  become_ready (4);
-  have ("i2", 4, now);
+  update_members (2, 2);
+  make_ready (4);
+  receive_status ("i2", 4, now);
   cr_assert_eq (lc_config_count_active (config, 4).active, 2);
   cr_assert_eq (lc_config_count_active (config, 4).known, 3);
   const LcConfigMember restarted = { .name = "i2", .incarnation = "b", .alive = true };
--- a/packages/core/tests/test-desired.c
+++ b/packages/core/tests/test-desired.c
@@ -17,15 +17,15 @@
 }
 
 static const char *
-route_of (const LcDesired *desired, const char *host, const char *path)
+match_route_name (const LcDesired *desired, const char *host, const char *path)
 {
   const LcRoute *route = lc_desired_match_route (desired, host, path);
 
   return route ? route->name : "";
 }
 
-/* A split route and a route below it: callers of the longer prefix must not reach the service of
- * the shorter one, in whatever order the operator listed them. */
+/* Calls that match the longer prefix must not reach the service of a shorter one, in whatever order
+ * the operator listed the routes. */
 Test (desired, longest_prefix_of_the_host_wins)
 {
   LcDesired *desired = lc_desired_new (3);
@@ -34,26 +34,26 @@
   add_route (desired, "long", "shop.example", "/a/b/");
   add_route (desired, "other", "mail.example", "/a/b/c/");
   lc_desired_sort_routes (desired);
-  cr_assert_str_eq (route_of (desired, "shop.example", "/a/x"), "short");
-  cr_assert_str_eq (route_of (desired, "shop.example", "/a/b/c/d"), "long");
-  cr_assert_str_eq (route_of (desired, "SHOP.example:8080", "/a/b/"), "long");
-  cr_assert_str_eq (route_of (desired, "shop.example.org", "/a/b/"), "");
-  cr_assert_str_eq (route_of (desired, "shop.example", "/b/"), "");
+  cr_assert_str_eq (match_route_name (desired, "shop.example", "/a/x"), "short");
+  cr_assert_str_eq (match_route_name (desired, "shop.example", "/a/b/c/d"), "long");
+  cr_assert_str_eq (match_route_name (desired, "SHOP.example:8080", "/a/b/"), "long");
+  cr_assert_str_eq (match_route_name (desired, "shop.example.org", "/a/b/"), "");
+  cr_assert_str_eq (match_route_name (desired, "shop.example", "/b/"), "");
   lc_desired_unref (desired);
 }
 
-Test (desired, lives_as_long_as_somebody_holds_it)
+Test (desired, stays_valid_until_the_last_unref)
 {
   LcDesired *desired = lc_desired_new (1);
   LcDesired *second = lc_desired_ref (desired);
 
   add_route (desired, "r", "h", "/");
   lc_desired_unref (desired);
-  cr_assert_str_eq (route_of (second, "h", "/x"), "r");
+  cr_assert_str_eq (match_route_name (second, "h", "/x"), "r");
   lc_desired_unref (second);
 }
 
-Test (desired, splits_by_weight)
+Test (desired, services_are_chosen_by_weight)
 {
   LcRoute route = { .n_targets = 2, .targets = { { "a", 90 }, { "b", 10 } } };
 
--- a/packages/core/tests/test-engine-plan.c
+++ b/packages/core/tests/test-engine-plan.c
@@ -8,14 +8,14 @@
 #include <stdio.h>
 #include <string.h>
 
-#define N 10
+#define N_ENGINES 10
 
 static const LbName models[] = { "short", "long" };
 
 static void
 make_engines (LcPlanEntry *engines)
 {
-  for (int i = 0; i < N; i++)
+  for (int i = 0; i < N_ENGINES; i++)
     {
       engines[i] = (LcPlanEntry){ .version = 0 };
       snprintf (engines[i].engine, LB_NAME_MAX, "i-%d", i);
@@ -24,7 +24,7 @@
 }
 
 static int
-count (const LcEnginePlan *plan, const char *model)
+count_engines (const LcEnginePlan *plan, const char *model)
 {
   int n = 0;
 
@@ -33,39 +33,39 @@
   return n;
 }
 
-/* One trainer brings four times the tokens of the other. With the engines shared evenly its steps
- * wait for places while the other's engines stand idle. */
-Test (engine_plan, engines_go_where_the_work_is)
+/* One trainer requests four times the tokens of the other. With an even assignment its steps would
+ * queue while engines of the other model are idle. */
+Test (engine_plan, engines_are_assigned_by_demand)
 {
   LcDemand *demand = lc_demand_new ();
   LcEnginePlan plan = { 0 };
-  LcPlanEntry engines[N];
+  LcPlanEntry engines[N_ENGINES];
   LbTime now = LB_SEC;
 
   make_engines (engines);
   lc_demand_add (demand, "short", 1000, now);
   lc_demand_add (demand, "long", 4000, now);
-  cr_assert (lc_engine_plan_rebalance (&plan, engines, N, models, 2, demand, now));
-  cr_assert_eq (count (&plan, "long"), 7);
-  cr_assert_eq (count (&plan, "short"), 3);
+  cr_assert (lc_engine_plan_rebalance (&plan, engines, N_ENGINES, models, 2, demand, now));
+  cr_assert_eq (count_engines (&plan, "long"), 7);
+  cr_assert_eq (count_engines (&plan, "short"), 3);
   lc_engine_plan_clear (&plan);
   lc_demand_free (demand);
 }
 
-/* Demand moves a little with the lengths of texts; each move costs a load of weights. */
-Test (engine_plan, a_small_change_moves_nothing)
+/* Demand varies slightly with the lengths of texts, and each move costs a load of weights. */
+Test (engine_plan, small_imbalance_moves_no_engine)
 {
   LcDemand *demand = lc_demand_new ();
   LcEnginePlan plan = { 0 };
-  LcPlanEntry engines[N];
+  LcPlanEntry engines[N_ENGINES];
   LbTime now = LB_SEC;
 
   make_engines (engines);
   lc_demand_add (demand, "short", 1000, now);
   lc_demand_add (demand, "long", 1100, now);
-  lc_engine_plan_rebalance (&plan, engines, N, models, 2, demand, now);
-  cr_assert_eq (count (&plan, "short"), 5);
-  cr_assert_not (lc_engine_plan_rebalance (&plan, engines, N, models, 2, demand, now));
+  lc_engine_plan_rebalance (&plan, engines, N_ENGINES, models, 2, demand, now);
+  cr_assert_eq (count_engines (&plan, "short"), 5);
+  cr_assert_not (lc_engine_plan_rebalance (&plan, engines, N_ENGINES, models, 2, demand, now));
   lc_engine_plan_clear (&plan);
   lc_demand_free (demand);
 }
@@ -74,18 +74,18 @@
 {
   LcDemand *demand = lc_demand_new ();
   LcEnginePlan plan = { 0 };
-  LcPlanEntry engines[N];
+  LcPlanEntry engines[N_ENGINES];
   LbTime now = LB_SEC;
 
   make_engines (engines);
   lc_demand_add (demand, "long", 1e9, now);
-  lc_engine_plan_rebalance (&plan, engines, N, models, 2, demand, now);
-  cr_assert_eq (count (&plan, "short"), 1);
+  lc_engine_plan_rebalance (&plan, engines, N_ENGINES, models, 2, demand, now);
+  cr_assert_eq (count_engines (&plan, "short"), 1);
   lc_engine_plan_clear (&plan);
   lc_demand_free (demand);
 }
 
-Test (engine_plan, old_work_counts_less)
+Test (engine_plan, demand_decays)
 {
   LcDemand *demand = lc_demand_new ();
 
@@ -95,32 +95,33 @@
   lc_demand_free (demand);
 }
 
-/* What is known of an engine's weights is of the model that it served: after it has changed its
- * model the old version would let requests go to weights that it does not have. */
-Test (engine_plan, an_engine_that_changes_its_model_is_not_known_to_have_weights)
+/* An engine's version belongs to the model that it served: kept after a change of the model, it
+ * would route requests to weights that the engine does not have. */
+Test (engine_plan, engine_that_changes_its_model_loses_its_version)
 {
   LcDemand *demand = lc_demand_new ();
   LcEnginePlan plan = { 0 };
-  LcPlanEntry engines[N];
+  LcPlanEntry engines[N_ENGINES];
   LbTime now = LB_SEC;
 
   make_engines (engines);
-  lc_engine_plan_rebalance (&plan, engines, N, models, 2, demand, now);
+  lc_engine_plan_rebalance (&plan, engines, N_ENGINES, models, 2, demand, now);
   LcPlanEntry loaded = { .version = 9 };
   LB_COPY (loaded.engine, "i-1");
   LB_COPY (loaded.model, "long");
   lc_engine_plan_put (&plan, &loaded);
   LB_COPY (engines[1].model, "short");
-  cr_assert (lc_engine_plan_rebalance (&plan, engines, N, models, 2, demand, now));
+  cr_assert (lc_engine_plan_rebalance (&plan, engines, N_ENGINES, models, 2, demand, now));
   cr_assert_str_eq (lc_engine_plan_find (&plan, "i-1")->model, "short");
   cr_assert_eq (lc_engine_plan_find (&plan, "i-1")->version, 0);
-  cr_assert (lc_engine_plan_rebalance (&plan, engines, N - 1, models, 2, demand, now));
-  cr_assert_null (lc_engine_plan_find (&plan, "i-9"), "one that has gone is named no more");
+  cr_assert (lc_engine_plan_rebalance (&plan, engines, N_ENGINES - 1, models, 2, demand, now));
+  cr_assert_null (lc_engine_plan_find (&plan, "i-9"),
+                  "an engine that left must be removed from the plan");
   lc_engine_plan_clear (&plan);
   lc_demand_free (demand);
 }
 
-Test (engine_plan, says_the_same_after_a_round_trip)
+Test (engine_plan, json_round_trip_preserves_the_plan)
 {
   LcEnginePlan plan = { 0 };
   LcEnginePlan read;
@@ -137,8 +138,9 @@
   lc_engine_plan_clear (&read);
 }
 
-/* Engines are noted in any order, and some go: each that is left is found, none twice. */
-Test (engine_plan, every_engine_is_found_whatever_the_order_of_the_notes)
+/* Engines are put in any order, one of them twice, and some are removed: each that remains must be
+ * found once. */
+Test (engine_plan, engines_are_found_whatever_order_they_were_put_in)
 {
   static const char *const names[] = { "i-7", "i-1", "i-9", "i-3", "i-1", "i-5" };
   LcEnginePlan plan = { 0 };
@@ -162,11 +164,11 @@
   lc_engine_plan_clear (&plan);
 }
 
-/* --- any number of models, engines and any demand --- */
+/* --- random numbers of models and engines, random demand --- */
 
 #define MAX_MODELS 10
 #define MAX_ENGINES 100
-#define N_DRAWS 4000
+#define N_CASES 4000
 
 typedef struct
 {
@@ -176,151 +178,158 @@
   size_t n_engines;
   double tokens[MAX_MODELS];
   LcDemand *demand;
-} Draw;
+} RandomCase;
 
 static void
-draw_init (Draw *draw, gsl_rng *random)
+random_case_init (RandomCase *random_case, gsl_rng *random)
 {
-  memset (draw, 0, sizeof *draw);
-  draw->demand = lc_demand_new ();
-  draw->n_models = 1 + gsl_rng_uniform_int (random, MAX_MODELS);
-  draw->n_engines = 1 + gsl_rng_uniform_int (random, MAX_ENGINES);
-  for (size_t i = 0; i < draw->n_models; i++)
+  memset (random_case, 0, sizeof *random_case);
+  random_case->demand = lc_demand_new ();
+  random_case->n_models = 1 + gsl_rng_uniform_int (random, MAX_MODELS);
+  random_case->n_engines = 1 + gsl_rng_uniform_int (random, MAX_ENGINES);
+  for (size_t i = 0; i < random_case->n_models; i++)
     {
-      snprintf (draw->models[i], LB_NAME_MAX, "model-%zu", i);
-      draw->tokens[i] = gsl_rng_uniform (random) * (gsl_rng_uniform_int (random, 4) == 0 ? 0 : 1e5);
-      lc_demand_add (draw->demand, draw->models[i], draw->tokens[i], LB_SEC);
+      snprintf (random_case->models[i], LB_NAME_MAX, "model-%zu", i);
+      random_case->tokens[i]
+          = gsl_rng_uniform (random) * (gsl_rng_uniform_int (random, 4) == 0 ? 0 : 1e5);
+      lc_demand_add (random_case->demand, random_case->models[i], random_case->tokens[i], LB_SEC);
     }
-  for (size_t i = 0; i < draw->n_engines; i++)
+  for (size_t i = 0; i < random_case->n_engines; i++)
     {
-      snprintf (draw->engines[i].engine, LB_NAME_MAX, "i-%03zu", i);
-      LB_COPY (draw->engines[i].model, draw->models[gsl_rng_uniform_int (random, draw->n_models)]);
+      snprintf (random_case->engines[i].engine, LB_NAME_MAX, "i-%03zu", i);
+      LB_COPY (random_case->engines[i].model,
+               random_case->models[gsl_rng_uniform_int (random, random_case->n_models)]);
     }
 }
 
-/* How far the division is from what demand is worth, as the division itself states it. */
+/* Sum of the squared deviations from the share by demand, as lc_engine_plan_rebalance reduces it.
+ */
 static double
-unevenness (const Draw *draw, const LcEnginePlan *plan)
+sum_squared_deviations (const RandomCase *random_case, const LcEnginePlan *plan)
 {
   double total = 0;
   double sum = 0;
 
-  for (size_t i = 0; i < draw->n_models; i++)
-    total += draw->tokens[i];
-  for (size_t i = 0; i < draw->n_models && total > 0; i++)
+  for (size_t i = 0; i < random_case->n_models; i++)
+    total += random_case->tokens[i];
+  for (size_t i = 0; i < random_case->n_models && total > 0; i++)
     {
-      double share = 1 + draw->tokens[i] / total * (double)(draw->n_engines - draw->n_models);
-      double lack = share - count (plan, draw->models[i]);
+      double share = 1
+                     + random_case->tokens[i] / total
+                           * (double)(random_case->n_engines - random_case->n_models);
+      double lack = share - count_engines (plan, random_case->models[i]);
       sum += lack * lack;
     }
   return sum;
 }
 
-/* The trainers of all models wait without end: the instance that plans the engines falls silent,
- * its successor gains the lease, plans in its turn and falls silent as well. With three models and
- * more two of them took the same engine from each other for ever. */
-Test (engine_plan, a_division_ends_whatever_is_asked, .timeout = 20)
+/* With three or more models, two of them could take the same engine from each other in an endless
+ * loop. It blocked the planning instance and then each successor, and all trainers waited. */
+Test (engine_plan, rebalancing_ends_for_any_demand, .timeout = 20)
 {
   gsl_rng *random = gsl_rng_alloc (gsl_rng_taus2);
 
-  for (unsigned long seed = 1; seed <= N_DRAWS; seed++)
+  for (unsigned long seed = 1; seed <= N_CASES; seed++)
     {
-      Draw draw;
+      RandomCase random_case;
       LcEnginePlan before = { 0 };
       LcEnginePlan after = { 0 };
       gsl_rng_set (random, seed);
-      draw_init (&draw, random);
-      for (size_t i = 0; i < draw.n_engines; i++)
-        lc_engine_plan_put (&before, &draw.engines[i]);
-      lc_engine_plan_rebalance (&after, draw.engines, draw.n_engines, draw.models, draw.n_models,
-                                draw.demand, LB_SEC);
-      cr_assert_eq (after.n_entries, draw.n_engines, "seed %lu", seed);
-      if (draw.n_engines > draw.n_models && draw.n_models > 1)
-        cr_assert_leq (unevenness (&draw, &after), unevenness (&draw, &before) + 1e-6, "seed %lu",
-                       seed);
-      for (size_t i = 0; i < draw.n_models; i++)
-        cr_assert (count (&after, draw.models[i]) > 0 || count (&before, draw.models[i]) == 0,
+      random_case_init (&random_case, random);
+      for (size_t i = 0; i < random_case.n_engines; i++)
+        lc_engine_plan_put (&before, &random_case.engines[i]);
+      lc_engine_plan_rebalance (&after, random_case.engines, random_case.n_engines,
+                                random_case.models, random_case.n_models, random_case.demand,
+                                LB_SEC);
+      cr_assert_eq (after.n_entries, random_case.n_engines, "seed %lu", seed);
+      if (random_case.n_engines > random_case.n_models && random_case.n_models > 1)
+        cr_assert_leq (sum_squared_deviations (&random_case, &after),
+                       sum_squared_deviations (&random_case, &before) + 1e-6, "seed %lu", seed);
+      for (size_t i = 0; i < random_case.n_models; i++)
+        cr_assert (count_engines (&after, random_case.models[i]) > 0
+                       || count_engines (&before, random_case.models[i]) == 0,
                    "seed %lu: a model lost its last engine", seed);
-      cr_assert_not (lc_engine_plan_rebalance (&after, after.entries, after.n_entries, draw.models,
-                                               draw.n_models, draw.demand, LB_SEC),
-                     "seed %lu: the same again moves nothing", seed);
+      cr_assert_not (lc_engine_plan_rebalance (&after, after.entries, after.n_entries,
+                                               random_case.models, random_case.n_models,
+                                               random_case.demand, LB_SEC),
+                     "seed %lu: a second run must not move engines", seed);
       lc_engine_plan_clear (&before);
       lc_engine_plan_clear (&after);
-      lc_demand_free (draw.demand);
+      lc_demand_free (random_case.demand);
     }
   gsl_rng_free (random);
 }
 
-/* Nine engines, used for the models of these numbers. */
+/* model_indexes: index of the model that each of the nine engines is assigned to. */
 static void
-make_nine (LcPlanEntry *engines, const LbName *names, const char *uses)
+make_nine_engines (LcPlanEntry *engines, const LbName *names, const char *model_indexes)
 {
   for (int i = 0; i < 9; i++)
     {
       engines[i] = (LcPlanEntry){ .version = 0 };
       snprintf (engines[i].engine, LB_NAME_MAX, "i-%d", i);
-      LB_COPY (engines[i].model, names[(int)uses[i]]);
+      LB_COPY (engines[i].model, names[(int)model_indexes[i]]);
     }
 }
 
-/* Three trainers of unlike demand. By the hash of their names the lightest model has four engines
- * and the heaviest two, whose texts wait in two waves: each step of it ends a second or two late,
- * all day, and its trainer falls a step behind. Both sides of the imbalance count. */
-Test (engine_plan, the_heaviest_model_does_not_keep_the_fewest_engines)
+/* Initially the model with the least demand has four engines and one with high demand has two, so
+ * that each of its steps runs in two rounds and ends one to two seconds late. Lack and excess must
+ * be added when they are compared with the bound. */
+Test (engine_plan, lack_and_excess_both_count_as_imbalance)
 {
-  static const LbName three[] = { "light", "heavy", "middle" };
-  static const char uses[9] = { 0, 0, 0, 0, 1, 1, 2, 2, 2 };
+  static const LbName three_models[] = { "light", "heavy", "middle" };
+  static const char model_indexes[9] = { 0, 0, 0, 0, 1, 1, 2, 2, 2 };
   LcDemand *demand = lc_demand_new ();
   LcEnginePlan plan = { 0 };
   LcPlanEntry engines[9];
 
-  make_nine (engines, three, uses);
+  make_nine_engines (engines, three_models, model_indexes);
   lc_demand_add (demand, "light", 800, LB_SEC);
   lc_demand_add (demand, "heavy", 1150, LB_SEC);
   lc_demand_add (demand, "middle", 1179, LB_SEC);
-  lc_engine_plan_rebalance (&plan, engines, 9, three, 3, demand, LB_SEC);
-  cr_assert_eq (count (&plan, "light"), 3);
-  cr_assert_eq (count (&plan, "heavy"), 3);
-  cr_assert_eq (count (&plan, "middle"), 3);
+  lc_engine_plan_rebalance (&plan, engines, 9, three_models, 3, demand, LB_SEC);
+  cr_assert_eq (count_engines (&plan, "light"), 3);
+  cr_assert_eq (count_engines (&plan, "heavy"), 3);
+  cr_assert_eq (count_engines (&plan, "middle"), 3);
   lc_engine_plan_clear (&plan);
   lc_demand_free (demand);
 }
 
-/* Endpoints register one after the other, and each list divides those that it names. The first
- * steps of a trainer wait for its one engine while another trainer has five. */
-Test (engine_plan, without_demand_the_division_is_even)
+/* Engines register one after the other and are assigned as they are listed, here 5, 3 and 1: the
+ * first steps of one trainer would wait for its only engine. */
+Test (engine_plan, engines_are_assigned_evenly_without_demand)
 {
-  static const LbName three[] = { "a", "b", "c" };
-  static const char uses[9] = { 0, 0, 0, 0, 0, 1, 1, 1, 2 };
+  static const LbName three_models[] = { "a", "b", "c" };
+  static const char model_indexes[9] = { 0, 0, 0, 0, 0, 1, 1, 1, 2 };
   LcDemand *demand = lc_demand_new ();
   LcEnginePlan plan = { 0 };
   LcPlanEntry engines[9];
 
-  make_nine (engines, three, uses);
+  make_nine_engines (engines, three_models, model_indexes);
   cr_assert (lc_demand_is_empty (demand));
-  lc_engine_plan_rebalance (&plan, engines, 9, three, 3, demand, LB_SEC);
-  cr_assert_eq (count (&plan, "a"), 3);
-  cr_assert_eq (count (&plan, "b"), 3);
-  cr_assert_eq (count (&plan, "c"), 3);
+  lc_engine_plan_rebalance (&plan, engines, 9, three_models, 3, demand, LB_SEC);
+  cr_assert_eq (count_engines (&plan, "a"), 3);
+  cr_assert_eq (count_engines (&plan, "b"), 3);
+  cr_assert_eq (count_engines (&plan, "c"), 3);
   lc_engine_plan_clear (&plan);
   lc_demand_free (demand);
 }
 
-/* Guards against a plan that outgrows a row of the store. */
-Test (engine_plan, a_part_of_the_size_to_come_fits_a_row)
+/* The parts of the largest expected plan must fit into a row of the store. */
+Test (engine_plan, part_of_a_large_plan_fits_a_row)
 {
   enum
   {
-    N_ENGINES = 7000,
+    N_PLANNED = 7000,
     ROW_BYTES = 65536
   };
   LcEnginePlan plan = { 0 };
   LcEnginePlan parts[LC_ENGINE_PLAN_PARTS];
   LcEnginePlan joined;
 
-  plan.entries = LB_NEW_ARRAY (LcPlanEntry, N_ENGINES);
-  plan.n_entries = N_ENGINES;
-  for (int i = 0; i < N_ENGINES; i++)
+  plan.entries = LB_NEW_ARRAY (LcPlanEntry, N_PLANNED);
+  plan.n_entries = N_PLANNED;
+  for (int i = 0; i < N_PLANNED; i++)
     {
       LcPlanEntry *entry = &plan.entries[i];
       snprintf (entry->engine, sizeof entry->engine, "i-%08x", i);
--- a/packages/core/tests/test-organisations.c
+++ b/packages/core/tests/test-organisations.c
@@ -24,15 +24,15 @@
 {
   const LcAdmissionRules rules
       = { .refuse_unconfirmed = strict, .max_unconfirmed_age = 5 * LB_SEC };
-  const LcAdmissionView belief = { .organisations = organisations, .confirmed_at = NOW - age };
+  const LcAdmissionView view = { .organisations = organisations, .confirmed_at = NOW - age };
   LcAdmission admission;
 
-  lc_admission_decide (&rules, &belief, &call, NOW, &admission);
+  lc_admission_decide (&rules, &view, &call, NOW, &admission);
   return admission;
 }
 
 static LcOrganisations *
-two (void)
+new_post_and_mill (void)
 {
   LcOrganisations *organisations = lc_organisations_new ();
 
@@ -41,9 +41,9 @@
   return organisations;
 }
 
-Test (organisations, a_key_names_its_holder)
+Test (organisations, key_identifies_its_organisation)
 {
-  LcOrganisations *organisations = two ();
+  LcOrganisations *organisations = new_post_and_mill ();
   LcAdmission admission
       = decide (organisations, 0, false, (LcAdmissionCall){ .key = "key-of-mill", .n_keys = 1 });
 
@@ -56,11 +56,11 @@
   lc_organisations_free (organisations);
 }
 
-/* What callers write in place of a key: nothing, an empty text, eight kilobytes, bytes that are no
- * text, part of a key. Each is told that nobody holds it, and none is taken for another. */
-Test (organisations, what_is_no_key_is_refused)
+/* No key, an empty one, eight kilobytes, invalid UTF-8, a part of a key, other case or a trailing
+ * space: each is unauthorized, and none matches an organisation. */
+Test (organisations, malformed_and_unknown_keys_are_rejected)
 {
-  LcOrganisations *organisations = two ();
+  LcOrganisations *organisations = new_post_and_mill ();
   char long_key[8193];
   const char *const keys[]
       = { NULL, "", long_key, "\xff\x01\x80", "key-of-mil", "key-of-mill ", "KEY-OF-MILL" };
@@ -77,11 +77,11 @@
   lc_organisations_free (organisations);
 }
 
-/* Two keys in one call: an intermediary that looks at the first one and an instance that looks at
- * the last would take it for calls of two callers. */
-Test (organisations, two_keys_are_a_bad_request)
+/* With two keys in one call, a proxy that reads the first and an instance that reads the last would
+ * attribute it to different callers. */
+Test (organisations, call_with_two_keys_is_a_bad_request)
 {
-  LcOrganisations *organisations = two ();
+  LcOrganisations *organisations = new_post_and_mill ();
   LcAdmission admission
       = decide (organisations, 0, false, (LcAdmissionCall){ .key = "key-of-mill", .n_keys = 2 });
 
@@ -89,9 +89,9 @@
   lc_organisations_free (organisations);
 }
 
-Test (organisations, no_key_is_needed_where_none_are_declared_or_the_route_is_open)
+Test (organisations, no_key_is_needed_without_organisations_or_on_a_public_route)
 {
-  LcOrganisations *organisations = two ();
+  LcOrganisations *organisations = new_post_and_mill ();
 
   cr_assert_eq (decide (NULL, 0, true, (LcAdmissionCall){ 0 }).error, LB_OK);
   cr_assert_eq (
@@ -101,15 +101,15 @@
                             (LcAdmissionCall){
                                 .key = "key-of-mill", .n_keys = 1, .is_public = true })
                         .organisation.name,
-                    "", "an open route is nobody's, whatever its caller brings");
+                    "", "calls to a public route belong to no organisation");
   lc_organisations_free (organisations);
 }
 
-/* An instance is cut off from the store for two seconds. An operator declares a key meanwhile, and
- * its holder calls here. A final "nobody holds it" would be wrong: it is asked to come back. */
-Test (organisations, an_unknown_key_is_not_final_while_nothing_is_heard)
+/* An operator adds a key while an instance has been cut off from the store for two seconds. Calls
+ * with it must be told to retry instead of being rejected for good. */
+Test (organisations, unknown_key_is_rejected_temporarily_while_the_view_is_stale)
 {
-  LcOrganisations *organisations = two ();
+  LcOrganisations *organisations = new_post_and_mill ();
   LcAdmission admission = decide (organisations, 2 * LB_SEC, false,
                                   (LcAdmissionCall){ .key = "key-of-new", .n_keys = 1 });
 
@@ -118,11 +118,11 @@
   lc_organisations_free (organisations);
 }
 
-/* A key is taken away while an instance is cut off. Where operators ask for it the instance refuses
- * every key once it can't know any more; elsewhere it goes on with what it knew. */
-Test (organisations, a_key_that_may_be_gone_is_refused_where_operators_ask_for_it)
+/* A key may have been revoked while an instance is cut off from the store. With refuse_unconfirmed
+ * it rejects every key once its view is too old; otherwise it continues with the last view. */
+Test (organisations, keys_are_rejected_with_a_stale_view_in_strict_mode)
 {
-  LcOrganisations *organisations = two ();
+  LcOrganisations *organisations = new_post_and_mill ();
   const LcAdmissionCall call = { .key = "key-of-post", .n_keys = 1 };
 
   cr_assert_eq (decide (organisations, 4 * LB_SEC, true, call).error, LB_OK);
@@ -131,9 +131,9 @@
   lc_organisations_free (organisations);
 }
 
-Test (organisations, doubled_names_and_keys_are_refused)
+Test (organisations, duplicate_names_and_keys_are_rejected)
 {
-  LcOrganisations *organisations = two ();
+  LcOrganisations *organisations = new_post_and_mill ();
   LcOrganisation again = { .name = "post" };
   LcOrganisation third = { .name = "third" };
   LcKeyDigest digest;
@@ -144,11 +144,12 @@
   lc_key_compute_digest ("key-of-post", &digest);
   cr_assert_not (lc_organisations_add_key (organisations, &digest, &error));
   cr_assert (strstr (error.detail, "post"));
-  cr_assert_not (strstr (error.detail, "key-of-post"), "errors name keys by their mark alone");
+  cr_assert_not (strstr (error.detail, "key-of-post"),
+                 "errors must identify keys only by their log id");
   lc_organisations_free (organisations);
 }
 
-Test (organisations, a_digest_survives_its_text)
+Test (organisations, digest_text_round_trip)
 {
   LcKeyDigest digest, same;
   char text[LC_KEY_DIGEST_TEXT_SIZE];
--- a/packages/core/tests/test-resources.c
+++ b/packages/core/tests/test-resources.c
@@ -25,7 +25,7 @@
 }
 
 static LcResourceSet *
-change (const LcResourceSet *set, const char *text, LbError *error)
+apply_change (const LcResourceSet *set, const char *text, LbError *error)
 {
   struct json_object *object = json_tokener_parse (text);
   LcResourceSet *next = lc_change_apply (set, object, "c.json", error);
@@ -34,7 +34,7 @@
   return next;
 }
 
-Test (resources, go_to_json_and_back_unchanged)
+Test (resources, json_round_trip_preserves_resources)
 {
   LbError error;
   LcResourceSet *set = parse (POOL "," SUBSCRIPTION "\"preset\":\"staleness\"},"
@@ -57,7 +57,7 @@
   lc_resource_set_free (again);
 }
 
-Test (resources, each_fault_has_its_type_and_place)
+Test (resources, each_error_has_its_code_and_location)
 {
   static const struct
   {
@@ -97,9 +97,9 @@
     }
 }
 
-/* A change is made in place; the outcome must be what reading the whole set would give. */
+/* A set changed in place must equal the same set parsed from JSON. */
 static void
-assert_like_read_anew (const LcResourceSet *set)
+assert_equals_parsed_set (const LcResourceSet *set)
 {
   LbError error;
   struct json_object *object = lc_resource_set_to_json (set);
@@ -112,58 +112,60 @@
   lc_resource_set_free (again);
 }
 
-Test (change, keeps_the_order_of_names)
+Test (change, result_stays_sorted_by_name)
 {
   LbError error;
   LcResourceSet *set
       = parse (POOL "," ENGINE ("e3", "127.0.0.1:3") "," ENGINE ("e5", "127.0.0.1:5"), &error);
   LcResourceSet *next
-      = change (set,
-                "{\"apply\":[" ENGINE ("e4", "127.0.0.1:4") "," ENGINE ("e9", "127.0.0.1:9") //
-                "," ENGINE ("e1", "127.0.0.1:1") "," ENGINE ("e3", "127.0.0.1:33") "]}",
-                &error);
+      = apply_change (set,
+                      "{\"apply\":[" ENGINE ("e4", "127.0.0.1:4") "," ENGINE ("e9",
+                                                                              "127.0.0.1:9") //
+                      "," ENGINE ("e1", "127.0.0.1:1") "," ENGINE ("e3", "127.0.0.1:33") "]}",
+                      &error);
 
   cr_assert_eq (next->n_endpoints, 5);
   cr_assert_str_eq (lc_resource_set_find_endpoint (next, "e3")->address, "127.0.0.1:33");
   cr_assert_str_eq (lc_resource_set_find_endpoint (next, "e9")->address, "127.0.0.1:9");
-  assert_like_read_anew (next);
+  assert_equals_parsed_set (next);
   lc_resource_set_free (set);
   lc_resource_set_free (next);
 }
 
-Test (change, replaces_adds_and_deletes_and_counts_up)
+Test (change, adds_replaces_deletes_and_increments_the_revision)
 {
   LbError error;
   LcResourceSet *set = parse (POOL "," ENGINE ("e1", "127.0.0.1:1"), &error);
-  LcResourceSet *next
-      = change (set,
-                "{\"apply\":[" ENGINE (
-                    "e2", "127.0.0.1:2") ",{\"kind\":\"pool\",\"name\":"
-                                         "\"reader\",\"weight_version\":9}],"
-                                         "\"delete\":[{\"kind\":\"endpoint\",\"name\":\"e1\"}]}",
-                &error);
+  LcResourceSet *next = apply_change (
+      set,
+      "{\"apply\":[" ENGINE ("e2",
+                             "127.0.0.1:2") ",{\"kind\":\"pool\",\"name\":"
+                                            "\"reader\",\"weight_version\":9}],"
+                                            "\"delete\":[{\"kind\":\"endpoint\",\"name\":\"e1\"}]}",
+      &error);
 
   cr_assert_eq (next->revision, 4);
   cr_assert_null (lc_resource_set_find_endpoint (next, "e1"));
   cr_assert_not_null (lc_resource_set_find_endpoint (next, "e2"));
   cr_assert_eq (lc_resource_set_find_pool (next, "reader")->weight_version, 9);
-  assert_like_read_anew (next);
+  assert_equals_parsed_set (next);
   lc_resource_set_free (set);
   lc_resource_set_free (next);
 }
 
-Test (change, that_breaks_the_whole_set_is_refused)
+Test (change, invalid_result_is_rejected)
 {
   LbError error;
   LcResourceSet *set = parse (POOL "," ENGINE ("e1", "127.0.0.1:1"), &error);
 
-  cr_assert_null (change (set, "{\"delete\":[{\"kind\":\"pool\",\"name\":\"reader\"}]}", &error));
+  cr_assert_null (
+      apply_change (set, "{\"delete\":[{\"kind\":\"pool\",\"name\":\"reader\"}]}", &error));
   cr_assert_eq (error.code, LB_ERROR_BAD_REFERENCE);
-  cr_assert_null (change (set, "{\"delete\":[{\"kind\":\"pool\",\"name\":\"x\"}]}", &error));
+  cr_assert_null (apply_change (set, "{\"delete\":[{\"kind\":\"pool\",\"name\":\"x\"}]}", &error));
   cr_assert_eq (error.code, LB_ERROR_UNKNOWN_RESOURCE);
-  cr_assert_null (change (set, "{\"apply\":[" POOL "," POOL "]}", &error));
+  cr_assert_null (apply_change (set, "{\"apply\":[" POOL "," POOL "]}", &error));
   cr_assert_eq (error.code, LB_ERROR_BAD_VALUE);
-  cr_assert_null (change (set, "{\"aply\":[]}", &error));
+  cr_assert_null (apply_change (set, "{\"aply\":[]}", &error));
   cr_assert_eq (error.code, LB_ERROR_UNKNOWN_KEY);
   lc_resource_set_free (set);
 }
--- a/packages/core/tests/test-usage-reports.c
+++ b/packages/core/tests/test-usage-reports.c
@@ -9,59 +9,60 @@
 #include <string.h>
 
 #define WINDOW_MS 5000
-#define SETTLE_MS 2500
-#define LATEST_MS 7000
+#define SETTLE_DELAY_MS 2500
+#define MAX_DELAY_MS 7000
 #define DUE_MS 10000
 #define N_WINDOWS 16
 #define N_HOLDERS 4
-#define MAX_CALLS 512
+#define MAX_OPERATIONS 512
 #define STEP (50 * LB_MSEC)
 #define N_SEEDS 300
 
-/* An action on its way to the store or the platform, and its answer on the way back. */
+/* An action in transit to the store or the platform, and its reply. */
 typedef struct
 {
-  bool used;
+  bool is_pending;
   int holder;
   int64_t epoch;
   LcUsageActionType type;
   int64_t window;
   char *text;
   LbTime apply_at;
-  LbTime answer_at;
-  bool applied;
+  LbTime reply_at;
+  bool is_applied;
   bool ok;
-  char *other;
-  bool answer_lost;
-} Call;
+  char *recorded;
+  bool is_reply_lost;
+} Operation;
 
-/* Holders before one store and one platform, in virtual time. */
+/* Several holders with one store and one platform, in virtual time. */
 typedef struct
 {
   LcUsageReports *holders[N_HOLDERS];
-  Call calls[MAX_CALLS];
-  char *decided[N_WINDOWS];
-  bool closed[N_WINDOWS];
-  char *taken[N_WINDOWS]; /* by the platform */
-  int64_t truth[N_WINDOWS];
-  LbTime taken_at[N_WINDOWS];
-  LbTime store_away_until;
-  LbTime platform_away_until;
+  Operation operations[MAX_OPERATIONS];
+  char *recorded_text[N_WINDOWS];
+  bool is_closed[N_WINDOWS];
+  char *accepted_text[N_WINDOWS]; /* by the platform; NULL: none */
+  int64_t expected_requests[N_WINDOWS];
+  LbTime accepted_at[N_WINDOWS];
+  LbTime store_down_until;
+  LbTime platform_down_until;
   LbTime now;
   gsl_rng *random;
-  bool faults;
+  bool injects_faults;
 } World;
 
 static World w;
 
 static void
-world_init (unsigned long seed, bool faults)
+world_init (unsigned long seed, bool injects_faults)
 {
-  const LcUsageReportSettings settings
-      = { .window_ms = WINDOW_MS, .settle_delay_ms = SETTLE_MS, .max_delay_ms = LATEST_MS };
+  const LcUsageReportSettings settings = { .window_ms = WINDOW_MS,
+                                           .settle_delay_ms = SETTLE_DELAY_MS,
+                                           .max_delay_ms = MAX_DELAY_MS };
 
   memset (&w, 0, sizeof w);
-  w.faults = faults;
+  w.injects_faults = injects_faults;
   w.random = gsl_rng_alloc (gsl_rng_taus2);
   gsl_rng_set (w.random, seed);
   for (int i = 0; i < N_HOLDERS; i++)
@@ -69,11 +70,11 @@
 }
 
 static void
-call_clear (Call *call)
+operation_clear (Operation *operation)
 {
-  free (call->text);
-  free (call->other);
-  memset (call, 0, sizeof *call);
+  free (operation->text);
+  free (operation->recorded);
+  memset (operation, 0, sizeof *operation);
 }
 
 static void
@@ -81,18 +82,18 @@
 {
   for (int i = 0; i < N_HOLDERS; i++)
     lc_usage_reports_free (w.holders[i]);
-  for (int i = 0; i < MAX_CALLS; i++)
-    call_clear (&w.calls[i]);
+  for (int i = 0; i < MAX_OPERATIONS; i++)
+    operation_clear (&w.operations[i]);
   for (int i = 0; i < N_WINDOWS; i++)
     {
-      free (w.decided[i]);
-      free (w.taken[i]);
+      free (w.recorded_text[i]);
+      free (w.accepted_text[i]);
     }
   gsl_rng_free (w.random);
 }
 
 static bool
-chance (double share)
+happens (double share)
 {
   return gsl_rng_uniform (w.random) < share;
 }
@@ -100,124 +101,126 @@
 static LbTime
 delay (void)
 {
-  LbTime usual = 5 * LB_MSEC + (LbTime)(gsl_rng_uniform (w.random) * 40 * LB_MSEC);
+  LbTime typical = 5 * LB_MSEC + (LbTime)(gsl_rng_uniform (w.random) * 40 * LB_MSEC);
 
-  return w.faults && chance (0.03) ? usual + (LbTime)(gsl_rng_uniform (w.random) * 4 * LB_SEC)
-                                   : usual;
+  return w.injects_faults && happens (0.03)
+             ? typical + (LbTime)(gsl_rng_uniform (w.random) * 4 * LB_SEC)
+             : typical;
 }
 
 static void
-send (int holder, const LcUsageAction *action)
+start_operation (int holder, const LcUsageAction *action)
 {
-  for (int i = 0; i < MAX_CALLS; i++)
-    if (!w.calls[i].used)
+  for (int i = 0; i < MAX_OPERATIONS; i++)
+    if (!w.operations[i].is_pending)
       {
-        w.calls[i] = (Call){ .used = true,
-                             .holder = holder,
-                             .epoch = lc_usage_reports_duty_epoch (w.holders[holder]),
-                             .type = action->type,
-                             .window = action->window,
-                             .text = action->text ? lb_strdup (action->text) : NULL,
-                             .apply_at = w.now + delay (),
-                             .answer_lost = w.faults && chance (0.05) };
-        w.calls[i].answer_at = w.calls[i].apply_at + delay ();
+        w.operations[i] = (Operation){ .is_pending = true,
+                                       .holder = holder,
+                                       .epoch = lc_usage_reports_duty_epoch (w.holders[holder]),
+                                       .type = action->type,
+                                       .window = action->window,
+                                       .text = action->text ? lb_strdup (action->text) : NULL,
+                                       .apply_at = w.now + delay (),
+                                       .is_reply_lost = w.injects_faults && happens (0.05) };
+        w.operations[i].reply_at = w.operations[i].apply_at + delay ();
         return;
       }
-  cr_assert_fail ("too many calls on their way");
+  cr_assert_fail ("too many operations in transit");
 }
 
 static bool
-goes_to_platform (const Call *call)
+is_for_platform (const Operation *operation)
 {
-  return call->type == LC_USAGE_SEND_REPORT;
+  return operation->type == LC_USAGE_SEND_REPORT;
 }
 
 static void
-take_report (const Call *call)
+accept_report (const Operation *operation)
 {
-  if (w.taken[call->window])
-    cr_assert_str_eq (w.taken[call->window], call->text, "two reports of window %lld differ",
-                      (long long)call->window);
+  if (w.accepted_text[operation->window])
+    cr_assert_str_eq (w.accepted_text[operation->window], operation->text,
+                      "two reports of window %lld differ", (long long)operation->window);
   else
     {
-      w.taken[call->window] = lb_strdup (call->text);
-      w.taken_at[call->window] = w.now;
+      w.accepted_text[operation->window] = lb_strdup (operation->text);
+      w.accepted_at[operation->window] = w.now;
     }
 }
 
 static void
-apply (Call *call)
+apply_operation (Operation *operation)
 {
-  LbTime away_until = goes_to_platform (call) ? w.platform_away_until : w.store_away_until;
-  char **row = &w.decided[call->window];
+  LbTime down_until = is_for_platform (operation) ? w.platform_down_until : w.store_down_until;
+  char **row = &w.recorded_text[operation->window];
 
-  call->applied = true;
-  call->ok = w.now >= away_until;
-  if (!call->ok)
+  operation->is_applied = true;
+  operation->ok = w.now >= down_until;
+  if (!operation->ok)
     return;
-  if (call->type == LC_USAGE_SEND_REPORT)
-    take_report (call);
-  else if (call->type == LC_USAGE_CLOSE_WINDOW)
-    w.closed[call->window] = true;
-  else if (call->type == LC_USAGE_RECORD_REPORT && *row)
+  if (operation->type == LC_USAGE_SEND_REPORT)
+    accept_report (operation);
+  else if (operation->type == LC_USAGE_CLOSE_WINDOW)
+    w.is_closed[operation->window] = true;
+  else if (operation->type == LC_USAGE_RECORD_REPORT && *row)
     {
-      call->ok = false;
-      call->other = lb_strdup (*row);
+      operation->ok = false;
+      operation->recorded = lb_strdup (*row);
     }
-  else if (call->type == LC_USAGE_RECORD_REPORT)
-    *row = lb_strdup (call->text);
+  else if (operation->type == LC_USAGE_RECORD_REPORT)
+    *row = lb_strdup (operation->text);
 }
 
 static void
-answer_read (LcUsageReports *reports, const Call *call)
+complete_read (LcUsageReports *reports, const Operation *operation)
 {
-  for (int i = 0; call->ok && i < N_WINDOWS; i++)
-    if (w.decided[i])
-      lc_usage_reports_add_recorded (reports, i, w.decided[i], w.closed[i]);
-    else if (w.truth[i] > 0)
+  for (int i = 0; operation->ok && i < N_WINDOWS; i++)
+    if (w.recorded_text[i])
+      lc_usage_reports_add_recorded (reports, i, w.recorded_text[i], w.is_closed[i]);
+    else if (w.expected_requests[i] > 0)
       lc_usage_reports_add_row_window (reports, i);
-  lc_usage_reports_read_completed (reports, call->ok, w.now);
+  lc_usage_reports_read_completed (reports, operation->ok, w.now);
 }
 
 static void
-answer_count (LcUsageReports *reports, const Call *call)
+complete_sum (LcUsageReports *reports, const Operation *operation)
 {
   LcUsageCounts *counts = lc_usage_counts_new ();
 
-  lc_usage_counts_add (counts, "post", w.truth[call->window]);
-  lc_usage_reports_sum_completed (reports, call->window, call->ok ? counts : NULL, w.now);
+  lc_usage_counts_add (counts, "post", w.expected_requests[operation->window]);
+  lc_usage_reports_sum_completed (reports, operation->window, operation->ok ? counts : NULL, w.now);
   lc_usage_counts_free (counts);
 }
 
 static void
-answer (Call *call)
+complete_operation (Operation *operation)
 {
-  LcUsageReports *reports = w.holders[call->holder];
-  bool ok = call->ok && !call->answer_lost;
+  LcUsageReports *reports = w.holders[operation->holder];
+  bool ok = operation->ok && !operation->is_reply_lost;
 
-  if (call->epoch != lc_usage_reports_duty_epoch (reports))
+  if (operation->epoch != lc_usage_reports_duty_epoch (reports))
     return;
-  switch (call->type)
+  switch (operation->type)
     {
     case LC_USAGE_READ_REPORTS:
-      answer_read (reports, call);
+      complete_read (reports, operation);
       break;
     case LC_USAGE_SUM_ROWS:
-      answer_count (reports, call);
+      complete_sum (reports, operation);
       break;
     case LC_USAGE_RECORD_REPORT:
-      lc_usage_reports_record_completed (reports, call->window, ok,
-                                         call->answer_lost ? NULL : call->other, w.now);
+      lc_usage_reports_record_completed (reports, operation->window, ok,
+                                         operation->is_reply_lost ? NULL : operation->recorded,
+                                         w.now);
       break;
     case LC_USAGE_SEND_REPORT:
-      lc_usage_reports_send_completed (reports, call->window,
+      lc_usage_reports_send_completed (reports, operation->window,
                                        ok ? LC_USAGE_ACCEPTED : LC_USAGE_NO_ANSWER, w.now);
       break;
     case LC_USAGE_CLOSE_WINDOW:
-      lc_usage_reports_close_completed (reports, call->window, ok, w.now);
+      lc_usage_reports_close_completed (reports, operation->window, ok, w.now);
       break;
     }
-  if (!ok && !goes_to_platform (call))
+  if (!ok && !is_for_platform (operation))
     lc_usage_reports_store_failed (reports, w.now);
 }
 
@@ -227,115 +230,117 @@
   return w.now / LB_MSEC;
 }
 
-/* Requests begin all the time; their rows are there at once. */
+/* One request starts in each step, and its row is stored at once. */
 static void
-turn (void)
+run_step (void)
 {
   LcUsageAction action;
 
   w.now += STEP;
   if (true_ms () / WINDOW_MS < N_WINDOWS)
-    w.truth[true_ms () / WINDOW_MS]++;
-  for (int i = 0; i < MAX_CALLS; i++)
+    w.expected_requests[true_ms () / WINDOW_MS]++;
+  for (int i = 0; i < MAX_OPERATIONS; i++)
     {
-      Call *call = &w.calls[i];
-      if (call->used && !call->applied && w.now >= call->apply_at)
-        apply (call);
-      if (!call->used || !call->applied || w.now < call->answer_at)
+      Operation *operation = &w.operations[i];
+      if (operation->is_pending && !operation->is_applied && w.now >= operation->apply_at)
+        apply_operation (operation);
+      if (!operation->is_pending || !operation->is_applied || w.now < operation->reply_at)
         continue;
-      answer (call);
-      call_clear (call);
+      complete_operation (operation);
+      operation_clear (operation);
     }
   for (int i = 0; i < N_HOLDERS; i++)
     while (lc_usage_reports_next_action (w.holders[i], true_ms (), w.now, &action))
       if (action.type == LC_USAGE_READ_REPORTS || action.window < N_WINDOWS)
-        send (i, &action);
+        start_operation (i, &action);
 }
 
 static void
-disturb (void)
+inject_faults (void)
 {
   int holder = (int)gsl_rng_uniform_int (w.random, N_HOLDERS);
 
-  if (chance (0.005))
+  if (happens (0.005))
     lc_usage_reports_duty_acquired (w.holders[holder]);
-  else if (chance (0.005))
+  else if (happens (0.005))
     lc_usage_reports_duty_lost (w.holders[holder]);
-  if (chance (0.003))
-    w.store_away_until = w.now + (LbTime)(gsl_rng_uniform (w.random) * 6 * LB_SEC);
-  if (chance (0.003))
-    w.platform_away_until = w.now + (LbTime)(gsl_rng_uniform (w.random) * 6 * LB_SEC);
+  if (happens (0.003))
+    w.store_down_until = w.now + (LbTime)(gsl_rng_uniform (w.random) * 6 * LB_SEC);
+  if (happens (0.003))
+    w.platform_down_until = w.now + (LbTime)(gsl_rng_uniform (w.random) * 6 * LB_SEC);
 }
 
 static void
-assert_taken (int64_t window)
+assert_accepted (int64_t window)
 {
   char expected[64];
 
-  snprintf (expected, sizeof expected, "{\"post\":%lld}", (long long)w.truth[window]);
-  cr_assert (w.taken[window], "window %lld was not reported", (long long)window);
-  cr_assert_str_eq (w.taken[window], expected);
+  snprintf (expected, sizeof expected, "{\"post\":%lld}", (long long)w.expected_requests[window]);
+  cr_assert (w.accepted_text[window], "window %lld was not reported", (long long)window);
+  cr_assert_str_eq (w.accepted_text[window], expected);
 }
 
-/* One holder on a calm day: each window is reported once it is whole, long before it is due. */
-Test (usage_reports, each_window_is_reported_in_time)
+/* One holder without faults reports each window once it is complete, before it is due. */
+Test (usage_reports, each_window_is_reported_before_it_is_due)
 {
   world_init (1, false);
   lc_usage_reports_duty_acquired (w.holders[0]);
   while (true_ms () < 60000)
-    turn ();
+    run_step ();
   for (int64_t window = 0; window < 11; window++)
     {
-      assert_taken (window);
-      cr_assert_lt (w.taken_at[window] / LB_MSEC, (window + 1) * WINDOW_MS + DUE_MS);
-      cr_assert (w.closed[window]);
+      assert_accepted (window);
+      cr_assert_lt (w.accepted_at[window] / LB_MSEC, (window + 1) * WINDOW_MS + DUE_MS);
+      cr_assert (w.is_closed[window]);
     }
   world_clear ();
 }
 
-/* The holder is killed between its decision and the answer of the platform, and nobody has the duty
- * for three windows. The next one repeats what was decided, and catches up what was not. */
-Test (usage_reports, the_next_holder_repeats_and_catches_up)
+/* The holder is killed after it recorded a report and before the platform answers, and no instance
+ * holds the duty for three windows. The next holder must send the recorded report unchanged, and
+ * report the missed windows. */
+Test (usage_reports, next_holder_resends_recorded_report_and_catches_up)
 {
   world_init (2, false);
   lc_usage_reports_duty_acquired (w.holders[0]);
-  while (!w.decided[1])
-    turn ();
+  while (!w.recorded_text[1])
+    run_step ();
   lc_usage_reports_duty_lost (w.holders[0]);
-  w.truth[1] += 7; /* rows that came too late for the decision */
+  w.expected_requests[1] += 7; /* rows that arrive after the report was recorded */
   while (true_ms () < 25000)
-    turn ();
-  cr_assert_null (w.taken[2]);
+    run_step ();
+  cr_assert_null (w.accepted_text[2]);
   lc_usage_reports_duty_acquired (w.holders[1]);
   while (true_ms () < 28000)
-    turn ();
-  cr_assert_str_eq (w.taken[1], w.decided[1]);
-  assert_taken (2);
-  assert_taken (3);
+    run_step ();
+  cr_assert_str_eq (w.accepted_text[1], w.recorded_text[1]);
+  assert_accepted (2);
+  assert_accepted (3);
   world_clear ();
 }
 
-/* The store is away when a window ends. Instances could not write their rows; they are waited for
- * as long as the report can still come in time. */
-Test (usage_reports, a_window_is_not_decided_while_the_store_is_away)
+/* The store is down when a window ends, so instances could not write their rows. The report must
+ * wait for them as long as it can still be sent in time. */
+Test (usage_reports, no_report_is_recorded_while_the_store_is_down)
 {
   world_init (3, false);
   lc_usage_reports_duty_acquired (w.holders[0]);
   while (true_ms () < 7400)
-    turn ();
-  w.store_away_until = w.now + 2 * LB_SEC;
-  while (w.now < w.store_away_until + LB_SEC)
-    turn ();
-  cr_assert_null (w.decided[0], "instances write what they could not");
+    run_step ();
+  w.store_down_until = w.now + 2 * LB_SEC;
+  while (w.now < w.store_down_until + LB_SEC)
+    run_step ();
+  cr_assert_null (w.recorded_text[0], "instances must have time to write the rows that failed");
   while (true_ms () < 5000 + DUE_MS)
-    turn ();
-  assert_taken (0);
+    run_step ();
+  assert_accepted (0);
   world_clear ();
 }
 
-/* Holders that come and go, overlap and return; a store and a platform that go away, answer late or
- * lose their answers. No two reports of one window differ, and once it is calm all are there. */
-Test (usage_reports, never_two_that_differ, .timeout = 120)
+/* Random run: holders gain and lose the duty and overlap; store and platform are down at times,
+ * answer late or lose replies. No two reports of one window may differ, and all windows must be
+ * reported once the faults end. */
+Test (usage_reports, reports_of_one_window_never_differ, .timeout = 120)
 {
   const char *text = getenv ("USAGE_SEEDS");
   unsigned long n_seeds = text ? strtoul (text, NULL, 10) : N_SEEDS;
@@ -346,25 +351,25 @@
       lc_usage_reports_duty_acquired (w.holders[0]);
       while (true_ms () < (N_WINDOWS - 4) * WINDOW_MS)
         {
-          turn ();
-          disturb ();
+          run_step ();
+          inject_faults ();
         }
-      w.faults = false;
-      w.store_away_until = w.platform_away_until = 0;
+      w.injects_faults = false;
+      w.store_down_until = w.platform_down_until = 0;
       for (int i = 1; i < N_HOLDERS; i++)
         lc_usage_reports_duty_lost (w.holders[i]);
       lc_usage_reports_duty_acquired (w.holders[0]);
       while (true_ms () < N_WINDOWS * WINDOW_MS)
-        turn ();
+        run_step ();
       for (int64_t window = 0; window < N_WINDOWS - 4; window++)
-        cr_assert (w.taken[window], "seed %lu: window %lld was not reported", seed,
+        cr_assert (w.accepted_text[window], "seed %lu: window %lld was not reported", seed,
                    (long long)window);
       world_clear ();
     }
 }
 
 static const char *
-next_text (LcUsageReports *reports, LcUsageActionType type, LbTime now)
+expect_action (LcUsageReports *reports, LcUsageActionType type, LbTime now)
 {
   LcUsageAction action;
 
@@ -374,25 +379,26 @@
   return action.text;
 }
 
-/* Two instances take themselves for the holder, and add a window up at different moments. The one
- * whose decision comes second finds the other's in the store, and sends that. */
-Test (usage_reports, the_decision_that_stands_is_sent)
+/* Two instances hold the duty at once and sum a window at different times. The second one finds the
+ * report of the other in the store, and must send that one. */
+Test (usage_reports, report_recorded_by_another_holder_is_sent)
 {
-  const LcUsageReportSettings settings
-      = { .window_ms = WINDOW_MS, .settle_delay_ms = SETTLE_MS, .max_delay_ms = LATEST_MS };
+  const LcUsageReportSettings settings = { .window_ms = WINDOW_MS,
+                                           .settle_delay_ms = SETTLE_DELAY_MS,
+                                           .max_delay_ms = MAX_DELAY_MS };
   LcUsageReports *reports = lc_usage_reports_new (&settings);
   LcUsageCounts *counts = lc_usage_counts_new ();
 
   lc_usage_counts_add (counts, "post", 5);
   lc_usage_reports_duty_acquired (reports);
-  next_text (reports, LC_USAGE_READ_REPORTS, 0);
+  expect_action (reports, LC_USAGE_READ_REPORTS, 0);
   lc_usage_reports_add_row_window (reports, 0);
   lc_usage_reports_read_completed (reports, true, 0);
-  next_text (reports, LC_USAGE_SUM_ROWS, 0);
+  expect_action (reports, LC_USAGE_SUM_ROWS, 0);
   lc_usage_reports_sum_completed (reports, 0, counts, 0);
-  cr_assert_str_eq (next_text (reports, LC_USAGE_RECORD_REPORT, 0), "{\"post\":5}");
+  cr_assert_str_eq (expect_action (reports, LC_USAGE_RECORD_REPORT, 0), "{\"post\":5}");
   lc_usage_reports_record_completed (reports, 0, false, "{\"post\":3}", 0);
-  cr_assert_str_eq (next_text (reports, LC_USAGE_SEND_REPORT, 0), "{\"post\":3}");
+  cr_assert_str_eq (expect_action (reports, LC_USAGE_SEND_REPORT, 0), "{\"post\":3}");
   lc_usage_counts_free (counts);
   lc_usage_reports_free (reports);
 }
--- a/packages/core/tests/test-usage.c
+++ b/packages/core/tests/test-usage.c
@@ -18,7 +18,7 @@
   free (row.text);
 }
 
-Test (usage, a_request_is_counted_where_it_began)
+Test (usage, request_counts_in_the_window_of_its_start)
 {
   LcUsage *usage = lc_usage_new (WINDOW_MS);
 
@@ -34,9 +34,9 @@
   lc_usage_free (usage);
 }
 
-/* Requests come all the time. Each row holds all there were, and rows of a window are a period
- * apart: a row for each request would be thousands of writes a second. */
-Test (usage, rows_are_whole_and_a_period_apart)
+/* Each row has all requests of its window so far, and rows of a window are at least a period apart:
+ * a row per request would cause thousands of writes per second. */
+Test (usage, rows_have_all_counts_and_are_a_period_apart)
 {
   LcUsage *usage = lc_usage_new (WINDOW_MS);
   LcUsageRow row;
@@ -44,15 +44,15 @@
   lc_usage_count_request (usage, "post", 1);
   assert_next (usage, 0, 0, "{\"post\":1}");
   lc_usage_count_request (usage, "post", 2);
-  cr_assert_not (lc_usage_next_row (usage, PERIOD, 10 * PERIOD, &row), "one is on its way");
+  cr_assert_not (lc_usage_next_row (usage, PERIOD, 10 * PERIOD, &row), "a write is in progress");
   lc_usage_write_completed (usage, 0, true);
   cr_assert_not (lc_usage_next_row (usage, PERIOD, PERIOD - 1, &row));
   assert_next (usage, PERIOD, 0, "{\"post\":2}");
   lc_usage_free (usage);
 }
 
-/* The store is away while an instance counts. What it could not write is not lost. */
-Test (usage, a_row_that_was_not_written_is_written_again)
+/* The store is down while an instance counts requests; they must not be lost. */
+Test (usage, failed_write_is_repeated)
 {
   LcUsage *usage = lc_usage_new (WINDOW_MS);
 
@@ -67,37 +67,36 @@
   lc_usage_free (usage);
 }
 
-/* A write without an answer is carried out after the next one, which has another key: the smaller
- * counts of the old row take nothing back. */
-Test (usage, of_two_rows_of_one_start_the_largest_counts_are_gone_by)
+/* A write whose reply was lost is applied after the next one, which has another key: the smaller
+ * counts of the earlier row must not replace the later ones. */
+Test (usage, earlier_row_of_an_incarnation_does_not_lower_counts)
 {
-  LcUsageCounts *start = lc_usage_counts_new ();
-  LcUsageCounts *old = lc_usage_counts_new ();
+  LcUsageCounts *later = lc_usage_counts_new ();
+  LcUsageCounts *earlier = lc_usage_counts_new ();
   LcUsageCounts *total = lc_usage_counts_new ();
   LbError error = { 0 };
 
-  cr_assert (lc_usage_counts_add_text (start, "{\"post\":5,\"mill\":1}", &error));
-  cr_assert (lc_usage_counts_add_text (old, "{\"post\":3}", &error));
-  lc_usage_counts_merge_maximum (start, old);
+  cr_assert (lc_usage_counts_add_text (later, "{\"post\":5,\"mill\":1}", &error));
+  cr_assert (lc_usage_counts_add_text (earlier, "{\"post\":3}", &error));
+  lc_usage_counts_merge_maximum (later, earlier);
   lc_usage_counts_add (total, "post", 2);
-  lc_usage_counts_add_counts (total, start);
+  lc_usage_counts_add_counts (total, later);
   cr_assert_eq (lc_usage_counts_get (total, "post"), 7);
   cr_assert_eq (lc_usage_counts_get (total, "mill"), 1);
   cr_assert_eq (lc_usage_counts_get (total, "none"), 0);
   cr_assert_not (lc_usage_counts_add_text (total, "[1]", &error));
   cr_assert_eq (error.code, LB_ERROR_BAD_JSON);
-  lc_usage_counts_free (start);
-  lc_usage_counts_free (old);
+  lc_usage_counts_free (later);
+  lc_usage_counts_free (earlier);
   lc_usage_counts_free (total);
 }
 
-/* The time of day of three machines of ten jumps by two seconds. What time it is does not change.
- */
-Test (true_time, a_few_clocks_that_jump_change_nothing)
+/* The wall clocks of three of ten machines jump by two seconds. */
+Test (true_time, median_offset_ignores_a_few_clocks_that_jump)
 {
-  const int64_t leads[] = { 1003, 1001, 3002, 3001, 999, 1002, -998, 1000, 1001, 1004 };
-  int64_t lead = lc_true_time_median_offset (leads, sizeof leads / sizeof leads[0]);
+  const int64_t offsets[] = { 1003, 1001, 3002, 3001, 999, 1002, -998, 1000, 1001, 1004 };
+  int64_t offset = lc_true_time_median_offset (offsets, sizeof offsets / sizeof offsets[0]);
 
-  cr_assert_geq (lead, 1000);
-  cr_assert_leq (lead, 1004);
+  cr_assert_geq (offset, 1000);
+  cr_assert_leq (offset, 1004);
 }
--- a/packages/core/tests/test-weights.c
+++ b/packages/core/tests/test-weights.c
@@ -20,7 +20,7 @@
 TestSuite (weights, .init = setup, .fini = teardown);
 
 static LcWeightsStatus
-status (void)
+get_status (void)
 {
   LcWeightsStatus result;
 
@@ -28,21 +28,21 @@
   return result;
 }
 
-Test (weights, roll_out_goes_in_waves_under_the_percent)
+Test (weights, roll_out_stays_within_the_percentage)
 {
   lc_weights_set_newest (pool.weights, 41, pool.now);
-  LbTime took = fake_pool_run_until_done (&pool, 41, 60 * LB_SEC);
+  LbTime duration = fake_pool_run_until_done (&pool, 41, 60 * LB_SEC);
 
-  cr_assert_lt (took, 14 * LB_SEC);
+  cr_assert_lt (duration, 14 * LB_SEC);
   cr_assert_eq (pool.most_swapping, 3);
   cr_assert_eq (pool.orders, 12);
   fake_pool_run (&pool, 10 * LB_SEC);
   cr_assert_eq (pool.orders, 12);
-  cr_assert_eq (status ().wait_reason, LC_WEIGHTS_IDLE);
+  cr_assert_eq (get_status ().wait_reason, LC_WEIGHTS_IDLE);
 }
 
-/* Routing weighs an engine by when its new weights are expected; the guess becomes what is seen. */
-Test (weights, expected_end_of_a_swap_follows_the_load_times)
+/* Routing needs the expected end of a swap, which must be estimated from the loads seen so far. */
+Test (weights, expected_end_of_a_swap_follows_measured_load_times)
 {
   LbList actions;
 
@@ -60,9 +60,9 @@
   fake_pool_drop_actions (&actions);
 }
 
-/* A large part of the pool may be in a swap at once, but the live reserve is larger: callers would
- * be refused while four engines of five load. */
-Test (weights, live_reserve_bounds_what_is_out)
+/* The percentage would allow all engines to swap at once; the live reserve must limit them, or
+ * callers would be refused. */
+Test (weights, live_reserve_limits_engines_out_of_service)
 {
   fake_pool_clear (&pool);
   fake_pool_init (&pool, 10, 100, 0.6, 40);
@@ -73,7 +73,8 @@
   cr_assert_eq (pool.most_out, 4);
 }
 
-/* All engines of a small pool are due at once. One serves at any time, whatever the percent. */
+/* All engines of a small pool need a load at once; one must always serve, whatever the percentage.
+ */
 Test (weights, one_engine_always_serves)
 {
   fake_pool_clear (&pool);
@@ -85,7 +86,7 @@
   cr_assert_eq (pool.most_out, 1);
 }
 
-Test (weights, single_engine_is_swapped_after_all)
+Test (weights, single_engine_is_swapped)
 {
   fake_pool_clear (&pool);
   fake_pool_init (&pool, 1, 25, 0.25, 40);
@@ -95,8 +96,7 @@
   cr_assert_eq (fake_pool_count (&pool, 41), 1);
 }
 
-/* A load fails on one engine. It stays out of routing, is tried again, and holds up nobody. */
-Test (weights, failed_load_is_tried_again_and_holds_up_nobody)
+Test (weights, failed_load_is_retried_without_blocking_others)
 {
   pool.engines[0].fail_loads = 1;
   lc_weights_set_newest (pool.weights, 41, pool.now);
@@ -104,12 +104,11 @@
 
   cr_assert_eq (fake_pool_count (&pool, 41), 12);
   cr_assert_eq (pool.orders, 13);
-  cr_assert_eq (status ().failed, 0);
+  cr_assert_eq (get_status ().failed, 0);
 }
 
-/* A load fails each time on one engine: it is not ordered without end, which would use up the rate
- * of the weight store. */
-Test (weights, load_that_always_fails_is_tried_less_and_less)
+/* A load that fails each time on one engine must not use up the rate limit of the weight store. */
+Test (weights, load_that_always_fails_is_retried_with_backoff)
 {
   pool.engines[0].fail_loads = 1000;
   lc_weights_set_newest (pool.weights, 41, pool.now);
@@ -120,8 +119,8 @@
   cr_assert_leq (pool.orders, 18);
 }
 
-/* A report that was asked for before the order comes after it and shows the old version. Taken for
- * the end of the load it would bring a second order, and another engine out of service. */
+/* A report requested before the order arrives after it and has the old version. Taken for the end
+ * of the load, it would cause a second order and take another engine out of service. */
 Test (weights, report_from_before_the_order_does_not_end_it)
 {
   LbList actions;
@@ -135,15 +134,15 @@
   report.requested_at = pool.now - 1;
   for (size_t i = 0; i < pool.n; i++)
     lc_weights_report_received (pool.weights, pool.engines[i].name, &report, pool.now, &actions);
-  cr_assert (lb_list_is_empty (&actions), "routing must not be told that a swap is over");
+  cr_assert (lb_list_is_empty (&actions), "routing must not be notified of the end of a swap");
   fake_pool_tick (&pool);
 
   cr_assert_eq (pool.orders, 3);
 }
 
-/* An instance loses the lease, another one orders three engines, and the first gets it back. What
- * it knew of the engines is old: it must not order three more. */
-Test (weights, lease_regained_mid_roll_out)
+/* An instance loses the lease, another one orders three engines, and the first regains it. Its
+ * state of the engines is outdated: it must not order three more. */
+Test (weights, regained_lease_counts_loads_of_the_other_holder)
 {
   fake_pool_run (&pool, 2 * LB_SEC);
   lc_weights_set_newest (pool.weights, 41, pool.now);
@@ -156,31 +155,31 @@
   cr_assert_eq (pool.most_swapping, 3);
 }
 
-/* A version is broken and fails on every engine. All would be taken out one by one, and callers
- * refused until an operator comes. The rest keeps serving 40; a version named instead is loaded. */
-Test (weights, broken_version_does_not_take_the_pool_down)
+/* A broken version fails on every engine, which would take all of them out of service one by one.
+ * Most must keep serving 40, and another target must be loaded without delay. */
+Test (weights, broken_version_halts_the_roll_out)
 {
   for (size_t i = 0; i < pool.n; i++)
     pool.engines[i].fail_loads = 1000;
   lc_weights_set_newest (pool.weights, 41, pool.now);
   fake_pool_run (&pool, 120 * LB_SEC);
   cr_assert_geq (fake_pool_count (&pool, 40), 3);
-  cr_assert_eq (status ().wait_reason, LC_WEIGHTS_HALTED);
+  cr_assert_eq (get_status ().wait_reason, LC_WEIGHTS_HALTED);
 
   for (size_t i = 0; i < pool.n; i++)
     pool.engines[i].fail_loads = 0;
   lc_weights_set_newest (pool.weights, 42, pool.now);
-  LbTime took = fake_pool_run_until_done (&pool, 42, 60 * LB_SEC);
-  cr_assert_lt (took, 20 * LB_SEC, "failures of 41 must not hold up 42");
+  LbTime duration = fake_pool_run_until_done (&pool, 42, 60 * LB_SEC);
+  cr_assert_lt (duration, 20 * LB_SEC, "failed loads of 41 must not delay 42");
   pool.set->pools[0].weight_version = 40;
   lc_weights_configure (pool.weights, pool.set, pool.now);
   fake_pool_run_until_done (&pool, 40, 60 * LB_SEC);
   cr_assert_eq (fake_pool_count (&pool, 40), 12);
 }
 
-/* The holder of the lease crashes while three engines load. Its successor knows nothing: if it
- * began anew, six of twelve would be out at once. It reads them first and counts what loads. */
-Test (weights, crash_of_the_holder_mid_roll_out)
+/* The holder of the lease crashes while three engines load. Its successor must read the engines
+ * first and count these loads, or six of twelve engines would be out of service at once. */
+Test (weights, new_holder_counts_loads_of_a_crashed_one)
 {
   lc_weights_set_newest (pool.weights, 41, pool.now);
   fake_pool_run (&pool, 3 * LB_SEC / 2);
@@ -193,9 +192,9 @@
   cr_assert_eq (pool.orders, 12);
 }
 
-/* A newer version comes while the one before is half out. Engines that load finish; the others go
- * to the newest directly, and those that had the middle one come last. */
-Test (weights, newer_version_mid_roll_out)
+/* A newer version arrives halfway through a roll-out. Loads in progress finish; the other engines
+ * get the newest version directly, and those with the intermediate one come last. */
+Test (weights, newer_version_during_a_roll_out_replaces_the_target)
 {
   lc_weights_set_newest (pool.weights, 41, pool.now);
   fake_pool_run (&pool, 4 * LB_SEC);
@@ -208,9 +207,9 @@
   cr_assert_eq (pool.most_swapping, 3);
 }
 
-/* Versions come faster than a roll-out takes. If it began anew with the same engines each time,
- * the last ones would keep a version of long ago and their samples be thrown away as stale. */
-Test (weights, no_engine_starves_when_versions_come_fast)
+/* Versions come faster than a roll-out takes. If each one began with the same engines, the others
+ * would keep an old version, and their samples would be discarded as stale. */
+Test (weights, no_engine_starves_if_versions_come_fast)
 {
   LcVersion version = 41;
 
@@ -225,8 +224,8 @@
                      (long long)pool.engines[i].version);
 }
 
-/* An operator rolls back as a new revision that names the version before. */
-Test (weights, roll_back_as_a_new_revision)
+/* An operator rolls back by a revision whose pool names the previous version. */
+Test (weights, pinned_older_version_rolls_back)
 {
   lc_weights_set_newest (pool.weights, 41, pool.now);
   fake_pool_run (&pool, 5 * LB_SEC);
@@ -237,10 +236,9 @@
   cr_assert_eq (fake_pool_count (&pool, 40), 12);
 }
 
-/* Engine 3 ignores fencing numbers. An order of an earlier holder, long on its way, reaches it
- * after ours and swaps it back to 40: callers get old weights under a roll-out that is done. It is
- * seen by what the engine states, and ordered again. */
-Test (weights, engine_that_ignores_fences_is_read_back)
+/* Engine 3 ignores fencing numbers, and a delayed order of an earlier holder reverts it to 40 after
+ * the roll-out. Its reports must show that, and it must be ordered again. */
+Test (weights, engine_reverted_by_an_old_order_is_ordered_again)
 {
   lc_weights_set_newest (pool.weights, 41, pool.now);
   fake_pool_run_until_done (&pool, 41, 60 * LB_SEC);
@@ -252,9 +250,9 @@
   cr_assert_eq (pool.orders, 13);
 }
 
-/* The holder was paused or has just taken over: engines that check no number must wait for the last
- * order of the holder before to run out; the others need not. */
-Test (weights, unfenced_engines_wait_for_their_permission)
+/* After a pause or a change of the holder, engines that don't check fencing numbers may be ordered
+ * only when orders of the previous holder have expired; the others at once. */
+Test (weights, unfenced_engines_are_not_ordered_without_permission)
 {
   for (size_t i = 0; i < 6; i++)
     pool.set->endpoints[i].checks_fence = false;
@@ -263,16 +261,16 @@
   lc_weights_set_newest (pool.weights, 41, pool.now);
   fake_pool_run (&pool, 60 * LB_SEC);
   cr_assert_eq (fake_pool_count (&pool, 41), 6);
-  cr_assert_eq (status ().wait_reason, LC_WEIGHTS_NO_LEASE);
+  cr_assert_eq (get_status ().wait_reason, LC_WEIGHTS_NO_LEASE);
   pool.unfenced = true;
   fake_pool_run_until_done (&pool, 41, 60 * LB_SEC);
 
   cr_assert_eq (fake_pool_count (&pool, 41), 12);
 }
 
-/* Two of three engines are lost for good. The third keeps serving 40 for a while, since they may
- * come back; then it is swapped, or trainers would never see a fresh sample again. */
-Test (weights, lost_engines_hold_up_the_others_only_for_a_while)
+/* Two of three engines are lost permanently. The third must keep serving 40 for a while, since they
+ * may return, and then be swapped, or trainers would only get stale samples. */
+Test (weights, lost_engines_block_the_others_only_until_the_timeout)
 {
   fake_pool_clear (&pool);
   fake_pool_init (&pool, 3, 25, 0.25, 40);
@@ -288,9 +286,8 @@
   cr_assert_eq (pool.engines[0].version, 41);
 }
 
-/* An engine takes the order and does nothing, or was started anew in between: seen by its report,
- * and ordered again. */
-Test (weights, order_without_effect_is_given_again)
+/* An engine accepts the order without carrying it out, or restarts in between. */
+Test (weights, order_without_effect_is_repeated)
 {
   pool.engines[5].ignores_orders = true;
   lc_weights_set_newest (pool.weights, 41, pool.now);
@@ -302,9 +299,9 @@
   cr_assert_eq (fake_pool_count (&pool, 41), 12);
 }
 
-/* Three engines die a moment before the roll-out, when they still seem to serve. Their orders fail;
- * they must not hold their places until someone notices. */
-Test (weights, failed_orders_free_their_places_at_once)
+/* Three engines die just before the roll-out, while their state is still serving. Their orders fail
+ * and must not count against the limit of concurrent swaps. */
+Test (weights, failed_orders_do_not_count_as_swaps)
 {
   fake_pool_run (&pool, 2 * LB_SEC);
   for (size_t i = 0; i < 3; i++)
@@ -314,8 +311,8 @@
   cr_assert_lt (fake_pool_run_until_done (&pool, 41, 60 * LB_SEC), 9 * LB_SEC);
 }
 
-/* Three loads hang for ever. After the limit of a load the others get their places. */
-Test (weights, loads_that_hang_do_not_hold_up_the_others)
+/* Three loads hang forever; after load_timeout the other engines must be ordered. */
+Test (weights, loads_that_hang_block_others_only_until_the_timeout)
 {
   fake_pool_run (&pool, 2 * LB_SEC);
   pool.load_time = 10000 * LB_SEC;
@@ -329,9 +326,9 @@
   cr_assert_eq (fake_pool_count (&pool, 41), 9);
 }
 
-/* Answers of engines to the holder's questions from before it lost the lease arrive after it has
- * got it back. They show engines serving that load by now. */
-Test (weights, reports_from_before_the_restart_say_nothing)
+/* Reports requested before the holder lost the lease arrive after it has regained it. They show
+ * engines as serving that may load by now. */
+Test (weights, reports_from_before_a_lease_change_are_ignored)
 {
   LbList actions;
   LcWeightReport report = { .version = 40, .incarnation = "0", .requested_at = pool.now };
@@ -347,16 +344,15 @@
   cr_assert_eq (pool.orders, 0);
 }
 
-/* The store was away for some seconds, and the lease is gained anew. Meanwhile 13 engines of 70
- * went dark; they are listed until their entries lapse. Taken for engines that load, they had all
- * places but one of the loads, so that for three seconds hardly any of the others got the weights
- * that the trainers' next steps need. */
-Test (weights, engines_that_went_dark_take_no_places_of_loads)
+/* 13 of 70 engines fail while the store is down for some seconds; they stay listed until their
+ * entries expire. The holder that gains the lease then counted them as swapping, which left room
+ * for a single load, and for three seconds hardly any other engine got new weights. */
+Test (weights, silent_engines_do_not_count_as_swapping_for_long)
 {
   enum
   {
     N_ENGINES = 70,
-    N_DARK = 13,
+    N_SILENT = 13,
     PERCENT = 20
   };
 
@@ -366,19 +362,19 @@
   pool.period = LB_SEC / 10;
   pool.answer_limit = 400 * LB_MSEC;
   fake_pool_run (&pool, LB_SEC);
-  for (size_t i = 0; i < N_DARK; i++)
+  for (size_t i = 0; i < N_SILENT; i++)
     pool.engines[i].dead = true;
   fake_pool_new_holder (&pool, 41);
   fake_pool_run (&pool, LB_SEC);
   cr_assert_eq (pool.orders, N_ENGINES * PERCENT / 100);
   fake_pool_run (&pool, 5 * LB_SEC);
-  cr_assert_eq (fake_pool_count (&pool, 41), N_ENGINES - N_DARK);
+  cr_assert_eq (fake_pool_count (&pool, 41), N_ENGINES - N_SILENT);
 }
 
-/* Whether a model is ticked depends on how many engines load in all, so its status is asked without
- * a tick between. It went by the time of the last tick: engines that went dark counted as loading
- * until a load of another model ended, and with all places taken by them none did for 1.3 s. */
-Test (weights, status_is_that_of_now)
+/* Whether a model is ticked depends on the loads of all models, so its status is read without a
+ * tick. As of the last tick, failed engines would count as swapping until a load of another model
+ * ends; they blocked all loads for 1.3 s. */
+Test (weights, status_does_not_depend_on_the_last_tick)
 {
   fake_pool_clear (&pool);
   fake_pool_init (&pool, 20, 20, 0, 40);
@@ -388,14 +384,14 @@
     pool.engines[i].dead = true;
   fake_pool_new_holder (&pool, 41);
   fake_pool_tick (&pool);
-  cr_assert_eq (status ().swapping, 20);
+  cr_assert_eq (get_status ().swapping, 20);
   pool.now += 500 * LB_MSEC;
-  cr_assert_eq (status ().swapping, 0);
+  cr_assert_eq (get_status ().swapping, 0);
 }
 
-/* Four engines of twelve take orders and do nothing. They are the oldest, and would have all places
- * in the roll-out for themselves: the others would keep the old version for good. */
-Test (weights, orders_without_effect_do_not_hold_up_the_others)
+/* Four of twelve engines accept orders without carrying them out. As the ones with the oldest
+ * version they come first, and without a backoff the others would never be ordered. */
+Test (weights, orders_without_effect_do_not_block_the_others)
 {
   for (size_t i = 0; i < 4; i++)
     pool.engines[i].ignores_orders = true;
@@ -405,8 +401,8 @@
   cr_assert_eq (fake_pool_count (&pool, 41), 8);
 }
 
-/* An answer of the weight store that was late names an older version: no engine goes back. */
-Test (weights, newest_never_goes_back)
+/* A delayed answer of the weight store has an older version. */
+Test (weights, newest_version_never_goes_back)
 {
   lc_weights_set_newest (pool.weights, 41, pool.now);
   fake_pool_run_until_done (&pool, 41, 60 * LB_SEC);
@@ -416,7 +412,7 @@
   cr_assert_eq (fake_pool_count (&pool, 41), 12);
 }
 
-Test (weights, orders_stay_under_the_rate_of_the_weight_store)
+Test (weights, orders_stay_within_the_rate_limit)
 {
   fake_pool_clear (&pool);
   fake_pool_init (&pool, 600, 100, 0, 40);
@@ -428,7 +424,7 @@
 }
 
 static void
-strike (gsl_rng *rng, LcVersion *version)
+inject_fault (gsl_rng *rng, LcVersion *version)
 {
   FakeEngine *engine = &pool.engines[gsl_rng_uniform_int (rng, pool.n)];
 
@@ -447,7 +443,7 @@
       engine->ignores_orders = !engine->ignores_orders;
       break;
     case 4:
-      /* It starts anew with the version that it was started with. */
+      /* It restarts with its initial version. */
       engine->loading = 0;
       engine->version = 40;
       engine->incarnation++;
@@ -459,11 +455,10 @@
     }
 }
 
-/* Long randomised run: newer versions, holders that crash, loads that fail, orders without effect,
- * engines started anew, leases lost. Never are more engines loading than the percent allows, nor
- * fewer serving than the reserve needs because of orders; and when all is well again, the newest
- * version comes to every engine. */
-Test (weights, bounds_hold_in_a_long_run)
+/* Random run: new versions, crashes of the holder, failed loads, orders without effect, restarts of
+ * engines and lost leases. The number of engines that load must stay within the percentage, and
+ * every engine must get the newest version once the faults end. */
+Test (weights, limits_hold_under_random_faults)
 {
   gsl_rng *rng = gsl_rng_alloc (gsl_rng_taus2);
   LcVersion version = 41;
@@ -472,9 +467,9 @@
   lc_weights_set_newest (pool.weights, version, pool.now);
   for (int i = 0; i < 2000; i++)
     {
-      strike (rng, &version);
+      inject_fault (rng, &version);
       fake_pool_run (&pool, (LbTime)(gsl_rng_uniform (rng) * 4 * LB_SEC));
-      cr_assert_leq (pool.most_swapping, 3, "after strike %d", i);
+      cr_assert_leq (pool.most_swapping, 3, "after fault %d", i);
     }
   for (size_t i = 0; i < pool.n; i++)
     {
