--- a/packages/core/bench/bench-decision.c
+++ b/packages/core/bench/bench-decision.c
@@ -1,5 +1,5 @@
-/* What a routing decision and the updates of the endpoint table cost: microseconds, and bytes for
- * each endpoint. */
+/* Measures routing decisions and updates of the endpoint table in microseconds, and the memory of
+ * the table in bytes per endpoint. */
 
 #include "bench-fleet.h"
 #include "lc-router.h"
@@ -14,7 +14,7 @@
 #define N_BLOCKS 8
 
 static void
-report_all (LcEndpoints *endpoints, gsl_rng *rng, LbTime now)
+report_all_loads (LcEndpoints *endpoints, gsl_rng *rng, LbTime now)
 {
   for (size_t i = 0; i < lc_endpoints_count (endpoints); i++)
     {
@@ -29,19 +29,19 @@
     }
 }
 
-/* Microseconds of a decision with 8 prefix hashes, and bytes of an endpoint. */
+/* Prints the microseconds of a decision with 8 prefix hashes, and the bytes per endpoint. */
 static void
-measure_cost (const char *policy, int n)
+measure_decision (const char *policy, int n_endpoints)
 {
   const int rounds = 20000;
   gsl_rng *rng = gsl_rng_alloc (gsl_rng_taus2);
-  LcResourceSet set = bench_fleet_make (n);
-  size_t used = mallinfo2 ().uordblks;
+  LcResourceSet set = bench_fleet_make (n_endpoints);
+  size_t used_bytes = mallinfo2 ().uordblks;
   LcEndpoints *endpoints = lc_endpoints_new ();
 
   lc_endpoints_configure (endpoints, &set, 0);
-  used = mallinfo2 ().uordblks - used;
-  report_all (endpoints, rng, LB_SEC);
+  used_bytes = mallinfo2 ().uordblks - used_bytes;
+  report_all_loads (endpoints, rng, LB_SEC);
 
   LcRouter *router = lc_router_new (policy, 1);
   uint64_t hashes[N_BLOCKS];
@@ -52,7 +52,7 @@
                          .n_prefix_hashes = N_BLOCKS,
                          .prompt_tokens = 600,
                          .expected_tokens = 100 };
-  LbTime spent = 0;
+  LbTime duration = 0;
 
   for (int i = 0; i < rounds; i++)
     {
@@ -64,13 +64,14 @@
       LbTime before = lb_clock_monotonic ();
       LcRouteDecision decision = lc_router_choose (router, endpoints, &query, now);
 
-      spent += lb_clock_monotonic () - before;
+      duration += lb_clock_monotonic () - before;
       lc_endpoint_request_sent (decision.endpoint, LC_KIND_LIVE, hashes[N_BLOCKS - 1], now);
       lc_endpoint_request_ended (decision.endpoint, LC_KIND_LIVE, true, 100, LB_SEC, now);
       if (i % 100 == 0)
-        report_all (endpoints, rng, now);
+        report_all_loads (endpoints, rng, now);
     }
-  printf ("%-18s %9d %9.2f %9.0f\n", policy, n, (double)spent / rounds, (double)used / n);
+  printf ("%-18s %9d %9.2f %9.0f\n", policy, n_endpoints, (double)duration / rounds,
+          (double)used_bytes / n_endpoints);
   lc_router_free (router);
   lc_endpoints_free (endpoints);
   free (set.endpoints);
@@ -78,43 +79,43 @@
 }
 
 static void
-print_update (const char *what, int n, LbTime began, int rounds)
+print_update_cost (const char *name, int n_endpoints, LbTime started_at, int rounds)
 {
-  double spent = (double)(lb_clock_monotonic () - began);
+  double duration = (double)(lb_clock_monotonic () - started_at);
 
-  printf ("%-18s %9d %9.3f\n", what, n, spent / rounds);
+  printf ("%-18s %9d %9.3f\n", name, n_endpoints, duration / rounds);
 }
 
-/* Microseconds of what keeps the table up to date. */
+/* Prints the microseconds of each kind of update of the table. */
 static void
-measure_updates (int n)
+measure_updates (int n_endpoints)
 {
   const int rounds = 200000;
   gsl_rng *rng = gsl_rng_alloc (gsl_rng_taus2);
-  LcResourceSet set = bench_fleet_make (n);
+  LcResourceSet set = bench_fleet_make (n_endpoints);
   LcEndpoints *endpoints = lc_endpoints_new ();
-  LbTime began = 0;
+  LbTime started_at = 0;
 
   lc_endpoints_configure (endpoints, &set, 0);
-  began = lb_clock_monotonic ();
-  for (int i = 0; i < rounds / n; i++)
-    report_all (endpoints, rng, i);
-  print_update ("report", n, began, rounds / n * n);
-  began = lb_clock_monotonic ();
+  started_at = lb_clock_monotonic ();
+  for (int i = 0; i < rounds / n_endpoints; i++)
+    report_all_loads (endpoints, rng, i);
+  print_update_cost ("report", n_endpoints, started_at, rounds / n_endpoints * n_endpoints);
+  started_at = lb_clock_monotonic ();
   for (int i = 0; i < rounds; i++)
-    lc_endpoints_apply_cache_event (endpoints, set.endpoints[i % n].name,
-                                    (uint64_t)i / (uint64_t)n + 1, true,
+    lc_endpoints_apply_cache_event (endpoints, set.endpoints[i % n_endpoints].name,
+                                    (uint64_t)i / (uint64_t)n_endpoints + 1, true,
                                     bench_hash ((uint64_t)(i % 100000), 0), i);
-  print_update ("cache event", n, began, rounds);
-  began = lb_clock_monotonic ();
+  print_update_cost ("cache event", n_endpoints, started_at, rounds);
+  started_at = lb_clock_monotonic ();
   for (int i = 0; i < rounds; i++)
     {
-      LcEndpoint *endpoint = lc_endpoints_at (endpoints, (size_t)(i % n));
+      LcEndpoint *endpoint = lc_endpoints_at (endpoints, (size_t)(i % n_endpoints));
 
       lc_endpoint_request_sent (endpoint, LC_KIND_LIVE, bench_hash ((uint64_t)(i % 100000), 0), i);
       lc_endpoint_request_ended (endpoint, LC_KIND_LIVE, true, 100, LB_SEC, i);
     }
-  print_update ("sent and ended", n, began, rounds);
+  print_update_cost ("sent and ended", n_endpoints, started_at, rounds);
   lc_endpoints_free (endpoints);
   free (set.endpoints);
   gsl_rng_free (rng);
@@ -126,9 +127,9 @@
   printf ("%-18s %9s %9s %9s\n", "decision", "endpoints", "us", "bytes/ep");
   for (const char *const *policy = lc_router_policy_names (); *policy; policy++)
     {
-      measure_cost (*policy, 10);
-      measure_cost (*policy, 100);
-      measure_cost (*policy, 600);
+      measure_decision (*policy, 10);
+      measure_decision (*policy, 100);
+      measure_decision (*policy, 600);
     }
   printf ("\n%-18s %9s %9s\n", "update", "endpoints", "us");
   measure_updates (10);
--- a/packages/core/bench/bench-dispatch.c
+++ b/packages/core/bench/bench-dispatch.c
@@ -1,6 +1,6 @@
-/* Cost of the life of a request: microseconds of processor time and bytes of memory for admission,
- * queue, attempt, answer, refusal and ticket, at several numbers of endpoints and waiting requests.
- * Each figure is the median of five runs. */
+/* Measures processor time in microseconds and memory in bytes of admission, queueing, attempt,
+ * answer, refusal and ticket of a request, for several numbers of endpoints and waiting requests.
+ * Each time is the median of five runs. */
 
 #include "lc-dispatch.h"
 #include "lc-ticket.h"
@@ -31,14 +31,14 @@
 typedef struct
 {
   double submit;
-  double take;
+  double dequeue;
   double expire;
   double refuse;
   double bytes;
 } QueueCost;
 
 static void
-init (Bench *bench, size_t n_endpoints, int64_t concurrency, int64_t queue_limit)
+bench_init (Bench *bench, size_t n_endpoints, int64_t concurrency, int64_t queue_limit)
 {
   LcDispatchSettings settings = {
     .max_report_age = LB_TIME_NEVER, .queue_limit = queue_limit, .retry_budget = 0.1, .seed = 1
@@ -82,18 +82,18 @@
     lc_action_free (LB_CONTAINER (link, LcAction, link));
 }
 
-/* A figure of something that did not happen is worse than none. */
+/* Fails the run if the measured operation did not take place. */
 static void
-expect (bool holds, const char *otherwise)
+require (bool condition, const char *failure)
 {
-  if (holds)
+  if (condition)
     return;
-  fprintf (stderr, "bench-dispatch: %s\n", otherwise);
+  fprintf (stderr, "bench-dispatch: %s\n", failure);
   exit (1);
 }
 
 static void
-clear (Bench *bench)
+bench_clear (Bench *bench)
 {
   drop_actions (bench);
   lc_dispatch_free (bench->dispatch);
@@ -131,31 +131,31 @@
 }
 
 static double
-micros_each (LbTime began, size_t n)
+micros_per_item (LbTime started_at, size_t n)
 {
-  return (double)(lb_clock_monotonic () - began) / (double)n;
+  return (double)(lb_clock_monotonic () - started_at) / (double)n;
 }
 
 static double
 measure_expiry (Bench *bench)
 {
-  size_t n_left = lc_dispatch_count_waiting (bench->dispatch, LC_KIND_LIVE);
-  LbTime began = lb_clock_monotonic ();
+  size_t n_waiting = lc_dispatch_count_waiting (bench->dispatch, LC_KIND_LIVE);
+  LbTime started_at = lb_clock_monotonic ();
 
   bench->now += 200 * LB_SEC;
   lc_dispatch_tick (bench->dispatch, bench->now, &bench->actions);
-  return micros_each (began, n_left);
+  return micros_per_item (started_at, n_waiting);
 }
 
-/* A call that is sent at once, answered in one piece and finished. */
+/* Measures calls that are sent at once and answered in one piece. */
 static double
-measure_life (size_t n_endpoints)
+measure_call (size_t n_endpoints)
 {
   Bench bench;
 
-  init (&bench, n_endpoints, 64, 4096);
+  bench_init (&bench, n_endpoints, 64, 4096);
 
-  LbTime began = lb_clock_monotonic ();
+  LbTime started_at = lb_clock_monotonic ();
 
   for (int i = 0; i < N_REQUESTS; i++)
     {
@@ -165,23 +165,23 @@
       drop_actions (&bench);
     }
 
-  double cost = micros_each (began, N_REQUESTS);
+  double cost = micros_per_item (started_at, N_REQUESTS);
 
-  expect (lc_dispatch_count_in_progress (bench.dispatch) == 0, "calls were not answered");
-  clear (&bench);
+  require (lc_dispatch_count_in_progress (bench.dispatch) == 0, "calls were not answered");
+  bench_clear (&bench);
   return cost;
 }
 
-/* One piece of a stream. */
+/* Measures one piece of a stream. */
 static double
 measure_piece (void)
 {
   Bench bench;
 
-  init (&bench, 10, 64, 4096);
+  bench_init (&bench, 10, 64, 4096);
   submit (&bench, LB_TIME_NEVER);
 
-  LbTime began = lb_clock_monotonic ();
+  LbTime started_at = lb_clock_monotonic ();
 
   for (int i = 0; i < N_REQUESTS; i++)
     {
@@ -191,9 +191,9 @@
                                  &bench.actions);
     }
 
-  double cost = micros_each (began, N_REQUESTS);
+  double cost = micros_per_item (started_at, N_REQUESTS);
 
-  clear (&bench);
+  bench_clear (&bench);
   return cost;
 }
 
@@ -203,39 +203,39 @@
   Bench bench;
   QueueCost cost;
 
-  init (&bench, n_endpoints, 1, (int64_t)n_waiting);
+  bench_init (&bench, n_endpoints, 1, (int64_t)n_waiting);
   for (size_t i = 0; i < n_endpoints; i++)
     submit (&bench, LB_TIME_NEVER);
   drop_actions (&bench);
 
   size_t before = mallinfo2 ().uordblks;
-  LbTime began = lb_clock_monotonic ();
-  LcRequestId running = 1;
+  LbTime started_at = lb_clock_monotonic ();
+  LcRequestId running_id = 1;
 
   for (size_t i = 0; i < n_waiting; i++)
     submit (&bench, bench.now + 100 * LB_SEC);
-  cost.submit = micros_each (began, n_waiting);
+  cost.submit = micros_per_item (started_at, n_waiting);
   cost.bytes = (double)(mallinfo2 ().uordblks - before) / (double)n_waiting;
-  began = lb_clock_monotonic ();
+  started_at = lb_clock_monotonic ();
   for (size_t i = 0; i < n_waiting; i++)
     submit (&bench, LB_TIME_NEVER);
-  cost.refuse = micros_each (began, n_waiting);
-  began = lb_clock_monotonic ();
+  cost.refuse = micros_per_item (started_at, n_waiting);
+  started_at = lb_clock_monotonic ();
   for (size_t i = 0; i < n_waiting / 2; i++)
     {
-      answer (&bench, running);
+      answer (&bench, running_id);
       LB_LIST_FOREACH (&bench.actions, LcAction, link, action)
       {
         if (action->type == LC_ACTION_SEND)
-          running = action->request;
+          running_id = action->request;
       }
       drop_actions (&bench);
     }
-  cost.take = micros_each (began, n_waiting / 2);
-  expect (lc_dispatch_count_waiting (bench.dispatch, LC_KIND_LIVE) == n_waiting - n_waiting / 2,
-          "calls were not taken from the queue");
+  cost.dequeue = micros_per_item (started_at, n_waiting / 2);
+  require (lc_dispatch_count_waiting (bench.dispatch, LC_KIND_LIVE) == n_waiting - n_waiting / 2,
+           "calls were not dequeued");
   cost.expire = measure_expiry (&bench);
-  clear (&bench);
+  bench_clear (&bench);
   return cost;
 }
 
@@ -248,20 +248,20 @@
                             .seed = 1 };
   LcTickets *tickets = lc_tickets_new ("i1", "a", &limits);
   char text[LC_TICKET_SIZE];
-  char kept[200] = { 0 };
+  char answer_text[200] = { 0 };
   size_t before = mallinfo2 ().uordblks;
-  LbTime began = lb_clock_monotonic ();
+  LbTime started_at = lb_clock_monotonic ();
 
   for (LcRequestId id = 1; id <= N_REQUESTS; id++)
     {
       lc_tickets_issue (tickets, "shop", 0, text, NULL);
       lc_tickets_redeem (tickets, text, "shop", 1, id, 0);
-      lc_tickets_finish (tickets, id, LB_OK, 200, kept, sizeof kept, 0);
+      lc_tickets_finish (tickets, id, LB_OK, 200, answer_text, sizeof answer_text, 0);
     }
 
-  double cost = micros_each (began, N_REQUESTS);
+  double cost = micros_per_item (started_at, N_REQUESTS);
 
-  *bytes = (double)(mallinfo2 ().uordblks - before) / N_REQUESTS - (double)sizeof kept;
+  *bytes = (double)(mallinfo2 ().uordblks - before) / N_REQUESTS - (double)sizeof answer_text;
   lc_tickets_free (tickets);
   return cost;
 }
@@ -282,20 +282,20 @@
 }
 
 static void
-print_life (size_t n_endpoints)
+print_call (size_t n_endpoints)
 {
   double runs[N_RUNS];
 
   for (int i = 0; i < N_RUNS; i++)
-    runs[i] = measure_life (n_endpoints);
-  printf ("life of a call, %4zu endpoints       %8.2f us\n", n_endpoints, median (runs));
+    runs[i] = measure_call (n_endpoints);
+  printf ("complete call, %4zu endpoints        %8.2f us\n", n_endpoints, median (runs));
 }
 
 static void
 print_queue (size_t n_endpoints, size_t n_waiting)
 {
   double submits[N_RUNS];
-  double takes[N_RUNS];
+  double dequeues[N_RUNS];
   double expires[N_RUNS];
   double refuses[N_RUNS];
   double bytes = 0;
@@ -305,14 +305,14 @@
       QueueCost cost = measure_queue (n_endpoints, n_waiting);
 
       submits[i] = cost.submit;
-      takes[i] = cost.take;
+      dequeues[i] = cost.dequeue;
       expires[i] = cost.expire;
       refuses[i] = cost.refuse;
       bytes = cost.bytes;
     }
-  printf ("%5zu waiting, %3zu endpoints: submit %6.2f us, refuse %6.2f us, take %6.2f us, "
+  printf ("%5zu waiting, %3zu endpoints: submit %6.2f us, refuse %6.2f us, dequeue %6.2f us, "
           "expire %6.2f us, %4.0f bytes each\n",
-          n_waiting, n_endpoints, median (submits), median (refuses), median (takes),
+          n_waiting, n_endpoints, median (submits), median (refuses), median (dequeues),
           median (expires), bytes);
 }
 
@@ -325,7 +325,7 @@
   double bytes = 0;
 
   for (size_t i = 0; i < sizeof endpoints / sizeof endpoints[0]; i++)
-    print_life (endpoints[i]);
+    print_call (endpoints[i]);
   for (int i = 0; i < N_RUNS; i++)
     runs[i] = measure_piece ();
   printf ("piece of a stream                    %8.2f us\n", median (runs));
@@ -334,7 +334,7 @@
   print_queue (600, 4096);
   for (int i = 0; i < N_RUNS; i++)
     runs[i] = measure_ticket (&bytes);
-  printf ("ticket, issued, used and kept        %8.2f us, %.0f bytes beside the answer\n",
+  printf ("ticket: issue, redeem and finish     %8.2f us, %.0f bytes without the answer\n",
           median (runs), bytes);
   return 0;
 }
--- a/packages/core/bench/bench-engine.c
+++ b/packages/core/bench/bench-engine.c
@@ -3,8 +3,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TOKEN_SECONDS 0.02
-#define PREFILL_PER_SECOND 8000.0
+#define MIN_TOKEN_SECONDS 0.02
+#define PREFILL_TOKENS_PER_SECOND 8000.0
 
 void
 bench_engine_init (BenchEngine *engine, double speed)
@@ -16,7 +16,7 @@
 }
 
 static void
-free_all (LbList *list)
+free_requests (LbList *list)
 {
   for (LbLink *link = lb_list_pop (list); link; link = lb_list_pop (list))
     free (LB_CONTAINER (link, BenchRequest, link));
@@ -25,8 +25,8 @@
 void
 bench_engine_clear (BenchEngine *engine)
 {
-  free_all (&engine->running);
-  free_all (&engine->waiting);
+  free_requests (&engine->running);
+  free_requests (&engine->waiting);
 }
 
 void
@@ -45,7 +45,7 @@
 }
 
 static void
-tell (BenchEngine *engine, uint64_t prefix, bool stored)
+add_cache_event (BenchEngine *engine, uint64_t prefix, bool stored)
 {
   engine->sequence++;
   if (engine->n_events < ENGINE_MAX_EVENTS)
@@ -53,39 +53,40 @@
         = (BenchCacheEvent){ .sequence = engine->sequence, .prefix = prefix, .stored = stored };
 }
 
-/* True when the prefix was there; it is the most recent one afterwards. */
+/* Moves the prefix to the front of the cache, evicting the oldest one if the cache is full. Returns
+ * true if the prefix was cached. */
 static bool
-touch_cache (BenchEngine *engine, uint64_t prefix)
+use_prefix (BenchEngine *engine, uint64_t prefix)
 {
-  size_t at = 0;
+  size_t position = 0;
 
-  while (at < engine->n_cached && engine->cache[at] != prefix)
-    at++;
+  while (position < engine->n_cached && engine->cache[position] != prefix)
+    position++;
 
-  bool found = at < engine->n_cached;
+  bool is_cached = position < engine->n_cached;
 
-  if (!found && engine->n_cached == ENGINE_CACHE)
+  if (!is_cached && engine->n_cached == ENGINE_CACHE_PREFIXES)
     {
-      at = ENGINE_CACHE - 1;
-      tell (engine, engine->cache[at], false);
+      position = ENGINE_CACHE_PREFIXES - 1;
+      add_cache_event (engine, engine->cache[position], false);
     }
-  else if (!found)
+  else if (!is_cached)
     engine->n_cached++;
-  memmove (engine->cache + 1, engine->cache, at * sizeof *engine->cache);
+  memmove (engine->cache + 1, engine->cache, position * sizeof *engine->cache);
   engine->cache[0] = prefix;
-  if (!found)
-    tell (engine, prefix, true);
-  return found;
+  if (!is_cached)
+    add_cache_event (engine, prefix, true);
+  return is_cached;
 }
 
 static void
-admit (BenchEngine *engine)
+start_waiting (BenchEngine *engine)
 {
   while (engine->running.length < BENCH_CONCURRENCY && !lb_list_is_empty (&engine->waiting))
     {
       BenchRequest *request = LB_CONTAINER (lb_list_pop (&engine->waiting), BenchRequest, link);
-      bool found = touch_cache (engine, request->prefix);
-      double cached = found ? request->prompt_tokens * request->prefix_share : 0;
+      bool is_cached = use_prefix (engine, request->prefix);
+      double cached = is_cached ? request->prompt_tokens * request->prefix_share : 0;
 
       request->prefill_left = request->prompt_tokens - cached;
       engine->prompt_tokens += request->prompt_tokens;
@@ -97,9 +98,9 @@
 static double
 token_seconds (const BenchEngine *engine)
 {
-  double fill = (double)engine->running.length / BENCH_CONCURRENCY;
+  double occupied = (double)engine->running.length / BENCH_CONCURRENCY;
 
-  return TOKEN_SECONDS * (1 + fill) / engine->speed;
+  return MIN_TOKEN_SECONDS * (1 + occupied) / engine->speed;
 }
 
 double
@@ -112,20 +113,21 @@
 bench_engine_run (BenchEngine *engine, LbTime now, LbTime step, LbList *ended)
 {
   double seconds = (double)step / LB_SEC;
-  double prefill = PREFILL_PER_SECOND * engine->speed * seconds;
-  double whole = prefill;
+  double prefill = PREFILL_TOKENS_PER_SECOND * engine->speed * seconds;
+  double max_prefill = prefill;
 
-  admit (engine);
+  start_waiting (engine);
   engine->occupancy += (double)(engine->running.length + engine->waiting.length) * seconds;
   LB_LIST_FOREACH (&engine->running, BenchRequest, link, filling)
   {
-    double part = filling->prefill_left < prefill ? filling->prefill_left : prefill;
+    double prefilled = filling->prefill_left < prefill ? filling->prefill_left : prefill;
 
-    filling->prefill_left -= part;
-    prefill -= part;
+    filling->prefill_left -= prefilled;
+    prefill -= prefilled;
   }
 
-  double decoded = seconds / token_seconds (engine) * (1 - 0.5 * (whole - prefill) / whole);
+  double decoded
+      = seconds / token_seconds (engine) * (1 - 0.5 * (max_prefill - prefill) / max_prefill);
 
   LB_LIST_FOREACH (&engine->running, BenchRequest, link, request)
   {
--- a/packages/core/bench/bench-engine.h
+++ b/packages/core/bench/bench-engine.h
@@ -3,10 +3,10 @@
 
 #include "bench-fleet.h"
 
-/* A model engine in virtual time: continuous batching, one prefill at a time that halves the speed
- * of decoding, and a prefix cache of a fixed number of prefixes. */
+/* Simulated inference engine in virtual time: continuous batching, one prefill at a time, which
+ * halves the decoding speed, and an LRU cache with a fixed number of prefixes. */
 
-#define ENGINE_CACHE 100
+#define ENGINE_CACHE_PREFIXES 100
 #define ENGINE_MAX_EVENTS 64
 
 typedef struct
@@ -37,13 +37,13 @@
 {
   LbList running;
   LbList waiting;
-  uint64_t cache[ENGINE_CACHE]; /* most recent first */
+  uint64_t cache[ENGINE_CACHE_PREFIXES]; /* most recently used first */
   size_t n_cached;
   uint64_t sequence;
-  BenchCacheEvent events[ENGINE_MAX_EVENTS]; /* since they were last taken */
+  BenchCacheEvent events[ENGINE_MAX_EVENTS]; /* since the caller last read them */
   size_t n_events;
   double speed;
-  /* totals since the warm-up */
+  /* Totals since the warm-up; occupancy in request seconds. */
   double tokens;
   double occupancy;
   double prompt_tokens;
@@ -53,7 +53,7 @@
 void bench_engine_init (BenchEngine *engine, double speed);
 void bench_engine_clear (BenchEngine *engine);
 void bench_engine_take (BenchEngine *engine, BenchRequest *request);
-/* Moves on by step; requests that got their first byte or ended go to the lists (through link). */
+/* Advances the engine by step; appends requests that ended to the list. */
 void bench_engine_run (BenchEngine *engine, LbTime now, LbTime step, LbList *ended);
 double bench_engine_tokens_per_second (const BenchEngine *engine);
 void bench_engine_reset_totals (BenchEngine *engine);
--- a/packages/core/bench/bench-fleet.h
+++ b/packages/core/bench/bench-fleet.h
@@ -5,7 +5,8 @@
 
 #define BENCH_CONCURRENCY 32
 
-/* Engines engine-0, engine-1, ... of pool "reader" in three data centres; free the endpoints. */
+/* Makes engines engine-0, engine-1, ... of pool "reader" in three data centres; the caller frees
+ * set.endpoints. */
 LcResourceSet bench_fleet_make (int n);
 uint64_t bench_hash (uint64_t a, uint64_t b);
 
--- a/packages/core/bench/bench-membership.c
+++ b/packages/core/bench/bench-membership.c
@@ -1,6 +1,7 @@
-/* Weighs ways to watch the instances: bytes a second of one instance (sent and got, with TCP and IP
- * headers), and the time from the silent end of an instance until others no longer name it.
- * Virtual time; the detectors, the membership and the sizes of frames are the product's own. */
+/* Compares methods of failure detection between instances: bytes per second of one instance (sent
+ * and received, with TCP and IP headers), and the time from the silent failure of an instance until
+ * others no longer list it. Runs the real detectors, membership and frame encoding in virtual time.
+ */
 
 #include "fake-peers.h"
 
@@ -13,8 +14,8 @@
 #include <string.h>
 
 #define TICK (100 * LB_MSEC)
-/* What an instance has for all control, bytes a second: 14 KB. */
-#define BUDGET 14000.0
+/* For all control traffic of an instance. */
+#define BUDGET_BYTES_PER_SECOND 14000.0
 #define TRIALS 20
 #define SECONDS_OF_HISTORY 60
 #define MIN_PERIOD (500 * LB_MSEC)
@@ -26,22 +27,22 @@
 {
   double *values;
   size_t count;
-  size_t room;
+  size_t allocated;
 } Samples;
 
 static void
 samples_add (Samples *samples, double value)
 {
-  if (samples->count == samples->room)
+  if (samples->count == samples->allocated)
     {
-      samples->room = 2 * samples->room + 64;
-      samples->values = lb_realloc (samples->values, samples->room * sizeof *samples->values);
+      samples->allocated = 2 * samples->allocated + 64;
+      samples->values = lb_realloc (samples->values, samples->allocated * sizeof *samples->values);
     }
   samples->values[samples->count++] = value;
 }
 
 static int
-by_value (const void *a, const void *b)
+compare_values (const void *a, const void *b)
 {
   double left = *(const double *)a, right = *(const double *)b;
 
@@ -49,23 +50,23 @@
 }
 
 static void
-report (const char *way, size_t members, double bytes, Samples *samples)
+print_row (const char *method, size_t members, double bytes, Samples *samples)
 {
   double sum = 0;
 
-  qsort (samples->values, samples->count, sizeof *samples->values, by_value);
+  qsort (samples->values, samples->count, sizeof *samples->values, compare_values);
   for (size_t i = 0; i < samples->count; i++)
     sum += samples->values[i];
-  printf ("%-28s %7zu %12.0f %9.2f %9.2f %9.2f\n", way, members, bytes,
+  printf ("%-28s %7zu %12.0f %9.2f %9.2f %9.2f\n", method, members, bytes,
           sum / (double)samples->count, samples->values[samples->count * 99 / 100],
           samples->values[samples->count - 1]);
   free (samples->values);
   *samples = (Samples){ 0 };
 }
 
-/* Bytes of a heartbeat and its answer. */
+/* Returns the bytes of a heartbeat and its answer. */
 static double
-exchange_bytes (void)
+heartbeat_bytes (void)
 {
   LwMessage ping = { .type = LW_PING, .digest = UINT64_MAX };
   LwMessage pong = { .type = LW_PONG, .digest = UINT64_MAX };
@@ -73,42 +74,42 @@
   return (double)(fake_peers_message_bytes (&ping) + fake_peers_message_bytes (&pong));
 }
 
-/* One instance that is watched over one connection of its own until it vanishes: the time from then
- * until the detector of the other end calls it silent, at the next tick. */
+/* Simulates heartbeats over one connection until the peer becomes unreachable. Returns the time
+ * from then until the tick at which the detector reports the failure. */
 static double
-detect_directly (LbTime period, gsl_rng *rng)
+sample_detection_seconds (LbTime period, gsl_rng *rng)
 {
   LcDetector detector;
   LbTime phase = (LbTime)gsl_rng_uniform_int (rng, (unsigned long)period);
-  LbTime end = SECONDS_OF_HISTORY * LB_SEC + 10 * period
-               + (LbTime)gsl_rng_uniform_int (rng, (unsigned long)period);
+  LbTime fails_at = SECONDS_OF_HISTORY * LB_SEC + 10 * period
+                    + (LbTime)gsl_rng_uniform_int (rng, (unsigned long)period);
 
   lc_detector_init (&detector, period, phase);
-  for (LbTime sent = phase; sent < end; sent += period)
+  for (LbTime sent = phase; sent < fails_at; sent += period)
     lc_detector_record_arrival (&detector, sent + 1000 + (LbTime)gsl_rng_uniform_int (rng, 2000));
-  LbTime found = (lc_detector_deadline (&detector) + TICK - 1) / TICK * TICK;
-  return (double)(found - end) / LB_SEC;
+  LbTime detected_at = (lc_detector_deadline (&detector) + TICK - 1) / TICK * TICK;
+  return (double)(detected_at - fails_at) / LB_SEC;
 }
 
 static void
 bench_all_pairs (size_t members, LbTime period, gsl_rng *rng)
 {
   Samples samples = { 0 };
-  char way[64];
+  char method[64];
 
   for (size_t i = 0; i < TRIALS * (members - 1); i++)
-    samples_add (&samples, detect_directly (period, rng));
-  snprintf (way, sizeof way, "all pairs, %.1f s", (double)period / LB_SEC);
-  report (way, members, (double)(members - 1) * exchange_bytes () * LB_SEC / (double)period,
-          &samples);
+    samples_add (&samples, sample_detection_seconds (period, rng));
+  snprintf (method, sizeof method, "all pairs, %.1f s", (double)period / LB_SEC);
+  print_row (method, members, (double)(members - 1) * heartbeat_bytes () * LB_SEC / (double)period,
+             &samples);
 }
 
-/* The rule of the paper: period = members / capacity between two bounds. Every instance watches all
- * others and is watched by them, so half of the budget is for either. */
+/* Period in proportion to the number of members, between two bounds. Every instance monitors all
+ * others and is monitored by them, so each direction gets half of the budget. */
 static LbTime
-regulated_period (size_t members)
+self_regulating_period (size_t members)
 {
-  double capacity = BUDGET / 2 / exchange_bytes ();
+  double capacity = BUDGET_BYTES_PER_SECOND / 2 / heartbeat_bytes ();
   LbTime period = (LbTime)((double)(members - 1) / capacity * LB_SEC);
 
   if (period < MIN_PERIOD)
@@ -117,26 +118,26 @@
 }
 
 static void
-bench_regulated (size_t members, gsl_rng *rng)
+bench_self_regulating (size_t members, gsl_rng *rng)
 {
-  LbTime period = regulated_period (members);
+  LbTime period = self_regulating_period (members);
   Samples samples = { 0 };
 
   for (size_t i = 0; i < TRIALS * (members - 1); i++)
-    samples_add (&samples, detect_directly (period, rng));
-  report ("self-regulating period", members,
-          2 * (double)(members - 1) * exchange_bytes () * LB_SEC / (double)period, &samples);
+    samples_add (&samples, sample_detection_seconds (period, rng));
+  print_row ("self-regulating period", members,
+             2 * (double)(members - 1) * heartbeat_bytes () * LB_SEC / (double)period, &samples);
 }
 
-/* Growth from 10 to 350 at so many joins a second: each watched instance keeps the period it was
- * given at its last heartbeat. Prints the most bytes in any second. */
+/* Simulates growth from 10 to 350 members; each monitored instance keeps the period set at its last
+ * heartbeat. Prints the largest number of bytes in one second. */
 static void
-bench_regulated_growth (size_t joins_a_second)
+bench_self_regulating_growth (size_t joins_per_second)
 {
-  const size_t last = 350;
-  LbTime *next = LB_NEW_ARRAY (LbTime, last);
+  const size_t final_members = 350;
+  LbTime *next = LB_NEW_ARRAY (LbTime, final_members);
   size_t members = 10;
-  double most = 0;
+  double largest = 0;
 
   for (size_t second = 0; second < 120; second++)
     {
@@ -145,17 +146,17 @@
         for (size_t i = 1; i < members; i++)
           if (next[i] <= now)
             {
-              bytes += 2 * exchange_bytes ();
-              next[i] = now + regulated_period (members);
+              bytes += 2 * heartbeat_bytes ();
+              next[i] = now + self_regulating_period (members);
             }
-      most = bytes > most ? bytes : most;
-      for (size_t join = 0; join < joins_a_second && members < last; join++)
+      largest = bytes > largest ? bytes : largest;
+      for (size_t join = 0; join < joins_per_second && members < final_members; join++)
         next[members++] = (LbTime)(second + 1) * LB_SEC;
     }
   printf (
       "self-regulating period, 10 to 350 members at %zu joins/s: at most %.0f bytes in a second, "
       "%.2f of the budget\n",
-      joins_a_second, most, most / BUDGET);
+      joins_per_second, largest, largest / BUDGET_BYTES_PER_SECOND);
   free (next);
 }
 
@@ -174,19 +175,19 @@
     }
   fake_peers_run (peers, fake_peers_now (peers) + 60 * LB_SEC);
   if (fake_peers_agreeing (peers) != members)
-    printf ("only %zu of %zu agree\n", fake_peers_agreeing (peers), members);
+    printf ("only %zu of %zu instances agree\n", fake_peers_agreeing (peers), members);
   return peers;
 }
 
 static double
 largest_rate (const FakePeers *peers, size_t members, double seconds)
 {
-  int64_t most = 0;
+  int64_t largest = 0;
 
   for (size_t i = 0; i < members; i++)
-    if (fake_peers_bytes (peers, i) > most)
-      most = fake_peers_bytes (peers, i);
-  return (double)most / seconds;
+    if (fake_peers_bytes (peers, i) > largest)
+      largest = fake_peers_bytes (peers, i);
+  return (double)largest / seconds;
 }
 
 static double
@@ -198,26 +199,26 @@
 }
 
 static void
-watch_end_of (FakePeers *peers, size_t members, size_t subject, Samples *samples)
+measure_failure (FakePeers *peers, size_t members, size_t subject, Samples *samples)
 {
-  bool *unnamed = LB_NEW_ARRAY (bool, members);
-  LbTime ended = fake_peers_now (peers);
+  bool *is_unlisted = LB_NEW_ARRAY (bool, members);
+  LbTime failed_at = fake_peers_now (peers);
 
   fake_peers_set_state (peers, subject, FAKE_VANISHED);
   for (int step = 1; step <= 200; step++)
     {
-      fake_peers_run (peers, ended + step * 20 * LB_MSEC);
+      fake_peers_run (peers, failed_at + step * 20 * LB_MSEC);
       for (size_t i = 0; i < members; i++)
-        if (i != subject && !unnamed[i] && !fake_peers_names (peers, i, subject))
+        if (i != subject && !is_unlisted[i] && !fake_peers_names (peers, i, subject))
           {
-            unnamed[i] = true;
+            is_unlisted[i] = true;
             samples_add (samples, step * 0.02);
           }
     }
   for (size_t i = 0; i < members; i++)
-    if (i != subject && !unnamed[i])
+    if (i != subject && !is_unlisted[i])
       samples_add (samples, 99);
-  free (unnamed);
+  free (is_unlisted);
 }
 
 static void
@@ -226,70 +227,71 @@
   FakePeers *peers = cluster_new (members, rings, seed);
   double rate = steady_rate (peers, members);
   Samples samples = { 0 };
-  char way[64];
+  char method[64];
 
   for (int trial = 0; trial < TRIALS; trial++)
     {
       size_t subject = 1 + gsl_rng_uniform_int (rng, members - 1);
       fake_peers_run (peers, fake_peers_now (peers)
                                  + (LbTime)gsl_rng_uniform_int (rng, (unsigned long)LB_SEC));
-      watch_end_of (peers, members, subject, &samples);
+      measure_failure (peers, members, subject, &samples);
       fake_peers_start (peers, subject);
       fake_peers_run (peers, fake_peers_now (peers) + 5 * LB_SEC);
     }
-  snprintf (way, sizeof way, "%zu successors on rings", rings);
-  report (way, members, rate, &samples);
+  snprintf (method, sizeof method, "%zu successors on rings", rings);
+  print_row (method, members, rate, &samples);
   fake_peers_free (peers);
 }
 
-/* The loss of a data centre of a third of all, and its return after two minutes. */
+/* Measures the loss of a data centre with a third of all instances, and its return after two
+ * minutes. */
 static void
-bench_region (size_t members, uint64_t seed)
+bench_data_centre_loss (size_t members, uint64_t seed)
 {
   FakePeers *peers = cluster_new (members, 3, seed);
-  double most[2] = { 0 };
+  double largest[2] = { 0 };
 
   for (int phase = 0; phase < 2; phase++)
     {
       for (size_t i = 0; i < members; i += 3)
         fake_peers_set_group (peers, i, phase == 0);
-      LbTime began = fake_peers_now (peers);
-      LbTime agreed = 0;
+      LbTime started_at = fake_peers_now (peers);
+      LbTime agreed_after = 0;
       for (int second = 1; second <= 60; second++)
         {
           fake_peers_reset_bytes (peers);
-          fake_peers_run (peers, began + second * LB_SEC);
+          fake_peers_run (peers, started_at + second * LB_SEC);
           double rate = largest_rate (peers, members, 1);
-          most[phase] = rate > most[phase] ? rate : most[phase];
-          if (phase == 1 && !agreed && fake_peers_agreeing (peers) == members)
-            agreed = fake_peers_now (peers) - began;
+          largest[phase] = rate > largest[phase] ? rate : largest[phase];
+          if (phase == 1 && !agreed_after && fake_peers_agreeing (peers) == members)
+            agreed_after = fake_peers_now (peers) - started_at;
         }
       if (phase == 1)
         printf ("a third of %zu members cut off: at most %.0f bytes in a second of one instance; "
                 "back: at most %.0f, all agree after %.0f s\n",
-                members, most[0], most[1], (double)agreed / LB_SEC);
+                members, largest[0], largest[1], (double)agreed_after / LB_SEC);
       fake_peers_run (peers, fake_peers_now (peers) + 60 * LB_SEC);
     }
   fake_peers_free (peers);
 }
 
 static void
-bench_all_ways (uint64_t seed, gsl_rng *rng)
+bench_all_methods (uint64_t seed, gsl_rng *rng)
 {
-  printf ("heartbeat and answer: %.0f bytes\n", exchange_bytes ());
+  printf ("heartbeat and answer: %.0f bytes\n", heartbeat_bytes ());
   printf ("%-28s %7s %12s %9s %9s %9s\n", "way", "members", "bytes/s", "mean s", "p99 s", "max s");
   for (size_t i = 0; i < sizeof sizes / sizeof *sizes; i++)
     {
       bench_all_pairs (sizes[i], 500 * LB_MSEC, rng);
       bench_all_pairs (sizes[i], LB_SEC, rng);
-      bench_regulated (sizes[i], rng);
+      bench_self_regulating (sizes[i], rng);
       for (size_t rings = 2; rings <= 4; rings++)
         bench_rings (sizes[i], rings, seed, rng);
       fflush (stdout);
     }
-  bench_regulated_growth (1);
-  bench_regulated_growth (10);
-  bench_regulated_growth (50);
+  bench_self_regulating_growth (1);
+  bench_self_regulating_growth (10);
+  bench_self_regulating_growth (50);
 }
 
 /* bench-membership [SEED [ways|region]] */
@@ -302,9 +304,9 @@
 
   gsl_rng_set (rng, (unsigned long)seed);
   if (strcmp (part, "region") != 0)
-    bench_all_ways (seed, rng);
+    bench_all_methods (seed, rng);
   if (strcmp (part, "ways") != 0)
-    bench_region (350, seed);
+    bench_data_centre_loss (350, seed);
   gsl_rng_free (rng);
   return 0;
 }
--- a/packages/core/bench/bench-roster.c
+++ b/packages/core/bench/bench-roster.c
@@ -1,6 +1,6 @@
-/* What one list of endpoints costs an instance: the first one, which a start takes while it does
- * nothing else; one in which an engine has begun to leave; and one that says nothing new, as nearly
- * always, after which the version of each engine is told. Argument: the number of engines. */
+/* Measures how long an instance takes to process a list of endpoints: the first one, which blocks
+ * its start; one in which an engine is leaving; and one without changes, the usual case, followed
+ * by a lookup of the version of each engine. Argument: number of engines. */
 
 #include "lc-engine-plan.h"
 #include "lc-roster.h"
@@ -11,29 +11,29 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define LISTS 50
+#define N_LISTS 50
 
 static void
-fill (LcRegistration *listed, LcPlanEntry *planned, size_t index)
+fill_entry (LcRegistration *registration, LcPlanEntry *planned, size_t index)
 {
-  snprintf (listed->name, sizeof listed->name, "i-%08zx", index);
-  LB_COPY (listed->address, "127.0.0.1:9000");
-  LB_COPY (listed->service, "readers");
-  listed->slots = 8;
-  listed->n_models = 1;
-  LB_COPY (listed->models[0].name, "reader");
-  listed->models[0].version = 1;
-  LB_COPY (planned->engine, listed->name);
+  snprintf (registration->name, sizeof registration->name, "i-%08zx", index);
+  LB_COPY (registration->address, "127.0.0.1:9000");
+  LB_COPY (registration->service, "readers");
+  registration->slots = 8;
+  registration->n_models = 1;
+  LB_COPY (registration->models[0].name, "reader");
+  registration->models[0].version = 1;
+  LB_COPY (planned->engine, registration->name);
   LB_COPY (planned->model, "reader");
   planned->version = 2;
 }
 
 static LcVersion
-take_lists (LcRoster *roster, const LcRegistration *list, size_t n)
+update_repeatedly (LcRoster *roster, const LcRegistration *list, size_t n)
 {
   LcVersion sum = 0;
 
-  for (int round = 1; round <= LISTS; round++)
+  for (int round = 1; round <= N_LISTS; round++)
     {
       LbTime at = round * 400 * LB_MSEC;
       lc_roster_update (roster, list, n, at, at);
@@ -54,26 +54,26 @@
   for (size_t i = 0; i < n; i++)
     {
       LcPlanEntry planned = { .version = 0 };
-      fill (&list[i], &planned, i);
+      fill_entry (&list[i], &planned, i);
       lc_engine_plan_put (&plan, &planned);
     }
-  LbTime begun = lb_clock_monotonic ();
+  LbTime started_at = lb_clock_monotonic ();
   lc_roster_update (roster, list, n, 1, 1);
-  LbTime first = lb_clock_monotonic () - begun;
+  LbTime first = lb_clock_monotonic () - started_at;
   lc_roster_set_plan (roster, &plan);
 
   list[0].leaving = true;
-  begun = lb_clock_monotonic ();
+  started_at = lb_clock_monotonic ();
   lc_roster_update (roster, list, n, 2, 2);
-  LbTime changed = lb_clock_monotonic () - begun;
+  LbTime changed = lb_clock_monotonic () - started_at;
 
-  begun = lb_clock_monotonic ();
-  LcVersion sum = take_lists (roster, list, n);
-  LbTime took = lb_clock_monotonic () - begun;
+  started_at = lb_clock_monotonic ();
+  LcVersion sum = update_repeatedly (roster, list, n);
+  LbTime repeated = lb_clock_monotonic () - started_at;
   printf (
-      "%zu engines: first list %.3f ms, a change %.3f ms, no change %.3f ms (versions add up to "
+      "%zu engines: first list %.3f ms, a change %.3f ms, no change %.3f ms (checksum of versions "
       "%lld)\n",
-      n, (double)first / LB_MSEC, (double)changed / LB_MSEC, (double)took / LISTS / LB_MSEC,
+      n, (double)first / LB_MSEC, (double)changed / LB_MSEC, (double)repeated / N_LISTS / LB_MSEC,
       (long long)sum);
   lc_engine_plan_clear (&plan);
   lc_roster_free (roster);
--- a/packages/core/bench/bench-routing.c
+++ b/packages/core/bench/bench-routing.c
@@ -1,8 +1,8 @@
-/* Compares the routing policies in virtual time: several instances with their own endpoint tables
- * share the same engines, whose load reports lag and whose cache events come late and with gaps.
- * Options, each with a value: --endpoints --seconds --seeds --rate (requests a second for each
+/* Compares the routing policies in virtual time: several instances with separate endpoint tables
+ * share the same engines, with delayed load reports, and cache events that are delayed or lost.
+ * Options, each with a value: --endpoints --seconds --seeds --rate (requests per second and
  * endpoint) --policy --lag-ms (of load reports) --lost (share of cache events) --slow (speed of the
- * first engine) --hot (share of live requests with one and the same prefix). */
+ * first engine) --hot (share of live requests with the same prefix). */
 
 #include "bench-engine.h"
 #include "bench-fleet.h"
@@ -19,15 +19,15 @@
 
 #define N_INSTANCES 10
 #define STEP (10 * LB_MSEC)
-#define REPORT_EVERY LB_SEC
-#define EVENTS_EVERY (500 * LB_MSEC)
+#define REPORT_PERIOD LB_SEC
+#define EVENTS_PERIOD (500 * LB_MSEC)
 #define EVENTS_LAG (500 * LB_MSEC)
 #define SAMPLE_SHARE 0.6
 #define GROUP_SIZE 8
 #define LIVE_PREFIXES_PER_ENDPOINT 20
 #define N_BLOCKS 8
 #define LIVE_RESERVE 0.25
-#define WARM_UP 0.25 /* of the run */
+#define WARM_UP_SHARE 0.25 /* of the run */
 
 typedef struct
 {
@@ -35,11 +35,11 @@
   double seconds;
   int seeds;
   double rate;
-  const char *policy; /* NULL: all */
-  LbTime lag;
-  double lost;
-  double slow;
-  double hot;
+  const char *policy; /* NULL: all policies */
+  LbTime report_lag;
+  double lost_event_share;
+  double first_engine_speed;
+  double hot_prefix_share;
 } Options;
 
 typedef struct
@@ -49,17 +49,17 @@
   LbList queue;
 } Instance;
 
-/* Something on its way to an instance. */
+/* Load report or cache event in transit to an instance. */
 typedef struct
 {
   LbLink link;
-  LbTime due;
+  LbTime due_at;
   int instance;
   int endpoint;
   bool is_report;
   LcLoadReport report;
   BenchCacheEvent event;
-} Letter;
+} Delivery;
 
 typedef struct
 {
@@ -69,8 +69,8 @@
   double imbalance_tokens;
   double imbalance_load;
   double hits;
-  double queued;
-  double micros;
+  double queue_seconds;
+  double decision_micros;
 } Measures;
 
 typedef struct
@@ -78,22 +78,22 @@
   Instance instances[N_INSTANCES];
   BenchEngine *engines;
   int n_engines;
-  LbList letters;
+  LbList deliveries;
   gsl_rng *rng;
   gsl_ran_discrete_t *live_prefixes;
   uint64_t groups;
   LbTime now;
   LbTime end;
-  bool warm;
+  bool is_warmed_up;
   double *latencies;
   double *live_latencies;
   size_t n_latencies;
-  size_t n_live;
+  size_t n_live_latencies;
   size_t capacity;
   size_t decisions;
-  double queued;
+  double queue_seconds;
   const Options *options;
-  LbTime deciding;
+  LbTime decision_time;
 } World;
 
 static size_t
@@ -131,11 +131,11 @@
   LcRouteDecision decision
       = lc_router_choose (instance->router, instance->endpoints, &query, world->now);
 
-  world->deciding += lb_clock_monotonic () - before;
+  world->decision_time += lb_clock_monotonic () - before;
   world->decisions++;
   if (!decision.endpoint)
     return false;
-  world->queued += (double)(world->now - request->arrived) / LB_SEC;
+  world->queue_seconds += (double)(world->now - request->arrived) / LB_SEC;
   request->endpoint = atoi (decision.endpoint->member.name + strlen ("engine-"));
   request->sent = world->now;
   lc_endpoint_request_sent (decision.endpoint, query.kind, hashes[N_BLOCKS - 1], world->now);
@@ -151,7 +151,7 @@
 }
 
 static BenchRequest *
-make_request (World *world, int instance)
+request_new (World *world, int instance)
 {
   BenchRequest *request = LB_NEW (BenchRequest);
 
@@ -164,12 +164,12 @@
 }
 
 static void
-arrive_live (World *world)
+add_live_request (World *world)
 {
-  BenchRequest *request = make_request (world, (int)gsl_rng_uniform_int (world->rng, N_INSTANCES));
+  BenchRequest *request = request_new (world, (int)gsl_rng_uniform_int (world->rng, N_INSTANCES));
 
   request->live = true;
-  request->prefix = bench_hash (1, gsl_rng_uniform (world->rng) < world->options->hot
+  request->prefix = bench_hash (1, gsl_rng_uniform (world->rng) < world->options->hot_prefix_share
                                        ? UINT64_MAX
                                        : gsl_ran_discrete (world->rng, world->live_prefixes));
   request->prefix_share = 0.75;
@@ -177,14 +177,14 @@
 }
 
 static void
-arrive_group (World *world)
+add_group (World *world)
 {
   int instance = (int)gsl_rng_uniform_int (world->rng, N_INSTANCES);
   uint64_t prefix = bench_hash (2, world->groups++);
 
   for (int i = 0; i < GROUP_SIZE; i++)
     {
-      BenchRequest *request = make_request (world, instance);
+      BenchRequest *request = request_new (world, instance);
 
       request->prefix = prefix;
       request->prefix_share = 1;
@@ -193,28 +193,28 @@
 }
 
 static void
-arrive (World *world)
+add_requests (World *world)
 {
   double rate = world->options->rate * world->n_engines * STEP / LB_SEC;
   unsigned live = gsl_ran_poisson (world->rng, rate * (1 - SAMPLE_SHARE));
   unsigned groups = gsl_ran_poisson (world->rng, rate * SAMPLE_SHARE / GROUP_SIZE);
 
   for (unsigned i = 0; i < live; i++)
-    arrive_live (world);
+    add_live_request (world);
   for (unsigned i = 0; i < groups; i++)
-    arrive_group (world);
+    add_group (world);
 }
 
 static void
-post (World *world, Letter letter)
+schedule (World *world, Delivery delivery)
 {
-  Letter *copy = lb_memdup (&letter, sizeof letter);
+  Delivery *copy = lb_memdup (&delivery, sizeof delivery);
 
-  lb_list_append (&world->letters, &copy->link);
+  lb_list_append (&world->deliveries, &copy->link);
 }
 
 static void
-post_report (World *world, int instance, int endpoint)
+schedule_report (World *world, int instance, int endpoint)
 {
   const BenchEngine *engine = &world->engines[endpoint];
   LcLoadReport report = { .incarnation = "a",
@@ -224,79 +224,79 @@
                           .tokens_per_second = bench_engine_tokens_per_second (engine),
                           .measured_at = world->now };
 
-  post (world, (Letter){ .due = world->now + world->options->lag,
-                         .instance = instance,
-                         .endpoint = endpoint,
-                         .is_report = true,
-                         .report = report });
+  schedule (world, (Delivery){ .due_at = world->now + world->options->report_lag,
+                               .instance = instance,
+                               .endpoint = endpoint,
+                               .is_report = true,
+                               .report = report });
 }
 
-/* Each pair of instance and endpoint polls at its own moment of the period. */
+/* Spreads the polls of all pairs of instance and endpoint over the period. */
 static bool
-is_turn (const World *world, int instance, int endpoint, LbTime period)
+is_poll_due (const World *world, int instance, int endpoint, LbTime period)
 {
-  int64_t turns = period / STEP;
+  int64_t n_steps = period / STEP;
 
-  return (world->now / STEP + instance * 37 + endpoint * 11) % turns == 0;
+  return (world->now / STEP + instance * 37 + endpoint * 11) % n_steps == 0;
 }
 
 static void
-post_reports (World *world)
+schedule_reports (World *world)
 {
   for (int i = 0; i < N_INSTANCES; i++)
     for (int j = 0; j < world->n_engines; j++)
-      if (is_turn (world, i, j, REPORT_EVERY))
-        post_report (world, i, j);
+      if (is_poll_due (world, i, j, REPORT_PERIOD))
+        schedule_report (world, i, j);
 }
 
 static void
-post_events (World *world)
+schedule_events (World *world)
 {
   for (int j = 0; j < world->n_engines; j++)
     {
       BenchEngine *engine = &world->engines[j];
 
-      if (!is_turn (world, 0, j, EVENTS_EVERY))
+      if (!is_poll_due (world, 0, j, EVENTS_PERIOD))
         continue;
       for (size_t k = 0; k < engine->n_events; k++)
         for (int i = 0; i < N_INSTANCES; i++)
-          if (gsl_rng_uniform (world->rng) >= world->options->lost)
-            post (world, (Letter){ .due = world->now + EVENTS_LAG,
-                                   .instance = i,
-                                   .endpoint = j,
-                                   .event = engine->events[k] });
+          if (gsl_rng_uniform (world->rng) >= world->options->lost_event_share)
+            schedule (world, (Delivery){ .due_at = world->now + EVENTS_LAG,
+                                         .instance = i,
+                                         .endpoint = j,
+                                         .event = engine->events[k] });
       engine->n_events = 0;
     }
 }
 
 static void
-deliver (World *world)
+process_due_deliveries (World *world)
 {
   char name[LB_NAME_MAX];
 
-  LB_LIST_FOREACH (&world->letters, Letter, link, letter)
+  LB_LIST_FOREACH (&world->deliveries, Delivery, link, delivery)
   {
-    LcEndpoints *endpoints = world->instances[letter->instance].endpoints;
+    LcEndpoints *endpoints = world->instances[delivery->instance].endpoints;
 
-    if (letter->due > world->now)
+    if (delivery->due_at > world->now)
       return;
-    snprintf (name, sizeof name, "engine-%d", letter->endpoint);
-    if (letter->is_report)
-      lc_endpoints_record_load (endpoints, name, &letter->report, world->now);
+    snprintf (name, sizeof name, "engine-%d", delivery->endpoint);
+    if (delivery->is_report)
+      lc_endpoints_record_load (endpoints, name, &delivery->report, world->now);
     else
-      lc_endpoints_apply_cache_event (endpoints, name, letter->event.sequence, letter->event.stored,
-                                      letter->event.prefix, world->now);
-    lb_list_remove (&world->letters, &letter->link);
-    free (letter);
+      lc_endpoints_apply_cache_event (endpoints, name, delivery->event.sequence,
+                                      delivery->event.stored, delivery->event.prefix, world->now);
+    lb_list_remove (&world->deliveries, &delivery->link);
+    free (delivery);
   }
 }
 
 static void
-keep_latency (World *world, const BenchRequest *request)
+record_latency (World *world, const BenchRequest *request)
 {
   double seconds = (double)(world->now - request->arrived) / LB_SEC;
 
-  if (!world->warm)
+  if (!world->is_warmed_up)
     return;
   if (world->n_latencies == world->capacity)
     {
@@ -306,7 +306,7 @@
     }
   world->latencies[world->n_latencies++] = seconds;
   if (request->live)
-    world->live_latencies[world->n_live++] = seconds;
+    world->live_latencies[world->n_live_latencies++] = seconds;
 }
 
 static void
@@ -325,7 +325,7 @@
     lc_endpoint_first_byte_received (endpoint, request->first_byte - request->sent, world->now);
     lc_endpoint_request_ended (endpoint, request->live ? LC_KIND_LIVE : LC_KIND_SAMPLE, true,
                                (int64_t)request->tokens, world->now - request->sent, world->now);
-    keep_latency (world, request);
+    record_latency (world, request);
     lb_list_remove (ended, &request->link);
     free (request);
   }
@@ -357,30 +357,30 @@
   lb_list_init (&ended);
   for (world->now = LB_SEC; world->now < world->end; world->now += STEP)
     {
-      if (!world->warm && (double)world->now > WARM_UP * (double)world->end)
+      if (!world->is_warmed_up && (double)world->now > WARM_UP_SHARE * (double)world->end)
         {
-          world->warm = true;
+          world->is_warmed_up = true;
           for (int i = 0; i < world->n_engines; i++)
             bench_engine_reset_totals (&world->engines[i]);
         }
-      deliver (world);
+      process_due_deliveries (world);
       retry_queues (world);
-      arrive (world);
+      add_requests (world);
       for (int i = 0; i < world->n_engines; i++)
         bench_engine_run (&world->engines[i], world->now, STEP, &ended);
       end_requests (world, &ended);
-      post_reports (world);
-      post_events (world);
+      schedule_reports (world);
+      schedule_events (world);
     }
 }
 
 static World *
 world_new (const char *policy, const Options *options, uint64_t seed)
 {
-  int n = options->endpoints;
+  int n_endpoints = options->endpoints;
   World *world = LB_NEW (World);
-  LcResourceSet set = bench_fleet_make (n);
-  size_t n_prefixes = (size_t)n * LIVE_PREFIXES_PER_ENDPOINT;
+  LcResourceSet set = bench_fleet_make (n_endpoints);
+  size_t n_prefixes = (size_t)n_endpoints * LIVE_PREFIXES_PER_ENDPOINT;
   double *popularity = LB_NEW_ARRAY (double, n_prefixes);
 
   world->rng = gsl_rng_alloc (gsl_rng_taus2);
@@ -389,13 +389,13 @@
     popularity[i] = 1 / ((double)i + 5);
   world->live_prefixes = gsl_ran_discrete_preproc (n_prefixes, popularity);
   free (popularity);
-  lb_list_init (&world->letters);
+  lb_list_init (&world->deliveries);
   world->end = (LbTime)(options->seconds * LB_SEC);
   world->options = options;
-  world->n_engines = n;
-  world->engines = LB_NEW_ARRAY (BenchEngine, n);
-  for (int i = 0; i < n; i++)
-    bench_engine_init (&world->engines[i], i == 0 ? options->slow : 1);
+  world->n_engines = n_endpoints;
+  world->engines = LB_NEW_ARRAY (BenchEngine, n_endpoints);
+  for (int i = 0; i < n_endpoints; i++)
+    bench_engine_init (&world->engines[i], i == 0 ? options->first_engine_speed : 1);
   for (int i = 0; i < N_INSTANCES; i++)
     {
       world->instances[i].endpoints = lc_endpoints_new ();
@@ -419,8 +419,8 @@
     }
   for (int i = 0; i < world->n_engines; i++)
     bench_engine_clear (&world->engines[i]);
-  LB_LIST_FOREACH (&world->letters, Letter, link, letter)
-  free (letter);
+  LB_LIST_FOREACH (&world->deliveries, Delivery, link, delivery)
+  free (delivery);
   gsl_ran_discrete_free (world->live_prefixes);
   gsl_rng_free (world->rng);
   free (world->engines);
@@ -432,17 +432,17 @@
 static int
 compare (const void *a, const void *b)
 {
-  double x = *(const double *)a;
-  double y = *(const double *)b;
+  double first = *(const double *)a;
+  double second = *(const double *)b;
 
-  return (x > y) - (x < y);
+  return (first > second) - (first < second);
 }
 
 static double
-percentile (double *values, size_t n, double share)
+percentile (double *values, size_t n_values, double share)
 {
-  qsort (values, n, sizeof *values, compare);
-  return n > 0 ? values[(size_t)((double)(n - 1) * share)] : 0;
+  qsort (values, n_values, sizeof *values, compare);
+  return n_values > 0 ? values[(size_t)((double)(n_values - 1) * share)] : 0;
 }
 
 static Measures
@@ -453,8 +453,8 @@
   double load = 0;
   double prompts = 0;
   double cached = 0;
-  double most_tokens = 0;
-  double most_load = 0;
+  double max_tokens = 0;
+  double max_load = 0;
 
   for (int i = 0; i < world->n_engines; i++)
     {
@@ -464,18 +464,18 @@
       load += engine->occupancy;
       prompts += engine->prompt_tokens;
       cached += engine->cached_tokens;
-      most_tokens = engine->tokens > most_tokens ? engine->tokens : most_tokens;
-      most_load = engine->occupancy > most_load ? engine->occupancy : most_load;
+      max_tokens = engine->tokens > max_tokens ? engine->tokens : max_tokens;
+      max_load = engine->occupancy > max_load ? engine->occupancy : max_load;
     }
   for (size_t i = 0; i < world->n_latencies; i++)
     measures.latency += world->latencies[i] / (double)world->n_latencies;
-  measures.live_p99 = percentile (world->live_latencies, world->n_live, 0.99);
+  measures.live_p99 = percentile (world->live_latencies, world->n_live_latencies, 0.99);
   measures.all_p99 = percentile (world->latencies, world->n_latencies, 0.99);
-  measures.imbalance_tokens = most_tokens * world->n_engines / tokens;
-  measures.imbalance_load = most_load * world->n_engines / load;
+  measures.imbalance_tokens = max_tokens * world->n_engines / tokens;
+  measures.imbalance_load = max_load * world->n_engines / load;
   measures.hits = cached / prompts;
-  measures.queued = world->queued / (double)world->n_latencies * (1 - WARM_UP);
-  measures.micros = (double)world->deciding / (double)world->decisions;
+  measures.queue_seconds = world->queue_seconds / (double)world->n_latencies * (1 - WARM_UP_SHARE);
+  measures.decision_micros = (double)world->decision_time / (double)world->decisions;
   return measures;
 }
 
@@ -493,9 +493,11 @@
 compare_policies (const Options *options)
 {
   printf ("%d instances, %d endpoints, %.0f s, %d seeds, %.1f requests/s each, reports lag %d ms, "
-          "%.0f%% of cache events lost, first engine at speed %.1f, %.0f%% of live calls alike\n",
+          "%.0f%% of cache events lost, first engine at speed %.1f, %.0f%% of live calls with the "
+          "same prefix\n",
           N_INSTANCES, options->endpoints, options->seconds, options->seeds, options->rate,
-          (int)(options->lag / LB_MSEC), 100 * options->lost, options->slow, 100 * options->hot);
+          (int)(options->report_lag / LB_MSEC), 100 * options->lost_event_share,
+          options->first_engine_speed, 100 * options->hot_prefix_share);
   printf ("%-18s %9s %9s %9s %9s %9s %9s %9s %9s\n", "policy", "mean_s", "live_p99", "all_p99",
           "imb_tok", "imb_load", "hits", "queued", "us");
   for (const char *const *policy = lc_router_policy_names (); *policy; policy++)
@@ -523,7 +525,7 @@
 static void
 read_options (int argc, char **argv, Options *options)
 {
-  static const struct option names[] = {
+  static const struct option long_options[] = {
     { "endpoints", required_argument, NULL, 'e' },
     { "seconds", required_argument, NULL, 't' },
     { "seeds", required_argument, NULL, 'n' },
@@ -537,8 +539,8 @@
     { NULL, 0, NULL, 0 },
   };
 
-  for (int c = getopt_long (argc, argv, "", names, NULL); c != -1;
-       c = getopt_long (argc, argv, "", names, NULL))
+  for (int c = getopt_long (argc, argv, "", long_options, NULL); c != -1;
+       c = getopt_long (argc, argv, "", long_options, NULL))
     switch (c)
       {
       case 'e':
@@ -557,16 +559,16 @@
         options->policy = optarg;
         break;
       case 'l':
-        options->lag = atoi (optarg) * LB_MSEC;
+        options->report_lag = atoi (optarg) * LB_MSEC;
         break;
       case 'x':
-        options->lost = atof (optarg);
+        options->lost_event_share = atof (optarg);
         break;
       case 's':
-        options->slow = atof (optarg);
+        options->first_engine_speed = atof (optarg);
         break;
       case 'h':
-        options->hot = atof (optarg);
+        options->hot_prefix_share = atof (optarg);
         break;
       default:
         exit (2);
@@ -576,14 +578,14 @@
 int
 main (int argc, char **argv)
 {
-  /* A full batch serves 8 requests a second without any prefill. */
+  /* With a full batch and no prefill, an engine serves 8 requests per second. */
   Options options = { .endpoints = 13,
                       .seconds = 120,
                       .seeds = 5,
                       .rate = 4,
-                      .lag = 500 * LB_MSEC,
-                      .lost = 0.1,
-                      .slow = 1 };
+                      .report_lag = 500 * LB_MSEC,
+                      .lost_event_share = 0.1,
+                      .first_engine_speed = 1 };
 
   read_options (argc, argv, &options);
   compare_policies (&options);
--- a/packages/core/bench/bench-weights.c
+++ b/packages/core/bench/bench-weights.c
@@ -2,10 +2,10 @@
 
 #include <stdio.h>
 
-/* Length of a roll-out's plan: the deciding code of the daemon over fake engines in virtual time.
- * Prints a table; the load times are the fakes', not a measurement of engines. */
+/* Measures how long the daemon's code takes to roll a version out over simulated engines, in
+ * virtual time. The load times are parameters of the simulation, not measurements of engines. */
 
-#define LIMIT (600 * LB_SEC)
+#define MAX_DURATION (600 * LB_SEC)
 
 static void
 run_case (size_t engines, int64_t percent, LbTime load_time)
@@ -19,9 +19,9 @@
   pool.swap_period = LB_SEC / 2;
   fake_pool_run (&pool, 10 * LB_SEC);
   lc_weights_set_newest (pool.weights, 41, pool.now);
-  LbTime took = fake_pool_run_until_done (&pool, 41, LIMIT);
+  LbTime duration = fake_pool_run_until_done (&pool, 41, MAX_DURATION);
   printf ("%8zu %8lld %9.1f %9.2f %8zu %8zu %8zu\n", engines, (long long)percent,
-          (double)load_time / LB_SEC, (double)took / LB_SEC, pool.orders, pool.most_swapping,
+          (double)load_time / LB_SEC, (double)duration / LB_SEC, pool.orders, pool.most_swapping,
           pool.most_out);
   fake_pool_clear (&pool);
 }
--- a/packages/core/bench/fake-peers.c
+++ b/packages/core/bench/fake-peers.c
@@ -8,9 +8,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* TCP and IP headers of a segment with timestamps; a SYN has eight bytes more. */
-#define HEADERS 52
-#define CONNECT_BYTES (60 + 60 + HEADERS + 4 * HEADERS)
+/* TCP and IP headers of a segment with timestamps; a SYN has 8 more bytes. */
+#define HEADER_BYTES 52
+#define CONNECT_BYTES (60 + 60 + HEADER_BYTES + 4 * HEADER_BYTES)
 
 typedef enum
 {
@@ -26,7 +26,7 @@
   LbTime at;
   uint64_t order;
   EventType type;
-  size_t node; /* whom it reaches */
+  size_t node; /* recipient */
   size_t connection;
   LcLinkId link; /* REFUSED */
   LwMessage message;
@@ -34,9 +34,9 @@
 
 typedef struct
 {
-  size_t nodes[2]; /* the dialler first */
+  size_t nodes[2]; /* dialler, acceptor */
   LcLinkId links[2];
-  bool silent;
+  bool drops_messages;
   bool closed;
   LbTime closed_at;
 } Connection;
@@ -58,19 +58,19 @@
   size_t n_nodes;
   Connection *connections;
   size_t n_connections;
-  size_t room;
+  size_t connection_capacity;
   Event *heap;
   size_t n_events;
-  size_t heap_room;
+  size_t heap_capacity;
   uint64_t order;
   LbTime now;
-  size_t cut[2];
-  bool has_cut;
+  size_t partitioned_pair[2];
+  bool has_partitioned_pair;
   gsl_rng *rng;
 };
 
 static bool
-is_before (const Event *a, const Event *b)
+is_earlier (const Event *a, const Event *b)
 {
   return a->at != b->at ? a->at < b->at : a->order < b->order;
 }
@@ -85,23 +85,23 @@
 }
 
 static void
-push (FakePeers *peers, Event event)
+push_event (FakePeers *peers, Event event)
 {
   size_t i = peers->n_events++;
 
-  if (i == peers->heap_room)
+  if (i == peers->heap_capacity)
     {
-      peers->heap_room = 2 * peers->heap_room + 64;
-      peers->heap = lb_realloc (peers->heap, peers->heap_room * sizeof *peers->heap);
+      peers->heap_capacity = 2 * peers->heap_capacity + 64;
+      peers->heap = lb_realloc (peers->heap, peers->heap_capacity * sizeof *peers->heap);
     }
   event.order = peers->order++;
   peers->heap[i] = event;
-  for (; i > 0 && is_before (&peers->heap[i], &peers->heap[(i - 1) / 2]); i = (i - 1) / 2)
+  for (; i > 0 && is_earlier (&peers->heap[i], &peers->heap[(i - 1) / 2]); i = (i - 1) / 2)
     swap_events (peers, i, (i - 1) / 2);
 }
 
 static Event
-pop (FakePeers *peers)
+pop_event (FakePeers *peers)
 {
   Event first = peers->heap[0];
   size_t i = 0;
@@ -111,7 +111,7 @@
     {
       size_t least = i;
       for (size_t child = 2 * i + 1; child <= 2 * i + 2 && child < peers->n_events; child++)
-        if (is_before (&peers->heap[child], &peers->heap[least]))
+        if (is_earlier (&peers->heap[child], &peers->heap[least]))
           least = child;
       if (least == i)
         return first;
@@ -122,7 +122,7 @@
 
 /* 0.5 to 1.5 ms one way. */
 static LbTime
-delay (FakePeers *peers)
+random_delay (FakePeers *peers)
 {
   return (LbTime)(500 + gsl_rng_uniform_int (peers->rng, 1000));
 }
@@ -135,27 +135,28 @@
 }
 
 static bool
-is_path_open (const FakePeers *peers, size_t a, size_t b)
+is_reachable (const FakePeers *peers, size_t a, size_t b)
 {
-  bool cut = peers->has_cut
-             && ((peers->cut[0] == a && peers->cut[1] == b)
-                 || (peers->cut[0] == b && peers->cut[1] == a));
+  bool is_partitioned
+      = peers->has_partitioned_pair
+        && ((peers->partitioned_pair[0] == a && peers->partitioned_pair[1] == b)
+            || (peers->partitioned_pair[0] == b && peers->partitioned_pair[1] == a));
 
-  return !cut && peers->nodes[a].group == peers->nodes[b].group
+  return !is_partitioned && peers->nodes[a].group == peers->nodes[b].group
          && peers->nodes[a].state != FAKE_VANISHED && peers->nodes[b].state != FAKE_VANISHED;
 }
 
 static size_t
-node_of_address (const FakePeers *peers, const char *address)
+find_node (const FakePeers *peers, const char *address)
 {
   size_t index = (size_t)strtoul (address, NULL, 10);
 
   return index < peers->n_nodes ? index : 0;
 }
 
-/* Nothing under way speaks of a connection that was closed so long ago. */
+/* No event in transit refers to a connection that was closed over 60 s ago. */
 static size_t
-find_free (const FakePeers *peers)
+find_reusable_connection (const FakePeers *peers)
 {
   for (size_t i = 0; i < peers->n_connections; i++)
     if (peers->connections[i].closed && peers->now - peers->connections[i].closed_at > 60 * LB_SEC)
@@ -167,18 +168,18 @@
 add_connection (FakePeers *peers, size_t dialler, size_t acceptor, LcLinkId link)
 {
   Connection connection = { .nodes = { dialler, acceptor }, .links = { link, 0 } };
-  size_t free_slot = find_free (peers);
+  size_t free_slot = find_reusable_connection (peers);
 
   if (free_slot != SIZE_MAX)
     {
       peers->connections[free_slot] = connection;
       return free_slot;
     }
-  if (peers->n_connections == peers->room)
+  if (peers->n_connections == peers->connection_capacity)
     {
-      peers->room = 2 * peers->room + 64;
-      peers->connections
-          = lb_realloc (peers->connections, peers->room * sizeof *peers->connections);
+      peers->connection_capacity = 2 * peers->connection_capacity + 64;
+      peers->connections = lb_realloc (peers->connections,
+                                       peers->connection_capacity * sizeof *peers->connections);
     }
   peers->connections[peers->n_connections] = connection;
   return peers->n_connections++;
@@ -188,51 +189,53 @@
 find_connection (const FakePeers *peers, size_t node, LcLinkId link)
 {
   for (size_t i = peers->n_connections; i-- > 0;)
-    for (int end = 0; end < 2; end++)
-      if (peers->connections[i].nodes[end] == node && peers->connections[i].links[end] == link
+    for (int side = 0; side < 2; side++)
+      if (peers->connections[i].nodes[side] == node && peers->connections[i].links[side] == link
           && !peers->connections[i].closed)
         return i;
   return SIZE_MAX;
 }
 
 static int
-end_of (const Connection *connection, size_t node)
+side_of (const Connection *connection, size_t node)
 {
   return connection->nodes[0] == node ? 0 : 1;
 }
 
 static void
-dial (FakePeers *peers, size_t node, const LcMembershipAction *action)
+start_dial (FakePeers *peers, size_t node, const LcMembershipAction *action)
 {
-  size_t target = node_of_address (peers, action->address);
+  size_t target = find_node (peers, action->address);
   size_t connection = add_connection (peers, node, target, action->link);
-  LbTime at = peers->now + 3 * delay (peers);
+  LbTime at = peers->now + 3 * random_delay (peers);
 
-  if (!is_path_open (peers, node, target))
+  if (!is_reachable (peers, node, target))
     return;
   if (!peers->nodes[target].membership || peers->nodes[target].state == FAKE_KILLED)
-    push (peers, (Event){ .at = at, .type = EVENT_REFUSED, .node = node, .link = action->link });
+    push_event (peers,
+                (Event){ .at = at, .type = EVENT_REFUSED, .node = node, .link = action->link });
   else
-    push (peers,
-          (Event){ .at = at, .type = EVENT_CONNECT, .node = target, .connection = connection });
+    push_event (peers,
+                (Event){
+                    .at = at, .type = EVENT_CONNECT, .node = target, .connection = connection });
 }
 
 int64_t
 fake_peers_message_bytes (const LwMessage *message)
 {
-  bool answered = message->type == LW_PING;
+  bool has_answer = message->type == LW_PING;
   size_t length;
 
   free (lw_message_encode (message, &length));
-  return (int64_t)length + HEADERS + (answered ? 0 : HEADERS);
+  return (int64_t)length + HEADER_BYTES + (has_answer ? 0 : HEADER_BYTES);
 }
 
 static void
-send_on (FakePeers *peers, size_t node, size_t index, const LwMessage *message)
+send_message (FakePeers *peers, size_t node, size_t index, const LwMessage *message)
 {
   const Connection *connection = &peers->connections[index];
-  size_t target = connection->nodes[!end_of (connection, node)];
-  Event event = { .at = peers->now + delay (peers),
+  size_t target = connection->nodes[!side_of (connection, node)];
+  Event event = { .at = peers->now + random_delay (peers),
                   .type = EVENT_MESSAGE,
                   .node = target,
                   .connection = index,
@@ -241,30 +244,30 @@
   count_bytes (peers, node, target, fake_peers_message_bytes (message));
   if (message->type != LW_PING && message->type != LW_PONG)
     lc_membership_frame_sent (peers->nodes[node].membership,
-                              connection->links[end_of (connection, node)], peers->now);
-  if (connection->silent || !is_path_open (peers, node, target))
+                              connection->links[side_of (connection, node)], peers->now);
+  if (connection->drops_messages || !is_reachable (peers, node, target))
     return;
   event.message.instances
       = lb_memdup (message->instances, message->n_instances * sizeof *message->instances);
-  push (peers, event);
+  push_event (peers, event);
 }
 
 static void
-spread (FakePeers *peers, size_t node, const LwMessage *message, LcLinkId except)
+broadcast (FakePeers *peers, size_t node, const LwMessage *message, LcLinkId excluded_link)
 {
   LcMembership *membership = peers->nodes[node].membership;
-  const char *except_name = lc_membership_link_peer_name (membership, except);
+  const char *excluded_name = lc_membership_link_peer_name (membership, excluded_link);
 
   for (size_t i = 0; i < peers->n_connections; i++)
     {
       const Connection *connection = &peers->connections[i];
-      int end = end_of (connection, node);
-      if (connection->nodes[end] != node || connection->closed)
+      int side = side_of (connection, node);
+      if (connection->nodes[side] != node || connection->closed)
         continue;
-      const char *name = lc_membership_link_peer_name (membership, connection->links[end]);
-      if (name && (!except_name || strcmp (name, except_name) != 0)
-          && lc_membership_find_link (membership, name) == connection->links[end])
-        send_on (peers, node, i, message);
+      const char *name = lc_membership_link_peer_name (membership, connection->links[side]);
+      if (name && (!excluded_name || strcmp (name, excluded_name) != 0)
+          && lc_membership_find_link (membership, name) == connection->links[side])
+        send_message (peers, node, i, message);
     }
 }
 
@@ -276,20 +279,20 @@
   if (index == SIZE_MAX)
     return;
   Connection *connection = &peers->connections[index];
-  int other = !end_of (connection, node);
+  int other = !side_of (connection, node);
   connection->closed = true;
   connection->closed_at = peers->now;
-  count_bytes (peers, node, connection->nodes[other], 4 * HEADERS);
-  if (connection->links[other] && !connection->silent
-      && is_path_open (peers, node, connection->nodes[other]))
-    push (peers, (Event){ .at = peers->now + delay (peers),
-                          .type = EVENT_CLOSED,
-                          .node = connection->nodes[other],
-                          .link = connection->links[other] });
+  count_bytes (peers, node, connection->nodes[other], 4 * HEADER_BYTES);
+  if (connection->links[other] && !connection->drops_messages
+      && is_reachable (peers, node, connection->nodes[other]))
+    push_event (peers, (Event){ .at = peers->now + random_delay (peers),
+                                .type = EVENT_CLOSED,
+                                .node = connection->nodes[other],
+                                .link = connection->links[other] });
 }
 
 static void
-carry_out_one (FakePeers *peers, size_t node, const LcMembershipAction *action)
+execute_action (FakePeers *peers, size_t node, const LcMembershipAction *action)
 {
   LwMessage message = { .type = action->type == LC_MEMBERSHIP_COMPARE ? LW_COMPARE : LW_INSTANCES,
                         .digest = action->digest,
@@ -302,19 +305,19 @@
   switch (action->type)
     {
     case LC_MEMBERSHIP_DIAL:
-      dial (peers, node, action);
+      start_dial (peers, node, action);
       break;
     case LC_MEMBERSHIP_CLOSE:
       close_connection (peers, node, action->link);
       break;
     case LC_MEMBERSHIP_BROADCAST:
-      spread (peers, node, &message, action->link);
+      broadcast (peers, node, &message, action->link);
       break;
     case LC_MEMBERSHIP_PING:
     case LC_MEMBERSHIP_SEND:
     case LC_MEMBERSHIP_COMPARE:
       if (find_connection (peers, node, action->link) != SIZE_MAX)
-        send_on (peers, node, find_connection (peers, node, action->link), &message);
+        send_message (peers, node, find_connection (peers, node, action->link), &message);
       break;
     case LC_MEMBERSHIP_CHANGED:
       break;
@@ -329,7 +332,7 @@
   while ((link = lb_list_pop (actions)))
     {
       LcMembershipAction *action = LB_CONTAINER (link, LcMembershipAction, link_in_list);
-      carry_out_one (peers, node, action);
+      execute_action (peers, node, action);
       lc_membership_action_free (action);
     }
 }
@@ -338,43 +341,43 @@
 schedule_tick (FakePeers *peers, size_t node)
 {
   LbTime at = lc_membership_next_tick (peers->nodes[node].membership);
-  LbTime planned = peers->nodes[node].tick_at;
+  LbTime scheduled_at = peers->nodes[node].tick_at;
 
   if (at <= peers->now)
     at = peers->now + LB_MSEC;
-  if (planned > peers->now && planned <= at)
+  if (scheduled_at > peers->now && scheduled_at <= at)
     return;
   peers->nodes[node].tick_at = at;
-  push (peers, (Event){ .at = at, .type = EVENT_TICK, .node = node });
+  push_event (peers, (Event){ .at = at, .type = EVENT_TICK, .node = node });
 }
 
 static void
-connect_both (FakePeers *peers, size_t index, LbList *actions)
+establish_connection (FakePeers *peers, size_t index, LbList *actions)
 {
   Connection *connection = &peers->connections[index];
   size_t dialler = connection->nodes[0];
-  LcMembership *accepting = peers->nodes[connection->nodes[1]].membership;
-  LcMembership *dialling = peers->nodes[dialler].membership;
+  LcMembership *acceptor = peers->nodes[connection->nodes[1]].membership;
+  LcMembership *dialler_membership = peers->nodes[dialler].membership;
 
-  if (connection->closed || connection->silent
-      || !is_path_open (peers, dialler, connection->nodes[1]))
+  if (connection->closed || connection->drops_messages
+      || !is_reachable (peers, dialler, connection->nodes[1]))
     return;
   count_bytes (peers, dialler, connection->nodes[1], CONNECT_BYTES + 400);
-  LcInstance self = *lc_membership_self (dialling);
-  connection->links[1] = lc_membership_link_accepted (accepting, &self, peers->now, actions);
+  LcInstance self = *lc_membership_self (dialler_membership);
+  connection->links[1] = lc_membership_link_accepted (acceptor, &self, peers->now, actions);
   fake_peers_carry_out (peers, peers->connections[index].nodes[1], actions);
-  self = *lc_membership_self (accepting);
-  lc_membership_link_dialled (dialling, peers->connections[index].links[0], &self, peers->now,
-                              actions);
+  self = *lc_membership_self (acceptor);
+  lc_membership_link_dialled (dialler_membership, peers->connections[index].links[0], &self,
+                              peers->now, actions);
   fake_peers_carry_out (peers, dialler, actions);
 }
 
 static void
-receive (FakePeers *peers, const Event *event, LbList *actions)
+handle_message (FakePeers *peers, const Event *event, LbList *actions)
 {
   const Connection *connection = &peers->connections[event->connection];
   LcMembership *membership = peers->nodes[event->node].membership;
-  LcLinkId link = connection->links[end_of (connection, event->node)];
+  LcLinkId link = connection->links[side_of (connection, event->node)];
   const LwMessage *message = &event->message;
   LwMessage pong = { .type = LW_PONG };
 
@@ -384,7 +387,7 @@
   if (message->type == LW_PING)
     {
       pong.digest = lc_membership_digest (membership);
-      send_on (peers, event->node, event->connection, &pong);
+      send_message (peers, event->node, event->connection, &pong);
     }
   else if (message->type == LW_PONG)
     lc_membership_digest_received (membership, link, message->digest, peers->now);
@@ -402,12 +405,12 @@
   if (peers->nodes[event->node].state != FAKE_PAUSED)
     return false;
   event->at = peers->now + 50 * LB_MSEC;
-  push (peers, *event);
+  push_event (peers, *event);
   return true;
 }
 
 static void
-handle (FakePeers *peers, Event *event)
+handle_event (FakePeers *peers, Event *event)
 {
   Node *node = &peers->nodes[event->node];
   LbList actions;
@@ -423,14 +426,14 @@
           lc_membership_tick (node->membership, peers->now, &actions);
         break;
       case EVENT_CONNECT:
-        connect_both (peers, event->connection, &actions);
+        establish_connection (peers, event->connection, &actions);
         break;
       case EVENT_REFUSED:
       case EVENT_CLOSED:
         lc_membership_link_closed (node->membership, event->link, peers->now, &actions);
         break;
       case EVENT_MESSAGE:
-        receive (peers, event, &actions);
+        handle_message (peers, event, &actions);
         break;
       }
   fake_peers_carry_out (peers, event->node, &actions);
@@ -473,7 +476,7 @@
 fake_peers_start (FakePeers *peers, size_t index)
 {
   LcMembershipSettings settings = peers->settings;
-  bool ticks = peers->nodes[index].membership != NULL;
+  bool is_restart = peers->nodes[index].membership != NULL;
 
   lc_membership_free (peers->nodes[index].membership);
   settings.self = (LcInstance){ .epoch = (uint64_t)peers->now };
@@ -486,8 +489,10 @@
   peers->nodes[index].membership = lc_membership_new (&settings, peers->now);
   peers->nodes[index].state = FAKE_RUNNING;
   lc_membership_add_seed (peers->nodes[index].membership, "0.peer.address", peers->now);
-  if (!ticks)
-    push (peers, (Event){ .at = peers->now + delay (peers), .type = EVENT_TICK, .node = index });
+  if (!is_restart)
+    push_event (peers, (Event){ .at = peers->now + random_delay (peers),
+                                .type = EVENT_TICK,
+                                .node = index });
 }
 
 static void
@@ -496,9 +501,9 @@
   for (size_t i = 0; i < peers->n_connections; i++)
     {
       const Connection *connection = &peers->connections[i];
-      int end = end_of (connection, index);
-      if (connection->nodes[end] == index && !connection->closed && connection->links[end])
-        close_connection (peers, index, connection->links[end]);
+      int side = side_of (connection, index);
+      if (connection->nodes[side] == index && !connection->closed && connection->links[side])
+        close_connection (peers, index, connection->links[side]);
     }
 }
 
@@ -524,16 +529,16 @@
       Connection *connection = &peers->connections[i];
       if ((connection->nodes[0] == a && connection->nodes[1] == b)
           || (connection->nodes[0] == b && connection->nodes[1] == a))
-        connection->silent = true;
+        connection->drops_messages = true;
     }
 }
 
 void
 fake_peers_cut_pair (FakePeers *peers, size_t a, size_t b)
 {
-  peers->cut[0] = a;
-  peers->cut[1] = b;
-  peers->has_cut = true;
+  peers->partitioned_pair[0] = a;
+  peers->partitioned_pair[1] = b;
+  peers->has_partitioned_pair = true;
 }
 
 void
@@ -541,9 +546,9 @@
 {
   while (peers->n_events > 0 && peers->heap[0].at <= until)
     {
-      Event event = pop (peers);
+      Event event = pop_event (peers);
       peers->now = event.at;
-      handle (peers, &event);
+      handle_event (peers, &event);
     }
   peers->now = until;
 }
@@ -589,12 +594,12 @@
 size_t
 fake_peers_naming (const FakePeers *peers, size_t subject)
 {
-  size_t naming = 0;
+  size_t listing = 0;
 
   for (size_t i = 0; i < peers->n_nodes; i++)
-    naming += i != subject && peers->nodes[i].state == FAKE_RUNNING
-              && fake_peers_names (peers, i, subject);
-  return naming;
+    listing += i != subject && peers->nodes[i].state == FAKE_RUNNING
+               && fake_peers_names (peers, i, subject);
+  return listing;
 }
 
 size_t
