--- a/packages/core/bench/bench-membership.c
+++ b/packages/core/bench/bench-membership.c
@@ -170,12 +170,12 @@
   fake_peers_start (peers, 0);
   for (size_t i = 1; i < members; i++)
     {
-      fake_peers_run (peers, fake_peers_now (peers) + 50 * LB_MSEC);
+      fake_peers_run_until (peers, fake_peers_now (peers) + 50 * LB_MSEC);
       fake_peers_start (peers, i);
     }
-  fake_peers_run (peers, fake_peers_now (peers) + 60 * LB_SEC);
-  if (fake_peers_agreeing (peers) != members)
-    printf ("only %zu of %zu instances agree\n", fake_peers_agreeing (peers), members);
+  fake_peers_run_until (peers, fake_peers_now (peers) + 60 * LB_SEC);
+  if (fake_peers_count_agreeing (peers) != members)
+    printf ("only %zu of %zu instances agree\n", fake_peers_count_agreeing (peers), members);
   return peers;
 }
 
@@ -194,7 +194,7 @@
 steady_rate (FakePeers *peers, size_t members)
 {
   fake_peers_reset_bytes (peers);
-  fake_peers_run (peers, fake_peers_now (peers) + 20 * LB_SEC);
+  fake_peers_run_until (peers, fake_peers_now (peers) + 20 * LB_SEC);
   return largest_rate (peers, members, 20);
 }
 
@@ -204,12 +204,12 @@
   bool *is_unlisted = LB_NEW_ARRAY (bool, members);
   LbTime failed_at = fake_peers_now (peers);
 
-  fake_peers_set_state (peers, subject, FAKE_VANISHED);
+  fake_peers_set_state (peers, subject, FAKE_UNREACHABLE);
   for (int step = 1; step <= 200; step++)
     {
-      fake_peers_run (peers, failed_at + step * 20 * LB_MSEC);
+      fake_peers_run_until (peers, failed_at + step * 20 * LB_MSEC);
       for (size_t i = 0; i < members; i++)
-        if (i != subject && !is_unlisted[i] && !fake_peers_names (peers, i, subject))
+        if (i != subject && !is_unlisted[i] && !fake_peers_is_listed (peers, i, subject))
           {
             is_unlisted[i] = true;
             samples_add (samples, step * 0.02);
@@ -232,11 +232,11 @@
   for (int trial = 0; trial < TRIALS; trial++)
     {
       size_t subject = 1 + gsl_rng_uniform_int (rng, members - 1);
-      fake_peers_run (peers, fake_peers_now (peers)
-                                 + (LbTime)gsl_rng_uniform_int (rng, (unsigned long)LB_SEC));
+      fake_peers_run_until (peers, fake_peers_now (peers)
+                                       + (LbTime)gsl_rng_uniform_int (rng, (unsigned long)LB_SEC));
       measure_failure (peers, members, subject, &samples);
       fake_peers_start (peers, subject);
-      fake_peers_run (peers, fake_peers_now (peers) + 5 * LB_SEC);
+      fake_peers_run_until (peers, fake_peers_now (peers) + 5 * LB_SEC);
     }
   snprintf (method, sizeof method, "%zu successors on rings", rings);
   print_row (method, members, rate, &samples);
@@ -260,17 +260,17 @@
       for (int second = 1; second <= 60; second++)
         {
           fake_peers_reset_bytes (peers);
-          fake_peers_run (peers, started_at + second * LB_SEC);
+          fake_peers_run_until (peers, started_at + second * LB_SEC);
           double rate = largest_rate (peers, members, 1);
           largest[phase] = rate > largest[phase] ? rate : largest[phase];
-          if (phase == 1 && !agreed_after && fake_peers_agreeing (peers) == members)
+          if (phase == 1 && !agreed_after && fake_peers_count_agreeing (peers) == members)
             agreed_after = fake_peers_now (peers) - started_at;
         }
       if (phase == 1)
         printf ("a third of %zu members cut off: at most %.0f bytes in a second of one instance; "
                 "back: at most %.0f, all agree after %.0f s\n",
                 members, largest[0], largest[1], (double)agreed_after / LB_SEC);
-      fake_peers_run (peers, fake_peers_now (peers) + 60 * LB_SEC);
+      fake_peers_run_until (peers, fake_peers_now (peers) + 60 * LB_SEC);
     }
   fake_peers_free (peers);
 }
--- a/packages/core/bench/fake-peers.c
+++ b/packages/core/bench/fake-peers.c
@@ -143,7 +143,7 @@
             || (peers->partitioned_pair[0] == b && peers->partitioned_pair[1] == a));
 
   return !is_partitioned && peers->nodes[a].group == peers->nodes[b].group
-         && peers->nodes[a].state != FAKE_VANISHED && peers->nodes[b].state != FAKE_VANISHED;
+         && peers->nodes[a].state != FAKE_UNREACHABLE && peers->nodes[b].state != FAKE_UNREACHABLE;
 }
 
 static size_t
@@ -325,7 +325,7 @@
 }
 
 void
-fake_peers_carry_out (FakePeers *peers, size_t node, LbList *actions)
+fake_peers_execute (FakePeers *peers, size_t node, LbList *actions)
 {
   LbLink *link;
 
@@ -365,11 +365,11 @@
   count_bytes (peers, dialler, connection->nodes[1], CONNECT_BYTES + 400);
   LcInstance self = *lc_membership_self (dialler_membership);
   connection->links[1] = lc_membership_link_accepted (acceptor, &self, peers->now, actions);
-  fake_peers_carry_out (peers, peers->connections[index].nodes[1], actions);
+  fake_peers_execute (peers, peers->connections[index].nodes[1], actions);
   self = *lc_membership_self (acceptor);
   lc_membership_link_dialled (dialler_membership, peers->connections[index].links[0], &self,
                               peers->now, actions);
-  fake_peers_carry_out (peers, dialler, actions);
+  fake_peers_execute (peers, dialler, actions);
 }
 
 static void
@@ -436,7 +436,7 @@
         handle_message (peers, event, &actions);
         break;
       }
-  fake_peers_carry_out (peers, event->node, &actions);
+  fake_peers_execute (peers, event->node, &actions);
   if (node->state == FAKE_RUNNING)
     schedule_tick (peers, event->node);
   free (event->message.instances);
@@ -522,7 +522,7 @@
 }
 
 void
-fake_peers_silence (FakePeers *peers, size_t a, size_t b)
+fake_peers_drop_on_open_links (FakePeers *peers, size_t a, size_t b)
 {
   for (size_t i = 0; i < peers->n_connections; i++)
     {
@@ -534,7 +534,7 @@
 }
 
 void
-fake_peers_cut_pair (FakePeers *peers, size_t a, size_t b)
+fake_peers_partition_pair (FakePeers *peers, size_t a, size_t b)
 {
   peers->partitioned_pair[0] = a;
   peers->partitioned_pair[1] = b;
@@ -542,7 +542,7 @@
 }
 
 void
-fake_peers_run (FakePeers *peers, LbTime until)
+fake_peers_run_until (FakePeers *peers, LbTime until)
 {
   while (peers->n_events > 0 && peers->heap[0].at <= until)
     {
@@ -573,7 +573,7 @@
 }
 
 bool
-fake_peers_names (const FakePeers *peers, size_t observer, size_t subject)
+fake_peers_is_listed (const FakePeers *peers, size_t observer, size_t subject)
 {
   LcMemberView view;
 
@@ -582,7 +582,7 @@
 }
 
 LcInstanceState
-fake_peers_state_of (const FakePeers *peers, size_t observer, size_t subject)
+fake_peers_known_state (const FakePeers *peers, size_t observer, size_t subject)
 {
   LcMemberView view;
 
@@ -592,18 +592,18 @@
 }
 
 size_t
-fake_peers_naming (const FakePeers *peers, size_t subject)
+fake_peers_count_listing (const FakePeers *peers, size_t subject)
 {
   size_t listing = 0;
 
   for (size_t i = 0; i < peers->n_nodes; i++)
     listing += i != subject && peers->nodes[i].state == FAKE_RUNNING
-               && fake_peers_names (peers, i, subject);
+               && fake_peers_is_listed (peers, i, subject);
   return listing;
 }
 
 size_t
-fake_peers_agreeing (const FakePeers *peers)
+fake_peers_count_agreeing (const FakePeers *peers)
 {
   size_t agreeing = 0;
 
@@ -611,7 +611,7 @@
     {
       bool agrees = peers->nodes[i].membership && peers->nodes[i].state == FAKE_RUNNING;
       for (size_t j = 0; j < peers->n_nodes && agrees; j++)
-        agrees = fake_peers_names (peers, i, j)
+        agrees = fake_peers_is_listed (peers, i, j)
                  == (peers->nodes[j].membership && peers->nodes[j].state == FAKE_RUNNING);
       agreeing += agrees;
     }
--- a/packages/core/tests/test-membership.c
+++ b/packages/core/tests/test-membership.c
@@ -15,15 +15,15 @@
 
   for (size_t i = 0; i < count; i++)
     fake_peers_start (peers, i);
-  fake_peers_run (peers, fake_peers_now (peers) + 20 * LB_SEC);
-  cr_assert_eq (fake_peers_agreeing (peers), count);
+  fake_peers_run_until (peers, fake_peers_now (peers) + 20 * LB_SEC);
+  cr_assert_eq (fake_peers_count_agreeing (peers), count);
   return peers;
 }
 
 static void
 run_for (FakePeers *peers, LbTime duration)
 {
-  fake_peers_run (peers, fake_peers_now (peers) + duration);
+  fake_peers_run_until (peers, fake_peers_now (peers) + duration);
 }
 
 static LcMembershipTotals
@@ -49,13 +49,13 @@
   FakePeers *peers = start_cluster (COUNT);
 
   fake_peers_set_state (peers, 5, FAKE_KILLED);
-  fake_peers_set_state (peers, 9, FAKE_VANISHED);
+  fake_peers_set_state (peers, 9, FAKE_UNREACHABLE);
   run_for (peers, 3 * LB_SEC);
-  cr_assert_eq (fake_peers_naming (peers, 5), 0);
-  cr_assert_eq (fake_peers_naming (peers, 9), 0);
+  cr_assert_eq (fake_peers_count_listing (peers, 5), 0);
+  cr_assert_eq (fake_peers_count_listing (peers, 9), 0);
   run_for (peers, 5 * LB_SEC);
-  cr_assert_eq (fake_peers_state_of (peers, 0, 9), LC_INSTANCE_DEAD);
-  cr_assert_eq (fake_peers_agreeing (peers), COUNT - 2);
+  cr_assert_eq (fake_peers_known_state (peers, 0, 9), LC_INSTANCE_DEAD);
+  cr_assert_eq (fake_peers_count_agreeing (peers), COUNT - 2);
   fake_peers_free (peers);
 }
 
@@ -67,12 +67,12 @@
   FakePeers *peers = start_cluster (COUNT);
 
   for (size_t i = 1; i < COUNT; i++)
-    fake_peers_silence (peers, 0, i);
+    fake_peers_drop_on_open_links (peers, 0, i);
   run_for (peers, 3 * LB_SEC);
   LcMembershipTotals totals = totals_of_all (peers, COUNT);
   cr_assert_geq (totals.connection_timeouts, 3);
   cr_assert_eq (totals.suspected, 0);
-  cr_assert_eq (fake_peers_agreeing (peers), COUNT);
+  cr_assert_eq (fake_peers_count_agreeing (peers), COUNT);
   run_for (peers, 60 * LB_SEC);
   totals = totals_of_all (peers, COUNT);
   run_for (peers, 120 * LB_SEC);
@@ -98,7 +98,7 @@
     cr_assert (lc_membership_keep_connected (
         first, lc_membership_self (fake_peers_membership (peers, i))->name,
         fake_peers_now (peers) + 60 * LB_SEC, fake_peers_now (peers), &actions));
-  fake_peers_carry_out (peers, 0, &actions);
+  fake_peers_execute (peers, 0, &actions);
   run_for (peers, 5 * LB_SEC);
   fake_peers_reset_bytes (peers);
   run_for (peers, 20 * LB_SEC);
@@ -126,14 +126,14 @@
         continue;
       lc_membership_keep_connected (first, name, fake_peers_now (peers) + 60 * LB_SEC,
                                     fake_peers_now (peers), &actions);
-      fake_peers_carry_out (peers, 0, &actions);
+      fake_peers_execute (peers, 0, &actions);
       run_for (peers, 10 * LB_SEC);
       LcLinkId silent = lc_membership_find_link (first, name);
       lc_membership_frame_sent (first, silent, fake_peers_now (peers));
       run_for (peers, 5 * LB_SEC);
       cr_assert_eq (lc_membership_find_link (first, name), silent,
                     "a healthy connection was closed");
-      fake_peers_silence (peers, 0, i);
+      fake_peers_drop_on_open_links (peers, 0, i);
       lc_membership_frame_sent (first, silent, fake_peers_now (peers));
       run_for (peers, 3 * LB_SEC);
       cr_assert_neq (lc_membership_find_link (first, name), silent);
@@ -141,7 +141,7 @@
       break;
     }
   cr_assert_geq (lc_membership_totals (first).connection_timeouts, 1);
-  cr_assert_eq (fake_peers_agreeing (peers), COUNT);
+  cr_assert_eq (fake_peers_count_agreeing (peers), COUNT);
   fake_peers_free (peers);
 }
 
@@ -161,7 +161,7 @@
     lc_membership_keep_connected (first,
                                   lc_membership_self (fake_peers_membership (peers, i))->name,
                                   until, fake_peers_now (peers), &actions);
-  fake_peers_carry_out (peers, 0, &actions);
+  fake_peers_execute (peers, 0, &actions);
   run_for (peers, 20 * LB_SEC);
   for (size_t i = 1; i < count - 1; i++)
     {
@@ -181,11 +181,11 @@
 
   fake_peers_set_state (peers, 3, FAKE_PAUSED);
   run_for (peers, 10 * LB_SEC);
-  cr_assert_eq (fake_peers_naming (peers, 3), 0);
-  cr_assert_eq (fake_peers_state_of (peers, 0, 3), LC_INSTANCE_DEAD);
+  cr_assert_eq (fake_peers_count_listing (peers, 3), 0);
+  cr_assert_eq (fake_peers_known_state (peers, 0, 3), LC_INSTANCE_DEAD);
   fake_peers_set_state (peers, 3, FAKE_RUNNING);
   run_for (peers, 3 * LB_SEC);
-  cr_assert_eq (fake_peers_agreeing (peers), COUNT);
+  cr_assert_eq (fake_peers_count_agreeing (peers), COUNT);
   LcMembershipTotals own = lc_membership_totals (fake_peers_membership (peers, 3));
   cr_assert_eq (own.own_pauses, 1);
   cr_assert_eq (own.suspected, 0);
@@ -206,12 +206,12 @@
   for (size_t i = 1; i < count; i += 3)
     fake_peers_set_group (peers, i, 1);
   run_for (peers, 3600 * LB_SEC);
-  cr_assert_eq (fake_peers_naming (peers, 1), 3);
-  cr_assert_eq (fake_peers_naming (peers, 2), 7);
+  cr_assert_eq (fake_peers_count_listing (peers, 1), 3);
+  cr_assert_eq (fake_peers_count_listing (peers, 2), 7);
   for (size_t i = 1; i < count; i++)
     fake_peers_set_group (peers, i, 0);
   run_for (peers, 10 * LB_SEC);
-  cr_assert_eq (fake_peers_agreeing (peers), count - 1);
+  cr_assert_eq (fake_peers_count_agreeing (peers), count - 1);
   fake_peers_free (peers);
 }
 
@@ -228,13 +228,13 @@
                                  lc_membership_self (fake_peers_membership (peers, i))->name)
         != 0)
       {
-        fake_peers_cut_pair (peers, 0, i);
+        fake_peers_partition_pair (peers, 0, i);
         break;
       }
   for (int second = 0; second < 120; second++)
     {
       run_for (peers, LB_SEC);
-      n_disagreements += fake_peers_agreeing (peers) < COUNT - 2;
+      n_disagreements += fake_peers_count_agreeing (peers) < COUNT - 2;
     }
   cr_assert_leq (n_disagreements, 1);
   cr_assert_leq (totals_of_all (peers, COUNT).suspected, 16);
@@ -251,10 +251,10 @@
 
   lb_list_init (&actions);
   lc_membership_set_draining (fake_peers_membership (peers, 4), fake_peers_now (peers), &actions);
-  fake_peers_carry_out (peers, 4, &actions);
+  fake_peers_execute (peers, 4, &actions);
   run_for (peers, LB_SEC);
-  cr_assert_eq (fake_peers_naming (peers, 4), 0);
-  cr_assert_eq (fake_peers_state_of (peers, 0, 4), LC_INSTANCE_ALIVE);
+  cr_assert_eq (fake_peers_count_listing (peers, 4), 0);
+  cr_assert_eq (fake_peers_known_state (peers, 0, 4), LC_INSTANCE_ALIVE);
   fake_peers_free (peers);
 }
 
@@ -271,7 +271,7 @@
   run_for (peers, LB_SEC);
   fake_peers_start (peers, 6);
   run_for (peers, 5 * LB_SEC);
-  cr_assert_eq (fake_peers_agreeing (peers), COUNT);
+  cr_assert_eq (fake_peers_count_agreeing (peers), COUNT);
 
   lb_list_init (&actions);
   before.instance.state = LC_INSTANCE_DEAD;
@@ -309,7 +309,7 @@
   cr_assert_eq (lc_membership_totals (first).name_conflicts, 1);
   run_for (peers, 10 * LB_SEC);
   cr_assert_eq (lc_membership_totals (first).name_conflicts, 2);
-  cr_assert_eq (fake_peers_agreeing (peers), 6);
+  cr_assert_eq (fake_peers_count_agreeing (peers), 6);
   fake_peers_free (peers);
 }
 
@@ -328,18 +328,18 @@
   for (size_t i = 1; i < 4; i++)
     fake_peers_start (peers, i);
   run_for (peers, 10 * LB_SEC);
-  cr_assert_eq (fake_peers_agreeing (peers), 0);
+  cr_assert_eq (fake_peers_count_agreeing (peers), 0);
   for (size_t i = 1; i < 4; i++)
     lc_membership_apply_platform_list (fake_peers_membership (peers, i), listed, 3,
                                        fake_peers_now (peers), &actions);
   run_for (peers, 10 * LB_SEC);
-  cr_assert_eq (fake_peers_agreeing (peers), 3);
+  cr_assert_eq (fake_peers_count_agreeing (peers), 3);
 
   listed[1].leaving = true;
   lc_membership_apply_platform_list (fake_peers_membership (peers, 1), listed, 3,
                                      fake_peers_now (peers), &actions);
-  fake_peers_carry_out (peers, 1, &actions);
-  cr_assert_not (fake_peers_names (peers, 1, 2));
+  fake_peers_execute (peers, 1, &actions);
+  cr_assert_not (fake_peers_is_listed (peers, 1, 2));
   fake_peers_free (peers);
 }
 
@@ -359,7 +359,7 @@
     lc_membership_action_free (action);
   }
   run_for (peers, 10 * LB_SEC);
-  cr_assert_eq (fake_peers_naming (peers, 4), 0);
+  cr_assert_eq (fake_peers_count_listing (peers, 4), 0);
   fake_peers_free (peers);
 }
 
