--- a/packages/core/include/lc-usage-reports.h
+++ b/packages/core/include/lc-usage-reports.h
@@ -24,7 +24,7 @@
   LC_USAGE_SUM_ROWS,      /* sum the rows of the window; answered by sum_completed */
   LC_USAGE_RECORD_REPORT, /* record text if the window has none; answered by record_completed */
   LC_USAGE_SEND_REPORT,   /* send text to the platform; answered by send_completed */
-  LC_USAGE_CLOSE_WINDOW /* delete the rows, mark the report as sent; answered by close_completed */
+  LC_USAGE_CLOSE_WINDOW   /* delete the rows, mark it as sent; answered by close_completed */
 } LcUsageActionType;
 
 typedef struct
--- a/packages/core/src/config/lc-config-confirm.c
+++ b/packages/core/src/config/lc-config-confirm.c
@@ -58,7 +58,7 @@
  *
  * Guards against a partition at the moment of acceptance: the majority that let the change pass
  * would use the previous revision for as long as the partition lasts, although the operator was
- * told that the new one is accepted. Until the outcome is known, only the store confirms. */
+ * shown the new one as accepted. Until the outcome is known, only the store confirms. */
 bool
 lc_config_is_in_doubt (const LcConfig *config, LbTime now)
 {
--- a/packages/core/tests/test-config.c
+++ b/packages/core/tests/test-config.c
@@ -224,8 +224,8 @@
   cr_assert (lc_config_is_ready (config));
 }
 
-/* An instance is partitioned from the store and all others for minutes while a change is accepted
- * elsewhere. It must stop accepting work instead of using the old revision all that time. */
+/* An instance is partitioned from the store and all others while a change is accepted elsewhere. It
+ * must stop accepting work instead of using the old revision for as long as the partition lasts. */
 Test (config, isolated_instance_stops_accepting_work)
 {
   update_members (2, 2);
@@ -239,8 +239,8 @@
   cr_assert (lc_config_is_ready (config));
 }
 
-/* The store is down for an hour, so no change can be accepted. Instances that reach a majority must
- * keep serving. */
+/* The store is down for longer than max_confirmation_age, so no change can be accepted. Instances
+ * that reach a majority must keep serving. */
 Test (config, store_outage_does_not_stop_a_majority)
 {
   update_members (4, 4);
