--- a/packages/node/include/ln-messages.h
+++ b/packages/node/include/ln-messages.h
@@ -9,38 +9,38 @@
 #include "ln-exchange.h"
 #include "ln-task.h"
 
-/* Who posts what to whom. Tasks: "front" (callers' sockets), "calls" (LcDispatch and the sockets to
- * endpoints), "rollouts" (LcRollouts), "config" (resources and leases), "peers" (frames between
- * instances), "store" (the platform). */
+/* Messages between the tasks of one process. Tasks: "front" (callers' sockets), "calls" (LcDispatch
+ * and the sockets to endpoints), "rollouts" (LcRollouts), "config" (resources and leases), "peers"
+ * (frames between instances), "duties" (usage reports and scaling), "store" (the platform). */
 typedef enum
 {
-  LN_EXCHANGE,              /* front -> the task of the route */
-  LN_CALLER_DISCONNECTED,   /* front -> the owner: the caller went away */
-  LN_CONFIG,                /* config -> all: a newer revision is in force here */
-  LN_SAMPLE,                /* rollouts -> calls: generate a sample or ask a scorer */
+  LN_EXCHANGE,              /* front -> task of the route: a request to answer */
+  LN_CALLER_DISCONNECTED,   /* front -> owner of the exchange */
+  LN_CONFIG,                /* config -> all: a newer revision is in force */
+  LN_SAMPLE,                /* rollouts -> calls: generate a sample or call a scorer */
   LN_SAMPLE_CANCEL,         /* rollouts -> calls */
   LN_SAMPLE_PIECE,          /* calls -> rollouts */
   LN_SAMPLE_DONE,           /* calls -> rollouts */
   LN_POOL_VERSION,          /* config -> rollouts: newest version and cadence of a pool */
-  LN_ENDPOINT_REPORT,       /* calls -> config: what an endpoint said of itself */
-  LN_ENDPOINT_LEAVING,      /* any -> calls: first that says leaving wins */
+  LN_ENDPOINT_REPORT,       /* calls -> config: load report of an endpoint */
+  LN_ENDPOINT_LEAVING,      /* any -> calls: the first source that reports it is enough */
   LN_ENDPOINT_SWAP,         /* config -> calls: weights are about to change */
-  LN_MEMBERS,               /* peers -> all: the view of live instances changed */
-  LN_FLEET,                 /* peers -> config: the same with all that their rows say */
-  LN_CATALOG_MEMBERS,       /* config -> peers: what the catalog tells of the instances */
-  LN_CATALOG_FOLLOWED,      /* config -> peers: whether the catalog is followed has changed */
+  LN_MEMBERS,               /* peers -> all: the set or state of live instances changed */
+  LN_FLEET,                 /* peers -> config: the same with the complete rows */
+  LN_CATALOG_MEMBERS,       /* config -> peers: instances as the catalog lists them */
+  LN_CATALOG_FOLLOWED,      /* config -> peers: this instance started or stopped following it */
   LN_PEER_SEND,             /* any -> peers: a frame for one instance or all */
-  LN_PEER_FRAME,            /* peers -> the task named in the frame */
+  LN_PEER_FRAME,            /* peers -> task named in the frame */
   LN_DRAINING,              /* main -> all */
   LN_DESIRED,               /* config -> all: routes and services of the shared platform */
   LN_DESIRED_CONFIRMED,     /* config -> all: the last LN_DESIRED is still the newest */
-  LN_ENDPOINT_LIST_APPLIED, /* config -> calls: which list of the endpoints is in use */
+  LN_ENDPOINT_LIST_APPLIED, /* config -> calls: origin of the endpoint list in use */
   LN_ENDPOINT_LISTED,       /* config -> calls: an endpoint is still listed, with this version */
-  LN_DEMAND,                /* rollouts -> config, duties: a trainer brought a batch */
-  LN_DUTY,               /* rollouts, config -> all: whether this instance has a duty has changed */
-  LN_REQUEST_STARTED,    /* calls -> duties: an organisation's request began to run */
-  LN_SERVICE_OVERLOADED, /* calls -> peers: which service's endpoints are nearly full has changed */
-  LN_READY               /* config -> all: whether new work may be taken has changed */
+  LN_DEMAND,                /* rollouts -> config, duties: a trainer submitted a batch */
+  LN_DUTY,                  /* rollouts, config -> all: this instance took or lost a duty */
+  LN_REQUEST_STARTED,       /* calls -> duties: an organisation's request started running */
+  LN_SERVICE_OVERLOADED,    /* calls -> peers: the service with nearly full endpoints changed */
+  LN_READY                  /* config -> all: whether new work may be accepted changed */
 } LnMessageType;
 
 typedef struct
@@ -58,12 +58,12 @@
 typedef struct
 {
   LnMessage base;
-  LcRequestSpec spec; /* spec.id from ln_context_next_request; kind SERVICE: a call of a scorer */
+  LcRequestSpec spec; /* spec.id from ln_context_next_request; kind SERVICE: call of a scorer */
   char *body;         /* owned: JSON for the endpoint */
-  char *resume_text;  /* owned; NULL: from the start */
-  /* In a dialect: what to send, owned, in place of body and resume_text. */
+  char *resume_text;  /* owned: text before spec.resume_at; NULL: none */
+  /* With a dialect: the request to send, owned, instead of body and resume_text. */
   LcOutgoing *outgoing;
-  LbName organisation; /* whose request it is; "": nobody's in particular */
+  LbName organisation; /* to which the request belongs; "": none */
 } LnSampleMessage;
 
 typedef struct
@@ -80,7 +80,7 @@
   LcRequestId request;
   LcPiece piece;
   LbName endpoint;
-  char *text; /* owned; in a dialect only: NULL else */
+  char *text; /* owned; NULL without a dialect */
 } LnSamplePieceMessage;
 
 typedef struct
@@ -88,7 +88,7 @@
   LnMessage base;
   LcRequestId request;
   LbErrorCode error;
-  char *text; /* owned by the message: what was generated, or the service's reply */
+  char *text; /* owned: generated text, or the service's reply */
 } LnSampleDoneMessage;
 
 typedef struct
@@ -110,9 +110,9 @@
 {
   LnMessage base;
   LbName endpoint;
-  char incarnation[40]; /* empty: the present one */
+  char incarnation[40]; /* empty: the current one */
   LcLeavingSource source;
-  bool withdrawn; /* the platform's list no longer says leaving */
+  bool withdrawn; /* the platform no longer lists it as leaving */
 } LnEndpointLeavingMessage;
 
 typedef struct
@@ -139,14 +139,14 @@
 {
   LnMessage base;
   LbTime requested_at;
-  LbName listed_by; /* the instance that asked for it */
+  LbName listed_by; /* instance that requested the list */
 } LnEndpointListAppliedMessage;
 
 typedef struct
 {
   LnMessage base;
   LbName endpoint;
-  LcVersion version; /* of the model that it is used for; 0: a plain service */
+  LcVersion version; /* of the model it serves; 0: plain service */
 } LnEndpointListedMessage;
 
 typedef struct
@@ -163,21 +163,21 @@
   LbName service; /* "": none */
 } LnServiceOverloadedMessage;
 
-/* One instance as this one sees it. */
+/* State of one instance as known here. */
 typedef struct
 {
   LbName name;
   LbName incarnation;
-  int64_t version; /* of its row in the shared platform's store, when there is one */
+  int64_t version; /* of its row in the shared platform's store, if any */
   LbName data_centre;
-  LbName caller_address; /* where callers connect */
-  LbName peer_address;   /* where instances connect */
+  LbName caller_address; /* for callers */
+  LbName peer_address;   /* for other instances */
   bool alive;            /* not suspected */
-  bool confirmed;        /* known to have lived lately; may be false of one that has just started */
+  bool confirmed;        /* known to be alive recently; may be false for one that just started */
   bool draining;
-  bool cut;              /* reaches the store only with the help of others */
-  int64_t strength;      /* of its machine, see lc-duty.h */
-  int64_t clock_lead_ms; /* of its time of day over the store's clock; 0: it does not say */
+  bool cut;              /* can reach the store only through other instances */
+  int64_t strength;      /* capacity of its machine, see lc-duty.h */
+  int64_t clock_lead_ms; /* of its wall clock over the store's; 0: not reported */
   bool is_self;
 } LnMember;
 
@@ -186,7 +186,7 @@
   LnMessage base;
   LnMember *members; /* owned by the message */
   size_t n_members;
-  bool is_left_out; /* the directory is full, and this instance is not in it */
+  bool is_left_out; /* the directory is full and does not contain this instance */
 } LnMembersMessage;
 
 typedef struct
@@ -199,14 +199,14 @@
 typedef struct
 {
   LnMessage base;
-  bool followed; /* the instances need not be listed here */
+  bool followed; /* then this instance need not list the instances itself */
 } LnCatalogFollowedMessage;
 
 /* The payload is msgpack; topic names the receiving task ("config", "rollouts", "calls"). */
 typedef struct
 {
   LnMessage base;
-  LbName instance; /* SEND: empty means all; FRAME: the sender */
+  LbName instance; /* SEND: receiver, empty: all; FRAME: sender */
   LbName topic;
   char *payload; /* owned by the message */
   size_t length;
@@ -224,20 +224,20 @@
   LnMessage base;
 } LnDrainingMessage;
 
-/* Until the first one new work is refused as LB_ERROR_NOT_READY: a new process has no confirmed
- * configuration. It may come back to false when the instance is cut off. */
+/* Until the first one, new work is refused as LB_ERROR_NOT_READY: a new process has no confirmed
+ * configuration. Becomes false again when the instance loses contact. */
 typedef struct
 {
   LnMessage base;
   bool ready;
 } LnReadyMessage;
 
-/* What others have to take over when this instance dies. */
+/* Work that other instances have to take over when this one dies. */
 typedef enum
 {
-  LN_DUTY_BATCHES,        /* it runs some */
-  LN_DUTY_WEIGHT_ORDERS,  /* it holds the lease to order weights */
-  LN_DUTY_PLATFORM_CALLS, /* it holds the lease to call the platform */
+  LN_DUTY_BATCHES,        /* owns batches */
+  LN_DUTY_WEIGHT_ORDERS,  /* holds the lease to give weight orders */
+  LN_DUTY_PLATFORM_CALLS, /* holds the lease to call the platform */
   LN_N_DUTIES
 } LnDuty;
 
--- a/packages/node/src/calls/ln-admission.h
+++ b/packages/node/src/calls/ln-admission.h
@@ -7,27 +7,27 @@
 #include "ln-dialect.h"
 #include "ln-messages.h"
 
-/* Whose call a caller's request is, by the configuration in force here. */
+/* Authenticates callers' requests by the configuration in force on this instance. */
 
-/* What a task believes: the desired state, and when it was last known to be the newest. */
+/* Desired state as a task knows it, and when it was last confirmed to be the newest. */
 typedef struct
 {
-  LcDesired *desired; /* a reference; NULL: none is known */
+  LcDesired *desired; /* owned reference; NULL: none known */
   LbTime confirmed_at;
 } LnAdmissionState;
 
-/* Another desired state is in force. */
-void ln_admission_state_update (LnAdmissionState *belief, const LnDesiredMessage *message);
+/* Replaces the desired state by a newer one. */
+void ln_admission_state_update (LnAdmissionState *state, const LnDesiredMessage *message);
 
 void ln_admission_check (const LnContext *context,
-                         const LnAdmissionState *belief,
+                         const LnAdmissionState *state,
                          bool is_public,
-                         const LnInbound *in,
+                         const LnInbound *inbound,
                          LcAdmission *admission);
-/* Final answer to a call that is not admitted; the exchange is gone afterwards. */
+/* Sends the final reply to a call that is not admitted; invalidates the exchange. */
 void ln_admission_refuse (LnExchange *exchange,
-                          const LnAdmissionState *belief,
-                          const LnInbound *in,
+                          const LnAdmissionState *state,
+                          const LnInbound *inbound,
                           const LcAdmission *admission);
 
 #endif
--- a/packages/node/src/calls/ln-answer.c
+++ b/packages/node/src/calls/ln-answer.c
@@ -17,33 +17,34 @@
 char *
 ln_answer_encode (const LnAnswer *answer, size_t *length)
 {
-  size_t type = strlen (answer->type) + 1;
-  char *bytes = lb_malloc (type + answer->length);
+  size_t type_size = strlen (answer->content_type) + 1;
+  char *bytes = lb_malloc (type_size + answer->length);
 
-  memcpy (bytes, answer->type, type);
+  memcpy (bytes, answer->content_type, type_size);
   if (answer->length > 0)
-    memcpy (bytes + type, answer->body, answer->length);
-  *length = type + answer->length;
+    memcpy (bytes + type_size, answer->body, answer->length);
+  *length = type_size + answer->length;
   return bytes;
 }
 
 void
 ln_answer_decode (LnAnswer *answer, int status, const char *bytes, size_t length)
 {
-  size_t type = strnlen (bytes, length);
+  size_t type_length = strnlen (bytes, length);
 
   memset (answer, 0, sizeof *answer);
   answer->status = status;
-  if (type == length)
+  if (type_length == length)
     return;
-  LB_COPY (answer->type, bytes);
-  answer->length = length - type - 1;
-  answer->body = lb_memdup (bytes + type + 1, answer->length);
+  LB_COPY (answer->content_type, bytes);
+  answer->length = length - type_length - 1;
+  answer->body = lb_memdup (bytes + type_length + 1, answer->length);
 }
 
 void
 ln_answer_reply (const LnAnswer *answer, LnExchange *exchange)
 {
-  ln_exchange_reply_text (exchange, answer->status, answer->type[0] ? answer->type : NULL,
-                          answer->body, answer->length);
+  ln_exchange_reply_text (exchange, answer->status,
+                          answer->content_type[0] ? answer->content_type : NULL, answer->body,
+                          answer->length);
 }
--- a/packages/node/src/calls/ln-call-reader.c
+++ b/packages/node/src/calls/ln-call-reader.c
@@ -14,9 +14,9 @@
 #include <xxhash.h>
 
 #define PREFIX_BLOCK_BYTES 64
-#define BYTES_PER_TOKEN 4
+#define ESTIMATED_BYTES_PER_TOKEN 4
 #define DEFAULT_MAX_TOKENS 16
-#define MAX_TOKENS 1000000
+#define MAX_MAX_TOKENS 1000000
 #define MAX_PRIORITY 10
 
 void
@@ -29,16 +29,16 @@
   for (size_t i = 0; i < blocks; i++)
     spec->prefix_hashes[i] = XXH64 (prompt, (i + 1) * PREFIX_BLOCK_BYTES, 0);
   spec->n_prefix_hashes = blocks;
-  spec->prompt_tokens = (int64_t)(length / BYTES_PER_TOKEN) + 1;
+  spec->prompt_tokens = (int64_t)(length / ESTIMATED_BYTES_PER_TOKEN) + 1;
 }
 
 static bool
-read_integer_header (const LnExchange *exchange,
-                     const char *name,
-                     int64_t low,
-                     int64_t high,
-                     int64_t *value,
-                     LbError *error)
+parse_integer_header (const LnExchange *exchange,
+                      const char *name,
+                      int64_t min,
+                      int64_t max,
+                      int64_t *value,
+                      LbError *error)
 {
   const char *text = ln_exchange_header (exchange, name);
   char *end = NULL;
@@ -47,16 +47,16 @@
     return true;
   long long number = strtoll (text, &end, 10);
   if (end == text || *end != '\0')
-    return lb_error_set (error, LB_ERROR_BAD_VALUE, name, "expected a whole number");
-  if (number < low || number > high)
+    return lb_error_set (error, LB_ERROR_BAD_VALUE, name, "expected an integer");
+  if (number < min || number > max)
     return lb_error_set (error, LB_ERROR_OUT_OF_RANGE, name, "expected a number from %lld to %lld",
-                         (long long)low, (long long)high);
+                         (long long)min, (long long)max);
   *value = number;
   return true;
 }
 
 static bool
-is_set (const LnExchange *exchange, const char *name)
+has_flag_header (const LnExchange *exchange, const char *name)
 {
   const char *value = ln_exchange_header (exchange, name);
 
@@ -64,15 +64,15 @@
 }
 
 static bool
-read_headers (
+parse_headers (
     LcRequestSpec *spec, const LnExchange *exchange, LbTime now, LbTime deadline, LbError *error)
 {
   const char *caller = ln_exchange_header (exchange, "x-caller");
   int64_t priority = 0;
   int64_t deadline_ms = deadline / LB_MSEC;
 
-  if (!read_integer_header (exchange, "x-priority", -MAX_PRIORITY, MAX_PRIORITY, &priority, error)
-      || !read_integer_header (exchange, "x-deadline-ms", 0, 86400000, &deadline_ms, error))
+  if (!parse_integer_header (exchange, "x-priority", -MAX_PRIORITY, MAX_PRIORITY, &priority, error)
+      || !parse_integer_header (exchange, "x-deadline-ms", 0, 86400000, &deadline_ms, error))
     return false;
   if (caller && strlen (caller) >= sizeof spec->caller)
     return lb_error_set (error, LB_ERROR_OUT_OF_RANGE, "x-caller", "expected at most %d bytes",
@@ -80,7 +80,7 @@
   LB_COPY (spec->caller, caller && *caller ? caller : ln_exchange_peer (exchange));
   spec->priority = (int)priority;
   spec->deadline = now + deadline_ms * LB_MSEC;
-  if (is_set (exchange, "x-not-repeatable") || ln_exchange_header (exchange, "x-ticket")
+  if (has_flag_header (exchange, "x-not-repeatable") || ln_exchange_header (exchange, "x-ticket")
       || ln_exchange_header (exchange, "idempotency-key"))
     spec->repeatable = false;
   spec->resumable = spec->resumable && spec->repeatable;
@@ -88,22 +88,24 @@
 }
 
 static bool
-read_model (LnCall *call, struct json_object *body, LbError *error)
+parse_model (LnCall *call, struct json_object *body, LbError *error)
 {
   struct json_object *model = lb_json_member (body, "model");
 
   if (!model)
-    return lb_error_set (error, LB_ERROR_MISSING_KEY, "model", "expected the name of a pool");
+    return lb_error_set (error, LB_ERROR_MISSING_KEY, "model",
+                         "expected the name of a pool as a string");
   if (!json_object_is_type (model, json_type_string))
-    return lb_error_set (error, LB_ERROR_BAD_VALUE, "model", "expected the name of a pool");
+    return lb_error_set (error, LB_ERROR_BAD_VALUE, "model",
+                         "expected the name of a pool as a string");
   if (json_object_get_string_len (model) >= LB_NAME_MAX)
-    return lb_error_set (error, LB_ERROR_UNKNOWN_POOL, "model", "no pool has so long a name");
+    return lb_error_set (error, LB_ERROR_UNKNOWN_POOL, "model", "the name is too long for a pool");
   LB_COPY (call->spec.pool, json_object_get_string (model));
   return true;
 }
 
 static bool
-read_numbers (LnCall *call, struct json_object *body, LbError *error)
+parse_options (LnCall *call, struct json_object *body, LbError *error)
 {
   struct json_object *max_tokens = lb_json_member (body, "max_tokens");
   struct json_object *stream = lb_json_member (body, "stream");
@@ -113,36 +115,37 @@
   if (max_tokens)
     {
       if (!json_object_is_type (max_tokens, json_type_int))
-        return lb_error_set (error, LB_ERROR_BAD_VALUE, "max_tokens", "expected a whole number");
+        return lb_error_set (error, LB_ERROR_BAD_VALUE, "max_tokens", "expected an integer");
       call->spec.expected_tokens = json_object_get_int64 (max_tokens);
-      if (call->spec.expected_tokens < 1 || call->spec.expected_tokens > MAX_TOKENS)
+      if (call->spec.expected_tokens < 1 || call->spec.expected_tokens > MAX_MAX_TOKENS)
         return lb_error_set (error, LB_ERROR_OUT_OF_RANGE, "max_tokens",
-                             "expected a number from 1 to %d", MAX_TOKENS);
+                             "expected a number from 1 to %d", MAX_MAX_TOKENS);
     }
   if (stream && !json_object_is_type (stream, json_type_boolean))
     return lb_error_set (error, LB_ERROR_BAD_VALUE, "stream", "expected true or false");
   call->wants_stream = json_object_get_boolean (stream);
   if (n && json_object_get_int64 (n) != 1)
-    return lb_error_set (error, LB_ERROR_OUT_OF_RANGE, "n", "only one choice can be asked for");
+    return lb_error_set (error, LB_ERROR_OUT_OF_RANGE, "n",
+                         "expected 1: only one choice is supported");
   return true;
 }
 
 static bool
-read_prompt (LnCall *call, struct json_object *body, LbError *error)
+parse_prompt (LnCall *call, struct json_object *body, LbError *error)
 {
   struct json_object *prompt = lb_json_member (body, "prompt");
 
   if (!prompt)
-    return lb_error_set (error, LB_ERROR_MISSING_KEY, "prompt", "expected a text");
+    return lb_error_set (error, LB_ERROR_MISSING_KEY, "prompt", "expected a string");
   if (!json_object_is_type (prompt, json_type_string))
-    return lb_error_set (error, LB_ERROR_BAD_VALUE, "prompt", "expected a text");
+    return lb_error_set (error, LB_ERROR_BAD_VALUE, "prompt", "expected a string");
   ln_call_hash_prompt (&call->spec, json_object_get_string (prompt),
                        (size_t)json_object_get_string_len (prompt));
   return true;
 }
 
 static bool
-check_message (struct json_object *message, size_t index, LbError *error)
+validate_message (struct json_object *message, size_t index, LbError *error)
 {
   char where[48];
 
@@ -150,23 +153,25 @@
   if (!json_object_is_type (message, json_type_object))
     return lb_error_set (error, LB_ERROR_BAD_VALUE, where, "expected an object");
   if (!json_object_is_type (lb_json_member (message, "role"), json_type_string))
-    return lb_error_set (error, LB_ERROR_BAD_VALUE, where, "expected a text as role");
+    return lb_error_set (error, LB_ERROR_BAD_VALUE, where, "expected a string as role");
   if (!json_object_is_type (lb_json_member (message, "content"), json_type_string))
-    return lb_error_set (error, LB_ERROR_BAD_VALUE, where, "expected a text as content");
+    return lb_error_set (error, LB_ERROR_BAD_VALUE, where, "expected a string as content");
   return true;
 }
 
 static bool
-read_messages (LnCall *call, struct json_object *body, LbError *error)
+parse_messages (LnCall *call, struct json_object *body, LbError *error)
 {
   struct json_object *messages = lb_json_member (body, "messages");
 
   if (!messages)
-    return lb_error_set (error, LB_ERROR_MISSING_KEY, "messages", "expected a list of messages");
+    return lb_error_set (error, LB_ERROR_MISSING_KEY, "messages",
+                         "expected a non-empty array of messages");
   if (!json_object_is_type (messages, json_type_array) || json_object_array_length (messages) == 0)
-    return lb_error_set (error, LB_ERROR_BAD_VALUE, "messages", "expected a list of messages");
+    return lb_error_set (error, LB_ERROR_BAD_VALUE, "messages",
+                         "expected a non-empty array of messages");
   for (size_t i = 0; i < json_object_array_length (messages); i++)
-    if (!check_message (json_object_array_get_idx (messages, i), i, error))
+    if (!validate_message (json_object_array_get_idx (messages, i), i, error))
       return false;
   const char *text = json_object_to_json_string_ext (messages, JSON_C_TO_STRING_PLAIN);
   ln_call_hash_prompt (&call->spec, text, strlen (text));
@@ -174,7 +179,7 @@
 }
 
 static bool
-read_engine_call (LnCall *call, const LnExchange *exchange, LbError *error)
+parse_engine_call (LnCall *call, const LnExchange *exchange, LbError *error)
 {
   size_t length;
   const char *text = ln_exchange_body (exchange, &length);
@@ -185,11 +190,11 @@
     return false;
   if (!json_object_is_type (body, json_type_object))
     return lb_error_set (error, LB_ERROR_BAD_VALUE, "body", "expected an object");
-  if (!read_model (call, body, error) || !read_numbers (call, body, error))
+  if (!parse_model (call, body, error) || !parse_options (call, body, error))
     return false;
   if (call->kind == LN_CALL_CHAT)
-    return read_messages (call, body, error);
-  return read_prompt (call, body, error);
+    return parse_messages (call, body, error);
+  return parse_prompt (call, body, error);
 }
 
 static void
@@ -197,7 +202,7 @@
 {
   LnCall *call = user;
 
-  if (ln_call_is_hop_header (name))
+  if (ln_is_hop_by_hop_header (name))
     return;
   call->headers = lb_realloc (call->headers, (call->n_headers + 1) * sizeof (LhHeader));
   call->headers[call->n_headers++]
@@ -205,14 +210,14 @@
 }
 
 static bool
-is_safe_method (const char *method)
+is_idempotent_method (const char *method)
 {
   return strcmp (method, "GET") == 0 || strcmp (method, "HEAD") == 0 || strcmp (method, "PUT") == 0
          || strcmp (method, "DELETE") == 0;
 }
 
 static bool
-read_service_call (LnCall *call, const LnExchange *exchange, LbError *error)
+parse_service_call (LnCall *call, const LnExchange *exchange, LbError *error)
 {
   const char *name = ln_exchange_path (exchange) + strlen ("/services/");
   const char *slash = strchr (name, '/');
@@ -221,7 +226,7 @@
   size_t length;
 
   if (!lh_method_is_known (ln_exchange_method (exchange)))
-    return lb_error_set (error, LB_ERROR_BAD_VALUE, "method", "this method can't be passed on");
+    return lb_error_set (error, LB_ERROR_BAD_VALUE, "method", "the method is not supported");
   if (name_length == 0 || name_length >= LB_NAME_MAX)
     return lb_error_set (error, LB_ERROR_UNKNOWN_SERVICE, "path", "expected /services/NAME/PATH");
   memcpy (call->spec.pool, name, name_length);
@@ -231,13 +236,14 @@
   call->raw_body = lb_memdup (body, length + 1);
   call->raw_length = length;
   ln_exchange_each_header (exchange, copy_header, call);
-  call->spec.repeatable = is_safe_method (call->method) || is_set (exchange, "x-repeatable");
+  call->spec.repeatable
+      = is_idempotent_method (call->method) || has_flag_header (exchange, "x-repeatable");
   call->spec.expected_tokens = 1;
   return true;
 }
 
 static LnCallKind
-kind_of (const char *path)
+call_kind_of_path (const char *path)
 {
   if (strncmp (path, "/services/", strlen ("/services/")) == 0)
     return LN_CALL_SERVICE;
@@ -245,17 +251,17 @@
 }
 
 LnCall *
-ln_call_read (const LnExchange *exchange, LbTime now, LbTime deadline, LbError *error)
+ln_call_parse (const LnExchange *exchange, LbTime now, LbTime deadline, LbError *error)
 {
-  LnCall *call = ln_call_new (kind_of (ln_exchange_path (exchange)));
+  LnCall *call = ln_call_new (call_kind_of_path (ln_exchange_path (exchange)));
   bool is_service = call->kind == LN_CALL_SERVICE;
 
   call->spec.kind = is_service ? LC_KIND_SERVICE : LC_KIND_LIVE;
   call->spec.repeatable = true;
   call->spec.resumable = !is_service;
-  if (!(is_service ? read_service_call (call, exchange, error)
-                   : read_engine_call (call, exchange, error))
-      || !read_headers (&call->spec, exchange, now, deadline, error))
+  if (!(is_service ? parse_service_call (call, exchange, error)
+                   : parse_engine_call (call, exchange, error))
+      || !parse_headers (&call->spec, exchange, now, deadline, error))
     {
       ln_call_free (call);
       return NULL;
--- a/packages/node/src/calls/ln-call-reader.h
+++ b/packages/node/src/calls/ln-call-reader.h
@@ -3,10 +3,10 @@
 
 #include "ln-call.h"
 
-/* Reads and checks a live call: path, headers and body. NULL and a typed error for bad input. The
- * id is left to the submitter. */
-LnCall *ln_call_read (const LnExchange *exchange, LbTime now, LbTime deadline, LbError *error);
-/* Fills the hashes of the prompt's leading blocks, shortest first. */
+/* Parses and validates a live call: path, headers and body. Returns NULL and sets the error for bad
+ * input. The submitter sets the id. */
+LnCall *ln_call_parse (const LnExchange *exchange, LbTime now, LbTime deadline, LbError *error);
+/* Sets the hashes of the prompt's prefixes, shortest first, and the estimated prompt_tokens. */
 void ln_call_hash_prompt (LcRequestSpec *spec, const char *prompt, size_t length);
 
 #endif
--- a/packages/node/src/calls/ln-call.c
+++ b/packages/node/src/calls/ln-call.c
@@ -19,8 +19,8 @@
   LnCall *call = LB_NEW (LnCall);
 
   call->kind = kind;
-  call->text = evbuffer_new ();
-  call->kept = evbuffer_new ();
+  call->sent_text = evbuffer_new ();
+  call->replay_events = evbuffer_new ();
   lb_list_init (&call->attempts);
   return call;
 }
@@ -44,8 +44,8 @@
   free (call->raw_body);
   free (call->resume_text);
   lc_outgoing_clear (&call->outgoing);
-  evbuffer_free (call->text);
-  evbuffer_free (call->kept);
+  evbuffer_free (call->sent_text);
+  evbuffer_free (call->replay_events);
   json_object_put (call->body);
   free (call);
 }
@@ -63,7 +63,7 @@
 }
 
 LcFingerprint
-ln_call_content (const LnCall *call)
+ln_call_fingerprint (const LnCall *call)
 {
   const LcOutgoing *outgoing = &call->outgoing;
   const char *text = NULL;
@@ -80,11 +80,11 @@
 }
 
 static struct json_object *
-resume_object (LnCall *call, int64_t resume_at)
+make_resume_object (LnCall *call, int64_t resume_at)
 {
   struct json_object *resume = json_object_new_object ();
-  size_t length = evbuffer_get_length (call->text);
-  const char *sent = length > 0 ? (const char *)evbuffer_pullup (call->text, -1) : "";
+  size_t length = evbuffer_get_length (call->sent_text);
+  const char *sent = length > 0 ? (const char *)evbuffer_pullup (call->sent_text, -1) : "";
   char *text
       = lb_asprintf ("%s%.*s", call->resume_text ? call->resume_text : "", (int)length, sent);
 
@@ -95,14 +95,14 @@
 }
 
 char *
-ln_call_engine_body (LnCall *call, const char *stream_id, int64_t resume_at)
+ln_call_format_engine_body (LnCall *call, const char *stream_id, int64_t resume_at)
 {
   json_object_object_add (call->body, "stream", json_object_new_boolean (true));
   json_object_object_add (call->body, "request_id", json_object_new_string (stream_id));
   json_object_object_add (call->body, "priority", json_object_new_int (call->spec.priority));
   json_object_object_del (call->body, "resume");
   if (resume_at > 0)
-    json_object_object_add (call->body, "resume", resume_object (call, resume_at));
+    json_object_object_add (call->body, "resume", make_resume_object (call, resume_at));
   return lb_strdup (json_object_to_json_string_ext (call->body, JSON_FORMAT));
 }
 
@@ -139,7 +139,7 @@
 }
 
 static void
-add_version (LnAttempt *attempt, LcVersion version)
+add_weight_version (LnAttempt *attempt, LcVersion version)
 {
   if (version == 0 || attempt->n_versions == LN_MAX_VERSIONS)
     return;
@@ -150,7 +150,7 @@
 }
 
 static void
-note_finish_reason (LnAttempt *attempt, struct json_object *event)
+record_finish_reason (LnAttempt *attempt, struct json_object *event)
 {
   struct json_object *choices = NULL;
   struct json_object *reason = NULL;
@@ -163,15 +163,15 @@
 }
 
 void
-ln_attempt_add (LnAttempt *attempt,
-                const LcPiece *piece,
-                struct json_object *event,
-                const char *text)
+ln_attempt_add_piece (LnAttempt *attempt,
+                      const LcPiece *piece,
+                      struct json_object *event,
+                      const char *text)
 {
   attempt->tokens += piece->tokens;
-  add_version (attempt, piece->version);
-  add_version (attempt, piece->kv_reused_version);
-  note_finish_reason (attempt, event);
+  add_weight_version (attempt, piece->version);
+  add_weight_version (attempt, piece->kv_reused_version);
+  record_finish_reason (attempt, event);
   if (attempt->call->spec.delivery != LC_DELIVER_BUFFERED)
     return;
   evbuffer_add (attempt->text, text, strlen (text));
@@ -180,7 +180,7 @@
 }
 
 static void
-relabel (LnCall *call, struct json_object *event)
+set_reply_fields (LnCall *call, struct json_object *event)
 {
   const char *type = call->kind == LN_CALL_CHAT ? "chat.completion.chunk" : "text_completion";
 
@@ -191,41 +191,41 @@
 }
 
 static void
-begin_stream (LnCall *call, const char *endpoint)
+start_stream (LnCall *call, const char *endpoint)
 {
-  call->stream_begun = true;
+  call->is_stream_started = true;
   ln_exchange_set_header (call->exchange, "x-endpoint", endpoint);
   ln_exchange_set_header (call->exchange, "Cache-Control", "no-cache");
   ln_exchange_stream_start (call->exchange, 200, "text/event-stream");
 }
 
 void
-ln_call_forward (LnCall *call, struct json_object *event, const char *endpoint)
+ln_call_forward_event (LnCall *call, struct json_object *event, const char *endpoint)
 {
   size_t length;
 
-  relabel (call, event);
+  set_reply_fields (call, event);
   char *line = lb_asprintf ("data: %s\n\n", json_object_to_json_string_ext (event, JSON_FORMAT));
   length = strlen (line);
-  if (call->ticketed)
-    evbuffer_add (call->kept, line, length);
-  if (call->exchange && !call->stream_begun)
-    begin_stream (call, endpoint);
+  if (call->has_ticket)
+    evbuffer_add (call->replay_events, line, length);
+  if (call->exchange && !call->is_stream_started)
+    start_stream (call, endpoint);
   if (call->exchange)
     ln_exchange_stream_piece (call->exchange, line, length);
-  call->last_sent = lb_clock_monotonic ();
+  call->last_sent_at = lb_clock_monotonic ();
   free (line);
 }
 
 void
-ln_call_keep_alive (LnCall *call, LbTime before, LbTime now)
+ln_call_send_keep_alive (LnCall *call, LbTime idle_since, LbTime now)
 {
   static const char comment[] = ": keep-alive\n\n";
 
-  if (!call->exchange || !call->stream_begun || call->last_sent > before)
+  if (!call->exchange || !call->is_stream_started || call->last_sent_at > idle_since)
     return;
   ln_exchange_stream_piece (call->exchange, comment, sizeof comment - 1);
-  call->last_sent = now;
+  call->last_sent_at = now;
 }
 
 static void
@@ -242,7 +242,7 @@
 }
 
 static struct json_object *
-whole_choice (const LnCall *call, LnAttempt *winner)
+make_choice (const LnCall *call, LnAttempt *winner)
 {
   struct json_object *choice = json_object_new_object ();
   size_t length = evbuffer_get_length (winner->text);
@@ -264,16 +264,16 @@
 }
 
 static struct json_object *
-whole_object (LnCall *call, LnAttempt *winner)
+make_reply_object (LnCall *call, LnAttempt *winner)
 {
   struct json_object *reply = json_object_new_object ();
   struct json_object *choices = json_object_new_array ();
   struct json_object *usage = json_object_new_object ();
 
-  relabel (call, reply);
+  set_reply_fields (call, reply);
   if (call->kind == LN_CALL_CHAT)
     json_object_object_add (reply, "object", json_object_new_string ("chat.completion"));
-  json_object_array_add (choices, whole_choice (call, winner));
+  json_object_array_add (choices, make_choice (call, winner));
   json_object_object_add (reply, "choices", choices);
   json_object_object_add (usage, "completion_tokens", json_object_new_int64 (winner->tokens));
   json_object_object_add (reply, "usage", usage);
@@ -281,16 +281,15 @@
 }
 
 static void
-reply_whole (LnCall *call, LnAttempt *winner)
+reply_object (LnCall *call, LnAttempt *winner)
 {
   ln_exchange_set_header (call->exchange, "x-endpoint", ln_upstream_endpoint (winner->upstream));
   set_versions_header (call->exchange, winner);
-  ln_exchange_reply_json (call->exchange, 200, whole_object (call, winner));
+  ln_exchange_reply_json (call->exchange, 200, make_reply_object (call, winner));
 }
 
-/* Headers that belong to one connection are not passed on. */
 bool
-ln_call_is_hop_header (const char *name)
+ln_is_hop_by_hop_header (const char *name)
 {
   static const char *const names[]
       = { "Connection",        "Keep-Alive", "Transfer-Encoding", "TE",     "Trailer",
@@ -304,9 +303,9 @@
 }
 
 static void
-pass_header (const char *name, const char *value, void *user)
+forward_header (const char *name, const char *value, void *user)
 {
-  if (!ln_call_is_hop_header (name))
+  if (!ln_is_hop_by_hop_header (name))
     ln_exchange_set_header (user, name, value);
 }
 
@@ -316,14 +315,14 @@
   size_t length;
   const char *body = ln_upstream_body (winner->upstream, &length);
 
-  lh_fetch_each_header (ln_upstream_fetch (winner->upstream), pass_header, call->exchange);
+  lh_fetch_each_header (ln_upstream_fetch (winner->upstream), forward_header, call->exchange);
   if (!call->outgoing.path)
     ln_exchange_set_header (call->exchange, "x-endpoint", ln_upstream_endpoint (winner->upstream));
   ln_exchange_reply_text (call->exchange, ln_upstream_status (winner->upstream), NULL, body,
                           length);
 }
 
-static const char done_event[] = "data: [DONE]\n\n";
+static const char end_event[] = "data: [DONE]\n\n";
 
 static void
 copy_service_answer (LnAttempt *winner, LnAnswer *answer)
@@ -332,32 +331,32 @@
   const char *body = ln_upstream_body (winner->upstream, &answer->length);
 
   answer->status = ln_upstream_status (winner->upstream);
-  LB_COPY (answer->type, type ? type : "");
+  LB_COPY (answer->content_type, type ? type : "");
   answer->body = lb_memdup (body, answer->length);
 }
 
 static void
 copy_stream (LnCall *call, LnAnswer *answer)
 {
-  evbuffer_add (call->kept, done_event, sizeof done_event - 1);
-  LB_COPY (answer->type, "text/event-stream");
-  answer->length = evbuffer_get_length (call->kept);
+  evbuffer_add (call->replay_events, end_event, sizeof end_event - 1);
+  LB_COPY (answer->content_type, "text/event-stream");
+  answer->length = evbuffer_get_length (call->replay_events);
   answer->body = lb_malloc (answer->length);
-  evbuffer_copyout (call->kept, answer->body, answer->length);
+  evbuffer_copyout (call->replay_events, answer->body, answer->length);
 }
 
 static void
-copy_object (LnCall *call, LnAttempt *winner, LnAnswer *answer)
+copy_reply_object (LnCall *call, LnAttempt *winner, LnAnswer *answer)
 {
-  struct json_object *object = whole_object (call, winner);
+  struct json_object *object = make_reply_object (call, winner);
 
-  LB_COPY (answer->type, "application/json");
+  LB_COPY (answer->content_type, "application/json");
   answer->body = lb_json_take_text (object, JSON_FORMAT);
   answer->length = strlen (answer->body);
 }
 
 void
-ln_call_whole_answer (LnCall *call, LnAttempt *winner, LnAnswer *answer)
+ln_call_copy_answer (LnCall *call, LnAttempt *winner, LnAnswer *answer)
 {
   memset (answer, 0, sizeof *answer);
   answer->status = 200;
@@ -366,7 +365,7 @@
   else if (call->wants_stream)
     copy_stream (call, answer);
   else
-    copy_object (call, winner, answer);
+    copy_reply_object (call, winner, answer);
 }
 
 void
@@ -378,16 +377,16 @@
     reply_service (call, winner);
   else if (call->wants_stream)
     {
-      ln_exchange_stream_piece (call->exchange, done_event, sizeof done_event - 1);
+      ln_exchange_stream_piece (call->exchange, end_event, sizeof end_event - 1);
       ln_exchange_end (call->exchange);
     }
   else
-    reply_whole (call, winner);
+    reply_object (call, winner);
   call->exchange = NULL;
 }
 
 static const char *
-advice (LbErrorCode code)
+describe_failure (LbErrorCode code)
 {
   return lb_error_is_not_run (code) ? "the request was not run" : "the request may have run";
 }
@@ -399,7 +398,7 @@
 
   if (!call->exchange)
     return;
-  lb_error_set (&error, code, call->spec.pool, "%s", advice (code));
+  lb_error_set (&error, code, call->spec.pool, "%s", describe_failure (code));
   ln_exchange_reply_error (call->exchange, &error, retry_after);
   call->exchange = NULL;
 }
--- a/packages/node/src/calls/ln-call.h
+++ b/packages/node/src/calls/ln-call.h
@@ -3,7 +3,7 @@
 
 #include "ln-answer.h"
 #include "ln-exchange.h"
-#include "ln-holder.h"
+#include "ln-exchange-handler.h"
 #include "ln-upstream.h"
 
 #include "lc-organisations.h"
@@ -15,16 +15,16 @@
 
 #define LN_MAX_VERSIONS 16
 
-/* What one attempt has brought so far. */
+/* What one attempt has received so far. */
 typedef struct
 {
   LbLink link; /* in LnCall.attempts */
   LnCall *call;
   LnUpstream *upstream;
-  struct evbuffer *text; /* WHOLE: gathered here until one attempt wins */
-  LcPiece *pieces;       /* WHOLE */
+  struct evbuffer *text; /* BUFFERED: collected until one attempt wins */
+  LcPiece *pieces;       /* BUFFERED */
   size_t n_pieces;
-  LcVersion versions[LN_MAX_VERSIONS];
+  LcVersion versions[LN_MAX_VERSIONS]; /* distinct weight versions of its pieces */
   size_t n_versions;
   int64_t tokens;
   LbTime sent_at;
@@ -40,22 +40,22 @@
   LN_CALL_SCORE
 } LnCallKind;
 
-/* One request under way: what to send to endpoints and where its answer goes. */
+/* One request in progress: what to send to endpoints and where the answer goes. */
 struct LnCall
 {
-  LnHolder holder;   /* first; hears when the caller of exchange goes away */
-  UT_hash_handle hh; /* by spec.id */
-  LbLink link;       /* in the task's list */
+  LnExchangeHandler handler; /* first; notified when the caller of exchange disconnects */
+  UT_hash_handle hh;         /* by spec.id */
+  LbLink link;               /* in the task's list */
   LnCallKind kind;
   LcRequestSpec spec;
-  LnExchange *exchange; /* NULL: a sample, or nobody waits any more */
+  LnExchange *exchange; /* NULL: a sample, or the caller has disconnected */
   LbTime submitted_at;
-  bool submitted; /* to the dispatch, which will say how it ended */
-  bool ticketed;  /* goes on without its caller, who may come again with the same ticket */
+  bool is_submitted; /* to the dispatch, which will emit its FINISH */
+  bool has_ticket;   /* continues after its caller disconnects, who may retry with the ticket */
   bool wants_stream;
-  bool stream_begun;
-  LbTime last_sent;         /* to the caller of a stream */
-  char stream_id[96];       /* the id that the caller sees */
+  bool is_stream_started;
+  LbTime last_sent_at;      /* to the caller of a stream */
+  char stream_id[96];       /* in events sent to the caller */
   struct json_object *body; /* for engines */
   char *method;             /* for services, all owned */
   char *path;
@@ -63,48 +63,49 @@
   size_t n_headers;
   char *raw_body;
   size_t raw_length;
-  LbName organisation; /* whose call it is; "": nobody's in particular */
-  bool was_sent;       /* an attempt was made */
-  bool is_counted;     /* as one that began to run */
+  LbName organisation;   /* to which the call belongs; "": none */
+  bool was_sent;         /* at least one attempt was started */
+  bool is_usage_counted; /* in its organisation's usage */
   bool has_key;
-  LcKeyDigest key;       /* by which its organisation was known */
-  LcOutgoing outgoing;   /* in a dialect: what is sent to endpoints, in place of all these */
-  char *resume_text;     /* what the submitter has before resume_at; may be NULL */
-  struct evbuffer *text; /* STREAM: what has gone out */
-  struct evbuffer *kept; /* ticketed streams: what has gone out, as it went out */
+  LcKeyDigest key;            /* of the API key that it was admitted with */
+  LcOutgoing outgoing;        /* with a dialect: sent to endpoints instead of the fields above */
+  char *resume_text;          /* text before resume_at that the submitter has; may be NULL */
+  struct evbuffer *sent_text; /* STREAM: text passed to the submitter */
+  struct evbuffer *replay_events; /* ticketed streams: events sent, for a retry */
   LbList attempts;
-  LnAttempt *ended; /* whose end is being handled; it is in attempts no more */
-  void *owner;      /* the task's own */
+  LnAttempt *ended_attempt; /* whose end is being handled; removed from attempts */
+  void *owner;              /* the LnCalls task */
 };
 
 LnCall *ln_call_new (LnCallKind kind);
 void ln_call_free (LnCall *call);
 bool ln_call_is_for_engine (const LnCall *call);
-/* Where engines take it; not in a dialect. */
+/* Request path at engines; without a dialect only. */
 const char *ln_call_engine_path (const LnCall *call);
-/* What it asks for; before its first attempt. */
-LcFingerprint ln_call_content (const LnCall *call);
-/* The JSON for one attempt at an engine; the caller frees it. */
-char *ln_call_engine_body (LnCall *call, const char *stream_id, int64_t resume_at);
+/* Fingerprint of the request; valid before its first attempt, which modifies the body. */
+LcFingerprint ln_call_fingerprint (const LnCall *call);
+/* JSON body for one attempt at an engine; the caller frees it. */
+char *ln_call_format_engine_body (LnCall *call, const char *stream_id, int64_t resume_at);
 
-bool ln_call_is_hop_header (const char *name);
+/* Whether the header applies to one connection only (hop-by-hop) and is not forwarded. */
+bool ln_is_hop_by_hop_header (const char *name);
 
 LnAttempt *ln_attempt_new (LnCall *call);
 void ln_attempt_free (LnAttempt *attempt);
 LnAttempt *ln_call_find_attempt (LnCall *call, uint32_t number);
-/* Keeps what the piece says of the whole answer, and the piece itself when pieces are gathered. */
-void ln_attempt_add (LnAttempt *attempt,
-                     const LcPiece *piece,
-                     struct json_object *event,
-                     const char *text);
+/* Updates the totals of the attempt; stores the piece itself if delivery is BUFFERED. */
+void ln_attempt_add_piece (LnAttempt *attempt,
+                           const LcPiece *piece,
+                           struct json_object *event,
+                           const char *text);
 
-/* Passes an engine's event to a caller who streams. */
-void ln_call_forward (LnCall *call, struct json_object *event, const char *endpoint);
-/* A comment line to a caller whose stream has been silent since `before`. */
-void ln_call_keep_alive (LnCall *call, LbTime before, LbTime now);
-/* The whole answer as bytes, for others than the caller who began the call. */
-void ln_call_whole_answer (LnCall *call, LnAttempt *winner, LnAnswer *answer);
-/* The answer of the attempt that won. The exchange is gone afterwards. */
+/* Forwards an engine's event to a streaming caller. */
+void ln_call_forward_event (LnCall *call, struct json_object *event, const char *endpoint);
+/* Sends an SSE comment if nothing was sent on the stream after idle_since. */
+void ln_call_send_keep_alive (LnCall *call, LbTime idle_since, LbTime now);
+/* Copies the complete answer, to store it for the call's ticket. */
+void ln_call_copy_answer (LnCall *call, LnAttempt *winner, LnAnswer *answer);
+/* Sends the answer of the winning attempt to the caller; invalidates the exchange. */
 void ln_call_reply (LnCall *call, LnAttempt *winner);
 void ln_call_reply_error (LnCall *call, LbErrorCode code, LbTime retry_after);
 
--- a/packages/node/src/calls/ln-calls-attempts.c
+++ b/packages/node/src/calls/ln-calls-attempts.c
@@ -14,14 +14,16 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define SURELY_BEGUN (300 * LB_MSEC)
+/* An attempt that was not refused by then counts as started: endpoints refuse at once. */
+#define STARTED_AFTER (300 * LB_MSEC)
 
-static LbHistogram attempt_time
-    = LB_HISTOGRAM_INIT ("lentilspindle_attempt_seconds", "Attempts at endpoints, whole or not");
-static LbMetric pieces_dropped
-    = LB_COUNTER_INIT ("lentilspindle_pieces_dropped_total",
-                       NULL,
-                       "Pieces of answers that were repeats, out of order or of a lost attempt");
+static LbHistogram attempt_duration
+    = LB_HISTOGRAM_INIT ("lentilspindle_attempt_seconds",
+                         "Duration of attempts at endpoints, complete or not");
+static LbMetric pieces_dropped = LB_COUNTER_INIT (
+    "lentilspindle_pieces_dropped_total",
+    NULL,
+    "Pieces of answers dropped as repeated, out of order or from a losing attempt");
 
 static void
 clear_piece (LnMessage *message)
@@ -30,11 +32,11 @@
 }
 
 void
-ln_calls_post_piece (LnCalls *calls,
-                     const LnCall *call,
-                     const LcPiece *piece,
-                     const char *endpoint,
-                     const char *text)
+ln_calls_post_sample_piece (LnCalls *calls,
+                            const LnCall *call,
+                            const LcPiece *piece,
+                            const char *endpoint,
+                            const char *text)
 {
   LnSamplePieceMessage message
       = { .base = LN_MESSAGE (LN_SAMPLE_PIECE), .request = call->spec.id, .piece = *piece };
@@ -45,10 +47,13 @@
   LN_POST (calls->task.hub, ln_hub_find (calls->task.hub, "rollouts"), message);
 }
 
-/* An engine's own event is the best word on its weights: the list lags, and the plan may be wrong.
- */
+/* The version in an engine's own event is more reliable than the endpoint list, which lags, and the
+ * plan, which may be wrong. */
 static void
-note_version (LnCalls *calls, const LnCall *call, const LnUpstream *upstream, LcVersion version)
+record_stated_version (LnCalls *calls,
+                       const LnCall *call,
+                       const LnUpstream *upstream,
+                       LcVersion version)
 {
   LcEndpoints *endpoints = lc_dispatch_endpoints (calls->dispatch);
   const LcEndpoint *endpoint = lc_endpoints_find (endpoints, ln_upstream_endpoint (upstream));
@@ -80,7 +85,7 @@
 
   lb_list_init (&actions);
   if (calls->context->dialect)
-    note_version (calls, call, upstream, piece->version);
+    record_stated_version (calls, call, upstream, piece->version);
   LcPieceVerdict verdict
       = lc_dispatch_receive_piece (calls->dispatch, call->spec.id, ln_upstream_attempt (upstream),
                                    piece, lb_clock_monotonic (), &actions);
@@ -88,19 +93,19 @@
     lb_metric_add (&pieces_dropped, 1);
   else
     {
-      ln_attempt_add (attempt, piece, event, text);
+      ln_attempt_add_piece (attempt, piece, event, text);
       if (call->spec.delivery == LC_DELIVER_STREAM && !calls->context->dialect)
-        evbuffer_add (call->text, text, strlen (text));
+        evbuffer_add (call->sent_text, text, strlen (text));
       if (call->wants_stream)
-        ln_call_forward (call, event, ln_upstream_endpoint (upstream));
+        ln_call_forward_event (call, event, ln_upstream_endpoint (upstream));
       else if (call->kind == LN_CALL_SAMPLE && call->spec.delivery == LC_DELIVER_STREAM)
-        ln_calls_post_piece (calls, call, piece, ln_upstream_endpoint (upstream), text);
+        ln_calls_post_sample_piece (calls, call, piece, ln_upstream_endpoint (upstream), text);
     }
-  ln_calls_run (calls, &actions);
+  ln_calls_perform_actions (calls, &actions);
 }
 
 static void
-log_end (const LnAttempt *attempt, LcAttemptEnd end)
+log_attempt_end (const LnAttempt *attempt, LcAttemptEnd end)
 {
   static const char *const names[] = {
     [LC_END_COMPLETE] = "whole",       [LC_END_REFUSED] = "refused",
@@ -112,7 +117,7 @@
   char content[LC_FINGERPRINT_TEXT_SIZE];
 
   lc_fingerprint_to_text (call->spec.content, content);
-  lb_histogram_add (&attempt_time, lb_clock_monotonic () - attempt->sent_at);
+  lb_histogram_add (&attempt_duration, lb_clock_monotonic () - attempt->sent_at);
   lb_log (LB_LOG_INFO, "attempt_ended", LB_INT ("request", call->spec.id),
           LB_TEXT ("id", call->outgoing.id), LB_TEXT ("caller", call->spec.caller),
           LB_TEXT ("content", content), LB_INT ("attempt", ln_upstream_attempt (attempt->upstream)),
@@ -123,9 +128,9 @@
           LB_INT ("took_us", lb_clock_monotonic () - attempt->sent_at));
 }
 
-/* Placement prefers, among equals, an endpoint with an idle connection. */
+/* Among equally good endpoints the router prefers one with an idle connection. */
 static void
-note_connections (LnCalls *calls, const char *name)
+update_idle_connections (LnCalls *calls, const char *name)
 {
   LcEndpoint *endpoint = lc_endpoints_find (lc_dispatch_endpoints (calls->dispatch), name);
 
@@ -136,16 +141,16 @@
                                       lb_clock_monotonic ());
 }
 
-/* The endpoint's own word on its load comes with its replies, so it costs no question. */
+/* Endpoints state their load in reply headers, so that no extra request is needed. */
 static void
-note_load (LnCalls *calls, const LnCall *call, const LnUpstream *upstream)
+record_stated_load (LnCalls *calls, const LnCall *call, const LnUpstream *upstream)
 {
   const LcEndpoint *endpoint = lc_endpoints_find (lc_dispatch_endpoints (calls->dispatch),
                                                   ln_upstream_endpoint (upstream));
   LcLoadReport report = { 0 };
   LnStatedLoad load;
 
-  ln_upstream_load (upstream, &load);
+  ln_upstream_read_load (upstream, &load);
   if (!load.stated || !endpoint)
     return;
   LB_COPY (report.incarnation, endpoint->member.name);
@@ -153,68 +158,68 @@
   report.running = load.running;
   report.waiting = load.waiting;
   report.measured_at = lb_clock_monotonic ();
-  /* How many texts of batches run is known beforehand, and they fill engines on purpose. */
+  /* The load of batches is known beforehand and fills engines on purpose: no sign of overload. */
   if (call->kind != LN_CALL_SAMPLE)
-    lc_utilisation_add_report (calls->crowding, endpoint->member.service,
+    lc_utilisation_add_report (calls->utilisation, endpoint->member.service,
                                load.running + load.waiting, endpoint->member.concurrency);
   lc_endpoints_record_load (lc_dispatch_endpoints (calls->dispatch), endpoint->member.name, &report,
                             report.measured_at);
 }
 
-/* Usage counts a request once, from when it was first at an endpoint that did not refuse it: plain
- * services begin to work on what they take at once. */
+/* Usage counts a request once, as of its first attempt that was not refused: plain services start
+ * working on an accepted request at once. */
 void
-ln_calls_count_began (LnCalls *calls, const LnAttempt *attempt)
+ln_calls_count_usage (LnCalls *calls, const LnAttempt *attempt)
 {
   LnCall *call = attempt->call;
   LnTask *duties = ln_hub_find (calls->task.hub, "duties");
   LnRequestStartedMessage message
       = { .base = LN_MESSAGE (LN_REQUEST_STARTED), .at = attempt->sent_at };
 
-  if (call->is_counted || call->kind != LN_CALL_SERVICE || !call->organisation[0] || !duties)
+  if (call->is_usage_counted || call->kind != LN_CALL_SERVICE || !call->organisation[0] || !duties)
     return;
-  call->is_counted = true;
+  call->is_usage_counted = true;
   LB_COPY (message.organisation, call->organisation);
   LN_POST (calls->task.hub, duties, message);
 }
 
-/* Guards against a call that is counted too late: its window is reported while it still works. An
- * endpoint that refuses says so at once. */
+/* Counts a call that is still running, since its usage window may be reported before it ends. */
 void
-ln_calls_count_running (LnCalls *calls, LnCall *call, LbTime now)
+ln_calls_count_running_usage (LnCalls *calls, LnCall *call, LbTime now)
 {
   LB_LIST_FOREACH (&call->attempts, LnAttempt, link, attempt)
   {
-    if (now - attempt->sent_at >= SURELY_BEGUN)
+    if (now - attempt->sent_at >= STARTED_AFTER)
       {
-        ln_calls_count_began (calls, attempt);
+        ln_calls_count_usage (calls, attempt);
         return;
       }
   }
 }
 
 static bool
-may_have_begun (LcAttemptEnd end)
+may_have_run (LcAttemptEnd end)
 {
   return end != LC_END_REFUSED && end != LC_END_REFUSED_LEAVING && end != LC_END_NOT_SENT;
 }
 
-/* An endpoint that ended under a request looks like one that cut an answer. A text that had begun
- * goes on behind its last piece and is not asked for the same again. */
+/* A crash of the endpoint looks like a single truncated answer; the check tells them apart. A
+ * stream that is resumed after its last piece is not reported: its next attempt is not the same
+ * request. */
 static void
-note_broken (LnCalls *calls, const LnAttempt *attempt, LcAttemptEnd end)
+report_broken_attempt (LnCalls *calls, const LnAttempt *attempt, LcAttemptEnd end)
 {
   const LnUpstream *upstream = attempt->upstream;
   const LcRequestSpec *spec = &attempt->call->spec;
-  bool goes_on = attempt->tokens > 0 && spec->resumable && spec->delivery == LC_DELIVER_STREAM;
+  bool is_resumed = attempt->tokens > 0 && spec->resumable && spec->delivery == LC_DELIVER_STREAM;
 
-  if (end == LC_END_BROKEN && !goes_on && ln_upstream_was_closed (upstream))
+  if (end == LC_END_BROKEN && !is_resumed && ln_upstream_has_lost_connection (upstream))
     ln_endpoint_checks_broken (calls->checks, ln_upstream_endpoint (upstream),
                                ln_upstream_address (upstream), spec->content);
 }
 
-/* The attempt stays only until the actions that its end brings have run: a FINISH among them takes
- * the answer from it. */
+/* The attempt is kept until the resulting actions are performed: a FINISH among them takes the
+ * answer from it. */
 static void
 on_end (LnUpstream *upstream, LcAttemptEnd end, void *user)
 {
@@ -224,29 +229,29 @@
   LbList actions;
 
   lb_list_init (&actions);
-  note_load (calls, call, upstream);
-  note_connections (calls, ln_upstream_endpoint (upstream));
+  record_stated_load (calls, call, upstream);
+  update_idle_connections (calls, ln_upstream_endpoint (upstream));
   lb_list_remove (&call->attempts, &attempt->link);
-  call->ended = attempt;
-  log_end (attempt, end);
-  if (may_have_begun (end))
-    ln_calls_count_began (calls, attempt);
-  note_broken (calls, attempt, end);
+  call->ended_attempt = attempt;
+  log_attempt_end (attempt, end);
+  if (may_have_run (end))
+    ln_calls_count_usage (calls, attempt);
+  report_broken_attempt (calls, attempt, end);
   LcRequestId id = call->spec.id;
   lc_dispatch_record_attempt_end (calls->dispatch, id, ln_upstream_attempt (upstream), end,
                                   lb_clock_monotonic (), &actions);
-  ln_calls_run (calls, &actions);
+  ln_calls_perform_actions (calls, &actions);
   ln_crashes_tell (calls->crashes);
   if (end == LC_END_REFUSED_LEAVING)
-    ln_calls_tell_leaving (calls, ln_upstream_endpoint (upstream));
+    ln_calls_broadcast_leaving (calls, ln_upstream_endpoint (upstream));
   call = ln_calls_find (calls, id);
   if (call)
-    call->ended = NULL;
+    call->ended_attempt = NULL;
   ln_attempt_free (attempt);
 }
 
 static LnUpstream *
-start_engine (LnCalls *calls, LnAttempt *attempt, const LcAction *action, LbError *error)
+start_engine_attempt (LnCalls *calls, LnAttempt *attempt, const LcAction *action, LbError *error)
 {
   static const LnUpstreamHandlers handlers = { .on_piece = on_piece, .on_end = on_end };
   static const LhHeader headers[] = { { "Content-Type", "application/json" } };
@@ -255,7 +260,7 @@
 
   snprintf (stream_id, sizeof stream_id, "%s-%llu.%u", calls->context->incarnation,
             (unsigned long long)action->request, action->attempt);
-  char *body = ln_call_engine_body (call, stream_id, action->resume_at);
+  char *body = ln_call_format_engine_body (call, stream_id, action->resume_at);
   const LnUpstreamSpec spec
       = { .request = action->request,
           .attempt = action->attempt,
@@ -275,9 +280,9 @@
   return upstream;
 }
 
-/* A plain service sends nothing while it works, so its silence is bounded by the deadline. */
+/* A plain service sends nothing while it works, so only the deadline limits its silence. */
 static LbTime
-service_silence (const LnCall *call)
+max_service_silence (const LnCall *call)
 {
   LbTime left = call->spec.deadline - lb_clock_monotonic ();
 
@@ -285,7 +290,7 @@
 }
 
 static LnUpstream *
-start_service (LnCalls *calls, LnAttempt *attempt, const LcAction *action, LbError *error)
+start_service_attempt (LnCalls *calls, LnAttempt *attempt, const LcAction *action, LbError *error)
 {
   static const LnUpstreamHandlers handlers = { .on_end = on_end };
   LnCall *call = attempt->call;
@@ -300,13 +305,13 @@
                                 .body = call->raw_body,
                                 .body_length = call->raw_length,
                                 .name = call->outgoing.id,
-                                .silence = service_silence (call) };
+                                .silence = max_service_silence (call) };
 
   return ln_upstream_start (calls->context->http, &spec, &handlers, attempt, error);
 }
 
 static LhHeader *
-join_headers (const LcOutgoing *a, const LcOutgoing *b, size_t *n)
+concatenate_headers (const LcOutgoing *a, const LcOutgoing *b, size_t *n)
 {
   LhHeader *headers = LB_NEW_ARRAY (LhHeader, a->n_headers + b->n_headers);
 
@@ -318,7 +323,8 @@
   return headers;
 }
 
-/* What is left of the time that the caller gave, so that the endpoint stops when nobody waits. */
+/* Time until the caller's deadline, sent to the endpoint so that it stops work nobody waits for;
+ * 0: none. */
 static LbTime
 time_left (const LnCall *call)
 {
@@ -330,7 +336,7 @@
 }
 
 static LnUpstream *
-start_in_dialect (LnCalls *calls, LnAttempt *attempt, const LcAction *action, LbError *error)
+start_dialect_attempt (LnCalls *calls, LnAttempt *attempt, const LcAction *action, LbError *error)
 {
   static const LnUpstreamHandlers handlers = { .on_piece = on_piece, .on_end = on_end };
   LnCall *call = attempt->call;
@@ -342,7 +348,7 @@
                                  .resume_at = action->resume_at,
                                  .organisation = call->organisation,
                                  .is_sample = call->kind != LN_CALL_SERVICE };
-  LcOutgoing added = { 0 };
+  LcOutgoing attempt_headers = { 0 };
   LnUpstreamSpec spec = { .request = action->request,
                           .attempt = action->attempt,
                           .endpoint = action->endpoint,
@@ -355,15 +361,15 @@
                           .dialect = dialect,
                           .name = call->outgoing.id,
                           .is_stream = is_stream,
-                          .silence = is_stream ? stream_silence : service_silence (call) };
+                          .silence = is_stream ? stream_silence : max_service_silence (call) };
 
-  LB_COPY (added.id, call->outgoing.id);
-  dialect->write_words (&words, &added);
-  LhHeader *headers = join_headers (&call->outgoing, &added, &spec.n_headers);
+  LB_COPY (attempt_headers.id, call->outgoing.id);
+  dialect->write_words (&words, &attempt_headers);
+  LhHeader *headers = concatenate_headers (&call->outgoing, &attempt_headers, &spec.n_headers);
   spec.headers = headers;
   LnUpstream *upstream = ln_upstream_start (calls->context->http, &spec, &handlers, attempt, error);
   free (headers);
-  lc_outgoing_clear (&added);
+  lc_outgoing_clear (&attempt_headers);
   return upstream;
 }
 
@@ -373,11 +379,11 @@
   LnUpstream *upstream = NULL;
 
   if (calls->context->dialect)
-    upstream = start_in_dialect (calls, attempt, action, error);
+    upstream = start_dialect_attempt (calls, attempt, action, error);
   else if (ln_call_is_for_engine (attempt->call))
-    upstream = start_engine (calls, attempt, action, error);
+    upstream = start_engine_attempt (calls, attempt, action, error);
   else
-    upstream = start_service (calls, attempt, action, error);
-  note_connections (calls, action->endpoint);
+    upstream = start_service_attempt (calls, attempt, action, error);
+  update_idle_connections (calls, action->endpoint);
   return upstream;
 }
--- a/packages/node/src/calls/ln-calls-private.h
+++ b/packages/node/src/calls/ln-calls-private.h
@@ -17,7 +17,8 @@
 
 #include <event2/util.h>
 
-/* Every request to an endpoint: owns the dispatch and carries its actions out. */
+/* The "calls" task: owns the dispatch and performs its actions, that is, all requests to
+ * endpoints. */
 typedef struct
 {
   LnTask task; /* first */
@@ -30,55 +31,56 @@
   LnLeaving *leaving;
   LnEndpointChecks *checks;
   LnCrashes *crashes;
-  struct event *tick;
+  struct event *dispatch_timer;
   LnTick keep_alive;
-  LnAdmissionState belief; /* routes and organisations of a shared platform */
-  LcUtilisation *crowding;
-  LbName crowded;       /* as the peers task was told */
-  LbTime list_asked_at; /* of the list of endpoints in use; 0: there is none */
-  LbName lister;        /* the instance that asked for it */
+  LnAdmissionState admission_state; /* routes and organisations of a shared platform */
+  LcUtilisation *utilisation;
+  LbName overloaded_service; /* as last posted to the peers task */
+  LbTime list_requested_at;  /* request time of the endpoint list in use; 0: none */
+  LbName list_requested_by;  /* instance that requested it */
   LnCall *by_id;
-  LbList all;
-  bool ready; /* the resources in force are confirmed */
-  bool draining;
+  LbList active_calls;
+  bool is_ready; /* the configuration in force is confirmed */
+  bool is_draining;
 } LnCalls;
 
-/* ln-calls-run.c: from submission to the final answer */
-void ln_calls_run (LnCalls *calls, LbList *actions);
+/* ln-calls-run.c: a call from submission to its final answer */
+void ln_calls_perform_actions (LnCalls *calls, LbList *actions);
 void ln_calls_submit (LnCalls *calls, LnCall *call);
 void ln_calls_cancel (LnCalls *calls, LnCall *call);
-/* The same, giving back to the rollouts what its pieces said. */
-void ln_calls_recall (LnCalls *calls, LnCall *call);
+/* The same, but returns the text generated so far to the rollouts. */
+void ln_calls_cancel_returning_text (LnCalls *calls, LnCall *call);
 LnCall *ln_calls_find (LnCalls *calls, LcRequestId id);
-void ln_calls_on_tick (evutil_socket_t fd, short what, void *calls);
-void ln_calls_post_done (LnCalls *calls, LcRequestId request, LbErrorCode error, char *text);
+void ln_calls_on_dispatch_timer (evutil_socket_t fd, short what, void *calls);
+void ln_calls_post_sample_done (LnCalls *calls, LcRequestId request, LbErrorCode error, char *text);
 
-/* ln-calls-attempts.c: one attempt at an endpoint, from its request to its end */
+/* ln-calls-attempts.c: one attempt at an endpoint */
 LnUpstream *
 ln_calls_start_attempt (LnCalls *calls, LnAttempt *attempt, const LcAction *action, LbError *error);
-/* A sample's piece goes to the rollouts. */
-void ln_calls_post_piece (LnCalls *calls,
-                          const LnCall *call,
-                          const LcPiece *piece,
-                          const char *endpoint,
-                          const char *text);
-/* Counts it as begun, for the usage of its organisation; the second one when it has worked for a
- * while. */
-void ln_calls_count_began (LnCalls *calls, const LnAttempt *attempt);
-void ln_calls_count_running (LnCalls *calls, LnCall *call, LbTime now);
+/* Posts a piece of a sample to the rollouts. */
+void ln_calls_post_sample_piece (LnCalls *calls,
+                                 const LnCall *call,
+                                 const LcPiece *piece,
+                                 const char *endpoint,
+                                 const char *text);
+/* Counts the call in its organisation's usage, once; the second one only if an attempt has been
+ * running long enough to be considered started. */
+void ln_calls_count_usage (LnCalls *calls, const LnAttempt *attempt);
+void ln_calls_count_running_usage (LnCalls *calls, LnCall *call, LbTime now);
 
-/* ln-calls.c: tells the other instances when the endpoint leaves */
-void ln_calls_tell_leaving (LnCalls *calls, const char *endpoint);
+/* ln-calls.c: tells the other instances that the endpoint is leaving, if it is */
+void ln_calls_broadcast_leaving (LnCalls *calls, const char *endpoint);
 
-/* ln-calls-take.c: a caller that leaves takes its call with it */
-void ln_calls_caller_gone (LnHolder *holder);
-/* The same file: from a caller's request to its submission */
-void ln_calls_take (LnCalls *calls, LnExchange *exchange);
-void ln_calls_add_hints (LnCalls *calls, LnExchange *exchange, LbErrorCode code);
+/* ln-calls-requests.c: a call from the caller's request to its submission */
+/* Cancels the call unless a ticket lets its caller fetch the answer later. */
+void ln_calls_on_caller_disconnected (LnExchangeHandler *handler);
+void ln_calls_handle_request (LnCalls *calls, LnExchange *exchange);
+/* Names other instances in the reply headers if this one refuses because of its own state. */
+void ln_calls_set_entry_headers (LnCalls *calls, LnExchange *exchange, LbErrorCode code);
 
-/* ln-routed.c: the same on a shared platform, by the routes that its operators declare */
-void ln_routed_take (LnCalls *calls, LnExchange *exchange);
-/* Another desired state is in force: calls that wait under a key which is held no more end. */
-void ln_routed_review (LnCalls *calls);
+/* ln-routed.c: the same on a shared platform, by the routes in its desired state */
+void ln_routed_handle_request (LnCalls *calls, LnExchange *exchange);
+/* After a change of the desired state: fails queued calls whose API key was revoked. */
+void ln_routed_fail_revoked_calls (LnCalls *calls);
 
 #endif
--- a/packages/node/src/calls/ln-calls-take.c
+++ b/packages/node/src/calls/ln-calls-requests.c
@@ -11,21 +11,22 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define TICKET_LIFE_MS 600000
+#define TICKET_LIFETIME_MS 600000
 #define MAX_KEY_BYTES 256
 
-/* A caller that is turned away by the instance, not by the load, hears where to go instead. */
+/* A caller that is refused because of this instance's state, not its load, is referred to others.
+ */
 void
-ln_calls_add_hints (LnCalls *calls, LnExchange *exchange, LbErrorCode code)
+ln_calls_set_entry_headers (LnCalls *calls, LnExchange *exchange, LbErrorCode code)
 {
-  char hint[4 * LB_NAME_MAX];
+  char addresses[4 * LB_NAME_MAX];
 
   if (code != LB_ERROR_DRAINING && code != LB_ERROR_NOT_READY)
     return;
   ln_exchange_set_header (exchange, "x-entry-stale", "1");
-  ln_relays_hint (calls->relays, hint, sizeof hint);
-  if (hint[0])
-    ln_exchange_set_header (exchange, "x-entry", hint);
+  ln_relays_list_addresses (calls->relays, addresses, sizeof addresses);
+  if (addresses[0])
+    ln_exchange_set_header (exchange, "x-entry", addresses);
 }
 
 static void
@@ -33,20 +34,19 @@
 {
   LbError error = { 0 };
 
-  ln_calls_add_hints (calls, exchange, code);
+  ln_calls_set_entry_headers (calls, exchange, code);
   lb_error_set (&error, code, "", "%s", detail);
   ln_exchange_reply_error (exchange, &error, code == LB_ERROR_NOT_READY ? LB_SEC : 0);
 }
 
-/* A caller that leaves takes its call with it, unless a ticket lets it come back for the answer. */
 void
-ln_calls_caller_gone (LnHolder *holder)
+ln_calls_on_caller_disconnected (LnExchangeHandler *handler)
 {
-  LnCall *call = (LnCall *)holder;
+  LnCall *call = (LnCall *)handler;
 
   ln_exchange_end (call->exchange);
   call->exchange = NULL;
-  if (call->submitted && !call->ticketed)
+  if (call->is_submitted && !call->has_ticket)
     ln_calls_cancel (call->owner, call);
 }
 
@@ -57,12 +57,12 @@
   char text[LC_TICKET_SIZE];
   LbError error = { 0 };
 
-  if (calls->draining)
+  if (calls->is_draining)
     {
       refuse (calls, exchange, LB_ERROR_DRAINING, "this instance is shutting down");
       return;
     }
-  if (!lc_tickets_issue (ln_ticket_calls_table (calls->tickets),
+  if (!lc_tickets_issue (ln_ticket_calls_tickets (calls->tickets),
                          caller && *caller ? caller : ln_exchange_peer (exchange),
                          lb_clock_monotonic (), text, &error))
     {
@@ -71,13 +71,13 @@
     }
   struct json_object *reply = json_object_new_object ();
   json_object_object_add (reply, "ticket", json_object_new_string (text));
-  json_object_object_add (reply, "expires_in_ms", json_object_new_int (TICKET_LIFE_MS));
+  json_object_object_add (reply, "expires_in_ms", json_object_new_int (TICKET_LIFETIME_MS));
   ln_exchange_reply_json (exchange, 200, reply);
 }
 
-/* The same ticket must carry the same call. */
+/* Compared to detect a ticket that is reused for a different request. */
 static uint64_t
-content_hash (const LnExchange *exchange)
+hash_request (const LnExchange *exchange)
 {
   const char *query = ln_exchange_raw_query (exchange);
   size_t length;
@@ -94,53 +94,53 @@
 }
 
 static void
-relay (LnCalls *calls, LnCall *call, const char *ticket, const LcTicketDecision *verdict)
+relay_call (LnCalls *calls, LnCall *call, const char *ticket, const LcTicketDecision *decision)
 {
-  const LnRelayTarget target = { .instance = verdict->instance,
-                                 .incarnation = verdict->incarnation,
+  const LnRelayTarget target = { .instance = decision->instance,
+                                 .incarnation = decision->incarnation,
                                  .ticket = ticket,
                                  .caller = call->spec.caller,
                                  .deadline = call->spec.deadline };
 
-  ln_relays_pass (calls->relays, call->exchange, &target);
+  ln_relays_forward (calls->relays, call->exchange, &target);
 }
 
 static void
-reply_kept (LnExchange *exchange, const LcTicketDecision *verdict)
+replay_answer (LnExchange *exchange, const LcTicketDecision *decision)
 {
   LnAnswer answer;
 
-  ln_answer_decode (&answer, verdict->status, verdict->answer, verdict->answer_length);
+  ln_answer_decode (&answer, decision->status, decision->answer, decision->answer_length);
   ln_answer_reply (&answer, exchange);
   ln_answer_clear (&answer);
 }
 
-/* Takes the call over. */
+/* Takes ownership of the call. */
 static void
-use_ticket (LnCalls *calls, LnCall *call, const char *ticket)
+redeem_ticket (LnCalls *calls, LnCall *call, const char *ticket)
 {
-  LcTicketDecision verdict
-      = lc_tickets_redeem (ln_ticket_calls_table (calls->tickets), ticket, call->spec.caller,
-                           content_hash (call->exchange), call->spec.id, lb_clock_monotonic ());
+  LcTicketDecision decision
+      = lc_tickets_redeem (ln_ticket_calls_tickets (calls->tickets), ticket, call->spec.caller,
+                           hash_request (call->exchange), call->spec.id, lb_clock_monotonic ());
   LbError error = { 0 };
 
-  call->ticketed = true;
-  switch (verdict.action)
+  call->has_ticket = true;
+  switch (decision.action)
     {
     case LC_TICKET_RUN:
       ln_calls_submit (calls, call);
       return;
     case LC_TICKET_JOIN:
-      ln_ticket_calls_join (calls->tickets, call->exchange, verdict.request);
+      ln_ticket_calls_add_waiter (calls->tickets, call->exchange, decision.request);
       break;
     case LC_TICKET_REPLAY:
-      reply_kept (call->exchange, &verdict);
+      replay_answer (call->exchange, &decision);
       break;
     case LC_TICKET_RELAY:
-      relay (calls, call, ticket, &verdict);
+      relay_call (calls, call, ticket, &decision);
       break;
     case LC_TICKET_REJECT:
-      lb_error_set (&error, verdict.error, "x-ticket", "the ticket can't be used");
+      lb_error_set (&error, decision.error, "x-ticket", "the ticket is not valid for this request");
       ln_exchange_reply_error (call->exchange, &error, 0);
       break;
     }
@@ -148,7 +148,7 @@
 }
 
 static void
-on_claimed (const char *ticket, const LbError *error, void *user)
+on_key_claimed (const char *ticket, const LbError *error, void *user)
 {
   LnCall *call = user;
   LnCalls *calls = call->owner;
@@ -160,7 +160,7 @@
     }
   if (ticket)
     {
-      use_ticket (calls, call, ticket);
+      redeem_ticket (calls, call, ticket);
       return;
     }
   ln_exchange_reply_error (call->exchange, error, LB_SEC);
@@ -178,7 +178,7 @@
     lb_error_set (&error, LB_ERROR_OUT_OF_RANGE, "idempotency-key", "expected at most %d bytes",
                   MAX_KEY_BYTES);
   else
-    ok = lc_tickets_issue (ln_ticket_calls_table (calls->tickets), call->spec.caller,
+    ok = lc_tickets_issue (ln_ticket_calls_tickets (calls->tickets), call->spec.caller,
                            lb_clock_monotonic (), ticket, &error);
   if (!ok)
     {
@@ -186,24 +186,25 @@
       ln_call_free (call);
       return;
     }
-  ln_claims_take (calls->claims, call->spec.caller, key, ticket,
-                  call->spec.deadline + TICKET_LIFE_MS * LB_MSEC, on_claimed, call);
+  ln_claims_claim_key (calls->claims, call->spec.caller, key, ticket,
+                       call->spec.deadline + TICKET_LIFETIME_MS * LB_MSEC, on_key_claimed, call);
 }
 
 static LnCall *
-read_call (LnCalls *calls, LnExchange *exchange)
+parse_call (LnCalls *calls, LnExchange *exchange)
 {
-  static const LnHolderClass call_class = { .caller_gone = ln_calls_caller_gone };
+  static const LnExchangeHandlerClass call_class
+      = { .on_caller_disconnected = ln_calls_on_caller_disconnected };
   LbTime deadline = calls->context->settings->calls.default_deadline_ms * LB_MSEC;
   LbError error = { 0 };
-  LnCall *call = ln_call_read (exchange, lb_clock_monotonic (), deadline, &error);
+  LnCall *call = ln_call_parse (exchange, lb_clock_monotonic (), deadline, &error);
 
   if (!call)
     {
       ln_exchange_reply_error (exchange, &error, 0);
       return NULL;
     }
-  call->holder.klass = &call_class;
+  call->handler.klass = &call_class;
   call->owner = calls;
   call->exchange = exchange;
   call->spec.id = ln_context_next_request (calls->context);
@@ -216,7 +217,7 @@
 }
 
 static bool
-is_known_path (const char *path)
+is_call_path (const char *path)
 {
   static const char services[] = "/services/";
 
@@ -225,7 +226,7 @@
 }
 
 void
-ln_calls_take (LnCalls *calls, LnExchange *exchange)
+ln_calls_handle_request (LnCalls *calls, LnExchange *exchange)
 {
   const char *ticket = ln_exchange_header (exchange, "x-ticket");
   const char *key = ln_exchange_header (exchange, "idempotency-key");
@@ -233,20 +234,22 @@
 
   if (calls->context->dialect)
     {
-      ln_routed_take (calls, exchange);
+      ln_routed_handle_request (calls, exchange);
       return;
     }
-  /* An instance that can't confirm its resources may route by ones that were replaced long ago. */
-  if (!calls->ready)
+  /* With an unconfirmed configuration it might route by one that was replaced long ago. */
+  if (!calls->is_ready)
     {
-      refuse (calls, exchange, LB_ERROR_NOT_READY, "the resources here are not confirmed");
+      refuse (calls, exchange, LB_ERROR_NOT_READY,
+              "the configuration of this instance is not confirmed");
       return;
     }
-  /* A busy instance that has just started may have its resources first, and would crash one more
-   * endpoint with a request that all others refuse. */
+  /* An instance that has just started may have its configuration before the crash reports, and
+   * would crash one more endpoint with a request that all other instances refuse. */
   if (!ln_crashes_is_known (calls->crashes, lb_clock_monotonic ()))
     {
-      refuse (calls, exchange, LB_ERROR_NOT_READY, "crashed endpoints are not known here yet");
+      refuse (calls, exchange, LB_ERROR_NOT_READY,
+              "crash reports are not loaded yet on this instance");
       return;
     }
   if (strcmp (ln_exchange_path (exchange), "/v1/tickets") == 0)
@@ -254,21 +257,21 @@
       issue_ticket (calls, exchange);
       return;
     }
-  if (!is_known_path (ln_exchange_path (exchange)))
+  if (!is_call_path (ln_exchange_path (exchange)))
     {
-      refuse (calls, exchange, LB_ERROR_UNKNOWN_PATH, "nothing answers below this path");
+      refuse (calls, exchange, LB_ERROR_UNKNOWN_PATH, "no handler for this path");
       return;
     }
-  if (calls->draining && !ticket && !key)
+  if (calls->is_draining && !ticket && !key)
     {
       refuse (calls, exchange, LB_ERROR_DRAINING, "this instance is shutting down");
       return;
     }
-  call = read_call (calls, exchange);
+  call = parse_call (calls, exchange);
   if (!call)
     return;
   if (ticket)
-    use_ticket (calls, call, ticket);
+    redeem_ticket (calls, call, ticket);
   else if (key)
     claim_key (calls, call, key);
   else
--- a/packages/node/src/calls/ln-calls.c
+++ b/packages/node/src/calls/ln-calls.c
@@ -14,7 +14,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define KEEP_ALIVE (500 * LB_MSEC)
+#define KEEP_ALIVE_PERIOD (500 * LB_MSEC)
 
 static LbMetric in_progress
     = LB_GAUGE_INIT ("lentilspindle_requests_in_progress", NULL, "Requests waiting or running");
@@ -27,22 +27,22 @@
 static LbMetric waiting_service = LB_GAUGE_INIT ("lentilspindle_requests_waiting",
                                                  "kind=\"service\"",
                                                  "Requests waiting for an endpoint");
-static LbMetric broken_invariants
+static LbMetric invariant_failures
     = LB_GAUGE_INIT ("lentilspindle_broken_invariants",
                      NULL,
-                     "Actions of the dispatch refused because they would have broken a promise");
+                     "Dispatch actions suppressed because they would have violated an invariant");
 
 static void
-caller_gone (LnExchange *exchange)
+on_caller_disconnected (LnExchange *exchange)
 {
-  LnHolder *holder = ln_exchange_user (exchange);
+  LnExchangeHandler *handler = ln_exchange_user (exchange);
 
-  if (holder)
-    holder->klass->caller_gone (holder);
+  if (handler)
+    handler->klass->on_caller_disconnected (handler);
 }
 
 static void
-take_sample (LnCalls *calls, const LnSampleMessage *message)
+submit_sample (LnCalls *calls, const LnSampleMessage *message)
 {
   bool is_score = message->spec.kind == LC_KIND_SERVICE;
   LnCall *call = ln_call_new (is_score ? LN_CALL_SCORE : LN_CALL_SAMPLE);
@@ -63,7 +63,7 @@
       call->body = json_tokener_parse (message->body);
       if (!json_object_is_type (call->body, json_type_object))
         {
-          ln_calls_post_done (calls, call->spec.id, LB_ERROR_BAD_JSON, NULL);
+          ln_calls_post_sample_done (calls, call->spec.id, LB_ERROR_BAD_JSON, NULL);
           ln_call_free (call);
           return;
         }
@@ -78,13 +78,13 @@
   LnCall *call = ln_calls_find (calls, message->request);
 
   if (call && message->return_partial)
-    ln_calls_recall (calls, call);
+    ln_calls_cancel_returning_text (calls, call);
   else if (call)
     ln_calls_cancel (calls, call);
 }
 
 static void
-take_leaving (LnCalls *calls, const LnEndpointLeavingMessage *message)
+apply_leaving (LnCalls *calls, const LnEndpointLeavingMessage *message)
 {
   LbList actions;
 
@@ -95,21 +95,21 @@
   else
     lc_dispatch_mark_leaving (calls->dispatch, message->endpoint, message->incarnation,
                               message->source, lb_clock_monotonic (), &actions);
-  ln_calls_run (calls, &actions);
-  ln_calls_tell_leaving (calls, message->endpoint);
+  ln_calls_perform_actions (calls, &actions);
+  ln_calls_broadcast_leaving (calls, message->endpoint);
 }
 
 void
-ln_calls_tell_leaving (LnCalls *calls, const char *endpoint)
+ln_calls_broadcast_leaving (LnCalls *calls, const char *endpoint)
 {
   ln_leaving_tell (calls->leaving,
                    lc_endpoints_find (lc_dispatch_endpoints (calls->dispatch), endpoint));
 }
 
-/* The store's list tells that the endpoint lives and which weights it has, but not its load: what
- * this instance has running there stands in until a reply states it. */
+/* The registration shows that the endpoint is alive and which weights it has, but not its load: the
+ * number of this instance's requests in flight there is used until a reply states it. */
 static void
-take_listed (LnCalls *calls, const LnEndpointListedMessage *message)
+record_registration (LnCalls *calls, const LnEndpointListedMessage *message)
 {
   LcEndpoint *endpoint
       = lc_endpoints_find (lc_dispatch_endpoints (calls->dispatch), message->endpoint);
@@ -125,25 +125,25 @@
   lb_list_init (&actions);
   lc_dispatch_record_load (calls->dispatch, message->endpoint, &report, report.measured_at,
                            &actions);
-  ln_calls_run (calls, &actions);
+  ln_calls_perform_actions (calls, &actions);
 }
 
 static void
-take_list (LnCalls *calls, const LnEndpointListAppliedMessage *message)
+set_list_origin (LnCalls *calls, const LnEndpointListAppliedMessage *message)
 {
-  calls->list_asked_at = message->requested_at;
-  LB_COPY (calls->lister, message->listed_by);
+  calls->list_requested_at = message->requested_at;
+  LB_COPY (calls->list_requested_by, message->listed_by);
 }
 
 static void
-take_frame (LnCalls *calls, const LnPeerMessage *frame)
+handle_frame (LnCalls *calls, const LnPeerMessage *frame)
 {
-  LnEndpointLeavingMessage heard;
+  LnEndpointLeavingMessage leaving;
 
   if (ln_crashes_hear (calls->crashes, frame))
     return;
-  if (ln_leaving_hear (calls->leaving, frame, &heard))
-    take_leaving (calls, &heard);
+  if (ln_leaving_hear (calls->leaving, frame, &leaving))
+    apply_leaving (calls, &leaving);
 }
 
 static void
@@ -155,7 +155,7 @@
   lc_dispatch_configure (calls->dispatch, set, lb_clock_monotonic (), &actions);
   if (calls->poller)
     ln_poller_configure (calls->poller, set);
-  ln_calls_run (calls, &actions);
+  ln_calls_perform_actions (calls, &actions);
 }
 
 static void
@@ -168,19 +168,19 @@
 
   lb_list_init (&actions);
   lc_dispatch_record_load (calls->dispatch, endpoint, report, lb_clock_monotonic (), &actions);
-  ln_calls_run (calls, &actions);
-  ln_calls_tell_leaving (calls, endpoint);
+  ln_calls_perform_actions (calls, &actions);
+  ln_calls_broadcast_leaving (calls, endpoint);
   LB_COPY (message.endpoint, endpoint);
   if (config)
     LN_POST (calls->task.hub, config, message);
 }
 
 static void
-on_crashed (const char *endpoint,
-            LbTime broken_at,
-            const LcFingerprint *contents,
-            size_t n_contents,
-            void *user)
+on_endpoint_crashed (const char *endpoint,
+                     LbTime broken_at,
+                     const LcFingerprint *contents,
+                     size_t n_contents,
+                     void *user)
 {
   LnCalls *calls = user;
 
@@ -205,10 +205,10 @@
   switch ((LnMessageType)message->type)
     {
     case LN_EXCHANGE:
-      ln_calls_take (calls, ((const LnExchangeMessage *)message)->exchange);
+      ln_calls_handle_request (calls, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_CALLER_DISCONNECTED:
-      caller_gone (((const LnExchangeMessage *)message)->exchange);
+      on_caller_disconnected (((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_CONFIG:
       configure (calls, ((const LnConfigMessage *)message)->set);
@@ -217,32 +217,32 @@
       ln_relays_set_members (calls->relays, (const LnMembersMessage *)message);
       break;
     case LN_READY:
-      calls->ready = ((const LnReadyMessage *)message)->ready;
+      calls->is_ready = ((const LnReadyMessage *)message)->ready;
       break;
     case LN_SAMPLE:
-      take_sample (calls, (const LnSampleMessage *)message);
+      submit_sample (calls, (const LnSampleMessage *)message);
       break;
     case LN_SAMPLE_CANCEL:
       cancel_sample (calls, (const LnSampleCancelMessage *)message);
       break;
     case LN_ENDPOINT_LEAVING:
-      take_leaving (calls, (const LnEndpointLeavingMessage *)message);
+      apply_leaving (calls, (const LnEndpointLeavingMessage *)message);
       break;
     case LN_PEER_FRAME:
-      take_frame (calls, (const LnPeerMessage *)message);
+      handle_frame (calls, (const LnPeerMessage *)message);
       break;
     case LN_DESIRED:
-      ln_admission_state_update (&calls->belief, (const LnDesiredMessage *)message);
-      ln_routed_review (calls);
+      ln_admission_state_update (&calls->admission_state, (const LnDesiredMessage *)message);
+      ln_routed_fail_revoked_calls (calls);
       break;
     case LN_DESIRED_CONFIRMED:
-      calls->belief.confirmed_at = ((const LnDesiredConfirmedMessage *)message)->at;
+      calls->admission_state.confirmed_at = ((const LnDesiredConfirmedMessage *)message)->at;
       break;
     case LN_ENDPOINT_LIST_APPLIED:
-      take_list (calls, (const LnEndpointListAppliedMessage *)message);
+      set_list_origin (calls, (const LnEndpointListAppliedMessage *)message);
       break;
     case LN_ENDPOINT_LISTED:
-      take_listed (calls, (const LnEndpointListedMessage *)message);
+      record_registration (calls, (const LnEndpointListedMessage *)message);
       break;
     case LN_ENDPOINT_SWAP:
       swap = (const LnEndpointSwapMessage *)message;
@@ -260,14 +260,14 @@
   LnCalls *calls = (LnCalls *)task;
   LbList actions;
 
-  calls->draining = true;
-  /* On a shared platform callers hold this instance's address for seconds after it has stopped
-   * being ready, and are served as long as it lives. */
+  calls->is_draining = true;
+  /* On a shared platform callers use this instance's address for seconds after it stopped being
+   * ready, so it serves them until it exits. */
   if (calls->context->dialect)
     return;
   lb_list_init (&actions);
   lc_dispatch_drain (calls->dispatch, lb_clock_monotonic (), &actions);
-  ln_calls_run (calls, &actions);
+  ln_calls_perform_actions (calls, &actions);
 }
 
 static bool
@@ -275,7 +275,7 @@
 {
   const LnCalls *calls = (const LnCalls *)task;
 
-  return lb_list_is_empty (&calls->all) && ln_relays_is_idle (calls->relays)
+  return lb_list_is_empty (&calls->active_calls) && ln_relays_is_idle (calls->relays)
          && ln_claims_is_idle (calls->claims) && ln_ticket_calls_is_idle (calls->tickets);
 }
 
@@ -285,7 +285,7 @@
   LnCalls *calls = (LnCalls *)task;
 
   HASH_CLEAR (hh, calls->by_id);
-  LB_LIST_FOREACH (&calls->all, LnCall, link, call)
+  LB_LIST_FOREACH (&calls->active_calls, LnCall, link, call)
   {
     ln_call_free (call);
   }
@@ -296,11 +296,11 @@
   ln_claims_free (calls->claims);
   ln_ticket_calls_free (calls->tickets);
   ln_poller_free (calls->poller);
-  event_free (calls->tick);
+  event_free (calls->dispatch_timer);
   ln_ticker_remove (ln_context_ticker (calls->context), &calls->keep_alive);
   lc_dispatch_free (calls->dispatch);
-  lc_desired_unref (calls->belief.desired);
-  lc_utilisation_free (calls->crowding);
+  lc_desired_unref (calls->admission_state.desired);
+  lc_utilisation_free (calls->utilisation);
   free (calls);
 }
 
@@ -309,7 +309,7 @@
 };
 
 static LcDispatch *
-make_dispatch (const LnContext *context)
+new_dispatch (const LnContext *context)
 {
   const LnSettings *settings = context->settings;
   LcDispatchSettings dispatch = { .queue_limit = settings->calls.queue_limit,
@@ -324,7 +324,7 @@
 }
 
 static void
-set_gauges (const LnCalls *calls)
+update_gauges (const LnCalls *calls)
 {
   lb_metric_set (&in_progress, (int64_t)lc_dispatch_count_in_progress (calls->dispatch));
   lb_metric_set (&waiting_live, (int64_t)lc_dispatch_count_waiting (calls->dispatch, LC_KIND_LIVE));
@@ -332,39 +332,39 @@
                  (int64_t)lc_dispatch_count_waiting (calls->dispatch, LC_KIND_SAMPLE));
   lb_metric_set (&waiting_service,
                  (int64_t)lc_dispatch_count_waiting (calls->dispatch, LC_KIND_SERVICE));
-  lb_metric_set (&broken_invariants, (int64_t)lc_dispatch_invariant_failures (calls->dispatch));
+  lb_metric_set (&invariant_failures, (int64_t)lc_dispatch_invariant_failures (calls->dispatch));
 }
 
 static void
-tell_crowded (LnCalls *calls)
+post_overloaded_service (LnCalls *calls)
 {
-  const char *service = lc_utilisation_find_overloaded_service (calls->crowding);
+  const char *service = lc_utilisation_find_overloaded_service (calls->utilisation);
   LnTask *peers = ln_hub_find (calls->task.hub, "peers");
   LnServiceOverloadedMessage message = { .base = LN_MESSAGE (LN_SERVICE_OVERLOADED) };
 
-  if (!peers || strcmp (service, calls->crowded) == 0)
+  if (!peers || strcmp (service, calls->overloaded_service) == 0)
     return;
   lb_log (LB_LOG_INFO, "service_crowded", LB_TEXT ("service", service),
-          LB_TEXT ("before", calls->crowded));
-  LB_COPY (calls->crowded, service);
+          LB_TEXT ("before", calls->overloaded_service));
+  LB_COPY (calls->overloaded_service, service);
   LB_COPY (message.service, service);
   LN_POST (calls->task.hub, peers, message);
 }
 
-/* Callers, too, must be able to tell a slow answer from a connection that has gone silent. */
+/* Keep-alives let callers tell a slow answer from a dead connection. */
 static void
-on_keep_alive (void *user)
+on_keep_alive_tick (void *user)
 {
   LnCalls *calls = user;
   LbTime now = lb_clock_monotonic ();
 
-  set_gauges (calls);
-  tell_crowded (calls);
+  update_gauges (calls);
+  post_overloaded_service (calls);
   ln_crashes_tick (calls->crashes, now);
-  LB_LIST_FOREACH (&calls->all, LnCall, link, call)
+  LB_LIST_FOREACH (&calls->active_calls, LnCall, link, call)
   {
-    ln_call_keep_alive (call, now - KEEP_ALIVE, now);
-    ln_calls_count_running (calls, call, now);
+    ln_call_send_keep_alive (call, now - KEEP_ALIVE_PERIOD, now);
+    ln_calls_count_running_usage (calls, call, now);
   }
 }
 
@@ -378,24 +378,25 @@
   calls->task.klass = &calls_class;
   calls->task.hub = context->hub;
   calls->context = context;
-  lb_list_init (&calls->all);
-  calls->dispatch = make_dispatch (context);
-  calls->crowding = lc_utilisation_new ();
+  lb_list_init (&calls->active_calls);
+  calls->dispatch = new_dispatch (context);
+  calls->utilisation = lc_utilisation_new ();
   calls->tickets
       = ln_ticket_calls_new (context->instance, context->incarnation, context->settings->seed);
   calls->claims = ln_claims_new (context->base, context->platform, context->incarnation);
   calls->relays = ln_relays_new (context);
   calls->leaving = ln_leaving_new (&calls->task);
   calls->crashes = ln_crashes_new (context, lc_dispatch_quarantine (calls->dispatch));
-  /* Asked for before the routes are, so that it is known when the first request comes. */
+  /* Requests the crash reports before the routes, so that they are known at the first request. */
   ln_crashes_tick (calls->crashes, lb_clock_monotonic ());
-  calls->checks = ln_endpoint_checks_new (context, on_crashed, calls);
-  calls->tick = evtimer_new (context->base, ln_calls_on_tick, calls);
+  calls->checks = ln_endpoint_checks_new (context, on_endpoint_crashed, calls);
+  calls->dispatch_timer = evtimer_new (context->base, ln_calls_on_dispatch_timer, calls);
   if (!context->dialect)
     calls->poller
         = ln_poller_new (context->base, context->http,
                          context->settings->calls.load_poll_ms * LB_MSEC, &handlers, calls);
-  calls->keep_alive = (LnTick){ .period = KEEP_ALIVE / 2, .call = on_keep_alive, .user = calls };
+  calls->keep_alive
+      = (LnTick){ .period = KEEP_ALIVE_PERIOD / 2, .call = on_keep_alive_tick, .user = calls };
   ln_ticker_add (ln_context_ticker (context), &calls->keep_alive);
   return &calls->task;
 }
--- a/packages/node/src/calls/ln-claims.c
+++ b/packages/node/src/calls/ln-claims.c
@@ -15,8 +15,8 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define SWEEP_SECONDS 1
-#define SWEEP_ROWS 64
+#define SWEEP_PERIOD_SECONDS 1
+#define MAX_ROWS_PER_SWEEP 64
 
 typedef struct
 {
@@ -24,90 +24,92 @@
   LnClaims *claims;
   char key[64];
   char ticket[LC_TICKET_SIZE];
-  LbTime until;
-  LnClaimDone done;
+  LbTime expires_at;
+  LnClaimHandler on_done;
   void *user;
 } Claim;
 
-/* A row that this instance has written and must delete. */
+/* A row that this instance wrote and has to delete. */
 typedef struct
 {
   LbLink link;
   char key[64];
-  LbTime until;
-} OwnRow;
+  LbTime expires_at;
+} WrittenRow;
 
 struct LnClaims
 {
   LpPlatform *platform;
-  struct event *sweep;
-  LbList rows;
+  struct event *sweep_timer;
+  LbList written_rows;
   LbName incarnation;
-  uint64_t writes;
+  uint64_t n_transactions;
   LbList pending;
 };
 
-static LbMetric claimed
+static LbMetric keys_claimed
     = LB_COUNTER_INIT ("lentilspindle_keys_claimed_total",
                        NULL,
-                       "Idempotency keys that this instance was first to claim");
+                       "Idempotency keys that this instance was the first to claim");
 
-static LbMetric deleted = LB_COUNTER_INIT ("lentilspindle_key_sweeps_total",
-                                           NULL,
-                                           "Writes that deleted rows of old idempotency keys");
+static LbMetric row_sweeps
+    = LB_COUNTER_INIT ("lentilspindle_key_sweeps_total",
+                       NULL,
+                       "Transactions that deleted rows of expired idempotency keys");
 
 static void
-on_deleted (LbErrorCode error, const LpRow *row, void *user)
+on_rows_deleted (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
   (void)user;
   if (error == LB_OK)
-    lb_metric_add (&deleted, 1);
+    lb_metric_add (&row_sweeps, 1);
   else
     lb_metric_count_error (error);
 }
 
-/* Rows of keys would fill the table for ever. Only the instance that wrote a row deletes it, many
- * in one write, so no condition is needed; what a failed write leaves behind stays. */
+/* Deletes expired rows, which would otherwise fill the table. Only the instance that wrote a row
+ * deletes it, so no condition is needed. Rows of a failed transaction stay. */
 static void
 on_sweep (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
   LnClaims *claims = user;
-  LpPut puts[SWEEP_ROWS] = { 0 };
-  char keys[SWEEP_ROWS][sizeof ((OwnRow *)0)->key];
+  LpPut puts[MAX_ROWS_PER_SWEEP] = { 0 };
+  char keys[MAX_ROWS_PER_SWEEP][sizeof ((WrittenRow *)0)->key];
   char token[LB_NAME_MAX + 40];
-  size_t n = 0;
+  size_t n_puts = 0;
   LbTime now = lb_clock_monotonic ();
 
-  LB_LIST_FOREACH (&claims->rows, OwnRow, link, row)
+  LB_LIST_FOREACH (&claims->written_rows, WrittenRow, link, row)
   {
-    if (row->until > now || n == SWEEP_ROWS)
+    if (row->expires_at > now || n_puts == MAX_ROWS_PER_SWEEP)
       continue;
-    LB_COPY (keys[n], row->key);
-    puts[n].key = keys[n];
-    n++;
-    lb_list_remove (&claims->rows, &row->link);
+    LB_COPY (keys[n_puts], row->key);
+    puts[n_puts].key = keys[n_puts];
+    n_puts++;
+    lb_list_remove (&claims->written_rows, &row->link);
     free (row);
   }
-  if (n == 0)
+  if (n_puts == 0)
     return;
-  snprintf (token, sizeof token, "unclaim-%s-%" PRIu64, claims->incarnation, ++claims->writes);
-  const LpTransaction transaction = { .token = token, .puts = puts, .n_puts = n };
-  claims->platform->klass->transact (claims->platform, &transaction, LP_PRIORITY_STATUS, on_deleted,
-                                     claims);
+  snprintf (token, sizeof token, "unclaim-%s-%" PRIu64, claims->incarnation,
+            ++claims->n_transactions);
+  const LpTransaction transaction = { .token = token, .puts = puts, .n_puts = n_puts };
+  claims->platform->klass->transact (claims->platform, &transaction, LP_PRIORITY_STATUS,
+                                     on_rows_deleted, claims);
 }
 
 LnClaims *
 ln_claims_new (struct event_base *base, struct LpPlatform *platform, const char *incarnation)
 {
-  const struct timeval period = { .tv_sec = SWEEP_SECONDS };
+  const struct timeval period = { .tv_sec = SWEEP_PERIOD_SECONDS };
   LnClaims *claims = LB_NEW (LnClaims);
 
-  claims->sweep = event_new (base, -1, EV_PERSIST, on_sweep, claims);
-  event_add (claims->sweep, &period);
-  lb_list_init (&claims->rows);
+  claims->sweep_timer = event_new (base, -1, EV_PERSIST, on_sweep, claims);
+  event_add (claims->sweep_timer, &period);
+  lb_list_init (&claims->written_rows);
 
   claims->platform = platform;
   LB_COPY (claims->incarnation, incarnation);
@@ -122,7 +124,7 @@
   free (claim);
 }
 
-/* To be called when no answer of the platform can come any more. */
+/* Must be called only when the platform can no longer answer. */
 void
 ln_claims_free (LnClaims *claims)
 {
@@ -132,11 +134,11 @@
   {
     claim_free (claim);
   }
-  LB_LIST_FOREACH (&claims->rows, OwnRow, link, row)
+  LB_LIST_FOREACH (&claims->written_rows, WrittenRow, link, row)
   {
     free (row);
   }
-  event_free (claims->sweep);
+  event_free (claims->sweep_timer);
   free (claims);
 }
 
@@ -147,52 +149,53 @@
 }
 
 static void
-own_row (const Claim *claim)
+remember_row (const Claim *claim)
 {
-  OwnRow *row = LB_NEW (OwnRow);
+  WrittenRow *row = LB_NEW (WrittenRow);
 
   LB_COPY (row->key, claim->key);
-  row->until = claim->until;
-  lb_list_append (&claim->claims->rows, &row->link);
+  row->expires_at = claim->expires_at;
+  lb_list_append (&claim->claims->written_rows, &row->link);
 }
 
 static void
-finish (Claim *claim, const char *ticket)
+finish_claim (Claim *claim, const char *ticket)
 {
   if (strcmp (ticket, claim->ticket) == 0)
-    own_row (claim);
-  claim->done (ticket, NULL, claim->user);
+    remember_row (claim);
+  claim->on_done (ticket, NULL, claim->user);
   claim_free (claim);
 }
 
-/* Nothing was dispatched and nothing will be under this claim, so "not run" is true, also when the
- * row was written after all: then it names a ticket that is still unused. */
+/* No call was or will be dispatched for this claim, so "not run" is true even if the row was
+ * written after all: then it names an unused ticket. */
 static void
-refuse (Claim *claim, LbErrorCode cause)
+fail_claim (Claim *claim, LbErrorCode cause)
 {
   LbError error = { 0 };
 
   lb_error_set (&error, cause == LB_ERROR_STORE_BUSY ? LB_ERROR_OVERLOADED : LB_ERROR_NOT_READY,
-                "idempotency-key", "the key can't be claimed: %s", lb_error_name (cause));
-  claim->done (NULL, &error, claim->user);
+                "idempotency-key", "the key could not be claimed in the store: %s",
+                lb_error_name (cause));
+  claim->on_done (NULL, &error, claim->user);
   claim_free (claim);
 }
 
 static void
-on_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
+on_row_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
   Claim *claim = user;
 
   if (error == LB_OK && n_rows == 1)
-    finish (claim, rows[0].value);
+    finish_claim (claim, rows[0].value);
   else
-    refuse (claim, error == LB_OK ? LB_ERROR_NOT_FOUND : error);
+    fail_claim (claim, error == LB_OK ? LB_ERROR_NOT_FOUND : error);
 }
 
-/* A reply of the store that is lost leaves open whether the row was written: it is read back, and
- * what it says holds, not what was hoped for. */
+/* If the store's reply is lost, the row may have been written or not: it is read back and decides
+ * which ticket holds the key. */
 static void
-on_written (LbErrorCode error, const LpRow *row, void *user)
+on_row_written (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
   Claim *claim = user;
@@ -201,54 +204,55 @@
   switch (error)
     {
     case LB_OK:
-      lb_metric_add (&claimed, 1);
-      finish (claim, claim->ticket);
+      lb_metric_add (&keys_claimed, 1);
+      finish_claim (claim, claim->ticket);
       break;
     case LB_ERROR_CONDITION_FAILED:
     case LB_ERROR_STORE_UNKNOWN:
-      platform->klass->get (platform, claim->key, on_read, claim);
+      platform->klass->get (platform, claim->key, on_row_read, claim);
       break;
     default:
-      refuse (claim, error);
+      fail_claim (claim, error);
       break;
     }
 }
 
 static void
-make_key (Claim *claim, const char *caller, const char *key)
+make_row_key (Claim *claim, const char *caller, const char *key)
 {
-  char *both = lb_asprintf ("%s\n%s", caller, key);
-  XXH128_hash_t hash = XXH3_128bits (both, strlen (both));
+  char *scoped_key = lb_asprintf ("%s\n%s", caller, key);
+  XXH128_hash_t hash = XXH3_128bits (scoped_key, strlen (scoped_key));
 
   snprintf (claim->key, sizeof claim->key, "claim/%016" PRIx64 "%016" PRIx64, hash.high64,
             hash.low64);
-  free (both);
+  free (scoped_key);
 }
 
 void
-ln_claims_take (LnClaims *claims,
-                const char *caller,
-                const char *key,
-                const char *ticket,
-                LbTime until,
-                LnClaimDone done,
-                void *user)
+ln_claims_claim_key (LnClaims *claims,
+                     const char *caller,
+                     const char *key,
+                     const char *ticket,
+                     LbTime expires_at,
+                     LnClaimHandler on_done,
+                     void *user)
 {
   Claim *claim = LB_NEW (Claim);
   char token[LB_NAME_MAX + 40];
 
   claim->claims = claims;
-  claim->done = done;
-  claim->until = until;
+  claim->on_done = on_done;
+  claim->expires_at = expires_at;
   claim->user = user;
   LB_COPY (claim->ticket, ticket);
-  make_key (claim, caller, key);
+  make_row_key (claim, caller, key);
   lb_list_append (&claims->pending, &claim->link);
-  snprintf (token, sizeof token, "claim-%s-%" PRIu64, claims->incarnation, ++claims->writes);
+  snprintf (token, sizeof token, "claim-%s-%" PRIu64, claims->incarnation,
+            ++claims->n_transactions);
   const LpCondition absent = { .key = claim->key, .version = 0 };
   const LpPut put = { .key = claim->key, .value = claim->ticket };
   const LpTransaction transaction
       = { .token = token, .conditions = &absent, .n_conditions = 1, .puts = &put, .n_puts = 1 };
-  claims->platform->klass->transact (claims->platform, &transaction, LP_PRIORITY_LEDGER, on_written,
-                                     claim);
+  claims->platform->klass->transact (claims->platform, &transaction, LP_PRIORITY_LEDGER,
+                                     on_row_written, claim);
 }
--- a/packages/node/src/calls/ln-claims.h
+++ b/packages/node/src/calls/ln-claims.h
@@ -6,26 +6,27 @@
 struct LpPlatform;
 struct event_base;
 
-/* Callers' own idempotency keys. The first instance that gets a key writes a row of the platform's
- * table under the condition that the row is absent; the row names the ticket under which the call
- * runs, so that every instance that gets the key again comes to the same one. */
+/* Idempotency keys chosen by callers. The first instance that receives a key writes a row in the
+ * platform's store on condition that it is absent. The row names the ticket under which the call
+ * runs, so that a retry with the key uses the same ticket on every instance. */
 typedef struct LnClaims LnClaims;
 
-/* ticket: the one that holds the key, not always the one offered; NULL with a typed error. Called
- * once, never from inside ln_claims_take. */
-typedef void (*LnClaimDone) (const char *ticket, const LbError *error, void *user);
+/* ticket: the one bound to the key, not always the one offered; NULL if error is set. Called once,
+ * never from inside ln_claims_claim_key. */
+typedef void (*LnClaimHandler) (const char *ticket, const LbError *error, void *user);
 
 LnClaims *
 ln_claims_new (struct event_base *base, struct LpPlatform *platform, const char *incarnation);
 void ln_claims_free (LnClaims *claims);
-/* until: when the ticket can be of no use any more; the row is deleted some time after. */
-void ln_claims_take (LnClaims *claims,
-                     const char *caller,
-                     const char *key,
-                     const char *ticket,
-                     LbTime until,
-                     LnClaimDone done,
-                     void *user);
+/* Claims the key for the ticket unless it is bound to another one. expires_at: when the ticket
+ * becomes useless; the row is deleted some time after. */
+void ln_claims_claim_key (LnClaims *claims,
+                          const char *caller,
+                          const char *key,
+                          const char *ticket,
+                          LbTime expires_at,
+                          LnClaimHandler on_done,
+                          void *user);
 bool ln_claims_is_idle (const LnClaims *claims);
 
 #endif
--- a/packages/node/src/calls/ln-poller.c
+++ b/packages/node/src/calls/ln-poller.c
@@ -19,12 +19,12 @@
   LbName name;
   LbName address;
   bool is_engine;
-  LhFetch *load;
-  LhFetch *events;
-  int64_t next_event;
+  LhFetch *load_fetch;
+  LhFetch *events_fetch;
+  int64_t next_event; /* sequence number of the first cache event to request */
   char incarnation[40];
-  LbTime asked_at;
-  bool known; /* still in the set: for ln_poller_configure */
+  LbTime load_requested_at;
+  bool is_configured; /* scratch of ln_poller_configure */
 } Target;
 
 struct LnPoller
@@ -40,10 +40,10 @@
 static void
 target_free (Target *target)
 {
-  if (target->load)
-    lh_fetch_cancel (target->load);
-  if (target->events)
-    lh_fetch_cancel (target->events);
+  if (target->load_fetch)
+    lh_fetch_cancel (target->load_fetch);
+  if (target->events_fetch)
+    lh_fetch_cancel (target->events_fetch);
   lb_list_remove (&target->poller->targets, &target->link);
   free (target);
 }
@@ -62,9 +62,9 @@
   return NULL;
 }
 
-/* A new incarnation numbers its cache events from the start. */
+/* A new incarnation restarts the sequence of its cache events. */
 static void
-note_incarnation (Target *target, const char *incarnation)
+set_incarnation (Target *target, const char *incarnation)
 {
   if (strcmp (target->incarnation, incarnation) == 0)
     return;
@@ -78,12 +78,12 @@
   (void)fetch;
   Target *target = user;
   struct json_object *object = parse_reply (result);
-  LcLoadReport report = { .measured_at = target->asked_at };
+  LcLoadReport report = { .measured_at = target->load_requested_at };
 
-  target->load = NULL;
+  target->load_fetch = NULL;
   if (result->failure == LB_ERROR_TIMEOUT)
     lh_pool_forget (target->poller->pool, target->address);
-  /* A plain service without a load to state is known to live by any answer. */
+  /* Any reply shows that a plain service is alive, even if it reports no load. */
   if (!object && !target->is_engine && result->failure == LB_OK)
     target->poller->handlers.on_report (target->name, &report, target->poller->user);
   if (!object)
@@ -95,13 +95,13 @@
   report.waiting = json_object_get_int64 (lb_json_member (object, "waiting"));
   report.tokens_per_second = json_object_get_double (lb_json_member (object, "tokens_per_second"));
   report.kv_used = json_object_get_double (lb_json_member (object, "kv_used"));
-  note_incarnation (target, report.incarnation);
+  set_incarnation (target, report.incarnation);
   json_object_put (object);
   target->poller->handlers.on_report (target->name, &report, target->poller->user);
 }
 
 static void
-give_events (Target *target, struct json_object *events)
+report_cache_events (Target *target, struct json_object *events)
 {
   LnPoller *poller = target->poller;
 
@@ -124,19 +124,19 @@
   struct json_object *object = parse_reply (result);
   struct json_object *events = object ? lb_json_member (object, "events") : NULL;
 
-  target->events = NULL;
+  target->events_fetch = NULL;
   if (json_object_is_type (events, json_type_array))
     {
       target->next_event = json_object_get_int64 (lb_json_member (object, "next"));
-      give_events (target, events);
+      report_cache_events (target, events);
     }
   json_object_put (object);
 }
 
 static LhFetch *
-get (Target *target,
-     const char *path,
-     void (*on_done) (LhFetch *fetch, const LhResult *result, void *user))
+start_get (Target *target,
+           const char *path,
+           void (*on_done) (LhFetch *fetch, const LhResult *result, void *user))
 {
   const LhHandlers handlers = { .on_done = on_done };
   LbTime silence = target->poller->period * 4;
@@ -149,19 +149,19 @@
 }
 
 static void
-ask (Target *target)
+poll_target (Target *target)
 {
   char path[64];
 
-  if (!target->load)
+  if (!target->load_fetch)
     {
-      target->asked_at = lb_clock_monotonic ();
-      target->load = get (target, "/load", on_load);
+      target->load_requested_at = lb_clock_monotonic ();
+      target->load_fetch = start_get (target, "/load", on_load);
     }
-  if (!target->is_engine || target->events)
+  if (!target->is_engine || target->events_fetch)
     return;
   snprintf (path, sizeof path, "/cache_events?since=%lld", (long long)target->next_event);
-  target->events = get (target, path, on_events);
+  target->events_fetch = start_get (target, path, on_events);
 }
 
 static void
@@ -173,7 +173,7 @@
 
   LB_LIST_FOREACH (&poller->targets, Target, link, target)
   {
-    ask (target);
+    poll_target (target);
   }
 }
 
@@ -227,33 +227,33 @@
   Target *target = LB_NEW (Target);
 
   target->poller = poller;
-  target->known = true;
+  target->is_configured = true;
   target->is_engine = member->kind == LC_ENDPOINT_ENGINE;
   LB_COPY (target->name, member->name);
   LB_COPY (target->address, member->address);
   lb_list_append (&poller->targets, &target->link);
-  ask (target);
+  poll_target (target);
 }
 
-/* Asks endpoints that are new at once, and no longer those that are gone. */
+/* Polls new endpoints at once and stops polling removed ones. */
 void
 ln_poller_configure (LnPoller *poller, const LcResourceSet *set)
 {
   LB_LIST_FOREACH (&poller->targets, Target, link, target)
   {
-    target->known = false;
+    target->is_configured = false;
   }
   for (size_t i = 0; i < set->n_endpoints; i++)
     {
       Target *target = find_target (poller, &set->endpoints[i]);
       if (target)
-        target->known = true;
+        target->is_configured = true;
       else
         add_target (poller, &set->endpoints[i]);
     }
-  LB_LIST_FOREACH (&poller->targets, Target, link, gone)
+  LB_LIST_FOREACH (&poller->targets, Target, link, stale)
   {
-    if (!gone->known)
-      target_free (gone);
+    if (!stale->is_configured)
+      target_free (stale);
   }
 }
--- a/packages/node/src/calls/ln-poller.h
+++ b/packages/node/src/calls/ln-poller.h
@@ -6,7 +6,7 @@
 
 struct event_base;
 
-/* Asks each endpoint at a steady period for its load report and its cache events. */
+/* Polls each endpoint periodically for its load report and engines for their cache events. */
 typedef struct LnPoller LnPoller;
 
 typedef struct
--- a/packages/node/src/calls/ln-relay.c
+++ b/packages/node/src/calls/ln-relay.c
@@ -1,8 +1,8 @@
 #include "ln-relay.h"
 
 #include "ln-call.h"
+#include "ln-exchange-handler.h"
 #include "ln-exchange-private.h"
-#include "ln-holder.h"
 
 #include "lb-alloc.h"
 #include "lb-clock.h"
@@ -15,13 +15,13 @@
 #include <string.h>
 #include <strings.h>
 
-#define MAX_HINTS 3
-/* Beyond the deadline, so that the other instance's own answer comes first. */
-#define MARGIN (2 * LB_SEC)
+#define MAX_LISTED_ADDRESSES 3
+/* Added to the deadline, so that the other instance's own timeout reply arrives first. */
+#define DEADLINE_MARGIN (2 * LB_SEC)
 
 typedef struct
 {
-  LnHolder holder; /* first */
+  LnExchangeHandler handler; /* first */
   LbLink link;
   LnRelays *relays;
   LnExchange *exchange;
@@ -34,19 +34,19 @@
   LnContext *context;
   LnMember *members;
   size_t n_members;
-  LbList running;
+  LbList active_relays;
 };
 
 typedef struct
 {
   LhHeader *items;
   size_t count;
-} Headers;
+} HeaderList;
 
-static LbMetric relayed
+static LbMetric calls_relayed
     = LB_COUNTER_INIT ("lentilspindle_calls_relayed_total",
                        NULL,
-                       "Calls passed on to the instance that their ticket names");
+                       "Calls forwarded to the instance that their ticket names");
 
 LnRelays *
 ln_relays_new (LnContext *context)
@@ -54,14 +54,14 @@
   LnRelays *relays = LB_NEW (LnRelays);
 
   relays->context = context;
-  lb_list_init (&relays->running);
+  lb_list_init (&relays->active_relays);
   return relays;
 }
 
 static void
 relay_free (Relay *relay)
 {
-  lb_list_remove (&relay->relays->running, &relay->link);
+  lb_list_remove (&relay->relays->active_relays, &relay->link);
   free (relay);
 }
 
@@ -70,7 +70,7 @@
 {
   if (!relays)
     return;
-  LB_LIST_FOREACH (&relays->running, Relay, link, relay)
+  LB_LIST_FOREACH (&relays->active_relays, Relay, link, relay)
   {
     lh_fetch_cancel (relay->fetch);
     relay_free (relay);
@@ -92,29 +92,29 @@
 bool
 ln_relays_is_idle (const LnRelays *relays)
 {
-  return lb_list_is_empty (&relays->running);
+  return lb_list_is_empty (&relays->active_relays);
 }
 
 void
-ln_relays_hint (const LnRelays *relays, char *text, size_t size)
+ln_relays_list_addresses (const LnRelays *relays, char *text, size_t size)
 {
   size_t used = 0;
-  int hints = 0;
+  int n_addresses = 0;
 
   text[0] = '\0';
-  for (size_t i = 0; i < relays->n_members && hints < MAX_HINTS; i++)
+  for (size_t i = 0; i < relays->n_members && n_addresses < MAX_LISTED_ADDRESSES; i++)
     {
       const LnMember *member = &relays->members[i];
       if (member->is_self || !member->alive || member->draining)
         continue;
-      used += (size_t)snprintf (text + used, size - used, "%s%s", hints > 0 ? "," : "",
+      used += (size_t)snprintf (text + used, size - used, "%s%s", n_addresses > 0 ? "," : "",
                                 member->caller_address);
-      hints++;
+      n_addresses++;
     }
 }
 
 static const LnMember *
-find_alive (const LnRelays *relays, const LnRelayTarget *target)
+find_live_member (const LnRelays *relays, const LnRelayTarget *target)
 {
   for (size_t i = 0; i < relays->n_members; i++)
     {
@@ -126,11 +126,11 @@
   return NULL;
 }
 
-/* What the ticket's call did is known by the memory of one incarnation alone. Without an answer
- * from it nothing can be said, not even when no byte of this relay left: the same ticket may have
- * been used before. */
+/* Only the memory of the ticket's incarnation records whether the call has run. Without its answer
+ * the outcome is unknown, even if no byte of this relay was sent: the same ticket may have been
+ * used before. */
 static void
-reply_unknown (LnExchange *exchange, const char *instance)
+reply_outcome_unknown (LnExchange *exchange, const char *instance)
 {
   LbError error = { 0 };
 
@@ -140,9 +140,9 @@
 }
 
 static void
-pass_header (const char *name, const char *value, void *user)
+forward_header (const char *name, const char *value, void *user)
 {
-  if (!ln_call_is_hop_header (name))
+  if (!ln_is_hop_by_hop_header (name))
     ln_exchange_set_header (user, name, value);
 }
 
@@ -153,19 +153,19 @@
   LnExchange *exchange = relay->exchange;
 
   if (result->failure != LB_OK)
-    reply_unknown (exchange, relay->instance);
+    reply_outcome_unknown (exchange, relay->instance);
   else
     {
-      lh_fetch_each_header (fetch, pass_header, exchange);
+      lh_fetch_each_header (fetch, forward_header, exchange);
       ln_exchange_reply_text (exchange, result->status, NULL, result->body, result->body_length);
     }
   relay_free (relay);
 }
 
 static void
-caller_gone (LnHolder *holder)
+on_caller_disconnected (LnExchangeHandler *handler)
 {
-  Relay *relay = (Relay *)holder;
+  Relay *relay = (Relay *)handler;
 
   lh_fetch_cancel (relay->fetch);
   ln_exchange_end (relay->exchange);
@@ -173,7 +173,7 @@
 }
 
 static void
-add_header (Headers *headers, const char *name, const char *value)
+add_header (HeaderList *headers, const char *name, const char *value)
 {
   headers->items = lb_realloc (headers->items, (headers->count + 1) * sizeof (LhHeader));
   headers->items[headers->count++] = (LhHeader){ .name = name, .value = value };
@@ -182,37 +182,38 @@
 static void
 copy_header (const char *name, const char *value, void *user)
 {
-  static const char *const replaced[]
+  static const char *const replaced_headers[]
       = { "x-ticket", "idempotency-key", "x-caller", "x-relayed-by", "x-deadline-ms" };
 
-  for (size_t i = 0; i < sizeof replaced / sizeof replaced[0]; i++)
-    if (strcasecmp (name, replaced[i]) == 0)
+  for (size_t i = 0; i < sizeof replaced_headers / sizeof replaced_headers[0]; i++)
+    if (strcasecmp (name, replaced_headers[i]) == 0)
       return;
-  if (!ln_call_is_hop_header (name))
+  if (!ln_is_hop_by_hop_header (name))
     add_header (user, name, value);
 }
 
 static LhFetch *
-send_on (LnRelays *relays,
-         Relay *relay,
-         const LnMember *member,
-         const LnRelayTarget *target,
-         LbError *error)
+start_request (LnRelays *relays,
+               Relay *relay,
+               const LnMember *member,
+               const LnRelayTarget *target,
+               LbError *error)
 {
   static const LhHandlers handlers = { .on_done = on_done };
   const char *query = ln_exchange_raw_query (relay->exchange);
-  LbTime left = target->deadline - lb_clock_monotonic ();
-  char left_ms[32];
+  LbTime time_left = target->deadline - lb_clock_monotonic ();
+  char time_left_ms[32];
   size_t length;
-  Headers headers = { 0 };
+  HeaderList headers = { 0 };
   char *path = lb_asprintf ("%s%s%s", ln_exchange_path (relay->exchange), query ? "?" : "",
                             query ? query : "");
 
-  snprintf (left_ms, sizeof left_ms, "%lld", (long long)(left > 0 ? left / LB_MSEC : 0));
+  snprintf (time_left_ms, sizeof time_left_ms, "%lld",
+            (long long)(time_left > 0 ? time_left / LB_MSEC : 0));
   ln_exchange_each_header (relay->exchange, copy_header, &headers);
   add_header (&headers, "x-ticket", target->ticket);
   add_header (&headers, "x-caller", target->caller);
-  add_header (&headers, "x-deadline-ms", left_ms);
+  add_header (&headers, "x-deadline-ms", time_left_ms);
   add_header (&headers, "x-relayed-by", relays->context->instance);
   const char *body = ln_exchange_body (relay->exchange, &length);
   const LhRequest request = { .method = ln_exchange_method (relay->exchange),
@@ -222,7 +223,7 @@
                               .n_headers = headers.count,
                               .body = body,
                               .body_length = length,
-                              .silence = (left > 0 ? left : 0) + MARGIN };
+                              .silence = (time_left > 0 ? time_left : 0) + DEADLINE_MARGIN };
   LhFetch *fetch = lh_fetch_start (relays->context->http, &request, &handlers, relay, error);
   free (headers.items);
   free (path);
@@ -230,32 +231,33 @@
 }
 
 void
-ln_relays_pass (LnRelays *relays, LnExchange *exchange, const LnRelayTarget *target)
+ln_relays_forward (LnRelays *relays, LnExchange *exchange, const LnRelayTarget *target)
 {
-  static const LnHolderClass relay_class = { .caller_gone = caller_gone };
-  const LnMember *member = find_alive (relays, target);
+  static const LnExchangeHandlerClass relay_class
+      = { .on_caller_disconnected = on_caller_disconnected };
+  const LnMember *member = find_live_member (relays, target);
   LbError error = { 0 };
 
-  /* A relay that came back would go round for ever. */
+  /* A second relay could loop for ever. */
   if (!member || ln_exchange_header (exchange, "x-relayed-by"))
     {
-      reply_unknown (exchange, target->instance);
+      reply_outcome_unknown (exchange, target->instance);
       return;
     }
   Relay *relay = LB_NEW (Relay);
-  relay->holder.klass = &relay_class;
+  relay->handler.klass = &relay_class;
   relay->relays = relays;
   relay->exchange = exchange;
   LB_COPY (relay->instance, target->instance);
-  lb_list_append (&relays->running, &relay->link);
-  relay->fetch = send_on (relays, relay, member, target, &error);
+  lb_list_append (&relays->active_relays, &relay->link);
+  relay->fetch = start_request (relays, relay, member, target, &error);
   if (!relay->fetch)
     {
       relay_free (relay);
       ln_exchange_reply_error (exchange, &error, 0);
       return;
     }
-  lb_metric_add (&relayed, 1);
+  lb_metric_add (&calls_relayed, 1);
   lb_log (LB_LOG_INFO, "relayed", LB_INT ("exchange", ln_exchange_id (exchange)),
           LB_TEXT ("to", member->name), LB_TEXT ("reason", "ticket"));
   ln_exchange_set_user (exchange, relay);
--- a/packages/node/src/calls/ln-routed.c
+++ b/packages/node/src/calls/ln-routed.c
@@ -10,9 +10,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A caller that found this instance without routes may find another one with them, or this one a
- * little later: a first read of the store takes some tens of milliseconds. */
-#define RETRY_WITHOUT_ROUTES (300 * LB_MSEC)
+/* The first read of the store takes some tens of milliseconds; a retry finds the routes here or on
+ * another instance. */
+#define NOT_READY_RETRY_AFTER (300 * LB_MSEC)
 
 static void
 refuse (LnExchange *exchange, LbErrorCode code, const char *detail, LbTime retry_after)
@@ -24,7 +24,7 @@
 }
 
 static void
-pass_on (LnCalls *calls, LnExchange *exchange, const char *name)
+hand_over_to_task (LnCalls *calls, LnExchange *exchange, const char *name)
 {
   LnTask *task = ln_hub_find (calls->task.hub, name);
   LnExchangeMessage message = { .base = LN_MESSAGE (LN_EXCHANGE), .exchange = exchange };
@@ -44,42 +44,45 @@
 {
   HeaderCopy *copy = user;
 
-  if (!ln_call_is_hop_header (name) && !copy->dialect->is_own_header (name))
+  if (!ln_is_hop_by_hop_header (name) && !copy->dialect->is_own_header (name))
     lc_outgoing_add_header (copy->outgoing, name, value);
 }
 
 static void
-copy_request (const LnCalls *calls, LnCall *call, const LnExchange *exchange, const LnInbound *in)
+copy_request (const LnCalls *calls,
+              LnCall *call,
+              const LnExchange *exchange,
+              const LnInbound *inbound)
 {
   HeaderCopy copy = { .dialect = calls->context->dialect, .outgoing = &call->outgoing };
   const char *query = ln_exchange_raw_query (exchange);
   size_t length;
   const char *body = ln_exchange_body (exchange, &length);
 
-  LB_COPY (call->outgoing.id, in->id ? in->id : "");
+  LB_COPY (call->outgoing.id, inbound->id ? inbound->id : "");
   call->outgoing.method = lb_strdup (ln_exchange_method (exchange));
   call->outgoing.path
       = lb_asprintf ("%s%s%s", ln_exchange_path (exchange), query ? "?" : "", query ? query : "");
-  call->outgoing.host = lb_strdup (in->host);
+  call->outgoing.host = lb_strdup (inbound->host);
   call->outgoing.body = lb_memdup (body, length + 1);
   call->outgoing.body_length = length;
   ln_exchange_each_header (exchange, copy_header, &copy);
 }
 
-/* The caller's own deadline, or the longest time that the operators want it kept waiting. */
+/* The earliest of the caller's deadline, the route's timeout and the default. */
 static LbTime
-deadline_of (const LnCalls *calls, const LcRoute *route, const LnInbound *in, LbTime now)
+compute_deadline (const LnCalls *calls, const LcRoute *route, const LnInbound *inbound, LbTime now)
 {
-  LbTime wait = calls->context->settings->calls.default_deadline_ms * LB_MSEC;
+  LbTime timeout = calls->context->settings->calls.default_deadline_ms * LB_MSEC;
 
-  if (in->deadline > 0 && in->deadline < wait)
-    wait = in->deadline;
-  if (route->timeout > 0 && route->timeout < wait)
-    wait = route->timeout;
-  return now + wait;
+  if (inbound->deadline > 0 && inbound->deadline < timeout)
+    timeout = inbound->deadline;
+  if (route->timeout > 0 && route->timeout < timeout)
+    timeout = route->timeout;
+  return now + timeout;
 }
 
-/* Callers of one organisation share the endpoints of a service as one, however many they are. */
+/* All callers of one organisation form one flow in the fair sharing of a service's endpoints. */
 static void
 set_organisation (LnCall *call, const LcAdmission *admission)
 {
@@ -93,17 +96,18 @@
 }
 
 static LnCall *
-make_call (LnCalls *calls,
-           LnExchange *exchange,
-           const LcRoute *route,
-           const LcAdmission *admission,
-           const char *service,
-           const LnInbound *in)
+new_call (LnCalls *calls,
+          LnExchange *exchange,
+          const LcRoute *route,
+          const LcAdmission *admission,
+          const char *service,
+          const LnInbound *inbound)
 {
-  static const LnHolderClass call_class = { .caller_gone = ln_calls_caller_gone };
+  static const LnExchangeHandlerClass call_class
+      = { .on_caller_disconnected = ln_calls_on_caller_disconnected };
   LnCall *call = ln_call_new (LN_CALL_SERVICE);
 
-  call->holder.klass = &call_class;
+  call->handler.klass = &call_class;
   call->owner = calls;
   call->exchange = exchange;
   call->spec.id = ln_context_next_request (calls->context);
@@ -114,76 +118,77 @@
   call->spec.max_attempts = route->attempts;
   call->spec.hedge_after = lc_route_hedge_after (route);
   call->spec.expected_tokens = 1;
-  call->spec.deadline = deadline_of (calls, route, in, lb_clock_monotonic ());
+  call->spec.deadline = compute_deadline (calls, route, inbound, lb_clock_monotonic ());
   LB_COPY (call->spec.caller, route->name);
   LB_COPY (call->spec.pool, service);
   set_organisation (call, admission);
-  copy_request (calls, call, exchange, in);
+  copy_request (calls, call, exchange, inbound);
   ln_exchange_set_user (exchange, call);
   return call;
 }
 
-/* Guards against a "not found" for a route that is there: an instance that has just started, or
- * just heard of a new service, knows the routes before it has the list of endpoints, and the caller
- * would not come back. */
+/* An instance that has just started, or just received a new service, knows the routes before the
+ * endpoints. It replies "not ready", since on a "not found" the caller would not retry. */
 static void
-submit (LnCalls *calls,
-        LnExchange *exchange,
-        const LcRoute *route,
-        const LcAdmission *admission,
-        const LnInbound *in)
+submit_call (LnCalls *calls,
+             LnExchange *exchange,
+             const LcRoute *route,
+             const LcAdmission *admission,
+             const LnInbound *inbound)
 {
   const char *service = lc_route_service (route, ln_context_draw (calls->context));
 
   if (lc_dispatch_has_service (calls->dispatch, service))
-    ln_calls_submit (calls, make_call (calls, exchange, route, admission, service, in));
+    ln_calls_submit (calls, new_call (calls, exchange, route, admission, service, inbound));
   else
-    refuse (exchange, LB_ERROR_NOT_READY, "the endpoints of the route are not known here yet",
-            RETRY_WITHOUT_ROUTES);
+    refuse (exchange, LB_ERROR_NOT_READY,
+            "the endpoints of the route are not known on this instance yet", NOT_READY_RETRY_AFTER);
 }
 
 void
-ln_routed_take (LnCalls *calls, LnExchange *exchange)
+ln_routed_handle_request (LnCalls *calls, LnExchange *exchange)
 {
-  const LcDesired *desired = calls->belief.desired;
+  const LcDesired *desired = calls->admission_state.desired;
   const LcRoute *route = NULL;
   LcAdmission admission;
-  LnInbound in;
+  LnInbound inbound;
 
-  calls->context->dialect->read_inbound (exchange, &in);
+  calls->context->dialect->read_inbound (exchange, &inbound);
   if (!desired)
     {
-      refuse (exchange, LB_ERROR_NOT_READY, "no routes are known here yet", RETRY_WITHOUT_ROUTES);
+      refuse (exchange, LB_ERROR_NOT_READY, "no routes are known on this instance yet",
+              NOT_READY_RETRY_AFTER);
       return;
     }
-  route = lc_desired_route (desired, in.host, ln_exchange_path (exchange));
+  route = lc_desired_route (desired, inbound.host, ln_exchange_path (exchange));
   if (!route)
     {
-      lb_log (LB_LOG_INFO, "no_route", LB_TEXT ("id", in.id), LB_TEXT ("host", in.host),
+      lb_log (LB_LOG_INFO, "no_route", LB_TEXT ("id", inbound.id), LB_TEXT ("host", inbound.host),
               LB_TEXT ("path", ln_exchange_path (exchange)), LB_INT ("desired", desired->version));
-      refuse (exchange, LB_ERROR_UNKNOWN_PATH, "no route leads there", 0);
+      refuse (exchange, LB_ERROR_UNKNOWN_PATH, "no route matches the host and path", 0);
       return;
     }
-  ln_admission_check (calls->context, &calls->belief, route->is_public, &in, &admission);
+  ln_admission_check (calls->context, &calls->admission_state, route->is_public, &inbound,
+                      &admission);
   if (admission.error != LB_OK)
     {
-      ln_admission_refuse (exchange, &calls->belief, &in, &admission);
+      ln_admission_refuse (exchange, &calls->admission_state, &inbound, &admission);
       return;
     }
   if (!lh_method_is_known (ln_exchange_method (exchange)))
     {
-      refuse (exchange, LB_ERROR_BAD_VALUE, "this method can't be passed on", 0);
+      refuse (exchange, LB_ERROR_BAD_VALUE, "the method is not supported", 0);
       return;
     }
   if (route->kind == LC_ROUTE_BATCH)
-    pass_on (calls, exchange, "rollouts");
+    hand_over_to_task (calls, exchange, "rollouts");
   else
-    submit (calls, exchange, route, &admission, &in);
+    submit_call (calls, exchange, route, &admission, &inbound);
 }
 
-/* Not yet given to any endpoint, so that "not run" is true. */
+/* Calls that were sent to an endpoint are left alone: "not run" would not be true for them. */
 static bool
-waits_under_lost_key (const LnCall *call, const LcDesired *desired)
+is_queued_with_revoked_key (const LnCall *call, const LcDesired *desired)
 {
   const LcOrganisation *holder = NULL;
 
@@ -194,27 +199,25 @@
   return !holder || strcmp (holder->name, call->organisation) != 0;
 }
 
-/* The first one; the end of a call may end others, so the list is looked through anew after each.
- */
+/* Returns the first one. Ending a call may end others, so callers search again after each. */
 static LnCall *
-find_under_lost_key (const LnCalls *calls)
+find_queued_with_revoked_key (const LnCalls *calls)
 {
-  LB_LIST_FOREACH (&calls->all, LnCall, link, call)
+  LB_LIST_FOREACH (&calls->active_calls, LnCall, link, call)
   {
-    if (waits_under_lost_key (call, calls->belief.desired))
+    if (is_queued_with_revoked_key (call, calls->admission_state.desired))
       return call;
   }
   return NULL;
 }
 
-/* Guards against a key that was taken away and still works for what waits: under load that is
- * seconds. */
+/* Without this, a revoked key stays effective for queued calls, under load for seconds. */
 void
-ln_routed_review (LnCalls *calls)
+ln_routed_fail_revoked_calls (LnCalls *calls)
 {
   LnCall *call = NULL;
 
-  while ((call = find_under_lost_key (calls)))
+  while ((call = find_queued_with_revoked_key (calls)))
     {
       lb_log (LB_LOG_INFO, "request_given_up", LB_INT ("request", call->spec.id),
               LB_TEXT ("id", call->outgoing.id), LB_TEXT ("organisation", call->organisation),
--- a/packages/node/src/calls/ln-ticket-calls.c
+++ b/packages/node/src/calls/ln-ticket-calls.c
@@ -1,51 +1,51 @@
 #include "ln-ticket-calls.h"
 
+#include "ln-exchange-handler.h"
 #include "ln-exchange-private.h"
-#include "ln-holder.h"
 
 #include "lb-alloc.h"
 #include "lb-clock.h"
 
 #include <stdlib.h>
 
-#define TICKET_LIFE (600 * LB_SEC)
+#define TICKET_LIFETIME (600 * LB_SEC)
 #define MAX_TICKETS 100000
-#define MAX_KEPT_BYTES (32 << 20)
+#define MAX_STORED_ANSWER_BYTES (32 << 20)
 
 typedef struct
 {
-  LnHolder holder; /* first */
+  LnExchangeHandler handler; /* first */
   LbLink link;
   LnTicketCalls *calls;
   LnExchange *exchange;
   LcRequestId request;
-} Join;
+} Waiter;
 
 struct LnTicketCalls
 {
-  LcTickets *table;
-  LbList joins;
+  LcTickets *tickets;
+  LbList waiters;
 };
 
 LnTicketCalls *
 ln_ticket_calls_new (const char *instance, const char *incarnation, uint64_t seed)
 {
   LnTicketCalls *calls = LB_NEW (LnTicketCalls);
-  const LcTicketLimits limits = { .lifetime = TICKET_LIFE,
+  const LcTicketLimits limits = { .lifetime = TICKET_LIFETIME,
                                   .max_tickets = MAX_TICKETS,
-                                  .max_answer_bytes = MAX_KEPT_BYTES,
+                                  .max_answer_bytes = MAX_STORED_ANSWER_BYTES,
                                   .seed = seed };
 
-  calls->table = lc_tickets_new (instance, incarnation, &limits);
-  lb_list_init (&calls->joins);
+  calls->tickets = lc_tickets_new (instance, incarnation, &limits);
+  lb_list_init (&calls->waiters);
   return calls;
 }
 
 static void
-join_free (Join *join)
+waiter_free (Waiter *waiter)
 {
-  lb_list_remove (&join->calls->joins, &join->link);
-  free (join);
+  lb_list_remove (&waiter->calls->waiters, &waiter->link);
+  free (waiter);
 }
 
 void
@@ -53,55 +53,56 @@
 {
   if (!calls)
     return;
-  LB_LIST_FOREACH (&calls->joins, Join, link, join)
+  LB_LIST_FOREACH (&calls->waiters, Waiter, link, waiter)
   {
-    join_free (join);
+    waiter_free (waiter);
   }
-  lc_tickets_free (calls->table);
+  lc_tickets_free (calls->tickets);
   free (calls);
 }
 
 LcTickets *
-ln_ticket_calls_table (LnTicketCalls *calls)
+ln_ticket_calls_tickets (LnTicketCalls *calls)
 {
-  return calls->table;
+  return calls->tickets;
 }
 
 static void
-caller_gone (LnHolder *holder)
+on_caller_disconnected (LnExchangeHandler *handler)
 {
-  Join *join = (Join *)holder;
+  Waiter *waiter = (Waiter *)handler;
 
-  ln_exchange_end (join->exchange);
-  join_free (join);
+  ln_exchange_end (waiter->exchange);
+  waiter_free (waiter);
 }
 
 void
-ln_ticket_calls_join (LnTicketCalls *calls, LnExchange *exchange, LcRequestId request)
+ln_ticket_calls_add_waiter (LnTicketCalls *calls, LnExchange *exchange, LcRequestId request)
 {
-  static const LnHolderClass join_class = { .caller_gone = caller_gone };
-  Join *join = LB_NEW (Join);
-
-  join->holder.klass = &join_class;
-  join->calls = calls;
-  join->exchange = exchange;
-  join->request = request;
-  lb_list_append (&calls->joins, &join->link);
-  ln_exchange_set_user (exchange, join);
+  static const LnExchangeHandlerClass waiter_class
+      = { .on_caller_disconnected = on_caller_disconnected };
+  Waiter *waiter = LB_NEW (Waiter);
+
+  waiter->handler.klass = &waiter_class;
+  waiter->calls = calls;
+  waiter->exchange = exchange;
+  waiter->request = request;
+  lb_list_append (&calls->waiters, &waiter->link);
+  ln_exchange_set_user (exchange, waiter);
 }
 
 static void
-answer_join (const Join *join, LbErrorCode code, LbTime retry_after, const LnAnswer *answer)
+reply_to_waiter (const Waiter *waiter, LbErrorCode code, LbTime retry_after, const LnAnswer *answer)
 {
   LbError error = { 0 };
 
   if (code == LB_OK)
     {
-      ln_answer_reply (answer, join->exchange);
+      ln_answer_reply (answer, waiter->exchange);
       return;
     }
-  lb_error_set (&error, code, "x-ticket", "the call that this ticket began has failed");
-  ln_exchange_reply_error (join->exchange, &error, retry_after);
+  lb_error_set (&error, code, "x-ticket", "the call started with this ticket has failed");
+  ln_exchange_reply_error (waiter->exchange, &error, retry_after);
 }
 
 void
@@ -114,20 +115,20 @@
   size_t length = 0;
   char *bytes = answer ? ln_answer_encode (answer, &length) : NULL;
 
-  lc_tickets_finish (calls->table, request, error, answer ? answer->status : 0, bytes, length,
+  lc_tickets_finish (calls->tickets, request, error, answer ? answer->status : 0, bytes, length,
                      lb_clock_monotonic ());
   free (bytes);
-  LB_LIST_FOREACH (&calls->joins, Join, link, join)
+  LB_LIST_FOREACH (&calls->waiters, Waiter, link, waiter)
   {
-    if (join->request != request)
+    if (waiter->request != request)
       continue;
-    answer_join (join, error, retry_after, answer);
-    join_free (join);
+    reply_to_waiter (waiter, error, retry_after, answer);
+    waiter_free (waiter);
   }
 }
 
 bool
 ln_ticket_calls_is_idle (const LnTicketCalls *calls)
 {
-  return lb_list_is_empty (&calls->joins);
+  return lb_list_is_empty (&calls->waiters);
 }
--- a/packages/node/src/calls/ln-ticket-calls.h
+++ b/packages/node/src/calls/ln-ticket-calls.h
@@ -7,16 +7,16 @@
 typedef struct LnExchange LnExchange;
 
 /* The tickets of this incarnation, and the callers who wait for the answer of a call that another
- * connection began with the same ticket. */
+ * connection started with the same ticket. */
 typedef struct LnTicketCalls LnTicketCalls;
 
 LnTicketCalls *ln_ticket_calls_new (const char *instance, const char *incarnation, uint64_t seed);
 void ln_ticket_calls_free (LnTicketCalls *calls);
-LcTickets *ln_ticket_calls_table (LnTicketCalls *calls);
-/* The exchange gets the answer of the request when that ends. */
-void ln_ticket_calls_join (LnTicketCalls *calls, LnExchange *exchange, LcRequestId request);
-/* The request ended: answer is given with LB_OK, else NULL. Requests without a ticket are ignored.
- */
+LcTickets *ln_ticket_calls_tickets (LnTicketCalls *calls);
+/* Replies to the exchange with the answer of the request when it ends. */
+void ln_ticket_calls_add_waiter (LnTicketCalls *calls, LnExchange *exchange, LcRequestId request);
+/* Stores the answer of an ended request and replies to its waiters. answer is NULL unless error is
+ * LB_OK. Requests without a ticket are ignored. */
 void ln_ticket_calls_finish (LnTicketCalls *calls,
                              LcRequestId request,
                              LbErrorCode error,
--- a/packages/node/src/calls/ln-upstream.c
+++ b/packages/node/src/calls/ln-upstream.c
@@ -13,9 +13,9 @@
 #include <string.h>
 
 #define MAX_EVENT_BYTES (1 << 20)
-/* A hundred round trips between data centres: an endpoint that has not taken a connection by then
- * is not there, or has no room for one. */
-#define CONNECT_TIME (250 * LB_MSEC)
+/* A hundred round trips between data centres: an endpoint that has not accepted a connection by
+ * then is down or full. */
+#define CONNECT_TIMEOUT (250 * LB_MSEC)
 #define MAX_REFUSAL_BYTES (64 << 10)
 
 struct LnUpstream
@@ -24,30 +24,30 @@
   uint32_t attempt;
   LbName endpoint;
   LbName address;
-  char *stream_id; /* NULL: a plain service */
+  char *stream_id; /* NULL: plain service */
   LhPool *pool;
   LhFetch *fetch;
   LnUpstreamHandlers handlers;
   void *user;
   LhSse sse;
-  struct evbuffer *body; /* a service's reply, or what an engine said beside its stream */
+  struct evbuffer *body; /* a service's reply, or an engine's reply other than a stream */
   int status;
-  bool was_closed;          /* by the other end, or on the way, before the whole reply had come */
-  const LnDialect *dialect; /* NULL: the product's own */
+  bool connection_lost;     /* before the reply was complete */
+  const LnDialect *dialect; /* NULL: the daemon's own protocol */
   char *name;               /* of the request */
-  LnStreamReader *reader;   /* of a stream in a dialect */
+  LnStreamReader *reader;   /* with a dialect: parses the stream */
   LcVersion version;        /* of the stream's last event */
   bool is_head;
-  bool end_marker; /* [DONE] has come */
-  bool garbled;    /* what came is not this attempt's answer; nothing more is taken from it */
-  bool in_feed;    /* a cancel now only marks, since the event reader is still at work */
+  bool has_end_marker; /* [DONE] was received */
+  bool is_invalid;     /* received something else than this attempt's answer; the rest is ignored */
+  bool is_feeding;     /* the parser is running: a cancel only sets is_cancelled */
   bool is_cancelled;
 };
 
-static LbMetric wrong_stream
-    = LB_COUNTER_INIT ("lentilspindle_wrong_stream_total",
-                       NULL,
-                       "Streams ended because they carried another request's answer or no JSON");
+static LbMetric streams_aborted = LB_COUNTER_INIT (
+    "lentilspindle_wrong_stream_total",
+    NULL,
+    "Streams aborted because they carried another request's answer or invalid JSON");
 
 static void
 upstream_free (LnUpstream *upstream)
@@ -62,7 +62,7 @@
 }
 
 static const char *
-text_of (struct json_object *choice)
+choice_text (struct json_object *choice)
 {
   struct json_object *text = NULL;
   struct json_object *delta = NULL;
@@ -86,10 +86,10 @@
   return json_object_array_get_idx (choices, 0);
 }
 
-/* An answer that belongs to another request, one that an endpoint or something before it mixed up,
- * would reach the wrong caller. Each attempt has its own id, and each event must name it. */
+/* An endpoint or a proxy may mix up streams, and an answer would reach the wrong caller. So each
+ * attempt has its own id, and each event must contain it. */
 static bool
-is_own (const LnUpstream *upstream, struct json_object *event)
+has_own_id (const LnUpstream *upstream, struct json_object *event)
 {
   const char *id = lb_json_text (event, "id", NULL);
 
@@ -99,19 +99,19 @@
 static bool
 handle_event (LnUpstream *upstream, struct json_object *event)
 {
-  struct json_object *finish = NULL;
+  struct json_object *finish_reason = NULL;
   struct json_object *choice = first_choice (event);
 
-  if (!choice || !is_own (upstream, event))
+  if (!choice || !has_own_id (upstream, event))
     return false;
-  const char *text = text_of (choice);
+  const char *text = choice_text (choice);
   LcPiece piece = { .offset = lb_json_int (event, "offset", -1),
                     .tokens = lb_json_int (event, "tokens", -1),
                     .version = lb_json_int (event, "weight_version", 0),
                     .kv_reused_version = lb_json_int (event, "kv_reused_version", 0) };
   if (piece.offset < 0 || piece.tokens < 0)
     return false;
-  piece.last = json_object_object_get_ex (choice, "finish_reason", &finish) && finish;
+  piece.last = json_object_object_get_ex (choice, "finish_reason", &finish_reason) && finish_reason;
   upstream->handlers.on_piece (upstream, &piece, event, text ? text : "", upstream->user);
   return true;
 }
@@ -123,41 +123,41 @@
   struct json_object *event = NULL;
   LbError error;
 
-  if (upstream->is_cancelled || upstream->garbled || upstream->end_marker)
+  if (upstream->is_cancelled || upstream->is_invalid || upstream->has_end_marker)
     return;
   if (length == 6 && memcmp (data, "[DONE]", 6) == 0)
     {
-      upstream->end_marker = true;
+      upstream->has_end_marker = true;
       return;
     }
   event = lb_settings_parse (data, length, "event", &error);
   if (!event || !handle_event (upstream, event))
     {
-      upstream->garbled = true;
-      lb_metric_add (&wrong_stream, 1);
+      upstream->is_invalid = true;
+      lb_metric_add (&streams_aborted, 1);
     }
   json_object_put (event);
 }
 
 static void
-end (LnUpstream *upstream, LcAttemptEnd how)
+finish (LnUpstream *upstream, LcAttemptEnd end)
 {
-  upstream->handlers.on_end (upstream, how, upstream->user);
+  upstream->handlers.on_end (upstream, end, upstream->user);
   upstream_free (upstream);
 }
 
 static const char *
-header_of (const void *source, const char *name)
+get_header (const void *source, const char *name)
 {
   return lh_fetch_header (source, name);
 }
 
-/* An engine that hands out a late answer to another request first must not have it taken for this
- * one's: the caller would read another's text. */
+/* An engine may first send a late answer to another request, whose text must not reach this caller.
+ */
 static bool
-is_named (const LnUpstream *upstream, const LhFetch *fetch)
+is_reply_to_request (const LnUpstream *upstream, const LhFetch *fetch)
 {
-  return upstream->dialect->is_reply_to (upstream->name, header_of, fetch);
+  return upstream->dialect->is_reply_to (upstream->name, get_header, fetch);
 }
 
 static void
@@ -166,7 +166,7 @@
   LnUpstream *upstream = user;
   char *text = NULL;
 
-  if (upstream->is_cancelled || upstream->garbled)
+  if (upstream->is_cancelled || upstream->is_invalid)
     return;
   if (event->version > 0)
     upstream->version = event->version;
@@ -177,24 +177,24 @@
 }
 
 static bool
-feed (LnUpstream *upstream, const LhFetch *fetch, const char *bytes, size_t length)
+feed_stream (LnUpstream *upstream, const LhFetch *fetch, const char *bytes, size_t length)
 {
   LbError error;
 
   if (!upstream->dialect)
     return lh_sse_feed (&upstream->sse, bytes, length, on_event, upstream, &error);
-  if (!is_named (upstream, fetch))
+  if (!is_reply_to_request (upstream, fetch))
     {
-      lb_metric_add (&wrong_stream, 1);
+      lb_metric_add (&streams_aborted, 1);
       return false;
     }
   if (upstream->version == 0)
-    upstream->version = upstream->dialect->read_first_version (header_of, fetch);
+    upstream->version = upstream->dialect->read_first_version (get_header, fetch);
   return upstream->dialect->stream_feed (upstream->reader, bytes, length);
 }
 
 static void
-on_piece (LhFetch *fetch, const char *bytes, size_t length, void *user)
+on_bytes (LhFetch *fetch, const char *bytes, size_t length, void *user)
 {
   LnUpstream *upstream = user;
 
@@ -204,25 +204,25 @@
         evbuffer_add (upstream->body, bytes, length);
       return;
     }
-  upstream->in_feed = true;
+  upstream->is_feeding = true;
   upstream->fetch = fetch;
-  if (!feed (upstream, fetch, bytes, length))
-    upstream->garbled = true;
-  upstream->in_feed = false;
+  if (!feed_stream (upstream, fetch, bytes, length))
+    upstream->is_invalid = true;
+  upstream->is_feeding = false;
   if (upstream->is_cancelled)
     {
       upstream_free (upstream);
       return;
     }
-  if (!upstream->garbled)
+  if (!upstream->is_invalid)
     return;
   lh_fetch_cancel (fetch);
-  end (upstream, LC_END_BROKEN);
+  finish (upstream, LC_END_BROKEN);
 }
 
-/* Only these replies prove that the endpoint did not start. */
+/* Only these replies prove that the endpoint did not start the request. */
 static bool
-refusal (LnUpstream *upstream, LcAttemptEnd *how)
+parse_refusal (LnUpstream *upstream, LcAttemptEnd *end)
 {
   struct json_object *object = NULL;
   size_t length;
@@ -235,31 +235,31 @@
   const char *name = lb_json_text (lb_json_member (object, "error"), "type", "");
   bool leaving = strcmp (name, "leaving") == 0;
   bool refused = leaving || strcmp (name, "not_started") == 0;
-  *how = leaving ? LC_END_REFUSED_LEAVING : LC_END_REFUSED;
+  *end = leaving ? LC_END_REFUSED_LEAVING : LC_END_REFUSED;
   json_object_put (object);
   return refused;
 }
 
-/* A reply whose body ends with its connection can't be told from one that was cut there, by a crash
- * for example, so it does not count as whole. */
+/* A body that ends with its connection can't be told from one truncated by a crash, so such a reply
+ * does not count as complete. */
 static bool
-states_its_end (const LnUpstream *upstream)
+has_delimited_body (const LnUpstream *upstream)
 {
   return upstream->is_head || upstream->status == 204 || upstream->status == 304
          || lh_fetch_header (upstream->fetch, "Content-Length")
          || lh_fetch_header (upstream->fetch, "Transfer-Encoding");
 }
 
-/* The endpoint's own failure of a plain call is its answer, which the caller gets as it is; that of
- * a stream is none, since a sample is whole or nothing. */
+/* An endpoint's failure of a plain call is an answer and is forwarded as it is. A failed stream is
+ * no answer, since a sample is either complete or not delivered. */
 static LcAttemptEnd
-judge_in_dialect (const LnUpstream *upstream, const LhResult *result)
+classify_dialect_end (const LnUpstream *upstream, const LhResult *result)
 {
   if (result->failure != LB_OK)
     return result->bytes_handed ? LC_END_BROKEN : LC_END_NOT_SENT;
-  if (!is_named (upstream, upstream->fetch))
+  if (!is_reply_to_request (upstream, upstream->fetch))
     return LC_END_BROKEN;
-  switch (upstream->dialect->judge (upstream->status, header_of, upstream->fetch))
+  switch (upstream->dialect->judge (upstream->status, get_header, upstream->fetch))
     {
     case LN_REPLY_NOT_RUN:
       return LC_END_REFUSED;
@@ -278,21 +278,21 @@
 }
 
 static LcAttemptEnd
-judge (LnUpstream *upstream, const LhResult *result)
+classify_end (LnUpstream *upstream, const LhResult *result)
 {
-  LcAttemptEnd how = LC_END_FAILED;
+  LcAttemptEnd end = LC_END_FAILED;
 
   if (upstream->dialect)
-    return judge_in_dialect (upstream, result);
+    return classify_dialect_end (upstream, result);
 
-  if (upstream->end_marker)
+  if (upstream->has_end_marker)
     return LC_END_COMPLETE;
   if (result->failure != LB_OK)
     return result->bytes_handed ? LC_END_BROKEN : LC_END_NOT_SENT;
-  if (refusal (upstream, &how))
-    return how;
+  if (parse_refusal (upstream, &end))
+    return end;
   if (!upstream->stream_id)
-    return states_its_end (upstream) ? LC_END_COMPLETE : LC_END_BROKEN;
+    return has_delimited_body (upstream) ? LC_END_COMPLETE : LC_END_BROKEN;
   return upstream->status == 200 ? LC_END_BROKEN : LC_END_FAILED;
 }
 
@@ -303,14 +303,14 @@
 
   upstream->fetch = fetch;
   upstream->status = result->status;
-  upstream->was_closed = result->failure == LB_ERROR_CLOSED || result->failure == LB_ERROR_IO;
+  upstream->connection_lost = result->failure == LB_ERROR_CLOSED || result->failure == LB_ERROR_IO;
   if (result->body_length > 0)
     evbuffer_add (upstream->body, result->body, result->body_length);
-  LcAttemptEnd how = judge (upstream, result);
+  LcAttemptEnd end = classify_end (upstream, result);
   if (result->failure != LB_OK)
     {
-      /* Something between the two ends may have lost track of all connections of this age: new
-       * ones work while kept ones swallow what is sent. None of them is used again. */
+      /* A middlebox may have dropped the state of all connections of this age: new ones work, but
+       * requests on idle ones get lost. None of them is reused. */
       lh_pool_forget (upstream->pool, upstream->address);
       lb_log (LB_LOG_INFO, "attempt_failed", LB_INT ("request", upstream->request),
               LB_TEXT ("id", upstream->name), LB_INT ("attempt", upstream->attempt),
@@ -318,7 +318,7 @@
               LB_TEXT ("error", lb_error_name (result->failure)),
               LB_BOOL ("bytes_handed", result->bytes_handed));
     }
-  end (upstream, how);
+  finish (upstream, end);
 }
 
 LnUpstream *
@@ -330,7 +330,7 @@
 {
   LnUpstream *upstream = LB_NEW (LnUpstream);
   const LhHandlers fetch_handlers
-      = { .on_piece = spec->stream_id || spec->is_stream ? on_piece : NULL, .on_done = on_done };
+      = { .on_piece = spec->stream_id || spec->is_stream ? on_bytes : NULL, .on_done = on_done };
   const LhRequest request = { .method = spec->method,
                               .address = spec->address,
                               .path = spec->path,
@@ -339,7 +339,7 @@
                               .n_headers = spec->n_headers,
                               .body = spec->body,
                               .body_length = spec->body_length,
-                              .connect_time = CONNECT_TIME,
+                              .connect_time = CONNECT_TIMEOUT,
                               .silence = spec->silence };
 
   upstream->request = spec->request;
@@ -369,24 +369,24 @@
 {
   lh_fetch_cancel (upstream->fetch);
   upstream->is_cancelled = true;
-  if (!upstream->in_feed)
+  if (!upstream->is_feeding)
     upstream_free (upstream);
 }
 
 void
-ln_upstream_load (const LnUpstream *upstream, LnStatedLoad *load)
+ln_upstream_read_load (const LnUpstream *upstream, LnStatedLoad *load)
 {
   memset (load, 0, sizeof *load);
   if (upstream->dialect && upstream->fetch)
-    upstream->dialect->read_load (header_of, upstream->fetch, load);
+    upstream->dialect->read_load (get_header, upstream->fetch, load);
 }
 
 const char *
-ln_upstream_score (const LnUpstream *upstream)
+ln_upstream_read_score (const LnUpstream *upstream)
 {
   if (!upstream->dialect || upstream->status / 100 != 2)
     return NULL;
-  return upstream->dialect->read_score (header_of, upstream->fetch);
+  return upstream->dialect->read_score (get_header, upstream->fetch);
 }
 
 uint32_t
@@ -408,9 +408,9 @@
 }
 
 bool
-ln_upstream_was_closed (const LnUpstream *upstream)
+ln_upstream_has_lost_connection (const LnUpstream *upstream)
 {
-  return upstream->was_closed;
+  return upstream->connection_lost;
 }
 
 const LhFetch *
--- a/packages/node/src/calls/ln-upstream.h
+++ b/packages/node/src/calls/ln-upstream.h
@@ -8,7 +8,7 @@
 struct evbuffer;
 struct json_object;
 
-/* One attempt of one request at one endpoint: an engine's stream, or a plain service's reply. */
+/* One attempt of a request at an endpoint: an engine's stream or a plain service's reply. */
 typedef struct LnUpstream LnUpstream;
 
 typedef struct
@@ -23,10 +23,10 @@
   size_t n_headers;
   const char *body;
   size_t body_length;
-  const char *stream_id; /* the request_id sent to an engine; NULL: a plain service */
-  LbTime silence;
-  const char *name; /* of the request, in logs; in a dialect the reply names it too */
-  /* In a dialect: */
+  const char *stream_id; /* request_id sent to an engine; NULL: plain service */
+  LbTime silence;        /* timeout without a received byte */
+  const char *name;      /* id of the request in logs; with a dialect also in the reply */
+  /* With a dialect only: */
   const LnDialect *dialect;
   const char *host;
   bool is_stream;
@@ -34,13 +34,14 @@
 
 typedef struct
 {
-  /* A piece of an engine's answer; event is the engine's own, valid during the call. */
+  /* A piece of an engine's answer; event: as the engine sent it, valid during the call, NULL with a
+   * dialect. */
   void (*on_piece) (LnUpstream *upstream,
                     const LcPiece *piece,
                     struct json_object *event,
                     const char *text,
                     void *user);
-  /* The last call; the upstream is freed after it. */
+  /* Called last; the upstream is freed after it. */
   void (*on_end) (LnUpstream *upstream, LcAttemptEnd end, void *user);
 } LnUpstreamHandlers;
 
@@ -49,19 +50,19 @@
                                const LnUpstreamHandlers *handlers,
                                void *user,
                                LbError *error);
-/* Closes the connection, which cancels the engine's work; no handler is called any more. */
+/* Closes the connection, on which the engine cancels its work. Calls no handler. */
 void ln_upstream_cancel (LnUpstream *upstream);
 
-/* What the reply states of the endpoint's load, as far as it came. */
-void ln_upstream_load (const LnUpstream *upstream, LnStatedLoad *load);
-/* The score in a scorer's reply; NULL: there is none. */
-const char *ln_upstream_score (const LnUpstream *upstream);
+/* Reads the endpoint's load from the reply headers, if they were received and state it. */
+void ln_upstream_read_load (const LnUpstream *upstream, LnStatedLoad *load);
+/* The score in a scorer's reply; NULL: none. */
+const char *ln_upstream_read_score (const LnUpstream *upstream);
 uint32_t ln_upstream_attempt (const LnUpstream *upstream);
 const char *ln_upstream_endpoint (const LnUpstream *upstream);
 const char *ln_upstream_address (const LnUpstream *upstream);
-/* The connection was lost before the whole reply had come; not: it was silent for too long. */
-bool ln_upstream_was_closed (const LnUpstream *upstream);
-/* A plain service's reply; valid in on_end. */
+/* The connection was lost before the reply was complete; false for a timeout. */
+bool ln_upstream_has_lost_connection (const LnUpstream *upstream);
+/* The plain service's reply; valid in on_end. */
 const LhFetch *ln_upstream_fetch (const LnUpstream *upstream);
 int ln_upstream_status (const LnUpstream *upstream);
 const char *ln_upstream_body (LnUpstream *upstream, size_t *length);
--- a/packages/node/tests/test-claims.c
+++ b/packages/node/tests/test-claims.c
@@ -73,7 +73,7 @@
   Outcome first = { 0 };
   LbTime end = lb_clock_monotonic () + 20 * LB_SEC;
 
-  ln_claims_take (claims, "shop", "k1", "i1.a.1", 0, on_claimed, &first);
+  ln_claims_claim_key (claims, "shop", "k1", "i1.a.1", 0, on_claimed, &first);
   run_until (base, &first.done);
   cr_assert (first.ours);
   while (has_rows (base, platform) && lb_clock_monotonic () < end)
@@ -81,7 +81,7 @@
   cr_assert_not (has_rows (base, platform));
 
   Outcome second = { 0 };
-  ln_claims_take (claims, "shop", "k1", "i1.a.1", LB_TIME_NEVER, on_claimed, &second);
+  ln_claims_claim_key (claims, "shop", "k1", "i1.a.1", LB_TIME_NEVER, on_claimed, &second);
   run_until (base, &second.done);
   end = lb_clock_monotonic () + 3 * LB_SEC;
   while (lb_clock_monotonic () < end)
