--- a/packages/node/tests/node-fixture.h
+++ b/packages/node/tests/node-fixture.h
@@ -23,8 +23,8 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* The front and calls tasks in one process with the test. The test holds the other ends of all
- * sockets: it plays the callers and the endpoints byte by byte and runs the loop in between. */
+/* Runs the front and calls tasks in the process of the test. The test acts as callers and endpoints
+ * on the other ends of all sockets, byte by byte, and runs the event loop in between. */
 #define FIXTURE_TIMEOUT (20 * LB_SEC)
 
 typedef struct
@@ -36,7 +36,7 @@
   LnTask *calls;
 } Fixture;
 
-/* What a test has read from one socket. */
+/* The test's end of one connection, with the bytes received on it. */
 typedef struct
 {
   int fd;
@@ -95,15 +95,15 @@
   usleep (200);
 }
 
-/* Runs the loop until the condition holds; fails the test when it does not for too long. */
+/* Runs the event loop until the condition holds; fails the test after FIXTURE_TIMEOUT. */
 #define FIXTURE_WAIT_UNTIL(f, condition)                                                           \
   do                                                                                               \
     {                                                                                              \
-      LbTime end_ = lb_clock_monotonic () + FIXTURE_TIMEOUT;                                       \
-      bool met_ = false;                                                                           \
-      while (!(met_ = (condition)) && lb_clock_monotonic () < end_)                                \
+      LbTime deadline_ = lb_clock_monotonic () + FIXTURE_TIMEOUT;                                  \
+      bool is_met_ = false;                                                                        \
+      while (!(is_met_ = (condition)) && lb_clock_monotonic () < deadline_)                        \
         fixture_run_loop_once (f);                                                                 \
-      cr_assert (met_, "never came true: %s", #condition);                                         \
+      cr_assert (is_met_, "timeout waiting for: %s", #condition);                                  \
     }                                                                                              \
   while (0)
 
@@ -118,7 +118,7 @@
   return to;
 }
 
-/* A listening socket and its address. */
+/* Returns a listening socket and sets its address. */
 static inline int
 fixture_listen (LbName address)
 {
@@ -159,14 +159,15 @@
 static inline bool
 peer_read (Peer *peer)
 {
-  ssize_t got = recv (peer->fd, peer->text + peer->length, sizeof peer->text - 1 - peer->length, 0);
+  ssize_t n_read
+      = recv (peer->fd, peer->text + peer->length, sizeof peer->text - 1 - peer->length, 0);
 
-  if (got > 0)
+  if (n_read > 0)
     {
-      peer->length += (size_t)got;
+      peer->length += (size_t)n_read;
       peer->text[peer->length] = '\0';
     }
-  else if (got == 0 || (errno != EAGAIN && errno != EWOULDBLOCK))
+  else if (n_read == 0 || (errno != EAGAIN && errno != EWOULDBLOCK))
     peer->closed = true;
   return true;
 }
@@ -192,7 +193,7 @@
   peer->text[0] = '\0';
 }
 
-/* A caller's connection. */
+/* Opens a connection as a caller. */
 static inline void
 caller_open (Fixture *f, Peer *caller)
 {
@@ -214,7 +215,7 @@
 }
 
 static inline void
-endpoint_state_load (Peer *peer)
+endpoint_reply_load (Peer *peer)
 {
   const char *load = "{\"incarnation\":\"e\",\"state\":\"serving\",\"weight_version\":40}";
   char *text = lb_asprintf ("HTTP/1.1 200 OK\r\nContent-Length: %zu\r\n"
@@ -225,8 +226,8 @@
   free (text);
 }
 
-/* The next call at an endpoint. Its load is stated on the way, since the daemon sends no work to an
- * endpoint that it has not heard; cache events are answered by a close. */
+/* Accepts the next call at an endpoint. Also answers load polls, since the daemon sends no work to
+ * an endpoint without a load report; polls for cache events are answered by a close. */
 static inline bool
 endpoint_try_accept (int listener, Peer *peer)
 {
@@ -239,7 +240,7 @@
     }
   peer_read (peer);
   if (strncmp (peer->text, "GET /load", 9) == 0)
-    endpoint_state_load (peer);
+    endpoint_reply_load (peer);
   if (strncmp (peer->text, "GET /load", 9) == 0 || strncmp (peer->text, "GET /cache_e", 12) == 0
       || peer->closed)
     {
@@ -300,7 +301,7 @@
   peer_send (peer, "0\r\n\r\n");
 }
 
-/* Puts a pool "p" with one engine for each address in force, and a service "s" likewise. */
+/* Applies a configuration: a pool "p" with one engine per address, and a service "s" likewise. */
 static inline void
 fixture_configure (Fixture *f, const char *const *engines, const char *const *services)
 {
--- a/packages/node/tests/test-calls-start.c
+++ b/packages/node/tests/test-calls-start.c
@@ -2,11 +2,11 @@
 
 #include "lc-fingerprint.h"
 
-/* A platform that answers the scan for crashed endpoints when the test says so. */
+/* A platform that defers the answer to the scan for crash reports until the test sends it. */
 typedef struct
 {
-  LpPlatform platform; /* first */
-  LpRowsDone scanned;  /* NULL: nobody waits */
+  LpPlatform platform;   /* first */
+  LpRowsDone on_scanned; /* NULL: no scan pending */
   void *user;
 } SlowStore;
 
@@ -16,7 +16,7 @@
   (void)prefix;
   SlowStore *store = (SlowStore *)platform;
 
-  store->scanned = done;
+  store->on_scanned = done;
   store->user = user;
 }
 
@@ -28,7 +28,7 @@
 
 static const LpPlatformClass slow_class = { .name = "slow", .free = slow_free, .scan = slow_scan };
 
-/* Three endpoints crashed under this call before the instance started. */
+/* Answers with crash reports of three endpoints for this call. */
 static void
 answer_scan (SlowStore *store, const char *path, const char *body)
 {
@@ -41,7 +41,7 @@
     rows[i] = (LpRow){ .key = lb_asprintf ("crash/all/e%d", i),
                        .value
                        = lb_asprintf ("{\"endpoint\":\"e%d\",\"contents\":[\"%s\"]}", i, content) };
-  store->scanned (LB_OK, rows, 3, store->user);
+  store->on_scanned (LB_OK, rows, 3, store->user);
   for (int i = 0; i < 3; i++)
     {
       free ((char *)rows[i].key);
@@ -61,10 +61,10 @@
   peer_close (&caller);
 }
 
-/* All instances were killed and start again. One of them, on a busy machine, had its resources
- * before the reports of crashed endpoints, took a call under which three had crashed, and crashed
- * the fourth, the last one. */
-Test (calls_start, nothing_runs_before_crashed_endpoints_are_known)
+/* After a restart of all instances, one on a busy machine had its configuration before the crash
+ * reports. It accepted a call that had crashed three endpoints and crashed the fourth and last one.
+ */
+Test (calls_start, calls_are_refused_until_crash_reports_are_known)
 {
   SlowStore store = { .platform.klass = &slow_class };
   Fixture f;
@@ -77,10 +77,11 @@
   fixture_start (&f);
   fixture_configure (&f, NULL, (const char *[]){ address, NULL });
   expect_refusal (&f, "not_ready");
-  cr_assert (store.scanned);
+  cr_assert (store.on_scanned);
   answer_scan (&store, "/order", "BAD");
   expect_refusal (&f, "quarantined");
-  cr_assert_not (endpoint_try_accept (listener, &service), "it ran: %s", service.text);
+  cr_assert_not (endpoint_try_accept (listener, &service), "the call was sent to the endpoint: %s",
+                 service.text);
   fixture_clear (&f);
   close (listener);
 }
--- a/packages/node/tests/test-calls.c
+++ b/packages/node/tests/test-calls.c
@@ -31,24 +31,24 @@
   fixture_clear (&s->f);
 }
 
-/* The engine that was chosen among two. */
+/* Accepts the call at whichever of two engines was chosen; returns its index. */
 static int
 accept_any (Setup *s, Peer *peer, char id[96])
 {
-  Peer tries[2] = { 0 };
+  Peer candidates[2] = { 0 };
   int chosen = -1;
 
-  FIXTURE_WAIT_UNTIL (&s->f, (chosen = endpoint_try_accept (s->listener[0], &tries[0])   ? 0
-                                       : endpoint_try_accept (s->listener[1], &tries[1]) ? 1
-                                                                                         : -1)
+  FIXTURE_WAIT_UNTIL (&s->f, (chosen = endpoint_try_accept (s->listener[0], &candidates[0])   ? 0
+                                       : endpoint_try_accept (s->listener[1], &candidates[1]) ? 1
+                                                                                              : -1)
                                  >= 0);
-  *peer = tries[chosen];
+  *peer = candidates[chosen];
   FIXTURE_WAIT_UNTIL (&s->f, peer_has (peer, "\"request_id\":\""));
   sscanf (strstr (peer->text, "\"request_id\":\"") + 14, "%95[^\"]", id);
   return chosen;
 }
 
-Test (calls, stream_is_passed_on_under_the_callers_id)
+Test (calls, stream_is_forwarded_under_the_callers_id)
 {
   Setup s;
   Peer caller, engine;
@@ -74,7 +74,7 @@
   setup_clear (&s);
 }
 
-/* A caller of an old client library would read the framing of chunks as a part of its answer. */
+/* An HTTP/1.0 client would read chunk headers as part of its answer. */
 Test (calls, stream_to_http_1_0_has_no_chunks)
 {
   Setup s;
@@ -101,7 +101,7 @@
   setup_clear (&s);
 }
 
-Test (calls, whole_reply_has_text_usage_and_versions)
+Test (calls, buffered_reply_has_text_usage_and_versions)
 {
   Setup s;
   Peer caller, engine;
@@ -124,9 +124,9 @@
   setup_clear (&s);
 }
 
-/* A shopper closes the page while the answer streams. The engine would go on to make tokens that
- * nobody reads; closing the connection to it cancels them. */
-Test (calls, caller_gone_cancels_the_engines_stream)
+/* The caller disconnects while its answer streams. The connection to the engine must be closed, or
+ * it would go on generating tokens that nobody reads. */
+Test (calls, caller_disconnect_cancels_the_engines_stream)
 {
   Setup s;
   Peer caller, engine;
@@ -146,9 +146,10 @@
   setup_clear (&s);
 }
 
-/* The caller goes away in the same turn of the loop in which its answer ends, so the message that
- * it has gone is on its way while the exchange is answered. The memory must outlive both. */
-Test (calls, caller_gone_as_the_answer_ends)
+/* The caller disconnects in the loop iteration in which its answer ends, so LN_CALLER_DISCONNECTED
+ * is queued while the exchange is replied to. The exchange must not be freed before both are
+ * handled. */
+Test (calls, caller_disconnect_as_the_answer_ends_is_safe)
 {
   Setup s;
   Peer caller, engine;
@@ -170,9 +171,9 @@
   setup_clear (&s);
 }
 
-/* An engine, or something before it, mixes two streams up: the caller would read another caller's
- * answer. An event with another id ends the attempt, and the text in it reaches nobody. */
-Test (calls, event_of_another_request_reaches_nobody)
+/* An engine or a proxy mixes up two streams, so a caller would read another caller's answer. An
+ * event with another id ends the attempt, and its text is dropped. */
+Test (calls, event_of_another_request_is_dropped)
 {
   Setup s;
   Peer caller, engine;
@@ -193,9 +194,9 @@
   setup_clear (&s);
 }
 
-/* An engine sends an event whose id is null. That took the instance down with every stream on it,
- * as the id was compared as if it were a text; it is an event of no request of ours. */
-Test (calls, event_without_a_textual_id_ends_the_attempt)
+/* An engine sends an event whose id is null. Comparing it as a string crashed the instance with all
+ * its streams. */
+Test (calls, event_with_a_null_id_ends_the_attempt)
 {
   Setup s;
   Peer caller, engine;
@@ -214,8 +215,8 @@
   setup_clear (&s);
 }
 
-/* Likewise a refusal whose error has a null for a type: it proves nothing about the start. */
-Test (calls, refusal_without_a_textual_type_is_no_proof)
+/* The same with the error type of a refusal: null does not prove that the call did not start. */
+Test (calls, refusal_with_a_null_type_may_have_run)
 {
   Setup s;
   Peer caller, engine;
@@ -237,14 +238,14 @@
   setup_clear (&s);
 }
 
-/* The connection to the engine goes silent for good in mid-answer: something between the two ends
- * lost track of it, and no end of the stream will ever come. After stream_silence_ms with not even
- * a keep-alive the attempt counts as broken, and the answer is resumed on a new connection where it
- * stopped, so the caller gets the whole of it. */
-Test (calls, silent_stream_is_resumed_where_it_stopped)
+/* A middlebox drops the state of the connection to the engine in mid-answer, so nothing more
+ * arrives on it. After stream_silence_ms without even a keep-alive the attempt counts as broken,
+ * and the stream is resumed at its last offset on a new connection, so the caller gets the complete
+ * answer. */
+Test (calls, silent_stream_is_resumed_at_its_last_offset)
 {
   Setup s;
-  Peer caller, engine, again;
+  Peer caller, engine, resumed;
   char id[96];
 
   fixture_init (&s.f);
@@ -260,23 +261,23 @@
   endpoint_send_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", false);
   FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, " one"));
-  accept_any (&s, &again, id);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&again, "\"offset\":1"));
-  cr_assert (strstr (again.text, "\"text\":\" one\""), "%s", again.text);
-  endpoint_send_head (&again);
-  endpoint_send_token (&again, id, 1, " two", true);
-  endpoint_send_end (&again);
+  accept_any (&s, &resumed, id);
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&resumed, "\"offset\":1"));
+  cr_assert (strstr (resumed.text, "\"text\":\" one\""), "%s", resumed.text);
+  endpoint_send_head (&resumed);
+  endpoint_send_token (&resumed, id, 1, " two", true);
+  endpoint_send_end (&resumed);
   FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "data: [DONE]"));
   cr_assert (strstr (caller.text, " two"));
   peer_close (&engine);
-  peer_close (&again);
+  peer_close (&resumed);
   peer_close (&caller);
   setup_clear (&s);
 }
 
-/* A stream that ends without its end marker is not whole: the caller must not take half an answer
- * for the whole one. */
-Test (calls, stream_without_end_marker_is_not_whole)
+/* A stream ends without its end marker. The caller must not take the partial answer for a complete
+ * one. */
+Test (calls, stream_without_end_marker_is_an_error)
 {
   Setup s;
   Peer caller, engine;
@@ -297,8 +298,8 @@
   setup_clear (&s);
 }
 
-/* Nothing listens at the endpoint's address any more. No byte left, so "not run" is true, even for
- * a call that may not be repeated. */
+/* Nothing listens at the endpoint's address. No byte was sent, so the error is "not run", even for
+ * a call that is not repeatable. */
 Test (calls, refused_connection_is_not_run)
 {
   Setup s;
@@ -316,9 +317,9 @@
   setup_clear (&s);
 }
 
-/* The engine takes the request and dies before it answers: it may have run. The caller of a call
- * that may not be repeated hears "outcome unknown", and no other engine sees the call. */
-Test (calls, broken_after_handing_is_outcome_unknown)
+/* The engine receives the request and closes the connection before it answers, so the call may have
+ * run. A call that is not repeatable gets "outcome unknown" and is not sent to another engine. */
+Test (calls, connection_lost_after_sending_is_outcome_unknown)
 {
   Setup s;
   Peer caller, engine;
@@ -338,9 +339,9 @@
   setup_clear (&s);
 }
 
-/* An engine's own refusal before the start is a proof: even a call that may not be repeated goes
- * on to the next engine. */
-Test (calls, engines_refusal_lets_another_run_it)
+/* An engine's refusal proves that the call did not start, so that even a call that is not
+ * repeatable is sent to another engine. */
+Test (calls, refused_call_is_sent_to_another_engine)
 {
   Setup s;
   Peer caller, engine, next;
@@ -367,7 +368,7 @@
 }
 
 static void
-answer_one_token (Setup *s, Peer *engine, const char *id, const char *text)
+reply_with_one_token (Setup *s, Peer *engine, const char *id, const char *text)
 {
   endpoint_send_head (engine);
   endpoint_send_token (engine, id, 0, text, true);
@@ -375,14 +376,13 @@
   FIXTURE_WAIT_UNTIL (&s->f, peer_read (engine));
 }
 
-/* Connections that are kept for reuse have gone silent while they were idle, all at once, since
- * something between the two ends lost track of them. The next request is swallowed, and each retry
- * would be if it took another kept one. The first silence drops all kept connections to that
- * address, so the retry opens a new one, which works. */
-Test (calls, silent_kept_connections_are_replaced)
+/* A middlebox dropped the state of all idle connections to an endpoint. The next request on one of
+ * them gets lost, and so would each retry on another one. The first timeout closes all idle
+ * connections to that address, so the retry opens a new one, which works. */
+Test (calls, timeout_closes_all_idle_connections_to_the_address)
 {
   Setup s;
-  Peer caller, other, kept[2], fresh;
+  Peer caller, other, idle[2], fresh;
   char id[96];
 
   fixture_init (&s.f);
@@ -394,26 +394,26 @@
   caller_open (&s.f, &caller);
   caller_open (&s.f, &other);
   caller_post (&caller, "/v1/completions", "", BODY (""));
-  endpoint_accept_stream (&s.f, s.listener[0], &kept[0], id);
+  endpoint_accept_stream (&s.f, s.listener[0], &idle[0], id);
   caller_post (&other, "/v1/completions", "", BODY (""));
   char second[96];
-  endpoint_accept_stream (&s.f, s.listener[0], &kept[1], second);
-  answer_one_token (&s, &kept[0], id, " one");
-  answer_one_token (&s, &kept[1], second, " one");
+  endpoint_accept_stream (&s.f, s.listener[0], &idle[1], second);
+  reply_with_one_token (&s, &idle[0], id, " one");
+  reply_with_one_token (&s, &idle[1], second, " one");
   FIXTURE_WAIT_UNTIL (&s.f, ln_hub_is_idle (s.f.context.hub));
   peer_clear_text (&caller);
-  peer_clear_text (&kept[0]);
-  peer_clear_text (&kept[1]);
+  peer_clear_text (&idle[0]);
+  peer_clear_text (&idle[1]);
 
   caller_post (&caller, "/v1/completions", "", BODY (""));
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&kept[0], "POST /v1") || peer_has (&kept[1], "POST /v1"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&idle[0], "POST /v1") || peer_has (&idle[1], "POST /v1"));
   endpoint_accept_stream (&s.f, s.listener[0], &fresh, id);
-  answer_one_token (&s, &fresh, id, " two");
+  reply_with_one_token (&s, &fresh, id, " two");
   FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "\"text\":\" two\""));
-  FIXTURE_WAIT_UNTIL (&s.f, peer_is_closed (&kept[0]) && peer_is_closed (&kept[1]));
-  cr_assert_not (strstr (kept[0].text, "POST") && strstr (kept[1].text, "POST"));
-  peer_close (&kept[0]);
-  peer_close (&kept[1]);
+  FIXTURE_WAIT_UNTIL (&s.f, peer_is_closed (&idle[0]) && peer_is_closed (&idle[1]));
+  cr_assert_not (strstr (idle[0].text, "POST") && strstr (idle[1].text, "POST"));
+  peer_close (&idle[0]);
+  peer_close (&idle[1]);
   peer_close (&fresh);
   peer_close (&caller);
   peer_close (&other);
@@ -421,18 +421,18 @@
 }
 
 static void
-clear_members (LnMessage *message)
+clear_members_message (LnMessage *message)
 {
   free (((LnMembersMessage *)message)->members);
 }
 
-/* This instance, one that lives, one that is suspected and one that drains. */
+/* Members: this instance, a live one, a suspected one and a draining one. */
 static void
 post_members (Setup *s)
 {
   LnMembersMessage message = { .base = LN_MESSAGE (LN_MEMBERS), .n_members = 4 };
 
-  message.base.clear = clear_members;
+  message.base.clear = clear_members_message;
   message.members = LB_NEW_ARRAY (LnMember, 4);
   for (int i = 0; i < 4; i++)
     {
@@ -446,9 +446,9 @@
   fixture_run_loop_once (&s->f);
 }
 
-/* The instance is told to shut down while an answer streams. The stream goes on to its end, new
- * calls are refused "not run", and only then is nothing left in progress. */
-Test (calls, drain_cuts_no_stream)
+/* The instance is drained while an answer streams. New calls are refused as "not run", the stream
+ * runs to its end, and only then is the instance idle. */
+Test (calls, drain_lets_streams_finish)
 {
   Setup s;
   Peer caller, late, engine;
@@ -481,9 +481,9 @@
   setup_clear (&s);
 }
 
-/* Sends as much as the socket takes. */
+/* Sends as much as the socket accepts; true when all of it was sent. */
 static bool
-send_some (Peer *peer, const char *text, size_t length, size_t *sent)
+send_available (Peer *peer, const char *text, size_t length, size_t *sent)
 {
   ssize_t n = send (peer->fd, text + *sent, length - *sent, 0);
 
@@ -492,10 +492,10 @@
   return *sent == length;
 }
 
-/* A caller stops reading in the middle of its answer but keeps the connection. What the engine goes
- * on to send would pile up in the daemon until its memory is used up. Over a bound the caller
- * counts as gone, and the engine's stream is cancelled. */
-Test (calls, caller_that_stops_reading_is_given_up)
+/* A caller stops reading in mid-answer but keeps its connection open, so the engine's output would
+ * fill the daemon's memory. Above a limit the caller counts as disconnected, and the engine's
+ * stream is cancelled. */
+Test (calls, caller_that_stops_reading_counts_as_disconnected)
 {
   Setup s;
   Peer caller, engine;
@@ -519,12 +519,13 @@
                                  id, text, offset++);
       char *chunk = lb_asprintf ("%zx\r\n%s\r\n", strlen (event), event);
       size_t sent = 0;
-      FIXTURE_WAIT_UNTIL (&s.f, send_some (&engine, chunk, strlen (chunk), &sent)
+      FIXTURE_WAIT_UNTIL (&s.f, send_available (&engine, chunk, strlen (chunk), &sent)
                                     || peer_is_closed (&engine));
       free (event);
       free (chunk);
     }
-  cr_assert (engine.closed, "the engine's stream went on after %d MB", offset * text_length >> 20);
+  cr_assert (engine.closed, "the engine's stream was not cancelled after %d MB",
+             offset * text_length >> 20);
   FIXTURE_WAIT_UNTIL (&s.f, ln_hub_is_idle (s.f.context.hub));
   free (text);
   peer_close (&engine);
@@ -532,9 +533,9 @@
   setup_clear (&s);
 }
 
-/* The engine is slow but says that it lives. So does the daemon to its own caller, who can tell the
- * slow answer from a connection that has gone silent. */
-Test (calls, slow_stream_is_kept_alive)
+/* The engine is slow. The daemon sends keep-alives to the caller, who can tell the slow answer from
+ * a dead connection. */
+Test (calls, caller_of_a_slow_stream_gets_keep_alives)
 {
   Setup s;
   Peer caller, engine;
@@ -553,9 +554,9 @@
   setup_clear (&s);
 }
 
-/* A service crashes in the middle of a reply that states no length. What came looks like a reply;
- * the caller must not take it for the whole of it. */
-Test (calls, reply_without_a_stated_end_is_not_whole)
+/* A service crashes in the middle of a reply without a length. The caller must not take the part
+ * that was received for the complete reply. */
+Test (calls, reply_delimited_by_close_is_not_complete)
 {
   Fixture f;
   Peer caller, service;
@@ -576,7 +577,7 @@
   fixture_clear (&f);
 }
 
-Test (calls, service_call_passes_through)
+Test (calls, service_call_and_reply_are_forwarded)
 {
   Fixture f;
   Peer caller, service;
--- a/packages/node/tests/test-claims.c
+++ b/packages/node/tests/test-claims.c
@@ -10,42 +10,42 @@
 
 typedef struct
 {
-  bool done;
-  bool ours;
-} Outcome;
+  bool is_done;
+  bool is_ours;
+} ClaimResult;
 
 typedef struct
 {
   LbErrorCode error;
-  bool done;
-} Lookup;
+  bool is_done;
+} ScanResult;
 
 static void
 on_claimed (const char *ticket, const LbError *error, void *user)
 {
   (void)error;
-  Outcome *outcome = user;
+  ClaimResult *result = user;
 
-  outcome->done = true;
-  outcome->ours = ticket && strcmp (ticket, "i1.a.1") == 0;
+  result->is_done = true;
+  result->is_ours = ticket && strcmp (ticket, "i1.a.1") == 0;
 }
 
 static void
 on_scanned (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
   (void)rows;
-  Lookup *lookup = user;
+  ScanResult *scan = user;
 
-  lookup->done = true;
-  lookup->error = error == LB_OK && n_rows == 0 ? LB_ERROR_NOT_FOUND : error;
+  scan->is_done = true;
+  scan->error = error == LB_OK && n_rows == 0 ? LB_ERROR_NOT_FOUND : error;
 }
 
 static void
 run_until (struct event_base *base, const bool *condition)
 {
-  LbTime end = lb_clock_monotonic () + 20 * LB_SEC;
+  LbTime deadline = lb_clock_monotonic () + 20 * LB_SEC;
 
-  while (!*condition && lb_clock_monotonic () < end)
+  while (!*condition && lb_clock_monotonic () < deadline)
     {
       event_base_loop (base, EVLOOP_NONBLOCK);
       usleep (500);
@@ -56,35 +56,35 @@
 static bool
 has_rows (struct event_base *base, LpPlatform *platform)
 {
-  Lookup lookup = { 0 };
+  ScanResult scan = { 0 };
 
-  platform->klass->scan (platform, "claim/", on_scanned, &lookup);
-  run_until (base, &lookup.done);
-  return lookup.error == LB_OK;
+  platform->klass->scan (platform, "claim/", on_scanned, &scan);
+  run_until (base, &scan.is_done);
+  return scan.error == LB_OK;
 }
 
-/* Shops send orders with keys all day. If no row is ever deleted the operators' table fills up. A
- * row whose ticket can still be used stays; one that can't goes. */
-Test (claims, rows_of_old_keys_are_deleted)
+/* Without deletion the rows of idempotency keys fill the operators' table. A row is deleted once
+ * its ticket has expired, and not before. */
+Test (claims, rows_of_expired_keys_are_deleted)
 {
   struct event_base *base = event_base_new ();
   LpPlatform *platform = lp_memory_new (base);
   LnClaims *claims = ln_claims_new (base, platform, "a");
-  Outcome first = { 0 };
-  LbTime end = lb_clock_monotonic () + 20 * LB_SEC;
+  ClaimResult first = { 0 };
+  LbTime deadline = lb_clock_monotonic () + 20 * LB_SEC;
 
   ln_claims_claim_key (claims, "shop", "k1", "i1.a.1", 0, on_claimed, &first);
-  run_until (base, &first.done);
-  cr_assert (first.ours);
-  while (has_rows (base, platform) && lb_clock_monotonic () < end)
+  run_until (base, &first.is_done);
+  cr_assert (first.is_ours);
+  while (has_rows (base, platform) && lb_clock_monotonic () < deadline)
     usleep (1000);
   cr_assert_not (has_rows (base, platform));
 
-  Outcome second = { 0 };
+  ClaimResult second = { 0 };
   ln_claims_claim_key (claims, "shop", "k1", "i1.a.1", LB_TIME_NEVER, on_claimed, &second);
-  run_until (base, &second.done);
-  end = lb_clock_monotonic () + 3 * LB_SEC;
-  while (lb_clock_monotonic () < end)
+  run_until (base, &second.is_done);
+  deadline = lb_clock_monotonic () + 3 * LB_SEC;
+  while (lb_clock_monotonic () < deadline)
     cr_assert (has_rows (base, platform));
   ln_claims_free (claims);
   platform->klass->free (platform);
--- a/packages/node/tests/test-tickets.c
+++ b/packages/node/tests/test-tickets.c
@@ -2,16 +2,16 @@
 
 #include "lp-platform.h"
 
-/* A store that answers as a test says. */
+/* A store with one row that returns the errors set by the test. */
 typedef struct
 {
   LpPlatform platform; /* first */
   LbErrorCode transact_error;
   LbErrorCode get_error;
   char key[128];
-  char value[256]; /* the row, when there is one */
-  bool applies;    /* a write takes effect even when its answer says otherwise */
-  int transactions;
+  char value[256];     /* of the row; empty: no row */
+  bool apply_on_error; /* writes take effect even if transact_error is returned */
+  int n_transactions;
 } FakeStore;
 
 static void
@@ -25,10 +25,10 @@
   FakeStore *store = (FakeStore *)platform;
   LbErrorCode error = store->transact_error;
 
-  store->transactions++;
+  store->n_transactions++;
   if (error == LB_OK && store->value[0])
     error = LB_ERROR_CONDITION_FAILED;
-  if ((error == LB_OK || store->applies) && !store->value[0])
+  if ((error == LB_OK || store->apply_on_error) && !store->value[0])
     {
       LB_COPY (store->key, transaction->puts[0].key);
       LB_COPY (store->value, transaction->puts[0].value);
@@ -97,7 +97,7 @@
 }
 
 static void
-order (Peer *caller, const char *header, const char *value)
+post_order (Peer *caller, const char *header, const char *value)
 {
   char *line = lb_asprintf ("%s: %s\r\n", header, value);
 
@@ -106,7 +106,7 @@
 }
 
 static void
-service_reply (Peer *service, const char *text)
+service_send_reply (Peer *service, const char *text)
 {
   char *reply = lb_asprintf ("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n"
                              "Content-Length: %zu\r\n\r\n%s",
@@ -124,64 +124,65 @@
   for (int i = 0; i < 50; i++)
     {
       fixture_run_loop_once (&s->f);
-      cr_assert_not (endpoint_try_accept (s->listener, &peer), "ran again: %s", peer.text);
+      cr_assert_not (endpoint_try_accept (s->listener, &peer),
+                     "the call was sent to the endpoint: %s", peer.text);
     }
 }
 
-/* A shopper's order is answered, but the answer is lost on the way. The shop asks again with the
- * same ticket: it gets the kept answer, and no second order is made. */
-Test (tickets, same_ticket_again_gets_the_kept_answer)
+/* The answer to a call is lost on the way. A retry with the same ticket gets the stored answer, and
+ * the call does not run again. */
+Test (tickets, retry_with_the_ticket_gets_the_stored_answer)
 {
   Setup s;
-  Peer caller, again, service;
+  Peer caller, retry, service;
   char ticket[160];
 
   setup_init (&s);
   caller_open (&s.f, &caller);
   get_ticket (&s, &caller, ticket);
-  order (&caller, "x-ticket", ticket);
+  post_order (&caller, "x-ticket", ticket);
   endpoint_accept (&s.f, s.listener, &service);
-  service_reply (&service, "order 7");
+  service_send_reply (&service, "order 7");
   FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "order 7"));
-  caller_open (&s.f, &again);
-  order (&again, "x-ticket", ticket);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&again, "order 7"));
-  cr_assert (strstr (again.text, "text/plain"));
+  caller_open (&s.f, &retry);
+  post_order (&retry, "x-ticket", ticket);
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&retry, "order 7"));
+  cr_assert (strstr (retry.text, "text/plain"));
   peer_close (&service);
   expect_no_call (&s);
   peer_close (&caller);
-  peer_close (&again);
+  peer_close (&retry);
   fixture_clear (&s.f);
 }
 
-/* The caller loses its connection while the order is made, and asks again at once. The second call
- * joins the first, which goes on without its caller, and gets its answer. */
-Test (tickets, same_ticket_joins_the_call_in_progress)
+/* The caller loses its connection while the call runs and retries at once. The call continues
+ * without its caller, and the retry waits for its answer. */
+Test (tickets, retry_with_the_ticket_joins_the_running_call)
 {
   Setup s;
-  Peer caller, again, service;
+  Peer caller, retry, service;
   char ticket[160];
 
   setup_init (&s);
   caller_open (&s.f, &caller);
   get_ticket (&s, &caller, ticket);
-  order (&caller, "x-ticket", ticket);
+  post_order (&caller, "x-ticket", ticket);
   endpoint_accept (&s.f, s.listener, &service);
   peer_close (&caller);
-  caller_open (&s.f, &again);
-  order (&again, "x-ticket", ticket);
+  caller_open (&s.f, &retry);
+  post_order (&retry, "x-ticket", ticket);
   expect_no_call (&s);
-  service_reply (&service, "order 7");
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&again, "order 7"));
+  service_send_reply (&service, "order 7");
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&retry, "order 7"));
   FIXTURE_WAIT_UNTIL (&s.f, ln_hub_is_idle (s.f.context.hub));
   peer_close (&service);
-  peer_close (&again);
+  peer_close (&retry);
   fixture_clear (&s.f);
 }
 
-/* The service takes the order and its connection breaks: it may have run. The same ticket again
- * must not run it a second time. */
-Test (tickets, broken_call_spends_its_ticket)
+/* The connection to the service breaks after it received the call, which may have run. A retry with
+ * the same ticket must not run it a second time. */
+Test (tickets, ticket_of_a_broken_call_is_spent)
 {
   Setup s;
   Peer caller, service;
@@ -190,19 +191,20 @@
   setup_init (&s);
   caller_open (&s.f, &caller);
   get_ticket (&s, &caller, ticket);
-  order (&caller, "x-ticket", ticket);
+  post_order (&caller, "x-ticket", ticket);
   endpoint_accept (&s.f, s.listener, &service);
   peer_close (&service);
   FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "outcome_unknown"));
   peer_clear_text (&caller);
-  order (&caller, "x-ticket", ticket);
+  post_order (&caller, "x-ticket", ticket);
   FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "outcome_unknown"));
   expect_no_call (&s);
   peer_close (&caller);
   fixture_clear (&s.f);
 }
 
-/* The ticket names an instance that is gone: whether the order was made is known to nobody. */
+/* The ticket names an instance that no longer exists, so nothing records whether the call has run.
+ */
 Test (tickets, ticket_of_a_dead_instance_is_outcome_unknown)
 {
   Setup s;
@@ -210,7 +212,7 @@
 
   setup_init (&s);
   caller_open (&s.f, &caller);
-  order (&caller, "x-ticket", "i9.b2.0000000000000001");
+  post_order (&caller, "x-ticket", "i9.b2.0000000000000001");
   FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "outcome_unknown"));
   cr_assert (strstr (caller.text, "\"not_run\":false"));
   expect_no_call (&s);
@@ -219,7 +221,7 @@
 }
 
 static void
-clear_members (LnMessage *message)
+clear_members_message (LnMessage *message)
 {
   free (((LnMembersMessage *)message)->members);
 }
@@ -229,7 +231,7 @@
 {
   LnMembersMessage message = { .base = LN_MESSAGE (LN_MEMBERS), .n_members = 1 };
 
-  message.base.clear = clear_members;
+  message.base.clear = clear_members_message;
   message.members = LB_NEW_ARRAY (LnMember, 1);
   LB_COPY (message.members[0].name, name);
   LB_COPY (message.members[0].incarnation, incarnation);
@@ -239,8 +241,8 @@
   fixture_run_loop_once (&s->f);
 }
 
-/* The caller comes to another instance with its ticket. Only the one that the ticket names may run
- * the call, so it is passed on there, once, under the caller's name. */
+/* The caller uses its ticket at another instance. Only the one named in the ticket may run the
+ * call, so it is relayed there, once, under the caller's name. */
 Test (tickets, ticket_of_another_instance_is_relayed)
 {
   Setup s;
@@ -251,13 +253,13 @@
   int instance = fixture_listen (address);
   post_member (&s, "i2", "b1", address);
   caller_open (&s.f, &caller);
-  order (&caller, "x-ticket", "i2.b1.0000000000000001");
+  post_order (&caller, "x-ticket", "i2.b1.0000000000000001");
   endpoint_accept (&s.f, instance, &other);
   cr_assert (strstr (other.text, "POST /services/s/order"));
   cr_assert (strstr (other.text, "x-ticket: i2.b1.0000000000000001"));
   cr_assert (strstr (other.text, "x-caller: 127.0.0.1"));
   cr_assert (strstr (other.text, "x-relayed-by: i1"));
-  service_reply (&other, "order 7");
+  service_send_reply (&other, "order 7");
   FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "order 7"));
   expect_no_call (&s);
   peer_close (&other);
@@ -265,7 +267,7 @@
   fixture_clear (&s.f);
 }
 
-/* Two instances each believe that the ticket is the other's: the call must not go round. */
+/* If two instances each consider the ticket the other's, the call must not loop between them. */
 Test (tickets, relayed_call_is_not_relayed_again)
 {
   Setup s;
@@ -283,30 +285,30 @@
   fixture_clear (&s.f);
 }
 
-Test (tickets, same_key_again_gets_the_kept_answer)
+Test (tickets, retry_with_the_key_gets_the_stored_answer)
 {
   Setup s;
   Peer caller, service;
 
   setup_init (&s);
   caller_open (&s.f, &caller);
-  order (&caller, "idempotency-key", "k1");
+  post_order (&caller, "idempotency-key", "k1");
   endpoint_accept (&s.f, s.listener, &service);
-  service_reply (&service, "order 7");
+  service_send_reply (&service, "order 7");
   FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "order 7"));
   peer_clear_text (&caller);
   peer_close (&service);
-  order (&caller, "idempotency-key", "k1");
+  post_order (&caller, "idempotency-key", "k1");
   FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "order 7"));
   expect_no_call (&s);
-  cr_assert_eq (s.store.transactions, 2);
+  cr_assert_eq (s.store.n_transactions, 2);
   peer_close (&caller);
   fixture_clear (&s.f);
 }
 
-/* While the store is away no instance can know whether another one has the key. The call is refused
- * before it goes anywhere, so "not run" is true. */
-Test (tickets, key_is_refused_not_run_while_the_store_is_away)
+/* While the store is unavailable no instance can know whether another one holds the key. The call
+ * is refused before it is sent anywhere, so the error is "not run". */
+Test (tickets, key_is_refused_as_not_run_while_the_store_is_unavailable)
 {
   Setup s;
   Peer caller;
@@ -314,7 +316,7 @@
   setup_init (&s);
   s.store.transact_error = LB_ERROR_STORE_AWAY;
   caller_open (&s.f, &caller);
-  order (&caller, "idempotency-key", "k1");
+  post_order (&caller, "idempotency-key", "k1");
   FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "store_away"));
   cr_assert (strstr (caller.text, "x-not-run: 1"));
   expect_no_call (&s);
@@ -322,30 +324,30 @@
   fixture_clear (&s.f);
 }
 
-/* The store writes the row but its answer is lost. Reading the row back shows that the key is ours,
- * and the call runs. */
-Test (tickets, lost_answer_of_the_claim_is_read_back)
+/* The store writes the row but its reply is lost. Reading the row back shows that this instance
+ * holds the key, and the call runs. */
+Test (tickets, row_is_read_back_when_the_reply_to_the_claim_is_lost)
 {
   Setup s;
   Peer caller, service;
 
   setup_init (&s);
   s.store.transact_error = LB_ERROR_STORE_UNKNOWN;
-  s.store.applies = true;
+  s.store.apply_on_error = true;
   caller_open (&s.f, &caller);
-  order (&caller, "idempotency-key", "k1");
+  post_order (&caller, "idempotency-key", "k1");
   endpoint_accept (&s.f, s.listener, &service);
-  service_reply (&service, "order 7");
+  service_send_reply (&service, "order 7");
   FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "order 7"));
   peer_close (&service);
   peer_close (&caller);
   fixture_clear (&s.f);
 }
 
-/* The row is written, its answer is lost, and the store goes away before it can be read back. The
- * caller hears "not run", which holds: when the store is back, the same key runs the call for the
- * first time, under the ticket that the row names. */
-Test (tickets, claim_that_could_not_be_read_back_has_not_run)
+/* The row is written, the reply is lost, and the store becomes unavailable before the row can be
+ * read back. The error is "not run", which is true: when the store is available again, a retry with
+ * the key runs the call for the first time, under the ticket in the row. */
+Test (tickets, call_whose_claim_cannot_be_read_back_is_not_run)
 {
   Setup s;
   Peer caller, service;
@@ -353,17 +355,17 @@
   setup_init (&s);
   s.store.transact_error = LB_ERROR_STORE_UNKNOWN;
   s.store.get_error = LB_ERROR_STORE_AWAY;
-  s.store.applies = true;
+  s.store.apply_on_error = true;
   caller_open (&s.f, &caller);
-  order (&caller, "idempotency-key", "k1");
+  post_order (&caller, "idempotency-key", "k1");
   FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "x-not-run: 1"));
   expect_no_call (&s);
   peer_clear_text (&caller);
   s.store.transact_error = LB_OK;
   s.store.get_error = LB_OK;
-  order (&caller, "idempotency-key", "k1");
+  post_order (&caller, "idempotency-key", "k1");
   endpoint_accept (&s.f, s.listener, &service);
-  service_reply (&service, "order 7");
+  service_send_reply (&service, "order 7");
   FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "order 7"));
   peer_close (&service);
   peer_close (&caller);
