--- a/packages/node/include/ln-messages.h
+++ b/packages/node/include/ln-messages.h
@@ -232,7 +232,7 @@
   bool ready;
 } LnReadyMessage;
 
-/* Work that other instances have to take over when this one dies. */
+/* Work that other instances have to take over when this one exits or crashes. */
 typedef enum
 {
   LN_DUTY_BATCHES,        /* owns batches */
--- a/packages/node/src/calls/ln-calls-attempts.c
+++ b/packages/node/src/calls/ln-calls-attempts.c
@@ -273,7 +273,7 @@
           .body = body,
           .body_length = strlen (body),
           .stream_id = stream_id,
-          .name = call->outgoing.id,
+          .external_id = call->outgoing.id,
           .silence = calls->context->settings->calls.stream_silence_ms * LB_MSEC };
   LnUpstream *upstream = ln_upstream_start (calls->context->http, &spec, &handlers, attempt, error);
   free (body);
@@ -304,7 +304,7 @@
                                 .n_headers = call->n_headers,
                                 .body = call->raw_body,
                                 .body_length = call->raw_length,
-                                .name = call->outgoing.id,
+                                .external_id = call->outgoing.id,
                                 .silence = max_service_silence (call) };
 
   return ln_upstream_start (calls->context->http, &spec, &handlers, attempt, error);
@@ -359,7 +359,7 @@
                           .body = call->outgoing.body,
                           .body_length = call->outgoing.body_length,
                           .dialect = dialect,
-                          .name = call->outgoing.id,
+                          .external_id = call->outgoing.id,
                           .is_stream = is_stream,
                           .silence = is_stream ? stream_silence : max_service_silence (call) };
 
--- a/packages/node/src/calls/ln-upstream.c
+++ b/packages/node/src/calls/ln-upstream.c
@@ -34,7 +34,7 @@
   int status;
   bool connection_lost;     /* before the reply was complete */
   const LnDialect *dialect; /* NULL: the daemon's own protocol */
-  char *name;               /* of the request */
+  char *external_id;        /* of the request */
   LnStreamReader *reader;   /* with a dialect: parses the stream */
   LcVersion version;        /* of the stream's last event */
   bool is_head;
@@ -55,7 +55,7 @@
   lh_sse_clear (&upstream->sse);
   if (upstream->reader)
     upstream->dialect->stream_free (upstream->reader);
-  free (upstream->name);
+  free (upstream->external_id);
   evbuffer_free (upstream->body);
   free (upstream->stream_id);
   free (upstream);
@@ -157,7 +157,7 @@
 static bool
 is_reply_to_request (const LnUpstream *upstream, const LhFetch *fetch)
 {
-  return upstream->dialect->is_reply_to (upstream->name, get_header, fetch);
+  return upstream->dialect->is_reply_to (upstream->external_id, get_header, fetch);
 }
 
 static void
@@ -313,7 +313,7 @@
        * requests on idle ones get lost. None of them is reused. */
       lh_pool_forget (upstream->pool, upstream->address);
       lb_log (LB_LOG_INFO, "attempt_failed", LB_INT ("request", upstream->request),
-              LB_TEXT ("id", upstream->name), LB_INT ("attempt", upstream->attempt),
+              LB_TEXT ("id", upstream->external_id), LB_INT ("attempt", upstream->attempt),
               LB_TEXT ("endpoint", upstream->endpoint),
               LB_TEXT ("error", lb_error_name (result->failure)),
               LB_BOOL ("bytes_handed", result->bytes_handed));
@@ -349,7 +349,7 @@
   upstream->stream_id = spec->stream_id ? lb_strdup (spec->stream_id) : NULL;
   upstream->pool = pool;
   upstream->dialect = spec->dialect;
-  upstream->name = spec->name ? lb_strdup (spec->name) : NULL;
+  upstream->external_id = spec->external_id ? lb_strdup (spec->external_id) : NULL;
   if (spec->dialect && spec->is_stream)
     upstream->reader = spec->dialect->stream_new (on_stream_event, upstream);
   upstream->is_head = strcmp (spec->method, "HEAD") == 0;
--- a/packages/node/src/calls/ln-upstream.h
+++ b/packages/node/src/calls/ln-upstream.h
@@ -23,9 +23,9 @@
   size_t n_headers;
   const char *body;
   size_t body_length;
-  const char *stream_id; /* request_id sent to an engine; NULL: plain service */
-  LbTime silence;        /* timeout without a received byte */
-  const char *name;      /* id of the request in logs; with a dialect also in the reply */
+  const char *stream_id;   /* request_id sent to an engine; NULL: plain service */
+  LbTime silence;          /* timeout without a received byte */
+  const char *external_id; /* id of the request in logs; with a dialect also in the reply */
   /* With a dialect only: */
   const LnDialect *dialect;
   const char *host;
