--- a/packages/node/include/ln-messages.h
+++ b/packages/node/include/ln-messages.h
@@ -10,8 +10,9 @@
 #include "ln-task.h"
 
 /* Messages between the tasks of one process. Tasks: "front" (callers' sockets), "calls" (LcDispatch
- * and the sockets to endpoints), "rollouts" (LcRollouts), "config" (resources and leases), "peers"
- * (frames between instances), "duties" (usage reports and scaling), "store" (the platform). */
+ * and the sockets to endpoints), "rollouts" (LcRollouts; on a shared platform the batches),
+ * "config" (resources and leases), "peers" (frames between instances), "duties" (usage reports,
+ * scaling). */
 typedef enum
 {
   LN_EXCHANGE,              /* front -> task of the route: a request to answer */
--- a/packages/node/src/calls/ln-admission.c
+++ b/packages/node/src/calls/ln-admission.c
@@ -43,15 +43,15 @@
                      const LcAdmission *admission)
 {
   LbTime age = lb_clock_monotonic () - state->confirmed_at;
-  char mark[LC_KEY_MARK_SIZE] = "";
+  char key_log_id[LC_KEY_MARK_SIZE] = "";
   LbError error = { 0 };
 
   if (admission->has_digest)
-    lc_key_mark (&admission->digest, mark);
+    lc_key_mark (&admission->digest, key_log_id);
   lb_metric_add (&calls_refused, 1);
   lb_log (LB_LOG_INFO, "call_not_admitted", LB_TEXT ("id", inbound->id),
           LB_TEXT ("batch", inbound->batch), LB_TEXT ("path", ln_exchange_path (exchange)),
-          LB_TEXT ("key", mark), LB_TEXT ("error", lb_error_name (admission->error)),
+          LB_TEXT ("key", key_log_id), LB_TEXT ("error", lb_error_name (admission->error)),
           LB_TEXT ("reason", admission->reason), LB_INT ("desired", state->desired->version),
           LB_INT ("desired_age_ms", age / LB_MSEC));
   lb_error_set (&error, admission->error, "", "%s", admission->reason);
