--- a/fuzz/fuzz-entry.c
+++ b/fuzz/fuzz-entry.c
@@ -20,7 +20,7 @@
   if (value)
     {
       *value++ = '\0';
-      if (pf_dialect ()->read_listed (text, value, &listed, &error)
+      if (pf_dialect ()->parse_registration (text, value, &listed, &error)
           && (listed.name[0] == '\0' || listed.slots <= 0 || listed.n_models > LC_MAX_MODELS))
         abort ();
     }
--- a/packages/node/include/ln-dialect.h
+++ b/packages/node/include/ln-dialect.h
@@ -15,12 +15,12 @@
 
 typedef enum
 {
-  LN_INBOUND_ENTRY,   /* which instances a caller shall connect to */
-  LN_INBOUND_READY,   /* whether this instance may be sent callers */
-  LN_INBOUND_RESULTS, /* the results of a batch */
-  LN_INBOUND_ITEM,    /* the body of a batch's item */
-  LN_INBOUND_END,     /* ends a batch */
-  LN_INBOUND_ROUTED   /* a request for the service of its route */
+  LN_INBOUND_RESOLVE,      /* which instances a caller shall connect to */
+  LN_INBOUND_READINESS,    /* whether this instance may be sent callers */
+  LN_INBOUND_RESULTS,      /* the results of a batch */
+  LN_INBOUND_ITEM,         /* the body of a batch's item */
+  LN_INBOUND_DELETE_BATCH, /* ends a batch */
+  LN_INBOUND_ROUTED        /* a request for the service of its route */
 } LnInboundKind;
 
 /* What a caller's request asks for. Pointers are valid as long as the exchange. */
@@ -49,19 +49,19 @@
   int64_t resume_at;        /* events that came before; 0: from the start */
   const char *organisation; /* whose request it is; NULL or "": nobody's in particular */
   bool is_sample;
-} LnAttemptWords;
+} LnAttemptHeaders;
 
 /* What an endpoint's reply says of the request. */
 typedef enum
 {
   LN_REPLY_ANSWER,        /* the endpoint's own answer, whatever its status */
   LN_REPLY_FAILURE,       /* it ran, or may have, and failed */
-  LN_REPLY_NEVER,         /* it can never be done */
+  LN_REPLY_UNPROCESSABLE, /* it can never be done */
   LN_REPLY_NOT_RUN,       /* busy, or the time was over */
-  LN_REPLY_OTHER_ENDPOINT /* not run: another endpoint lives at this address now */
-} LnReplyMeaning;
+  LN_REPLY_WRONG_ENDPOINT /* not run: another endpoint lives at this address now */
+} LnReplyClass;
 
-typedef const char *(*LnHeaderSource) (const void *source, const char *name);
+typedef const char *(*LnHeaderLookup) (const void *source, const char *name);
 
 /* One event of an engine's stream. */
 typedef struct
@@ -78,16 +78,16 @@
 /* A load that an endpoint states beside its replies. */
 typedef struct
 {
-  bool stated;
+  bool is_reported;
   int64_t running;
   int64_t waiting;
-} LnStatedLoad;
+} LnReportedLoad;
 
 typedef enum
 {
   LN_ORDER_ACCEPTED,
-  LN_ORDER_HOLDS, /* the endpoint already has what was ordered */
-  LN_ORDER_BUSY,  /* another order is in progress, or one came in between */
+  LN_ORDER_ALREADY_DONE, /* the endpoint already has what was ordered */
+  LN_ORDER_BUSY,         /* another order is in progress, or one came in between */
   LN_ORDER_STALE_FENCE,
   LN_ORDER_REFUSED
 } LnOrderOutcome;
@@ -95,9 +95,9 @@
 /* What becomes of the streams that run at an engine while its weights change. */
 typedef enum
 {
-  LN_SWAP_WAITS, /* the engine waits for their end */
-  LN_SWAP_CUTS,  /* they are cut off */
-  LN_SWAP_KEEPS  /* they go on under the new weights */
+  LN_SWAP_DRAIN,       /* the engine waits for their end */
+  LN_SWAP_ABORT,       /* they are cut off */
+  LN_SWAP_KEEP_STREAMS /* they go on under the new weights */
 } LnSwapMode;
 
 typedef struct
@@ -116,13 +116,13 @@
 {
   const char *endpoint;
   const char *model;
-} LnStateQuestion;
+} LnEngineStateQuery;
 
 typedef struct
 {
-  LcVersion version; /* 0: the engine does not have the model */
-  int64_t orders;    /* that it has accepted since its start */
-  bool busy;         /* an order is in progress */
+  LcVersion version;       /* 0: the engine does not have the model */
+  int64_t orders_accepted; /* that it has accepted since its start */
+  bool busy;               /* an order is in progress */
 } LnEngineState;
 
 /* Calls to the platform that only one instance may make at a time. */
@@ -137,7 +137,7 @@
 {
   const char *holder;
   int64_t fence;
-} LnDutyWords;
+} LnDutyHolder;
 
 /* How many endpoints a service shall have in one data centre. */
 typedef struct
@@ -151,9 +151,9 @@
 typedef enum
 {
   LN_DUTY_DONE,
-  LN_DUTY_UNANSWERED, /* it may have been carried out, or be later */
-  LN_DUTY_BUSY,       /* too many calls, or the platform is not well */
-  LN_DUTY_REFUSED     /* a younger holder was there, or what is asked for can't be had */
+  LN_DUTY_NO_ANSWER, /* it may have been carried out, or be later */
+  LN_DUTY_BUSY,      /* too many calls, or the platform is not well */
+  LN_DUTY_REFUSED    /* a younger holder was there, or what is asked for can't be had */
 } LnDutyOutcome;
 
 /* What a row of the operators' table holds. */
@@ -162,7 +162,7 @@
   LN_ROW_OTHER,
   LN_ROW_DESIRED,
   LN_ROW_VERSION
-} LnOperatorRow;
+} LnOperatorRowKind;
 
 typedef struct LnDialect
 {
@@ -176,50 +176,53 @@
                           const LcBatchResult *results,
                           size_t n_results,
                           size_t *length);
-  char *(*write_entry) (const char *const *addresses, size_t n_addresses, LbTime ttl);
+  char *(*write_resolve_reply) (const char *const *addresses, size_t n_addresses, LbTime ttl);
 
   /* endpoints */
   /* Set anew for each attempt, of one connection, or meant for this system alone. */
   bool (*is_own_header) (const char *name);
-  void (*write_words) (const LnAttemptWords *words, LcOutgoing *outgoing);
-  LnReplyMeaning (*judge) (int status, LnHeaderSource header, const void *source);
+  void (*write_attempt_headers) (const LnAttemptHeaders *words, LcOutgoing *outgoing);
+  LnReplyClass (*classify_reply) (int status, LnHeaderLookup header, const void *source);
   /* Whether the reply names this request; one that names another belongs to that one. */
-  bool (*is_reply_to) (const char *id, LnHeaderSource header, const void *source);
-  void (*read_load) (LnHeaderSource header, const void *source, LnStatedLoad *load);
-  const char *(*read_score) (LnHeaderSource header, const void *source);
-  LcVersion (*read_first_version) (LnHeaderSource header, const void *source);
+  bool (*is_reply_to) (const char *id, LnHeaderLookup header, const void *source);
+  void (*read_load) (LnHeaderLookup header, const void *source, LnReportedLoad *load);
+  const char *(*read_score) (LnHeaderLookup header, const void *source);
+  LcVersion (*read_first_version) (LnHeaderLookup header, const void *source);
   LnStreamReader *(*stream_new) (LnStreamHandler handler, void *user);
   bool (*stream_feed) (LnStreamReader *reader, const char *bytes, size_t length);
   void (*stream_free) (LnStreamReader *reader);
   void (*write_order) (const LnWeightsOrder *order, LcOutgoing *outgoing);
-  LnOrderOutcome (*judge_order) (int status);
-  /* What an engine states of a model when asked at state_path. */
-  const char *state_path;
-  bool (*read_state) (const LnStateQuestion *question,
-                      const char *text,
-                      size_t length,
-                      LnEngineState *state,
-                      LbError *error);
+  LnOrderOutcome (*classify_order_reply) (int status);
+  /* What an engine states of a model when asked at engine_state_path. */
+  const char *engine_state_path;
+  bool (*read_engine_state) (const LnEngineStateQuery *question,
+                             const char *text,
+                             size_t length,
+                             LnEngineState *state,
+                             LbError *error);
 
   /* the platform beside its store */
-  LnPlatformDuty (*duty) (const char *name);
+  LnPlatformDuty (*parse_duty_name) (const char *name);
   /* counts: JSON, requests by organisation. */
-  void (*write_usage) (const LnDutyWords *words,
+  void (*write_usage) (const LnDutyHolder *words,
                        int64_t window,
                        const char *counts,
                        LcOutgoing *outgoing);
-  void (*write_scale) (const LnDutyWords *words, const LnScaleOrder *order, LcOutgoing *outgoing);
-  LnDutyOutcome (*judge_duty) (int status);
+  void (*write_scale) (const LnDutyHolder *words, const LnScaleOrder *order, LcOutgoing *outgoing);
+  LnDutyOutcome (*classify_duty_reply) (int status);
 
   /* the store */
   const char *operator_table;
-  const char *operator_rows; /* what the keys of that table's rows begin with */
-  const char *endpoint_rows; /* what the keys of endpoints begin with */
-  LnOperatorRow (*operator_row) (const char *key);
+  const char *operator_key_prefix; /* what the keys of that table's rows begin with */
+  const char *endpoint_key_prefix; /* what the keys of endpoints begin with */
+  LnOperatorRowKind (*classify_operator_row) (const char *key);
   LcDesired *(*read_desired) (const char *text, LbError *error);
   bool (*read_version) (const char *text, LbName model, LcVersion *version, LbError *error);
-  bool (*read_listed) (const char *key, const char *text, LcRegistration *listed, LbError *error);
-  const char *listed_count_mark; /* before the number in it that counts its writes */
+  bool (*parse_registration) (const char *key,
+                              const char *text,
+                              LcRegistration *listed,
+                              LbError *error);
+  const char *registration_counter_prefix; /* before the number in it that counts its writes */
 } LnDialect;
 
 #endif
--- a/packages/node/src/batch/ln-batch-calls.c
+++ b/packages/node/src/batch/ln-batch-calls.c
@@ -326,7 +326,7 @@
       return LN_BATCH_CALL_RESULTS;
     case LN_INBOUND_ITEM:
       return LN_BATCH_CALL_ITEM;
-    case LN_INBOUND_END:
+    case LN_INBOUND_DELETE_BATCH:
       return LN_BATCH_CALL_END;
     default:
       return LN_BATCH_CALL_SUBMIT;
--- a/packages/node/src/calls/ln-calls-attempts.c
+++ b/packages/node/src/calls/ln-calls-attempts.c
@@ -143,10 +143,10 @@
   const LcEndpoint *endpoint = lc_endpoints_find (lc_dispatch_endpoints (calls->dispatch),
                                                   ln_upstream_endpoint (upstream));
   LcLoadReport report = { 0 };
-  LnStatedLoad load;
+  LnReportedLoad load;
 
   ln_upstream_load (upstream, &load);
-  if (!load.stated || !endpoint)
+  if (!load.is_reported || !endpoint)
     return;
   LB_COPY (report.incarnation, endpoint->member.name);
   report.version = endpoint->report.version;
@@ -338,11 +338,11 @@
   const LnDialect *dialect = calls->context->dialect;
   bool is_stream = ln_call_is_for_engine (call);
   LbTime stream_silence = calls->context->settings->calls.stream_silence_ms * LB_MSEC;
-  const LnAttemptWords words = { .time_left = time_left (call),
-                                 .endpoint = action->endpoint,
-                                 .resume_at = action->resume_at,
-                                 .organisation = call->organisation,
-                                 .is_sample = call->kind != LN_CALL_SERVICE };
+  const LnAttemptHeaders words = { .time_left = time_left (call),
+                                   .endpoint = action->endpoint,
+                                   .resume_at = action->resume_at,
+                                   .organisation = call->organisation,
+                                   .is_sample = call->kind != LN_CALL_SERVICE };
   LcOutgoing added = { 0 };
   LnUpstreamSpec spec = { .request = action->request,
                           .attempt = action->attempt,
@@ -359,7 +359,7 @@
                           .silence = is_stream ? stream_silence : service_silence (call) };
 
   LB_COPY (added.id, call->outgoing.id);
-  dialect->write_words (&words, &added);
+  dialect->write_attempt_headers (&words, &added);
   LhHeader *headers = join_headers (&call->outgoing, &added, &spec.n_headers);
   spec.headers = headers;
   LnUpstream *upstream
--- a/packages/node/src/calls/ln-upstream.c
+++ b/packages/node/src/calls/ln-upstream.c
@@ -259,13 +259,13 @@
     return result->bytes_handed ? LC_END_BROKEN : LC_END_NOT_SENT;
   if (!is_named (upstream, upstream->fetch))
     return LC_END_BROKEN;
-  switch (upstream->dialect->judge (upstream->status, header_of, upstream->fetch))
+  switch (upstream->dialect->classify_reply (upstream->status, header_of, upstream->fetch))
     {
     case LN_REPLY_NOT_RUN:
       return LC_END_REFUSED;
-    case LN_REPLY_OTHER_ENDPOINT:
+    case LN_REPLY_WRONG_ENDPOINT:
       return LC_END_REFUSED_LEAVING;
-    case LN_REPLY_NEVER:
+    case LN_REPLY_UNPROCESSABLE:
       return upstream->reader ? LC_END_REJECTED : LC_END_COMPLETE;
     case LN_REPLY_FAILURE:
       return upstream->reader ? LC_END_FAILED : LC_END_COMPLETE;
@@ -374,7 +374,7 @@
 }
 
 void
-ln_upstream_load (const LnUpstream *upstream, LnStatedLoad *load)
+ln_upstream_load (const LnUpstream *upstream, LnReportedLoad *load)
 {
   memset (load, 0, sizeof *load);
   if (upstream->dialect && upstream->fetch)
--- a/packages/node/src/calls/ln-upstream.h
+++ b/packages/node/src/calls/ln-upstream.h
@@ -53,7 +53,7 @@
 void ln_upstream_cancel (LnUpstream *upstream);
 
 /* What the reply states of the endpoint's load, as far as it came. */
-void ln_upstream_load (const LnUpstream *upstream, LnStatedLoad *load);
+void ln_upstream_load (const LnUpstream *upstream, LnReportedLoad *load);
 /* The score in a scorer's reply; NULL: there is none. */
 const char *ln_upstream_score (const LnUpstream *upstream);
 uint32_t ln_upstream_attempt (const LnUpstream *upstream);
--- a/packages/node/src/config/ln-desired.c
+++ b/packages/node/src/config/ln-desired.c
@@ -143,7 +143,7 @@
 
   for (size_t i = 0; i < n_rows; i++)
     {
-      LnOperatorRow kind = task->context->dialect->operator_row (rows[i].key);
+      LnOperatorRowKind kind = task->context->dialect->classify_operator_row (rows[i].key);
       if (kind == LN_ROW_DESIRED && rows[i].value)
         take_desired (task, rows[i].value);
       else if (kind == LN_ROW_VERSION && rows[i].value)
@@ -518,7 +518,7 @@
   static const LnEndpointListHandlers list_handlers
       = { .on_listed = on_listed, .on_failed = on_not_listed };
   const LpFollowSettings rows = { .table = context->dialect->operator_table,
-                                  .prefixes = &context->dialect->operator_rows,
+                                  .prefixes = &context->dialect->operator_key_prefix,
                                   .n_prefixes = 1,
                                   .wait = WATCH_WAIT,
                                   .retry = WATCH_RETRY };
--- a/packages/node/src/duties/ln-duties.c
+++ b/packages/node/src/duties/ln-duties.c
@@ -168,7 +168,7 @@
   const LnSettings *settings = context->settings;
 
   for (size_t i = 0; i < settings->duties.n_kinds; i++)
-    if (context->dialect->duty (settings->duties.kinds[i]) == duty)
+    if (context->dialect->parse_duty_name (settings->duties.kinds[i]) == duty)
       return settings->duties.address[0] != '\0';
   return false;
 }
--- a/packages/node/src/duties/ln-scaler.c
+++ b/packages/node/src/duties/ln-scaler.c
@@ -86,7 +86,7 @@
     {
     case LN_DUTY_DONE:
       return LC_SCALING_ACCEPTED;
-    case LN_DUTY_UNANSWERED:
+    case LN_DUTY_NO_ANSWER:
       return LC_SCALING_UNKNOWN;
     case LN_DUTY_REFUSED:
     case LN_DUTY_BUSY:
@@ -114,7 +114,7 @@
 order (LnScaler *scaler, const LcScalingOrder *wanted)
 {
   const LnContext *context = scaler->context;
-  const LnDutyWords words
+  const LnDutyHolder words
       = { .holder = context->instance, .fence = ln_duty_lease_fence (scaler->lease) };
   const LnScaleOrder scale = { .service = wanted->service,
                                .data_centre = wanted->data_centre,
--- a/packages/node/src/duties/ln-usage-reporter.c
+++ b/packages/node/src/duties/ln-usage-reporter.c
@@ -360,7 +360,7 @@
     {
     case LN_DUTY_DONE:
       return LC_USAGE_ACCEPTED;
-    case LN_DUTY_UNANSWERED:
+    case LN_DUTY_NO_ANSWER:
       return LC_USAGE_NO_ANSWER;
     case LN_DUTY_REFUSED:
     case LN_DUTY_BUSY:
@@ -389,7 +389,7 @@
 send (LnUsageReporter *reporter, const LcUsageAction *action)
 {
   const LnContext *context = reporter->context;
-  const LnDutyWords words
+  const LnDutyHolder words
       = { .holder = context->instance, .fence = ln_duty_lease_fence (reporter->lease) };
   LcOutgoing outgoing;
 
--- a/packages/node/src/endpoints/ln-endpoint-list.c
+++ b/packages/node/src/endpoints/ln-endpoint-list.c
@@ -36,7 +36,7 @@
 {
   const LnEndpointList *list = user;
 
-  return list->context->dialect->read_listed (row->key, row->value, parsed, error);
+  return list->context->dialect->parse_registration (row->key, row->value, parsed, error);
 }
 
 LnEndpointList *
@@ -47,9 +47,10 @@
   list->context = context;
   list->handlers = *handlers;
   list->user = user;
-  list->row_class = (LnRowCacheClass){ .size = sizeof (LcRegistration),
-                                       .parse = parse_row,
-                                       .counter_prefix = context->dialect->listed_count_mark };
+  list->row_class
+      = (LnRowCacheClass){ .size = sizeof (LcRegistration),
+                           .parse = parse_row,
+                           .counter_prefix = context->dialect->registration_counter_prefix };
   list->row_cache = ln_row_cache_new (&list->row_class, list);
   list->unreadable_rows = ln_unreadable_rows_new ();
   list->subset = lc_subset_new ();
@@ -169,7 +170,7 @@
 request_page (LnEndpointList *list, const char *after)
 {
   LpPlatform *platform = list->context->platform;
-  const char *prefix = list->context->dialect->endpoint_rows;
+  const char *prefix = list->context->dialect->endpoint_key_prefix;
   char *from = after[0] ? lb_asprintf ("%s\x01", after + strlen (prefix)) : NULL;
 
   platform->klass->list (platform, prefix, from, list->page_size, on_page, list);
--- a/packages/node/src/front/ln-front.c
+++ b/packages/node/src/front/ln-front.c
@@ -72,9 +72,9 @@
 find_task_in_dialect (const LnFront *front, const LnExchange *exchange, bool is_from_peer)
 {
   static const char *const tasks[] = {
-    [LN_INBOUND_ENTRY] = "peers",      [LN_INBOUND_READY] = "front",
-    [LN_INBOUND_RESULTS] = "rollouts", [LN_INBOUND_ITEM] = "rollouts",
-    [LN_INBOUND_END] = "rollouts",     [LN_INBOUND_ROUTED] = "calls",
+    [LN_INBOUND_RESOLVE] = "peers",         [LN_INBOUND_READINESS] = "front",
+    [LN_INBOUND_RESULTS] = "rollouts",      [LN_INBOUND_ITEM] = "rollouts",
+    [LN_INBOUND_DELETE_BATCH] = "rollouts", [LN_INBOUND_ROUTED] = "calls",
   };
   LnInbound inbound;
 
@@ -147,7 +147,7 @@
 
   if (front->context->dialect)
     front->context->dialect->read_inbound (exchange, &inbound);
-  if (inbound.kind == LN_INBOUND_READY)
+  if (inbound.kind == LN_INBOUND_READINESS)
     {
       reply_ready (front, exchange);
       return;
--- a/packages/node/src/membership/ln-fleet.c
+++ b/packages/node/src/membership/ln-fleet.c
@@ -251,7 +251,7 @@
       ln_exchange_reply_error (exchange, &error, NOT_READY_RETRY_AFTER);
       return;
     }
-  char *text = task->context->dialect->write_entry (addresses, n, ttl);
+  char *text = task->context->dialect->write_resolve_reply (addresses, n, ttl);
   ln_exchange_reply_text (exchange, 200, "application/json", text, strlen (text));
   free (text);
 }
--- a/packages/node/src/store/ln-platform-call.c
+++ b/packages/node/src/store/ln-platform-call.c
@@ -37,8 +37,8 @@
 outcome_of (const Call *call, const LhResult *result)
 {
   if (result->failure == LB_OK)
-    return call->context->dialect->judge_duty (result->status);
-  return result->bytes_handed ? LN_DUTY_UNANSWERED : LN_DUTY_BUSY;
+    return call->context->dialect->classify_duty_reply (result->status);
+  return result->bytes_handed ? LN_DUTY_NO_ANSWER : LN_DUTY_BUSY;
 }
 
 static void
@@ -91,6 +91,6 @@
   LB_LIST_FOREACH (calls, Call, link, call)
   {
     lh_fetch_cancel (call->fetch);
-    finish (call, LN_DUTY_UNANSWERED);
+    finish (call, LN_DUTY_NO_ANSWER);
   }
 }
--- a/packages/node/src/store/ln-platform-call.h
+++ b/packages/node/src/store/ln-platform-call.h
@@ -16,7 +16,7 @@
                              const LcOutgoing *outgoing,
                              LnPlatformCallDone called,
                              void *user);
-/* Ends those on their way; they are answered as LN_DUTY_UNANSWERED. */
+/* Ends those on their way; they are answered as LN_DUTY_NO_ANSWER. */
 void ln_platform_calls_cancel (LbList *calls);
 
 #endif
--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -329,14 +329,14 @@
               LB_INT ("status", result->status));
       return;
     }
-  const LnStateQuestion question = { .endpoint = engine->name, .model = engine->model };
-  if (!engine->orders->context->dialect->read_state (&question, result->body, result->body_length,
-                                                     &state, &error))
+  const LnEngineStateQuery question = { .endpoint = engine->name, .model = engine->model };
+  if (!engine->orders->context->dialect->read_engine_state (&question, result->body,
+                                                            result->body_length, &state, &error))
     {
       lb_log_error (LB_LOG_WARNING, "engine_state_unreadable", &error);
       return;
     }
-  engine->orders_accepted = state.orders;
+  engine->orders_accepted = state.orders_accepted;
   handle_queried_version (engine, state.version, now);
 }
 
@@ -346,7 +346,7 @@
   const LhHandlers handlers = { .on_done = on_state_read };
   const LhRequest request = { .method = "GET",
                               .address = engine->address,
-                              .path = engine->orders->context->dialect->state_path,
+                              .path = engine->orders->context->dialect->engine_state_path,
                               .silence = RESPONSE_TIMEOUT };
 
   engine->query_sent_at = now;
@@ -362,7 +362,7 @@
   switch (outcome)
     {
     case LN_ORDER_ACCEPTED:
-    case LN_ORDER_HOLDS:
+    case LN_ORDER_ALREADY_DONE:
       return LB_OK;
     case LN_ORDER_STALE_FENCE:
       return LB_ERROR_STALE_FENCE;
@@ -385,7 +385,7 @@
   LbErrorCode error
       = result->failure != LB_OK
             ? result->failure
-            : get_outcome_error (orders->context->dialect->judge_order (result->status));
+            : get_outcome_error (orders->context->dialect->classify_order_reply (result->status));
 
   engine->order_fetch = NULL;
   lb_log (error == LB_OK ? LB_LOG_INFO : LB_LOG_WARNING, "weights_ordered",
@@ -417,7 +417,7 @@
                            .version = action->version,
                            .holder = orders->context->instance,
                            .fence = ln_duty_lease_fence (orders->lease),
-                           .mode = LN_SWAP_KEEPS };
+                           .mode = LN_SWAP_KEEP_STREAMS };
 
   if (!engine)
     return;
