--- a/packages/node/src/calls/ln-calls-attempts.c
+++ b/packages/node/src/calls/ln-calls-attempts.c
@@ -148,10 +148,10 @@
   const LcEndpoint *endpoint = lc_endpoints_find (lc_dispatch_endpoints (calls->dispatch),
                                                   ln_upstream_endpoint (upstream));
   LcLoadReport report = { 0 };
-  LnStatedLoad load;
+  LnReportedLoad load;
 
   ln_upstream_read_load (upstream, &load);
-  if (!load.stated || !endpoint)
+  if (!load.is_reported || !endpoint)
     return;
   LB_COPY (report.incarnation, endpoint->member.name);
   report.version = endpoint->report.version;
@@ -344,11 +344,11 @@
   const LnDialect *dialect = calls->context->dialect;
   bool is_stream = ln_call_is_for_engine (call);
   LbTime stream_silence = calls->context->settings->calls.stream_silence_ms * LB_MSEC;
-  const LnAttemptWords words = { .time_left = time_left (call),
-                                 .endpoint = action->endpoint,
-                                 .resume_at = action->resume_at,
-                                 .organisation = call->organisation,
-                                 .is_sample = call->kind != LN_CALL_SERVICE };
+  const LnAttemptHeaders words = { .time_left = time_left (call),
+                                   .endpoint = action->endpoint,
+                                   .resume_at = action->resume_at,
+                                   .organisation = call->organisation,
+                                   .is_sample = call->kind != LN_CALL_SERVICE };
   LcOutgoing attempt_headers = { 0 };
   LnUpstreamSpec spec = { .request = action->request,
                           .attempt = action->attempt,
@@ -365,7 +365,7 @@
                           .silence = is_stream ? stream_silence : max_service_silence (call) };
 
   LB_COPY (attempt_headers.id, call->outgoing.id);
-  dialect->write_words (&words, &attempt_headers);
+  dialect->write_attempt_headers (&words, &attempt_headers);
   LhHeader *headers = concatenate_headers (&call->outgoing, &attempt_headers, &spec.n_headers);
   spec.headers = headers;
   LnUpstream *upstream
--- a/packages/node/src/calls/ln-upstream.h
+++ b/packages/node/src/calls/ln-upstream.h
@@ -54,7 +54,7 @@
 void ln_upstream_cancel (LnUpstream *upstream);
 
 /* Reads the endpoint's load from the reply headers, if they were received and state it. */
-void ln_upstream_read_load (const LnUpstream *upstream, LnStatedLoad *load);
+void ln_upstream_read_load (const LnUpstream *upstream, LnReportedLoad *load);
 /* The score in a scorer's reply; NULL: none. */
 const char *ln_upstream_read_score (const LnUpstream *upstream);
 uint32_t ln_upstream_attempt (const LnUpstream *upstream);
