--- a/fuzz/fuzz-frame.c
+++ b/fuzz/fuzz-frame.c
@@ -15,7 +15,7 @@
   LwMessage back = { 0 };
   LbError error = { 0 };
 
-  if (length > LW_FRAME_HEADER + LW_FRAME_CAP)
+  if (length > LW_FRAME_HEADER + LW_FRAME_MAX_BODY)
     goto out;
   if (!lw_message_decode (frame + LW_FRAME_HEADER, length - LW_FRAME_HEADER, &back, &error))
     abort ();
@@ -35,7 +35,7 @@
   LwFrame frame;
   LbError error = { 0 };
 
-  while (lw_frame_read (data, size, LW_FRAME_CAP, &frame, &error) == LW_FRAME_WHOLE)
+  while (lw_frame_read (data, size, LW_FRAME_MAX_BODY, &frame, &error) == LW_FRAME_COMPLETE)
     {
       LwMessage message = { 0 };
       if (lw_message_decode (frame.body, frame.length, &message, &error))
--- a/packages/cli/src/lt-client.c
+++ b/packages/cli/src/lt-client.c
@@ -129,7 +129,7 @@
                         .path = call->path,
                         .headers = headers,
                         .n_headers = fill_headers (client, call, headers),
-                        .silence = call->silence };
+                        .idle_timeout = call->silence };
 
   *reply = (LtReply){ .revision = -1 };
   if (call->body)
--- a/packages/core/bench/fake-peers.c
+++ b/packages/core/bench/fake-peers.c
@@ -298,7 +298,7 @@
                         .digest = action->digest,
                         .instances = action->instances,
                         .n_instances = action->n_instances,
-                        .answer = action->is_reply };
+                        .is_reply = action->is_reply };
 
   if (action->type == LC_MEMBERSHIP_PING)
     message.type = LW_PING;
@@ -396,7 +396,7 @@
                                     peers->now, actions);
   else
     lc_membership_summary_received (membership, link, message->instances, message->n_instances,
-                                    message->answer, peers->now, actions);
+                                    message->is_reply, peers->now, actions);
 }
 
 static bool
--- a/packages/http/include/lh-fetch.h
+++ b/packages/http/include/lh-fetch.h
@@ -23,14 +23,14 @@
   LbErrorCode failure; /* LB_OK when a whole reply came; else IO, TIMEOUT, CLOSED, BODY_TOO_LARGE */
   bool bytes_handed;   /* any byte of the request was handed to a socket */
   int status;          /* HTTP status; 0 when none came */
-  const char *body;    /* what was not taken by on_piece; not NUL-ended; valid during the call */
+  const char *body; /* what was not taken by on_body_chunk; not NUL-ended; valid during the call */
   size_t body_length;
 } LhResult;
 
 typedef struct
 {
   /* A piece of the body of a reply. NULL: the body is gathered and given to on_done. */
-  void (*on_piece) (LhFetch *fetch, const char *bytes, size_t length, void *user);
+  void (*on_body_chunk) (LhFetch *fetch, const char *bytes, size_t length, void *user);
   /* Called exactly once unless cancelled. */
   void (*on_done) (LhFetch *fetch, const LhResult *result, void *user);
 } LhHandlers;
@@ -45,9 +45,9 @@
   size_t n_headers;
   const char *body;
   size_t body_length;
-  LbTime connect_time;   /* longest time until the request can be handed over; 0: silence counts */
-  LbTime silence;        /* longest time with no byte in either direction; 0: 30 s */
-  bool fresh_connection; /* do not reuse a kept connection: it may have gone silent */
+  LbTime connect_timeout; /* longest time until the request can be handed over; 0: idle_timeout */
+  LbTime idle_timeout;    /* longest time with no byte in either direction; 0: 30 s */
+  bool fresh_connection;  /* do not reuse a kept connection: it may have gone silent */
 } LhRequest;
 
 bool lh_method_is_known (const char *name);
@@ -55,7 +55,7 @@
 LhPool *lh_pool_new (struct event_base *base);
 void lh_pool_free (LhPool *pool);
 /* Drops kept idle connections to one address, or to all when address is NULL. */
-void lh_pool_forget (LhPool *pool, const char *address);
+void lh_pool_drop_idle (LhPool *pool, const char *address);
 /* Kept connections to the address that the next requests would use. */
 size_t lh_pool_count_idle (const LhPool *pool, const char *address);
 
--- a/packages/http/include/lh-reach.h
+++ b/packages/http/include/lh-reach.h
@@ -20,8 +20,8 @@
 
 typedef struct
 {
-  LbTime open; /* longest until the connection is taken or refused */
-  LbTime hold; /* how long it has to stay open; 0: taken is enough */
+  LbTime connect_timeout; /* longest until the connection is taken or refused */
+  LbTime hold_time;       /* how long it has to stay open; 0: taken is enough */
 } LhReachTimes;
 
 /* Calls done once, never from inside; NULL for a malformed address. */
--- a/packages/http/src/lh-fetch.c
+++ b/packages/http/src/lh-fetch.c
@@ -228,7 +228,7 @@
   /* The handler may cancel the fetch, which frees the request and this buffer with it. */
   char *bytes = lb_malloc (length);
   evbuffer_remove (input, bytes, length);
-  fetch->handlers.on_piece (fetch, bytes, length, fetch->user);
+  fetch->handlers.on_body_chunk (fetch, bytes, length, fetch->user);
   free (bytes);
 }
 
@@ -297,14 +297,15 @@
   fetch->handlers = *handlers;
   fetch->user = user;
   lb_list_append (&pool->fetches, &fetch->link);
-  set_silence (connection, wanted->silence > 0 ? wanted->silence : DEFAULT_SILENCE);
+  set_silence (connection, wanted->idle_timeout > 0 ? wanted->idle_timeout : DEFAULT_SILENCE);
   fetch->request = evhttp_request_new (on_request_done, fetch);
   evhttp_request_set_error_cb (fetch->request, on_request_error);
-  if (handlers->on_piece)
+  if (handlers->on_body_chunk)
     evhttp_request_set_chunked_cb (fetch->request, on_chunk);
   add_headers (fetch->request, wanted);
   watch_output (fetch, true);
-  evhttp_connection_set_max_body_size (connection->evcon, handlers->on_piece ? -1 : MAX_BODY_BYTES);
+  evhttp_connection_set_max_body_size (connection->evcon,
+                                       handlers->on_body_chunk ? -1 : MAX_BODY_BYTES);
   fetch->starting = true;
   if (evhttp_make_request (connection->evcon, fetch->request, method, wanted->path) != 0)
     fetch->failure = LB_ERROR_IO;
@@ -313,9 +314,9 @@
     fail_start (fetch);
   else
     {
-      lh_socket_find_silence (
+      lh_socket_enable_keepalive (
           bufferevent_getfd (evhttp_connection_get_bufferevent (connection->evcon)));
-      start_connect_timer (fetch, wanted->connect_time);
+      start_connect_timer (fetch, wanted->connect_timeout);
     }
   return fetch;
 }
--- a/packages/http/src/lh-pool.c
+++ b/packages/http/src/lh-pool.c
@@ -143,7 +143,7 @@
 }
 
 void
-lh_pool_forget (LhPool *pool, const char *address)
+lh_pool_drop_idle (LhPool *pool, const char *address)
 {
   LB_LIST_FOREACH (&pool->idle, LhConnection, link, connection)
   {
--- a/packages/http/src/lh-reach.c
+++ b/packages/http/src/lh-reach.c
@@ -138,10 +138,10 @@
   reach = LB_NEW (LhReach);
   reach->base = base;
   reach->fd = fd;
-  reach->hold = times->hold;
+  reach->hold = times->hold_time;
   reach->done = done;
   reach->user = user;
   reach->event = event_new (base, fd, EV_WRITE, on_event, reach);
-  begin (reach, &target, times->open);
+  begin (reach, &target, times->connect_timeout);
   return reach;
 }
--- a/packages/http/src/lh-socket.c
+++ b/packages/http/src/lh-socket.c
@@ -9,7 +9,7 @@
  * connection, and by what it sent and nobody confirmed on a busy one; the connection then ends with
  * an error. */
 void
-lh_socket_find_silence (int fd)
+lh_socket_enable_keepalive (int fd)
 {
   const int on = 1;
   const int idle_seconds = 3;
--- a/packages/http/tests/test-fetch.c
+++ b/packages/http/tests/test-fetch.c
@@ -113,8 +113,8 @@
                               .path = "/p?q=1",
                               .body = body,
                               .body_length = strlen (body),
-                              .silence = silence };
-  const LhHandlers handlers = { .on_piece = streams ? on_piece : NULL, .on_done = on_done };
+                              .idle_timeout = silence };
+  const LhHandlers handlers = { .on_body_chunk = streams ? on_piece : NULL, .on_done = on_done };
   LbError error = { 0 };
   LhFetch *fetch = lh_fetch_start (w->pool, &request, &handlers, w, &error);
 
@@ -187,7 +187,7 @@
   UNTIL (&w, server_read (&w, fd, "\r\n\r\n"));
   server_send (fd, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
   UNTIL (&w, w.done);
-  lh_pool_forget (w.pool, w.address);
+  lh_pool_drop_idle (w.pool, w.address);
   UNTIL (&w, (server_read (&w, fd, NULL), w.closed));
   close (fd);
   world_clear (&w);
@@ -476,8 +476,8 @@
   const LhRequest request = { .method = "GET",
                               .address = w.address,
                               .path = "/",
-                              .connect_time = 200 * LB_MSEC,
-                              .silence = 60 * LB_SEC };
+                              .connect_timeout = 200 * LB_MSEC,
+                              .idle_timeout = 60 * LB_SEC };
   const LhHandlers handlers = { .on_done = on_done };
   lh_fetch_start (w.pool, &request, &handlers, &w, NULL);
   UNTIL (&w, w.done);
--- a/packages/http/tests/test-reach.c
+++ b/packages/http/tests/test-reach.c
@@ -54,7 +54,7 @@
 static void
 check_held (World *w, LbTime time, LbTime hold)
 {
-  const LhReachTimes times = { .open = time, .hold = hold };
+  const LhReachTimes times = { .connect_timeout = time, .hold_time = hold };
 
   cr_assert (lh_reach_start (w->base, w->address, &times, on_done, w));
   cr_assert_eq (w->calls, 0, "not from inside");
@@ -152,7 +152,7 @@
 
 Test (reach, refuses_what_is_no_address_and_can_be_cancelled)
 {
-  const LhReachTimes times = { .open = LB_SEC };
+  const LhReachTimes times = { .connect_timeout = LB_SEC };
   World w;
 
   world_init (&w, 8);
--- a/packages/node/src/batch/ln-batch-heads.c
+++ b/packages/node/src/batch/ln-batch-heads.c
@@ -496,8 +496,8 @@
   const LpFollowSettings settings = { .table = TABLE,
                                       .prefixes = prefixes,
                                       .n_prefixes = N_PARTITIONS,
-                                      .wait = WATCH_TIMEOUT,
-                                      .retry = WATCH_RETRY_DELAY,
+                                      .watch_timeout = WATCH_TIMEOUT,
+                                      .retry_delay = WATCH_RETRY_DELAY,
                                       .tries_history = true };
 
   _Static_assert(sizeof prefixes / sizeof prefixes[0] == N_PARTITIONS,
--- a/packages/node/src/batch/ln-batches.c
+++ b/packages/node/src/batch/ln-batches.c
@@ -98,8 +98,8 @@
   batches->n_members = message->n_members;
   batches->members_change_count++;
   /* An instance that is left out gets no offers; a call about an unknown batch reads the store. */
-  lp_follow_set_gap (batches->row_watch,
-                     message->is_left_out && !batches->owns_any ? IDLE_WATCH_GAP : 0);
+  lp_follow_set_watch_delay (batches->row_watch,
+                             message->is_left_out && !batches->owns_any ? IDLE_WATCH_GAP : 0);
 }
 
 static void
--- a/packages/node/src/calls/ln-poller.c
+++ b/packages/node/src/calls/ln-poller.c
@@ -82,7 +82,7 @@
 
   target->load = NULL;
   if (result->failure == LB_ERROR_TIMEOUT)
-    lh_pool_forget (target->poller->pool, target->address);
+    lh_pool_drop_idle (target->poller->pool, target->address);
   /* A plain service without a load to state is known to live by any answer. */
   if (!object && !target->is_engine && result->failure == LB_OK)
     target->poller->handlers.on_report (target->name, &report, target->poller->user);
@@ -143,7 +143,7 @@
   const LhRequest request = { .method = "GET",
                               .address = target->address,
                               .path = path,
-                              .silence = silence < LB_SEC ? LB_SEC : silence };
+                              .idle_timeout = silence < LB_SEC ? LB_SEC : silence };
 
   return lh_fetch_start (target->poller->pool, &request, &handlers, target, NULL);
 }
--- a/packages/node/src/calls/ln-relay.c
+++ b/packages/node/src/calls/ln-relay.c
@@ -222,7 +222,7 @@
                               .n_headers = headers.count,
                               .body = body,
                               .body_length = length,
-                              .silence = (left > 0 ? left : 0) + MARGIN };
+                              .idle_timeout = (left > 0 ? left : 0) + MARGIN };
   LhFetch *fetch = lh_fetch_start (relays->context->http_pool, &request, &handlers, relay, error);
   free (headers.items);
   free (path);
--- a/packages/node/src/calls/ln-upstream.c
+++ b/packages/node/src/calls/ln-upstream.c
@@ -311,7 +311,7 @@
     {
       /* Something between the two ends may have lost track of all connections of this age: new
        * ones work while kept ones swallow what is sent. None of them is used again. */
-      lh_pool_forget (upstream->pool, upstream->address);
+      lh_pool_drop_idle (upstream->pool, upstream->address);
       lb_log (LB_LOG_INFO, "attempt_failed", LB_INT ("request", upstream->request),
               LB_TEXT ("id", upstream->name), LB_INT ("attempt", upstream->attempt),
               LB_TEXT ("endpoint", upstream->endpoint),
@@ -330,7 +330,8 @@
 {
   LnUpstream *upstream = LB_NEW (LnUpstream);
   const LhHandlers fetch_handlers
-      = { .on_piece = spec->stream_id || spec->is_stream ? on_piece : NULL, .on_done = on_done };
+      = { .on_body_chunk = spec->stream_id || spec->is_stream ? on_piece : NULL,
+          .on_done = on_done };
   const LhRequest request = { .method = spec->method,
                               .address = spec->address,
                               .path = spec->path,
@@ -339,8 +340,8 @@
                               .n_headers = spec->n_headers,
                               .body = spec->body,
                               .body_length = spec->body_length,
-                              .connect_time = CONNECT_TIME,
-                              .silence = spec->silence };
+                              .connect_timeout = CONNECT_TIME,
+                              .idle_timeout = spec->silence };
 
   upstream->request = spec->request;
   upstream->attempt = spec->attempt;
--- a/packages/node/src/config/ln-config.c
+++ b/packages/node/src/config/ln-config.c
@@ -191,7 +191,7 @@
     return;
   task->listing = true;
   task->next_listing = now + LISTING_PERIOD;
-  platform->klass->instances (platform, on_instances, task);
+  platform->klass->list_instances (platform, on_instances, task);
 }
 
 static void
--- a/packages/node/src/config/ln-desired.c
+++ b/packages/node/src/config/ln-desired.c
@@ -376,7 +376,7 @@
 note_confirmed (Desired *task)
 {
   LnDesiredConfirmedMessage message
-      = { .base = LN_MESSAGE (LN_DESIRED_CONFIRMED), .at = lp_follow_heard_at (task->rows) };
+      = { .base = LN_MESSAGE (LN_DESIRED_CONFIRMED), .at = lp_follow_last_answer_at (task->rows) };
 
   if (message.at == task->confirmed_at || !task->desired)
     return;
@@ -446,7 +446,7 @@
 static void
 take_members (Desired *task, const LnMembersMessage *message)
 {
-  lp_follow_set_wait (task->rows, message->is_left_out ? LEFT_OUT_WATCH_WAIT : WATCH_WAIT);
+  lp_follow_set_watch_timeout (task->rows, message->is_left_out ? LEFT_OUT_WATCH_WAIT : WATCH_WAIT);
   if (!task->draining)
     ln_weight_orders_set_members (task->orders, message);
 }
@@ -520,8 +520,8 @@
   const LpFollowSettings rows = { .table = context->dialect->operator_table,
                                   .prefixes = &context->dialect->operator_rows,
                                   .n_prefixes = 1,
-                                  .wait = WATCH_WAIT,
-                                  .retry = WATCH_RETRY };
+                                  .watch_timeout = WATCH_WAIT,
+                                  .retry_delay = WATCH_RETRY };
   Desired *task = LB_NEW (Desired);
 
   task->task.klass = &desired_class;
--- a/packages/node/src/endpoints/ln-crashes.c
+++ b/packages/node/src/endpoints/ln-crashes.c
@@ -358,9 +358,9 @@
   const LpFollowSettings settings = { .table = TABLE,
                                       .prefixes = prefixes,
                                       .n_prefixes = 1,
-                                      .wait = WATCH_TIMEOUT,
-                                      .retry = WATCH_RETRY_DELAY,
-                                      .on_base = on_snapshot_begin };
+                                      .watch_timeout = WATCH_TIMEOUT,
+                                      .retry_delay = WATCH_RETRY_DELAY,
+                                      .on_snapshot_begin = on_snapshot_begin };
   LnCrashes *crashes = LB_NEW (LnCrashes);
 
   crashes->context = context;
--- a/packages/node/src/endpoints/ln-endpoint-checks.c
+++ b/packages/node/src/endpoints/ln-endpoint-checks.c
@@ -131,7 +131,7 @@
 static bool
 start_probe (Check *check, LbTime hold)
 {
-  const LhReachTimes times = { .open = PROBE_TIMEOUT, .hold = hold };
+  const LhReachTimes times = { .connect_timeout = PROBE_TIMEOUT, .hold_time = hold };
 
   check->probe
       = lh_reach_start (check->owner->context->base, check->address, &times, on_probe_done, check);
--- a/packages/node/src/front/ln-caller.c
+++ b/packages/node/src/front/ln-caller.c
@@ -373,7 +373,7 @@
   lb_list_append (&callers->callers, &caller->link);
   lb_metric_add (&connections, 1);
   read_peer (caller);
-  lh_socket_find_silence (connection->sock);
+  lh_socket_enable_keepalive (connection->sock);
   set_hooks (connection, caller);
   arm (caller, callers->read_time);
   caller->on_input = evbuffer_add_cb (bufferevent_get_input (connection->bev), on_input, caller);
--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -222,9 +222,9 @@
   const LpFollowSettings settings = { .table = TABLE,
                                       .prefixes = prefixes,
                                       .n_prefixes = 1,
-                                      .wait = WATCH_TIMEOUT,
-                                      .retry = WATCH_RETRY_DELAY,
-                                      .on_base = on_snapshot_begin };
+                                      .watch_timeout = WATCH_TIMEOUT,
+                                      .retry_delay = WATCH_RETRY_DELAY,
+                                      .on_snapshot_begin = on_snapshot_begin };
   LnCatalog *catalog = LB_NEW (LnCatalog);
 
   catalog->context = context;
@@ -301,7 +301,7 @@
 find_rank (LnCatalog *catalog)
 {
   LpPlatform *platform = catalog->context->platform;
-  bool is_cut_off = !lp_platform_is_reached (platform);
+  bool is_cut_off = !lp_platform_is_store_reachable (platform);
 
   if (catalog->draining || is_cut_off || !lp_follow_has_listed (catalog->follower))
     return -1;
@@ -345,7 +345,7 @@
                                       .n_conditions = 1,
                                       .puts = puts,
                                       .n_puts = next->n_puts,
-                                      .time = WRITE_TIMEOUT };
+                                      .timeout = WRITE_TIMEOUT };
   lb_metric_add (&writes_sent, 1);
   platform->klass->transact (platform, &transaction, LP_PRIORITY_STATUS, on_write_done, write);
   for (size_t i = 0; i < next->n_puts; i++)
--- a/packages/node/src/membership/ln-fleet-renewal.c
+++ b/packages/node/src/membership/ln-fleet-renewal.c
@@ -70,7 +70,7 @@
   char key[LN_FLEET_KEY_SIZE];
   const LpPut put = { .key = key, .value = value };
   const LpTransaction transaction
-      = { .token = "", .puts = &put, .n_puts = 1, .time = RENEWAL_TIMEOUT };
+      = { .token = "", .puts = &put, .n_puts = 1, .timeout = RENEWAL_TIMEOUT };
 
   ln_fleet_row_key (renewal->row, on_duty, key);
   renewal->platform->klass->transact (renewal->platform, &transaction, LP_PRIORITY_STATUS, done,
--- a/packages/node/src/membership/ln-fleet.c
+++ b/packages/node/src/membership/ln-fleet.c
@@ -143,7 +143,7 @@
 update_reachability (Fleet *task, LbTime now)
 {
   const LpPlatform *platform = task->context->platform;
-  bool is_cut_off = !lp_platform_is_reached (platform);
+  bool is_cut_off = !lp_platform_is_store_reachable (platform);
 
   if (is_cut_off == task->own_row.cut)
     return;
@@ -289,7 +289,7 @@
 {
   LbError error = { 0 };
 
-  if (lp_platform_is_reached (platform))
+  if (lp_platform_is_store_reachable (platform))
     return false;
   lb_error_set (&error, LB_ERROR_STORE_AWAY, "", "this instance can't reach the store either");
   ln_exchange_reply_error (exchange, &error, 0);
@@ -307,7 +307,7 @@
   size_t length;
   const char *body = ln_exchange_body (exchange, &length);
 
-  if (!method || !path || !lh_method_is_known (method) || !platform->klass->carry_out)
+  if (!method || !path || !lh_method_is_known (method) || !platform->klass->execute_peer_call)
     {
       lb_error_set (&error, LB_ERROR_BAD_REQUEST, LP_PEER_PATH_HEADER,
                     "expected the method and path of a store call");
@@ -318,7 +318,8 @@
     return;
   call = LB_NEW (RelayedCall);
   call->exchange = exchange;
-  platform->klass->carry_out (platform, method, path, body, length, on_call_completed, call);
+  platform->klass->execute_peer_call (platform, method, path, body, length, on_call_completed,
+                                      call);
 }
 
 static void
--- a/packages/node/src/membership/ln-peer-connection.c
+++ b/packages/node/src/membership/ln-peer-connection.c
@@ -15,7 +15,7 @@
 #include <sys/socket.h>
 
 /* Maximum of unsent bytes per connection: two frames of maximum size. */
-#define MAX_UNSENT (2 * LW_FRAME_CAP)
+#define MAX_UNSENT (2 * LW_FRAME_MAX_BODY)
 
 static LbMetric bytes_sent = LB_COUNTER_INIT ("lentilspindle_peer_bytes_sent_total",
                                               NULL,
@@ -76,7 +76,7 @@
 static LwFrameResult
 read_frame (LnPeerConnection *connection, struct evbuffer *input, LbError *error)
 {
-  size_t cap = connection->handshake.done ? LW_FRAME_CAP : LW_FRAME_CAP_UNPROVED;
+  size_t cap = connection->handshake.done ? LW_FRAME_MAX_BODY : LW_FRAME_MAX_BODY_UNAUTHENTICATED;
   size_t length = evbuffer_get_length (input);
   LwFrame frame;
 
@@ -84,28 +84,28 @@
   LwFrameResult result = lw_frame_read (bytes, length, cap, &frame, error);
   if (result == LW_FRAME_PARTIAL)
     bufferevent_setwatermark (connection->stream, EV_READ, frame.consumed, 0);
-  if (result != LW_FRAME_WHOLE)
+  if (result != LW_FRAME_COMPLETE)
     return result;
   lb_metric_add (&bytes_received, (int64_t)frame.consumed);
   if (!receive_frame (connection, &frame, error))
-    return LW_FRAME_BAD;
+    return LW_FRAME_INVALID;
   if (!connection->is_closed)
     evbuffer_drain (input, frame.consumed);
-  return LW_FRAME_WHOLE;
+  return LW_FRAME_COMPLETE;
 }
 
 static void
 on_read (struct bufferevent *stream, void *user)
 {
   LnPeerConnection *connection = user;
-  LwFrameResult result = LW_FRAME_WHOLE;
+  LwFrameResult result = LW_FRAME_COMPLETE;
   LbError error = { .code = LB_OK };
 
   bufferevent_setwatermark (stream, EV_READ, 0, 0);
-  while (!connection->is_closed && result == LW_FRAME_WHOLE
+  while (!connection->is_closed && result == LW_FRAME_COMPLETE
          && evbuffer_get_length (bufferevent_get_input (stream)) > 0)
     result = read_frame (connection, bufferevent_get_input (stream), &error);
-  if (!connection->is_closed && result == LW_FRAME_BAD)
+  if (!connection->is_closed && result == LW_FRAME_INVALID)
     report_failure (connection, &error);
 }
 
--- a/packages/node/src/membership/ln-peers-actions.c
+++ b/packages/node/src/membership/ln-peers-actions.c
@@ -51,7 +51,7 @@
                         .digest = action->digest,
                         .instances = action->instances,
                         .n_instances = action->n_instances,
-                        .answer = action->is_reply };
+                        .is_reply = action->is_reply };
 
   LnPeerConnection *connection = ln_peers_find_connection (peers, action->link);
   if (action->type == LC_MEMBERSHIP_BROADCAST)
--- a/packages/node/src/membership/ln-peers-handlers.c
+++ b/packages/node/src/membership/ln-peers-handlers.c
@@ -75,7 +75,8 @@
       break;
     case LW_COMPARE:
       lc_membership_summary_received (peers->membership, id, message->instances,
-                                      message->n_instances, message->answer, now, &peers->actions);
+                                      message->n_instances, message->is_reply, now,
+                                      &peers->actions);
       break;
     case LW_DATA:
       ln_peers_handle_data (peers, id, message);
--- a/packages/node/src/membership/ln-peers-list.c
+++ b/packages/node/src/membership/ln-peers-list.c
@@ -108,5 +108,5 @@
     return;
   peers->next_list_at = now + choose_list_period (peers, now);
   peers->is_list_pending = true;
-  platform->klass->instances (platform, on_list, peers);
+  platform->klass->list_instances (platform, on_list, peers);
 }
--- a/packages/node/src/rollout/ln-pool-controller.c
+++ b/packages/node/src/rollout/ln-pool-controller.c
@@ -310,9 +310,10 @@
 request_load (Engine *engine, LbTime now)
 {
   const LhHandlers handlers = { .on_done = on_load_received };
-  const LhRequest request = {
-    .method = "GET", .address = engine->address, .path = "/load", .silence = ENGINE_IDLE_TIMEOUT
-  };
+  const LhRequest request = { .method = "GET",
+                              .address = engine->address,
+                              .path = "/load",
+                              .idle_timeout = ENGINE_IDLE_TIMEOUT };
   LbTime period
       = (LbTime)HASH_COUNT (engine->controller->engines) * LB_SEC / MAX_LOAD_REQUESTS_PER_SECOND;
 
@@ -372,7 +373,7 @@
   LhRequest request = { .method = "POST",
                         .address = action->address,
                         .path = "/orders",
-                        .silence = ENGINE_IDLE_TIMEOUT,
+                        .idle_timeout = ENGINE_IDLE_TIMEOUT,
                         .fresh_connection = true };
   char *body = lb_asprintf ("{\"order\": \"load_weights\", \"pool\": \"%s\", \"version\": %lld, "
                             "\"fence\": %lld}",
@@ -437,8 +438,8 @@
     return;
   controller->is_querying_newest = true;
   controller->next_newest_query_at = now + NEWEST_QUERY_PERIOD;
-  platform->klass->weights (platform, controller->pool, on_newest_version,
-                            operation_new (controller));
+  platform->klass->get_weights (platform, controller->pool, on_newest_version,
+                                operation_new (controller));
 }
 
 static void
--- a/packages/node/src/rollout/ln-step-relay.c
+++ b/packages/node/src/rollout/ln-step-relay.c
@@ -70,7 +70,7 @@
                               .n_headers = 2,
                               .body = body,
                               .body_length = length,
-                              .silence = relay_idle_timeout (call) };
+                              .idle_timeout = relay_idle_timeout (call) };
 
   *relay = (Relay){ .call = call, .done = done, .user = user };
   call->relay_owner = *owner;
--- a/packages/node/src/store/ln-platform-call.c
+++ b/packages/node/src/store/ln-platform-call.c
@@ -65,8 +65,8 @@
 {
   const LhHandlers handlers = { .on_done = on_done };
   const LhRequest request = { .address = context->settings->duties.address,
-                              .connect_time = CONNECT_TIME,
-                              .silence = SILENCE,
+                              .connect_timeout = CONNECT_TIME,
+                              .idle_timeout = SILENCE,
                               .fresh_connection = true };
   Call *call = LB_NEW (Call);
   LbError error = { 0 };
--- a/packages/node/src/weights/ln-engine-plans.c
+++ b/packages/node/src/weights/ln-engine-plans.c
@@ -119,8 +119,8 @@
   const LpFollowSettings settings = { .table = TABLE,
                                       .prefixes = prefixes,
                                       .n_prefixes = 1,
-                                      .wait = WATCH_TIMEOUT,
-                                      .retry = WATCH_RETRY_DELAY };
+                                      .watch_timeout = WATCH_TIMEOUT,
+                                      .retry_delay = WATCH_RETRY_DELAY };
   LnEnginePlans *plans = LB_NEW (LnEnginePlans);
 
   plans->context = context;
@@ -134,7 +134,7 @@
 void
 ln_engine_plans_set_needed (LnEnginePlans *plans, bool needed, LbTime now)
 {
-  lp_follow_set_pause (plans->row_watch, needed ? 0 : IDLE_READ_PAUSE, now);
+  lp_follow_set_list_interval (plans->row_watch, needed ? 0 : IDLE_READ_PAUSE, now);
 }
 
 void
--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -347,7 +347,7 @@
   const LhRequest request = { .method = "GET",
                               .address = engine->address,
                               .path = engine->orders->context->dialect->state_path,
-                              .silence = RESPONSE_TIMEOUT };
+                              .idle_timeout = RESPONSE_TIMEOUT };
 
   engine->query_sent_at = now;
   engine->query_fetch
@@ -411,7 +411,7 @@
 {
   Engine *engine = find_engine (orders, action->endpoint);
   const LhHandlers handlers = { .on_done = on_order_answered };
-  LhRequest request = { .silence = RESPONSE_TIMEOUT };
+  LhRequest request = { .idle_timeout = RESPONSE_TIMEOUT };
   LcOutgoing outgoing;
   LnWeightsOrder order = { .endpoint = action->endpoint,
                            .version = action->version,
--- a/packages/store/include/lp-path.h
+++ b/packages/store/include/lp-path.h
@@ -28,17 +28,17 @@
 /* Addresses of other instances that are alive. */
 void lp_path_set_peers (LpPath *path, const LbName *peers, size_t n_peers);
 /* NULL: the direct way; else the peer to ask. */
-const char *lp_path_choose (const LpPath *path);
+const char *lp_path_choose_peer (const LpPath *path);
 /* The peer that calls go through; NULL: there is none. */
-const char *lp_path_peer (const LpPath *path);
-void lp_path_direct_ended (LpPath *path, bool reached, LbTime now);
+const char *lp_path_current_peer (const LpPath *path);
+void lp_path_record_direct_result (LpPath *path, bool reached, LbTime now);
 /* A call through the peer got no answer of the store. */
 void lp_path_peer_failed (LpPath *path, const char *peer);
 /* True when it is time to ask the store itself whether the direct way is well again. */
-bool lp_path_take_probe (LpPath *path, LbTime now);
+bool lp_path_start_probe_if_due (LpPath *path, LbTime now);
 /* Whether the store answered by the direct way since then. */
-bool lp_path_was_reached (const LpPath *path, LbTime since);
+bool lp_path_has_answered_since (const LpPath *path, LbTime since);
 /* Whether the direct way counts as cut. */
-bool lp_path_is_cut (const LpPath *path);
+bool lp_path_is_direct_down (const LpPath *path);
 
 #endif
--- a/packages/store/include/lp-platform.h
+++ b/packages/store/include/lp-platform.h
@@ -34,7 +34,7 @@
   /* After an unknown outcome read the first put's row: its value there proves that the transaction
    * was applied. Only for values that no other transaction writes. */
   bool read_back;
-  LbTime time; /* longest for an answer; 0: that of the platform's calls */
+  LbTime timeout; /* longest for an answer; 0: that of the platform's calls */
 } LpTransaction;
 
 typedef struct
@@ -88,7 +88,7 @@
 /* The same for rows that changed, in order; a row without a value was deleted. LB_ERROR_NOT_FOUND:
  * the history that was asked for is gone, the rows have to be listed. */
 typedef LpListDone LpWatchDone;
-typedef void (*LpCarriedOut) (
+typedef void (*LpPeerCallDone) (
     LbErrorCode error, int status, const char *body, size_t length, void *user);
 
 typedef struct
@@ -101,7 +101,8 @@
                     LpTransactDone done,
                     void *user);
   void (*get) (LpPlatform *platform, const char *key, LpRowsDone done, void *user);
-  /* scan, instances and weights: NULL on a shared platform, whose instances list rows instead. */
+  /* scan, list_instances and get_weights: NULL on a shared platform, whose instances list rows
+   * instead. */
   void (*scan) (LpPlatform *platform, const char *prefix, LpRowsDone done, void *user);
   void (*put_object) (LpPlatform *platform,
                       const char *key,
@@ -133,7 +134,7 @@
   void (*set_peers) (LpPlatform *platform, const LbName *addresses, size_t n_addresses);
   /* Whether this instance reaches the store without the help of others; NULL where the kind can't
    * tell. */
-  bool (*is_reached) (const LpPlatform *platform);
+  bool (*is_store_reachable) (const LpPlatform *platform);
   /* The store's own steady clock in the answer that is being passed on, in ms; 0: it named none.
    * NULL where the kind has no such clock. */
   int64_t (*store_ms) (const LpPlatform *platform);
@@ -141,15 +142,15 @@
   int64_t (*store_ms_at) (const LpPlatform *platform, LbTime now);
   /* Carries out a peer's call, never through another one. status 0: no answer came, and the call
    * may have been carried out or not as error says. */
-  void (*carry_out) (LpPlatform *platform,
-                     const char *method,
-                     const char *path,
-                     const char *body,
-                     size_t length,
-                     LpCarriedOut done,
-                     void *user);
-  void (*instances) (LpPlatform *platform, LpInstancesDone done, void *user);
-  void (*weights) (LpPlatform *platform, const char *pool, LpWeightsDone done, void *user);
+  void (*execute_peer_call) (LpPlatform *platform,
+                             const char *method,
+                             const char *path,
+                             const char *body,
+                             size_t length,
+                             LpPeerCallDone done,
+                             void *user);
+  void (*list_instances) (LpPlatform *platform, LpInstancesDone done, void *user);
+  void (*get_weights) (LpPlatform *platform, const char *pool, LpWeightsDone done, void *user);
 } LpPlatformClass;
 
 struct LpPlatform
@@ -161,7 +162,7 @@
  * whose kind can't tell counts as reached. */
 int64_t lp_platform_store_ms (const LpPlatform *platform);
 int64_t lp_platform_store_ms_at (const LpPlatform *platform, LbTime at);
-bool lp_platform_is_reached (const LpPlatform *platform);
+bool lp_platform_is_store_reachable (const LpPlatform *platform);
 
 typedef struct
 {
--- a/packages/store/include/lp-store.h
+++ b/packages/store/include/lp-store.h
@@ -18,6 +18,6 @@
 const LpRow *lp_store_get (const LpStore *store, const char *key);
 const LpRow *lp_store_next (const LpStore *store, const char *prefix, const char *after);
 const char *lp_store_get_object (const LpStore *store, const char *key, size_t *length);
-int64_t lp_store_weights (const LpStore *store, const char *pool);
+int64_t lp_store_get_weights (const LpStore *store, const char *pool);
 
 #endif
--- a/packages/store/src/lp-client.c
+++ b/packages/store/src/lp-client.c
@@ -231,7 +231,7 @@
     call->may_be_applied = true;
   call->fresh_connection = true;
   if (result->failure == LB_ERROR_TIMEOUT)
-    lh_pool_forget (client->pool, client->settings.address);
+    lh_pool_drop_idle (client->pool, client->settings.address);
   rest_or_give_up (call);
 }
 
@@ -284,7 +284,7 @@
                               .n_headers = call->body ? 1 : 0,
                               .body = call->body,
                               .body_length = call->body_length,
-                              .silence = client->settings.deadline / ATTEMPTS_IN_DEADLINE,
+                              .idle_timeout = client->settings.deadline / ATTEMPTS_IN_DEADLINE,
                               .fresh_connection = call->fresh_connection };
   LbError error;
 
--- a/packages/store/src/lp-follow.c
+++ b/packages/store/src/lp-follow.c
@@ -63,7 +63,7 @@
 static LbTime
 retry_time (LpFollow *follow, LbErrorCode error)
 {
-  LbTime retry = follow->settings.retry;
+  LbTime retry = follow->settings.retry_delay;
 
   if (error != LB_ERROR_STORE_BUSY)
     {
@@ -102,8 +102,8 @@
     follow->failed = error;
   else if (follow->oldest == 0 || version < follow->oldest)
     follow->oldest = version;
-  if (error == LB_OK && follow->settings.on_base)
-    follow->settings.on_base (follow->user);
+  if (error == LB_OK && follow->settings.on_snapshot_begin)
+    follow->settings.on_snapshot_begin (follow->user);
   if (n_rows > 0)
     follow->on_rows (rows, n_rows, follow->user);
   if (--follow->n_waiting > 0)
@@ -164,7 +164,7 @@
 }
 
 void
-lp_follow_set_pause (LpFollow *follow, LbTime pause, LbTime now)
+lp_follow_set_list_interval (LpFollow *follow, LbTime pause, LbTime now)
 {
   if (pause < follow->pause && follow->next_call > now)
     follow->next_call = now;
@@ -172,15 +172,15 @@
 }
 
 void
-lp_follow_set_gap (LpFollow *follow, LbTime gap)
+lp_follow_set_watch_delay (LpFollow *follow, LbTime gap)
 {
   follow->gap = gap;
 }
 
 void
-lp_follow_set_wait (LpFollow *follow, LbTime wait)
+lp_follow_set_watch_timeout (LpFollow *follow, LbTime wait)
 {
-  follow->settings.wait = wait;
+  follow->settings.watch_timeout = wait;
 }
 
 static void
@@ -190,7 +190,8 @@
 
   follow->n_waiting = 1;
   follow->platform->klass->watch (follow->platform, settings->table, follow->version,
-                                  follow->version > 0 ? settings->wait : 0, on_changes, follow);
+                                  follow->version > 0 ? settings->watch_timeout : 0, on_changes,
+                                  follow);
 }
 
 void
@@ -207,7 +208,7 @@
 }
 
 LbTime
-lp_follow_heard_at (const LpFollow *follow)
+lp_follow_last_answer_at (const LpFollow *follow)
 {
   return follow->heard_at;
 }
--- a/packages/store/src/lp-http.c
+++ b/packages/store/src/lp-http.c
@@ -555,8 +555,8 @@
   .scan = http_scan,
   .put_object = http_put_object,
   .get_object = http_get_object,
-  .instances = http_instances,
-  .weights = http_weights,
+  .list_instances = http_instances,
+  .get_weights = http_weights,
 };
 
 /* A platform over HTTP. Calls that are not answered when it is freed are dropped unanswered. */
--- a/packages/store/src/lp-memory.c
+++ b/packages/store/src/lp-memory.c
@@ -228,7 +228,7 @@
   Reply *reply = reply_new (memory, REPLY_WEIGHTS, user);
 
   reply->done.weights = done;
-  reply->version = lp_store_weights (memory->store, pool);
+  reply->version = lp_store_get_weights (memory->store, pool);
   if (reply->version == 0)
     reply->error = LB_ERROR_NOT_FOUND;
 }
@@ -241,8 +241,8 @@
   .scan = memory_scan,
   .put_object = memory_put_object,
   .get_object = memory_get_object,
-  .instances = memory_instances,
-  .weights = memory_weights,
+  .list_instances = memory_instances,
+  .get_weights = memory_weights,
 };
 
 /* A platform inside this process, for a single instance and for tests: nothing outlives it, and its
--- a/packages/store/src/lp-path.c
+++ b/packages/store/src/lp-path.c
@@ -41,7 +41,7 @@
 }
 
 const char *
-lp_path_peer (const LpPath *path)
+lp_path_current_peer (const LpPath *path)
 {
   if (!lb_switch_is_on (LB_SWITCH_WAY_THROUGH_PEERS))
     return NULL;
@@ -49,15 +49,15 @@
 }
 
 bool
-lp_path_is_cut (const LpPath *path)
+lp_path_is_direct_down (const LpPath *path)
 {
   return path->failures >= FAILURES_TO_CUT;
 }
 
 const char *
-lp_path_choose (const LpPath *path)
+lp_path_choose_peer (const LpPath *path)
 {
-  return lp_path_is_cut (path) ? lp_path_peer (path) : NULL;
+  return lp_path_is_direct_down (path) ? lp_path_current_peer (path) : NULL;
 }
 
 static LbTime
@@ -69,7 +69,7 @@
 }
 
 void
-lp_path_direct_ended (LpPath *path, bool reached, LbTime now)
+lp_path_record_direct_result (LpPath *path, bool reached, LbTime now)
 {
   path->failures = reached ? 0 : path->failures + 1;
   if (reached)
@@ -79,7 +79,7 @@
 }
 
 bool
-lp_path_was_reached (const LpPath *path, LbTime since)
+lp_path_has_answered_since (const LpPath *path, LbTime since)
 {
   return path->reached_at > 0 && path->reached_at >= since;
 }
@@ -95,9 +95,9 @@
 }
 
 bool
-lp_path_take_probe (LpPath *path, LbTime now)
+lp_path_start_probe_if_due (LpPath *path, LbTime now)
 {
-  if (!lp_path_is_cut (path) || path->n_peers == 0 || now < path->next_probe)
+  if (!lp_path_is_direct_down (path) || path->n_peers == 0 || now < path->next_probe)
     return false;
   path->next_probe = now + probe_period (path);
   return true;
--- a/packages/store/src/lp-platform.c
+++ b/packages/store/src/lp-platform.c
@@ -13,7 +13,7 @@
 }
 
 bool
-lp_platform_is_reached (const LpPlatform *platform)
+lp_platform_is_store_reachable (const LpPlatform *platform)
 {
-  return !platform->klass->is_reached || platform->klass->is_reached (platform);
+  return !platform->klass->is_store_reachable || platform->klass->is_store_reachable (platform);
 }
--- a/packages/store/src/lp-store.c
+++ b/packages/store/src/lp-store.c
@@ -336,7 +336,7 @@
 
 /* The newest version, 0 when none was set. */
 int64_t
-lp_store_weights (const LpStore *store, const char *pool)
+lp_store_get_weights (const LpStore *store, const char *pool)
 {
   Weights *weights = NULL;
 
--- a/packages/store/tests/test-follow.c
+++ b/packages/store/tests/test-follow.c
@@ -62,9 +62,11 @@
 
 static const LpPlatformClass fake_class = { .list = fake_list, .watch = fake_watch };
 static const char *const prefixes[] = { "t/00/", "t/01/" };
-static const LpFollowSettings settings = {
-  .table = "t", .prefixes = prefixes, .n_prefixes = 2, .wait = LB_SEC, .retry = 100 * LB_MSEC
-};
+static const LpFollowSettings settings = { .table = "t",
+                                           .prefixes = prefixes,
+                                           .n_prefixes = 2,
+                                           .watch_timeout = LB_SEC,
+                                           .retry_delay = 100 * LB_MSEC };
 
 static void
 on_rows (const LpRow *rows, size_t n_rows, void *user)
@@ -125,7 +127,7 @@
   LbTime now = lb_clock_monotonic ();
   lp_follow_tick (follow, now);
   cr_assert_eq (fake.lists, 2, "not at once");
-  lp_follow_tick (follow, now + settings.retry);
+  lp_follow_tick (follow, now + settings.retry_delay);
   cr_assert_eq (fake.lists, 4);
   lp_follow_free (follow);
 }
@@ -139,7 +141,7 @@
   LpFollow *follow = lp_follow_new (&fake.platform, &settings, on_rows, &fake);
   LbTime now = lb_clock_monotonic ();
 
-  lp_follow_set_pause (follow, 5 * LB_SEC, now);
+  lp_follow_set_list_interval (follow, 5 * LB_SEC, now);
   lp_follow_tick (follow, now);
   answer (&fake, LB_OK, 0, 7);
   answer (&fake, LB_OK, 0, 7);
@@ -150,7 +152,7 @@
   cr_assert_eq (fake.watches, 0);
   answer (&fake, LB_OK, 1, 9);
   answer (&fake, LB_OK, 1, 9);
-  lp_follow_set_pause (follow, 0, now);
+  lp_follow_set_list_interval (follow, 0, now);
   lp_follow_tick (follow, now);
   cr_assert_eq (fake.watches, 1);
   cr_assert_eq (fake.watched_after, 9);
@@ -224,7 +226,7 @@
 
   for (int refused = 1; refused <= 4; refused++)
     {
-      LbTime retry = settings.retry << (refused - 1);
+      LbTime retry = settings.retry_delay << (refused - 1);
       lp_follow_tick (follow, now);
       cr_assert_eq (fake.lists, 2 * refused);
       now = lb_clock_monotonic ();
@@ -243,7 +245,7 @@
   Fake fake = { .platform.klass = &fake_class };
   LpFollow *follow = lp_follow_new (&fake.platform, &settings, on_rows, &fake);
 
-  lp_follow_set_gap (follow, 2 * LB_SEC);
+  lp_follow_set_watch_delay (follow, 2 * LB_SEC);
   lp_follow_tick (follow, LB_SEC);
   answer (&fake, LB_OK, 0, 7);
   answer (&fake, LB_OK, 0, 7);
--- a/packages/store/tests/test-http.c
+++ b/packages/store/tests/test-http.c
@@ -201,11 +201,11 @@
   bench.platform->klass->get_object (bench.platform, "s/2", on_object, &absent);
   wait_for (&bench, &absent);
   cr_assert_eq (absent.error, LB_ERROR_NOT_FOUND);
-  bench.platform->klass->weights (bench.platform, "reader", on_weights, &none);
+  bench.platform->klass->get_weights (bench.platform, "reader", on_weights, &none);
   wait_for (&bench, &none);
   cr_assert_eq (none.error, LB_ERROR_NOT_FOUND);
   lp_store_set_weights (bench.store.store, "reader", 41);
-  bench.platform->klass->weights (bench.platform, "reader", on_weights, &newest);
+  bench.platform->klass->get_weights (bench.platform, "reader", on_weights, &newest);
   wait_for (&bench, &newest);
   cr_assert_eq (newest.version, 41);
   bench_clear (&bench);
--- a/packages/wire/include/lw-frame.h
+++ b/packages/wire/include/lw-frame.h
@@ -10,8 +10,8 @@
 #define LW_FRAME_HEADER 5
 
 /* Largest bodies: before the key is proved, and after. */
-#define LW_FRAME_CAP_UNPROVED ((size_t)4096)
-#define LW_FRAME_CAP ((size_t)8 << 20)
+#define LW_FRAME_MAX_BODY_UNAUTHENTICATED ((size_t)4096)
+#define LW_FRAME_MAX_BODY ((size_t)8 << 20)
 
 typedef struct
 {
@@ -22,9 +22,9 @@
 
 typedef enum
 {
-  LW_FRAME_WHOLE,
+  LW_FRAME_COMPLETE,
   LW_FRAME_PARTIAL, /* more bytes are needed */
-  LW_FRAME_BAD
+  LW_FRAME_INVALID
 } LwFrameResult;
 
 void lw_frame_write_header (uint8_t header[LW_FRAME_HEADER], size_t body_length);
--- a/packages/wire/include/lw-message.h
+++ b/packages/wire/include/lw-message.h
@@ -15,7 +15,7 @@
   LW_PING,      /* digest */
   LW_PONG,      /* digest */
   LW_INSTANCES, /* instances */
-  LW_COMPARE,   /* instances in short form, answer */
+  LW_COMPARE,   /* instances in short form, is_reply */
   LW_DATA,      /* origin, origin_epoch, sequence, to_all, topic, payload */
   LW_N_MESSAGES
 } LwMessageType;
@@ -30,7 +30,7 @@
   uint64_t digest;
   LcInstance *instances; /* owned; no peer_address: short form, without the texts */
   size_t n_instances;
-  bool answer;
+  bool is_reply;
   LbName origin;
   uint64_t origin_epoch;
   uint64_t sequence; /* of the origin's frames */
--- a/packages/wire/src/lw-frame.c
+++ b/packages/wire/src/lw-frame.c
@@ -23,19 +23,19 @@
     {
       lb_error_set (error, LB_ERROR_FRAME_VERSION, "frame", "version %d, expected %d", bytes[4],
                     LW_FRAME_VERSION);
-      return LW_FRAME_BAD;
+      return LW_FRAME_INVALID;
     }
   for (int i = 0; i < 4; i++)
     body = body << 8 | bytes[i];
   if (body > cap)
     {
       lb_error_set (error, LB_ERROR_FRAME_TOO_LARGE, "frame", "%zu bytes, at most %zu", body, cap);
-      return LW_FRAME_BAD;
+      return LW_FRAME_INVALID;
     }
   frame->consumed += body;
   if (length < frame->consumed)
     return LW_FRAME_PARTIAL;
   frame->body = bytes + LW_FRAME_HEADER;
   frame->length = body;
-  return LW_FRAME_WHOLE;
+  return LW_FRAME_COMPLETE;
 }
--- a/packages/wire/src/lw-message.c
+++ b/packages/wire/src/lw-message.c
@@ -106,7 +106,7 @@
       break;
     case LW_COMPARE:
       pack_instances (packer, message);
-      pack_bool (packer, message->answer);
+      pack_bool (packer, message->is_reply);
       break;
     case LW_DATA:
       pack_data (packer, message);
@@ -331,7 +331,7 @@
       break;
     case LW_COMPARE:
       take_instances (fields, message);
-      message->answer = take_bool (fields);
+      message->is_reply = take_bool (fields);
       break;
     case LW_DATA:
       take_data (fields, message);
--- a/packages/wire/tests/test-frames.c
+++ b/packages/wire/tests/test-frames.c
@@ -31,7 +31,7 @@
                         .digest = UINT64_MAX,
                         .instances = instances,
                         .n_instances = 2,
-                        .answer = true,
+                        .is_reply = true,
                         .origin_epoch = 9,
                         .sequence = 70000,
                         .to_all = true,
@@ -57,14 +57,16 @@
       LwFrame frame;
       LwMessage read;
 
-      cr_assert_eq (lw_frame_read (bytes, length, LW_FRAME_CAP, &frame, NULL), LW_FRAME_WHOLE);
+      cr_assert_eq (lw_frame_read (bytes, length, LW_FRAME_MAX_BODY, &frame, NULL),
+                    LW_FRAME_COMPLETE);
       cr_assert_eq (frame.consumed, length);
       cr_assert (lw_message_decode (frame.body, frame.length, &read, NULL), "type %d", type);
       uint8_t *again = lw_message_encode (&read, &again_length);
       cr_assert_eq (length, again_length);
       cr_assert_eq (memcmp (bytes, again, length), 0);
       for (size_t cut = 0; cut < length; cut++)
-        cr_assert_eq (lw_frame_read (bytes, cut, LW_FRAME_CAP, &frame, NULL), LW_FRAME_PARTIAL);
+        cr_assert_eq (lw_frame_read (bytes, cut, LW_FRAME_MAX_BODY, &frame, NULL),
+                      LW_FRAME_PARTIAL);
       lw_message_clear (&read);
       free (bytes);
       free (again);
@@ -82,11 +84,13 @@
 
   lw_frame_write_header (bytes, 100);
   bytes[4]++;
-  cr_assert_eq (lw_frame_read (bytes, sizeof bytes, LW_FRAME_CAP, &frame, &error), LW_FRAME_BAD);
+  cr_assert_eq (lw_frame_read (bytes, sizeof bytes, LW_FRAME_MAX_BODY, &frame, &error),
+                LW_FRAME_INVALID);
   cr_assert_eq (error.code, LB_ERROR_FRAME_VERSION);
-  lw_frame_write_header (bytes, LW_FRAME_CAP_UNPROVED + 1);
-  cr_assert_eq (lw_frame_read (bytes, sizeof bytes, LW_FRAME_CAP_UNPROVED, &frame, &error),
-                LW_FRAME_BAD);
+  lw_frame_write_header (bytes, LW_FRAME_MAX_BODY_UNAUTHENTICATED + 1);
+  cr_assert_eq (lw_frame_read (bytes, sizeof bytes, LW_FRAME_MAX_BODY_UNAUTHENTICATED, &frame,
+                               &error),
+                LW_FRAME_INVALID);
   cr_assert_eq (error.code, LB_ERROR_FRAME_TOO_LARGE);
 }
 
--- a/standins/si-client.c
+++ b/standins/si-client.c
@@ -55,7 +55,7 @@
                               .n_headers = call->n_headers,
                               .body = call->body,
                               .body_length = call->body ? strlen (call->body) : 0,
-                              .silence = call->silence };
+                              .idle_timeout = call->silence };
   Wait wait = { .answer = answer };
   LbTime start = lb_clock_monotonic ();
   LbError error;
--- a/standins/si-entry.c
+++ b/standins/si-entry.c
@@ -59,7 +59,7 @@
   const LhRequest request = { .method = "GET",
                               .address = si_entry_address (entry, entry->asked),
                               .path = entry->path,
-                              .silence = LB_SEC };
+                              .idle_timeout = LB_SEC };
 
   entry->fetch = lh_fetch_start (entry->pool, &request, &handlers, entry, NULL);
 }
--- a/standins/si-live.c
+++ b/standins/si-live.c
@@ -261,7 +261,7 @@
 void
 si_live_start (LhPool *pool, const SiLiveSpec *spec, SiLiveDone done, void *user)
 {
-  static const LhHandlers handlers = { .on_piece = on_piece, .on_done = on_done };
+  static const LhHandlers handlers = { .on_body_chunk = on_piece, .on_done = on_done };
   Live *live = LB_NEW (Live);
   struct json_object *json = new_body (spec);
   const char *body = spec->kind == SI_LIVE_SERVICE
@@ -275,7 +275,7 @@
                               .n_headers = add_headers (spec, headers),
                               .body = body,
                               .body_length = strlen (body),
-                              .silence = spec->silence };
+                              .idle_timeout = spec->silence };
   LbError error;
 
   live->kind = spec->kind;
--- a/standins/si-platform.c
+++ b/standins/si-platform.c
@@ -178,7 +178,7 @@
 get_weights (SiPlatform *platform, struct evhttp_request *request)
 {
   char *pool = si_request_query (request, "pool");
-  int64_t version = pool ? lp_store_weights (platform->store, pool) : 0;
+  int64_t version = pool ? lp_store_get_weights (platform->store, pool) : 0;
   struct json_object *reply = json_object_new_object ();
 
   if (version > 0)
--- a/tests/soak/sk-callers.c
+++ b/tests/soak/sk-callers.c
@@ -218,7 +218,7 @@
                               .n_headers = 3,
                               .body = "hello",
                               .body_length = 5,
-                              .silence = DEADLINE + 2 * ANSWER_SLACK,
+                              .idle_timeout = DEADLINE + 2 * ANSWER_SLACK,
                               .fresh_connection = sk_draw (world, 0, 3) == 0 };
 
   *call = (Call){ .callers = callers,
--- a/tests/soak/sk-crasher.c
+++ b/tests/soak/sk-crasher.c
@@ -93,7 +93,7 @@
                               .n_headers = 3,
                               .body = SK_CRASHER_BODY,
                               .body_length = strlen (SK_CRASHER_BODY),
-                              .silence = MAX_SILENCE,
+                              .idle_timeout = MAX_SILENCE,
                               .fresh_connection = true };
 
   call->crasher = crasher;
--- a/tests/soak/sk-world.c
+++ b/tests/soak/sk-world.c
@@ -375,7 +375,7 @@
                               .n_headers = 3,
                               .body = body,
                               .body_length = strlen (body),
-                              .silence = BATCH_CALL_TIME,
+                              .idle_timeout = BATCH_CALL_TIME,
                               .fresh_connection = true };
 
   return lh_fetch_start (instance->world->pool, &request, &handlers, user, NULL);
