--- a/packages/node/src/calls/ln-relay.c
+++ b/packages/node/src/calls/ln-relay.c
@@ -223,7 +223,7 @@
                               .n_headers = headers.count,
                               .body = body,
                               .body_length = length,
-                              .silence = (time_left > 0 ? time_left : 0) + DEADLINE_MARGIN };
+                              .idle_timeout = (time_left > 0 ? time_left : 0) + DEADLINE_MARGIN };
   LhFetch *fetch = lh_fetch_start (relays->context->http_pool, &request, &handlers, relay, error);
   free (headers.items);
   free (path);
