--- a/packages/node/src/config/ln-config-api.c
+++ b/packages/node/src/config/ln-config-api.c
@@ -186,7 +186,7 @@
   if (read->error == LB_OK)
     lc_config_store_read_completed (task->config, read->revision, read->set, read->asked_at, now,
                                     &actions);
-  ln_config_carry_out (task, &actions);
+  ln_config_execute_actions (task, &actions);
   reply_resources (task, call->exchange);
   free (call);
 }
@@ -222,7 +222,7 @@
 
 /* {"on": n, "of": m, "behind": [names]} */
 struct json_object *
-ln_config_in_force_json (const LnConfigTask *task, int64_t revision)
+ln_config_activation_to_json (const LnConfigTask *task, int64_t revision)
 {
   struct json_object *object = json_object_new_object ();
   BehindSearch search = { .revision = revision, .behind = json_object_new_array () };
@@ -244,7 +244,7 @@
   struct json_object *in_force = json_object_new_object ();
 
   snprintf (key, sizeof key, "%lld", (long long)revision);
-  json_object_object_add (in_force, key, ln_config_in_force_json (task, revision));
+  json_object_object_add (in_force, key, ln_config_activation_to_json (task, revision));
   json_object_object_add (object, "accepted", json_object_new_int64 (revision));
   json_object_object_add (object, "in_force", in_force);
   lb_list_remove (&task->watches, &watch->link);
@@ -297,7 +297,7 @@
   }
   if (ask)
     lc_config_query_outdated_peers (task->config, now, &actions);
-  ln_config_carry_out (task, &actions);
+  ln_config_execute_actions (task, &actions);
 }
 
 /* --- GET /v1/history --- */
@@ -385,7 +385,7 @@
   bool is_post = strcmp (ln_exchange_method (exchange), "POST") == 0;
 
   if (is_post && strcmp (path, RESOURCES_PATH) == 0)
-    ln_config_change_exchange (task, exchange);
+    ln_config_change_submit (task, exchange);
   else if (is_get && strcmp (path, WATCH_PATH) == 0)
     watch_start (task, exchange, lb_clock_monotonic ());
   else if (is_get && is_under (path, RESOURCES_PATH))
@@ -400,7 +400,7 @@
 }
 
 void
-ln_config_api_exchange (LnConfigTask *task, LnExchange *exchange)
+ln_config_api_handle (LnConfigTask *task, LnExchange *exchange)
 {
   ln_exchange_set_owner (exchange, &task->task);
   if (!is_authorized (task, exchange))
@@ -415,9 +415,9 @@
 
 /* A call that waits for the store only is answered into the void in a moment. */
 void
-ln_config_api_gone (LnConfigTask *task, LnExchange *exchange)
+ln_config_api_caller_disconnected (LnConfigTask *task, LnExchange *exchange)
 {
-  if (ln_config_change_gone (task, exchange))
+  if (ln_config_change_caller_disconnected (task, exchange))
     return;
   LB_LIST_FOREACH (&task->watches, LnWatch, link, watch)
   {
--- a/packages/node/src/config/ln-config-change.c
+++ b/packages/node/src/config/ln-config-change.c
@@ -107,7 +107,8 @@
   json_object_object_add (object, "revision", json_object_new_int64 (revision));
   json_object_object_add (object, "accepted", json_object_new_boolean (!dry_run));
   json_object_object_add (object, "token", json_object_new_string (change->token));
-  json_object_object_add (object, "in_force", ln_config_in_force_json (change->task, revision));
+  json_object_object_add (object, "in_force",
+                          ln_config_activation_to_json (change->task, revision));
   if (change->exchange)
     {
       ln_config_set_etag (change->exchange, revision);
@@ -168,7 +169,7 @@
   lc_config_change_committed (task->config, change->next, change->body, asked_at,
                               lb_clock_monotonic (), &actions);
   change->next = NULL;
-  ln_config_carry_out (task, &actions);
+  ln_config_execute_actions (task, &actions);
   change_accepted (change, revision, false);
 }
 
@@ -181,7 +182,7 @@
   change->state = CHANGE_ASKING;
   change->asked_at = lb_clock_monotonic ();
   lc_config_announce_change (change->task->config, change->asked_at, &actions);
-  ln_config_carry_out (change->task, &actions);
+  ln_config_execute_actions (change->task, &actions);
   ln_config_change_tick (change->task, change->asked_at);
 }
 
@@ -221,7 +222,7 @@
 
   lb_list_init (&actions);
   lc_config_change_abandoned (change->task->config, lb_clock_monotonic (), &actions);
-  ln_config_carry_out (change->task, &actions);
+  ln_config_execute_actions (change->task, &actions);
 }
 
 /* The operator repeats a change whose reply was lost: the row after the revision it saw carries
@@ -260,7 +261,7 @@
   lb_list_init (&actions);
   lc_config_store_read_completed (task->config, read->revision, read->set, read->asked_at,
                                   lb_clock_monotonic (), &actions);
-  ln_config_carry_out (task, &actions);
+  ln_config_execute_actions (task, &actions);
 
   int64_t revision = lc_config_revision (task->config);
   if (read->revision < revision || change->tries > MAX_TRIES)
@@ -349,7 +350,7 @@
 
 /* Takes over the exchange; changes of this instance go one after the other. */
 void
-ln_config_change_exchange (LnConfigTask *task, LnExchange *exchange)
+ln_config_change_submit (LnConfigTask *task, LnExchange *exchange)
 {
   LbError error = { .code = LB_OK };
   LnChange *change = LB_NEW (LnChange);
@@ -366,7 +367,7 @@
 
 /* The operator went away. What is on its way to the store is seen through. */
 bool
-ln_config_change_gone (LnConfigTask *task, LnExchange *exchange)
+ln_config_change_caller_disconnected (LnConfigTask *task, LnExchange *exchange)
 {
   LB_LIST_FOREACH (&task->changes, LnChange, link, change)
   {
--- a/packages/node/src/config/ln-config-task.h
+++ b/packages/node/src/config/ln-config-task.h
@@ -30,21 +30,21 @@
 } LnConfigTask;
 
 /* ln-config.c: carries out and frees the actions of a command of LcConfig. */
-void ln_config_carry_out (LnConfigTask *task, LbList *actions);
+void ln_config_execute_actions (LnConfigTask *task, LbList *actions);
 /* Sends an object (taken over) to the task "config" of an instance, or of all when it is empty. */
 void ln_config_send (LnConfigTask *task, const char *instance, struct json_object *object);
 
 /* ln-config-api.c: operators' calls. */
-void ln_config_api_exchange (LnConfigTask *task, LnExchange *exchange);
-void ln_config_api_gone (LnConfigTask *task, LnExchange *exchange);
+void ln_config_api_handle (LnConfigTask *task, LnExchange *exchange);
+void ln_config_api_caller_disconnected (LnConfigTask *task, LnExchange *exchange);
 void ln_config_api_tick (LnConfigTask *task, LbTime now);
 bool ln_config_api_is_idle (const LnConfigTask *task);
 void ln_config_api_drain (LnConfigTask *task);
 void ln_config_api_clear (LnConfigTask *task);
 
 /* ln-config-change.c: POST /v1/resources, one change at a time. */
-void ln_config_change_exchange (LnConfigTask *task, LnExchange *exchange);
-bool ln_config_change_gone (LnConfigTask *task, LnExchange *exchange);
+void ln_config_change_submit (LnConfigTask *task, LnExchange *exchange);
+bool ln_config_change_caller_disconnected (LnConfigTask *task, LnExchange *exchange);
 void ln_config_change_tick (LnConfigTask *task, LbTime now);
 void ln_config_change_clear (LnConfigTask *task);
 
@@ -58,7 +58,7 @@
 bool ln_pool_controllers_are_released (const LnConfigTask *task);
 void ln_pool_controllers_clear (LnConfigTask *task);
 
-struct json_object *ln_config_in_force_json (const LnConfigTask *task, int64_t revision);
+struct json_object *ln_config_activation_to_json (const LnConfigTask *task, int64_t revision);
 void ln_config_set_etag (LnExchange *exchange, int64_t revision);
 
 #endif
--- a/packages/node/src/config/ln-config.c
+++ b/packages/node/src/config/ln-config.c
@@ -71,7 +71,7 @@
       lb_metric_count_error (read->error);
       lc_config_store_read_failed (task->config, now, &actions);
     }
-  ln_config_carry_out (task, &actions);
+  ln_config_execute_actions (task, &actions);
 }
 
 static void
@@ -124,7 +124,7 @@
 }
 
 void
-ln_config_carry_out (LnConfigTask *task, LbList *actions)
+ln_config_execute_actions (LnConfigTask *task, LbList *actions)
 {
   LbLink *link;
 
@@ -205,7 +205,7 @@
 
   lb_list_init (&actions);
   lc_config_tick (task->config, now, &actions);
-  ln_config_carry_out (task, &actions);
+  ln_config_execute_actions (task, &actions);
   list_instances (task, now);
   ln_pool_controllers_tick (task, now);
   ln_config_api_tick (task, now);
@@ -225,7 +225,7 @@
   lb_list_init (&actions);
   lc_config_update_members (task->config, members, message->n_members, lb_clock_monotonic (),
                             &actions);
-  ln_config_carry_out (task, &actions);
+  ln_config_execute_actions (task, &actions);
   ln_pool_controllers_update_ranks (task);
   free (members);
 }
@@ -251,7 +251,7 @@
       lb_log_error (LB_LOG_WARNING, "config_frame_refused", &error);
     }
   lc_config_message_clear (&message);
-  ln_config_carry_out (task, &actions);
+  ln_config_execute_actions (task, &actions);
   ln_config_change_tick (task, now);
 out:
   json_object_put (object);
@@ -265,10 +265,10 @@
   switch (message->type)
     {
     case LN_EXCHANGE:
-      ln_config_api_exchange (task, ((const LnExchangeMessage *)message)->exchange);
+      ln_config_api_handle (task, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_CALLER_DISCONNECTED:
-      ln_config_api_gone (task, ((const LnExchangeMessage *)message)->exchange);
+      ln_config_api_caller_disconnected (task, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_MEMBERS:
       receive_members (task, (const LnMembersMessage *)message);
--- a/packages/node/src/duties/ln-duties.c
+++ b/packages/node/src/duties/ln-duties.c
@@ -59,9 +59,9 @@
   bool held = ln_duty_lease_is_held (duties->lease);
 
   if (duties->reporter)
-    ln_usage_reporter_set_held (duties->reporter, held);
+    ln_usage_reporter_set_duty_held (duties->reporter, held);
   if (duties->scaler)
-    ln_scaler_set_held (duties->scaler, held);
+    ln_scaler_set_duty_held (duties->scaler, held);
   tell_held (duties, held);
 }
 
@@ -88,20 +88,20 @@
 take_members (Duties *duties, const LnMembersMessage *message)
 {
   duties->n_members = message->n_members;
-  ln_true_time_members (duties->time, message);
+  ln_true_time_set_members (duties->time, message);
   if (duties->draining_since == 0)
-    ln_duty_lease_members (duties->lease, message);
+    ln_duty_lease_set_members (duties->lease, message);
 }
 
 static void
 tell_scaler (LnScaler *scaler, const LnMessage *message)
 {
   if (message->type == LN_DEMAND)
-    ln_scaler_demand (scaler, (const LnDemandMessage *)message, lb_clock_monotonic ());
+    ln_scaler_add_demand (scaler, (const LnDemandMessage *)message, lb_clock_monotonic ());
   else if (message->type == LN_DESIRED)
-    ln_scaler_desired (scaler, ((const LnDesiredMessage *)message)->desired);
+    ln_scaler_set_desired (scaler, ((const LnDesiredMessage *)message)->desired);
   else if (message->type == LN_CONFIG)
-    ln_scaler_endpoints (scaler, ((const LnConfigMessage *)message)->set);
+    ln_scaler_set_endpoints (scaler, ((const LnConfigMessage *)message)->set);
 }
 
 static void
@@ -113,8 +113,8 @@
   if (message->type == LN_MEMBERS)
     take_members (duties, (const LnMembersMessage *)message);
   else if (message->type == LN_REQUEST_STARTED && duties->rows)
-    ln_usage_rows_began (duties->rows, began->organisation,
-                         ln_true_time_ms (duties->time, began->at));
+    ln_usage_rows_count_request (duties->rows, began->organisation,
+                                 ln_true_time_ms (duties->time, began->at));
   else if (duties->scaler)
     tell_scaler (duties->scaler, message);
 }
@@ -137,7 +137,7 @@
   if (duties->draining_since == 0 || now - duties->draining_since >= MAX_GOODBYE)
     return true;
   return ln_duty_lease_is_released (duties->lease, now)
-         && (!duties->rows || ln_usage_rows_is_written (duties->rows));
+         && (!duties->rows || ln_usage_rows_are_written (duties->rows));
 }
 
 static void
--- a/packages/node/src/duties/ln-duty-lease.c
+++ b/packages/node/src/duties/ln-duty-lease.c
@@ -81,7 +81,7 @@
   LbList actions;
 
   lb_list_init (&actions);
-  ln_lease_was_read (lease->lease, error, rows, n_rows, lb_clock_monotonic (), &actions);
+  ln_lease_read_completed (lease->lease, error, rows, n_rows, lb_clock_monotonic (), &actions);
   carry_out (lease, &actions);
 }
 
@@ -159,7 +159,7 @@
 
 /* The first few instances are candidates, each a little later than the one before. */
 void
-ln_duty_lease_members (LnDutyLease *lease, const LnMembersMessage *members)
+ln_duty_lease_set_members (LnDutyLease *lease, const LnMembersMessage *members)
 {
   LcDutyCandidate *candidates = LB_NEW_ARRAY (LcDutyCandidate, members->n_members + 1);
   size_t n = add_candidates (members, candidates);
@@ -205,7 +205,7 @@
 }
 
 void
-ln_duty_lease_doubt (LnDutyLease *lease, LbTime now)
+ln_duty_lease_read_soon (LnDutyLease *lease, LbTime now)
 {
   lc_lease_read_soon (lease->lease, now);
 }
@@ -240,7 +240,7 @@
 }
 
 bool
-ln_duty_lease_may_order (const LnDutyLease *lease, bool unfenced, LbTime now)
+ln_duty_lease_can_order (const LnDutyLease *lease, bool unfenced, LbTime now)
 {
   return lc_lease_can_order (lease->lease, unfenced, now);
 }
--- a/packages/node/src/duties/ln-duty-lease.h
+++ b/packages/node/src/duties/ln-duty-lease.h
@@ -20,11 +20,11 @@
 void ln_duty_lease_free (LnDutyLease *lease);
 
 /* commands */
-void ln_duty_lease_members (LnDutyLease *lease, const LnMembersMessage *members);
+void ln_duty_lease_set_members (LnDutyLease *lease, const LnMembersMessage *members);
 /* all_check_fences: every receiver there is now refuses an old fencing number. */
 void ln_duty_lease_tick (LnDutyLease *lease, bool all_check_fences, LbTime now);
 /* A receiver refused a call for its fencing number. */
-void ln_duty_lease_doubt (LnDutyLease *lease, LbTime now);
+void ln_duty_lease_read_soon (LnDutyLease *lease, LbTime now);
 void ln_duty_lease_release (LnDutyLease *lease, LbTime now);
 
 /* queries */
@@ -32,7 +32,7 @@
 bool ln_duty_lease_is_candidate (const LnDutyLease *lease);
 bool ln_duty_lease_is_released (const LnDutyLease *lease, LbTime now);
 /* unfenced: to a receiver that takes calls of any holder. */
-bool ln_duty_lease_may_order (const LnDutyLease *lease, bool unfenced, LbTime now);
+bool ln_duty_lease_can_order (const LnDutyLease *lease, bool unfenced, LbTime now);
 int64_t ln_duty_lease_fence (const LnDutyLease *lease);
 
 #endif
--- a/packages/node/src/duties/ln-lease.c
+++ b/packages/node/src/duties/ln-lease.c
@@ -5,12 +5,12 @@
 /* A row that can't be read is a failure of the store: nobody claims a lease on the strength of it.
  */
 void
-ln_lease_was_read (LcLease *lease,
-                   LbErrorCode error,
-                   const LpRow *rows,
-                   size_t n_rows,
-                   LbTime now,
-                   LbList *actions)
+ln_lease_read_completed (LcLease *lease,
+                         LbErrorCode error,
+                         const LpRow *rows,
+                         size_t n_rows,
+                         LbTime now,
+                         LbList *actions)
 {
   LcLeaseRow row = { .fence = 0 };
   int64_t version = 0;
--- a/packages/node/src/duties/ln-lease.h
+++ b/packages/node/src/duties/ln-lease.h
@@ -7,12 +7,12 @@
 /* Between an LcLease and its row in the store. */
 
 /* Hands what was read of the row to the lease. */
-void ln_lease_was_read (LcLease *lease,
-                        LbErrorCode error,
-                        const LpRow *rows,
-                        size_t n_rows,
-                        LbTime now,
-                        LbList *actions);
+void ln_lease_read_completed (LcLease *lease,
+                              LbErrorCode error,
+                              const LpRow *rows,
+                              size_t n_rows,
+                              LbTime now,
+                              LbList *actions);
 /* Carries out a LC_LEASE_WRITE. */
 void ln_lease_write (LpPlatform *platform,
                      const char *key,
--- a/packages/node/src/duties/ln-scaler.c
+++ b/packages/node/src/duties/ln-scaler.c
@@ -52,7 +52,7 @@
 }
 
 void
-ln_scaler_set_held (LnScaler *scaler, bool held)
+ln_scaler_set_duty_held (LnScaler *scaler, bool held)
 {
   scaler->epoch++;
   if (held)
@@ -60,20 +60,20 @@
 }
 
 void
-ln_scaler_demand (LnScaler *scaler, const LnDemandMessage *demand, LbTime now)
+ln_scaler_add_demand (LnScaler *scaler, const LnDemandMessage *demand, LbTime now)
 {
   lc_scaling_add_demand (scaler->scaling, demand->model, demand->texts, now);
 }
 
 void
-ln_scaler_desired (LnScaler *scaler, LcDesired *desired)
+ln_scaler_set_desired (LnScaler *scaler, LcDesired *desired)
 {
   lc_desired_unref (scaler->desired);
   scaler->desired = lc_desired_ref (desired);
 }
 
 void
-ln_scaler_endpoints (LnScaler *scaler, const LcResourceSet *set)
+ln_scaler_set_endpoints (LnScaler *scaler, const LcResourceSet *set)
 {
   lc_resource_set_free (scaler->set);
   scaler->set = lc_resource_set_copy (set);
@@ -104,7 +104,7 @@
   LbTime now = lb_clock_monotonic ();
 
   if (outcome == LN_DUTY_REFUSED)
-    ln_duty_lease_doubt (scaler->lease, now);
+    ln_duty_lease_read_soon (scaler->lease, now);
   if (call->epoch == scaler->epoch)
     lc_scaling_finish_order (scaler->scaling, &call->order, outcome_of (outcome), now);
   free (call);
@@ -140,7 +140,7 @@
 
   if (!scaler->desired || !scaler->set)
     return;
-  while (ln_duty_lease_may_order (scaler->lease, unfenced, now)
+  while (ln_duty_lease_can_order (scaler->lease, unfenced, now)
          && lc_scaling_next_order (scaler->scaling, scaler->desired, scaler->set, now, &wanted))
     order (scaler, &wanted);
 }
--- a/packages/node/src/duties/ln-scaler.h
+++ b/packages/node/src/duties/ln-scaler.h
@@ -14,10 +14,10 @@
 void ln_scaler_free (LnScaler *scaler);
 
 /* commands */
-void ln_scaler_set_held (LnScaler *scaler, bool held);
-void ln_scaler_demand (LnScaler *scaler, const LnDemandMessage *demand, LbTime now);
-void ln_scaler_desired (LnScaler *scaler, LcDesired *desired);
-void ln_scaler_endpoints (LnScaler *scaler, const LcResourceSet *set);
+void ln_scaler_set_duty_held (LnScaler *scaler, bool held);
+void ln_scaler_add_demand (LnScaler *scaler, const LnDemandMessage *demand, LbTime now);
+void ln_scaler_set_desired (LnScaler *scaler, LcDesired *desired);
+void ln_scaler_set_endpoints (LnScaler *scaler, const LcResourceSet *set);
 void ln_scaler_tick (LnScaler *scaler, LbTime now);
 
 #endif
--- a/packages/node/src/duties/ln-true-time.c
+++ b/packages/node/src/duties/ln-true-time.c
@@ -29,7 +29,7 @@
 }
 
 void
-ln_true_time_members (LnTrueTime *time, const LnMembersMessage *members)
+ln_true_time_set_members (LnTrueTime *time, const LnMembersMessage *members)
 {
   int64_t *leads = LB_NEW_ARRAY (int64_t, members->n_members + 1);
   size_t n = 0;
@@ -54,7 +54,7 @@
 }
 
 int64_t
-ln_true_time_own_lead (const LnContext *context, LbTime now)
+ln_true_time_local_offset_ms (const LnContext *context, LbTime now)
 {
   int64_t store_ms = lp_platform_store_ms_at (context->platform, now);
 
--- a/packages/node/src/duties/ln-true-time.h
+++ b/packages/node/src/duties/ln-true-time.h
@@ -11,12 +11,12 @@
 void ln_true_time_free (LnTrueTime *time);
 
 /* commands */
-void ln_true_time_members (LnTrueTime *time, const LnMembersMessage *members);
+void ln_true_time_set_members (LnTrueTime *time, const LnMembersMessage *members);
 
 /* queries */
 /* Unix milliseconds at the moment `at` of this process. */
 int64_t ln_true_time_ms (const LnTrueTime *time, LbTime at);
 /* By how much this machine's time of day is ahead of the store's clock, in ms; 0: not known. */
-int64_t ln_true_time_own_lead (const LnContext *context, LbTime now);
+int64_t ln_true_time_local_offset_ms (const LnContext *context, LbTime now);
 
 #endif
--- a/packages/node/src/duties/ln-usage-reporter.c
+++ b/packages/node/src/duties/ln-usage-reporter.c
@@ -86,7 +86,7 @@
 }
 
 void
-ln_usage_reporter_set_held (LnUsageReporter *reporter, bool held)
+ln_usage_reporter_set_duty_held (LnUsageReporter *reporter, bool held)
 {
   if (held)
     lc_usage_reports_duty_acquired (reporter->reports);
@@ -181,8 +181,9 @@
 
   note_error (step, error, "read");
   step->failed |= error != LB_OK;
-  if (n_rows > 0 && is_current (step) && ln_usage_window_of_key (rows[0].key) >= 0)
-    lc_usage_reports_add_row_window (step->reporter->reports, ln_usage_window_of_key (rows[0].key));
+  if (n_rows > 0 && is_current (step) && ln_usage_window_from_key (rows[0].key) >= 0)
+    lc_usage_reports_add_row_window (step->reporter->reports,
+                                     ln_usage_window_from_key (rows[0].key));
   end_read (step);
 }
 
@@ -194,11 +195,11 @@
   Step *step = step_new (reporter, action);
   char prefix[LN_USAGE_KEY_SIZE];
 
-  step->waiting = 1 + LN_USAGE_N_PARTS;
+  step->waiting = 1 + LN_USAGE_N_PARTITIONS;
   platform->klass->list (platform, REPORT_PREFIX, NULL, 0, on_reports, step);
-  for (size_t part = 0; part < LN_USAGE_N_PARTS; part++)
+  for (size_t part = 0; part < LN_USAGE_N_PARTITIONS; part++)
     {
-      ln_usage_part_prefix (part, prefix);
+      ln_usage_partition_prefix (part, prefix);
       platform->klass->list (platform, prefix, NULL, 1, on_any_counts, step);
     }
 }
@@ -228,10 +229,10 @@
 static size_t
 rows_of_start (const LpRow *rows, size_t n_rows)
 {
-  size_t length = ln_usage_start_length (rows[0].key);
+  size_t length = ln_usage_incarnation_prefix_length (rows[0].key);
   size_t n = 1;
 
-  while (n < n_rows && ln_usage_start_length (rows[n].key) == length
+  while (n < n_rows && ln_usage_incarnation_prefix_length (rows[n].key) == length
          && strncmp (rows[n].key, rows[0].key, length) == 0)
     n++;
   return n;
@@ -267,8 +268,8 @@
   char prefix[LN_USAGE_KEY_SIZE];
 
   step->counts = lc_usage_counts_new ();
-  step->waiting = LN_USAGE_N_PARTS;
-  for (size_t part = 0; part < LN_USAGE_N_PARTS; part++)
+  step->waiting = LN_USAGE_N_PARTITIONS;
+  for (size_t part = 0; part < LN_USAGE_N_PARTITIONS; part++)
     {
       ln_usage_window_prefix (part, action->window, prefix);
       platform->klass->list (platform, prefix, NULL, 0, on_counts, step);
@@ -379,7 +380,7 @@
   if (outcome == LN_DUTY_DONE)
     lb_metric_add (&sent, 1);
   if (outcome == LN_DUTY_REFUSED)
-    ln_duty_lease_doubt (reporter->lease, now);
+    ln_duty_lease_read_soon (reporter->lease, now);
   if (is_current (step))
     lc_usage_reports_send_completed (reporter->reports, step->window, receipt_of (outcome), now);
   step_free (step);
@@ -443,7 +444,7 @@
   LpPlatform *platform = reporter->context->platform;
   char prefix[LN_USAGE_KEY_SIZE];
 
-  for (size_t part = 0; part < LN_USAGE_N_PARTS; part++)
+  for (size_t part = 0; part < LN_USAGE_N_PARTITIONS; part++)
     {
       ln_usage_window_prefix (part, window, prefix);
       platform->klass->list (platform, prefix, NULL, MAX_REMOVED, on_rows_to_remove, reporter);
@@ -510,7 +511,7 @@
   bool unfenced = !reporter->context->settings->duties.platform_checks_fence;
   LcUsageAction action;
 
-  while (ln_duty_lease_may_order (reporter->lease, unfenced, now)
+  while (ln_duty_lease_can_order (reporter->lease, unfenced, now)
          && lc_usage_reports_next_action (reporter->reports, true_ms, now, &action))
     carry_out (reporter, &action);
 }
--- a/packages/node/src/duties/ln-usage-reporter.h
+++ b/packages/node/src/duties/ln-usage-reporter.h
@@ -14,7 +14,7 @@
 
 /* commands */
 /* The duty was gained or lost. */
-void ln_usage_reporter_set_held (LnUsageReporter *reporter, bool held);
+void ln_usage_reporter_set_duty_held (LnUsageReporter *reporter, bool held);
 void ln_usage_reporter_tick (LnUsageReporter *reporter, int64_t true_ms, LbTime now);
 
 #endif
--- a/packages/node/src/duties/ln-usage-rows.c
+++ b/packages/node/src/duties/ln-usage-rows.c
@@ -35,7 +35,7 @@
 } Write;
 
 void
-ln_usage_part_prefix (size_t part, char *key)
+ln_usage_partition_prefix (size_t part, char *key)
 {
   snprintf (key, LN_USAGE_KEY_SIZE, TABLE "/%zu/", part);
 }
@@ -47,7 +47,7 @@
 }
 
 int64_t
-ln_usage_window_of_key (const char *key)
+ln_usage_window_from_key (const char *key)
 {
   const char *number = strrchr (key, '/');
   char *end = NULL;
@@ -59,7 +59,7 @@
 }
 
 size_t
-ln_usage_start_length (const char *key)
+ln_usage_incarnation_prefix_length (const char *key)
 {
   const char *colon = strrchr (key, ':');
 
@@ -85,7 +85,7 @@
 }
 
 void
-ln_usage_rows_began (LnUsageRows *rows, const char *organisation, int64_t true_ms)
+ln_usage_rows_count_request (LnUsageRows *rows, const char *organisation, int64_t true_ms)
 {
   lc_usage_count_request (rows->usage, organisation, true_ms);
 }
@@ -114,7 +114,7 @@
 {
   const LnContext *context = rows->context;
   LpPlatform *platform = context->platform;
-  size_t part = XXH3_64bits (context->instance, strlen (context->instance)) % LN_USAGE_N_PARTS;
+  size_t part = XXH3_64bits (context->instance, strlen (context->instance)) % LN_USAGE_N_PARTITIONS;
   char prefix[LN_USAGE_KEY_SIZE];
   Write *write = LB_NEW (Write);
 
@@ -143,7 +143,7 @@
 }
 
 bool
-ln_usage_rows_is_written (const LnUsageRows *rows)
+ln_usage_rows_are_written (const LnUsageRows *rows)
 {
   return lc_usage_is_fully_written (rows->usage);
 }
--- a/packages/node/src/membership/ln-fleet.c
+++ b/packages/node/src/membership/ln-fleet.c
@@ -157,7 +157,7 @@
 static void
 update_clock_lead (Fleet *task, LbTime now)
 {
-  int64_t lead = ln_true_time_own_lead (task->context, now);
+  int64_t lead = ln_true_time_local_offset_ms (task->context, now);
 
   if (task->context->settings->duties.n_kinds == 0 || lead == 0)
     return;
--- a/packages/node/src/rollout/ln-pool-controller.c
+++ b/packages/node/src/rollout/ln-pool-controller.c
@@ -162,7 +162,7 @@
   if (!controller)
     return;
   lb_list_init (&actions);
-  ln_lease_was_read (controller->lease, error, rows, n_rows, lb_clock_monotonic (), &actions);
+  ln_lease_read_completed (controller->lease, error, rows, n_rows, lb_clock_monotonic (), &actions);
   run_lease_actions (controller, &actions);
 }
 
--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -403,7 +403,7 @@
   if (model)
     lc_weights_order_answered (model->weights, engine->name, error, now);
   if (error == LB_ERROR_STALE_FENCE)
-    ln_duty_lease_doubt (orders->lease, now);
+    ln_duty_lease_read_soon (orders->lease, now);
 }
 
 static void
@@ -449,8 +449,8 @@
   bool has_ordered = false;
 
   lb_list_init (&actions);
-  lc_weights_tick (model->weights, ln_duty_lease_may_order (lease, false, now),
-                   ln_duty_lease_may_order (lease, true, now), now, &actions);
+  lc_weights_tick (model->weights, ln_duty_lease_can_order (lease, false, now),
+                   ln_duty_lease_can_order (lease, true, now), now, &actions);
   while ((link = lb_list_pop (&actions)))
     {
       LcWeightsAction *action = LB_CONTAINER (link, LcWeightsAction, link);
@@ -518,7 +518,7 @@
 void
 ln_weight_orders_set_members (LnWeightOrders *orders, const LnMembersMessage *members)
 {
-  ln_duty_lease_members (orders->lease, members);
+  ln_duty_lease_set_members (orders->lease, members);
 }
 
 void
