--- a/packages/node/include/ln-context.h
+++ b/packages/node/include/ln-context.h
@@ -12,41 +12,42 @@
 struct LpPlatform;
 struct LnDialect;
 
-/* What every task is made with. Lives as long as the process. */
+/* Shared by all tasks of the process; lives as long as the process. */
 typedef struct
 {
   struct event_base *base;
   LnHub *hub;
   const LnSettings *settings;
-  struct LhPool *http_pool; /* towards endpoints and other instances */
+  struct LhPool *http_pool; /* connections to endpoints and other instances */
   struct LpPlatform *platform;
-  const struct LnDialect *dialect; /* of a shared platform; NULL: the product's own interface */
+  const struct LnDialect *dialect; /* of a shared platform; NULL: the product's own API */
   LbName instance;                 /* name of this instance */
-  char incarnation[40];            /* new at each start of the process */
-  LbName caller_address;           /* as bound, with the real port */
-  LbName metrics_address;          /* as bound; empty: none of its own */
+  char incarnation[40];            /* unique to each start of the process */
+  LbName caller_address;           /* as bound, with the actual port */
+  LbName metrics_address;          /* as bound; empty: no separate metrics listener */
   LbName peer_address;
-  LcRequestId last_request_id; /* the last id given; see ln_context_next_request_id */
-  gsl_rng *rng;                /* NULL before the first draw */
-  struct LnTicker *ticker;     /* NULL before it is asked for */
+  LcRequestId last_request_id; /* see ln_context_next_request_id */
+  gsl_rng *rng;                /* created at first use */
+  struct LnTicker *ticker;     /* created at first use */
 } LnContext;
 
+/* Ids are unique within the process. */
 LcRequestId ln_context_next_request_id (LnContext *context);
-/* Seed of this instance's random choices: of the settings, and another one for each instance. */
+/* Derived from the configured seed and the instance name, so that it differs between instances. */
 uint64_t ln_context_random_seed (const LnContext *context);
-/* From 0 to below 1. */
+/* Uniform in [0, 1). */
 double ln_context_random_uniform (LnContext *context);
-/* The timer of all tasks. */
+/* The ticker that all tasks share. */
 struct LnTicker *ln_context_ticker (LnContext *context);
 void ln_context_clear (LnContext *context);
 
-/* Makers of the tasks; each is in the .c file of its name. */
+/* Constructors of the tasks; each is defined in the .c file of its name. */
 LnTask *ln_front_new (LnContext *context);
 LnTask *ln_calls_new (LnContext *context);
 LnTask *ln_rollouts_new (LnContext *context);
 LnTask *ln_config_new (LnContext *context);
 LnTask *ln_peers_new (LnContext *context);
-/* Those of an instance on a shared platform, in place of rollouts, config and peers. */
+/* On a shared platform these replace rollouts, config and peers. */
 LnTask *ln_batches_new (LnContext *context);
 LnTask *ln_desired_new (LnContext *context);
 LnTask *ln_fleet_new (LnContext *context);
--- a/packages/node/include/ln-exchange.h
+++ b/packages/node/include/ln-exchange.h
@@ -5,18 +5,18 @@
 
 struct json_object;
 
-/* One HTTP request of a caller, trainer or operator, and its reply. The front task reads the
- * request whole, checks sizes and times, and posts LN_EXCHANGE to the task whose route matched;
- * that task owns it until it has replied. When the caller goes away first, LN_CALLER_DISCONNECTED
- * is posted to the owner; the exchange stays valid until the owner calls ln_exchange_end or a reply
+/* One HTTP request of a caller, trainer or operator, and its reply. The front task reads the whole
+ * request, enforces size and time limits, and posts LN_EXCHANGE to the task of the matching route.
+ * That task owns the exchange until it has replied. If the caller disconnects first, the owner gets
+ * LN_CALLER_DISCONNECTED; the exchange stays valid until the owner calls ln_exchange_end or a reply
  * function. */
 typedef struct LnExchange LnExchange;
 
 typedef struct
 {
-  const char *method; /* NULL: any */
-  const char *prefix; /* longest match wins */
-  const char *task;   /* name of the task that answers */
+  const char *method; /* NULL: any method */
+  const char *prefix; /* of the path; the longest matching prefix wins */
+  const char *task;   /* name of the task that handles the request */
 } LnRoute;
 
 uint64_t ln_exchange_id (const LnExchange *exchange);
@@ -24,21 +24,22 @@
 const char *ln_exchange_path (const LnExchange *exchange);                   /* without the query */
 const char *ln_exchange_query (const LnExchange *exchange, const char *key); /* NULL when absent */
 const char *ln_exchange_header (const LnExchange *exchange, const char *name);
-/* How often the request has the header. */
+/* Number of occurrences of the header in the request. */
 size_t ln_exchange_count_header (const LnExchange *exchange, const char *name);
-const char *ln_exchange_body (const LnExchange *exchange, size_t *length); /* ended by NUL */
-const char *ln_exchange_caller_ip (const LnExchange *exchange);            /* IP of the caller */
+const char *ln_exchange_body (const LnExchange *exchange, size_t *length); /* NUL-terminated */
+const char *ln_exchange_caller_ip (const LnExchange *exchange);
 void ln_exchange_set_owner (LnExchange *exchange, LnTask *owner);
 void ln_exchange_set_header (LnExchange *exchange, const char *name, const char *value);
 
-/* Final replies; the exchange is gone after them. The object is taken over. */
+/* These send the whole reply and free the exchange. Takes ownership of object. */
 void ln_exchange_reply_json (LnExchange *exchange, int status, struct json_object *object);
 void ln_exchange_reply_text (
     LnExchange *exchange, int status, const char *type, const char *text, size_t length);
-/* {"error":{"type","message","where","not_run"}} with Retry-After and x-not-run. */
+/* Body {"error":{"type","message","where","not_run"}}, with the headers Retry-After and x-not-run;
+ * within a stream, the error is its last event. */
 void ln_exchange_reply_error (LnExchange *exchange, const LbError *error, LbTime retry_after);
 
-/* A reply in pieces. After stream_start come pieces, then end. */
+/* A streamed reply: start, any number of writes, then ln_exchange_end, which frees the exchange. */
 void ln_exchange_start_stream (LnExchange *exchange, int status, const char *type);
 void ln_exchange_write_stream (LnExchange *exchange, const char *bytes, size_t length);
 void ln_exchange_end (LnExchange *exchange);
--- a/packages/node/include/ln-stall.h
+++ b/packages/node/include/ln-stall.h
@@ -5,21 +5,21 @@
 
 struct event_base;
 
-/* Notices that the event loop stands still. A handler that never returns is the worst that an
- * instance can do: its process lives, its connections stay open and nothing is answered, and if it
- * holds a duty, its successor comes upon the same input and stands still in its turn. How late the
- * loop comes is a histogram, a late turn is a log line, and a turn that uses up cpu_limit of
- * processor time ends the process with a line that says what it was doing. Processor time, not time
- * on the wall: a process that was paused or stands behind others is well. */
+/* Detects a stalled event loop. A handler that never returns leaves the process alive and its
+ * connections open while nothing is answered; if the instance holds a duty, its successor handles
+ * the same input and stalls as well. The delay of the loop goes into a histogram, a long delay is
+ * logged, and an iteration that uses cpu_limit of processor time terminates the process with a log
+ * line that names the current activity. Processor time is measured instead of elapsed time, since a
+ * process that was paused or waits for a processor is healthy. */
 typedef struct LnStallDetector LnStallDetector;
 
-/* Ten to a hundred times what the longest turn takes (a list of 1,000 endpoints: 20 ms). */
+/* 10 to 100 times the longest regular iteration (a list of 1,000 endpoints takes 20 ms). */
 #define LN_STALL_CPU_LIMIT (3 * LB_SEC)
 
 LnStallDetector *ln_stall_detector_new (struct event_base *base, LbTime cpu_limit);
-void ln_stall_detector_free (LnStallDetector *stall);
+void ln_stall_detector_free (LnStallDetector *detector);
 
-/* What begins now; a text constant. */
-void ln_stall_set_activity (const char *what);
+/* Names the current activity for log lines; must be a string literal. */
+void ln_stall_set_activity (const char *activity);
 
 #endif
--- a/packages/node/include/ln-ticker.h
+++ b/packages/node/include/ln-ticker.h
@@ -6,30 +6,29 @@
 
 struct event_base;
 
-/* One timer for all tasks that look at the time again and again: each wake-up of an idle process
- * costs as much as what it does then. */
+/* One timer for the periodic work of all tasks: in an idle process a wake-up costs as much as the
+ * work that it does. */
 typedef struct LnTicker LnTicker;
 
-/* Embedded in the task that is called; the task fills period, call and user. */
+/* Embedded in the task that is called; the task sets period, callback and user. */
 typedef struct
 {
   LbLink link;
   LbTime period;
   void (*callback) (void *user);
   void *user;
-  LbTime due;
+  LbTime due_at;
 } LnPeriodicCall;
 
 LnTicker *ln_ticker_new (struct event_base *base);
 void ln_ticker_free (LnTicker *ticker);
 
-/* commands */
-/* Called for the first time in the loop's next turn. */
-void ln_ticker_add (LnTicker *ticker, LnPeriodicCall *tick);
-void ln_ticker_remove (LnTicker *ticker, LnPeriodicCall *tick);
-/* Nothing here is urgent: all are called less often, unless work has come lately. */
+/* The first call comes in the next iteration of the event loop. */
+void ln_ticker_add (LnTicker *ticker, LnPeriodicCall *call);
+void ln_ticker_remove (LnTicker *ticker, LnPeriodicCall *call);
+/* While idle, calls are less frequent, unless work was reported within the last seconds. */
 void ln_ticker_set_idle (LnTicker *ticker, bool is_idle);
-/* Work has come: for some seconds all are called at their own periods. */
+/* For some seconds all calls are made at their own periods, even while idle. */
 void ln_ticker_report_work (LnTicker *ticker, LbTime now);
 
 #endif
--- a/packages/node/main/lentilspindled.c
+++ b/packages/node/main/lentilspindled.c
@@ -30,7 +30,7 @@
 {
   const char *config;
   bool check_only;
-  int exit_code; /* -1: go on */
+  int exit_code; /* -1: continue */
 } Options;
 
 typedef struct
@@ -40,10 +40,10 @@
   struct event *signals[N_SIGNALS];
   const char *config;        /* path of the settings file; NULL: none */
   struct event *drain_timer; /* runs while draining */
-  LnPeriodicCall log_tick;
-  LnStallDetector *stall;
-  LbTime drain_until;
-  bool draining;
+  LnPeriodicCall log_flush;
+  LnStallDetector *stall_detector;
+  LbTime min_drain_end;
+  bool is_draining;
 } Daemon;
 
 static void
@@ -51,7 +51,7 @@
 {
   puts ("Usage: lentilspindled [OPTIONS]\n\n"
         "One instance of lentilspindle, the rollout service. Runs until SIGTERM or SIGINT, then\n"
-        "finishes what is in progress.\n");
+        "completes the requests in progress.\n");
   arg_print_glossary (stdout, table, "  %-24s %s\n");
 }
 
@@ -60,7 +60,7 @@
 {
   struct arg_file *config
       = arg_file0 ("c", "config", "FILE", "settings, JSON with comments (docs/SETTINGS.md)");
-  struct arg_lit *check = arg_lit0 (NULL, "check", "test the settings file and exit");
+  struct arg_lit *check = arg_lit0 (NULL, "check", "validate the settings file and exit");
   struct arg_lit *help = arg_lit0 ("h", "help", "show this help and exit");
   struct arg_lit *version = arg_lit0 ("V", "version", "show the version and exit");
   struct arg_end *end = arg_end (4);
@@ -85,7 +85,7 @@
     }
   else
     {
-      /* argtable's strings point into argv and outlive the table. */
+      /* The strings point into argv and so outlive the table. */
       options.config = config->count > 0 ? config->filename[0] : NULL;
       options.check_only = check->count > 0;
     }
@@ -107,7 +107,7 @@
 }
 
 static void
-name_instance (Daemon *daemon)
+set_identity (Daemon *daemon)
 {
   LnContext *context = &daemon->context;
   const char *name = daemon->settings.instance.name;
@@ -120,9 +120,9 @@
             (unsigned long long)lb_clock_wall_ms (), (unsigned)getpid ());
 }
 
-/* Instances that draw the same random numbers would choose the same endpoints at the same time. */
+/* With equal seeds, instances would choose the same endpoints at the same time. */
 static void
-choose_seed (Daemon *daemon)
+set_random_seed (Daemon *daemon)
 {
   const LnContext *context = &daemon->context;
   char text[sizeof context->instance + sizeof context->incarnation];
@@ -133,13 +133,13 @@
   daemon->settings.seed = XXH3_64bits (text, strlen (text));
 }
 
-/* A reader that waits for the file must never read half of it. */
+/* Renamed into place, so that no reader sees an incomplete file. */
 static bool
 write_address_file (const Daemon *daemon, LbError *error)
 {
   const char *path = daemon->settings.address_file;
-  char *temporary = lb_asprintf ("%s.new", path);
-  FILE *out = fopen (temporary, "w");
+  char *temporary_path = lb_asprintf ("%s.new", path);
+  FILE *out = fopen (temporary_path, "w");
   bool ok = out
             && fprintf (out,
                         "{\"caller_address\": \"%s\", \"peer_address\": \"%s\","
@@ -150,8 +150,8 @@
 
   if (out && fclose (out) != 0)
     ok = false;
-  ok = ok && rename (temporary, path) == 0;
-  free (temporary);
+  ok = ok && rename (temporary_path, path) == 0;
+  free (temporary_path);
   return ok || lb_error_set (error, LB_ERROR_IO, path, "cannot write the address file");
 }
 
@@ -162,13 +162,13 @@
   (void)what;
   Daemon *daemon = user;
 
-  if (lb_clock_monotonic () < daemon->drain_until || !ln_hub_is_idle (daemon->context.hub))
+  if (lb_clock_monotonic () < daemon->min_drain_end || !ln_hub_is_idle (daemon->context.hub))
     return;
   event_base_loopbreak (daemon->context.base);
 }
 
-/* The first signal begins the drain; a later one changes nothing, since it may not cut a request
- * in progress. Callers that hold an old address still get an answer for drain_ms. */
+/* The first signal starts the drain; later ones are ignored, since they must not interrupt requests
+ * in progress. The instance still serves callers that use cached addresses for drain_ms. */
 static void
 on_signal (evutil_socket_t number, short what, void *user)
 {
@@ -178,44 +178,44 @@
   LnDrainingMessage message = { .base = LN_MESSAGE (LN_DRAINING) };
 
   lb_log (LB_LOG_INFO, "signal", LB_INT ("number", number),
-          LB_BOOL ("already_draining", daemon->draining));
-  if (daemon->draining)
+          LB_BOOL ("already_draining", daemon->is_draining));
+  if (daemon->is_draining)
     return;
-  daemon->draining = true;
-  daemon->drain_until = lb_clock_monotonic () + daemon->settings.drain.drain_ms * LB_MSEC;
+  daemon->is_draining = true;
+  daemon->min_drain_end = lb_clock_monotonic () + daemon->settings.drain.drain_ms * LB_MSEC;
   ln_hub_drain (daemon->context.hub);
   LN_POST (daemon->context.hub, NULL, message);
   event_add (daemon->drain_timer, &period);
 }
 
-/* Settings that can change while the process runs are taken over; addresses and the platform stay
- * as they were bound, so no connection is cut. A file that can't be read changes nothing. */
+/* Applies the settings that can change at run time. Addresses and platform stay as they are, so
+ * that no connection is closed. An invalid file changes nothing. */
 static void
 on_reload (evutil_socket_t number, short what, void *user)
 {
   (void)number;
   (void)what;
   Daemon *daemon = user;
-  LnSettings fresh;
+  LnSettings reloaded;
   LbError error = { 0 };
 
-  ln_settings_init (&fresh);
-  if (daemon->config && !ln_settings_read (&fresh, daemon->config, &error))
+  ln_settings_init (&reloaded);
+  if (daemon->config && !ln_settings_read (&reloaded, daemon->config, &error))
     {
       lb_log_error (LB_LOG_ERROR, "settings_not_reloaded", &error);
-      ln_settings_clear (&fresh);
+      ln_settings_clear (&reloaded);
       return;
     }
-  daemon->settings.log.level = fresh.log.level;
-  daemon->settings.drain = fresh.drain;
-  lb_log_init ((LbLogLevel)fresh.log.level, STDOUT_FILENO, daemon->context.instance);
-  lb_log (LB_LOG_INFO, "settings_reloaded", LB_INT ("log_level", fresh.log.level),
-          LB_INT ("drain_ms", fresh.drain.drain_ms));
-  ln_settings_clear (&fresh);
+  daemon->settings.log.level = reloaded.log.level;
+  daemon->settings.drain = reloaded.drain;
+  lb_log_init ((LbLogLevel)reloaded.log.level, STDOUT_FILENO, daemon->context.instance);
+  lb_log (LB_LOG_INFO, "settings_reloaded", LB_INT ("log_level", reloaded.log.level),
+          LB_INT ("drain_ms", reloaded.drain.drain_ms));
+  ln_settings_clear (&reloaded);
 }
 
-/* Lines wait for it at most this long; a write for each line would cost more than making it. */
-#define LOG_PERIOD (50 * LB_MSEC)
+/* Maximum time that log lines are buffered: a write per line would cost more than formatting it. */
+#define LOG_FLUSH_PERIOD (50 * LB_MSEC)
 
 static void
 flush_log (void *user)
@@ -230,7 +230,8 @@
   LpHttpSettings http
       = { .deadline = settings->platform.deadline_ms * LB_MSEC, .rate = settings->platform.rate };
 
-  /* Instances that pause alike after a failure of the store would all come back at once. */
+  /* A seed per process: with equal back-off after a failure of the store, all instances would retry
+   * at the same time. */
   http.seed = settings->seed ^ (uint64_t)lb_clock_monotonic () ^ (uint64_t)getpid () << 32;
 
   if (settings->platform.kind == LN_PLATFORM_MEMORY)
@@ -245,23 +246,23 @@
 add_tasks (Daemon *daemon)
 {
   LnContext *context = &daemon->context;
-  LnTask *(*const own[]) (LnContext *)
+  LnTask *(*const standalone[]) (LnContext *)
       = { ln_front_new, ln_peers_new, ln_calls_new, ln_rollouts_new, ln_config_new, NULL };
-  LnTask *(*const shared[]) (LnContext *)
+  LnTask *(*const shared_platform[]) (LnContext *)
       = { ln_front_new,   ln_fleet_new,  ln_calls_new, ln_batches_new,
           ln_desired_new, ln_duties_new, NULL };
-  LnTask *(*const *makers) (LnContext *) = context->dialect ? shared : own;
+  LnTask *(*const *constructors) (LnContext *) = context->dialect ? shared_platform : standalone;
 
-  for (size_t i = 0; makers[i]; i++)
+  for (size_t i = 0; constructors[i]; i++)
     {
-      LnTask *task = makers[i](context);
+      LnTask *task = constructors[i](context);
       if (!task)
         return false;
       ln_hub_add (context->hub, task);
       if (i == 0)
         {
-          name_instance (daemon);
-          choose_seed (daemon);
+          set_identity (daemon);
+          set_random_seed (daemon);
         }
     }
   return true;
@@ -284,9 +285,9 @@
   daemon->signals[0] = evsignal_new (context->base, SIGTERM, on_signal, daemon);
   daemon->signals[1] = evsignal_new (context->base, SIGINT, on_signal, daemon);
   daemon->signals[2] = evsignal_new (context->base, SIGHUP, on_reload, daemon);
-  daemon->log_tick = (LnPeriodicCall){ .period = LOG_PERIOD, .callback = flush_log };
-  ln_ticker_add (ln_context_ticker (context), &daemon->log_tick);
-  daemon->stall = ln_stall_detector_new (context->base, LN_STALL_CPU_LIMIT);
+  daemon->log_flush = (LnPeriodicCall){ .period = LOG_FLUSH_PERIOD, .callback = flush_log };
+  ln_ticker_add (ln_context_ticker (context), &daemon->log_flush);
+  daemon->stall_detector = ln_stall_detector_new (context->base, LN_STALL_CPU_LIMIT);
   daemon->drain_timer = event_new (context->base, -1, EV_PERSIST, exit_when_idle, daemon);
   for (int i = 0; i < N_SIGNALS; i++)
     event_add (daemon->signals[i], NULL);
@@ -304,9 +305,9 @@
   for (int i = 0; i < N_SIGNALS; i++)
     event_free (daemon->signals[i]);
   event_free (daemon->drain_timer);
-  ln_stall_detector_free (daemon->stall);
-  /* Connections that were just freed are still held by work that libevent put off: it is lost with
-   * the base, and what it holds with it. One turn carries it out. */
+  ln_stall_detector_free (daemon->stall_detector);
+  /* Connections freed above are still referenced by deferred callbacks of libevent, which would be
+   * lost, and the connections leaked, with the base. One loop iteration runs them. */
   event_base_loop (context->base, EVLOOP_NONBLOCK);
   event_base_free (context->base);
 }
@@ -334,7 +335,7 @@
           LB_TEXT ("peer_address", daemon->context.peer_address),
           LB_TEXT ("incarnation", daemon->context.incarnation), LB_TEXT ("version", LS_VERSION));
   event_base_dispatch (daemon->context.base);
-  lb_log (LB_LOG_INFO, "stopped", LB_BOOL ("drained", daemon->draining));
+  lb_log (LB_LOG_INFO, "stopped", LB_BOOL ("drained", daemon->is_draining));
   exit_code = EXIT_SUCCESS;
 out:
   daemon_close (daemon);
--- a/packages/node/src/task/ln-context.c
+++ b/packages/node/src/task/ln-context.c
@@ -5,14 +5,13 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* The next id of a request of this process; never given twice. */
 LcRequestId
 ln_context_next_request_id (LnContext *context)
 {
   return ++context->last_request_id;
 }
 
-/* Instances that choose alike among equals would all send to the same endpoint. */
+/* With equal seeds, all instances would choose the same one of several equally good endpoints. */
 uint64_t
 ln_context_random_seed (const LnContext *context)
 {
--- a/packages/node/src/task/ln-fetch-outgoing.c
+++ b/packages/node/src/task/ln-fetch-outgoing.c
@@ -13,18 +13,18 @@
                          LbError *error)
 {
   LhHeader *headers = LB_NEW_ARRAY (LhHeader, outgoing->n_headers + 1);
-  LhRequest whole = *request;
+  LhRequest merged = *request;
   LhFetch *fetch = NULL;
 
   for (size_t i = 0; i < outgoing->n_headers; i++)
     headers[i] = (LhHeader){ outgoing->headers[i].name, outgoing->headers[i].value };
-  whole.method = outgoing->method;
-  whole.path = outgoing->path;
-  whole.headers = headers;
-  whole.n_headers = outgoing->n_headers;
-  whole.body = outgoing->body;
-  whole.body_length = outgoing->body_length;
-  fetch = lh_fetch_start (context->http_pool, &whole, handlers, user, error);
+  merged.method = outgoing->method;
+  merged.path = outgoing->path;
+  merged.headers = headers;
+  merged.n_headers = outgoing->n_headers;
+  merged.body = outgoing->body;
+  merged.body_length = outgoing->body_length;
+  fetch = lh_fetch_start (context->http_pool, &merged, handlers, user, error);
   free (headers);
   return fetch;
 }
--- a/packages/node/src/task/ln-fetch-outgoing.h
+++ b/packages/node/src/task/ln-fetch-outgoing.h
@@ -5,8 +5,8 @@
 #include "lh-fetch.h"
 #include "ln-context.h"
 
-/* Sends a request that the dialect wrote. Its method, path, headers and body stand in outgoing, all
- * else in request. NULL after an error. */
+/* Sends a request that the dialect composed. Takes method, path, headers and body from outgoing and
+ * everything else from request. Returns NULL on error. */
 LhFetch *ln_fetch_start_outgoing (const LnContext *context,
                                   const LcOutgoing *outgoing,
                                   const LhRequest *request,
--- a/packages/node/src/task/ln-pack.h
+++ b/packages/node/src/task/ln-pack.h
@@ -4,9 +4,9 @@
 #include <msgpack.h>
 #include <stdbool.h>
 
-/* Texts in the msgpack payload of a frame. */
+/* Strings in the msgpack payload of a frame. */
 void ln_pack_text (msgpack_packer *packer, const char *text);
-/* False when the object is no text, or does not fit. */
+/* False when the object is not a string or does not fit into size bytes. */
 bool ln_unpack_text (const msgpack_object *object, char *text, size_t size);
 
 #endif
--- a/packages/node/src/task/ln-settings.c
+++ b/packages/node/src/task/ln-settings.c
@@ -36,7 +36,7 @@
     .key = (k), .type = LB_SETTING_CHOICE, .offset = offsetof (LnSettings, member),                \
     .choices = (names)                                                                             \
   }
-/* Groups of keys are only for the reader: their members lie at offsets of the whole. */
+/* A group of keys only structures the file: offsets of its members are those in LnSettings. */
 #define GROUP(k, specs)                                                                            \
   {                                                                                                \
     .key = (k), .type = LB_SETTING_OBJECT, .offset = 0, .fields = (specs)                          \
@@ -189,7 +189,7 @@
 }
 
 static bool
-fail (LbError *error, const char *path, const char *key, const char *expected)
+report_invalid (LbError *error, const char *path, const char *key, const char *expected)
 {
   char where[192];
 
@@ -209,8 +209,8 @@
   return *end == '\0' && port >= 0 && port <= 65535;
 }
 
-/* Others are told this address: one that stands for each of a machine's addresses leads them to
- * their own machine. */
+/* Other machines receive this address and connect to it; a wildcard would connect them to
+ * themselves. */
 static bool
 is_wildcard (const char *address)
 {
@@ -219,7 +219,7 @@
 }
 
 static bool
-is_policy (const char *name)
+is_known_policy (const char *name)
 {
   for (const char *const *policy = lc_router_policy_names (); *policy; policy++)
     if (strcmp (*policy, name) == 0)
@@ -227,49 +227,49 @@
   return false;
 }
 
-/* What one key alone can't tell. */
+/* Checks that go beyond the type and range of a single key. */
 static bool
-check (const LnSettings *settings, const char *path, LbError *error)
+validate (const LnSettings *settings, const char *path, LbError *error)
 {
   static const char address[] = "expected an address of the form IP:PORT";
   static const char reachable[] = "expected the address that others reach, not a wildcard";
 
   if (!is_address (settings->instance.caller_address))
-    return fail (error, path, "instance.caller_address", address);
+    return report_invalid (error, path, "instance.caller_address", address);
   if (!is_address (settings->instance.peer_address))
-    return fail (error, path, "instance.peer_address", address);
+    return report_invalid (error, path, "instance.peer_address", address);
   if (settings->instance.entry_address[0] && !is_address (settings->instance.entry_address))
-    return fail (error, path, "instance.entry_address", address);
+    return report_invalid (error, path, "instance.entry_address", address);
   if (settings->platform.kind == LN_PLATFORM_SHARED
       && is_wildcard (settings->instance.caller_address))
-    return fail (error, path, "instance.caller_address", reachable);
+    return report_invalid (error, path, "instance.caller_address", reachable);
   if (is_wildcard (settings->instance.peer_address))
-    return fail (error, path, "instance.peer_address", reachable);
+    return report_invalid (error, path, "instance.peer_address", reachable);
   if (is_wildcard (settings->instance.entry_address))
-    return fail (error, path, "instance.entry_address", reachable);
+    return report_invalid (error, path, "instance.entry_address", reachable);
   if (settings->instance.ready_address[0] && !is_address (settings->instance.ready_address))
-    return fail (error, path, "instance.ready_address", address);
+    return report_invalid (error, path, "instance.ready_address", address);
   if (settings->instance.metrics_address[0] && !is_address (settings->instance.metrics_address))
-    return fail (error, path, "instance.metrics_address", address);
+    return report_invalid (error, path, "instance.metrics_address", address);
   if (settings->platform.kind != LN_PLATFORM_MEMORY && !is_address (settings->platform.address))
-    return fail (error, path, "platform.address", address);
+    return report_invalid (error, path, "platform.address", address);
   if (settings->duties.address[0] && !is_address (settings->duties.address))
-    return fail (error, path, "duties.address", address);
-  if (!is_policy (settings->calls.policy))
-    return fail (error, path, "calls.policy", "expected the name of a routing policy");
+    return report_invalid (error, path, "duties.address", address);
+  if (!is_known_policy (settings->calls.policy))
+    return report_invalid (error, path, "calls.policy", "expected the name of a routing policy");
   for (size_t i = 0; i < settings->cluster.n_seeds; i++)
     if (!is_address (settings->cluster.seeds[i]))
-      return fail (error, path, "cluster.seeds", address);
+      return report_invalid (error, path, "cluster.seeds", address);
   for (size_t i = 0; i < settings->measure.n_off; i++)
     if (!lb_switch_is_known (settings->measure.off[i]))
-      return fail (error, path, "measure.off", "expected names of mechanisms");
+      return report_invalid (error, path, "measure.off",
+                             "expected names of mechanisms that can be disabled");
   if (settings->cluster.n_seeds > 0 && settings->cluster.key[0] == '\0')
-    return fail (error, path, "cluster.key",
-                 "expected a shared key, since cluster.seeds are given");
+    return report_invalid (error, path, "cluster.key",
+                           "expected a shared key, since cluster.seeds is set");
   return true;
 }
 
-/* Reads and checks a settings file over the values that settings holds. */
 bool
 ln_settings_read (LnSettings *settings, const char *path, LbError *error)
 {
@@ -277,8 +277,8 @@
 
   if (!object)
     return false;
-  bool ok
-      = lb_settings_apply (object, specs, settings, path, error) && check (settings, path, error);
+  bool ok = lb_settings_apply (object, specs, settings, path, error)
+            && validate (settings, path, error);
   json_object_put (object);
   return ok;
 }
--- a/packages/node/src/task/ln-stall.c
+++ b/packages/node/src/task/ln-stall.c
@@ -13,54 +13,54 @@
 #include <sys/time.h>
 #include <unistd.h>
 
-#define PERIOD (250 * LB_MSEC)
-/* A turn that comes so late is told: renewals and the texts of streams wait as long. */
-#define WORTH_TELLING (500 * LB_MSEC)
-/* The exit status of an error in the program itself, by sysexits.h. */
-#define STALLED_STATUS 70
+#define CHECK_PERIOD (250 * LB_MSEC)
+/* A longer delay is logged: lease renewals and streamed text are delayed by as much. */
+#define LATE_LOG_THRESHOLD (500 * LB_MSEC)
+/* EX_SOFTWARE of sysexits.h: an internal error of the program. */
+#define STALL_EXIT_STATUS 70
 
 struct LnStallDetector
 {
   struct event *timer;
-  LbTime expected;
+  LbTime expected_at;
   LbTime cpu_limit;
 };
 
-static const char *volatile doing = "start";
+static const char *volatile current_activity = "start";
 
-static LbHistogram late_time
+static LbHistogram loop_delay
     = LB_HISTOGRAM_INIT ("lentilspindle_loop_late_seconds",
-                         "By how much the event loop came late to its timer, four times a second");
+                         "Delay of a timer of the event loop, measured four times a second");
 
 void
-ln_stall_set_activity (const char *what)
+ln_stall_set_activity (const char *activity)
 {
-  doing = what;
+  current_activity = activity;
 }
 
 static void
-say (const char *text)
+write_stdout (const char *text)
 {
-  /* Nothing can be done about a line that is not taken; the exit status tells the same. */
+  /* A failed write can't be reported; the exit status still says that the loop stalled. */
   if (write (STDOUT_FILENO, text, strlen (text)) < 0)
     return;
 }
 
-/* Only calls that are allowed in a signal handler. */
+/* A signal handler: calls only async-signal-safe functions. */
 static void
-on_limit (int number)
+on_cpu_limit (int number)
 {
   (void)number;
-  say ("{\"level\":\"error\",\"event\":\"loop_stalled\",\"doing\":\"");
-  say (doing);
-  say ("\"}\n");
-  _exit (STALLED_STATUS);
+  write_stdout ("{\"level\":\"error\",\"event\":\"loop_stalled\",\"doing\":\"");
+  write_stdout (current_activity);
+  write_stdout ("\"}\n");
+  _exit (STALL_EXIT_STATUS);
 }
 
 static void
-arm (const LnStallDetector *stall)
+start_cpu_timer (const LnStallDetector *detector)
 {
-  const struct itimerval limit = { .it_value = lb_time_to_timeval (stall->cpu_limit) };
+  const struct itimerval limit = { .it_value = lb_time_to_timeval (detector->cpu_limit) };
 
   if (setitimer (ITIMER_PROF, &limit, NULL) != 0)
     lb_log (LB_LOG_DEBUG, "stall_watch_not_armed", LB_TEXT ("reason", "setitimer failed"));
@@ -71,41 +71,42 @@
 {
   (void)fd;
   (void)what;
-  LnStallDetector *stall = user;
+  LnStallDetector *detector = user;
   LbTime now = lb_clock_monotonic ();
-  LbTime late = now > stall->expected ? now - stall->expected : 0;
-
-  lb_histogram_add (&late_time, late);
-  if (late > WORTH_TELLING)
-    lb_log (LB_LOG_WARNING, "loop_late", LB_INT ("late_us", late), LB_TEXT ("before", doing));
-  stall->expected = now + PERIOD;
-  arm (stall);
+  LbTime delay = now > detector->expected_at ? now - detector->expected_at : 0;
+
+  lb_histogram_add (&loop_delay, delay);
+  if (delay > LATE_LOG_THRESHOLD)
+    lb_log (LB_LOG_WARNING, "loop_late", LB_INT ("late_us", delay),
+            LB_TEXT ("before", current_activity));
+  detector->expected_at = now + CHECK_PERIOD;
+  start_cpu_timer (detector);
 }
 
 LnStallDetector *
 ln_stall_detector_new (struct event_base *base, LbTime cpu_limit)
 {
-  const struct timeval period = { .tv_usec = PERIOD };
-  const struct sigaction action = { .sa_handler = on_limit };
-  LnStallDetector *stall = LB_NEW (LnStallDetector);
+  const struct timeval period = { .tv_usec = CHECK_PERIOD };
+  const struct sigaction action = { .sa_handler = on_cpu_limit };
+  LnStallDetector *detector = LB_NEW (LnStallDetector);
 
-  stall->cpu_limit = cpu_limit;
-  stall->expected = lb_clock_monotonic () + PERIOD;
+  detector->cpu_limit = cpu_limit;
+  detector->expected_at = lb_clock_monotonic () + CHECK_PERIOD;
   sigaction (SIGPROF, &action, NULL);
-  stall->timer = event_new (base, -1, EV_PERSIST, on_timer, stall);
-  event_add (stall->timer, &period);
-  arm (stall);
-  return stall;
+  detector->timer = event_new (base, -1, EV_PERSIST, on_timer, detector);
+  event_add (detector->timer, &period);
+  start_cpu_timer (detector);
+  return detector;
 }
 
 void
-ln_stall_detector_free (LnStallDetector *stall)
+ln_stall_detector_free (LnStallDetector *detector)
 {
   const struct itimerval off = { .it_value = { 0 } };
 
-  if (!stall)
+  if (!detector)
     return;
   setitimer (ITIMER_PROF, &off, NULL);
-  event_free (stall->timer);
-  free (stall);
+  event_free (detector->timer);
+  free (detector);
 }
--- a/packages/node/src/task/ln-task.c
+++ b/packages/node/src/task/ln-task.c
@@ -10,9 +10,9 @@
 
 struct LnHub
 {
-  struct event *wakeup;
+  struct event *deliver_event;
   LbList tasks;
-  LbList mail;
+  LbList queue;
 };
 
 static void
@@ -39,22 +39,23 @@
   }
 }
 
-/* Handles only what waited at its start, so that messages that answer messages let sockets in. */
+/* Delivers only the messages queued when it starts: messages posted in response are left for the
+ * next iteration of the event loop, so that socket events are handled in between. */
 static void
-deliver_waiting (evutil_socket_t fd, short what, void *user)
+deliver_queued (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
   LnHub *hub = user;
 
-  for (size_t left = hub->mail.length; left > 0; left--)
+  for (size_t n_left = hub->queue.length; n_left > 0; n_left--)
     {
-      LnMessage *message = LB_CONTAINER (lb_list_pop (&hub->mail), LnMessage, link);
+      LnMessage *message = LB_CONTAINER (lb_list_pop (&hub->queue), LnMessage, link);
       deliver (hub, message);
       message_free (message);
     }
-  if (!lb_list_is_empty (&hub->mail))
-    event_active (hub->wakeup, EV_TIMEOUT, 0);
+  if (!lb_list_is_empty (&hub->queue))
+    event_active (hub->deliver_event, EV_TIMEOUT, 0);
 }
 
 LnHub *
@@ -62,13 +63,13 @@
 {
   LnHub *hub = LB_NEW (LnHub);
 
-  hub->wakeup = event_new (base, -1, 0, deliver_waiting, hub);
+  hub->deliver_event = event_new (base, -1, 0, deliver_queued, hub);
   lb_list_init (&hub->tasks);
-  lb_list_init (&hub->mail);
+  lb_list_init (&hub->queue);
   return hub;
 }
 
-/* Frees the tasks, last added first. */
+/* Frees the tasks in reverse order of their addition. */
 void
 ln_hub_free (LnHub *hub)
 {
@@ -76,7 +77,7 @@
 
   if (!hub)
     return;
-  while ((link = lb_list_pop (&hub->mail)))
+  while ((link = lb_list_pop (&hub->queue)))
     message_free (LB_CONTAINER (link, LnMessage, link));
   while (!lb_list_is_empty (&hub->tasks))
     {
@@ -84,9 +85,9 @@
       lb_list_remove (&hub->tasks, &task->link);
       task->klass->free (task);
     }
-  while ((link = lb_list_pop (&hub->mail)))
+  while ((link = lb_list_pop (&hub->queue)))
     message_free (LB_CONTAINER (link, LnMessage, link));
-  event_free (hub->wakeup);
+  event_free (hub->deliver_event);
   free (hub);
 }
 
@@ -114,8 +115,8 @@
   LnMessage *copy = lb_memdup (message, size);
 
   copy->to = to;
-  lb_list_append (&hub->mail, &copy->link);
-  event_active (hub->wakeup, EV_TIMEOUT, 0);
+  lb_list_append (&hub->queue, &copy->link);
+  event_active (hub->deliver_event, EV_TIMEOUT, 0);
 }
 
 void
@@ -131,7 +132,7 @@
 bool
 ln_hub_is_idle (const LnHub *hub)
 {
-  if (!lb_list_is_empty (&hub->mail))
+  if (!lb_list_is_empty (&hub->queue))
     return false;
   LB_LIST_FOREACH (&hub->tasks, LnTask, link, task)
   {
--- a/packages/node/src/task/ln-ticker.c
+++ b/packages/node/src/task/ln-ticker.c
@@ -7,32 +7,33 @@
 #include <event2/event.h>
 #include <stdlib.h>
 
-#define PERIOD (50 * LB_MSEC)
-#define IDLE_PERIOD (250 * LB_MSEC)
-#define BUSY_TIME (5 * LB_SEC) /* after work has come */
-/* A call that would be due so soon after a turn is made in it. */
-#define TOLERANCE (PERIOD / 4)
+#define BUSY_INTERVAL (50 * LB_MSEC)
+#define IDLE_INTERVAL (250 * LB_MSEC)
+#define BUSY_TIME (5 * LB_SEC) /* after work was reported */
+/* Calls due within this time after the timer fires are made at once. */
+#define TOLERANCE (BUSY_INTERVAL / 4)
 
 struct LnTicker
 {
   struct event *timer;
-  LbList ticks;
+  LbList calls;
   bool is_idle;
   LbTime busy_until;
 };
 
 static bool
-is_slow (const LnTicker *ticker, LbTime now)
+is_slowed_down (const LnTicker *ticker, LbTime now)
 {
   return ticker->is_idle && now >= ticker->busy_until;
 }
 
 static void
-arm (LnTicker *ticker, LbTime now)
+start_timer (LnTicker *ticker, LbTime now)
 {
-  const struct timeval next = lb_time_to_timeval (is_slow (ticker, now) ? IDLE_PERIOD : PERIOD);
+  const struct timeval interval
+      = lb_time_to_timeval (is_slowed_down (ticker, now) ? IDLE_INTERVAL : BUSY_INTERVAL);
 
-  event_add (ticker->timer, &next);
+  event_add (ticker->timer, &interval);
 }
 
 static void
@@ -43,13 +44,13 @@
   LnTicker *ticker = user;
   LbTime now = lb_clock_monotonic ();
 
-  arm (ticker, now);
-  LB_LIST_FOREACH (&ticker->ticks, LnPeriodicCall, link, tick)
+  start_timer (ticker, now);
+  LB_LIST_FOREACH (&ticker->calls, LnPeriodicCall, link, call)
   {
-    if (tick->due > now + TOLERANCE)
+    if (call->due_at > now + TOLERANCE)
       continue;
-    tick->due = now + tick->period;
-    tick->callback (tick->user);
+    call->due_at = now + call->period;
+    call->callback (call->user);
   }
 }
 
@@ -58,7 +59,7 @@
 {
   LnTicker *ticker = LB_NEW (LnTicker);
 
-  lb_list_init (&ticker->ticks);
+  lb_list_init (&ticker->calls);
   ticker->timer = event_new (base, -1, 0, on_timer, ticker);
   return ticker;
 }
@@ -73,17 +74,17 @@
 }
 
 void
-ln_ticker_add (LnTicker *ticker, LnPeriodicCall *tick)
+ln_ticker_add (LnTicker *ticker, LnPeriodicCall *call)
 {
-  tick->due = 0;
-  lb_list_append (&ticker->ticks, &tick->link);
+  call->due_at = 0;
+  lb_list_append (&ticker->calls, &call->link);
   event_active (ticker->timer, EV_TIMEOUT, 0);
 }
 
 void
-ln_ticker_remove (LnTicker *ticker, LnPeriodicCall *tick)
+ln_ticker_remove (LnTicker *ticker, LnPeriodicCall *call)
 {
-  lb_list_remove (&ticker->ticks, &tick->link);
+  lb_list_remove (&ticker->calls, &call->link);
 }
 
 void
@@ -97,7 +98,7 @@
 void
 ln_ticker_report_work (LnTicker *ticker, LbTime now)
 {
-  if (is_slow (ticker, now))
+  if (is_slowed_down (ticker, now))
     event_active (ticker->timer, EV_TIMEOUT, 0);
   ticker->busy_until = now + BUSY_TIME;
 }
--- a/packages/node/tests/test-context.c
+++ b/packages/node/tests/test-context.c
@@ -3,23 +3,23 @@
 #include <criterion/criterion.h>
 #include <string.h>
 
-/* Two instances that split the calls of one route by weight send them in step, so that one service
- * gets bursts, when both draw the same numbers. */
-Test (context, instances_draw_differently)
+/* Guards against bursts at one service: instances that split a route's calls by weight send in step
+ * when their random numbers are equal. */
+Test (context, random_numbers_differ_between_instances)
 {
   LnSettings settings = { .seed = 1 };
   LnContext a = { .settings = &settings, .instance = "a" };
   LnContext b = { .settings = &settings, .instance = "b" };
-  int same = 0;
+  int n_equal = 0;
 
   for (int i = 0; i < 1000; i++)
     {
       double first = ln_context_random_uniform (&a);
       double second = ln_context_random_uniform (&b);
       cr_assert (first >= 0 && first < 1);
-      same += first == second;
+      n_equal += first == second;
     }
-  cr_assert_lt (same, 10);
+  cr_assert_lt (n_equal, 10);
   ln_context_clear (&a);
   ln_context_clear (&b);
 }
--- a/packages/node/tests/test-settings.c
+++ b/packages/node/tests/test-settings.c
@@ -6,7 +6,7 @@
 #include <unistd.h>
 
 static bool
-read_text (LnSettings *settings, const char *text, LbError *error)
+read_settings_text (LnSettings *settings, const char *text, LbError *error)
 {
   char path[] = "/tmp/lentilspindle-settings-XXXXXX";
   int fd = mkstemp (path);
@@ -21,50 +21,50 @@
 }
 
 static void
-expect_fault (const char *text, LbErrorCode code, const char *where)
+expect_error (const char *text, LbErrorCode code, const char *where)
 {
   LnSettings settings;
   LbError error = { 0 };
 
-  cr_assert_not (read_text (&settings, text, &error), "%s", text);
+  cr_assert_not (read_settings_text (&settings, text, &error), "%s", text);
   cr_assert_eq (error.code, code, "%s: %s", text, lb_error_name (error.code));
   cr_assert (strstr (error.where, where), "%s: %s", text, error.where);
   cr_assert (error.detail[0]);
   ln_settings_clear (&settings);
 }
 
-Test (settings, every_fault_names_its_place)
+Test (settings, every_error_names_its_place)
 {
-  expect_fault ("{\n  \"http\": {,}\n}", LB_ERROR_BAD_JSON, ":2:");
-  expect_fault ("[]", LB_ERROR_BAD_VALUE, "(top)");
-  expect_fault ("{\"htp\": {}}", LB_ERROR_UNKNOWN_KEY, "htp");
-  expect_fault ("{\"http\": {\"max_body\": 1}}", LB_ERROR_UNKNOWN_KEY, "http.max_body");
-  expect_fault ("{\"http\": {\"max_body_bytes\": \"1\"}}", LB_ERROR_BAD_VALUE,
+  expect_error ("{\n  \"http\": {,}\n}", LB_ERROR_BAD_JSON, ":2:");
+  expect_error ("[]", LB_ERROR_BAD_VALUE, "(top)");
+  expect_error ("{\"htp\": {}}", LB_ERROR_UNKNOWN_KEY, "htp");
+  expect_error ("{\"http\": {\"max_body\": 1}}", LB_ERROR_UNKNOWN_KEY, "http.max_body");
+  expect_error ("{\"http\": {\"max_body_bytes\": \"1\"}}", LB_ERROR_BAD_VALUE,
                 "http.max_body_bytes");
-  expect_fault ("{\"http\": {\"max_body_bytes\": 1}}", LB_ERROR_OUT_OF_RANGE,
+  expect_error ("{\"http\": {\"max_body_bytes\": 1}}", LB_ERROR_OUT_OF_RANGE,
                 "http.max_body_bytes");
-  expect_fault ("{\"http\": 4}", LB_ERROR_BAD_VALUE, "http");
-  expect_fault ("{\"platform\": {\"kind\": \"disk\"}}", LB_ERROR_BAD_VALUE, "platform.kind");
-  expect_fault ("{\"platform\": {\"kind\": \"http\"}}", LB_ERROR_BAD_VALUE, "platform.address");
-  expect_fault ("{\"instance\": {\"caller_address\": \"here\"}}", LB_ERROR_BAD_VALUE,
+  expect_error ("{\"http\": 4}", LB_ERROR_BAD_VALUE, "http");
+  expect_error ("{\"platform\": {\"kind\": \"disk\"}}", LB_ERROR_BAD_VALUE, "platform.kind");
+  expect_error ("{\"platform\": {\"kind\": \"http\"}}", LB_ERROR_BAD_VALUE, "platform.address");
+  expect_error ("{\"instance\": {\"caller_address\": \"here\"}}", LB_ERROR_BAD_VALUE,
                 "instance.caller_address");
-  expect_fault ("{\"instance\": {\"caller_address\": \"127.0.0.1:70000\"}}", LB_ERROR_BAD_VALUE,
+  expect_error ("{\"instance\": {\"caller_address\": \"127.0.0.1:70000\"}}", LB_ERROR_BAD_VALUE,
                 "instance.caller_address");
-  expect_fault ("{\"instance\": {\"peer_address\": \"0.0.0.0:7000\"}}", LB_ERROR_BAD_VALUE,
+  expect_error ("{\"instance\": {\"peer_address\": \"0.0.0.0:7000\"}}", LB_ERROR_BAD_VALUE,
                 "instance.peer_address");
-  expect_fault ("{\"instance\": {\"entry_address\": \"[::]:7000\"}}", LB_ERROR_BAD_VALUE,
+  expect_error ("{\"instance\": {\"entry_address\": \"[::]:7000\"}}", LB_ERROR_BAD_VALUE,
                 "instance.entry_address");
-  expect_fault ("{\"cluster\": {\"seeds\": [\"127.0.0.1:1\"]}}", LB_ERROR_BAD_VALUE, "cluster.key");
-  expect_fault ("{\"cluster\": {\"key\": \"k\", \"seeds\": [7]}}", LB_ERROR_BAD_VALUE,
+  expect_error ("{\"cluster\": {\"seeds\": [\"127.0.0.1:1\"]}}", LB_ERROR_BAD_VALUE, "cluster.key");
+  expect_error ("{\"cluster\": {\"key\": \"k\", \"seeds\": [7]}}", LB_ERROR_BAD_VALUE,
                 "cluster.seeds[0]");
-  expect_fault ("{\"cluster\": {\"key\": \"k\", \"seeds\": [\"x\"]}}", LB_ERROR_BAD_VALUE,
+  expect_error ("{\"cluster\": {\"key\": \"k\", \"seeds\": [\"x\"]}}", LB_ERROR_BAD_VALUE,
                 "cluster.seeds");
-  expect_fault ("{\"calls\": {\"policy\": \"luck\"}}", LB_ERROR_BAD_VALUE, "calls.policy");
-  expect_fault ("{\"calls\": {\"retry_budget\": -1}}", LB_ERROR_OUT_OF_RANGE, "calls.retry_budget");
-  expect_fault ("{\"log\": {\"level\": \"loud\"}}", LB_ERROR_BAD_VALUE, "log.level");
+  expect_error ("{\"calls\": {\"policy\": \"luck\"}}", LB_ERROR_BAD_VALUE, "calls.policy");
+  expect_error ("{\"calls\": {\"retry_budget\": -1}}", LB_ERROR_OUT_OF_RANGE, "calls.retry_budget");
+  expect_error ("{\"log\": {\"level\": \"loud\"}}", LB_ERROR_BAD_VALUE, "log.level");
 }
 
-Test (settings, missing_file_is_typed)
+Test (settings, missing_file_is_an_io_error)
 {
   LnSettings settings;
   LbError error = { 0 };
@@ -75,16 +75,17 @@
   ln_settings_clear (&settings);
 }
 
-Test (settings, comments_are_allowed_and_values_arrive)
+Test (settings, comments_are_allowed_and_values_are_read)
 {
   LnSettings settings;
   LbError error = { 0 };
 
-  cr_assert (read_text (&settings,
-                        "{ // one\n \"instance\": {\"name\": \"i7\", \"data_centre\": \"hall-b\"},"
-                        " /* two */ \"cluster\": {\"key\": \"k\", \"seeds\": [\"127.0.0.1:1\","
-                        " \"127.0.0.1:2\"]}, \"drain\": {\"drain_ms\": 5}, \"seed\": 9 }",
-                        &error),
+  cr_assert (read_settings_text (
+                 &settings,
+                 "{ // one\n \"instance\": {\"name\": \"i7\", \"data_centre\": \"hall-b\"},"
+                 " /* two */ \"cluster\": {\"key\": \"k\", \"seeds\": [\"127.0.0.1:1\","
+                 " \"127.0.0.1:2\"]}, \"drain\": {\"drain_ms\": 5}, \"seed\": 9 }",
+                 &error),
              "%s %s", error.where, error.detail);
   cr_assert_str_eq (settings.instance.name, "i7");
   cr_assert_str_eq (settings.instance.data_centre, "hall-b");
--- a/packages/node/tests/test-stall.c
+++ b/packages/node/tests/test-stall.c
@@ -5,22 +5,22 @@
 #include <criterion/criterion.h>
 #include <event2/event.h>
 
-/* A handler runs in a circle for ever. Callers of this instance wait without an answer, what it
- * holds is missed by the others only after its leases, and there is no line that says why. The
- * process ends instead, and the platform starts it anew. */
-Test (stall, a_turn_that_never_ends_ends_the_process, .exit_code = 70, .timeout = 60)
+/* A handler loops for ever. Without the detector, callers would wait without a reply, other
+ * instances would take over only after its leases expire, and no log line would tell why. The
+ * process must exit instead, so that the platform restarts it. */
+Test (stall, endless_handler_terminates_the_process, .exit_code = 70, .timeout = 60)
 {
   struct event_base *base = event_base_new ();
-  volatile int turns = 0;
+  volatile int n_iterations = 0;
 
   ln_stall_detector_new (base, 100 * LB_MSEC);
-  ln_stall_set_activity ("a circle");
+  ln_stall_set_activity ("endless loop");
   for (;;)
-    turns++;
+    n_iterations++;
 }
 
-/* A machine that is busy or was paused, and a process that waits, use no processor time. */
-Test (stall, a_loop_that_waits_goes_on)
+/* A waiting process, like one on a busy or paused machine, uses no processor time. */
+Test (stall, waiting_loop_is_not_terminated)
 {
   struct event_base *base = event_base_new ();
   LnStallDetector *stall = ln_stall_detector_new (base, 100 * LB_MSEC);
