--- a/packages/node/src/store/ln-platform-call.c
+++ b/packages/node/src/store/ln-platform-call.c
@@ -9,17 +9,17 @@
 
 #include <stdlib.h>
 
-/* Without an answer for so long a call counts as lost: ten times what a slow platform takes. */
-#define SILENCE (2 * LB_SEC)
-#define CONNECT_TIME (500 * LB_MSEC)
+/* After this time without a response a call is lost; 10 times the duration on a slow platform. */
+#define RESPONSE_TIMEOUT (2 * LB_SEC)
+#define CONNECT_TIMEOUT (500 * LB_MSEC)
 
 typedef struct
 {
   LbLink link;
-  LbList *calls; /* that it stands in */
+  LbList *calls; /* the list that holds this call */
   const LnContext *context;
   LhFetch *fetch;
-  LnPlatformCallDone called;
+  LnPlatformCallDone done;
   void *user;
   LbTime sent_at;
   LbName path;
@@ -29,12 +29,12 @@
 finish (Call *call, LnDutyOutcome outcome)
 {
   lb_list_remove (call->calls, &call->link);
-  call->called (outcome, call->user);
+  call->done (outcome, call->user);
   free (call);
 }
 
 static LnDutyOutcome
-outcome_of (const Call *call, const LhResult *result)
+read_outcome (const Call *call, const LhResult *result)
 {
   if (result->failure == LB_OK)
     return call->context->dialect->judge_duty (result->status);
@@ -51,31 +51,29 @@
           "platform_called", LB_TEXT ("path", call->path), LB_INT ("status", result->status),
           LB_TEXT ("error", lb_error_name (result->failure)),
           LB_INT ("took_us", lb_clock_monotonic () - call->sent_at));
-  finish (call, outcome_of (call, result));
+  finish (call, read_outcome (call, result));
 }
 
-/* Each on a connection of its own: calls are seconds apart, and one that was kept may have gone
- * silent meanwhile. */
+/* Opens a new connection for each call: calls are seconds apart, and a connection kept for so long
+ * may have failed unnoticed. */
 void
 ln_platform_call_start (const LnContext *context,
                         LbList *calls,
                         const LcOutgoing *outgoing,
-                        LnPlatformCallDone called,
+                        LnPlatformCallDone done,
                         void *user)
 {
   const LhHandlers handlers = { .on_done = on_done };
   const LhRequest request = { .address = context->settings->duties.address,
-                              .connect_time = CONNECT_TIME,
-                              .silence = SILENCE,
+                              .connect_time = CONNECT_TIMEOUT,
+                              .silence = RESPONSE_TIMEOUT,
                               .fresh_connection = true };
   Call *call = LB_NEW (Call);
   LbError error = { 0 };
 
-  *call = (Call){ .calls = calls,
-                  .context = context,
-                  .called = called,
-                  .user = user,
-                  .sent_at = lb_clock_monotonic () };
+  *call = (Call){
+    .calls = calls, .context = context, .done = done, .user = user, .sent_at = lb_clock_monotonic ()
+  };
   LB_COPY (call->path, outgoing->path);
   lb_list_append (calls, &call->link);
   call->fetch = ln_fetch_start_outgoing (context, outgoing, &request, &handlers, call, &error);
--- a/packages/node/src/store/ln-platform-call.h
+++ b/packages/node/src/store/ln-platform-call.h
@@ -6,17 +6,18 @@
 #include "ln-context.h"
 #include "ln-dialect.h"
 
-/* A call of a duty to the platform beside its store: made once, and answered once. */
+/* Calls to the platform's duty API. Each is sent once, without retries, and done is called exactly
+ * once. */
 
 typedef void (*LnPlatformCallDone) (LnDutyOutcome outcome, void *user);
 
-/* calls: where it stands while it is on its way. */
+/* Adds the call to calls until it is done. */
 void ln_platform_call_start (const LnContext *context,
                              LbList *calls,
                              const LcOutgoing *outgoing,
-                             LnPlatformCallDone called,
+                             LnPlatformCallDone done,
                              void *user);
-/* Ends those on their way; they are answered as LN_DUTY_UNANSWERED. */
+/* Cancels all calls in progress; their outcome is LN_DUTY_UNANSWERED. */
 void ln_platform_calls_cancel (LbList *calls);
 
 #endif
--- a/packages/node/src/store/ln-row-cache.c
+++ b/packages/node/src/store/ln-row-cache.c
@@ -10,13 +10,13 @@
 
 typedef struct
 {
-  char *key; /* of the hash */
+  char *key;
   int64_t version;
   char *text;
   void *content;
-  bool is_readable;
-  LbError error; /* why it is not */
-  bool seen;     /* in the list being read */
+  bool is_valid;
+  LbError error;  /* when not valid */
+  bool is_listed; /* by the current list */
   UT_hash_handle hh;
 } Entry;
 
@@ -27,14 +27,14 @@
   Entry *entries;
 };
 
-static LbMetric rows_read = LB_COUNTER_INIT ("lentilspindle_rows_total",
-                                             "taken=\"read\"",
-                                             "Rows of lists that were taken apart, or were not "
-                                             "because they say what they said before");
-static LbMetric rows_same = LB_COUNTER_INIT ("lentilspindle_rows_total",
-                                             "taken=\"same\"",
-                                             "Rows of lists that were taken apart, or were not "
-                                             "because they say what they said before");
+static LbMetric rows_parsed = LB_COUNTER_INIT ("lentilspindle_rows_total",
+                                               "taken=\"read\"",
+                                               "Listed rows, by whether they were parsed or "
+                                               "unchanged except for their write counter");
+static LbMetric rows_unchanged = LB_COUNTER_INIT ("lentilspindle_rows_total",
+                                                  "taken=\"same\"",
+                                                  "Listed rows, by whether they were parsed or "
+                                                  "unchanged except for their write counter");
 
 LnRowCache *
 ln_row_cache_new (const LnRowCacheClass *klass, void *user)
@@ -47,7 +47,7 @@
 }
 
 static void
-forget (LnRowCache *cache, Entry *entry)
+remove_entry (LnRowCache *cache, Entry *entry)
 {
   HASH_DEL (cache->entries, entry);
   free (entry->key);
@@ -63,7 +63,7 @@
 
   HASH_ITER (hh, cache->entries, entry, next)
   {
-    forget (cache, entry);
+    remove_entry (cache, entry);
   }
   free (cache);
 }
@@ -72,7 +72,7 @@
 ln_row_cache_begin_list (LnRowCache *cache)
 {
   for (Entry *entry = cache->entries; entry; entry = entry->hh.next)
-    entry->seen = false;
+    entry->is_listed = false;
 }
 
 void
@@ -82,8 +82,8 @@
 
   HASH_ITER (hh, cache->entries, entry, next)
   {
-    if (!entry->seen)
-      forget (cache, entry);
+    if (!entry->is_listed)
+      remove_entry (cache, entry);
   }
 }
 
@@ -97,33 +97,33 @@
   return text;
 }
 
-/* The same text but for the number behind the first mark. */
+/* Whether the texts are equal except for the number after the first prefix. */
 static bool
-is_same (const char *before, const char *now, const char *mark)
+is_equal_except_counter (const char *before, const char *after, const char *prefix)
 {
-  const char *at = strstr (before, mark);
-  size_t length = at ? (size_t)(at - before) + strlen (mark) : 0;
+  const char *counter = strstr (before, prefix);
+  size_t length = counter ? (size_t)(counter - before) + strlen (prefix) : 0;
 
-  if (!at || strncmp (before, now, length) != 0)
-    return strcmp (before, now) == 0;
-  return strcmp (skip_number (before + length), skip_number (now + length)) == 0;
+  if (!counter || strncmp (before, after, length) != 0)
+    return strcmp (before, after) == 0;
+  return strcmp (skip_number (before + length), skip_number (after + length)) == 0;
 }
 
 static void
-take (LnRowCache *cache, Entry *entry, const LpRow *row)
+update_entry (LnRowCache *cache, Entry *entry, const LpRow *row)
 {
   const char *text = row->value ? row->value : "";
 
   entry->version = row->version;
-  if (entry->text && is_same (entry->text, text, cache->klass->counter_prefix))
+  if (entry->text && is_equal_except_counter (entry->text, text, cache->klass->counter_prefix))
     {
-      lb_metric_add (&rows_same, 1);
+      lb_metric_add (&rows_unchanged, 1);
       return;
     }
-  lb_metric_add (&rows_read, 1);
+  lb_metric_add (&rows_parsed, 1);
   free (entry->text);
   entry->text = lb_strdup (text);
-  entry->is_readable = cache->klass->parse (row, entry->content, &entry->error, cache->user);
+  entry->is_valid = cache->klass->parse (row, entry->content, &entry->error, cache->user);
 }
 
 const void *
@@ -139,12 +139,12 @@
       entry->content = lb_calloc (1, cache->klass->size);
       HASH_ADD_KEYPTR (hh, cache->entries, entry->key, strlen (entry->key), entry);
     }
-  entry->seen = true;
+  entry->is_listed = true;
   if (!entry->text || entry->version != row->version)
-    take (cache, entry, row);
+    update_entry (cache, entry, row);
   else
-    lb_metric_add (&rows_same, 1);
-  if (entry->is_readable)
+    lb_metric_add (&rows_unchanged, 1);
+  if (entry->is_valid)
     return entry->content;
   *error = entry->error;
   return NULL;
--- a/packages/node/src/store/ln-row-cache.h
+++ b/packages/node/src/store/ln-row-cache.h
@@ -4,17 +4,16 @@
 #include "lb-error.h"
 #include "lp-platform.h"
 
-/* What rows of a table say, read once. Instances and endpoints write their rows each second or so
- * to show that they live, and each instance lists all of them several times a second: nearly always
- * a row says what it said before, but for the count of its writes. Then its text is compared and
- * not taken apart. */
+/* Caches the parsed content of rows. Instances and endpoints rewrite their rows about every second
+ * as a heartbeat, and each instance lists all rows several times a second. Nearly always only the
+ * write counter in a row has changed; then its text is compared instead of parsed. */
 
 typedef struct
 {
-  size_t size; /* of what a row says */
-  /* False with an error: the row can't be read. */
+  size_t size; /* of the parsed content */
+  /* False, with an error, when the row is malformed. */
   bool (*parse) (const LpRow *row, void *content, LbError *error, void *user);
-  /* What stands before the number that counts the row's writes, for example "\"count\":". */
+  /* Text in front of the row's write counter, for example "\"count\":". */
   const char *counter_prefix;
 } LnRowCacheClass;
 
@@ -23,12 +22,12 @@
 LnRowCache *ln_row_cache_new (const LnRowCacheClass *klass, void *user);
 void ln_row_cache_free (LnRowCache *cache);
 
-/* commands: between begin and end lies one list */
+/* Each list of rows is enclosed in begin_list and end_list. */
 void ln_row_cache_begin_list (LnRowCache *cache);
-/* What the row says, valid until the next list; NULL with an error when it can't be read. The count
- * of its writes may be that of an earlier one. */
+/* Returns the row's content, valid until the next list, or NULL with an error when it is malformed.
+ * The write counter in the content may be outdated. */
 const void *ln_row_cache_parse (LnRowCache *cache, const LpRow *row, LbError *error);
-/* Forgets rows that the list did not hold. */
+/* Drops cached rows that were not in the list. */
 void ln_row_cache_end_list (LnRowCache *cache);
 
 #endif
--- a/packages/node/src/store/ln-unreadable-rows.c
+++ b/packages/node/src/store/ln-unreadable-rows.c
@@ -9,7 +9,7 @@
 typedef struct
 {
   char *key;
-  bool seen; /* in the list being read */
+  bool is_reported; /* during the current list */
   UT_hash_handle hh;
 } Row;
 
@@ -25,7 +25,7 @@
 }
 
 static void
-forget (LnUnreadableRows *rows, Row *row)
+remove_row (LnUnreadableRows *rows, Row *row)
 {
   HASH_DEL (rows->by_key, row);
   free (row->key);
@@ -39,7 +39,7 @@
 
   HASH_ITER (hh, rows->by_key, row, next)
   {
-    forget (rows, row);
+    remove_row (rows, row);
   }
   free (rows);
 }
@@ -48,7 +48,7 @@
 ln_unreadable_rows_begin_list (LnUnreadableRows *rows)
 {
   for (Row *row = rows->by_key; row; row = row->hh.next)
-    row->seen = false;
+    row->is_reported = false;
 }
 
 void
@@ -64,7 +64,7 @@
       HASH_ADD_KEYPTR (hh, rows->by_key, row->key, strlen (row->key), row);
       lb_log_error (LB_LOG_WARNING, "endpoint_unreadable", reason);
     }
-  row->seen = true;
+  row->is_reported = true;
 }
 
 void
@@ -74,7 +74,7 @@
 
   HASH_ITER (hh, rows->by_key, row, next)
   {
-    if (!row->seen)
-      forget (rows, row);
+    if (!row->is_reported)
+      remove_row (rows, row);
   }
 }
--- a/packages/node/src/store/ln-unwritten-rows.c
+++ b/packages/node/src/store/ln-unwritten-rows.c
@@ -7,8 +7,8 @@
 
 #include <stdlib.h>
 
-/* While the store is away: one row for each endpoint that ends, of which a site of three hundred
- * loses some ten at once. */
+/* While the store is unreachable, each endpoint that fails adds a row; a site of 300 endpoints
+ * loses about 10 at once. */
 #define MAX_ROWS 64
 
 typedef struct
@@ -16,16 +16,16 @@
   LbLink link;
   LnUnwrittenRows *owner;
   char *key;
-  char *text;  /* NULL: it is removed */
-  char *token; /* of this write; with the key, since other writers number theirs alike */
-  bool is_sent;
+  char *text;  /* NULL: the row is deleted */
+  char *token; /* idempotency token; includes the key, as other writers use the same numbers */
+  bool is_in_flight;
 } Row;
 
 struct LnUnwrittenRows
 {
   LpPlatform *platform;
   const char *incarnation;
-  uint64_t n_added;
+  uint64_t n_writes;
   LbList rows;
 };
 
@@ -41,7 +41,7 @@
 }
 
 static void
-drop (Row *row)
+free_row (Row *row)
 {
   lb_list_remove (&row->owner->rows, &row->link);
   free (row->key);
@@ -55,25 +55,25 @@
 {
   LB_LIST_FOREACH (&rows->rows, Row, link, row)
   {
-    drop (row);
+    free_row (row);
   }
   free (rows);
 }
 
 static void
-on_written (LbErrorCode error, const LpRow *answer, void *user)
+on_written (LbErrorCode error, const LpRow *reply, void *user)
 {
-  (void)answer;
+  (void)reply;
   Row *row = user;
 
   if (error == LB_OK)
     {
-      drop (row);
+      free_row (row);
       return;
     }
   lb_log (LB_LOG_INFO, "row_not_written", LB_TEXT ("key", row->key),
           LB_TEXT ("error", lb_error_name (error)));
-  row->is_sent = false;
+  row->is_in_flight = false;
 }
 
 static void
@@ -83,20 +83,20 @@
   const LpPut put = { .key = row->key, .value = row->text };
   const LpTransaction transaction = { .token = row->token, .puts = &put, .n_puts = 1 };
 
-  row->is_sent = true;
+  row->is_in_flight = true;
   platform->klass->transact (platform, &transaction, LP_PRIORITY_LEDGER, on_written, row);
 }
 
-/* The oldest that is not on its way: what came later is about the present. */
+/* Drops the oldest row that is not in flight, as later rows are more relevant. */
 static void
-make_room (LnUnwrittenRows *rows)
+drop_oldest (LnUnwrittenRows *rows)
 {
   LB_LIST_FOREACH (&rows->rows, Row, link, row)
   {
-    if (row->is_sent)
+    if (row->is_in_flight)
       continue;
     lb_log (LB_LOG_WARNING, "row_dropped", LB_TEXT ("key", row->key));
-    drop (row);
+    free_row (row);
     return;
   }
 }
@@ -107,12 +107,12 @@
   Row *row = LB_NEW (Row);
 
   if (rows->rows.length >= MAX_ROWS)
-    make_room (rows);
+    drop_oldest (rows);
   row->owner = rows;
   row->key = lb_strdup (key);
   row->text = text;
   row->token
-      = lb_asprintf ("%s#%s-%llu", key, rows->incarnation, (unsigned long long)++rows->n_added);
+      = lb_asprintf ("%s#%s-%llu", key, rows->incarnation, (unsigned long long)++rows->n_writes);
   lb_list_append (&rows->rows, &row->link);
   send_row (row);
 }
@@ -122,7 +122,7 @@
 {
   LB_LIST_FOREACH (&rows->rows, Row, link, row)
   {
-    if (!row->is_sent)
+    if (!row->is_in_flight)
       send_row (row);
   }
 }
--- a/packages/node/src/store/ln-unwritten-rows.h
+++ b/packages/node/src/store/ln-unwritten-rows.h
@@ -3,18 +3,18 @@
 
 struct LpPlatform;
 
-/* Rows on their way to the platform's store, each written until the store has taken it. There is no
- * condition: for rows of which any value that was written last will do. */
+/* Writes rows to the platform's store, and keeps each until the store has accepted it. Writes are
+ * unconditional: only for rows where the last write may win. */
 typedef struct LnUnwrittenRows LnUnwrittenRows;
 
-/* incarnation: of this process; it stays the caller's. */
+/* incarnation: of this process; borrowed, must outlive the object. */
 LnUnwrittenRows *ln_unwritten_rows_new (struct LpPlatform *platform, const char *incarnation);
-/* The platform must not answer any more. */
+/* The platform must not call back after this. */
 void ln_unwritten_rows_free (LnUnwrittenRows *rows);
 
-/* Writes it at once. Takes the text over; NULL: the row is removed. */
+/* Sends the write at once. Takes ownership of text; NULL deletes the row. */
 void ln_unwritten_rows_write (LnUnwrittenRows *rows, const char *key, char *text);
-/* Those that the store did not take. */
+/* Sends again the rows that the store did not accept. */
 void ln_unwritten_rows_retry (LnUnwrittenRows *rows);
 
 #endif
