--- a/packages/node/src/front/ln-caller.c
+++ b/packages/node/src/front/ln-caller.c
@@ -15,7 +15,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Bytes; the shortest line that evhtp's parser takes for too long. */
+/* evhtp's parser rejects lines of this many bytes or more. */
 #define PARSER_LINE_MAX 8192
 
 static LbMetric connections
@@ -23,14 +23,14 @@
 static LbMetric refused_connections
     = LB_COUNTER_INIT ("lentilspindle_caller_connections_refused_total",
                        NULL,
-                       "Connections closed at once because too many are open");
+                       "Connections closed at once because too many were open");
 
 void
 ln_callers_init (LnCallers *callers, struct event_base *base)
 {
   memset (callers, 0, sizeof *callers);
   callers->base = base;
-  lb_list_init (&callers->callers);
+  lb_list_init (&callers->connections);
   lb_list_init (&callers->lingers);
   lb_list_init (&callers->exchanges);
 }
@@ -38,7 +38,7 @@
 void
 ln_callers_clear (LnCallers *callers)
 {
-  LB_LIST_FOREACH (&callers->callers, LnCaller, link, caller)
+  LB_LIST_FOREACH (&callers->connections, LnCaller, link, caller)
   {
     evhtp_connection_free (caller->connection);
   }
@@ -47,44 +47,45 @@
 }
 
 static void
-arm (LnCaller *caller, LbTime time)
+start_timer (LnCaller *caller, LbTime delay)
 {
-  const struct timeval limit = lb_time_to_timeval (time);
+  const struct timeval interval = lb_time_to_timeval (delay);
 
-  evtimer_add (caller->timer, &limit);
+  evtimer_add (caller->timer, &interval);
 }
 
 static bool
-is_reading (const LnCaller *caller)
+is_reading_request (const LnCaller *caller)
 {
   const evhtp_request_t *request = caller->connection->request;
 
   return request && !(request->flags & EVHTP_REQ_FLAG_FINISHED);
 }
 
-/* Bytes of a request line that is kept from the parser until its end has come. */
+/* Bytes of a partial request line that are withheld from the parser. */
 static size_t
-half_line (const LnCaller *caller)
+partial_line_length (const LnCaller *caller)
 {
-  size_t length = ln_request_bytes_half_line (&caller->bytes);
+  size_t length = ln_request_scanner_partial_line_length (&caller->scanner);
 
-  return caller->bytes.is_bad || length >= PARSER_LINE_MAX ? 0 : length;
+  return caller->scanner.is_malformed || length >= PARSER_LINE_MAX ? 0 : length;
 }
 
-/* The request behind an answered one has its whole request line now. */
+/* Called once the request line of the next request is complete. */
 static void
-go_on (LnCaller *caller)
+resume_held_request (LnCaller *caller)
 {
-  evhtp_request_t *answered = caller->answered;
+  evhtp_request_t *held_request = caller->held_request;
 
-  caller->answered = NULL;
-  arm (caller, caller->callers->read_time);
-  evhtp_request_resume (answered);
+  caller->held_request = NULL;
+  start_timer (caller, caller->callers->read_timeout);
+  evhtp_request_resume (held_request);
 }
 
-/* The caller sends its request so slowly, a byte a second say, that it would hold the connection
- * for ever; evhtp's own timeouts start anew with each byte. The time of a whole request is bounded
- * instead, from its first byte to its last. A connection between requests is just closed. */
+/* Limits the time from the first to the last byte of a request. evhtp's own timeouts restart with
+ * each byte, so a caller that sends a byte a second would hold its connection for ever. An idle
+ * connection is closed without a reply. While a request is processed, this resumes reading; see
+ * ln_caller_watch_disconnect. */
 static void
 on_timer (evutil_socket_t fd, short what, void *user)
 {
@@ -97,28 +98,28 @@
       bufferevent_enable (caller->connection->bev, EV_READ);
       return;
     }
-  if (caller->answered && half_line (caller) == 0 && !caller->bytes.is_bad)
+  if (caller->held_request && partial_line_length (caller) == 0 && !caller->scanner.is_malformed)
     {
-      go_on (caller);
+      resume_held_request (caller);
       return;
     }
-  if (caller->bytes.is_bad)
+  if (caller->scanner.is_malformed)
     caller->refusal = LB_ERROR_BAD_REQUEST;
-  else if (is_reading (caller) || half_line (caller) > 0)
+  else if (is_reading_request (caller) || partial_line_length (caller) > 0)
     caller->refusal = LB_ERROR_TOO_SLOW;
   evhtp_connection_free (caller->connection);
 }
 
 static LbErrorCode
-refusal_of_parser (const evhtp_connection_t *connection)
+read_parser_error (const evhtp_connection_t *connection)
 {
   switch (htparser_get_error (connection->parser))
     {
     case htparse_error_none:
-    case htparse_error_user: /* a hook of ours stopped it, or paused it to answer */
+    case htparse_error_user: /* stopped by one of the hooks below, or paused for the reply */
       return LB_OK;
     case htparse_error_too_big:
-      /* It says the same of a Content-Length that is no number of bytes. */
+      /* The parser also reports this for an invalid Content-Length. */
       return htparser_get_total_bytes_read (connection->parser) < PARSER_LINE_MAX
                  ? LB_ERROR_BAD_REQUEST
                  : LB_ERROR_HEADER_TOO_LARGE;
@@ -131,9 +132,10 @@
 write_refusal (struct bufferevent *bev, LbErrorCode code)
 {
   int status = lb_error_http_status (code);
-  char *body = lb_asprintf ("{\"error\":{\"type\":\"%s\",\"message\":\"the request was given up\","
-                            "\"where\":\"\",\"not_run\":true}}\n",
-                            lb_error_name (code));
+  char *body = lb_asprintf (
+      "{\"error\":{\"type\":\"%s\",\"message\":\"the request was refused before it was processed\","
+      "\"where\":\"\",\"not_run\":true}}\n",
+      lb_error_name (code));
   char *reply = lb_asprintf ("HTTP/1.1 %d Refused\r\nContent-Type: application/json\r\n"
                              "Content-Length: %zu\r\nx-not-run: 1\r\nConnection: close\r\n\r\n%s",
                              status, strlen (body), body);
@@ -144,9 +146,9 @@
   lb_metric_count_error (code);
 }
 
-/* evhtp frees a connection with all that waits to be sent, also when its parser refuses a request,
- * so the caller would see a closed connection without a reason. This runs before that: it takes
- * the socket away, adds the typed reply and lets it flush. */
+/* evhtp discards pending output when it frees a connection, also after a parser error, so the
+ * caller would get no reply at all. This hook runs before that: it takes over the socket, adds the
+ * error reply and starts a lingering close. */
 static evhtp_res
 on_connection_end (evhtp_connection_t *connection, void *user)
 {
@@ -154,10 +156,11 @@
   struct bufferevent *bev = connection->bev;
 
   if (caller->refusal == LB_OK && !caller->exchange)
-    caller->refusal = caller->bytes.is_bad ? LB_ERROR_BAD_REQUEST : refusal_of_parser (connection);
+    caller->refusal
+        = caller->scanner.is_malformed ? LB_ERROR_BAD_REQUEST : read_parser_error (connection);
   if (bev)
-    evbuffer_remove_cb_entry (bufferevent_get_input (bev), caller->on_input);
-  if (bev && (caller->refusal != LB_OK || caller->flush))
+    evbuffer_remove_cb_entry (bufferevent_get_input (bev), caller->input_callback);
+  if (bev && (caller->refusal != LB_OK || caller->is_flushed_at_close))
     {
       connection->bev = NULL;
       if (caller->refusal != LB_OK)
@@ -165,20 +168,20 @@
       ln_linger_start (&caller->callers->lingers, bev);
     }
   if (caller->exchange)
-    ln_exchange_connection_lost (caller->exchange);
-  lb_list_remove (&caller->callers->callers, &caller->link);
+    ln_exchange_detach_connection (caller->exchange);
+  lb_list_remove (&caller->callers->connections, &caller->link);
   lb_metric_add (&connections, -1);
   event_free (caller->timer);
-  free (caller->query);
+  free (caller->raw_query);
   free (caller);
   return EVHTP_RES_OK;
 }
 
-/* A caller that sends request after request without reading fills no more than this. */
+/* Bounds the input buffered for a caller that pipelines requests. */
 static size_t
-most_unread (const LnCallers *callers)
+max_input_bytes (const LnCallers *callers)
 {
-  return callers->max_body + callers->max_header + 4096;
+  return callers->max_body_bytes + callers->max_header_bytes + 4096;
 }
 
 static evhtp_res
@@ -189,16 +192,16 @@
 
   caller->header_bytes = 0;
   caller->body_bytes = 0;
-  if (caller->bytes.is_bad)
-    arm (caller, 0);
-  else if (!caller->is_timed)
-    arm (caller, caller->callers->read_time);
-  caller->is_timed = false;
+  if (caller->scanner.is_malformed)
+    start_timer (caller, 0);
+  else if (!caller->is_read_timer_started)
+    start_timer (caller, caller->callers->read_timeout);
+  caller->is_read_timer_started = false;
   return EVHTP_RES_OK;
 }
 
 static evhtp_res
-refuse (LnCaller *caller, LbErrorCode code)
+refuse_request (LnCaller *caller, LbErrorCode code)
 {
   caller->refusal = code;
   return EVHTP_RES_ERROR;
@@ -211,8 +214,8 @@
   LnCaller *caller = user;
 
   caller->header_bytes += header->klen + header->vlen + 4;
-  if (caller->header_bytes > caller->callers->max_header)
-    return refuse (caller, LB_ERROR_HEADER_TOO_LARGE);
+  if (caller->header_bytes > caller->callers->max_header_bytes)
+    return refuse_request (caller, LB_ERROR_HEADER_TOO_LARGE);
   return EVHTP_RES_OK;
 }
 
@@ -230,16 +233,17 @@
   LnFraming framing = { 0 };
   const unsigned char *query = request->uri ? request->uri->query_raw : NULL;
 
-  /* evhtp puts the body of a form in its place later. */
-  free (caller->query);
-  caller->query = query ? lb_strdup ((const char *)query) : NULL;
+  /* Copied, as evhtp later replaces the query by the body of a form. */
+  free (caller->raw_query);
+  caller->raw_query = query ? lb_strdup ((const char *)query) : NULL;
   evhtp_kvs_for_each (headers, add_to_framing, &framing);
-  /* What is no request may be a later one of the same bytes. */
-  if (ln_framing_is_ambiguous (&framing) || caller->heads >= caller->bytes.heads)
-    return refuse (caller, LB_ERROR_BAD_REQUEST);
-  caller->heads++;
-  if (evhtp_request_content_len (request) > caller->callers->max_body)
-    return refuse (caller, LB_ERROR_BODY_TOO_LARGE);
+  /* The scanner may be ahead of the parser: a malformed request may be a later one. */
+  if (ln_framing_is_ambiguous (&framing)
+      || caller->n_headers_parsed >= caller->scanner.n_headers_complete)
+    return refuse_request (caller, LB_ERROR_BAD_REQUEST);
+  caller->n_headers_parsed++;
+  if (evhtp_request_content_len (request) > caller->callers->max_body_bytes)
+    return refuse_request (caller, LB_ERROR_BODY_TOO_LARGE);
   return EVHTP_RES_OK;
 }
 
@@ -250,13 +254,14 @@
   LnCaller *caller = user;
 
   caller->body_bytes += evbuffer_get_length (buffer);
-  if (caller->body_bytes > caller->callers->max_body)
-    return refuse (caller, LB_ERROR_BODY_TOO_LARGE);
+  if (caller->body_bytes > caller->callers->max_body_bytes)
+    return refuse_request (caller, LB_ERROR_BODY_TOO_LARGE);
   return EVHTP_RES_OK;
 }
 
-/* A caller goes away while its request is answered. evhtp's error hook is not called for a paused
- * connection, so the engine would go on for nobody; this hook comes with every event. */
+/* Detects a caller that disconnects while its request is processed; otherwise the engine would go
+ * on generating for nobody. evhtp does not call its error hook for a paused connection, but calls
+ * this one for every event. */
 static void
 on_event (evhtp_connection_t *connection, short events, void *user)
 {
@@ -264,65 +269,66 @@
   LnCaller *caller = user;
 
   if (caller->exchange && (events & (BEV_EVENT_EOF | BEV_EVENT_ERROR)))
-    ln_exchange_caller_gone (caller->exchange);
+    ln_exchange_report_disconnect (caller->exchange);
 }
 
 static void
-wait_for (LnCaller *caller, size_t n_bytes)
+set_read_watermark (LnCaller *caller, size_t n_bytes)
 {
   const LnCallers *callers = caller->callers;
 
-  bufferevent_setwatermark (caller->connection->bev, EV_READ, n_bytes, most_unread (callers));
+  bufferevent_setwatermark (caller->connection->bev, EV_READ, n_bytes, max_input_bytes (callers));
 }
 
-/* Guards against paths that nobody sent: evhtp's parser skips a place of its buffer, with what it
- * held before, where a request line goes on in a second piece. "/services/" became "/serv3ices/",
- * the 3 of the request before it, and a service ran it. So the parser is not woken before the line
- * is whole. */
+/* Withholds a request line from the parser until it is complete. Where a line continues in a second
+ * segment, evhtp's parser skips one byte of its buffer and leaves there a byte of the previous
+ * request: "/services/" became "/serv3ices/", and a service ran that request. */
 static void
-hold_half_line (LnCaller *caller, struct evbuffer *input, size_t n_added)
+withhold_partial_line (LnCaller *caller, struct evbuffer *input, size_t n_added)
 {
-  size_t half = half_line (caller);
+  size_t partial = partial_line_length (caller);
 
-  if (caller->answered)
+  if (caller->held_request)
     {
-      if (half == 0)
-        arm (caller, 0);
+      if (partial == 0)
+        start_timer (caller, 0);
       return;
     }
   if (caller->exchange)
     return;
-  wait_for (caller, half > 0 && half == evbuffer_get_length (input) ? half + 1 : 0);
-  if (half == 0 || half > n_added)
+  set_read_watermark (caller,
+                      partial > 0 && partial == evbuffer_get_length (input) ? partial + 1 : 0);
+  if (partial == 0 || partial > n_added)
     return;
-  arm (caller, caller->callers->read_time);
-  caller->is_timed = true;
+  start_timer (caller, caller->callers->read_timeout);
+  caller->is_read_timer_started = true;
 }
 
-/* Runs before the library's parser sees the bytes. What is no request is refused once the requests
- * before it are answered; the parser may be waiting for more of it, so it is not left to it. */
+/* Scans received bytes before evhtp's parser gets them. A malformed request is refused once the
+ * requests before it are replied to; the parser can't do this, as it may wait for more bytes. */
 static void
 on_input (struct evbuffer *input, const struct evbuffer_cb_info *info, void *user)
 {
   LnCaller *caller = user;
   struct evbuffer_ptr at;
-  struct evbuffer_iovec piece;
-  size_t left = info->n_added;
+  struct evbuffer_iovec segment;
+  size_t remaining = info->n_added;
 
-  if (left == 0
-      || evbuffer_ptr_set (input, &at, evbuffer_get_length (input) - left, EVBUFFER_PTR_SET) != 0)
+  if (remaining == 0
+      || evbuffer_ptr_set (input, &at, evbuffer_get_length (input) - remaining, EVBUFFER_PTR_SET)
+             != 0)
     return;
-  while (left > 0 && evbuffer_peek (input, (ev_ssize_t)left, &at, &piece, 1) > 0)
+  while (remaining > 0 && evbuffer_peek (input, (ev_ssize_t)remaining, &at, &segment, 1) > 0)
     {
-      size_t length = piece.iov_len < left ? piece.iov_len : left;
-      ln_request_bytes_take (&caller->bytes, piece.iov_base, length);
-      left -= length;
-      if (left > 0 && evbuffer_ptr_set (input, &at, length, EVBUFFER_PTR_ADD) != 0)
+      size_t length = segment.iov_len < remaining ? segment.iov_len : remaining;
+      ln_request_scanner_feed (&caller->scanner, segment.iov_base, length);
+      remaining -= length;
+      if (remaining > 0 && evbuffer_ptr_set (input, &at, length, EVBUFFER_PTR_ADD) != 0)
         break;
     }
-  hold_half_line (caller, input, info->n_added);
-  if (caller->bytes.is_bad && !caller->exchange)
-    arm (caller, 0);
+  withhold_partial_line (caller, input, info->n_added);
+  if (caller->scanner.is_malformed && !caller->exchange)
+    start_timer (caller, 0);
 }
 
 static void
@@ -344,16 +350,16 @@
 }
 
 static void
-read_peer (LnCaller *caller)
+read_ip (LnCaller *caller)
 {
   const struct sockaddr *address = caller->connection->saddr;
 
   if (address && address->sa_family == AF_INET)
-    inet_ntop (AF_INET, &((const struct sockaddr_in *)(const void *)address)->sin_addr,
-               caller->peer, sizeof caller->peer);
+    inet_ntop (AF_INET, &((const struct sockaddr_in *)(const void *)address)->sin_addr, caller->ip,
+               sizeof caller->ip);
   else if (address && address->sa_family == AF_INET6)
     inet_ntop (AF_INET6, &((const struct sockaddr_in6 *)(const void *)address)->sin6_addr,
-               caller->peer, sizeof caller->peer);
+               caller->ip, sizeof caller->ip);
 }
 
 evhtp_res
@@ -361,7 +367,7 @@
 {
   LnCallers *callers = user;
 
-  if (callers->callers.length >= callers->max_callers)
+  if (callers->connections.length >= callers->max_connections)
     {
       lb_metric_add (&refused_connections, 1);
       return EVHTP_RES_ERROR;
@@ -370,19 +376,20 @@
   caller->callers = callers;
   caller->connection = connection;
   caller->timer = evtimer_new (callers->base, on_timer, caller);
-  lb_list_append (&callers->callers, &caller->link);
+  lb_list_append (&callers->connections, &caller->link);
   lb_metric_add (&connections, 1);
-  read_peer (caller);
+  read_ip (caller);
   lh_socket_find_silence (connection->sock);
   set_hooks (connection, caller);
-  arm (caller, callers->read_time);
-  caller->on_input = evbuffer_add_cb (bufferevent_get_input (connection->bev), on_input, caller);
-  wait_for (caller, 0);
+  start_timer (caller, callers->read_timeout);
+  caller->input_callback
+      = evbuffer_add_cb (bufferevent_get_input (connection->bev), on_input, caller);
+  set_read_watermark (caller, 0);
   return EVHTP_RES_OK;
 }
 
 LnCaller *
-ln_caller_of (const evhtp_connection_t *connection)
+ln_caller_from_connection (const evhtp_connection_t *connection)
 {
   return connection->hooks->on_connection_fini_arg;
 }
@@ -390,44 +397,44 @@
 bool
 ln_caller_is_busy (const LnCaller *caller)
 {
-  struct evbuffer *unsent = bufferevent_get_output (caller->connection->bev);
+  struct evbuffer *output = bufferevent_get_output (caller->connection->bev);
 
-  return caller->exchange || is_reading (caller) || half_line (caller) > 0
-         || evbuffer_get_length (unsent) > 0;
+  return caller->exchange || is_reading_request (caller) || partial_line_length (caller) > 0
+         || evbuffer_get_length (output) > 0;
 }
 
-/* evhtp stops reading from a paused connection, and so would not see that its caller closes it: the
- * engine would go on for nobody. It does so once more after its callback returns, so reading starts
- * again in the loop's next turn, by the timer, which is free while a request is answered. */
+/* evhtp stops reading from a paused connection and would not see a disconnect. It stops reading a
+ * second time after its callback returns, so reading is resumed in the next iteration of the event
+ * loop, by the timer, which is unused while a request is processed. */
 void
-ln_caller_watch (LnCaller *caller)
+ln_caller_watch_disconnect (LnCaller *caller)
 {
-  arm (caller, 0);
+  start_timer (caller, 0);
 }
 
 void
-ln_caller_replied (LnCaller *caller, evhtp_request_t *request)
+ln_caller_finish_reply (LnCaller *caller, evhtp_request_t *request)
 {
   caller->exchange = NULL;
-  if (caller->last_reply || !(request->flags & EVHTP_REQ_FLAG_KEEPALIVE))
+  if (caller->is_closed_after_reply || !(request->flags & EVHTP_REQ_FLAG_KEEPALIVE))
     {
       ln_caller_close (caller);
       return;
     }
-  if (half_line (caller) > 0)
+  if (partial_line_length (caller) > 0)
     {
-      caller->answered = request;
-      arm (caller, caller->callers->read_time);
+      caller->held_request = request;
+      start_timer (caller, caller->callers->read_timeout);
       bufferevent_enable (caller->connection->bev, EV_READ);
       return;
     }
-  arm (caller, caller->bytes.is_bad ? 0 : caller->callers->idle_time);
+  start_timer (caller, caller->scanner.is_malformed ? 0 : caller->callers->idle_timeout);
   evhtp_request_resume (request);
 }
 
 void
 ln_caller_close (LnCaller *caller)
 {
-  caller->flush = true;
+  caller->is_flushed_at_close = true;
   evhtp_connection_free (caller->connection);
 }
--- a/packages/node/src/front/ln-entry.c
+++ b/packages/node/src/front/ln-entry.c
@@ -9,14 +9,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define RETRY_WITHOUT_ADDRESS (2 * LB_SEC)
+#define RETRY_AFTER (2 * LB_SEC)
 
-static LbMetric answers
-    = LB_COUNTER_INIT ("lentilspindle_entry_answers_total", NULL, "Answers to GET /v1/entry");
+static LbMetric replies
+    = LB_COUNTER_INIT ("lentilspindle_entry_answers_total", NULL, "Replies to GET /v1/entry");
 
-/* The caller's name: as it says, else its IP, so that the same caller gets the same addresses. */
+/* The name that the caller gives, else its IP, so that it always gets the same addresses. */
 static const char *
-caller_of (const LnExchange *exchange)
+caller_name (const LnExchange *exchange)
 {
   const char *caller = ln_exchange_query (exchange, "caller");
 
@@ -58,8 +58,8 @@
 {
   LbError error;
 
-  lb_error_set (&error, LB_ERROR_NOT_READY, "entry", "no instance takes new callers now");
-  ln_exchange_reply_error (exchange, &error, RETRY_WITHOUT_ADDRESS);
+  lb_error_set (&error, LB_ERROR_NOT_READY, "entry", "no instance accepts new callers at present");
+  ln_exchange_reply_error (exchange, &error, RETRY_AFTER);
 }
 
 static void
@@ -71,7 +71,7 @@
   struct json_object *object = json_object_new_object ();
   struct json_object *addresses = addresses_to_json (entry, views);
 
-  lb_log (LB_LOG_INFO, "entry", LB_TEXT ("caller", caller_of (exchange)),
+  lb_log (LB_LOG_INFO, "entry", LB_TEXT ("caller", caller_name (exchange)),
           LB_JSON ("addresses", json_object_to_json_string (addresses)));
   json_object_object_add (object, "ttl_ms", json_object_new_int64 (time_to_live_ms));
   json_object_object_add (object, "addresses", addresses);
@@ -89,8 +89,8 @@
   lc_membership_copy_views (membership, views);
   if (!data_centre || !is_known_data_centre (views, n_views, data_centre))
     data_centre = lc_membership_self (membership)->data_centre;
-  lc_entry_choose (&entry, views, n_views, caller_of (exchange), data_centre);
-  lb_metric_add (&answers, 1);
+  lc_entry_choose (&entry, views, n_views, caller_name (exchange), data_centre);
+  lb_metric_add (&replies, 1);
   if (entry.n_chosen == 0)
     refuse (exchange);
   else
--- a/packages/node/src/front/ln-entry.h
+++ b/packages/node/src/front/ln-entry.h
@@ -4,7 +4,7 @@
 #include "lc-membership.h"
 #include "ln-exchange.h"
 
-/* Answers GET /v1/entry from the present view. */
+/* Replies to GET /v1/entry from the current membership view. */
 void ln_entry_reply (LnExchange *exchange, const LcMembership *membership, int64_t time_to_live_ms);
 
 #endif
--- a/packages/node/src/front/ln-exchange-private.h
+++ b/packages/node/src/front/ln-exchange-private.h
@@ -4,17 +4,19 @@
 #include "ln-caller.h"
 #include "ln-exchange.h"
 
-/* The side of an exchange that the front task and the connections see. */
+/* Functions for the front task and its connections. */
 LnExchange *ln_exchange_new (LnCaller *caller, evhtp_request_t *request, uint64_t id, LnHub *hub);
-void ln_exchange_caller_gone (LnExchange *exchange);
-/* The connection and its request are freed by evhtp. */
-void ln_exchange_connection_lost (LnExchange *exchange);
-/* At the end of the process: what its owners have not answered. */
+/* Notifies the owner, once, that the caller has disconnected. */
+void ln_exchange_report_disconnect (LnExchange *exchange);
+/* To be called before evhtp frees the connection with its request. */
+void ln_exchange_detach_connection (LnExchange *exchange);
+/* At the end of the process: frees the exchanges that got no reply. */
 void ln_exchange_free_all (LbList *exchanges);
-/* What the owner wants to find again when the caller goes away. */
+
+/* Data of the owner, for use when the caller disconnects. */
 void ln_exchange_set_user_data (LnExchange *exchange, void *user);
 void *ln_exchange_user_data (const LnExchange *exchange);
-/* The query as it came, NULL when there is none. */
+/* The query before decoding; NULL: none. */
 const char *ln_exchange_raw_query (const LnExchange *exchange);
 /* Calls visit for each header of the request. */
 void ln_exchange_foreach_header (const LnExchange *exchange,
--- a/packages/node/src/front/ln-exchange.c
+++ b/packages/node/src/front/ln-exchange.c
@@ -18,31 +18,31 @@
 
 #define JSON_FORMAT (JSON_C_TO_STRING_PLAIN | JSON_C_TO_STRING_NOSLASHESCAPE)
 
-/* A caller that reads this much slower than its answer comes is taken for gone. */
-#define MAX_UNSENT (16 << 20)
+/* A caller that falls behind its stream by more than this counts as disconnected. */
+#define MAX_UNSENT_BYTES (16 << 20)
 
 struct LnExchange
 {
-  LbLink link; /* in LnCallers.exchanges until it is answered */
-  LbList *all;
-  int references; /* one until it is answered, one for LN_CALLER_DISCONNECTED on its way */
+  LbLink link; /* in LnCallers.exchanges */
+  LbList *exchanges;
+  int references; /* one until the reply is complete, one for a queued LN_CALLER_DISCONNECTED */
   uint64_t id;
   LnHub *hub;
   LnTask *owner;
-  void *user;
-  LnCaller *caller;         /* NULL once the connection is lost */
-  evhtp_request_t *request; /* NULL once the connection is lost */
+  void *user_data;
+  LnCaller *caller;         /* NULL once the connection is closed */
+  evhtp_request_t *request; /* NULL once the connection is closed */
   struct evkeyvalq query;
   char *raw_query;
-  bool gone;
-  bool streaming;
-  bool chunked;
-  int status; /* of the reply; of the error when a stream ended with one */
+  bool is_disconnected;
+  bool is_streaming;
+  bool is_chunked;
+  int status; /* of the reply, or of the error that ended a stream */
   char *method;
   char *path;
   char *body;
   size_t body_length;
-  char peer[64];
+  char caller_ip[64];
 };
 
 LnExchange *
@@ -54,18 +54,18 @@
 
   exchange->id = id;
   exchange->references = 1;
-  exchange->all = &caller->callers->exchanges;
-  lb_list_append (exchange->all, &exchange->link);
+  exchange->exchanges = &caller->callers->exchanges;
+  lb_list_append (exchange->exchanges, &exchange->link);
   exchange->hub = hub;
   exchange->caller = caller;
   exchange->request = request;
-  /* evhtp's parser lets some words pass as methods that it has no name for. */
+  /* evhtp's parser accepts some methods that it has no name for. */
   exchange->method = lb_strdup (method ? method : "UNKNOWN");
   exchange->path = lb_strdup (path ? path : "/");
-  LB_COPY (exchange->peer, caller->peer);
+  LB_COPY (exchange->caller_ip, caller->ip);
   TAILQ_INIT (&exchange->query);
-  exchange->raw_query = caller->query;
-  caller->query = NULL;
+  exchange->raw_query = caller->raw_query;
+  caller->raw_query = NULL;
   if (exchange->raw_query)
     evhttp_parse_query_str (exchange->raw_query, &exchange->query);
   exchange->body_length = evbuffer_get_length (request->buffer_in);
@@ -74,7 +74,7 @@
   exchange->body[exchange->body_length] = '\0';
   caller->exchange = exchange;
   evhtp_request_pause (request);
-  ln_caller_watch (caller);
+  ln_caller_watch_disconnect (caller);
   return exchange;
 }
 
@@ -91,15 +91,15 @@
   free (exchange);
 }
 
-/* Its owner is done with it. */
+/* Ends the owner's use of the exchange, and frees it unless a queued message refers to it. */
 static void
-exchange_done (LnExchange *exchange)
+exchange_close (LnExchange *exchange)
 {
-  exchange->user = NULL;
+  exchange->user_data = NULL;
   exchange->request = NULL;
   exchange->caller = NULL;
-  exchange->gone = true;
-  lb_list_remove (exchange->all, &exchange->link);
+  exchange->is_disconnected = true;
+  lb_list_remove (exchange->exchanges, &exchange->link);
   exchange_unref (exchange);
 }
 
@@ -108,39 +108,38 @@
 {
   LB_LIST_FOREACH (exchanges, LnExchange, link, exchange)
   {
-    exchange_done (exchange);
+    exchange_close (exchange);
   }
 }
 
 static void
-clear_gone_message (LnMessage *message)
+clear_disconnected_message (LnMessage *message)
 {
   exchange_unref (((LnExchangeMessage *)message)->exchange);
 }
 
-/* Tells the owner once. */
 void
-ln_exchange_caller_gone (LnExchange *exchange)
+ln_exchange_report_disconnect (LnExchange *exchange)
 {
   LnExchangeMessage message = { .base = LN_MESSAGE (LN_CALLER_DISCONNECTED), .exchange = exchange };
 
-  if (exchange->gone)
+  if (exchange->is_disconnected)
     return;
-  exchange->gone = true;
+  exchange->is_disconnected = true;
   if (!exchange->owner)
     return;
-  /* The owner may answer before it reads this message; the exchange it names must still exist. */
+  /* The owner may reply before it gets this message, which must not refer to a freed exchange. */
   exchange->references++;
-  message.base.clear = clear_gone_message;
+  message.base.clear = clear_disconnected_message;
   LN_POST (exchange->hub, exchange->owner, message);
 }
 
 void
-ln_exchange_connection_lost (LnExchange *exchange)
+ln_exchange_detach_connection (LnExchange *exchange)
 {
   exchange->caller = NULL;
   exchange->request = NULL;
-  ln_exchange_caller_gone (exchange);
+  ln_exchange_report_disconnect (exchange);
 }
 
 uint64_t
@@ -173,7 +172,7 @@
   return exchange->raw_query;
 }
 
-/* NULL when absent, and also once the caller's connection is lost. */
+/* NULL when absent, and also once the caller's connection is closed. */
 const char *
 ln_exchange_header (const LnExchange *exchange, const char *name)
 {
@@ -221,19 +220,19 @@
 const char *
 ln_exchange_caller_ip (const LnExchange *exchange)
 {
-  return exchange->peer;
+  return exchange->caller_ip;
 }
 
 void
 ln_exchange_set_user_data (LnExchange *exchange, void *user)
 {
-  exchange->user = user;
+  exchange->user_data = user;
 }
 
 void *
 ln_exchange_user_data (const LnExchange *exchange)
 {
-  return exchange->user;
+  return exchange->user_data;
 }
 
 void
@@ -249,46 +248,46 @@
     evhtp_headers_add_header (exchange->request->headers_out, evhtp_header_new (name, value, 1, 1));
 }
 
-/* A connection whose caller has gone is not written to: evhtp has marked it to be freed, and frees
- * it when it is resumed. */
+/* After a disconnect nothing is written to the connection: evhtp has marked it for freeing, and
+ * does so when it is resumed. */
 static bool
 is_writable (const LnExchange *exchange)
 {
-  return exchange->caller && exchange->request && !exchange->gone;
+  return exchange->caller && exchange->request && !exchange->is_disconnected;
 }
 
 static void
-record_whole (const LnExchange *exchange)
+record_completion (const LnExchange *exchange)
 {
   LnRecorder *recorder = exchange->caller ? exchange->caller->callers->recorder : NULL;
 
   if (recorder && is_writable (exchange) && exchange->status == 200)
-    ln_recorder_whole (recorder, exchange, lb_clock_monotonic ());
+    ln_recorder_add_completion (recorder, exchange, lb_clock_monotonic ());
 }
 
 static void
-release (LnExchange *exchange)
+finish_reply (LnExchange *exchange)
 {
   LnCaller *caller = exchange->caller;
 
-  record_whole (exchange);
-  if (caller && exchange->gone)
+  record_completion (exchange);
+  if (caller && exchange->is_disconnected)
     {
       caller->exchange = NULL;
       evhtp_connection_free (caller->connection);
     }
   else if (caller)
-    ln_caller_replied (caller, exchange->request);
-  exchange_done (exchange);
+    ln_caller_finish_reply (caller, exchange->request);
+  exchange_close (exchange);
 }
 
-/* A draining instance asks its callers to connect elsewhere. */
+/* A draining instance closes connections, so that callers connect to another instance. */
 static void
-mark_drain (LnExchange *exchange)
+close_after_reply_if_draining (LnExchange *exchange)
 {
-  if (!exchange->caller->callers->draining)
+  if (!exchange->caller->callers->is_draining)
     return;
-  exchange->caller->last_reply = true;
+  exchange->caller->is_closed_after_reply = true;
   ln_exchange_set_header (exchange, "Connection", "close");
 }
 
@@ -299,13 +298,13 @@
   exchange->status = status;
   if (is_writable (exchange))
     {
-      mark_drain (exchange);
+      close_after_reply_if_draining (exchange);
       if (type)
         ln_exchange_set_header (exchange, "Content-Type", type);
       evbuffer_add (exchange->request->buffer_out, text, length);
       evhtp_send_reply (exchange->request, (evhtp_res)status);
     }
-  release (exchange);
+  finish_reply (exchange);
 }
 
 void
@@ -316,13 +315,13 @@
   const char *text = json_object_to_json_string_length (object, JSON_FORMAT, &length);
 
   if (recorder)
-    ln_recorder_reply (recorder, exchange, status, object, lb_clock_monotonic ());
+    ln_recorder_add_reply (recorder, exchange, status, object, lb_clock_monotonic ());
   ln_exchange_reply_text (exchange, status, "application/json", text, length);
   json_object_put (object);
 }
 
 static struct json_object *
-error_object (const LbError *error)
+error_to_json (const LbError *error)
 {
   struct json_object *outer = json_object_new_object ();
   struct json_object *inner = json_object_new_object ();
@@ -339,13 +338,13 @@
 void
 ln_exchange_reply_error (LnExchange *exchange, const LbError *error, LbTime retry_after)
 {
-  char number[32];
+  char value[32];
 
   lb_metric_count_error (error->code);
-  if (exchange->streaming)
+  if (exchange->is_streaming)
     {
-      /* The status is long sent: the error is the last event, and no end marker follows. */
-      struct json_object *object = error_object (error);
+      /* The status line is already sent: the error is the last event, without an end marker. */
+      struct json_object *object = error_to_json (error);
       char *event
           = lb_asprintf ("data: %s\n\n", json_object_to_json_string_ext (object, JSON_FORMAT));
       ln_exchange_write_stream (exchange, event, strlen (event));
@@ -359,33 +358,33 @@
     ln_exchange_set_header (exchange, "x-not-run", "1");
   if (retry_after > 0)
     {
-      if (exchange->caller && exchange->caller->callers->exact_retry_after)
-        snprintf (number, sizeof number, "%.3f", (double)retry_after / LB_SEC);
+      if (exchange->caller && exchange->caller->callers->has_exact_retry_after)
+        snprintf (value, sizeof value, "%.3f", (double)retry_after / LB_SEC);
       else
-        snprintf (number, sizeof number, "%lld", (long long)((retry_after + LB_SEC - 1) / LB_SEC));
-      ln_exchange_set_header (exchange, "Retry-After", number);
-      snprintf (number, sizeof number, "%lld", (long long)((retry_after + LB_MSEC - 1) / LB_MSEC));
-      ln_exchange_set_header (exchange, "x-retry-after-ms", number);
+        snprintf (value, sizeof value, "%lld", (long long)((retry_after + LB_SEC - 1) / LB_SEC));
+      ln_exchange_set_header (exchange, "Retry-After", value);
+      snprintf (value, sizeof value, "%lld", (long long)((retry_after + LB_MSEC - 1) / LB_MSEC));
+      ln_exchange_set_header (exchange, "x-retry-after-ms", value);
     }
-  ln_exchange_reply_json (exchange, lb_error_http_status (error->code), error_object (error));
+  ln_exchange_reply_json (exchange, lb_error_http_status (error->code), error_to_json (error));
 }
 
 void
 ln_exchange_start_stream (LnExchange *exchange, int status, const char *type)
 {
-  exchange->streaming = true;
+  exchange->is_streaming = true;
   exchange->status = status;
   if (!is_writable (exchange))
     return;
-  mark_drain (exchange);
+  close_after_reply_if_draining (exchange);
   ln_exchange_set_header (exchange, "Content-Type", type);
-  /* HTTP/1.0 has no chunks: there the end of the connection ends the answer. */
-  exchange->chunked = exchange->request->proto != EVHTP_PROTO_10;
-  if (exchange->chunked)
+  /* HTTP/1.0 has no chunked coding: closing the connection ends the reply. */
+  exchange->is_chunked = exchange->request->proto != EVHTP_PROTO_10;
+  if (exchange->is_chunked)
     evhtp_send_reply_chunk_start (exchange->request, (evhtp_res)status);
   else
     {
-      exchange->caller->last_reply = true;
+      exchange->caller->is_closed_after_reply = true;
       evhtp_send_reply_start (exchange->request, (evhtp_res)status);
     }
 }
@@ -393,29 +392,29 @@
 void
 ln_exchange_write_stream (LnExchange *exchange, const char *bytes, size_t length)
 {
-  struct evbuffer *piece;
+  struct evbuffer *chunk;
 
   if (!is_writable (exchange) || length == 0)
     return;
-  piece = evbuffer_new ();
-  evbuffer_add (piece, bytes, length);
-  if (exchange->chunked)
-    evhtp_send_reply_chunk (exchange->request, piece);
+  chunk = evbuffer_new ();
+  evbuffer_add (chunk, bytes, length);
+  if (exchange->is_chunked)
+    evhtp_send_reply_chunk (exchange->request, chunk);
   else
-    evhtp_send_reply_body (exchange->request, piece);
-  evbuffer_free (piece);
-  /* A caller that has stopped reading would fill the memory with its unsent answer. */
+    evhtp_send_reply_body (exchange->request, chunk);
+  evbuffer_free (chunk);
+  /* The unsent reply of a caller that has stopped reading must not exhaust the memory. */
   struct evbuffer *unsent = bufferevent_get_output (exchange->caller->connection->bev);
-  if (evbuffer_get_length (unsent) > MAX_UNSENT)
-    ln_exchange_caller_gone (exchange);
+  if (evbuffer_get_length (unsent) > MAX_UNSENT_BYTES)
+    ln_exchange_report_disconnect (exchange);
 }
 
 void
 ln_exchange_end (LnExchange *exchange)
 {
-  if (is_writable (exchange) && exchange->chunked)
+  if (is_writable (exchange) && exchange->is_chunked)
     evhtp_send_reply_chunk_end (exchange->request);
   else if (is_writable (exchange))
     evhtp_send_reply_end (exchange->request);
-  release (exchange);
+  finish_reply (exchange);
 }
--- a/packages/node/src/front/ln-framing.c
+++ b/packages/node/src/front/ln-framing.c
@@ -5,27 +5,26 @@
 #include <strings.h>
 
 static bool
-is_named (const char *name, size_t length, const char *wanted)
+equals_ignoring_case (const char *name, size_t length, const char *expected)
 {
-  return length == strlen (wanted) && strncasecmp (name, wanted, length) == 0;
+  return length == strlen (expected) && strncasecmp (name, expected, length) == 0;
 }
 
-/* A name with a space before its colon is another header for one reader and the same for the next.
- */
+/* Names must be tokens: some servers ignore a space between name and colon, others do not. */
 static bool
 is_token (const char *name, size_t length)
 {
-  static const char marks[] = "!#$%&'*+-.^_`|~";
+  static const char symbols[] = "!#$%&'*+-.^_`|~";
 
   for (size_t i = 0; i < length; i++)
-    if (!isalnum ((unsigned char)name[i]) && (name[i] == '\0' || !strchr (marks, name[i])))
+    if (!isalnum ((unsigned char)name[i]) && (name[i] == '\0' || !strchr (symbols, name[i])))
       return false;
   return length > 0;
 }
 
-/* A bare CR or LF in a value ends the header for some readers. */
+/* Some servers end the header at a bare CR or LF in a value. */
 static bool
-is_one_line (const char *value, size_t length)
+is_single_line (const char *value, size_t length)
 {
   return !memchr (value, '\r', length) && !memchr (value, '\n', length)
          && !memchr (value, '\0', length);
@@ -40,35 +39,35 @@
   return length > 0;
 }
 
-/* The only coding that is read here; with another one the body would be taken to end elsewhere. */
+/* The only transfer coding that is decoded here; with any other the end of the body is unknown. */
 static bool
 is_chunked (const char *value, size_t length)
 {
-  return is_named (value, length, "chunked");
+  return equals_ignoring_case (value, length, "chunked");
 }
 
 static void
-note (bool *seen, bool is_good, LnFraming *framing)
+add_unique_header (bool *is_present, bool is_valid, LnFraming *framing)
 {
-  framing->is_ambiguous |= *seen || !is_good;
-  *seen = true;
+  framing->is_ambiguous |= *is_present || !is_valid;
+  *is_present = true;
 }
 
 void
 ln_framing_add (
     LnFraming *framing, const char *name, size_t name_length, const char *value, size_t length)
 {
-  framing->is_ambiguous |= !is_token (name, name_length) || !is_one_line (value, length);
-  if (is_named (name, name_length, "Content-Length"))
-    note (&framing->has_length, is_number (value, length), framing);
-  else if (is_named (name, name_length, "Transfer-Encoding"))
-    note (&framing->has_coding, is_chunked (value, length), framing);
-  else if (is_named (name, name_length, "Host"))
-    note (&framing->has_host, true, framing);
+  framing->is_ambiguous |= !is_token (name, name_length) || !is_single_line (value, length);
+  if (equals_ignoring_case (name, name_length, "Content-Length"))
+    add_unique_header (&framing->has_content_length, is_number (value, length), framing);
+  else if (equals_ignoring_case (name, name_length, "Transfer-Encoding"))
+    add_unique_header (&framing->has_transfer_encoding, is_chunked (value, length), framing);
+  else if (equals_ignoring_case (name, name_length, "Host"))
+    add_unique_header (&framing->has_host, true, framing);
 }
 
 bool
 ln_framing_is_ambiguous (const LnFraming *framing)
 {
-  return framing->is_ambiguous || (framing->has_length && framing->has_coding);
+  return framing->is_ambiguous || (framing->has_content_length && framing->has_transfer_encoding);
 }
--- a/packages/node/src/front/ln-front.c
+++ b/packages/node/src/front/ln-front.c
@@ -19,23 +19,23 @@
 #include <string.h>
 
 #define BACKLOG 1024
-#define MAX_LISTENERS                                                                              \
-  5 /* callers', entry's, readiness', metrics' and, on a shared platform, peers' */
+/* For callers, entry, readiness, metrics and, on a shared platform, peers. */
+#define MAX_LISTENERS 5
 
-/* The callers' sockets: reads requests whole, within limits, and posts each to the task of its
- * route. */
+/* The HTTP front end: receives complete requests, within the configured limits, and posts each to
+ * the task of its route. */
 typedef struct
 {
-  LnTask task; /* first */
+  LnTask task; /* must be the first member */
   LnContext *context;
   evhtp_t *servers[MAX_LISTENERS];
   size_t n_servers;
-  evhtp_t *peer_server;    /* of servers; NULL: the peers task listens */
-  evhtp_t *metrics_server; /* of servers; NULL: none of its own */
+  evhtp_t *peer_server;    /* one of servers; NULL: the peers task listens */
+  evhtp_t *metrics_server; /* one of servers; NULL: no separate metrics listener */
   LnCallers callers;
-  uint64_t next_exchange;
-  bool ready; /* the resources in force are confirmed */
-  bool draining;
+  uint64_t last_exchange_id;
+  bool is_ready; /* the resources in use are confirmed */
+  bool is_draining;
 } LnFront;
 
 static const LnRoute routes[] = { { "POST", "/v1/completions", "calls" },
@@ -51,8 +51,9 @@
                                   { "GET", "/healthz", "front" },
                                   { "GET", "/readyz", "front" } };
 
-static LbMetric requests
-    = LB_COUNTER_INIT ("lentilspindle_requests_total", NULL, "Whole requests of callers");
+static LbMetric requests = LB_COUNTER_INIT ("lentilspindle_requests_total",
+                                            NULL,
+                                            "Complete requests received from callers");
 
 /* A prefix matches whole path segments only: /metricsx is not /metrics. */
 static bool
@@ -67,9 +68,9 @@
   return !route->method || strcmp (route->method, method) == 0;
 }
 
-/* Only instances are let through to the store; callers do not reach the peers' address. */
+/* Only instances may use the path of the peers task; callers can't reach the peer address. */
 static LnTask *
-find_task_in_dialect (const LnFront *front, const LnExchange *exchange, bool is_from_peer)
+find_task_by_dialect (const LnFront *front, const LnExchange *exchange, bool is_from_peer)
 {
   static const char *const tasks[] = {
     [LN_INBOUND_ENTRY] = "peers",      [LN_INBOUND_READY] = "front",
@@ -90,7 +91,7 @@
   const LnRoute *best = NULL;
 
   if (front->context->dialect)
-    return find_task_in_dialect (front, exchange, is_from_peer);
+    return find_task_by_dialect (front, exchange, is_from_peer);
   for (size_t i = 0; i < sizeof routes / sizeof routes[0]; i++)
     if (route_matches (&routes[i], ln_exchange_method (exchange), ln_exchange_path (exchange))
         && (!best || strlen (routes[i].prefix) > strlen (best->prefix)))
@@ -98,17 +99,17 @@
   return best ? ln_hub_find_task (front->task.hub, best->task) : NULL;
 }
 
-/* Replies are never made from inside evhtp's own callbacks, so what the front answers itself goes
- * by mail too. */
+/* Replies must not be sent from within evhtp's callbacks, so requests for the front task are posted
+ * as well. */
 static void
 on_request (evhtp_request_t *request, void *user)
 {
   LnFront *front = user;
-  LnExchange *exchange = ln_exchange_new (ln_caller_of (request->conn), request,
-                                          ++front->next_exchange, front->task.hub);
+  LnExchange *exchange = ln_exchange_new (ln_caller_from_connection (request->conn), request,
+                                          ++front->last_exchange_id, front->task.hub);
   bool is_from_peer = front->peer_server && request->conn->htp == front->peer_server;
-  bool is_from_operator = front->metrics_server && request->conn->htp == front->metrics_server;
-  LnTask *task = is_from_operator ? &front->task : find_task (front, exchange, is_from_peer);
+  bool is_for_metrics = front->metrics_server && request->conn->htp == front->metrics_server;
+  LnTask *task = is_for_metrics ? &front->task : find_task (front, exchange, is_from_peer);
   LnRecorder *recorder = front->callers.recorder;
   LnExchangeMessage message = { .base = LN_MESSAGE (LN_EXCHANGE), .exchange = exchange };
 
@@ -116,7 +117,7 @@
     task = &front->task;
   lb_metric_add (&requests, 1);
   if (recorder)
-    ln_recorder_request (recorder, exchange, lb_clock_monotonic ());
+    ln_recorder_add_request (recorder, exchange, lb_clock_monotonic ());
   ln_exchange_set_owner (exchange, task);
   LN_POST (front->task.hub, task, message);
 }
@@ -126,20 +127,20 @@
 {
   LbError error = { 0 };
 
-  if (front->ready && !front->draining)
+  if (front->is_ready && !front->is_draining)
     {
       ln_exchange_reply_text (exchange, 200, "text/plain", "ready\n", 6);
       return;
     }
-  lb_error_set (&error, front->draining ? LB_ERROR_DRAINING : LB_ERROR_NOT_READY, "",
-                front->draining
+  lb_error_set (&error, front->is_draining ? LB_ERROR_DRAINING : LB_ERROR_NOT_READY, "",
+                front->is_draining
                     ? "this instance is shutting down"
                     : "the resources are not confirmed by the store or by other instances");
   ln_exchange_reply_error (exchange, &error, LB_SEC);
 }
 
 static void
-reply_own (LnFront *front, LnExchange *exchange)
+reply_to_exchange (LnFront *front, LnExchange *exchange)
 {
   const char *path = ln_exchange_path (exchange);
   LbError error = { 0 };
@@ -169,30 +170,31 @@
       reply_ready (front, exchange);
       return;
     }
-  lb_error_set (&error, LB_ERROR_UNKNOWN_PATH, "", "nothing answers %s %.120s",
+  lb_error_set (&error, LB_ERROR_UNKNOWN_PATH, "", "no handler for %s %.120s",
                 ln_exchange_method (exchange), path);
   ln_exchange_reply_error (exchange, &error, 0);
 }
 
 static int64_t
-larger (int64_t a, int64_t b)
+max_int64 (int64_t a, int64_t b)
 {
   return a > b ? a : b;
 }
 
-/* The operators of a shared platform tell callers what they may send and how long connections stay
- * usable. Where that is more than this instance's settings allow, it must be allowed: a refusal of
- * what the operators permit would be wrong, and a connection closed early fails the request that
- * is just being written to it. */
+/* The operators of a shared platform publish size limits and an idle timeout for callers. Where
+ * these exceed this instance's settings, they apply: otherwise the instance would refuse permitted
+ * requests, and a connection closed too early fails the request that is being written to it. */
 static void
-widen_limits (LnFront *front, const LcCallerLimits *limits)
+raise_limits (LnFront *front, const LcCallerLimits *limits)
 {
   const LnSettings *settings = front->context->settings;
   LnCallers *callers = &front->callers;
 
-  callers->max_body = (size_t)larger (settings->http.max_body_bytes, limits->max_body_bytes);
-  callers->max_header = (size_t)larger (settings->http.max_header_bytes, limits->max_header_bytes);
-  callers->idle_time = larger (LN_CALLER_IDLE_TIME, limits->idle_timeout);
+  callers->max_body_bytes
+      = (size_t)max_int64 (settings->http.max_body_bytes, limits->max_body_bytes);
+  callers->max_header_bytes
+      = (size_t)max_int64 (settings->http.max_header_bytes, limits->max_header_bytes);
+  callers->idle_timeout = max_int64 (LN_CALLER_IDLE_TIMEOUT, limits->idle_timeout);
 }
 
 static void
@@ -203,13 +205,13 @@
   switch ((LnMessageType)message->type)
     {
     case LN_EXCHANGE:
-      reply_own (front, ((const LnExchangeMessage *)message)->exchange);
+      reply_to_exchange (front, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_READY:
-      front->ready = ((const LnReadyMessage *)message)->ready;
+      front->is_ready = ((const LnReadyMessage *)message)->ready;
       break;
     case LN_DESIRED:
-      widen_limits (front, &((const LnDesiredMessage *)message)->desired->limits);
+      raise_limits (front, &((const LnDesiredMessage *)message)->desired->limits);
       break;
     default:
       break;
@@ -221,8 +223,8 @@
 {
   LnFront *front = (LnFront *)task;
 
-  front->draining = true;
-  front->callers.draining = true;
+  front->is_draining = true;
+  front->callers.is_draining = true;
 }
 
 static bool
@@ -232,7 +234,7 @@
 
   if (!lb_list_is_empty (&front->callers.lingers))
     return false;
-  LB_LIST_FOREACH (&front->callers.callers, LnCaller, link, caller)
+  LB_LIST_FOREACH (&front->callers.connections, LnCaller, link, caller)
   {
     if (ln_caller_is_busy (caller))
       return false;
@@ -280,23 +282,23 @@
 }
 
 static bool
-listen_at (LnFront *front, const char *wanted, const char *key, LbError *error)
+listen_at_address (LnFront *front, const char *address, const char *key, LbError *error)
 {
-  const char *colon = strrchr (wanted, ':');
+  const char *colon = strrchr (address, ':');
   char ip[LB_NAME_MAX] = "";
 
   if (colon)
-    lb_strlcpy (ip, wanted, (size_t)(colon - wanted) + 1);
+    lb_strlcpy (ip, address, (size_t)(colon - address) + 1);
   if (!colon
       || evhtp_bind_socket (add_server (front), ip, (uint16_t)strtoul (colon + 1, NULL, 10),
                             BACKLOG)
              != 0)
-    return lb_error_set (error, LB_ERROR_IO, key, "cannot listen at %s: %s", wanted,
+    return lb_error_set (error, LB_ERROR_IO, key, "cannot listen at %s: %s", address,
                          strerror (errno));
   return true;
 }
 
-/* The address as bound, with the port that the kernel chose. */
+/* Reads the bound address, with the port that the kernel chose. */
 static void
 read_bound_address (const evhtp_t *server, LbName address)
 {
@@ -311,7 +313,7 @@
   snprintf (address, LB_NAME_MAX, "%s:%u", ip, ntohs (bound.sin_port));
 }
 
-/* On a shared platform instances speak HTTP to one another, too; else the peers task listens. */
+/* Instances on a shared platform communicate by HTTP; otherwise the peers task listens. */
 static bool
 listen_for_peers (LnFront *front, LbError *error)
 {
@@ -319,23 +321,24 @@
 
   if (!context->dialect)
     return true;
-  if (!listen_at (front, context->settings->instance.peer_address, "instance.peer_address", error))
+  if (!listen_at_address (front, context->settings->instance.peer_address, "instance.peer_address",
+                          error))
     return false;
   front->peer_server = front->servers[front->n_servers - 1];
   read_bound_address (front->peer_server, context->peer_address);
   return true;
 }
 
-/* An address of its own: on a shared platform every path at the callers' address may be a route. */
+/* A separate address: on a shared platform any path at the caller address may be a route. */
 static bool
 listen_for_metrics (LnFront *front, LbError *error)
 {
   LnContext *context = front->context;
-  const char *wanted = context->settings->instance.metrics_address;
+  const char *address = context->settings->instance.metrics_address;
 
-  if (!wanted[0])
+  if (!address[0])
     return true;
-  if (!listen_at (front, wanted, "instance.metrics_address", error))
+  if (!listen_at_address (front, address, "instance.metrics_address", error))
     return false;
   front->metrics_server = front->servers[front->n_servers - 1];
   read_bound_address (front->metrics_server, context->metrics_address);
@@ -349,16 +352,17 @@
   const char *entry = settings->instance.entry_address;
   const char *ready = settings->instance.ready_address;
 
-  if (!listen_at (front, settings->instance.caller_address, "instance.caller_address", error))
+  if (!listen_at_address (front, settings->instance.caller_address, "instance.caller_address",
+                          error))
     return false;
   read_bound_address (front->servers[0], front->context->caller_address);
-  return (!entry[0] || listen_at (front, entry, "instance.entry_address", error))
-         && (!ready[0] || listen_at (front, ready, "instance.ready_address", error))
+  return (!entry[0] || listen_at_address (front, entry, "instance.entry_address", error))
+         && (!ready[0] || listen_at_address (front, ready, "instance.ready_address", error))
          && listen_for_metrics (front, error) && listen_for_peers (front, error);
 }
 
-/* Listens at the settings' caller address; context->caller_address holds the real one afterwards.
- * NULL, with a line in the log, when it cannot. */
+/* Listens at the configured addresses and stores the bound ones in context. Returns NULL, after
+ * logging the error, when it can't listen. */
 LnTask *
 ln_front_new (LnContext *context)
 {
@@ -370,12 +374,12 @@
   front->task.hub = context->hub;
   front->context = context;
   ln_callers_init (&front->callers, context->base);
-  front->callers.max_callers = (size_t)settings->http.max_connections;
-  front->callers.max_body = (size_t)settings->http.max_body_bytes;
-  front->callers.max_header = (size_t)settings->http.max_header_bytes;
-  front->callers.idle_time = LN_CALLER_IDLE_TIME;
-  front->callers.read_time = settings->http.request_read_ms * LB_MSEC;
-  front->callers.exact_retry_after = context->dialect != NULL;
+  front->callers.max_connections = (size_t)settings->http.max_connections;
+  front->callers.max_body_bytes = (size_t)settings->http.max_body_bytes;
+  front->callers.max_header_bytes = (size_t)settings->http.max_header_bytes;
+  front->callers.idle_timeout = LN_CALLER_IDLE_TIMEOUT;
+  front->callers.read_timeout = settings->http.request_read_ms * LB_MSEC;
+  front->callers.has_exact_retry_after = context->dialect != NULL;
   if (!listen_at_all (front, &error))
     {
       lb_log_error (LB_LOG_ERROR, "front_cannot_listen", &error);
--- a/packages/node/src/front/ln-linger.c
+++ b/packages/node/src/front/ln-linger.c
@@ -8,8 +8,8 @@
 #include <stdlib.h>
 #include <sys/socket.h>
 
-#define FLUSH_SECONDS 5
-#define WAIT_SECONDS 1
+#define FLUSH_TIMEOUT_SECONDS 5
+#define CLOSE_TIMEOUT_SECONDS 1
 
 struct LnLinger
 {
@@ -27,7 +27,7 @@
 }
 
 static void
-drop_input (struct bufferevent *bev, void *user)
+discard_input (struct bufferevent *bev, void *user)
 {
   (void)user;
   struct evbuffer *input = bufferevent_get_input (bev);
@@ -39,14 +39,15 @@
 on_flushed (struct bufferevent *bev, void *user)
 {
   (void)user;
-  const struct timeval wait = { .tv_sec = WAIT_SECONDS };
+  const struct timeval timeout = { .tv_sec = CLOSE_TIMEOUT_SECONDS };
 
-  /* This may be for what the owner before wrote: the callback is deferred by a turn of the loop. */
+  /* The callback is deferred to the next loop iteration, so it may refer to output of the previous
+   * owner while new output is pending. */
   if (evbuffer_get_length (bufferevent_get_output (bev)) > 0)
     return;
   shutdown (bufferevent_getfd (bev), SHUT_WR);
   bufferevent_disable (bev, EV_WRITE);
-  bufferevent_set_timeouts (bev, &wait, NULL);
+  bufferevent_set_timeouts (bev, &timeout, NULL);
 }
 
 static void
@@ -61,16 +62,16 @@
 ln_linger_start (LbList *lingers, struct bufferevent *bev)
 {
   LnLinger *linger = LB_NEW (LnLinger);
-  const struct timeval flush = { .tv_sec = FLUSH_SECONDS };
+  const struct timeval flush = { .tv_sec = FLUSH_TIMEOUT_SECONDS };
 
   linger->lingers = lingers;
   linger->bev = bev;
   lb_list_append (lingers, &linger->link);
-  bufferevent_setcb (bev, drop_input, on_flushed, on_event, linger);
+  bufferevent_setcb (bev, discard_input, on_flushed, on_event, linger);
   bufferevent_set_timeouts (bev, &flush, &flush);
   bufferevent_setwatermark (bev, EV_READ, 0, 0);
   bufferevent_enable (bev, EV_READ | EV_WRITE);
-  /* Nothing to write means that no write callback would come. */
+  /* Without pending output there would be no write callback. */
   if (evbuffer_get_length (bufferevent_get_output (bev)) == 0)
     on_flushed (bev, linger);
 }
--- a/packages/node/src/front/ln-linger.h
+++ b/packages/node/src/front/ln-linger.h
@@ -5,12 +5,12 @@
 
 struct bufferevent;
 
-/* Closes a connection only after what was written to it has left: the last reply of a connection
- * that is given up. Closing at once would reset the connection while the caller still sends, and
- * the caller's system would throw the reply away unread. */
+/* Lingering close: closes a connection only after its pending output, such as a final error reply,
+ * was sent. Closing at once would reset the connection while the caller is still sending, and the
+ * caller's system would discard the reply unread. */
 typedef struct LnLinger LnLinger;
 
-/* Takes over the bufferevent. The linger frees itself, or is freed by ln_linger_free_all. */
+/* Takes ownership of bev. The linger frees itself, unless ln_linger_free_all does. */
 void ln_linger_start (LbList *lingers, struct bufferevent *bev);
 void ln_linger_free_all (LbList *lingers);
 
--- a/packages/node/src/front/ln-recorder.c
+++ b/packages/node/src/front/ln-recorder.c
@@ -19,11 +19,11 @@
 #define MAX_TOKENS 4000
 #define MAX_GROUPS 512
 #define MAX_SAMPLES 64
-#define MAX_SHORTEST 400
+#define MAX_MIN_TOKENS 400
 #define DEFAULT_TOKENS 16
-/* A replay has its own engines and latencies: what was answered must be answered there too, but not
- * in the same time. */
-#define GRACE_MS 60000
+/* A replay has engines and latencies of its own: it must complete the same requests, but may take
+ * longer. */
+#define COMPLETION_MARGIN_MS 60000
 
 typedef enum
 {
@@ -36,16 +36,16 @@
 {
   LbLink link;
   RecordType type;
-  uint64_t exchange;
-  int64_t at_ms;
-  int64_t whole_ms; /* -1: never */
-  int64_t tokens;
+  uint64_t exchange_id;
+  int64_t at_ms;        /* since the start of the recording */
+  int64_t completed_ms; /* since the start of the recording; -1: not completed */
+  int64_t max_tokens;
   int64_t deadline_ms; /* 0: the default */
-  bool repeatable;
+  bool is_repeatable;
   int trainer;
-  int64_t step;   /* as the trainer named it */
-  int64_t number; /* of this trainer's recorded steps, from 0 */
-  bool accepted;
+  int64_t step;        /* the trainer's own number */
+  int64_t replay_step; /* index among the accepted steps of this trainer */
+  bool is_accepted;
 } Record;
 
 struct LnRecorder
@@ -53,18 +53,18 @@
   char path[256];
   const char *site;
   uint64_t seed;
-  LbTime begun;
+  LbTime started_at;
   LbList records;
   LbName trainers[MAX_TRAINERS];
-  int64_t steps[MAX_TRAINERS];
+  int64_t n_steps[MAX_TRAINERS]; /* accepted */
   int n_trainers;
-  int64_t groups;
-  int64_t samples;
-  int64_t shortest;
+  int64_t groups_per_step;
+  int64_t samples_per_group;
+  int64_t min_tokens;
 };
 
 static const char *
-site_of (const char *data_centre)
+data_centre_site (const char *data_centre)
 {
   return strncmp (data_centre, "hall-", 5) == 0 || strcmp (data_centre, "local") == 0 ? "kurunegala"
                                                                                       : "hoa-sen";
@@ -76,28 +76,28 @@
   LnRecorder *recorder = LB_NEW (LnRecorder);
 
   LB_COPY (recorder->path, path);
-  recorder->site = site_of (data_centre);
+  recorder->site = data_centre_site (data_centre);
   recorder->seed = seed % 1000000000000000U;
-  recorder->begun = now;
-  recorder->groups = 8;
-  recorder->samples = 4;
-  recorder->shortest = 20;
+  recorder->started_at = now;
+  recorder->groups_per_step = 8;
+  recorder->samples_per_group = 4;
+  recorder->min_tokens = 20;
   lb_list_init (&recorder->records);
   return recorder;
 }
 
 static int64_t
-clamp (int64_t value, int64_t most)
+clamp_from_1 (int64_t value, int64_t max)
 {
   if (value < 1)
     return 1;
-  return value < most ? value : most;
+  return value < max ? value : max;
 }
 
 static int64_t
 ms_since_start (const LnRecorder *recorder, LbTime now)
 {
-  return (now - recorder->begun) / LB_MSEC;
+  return (now - recorder->started_at) / LB_MSEC;
 }
 
 static Record *
@@ -109,9 +109,9 @@
     return NULL;
   record = LB_NEW (Record);
   record->type = type;
-  record->exchange = ln_exchange_id (exchange);
+  record->exchange_id = ln_exchange_id (exchange);
   record->at_ms = ms_since_start (recorder, now);
-  record->whole_ms = -1;
+  record->completed_ms = -1;
   lb_list_append (&recorder->records, &record->link);
   return record;
 }
@@ -129,17 +129,18 @@
   return NULL;
 }
 
-/* Not lb_json_int: a trainer that writes its numbers as 7.0 is understood too. */
+/* Unlike lb_json_int, also accepts integers written as 7.0, as some trainers send them. */
 static int64_t
-integer_of (struct json_object *object, const char *key, int64_t absent)
+read_integer (struct json_object *object, const char *key, int64_t default_value)
 {
   struct json_object *value = NULL;
 
-  return json_object_object_get_ex (object, key, &value) ? json_object_get_int64 (value) : absent;
+  return json_object_object_get_ex (object, key, &value) ? json_object_get_int64 (value)
+                                                         : default_value;
 }
 
 static int64_t
-deadline_of (const LnExchange *exchange)
+read_deadline_ms (const LnExchange *exchange)
 {
   const char *text = ln_exchange_header (exchange, "x-deadline-ms");
 
@@ -154,8 +155,9 @@
 
   if (record)
     {
-      record->tokens = clamp (integer_of (body, "max_tokens", DEFAULT_TOKENS), MAX_TOKENS);
-      record->deadline_ms = deadline_of (exchange);
+      record->max_tokens
+          = clamp_from_1 (read_integer (body, "max_tokens", DEFAULT_TOKENS), MAX_TOKENS);
+      record->deadline_ms = read_deadline_ms (exchange);
     }
   json_object_put (body);
 }
@@ -167,13 +169,13 @@
 
   if (!record)
     return;
-  record->repeatable = strcmp (ln_exchange_method (exchange), "POST") != 0;
-  record->deadline_ms = deadline_of (exchange);
+  record->is_repeatable = strcmp (ln_exchange_method (exchange), "POST") != 0;
+  record->deadline_ms = read_deadline_ms (exchange);
 }
 
-/* The trainer's number, from 0; -1 when there are too many. */
+/* Index of the trainer, added if new; -1 when there are too many trainers. */
 static int
-trainer_of (LnRecorder *recorder, const char *path)
+find_or_add_trainer (LnRecorder *recorder, const char *path)
 {
   LbName name = "";
   const char *begin = path + strlen ("/v1/subscriptions/");
@@ -201,9 +203,9 @@
   return NULL;
 }
 
-/* All steps of a trace have one shape: that of the first one. */
+/* A trace has one shape for all steps; the first step determines it. */
 static void
-note_shape (LnRecorder *recorder, struct json_object *body)
+record_step_shape (LnRecorder *recorder, struct json_object *body)
 {
   struct json_object *groups = NULL;
 
@@ -211,19 +213,19 @@
       || !json_object_is_type (groups, json_type_array) || json_object_array_length (groups) == 0)
     return;
   struct json_object *first = json_object_array_get_idx (groups, 0);
-  recorder->groups = clamp ((int64_t)json_object_array_length (groups), MAX_GROUPS);
-  recorder->samples = clamp (integer_of (first, "samples", 1), MAX_SAMPLES);
-  recorder->shortest = clamp (integer_of (first, "max_tokens", 60) / 3, MAX_SHORTEST);
+  recorder->groups_per_step = clamp_from_1 ((int64_t)json_object_array_length (groups), MAX_GROUPS);
+  recorder->samples_per_group = clamp_from_1 (read_integer (first, "samples", 1), MAX_SAMPLES);
+  recorder->min_tokens = clamp_from_1 (read_integer (first, "max_tokens", 60) / 3, MAX_MIN_TOKENS);
 }
 
 static void
 record_step (LnRecorder *recorder, const LnExchange *exchange, LbTime now)
 {
   struct json_object *body = read_body (exchange);
-  int trainer = body ? trainer_of (recorder, ln_exchange_path (exchange)) : -1;
-  int64_t step = body ? integer_of (body, "step", 0) : 0;
+  int trainer = body ? find_or_add_trainer (recorder, ln_exchange_path (exchange)) : -1;
+  int64_t step = body ? read_integer (body, "step", 0) : 0;
 
-  /* A trainer asks for a step again when it missed the answer. */
+  /* A repeated request for a step, sent after a lost reply, is not recorded again. */
   if (trainer >= 0 && !find_step (recorder, trainer, step))
     {
       Record *record = add_record (recorder, RECORD_STEP, exchange, now);
@@ -232,102 +234,105 @@
           record->trainer = trainer;
           record->step = step;
         }
-      if (recorder->n_trainers == 1 && recorder->steps[0] == 0)
-        note_shape (recorder, body);
+      if (recorder->n_trainers == 1 && recorder->n_steps[0] == 0)
+        record_step_shape (recorder, body);
     }
   json_object_put (body);
 }
 
 static bool
-ends_with (const char *text, const char *end)
+has_suffix (const char *text, const char *suffix)
 {
   size_t length = strlen (text);
-  size_t end_length = strlen (end);
+  size_t suffix_length = strlen (suffix);
 
-  return length >= end_length && strcmp (text + length - end_length, end) == 0;
+  return length >= suffix_length && strcmp (text + length - suffix_length, suffix) == 0;
 }
 
 static bool
-begins_with (const char *text, const char *begin)
+has_prefix (const char *text, const char *prefix)
 {
-  return strncmp (text, begin, strlen (begin)) == 0;
+  return strncmp (text, prefix, strlen (prefix)) == 0;
 }
 
 void
-ln_recorder_request (LnRecorder *recorder, const LnExchange *exchange, LbTime now)
+ln_recorder_add_request (LnRecorder *recorder, const LnExchange *exchange, LbTime now)
 {
   const char *path = ln_exchange_path (exchange);
 
   if (strcmp (path, "/v1/completions") == 0 || strcmp (path, "/v1/chat/completions") == 0)
     record_call (recorder, exchange, now);
-  else if (begins_with (path, "/services/"))
+  else if (has_prefix (path, "/services/"))
     record_service (recorder, exchange, now);
-  else if (begins_with (path, "/v1/subscriptions/") && ends_with (path, "/steps"))
+  else if (has_prefix (path, "/v1/subscriptions/") && has_suffix (path, "/steps"))
     record_step (recorder, exchange, now);
 }
 
 static Record *
-find_record (LnRecorder *recorder, uint64_t exchange)
+find_record (LnRecorder *recorder, uint64_t exchange_id)
 {
-  /* The newest are last, and most answers come soon. */
+  /* From the newest: most replies follow soon after their request. */
   for (LbLink *link = recorder->records.head.prev; link != &recorder->records.head;
        link = link->prev)
     {
       Record *record = LB_CONTAINER (link, Record, link);
-      if (record->exchange == exchange)
+      if (record->exchange_id == exchange_id)
         return record;
     }
   return NULL;
 }
 
 static void
-accept_step (LnRecorder *recorder, const LnExchange *exchange)
+record_accepted_step (LnRecorder *recorder, const LnExchange *exchange)
 {
   Record *record = find_record (recorder, ln_exchange_id (exchange));
 
-  if (!record || record->accepted)
+  if (!record || record->is_accepted)
     return;
-  record->accepted = true;
-  record->number = recorder->steps[record->trainer]++;
+  record->is_accepted = true;
+  record->replay_step = recorder->n_steps[record->trainer]++;
 }
 
 static void
-note_pull (LnRecorder *recorder, const LnExchange *exchange, struct json_object *reply, LbTime now)
+record_pull (LnRecorder *recorder,
+             const LnExchange *exchange,
+             struct json_object *reply,
+             LbTime now)
 {
   struct json_object *done = NULL;
-  int trainer = trainer_of (recorder, ln_exchange_path (exchange));
-  Record *record = find_step (recorder, trainer, integer_of (reply, "step", -1));
+  int trainer = find_or_add_trainer (recorder, ln_exchange_path (exchange));
+  Record *record = find_step (recorder, trainer, read_integer (reply, "step", -1));
 
   if (!record || !json_object_object_get_ex (reply, "done", &done)
       || !json_object_get_boolean (done))
     return;
-  record->whole_ms = ms_since_start (recorder, now);
+  record->completed_ms = ms_since_start (recorder, now);
 }
 
 void
-ln_recorder_reply (LnRecorder *recorder,
-                   const LnExchange *exchange,
-                   int status,
-                   struct json_object *reply,
-                   LbTime now)
+ln_recorder_add_reply (LnRecorder *recorder,
+                       const LnExchange *exchange,
+                       int status,
+                       struct json_object *reply,
+                       LbTime now)
 {
   const char *path = ln_exchange_path (exchange);
 
-  if (!begins_with (path, "/v1/subscriptions/"))
+  if (!has_prefix (path, "/v1/subscriptions/"))
     return;
-  if (status == 202 && ends_with (path, "/steps"))
-    accept_step (recorder, exchange);
-  else if (status == 200 && ends_with (path, "/pull"))
-    note_pull (recorder, exchange, reply, now);
+  if (status == 202 && has_suffix (path, "/steps"))
+    record_accepted_step (recorder, exchange);
+  else if (status == 200 && has_suffix (path, "/pull"))
+    record_pull (recorder, exchange, reply, now);
 }
 
 void
-ln_recorder_whole (LnRecorder *recorder, const LnExchange *exchange, LbTime now)
+ln_recorder_add_completion (LnRecorder *recorder, const LnExchange *exchange, LbTime now)
 {
   Record *record = find_record (recorder, ln_exchange_id (exchange));
 
   if (record && record->type != RECORD_STEP)
-    record->whole_ms = ms_since_start (recorder, now);
+    record->completed_ms = ms_since_start (recorder, now);
 }
 
 static void
@@ -337,7 +342,7 @@
 
   if (record->type == RECORD_STEP)
     {
-      if (record->accepted)
+      if (record->is_accepted)
         fprintf (out,
                  "{ \"at_ms\": %" PRId64 ", \"event\": \"steps\", \"trainer\": \"trainer-%d\", "
                  "\"count\": 1 }\n",
@@ -345,11 +350,11 @@
       return;
     }
   fprintf (out, "{ \"at_ms\": %" PRId64 ", \"event\": \"%s\", \"call\": \"c%" PRIu64 "\"",
-           record->at_ms, name, record->exchange);
+           record->at_ms, name, record->exchange_id);
   if (record->type == RECORD_CALL)
-    fprintf (out, ", \"tokens\": %" PRId64, record->tokens);
+    fprintf (out, ", \"tokens\": %" PRId64, record->max_tokens);
   else
-    fprintf (out, ", \"repeatable\": %s", record->repeatable ? "true" : "false");
+    fprintf (out, ", \"repeatable\": %s", record->is_repeatable ? "true" : "false");
   if (record->deadline_ms > 0)
     fprintf (out, ", \"deadline_ms\": %" PRId64, record->deadline_ms);
   fputs (" }\n", out);
@@ -358,16 +363,16 @@
 static void
 write_expectation (FILE *out, const Record *record)
 {
-  if (record->whole_ms < 0)
+  if (record->completed_ms < 0)
     return;
   if (record->type == RECORD_STEP)
     fprintf (out,
              "{ \"expect\": \"step-done\", \"trainer\": \"trainer-%d\", \"step\": %" PRId64
              ", \"by_ms\": %" PRId64 " }\n",
-             record->trainer + 1, record->number, record->whole_ms + GRACE_MS);
+             record->trainer + 1, record->replay_step, record->completed_ms + COMPLETION_MARGIN_MS);
   else
     fprintf (out, "{ \"expect\": \"whole\", \"call\": \"c%" PRIu64 "\", \"by_ms\": %" PRId64 " }\n",
-             record->exchange, record->whole_ms + GRACE_MS);
+             record->exchange_id, record->completed_ms + COMPLETION_MARGIN_MS);
 }
 
 static void
@@ -377,8 +382,8 @@
            "{ \"format\": 1, \"site\": \"%s\", \"seed\": %" PRIu64
            ", \"about\": \"recorded by lentilspindled\", \"trainers\": %d, \"groups\": %" PRId64
            ", \"samples\": %" PRId64 ", \"shortest\": %" PRId64 ", \"train_ms\": 0 }\n",
-           recorder->site, recorder->seed, recorder->n_trainers, recorder->groups,
-           recorder->samples, recorder->shortest);
+           recorder->site, recorder->seed, recorder->n_trainers, recorder->groups_per_step,
+           recorder->samples_per_group, recorder->min_tokens);
   LB_LIST_FOREACH (&recorder->records, Record, link, event)
   {
     write_event (out, event);
--- a/packages/node/src/front/ln-recorder.h
+++ b/packages/node/src/front/ln-recorder.h
@@ -6,22 +6,22 @@
 struct json_object;
 typedef struct LnExchange LnExchange;
 
-/* Records what callers and trainers asked for and what they were answered, as a trace for
- * `lentilspindle replay` (docs/TRACES.md). Written as one file at the end of the process, since the
- * header states what only the steps tell. */
+/* Records the requests of callers and trainers and their replies as a trace for `lentilspindle
+ * replay` (docs/TRACES.md). The file is written when the process ends, since its header contains
+ * values that are known only from the recorded steps. */
 typedef struct LnRecorder LnRecorder;
 
 LnRecorder *ln_recorder_new (const char *path, const char *data_centre, uint64_t seed, LbTime now);
-/* Writes the file. */
+/* Writes the trace file. */
 void ln_recorder_free (LnRecorder *recorder);
-void ln_recorder_request (LnRecorder *recorder, const LnExchange *exchange, LbTime now);
-/* A JSON reply on its way. */
-void ln_recorder_reply (LnRecorder *recorder,
-                        const LnExchange *exchange,
-                        int status,
-                        struct json_object *reply,
-                        LbTime now);
-/* The caller has the whole answer. */
-void ln_recorder_whole (LnRecorder *recorder, const LnExchange *exchange, LbTime now);
+void ln_recorder_add_request (LnRecorder *recorder, const LnExchange *exchange, LbTime now);
+/* Records a JSON reply that is about to be sent. */
+void ln_recorder_add_reply (LnRecorder *recorder,
+                            const LnExchange *exchange,
+                            int status,
+                            struct json_object *reply,
+                            LbTime now);
+/* Records that the caller was sent the complete reply. */
+void ln_recorder_add_completion (LnRecorder *recorder, const LnExchange *exchange, LbTime now);
 
 #endif
--- /dev/null
+++ b/packages/node/src/front/ln-request-scanner.c
@@ -0,0 +1,230 @@
+#include "ln-request-scanner.h"
+
+#include <ctype.h>
+#include <stdlib.h>
+#include <string.h>
+#include <strings.h>
+
+/* Hexadecimal digits of a chunk size: keeps the size below 64 bits, more than any allowed body. */
+#define MAX_SIZE_DIGITS 15
+
+enum
+{
+  REQUEST_LINE,
+  HEADER_LINE,
+  BODY,
+  CHUNK_SIZE,
+  CHUNK,
+  CHUNK_END,
+  TRAILER_LINE
+};
+
+/* Counts the character, and stores it if there is room; the stored text stays NUL-terminated. */
+static void
+append_char (LnRequestScanner *scanner, char c)
+{
+  if (scanner->length + 1 < sizeof scanner->line)
+    {
+      scanner->line[scanner->length] = c;
+      scanner->line[scanner->length + 1] = '\0';
+    }
+  scanner->length++;
+}
+
+static void
+begin_line (LnRequestScanner *scanner, int state)
+{
+  scanner->state = state;
+  scanner->length = 0;
+  scanner->line_bytes = 0;
+  scanner->line[0] = '\0';
+}
+
+static void
+begin_request (LnRequestScanner *scanner)
+{
+  begin_line (scanner, REQUEST_LINE);
+  scanner->has_host = false;
+  scanner->is_http_1_0 = false;
+  scanner->is_chunked = false;
+  scanner->remaining = 0;
+}
+
+/* The value of the current header line, or NULL when the header has another name. */
+static const char *
+match_header (const LnRequestScanner *scanner, const char *name)
+{
+  size_t length = strlen (name);
+  const char *value = scanner->line + length + 1;
+
+  if (strncasecmp (scanner->line, name, length) != 0 || scanner->line[length] != ':')
+    return NULL;
+  while (*value == ' ' || *value == '\t')
+    value++;
+  return value;
+}
+
+static bool
+is_blank (const char *text)
+{
+  return text[strspn (text, " \t")] == '\0';
+}
+
+/* Reads Host and the length of the body. ln-framing refuses contradicting lengths and codings. */
+static void
+read_header (LnRequestScanner *scanner)
+{
+  static const char chunked[] = "chunked";
+  const char *content_length = match_header (scanner, "Content-Length");
+  const char *transfer_coding = match_header (scanner, "Transfer-Encoding");
+
+  scanner->has_host |= match_header (scanner, "Host") != NULL;
+  if (content_length)
+    scanner->remaining = strtoull (content_length, NULL, 10);
+  if (transfer_coding)
+    scanner->is_chunked = strncasecmp (transfer_coding, chunked, sizeof chunked - 1) == 0
+                          && is_blank (transfer_coding + sizeof chunked - 1);
+}
+
+static bool
+end_headers (LnRequestScanner *scanner)
+{
+  if (!scanner->has_host && !scanner->is_http_1_0)
+    return false;
+  scanner->n_headers_complete++;
+  if (scanner->is_chunked)
+    begin_line (scanner, CHUNK_SIZE);
+  else if (scanner->remaining > 0)
+    scanner->state = BODY;
+  else
+    begin_request (scanner);
+  return true;
+}
+
+/* Accepts spaces between the size and a chunk extension, which some older senders write. */
+static bool
+read_chunk_size (LnRequestScanner *scanner)
+{
+  size_t digits = strspn (scanner->line, "0123456789abcdefABCDEF");
+  const char *rest = scanner->line + digits;
+
+  while (*rest == ' ' || *rest == '\t')
+    rest++;
+  if (digits == 0 || digits > MAX_SIZE_DIGITS || (*rest != '\0' && *rest != ';'))
+    return false;
+  scanner->remaining = strtoull (scanner->line, NULL, 16);
+  if (scanner->remaining > 0)
+    scanner->state = CHUNK;
+  else
+    begin_line (scanner, TRAILER_LINE);
+  return true;
+}
+
+static bool
+end_request_line (LnRequestScanner *scanner)
+{
+  /* RFC 9112, 2.2: empty lines before a request line are ignored. */
+  begin_line (scanner, scanner->length == 0 ? REQUEST_LINE : HEADER_LINE);
+  return true;
+}
+
+static bool
+end_line (LnRequestScanner *scanner)
+{
+  bool is_empty = scanner->length == 0;
+
+  switch (scanner->state)
+    {
+    case REQUEST_LINE:
+      return end_request_line (scanner);
+    case HEADER_LINE:
+      if (is_empty)
+        return end_headers (scanner);
+      read_header (scanner);
+      begin_line (scanner, HEADER_LINE);
+      return true;
+    case CHUNK_SIZE:
+      return read_chunk_size (scanner);
+    case CHUNK_END:
+      begin_line (scanner, CHUNK_SIZE);
+      return is_empty;
+    default:
+      if (is_empty)
+        begin_request (scanner);
+      else
+        begin_line (scanner, TRAILER_LINE);
+      return true;
+    }
+}
+
+/* Detects "HTTP/1.0" at the end of a request line of any length, one character at a time. */
+static void
+match_version (LnRequestScanner *scanner, char c)
+{
+  static const char version[] = "HTTP/1.0";
+  size_t n_matched = scanner->remaining;
+
+  scanner->remaining = c == version[n_matched] ? n_matched + 1 : (size_t)(c == version[0]);
+  if (scanner->remaining == sizeof version - 1)
+    {
+      scanner->is_http_1_0 = true;
+      scanner->remaining = 0;
+    }
+}
+
+static bool
+scan_line_char (LnRequestScanner *scanner, char c)
+{
+  bool is_header = scanner->state == HEADER_LINE || scanner->state == TRAILER_LINE;
+
+  scanner->line_bytes++;
+  if (c == '\n')
+    {
+      if (scanner->state == REQUEST_LINE)
+        scanner->remaining = 0;
+      return end_line (scanner);
+    }
+  if (c == '\r')
+    return true;
+  if (c == '\0' || (is_header && scanner->length == 0 && (c == ' ' || c == '\t')))
+    return false;
+  if (scanner->state == REQUEST_LINE)
+    match_version (scanner, c);
+  append_char (scanner, c);
+  return true;
+}
+
+/* Returns how many of the bytes belong to the body. */
+static size_t
+skip_body_bytes (LnRequestScanner *scanner, size_t length)
+{
+  size_t n_body = scanner->remaining < length ? (size_t)scanner->remaining : length;
+
+  scanner->remaining -= n_body;
+  if (scanner->remaining > 0)
+    return n_body;
+  if (scanner->state == CHUNK)
+    begin_line (scanner, CHUNK_END);
+  else
+    begin_request (scanner);
+  return n_body;
+}
+
+size_t
+ln_request_scanner_partial_line_length (const LnRequestScanner *scanner)
+{
+  return scanner->state == REQUEST_LINE ? scanner->line_bytes : 0;
+}
+
+bool
+ln_request_scanner_feed (LnRequestScanner *scanner, const char *data, size_t length)
+{
+  for (size_t i = 0; i < length && !scanner->is_malformed;)
+    {
+      if (scanner->state == BODY || scanner->state == CHUNK)
+        i += skip_body_bytes (scanner, length - i);
+      else
+        scanner->is_malformed = !scan_line_char (scanner, data[i++]);
+    }
+  return !scanner->is_malformed;
+}
--- a/packages/node/tests/test-front.c
+++ b/packages/node/tests/test-front.c
@@ -13,10 +13,10 @@
   peer_close (&caller);
 }
 
-/* A caller on a broken link, or one that means harm, sends its request a byte at a time. Each byte
- * restarts a plain read timeout, so the connection would be held for ever, and enough of them would
- * use up all connections. The caller sees 408 too_slow after request_read_ms, whatever it sends. */
-Test (front, byte_by_byte_request_is_given_up)
+/* A slow or malicious caller sends its request a byte at a time. Each byte restarts a plain read
+ * timeout, so enough such callers could hold all connections for ever. They must get 408 too_slow
+ * after request_read_ms. */
+Test (front, request_sent_byte_by_byte_times_out)
 {
   Fixture f;
   Peer caller;
@@ -40,8 +40,8 @@
   fixture_clear (&f);
 }
 
-/* The same before the end of the headers, where no request exists yet for evhtp. */
-Test (front, byte_by_byte_header_is_given_up)
+/* The same before the end of the headers, when evhtp has no request yet. */
+Test (front, header_sent_byte_by_byte_times_out)
 {
   Fixture f;
   Peer caller;
@@ -62,31 +62,31 @@
   fixture_clear (&f);
 }
 
-/* Sends a request in two pieces, the first of them of this length, and expects that the reply names
- * the whole path. */
+/* Sends a request in two segments, the first with first_length bytes, and expects that the reply
+ * names the complete path. */
 static void
-expect_path (Fixture *f, Peer *caller, const char *path, size_t first)
+expect_path_in_reply (Fixture *f, Peer *caller, const char *path, size_t first_length)
 {
   char *request = lb_asprintf ("GET %s HTTP/1.1\r\nHost: h\r\n\r\n", path);
-  char *named = lb_asprintf ("GET %s\"", path);
-  char *begin = lb_strndup (request, first);
+  char *expected = lb_asprintf ("GET %s\"", path);
+  char *first_segment = lb_strndup (request, first_length);
 
-  peer_send (caller, begin);
+  peer_send (caller, first_segment);
   for (int i = 0; i < 5; i++)
     fixture_run_loop_once (f);
-  peer_send (caller, request + first);
+  peer_send (caller, request + first_length);
   FIXTURE_WAIT_UNTIL (f, peer_has (caller, "not_run"));
-  cr_assert (strstr (caller->text, named), "cut after \"%s\": %s", begin, caller->text);
+  cr_assert (strstr (caller->text, expected), "cut after \"%s\": %s", first_segment, caller->text);
   peer_clear_text (caller);
   free (request);
-  free (named);
-  free (begin);
+  free (expected);
+  free (first_segment);
 }
 
-/* A caller's request line arrives in two segments, on a connection that was used before. evhtp's
- * parser skipped one place of its buffer where the second segment began: the path got a letter of
- * the path before it, "/serv3ices/", and a service ran what nobody had asked for. */
-Test (front, a_request_line_in_two_pieces_keeps_its_path)
+/* A request line arrives in two segments on a reused connection. evhtp's parser skipped one byte of
+ * its buffer where the second segment began, so the path contained a byte of the previous path
+ * ("/serv3ices/") and a service ran a request that nobody had sent. */
+Test (front, request_line_in_two_segments_keeps_its_path)
 {
   static const char *const paths[] = { "/nowhere/0123456789/abcdef", "/elsewhere/zyxwvut/98765" };
   Fixture f;
@@ -96,14 +96,14 @@
   fixture_start (&f);
   fixture_configure (&f, NULL, NULL);
   caller_open (&f, &caller);
-  for (size_t first = 1; first < strlen (paths[0]) + 20; first++)
-    expect_path (&f, &caller, paths[first % 2], first);
+  for (size_t length = 1; length < strlen (paths[0]) + 20; length++)
+    expect_path_in_reply (&f, &caller, paths[length % 2], length);
   peer_close (&caller);
   fixture_clear (&f);
 }
 
-/* The same where the first piece comes before the reply to the request before it. */
-Test (front, a_piece_of_the_next_request_line_waits_for_the_rest)
+/* The same when the first segment arrives before the reply to the previous request. */
+Test (front, partial_pipelined_request_line_is_held_until_complete)
 {
   Fixture f;
   Peer caller;
@@ -124,8 +124,8 @@
   fixture_clear (&f);
 }
 
-/* A request line that never ends is given up like any other request, with a reason. */
-Test (front, half_a_request_line_is_given_up)
+/* An incomplete request line is subject to the same time limit as any request. */
+Test (front, partial_request_line_times_out)
 {
   Fixture f;
   Peer caller;
@@ -141,8 +141,8 @@
   fixture_clear (&f);
 }
 
-/* Bad input of every kind gets a typed error, and the daemon answers the next caller. */
-Test (front, bad_input_gets_typed_errors)
+/* Each kind of invalid input gets its typed error, and the daemon serves the next caller. */
+Test (front, invalid_input_gets_typed_errors)
 {
   Fixture f;
   char *big = lb_malloc (5000);
@@ -157,7 +157,7 @@
   expect_refusal (&f, "GET /metricsx HTTP/1.1\r\nHost: h\r\n\r\n", " 404 ", "unknown_path");
   expect_refusal (&f, "POST /v1/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 2000\r\n\r\n",
                   " 413 ", "body_too_large");
-  /* The caller must learn that its request is malformed, not that its header is too large. */
+  /* evhtp's parser reports these as too large; the reply must say that they are malformed. */
   expect_refusal (&f, "POST /v1/completions HTTP/1.1\r\nHost: h\r\nContent-Length: abc\r\n\r\n",
                   " 400 ", "bad_request");
   expect_refusal (&f, "POST /v1/completions HTTP/1.1\r\nHost: h\r\nContent-Length: -1\r\n\r\n",
@@ -207,11 +207,10 @@
   fixture_clear (&f);
 }
 
-/* A caller hides a second request in the body of the first: of two lengths, or of a length and a
- * coding, this daemon takes the one and the service behind it the other, and the hidden request
- * runs there with nobody having looked at it. Nothing of it is passed on, and the connection ends.
- */
-Test (front, a_request_of_two_lengths_is_refused)
+/* Request smuggling: of two lengths, or a length and a transfer coding, this daemon would use one
+ * and the service behind it the other, which would then run the hidden request unchecked. The
+ * request must be refused and the connection closed. */
+Test (front, request_with_ambiguous_framing_is_refused)
 {
   static const char *const headers[]
       = { "Content-Length: 5\r\nContent-Length: 40",
@@ -246,10 +245,10 @@
   fixture_clear (&f);
 }
 
-/* Requests that the standard forbids. The HTTP library took a NUL for the end of the target and
- * looked for another route, needed no Host, gave no answer to a folded header, and waited for the
- * end of a chunk whose size has 68 bits for as long as the caller did. */
-Test (front, what_is_no_request_is_refused)
+/* Requests that RFC 9112 forbids. The HTTP library ended the target at a NUL and so chose another
+ * route, did not require Host, never replied to a folded header, and waited without limit for a
+ * chunk whose size has 68 bits. */
+Test (front, malformed_request_is_refused)
 {
   static const struct
   {
@@ -303,8 +302,8 @@
   fixture_clear (&f);
 }
 
-/* Connections over the limit are closed at once; the others go on. */
-Test (front, connections_are_bounded)
+/* Connections above the limit are closed at once; the others keep working. */
+Test (front, connections_above_the_limit_are_closed)
 {
   Fixture f;
   Peer first, second;
@@ -342,9 +341,8 @@
   fixture_clear (&f);
 }
 
-/* Callers close connections that they no longer need. Each takes a place of max_connections until
- * it is known to be closed. */
-Test (front, closed_idle_connections_make_room)
+/* A connection that its caller closes must be detected, since it counts towards max_connections. */
+Test (front, closed_idle_connections_free_their_slot)
 {
   Fixture f;
   Peer caller;
--- a/packages/node/tests/test-recorder.c
+++ b/packages/node/tests/test-recorder.c
@@ -10,36 +10,35 @@
   fclose (in);
 }
 
-/* The trace has each call as it was asked, and expects the whole answer only of those that had one.
- */
-Test (recorder, calls_and_their_answers)
+/* The trace contains each request, and an expected completion only for those that completed. */
+Test (recorder, expects_completion_only_of_completed_calls)
 {
   Fixture f;
   Peer caller, service, engine;
   LbName addresses[2];
-  char folder[] = "/tmp/lentilspindle-trace-XXXXXX";
+  char directory[] = "/tmp/lentilspindle-trace-XXXXXX";
   char text[4096], path[64], id[96];
 
-  cr_assert (mkdtemp (folder));
-  snprintf (path, sizeof path, "%s/trace.jsonl", folder);
+  cr_assert (mkdtemp (directory));
+  snprintf (path, sizeof path, "%s/trace.jsonl", directory);
   fixture_init (&f);
   LB_COPY (f.settings.instance.data_centre, "quan-bay");
   LB_COPY (f.settings.record, path);
-  int engines = fixture_listen (addresses[0]);
-  int services = fixture_listen (addresses[1]);
+  int engine_listener = fixture_listen (addresses[0]);
+  int service_listener = fixture_listen (addresses[1]);
   fixture_start (&f);
   fixture_configure (&f, (const char *[]){ addresses[0], NULL },
                      (const char *[]){ addresses[1], NULL });
   caller_open (&f, &caller);
   caller_post (&caller, "/v1/completions", "x-deadline-ms: 9000\r\n",
                "{\"model\":\"p\",\"prompt\":\"a\",\"max_tokens\":7}");
-  endpoint_accept_stream (&f, engines, &engine, id);
+  endpoint_accept_stream (&f, engine_listener, &engine, id);
   endpoint_send_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", true);
   endpoint_send_end (&engine);
   FIXTURE_WAIT_UNTIL (&f, peer_has (&caller, " one"));
   caller_post (&caller, "/services/s/order", "", "tea");
-  endpoint_accept (&f, services, &service);
+  endpoint_accept (&f, service_listener, &service);
   peer_close (&service);
   FIXTURE_WAIT_UNTIL (&f, peer_has (&caller, "outcome_unknown"));
   peer_close (&engine);
@@ -55,5 +54,5 @@
   cr_assert (strstr (text, "\"expect\": \"whole\", \"call\": \"c1\""));
   cr_assert_not (strstr (text, "\"expect\": \"whole\", \"call\": \"c2\""));
   unlink (path);
-  rmdir (folder);
+  rmdir (directory);
 }
--- a/packages/node/tests/test-request-bytes.c
+++ b/packages/node/tests/test-request-bytes.c
@@ -1,4 +1,4 @@
-#include "ln-request-bytes.h"
+#include "ln-request-scanner.h"
 
 #include <criterion/criterion.h>
 #include <string.h>
@@ -6,7 +6,7 @@
 typedef struct
 {
   const char *text;
-  size_t length; /* 0: to the NUL */
+  size_t length; /* 0: up to the terminating NUL */
 } Sample;
 
 static size_t
@@ -15,24 +15,25 @@
   return sample->length > 0 ? sample->length : strlen (sample->text);
 }
 
-/* In pieces of every size: a decision may not depend on where a packet ends. */
+/* Scans the sample in segments of one size: where segments end must not change the result. */
 static bool
-is_good (const Sample *sample, size_t piece)
+is_accepted (const Sample *sample, size_t segment_length)
 {
-  LnRequestBytes bytes = { 0 };
-  bool good = true;
+  LnRequestScanner scanner = { 0 };
+  bool is_valid = true;
 
-  for (size_t at = 0; at < length_of (sample); at += piece)
+  for (size_t offset = 0; offset < length_of (sample); offset += segment_length)
     {
-      size_t left = length_of (sample) - at;
-      good = ln_request_bytes_take (&bytes, sample->text + at, left < piece ? left : piece);
+      size_t n_left = length_of (sample) - offset;
+      is_valid = ln_request_scanner_feed (&scanner, sample->text + offset,
+                                          n_left < segment_length ? n_left : segment_length);
     }
-  return good;
+  return is_valid;
 }
 
 #define HEAD "POST /a HTTP/1.1\r\nHost: h\r\n"
 
-Test (request_bytes, proper_requests_pass)
+Test (request_bytes, well_formed_requests_are_accepted)
 {
   static const Sample samples[] = {
     { "GET /a HTTP/1.1\r\nHost: h\r\n\r\n", 0 },
@@ -50,12 +51,13 @@
   };
 
   for (size_t i = 0; i < sizeof samples / sizeof samples[0]; i++)
-    for (size_t piece = 1; piece < 40; piece++)
-      cr_assert (is_good (&samples[i], piece), "%zu in pieces of %zu", i, piece);
+    for (size_t segment_length = 1; segment_length < 40; segment_length++)
+      cr_assert (is_accepted (&samples[i], segment_length), "sample %zu in segments of %zu bytes",
+                 i, segment_length);
 }
 
-/* The HTTP library took each of these for something else, or waited for ever. */
-Test (request_bytes, what_is_no_request_is_found)
+/* The HTTP library misread each of these or waited for more bytes without limit. */
+Test (request_bytes, malformed_requests_are_detected)
 {
   static const Sample samples[]
       = { { "GET /a HTTP/1.1\r\n\r\n", 0 },
@@ -70,6 +72,7 @@
           { HEAD "Transfer-Encoding: chunked\r\n\r\n0\r\nT: 1\r\n folded\r\n\r\n", 0 } };
 
   for (size_t i = 0; i < sizeof samples / sizeof samples[0]; i++)
-    for (size_t piece = 1; piece < 40; piece++)
-      cr_assert_not (is_good (&samples[i], piece), "%zu in pieces of %zu", i, piece);
+    for (size_t segment_length = 1; segment_length < 40; segment_length++)
+      cr_assert_not (is_accepted (&samples[i], segment_length),
+                     "sample %zu in segments of %zu bytes", i, segment_length);
 }
