--- a/packages/node/include/ln-exchange.h
+++ b/packages/node/include/ln-exchange.h
@@ -31,7 +31,7 @@
 void ln_exchange_set_owner (LnExchange *exchange, LnTask *owner);
 void ln_exchange_set_header (LnExchange *exchange, const char *name, const char *value);
 
-/* These send the whole reply and free the exchange. Takes ownership of object. */
+/* These send the complete reply and free the exchange; reply_json takes ownership of object. */
 void ln_exchange_reply_json (LnExchange *exchange, int status, struct json_object *object);
 void ln_exchange_reply_text (
     LnExchange *exchange, int status, const char *type, const char *text, size_t length);
--- a/packages/node/include/ln-settings.h
+++ b/packages/node/include/ln-settings.h
@@ -71,7 +71,7 @@
   {
     int64_t drain_ms; /* time to serve callers that use cached addresses after SIGTERM */
     int64_t entry_ttl_ms;
-    int64_t endpoint_ms; /* time limit for new work to a leaving endpoint to stop */
+    int64_t endpoint_ms; /* maximum time until a leaving endpoint gets no new work */
   } drain;
   struct
   {
@@ -91,7 +91,7 @@
     size_t n_kinds;
     bool platform_checks_fence; /* it rejects calls with an outdated fencing number */
     int64_t usage_window_s;
-    int64_t usage_due_s; /* time after the end of a window within which usage is reported */
+    int64_t usage_due_s; /* usage of a window is reported within this time after its end */
   } duties;
   struct
   {
