--- a/packages/cli/src/lt-bench.c
+++ b/packages/cli/src/lt-bench.c
@@ -56,7 +56,7 @@
   options.idle_weight = bench->idle_weight;
   options.explain = bench->explain;
   options.concurrency = bench->concurrency;
-  options.train = (LbTime)(bench->train * LB_SEC);
+  options.train_time = (LbTime)(bench->train * LB_SEC);
   if (bench->hard_share >= 0)
     options.hard_share = bench->hard_share;
   if (bench->hedge_budget >= 0)
@@ -66,8 +66,8 @@
   LbTime begun = lb_clock_monotonic ();
   lx_world_run (world);
   lx_result_fill (result, world, policy, (double)(lb_clock_monotonic () - begun) / LB_SEC);
-  if (lx_ledger_total (&world->ledger) > 0)
-    fprintf (stderr, "%s, seed %" PRIu64 ": %s\n", policy, seed, world->ledger.first);
+  if (lx_audit_count_violations (&world->audit) > 0)
+    fprintf (stderr, "%s, seed %" PRIu64 ": %s\n", policy, seed, world->audit.first_violation);
   lx_world_free (world);
   return true;
 }
--- a/packages/cli/src/lt-soak.c
+++ b/packages/cli/src/lt-soak.c
@@ -51,7 +51,7 @@
   int code = LT_EXIT_USAGE;
   LxSoak soak = { .seed = seed->count ? (uint64_t)*seed->ival : 1,
                   .events = events->count ? (uint64_t)*events->ival : 1000000,
-                  .only = -1 };
+                  .only_fault = -1 };
 
   if (help->count > 0)
     {
@@ -68,8 +68,8 @@
     }
   soak.site = lx_site_find (*site->sval);
   if (only->count > 0)
-    soak.only = find_fault (*only->sval);
-  if (!soak.site || (only->count > 0 && soak.only < 0))
+    soak.only_fault = find_fault (*only->sval);
+  if (!soak.site || (only->count > 0 && soak.only_fault < 0))
     {
       fprintf (stderr, "lentilspindle soak: unknown %s\n", soak.site ? "fault" : "site");
       goto out;
--- a/packages/sim/include/lx-callers.h
+++ b/packages/sim/include/lx-callers.h
@@ -26,7 +26,7 @@
   LbTime deadline;      /* from now */
   const char *instance; /* "": any */
   LxCallResult *result; /* filled by and by; must outlive the call */
-} LxCallOrder;
+} LxCallSpec;
 
 /* A live call as its caller sees it. */
 typedef struct LxCall
@@ -64,12 +64,13 @@
 
 /* commands */
 void lx_callers_start (LxCallers *callers);
-void lx_callers_call (LxCallers *callers, const LxCallOrder *order);
-void lx_callers_piece (LxCallers *callers, LxCall *call, uint64_t stream, const LcPiece *piece);
-void lx_callers_finish (LxCallers *callers, LxCall *call, LbErrorCode error);
+void lx_callers_submit (LxCallers *callers, const LxCallSpec *order);
+void
+lx_callers_send_piece (LxCallers *callers, LxCall *call, uint64_t stream, const LcPiece *piece);
+void lx_callers_send_result (LxCallers *callers, LxCall *call, LbErrorCode error);
 
 /* queries */
 /* The share-th smallest latency in milliseconds, 0 without calls. Sorts the latencies. */
-double lx_callers_percentile (LxCallers *callers, double share);
+double lx_callers_latency_percentile_ms (LxCallers *callers, double share);
 
 #endif
--- a/packages/sim/include/lx-engine.h
+++ b/packages/sim/include/lx-engine.h
@@ -5,8 +5,8 @@
 
 #include "lc-dispatch.h"
 
-#define LX_MAX_CACHED 256
-#define LX_CACHE_LOG 512
+#define LX_MAX_CACHED_BLOCKS 256
+#define LX_CACHE_LOG_LENGTH 512
 
 /* One attempt as an endpoint sees it. */
 typedef struct
@@ -106,10 +106,10 @@
   LbTime clock_at;
   uint64_t timer; /* only the timer event with this number counts */
   /* prefix cache */
-  LxCachedBlock cached[LX_MAX_CACHED];
+  LxCachedBlock cached[LX_MAX_CACHED_BLOCKS];
   size_t n_cached;
   uint64_t cache_clock;
-  LxCacheEvent cache_log[LX_CACHE_LOG];
+  LxCacheEvent cache_log[LX_CACHE_LOG_LENGTH];
   uint64_t cache_sequence;
   /* measures */
   int64_t tokens;
@@ -124,13 +124,13 @@
 /* False: the endpoint refused before it started (it is leaving or has no whole weights). */
 bool lx_engine_submit (LxEngine *engine, const LxStreamSpec *spec);
 void lx_engine_cancel (LxEngine *engine, uint64_t id);
-void lx_engine_order (LxEngine *engine, LcVersion version);
+void lx_engine_load_version (LxEngine *engine, LcVersion version);
 void lx_engine_crash (LxEngine *engine);
 void lx_engine_start (LxEngine *engine, LcVersion version);
 void lx_engine_break_streams (LxEngine *engine, bool silent);
 
 /* queries */
-void lx_engine_report (const LxEngine *engine, LcLoadReport *report);
-size_t lx_engine_in_progress (const LxEngine *engine);
+void lx_engine_get_load_report (const LxEngine *engine, LcLoadReport *report);
+size_t lx_engine_count_in_progress (const LxEngine *engine);
 
 #endif
--- a/packages/sim/include/lx-faults.h
+++ b/packages/sim/include/lx-faults.h
@@ -43,16 +43,16 @@
 void lx_faults_start (LxFaults *faults);
 /* One strike at a named endpoint or instance, for a time where that applies; false when there is
  * none of the name. */
-bool lx_faults_hit (LxFaults *faults,
-                    LxFault fault,
-                    const char *endpoint,
-                    const char *instance,
-                    size_t trainer,
-                    LbTime time);
+bool lx_faults_inject (LxFaults *faults,
+                       LxFault fault,
+                       const char *endpoint,
+                       const char *instance,
+                       size_t trainer,
+                       LbTime time);
 
 /* queries */
 const char *lx_fault_name (LxFault fault);
 /* Decides for one event by its number; the same number decides the same. */
-bool lx_faults_chance (const LxFaults *faults, double share);
+bool lx_faults_is_event_selected (const LxFaults *faults, double share);
 
 #endif
--- a/packages/sim/include/lx-instance.h
+++ b/packages/sim/include/lx-instance.h
@@ -13,7 +13,7 @@
 struct LxWorld;
 
 /* A stream without a byte for so long is taken for broken. */
-#define LX_STREAM_SILENCE (2 * LB_SEC)
+#define LX_SILENT_STREAM_TIMEOUT (2 * LB_SEC)
 
 /* One attempt whose connection is open. */
 typedef struct
@@ -92,7 +92,7 @@
 void lx_instance_kill (LxInstance *instance);
 void lx_instance_drain (LxInstance *instance);
 /* Another instance has taken the step over in good order. */
-void lx_instance_lose (LxInstance *instance, const char *subscription, int64_t step);
+void lx_instance_abort_step (LxInstance *instance, const char *subscription, int64_t step);
 /* A message for the instance's present process: it waits while the process is paused and is lost
  * with the process. drop frees the argument, also after the handler has run. */
 void lx_instance_post (LxInstance *instance,
@@ -100,11 +100,11 @@
                        LxInstanceHandler handler,
                        void *argument,
                        void (*drop) (void *argument));
-void lx_instance_configure (LxInstance *instance, const LcResourceSet *set);
+void lx_instance_apply_config (LxInstance *instance, const LcResourceSet *set);
 /* An operator's change, for the revision that this instance has. */
-void lx_instance_change (LxInstance *instance, struct json_object *content);
+void lx_instance_submit_change (LxInstance *instance, struct json_object *content);
 /* False: refused as "not run" with an error. */
-bool lx_instance_call (
+bool lx_instance_submit_call (
     LxInstance *instance, LcRequestSpec *spec, uint64_t job, LxCall *call, LbError *error);
 /* What an endpoint sends; it arrives one way later, an end delay later still. */
 void lx_instance_send_piece (LxInstance *instance,
@@ -116,11 +116,11 @@
                            const LxStreamSpec *stream,
                            LcAttemptEnd end,
                            LbTime delay);
-void lx_instance_report (LxInstance *instance, size_t engine, const LcLoadReport *report);
-void lx_instance_swap (LxInstance *instance, size_t engine, bool pending, LbTime until);
-void lx_instance_versions (LxInstance *instance, LcVersion newest, LbTime cadence);
+void lx_instance_record_load (LxInstance *instance, size_t engine, const LcLoadReport *report);
+void lx_instance_set_swap (LxInstance *instance, size_t engine, bool pending, LbTime until);
+void lx_instance_set_versions (LxInstance *instance, LcVersion newest, LbTime cadence);
 /* Takes the step over by a new session in the store, then opens it; takes over the spec. */
-void lx_instance_take_step (LxInstance *instance, LcStepSpec *spec, size_t trainer);
+void lx_instance_open_step (LxInstance *instance, LcStepSpec *spec, size_t trainer);
 void lx_instance_pull (LxInstance *instance, const LcPull *pull);
 
 #endif
--- a/packages/sim/include/lx-options.h
+++ b/packages/sim/include/lx-options.h
@@ -20,7 +20,7 @@
   int64_t groups;
   int64_t samples;
   int64_t shortest; /* sample in tokens; the longest is three times that, a straggler's ten times */
-  LbTime train;     /* training on one step */
+  LbTime train_time; /* training on one step */
   LbTime version_every;
   double calls_per_second;
   double service_calls_per_second;
--- a/packages/sim/include/lx-registry.h
+++ b/packages/sim/include/lx-registry.h
@@ -27,7 +27,7 @@
 /* commands */
 void lx_registry_start (LxRegistry *registry);
 /* An operator asks this instance for another reserve of the pool. */
-void lx_registry_change (LxRegistry *registry, LxInstance *instance, double live_reserve);
+void lx_registry_request_change (LxRegistry *registry, LxInstance *instance, double live_reserve);
 /* A transaction under the condition that revision is the head. NULL: another one was first; else
  * the next set, owned by the caller. */
 LcResourceSet *
@@ -35,6 +35,6 @@
 
 /* queries */
 /* The newest revision that must be in force by now on an instance that reaches the store. */
-int64_t lx_registry_due (const LxRegistry *registry, LbTime now);
+int64_t lx_registry_due_revision (const LxRegistry *registry, LbTime now);
 
 #endif
--- a/packages/sim/include/lx-soak.h
+++ b/packages/sim/include/lx-soak.h
@@ -11,7 +11,7 @@
   const LxSite *site;
   uint64_t seed;
   uint64_t events;
-  int only; /* one LxFault; -1: as the seed says */
+  int only_fault; /* one LxFault; -1: as the seed says */
 } LxSoak;
 
 /* Runs it and writes what happened; true when every promise held. With shrink, a failing run is
--- a/packages/sim/include/lx-text.h
+++ b/packages/sim/include/lx-text.h
@@ -21,11 +21,11 @@
 void lx_text_clear (LxText *text);
 void lx_text_append (LxText *text, uint64_t stream, int64_t first, int64_t count);
 void lx_text_copy (LxText *target, const LxText *source);
-void lx_text_cut (LxText *text, int64_t tokens);
+void lx_text_truncate (LxText *text, int64_t tokens);
 bool lx_text_parse (LxText *text, const char *rendered);
 
 char *lx_text_render (const LxText *text);
-int64_t lx_text_tokens (const LxText *text);
+int64_t lx_text_count_tokens (const LxText *text);
 /* First token, counting on from it without gap or overlap. */
 bool lx_text_is_contiguous (const LxText *text, int64_t first);
 
--- a/packages/sim/include/lx-trainer.h
+++ b/packages/sim/include/lx-trainer.h
@@ -75,17 +75,17 @@
 
 /* commands */
 void lx_trainer_start (LxTrainer *trainer, int64_t wanted);
-void lx_trainer_receive (LxTrainer *trainer, LxChunk *chunk);
+void lx_trainer_receive_chunk (LxTrainer *trainer, LxChunk *chunk);
 /* The instance has its step open. */
-void lx_trainer_opened (LxTrainer *trainer, size_t instance, int64_t step);
+void lx_trainer_step_opened (LxTrainer *trainer, size_t instance, int64_t step);
 /* The connection of its pull broke. */
-void lx_trainer_cut (LxTrainer *trainer);
+void lx_trainer_abort_pull (LxTrainer *trainer);
 /* It goes to another instance, which will take its step over. */
-void lx_trainer_move (LxTrainer *trainer, size_t owner);
+void lx_trainer_change_owner (LxTrainer *trainer, size_t owner);
 
 /* queries */
 /* When it had all samples of the step; 0: not yet. */
-LbTime lx_trainer_finished (const LxTrainer *trainer, int64_t step);
+LbTime lx_trainer_step_finished_at (const LxTrainer *trainer, int64_t step);
 int64_t lx_sample_length (
     const LxOptions *options, size_t trainer, int64_t step, int64_t group, int64_t index);
 
--- a/packages/sim/include/lx-world.h
+++ b/packages/sim/include/lx-world.h
@@ -4,7 +4,7 @@
 #include "lx-callers.h"
 #include "lx-faults.h"
 #include "lx-instance.h"
-#include "lx-ledger.h"
+#include "lx-audit.h"
 #include "lx-options.h"
 #include "lx-registry.h"
 #include "lx-store.h"
@@ -13,7 +13,7 @@
 
 #include <gsl/gsl_rng.h>
 
-#define LX_HISTORY 24
+#define LX_HISTORY_LENGTH 24
 
 /* A run: the instances' decisions among fakes of all that surrounds them, in virtual time. */
 typedef struct LxWorld
@@ -21,7 +21,7 @@
   LxOptions options;
   LxQueue *queue;
   gsl_rng *random; /* for the harness alone */
-  LxLedger ledger;
+  LxAudit audit;
   LxRegistry registry;
   LxEngine **engines; /* model engines first, then plain services */
   size_t n_engines;
@@ -35,9 +35,9 @@
   LxFaults faults;
   int64_t decisions;
   /* the last decisions and the last strikes, for a failing run */
-  char history[LX_HISTORY][128];
+  char history[LX_HISTORY_LENGTH][128];
   uint64_t n_history;
-  char strikes[LX_HISTORY][128];
+  char strikes[LX_HISTORY_LENGTH][128];
   uint64_t n_strikes;
 } LxWorld;
 
@@ -48,23 +48,23 @@
 /* Starts what surrounds the system; lx_world_run does it too. */
 void lx_world_start (LxWorld *world);
 void lx_world_run (LxWorld *world);
-void lx_world_strike (LxWorld *world, const char *what, const char *where);
-void lx_world_note (LxWorld *world, const char *format, ...)
+void lx_world_record_fault (LxWorld *world, const char *what, const char *where);
+void lx_world_record_decision (LxWorld *world, const char *format, ...)
     __attribute__ ((format (printf, 2, 3)));
 /* Handler after a delay; see lx_queue_add. */
-void lx_world_after (LxWorld *world,
-                     LbTime delay,
-                     LxHandler handler,
-                     void *owner,
-                     void *argument,
-                     void (*drop) (void *argument));
+void lx_world_schedule (LxWorld *world,
+                        LbTime delay,
+                        LxEventHandler handler,
+                        void *owner,
+                        void *argument,
+                        void (*drop) (void *argument));
 
 /* queries */
 LbTime lx_world_now (const LxWorld *world);
-uint64_t lx_world_event (const LxWorld *world);
+uint64_t lx_world_event_number (const LxWorld *world);
 LbTime lx_world_latency (const LxWorld *world, size_t data_centre, size_t other);
-LxEngine *lx_world_engine (LxWorld *world, const char *name);
-LxInstance *lx_world_instance (LxWorld *world, const char *name);
-LxInstance *lx_world_live_instance (LxWorld *world, size_t preferred);
+LxEngine *lx_world_find_engine (LxWorld *world, const char *name);
+LxInstance *lx_world_find_instance (LxWorld *world, const char *name);
+LxInstance *lx_world_choose_instance (LxWorld *world, size_t preferred);
 
 #endif
--- a/packages/sim/src/lx-ledger.c
+++ b/packages/sim/src/lx-audit.c
@@ -1,4 +1,4 @@
-#include "lx-ledger.h"
+#include "lx-audit.h"
 
 #include "lb-alloc.h"
 #include "lc-label.h"
@@ -8,42 +8,43 @@
 #include <stdlib.h>
 #include <string.h>
 
-static const char *const breach_names[LX_N_BREACHES]
+static const char *const breach_names[LX_N_VIOLATIONS]
     = { "lost",          "doubled",           "stale",        "mislabelled",
         "not-whole",     "ran-after-not-run", "ran-twice",    "sent-to-leaving",
         "cut-by-drain",  "reverted",          "not-in-force", "stuck",
         "core-invariant" };
 
 void
-lx_ledger_init (LxLedger *ledger)
+lx_audit_init (LxAudit *audit)
 {
-  memset (ledger, 0, sizeof *ledger);
+  memset (audit, 0, sizeof *audit);
 }
 
 void
-lx_ledger_clear (LxLedger *ledger)
+lx_audit_clear (LxAudit *audit)
 {
-  free (ledger->jobs);
-  free (ledger->truths);
-  free (ledger->steps);
+  free (audit->jobs);
+  free (audit->streams);
+  free (audit->steps);
 }
 
 void
-lx_ledger_breach (
-    LxLedger *ledger, LxBreach breach, LbTime now, uint64_t event, const char *format, ...)
+lx_audit_report_violation (
+    LxAudit *audit, LxViolation breach, LbTime now, uint64_t event, const char *format, ...)
 {
-  ledger->breaches[breach]++;
-  if (ledger->first[0])
+  audit->violations[breach]++;
+  if (audit->first_violation[0])
     return;
 
-  int length = snprintf (ledger->first, sizeof ledger->first,
+  int length = snprintf (audit->first_violation, sizeof audit->first_violation,
                          "%s at %.6f s, event %llu: ", breach_names[breach], (double)now / LB_SEC,
                          (unsigned long long)event);
   va_list arguments;
   va_start (arguments, format);
-  vsnprintf (ledger->first + length, sizeof ledger->first - (size_t)length, format, arguments);
+  vsnprintf (audit->first_violation + length, sizeof audit->first_violation - (size_t)length,
+             format, arguments);
   va_end (arguments);
-  ledger->first_event = event;
+  audit->first_event = event;
 }
 
 /* Room for one more element: capacities are powers of two. */
@@ -56,42 +57,38 @@
 }
 
 uint64_t
-lx_ledger_add_job (LxLedger *ledger, const LxJob *job)
+lx_audit_add_job (LxAudit *audit, const LxJob *job)
 {
-  ledger->jobs = grow (ledger->jobs, ledger->n_jobs, sizeof (LxJob));
-  ledger->jobs[ledger->n_jobs++] = *job;
-  return ledger->n_jobs;
+  audit->jobs = grow (audit->jobs, audit->n_jobs, sizeof (LxJob));
+  audit->jobs[audit->n_jobs++] = *job;
+  return audit->n_jobs;
 }
 
 uint64_t
-lx_ledger_add_stream (LxLedger *ledger, uint64_t job, LbTime now)
+lx_audit_add_stream (LxAudit *audit, uint64_t job, LbTime now)
 {
-  ledger->truths = grow (ledger->truths, ledger->n_truths, sizeof (LxTruth));
-  ledger->truths[ledger->n_truths++] = (LxTruth){ .job = job, .begun = now };
-  return ledger->n_truths;
+  audit->streams = grow (audit->streams, audit->n_streams, sizeof (LxStreamRecord));
+  audit->streams[audit->n_streams++] = (LxStreamRecord){ .job = job, .begun = now };
+  return audit->n_streams;
 }
 
 /* The step of this number, made at its first use. */
 LxStepTokens *
-lx_ledger_step (LxLedger *ledger, uint64_t step)
+lx_audit_step (LxAudit *audit, uint64_t step)
 {
-  while (ledger->n_steps <= step)
+  while (audit->n_steps <= step)
     {
-      ledger->steps = grow (ledger->steps, ledger->n_steps, sizeof (LxStepTokens));
-      ledger->steps[ledger->n_steps++] = (LxStepTokens){ 0 };
+      audit->steps = grow (audit->steps, audit->n_steps, sizeof (LxStepTokens));
+      audit->steps[audit->n_steps++] = (LxStepTokens){ 0 };
     }
-  return &ledger->steps[step];
+  return &audit->steps[step];
 }
 
 void
-lx_ledger_made (LxLedger *ledger,
-                uint64_t stream,
-                int64_t offset,
-                int64_t tokens,
-                LcVersion version,
-                LbTime now)
+lx_audit_add_tokens (
+    LxAudit *audit, uint64_t stream, int64_t offset, int64_t tokens, LcVersion version, LbTime now)
 {
-  LxTruth *truth = &ledger->truths[stream - 1];
+  LxStreamRecord *truth = &audit->streams[stream - 1];
   LcSpan *last = truth->n_spans > 0 ? &truth->spans[truth->n_spans - 1] : NULL;
 
   truth->ended = now;
@@ -100,24 +97,24 @@
       last->count += tokens;
       return;
     }
-  if (truth->n_spans == LX_TRUTH_SPANS)
+  if (truth->n_spans == LX_MAX_STREAM_SPANS)
     abort ();
   truth->spans[truth->n_spans++] = (LcSpan){ .version = version, .first = offset, .count = tokens };
 }
 
 LxJob *
-lx_ledger_job (LxLedger *ledger, uint64_t job)
+lx_audit_job (LxAudit *audit, uint64_t job)
 {
-  return &ledger->jobs[job - 1];
+  return &audit->jobs[job - 1];
 }
 
 int64_t
-lx_ledger_total (const LxLedger *ledger)
+lx_audit_count_violations (const LxAudit *audit)
 {
   int64_t total = 0;
 
-  for (size_t i = 0; i < LX_N_BREACHES; i++)
-    total += ledger->breaches[i];
+  for (size_t i = 0; i < LX_N_VIOLATIONS; i++)
+    total += audit->violations[i];
   return total;
 }
 
@@ -134,12 +131,12 @@
 }
 
 void
-lx_ledger_label (const LxLedger *ledger, const LxText *text, LcLabel *label)
+lx_audit_compute_label (const LxAudit *audit, const LxText *text, LcLabel *label)
 {
   lc_label_init (label);
   for (size_t i = 0; i < text->n_segments; i++)
     {
-      const LxTruth *truth = &ledger->truths[text->segments[i].stream - 1];
+      const LxStreamRecord *truth = &audit->streams[text->segments[i].stream - 1];
       for (size_t j = 0; j < truth->n_spans; j++)
         add_part (label, &truth->spans[j], &text->segments[i]);
     }
@@ -147,16 +144,16 @@
 
 /* Tokens made for samples of finished steps that no trainer got, over all made for them. */
 double
-lx_ledger_wasted_ratio (const LxLedger *ledger)
+lx_audit_wasted_ratio (const LxAudit *audit)
 {
   int64_t generated = 0;
   int64_t delivered = 0;
 
-  for (size_t i = 0; i < ledger->n_steps; i++)
-    if (ledger->steps[i].done)
+  for (size_t i = 0; i < audit->n_steps; i++)
+    if (audit->steps[i].done)
       {
-        generated += ledger->steps[i].generated;
-        delivered += ledger->steps[i].delivered;
+        generated += audit->steps[i].generated;
+        delivered += audit->steps[i].delivered;
       }
   return generated > 0 ? (double)(generated - delivered) / (double)generated : 0;
 }
--- a/packages/sim/src/lx-callers.c
+++ b/packages/sim/src/lx-callers.c
@@ -71,10 +71,11 @@
   LbTime now = lx_world_now (world);
 
   callers->answered++;
-  if (!lx_text_is_contiguous (&call->text, 0) || lx_text_tokens (&call->text) != call->length)
-    lx_ledger_breach (&world->ledger, LX_NOT_WHOLE, now, lx_world_event (world),
-                      "call of job %" PRIu64 " has %" PRId64 " of %" PRId64 " tokens", call->job,
-                      lx_text_tokens (&call->text), call->length);
+  if (!lx_text_is_contiguous (&call->text, 0) || lx_text_count_tokens (&call->text) != call->length)
+    lx_audit_report_violation (&world->audit, LX_VIOLATION_NOT_WHOLE, now,
+                               lx_world_event_number (world),
+                               "call of job %" PRIu64 " has %" PRId64 " of %" PRId64 " tokens",
+                               call->job, lx_text_count_tokens (&call->text), call->length);
   if (call->kind != LC_KIND_LIVE)
     return;
   record (&callers->latencies, &callers->n_latencies, now - call->asked);
@@ -114,20 +115,20 @@
 static void
 send_answer (LxCallers *callers, const Answer *answer)
 {
-  lx_world_after (callers->world, callers->world->options.site->to_clients, on_answer, callers,
-                  lb_memdup (answer, sizeof *answer), free);
+  lx_world_schedule (callers->world, callers->world->options.site->to_clients, on_answer, callers,
+                     lb_memdup (answer, sizeof *answer), free);
 }
 
 /* A piece leaves the instance for its caller. */
 void
-lx_callers_piece (LxCallers *callers, LxCall *call, uint64_t stream, const LcPiece *piece)
+lx_callers_send_piece (LxCallers *callers, LxCall *call, uint64_t stream, const LcPiece *piece)
 {
   send_answer (callers, &(Answer){ .call = call, .stream = stream, .piece = *piece });
 }
 
 /* The final answer leaves the instance; the call must not be used after it. */
 void
-lx_callers_finish (LxCallers *callers, LxCall *call, LbErrorCode error)
+lx_callers_send_result (LxCallers *callers, LxCall *call, LbErrorCode error)
 {
   send_answer (callers, &(Answer){ .call = call, .is_end = true, .error = error });
 }
@@ -174,7 +175,8 @@
 {
   LxWorld *world = callers->world;
 
-  return lx_world_live_instance (world, gsl_rng_uniform_int (callers->random, world->n_instances));
+  return lx_world_choose_instance (world,
+                                   gsl_rng_uniform_int (callers->random, world->n_instances));
 }
 
 static void
@@ -183,14 +185,15 @@
   LxCallers *callers = owner;
   Asking *asking = argument;
   LxWorld *world = callers->world;
-  LxInstance *instance
-      = asking->instance[0] ? lx_world_instance (world, asking->instance) : any_instance (callers);
+  LxInstance *instance = asking->instance[0] ? lx_world_find_instance (world, asking->instance)
+                                             : any_instance (callers);
   LbError error = { 0 };
 
   if (!instance || !instance->alive)
-    lx_callers_finish (callers, asking->call, LB_ERROR_NOT_READY);
-  else if (!lx_instance_call (instance, &asking->spec, asking->call->job, asking->call, &error))
-    lx_callers_finish (callers, asking->call, error.code);
+    lx_callers_send_result (callers, asking->call, LB_ERROR_NOT_READY);
+  else if (!lx_instance_submit_call (instance, &asking->spec, asking->call->job, asking->call,
+                                     &error))
+    lx_callers_send_result (callers, asking->call, error.code);
   free (asking);
 }
 
@@ -222,14 +225,14 @@
   LxWorld *world = callers->world;
   LxCall *call = asking->call;
 
-  call->job = lx_ledger_add_job (&world->ledger, &(LxJob){ .kind = call->kind,
-                                                           .repeatable = asking->spec.repeatable,
-                                                           .length = call->length });
-  lx_world_after (world, world->options.site->to_clients, on_asked, callers, asking, free);
+  call->job = lx_audit_add_job (&world->audit, &(LxJob){ .kind = call->kind,
+                                                         .repeatable = asking->spec.repeatable,
+                                                         .length = call->length });
+  lx_world_schedule (world, world->options.site->to_clients, on_asked, callers, asking, free);
 }
 
 void
-lx_callers_call (LxCallers *callers, const LxCallOrder *order)
+lx_callers_submit (LxCallers *callers, const LxCallSpec *order)
 {
   Asking *asking = prepare (callers, order->of_service);
 
@@ -256,9 +259,9 @@
 
   (void)argument;
   ask (callers, prepare (callers, false));
-  lx_world_after (callers->world,
-                  pause_before_next (callers, callers->world->options.calls_per_second),
-                  on_model_call, callers, NULL, NULL);
+  lx_world_schedule (callers->world,
+                     pause_before_next (callers, callers->world->options.calls_per_second),
+                     on_model_call, callers, NULL, NULL);
 }
 
 static void
@@ -268,9 +271,9 @@
 
   (void)argument;
   ask (callers, prepare (callers, true));
-  lx_world_after (callers->world,
-                  pause_before_next (callers, callers->world->options.service_calls_per_second),
-                  on_service_call, callers, NULL, NULL);
+  lx_world_schedule (callers->world,
+                     pause_before_next (callers, callers->world->options.service_calls_per_second),
+                     on_service_call, callers, NULL, NULL);
 }
 
 /* Every call has a final answer soon after its deadline, whatever happens. */
@@ -287,18 +290,19 @@
     if (call->reported || call->asked + DEADLINE + PATIENCE > now)
       continue;
     call->reported = true;
-    lx_ledger_breach (&world->ledger, LX_STUCK, now, lx_world_event (world),
-                      "call of job %" PRIu64 " has no answer", call->job);
+    lx_audit_report_violation (&world->audit, LX_VIOLATION_STUCK, now,
+                               lx_world_event_number (world),
+                               "call of job %" PRIu64 " has no answer", call->job);
   }
-  lx_world_after (world, 10 * LB_SEC, on_check, callers, NULL, NULL);
+  lx_world_schedule (world, 10 * LB_SEC, on_check, callers, NULL, NULL);
 }
 
 void
 lx_callers_start (LxCallers *callers)
 {
-  lx_world_after (callers->world, LB_SEC, on_check, callers, NULL, NULL);
-  lx_world_after (callers->world, LB_SEC, on_model_call, callers, NULL, NULL);
-  lx_world_after (callers->world, LB_SEC, on_service_call, callers, NULL, NULL);
+  lx_world_schedule (callers->world, LB_SEC, on_check, callers, NULL, NULL);
+  lx_world_schedule (callers->world, LB_SEC, on_model_call, callers, NULL, NULL);
+  lx_world_schedule (callers->world, LB_SEC, on_service_call, callers, NULL, NULL);
 }
 
 static int
@@ -311,7 +315,7 @@
 }
 
 double
-lx_callers_percentile (LxCallers *callers, double share)
+lx_callers_latency_percentile_ms (LxCallers *callers, double share)
 {
   if (callers->n_latencies == 0)
     return 0;
--- a/packages/sim/src/lx-engine.c
+++ b/packages/sim/src/lx-engine.c
@@ -73,7 +73,7 @@
 static void
 log_cache (LxEngine *engine, uint64_t hash, bool stored)
 {
-  LxCacheEvent *event = &engine->cache_log[++engine->cache_sequence % LX_CACHE_LOG];
+  LxCacheEvent *event = &engine->cache_log[++engine->cache_sequence % LX_CACHE_LOG_LENGTH];
 
   *event = (LxCacheEvent){ .sequence = engine->cache_sequence, .hash = hash, .stored = stored };
 }
@@ -103,7 +103,7 @@
 {
   LxCachedBlock *block;
 
-  if (engine->n_cached < engine->times.cached_blocks && engine->n_cached < LX_MAX_CACHED)
+  if (engine->n_cached < engine->times.cached_blocks && engine->n_cached < LX_MAX_CACHED_BLOCKS)
     {
       block = &engine->cached[engine->n_cached++];
     }
@@ -386,7 +386,7 @@
 
 /* Loads a version beside the one that serves, then changes to it; streams go on in between. */
 void
-lx_engine_order (LxEngine *engine, LcVersion version)
+lx_engine_load_version (LxEngine *engine, LcVersion version)
 {
   if (!engine->alive || engine->loading || version == engine->version)
     return;
@@ -443,11 +443,11 @@
   engine->leaving = false;
   engine->paused = false;
   engine->version = version;
-  engine->cache_sequence += LX_CACHE_LOG;
+  engine->cache_sequence += LX_CACHE_LOG_LENGTH;
 }
 
 void
-lx_engine_report (const LxEngine *engine, LcLoadReport *report)
+lx_engine_get_load_report (const LxEngine *engine, LcLoadReport *report)
 {
   *report = (LcLoadReport){ .leaving = engine->leaving,
                             .version = engine->paused ? 0 : engine->version,
@@ -461,7 +461,7 @@
 }
 
 size_t
-lx_engine_in_progress (const LxEngine *engine)
+lx_engine_count_in_progress (const LxEngine *engine)
 {
   return engine->running.length + engine->waiting.length;
 }
--- a/packages/sim/src/lx-faults.c
+++ b/packages/sim/src/lx-faults.c
@@ -52,11 +52,11 @@
 }
 
 bool
-lx_faults_chance (const LxFaults *faults, double share)
+lx_faults_is_event_selected (const LxFaults *faults, double share)
 {
   const LxWorld *world = faults->world;
 
-  return uniform (world->options.seed, lx_world_event (world), 0xfa) < share;
+  return uniform (world->options.seed, lx_world_event_number (world), 0xfa) < share;
 }
 
 static double
@@ -90,7 +90,7 @@
   if (!engine->alive)
     return;
   lx_engine_crash (engine);
-  lx_world_after (world, down, on_engine_back, engine, NULL, NULL);
+  lx_world_schedule (world, down, on_engine_back, engine, NULL, NULL);
 }
 
 static void
@@ -101,8 +101,8 @@
 
   if (!engine->alive || !engine->leaving)
     return;
-  if (lx_engine_in_progress (engine) > 0)
-    lx_world_after (world, LB_SEC, on_left, world, engine, NULL);
+  if (lx_engine_count_in_progress (engine) > 0)
+    lx_world_schedule (world, LB_SEC, on_left, world, engine, NULL);
   else
     crash_engine (world, engine, 2 * LB_SEC);
 }
@@ -114,7 +114,7 @@
     return;
   engine->leaving = true;
   engine->leaving_since = lx_world_now (world);
-  lx_world_after (world, 5 * LB_SEC, on_left, world, engine, NULL);
+  lx_world_schedule (world, 5 * LB_SEC, on_left, world, engine, NULL);
 }
 
 static size_t
@@ -143,7 +143,7 @@
   if (!instance->alive || count_serving (world) < 3)
     return;
   lx_instance_kill (instance);
-  lx_world_after (world, down, on_instance_back, instance, NULL, NULL);
+  lx_world_schedule (world, down, on_instance_back, instance, NULL, NULL);
 }
 
 static void
@@ -156,15 +156,15 @@
   for (size_t i = 0; i < world->options.n_trainers; i++)
     if (world->trainers[i].owner == instance->index)
       {
-        lx_instance_lose (instance, world->trainers[i].name, world->trainers[i].step);
-        lx_trainer_move (&world->trainers[i], (instance->index + 1) % world->n_instances);
+        lx_instance_abort_step (instance, world->trainers[i].name, world->trainers[i].step);
+        lx_trainer_change_owner (&world->trainers[i], (instance->index + 1) % world->n_instances);
       }
 }
 
 static void
 hit_endpoint (LxWorld *world, LxFault fault, LxEngine *engine, LbTime time)
 {
-  lx_world_strike (world, fault_names[fault], engine->name);
+  lx_world_record_fault (world, fault_names[fault], engine->name);
   if (fault == LX_FAULT_ENGINE_CRASH)
     crash_engine (world, engine, time);
   else if (fault == LX_FAULT_STREAMS_BREAK)
@@ -189,13 +189,13 @@
 static void
 hit_instance (LxWorld *world, LxFault fault, LxInstance *instance, size_t trainer, LbTime time)
 {
-  lx_world_strike (world, fault_names[fault], instance->name);
+  lx_world_record_fault (world, fault_names[fault], instance->name);
   if (fault == LX_FAULT_INSTANCE_KILLED)
     kill_instance (world, instance, time);
   else if (fault == LX_FAULT_INSTANCE_DRAINS)
     drain_instance (world, instance);
   else if (fault == LX_FAULT_OWNER_REPLACED)
-    lx_trainer_move (&world->trainers[trainer], instance->index);
+    lx_trainer_change_owner (&world->trainers[trainer], instance->index);
   else
     pause_instance (world, instance, time);
 }
@@ -206,7 +206,7 @@
   LxWorld *world = faults->world;
   LbTime until = lx_world_now (world) + time;
 
-  lx_world_strike (world, fault_names[fault], "");
+  lx_world_record_fault (world, fault_names[fault], "");
   if (fault == LX_FAULT_STORE_AWAY)
     world->store.away_until = until;
   else if (fault == LX_FAULT_REPLIES_LOST)
@@ -233,25 +233,25 @@
 }
 
 bool
-lx_faults_hit (LxFaults *faults,
-               LxFault fault,
-               const char *endpoint,
-               const char *instance,
-               size_t trainer,
-               LbTime time)
+lx_faults_inject (LxFaults *faults,
+                  LxFault fault,
+                  const char *endpoint,
+                  const char *instance,
+                  size_t trainer,
+                  LbTime time)
 {
   LxWorld *world = faults->world;
 
   if (is_of_endpoint (fault))
     {
-      LxEngine *engine = lx_world_engine (world, endpoint);
+      LxEngine *engine = lx_world_find_engine (world, endpoint);
       if (engine)
         hit_endpoint (world, fault, engine, time);
       return engine != NULL;
     }
   if (is_of_instance (fault))
     {
-      LxInstance *victim = lx_world_instance (world, instance);
+      LxInstance *victim = lx_world_find_instance (world, instance);
       if (victim)
         hit_instance (world, fault, victim, trainer, time);
       return victim != NULL;
@@ -322,8 +322,8 @@
   double again = draw (&strike);
 
   (void)argument;
-  lx_world_after (faults->world, (LbTime)(-log (1 - next) * (double)faults->mean_pause), on_strike,
-                  faults, NULL, NULL);
+  lx_world_schedule (faults->world, (LbTime)(-log (1 - next) * (double)faults->mean_pause),
+                     on_strike, faults, NULL, NULL);
   if (strike.number < faults->n_left_out && faults->left_out[strike.number])
     return;
   strike_once (&strike, fault);
@@ -338,5 +338,5 @@
 lx_faults_start (LxFaults *faults)
 {
   if (faults->kinds != 0)
-    lx_world_after (faults->world, WARM_UP, on_strike, faults, NULL, NULL);
+    lx_world_schedule (faults->world, WARM_UP, on_strike, faults, NULL, NULL);
 }
--- a/packages/sim/src/lx-instance-config.c
+++ b/packages/sim/src/lx-instance-config.c
@@ -143,7 +143,7 @@
       send_message (instance, action);
       break;
     case LC_CONFIG_ACTIVATED:
-      lx_instance_configure (instance, lc_config_set (instance->config));
+      lx_instance_apply_config (instance, lc_config_set (instance->config));
       break;
     case LC_CONFIG_READINESS_CHANGED:
       break;
@@ -277,7 +277,8 @@
   LxWorld *world = instance->world;
   Change *change = argument;
   LbTime now = now_of (instance);
-  bool reply_lost = now < world->store.lose_until && lx_faults_chance (&world->faults, 0.33);
+  bool reply_lost
+      = now < world->store.lose_until && lx_faults_is_event_selected (&world->faults, 0.33);
 
   LcResourceSet *next = NULL;
   if (now >= world->store.away_until && lc_config_has_majority (instance->config, change->asked_at))
@@ -304,7 +305,7 @@
 }
 
 void
-lx_instance_change (LxInstance *instance, struct json_object *content)
+lx_instance_submit_change (LxInstance *instance, struct json_object *content)
 {
   Change *change = LB_NEW (Change);
 
--- a/packages/sim/src/lx-instance.c
+++ b/packages/sim/src/lx-instance.c
@@ -112,7 +112,7 @@
                   .handler = handler,
                   .argument = argument,
                   .drop = drop };
-  lx_world_after (instance->world, delay, on_post, instance, post, drop_post);
+  lx_world_schedule (instance->world, delay, on_post, instance, post, drop_post);
 }
 
 void
@@ -148,8 +148,9 @@
                      + (int64_t)lc_dispatch_invariant_failures (instance->dispatch);
 
   if (failures > instance->core_failures)
-    lx_ledger_breach (&world->ledger, LX_CORE_INVARIANT, lx_world_now (world),
-                      lx_world_event (world), "%s counts %" PRId64, instance->name, failures);
+    lx_audit_report_violation (&world->audit, LX_VIOLATION_CORE_INVARIANT, lx_world_now (world),
+                               lx_world_event_number (world), "%s counts %" PRId64, instance->name,
+                               failures);
   instance->core_failures = failures;
 }
 
@@ -241,10 +242,10 @@
 
   attempt->open = false;
   *closing = (Closing){ .engine = attempt->engine, .stream = attempt->stream };
-  lx_world_after (instance->world,
-                  lx_world_latency (instance->world, instance->data_centre,
-                                    attempt->engine->data_centre),
-                  on_close, NULL, closing, free);
+  lx_world_schedule (instance->world,
+                     lx_world_latency (instance->world, instance->data_centre,
+                                       attempt->engine->data_centre),
+                     on_close, NULL, closing, free);
 }
 
 static void
@@ -264,11 +265,11 @@
   {
     close_request (instance, request);
     if (request->call)
-      lx_callers_finish (&instance->world->callers, request->call, LB_ERROR_STREAM_BROKEN);
+      lx_callers_send_result (&instance->world->callers, request->call, LB_ERROR_STREAM_BROKEN);
   }
   for (size_t i = 0; i < instance->world->options.n_trainers; i++)
     if (instance->world->trainers[i].owner == instance->index)
-      lx_trainer_cut (&instance->world->trainers[i]);
+      lx_trainer_abort_pull (&instance->world->trainers[i]);
   stop_process (instance);
 }
 
@@ -355,15 +356,17 @@
 static void
 check_start (LxWorld *world, const LxStreamSpec *stream)
 {
-  LxJob *job = lx_ledger_job (&world->ledger, stream->job);
+  LxJob *job = lx_audit_job (&world->audit, stream->job);
 
   job->runs++;
   if (job->not_run)
-    lx_ledger_breach (&world->ledger, LX_RAN_AFTER_NOT_RUN, lx_world_now (world),
-                      lx_world_event (world), "job %" PRIu64 " started late", stream->job);
+    lx_audit_report_violation (&world->audit, LX_VIOLATION_RAN_AFTER_NOT_RUN, lx_world_now (world),
+                               lx_world_event_number (world), "job %" PRIu64 " started late",
+                               stream->job);
   if (!job->repeatable && job->runs > 1)
-    lx_ledger_breach (&world->ledger, LX_RAN_TWICE, lx_world_now (world), lx_world_event (world),
-                      "job %" PRIu64 " started %" PRId64 " times", stream->job, job->runs);
+    lx_audit_report_violation (&world->audit, LX_VIOLATION_RAN_TWICE, lx_world_now (world),
+                               lx_world_event_number (world),
+                               "job %" PRIu64 " started %" PRId64 " times", stream->job, job->runs);
 }
 
 static void
@@ -399,10 +402,10 @@
   for (size_t i = request->n_attempts; i > 0 && tokens > 0; i--)
     {
       const LxText *text = &request->attempts[i - 1].text;
-      if (lx_text_tokens (text) < tokens)
+      if (lx_text_count_tokens (text) < tokens)
         continue;
       lx_text_copy (&attempt->text, text);
-      lx_text_cut (&attempt->text, tokens);
+      lx_text_truncate (&attempt->text, tokens);
       return;
     }
 }
@@ -412,7 +415,7 @@
 {
   LxAttempt attempt = { .number = action->attempt, .engine = engine, .open = true };
 
-  attempt.stream = lx_ledger_add_stream (&instance->world->ledger, request->job, now_of (instance));
+  attempt.stream = lx_audit_add_stream (&instance->world->audit, request->job, now_of (instance));
   take_over_text (request, &attempt, action->resume_at - request->spec.resume_at);
   request->attempts
       = lb_realloc (request->attempts, (request->n_attempts + 1) * sizeof (LxAttempt));
@@ -440,7 +443,7 @@
                             .n_prefix_hashes = spec->n_prefix_hashes,
                             .offset = offset,
                             .job = request->job };
-  stream->length = lx_ledger_job (&instance->world->ledger, request->job)->length;
+  stream->length = lx_audit_job (&instance->world->audit, request->job)->length;
   memcpy (stream->prefix_hashes, spec->prefix_hashes, sizeof stream->prefix_hashes);
 }
 
@@ -449,27 +452,30 @@
 {
   LxWorld *world = instance->world;
   LxRequest *request = find_request (instance, action->request);
-  LxEngine *engine = lx_world_engine (world, action->endpoint);
+  LxEngine *engine = lx_world_find_engine (world, action->endpoint);
 
   world->decisions++;
-  lx_world_note (world, "%s sends request %" PRIu64 " attempt %" PRIu32 " to %.20s from %" PRId64,
-                 instance->name, action->request, action->attempt, action->endpoint,
-                 action->resume_at);
+  lx_world_record_decision (world,
+                            "%s sends request %" PRIu64 " attempt %" PRIu32
+                            " to %.20s from %" PRId64,
+                            instance->name, action->request, action->attempt, action->endpoint,
+                            action->resume_at);
   if (!request || !engine)
     return;
   if (engine->leaving && engine->alive)
     engine->sent_while_leaving = now_of (instance);
   if (engine->leaving && engine->alive && engine->leaving_since + LEAVING_BOUND < now_of (instance))
-    lx_ledger_breach (&world->ledger, LX_SENT_TO_LEAVING, now_of (instance), lx_world_event (world),
-                      "%s by %s", engine->name, instance->name);
+    lx_audit_report_violation (&world->audit, LX_VIOLATION_SENT_TO_LEAVING, now_of (instance),
+                               lx_world_event_number (world), "%s by %s", engine->name,
+                               instance->name);
 
   Sending *sending = LB_NEW (Sending);
   const LxAttempt *attempt = add_attempt (instance, request, action, engine);
   sending->instance = instance;
   sending->engine = engine;
   fill_stream (instance, request, attempt, action->resume_at, &sending->stream);
-  lx_world_after (world, lx_world_latency (world, instance->data_centre, engine->data_centre),
-                  on_arrival, NULL, sending, free);
+  lx_world_schedule (world, lx_world_latency (world, instance->data_centre, engine->data_centre),
+                     on_arrival, NULL, sending, free);
 }
 
 /* "Not run" is a proof: nothing may have started, and nothing may start later. */
@@ -477,15 +483,16 @@
 check_not_run (LxInstance *instance, uint64_t number, LbErrorCode error)
 {
   LxWorld *world = instance->world;
-  LxJob *job = lx_ledger_job (&world->ledger, number);
+  LxJob *job = lx_audit_job (&world->audit, number);
 
   if (!lb_error_is_not_run (error))
     return;
   job->not_run = true;
   if (job->runs > 0)
-    lx_ledger_breach (&world->ledger, LX_RAN_AFTER_NOT_RUN, now_of (instance),
-                      lx_world_event (world), "job %" PRIu64 " had run when %s answered %s", number,
-                      instance->name, lb_error_name (error));
+    lx_audit_report_violation (&world->audit, LX_VIOLATION_RAN_AFTER_NOT_RUN, now_of (instance),
+                               lx_world_event_number (world),
+                               "job %" PRIu64 " had run when %s answered %s", number,
+                               instance->name, lb_error_name (error));
 }
 
 static void
@@ -495,13 +502,13 @@
 
   if (!request)
     return;
-  lx_world_note (instance->world, "%s finishes request %" PRIu64 ": %s", instance->name,
-                 action->request, lb_error_name (action->error));
+  lx_world_record_decision (instance->world, "%s finishes request %" PRIu64 ": %s", instance->name,
+                            action->request, lb_error_name (action->error));
   close_request (instance, request);
   check_not_run (instance, request->job, action->error);
   if (request->call)
     {
-      lx_callers_finish (&instance->world->callers, request->call, action->error);
+      lx_callers_send_result (&instance->world->callers, request->call, action->error);
     }
   else
     {
@@ -593,7 +600,7 @@
   LxJob job = { .kind = LC_KIND_SAMPLE, .repeatable = true };
   job.step = (uint64_t)step * world->options.n_trainers + trainer;
   job.length = lx_sample_length (&world->options, trainer, step, group, action->index);
-  return lx_ledger_add_job (&world->ledger, &job);
+  return lx_audit_add_job (&world->audit, &job);
 }
 
 static void
@@ -655,29 +662,29 @@
   pump (instance);
 }
 
-static LxWriteFate
+static LxWriteOutcome
 draw_fate (const LxWorld *world)
 {
   LbTime now = lx_world_now (world);
 
   if (now < world->store.away_until)
-    return LX_WRITE_AWAY;
-  if (now >= world->store.lose_until || !lx_faults_chance (&world->faults, 0.33))
-    return LX_WRITE_FINE;
-  return lx_world_event (world) % 3 == 0 ? LX_WRITE_LOST : LX_WRITE_REPLY_LOST;
+    return LX_WRITE_UNAVAILABLE;
+  if (now >= world->store.lose_until || !lx_faults_is_event_selected (&world->faults, 0.33))
+    return LX_WRITE_APPLIED;
+  return lx_world_event_number (world) % 3 == 0 ? LX_WRITE_REQUEST_LOST : LX_WRITE_REPLY_LOST;
 }
 
 static void
 write_ledger (LxInstance *instance, const LcRolloutAction *action)
 {
   StoreReply *reply = LB_NEW (StoreReply);
-  LxWriteFate fate = draw_fate (instance->world);
+  LxWriteOutcome fate = draw_fate (instance->world);
 
   reply->write = action->write_id;
   reply->error = lx_store_write (&instance->world->store, action->row_key, action->row_value,
                                  action->session, fate);
-  lx_instance_post (instance, fate == LX_WRITE_FINE ? STORE_TIME : STORE_DEADLINE, on_store_reply,
-                    reply, free);
+  lx_instance_post (instance, fate == LX_WRITE_APPLIED ? STORE_TIME : STORE_DEADLINE,
+                    on_store_reply, reply, free);
 }
 
 typedef struct
@@ -708,16 +715,17 @@
                                           taking->ledger, now_of (instance),
                                           &instance->rollout_actions, &error);
 
-  lx_world_note (instance->world, "%s opens trainer %zu step %" PRId64 " session %" PRIu64 ": %s",
-                 instance->name, taking->trainer + 1, step, taking->session,
-                 lb_error_name (error.code));
+  lx_world_record_decision (instance->world,
+                            "%s opens trainer %zu step %" PRId64 " session %" PRIu64 ": %s",
+                            instance->name, taking->trainer + 1, step, taking->session,
+                            lb_error_name (error.code));
   pump (instance);
   if (opened)
-    lx_trainer_opened (&instance->world->trainers[taking->trainer], instance->index, step);
+    lx_trainer_step_opened (&instance->world->trainers[taking->trainer], instance->index, step);
 }
 
 void
-lx_instance_take_step (LxInstance *instance, LcStepSpec *spec, size_t trainer)
+lx_instance_open_step (LxInstance *instance, LcStepSpec *spec, size_t trainer)
 {
   LxWorld *world = instance->world;
   LcStepStatus status;
@@ -730,24 +738,24 @@
     }
   if (lc_rollouts_get_step_status (instance->rollouts, spec->subscription, spec->step, &status))
     {
-      lx_trainer_opened (&world->trainers[trainer], instance->index, spec->step);
+      lx_trainer_step_opened (&world->trainers[trainer], instance->index, spec->step);
       lc_step_spec_clear (spec);
       return;
     }
   snprintf (key, sizeof key, "ledger/%s/%" PRId64, spec->subscription, spec->step);
-  LxWriteFate fate = draw_fate (world);
-  if (fate != LX_WRITE_FINE)
+  LxWriteOutcome fate = draw_fate (world);
+  if (fate != LX_WRITE_APPLIED)
     {
       if (fate == LX_WRITE_REPLY_LOST)
-        lx_store_take (&world->store, key);
+        lx_store_begin_session (&world->store, key);
       lc_step_spec_clear (spec);
       return;
     }
   Taking *taking = LB_NEW (Taking);
   taking->spec = *spec;
   taking->trainer = trainer;
-  taking->session = lx_store_take (&world->store, key);
-  taking->ledger = lb_strdup (lx_store_value (&world->store, key));
+  taking->session = lx_store_begin_session (&world->store, key);
+  taking->ledger = lb_strdup (lx_store_get (&world->store, key));
   memset (spec, 0, sizeof *spec);
   lx_instance_post (instance, STORE_TIME, on_taken, taking, drop_taking);
 }
@@ -758,7 +766,7 @@
   LxWorld *world = owner;
   LxChunk *chunk = argument;
 
-  lx_trainer_receive (&world->trainers[chunk->trainer], chunk);
+  lx_trainer_receive_chunk (&world->trainers[chunk->trainer], chunk);
 }
 
 static void
@@ -779,8 +787,8 @@
       write_ledger (instance, action);
       break;
     case LC_ROLLOUT_REPLY:
-      lx_world_after (instance->world, instance->world->options.site->to_clients, on_chunk,
-                      instance->world, lx_chunk_new (action), lx_chunk_free);
+      lx_world_schedule (instance->world, instance->world->options.site->to_clients, on_chunk,
+                         instance->world, lx_chunk_new (action), lx_chunk_free);
       break;
     case LC_ROLLOUT_SCORE:
       break;
@@ -863,15 +871,17 @@
       return;
     }
   if (!idle)
-    lx_ledger_breach (&world->ledger, LX_STUCK, now_of (instance), lx_world_event (world),
-                      "%s drains without end", instance->name);
+    lx_audit_report_violation (&world->audit, LX_VIOLATION_STUCK, now_of (instance),
+                               lx_world_event_number (world), "%s drains without end",
+                               instance->name);
   for (LxRequest *request = instance->requests; request; request = request->hh.next)
     if (request->call)
-      lx_ledger_breach (&world->ledger, LX_CUT_BY_DRAIN, now_of (instance), lx_world_event (world),
-                        "%s ends with request %" PRIu64, instance->name, request->id);
+      lx_audit_report_violation (&world->audit, LX_VIOLATION_CUT_BY_DRAIN, now_of (instance),
+                                 lx_world_event_number (world), "%s ends with request %" PRIu64,
+                                 instance->name, request->id);
   lx_instance_kill (instance);
   instance->drain_ended = now_of (instance);
-  lx_world_after (world, 2 * LB_SEC, on_restart, instance, NULL, NULL);
+  lx_world_schedule (world, 2 * LB_SEC, on_restart, instance, NULL, NULL);
 }
 
 void
@@ -886,7 +896,7 @@
 }
 
 void
-lx_instance_lose (LxInstance *instance, const char *subscription, int64_t step)
+lx_instance_abort_step (LxInstance *instance, const char *subscription, int64_t step)
 {
   lc_rollouts_abort_step (instance->rollouts, subscription, step, now_of (instance),
                           &instance->rollout_actions);
@@ -894,7 +904,7 @@
 }
 
 void
-lx_instance_configure (LxInstance *instance, const LcResourceSet *set)
+lx_instance_apply_config (LxInstance *instance, const LcResourceSet *set)
 {
   lc_dispatch_configure (instance->dispatch, set, now_of (instance), &instance->actions);
   lc_rollouts_configure (instance->rollouts, set, now_of (instance), &instance->rollout_actions);
@@ -906,7 +916,7 @@
 }
 
 bool
-lx_instance_call (
+lx_instance_submit_call (
     LxInstance *instance, LcRequestSpec *spec, uint64_t job, LxCall *call, LbError *error)
 {
   LbTime retry_after = 0;
@@ -932,7 +942,7 @@
   request->heard = attempt->number;
   if (request->call)
     {
-      lx_callers_piece (&instance->world->callers, request->call, attempt->stream, piece);
+      lx_callers_send_piece (&instance->world->callers, request->call, attempt->stream, piece);
       return;
     }
   if (piece->last)
@@ -973,11 +983,11 @@
   const LxEngine *engine = instance->world->engines[index];
   uint64_t *cursor = &instance->cache_cursors[index];
 
-  if (engine->cache_sequence > *cursor + LX_CACHE_LOG)
-    *cursor = engine->cache_sequence - LX_CACHE_LOG;
+  if (engine->cache_sequence > *cursor + LX_CACHE_LOG_LENGTH)
+    *cursor = engine->cache_sequence - LX_CACHE_LOG_LENGTH;
   while (*cursor < engine->cache_sequence)
     {
-      const LxCacheEvent *event = &engine->cache_log[++*cursor % LX_CACHE_LOG];
+      const LxCacheEvent *event = &engine->cache_log[++*cursor % LX_CACHE_LOG_LENGTH];
       if (event->sequence == *cursor)
         lc_endpoints_apply_cache_event (lc_dispatch_endpoints (instance->dispatch), engine->name,
                                         event->sequence, event->stored, event->hash,
@@ -986,7 +996,7 @@
 }
 
 void
-lx_instance_report (LxInstance *instance, size_t engine, const LcLoadReport *report)
+lx_instance_record_load (LxInstance *instance, size_t engine, const LcLoadReport *report)
 {
   pass_cache_events (instance, engine);
   lc_dispatch_record_load (instance->dispatch, instance->world->engines[engine]->name, report,
@@ -1005,7 +1015,7 @@
 {
   const Report *report = argument;
 
-  lx_instance_report (instance, report->engine, &report->report);
+  lx_instance_record_load (instance, report->engine, &report->report);
 }
 
 /* Asks every endpoint for its load; the answer is as old as its way back. */
@@ -1020,7 +1030,7 @@
         continue;
       Report *report = LB_NEW (Report);
       report->engine = i;
-      lx_engine_report (world->engines[i], &report->report);
+      lx_engine_get_load_report (world->engines[i], &report->report);
       lx_instance_post (instance,
                         lx_world_latency (world, instance->data_centre,
                                           world->engines[i]->data_centre),
@@ -1038,14 +1048,14 @@
 }
 
 void
-lx_instance_swap (LxInstance *instance, size_t engine, bool pending, LbTime until)
+lx_instance_set_swap (LxInstance *instance, size_t engine, bool pending, LbTime until)
 {
   lc_endpoints_set_swap (lc_dispatch_endpoints (instance->dispatch),
                          instance->world->engines[engine]->name, pending, until, now_of (instance));
 }
 
 void
-lx_instance_versions (LxInstance *instance, LcVersion newest, LbTime cadence)
+lx_instance_set_versions (LxInstance *instance, LcVersion newest, LbTime cadence)
 {
   lc_rollouts_set_versions (instance->rollouts, instance->world->options.site->pool, newest,
                             cadence, now_of (instance), &instance->rollout_actions);
--- a/packages/sim/src/lx-options.c
+++ b/packages/sim/src/lx-options.c
@@ -35,7 +35,7 @@
                           .groups = 128,
                           .samples = 8,
                           .shortest = 100,
-                          .train = 45 * LB_SEC,
+                          .train_time = 45 * LB_SEC,
                           .version_every = 90 * LB_SEC,
                           .calls_per_second = 20,
                           .service_calls_per_second = 10,
--- a/packages/sim/src/lx-queue.c
+++ b/packages/sim/src/lx-queue.c
@@ -8,7 +8,7 @@
 {
   LbTime at;
   uint64_t sequence;
-  LxHandler handler;
+  LxEventHandler handler;
   void *owner;
   void *argument;
   void (*drop) (void *argument);
@@ -94,7 +94,7 @@
 void
 lx_queue_add (LxQueue *queue,
               LbTime at,
-              LxHandler handler,
+              LxEventHandler handler,
               void *owner,
               void *argument,
               void (*drop) (void *argument))
@@ -115,7 +115,7 @@
 
 /* Runs the next event if it is due by then; false when there is none. */
 bool
-lx_queue_step (LxQueue *queue, LbTime until)
+lx_queue_run_next (LxQueue *queue, LbTime until)
 {
   if (queue->length == 0 || queue->heap[0].at > until)
     return false;
@@ -136,7 +136,7 @@
 }
 
 uint64_t
-lx_queue_handled (const LxQueue *queue)
+lx_queue_count_handled (const LxQueue *queue)
 {
   return queue->handled;
 }
--- a/packages/sim/src/lx-registry.c
+++ b/packages/sim/src/lx-registry.c
@@ -49,12 +49,12 @@
   registry->set = next;
   registry->accepted_at[next->revision] = lx_world_now (registry->world);
   registry->n_accepted++;
-  lx_world_note (registry->world, "revision %" PRId64 " accepted", next->revision);
+  lx_world_record_decision (registry->world, "revision %" PRId64 " accepted", next->revision);
   return lc_resource_set_copy (next);
 }
 
 int64_t
-lx_registry_due (const LxRegistry *registry, LbTime now)
+lx_registry_due_revision (const LxRegistry *registry, LbTime now)
 {
   int64_t revision = registry->set->revision;
 
@@ -69,7 +69,7 @@
 static int64_t
 newest_known (const LxRegistry *registry, LbTime now)
 {
-  int64_t revision = lx_registry_due (registry, now);
+  int64_t revision = lx_registry_due_revision (registry, now);
 
   while (
       revision > 0
@@ -91,26 +91,29 @@
 {
   LxWorld *world = registry->world;
   int64_t revision = lc_config_revision (instance->config);
-  int64_t due = lx_registry_due (registry, now);
+  int64_t due = lx_registry_due_revision (registry, now);
 
   if (revision < instance->revision_seen)
-    lx_ledger_breach (&world->ledger, LX_REVERTED, now, lx_world_event (world),
-                      "%s went from revision %" PRId64 " to %" PRId64, instance->name,
-                      instance->revision_seen, revision);
+    lx_audit_report_violation (&world->audit, LX_VIOLATION_REVERTED, now,
+                               lx_world_event_number (world),
+                               "%s went from revision %" PRId64 " to %" PRId64, instance->name,
+                               instance->revision_seen, revision);
   instance->revision_seen = revision;
   if (registry->known_at[revision] == 0)
     registry->known_at[revision] = now;
   if (could_know (instance, now) && revision < due)
-    lx_ledger_breach (&world->ledger, LX_NOT_IN_FORCE, now, lx_world_event (world),
-                      "%s has revision %" PRId64 ", %" PRId64 " was accepted %.1f s ago",
-                      instance->name, revision, due,
-                      (double)(now - registry->accepted_at[due]) / LB_SEC);
+    lx_audit_report_violation (&world->audit, LX_VIOLATION_NOT_IN_FORCE, now,
+                               lx_world_event_number (world),
+                               "%s has revision %" PRId64 ", %" PRId64 " was accepted %.1f s ago",
+                               instance->name, revision, due,
+                               (double)(now - registry->accepted_at[due]) / LB_SEC);
   /* A new process that serves must have what any process before it had had in force in time. */
   if (!instance->was_ready && lc_config_is_ready (instance->config)
       && revision < newest_known (registry, now))
-    lx_ledger_breach (&world->ledger, LX_REVERTED, now, lx_world_event (world),
-                      "%s serves with revision %" PRId64 " after %" PRId64, instance->name,
-                      revision, newest_known (registry, now));
+    lx_audit_report_violation (&world->audit, LX_VIOLATION_REVERTED, now,
+                               lx_world_event_number (world),
+                               "%s serves with revision %" PRId64 " after %" PRId64, instance->name,
+                               revision, newest_known (registry, now));
   instance->was_ready = lc_config_is_ready (instance->config);
 }
 
@@ -125,7 +128,7 @@
   for (size_t i = 0; i < world->n_instances; i++)
     if (world->instances[i].alive && world->instances[i].paused_until <= now)
       check_instance (registry, &world->instances[i], now);
-  lx_world_after (world, CHECK_EVERY, on_check, registry, NULL, NULL);
+  lx_world_schedule (world, CHECK_EVERY, on_check, registry, NULL, NULL);
 }
 
 /* {"apply": [the pool with another reserve for live calls]} */
@@ -147,11 +150,11 @@
 }
 
 void
-lx_registry_change (LxRegistry *registry, LxInstance *instance, double live_reserve)
+lx_registry_request_change (LxRegistry *registry, LxInstance *instance, double live_reserve)
 {
   struct json_object *change = make_change (registry, live_reserve);
 
-  lx_instance_change (instance, change);
+  lx_instance_submit_change (instance, change);
   json_object_put (change);
 }
 
@@ -162,22 +165,22 @@
   LxWorld *world = registry->world;
   uint64_t n = gsl_rng_uniform_int (world->random, 1000);
   struct json_object *change = make_change (registry, 0.2 + (double)(n % 20) / 100);
-  LxInstance *instance = lx_world_live_instance (world, n % world->n_instances);
-  LxInstance *other = lx_world_live_instance (world, (n + 1) % world->n_instances);
+  LxInstance *instance = lx_world_choose_instance (world, n % world->n_instances);
+  LxInstance *other = lx_world_choose_instance (world, (n + 1) % world->n_instances);
 
   (void)argument;
   if (instance)
-    lx_instance_change (instance, change);
+    lx_instance_submit_change (instance, change);
   /* Every third time another operator is at it too, at another instance. */
   if (other && n % 3 == 0)
-    lx_instance_change (other, change);
+    lx_instance_submit_change (other, change);
   json_object_put (change);
   /* Some changes come in bursts, so that old messages about one meet the next. */
-  lx_world_after (world,
-                  n % 5 < 2
-                      ? BURST_PAUSE
-                      : (LbTime)((0.5 + (double)n / 1000) * (double)world->options.change_every),
-                  on_operator, registry, NULL, NULL);
+  lx_world_schedule (world,
+                     n % 5 < 2
+                         ? BURST_PAUSE
+                         : (LbTime)((0.5 + (double)n / 1000) * (double)world->options.change_every),
+                     on_operator, registry, NULL, NULL);
 }
 
 void
@@ -185,7 +188,7 @@
 {
   LxWorld *world = registry->world;
 
-  lx_world_after (world, CHECK_EVERY, on_check, registry, NULL, NULL);
+  lx_world_schedule (world, CHECK_EVERY, on_check, registry, NULL, NULL);
   if (world->options.change_every > 0)
-    lx_world_after (world, world->options.change_every, on_operator, registry, NULL, NULL);
+    lx_world_schedule (world, world->options.change_every, on_operator, registry, NULL, NULL);
 }
--- a/packages/sim/src/lx-replay.c
+++ b/packages/sim/src/lx-replay.c
@@ -69,7 +69,7 @@
   fprintf (replay->out, "%s:%d: %s: %s (at %.3f s, event %" PRIu64 ")\n", replay->name, line->line,
            line->event ? "event" : lx_expect_name ((LxTraceExpect)line->expect), what,
            (double)(lx_world_now (replay->world) - replay->begun) / LB_SEC,
-           lx_world_event (replay->world));
+           lx_world_event_number (replay->world));
 }
 
 /* Events. */
@@ -81,13 +81,13 @@
   NamedCall *call = &replay->calls[index];
 
   LB_COPY (call->name, line->call);
-  lx_callers_call (&replay->world->callers,
-                   &(LxCallOrder){ .of_service = line->event == LX_EVENT_SERVICE,
-                                   .repeatable = line->repeatable,
-                                   .tokens = line->tokens,
-                                   .deadline = line->deadline_ms * LB_MSEC,
-                                   .instance = line->instance,
-                                   .result = &call->result });
+  lx_callers_submit (&replay->world->callers,
+                     &(LxCallSpec){ .of_service = line->event == LX_EVENT_SERVICE,
+                                    .repeatable = line->repeatable,
+                                    .tokens = line->tokens,
+                                    .deadline = line->deadline_ms * LB_MSEC,
+                                    .instance = line->instance,
+                                    .result = &call->result });
 }
 
 static void
@@ -116,8 +116,8 @@
 {
   const LxTrainer *trainer = find_trainer (replay, line->trainer);
 
-  if (!lx_faults_hit (&replay->world->faults, fault_of (line->fault), line->endpoint,
-                      line->instance, trainer ? trainer->index : 0, line->for_ms * LB_MSEC))
+  if (!lx_faults_inject (&replay->world->faults, fault_of (line->fault), line->endpoint,
+                         line->instance, trainer ? trainer->index : 0, line->for_ms * LB_MSEC))
     fail (replay, line, "no such endpoint or instance");
 }
 
@@ -125,10 +125,10 @@
 change (Replay *replay, const LxTraceLine *line)
 {
   LxWorld *world = replay->world;
-  LxInstance *instance = lx_world_instance (world, line->instance[0] ? line->instance : "i1");
+  LxInstance *instance = lx_world_find_instance (world, line->instance[0] ? line->instance : "i1");
 
   if (instance && instance->alive)
-    lx_registry_change (&world->registry, instance, line->live_reserve);
+    lx_registry_request_change (&world->registry, instance, line->live_reserve);
   else
     fail (replay, line, "no such instance, or it does not live");
 }
@@ -192,7 +192,7 @@
   if (!call)
     return "no such call";
 
-  const LxJob *job = lx_ledger_job (&replay->world->ledger, call->result.job);
+  const LxJob *job = lx_audit_job (&replay->world->audit, call->result.job);
   if (line->expect == LX_EXPECT_RUNS)
     return job->runs <= line->count ? NULL : "it was started more often";
   if (call->result.ended == 0)
@@ -221,9 +221,9 @@
     return trainer->oldest <= line->count ? NULL : "an older sample was delivered";
   if (line->expect == LX_EXPECT_MIXED)
     return trainer->mixed >= line->count ? NULL : "fewer samples have several versions";
-  if (lx_trainer_finished (trainer, line->step) == 0)
+  if (lx_trainer_step_finished_at (trainer, line->step) == 0)
     return "samples are missing";
-  return was_in_time (replay, line, lx_trainer_finished (trainer, line->step))
+  return was_in_time (replay, line, lx_trainer_step_finished_at (trainer, line->step))
              ? NULL
              : "the last sample came late";
 }
@@ -231,7 +231,7 @@
 static const char *
 check_endpoint (const Replay *replay, const LxTraceLine *line)
 {
-  const LxEngine *engine = lx_world_engine (replay->world, line->endpoint);
+  const LxEngine *engine = lx_world_find_engine (replay->world, line->endpoint);
 
   if (!engine)
     return "no such endpoint";
@@ -243,7 +243,7 @@
 static const char *
 check_drained (const Replay *replay, const LxTraceLine *line)
 {
-  const LxInstance *instance = lx_world_instance (replay->world, line->instance);
+  const LxInstance *instance = lx_world_find_instance (replay->world, line->instance);
 
   if (!instance)
     return "no such instance";
@@ -301,7 +301,7 @@
         continue;
       Due *due = LB_NEW (Due);
       *due = (Due){ .replay = replay, .index = i };
-      lx_world_after (replay->world, at, on_line, replay, due, free);
+      lx_world_schedule (replay->world, at, on_line, replay, due, free);
     }
   return last;
 }
@@ -315,7 +315,7 @@
   options->groups = trace->groups;
   options->samples = trace->samples;
   options->shortest = trace->shortest;
-  options->train = trace->train_ms * LB_MSEC;
+  options->train_time = trace->train_ms * LB_MSEC;
   options->hedge_after = LB_SEC;
 }
 
@@ -339,9 +339,9 @@
       if (wrong)
         fail (&replay, &trace->lines[i], wrong);
     }
-  if (replay.world->ledger.first[0])
+  if (replay.world->audit.first_violation[0])
     {
-      fprintf (out, "%s: %s\n", name, replay.world->ledger.first);
+      fprintf (out, "%s: %s\n", name, replay.world->audit.first_violation);
       replay.failed++;
     }
   lx_world_free (replay.world);
--- a/packages/sim/src/lx-result.c
+++ b/packages/sim/src/lx-result.c
@@ -60,13 +60,13 @@
 }
 
 static void
-fill_breaches (LxResult *result, const LxLedger *ledger)
+fill_breaches (LxResult *result, const LxAudit *audit)
 {
-  result->lost = ledger->breaches[LX_LOST] + ledger->breaches[LX_STUCK];
-  result->doubled = ledger->breaches[LX_DOUBLED];
-  result->stale = ledger->breaches[LX_STALE];
+  result->lost = audit->violations[LX_VIOLATION_LOST] + audit->violations[LX_VIOLATION_STUCK];
+  result->doubled = audit->violations[LX_VIOLATION_DOUBLED];
+  result->stale = audit->violations[LX_VIOLATION_STALE];
   result->other_breaches
-      = lx_ledger_total (ledger) - result->lost - result->doubled - result->stale;
+      = lx_audit_count_violations (audit) - result->lost - result->doubled - result->stale;
 }
 
 void
@@ -77,15 +77,15 @@
   result->seed = world->options.seed;
   fill_trainers (result, world);
   fill_engines (result, world);
-  fill_breaches (result, &world->ledger);
-  result->live_p50_ms = lx_callers_percentile (&world->callers, 0.5);
-  result->live_p99_ms = lx_callers_percentile (&world->callers, 0.99);
+  fill_breaches (result, &world->audit);
+  result->live_p50_ms = lx_callers_latency_percentile_ms (&world->callers, 0.5);
+  result->live_p99_ms = lx_callers_latency_percentile_ms (&world->callers, 0.99);
   result->live_calls = world->callers.answered;
   result->refused = world->callers.refused;
   result->failed = world->callers.failed;
-  result->wasted_tokens_ratio = lx_ledger_wasted_ratio (&world->ledger);
+  result->wasted_tokens_ratio = lx_audit_wasted_ratio (&world->audit);
   result->decisions = world->decisions;
-  result->events = lx_world_event (world);
+  result->events = lx_world_event_number (world);
   if (real_seconds > 0)
     result->decisions_per_second = (double)world->decisions / real_seconds;
 }
--- a/packages/sim/src/lx-soak.c
+++ b/packages/sim/src/lx-soak.c
@@ -11,7 +11,7 @@
 /* How a run ended. */
 typedef struct
 {
-  LxBreach breach;
+  LxViolation breach;
   uint64_t event;
   uint64_t n_strikes;
   char words[256];
@@ -22,8 +22,8 @@
 static uint32_t
 kinds_of (const LxSoak *soak)
 {
-  if (soak->only >= 0)
-    return 1u << soak->only;
+  if (soak->only_fault >= 0)
+    return 1u << soak->only_fault;
   if (soak->seed % 4 == 0)
     return 1u << (soak->seed / 4 % LX_N_FAULTS);
   return ALL_FAULTS;
@@ -38,7 +38,7 @@
   options->groups = 24;
   options->samples = 4;
   options->shortest = 20;
-  options->train = 3 * LB_SEC;
+  options->train_time = 3 * LB_SEC;
   options->version_every = 15 * LB_SEC;
   options->change_every = 8 * LB_SEC;
   options->hedge_after = 500 * LB_MSEC;
@@ -54,16 +54,16 @@
 static void
 note_outcome (const LxWorld *world, Outcome *outcome)
 {
-  const LxLedger *ledger = &world->ledger;
+  const LxAudit *audit = &world->audit;
 
   memset (outcome, 0, sizeof *outcome);
-  outcome->failed = ledger->first[0] != '\0';
-  outcome->event = ledger->first_event;
+  outcome->failed = audit->first_violation[0] != '\0';
+  outcome->event = audit->first_event;
   outcome->n_strikes = world->faults.n_strikes;
-  LB_COPY (outcome->words, ledger->first);
-  for (size_t i = 0; i < LX_N_BREACHES; i++)
-    if (ledger->breaches[i] > 0)
-      outcome->breach = (LxBreach)i;
+  LB_COPY (outcome->words, audit->first_violation);
+  for (size_t i = 0; i < LX_N_VIOLATIONS; i++)
+    if (audit->violations[i] > 0)
+      outcome->breach = (LxViolation)i;
 }
 
 static void
@@ -82,18 +82,18 @@
            " decisions, %" PRId64 " steps, %" PRId64 " samples, %" PRId64
            " calls answered, %" PRId64 " refused, %" PRId64 " failed, %" PRId64
            " revisions, %" PRId64 " conflicts\n",
-           soak->site->name, soak->seed, lx_world_event (world),
+           soak->site->name, soak->seed, lx_world_event_number (world),
            (double)lx_world_now (world) / LB_SEC, world->faults.n_strikes, world->decisions, steps,
            samples, world->callers.answered, world->callers.refused, world->callers.failed,
            world->registry.n_accepted, world->registry.n_conflicts);
 }
 
 static void
-print_ring (const char *title, const char ring[LX_HISTORY][128], uint64_t n, FILE *out)
+print_ring (const char *title, const char ring[LX_HISTORY_LENGTH][128], uint64_t n, FILE *out)
 {
   fprintf (out, "%s:\n", title);
-  for (uint64_t i = n > LX_HISTORY ? n - LX_HISTORY : 0; i < n; i++)
-    fprintf (out, "  %s\n", ring[i % LX_HISTORY]);
+  for (uint64_t i = n > LX_HISTORY_LENGTH ? n - LX_HISTORY_LENGTH : 0; i < n; i++)
+    fprintf (out, "  %s\n", ring[i % LX_HISTORY_LENGTH]);
 }
 
 static void
--- a/packages/sim/src/lx-store.c
+++ b/packages/sim/src/lx-store.c
@@ -14,7 +14,7 @@
 void
 lx_store_clear (LxStore *store)
 {
-  LxRow *row, *next;
+  LxStoreRow *row, *next;
 
   HASH_ITER (hh, store->rows, row, next)
   {
@@ -24,23 +24,23 @@
   }
 }
 
-static LxRow *
+static LxStoreRow *
 find_row (const LxStore *store, const char *key)
 {
-  LxRow *row;
+  LxStoreRow *row;
 
   HASH_FIND_STR (store->rows, key, row);
   return row;
 }
 
-static LxRow *
+static LxStoreRow *
 ensure_row (LxStore *store, const char *key)
 {
-  LxRow *row = find_row (store, key);
+  LxStoreRow *row = find_row (store, key);
 
   if (row)
     return row;
-  row = LB_NEW (LxRow);
+  row = LB_NEW (LxStoreRow);
   LB_COPY (row->key, key);
   row->value = lb_strdup ("");
   HASH_ADD_STR (store->rows, key, row);
@@ -49,13 +49,13 @@
 
 LbErrorCode
 lx_store_write (
-    LxStore *store, const char *key, const char *value, uint64_t session, LxWriteFate fate)
+    LxStore *store, const char *key, const char *value, uint64_t session, LxWriteOutcome fate)
 {
-  LxRow *row = ensure_row (store, key);
+  LxStoreRow *row = ensure_row (store, key);
 
-  if (fate == LX_WRITE_AWAY)
+  if (fate == LX_WRITE_UNAVAILABLE)
     return LB_ERROR_STORE_AWAY;
-  if (fate == LX_WRITE_LOST)
+  if (fate == LX_WRITE_REQUEST_LOST)
     return LB_ERROR_STORE_UNKNOWN;
   if (row->session == session)
     {
@@ -68,15 +68,15 @@
 }
 
 uint64_t
-lx_store_take (LxStore *store, const char *key)
+lx_store_begin_session (LxStore *store, const char *key)
 {
   return ++ensure_row (store, key)->session;
 }
 
 const char *
-lx_store_value (const LxStore *store, const char *key)
+lx_store_get (const LxStore *store, const char *key)
 {
-  const LxRow *row = find_row (store, key);
+  const LxStoreRow *row = find_row (store, key);
 
   return row ? row->value : "";
 }
--- a/packages/sim/src/lx-swaps.c
+++ b/packages/sim/src/lx-swaps.c
@@ -28,7 +28,7 @@
 {
   const Notice *notice = argument;
 
-  lx_instance_swap (instance, notice->engine, notice->pending, notice->until);
+  lx_instance_set_swap (instance, notice->engine, notice->pending, notice->until);
 }
 
 static void
@@ -67,12 +67,12 @@
       LxEngine *engine = world->engines[i];
       if (!engine->alive || engine->loading || engine->version == swaps->newest)
         continue;
-      lx_engine_order (engine, swaps->newest);
+      lx_engine_load_version (engine, swaps->newest);
       tell_instances (world, i, true,
                       lx_world_now (world) + engine->times.load + engine->times.pause);
       loading++;
     }
-  lx_world_after (world, CHECK_EVERY, on_check, swaps, NULL, NULL);
+  lx_world_schedule (world, CHECK_EVERY, on_check, swaps, NULL, NULL);
 }
 
 static void
@@ -80,7 +80,7 @@
 {
   const LcVersion *newest = argument;
 
-  lx_instance_versions (instance, *newest, instance->world->options.version_every);
+  lx_instance_set_versions (instance, *newest, instance->world->options.version_every);
 }
 
 static void
@@ -111,7 +111,8 @@
 
   (void)argument;
   lx_swaps_publish (swaps);
-  lx_world_after (swaps->world, swaps->world->options.version_every, on_version, swaps, NULL, NULL);
+  lx_world_schedule (swaps->world, swaps->world->options.version_every, on_version, swaps, NULL,
+                     NULL);
 }
 
 void
@@ -121,5 +122,6 @@
   on_check (swaps, NULL);
   if (swaps->world->options.scripted)
     return;
-  lx_world_after (swaps->world, swaps->world->options.version_every, on_version, swaps, NULL, NULL);
+  lx_world_schedule (swaps->world, swaps->world->options.version_every, on_version, swaps, NULL,
+                     NULL);
 }
--- a/packages/sim/src/lx-text.c
+++ b/packages/sim/src/lx-text.c
@@ -41,7 +41,7 @@
 
 /* Keeps the first so many tokens. */
 void
-lx_text_cut (LxText *text, int64_t tokens)
+lx_text_truncate (LxText *text, int64_t tokens)
 {
   for (size_t i = 0; i < text->n_segments; i++)
     {
@@ -90,7 +90,7 @@
 }
 
 int64_t
-lx_text_tokens (const LxText *text)
+lx_text_count_tokens (const LxText *text)
 {
   int64_t tokens = 0;
 
--- a/packages/sim/src/lx-trainer.c
+++ b/packages/sim/src/lx-trainer.c
@@ -137,7 +137,7 @@
 static void
 ask_later (LxTrainer *trainer, LbTime delay)
 {
-  lx_world_after (trainer->world, delay, on_ask, trainer, NULL, NULL);
+  lx_world_schedule (trainer->world, delay, on_ask, trainer, NULL, NULL);
 }
 
 static void
@@ -149,11 +149,11 @@
   if (trainer->opened || trainer->owner != instance->index)
     return;
   fill_spec (trainer, &spec);
-  lx_instance_take_step (instance, &spec, trainer->index);
+  lx_instance_open_step (instance, &spec, trainer->index);
 }
 
 void
-lx_trainer_opened (LxTrainer *trainer, size_t instance, int64_t step)
+lx_trainer_step_opened (LxTrainer *trainer, size_t instance, int64_t step)
 {
   if (trainer->owner != instance || trainer->step != step)
     return;
@@ -164,7 +164,7 @@
 send_open (LxTrainer *trainer)
 {
   LxWorld *world = trainer->world;
-  const LxInstance *instance = lx_world_live_instance (world, trainer->owner);
+  const LxInstance *instance = lx_world_choose_instance (world, trainer->owner);
 
   if (!instance)
     return;
@@ -228,8 +228,8 @@
   LB_COPY (pulling->pull.subscription, trainer->name);
   lx_instance_post (&world->instances[trainer->owner], world->options.site->to_clients, on_pull,
                     pulling, drop_pulling);
-  lx_world_after (world, PULL_PATIENCE, on_patience, trainer, (void *)(uintptr_t)trainer->pull,
-                  NULL);
+  lx_world_schedule (world, PULL_PATIENCE, on_patience, trainer, (void *)(uintptr_t)trainer->pull,
+                     NULL);
 }
 
 static void
@@ -242,9 +242,9 @@
 
   if (now - since < STUCK_TIME)
     return;
-  lx_ledger_breach (&world->ledger, LX_STUCK, now, lx_world_event (world),
-                    "%s got no sample of step %" PRId64 " for %lld s", trainer->name, trainer->step,
-                    (long long)((now - since) / LB_SEC));
+  lx_audit_report_violation (&world->audit, LX_VIOLATION_STUCK, now, lx_world_event_number (world),
+                             "%s got no sample of step %" PRId64 " for %lld s", trainer->name,
+                             trainer->step, (long long)((now - since) / LB_SEC));
   trainer->last_sample_at = now;
 }
 
@@ -296,7 +296,7 @@
 }
 
 LbTime
-lx_trainer_finished (const LxTrainer *trainer, int64_t step)
+lx_trainer_step_finished_at (const LxTrainer *trainer, int64_t step)
 {
   return step < trainer->step ? trainer->finished[step] : 0;
 }
@@ -324,7 +324,7 @@
     }
 
   LbTime needed = (LbTime)((double)longest * times->token * LB_SEC);
-  return needed > options->train ? needed - options->train : 0;
+  return needed > options->train_time ? needed - options->train_time : 0;
 }
 
 /* What set the end of the step: the sample whose stream ended last. */
@@ -332,8 +332,8 @@
 explain_step (const LxTrainer *trainer)
 {
   const LxWorld *world = trainer->world;
-  const LxTruth *truth = &world->ledger.truths[trainer->last_stream - 1];
-  const LxJob *job = &world->ledger.jobs[truth->job - 1];
+  const LxStreamRecord *truth = &world->audit.streams[trainer->last_stream - 1];
+  const LxJob *job = &world->audit.jobs[truth->job - 1];
   double opened = (double)trainer->opened_at / LB_SEC;
 
   fprintf (stderr,
@@ -353,10 +353,11 @@
   int64_t slots = options->groups * options->samples;
 
   if (trainer->n_got < slots)
-    lx_ledger_breach (&world->ledger, LX_LOST, lx_world_now (world), lx_world_event (world),
-                      "%s step %" PRId64 " done with %" PRId64 " of %" PRId64 " samples",
-                      trainer->name, trainer->step, trainer->n_got, slots);
-  lx_ledger_step (&world->ledger, step_number (trainer))->done = true;
+    lx_audit_report_violation (&world->audit, LX_VIOLATION_LOST, lx_world_now (world),
+                               lx_world_event_number (world),
+                               "%s step %" PRId64 " done with %" PRId64 " of %" PRId64 " samples",
+                               trainer->name, trainer->step, trainer->n_got, slots);
+  lx_audit_step (&world->audit, step_number (trainer))->done = true;
   if (options->explain)
     explain_step (trainer);
   if (trainer->step > 0)
@@ -368,7 +369,7 @@
   trainer->finished = lb_realloc (trainer->finished, (size_t)(trainer->step + 1) * sizeof (LbTime));
   trainer->finished[trainer->step] = lx_world_now (world);
   trainer->step++;
-  trainer->train_until = lx_world_now (world) + options->train;
+  trainer->train_until = lx_world_now (world) + options->train_time;
   if (trainer->step == trainer->wanted)
     return;
   begin_step (trainer);
@@ -396,17 +397,18 @@
     if (trainer->pull_version - truth->spans[i].version > staleness)
       staleness = trainer->pull_version - truth->spans[i].version;
   if (truth->tokens != length)
-    lx_ledger_breach (&world->ledger, LX_NOT_WHOLE, lx_world_now (world), lx_world_event (world),
-                      "%s %s/%" PRId64 " has %" PRId64 " of %" PRId64 " tokens", trainer->name,
-                      sample->group, sample->index, truth->tokens, length);
+    lx_audit_report_violation (&world->audit, LX_VIOLATION_NOT_WHOLE, lx_world_now (world),
+                               lx_world_event_number (world),
+                               "%s %s/%" PRId64 " has %" PRId64 " of %" PRId64 " tokens",
+                               trainer->name, sample->group, sample->index, truth->tokens, length);
   if (!same_label (truth, &sample->label))
-    lx_ledger_breach (&world->ledger, LX_MISLABELLED, lx_world_now (world), lx_world_event (world),
-                      "%s %s/%" PRId64 ": %s", trainer->name, sample->group, sample->index,
-                      sample->text);
+    lx_audit_report_violation (&world->audit, LX_VIOLATION_MISLABELLED, lx_world_now (world),
+                               lx_world_event_number (world), "%s %s/%" PRId64 ": %s",
+                               trainer->name, sample->group, sample->index, sample->text);
   if (staleness > world->options.site->max_lag)
-    lx_ledger_breach (&world->ledger, LX_STALE, lx_world_now (world), lx_world_event (world),
-                      "%s %s/%" PRId64 " lags %" PRId64, trainer->name, sample->group,
-                      sample->index, staleness);
+    lx_audit_report_violation (&world->audit, LX_VIOLATION_STALE, lx_world_now (world),
+                               lx_world_event_number (world), "%s %s/%" PRId64 " lags %" PRId64,
+                               trainer->name, sample->group, sample->index, staleness);
   trainer->mixed += truth->n_spans > 1;
   if (staleness > trainer->oldest)
     trainer->oldest = staleness;
@@ -424,7 +426,7 @@
   if (text->n_segments == 0)
     return;
   uint64_t stream = text->segments[text->n_segments - 1].stream;
-  LbTime ended = trainer->world->ledger.truths[stream - 1].ended;
+  LbTime ended = trainer->world->audit.streams[stream - 1].ended;
   if (ended <= trainer->last_ended)
     return;
   trainer->last_stream = stream;
@@ -442,38 +444,38 @@
 
   if (trainer->got[slot])
     {
-      lx_ledger_breach (&world->ledger, LX_DOUBLED, lx_world_now (world), lx_world_event (world),
-                        "%s step %" PRId64 " %s/%" PRId64, trainer->name, trainer->step,
-                        sample->group, sample->index);
+      lx_audit_report_violation (&world->audit, LX_VIOLATION_DOUBLED, lx_world_now (world),
+                                 lx_world_event_number (world), "%s step %" PRId64 " %s/%" PRId64,
+                                 trainer->name, trainer->step, sample->group, sample->index);
       return;
     }
   trainer->got[slot] = 1;
   trainer->n_got++;
   trainer->last_sample_at = lx_world_now (world);
   if (!lx_text_parse (&text, sample->text) || !lx_text_is_contiguous (&text, 0))
-    lx_ledger_breach (&world->ledger, LX_NOT_WHOLE, lx_world_now (world), lx_world_event (world),
-                      "%s %s/%" PRId64 ": %s", trainer->name, sample->group, sample->index,
-                      sample->text);
+    lx_audit_report_violation (&world->audit, LX_VIOLATION_NOT_WHOLE, lx_world_now (world),
+                               lx_world_event_number (world), "%s %s/%" PRId64 ": %s",
+                               trainer->name, sample->group, sample->index, sample->text);
   note_last_stream (trainer, &text);
-  lx_ledger_label (&world->ledger, &text, &truth);
+  lx_audit_compute_label (&world->audit, &text, &truth);
   check_label (trainer, sample, &truth,
                lx_sample_length (&world->options, trainer->index, trainer->step, group,
                                  sample->index));
-  lx_ledger_step (&world->ledger, step_number (trainer))->delivered += truth.tokens;
+  lx_audit_step (&world->audit, step_number (trainer))->delivered += truth.tokens;
   lx_text_clear (&text);
 }
 
 /* A reply to its pull; any other, such as one that was given up on, is not looked at. */
 void
-lx_trainer_receive (LxTrainer *trainer, LxChunk *chunk)
+lx_trainer_receive_chunk (LxTrainer *trainer, LxChunk *chunk)
 {
   if (chunk->pull != trainer->pull)
     goto out;
   trainer->pull = 0;
   if (chunk->error.code != LB_OK)
     {
-      lx_world_note (trainer->world, "%s: pull refused: %s", trainer->name,
-                     lb_error_name (chunk->error.code));
+      lx_world_record_decision (trainer->world, "%s: pull refused: %s", trainer->name,
+                                lb_error_name (chunk->error.code));
       if (chunk->error.code == LB_ERROR_UNKNOWN_STEP || chunk->error.code == LB_ERROR_STALE_SESSION
           || chunk->error.code == LB_ERROR_DRAINING)
         trainer->opened = false;
@@ -493,7 +495,7 @@
 }
 
 void
-lx_trainer_cut (LxTrainer *trainer)
+lx_trainer_abort_pull (LxTrainer *trainer)
 {
   if (trainer->pull == 0)
     return;
@@ -503,7 +505,7 @@
 }
 
 void
-lx_trainer_move (LxTrainer *trainer, size_t owner)
+lx_trainer_change_owner (LxTrainer *trainer, size_t owner)
 {
   trainer->owner = owner;
   trainer->opened = false;
--- a/packages/sim/src/lx-world.c
+++ b/packages/sim/src/lx-world.c
@@ -25,9 +25,9 @@
 }
 
 uint64_t
-lx_world_event (const LxWorld *world)
+lx_world_event_number (const LxWorld *world)
 {
-  return lx_queue_handled (world->queue);
+  return lx_queue_count_handled (world->queue);
 }
 
 LbTime
@@ -37,21 +37,21 @@
 }
 
 void
-lx_world_after (LxWorld *world,
-                LbTime delay,
-                LxHandler handler,
-                void *owner,
-                void *argument,
-                void (*drop) (void *argument))
+lx_world_schedule (LxWorld *world,
+                   LbTime delay,
+                   LxEventHandler handler,
+                   void *owner,
+                   void *argument,
+                   void (*drop) (void *argument))
 {
   lx_queue_add (world->queue, lx_world_now (world) + delay, handler, owner, argument, drop);
 }
 
 /* Remembers a decision for the report of a failing run. */
 void
-lx_world_note (LxWorld *world, const char *format, ...)
+lx_world_record_decision (LxWorld *world, const char *format, ...)
 {
-  char *note = world->history[world->n_history++ % LX_HISTORY];
+  char *note = world->history[world->n_history++ % LX_HISTORY_LENGTH];
   int length
       = snprintf (note, sizeof world->history[0], "%.6f ", (double)lx_world_now (world) / LB_SEC);
   va_list arguments;
@@ -62,14 +62,14 @@
 }
 
 void
-lx_world_strike (LxWorld *world, const char *what, const char *where)
+lx_world_record_fault (LxWorld *world, const char *what, const char *where)
 {
-  snprintf (world->strikes[world->n_strikes++ % LX_HISTORY], sizeof world->strikes[0], "%.6f %s %s",
-            (double)lx_world_now (world) / LB_SEC, what, where);
+  snprintf (world->strikes[world->n_strikes++ % LX_HISTORY_LENGTH], sizeof world->strikes[0],
+            "%.6f %s %s", (double)lx_world_now (world) / LB_SEC, what, where);
 }
 
 LxEngine *
-lx_world_engine (LxWorld *world, const char *name)
+lx_world_find_engine (LxWorld *world, const char *name)
 {
   for (size_t i = 0; i < world->n_endpoints; i++)
     if (strcmp (world->engines[i]->name, name) == 0)
@@ -78,7 +78,7 @@
 }
 
 LxInstance *
-lx_world_instance (LxWorld *world, const char *name)
+lx_world_find_instance (LxWorld *world, const char *name)
 {
   for (size_t i = 0; i < world->n_instances; i++)
     if (strcmp (world->instances[i].name, name) == 0)
@@ -88,7 +88,7 @@
 
 /* An instance that serves callers, the preferred one if it does; NULL when none does. */
 LxInstance *
-lx_world_live_instance (LxWorld *world, size_t preferred)
+lx_world_choose_instance (LxWorld *world, size_t preferred)
 {
   LbTime now = lx_world_now (world);
 
@@ -124,20 +124,20 @@
   LxWorld *world = user;
 
   lx_instance_send_end (&world->instances[stream->spec.instance], engine, &stream->spec,
-                        LC_END_BROKEN, LX_STREAM_SILENCE);
+                        LC_END_BROKEN, LX_SILENT_STREAM_TIMEOUT);
 }
 
 static void
 on_made (void *user, LxEngine *engine, const LxStream *stream, int64_t tokens)
 {
   LxWorld *world = user;
-  uint64_t step = lx_ledger_job (&world->ledger, stream->spec.job)->step;
+  uint64_t step = lx_audit_job (&world->audit, stream->spec.job)->step;
 
   if (!engine->is_service)
-    lx_ledger_made (&world->ledger, stream->spec.id, stream->offset - tokens, tokens,
-                    engine->version, lx_world_now (world));
+    lx_audit_add_tokens (&world->audit, stream->spec.id, stream->offset - tokens, tokens,
+                         engine->version, lx_world_now (world));
   if (stream->spec.kind == LC_KIND_SAMPLE)
-    lx_ledger_step (&world->ledger, step)->generated += tokens;
+    lx_audit_step (&world->audit, step)->generated += tokens;
 }
 
 static void
@@ -245,7 +245,7 @@
   world->queue = lx_queue_new ();
   world->random = gsl_rng_alloc (gsl_rng_taus2);
   gsl_rng_set (world->random, options->seed);
-  lx_ledger_init (&world->ledger);
+  lx_audit_init (&world->audit);
   add_endpoints (world);
   lx_registry_init (&world->registry, world, make_resources (world));
   world->n_instances = options->site->n_instances;
@@ -279,7 +279,7 @@
     lx_engine_free (world->engines[i]);
   free (world->engines);
   lx_registry_clear (&world->registry);
-  lx_ledger_clear (&world->ledger);
+  lx_audit_clear (&world->audit);
   lx_store_clear (&world->store);
   gsl_rng_free (world->random);
   free (world);
@@ -310,7 +310,8 @@
   uint64_t max = world->options.max_events;
 
   lx_world_start (world);
-  while ((max == 0 || lx_world_event (world) < max) && lx_queue_step (world->queue, until))
-    if (world->options.stop_at_breach && world->ledger.first[0])
+  while ((max == 0 || lx_world_event_number (world) < max)
+         && lx_queue_run_next (world->queue, until))
+    if (world->options.stop_at_breach && world->audit.first_violation[0])
       return;
 }
--- a/packages/sim/tests/test-engine.c
+++ b/packages/sim/tests/test-engine.c
@@ -74,7 +74,7 @@
   LbTime begun = lx_queue_now (queue);
 
   cr_assert (lx_engine_submit (engine, &(LxStreamSpec){ .id = 1, .length = 100 }));
-  while (lx_queue_step (queue, 100 * LB_SEC))
+  while (lx_queue_run_next (queue, 100 * LB_SEC))
     continue;
   cr_assert_eq (heard.tokens, 100);
   cr_assert_eq (heard.ends, 1);
@@ -91,8 +91,8 @@
   LxEngine *engine = make_engine (queue, &heard);
 
   lx_engine_submit (engine, &(LxStreamSpec){ .id = 1, .length = 150 });
-  lx_engine_order (engine, 2);
-  while (lx_queue_step (queue, 100 * LB_SEC))
+  lx_engine_load_version (engine, 2);
+  while (lx_queue_run_next (queue, 100 * LB_SEC))
     continue;
   cr_assert_eq (heard.of_version[1] + heard.of_version[2], 150);
   cr_assert_gt (heard.of_version[1], 95);
--- a/packages/sim/tests/test-ledger.c
+++ b/packages/sim/tests/test-ledger.c
@@ -1,4 +1,4 @@
-#include "lx-ledger.h"
+#include "lx-audit.h"
 #include "lx-trace.h"
 
 #include <criterion/criterion.h>
@@ -6,20 +6,20 @@
 
 Test (ledger, label_follows_what_the_streams_really_made)
 {
-  LxLedger ledger;
+  LxAudit audit;
   LxText text = { 0 };
   LcLabel label;
 
-  lx_ledger_init (&ledger);
-  uint64_t job = lx_ledger_add_job (&ledger, &(LxJob){ .length = 100 });
-  uint64_t first = lx_ledger_add_stream (&ledger, job, LB_SEC);
-  uint64_t second = lx_ledger_add_stream (&ledger, job, LB_SEC);
-  lx_ledger_made (&ledger, first, 0, 30, 4, LB_SEC);
-  lx_ledger_made (&ledger, first, 30, 30, 5, LB_SEC);
-  lx_ledger_made (&ledger, second, 50, 50, 6, LB_SEC);
+  lx_audit_init (&audit);
+  uint64_t job = lx_audit_add_job (&audit, &(LxJob){ .length = 100 });
+  uint64_t first = lx_audit_add_stream (&audit, job, LB_SEC);
+  uint64_t second = lx_audit_add_stream (&audit, job, LB_SEC);
+  lx_audit_add_tokens (&audit, first, 0, 30, 4, LB_SEC);
+  lx_audit_add_tokens (&audit, first, 30, 30, 5, LB_SEC);
+  lx_audit_add_tokens (&audit, second, 50, 50, 6, LB_SEC);
   lx_text_append (&text, first, 0, 50);
   lx_text_append (&text, second, 50, 50);
-  lx_ledger_label (&ledger, &text, &label);
+  lx_audit_compute_label (&audit, &text, &label);
   cr_assert_eq (label.n_spans, 3);
   cr_assert_eq (label.tokens, 100);
   cr_assert_eq (label.spans[1].version, 5);
@@ -27,20 +27,20 @@
   cr_assert_eq (label.spans[1].count, 20);
   cr_assert_not (label.unlabelled);
   lx_text_clear (&text);
-  lx_ledger_clear (&ledger);
+  lx_audit_clear (&audit);
 }
 
 Test (ledger, the_first_breach_is_kept_in_words_and_all_are_counted)
 {
-  LxLedger ledger;
+  LxAudit audit;
 
-  lx_ledger_init (&ledger);
-  lx_ledger_breach (&ledger, LX_DOUBLED, LB_SEC, 7, "slot %d", 3);
-  lx_ledger_breach (&ledger, LX_DOUBLED, LB_SEC, 8, "slot %d", 4);
-  cr_assert_eq (lx_ledger_total (&ledger), 2);
-  cr_assert_eq (ledger.first_event, 7);
-  cr_assert (strstr (ledger.first, "doubled") && strstr (ledger.first, "slot 3"));
-  lx_ledger_clear (&ledger);
+  lx_audit_init (&audit);
+  lx_audit_report_violation (&audit, LX_VIOLATION_DOUBLED, LB_SEC, 7, "slot %d", 3);
+  lx_audit_report_violation (&audit, LX_VIOLATION_DOUBLED, LB_SEC, 8, "slot %d", 4);
+  cr_assert_eq (lx_audit_count_violations (&audit), 2);
+  cr_assert_eq (audit.first_event, 7);
+  cr_assert (strstr (audit.first_violation, "doubled") && strstr (audit.first_violation, "slot 3"));
+  lx_audit_clear (&audit);
 }
 
 static void
--- a/packages/sim/tests/test-queue.c
+++ b/packages/sim/tests/test-queue.c
@@ -26,7 +26,7 @@
   lx_queue_add (queue, 30 * LB_SEC, see, &seen, (void *)3, NULL);
   lx_queue_add (queue, 10 * LB_SEC, see, &seen, (void *)1, NULL);
   lx_queue_add (queue, 10 * LB_SEC, see, &seen, (void *)2, NULL);
-  while (lx_queue_step (queue, 20 * LB_SEC))
+  while (lx_queue_run_next (queue, 20 * LB_SEC))
     continue;
   cr_assert_eq (seen.n, 2);
   cr_assert_eq (seen.order[0], 1);
@@ -43,11 +43,11 @@
   lx_text_append (&text, 7, 0, 32);
   lx_text_append (&text, 7, 32, 8);
   lx_text_append (&text, 9, 40, 10);
-  lx_text_cut (&text, 45);
+  lx_text_truncate (&text, 45);
   char *rendered = lx_text_render (&text);
   cr_assert_str_eq (rendered, "7:0:40;9:40:5;");
   cr_assert (lx_text_parse (&back, rendered));
-  cr_assert_eq (lx_text_tokens (&back), 45);
+  cr_assert_eq (lx_text_count_tokens (&back), 45);
   cr_assert (lx_text_is_contiguous (&back, 0));
   cr_assert_not (lx_text_is_contiguous (&back, 1));
   free (rendered);
--- a/packages/sim/tests/test-soak.c
+++ b/packages/sim/tests/test-soak.c
@@ -10,7 +10,7 @@
   char *text = NULL;
   size_t size = 0;
   FILE *out = open_memstream (&text, &size);
-  LxSoak soak = { .site = lx_site_find (site), .seed = seed, .events = events, .only = only };
+  LxSoak soak = { .site = lx_site_find (site), .seed = seed, .events = events, .only_fault = only };
 
   *held = lx_soak_run (&soak, false, out);
   fclose (out);
