--- a/packages/node/src/config/ln-config-api.c
+++ b/packages/node/src/config/ln-config-api.c
@@ -11,32 +11,32 @@
 
 #define RESOURCES_PATH "/v1/resources"
 #define WATCH_PATH "/v1/resources/watch"
-#define MAX_WATCH (60 * LB_SEC)
-#define WATCH_STEP (200 * LB_MSEC)
-#define DEFAULT_HISTORY 20
-#define MAX_HISTORY 1000
+#define MAX_WATCH_WAIT (60 * LB_SEC)
+#define WATCH_QUERY_PERIOD (200 * LB_MSEC)
+#define DEFAULT_HISTORY_ROWS 20
+#define MAX_HISTORY_ROWS 1000
 
 typedef struct
 {
   LbLink link;
   LnExchange *exchange;
-  int64_t after;
-  size_t on; /* instances with the accepted revision when the watch began */
-  size_t of;
-  LbTime until;
-  LbTime next_step;
-} LnWatch;
-
-/* A call whose reply waits for the store. */
+  int64_t after_revision; /* a newer revision ends the watch */
+  size_t n_active;        /* instances with the accepted revision when the watch began */
+  size_t n_known;         /* known instances at that time */
+  LbTime deadline;
+  LbTime next_query_at;
+} LnConfigWatch;
+
+/* An operator's request that is answered when a read of the store completes. */
 typedef struct
 {
   LnConfigTask *task;
   LnExchange *exchange;
-} StoreCall;
+} PendingReply;
 
-static LbMetric metric_refused = LB_COUNTER_INIT ("lentilspindle_operator_refused_total",
-                                                  NULL,
-                                                  "Operator calls without the right token");
+static LbMetric metric_unauthorized = LB_COUNTER_INIT ("lentilspindle_operator_refused_total",
+                                                       NULL,
+                                                       "Operator requests without a valid token");
 
 void
 ln_config_set_etag (LnExchange *exchange, int64_t revision)
@@ -47,7 +47,7 @@
   ln_exchange_set_header (exchange, "ETag", etag);
 }
 
-/* Takes the same time wherever the first difference is. */
+/* Compares in constant time, so that the duration does not reveal where the first difference is. */
 static bool
 is_same_secret (const char *given, const char *secret)
 {
@@ -71,7 +71,7 @@
 }
 
 static void
-refuse (LnExchange *exchange, LbErrorCode code, const char *where, const char *detail)
+reply_error (LnExchange *exchange, LbErrorCode code, const char *where, const char *detail)
 {
   LbError error;
 
@@ -81,26 +81,26 @@
 }
 
 static int64_t
-query_integer (const LnExchange *exchange, const char *key, int64_t otherwise)
+get_query_integer (const LnExchange *exchange, const char *key, int64_t default_value)
 {
   char *end = NULL;
   const char *text = ln_exchange_query (exchange, key);
-  int64_t value = text ? strtoll (text, &end, 10) : otherwise;
+  int64_t value = text ? strtoll (text, &end, 10) : default_value;
 
-  return text && (end == text || *end != '\0' || value < 0) ? otherwise : value;
+  return text && (end == text || *end != '\0' || value < 0) ? default_value : value;
 }
 
 /* --- GET /v1/resources --- */
 
 typedef struct
 {
-  char kind[32];
-  LbName name;
+  char kind[32]; /* "": all */
+  LbName name;   /* "": all */
 } Selection;
 
-/* "", "/KIND" or "/KIND/NAME" after the path of the resources. */
+/* Parses what follows RESOURCES_PATH: "", "/KIND" or "/KIND/NAME". */
 static bool
-read_selection (const char *path, Selection *selection)
+parse_selection (const char *path, Selection *selection)
 {
   LcResourceKind kind;
   const char *rest = path + strlen (RESOURCES_PATH);
@@ -151,10 +151,10 @@
   char age[32];
   Selection selection;
 
-  if (!read_selection (ln_exchange_path (exchange), &selection))
+  if (!parse_selection (ln_exchange_path (exchange), &selection))
     {
-      refuse (exchange, LB_ERROR_UNKNOWN_RESOURCE, ln_exchange_path (exchange),
-              "expected pool, subscription, version_bound or endpoint");
+      reply_error (exchange, LB_ERROR_UNKNOWN_RESOURCE, ln_exchange_path (exchange),
+                   "expected pool, subscription, version_bound or endpoint");
       return;
     }
   struct json_object *object = selected_to_json (lc_config_set (task->config), &selection);
@@ -162,8 +162,8 @@
       && json_object_array_length (json_object_object_get (object, "resources")) == 0)
     {
       json_object_put (object);
-      refuse (exchange, LB_ERROR_UNKNOWN_RESOURCE, ln_exchange_path (exchange),
-              "no such resource is accepted");
+      reply_error (exchange, LB_ERROR_UNKNOWN_RESOURCE, ln_exchange_path (exchange),
+                   "the accepted configuration has no such resource");
       return;
     }
   LbTime confirmed = lc_config_confirmation_age (task->config, lb_clock_monotonic ());
@@ -173,32 +173,33 @@
   ln_exchange_reply_json (exchange, 200, object);
 }
 
-/* With the store away the last confirmed set is shown, and x-confirmation-age-ms tells its age. */
+/* If the store cannot be read, replies with the last confirmed set; x-confirmation-age-ms states
+ * its age. */
 static void
-on_read_for_reply (const LnConfigRead *read, void *user)
+on_resources_read (const LnConfigRead *read, void *user)
 {
-  StoreCall *call = user;
-  LnConfigTask *task = call->task;
+  PendingReply *pending = user;
+  LnConfigTask *task = pending->task;
   LbTime now = lb_clock_monotonic ();
   LbList actions;
 
   lb_list_init (&actions);
   if (read->error == LB_OK)
-    lc_config_store_read_completed (task->config, read->revision, read->set, read->asked_at, now,
-                                    &actions);
+    lc_config_store_read_completed (task->config, read->revision, read->set, read->requested_at,
+                                    now, &actions);
   ln_config_execute_actions (task, &actions);
-  reply_resources (task, call->exchange);
-  free (call);
+  reply_resources (task, pending->exchange);
+  free (pending);
 }
 
-static StoreCall *
-store_call_new (LnConfigTask *task, LnExchange *exchange)
+static PendingReply *
+pending_reply_new (LnConfigTask *task, LnExchange *exchange)
 {
-  StoreCall *call = LB_NEW (StoreCall);
+  PendingReply *pending = LB_NEW (PendingReply);
 
-  call->task = task;
-  call->exchange = exchange;
-  return call;
+  pending->task = task;
+  pending->exchange = exchange;
+  return pending;
 }
 
 /* --- GET /v1/resources/watch --- */
@@ -206,96 +207,97 @@
 typedef struct
 {
   int64_t revision;
-  struct json_object *behind;
-} BehindSearch;
+  struct json_object *names; /* of the instances with an older revision */
+} OutdatedSearch;
 
 static void
-add_behind (const char *instance, int64_t revision, bool alive, bool draining, void *user)
+add_if_outdated (const char *instance, int64_t revision, bool alive, bool draining, void *user)
 {
   (void)alive;
   (void)draining;
-  BehindSearch *search = user;
+  OutdatedSearch *search = user;
 
   if (revision < search->revision)
-    json_object_array_add (search->behind, json_object_new_string (instance));
+    json_object_array_add (search->names, json_object_new_string (instance));
 }
 
-/* {"on": n, "of": m, "behind": [names]} */
+/* Which instances have activated the revision: {"on": active, "of": known, "behind": [names]} */
 struct json_object *
 ln_config_activation_to_json (const LnConfigTask *task, int64_t revision)
 {
   struct json_object *object = json_object_new_object ();
-  BehindSearch search = { .revision = revision, .behind = json_object_new_array () };
-  LcActiveCount in_force = lc_config_count_active (task->config, revision);
+  OutdatedSearch search = { .revision = revision, .names = json_object_new_array () };
+  LcActiveCount count = lc_config_count_active (task->config, revision);
 
-  lc_config_visit_instances (task->config, add_behind, &search);
-  json_object_object_add (object, "on", json_object_new_int64 ((int64_t)in_force.active));
-  json_object_object_add (object, "of", json_object_new_int64 ((int64_t)in_force.known));
-  json_object_object_add (object, "behind", search.behind);
+  lc_config_visit_instances (task->config, add_if_outdated, &search);
+  json_object_object_add (object, "on", json_object_new_int64 ((int64_t)count.active));
+  json_object_object_add (object, "of", json_object_new_int64 ((int64_t)count.known));
+  json_object_object_add (object, "behind", search.names);
   return object;
 }
 
 static void
-watch_finish (LnConfigTask *task, LnWatch *watch)
+finish_watch (LnConfigTask *task, LnConfigWatch *watch)
 {
   int64_t revision = lc_config_revision (task->config);
   char key[32];
   struct json_object *object = json_object_new_object ();
-  struct json_object *in_force = json_object_new_object ();
+  struct json_object *activation = json_object_new_object ();
 
   snprintf (key, sizeof key, "%lld", (long long)revision);
-  json_object_object_add (in_force, key, ln_config_activation_to_json (task, revision));
+  json_object_object_add (activation, key, ln_config_activation_to_json (task, revision));
   json_object_object_add (object, "accepted", json_object_new_int64 (revision));
-  json_object_object_add (object, "in_force", in_force);
+  json_object_object_add (object, "in_force", activation);
   lb_list_remove (&task->watches, &watch->link);
   ln_exchange_reply_json (watch->exchange, 200, object);
   free (watch);
 }
 
 static bool
-has_news (const LnConfigTask *task, const LnWatch *watch)
+has_changed (const LnConfigTask *task, const LnConfigWatch *watch)
 {
   int64_t revision = lc_config_revision (task->config);
-  LcActiveCount in_force = lc_config_count_active (task->config, revision);
+  LcActiveCount count = lc_config_count_active (task->config, revision);
 
-  return revision > watch->after || in_force.active != watch->on || in_force.known != watch->of;
+  return revision > watch->after_revision || count.active != watch->n_active
+         || count.known != watch->n_known;
 }
 
 static void
-watch_start (LnConfigTask *task, LnExchange *exchange, LbTime now)
+start_watch (LnConfigTask *task, LnExchange *exchange, LbTime now)
 {
-  LnWatch *watch = LB_NEW (LnWatch);
-  int64_t wait_ms = query_integer (exchange, "wait_ms", 0);
-  LcActiveCount in_force = lc_config_count_active (task->config, lc_config_revision (task->config));
+  LnConfigWatch *watch = LB_NEW (LnConfigWatch);
+  int64_t wait_ms = get_query_integer (exchange, "wait_ms", 0);
+  LcActiveCount count = lc_config_count_active (task->config, lc_config_revision (task->config));
 
   watch->exchange = exchange;
-  watch->after = query_integer (exchange, "after", 0);
-  watch->on = in_force.active;
-  watch->of = in_force.known;
-  watch->until = now + (wait_ms * LB_MSEC < MAX_WATCH ? wait_ms * LB_MSEC : MAX_WATCH);
+  watch->after_revision = get_query_integer (exchange, "after", 0);
+  watch->n_active = count.active;
+  watch->n_known = count.known;
+  watch->deadline = now + (wait_ms * LB_MSEC < MAX_WATCH_WAIT ? wait_ms * LB_MSEC : MAX_WATCH_WAIT);
   lb_list_append (&task->watches, &watch->link);
 }
 
-/* While a watch waits, those that are behind are asked: they confirm to the sender, which need
- * not be this instance. */
+/* While a watch waits, queries the outdated instances: they report a new revision only to the
+ * instance that sent it to them, which may be another one. */
 static void
-watches_tick (LnConfigTask *task, LbTime now)
+tick_watches (LnConfigTask *task, LbTime now)
 {
   LbList actions;
-  bool ask = false;
+  bool query_outdated = false;
 
   lb_list_init (&actions);
-  LB_LIST_FOREACH (&task->watches, LnWatch, link, watch)
+  LB_LIST_FOREACH (&task->watches, LnConfigWatch, link, watch)
   {
-    if (now >= watch->until || task->draining || has_news (task, watch))
-      watch_finish (task, watch);
-    else if (now >= watch->next_step)
+    if (now >= watch->deadline || task->draining || has_changed (task, watch))
+      finish_watch (task, watch);
+    else if (now >= watch->next_query_at)
       {
-        watch->next_step = now + WATCH_STEP;
-        ask = true;
+        watch->next_query_at = now + WATCH_QUERY_PERIOD;
+        query_outdated = true;
       }
   }
-  if (ask)
+  if (query_outdated)
     lc_config_query_outdated_peers (task->config, now, &actions);
   ln_config_execute_actions (task, &actions);
 }
@@ -303,32 +305,33 @@
 /* --- GET /v1/history --- */
 
 static void
-on_history (LbErrorCode error, struct json_object *rows, void *user)
+on_history_read (LbErrorCode error, struct json_object *rows, void *user)
 {
-  StoreCall *call = user;
+  PendingReply *pending = user;
 
   if (error != LB_OK)
     {
       json_object_put (rows);
-      refuse (call->exchange, error, "/v1/history", "the history is in the platform's table");
+      reply_error (pending->exchange, error, "/v1/history",
+                   "the history could not be read from the platform's table");
     }
   else
     {
       struct json_object *object = json_object_new_object ();
       json_object_object_add (object, "changes", rows);
-      ln_exchange_reply_json (call->exchange, 200, object);
+      ln_exchange_reply_json (pending->exchange, 200, object);
     }
-  free (call);
+  free (pending);
 }
 
 static void
-reply_history (LnConfigTask *task, LnExchange *exchange)
+request_history (LnConfigTask *task, LnExchange *exchange)
 {
-  int64_t limit = query_integer (exchange, "limit", DEFAULT_HISTORY);
+  int64_t limit = get_query_integer (exchange, "limit", DEFAULT_HISTORY_ROWS);
 
   ln_config_store_history (task->store, lc_config_revision (task->config),
-                           (size_t)(limit < MAX_HISTORY ? limit : MAX_HISTORY), on_history,
-                           store_call_new (task, exchange));
+                           (size_t)(limit < MAX_HISTORY_ROWS ? limit : MAX_HISTORY_ROWS),
+                           on_history_read, pending_reply_new (task, exchange));
 }
 
 /* --- GET /v1/status --- */
@@ -367,10 +370,10 @@
   ln_exchange_reply_json (exchange, 200, object);
 }
 
-/* --- all --- */
+/* --- routing --- */
 
 static bool
-is_under (const char *path, const char *prefix)
+is_path_under (const char *path, const char *prefix)
 {
   size_t length = strlen (prefix);
 
@@ -378,7 +381,7 @@
 }
 
 static void
-route (LnConfigTask *task, LnExchange *exchange)
+route_request (LnConfigTask *task, LnExchange *exchange)
 {
   const char *path = ln_exchange_path (exchange);
   bool is_get = strcmp (ln_exchange_method (exchange), "GET") == 0;
@@ -387,16 +390,17 @@
   if (is_post && strcmp (path, RESOURCES_PATH) == 0)
     ln_config_change_submit (task, exchange);
   else if (is_get && strcmp (path, WATCH_PATH) == 0)
-    watch_start (task, exchange, lb_clock_monotonic ());
-  else if (is_get && is_under (path, RESOURCES_PATH))
-    ln_config_store_read (task->store, lc_config_revision (task->config), on_read_for_reply,
-                          store_call_new (task, exchange));
-  else if (is_get && is_under (path, "/v1/history"))
-    reply_history (task, exchange);
-  else if (is_get && is_under (path, "/v1/status"))
+    start_watch (task, exchange, lb_clock_monotonic ());
+  else if (is_get && is_path_under (path, RESOURCES_PATH))
+    ln_config_store_read (task->store, lc_config_revision (task->config), on_resources_read,
+                          pending_reply_new (task, exchange));
+  else if (is_get && is_path_under (path, "/v1/history"))
+    request_history (task, exchange);
+  else if (is_get && is_path_under (path, "/v1/status"))
     reply_status (task, exchange);
   else
-    refuse (exchange, LB_ERROR_UNKNOWN_PATH, path, "no such call of operators");
+    reply_error (exchange, LB_ERROR_UNKNOWN_PATH, path,
+                 "the operators' API has no such path and method");
 }
 
 void
@@ -405,21 +409,21 @@
   ln_exchange_set_owner (exchange, &task->task);
   if (!is_authorized (task, exchange))
     {
-      lb_metric_add (&metric_refused, 1);
-      refuse (exchange, LB_ERROR_UNAUTHORIZED, ln_exchange_path (exchange),
-              "expected the header authorization: Bearer TOKEN with the operator's token");
+      lb_metric_add (&metric_unauthorized, 1);
+      reply_error (exchange, LB_ERROR_UNAUTHORIZED, ln_exchange_path (exchange),
+                   "expected the header authorization: Bearer TOKEN with the operator token");
       return;
     }
-  route (task, exchange);
+  route_request (task, exchange);
 }
 
-/* A call that waits for the store only is answered into the void in a moment. */
+/* A request that waits only for a read of the store needs no cleanup: its reply is discarded. */
 void
 ln_config_api_caller_disconnected (LnConfigTask *task, LnExchange *exchange)
 {
   if (ln_config_change_caller_disconnected (task, exchange))
     return;
-  LB_LIST_FOREACH (&task->watches, LnWatch, link, watch)
+  LB_LIST_FOREACH (&task->watches, LnConfigWatch, link, watch)
   {
     if (watch->exchange != exchange)
       continue;
@@ -432,7 +436,7 @@
 void
 ln_config_api_tick (LnConfigTask *task, LbTime now)
 {
-  watches_tick (task, now);
+  tick_watches (task, now);
   ln_config_change_tick (task, now);
 }
 
@@ -445,7 +449,7 @@
 void
 ln_config_api_drain (LnConfigTask *task)
 {
-  watches_tick (task, lb_clock_monotonic ());
+  tick_watches (task, lb_clock_monotonic ());
 }
 
 void
@@ -454,6 +458,6 @@
   LbLink *link;
 
   while ((link = lb_list_pop (&task->watches)))
-    free (LB_CONTAINER (link, LnWatch, link));
+    free (LB_CONTAINER (link, LnConfigWatch, link));
   ln_config_change_clear (task);
 }
--- a/packages/node/src/config/ln-config-change.c
+++ b/packages/node/src/config/ln-config-change.c
@@ -13,70 +13,70 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MAX_WAITING 64
-#define MAJORITY_WAIT LB_SEC
-#define MAX_TRIES 5
+#define MAX_WAITING_CHANGES 64
+#define MAJORITY_TIMEOUT LB_SEC
+#define MAX_READ_ATTEMPTS 5
 
 typedef enum
 {
-  CHANGE_WAITING, /* behind another one */
-  CHANGE_ASKING,  /* until a majority of the instances has answered */
-  CHANGE_READING, /* the head row */
+  CHANGE_WAITING,           /* another change is in progress */
+  CHANGE_AWAITING_MAJORITY, /* waits until a majority of the instances has answered */
+  CHANGE_READING,           /* the head row */
   CHANGE_COMMITTING
 } ChangeState;
 
-/* One operator's change on its way to be accepted. */
+/* A change that an operator submitted. */
 typedef struct
 {
   LbLink link;
   LnConfigTask *task;
-  LnExchange *exchange; /* NULL: the operator went away */
+  LnExchange *exchange; /* NULL: the operator disconnected */
   ChangeState state;
   struct json_object *body;
-  bool any_revision; /* If-Match: * */
-  int64_t seen;      /* revision of If-Match */
+  bool any_revision; /* applies to any revision: If-Match: *, or a dry run without If-Match */
+  int64_t expected_revision; /* revision in If-Match; 0: the first change */
   bool dry_run;
-  char token[80];
-  char who[LB_NAME_MAX * 2];
-  LbTime asked_at;
-  int tries;
-  int64_t head_version;
-  LcResourceSet *next;
+  char token[80];                  /* idempotency key */
+  char submitter[LB_NAME_MAX * 2]; /* NAME@IP */
+  LbTime announced_at;
+  int read_attempts;
+  int64_t head_version;   /* of the head row as read */
+  LcResourceSet *new_set; /* the set with the change applied */
 } LnChange;
 
 static LbMetric metric_accepted = LB_COUNTER_INIT ("lentilspindle_config_changes_total",
                                                    "outcome=\"accepted\"",
                                                    "Changes by operators");
-static LbMetric metric_not_accepted = LB_COUNTER_INIT ("lentilspindle_config_changes_total",
-                                                       "outcome=\"not_accepted\"",
-                                                       "Changes by operators");
+static LbMetric metric_rejected = LB_COUNTER_INIT ("lentilspindle_config_changes_total",
+                                                   "outcome=\"not_accepted\"",
+                                                   "Changes by operators");
 
-static void start_first (LnConfigTask *task);
+static void start_first_change (LnConfigTask *task);
 
 static void
 change_free (LnChange *change)
 {
   json_object_put (change->body);
-  lc_resource_set_free (change->next);
+  lc_resource_set_free (change->new_set);
   free (change);
 }
 
 static void
-change_remove (LnChange *change)
+remove_change (LnChange *change)
 {
   LnConfigTask *task = change->task;
 
   lb_list_remove (&task->changes, &change->link);
   change_free (change);
-  start_first (task);
+  start_first_change (task);
 }
 
 static void
-change_fail (LnChange *change, const LbError *error, LbTime retry_after)
+reject_change (LnChange *change, const LbError *error, LbTime retry_after)
 {
-  lb_metric_add (&metric_not_accepted, 1);
+  lb_metric_add (&metric_rejected, 1);
   lb_metric_count_error (error->code);
-  lb_log (LB_LOG_INFO, "config_change_refused", LB_TEXT ("who", change->who),
+  lb_log (LB_LOG_INFO, "config_change_refused", LB_TEXT ("who", change->submitter),
           LB_TEXT ("error", lb_error_name (error->code)), LB_TEXT ("where", error->where),
           LB_TEXT ("detail", error->detail));
   if (change->exchange)
@@ -84,11 +84,11 @@
       ln_config_set_etag (change->exchange, lc_config_revision (change->task->config));
       ln_exchange_reply_error (change->exchange, error, retry_after);
     }
-  change_remove (change);
+  remove_change (change);
 }
 
 static void
-fail_with (LnChange *change, LbErrorCode code, const char *detail, LbTime retry_after)
+reject_change_with (LnChange *change, LbErrorCode code, const char *detail, LbTime retry_after)
 {
   LbError error;
   char where[64];
@@ -96,11 +96,11 @@
   snprintf (where, sizeof where, "revision %lld",
             (long long)lc_config_revision (change->task->config));
   lb_error_set (&error, code, where, "%s", detail);
-  change_fail (change, &error, retry_after);
+  reject_change (change, &error, retry_after);
 }
 
 static void
-change_accepted (LnChange *change, int64_t revision, bool dry_run)
+reply_accepted (LnChange *change, int64_t revision, bool dry_run)
 {
   struct json_object *object = json_object_new_object ();
 
@@ -116,17 +116,17 @@
     }
   else
     json_object_put (object);
-  change_remove (change);
+  remove_change (change);
 }
 
 static char *
-history_text (const LnChange *change)
+history_row_to_text (const LnChange *change)
 {
   struct json_object *object = json_object_new_object ();
 
-  json_object_object_add (object, "revision", json_object_new_int64 (change->next->revision));
+  json_object_object_add (object, "revision", json_object_new_int64 (change->new_set->revision));
   json_object_object_add (object, "at_ms", json_object_new_int64 (lb_clock_wall_ms ()));
-  json_object_object_add (object, "who", json_object_new_string (change->who));
+  json_object_object_add (object, "who", json_object_new_string (change->submitter));
   json_object_object_add (object, "instance",
                           json_object_new_string (change->task->context->instance));
   json_object_object_add (object, "token", json_object_new_string (change->token));
@@ -134,89 +134,90 @@
   return lb_json_take_text (object, JSON_C_TO_STRING_PLAIN);
 }
 
-static void change_read (LnChange *change);
-static void settle (LnChange *change);
+static void read_head (LnChange *change);
+static void announce_abandoned_change (LnChange *change);
 
 static void
-on_committed (LbErrorCode error, LbTime asked_at, void *user)
+on_committed (LbErrorCode error, LbTime started_at, void *user)
 {
   LnChange *change = user;
   LnConfigTask *task = change->task;
   LbList actions;
 
   if (error != LB_OK && error != LB_ERROR_STORE_UNKNOWN)
-    settle (change);
+    announce_abandoned_change (change);
   if (error == LB_ERROR_CONFLICT)
     {
-      /* Another instance was first; the next read says with what. */
-      change_read (change);
+      /* Another instance committed first: compares again with the revision that it wrote. */
+      read_head (change);
       return;
     }
   if (error != LB_OK)
     {
-      fail_with (change, error,
-                 error == LB_ERROR_STORE_UNKNOWN
-                     ? "the change may be accepted: look for its token in the history"
-                     : "nothing was changed",
-                 LB_SEC);
+      reject_change_with (
+          change, error,
+          error == LB_ERROR_STORE_UNKNOWN
+              ? "the change may have been accepted: look for its token in the history"
+              : "nothing was changed",
+          LB_SEC);
       return;
     }
-  int64_t revision = change->next->revision;
+  int64_t revision = change->new_set->revision;
   lb_metric_add (&metric_accepted, 1);
   lb_log (LB_LOG_INFO, "config_accepted", LB_INT ("revision", revision),
-          LB_TEXT ("who", change->who), LB_TEXT ("token", change->token));
+          LB_TEXT ("who", change->submitter), LB_TEXT ("token", change->token));
   lb_list_init (&actions);
-  lc_config_change_committed (task->config, change->next, change->body, asked_at,
+  lc_config_change_committed (task->config, change->new_set, change->body, started_at,
                               lb_clock_monotonic (), &actions);
-  change->next = NULL;
+  change->new_set = NULL;
   ln_config_execute_actions (task, &actions);
-  change_accepted (change, revision, false);
+  reply_accepted (change, revision, false);
 }
 
 static void
-change_ask (LnChange *change)
+announce_change (LnChange *change)
 {
   LbList actions;
 
   lb_list_init (&actions);
-  change->state = CHANGE_ASKING;
-  change->asked_at = lb_clock_monotonic ();
-  lc_config_announce_change (change->task->config, change->asked_at, &actions);
+  change->state = CHANGE_AWAITING_MAJORITY;
+  change->announced_at = lb_clock_monotonic ();
+  lc_config_announce_change (change->task->config, change->announced_at, &actions);
   ln_config_execute_actions (change->task, &actions);
-  ln_config_change_tick (change->task, change->asked_at);
+  ln_config_change_tick (change->task, change->announced_at);
 }
 
 static void
-change_check (LnChange *change, int64_t head_version)
+apply_change (LnChange *change, int64_t head_version)
 {
   LbError error;
   const LcResourceSet *set = lc_config_set (change->task->config);
 
-  lc_resource_set_free (change->next);
-  change->next = lc_change_apply (set, change->body, "change", &error);
+  lc_resource_set_free (change->new_set);
+  change->new_set = lc_change_apply (set, change->body, "change", &error);
   change->head_version = head_version;
-  if (!change->next)
-    change_fail (change, &error, 0);
+  if (!change->new_set)
+    reject_change (change, &error, 0);
   else if (change->dry_run)
-    change_accepted (change, change->next->revision, true);
+    reply_accepted (change, change->new_set->revision, true);
   else
-    change_ask (change);
+    announce_change (change);
 }
 
 static void
-change_commit (LnChange *change)
+commit_change (LnChange *change)
 {
-  char *history = history_text (change);
+  char *history = history_row_to_text (change);
 
   change->state = CHANGE_COMMITTING;
-  ln_config_store_commit (change->task->store, change->next, change->head_version, change->token,
+  ln_config_store_commit (change->task->store, change->new_set, change->head_version, change->token,
                           history, on_committed, change);
   free (history);
 }
 
-/* Tells the others that the announced change did not come to be. */
+/* Notifies the other instances that the announced change was not committed. */
 static void
-settle (LnChange *change)
+announce_abandoned_change (LnChange *change)
 {
   LbList actions;
 
@@ -225,24 +226,25 @@
   ln_config_execute_actions (change->task, &actions);
 }
 
-/* The operator repeats a change whose reply was lost: the row after the revision it saw carries
- * its token, so it is told again what it was to be told the first time. */
+/* The revision in If-Match is outdated. If the next revision's history row has this change's token,
+ * the operator retries a change that was committed but whose reply was lost: it gets that reply
+ * again. */
 static void
-on_history (LbErrorCode error, struct json_object *rows, void *user)
+on_next_revision_read (LbErrorCode error, struct json_object *rows, void *user)
 {
   LnChange *change = user;
   struct json_object *row = error == LB_OK && json_object_array_length (rows) > 0
                                 ? json_object_array_get_idx (rows, 0)
                                 : NULL;
   const char *token = lb_json_text (row, "token", NULL);
-  bool own = token && strcmp (token, change->token) == 0;
+  bool is_committed = token && strcmp (token, change->token) == 0;
 
   json_object_put (rows);
-  if (own)
-    change_accepted (change, change->seen + 1, false);
+  if (is_committed)
+    reply_accepted (change, change->expected_revision + 1, false);
   else
-    fail_with (change, LB_ERROR_CONFLICT,
-               "the configuration has changed since the revision in If-Match", 0);
+    reject_change_with (change, LB_ERROR_CONFLICT,
+                        "the configuration has changed since the revision in If-Match", 0);
 }
 
 static void
@@ -254,54 +256,58 @@
 
   if (read->error != LB_OK)
     {
-      fail_with (change, read->error, "no change is accepted while the platform's table is away",
-                 LB_SEC);
+      reject_change_with (change, read->error,
+                          "the head row could not be read from the platform's table", LB_SEC);
       return;
     }
   lb_list_init (&actions);
-  lc_config_store_read_completed (task->config, read->revision, read->set, read->asked_at,
+  lc_config_store_read_completed (task->config, read->revision, read->set, read->requested_at,
                                   lb_clock_monotonic (), &actions);
   ln_config_execute_actions (task, &actions);
 
   int64_t revision = lc_config_revision (task->config);
-  if (read->revision < revision || change->tries > MAX_TRIES)
-    /* A stale read, or many others at the same time. */
-    fail_with (change, LB_ERROR_STORE_BUSY, "the head row is behind or in dispute", LB_SEC);
-  else if (change->any_revision || change->seen == revision)
-    change_check (change, read->head_version);
-  else if (change->seen < revision)
-    ln_config_store_history (task->store, change->seen + 1, 1, on_history, change);
+  if (read->revision < revision || change->read_attempts > MAX_READ_ATTEMPTS)
+    /* The read was stale, or other instances kept committing first. */
+    reject_change_with (change, LB_ERROR_STORE_BUSY,
+                        "the head row as read is stale, or other instances keep committing first",
+                        LB_SEC);
+  else if (change->any_revision || change->expected_revision == revision)
+    apply_change (change, read->head_version);
+  else if (change->expected_revision < revision)
+    ln_config_store_history (task->store, change->expected_revision + 1, 1, on_next_revision_read,
+                             change);
   else
-    fail_with (change, LB_ERROR_CONFLICT, "If-Match names a revision that was never accepted", 0);
+    reject_change_with (change, LB_ERROR_CONFLICT,
+                        "If-Match names a revision that was never accepted", 0);
 }
 
 static void
-change_read (LnChange *change)
+read_head (LnChange *change)
 {
   change->state = CHANGE_READING;
-  change->tries++;
+  change->read_attempts++;
   ln_config_store_read (change->task->store, lc_config_revision (change->task->config),
                         on_head_read, change);
 }
 
 static void
-start_first (LnConfigTask *task)
+start_first_change (LnConfigTask *task)
 {
   LnChange *change = LB_LIST_FIRST (&task->changes, LnChange, link);
 
   if (change && change->state == CHANGE_WAITING)
-    change_read (change);
+    read_head (change);
 }
 
 static bool
-read_if_match (LnChange *change, LbError *error)
+parse_if_match (LnChange *change, LbError *error)
 {
   char *end = NULL;
   const char *text = ln_exchange_header (change->exchange, "if-match");
 
   if (!text && lc_config_revision (change->task->config) > 0 && !change->dry_run)
     return lb_error_set (error, LB_ERROR_MISSING_KEY, "If-Match",
-                         "expected the revision that was seen, or * for any");
+                         "expected the revision that the change is based on, or * for any");
   if (!text || strcmp (text, "*") == 0)
     {
       change->any_revision = text != NULL || change->dry_run;
@@ -309,14 +315,14 @@
     }
   if (*text == '"')
     text++;
-  change->seen = strtoll (text, &end, 10);
-  if (end == text || (*end != '\0' && strcmp (end, "\"") != 0) || change->seen < 0)
+  change->expected_revision = strtoll (text, &end, 10);
+  if (end == text || (*end != '\0' && strcmp (end, "\"") != 0) || change->expected_revision < 0)
     return lb_error_set (error, LB_ERROR_BAD_VALUE, "If-Match", "expected \"REVISION\" or *");
   return true;
 }
 
 static void
-read_who (LnChange *change)
+read_submitter (LnChange *change)
 {
   const char *key = ln_exchange_header (change->exchange, "idempotency-key");
   const char *operator_name = ln_exchange_header (change->exchange, "x-operator");
@@ -326,12 +332,12 @@
   else
     snprintf (change->token, sizeof change->token, "%s-%llu", change->task->context->incarnation,
               (unsigned long long)ln_exchange_id (change->exchange));
-  snprintf (change->who, sizeof change->who, "%.60s@%.60s", operator_name ? operator_name : "",
-            ln_exchange_caller_ip (change->exchange));
+  snprintf (change->submitter, sizeof change->submitter, "%.60s@%.60s",
+            operator_name ? operator_name : "", ln_exchange_caller_ip (change->exchange));
 }
 
 static bool
-read_change (LnChange *change, LbError *error)
+parse_request (LnChange *change, LbError *error)
 {
   size_t length;
   const char *text = ln_exchange_body (change->exchange, &length);
@@ -339,16 +345,17 @@
 
   change->dry_run = dry_run && strcmp (dry_run, "0") != 0;
   change->body = lb_settings_parse (text, length, "body", error);
-  if (!change->body || !read_if_match (change, error))
+  if (!change->body || !parse_if_match (change, error))
     return false;
-  if (change->task->changes.length > MAX_WAITING)
-    return lb_error_set (error, LB_ERROR_OVERLOADED, "", "%d changes wait", MAX_WAITING);
+  if (change->task->changes.length > MAX_WAITING_CHANGES)
+    return lb_error_set (error, LB_ERROR_OVERLOADED, "", "%d changes are already waiting",
+                         MAX_WAITING_CHANGES);
   if (change->task->draining)
-    return lb_error_set (error, LB_ERROR_DRAINING, "", "this instance is leaving");
+    return lb_error_set (error, LB_ERROR_DRAINING, "", "this instance is shutting down");
   return true;
 }
 
-/* Takes over the exchange; changes of this instance go one after the other. */
+/* Takes ownership of the exchange. An instance processes the changes that it gets one at a time. */
 void
 ln_config_change_submit (LnConfigTask *task, LnExchange *exchange)
 {
@@ -358,14 +365,14 @@
   change->task = task;
   change->exchange = exchange;
   lb_list_append (&task->changes, &change->link);
-  read_who (change);
-  if (!read_change (change, &error))
-    change_fail (change, &error, error.code == LB_ERROR_OVERLOADED ? LB_SEC : 0);
+  read_submitter (change);
+  if (!parse_request (change, &error))
+    reject_change (change, &error, error.code == LB_ERROR_OVERLOADED ? LB_SEC : 0);
   else
-    start_first (task);
+    start_first_change (task);
 }
 
-/* The operator went away. What is on its way to the store is seen through. */
+/* A change whose processing has begun is completed without a reply; a waiting one is dropped. */
 bool
 ln_config_change_caller_disconnected (LnConfigTask *task, LnExchange *exchange)
 {
@@ -376,30 +383,30 @@
     ln_exchange_end (exchange);
     change->exchange = NULL;
     if (change->state == CHANGE_WAITING)
-      change_remove (change);
+      remove_change (change);
     return true;
   }
   return false;
 }
 
-/* Guards against a change that only a cut-off part would see: the operator would be told accepted
- * while most instances go on with the revision before. It is committed only after a majority of
- * the known instances has answered just now; see lc_config_has_majority. */
+/* Commits the announced change only after a majority of the known instances has answered the
+ * announcement, see lc_config_has_majority. Otherwise an instance in a minority partition would
+ * report a change as accepted while most instances continue with the previous revision. */
 void
 ln_config_change_tick (LnConfigTask *task, LbTime now)
 {
   LnChange *change = LB_LIST_FIRST (&task->changes, LnChange, link);
 
-  if (!change || change->state != CHANGE_ASKING)
+  if (!change || change->state != CHANGE_AWAITING_MAJORITY)
     return;
-  if (lc_config_has_majority (task->config, change->asked_at))
-    change_commit (change);
-  else if (now - change->asked_at > MAJORITY_WAIT)
+  if (lc_config_has_majority (task->config, change->announced_at))
+    commit_change (change);
+  else if (now - change->announced_at > MAJORITY_TIMEOUT)
     {
-      settle (change);
-      fail_with (change, LB_ERROR_NOT_READY,
-                 "a change is accepted by an instance that reaches a majority of the others",
-                 LB_SEC);
+      announce_abandoned_change (change);
+      reject_change_with (
+          change, LB_ERROR_NOT_READY,
+          "a change is accepted by an instance that reaches a majority of the others", LB_SEC);
     }
 }
 
--- a/packages/node/src/config/ln-config-store.c
+++ b/packages/node/src/config/ln-config-store.c
@@ -14,13 +14,14 @@
 #include <string.h>
 
 #define HEAD_KEY "config/head"
-#define KEY_MAX 64
-#define KEPT_SETS 8
-#define MAX_SET_READS 4
-#define HISTORY_BLOCK 100 /* rows that share all but the last two digits of their key */
-#define COMMIT_DEADLINE (5 * LB_SEC)
-#define FIRST_RETRY (50 * LB_MSEC)
-#define MAX_RETRY LB_SEC
+#define MAX_KEY_SIZE 64
+#define N_KEPT_SETS 8
+#define MAX_READ_ATTEMPTS 4
+/* History rows read by one scan: their keys differ only in the last two digits. */
+#define HISTORY_BLOCK_ROWS 100
+#define COMMIT_TIMEOUT (5 * LB_SEC)
+#define FIRST_RETRY_DELAY (50 * LB_MSEC)
+#define MAX_RETRY_DELAY LB_SEC
 
 struct LnConfigStore
 {
@@ -35,12 +36,12 @@
 {
   LbLink link;
   LnConfigStore *store;
-  int64_t known;
-  int tries;
+  int64_t known_revision;
+  int attempts;
   LnConfigRead result;
   LnConfigReadDone done;
   void *user;
-} Read;
+} HeadRead;
 
 typedef struct
 {
@@ -49,15 +50,15 @@
   int64_t revision;
   int64_t head_version;
   char *token;
-  char *head;
-  char *set;
-  char *history;
-  struct event *retry;
+  char *head_text;
+  char *set_text;
+  char *history_text;
+  struct event *retry_timer;
   LbTime started_at;
-  LbTime delay;
-  bool may_be_applied; /* some attempt's outcome is unknown */
-  bool to_read_back;   /* what the retry is to do: read back, not write again */
-  LbErrorCode last;
+  LbTime retry_delay;
+  bool may_be_applied;      /* the outcome of an attempt is unknown */
+  bool retry_reads_history; /* the next retry reads the history row instead of writing again */
+  LbErrorCode last_error;   /* of the last attempt */
   LnConfigCommitDone done;
   void *user;
 } Commit;
@@ -66,28 +67,28 @@
 {
   LbLink link;
   LnConfigStore *store;
-  int64_t block; /* first revision of the block that is read */
+  int64_t block_start; /* first revision of the block that is being read */
   size_t limit;
   struct json_object *rows;
   LnConfigHistoryDone done;
   void *user;
-} History;
+} HistoryRead;
 
-static void transact (Commit *commit);
+static void send_transaction (Commit *commit);
 
 static void
 commit_free (Commit *commit)
 {
-  event_free (commit->retry);
+  event_free (commit->retry_timer);
   free (commit->token);
-  free (commit->head);
-  free (commit->set);
-  free (commit->history);
+  free (commit->head_text);
+  free (commit->set_text);
+  free (commit->history_text);
   free (commit);
 }
 
 static void
-history_free (History *history)
+history_read_free (HistoryRead *history)
 {
   json_object_put (history->rows);
   free (history);
@@ -114,22 +115,22 @@
   if (!store)
     return;
   while ((link = lb_list_pop (&store->reads)))
-    free (LB_CONTAINER (link, Read, link));
+    free (LB_CONTAINER (link, HeadRead, link));
   while ((link = lb_list_pop (&store->commits)))
     commit_free (LB_CONTAINER (link, Commit, link));
   while ((link = lb_list_pop (&store->histories)))
-    history_free (LB_CONTAINER (link, History, link));
+    history_read_free (LB_CONTAINER (link, HistoryRead, link));
   free (store);
 }
 
 static void
-get (LnConfigStore *store, const char *key, LpRowsDone done, void *user)
+get_row (LnConfigStore *store, const char *key, LpRowsDone done, void *user)
 {
   store->platform->klass->get (store->platform, key, done, user);
 }
 
 static void
-read_finish (Read *read, LbErrorCode error)
+finish_read (HeadRead *read, LbErrorCode error)
 {
   read->result.error = error;
   lb_list_remove (&read->store->reads, &read->link);
@@ -138,7 +139,7 @@
 }
 
 static bool
-revision_of_head (const char *text, int64_t *revision)
+parse_head (const char *text, int64_t *revision)
 {
   struct json_object *member = NULL;
   struct json_object *object = json_tokener_parse (text);
@@ -151,16 +152,16 @@
   return ok;
 }
 
-static void read_head (Read *read);
+static void read_head (HeadRead *read);
 
 static void
 on_set_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
-  Read *read = user;
-  LbError problem = { .code = LB_OK };
+  HeadRead *read = user;
+  LbError parse_error = { .code = LB_OK };
 
-  /* The set was replaced between the two reads and its row is pruned: begin again. */
-  if (error == LB_ERROR_NOT_FOUND && read->tries < MAX_SET_READS)
+  /* Newer commits pruned the set's row between the two reads: reads the new head. */
+  if (error == LB_ERROR_NOT_FOUND && read->attempts < MAX_READ_ATTEMPTS)
     {
       read_head (read);
       return;
@@ -168,60 +169,63 @@
   if (error == LB_OK && n_rows == 1)
     {
       struct json_object *object = json_tokener_parse (rows[0].value);
-      read->result.set = lc_resource_set_from_json (object, rows[0].key, &problem);
+      read->result.set = lc_resource_set_from_json (object, rows[0].key, &parse_error);
       json_object_put (object);
       if (!read->result.set)
         {
-          lb_log_error (LB_LOG_ERROR, "config_set_unreadable", &problem);
+          lb_log_error (LB_LOG_ERROR, "config_set_unreadable", &parse_error);
           error = LB_ERROR_INTERNAL;
         }
     }
-  read_finish (read, error);
+  finish_read (read, error);
 }
 
 static void
 on_head_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
-  Read *read = user;
-  char key[KEY_MAX];
+  HeadRead *read = user;
+  char key[MAX_KEY_SIZE];
 
   if (error == LB_ERROR_NOT_FOUND)
     {
       read->result.revision = 0;
       read->result.head_version = 0;
-      read_finish (read, LB_OK);
+      finish_read (read, LB_OK);
       return;
     }
-  if (error != LB_OK || n_rows != 1 || !revision_of_head (rows[0].value, &read->result.revision))
+  if (error != LB_OK || n_rows != 1 || !parse_head (rows[0].value, &read->result.revision))
     {
-      read_finish (read, error == LB_OK ? LB_ERROR_INTERNAL : error);
+      finish_read (read, error == LB_OK ? LB_ERROR_INTERNAL : error);
       return;
     }
   read->result.head_version = rows[0].version;
-  if (read->result.revision <= read->known)
+  if (read->result.revision <= read->known_revision)
     {
-      read_finish (read, LB_OK);
+      finish_read (read, LB_OK);
       return;
     }
   snprintf (key, sizeof key, "config/set/%020lld", (long long)read->result.revision);
-  get (read->store, key, on_set_read, read);
+  get_row (read->store, key, on_set_read, read);
 }
 
 static void
-read_head (Read *read)
+read_head (HeadRead *read)
 {
-  read->tries++;
-  read->result.asked_at = lb_clock_monotonic ();
-  get (read->store, HEAD_KEY, on_head_read, read);
+  read->attempts++;
+  read->result.requested_at = lb_clock_monotonic ();
+  get_row (read->store, HEAD_KEY, on_head_read, read);
 }
 
 void
-ln_config_store_read (LnConfigStore *store, int64_t known, LnConfigReadDone done, void *user)
+ln_config_store_read (LnConfigStore *store,
+                      int64_t known_revision,
+                      LnConfigReadDone done,
+                      void *user)
 {
-  Read *read = LB_NEW (Read);
+  HeadRead *read = LB_NEW (HeadRead);
 
   read->store = store;
-  read->known = known;
+  read->known_revision = known_revision;
   read->done = done;
   read->user = user;
   lb_list_append (&store->reads, &read->link);
@@ -229,7 +233,7 @@
 }
 
 static void
-commit_finish (Commit *commit, LbErrorCode error)
+finish_commit (Commit *commit, LbErrorCode error)
 {
   lb_list_remove (&commit->store->commits, &commit->link);
   commit->done (error, commit->started_at, commit->user);
@@ -237,57 +241,58 @@
 }
 
 static bool
-is_own_row (const Commit *commit, const char *text)
+is_own_history_row (const Commit *commit, const char *text)
 {
   struct json_object *object = json_tokener_parse (text);
   const char *token = lb_json_text (object, "token", NULL);
-  bool own = token && strcmp (token, commit->token) == 0;
+  bool is_own = token && strcmp (token, commit->token) == 0;
 
   json_object_put (object);
-  return own;
+  return is_own;
 }
 
 static void
-retry_later (Commit *commit)
+schedule_retry (Commit *commit)
 {
-  const struct timeval delay = lb_time_to_timeval (commit->delay);
+  const struct timeval timeout = lb_time_to_timeval (commit->retry_delay);
 
-  if (lb_clock_monotonic () - commit->started_at >= COMMIT_DEADLINE)
+  if (lb_clock_monotonic () - commit->started_at >= COMMIT_TIMEOUT)
     {
-      commit_finish (commit, commit->may_be_applied ? LB_ERROR_STORE_UNKNOWN : commit->last);
+      finish_commit (commit, commit->may_be_applied ? LB_ERROR_STORE_UNKNOWN : commit->last_error);
       return;
     }
-  commit->delay = commit->delay * 2 < MAX_RETRY ? commit->delay * 2 : MAX_RETRY;
-  event_add (commit->retry, &delay);
+  commit->retry_delay
+      = commit->retry_delay * 2 < MAX_RETRY_DELAY ? commit->retry_delay * 2 : MAX_RETRY_DELAY;
+  event_add (commit->retry_timer, &timeout);
 }
 
-/* Guards against a reply that is lost after the write took effect: the operator would be told that
- * the change failed, or that another operator was first, while it is in force. The history row of
- * the revision names the transaction that wrote it, so the writer is known; and while nobody
- * has, the same transaction may be sent again, since its token lets it take effect once. */
+/* Finds out which transaction wrote the revision, by the token in its history row. Otherwise a
+ * write whose reply was lost would be reported as failed or as a conflict although it took effect.
+ * While there is no such row, the transaction can be sent again, since its token makes it take
+ * effect only once. */
 static void
-on_read_back (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
+on_history_row_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
   Commit *commit = user;
 
   if (error == LB_OK && n_rows == 1)
-    commit_finish (commit, is_own_row (commit, rows[0].value) ? LB_OK : LB_ERROR_CONFLICT);
-  else if (error == LB_ERROR_NOT_FOUND && commit->last == LB_ERROR_CONDITION_FAILED)
-    commit_finish (commit, LB_ERROR_CONFLICT);
+    finish_commit (commit, is_own_history_row (commit, rows[0].value) ? LB_OK : LB_ERROR_CONFLICT);
+  else if (error == LB_ERROR_NOT_FOUND && commit->last_error == LB_ERROR_CONDITION_FAILED)
+    finish_commit (commit, LB_ERROR_CONFLICT);
   else
     {
-      commit->to_read_back = error != LB_ERROR_NOT_FOUND;
-      retry_later (commit);
+      commit->retry_reads_history = error != LB_ERROR_NOT_FOUND;
+      schedule_retry (commit);
     }
 }
 
 static void
-read_back (Commit *commit)
+read_history_row (Commit *commit)
 {
-  char key[KEY_MAX];
+  char key[MAX_KEY_SIZE];
 
   snprintf (key, sizeof key, "config/history/%020lld", (long long)commit->revision);
-  get (commit->store, key, on_read_back, commit);
+  get_row (commit->store, key, on_history_row_read, commit);
 }
 
 static void
@@ -297,53 +302,53 @@
   (void)what;
   Commit *commit = user;
 
-  if (commit->to_read_back)
-    read_back (commit);
+  if (commit->retry_reads_history)
+    read_history_row (commit);
   else
-    transact (commit);
+    send_transaction (commit);
 }
 
 static void
-on_transacted (LbErrorCode error, const LpRow *row, void *user)
+on_transaction_done (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
   Commit *commit = user;
 
-  commit->last = error;
+  commit->last_error = error;
   commit->may_be_applied |= error == LB_ERROR_STORE_UNKNOWN;
   if (error == LB_OK)
-    commit_finish (commit, LB_OK);
+    finish_commit (commit, LB_OK);
   else if (error == LB_ERROR_CONDITION_FAILED || error == LB_ERROR_STORE_UNKNOWN)
-    read_back (commit);
+    read_history_row (commit);
   else
-    retry_later (commit);
+    schedule_retry (commit);
 }
 
 static void
-transact (Commit *commit)
+send_transaction (Commit *commit)
 {
-  char set_key[KEY_MAX], history_key[KEY_MAX], old_key[KEY_MAX];
+  char set_key[MAX_KEY_SIZE], history_key[MAX_KEY_SIZE], pruned_set_key[MAX_KEY_SIZE];
   long long revision = commit->revision;
 
   snprintf (set_key, sizeof set_key, "config/set/%020lld", revision);
   snprintf (history_key, sizeof history_key, "config/history/%020lld", revision);
-  snprintf (old_key, sizeof old_key, "config/set/%020lld", revision - KEPT_SETS);
+  snprintf (pruned_set_key, sizeof pruned_set_key, "config/set/%020lld", revision - N_KEPT_SETS);
   const LpCondition condition = { .key = HEAD_KEY, .version = commit->head_version };
   const LpPut puts[] = {
-    { .key = HEAD_KEY, .value = commit->head },
-    { .key = set_key, .value = commit->set },
-    { .key = history_key, .value = commit->history },
-    { .key = old_key, .value = NULL },
+    { .key = HEAD_KEY, .value = commit->head_text },
+    { .key = set_key, .value = commit->set_text },
+    { .key = history_key, .value = commit->history_text },
+    { .key = pruned_set_key, .value = NULL },
   };
   const LpTransaction transaction = {
     .token = commit->token,
     .conditions = &condition,
     .n_conditions = 1,
     .puts = puts,
-    .n_puts = sizeof puts / sizeof puts[0] - (revision <= KEPT_SETS),
+    .n_puts = sizeof puts / sizeof puts[0] - (revision <= N_KEPT_SETS),
   };
   commit->store->platform->klass->transact (commit->store->platform, &transaction,
-                                            LP_PRIORITY_CONFIG, on_transacted, commit);
+                                            LP_PRIORITY_CONFIG, on_transaction_done, commit);
 }
 
 void
@@ -361,73 +366,74 @@
   commit->revision = set->revision;
   commit->head_version = head_version;
   commit->token = lb_strdup (token);
-  commit->head = lb_asprintf ("{\"revision\": %lld}", (long long)set->revision);
-  commit->set = lb_json_take_text (lc_resource_set_to_json (set), JSON_C_TO_STRING_PLAIN);
-  commit->history = lb_strdup (history);
-  commit->retry = event_new (store->base, -1, 0, on_retry, commit);
+  commit->head_text = lb_asprintf ("{\"revision\": %lld}", (long long)set->revision);
+  commit->set_text = lb_json_take_text (lc_resource_set_to_json (set), JSON_C_TO_STRING_PLAIN);
+  commit->history_text = lb_strdup (history);
+  commit->retry_timer = event_new (store->base, -1, 0, on_retry, commit);
   commit->started_at = lb_clock_monotonic ();
-  commit->delay = FIRST_RETRY;
+  commit->retry_delay = FIRST_RETRY_DELAY;
   commit->done = done;
   commit->user = user;
   lb_list_append (&store->commits, &commit->link);
-  transact (commit);
+  send_transaction (commit);
 }
 
-static void read_block (History *history);
+static void read_history_block (HistoryRead *history);
 
 static void
-history_finish (History *history, LbErrorCode error)
+finish_history_read (HistoryRead *history, LbErrorCode error)
 {
   struct json_object *rows = history->rows;
 
   history->rows = NULL;
   lb_list_remove (&history->store->histories, &history->link);
   history->done (error, rows, history->user);
-  history_free (history);
+  history_read_free (history);
 }
 
 static void
-on_block_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
+on_history_block_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
-  History *history = user;
+  HistoryRead *history = user;
 
   if (error != LB_OK && error != LB_ERROR_NOT_FOUND)
     {
-      history_finish (history, error);
+      finish_history_read (history, error);
       return;
     }
   for (size_t i = n_rows; error == LB_OK && i > 0; i--)
     if (json_object_array_length (history->rows) < history->limit)
       json_object_array_add (history->rows, json_tokener_parse (rows[i - 1].value));
-  history->block -= HISTORY_BLOCK;
-  if (history->block < 0 || json_object_array_length (history->rows) >= history->limit)
-    history_finish (history, LB_OK);
+  history->block_start -= HISTORY_BLOCK_ROWS;
+  if (history->block_start < 0 || json_object_array_length (history->rows) >= history->limit)
+    finish_history_read (history, LB_OK);
   else
-    read_block (history);
+    read_history_block (history);
 }
 
 static void
-read_block (History *history)
+read_history_block (HistoryRead *history)
 {
-  char prefix[KEY_MAX];
+  char prefix[MAX_KEY_SIZE];
 
   snprintf (prefix, sizeof prefix, "config/history/%018lld",
-            (long long)(history->block / HISTORY_BLOCK));
-  history->store->platform->klass->scan (history->store->platform, prefix, on_block_read, history);
+            (long long)(history->block_start / HISTORY_BLOCK_ROWS));
+  history->store->platform->klass->scan (history->store->platform, prefix, on_history_block_read,
+                                         history);
 }
 
 void
 ln_config_store_history (
     LnConfigStore *store, int64_t revision, size_t limit, LnConfigHistoryDone done, void *user)
 {
-  History *history = LB_NEW (History);
+  HistoryRead *history = LB_NEW (HistoryRead);
 
   history->store = store;
-  history->block = revision - revision % HISTORY_BLOCK;
+  history->block_start = revision - revision % HISTORY_BLOCK_ROWS;
   history->limit = limit;
   history->rows = json_object_new_array ();
   history->done = done;
   history->user = user;
   lb_list_append (&store->histories, &history->link);
-  read_block (history);
+  read_history_block (history);
 }
--- a/packages/node/src/config/ln-config-task.h
+++ b/packages/node/src/config/ln-config-task.h
@@ -9,7 +9,7 @@
 struct event;
 struct json_object;
 
-/* The parts of the task "config" that its files share. */
+/* State of the task "config", shared by its source files. */
 typedef struct
 {
   LnTask task;
@@ -17,24 +17,24 @@
   LcConfig *config;
   LnConfigStore *store;
   struct event *timer;
-  bool reading; /* a read of the head row by poll is on its way */
-  bool listing; /* a read of the platform's list of instances is on its way */
-  LbTime next_listing;
-  LbList changes;          /* LnChange, one at a time from the front */
-  LbList watches;          /* LnWatch */
+  bool is_polling_head;      /* a periodic read of the head row is in progress */
+  bool is_listing_instances; /* a read of the platform's list of instances is in progress */
+  LbTime next_listing_at;
+  LbList changes;          /* LnChange; only the first is being processed */
+  LbList watches;          /* LnConfigWatch */
   LbList pool_controllers; /* LnPoolController */
   LbList pool_operations;  /* LnPoolOperation */
   uint64_t last_controller_serial;
-  struct json_object *unsent_swaps; /* to be told to peers at the end of the tick; NULL: none */
+  struct json_object *unsent_swaps; /* to be sent to all peers at the end of the tick; NULL: none */
   bool draining;
 } LnConfigTask;
 
-/* ln-config.c: carries out and frees the actions of a command of LcConfig. */
+/* ln-config.c: executes and frees the actions that a command of LcConfig returned. */
 void ln_config_execute_actions (LnConfigTask *task, LbList *actions);
-/* Sends an object (taken over) to the task "config" of an instance, or of all when it is empty. */
+/* Sends object, which it takes ownership of, to the task "config" of the instance; "": of all. */
 void ln_config_send (LnConfigTask *task, const char *instance, struct json_object *object);
 
-/* ln-config-api.c: operators' calls. */
+/* ln-config-api.c: HTTP requests of operators. */
 void ln_config_api_handle (LnConfigTask *task, LnExchange *exchange);
 void ln_config_api_caller_disconnected (LnConfigTask *task, LnExchange *exchange);
 void ln_config_api_tick (LnConfigTask *task, LbTime now);
@@ -48,7 +48,7 @@
 void ln_config_change_tick (LnConfigTask *task, LbTime now);
 void ln_config_change_clear (LnConfigTask *task);
 
-/* ln-pool-controllers.c: leases of pools and roll-outs of weights. */
+/* ln-pool-controllers.c: leases of pools, and roll-outs of weights by their holders. */
 void ln_pool_controllers_configure (LnConfigTask *task, const LcResourceSet *set);
 void ln_pool_controllers_update_ranks (LnConfigTask *task);
 void ln_pool_controllers_tick (LnConfigTask *task, LbTime now);
--- a/packages/node/src/config/ln-config.c
+++ b/packages/node/src/config/ln-config.c
@@ -13,10 +13,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TICK (50 * LB_MSEC)
-#define CONFIRM_BOUND (8 * LB_SEC)
-#define HEAD_POLL LB_SEC
-#define LISTING_PERIOD (10 * LB_SEC)
+#define TICK_PERIOD (50 * LB_MSEC)
+#define MAX_CONFIRMATION_AGE (8 * LB_SEC)
+#define MIN_HEAD_POLL_PERIOD LB_SEC
+#define INSTANCE_LISTING_PERIOD (10 * LB_SEC)
 #define TOPIC "config"
 
 static LnConfigTask *
@@ -61,11 +61,11 @@
   LbTime now = lb_clock_monotonic ();
   LbList actions;
 
-  task->reading = false;
+  task->is_polling_head = false;
   lb_list_init (&actions);
   if (read->error == LB_OK)
-    lc_config_store_read_completed (task->config, read->revision, read->set, read->asked_at, now,
-                                    &actions);
+    lc_config_store_read_completed (task->config, read->revision, read->set, read->requested_at,
+                                    now, &actions);
   else
     {
       lb_metric_count_error (read->error);
@@ -75,7 +75,7 @@
 }
 
 static void
-put_in_force (LnConfigTask *task, const LcResourceSet *set)
+activate_set (LnConfigTask *task, const LcResourceSet *set)
 {
   LnConfigMessage message = { .base = LN_MESSAGE (LN_CONFIG) };
 
@@ -88,7 +88,7 @@
 }
 
 static void
-tell_ready (LnConfigTask *task, bool ready)
+post_readiness (LnConfigTask *task, bool ready)
 {
   LnReadyMessage message = { .base = LN_MESSAGE (LN_READY), .ready = ready };
 
@@ -100,14 +100,14 @@
 }
 
 static void
-carry_out (LnConfigTask *task, const LcConfigAction *action)
+execute_action (LnConfigTask *task, const LcConfigAction *action)
 {
   switch (action->type)
     {
     case LC_CONFIG_READ_STORE:
-      if (!task->reading)
+      if (!task->is_polling_head)
         {
-          task->reading = true;
+          task->is_polling_head = true;
           ln_config_store_read (task->store, lc_config_revision (task->config), on_head_read, task);
         }
       break;
@@ -115,10 +115,10 @@
       ln_config_send (task, action->to, lc_config_message_to_json (&action->message));
       break;
     case LC_CONFIG_ACTIVATED:
-      put_in_force (task, action->set);
+      activate_set (task, action->set);
       break;
     case LC_CONFIG_READINESS_CHANGED:
-      tell_ready (task, action->ready);
+      post_readiness (task, action->ready);
       break;
     }
 }
@@ -131,7 +131,7 @@
   while ((link = lb_list_pop (actions)))
     {
       LcConfigAction *action = LB_CONTAINER (link, LcConfigAction, link);
-      carry_out (task, action);
+      execute_action (task, action);
       lc_config_action_free (action);
     }
 }
@@ -148,37 +148,39 @@
 typedef struct
 {
   const LpInstanceList *list;
-  LbName gone;
-} GoneSearch;
+  LbName removed; /* "": none */
+} RemovedSearch;
 
 static void
-search_gone (const char *instance, int64_t revision, bool alive, bool draining, void *user)
+find_removed_instance (
+    const char *instance, int64_t revision, bool alive, bool draining, void *user)
 {
   (void)revision;
   (void)draining;
-  GoneSearch *search = user;
+  RemovedSearch *search = user;
 
   if (!alive && !is_listed (search->list, instance))
-    LB_COPY (search->gone, instance);
+    LB_COPY (search->removed, instance);
 }
 
-/* An instance counts as behind, and in the majority, until the platform says that it is gone. */
+/* Removes the absent instances that the platform no longer lists. Until then an absent instance
+ * counts as outdated, and in the total that a majority refers to. */
 static void
-on_instances (LbErrorCode error, const LpInstanceList *list, void *user)
+on_instances_listed (LbErrorCode error, const LpInstanceList *list, void *user)
 {
   LnConfigTask *task = user;
 
-  task->listing = false;
+  task->is_listing_instances = false;
   if (error != LB_OK || list->n_instances == 0)
     return;
   for (;;)
     {
-      GoneSearch search = { .list = list };
-      lc_config_visit_instances (task->config, search_gone, &search);
-      if (!search.gone[0])
+      RemovedSearch search = { .list = list };
+      lc_config_visit_instances (task->config, find_removed_instance, &search);
+      if (!search.removed[0])
         return;
-      lb_log (LB_LOG_INFO, "config_instance_gone", LB_TEXT ("gone", search.gone));
-      lc_config_remove_instance (task->config, search.gone);
+      lb_log (LB_LOG_INFO, "config_instance_gone", LB_TEXT ("gone", search.removed));
+      lc_config_remove_instance (task->config, search.removed);
     }
 }
 
@@ -187,11 +189,12 @@
 {
   LpPlatform *platform = task->context->platform;
 
-  if (task->listing || now < task->next_listing || !lc_config_has_absent_members (task->config))
+  if (task->is_listing_instances || now < task->next_listing_at
+      || !lc_config_has_absent_members (task->config))
     return;
-  task->listing = true;
-  task->next_listing = now + LISTING_PERIOD;
-  platform->klass->list_instances (platform, on_instances, task);
+  task->is_listing_instances = true;
+  task->next_listing_at = now + INSTANCE_LISTING_PERIOD;
+  platform->klass->list_instances (platform, on_instances_listed, task);
 }
 
 static void
@@ -212,7 +215,7 @@
 }
 
 static void
-receive_members (LnConfigTask *task, const LnMembersMessage *message)
+update_members (LnConfigTask *task, const LnMembersMessage *message)
 {
   LcConfigMember *members = LB_NEW_ARRAY (LcConfigMember, message->n_members);
   LbList actions;
@@ -231,7 +234,7 @@
 }
 
 static void
-receive_frame (LnConfigTask *task, const LnPeerMessage *frame)
+handle_peer_frame (LnConfigTask *task, const LnPeerMessage *frame)
 {
   LcConfigMessage message = { 0 };
   LbError error = { .code = LB_OK };
@@ -271,10 +274,10 @@
       ln_config_api_caller_disconnected (task, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_MEMBERS:
-      receive_members (task, (const LnMembersMessage *)message);
+      update_members (task, (const LnMembersMessage *)message);
       break;
     case LN_PEER_FRAME:
-      receive_frame (task, (const LnPeerMessage *)message);
+      handle_peer_frame (task, (const LnPeerMessage *)message);
       break;
     default:
       break;
@@ -321,10 +324,10 @@
 ln_config_new (LnContext *context)
 {
   LnConfigTask *task = LB_NEW (LnConfigTask);
-  LcConfigSettings settings = { .max_confirmation_age = CONFIRM_BOUND,
-                                .min_poll_period = HEAD_POLL,
+  LcConfigSettings settings = { .max_confirmation_age = MAX_CONFIRMATION_AGE,
+                                .min_poll_period = MIN_HEAD_POLL_PERIOD,
                                 .seed = context->settings->seed ^ (uint64_t)lb_clock_monotonic () };
-  const struct timeval tick = { .tv_usec = TICK };
+  const struct timeval tick = { .tv_usec = TICK_PERIOD };
 
   LB_COPY (settings.instance, context->instance);
   task->task.klass = &config_class;
--- a/packages/node/src/duties/ln-duties.c
+++ b/packages/node/src/duties/ln-duties.c
@@ -16,53 +16,54 @@
 #include <event2/event.h>
 #include <stdlib.h>
 
-#define TICK (100 * LB_MSEC)
-#define DUTY "platform"
-/* What an instance counted is in the store within this time after it began to leave, or the store
- * is away and its exit is not held up for it. */
-#define MAX_GOODBYE (7 * LB_SEC)
-
-/* What only one instance may do at a time towards the shared platform, and what each one counts for
- * it. Runs as the task "duties". */
+#define TICK_PERIOD (100 * LB_MSEC)
+#define DUTY_NAME "platform"
+/* Longest time that the exit waits, from the start of draining, for the usage counts to be written:
+ * by then they are in the store, unless it is not reachable. */
+#define MAX_DRAIN_TIME (7 * LB_SEC)
+
+/* The task "duties": holds the lease for calls to the shared platform that only one instance may
+ * make at a time (usage reports, orders of endpoints), and counts this instance's requests for the
+ * usage reports. */
 typedef struct
 {
   LnTask task; /* first */
   LnContext *context;
   struct event *timer;
-  LnTrueTime *time;
+  LnTrueTime *true_time;
   LnDutyLease *lease;
-  LnUsageRows *rows;         /* NULL: the platform wants no reports of usage */
-  LnUsageReporter *reporter; /* the same */
-  LnScaler *scaler;          /* NULL: it takes no orders of endpoints */
+  LnUsageRows *usage_rows;         /* NULL: no usage reports are configured */
+  LnUsageReporter *usage_reporter; /* NULL: as above */
+  LnScaler *scaler;                /* NULL: no orders of endpoints are configured */
   size_t n_members;
-  bool was_held;         /* as the others were told */
-  LbTime draining_since; /* 0: it is not */
+  bool posted_is_held;   /* last LN_DUTY posted */
+  LbTime draining_since; /* 0: not draining */
 } Duties;
 
 static void
-tell_held (Duties *duties, bool held)
+post_duty (Duties *duties, bool held)
 {
   LnDutyMessage message
       = { .base = LN_MESSAGE (LN_DUTY), .duty = LN_DUTY_PLATFORM_CALLS, .held = held };
 
-  if (held == duties->was_held)
+  if (held == duties->posted_is_held)
     return;
-  duties->was_held = held;
+  duties->posted_is_held = held;
   LN_POST (duties->task.hub, NULL, message);
 }
 
 static void
-on_lease (LbTime now, void *user)
+on_lease_changed (LbTime now, void *user)
 {
   (void)now;
   Duties *duties = user;
   bool held = ln_duty_lease_is_held (duties->lease);
 
-  if (duties->reporter)
-    ln_usage_reporter_set_duty_held (duties->reporter, held);
+  if (duties->usage_reporter)
+    ln_usage_reporter_set_duty_held (duties->usage_reporter, held);
   if (duties->scaler)
     ln_scaler_set_duty_held (duties->scaler, held);
-  tell_held (duties, held);
+  post_duty (duties, held);
 }
 
 static void
@@ -72,29 +73,29 @@
   (void)what;
   Duties *duties = user;
   LbTime now = lb_clock_monotonic ();
-  int64_t true_ms = ln_true_time_ms (duties->time, now);
+  int64_t true_ms = ln_true_time_ms (duties->true_time, now);
 
   ln_duty_lease_tick (duties->lease, duties->context->settings->duties.platform_checks_fence, now);
-  if (duties->rows)
+  if (duties->usage_rows)
     {
-      ln_usage_rows_tick (duties->rows, duties->n_members, true_ms, now);
-      ln_usage_reporter_tick (duties->reporter, true_ms, now);
+      ln_usage_rows_tick (duties->usage_rows, duties->n_members, true_ms, now);
+      ln_usage_reporter_tick (duties->usage_reporter, true_ms, now);
     }
   if (duties->scaler)
     ln_scaler_tick (duties->scaler, now);
 }
 
 static void
-take_members (Duties *duties, const LnMembersMessage *message)
+update_members (Duties *duties, const LnMembersMessage *message)
 {
   duties->n_members = message->n_members;
-  ln_true_time_set_members (duties->time, message);
+  ln_true_time_set_members (duties->true_time, message);
   if (duties->draining_since == 0)
     ln_duty_lease_set_members (duties->lease, message);
 }
 
 static void
-tell_scaler (LnScaler *scaler, const LnMessage *message)
+update_scaler (LnScaler *scaler, const LnMessage *message)
 {
   if (message->type == LN_DEMAND)
     ln_scaler_add_demand (scaler, (const LnDemandMessage *)message, lb_clock_monotonic ());
@@ -108,15 +109,15 @@
 receive (LnTask *task, const LnMessage *message)
 {
   Duties *duties = (Duties *)task;
-  const LnRequestStartedMessage *began = (const LnRequestStartedMessage *)message;
+  const LnRequestStartedMessage *started = (const LnRequestStartedMessage *)message;
 
   if (message->type == LN_MEMBERS)
-    take_members (duties, (const LnMembersMessage *)message);
-  else if (message->type == LN_REQUEST_STARTED && duties->rows)
-    ln_usage_rows_count_request (duties->rows, began->organisation,
-                                 ln_true_time_ms (duties->time, began->at));
+    update_members (duties, (const LnMembersMessage *)message);
+  else if (message->type == LN_REQUEST_STARTED && duties->usage_rows)
+    ln_usage_rows_count_request (duties->usage_rows, started->organisation,
+                                 ln_true_time_ms (duties->true_time, started->at));
   else if (duties->scaler)
-    tell_scaler (duties->scaler, message);
+    update_scaler (duties->scaler, message);
 }
 
 static void
@@ -134,10 +135,10 @@
   const Duties *duties = (const Duties *)task;
   LbTime now = lb_clock_monotonic ();
 
-  if (duties->draining_since == 0 || now - duties->draining_since >= MAX_GOODBYE)
+  if (duties->draining_since == 0 || now - duties->draining_since >= MAX_DRAIN_TIME)
     return true;
   return ln_duty_lease_is_released (duties->lease, now)
-         && (!duties->rows || ln_usage_rows_are_written (duties->rows));
+         && (!duties->usage_rows || ln_usage_rows_are_written (duties->usage_rows));
 }
 
 static void
@@ -146,15 +147,15 @@
   Duties *duties = (Duties *)task;
 
   event_free (duties->timer);
-  if (duties->rows)
+  if (duties->usage_rows)
     {
-      ln_usage_reporter_free (duties->reporter);
-      ln_usage_rows_free (duties->rows);
+      ln_usage_reporter_free (duties->usage_reporter);
+      ln_usage_rows_free (duties->usage_rows);
     }
   if (duties->scaler)
     ln_scaler_free (duties->scaler);
   ln_duty_lease_free (duties->lease);
-  ln_true_time_free (duties->time);
+  ln_true_time_free (duties->true_time);
   free (duties);
 }
 
@@ -163,7 +164,7 @@
 };
 
 static bool
-wants (const LnContext *context, LnPlatformDuty duty)
+is_duty_configured (const LnContext *context, LnPlatformDuty duty)
 {
   const LnSettings *settings = context->settings;
 
@@ -173,30 +174,33 @@
   return false;
 }
 
-/* Without any duty nothing is to be done, not even a lease to be kept. */
+/* Without a configured duty the timer is not started, so the lease's row is not read either. */
 LnTask *
 ln_duties_new (LnContext *context)
 {
-  const struct timeval tick = lb_time_to_timeval (TICK);
-  bool reports = wants (context, LN_PLATFORM_USAGE);
-  bool scales = wants (context, LN_PLATFORM_SCALE) && lb_switch_is_on (LB_SWITCH_SCALING);
+  const struct timeval tick = lb_time_to_timeval (TICK_PERIOD);
+  bool reports_usage = is_duty_configured (context, LN_PLATFORM_USAGE);
+  bool scales
+      = is_duty_configured (context, LN_PLATFORM_SCALE) && lb_switch_is_on (LB_SWITCH_SCALING);
   Duties *duties = LB_NEW (Duties);
 
   duties->task.klass = &duties_class;
   duties->task.hub = context->hub;
   duties->context = context;
-  duties->time = ln_true_time_new (context);
-  duties->lease = ln_duty_lease_new (context, DUTY, context->settings->duties.platform_checks_fence,
-                                     on_lease, duties);
-  if (reports)
+  duties->true_time = ln_true_time_new (context);
+  duties->lease
+      = ln_duty_lease_new (context, DUTY_NAME, context->settings->duties.platform_checks_fence,
+                           on_lease_changed, duties);
+  if (reports_usage)
     {
-      duties->rows = ln_usage_rows_new (context, context->settings->duties.usage_window_s * 1000);
-      duties->reporter = ln_usage_reporter_new (context, duties->lease);
+      duties->usage_rows
+          = ln_usage_rows_new (context, context->settings->duties.usage_window_s * 1000);
+      duties->usage_reporter = ln_usage_reporter_new (context, duties->lease);
     }
   if (scales)
     duties->scaler = ln_scaler_new (context, duties->lease);
   duties->timer = event_new (context->base, -1, EV_PERSIST, on_tick, duties);
-  if (reports || scales)
+  if (reports_usage || scales)
     event_add (duties->timer, &tick);
   return &duties->task;
 }
--- a/packages/node/src/duties/ln-duty-lease.c
+++ b/packages/node/src/duties/ln-duty-lease.c
@@ -13,17 +13,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Without a holder no engine gets new weights, and trainers move on meanwhile. A renewal reads the
- * row and writes it, half a second together at a store that is sixty times slower than usual. */
+/* Bounds the time without a holder, in which no engine gets new weights while trainers continue. If
+ * the store is 60 times slower than usual, a renewal (a read and a write) takes half a second. */
 #define LEASE_DURATION (2 * LB_SEC)
-/* Where engines take orders of any holder, those of two may not alternate within three seconds. */
-#define UNCHECKED_LEASE_DURATION (3200 * LB_MSEC)
-#define LEASE_PERIOD (500 * LB_MSEC)     /* three renewals within its duration */
-#define LEASE_WATCH_PERIOD (10 * LB_SEC) /* of those that are no candidates */
-#define N_CANDIDATES 3
-/* Receivers that hear from one holder, from another and from the first again within three seconds
- * can't tell which of them to believe. */
-#define TURN_TIME (3200 * LB_MSEC)
+/* For engines that accept orders with any fencing number: orders of two holders must not alternate
+ * within 3 s. */
+#define UNFENCED_LEASE_DURATION (3200 * LB_MSEC)
+#define RENEWAL_PERIOD (500 * LB_MSEC)     /* three renewals within LEASE_DURATION */
+#define OBSERVER_POLL_PERIOD (10 * LB_SEC) /* for instances that are not candidates */
+#define MAX_CANDIDATES 3
+/* Receivers that get calls from one holder, another one and the first again within 3 s can't tell
+ * which of them holds the lease. */
+#define REACQUIRE_DELAY (3200 * LB_MSEC)
 #define KEY_SIZE 64
 
 struct LnDutyLease
@@ -49,10 +50,10 @@
   LcLeaseSettings settings;
 
   lc_lease_settings_init (&settings);
-  settings.duration = receivers_check_fence ? LEASE_DURATION : UNCHECKED_LEASE_DURATION;
-  settings.reacquire_delay = TURN_TIME;
-  settings.poll_period = LEASE_PERIOD;
-  settings.observer_poll_period = LEASE_WATCH_PERIOD;
+  settings.duration = receivers_check_fence ? LEASE_DURATION : UNFENCED_LEASE_DURATION;
+  settings.reacquire_delay = REACQUIRE_DELAY;
+  settings.poll_period = RENEWAL_PERIOD;
+  settings.observer_poll_period = OBSERVER_POLL_PERIOD;
   LB_COPY (settings.instance, context->instance);
   LB_COPY (settings.incarnation, context->incarnation);
   lease->context = context;
@@ -72,7 +73,7 @@
   free (lease);
 }
 
-static void carry_out (LnDutyLease *lease, LbList *actions);
+static void execute_actions (LnDutyLease *lease, LbList *actions);
 
 static void
 on_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
@@ -82,7 +83,7 @@
 
   lb_list_init (&actions);
   ln_lease_read_completed (lease->lease, error, rows, n_rows, lb_clock_monotonic (), &actions);
-  carry_out (lease, &actions);
+  execute_actions (lease, &actions);
 }
 
 static void
@@ -94,11 +95,11 @@
 
   lb_list_init (&actions);
   lc_lease_write_completed (lease->lease, error, lb_clock_monotonic (), &actions);
-  carry_out (lease, &actions);
+  execute_actions (lease, &actions);
 }
 
 static void
-note_change (LnDutyLease *lease, const LcLeaseAction *action)
+notify_change (LnDutyLease *lease, const LcLeaseAction *action)
 {
   bool gained = action->type == LC_LEASE_GAINED;
 
@@ -108,7 +109,7 @@
 }
 
 static void
-carry_out (LnDutyLease *lease, LbList *actions)
+execute_actions (LnDutyLease *lease, LbList *actions)
 {
   LpPlatform *platform = lease->context->platform;
   LbLink *link;
@@ -126,7 +127,7 @@
           break;
         case LC_LEASE_GAINED:
         case LC_LEASE_LOST:
-          note_change (lease, action);
+          notify_change (lease, action);
           break;
         }
       free (action);
@@ -134,13 +135,13 @@
 }
 
 static bool
-may_hold (const LnMember *member)
+can_hold_lease (const LnMember *member)
 {
   return member->alive && member->confirmed && !member->draining && !member->cut;
 }
 
-/* This instance counts as one also where it may not hold the lease now: a holder that is cut off
- * for a moment does not give it up. */
+/* Always includes this instance, so that a holder that cannot reach the store directly for a moment
+ * keeps the lease. */
 static size_t
 add_candidates (const LnMembersMessage *members, LcDutyCandidate *candidates)
 {
@@ -149,7 +150,7 @@
   for (size_t i = 0; i < members->n_members; i++)
     {
       const LnMember *member = &members->members[i];
-      if (!may_hold (member) && !member->is_self)
+      if (!can_hold_lease (member) && !member->is_self)
         continue;
       LB_COPY (candidates[n].name, member->name);
       candidates[n++].strength = member->strength;
@@ -157,7 +158,8 @@
   return n;
 }
 
-/* The first few instances are candidates, each a little later than the one before. */
+/* The first MAX_CANDIDATES instances in rank order are candidates; each claims a free lease a
+ * little later than the one before it. */
 void
 ln_duty_lease_set_members (LnDutyLease *lease, const LnMembersMessage *members)
 {
@@ -165,7 +167,7 @@
   size_t n = add_candidates (members, candidates);
   size_t rank = lc_duty_rank (lease->duty, lease->context->instance, candidates, n);
 
-  lc_lease_set_rank (lease->lease, rank < N_CANDIDATES ? (int)rank : -1);
+  lc_lease_set_rank (lease->lease, rank < MAX_CANDIDATES ? (int)rank : -1);
   free (candidates);
   free (lease->members);
   lease->members = lb_memdup (members->members, members->n_members * sizeof (LnMember));
@@ -173,7 +175,7 @@
 }
 
 static void
-look_for_ended_holder (LnDutyLease *lease, bool all_check_fences, LbTime now)
+detect_ended_holder (LnDutyLease *lease, bool all_check_fences, LbTime now)
 {
   const LcLeaseRow *row = lc_lease_row (lease->lease);
 
@@ -190,18 +192,18 @@
     }
 }
 
-/* Only candidates look for a holder that has ended: all others would read its row in the same
- * moment, hundreds at once on a large site. */
+/* Only candidates check whether the holder's process has ended: otherwise the hundreds of instances
+ * of a large site would all read the lease's row at the same moment. */
 void
 ln_duty_lease_tick (LnDutyLease *lease, bool all_check_fences, LbTime now)
 {
   LbList actions;
 
   if (ln_duty_lease_is_candidate (lease))
-    look_for_ended_holder (lease, all_check_fences, now);
+    detect_ended_holder (lease, all_check_fences, now);
   lb_list_init (&actions);
   lc_lease_tick (lease->lease, now, lb_clock_boot (), &actions);
-  carry_out (lease, &actions);
+  execute_actions (lease, &actions);
 }
 
 void
@@ -218,7 +220,7 @@
   lb_list_init (&actions);
   lc_lease_set_rank (lease->lease, -1);
   lc_lease_release (lease->lease, now, &actions);
-  carry_out (lease, &actions);
+  execute_actions (lease, &actions);
 }
 
 bool
--- a/packages/node/src/duties/ln-duty-lease.h
+++ b/packages/node/src/duties/ln-duty-lease.h
@@ -4,14 +4,13 @@
 #include "ln-context.h"
 #include "ln-messages.h"
 
-/* Which instance has a duty that only one may have at a time: to order the engines to load weights,
- * to make the platform's calls for all. Each duty has a lease of its own, a row of the store. A few
- * instances are candidates, by what their machines can bear. */
+/* Lease for a duty that only one instance may have at a time, such as ordering engines to load
+ * weights or calling the platform for all instances. Each duty has its own lease, a row of the
+ * store. A few instances are candidates, chosen by the capacity of their machines. */
 typedef struct LnDutyLease LnDutyLease;
 
-/* duty: its name, which stays the caller's; receivers_check_fence: the receivers of the holder's
- * calls refuse an old fencing number; on_change: gained or lost; what was believed before holds no
- * more. */
+/* duty: its name, not copied. receivers_check_fence: the receivers of the holder's calls refuse an
+ * old fencing number. on_change: the lease was gained or lost; state from before is outdated. */
 LnDutyLease *ln_duty_lease_new (LnContext *context,
                                 const char *duty,
                                 bool receivers_check_fence,
@@ -21,9 +20,9 @@
 
 /* commands */
 void ln_duty_lease_set_members (LnDutyLease *lease, const LnMembersMessage *members);
-/* all_check_fences: every receiver there is now refuses an old fencing number. */
+/* all_check_fences: every current receiver refuses an old fencing number. */
 void ln_duty_lease_tick (LnDutyLease *lease, bool all_check_fences, LbTime now);
-/* A receiver refused a call for its fencing number. */
+/* To be called when a receiver refused a call because of its fencing number. */
 void ln_duty_lease_read_soon (LnDutyLease *lease, LbTime now);
 void ln_duty_lease_release (LnDutyLease *lease, LbTime now);
 
@@ -31,7 +30,7 @@
 bool ln_duty_lease_is_held (const LnDutyLease *lease);
 bool ln_duty_lease_is_candidate (const LnDutyLease *lease);
 bool ln_duty_lease_is_released (const LnDutyLease *lease, LbTime now);
-/* unfenced: to a receiver that takes calls of any holder. */
+/* unfenced: the receiver accepts calls with any fencing number. */
 bool ln_duty_lease_can_order (const LnDutyLease *lease, bool unfenced, LbTime now);
 int64_t ln_duty_lease_fence (const LnDutyLease *lease);
 
--- a/packages/node/src/duties/ln-lease.c
+++ b/packages/node/src/duties/ln-lease.c
@@ -2,8 +2,8 @@
 
 #include <json-c/json.h>
 
-/* A row that can't be read is a failure of the store: nobody claims a lease on the strength of it.
- */
+/* A row that can't be parsed counts as a failure of the store, so that no instance claims the lease
+ * because of it. */
 void
 ln_lease_read_completed (LcLease *lease,
                          LbErrorCode error,
--- a/packages/node/src/duties/ln-lease.h
+++ b/packages/node/src/duties/ln-lease.h
@@ -4,16 +4,16 @@
 #include "lc-lease.h"
 #include "lp-platform.h"
 
-/* Between an LcLease and its row in the store. */
+/* Reads and writes the row of an LcLease in the store. */
 
-/* Hands what was read of the row to the lease. */
+/* Passes the result of reading the lease's row to the lease. */
 void ln_lease_read_completed (LcLease *lease,
                               LbErrorCode error,
                               const LpRow *rows,
                               size_t n_rows,
                               LbTime now,
                               LbList *actions);
-/* Carries out a LC_LEASE_WRITE. */
+/* Executes an LC_LEASE_WRITE. */
 void ln_lease_write (LpPlatform *platform,
                      const char *key,
                      const char *token,
--- a/packages/node/src/duties/ln-scaler.c
+++ b/packages/node/src/duties/ln-scaler.c
@@ -18,16 +18,16 @@
   LcScaling *scaling;
   LcDesired *desired; /* NULL: none is known */
   LcResourceSet *set; /* the endpoints; NULL: none is known */
-  LbList calls;
-  int64_t epoch; /* counts the times that the duty was gained or lost */
+  LbList calls;       /* LnPlatformCall in progress */
+  int64_t duty_epoch; /* incremented each time that the duty is gained or lost */
 };
 
 typedef struct
 {
   LnScaler *scaler;
   LcScalingOrder order;
-  int64_t epoch;
-} Call;
+  int64_t duty_epoch; /* when the order was sent */
+} OrderCall;
 
 LnScaler *
 ln_scaler_new (LnContext *context, LnDutyLease *lease)
@@ -54,7 +54,7 @@
 void
 ln_scaler_set_duty_held (LnScaler *scaler, bool held)
 {
-  scaler->epoch++;
+  scaler->duty_epoch++;
   if (held)
     lc_scaling_forget_orders (scaler->scaling);
 }
@@ -80,7 +80,7 @@
 }
 
 static LcScalingOutcome
-outcome_of (LnDutyOutcome outcome)
+scaling_outcome (LnDutyOutcome outcome)
 {
   switch (outcome)
     {
@@ -95,40 +95,40 @@
   return LC_SCALING_REFUSED;
 }
 
-/* A refusal may mean that a younger holder was there: the lease is looked at, and tells. */
+/* A refusal may be due to the higher fencing number of a new holder, so reads the lease again. */
 static void
-on_ordered (LnDutyOutcome outcome, void *user)
+on_order_answered (LnDutyOutcome outcome, void *user)
 {
-  Call *call = user;
+  OrderCall *call = user;
   LnScaler *scaler = call->scaler;
   LbTime now = lb_clock_monotonic ();
 
   if (outcome == LN_DUTY_REFUSED)
     ln_duty_lease_read_soon (scaler->lease, now);
-  if (call->epoch == scaler->epoch)
-    lc_scaling_finish_order (scaler->scaling, &call->order, outcome_of (outcome), now);
+  if (call->duty_epoch == scaler->duty_epoch)
+    lc_scaling_finish_order (scaler->scaling, &call->order, scaling_outcome (outcome), now);
   free (call);
 }
 
 static void
-order (LnScaler *scaler, const LcScalingOrder *wanted)
+send_order (LnScaler *scaler, const LcScalingOrder *order)
 {
   const LnContext *context = scaler->context;
-  const LnDutyHolder words
+  const LnDutyHolder holder
       = { .holder = context->instance, .fence = ln_duty_lease_fence (scaler->lease) };
-  const LnScaleOrder scale = { .service = wanted->service,
-                               .data_centre = wanted->data_centre,
-                               .endpoints = wanted->endpoints,
+  const LnScaleOrder scale = { .service = order->service,
+                               .data_centre = order->data_centre,
+                               .endpoints = order->endpoints,
                                .is_spot = true };
-  Call *call = LB_NEW (Call);
+  OrderCall *call = LB_NEW (OrderCall);
   LcOutgoing outgoing;
 
-  *call = (Call){ .scaler = scaler, .order = *wanted, .epoch = scaler->epoch };
-  context->dialect->write_scale (&words, &scale, &outgoing);
-  lb_log (LB_LOG_INFO, "endpoints_ordered", LB_TEXT ("service", wanted->service),
-          LB_TEXT ("data_centre", wanted->data_centre), LB_INT ("endpoints", wanted->endpoints),
-          LB_INT ("fence", words.fence));
-  ln_platform_call_start (context, &scaler->calls, &outgoing, on_ordered, call);
+  *call = (OrderCall){ .scaler = scaler, .order = *order, .duty_epoch = scaler->duty_epoch };
+  context->dialect->write_scale (&holder, &scale, &outgoing);
+  lb_log (LB_LOG_INFO, "endpoints_ordered", LB_TEXT ("service", order->service),
+          LB_TEXT ("data_centre", order->data_centre), LB_INT ("endpoints", order->endpoints),
+          LB_INT ("fence", holder.fence));
+  ln_platform_call_start (context, &scaler->calls, &outgoing, on_order_answered, call);
   lc_outgoing_clear (&outgoing);
 }
 
@@ -136,11 +136,11 @@
 ln_scaler_tick (LnScaler *scaler, LbTime now)
 {
   bool unfenced = !scaler->context->settings->duties.platform_checks_fence;
-  LcScalingOrder wanted;
+  LcScalingOrder order;
 
   if (!scaler->desired || !scaler->set)
     return;
   while (ln_duty_lease_can_order (scaler->lease, unfenced, now)
-         && lc_scaling_next_order (scaler->scaling, scaler->desired, scaler->set, now, &wanted))
-    order (scaler, &wanted);
+         && lc_scaling_next_order (scaler->scaling, scaler->desired, scaler->set, now, &order))
+    send_order (scaler, &order);
 }
--- a/packages/node/src/duties/ln-scaler.h
+++ b/packages/node/src/duties/ln-scaler.h
@@ -5,11 +5,10 @@
 #include "ln-duty-lease.h"
 #include "ln-messages.h"
 
-/* Orders endpoints of the platform while this instance has the duty: carries out what LcScaling
- * decides. */
+/* Orders endpoints from the platform while this instance has the duty, as LcScaling decides. */
 typedef struct LnScaler LnScaler;
 
-/* The lease stays the caller's. */
+/* The caller keeps ownership of the lease. */
 LnScaler *ln_scaler_new (LnContext *context, LnDutyLease *lease);
 void ln_scaler_free (LnScaler *scaler);
 
--- a/packages/node/src/duties/ln-true-time.c
+++ b/packages/node/src/duties/ln-true-time.c
@@ -10,7 +10,7 @@
 struct LnTrueTime
 {
   const LnContext *context;
-  int64_t lead; /* of true time over the store's clock; 0: not known */
+  int64_t offset_ms; /* of true time from the store's clock; 0: not known */
 };
 
 LnTrueTime *
@@ -31,26 +31,26 @@
 void
 ln_true_time_set_members (LnTrueTime *time, const LnMembersMessage *members)
 {
-  int64_t *leads = LB_NEW_ARRAY (int64_t, members->n_members + 1);
+  int64_t *offsets = LB_NEW_ARRAY (int64_t, members->n_members + 1);
   size_t n = 0;
 
   for (size_t i = 0; i < members->n_members; i++)
     if (members->members[i].alive && members->members[i].clock_lead_ms != 0)
-      leads[n++] = members->members[i].clock_lead_ms;
+      offsets[n++] = members->members[i].clock_lead_ms;
   if (n > 0)
-    time->lead = lc_true_time_median_offset (leads, n);
-  free (leads);
+    time->offset_ms = lc_true_time_median_offset (offsets, n);
+  free (offsets);
 }
 
-/* Before others are known, and without a store that has a clock, the own time of day has to do. */
+/* Falls back to this machine's time of day if the offset is unknown or the store has no clock. */
 int64_t
 ln_true_time_ms (const LnTrueTime *time, LbTime at)
 {
   int64_t store_ms = lp_platform_store_ms_at (time->context->platform, at);
 
-  if (store_ms == 0 || time->lead == 0)
+  if (store_ms == 0 || time->offset_ms == 0)
     return lb_clock_wall_ms () - (lb_clock_monotonic () - at) / LB_MSEC;
-  return store_ms + time->lead;
+  return store_ms + time->offset_ms;
 }
 
 int64_t
--- a/packages/node/src/duties/ln-true-time.h
+++ b/packages/node/src/duties/ln-true-time.h
@@ -4,7 +4,7 @@
 #include "ln-context.h"
 #include "ln-messages.h"
 
-/* What time it is by all instances together, see lc-true-time.h. */
+/* Time of day by the median of all instances' clocks, see lc-true-time.h. */
 typedef struct LnTrueTime LnTrueTime;
 
 LnTrueTime *ln_true_time_new (const LnContext *context);
@@ -14,9 +14,9 @@
 void ln_true_time_set_members (LnTrueTime *time, const LnMembersMessage *members);
 
 /* queries */
-/* Unix milliseconds at the moment `at` of this process. */
+/* Unix time in ms at the monotonic time `at`. */
 int64_t ln_true_time_ms (const LnTrueTime *time, LbTime at);
-/* By how much this machine's time of day is ahead of the store's clock, in ms; 0: not known. */
+/* This machine's time of day minus the store's clock, in ms; 0: not known. */
 int64_t ln_true_time_local_offset_ms (const LnContext *context, LbTime now);
 
 #endif
--- a/packages/node/src/duties/ln-usage-reporter.c
+++ b/packages/node/src/duties/ln-usage-reporter.c
@@ -19,48 +19,48 @@
 #include <string.h>
 
 #define REPORT_PREFIX "report/usage/"
-/* Reports that stay in the store: all that a later holder may look for, and some more. */
-#define KEPT_REPORTS 48
-/* The store takes 100 entries in a transaction. */
-#define MAX_REMOVED 90
-/* After a window's end: instances write their last rows within a second and a half, a little later
- * on large sites, and the clocks by which they count differ by some ten milliseconds. */
-#define SETTLE_MS 2500
-/* Of the ten seconds or more until a report is due, what is left to send it. */
-#define SENDING_MS 3000
+/* Reports that stay in the store: more than a later holder needs. */
+#define N_KEPT_REPORTS 48
+/* The store accepts at most 100 entries in a transaction. */
+#define MAX_REMOVED_ROWS 90
+/* After a window's end: instances write their last rows of it within 1.5 s, a little later on large
+ * sites, and the clocks by which they count differ by some 10 ms. */
+#define SETTLE_DELAY_MS 2500
+/* Reserved for sending, of the 10 s or more until a report is due. */
+#define SEND_MARGIN_MS 3000
 
 struct LnUsageReporter
 {
   LnContext *context;
   LnDutyLease *lease;
   LcUsageReports *reports;
-  LbList calls; /* LnPlatformCall on their way */
+  LbList calls; /* LnPlatformCall in progress */
 };
 
-/* One action on its way. */
+/* An action in progress. */
 typedef struct
 {
   LnUsageReporter *reporter;
-  int64_t epoch;
+  int64_t duty_epoch; /* when the action was started */
   int64_t window;
-  size_t waiting; /* lists on their way */
-  bool failed;
+  size_t n_pending_lists;
+  bool has_failed; /* a list failed */
   LcUsageCounts *counts;
   char *text;
-} Step;
+} PendingAction;
 
-static LbMetric sent
+static LbMetric metric_sent
     = LB_COUNTER_INIT ("lentilspindle_usage_reports_total",
                        NULL,
-                       "Reports of usage that the platform took from this instance");
+                       "Usage reports of this instance that the platform accepted");
 
 static LcUsageReports *
 reports_new (const LnSettings *settings)
 {
   const LcUsageReportSettings rules
       = { .window_ms = settings->duties.usage_window_s * 1000,
-          .settle_delay_ms = SETTLE_MS,
-          .max_delay_ms = settings->duties.usage_due_s * 1000 - SENDING_MS };
+          .settle_delay_ms = SETTLE_DELAY_MS,
+          .max_delay_ms = settings->duties.usage_due_s * 1000 - SEND_MARGIN_MS };
 
   return lc_usage_reports_new (&rules);
 }
@@ -94,55 +94,55 @@
     lc_usage_reports_duty_lost (reporter->reports);
 }
 
-static Step *
-step_new (LnUsageReporter *reporter, const LcUsageAction *action)
+static PendingAction *
+pending_action_new (LnUsageReporter *reporter, const LcUsageAction *action)
 {
-  Step *step = LB_NEW (Step);
+  PendingAction *pending = LB_NEW (PendingAction);
 
-  step->reporter = reporter;
-  step->epoch = lc_usage_reports_duty_epoch (reporter->reports);
-  step->window = action->window;
-  step->text = action->text ? lb_strdup (action->text) : NULL;
-  return step;
+  pending->reporter = reporter;
+  pending->duty_epoch = lc_usage_reports_duty_epoch (reporter->reports);
+  pending->window = action->window;
+  pending->text = action->text ? lb_strdup (action->text) : NULL;
+  return pending;
 }
 
 static void
-step_free (Step *step)
+pending_action_free (PendingAction *pending)
 {
-  lc_usage_counts_free (step->counts);
-  free (step->text);
-  free (step);
+  lc_usage_counts_free (pending->counts);
+  free (pending->text);
+  free (pending);
 }
 
 static bool
-is_current (const Step *step)
+is_current (const PendingAction *pending)
 {
-  return step->epoch == lc_usage_reports_duty_epoch (step->reporter->reports);
+  return pending->duty_epoch == lc_usage_reports_duty_epoch (pending->reporter->reports);
 }
 
-/* One answer that was lost says nothing of the rows of others. While the store is away lists fail
- * as well. */
+/* Marks the store as failed, except for a failed condition or one lost answer, which do not imply
+ * that other instances' rows are late. Lists fail as well while the store is not reachable. */
 static void
-note_error (const Step *step, LbErrorCode error, const char *what)
+handle_error (const PendingAction *pending, LbErrorCode error, const char *what)
 {
   if (error == LB_OK)
     return;
-  lb_log (LB_LOG_INFO, "usage_step_failed", LB_TEXT ("step", what), LB_INT ("window", step->window),
-          LB_TEXT ("error", lb_error_name (error)));
+  lb_log (LB_LOG_INFO, "usage_step_failed", LB_TEXT ("step", what),
+          LB_INT ("window", pending->window), LB_TEXT ("error", lb_error_name (error)));
   if (error != LB_ERROR_CONDITION_FAILED && error != LB_ERROR_STORE_UNKNOWN)
-    lc_usage_reports_store_failed (step->reporter->reports, lb_clock_monotonic ());
+    lc_usage_reports_store_failed (pending->reporter->reports, lb_clock_monotonic ());
 }
 
-/* --- what earlier holders decided --- */
+/* --- reading what earlier holders recorded --- */
 
 static void
-take_report (Step *step, const LpRow *row)
+add_recorded_report (PendingAction *pending, const LpRow *row)
 {
   struct json_object *object = row->value ? json_tokener_parse (row->value) : NULL;
   const char *counts = lb_json_text (object, "counts", NULL);
 
   if (counts)
-    lc_usage_reports_add_recorded (step->reporter->reports,
+    lc_usage_reports_add_recorded (pending->reporter->reports,
                                    strtoll (row->key + strlen (REPORT_PREFIX), NULL, 10), counts,
                                    lb_json_bool (object, "sent", false));
   else
@@ -151,83 +151,85 @@
 }
 
 static void
-end_read (Step *step)
+finish_list (PendingAction *pending)
 {
-  if (--step->waiting > 0)
+  if (--pending->n_pending_lists > 0)
     return;
-  if (is_current (step))
-    lc_usage_reports_read_completed (step->reporter->reports, !step->failed, lb_clock_monotonic ());
-  step_free (step);
+  if (is_current (pending))
+    lc_usage_reports_read_completed (pending->reporter->reports, !pending->has_failed,
+                                     lb_clock_monotonic ());
+  pending_action_free (pending);
 }
 
 static void
-on_reports (LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
+on_reports_listed (LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
 {
   (void)version;
-  Step *step = user;
+  PendingAction *pending = user;
 
-  note_error (step, error, "read");
-  step->failed |= error != LB_OK;
-  for (size_t i = 0; i < n_rows && is_current (step); i++)
-    take_report (step, &rows[i]);
-  end_read (step);
+  handle_error (pending, error, "read");
+  pending->has_failed |= error != LB_OK;
+  for (size_t i = 0; i < n_rows && is_current (pending); i++)
+    add_recorded_report (pending, &rows[i]);
+  finish_list (pending);
 }
 
 static void
-on_any_counts (LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
+on_first_row_listed (
+    LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
 {
   (void)version;
-  Step *step = user;
+  PendingAction *pending = user;
 
-  note_error (step, error, "read");
-  step->failed |= error != LB_OK;
-  if (n_rows > 0 && is_current (step) && ln_usage_window_from_key (rows[0].key) >= 0)
-    lc_usage_reports_add_row_window (step->reporter->reports,
+  handle_error (pending, error, "read");
+  pending->has_failed |= error != LB_OK;
+  if (n_rows > 0 && is_current (pending) && ln_usage_window_from_key (rows[0].key) >= 0)
+    lc_usage_reports_add_row_window (pending->reporter->reports,
                                      ln_usage_window_from_key (rows[0].key));
-  end_read (step);
+  finish_list (pending);
 }
 
-/* The first row of each part is that of the oldest window. */
+/* Also lists the first row of each partition, which is of the oldest window there. */
 static void
 read_reports (LnUsageReporter *reporter, const LcUsageAction *action)
 {
   LpPlatform *platform = reporter->context->platform;
-  Step *step = step_new (reporter, action);
+  PendingAction *pending = pending_action_new (reporter, action);
   char prefix[LN_USAGE_KEY_SIZE];
 
-  step->waiting = 1 + LN_USAGE_N_PARTITIONS;
-  platform->klass->list (platform, REPORT_PREFIX, NULL, 0, on_reports, step);
-  for (size_t part = 0; part < LN_USAGE_N_PARTITIONS; part++)
+  pending->n_pending_lists = 1 + LN_USAGE_N_PARTITIONS;
+  platform->klass->list (platform, REPORT_PREFIX, NULL, 0, on_reports_listed, pending);
+  for (size_t partition = 0; partition < LN_USAGE_N_PARTITIONS; partition++)
     {
-      ln_usage_partition_prefix (part, prefix);
-      platform->klass->list (platform, prefix, NULL, 1, on_any_counts, step);
+      ln_usage_partition_prefix (partition, prefix);
+      platform->klass->list (platform, prefix, NULL, 1, on_first_row_listed, pending);
     }
 }
 
-/* --- a window is added up --- */
+/* --- adding up the rows of a window --- */
 
 static void
-add_start (LcUsageCounts *total, const LpRow *rows, size_t n_rows)
+add_incarnation_counts (LcUsageCounts *total, const LpRow *rows, size_t n_rows)
 {
-  LcUsageCounts *start = lc_usage_counts_new ();
+  LcUsageCounts *counts = lc_usage_counts_new ();
   LbError error = { 0 };
 
   for (size_t i = 0; i < n_rows; i++)
     {
       LcUsageCounts *row = lc_usage_counts_new ();
       if (rows[i].value && lc_usage_counts_add_text (row, rows[i].value, &error))
-        lc_usage_counts_merge_maximum (start, row);
+        lc_usage_counts_merge_maximum (counts, row);
       else
         lb_log_error (LB_LOG_ERROR, "usage_row_unreadable", &error);
       lc_usage_counts_free (row);
     }
-  lc_usage_counts_add_counts (total, start);
-  lc_usage_counts_free (start);
+  lc_usage_counts_add_counts (total, counts);
+  lc_usage_counts_free (counts);
 }
 
-/* Rows of one start lie beside one another. */
+/* Counts the leading rows that are of the same incarnation; these are adjacent. */
 static size_t
-rows_of_start (const LpRow *rows, size_t n_rows)
+count_incarnation_rows (const LpRow *rows, size_t n_rows)
 {
   size_t length = ln_usage_incarnation_prefix_length (rows[0].key);
   size_t n = 1;
@@ -239,47 +241,48 @@
 }
 
 static void
-on_counts (LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
+on_rows_listed (LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
 {
   (void)version;
-  Step *step = user;
+  PendingAction *pending = user;
 
-  note_error (step, error, "count");
-  step->failed |= error != LB_OK;
+  handle_error (pending, error, "count");
+  pending->has_failed |= error != LB_OK;
   for (size_t i = 0; i < n_rows;)
     {
-      size_t n = rows_of_start (rows + i, n_rows - i);
-      add_start (step->counts, rows + i, n);
+      size_t n = count_incarnation_rows (rows + i, n_rows - i);
+      add_incarnation_counts (pending->counts, rows + i, n);
       i += n;
     }
-  if (--step->waiting > 0)
+  if (--pending->n_pending_lists > 0)
     return;
-  if (is_current (step))
-    lc_usage_reports_sum_completed (step->reporter->reports, step->window,
-                                    step->failed ? NULL : step->counts, lb_clock_monotonic ());
-  step_free (step);
+  if (is_current (pending))
+    lc_usage_reports_sum_completed (pending->reporter->reports, pending->window,
+                                    pending->has_failed ? NULL : pending->counts,
+                                    lb_clock_monotonic ());
+  pending_action_free (pending);
 }
 
 static void
-count (LnUsageReporter *reporter, const LcUsageAction *action)
+sum_rows (LnUsageReporter *reporter, const LcUsageAction *action)
 {
   LpPlatform *platform = reporter->context->platform;
-  Step *step = step_new (reporter, action);
+  PendingAction *pending = pending_action_new (reporter, action);
   char prefix[LN_USAGE_KEY_SIZE];
 
-  step->counts = lc_usage_counts_new ();
-  step->waiting = LN_USAGE_N_PARTITIONS;
-  for (size_t part = 0; part < LN_USAGE_N_PARTITIONS; part++)
+  pending->counts = lc_usage_counts_new ();
+  pending->n_pending_lists = LN_USAGE_N_PARTITIONS;
+  for (size_t partition = 0; partition < LN_USAGE_N_PARTITIONS; partition++)
     {
-      ln_usage_window_prefix (part, action->window, prefix);
-      platform->klass->list (platform, prefix, NULL, 0, on_counts, step);
+      ln_usage_window_prefix (partition, action->window, prefix);
+      platform->klass->list (platform, prefix, NULL, 0, on_rows_listed, pending);
     }
 }
 
-/* --- a report is decided --- */
+/* --- recording a report --- */
 
 static void
-report_key (int64_t window, char *key)
+format_report_key (int64_t window, char *key)
 {
   snprintf (key, LN_USAGE_KEY_SIZE, REPORT_PREFIX "%012lld", (long long)window);
 }
@@ -294,47 +297,47 @@
   return lb_json_take_text (object, JSON_C_TO_STRING_PLAIN);
 }
 
-/* What stands there was decided by another holder, or by a try of this one whose answer was lost.
- */
+/* The existing report was recorded by another holder, or by a write of this one whose answer was
+ * lost. */
 static void
-on_other_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
+on_existing_report_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
-  Step *step = user;
+  PendingAction *pending = user;
   struct json_object *object
       = error == LB_OK && n_rows > 0 && rows[0].value ? json_tokener_parse (rows[0].value) : NULL;
 
-  note_error (step, error, "decide");
-  if (is_current (step))
-    lc_usage_reports_record_completed (step->reporter->reports, step->window, false,
+  handle_error (pending, error, "decide");
+  if (is_current (pending))
+    lc_usage_reports_record_completed (pending->reporter->reports, pending->window, false,
                                        lb_json_text (object, "counts", NULL),
                                        lb_clock_monotonic ());
   json_object_put (object);
-  step_free (step);
+  pending_action_free (pending);
 }
 
 static void
-on_decided (LbErrorCode error, const LpRow *row, void *user)
+on_recorded (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
-  Step *step = user;
-  LpPlatform *platform = step->reporter->context->platform;
+  PendingAction *pending = user;
+  LpPlatform *platform = pending->reporter->context->platform;
   char key[LN_USAGE_KEY_SIZE];
 
-  note_error (step, error, "decide");
+  handle_error (pending, error, "decide");
   if (error == LB_ERROR_CONDITION_FAILED)
     {
-      report_key (step->window, key);
-      platform->klass->get (platform, key, on_other_read, step);
+      format_report_key (pending->window, key);
+      platform->klass->get (platform, key, on_existing_report_read, pending);
       return;
     }
-  if (is_current (step))
-    lc_usage_reports_record_completed (step->reporter->reports, step->window, error == LB_OK, NULL,
-                                       lb_clock_monotonic ());
-  step_free (step);
+  if (is_current (pending))
+    lc_usage_reports_record_completed (pending->reporter->reports, pending->window, error == LB_OK,
+                                       NULL, lb_clock_monotonic ());
+  pending_action_free (pending);
 }
 
 static void
-decide (LnUsageReporter *reporter, const LcUsageAction *action)
+record_report (LnUsageReporter *reporter, const LcUsageAction *action)
 {
   LpPlatform *platform = reporter->context->platform;
   char *text = report_to_text (action->text, false);
@@ -344,18 +347,18 @@
   const LpTransaction transaction
       = { .token = "", .conditions = &condition, .n_conditions = 1, .puts = &put, .n_puts = 1 };
 
-  report_key (action->window, key);
+  format_report_key (action->window, key);
   lb_log (LB_LOG_INFO, "usage_decided", LB_INT ("window", action->window),
           LB_JSON ("counts", action->text));
-  platform->klass->transact (platform, &transaction, LP_PRIORITY_LEDGER, on_decided,
-                             step_new (reporter, action));
+  platform->klass->transact (platform, &transaction, LP_PRIORITY_LEDGER, on_recorded,
+                             pending_action_new (reporter, action));
   free (text);
 }
 
-/* --- a report is sent --- */
+/* --- sending a report --- */
 
 static LcUsageSendResult
-receipt_of (LnDutyOutcome outcome)
+send_result (LnDutyOutcome outcome)
 {
   switch (outcome)
     {
@@ -373,81 +376,85 @@
 static void
 on_sent (LnDutyOutcome outcome, void *user)
 {
-  Step *step = user;
-  LnUsageReporter *reporter = step->reporter;
+  PendingAction *pending = user;
+  LnUsageReporter *reporter = pending->reporter;
   LbTime now = lb_clock_monotonic ();
 
   if (outcome == LN_DUTY_DONE)
-    lb_metric_add (&sent, 1);
+    lb_metric_add (&metric_sent, 1);
   if (outcome == LN_DUTY_REFUSED)
     ln_duty_lease_read_soon (reporter->lease, now);
-  if (is_current (step))
-    lc_usage_reports_send_completed (reporter->reports, step->window, receipt_of (outcome), now);
-  step_free (step);
+  if (is_current (pending))
+    lc_usage_reports_send_completed (reporter->reports, pending->window, send_result (outcome),
+                                     now);
+  pending_action_free (pending);
 }
 
 static void
-send (LnUsageReporter *reporter, const LcUsageAction *action)
+send_report (LnUsageReporter *reporter, const LcUsageAction *action)
 {
   const LnContext *context = reporter->context;
-  const LnDutyHolder words
+  const LnDutyHolder holder
       = { .holder = context->instance, .fence = ln_duty_lease_fence (reporter->lease) };
   LcOutgoing outgoing;
 
-  context->dialect->write_usage (&words, action->window, action->text, &outgoing);
+  context->dialect->write_usage (&holder, action->window, action->text, &outgoing);
   lb_log (LB_LOG_INFO, "usage_report", LB_INT ("window", action->window),
-          LB_INT ("fence", words.fence));
+          LB_INT ("fence", holder.fence));
   ln_platform_call_start (context, &reporter->calls, &outgoing, on_sent,
-                          step_new (reporter, action));
+                          pending_action_new (reporter, action));
   lc_outgoing_clear (&outgoing);
 }
 
-/* --- a window is closed --- */
+/* --- closing a window --- */
 
-/* Rows that stay are no harm: the window's report is decided. */
+/* Rows that remain are harmless, since the window's report is recorded. */
 static void
-log_not_removed (LbErrorCode error)
+log_rows_not_removed (LbErrorCode error)
 {
   lb_log (LB_LOG_INFO, "usage_rows_not_removed", LB_TEXT ("error", lb_error_name (error)));
 }
 
 static void
-on_removed (LbErrorCode error, const LpRow *row, void *user)
+on_rows_removed (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
   (void)user;
   if (error != LB_OK)
-    log_not_removed (error);
+    log_rows_not_removed (error);
 }
 
 static void
-on_rows_to_remove (LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
+on_rows_to_remove_listed (
+    LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
 {
   (void)version;
   LnUsageReporter *reporter = user;
   LpPlatform *platform = reporter->context->platform;
-  LpPut puts[MAX_REMOVED];
-  size_t n = n_rows < MAX_REMOVED ? n_rows : MAX_REMOVED;
+  LpPut puts[MAX_REMOVED_ROWS];
+  size_t n = n_rows < MAX_REMOVED_ROWS ? n_rows : MAX_REMOVED_ROWS;
 
   if (error != LB_OK)
-    log_not_removed (error);
+    log_rows_not_removed (error);
   for (size_t i = 0; i < n; i++)
     puts[i] = (LpPut){ .key = rows[i].key };
   const LpTransaction transaction = { .token = "", .puts = puts, .n_puts = n };
   if (n > 0)
-    platform->klass->transact (platform, &transaction, LP_PRIORITY_STATUS, on_removed, reporter);
+    platform->klass->transact (platform, &transaction, LP_PRIORITY_STATUS, on_rows_removed,
+                               reporter);
 }
 
 static void
-remove_counts (LnUsageReporter *reporter, int64_t window)
+remove_rows (LnUsageReporter *reporter, int64_t window)
 {
   LpPlatform *platform = reporter->context->platform;
   char prefix[LN_USAGE_KEY_SIZE];
 
-  for (size_t part = 0; part < LN_USAGE_N_PARTITIONS; part++)
+  for (size_t partition = 0; partition < LN_USAGE_N_PARTITIONS; partition++)
     {
-      ln_usage_window_prefix (part, window, prefix);
-      platform->klass->list (platform, prefix, NULL, MAX_REMOVED, on_rows_to_remove, reporter);
+      ln_usage_window_prefix (partition, window, prefix);
+      platform->klass->list (platform, prefix, NULL, MAX_REMOVED_ROWS, on_rows_to_remove_listed,
+                             reporter);
     }
 }
 
@@ -455,13 +462,13 @@
 on_closed (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
-  Step *step = user;
+  PendingAction *pending = user;
 
-  note_error (step, error, "close");
-  if (is_current (step))
-    lc_usage_reports_close_completed (step->reporter->reports, step->window, error == LB_OK,
+  handle_error (pending, error, "close");
+  if (is_current (pending))
+    lc_usage_reports_close_completed (pending->reporter->reports, pending->window, error == LB_OK,
                                       lb_clock_monotonic ());
-  step_free (step);
+  pending_action_free (pending);
 }
 
 static void
@@ -470,20 +477,20 @@
   LpPlatform *platform = reporter->context->platform;
   char *text = report_to_text (action->text, true);
   char key[LN_USAGE_KEY_SIZE];
-  char old[LN_USAGE_KEY_SIZE];
-  const LpPut puts[] = { { .key = key, .value = text }, { .key = old } };
+  char oldest_key[LN_USAGE_KEY_SIZE];
+  const LpPut puts[] = { { .key = key, .value = text }, { .key = oldest_key } };
   const LpTransaction transaction = { .token = "", .puts = puts, .n_puts = 2 };
 
-  report_key (action->window, key);
-  report_key (action->window - KEPT_REPORTS, old);
+  format_report_key (action->window, key);
+  format_report_key (action->window - N_KEPT_REPORTS, oldest_key);
   platform->klass->transact (platform, &transaction, LP_PRIORITY_STATUS, on_closed,
-                             step_new (reporter, action));
-  remove_counts (reporter, action->window);
+                             pending_action_new (reporter, action));
+  remove_rows (reporter, action->window);
   free (text);
 }
 
 static void
-carry_out (LnUsageReporter *reporter, const LcUsageAction *action)
+execute_action (LnUsageReporter *reporter, const LcUsageAction *action)
 {
   switch (action->type)
     {
@@ -491,13 +498,13 @@
       read_reports (reporter, action);
       break;
     case LC_USAGE_SUM_ROWS:
-      count (reporter, action);
+      sum_rows (reporter, action);
       break;
     case LC_USAGE_RECORD_REPORT:
-      decide (reporter, action);
+      record_report (reporter, action);
       break;
     case LC_USAGE_SEND_REPORT:
-      send (reporter, action);
+      send_report (reporter, action);
       break;
     case LC_USAGE_CLOSE_WINDOW:
       close_window (reporter, action);
@@ -513,5 +520,5 @@
 
   while (ln_duty_lease_can_order (reporter->lease, unfenced, now)
          && lc_usage_reports_next_action (reporter->reports, true_ms, now, &action))
-    carry_out (reporter, &action);
+    execute_action (reporter, &action);
 }
--- a/packages/node/src/duties/ln-usage-reporter.h
+++ b/packages/node/src/duties/ln-usage-reporter.h
@@ -4,11 +4,11 @@
 #include "ln-context.h"
 #include "ln-duty-lease.h"
 
-/* Reports the usage of all organisations to the platform while this instance has the duty: carries
- * out what LcUsageReports decides. */
+/* Reports the usage of all organisations to the platform while this instance has the duty, as
+ * LcUsageReports decides. */
 typedef struct LnUsageReporter LnUsageReporter;
 
-/* The lease stays the caller's. */
+/* The caller keeps ownership of the lease. */
 LnUsageReporter *ln_usage_reporter_new (LnContext *context, LnDutyLease *lease);
 void ln_usage_reporter_free (LnUsageReporter *reporter);
 
--- a/packages/node/src/duties/ln-usage-rows.c
+++ b/packages/node/src/duties/ln-usage-rows.c
@@ -13,37 +13,38 @@
 #include <xxhash.h>
 
 #define TABLE "usage"
-/* Between two rows of one window: what a killed instance began since the last one is not counted.
- * All instances together make a bounded number of writes. */
-#define PERIOD (200 * LB_MSEC)
-#define PERIOD_PER_INSTANCE (4 * LB_MSEC)
-/* Windows that this instance may still write. */
-#define MAX_BEHIND 24
+/* Between two writes of a window's row: requests that a killed instance started since its last
+ * write are not counted. Grows with the number of instances, which bounds their total write rate.
+ */
+#define WRITE_PERIOD (200 * LB_MSEC)
+#define WRITE_PERIOD_PER_INSTANCE (4 * LB_MSEC)
+/* Older windows are no longer written. */
+#define N_KEPT_WINDOWS 24
 
 struct LnUsageRows
 {
   LnContext *context;
   LcUsage *usage;
   int64_t window_ms;
-  int64_t generation; /* of the keys */
+  int64_t key_generation; /* last part of the rows' keys, see write_row */
 };
 
 typedef struct
 {
   LnUsageRows *rows;
   int64_t window;
-} Write;
+} RowWrite;
 
 void
-ln_usage_partition_prefix (size_t part, char *key)
+ln_usage_partition_prefix (size_t partition, char *key)
 {
-  snprintf (key, LN_USAGE_KEY_SIZE, TABLE "/%zu/", part);
+  snprintf (key, LN_USAGE_KEY_SIZE, TABLE "/%zu/", partition);
 }
 
 void
-ln_usage_window_prefix (size_t part, int64_t window, char *key)
+ln_usage_window_prefix (size_t partition, int64_t window, char *key)
 {
-  snprintf (key, LN_USAGE_KEY_SIZE, TABLE "/%zu/%012lld:", part, (long long)window);
+  snprintf (key, LN_USAGE_KEY_SIZE, TABLE "/%zu/%012lld:", partition, (long long)window);
 }
 
 int64_t
@@ -94,11 +95,11 @@
 on_written (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
-  Write *write = user;
+  RowWrite *write = user;
 
-  /* It may be carried out later, over a newer row of the same key. */
+  /* The write may still take effect later and replace a newer row of the same key. */
   if (error == LB_ERROR_STORE_UNKNOWN)
-    write->rows->generation++;
+    write->rows->key_generation++;
   if (error != LB_OK)
     lb_log (LB_LOG_INFO, "usage_row_not_written", LB_INT ("window", write->window),
             LB_TEXT ("error", lb_error_name (error)));
@@ -106,22 +107,23 @@
   free (write);
 }
 
-/* Each row holds all that this start of the instance counted in the window. Guards against a write
- * without an answer that is carried out after the next one, and would take counts back: after such
- * a write the next rows have another key, and the largest counts are used. */
+/* Each row holds the totals that this incarnation counted in the window. A write without an answer
+ * may take effect after a later one, and would then replace larger counts by smaller ones. So later
+ * rows get a new key, and readers use the largest counts. */
 static void
 write_row (LnUsageRows *rows, const LcUsageRow *row)
 {
   const LnContext *context = rows->context;
   LpPlatform *platform = context->platform;
-  size_t part = XXH3_64bits (context->instance, strlen (context->instance)) % LN_USAGE_N_PARTITIONS;
+  size_t partition
+      = XXH3_64bits (context->instance, strlen (context->instance)) % LN_USAGE_N_PARTITIONS;
   char prefix[LN_USAGE_KEY_SIZE];
-  Write *write = LB_NEW (Write);
+  RowWrite *write = LB_NEW (RowWrite);
 
-  *write = (Write){ .rows = rows, .window = row->window };
-  ln_usage_window_prefix (part, row->window, prefix);
+  *write = (RowWrite){ .rows = rows, .window = row->window };
+  ln_usage_window_prefix (partition, row->window, prefix);
   char *key = lb_asprintf ("%s%s:%s:%lld", prefix, context->instance, context->incarnation,
-                           (long long)rows->generation);
+                           (long long)rows->key_generation);
   const LpPut put = { .key = key, .value = row->text };
   const LpTransaction transaction = { .token = "", .puts = &put, .n_puts = 1 };
   platform->klass->transact (platform, &transaction, LP_PRIORITY_LEDGER, on_written, write);
@@ -131,7 +133,7 @@
 void
 ln_usage_rows_tick (LnUsageRows *rows, size_t n_instances, int64_t true_ms, LbTime now)
 {
-  LbTime period = lb_time_later (PERIOD, (LbTime)n_instances * PERIOD_PER_INSTANCE);
+  LbTime period = lb_time_later (WRITE_PERIOD, (LbTime)n_instances * WRITE_PERIOD_PER_INSTANCE);
   LcUsageRow row;
 
   while (lc_usage_next_row (rows->usage, period, now, &row))
@@ -139,7 +141,7 @@
       write_row (rows, &row);
       free (row.text);
     }
-  lc_usage_remove_before (rows->usage, true_ms / rows->window_ms - MAX_BEHIND);
+  lc_usage_remove_before (rows->usage, true_ms / rows->window_ms - N_KEPT_WINDOWS);
 }
 
 bool
--- a/packages/node/src/duties/ln-usage-rows.h
+++ b/packages/node/src/duties/ln-usage-rows.h
@@ -5,22 +5,22 @@
 
 #include "lb-error.h"
 
-/* The rows in which instances keep what they counted, in a few parts of the store: as a rule one of
- * each start of an instance and window. */
+/* Rows of the store in which instances write their request counts, in a few partitions: normally
+ * one row per incarnation of an instance and window. */
 
 #define LN_USAGE_N_PARTITIONS 4
 #define LN_USAGE_KEY_SIZE 200
 
-/* What the keys of a window's rows in one part begin with. */
-void ln_usage_window_prefix (size_t part, int64_t window, char *key);
-void ln_usage_partition_prefix (size_t part, char *key);
-/* -1: it is no key of such a row. */
+/* Key prefix of a window's rows in one partition. */
+void ln_usage_window_prefix (size_t partition, int64_t window, char *key);
+void ln_usage_partition_prefix (size_t partition, char *key);
+/* -1: not the key of such a row. */
 int64_t ln_usage_window_from_key (const char *key);
-/* Length of what the keys of all rows of one start and window have in common; 0: it is no key of
- * such a row. Of several such rows the largest counts are those of the start. */
+/* Length of the key prefix common to all rows of one incarnation and window; 0: not the key of such
+ * a row. If there are several such rows, the incarnation's counts are the largest ones. */
 size_t ln_usage_incarnation_prefix_length (const char *key);
 
-/* This instance's own counts on their way to the store. */
+/* Writes this instance's counts to the store. */
 typedef struct LnUsageRows LnUsageRows;
 
 LnUsageRows *ln_usage_rows_new (LnContext *context, int64_t window_ms);
@@ -28,7 +28,7 @@
 
 /* commands */
 void ln_usage_rows_count_request (LnUsageRows *rows, const char *organisation, int64_t true_ms);
-/* n_instances: that write such rows. */
+/* n_instances: number of instances that write rows. */
 void ln_usage_rows_tick (LnUsageRows *rows, size_t n_instances, int64_t true_ms, LbTime now);
 
 /* queries */
