--- a/packages/store/tests/test-http.c
+++ b/packages/store/tests/test-http.c
@@ -293,10 +293,10 @@
   set_fault (&bench, "{\"mode\": \"hang\"}");
   for (int i = 0; i < 10; i++)
     put (&bench, "k", "v1");
-  int64_t before = bench.store.seen;
+  int64_t before = bench.store.received;
   seen = put (&bench, "k", "v2");
   cr_assert_eq (seen.error, LB_ERROR_STORE_AWAY);
-  cr_assert_eq (bench.store.seen, before);
+  cr_assert_eq (bench.store.received, before);
   set_fault (&bench, "{\"mode\": \"none\"}");
   while ((seen = put (&bench, "k", "v3")).error != LB_OK)
     cr_assert_eq (seen.error, LB_ERROR_STORE_AWAY);
--- a/standins/si-live.c
+++ b/standins/si-checked-call.c
@@ -1,4 +1,4 @@
-#include "si-live.h"
+#include "si-checked-call.h"
 
 #include "lb-alloc.h"
 #include "lb-clock.h"
@@ -13,7 +13,7 @@
 
 typedef struct
 {
-  SiLiveKind kind;
+  SiCheckedCallKind kind;
   bool stream;
   char *wanted; /* the whole right answer */
   char *got;
@@ -24,8 +24,8 @@
   LhSse sse;
   bool done_marker;
   LbTime start;
-  SiLiveResult result;
-  SiLiveDone done;
+  SiCheckedCallResult result;
+  SiCheckedCallDone done;
   void *user;
 } Live;
 
@@ -61,7 +61,7 @@
       || !json_object_is_type (choices, json_type_array))
     return NULL;
   choice = json_object_array_get_idx (choices, 0);
-  if (live->kind != SI_LIVE_CHAT)
+  if (live->kind != SI_CHECKED_CALL_CHAT)
     return si_json_text (choice, "text", NULL);
   return json_object_object_get_ex (choice, chat_key, &message)
              ? si_json_text (message, "content", NULL)
@@ -104,41 +104,41 @@
   Live *live = user;
   LbError error;
 
-  if (live->result.first == 0)
-    live->result.first = lb_clock_monotonic () - live->start;
+  if (live->result.time_to_first_byte == 0)
+    live->result.time_to_first_byte = lb_clock_monotonic () - live->start;
   if (live->stream && lh_fetch_status (fetch) == 200)
     lh_sse_feed (&live->sse, bytes, length, on_event, live, &error);
   else
     append (&live->raw, &live->raw_length, bytes, length);
 }
 
-static SiLiveOutcome
+static SiCallOutcome
 judge_stream (Live *live, const LhResult *result)
 {
   if (live->result.error[0] != '\0')
-    return SI_LIVE_ERROR;
+    return SI_CALL_FAILED;
   if (result->failure != LB_OK || !live->done_marker)
-    return SI_LIVE_CUT;
-  return strcmp (live->got, live->wanted) == 0 ? SI_LIVE_WHOLE : SI_LIVE_WRONG;
+    return SI_CALL_TRUNCATED;
+  return strcmp (live->got, live->wanted) == 0 ? SI_CALL_COMPLETE : SI_CALL_WRONG_ANSWER;
 }
 
-static SiLiveOutcome
+static SiCallOutcome
 judge_whole (Live *live)
 {
   struct json_object *object = json_tokener_parse (live->raw ? live->raw : "");
   const char *text = NULL;
   bool right;
 
-  if (object && live->kind == SI_LIVE_SERVICE)
+  if (object && live->kind == SI_CHECKED_CALL_SERVICE)
     text = si_json_text (object, "body", NULL);
   else if (object)
     text = choice_text (live, object, "message");
   right = text && strcmp (text, live->wanted) == 0;
   json_object_put (object);
-  return right ? SI_LIVE_WHOLE : SI_LIVE_WRONG;
+  return right ? SI_CALL_COMPLETE : SI_CALL_WRONG_ANSWER;
 }
 
-static SiLiveOutcome
+static SiCallOutcome
 judge_refusal (Live *live, LhFetch *fetch)
 {
   struct json_object *object = json_tokener_parse (live->raw ? live->raw : "");
@@ -147,18 +147,18 @@
   if (object)
     take_error (live, object);
   json_object_put (object);
-  return lh_fetch_header (fetch, "x-not-run") ? SI_LIVE_NOT_RUN : SI_LIVE_ERROR;
+  return lh_fetch_header (fetch, "x-not-run") ? SI_CALL_NOT_RUN : SI_CALL_FAILED;
 }
 
 /* A connection that broke before any reply: not run if no byte left, unknown otherwise. */
-static SiLiveOutcome
+static SiCallOutcome
 judge_failure (Live *live, const LhResult *result)
 {
   LB_COPY (live->result.error, lb_error_name (result->failure));
-  return result->bytes_handed ? SI_LIVE_ERROR : SI_LIVE_NOT_RUN;
+  return result->bytes_handed ? SI_CALL_FAILED : SI_CALL_NOT_RUN;
 }
 
-static SiLiveOutcome
+static SiCallOutcome
 judge (Live *live, LhFetch *fetch, const LhResult *result)
 {
   int status = result->status ? result->status : lh_fetch_status (fetch);
@@ -190,9 +190,9 @@
 
   if (result->body_length > 0)
     append (&live->raw, &live->raw_length, result->body, result->body_length);
-  live->result.took = lb_clock_monotonic () - live->start;
-  if (live->result.first == 0)
-    live->result.first = live->result.took;
+  live->result.duration = lb_clock_monotonic () - live->start;
+  if (live->result.time_to_first_byte == 0)
+    live->result.time_to_first_byte = live->result.duration;
   live->result.retry_after = retry ? strtoll (retry, NULL, 10) * LB_MSEC : 0;
   LB_COPY (live->result.body, live->raw ? live->raw : "");
   live->result.outcome = judge (live, fetch, result);
@@ -201,14 +201,14 @@
 }
 
 static struct json_object *
-new_body (const SiLiveSpec *spec)
+new_body (const SiCheckedCallSpec *spec)
 {
   struct json_object *body = json_object_new_object ();
 
   si_json_set_text (body, "model", spec->model);
   si_json_set_int (body, "max_tokens", spec->max_tokens);
   json_object_object_add (body, "stream", json_object_new_boolean (spec->stream));
-  if (spec->kind == SI_LIVE_CHAT)
+  if (spec->kind == SI_CHECKED_CALL_CHAT)
     {
       struct json_object *messages = json_object_new_array ();
       struct json_object *message = json_object_new_object ();
@@ -223,18 +223,18 @@
 }
 
 static char *
-wanted_answer (const SiLiveSpec *spec, struct json_object *body)
+wanted_answer (const SiCheckedCallSpec *spec, struct json_object *body)
 {
   SiText text;
 
-  if (spec->kind == SI_LIVE_SERVICE)
+  if (spec->kind == SI_CHECKED_CALL_SERVICE)
     return lb_strdup (spec->prompt);
   si_text_init_from_body (&text, body, spec->vary_length);
   return si_text_slice (&text, 0, text.tokens);
 }
 
 static size_t
-add_headers (const SiLiveSpec *spec, LhHeader *headers)
+add_headers (const SiCheckedCallSpec *spec, LhHeader *headers)
 {
   const LhHeader all[] = { { "Content-Type", "application/json" },
                            { "x-caller", spec->caller },
@@ -251,20 +251,23 @@
 }
 
 static const char *
-path_of (const SiLiveSpec *spec)
+path_of (const SiCheckedCallSpec *spec)
 {
-  if (spec->kind == SI_LIVE_SERVICE)
+  if (spec->kind == SI_CHECKED_CALL_SERVICE)
     return spec->model;
-  return spec->kind == SI_LIVE_CHAT ? "/v1/chat/completions" : "/v1/completions";
+  return spec->kind == SI_CHECKED_CALL_CHAT ? "/v1/chat/completions" : "/v1/completions";
 }
 
 void
-si_live_start (LhPool *pool, const SiLiveSpec *spec, SiLiveDone done, void *user)
+si_checked_call_start (LhPool *pool,
+                       const SiCheckedCallSpec *spec,
+                       SiCheckedCallDone done,
+                       void *user)
 {
   static const LhHandlers handlers = { .on_body_chunk = on_piece, .on_done = on_done };
   Live *live = LB_NEW (Live);
   struct json_object *json = new_body (spec);
-  const char *body = spec->kind == SI_LIVE_SERVICE
+  const char *body = spec->kind == SI_CHECKED_CALL_SERVICE
                          ? spec->prompt
                          : json_object_to_json_string_ext (json, JSON_C_TO_STRING_PLAIN);
   LhHeader headers[MAX_HEADERS];
@@ -275,11 +278,11 @@
                               .n_headers = add_headers (spec, headers),
                               .body = body,
                               .body_length = strlen (body),
-                              .idle_timeout = spec->silence };
+                              .idle_timeout = spec->idle_timeout };
   LbError error;
 
   live->kind = spec->kind;
-  live->stream = spec->stream && spec->kind != SI_LIVE_SERVICE;
+  live->stream = spec->stream && spec->kind != SI_CHECKED_CALL_SERVICE;
   live->wanted = wanted_answer (spec, json);
   live->got = lb_strdup ("");
   live->done = done;
--- a/standins/si-client.c
+++ b/standins/si-client.c
@@ -10,7 +10,7 @@
 
 typedef struct
 {
-  SiAnswer *answer;
+  SiResponse *answer;
   bool done;
 } Wait;
 
@@ -32,7 +32,7 @@
 on_done (LhFetch *fetch, const LhResult *result, void *user)
 {
   Wait *wait = user;
-  SiAnswer *answer = wait->answer;
+  SiResponse *answer = wait->answer;
   const char *retry = lh_fetch_header (fetch, "x-retry-after-ms");
 
   wait->done = true;
@@ -45,7 +45,7 @@
 }
 
 void
-si_client_call (SiClient *client, const SiCall *call, SiAnswer *answer)
+si_client_call (SiClient *client, const SiCall *call, SiResponse *answer)
 {
   const LhHandlers handlers = { .on_done = on_done };
   const LhRequest request = { .method = call->method,
@@ -55,7 +55,7 @@
                               .n_headers = call->n_headers,
                               .body = call->body,
                               .body_length = call->body ? strlen (call->body) : 0,
-                              .idle_timeout = call->silence };
+                              .idle_timeout = call->idle_timeout };
   Wait wait = { .answer = answer };
   LbTime start = lb_clock_monotonic ();
   LbError error;
@@ -69,21 +69,21 @@
     }
   while (!wait.done)
     event_base_loop (client->base, EVLOOP_ONCE);
-  answer->took = lb_clock_monotonic () - start;
+  answer->duration = lb_clock_monotonic () - start;
 }
 
 struct json_object *
-si_client_json (SiClient *client, const char *address, const char *path, const char *body)
+si_client_call_json (SiClient *client, const char *address, const char *path, const char *body)
 {
   const SiCall call
       = { .method = body ? "POST" : "GET", .address = address, .path = path, .body = body };
   struct json_object *object = NULL;
-  SiAnswer answer;
+  SiResponse answer;
 
   si_client_call (client, &call, &answer);
-  if (si_answer_is_ok (&answer))
+  if (si_response_is_ok (&answer))
     object = json_tokener_parse (answer.body);
-  si_answer_clear (&answer);
+  si_response_clear (&answer);
   return object;
 }
 
@@ -107,20 +107,20 @@
 }
 
 void
-si_answer_clear (SiAnswer *answer)
+si_response_clear (SiResponse *answer)
 {
   free (answer->body);
   answer->body = NULL;
 }
 
 bool
-si_answer_is_ok (const SiAnswer *answer)
+si_response_is_ok (const SiResponse *answer)
 {
   return answer->failure == LB_OK && answer->status >= 200 && answer->status < 300;
 }
 
 const char *
-si_answer_error (SiAnswer *answer)
+si_response_error (SiResponse *answer)
 {
   struct json_object *object, *error;
 
--- a/standins/si-client.h
+++ b/standins/si-client.h
@@ -19,9 +19,9 @@
   size_t length;
   bool not_run;       /* header x-not-run */
   LbTime retry_after; /* header x-retry-after-ms; 0: absent */
-  LbTime took;
+  LbTime duration;
   LbName error;
-} SiAnswer;
+} SiResponse;
 
 typedef struct
 {
@@ -31,21 +31,21 @@
   const LhHeader *headers;
   size_t n_headers;
   const char *body;
-  LbTime silence; /* 0: 30 s */
+  LbTime idle_timeout; /* 0: 30 s */
 } SiCall;
 
 void si_client_init (SiClient *client);
 void si_client_clear (SiClient *client);
-void si_client_call (SiClient *client, const SiCall *call, SiAnswer *answer);
+void si_client_call (SiClient *client, const SiCall *call, SiResponse *answer);
 /* A POST of JSON text, or a GET when body is NULL; NULL unless the reply is 2xx and JSON. */
 struct json_object *
-si_client_json (SiClient *client, const char *address, const char *path, const char *body);
+si_client_call_json (SiClient *client, const char *address, const char *path, const char *body);
 /* Lets the event loop run for so long: a pause in which nothing is asked. */
 void si_client_pause (SiClient *client, LbTime time);
 
-void si_answer_clear (SiAnswer *answer);
-bool si_answer_is_ok (const SiAnswer *answer);
-/* The typed error of the body, or the failure of the exchange. Valid until si_answer_clear. */
-const char *si_answer_error (SiAnswer *answer);
+void si_response_clear (SiResponse *answer);
+bool si_response_is_ok (const SiResponse *answer);
+/* The typed error of the body, or the failure of the exchange. Valid until si_response_clear. */
+const char *si_response_error (SiResponse *answer);
 
 #endif
--- /dev/null
+++ b/standins/si-control-plane.c
@@ -0,0 +1,114 @@
+#include "si-control-plane.h"
+
+#include "lb-alloc.h"
+
+#include <stdlib.h>
+#include <string.h>
+
+static SiUsageReport *
+find_report (SiControlPlane *control_plane, int64_t window)
+{
+  for (size_t i = 0; i < control_plane->n_reports; i++)
+    if (control_plane->reports[i].window_sequence == window)
+      return &control_plane->reports[i];
+  return NULL;
+}
+
+static void
+take_report (SiControlPlane *control_plane, const char *holder, struct json_object *body)
+{
+  int64_t window = si_json_int (body, "windowSeq", -1);
+  struct json_object *counts = NULL;
+  SiUsageReport *report = find_report (control_plane, window);
+
+  json_object_object_get_ex (body, "counts", &counts);
+  const char *text = json_object_to_json_string_ext (counts, JSON_C_TO_STRING_PLAIN);
+  if (report)
+    {
+      control_plane->conflicting_reports += strcmp (report->counts, text) != 0;
+      return;
+    }
+  if (control_plane->n_reports == SI_MAX_REPORTS)
+    return;
+  report = &control_plane->reports[control_plane->n_reports++];
+  report->window_sequence = window;
+  report->counts = lb_strdup (text);
+  LB_COPY (report->duty_holder, holder);
+}
+
+static void
+take_order (SiControlPlane *control_plane, struct json_object *body)
+{
+  SiScaleOrder *order = &control_plane->orders[control_plane->n_orders++ % SI_MAX_ORDERS];
+
+  LB_COPY (order->service, si_json_text (body, "service", ""));
+  LB_COPY (order->data_centre, si_json_text (body, "zone", ""));
+  order->endpoints = si_json_int (body, "targetGroups", -1);
+  order->is_spot = si_json_bool (body, "spot", false);
+}
+
+static int
+judge (SiControlPlane *control_plane, const char *holder, const char *fence)
+{
+  int64_t number = fence ? atoll (fence) : -1;
+
+  control_plane->calls++;
+  control_plane->unidentified_calls += !holder || number < 0;
+  if (control_plane->mode == SI_CONTROL_PLANE_BUSY)
+    return 429;
+  if (number < control_plane->last_fence)
+    {
+      control_plane->stale_calls++;
+      return 409;
+    }
+  control_plane->last_fence = number;
+  return 200;
+}
+
+static void
+on_request (struct evhttp_request *request, void *user)
+{
+  SiControlPlane *control_plane = user;
+  const char *holder = si_request_header (request, "Duty-Holder");
+  int status = judge (control_plane, holder, si_request_header (request, "Fence-Token"));
+  struct json_object *body = si_request_json (request);
+
+  if (status == 200 && si_request_is (request, EVHTTP_REQ_POST, "/usage"))
+    take_report (control_plane, holder ? holder : "", body);
+  else if (status == 200 && si_request_is (request, EVHTTP_REQ_POST, "/scale"))
+    take_order (control_plane, body);
+  json_object_put (body);
+  if (control_plane->mode == SI_CONTROL_PLANE_LOSES_REPLY)
+    si_reply_abort (request);
+  else
+    evhttp_send_reply (request, status, NULL, NULL);
+}
+
+bool
+si_control_plane_init (SiControlPlane *control_plane, struct event_base *base)
+{
+  memset (control_plane, 0, sizeof *control_plane);
+  return si_server_init (&control_plane->server, base, 0, on_request, control_plane);
+}
+
+void
+si_control_plane_clear (SiControlPlane *control_plane)
+{
+  for (size_t i = 0; i < control_plane->n_reports; i++)
+    free (control_plane->reports[i].counts);
+  si_server_clear (&control_plane->server);
+}
+
+int64_t
+si_control_plane_count_requests (const SiControlPlane *control_plane, const char *organisation)
+{
+  int64_t n = 0;
+
+  for (size_t i = 0; i < control_plane->n_reports; i++)
+    {
+      struct json_object *counts = json_tokener_parse (control_plane->reports[i].counts);
+      n += si_json_int (counts, organisation, 0);
+      json_object_put (counts);
+    }
+  return n;
+}
--- /dev/null
+++ b/standins/si-endpoint.c
@@ -0,0 +1,538 @@
+#include "si-endpoint.h"
+
+#include "si-json.h"
+
+#include "lb-alloc.h"
+#include "lb-time.h"
+
+#include <event2/buffer.h>
+#include <event2/keyvalq_struct.h>
+#include <json-c/json.h>
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+#include <strings.h>
+#include <sys/queue.h>
+
+#define BEAT_PERIOD (300 * LB_MSEC)
+#define CRASH_AFTER (20 * LB_MSEC)
+#define DOWN_TIME (400 * LB_MSEC)
+#define FIRST_START 1700000000000 /* Unix ms; any will do */
+
+typedef struct
+{
+  LbLink link;
+  SiEndpoint *endpoint;
+  struct evhttp_request *request;
+  struct event *timer;
+  SiStreamRecord *run;
+  int64_t next; /* number of the next event */
+  int64_t version;
+} Stream;
+
+static void
+add_header (struct evhttp_request *request, const char *name, const char *value)
+{
+  evhttp_add_header (evhttp_request_get_output_headers (request), name, value);
+}
+
+static void
+add_number (struct evhttp_request *request, const char *name, int64_t number)
+{
+  char text[32];
+
+  snprintf (text, sizeof text, "%lld", (long long)number);
+  add_header (request, name, text);
+}
+
+static void
+set_timer (struct event *timer, LbTime time)
+{
+  const struct timeval tv = lb_time_to_timeval (time);
+
+  evtimer_add (timer, &tv);
+}
+
+/* --- streams --- */
+
+static void
+stream_free (Stream *stream)
+{
+  lb_list_remove (&stream->endpoint->streams, &stream->link);
+  event_free (stream->timer);
+  free (stream);
+}
+
+static void
+on_closed (struct evhttp_connection *connection, void *user)
+{
+  (void)connection;
+  Stream *stream = user;
+
+  stream->endpoint->cancelled++;
+  si_request_release (stream->request);
+  stream_free (stream);
+}
+
+static void
+send_event (Stream *stream)
+{
+  struct evbuffer *event = evbuffer_new ();
+  const SiEndpoint *endpoint = stream->endpoint;
+
+  if (stream->version != endpoint->version)
+    evbuffer_add_printf (event, "weight-versions: %lld\n", (long long)endpoint->version);
+  stream->version = endpoint->version;
+  evbuffer_add_printf (event, "id: %lld\ndata: %s.%lld%*s", (long long)stream->next,
+                       stream->run->attempt_id, (long long)stream->next, endpoint->padding, "");
+  if (endpoint->reports_version)
+    evbuffer_add_printf (event, " v%lld", (long long)endpoint->version);
+  evbuffer_add_printf (event, "\n\n");
+  evhttp_send_reply_chunk (stream->request, event);
+  evbuffer_free (event);
+  stream->next++;
+  stream->run->sent_events++;
+}
+
+static void
+on_event (evutil_socket_t fd, short what, void *user)
+{
+  (void)fd;
+  (void)what;
+  Stream *stream = user;
+
+  if (stream->next <= stream->endpoint->n_events)
+    {
+      send_event (stream);
+      set_timer (stream->timer, stream->endpoint->event_interval);
+      return;
+    }
+  stream->run->is_complete = true;
+  evhttp_connection_set_closecb (evhttp_request_get_connection (stream->request), NULL, NULL);
+  evhttp_send_reply_end (stream->request);
+  stream_free (stream);
+}
+
+static void
+start_stream (SiEndpoint *endpoint, struct evhttp_request *request)
+{
+  const char *id = si_request_header (request, "Attempt-Id");
+  const char *after = si_request_header (request, "Last-Event-Id");
+  Stream *stream = LB_NEW (Stream);
+
+  stream->endpoint = endpoint;
+  stream->request = request;
+  stream->run = &endpoint->stream_records[endpoint->n_stream_records++ % SI_MAX_STREAM_RECORDS];
+  *stream->run = (SiStreamRecord){ .resumed_after = after ? atoll (after) : 0 };
+  LB_COPY (stream->run->attempt_id, id ? id : "");
+  stream->next = stream->run->resumed_after + 1;
+  stream->version = endpoint->version;
+  stream->timer = evtimer_new (endpoint->server.base, on_event, stream);
+  lb_list_append (&endpoint->streams, &stream->link);
+  evhttp_connection_set_closecb (evhttp_request_get_connection (request), on_closed, stream);
+  add_header (request, "Attempt-Id", stream->run->attempt_id);
+  add_header (request, "Content-Type", "text/event-stream");
+  add_number (request, "Weight-Versions", endpoint->version);
+  if (endpoint->listener && endpoint->listener->on_stream)
+    endpoint->listener->on_stream (endpoint, stream->run->attempt_id, endpoint->user);
+  evhttp_send_reply_start (request, 200, NULL);
+  set_timer (stream->timer, endpoint->event_interval);
+}
+
+/* --- orders and state --- */
+
+static void
+on_loaded (evutil_socket_t fd, short what, void *user)
+{
+  (void)fd;
+  (void)what;
+  SiEndpoint *endpoint = user;
+
+  endpoint->version = endpoint->loading_version;
+  endpoint->loading_version = 0;
+  si_endpoint_register (endpoint);
+}
+
+static void
+take_order (SiEndpoint *endpoint, struct evhttp_request *request)
+{
+  struct json_object *order = si_request_json (request);
+  int64_t fence = si_json_int (order, "fence", 0);
+  int64_t version = si_json_int (order, "version", 0);
+  int status = 202;
+
+  if (fence < endpoint->last_fence)
+    status = 412;
+  else if (endpoint->loading_version != 0
+           || si_json_int (order, "expected", endpoint->accepted_orders)
+                  != endpoint->accepted_orders)
+    status = 409;
+  else if (version == endpoint->version)
+    status = 200;
+  if (endpoint->listener && endpoint->listener->on_order)
+    endpoint->listener->on_order (endpoint, si_json_text (order, "holder", ""), fence,
+                                  status == 202, endpoint->user);
+  json_object_put (order);
+  if (status == 202)
+    {
+      endpoint->last_fence = fence;
+      endpoint->accepted_orders++;
+      endpoint->loading_version = version;
+      set_timer (endpoint->load_timer, endpoint->load_time);
+    }
+  evhttp_send_reply (request, status, NULL, NULL);
+}
+
+static struct json_object *
+models_to_json (const SiEndpoint *endpoint)
+{
+  struct json_object *models = json_object_new_array ();
+  struct json_object *model = json_object_new_object ();
+
+  if (endpoint->model[0])
+    {
+      si_json_set_text (model, "name", endpoint->model);
+      si_json_set_int (model, "version", endpoint->version);
+      json_object_array_add (models, model);
+    }
+  else
+    json_object_put (model);
+  return models;
+}
+
+static void
+tell_state (SiEndpoint *endpoint, struct evhttp_request *request)
+{
+  struct json_object *object = json_object_new_object ();
+
+  json_object_object_add (object, "models", models_to_json (endpoint));
+  json_object_object_add (object, "busy", json_object_new_boolean (endpoint->loading_version != 0));
+  si_json_set_int (object, "seq", endpoint->accepted_orders);
+  si_json_set_int (object, "born", endpoint->start_ms);
+  si_reply_json (request, 200, object);
+}
+
+/* --- the server --- */
+
+static void
+note_identity (SiEndpoint *endpoint, struct evhttp_request *request)
+{
+  const struct evkeyval *header;
+  char names[LB_NAME_MAX] = "";
+  size_t length = 0;
+
+  TAILQ_FOREACH (header, evhttp_request_get_input_headers (request), next)
+  {
+    endpoint->leaked_keys += strcasecmp (header->key, "Api-Key") == 0;
+    if (strcasecmp (header->key, "Tenant") == 0 && length < sizeof names)
+      length += (size_t)snprintf (names + length, sizeof names - length, "%s", header->value);
+  }
+  LB_COPY (endpoint->organisation, names);
+}
+
+static bool
+is_misplaced (const SiEndpoint *endpoint, struct evhttp_request *request)
+{
+  const char *expected = si_request_header (request, "Expect-Instance");
+
+  return expected && strcmp (expected, endpoint->name) != 0;
+}
+
+/* A call whose answer takes its time. */
+typedef struct
+{
+  LbLink link;
+  struct evhttp_request *request;
+  struct event *timer;
+  SiEndpoint *endpoint;
+} Call;
+
+static void
+call_free (Call *call)
+{
+  lb_list_remove (&call->endpoint->running_calls, &call->link);
+  event_free (call->timer);
+  free (call);
+}
+
+static void
+on_call_closed (struct evhttp_connection *connection, void *user)
+{
+  (void)connection;
+  Call *call = user;
+
+  si_request_release (call->request);
+  call_free (call);
+}
+
+static void
+send_answer (struct evhttp_request *request)
+{
+  const char *id = si_request_header (request, "Attempt-Id");
+  char stamp[LB_NAME_MAX + 8];
+
+  snprintf (stamp, sizeof stamp, "stamp-%s", id ? id : "");
+  add_header (request, "Attempt-Id", id ? id : "");
+  add_header (request, "Server-Stamp", stamp);
+  add_header (request, "Server-Load", "1,0,8");
+  evbuffer_add_printf (evhttp_request_get_output_buffer (request), "answer to %s", id ? id : "");
+  evhttp_send_reply (request, 200, NULL, NULL);
+}
+
+static void
+on_call_time (evutil_socket_t fd, short what, void *user)
+{
+  (void)fd;
+  (void)what;
+  Call *call = user;
+
+  evhttp_connection_set_closecb (evhttp_request_get_connection (call->request), NULL, NULL);
+  send_answer (call->request);
+  call_free (call);
+}
+
+static Call *
+call_new (SiEndpoint *endpoint, struct evhttp_request *request)
+{
+  Call *call = LB_NEW (Call);
+
+  call->endpoint = endpoint;
+  call->request = request;
+  call->timer = evtimer_new (endpoint->server.base, on_call_time, call);
+  lb_list_append (&endpoint->running_calls, &call->link);
+  evhttp_connection_set_closecb (evhttp_request_get_connection (request), on_call_closed, call);
+  return call;
+}
+
+static void
+answer_call (SiEndpoint *endpoint, struct evhttp_request *request)
+{
+  const char *id = si_request_header (request, "Attempt-Id");
+
+  endpoint->n_calls++;
+  if (endpoint->listener && endpoint->listener->on_call)
+    endpoint->listener->on_call (endpoint, id ? id : "", endpoint->user);
+  if (endpoint->call_duration == 0)
+    send_answer (request);
+  else
+    set_timer (call_new (endpoint, request)->timer, endpoint->call_duration);
+}
+
+/* --- requests that end it --- */
+
+static bool
+ends_it (const SiEndpoint *endpoint, struct evhttp_request *request)
+{
+  char *body = endpoint->fatal_body ? si_request_text (request) : NULL;
+  bool ends = body && strcmp (body, endpoint->fatal_body) == 0;
+
+  free (body);
+  return ends;
+}
+
+/* It works on it for a while and ends without a word. */
+static void
+run_to_the_end (SiEndpoint *endpoint, struct evhttp_request *request)
+{
+  const char *id = si_request_header (request, "Attempt-Id");
+
+  endpoint->fatal_requests++;
+  call_new (endpoint, request);
+  if (endpoint->listener && endpoint->listener->on_fatal_request)
+    endpoint->listener->on_fatal_request (endpoint, id ? id : "", endpoint->user);
+  else if (!evtimer_pending (endpoint->crash_timer, NULL))
+    set_timer (endpoint->crash_timer, CRASH_AFTER);
+}
+
+static void
+drop_all (SiEndpoint *endpoint)
+{
+  LB_LIST_FOREACH (&endpoint->streams, Stream, link, stream)
+  {
+    evhttp_connection_set_closecb (evhttp_request_get_connection (stream->request), NULL, NULL);
+    stream_free (stream);
+  }
+  LB_LIST_FOREACH (&endpoint->running_calls, Call, link, call)
+  {
+    evhttp_connection_set_closecb (evhttp_request_get_connection (call->request), NULL, NULL);
+    call_free (call);
+  }
+}
+
+/* Its entry stays until it starts again: the store does not know of its end yet. */
+static void
+on_crash (evutil_socket_t fd, short what, void *user)
+{
+  (void)fd;
+  (void)what;
+  SiEndpoint *endpoint = user;
+
+  endpoint->crashes++;
+  drop_all (endpoint);
+  event_del (endpoint->register_timer);
+  si_server_stop (&endpoint->server);
+  set_timer (endpoint->restart_timer, endpoint->restart_delay);
+}
+
+static void
+on_restart (evutil_socket_t fd, short what, void *user)
+{
+  (void)fd;
+  (void)what;
+  SiEndpoint *endpoint = user;
+  LbName name;
+
+  if (!si_server_restart (&endpoint->server))
+    {
+      set_timer (endpoint->restart_timer, endpoint->restart_delay);
+      return;
+    }
+  si_endpoint_unregister (endpoint);
+  snprintf (name, sizeof name, "%.*s.%d", (int)strcspn (endpoint->name, "."), endpoint->name,
+            endpoint->crashes);
+  LB_COPY (endpoint->name, name);
+  endpoint->accepted_orders = 0;
+  endpoint->last_fence = 0;
+  endpoint->loading_version = 0;
+  si_endpoint_register (endpoint);
+}
+
+static void
+take_work (SiEndpoint *endpoint, struct evhttp_request *request)
+{
+  note_identity (endpoint, request);
+  if (ends_it (endpoint, request))
+    run_to_the_end (endpoint, request);
+  else if (!endpoint->model[0])
+    answer_call (endpoint, request);
+  else if (endpoint->loading_version != 0)
+    {
+      endpoint->refused++;
+      add_header (request, "Not-Run", "1");
+      evhttp_send_reply (request, 503, NULL, NULL);
+    }
+  else
+    start_stream (endpoint, request);
+}
+
+static void
+on_request (struct evhttp_request *request, void *user)
+{
+  SiEndpoint *endpoint = user;
+
+  if (is_misplaced (endpoint, request))
+    {
+      endpoint->misdirected++;
+      evhttp_send_reply (request, 421, NULL, NULL);
+    }
+  else if (si_request_is (request, EVHTTP_REQ_POST, "/-/order"))
+    take_order (endpoint, request);
+  else if (si_request_is (request, EVHTTP_REQ_GET, "/-/report"))
+    tell_state (endpoint, request);
+  else
+    take_work (endpoint, request);
+}
+
+void
+si_endpoint_register (SiEndpoint *endpoint)
+{
+  const struct timeval period = { .tv_usec = BEAT_PERIOD };
+  struct json_object *object = json_object_new_object ();
+
+  si_json_set_text (object, "service", endpoint->service);
+  si_json_set_text (object, "address",
+                    endpoint->advertised_address[0] ? endpoint->advertised_address
+                                                    : endpoint->server.address);
+  si_json_set_text (object, "zone", "hall-a");
+  si_json_set_text (object, "version", "v1");
+  si_json_set_int (object, "slots", 8);
+  si_json_set_int (object, "coldLeftMs", 0);
+  si_json_set_int (object, "seq", ++endpoint->registrations);
+  si_json_set_int (object, "born", endpoint->start_ms);
+  si_json_set_text (object, "state", endpoint->draining ? "draining" : "ready");
+  json_object_object_add (object, "models", models_to_json (endpoint));
+  si_row_store_put (endpoint->rows, "servers", "", endpoint->name,
+                    json_object_to_json_string (object));
+  json_object_put (object);
+  event_add (endpoint->register_timer, &period);
+}
+
+void
+si_endpoint_restart (SiEndpoint *endpoint)
+{
+  si_endpoint_break_streams (endpoint);
+  endpoint->start_ms++;
+  endpoint->accepted_orders = 0;
+  endpoint->last_fence = 0;
+  endpoint->loading_version = 0;
+  si_endpoint_register (endpoint);
+}
+
+void
+si_endpoint_unregister (SiEndpoint *endpoint)
+{
+  event_del (endpoint->register_timer);
+  si_row_store_put (endpoint->rows, "servers", "", endpoint->name, NULL);
+}
+
+void
+si_endpoint_break_streams (SiEndpoint *endpoint)
+{
+  LB_LIST_FOREACH (&endpoint->streams, Stream, link, stream)
+  {
+    struct evhttp_connection *connection = evhttp_request_get_connection (stream->request);
+    evhttp_connection_set_closecb (connection, NULL, NULL);
+    stream_free (stream);
+    evhttp_connection_free (connection);
+  }
+}
+
+static void
+on_beat (evutil_socket_t fd, short what, void *user)
+{
+  (void)fd;
+  (void)what;
+  si_endpoint_register (user);
+}
+
+bool
+si_endpoint_init (SiEndpoint *endpoint,
+                  struct event_base *base,
+                  SiRowStore *rows,
+                  const char *name,
+                  const char *service,
+                  const char *model)
+{
+  memset (endpoint, 0, sizeof *endpoint);
+  if (!si_server_init (&endpoint->server, base, 0, on_request, endpoint))
+    return false;
+  endpoint->rows = rows;
+  LB_COPY (endpoint->name, name);
+  LB_COPY (endpoint->service, service);
+  LB_COPY (endpoint->model, model);
+  endpoint->version = 1;
+  endpoint->start_ms = FIRST_START;
+  endpoint->n_events = 10;
+  endpoint->event_interval = 10 * LB_MSEC;
+  endpoint->load_time = 200 * LB_MSEC;
+  lb_list_init (&endpoint->streams);
+  lb_list_init (&endpoint->running_calls);
+  endpoint->load_timer = evtimer_new (base, on_loaded, endpoint);
+  endpoint->restart_delay = DOWN_TIME;
+  endpoint->crash_timer = evtimer_new (base, on_crash, endpoint);
+  endpoint->restart_timer = evtimer_new (base, on_restart, endpoint);
+  endpoint->register_timer = event_new (base, -1, EV_PERSIST, on_beat, endpoint);
+  si_endpoint_register (endpoint);
+  return true;
+}
+
+void
+si_endpoint_clear (SiEndpoint *endpoint)
+{
+  drop_all (endpoint);
+  event_free (endpoint->crash_timer);
+  event_free (endpoint->restart_timer);
+  event_free (endpoint->register_timer);
+  event_free (endpoint->load_timer);
+  si_server_clear (&endpoint->server);
+}
--- a/standins/si-engine-orders.c
+++ b/standins/si-engine-orders.c
@@ -33,15 +33,15 @@
   int64_t version = engine->loading_version;
 
   engine->loading_version = 0;
-  si_cache_drop (&engine->cache);
-  if (si_faults_take (&engine->faults, SI_FAULT_FAIL_SWAP))
+  si_cache_evict_all (&engine->cache);
+  if (si_faults_consume (&engine->faults, SI_FAULT_FAIL_SWAP))
     {
       engine->failed_version = version;
-      si_engine_break_all (engine);
+      si_engine_drop_all_runs (engine);
       return;
     }
   engine->version = version;
-  si_engine_wake (engine);
+  si_engine_schedule_step (engine);
 }
 
 static void
@@ -78,7 +78,7 @@
 }
 
 void
-si_engine_order (SiEngine *engine, struct evhttp_request *request)
+si_engine_handle_order (SiEngine *engine, struct evhttp_request *request)
 {
   struct json_object *order = si_request_json (request);
 
--- a/standins/si-engine-run.c
+++ b/standins/si-engine-run.c
@@ -66,9 +66,9 @@
   SiEngine *engine = run->engine;
 
   engine->log.cancelled++;
-  si_request_closed (run->request);
+  si_request_release (run->request);
   run_free (run);
-  si_engine_wake (engine);
+  si_engine_schedule_step (engine);
 }
 
 static void
@@ -78,11 +78,11 @@
 
   detach (run);
   run_free (run);
-  si_reply_drop (request);
+  si_reply_abort (request);
 }
 
 void
-si_engine_break_all (SiEngine *engine)
+si_engine_drop_all_runs (SiEngine *engine)
 {
   LB_LIST_FOREACH (&engine->running, Run, link, run)
   drop_run (run);
@@ -264,7 +264,7 @@
 
 /* Plans the next step when there is something to do and none is planned. */
 void
-si_engine_wake (SiEngine *engine)
+si_engine_schedule_step (SiEngine *engine)
 {
   admit (engine);
   if (engine->step_due || si_engine_is_loading (engine) || lb_list_is_empty (&engine->running))
@@ -301,7 +301,7 @@
     return;
   LB_LIST_FOREACH (&engine->running, Run, link, run)
   advance (run, prefill_bytes);
-  si_engine_wake (engine);
+  si_engine_schedule_step (engine);
 }
 
 static void
@@ -377,7 +377,7 @@
     position = position->next;
   run->list = &engine->waiting;
   lb_list_insert_before (run->list, position, &run->link);
-  si_engine_wake (engine);
+  si_engine_schedule_step (engine);
 }
 
 static void
@@ -418,9 +418,9 @@
   SiFaults *faults = &run->engine->faults;
 
   run->breaks = -1;
-  if (si_faults_take (faults, SI_FAULT_BREAK))
+  if (si_faults_consume (faults, SI_FAULT_BREAK))
     run->breaks = faults->faults[SI_FAULT_BREAK].tokens;
-  run->hung = si_faults_take (faults, SI_FAULT_HANG);
+  run->hung = si_faults_consume (faults, SI_FAULT_HANG);
 }
 
 /* How many bytes of the prompt are not in the prefix cache. */
@@ -432,7 +432,7 @@
 
   if (json_object_object_get_ex (body, "messages", &messages))
     text = json_object_to_json_string_ext (messages, JSON_C_TO_STRING_PLAIN);
-  return strlen (text) - si_cache_use (&engine->cache, text);
+  return strlen (text) - si_cache_insert_prompt (&engine->cache, text);
 }
 
 static Run *
@@ -453,19 +453,19 @@
   take_resume (run, body);
   take_import (run);
   take_faults (run);
-  si_runlog_start (&engine->log, si_json_text (body, "key", prompt));
+  si_run_log_count_start (&engine->log, si_json_text (body, "key", prompt));
   free (prompt);
   return run;
 }
 
 /* Takes a completion into the batch, or refuses it before it starts. */
 void
-si_engine_submit (SiEngine *engine, struct evhttp_request *request, bool chat)
+si_engine_handle_completion (SiEngine *engine, struct evhttp_request *request, bool chat)
 {
   struct json_object *body = si_request_json (request);
   const char *refused = refusal (engine);
 
-  if (!refused && si_faults_take (&engine->faults, SI_FAULT_REFUSE))
+  if (!refused && si_faults_consume (&engine->faults, SI_FAULT_REFUSE))
     refused = "not_started";
   if (!body)
     si_reply_error (request, 400, "bad_json");
@@ -484,7 +484,7 @@
 }
 
 void
-si_engine_export (SiEngine *engine, struct evhttp_request *request)
+si_engine_handle_export (SiEngine *engine, struct evhttp_request *request)
 {
   struct json_object *body = si_request_json (request);
   const char *id = body ? si_json_text (body, "request", "") : "";
@@ -506,7 +506,7 @@
 }
 
 void
-si_engine_import (SiEngine *engine, struct evhttp_request *request)
+si_engine_handle_import (SiEngine *engine, struct evhttp_request *request)
 {
   struct json_object *body = si_request_json (request);
   const char *id = body ? si_json_text (body, "request", NULL) : NULL;
--- a/standins/si-engine.c
+++ b/standins/si-engine.c
@@ -13,7 +13,7 @@
   const SiEngineSettings *settings = &engine->settings;
   bool leaving = si_faults_is_on (&engine->faults, SI_FAULT_LEAVING);
   double used = settings->cache_blocks
-                    ? (double)engine->cache.order.length / (double)settings->cache_blocks
+                    ? (double)engine->cache.lru.length / (double)settings->cache_blocks
                     : 0;
 
   si_json_set_text (load, "incarnation", engine->incarnation);
@@ -44,7 +44,7 @@
 static void
 reply_log (SiEngine *engine, struct evhttp_request *request)
 {
-  struct json_object *log = si_runlog_to_json (&engine->log);
+  struct json_object *log = si_run_log_to_json (&engine->log);
 
   si_json_set_int (log, "tokens", engine->tokens_made);
   si_json_set_int (log, "fence", engine->fence);
@@ -57,15 +57,15 @@
   const char *path = si_request_path (request);
 
   if (strcmp (path, "/v1/completions") == 0)
-    si_engine_submit (engine, request, false);
+    si_engine_handle_completion (engine, request, false);
   else if (strcmp (path, "/v1/chat/completions") == 0)
-    si_engine_submit (engine, request, true);
+    si_engine_handle_completion (engine, request, true);
   else if (strcmp (path, "/orders") == 0)
-    si_engine_order (engine, request);
+    si_engine_handle_order (engine, request);
   else if (strcmp (path, "/kv/export") == 0)
-    si_engine_export (engine, request);
+    si_engine_handle_export (engine, request);
   else if (strcmp (path, "/kv/import") == 0)
-    si_engine_import (engine, request);
+    si_engine_handle_import (engine, request);
   else
     si_reply_error (request, 404, "unknown_path");
 }
@@ -85,7 +85,7 @@
   else if (si_request_is (request, EVHTTP_REQ_GET, "/log"))
     reply_log (engine, request);
   else if (si_faults_is_on (&engine->faults, SI_FAULT_DOWN))
-    si_reply_drop (request);
+    si_reply_abort (request);
   else if (si_request_is (request, EVHTTP_REQ_GET, "/load"))
     reply_load (engine, request);
   else if (si_request_is (request, EVHTTP_REQ_GET, "/cache_events"))
@@ -117,9 +117,9 @@
 void
 si_engine_clear (SiEngine *engine)
 {
-  si_engine_break_all (engine);
+  si_engine_drop_all_runs (engine);
   si_engine_stop_timers (engine);
   si_server_clear (&engine->server);
   si_cache_clear (&engine->cache);
-  si_runlog_clear (&engine->log);
+  si_run_log_clear (&engine->log);
 }
--- a/standins/si-engine.h
+++ b/standins/si-engine.h
@@ -3,7 +3,7 @@
 
 #include "si-cache.h"
 #include "si-faults.h"
-#include "si-runlog.h"
+#include "si-run-log.h"
 #include "si-server.h"
 
 typedef struct
@@ -30,7 +30,7 @@
   SiEngineSettings settings;
   SiServer server;
   SiFaults faults;
-  SiRunlog log;
+  SiRunLog log;
   SiCache cache;
   SiImport *imports;
   char incarnation[64];
@@ -51,14 +51,14 @@
 void si_engine_clear (SiEngine *engine);
 
 /* The parts: si-engine-run.c makes tokens, si-engine-orders.c changes weights. */
-void si_engine_submit (SiEngine *engine, struct evhttp_request *request, bool chat);
-void si_engine_wake (SiEngine *engine);
-void si_engine_break_all (SiEngine *engine);
+void si_engine_handle_completion (SiEngine *engine, struct evhttp_request *request, bool chat);
+void si_engine_schedule_step (SiEngine *engine);
+void si_engine_drop_all_runs (SiEngine *engine);
 void si_engine_start_timers (SiEngine *engine);
 void si_engine_stop_timers (SiEngine *engine);
-void si_engine_export (SiEngine *engine, struct evhttp_request *request);
-void si_engine_import (SiEngine *engine, struct evhttp_request *request);
-void si_engine_order (SiEngine *engine, struct evhttp_request *request);
+void si_engine_handle_export (SiEngine *engine, struct evhttp_request *request);
+void si_engine_handle_import (SiEngine *engine, struct evhttp_request *request);
+void si_engine_handle_order (SiEngine *engine, struct evhttp_request *request);
 void si_engine_on_loaded (evutil_socket_t fd, short what, void *user);
 bool si_engine_is_loading (const SiEngine *engine);
 
--- a/standins/si-entry.c
+++ b/standins/si-entry.c
@@ -30,11 +30,11 @@
   free (text);
   if (object && json_object_object_get_ex (object, "addresses", &list))
     n = json_object_array_length (list);
-  for (size_t i = 0; i < n && i < SI_ENTRY_MAX; i++)
+  for (size_t i = 0; i < n && i < SI_ENTRY_MAX_ADDRESSES; i++)
     LB_COPY (entry->addresses[i],
              si_json_text (json_object_array_get_idx (list, i), "address", ""));
   if (n > 0)
-    entry->n_addresses = n < SI_ENTRY_MAX ? n : SI_ENTRY_MAX;
+    entry->n_addresses = n < SI_ENTRY_MAX_ADDRESSES ? n : SI_ENTRY_MAX_ADDRESSES;
   json_object_put (object);
   return n > 0;
 }
@@ -82,7 +82,7 @@
   memset (entry, 0, sizeof *entry);
   entry->pool = pool;
   entry->timer = evtimer_new (base, on_timer, entry);
-  entry->n_addresses = n_addresses < SI_ENTRY_MAX ? n_addresses : SI_ENTRY_MAX;
+  entry->n_addresses = n_addresses < SI_ENTRY_MAX_ADDRESSES ? n_addresses : SI_ENTRY_MAX_ADDRESSES;
   for (size_t i = 0; i < entry->n_addresses; i++)
     LB_COPY (entry->addresses[i], addresses[i]);
 }
@@ -96,7 +96,7 @@
 }
 
 void
-si_entry_keep_asking (SiEntry *entry, const char *caller, LbTime period)
+si_entry_start_refresh (SiEntry *entry, const char *caller, LbTime period)
 {
   snprintf (entry->path, sizeof entry->path, "/v1/entry?caller=%s", caller);
   entry->period = period;
--- a/standins/si-entry.h
+++ b/standins/si-entry.h
@@ -3,7 +3,7 @@
 
 #include "lh-fetch.h"
 
-#define SI_ENTRY_MAX 16
+#define SI_ENTRY_MAX_ADDRESSES 16
 
 struct event;
 
@@ -13,7 +13,7 @@
   LhPool *pool;
   struct event *timer;
   char path[128];
-  LbName addresses[SI_ENTRY_MAX];
+  LbName addresses[SI_ENTRY_MAX_ADDRESSES];
   size_t n_addresses;
   size_t asked; /* the one asked last */
   LhFetch *fetch;
@@ -26,7 +26,7 @@
                     const char *const *addresses,
                     size_t n_addresses);
 void si_entry_clear (SiEntry *entry);
-void si_entry_keep_asking (SiEntry *entry, const char *caller, LbTime period);
+void si_entry_start_refresh (SiEntry *entry, const char *caller, LbTime period);
 /* The n-th choice; there is always one. */
 const char *si_entry_address (const SiEntry *entry, size_t n);
 
--- a/standins/si-faults.c
+++ b/standins/si-faults.c
@@ -61,7 +61,7 @@
 }
 
 bool
-si_faults_take (SiFaults *faults, SiFaultMode mode)
+si_faults_consume (SiFaults *faults, SiFaultMode mode)
 {
   SiFault *fault = &faults->faults[mode];
 
@@ -73,9 +73,9 @@
 }
 
 bool
-si_faults_take_at (SiFaults *faults, SiFaultMode mode, const char *path)
+si_faults_consume_at_path (SiFaults *faults, SiFaultMode mode, const char *path)
 {
   const char *only = faults->faults[mode].path;
 
-  return strncmp (path, only, strlen (only)) == 0 && si_faults_take (faults, mode);
+  return strncmp (path, only, strlen (only)) == 0 && si_faults_consume (faults, mode);
 }
--- a/standins/si-faults.h
+++ b/standins/si-faults.h
@@ -43,7 +43,7 @@
 void si_faults_handle (SiFaults *faults, struct evhttp_request *request);
 bool si_faults_is_on (const SiFaults *faults, SiFaultMode mode);
 /* True when the fault is on; uses one of its times up. */
-bool si_faults_take (SiFaults *faults, SiFaultMode mode);
-bool si_faults_take_at (SiFaults *faults, SiFaultMode mode, const char *path);
+bool si_faults_consume (SiFaults *faults, SiFaultMode mode);
+bool si_faults_consume_at_path (SiFaults *faults, SiFaultMode mode, const char *path);
 
 #endif
--- a/standins/si-platform.c
+++ b/standins/si-platform.c
@@ -25,7 +25,7 @@
   (void)connection;
   Held *held = user;
 
-  si_request_closed (held->request);
+  si_request_release (held->request);
   held->request = NULL;
 }
 
@@ -52,13 +52,13 @@
 {
   const char *path = si_request_path (request);
 
-  if (si_faults_take_at (&platform->faults, SI_FAULT_LOSE_REPLY, path))
+  if (si_faults_consume_at_path (&platform->faults, SI_FAULT_LOSE_REPLY, path))
     {
       json_object_put (reply);
-      si_reply_drop (request);
+      si_reply_abort (request);
       return;
     }
-  if (!si_faults_take_at (&platform->faults, SI_FAULT_SLOW, path))
+  if (!si_faults_consume_at_path (&platform->faults, SI_FAULT_SLOW, path))
     {
       si_reply_json (request, status, reply);
       return;
@@ -165,11 +165,11 @@
 static void
 get_instances (SiPlatform *platform, struct evhttp_request *request)
 {
-  if (platform->next_instances && lb_clock_monotonic () >= platform->next_due)
+  if (platform->pending_instances && lb_clock_monotonic () >= platform->pending_due)
     {
       json_object_put (platform->instances);
-      platform->instances = platform->next_instances;
-      platform->next_instances = NULL;
+      platform->instances = platform->pending_instances;
+      platform->pending_instances = NULL;
     }
   answer (platform, request, 200, json_object_get (platform->instances));
 }
@@ -196,24 +196,25 @@
 {
   LbTime now = lb_clock_monotonic ();
 
-  if (platform->rate <= 0)
+  if (platform->max_calls_per_second <= 0)
     return false;
-  platform->allowance += (double)(now - platform->allowance_at) / (double)LB_SEC * platform->rate;
-  platform->allowance_at = now;
-  if (platform->allowance > platform->rate)
-    platform->allowance = platform->rate;
-  if (platform->allowance < 1)
+  platform->rate_tokens
+      += (double)(now - platform->rate_tokens_at) / (double)LB_SEC * platform->max_calls_per_second;
+  platform->rate_tokens_at = now;
+  if (platform->rate_tokens > platform->max_calls_per_second)
+    platform->rate_tokens = platform->max_calls_per_second;
+  if (platform->rate_tokens < 1)
     return true;
-  platform->allowance -= 1;
+  platform->rate_tokens -= 1;
   return false;
 }
 
 static void
 set_instances (SiPlatform *platform, struct json_object *list)
 {
-  json_object_put (platform->next_instances);
-  platform->next_instances = json_object_get (list);
-  platform->next_due = lb_clock_monotonic () + platform->lag;
+  json_object_put (platform->pending_instances);
+  platform->pending_instances = json_object_get (list);
+  platform->pending_due = lb_clock_monotonic () + platform->instances_lag;
 }
 
 static void
@@ -236,8 +237,9 @@
       si_reply_error (request, 400, "bad_json");
       return;
     }
-  platform->lag = si_json_int (order, "lag_ms", platform->lag / LB_MSEC) * LB_MSEC;
-  platform->rate = si_json_real (order, "rate", platform->rate);
+  platform->instances_lag
+      = si_json_int (order, "lag_ms", platform->instances_lag / LB_MSEC) * LB_MSEC;
+  platform->max_calls_per_second = si_json_real (order, "rate", platform->max_calls_per_second);
   if (json_object_object_get_ex (order, "instances", &value))
     set_instances (platform, value);
   if (json_object_object_get_ex (order, "weights", &value))
@@ -251,9 +253,9 @@
 {
   struct json_object *log = json_object_new_object ();
 
-  si_json_set_int (log, "calls", platform->calls);
+  si_json_set_int (log, "calls", platform->served);
   si_json_set_int (log, "writes", platform->writes);
-  si_json_set_int (log, "busy", platform->busy);
+  si_json_set_int (log, "busy", platform->rejected_busy);
   si_reply_json (request, 200, log);
 }
 
@@ -284,19 +286,20 @@
 {
   const char *path = si_request_path (request);
 
-  platform->seen++;
-  if (si_faults_take_at (&platform->faults, SI_FAULT_DOWN, path))
-    si_reply_drop (request);
-  else if (si_faults_take_at (&platform->faults, SI_FAULT_HANG, path))
+  platform->received++;
+  if (si_faults_consume_at_path (&platform->faults, SI_FAULT_DOWN, path))
+    si_reply_abort (request);
+  else if (si_faults_consume_at_path (&platform->faults, SI_FAULT_HANG, path))
     return;
-  else if (si_faults_take_at (&platform->faults, SI_FAULT_BUSY, path) || is_over_rate (platform))
+  else if (si_faults_consume_at_path (&platform->faults, SI_FAULT_BUSY, path)
+           || is_over_rate (platform))
     {
-      platform->busy++;
+      platform->rejected_busy++;
       si_reply_error (request, 503, "busy");
     }
   else
     {
-      platform->calls++;
+      platform->served++;
       route (platform, request);
     }
 }
@@ -332,7 +335,7 @@
   memset (platform, 0, sizeof *platform);
   platform->store = lp_store_new ();
   platform->instances = new_empty_instances ();
-  platform->allowance_at = lb_clock_monotonic ();
+  platform->rate_tokens_at = lb_clock_monotonic ();
 }
 
 bool
@@ -354,6 +357,6 @@
 {
   si_server_clear (&platform->server);
   json_object_put (platform->instances);
-  json_object_put (platform->next_instances);
+  json_object_put (platform->pending_instances);
   lp_store_free (platform->store);
 }
--- a/standins/si-platform.h
+++ b/standins/si-platform.h
@@ -13,16 +13,16 @@
   SiFaults faults;
   LpStore *store;
   struct json_object *instances; /* what GET /instances says */
-  struct json_object *next_instances;
-  LbTime next_due;
-  LbTime lag;
-  double rate; /* calls a second; 0: any */
-  double allowance;
-  LbTime allowance_at;
-  int64_t seen;  /* all that came, what a fault took included */
-  int64_t calls; /* all that were served */
+  struct json_object *pending_instances;
+  LbTime pending_due;
+  LbTime instances_lag;
+  double max_calls_per_second; /* calls a second; 0: any */
+  double rate_tokens;
+  LbTime rate_tokens_at;
+  int64_t received; /* all that came, what a fault took included */
+  int64_t served;   /* all that were served */
   int64_t writes;
-  int64_t busy;
+  int64_t rejected_busy;
 } SiPlatform;
 
 bool si_platform_init (SiPlatform *platform, struct event_base *base, int port);
--- a/standins/si-rows.c
+++ b/standins/si-row-store.c
@@ -1,4 +1,4 @@
-#include "si-rows.h"
+#include "si-row-store.h"
 
 #include "si-json.h"
 
@@ -38,7 +38,7 @@
 typedef struct
 {
   LbLink link;
-  SiRows *rows;
+  SiRowStore *rows;
   struct evhttp_request *request;
   char *table;
   int64_t after;
@@ -47,7 +47,7 @@
 } Watch;
 
 static void
-row_free (SiRows *rows, Row *row)
+row_free (SiRowStore *rows, Row *row)
 {
   lb_list_remove (&rows->rows, &row->link);
   free (row->table);
@@ -68,7 +68,7 @@
 }
 
 static Row *
-find (const SiRows *rows, const char *table, const char *part, const char *key)
+find (const SiRowStore *rows, const char *table, const char *part, const char *key)
 {
   LB_LIST_FOREACH (&rows->rows, Row, link, row)
   {
@@ -79,7 +79,7 @@
 }
 
 static Row *
-ensure (SiRows *rows, const char *table, const char *part, const char *key)
+ensure (SiRowStore *rows, const char *table, const char *part, const char *key)
 {
   Row *row = find (rows, table, part, key);
   LbLink *before = &rows->rows.head;
@@ -100,7 +100,7 @@
 }
 
 static int64_t
-present_version (const SiRows *rows, const char *table, const char *part, const char *key)
+present_version (const SiRowStore *rows, const char *table, const char *part, const char *key)
 {
   const Row *row = find (rows, table, part, key);
 
@@ -134,7 +134,7 @@
 }
 
 static struct json_object *
-new_answer (const SiRows *rows)
+new_answer (const SiRowStore *rows)
 {
   struct json_object *object = json_object_new_object ();
 
@@ -155,7 +155,7 @@
 }
 
 static bool
-holds (const SiRows *rows, struct json_object *expected)
+holds (const SiRowStore *rows, struct json_object *expected)
 {
   for (size_t i = 0; expected && i < json_object_array_length (expected); i++)
     {
@@ -171,7 +171,7 @@
 }
 
 static void
-apply (SiRows *rows, struct json_object *entries, bool remove)
+apply (SiRowStore *rows, struct json_object *entries, bool remove)
 {
   for (size_t i = 0; entries && i < json_object_array_length (entries); i++)
     {
@@ -185,7 +185,7 @@
 }
 
 static void
-add_present (const SiRows *rows, struct json_object *answer, struct json_object *expected)
+add_present (const SiRowStore *rows, struct json_object *answer, struct json_object *expected)
 {
   struct json_object *array = json_object_new_array ();
 
@@ -219,7 +219,7 @@
 }
 
 static void
-transact (SiRows *rows, struct evhttp_request *request)
+transact (SiRowStore *rows, struct evhttp_request *request)
 {
   struct json_object *body = si_request_json (request);
   struct json_object *expected = array_of (body, "expected");
@@ -240,12 +240,12 @@
     }
   if (ok && rows->lost_replies > 0 && touches_table (array_of (body, "writes"), "head"))
     {
-      if (--rows->lost_replies == 0 && rows->away_once_lost)
-        rows->mode = SI_ROWS_AWAY;
-      si_reply_drop (request);
+      if (--rows->lost_replies == 0 && rows->unavailable_after_lost_replies)
+        rows->mode = SI_ROW_STORE_UNAVAILABLE;
+      si_reply_abort (request);
     }
-  else if (rows->mode == SI_ROWS_LOSES_REPLY)
-    si_reply_drop (request);
+  else if (rows->mode == SI_ROW_STORE_LOSES_REPLY)
+    si_reply_abort (request);
   else
     {
       struct json_object *answer = new_answer (rows);
@@ -268,7 +268,7 @@
 
 /* Some parts of a store may be silent while others answer. */
 static bool
-is_silent (const SiRows *rows, struct evhttp_request *request)
+is_silent (const SiRowStore *rows, struct evhttp_request *request)
 {
   char *table = query_of (request, "table");
   bool silent = rows->silent_table && strcmp (table, rows->silent_table) == 0;
@@ -278,7 +278,7 @@
 }
 
 static void
-list (SiRows *rows, struct evhttp_request *request)
+list (SiRowStore *rows, struct evhttp_request *request)
 {
   char *table = query_of (request, "table");
   char *part = query_of (request, "part");
@@ -288,7 +288,7 @@
   size_t limit = limit_text[0] ? (size_t)atoi (limit_text) : MAX_ROWS_AT_ONCE;
   struct json_object *array = json_object_new_array ();
   struct json_object *answer = new_answer (rows);
-  bool is_away = rows->away_table && strcmp (table, rows->away_table) == 0;
+  bool is_away = rows->unavailable_table && strcmp (table, rows->unavailable_table) == 0;
   bool more = false;
 
   LB_LIST_FOREACH (&rows->rows, Row, link, row)
@@ -325,7 +325,7 @@
 }
 
 static struct json_object *
-changes (const SiRows *rows, const char *table, int64_t after)
+changes (const SiRowStore *rows, const char *table, int64_t after)
 {
   struct json_object *array = json_object_new_array ();
 
@@ -344,7 +344,7 @@
   (void)connection;
   Watch *watch = user;
 
-  si_request_closed (watch->request);
+  si_request_release (watch->request);
   lb_list_remove (&watch->rows->watches, &watch->link);
   free (watch->table);
   free (watch);
@@ -368,9 +368,9 @@
 {
   (void)fd;
   (void)what;
-  SiRows *rows = user;
+  SiRowStore *rows = user;
 
-  if (rows->mode != SI_ROWS_WELL && rows->mode != SI_ROWS_LOSES_REPLY)
+  if (rows->mode != SI_ROW_STORE_NORMAL && rows->mode != SI_ROW_STORE_LOSES_REPLY)
     return;
   LB_LIST_FOREACH (&rows->watches, Watch, link, watch)
   {
@@ -384,7 +384,7 @@
 }
 
 static void
-start_watch (SiRows *rows, struct evhttp_request *request, bool is_late)
+start_watch (SiRowStore *rows, struct evhttp_request *request, bool is_late)
 {
   char *after = query_of (request, "after");
   char *wait = query_of (request, "waitMs");
@@ -398,7 +398,7 @@
   watch->until = lb_clock_monotonic () + atoll (wait) * LB_MSEC;
   lb_list_append (&rows->watches, &watch->link);
   evhttp_connection_set_closecb (evhttp_request_get_connection (request), on_watch_closed, watch);
-  if (watch->after < rows->history_from)
+  if (watch->after < rows->oldest_watchable_version)
     {
       evhttp_connection_set_closecb (evhttp_request_get_connection (request), NULL, NULL);
       on_watch_closed (NULL, watch);
@@ -411,7 +411,7 @@
 /* --- objects --- */
 
 static void
-object_free (SiRows *rows, Object *object)
+object_free (SiRowStore *rows, Object *object)
 {
   lb_list_remove (&rows->objects, &object->link);
   free (object->name);
@@ -420,7 +420,7 @@
 }
 
 static Object *
-find_object (const SiRows *rows, const char *name)
+find_object (const SiRowStore *rows, const char *name)
 {
   LB_LIST_FOREACH (&rows->objects, Object, link, object)
   {
@@ -431,7 +431,7 @@
 }
 
 static void
-put_object (SiRows *rows, struct evhttp_request *request, const char *name)
+put_object (SiRowStore *rows, struct evhttp_request *request, const char *name)
 {
   struct evbuffer *input = evhttp_request_get_input_buffer (request);
   Object *object = find_object (rows, name);
@@ -449,7 +449,7 @@
 }
 
 static void
-get_object (SiRows *rows, struct evhttp_request *request, const char *name)
+get_object (SiRowStore *rows, struct evhttp_request *request, const char *name)
 {
   const Object *object = find_object (rows, name);
 
@@ -463,7 +463,7 @@
 }
 
 static void
-remove_object (SiRows *rows, struct evhttp_request *request, const char *name)
+remove_object (SiRowStore *rows, struct evhttp_request *request, const char *name)
 {
   Object *object = find_object (rows, name);
 
@@ -488,14 +488,14 @@
 }
 
 static void
-answer (SiRows *rows, struct evhttp_request *request, bool is_late)
+answer (SiRowStore *rows, struct evhttp_request *request, bool is_late)
 {
   const char *path = si_request_path (request);
   const char *name = NULL;
 
-  if (rows->mode == SI_ROWS_SILENT || is_silent (rows, request))
+  if (rows->mode == SI_ROW_STORE_SILENT || is_silent (rows, request))
     return;
-  if (rows->mode == SI_ROWS_AWAY)
+  if (rows->mode == SI_ROW_STORE_UNAVAILABLE)
     {
       si_reply_error (request, 503, "away");
       return;
@@ -519,21 +519,21 @@
 static void
 on_request (struct evhttp_request *request, void *user)
 {
-  SiRows *rows = user;
+  SiRowStore *rows = user;
 
-  answer (rows, request, rows->late == &rows->server);
+  answer (rows, request, rows->delayed_server == &rows->server);
 }
 
 static void
 on_far_request (struct evhttp_request *request, void *user)
 {
-  SiRows *rows = user;
+  SiRowStore *rows = user;
 
-  answer (rows, request, rows->late == &rows->far);
+  answer (rows, request, rows->delayed_server == &rows->second_server);
 }
 
 static void
-begin (SiRows *rows)
+begin (SiRowStore *rows)
 {
   const struct timeval period = { .tv_usec = WAKE_PERIOD };
 
@@ -541,25 +541,25 @@
   lb_list_init (&rows->objects);
   lb_list_init (&rows->watches);
   rows->version = 1;
-  rows->wake = event_new (rows->server.base, -1, EV_PERSIST, on_wake, rows);
-  event_add (rows->wake, &period);
+  rows->watch_timer = event_new (rows->server.base, -1, EV_PERSIST, on_wake, rows);
+  event_add (rows->watch_timer, &period);
 }
 
 bool
-si_rows_init (SiRows *rows, struct event_base *base, int port)
+si_row_store_init (SiRowStore *rows, struct event_base *base, int port)
 {
   memset (rows, 0, sizeof *rows);
   if (!si_server_init (&rows->server, base, port, on_request, rows)
-      || !si_server_init (&rows->far, base, 0, on_far_request, rows))
+      || !si_server_init (&rows->second_server, base, 0, on_far_request, rows))
     return false;
   begin (rows);
   return true;
 }
 
 void
-si_rows_clear (SiRows *rows)
+si_row_store_clear (SiRowStore *rows)
 {
-  event_free (rows->wake);
+  event_free (rows->watch_timer);
   LB_LIST_FOREACH (&rows->watches, Watch, link, watch)
   {
     evhttp_connection_set_closecb (evhttp_request_get_connection (watch->request), NULL, NULL);
@@ -573,13 +573,14 @@
   {
     object_free (rows, object);
   }
-  if (rows->far.http)
-    si_server_clear (&rows->far);
+  if (rows->second_server.http)
+    si_server_clear (&rows->second_server);
   si_server_clear (&rows->server);
 }
 
 void
-si_rows_put (SiRows *rows, const char *table, const char *part, const char *key, const char *value)
+si_row_store_put (
+    SiRowStore *rows, const char *table, const char *part, const char *key, const char *value)
 {
   Row *row = ensure (rows, table, part, key);
 
@@ -593,7 +594,7 @@
 }
 
 const char *
-si_rows_get (const SiRows *rows, const char *table, const char *part, const char *key)
+si_row_store_get (const SiRowStore *rows, const char *table, const char *part, const char *key)
 {
   const Row *row = find (rows, table, part, key);
 
@@ -601,13 +602,13 @@
 }
 
 size_t
-si_rows_count_objects (const SiRows *rows)
+si_row_store_count_objects (const SiRowStore *rows)
 {
   return rows->objects.length;
 }
 
 size_t
-si_rows_count (const SiRows *rows, const char *table)
+si_row_store_count (const SiRowStore *rows, const char *table)
 {
   size_t count = 0;
 
--- a/standins/si-runlog.c
+++ b/standins/si-run-log.c
@@ -1,4 +1,4 @@
-#include "si-runlog.h"
+#include "si-run-log.h"
 
 #include "lb-alloc.h"
 #include "si-json.h"
@@ -15,7 +15,7 @@
 };
 
 void
-si_runlog_clear (SiRunlog *log)
+si_run_log_clear (SiRunLog *log)
 {
   SiRunCount *count, *next;
 
@@ -28,7 +28,7 @@
 }
 
 int64_t
-si_runlog_start (SiRunlog *log, const char *key)
+si_run_log_count_start (SiRunLog *log, const char *key)
 {
   SiRunCount *count = NULL;
 
@@ -44,7 +44,7 @@
 }
 
 struct json_object *
-si_runlog_to_json (const SiRunlog *log)
+si_run_log_to_json (const SiRunLog *log)
 {
   struct json_object *object = json_object_new_object ();
   struct json_object *runs = json_object_new_object ();
--- a/standins/si-runlog.h
+++ b/standins/si-run-log.h
@@ -1,5 +1,5 @@
-#ifndef SI_RUNLOG_H
-#define SI_RUNLOG_H
+#ifndef SI_RUN_LOG_H
+#define SI_RUN_LOG_H
 
 #include "lb-types.h"
 
@@ -17,11 +17,11 @@
   int64_t refused;
   int64_t resumed;
   int64_t resume_mismatches; /* a resume whose text is not what the engine would have said */
-} SiRunlog;
+} SiRunLog;
 
-void si_runlog_clear (SiRunlog *log);
+void si_run_log_clear (SiRunLog *log);
 /* Counts one more run of the key; answers how many there have been. */
-int64_t si_runlog_start (SiRunlog *log, const char *key);
-struct json_object *si_runlog_to_json (const SiRunlog *log);
+int64_t si_run_log_count_start (SiRunLog *log, const char *key);
+struct json_object *si_run_log_to_json (const SiRunLog *log);
 
 #endif
--- a/standins/si-server.c
+++ b/standins/si-server.c
@@ -98,14 +98,14 @@
 }
 
 void
-si_server_crash (SiServer *server)
+si_server_stop (SiServer *server)
 {
   evhttp_free (server->http);
   server->http = NULL;
 }
 
 bool
-si_server_resume (SiServer *server)
+si_server_restart (SiServer *server)
 {
   return bind_to (server, atoi (strchr (server->address, ':') + 1));
 }
@@ -241,14 +241,14 @@
  * gone.
  */
 void
-si_request_closed (struct evhttp_request *request)
+si_request_release (struct evhttp_request *request)
 {
   if (!evhttp_request_get_connection (request))
     evhttp_request_free (request);
 }
 
 void
-si_reply_drop (struct evhttp_request *request)
+si_reply_abort (struct evhttp_request *request)
 {
   struct evhttp_connection *connection = evhttp_request_get_connection (request);
 
--- a/standins/si-server.h
+++ b/standins/si-server.h
@@ -30,9 +30,9 @@
 void si_server_clear (SiServer *server);
 /* As when its process ends: all its connections are reset, and its address refuses new ones until
  * it resumes. Requests that are not answered are freed; nobody may hold one. */
-void si_server_crash (SiServer *server);
+void si_server_stop (SiServer *server);
 /* At the same address; false when that is taken. */
-bool si_server_resume (SiServer *server);
+bool si_server_restart (SiServer *server);
 void si_server_announce (const SiServer *server, const char *name);
 
 bool si_request_is (struct evhttp_request *request, enum evhttp_cmd_type method, const char *path);
@@ -45,8 +45,8 @@
 void si_reply_json (struct evhttp_request *request, int status, struct json_object *object);
 void si_reply_error (struct evhttp_request *request, int status, const char *type);
 /* To be called when the connection of a request that is not answered yet has closed. */
-void si_request_closed (struct evhttp_request *request);
+void si_request_release (struct evhttp_request *request);
 /* Closes the connection without an answer, or with the answer cut off. */
-void si_reply_drop (struct evhttp_request *request);
+void si_reply_abort (struct evhttp_request *request);
 
 #endif
--- a/standins/si-tally.c
+++ b/standins/si-tally.c
@@ -20,7 +20,7 @@
 si_tally_init (SiTally *tally)
 {
   memset (tally, 0, sizeof *tally);
-  tally->not_run = json_object_new_array ();
+  tally->not_run_keys = json_object_new_array ();
 }
 
 void
@@ -33,9 +33,9 @@
     HASH_DEL (tally->errors, error);
     free (error);
   }
-  json_object_put (tally->not_run);
-  free (tally->took);
-  free (tally->first);
+  json_object_put (tally->not_run_keys);
+  free (tally->durations);
+  free (tally->times_to_first_byte);
 }
 
 static void
@@ -54,36 +54,38 @@
 }
 
 static void
-add_times (SiTally *tally, const SiLiveResult *result)
+add_times (SiTally *tally, const SiCheckedCallResult *result)
 {
-  if ((tally->n_took & (tally->n_took - 1)) == 0)
+  if ((tally->n_durations & (tally->n_durations - 1)) == 0)
     {
-      size_t capacity = tally->n_took > 0 ? tally->n_took * 2 : 1;
-      tally->took = lb_realloc (tally->took, capacity * sizeof (LbTime));
-      tally->first = lb_realloc (tally->first, capacity * sizeof (LbTime));
+      size_t capacity = tally->n_durations > 0 ? tally->n_durations * 2 : 1;
+      tally->durations = lb_realloc (tally->durations, capacity * sizeof (LbTime));
+      tally->times_to_first_byte
+          = lb_realloc (tally->times_to_first_byte, capacity * sizeof (LbTime));
     }
-  tally->took[tally->n_took] = result->took;
-  tally->first[tally->n_took] = result->first;
-  tally->n_took++;
+  tally->durations[tally->n_durations] = result->duration;
+  tally->times_to_first_byte[tally->n_durations] = result->time_to_first_byte;
+  tally->n_durations++;
 }
 
 void
-si_tally_add (SiTally *tally, const SiLiveResult *result, const char *key)
+si_tally_add (SiTally *tally, const SiCheckedCallResult *result, const char *key)
 {
-  tally->calls++;
+  tally->n_calls++;
   tally->outcomes[result->outcome]++;
-  if (result->outcome == SI_LIVE_WHOLE)
+  if (result->outcome == SI_CALL_COMPLETE)
     add_times (tally, result);
   else
     count_error (tally, result->error[0] != '\0' ? result->error : "none");
-  if (result->outcome == SI_LIVE_NOT_RUN && json_object_array_length (tally->not_run) < MAX_KEYS)
-    json_object_array_add (tally->not_run, json_object_new_string (key));
+  if (result->outcome == SI_CALL_NOT_RUN
+      && json_object_array_length (tally->not_run_keys) < MAX_KEYS)
+    json_object_array_add (tally->not_run_keys, json_object_new_string (key));
 }
 
 bool
-si_tally_is_right (const SiTally *tally)
+si_tally_has_no_wrong_answers (const SiTally *tally)
 {
-  return tally->outcomes[SI_LIVE_WRONG] + tally->outcomes[SI_LIVE_CUT] == 0;
+  return tally->outcomes[SI_CALL_WRONG_ANSWER] + tally->outcomes[SI_CALL_TRUNCATED] == 0;
 }
 
 static int
@@ -122,19 +124,20 @@
   struct json_object *object = json_object_new_object ();
   struct json_object *errors = json_object_new_object ();
 
-  json_object_object_add (object, "ok", json_object_new_boolean (si_tally_is_right (tally)));
-  si_json_set_int (object, "calls", tally->calls);
-  si_json_set_int (object, "whole", tally->outcomes[SI_LIVE_WHOLE]);
-  si_json_set_int (object, "wrong", tally->outcomes[SI_LIVE_WRONG]);
-  si_json_set_int (object, "cut", tally->outcomes[SI_LIVE_CUT]);
-  si_json_set_int (object, "not_run", tally->outcomes[SI_LIVE_NOT_RUN]);
-  si_json_set_int (object, "failed", tally->outcomes[SI_LIVE_ERROR]);
+  json_object_object_add (object, "ok",
+                          json_object_new_boolean (si_tally_has_no_wrong_answers (tally)));
+  si_json_set_int (object, "calls", tally->n_calls);
+  si_json_set_int (object, "whole", tally->outcomes[SI_CALL_COMPLETE]);
+  si_json_set_int (object, "wrong", tally->outcomes[SI_CALL_WRONG_ANSWER]);
+  si_json_set_int (object, "cut", tally->outcomes[SI_CALL_TRUNCATED]);
+  si_json_set_int (object, "not_run", tally->outcomes[SI_CALL_NOT_RUN]);
+  si_json_set_int (object, "failed", tally->outcomes[SI_CALL_FAILED]);
   si_json_set_int (object, "retries", tally->retries);
   for (const SiErrorCount *error = tally->errors; error; error = error->hh.next)
     si_json_set_int (errors, error->type, error->count);
   json_object_object_add (object, "errors", errors);
-  add_percentiles (object, "took_ms", tally->took, tally->n_took);
-  add_percentiles (object, "first_ms", tally->first, tally->n_took);
-  json_object_object_add (object, "not_run_keys", json_object_get (tally->not_run));
+  add_percentiles (object, "took_ms", tally->durations, tally->n_durations);
+  add_percentiles (object, "first_ms", tally->times_to_first_byte, tally->n_durations);
+  json_object_object_add (object, "not_run_keys", json_object_get (tally->not_run_keys));
   return object;
 }
--- a/standins/si-tally.h
+++ b/standins/si-tally.h
@@ -1,28 +1,28 @@
 #ifndef SI_TALLY_H
 #define SI_TALLY_H
 
-#include "si-live.h"
+#include "si-checked-call.h"
 
 struct SiErrorCount;
 
 /* What became of many live calls. */
 typedef struct
 {
-  int64_t calls;
-  int64_t outcomes[SI_N_LIVE];
+  int64_t n_calls;
+  int64_t outcomes[SI_N_CALL_OUTCOMES];
   int64_t retries;
   struct SiErrorCount *errors;
-  LbTime *took; /* of whole answers */
-  LbTime *first;
-  size_t n_took;
-  struct json_object *not_run; /* keys of calls whose last answer was "not run" */
+  LbTime *durations; /* of whole answers */
+  LbTime *times_to_first_byte;
+  size_t n_durations;
+  struct json_object *not_run_keys; /* keys of calls whose last answer was "not run" */
 } SiTally;
 
 void si_tally_init (SiTally *tally);
 void si_tally_clear (SiTally *tally);
 /* key tells the call in the endpoints' own logs. */
-void si_tally_add (SiTally *tally, const SiLiveResult *result, const char *key);
-bool si_tally_is_right (const SiTally *tally);
+void si_tally_add (SiTally *tally, const SiCheckedCallResult *result, const char *key);
+bool si_tally_has_no_wrong_answers (const SiTally *tally);
 struct json_object *si_tally_to_json (SiTally *tally);
 
 #endif
--- a/standins/standin-load.c
+++ b/standins/standin-load.c
@@ -17,7 +17,7 @@
 
 typedef struct
 {
-  SiLiveSpec spec; /* what all calls share */
+  SiCheckedCallSpec spec; /* what all calls share */
   const char *addresses[MAX_ADDRESSES];
   size_t n_addresses;
   const char *name;
@@ -57,7 +57,7 @@
 static void start_due (Load *load);
 
 static void
-caller_end (Caller *caller, const SiLiveResult *result)
+caller_end (Caller *caller, const SiCheckedCallResult *result)
 {
   Load *load = caller->load;
 
@@ -80,12 +80,12 @@
 
 /* Only a call that surely did not run is made again, at the next address, no sooner than told. */
 static void
-on_result (const SiLiveResult *result, void *user)
+on_result (const SiCheckedCallResult *result, void *user)
 {
   Caller *caller = user;
   Load *load = caller->load;
 
-  if (result->outcome != SI_LIVE_NOT_RUN || caller->tries > load->settings.retries)
+  if (result->outcome != SI_CALL_NOT_RUN || caller->tries > load->settings.retries)
     {
       caller_end (caller, result);
       return;
@@ -101,17 +101,17 @@
 try_call (Caller *caller)
 {
   Load *load = caller->load;
-  SiLiveSpec spec = load->settings.spec;
+  SiCheckedCallSpec spec = load->settings.spec;
 
   spec.address = si_entry_address (&load->entry, caller->address);
   spec.prompt = caller->prompt;
   spec.caller = caller->name;
-  if (spec.kind == SI_LIVE_SERVICE)
+  if (spec.kind == SI_CHECKED_CALL_SERVICE)
     spec.order = caller->prompt;
   if (load->settings.keys)
     spec.idempotency_key = caller->prompt;
   caller->tries++;
-  si_live_start (load->pool, &spec, on_result, caller);
+  si_checked_call_start (load->pool, &spec, on_result, caller);
 }
 
 static void
@@ -179,7 +179,7 @@
 
   json_object_object_add (summary, "seconds", json_object_new_double (seconds));
   json_object_object_add (summary, "rate",
-                          json_object_new_double ((double)load->tally.calls / seconds));
+                          json_object_new_double ((double)load->tally.n_calls / seconds));
   puts (json_object_to_json_string_ext (summary, JSON_C_TO_STRING_SPACED));
   json_object_put (summary);
 }
@@ -194,15 +194,15 @@
   load.pool = lh_pool_new (load.base);
   si_entry_init (&load.entry, load.base, load.pool, settings->addresses, settings->n_addresses);
   if (settings->entry_period > 0)
-    si_entry_keep_asking (&load.entry, settings->name, settings->entry_period);
+    si_entry_start_refresh (&load.entry, settings->name, settings->entry_period);
   load.starter = evtimer_new (load.base, on_starter, &load);
   si_tally_init (&load.tally);
   load.begin = lb_clock_monotonic ();
   start_due (&load);
   event_base_dispatch (load.base);
   print_summary (&load);
-  bool all = load.tally.outcomes[SI_LIVE_WHOLE] == load.tally.calls;
-  bool right = si_tally_is_right (&load.tally) && (all || !expect_all);
+  bool all = load.tally.outcomes[SI_CALL_COMPLETE] == load.tally.n_calls;
+  bool right = si_tally_has_no_wrong_answers (&load.tally) && (all || !expect_all);
   si_tally_clear (&load.tally);
   event_free (load.starter);
   si_entry_clear (&load.entry);
@@ -253,14 +253,14 @@
 }
 
 static bool
-read_kind (const char *name, SiLiveKind *kind)
+read_kind (const char *name, SiCheckedCallKind *kind)
 {
   static const char *const names[] = { "completion", "chat", "service" };
 
   for (int i = 0; i < 3; i++)
     if (strcmp (names[i], name) == 0)
       {
-        *kind = (SiLiveKind)i;
+        *kind = (SiCheckedCallKind)i;
         return true;
       }
   return false;
@@ -275,7 +275,7 @@
               .stream = options->stream->count > 0,
               .vary_length = options->vary->count > 0,
               .deadline_ms = options->deadline_ms->count > 0 ? options->deadline_ms->sval[0] : NULL,
-              .silence = options->silence_s->ival[0] * LB_SEC },
+              .idle_timeout = options->silence_s->ival[0] * LB_SEC },
     .name = options->name->sval[0],
     .count = options->count->ival[0],
     .concurrency = options->concurrency->ival[0],
--- a/standins/standin-platform.c
+++ b/standins/standin-platform.c
@@ -11,8 +11,8 @@
 
   if (!si_platform_init_program (&platform, port))
     return 1;
-  platform.rate = rate;
-  platform.lag = lag_ms * LB_MSEC;
+  platform.max_calls_per_second = rate;
+  platform.instances_lag = lag_ms * LB_MSEC;
   si_server_announce (&platform.server, "platform");
   event_base_dispatch (platform.server.base);
   si_platform_clear (&platform);
--- a/standins/standin-service.c
+++ b/standins/standin-service.c
@@ -3,7 +3,7 @@
 #include "lb-time.h"
 #include "si-arguments.h"
 #include "si-faults.h"
-#include "si-runlog.h"
+#include "si-run-log.h"
 #include "si-server.h"
 
 #include <argtable2.h>
@@ -17,7 +17,7 @@
 {
   SiServer server;
   SiFaults faults;
-  SiRunlog log;
+  SiRunLog log;
   char incarnation[64];
   int64_t running;
   int64_t concurrency;
@@ -48,7 +48,7 @@
   evhttp_connection_set_closecb (evhttp_request_get_connection (call->request), NULL, NULL);
   if (call->lose)
     {
-      si_reply_drop (call->request);
+      si_reply_abort (call->request);
       json_object_put (call->reply);
     }
   else
@@ -63,7 +63,7 @@
   (void)connection;
   Call *call = user;
 
-  si_request_closed (call->request);
+  si_request_release (call->request);
   call->service->running--;
   call->service->log.cancelled++;
   json_object_put (call->reply);
@@ -77,12 +77,12 @@
   Call *call = LB_NEW (Call);
   LbTime wait = service->latency;
 
-  if (si_faults_take (&service->faults, SI_FAULT_SLOW))
+  if (si_faults_consume (&service->faults, SI_FAULT_SLOW))
     wait += service->faults.faults[SI_FAULT_SLOW].delay;
   call->service = service;
   call->request = request;
   call->reply = reply;
-  call->lose = si_faults_take (&service->faults, SI_FAULT_LOSE_REPLY);
+  call->lose = si_faults_consume (&service->faults, SI_FAULT_LOSE_REPLY);
   call->timer = evtimer_new (service->server.base, on_due, call);
   service->running++;
   evhttp_connection_set_closecb (evhttp_request_get_connection (request), on_caller_gone, call);
@@ -123,14 +123,14 @@
   char *body = si_request_text (request);
   const char *order = si_request_header (request, "x-order");
   const char *key = order ? order : body;
-  int64_t runs = si_runlog_start (&service->log, key);
+  int64_t runs = si_run_log_count_start (&service->log, key);
 
   bool is_fatal = service->crash_on[0] && strcmp (body, service->crash_on) == 0;
-  if (is_fatal || si_faults_take (&service->faults, SI_FAULT_CRASH))
+  if (is_fatal || si_faults_consume (&service->faults, SI_FAULT_CRASH))
     _exit (1);
   if (si_request_is (request, EVHTTP_REQ_POST, "/score"))
     answer_later (service, request, new_score (body));
-  else if (!si_faults_take (&service->faults, SI_FAULT_HANG))
+  else if (!si_faults_consume (&service->faults, SI_FAULT_HANG))
     answer_later (service, request, new_echo (request, body, key, runs));
   free (body);
 }
@@ -155,7 +155,7 @@
   if (si_faults_is_on (&service->faults, SI_FAULT_LEAVING))
     return "leaving";
   if (service->running >= service->concurrency
-      || si_faults_take (&service->faults, SI_FAULT_REFUSE))
+      || si_faults_consume (&service->faults, SI_FAULT_REFUSE))
     return "not_started";
   return NULL;
 }
@@ -169,9 +169,9 @@
   if (si_request_is (request, EVHTTP_REQ_POST, "/faults"))
     si_faults_handle (&service->faults, request);
   else if (si_request_is (request, EVHTTP_REQ_GET, "/log"))
-    si_reply_json (request, 200, si_runlog_to_json (&service->log));
+    si_reply_json (request, 200, si_run_log_to_json (&service->log));
   else if (si_faults_is_on (&service->faults, SI_FAULT_DOWN))
-    si_reply_drop (request);
+    si_reply_abort (request);
   else if (si_request_is (request, EVHTTP_REQ_GET, "/load"))
     reply_load (service, request);
   else if ((refused = refusal (service)))
@@ -196,7 +196,7 @@
   si_server_announce (&service.server, name);
   event_base_dispatch (service.server.base);
   si_server_clear (&service.server);
-  si_runlog_clear (&service.log);
+  si_run_log_clear (&service.log);
   return 0;
 }
 
--- a/standins/standin-trainer.c
+++ b/standins/standin-trainer.c
@@ -126,12 +126,12 @@
 
 /* Says what went wrong and turns to the next address; the same call is made there again. */
 static void
-turn_to_next (Trainer *trainer, const char *what, SiAnswer *answer)
+turn_to_next (Trainer *trainer, const char *what, SiResponse *answer)
 {
   const Settings *settings = trainer->settings;
 
   fprintf (stderr, "%s step %lld at %s: %d %s\n", what, (long long)trainer->step,
-           settings->addresses[trainer->address], answer->status, si_answer_error (answer));
+           settings->addresses[trainer->address], answer->status, si_response_error (answer));
   trainer->tally.retries++;
   trainer->address = (trainer->address + 1) % settings->n_addresses;
   si_client_pause (&trainer->client, RETRY_PAUSE);
@@ -144,7 +144,7 @@
 call_until_answered (Trainer *trainer, const char *what, const char *path, const char *body)
 {
   struct json_object *reply = NULL;
-  SiAnswer answer;
+  SiResponse answer;
 
   trainer->step_lost = false;
   while (!reply && !trainer->step_lost && !is_late (trainer))
@@ -153,17 +153,17 @@
                             .address = trainer->settings->addresses[trainer->address],
                             .path = path,
                             .body = body,
-                            .silence = trainer->settings->silence };
+                            .idle_timeout = trainer->settings->silence };
       si_client_call (&trainer->client, &call, &answer);
-      trainer->tally.idle += answer.took;
-      if (si_answer_is_ok (&answer))
+      trainer->tally.idle += answer.duration;
+      if (si_response_is_ok (&answer))
         reply = json_tokener_parse (answer.body);
       else
         {
-          trainer->step_lost = strcmp (si_answer_error (&answer), "unknown_step") == 0;
+          trainer->step_lost = strcmp (si_response_error (&answer), "unknown_step") == 0;
           turn_to_next (trainer, what, &answer);
         }
-      si_answer_clear (&answer);
+      si_response_clear (&answer);
     }
   return reply;
 }
--- a/tests/process/pt-resources.c
+++ b/tests/process/pt-resources.c
@@ -15,7 +15,7 @@
           PtProgram *instance,
           const char *changes,
           const char *if_match,
-          SiAnswer *answer)
+          SiResponse *answer)
 {
   const LhHeader headers[] = { { "authorization", "Bearer " PT_TOKEN }, { "If-Match", if_match } };
   const SiCall call = { .method = "POST",
@@ -24,7 +24,7 @@
                         .headers = headers,
                         .n_headers = if_match ? 2 : 1,
                         .body = changes,
-                        .silence = APPLY_SILENCE };
+                        .idle_timeout = APPLY_SILENCE };
 
   si_client_call (&world->client, &call, answer);
 }
@@ -63,13 +63,13 @@
 is_accepted (PtWorld *world, void *user)
 {
   const Change *change = user;
-  SiAnswer answer;
+  SiResponse answer;
 
   pt_apply (world, change->instance, change->changes, "*", &answer);
-  bool accepted = si_answer_is_ok (&answer);
+  bool accepted = si_response_is_ok (&answer);
   PT_ASSERT_MSG (accepted || answer.status == 503 || answer.failure != LB_OK, "%d %s",
                  answer.status, answer.body);
-  si_answer_clear (&answer);
+  si_response_clear (&answer);
   return accepted;
 }
 
@@ -132,15 +132,16 @@
                         .path = "/v1/resources",
                         .headers = headers,
                         .n_headers = 1 };
-  SiAnswer answer;
+  SiResponse answer;
   int64_t revision = -1;
 
   si_client_call (&world->client, &call, &answer);
-  struct json_object *object = si_answer_is_ok (&answer) ? json_tokener_parse (answer.body) : NULL;
+  struct json_object *object
+      = si_response_is_ok (&answer) ? json_tokener_parse (answer.body) : NULL;
   if (object)
     revision = si_json_int (object, "revision", -1);
   json_object_put (object);
-  si_answer_clear (&answer);
+  si_response_clear (&answer);
   return revision;
 }
 
--- a/tests/process/pt-shared.c
+++ b/tests/process/pt-shared.c
@@ -40,7 +40,7 @@
 {
   char *text = lb_asprintf (config, version, more_routes, w->organisations ? w->organisations : "");
 
-  si_rows_put (&w->rows, "op", "", "config", text);
+  si_row_store_put (&w->rows, "op", "", "config", text);
   free (text);
 }
 
@@ -55,14 +55,14 @@
   PT_ASSERT (mkdtemp (w->folder));
   w->base = event_base_new ();
   w->pool = lh_pool_new (w->base);
-  PT_ASSERT (si_rows_init (&w->rows, w->base, 0));
+  PT_ASSERT (si_row_store_init (&w->rows, w->base, 0));
   for (int i = 0; i < PS_N_ENGINES; i++)
     {
       snprintf (name, sizeof name, "i-engine-%d", i);
-      PT_ASSERT (si_sampler_init (&w->engines[i], w->base, &w->rows, name, "engines", "m"));
+      PT_ASSERT (si_endpoint_init (&w->engines[i], w->base, &w->rows, name, "engines", "m"));
     }
-  PT_ASSERT (si_sampler_init (&w->lookup, w->base, &w->rows, "i-lookup", "lookups", ""));
-  PT_ASSERT (si_cloud_init (&w->cloud, w->base));
+  PT_ASSERT (si_endpoint_init (&w->lookup, w->base, &w->rows, "i-lookup", "lookups", ""));
+  PT_ASSERT (si_control_plane_init (&w->cloud, w->base));
   ps_put_config (w, 1, "");
 }
 
@@ -78,10 +78,10 @@
     }
   lh_pool_free (w->pool);
   for (int i = 0; i < PS_N_ENGINES; i++)
-    si_sampler_clear (&w->engines[i]);
-  si_sampler_clear (&w->lookup);
-  si_cloud_clear (&w->cloud);
-  si_rows_clear (&w->rows);
+    si_endpoint_clear (&w->engines[i]);
+  si_endpoint_clear (&w->lookup);
+  si_control_plane_clear (&w->cloud);
+  si_row_store_clear (&w->rows);
   event_base_free (w->base);
   free (w->body);
   for (size_t i = 0; i < w->n_instances; i++)
@@ -171,7 +171,7 @@
 const SiServer *
 ps_store_of (const PsWorld *w, size_t instance)
 {
-  return instance == 0 ? &w->rows.server : &w->rows.far;
+  return instance == 0 ? &w->rows.server : &w->rows.second_server;
 }
 
 /* NULL: the platform wants no calls. Windows of a second, so that no test waits long for one. */
@@ -383,7 +383,7 @@
       int number = atoi (item + strlen ("item"));
       snprintf (score, sizeof score, "stamp-score%d", number);
       PT_ASSERT (strcmp (lb_json_text (result, "state", ""), "completed") == 0);
-      PT_ASSERT (is_whole_text (item, lb_json_text (result, "text", ""), w->engines[0].events));
+      PT_ASSERT (is_whole_text (item, lb_json_text (result, "text", ""), w->engines[0].n_events));
       PT_ASSERT (strcmp (lb_json_text (result, "score", ""), score) == 0);
       PT_ASSERT_MSG (seen[number]++ == 0, "%s stands twice", item);
     }
@@ -396,7 +396,7 @@
   size_t n = 0;
 
   for (int i = 0; i < PS_N_ENGINES; i++)
-    n += w->engines[i].n_runs;
+    n += w->engines[i].n_stream_records;
   return n;
 }
 
--- a/tests/process/pt-shared.h
+++ b/tests/process/pt-shared.h
@@ -3,8 +3,8 @@
 
 #include "pt-process.h"
 #include "pt-relay.h"
-#include "si-cloud.h"
-#include "si-sampler.h"
+#include "si-control-plane.h"
+#include "si-endpoint.h"
 
 #include "lb-clock.h"
 #include "lh-fetch.h"
@@ -32,10 +32,11 @@
   struct event_base *base;
   LhPool *pool;
   char folder[64];
-  SiRows rows;
-  SiSampler engines[PS_N_ENGINES];
-  SiSampler lookup;
-  SiCloud cloud; /* the platform beside its store; instances call it where has_duties is set */
+  SiRowStore rows;
+  SiEndpoint engines[PS_N_ENGINES];
+  SiEndpoint lookup;
+  SiControlPlane
+      cloud; /* the platform beside its store; instances call it where has_duties is set */
   bool has_duties;
   PsInstance instances[PS_MAX_INSTANCES];
   size_t n_instances;
--- a/tests/process/pt-world.c
+++ b/tests/process/pt-world.c
@@ -303,8 +303,8 @@
   json_object_object_add (list, "instances", instances);
   json_object_object_add (list, "endpoints", json_object_new_array ());
   json_object_object_add (order, "instances", list);
-  json_object_put (si_client_json (&world->client, world->platform.address, "/control",
-                                   json_object_to_json_string (order)));
+  json_object_put (si_client_call_json (&world->client, world->platform.address, "/control",
+                                        json_object_to_json_string (order)));
   json_object_put (order);
 }
 
@@ -313,11 +313,11 @@
 {
   const PtProgram *instance = user;
   const SiCall call = { .method = "GET", .address = instance->address, .path = "/readyz" };
-  SiAnswer answer;
+  SiResponse answer;
 
   si_client_call (&world->client, &call, &answer);
-  bool ready = si_answer_is_ok (&answer);
-  si_answer_clear (&answer);
+  bool ready = si_response_is_ok (&answer);
+  si_response_clear (&answer);
   return ready;
 }
 
@@ -355,7 +355,8 @@
 void
 pt_fault (PtWorld *world, PtProgram *program, const char *order)
 {
-  struct json_object *reply = si_client_json (&world->client, program->address, "/faults", order);
+  struct json_object *reply
+      = si_client_call_json (&world->client, program->address, "/faults", order);
 
   PT_ASSERT_MSG (reply != NULL, "fault not taken: %s", order);
   json_object_put (reply);
@@ -364,7 +365,7 @@
 struct json_object *
 pt_log (PtWorld *world, PtProgram *program)
 {
-  struct json_object *log = si_client_json (&world->client, program->address, "/log", NULL);
+  struct json_object *log = si_client_call_json (&world->client, program->address, "/log", NULL);
 
   PT_ASSERT_MSG (log != NULL, "%s has no log", program->name);
   return log;
@@ -436,12 +437,12 @@
 
 typedef struct
 {
-  SiLiveResult result;
+  SiCheckedCallResult result;
   bool done;
 } LiveWait;
 
 static void
-on_live (const SiLiveResult *result, void *user)
+on_live (const SiCheckedCallResult *result, void *user)
 {
   LiveWait *wait = user;
 
@@ -456,12 +457,12 @@
   return ((LiveWait *)user)->done;
 }
 
-SiLiveResult
-pt_live (PtWorld *world, const SiLiveSpec *spec)
+SiCheckedCallResult
+pt_live (PtWorld *world, const SiCheckedCallSpec *spec)
 {
   LiveWait wait = { .done = false };
 
-  si_live_start (world->client.pool, spec, on_live, &wait);
+  si_checked_call_start (world->client.pool, spec, on_live, &wait);
   pt_wait (world, "the answer of a live call", live_is_done, &wait);
   return wait.result;
 }
--- a/tests/process/pt-world.h
+++ b/tests/process/pt-world.h
@@ -3,7 +3,7 @@
 
 #include "pt-process.h"
 #include "si-client.h"
-#include "si-live.h"
+#include "si-checked-call.h"
 
 #define PT_MAX_PROGRAMS 16
 #define PT_TOKEN "test-token"
@@ -71,7 +71,7 @@
                PtProgram *instance,
                const char *changes,
                const char *if_match,
-               SiAnswer *answer);
+               SiResponse *answer);
 /* Waits until every running instance has the newest accepted revision in force. */
 void pt_wait_in_force (PtWorld *world);
 
@@ -88,6 +88,6 @@
 struct json_object *pt_finish (PtWorld *world, PtProcess *process);
 
 /* One live call, waited for. */
-SiLiveResult pt_live (PtWorld *world, const SiLiveSpec *spec);
+SiCheckedCallResult pt_live (PtWorld *world, const SiCheckedCallSpec *spec);
 
 #endif
--- a/tests/process/test-chaos.c
+++ b/tests/process/test-chaos.c
@@ -184,7 +184,7 @@
   snprintf (order, sizeof order, "{\"weights\": {\"pool\": \"reader\", \"version\": %lld}}",
             (long long)++scene->newest);
   json_object_put (
-      si_client_json (&scene->world.client, scene->world.platform.address, "/control", order));
+      si_client_call_json (&scene->world.client, scene->world.platform.address, "/control", order));
   pause_for (scene, 300, 900);
 }
 
--- a/tests/process/test-config.c
+++ b/tests/process/test-config.c
@@ -39,12 +39,13 @@
                         .path = "/v1/status",
                         .headers = headers,
                         .n_headers = 1,
-                        .silence = LB_SEC };
-  SiAnswer answer;
+                        .idle_timeout = LB_SEC };
+  SiResponse answer;
 
   si_client_call (&world.client, &call, &answer);
-  struct json_object *object = si_answer_is_ok (&answer) ? json_tokener_parse (answer.body) : NULL;
-  si_answer_clear (&answer);
+  struct json_object *object
+      = si_response_is_ok (&answer) ? json_tokener_parse (answer.body) : NULL;
+  si_response_clear (&answer);
   return object;
 }
 
@@ -52,15 +53,15 @@
 metric_of (const PtProgram *instance, const char *name)
 {
   const SiCall call = { .method = "GET", .address = instance->address, .path = "/metrics" };
-  SiAnswer answer;
+  SiResponse answer;
 
   si_client_call (&world.client, &call, &answer);
-  cr_assert (si_answer_is_ok (&answer));
+  cr_assert (si_response_is_ok (&answer));
   const char *line = strstr (answer.body, name);
   while (line && line > answer.body && line[-1] != '\n')
     line = strstr (line + 1, name);
   int64_t value = line ? strtoll (line + strlen (name), NULL, 10) : 0;
-  si_answer_clear (&answer);
+  si_response_clear (&answer);
   return value;
 }
 
@@ -69,11 +70,11 @@
 {
   const PtProgram *instance = user;
   const SiCall call = { .method = "GET", .address = instance->address, .path = "/readyz" };
-  SiAnswer answer;
+  SiResponse answer;
 
   si_client_call (&w->client, &call, &answer);
-  bool ready = si_answer_is_ok (&answer);
-  si_answer_clear (&answer);
+  bool ready = si_response_is_ok (&answer);
+  si_response_clear (&answer);
   return ready;
 }
 
@@ -116,12 +117,12 @@
 static int
 change (PtProgram *instance, const char *changes, const char *if_match, LbName error)
 {
-  SiAnswer answer;
+  SiResponse answer;
 
   pt_apply (&world, instance, changes, if_match, &answer);
   int result = answer.status;
-  lb_strlcpy (error, si_answer_error (&answer), LB_NAME_MAX);
-  si_answer_clear (&answer);
+  lb_strlcpy (error, si_response_error (&answer), LB_NAME_MAX);
+  si_response_clear (&answer);
   return result;
 }
 
@@ -159,10 +160,10 @@
 
   const SiCall call
       = { .method = "POST", .address = first->address, .path = "/v1/resources", .body = "{}" };
-  SiAnswer answer;
+  SiResponse answer;
   si_client_call (&world.client, &call, &answer);
   cr_assert_eq (answer.status, 401);
-  si_answer_clear (&answer);
+  si_response_clear (&answer);
   cr_assert_eq (metric_of (first, "lentilspindle_operator_refused_total "), 1);
 }
 
@@ -211,7 +212,7 @@
   start_instances (3);
   PtProgram *engine = pt_start_engine (&world, "engine-1", NULL);
   PtProgram *last = &world.instances[2];
-  const SiLiveSpec spec
+  const SiCheckedCallSpec spec
       = { .address = last->address, .model = "reader", .prompt = "an envelope", .max_tokens = 4 };
   pt_apply_all (&world, &world.instances[0]);
   pt_wait_in_force (&world);
@@ -219,11 +220,11 @@
   pt_process_clear (&world.instances[0].process);
   pt_process_clear (&world.instances[1].process);
   pt_wait (&world, "the last one stops new work", is_not_ready, last);
-  cr_assert_eq (pt_live (&world, &spec).outcome, SI_LIVE_NOT_RUN);
+  cr_assert_eq (pt_live (&world, &spec).outcome, SI_CALL_NOT_RUN);
   cr_assert_eq (pt_runs (&world, engine, spec.prompt), 0);
   pt_fault (&world, &world.platform, "{\"mode\": \"none\"}");
   pt_wait_ready (&world, last);
-  cr_assert_eq (pt_live (&world, &spec).outcome, SI_LIVE_WHOLE);
+  cr_assert_eq (pt_live (&world, &spec).outcome, SI_CALL_COMPLETE);
 }
 
 /* --- leases and weights --- */
@@ -269,7 +270,7 @@
   for (size_t i = 0; i < w->n_endpoints; i++)
     {
       struct json_object *load
-          = si_client_json (&w->client, w->endpoints[i].address, "/load", NULL);
+          = si_client_call_json (&w->client, w->endpoints[i].address, "/load", NULL);
       int64_t stated = load ? si_json_int (load, "weight_version", 0) : 0;
       json_object_put (load);
       if (stated != *version)
@@ -285,7 +286,7 @@
   for (size_t i = 0; i < w->n_endpoints; i++)
     {
       struct json_object *load
-          = si_client_json (&w->client, w->endpoints[i].address, "/load", NULL);
+          = si_client_call_json (&w->client, w->endpoints[i].address, "/load", NULL);
       bool loading = load && json_object_get_boolean (json_object_object_get (load, "loading"));
       json_object_put (load);
       if (loading)
@@ -301,7 +302,7 @@
 
   snprintf (order, sizeof order, "{\"weights\": {\"pool\": \"reader\", \"version\": %lld}}",
             (long long)version);
-  json_object_put (si_client_json (&world.client, world.platform.address, "/control", order));
+  json_object_put (si_client_call_json (&world.client, world.platform.address, "/control", order));
 }
 
 /* Three instances and four engines at version 40, one of which takes any order; the holder of the
--- a/tests/process/test-crashing-services.c
+++ b/tests/process/test-crashing-services.c
@@ -31,15 +31,15 @@
     pt_wait_ready (world, &world->instances[i]);
 }
 
-static SiLiveResult
+static SiCheckedCallResult
 order (PtWorld *world, size_t instance, const char *text)
 {
-  const SiLiveSpec spec = { .kind = SI_LIVE_SERVICE,
-                            .address = world->instances[instance].address,
-                            .model = "/services/lookup/order",
-                            .prompt = text,
-                            /* Retries of the one are not to use up the other's. */
-                            .caller = strcmp (text, BAD) == 0 ? "shop" : "clerk" };
+  const SiCheckedCallSpec spec = { .kind = SI_CHECKED_CALL_SERVICE,
+                                   .address = world->instances[instance].address,
+                                   .model = "/services/lookup/order",
+                                   .prompt = text,
+                                   /* Retries of the one are not to use up the other's. */
+                                   .caller = strcmp (text, BAD) == 0 ? "shop" : "clerk" };
 
   return pt_live (world, &spec);
 }
@@ -77,8 +77,8 @@
 are_reported (PtWorld *world, void *user)
 {
   (void)user;
-  struct json_object *answer = si_client_json (&world->client, world->platform.address,
-                                               "/table/scan?prefix=crash/all/", NULL);
+  struct json_object *answer = si_client_call_json (&world->client, world->platform.address,
+                                                    "/table/scan?prefix=crash/all/", NULL);
   struct json_object *rows = NULL;
   bool all = json_object_object_get_ex (answer, "rows", &rows)
              && json_object_array_length (rows) == N_ENDS;
@@ -92,7 +92,7 @@
 {
   cr_assert_eq (count_ended (world), N_ENDS);
   for (size_t i = 0; i < world->n_instances; i++)
-    cr_assert_eq (order (world, i, GOOD).outcome, SI_LIVE_WHOLE);
+    cr_assert_eq (order (world, i, GOOD).outcome, SI_CALL_COMPLETE);
 }
 
 Test (crashing_services, all_instances_keep_the_call_from_the_last_one)
@@ -103,8 +103,8 @@
   end_three (&world);
   for (size_t i = 0; i < REPEATS; i++)
     {
-      SiLiveResult result = order (&world, i % world.n_instances, BAD);
-      cr_assert_eq (result.outcome, SI_LIVE_NOT_RUN, "%s", result.error);
+      SiCheckedCallResult result = order (&world, i % world.n_instances, BAD);
+      cr_assert_eq (result.outcome, SI_CALL_NOT_RUN, "%s", result.error);
       cr_assert_str_eq (result.error, "quarantined");
       cr_assert_gt (result.retry_after, 0);
     }
--- a/tests/process/test-crashing.c
+++ b/tests/process/test-crashing.c
@@ -34,8 +34,8 @@
 typedef struct
 {
   PsWorld base;
-  SiSampler more[N_LOOKUPS - 1];
-  SiSampler *lookups[N_LOOKUPS];
+  SiEndpoint more[N_LOOKUPS - 1];
+  SiEndpoint *lookups[N_LOOKUPS];
   int sent;
 } World;
 
@@ -55,13 +55,13 @@
   for (int i = 0; i < N_LOOKUPS - 1; i++)
     {
       cr_assert (
-          si_sampler_init (&w->more[i], w->base.base, &w->base.rows, names[i], "lookups", ""));
+          si_endpoint_init (&w->more[i], w->base.base, &w->base.rows, names[i], "lookups", ""));
       w->lookups[i + 1] = &w->more[i];
     }
   for (int i = 0; i < N_LOOKUPS; i++)
-    w->lookups[i]->crashes_on = BAD;
+    w->lookups[i]->fatal_body = BAD;
   for (int i = 0; i < PS_N_ENGINES; i++)
-    w->base.engines[i].crashes_on = BAD;
+    w->base.engines[i].fatal_body = BAD;
   for (int i = 0; i < PS_MAX_INSTANCES; i++)
     ps_start_instance (&w->base);
 }
@@ -70,7 +70,7 @@
 world_clear (World *w)
 {
   for (int i = 0; i < N_LOOKUPS - 1; i++)
-    si_sampler_clear (&w->more[i]);
+    si_endpoint_clear (&w->more[i]);
   ps_world_clear (&w->base);
 }
 
@@ -116,7 +116,7 @@
   int n = 0;
 
   for (int i = 0; i < N_LOOKUPS; i++)
-    n += w->lookups[i]->crash_runs;
+    n += w->lookups[i]->fatal_requests;
   return n;
 }
 
@@ -136,7 +136,7 @@
   int n = 0;
 
   for (int i = 0; i < PS_N_ENGINES; i++)
-    n += w->base.engines[i].crash_runs;
+    n += w->base.engines[i].fatal_requests;
   return n;
 }
 
@@ -230,10 +230,10 @@
   World w;
 
   world_init (&w);
-  w.base.rows.mode = SI_ROWS_AWAY;
+  w.base.rows.mode = SI_ROW_STORE_UNAVAILABLE;
   PS_UNTIL (&w.base,
             (ps_call (&w.base, 0, "POST", "/lookup/7", "c", BAD), lookup_crashes (&w) >= 3));
-  w.base.rows.mode = SI_ROWS_WELL;
+  w.base.rows.mode = SI_ROW_STORE_NORMAL;
   pause_for (&w, LEARN_TIME);
   int before = lookup_runs (&w);
   repeat (&w, "/lookup/7");
--- a/tests/process/test-drain.c
+++ b/tests/process/test-drain.c
@@ -6,12 +6,12 @@
 
 typedef struct
 {
-  SiLiveResult result;
+  SiCheckedCallResult result;
   bool done;
 } Answer;
 
 static void
-on_answer (const SiLiveResult *result, void *user)
+on_answer (const SiCheckedCallResult *result, void *user)
 {
   Answer *answer = user;
 
@@ -53,24 +53,24 @@
   PtProgram *instance = pt_start_instance (&world, "i1", "hall-a");
   pt_apply_all (&world, instance);
   pt_wait_ready (&world, instance);
-  SiLiveSpec spec = { .address = instance->address,
-                      .model = "reader",
-                      .prompt = "a long envelope",
-                      .max_tokens = 120,
-                      .stream = true };
-  si_live_start (world.client.pool, &spec, on_answer, &answer);
+  SiCheckedCallSpec spec = { .address = instance->address,
+                             .model = "reader",
+                             .prompt = "a long envelope",
+                             .max_tokens = 120,
+                             .stream = true };
+  si_checked_call_start (world.client.pool, &spec, on_answer, &answer);
   pt_wait (&world, "the engine has the call", engine_has_started, engine);
 
   pt_process_signal (&instance->process, SIGTERM);
   pt_process_signal (&instance->process, SIGTERM);
   si_client_pause (&world.client, 100 * LB_MSEC);
   spec.prompt = "another";
-  SiLiveResult refused = pt_live (&world, &spec);
-  cr_assert_eq (refused.outcome, SI_LIVE_NOT_RUN, "%d %s", refused.outcome, refused.error);
+  SiCheckedCallResult refused = pt_live (&world, &spec);
+  cr_assert_eq (refused.outcome, SI_CALL_NOT_RUN, "%d %s", refused.outcome, refused.error);
   cr_assert_eq (pt_runs (&world, engine, "another"), 0);
 
   pt_wait (&world, "the stream ends", is_answered, &answer);
-  cr_assert_eq (answer.result.outcome, SI_LIVE_WHOLE, "%d %s", answer.result.outcome,
+  cr_assert_eq (answer.result.outcome, SI_CALL_COMPLETE, "%d %s", answer.result.outcome,
                 answer.result.error);
   pt_wait_exit (&world, &instance->process, 0);
   pt_world_clear (&world);
@@ -85,12 +85,12 @@
                         .path = "/v1/subscriptions/reader-trainer/pull",
                         .body = "{\"step\": 1, \"cursor\": \"\", \"weight_version\": 1, "
                                 "\"max_samples\": 1, \"wait_ms\": 10}",
-                        .silence = LB_SEC };
-  SiAnswer answer;
+                        .idle_timeout = LB_SEC };
+  SiResponse answer;
 
   si_client_call (&world->client, &call, &answer);
-  bool turned_away = strcmp (si_answer_error (&answer), "draining") == 0;
-  si_answer_clear (&answer);
+  bool turned_away = strcmp (si_response_error (&answer), "draining") == 0;
+  si_response_clear (&answer);
   return turned_away;
 }
 
@@ -112,23 +112,23 @@
   pt_apply_all (&world, leaving);
   pt_wait_ready (&world, leaving);
   pt_wait_ready (&world, owner);
-  json_object_put (si_client_json (
+  json_object_put (si_client_call_json (
       &world.client, owner->address, "/v1/subscriptions/reader-trainer/steps",
       "{\"step\": 1, \"weight_version\": 1, \"groups\": [{\"id\": \"g0\", \"prompt\": \"p\", "
       "\"samples\": 1, \"max_tokens\": 120}]}"));
   pt_wait (&world, "the step runs", engine_has_started, engine);
-  const SiLiveSpec spec = { .address = leaving->address,
-                            .model = "reader",
-                            .prompt = "a long envelope",
-                            .max_tokens = 120,
-                            .stream = true };
-  si_live_start (world.client.pool, &spec, on_answer, &answer);
+  const SiCheckedCallSpec spec = { .address = leaving->address,
+                                   .model = "reader",
+                                   .prompt = "a long envelope",
+                                   .max_tokens = 120,
+                                   .stream = true };
+  si_checked_call_start (world.client.pool, &spec, on_answer, &answer);
   pt_wait (&world, "the stream runs", stream_has_started, engine);
 
   pt_process_signal (&leaving->process, SIGTERM);
   pt_wait (&world, "the trainer is turned away", pull_is_turned_away, leaving);
   pt_wait (&world, "the stream ends", is_answered, &answer);
-  cr_assert_eq (answer.result.outcome, SI_LIVE_WHOLE);
+  cr_assert_eq (answer.result.outcome, SI_CALL_COMPLETE);
   pt_wait_exit (&world, &leaving->process, 0);
   pt_world_drain (&world);
   pt_world_clear (&world);
--- a/tests/process/test-duties.c
+++ b/tests/process/test-duties.c
@@ -45,8 +45,8 @@
 static bool
 is_reported (const PsWorld *w, int64_t post, int64_t mill)
 {
-  return si_cloud_requests_of (&w->cloud, "post") == post
-         && si_cloud_requests_of (&w->cloud, "mill") == mill;
+  return si_control_plane_count_requests (&w->cloud, "post") == post
+         && si_control_plane_count_requests (&w->cloud, "mill") == mill;
 }
 
 static size_t
@@ -54,7 +54,7 @@
 {
   for (size_t i = 0; i < w->n_instances; i++)
     if (w->cloud.n_reports > 0
-        && strcmp (w->cloud.reports[w->cloud.n_reports - 1].holder, w->instances[i].name) == 0)
+        && strcmp (w->cloud.reports[w->cloud.n_reports - 1].duty_holder, w->instances[i].name) == 0)
       return i;
   return w->n_instances;
 }
@@ -62,8 +62,8 @@
 static void
 end (PsWorld *w)
 {
-  cr_assert_eq (w->cloud.differing, 0);
-  cr_assert_eq (w->cloud.without_one, 0);
+  cr_assert_eq (w->cloud.conflicting_reports, 0);
+  cr_assert_eq (w->cloud.unidentified_calls, 0);
   ps_world_clear (w);
 }
 
@@ -76,7 +76,7 @@
   call (&w, 1, "post-1", 2);
   call (&w, 1, "mill-1", 3);
   PS_UNTIL (&w, is_reported (&w, 7, 3));
-  cr_assert_eq (w.cloud.stale, 0);
+  cr_assert_eq (w.cloud.stale_calls, 0);
   end (&w);
 }
 
@@ -87,7 +87,7 @@
   PsWorld w;
 
   begin (&w);
-  w.lookup.call_time = 8 * LB_SEC;
+  w.lookup.call_duration = 8 * LB_SEC;
   w.key = "post-1";
   int before = w.answers;
   ps_begin_call (&w, 0, "POST", "/lookup/1", "long", "");
@@ -109,7 +109,7 @@
   PS_UNTIL (&w, holder (&w) < w.n_instances);
   size_t killed = holder (&w);
   call (&w, killed, "post-1", 4);
-  PS_UNTIL (&w, si_rows_count (&w.rows, "usage") > 0);
+  PS_UNTIL (&w, si_row_store_count (&w.rows, "usage") > 0);
   for (LbTime until = lb_clock_monotonic () + 300 * LB_MSEC; lb_clock_monotonic () < until;)
     ps_turn (&w);
   pt_process_signal (&w.instances[killed].process, SIGKILL);
@@ -125,14 +125,14 @@
   PsWorld w;
 
   begin (&w);
-  w.cloud.mode = SI_CLOUD_LOSES_REPLY;
+  w.cloud.mode = SI_CONTROL_PLANE_LOSES_REPLY;
   call (&w, 0, "post-1", 3);
   int calls = w.cloud.calls;
   PS_UNTIL (&w, w.cloud.calls >= calls + 4);
-  w.cloud.mode = SI_CLOUD_BUSY;
+  w.cloud.mode = SI_CONTROL_PLANE_BUSY;
   calls = w.cloud.calls;
   PS_UNTIL (&w, w.cloud.calls >= calls + 4);
-  w.cloud.mode = SI_CLOUD_WELL;
+  w.cloud.mode = SI_CONTROL_PLANE_NORMAL;
   call (&w, 1, "post-1", 1);
   PS_UNTIL (&w, is_reported (&w, 4, 0));
   end (&w);
--- a/tests/process/test-endpoints.c
+++ b/tests/process/test-endpoints.c
@@ -63,7 +63,7 @@
 leave_by_resource (PtWorld *world, PtProgram *engine)
 {
   char changes[512];
-  SiAnswer answer;
+  SiResponse answer;
 
   snprintf (changes, sizeof changes,
             "{\"apply\": [{\"kind\": \"endpoint\", \"name\": \"%s\", \"type\": \"engine\","
@@ -71,8 +71,8 @@
             " \"concurrency\": 32, \"checks_fence\": true, \"leaving\": true}]}",
             engine->name, engine->address);
   pt_apply (world, &world->instances[0], changes, "*", &answer);
-  cr_assert (si_answer_is_ok (&answer), "%s", answer.body);
-  si_answer_clear (&answer);
+  cr_assert (si_response_is_ok (&answer), "%s", answer.body);
+  si_response_clear (&answer);
 }
 
 /* An engine says that it leaves, to be shut down soon. New work that still goes there, by a retry,
--- a/tests/process/test-membership.c
+++ b/tests/process/test-membership.c
@@ -20,8 +20,9 @@
 static bool
 ask_entry (PtWorld *world, Naming *naming)
 {
-  struct json_object *answer = si_client_json (&world->client, naming->asked->address,
-                                               "/v1/entry?caller=clerk-1&data_centre=hall-b", NULL);
+  struct json_object *answer
+      = si_client_call_json (&world->client, naming->asked->address,
+                             "/v1/entry?caller=clerk-1&data_centre=hall-b", NULL);
   struct json_object *addresses = answer ? json_object_object_get (answer, "addresses") : NULL;
   bool found = false;
 
@@ -54,12 +55,12 @@
 {
   const SiCall call = { .method = "GET", .address = instance->address, .path = "/metrics" };
   char *start = lb_asprintf ("\n%s ", name);
-  SiAnswer answer;
+  SiResponse answer;
 
   si_client_call (&world->client, &call, &answer);
   const char *at = answer.body ? strstr (answer.body, start) : NULL;
   int64_t value = at ? strtoll (at + strlen (start), NULL, 10) : -1;
-  si_answer_clear (&answer);
+  si_response_clear (&answer);
   free (start);
   return value;
 }
--- a/tests/process/test-once.c
+++ b/tests/process/test-once.c
@@ -9,12 +9,12 @@
 
 typedef struct
 {
-  SiLiveResult result;
+  SiCheckedCallResult result;
   bool done;
 } Answer;
 
 static void
-on_answer (const SiLiveResult *result, void *user)
+on_answer (const SiCheckedCallResult *result, void *user)
 {
   Answer *answer = user;
 
@@ -63,7 +63,7 @@
 take_ticket (PtWorld *world, PtProgram *instance)
 {
   struct json_object *reply
-      = si_client_json (&world->client, instance->address, "/v1/tickets", "{}");
+      = si_client_call_json (&world->client, instance->address, "/v1/tickets", "{}");
 
   cr_assert_not_null (reply);
   char *ticket = lb_strdup (si_json_text (reply, "ticket", ""));
@@ -71,35 +71,35 @@
   return ticket;
 }
 
-static SiLiveSpec
+static SiCheckedCallSpec
 order_at (const PtProgram *instance, const char *order)
 {
-  return (SiLiveSpec){ .kind = SI_LIVE_SERVICE,
-                       .address = instance->address,
-                       .model = "/services/lookup/order",
-                       .prompt = "two bags of rice",
-                       .order = order,
-                       .deadline_ms = "20000",
-                       .silence = PT_LIMIT };
+  return (SiCheckedCallSpec){ .kind = SI_CHECKED_CALL_SERVICE,
+                              .address = instance->address,
+                              .model = "/services/lookup/order",
+                              .prompt = "two bags of rice",
+                              .order = order,
+                              .deadline_ms = "20000",
+                              .idle_timeout = PT_LIMIT };
 }
 
 /* The instance is killed while the order runs; the shop's application, which sees a closed
  * connection, sends the same call to the next instance, several times. */
 static void
-kill_and_repeat (PtWorld *world, SiLiveSpec *spec)
+kill_and_repeat (PtWorld *world, SiCheckedCallSpec *spec)
 {
   Answer answer = { .done = false };
 
-  si_live_start (world->client.pool, spec, on_answer, &answer);
+  si_checked_call_start (world->client.pool, spec, on_answer, &answer);
   pt_wait (world, "the order runs", has_run_anywhere, (void *)spec->order);
   pt_process_signal (&world->instances[0].process, SIGKILL);
   pt_wait (world, "the connection breaks", is_answered, &answer);
-  cr_assert_eq (answer.result.outcome, SI_LIVE_ERROR, "%s", answer.result.error);
+  cr_assert_eq (answer.result.outcome, SI_CALL_FAILED, "%s", answer.result.error);
   for (size_t i = 1; i < world->n_instances; i++)
     {
       spec->address = world->instances[i].address;
-      SiLiveResult repeat = pt_live (world, spec);
-      cr_assert_eq (repeat.outcome, SI_LIVE_ERROR, "%d %s", repeat.outcome, repeat.error);
+      SiCheckedCallResult repeat = pt_live (world, spec);
+      cr_assert_eq (repeat.outcome, SI_CALL_FAILED, "%d %s", repeat.outcome, repeat.error);
       cr_assert_str_eq (repeat.error, "outcome_unknown");
     }
   cr_assert_eq (count_runs (world, spec->order), 1);
@@ -114,7 +114,7 @@
 
   scene_open (&world);
   char *ticket = take_ticket (&world, &world.instances[0]);
-  SiLiveSpec spec = order_at (&world.instances[0], "order-1");
+  SiCheckedCallSpec spec = order_at (&world.instances[0], "order-1");
   spec.ticket = ticket;
   kill_and_repeat (&world, &spec);
   free (ticket);
@@ -129,7 +129,7 @@
   PtWorld world;
 
   scene_open (&world);
-  SiLiveSpec spec = order_at (&world.instances[0], "order-2");
+  SiCheckedCallSpec spec = order_at (&world.instances[0], "order-2");
   spec.idempotency_key = "key-2";
   kill_and_repeat (&world, &spec);
   pt_world_drain (&world);
@@ -145,17 +145,17 @@
 
   scene_open (&world);
   char *ticket = take_ticket (&world, &world.instances[0]);
-  SiLiveSpec spec = order_at (&world.instances[0], "order-3");
+  SiCheckedCallSpec spec = order_at (&world.instances[0], "order-3");
   spec.ticket = ticket;
-  si_live_start (world.client.pool, &spec, on_answer, &first);
+  si_checked_call_start (world.client.pool, &spec, on_answer, &first);
   spec.address = world.instances[1].address;
-  SiLiveResult second = pt_live (&world, &spec);
+  SiCheckedCallResult second = pt_live (&world, &spec);
   pt_wait (&world, "the first is answered", is_answered, &first);
-  cr_assert_eq (first.result.outcome, SI_LIVE_WHOLE, "%s", first.result.error);
-  cr_assert_eq (second.outcome, SI_LIVE_WHOLE, "%d %s", second.outcome, second.error);
+  cr_assert_eq (first.result.outcome, SI_CALL_COMPLETE, "%s", first.result.error);
+  cr_assert_eq (second.outcome, SI_CALL_COMPLETE, "%d %s", second.outcome, second.error);
   spec.address = world.instances[2].address;
-  SiLiveResult third = pt_live (&world, &spec);
-  cr_assert_eq (third.outcome, SI_LIVE_WHOLE, "%d %s", third.outcome, third.error);
+  SiCheckedCallResult third = pt_live (&world, &spec);
+  cr_assert_eq (third.outcome, SI_CALL_COMPLETE, "%d %s", third.outcome, third.error);
   cr_assert_eq (count_runs (&world, "order-3"), 1);
   free (ticket);
   pt_world_drain (&world);
--- a/tests/process/test-organisations.c
+++ b/tests/process/test-organisations.c
@@ -62,7 +62,7 @@
   w.key = NULL;
   cr_assert_eq (status_of (&w, a, "POST", "/lookup/s", "c3"), 200, "an open route needs no key");
   cr_assert_str_eq (w.lookup.organisation, "", "and nobody is named on it");
-  cr_assert_eq (w.lookup.keys, 0);
+  cr_assert_eq (w.lookup.leaked_keys, 0);
   cr_assert_eq (ps_count_logged (&w, a, "post-1"), 0, "no log gives a key away");
   ps_world_clear (&w);
 }
@@ -71,7 +71,7 @@
 {
   PsWorld w;
   size_t a = begin (&w);
-  int calls = w.lookup.calls;
+  int calls = w.lookup.n_calls;
 
   w.key = NULL;
   cr_assert_eq (status_of (&w, a, "POST", "/lookup/1", "c1"), 401);
@@ -83,7 +83,7 @@
   w.key = "post-1";
   w.more_key = "mill-1";
   cr_assert_eq (status_of (&w, a, "POST", "/lookup/1", "c5"), 400);
-  cr_assert_eq (w.lookup.calls, calls);
+  cr_assert_eq (w.lookup.n_calls, calls);
   ps_world_clear (&w);
 }
 
@@ -115,19 +115,19 @@
   int before = w.answers;
   char id[16];
 
-  w.lookup.call_time = 3 * LB_SEC;
+  w.lookup.call_duration = 3 * LB_SEC;
   for (int i = 0; i < N_CALLS; i++)
     {
       snprintf (id, sizeof id, "w%d", i);
       ps_begin_call (&w, a, "POST", "/lookup/1", id, "");
     }
-  PS_UNTIL (&w, w.lookup.calls >= 8);
+  PS_UNTIL (&w, w.lookup.n_calls >= 8);
   take_post_1_away (&w);
   PS_UNTIL (&w, w.answers > before);
   cr_assert_eq (w.status, 401, "the first answer is to one that waited");
-  int sent = w.lookup.calls;
+  int sent = w.lookup.n_calls;
   PS_UNTIL (&w, w.answers == before + N_CALLS);
-  cr_assert_eq (w.lookup.calls, sent);
+  cr_assert_eq (w.lookup.n_calls, sent);
   ps_world_clear (&w);
 }
 
@@ -164,8 +164,9 @@
   cr_assert_eq (status_of (&w, a, "DELETE", "/-/lots/b1", ""), 200);
   for (int i = 0; i < PS_N_ENGINES; i++)
     {
-      cr_assert_eq (w.engines[i].keys, 0);
-      cr_assert (w.engines[i].n_runs == 0 || strcmp (w.engines[i].organisation, "post") == 0);
+      cr_assert_eq (w.engines[i].leaked_keys, 0);
+      cr_assert (w.engines[i].n_stream_records == 0
+                 || strcmp (w.engines[i].organisation, "post") == 0);
     }
   ps_world_clear (&w);
 }
@@ -200,7 +201,7 @@
 
   ps_start_instance (&w);
   for (int i = 0; i < PS_N_ENGINES; i++)
-    w.engines[i].event_time = 60 * LB_MSEC;
+    w.engines[i].event_interval = 60 * LB_MSEC;
   ps_submit (&w, a, "b1", 6);
   cr_assert_eq (w.status, 202);
   PS_UNTIL (&w, (owner = ps_find_owner (&w)) < w.n_instances);
--- a/tests/process/test-shared.c
+++ b/tests/process/test-shared.c
@@ -50,11 +50,11 @@
 
   ps_world_init (&w);
   size_t a = ps_start_instance (&w);
-  si_rows_put (&w.rows, "op", "", "version/m", "{\"model\": \"m\", \"version\": 2}");
+  si_row_store_put (&w.rows, "op", "", "version/m", "{\"model\": \"m\", \"version\": 2}");
   PS_UNTIL (&w,
             w.engines[0].version == 2 && w.engines[1].version == 2 && w.engines[2].version == 2);
   for (int i = 0; i < PS_N_ENGINES; i++)
-    cr_assert_eq (w.engines[i].orders, 1);
+    cr_assert_eq (w.engines[i].accepted_orders, 1);
   ps_submit (&w, a, "b1", 1);
   PS_UNTIL (&w, ps_count_listed (&w, a, "b1") == 1);
   struct json_object *page = ps_read_results (&w, a, "b1");
@@ -80,12 +80,12 @@
     {
       char row[64];
       snprintf (row, sizeof row, "{\"model\": \"m\", \"version\": %d}", version);
-      si_rows_put (&w.rows, "op", "", "version/m", row);
+      si_row_store_put (&w.rows, "op", "", "version/m", row);
       PS_UNTIL (&w, w.engines[0].version == version && w.engines[1].version == version
                         && w.engines[2].version == version);
-      si_sampler_start_again (&w.engines[version % PS_N_ENGINES]);
+      si_endpoint_restart (&w.engines[version % PS_N_ENGINES]);
     }
-  cr_assert_eq (w.engines[0].misplaced, 0);
+  cr_assert_eq (w.engines[0].misdirected, 0);
   ps_world_clear (&w);
 }
 
@@ -111,7 +111,7 @@
                             20000 + index, state);
 
   snprintf (key, sizeof key, "i-other-%02d", index);
-  si_rows_put (&w->rows, "servers", "", key, text);
+  si_row_store_put (&w->rows, "servers", "", key, text);
   free (text);
 }
 
@@ -205,11 +205,12 @@
   PsWorld w;
 
   ps_world_init (&w);
-  si_rows_put (&w.rows, "servers", "", "i-stray", stray);
-  si_rows_put (&w.rows, "servers", "", "i-half", "{\"service\": \"lookups\", \"slots\": \"many\"}");
-  si_rows_put (&w.rows, "servers", "", "i-bytes", "\x01\x02");
+  si_row_store_put (&w.rows, "servers", "", "i-stray", stray);
+  si_row_store_put (&w.rows, "servers", "", "i-half",
+                    "{\"service\": \"lookups\", \"slots\": \"many\"}");
+  si_row_store_put (&w.rows, "servers", "", "i-bytes", "\x01\x02");
   size_t a = ps_start_instance (&w);
-  si_rows_put (&w.rows, "op", "", "version/m", "{\"model\": \"m\", \"version\": 2}");
+  si_row_store_put (&w.rows, "op", "", "version/m", "{\"model\": \"m\", \"version\": 2}");
   PS_UNTIL (&w,
             w.engines[0].version == 2 && w.engines[1].version == 2 && w.engines[2].version == 2);
   for (int i = 0; i < 10; i++)
@@ -234,7 +235,7 @@
 
   ps_world_init (&w);
   ps_start_instance (&w);
-  w.rows.away_table = "servers";
+  w.rows.unavailable_table = "servers";
   ps_launch_instance (&w);
   LbTime end = lb_clock_monotonic () + LB_SEC;
   while (lb_clock_monotonic () < end)
@@ -243,7 +244,7 @@
       cr_assert_eq (w.status, 503, "%s", w.body);
       cr_assert_neq (w.retry_after[0], '\0');
     }
-  w.rows.away_table = NULL;
+  w.rows.unavailable_table = NULL;
   PS_UNTIL (&w, ps_is_ready (&w, 1));
   ps_call (&w, 1, "POST", "/lookup/1", "c2", "hello");
   cr_assert_eq (w.status, 200);
@@ -283,7 +284,7 @@
   ps_call (&w, 0, "GET", "/metrics", "c1", "");
   cr_assert_eq (w.status, 200);
   cr_assert_null (strstr (w.body, "lentilspindle_requests_total"), "%s", w.body);
-  cr_assert_eq (w.lookup.calls, 1);
+  cr_assert_eq (w.lookup.n_calls, 1);
   ps_read_metrics (&w, 0);
   cr_assert_eq (w.status, 200);
   cr_assert (strstr (w.body, "lentilspindle_requests_total"));
@@ -299,7 +300,7 @@
 
   ps_world_init (&w);
   for (int i = 0; i < PS_N_ENGINES; i++)
-    w.engines[i].event_time = 40 * LB_MSEC;
+    w.engines[i].event_interval = 40 * LB_MSEC;
   ps_start_instance (&w);
   ps_start_instance (&w);
   ps_submit (&w, 0, "b1", 40);
@@ -312,7 +313,7 @@
     {
       char name[8];
       snprintf (name, sizeof name, "%02x", part);
-      encoded = si_rows_get (&w.rows, "head", name, "b1");
+      encoded = si_row_store_get (&w.rows, "head", name, "b1");
     }
   cr_assert (encoded);
   size_t survivor = 0;
@@ -351,7 +352,7 @@
   ps_begin_call (&w, 1, "POST", "/steps/1", "b1", body);
   PS_UNTIL (&w, w.answers == before + 2);
   cr_assert_eq (w.status, 202);
-  cr_assert_eq (si_rows_count (&w.rows, "head"), 1);
+  cr_assert_eq (si_row_store_count (&w.rows, "head"), 1);
   PS_UNTIL (&w, ps_count_listed (&w, 0, "b1") == 6);
   ps_assert_all_listed (&w, 1, "b1", 6);
   cr_assert_eq (ps_count_runs (&w), 6);
@@ -369,13 +370,13 @@
 
   ps_world_init (&w);
   for (int i = 0; i < PS_N_ENGINES; i++)
-    w.engines[i].event_time = 100 * LB_MSEC;
+    w.engines[i].event_interval = 100 * LB_MSEC;
   ps_start_instance (&w);
   ps_start_instance (&w);
   ps_submit (&w, 0, "b1", 4);
   PS_UNTIL (&w, (owner = ps_find_owner (&w)) < 2);
   PS_UNTIL (&w, ps_count_listed (&w, 0, "b1") == 4);
-  w.rows.late = ps_store_of (&w, 1 - owner);
+  w.rows.delayed_server = ps_store_of (&w, 1 - owner);
   /* A watch that began before is over. */
   LbTime end = lb_clock_monotonic () + LB_SEC;
   PS_UNTIL (&w, lb_clock_monotonic () >= end);
@@ -397,13 +398,13 @@
 
   ps_world_init (&w);
   for (int i = 0; i < PS_N_ENGINES; i++)
-    w.engines[i].event_time = 150 * LB_MSEC;
+    w.engines[i].event_interval = 150 * LB_MSEC;
   ps_start_instance (&w);
   ps_start_instance (&w);
   ps_submit (&w, 0, "b1", 2);
   PS_UNTIL (&w, (preferred = ps_find_owner (&w)) < 2);
   PS_UNTIL (&w, ps_count_listed (&w, 0, "b1") == 2);
-  w.rows.late = ps_store_of (&w, preferred);
+  w.rows.delayed_server = ps_store_of (&w, preferred);
   /* A watch that began before is over. */
   LbTime end = lb_clock_monotonic () + LB_SEC;
   PS_UNTIL (&w, lb_clock_monotonic () >= end);
@@ -427,11 +428,11 @@
   ps_world_init (&w);
   ps_start_instance (&w);
   ps_start_instance (&w);
-  PS_UNTIL (&w, si_rows_count (&w.rows, "instance") == 2);
-  PS_UNTIL (&w, si_rows_count (&w.rows, "lease") == 1);
+  PS_UNTIL (&w, si_row_store_count (&w.rows, "instance") == 2);
+  PS_UNTIL (&w, si_row_store_count (&w.rows, "lease") == 1);
   for (size_t i = 0; i < 2; i++)
-    cr_assert_null (si_rows_get (&w.rows, "instance", "", names[i]));
-  cr_assert_null (si_rows_get (&w.rows, "lease", "", "weights"));
+    cr_assert_null (si_row_store_get (&w.rows, "instance", "", names[i]));
+  cr_assert_null (si_row_store_get (&w.rows, "lease", "", "weights"));
   ps_world_clear (&w);
 }
 
@@ -450,9 +451,9 @@
   PS_UNTIL (&w, ps_count_listed (&w, 0, "b2") == 3);
   ps_call (&w, 1, "DELETE", "/-/lots/b1", "", "");
   cr_assert_eq (w.status, 200);
-  PS_UNTIL (&w, si_rows_count (&w.rows, "head") == 1);
-  cr_assert_eq (si_rows_count (&w.rows, "result"), 3);
-  cr_assert_eq (si_rows_count_objects (&w.rows), 1);
+  PS_UNTIL (&w, si_row_store_count (&w.rows, "head") == 1);
+  cr_assert_eq (si_row_store_count (&w.rows, "result"), 3);
+  cr_assert_eq (si_row_store_count_objects (&w.rows), 1);
   PS_UNTIL (&w, (ps_call (&w, 0, "GET", "/-/lots/b1", "", ""), w.status == 404));
   PS_UNTIL (&w, (ps_call (&w, 1, "GET", "/-/lots/b1", "", ""), w.status == 404));
   ps_assert_all_listed (&w, 0, "b2", 3);
@@ -494,10 +495,11 @@
   ps_start_instance (&w);
   ps_submit (&w, 0, "b1", 4);
   for (int i = 0; i < 4; i++)
-    PS_UNTIL (&w, is_long_text_listed (&w, (size_t)i % 2, i, (size_t)w.engines[0].events * 40000));
+    PS_UNTIL (&w,
+              is_long_text_listed (&w, (size_t)i % 2, i, (size_t)w.engines[0].n_events * 40000));
   ps_call (&w, 0, "DELETE", "/-/lots/b1", "", "");
-  PS_UNTIL (&w, si_rows_count (&w.rows, "head") == 0);
-  cr_assert_eq (si_rows_count (&w.rows, "result") + si_rows_count (&w.rows, "more"), 0);
+  PS_UNTIL (&w, si_row_store_count (&w.rows, "head") == 0);
+  cr_assert_eq (si_row_store_count (&w.rows, "result") + si_row_store_count (&w.rows, "more"), 0);
   ps_world_clear (&w);
 }
 
@@ -511,10 +513,10 @@
   ps_world_init (&w);
   ps_start_instance (&w);
   int before = w.answers;
-  w.rows.mode = SI_ROWS_LOSES_REPLY;
+  w.rows.mode = SI_ROW_STORE_LOSES_REPLY;
   ps_begin_call (&w, 0, "POST", "/steps/1", "b1", body);
-  PS_UNTIL (&w, si_rows_count (&w.rows, "head") == 1);
-  w.rows.mode = SI_ROWS_WELL;
+  PS_UNTIL (&w, si_row_store_count (&w.rows, "head") == 1);
+  w.rows.mode = SI_ROW_STORE_NORMAL;
   PS_UNTIL (&w, w.answers > before);
   cr_assert_eq (w.status, 202);
   PS_UNTIL (&w, ps_count_listed (&w, 0, "b1") == 3);
@@ -561,11 +563,11 @@
   ps_world_init (&w);
   ps_start_instance (&w);
   w.rows.lost_replies = 1;
-  w.rows.away_once_lost = true;
+  w.rows.unavailable_after_lost_replies = true;
   ps_submit (&w, 0, "b1", 3);
   cr_assert_eq (w.status, 502);
-  cr_assert_eq (si_rows_count (&w.rows, "head"), 1);
-  w.rows.mode = SI_ROWS_WELL;
+  cr_assert_eq (si_row_store_count (&w.rows, "head"), 1);
+  w.rows.mode = SI_ROW_STORE_NORMAL;
   PS_UNTIL (&w, ps_count_listed (&w, 0, "b1") == 3);
   ps_assert_all_listed (&w, 0, "b1", 3);
   ps_world_clear (&w);
@@ -579,13 +581,13 @@
 
   ps_world_init (&w);
   ps_start_instance (&w);
-  w.rows.mode = SI_ROWS_AWAY;
+  w.rows.mode = SI_ROW_STORE_UNAVAILABLE;
   ps_submit (&w, 0, "b1", 3);
   cr_assert_eq (w.status, 503);
   cr_assert_neq (w.retry_after[0], '\0');
   ps_call (&w, 0, "POST", "/lookup/1", "c1", "hello");
   cr_assert_eq (w.status, 200);
-  w.rows.mode = SI_ROWS_WELL;
+  w.rows.mode = SI_ROW_STORE_NORMAL;
   PS_UNTIL (&w, (ps_submit (&w, 0, "b1", 3), w.status == 202));
   PS_UNTIL (&w, ps_count_listed (&w, 0, "b1") == 3);
   ps_world_clear (&w);
@@ -610,7 +612,7 @@
       cr_assert_eq (w.status, 200);
       usleep (50000);
     }
-  si_rows_put (&w.rows, "op", "", "config", "{\"version\": 9, \"routes\": \"none\"}");
+  si_row_store_put (&w.rows, "op", "", "config", "{\"version\": 9, \"routes\": \"none\"}");
   for (int i = 0; i < 20; i++)
     {
       ps_call (&w, 0, "GET", "/new/x", "c3", "");
@@ -628,7 +630,7 @@
 
   ps_world_init (&w);
   for (int i = 0; i < PS_N_ENGINES; i++)
-    w.engines[i].event_time = 40 * LB_MSEC;
+    w.engines[i].event_interval = 40 * LB_MSEC;
   ps_start_instance (&w);
   ps_start_instance (&w);
   ps_submit (&w, 0, "b1", 30);
@@ -676,8 +678,8 @@
   ps_world_init (&w);
   for (int i = 0; i < PS_N_ENGINES; i++)
     {
-      w.engines[i].events = 1000;
-      w.engines[i].event_time = 50 * LB_MSEC;
+      w.engines[i].n_events = 1000;
+      w.engines[i].event_interval = 50 * LB_MSEC;
     }
   ps_start_instance (&w);
   ps_submit (&w, 0, "b1", 6);
@@ -701,15 +703,15 @@
   ps_start_instance (&w);
   ps_submit (&w, 0, "b1", 9);
   PS_UNTIL (&w, ps_count_listed (&w, 0, "b1") == 9);
-  w.engines[0].leaving = true;
-  si_sampler_register (&w.engines[0]);
+  w.engines[0].draining = true;
+  si_endpoint_register (&w.engines[0]);
   LbTime end = lb_clock_monotonic () + 2 * LB_SEC;
   while (lb_clock_monotonic () < end)
     ps_turn (&w);
-  size_t runs = w.engines[0].n_runs;
+  size_t runs = w.engines[0].n_stream_records;
   ps_submit (&w, 0, "b2", 12);
   PS_UNTIL (&w, ps_count_listed (&w, 0, "b2") == 12);
-  cr_assert_eq (w.engines[0].n_runs, runs);
+  cr_assert_eq (w.engines[0].n_stream_records, runs);
   ps_world_clear (&w);
 }
 
@@ -724,7 +726,7 @@
   PsWorld w;
 
   ps_world_init (&w);
-  si_rows_put (&w.rows, "instance", "0", "gone", gone);
+  si_row_store_put (&w.rows, "instance", "0", "gone", gone);
   size_t a = ps_start_instance (&w);
   PS_UNTIL (&w, ps_count_logged (&w, a, "instances_listed") > 0);
   for (int i = 0; i < 50; i++)
--- a/tests/process/test-silence.c
+++ b/tests/process/test-silence.c
@@ -10,12 +10,12 @@
 
 typedef struct
 {
-  SiLiveResult result;
+  SiCheckedCallResult result;
   bool done;
 } Answer;
 
 static void
-on_answer (const SiLiveResult *result, void *user)
+on_answer (const SiCheckedCallResult *result, void *user)
 {
   Answer *answer = user;
 
@@ -92,25 +92,25 @@
   Answer answer = { .done = false };
 
   scene_open (&scene, pt_start_engine, "engine-1", slow);
-  SiLiveSpec spec = { .address = scene.instance->address,
-                      .model = "reader",
-                      .prompt = "a reply",
-                      .max_tokens = 90,
-                      .stream = true };
-  cr_assert_eq (pt_live (&scene.world, &spec).outcome, SI_LIVE_WHOLE);
+  SiCheckedCallSpec spec = { .address = scene.instance->address,
+                             .model = "reader",
+                             .prompt = "a reply",
+                             .max_tokens = 90,
+                             .stream = true };
+  cr_assert_eq (pt_live (&scene.world, &spec).outcome, SI_CALL_COMPLETE);
   spec.prompt = "another reply";
   Run run = { scene.endpoint, spec.prompt };
-  si_live_start (scene.world.client.pool, &spec, on_answer, &answer);
+  si_checked_call_start (scene.world.client.pool, &spec, on_answer, &answer);
   pt_wait (&scene.world, "the engine has the call", has_run, &run);
   si_client_pause (&scene.world.client, 300 * LB_MSEC);
   pt_relay_lose_track (&scene.relay);
 
   pt_wait (&scene.world, "the answer ends", is_answered, &answer);
-  cr_assert_eq (answer.result.outcome, SI_LIVE_WHOLE, "%d %s", answer.result.outcome,
+  cr_assert_eq (answer.result.outcome, SI_CALL_COMPLETE, "%d %s", answer.result.outcome,
                 answer.result.error);
   cr_assert_eq (pt_log_number (&scene.world, scene.endpoint, "resume_mismatches"), 0);
   spec.prompt = "a third";
-  cr_assert_eq (pt_live (&scene.world, &spec).outcome, SI_LIVE_WHOLE);
+  cr_assert_eq (pt_live (&scene.world, &spec).outcome, SI_CALL_COMPLETE);
   scene_close (&scene);
 }
 
@@ -124,20 +124,20 @@
   Answer answer = { .done = false };
 
   scene_open (&scene, pt_start_service, "lookup-1", slow);
-  SiLiveSpec spec = { .kind = SI_LIVE_SERVICE,
-                      .address = scene.instance->address,
-                      .model = "/services/lookup/order",
-                      .prompt = "send order 7",
-                      .order = "order-7",
-                      .deadline_ms = "2000",
-                      .silence = PT_LIMIT };
+  SiCheckedCallSpec spec = { .kind = SI_CHECKED_CALL_SERVICE,
+                             .address = scene.instance->address,
+                             .model = "/services/lookup/order",
+                             .prompt = "send order 7",
+                             .order = "order-7",
+                             .deadline_ms = "2000",
+                             .idle_timeout = PT_LIMIT };
   Run run = { scene.endpoint, "order-7" };
-  si_live_start (scene.world.client.pool, &spec, on_answer, &answer);
+  si_checked_call_start (scene.world.client.pool, &spec, on_answer, &answer);
   pt_wait (&scene.world, "the service has the call", has_run, &run);
   pt_relay_lose_track (&scene.relay);
 
   pt_wait (&scene.world, "the answer ends", is_answered, &answer);
-  cr_assert_eq (answer.result.outcome, SI_LIVE_ERROR, "%d %s", answer.result.outcome,
+  cr_assert_eq (answer.result.outcome, SI_CALL_FAILED, "%d %s", answer.result.outcome,
                 answer.result.error);
   cr_assert (strcmp (answer.result.error, "deadline") == 0
                  || strcmp (answer.result.error, "outcome_unknown") == 0,
@@ -145,6 +145,6 @@
   cr_assert_eq (pt_runs (&scene.world, scene.endpoint, "order-7"), 1);
   spec.order = "order-8";
   spec.deadline_ms = NULL;
-  cr_assert_eq (pt_live (&scene.world, &spec).outcome, SI_LIVE_WHOLE);
+  cr_assert_eq (pt_live (&scene.world, &spec).outcome, SI_CALL_COMPLETE);
   scene_close (&scene);
 }
--- a/tests/process/test-slow.c
+++ b/tests/process/test-slow.c
@@ -21,23 +21,23 @@
   PtProgram *instance = pt_start_instance (&world, "i1", "hall-a");
   pt_apply_all (&world, instance);
   pt_wait_ready (&world, instance);
-  SiLiveSpec stream = { .address = instance->address,
-                        .model = "reader",
-                        .prompt = "slowly",
-                        .max_tokens = 60,
-                        .stream = true };
-  SiLiveResult result = pt_live (&world, &stream);
-  cr_assert_eq (result.outcome, SI_LIVE_WHOLE, "stream: %d %s", result.outcome, result.error);
+  SiCheckedCallSpec stream = { .address = instance->address,
+                               .model = "reader",
+                               .prompt = "slowly",
+                               .max_tokens = 60,
+                               .stream = true };
+  SiCheckedCallResult result = pt_live (&world, &stream);
+  cr_assert_eq (result.outcome, SI_CALL_COMPLETE, "stream: %d %s", result.outcome, result.error);
   stream.stream = false;
   result = pt_live (&world, &stream);
-  cr_assert_eq (result.outcome, SI_LIVE_WHOLE, "whole: %d %s", result.outcome, result.error);
-  SiLiveSpec order = { .kind = SI_LIVE_SERVICE,
-                       .address = instance->address,
-                       .model = "/services/lookup/order",
-                       .prompt = "one",
-                       .order = "order-1" };
+  cr_assert_eq (result.outcome, SI_CALL_COMPLETE, "whole: %d %s", result.outcome, result.error);
+  SiCheckedCallSpec order = { .kind = SI_CHECKED_CALL_SERVICE,
+                              .address = instance->address,
+                              .model = "/services/lookup/order",
+                              .prompt = "one",
+                              .order = "order-1" };
   result = pt_live (&world, &order);
-  cr_assert_eq (result.outcome, SI_LIVE_WHOLE, "service: %d %s", result.outcome, result.error);
+  cr_assert_eq (result.outcome, SI_CALL_COMPLETE, "service: %d %s", result.outcome, result.error);
   cr_assert_eq (pt_runs (&world, service, "order-1"), 1);
   pt_world_drain (&world);
   pt_world_clear (&world);
--- a/tests/process/test-steps.c
+++ b/tests/process/test-steps.c
@@ -93,7 +93,7 @@
 find_owner (PtWorld *world)
 {
   struct json_object *row
-      = si_client_json (&world->client, world->platform.address, OWNER_ROW, NULL);
+      = si_client_call_json (&world->client, world->platform.address, OWNER_ROW, NULL);
   cr_assert_not_null (row, "step 1 has no owner");
   struct json_object *owner = json_tokener_parse (si_json_text (row, "value", ""));
   const char *name = si_json_text (owner, "instance", "");
--- a/tests/process/test-tickets.c
+++ b/tests/process/test-tickets.c
@@ -24,8 +24,8 @@
 
   for (size_t i = 0; i < world->n_instances && all; i++)
     {
-      struct json_object *entry = si_client_json (&world->client, world->instances[i].address,
-                                                  "/v1/entry?caller=shop", NULL);
+      struct json_object *entry = si_client_call_json (&world->client, world->instances[i].address,
+                                                       "/v1/entry?caller=shop", NULL);
       struct json_object *addresses = NULL;
       all = entry && json_object_object_get_ex (entry, "addresses", &addresses)
             && json_object_array_length (addresses) == 2;
@@ -69,20 +69,20 @@
                         .headers = headers,
                         .n_headers = 1,
                         .body = "" };
-  SiAnswer answer;
+  SiResponse answer;
 
   si_client_call (&shop->world.client, &call, &answer);
-  cr_assert (si_answer_is_ok (&answer), "%s", si_answer_error (&answer));
+  cr_assert (si_response_is_ok (&answer), "%s", si_response_error (&answer));
   struct json_object *object = json_tokener_parse (answer.body);
   struct json_object *text = NULL;
   cr_assert (json_object_object_get_ex (object, "ticket", &text));
   lb_strlcpy (ticket, json_object_get_string (text), 256);
   json_object_put (object);
-  si_answer_clear (&answer);
+  si_response_clear (&answer);
 }
 
 static void
-order (Shop *shop, PtProgram *instance, const char *header, const char *value, SiAnswer *answer)
+order (Shop *shop, PtProgram *instance, const char *header, const char *value, SiResponse *answer)
 {
   const LhHeader headers[] = { { "x-caller", "shop" }, { "x-order", "tea" }, { header, value } };
   const SiCall call = { .method = "POST",
@@ -102,24 +102,24 @@
 Test (tickets, dead_instance_leaves_the_outcome_unknown)
 {
   Shop shop;
-  SiAnswer answer;
+  SiResponse answer;
   char ticket[256];
 
   shop_init (&shop);
   get_ticket (&shop, shop.first, ticket);
   order (&shop, shop.second, "x-ticket", ticket, &answer);
-  cr_assert (si_answer_is_ok (&answer), "%s", si_answer_error (&answer));
-  si_answer_clear (&answer);
+  cr_assert (si_response_is_ok (&answer), "%s", si_response_error (&answer));
+  si_response_clear (&answer);
   order (&shop, shop.first, "x-ticket", ticket, &answer);
-  cr_assert (si_answer_is_ok (&answer), "%s", si_answer_error (&answer));
-  si_answer_clear (&answer);
+  cr_assert (si_response_is_ok (&answer), "%s", si_response_error (&answer));
+  si_response_clear (&answer);
   cr_assert_eq (pt_runs (&shop.world, shop.service, "tea"), 1);
 
   pt_process_signal (&shop.first->process, SIGKILL);
   order (&shop, shop.second, "x-ticket", ticket, &answer);
-  cr_assert_str_eq (si_answer_error (&answer), "outcome_unknown");
+  cr_assert_str_eq (si_response_error (&answer), "outcome_unknown");
   cr_assert_not (answer.not_run);
-  si_answer_clear (&answer);
+  si_response_clear (&answer);
   cr_assert_eq (pt_runs (&shop.world, shop.service, "tea"), 1);
   shop_clear (&shop);
 }
@@ -135,12 +135,12 @@
 {
   (void)world;
   const Repeat *repeat = user;
-  SiAnswer answer;
+  SiResponse answer;
 
   order (repeat->shop, repeat->instance, "idempotency-key", "k1", &answer);
-  bool ok = si_answer_is_ok (&answer);
-  cr_assert (ok || answer.not_run, "%s", si_answer_error (&answer));
-  si_answer_clear (&answer);
+  bool ok = si_response_is_ok (&answer);
+  cr_assert (ok || answer.not_run, "%s", si_response_error (&answer));
+  si_response_clear (&answer);
   return ok;
 }
 
@@ -151,15 +151,15 @@
 Test (tickets, lost_replies_of_the_store_make_no_second_order)
 {
   Shop shop;
-  SiAnswer answer;
+  SiResponse answer;
 
   shop_init (&shop);
   pt_fault (&shop.world, &shop.world.platform,
             "{\"mode\": \"lose_reply\", \"path\": \"/table/transact\"}");
   order (&shop, shop.first, "idempotency-key", "k1", &answer);
-  cr_assert (si_answer_is_ok (&answer) || answer.not_run, "%s", si_answer_error (&answer));
+  cr_assert (si_response_is_ok (&answer) || answer.not_run, "%s", si_response_error (&answer));
   cr_assert_eq (pt_runs (&shop.world, shop.service, "tea"), answer.not_run ? 0 : 1);
-  si_answer_clear (&answer);
+  si_response_clear (&answer);
   pt_fault (&shop.world, &shop.world.platform, "{\"mode\": \"none\"}");
   Repeat second = { .shop = &shop, .instance = shop.second };
   Repeat first = { .shop = &shop, .instance = shop.first };
@@ -174,19 +174,19 @@
 Test (tickets, store_away_refuses_keys_and_not_tickets)
 {
   Shop shop;
-  SiAnswer answer;
+  SiResponse answer;
   char ticket[256];
 
   shop_init (&shop);
   pt_fault (&shop.world, &shop.world.platform, "{\"mode\": \"down\"}");
   order (&shop, shop.first, "idempotency-key", "k1", &answer);
-  cr_assert (answer.not_run, "%s", si_answer_error (&answer));
-  si_answer_clear (&answer);
+  cr_assert (answer.not_run, "%s", si_response_error (&answer));
+  si_response_clear (&answer);
   cr_assert_eq (pt_runs (&shop.world, shop.service, "tea"), 0);
   get_ticket (&shop, shop.first, ticket);
   order (&shop, shop.first, "x-ticket", ticket, &answer);
-  cr_assert (si_answer_is_ok (&answer), "%s", si_answer_error (&answer));
-  si_answer_clear (&answer);
+  cr_assert (si_response_is_ok (&answer), "%s", si_response_error (&answer));
+  si_response_clear (&answer);
   cr_assert_eq (pt_runs (&shop.world, shop.service, "tea"), 1);
   shop_clear (&shop);
 }
--- a/tests/soak/sk-faults.c
+++ b/tests/soak/sk-faults.c
@@ -167,7 +167,8 @@
 static void
 break_store (SkWorld *world)
 {
-  static const SiRowsMode modes[] = { SI_ROWS_AWAY, SI_ROWS_SILENT, SI_ROWS_LOSES_REPLY };
+  static const SiRowStoreMode modes[]
+      = { SI_ROW_STORE_UNAVAILABLE, SI_ROW_STORE_SILENT, SI_ROW_STORE_LOSES_REPLY };
 
   world->rows.mode = modes[sk_draw (world, 0, 2)];
   world->store_heal_at = lb_clock_monotonic () + draw_ms (world, 200, 4000);
@@ -177,7 +178,7 @@
 static void
 forget_history (SkWorld *world)
 {
-  world->rows.history_from = world->rows.version;
+  world->rows.oldest_watchable_version = world->rows.version;
   world->store_disturbed_at = lb_clock_monotonic ();
 }
 
@@ -229,7 +230,7 @@
   if (!endpoint)
     return;
   sk_tell (world, "%s is slow", endpoint->sampler.name);
-  endpoint->sampler.event_time = SLOW_EVENT;
+  endpoint->sampler.event_interval = SLOW_EVENT;
   endpoint->heal_at = lb_clock_monotonic () + draw_ms (world, 500, 4000);
 }
 
--- a/tests/soak/sk-trainer.c
+++ b/tests/soak/sk-trainer.c
@@ -129,7 +129,7 @@
 {
   char score[LB_NAME_MAX + 16];
   const char *fault = fault_of_text (item, result, trainer->min_version,
-                                     trainer->world->endpoints[0].sampler.events);
+                                     trainer->world->endpoints[0].sampler.n_events);
 
   snprintf (score, sizeof score, "stamp-score-%s", item);
   if (fault)
@@ -246,7 +246,7 @@
   for (int i = 0; i < 256; i++)
     {
       snprintf (part, sizeof part, "%02x", i);
-      if (si_rows_get (&trainer->world->rows, "head", part, name))
+      if (si_row_store_get (&trainer->world->rows, "head", part, name))
         return true;
     }
   return false;
--- a/tests/soak/sk-world.c
+++ b/tests/soak/sk-world.c
@@ -128,7 +128,7 @@
                               "[{\"name\": \"" SK_CALLERS "\", \"apiKeys\": [\"" SK_CALLERS_KEY
                               "\"], \"priority\": 0}, {\"name\": \"" SK_TRAINER
                               "\", \"apiKeys\": [\"" SK_TRAINER_KEY "\"], \"priority\": 1}]"));
-  si_rows_put (&world->rows, "op", "", "config", json_object_to_json_string (object));
+  si_row_store_put (&world->rows, "op", "", "config", json_object_to_json_string (object));
   json_object_put (object);
   world->config_at = lb_clock_monotonic ();
 }
@@ -141,7 +141,7 @@
   world->named_version = version;
   snprintf (text, sizeof text, "{\"model\": \"" SK_MODEL "\", \"version\": %lld}",
             (long long)version);
-  si_rows_put (&world->rows, "op", "", "version/" SK_MODEL, text);
+  si_row_store_put (&world->rows, "op", "", "version/" SK_MODEL, text);
 }
 
 /* --- instances --- */
@@ -387,17 +387,17 @@
 static void
 check_identity (const SkEndpoint *endpoint, const char *id, const char *organisation)
 {
-  const SiSampler *sampler = &endpoint->sampler;
+  const SiEndpoint *sampler = &endpoint->sampler;
 
   if (strcmp (sampler->organisation, organisation) != 0)
     sk_fail (endpoint->world, "whose it is", "%s reached %s as that of \"%s\", not \"%s\"", id,
              sampler->name, sampler->organisation, organisation);
-  if (sampler->keys > 0)
+  if (sampler->leaked_keys > 0)
     sk_fail (endpoint->world, "keys are not passed on", "%s saw a key", sampler->name);
 }
 
 static void
-on_call (SiSampler *sampler, const char *id, void *user)
+on_call (SiEndpoint *sampler, const char *id, void *user)
 {
   (void)sampler;
   SkEndpoint *endpoint = user;
@@ -414,7 +414,7 @@
 }
 
 static void
-on_run (SiSampler *sampler, const char *id, void *user)
+on_run (SiEndpoint *sampler, const char *id, void *user)
 {
   SkEndpoint *endpoint = user;
   LbTime now = lb_clock_monotonic ();
@@ -451,7 +451,7 @@
 
 /* Two holders with one fencing number would both be obeyed. */
 static void
-on_order (SiSampler *sampler, const char *holder, int64_t fence, bool accepted, void *user)
+on_order (SiEndpoint *sampler, const char *holder, int64_t fence, bool accepted, void *user)
 {
   static LbName holder_of[1000];
   static uint64_t seed_of;
@@ -474,7 +474,7 @@
 }
 
 static void
-on_fatal (SiSampler *sampler, const char *id, void *user)
+on_fatal (SiEndpoint *sampler, const char *id, void *user)
 {
   SkEndpoint *endpoint = user;
 
@@ -484,8 +484,9 @@
     sk_crasher_note_run (endpoint->world->crasher, id, sampler->name);
 }
 
-static const SiSamplerListener listener
-    = { .on_call = on_call, .on_run = on_run, .on_fatal = on_fatal, .on_order = on_order };
+static const SiEndpointListener listener = {
+  .on_call = on_call, .on_stream = on_run, .on_fatal_request = on_fatal, .on_order = on_order
+};
 
 static SkEndpoint *
 add_endpoint (SkWorld *world, const char *name, const char *service, const char *model)
@@ -499,18 +500,19 @@
   endpoint->heal_at = LB_TIME_NEVER;
   endpoint->return_at = LB_TIME_NEVER;
   endpoint->ends_at = LB_TIME_NEVER;
-  if (!si_sampler_init (&endpoint->sampler, world->base, &world->rows, name, service, model))
+  if (!si_endpoint_init (&endpoint->sampler, world->base, &world->rows, name, service, model))
     abort ();
   pt_relay_init (&endpoint->way, world->base, endpoint->sampler.server.address);
-  LB_COPY (endpoint->sampler.reached_at, endpoint->way.address);
-  endpoint->sampler.tells_version = true;
+  LB_COPY (endpoint->sampler.advertised_address, endpoint->way.address);
+  endpoint->sampler.reports_version = true;
   endpoint->sampler.listener = &listener;
-  endpoint->sampler.crashes_on = SK_CRASHER_BODY;
+  endpoint->sampler.fatal_body = SK_CRASHER_BODY;
   endpoint->sampler.user = endpoint;
-  endpoint->sampler.call_time = 80 * LB_MSEC; /* many are on their way when a connection breaks */
-  endpoint->sampler.event_time = 25 * LB_MSEC;
-  endpoint->sampler.events = 24;
-  si_sampler_register (&endpoint->sampler);
+  endpoint->sampler.call_duration
+      = 80 * LB_MSEC; /* many are on their way when a connection breaks */
+  endpoint->sampler.event_interval = 25 * LB_MSEC;
+  endpoint->sampler.n_events = 24;
+  si_endpoint_register (&endpoint->sampler);
   return endpoint;
 }
 
@@ -526,7 +528,7 @@
   if (!endpoint)
     return NULL;
   endpoint->sampler.version = world->named_version > 0 ? world->named_version : 1;
-  si_sampler_register (&endpoint->sampler);
+  si_endpoint_register (&endpoint->sampler);
   return endpoint;
 }
 
@@ -537,8 +539,8 @@
   endpoint->ends_at = LB_TIME_NEVER;
   endpoint->return_at
       = return_after == LB_TIME_NEVER ? LB_TIME_NEVER : lb_clock_monotonic () + return_after;
-  si_sampler_break_streams (&endpoint->sampler);
-  si_sampler_unregister (&endpoint->sampler);
+  si_endpoint_break_streams (&endpoint->sampler);
+  si_endpoint_unregister (&endpoint->sampler);
   pt_relay_reset (&endpoint->way);
 }
 
@@ -569,8 +571,8 @@
     return;
   sk_tell (endpoint->world, "%s leaves", endpoint->sampler.name);
   endpoint->leaving_since = lb_clock_monotonic ();
-  endpoint->sampler.leaving = true;
-  si_sampler_register (&endpoint->sampler);
+  endpoint->sampler.draining = true;
+  si_endpoint_register (&endpoint->sampler);
 }
 
 static void
@@ -580,7 +582,7 @@
     {
       endpoint->heal_at = LB_TIME_NEVER;
       endpoint->way.fault = (PtRelayFault){ 0 };
-      endpoint->sampler.event_time = 25 * LB_MSEC;
+      endpoint->sampler.event_interval = 25 * LB_MSEC;
     }
   if (now >= endpoint->ends_at)
     sk_endpoint_end (endpoint, sk_draw (endpoint->world, 400, 1200) * LB_MSEC);
@@ -591,10 +593,10 @@
       endpoint->is_gone = false;
       endpoint->way.fault = (PtRelayFault){ 0 };
       pt_relay_accept (&endpoint->way);
-      endpoint->sampler.born++;
-      endpoint->sampler.orders = 0;
+      endpoint->sampler.start_ms++;
+      endpoint->sampler.accepted_orders = 0;
       endpoint->sampler.last_fence = 0;
-      si_sampler_register (&endpoint->sampler);
+      si_endpoint_register (&endpoint->sampler);
     }
   if (endpoint->leaving_since > 0 && !endpoint->is_gone
       && now > endpoint->leaving_since + LEAVE_TIME && endpoint->sampler.streams.length == 0)
@@ -620,7 +622,8 @@
   gsl_rng_set (world->plan, seed);
   world->base = si_precise_base_new ();
   world->pool = lh_pool_new (world->base);
-  if (!si_rows_init (&world->rows, world->base, 0) || !si_cloud_init (&world->cloud, world->base))
+  if (!si_row_store_init (&world->rows, world->base, 0)
+      || !si_control_plane_init (&world->cloud, world->base))
     abort ();
   sk_config_put (world);
   for (size_t i = 0; i < n_engines; i++)
@@ -683,10 +686,10 @@
   for (size_t i = 0; i < world->n_endpoints; i++)
     {
       pt_relay_clear (&world->endpoints[i].way);
-      si_sampler_clear (&world->endpoints[i].sampler);
+      si_endpoint_clear (&world->endpoints[i].sampler);
     }
-  si_cloud_clear (&world->cloud);
-  si_rows_clear (&world->rows);
+  si_control_plane_clear (&world->cloud);
+  si_row_store_clear (&world->rows);
   HASH_ITER (hh, world->requests, request, next)
   {
     HASH_DEL (world->requests, request);
@@ -703,10 +706,10 @@
 static void
 check_reports (SkWorld *world)
 {
-  if (world->cloud.differing > 0)
+  if (world->cloud.conflicting_reports > 0)
     sk_fail (world, "one report of a window", "%d reports differ from an earlier one",
-             world->cloud.differing);
-  world->cloud.differing = 0;
+             world->cloud.conflicting_reports);
+  world->cloud.conflicting_reports = 0;
 }
 
 void
@@ -727,7 +730,7 @@
     {
       sk_tell (world, "the store is well again");
       world->store_heal_at = LB_TIME_NEVER;
-      world->rows.mode = SI_ROWS_WELL;
+      world->rows.mode = SI_ROW_STORE_NORMAL;
     }
   usleep (TURN_PAUSE);
 }
--- a/tests/soak/sk-world.h
+++ b/tests/soak/sk-world.h
@@ -4,8 +4,8 @@
 #include "lh-fetch.h"
 #include "pt-process.h"
 #include "pt-relay.h"
-#include "si-cloud.h"
-#include "si-sampler.h"
+#include "si-control-plane.h"
+#include "si-endpoint.h"
 
 #include <gsl/gsl_rng.h>
 #include <uthash.h>
@@ -49,7 +49,7 @@
 typedef struct
 {
   SkWorld *world;
-  SiSampler sampler;
+  SiEndpoint sampler;
   PtRelay way;
   bool is_used;
   bool is_gone;         /* its process has ended */
@@ -82,8 +82,8 @@
   gsl_rng *plan;   /* kinds and times of the faults, the same for a seed */
   gsl_rng *rng;    /* all else */
   char folder[64]; /* of settings and logs */
-  SiRows rows;
-  SiCloud cloud; /* takes reports of usage */
+  SiRowStore rows;
+  SiControlPlane cloud; /* takes reports of usage */
   SkInstance instances[SK_MAX_INSTANCES];
   size_t n_instances;
   SkEndpoint endpoints[SK_MAX_ENDPOINTS];
