--- a/packages/sim/include/lx-callers.h
+++ b/packages/sim/include/lx-callers.h
@@ -9,54 +9,55 @@
 
 struct LxWorld;
 
-/* How a call ended. */
+/* Outcome of a scripted call. */
 typedef struct
 {
   uint64_t job;
-  LbTime ended; /* 0: not yet */
+  LbTime ended_at; /* 0: in progress */
   LbErrorCode error;
 } LxCallResult;
 
-/* What a script asks for. */
+/* A call that a trace makes. */
 typedef struct
 {
-  bool of_service;
+  bool is_service_call;
   bool repeatable;
   int64_t tokens;
-  LbTime deadline;      /* from now */
+  LbTime timeout;
   const char *instance; /* "": any */
-  LxCallResult *result; /* filled by and by; must outlive the call */
+  LxCallResult *result; /* written while the call runs; must outlive it */
 } LxCallSpec;
 
-/* A live call as its caller sees it. */
+/* A call in progress, from the point of view of its caller. */
 typedef struct LxCall
 {
   LbLink link;
   uint64_t job;
   LcRequestKind kind;
-  LbTime asked;
-  LbTime first_piece; /* 0: none yet */
-  int64_t length;
-  bool reported; /* as one without an answer */
+  LbTime sent_at;
+  LbTime first_piece_at; /* 0: none received */
+  int64_t total_tokens;  /* of a complete answer */
+  bool is_reported_stuck;
   LxText text;
-  LxCallResult *result; /* NULL: nobody asks */
+  LxCallResult *result; /* NULL for a random call */
 } LxCall;
 
-/* Live callers: calls at random moments, with prompts that share prefixes by families. */
+/* Simulated callers. They send model and service calls at random times; the prompts of model calls
+ * belong to families that share a prefix. */
 typedef struct
 {
   struct LxWorld *world;
   gsl_rng *random;
-  LbList open;
+  LbList open_calls;
   uint64_t n_calls;
   int64_t answered;
   int64_t refused;
-  int64_t failed; /* an honest error that may have run */
-  /* milliseconds, one per answered model call */
-  double *latencies;
+  int64_t failed; /* with an error that does not rule out execution */
+  /* one value per answered model call */
+  double *latencies_ms;
   size_t n_latencies;
-  double *first_pieces;
-  size_t n_first_pieces;
+  double *first_piece_latencies_ms;
+  size_t n_first_piece_latencies;
 } LxCallers;
 
 void lx_callers_init (LxCallers *callers, struct LxWorld *world);
@@ -64,13 +65,14 @@
 
 /* commands */
 void lx_callers_start (LxCallers *callers);
-void lx_callers_submit (LxCallers *callers, const LxCallSpec *order);
+/* Sends one call of a trace. */
+void lx_callers_submit (LxCallers *callers, const LxCallSpec *spec);
 void
 lx_callers_send_piece (LxCallers *callers, LxCall *call, uint64_t stream, const LcPiece *piece);
 void lx_callers_send_result (LxCallers *callers, LxCall *call, LbErrorCode error);
 
 /* queries */
-/* The share-th smallest latency in milliseconds, 0 without calls. Sorts the latencies. */
+/* Returns the latency at this quantile, 0 to 1; 0 if no call was answered. Sorts the latencies. */
 double lx_callers_latency_percentile_ms (LxCallers *callers, double share);
 
 #endif
--- a/packages/sim/include/lx-engine.h
+++ b/packages/sim/include/lx-engine.h
@@ -8,12 +8,12 @@
 #define LX_MAX_CACHED_BLOCKS 256
 #define LX_CACHE_LOG_LENGTH 512
 
-/* One attempt as an endpoint sees it. */
+/* An attempt as the endpoint receives it. */
 typedef struct
 {
-  uint64_t id; /* unique in the run */
-  size_t instance;
-  uint32_t instance_life; /* the process of the instance that sent it */
+  uint64_t id;                   /* unique in the run */
+  size_t instance;               /* index of the sender */
+  uint32_t instance_incarnation; /* process of the sender */
   LcRequestId request;
   uint32_t attempt;
   LcRequestKind kind;
@@ -21,45 +21,45 @@
   int64_t prompt_tokens;
   uint64_t prefix_hashes[LC_MAX_PREFIX_HASHES];
   size_t n_prefix_hashes;
-  int64_t offset; /* first token to make */
-  int64_t length; /* tokens of the whole answer */
-  uint64_t job;   /* the harness's own number of what was asked for */
+  int64_t offset;       /* first token to generate */
+  int64_t total_tokens; /* of the complete answer */
+  uint64_t job;         /* number in LxAudit */
 } LxStreamSpec;
 
 typedef struct
 {
   LbLink link;
   LxStreamSpec spec;
-  bool running;
-  bool silent;        /* its pieces no longer reach anybody */
-  int64_t offset;     /* next token to send */
-  int64_t piece;      /* tokens of the next piece */
-  double piece_clock; /* engine clock at which that piece is made */
-  LbTime arrived;
+  bool is_running;
+  bool is_silent;         /* its pieces and its end are no longer sent */
+  int64_t next_token;     /* first token of the next piece */
+  int64_t piece_tokens;   /* length of the next piece */
+  double piece_due_clock; /* token clock of the engine when the next piece is complete */
+  LbTime arrived_at;
 } LxStream;
 
 typedef struct LxEngine LxEngine;
 
-/* Who hears of what an endpoint does. */
+/* Callbacks for the output of an endpoint. */
 typedef struct
 {
-  void (*piece) (void *user, LxEngine *engine, const LxStream *stream, const LcPiece *piece);
-  void (*ended) (void *user, LxEngine *engine, const LxStream *stream, LcAttemptEnd end);
-  /* tokens that cost work, also those that reach nobody */
-  void (*made) (void *user, LxEngine *engine, const LxStream *stream, int64_t tokens);
-  void (*went_silent) (void *user, LxEngine *engine, const LxStream *stream);
+  void (*on_piece) (void *user, LxEngine *engine, const LxStream *stream, const LcPiece *piece);
+  void (*on_end) (void *user, LxEngine *engine, const LxStream *stream, LcAttemptEnd end);
+  /* counts all generated tokens, also those that are not sent */
+  void (*on_generated) (void *user, LxEngine *engine, const LxStream *stream, int64_t tokens);
+  void (*on_silenced) (void *user, LxEngine *engine, const LxStream *stream);
   void *user;
 } LxEngineListener;
 
-/* Service times of an endpoint; seconds. */
+/* Performance of an endpoint. */
 typedef struct
 {
-  double token;           /* one token of a stream alone */
-  double token_per_other; /* more for each other stream in the batch */
-  double prefill;         /* one prompt token that is not in the prefix cache */
-  size_t cached_blocks;   /* size of the prefix cache */
-  LbTime load;            /* pulling a version while serving the one before */
-  LbTime pause;           /* changing to it */
+  double token_seconds;           /* per token of a single stream */
+  double token_seconds_per_other; /* added for each other stream in the batch */
+  double prefill_token_seconds;   /* per prompt token that is not in the prefix cache */
+  size_t max_cached_blocks;       /* capacity of the prefix cache */
+  LbTime load_time;               /* to fetch a version while the previous one serves */
+  LbTime pause_time;              /* to switch to the fetched version */
 } LxEngineTimes;
 
 typedef struct
@@ -72,16 +72,16 @@
 typedef struct
 {
   uint64_t hash;
-  uint64_t used;
+  uint64_t last_used;
 } LxCachedBlock;
 
-/* A fake endpoint in virtual time: continuous batching with priorities, a prefix cache, weight
- * swaps in mid-stream, faults. A plain service is one whose answers have a single token. */
+/* Simulated endpoint in virtual time: continuous batching with priorities, a prefix cache, weight
+ * swaps during a stream, and faults. A service is an endpoint whose answers have one token. */
 struct LxEngine
 {
   LbName name;
   LbName address;
-  LbName group; /* pool, or name of the plain service */
+  LbName pool; /* or name of the service */
   size_t data_centre;
   bool is_service;
   int64_t concurrency;
@@ -89,44 +89,48 @@
   LxQueue *queue;
   LxEngineListener listener;
   /* state */
-  uint32_t life; /* number of its process; names the incarnation */
+  uint32_t incarnation;
   bool alive;
   bool leaving;
   LbTime leaving_since;
-  LbTime sent_while_leaving; /* last time that somebody sent it new work; 0: never */
+  LbTime sent_while_leaving_at; /* when it was last sent new work while leaving; 0: never */
   bool paused;
   bool loading;
   bool fail_next_load;
   LcVersion version;
-  LcVersion wanted;
+  LcVersion loading_version;
   int64_t fence;
   LbList running;
   LbList waiting;
-  double clock; /* tokens that a stream would have made since the start */
-  LbTime clock_at;
-  uint64_t timer; /* only the timer event with this number counts */
+  double token_clock; /* tokens that a stream running since the start would have generated */
+  LbTime token_clock_at;
+  uint64_t timer_number; /* timer events with other numbers are obsolete */
   /* prefix cache */
-  LxCachedBlock cached[LX_MAX_CACHED_BLOCKS];
-  size_t n_cached;
-  uint64_t cache_clock;
+  LxCachedBlock cached_blocks[LX_MAX_CACHED_BLOCKS];
+  size_t n_cached_blocks;
+  uint64_t cache_use_counter;
   LxCacheEvent cache_log[LX_CACHE_LOG_LENGTH];
   uint64_t cache_sequence;
-  /* measures */
-  int64_t tokens;
+  /* totals */
+  int64_t generated_tokens;
   int64_t prompt_blocks;
-  int64_t prompt_blocks_found;
+  int64_t prompt_blocks_cached;
 };
 
 LxEngine *lx_engine_new (const char *name, LxQueue *queue, const LxEngineTimes *times);
 void lx_engine_free (LxEngine *engine);
 
 /* commands */
-/* False: the endpoint refused before it started (it is leaving or has no whole weights). */
+/* Returns false if the endpoint refuses the stream: it is leaving or has no complete weights. */
 bool lx_engine_submit (LxEngine *engine, const LxStreamSpec *spec);
+/* The client closed the connection of this stream. */
 void lx_engine_cancel (LxEngine *engine, uint64_t id);
+/* Loads a version while the current one serves, then switches to it; streams continue. */
 void lx_engine_load_version (LxEngine *engine, LcVersion version);
 void lx_engine_crash (LxEngine *engine);
+/* Starts a new process; version 0: without weights. */
 void lx_engine_start (LxEngine *engine, LcVersion version);
+/* Breaks all connections; if silent, they stay open but nothing more is sent on them. */
 void lx_engine_break_streams (LxEngine *engine, bool silent);
 
 /* queries */
--- a/packages/sim/include/lx-faults.h
+++ b/packages/sim/include/lx-faults.h
@@ -10,29 +10,29 @@
   LX_FAULT_ENGINE_CRASH,
   LX_FAULT_STREAMS_BREAK,
   LX_FAULT_STREAMS_SILENT,
-  LX_FAULT_PIECES_GARBLED, /* doubled, late and foreign pieces for a while */
+  LX_FAULT_PIECES_GARBLED, /* duplicated and late pieces and messages for a while */
   LX_FAULT_VERSION_MISSING,
   LX_FAULT_SWAP_FAILS,
   LX_FAULT_ENDPOINT_LEAVES,
   LX_FAULT_INSTANCE_KILLED,
   LX_FAULT_INSTANCE_PAUSED,
   LX_FAULT_INSTANCE_DRAINS,
-  LX_FAULT_OWNER_REPLACED, /* another instance takes a step while its owner is well */
+  LX_FAULT_OWNER_REPLACED, /* another instance takes over a step from a healthy owner */
   LX_FAULT_STORE_AWAY,
   LX_FAULT_REPLIES_LOST,
   LX_N_FAULTS
 } LxFault;
 
-/* Strikes at random moments. Each strike is drawn from its own number, so that the rest of a run's
- * strikes stay the same when some are left out. */
+/* Injects faults at random times. Each injection draws from a random sequence seeded by its own
+ * number, so that skipping some does not change the others. */
 typedef struct
 {
   struct LxWorld *world;
-  uint32_t kinds;    /* bits by LxFault; 0: none */
-  LbTime mean_pause; /* between strikes */
-  uint64_t n_strikes;
-  const uint8_t *left_out; /* by strike; NULL: none */
-  size_t n_left_out;
+  uint32_t enabled_kinds; /* bits by LxFault; 0: none */
+  LbTime mean_interval;   /* between injections */
+  uint64_t n_injections;
+  const uint8_t *skipped; /* by number of the injection; NULL: none */
+  size_t n_skipped;
   LbTime garbled_until;
   LbTime versions_missing_until;
 } LxFaults;
@@ -41,18 +41,19 @@
 
 /* commands */
 void lx_faults_start (LxFaults *faults);
-/* One strike at a named endpoint or instance, for a time where that applies; false when there is
- * none of the name. */
+/* Injects one fault into the named endpoint or instance, for `duration` if the fault has one;
+ * returns false if the name is unknown. */
 bool lx_faults_inject (LxFaults *faults,
                        LxFault fault,
                        const char *endpoint,
                        const char *instance,
                        size_t trainer,
-                       LbTime time);
+                       LbTime duration);
 
 /* queries */
 const char *lx_fault_name (LxFault fault);
-/* Decides for one event by its number; the same number decides the same. */
+/* Returns true for this share of all events; depends only on the seed and the current event's
+ * number. */
 bool lx_faults_is_event_selected (const LxFaults *faults, double share);
 
 #endif
--- a/packages/sim/include/lx-instance.h
+++ b/packages/sim/include/lx-instance.h
@@ -12,20 +12,20 @@
 
 struct LxWorld;
 
-/* A stream without a byte for so long is taken for broken. */
+/* A stream on which nothing arrives for this long is considered broken. */
 #define LX_SILENT_STREAM_TIMEOUT (2 * LB_SEC)
 
-/* One attempt whose connection is open. */
+/* An attempt of a request. */
 typedef struct
 {
   uint32_t number;
-  uint64_t stream;
+  uint64_t stream; /* number in LxAudit */
   LxEngine *engine;
-  LxText text;
-  bool open;
+  LxText text; /* received */
+  bool is_open;
 } LxAttempt;
 
-/* A request that this instance's dispatcher has taken. */
+/* A request that the dispatcher of this instance has accepted. */
 typedef struct
 {
   UT_hash_handle hh;
@@ -34,44 +34,44 @@
   uint64_t job;
   LxCall *call; /* NULL for a sample */
   LxText text;
-  uint32_t heard; /* attempt whose piece was passed on last; 0: none */
+  uint32_t last_forwarded_attempt; /* attempt of the last forwarded piece; 0: none */
   LxAttempt *attempts;
   size_t n_attempts;
 } LxRequest;
 
-/* An entry instance: the daemon's decisions, with the harness in place of its sockets. */
+/* A simulated instance: the decisions of the daemon, with events in place of its sockets. */
 typedef struct LxInstance
 {
   struct LxWorld *world;
   size_t index;
   LbName name;
   size_t data_centre;
-  uint32_t life; /* number of its process */
+  uint32_t incarnation;
   bool alive;
   bool draining;
-  bool is_configured; /* this process has put a configuration in force */
+  bool is_configured; /* this process has activated a configuration */
   LbTime started_at;
-  LbTime drained_at;  /* when its drain began */
-  LbTime drain_ended; /* when its last drain ended in good order; 0: never */
+  LbTime drain_started_at;
+  LbTime drain_ended_at; /* when its last drain completed; 0: never */
   LbTime paused_at;
   LbTime paused_until;
   LcConfig *config;
   LbList config_actions;
-  LbTime config_tick_at;
-  int64_t revision_seen; /* by the check of what is in force */
-  bool was_ready;
+  LbTime next_config_tick_at;
+  int64_t checked_revision; /* active at the last check by LxRegistry */
+  bool was_ready;           /* at that check */
   LcDispatch *dispatch;
   LcRollouts *rollouts;
-  int64_t core_failures; /* as counted by core */
+  int64_t invariant_failures; /* at the last check of the counters in core */
   LcRequestId last_request;
   LxRequest *requests;
-  LbList actions;
+  LbList dispatch_actions;
   LbList rollout_actions;
-  LbTime tick_at;
-  uint64_t *cache_cursors; /* one per engine */
+  LbTime next_tick_at;
+  uint64_t *cache_cursors; /* last applied cache event, by engine */
 } LxInstance;
 
-/* A piece or an end on its way from an endpoint. */
+/* A piece or the end of an attempt, in transit from an endpoint. */
 typedef struct
 {
   LcRequestId request;
@@ -88,25 +88,26 @@
 
 /* commands */
 void lx_instance_start (LxInstance *instance);
-/* The process is gone; its connections break. */
+/* Ends the process; its connections break. */
 void lx_instance_kill (LxInstance *instance);
 void lx_instance_drain (LxInstance *instance);
-/* Another instance has taken the step over in good order. */
+/* Another instance has taken over the step. */
 void lx_instance_abort_step (LxInstance *instance, const char *subscription, int64_t step);
-/* A message for the instance's present process: it waits while the process is paused and is lost
- * with the process. drop frees the argument, also after the handler has run. */
+/* Posts a message to the current process of the instance. It is delayed while the process is paused
+ * and lost if the process ends first. drop frees the argument, also after the handler has run. */
 void lx_instance_post (LxInstance *instance,
                        LbTime delay,
                        LxInstanceHandler handler,
                        void *argument,
                        void (*drop) (void *argument));
 void lx_instance_apply_config (LxInstance *instance, const LcResourceSet *set);
-/* An operator's change, for the revision that this instance has. */
+/* Submits an operator's change, based on the active revision of this instance. */
 void lx_instance_submit_change (LxInstance *instance, struct json_object *content);
-/* False: refused as "not run" with an error. */
+/* Returns false and sets the error if the call is refused as "not run". */
 bool lx_instance_submit_call (
     LxInstance *instance, LcRequestSpec *spec, uint64_t job, LxCall *call, LbError *error);
-/* What an endpoint sends; it arrives one way later, an end delay later still. */
+/* Sends output of an endpoint to the instance; it arrives after the one-way network latency, an end
+ * after `delay` more. */
 void lx_instance_send_piece (LxInstance *instance,
                              const LxEngine *engine,
                              const LxStreamSpec *stream,
@@ -119,7 +120,7 @@
 void lx_instance_record_load (LxInstance *instance, size_t engine, const LcLoadReport *report);
 void lx_instance_set_swap (LxInstance *instance, size_t engine, bool pending, LbTime until);
 void lx_instance_set_versions (LxInstance *instance, LcVersion newest, LbTime cadence);
-/* Takes the step over by a new session in the store, then opens it; takes over the spec. */
+/* Opens the step, or takes it over with a new session in the store. Takes ownership of the spec. */
 void lx_instance_open_step (LxInstance *instance, LcStepSpec *spec, size_t trainer);
 void lx_instance_pull (LxInstance *instance, const LcPull *pull);
 
--- a/packages/sim/include/lx-queue.h
+++ b/packages/sim/include/lx-queue.h
@@ -3,21 +3,25 @@
 
 #include "lb-types.h"
 
-/* Events in virtual time. Events of one time run in the order in which they were added. */
+/* Event queue in virtual time. Events with the same time run in the order of insertion. */
 typedef struct LxQueue LxQueue;
 
-/* Takes over argument, unless it was added without a drop function. */
+/* Takes ownership of argument if the event was added with a drop function. */
 typedef void (*LxEventHandler) (void *owner, void *argument);
 
+/* The clock starts at one second, so that 0 is never a valid time. */
 LxQueue *lx_queue_new (void);
 void lx_queue_free (LxQueue *queue);
 
+/* Adds an event; a time in the past means now. If drop is not NULL, it frees the argument of an
+ * event that never runs. */
 void lx_queue_add (LxQueue *queue,
                    LbTime at,
                    LxEventHandler handler,
                    void *owner,
                    void *argument,
                    void (*drop) (void *argument));
+/* Runs the next event if it is due at or before `until`; returns false otherwise. */
 bool lx_queue_run_next (LxQueue *queue, LbTime until);
 
 LbTime lx_queue_now (const LxQueue *queue);
--- a/packages/sim/include/lx-registry.h
+++ b/packages/sim/include/lx-registry.h
@@ -8,33 +8,34 @@
 
 #define LX_MAX_REVISIONS 4096
 
-/* The accepted configuration as the store has it, operators who change it, and the check that what
- * was accepted is in force everywhere in time and never goes back. */
+/* The accepted configuration in the store, the operators that change it, and the check that an
+ * accepted revision is active on all instances in time and is never replaced by an older one. */
 typedef struct
 {
   struct LxWorld *world;
-  LcResourceSet *set;
-  LbTime accepted_at[LX_MAX_REVISIONS]; /* by revision */
-  LbTime known_at[LX_MAX_REVISIONS];    /* first in force on some instance; 0: nowhere yet */
+  LcResourceSet *accepted;
+  LbTime accepted_at[LX_MAX_REVISIONS];     /* by revision */
+  LbTime first_active_at[LX_MAX_REVISIONS]; /* on any instance; 0: on none */
   int64_t n_accepted;
   int64_t n_conflicts;
 } LxRegistry;
 
-/* Takes over the first set. */
+/* Takes ownership of the initial set. */
 void lx_registry_init (LxRegistry *registry, struct LxWorld *world, LcResourceSet *set);
 void lx_registry_clear (LxRegistry *registry);
 
 /* commands */
 void lx_registry_start (LxRegistry *registry);
-/* An operator asks this instance for another reserve of the pool. */
+/* Submits a new live reserve of the pool at this instance. */
 void lx_registry_request_change (LxRegistry *registry, LxInstance *instance, double live_reserve);
-/* A transaction under the condition that revision is the head. NULL: another one was first; else
- * the next set, owned by the caller. */
+/* Commits a change if `revision` is still the head. Returns the new set, owned by the caller; NULL
+ * on a conflict or an invalid change. */
 LcResourceSet *
 lx_registry_commit (LxRegistry *registry, int64_t revision, struct json_object *change);
 
 /* queries */
-/* The newest revision that must be in force by now on an instance that reaches the store. */
+/* Returns the newest revision that an instance with access to the store must have activated by now.
+ */
 int64_t lx_registry_due_revision (const LxRegistry *registry, LbTime now);
 
 #endif
--- a/packages/sim/include/lx-replay.h
+++ b/packages/sim/include/lx-replay.h
@@ -5,9 +5,9 @@
 
 #include <stdio.h>
 
-/* Runs a trace through the decisions of core and holds what happened against what it states.
- * Writes one line for each expectation that failed, and for each promise that was broken on the
- * way; true when there is none. */
+/* Runs the events of a trace against core and checks the expectations of the trace. Writes one line
+ * for each failed expectation and one for the first violation that LxAudit reports; returns true if
+ * there are none. */
 bool lx_replay_run (const LxTrace *trace, const char *name, FILE *out);
 
 #endif
--- a/packages/sim/include/lx-site.h
+++ b/packages/sim/include/lx-site.h
@@ -5,15 +5,15 @@
 
 #define LX_MAX_DATA_CENTRES 4
 
-/* What is known of a site where the system runs. Times are one way. */
+/* Model of a deployment site. Latencies are one way. */
 typedef struct
 {
   const char *name;
   const char *data_centres[LX_MAX_DATA_CENTRES];
   size_t n_data_centres;
-  LbTime between;    /* two data centres */
-  LbTime inside;     /* one data centre */
-  LbTime to_clients; /* an instance and its callers */
+  LbTime latency_between; /* data centres */
+  LbTime latency_inside;  /* a data centre */
+  LbTime client_latency;  /* between an instance and its callers */
   const char *pool;
   size_t n_engines;
   const char *service;
@@ -23,7 +23,7 @@
   int64_t max_lag;
 } LxSite;
 
-/* NULL when no site has this name. */
+/* Returns NULL if no site has this name. */
 const LxSite *lx_site_find (const char *name);
 
 #endif
--- a/packages/sim/include/lx-swaps.h
+++ b/packages/sim/include/lx-swaps.h
@@ -5,17 +5,17 @@
 
 struct LxWorld;
 
-/* Publishes new versions and orders the engines to load them, a few at a time. */
+/* Publishes new versions and makes the engines load them, a few at a time. */
 typedef struct
 {
   struct LxWorld *world;
-  LcVersion newest;
-  size_t at_once;
+  LcVersion newest_version;
+  size_t max_concurrent_loads;
 } LxSwaps;
 
 void lx_swaps_init (LxSwaps *swaps, struct LxWorld *world);
 void lx_swaps_start (LxSwaps *swaps);
-/* The weight store has a new version. */
+/* Adds a new version to the weight store. */
 void lx_swaps_publish (LxSwaps *swaps);
 
 #endif
--- a/packages/sim/include/lx-text.h
+++ b/packages/sim/include/lx-text.h
@@ -3,8 +3,8 @@
 
 #include "lb-types.h"
 
-/* Which tokens of which engine stream an answer is made of. Fakes pass this in place of words, so
- * that the receiver of an answer can hold it against what the engines really did. */
+/* A range of tokens of an engine's stream. Simulated answers consist of these in place of text, so
+ * that the receiver can compare an answer with what the engines generated. */
 typedef struct
 {
   uint64_t stream;
@@ -21,12 +21,14 @@
 void lx_text_clear (LxText *text);
 void lx_text_append (LxText *text, uint64_t stream, int64_t first, int64_t count);
 void lx_text_copy (LxText *target, const LxText *source);
+/* Keeps the first `tokens` tokens. */
 void lx_text_truncate (LxText *text, int64_t tokens);
+/* Appends text written by lx_text_render; returns false on any other input. */
 bool lx_text_parse (LxText *text, const char *rendered);
 
 char *lx_text_render (const LxText *text);
 int64_t lx_text_count_tokens (const LxText *text);
-/* First token, counting on from it without gap or overlap. */
+/* Returns true if the tokens are numbered from `first` without gap or overlap. */
 bool lx_text_is_contiguous (const LxText *text, int64_t first);
 
 #endif
--- a/packages/sim/include/lx-trace.h
+++ b/packages/sim/include/lx-trace.h
@@ -8,32 +8,32 @@
 typedef enum
 {
   LX_EVENT_NONE,
-  LX_EVENT_STEPS,   /* a trainer asks for `count` steps, one ahead */
+  LX_EVENT_STEPS,   /* a trainer runs `count` steps, requesting each one step ahead */
   LX_EVENT_CALL,    /* a live call of the pool's model */
-  LX_EVENT_SERVICE, /* a call of the plain service */
+  LX_EVENT_SERVICE, /* a call of the service */
   LX_EVENT_VERSION, /* the weight store has a new version */
   LX_EVENT_CHANGE,  /* an operator changes the pool's live reserve */
-  LX_EVENT_FAULT,   /* a fault of LxFaults at an endpoint or instance */
+  LX_EVENT_FAULT,   /* an LxFault at an endpoint or instance */
   LX_N_EVENTS
 } LxTraceEvent;
 
 typedef enum
 {
   LX_EXPECT_NONE,
-  LX_EXPECT_STEP_DONE,   /* all samples of the step there, each once, by_ms */
-  LX_EXPECT_WHOLE,       /* the call has its whole answer by_ms */
+  LX_EXPECT_STEP_DONE,   /* all samples of the step delivered once, by_ms */
+  LX_EXPECT_WHOLE,       /* the call has its complete answer by_ms */
   LX_EXPECT_NOT_RUN,     /* the call was refused as "not run" and no endpoint started it */
   LX_EXPECT_UNKNOWN,     /* the call ended with an error that does not say "not run" */
   LX_EXPECT_RUNS,        /* endpoints started the call at most `count` times */
-  LX_EXPECT_STALENESS,   /* no sample of the trainer older than `count` versions at delivery */
+  LX_EXPECT_STALENESS,   /* no sample of the trainer is over `count` versions old at delivery */
   LX_EXPECT_MIXED,       /* at least `count` samples of the trainer have more than one version */
-  LX_EXPECT_NO_NEW_WORK, /* nothing new to the leaving endpoint after_ms */
-  LX_EXPECT_IN_FORCE,    /* the revision is in force on all instances that live, by_ms */
-  LX_EXPECT_DRAINED,     /* the instance has ended by itself by_ms */
+  LX_EXPECT_NO_NEW_WORK, /* no new work is sent to the leaving endpoint after_ms */
+  LX_EXPECT_IN_FORCE,    /* the revision is active on all running instances by_ms */
+  LX_EXPECT_DRAINED,     /* the instance has completed its drain by_ms */
   LX_N_EXPECTS
 } LxTraceExpect;
 
-/* A line of a trace after the first: an event or an expectation. */
+/* An event or an expectation: a line of a trace after the header. */
 typedef struct
 {
   int line; /* in the file, from 1 */
@@ -57,7 +57,7 @@
   double live_reserve;
 } LxTraceLine;
 
-/* A trace file: JSON lines, the first of which is the header. */
+/* A trace file: JSON lines, starting with a header. */
 typedef struct
 {
   char about[256];
@@ -72,7 +72,7 @@
   size_t n_lines;
 } LxTrace;
 
-/* False with a typed error that names file, line and key. */
+/* On failure, the error names file, line and key. */
 bool lx_trace_read (LxTrace *trace, const char *path, LbError *error);
 bool
 lx_trace_parse (LxTrace *trace, const char *text, size_t length, const char *file, LbError *error);
--- a/packages/sim/include/lx-trainer.h
+++ b/packages/sim/include/lx-trainer.h
@@ -7,45 +7,47 @@
 
 struct LxWorld;
 
-/* A trainer that works one step ahead: while it trains on step k, the samples of step k + 1 are
- * made. It is idle from the end of its training until the last sample of the next step is there. */
+/* A trainer that requests samples one step ahead: while it trains on step k, the samples of step
+ * k + 1 are generated. It is idle from the end of its training until it has received the last
+ * sample of the next step. */
 typedef struct
 {
   struct LxWorld *world;
   size_t index;
   LbName name;
-  size_t owner; /* instance that owns the step */
+  size_t owner; /* index of the instance that owns the step */
   int64_t step;
-  bool opened;
-  LcVersion opened_version; /* that it stated when it first asked for the step */
+  bool is_step_open;
+  LcVersion step_version; /* its version when it first requested the step */
   LbTime train_until;
-  int64_t wanted;   /* steps to work; 0: no end */
-  LbTime *finished; /* by step, grows */
+  int64_t max_steps;        /* 0: no limit */
+  LbTime *step_finished_at; /* by step */
   /* the pull in progress */
-  uint64_t pull; /* 0: none */
+  uint64_t pull_id; /* 0: none */
   uint64_t n_pulls;
   LcVersion pull_version;
   LbTime pulled_at;
   char *cursor;
-  /* what it has of the step */
-  uint8_t *got;
-  int64_t n_got;
-  LbTime opened_at;
+  /* samples of the step */
+  uint8_t *received; /* by slot */
+  int64_t n_received;
+  LbTime step_requested_at;
   LbTime last_sample_at;
-  uint64_t last_stream; /* that ended last among those it has samples of */
-  LbTime last_ended;
-  /* measures, without the first step */
+  uint64_t last_stream; /* stream of a received sample that ended last */
+  LbTime last_stream_ended_at;
+  /* measurements without the first step */
   int64_t steps;
-  LbTime idle;
+  LbTime idle_time;
   LbTime idle_floor; /* idle time if the longest sample had run alone from the start */
   int64_t samples;
   int64_t staleness_sum;
   int64_t staleness_max;
-  int64_t mixed;  /* samples of more than one version */
-  int64_t oldest; /* largest staleness of all steps, the first too */
+  /* measurements with the first step */
+  int64_t mixed_samples; /* of more than one version */
+  int64_t staleness_max_all_steps;
 } LxTrainer;
 
-/* A chunk on its way to the trainer; owned by its holder. */
+/* A sample of a chunk, with its own copies of the texts. */
 typedef struct
 {
   char *group;
@@ -54,10 +56,11 @@
   LcLabel label;
 } LxChunkSample;
 
+/* The reply to a pull, in transit to the trainer. */
 typedef struct
 {
   size_t trainer;
-  uint64_t pull;
+  uint64_t pull_id;
   int64_t step;
   LbError error;
   LbTime retry_after;
@@ -70,22 +73,26 @@
 void lx_trainer_init (LxTrainer *trainer, struct LxWorld *world, size_t index);
 void lx_trainer_clear (LxTrainer *trainer);
 
+/* Copies the action: its pointers are valid only until the next command of LcRollouts. */
 LxChunk *lx_chunk_new (const LcRolloutAction *action);
 void lx_chunk_free (void *chunk);
 
 /* commands */
-void lx_trainer_start (LxTrainer *trainer, int64_t wanted);
+/* Runs this many steps; 0: no limit. */
+void lx_trainer_start (LxTrainer *trainer, int64_t max_steps);
+/* Takes ownership of the chunk. */
 void lx_trainer_receive_chunk (LxTrainer *trainer, LxChunk *chunk);
-/* The instance has its step open. */
+/* The instance has opened the step. */
 void lx_trainer_step_opened (LxTrainer *trainer, size_t instance, int64_t step);
-/* The connection of its pull broke. */
+/* The connection of the pull broke. */
 void lx_trainer_abort_pull (LxTrainer *trainer);
-/* It goes to another instance, which will take its step over. */
+/* Makes the trainer continue at another instance, which takes over the step. */
 void lx_trainer_change_owner (LxTrainer *trainer, size_t owner);
 
 /* queries */
-/* When it had all samples of the step; 0: not yet. */
+/* Returns when the trainer had all samples of the step; 0: not yet. */
 LbTime lx_trainer_step_finished_at (const LxTrainer *trainer, int64_t step);
+/* Returns the length of a sample in tokens. */
 int64_t lx_sample_length (
     const LxOptions *options, size_t trainer, int64_t step, int64_t group, int64_t index);
 
--- a/packages/sim/include/lx-world.h
+++ b/packages/sim/include/lx-world.h
@@ -15,17 +15,18 @@
 
 #define LX_HISTORY_LENGTH 24
 
-/* A run: the instances' decisions among fakes of all that surrounds them, in virtual time. */
+/* A simulation run in virtual time: instances with the real decisions of core, and simulated
+ * endpoints, trainers, callers, store and operators. */
 typedef struct LxWorld
 {
   LxOptions options;
   LxQueue *queue;
-  gsl_rng *random; /* for the harness alone */
+  gsl_rng *random; /* not used by core */
   LxAudit audit;
   LxRegistry registry;
-  LxEngine **engines; /* model engines first, then plain services */
-  size_t n_engines;
-  size_t n_endpoints;
+  LxEngine **engines; /* model engines, then services */
+  size_t n_engines;   /* model engines */
+  size_t n_endpoints; /* model engines and services */
   LxInstance *instances;
   size_t n_instances;
   LxTrainer *trainers;
@@ -34,24 +35,26 @@
   LxStore store;
   LxFaults faults;
   int64_t decisions;
-  /* the last decisions and the last strikes, for a failing run */
-  char history[LX_HISTORY_LENGTH][128];
-  uint64_t n_history;
-  char strikes[LX_HISTORY_LENGTH][128];
-  uint64_t n_strikes;
+  /* ring buffers, printed if a run fails */
+  char recent_decisions[LX_HISTORY_LENGTH][128];
+  uint64_t n_recorded_decisions;
+  char recent_faults[LX_HISTORY_LENGTH][128];
+  uint64_t n_recorded_faults;
 } LxWorld;
 
 LxWorld *lx_world_new (const LxOptions *options);
 void lx_world_free (LxWorld *world);
 
 /* commands */
-/* Starts what surrounds the system; lx_world_run does it too. */
+/* Starts all parts of the simulation; lx_world_run calls it. */
 void lx_world_start (LxWorld *world);
+/* Starts the simulation and runs it until the duration, the number of events or, with
+ * stop_at_violation, the first violation is reached. */
 void lx_world_run (LxWorld *world);
-void lx_world_record_fault (LxWorld *world, const char *what, const char *where);
+void lx_world_record_fault (LxWorld *world, const char *fault, const char *target);
 void lx_world_record_decision (LxWorld *world, const char *format, ...)
     __attribute__ ((format (printf, 2, 3)));
-/* Handler after a delay; see lx_queue_add. */
+/* Runs the handler after a delay; see lx_queue_add. */
 void lx_world_schedule (LxWorld *world,
                         LbTime delay,
                         LxEventHandler handler,
@@ -62,9 +65,12 @@
 /* queries */
 LbTime lx_world_now (const LxWorld *world);
 uint64_t lx_world_event_number (const LxWorld *world);
+/* One-way network latency between two data centres. */
 LbTime lx_world_latency (const LxWorld *world, size_t data_centre, size_t other);
 LxEngine *lx_world_find_engine (LxWorld *world, const char *name);
 LxInstance *lx_world_find_instance (LxWorld *world, const char *name);
+/* Returns the first instance from index `preferred` on that serves callers; NULL if there is none.
+ */
 LxInstance *lx_world_choose_instance (LxWorld *world, size_t preferred);
 
 #endif
--- a/packages/sim/src/lx-audit.c
+++ b/packages/sim/src/lx-audit.c
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-static const char *const breach_names[LX_N_VIOLATIONS]
+static const char *const violation_names[LX_N_VIOLATIONS]
     = { "lost",          "doubled",           "stale",        "mislabelled",
         "not-whole",     "ran-after-not-run", "ran-twice",    "sent-to-leaving",
         "cut-by-drain",  "reverted",          "not-in-force", "stuck",
@@ -30,15 +30,15 @@
 
 void
 lx_audit_report_violation (
-    LxAudit *audit, LxViolation breach, LbTime now, uint64_t event, const char *format, ...)
+    LxAudit *audit, LxViolation violation, LbTime now, uint64_t event, const char *format, ...)
 {
-  audit->violations[breach]++;
+  audit->violations[violation]++;
   if (audit->first_violation[0])
     return;
 
   int length = snprintf (audit->first_violation, sizeof audit->first_violation,
-                         "%s at %.6f s, event %llu: ", breach_names[breach], (double)now / LB_SEC,
-                         (unsigned long long)event);
+                         "%s at %.6f s, event %llu: ", violation_names[violation],
+                         (double)now / LB_SEC, (unsigned long long)event);
   va_list arguments;
   va_start (arguments, format);
   vsnprintf (audit->first_violation + length, sizeof audit->first_violation - (size_t)length,
@@ -47,9 +47,9 @@
   audit->first_event = event;
 }
 
-/* Room for one more element: capacities are powers of two. */
+/* Makes room for one more element; the capacity is the next power of two. */
 static void *
-grow (void *array, size_t n, size_t size)
+grow_array (void *array, size_t n, size_t size)
 {
   if (n > 0 && (n & (n - 1)) != 0)
     return array;
@@ -59,7 +59,7 @@
 uint64_t
 lx_audit_add_job (LxAudit *audit, const LxJob *job)
 {
-  audit->jobs = grow (audit->jobs, audit->n_jobs, sizeof (LxJob));
+  audit->jobs = grow_array (audit->jobs, audit->n_jobs, sizeof (LxJob));
   audit->jobs[audit->n_jobs++] = *job;
   return audit->n_jobs;
 }
@@ -67,18 +67,17 @@
 uint64_t
 lx_audit_add_stream (LxAudit *audit, uint64_t job, LbTime now)
 {
-  audit->streams = grow (audit->streams, audit->n_streams, sizeof (LxStreamRecord));
-  audit->streams[audit->n_streams++] = (LxStreamRecord){ .job = job, .begun = now };
+  audit->streams = grow_array (audit->streams, audit->n_streams, sizeof (LxStreamRecord));
+  audit->streams[audit->n_streams++] = (LxStreamRecord){ .job = job, .started_at = now };
   return audit->n_streams;
 }
 
-/* The step of this number, made at its first use. */
 LxStepTokens *
 lx_audit_step (LxAudit *audit, uint64_t step)
 {
   while (audit->n_steps <= step)
     {
-      audit->steps = grow (audit->steps, audit->n_steps, sizeof (LxStepTokens));
+      audit->steps = grow_array (audit->steps, audit->n_steps, sizeof (LxStepTokens));
       audit->steps[audit->n_steps++] = (LxStepTokens){ 0 };
     }
   return &audit->steps[step];
@@ -88,18 +87,19 @@
 lx_audit_add_tokens (
     LxAudit *audit, uint64_t stream, int64_t offset, int64_t tokens, LcVersion version, LbTime now)
 {
-  LxStreamRecord *truth = &audit->streams[stream - 1];
-  LcSpan *last = truth->n_spans > 0 ? &truth->spans[truth->n_spans - 1] : NULL;
+  LxStreamRecord *record = &audit->streams[stream - 1];
+  LcSpan *last = record->n_spans > 0 ? &record->spans[record->n_spans - 1] : NULL;
 
-  truth->ended = now;
+  record->last_token_at = now;
   if (last && last->version == version)
     {
       last->count += tokens;
       return;
     }
-  if (truth->n_spans == LX_MAX_STREAM_SPANS)
+  if (record->n_spans == LX_MAX_STREAM_SPANS)
     abort ();
-  truth->spans[truth->n_spans++] = (LcSpan){ .version = version, .first = offset, .count = tokens };
+  record->spans[record->n_spans++]
+      = (LcSpan){ .version = version, .first = offset, .count = tokens };
 }
 
 LxJob *
@@ -119,7 +119,7 @@
 }
 
 static void
-add_part (LcLabel *label, const LcSpan *span, const LxSegment *segment)
+add_overlap (LcLabel *label, const LcSpan *span, const LxSegment *segment)
 {
   int64_t first = span->first > segment->first ? span->first : segment->first;
   int64_t span_end = span->first + span->count;
@@ -136,13 +136,12 @@
   lc_label_init (label);
   for (size_t i = 0; i < text->n_segments; i++)
     {
-      const LxStreamRecord *truth = &audit->streams[text->segments[i].stream - 1];
-      for (size_t j = 0; j < truth->n_spans; j++)
-        add_part (label, &truth->spans[j], &text->segments[i]);
+      const LxStreamRecord *record = &audit->streams[text->segments[i].stream - 1];
+      for (size_t j = 0; j < record->n_spans; j++)
+        add_overlap (label, &record->spans[j], &text->segments[i]);
     }
 }
 
-/* Tokens made for samples of finished steps that no trainer got, over all made for them. */
 double
 lx_audit_wasted_ratio (const LxAudit *audit)
 {
@@ -150,7 +149,7 @@
   int64_t delivered = 0;
 
   for (size_t i = 0; i < audit->n_steps; i++)
-    if (audit->steps[i].done)
+    if (audit->steps[i].is_done)
       {
         generated += audit->steps[i].generated;
         delivered += audit->steps[i].delivered;
--- a/packages/sim/src/lx-callers.c
+++ b/packages/sim/src/lx-callers.c
@@ -10,13 +10,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define PREFIX_FAMILIES 40
+#define N_PREFIX_FAMILIES 40
 #define N_CALLERS 50
-#define SHARED_BLOCKS 3
+#define N_SHARED_BLOCKS 3
 #define PROMPT_TOKENS 256
-#define DEADLINE (60 * LB_SEC)
-#define PATIENCE (20 * LB_SEC)
+#define CALL_TIMEOUT (60 * LB_SEC)
+#define ANSWER_GRACE_TIME (20 * LB_SEC)
 
+/* A piece or the final result of a call, in transit to the caller. */
 typedef struct
 {
   LxCall *call;
@@ -33,13 +34,13 @@
   callers->world = world;
   callers->random = gsl_rng_alloc (gsl_rng_taus2);
   gsl_rng_set (callers->random, world->options.seed * 31 + 7);
-  lb_list_init (&callers->open);
+  lb_list_init (&callers->open_calls);
 }
 
 static void
 free_call (LxCallers *callers, LxCall *call)
 {
-  lb_list_remove (&callers->open, &call->link);
+  lb_list_remove (&callers->open_calls, &call->link);
   lx_text_clear (&call->text);
   free (call);
 }
@@ -47,39 +48,41 @@
 void
 lx_callers_clear (LxCallers *callers)
 {
-  LB_LIST_FOREACH (&callers->open, LxCall, link, call)
+  LB_LIST_FOREACH (&callers->open_calls, LxCall, link, call)
   {
     free_call (callers, call);
   }
   gsl_rng_free (callers->random);
-  free (callers->latencies);
-  free (callers->first_pieces);
+  free (callers->latencies_ms);
+  free (callers->first_piece_latencies_ms);
 }
 
 static void
-record (double **values, size_t *n, LbTime took)
+add_latency (double **values, size_t *n, LbTime duration)
 {
   if ((*n & (*n - 1)) == 0)
     *values = lb_realloc (*values, (*n ? 2 * *n : 1) * sizeof (double));
-  (*values)[(*n)++] = (double)took / LB_MSEC;
+  (*values)[(*n)++] = (double)duration / LB_MSEC;
 }
 
 static void
-take_answer (LxCallers *callers, LxCall *call)
+record_answer (LxCallers *callers, LxCall *call)
 {
   LxWorld *world = callers->world;
   LbTime now = lx_world_now (world);
 
   callers->answered++;
-  if (!lx_text_is_contiguous (&call->text, 0) || lx_text_count_tokens (&call->text) != call->length)
+  if (!lx_text_is_contiguous (&call->text, 0)
+      || lx_text_count_tokens (&call->text) != call->total_tokens)
     lx_audit_report_violation (&world->audit, LX_VIOLATION_NOT_WHOLE, now,
                                lx_world_event_number (world),
-                               "call of job %" PRIu64 " has %" PRId64 " of %" PRId64 " tokens",
-                               call->job, lx_text_count_tokens (&call->text), call->length);
+                               "answer of job %" PRIu64 " has %" PRId64 " of %" PRId64 " tokens",
+                               call->job, lx_text_count_tokens (&call->text), call->total_tokens);
   if (call->kind != LC_KIND_LIVE)
     return;
-  record (&callers->latencies, &callers->n_latencies, now - call->asked);
-  record (&callers->first_pieces, &callers->n_first_pieces, call->first_piece - call->asked);
+  add_latency (&callers->latencies_ms, &callers->n_latencies, now - call->sent_at);
+  add_latency (&callers->first_piece_latencies_ms, &callers->n_first_piece_latencies,
+               call->first_piece_at - call->sent_at);
 }
 
 static void
@@ -91,18 +94,18 @@
 
   if (!answer->is_end)
     {
-      if (call->first_piece == 0)
-        call->first_piece = lx_world_now (callers->world);
+      if (call->first_piece_at == 0)
+        call->first_piece_at = lx_world_now (callers->world);
       lx_text_append (&call->text, answer->stream, answer->piece.offset, answer->piece.tokens);
       goto out;
     }
   if (call->result)
     {
-      call->result->ended = lx_world_now (callers->world);
+      call->result->ended_at = lx_world_now (callers->world);
       call->result->error = answer->error;
     }
   if (answer->error == LB_OK)
-    take_answer (callers, call);
+    record_answer (callers, call);
   else if (lb_error_is_not_run (answer->error))
     callers->refused++;
   else
@@ -115,18 +118,18 @@
 static void
 send_answer (LxCallers *callers, const Answer *answer)
 {
-  lx_world_schedule (callers->world, callers->world->options.site->to_clients, on_answer, callers,
-                     lb_memdup (answer, sizeof *answer), free);
+  lx_world_schedule (callers->world, callers->world->options.site->client_latency, on_answer,
+                     callers, lb_memdup (answer, sizeof *answer), free);
 }
 
-/* A piece leaves the instance for its caller. */
+/* Sends a piece from the instance to the caller. */
 void
 lx_callers_send_piece (LxCallers *callers, LxCall *call, uint64_t stream, const LcPiece *piece)
 {
   send_answer (callers, &(Answer){ .call = call, .stream = stream, .piece = *piece });
 }
 
-/* The final answer leaves the instance; the call must not be used after it. */
+/* Sends the final result from the instance to the caller. The call must not be used afterwards. */
 void
 lx_callers_send_result (LxCallers *callers, LxCall *call, LbErrorCode error)
 {
@@ -136,9 +139,10 @@
 static void
 fill_model_call (LxCallers *callers, LcRequestSpec *spec)
 {
-  /* Popularity falls with the rank, as among shops or sorting offices. */
+  /* Squaring makes families of low number more popular: a few shops or sorting offices send most
+   * calls. */
   double position = gsl_rng_uniform (callers->random);
-  uint64_t family = (uint64_t)(PREFIX_FAMILIES * position * position);
+  uint64_t family = (uint64_t)(N_PREFIX_FAMILIES * position * position);
 
   spec->kind = LC_KIND_LIVE;
   spec->delivery = LC_DELIVER_STREAM;
@@ -146,10 +150,10 @@
   spec->resumable = true;
   spec->prompt_tokens = PROMPT_TOKENS;
   spec->expected_tokens = 64;
-  spec->n_prefix_hashes = SHARED_BLOCKS + 1;
-  for (size_t i = 0; i < SHARED_BLOCKS; i++)
+  spec->n_prefix_hashes = N_SHARED_BLOCKS + 1;
+  for (size_t i = 0; i < N_SHARED_BLOCKS; i++)
     spec->prefix_hashes[i] = (family + 1) * 1000003 + i;
-  spec->prefix_hashes[SHARED_BLOCKS] = ((uint64_t)1 << 40) + callers->n_calls;
+  spec->prefix_hashes[N_SHARED_BLOCKS] = ((uint64_t)1 << 40) + callers->n_calls;
   LB_COPY (spec->pool, callers->world->options.site->pool);
 }
 
@@ -163,15 +167,16 @@
   LB_COPY (spec->pool, callers->world->options.site->service);
 }
 
+/* A call in transit to an instance. */
 typedef struct
 {
   LxCall *call;
   LcRequestSpec spec;
-  LbName instance;
-} Asking;
+  LbName instance; /* "": any */
+} Submission;
 
 static LxInstance *
-any_instance (LxCallers *callers)
+choose_random_instance (LxCallers *callers)
 {
   LxWorld *world = callers->world;
 
@@ -180,133 +185,137 @@
 }
 
 static void
-on_asked (void *owner, void *argument)
+on_call_arrived (void *owner, void *argument)
 {
   LxCallers *callers = owner;
-  Asking *asking = argument;
+  Submission *submission = argument;
   LxWorld *world = callers->world;
-  LxInstance *instance = asking->instance[0] ? lx_world_find_instance (world, asking->instance)
-                                             : any_instance (callers);
+  LxInstance *instance = submission->instance[0]
+                             ? lx_world_find_instance (world, submission->instance)
+                             : choose_random_instance (callers);
   LbError error = { 0 };
 
   if (!instance || !instance->alive)
-    lx_callers_send_result (callers, asking->call, LB_ERROR_NOT_READY);
-  else if (!lx_instance_submit_call (instance, &asking->spec, asking->call->job, asking->call,
-                                     &error))
-    lx_callers_send_result (callers, asking->call, error.code);
-  free (asking);
+    lx_callers_send_result (callers, submission->call, LB_ERROR_NOT_READY);
+  else if (!lx_instance_submit_call (instance, &submission->spec, submission->call->job,
+                                     submission->call, &error))
+    lx_callers_send_result (callers, submission->call, error.code);
+  free (submission);
 }
 
-static Asking *
-prepare (LxCallers *callers, bool of_service)
+static Submission *
+new_submission (LxCallers *callers, bool is_service_call)
 {
-  Asking *asking = LB_NEW (Asking);
+  Submission *submission = LB_NEW (Submission);
   LxCall *call = LB_NEW (LxCall);
 
   callers->n_calls++;
-  if (of_service)
-    fill_service_call (callers, &asking->spec);
+  if (is_service_call)
+    fill_service_call (callers, &submission->spec);
   else
-    fill_model_call (callers, &asking->spec);
-  asking->spec.deadline = lx_world_now (callers->world) + DEADLINE;
-  snprintf (asking->spec.caller, LB_NAME_MAX, "caller-%lu",
+    fill_model_call (callers, &submission->spec);
+  submission->spec.deadline = lx_world_now (callers->world) + CALL_TIMEOUT;
+  snprintf (submission->spec.caller, LB_NAME_MAX, "caller-%lu",
             gsl_rng_uniform_int (callers->random, N_CALLERS));
-  call->kind = asking->spec.kind;
-  call->length = of_service ? 1 : 32 + (int64_t)gsl_rng_uniform_int (callers->random, 64);
-  call->asked = lx_world_now (callers->world);
-  lb_list_append (&callers->open, &call->link);
-  asking->call = call;
-  return asking;
+  call->kind = submission->spec.kind;
+  call->total_tokens
+      = is_service_call ? 1 : 32 + (int64_t)gsl_rng_uniform_int (callers->random, 64);
+  call->sent_at = lx_world_now (callers->world);
+  lb_list_append (&callers->open_calls, &call->link);
+  submission->call = call;
+  return submission;
 }
 
 static void
-ask (LxCallers *callers, Asking *asking)
+send_call (LxCallers *callers, Submission *submission)
 {
   LxWorld *world = callers->world;
-  LxCall *call = asking->call;
+  LxCall *call = submission->call;
 
   call->job = lx_audit_add_job (&world->audit, &(LxJob){ .kind = call->kind,
-                                                         .repeatable = asking->spec.repeatable,
-                                                         .length = call->length });
-  lx_world_schedule (world, world->options.site->to_clients, on_asked, callers, asking, free);
+                                                         .repeatable = submission->spec.repeatable,
+                                                         .total_tokens = call->total_tokens });
+  lx_world_schedule (world, world->options.site->client_latency, on_call_arrived, callers,
+                     submission, free);
 }
 
 void
-lx_callers_submit (LxCallers *callers, const LxCallSpec *order)
+lx_callers_submit (LxCallers *callers, const LxCallSpec *spec)
 {
-  Asking *asking = prepare (callers, order->of_service);
-
-  asking->spec.repeatable = order->repeatable;
-  asking->spec.deadline = lx_world_now (callers->world) + order->deadline;
-  LB_COPY (asking->instance, order->instance);
-  if (!order->of_service)
-    asking->call->length = order->tokens;
-  asking->call->result = order->result;
-  ask (callers, asking);
-  order->result->job = asking->call->job;
+  Submission *submission = new_submission (callers, spec->is_service_call);
+
+  submission->spec.repeatable = spec->repeatable;
+  submission->spec.deadline = lx_world_now (callers->world) + spec->timeout;
+  LB_COPY (submission->instance, spec->instance);
+  if (!spec->is_service_call)
+    submission->call->total_tokens = spec->tokens;
+  submission->call->result = spec->result;
+  send_call (callers, submission);
+  spec->result->job = submission->call->job;
 }
 
 static LbTime
-pause_before_next (LxCallers *callers, double rate)
+draw_interval (LxCallers *callers, double rate)
 {
   return (LbTime)gsl_ran_exponential (callers->random, (double)LB_SEC / rate);
 }
 
 static void
-on_model_call (void *owner, void *argument)
+on_model_call_due (void *owner, void *argument)
 {
   LxCallers *callers = owner;
 
   (void)argument;
-  ask (callers, prepare (callers, false));
+  send_call (callers, new_submission (callers, false));
   lx_world_schedule (callers->world,
-                     pause_before_next (callers, callers->world->options.calls_per_second),
-                     on_model_call, callers, NULL, NULL);
+                     draw_interval (callers, callers->world->options.calls_per_second),
+                     on_model_call_due, callers, NULL, NULL);
 }
 
 static void
-on_service_call (void *owner, void *argument)
+on_service_call_due (void *owner, void *argument)
 {
   LxCallers *callers = owner;
 
   (void)argument;
-  ask (callers, prepare (callers, true));
+  send_call (callers, new_submission (callers, true));
   lx_world_schedule (callers->world,
-                     pause_before_next (callers, callers->world->options.service_calls_per_second),
-                     on_service_call, callers, NULL, NULL);
+                     draw_interval (callers, callers->world->options.service_calls_per_second),
+                     on_service_call_due, callers, NULL, NULL);
 }
 
-/* Every call has a final answer soon after its deadline, whatever happens. */
+/* Reports calls without a final answer some time after their deadline. */
 static void
-on_check (void *owner, void *argument)
+on_overdue_check (void *owner, void *argument)
 {
   LxCallers *callers = owner;
   LxWorld *world = callers->world;
   LbTime now = lx_world_now (world);
 
   (void)argument;
-  LB_LIST_FOREACH (&callers->open, LxCall, link, call)
+  LB_LIST_FOREACH (&callers->open_calls, LxCall, link, call)
   {
-    if (call->reported || call->asked + DEADLINE + PATIENCE > now)
+    if (call->is_reported_stuck || call->sent_at + CALL_TIMEOUT + ANSWER_GRACE_TIME > now)
       continue;
-    call->reported = true;
+    call->is_reported_stuck = true;
     lx_audit_report_violation (&world->audit, LX_VIOLATION_STUCK, now,
                                lx_world_event_number (world),
-                               "call of job %" PRIu64 " has no answer", call->job);
+                               "call of job %" PRIu64 " has no answer after its deadline",
+                               call->job);
   }
-  lx_world_schedule (world, 10 * LB_SEC, on_check, callers, NULL, NULL);
+  lx_world_schedule (world, 10 * LB_SEC, on_overdue_check, callers, NULL, NULL);
 }
 
 void
 lx_callers_start (LxCallers *callers)
 {
-  lx_world_schedule (callers->world, LB_SEC, on_check, callers, NULL, NULL);
-  lx_world_schedule (callers->world, LB_SEC, on_model_call, callers, NULL, NULL);
-  lx_world_schedule (callers->world, LB_SEC, on_service_call, callers, NULL, NULL);
+  lx_world_schedule (callers->world, LB_SEC, on_overdue_check, callers, NULL, NULL);
+  lx_world_schedule (callers->world, LB_SEC, on_model_call_due, callers, NULL, NULL);
+  lx_world_schedule (callers->world, LB_SEC, on_service_call_due, callers, NULL, NULL);
 }
 
 static int
-compare (const void *a, const void *b)
+compare_doubles (const void *a, const void *b)
 {
   double x = *(const double *)a;
   double y = *(const double *)b;
@@ -319,6 +328,6 @@
 {
   if (callers->n_latencies == 0)
     return 0;
-  qsort (callers->latencies, callers->n_latencies, sizeof (double), compare);
-  return callers->latencies[(size_t)(share * (double)(callers->n_latencies - 1))];
+  qsort (callers->latencies_ms, callers->n_latencies, sizeof (double), compare_doubles);
+  return callers->latencies_ms[(size_t)(share * (double)(callers->n_latencies - 1))];
 }
--- a/packages/sim/src/lx-engine.c
+++ b/packages/sim/src/lx-engine.c
@@ -6,13 +6,13 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* Tokens in a piece: few for live callers, who see them come; many for samples, to keep runs short.
- */
+/* Live callers receive short pieces for a low time to the next token, samples receive long ones so
+ * that a run has fewer events. */
 enum
 {
-  FIRST_PIECE = 1,
-  LIVE_PIECE = 16,
-  SAMPLE_PIECE = 32
+  FIRST_PIECE_TOKENS = 1,
+  LIVE_PIECE_TOKENS = 16,
+  SAMPLE_PIECE_TOKENS = 32
 };
 
 static void set_timer (LxEngine *engine);
@@ -27,7 +27,7 @@
   engine->times = *times;
   lb_list_init (&engine->running);
   lb_list_init (&engine->waiting);
-  engine->clock_at = lx_queue_now (queue);
+  engine->token_clock_at = lx_queue_now (queue);
   return engine;
 }
 
@@ -56,22 +56,24 @@
 {
   size_t others = engine->running.length > 0 ? engine->running.length - 1 : 0;
 
-  return engine->times.token + engine->times.token_per_other * (double)others;
+  return engine->times.token_seconds + engine->times.token_seconds_per_other * (double)others;
 }
 
-/* Brings the engine's clock to the present; must run before the batch changes. */
+/* Advances the token clock to the present. Must be called before the batch changes, because the
+ * speed depends on its size. */
 static void
-advance (LxEngine *engine)
+advance_clock (LxEngine *engine)
 {
   LbTime now = lx_queue_now (engine->queue);
 
   if (!engine->paused)
-    engine->clock += (double)(now - engine->clock_at) / LB_SEC / seconds_per_token (engine);
-  engine->clock_at = now;
+    engine->token_clock
+        += (double)(now - engine->token_clock_at) / LB_SEC / seconds_per_token (engine);
+  engine->token_clock_at = now;
 }
 
 static void
-log_cache (LxEngine *engine, uint64_t hash, bool stored)
+log_cache_event (LxEngine *engine, uint64_t hash, bool stored)
 {
   LxCacheEvent *event = &engine->cache_log[++engine->cache_sequence % LX_CACHE_LOG_LENGTH];
 
@@ -81,20 +83,20 @@
 static LxCachedBlock *
 find_block (LxEngine *engine, uint64_t hash)
 {
-  for (size_t i = 0; i < engine->n_cached; i++)
-    if (engine->cached[i].hash == hash)
-      return &engine->cached[i];
+  for (size_t i = 0; i < engine->n_cached_blocks; i++)
+    if (engine->cached_blocks[i].hash == hash)
+      return &engine->cached_blocks[i];
   return NULL;
 }
 
 static LxCachedBlock *
-oldest_block (LxEngine *engine)
+find_least_recently_used_block (LxEngine *engine)
 {
-  LxCachedBlock *oldest = &engine->cached[0];
+  LxCachedBlock *oldest = &engine->cached_blocks[0];
 
-  for (size_t i = 1; i < engine->n_cached; i++)
-    if (engine->cached[i].used < oldest->used)
-      oldest = &engine->cached[i];
+  for (size_t i = 1; i < engine->n_cached_blocks; i++)
+    if (engine->cached_blocks[i].last_used < oldest->last_used)
+      oldest = &engine->cached_blocks[i];
   return oldest;
 }
 
@@ -103,27 +105,28 @@
 {
   LxCachedBlock *block;
 
-  if (engine->n_cached < engine->times.cached_blocks && engine->n_cached < LX_MAX_CACHED_BLOCKS)
+  if (engine->n_cached_blocks < engine->times.max_cached_blocks
+      && engine->n_cached_blocks < LX_MAX_CACHED_BLOCKS)
     {
-      block = &engine->cached[engine->n_cached++];
+      block = &engine->cached_blocks[engine->n_cached_blocks++];
     }
   else
     {
-      block = oldest_block (engine);
-      log_cache (engine, block->hash, false);
+      block = find_least_recently_used_block (engine);
+      log_cache_event (engine, block->hash, false);
     }
-  *block = (LxCachedBlock){ .hash = hash, .used = ++engine->cache_clock };
-  log_cache (engine, hash, true);
+  *block = (LxCachedBlock){ .hash = hash, .last_used = ++engine->cache_use_counter };
+  log_cache_event (engine, hash, true);
 }
 
-/* Share of the prompt that must be computed, 0..1; stores its blocks. */
+/* Returns the share of the prompt that is not cached, 0..1, and stores its blocks. */
 static double
 look_up_prompt (LxEngine *engine, const LxStreamSpec *spec)
 {
-  size_t found = 0;
+  size_t n_cached = 0;
   bool leading = true;
 
-  if (spec->n_prefix_hashes == 0 || engine->times.cached_blocks == 0)
+  if (spec->n_prefix_hashes == 0 || engine->times.max_cached_blocks == 0)
     return 1.0;
   for (size_t i = 0; i < spec->n_prefix_hashes; i++)
     {
@@ -131,38 +134,38 @@
 
       leading = leading && block;
       if (leading)
-        found++;
+        n_cached++;
       if (block)
-        block->used = ++engine->cache_clock;
+        block->last_used = ++engine->cache_use_counter;
       else
         store_block (engine, spec->prefix_hashes[i]);
     }
   engine->prompt_blocks += (int64_t)spec->n_prefix_hashes;
-  engine->prompt_blocks_found += (int64_t)found;
-  return 1.0 - (double)found / (double)spec->n_prefix_hashes;
+  engine->prompt_blocks_cached += (int64_t)n_cached;
+  return 1.0 - (double)n_cached / (double)spec->n_prefix_hashes;
 }
 
 static void
-plan_piece (LxStream *stream, int64_t tokens, double from)
+schedule_piece (LxStream *stream, int64_t tokens, double from)
 {
-  int64_t left = stream->spec.length - stream->offset;
+  int64_t remaining = stream->spec.total_tokens - stream->next_token;
 
-  stream->piece = tokens < left ? tokens : left;
-  stream->piece_clock = from + (double)stream->piece;
+  stream->piece_tokens = tokens < remaining ? tokens : remaining;
+  stream->piece_due_clock = from + (double)stream->piece_tokens;
 }
 
 static void
 start_stream (LxEngine *engine, LxStream *stream)
 {
-  double fresh = look_up_prompt (engine, &stream->spec);
-  double prefill = (double)(stream->spec.prompt_tokens + stream->offset) * fresh
-                   * engine->times.prefill / engine->times.token;
+  double uncached_share = look_up_prompt (engine, &stream->spec);
+  double prefill_clock = (double)(stream->spec.prompt_tokens + stream->next_token) * uncached_share
+                         * engine->times.prefill_token_seconds / engine->times.token_seconds;
 
-  stream->running = true;
-  plan_piece (stream, FIRST_PIECE, engine->clock + prefill);
+  stream->is_running = true;
+  schedule_piece (stream, FIRST_PIECE_TOKENS, engine->token_clock + prefill_clock);
 }
 
-/* Moves waiting streams into the batch, those of higher priority first. */
+/* Moves waiting streams into the batch, by priority. */
 static void
 fill_batch (LxEngine *engine)
 {
@@ -171,7 +174,7 @@
     {
       LxStream *stream = LB_CONTAINER (lb_list_pop (&engine->waiting), LxStream, link);
 
-      advance (engine);
+      advance_clock (engine);
       lb_list_append (&engine->running, &stream->link);
       start_stream (engine, stream);
     }
@@ -180,44 +183,46 @@
 static void
 end_stream (LxEngine *engine, LxStream *stream, LcAttemptEnd end)
 {
-  lb_list_remove (stream->running ? &engine->running : &engine->waiting, &stream->link);
-  if (!stream->silent)
-    engine->listener.ended (engine->listener.user, engine, stream, end);
+  lb_list_remove (stream->is_running ? &engine->running : &engine->waiting, &stream->link);
+  if (!stream->is_silent)
+    engine->listener.on_end (engine->listener.user, engine, stream, end);
   free (stream);
 }
 
 static void
-count_made (LxEngine *engine, const LxStream *stream, int64_t tokens)
+count_generated (LxEngine *engine, const LxStream *stream, int64_t tokens)
 {
-  engine->tokens += tokens;
-  engine->listener.made (engine->listener.user, engine, stream, tokens);
+  engine->generated_tokens += tokens;
+  engine->listener.on_generated (engine->listener.user, engine, stream, tokens);
 }
 
-/* Sends the tokens made since the last piece. */
+/* Sends the tokens generated since the last piece. */
 static void
 send_piece (LxEngine *engine, LxStream *stream, int64_t tokens)
 {
-  LcPiece piece = { .offset = stream->offset,
+  LcPiece piece = { .offset = stream->next_token,
                     .tokens = tokens,
                     .version = engine->is_service ? 0 : engine->version,
-                    .last = stream->offset + tokens == stream->spec.length };
+                    .last = stream->next_token + tokens == stream->spec.total_tokens };
 
-  stream->offset += tokens;
-  count_made (engine, stream, tokens);
-  if (!stream->silent)
-    engine->listener.piece (engine->listener.user, engine, stream, &piece);
+  stream->next_token += tokens;
+  count_generated (engine, stream, tokens);
+  if (!stream->is_silent)
+    engine->listener.on_piece (engine->listener.user, engine, stream, &piece);
 }
 
 static void
-finish_piece (LxEngine *engine, LxStream *stream)
+complete_piece (LxEngine *engine, LxStream *stream)
 {
-  double made_at = stream->piece_clock;
+  double due_clock = stream->piece_due_clock;
 
-  send_piece (engine, stream, stream->piece);
-  if (stream->offset == stream->spec.length)
+  send_piece (engine, stream, stream->piece_tokens);
+  if (stream->next_token == stream->spec.total_tokens)
     end_stream (engine, stream, LC_END_COMPLETE);
   else
-    plan_piece (stream, stream->spec.kind == LC_KIND_SAMPLE ? SAMPLE_PIECE : LIVE_PIECE, made_at);
+    schedule_piece (stream,
+                    stream->spec.kind == LC_KIND_SAMPLE ? SAMPLE_PIECE_TOKENS : LIVE_PIECE_TOKENS,
+                    due_clock);
 }
 
 static void
@@ -225,13 +230,13 @@
 {
   LxEngine *engine = owner;
 
-  if ((uintptr_t)argument != engine->timer)
+  if ((uintptr_t)argument != engine->timer_number)
     return;
-  advance (engine);
+  advance_clock (engine);
   LB_LIST_FOREACH (&engine->running, LxStream, link, stream)
   {
-    if (stream->piece_clock <= engine->clock + 1e-6)
-      finish_piece (engine, stream);
+    if (stream->piece_due_clock <= engine->token_clock + 1e-6)
+      complete_piece (engine, stream);
   }
   fill_batch (engine);
   set_timer (engine);
@@ -242,23 +247,23 @@
 {
   double next = INFINITY;
 
-  engine->timer++;
+  engine->timer_number++;
   if (engine->paused)
     return;
   LB_LIST_FOREACH (&engine->running, LxStream, link, stream)
   {
-    next = fmin (next, stream->piece_clock);
+    next = fmin (next, stream->piece_due_clock);
   }
   if (isinf (next))
     return;
 
-  double wait = (next - engine->clock) * seconds_per_token (engine) * LB_SEC;
+  double wait = (next - engine->token_clock) * seconds_per_token (engine) * LB_SEC;
   LbTime at = lx_queue_now (engine->queue) + (LbTime)ceil (fmax (wait, 0));
-  lx_queue_add (engine->queue, at, on_timer, engine, (void *)(uintptr_t)engine->timer, NULL);
+  lx_queue_add (engine->queue, at, on_timer, engine, (void *)(uintptr_t)engine->timer_number, NULL);
 }
 
 static int
-rank (const LxStreamSpec *spec)
+queue_rank (const LxStreamSpec *spec)
 {
   return (spec->kind == LC_KIND_SAMPLE ? 0 : 1000) + spec->priority;
 }
@@ -266,12 +271,13 @@
 static void
 enqueue (LxEngine *engine, LxStream *stream)
 {
-  LbLink *place = &engine->waiting.head;
+  LbLink *position = &engine->waiting.head;
 
-  while (place->prev != &engine->waiting.head
-         && rank (&LB_CONTAINER (place->prev, LxStream, link)->spec) < rank (&stream->spec))
-    place = place->prev;
-  lb_list_insert_before (&engine->waiting, place, &stream->link);
+  while (position->prev != &engine->waiting.head
+         && queue_rank (&LB_CONTAINER (position->prev, LxStream, link)->spec)
+                < queue_rank (&stream->spec))
+    position = position->prev;
+  lb_list_insert_before (&engine->waiting, position, &stream->link);
 }
 
 bool
@@ -282,9 +288,9 @@
 
   LxStream *stream = LB_NEW (LxStream);
   stream->spec = *spec;
-  stream->offset = spec->offset;
-  stream->arrived = lx_queue_now (engine->queue);
-  advance (engine);
+  stream->next_token = spec->offset;
+  stream->arrived_at = lx_queue_now (engine->queue);
+  advance_clock (engine);
   enqueue (engine, stream);
   fill_batch (engine);
   set_timer (engine);
@@ -302,8 +308,7 @@
   return NULL;
 }
 
-/* The connection was closed: the stream ends without a word. Tokens made since its last piece count
- * as made. */
+/* Ends the stream without a notification. Tokens generated since its last piece are counted. */
 void
 lx_engine_cancel (LxEngine *engine, uint64_t id)
 {
@@ -313,46 +318,49 @@
     stream = find_stream (&engine->waiting, id);
   if (!stream)
     return;
-  advance (engine);
-  if (stream->running)
+  advance_clock (engine);
+  if (stream->is_running)
     {
-      double made = (double)stream->piece - (stream->piece_clock - engine->clock);
-      if (made >= 1)
+      double generated
+          = (double)stream->piece_tokens - (stream->piece_due_clock - engine->token_clock);
+      if (generated >= 1)
         {
-          stream->offset += (int64_t)made;
-          count_made (engine, stream, (int64_t)made);
+          stream->next_token += (int64_t)generated;
+          count_generated (engine, stream, (int64_t)generated);
         }
     }
-  stream->silent = true;
+  stream->is_silent = true;
   end_stream (engine, stream, LC_END_BROKEN);
   fill_batch (engine);
   set_timer (engine);
 }
 
-/* Sends what was made by the old version before the weights change, so that no piece has two. */
+/* Sends the tokens of the old version before the weights change, so that a piece has one version.
+ */
 static void
 flush_pieces (LxEngine *engine)
 {
   LB_LIST_FOREACH (&engine->running, LxStream, link, stream)
   {
-    int64_t made = stream->piece - (int64_t)ceil (stream->piece_clock - engine->clock);
+    int64_t generated
+        = stream->piece_tokens - (int64_t)ceil (stream->piece_due_clock - engine->token_clock);
 
-    if (made > 0 && made < stream->piece)
+    if (generated > 0 && generated < stream->piece_tokens)
       {
-        send_piece (engine, stream, made);
-        stream->piece -= made;
+        send_piece (engine, stream, generated);
+        stream->piece_tokens -= generated;
       }
   }
 }
 
 static void
-on_swapped (void *owner, void *argument)
+on_swap_completed (void *owner, void *argument)
 {
   LxEngine *engine = owner;
 
-  if ((uintptr_t)argument != engine->life || !engine->alive)
+  if ((uintptr_t)argument != engine->incarnation || !engine->alive)
     return;
-  advance (engine);
+  advance_clock (engine);
   engine->paused = false;
   engine->loading = false;
   if (engine->fail_next_load)
@@ -363,41 +371,40 @@
     }
   else
     {
-      engine->version = engine->wanted;
+      engine->version = engine->loading_version;
     }
   fill_batch (engine);
   set_timer (engine);
 }
 
 static void
-on_loaded (void *owner, void *argument)
+on_load_completed (void *owner, void *argument)
 {
   LxEngine *engine = owner;
 
-  if ((uintptr_t)argument != engine->life || !engine->alive)
+  if ((uintptr_t)argument != engine->incarnation || !engine->alive)
     return;
-  advance (engine);
+  advance_clock (engine);
   flush_pieces (engine);
   engine->paused = true;
   set_timer (engine);
-  lx_queue_add (engine->queue, lx_queue_now (engine->queue) + engine->times.pause, on_swapped,
-                engine, argument, NULL);
+  lx_queue_add (engine->queue, lx_queue_now (engine->queue) + engine->times.pause_time,
+                on_swap_completed, engine, argument, NULL);
 }
 
-/* Loads a version beside the one that serves, then changes to it; streams go on in between. */
 void
 lx_engine_load_version (LxEngine *engine, LcVersion version)
 {
   if (!engine->alive || engine->loading || version == engine->version)
     return;
   engine->loading = true;
-  engine->wanted = version;
-  lx_queue_add (engine->queue, lx_queue_now (engine->queue) + engine->times.load, on_loaded, engine,
-                (void *)(uintptr_t)engine->life, NULL);
+  engine->loading_version = version;
+  lx_queue_add (engine->queue, lx_queue_now (engine->queue) + engine->times.load_time,
+                on_load_completed, engine, (void *)(uintptr_t)engine->incarnation, NULL);
 }
 
 static void
-break_list (LxEngine *engine, LbList *list, bool silent)
+break_streams_of_list (LxEngine *engine, LbList *list, bool silent)
 {
   LB_LIST_FOREACH (list, LxStream, link, stream)
   {
@@ -405,21 +412,21 @@
       {
         end_stream (engine, stream, LC_END_BROKEN);
       }
-    else if (!stream->silent)
+    else if (!stream->is_silent)
       {
-        stream->silent = true;
-        engine->listener.went_silent (engine->listener.user, engine, stream);
+        stream->is_silent = true;
+        engine->listener.on_silenced (engine->listener.user, engine, stream);
       }
   }
 }
 
-/* All connections break, or go silent while their streams run on. */
+/* Silent streams continue to run. */
 void
 lx_engine_break_streams (LxEngine *engine, bool silent)
 {
-  advance (engine);
-  break_list (engine, &engine->running, silent);
-  break_list (engine, &engine->waiting, silent);
+  advance_clock (engine);
+  break_streams_of_list (engine, &engine->running, silent);
+  break_streams_of_list (engine, &engine->waiting, silent);
   set_timer (engine);
 }
 
@@ -430,15 +437,14 @@
   engine->alive = false;
   engine->version = 0;
   engine->loading = false;
-  engine->n_cached = 0;
+  engine->n_cached_blocks = 0;
 }
 
-/* A new process of the endpoint; version 0: no weights yet. */
 void
 lx_engine_start (LxEngine *engine, LcVersion version)
 {
-  advance (engine);
-  engine->life++;
+  advance_clock (engine);
+  engine->incarnation++;
   engine->alive = true;
   engine->leaving = false;
   engine->paused = false;
@@ -457,7 +463,7 @@
                             .kv_used = (double)engine->running.length / (double)engine->concurrency,
                             .measured_at = lx_queue_now (engine->queue) };
   snprintf (report->incarnation, sizeof report->incarnation, "%.30s-%u", engine->name,
-            engine->life);
+            engine->incarnation);
 }
 
 size_t
--- a/packages/sim/src/lx-faults.c
+++ b/packages/sim/src/lx-faults.c
@@ -8,8 +8,8 @@
 #include <stdio.h>
 #include <xxhash.h>
 
-#define WARM_UP (5 * LB_SEC)
-#define CALM (30 * LB_SEC)
+#define WARM_UP_TIME (5 * LB_SEC)
+#define STORE_RECOVERY_TIME (30 * LB_SEC)
 
 static const char *const fault_names[LX_N_FAULTS]
     = { "engine-crash",    "streams-break",   "streams-silent",  "pieces-garbled",
@@ -17,13 +17,13 @@
         "instance-paused", "instance-drains", "owner-replaced",  "store-away",
         "replies-lost" };
 
-/* One strike's own random numbers. */
+/* Random sequence of one injection. */
 typedef struct
 {
   LxFaults *faults;
   uint64_t number;
   uint64_t draws;
-} Strike;
+} Injection;
 
 const char *
 lx_fault_name (LxFault fault)
@@ -37,14 +37,14 @@
   const LxOptions *options = &world->options;
 
   *faults = (LxFaults){ .world = world,
-                        .kinds = options->faults,
-                        .mean_pause = options->fault_pause,
-                        .left_out = options->left_out,
-                        .n_left_out = options->n_left_out };
+                        .enabled_kinds = options->fault_kinds,
+                        .mean_interval = options->mean_fault_interval,
+                        .skipped = options->skipped_injections,
+                        .n_skipped = options->n_skipped_injections };
 }
 
 static double
-uniform (uint64_t seed, uint64_t a, uint64_t b)
+hash_to_unit_interval (uint64_t seed, uint64_t a, uint64_t b)
 {
   const uint64_t numbers[] = { a, b };
 
@@ -56,45 +56,46 @@
 {
   const LxWorld *world = faults->world;
 
-  return uniform (world->options.seed, lx_world_event_number (world), 0xfa) < share;
+  return hash_to_unit_interval (world->options.seed, lx_world_event_number (world), 0xfa) < share;
 }
 
 static double
-draw (Strike *strike)
+draw (Injection *injection)
 {
-  return uniform (strike->faults->world->options.seed, strike->number, ++strike->draws);
+  return hash_to_unit_interval (injection->faults->world->options.seed, injection->number,
+                                ++injection->draws);
 }
 
 static size_t
-draw_index (Strike *strike, size_t n)
+draw_index (Injection *injection, size_t n)
 {
-  return (size_t)(draw (strike) * (double)n);
+  return (size_t)(draw (injection) * (double)n);
 }
 
 static LbTime
-draw_time (Strike *strike, LbTime shortest, LbTime longest)
+draw_time (Injection *injection, LbTime shortest, LbTime longest)
 {
-  return shortest + (LbTime)(draw (strike) * (double)(longest - shortest));
+  return shortest + (LbTime)(draw (injection) * (double)(longest - shortest));
 }
 
 static void
-on_engine_back (void *owner, void *argument)
+on_engine_restart (void *owner, void *argument)
 {
   (void)argument;
   lx_engine_start (owner, ((LxEngine *)owner)->is_service ? 1 : 0);
 }
 
 static void
-crash_engine (LxWorld *world, LxEngine *engine, LbTime down)
+crash_engine (LxWorld *world, LxEngine *engine, LbTime downtime)
 {
   if (!engine->alive)
     return;
   lx_engine_crash (engine);
-  lx_world_schedule (world, down, on_engine_back, engine, NULL, NULL);
+  lx_world_schedule (world, downtime, on_engine_restart, engine, NULL, NULL);
 }
 
 static void
-on_left (void *owner, void *argument)
+on_leave_check (void *owner, void *argument)
 {
   LxWorld *world = owner;
   LxEngine *engine = argument;
@@ -102,33 +103,33 @@
   if (!engine->alive || !engine->leaving)
     return;
   if (lx_engine_count_in_progress (engine) > 0)
-    lx_world_schedule (world, LB_SEC, on_left, world, engine, NULL);
+    lx_world_schedule (world, LB_SEC, on_leave_check, world, engine, NULL);
   else
     crash_engine (world, engine, 2 * LB_SEC);
 }
 
 static void
-leave (LxWorld *world, LxEngine *engine)
+start_leaving (LxWorld *world, LxEngine *engine)
 {
   if (!engine->alive || engine->leaving)
     return;
   engine->leaving = true;
   engine->leaving_since = lx_world_now (world);
-  lx_world_schedule (world, 5 * LB_SEC, on_left, world, engine, NULL);
+  lx_world_schedule (world, 5 * LB_SEC, on_leave_check, world, engine, NULL);
 }
 
 static size_t
-count_serving (const LxWorld *world)
+count_serving_instances (const LxWorld *world)
 {
-  size_t serving = 0;
+  size_t n_serving = 0;
 
   for (size_t i = 0; i < world->n_instances; i++)
-    serving += world->instances[i].alive && !world->instances[i].draining;
-  return serving;
+    n_serving += world->instances[i].alive && !world->instances[i].draining;
+  return n_serving;
 }
 
 static void
-on_instance_back (void *owner, void *argument)
+on_instance_restart (void *owner, void *argument)
 {
   LxInstance *instance = owner;
 
@@ -138,19 +139,19 @@
 }
 
 static void
-kill_instance (LxWorld *world, LxInstance *instance, LbTime down)
+kill_instance (LxWorld *world, LxInstance *instance, LbTime downtime)
 {
-  if (!instance->alive || count_serving (world) < 3)
+  if (!instance->alive || count_serving_instances (world) < 3)
     return;
   lx_instance_kill (instance);
-  lx_world_schedule (world, down, on_instance_back, instance, NULL, NULL);
+  lx_world_schedule (world, downtime, on_instance_restart, instance, NULL, NULL);
 }
 
 static void
 drain_instance (LxWorld *world, LxInstance *instance)
 {
   if (!instance->alive || instance->draining || instance->paused_until > lx_world_now (world)
-      || count_serving (world) < 3)
+      || count_serving_instances (world) < 3)
     return;
   lx_instance_drain (instance);
   for (size_t i = 0; i < world->options.n_trainers; i++)
@@ -162,11 +163,11 @@
 }
 
 static void
-hit_endpoint (LxWorld *world, LxFault fault, LxEngine *engine, LbTime time)
+inject_into_endpoint (LxWorld *world, LxFault fault, LxEngine *engine, LbTime duration)
 {
   lx_world_record_fault (world, fault_names[fault], engine->name);
   if (fault == LX_FAULT_ENGINE_CRASH)
-    crash_engine (world, engine, time);
+    crash_engine (world, engine, duration);
   else if (fault == LX_FAULT_STREAMS_BREAK)
     lx_engine_break_streams (engine, false);
   else if (fault == LX_FAULT_STREAMS_SILENT)
@@ -174,43 +175,44 @@
   else if (fault == LX_FAULT_SWAP_FAILS)
     engine->fail_next_load = true;
   else
-    leave (world, engine);
+    start_leaving (world, engine);
 }
 
 static void
-pause_instance (LxWorld *world, LxInstance *instance, LbTime time)
+pause_instance (LxWorld *world, LxInstance *instance, LbTime duration)
 {
   if (!instance->alive || instance->draining)
     return;
   instance->paused_at = lx_world_now (world);
-  instance->paused_until = instance->paused_at + time;
+  instance->paused_until = instance->paused_at + duration;
 }
 
 static void
-hit_instance (LxWorld *world, LxFault fault, LxInstance *instance, size_t trainer, LbTime time)
+inject_into_instance (
+    LxWorld *world, LxFault fault, LxInstance *instance, size_t trainer, LbTime duration)
 {
   lx_world_record_fault (world, fault_names[fault], instance->name);
   if (fault == LX_FAULT_INSTANCE_KILLED)
-    kill_instance (world, instance, time);
+    kill_instance (world, instance, duration);
   else if (fault == LX_FAULT_INSTANCE_DRAINS)
     drain_instance (world, instance);
   else if (fault == LX_FAULT_OWNER_REPLACED)
     lx_trainer_change_owner (&world->trainers[trainer], instance->index);
   else
-    pause_instance (world, instance, time);
+    pause_instance (world, instance, duration);
 }
 
 static void
-hit_links (LxFaults *faults, LxFault fault, LbTime time)
+inject_shared_fault (LxFaults *faults, LxFault fault, LbTime duration)
 {
   LxWorld *world = faults->world;
-  LbTime until = lx_world_now (world) + time;
+  LbTime until = lx_world_now (world) + duration;
 
   lx_world_record_fault (world, fault_names[fault], "");
   if (fault == LX_FAULT_STORE_AWAY)
-    world->store.away_until = until;
+    world->store.unavailable_until = until;
   else if (fault == LX_FAULT_REPLIES_LOST)
-    world->store.lose_until = until;
+    world->store.replies_lost_until = until;
   else if (fault == LX_FAULT_VERSION_MISSING)
     faults->versions_missing_until = until;
   else
@@ -218,7 +220,7 @@
 }
 
 static bool
-is_of_endpoint (LxFault fault)
+is_endpoint_fault (LxFault fault)
 {
   return fault == LX_FAULT_ENGINE_CRASH || fault == LX_FAULT_STREAMS_BREAK
          || fault == LX_FAULT_STREAMS_SILENT || fault == LX_FAULT_SWAP_FAILS
@@ -226,7 +228,7 @@
 }
 
 static bool
-is_of_instance (LxFault fault)
+is_instance_fault (LxFault fault)
 {
   return fault == LX_FAULT_INSTANCE_KILLED || fault == LX_FAULT_INSTANCE_PAUSED
          || fault == LX_FAULT_INSTANCE_DRAINS || fault == LX_FAULT_OWNER_REPLACED;
@@ -238,105 +240,106 @@
                   const char *endpoint,
                   const char *instance,
                   size_t trainer,
-                  LbTime time)
+                  LbTime duration)
 {
   LxWorld *world = faults->world;
 
-  if (is_of_endpoint (fault))
+  if (is_endpoint_fault (fault))
     {
       LxEngine *engine = lx_world_find_engine (world, endpoint);
       if (engine)
-        hit_endpoint (world, fault, engine, time);
+        inject_into_endpoint (world, fault, engine, duration);
       return engine != NULL;
     }
-  if (is_of_instance (fault))
+  if (is_instance_fault (fault))
     {
-      LxInstance *victim = lx_world_find_instance (world, instance);
-      if (victim)
-        hit_instance (world, fault, victim, trainer, time);
-      return victim != NULL;
+      LxInstance *target = lx_world_find_instance (world, instance);
+      if (target)
+        inject_into_instance (world, fault, target, trainer, duration);
+      return target != NULL;
     }
-  hit_links (faults, fault, time);
+  inject_shared_fault (faults, fault, duration);
   return true;
 }
 
 static void
-strike_instance (Strike *strike, LxFault fault)
+inject_random_instance_fault (Injection *injection, LxFault fault)
 {
-  LxWorld *world = strike->faults->world;
-  LxInstance *instance = &world->instances[draw_index (strike, world->n_instances)];
-  size_t trainer = draw_index (strike, world->options.n_trainers);
-  LbTime time = draw_time (strike, 500 * LB_MSEC, 12 * LB_SEC);
+  LxWorld *world = injection->faults->world;
+  LxInstance *instance = &world->instances[draw_index (injection, world->n_instances)];
+  size_t trainer = draw_index (injection, world->options.n_trainers);
+  LbTime duration = draw_time (injection, 500 * LB_MSEC, 12 * LB_SEC);
 
-  /* Owners of steps are the worst victims: every second strike hits one. */
-  if (draw (strike) < 0.5)
+  /* Step owners have the most state to lose: half of the injections hit one. */
+  if (draw (injection) < 0.5)
     instance = &world->instances[world->trainers[trainer].owner];
-  hit_instance (world, fault, instance, trainer, time);
+  inject_into_instance (world, fault, instance, trainer, duration);
 }
 
-/* Outages of the store are not strung together: nobody can take a step over without it, and a run
- * in which it is away all the time shows nothing else. */
+/* Keeps store outages apart: without the store no step can be taken over, and a run with one outage
+ * after another would test nothing else. */
 static bool
-is_too_early (const LxWorld *world, LxFault fault)
+is_too_soon_after_outage (const LxWorld *world, LxFault fault)
 {
-  return fault == LX_FAULT_STORE_AWAY && world->store.away_until > 0
-         && lx_world_now (world) < world->store.away_until + CALM;
+  return fault == LX_FAULT_STORE_AWAY && world->store.unavailable_until > 0
+         && lx_world_now (world) < world->store.unavailable_until + STORE_RECOVERY_TIME;
 }
 
 static void
-strike_once (Strike *strike, LxFault fault)
+inject_random (Injection *injection, LxFault fault)
 {
-  LxWorld *world = strike->faults->world;
+  LxWorld *world = injection->faults->world;
 
-  if (is_too_early (world, fault))
+  if (is_too_soon_after_outage (world, fault))
     return;
-  if (is_of_instance (fault))
-    strike_instance (strike, fault);
-  else if (is_of_endpoint (fault))
-    hit_endpoint (world, fault, world->engines[draw_index (strike, world->n_endpoints)],
-                  draw_time (strike, LB_SEC, 15 * LB_SEC));
+  if (is_instance_fault (fault))
+    inject_random_instance_fault (injection, fault);
+  else if (is_endpoint_fault (fault))
+    inject_into_endpoint (world, fault, world->engines[draw_index (injection, world->n_endpoints)],
+                          draw_time (injection, LB_SEC, 15 * LB_SEC));
   else
-    hit_links (strike->faults, fault,
-               draw_time (strike, LB_SEC,
-                          fault == LX_FAULT_STORE_AWAY ? 40 * LB_SEC : 10 * LB_SEC));
+    inject_shared_fault (injection->faults, fault,
+                         draw_time (injection, LB_SEC,
+                                    fault == LX_FAULT_STORE_AWAY ? 40 * LB_SEC : 10 * LB_SEC));
 }
 
 static LxFault
-draw_fault (Strike *strike)
+draw_fault (Injection *injection)
 {
   LxFault fault;
 
   do
-    fault = (LxFault)draw_index (strike, LX_N_FAULTS);
-  while (!(strike->faults->kinds & (1u << fault)));
+    fault = (LxFault)draw_index (injection, LX_N_FAULTS);
+  while (!(injection->faults->enabled_kinds & (1u << fault)));
   return fault;
 }
 
 static void
-on_strike (void *owner, void *argument)
+on_injection_due (void *owner, void *argument)
 {
   LxFaults *faults = owner;
-  Strike strike = { .faults = faults, .number = faults->n_strikes++ };
-  LxFault fault = draw_fault (&strike);
-  double next = draw (&strike);
-  double again = draw (&strike);
+  Injection injection = { .faults = faults, .number = faults->n_injections++ };
+  LxFault fault = draw_fault (&injection);
+  double interval_draw = draw (&injection);
+  double second_fault_draw = draw (&injection);
 
   (void)argument;
-  lx_world_schedule (faults->world, (LbTime)(-log (1 - next) * (double)faults->mean_pause),
-                     on_strike, faults, NULL, NULL);
-  if (strike.number < faults->n_left_out && faults->left_out[strike.number])
+  lx_world_schedule (faults->world,
+                     (LbTime)(-log (1 - interval_draw) * (double)faults->mean_interval),
+                     on_injection_due, faults, NULL, NULL);
+  if (injection.number < faults->n_skipped && faults->skipped[injection.number])
     return;
-  strike_once (&strike, fault);
-  /* The same once more at another victim, or another fault with it. */
-  if (again < 0.2)
-    strike_once (&strike, fault);
-  else if (again < 0.4)
-    strike_once (&strike, draw_fault (&strike));
+  inject_random (&injection, fault);
+  /* Combines faults: the same at another target, or a second one. */
+  if (second_fault_draw < 0.2)
+    inject_random (&injection, fault);
+  else if (second_fault_draw < 0.4)
+    inject_random (&injection, draw_fault (&injection));
 }
 
 void
 lx_faults_start (LxFaults *faults)
 {
-  if (faults->kinds != 0)
-    lx_world_schedule (faults->world, WARM_UP, on_strike, faults, NULL, NULL);
+  if (faults->enabled_kinds != 0)
+    lx_world_schedule (faults->world, WARM_UP_TIME, on_injection_due, faults, NULL, NULL);
 }
--- a/packages/sim/src/lx-instance-config.c
+++ b/packages/sim/src/lx-instance-config.c
@@ -8,64 +8,66 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define STORE_TIME (5 * LB_MSEC)
-#define STORE_DEADLINE LB_SEC
-#define MEMBERS_EVERY LB_SEC
-/* An instance that is paused or dead is seen to be so after this time. */
-#define DETECTION (2 * LB_SEC)
-#define ACCEPT_WAIT (300 * LB_MSEC)
+#define STORE_LATENCY (5 * LB_MSEC)
+#define STORE_TIMEOUT LB_SEC
+#define MEMBERS_INTERVAL LB_SEC
+/* Other instances detect a paused instance after this time. */
+#define FAILURE_DETECTION_TIME (2 * LB_SEC)
+#define ACCEPTANCE_DELAY (300 * LB_MSEC)
 
-static void pump_config (LxInstance *instance);
+static void execute_config_actions (LxInstance *instance);
 
 static LbTime
-now_of (const LxInstance *instance)
+current_time (const LxInstance *instance)
 {
   return lx_world_now (instance->world);
 }
 
+/* A message between instances. */
 typedef struct
 {
   LbName from;
   LcConfigMessage message;
-} Mail;
+} MessageInTransit;
 
 static void
-drop_mail (void *argument)
+free_message (void *argument)
 {
-  Mail *mail = argument;
+  MessageInTransit *transit = argument;
 
-  lc_config_message_clear (&mail->message);
-  free (mail);
+  lc_config_message_clear (&transit->message);
+  free (transit);
 }
 
 static void
-on_mail (LxInstance *instance, void *argument)
+on_message (LxInstance *instance, void *argument)
 {
-  const Mail *mail = argument;
+  const MessageInTransit *transit = argument;
 
-  lc_config_message_received (instance->config, mail->from, &mail->message, now_of (instance),
-                              &instance->config_actions);
-  pump_config (instance);
+  lc_config_message_received (instance->config, transit->from, &transit->message,
+                              current_time (instance), &instance->config_actions);
+  execute_config_actions (instance);
 }
 
-/* Between instances: lost, doubled and late while links are garbled. */
+/* Posts a message to another instance; it may be lost, duplicated or late while links are garbled.
+ */
 static void
-post_mail (LxInstance *instance, LxInstance *to, const LcConfigMessage *message)
+post_message (LxInstance *instance, LxInstance *to, const LcConfigMessage *message)
 {
   LxWorld *world = instance->world;
   bool garbled = world->faults.garbled_until > lx_world_now (world);
   LbTime delay = lx_world_latency (world, instance->data_centre, to->data_centre);
-  double lot = garbled ? gsl_rng_uniform (world->random) : 1;
-  int copies = lot < 0.05 ? 0 : lot < 0.1 ? 2 : 1;
+  double draw = garbled ? gsl_rng_uniform (world->random) : 1;
+  int copies = draw < 0.05 ? 0 : draw < 0.1 ? 2 : 1;
 
   for (int i = 0; i < copies; i++)
     {
-      Mail *mail = LB_NEW (Mail);
-      LB_COPY (mail->from, instance->name);
-      mail->message = *message;
-      mail->message.body = message->body ? json_object_get (message->body) : NULL;
-      lx_instance_post (to, delay + (garbled ? (LbTime)(lot * 500 * LB_MSEC) : 0) + i * LB_SEC,
-                        on_mail, mail, drop_mail);
+      MessageInTransit *transit = LB_NEW (MessageInTransit);
+      LB_COPY (transit->from, instance->name);
+      transit->message = *message;
+      transit->message.body = message->body ? json_object_get (message->body) : NULL;
+      lx_instance_post (to, delay + (garbled ? (LbTime)(draw * 500 * LB_MSEC) : 0) + i * LB_SEC,
+                        on_message, transit, free_message);
     }
 }
 
@@ -78,61 +80,64 @@
     {
       LxInstance *to = &world->instances[i];
       if (to != instance && (!action->to[0] || strcmp (to->name, action->to) == 0))
-        post_mail (instance, to, &action->message);
+        post_message (instance, to, &action->message);
     }
 }
 
+/* A read of the configuration head, in transit. */
 typedef struct
 {
   bool failed;
   int64_t revision;
   LcResourceSet *set;
-  LbTime asked_at;
+  LbTime requested_at;
 } HeadRead;
 
 static void
-drop_head (void *argument)
+free_head_read (void *argument)
 {
-  HeadRead *head = argument;
+  HeadRead *head_read = argument;
 
-  lc_resource_set_free (head->set);
-  free (head);
+  lc_resource_set_free (head_read->set);
+  free (head_read);
 }
 
 static void
-on_head (LxInstance *instance, void *argument)
+on_head_read (LxInstance *instance, void *argument)
 {
-  HeadRead *head = argument;
+  HeadRead *head_read = argument;
 
-  if (head->failed)
-    lc_config_store_read_failed (instance->config, now_of (instance), &instance->config_actions);
+  if (head_read->failed)
+    lc_config_store_read_failed (instance->config, current_time (instance),
+                                 &instance->config_actions);
   else
-    lc_config_store_read_completed (instance->config, head->revision, head->set, head->asked_at,
-                                    now_of (instance), &instance->config_actions);
-  head->set = NULL;
-  pump_config (instance);
+    lc_config_store_read_completed (instance->config, head_read->revision, head_read->set,
+                                    head_read->requested_at, current_time (instance),
+                                    &instance->config_actions);
+  head_read->set = NULL;
+  execute_config_actions (instance);
 }
 
 static void
 read_store (LxInstance *instance)
 {
   LxWorld *world = instance->world;
-  HeadRead *head = LB_NEW (HeadRead);
-
-  head->asked_at = now_of (instance);
-  head->failed = now_of (instance) < world->store.away_until;
-  head->revision = world->registry.set->revision;
-  if (!head->failed && head->revision > lc_config_revision (instance->config))
-    head->set = lc_resource_set_copy (world->registry.set);
-  LbTime time = head->failed ? STORE_DEADLINE : STORE_TIME;
-  /* A slow store: what it answers is old when it comes. */
-  if (now_of (instance) < world->store.lose_until)
-    time += (LbTime)(gsl_rng_uniform (world->random) * (double)(STORE_DEADLINE - STORE_TIME));
-  lx_instance_post (instance, time, on_head, head, drop_head);
+  HeadRead *head_read = LB_NEW (HeadRead);
+
+  head_read->requested_at = current_time (instance);
+  head_read->failed = current_time (instance) < world->store.unavailable_until;
+  head_read->revision = world->registry.accepted->revision;
+  if (!head_read->failed && head_read->revision > lc_config_revision (instance->config))
+    head_read->set = lc_resource_set_copy (world->registry.accepted);
+  LbTime delay = head_read->failed ? STORE_TIMEOUT : STORE_LATENCY;
+  /* A slow store: its answer is outdated on arrival. */
+  if (current_time (instance) < world->store.replies_lost_until)
+    delay += (LbTime)(gsl_rng_uniform (world->random) * (double)(STORE_TIMEOUT - STORE_LATENCY));
+  lx_instance_post (instance, delay, on_head_read, head_read, free_head_read);
 }
 
 static void
-carry_out (LxInstance *instance, const LcConfigAction *action)
+execute_action (LxInstance *instance, const LcConfigAction *action)
 {
   switch (action->type)
     {
@@ -153,46 +158,46 @@
 static void
 on_config_tick (LxInstance *instance, void *argument)
 {
-  LbTime now = now_of (instance);
+  LbTime now = current_time (instance);
 
   (void)argument;
-  if (now < instance->config_tick_at)
+  if (now < instance->next_config_tick_at)
     return;
-  instance->config_tick_at = LB_TIME_NEVER;
+  instance->next_config_tick_at = LB_TIME_NEVER;
   lc_config_tick (instance->config, now, &instance->config_actions);
-  pump_config (instance);
+  execute_config_actions (instance);
 }
 
 static void
-pump_config (LxInstance *instance)
+execute_config_actions (LxInstance *instance)
 {
   LbLink *link;
 
   while ((link = lb_list_pop (&instance->config_actions)))
     {
       LcConfigAction *action = LB_CONTAINER (link, LcConfigAction, link);
-      carry_out (instance, action);
+      execute_action (instance, action);
       lc_config_action_free (action);
     }
 
   LbTime due = lc_config_next_tick_at (instance->config);
-  if (due >= instance->config_tick_at)
+  if (due >= instance->next_config_tick_at)
     return;
-  instance->config_tick_at = due;
-  lx_instance_post (instance, due - now_of (instance), on_config_tick, NULL, NULL);
+  instance->next_config_tick_at = due;
+  lx_instance_post (instance, due - current_time (instance), on_config_tick, NULL, NULL);
 }
 
 static bool
-seems_alive (const LxInstance *instance, LbTime now)
+is_seen_alive (const LxInstance *instance, LbTime now)
 {
-  bool paused = instance->paused_until > now && instance->paused_at + DETECTION < now;
+  bool paused = instance->paused_until > now && instance->paused_at + FAILURE_DETECTION_TIME < now;
 
   return instance->alive && !paused;
 }
 
-/* What the membership of instances would tell, with the lag of its detection. */
+/* Reports the instances as membership would, with its detection delay. */
 static void
-on_members (LxInstance *instance, void *argument)
+on_members_update (LxInstance *instance, void *argument)
 {
   LxWorld *world = instance->world;
   LcConfigMember members[64];
@@ -203,16 +208,16 @@
   for (size_t i = 0; i < n; i++)
     {
       const LxInstance *other = &world->instances[i];
-      snprintf (incarnations[i], LB_NAME_MAX, "%u", other->life);
+      snprintf (incarnations[i], LB_NAME_MAX, "%u", other->incarnation);
       members[i] = (LcConfigMember){ .name = other->name,
                                      .incarnation = incarnations[i],
-                                     .alive = seems_alive (other, now_of (instance)),
+                                     .alive = is_seen_alive (other, current_time (instance)),
                                      .draining = other->draining };
     }
-  lc_config_update_members (instance->config, members, n, now_of (instance),
+  lc_config_update_members (instance->config, members, n, current_time (instance),
                             &instance->config_actions);
-  pump_config (instance);
-  lx_instance_post (instance, MEMBERS_EVERY, on_members, NULL, NULL);
+  execute_config_actions (instance);
+  lx_instance_post (instance, MEMBERS_INTERVAL, on_members_update, NULL, NULL);
 }
 
 void
@@ -223,11 +228,11 @@
                                 .seed = instance->world->options.seed * 77 + instance->index };
 
   LB_COPY (settings.instance, instance->name);
-  instance->config = lc_config_new (&settings, now_of (instance));
-  instance->config_tick_at = LB_TIME_NEVER;
-  instance->revision_seen = 0;
+  instance->config = lc_config_new (&settings, current_time (instance));
+  instance->next_config_tick_at = LB_TIME_NEVER;
+  instance->checked_revision = 0;
   instance->was_ready = false;
-  on_members (instance, NULL);
+  on_members_update (instance, NULL);
 }
 
 void
@@ -241,19 +246,19 @@
   instance->config = NULL;
 }
 
-/* An operator's change in the middle of its acceptance. */
+/* An operator's change that is not yet accepted. */
 typedef struct
 {
   struct json_object *change;
-  int64_t revision; /* that the operator saw */
-  LbTime asked_at;
+  int64_t revision; /* that the change is based on */
+  LbTime requested_at;
   LcResourceSet *next;
-} Change;
+} ChangeInTransit;
 
 static void
-drop_change (void *argument)
+free_change (void *argument)
 {
-  Change *change = argument;
+  ChangeInTransit *change = argument;
 
   json_object_put (change->change);
   lc_resource_set_free (change->next);
@@ -263,56 +268,57 @@
 static void
 on_committed (LxInstance *instance, void *argument)
 {
-  Change *change = argument;
+  ChangeInTransit *change = argument;
 
-  lc_config_change_committed (instance->config, change->next, change->change, change->asked_at,
-                              now_of (instance), &instance->config_actions);
+  lc_config_change_committed (instance->config, change->next, change->change, change->requested_at,
+                              current_time (instance), &instance->config_actions);
   change->next = NULL;
-  pump_config (instance);
+  execute_config_actions (instance);
 }
 
 static void
-on_commit (LxInstance *instance, void *argument)
+on_commit_due (LxInstance *instance, void *argument)
 {
   LxWorld *world = instance->world;
-  Change *change = argument;
-  LbTime now = now_of (instance);
+  ChangeInTransit *change = argument;
+  LbTime now = current_time (instance);
   bool reply_lost
-      = now < world->store.lose_until && lx_faults_is_event_selected (&world->faults, 0.33);
+      = now < world->store.replies_lost_until && lx_faults_is_event_selected (&world->faults, 0.33);
 
   LcResourceSet *next = NULL;
-  if (now >= world->store.away_until && lc_config_has_majority (instance->config, change->asked_at))
+  if (now >= world->store.unavailable_until
+      && lc_config_has_majority (instance->config, change->requested_at))
     next = lx_registry_commit (&world->registry, change->revision, change->change);
   if (!next)
     {
       lc_config_change_abandoned (instance->config, now, &instance->config_actions);
-      pump_config (instance);
+      execute_config_actions (instance);
       return;
     }
   if (reply_lost)
     {
-      /* Committed, but this instance can't know before it reads the head row. */
+      /* Committed, but this instance learns of it only by reading the head row. */
       lc_resource_set_free (next);
       return;
     }
 
-  Change *committed = LB_NEW (Change);
+  ChangeInTransit *committed = LB_NEW (ChangeInTransit);
   *committed = *change;
   committed->change = json_object_get (change->change);
   committed->next = next;
-  committed->asked_at = now;
-  lx_instance_post (instance, STORE_TIME, on_committed, committed, drop_change);
+  committed->requested_at = now;
+  lx_instance_post (instance, STORE_LATENCY, on_committed, committed, free_change);
 }
 
 void
 lx_instance_submit_change (LxInstance *instance, struct json_object *content)
 {
-  Change *change = LB_NEW (Change);
+  ChangeInTransit *change = LB_NEW (ChangeInTransit);
 
   change->change = json_object_get (content);
   change->revision = lc_config_revision (instance->config);
-  change->asked_at = now_of (instance);
-  lc_config_announce_change (instance->config, now_of (instance), &instance->config_actions);
-  pump_config (instance);
-  lx_instance_post (instance, ACCEPT_WAIT, on_commit, change, drop_change);
+  change->requested_at = current_time (instance);
+  lc_config_announce_change (instance->config, current_time (instance), &instance->config_actions);
+  execute_config_actions (instance);
+  lx_instance_post (instance, ACCEPTANCE_DELAY, on_commit_due, change, free_change);
 }
--- a/packages/sim/src/lx-instance-config.h
+++ b/packages/sim/src/lx-instance-config.h
@@ -3,7 +3,7 @@
 
 #include "lx-instance.h"
 
-/* The part of an instance that has its configuration: LcConfig with its links and its store. */
+/* The configuration of an instance: LcConfig with simulated links and a simulated store. */
 void lx_instance_config_start (LxInstance *instance);
 void lx_instance_config_stop (LxInstance *instance);
 
--- a/packages/sim/src/lx-instance.c
+++ b/packages/sim/src/lx-instance.c
@@ -10,38 +10,40 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A store write of the instance: table latency, both ways. */
-#define STORE_TIME (5 * LB_MSEC)
-#define STORE_DEADLINE LB_SEC
-/* New work may still reach an endpoint for so long after it began to leave. */
-#define LEAVING_BOUND (3 * LB_SEC)
-#define DRAIN_CHECK (200 * LB_MSEC)
-#define DRAIN_PATIENCE (150 * LB_SEC)
-
+/* Round trip of a store request. */
+#define STORE_LATENCY (5 * LB_MSEC)
+#define STORE_TIMEOUT LB_SEC
+/* New work may be sent to an endpoint for this long after it started to leave. */
+#define LEAVING_TIME_BOUND (3 * LB_SEC)
+#define DRAIN_CHECK_INTERVAL (200 * LB_MSEC)
+#define DRAIN_TIMEOUT (150 * LB_SEC)
+
+/* A message for one process of the instance. */
 typedef struct
 {
   LxInstance *instance;
-  uint32_t life;
+  uint32_t incarnation;
   LxInstanceHandler handler;
   void *argument;
   void (*drop) (void *argument);
-} Post;
+} PostedMessage;
 
-/* A request on its way to an endpoint. */
+/* An attempt in transit to an endpoint. */
 typedef struct
 {
   LxInstance *instance;
   LxEngine *engine;
   LxStreamSpec stream;
-} Sending;
+} AttemptInTransit;
 
+/* The close of a connection, in transit to an endpoint. */
 typedef struct
 {
   LxEngine *engine;
   uint64_t stream;
-} Closing;
+} CloseInTransit;
 
-static void pump (LxInstance *instance);
+static void process_actions (LxInstance *instance);
 
 static void
 on_restart (void *owner, void *argument)
@@ -54,7 +56,7 @@
 }
 
 static LbTime
-now_of (const LxInstance *instance)
+current_time (const LxInstance *instance)
 {
   return lx_world_now (instance->world);
 }
@@ -71,31 +73,31 @@
 }
 
 static void
-drop_post (void *argument)
+free_posted_message (void *argument)
 {
-  Post *post = argument;
+  PostedMessage *posted = argument;
 
-  if (post->drop)
-    post->drop (post->argument);
-  free (post);
+  if (posted->drop)
+    posted->drop (posted->argument);
+  free (posted);
 }
 
 static void
-on_post (void *owner, void *argument)
+on_posted_message (void *owner, void *argument)
 {
   LxInstance *instance = owner;
-  Post *post = argument;
-  bool lost = !instance->alive || post->life != instance->life;
+  PostedMessage *posted = argument;
+  bool is_lost = !instance->alive || posted->incarnation != instance->incarnation;
 
-  if (!lost && instance->paused_until > lx_world_now (instance->world))
+  if (!is_lost && instance->paused_until > lx_world_now (instance->world))
     {
-      lx_queue_add (instance->world->queue, instance->paused_until, on_post, instance, post,
-                    drop_post);
+      lx_queue_add (instance->world->queue, instance->paused_until, on_posted_message, instance,
+                    posted, free_posted_message);
       return;
     }
-  if (!lost)
-    post->handler (instance, post->argument);
-  drop_post (post);
+  if (!is_lost)
+    posted->handler (instance, posted->argument);
+  free_posted_message (posted);
 }
 
 void
@@ -105,14 +107,15 @@
                   void *argument,
                   void (*drop) (void *argument))
 {
-  Post *post = LB_NEW (Post);
+  PostedMessage *posted = LB_NEW (PostedMessage);
 
-  *post = (Post){ .instance = instance,
-                  .life = instance->life,
-                  .handler = handler,
-                  .argument = argument,
-                  .drop = drop };
-  lx_world_schedule (instance->world, delay, on_post, instance, post, drop_post);
+  *posted = (PostedMessage){ .instance = instance,
+                             .incarnation = instance->incarnation,
+                             .handler = handler,
+                             .argument = argument,
+                             .drop = drop };
+  lx_world_schedule (instance->world, delay, on_posted_message, instance, posted,
+                     free_posted_message);
 }
 
 void
@@ -124,34 +127,34 @@
   instance->data_centre = index % world->options.site->n_data_centres;
   snprintf (instance->name, sizeof instance->name, "i%zu", index + 1);
   instance->cache_cursors = LB_NEW_ARRAY (uint64_t, world->n_endpoints);
-  lb_list_init (&instance->actions);
+  lb_list_init (&instance->dispatch_actions);
   lb_list_init (&instance->rollout_actions);
   lb_list_init (&instance->config_actions);
 }
 
 static void
-drop_actions (LxInstance *instance)
+free_actions (LxInstance *instance)
 {
-  while (!lb_list_is_empty (&instance->actions))
-    lc_action_free (LB_CONTAINER (lb_list_pop (&instance->actions), LcAction, link));
+  while (!lb_list_is_empty (&instance->dispatch_actions))
+    lc_action_free (LB_CONTAINER (lb_list_pop (&instance->dispatch_actions), LcAction, link));
   while (!lb_list_is_empty (&instance->rollout_actions))
     lc_rollout_action_free (
         LB_CONTAINER (lb_list_pop (&instance->rollout_actions), LcRolloutAction, link));
 }
 
-/* Core asserts its promises itself; the counts must stay at zero. */
+/* Reports an increase of the failed invariants that core counts itself. */
 static void
-check_core (LxInstance *instance)
+check_core_invariants (LxInstance *instance)
 {
   LxWorld *world = instance->world;
   int64_t failures = lc_rollouts_invariant_failures (instance->rollouts)
                      + (int64_t)lc_dispatch_invariant_failures (instance->dispatch);
 
-  if (failures > instance->core_failures)
+  if (failures > instance->invariant_failures)
     lx_audit_report_violation (&world->audit, LX_VIOLATION_CORE_INVARIANT, lx_world_now (world),
-                               lx_world_event_number (world), "%s counts %" PRId64, instance->name,
-                               failures);
-  instance->core_failures = failures;
+                               lx_world_event_number (world), "%s: %" PRId64 " failed invariants",
+                               instance->name, failures);
+  instance->invariant_failures = failures;
 }
 
 static void
@@ -159,8 +162,8 @@
 {
   LxRequest *request, *next;
 
-  check_core (instance);
-  drop_actions (instance);
+  check_core_invariants (instance);
+  free_actions (instance);
   lx_instance_config_stop (instance);
   HASH_ITER (hh, instance->requests, request, next)
   {
@@ -182,7 +185,7 @@
 }
 
 static LcRequestId
-next_request (void *user)
+next_request_id (void *user)
 {
   LxInstance *instance = user;
 
@@ -192,7 +195,7 @@
 static void poll_endpoints (LxInstance *instance);
 static void on_poll (LxInstance *instance, void *argument);
 
-/* A new process of the instance, with the configuration in force. */
+/* Starts a new process of the instance. */
 void
 lx_instance_start (LxInstance *instance)
 {
@@ -204,55 +207,55 @@
                                   .hedge_after = options->hedge_after,
                                   .seed = options->seed * 1000 + instance->index };
 
-  instance->life++;
+  instance->incarnation++;
   instance->alive = true;
   instance->draining = false;
-  instance->started_at = now_of (instance);
+  instance->started_at = current_time (instance);
   instance->paused_until = 0;
-  instance->core_failures = 0;
+  instance->invariant_failures = 0;
   instance->is_configured = false;
-  instance->tick_at = LB_TIME_NEVER;
+  instance->next_tick_at = LB_TIME_NEVER;
   LB_COPY (dispatch.data_centre, options->site->data_centres[instance->data_centre]);
   LB_COPY (dispatch.policy, options->policy);
   LB_COPY (rollouts.instance, instance->name);
   rollouts.seed = dispatch.seed;
   instance->dispatch = lc_dispatch_new (&dispatch);
   instance->rollouts = lc_rollouts_new (&rollouts);
-  lc_rollouts_set_id_source (instance->rollouts, next_request, instance);
+  lc_rollouts_set_id_source (instance->rollouts, next_request_id, instance);
   memset (instance->cache_cursors, 0, instance->world->n_endpoints * sizeof (uint64_t));
   lx_instance_config_start (instance);
   lx_instance_post (instance, (LbTime)instance->index * 37 * LB_MSEC, on_poll, NULL, NULL);
 }
 
 static void
-on_close (void *owner, void *argument)
+on_connection_closed (void *owner, void *argument)
 {
-  Closing *closing = argument;
+  CloseInTransit *closing = argument;
 
   (void)owner;
   lx_engine_cancel (closing->engine, closing->stream);
   free (closing);
 }
 
-/* Closes the connection; the endpoint notices one way later. */
+/* Closes the connection; the endpoint detects it after the network latency. */
 static void
 close_attempt (LxInstance *instance, LxAttempt *attempt)
 {
-  Closing *closing = LB_NEW (Closing);
+  CloseInTransit *closing = LB_NEW (CloseInTransit);
 
-  attempt->open = false;
-  *closing = (Closing){ .engine = attempt->engine, .stream = attempt->stream };
+  attempt->is_open = false;
+  *closing = (CloseInTransit){ .engine = attempt->engine, .stream = attempt->stream };
   lx_world_schedule (instance->world,
                      lx_world_latency (instance->world, instance->data_centre,
                                        attempt->engine->data_centre),
-                     on_close, NULL, closing, free);
+                     on_connection_closed, NULL, closing, free);
 }
 
 static void
-close_request (LxInstance *instance, LxRequest *request)
+close_attempts (LxInstance *instance, LxRequest *request)
 {
   for (size_t i = 0; i < request->n_attempts; i++)
-    if (request->attempts[i].open)
+    if (request->attempts[i].is_open)
       close_attempt (instance, &request->attempts[i]);
 }
 
@@ -263,7 +266,7 @@
 
   HASH_ITER (hh, instance->requests, request, next)
   {
-    close_request (instance, request);
+    close_attempts (instance, request);
     if (request->call)
       lx_callers_send_result (&instance->world->callers, request->call, LB_ERROR_STREAM_BROKEN);
   }
@@ -293,10 +296,10 @@
 
 static void on_delivery (LxInstance *instance, void *argument);
 
-/* Pieces that come twice, late or without their version. An end marker keeps its place: a node that
- * has not seen it does not say that an answer is whole. */
+/* Makes pieces arrive twice, late or without a version. The last piece and the end are never late:
+ * an answer without its end marker is not reported as complete. */
 static void
-garble (LxInstance *instance, LxDelivery *delivery, LbTime *delay)
+garble_delivery (LxInstance *instance, LxDelivery *delivery, LbTime *delay)
 {
   LxWorld *world = instance->world;
   LbTime now = lx_world_now (world);
@@ -307,12 +310,12 @@
     delivery->piece.version = 0;
   if (now >= world->faults.garbled_until)
     return;
-  double lot = gsl_rng_uniform (world->random);
-  if (lot < 0.03)
-    lx_instance_post (instance, *delay + (LbTime)(lot * LB_SEC), on_delivery,
+  double draw = gsl_rng_uniform (world->random);
+  if (draw < 0.03)
+    lx_instance_post (instance, *delay + (LbTime)(draw * LB_SEC), on_delivery,
                       lb_memdup (delivery, sizeof *delivery), free);
-  else if (lot < 0.06 && !delivery->piece.last)
-    *delay += (LbTime)(lot * 5 * LB_SEC);
+  else if (draw < 0.06 && !delivery->piece.last)
+    *delay += (LbTime)(draw * 5 * LB_SEC);
 }
 
 static void
@@ -323,15 +326,15 @@
                LbTime delay)
 {
   LxDelivery *copy;
-  LbTime way = lx_world_latency (instance->world, instance->data_centre, engine->data_centre);
+  LbTime latency = lx_world_latency (instance->world, instance->data_centre, engine->data_centre);
 
-  if (stream->instance_life != instance->life || !instance->alive)
+  if (stream->instance_incarnation != instance->incarnation || !instance->alive)
     return;
   copy = lb_memdup (delivery, sizeof *delivery);
   copy->request = stream->request;
   copy->attempt = stream->attempt;
-  garble (instance, copy, &delay);
-  lx_instance_post (instance, way + delay, on_delivery, copy, free);
+  garble_delivery (instance, copy, &delay);
+  lx_instance_post (instance, latency + delay, on_delivery, copy, free);
 }
 
 void
@@ -354,50 +357,52 @@
 }
 
 static void
-check_start (LxWorld *world, const LxStreamSpec *stream)
+record_start (LxWorld *world, const LxStreamSpec *stream)
 {
   LxJob *job = lx_audit_job (&world->audit, stream->job);
 
-  job->runs++;
-  if (job->not_run)
+  job->n_starts++;
+  if (job->reported_not_run)
     lx_audit_report_violation (&world->audit, LX_VIOLATION_RAN_AFTER_NOT_RUN, lx_world_now (world),
-                               lx_world_event_number (world), "job %" PRIu64 " started late",
+                               lx_world_event_number (world),
+                               "job %" PRIu64 " was started after it was reported as not run",
                                stream->job);
-  if (!job->repeatable && job->runs > 1)
+  if (!job->repeatable && job->n_starts > 1)
     lx_audit_report_violation (&world->audit, LX_VIOLATION_RAN_TWICE, lx_world_now (world),
                                lx_world_event_number (world),
-                               "job %" PRIu64 " started %" PRId64 " times", stream->job, job->runs);
+                               "job %" PRIu64 " was started %" PRId64 " times", stream->job,
+                               job->n_starts);
 }
 
 static void
-on_arrival (void *owner, void *argument)
+on_attempt_arrived (void *owner, void *argument)
 {
-  Sending *sending = argument;
-  LxInstance *instance = sending->instance;
-  LxEngine *engine = sending->engine;
+  AttemptInTransit *transit = argument;
+  LxInstance *instance = transit->instance;
+  LxEngine *engine = transit->engine;
 
   (void)owner;
-  if (sending->stream.instance_life != instance->life || !instance->alive)
+  if (transit->stream.instance_incarnation != instance->incarnation || !instance->alive)
     goto out;
   if (!engine->alive)
     {
-      lx_instance_send_end (instance, engine, &sending->stream, LC_END_NOT_SENT, 0);
+      lx_instance_send_end (instance, engine, &transit->stream, LC_END_NOT_SENT, 0);
       goto out;
     }
-  if (!lx_engine_submit (engine, &sending->stream))
+  if (!lx_engine_submit (engine, &transit->stream))
     {
-      lx_instance_send_end (instance, engine, &sending->stream,
+      lx_instance_send_end (instance, engine, &transit->stream,
                             engine->leaving ? LC_END_REFUSED_LEAVING : LC_END_REFUSED, 0);
       goto out;
     }
-  check_start (instance->world, &sending->stream);
+  record_start (instance->world, &transit->stream);
 out:
-  free (sending);
+  free (transit);
 }
 
-/* A resumed attempt goes on from what an earlier one of the request has sent. */
+/* A resumed attempt continues the text that an earlier attempt of the request received. */
 static void
-take_over_text (LxRequest *request, LxAttempt *attempt, int64_t tokens)
+copy_resumed_text (LxRequest *request, LxAttempt *attempt, int64_t tokens)
 {
   for (size_t i = request->n_attempts; i > 0 && tokens > 0; i--)
     {
@@ -413,10 +418,11 @@
 static LxAttempt *
 add_attempt (LxInstance *instance, LxRequest *request, const LcAction *action, LxEngine *engine)
 {
-  LxAttempt attempt = { .number = action->attempt, .engine = engine, .open = true };
+  LxAttempt attempt = { .number = action->attempt, .engine = engine, .is_open = true };
 
-  attempt.stream = lx_audit_add_stream (&instance->world->audit, request->job, now_of (instance));
-  take_over_text (request, &attempt, action->resume_at - request->spec.resume_at);
+  attempt.stream
+      = lx_audit_add_stream (&instance->world->audit, request->job, current_time (instance));
+  copy_resumed_text (request, &attempt, action->resume_at - request->spec.resume_at);
   request->attempts
       = lb_realloc (request->attempts, (request->n_attempts + 1) * sizeof (LxAttempt));
   request->attempts[request->n_attempts] = attempt;
@@ -424,17 +430,17 @@
 }
 
 static void
-fill_stream (LxInstance *instance,
-             const LxRequest *request,
-             const LxAttempt *attempt,
-             int64_t offset,
-             LxStreamSpec *stream)
+fill_stream_spec (LxInstance *instance,
+                  const LxRequest *request,
+                  const LxAttempt *attempt,
+                  int64_t offset,
+                  LxStreamSpec *stream)
 {
   const LcRequestSpec *spec = &request->spec;
 
   *stream = (LxStreamSpec){ .id = attempt->stream,
                             .instance = instance->index,
-                            .instance_life = instance->life,
+                            .instance_incarnation = instance->incarnation,
                             .request = request->id,
                             .attempt = attempt->number,
                             .kind = spec->kind,
@@ -443,7 +449,7 @@
                             .n_prefix_hashes = spec->n_prefix_hashes,
                             .offset = offset,
                             .job = request->job };
-  stream->length = lx_audit_job (&instance->world->audit, request->job)->length;
+  stream->total_tokens = lx_audit_job (&instance->world->audit, request->job)->total_tokens;
   memcpy (stream->prefix_hashes, spec->prefix_hashes, sizeof stream->prefix_hashes);
 }
 
@@ -463,35 +469,36 @@
   if (!request || !engine)
     return;
   if (engine->leaving && engine->alive)
-    engine->sent_while_leaving = now_of (instance);
-  if (engine->leaving && engine->alive && engine->leaving_since + LEAVING_BOUND < now_of (instance))
-    lx_audit_report_violation (&world->audit, LX_VIOLATION_SENT_TO_LEAVING, now_of (instance),
-                               lx_world_event_number (world), "%s by %s", engine->name,
+    engine->sent_while_leaving_at = current_time (instance);
+  if (engine->leaving && engine->alive
+      && engine->leaving_since + LEAVING_TIME_BOUND < current_time (instance))
+    lx_audit_report_violation (&world->audit, LX_VIOLATION_SENT_TO_LEAVING, current_time (instance),
+                               lx_world_event_number (world), "%s, by %s", engine->name,
                                instance->name);
 
-  Sending *sending = LB_NEW (Sending);
+  AttemptInTransit *transit = LB_NEW (AttemptInTransit);
   const LxAttempt *attempt = add_attempt (instance, request, action, engine);
-  sending->instance = instance;
-  sending->engine = engine;
-  fill_stream (instance, request, attempt, action->resume_at, &sending->stream);
+  transit->instance = instance;
+  transit->engine = engine;
+  fill_stream_spec (instance, request, attempt, action->resume_at, &transit->stream);
   lx_world_schedule (world, lx_world_latency (world, instance->data_centre, engine->data_centre),
-                     on_arrival, NULL, sending, free);
+                     on_attempt_arrived, NULL, transit, free);
 }
 
-/* "Not run" is a proof: nothing may have started, and nothing may start later. */
+/* After a "not run" error no endpoint may have started the job, or start it later. */
 static void
-check_not_run (LxInstance *instance, uint64_t number, LbErrorCode error)
+record_not_run (LxInstance *instance, uint64_t number, LbErrorCode error)
 {
   LxWorld *world = instance->world;
   LxJob *job = lx_audit_job (&world->audit, number);
 
   if (!lb_error_is_not_run (error))
     return;
-  job->not_run = true;
-  if (job->runs > 0)
-    lx_audit_report_violation (&world->audit, LX_VIOLATION_RAN_AFTER_NOT_RUN, now_of (instance),
-                               lx_world_event_number (world),
-                               "job %" PRIu64 " had run when %s answered %s", number,
+  job->reported_not_run = true;
+  if (job->n_starts > 0)
+    lx_audit_report_violation (&world->audit, LX_VIOLATION_RAN_AFTER_NOT_RUN,
+                               current_time (instance), lx_world_event_number (world),
+                               "job %" PRIu64 " had been started when %s returned %s", number,
                                instance->name, lb_error_name (error));
 }
 
@@ -504,28 +511,28 @@
     return;
   lx_world_record_decision (instance->world, "%s finishes request %" PRIu64 ": %s", instance->name,
                             action->request, lb_error_name (action->error));
-  close_request (instance, request);
-  check_not_run (instance, request->job, action->error);
+  close_attempts (instance, request);
+  record_not_run (instance, request->job, action->error);
   if (request->call)
     {
       lx_callers_send_result (&instance->world->callers, request->call, action->error);
     }
   else
     {
-      /* LcRollouts knows the pieces that were passed on; what is left of a failure must be their
-       * text, not that of a later attempt that sent nothing. */
-      LxAttempt *heard = find_attempt (request, request->heard);
-      if (action->error != LB_OK && heard)
-        lx_text_copy (&request->text, &heard->text);
+      /* On a failure, LcRollouts needs the text of the pieces that were forwarded to it, not that
+       * of a later attempt without any. */
+      LxAttempt *last_forwarded = find_attempt (request, request->last_forwarded_attempt);
+      if (action->error != LB_OK && last_forwarded)
+        lx_text_copy (&request->text, &last_forwarded->text);
       lc_rollouts_finish_generation (instance->rollouts, request->id, action->error,
-                                     lx_text_render (&request->text), now_of (instance),
+                                     lx_text_render (&request->text), current_time (instance),
                                      &instance->rollout_actions);
     }
   free_request (instance, request);
 }
 
 static void
-carry_out (LxInstance *instance, const LcAction *action)
+execute_dispatch_action (LxInstance *instance, const LcAction *action)
 {
   LxRequest *request = find_request (instance, action->request);
   LxAttempt *attempt = request ? find_attempt (request, action->attempt) : NULL;
@@ -536,7 +543,7 @@
       send_attempt (instance, action);
       break;
     case LC_ACTION_CANCEL:
-      if (attempt && attempt->open)
+      if (attempt && attempt->is_open)
         close_attempt (instance, attempt);
       break;
     case LC_ACTION_FINISH:
@@ -546,12 +553,12 @@
 }
 
 static bool
-submit (LxInstance *instance,
-        const LcRequestSpec *spec,
-        uint64_t job,
-        LxCall *call,
-        LbTime *retry_after,
-        LbError *error)
+submit_request (LxInstance *instance,
+                const LcRequestSpec *spec,
+                uint64_t job,
+                LxCall *call,
+                LbTime *retry_after,
+                LbError *error)
 {
   LxRequest *request = LB_NEW (LxRequest);
 
@@ -560,15 +567,15 @@
   request->job = job;
   request->call = call;
   HASH_ADD (hh, instance->requests, id, sizeof request->id, request);
-  if (lc_dispatch_submit (instance->dispatch, spec, now_of (instance), &instance->actions,
-                          retry_after, error))
+  if (lc_dispatch_submit (instance->dispatch, spec, current_time (instance),
+                          &instance->dispatch_actions, retry_after, error))
     return true;
-  check_not_run (instance, job, error->code);
+  record_not_run (instance, job, error->code);
   free_request (instance, request);
   return false;
 }
 
-/* Blocks of a sample's prompt: all samples of a group share them. */
+/* Sets the prompt blocks, which all samples of a group share. */
 static void
 fill_prompt (LcRequestSpec *spec, const char *prompt)
 {
@@ -599,40 +606,40 @@
 
   LxJob job = { .kind = LC_KIND_SAMPLE, .repeatable = true };
   job.step = (uint64_t)step * world->options.n_trainers + trainer;
-  job.length = lx_sample_length (&world->options, trainer, step, group, action->index);
+  job.total_tokens = lx_sample_length (&world->options, trainer, step, group, action->index);
   return lx_audit_add_job (&world->audit, &job);
 }
 
 static void
-generate (LxInstance *instance, LcRolloutAction *action)
+start_generation (LxInstance *instance, LcRolloutAction *action)
 {
   LbTime retry_after = 0;
   LbError error = { 0 };
   LcRequestId id = action->spec.id;
 
   fill_prompt (&action->spec, action->prompt);
-  if (submit (instance, &action->spec, add_sample_job (instance, action), NULL, &retry_after,
-              &error))
+  if (submit_request (instance, &action->spec, add_sample_job (instance, action), NULL,
+                      &retry_after, &error))
     return;
-  lc_rollouts_finish_generation (instance->rollouts, id, error.code, NULL, now_of (instance),
+  lc_rollouts_finish_generation (instance->rollouts, id, error.code, NULL, current_time (instance),
                                  &instance->rollout_actions);
 }
 
 static void
-abandon (LxInstance *instance, LcRequestId id)
+cancel_request (LxInstance *instance, LcRequestId id)
 {
   LxRequest *request = find_request (instance, id);
 
-  lc_dispatch_cancel (instance->dispatch, id, now_of (instance), &instance->actions);
+  lc_dispatch_cancel (instance->dispatch, id, current_time (instance), &instance->dispatch_actions);
   if (!request)
     return;
-  close_request (instance, request);
+  close_attempts (instance, request);
   free_request (instance, request);
 }
 
-/* Ends a request and gives back what its pieces said so far. */
+/* Ends a request and returns the text received so far to LcRollouts. */
 static void
-recall (LxInstance *instance, LcRequestId id)
+preempt_request (LxInstance *instance, LcRequestId id)
 {
   LxRequest *request = find_request (instance, id);
 
@@ -641,11 +648,12 @@
   if (request->n_attempts > 0)
     lx_text_copy (&request->text, &request->attempts[request->n_attempts - 1].text);
   lc_rollouts_finish_generation (instance->rollouts, id, LB_ERROR_CLOSED,
-                                 lx_text_render (&request->text), now_of (instance),
+                                 lx_text_render (&request->text), current_time (instance),
                                  &instance->rollout_actions);
-  abandon (instance, id);
+  cancel_request (instance, id);
 }
 
+/* The result of a ledger write, in transit to the instance. */
 typedef struct
 {
   uint64_t write;
@@ -658,18 +666,18 @@
   const StoreReply *reply = argument;
 
   lc_rollouts_finish_ledger_write (instance->rollouts, reply->write, reply->error,
-                                   now_of (instance), &instance->rollout_actions);
-  pump (instance);
+                                   current_time (instance), &instance->rollout_actions);
+  process_actions (instance);
 }
 
 static LxWriteOutcome
-draw_fate (const LxWorld *world)
+draw_write_outcome (const LxWorld *world)
 {
   LbTime now = lx_world_now (world);
 
-  if (now < world->store.away_until)
+  if (now < world->store.unavailable_until)
     return LX_WRITE_UNAVAILABLE;
-  if (now >= world->store.lose_until || !lx_faults_is_event_selected (&world->faults, 0.33))
+  if (now >= world->store.replies_lost_until || !lx_faults_is_event_selected (&world->faults, 0.33))
     return LX_WRITE_APPLIED;
   return lx_world_event_number (world) % 3 == 0 ? LX_WRITE_REQUEST_LOST : LX_WRITE_REPLY_LOST;
 }
@@ -678,50 +686,51 @@
 write_ledger (LxInstance *instance, const LcRolloutAction *action)
 {
   StoreReply *reply = LB_NEW (StoreReply);
-  LxWriteOutcome fate = draw_fate (instance->world);
+  LxWriteOutcome outcome = draw_write_outcome (instance->world);
 
   reply->write = action->write_id;
   reply->error = lx_store_write (&instance->world->store, action->row_key, action->row_value,
-                                 action->session, fate);
-  lx_instance_post (instance, fate == LX_WRITE_APPLIED ? STORE_TIME : STORE_DEADLINE,
+                                 action->session, outcome);
+  lx_instance_post (instance, outcome == LX_WRITE_APPLIED ? STORE_LATENCY : STORE_TIMEOUT,
                     on_store_reply, reply, free);
 }
 
+/* A step whose new session has been started in the store. */
 typedef struct
 {
   LcStepSpec spec;
   size_t trainer;
   uint64_t session;
-  char *ledger;
-} Taking;
+  char *ledger_row;
+} StepOpening;
 
 static void
-drop_taking (void *argument)
+free_opening (void *argument)
 {
-  Taking *taking = argument;
+  StepOpening *opening = argument;
 
-  lc_step_spec_clear (&taking->spec);
-  free (taking->ledger);
-  free (taking);
+  lc_step_spec_clear (&opening->spec);
+  free (opening->ledger_row);
+  free (opening);
 }
 
 static void
-on_taken (LxInstance *instance, void *argument)
+on_session_started (LxInstance *instance, void *argument)
 {
-  Taking *taking = argument;
+  StepOpening *opening = argument;
   LbError error = { 0 };
-  int64_t step = taking->spec.step;
-  bool opened = lc_rollouts_recover_step (instance->rollouts, &taking->spec, taking->session,
-                                          taking->ledger, now_of (instance),
+  int64_t step = opening->spec.step;
+  bool opened = lc_rollouts_recover_step (instance->rollouts, &opening->spec, opening->session,
+                                          opening->ledger_row, current_time (instance),
                                           &instance->rollout_actions, &error);
 
   lx_world_record_decision (instance->world,
                             "%s opens trainer %zu step %" PRId64 " session %" PRIu64 ": %s",
-                            instance->name, taking->trainer + 1, step, taking->session,
+                            instance->name, opening->trainer + 1, step, opening->session,
                             lb_error_name (error.code));
-  pump (instance);
+  process_actions (instance);
   if (opened)
-    lx_trainer_step_opened (&instance->world->trainers[taking->trainer], instance->index, step);
+    lx_trainer_step_opened (&instance->world->trainers[opening->trainer], instance->index, step);
 }
 
 void
@@ -743,21 +752,21 @@
       return;
     }
   snprintf (key, sizeof key, "ledger/%s/%" PRId64, spec->subscription, spec->step);
-  LxWriteOutcome fate = draw_fate (world);
-  if (fate != LX_WRITE_APPLIED)
+  LxWriteOutcome outcome = draw_write_outcome (world);
+  if (outcome != LX_WRITE_APPLIED)
     {
-      if (fate == LX_WRITE_REPLY_LOST)
+      if (outcome == LX_WRITE_REPLY_LOST)
         lx_store_begin_session (&world->store, key);
       lc_step_spec_clear (spec);
       return;
     }
-  Taking *taking = LB_NEW (Taking);
-  taking->spec = *spec;
-  taking->trainer = trainer;
-  taking->session = lx_store_begin_session (&world->store, key);
-  taking->ledger = lb_strdup (lx_store_get (&world->store, key));
+  StepOpening *opening = LB_NEW (StepOpening);
+  opening->spec = *spec;
+  opening->trainer = trainer;
+  opening->session = lx_store_begin_session (&world->store, key);
+  opening->ledger_row = lb_strdup (lx_store_get (&world->store, key));
   memset (spec, 0, sizeof *spec);
-  lx_instance_post (instance, STORE_TIME, on_taken, taking, drop_taking);
+  lx_instance_post (instance, STORE_LATENCY, on_session_started, opening, free_opening);
 }
 
 static void
@@ -770,24 +779,24 @@
 }
 
 static void
-carry_out_rollout (LxInstance *instance, LcRolloutAction *action)
+execute_rollout_action (LxInstance *instance, LcRolloutAction *action)
 {
   switch (action->type)
     {
     case LC_ROLLOUT_GENERATE:
-      generate (instance, action);
+      start_generation (instance, action);
       break;
     case LC_ROLLOUT_CANCEL:
-      abandon (instance, action->spec.id);
+      cancel_request (instance, action->spec.id);
       break;
     case LC_ROLLOUT_PREEMPT:
-      recall (instance, action->spec.id);
+      preempt_request (instance, action->spec.id);
       break;
     case LC_ROLLOUT_WRITE_LEDGER:
       write_ledger (instance, action);
       break;
     case LC_ROLLOUT_REPLY:
-      lx_world_schedule (instance->world, instance->world->options.site->to_clients, on_chunk,
+      lx_world_schedule (instance->world, instance->world->options.site->client_latency, on_chunk,
                          instance->world, lx_chunk_new (action), lx_chunk_free);
       break;
     case LC_ROLLOUT_SCORE:
@@ -798,89 +807,90 @@
 static void
 on_tick (LxInstance *instance, void *argument)
 {
-  LbTime now = now_of (instance);
+  LbTime now = current_time (instance);
 
   (void)argument;
-  if (now < instance->tick_at)
+  if (now < instance->next_tick_at)
     return;
-  instance->tick_at = LB_TIME_NEVER;
+  instance->next_tick_at = LB_TIME_NEVER;
   if (lc_dispatch_next_tick (instance->dispatch) <= now)
-    lc_dispatch_tick (instance->dispatch, now, &instance->actions);
+    lc_dispatch_tick (instance->dispatch, now, &instance->dispatch_actions);
   if (lc_rollouts_next_tick (instance->rollouts) <= now)
     lc_rollouts_tick (instance->rollouts, now, &instance->rollout_actions);
-  pump (instance);
+  process_actions (instance);
 }
 
 static void
-plan_tick (LxInstance *instance)
+schedule_tick (LxInstance *instance)
 {
   LbTime due = lc_dispatch_next_tick (instance->dispatch);
   LbTime rollouts_due = lc_rollouts_next_tick (instance->rollouts);
 
   due = rollouts_due < due ? rollouts_due : due;
-  if (due >= instance->tick_at)
+  if (due >= instance->next_tick_at)
     return;
-  instance->tick_at = due;
-  lx_instance_post (instance, due - now_of (instance), on_tick, NULL, NULL);
+  instance->next_tick_at = due;
+  lx_instance_post (instance, due - current_time (instance), on_tick, NULL, NULL);
 }
 
 static bool
-pump_one (LxInstance *instance)
+process_next_action (LxInstance *instance)
 {
-  /* All actions of LcRollouts first: their prompts are valid only until its next command. */
+  /* Rollout actions first: their prompts are valid only until the next command of LcRollouts. */
   if (!lb_list_is_empty (&instance->rollout_actions))
     {
       LcRolloutAction *action
           = LB_CONTAINER (lb_list_pop (&instance->rollout_actions), LcRolloutAction, link);
-      carry_out_rollout (instance, action);
+      execute_rollout_action (instance, action);
       lc_rollout_action_free (action);
       return true;
     }
-  if (!lb_list_is_empty (&instance->actions))
+  if (!lb_list_is_empty (&instance->dispatch_actions))
     {
-      LcAction *action = LB_CONTAINER (lb_list_pop (&instance->actions), LcAction, link);
-      carry_out (instance, action);
+      LcAction *action = LB_CONTAINER (lb_list_pop (&instance->dispatch_actions), LcAction, link);
+      execute_dispatch_action (instance, action);
       lc_action_free (action);
       return true;
     }
   return false;
 }
 
-/* Carries out what the last command asked for, and what that leads to. */
+/* Executes the actions of the last command and those that follow from them. */
 static void
-pump (LxInstance *instance)
+process_actions (LxInstance *instance)
 {
-  while (pump_one (instance))
+  while (process_next_action (instance))
     continue;
-  plan_tick (instance);
+  schedule_tick (instance);
 }
 
-/* The process of a graceful shutdown ends when nothing is in progress. */
+/* Ends a draining process once nothing is in progress. */
 static void
-on_drained (LxInstance *instance, void *argument)
+on_drain_check (LxInstance *instance, void *argument)
 {
   LxWorld *world = instance->world;
-  bool idle = lc_dispatch_count_in_progress (instance->dispatch) == 0
-              && lc_dispatch_count_waiting (instance->dispatch, LC_KIND_LIVE) == 0
-              && lc_rollouts_count_in_progress (instance->rollouts) == 0;
+  bool is_idle = lc_dispatch_count_in_progress (instance->dispatch) == 0
+                 && lc_dispatch_count_waiting (instance->dispatch, LC_KIND_LIVE) == 0
+                 && lc_rollouts_count_in_progress (instance->rollouts) == 0;
 
   (void)argument;
-  if (!idle && now_of (instance) - instance->drained_at < DRAIN_PATIENCE)
+  if (!is_idle && current_time (instance) - instance->drain_started_at < DRAIN_TIMEOUT)
     {
-      lx_instance_post (instance, DRAIN_CHECK, on_drained, NULL, NULL);
+      lx_instance_post (instance, DRAIN_CHECK_INTERVAL, on_drain_check, NULL, NULL);
       return;
     }
-  if (!idle)
-    lx_audit_report_violation (&world->audit, LX_VIOLATION_STUCK, now_of (instance),
-                               lx_world_event_number (world), "%s drains without end",
-                               instance->name);
+  if (!is_idle)
+    lx_audit_report_violation (&world->audit, LX_VIOLATION_STUCK, current_time (instance),
+                               lx_world_event_number (world),
+                               "%s has not completed its drain in time", instance->name);
   for (LxRequest *request = instance->requests; request; request = request->hh.next)
     if (request->call)
-      lx_audit_report_violation (&world->audit, LX_VIOLATION_CUT_BY_DRAIN, now_of (instance),
-                                 lx_world_event_number (world), "%s ends with request %" PRIu64,
+      lx_audit_report_violation (&world->audit, LX_VIOLATION_CUT_BY_DRAIN, current_time (instance),
+                                 lx_world_event_number (world),
+                                 "%s ends its drain with request %" PRIu64 " in progress",
                                  instance->name, request->id);
   lx_instance_kill (instance);
-  instance->drain_ended = now_of (instance);
+  instance->drain_ended_at = current_time (instance);
   lx_world_schedule (world, 2 * LB_SEC, on_restart, instance, NULL, NULL);
 }
 
@@ -888,28 +898,30 @@
 lx_instance_drain (LxInstance *instance)
 {
   instance->draining = true;
-  lc_dispatch_drain (instance->dispatch, now_of (instance), &instance->actions);
-  lc_rollouts_drain (instance->rollouts, now_of (instance), &instance->rollout_actions);
-  pump (instance);
-  instance->drained_at = now_of (instance);
-  lx_instance_post (instance, DRAIN_CHECK, on_drained, NULL, NULL);
+  lc_dispatch_drain (instance->dispatch, current_time (instance), &instance->dispatch_actions);
+  lc_rollouts_drain (instance->rollouts, current_time (instance), &instance->rollout_actions);
+  process_actions (instance);
+  instance->drain_started_at = current_time (instance);
+  lx_instance_post (instance, DRAIN_CHECK_INTERVAL, on_drain_check, NULL, NULL);
 }
 
 void
 lx_instance_abort_step (LxInstance *instance, const char *subscription, int64_t step)
 {
-  lc_rollouts_abort_step (instance->rollouts, subscription, step, now_of (instance),
+  lc_rollouts_abort_step (instance->rollouts, subscription, step, current_time (instance),
                           &instance->rollout_actions);
-  pump (instance);
+  process_actions (instance);
 }
 
 void
 lx_instance_apply_config (LxInstance *instance, const LcResourceSet *set)
 {
-  lc_dispatch_configure (instance->dispatch, set, now_of (instance), &instance->actions);
-  lc_rollouts_configure (instance->rollouts, set, now_of (instance), &instance->rollout_actions);
-  pump (instance);
-  /* New endpoints are asked at once, as the daemon's poller does. */
+  lc_dispatch_configure (instance->dispatch, set, current_time (instance),
+                         &instance->dispatch_actions);
+  lc_rollouts_configure (instance->rollouts, set, current_time (instance),
+                         &instance->rollout_actions);
+  process_actions (instance);
+  /* The daemon also polls new endpoints at once. */
   if (!instance->is_configured)
     poll_endpoints (instance);
   instance->is_configured = true;
@@ -923,23 +935,23 @@
 
   if (!lc_config_is_ready (instance->config))
     return lb_error_set (error, LB_ERROR_NOT_READY, instance->name, "no confirmed configuration");
-  spec->id = next_request (instance);
-  bool taken = submit (instance, spec, job, call, &retry_after, error);
-  pump (instance);
-  return taken;
+  spec->id = next_request_id (instance);
+  bool is_accepted = submit_request (instance, spec, job, call, &retry_after, error);
+  process_actions (instance);
+  return is_accepted;
 }
 
 static void
-take_piece (LxInstance *instance, LxRequest *request, LxAttempt *attempt, const LcPiece *piece)
+receive_piece (LxInstance *instance, LxRequest *request, LxAttempt *attempt, const LcPiece *piece)
 {
   LcPieceVerdict verdict
       = lc_dispatch_receive_piece (instance->dispatch, request->id, attempt->number, piece,
-                                   now_of (instance), &instance->actions);
+                                   current_time (instance), &instance->dispatch_actions);
 
   if (verdict != LC_PIECE_FORWARD)
     return;
   lx_text_append (&attempt->text, attempt->stream, piece->offset, piece->tokens);
-  request->heard = attempt->number;
+  request->last_forwarded_attempt = attempt->number;
   if (request->call)
     {
       lx_callers_send_piece (&instance->world->callers, request->call, attempt->stream, piece);
@@ -948,7 +960,7 @@
   if (piece->last)
     lx_text_copy (&request->text, &attempt->text);
   lc_rollouts_add_piece (instance->rollouts, request->id, piece, attempt->engine->name,
-                         now_of (instance), &instance->rollout_actions);
+                         current_time (instance), &instance->rollout_actions);
 }
 
 static void
@@ -960,25 +972,27 @@
 
   if (!attempt)
     return;
-  /* A closed connection brings nothing, unless pieces are garbled: core has to drop such ones. */
-  if (!attempt->open
-      && (delivery->is_end || now_of (instance) >= instance->world->faults.garbled_until))
+  /* Nothing arrives on a closed connection, except while pieces are garbled: core must drop those.
+   */
+  if (!attempt->is_open
+      && (delivery->is_end || current_time (instance) >= instance->world->faults.garbled_until))
     return;
   if (delivery->is_end)
     {
-      attempt->open = false;
+      attempt->is_open = false;
       lc_dispatch_record_attempt_end (instance->dispatch, request->id, delivery->attempt,
-                                      delivery->end, now_of (instance), &instance->actions);
+                                      delivery->end, current_time (instance),
+                                      &instance->dispatch_actions);
     }
   else
     {
-      take_piece (instance, request, attempt, &delivery->piece);
+      receive_piece (instance, request, attempt, &delivery->piece);
     }
-  pump (instance);
+  process_actions (instance);
 }
 
 static void
-pass_cache_events (LxInstance *instance, size_t index)
+apply_cache_events (LxInstance *instance, size_t index)
 {
   const LxEngine *engine = instance->world->engines[index];
   uint64_t *cursor = &instance->cache_cursors[index];
@@ -991,19 +1005,20 @@
       if (event->sequence == *cursor)
         lc_endpoints_apply_cache_event (lc_dispatch_endpoints (instance->dispatch), engine->name,
                                         event->sequence, event->stored, event->hash,
-                                        now_of (instance));
+                                        current_time (instance));
     }
 }
 
 void
 lx_instance_record_load (LxInstance *instance, size_t engine, const LcLoadReport *report)
 {
-  pass_cache_events (instance, engine);
+  apply_cache_events (instance, engine);
   lc_dispatch_record_load (instance->dispatch, instance->world->engines[engine]->name, report,
-                           now_of (instance), &instance->actions);
-  pump (instance);
+                           current_time (instance), &instance->dispatch_actions);
+  process_actions (instance);
 }
 
+/* A load report in transit to the instance. */
 typedef struct
 {
   size_t engine;
@@ -1018,7 +1033,7 @@
   lx_instance_record_load (instance, report->engine, &report->report);
 }
 
-/* Asks every endpoint for its load; the answer is as old as its way back. */
+/* Polls the load of all endpoints; a report arrives one network latency after it was measured. */
 static void
 poll_endpoints (LxInstance *instance)
 {
@@ -1043,7 +1058,7 @@
 {
   (void)argument;
   poll_endpoints (instance);
-  check_core (instance);
+  check_core_invariants (instance);
   lx_instance_post (instance, 500 * LB_MSEC, on_poll, NULL, NULL);
 }
 
@@ -1051,20 +1066,21 @@
 lx_instance_set_swap (LxInstance *instance, size_t engine, bool pending, LbTime until)
 {
   lc_endpoints_set_swap (lc_dispatch_endpoints (instance->dispatch),
-                         instance->world->engines[engine]->name, pending, until, now_of (instance));
+                         instance->world->engines[engine]->name, pending, until,
+                         current_time (instance));
 }
 
 void
 lx_instance_set_versions (LxInstance *instance, LcVersion newest, LbTime cadence)
 {
   lc_rollouts_set_versions (instance->rollouts, instance->world->options.site->pool, newest,
-                            cadence, now_of (instance), &instance->rollout_actions);
-  pump (instance);
+                            cadence, current_time (instance), &instance->rollout_actions);
+  process_actions (instance);
 }
 
 void
 lx_instance_pull (LxInstance *instance, const LcPull *pull)
 {
-  lc_rollouts_pull (instance->rollouts, pull, now_of (instance), &instance->rollout_actions);
-  pump (instance);
+  lc_rollouts_pull (instance->rollouts, pull, current_time (instance), &instance->rollout_actions);
+  process_actions (instance);
 }
--- a/packages/sim/src/lx-options.c
+++ b/packages/sim/src/lx-options.c
@@ -32,11 +32,11 @@
                           .concurrency = 32,
                           .duration = 900 * LB_SEC,
                           .n_trainers = 2,
-                          .groups = 128,
-                          .samples = 8,
-                          .shortest = 100,
+                          .groups_per_step = 128,
+                          .samples_per_group = 8,
+                          .min_sample_tokens = 100,
                           .train_time = 45 * LB_SEC,
-                          .version_every = 90 * LB_SEC,
+                          .version_interval = 90 * LB_SEC,
                           .calls_per_second = 20,
                           .service_calls_per_second = 10,
                           .hard_share = 0.5,
@@ -45,25 +45,25 @@
 }
 
 static bool *
-mechanism (LcRolloutSettings *settings, size_t i)
+get_mechanism (LcRolloutSettings *settings, size_t i)
 {
   return (bool *)((char *)settings + mechanism_offsets[i]);
 }
 
 static bool
-switch_on (LcRolloutSettings *settings, const char *name)
+enable_mechanism (LcRolloutSettings *settings, const char *name)
 {
   for (size_t i = 0; mechanism_names[i]; i++)
     if (strcmp (mechanism_names[i], name) == 0)
       {
-        *mechanism (settings, i) = true;
+        *get_mechanism (settings, i) = true;
         return true;
       }
   return false;
 }
 
 static bool
-is_router (const char *name)
+is_router_policy (const char *name)
 {
   for (const char *const *policy = lc_router_policy_names (); *policy; policy++)
     if (strcmp (*policy, name) == 0)
@@ -74,20 +74,20 @@
 bool
 lx_options_set_policy (LxOptions *options, const char *policy)
 {
-  char parts[256];
+  char copy[256];
   char *rest;
 
-  LB_COPY (parts, policy);
-  char *name = strtok_r (parts, "+", &rest);
-  if (!name || !is_router (name))
+  LB_COPY (copy, policy);
+  char *name = strtok_r (copy, "+", &rest);
+  if (!name || !is_router_policy (name))
     return false;
   LB_COPY (options->policy, name);
   if (strcmp (policy, "lentilspindle") == 0)
     return true;
   for (size_t i = 0; mechanism_names[i]; i++)
-    *mechanism (&options->rollouts, i) = false;
+    *get_mechanism (&options->rollouts, i) = false;
   for (char *part = strtok_r (NULL, "+", &rest); part; part = strtok_r (NULL, "+", &rest))
-    if (!switch_on (&options->rollouts, part))
+    if (!enable_mechanism (&options->rollouts, part))
       return false;
   return true;
 }
--- a/packages/sim/src/lx-queue.c
+++ b/packages/sim/src/lx-queue.c
@@ -24,7 +24,6 @@
   uint64_t handled;
 };
 
-/* A queue whose time starts at one second, so that 0 never means a real time. */
 LxQueue *
 lx_queue_new (void)
 {
@@ -34,7 +33,7 @@
   return queue;
 }
 
-/* Drops the arguments of events that never ran. */
+/* Frees the arguments of events that have not run. */
 void
 lx_queue_free (LxQueue *queue)
 {
@@ -54,7 +53,7 @@
 }
 
 static void
-swap (Event *a, Event *b)
+swap_events (Event *a, Event *b)
 {
   Event event = *a;
 
@@ -67,7 +66,7 @@
 {
   while (i > 0 && is_before (&queue->heap[i], &queue->heap[(i - 1) / 2]))
     {
-      swap (&queue->heap[i], &queue->heap[(i - 1) / 2]);
+      swap_events (&queue->heap[i], &queue->heap[(i - 1) / 2]);
       i = (i - 1) / 2;
     }
 }
@@ -77,20 +76,18 @@
 {
   for (;;)
     {
-      size_t first = i;
+      size_t earliest = i;
 
       for (size_t child = 2 * i + 1; child <= 2 * i + 2 && child < queue->length; child++)
-        if (is_before (&queue->heap[child], &queue->heap[first]))
-          first = child;
-      if (first == i)
+        if (is_before (&queue->heap[child], &queue->heap[earliest]))
+          earliest = child;
+      if (earliest == i)
         return;
-      swap (&queue->heap[i], &queue->heap[first]);
-      i = first;
+      swap_events (&queue->heap[i], &queue->heap[earliest]);
+      i = earliest;
     }
 }
 
-/* Adds an event; a time that has passed means now. drop (NULL: nothing to drop) frees the argument
- * of an event that never runs. */
 void
 lx_queue_add (LxQueue *queue,
               LbTime at,
@@ -113,7 +110,6 @@
   sift_up (queue, queue->length++);
 }
 
-/* Runs the next event if it is due by then; false when there is none. */
 bool
 lx_queue_run_next (LxQueue *queue, LbTime until)
 {
--- a/packages/sim/src/lx-registry.c
+++ b/packages/sim/src/lx-registry.c
@@ -10,25 +10,25 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* An accepted revision must be in force within this time on every instance that could know. */
-#define IN_FORCE_BOUND (10 * LB_SEC)
-/* An instance or store that was away less long ago than this is still catching up. */
-#define CATCH_UP (20 * LB_SEC)
-#define CHECK_EVERY LB_SEC
-#define BURST_PAUSE (400 * LB_MSEC)
+/* Within this time an accepted revision must be active on every instance that can learn of it. */
+#define ACTIVATION_BOUND (10 * LB_SEC)
+/* Instances are not checked for this long after they or the store were unavailable. */
+#define CATCH_UP_TIME (20 * LB_SEC)
+#define CHECK_INTERVAL LB_SEC
+#define BURST_INTERVAL (400 * LB_MSEC)
 
 void
 lx_registry_init (LxRegistry *registry, LxWorld *world, LcResourceSet *set)
 {
   memset (registry, 0, sizeof *registry);
   registry->world = world;
-  registry->set = set;
+  registry->accepted = set;
 }
 
 void
 lx_registry_clear (LxRegistry *registry)
 {
-  lc_resource_set_free (registry->set);
+  lc_resource_set_free (registry->accepted);
 }
 
 LcResourceSet *
@@ -36,17 +36,17 @@
 {
   LbError error = { 0 };
 
-  if (registry->set->revision != revision || revision + 1 >= LX_MAX_REVISIONS)
+  if (registry->accepted->revision != revision || revision + 1 >= LX_MAX_REVISIONS)
     {
       registry->n_conflicts++;
       return NULL;
     }
 
-  LcResourceSet *next = lc_change_apply (registry->set, change, "operator", &error);
+  LcResourceSet *next = lc_change_apply (registry->accepted, change, "operator", &error);
   if (!next)
     return NULL;
-  lc_resource_set_free (registry->set);
-  registry->set = next;
+  lc_resource_set_free (registry->accepted);
+  registry->accepted = next;
   registry->accepted_at[next->revision] = lx_world_now (registry->world);
   registry->n_accepted++;
   lx_world_record_decision (registry->world, "revision %" PRId64 " accepted", next->revision);
@@ -56,34 +56,34 @@
 int64_t
 lx_registry_due_revision (const LxRegistry *registry, LbTime now)
 {
-  int64_t revision = registry->set->revision;
+  int64_t revision = registry->accepted->revision;
 
-  while (revision > 0 && registry->accepted_at[revision] + IN_FORCE_BOUND > now)
+  while (revision > 0 && registry->accepted_at[revision] + ACTIVATION_BOUND > now)
     revision--;
   return revision;
 }
 
-/* The newest revision that some instance has had in force for long. One whose commit's reply was
- * lost is not among them before somebody reads it: its operator was told that the outcome is
- * unknown. */
+/* Returns the newest revision that has been active on some instance for longer than the bound. A
+ * revision whose commit reply was lost counts only once an instance has read it: its operator got
+ * an unknown outcome. */
 static int64_t
-newest_known (const LxRegistry *registry, LbTime now)
+newest_long_active_revision (const LxRegistry *registry, LbTime now)
 {
   int64_t revision = lx_registry_due_revision (registry, now);
 
-  while (
-      revision > 0
-      && (registry->known_at[revision] == 0 || registry->known_at[revision] + IN_FORCE_BOUND > now))
+  while (revision > 0
+         && (registry->first_active_at[revision] == 0
+             || registry->first_active_at[revision] + ACTIVATION_BOUND > now))
     revision--;
   return revision;
 }
 
 static bool
-could_know (const LxInstance *instance, LbTime now)
+should_be_up_to_date (const LxInstance *instance, LbTime now)
 {
-  return instance->alive && instance->started_at + CATCH_UP < now
-         && instance->paused_until + CATCH_UP < now
-         && instance->world->store.away_until + CATCH_UP < now;
+  return instance->alive && instance->started_at + CATCH_UP_TIME < now
+         && instance->paused_until + CATCH_UP_TIME < now
+         && instance->world->store.unavailable_until + CATCH_UP_TIME < now;
 }
 
 static void
@@ -93,32 +93,35 @@
   int64_t revision = lc_config_revision (instance->config);
   int64_t due = lx_registry_due_revision (registry, now);
 
-  if (revision < instance->revision_seen)
+  if (revision < instance->checked_revision)
     lx_audit_report_violation (&world->audit, LX_VIOLATION_REVERTED, now,
                                lx_world_event_number (world),
-                               "%s went from revision %" PRId64 " to %" PRId64, instance->name,
-                               instance->revision_seen, revision);
-  instance->revision_seen = revision;
-  if (registry->known_at[revision] == 0)
-    registry->known_at[revision] = now;
-  if (could_know (instance, now) && revision < due)
+                               "%s went back from revision %" PRId64 " to %" PRId64, instance->name,
+                               instance->checked_revision, revision);
+  instance->checked_revision = revision;
+  if (registry->first_active_at[revision] == 0)
+    registry->first_active_at[revision] = now;
+  if (should_be_up_to_date (instance, now) && revision < due)
     lx_audit_report_violation (&world->audit, LX_VIOLATION_NOT_IN_FORCE, now,
                                lx_world_event_number (world),
-                               "%s has revision %" PRId64 ", %" PRId64 " was accepted %.1f s ago",
+                               "%s has revision %" PRId64 " active, %" PRId64
+                               " was accepted %.1f s ago",
                                instance->name, revision, due,
                                (double)(now - registry->accepted_at[due]) / LB_SEC);
-  /* A new process that serves must have what any process before it had had in force in time. */
+  /* A process that becomes ready must not be behind a revision that was active elsewhere in time.
+   */
   if (!instance->was_ready && lc_config_is_ready (instance->config)
-      && revision < newest_known (registry, now))
+      && revision < newest_long_active_revision (registry, now))
     lx_audit_report_violation (&world->audit, LX_VIOLATION_REVERTED, now,
                                lx_world_event_number (world),
-                               "%s serves with revision %" PRId64 " after %" PRId64, instance->name,
-                               revision, newest_known (registry, now));
+                               "%s is ready with revision %" PRId64 " after %" PRId64 " was active",
+                               instance->name, revision,
+                               newest_long_active_revision (registry, now));
   instance->was_ready = lc_config_is_ready (instance->config);
 }
 
 static void
-on_check (void *owner, void *argument)
+on_revision_check (void *owner, void *argument)
 {
   LxRegistry *registry = owner;
   LxWorld *world = registry->world;
@@ -128,21 +131,21 @@
   for (size_t i = 0; i < world->n_instances; i++)
     if (world->instances[i].alive && world->instances[i].paused_until <= now)
       check_instance (registry, &world->instances[i], now);
-  lx_world_schedule (world, CHECK_EVERY, on_check, registry, NULL, NULL);
+  lx_world_schedule (world, CHECK_INTERVAL, on_revision_check, registry, NULL, NULL);
 }
 
-/* {"apply": [the pool with another reserve for live calls]} */
+/* Returns {"apply": [the pool with a new live reserve]}. */
 static struct json_object *
-make_change (const LxRegistry *registry, double live_reserve)
+build_change (const LxRegistry *registry, double live_reserve)
 {
   struct json_object *change = json_object_new_object ();
   struct json_object *apply = json_object_new_array ();
   struct json_object *pool = json_object_new_object ();
-  const LcPool *before = &registry->set->pools[0];
+  const LcPool *current = &registry->accepted->pools[0];
 
   json_object_object_add (pool, "kind", json_object_new_string ("pool"));
-  json_object_object_add (pool, "name", json_object_new_string (before->name));
-  json_object_object_add (pool, "model", json_object_new_string (before->model));
+  json_object_object_add (pool, "name", json_object_new_string (current->name));
+  json_object_object_add (pool, "model", json_object_new_string (current->model));
   json_object_object_add (pool, "live_reserve", json_object_new_double (live_reserve));
   json_object_array_add (apply, pool);
   json_object_object_add (change, "apply", apply);
@@ -152,35 +155,35 @@
 void
 lx_registry_request_change (LxRegistry *registry, LxInstance *instance, double live_reserve)
 {
-  struct json_object *change = make_change (registry, live_reserve);
+  struct json_object *change = build_change (registry, live_reserve);
 
   lx_instance_submit_change (instance, change);
   json_object_put (change);
 }
 
 static void
-on_operator (void *owner, void *argument)
+on_operator_change_due (void *owner, void *argument)
 {
   LxRegistry *registry = owner;
   LxWorld *world = registry->world;
-  uint64_t n = gsl_rng_uniform_int (world->random, 1000);
-  struct json_object *change = make_change (registry, 0.2 + (double)(n % 20) / 100);
-  LxInstance *instance = lx_world_choose_instance (world, n % world->n_instances);
-  LxInstance *other = lx_world_choose_instance (world, (n + 1) % world->n_instances);
+  uint64_t draw = gsl_rng_uniform_int (world->random, 1000);
+  struct json_object *change = build_change (registry, 0.2 + (double)(draw % 20) / 100);
+  LxInstance *instance = lx_world_choose_instance (world, draw % world->n_instances);
+  LxInstance *other = lx_world_choose_instance (world, (draw + 1) % world->n_instances);
 
   (void)argument;
   if (instance)
     lx_instance_submit_change (instance, change);
-  /* Every third time another operator is at it too, at another instance. */
-  if (other && n % 3 == 0)
+  /* One change in three competes with the same change at another instance. */
+  if (other && draw % 3 == 0)
     lx_instance_submit_change (other, change);
   json_object_put (change);
-  /* Some changes come in bursts, so that old messages about one meet the next. */
+  /* Some changes come in bursts, so that messages about one arrive after the next. */
   lx_world_schedule (world,
-                     n % 5 < 2
-                         ? BURST_PAUSE
-                         : (LbTime)((0.5 + (double)n / 1000) * (double)world->options.change_every),
-                     on_operator, registry, NULL, NULL);
+                     draw % 5 < 2 ? BURST_INTERVAL
+                                  : (LbTime)((0.5 + (double)draw / 1000)
+                                             * (double)world->options.mean_change_interval),
+                     on_operator_change_due, registry, NULL, NULL);
 }
 
 void
@@ -188,7 +191,8 @@
 {
   LxWorld *world = registry->world;
 
-  lx_world_schedule (world, CHECK_EVERY, on_check, registry, NULL, NULL);
-  if (world->options.change_every > 0)
-    lx_world_schedule (world, world->options.change_every, on_operator, registry, NULL, NULL);
+  lx_world_schedule (world, CHECK_INTERVAL, on_revision_check, registry, NULL, NULL);
+  if (world->options.mean_change_interval > 0)
+    lx_world_schedule (world, world->options.mean_change_interval, on_operator_change_due, registry,
+                       NULL, NULL);
 }
--- a/packages/sim/src/lx-replay.c
+++ b/packages/sim/src/lx-replay.c
@@ -8,9 +8,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* How long a replay goes on after its last stated time. */
-#define AFTERWARDS (5 * LB_SEC)
+/* A replay continues for this long after the last time in the trace. */
+#define EXTRA_TIME (5 * LB_SEC)
 
+/* A call of the trace. */
 typedef struct
 {
   LbName name;
@@ -21,25 +22,25 @@
 {
   const LxTrace *trace;
   LxWorld *world;
-  LbTime begun;
-  NamedCall *calls; /* one per line; unused ones have no name */
-  bool *in_force;   /* per line: what was seen at its time */
+  LbTime started_at;
+  NamedCall *calls; /* by line; the name is empty if the line is not a call */
+  bool *was_active; /* by line: result of an in-force expectation at its time */
   const char *name;
   FILE *out;
-  size_t failed;
+  size_t n_failures;
 } Replay;
 
-/* A line on its way to its time. */
+/* Argument of the event that handles a line of the trace. */
 typedef struct
 {
   Replay *replay;
   size_t index;
-} Due;
+} ScheduledLine;
 
 static const LxTraceLine *
-line_of (const Due *due)
+get_line (const ScheduledLine *scheduled)
 {
-  return &due->replay->trace->lines[due->index];
+  return &scheduled->replay->trace->lines[scheduled->index];
 }
 
 static LxTrainer *
@@ -63,16 +64,16 @@
 }
 
 static void
-fail (Replay *replay, const LxTraceLine *line, const char *what)
+report_failure (Replay *replay, const LxTraceLine *line, const char *problem)
 {
-  replay->failed++;
+  replay->n_failures++;
   fprintf (replay->out, "%s:%d: %s: %s (at %.3f s, event %" PRIu64 ")\n", replay->name, line->line,
-           line->event ? "event" : lx_expect_name ((LxTraceExpect)line->expect), what,
-           (double)(lx_world_now (replay->world) - replay->begun) / LB_SEC,
+           line->event ? "event" : lx_expect_name ((LxTraceExpect)line->expect), problem,
+           (double)(lx_world_now (replay->world) - replay->started_at) / LB_SEC,
            lx_world_event_number (replay->world));
 }
 
-/* Events. */
+/* Events */
 
 static void
 start_call (Replay *replay, size_t index)
@@ -82,10 +83,10 @@
 
   LB_COPY (call->name, line->call);
   lx_callers_submit (&replay->world->callers,
-                     &(LxCallSpec){ .of_service = line->event == LX_EVENT_SERVICE,
+                     &(LxCallSpec){ .is_service_call = line->event == LX_EVENT_SERVICE,
                                     .repeatable = line->repeatable,
                                     .tokens = line->tokens,
-                                    .deadline = line->deadline_ms * LB_MSEC,
+                                    .timeout = line->deadline_ms * LB_MSEC,
                                     .instance = line->instance,
                                     .result = &call->result });
 }
@@ -96,13 +97,13 @@
   LxTrainer *trainer = find_trainer (replay, line->trainer);
 
   if (!trainer)
-    fail (replay, line, "no such trainer");
+    report_failure (replay, line, "unknown trainer");
   else
     lx_trainer_start (trainer, line->count);
 }
 
 static LxFault
-fault_of (const char *name)
+find_fault (const char *name)
 {
   LxFault fault = 0;
 
@@ -112,17 +113,17 @@
 }
 
 static void
-strike (Replay *replay, const LxTraceLine *line)
+inject_fault (Replay *replay, const LxTraceLine *line)
 {
   const LxTrainer *trainer = find_trainer (replay, line->trainer);
 
-  if (!lx_faults_inject (&replay->world->faults, fault_of (line->fault), line->endpoint,
+  if (!lx_faults_inject (&replay->world->faults, find_fault (line->fault), line->endpoint,
                          line->instance, trainer ? trainer->index : 0, line->for_ms * LB_MSEC))
-    fail (replay, line, "no such endpoint or instance");
+    report_failure (replay, line, "unknown endpoint or instance");
 }
 
 static void
-change (Replay *replay, const LxTraceLine *line)
+submit_change (Replay *replay, const LxTraceLine *line)
 {
   LxWorld *world = replay->world;
   LxInstance *instance = lx_world_find_instance (world, line->instance[0] ? line->instance : "i1");
@@ -130,11 +131,11 @@
   if (instance && instance->alive)
     lx_registry_request_change (&world->registry, instance, line->live_reserve);
   else
-    fail (replay, line, "no such instance, or it does not live");
+    report_failure (replay, line, "the instance is unknown or not running");
 }
 
 static bool
-is_in_force (const Replay *replay, int64_t revision)
+is_revision_active (const Replay *replay, int64_t revision)
 {
   const LxWorld *world = replay->world;
 
@@ -147,9 +148,9 @@
 static void
 on_line (void *owner, void *argument)
 {
-  Due *due = argument;
+  ScheduledLine *scheduled = argument;
   Replay *replay = owner;
-  const LxTraceLine *line = line_of (due);
+  const LxTraceLine *line = get_line (scheduled);
 
   switch ((LxTraceEvent)line->event)
     {
@@ -158,30 +159,30 @@
       break;
     case LX_EVENT_CALL:
     case LX_EVENT_SERVICE:
-      start_call (replay, due->index);
+      start_call (replay, scheduled->index);
       break;
     case LX_EVENT_VERSION:
       lx_swaps_publish (&replay->world->swaps);
       break;
     case LX_EVENT_CHANGE:
-      change (replay, line);
+      submit_change (replay, line);
       break;
     case LX_EVENT_FAULT:
-      strike (replay, line);
+      inject_fault (replay, line);
       break;
     default:
-      replay->in_force[due->index] = is_in_force (replay, line->revision);
+      replay->was_active[scheduled->index] = is_revision_active (replay, line->revision);
       break;
     }
-  free (due);
+  free (scheduled);
 }
 
-/* Expectations, held against the end of the run. */
+/* Expectations, checked at the end of the run */
 
 static bool
-was_in_time (const Replay *replay, const LxTraceLine *line, LbTime at)
+is_in_time (const Replay *replay, const LxTraceLine *line, LbTime at)
 {
-  return at > 0 && at - replay->begun <= line->by_ms * LB_MSEC;
+  return at > 0 && at - replay->started_at <= line->by_ms * LB_MSEC;
 }
 
 static const char *
@@ -190,15 +191,15 @@
   const NamedCall *call = find_call (replay, line->call);
 
   if (!call)
-    return "no such call";
+    return "unknown call";
 
   const LxJob *job = lx_audit_job (&replay->world->audit, call->result.job);
   if (line->expect == LX_EXPECT_RUNS)
-    return job->runs <= line->count ? NULL : "it was started more often";
-  if (call->result.ended == 0)
-    return "it has no answer";
-  if (!was_in_time (replay, line, call->result.ended))
-    return "its answer came late";
+    return job->n_starts <= line->count ? NULL : "endpoints started the call more often than count";
+  if (call->result.ended_at == 0)
+    return "the call has no answer";
+  if (!is_in_time (replay, line, call->result.ended_at))
+    return "the answer arrived later than by_ms";
   if (line->expect == LX_EXPECT_WHOLE)
     return call->result.error == LB_OK ? NULL : lb_error_name (call->result.error);
   if (line->expect == LX_EXPECT_UNKNOWN)
@@ -207,7 +208,7 @@
                : lb_error_name (call->result.error);
   if (!lb_error_is_not_run (call->result.error))
     return lb_error_name (call->result.error);
-  return job->runs == 0 ? NULL : "it had run";
+  return job->n_starts == 0 ? NULL : "an endpoint had started the call";
 }
 
 static const char *
@@ -216,27 +217,30 @@
   const LxTrainer *trainer = find_trainer (replay, line->trainer);
 
   if (!trainer)
-    return "no such trainer";
+    return "unknown trainer";
   if (line->expect == LX_EXPECT_STALENESS)
-    return trainer->oldest <= line->count ? NULL : "an older sample was delivered";
+    return trainer->staleness_max_all_steps <= line->count
+               ? NULL
+               : "a sample was older than count versions";
   if (line->expect == LX_EXPECT_MIXED)
-    return trainer->mixed >= line->count ? NULL : "fewer samples have several versions";
+    return trainer->mixed_samples >= line->count ? NULL
+                                                 : "fewer than count samples have several versions";
   if (lx_trainer_step_finished_at (trainer, line->step) == 0)
-    return "samples are missing";
-  return was_in_time (replay, line, lx_trainer_step_finished_at (trainer, line->step))
+    return "samples of the step are missing";
+  return is_in_time (replay, line, lx_trainer_step_finished_at (trainer, line->step))
              ? NULL
-             : "the last sample came late";
+             : "the last sample arrived later than by_ms";
 }
 
 static const char *
-check_endpoint (const Replay *replay, const LxTraceLine *line)
+check_no_new_work (const Replay *replay, const LxTraceLine *line)
 {
   const LxEngine *engine = lx_world_find_engine (replay->world, line->endpoint);
 
   if (!engine)
-    return "no such endpoint";
-  if (engine->sent_while_leaving > replay->begun + line->after_ms * LB_MSEC)
-    return "new work was sent to it later";
+    return "unknown endpoint";
+  if (engine->sent_while_leaving_at > replay->started_at + line->after_ms * LB_MSEC)
+    return "new work was sent to the endpoint later than after_ms";
   return NULL;
 }
 
@@ -246,8 +250,10 @@
   const LxInstance *instance = lx_world_find_instance (replay->world, line->instance);
 
   if (!instance)
-    return "no such instance";
-  return was_in_time (replay, line, instance->drain_ended) ? NULL : "it did not end in time";
+    return "unknown instance";
+  return is_in_time (replay, line, instance->drain_ended_at)
+             ? NULL
+             : "the instance did not complete its drain by by_ms";
 }
 
 static const char *
@@ -267,41 +273,41 @@
     case LX_EXPECT_MIXED:
       return check_trainer (replay, line);
     case LX_EXPECT_NO_NEW_WORK:
-      return check_endpoint (replay, line);
+      return check_no_new_work (replay, line);
     case LX_EXPECT_DRAINED:
       return check_drained (replay, line);
     case LX_EXPECT_IN_FORCE:
-      return replay->in_force[index] ? NULL : "an instance that lives has an older one";
+      return replay->was_active[index] ? NULL : "a running instance has an older revision";
     default:
       return NULL;
     }
 }
 
-/* When the line's event happens, or its expectation must hold. */
+/* Returns when the event happens, or by when the expectation must be met. */
 static LbTime
-time_of (const LxTraceLine *line)
+get_line_time (const LxTraceLine *line)
 {
-  bool by = line->expect != LX_EXPECT_NONE && line->by_ms < 86400000;
+  bool has_time_limit = line->expect != LX_EXPECT_NONE && line->by_ms < 86400000;
 
-  return (by ? line->by_ms : line->at_ms) * LB_MSEC;
+  return (has_time_limit ? line->by_ms : line->at_ms) * LB_MSEC;
 }
 
 static LbTime
-schedule (Replay *replay)
+schedule_lines (Replay *replay)
 {
   LbTime last = 0;
 
   for (size_t i = 0; i < replay->trace->n_lines; i++)
     {
       const LxTraceLine *line = &replay->trace->lines[i];
-      LbTime at = time_of (line);
+      LbTime at = get_line_time (line);
 
       last = at > last ? at : last;
       if (line->event == LX_EVENT_NONE && line->expect != LX_EXPECT_IN_FORCE)
         continue;
-      Due *due = LB_NEW (Due);
-      *due = (Due){ .replay = replay, .index = i };
-      lx_world_schedule (replay->world, at, on_line, replay, due, free);
+      ScheduledLine *scheduled = LB_NEW (ScheduledLine);
+      *scheduled = (ScheduledLine){ .replay = replay, .index = i };
+      lx_world_schedule (replay->world, at, on_line, replay, scheduled, free);
     }
   return last;
 }
@@ -310,11 +316,11 @@
 fill_options (const LxTrace *trace, LxOptions *options)
 {
   lx_options_init (options, trace->site, trace->seed);
-  options->scripted = true;
+  options->is_scripted = true;
   options->n_trainers = (size_t)trace->trainers;
-  options->groups = trace->groups;
-  options->samples = trace->samples;
-  options->shortest = trace->shortest;
+  options->groups_per_step = trace->groups;
+  options->samples_per_group = trace->samples;
+  options->min_sample_tokens = trace->shortest;
   options->train_time = trace->train_ms * LB_MSEC;
   options->hedge_after = LB_SEC;
 }
@@ -327,25 +333,25 @@
 
   fill_options (trace, &options);
   replay.world = lx_world_new (&options);
-  replay.begun = lx_world_now (replay.world);
+  replay.started_at = lx_world_now (replay.world);
   replay.calls = LB_NEW_ARRAY (NamedCall, trace->n_lines + 1);
-  replay.in_force = LB_NEW_ARRAY (bool, trace->n_lines + 1);
-  replay.world->options.duration = schedule (&replay) + AFTERWARDS;
+  replay.was_active = LB_NEW_ARRAY (bool, trace->n_lines + 1);
+  replay.world->options.duration = schedule_lines (&replay) + EXTRA_TIME;
   lx_world_run (replay.world);
 
   for (size_t i = 0; i < trace->n_lines; i++)
     {
-      const char *wrong = check_line (&replay, i);
-      if (wrong)
-        fail (&replay, &trace->lines[i], wrong);
+      const char *problem = check_line (&replay, i);
+      if (problem)
+        report_failure (&replay, &trace->lines[i], problem);
     }
   if (replay.world->audit.first_violation[0])
     {
       fprintf (out, "%s: %s\n", name, replay.world->audit.first_violation);
-      replay.failed++;
+      replay.n_failures++;
     }
   lx_world_free (replay.world);
   free (replay.calls);
-  free (replay.in_force);
-  return replay.failed == 0;
+  free (replay.was_active);
+  return replay.n_failures == 0;
 }
--- a/packages/sim/src/lx-result.c
+++ b/packages/sim/src/lx-result.c
@@ -19,7 +19,7 @@
       const LxTrainer *trainer = &world->trainers[i];
 
       result->steps += trainer->steps;
-      idle += trainer->idle;
+      idle += trainer->idle_time;
       idle_floor += trainer->idle_floor;
       samples += trainer->samples;
       staleness += trainer->staleness_sum;
@@ -38,29 +38,30 @@
 static void
 fill_engines (LxResult *result, const LxWorld *world)
 {
-  int64_t sum = 0;
-  int64_t largest = 0;
+  int64_t total_tokens = 0;
+  int64_t max_tokens = 0;
   int64_t blocks = 0;
-  int64_t found = 0;
+  int64_t cached_blocks = 0;
 
   for (size_t i = 0; i < world->n_engines; i++)
     {
       const LxEngine *engine = world->engines[i];
 
-      sum += engine->tokens;
-      largest = engine->tokens > largest ? engine->tokens : largest;
+      total_tokens += engine->generated_tokens;
+      max_tokens = engine->generated_tokens > max_tokens ? engine->generated_tokens : max_tokens;
       blocks += engine->prompt_blocks;
-      found += engine->prompt_blocks_found;
+      cached_blocks += engine->prompt_blocks_cached;
     }
-  if (sum > 0)
-    result->imbalance = (double)largest * (double)world->n_engines / (double)sum;
+  if (total_tokens > 0)
+    result->imbalance = (double)max_tokens * (double)world->n_engines / (double)total_tokens;
   if (blocks > 0)
-    result->prefix_hits = (double)found / (double)blocks;
-  result->tokens_per_second = (double)sum / ((double)(lx_world_now (world) - LB_SEC) / LB_SEC);
+    result->prefix_hits = (double)cached_blocks / (double)blocks;
+  result->tokens_per_second
+      = (double)total_tokens / ((double)(lx_world_now (world) - LB_SEC) / LB_SEC);
 }
 
 static void
-fill_breaches (LxResult *result, const LxAudit *audit)
+fill_violations (LxResult *result, const LxAudit *audit)
 {
   result->lost = audit->violations[LX_VIOLATION_LOST] + audit->violations[LX_VIOLATION_STUCK];
   result->doubled = audit->violations[LX_VIOLATION_DOUBLED];
@@ -77,7 +78,7 @@
   result->seed = world->options.seed;
   fill_trainers (result, world);
   fill_engines (result, world);
-  fill_breaches (result, &world->audit);
+  fill_violations (result, &world->audit);
   result->live_p50_ms = lx_callers_latency_percentile_ms (&world->callers, 0.5);
   result->live_p99_ms = lx_callers_latency_percentile_ms (&world->callers, 0.99);
   result->live_calls = world->callers.answered;
@@ -91,7 +92,7 @@
 }
 
 static void
-add_real (struct json_object *object, const char *key, double value)
+add_double (struct json_object *object, const char *key, double value)
 {
   char text[32];
 
@@ -113,12 +114,12 @@
   json_object_object_add (object, "policy", json_object_new_string (result->policy));
   add_int (object, "seed", (int64_t)result->seed);
   add_int (object, "steps", result->steps);
-  add_real (object, "idle_seconds", result->idle_seconds);
-  add_real (object, "idle_floor_seconds", result->idle_floor_seconds);
-  add_real (object, "staleness_mean", result->staleness_mean);
+  add_double (object, "idle_seconds", result->idle_seconds);
+  add_double (object, "idle_floor_seconds", result->idle_floor_seconds);
+  add_double (object, "staleness_mean", result->staleness_mean);
   add_int (object, "staleness_max", result->staleness_max);
-  add_real (object, "live_p50_ms", result->live_p50_ms);
-  add_real (object, "live_p99_ms", result->live_p99_ms);
+  add_double (object, "live_p50_ms", result->live_p50_ms);
+  add_double (object, "live_p99_ms", result->live_p99_ms);
   add_int (object, "live_calls", result->live_calls);
   add_int (object, "refused", result->refused);
   add_int (object, "failed", result->failed);
@@ -126,11 +127,11 @@
   add_int (object, "doubled", result->doubled);
   add_int (object, "stale", result->stale);
   add_int (object, "other_breaches", result->other_breaches);
-  add_real (object, "wasted_tokens_ratio", result->wasted_tokens_ratio);
-  add_real (object, "imbalance", result->imbalance);
-  add_real (object, "prefix_hits", result->prefix_hits);
-  add_real (object, "tokens_per_second", result->tokens_per_second);
+  add_double (object, "wasted_tokens_ratio", result->wasted_tokens_ratio);
+  add_double (object, "imbalance", result->imbalance);
+  add_double (object, "prefix_hits", result->prefix_hits);
+  add_double (object, "tokens_per_second", result->tokens_per_second);
   add_int (object, "decisions", result->decisions);
-  add_real (object, "decisions_per_second", result->decisions_per_second);
+  add_double (object, "decisions_per_second", result->decisions_per_second);
   return object;
 }
--- a/packages/sim/src/lx-site.c
+++ b/packages/sim/src/lx-site.c
@@ -2,15 +2,13 @@
 
 #include <string.h>
 
-/* Latency inside a data centre and the bounds of staleness are this project's own choice; all else
- * was given by the sites. */
 static const LxSite sites[] = {
   { .name = "kurunegala",
     .data_centres = { "hall-a", "hall-b", "hall-c" },
     .n_data_centres = 3,
-    .between = 500,
-    .inside = 100,
-    .to_clients = 3 * LB_MSEC,
+    .latency_between = 500,
+    .latency_inside = 100,
+    .client_latency = 3 * LB_MSEC,
     .pool = "reader-model",
     .n_engines = 9,
     .service = "trace-app",
@@ -21,9 +19,9 @@
   { .name = "hoa-sen",
     .data_centres = { "thu-duc-a", "thu-duc-b", "tan-binh", "quan-bay" },
     .n_data_centres = 4,
-    .between = 1500,
-    .inside = 100,
-    .to_clients = 1 * LB_MSEC,
+    .latency_between = 1500,
+    .latency_inside = 100,
+    .client_latency = 1 * LB_MSEC,
     .pool = "suggest-model",
     .n_engines = 9,
     .service = "chat-core",
--- a/packages/sim/src/lx-soak.c
+++ b/packages/sim/src/lx-soak.c
@@ -8,19 +8,19 @@
 
 #define ALL_FAULTS ((1u << LX_N_FAULTS) - 1)
 
-/* How a run ended. */
+/* Outcome of a run. */
 typedef struct
 {
-  LxViolation breach;
+  LxViolation violation;
   uint64_t event;
-  uint64_t n_strikes;
-  char words[256];
+  uint64_t n_injections;
+  char first_violation[256];
   bool failed;
 } Outcome;
 
-/* Every fourth seed has one kind of fault alone, all others have them all, together and twice. */
+/* Every fourth seed injects a single kind of fault, all others inject all kinds. */
 static uint32_t
-kinds_of (const LxSoak *soak)
+choose_fault_kinds (const LxSoak *soak)
 {
   if (soak->only_fault >= 0)
     return 1u << soak->only_fault;
@@ -35,35 +35,35 @@
   lx_options_init (options, soak->site, soak->seed);
   options->duration = LB_TIME_NEVER / 2;
   options->max_events = soak->events;
-  options->groups = 24;
-  options->samples = 4;
-  options->shortest = 20;
+  options->groups_per_step = 24;
+  options->samples_per_group = 4;
+  options->min_sample_tokens = 20;
   options->train_time = 3 * LB_SEC;
-  options->version_every = 15 * LB_SEC;
-  options->change_every = 8 * LB_SEC;
+  options->version_interval = 15 * LB_SEC;
+  options->mean_change_interval = 8 * LB_SEC;
   options->hedge_after = 500 * LB_MSEC;
-  options->faults = kinds_of (soak);
-  options->fault_pause = (1 + (LbTime)(soak->seed % 5)) * LB_SEC;
-  /* One kind alone strikes its victims more often: an owner that never lives for as long as the
-   * longest sample takes would end no step. */
-  if (options->faults != ALL_FAULTS)
-    options->fault_pause += 3 * LB_SEC;
-  options->stop_at_breach = true;
+  options->fault_kinds = choose_fault_kinds (soak);
+  options->mean_fault_interval = (1 + (LbTime)(soak->seed % 5)) * LB_SEC;
+  /* A single kind hits the same targets more often. With shorter intervals, owners would not run
+   * for as long as the longest sample takes, and no step would complete. */
+  if (options->fault_kinds != ALL_FAULTS)
+    options->mean_fault_interval += 3 * LB_SEC;
+  options->stop_at_violation = true;
 }
 
 static void
-note_outcome (const LxWorld *world, Outcome *outcome)
+get_outcome (const LxWorld *world, Outcome *outcome)
 {
   const LxAudit *audit = &world->audit;
 
   memset (outcome, 0, sizeof *outcome);
   outcome->failed = audit->first_violation[0] != '\0';
   outcome->event = audit->first_event;
-  outcome->n_strikes = world->faults.n_strikes;
-  LB_COPY (outcome->words, audit->first_violation);
+  outcome->n_injections = world->faults.n_injections;
+  LB_COPY (outcome->first_violation, audit->first_violation);
   for (size_t i = 0; i < LX_N_VIOLATIONS; i++)
     if (audit->violations[i] > 0)
-      outcome->breach = (LxViolation)i;
+      outcome->violation = (LxViolation)i;
 }
 
 static void
@@ -78,18 +78,21 @@
       samples += world->trainers[i].samples;
     }
   fprintf (out,
-           "%s seed %" PRIu64 ": %" PRIu64 " events, %.1f s, %" PRIu64 " strikes, %" PRId64
+           "%s seed %" PRIu64 ": %" PRIu64 " events, %.1f s, %" PRIu64 " fault injections, %" PRId64
            " decisions, %" PRId64 " steps, %" PRId64 " samples, %" PRId64
            " calls answered, %" PRId64 " refused, %" PRId64 " failed, %" PRId64
            " revisions, %" PRId64 " conflicts\n",
            soak->site->name, soak->seed, lx_world_event_number (world),
-           (double)lx_world_now (world) / LB_SEC, world->faults.n_strikes, world->decisions, steps,
-           samples, world->callers.answered, world->callers.refused, world->callers.failed,
+           (double)lx_world_now (world) / LB_SEC, world->faults.n_injections, world->decisions,
+           steps, samples, world->callers.answered, world->callers.refused, world->callers.failed,
            world->registry.n_accepted, world->registry.n_conflicts);
 }
 
 static void
-print_ring (const char *title, const char ring[LX_HISTORY_LENGTH][128], uint64_t n, FILE *out)
+print_ring_buffer (const char *title,
+                   const char ring[LX_HISTORY_LENGTH][128],
+                   uint64_t n,
+                   FILE *out)
 {
   fprintf (out, "%s:\n", title);
   for (uint64_t i = n > LX_HISTORY_LENGTH ? n - LX_HISTORY_LENGTH : 0; i < n; i++)
@@ -99,64 +102,66 @@
 static void
 print_history (const LxWorld *world, FILE *out)
 {
-  print_ring ("last strikes", world->strikes, world->n_strikes, out);
-  print_ring ("last decisions", world->history, world->n_history, out);
+  print_ring_buffer ("last faults", world->recent_faults, world->n_recorded_faults, out);
+  print_ring_buffer ("last decisions", world->recent_decisions, world->n_recorded_decisions, out);
 }
 
 static void
-run_once (const LxSoak *soak, const uint8_t *left_out, size_t n, Outcome *outcome, FILE *out)
+run_once (const LxSoak *soak, const uint8_t *skipped, size_t n, Outcome *outcome, FILE *out)
 {
   LxOptions options;
 
   fill_options (soak, &options);
-  options.left_out = left_out;
-  options.n_left_out = n;
+  options.skipped_injections = skipped;
+  options.n_skipped_injections = n;
   LxWorld *world = lx_world_new (&options);
   lx_world_run (world);
-  note_outcome (world, outcome);
+  get_outcome (world, outcome);
   if (out)
     {
       print_totals (soak, world, out);
       if (outcome->failed)
         {
-          fprintf (out, "FAILED: %s\n", outcome->words);
+          fprintf (out, "FAILED: %s\n", outcome->first_violation);
           print_history (world, out);
         }
     }
   lx_world_free (world);
 }
 
-/* Leaves out one part of the strikes after another, halves first, single ones last, and keeps out
- * what the failure does not need. */
+/* Skips one range of injections after the other, from halves down to single ones, and keeps a range
+ * skipped if the run still fails in the same way. */
 static void
 shrink_run (const LxSoak *soak, const Outcome *failure, FILE *out)
 {
-  size_t n = failure->n_strikes;
-  uint8_t *left_out = LB_NEW_ARRAY (uint8_t, n + 1);
-  uint8_t *trial = LB_NEW_ARRAY (uint8_t, n + 1);
+  size_t n = failure->n_injections;
+  uint8_t *skipped = LB_NEW_ARRAY (uint8_t, n + 1);
+  uint8_t *candidate = LB_NEW_ARRAY (uint8_t, n + 1);
   LxSoak shorter = *soak;
   Outcome outcome;
-  size_t kept = 0;
+  size_t n_kept = 0;
 
   shorter.events = failure->event + 1;
-  for (size_t part = (n + 1) / 2; part > 0; part = part > 1 ? (part + 1) / 2 : 0)
-    for (size_t first = 0; first < n; first += part)
+  for (size_t range_length = (n + 1) / 2; range_length > 0;
+       range_length = range_length > 1 ? (range_length + 1) / 2 : 0)
+    for (size_t first = 0; first < n; first += range_length)
       {
-        memcpy (trial, left_out, n);
-        memset (trial + first, 1, first + part <= n ? part : n - first);
-        run_once (&shorter, trial, n, &outcome, NULL);
-        if (!outcome.failed || outcome.breach != failure->breach)
+        memcpy (candidate, skipped, n);
+        memset (candidate + first, 1, first + range_length <= n ? range_length : n - first);
+        run_once (&shorter, candidate, n, &outcome, NULL);
+        if (!outcome.failed || outcome.violation != failure->violation)
           continue;
-        memcpy (left_out, trial, n);
+        memcpy (skipped, candidate, n);
         if (outcome.event + 1 < shorter.events)
           shorter.events = outcome.event + 1;
       }
   for (size_t i = 0; i < n; i++)
-    kept += !left_out[i];
-  fprintf (out, "shrunk to %zu of %zu strikes, %" PRIu64 " events:\n", kept, n, shorter.events);
-  run_once (&shorter, left_out, n, &outcome, out);
-  free (left_out);
-  free (trial);
+    n_kept += !skipped[i];
+  fprintf (out, "shrunk to %zu of %zu fault injections, %" PRIu64 " events:\n", n_kept, n,
+           shorter.events);
+  run_once (&shorter, skipped, n, &outcome, out);
+  free (skipped);
+  free (candidate);
 }
 
 bool
--- a/packages/sim/src/lx-store.c
+++ b/packages/sim/src/lx-store.c
@@ -49,20 +49,20 @@
 
 LbErrorCode
 lx_store_write (
-    LxStore *store, const char *key, const char *value, uint64_t session, LxWriteOutcome fate)
+    LxStore *store, const char *key, const char *value, uint64_t session, LxWriteOutcome outcome)
 {
   LxStoreRow *row = ensure_row (store, key);
 
-  if (fate == LX_WRITE_UNAVAILABLE)
+  if (outcome == LX_WRITE_UNAVAILABLE)
     return LB_ERROR_STORE_AWAY;
-  if (fate == LX_WRITE_REQUEST_LOST)
+  if (outcome == LX_WRITE_REQUEST_LOST)
     return LB_ERROR_STORE_UNKNOWN;
   if (row->session == session)
     {
       free (row->value);
       row->value = lb_strdup (value);
     }
-  if (fate == LX_WRITE_REPLY_LOST)
+  if (outcome == LX_WRITE_REPLY_LOST)
     return LB_ERROR_STORE_UNKNOWN;
   return row->session == session ? LB_OK : LB_ERROR_STALE_SESSION;
 }
--- a/packages/sim/src/lx-swaps.c
+++ b/packages/sim/src/lx-swaps.c
@@ -6,40 +6,40 @@
 
 #include <stdlib.h>
 
-#define CHECK_EVERY (250 * LB_MSEC)
+#define CHECK_INTERVAL (250 * LB_MSEC)
 
 typedef struct
 {
   size_t engine;
   bool pending;
   LbTime until;
-} Notice;
+} SwapNotice;
 
 void
 lx_swaps_init (LxSwaps *swaps, LxWorld *world)
 {
   swaps->world = world;
-  swaps->newest = 10;
-  swaps->at_once = world->n_engines / 4 > 0 ? world->n_engines / 4 : 1;
+  swaps->newest_version = 10;
+  swaps->max_concurrent_loads = world->n_engines / 4 > 0 ? world->n_engines / 4 : 1;
 }
 
 static void
-on_notice (LxInstance *instance, void *argument)
+on_swap_notice (LxInstance *instance, void *argument)
 {
-  const Notice *notice = argument;
+  const SwapNotice *notice = argument;
 
   lx_instance_set_swap (instance, notice->engine, notice->pending, notice->until);
 }
 
 static void
-tell_instances (LxWorld *world, size_t engine, bool pending, LbTime until)
+notify_swap (LxWorld *world, size_t engine, bool pending, LbTime until)
 {
   for (size_t i = 0; i < world->n_instances; i++)
     {
-      Notice *notice = LB_NEW (Notice);
-      *notice = (Notice){ .engine = engine, .pending = pending, .until = until };
-      lx_instance_post (&world->instances[i], world->options.site->between, on_notice, notice,
-                        free);
+      SwapNotice *notice = LB_NEW (SwapNotice);
+      *notice = (SwapNotice){ .engine = engine, .pending = pending, .until = until };
+      lx_instance_post (&world->instances[i], world->options.site->latency_between, on_swap_notice,
+                        notice, free);
     }
 }
 
@@ -53,75 +53,76 @@
   return loading;
 }
 
-/* Orders the next engines that are behind, while the weight store's rate allows it. */
+/* Starts loads on outdated engines, up to the number of loads that the weight store allows at once.
+ */
 static void
-on_check (void *owner, void *argument)
+on_load_check (void *owner, void *argument)
 {
   LxSwaps *swaps = owner;
   LxWorld *world = swaps->world;
   size_t loading = count_loading (world);
 
   (void)argument;
-  for (size_t i = 0; i < world->n_engines && loading < swaps->at_once; i++)
+  for (size_t i = 0; i < world->n_engines && loading < swaps->max_concurrent_loads; i++)
     {
       LxEngine *engine = world->engines[i];
-      if (!engine->alive || engine->loading || engine->version == swaps->newest)
+      if (!engine->alive || engine->loading || engine->version == swaps->newest_version)
         continue;
-      lx_engine_load_version (engine, swaps->newest);
-      tell_instances (world, i, true,
-                      lx_world_now (world) + engine->times.load + engine->times.pause);
+      lx_engine_load_version (engine, swaps->newest_version);
+      notify_swap (world, i, true,
+                   lx_world_now (world) + engine->times.load_time + engine->times.pause_time);
       loading++;
     }
-  lx_world_schedule (world, CHECK_EVERY, on_check, swaps, NULL, NULL);
+  lx_world_schedule (world, CHECK_INTERVAL, on_load_check, swaps, NULL, NULL);
 }
 
 static void
-on_versions (LxInstance *instance, void *argument)
+on_versions_notice (LxInstance *instance, void *argument)
 {
   const LcVersion *newest = argument;
 
-  lx_instance_set_versions (instance, *newest, instance->world->options.version_every);
+  lx_instance_set_versions (instance, *newest, instance->world->options.version_interval);
 }
 
 static void
-tell_versions (LxSwaps *swaps)
+notify_versions (LxSwaps *swaps)
 {
   LxWorld *world = swaps->world;
 
   for (size_t i = 0; i < world->n_instances; i++)
     {
       LcVersion *newest = LB_NEW (LcVersion);
-      *newest = swaps->newest;
-      lx_instance_post (&world->instances[i], world->options.site->between, on_versions, newest,
-                        free);
+      *newest = swaps->newest_version;
+      lx_instance_post (&world->instances[i], world->options.site->latency_between,
+                        on_versions_notice, newest, free);
     }
 }
 
 void
 lx_swaps_publish (LxSwaps *swaps)
 {
-  swaps->newest++;
-  tell_versions (swaps);
+  swaps->newest_version++;
+  notify_versions (swaps);
 }
 
 static void
-on_version (void *owner, void *argument)
+on_version_due (void *owner, void *argument)
 {
   LxSwaps *swaps = owner;
 
   (void)argument;
   lx_swaps_publish (swaps);
-  lx_world_schedule (swaps->world, swaps->world->options.version_every, on_version, swaps, NULL,
-                     NULL);
+  lx_world_schedule (swaps->world, swaps->world->options.version_interval, on_version_due, swaps,
+                     NULL, NULL);
 }
 
 void
 lx_swaps_start (LxSwaps *swaps)
 {
-  tell_versions (swaps);
-  on_check (swaps, NULL);
-  if (swaps->world->options.scripted)
+  notify_versions (swaps);
+  on_load_check (swaps, NULL);
+  if (swaps->world->options.is_scripted)
     return;
-  lx_world_schedule (swaps->world, swaps->world->options.version_every, on_version, swaps, NULL,
-                     NULL);
+  lx_world_schedule (swaps->world, swaps->world->options.version_interval, on_version_due, swaps,
+                     NULL, NULL);
 }
--- a/packages/sim/src/lx-text.c
+++ b/packages/sim/src/lx-text.c
@@ -39,7 +39,6 @@
                     source->segments[i].count);
 }
 
-/* Keeps the first so many tokens. */
 void
 lx_text_truncate (LxText *text, int64_t tokens)
 {
@@ -53,7 +52,6 @@
     text->n_segments--;
 }
 
-/* Appends what lx_text_render wrote; false when it is anything else. */
 bool
 lx_text_parse (LxText *text, const char *rendered)
 {
