--- a/packages/sim/src/lx-trace.c
+++ b/packages/sim/src/lx-trace.c
@@ -11,7 +11,7 @@
 #include <string.h>
 
 #define MAX_MS 86400000.0
-#define MAX_FILE ((size_t)16 << 20)
+#define MAX_FILE_BYTES ((size_t)16 << 20)
 
 typedef struct
 {
@@ -98,23 +98,24 @@
   return false;
 }
 
-/* The keys that a kind of line can't do without. */
+/* Checks that the line has the keys that its kind requires. */
 static bool
 check_line (const LxTraceLine *line, const char *where, LbError *error)
 {
-  bool of_call = line->event == LX_EVENT_CALL || line->event == LX_EVENT_SERVICE
-                 || (line->expect >= LX_EXPECT_WHOLE && line->expect <= LX_EXPECT_RUNS);
-  bool of_trainer = line->event == LX_EVENT_STEPS || line->expect == LX_EXPECT_STEP_DONE
-                    || line->expect == LX_EXPECT_STALENESS || line->expect == LX_EXPECT_MIXED;
+  bool needs_call = line->event == LX_EVENT_CALL || line->event == LX_EVENT_SERVICE
+                    || (line->expect >= LX_EXPECT_WHOLE && line->expect <= LX_EXPECT_RUNS);
+  bool needs_trainer = line->event == LX_EVENT_STEPS || line->expect == LX_EXPECT_STEP_DONE
+                       || line->expect == LX_EXPECT_STALENESS || line->expect == LX_EXPECT_MIXED;
 
   if ((line->event == LX_EVENT_NONE) == (line->expect == LX_EXPECT_NONE))
-    return lb_error_set (error, LB_ERROR_MISSING_KEY, where, "expected one of event and expect");
-  if (of_call && !line->call[0])
-    return lb_error_set (error, LB_ERROR_MISSING_KEY, where, "call: expected the call's name");
-  if (of_trainer && !line->trainer[0])
+    return lb_error_set (error, LB_ERROR_MISSING_KEY, where, "expected either event or expect");
+  if (needs_call && !line->call[0])
+    return lb_error_set (error, LB_ERROR_MISSING_KEY, where, "call: expected a name");
+  if (needs_trainer && !line->trainer[0])
     return lb_error_set (error, LB_ERROR_MISSING_KEY, where, "trainer: expected a name");
   if (line->event == LX_EVENT_FAULT && !is_fault (line->fault))
-    return lb_error_set (error, LB_ERROR_BAD_VALUE, where, "fault: '%s' is none", line->fault);
+    return lb_error_set (error, LB_ERROR_BAD_VALUE, where, "fault: unknown fault '%s'",
+                         line->fault);
   if (line->expect == LX_EXPECT_NO_NEW_WORK && !line->endpoint[0])
     return lb_error_set (error, LB_ERROR_MISSING_KEY, where, "endpoint: expected a name");
   if (line->expect == LX_EXPECT_DRAINED && !line->instance[0])
@@ -134,7 +135,7 @@
     return lb_error_set (error, LB_ERROR_BAD_VALUE, where, "format: expected %d", LX_TRACE_FORMAT);
   trace->site = lx_site_find (header.site);
   if (!trace->site)
-    return lb_error_set (error, LB_ERROR_BAD_VALUE, where, "site: '%s' is none", header.site);
+    return lb_error_set (error, LB_ERROR_BAD_VALUE, where, "site: unknown site '%s'", header.site);
   LB_COPY (trace->about, header.about);
   trace->seed = (uint64_t)header.seed;
   trace->trainers = header.trainers;
@@ -203,7 +204,7 @@
     }
   if (trace->site)
     return true;
-  lb_error_set (error, LB_ERROR_MISSING_KEY, file, "expected a header line");
+  lb_error_set (error, LB_ERROR_MISSING_KEY, file, "expected a header line, found none");
 fail:
   lx_trace_clear (trace);
   return false;
@@ -228,9 +229,9 @@
       if (got < 65536)
         break;
     }
-  while (length < MAX_FILE);
-  if (ferror (in) || length >= MAX_FILE)
-    lb_error_set (error, LB_ERROR_IO, path, "not readable, or over %zu bytes", MAX_FILE);
+  while (length < MAX_FILE_BYTES);
+  if (ferror (in) || length >= MAX_FILE_BYTES)
+    lb_error_set (error, LB_ERROR_IO, path, "unreadable, or not under %zu bytes", MAX_FILE_BYTES);
   else
     ok = lx_trace_parse (trace, text, length, path, error);
   free (text);
--- a/packages/sim/src/lx-trainer.c
+++ b/packages/sim/src/lx-trainer.c
@@ -11,41 +11,42 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define PULL_WAIT (5 * LB_SEC)
-#define PULL_PATIENCE (8 * LB_SEC) /* then the pull is repeated */
-#define RETRY_TIME (500 * LB_MSEC)
-#define STUCK_TIME (300 * LB_SEC)
-/* No sample is longer: three times the shortest, ten times that. */
-#define MAX_LENGTH 41
-#define STRAGGLERS 0.05
+#define PULL_WAIT_TIME (5 * LB_SEC)
+#define PULL_TIMEOUT (8 * LB_SEC) /* the trainer then opens the step again and repeats the pull */
+#define RETRY_DELAY (500 * LB_MSEC)
+#define STUCK_TIMEOUT (300 * LB_SEC)
+/* Upper bound of sample length / min_sample_tokens; a straggler reaches 30. */
+#define MAX_LENGTH_FACTOR 41
+#define STRAGGLER_SHARE 0.05
 
-static void ask (LxTrainer *trainer);
+static void send_next_request (LxTrainer *trainer);
 
-/* 0 <= value < 1, the same for the same numbers. */
+/* Maps the numbers to 0 <= value < 1 by a hash. */
 static double
-chance (uint64_t seed, const int64_t *numbers, size_t n)
+hash_to_unit_interval (uint64_t seed, const int64_t *numbers, size_t n)
 {
   return (double)(XXH64 (numbers, n * sizeof (int64_t), seed) >> 11) / 9007199254740992.0;
 }
 
-/* Length of a sample in tokens: one to three times the shortest, and ten times that for one sample
- * in twenty. A share of these stragglers, given by the options, are in groups whose prompt is hard,
- * where every second sample is one. The length belongs to the slot: a hedge or a repeat of it gets
- * the same, so that no policy can gain by drawing again until a short one comes. */
+/* One to three times the shortest length, and ten times that for one sample in twenty. The share
+ * hard_share of these stragglers is in groups with a hard prompt, in which every second sample is
+ * one. The length depends only on the slot: a hedge or a repeat has the same length, so that no
+ * policy gains by repeating a sample until a short one is drawn. */
 int64_t
 lx_sample_length (
     const LxOptions *options, size_t trainer, int64_t step, int64_t group, int64_t index)
 {
-  const int64_t of_group[] = { (int64_t)trainer, step, group };
-  const int64_t of_slot[] = { (int64_t)trainer, step, group, index };
-  double hard_groups = 2 * STRAGGLERS * options->hard_share;
-  double elsewhere = STRAGGLERS * (1 - options->hard_share) / (1 - hard_groups);
-  double spread = 2 * chance (options->seed, of_slot, 4);
-  int64_t length = (int64_t)((1 + spread) * (double)options->shortest);
-  bool hard = chance (options->seed, of_group, 3) < hard_groups;
-  bool straggler = chance (options->seed + 1, of_slot, 4) < (hard ? 0.5 : elsewhere);
+  const int64_t group_key[] = { (int64_t)trainer, step, group };
+  const int64_t slot_key[] = { (int64_t)trainer, step, group, index };
+  double hard_group_share = 2 * STRAGGLER_SHARE * options->hard_share;
+  double share_elsewhere = STRAGGLER_SHARE * (1 - options->hard_share) / (1 - hard_group_share);
+  double spread = 2 * hash_to_unit_interval (options->seed, slot_key, 4);
+  int64_t length = (int64_t)((1 + spread) * (double)options->min_sample_tokens);
+  bool is_hard = hash_to_unit_interval (options->seed, group_key, 3) < hard_group_share;
+  bool is_straggler
+      = hash_to_unit_interval (options->seed + 1, slot_key, 4) < (is_hard ? 0.5 : share_elsewhere);
 
-  return straggler ? 10 * length : length;
+  return is_straggler ? 10 * length : length;
 }
 
 void
@@ -56,26 +57,26 @@
   trainer->index = index;
   trainer->owner = index % world->n_instances;
   snprintf (trainer->name, sizeof trainer->name, "trainer-%zu", index + 1);
-  trainer->got = LB_NEW_ARRAY (uint8_t, (size_t)(world->options.groups * world->options.samples));
+  trainer->received = LB_NEW_ARRAY (uint8_t, (size_t)(world->options.groups_per_step
+                                                      * world->options.samples_per_group));
   trainer->cursor = lb_strdup ("");
 }
 
 void
 lx_trainer_clear (LxTrainer *trainer)
 {
-  free (trainer->got);
+  free (trainer->received);
   free (trainer->cursor);
-  free (trainer->finished);
+  free (trainer->step_finished_at);
 }
 
-/* Copies the reply of a pull, whose pointers live only until the next command. */
 LxChunk *
 lx_chunk_new (const LcRolloutAction *action)
 {
   LxChunk *chunk = LB_NEW (LxChunk);
 
   chunk->trainer = (size_t)(action->pull_id >> 40);
-  chunk->pull = action->pull_id;
+  chunk->pull_id = action->pull_id;
   chunk->error = action->error;
   chunk->retry_after = action->retry_after;
   chunk->cursor = lb_strdup (action->cursor ? action->cursor : "");
@@ -108,47 +109,47 @@
 }
 
 static void
-fill_spec (const LxTrainer *trainer, LcStepSpec *spec)
+fill_step_spec (const LxTrainer *trainer, LcStepSpec *spec)
 {
   const LxOptions *options = &trainer->world->options;
 
   LB_COPY (spec->subscription, trainer->name);
   spec->step = trainer->step;
-  spec->trainer_version = trainer->opened_version;
-  spec->n_groups = (size_t)options->groups;
+  spec->trainer_version = trainer->step_version;
+  spec->n_groups = (size_t)options->groups_per_step;
   spec->groups = LB_NEW_ARRAY (LcGroupSpec, spec->n_groups);
   for (size_t i = 0; i < spec->n_groups; i++)
     {
       snprintf (spec->groups[i].id, LB_NAME_MAX, "g%zu", i);
       spec->groups[i].prompt
           = lb_asprintf ("t%zu/s%" PRId64 "/g%zu", trainer->index, trainer->step, i);
-      spec->groups[i].samples = options->samples;
-      spec->groups[i].max_tokens = MAX_LENGTH * options->shortest;
+      spec->groups[i].samples = options->samples_per_group;
+      spec->groups[i].max_tokens = MAX_LENGTH_FACTOR * options->min_sample_tokens;
     }
 }
 
 static void
-on_ask (void *owner, void *argument)
+on_request_due (void *owner, void *argument)
 {
   (void)argument;
-  ask (owner);
+  send_next_request (owner);
 }
 
 static void
-ask_later (LxTrainer *trainer, LbTime delay)
+schedule_request (LxTrainer *trainer, LbTime delay)
 {
-  lx_world_schedule (trainer->world, delay, on_ask, trainer, NULL, NULL);
+  lx_world_schedule (trainer->world, delay, on_request_due, trainer, NULL, NULL);
 }
 
 static void
-on_open (LxInstance *instance, void *argument)
+on_open_request (LxInstance *instance, void *argument)
 {
   LxTrainer *trainer = argument;
   LcStepSpec spec = { 0 };
 
-  if (trainer->opened || trainer->owner != instance->index)
+  if (trainer->is_step_open || trainer->owner != instance->index)
     return;
-  fill_spec (trainer, &spec);
+  fill_step_spec (trainer, &spec);
   lx_instance_open_step (instance, &spec, trainer->index);
 }
 
@@ -157,11 +158,11 @@
 {
   if (trainer->owner != instance || trainer->step != step)
     return;
-  trainer->opened = true;
+  trainer->is_step_open = true;
 }
 
 static void
-send_open (LxTrainer *trainer)
+request_open (LxTrainer *trainer)
 {
   LxWorld *world = trainer->world;
   const LxInstance *instance = lx_world_choose_instance (world, trainer->owner);
@@ -169,67 +170,69 @@
   if (!instance)
     return;
   trainer->owner = instance->index;
-  lx_instance_post (&world->instances[trainer->owner], world->options.site->to_clients, on_open,
-                    trainer, NULL);
+  lx_instance_post (&world->instances[trainer->owner], world->options.site->client_latency,
+                    on_open_request, trainer, NULL);
 }
 
+/* A pull in transit to an instance, with its own copy of the cursor. */
 typedef struct
 {
   LcPull pull;
   char *cursor;
-} Pulling;
+} PullInTransit;
 
 static void
-drop_pulling (void *argument)
+free_pull (void *argument)
 {
-  Pulling *pulling = argument;
+  PullInTransit *transit = argument;
 
-  free (pulling->cursor);
-  free (pulling);
+  free (transit->cursor);
+  free (transit);
 }
 
 static void
 on_pull (LxInstance *instance, void *argument)
 {
-  Pulling *pulling = argument;
+  PullInTransit *transit = argument;
 
-  pulling->pull.cursor = pulling->cursor;
-  lx_instance_pull (instance, &pulling->pull);
+  transit->pull.cursor = transit->cursor;
+  lx_instance_pull (instance, &transit->pull);
 }
 
 static void
-on_patience (void *owner, void *argument)
+on_pull_timeout (void *owner, void *argument)
 {
   LxTrainer *trainer = owner;
 
-  if (trainer->pull != (uintptr_t)argument)
+  if (trainer->pull_id != (uintptr_t)argument)
     return;
-  trainer->pull = 0;
-  trainer->opened = false;
-  ask (trainer);
+  trainer->pull_id = 0;
+  trainer->is_step_open = false;
+  send_next_request (trainer);
 }
 
-/* Pulls, with the version it trains now and the cursor of the last chunk it has. */
+/* Pulls with the newest version and the cursor of the last received chunk. */
 static void
 send_pull (LxTrainer *trainer)
 {
   LxWorld *world = trainer->world;
-  Pulling *pulling = LB_NEW (Pulling);
+  PullInTransit *transit = LB_NEW (PullInTransit);
   static const uint64_t pull_mask = ((uint64_t)1 << 40) - 1;
 
-  trainer->pull = ((uint64_t)trainer->index << 40) | (++trainer->n_pulls & pull_mask);
-  trainer->pull_version = world->swaps.newest;
-  pulling->cursor = lb_strdup (trainer->cursor);
-  pulling->pull = (LcPull){ .id = trainer->pull,
-                            .step = trainer->step,
-                            .trainer_version = trainer->pull_version,
-                            .max_samples = world->options.groups * world->options.samples,
-                            .wait_until = lx_world_now (world) + PULL_WAIT };
-  LB_COPY (pulling->pull.subscription, trainer->name);
-  lx_instance_post (&world->instances[trainer->owner], world->options.site->to_clients, on_pull,
-                    pulling, drop_pulling);
-  lx_world_schedule (world, PULL_PATIENCE, on_patience, trainer, (void *)(uintptr_t)trainer->pull,
-                     NULL);
+  trainer->pull_id = ((uint64_t)trainer->index << 40) | (++trainer->n_pulls & pull_mask);
+  trainer->pull_version = world->swaps.newest_version;
+  transit->cursor = lb_strdup (trainer->cursor);
+  transit->pull
+      = (LcPull){ .id = trainer->pull_id,
+                  .step = trainer->step,
+                  .trainer_version = trainer->pull_version,
+                  .max_samples = world->options.groups_per_step * world->options.samples_per_group,
+                  .wait_until = lx_world_now (world) + PULL_WAIT_TIME };
+  LB_COPY (transit->pull.subscription, trainer->name);
+  lx_instance_post (&world->instances[trainer->owner], world->options.site->client_latency, on_pull,
+                    transit, free_pull);
+  lx_world_schedule (world, PULL_TIMEOUT, on_pull_timeout, trainer,
+                     (void *)(uintptr_t)trainer->pull_id, NULL);
 }
 
 static void
@@ -240,31 +243,31 @@
   LbTime since = trainer->last_sample_at > trainer->train_until ? trainer->last_sample_at
                                                                 : trainer->train_until;
 
-  if (now - since < STUCK_TIME)
+  if (now - since < STUCK_TIMEOUT)
     return;
   lx_audit_report_violation (&world->audit, LX_VIOLATION_STUCK, now, lx_world_event_number (world),
-                             "%s got no sample of step %" PRId64 " for %lld s", trainer->name,
-                             trainer->step, (long long)((now - since) / LB_SEC));
+                             "%s has received no sample of step %" PRId64 " for %lld s",
+                             trainer->name, trainer->step, (long long)((now - since) / LB_SEC));
   trainer->last_sample_at = now;
 }
 
-/* Does what the trainer needs next: open the step, or pull once its training is over. */
+/* Opens the step, or pulls once the training on the previous step is over. */
 static void
-ask (LxTrainer *trainer)
+send_next_request (LxTrainer *trainer)
 {
   LbTime now = lx_world_now (trainer->world);
 
   check_stuck (trainer);
-  if (trainer->pull != 0)
+  if (trainer->pull_id != 0)
     return;
-  if (!trainer->opened)
+  if (!trainer->is_step_open)
     {
-      send_open (trainer);
-      ask_later (trainer, RETRY_TIME);
+      request_open (trainer);
+      schedule_request (trainer, RETRY_DELAY);
     }
   else if (now < trainer->train_until)
     {
-      ask_later (trainer, trainer->train_until - now);
+      schedule_request (trainer, trainer->train_until - now);
     }
   else
     {
@@ -277,20 +280,20 @@
 {
   const LxOptions *options = &trainer->world->options;
 
-  memset (trainer->got, 0, (size_t)(options->groups * options->samples));
-  trainer->n_got = 0;
-  trainer->opened = false;
-  trainer->opened_version = trainer->world->swaps.newest;
-  trainer->opened_at = lx_world_now (trainer->world);
+  memset (trainer->received, 0, (size_t)(options->groups_per_step * options->samples_per_group));
+  trainer->n_received = 0;
+  trainer->is_step_open = false;
+  trainer->step_version = trainer->world->swaps.newest_version;
+  trainer->step_requested_at = lx_world_now (trainer->world);
   free (trainer->cursor);
   trainer->cursor = lb_strdup ("");
-  ask (trainer);
+  send_next_request (trainer);
 }
 
 void
-lx_trainer_start (LxTrainer *trainer, int64_t wanted)
+lx_trainer_start (LxTrainer *trainer, int64_t max_steps)
 {
-  trainer->wanted = wanted;
+  trainer->max_steps = max_steps;
   trainer->train_until = lx_world_now (trainer->world);
   begin_step (trainer);
 }
@@ -298,7 +301,7 @@
 LbTime
 lx_trainer_step_finished_at (const LxTrainer *trainer, int64_t step)
 {
-  return step < trainer->step ? trainer->finished[step] : 0;
+  return step < trainer->step ? trainer->step_finished_at[step] : 0;
 }
 
 static uint64_t
@@ -307,42 +310,45 @@
   return (uint64_t)trainer->step * trainer->world->options.n_trainers + trainer->index;
 }
 
-/* Idle time that no policy can take away: the step's longest sample, alone on an engine from the
- * moment when the step was opened. */
+/* Lower bound of the idle time for any policy: the step's longest sample runs alone on an engine
+ * from the time when the step was requested. */
 static LbTime
-idle_floor (const LxTrainer *trainer)
+get_idle_floor (const LxTrainer *trainer)
 {
   const LxOptions *options = &trainer->world->options;
   const LxEngineTimes *times = &trainer->world->engines[0]->times;
   int64_t longest = 0;
 
-  for (int64_t i = 0; i < options->groups * options->samples; i++)
+  for (int64_t i = 0; i < options->groups_per_step * options->samples_per_group; i++)
     {
-      int64_t length = lx_sample_length (options, trainer->index, trainer->step,
-                                         i / options->samples, i % options->samples);
+      int64_t length
+          = lx_sample_length (options, trainer->index, trainer->step,
+                              i / options->samples_per_group, i % options->samples_per_group);
       longest = length > longest ? length : longest;
     }
 
-  LbTime needed = (LbTime)((double)longest * times->token * LB_SEC);
-  return needed > options->train_time ? needed - options->train_time : 0;
+  LbTime generation_time = (LbTime)((double)longest * times->token_seconds * LB_SEC);
+  return generation_time > options->train_time ? generation_time - options->train_time : 0;
 }
 
-/* What set the end of the step: the sample whose stream ended last. */
+/* Prints the times of the step and its last sample, the one whose stream ended last. */
 static void
-explain_step (const LxTrainer *trainer)
+print_step_end (const LxTrainer *trainer)
 {
   const LxWorld *world = trainer->world;
-  const LxStreamRecord *truth = &world->audit.streams[trainer->last_stream - 1];
-  const LxJob *job = &world->audit.jobs[truth->job - 1];
-  double opened = (double)trainer->opened_at / LB_SEC;
+  const LxStreamRecord *record = &world->audit.streams[trainer->last_stream - 1];
+  const LxJob *job = &world->audit.jobs[record->job - 1];
+  double requested_s = (double)trainer->step_requested_at / LB_SEC;
 
   fprintf (stderr,
            "%s step %" PRId64
-           ": opened %.1f s, trained until +%.1f, done +%.1f; last sample: %" PRId64
-           " tokens, stream begun +%.1f, ended +%.1f\n",
-           trainer->name, trainer->step, opened, (double)trainer->train_until / LB_SEC - opened,
-           (double)lx_world_now (world) / LB_SEC - opened, job->length,
-           (double)truth->begun / LB_SEC - opened, (double)trainer->last_ended / LB_SEC - opened);
+           ": requested at %.1f s, training until +%.1f, done +%.1f; last sample: %" PRId64
+           " tokens, stream started +%.1f, ended +%.1f\n",
+           trainer->name, trainer->step, requested_s,
+           (double)trainer->train_until / LB_SEC - requested_s,
+           (double)lx_world_now (world) / LB_SEC - requested_s, job->total_tokens,
+           (double)record->started_at / LB_SEC - requested_s,
+           (double)trainer->last_stream_ended_at / LB_SEC - requested_s);
 }
 
 static void
@@ -350,33 +356,34 @@
 {
   LxWorld *world = trainer->world;
   const LxOptions *options = &world->options;
-  int64_t slots = options->groups * options->samples;
+  int64_t slots = options->groups_per_step * options->samples_per_group;
 
-  if (trainer->n_got < slots)
+  if (trainer->n_received < slots)
     lx_audit_report_violation (&world->audit, LX_VIOLATION_LOST, lx_world_now (world),
                                lx_world_event_number (world),
                                "%s step %" PRId64 " done with %" PRId64 " of %" PRId64 " samples",
-                               trainer->name, trainer->step, trainer->n_got, slots);
-  lx_audit_step (&world->audit, step_number (trainer))->done = true;
+                               trainer->name, trainer->step, trainer->n_received, slots);
+  lx_audit_step (&world->audit, step_number (trainer))->is_done = true;
   if (options->explain)
-    explain_step (trainer);
+    print_step_end (trainer);
   if (trainer->step > 0)
     {
       trainer->steps++;
-      trainer->idle += lx_world_now (world) - trainer->train_until;
-      trainer->idle_floor += idle_floor (trainer);
+      trainer->idle_time += lx_world_now (world) - trainer->train_until;
+      trainer->idle_floor += get_idle_floor (trainer);
     }
-  trainer->finished = lb_realloc (trainer->finished, (size_t)(trainer->step + 1) * sizeof (LbTime));
-  trainer->finished[trainer->step] = lx_world_now (world);
+  trainer->step_finished_at
+      = lb_realloc (trainer->step_finished_at, (size_t)(trainer->step + 1) * sizeof (LbTime));
+  trainer->step_finished_at[trainer->step] = lx_world_now (world);
   trainer->step++;
   trainer->train_until = lx_world_now (world) + options->train_time;
-  if (trainer->step == trainer->wanted)
+  if (trainer->step == trainer->max_steps)
     return;
   begin_step (trainer);
 }
 
 static bool
-same_label (const LcLabel *a, const LcLabel *b)
+is_same_label (const LcLabel *a, const LcLabel *b)
 {
   if (a->unlabelled || b->unlabelled || a->n_spans != b->n_spans || a->tokens != b->tokens)
     return false;
@@ -388,30 +395,35 @@
 }
 
 static void
-check_label (LxTrainer *trainer, const LxChunkSample *sample, const LcLabel *truth, int64_t length)
+check_sample (LxTrainer *trainer,
+              const LxChunkSample *sample,
+              const LcLabel *expected_label,
+              int64_t length)
 {
   LxWorld *world = trainer->world;
   int64_t staleness = 0;
 
-  for (size_t i = 0; i < truth->n_spans; i++)
-    if (trainer->pull_version - truth->spans[i].version > staleness)
-      staleness = trainer->pull_version - truth->spans[i].version;
-  if (truth->tokens != length)
+  for (size_t i = 0; i < expected_label->n_spans; i++)
+    if (trainer->pull_version - expected_label->spans[i].version > staleness)
+      staleness = trainer->pull_version - expected_label->spans[i].version;
+  if (expected_label->tokens != length)
     lx_audit_report_violation (&world->audit, LX_VIOLATION_NOT_WHOLE, lx_world_now (world),
                                lx_world_event_number (world),
                                "%s %s/%" PRId64 " has %" PRId64 " of %" PRId64 " tokens",
-                               trainer->name, sample->group, sample->index, truth->tokens, length);
-  if (!same_label (truth, &sample->label))
+                               trainer->name, sample->group, sample->index, expected_label->tokens,
+                               length);
+  if (!is_same_label (expected_label, &sample->label))
     lx_audit_report_violation (&world->audit, LX_VIOLATION_MISLABELLED, lx_world_now (world),
                                lx_world_event_number (world), "%s %s/%" PRId64 ": %s",
                                trainer->name, sample->group, sample->index, sample->text);
   if (staleness > world->options.site->max_lag)
     lx_audit_report_violation (&world->audit, LX_VIOLATION_STALE, lx_world_now (world),
-                               lx_world_event_number (world), "%s %s/%" PRId64 " lags %" PRId64,
-                               trainer->name, sample->group, sample->index, staleness);
-  trainer->mixed += truth->n_spans > 1;
-  if (staleness > trainer->oldest)
-    trainer->oldest = staleness;
+                               lx_world_event_number (world),
+                               "%s %s/%" PRId64 " is %" PRId64 " versions old", trainer->name,
+                               sample->group, sample->index, staleness);
+  trainer->mixed_samples += expected_label->n_spans > 1;
+  if (staleness > trainer->staleness_max_all_steps)
+    trainer->staleness_max_all_steps = staleness;
   if (trainer->step == 0)
     return;
   trainer->samples++;
@@ -421,75 +433,76 @@
 }
 
 static void
-note_last_stream (LxTrainer *trainer, const LxText *text)
+update_last_stream (LxTrainer *trainer, const LxText *text)
 {
   if (text->n_segments == 0)
     return;
   uint64_t stream = text->segments[text->n_segments - 1].stream;
-  LbTime ended = trainer->world->audit.streams[stream - 1].ended;
-  if (ended <= trainer->last_ended)
+  LbTime ended_at = trainer->world->audit.streams[stream - 1].last_token_at;
+  if (ended_at <= trainer->last_stream_ended_at)
     return;
   trainer->last_stream = stream;
-  trainer->last_ended = ended;
+  trainer->last_stream_ended_at = ended_at;
 }
 
 static void
-take_sample (LxTrainer *trainer, const LxChunkSample *sample)
+receive_sample (LxTrainer *trainer, const LxChunkSample *sample)
 {
   LxWorld *world = trainer->world;
   int64_t group = strtoll (sample->group + 1, NULL, 10);
-  size_t slot = (size_t)(group * world->options.samples + sample->index);
+  size_t slot = (size_t)(group * world->options.samples_per_group + sample->index);
   LxText text = { 0 };
-  LcLabel truth;
+  LcLabel expected_label;
 
-  if (trainer->got[slot])
+  if (trainer->received[slot])
     {
       lx_audit_report_violation (&world->audit, LX_VIOLATION_DOUBLED, lx_world_now (world),
                                  lx_world_event_number (world), "%s step %" PRId64 " %s/%" PRId64,
                                  trainer->name, trainer->step, sample->group, sample->index);
       return;
     }
-  trainer->got[slot] = 1;
-  trainer->n_got++;
+  trainer->received[slot] = 1;
+  trainer->n_received++;
   trainer->last_sample_at = lx_world_now (world);
   if (!lx_text_parse (&text, sample->text) || !lx_text_is_contiguous (&text, 0))
     lx_audit_report_violation (&world->audit, LX_VIOLATION_NOT_WHOLE, lx_world_now (world),
                                lx_world_event_number (world), "%s %s/%" PRId64 ": %s",
                                trainer->name, sample->group, sample->index, sample->text);
-  note_last_stream (trainer, &text);
-  lx_audit_compute_label (&world->audit, &text, &truth);
-  check_label (trainer, sample, &truth,
-               lx_sample_length (&world->options, trainer->index, trainer->step, group,
-                                 sample->index));
-  lx_audit_step (&world->audit, step_number (trainer))->delivered += truth.tokens;
+  update_last_stream (trainer, &text);
+  lx_audit_compute_label (&world->audit, &text, &expected_label);
+  check_sample (trainer, sample, &expected_label,
+                lx_sample_length (&world->options, trainer->index, trainer->step, group,
+                                  sample->index));
+  lx_audit_step (&world->audit, step_number (trainer))->delivered += expected_label.tokens;
   lx_text_clear (&text);
 }
 
-/* A reply to its pull; any other, such as one that was given up on, is not looked at. */
+/* Ignores replies to any pull but the current one, such as one that has timed out. */
 void
 lx_trainer_receive_chunk (LxTrainer *trainer, LxChunk *chunk)
 {
-  if (chunk->pull != trainer->pull)
+  if (chunk->pull_id != trainer->pull_id)
     goto out;
-  trainer->pull = 0;
+  trainer->pull_id = 0;
   if (chunk->error.code != LB_OK)
     {
       lx_world_record_decision (trainer->world, "%s: pull refused: %s", trainer->name,
                                 lb_error_name (chunk->error.code));
       if (chunk->error.code == LB_ERROR_UNKNOWN_STEP || chunk->error.code == LB_ERROR_STALE_SESSION
           || chunk->error.code == LB_ERROR_DRAINING)
-        trainer->opened = false;
-      ask_later (trainer, chunk->retry_after > RETRY_TIME ? chunk->retry_after : RETRY_TIME);
+        trainer->is_step_open = false;
+      schedule_request (trainer,
+                        chunk->retry_after > RETRY_DELAY ? chunk->retry_after : RETRY_DELAY);
       goto out;
     }
   for (size_t i = 0; i < chunk->n_samples; i++)
-    take_sample (trainer, &chunk->samples[i]);
+    receive_sample (trainer, &chunk->samples[i]);
   free (trainer->cursor);
   trainer->cursor = lb_strdup (chunk->cursor);
   if (chunk->remaining == 0)
     finish_step (trainer);
   else
-    ask (trainer);
+    send_next_request (trainer);
 out:
   lx_chunk_free (chunk);
 }
@@ -497,18 +510,18 @@
 void
 lx_trainer_abort_pull (LxTrainer *trainer)
 {
-  if (trainer->pull == 0)
+  if (trainer->pull_id == 0)
     return;
-  trainer->pull = 0;
-  trainer->opened = false;
-  ask_later (trainer, RETRY_TIME);
+  trainer->pull_id = 0;
+  trainer->is_step_open = false;
+  schedule_request (trainer, RETRY_DELAY);
 }
 
 void
 lx_trainer_change_owner (LxTrainer *trainer, size_t owner)
 {
   trainer->owner = owner;
-  trainer->opened = false;
-  trainer->pull = 0;
-  ask (trainer);
+  trainer->is_step_open = false;
+  trainer->pull_id = 0;
+  send_next_request (trainer);
 }
--- a/packages/sim/src/lx-world.c
+++ b/packages/sim/src/lx-world.c
@@ -8,13 +8,14 @@
 #include <string.h>
 
 /* A 7B model on one accelerator: a token every 12 ms alone, every 16 ms in a batch of 32. */
-static const LxEngineTimes engine_times = { .token = 0.012,
-                                            .token_per_other = 0.000125,
-                                            .prefill = 0.0001,
-                                            .cached_blocks = 192,
-                                            .load = 4 * LB_SEC,
-                                            .pause = 500 * LB_MSEC };
-static const LxEngineTimes service_times = { .token = 0.020, .token_per_other = 0.001 };
+static const LxEngineTimes engine_times = { .token_seconds = 0.012,
+                                            .token_seconds_per_other = 0.000125,
+                                            .prefill_token_seconds = 0.0001,
+                                            .max_cached_blocks = 192,
+                                            .load_time = 4 * LB_SEC,
+                                            .pause_time = 500 * LB_MSEC };
+static const LxEngineTimes service_times
+    = { .token_seconds = 0.020, .token_seconds_per_other = 0.001 };
 
 #define SERVICE_CONCURRENCY 64
 
@@ -33,7 +34,8 @@
 LbTime
 lx_world_latency (const LxWorld *world, size_t data_centre, size_t other)
 {
-  return data_centre == other ? world->options.site->inside : world->options.site->between;
+  return data_centre == other ? world->options.site->latency_inside
+                              : world->options.site->latency_between;
 }
 
 void
@@ -47,25 +49,25 @@
   lx_queue_add (world->queue, lx_world_now (world) + delay, handler, owner, argument, drop);
 }
 
-/* Remembers a decision for the report of a failing run. */
 void
 lx_world_record_decision (LxWorld *world, const char *format, ...)
 {
-  char *note = world->history[world->n_history++ % LX_HISTORY_LENGTH];
-  int length
-      = snprintf (note, sizeof world->history[0], "%.6f ", (double)lx_world_now (world) / LB_SEC);
+  char *line = world->recent_decisions[world->n_recorded_decisions++ % LX_HISTORY_LENGTH];
+  int length = snprintf (line, sizeof world->recent_decisions[0], "%.6f ",
+                         (double)lx_world_now (world) / LB_SEC);
   va_list arguments;
 
   va_start (arguments, format);
-  vsnprintf (note + length, sizeof world->history[0] - (size_t)length, format, arguments);
+  vsnprintf (line + length, sizeof world->recent_decisions[0] - (size_t)length, format, arguments);
   va_end (arguments);
 }
 
 void
-lx_world_record_fault (LxWorld *world, const char *what, const char *where)
+lx_world_record_fault (LxWorld *world, const char *fault, const char *target)
 {
-  snprintf (world->strikes[world->n_strikes++ % LX_HISTORY_LENGTH], sizeof world->strikes[0],
-            "%.6f %s %s", (double)lx_world_now (world) / LB_SEC, what, where);
+  snprintf (world->recent_faults[world->n_recorded_faults++ % LX_HISTORY_LENGTH],
+            sizeof world->recent_faults[0], "%.6f %s %s", (double)lx_world_now (world) / LB_SEC,
+            fault, target);
 }
 
 LxEngine *
@@ -86,7 +88,6 @@
   return NULL;
 }
 
-/* An instance that serves callers, the preferred one if it does; NULL when none does. */
 LxInstance *
 lx_world_choose_instance (LxWorld *world, size_t preferred)
 {
@@ -111,7 +112,7 @@
 }
 
 static void
-on_ended (void *user, LxEngine *engine, const LxStream *stream, LcAttemptEnd end)
+on_end (void *user, LxEngine *engine, const LxStream *stream, LcAttemptEnd end)
 {
   LxWorld *world = user;
 
@@ -119,7 +120,7 @@
 }
 
 static void
-on_went_silent (void *user, LxEngine *engine, const LxStream *stream)
+on_silenced (void *user, LxEngine *engine, const LxStream *stream)
 {
   LxWorld *world = user;
 
@@ -128,13 +129,13 @@
 }
 
 static void
-on_made (void *user, LxEngine *engine, const LxStream *stream, int64_t tokens)
+on_generated (void *user, LxEngine *engine, const LxStream *stream, int64_t tokens)
 {
   LxWorld *world = user;
   uint64_t step = lx_audit_job (&world->audit, stream->spec.job)->step;
 
   if (!engine->is_service)
-    lx_audit_add_tokens (&world->audit, stream->spec.id, stream->offset - tokens, tokens,
+    lx_audit_add_tokens (&world->audit, stream->spec.id, stream->next_token - tokens, tokens,
                          engine->version, lx_world_now (world));
   if (stream->spec.kind == LC_KIND_SAMPLE)
     lx_audit_step (&world->audit, step)->generated += tokens;
@@ -151,14 +152,14 @@
   LxEngine *engine
       = lx_engine_new (name, world->queue, is_service ? &service_times : &engine_times);
   snprintf (engine->address, LB_NAME_MAX, "127.0.0.1:%zu", 10000 + index);
-  LB_COPY (engine->group, is_service ? site->service : site->pool);
+  LB_COPY (engine->pool, is_service ? site->service : site->pool);
   engine->data_centre = number % site->n_data_centres;
   engine->is_service = is_service;
   engine->concurrency = is_service ? SERVICE_CONCURRENCY : world->options.concurrency;
-  engine->listener = (LxEngineListener){ .piece = on_piece,
-                                         .ended = on_ended,
-                                         .made = on_made,
-                                         .went_silent = on_went_silent,
+  engine->listener = (LxEngineListener){ .on_piece = on_piece,
+                                         .on_end = on_end,
+                                         .on_generated = on_generated,
+                                         .on_silenced = on_silenced,
                                          .user = world };
   world->engines[index] = engine;
 }
@@ -179,7 +180,7 @@
 fill_member (const LxWorld *world, const LxEngine *engine, LcEndpointMember *member)
 {
   LB_COPY (member->name, engine->name);
-  LB_COPY (member->pool, engine->group);
+  LB_COPY (member->pool, engine->pool);
   LB_COPY (member->address, engine->address);
   LB_COPY (member->data_centre, world->options.site->data_centres[engine->data_centre]);
   member->kind = engine->is_service ? LC_ENDPOINT_SERVICE : LC_ENDPOINT_ENGINE;
@@ -203,7 +204,7 @@
   subscription->hedge_budget = options->hedge_budget;
 }
 
-/* The accepted configuration of the site. */
+/* Returns the initial configuration of the site. */
 static LcResourceSet *
 make_resources (const LxWorld *world)
 {
@@ -289,12 +290,12 @@
 lx_world_start (LxWorld *world)
 {
   for (size_t i = 0; i < world->n_endpoints; i++)
-    lx_engine_start (world->engines[i], world->swaps.newest);
+    lx_engine_start (world->engines[i], world->swaps.newest_version);
   for (size_t i = 0; i < world->n_instances; i++)
     lx_instance_start (&world->instances[i]);
   lx_registry_start (&world->registry);
   lx_swaps_start (&world->swaps);
-  if (world->options.scripted)
+  if (world->options.is_scripted)
     return;
   lx_callers_start (&world->callers);
   lx_faults_start (&world->faults);
@@ -302,7 +303,6 @@
     lx_trainer_start (&world->trainers[i], 0);
 }
 
-/* Runs to the end of the options' duration or number of events. */
 void
 lx_world_run (LxWorld *world)
 {
@@ -312,6 +312,6 @@
   lx_world_start (world);
   while ((max == 0 || lx_world_event_number (world) < max)
          && lx_queue_run_next (world->queue, until))
-    if (world->options.stop_at_breach && world->audit.first_violation[0])
+    if (world->options.stop_at_violation && world->audit.first_violation[0])
       return;
 }
--- a/packages/sim/tests/test-ledger.c
+++ b/packages/sim/tests/test-ledger.c
@@ -4,14 +4,14 @@
 #include <criterion/criterion.h>
 #include <string.h>
 
-Test (ledger, label_follows_what_the_streams_really_made)
+Test (audit, label_is_computed_from_generated_versions)
 {
   LxAudit audit;
   LxText text = { 0 };
   LcLabel label;
 
   lx_audit_init (&audit);
-  uint64_t job = lx_audit_add_job (&audit, &(LxJob){ .length = 100 });
+  uint64_t job = lx_audit_add_job (&audit, &(LxJob){ .total_tokens = 100 });
   uint64_t first = lx_audit_add_stream (&audit, job, LB_SEC);
   uint64_t second = lx_audit_add_stream (&audit, job, LB_SEC);
   lx_audit_add_tokens (&audit, first, 0, 30, 4, LB_SEC);
@@ -30,7 +30,7 @@
   lx_audit_clear (&audit);
 }
 
-Test (ledger, the_first_breach_is_kept_in_words_and_all_are_counted)
+Test (audit, keeps_description_of_first_violation_and_counts_all)
 {
   LxAudit audit;
 
@@ -44,7 +44,7 @@
 }
 
 static void
-expect_fault (const char *text, LbErrorCode code, const char *where)
+expect_parse_error (const char *text, LbErrorCode code, const char *where)
 {
   LxTrace trace;
   LbError error = { 0 };
@@ -56,18 +56,20 @@
 
 #define HEADER "{ \"format\": 1, \"site\": \"hoa-sen\" }\n"
 
-Test (trace, faults_are_named_with_their_line)
+Test (trace, parse_errors_name_the_line)
 {
-  expect_fault ("", LB_ERROR_MISSING_KEY, "t.jsonl");
-  expect_fault ("{ \"format\": 2, \"site\": \"hoa-sen\" }\n", LB_ERROR_BAD_VALUE, "t.jsonl:1");
-  expect_fault ("{ \"format\": 1, \"site\": \"nowhere\" }\n", LB_ERROR_BAD_VALUE, "t.jsonl:1");
-  expect_fault (HEADER "{ \"event\": \"version\", ", LB_ERROR_BAD_JSON, "t.jsonl:2");
-  expect_fault (HEADER "{ \"event\": \"version\", \"att_ms\": 3 }", LB_ERROR_UNKNOWN_KEY,
-                "t.jsonl:2");
-  expect_fault (HEADER "\n{ \"event\": \"call\" }", LB_ERROR_MISSING_KEY, "t.jsonl:3");
-  expect_fault (HEADER "{ \"event\": \"fault\", \"fault\": \"flood\" }", LB_ERROR_BAD_VALUE,
-                "t.jsonl:2");
-  expect_fault (HEADER "{ \"at_ms\": 5 }", LB_ERROR_MISSING_KEY, "t.jsonl:2");
+  expect_parse_error ("", LB_ERROR_MISSING_KEY, "t.jsonl");
+  expect_parse_error ("{ \"format\": 2, \"site\": \"hoa-sen\" }\n", LB_ERROR_BAD_VALUE,
+                      "t.jsonl:1");
+  expect_parse_error ("{ \"format\": 1, \"site\": \"nowhere\" }\n", LB_ERROR_BAD_VALUE,
+                      "t.jsonl:1");
+  expect_parse_error (HEADER "{ \"event\": \"version\", ", LB_ERROR_BAD_JSON, "t.jsonl:2");
+  expect_parse_error (HEADER "{ \"event\": \"version\", \"att_ms\": 3 }", LB_ERROR_UNKNOWN_KEY,
+                      "t.jsonl:2");
+  expect_parse_error (HEADER "\n{ \"event\": \"call\" }", LB_ERROR_MISSING_KEY, "t.jsonl:3");
+  expect_parse_error (HEADER "{ \"event\": \"fault\", \"fault\": \"flood\" }", LB_ERROR_BAD_VALUE,
+                      "t.jsonl:2");
+  expect_parse_error (HEADER "{ \"at_ms\": 5 }", LB_ERROR_MISSING_KEY, "t.jsonl:2");
 }
 
 Test (trace, reads_events_and_expectations)
--- a/packages/sim/tests/test-queue.c
+++ b/packages/sim/tests/test-queue.c
@@ -7,38 +7,38 @@
 typedef struct
 {
   int order[4];
-  size_t n;
-} Seen;
+  size_t n_calls;
+} CallLog;
 
 static void
-see (void *owner, void *argument)
+log_call (void *owner, void *argument)
 {
-  Seen *seen = owner;
+  CallLog *log = owner;
 
-  seen->order[seen->n++] = (int)(intptr_t)argument;
+  log->order[log->n_calls++] = (int)(intptr_t)argument;
 }
 
-Test (queue, runs_by_time_then_by_order_of_adding)
+Test (queue, events_run_by_time_then_by_insertion_order)
 {
   LxQueue *queue = lx_queue_new ();
-  Seen seen = { 0 };
+  CallLog log = { 0 };
 
-  lx_queue_add (queue, 30 * LB_SEC, see, &seen, (void *)3, NULL);
-  lx_queue_add (queue, 10 * LB_SEC, see, &seen, (void *)1, NULL);
-  lx_queue_add (queue, 10 * LB_SEC, see, &seen, (void *)2, NULL);
+  lx_queue_add (queue, 30 * LB_SEC, log_call, &log, (void *)3, NULL);
+  lx_queue_add (queue, 10 * LB_SEC, log_call, &log, (void *)1, NULL);
+  lx_queue_add (queue, 10 * LB_SEC, log_call, &log, (void *)2, NULL);
   while (lx_queue_run_next (queue, 20 * LB_SEC))
     continue;
-  cr_assert_eq (seen.n, 2);
-  cr_assert_eq (seen.order[0], 1);
-  cr_assert_eq (seen.order[1], 2);
+  cr_assert_eq (log.n_calls, 2);
+  cr_assert_eq (log.order[0], 1);
+  cr_assert_eq (log.order[1], 2);
   cr_assert_eq (lx_queue_now (queue), 10 * LB_SEC);
   lx_queue_free (queue);
 }
 
-Test (text, cut_and_rendered_text_is_read_back)
+Test (text, truncated_text_survives_rendering_and_parsing)
 {
   LxText text = { 0 };
-  LxText back = { 0 };
+  LxText parsed = { 0 };
 
   lx_text_append (&text, 7, 0, 32);
   lx_text_append (&text, 7, 32, 8);
@@ -46,11 +46,11 @@
   lx_text_truncate (&text, 45);
   char *rendered = lx_text_render (&text);
   cr_assert_str_eq (rendered, "7:0:40;9:40:5;");
-  cr_assert (lx_text_parse (&back, rendered));
-  cr_assert_eq (lx_text_count_tokens (&back), 45);
-  cr_assert (lx_text_is_contiguous (&back, 0));
-  cr_assert_not (lx_text_is_contiguous (&back, 1));
+  cr_assert (lx_text_parse (&parsed, rendered));
+  cr_assert_eq (lx_text_count_tokens (&parsed), 45);
+  cr_assert (lx_text_is_contiguous (&parsed, 0));
+  cr_assert_not (lx_text_is_contiguous (&parsed, 1));
   free (rendered);
   lx_text_clear (&text);
-  lx_text_clear (&back);
+  lx_text_clear (&parsed);
 }
--- a/packages/sim/tests/test-replay.c
+++ b/packages/sim/tests/test-replay.c
@@ -7,33 +7,33 @@
 #define HEADER "{ \"format\": 1, \"site\": \"hoa-sen\", \"trainers\": 0 }\n"
 
 static bool
-replay (const char *text, char **said)
+replay (const char *text, char **output)
 {
   LxTrace trace;
   LbError error = { 0 };
   size_t size = 0;
-  FILE *out = open_memstream (said, &size);
+  FILE *out = open_memstream (output, &size);
 
   cr_assert (lx_trace_parse (&trace, text, strlen (text), "t", &error), "%s %s", error.where,
              error.detail);
-  bool held = lx_replay_run (&trace, "t", out);
+  bool passed = lx_replay_run (&trace, "t", out);
   fclose (out);
   lx_trace_clear (&trace);
-  return held;
+  return passed;
 }
 
 static void
-expect_failure (const char *text, const char *words)
+expect_failure (const char *text, const char *expected)
 {
-  char *said;
+  char *output;
 
-  cr_expect_not (replay (text, &said), "%s", text);
-  cr_expect (strstr (said, words) != NULL, "%s: %s", text, said);
-  free (said);
+  cr_expect_not (replay (text, &output), "%s", text);
+  cr_expect (strstr (output, expected) != NULL, "%s: %s", text, output);
+  free (output);
 }
 
-/* Each kind of expectation can fail. */
-Test (replay, an_expectation_that_does_not_hold_is_named_with_its_line)
+/* A check that can never fail would make traces pass without testing anything. */
+Test (replay, failed_expectation_is_reported_with_its_line)
 {
   const char *call = HEADER "{ \"at_ms\": 2000, \"event\": \"call\", \"call\": \"a\" }\n";
   char text[1024];
@@ -44,26 +44,26 @@
   expect_failure (text, "t:3: unknown: ok");
   snprintf (text, sizeof text, "%s{ \"expect\": \"whole\", \"call\": \"a\", \"by_ms\": 2100 }",
             call);
-  expect_failure (text, "late");
+  expect_failure (text, "answer arrived later");
   snprintf (text, sizeof text, "%s{ \"expect\": \"runs\", \"call\": \"a\", \"count\": 0 }", call);
-  expect_failure (text, "more often");
+  expect_failure (text, "more often than count");
   expect_failure (HEADER "{ \"expect\": \"in-force\", \"revision\": 2, \"by_ms\": 9000 }",
-                  "older one");
+                  "older revision");
   expect_failure (HEADER "{ \"expect\": \"drained\", \"instance\": \"i1\", \"by_ms\": 9000 }",
-                  "did not end");
+                  "did not complete its drain by by_ms");
   expect_failure ("{ \"format\": 1, \"site\": \"hoa-sen\" }\n"
                   "{ \"expect\": \"step-done\", \"trainer\": \"trainer-1\", \"by_ms\": 9000 }",
-                  "missing");
+                  "samples of the step are missing");
 }
 
-Test (replay, what_holds_passes)
+Test (replay, met_expectations_pass)
 {
-  char *said;
+  char *output;
 
   cr_expect (replay (HEADER "{ \"at_ms\": 2000, \"event\": \"call\", \"call\": \"a\" }\n"
                             "{ \"expect\": \"whole\", \"call\": \"a\", \"by_ms\": 6000 }\n"
                             "{ \"expect\": \"runs\", \"call\": \"a\", \"count\": 1 }\n",
-                     &said),
-             "%s", said);
-  free (said);
+                     &output),
+             "%s", output);
+  free (output);
 }
