--- a/packages/cli/src/lt-apply.c
+++ b/packages/cli/src/lt-apply.c
@@ -1,4 +1,4 @@
-#include "lt-operator.h"
+#include "lt-operator-commands.h"
 
 #include "lc-change.h"
 #include "lt-command.h"
@@ -49,7 +49,7 @@
       code = LT_EXIT_USAGE;
       goto out;
     }
-  const LtChange sent
+  const LtChangeRequest sent
       = { .client = client,
           .change = change,
           .revision = options->revision->count > 0 ? options->revision->ival[0] : set->revision,
@@ -57,7 +57,7 @@
           .dry_run = options->dry_run->count > 0,
           .json = lt_arguments_wants_json (&options->common),
           .wait = options->wait->count > 0 ? options->wait->ival[0] * LB_SEC : 0 };
-  code = lt_resources_send (&sent);
+  code = lt_change_request_send (&sent);
 out:
   lc_resource_set_free (next);
   lc_resource_set_free (set);
@@ -68,7 +68,7 @@
 static int
 connect_and_send (const Options *options, struct json_object *change, const char *source)
 {
-  LtClient *client = lt_arguments_client (&options->common);
+  LtClient *client = lt_arguments_new_client (&options->common);
   int code = send_change (options, client, change, source);
 
   lt_client_free (client);
@@ -96,7 +96,7 @@
 {
   int code;
   Options options;
-  void *table[5 + LT_N_ARGUMENTS];
+  void *table[5 + LT_N_COMMON_ARGUMENTS];
 
   init_options (&options);
   options.files = arg_filen ("f", "file", "FILE", 1, 16, "resources, JSON with comments");
@@ -106,10 +106,10 @@
   table[3] = options.revision;
   table[4] = options.wait;
   lt_arguments_init (&options.common, table + 5);
-  if (lt_arguments_parse (&options.common, table, 5 + LT_N_ARGUMENTS, argc, argv,
+  if (lt_arguments_parse (&options.common, table, 5 + LT_N_COMMON_ARGUMENTS, argc, argv,
                           "Adds resources, or replaces those of the same kind and name.", &code))
     code = apply_files (&options);
-  arg_freetable (table, 5 + LT_N_ARGUMENTS);
+  arg_freetable (table, 5 + LT_N_COMMON_ARGUMENTS);
   return code;
 }
 
@@ -132,7 +132,7 @@
 {
   int code;
   Options options;
-  void *table[6 + LT_N_ARGUMENTS];
+  void *table[6 + LT_N_COMMON_ARGUMENTS];
 
   init_options (&options);
   options.kind = arg_str1 (NULL, NULL, "KIND", "pool, subscription, version_bound or endpoint");
@@ -144,9 +144,9 @@
   table[4] = options.revision;
   table[5] = options.wait;
   lt_arguments_init (&options.common, table + 6);
-  if (lt_arguments_parse (&options.common, table, 6 + LT_N_ARGUMENTS, argc, argv,
+  if (lt_arguments_parse (&options.common, table, 6 + LT_N_COMMON_ARGUMENTS, argc, argv,
                           "Deletes one resource.", &code))
     code = delete_one (&options);
-  arg_freetable (table, 6 + LT_N_ARGUMENTS);
+  arg_freetable (table, 6 + LT_N_COMMON_ARGUMENTS);
   return code;
 }
--- a/packages/cli/src/lt-arguments.c
+++ b/packages/cli/src/lt-arguments.c
@@ -89,7 +89,7 @@
 }
 
 LtClient *
-lt_arguments_client (const LtArguments *arguments)
+lt_arguments_new_client (const LtArguments *arguments)
 {
   return lt_client_new (value_of (arguments->address, ADDRESS_VARIABLE, DEFAULT_ADDRESS),
                         value_of (arguments->token, TOKEN_VARIABLE, ""));
--- a/packages/cli/src/lt-arguments.h
+++ b/packages/cli/src/lt-arguments.h
@@ -15,9 +15,10 @@
   struct arg_end *end;
 } LtArguments;
 
-#define LT_N_ARGUMENTS 5
+#define LT_N_COMMON_ARGUMENTS 5
 
-/* Makes the common options and writes them (LT_N_ARGUMENTS of them, the last is the end) to table.
+/* Makes the common options and writes them (LT_N_COMMON_ARGUMENTS of them, the last is the end) to
+ * table.
  */
 void lt_arguments_init (LtArguments *arguments, void **table);
 
@@ -35,7 +36,7 @@
                          int *exit_code);
 
 bool lt_arguments_wants_json (const LtArguments *arguments);
-LtClient *lt_arguments_client (const LtArguments *arguments);
+LtClient *lt_arguments_new_client (const LtArguments *arguments);
 
 /* One line on standard error; the exit code of a refusal or failed call. */
 int lt_print_error (const LbError *error);
--- a/packages/cli/src/lt-bench.c
+++ b/packages/cli/src/lt-bench.c
@@ -1,4 +1,4 @@
-#include "lt-proof.h"
+#include "lt-local-commands.h"
 
 #include "lt-arguments.h"
 
--- a/packages/cli/src/lt-command.c
+++ b/packages/cli/src/lt-command.c
@@ -1,7 +1,7 @@
 #include "lt-command.h"
 
-#include "lt-operator.h"
-#include "lt-proof.h"
+#include "lt-operator-commands.h"
+#include "lt-local-commands.h"
 
 #include <stdio.h>
 #include <string.h>
--- a/packages/cli/src/lt-explain.c
+++ b/packages/cli/src/lt-explain.c
@@ -1,8 +1,8 @@
-#include "lt-proof.h"
+#include "lt-local-commands.h"
 
 #include "lt-arguments.h"
 #include "lt-command.h"
-#include "lt-story.h"
+#include "lt-timeline.h"
 
 #include <argtable2.h>
 #include <stdio.h>
@@ -10,24 +10,24 @@
 static int
 explain (const char *id, const struct arg_file *files)
 {
-  LtStory *story = lt_story_new (id);
+  LtTimeline *story = lt_timeline_new (id);
   LbError error = { 0 };
   int code = LT_EXIT_USAGE;
 
   for (int i = 0; i < files->count; i++)
-    if (!lt_story_read (story, files->filename[i], &error))
+    if (!lt_timeline_read_log (story, files->filename[i], &error))
       {
         fprintf (stderr, "lentilspindle explain: %s: %s\n", error.where, error.detail);
         goto out;
       }
   code = LT_EXIT_OK;
-  if (!lt_story_print (story, stdout))
+  if (!lt_timeline_print (story, stdout))
     {
       fprintf (stderr, "lentilspindle explain: no line names %s\n", id);
       code = LT_EXIT_FAILED;
     }
 out:
-  lt_story_free (story);
+  lt_timeline_free (story);
   return code;
 }
 
--- a/packages/cli/src/lt-get.c
+++ b/packages/cli/src/lt-get.c
@@ -1,4 +1,4 @@
-#include "lt-operator.h"
+#include "lt-operator-commands.h"
 
 #include "lc-change.h"
 #include "lt-command.h"
@@ -22,7 +22,7 @@
 static void
 print_resource (struct json_object *resource)
 {
-  printf ("%-14s %-24s", lt_text (resource, "kind"), lt_text (resource, "name"));
+  printf ("%-14s %-24s", lt_json_text (resource, "kind"), lt_json_text (resource, "name"));
   json_object_object_foreach (resource, key, value)
   {
     if (strcmp (key, "kind") == 0 || strcmp (key, "name") == 0)
@@ -40,7 +40,7 @@
 {
   struct json_object *list = json_object_object_get (body, "resources");
 
-  printf ("revision %lld\n", (long long)lt_integer (body, "revision"));
+  printf ("revision %lld\n", (long long)lt_json_integer (body, "revision"));
   for (size_t i = 0; i < json_object_array_length (list); i++)
     print_resource (json_object_array_get_idx (list, i));
 }
@@ -53,7 +53,7 @@
   LbError error = { .code = LB_OK };
   int code = LT_EXIT_OK;
   const LtCall call = { .method = "GET", .path = path, .silence = CALL_SILENCE };
-  LtClient *client = lt_arguments_client (&options->common);
+  LtClient *client = lt_arguments_new_client (&options->common);
 
   snprintf (path, sizeof path, "/v1/resources%s%s%s%s", options->kind->count > 0 ? "/" : "",
             options->kind->count > 0 ? options->kind->sval[0] : "",
@@ -75,16 +75,16 @@
 {
   int code;
   Options options;
-  void *table[2 + LT_N_ARGUMENTS];
+  void *table[2 + LT_N_COMMON_ARGUMENTS];
 
   table[0] = options.kind
       = arg_str0 (NULL, NULL, "KIND", "pool, subscription, version_bound or endpoint");
   table[1] = options.name = arg_str0 (NULL, NULL, "NAME", "of the resource");
   lt_arguments_init (&options.common, table + 2);
-  if (lt_arguments_parse (&options.common, table, 2 + LT_N_ARGUMENTS, argc, argv,
+  if (lt_arguments_parse (&options.common, table, 2 + LT_N_COMMON_ARGUMENTS, argc, argv,
                           "Prints the accepted resources.", &code))
     code = get (&options);
-  arg_freetable (table, 2 + LT_N_ARGUMENTS);
+  arg_freetable (table, 2 + LT_N_COMMON_ARGUMENTS);
   return code;
 }
 
@@ -94,8 +94,8 @@
   for (size_t i = 0; i < json_object_array_length (list); i++)
     {
       struct json_object *resource = json_object_array_get_idx (list, i);
-      if (strcmp (lt_text (resource, "kind"), lt_text (wanted, "kind")) == 0
-          && strcmp (lt_text (resource, "name"), lt_text (wanted, "name")) == 0)
+      if (strcmp (lt_json_text (resource, "kind"), lt_json_text (wanted, "kind")) == 0
+          && strcmp (lt_json_text (resource, "name"), lt_json_text (wanted, "name")) == 0)
         return resource;
     }
   return NULL;
@@ -104,7 +104,7 @@
 static void
 print_changed_keys (struct json_object *before, struct json_object *after)
 {
-  printf ("~ %s/%s\n", lt_text (after, "kind"), lt_text (after, "name"));
+  printf ("~ %s/%s\n", lt_json_text (after, "kind"), lt_json_text (after, "name"));
   json_object_object_foreach (after, key, value)
   {
     struct json_object *old = json_object_object_get (before, key);
@@ -135,7 +135,7 @@
       if (old)
         print_changed_keys (old, resource);
       else
-        printf ("+ %s/%s\n", lt_text (resource, "kind"), lt_text (resource, "name"));
+        printf ("+ %s/%s\n", lt_json_text (resource, "kind"), lt_json_text (resource, "name"));
     }
   json_object_put (old_set);
   json_object_put (new_set);
@@ -148,7 +148,7 @@
   LbError error = { .code = LB_OK };
   int code = LT_EXIT_USAGE;
   LcResourceSet *set = NULL, *next = NULL;
-  LtClient *client = lt_arguments_client (&options->common);
+  LtClient *client = lt_arguments_new_client (&options->common);
   struct json_object *change
       = lt_resources_read_files (options->files->filename, (size_t)options->files->count, &error);
 
@@ -183,15 +183,15 @@
 {
   int code;
   Options options;
-  void *table[1 + LT_N_ARGUMENTS];
+  void *table[1 + LT_N_COMMON_ARGUMENTS];
 
   table[0] = options.files
       = arg_filen ("f", "file", "FILE", 1, 16, "resources, JSON with comments");
   lt_arguments_init (&options.common, table + 1);
-  if (lt_arguments_parse (&options.common, table, 1 + LT_N_ARGUMENTS, argc, argv,
+  if (lt_arguments_parse (&options.common, table, 1 + LT_N_COMMON_ARGUMENTS, argc, argv,
                           "Prints what applying the files would change; exit code 1 when anything.",
                           &code))
     code = diff (&options);
-  arg_freetable (table, 1 + LT_N_ARGUMENTS);
+  arg_freetable (table, 1 + LT_N_COMMON_ARGUMENTS);
   return code;
 }
--- a/packages/cli/src/lt-proof.h
+++ b/packages/cli/src/lt-local-commands.h
@@ -1,5 +1,5 @@
-#ifndef LT_PROOF_H
-#define LT_PROOF_H
+#ifndef LT_LOCAL_COMMANDS_H
+#define LT_LOCAL_COMMANDS_H
 
 /* Subcommands that run the decisions of core among fakes; each is an LtCommand's run. */
 int lt_bench_run (int argc, char **argv);
--- a/packages/cli/src/lt-operator.h
+++ b/packages/cli/src/lt-operator-commands.h
@@ -1,5 +1,5 @@
-#ifndef LT_OPERATOR_H
-#define LT_OPERATOR_H
+#ifndef LT_OPERATOR_COMMANDS_H
+#define LT_OPERATOR_COMMANDS_H
 
 /* The operators' subcommands; rows of the table in lt-command.c. */
 int lt_apply_run (int argc, char **argv);
--- a/packages/cli/src/lt-resources.c
+++ b/packages/cli/src/lt-resources.c
@@ -22,7 +22,7 @@
 
 /* "" when the key is absent or null. */
 const char *
-lt_text (struct json_object *object, const char *key)
+lt_json_text (struct json_object *object, const char *key)
 {
   struct json_object *value = NULL;
 
@@ -34,7 +34,7 @@
 }
 
 int64_t
-lt_integer (struct json_object *object, const char *key)
+lt_json_integer (struct json_object *object, const char *key)
 {
   struct json_object *value = NULL;
 
@@ -108,14 +108,14 @@
   json_object_object_foreach (in_force, revision, counts)
   {
     (void)revision;
-    if (lt_integer (counts, "on") < lt_integer (counts, "of"))
+    if (lt_json_integer (counts, "on") < lt_json_integer (counts, "of"))
       return false;
   }
   return true;
 }
 
 bool
-lt_resources_wait (LtClient *client, int64_t revision, LbTime wait, LbError *error)
+lt_resources_wait_until_active (LtClient *client, int64_t revision, LbTime wait, LbError *error)
 {
   char path[128];
   LtReply reply;
@@ -127,7 +127,7 @@
       snprintf (path, sizeof path, "/v1/resources/watch?after=%lld&wait_ms=%d", (long long)revision,
                 wait_ms);
       bool ok = lt_client_call (client, &call, &reply, error);
-      bool done = ok && lt_integer (reply.body, "accepted") >= revision
+      bool done = ok && lt_json_integer (reply.body, "accepted") >= revision
                   && is_in_force_everywhere (reply.body);
       lt_reply_clear (&reply);
       if (!ok)
@@ -140,7 +140,7 @@
 }
 
 static void
-print_outcome (const LtChange *change, struct json_object *body)
+print_outcome (const LtChangeRequest *change, struct json_object *body)
 {
   struct json_object *in_force = json_object_object_get (body, "in_force");
 
@@ -148,17 +148,18 @@
     lt_print_json (body);
   else if (change->dry_run)
     printf ("would become revision %lld; nothing was changed\n",
-            (long long)lt_integer (body, "revision"));
+            (long long)lt_json_integer (body, "revision"));
   else
     printf ("accepted as revision %lld, in force on %lld of %lld\n",
-            (long long)lt_integer (body, "revision"), (long long)lt_integer (in_force, "on"),
-            (long long)lt_integer (in_force, "of"));
+            (long long)lt_json_integer (body, "revision"),
+            (long long)lt_json_integer (in_force, "on"),
+            (long long)lt_json_integer (in_force, "of"));
 }
 
 /* The same token with each send: a reply that is lost after the change was accepted is asked for
  * again and not applied twice. */
 static bool
-send_with_retries (const LtChange *change, LtReply *reply, LbError *error)
+send_with_retries (const LtChangeRequest *change, LtReply *reply, LbError *error)
 {
   char token[64], if_match[32];
   const LtCall call = { .method = "POST",
@@ -182,7 +183,7 @@
 }
 
 int
-lt_resources_send (const LtChange *change)
+lt_change_request_send (const LtChangeRequest *change)
 {
   LtReply reply;
   LbError error = { .code = LB_OK };
@@ -200,8 +201,8 @@
     }
   print_outcome (change, reply.body);
   if (change->wait > 0 && !change->dry_run
-      && !lt_resources_wait (change->client, lt_integer (reply.body, "revision"), change->wait,
-                             &error))
+      && !lt_resources_wait_until_active (change->client, lt_json_integer (reply.body, "revision"),
+                                          change->wait, &error))
     code = lt_print_error (&error);
 out:
   lt_reply_clear (&reply);
--- a/packages/cli/src/lt-resources.h
+++ b/packages/cli/src/lt-resources.h
@@ -23,15 +23,16 @@
   bool dry_run;
   bool json;
   LbTime wait; /* until it is in force on all known instances; 0: do not wait */
-} LtChange;
+} LtChangeRequest;
 
-int lt_resources_send (const LtChange *change);
+int lt_change_request_send (const LtChangeRequest *change);
 
 /* Waits until the revision, or a newer one, is in force everywhere. */
-bool lt_resources_wait (LtClient *client, int64_t revision, LbTime wait, LbError *error);
+bool
+lt_resources_wait_until_active (LtClient *client, int64_t revision, LbTime wait, LbError *error);
 
 void lt_print_json (struct json_object *object);
-const char *lt_text (struct json_object *object, const char *key);
-int64_t lt_integer (struct json_object *object, const char *key);
+const char *lt_json_text (struct json_object *object, const char *key);
+int64_t lt_json_integer (struct json_object *object, const char *key);
 
 #endif
--- a/packages/cli/src/lt-story.c
+++ b/packages/cli/src/lt-timeline.c
@@ -1,4 +1,4 @@
-#include "lt-story.h"
+#include "lt-timeline.h"
 
 #include "lb-alloc.h"
 #include "lb-json.h"
@@ -22,7 +22,7 @@
   bool chosen;
 } Line;
 
-struct LtStory
+struct LtTimeline
 {
   char *id;
   Line *lines;
@@ -38,17 +38,17 @@
         "version_named",    "weights_ordered",        "started",           "stopped",
         "signal",           "log_lines_dropped",      "catalog_publisher", "endpoint_checked" };
 
-LtStory *
-lt_story_new (const char *id)
+LtTimeline *
+lt_timeline_new (const char *id)
 {
-  LtStory *story = LB_NEW (LtStory);
+  LtTimeline *story = LB_NEW (LtTimeline);
 
   story->id = lb_strdup (id);
   return story;
 }
 
 void
-lt_story_free (LtStory *story)
+lt_timeline_free (LtTimeline *story)
 {
   for (size_t i = 0; i < story->n_lines; i++)
     json_object_put (story->lines[i].line);
@@ -58,7 +58,7 @@
 }
 
 static void
-add_line (LtStory *story, struct json_object *object)
+add_line (LtTimeline *story, struct json_object *object)
 {
   if (story->n_lines == story->capacity)
     {
@@ -71,7 +71,7 @@
 }
 
 static void
-read_line (LtStory *story, const char *text)
+read_line (LtTimeline *story, const char *text)
 {
   const char *brace = strchr (text, '{');
   struct json_object *object = brace ? json_tokener_parse (brace) : NULL;
@@ -86,7 +86,7 @@
 }
 
 bool
-lt_story_read (LtStory *story, const char *path, LbError *error)
+lt_timeline_read_log (LtTimeline *story, const char *path, LbError *error)
 {
   FILE *in = fopen (path, "r");
   char *text = NULL;
@@ -103,7 +103,7 @@
 
 /* A batch that belongs to an organisation is named by its id and, behind a '~', a hash. */
 static bool
-is_id (const LtStory *story, const char *name)
+is_id (const LtTimeline *story, const char *name)
 {
   size_t length = strlen (story->id);
 
@@ -111,7 +111,7 @@
 }
 
 static bool
-names_id (const LtStory *story, struct json_object *line)
+names_id (const LtTimeline *story, struct json_object *line)
 {
   static const char *const keys[] = { "id", "batch", "item", "caller", "content" };
 
@@ -134,7 +134,7 @@
 
 /* Instances that had a part in the story; the beliefs of others did not decide anything. */
 static bool
-is_involved (const LtStory *story, struct json_object *line)
+is_involved (const LtTimeline *story, struct json_object *line)
 {
   const char *instance = lb_json_text (line, "instance", "");
 
@@ -157,7 +157,7 @@
 }
 
 static bool
-choose_own (LtStory *story, int64_t *first, int64_t *last)
+choose_own (LtTimeline *story, int64_t *first, int64_t *last)
 {
   bool found = false;
 
@@ -211,7 +211,7 @@
 }
 
 static void
-print_lines (const LtStory *story, int64_t first, int64_t last, FILE *out)
+print_lines (const LtTimeline *story, int64_t first, int64_t last, FILE *out)
 {
   const Line *shown = NULL;
   size_t n_more = 0;
@@ -236,7 +236,7 @@
 }
 
 bool
-lt_story_print (LtStory *story, FILE *out)
+lt_timeline_print (LtTimeline *story, FILE *out)
 {
   int64_t first = 0;
   int64_t last = 0;
--- a/packages/cli/src/lt-watch.c
+++ b/packages/cli/src/lt-watch.c
@@ -1,4 +1,4 @@
-#include "lt-operator.h"
+#include "lt-operator-commands.h"
 
 #include "lt-command.h"
 #include "lt-resources.h"
@@ -34,8 +34,8 @@
   json_object_object_foreach (in_force, revision, counts)
   {
     printf ("accepted %lld, revision %s in force on %lld of %lld",
-            (long long)lt_integer (body, "accepted"), revision,
-            (long long)lt_integer (counts, "on"), (long long)lt_integer (counts, "of"));
+            (long long)lt_json_integer (body, "accepted"), revision,
+            (long long)lt_json_integer (counts, "on"), (long long)lt_json_integer (counts, "of"));
     struct json_object *behind = json_object_object_get (counts, "behind");
     if (behind && json_object_array_length (behind) > 0)
       {
@@ -57,7 +57,7 @@
   bool going = true;
   long long after = options->number->count > 0 ? options->number->ival[0] : -1;
   const LtCall call = { .method = "GET", .path = path, .silence = CALL_SILENCE };
-  LtClient *client = lt_arguments_client (&options->common);
+  LtClient *client = lt_arguments_new_client (&options->common);
 
   while (going)
     {
@@ -71,7 +71,7 @@
         lt_print_json (reply.body);
       else
         print_watch (reply.body);
-      after = going ? lt_integer (reply.body, "accepted") : after;
+      after = going ? lt_json_integer (reply.body, "accepted") : after;
       going = going && options->once->count == 0;
       lt_reply_clear (&reply);
     }
@@ -84,16 +84,16 @@
 {
   int code;
   Options options;
-  void *table[2 + LT_N_ARGUMENTS];
+  void *table[2 + LT_N_COMMON_ARGUMENTS];
 
   table[0] = options.number
       = arg_int0 (NULL, "after", "REVISION", "wait for a newer one than this first");
   table[1] = options.once = arg_lit0 ("1", "once", "print one report and end");
   lt_arguments_init (&options.common, table + 2);
-  if (lt_arguments_parse (&options.common, table, 2 + LT_N_ARGUMENTS, argc, argv,
+  if (lt_arguments_parse (&options.common, table, 2 + LT_N_COMMON_ARGUMENTS, argc, argv,
                           "Prints what is accepted, and in force on how many instances.", &code))
     code = watch (&options);
-  arg_freetable (table, 2 + LT_N_ARGUMENTS);
+  arg_freetable (table, 2 + LT_N_COMMON_ARGUMENTS);
   return code;
 }
 
@@ -101,13 +101,14 @@
 print_change (struct json_object *row)
 {
   char at[32];
-  time_t seconds = (time_t)(lt_integer (row, "at_ms") / 1000);
+  time_t seconds = (time_t)(lt_json_integer (row, "at_ms") / 1000);
   struct tm utc;
   struct json_object *change = json_object_object_get (row, "change");
 
   gmtime_r (&seconds, &utc);
   strftime (at, sizeof at, "%Y-%m-%dT%H:%M:%SZ", &utc);
-  printf ("%-9lld %s %-24s %s\n", (long long)lt_integer (row, "revision"), at, lt_text (row, "who"),
+  printf ("%-9lld %s %-24s %s\n", (long long)lt_json_integer (row, "revision"), at,
+          lt_json_text (row, "who"),
           json_object_to_json_string_ext (change, JSON_C_TO_STRING_PLAIN));
 }
 
@@ -161,7 +162,7 @@
   LbError error = { .code = LB_OK };
   int code = LT_EXIT_OK;
   const LtCall call = { .method = "GET", .path = path, .silence = CALL_SILENCE };
-  LtClient *client = lt_arguments_client (&options->common);
+  LtClient *client = lt_arguments_new_client (&options->common);
 
   if (!lt_client_call (client, &call, &reply, &error))
     code = lt_print_error (&error);
@@ -180,18 +181,18 @@
   int code;
   char path[64];
   Options options;
-  void *table[1 + LT_N_ARGUMENTS];
+  void *table[1 + LT_N_COMMON_ARGUMENTS];
 
   table[0] = options.number = arg_int0 ("l", "limit", "N", "how many; 20");
   lt_arguments_init (&options.common, table + 1);
-  if (lt_arguments_parse (&options.common, table, 1 + LT_N_ARGUMENTS, argc, argv,
+  if (lt_arguments_parse (&options.common, table, 1 + LT_N_COMMON_ARGUMENTS, argc, argv,
                           "Prints the last changes: who, when, what.", &code))
     {
       snprintf (path, sizeof path, "/v1/history?limit=%d",
                 options.number->count > 0 ? options.number->ival[0] : DEFAULT_LIMIT);
       code = show (&options, path, print_history);
     }
-  arg_freetable (table, 1 + LT_N_ARGUMENTS);
+  arg_freetable (table, 1 + LT_N_COMMON_ARGUMENTS);
   return code;
 }
 
@@ -200,12 +201,12 @@
 {
   int code;
   Options options;
-  void *table[LT_N_ARGUMENTS];
+  void *table[LT_N_COMMON_ARGUMENTS];
 
   lt_arguments_init (&options.common, table);
-  if (lt_arguments_parse (&options.common, table, LT_N_ARGUMENTS, argc, argv,
+  if (lt_arguments_parse (&options.common, table, LT_N_COMMON_ARGUMENTS, argc, argv,
                           "Prints who holds what, which revision is where, and what waits.", &code))
     code = show (&options, "/v1/status", print_status);
-  arg_freetable (table, LT_N_ARGUMENTS);
+  arg_freetable (table, LT_N_COMMON_ARGUMENTS);
   return code;
 }
--- a/packages/cli/tests/test-story.c
+++ b/packages/cli/tests/test-story.c
@@ -1,4 +1,4 @@
-#include "lt-story.h"
+#include "lt-timeline.h"
 
 #include <criterion/criterion.h>
 #include <stdio.h>
@@ -23,19 +23,19 @@
   char *text = NULL;
   size_t size = 0;
   LbError error;
-  LtStory *story = lt_story_new (id);
+  LtTimeline *story = lt_timeline_new (id);
   FILE *out = open_memstream (&text, &size);
 
   write_log (paths[0], first);
   write_log (paths[1], second);
   for (int i = 0; i < 2; i++)
     {
-      cr_assert (lt_story_read (story, paths[i], &error));
+      cr_assert (lt_timeline_read_log (story, paths[i], &error));
       unlink (paths[i]);
     }
-  lt_story_print (story, out);
+  lt_timeline_print (story, out);
   fclose (out);
-  lt_story_free (story);
+  lt_timeline_free (story);
   return text;
 }
 
@@ -110,8 +110,8 @@
 
 Test (story, says_when_no_line_names_the_id)
 {
-  LtStory *story = lt_story_new ("nobody");
+  LtTimeline *story = lt_timeline_new ("nobody");
 
-  cr_assert_not (lt_story_print (story, stdout));
-  lt_story_free (story);
+  cr_assert_not (lt_timeline_print (story, stdout));
+  lt_timeline_free (story);
 }
