--- a/tests/process/pt-process.c
+++ b/tests/process/pt-process.c
@@ -41,8 +41,8 @@
     become (argv, log, ends[1]);
   close (ends[1]);
   fcntl (ends[0], F_SETFL, O_NONBLOCK);
-  process->out = ends[0];
-  process->text = lb_strdup ("");
+  process->output_fd = ends[0];
+  process->output = lb_strdup ("");
 }
 
 void
@@ -55,8 +55,8 @@
       kill (process->pid, SIGKILL);
       waitpid (process->pid, &process->status, 0);
     }
-  close (process->out);
-  free (process->text);
+  close (process->output_fd);
+  free (process->output);
   memset (process, 0, sizeof *process);
 }
 
@@ -73,12 +73,12 @@
   char buffer[4096];
   ssize_t n;
 
-  while ((n = read (process->out, buffer, sizeof buffer)) > 0)
+  while ((n = read (process->output_fd, buffer, sizeof buffer)) > 0)
     {
-      process->text = lb_realloc (process->text, process->length + (size_t)n + 1);
-      memcpy (process->text + process->length, buffer, (size_t)n);
-      process->length += (size_t)n;
-      process->text[process->length] = '\0';
+      process->output = lb_realloc (process->output, process->output_length + (size_t)n + 1);
+      memcpy (process->output + process->output_length, buffer, (size_t)n);
+      process->output_length += (size_t)n;
+      process->output[process->output_length] = '\0';
     }
 }
 
--- a/tests/process/pt-process.h
+++ b/tests/process/pt-process.h
@@ -10,10 +10,10 @@
 /* A program of the build that a test started. It dies with the test. */
 typedef struct
 {
-  pid_t pid;  /* 0: not running */
-  int out;    /* its standard output */
-  char *text; /* what it has written there so far */
-  size_t length;
+  pid_t pid;     /* 0: not running */
+  int output_fd; /* its standard output */
+  char *output;  /* what it has written there so far */
+  size_t output_length;
   int status; /* of waitpid, once it has ended */
   bool ended;
 } PtProcess;
--- a/tests/process/pt-relay.c
+++ b/tests/process/pt-relay.c
@@ -101,7 +101,7 @@
   bool to_target = from == line->near;
 
   /* Bytes that were lost once are missing in the middle: such a line delivers nothing more. */
-  line->silent |= to_target ? fault->loses_to_target : fault->loses_from_target;
+  line->silent |= to_target ? fault->drops_to_target : fault->drops_from_target;
   if (line->silent)
     {
       evbuffer_drain (input, evbuffer_get_length (input));
@@ -200,7 +200,7 @@
 }
 
 void
-pt_relay_refuse (PtRelay *relay)
+pt_relay_refuse_connections (PtRelay *relay)
 {
   if (relay->listener)
     evconnlistener_free (relay->listener);
@@ -208,7 +208,7 @@
 }
 
 void
-pt_relay_accept (PtRelay *relay)
+pt_relay_accept_connections (PtRelay *relay)
 {
   if (!relay->listener)
     listen_at (relay, (uint16_t)atoi (strchr (relay->address, ':') + 1));
@@ -219,11 +219,11 @@
 {
   LB_LIST_FOREACH (&relay->lines, Line, link, line)
   line_free (line);
-  pt_relay_refuse (relay);
+  pt_relay_refuse_connections (relay);
 }
 
 void
-pt_relay_lose_track (PtRelay *relay)
+pt_relay_blackhole_connections (PtRelay *relay)
 {
   LB_LIST_FOREACH (&relay->lines, Line, link, line)
   line->silent = true;
@@ -239,7 +239,7 @@
 }
 
 void
-pt_relay_reset (PtRelay *relay)
+pt_relay_reset_connections (PtRelay *relay)
 {
   LB_LIST_FOREACH (&relay->lines, Line, link, line)
   {
@@ -250,7 +250,7 @@
 }
 
 size_t
-pt_relay_connections (const PtRelay *relay)
+pt_relay_count_connections (const PtRelay *relay)
 {
   return relay->lines.length;
 }
--- a/tests/process/pt-relay.h
+++ b/tests/process/pt-relay.h
@@ -9,8 +9,8 @@
 /* What is wrong with a way for now, for open and new connections alike. */
 typedef struct
 {
-  bool loses_to_target;   /* bytes towards the target vanish */
-  bool loses_from_target; /* bytes from the target vanish */
+  bool drops_to_target;   /* bytes towards the target vanish */
+  bool drops_from_target; /* bytes from the target vanish */
   LbTime delay;           /* of bytes in both directions */
 } PtRelayFault;
 
@@ -30,15 +30,15 @@
 void pt_relay_init (PtRelay *relay, struct event_base *base, const char *target);
 void pt_relay_clear (PtRelay *relay);
 /* Every connection that is open now goes silent for good. */
-void pt_relay_lose_track (PtRelay *relay);
+void pt_relay_blackhole_connections (PtRelay *relay);
 
 /* Every connection that is open now is reset. */
-void pt_relay_reset (PtRelay *relay);
+void pt_relay_reset_connections (PtRelay *relay);
 
 /* New connections are refused, as where no process listens, until they are accepted again. */
-void pt_relay_refuse (PtRelay *relay);
-void pt_relay_accept (PtRelay *relay);
+void pt_relay_refuse_connections (PtRelay *relay);
+void pt_relay_accept_connections (PtRelay *relay);
 
-size_t pt_relay_connections (const PtRelay *relay);
+size_t pt_relay_count_connections (const PtRelay *relay);
 
 #endif
--- a/tests/process/pt-resources.c
+++ b/tests/process/pt-resources.c
@@ -11,13 +11,14 @@
 #define APPLY_SILENCE (3 * LB_SEC)
 
 void
-pt_apply (PtWorld *world,
-          PtProgram *instance,
-          const char *changes,
-          const char *if_match,
-          SiAnswer *answer)
+pt_apply_change (PtCluster *world,
+                 PtProgram *instance,
+                 const char *changes,
+                 const char *if_match,
+                 SiAnswer *answer)
 {
-  const LhHeader headers[] = { { "authorization", "Bearer " PT_TOKEN }, { "If-Match", if_match } };
+  const LhHeader headers[]
+      = { { "authorization", "Bearer " PT_OPERATOR_TOKEN }, { "If-Match", if_match } };
   const SiCall call = { .method = "POST",
                         .address = instance->address,
                         .path = "/v1/resources",
@@ -60,12 +61,12 @@
 
 /* Instances that have just started may not know each other yet; others may be away or paused. */
 static bool
-is_accepted (PtWorld *world, void *user)
+is_accepted (PtCluster *world, void *user)
 {
   const Change *change = user;
   SiAnswer answer;
 
-  pt_apply (world, change->instance, change->changes, "*", &answer);
+  pt_apply_change (world, change->instance, change->changes, "*", &answer);
   bool accepted = si_answer_is_ok (&answer);
   PT_ASSERT_MSG (accepted || answer.status == 503 || answer.failure != LB_OK, "%d %s",
                  answer.status, answer.body);
@@ -74,7 +75,7 @@
 }
 
 static bool
-is_accepted_anywhere (PtWorld *world, void *user)
+is_accepted_anywhere (PtCluster *world, void *user)
 {
   Change *change = user;
 
@@ -88,7 +89,7 @@
 }
 
 static struct json_object *
-new_changes (const PtWorld *world)
+new_changes (const PtCluster *world)
 {
   struct json_object *changes = json_object_new_object ();
   struct json_object *apply = json_object_new_array ();
@@ -104,7 +105,7 @@
 }
 
 void
-pt_apply_all (PtWorld *world, PtProgram *instance)
+pt_apply_resources (PtCluster *world, PtProgram *instance)
 {
   struct json_object *changes = new_changes (world);
   Change change = { instance, json_object_to_json_string (changes) };
@@ -114,7 +115,7 @@
 }
 
 void
-pt_apply_anywhere (PtWorld *world)
+pt_apply_resources_anywhere (PtCluster *world)
 {
   struct json_object *changes = new_changes (world);
   Change change = { NULL, json_object_to_json_string (changes) };
@@ -124,9 +125,9 @@
 }
 
 static int64_t
-revision_of (PtWorld *world, const PtProgram *instance)
+revision_of (PtCluster *world, const PtProgram *instance)
 {
-  const LhHeader headers[] = { { "authorization", "Bearer " PT_TOKEN } };
+  const LhHeader headers[] = { { "authorization", "Bearer " PT_OPERATOR_TOKEN } };
   const SiCall call = { .method = "GET",
                         .address = instance->address,
                         .path = "/v1/resources",
@@ -145,7 +146,7 @@
 }
 
 static bool
-is_in_force (PtWorld *world, void *user)
+is_in_force (PtCluster *world, void *user)
 {
   (void)user;
   int64_t newest = 0;
@@ -163,7 +164,7 @@
 }
 
 void
-pt_wait_in_force (PtWorld *world)
+pt_wait_revision_in_force (PtCluster *world)
 {
   pt_wait (world, "the newest revision is in force everywhere", is_in_force, NULL);
 }
--- a/tests/process/pt-shared.c
+++ b/tests/process/pt-shared.c
@@ -27,7 +27,7 @@
       "\"limits\": {\"maxBodyBytes\": 12582912}%s}";
 
 void
-ps_turn (PsWorld *w)
+ps_run_loop_once (PsCluster *w)
 {
   event_base_loop (w->base, EVLOOP_NONBLOCK);
   for (size_t i = 0; i < w->n_instances; i++)
@@ -36,7 +36,7 @@
 }
 
 void
-ps_put_config (PsWorld *w, int version, const char *more_routes)
+ps_put_config (PsCluster *w, int version, const char *more_routes)
 {
   char *text = lb_asprintf (config, version, more_routes, w->organisations ? w->organisations : "");
 
@@ -45,7 +45,7 @@
 }
 
 void
-ps_world_init (PsWorld *w)
+ps_cluster_init (PsCluster *w)
 {
   char name[16];
 
@@ -67,7 +67,7 @@
 }
 
 void
-ps_world_clear (PsWorld *w)
+ps_cluster_clear (PsCluster *w)
 {
   char command[128];
 
@@ -100,7 +100,7 @@
 static void
 on_done (LhFetch *fetch, const LhResult *result, void *user)
 {
-  PsWorld *w = user;
+  PsCluster *w = user;
   const char *retry_after = lh_fetch_header (fetch, "Retry-After");
   const char *stamp = lh_fetch_header (fetch, "Server-Stamp");
 
@@ -114,7 +114,7 @@
 }
 
 static size_t
-add_identity (const PsWorld *w, LhHeader *headers, size_t n)
+add_identity (const PsCluster *w, LhHeader *headers, size_t n)
 {
   if (w->key)
     headers[n++] = (LhHeader){ "Api-Key", w->key };
@@ -129,7 +129,7 @@
 }
 
 LhFetch *
-ps_begin_call (PsWorld *w,
+ps_start_call (PsCluster *w,
                size_t instance,
                const char *method,
                const char *path,
@@ -153,7 +153,7 @@
 }
 
 void
-ps_call (PsWorld *w,
+ps_call (PsCluster *w,
          size_t instance,
          const char *method,
          const char *path,
@@ -162,21 +162,21 @@
 {
   int before = w->answers;
 
-  ps_begin_call (w, instance, method, path, id, body);
-  PS_UNTIL (w, w->answers > before);
+  ps_start_call (w, instance, method, path, id, body);
+  PS_WAIT_UNTIL (w, w->answers > before);
 }
 
 /* --- instances --- */
 
 const SiServer *
-ps_store_of (const PsWorld *w, size_t instance)
+ps_store_server (const PsCluster *w, size_t instance)
 {
   return instance == 0 ? &w->rows.server : &w->rows.far;
 }
 
 /* NULL: the platform wants no calls. Windows of a second, so that no test waits long for one. */
 static char *
-duties_of (const PsWorld *w)
+duties_of (const PsCluster *w)
 {
   if (!w->has_duties)
     return NULL;
@@ -186,9 +186,9 @@
 }
 
 static void
-write_settings (PsWorld *w, PsInstance *instance)
+write_settings (PsCluster *w, PsInstance *instance)
 {
-  const SiServer *store = ps_store_of (w, (size_t)(instance - w->instances));
+  const SiServer *store = ps_store_server (w, (size_t)(instance - w->instances));
   char path[128];
 
   char *duties = duties_of (w);
@@ -212,7 +212,7 @@
 }
 
 static bool
-read_address (PsWorld *w, PsInstance *instance)
+read_address (PsCluster *w, PsInstance *instance)
 {
   char path[128];
 
@@ -225,7 +225,7 @@
 }
 
 void
-ps_read_metrics (PsWorld *w, size_t instance)
+ps_read_metrics (PsCluster *w, size_t instance)
 {
   const LhHandlers handlers = { .on_done = on_done };
   const LhRequest request = { .method = "GET",
@@ -235,18 +235,18 @@
   int before = w->answers;
 
   lh_fetch_start (w->pool, &request, &handlers, w, NULL);
-  PS_UNTIL (w, w->answers > before);
+  PS_WAIT_UNTIL (w, w->answers > before);
 }
 
 bool
-ps_is_ready (PsWorld *w, size_t instance)
+ps_is_ready (PsCluster *w, size_t instance)
 {
   ps_call (w, instance, "GET", "/-/readiness", "", "");
   return w->status == 200;
 }
 
 static void
-start_process (PsWorld *w, PsInstance *instance)
+start_process (PsCluster *w, PsInstance *instance)
 {
   char settings[128];
   char log[128];
@@ -258,7 +258,7 @@
 }
 
 size_t
-ps_launch_instance (PsWorld *w)
+ps_spawn_instance (PsCluster *w)
 {
   size_t index = w->n_instances;
   PsInstance *instance = &w->instances[index];
@@ -267,21 +267,21 @@
   write_settings (w, instance);
   start_process (w, instance);
   w->n_instances++;
-  PS_UNTIL (w, read_address (w, instance));
+  PS_WAIT_UNTIL (w, read_address (w, instance));
   return index;
 }
 
 size_t
-ps_start_instance (PsWorld *w)
+ps_start_instance (PsCluster *w)
 {
-  size_t index = ps_launch_instance (w);
+  size_t index = ps_spawn_instance (w);
 
-  PS_UNTIL (w, ps_is_ready (w, index));
+  PS_WAIT_UNTIL (w, ps_is_ready (w, index));
   return index;
 }
 
 void
-ps_restart_instance (PsWorld *w, size_t index)
+ps_restart_instance (PsCluster *w, size_t index)
 {
   PsInstance *instance = &w->instances[index];
   char *file = lb_asprintf ("%s/%s.addr", w->folder, instance->name);
@@ -289,8 +289,8 @@
   pt_process_clear (&instance->process);
   unlink (file);
   start_process (w, instance);
-  PS_UNTIL (w, read_address (w, instance));
-  PS_UNTIL (w, ps_is_ready (w, index));
+  PS_WAIT_UNTIL (w, read_address (w, instance));
+  PS_WAIT_UNTIL (w, ps_is_ready (w, index));
   free (file);
 }
 
@@ -323,7 +323,7 @@
 }
 
 void
-ps_submit (PsWorld *w, size_t instance, const char *id, int n_items)
+ps_submit (PsCluster *w, size_t instance, const char *id, int n_items)
 {
   char *body = ps_make_batch (n_items);
 
@@ -332,7 +332,7 @@
 }
 
 struct json_object *
-ps_read_results (PsWorld *w, size_t instance, const char *id)
+ps_read_results (PsCluster *w, size_t instance, const char *id)
 {
   char *path = lb_asprintf ("/-/lots/%s?after=0", id);
 
@@ -342,7 +342,7 @@
 }
 
 int64_t
-ps_count_listed (PsWorld *w, size_t instance, const char *id)
+ps_count_listed (PsCluster *w, size_t instance, const char *id)
 {
   struct json_object *page = ps_read_results (w, instance, id);
   int64_t next = page ? lb_json_int (page, "next", 0) : -1;
@@ -368,7 +368,7 @@
 }
 
 void
-ps_assert_all_listed (PsWorld *w, size_t instance, const char *id, int n_items)
+ps_assert_all_listed (PsCluster *w, size_t instance, const char *id, int n_items)
 {
   struct json_object *page = ps_read_results (w, instance, id);
   struct json_object *results = lb_json_member (page, "results");
@@ -391,7 +391,7 @@
 }
 
 size_t
-ps_count_runs (const PsWorld *w)
+ps_count_engine_runs (const PsCluster *w)
 {
   size_t n = 0;
 
@@ -401,7 +401,7 @@
 }
 
 size_t
-ps_find_owner (PsWorld *w)
+ps_find_owner (PsCluster *w)
 {
   size_t owner = w->n_instances;
 
@@ -415,9 +415,9 @@
 }
 
 int
-ps_count_logged (const PsWorld *w, size_t instance, const char *text)
+ps_count_logged (const PsCluster *w, size_t instance, const char *text)
 {
-  const char *at = w->instances[instance].process.text;
+  const char *at = w->instances[instance].process.output;
   int count = 0;
 
   while (at && (at = strstr (at, text)))
@@ -429,7 +429,7 @@
 }
 
 double
-ps_metric (PsWorld *w, size_t instance, const char *name)
+ps_read_metric (PsCluster *w, size_t instance, const char *name)
 {
   char line[96];
 
--- a/tests/process/pt-shared.h
+++ b/tests/process/pt-shared.h
@@ -16,7 +16,7 @@
 
 #define PS_MAX_INSTANCES 3
 #define PS_N_ENGINES 3
-#define PS_LIMIT (60 * LB_SEC) /* of any wait: generous, since the machine may be busy */
+#define PS_WAIT_TIMEOUT (60 * LB_SEC) /* of any wait: generous, since the machine may be busy */
 
 typedef struct
 {
@@ -51,42 +51,42 @@
   char *body;
   char retry_after[32];
   char stamp[64];
-} PsWorld;
+} PsCluster;
 
-#define PS_UNTIL(w, condition)                                                                     \
+#define PS_WAIT_UNTIL(w, condition)                                                                \
   do                                                                                               \
     {                                                                                              \
-      LbTime end_ = lb_clock_monotonic () + PS_LIMIT;                                              \
+      LbTime end_ = lb_clock_monotonic () + PS_WAIT_TIMEOUT;                                       \
       bool met_ = false;                                                                           \
       while (!(met_ = (condition)) && lb_clock_monotonic () < end_)                                \
-        ps_turn (w);                                                                               \
+        ps_run_loop_once (w);                                                                      \
       cr_assert (met_, "never came true: %s", #condition);                                         \
     }                                                                                              \
   while (0)
 
-void ps_world_init (PsWorld *w);
-void ps_world_clear (PsWorld *w);
+void ps_cluster_init (PsCluster *w);
+void ps_cluster_clear (PsCluster *w);
 /* One turn of the loop that plays the store, the endpoints and the callers. */
-void ps_turn (PsWorld *w);
+void ps_run_loop_once (PsCluster *w);
 /* The desired state: routes /lookup/ and /steps/ of h.example, and what more_routes adds. */
-void ps_put_config (PsWorld *w, int version, const char *more_routes);
+void ps_put_config (PsCluster *w, int version, const char *more_routes);
 /* Returns its index, once it is ready. */
-size_t ps_start_instance (PsWorld *w);
+size_t ps_start_instance (PsCluster *w);
 /* The same without waiting until it is ready. */
-size_t ps_launch_instance (PsWorld *w);
+size_t ps_spawn_instance (PsCluster *w);
 /* Kills it where it runs, and starts it anew with the same settings. */
-void ps_restart_instance (PsWorld *w, size_t index);
-bool ps_is_ready (PsWorld *w, size_t instance);
+void ps_restart_instance (PsCluster *w, size_t index);
+bool ps_is_ready (PsCluster *w, size_t instance);
 /* The way to the store that the instance has. */
-const SiServer *ps_store_of (const PsWorld *w, size_t instance);
+const SiServer *ps_store_server (const PsCluster *w, size_t instance);
 /* One call under the id; ps_call waits for its answer, which then stands in the world. */
-LhFetch *ps_begin_call (PsWorld *w,
+LhFetch *ps_start_call (PsCluster *w,
                         size_t instance,
                         const char *method,
                         const char *path,
                         const char *id,
                         const char *body);
-void ps_call (PsWorld *w,
+void ps_call (PsCluster *w,
               size_t instance,
               const char *method,
               const char *path,
@@ -94,20 +94,20 @@
               const char *body);
 /* A step of one group with a scorer for each item; the caller frees it. */
 char *ps_make_batch (int n_items);
-void ps_submit (PsWorld *w, size_t instance, const char *id, int n_items);
+void ps_submit (PsCluster *w, size_t instance, const char *id, int n_items);
 /* The first page; NULL when it is refused. */
-struct json_object *ps_read_results (PsWorld *w, size_t instance, const char *id);
+struct json_object *ps_read_results (PsCluster *w, size_t instance, const char *id);
 /* -1 when it is refused. */
-int64_t ps_count_listed (PsWorld *w, size_t instance, const char *id);
+int64_t ps_count_listed (PsCluster *w, size_t instance, const char *id);
 /* Each item stands exactly once, whole, with a score of its own scorer call. */
-void ps_assert_all_listed (PsWorld *w, size_t instance, const char *id, int n_items);
-void ps_read_metrics (PsWorld *w, size_t instance);
-double ps_metric (PsWorld *w, size_t instance, const char *name);
+void ps_assert_all_listed (PsCluster *w, size_t instance, const char *id, int n_items);
+void ps_read_metrics (PsCluster *w, size_t instance);
+double ps_read_metric (PsCluster *w, size_t instance, const char *name);
 /* The instance that runs a batch; n_instances when there is none. */
-size_t ps_find_owner (PsWorld *w);
+size_t ps_find_owner (PsCluster *w);
 /* Texts begun at all engines together. */
-size_t ps_count_runs (const PsWorld *w);
+size_t ps_count_engine_runs (const PsCluster *w);
 /* How often the instance's log holds the text. */
-int ps_count_logged (const PsWorld *w, size_t instance, const char *text);
+int ps_count_logged (const PsCluster *w, size_t instance, const char *text);
 
 #endif
--- a/tests/process/pt-world.c
+++ b/tests/process/pt-world.c
@@ -15,7 +15,7 @@
 #define POLL (20 * LB_MSEC)
 
 void
-pt_world_init (PtWorld *world)
+pt_cluster_init (PtCluster *world)
 {
   memset (world, 0, sizeof *world);
   signal (SIGPIPE, SIG_IGN);
@@ -39,7 +39,7 @@
 
 /* With PT_KEEP in the environment the logs stay, to be read after a failure. */
 void
-pt_world_clear (PtWorld *world)
+pt_cluster_clear (PtCluster *world)
 {
   for (size_t i = 0; i < world->n_instances; i++)
     pt_process_clear (&world->instances[i].process);
@@ -52,7 +52,7 @@
 }
 
 static void
-poll_all (PtWorld *world)
+poll_all (PtCluster *world)
 {
   pt_process_poll (&world->platform.process);
   for (size_t i = 0; i < world->n_instances; i++)
@@ -62,9 +62,9 @@
 }
 
 void
-pt_wait (PtWorld *world, const char *what, PtCondition condition, void *user)
+pt_wait (PtCluster *world, const char *what, PtCondition condition, void *user)
 {
-  LbTime give_up = lb_clock_monotonic () + PT_LIMIT;
+  LbTime give_up = lb_clock_monotonic () + PT_WAIT_TIMEOUT;
 
   while (!condition (world, user))
     {
@@ -76,7 +76,7 @@
 }
 
 static void
-start (PtWorld *world, PtProcess *process, const char *name, const char *const *argv)
+start (PtCluster *world, PtProcess *process, const char *name, const char *const *argv)
 {
   char *log = lb_asprintf ("%s/%s.log", world->folder, name);
 
@@ -85,7 +85,7 @@
 }
 
 static bool
-has_announced (PtWorld *world, void *user)
+has_announced (PtCluster *world, void *user)
 {
   (void)world;
   PtProgram *program = user;
@@ -93,16 +93,16 @@
 
   pt_process_poll (&program->process);
   PT_ASSERT_MSG (!program->process.ended, "%s ended at its start", program->name);
-  if (!strchr (program->process.text, '\n'))
+  if (!strchr (program->process.output, '\n'))
     return false;
-  line = json_tokener_parse (program->process.text);
+  line = json_tokener_parse (program->process.output);
   LB_COPY (program->address, si_json_text (line, "address", ""));
   json_object_put (line);
   return true;
 }
 
 void
-pt_start_platform (PtWorld *world)
+pt_start_platform (PtCluster *world)
 {
   static const char *const argv[] = { "standin-platform", NULL };
 
@@ -112,7 +112,7 @@
 }
 
 static void
-launch_endpoint (PtWorld *world,
+launch_endpoint (PtCluster *world,
                  PtProgram *endpoint,
                  const char *program,
                  const char *const *options)
@@ -127,7 +127,7 @@
 }
 
 static PtProgram *
-start_endpoint (PtWorld *world, const char *program, const char *name, const char *const *options)
+start_endpoint (PtCluster *world, const char *program, const char *name, const char *const *options)
 {
   PtProgram *endpoint = &world->endpoints[world->n_endpoints++];
 
@@ -137,20 +137,20 @@
 }
 
 void
-pt_restart_engine (PtWorld *world, PtProgram *engine, const char *const *options)
+pt_restart_engine (PtCluster *world, PtProgram *engine, const char *const *options)
 {
   pt_process_clear (&engine->process);
   launch_endpoint (world, engine, "standin-engine", options);
 }
 
 PtProgram *
-pt_start_engine (PtWorld *world, const char *name, const char *const *options)
+pt_start_engine (PtCluster *world, const char *name, const char *const *options)
 {
   return start_endpoint (world, "standin-engine", name, options);
 }
 
 PtProgram *
-pt_start_service (PtWorld *world, const char *name, const char *const *options)
+pt_start_service (PtCluster *world, const char *name, const char *const *options)
 {
   return start_endpoint (world, "standin-service", name, options);
 }
@@ -164,7 +164,7 @@
 }
 
 static struct json_object *
-new_seeds (const PtWorld *world, const PtProgram *except)
+new_seeds (const PtCluster *world, const PtProgram *except)
 {
   struct json_object *seeds = json_object_new_array ();
 
@@ -184,7 +184,7 @@
 }
 
 static void
-add_platform (const PtWorld *world, struct json_object *settings)
+add_platform (const PtCluster *world, struct json_object *settings)
 {
   struct json_object *platform = add_group (settings, "platform");
 
@@ -194,7 +194,7 @@
 }
 
 static struct json_object *
-new_settings (const PtWorld *world, const PtProgram *instance, const char *address_file)
+new_settings (const PtCluster *world, const PtProgram *instance, const char *address_file)
 {
   struct json_object *settings = json_object_new_object ();
   struct json_object *self = add_group (settings, "instance");
@@ -210,7 +210,7 @@
   add_platform (world, settings);
   si_json_set_text (cluster, "key", "test-key");
   json_object_object_add (cluster, "seeds", new_seeds (world, instance));
-  si_json_set_text (http, "operator_token", PT_TOKEN);
+  si_json_set_text (http, "operator_token", PT_OPERATOR_TOKEN);
   si_json_set_int (http, "request_read_ms", world->request_read_ms);
   si_json_set_int (calls, "stream_silence_ms", world->stream_silence_ms);
   si_json_set_int (calls, "load_poll_ms", 100);
@@ -221,7 +221,7 @@
 }
 
 static bool
-has_address_file (PtWorld *world, void *user)
+has_address_file (PtCluster *world, void *user)
 {
   PtProgram *instance = user;
   char *path = lb_asprintf ("%s/%s.address", world->folder, instance->name);
@@ -241,7 +241,7 @@
 }
 
 static void
-launch (PtWorld *world, PtProgram *instance)
+launch (PtCluster *world, PtProgram *instance)
 {
   char *file = lb_asprintf ("%s/%s.json", world->folder, instance->name);
   char *address_file = lb_asprintf ("%s/%s.address", world->folder, instance->name);
@@ -258,7 +258,7 @@
 }
 
 PtProgram *
-pt_start_instance (PtWorld *world, const char *name, const char *data_centre)
+pt_start_instance (PtCluster *world, const char *name, const char *data_centre)
 {
   PtProgram *instance = &world->instances[world->n_instances++];
 
@@ -270,7 +270,7 @@
 }
 
 void
-pt_restart_instance (PtWorld *world, PtProgram *instance)
+pt_restart_instance (PtCluster *world, PtProgram *instance)
 {
   pt_process_clear (&instance->process);
   launch (world, instance);
@@ -278,7 +278,7 @@
 }
 
 void
-pt_publish_instances (PtWorld *world)
+pt_publish_instances (PtCluster *world)
 {
   struct json_object *order, *list, *instances;
 
@@ -309,7 +309,7 @@
 }
 
 static bool
-is_ready (PtWorld *world, void *user)
+is_ready (PtCluster *world, void *user)
 {
   const PtProgram *instance = user;
   const SiCall call = { .method = "GET", .address = instance->address, .path = "/readyz" };
@@ -322,7 +322,7 @@
 }
 
 void
-pt_wait_ready (PtWorld *world, PtProgram *instance)
+pt_wait_ready (PtCluster *world, PtProgram *instance)
 {
   pt_wait (world, "an instance is ready", is_ready, instance);
 }
@@ -333,7 +333,7 @@
 } Ending;
 
 static bool
-has_ended (PtWorld *world, void *user)
+has_ended (PtCluster *world, void *user)
 {
   (void)world;
   Ending *ending = user;
@@ -343,7 +343,7 @@
 }
 
 void
-pt_wait_exit (PtWorld *world, PtProcess *process, int code)
+pt_wait_exit (PtCluster *world, PtProcess *process, int code)
 {
   Ending ending = { process };
 
@@ -353,7 +353,7 @@
 }
 
 void
-pt_fault (PtWorld *world, PtProgram *program, const char *order)
+pt_inject_fault (PtCluster *world, PtProgram *program, const char *order)
 {
   struct json_object *reply = si_client_json (&world->client, program->address, "/faults", order);
 
@@ -362,7 +362,7 @@
 }
 
 struct json_object *
-pt_log (PtWorld *world, PtProgram *program)
+pt_read_log (PtCluster *world, PtProgram *program)
 {
   struct json_object *log = si_client_json (&world->client, program->address, "/log", NULL);
 
@@ -371,9 +371,9 @@
 }
 
 int64_t
-pt_log_number (PtWorld *world, PtProgram *program, const char *key)
+pt_read_log_counter (PtCluster *world, PtProgram *program, const char *key)
 {
-  struct json_object *log = pt_log (world, program);
+  struct json_object *log = pt_read_log (world, program);
   int64_t number = si_json_int (log, key, -1);
 
   json_object_put (log);
@@ -381,9 +381,9 @@
 }
 
 int64_t
-pt_runs (PtWorld *world, PtProgram *program, const char *key)
+pt_count_runs (PtCluster *world, PtProgram *program, const char *key)
 {
-  struct json_object *log = pt_log (world, program);
+  struct json_object *log = pt_read_log (world, program);
   struct json_object *runs = NULL;
   int64_t n;
 
@@ -394,7 +394,7 @@
 }
 
 static void
-start_caller (PtWorld *world, PtProcess *process, const char *program, const char *const *options)
+start_caller (PtCluster *world, PtProcess *process, const char *program, const char *const *options)
 {
   const char *argv[PT_MAX_ARGS] = { program };
   size_t n = 1;
@@ -412,24 +412,24 @@
 }
 
 void
-pt_start_trainer (PtWorld *world, PtProcess *trainer, const char *const *options)
+pt_start_trainer (PtCluster *world, PtProcess *trainer, const char *const *options)
 {
   start_caller (world, trainer, "standin-trainer", options);
 }
 
 void
-pt_start_load (PtWorld *world, PtProcess *load, const char *const *options)
+pt_start_load (PtCluster *world, PtProcess *load, const char *const *options)
 {
   start_caller (world, load, "standin-load", options);
 }
 
 struct json_object *
-pt_finish (PtWorld *world, PtProcess *process)
+pt_wait_summary (PtCluster *world, PtProcess *process)
 {
   Ending ending = { process };
 
   pt_wait (world, "a stand-in ends", has_ended, &ending);
-  struct json_object *summary = json_tokener_parse (process->text);
+  struct json_object *summary = json_tokener_parse (process->output);
   PT_ASSERT_MSG (summary != NULL, "no summary (logs in %s)", world->folder);
   return summary;
 }
@@ -450,14 +450,14 @@
 }
 
 static bool
-live_is_done (PtWorld *world, void *user)
+live_is_done (PtCluster *world, void *user)
 {
   (void)world;
   return ((LiveWait *)user)->done;
 }
 
 SiLiveResult
-pt_live (PtWorld *world, const SiLiveSpec *spec)
+pt_checked_call (PtCluster *world, const SiLiveSpec *spec)
 {
   LiveWait wait = { .done = false };
 
@@ -467,7 +467,7 @@
 }
 
 void
-pt_world_drain (PtWorld *world)
+pt_cluster_drain (PtCluster *world)
 {
   for (size_t i = 0; i < world->n_instances; i++)
     if (is_running (&world->instances[i]))
--- a/tests/process/test-chaos.c
+++ b/tests/process/test-chaos.c
@@ -21,7 +21,7 @@
 /* Three instances, four engines, two services; a trainer, clerks and order messages. */
 typedef struct
 {
-  PtWorld world;
+  PtCluster world;
   PtProgram *engines[4];
   PtProgram *services[2];
   PtProcess trainer;
@@ -37,10 +37,10 @@
 start_world (Scene *scene)
 {
   static const char *const service_options[] = { "--latency-ms", "30", NULL };
-  PtWorld *world = &scene->world;
+  PtCluster *world = &scene->world;
   char name[16];
 
-  pt_world_init (world);
+  pt_cluster_init (world);
   world->stream_silence_ms = 1000;
   pt_start_platform (world);
   for (int i = 0; i < 4; i++)
@@ -53,7 +53,7 @@
   pt_start_instance (world, "i1", "hall-a");
   pt_start_instance (world, "i2", "hall-b");
   pt_start_instance (world, "i3", "hall-c");
-  pt_apply_all (world, &world->instances[0]);
+  pt_apply_resources (world, &world->instances[0]);
   for (size_t i = 0; i < world->n_instances; i++)
     pt_wait_ready (world, &world->instances[i]);
 }
@@ -120,7 +120,7 @@
   pt_process_signal (&engine->process, SIGKILL);
   pause_for (scene, 300, 1200);
   pt_restart_engine (&scene->world, engine, engine_options);
-  pt_apply_anywhere (&scene->world);
+  pt_apply_resources_anywhere (&scene->world);
 }
 
 static void
@@ -135,9 +135,9 @@
                                         "{\"mode\": \"fail_swap\", \"count\": 1}" };
   PtProgram *engine = scene->engines[pick (scene, 4)];
 
-  pt_fault (&scene->world, engine, orders[pick (scene, sizeof orders / sizeof orders[0])]);
+  pt_inject_fault (&scene->world, engine, orders[pick (scene, sizeof orders / sizeof orders[0])]);
   pause_for (scene, 300, 900);
-  pt_fault (&scene->world, engine, "{\"mode\": \"none\"}");
+  pt_inject_fault (&scene->world, engine, "{\"mode\": \"none\"}");
 }
 
 static void
@@ -148,9 +148,9 @@
           "{\"mode\": \"hang\", \"count\": 1}", "{\"mode\": \"slow\", \"ms\": 400}" };
   PtProgram *service = scene->services[pick (scene, 2)];
 
-  pt_fault (&scene->world, service, orders[pick (scene, sizeof orders / sizeof orders[0])]);
+  pt_inject_fault (&scene->world, service, orders[pick (scene, sizeof orders / sizeof orders[0])]);
   pause_for (scene, 200, 700);
-  pt_fault (&scene->world, service, "{\"mode\": \"none\"}");
+  pt_inject_fault (&scene->world, service, "{\"mode\": \"none\"}");
 }
 
 static void
@@ -160,10 +160,10 @@
       = { "{\"mode\": \"down\"}", "{\"mode\": \"hang\"}", "{\"mode\": \"slow\", \"ms\": 300}",
           "{\"mode\": \"lose_reply\", \"count\": 6}", "{\"mode\": \"busy\"}" };
 
-  pt_fault (&scene->world, &scene->world.platform,
-            orders[pick (scene, sizeof orders / sizeof orders[0])]);
+  pt_inject_fault (&scene->world, &scene->world.platform,
+                   orders[pick (scene, sizeof orders / sizeof orders[0])]);
   pause_for (scene, 300, 2000);
-  pt_fault (&scene->world, &scene->world.platform, "{\"mode\": \"none\"}");
+  pt_inject_fault (&scene->world, &scene->world.platform, "{\"mode\": \"none\"}");
 }
 
 static void
@@ -214,8 +214,8 @@
       if (i % FAULTS_A_VERSION == 0)
         {
           new_weights (scene);
-          pt_fault (&scene->world, scene->services[pick (scene, 2)],
-                    "{\"mode\": \"lose_reply\", \"count\": 2}");
+          pt_inject_fault (&scene->world, scene->services[pick (scene, 2)],
+                           "{\"mode\": \"lose_reply\", \"count\": 2}");
         }
       faults[pick (scene, sizeof faults / sizeof faults[0])](scene);
       pause_for (scene, 50, 300);
@@ -225,7 +225,7 @@
 static void
 check_trainer (Scene *scene)
 {
-  struct json_object *summary = pt_finish (&scene->world, &scene->trainer);
+  struct json_object *summary = pt_wait_summary (&scene->world, &scene->trainer);
 
   cr_assert (pt_process_has_exited (&scene->trainer, 0), "trainer: %s (logs in %s)",
              json_object_to_json_string (summary), scene->world.folder);
@@ -235,7 +235,7 @@
 static void
 check_clerks (Scene *scene)
 {
-  struct json_object *summary = pt_finish (&scene->world, &scene->clerks);
+  struct json_object *summary = pt_wait_summary (&scene->world, &scene->clerks);
 
   cr_assert_eq (si_json_int (summary, "wrong", -1), 0, "clerks: %s (logs in %s)",
                 json_object_to_json_string (summary), scene->world.folder);
@@ -259,9 +259,9 @@
 static void
 check_orders (Scene *scene)
 {
-  struct json_object *summary = pt_finish (&scene->world, &scene->orders);
-  struct json_object *logs[]
-      = { pt_log (&scene->world, scene->services[0]), pt_log (&scene->world, scene->services[1]) };
+  struct json_object *summary = pt_wait_summary (&scene->world, &scene->orders);
+  struct json_object *logs[] = { pt_read_log (&scene->world, scene->services[0]),
+                                 pt_read_log (&scene->world, scene->services[1]) };
   struct json_object *not_run = NULL;
   char key[64];
 
@@ -306,11 +306,11 @@
   check_clerks (&scene);
   check_orders (&scene);
   check_trainer (&scene);
-  pt_world_drain (&scene.world);
+  pt_cluster_drain (&scene.world);
   pt_process_clear (&scene.trainer);
   pt_process_clear (&scene.clerks);
   pt_process_clear (&scene.orders);
-  pt_world_clear (&scene.world);
+  pt_cluster_clear (&scene.world);
   gsl_rng_free (scene.rng);
 }
 
--- a/tests/process/test-config.c
+++ b/tests/process/test-config.c
@@ -13,19 +13,19 @@
 #define QUEUE_LIMIT(n)                                                                             \
   "{\"apply\": [{\"kind\": \"pool\", \"name\": \"reader\", \"queue_limit\": " #n "}]}"
 
-static PtWorld world;
+static PtCluster world;
 
 static void
 setup (void)
 {
-  pt_world_init (&world);
+  pt_cluster_init (&world);
   pt_start_platform (&world);
 }
 
 static void
 teardown (void)
 {
-  pt_world_clear (&world);
+  pt_cluster_clear (&world);
 }
 
 TestSuite (config, .init = setup, .fini = teardown);
@@ -33,7 +33,7 @@
 static struct json_object *
 status_of (const PtProgram *instance)
 {
-  const LhHeader headers[] = { { "authorization", "Bearer " PT_TOKEN } };
+  const LhHeader headers[] = { { "authorization", "Bearer " PT_OPERATOR_TOKEN } };
   const SiCall call = { .method = "GET",
                         .address = instance->address,
                         .path = "/v1/status",
@@ -65,7 +65,7 @@
 }
 
 static bool
-is_ready (PtWorld *w, void *user)
+is_ready (PtCluster *w, void *user)
 {
   const PtProgram *instance = user;
   const SiCall call = { .method = "GET", .address = instance->address, .path = "/readyz" };
@@ -78,13 +78,13 @@
 }
 
 static bool
-is_not_ready (PtWorld *w, void *user)
+is_not_ready (PtCluster *w, void *user)
 {
   return !is_ready (w, user);
 }
 
 static bool
-sees_all (PtWorld *w, void *user)
+sees_all (PtCluster *w, void *user)
 {
   struct json_object *status = status_of (user);
   struct json_object *instances = json_object_object_get (status, "instances");
@@ -118,7 +118,7 @@
 {
   SiAnswer answer;
 
-  pt_apply (&world, instance, changes, if_match, &answer);
+  pt_apply_change (&world, instance, changes, if_match, &answer);
   int result = answer.status;
   lb_strlcpy (error, si_answer_error (&answer), LB_NAME_MAX);
   si_answer_clear (&answer);
@@ -136,7 +136,7 @@
 }
 
 static bool
-has_revision_2 (PtWorld *w, void *user)
+has_revision_2 (PtCluster *w, void *user)
 {
   (void)w;
   return revision_of (user) == 2;
@@ -175,7 +175,8 @@
   start_instances (2);
   PtProgram *first = &world.instances[0];
   cr_assert_eq (change (first, QUEUE_LIMIT (1), "\"0\"", error), 200, "%s", error);
-  pt_fault (&world, &world.platform, "{\"mode\": \"lose_reply\", \"path\": \"/table/transact\"}");
+  pt_inject_fault (&world, &world.platform,
+                   "{\"mode\": \"lose_reply\", \"path\": \"/table/transact\"}");
   cr_assert_eq (change (first, QUEUE_LIMIT (2), "\"1\"", error), 200, "%s", error);
   pt_wait (&world, "revision 2 at the other", has_revision_2, &world.instances[1]);
   cr_assert_eq (revision_of (first), 2);
@@ -190,7 +191,7 @@
   start_instances (3);
   cr_assert_eq (change (&world.instances[0], QUEUE_LIMIT (1), "\"0\"", error), 200, "%s", error);
   cr_assert_eq (change (&world.instances[0], QUEUE_LIMIT (2), "\"1\"", error), 200, "%s", error);
-  pt_fault (&world, &world.platform, "{\"mode\": \"down\"}");
+  pt_inject_fault (&world, &world.platform, "{\"mode\": \"down\"}");
   cr_assert_eq (change (&world.instances[0], QUEUE_LIMIT (3), "\"2\"", error), 503);
   cr_assert_str_eq (error, "store_away");
   si_client_pause (&world.client, OVER_THE_BOUND);
@@ -200,7 +201,7 @@
   pt_restart_instance (&world, &world.instances[2]);
   pt_wait_ready (&world, &world.instances[2]);
   cr_assert_eq (revision_of (&world.instances[2]), 2);
-  pt_fault (&world, &world.platform, "{\"mode\": \"none\"}");
+  pt_inject_fault (&world, &world.platform, "{\"mode\": \"none\"}");
 }
 
 /* Two of three instances die while the store is away. What is left can't tell whether it is alone
@@ -213,17 +214,17 @@
   PtProgram *last = &world.instances[2];
   const SiLiveSpec spec
       = { .address = last->address, .model = "reader", .prompt = "an envelope", .max_tokens = 4 };
-  pt_apply_all (&world, &world.instances[0]);
-  pt_wait_in_force (&world);
-  pt_fault (&world, &world.platform, "{\"mode\": \"down\"}");
+  pt_apply_resources (&world, &world.instances[0]);
+  pt_wait_revision_in_force (&world);
+  pt_inject_fault (&world, &world.platform, "{\"mode\": \"down\"}");
   pt_process_clear (&world.instances[0].process);
   pt_process_clear (&world.instances[1].process);
   pt_wait (&world, "the last one stops new work", is_not_ready, last);
-  cr_assert_eq (pt_live (&world, &spec).outcome, SI_LIVE_NOT_RUN);
-  cr_assert_eq (pt_runs (&world, engine, spec.prompt), 0);
-  pt_fault (&world, &world.platform, "{\"mode\": \"none\"}");
+  cr_assert_eq (pt_checked_call (&world, &spec).outcome, SI_LIVE_NOT_RUN);
+  cr_assert_eq (pt_count_runs (&world, engine, spec.prompt), 0);
+  pt_inject_fault (&world, &world.platform, "{\"mode\": \"none\"}");
   pt_wait_ready (&world, last);
-  cr_assert_eq (pt_live (&world, &spec).outcome, SI_LIVE_WHOLE);
+  cr_assert_eq (pt_checked_call (&world, &spec).outcome, SI_LIVE_WHOLE);
 }
 
 /* --- leases and weights --- */
@@ -236,7 +237,7 @@
 } HolderSearch;
 
 static bool
-find_holder (PtWorld *w, void *user)
+find_holder (PtCluster *w, void *user)
 {
   HolderSearch *search = user;
 
@@ -262,7 +263,7 @@
 }
 
 static bool
-all_engines_have (PtWorld *w, void *user)
+all_engines_have (PtCluster *w, void *user)
 {
   const int64_t *version = user;
 
@@ -279,7 +280,7 @@
 }
 
 static bool
-some_engine_loads (PtWorld *w, void *user)
+some_engine_loads (PtCluster *w, void *user)
 {
   (void)user;
   for (size_t i = 0; i < w->n_endpoints; i++)
@@ -318,7 +319,7 @@
   pt_start_engine (&world, "engine-2", checking);
   pt_start_engine (&world, "engine-3", checking);
   pt_start_engine (&world, "engine-4", careless);
-  pt_apply_all (&world, &world.instances[0]);
+  pt_apply_resources (&world, &world.instances[0]);
   *search = (HolderSearch){ .but = NULL };
   pt_wait (&world, "an instance holds the lease", find_holder, search);
   return search->found;
@@ -375,7 +376,7 @@
   LbName error;
 
   start_pool (&search);
-  pt_fault (&world, &world.endpoints[1], "{\"mode\": \"fail_swap\", \"count\": 1}");
+  pt_inject_fault (&world, &world.endpoints[1], "{\"mode\": \"fail_swap\", \"count\": 1}");
   publish_weights (version);
   pt_wait (&world, "all engines have 41", all_engines_have, &version);
 
--- a/tests/process/test-crashing-services.c
+++ b/tests/process/test-crashing-services.c
@@ -15,24 +15,24 @@
 #define REPEATS 6
 
 static void
-scene_open (PtWorld *world)
+scene_open (PtCluster *world)
 {
   static const char *const names[] = { "lookup-1", "lookup-2", "lookup-3", "lookup-4" };
   static const char *const options[] = { "--crash-on", BAD, NULL };
 
-  pt_world_init (world);
+  pt_cluster_init (world);
   pt_start_platform (world);
   for (size_t i = 0; i < N_SERVICES; i++)
     pt_start_service (world, names[i], options);
   pt_start_instance (world, "i1", "hall-a");
   pt_start_instance (world, "i2", "hall-b");
-  pt_apply_all (world, &world->instances[0]);
+  pt_apply_resources (world, &world->instances[0]);
   for (size_t i = 0; i < world->n_instances; i++)
     pt_wait_ready (world, &world->instances[i]);
 }
 
 static SiLiveResult
-order (PtWorld *world, size_t instance, const char *text)
+order (PtCluster *world, size_t instance, const char *text)
 {
   const SiLiveSpec spec = { .kind = SI_LIVE_SERVICE,
                             .address = world->instances[instance].address,
@@ -41,11 +41,11 @@
                             /* Retries of the one are not to use up the other's. */
                             .caller = strcmp (text, BAD) == 0 ? "shop" : "clerk" };
 
-  return pt_live (world, &spec);
+  return pt_checked_call (world, &spec);
 }
 
 static size_t
-count_ended (PtWorld *world)
+count_ended (PtCluster *world)
 {
   size_t n = 0;
 
@@ -58,13 +58,13 @@
 }
 
 static bool
-is_refused (PtWorld *world, void *user)
+is_refused (PtCluster *world, void *user)
 {
   return strcmp (order (world, *(size_t *)user, BAD).error, "quarantined") == 0;
 }
 
 static void
-end_three (PtWorld *world)
+end_three (PtCluster *world)
 {
   for (size_t i = 0; count_ended (world) < N_ENDS; i++)
     {
@@ -74,7 +74,7 @@
 }
 
 static bool
-are_reported (PtWorld *world, void *user)
+are_reported (PtCluster *world, void *user)
 {
   (void)user;
   struct json_object *answer = si_client_json (&world->client, world->platform.address,
@@ -88,7 +88,7 @@
 }
 
 static void
-assert_one_is_left (PtWorld *world)
+assert_one_is_left (PtCluster *world)
 {
   cr_assert_eq (count_ended (world), N_ENDS);
   for (size_t i = 0; i < world->n_instances; i++)
@@ -97,7 +97,7 @@
 
 Test (crashing_services, all_instances_keep_the_call_from_the_last_one)
 {
-  PtWorld world;
+  PtCluster world;
 
   scene_open (&world);
   end_three (&world);
@@ -109,15 +109,15 @@
       cr_assert_gt (result.retry_after, 0);
     }
   assert_one_is_left (&world);
-  pt_world_drain (&world);
-  pt_world_clear (&world);
+  pt_cluster_drain (&world);
+  pt_cluster_clear (&world);
 }
 
 /* Both instances are killed once their reports stand in the store; killed before, they take the
  * last one with them. They start again and have seen nothing themselves. */
 Test (crashing_services, a_restart_of_all_instances_forgets_nothing)
 {
-  PtWorld world;
+  PtCluster world;
 
   scene_open (&world);
   end_three (&world);
@@ -132,6 +132,6 @@
   for (size_t i = 0; i < world.n_instances; i++)
     pt_wait (&world, "the call is refused", is_refused, &i);
   assert_one_is_left (&world);
-  pt_world_drain (&world);
-  pt_world_clear (&world);
+  pt_cluster_drain (&world);
+  pt_cluster_clear (&world);
 }
--- a/tests/process/test-crashing.c
+++ b/tests/process/test-crashing.c
@@ -33,7 +33,7 @@
 
 typedef struct
 {
-  PsWorld base;
+  PsCluster base;
   SiSampler more[N_LOOKUPS - 1];
   SiSampler *lookups[N_LOOKUPS];
   int sent;
@@ -49,7 +49,7 @@
   static const char *const names[] = { "i-lookup-b", "i-lookup-c" };
 
   w->sent = 0;
-  ps_world_init (&w->base);
+  ps_cluster_init (&w->base);
   ps_put_config (&w->base, 1, once_route);
   w->lookups[0] = &w->base.lookup;
   for (int i = 0; i < N_LOOKUPS - 1; i++)
@@ -71,7 +71,7 @@
 {
   for (int i = 0; i < N_LOOKUPS - 1; i++)
     si_sampler_clear (&w->more[i]);
-  ps_world_clear (&w->base);
+  ps_cluster_clear (&w->base);
 }
 
 static void
@@ -80,7 +80,7 @@
   LbTime end = lb_clock_monotonic () + time;
 
   while (lb_clock_monotonic () < end)
-    ps_turn (&w->base);
+    ps_run_loop_once (&w->base);
 }
 
 /* Each time under another id. */
@@ -159,7 +159,7 @@
   for (size_t i = 0; i < REPEATS; i++)
     {
       size_t instance = i % PS_MAX_INSTANCES;
-      PS_UNTIL (&w->base, is_served (w, instance, "/lookup/8", "GOOD"));
+      PS_WAIT_UNTIL (&w->base, is_served (w, instance, "/lookup/8", "GOOD"));
       send_to (w, instance, path, BAD);
     }
 }
@@ -231,8 +231,8 @@
 
   world_init (&w);
   w.base.rows.mode = SI_ROWS_AWAY;
-  PS_UNTIL (&w.base,
-            (ps_call (&w.base, 0, "POST", "/lookup/7", "c", BAD), lookup_crashes (&w) >= 3));
+  PS_WAIT_UNTIL (&w.base,
+                 (ps_call (&w.base, 0, "POST", "/lookup/7", "c", BAD), lookup_crashes (&w) >= 3));
   w.base.rows.mode = SI_ROWS_WELL;
   pause_for (&w, LEARN_TIME);
   int before = lookup_runs (&w);
@@ -267,14 +267,14 @@
 
   world_init (&w);
   submit_bad (&w, false);
-  PS_UNTIL (&w.base, engine_crashes (&w) >= 3);
+  PS_WAIT_UNTIL (&w.base, engine_crashes (&w) >= 3);
   pause_for (&w, LEARN_TIME);
   int before = engine_runs (&w);
   pause_for (&w, BATCH_TIME);
   cr_assert_leq (engine_runs (&w) - before, MAX_AFTER);
-  PS_UNTIL (&w.base, ps_count_listed (&w.base, 1, "b1") == BATCH_ITEMS - 1);
+  PS_WAIT_UNTIL (&w.base, ps_count_listed (&w.base, 1, "b1") == BATCH_ITEMS - 1);
   ps_submit (&w.base, 1, "b2", BATCH_ITEMS);
-  PS_UNTIL (&w.base, ps_count_listed (&w.base, 2, "b2") == BATCH_ITEMS);
+  PS_WAIT_UNTIL (&w.base, ps_count_listed (&w.base, 2, "b2") == BATCH_ITEMS);
   world_clear (&w);
 }
 
@@ -285,11 +285,11 @@
 
   world_init (&w);
   submit_bad (&w, true);
-  PS_UNTIL (&w.base, lookup_crashes (&w) >= 3);
+  PS_WAIT_UNTIL (&w.base, lookup_crashes (&w) >= 3);
   pause_for (&w, LEARN_TIME);
   int before = lookup_runs (&w);
   pause_for (&w, BATCH_TIME);
   cr_assert_leq (lookup_runs (&w) - before, MAX_AFTER);
-  PS_UNTIL (&w.base, ps_count_listed (&w.base, 1, "b1") == BATCH_ITEMS - 1);
+  PS_WAIT_UNTIL (&w.base, ps_count_listed (&w.base, 1, "b1") == BATCH_ITEMS - 1);
   world_clear (&w);
 }
--- a/tests/process/test-daemon.c
+++ b/tests/process/test-daemon.c
@@ -29,7 +29,7 @@
     if (pt_process_has_exited (&process, i))
       code = i;
   if (output)
-    snprintf (output, size, "%s", process.text ? process.text : "");
+    snprintf (output, size, "%s", process.output ? process.output : "");
   pt_process_clear (&process);
   return code;
 }
@@ -103,13 +103,13 @@
   snprintf (log, sizeof log, "%s/log", folder);
   pt_process_start (&first, (const char *[]){ "standin-service", "--port=0", NULL }, log);
   LbTime end = lb_clock_monotonic () + PATIENCE;
-  while ((!first.text || !strchr (first.text, '\n')) && lb_clock_monotonic () < end)
+  while ((!first.output || !strchr (first.output, '\n')) && lb_clock_monotonic () < end)
     {
       pt_process_poll (&first);
       usleep (2000);
     }
-  cr_assert (first.text);
-  const char *address = strstr (first.text, "127.0.0.1:");
+  cr_assert (first.output);
+  const char *address = strstr (first.output, "127.0.0.1:");
   cr_assert (address);
   port = atoi (address + strlen ("127.0.0.1:"));
   snprintf (line, sizeof line, "{\"instance\": {\"caller_address\": \"127.0.0.1:%d\"}}", port);
--- a/tests/process/test-drain.c
+++ b/tests/process/test-drain.c
@@ -20,22 +20,22 @@
 }
 
 static bool
-is_answered (PtWorld *world, void *user)
+is_answered (PtCluster *world, void *user)
 {
   (void)world;
   return ((Answer *)user)->done;
 }
 
 static bool
-engine_has_started (PtWorld *world, void *user)
+engine_has_started (PtCluster *world, void *user)
 {
-  return pt_log_number (world, user, "started") > 0;
+  return pt_read_log_counter (world, user, "started") > 0;
 }
 
 static bool
-stream_has_started (PtWorld *world, void *user)
+stream_has_started (PtCluster *world, void *user)
 {
-  return pt_runs (world, user, "a long envelope") > 0;
+  return pt_count_runs (world, user, "a long envelope") > 0;
 }
 
 /* An instance is replaced while a clerk reads a long answer. If the process ends at SIGTERM, or
@@ -44,14 +44,14 @@
 Test (drain, stream_in_progress_is_finished_before_the_exit)
 {
   static const char *const slow[] = { "--tokens-per-second", "40", NULL };
-  PtWorld world;
+  PtCluster world;
   Answer answer = { .done = false };
 
-  pt_world_init (&world);
+  pt_cluster_init (&world);
   world.in_memory = true;
   PtProgram *engine = pt_start_engine (&world, "engine-1", slow);
   PtProgram *instance = pt_start_instance (&world, "i1", "hall-a");
-  pt_apply_all (&world, instance);
+  pt_apply_resources (&world, instance);
   pt_wait_ready (&world, instance);
   SiLiveSpec spec = { .address = instance->address,
                       .model = "reader",
@@ -65,19 +65,19 @@
   pt_process_signal (&instance->process, SIGTERM);
   si_client_pause (&world.client, 100 * LB_MSEC);
   spec.prompt = "another";
-  SiLiveResult refused = pt_live (&world, &spec);
+  SiLiveResult refused = pt_checked_call (&world, &spec);
   cr_assert_eq (refused.outcome, SI_LIVE_NOT_RUN, "%d %s", refused.outcome, refused.error);
-  cr_assert_eq (pt_runs (&world, engine, "another"), 0);
+  cr_assert_eq (pt_count_runs (&world, engine, "another"), 0);
 
   pt_wait (&world, "the stream ends", is_answered, &answer);
   cr_assert_eq (answer.result.outcome, SI_LIVE_WHOLE, "%d %s", answer.result.outcome,
                 answer.result.error);
   pt_wait_exit (&world, &instance->process, 0);
-  pt_world_clear (&world);
+  pt_cluster_clear (&world);
 }
 
 static bool
-pull_is_turned_away (PtWorld *world, void *user)
+pull_is_turned_away (PtCluster *world, void *user)
 {
   const PtProgram *instance = user;
   const SiCall call = { .method = "POST",
@@ -101,15 +101,15 @@
 Test (drain, trainer_that_stays_is_turned_away)
 {
   static const char *const slow[] = { "--tokens-per-second", "20", NULL };
-  PtWorld world;
+  PtCluster world;
   Answer answer = { .done = false };
 
-  pt_world_init (&world);
+  pt_cluster_init (&world);
   pt_start_platform (&world);
   PtProgram *engine = pt_start_engine (&world, "engine-1", slow);
   PtProgram *leaving = pt_start_instance (&world, "i1", "hall-a");
   PtProgram *owner = pt_start_instance (&world, "i2", "hall-b");
-  pt_apply_all (&world, leaving);
+  pt_apply_resources (&world, leaving);
   pt_wait_ready (&world, leaving);
   pt_wait_ready (&world, owner);
   json_object_put (si_client_json (
@@ -130,8 +130,8 @@
   pt_wait (&world, "the stream ends", is_answered, &answer);
   cr_assert_eq (answer.result.outcome, SI_LIVE_WHOLE);
   pt_wait_exit (&world, &leaving->process, 0);
-  pt_world_drain (&world);
-  pt_world_clear (&world);
+  pt_cluster_drain (&world);
+  pt_cluster_clear (&world);
 }
 
 /* An instance is replaced while the store answers nothing. What waits for the store is dropped at
@@ -140,17 +140,17 @@
 Test (drain, store_that_answers_nothing_does_not_spoil_the_exit)
 {
   static const char *const engine_options[] = { "--version", "1", NULL };
-  PtWorld world;
+  PtCluster world;
 
-  pt_world_init (&world);
+  pt_cluster_init (&world);
   pt_start_platform (&world);
   pt_start_engine (&world, "engine-1", engine_options);
   pt_start_instance (&world, "i1", "hall-a");
   pt_start_instance (&world, "i2", "hall-b");
-  pt_apply_all (&world, &world.instances[0]);
+  pt_apply_resources (&world, &world.instances[0]);
   pt_wait_ready (&world, &world.instances[0]);
   pt_wait_ready (&world, &world.instances[1]);
-  pt_fault (&world, &world.platform, "{\"mode\": \"hang\"}");
-  pt_world_drain (&world);
-  pt_world_clear (&world);
+  pt_inject_fault (&world, &world.platform, "{\"mode\": \"hang\"}");
+  pt_cluster_drain (&world);
+  pt_cluster_clear (&world);
 }
--- a/tests/process/test-duties.c
+++ b/tests/process/test-duties.c
@@ -16,19 +16,19 @@
 #define N_INSTANCES 2
 
 static void
-begin (PsWorld *w)
+begin (PsCluster *w)
 {
-  ps_world_init (w);
+  ps_cluster_init (w);
   w->organisations = ORGANISATIONS;
   w->has_duties = true;
   ps_put_config (w, 2, "");
   for (int i = 0; i < N_INSTANCES; i++)
     ps_start_instance (w);
-  PS_UNTIL (w, w->cloud.calls > 0);
+  PS_WAIT_UNTIL (w, w->cloud.calls > 0);
 }
 
 static void
-call (PsWorld *w, size_t instance, const char *key, int n)
+call (PsCluster *w, size_t instance, const char *key, int n)
 {
   static int number;
   char id[16];
@@ -43,14 +43,14 @@
 }
 
 static bool
-is_reported (const PsWorld *w, int64_t post, int64_t mill)
+is_reported (const PsCluster *w, int64_t post, int64_t mill)
 {
   return si_cloud_requests_of (&w->cloud, "post") == post
          && si_cloud_requests_of (&w->cloud, "mill") == mill;
 }
 
 static size_t
-holder (PsWorld *w)
+holder (PsCluster *w)
 {
   for (size_t i = 0; i < w->n_instances; i++)
     if (w->cloud.n_reports > 0
@@ -60,22 +60,22 @@
 }
 
 static void
-end (PsWorld *w)
+end (PsCluster *w)
 {
   cr_assert_eq (w->cloud.differing, 0);
   cr_assert_eq (w->cloud.without_one, 0);
-  ps_world_clear (w);
+  ps_cluster_clear (w);
 }
 
 Test (duties, all_instances_usage_is_reported_by_one)
 {
-  PsWorld w;
+  PsCluster w;
 
   begin (&w);
   call (&w, 0, "post-1", 5);
   call (&w, 1, "post-1", 2);
   call (&w, 1, "mill-1", 3);
-  PS_UNTIL (&w, is_reported (&w, 7, 3));
+  PS_WAIT_UNTIL (&w, is_reported (&w, 7, 3));
   cr_assert_eq (w.cloud.stale, 0);
   end (&w);
 }
@@ -84,16 +84,16 @@
  * began, while it still runs. */
 Test (duties, a_long_call_is_reported_where_it_began)
 {
-  PsWorld w;
+  PsCluster w;
 
   begin (&w);
   w.lookup.call_time = 8 * LB_SEC;
   w.key = "post-1";
   int before = w.answers;
-  ps_begin_call (&w, 0, "POST", "/lookup/1", "long", "");
-  PS_UNTIL (&w, is_reported (&w, 1, 0));
+  ps_start_call (&w, 0, "POST", "/lookup/1", "long", "");
+  PS_WAIT_UNTIL (&w, is_reported (&w, 1, 0));
   cr_assert_eq (w.answers, before, "it was counted only when it had ended");
-  PS_UNTIL (&w, w.answers > before);
+  PS_WAIT_UNTIL (&w, w.answers > before);
   cr_assert_eq (w.status, 200);
   end (&w);
 }
@@ -103,18 +103,18 @@
  * other figures. */
 Test (duties, usage_outlives_its_instances)
 {
-  PsWorld w;
+  PsCluster w;
 
   begin (&w);
-  PS_UNTIL (&w, holder (&w) < w.n_instances);
+  PS_WAIT_UNTIL (&w, holder (&w) < w.n_instances);
   size_t killed = holder (&w);
   call (&w, killed, "post-1", 4);
-  PS_UNTIL (&w, si_rows_count (&w.rows, "usage") > 0);
+  PS_WAIT_UNTIL (&w, si_rows_count (&w.rows, "usage") > 0);
   for (LbTime until = lb_clock_monotonic () + 300 * LB_MSEC; lb_clock_monotonic () < until;)
-    ps_turn (&w);
+    ps_run_loop_once (&w);
   pt_process_signal (&w.instances[killed].process, SIGKILL);
   call (&w, 1 - killed, "mill-1", 2);
-  PS_UNTIL (&w, is_reported (&w, 4, 2));
+  PS_WAIT_UNTIL (&w, is_reported (&w, 4, 2));
   end (&w);
 }
 
@@ -122,19 +122,19 @@
  * repeated as they were until they are taken. */
 Test (duties, a_platform_that_is_not_well_gets_each_report_once)
 {
-  PsWorld w;
+  PsCluster w;
 
   begin (&w);
   w.cloud.mode = SI_CLOUD_LOSES_REPLY;
   call (&w, 0, "post-1", 3);
   int calls = w.cloud.calls;
-  PS_UNTIL (&w, w.cloud.calls >= calls + 4);
+  PS_WAIT_UNTIL (&w, w.cloud.calls >= calls + 4);
   w.cloud.mode = SI_CLOUD_BUSY;
   calls = w.cloud.calls;
-  PS_UNTIL (&w, w.cloud.calls >= calls + 4);
+  PS_WAIT_UNTIL (&w, w.cloud.calls >= calls + 4);
   w.cloud.mode = SI_CLOUD_WELL;
   call (&w, 1, "post-1", 1);
-  PS_UNTIL (&w, is_reported (&w, 4, 0));
+  PS_WAIT_UNTIL (&w, is_reported (&w, 4, 0));
   end (&w);
 }
 
@@ -142,16 +142,16 @@
  * the stopped one served until its end is reported as well. */
 Test (duties, a_planned_stop_hands_the_duty_over)
 {
-  PsWorld w;
+  PsCluster w;
 
   begin (&w);
-  PS_UNTIL (&w, holder (&w) < w.n_instances);
+  PS_WAIT_UNTIL (&w, holder (&w) < w.n_instances);
   size_t stopped = holder (&w);
   call (&w, stopped, "post-1", 2);
   pt_process_signal (&w.instances[stopped].process, SIGTERM);
   call (&w, stopped, "post-1", 1);
-  PS_UNTIL (&w, w.instances[stopped].process.ended);
-  PS_UNTIL (&w, is_reported (&w, 3, 0));
-  PS_UNTIL (&w, holder (&w) == 1 - stopped);
+  PS_WAIT_UNTIL (&w, w.instances[stopped].process.ended);
+  PS_WAIT_UNTIL (&w, is_reported (&w, 3, 0));
+  PS_WAIT_UNTIL (&w, holder (&w) == 1 - stopped);
   end (&w);
 }
--- a/tests/process/test-endpoints.c
+++ b/tests/process/test-endpoints.c
@@ -9,21 +9,22 @@
 #define LEAVING_BOUND (3 * LB_SEC)
 
 static bool
-has_tokens (PtWorld *world, void *user)
+has_tokens (PtCluster *world, void *user)
 {
-  return pt_log_number (world, user, "tokens") > 0;
+  return pt_read_log_counter (world, user, "tokens") > 0;
 }
 
 /* Work that the endpoint was given, whether it took it or not. */
 static int64_t
-count_asked (PtWorld *world, PtProgram *endpoint)
+count_asked (PtCluster *world, PtProgram *endpoint)
 {
-  return pt_log_number (world, endpoint, "started") + pt_log_number (world, endpoint, "refused");
+  return pt_read_log_counter (world, endpoint, "started")
+         + pt_read_log_counter (world, endpoint, "refused");
 }
 
 /* Load in the background, one engine told to leave, the other stays. */
 static void
-leave_under_load (PtWorld *world, void (*leave) (PtWorld *world, PtProgram *engine))
+leave_under_load (PtCluster *world, void (*leave) (PtCluster *world, PtProgram *engine))
 {
   static const char *const load_options[]
       = { "--rate",    "60", "--concurrency", "40", "--count",  "100000",
@@ -36,7 +37,7 @@
   PtProgram *leaving = pt_start_engine (world, "engine-1", slow);
   pt_start_engine (world, "engine-2", slow);
   PtProgram *instance = pt_start_instance (world, "i1", "hall-a");
-  pt_apply_all (world, instance);
+  pt_apply_resources (world, instance);
   pt_wait_ready (world, instance);
   pt_start_load (world, &load, load_options);
   pt_wait (world, "the engine that will leave has work", has_tokens, leaving);
@@ -44,9 +45,9 @@
   leave (world, leaving);
   si_client_pause (&world->client, LEAVING_BOUND);
   int64_t after_bound = count_asked (world, leaving);
-  struct json_object *summary = pt_finish (world, &load);
+  struct json_object *summary = pt_wait_summary (world, &load);
   cr_assert_eq (count_asked (world, leaving), after_bound);
-  cr_assert_eq (pt_log_number (world, leaving, "cancelled"), 0);
+  cr_assert_eq (pt_read_log_counter (world, leaving, "cancelled"), 0);
   cr_assert (pt_process_has_exited (&load, 0), "%s", json_object_to_json_string (summary));
   cr_assert_gt (si_json_int (summary, "whole", 0), 100);
   json_object_put (summary);
@@ -54,13 +55,13 @@
 }
 
 static void
-leave_by_itself (PtWorld *world, PtProgram *engine)
+leave_by_itself (PtCluster *world, PtProgram *engine)
 {
-  pt_fault (world, engine, "{\"mode\": \"leaving\"}");
+  pt_inject_fault (world, engine, "{\"mode\": \"leaving\"}");
 }
 
 static void
-leave_by_resource (PtWorld *world, PtProgram *engine)
+leave_by_resource (PtCluster *world, PtProgram *engine)
 {
   char changes[512];
   SiAnswer answer;
@@ -70,7 +71,7 @@
             " \"pool\": \"reader\", \"address\": \"%s\", \"data_centre\": \"hall-a\","
             " \"concurrency\": 32, \"checks_fence\": true, \"leaving\": true}]}",
             engine->name, engine->address);
-  pt_apply (world, &world->instances[0], changes, "*", &answer);
+  pt_apply_change (world, &world->instances[0], changes, "*", &answer);
   cr_assert (si_answer_is_ok (&answer), "%s", answer.body);
   si_answer_clear (&answer);
 }
@@ -80,28 +81,28 @@
  * before must end whole. */
 Test (leaving, engine_that_says_so_gets_no_new_work_after_3_s)
 {
-  PtWorld world;
+  PtCluster world;
 
-  pt_world_init (&world);
+  pt_cluster_init (&world);
   leave_under_load (&world, leave_by_itself);
-  pt_world_drain (&world);
-  pt_world_clear (&world);
+  pt_cluster_drain (&world);
+  pt_cluster_clear (&world);
 }
 
 /* The same, told by an operator's resource while the engine itself knows nothing of it. */
 Test (leaving, engine_that_the_operator_retires_gets_no_new_work_after_3_s)
 {
-  PtWorld world;
+  PtCluster world;
 
-  pt_world_init (&world);
+  pt_cluster_init (&world);
   leave_under_load (&world, leave_by_resource);
-  pt_world_drain (&world);
-  pt_world_clear (&world);
+  pt_cluster_drain (&world);
+  pt_cluster_clear (&world);
 }
 
 /* None of the calls that were said not to have run has run. */
 static void
-check_not_run (PtWorld *world, struct json_object *summary, PtProgram *one, PtProgram *other)
+check_not_run (PtCluster *world, struct json_object *summary, PtProgram *one, PtProgram *other)
 {
   struct json_object *not_run = NULL;
 
@@ -109,8 +110,8 @@
   for (size_t i = 0; i < json_object_array_length (not_run); i++)
     {
       const char *key = json_object_get_string (json_object_array_get_idx (not_run, i));
-      cr_assert_eq (pt_runs (world, one, key), 0, "%s", key);
-      cr_assert (!other || pt_runs (world, other, key) == 0, "%s", key);
+      cr_assert_eq (pt_count_runs (world, one, key), 0, "%s", key);
+      cr_assert (!other || pt_count_runs (world, other, key) == 0, "%s", key);
     }
 }
 
@@ -123,30 +124,30 @@
       = { "--concurrency", "8",  "--count",  "40", "--callers", "40",
           "--max-tokens",  "60", "--stream", NULL };
   static const char *const slow[] = { "--tokens-per-second", "100", NULL };
-  PtWorld world;
+  PtCluster world;
   PtProcess load;
 
-  pt_world_init (&world);
+  pt_cluster_init (&world);
   world.in_memory = true;
   PtProgram *crashing = pt_start_engine (&world, "engine-1", slow);
   PtProgram *other = pt_start_engine (&world, "engine-2", slow);
   PtProgram *instance = pt_start_instance (&world, "i1", "hall-a");
-  pt_apply_all (&world, instance);
+  pt_apply_resources (&world, instance);
   pt_wait_ready (&world, instance);
   pt_start_load (&world, &load, load_options);
   pt_wait (&world, "the engine that will crash has work", has_tokens, crashing);
   pt_process_signal (&crashing->process, SIGKILL);
 
-  struct json_object *summary = pt_finish (&world, &load);
+  struct json_object *summary = pt_wait_summary (&world, &load);
   cr_assert (pt_process_has_exited (&load, 0), "%s", json_object_to_json_string (summary));
   cr_assert_gt (si_json_int (summary, "whole", 0), 20);
   check_not_run (&world, summary, other, NULL);
-  cr_assert_gt (pt_log_number (&world, other, "resumed"), 0);
-  cr_assert_eq (pt_log_number (&world, other, "resume_mismatches"), 0);
+  cr_assert_gt (pt_read_log_counter (&world, other, "resumed"), 0);
+  cr_assert_eq (pt_read_log_counter (&world, other, "resume_mismatches"), 0);
   json_object_put (summary);
   pt_process_clear (&load);
-  pt_world_drain (&world);
-  pt_world_clear (&world);
+  pt_cluster_drain (&world);
+  pt_cluster_clear (&world);
 }
 
 /* Two faults at once: every stream of one engine breaks after some words, and the other refuses
@@ -157,26 +158,26 @@
   static const char *const load_options[]
       = { "--concurrency", "8", "--count", "60", "--max-tokens", "30", "--stream", NULL };
   static const char *const fast[] = { "--tokens-per-second", "500", NULL };
-  PtWorld world;
+  PtCluster world;
   PtProcess load;
 
-  pt_world_init (&world);
+  pt_cluster_init (&world);
   world.in_memory = true;
   PtProgram *breaking = pt_start_engine (&world, "engine-1", fast);
   PtProgram *refusing = pt_start_engine (&world, "engine-2", fast);
   PtProgram *instance = pt_start_instance (&world, "i1", "hall-a");
-  pt_apply_all (&world, instance);
+  pt_apply_resources (&world, instance);
   pt_wait_ready (&world, instance);
-  pt_fault (&world, breaking, "{\"mode\": \"break\", \"count\": 6, \"tokens\": 5}");
-  pt_fault (&world, refusing, "{\"mode\": \"refuse\", \"count\": 4}");
+  pt_inject_fault (&world, breaking, "{\"mode\": \"break\", \"count\": 6, \"tokens\": 5}");
+  pt_inject_fault (&world, refusing, "{\"mode\": \"refuse\", \"count\": 4}");
   pt_start_load (&world, &load, load_options);
 
-  struct json_object *summary = pt_finish (&world, &load);
+  struct json_object *summary = pt_wait_summary (&world, &load);
   cr_assert (pt_process_has_exited (&load, 0), "%s", json_object_to_json_string (summary));
   cr_assert_gt (si_json_int (summary, "whole", 0), 30);
   check_not_run (&world, summary, breaking, refusing);
   json_object_put (summary);
   pt_process_clear (&load);
-  pt_world_drain (&world);
-  pt_world_clear (&world);
+  pt_cluster_drain (&world);
+  pt_cluster_clear (&world);
 }
--- a/tests/process/test-membership.c
+++ b/tests/process/test-membership.c
@@ -18,7 +18,7 @@
 
 /* The instances that `asked` names to a caller: how many, and whether one of them is `name`. */
 static bool
-ask_entry (PtWorld *world, Naming *naming)
+ask_entry (PtCluster *world, Naming *naming)
 {
   struct json_object *answer = si_client_json (&world->client, naming->asked->address,
                                                "/v1/entry?caller=clerk-1&data_centre=hall-b", NULL);
@@ -36,13 +36,13 @@
 }
 
 static bool
-is_named (PtWorld *world, void *user)
+is_named (PtCluster *world, void *user)
 {
   return ask_entry (world, user);
 }
 
 static bool
-is_not_named (PtWorld *world, void *user)
+is_not_named (PtCluster *world, void *user)
 {
   Naming *naming = user;
 
@@ -50,7 +50,7 @@
 }
 
 static int64_t
-read_counter (PtWorld *world, const PtProgram *instance, const char *name)
+read_counter (PtCluster *world, const PtProgram *instance, const char *name)
 {
   const SiCall call = { .method = "GET", .address = instance->address, .path = "/metrics" };
   char *start = lb_asprintf ("\n%s ", name);
@@ -65,12 +65,12 @@
 }
 
 static void
-start_three (PtWorld *world, PtProgram **instances)
+start_three (PtCluster *world, PtProgram **instances)
 {
   static const char *const names[] = { "i1", "i2", "i3" };
   static const char *const data_centres[] = { "hall-a", "hall-b", "hall-c" };
 
-  pt_world_init (world);
+  pt_cluster_init (world);
   world->in_memory = true;
   for (size_t i = 0; i < 3; i++)
     instances[i] = pt_start_instance (world, names[i], data_centres[i]);
@@ -80,7 +80,7 @@
 }
 
 static void
-wait_for_both (PtWorld *world, PtProgram **instances, const char *what, PtCondition condition)
+wait_for_both (PtCluster *world, PtProgram **instances, const char *what, PtCondition condition)
 {
   for (size_t i = 0; i < 3; i += 2)
     pt_wait (world, what, condition, &(Naming){ instances[i], "i2", 0 });
@@ -92,7 +92,7 @@
  * there. */
 Test (membership, a_killed_instance_is_not_named_and_its_replacement_is)
 {
-  PtWorld world;
+  PtCluster world;
   PtProgram *instances[3];
 
   start_three (&world, instances);
@@ -102,7 +102,7 @@
   cr_log_info ("not named after %.2f s", (double)(lb_clock_monotonic () - killed) / LB_SEC);
   pt_restart_instance (&world, instances[1]);
   wait_for_both (&world, instances, "the replacement is named", is_named);
-  pt_world_clear (&world);
+  pt_cluster_clear (&world);
 }
 
 /* An instance is stopped by a debugger: its sockets stay open and take bytes, so nothing ends. It
@@ -110,7 +110,7 @@
  * call the others dead, and must be named again. */
 Test (membership, a_stopped_instance_is_not_named_until_it_goes_on)
 {
-  PtWorld world;
+  PtCluster world;
   PtProgram *instances[3];
 
   start_three (&world, instances);
@@ -127,13 +127,13 @@
   cr_assert_geq (read_counter (&world, instances[1], "lentilspindle_own_pauses_total"), 1);
   cr_assert_eq (read_counter (&world, instances[1], "lentilspindle_members_suspected_total"), 0);
   cr_assert_eq (read_counter (&world, instances[1], "lentilspindle_members_condemned_total"), 0);
-  pt_world_clear (&world);
+  pt_cluster_clear (&world);
 }
 
 /* An instance drains. Others that go on naming it send clerks to a door that is closed. */
 Test (membership, a_draining_instance_is_not_named)
 {
-  PtWorld world;
+  PtCluster world;
   PtProgram *instances[3];
 
   start_three (&world, instances);
@@ -143,5 +143,5 @@
   if (!instances[1]->process.ended)
     cr_assert_not (ask_entry (&world, &own));
   pt_wait_exit (&world, &instances[1]->process, 0);
-  pt_world_clear (&world);
+  pt_cluster_clear (&world);
 }
--- a/tests/process/test-once.c
+++ b/tests/process/test-once.c
@@ -23,44 +23,44 @@
 }
 
 static bool
-is_answered (PtWorld *world, void *user)
+is_answered (PtCluster *world, void *user)
 {
   (void)world;
   return ((Answer *)user)->done;
 }
 
 static void
-scene_open (PtWorld *world)
+scene_open (PtCluster *world)
 {
   static const char *const slow[] = { "--latency-ms", "700", NULL };
 
-  pt_world_init (world);
+  pt_cluster_init (world);
   pt_start_platform (world);
   pt_start_service (world, "lookup-1", slow);
   pt_start_service (world, "lookup-2", slow);
   pt_start_instance (world, "i1", "hall-a");
   pt_start_instance (world, "i2", "hall-b");
   pt_start_instance (world, "i3", "hall-c");
-  pt_apply_all (world, &world->instances[0]);
+  pt_apply_resources (world, &world->instances[0]);
   for (size_t i = 0; i < world->n_instances; i++)
     pt_wait_ready (world, &world->instances[i]);
 }
 
 static int64_t
-count_runs (PtWorld *world, const char *order)
+count_runs (PtCluster *world, const char *order)
 {
-  return pt_runs (world, &world->endpoints[0], order)
-         + pt_runs (world, &world->endpoints[1], order);
+  return pt_count_runs (world, &world->endpoints[0], order)
+         + pt_count_runs (world, &world->endpoints[1], order);
 }
 
 static bool
-has_run_anywhere (PtWorld *world, void *user)
+has_run_anywhere (PtCluster *world, void *user)
 {
   return count_runs (world, user) > 0;
 }
 
 static char *
-take_ticket (PtWorld *world, PtProgram *instance)
+take_ticket (PtCluster *world, PtProgram *instance)
 {
   struct json_object *reply
       = si_client_json (&world->client, instance->address, "/v1/tickets", "{}");
@@ -80,13 +80,13 @@
                        .prompt = "two bags of rice",
                        .order = order,
                        .deadline_ms = "20000",
-                       .silence = PT_LIMIT };
+                       .silence = PT_WAIT_TIMEOUT };
 }
 
 /* The instance is killed while the order runs; the shop's application, which sees a closed
  * connection, sends the same call to the next instance, several times. */
 static void
-kill_and_repeat (PtWorld *world, SiLiveSpec *spec)
+kill_and_repeat (PtCluster *world, SiLiveSpec *spec)
 {
   Answer answer = { .done = false };
 
@@ -98,7 +98,7 @@
   for (size_t i = 1; i < world->n_instances; i++)
     {
       spec->address = world->instances[i].address;
-      SiLiveResult repeat = pt_live (world, spec);
+      SiLiveResult repeat = pt_checked_call (world, spec);
       cr_assert_eq (repeat.outcome, SI_LIVE_ERROR, "%d %s", repeat.outcome, repeat.error);
       cr_assert_str_eq (repeat.error, "outcome_unknown");
     }
@@ -110,7 +110,7 @@
  * the merchant would send it himself. */
 Test (once, ticket_of_a_killed_instance_is_never_run_again)
 {
-  PtWorld world;
+  PtCluster world;
 
   scene_open (&world);
   char *ticket = take_ticket (&world, &world.instances[0]);
@@ -118,29 +118,29 @@
   spec.ticket = ticket;
   kill_and_repeat (&world, &spec);
   free (ticket);
-  pt_world_drain (&world);
-  pt_world_clear (&world);
+  pt_cluster_drain (&world);
+  pt_cluster_clear (&world);
 }
 
 /* The same with the application's own idempotency key: what is left of the killed instance is its
  * claim in the platform's table. */
 Test (once, idempotency_key_claimed_by_a_killed_instance_is_never_run_again)
 {
-  PtWorld world;
+  PtCluster world;
 
   scene_open (&world);
   SiLiveSpec spec = order_at (&world.instances[0], "order-2");
   spec.idempotency_key = "key-2";
   kill_and_repeat (&world, &spec);
-  pt_world_drain (&world);
-  pt_world_clear (&world);
+  pt_cluster_drain (&world);
+  pt_cluster_clear (&world);
 }
 
 /* The caller's connection is slow and it sends the same order to two instances at once. The second
  * joins the call in progress, or gets the kept answer; the order runs once. */
 Test (once, same_ticket_at_two_instances_runs_once_and_answers_both)
 {
-  PtWorld world;
+  PtCluster world;
   Answer first = { .done = false };
 
   scene_open (&world);
@@ -149,15 +149,15 @@
   spec.ticket = ticket;
   si_live_start (world.client.pool, &spec, on_answer, &first);
   spec.address = world.instances[1].address;
-  SiLiveResult second = pt_live (&world, &spec);
+  SiLiveResult second = pt_checked_call (&world, &spec);
   pt_wait (&world, "the first is answered", is_answered, &first);
   cr_assert_eq (first.result.outcome, SI_LIVE_WHOLE, "%s", first.result.error);
   cr_assert_eq (second.outcome, SI_LIVE_WHOLE, "%d %s", second.outcome, second.error);
   spec.address = world.instances[2].address;
-  SiLiveResult third = pt_live (&world, &spec);
+  SiLiveResult third = pt_checked_call (&world, &spec);
   cr_assert_eq (third.outcome, SI_LIVE_WHOLE, "%d %s", third.outcome, third.error);
   cr_assert_eq (count_runs (&world, "order-3"), 1);
   free (ticket);
-  pt_world_drain (&world);
-  pt_world_clear (&world);
+  pt_cluster_drain (&world);
+  pt_cluster_clear (&world);
 }
--- a/tests/process/test-operator.c
+++ b/tests/process/test-operator.c
@@ -10,7 +10,7 @@
 
 #define MAX_ARGS 16
 
-static PtWorld world;
+static PtCluster world;
 static PtProgram *instance;
 static char errors[4096]; /* what the last command wrote to standard error */
 static char *output;      /* and to standard output */
@@ -18,7 +18,7 @@
 static void
 setup (void)
 {
-  pt_world_init (&world);
+  pt_cluster_init (&world);
   world.in_memory = true;
   instance = pt_start_instance (&world, "i1", "hall-a");
   pt_wait_ready (&world, instance);
@@ -29,7 +29,7 @@
 {
   free (output);
   output = NULL;
-  pt_world_clear (&world);
+  pt_cluster_clear (&world);
 }
 
 TestSuite (operator, .init = setup, .fini = teardown);
@@ -53,7 +53,7 @@
 }
 
 static bool
-has_ended (PtWorld *w, void *user)
+has_ended (PtCluster *w, void *user)
 {
   (void)w;
   PtProcess *process = user;
@@ -86,7 +86,7 @@
   pt_wait (&world, "the command ends", has_ended, &process);
   int code = WIFEXITED (process.status) ? WEXITSTATUS (process.status) : -1;
   free (output);
-  output = lb_strdup (process.text);
+  output = lb_strdup (process.output);
   FILE *in = fopen (log, "r");
   size_t length = in ? fread (errors, 1, sizeof errors - 1, in) : 0;
   errors[length] = '\0';
@@ -108,7 +108,7 @@
 
 Test (operator, applies_looks_and_deletes)
 {
-  setenv ("LENTILSPINDLE_TOKEN", PT_TOKEN, 1);
+  setenv ("LENTILSPINDLE_TOKEN", PT_OPERATOR_TOKEN, 1);
   write_file ("pool.json",
               "{ /* a pool */ \"resources\": [{\"kind\": \"pool\", \"name\": \"p\"}]}");
   cr_assert_eq (run ("diff -f @pool.json"), 1, "%s", errors);
@@ -133,7 +133,7 @@
 /* An operator looked at revision 0, another one applied since. The file is not applied over it. */
 Test (operator, old_revision_is_a_conflict)
 {
-  setenv ("LENTILSPINDLE_TOKEN", PT_TOKEN, 1);
+  setenv ("LENTILSPINDLE_TOKEN", PT_OPERATOR_TOKEN, 1);
   write_file ("pool.json", "{\"resources\": [{\"kind\": \"pool\", \"name\": \"p\"}]}");
   cr_assert_eq (run ("apply -f @pool.json"), 0, "%s", errors);
   cr_assert_eq (run ("apply -f @pool.json --revision 0"), 1);
@@ -144,7 +144,7 @@
 
 Test (operator, faults_have_a_line_and_an_exit_code)
 {
-  setenv ("LENTILSPINDLE_TOKEN", PT_TOKEN, 1);
+  setenv ("LENTILSPINDLE_TOKEN", PT_OPERATOR_TOKEN, 1);
   cr_assert_eq (run ("apply"), 2);
   cr_assert_eq (run ("get --no-such-option"), 2);
   cr_assert_eq (run ("no-such-command"), 2);
--- a/tests/process/test-rolling.c
+++ b/tests/process/test-rolling.c
@@ -6,12 +6,12 @@
 #define CALLS "450"
 
 static bool
-has_finished_some (PtWorld *world, void *user)
+has_finished_some (PtCluster *world, void *user)
 {
   const int64_t *wanted = user;
 
-  return pt_log_number (world, &world->endpoints[0], "finished")
-             + pt_log_number (world, &world->endpoints[1], "finished")
+  return pt_read_log_counter (world, &world->endpoints[0], "finished")
+             + pt_read_log_counter (world, &world->endpoints[1], "finished")
          >= *wanted;
 }
 
@@ -38,10 +38,10 @@
                                               "300",
                                               "--expect-all",
                                               NULL };
-  PtWorld world;
+  PtCluster world;
   PtProcess load;
 
-  pt_world_init (&world);
+  pt_cluster_init (&world);
   /* Shorter than an answer takes. */
   world.drain_ms = 500;
   pt_start_platform (&world);
@@ -50,7 +50,7 @@
   pt_start_instance (&world, "i1", "hall-a");
   pt_start_instance (&world, "i2", "hall-b");
   pt_start_instance (&world, "i3", "hall-c");
-  pt_apply_all (&world, &world.instances[0]);
+  pt_apply_resources (&world, &world.instances[0]);
   for (size_t i = 0; i < world.n_instances; i++)
     pt_wait_ready (&world, &world.instances[i]);
   pt_start_load (&world, &load, load_options);
@@ -64,14 +64,14 @@
       pt_wait_ready (&world, &world.instances[i]);
     }
 
-  struct json_object *summary = pt_finish (&world, &load);
+  struct json_object *summary = pt_wait_summary (&world, &load);
   cr_assert (pt_process_has_exited (&load, 0), "%s (logs in %s)",
              json_object_to_json_string (summary), world.folder);
-  cr_assert_eq (pt_log_number (&world, &world.endpoints[0], "cancelled")
-                    + pt_log_number (&world, &world.endpoints[1], "cancelled"),
+  cr_assert_eq (pt_read_log_counter (&world, &world.endpoints[0], "cancelled")
+                    + pt_read_log_counter (&world, &world.endpoints[1], "cancelled"),
                 0);
   json_object_put (summary);
   pt_process_clear (&load);
-  pt_world_drain (&world);
-  pt_world_clear (&world);
+  pt_cluster_drain (&world);
+  pt_cluster_clear (&world);
 }
--- a/tests/process/test-shared.c
+++ b/tests/process/test-shared.c
@@ -14,9 +14,9 @@
 
 Test (shared, a_step_and_a_call_go_the_whole_way)
 {
-  PsWorld w;
+  PsCluster w;
 
-  ps_world_init (&w);
+  ps_cluster_init (&w);
   size_t a = ps_start_instance (&w);
   ps_call (&w, a, "POST", "/lookup/1?q=2", "c1", "hello");
   cr_assert_eq (w.status, 200);
@@ -26,7 +26,7 @@
   cr_assert_eq (w.status, 404);
   ps_submit (&w, a, "b1", 12);
   cr_assert_eq (w.status, 202);
-  PS_UNTIL (&w, ps_count_listed (&w, a, "b1") == 12);
+  PS_WAIT_UNTIL (&w, ps_count_listed (&w, a, "b1") == 12);
   ps_assert_all_listed (&w, a, "b1", 12);
   ps_call (&w, a, "GET", "/-/items/b1?id=item3", "", "");
   cr_assert_eq (w.status, 200);
@@ -39,31 +39,31 @@
   cr_assert_eq (w.status, 404);
   ps_call (&w, a, "GET", "/-/resolve?name=h.example", "", "");
   cr_assert (strstr (w.body, w.instances[a].address));
-  ps_world_clear (&w);
+  ps_cluster_clear (&w);
 }
 
 /* A trainer names new weights. Every engine is ordered to load them, each order once, and a sample
  * made afterwards names them. */
 Test (shared, named_weights_reach_every_engine)
 {
-  PsWorld w;
+  PsCluster w;
 
-  ps_world_init (&w);
+  ps_cluster_init (&w);
   size_t a = ps_start_instance (&w);
   si_rows_put (&w.rows, "op", "", "version/m", "{\"model\": \"m\", \"version\": 2}");
-  PS_UNTIL (&w,
-            w.engines[0].version == 2 && w.engines[1].version == 2 && w.engines[2].version == 2);
+  PS_WAIT_UNTIL (&w, w.engines[0].version == 2 && w.engines[1].version == 2
+                         && w.engines[2].version == 2);
   for (int i = 0; i < PS_N_ENGINES; i++)
     cr_assert_eq (w.engines[i].orders, 1);
   ps_submit (&w, a, "b1", 1);
-  PS_UNTIL (&w, ps_count_listed (&w, a, "b1") == 1);
+  PS_WAIT_UNTIL (&w, ps_count_listed (&w, a, "b1") == 1);
   struct json_object *page = ps_read_results (&w, a, "b1");
   struct json_object *result = json_object_array_get_idx (lb_json_member (page, "results"), 0);
   cr_assert_str_eq (json_object_to_json_string_ext (lb_json_member (result, "versions"),
                                                     JSON_C_TO_STRING_PLAIN),
                     "[2]");
   json_object_put (page);
-  ps_world_clear (&w);
+  ps_cluster_clear (&w);
 }
 
 /* An engine is killed and starts again under its id at once, between two of a trainer's versions.
@@ -72,37 +72,37 @@
  * age. */
 Test (shared, an_engine_that_started_again_under_its_id_takes_the_next_weights)
 {
-  PsWorld w;
+  PsCluster w;
 
-  ps_world_init (&w);
+  ps_cluster_init (&w);
   ps_start_instance (&w);
   for (int version = 2; version <= 6; version++)
     {
       char row[64];
       snprintf (row, sizeof row, "{\"model\": \"m\", \"version\": %d}", version);
       si_rows_put (&w.rows, "op", "", "version/m", row);
-      PS_UNTIL (&w, w.engines[0].version == version && w.engines[1].version == version
-                        && w.engines[2].version == version);
+      PS_WAIT_UNTIL (&w, w.engines[0].version == version && w.engines[1].version == version
+                             && w.engines[2].version == version);
       si_sampler_start_again (&w.engines[version % PS_N_ENGINES]);
     }
   cr_assert_eq (w.engines[0].misplaced, 0);
-  ps_world_clear (&w);
+  ps_cluster_clear (&w);
 }
 
 static double
-lists_of_endpoints (PsWorld *w, size_t instance)
+lists_of_endpoints (PsCluster *w, size_t instance)
 {
-  return ps_metric (w, instance, "lentilspindle_store_table_calls_total{table=\"servers\"}");
+  return ps_read_metric (w, instance, "lentilspindle_store_table_calls_total{table=\"servers\"}");
 }
 
 static double
-beliefs (PsWorld *w, size_t instance)
+beliefs (PsCluster *w, size_t instance)
 {
-  return ps_metric (w, instance, "lentilspindle_catalog_beliefs_total");
+  return ps_read_metric (w, instance, "lentilspindle_catalog_beliefs_total");
 }
 
 static void
-put_other (PsWorld *w, int index, const char *state)
+put_other (PsCluster *w, int index, const char *state)
 {
   char key[16];
   char *text = lb_asprintf ("{\"service\": \"others\", \"address\": \"127.0.0.1:%d\", \"zone\": "
@@ -117,18 +117,18 @@
 
 /* The instance lists no endpoints while it hears of three new lists through the catalog. */
 static bool
-only_follows (PsWorld *w, size_t instance)
+only_follows (PsCluster *w, size_t instance)
 {
   double lists = lists_of_endpoints (w, instance);
   double heard = beliefs (w, instance);
 
-  PS_UNTIL (w, beliefs (w, instance) >= heard + 3 || lists_of_endpoints (w, instance) > lists);
+  PS_WAIT_UNTIL (w, beliefs (w, instance) >= heard + 3 || lists_of_endpoints (w, instance) > lists);
   return lists_of_endpoints (w, instance) <= lists;
 }
 
 /* The instance that orders the weights lists the endpoints as well. */
 static bool
-some_only_follows (PsWorld *w)
+some_only_follows (PsCluster *w)
 {
   bool found = false;
 
@@ -139,10 +139,10 @@
 
 /* Among all but one, which was killed. */
 static size_t
-find_publisher (PsWorld *w, size_t killed)
+find_publisher (PsCluster *w, size_t killed)
 {
   for (size_t i = 0; i < w->n_instances; i++)
-    if (i != killed && ps_metric (w, i, "lentilspindle_catalog_writes_total") > 0)
+    if (i != killed && ps_read_metric (w, i, "lentilspindle_catalog_writes_total") > 0)
       return i;
   return w->n_instances;
 }
@@ -150,7 +150,7 @@
 /* A decision's line tells whose list it used. An instance with a duty at the engines lists for
  * itself, so it is looked for among all but the publisher. */
 static bool
-some_decision_names (PsWorld *w, size_t publisher)
+some_decision_names (PsCluster *w, size_t publisher)
 {
   char *text = lb_asprintf ("\"lister\":\"%s\"", w->instances[publisher].name);
   int found = 0;
@@ -170,27 +170,27 @@
  * heard of by the two others all the same. That one is killed, and another one goes on. */
 Test (shared, one_instance_lists_the_endpoints_for_all)
 {
-  PsWorld w;
+  PsCluster w;
   size_t publisher;
 
-  ps_world_init (&w);
+  ps_cluster_init (&w);
   for (int i = 0; i < 50; i++)
     put_other (&w, i, "ready");
   for (int i = 0; i < 3; i++)
     ps_start_instance (&w);
-  PS_UNTIL (&w, (publisher = find_publisher (&w, 3)) < w.n_instances);
-  PS_UNTIL (&w, some_only_follows (&w));
-  PS_UNTIL (&w, some_decision_names (&w, publisher));
+  PS_WAIT_UNTIL (&w, (publisher = find_publisher (&w, 3)) < w.n_instances);
+  PS_WAIT_UNTIL (&w, some_only_follows (&w));
+  PS_WAIT_UNTIL (&w, some_decision_names (&w, publisher));
   put_other (&w, 7, "draining");
   for (size_t i = 0; i < 3; i++)
-    PS_UNTIL (&w, ps_count_logged (&w, i, "endpoint_lists_leaving") == 1);
+    PS_WAIT_UNTIL (&w, ps_count_logged (&w, i, "endpoint_lists_leaving") == 1);
   pt_process_signal (&w.instances[publisher].process, SIGKILL);
-  PS_UNTIL (&w, find_publisher (&w, publisher) < w.n_instances);
+  PS_WAIT_UNTIL (&w, find_publisher (&w, publisher) < w.n_instances);
   put_other (&w, 8, "draining");
   for (size_t i = 0; i < 3; i++)
     if (i != publisher)
-      PS_UNTIL (&w, ps_count_logged (&w, i, "endpoint_lists_leaving") == 2);
-  ps_world_clear (&w);
+      PS_WAIT_UNTIL (&w, ps_count_logged (&w, i, "endpoint_lists_leaving") == 2);
+  ps_cluster_clear (&w);
 }
 
 /* Other writers leave rows in the endpoints' table. Calls go to the endpoints that are there, no
@@ -202,16 +202,16 @@
         " \"version\": \"v1\", \"slots\": 8, \"state\": \"ready\", \"coldLeftMs\": 0, \"seq\": 1,"
         " \"models\": [{\"name\": \"m\", \"version\": 1}]}";
   LbTime enough;
-  PsWorld w;
+  PsCluster w;
 
-  ps_world_init (&w);
+  ps_cluster_init (&w);
   si_rows_put (&w.rows, "servers", "", "i-stray", stray);
   si_rows_put (&w.rows, "servers", "", "i-half", "{\"service\": \"lookups\", \"slots\": \"many\"}");
   si_rows_put (&w.rows, "servers", "", "i-bytes", "\x01\x02");
   size_t a = ps_start_instance (&w);
   si_rows_put (&w.rows, "op", "", "version/m", "{\"model\": \"m\", \"version\": 2}");
-  PS_UNTIL (&w,
-            w.engines[0].version == 2 && w.engines[1].version == 2 && w.engines[2].version == 2);
+  PS_WAIT_UNTIL (&w, w.engines[0].version == 2 && w.engines[1].version == 2
+                         && w.engines[2].version == 2);
   for (int i = 0; i < 10; i++)
     {
       char id[16];
@@ -220,22 +220,22 @@
       cr_assert_eq (w.status, 200);
     }
   enough = lb_clock_monotonic () + 2 * LB_SEC;
-  PS_UNTIL (&w, lb_clock_monotonic () > enough);
+  PS_WAIT_UNTIL (&w, lb_clock_monotonic () > enough);
   cr_assert_eq (ps_count_logged (&w, a, "endpoint_unreadable"), 3);
   cr_assert_eq (ps_count_logged (&w, a, "weights_order\",\"endpoint\":\"i-stray"), 0);
-  ps_world_clear (&w);
+  ps_cluster_clear (&w);
 }
 
 /* An instance starts while the store is slow: it has the routes and not yet the endpoints. Its
  * first callers were told that there is no such route (404), and did not come back. */
 Test (shared, a_route_whose_endpoints_are_not_known_yet_is_not_missing)
 {
-  PsWorld w;
+  PsCluster w;
 
-  ps_world_init (&w);
+  ps_cluster_init (&w);
   ps_start_instance (&w);
   w.rows.away_table = "servers";
-  ps_launch_instance (&w);
+  ps_spawn_instance (&w);
   LbTime end = lb_clock_monotonic () + LB_SEC;
   while (lb_clock_monotonic () < end)
     {
@@ -244,37 +244,37 @@
       cr_assert_neq (w.retry_after[0], '\0');
     }
   w.rows.away_table = NULL;
-  PS_UNTIL (&w, ps_is_ready (&w, 1));
+  PS_WAIT_UNTIL (&w, ps_is_ready (&w, 1));
   ps_call (&w, 1, "POST", "/lookup/1", "c2", "hello");
   cr_assert_eq (w.status, 200);
-  ps_world_clear (&w);
+  ps_cluster_clear (&w);
 }
 
 /* The operators allow bodies of 12 MiB. A caller's body of 9 MiB was refused as too large, since
  * the instance went by the bound of its own settings, 8 MiB. */
 Test (shared, the_desired_state_says_how_much_callers_may_send)
 {
-  PsWorld w;
+  PsCluster w;
   size_t length = (size_t)9 << 20;
   char *body = lb_malloc (length + 1);
 
   memset (body, 'x', length);
   body[length] = '\0';
-  ps_world_init (&w);
+  ps_cluster_init (&w);
   ps_start_instance (&w);
   ps_call (&w, 0, "GET", "/lookup/1", "c1", body);
   cr_assert_eq (w.status, 200, "%d %s", w.status, w.body);
   free (body);
-  ps_world_clear (&w);
+  ps_cluster_clear (&w);
 }
 
 /* A service of the platform has a path /metrics of its own. Its callers got the counters of the
  * instance instead, since the front answered that path before it looked at the routes. */
 Test (shared, metrics_have_an_address_of_their_own)
 {
-  PsWorld w;
+  PsCluster w;
 
-  ps_world_init (&w);
+  ps_cluster_init (&w);
   ps_put_config (&w, 1,
                  ", {\"name\": \"counts\", \"host\": \"h.example\", \"prefix\": \"/metrics\","
                  " \"kind\": \"safe\", \"timeoutMs\": 20000, \"service\": \"lookups\","
@@ -288,23 +288,23 @@
   cr_assert_eq (w.status, 200);
   cr_assert (strstr (w.body, "lentilspindle_requests_total"));
   cr_assert (strstr (w.body, "lentilspindle_request_seconds_bucket"));
-  ps_world_clear (&w);
+  ps_cluster_clear (&w);
 }
 
 /* The instance that runs a batch is killed in the middle. The trainer reads on at the other one:
  * every sample comes, none twice, and what stood at a position before still stands there. */
 Test (shared, a_batch_outlives_its_owner)
 {
-  PsWorld w;
+  PsCluster w;
 
-  ps_world_init (&w);
+  ps_cluster_init (&w);
   for (int i = 0; i < PS_N_ENGINES; i++)
     w.engines[i].event_time = 40 * LB_MSEC;
   ps_start_instance (&w);
   ps_start_instance (&w);
   ps_submit (&w, 0, "b1", 40);
   cr_assert_eq (w.status, 202);
-  PS_UNTIL (&w, ps_count_listed (&w, 0, "b1") >= 5);
+  PS_WAIT_UNTIL (&w, ps_count_listed (&w, 0, "b1") >= 5);
   struct json_object *before = ps_read_results (&w, 1, "b1");
   /* The batch runs at one of the two; the row says which. */
   const char *encoded = NULL;
@@ -323,7 +323,7 @@
         survivor = 1 - i;
     }
   pt_process_signal (&w.instances[1 - survivor].process, SIGKILL);
-  PS_UNTIL (&w, ps_count_listed (&w, survivor, "b1") == 40);
+  PS_WAIT_UNTIL (&w, ps_count_listed (&w, survivor, "b1") == 40);
   ps_assert_all_listed (&w, survivor, "b1", 40);
   struct json_object *after = ps_read_results (&w, survivor, "b1");
   struct json_object *old = lb_json_member (before, "results");
@@ -333,30 +333,30 @@
                           json_object_array_get_idx (lb_json_member (after, "results"), i)));
   json_object_put (before);
   json_object_put (after);
-  ps_world_clear (&w);
+  ps_cluster_clear (&w);
 }
 
 /* A trainer does not hear the answer to its submission and sends the same batch to another instance
  * at once. It is accepted once: one row, and each item run once. */
 Test (shared, the_same_batch_at_two_instances_is_accepted_once)
 {
-  PsWorld w;
+  PsCluster w;
   char *body = ps_make_batch (6);
 
-  ps_world_init (&w);
+  ps_cluster_init (&w);
   ps_start_instance (&w);
   ps_start_instance (&w);
   int before = w.answers;
-  ps_begin_call (&w, 0, "POST", "/steps/1", "b1", body);
-  ps_begin_call (&w, 1, "POST", "/steps/1", "b1", body);
-  PS_UNTIL (&w, w.answers == before + 2);
+  ps_start_call (&w, 0, "POST", "/steps/1", "b1", body);
+  ps_start_call (&w, 1, "POST", "/steps/1", "b1", body);
+  PS_WAIT_UNTIL (&w, w.answers == before + 2);
   cr_assert_eq (w.status, 202);
   cr_assert_eq (si_rows_count (&w.rows, "head"), 1);
-  PS_UNTIL (&w, ps_count_listed (&w, 0, "b1") == 6);
+  PS_WAIT_UNTIL (&w, ps_count_listed (&w, 0, "b1") == 6);
   ps_assert_all_listed (&w, 1, "b1", 6);
-  cr_assert_eq (ps_count_runs (&w), 6);
+  cr_assert_eq (ps_count_engine_runs (&w), 6);
   free (body);
-  ps_world_clear (&w);
+  ps_cluster_clear (&w);
 }
 
 /* Each text of a step is generated twice, and the engines are busy for twice as long. The instance
@@ -364,27 +364,27 @@
  * taken and begins a run of its own, which can list nothing. */
 Test (shared, an_offer_that_was_taken_is_not_run_twice)
 {
-  PsWorld w;
+  PsCluster w;
   size_t owner;
 
-  ps_world_init (&w);
+  ps_cluster_init (&w);
   for (int i = 0; i < PS_N_ENGINES; i++)
     w.engines[i].event_time = 100 * LB_MSEC;
   ps_start_instance (&w);
   ps_start_instance (&w);
   ps_submit (&w, 0, "b1", 4);
-  PS_UNTIL (&w, (owner = ps_find_owner (&w)) < 2);
-  PS_UNTIL (&w, ps_count_listed (&w, 0, "b1") == 4);
-  w.rows.late = ps_store_of (&w, 1 - owner);
+  PS_WAIT_UNTIL (&w, (owner = ps_find_owner (&w)) < 2);
+  PS_WAIT_UNTIL (&w, ps_count_listed (&w, 0, "b1") == 4);
+  w.rows.late = ps_store_server (&w, 1 - owner);
   /* A watch that began before is over. */
   LbTime end = lb_clock_monotonic () + LB_SEC;
-  PS_UNTIL (&w, lb_clock_monotonic () >= end);
-  size_t before = ps_count_runs (&w);
+  PS_WAIT_UNTIL (&w, lb_clock_monotonic () >= end);
+  size_t before = ps_count_engine_runs (&w);
   ps_submit (&w, 1 - owner, "b2", 6);
   cr_assert_eq (w.status, 202);
-  PS_UNTIL (&w, ps_count_listed (&w, owner, "b2") == 6);
-  cr_assert_eq (ps_count_runs (&w) - before, 6);
-  ps_world_clear (&w);
+  PS_WAIT_UNTIL (&w, ps_count_listed (&w, owner, "b2") == 6);
+  cr_assert_eq (ps_count_engine_runs (&w) - before, 6);
+  ps_cluster_clear (&w);
 }
 
 /* The instance that a batch is offered to is cut off and hears of it two seconds late. The acceptor
@@ -392,28 +392,28 @@
  * again, at engines that others waited for. */
 Test (shared, an_offer_that_is_heard_late_is_not_taken)
 {
-  PsWorld w;
+  PsCluster w;
   size_t preferred;
 
-  ps_world_init (&w);
+  ps_cluster_init (&w);
   for (int i = 0; i < PS_N_ENGINES; i++)
     w.engines[i].event_time = 150 * LB_MSEC;
   ps_start_instance (&w);
   ps_start_instance (&w);
   ps_submit (&w, 0, "b1", 2);
-  PS_UNTIL (&w, (preferred = ps_find_owner (&w)) < 2);
-  PS_UNTIL (&w, ps_count_listed (&w, 0, "b1") == 2);
-  w.rows.late = ps_store_of (&w, preferred);
+  PS_WAIT_UNTIL (&w, (preferred = ps_find_owner (&w)) < 2);
+  PS_WAIT_UNTIL (&w, ps_count_listed (&w, 0, "b1") == 2);
+  w.rows.late = ps_store_server (&w, preferred);
   /* A watch that began before is over. */
   LbTime end = lb_clock_monotonic () + LB_SEC;
-  PS_UNTIL (&w, lb_clock_monotonic () >= end);
-  size_t before = ps_count_runs (&w);
+  PS_WAIT_UNTIL (&w, lb_clock_monotonic () >= end);
+  size_t before = ps_count_engine_runs (&w);
   ps_submit (&w, 1 - preferred, "b2", 6);
   cr_assert_eq (w.status, 202);
-  PS_UNTIL (&w, ps_count_listed (&w, 1 - preferred, "b2") == 6);
+  PS_WAIT_UNTIL (&w, ps_count_listed (&w, 1 - preferred, "b2") == 6);
   ps_assert_all_listed (&w, 1 - preferred, "b2", 6);
-  cr_assert_eq (ps_count_runs (&w) - before, 6);
-  ps_world_clear (&w);
+  cr_assert_eq (ps_count_engine_runs (&w) - before, 6);
+  ps_cluster_clear (&w);
 }
 
 /* With 84 instances the store is busy and instances are taken for dead in turn, with their batches:
@@ -422,45 +422,45 @@
 Test (shared, nothing_of_ours_lies_where_endpoints_write)
 {
   static const char *const names[] = { "n0", "n1" };
-  PsWorld w;
+  PsCluster w;
 
-  ps_world_init (&w);
+  ps_cluster_init (&w);
   ps_start_instance (&w);
   ps_start_instance (&w);
-  PS_UNTIL (&w, si_rows_count (&w.rows, "instance") == 2);
-  PS_UNTIL (&w, si_rows_count (&w.rows, "lease") == 1);
+  PS_WAIT_UNTIL (&w, si_rows_count (&w.rows, "instance") == 2);
+  PS_WAIT_UNTIL (&w, si_rows_count (&w.rows, "lease") == 1);
   for (size_t i = 0; i < 2; i++)
     cr_assert_null (si_rows_get (&w.rows, "instance", "", names[i]));
   cr_assert_null (si_rows_get (&w.rows, "lease", "", "weights"));
-  ps_world_clear (&w);
+  ps_cluster_clear (&w);
 }
 
 /* After some hours every batch is refused: the store is full of batches that ended long ago, since
  * nothing in it expires. What an ended batch left is removed; one that is open stays. */
 Test (shared, what_an_ended_batch_left_is_removed)
 {
-  PsWorld w;
+  PsCluster w;
 
-  ps_world_init (&w);
+  ps_cluster_init (&w);
   ps_start_instance (&w);
   ps_start_instance (&w);
   ps_submit (&w, 0, "b1", 6);
   ps_submit (&w, 1, "b2", 3);
-  PS_UNTIL (&w, ps_count_listed (&w, 0, "b1") == 6);
-  PS_UNTIL (&w, ps_count_listed (&w, 0, "b2") == 3);
+  PS_WAIT_UNTIL (&w, ps_count_listed (&w, 0, "b1") == 6);
+  PS_WAIT_UNTIL (&w, ps_count_listed (&w, 0, "b2") == 3);
   ps_call (&w, 1, "DELETE", "/-/lots/b1", "", "");
   cr_assert_eq (w.status, 200);
-  PS_UNTIL (&w, si_rows_count (&w.rows, "head") == 1);
+  PS_WAIT_UNTIL (&w, si_rows_count (&w.rows, "head") == 1);
   cr_assert_eq (si_rows_count (&w.rows, "result"), 3);
   cr_assert_eq (si_rows_count_objects (&w.rows), 1);
-  PS_UNTIL (&w, (ps_call (&w, 0, "GET", "/-/lots/b1", "", ""), w.status == 404));
-  PS_UNTIL (&w, (ps_call (&w, 1, "GET", "/-/lots/b1", "", ""), w.status == 404));
+  PS_WAIT_UNTIL (&w, (ps_call (&w, 0, "GET", "/-/lots/b1", "", ""), w.status == 404));
+  PS_WAIT_UNTIL (&w, (ps_call (&w, 1, "GET", "/-/lots/b1", "", ""), w.status == 404));
   ps_assert_all_listed (&w, 0, "b2", 3);
-  ps_world_clear (&w);
+  ps_cluster_clear (&w);
 }
 
 static bool
-is_long_text_listed (PsWorld *w, size_t instance, int position, size_t length)
+is_long_text_listed (PsCluster *w, size_t instance, int position, size_t length)
 {
   char path[64];
 
@@ -485,42 +485,43 @@
  * write of that result was refused again and again, and all results behind it waited. */
 Test (shared, a_text_longer_than_a_row_is_listed)
 {
-  PsWorld w;
+  PsCluster w;
 
-  ps_world_init (&w);
+  ps_cluster_init (&w);
   for (int i = 0; i < PS_N_ENGINES; i++)
     w.engines[i].padding = 40000;
   ps_start_instance (&w);
   ps_start_instance (&w);
   ps_submit (&w, 0, "b1", 4);
   for (int i = 0; i < 4; i++)
-    PS_UNTIL (&w, is_long_text_listed (&w, (size_t)i % 2, i, (size_t)w.engines[0].events * 40000));
+    PS_WAIT_UNTIL (&w,
+                   is_long_text_listed (&w, (size_t)i % 2, i, (size_t)w.engines[0].events * 40000));
   ps_call (&w, 0, "DELETE", "/-/lots/b1", "", "");
-  PS_UNTIL (&w, si_rows_count (&w.rows, "head") == 0);
+  PS_WAIT_UNTIL (&w, si_rows_count (&w.rows, "head") == 0);
   cr_assert_eq (si_rows_count (&w.rows, "result") + si_rows_count (&w.rows, "more"), 0);
-  ps_world_clear (&w);
+  ps_cluster_clear (&w);
 }
 
 /* The store takes the row of a batch and its answer is lost. "Refused" would be a lie: the batch
  * runs. The instance asks again, and the row tells it. */
 Test (shared, a_lost_answer_of_the_store_is_no_refusal)
 {
-  PsWorld w;
+  PsCluster w;
   char *body = ps_make_batch (3);
 
-  ps_world_init (&w);
+  ps_cluster_init (&w);
   ps_start_instance (&w);
   int before = w.answers;
   w.rows.mode = SI_ROWS_LOSES_REPLY;
-  ps_begin_call (&w, 0, "POST", "/steps/1", "b1", body);
-  PS_UNTIL (&w, si_rows_count (&w.rows, "head") == 1);
+  ps_start_call (&w, 0, "POST", "/steps/1", "b1", body);
+  PS_WAIT_UNTIL (&w, si_rows_count (&w.rows, "head") == 1);
   w.rows.mode = SI_ROWS_WELL;
-  PS_UNTIL (&w, w.answers > before);
+  PS_WAIT_UNTIL (&w, w.answers > before);
   cr_assert_eq (w.status, 202);
-  PS_UNTIL (&w, ps_count_listed (&w, 0, "b1") == 3);
+  PS_WAIT_UNTIL (&w, ps_count_listed (&w, 0, "b1") == 3);
   ps_assert_all_listed (&w, 0, "b1", 3);
   free (body);
-  ps_world_clear (&w);
+  ps_cluster_clear (&w);
 }
 
 /* A trainer's step is accepted and no item of it ever begins. The answer to the write of its row
@@ -529,26 +530,26 @@
  * again. */
 Test (shared, a_batch_whose_row_shows_before_its_answer_is_run)
 {
-  PsWorld w;
+  PsCluster w;
   size_t owner;
 
-  ps_world_init (&w);
+  ps_cluster_init (&w);
   ps_start_instance (&w);
   ps_start_instance (&w);
   ps_submit (&w, 0, "b1", 2);
-  PS_UNTIL (&w, (owner = ps_find_owner (&w)) < 2);
-  PS_UNTIL (&w, ps_count_listed (&w, 0, "b1") == 2);
+  PS_WAIT_UNTIL (&w, (owner = ps_find_owner (&w)) < 2);
+  PS_WAIT_UNTIL (&w, ps_count_listed (&w, 0, "b1") == 2);
   /* Each knows the other by then. */
   LbTime end = lb_clock_monotonic () + LB_SEC;
-  PS_UNTIL (&w, lb_clock_monotonic () >= end);
+  PS_WAIT_UNTIL (&w, lb_clock_monotonic () >= end);
   w.instances[1 - owner].to_store.fault = (PtRelayFault){ .delay = 150 * LB_MSEC };
   w.rows.lost_replies = 1;
   ps_submit (&w, owner, "b2", 3);
   cr_assert_eq (w.status, 202);
   w.instances[1 - owner].to_store.fault = (PtRelayFault){ 0 };
-  PS_UNTIL (&w, ps_count_listed (&w, owner, "b2") == 3);
+  PS_WAIT_UNTIL (&w, ps_count_listed (&w, owner, "b2") == 3);
   ps_assert_all_listed (&w, owner, "b2", 3);
-  ps_world_clear (&w);
+  ps_cluster_clear (&w);
 }
 
 /* The store takes the row of a batch, its answer is lost, and it refuses all calls after that. Told
@@ -556,9 +557,9 @@
  * it as soon as the store is back. */
 Test (shared, a_batch_whose_row_may_stand_is_not_called_refused)
 {
-  PsWorld w;
+  PsCluster w;
 
-  ps_world_init (&w);
+  ps_cluster_init (&w);
   ps_start_instance (&w);
   w.rows.lost_replies = 1;
   w.rows.away_once_lost = true;
@@ -566,18 +567,18 @@
   cr_assert_eq (w.status, 502);
   cr_assert_eq (si_rows_count (&w.rows, "head"), 1);
   w.rows.mode = SI_ROWS_WELL;
-  PS_UNTIL (&w, ps_count_listed (&w, 0, "b1") == 3);
+  PS_WAIT_UNTIL (&w, ps_count_listed (&w, 0, "b1") == 3);
   ps_assert_all_listed (&w, 0, "b1", 3);
-  ps_world_clear (&w);
+  ps_cluster_clear (&w);
 }
 
 /* Without the store nothing can be accepted. The trainer hears so at once, with a time to come
  * back, and nothing of the batch runs; calls of plain services go on. */
 Test (shared, without_the_store_batches_are_refused_and_calls_served)
 {
-  PsWorld w;
+  PsCluster w;
 
-  ps_world_init (&w);
+  ps_cluster_init (&w);
   ps_start_instance (&w);
   w.rows.mode = SI_ROWS_AWAY;
   ps_submit (&w, 0, "b1", 3);
@@ -586,9 +587,9 @@
   ps_call (&w, 0, "POST", "/lookup/1", "c1", "hello");
   cr_assert_eq (w.status, 200);
   w.rows.mode = SI_ROWS_WELL;
-  PS_UNTIL (&w, (ps_submit (&w, 0, "b1", 3), w.status == 202));
-  PS_UNTIL (&w, ps_count_listed (&w, 0, "b1") == 3);
-  ps_world_clear (&w);
+  PS_WAIT_UNTIL (&w, (ps_submit (&w, 0, "b1", 3), w.status == 202));
+  PS_WAIT_UNTIL (&w, ps_count_listed (&w, 0, "b1") == 3);
+  ps_cluster_clear (&w);
 }
 
 /* An answer of the store that was held up brings back an older state. Routes that were added since
@@ -597,12 +598,12 @@
 {
   static const char more[] = ", {\"name\": \"new\", \"host\": \"h.example\", \"prefix\": \"/new/\","
                              " \"kind\": \"safe\", \"service\": \"lookups\", \"attempts\": 2}";
-  PsWorld w;
+  PsCluster w;
 
-  ps_world_init (&w);
+  ps_cluster_init (&w);
   ps_start_instance (&w);
   ps_put_config (&w, 5, more);
-  PS_UNTIL (&w, (ps_call (&w, 0, "GET", "/new/x", "c1", ""), w.status == 200));
+  PS_WAIT_UNTIL (&w, (ps_call (&w, 0, "GET", "/new/x", "c1", ""), w.status == 200));
   ps_put_config (&w, 4, "");
   for (int i = 0; i < 20; i++)
     {
@@ -617,41 +618,41 @@
       cr_assert_eq (w.status, 200, "one that can't be read changes nothing either");
       usleep (50000);
     }
-  ps_world_clear (&w);
+  ps_cluster_clear (&w);
 }
 
 /* The operator stops an instance. It is not ready from then on, gives its batch away with what has
  * come of it, serves callers that still hold its address, and exits with 0. */
 Test (shared, a_stopped_instance_gives_its_batch_away_and_cuts_nothing)
 {
-  PsWorld w;
+  PsCluster w;
 
-  ps_world_init (&w);
+  ps_cluster_init (&w);
   for (int i = 0; i < PS_N_ENGINES; i++)
     w.engines[i].event_time = 40 * LB_MSEC;
   ps_start_instance (&w);
   ps_start_instance (&w);
   ps_submit (&w, 0, "b1", 30);
-  PS_UNTIL (&w, ps_count_listed (&w, 0, "b1") >= 3);
+  PS_WAIT_UNTIL (&w, ps_count_listed (&w, 0, "b1") >= 3);
   pt_process_signal (&w.instances[0].process, SIGTERM);
-  PS_UNTIL (&w, !ps_is_ready (&w, 0));
+  PS_WAIT_UNTIL (&w, !ps_is_ready (&w, 0));
   ps_call (&w, 0, "POST", "/lookup/1", "c1", "hello");
   cr_assert_eq (w.status, 200);
-  PS_UNTIL (&w, pt_process_has_exited (&w.instances[0].process, 0));
-  PS_UNTIL (&w, ps_count_listed (&w, 1, "b1") == 30);
+  PS_WAIT_UNTIL (&w, pt_process_has_exited (&w.instances[0].process, 0));
+  PS_WAIT_UNTIL (&w, ps_count_listed (&w, 1, "b1") == 30);
   ps_assert_all_listed (&w, 1, "b1", 30);
   ps_call (&w, 1, "GET", "/-/resolve?name=h.example", "", "");
   cr_assert_null (strstr (w.body, w.instances[0].address));
-  ps_world_clear (&w);
+  ps_cluster_clear (&w);
 }
 
 /* A reload cuts nothing, and a file that can't be read changes nothing. */
 Test (shared, a_reload_cuts_nothing)
 {
-  PsWorld w;
+  PsCluster w;
   char path[128];
 
-  ps_world_init (&w);
+  ps_cluster_init (&w);
   ps_start_instance (&w);
   ps_submit (&w, 0, "b1", 10);
   pt_process_signal (&w.instances[0].process, SIGHUP);
@@ -662,18 +663,18 @@
   fputs ("{ nonsense", out);
   fclose (out);
   pt_process_signal (&w.instances[0].process, SIGHUP);
-  PS_UNTIL (&w, ps_count_listed (&w, 0, "b1") == 10);
+  PS_WAIT_UNTIL (&w, ps_count_listed (&w, 0, "b1") == 10);
   cr_assert_not (w.instances[0].process.ended);
-  ps_world_clear (&w);
+  ps_cluster_clear (&w);
 }
 
 /* The trainer ends a step while its items run: engines stop working on them within a second or so.
  */
 Test (shared, an_ended_batch_stops_at_the_engines)
 {
-  PsWorld w;
+  PsCluster w;
 
-  ps_world_init (&w);
+  ps_cluster_init (&w);
   for (int i = 0; i < PS_N_ENGINES; i++)
     {
       w.engines[i].events = 1000;
@@ -681,36 +682,36 @@
     }
   ps_start_instance (&w);
   ps_submit (&w, 0, "b1", 6);
-  PS_UNTIL (&w, ps_count_runs (&w) >= 6);
+  PS_WAIT_UNTIL (&w, ps_count_engine_runs (&w) >= 6);
   ps_call (&w, 0, "DELETE", "/-/lots/b1", "", "");
   cr_assert_eq (w.status, 200);
-  PS_UNTIL (&w, w.engines[0].cancelled + w.engines[1].cancelled + w.engines[2].cancelled == 6);
-  size_t runs = ps_count_runs (&w);
+  PS_WAIT_UNTIL (&w, w.engines[0].cancelled + w.engines[1].cancelled + w.engines[2].cancelled == 6);
+  size_t runs = ps_count_engine_runs (&w);
   for (int i = 0; i < 100; i++)
-    ps_turn (&w);
-  cr_assert_eq (ps_count_runs (&w), runs);
-  ps_world_clear (&w);
+    ps_run_loop_once (&w);
+  cr_assert_eq (ps_count_engine_runs (&w), runs);
+  ps_cluster_clear (&w);
 }
 
 /* An engine says that it leaves: nothing new goes there, and what runs there goes on to its end. */
 Test (shared, an_engine_that_leaves_gets_nothing_new)
 {
-  PsWorld w;
+  PsCluster w;
 
-  ps_world_init (&w);
+  ps_cluster_init (&w);
   ps_start_instance (&w);
   ps_submit (&w, 0, "b1", 9);
-  PS_UNTIL (&w, ps_count_listed (&w, 0, "b1") == 9);
+  PS_WAIT_UNTIL (&w, ps_count_listed (&w, 0, "b1") == 9);
   w.engines[0].leaving = true;
   si_sampler_register (&w.engines[0]);
   LbTime end = lb_clock_monotonic () + 2 * LB_SEC;
   while (lb_clock_monotonic () < end)
-    ps_turn (&w);
+    ps_run_loop_once (&w);
   size_t runs = w.engines[0].n_runs;
   ps_submit (&w, 0, "b2", 12);
-  PS_UNTIL (&w, ps_count_listed (&w, 0, "b2") == 12);
+  PS_WAIT_UNTIL (&w, ps_count_listed (&w, 0, "b2") == 12);
   cr_assert_eq (w.engines[0].n_runs, runs);
-  ps_world_clear (&w);
+  ps_cluster_clear (&w);
 }
 
 /* A machine was taken away; its row stays in the store. An instance that starts afterwards saw that
@@ -721,17 +722,17 @@
       = "{\"name\": \"gone\", \"incarnation\": \"1\", \"data_centre\": \"hall-a\","
         " \"callers\": \"127.0.0.9:9\", \"peers\": \"\", \"ready\": true, \"renewed_ms\": 1,"
         " \"renewals\": 7, \"period_ms\": 20000}";
-  PsWorld w;
+  PsCluster w;
 
-  ps_world_init (&w);
+  ps_cluster_init (&w);
   si_rows_put (&w.rows, "instance", "0", "gone", gone);
   size_t a = ps_start_instance (&w);
-  PS_UNTIL (&w, ps_count_logged (&w, a, "instances_listed") > 0);
+  PS_WAIT_UNTIL (&w, ps_count_logged (&w, a, "instances_listed") > 0);
   for (int i = 0; i < 50; i++)
     {
       ps_call (&w, a, "GET", "/-/resolve?name=h.example", "", "");
       cr_assert (strstr (w.body, w.instances[a].address));
       cr_assert_not (strstr (w.body, "127.0.0.9:9"), "it names a machine that is gone");
     }
-  ps_world_clear (&w);
+  ps_cluster_clear (&w);
 }
--- a/tests/process/test-silence.c
+++ b/tests/process/test-silence.c
@@ -24,7 +24,7 @@
 }
 
 static bool
-is_answered (PtWorld *world, void *user)
+is_answered (PtCluster *world, void *user)
 {
   (void)world;
   return ((Answer *)user)->done;
@@ -37,16 +37,16 @@
 } Run;
 
 static bool
-has_run (PtWorld *world, void *user)
+has_run (PtCluster *world, void *user)
 {
   Run *run = user;
 
-  return pt_runs (world, run->endpoint, run->key) > 0;
+  return pt_count_runs (world, run->endpoint, run->key) > 0;
 }
 
 typedef struct
 {
-  PtWorld world;
+  PtCluster world;
   PtRelay relay;
   PtProgram *instance;
   PtProgram *endpoint; /* reached through the relay only */
@@ -54,20 +54,20 @@
 
 static void
 scene_open (Scene *scene,
-            PtProgram *(*start) (PtWorld *, const char *, const char *const *),
+            PtProgram *(*start) (PtCluster *, const char *, const char *const *),
             const char *name,
             const char *const *options)
 {
   LbName direct;
 
-  pt_world_init (&scene->world);
+  pt_cluster_init (&scene->world);
   scene->world.in_memory = true;
   scene->endpoint = start (&scene->world, name, options);
   pt_relay_init (&scene->relay, scene->world.client.base, scene->endpoint->address);
   scene->instance = pt_start_instance (&scene->world, "i1", "hall-a");
   strcpy (direct, scene->endpoint->address);
   strcpy (scene->endpoint->address, scene->relay.address);
-  pt_apply_all (&scene->world, scene->instance);
+  pt_apply_resources (&scene->world, scene->instance);
   strcpy (scene->endpoint->address, direct);
   pt_wait_ready (&scene->world, scene->instance);
 }
@@ -76,8 +76,8 @@
 scene_close (Scene *scene)
 {
   pt_relay_clear (&scene->relay);
-  pt_world_drain (&scene->world);
-  pt_world_clear (&scene->world);
+  pt_cluster_drain (&scene->world);
+  pt_cluster_clear (&scene->world);
 }
 
 /* A shopper reads a reply as it is written. Something between an instance and its engine loses
@@ -97,20 +97,20 @@
                       .prompt = "a reply",
                       .max_tokens = 90,
                       .stream = true };
-  cr_assert_eq (pt_live (&scene.world, &spec).outcome, SI_LIVE_WHOLE);
+  cr_assert_eq (pt_checked_call (&scene.world, &spec).outcome, SI_LIVE_WHOLE);
   spec.prompt = "another reply";
   Run run = { scene.endpoint, spec.prompt };
   si_live_start (scene.world.client.pool, &spec, on_answer, &answer);
   pt_wait (&scene.world, "the engine has the call", has_run, &run);
   si_client_pause (&scene.world.client, 300 * LB_MSEC);
-  pt_relay_lose_track (&scene.relay);
+  pt_relay_blackhole_connections (&scene.relay);
 
   pt_wait (&scene.world, "the answer ends", is_answered, &answer);
   cr_assert_eq (answer.result.outcome, SI_LIVE_WHOLE, "%d %s", answer.result.outcome,
                 answer.result.error);
-  cr_assert_eq (pt_log_number (&scene.world, scene.endpoint, "resume_mismatches"), 0);
+  cr_assert_eq (pt_read_log_counter (&scene.world, scene.endpoint, "resume_mismatches"), 0);
   spec.prompt = "a third";
-  cr_assert_eq (pt_live (&scene.world, &spec).outcome, SI_LIVE_WHOLE);
+  cr_assert_eq (pt_checked_call (&scene.world, &spec).outcome, SI_LIVE_WHOLE);
   scene_close (&scene);
 }
 
@@ -130,11 +130,11 @@
                       .prompt = "send order 7",
                       .order = "order-7",
                       .deadline_ms = "2000",
-                      .silence = PT_LIMIT };
+                      .silence = PT_WAIT_TIMEOUT };
   Run run = { scene.endpoint, "order-7" };
   si_live_start (scene.world.client.pool, &spec, on_answer, &answer);
   pt_wait (&scene.world, "the service has the call", has_run, &run);
-  pt_relay_lose_track (&scene.relay);
+  pt_relay_blackhole_connections (&scene.relay);
 
   pt_wait (&scene.world, "the answer ends", is_answered, &answer);
   cr_assert_eq (answer.result.outcome, SI_LIVE_ERROR, "%d %s", answer.result.outcome,
@@ -142,9 +142,9 @@
   cr_assert (strcmp (answer.result.error, "deadline") == 0
                  || strcmp (answer.result.error, "outcome_unknown") == 0,
              "%s", answer.result.error);
-  cr_assert_eq (pt_runs (&scene.world, scene.endpoint, "order-7"), 1);
+  cr_assert_eq (pt_count_runs (&scene.world, scene.endpoint, "order-7"), 1);
   spec.order = "order-8";
   spec.deadline_ms = NULL;
-  cr_assert_eq (pt_live (&scene.world, &spec).outcome, SI_LIVE_WHOLE);
+  cr_assert_eq (pt_checked_call (&scene.world, &spec).outcome, SI_LIVE_WHOLE);
   scene_close (&scene);
 }
--- a/tests/process/test-slow.c
+++ b/tests/process/test-slow.c
@@ -11,34 +11,34 @@
 {
   static const char *const engine_options[] = { "--tokens-per-second", "40", NULL };
   static const char *const service_options[] = { "--latency-ms", "1500", NULL };
-  PtWorld world;
+  PtCluster world;
 
-  pt_world_init (&world);
+  pt_cluster_init (&world);
   world.in_memory = true;
   world.request_read_ms = 500;
   pt_start_engine (&world, "engine-1", engine_options);
   PtProgram *service = pt_start_service (&world, "lookup-1", service_options);
   PtProgram *instance = pt_start_instance (&world, "i1", "hall-a");
-  pt_apply_all (&world, instance);
+  pt_apply_resources (&world, instance);
   pt_wait_ready (&world, instance);
   SiLiveSpec stream = { .address = instance->address,
                         .model = "reader",
                         .prompt = "slowly",
                         .max_tokens = 60,
                         .stream = true };
-  SiLiveResult result = pt_live (&world, &stream);
+  SiLiveResult result = pt_checked_call (&world, &stream);
   cr_assert_eq (result.outcome, SI_LIVE_WHOLE, "stream: %d %s", result.outcome, result.error);
   stream.stream = false;
-  result = pt_live (&world, &stream);
+  result = pt_checked_call (&world, &stream);
   cr_assert_eq (result.outcome, SI_LIVE_WHOLE, "whole: %d %s", result.outcome, result.error);
   SiLiveSpec order = { .kind = SI_LIVE_SERVICE,
                        .address = instance->address,
                        .model = "/services/lookup/order",
                        .prompt = "one",
                        .order = "order-1" };
-  result = pt_live (&world, &order);
+  result = pt_checked_call (&world, &order);
   cr_assert_eq (result.outcome, SI_LIVE_WHOLE, "service: %d %s", result.outcome, result.error);
-  cr_assert_eq (pt_runs (&world, service, "order-1"), 1);
-  pt_world_drain (&world);
-  pt_world_clear (&world);
+  cr_assert_eq (pt_count_runs (&world, service, "order-1"), 1);
+  pt_cluster_drain (&world);
+  pt_cluster_clear (&world);
 }
--- a/tests/process/test-steps.c
+++ b/tests/process/test-steps.c
@@ -16,16 +16,16 @@
 /* Three instances, three engines and a trainer whose step takes some seconds. */
 typedef struct
 {
-  PtWorld world;
+  PtCluster world;
   PtProcess trainer;
 } Scene;
 
 static void
 start_world (Scene *scene)
 {
-  PtWorld *world = &scene->world;
+  PtCluster *world = &scene->world;
 
-  pt_world_init (world);
+  pt_cluster_init (world);
   pt_start_platform (world);
   pt_start_engine (world, "engine-1", engine_options);
   pt_start_engine (world, "engine-2", engine_options);
@@ -33,7 +33,7 @@
   pt_start_instance (world, "i1", "hall-a");
   pt_start_instance (world, "i2", "hall-b");
   pt_start_instance (world, "i3", "hall-c");
-  pt_apply_all (world, &world->instances[0]);
+  pt_apply_resources (world, &world->instances[0]);
   for (size_t i = 0; i < world->n_instances; i++)
     pt_wait_ready (world, &world->instances[i]);
 }
@@ -59,7 +59,7 @@
 scene_open_without_store (Scene *scene, const char *silence_ms)
 {
   start_world (scene);
-  pt_fault (&scene->world, &scene->world.platform, "{\"mode\": \"down\"}");
+  pt_inject_fault (&scene->world, &scene->world.platform, "{\"mode\": \"down\"}");
   start_trainer (scene, silence_ms);
 }
 
@@ -67,22 +67,22 @@
 scene_close (Scene *scene)
 {
   pt_process_clear (&scene->trainer);
-  pt_world_drain (&scene->world);
-  pt_world_clear (&scene->world);
+  pt_cluster_drain (&scene->world);
+  pt_cluster_clear (&scene->world);
 }
 
 static int64_t
-count_finished (PtWorld *world)
+count_finished (PtCluster *world)
 {
   int64_t n = 0;
 
   for (size_t i = 0; i < world->n_endpoints; i++)
-    n += pt_log_number (world, &world->endpoints[i], "finished");
+    n += pt_read_log_counter (world, &world->endpoints[i], "finished");
   return n;
 }
 
 static bool
-is_mid_step (PtWorld *world, void *user)
+is_mid_step (PtCluster *world, void *user)
 {
   (void)user;
   return count_finished (world) >= SAMPLES / 4;
@@ -90,7 +90,7 @@
 
 /* What the platform's table says of the owner of step 1. */
 static PtProgram *
-find_owner (PtWorld *world)
+find_owner (PtCluster *world)
 {
   struct json_object *row
       = si_client_json (&world->client, world->platform.address, OWNER_ROW, NULL);
@@ -112,7 +112,7 @@
 static void
 check_trainer (Scene *scene)
 {
-  struct json_object *summary = pt_finish (&scene->world, &scene->trainer);
+  struct json_object *summary = pt_wait_summary (&scene->world, &scene->trainer);
 
   cr_assert (pt_process_has_exited (&scene->trainer, 0), "%s (logs in %s)",
              json_object_to_json_string (summary), scene->world.folder);
@@ -136,7 +136,7 @@
 }
 
 static bool
-has_other_owner (PtWorld *world, void *user)
+has_other_owner (PtCluster *world, void *user)
 {
   return find_owner (world) != user;
 }
@@ -169,17 +169,17 @@
 
   scene_open (&scene, "3000");
   pt_wait (&scene.world, "the step is under way", is_mid_step, NULL);
-  pt_fault (&scene.world, &scene.world.platform, "{\"mode\": \"down\"}");
+  pt_inject_fault (&scene.world, &scene.world.platform, "{\"mode\": \"down\"}");
   check_trainer (&scene);
   pt_process_clear (&scene.trainer);
-  pt_fault (&scene.world, &scene.world.platform, "{\"mode\": \"none\"}");
+  pt_inject_fault (&scene.world, &scene.world.platform, "{\"mode\": \"none\"}");
   pt_start_trainer (&scene.world, &scene.trainer, next);
   check_trainer (&scene);
   scene_close (&scene);
 }
 
 static bool
-has_step_chunk (PtWorld *world, void *user)
+has_step_chunk (PtCluster *world, void *user)
 {
   (void)user;
   return count_finished (world) >= SAMPLES / 2;
@@ -197,7 +197,7 @@
   pt_wait (&scene.world, "the step is under way", has_step_chunk, NULL);
   pt_process_signal (&scene.world.instances[0].process, SIGKILL);
   si_client_pause (&scene.world.client, LB_SEC);
-  pt_fault (&scene.world, &scene.world.platform, "{\"mode\": \"none\"}");
+  pt_inject_fault (&scene.world, &scene.world.platform, "{\"mode\": \"none\"}");
   check_trainer (&scene);
   scene_close (&scene);
 }
--- a/tests/process/test-tickets.c
+++ b/tests/process/test-tickets.c
@@ -10,14 +10,14 @@
 
 typedef struct
 {
-  PtWorld world;
+  PtCluster world;
   PtProgram *service;
   PtProgram *first;
   PtProgram *second;
 } Shop;
 
 static bool
-both_named (PtWorld *world, void *user)
+both_named (PtCluster *world, void *user)
 {
   (void)user;
   bool all = true;
@@ -41,13 +41,13 @@
   static const char *const options[] = { "--latency-ms", "50", NULL };
 
   memset (shop, 0, sizeof *shop);
-  pt_world_init (&shop->world);
+  pt_cluster_init (&shop->world);
   pt_start_platform (&shop->world);
   shop->service = pt_start_service (&shop->world, "lookup-1", options);
   shop->first = pt_start_instance (&shop->world, "i1", "hall-a");
   shop->second = pt_start_instance (&shop->world, "i2", "hall-b");
-  pt_apply_all (&shop->world, shop->first);
-  pt_wait_in_force (&shop->world);
+  pt_apply_resources (&shop->world, shop->first);
+  pt_wait_revision_in_force (&shop->world);
   pt_wait_ready (&shop->world, shop->first);
   pt_wait_ready (&shop->world, shop->second);
   pt_wait (&shop->world, "two instances that name each other", both_named, NULL);
@@ -56,7 +56,7 @@
 static void
 shop_clear (Shop *shop)
 {
-  pt_world_clear (&shop->world);
+  pt_cluster_clear (&shop->world);
 }
 
 static void
@@ -113,14 +113,14 @@
   order (&shop, shop.first, "x-ticket", ticket, &answer);
   cr_assert (si_answer_is_ok (&answer), "%s", si_answer_error (&answer));
   si_answer_clear (&answer);
-  cr_assert_eq (pt_runs (&shop.world, shop.service, "tea"), 1);
+  cr_assert_eq (pt_count_runs (&shop.world, shop.service, "tea"), 1);
 
   pt_process_signal (&shop.first->process, SIGKILL);
   order (&shop, shop.second, "x-ticket", ticket, &answer);
   cr_assert_str_eq (si_answer_error (&answer), "outcome_unknown");
   cr_assert_not (answer.not_run);
   si_answer_clear (&answer);
-  cr_assert_eq (pt_runs (&shop.world, shop.service, "tea"), 1);
+  cr_assert_eq (pt_count_runs (&shop.world, shop.service, "tea"), 1);
   shop_clear (&shop);
 }
 
@@ -131,7 +131,7 @@
 } Repeat;
 
 static bool
-order_is_answered (PtWorld *world, void *user)
+order_is_answered (PtCluster *world, void *user)
 {
   (void)world;
   const Repeat *repeat = user;
@@ -154,18 +154,18 @@
   SiAnswer answer;
 
   shop_init (&shop);
-  pt_fault (&shop.world, &shop.world.platform,
-            "{\"mode\": \"lose_reply\", \"path\": \"/table/transact\"}");
+  pt_inject_fault (&shop.world, &shop.world.platform,
+                   "{\"mode\": \"lose_reply\", \"path\": \"/table/transact\"}");
   order (&shop, shop.first, "idempotency-key", "k1", &answer);
   cr_assert (si_answer_is_ok (&answer) || answer.not_run, "%s", si_answer_error (&answer));
-  cr_assert_eq (pt_runs (&shop.world, shop.service, "tea"), answer.not_run ? 0 : 1);
+  cr_assert_eq (pt_count_runs (&shop.world, shop.service, "tea"), answer.not_run ? 0 : 1);
   si_answer_clear (&answer);
-  pt_fault (&shop.world, &shop.world.platform, "{\"mode\": \"none\"}");
+  pt_inject_fault (&shop.world, &shop.world.platform, "{\"mode\": \"none\"}");
   Repeat second = { .shop = &shop, .instance = shop.second };
   Repeat first = { .shop = &shop, .instance = shop.first };
   pt_wait (&shop.world, "the order at the second instance", order_is_answered, &second);
   pt_wait (&shop.world, "the order at the first instance", order_is_answered, &first);
-  cr_assert_eq (pt_runs (&shop.world, shop.service, "tea"), 1);
+  cr_assert_eq (pt_count_runs (&shop.world, shop.service, "tea"), 1);
   shop_clear (&shop);
 }
 
@@ -178,15 +178,15 @@
   char ticket[256];
 
   shop_init (&shop);
-  pt_fault (&shop.world, &shop.world.platform, "{\"mode\": \"down\"}");
+  pt_inject_fault (&shop.world, &shop.world.platform, "{\"mode\": \"down\"}");
   order (&shop, shop.first, "idempotency-key", "k1", &answer);
   cr_assert (answer.not_run, "%s", si_answer_error (&answer));
   si_answer_clear (&answer);
-  cr_assert_eq (pt_runs (&shop.world, shop.service, "tea"), 0);
+  cr_assert_eq (pt_count_runs (&shop.world, shop.service, "tea"), 0);
   get_ticket (&shop, shop.first, ticket);
   order (&shop, shop.first, "x-ticket", ticket, &answer);
   cr_assert (si_answer_is_ok (&answer), "%s", si_answer_error (&answer));
   si_answer_clear (&answer);
-  cr_assert_eq (pt_runs (&shop.world, shop.service, "tea"), 1);
+  cr_assert_eq (pt_count_runs (&shop.world, shop.service, "tea"), 1);
   shop_clear (&shop);
 }
--- a/tests/soak/sk-faults.c
+++ b/tests/soak/sk-faults.c
@@ -62,11 +62,11 @@
   switch (sk_draw (world, 0, 3))
     {
     case 0:
-      return (PtRelayFault){ .loses_to_target = true, .loses_from_target = true };
+      return (PtRelayFault){ .drops_to_target = true, .drops_from_target = true };
     case 1:
-      return (PtRelayFault){ .loses_from_target = true };
+      return (PtRelayFault){ .drops_from_target = true };
     case 2:
-      return (PtRelayFault){ .loses_to_target = true };
+      return (PtRelayFault){ .drops_to_target = true };
     default:
       return (PtRelayFault){ .delay = draw_ms (world, 20, 600) };
     }
@@ -149,7 +149,7 @@
     if (sk_draw (world, 0, 1))
       {
         world->instances[i].disturbed_at = lb_clock_monotonic ();
-        pt_relay_reset (&world->instances[i].to_store);
+        pt_relay_reset_connections (&world->instances[i].to_store);
       }
 }
 
@@ -160,7 +160,7 @@
   for (size_t i = 0; i < world->n_instances; i++)
     {
       world->instances[i].disturbed_at = lb_clock_monotonic ();
-      pt_relay_lose_track (&world->instances[i].to_store);
+      pt_relay_blackhole_connections (&world->instances[i].to_store);
     }
 }
 
@@ -205,9 +205,9 @@
     return;
   world->disturbed_at = lb_clock_monotonic ();
   if (sk_draw (world, 0, 1))
-    pt_relay_reset (&endpoint->way);
+    pt_relay_reset_connections (&endpoint->way);
   else
-    pt_relay_lose_track (&endpoint->way);
+    pt_relay_blackhole_connections (&endpoint->way);
 }
 
 static void
--- a/tests/soak/sk-world.c
+++ b/tests/soak/sk-world.c
@@ -170,7 +170,7 @@
   for (size_t i = 0; i < world->n_instances; i++)
     {
       SkInstance *instance = &world->instances[i];
-      if (sk_instance_runs (instance) && strstr (instance->process.text, line))
+      if (sk_instance_runs (instance) && strstr (instance->process.output, line))
         return instance;
     }
   return NULL;
@@ -233,7 +233,7 @@
   FILE *out = fopen (path, "w");
   if (!out)
     return;
-  fwrite (instance->process.text, 1, instance->process.length, out);
+  fwrite (instance->process.output, 1, instance->process.output_length, out);
   fclose (out);
 }
 
@@ -539,7 +539,7 @@
       = return_after == LB_TIME_NEVER ? LB_TIME_NEVER : lb_clock_monotonic () + return_after;
   si_sampler_break_streams (&endpoint->sampler);
   si_sampler_unregister (&endpoint->sampler);
-  pt_relay_reset (&endpoint->way);
+  pt_relay_reset_connections (&endpoint->way);
 }
 
 void
@@ -548,7 +548,7 @@
   if (endpoint->is_gone)
     return;
   sk_tell (endpoint->world, "crash %s", endpoint->sampler.name);
-  endpoint->way.fault = (PtRelayFault){ .loses_to_target = true };
+  endpoint->way.fault = (PtRelayFault){ .drops_to_target = true };
   take_away (endpoint, return_after);
 }
 
@@ -558,7 +558,7 @@
   if (endpoint->is_gone)
     return;
   sk_tell (endpoint->world, "end %s", endpoint->sampler.name);
-  pt_relay_refuse (&endpoint->way);
+  pt_relay_refuse_connections (&endpoint->way);
   take_away (endpoint, return_after);
 }
 
@@ -590,7 +590,7 @@
       endpoint->return_at = LB_TIME_NEVER;
       endpoint->is_gone = false;
       endpoint->way.fault = (PtRelayFault){ 0 };
-      pt_relay_accept (&endpoint->way);
+      pt_relay_accept_connections (&endpoint->way);
       endpoint->sampler.born++;
       endpoint->sampler.orders = 0;
       endpoint->sampler.last_fence = 0;
