--- a/packages/wire/include/lw-handshake.h
+++ b/packages/wire/include/lw-handshake.h
@@ -3,12 +3,12 @@
 
 #include "lw-message.h"
 
-/* Proof of the cluster key in both directions: HELLO, CHALLENGE, PROOF. */
+/* Mutual proof of the cluster key by the messages HELLO, CHALLENGE and PROOF. */
 typedef struct
 {
-  bool dialler;
+  bool is_dialler;
   bool done;
-  bool challenged; /* acceptor: HELLO was answered */
+  bool has_challenged; /* acceptor: sent the CHALLENGE */
   char key[128];
   uint8_t nonce[LW_NONCE_BYTES];
   uint8_t peer_nonce[LW_NONCE_BYTES];
@@ -16,14 +16,15 @@
   LcInstance peer; /* valid once done */
 } LwHandshake;
 
-/* nonce: random bytes, new for each connection. */
+/* nonce: random bytes, unique to the connection. */
 void lw_handshake_init (LwHandshake *handshake,
-                        bool dialler,
+                        bool is_dialler,
                         const char *key,
                         const LcInstance *self,
                         const uint8_t nonce[LW_NONCE_BYTES]);
 void lw_handshake_hello (const LwHandshake *handshake, LwMessage *out);
-/* out->type is 0 when nothing is to be sent. Errors: WRONG_KEY, FRAME_GARBLED (out of turn). */
+/* Sets out to the message to send next, its type to 0 for none. Errors: WRONG_KEY, FRAME_GARBLED
+ * (unexpected message). */
 bool
 lw_handshake_receive (LwHandshake *handshake, const LwMessage *in, LwMessage *out, LbError *error);
 
--- a/packages/wire/include/lw-message.h
+++ b/packages/wire/include/lw-message.h
@@ -20,7 +20,7 @@
   LW_N_MESSAGES
 } LwMessageType;
 
-/* One message between instances; which members count depends on the type. */
+/* One message between instances; the type determines which members are used. */
 typedef struct
 {
   LwMessageType type;
@@ -28,23 +28,23 @@
   uint8_t mac[LW_MAC_BYTES];
   LcInstance instance;
   uint64_t digest;
-  LcInstance *instances; /* owned; no peer_address: short form, without the texts */
+  LcInstance *instances; /* owned; without peer_address: short form, no strings but the name */
   size_t n_instances;
   bool is_reply;
   LbName origin;
   uint64_t origin_epoch;
-  uint64_t sequence; /* of the origin's frames */
+  uint64_t sequence; /* number of the frame at its origin */
   bool to_all;
   LbName topic;
   char *payload; /* owned */
-  size_t length;
+  size_t length; /* of the payload */
 } LwMessage;
 
-/* The whole frame, header included; the caller frees it. */
+/* Returns the whole frame, header included; the caller frees it. */
 uint8_t *lw_message_encode (const LwMessage *message, size_t *length);
 bool lw_message_decode (const uint8_t *body, size_t length, LwMessage *message, LbError *error);
 void lw_message_clear (LwMessage *message);
-/* The bytes that a proof of the key covers besides the nonces; the caller frees them. */
+/* Encodes an instance as the key proof covers it; the caller frees the result. */
 uint8_t *lw_message_encode_instance (const LcInstance *instance, size_t *length);
 
 #endif
--- a/packages/wire/src/lw-frame.c
+++ b/packages/wire/src/lw-frame.c
@@ -8,11 +8,11 @@
   header[4] = LW_FRAME_VERSION;
 }
 
-/* Finds the first frame in the bytes. A pure function: it keeps nothing and allocates nothing.
- * Errors: FRAME_VERSION, FRAME_TOO_LARGE (body over cap). Both are seen from the header alone, so
- * that a wrong length never makes the reader wait for or store gigabytes. */
+/* Finds the first frame in the bytes, without allocating memory. Errors: FRAME_VERSION,
+ * FRAME_TOO_LARGE (body above max_body). The header alone shows both, so that a wrong length never
+ * makes the reader wait for or buffer gigabytes. */
 LwFrameResult
-lw_frame_read (const uint8_t *bytes, size_t length, size_t cap, LwFrame *frame, LbError *error)
+lw_frame_read (const uint8_t *bytes, size_t length, size_t max_body, LwFrame *frame, LbError *error)
 {
   size_t body = 0;
 
@@ -27,9 +27,10 @@
     }
   for (int i = 0; i < 4; i++)
     body = body << 8 | bytes[i];
-  if (body > cap)
+  if (body > max_body)
     {
-      lb_error_set (error, LB_ERROR_FRAME_TOO_LARGE, "frame", "%zu bytes, at most %zu", body, cap);
+      lb_error_set (error, LB_ERROR_FRAME_TOO_LARGE, "frame",
+                    "body of %zu bytes, expected at most %zu", body, max_body);
       return LW_FRAME_INVALID;
     }
   frame->consumed += body;
--- a/packages/wire/src/lw-message.c
+++ b/packages/wire/src/lw-message.c
@@ -6,10 +6,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FULL_FIELDS 10
-#define SHORT_FIELDS 6
-/* An instance is hundreds of bytes here but may be one byte in a frame: without this, eight million
- * such bytes would ask for gigabytes. */
+#define FULL_INSTANCE_FIELDS 10
+#define SHORT_INSTANCE_FIELDS 6
+/* An instance takes hundreds of bytes in memory but may be a single byte in a frame: without this
+ * limit, eight million such bytes would allocate gigabytes. */
 #define MAX_INSTANCES 8192
 
 static void
@@ -38,7 +38,7 @@
 {
   bool full = instance->peer_address[0] != '\0';
 
-  msgpack_pack_array (packer, full ? FULL_FIELDS : SHORT_FIELDS);
+  msgpack_pack_array (packer, full ? FULL_INSTANCE_FIELDS : SHORT_INSTANCE_FIELDS);
   pack_text (packer, instance->name);
   msgpack_pack_uint64 (packer, instance->epoch);
   msgpack_pack_uint64 (packer, instance->version);
@@ -72,7 +72,7 @@
   pack_bytes (packer, message->payload, message->length);
 }
 
-/* Fields of each type of message, the type itself included. */
+/* Number of fields of each message type, including the type itself. */
 static const size_t n_fields[LW_N_MESSAGES] = {
   [LW_HELLO] = 3, [LW_CHALLENGE] = 4, [LW_PROOF] = 2,   [LW_PING] = 2,
   [LW_PONG] = 2,  [LW_INSTANCES] = 2, [LW_COMPARE] = 3, [LW_DATA] = 7,
@@ -149,56 +149,56 @@
   return bytes;
 }
 
-/* Reads the fields of an array one after the other; the first wrong one makes all the rest fail. */
+/* Reads the fields of an array in order; after the first invalid one all further reads fail. */
 typedef struct
 {
   const msgpack_object *next;
-  size_t left;
-  bool bad;
+  size_t n_left;
+  bool is_invalid;
 } Fields;
 
 static const msgpack_object *
-take (Fields *fields, msgpack_object_type type)
+next_field (Fields *fields, msgpack_object_type type)
 {
-  if (fields->bad || fields->left == 0 || fields->next->type != type)
+  if (fields->is_invalid || fields->n_left == 0 || fields->next->type != type)
     {
-      fields->bad = true;
+      fields->is_invalid = true;
       return NULL;
     }
-  fields->left--;
+  fields->n_left--;
   return fields->next++;
 }
 
 static uint64_t
-take_uint (Fields *fields)
+read_uint (Fields *fields)
 {
-  const msgpack_object *object = take (fields, MSGPACK_OBJECT_POSITIVE_INTEGER);
+  const msgpack_object *object = next_field (fields, MSGPACK_OBJECT_POSITIVE_INTEGER);
 
   return object ? object->via.u64 : 0;
 }
 
 static uint64_t
-take_below (Fields *fields, uint64_t end)
+read_uint_below (Fields *fields, uint64_t limit)
 {
-  uint64_t value = take_uint (fields);
+  uint64_t value = read_uint (fields);
 
-  if (value >= end)
-    fields->bad = true;
-  return fields->bad ? 0 : value;
+  if (value >= limit)
+    fields->is_invalid = true;
+  return fields->is_invalid ? 0 : value;
 }
 
 static bool
-take_bool (Fields *fields)
+read_bool (Fields *fields)
 {
-  const msgpack_object *object = take (fields, MSGPACK_OBJECT_BOOLEAN);
+  const msgpack_object *object = next_field (fields, MSGPACK_OBJECT_BOOLEAN);
 
   return object && object->via.boolean;
 }
 
 static void
-take_name (Fields *fields, LbName name)
+read_name (Fields *fields, LbName name)
 {
-  const msgpack_object *object = take (fields, MSGPACK_OBJECT_STR);
+  const msgpack_object *object = next_field (fields, MSGPACK_OBJECT_STR);
 
   name[0] = '\0';
   if (!object)
@@ -206,7 +206,7 @@
   size_t length = object->via.str.size;
   if (length >= LB_NAME_MAX || memchr (object->via.str.ptr, '\0', length))
     {
-      fields->bad = true;
+      fields->is_invalid = true;
       return;
     }
   memcpy (name, object->via.str.ptr, length);
@@ -214,20 +214,20 @@
 }
 
 static void
-take_bytes (Fields *fields, uint8_t *bytes, size_t length)
+read_bytes (Fields *fields, uint8_t *bytes, size_t length)
 {
-  const msgpack_object *object = take (fields, MSGPACK_OBJECT_BIN);
+  const msgpack_object *object = next_field (fields, MSGPACK_OBJECT_BIN);
 
   if (object && object->via.bin.size == length)
     memcpy (bytes, object->via.bin.ptr, length);
   else
-    fields->bad = true;
+    fields->is_invalid = true;
 }
 
 static void
-take_payload (Fields *fields, LwMessage *message)
+read_payload (Fields *fields, LwMessage *message)
 {
-  const msgpack_object *object = take (fields, MSGPACK_OBJECT_BIN);
+  const msgpack_object *object = next_field (fields, MSGPACK_OBJECT_BIN);
 
   if (!object)
     return;
@@ -238,112 +238,112 @@
 }
 
 static Fields
-take_array (Fields *fields)
+read_array (Fields *fields)
 {
-  const msgpack_object *object = take (fields, MSGPACK_OBJECT_ARRAY);
+  const msgpack_object *object = next_field (fields, MSGPACK_OBJECT_ARRAY);
 
   if (!object)
-    return (Fields){ .bad = true };
-  return (Fields){ .next = object->via.array.ptr, .left = object->via.array.size };
+    return (Fields){ .is_invalid = true };
+  return (Fields){ .next = object->via.array.ptr, .n_left = object->via.array.size };
 }
 
 static void
-take_instance (Fields *fields, LcInstance *instance)
+read_instance (Fields *fields, LcInstance *instance)
 {
-  Fields inner = take_array (fields);
-  bool full = inner.left == FULL_FIELDS;
-
-  if (!full && inner.left != SHORT_FIELDS)
-    inner.bad = true;
-  take_name (&inner, instance->name);
-  instance->epoch = take_uint (&inner);
-  instance->version = take_uint (&inner);
-  instance->state = (LcInstanceState)take_below (&inner, LC_N_INSTANCE_STATES);
-  instance->draining = take_bool (&inner);
-  instance->load = (int64_t)take_below (&inner, LC_INSTANCE_MAX_LOAD + 1);
+  Fields inner = read_array (fields);
+  bool full = inner.n_left == FULL_INSTANCE_FIELDS;
+
+  if (!full && inner.n_left != SHORT_INSTANCE_FIELDS)
+    inner.is_invalid = true;
+  read_name (&inner, instance->name);
+  instance->epoch = read_uint (&inner);
+  instance->version = read_uint (&inner);
+  instance->state = (LcInstanceState)read_uint_below (&inner, LC_N_INSTANCE_STATES);
+  instance->draining = read_bool (&inner);
+  instance->load = (int64_t)read_uint_below (&inner, LC_INSTANCE_MAX_LOAD + 1);
   if (full)
     {
-      take_name (&inner, instance->incarnation);
-      take_name (&inner, instance->data_centre);
-      take_name (&inner, instance->caller_address);
-      take_name (&inner, instance->peer_address);
-      inner.bad = inner.bad || instance->peer_address[0] == '\0';
+      read_name (&inner, instance->incarnation);
+      read_name (&inner, instance->data_centre);
+      read_name (&inner, instance->caller_address);
+      read_name (&inner, instance->peer_address);
+      inner.is_invalid = inner.is_invalid || instance->peer_address[0] == '\0';
     }
-  fields->bad = fields->bad || inner.bad || instance->name[0] == '\0';
+  fields->is_invalid = fields->is_invalid || inner.is_invalid || instance->name[0] == '\0';
 }
 
 static void
-take_instances (Fields *fields, LwMessage *message)
+read_instances (Fields *fields, LwMessage *message)
 {
-  Fields inner = take_array (fields);
+  Fields inner = read_array (fields);
 
-  if (inner.left > MAX_INSTANCES)
+  if (inner.n_left > MAX_INSTANCES)
     {
-      fields->bad = true;
+      fields->is_invalid = true;
       return;
     }
-  message->instances = LB_NEW_ARRAY (LcInstance, inner.left);
-  message->n_instances = inner.left;
-  for (size_t i = 0; i < message->n_instances && !inner.bad; i++)
-    take_instance (&inner, &message->instances[i]);
-  fields->bad = fields->bad || inner.bad;
+  message->instances = LB_NEW_ARRAY (LcInstance, inner.n_left);
+  message->n_instances = inner.n_left;
+  for (size_t i = 0; i < message->n_instances && !inner.is_invalid; i++)
+    read_instance (&inner, &message->instances[i]);
+  fields->is_invalid = fields->is_invalid || inner.is_invalid;
 }
 
 static void
-take_data (Fields *fields, LwMessage *message)
+read_data (Fields *fields, LwMessage *message)
 {
-  take_name (fields, message->origin);
-  message->origin_epoch = take_uint (fields);
-  message->sequence = take_uint (fields);
-  message->to_all = take_bool (fields);
-  take_name (fields, message->topic);
-  take_payload (fields, message);
+  read_name (fields, message->origin);
+  message->origin_epoch = read_uint (fields);
+  message->sequence = read_uint (fields);
+  message->to_all = read_bool (fields);
+  read_name (fields, message->topic);
+  read_payload (fields, message);
 }
 
 static void
-take_message (Fields *fields, LwMessage *message)
+read_message (Fields *fields, LwMessage *message)
 {
-  size_t count = fields->left;
+  size_t count = fields->n_left;
 
-  message->type = (LwMessageType)take_below (fields, LW_N_MESSAGES);
+  message->type = (LwMessageType)read_uint_below (fields, LW_N_MESSAGES);
   if (n_fields[message->type] != count)
-    fields->bad = true;
+    fields->is_invalid = true;
   switch (message->type)
     {
     case LW_HELLO:
-      take_bytes (fields, message->nonce, sizeof message->nonce);
-      take_instance (fields, &message->instance);
+      read_bytes (fields, message->nonce, sizeof message->nonce);
+      read_instance (fields, &message->instance);
       break;
     case LW_CHALLENGE:
-      take_bytes (fields, message->nonce, sizeof message->nonce);
-      take_instance (fields, &message->instance);
-      take_bytes (fields, message->mac, sizeof message->mac);
+      read_bytes (fields, message->nonce, sizeof message->nonce);
+      read_instance (fields, &message->instance);
+      read_bytes (fields, message->mac, sizeof message->mac);
       break;
     case LW_PROOF:
-      take_bytes (fields, message->mac, sizeof message->mac);
+      read_bytes (fields, message->mac, sizeof message->mac);
       break;
     case LW_PING:
     case LW_PONG:
-      message->digest = take_uint (fields);
+      message->digest = read_uint (fields);
       break;
     case LW_INSTANCES:
-      take_instances (fields, message);
+      read_instances (fields, message);
       break;
     case LW_COMPARE:
-      take_instances (fields, message);
-      message->is_reply = take_bool (fields);
+      read_instances (fields, message);
+      message->is_reply = read_bool (fields);
       break;
     case LW_DATA:
-      take_data (fields, message);
+      read_data (fields, message);
       break;
     case LW_N_MESSAGES:
-      fields->bad = true;
+      fields->is_invalid = true;
       break;
     }
 }
 
 static uint64_t
-big_endian (const uint8_t *bytes, size_t width)
+read_big_endian (const uint8_t *bytes, size_t width)
 {
   uint64_t value = 0;
 
@@ -352,7 +352,7 @@
   return value;
 }
 
-/* Bytes of a length or number that follow the tag, 0 when the tag says all. */
+/* Size in bytes of the length or number after the tag; 0 if the tag itself contains it. */
 static size_t
 tag_width (uint8_t tag)
 {
@@ -384,55 +384,56 @@
 }
 
 static bool
-is_used_tag (uint8_t tag)
+is_supported_tag (uint8_t tag)
 {
-  bool map = tag >= 0x80 && tag <= 0x8f;
-  bool single = tag <= 0xbf || tag >= 0xe0 || tag == 0xc0 || tag == 0xc2 || tag == 0xc3;
+  bool is_map = tag >= 0x80 && tag <= 0x8f;
+  bool is_single_byte = tag <= 0xbf || tag >= 0xe0 || tag == 0xc0 || tag == 0xc2 || tag == 0xc3;
 
-  return !map && (single || tag_width (tag) > 0);
+  return !is_map && (is_single_byte || tag_width (tag) > 0);
 }
 
-/* Size of the value that begins here without its elements, and how many elements it claims. */
+/* Returns the size of the value at bytes without its elements; sets *elements to the number of
+ * elements it claims. width: see tag_width. */
 static uint64_t
 value_size (const uint8_t *bytes, size_t width, uint64_t *elements)
 {
   uint8_t tag = bytes[0];
-  uint64_t number = big_endian (bytes + 1, width);
-  bool array = (tag & 0xf0) == 0x90 || tag == 0xdc || tag == 0xdd;
-  bool text = (tag & 0xe0) == 0xa0;
-  bool long_text = (tag >= 0xc4 && tag <= 0xc6) || (tag >= 0xd9 && tag <= 0xdb);
+  uint64_t number = read_big_endian (bytes + 1, width);
+  bool is_array = (tag & 0xf0) == 0x90 || tag == 0xdc || tag == 0xdd;
+  bool is_short_string = (tag & 0xe0) == 0xa0;
+  bool is_long_string = (tag >= 0xc4 && tag <= 0xc6) || (tag >= 0xd9 && tag <= 0xdb);
 
-  *elements = !array ? 0 : width ? number : tag & 0x0fU;
-  return 1 + width + (text ? tag & 0x1fU : long_text ? number : 0);
+  *elements = !is_array ? 0 : width ? number : tag & 0x0fU;
+  return 1 + width + (is_short_string ? tag & 0x1fU : is_long_string ? number : 0);
 }
 
-/* The failure: five bytes that claim an array of many million elements make msgpack-c ask for
- * gigabytes before it looks for the first of them, and a nest of such arrays for more than the
- * machine can promise. Every element takes at least a byte, so claims that sum to more than the
- * bytes left are false. Maps, floats and extensions are in no message of ours and are refused. */
+/* Five bytes that claim an array of many million elements make msgpack-c allocate gigabytes before
+ * it reads the first element, and nested arrays more than the machine can commit. Each element
+ * takes at least one byte, so claims that exceed the remaining bytes are false. Maps, floats and
+ * extension types occur in no message and are refused. */
 static bool
-claims_fit (const uint8_t *bytes, size_t length)
+has_plausible_sizes (const uint8_t *bytes, size_t length)
 {
-  uint64_t wanted = 1;
+  uint64_t n_expected = 1;
   uint64_t elements;
-  size_t at = 0;
+  size_t offset = 0;
 
-  while (wanted > 0)
+  while (n_expected > 0)
     {
-      if (at >= length || !is_used_tag (bytes[at]))
+      if (offset >= length || !is_supported_tag (bytes[offset]))
         return false;
-      size_t width = tag_width (bytes[at]);
-      if (length - at < 1 + width)
+      size_t width = tag_width (bytes[offset]);
+      if (length - offset < 1 + width)
         return false;
-      uint64_t size = value_size (bytes + at, width, &elements);
-      if (size > length - at)
+      uint64_t size = value_size (bytes + offset, width, &elements);
+      if (size > length - offset)
         return false;
-      at += size;
-      wanted += elements - 1;
-      if (wanted > length - at)
+      offset += size;
+      n_expected += elements - 1;
+      if (n_expected > length - offset)
         return false;
     }
-  return at == length;
+  return offset == length;
 }
 
 static bool
@@ -446,26 +447,26 @@
   if (msgpack_unpack_next (&unpacked, (const char *)body, length, &offset)
       != MSGPACK_UNPACK_SUCCESS)
     goto out;
-  Fields outer = { .next = &unpacked.data, .left = 1 };
-  Fields fields = take_array (&outer);
-  take_message (&fields, message);
-  ok = !fields.bad;
+  Fields outer = { .next = &unpacked.data, .n_left = 1 };
+  Fields fields = read_array (&outer);
+  read_message (&fields, message);
+  ok = !fields.is_invalid;
 out:
   msgpack_unpacked_destroy (&unpacked);
   return ok;
 }
 
-/* Decodes the body of one frame. A pure function over the bytes. Error: FRAME_GARBLED; then the
- * message owns nothing. */
+/* Decodes the body of one frame. Error: FRAME_GARBLED; the message then owns no memory. */
 bool
 lw_message_decode (const uint8_t *body, size_t length, LwMessage *message, LbError *error)
 {
   memset (message, 0, sizeof *message);
-  if (claims_fit (body, length) && decode_fields (body, length, message))
+  if (has_plausible_sizes (body, length) && decode_fields (body, length, message))
     return true;
   lw_message_clear (message);
   return lb_error_set (error, LB_ERROR_FRAME_GARBLED, "frame",
-                       "no message of version %d in %zu bytes", LW_FRAME_VERSION, length);
+                       "expected a message of version %d in the body of %zu bytes",
+                       LW_FRAME_VERSION, length);
 }
 
 void
--- a/packages/wire/tests/test-frames.c
+++ b/packages/wire/tests/test-frames.c
@@ -13,14 +13,14 @@
 static LcInstance
 instance (const char *name)
 {
-  LcInstance made = { .epoch = 1700000000000, .version = 3, .load = 250 };
-
-  LB_COPY (made.name, name);
-  LB_COPY (made.incarnation, "5f3a");
-  LB_COPY (made.data_centre, "hall-a");
-  LB_COPY (made.caller_address, "127.0.0.1:8080");
-  LB_COPY (made.peer_address, "127.0.0.1:8081");
-  return made;
+  LcInstance result = { .epoch = 1700000000000, .version = 3, .load = 250 };
+
+  LB_COPY (result.name, name);
+  LB_COPY (result.incarnation, "5f3a");
+  LB_COPY (result.data_centre, "hall-a");
+  LB_COPY (result.caller_address, "127.0.0.1:8080");
+  LB_COPY (result.peer_address, "127.0.0.1:8081");
+  return result;
 }
 
 static LwMessage
@@ -45,38 +45,38 @@
   return message;
 }
 
-Test (message, every_type_reads_as_written)
+Test (message, every_type_survives_encoding_and_decoding)
 {
   LcInstance instances[] = { instance ("i1"), { .name = "i2", .state = LC_INSTANCE_DEAD } };
 
   for (int type = LW_HELLO; type < LW_N_MESSAGES; type++)
     {
       LwMessage message = example ((LwMessageType)type, instances);
-      size_t length, again_length;
+      size_t length, reencoded_length;
       uint8_t *bytes = lw_message_encode (&message, &length);
       LwFrame frame;
-      LwMessage read;
+      LwMessage decoded;
 
       cr_assert_eq (lw_frame_read (bytes, length, LW_FRAME_MAX_BODY, &frame, NULL),
                     LW_FRAME_COMPLETE);
       cr_assert_eq (frame.consumed, length);
-      cr_assert (lw_message_decode (frame.body, frame.length, &read, NULL), "type %d", type);
-      uint8_t *again = lw_message_encode (&read, &again_length);
-      cr_assert_eq (length, again_length);
-      cr_assert_eq (memcmp (bytes, again, length), 0);
+      cr_assert (lw_message_decode (frame.body, frame.length, &decoded, NULL), "type %d", type);
+      uint8_t *reencoded = lw_message_encode (&decoded, &reencoded_length);
+      cr_assert_eq (length, reencoded_length);
+      cr_assert_eq (memcmp (bytes, reencoded, length), 0);
       for (size_t cut = 0; cut < length; cut++)
         cr_assert_eq (lw_frame_read (bytes, cut, LW_FRAME_MAX_BODY, &frame, NULL),
                       LW_FRAME_PARTIAL);
-      lw_message_clear (&read);
+      lw_message_clear (&decoded);
       free (bytes);
-      free (again);
+      free (reencoded);
     }
 }
 
-/* After an upgrade gone wrong, an instance of another version connects; or bytes of another
- * protocol arrive whose first four make a length of gigabytes. The reader would wait for them for
- * ever and store all that comes. The header alone must be enough to refuse. */
-Test (frame, wrong_version_and_size_are_refused_by_the_header)
+/* An instance of another version connects, or bytes of another protocol arrive whose first four
+ * make a length of gigabytes: the reader would wait for ever and buffer all that comes. The header
+ * alone must be enough to refuse both. */
+Test (frame, wrong_version_and_size_are_refused_from_the_header_alone)
 {
   uint8_t bytes[LW_FRAME_HEADER];
   LbError error;
@@ -109,7 +109,7 @@
 }
 
 static void
-refuse_without_memory (const uint8_t *body, size_t length)
+expect_refusal_without_allocation (const uint8_t *body, size_t length)
 {
   long before = peak_memory_kb ();
   LwMessage message;
@@ -120,10 +120,10 @@
   cr_assert_lt (peak_memory_kb () - before, 1 << 18);
 }
 
-/* One flipped bit, or somebody who writes to the port, sends a list that claims many million
- * elements, or has so many of one byte each. The process asks for gigabytes for a frame of a few
- * bytes, and the instance may be ended for it. */
-Test (message, a_false_claim_of_elements_is_refused_before_any_memory_is_asked_for)
+/* A flipped bit, or anyone who connects to the port, may send an array that claims many million
+ * elements, or has as many of one byte each. Gigabytes would be allocated for a small frame, and
+ * the process killed for lack of memory. */
+Test (message, false_element_counts_are_refused_without_allocation)
 {
   static const uint8_t bodies[][8] = { { 0xdd, 0x0a, 0xaa, 0xaa, 0xaa, 0x05 },
                                        { 0x92, 0x06, 0xdd, 0x0a, 0xaa, 0xaa, 0xaa, 0x90 },
@@ -134,16 +134,16 @@
   uint8_t *list = lb_malloc (many + sizeof head);
 
   for (size_t i = 0; i < sizeof bodies / sizeof *bodies; i++)
-    refuse_without_memory (bodies[i], sizeof bodies[i]);
+    expect_refusal_without_allocation (bodies[i], sizeof bodies[i]);
   memset (list, 1, many + sizeof head);
   memcpy (list, head, sizeof head);
-  refuse_without_memory (list, many + sizeof head);
+  expect_refusal_without_allocation (list, many + sizeof head);
   free (list);
 }
 
-/* Random damage of true frames: each is refused with a type or read as some message that can be
- * written again; nothing leaks or is read beyond its end (the sanitizers' run shows that). */
-Test (message, damaged_frames_are_refused_or_read)
+/* Valid frames with random damage must be refused with a typed error or decoded as some message,
+ * with no leak and no read beyond the end (checked by the sanitizers). */
+Test (message, damaged_frames_are_refused_or_decoded)
 {
   LcInstance instances[] = { instance ("i1"), { .name = "i2" } };
   gsl_rng *rng = gsl_rng_alloc (gsl_rng_taus2);
@@ -155,7 +155,7 @@
       size_t length;
       uint8_t *bytes = lw_message_encode (&message, &length);
       size_t body = gsl_rng_uniform_int (rng, length - LW_FRAME_HEADER) + 1;
-      LwMessage read;
+      LwMessage decoded;
       LbError error = { .code = LB_OK };
 
       for (int damage = 0; damage < 3; damage++)
@@ -163,8 +163,8 @@
             = (uint8_t)gsl_rng_uniform_int (rng, 256);
       if (round % 2)
         body = length - LW_FRAME_HEADER;
-      if (lw_message_decode (bytes + LW_FRAME_HEADER, body, &read, &error))
-        lw_message_clear (&read);
+      if (lw_message_decode (bytes + LW_FRAME_HEADER, body, &decoded, &error))
+        lw_message_clear (&decoded);
       else
         refused += error.code == LB_ERROR_FRAME_GARBLED;
       free (bytes);
@@ -182,95 +182,95 @@
   LwMessage proof;
   LwMessage none;
   LbError error;
-} Shake;
+} HandshakePair;
 
 static void
-shake_init (Shake *shake, const char *dialler_key, const char *acceptor_key)
+pair_init (HandshakePair *pair, const char *dialler_key, const char *acceptor_key)
 {
   uint8_t nonces[2][LW_NONCE_BYTES] = { { 1 }, { 2 } };
   LcInstance ends[] = { instance ("i1"), instance ("i2") };
 
-  memset (shake, 0, sizeof *shake);
-  lw_handshake_init (&shake->dialler, true, dialler_key, &ends[0], nonces[0]);
-  lw_handshake_init (&shake->acceptor, false, acceptor_key, &ends[1], nonces[1]);
-  lw_handshake_hello (&shake->dialler, &shake->hello);
+  memset (pair, 0, sizeof *pair);
+  lw_handshake_init (&pair->dialler, true, dialler_key, &ends[0], nonces[0]);
+  lw_handshake_init (&pair->acceptor, false, acceptor_key, &ends[1], nonces[1]);
+  lw_handshake_hello (&pair->dialler, &pair->hello);
 }
 
 static bool
-shake_to_challenge (Shake *shake)
+answer_hello (HandshakePair *pair)
 {
-  return lw_handshake_receive (&shake->acceptor, &shake->hello, &shake->challenge, &shake->error);
+  return lw_handshake_receive (&pair->acceptor, &pair->hello, &pair->challenge, &pair->error);
 }
 
 static bool
-shake_to_proof (Shake *shake)
+answer_challenge (HandshakePair *pair)
 {
-  return lw_handshake_receive (&shake->dialler, &shake->challenge, &shake->proof, &shake->error);
+  return lw_handshake_receive (&pair->dialler, &pair->challenge, &pair->proof, &pair->error);
 }
 
 static bool
-shake_to_end (Shake *shake)
+verify_proof (HandshakePair *pair)
 {
-  return lw_handshake_receive (&shake->acceptor, &shake->proof, &shake->none, &shake->error);
+  return lw_handshake_receive (&pair->acceptor, &pair->proof, &pair->none, &pair->error);
 }
 
-Test (handshake, both_ends_learn_the_other)
+Test (handshake, both_ends_learn_the_peer)
 {
-  Shake shake;
+  HandshakePair pair;
 
-  shake_init (&shake, "key", "key");
-  cr_assert (shake_to_challenge (&shake) && shake_to_proof (&shake) && shake_to_end (&shake));
-  cr_assert (shake.dialler.done && shake.acceptor.done);
-  cr_assert_str_eq (shake.dialler.peer.name, "i2");
-  cr_assert_str_eq (shake.acceptor.peer.name, "i1");
+  pair_init (&pair, "key", "key");
+  cr_assert (answer_hello (&pair) && answer_challenge (&pair) && verify_proof (&pair));
+  cr_assert (pair.dialler.done && pair.acceptor.done);
+  cr_assert_str_eq (pair.dialler.peer.name, "i2");
+  cr_assert_str_eq (pair.acceptor.peer.name, "i1");
 }
 
-/* An instance of another cluster, or one with last year's key, connects. If either end went on, two
- * clusters would mix their members and configurations. The dialler must find out by the challenge,
- * and the acceptor by the proof, also of a dialler that goes on regardless. */
-Test (handshake, another_key_is_refused_by_either_end)
+/* An instance of another cluster, or one with an old key, connects. If either end accepted it, two
+ * clusters would mix their members and configurations. The dialler must detect it from the
+ * challenge, and the acceptor from the proof, even if the dialler sends one regardless. */
+Test (handshake, different_key_is_refused_by_either_end)
 {
-  Shake shake;
-
-  shake_init (&shake, "key", "other");
-  cr_assert (shake_to_challenge (&shake));
-  cr_assert_not (shake_to_proof (&shake));
-  cr_assert_eq (shake.error.code, LB_ERROR_WRONG_KEY);
-  cr_assert_not (shake.dialler.done);
-  shake.proof.type = LW_PROOF;
-  cr_assert_not (shake_to_end (&shake));
-  cr_assert_eq (shake.error.code, LB_ERROR_WRONG_KEY);
-  cr_assert_not (shake.acceptor.done);
+  HandshakePair pair;
+
+  pair_init (&pair, "key", "other");
+  cr_assert (answer_hello (&pair));
+  cr_assert_not (answer_challenge (&pair));
+  cr_assert_eq (pair.error.code, LB_ERROR_WRONG_KEY);
+  cr_assert_not (pair.dialler.done);
+  pair.proof.type = LW_PROOF;
+  cr_assert_not (verify_proof (&pair));
+  cr_assert_eq (pair.error.code, LB_ERROR_WRONG_KEY);
+  cr_assert_not (pair.acceptor.done);
 }
 
-/* Somebody without the key repeats to us the proof that we gave (reflection), or changes the
- * address in what a true instance said, so that frames would go to him. */
-Test (handshake, reflected_and_altered_words_are_refused)
+/* A peer without the key sends our own proof back to us (reflection), or someone on the path
+ * changes the address in an instance's message to have frames sent elsewhere. */
+Test (handshake, reflected_proof_and_altered_instance_are_refused)
 {
-  Shake shake;
-
-  shake_init (&shake, "key", "key");
-  shake.hello.instance = shake.acceptor.self;
-  shake_to_challenge (&shake);
-  memcpy (shake.proof.mac, shake.challenge.mac, sizeof shake.proof.mac);
-  shake.proof.type = LW_PROOF;
-  cr_assert_not (shake_to_end (&shake));
-
-  shake_init (&shake, "key", "key");
-  shake_to_challenge (&shake);
-  LB_COPY (shake.challenge.instance.caller_address, "127.0.0.1:6666");
-  cr_assert_not (shake_to_proof (&shake));
-  cr_assert_eq (shake.error.code, LB_ERROR_WRONG_KEY);
+  HandshakePair pair;
+
+  pair_init (&pair, "key", "key");
+  pair.hello.instance = pair.acceptor.self;
+  answer_hello (&pair);
+  memcpy (pair.proof.mac, pair.challenge.mac, sizeof pair.proof.mac);
+  pair.proof.type = LW_PROOF;
+  cr_assert_not (verify_proof (&pair));
+
+  pair_init (&pair, "key", "key");
+  answer_hello (&pair);
+  LB_COPY (pair.challenge.instance.caller_address, "127.0.0.1:6666");
+  cr_assert_not (answer_challenge (&pair));
+  cr_assert_eq (pair.error.code, LB_ERROR_WRONG_KEY);
 }
 
-Test (handshake, nothing_else_is_taken_before_its_end)
+Test (handshake, other_messages_are_refused_before_its_end)
 {
-  Shake shake;
+  HandshakePair pair;
   LwMessage ping = { .type = LW_PING };
 
-  shake_init (&shake, "key", "key");
-  cr_assert_not (lw_handshake_receive (&shake.acceptor, &ping, &shake.none, &shake.error));
-  cr_assert_eq (shake.error.code, LB_ERROR_FRAME_GARBLED);
-  shake.proof.type = LW_PROOF;
-  cr_assert_not (shake_to_end (&shake));
+  pair_init (&pair, "key", "key");
+  cr_assert_not (lw_handshake_receive (&pair.acceptor, &ping, &pair.none, &pair.error));
+  cr_assert_eq (pair.error.code, LB_ERROR_FRAME_GARBLED);
+  pair.proof.type = LW_PROOF;
+  cr_assert_not (verify_proof (&pair));
 }
