--- a/packages/http/include/lh-reach.h
+++ b/packages/http/include/lh-reach.h
@@ -5,32 +5,34 @@
 
 struct event_base;
 
-/* Whether an address takes connections: opens one, sends nothing, and closes it after a while. */
+/* Checks whether an address accepts connections: opens one, sends nothing, and closes it after a
+ * while. */
 typedef struct LhReach LhReach;
 
 typedef enum
 {
-  LH_REACH_OPEN,    /* it takes connections */
-  LH_REACH_CLOSED,  /* it took this one, and closed it at once */
-  LH_REACH_REFUSED, /* the machine answers, and no process listens there */
-  LH_REACH_SILENT   /* no answer in time: nothing can be told */
+  LH_REACH_OPEN,    /* accepts connections */
+  LH_REACH_CLOSED,  /* accepted this connection and then closed it */
+  LH_REACH_REFUSED, /* the host answers, but no process listens at the port */
+  LH_REACH_SILENT   /* no answer in time: state unknown */
 } LhReachOutcome;
 
 typedef void (*LhReachDone) (LhReachOutcome outcome, void *user);
 
 typedef struct
 {
-  LbTime connect_timeout; /* longest until the connection is taken or refused */
-  LbTime hold_time;       /* how long it has to stay open; 0: taken is enough */
+  LbTime connect_timeout; /* until the connection is accepted or refused */
+  LbTime hold_time;       /* how long it must stay open; 0: not checked */
 } LhReachTimes;
 
-/* Calls done once, never from inside; NULL for a malformed address. */
+/* Calls done once, never from inside this call. Returns NULL for a malformed address, or if no
+ * socket can be created. */
 LhReach *lh_reach_start (struct event_base *base,
                          const char *address,
                          const LhReachTimes *times,
                          LhReachDone done,
                          void *user);
-/* No call of done follows. */
+/* Frees the check without calling done. */
 void lh_reach_cancel (LhReach *reach);
 
 #endif
--- a/packages/http/include/lh-socket.h
+++ b/packages/http/include/lh-socket.h
@@ -1,7 +1,7 @@
 #ifndef LH_SOCKET_H
 #define LH_SOCKET_H
 
-/* Makes the kernel find out within about six seconds that a connection has gone silent. */
+/* Lets the kernel detect a dead connection within about six seconds. */
 void lh_socket_enable_keepalive (int fd);
 
 #endif
--- a/packages/http/src/lh-fetch.c
+++ b/packages/http/src/lh-fetch.c
@@ -18,7 +18,7 @@
 #include <strings.h>
 #include <sys/queue.h>
 
-#define DEFAULT_SILENCE (30 * LB_SEC)
+#define DEFAULT_IDLE_TIMEOUT (30 * LB_SEC)
 #define MAX_BODY_BYTES (64 << 20)
 
 struct LhFetch
@@ -31,7 +31,7 @@
   void *user;
   struct event *connect_timer; /* NULL: none */
   bool bytes_handed;
-  bool starting;
+  bool is_starting;
   LbErrorCode failure;
 };
 
@@ -66,26 +66,26 @@
 }
 
 static void
-set_silence (LhConnection *connection, LbTime silence)
+set_idle_timeout (LhConnection *connection, LbTime timeout)
 {
-  const struct timeval limit = lb_time_to_timeval (silence);
+  const struct timeval limit = lb_time_to_timeval (timeout);
 
   evhttp_connection_set_timeout_tv (connection->evcon, &limit);
 }
 
 static void
-drop_connect_timer (LhFetch *fetch)
+free_connect_timer (LhFetch *fetch)
 {
   if (fetch->connect_timer)
     event_free (fetch->connect_timer);
   fetch->connect_timer = NULL;
 }
 
-/* "Not run" is a proof: it needs to know whether any byte was handed to the socket. evhttp fills
- * the output buffer only once connected, so the first byte added there is the first that may have
- * left. */
+/* "Not run" must be proved: it requires that no byte was handed to the socket. evhttp fills the
+ * output buffer only once connected, so the first byte added there is the first that may have been
+ * sent. */
 static void
-on_output (struct evbuffer *buffer, const struct evbuffer_cb_info *info, void *user)
+on_output_changed (struct evbuffer *buffer, const struct evbuffer_cb_info *info, void *user)
 {
   (void)buffer;
   LhFetch *fetch = user;
@@ -93,27 +93,27 @@
   if (info->n_added == 0)
     return;
   fetch->bytes_handed = true;
-  drop_connect_timer (fetch);
+  free_connect_timer (fetch);
 }
 
 static void
-watch_output (LhFetch *fetch, bool watch)
+watch_output (LhFetch *fetch, bool enable)
 {
   struct bufferevent *bev = evhttp_connection_get_bufferevent (fetch->connection->evcon);
   struct evbuffer *output = bufferevent_get_output (bev);
 
-  if (watch)
-    evbuffer_add_cb (output, on_output, fetch);
+  if (enable)
+    evbuffer_add_cb (output, on_output_changed, fetch);
   else
-    evbuffer_remove_cb (output, on_output, fetch);
+    evbuffer_remove_cb (output, on_output_changed, fetch);
 }
 
-/* How long the connection may lie idle before its next request, 0 for no next request.
+/* Returns how long the connection may be idle before its next request; 0: not reusable.
  *
- * What is left unread on a connection would be taken for the reply to its next request, and reach
- * another caller. A HEAD request is where it happens: some servers send the body all the same. */
+ * Bytes left unread would be taken for the response to the next request and reach another caller.
+ * That happens after HEAD requests, to which some servers send a body all the same. */
 static LbTime
-idle_life (const LhFetch *fetch, struct evhttp_request *request)
+get_max_idle_time (const LhFetch *fetch, struct evhttp_request *request)
 {
   struct bufferevent *bev = evhttp_connection_get_bufferevent (fetch->connection->evcon);
   struct evkeyvalq *headers;
@@ -128,14 +128,14 @@
   value = evhttp_find_header (headers, "Connection");
   if (value && strcasecmp (value, "close") == 0)
     return 0;
-  return lh_pool_idle_life (evhttp_find_header (headers, "Keep-Alive"));
+  return lh_pool_max_idle_time (evhttp_find_header (headers, "Keep-Alive"));
 }
 
-/* evhttp calls back from inside evhttp_make_request when it can't even open a socket, all file
- * descriptors being used for example. The starter does not know the fetch yet, so it hears of it
- * from the event loop. */
+/* evhttp calls back from inside evhttp_make_request if it can't open a socket, for example because
+ * all file descriptors are in use. The caller doesn't have the fetch yet, so the failure is
+ * reported from the event loop. */
 static void
-fail_start (LhFetch *fetch)
+defer_start_failure (LhFetch *fetch)
 {
   watch_output (fetch, false);
   lh_pool_close_later (fetch->connection);
@@ -143,13 +143,13 @@
   fetch->request = NULL;
   lb_list_remove (&fetch->pool->fetches, &fetch->link);
   lb_list_append (&fetch->pool->failed, &fetch->link);
-  lh_pool_wake (fetch->pool);
+  lh_pool_schedule_cleanup (fetch->pool);
 }
 
-/* A machine that lost power answers no opening packet, and the caller's whole time would pass
- * before anybody learned it. Nothing was handed over yet, so the request can go elsewhere. */
+/* A host that lost power doesn't answer the SYN packets, which would use up the caller's whole
+ * deadline. No byte was handed over yet, so the request can go to another endpoint. */
 static void
-on_connect_time (evutil_socket_t fd, short what, void *user)
+on_connect_timeout (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -158,7 +158,7 @@
   LhHandlers handlers = fetch->handlers;
   void *fetch_user = fetch->user;
 
-  drop_connect_timer (fetch);
+  free_connect_timer (fetch);
   watch_output (fetch, false);
   lb_list_remove (&fetch->pool->fetches, &fetch->link);
   evhttp_request_set_error_cb (fetch->request, NULL);
@@ -171,24 +171,24 @@
 }
 
 static void
-start_connect_timer (LhFetch *fetch, LbTime time)
+start_connect_timer (LhFetch *fetch, LbTime timeout)
 {
-  const struct timeval tv = lb_time_to_timeval (time);
+  const struct timeval tv = lb_time_to_timeval (timeout);
 
-  if (time <= 0 || fetch->bytes_handed)
+  if (timeout <= 0 || fetch->bytes_handed)
     return;
-  fetch->connect_timer = evtimer_new (fetch->pool->base, on_connect_time, fetch);
+  fetch->connect_timer = evtimer_new (fetch->pool->base, on_connect_timeout, fetch);
   evtimer_add (fetch->connect_timer, &tv);
 }
 
 static void
-finish (LhFetch *fetch, struct evhttp_request *request)
+finish_fetch (LhFetch *fetch, struct evhttp_request *request)
 {
   LhResult result = { .bytes_handed = fetch->bytes_handed };
   LhConnection *connection = fetch->connection;
 
   watch_output (fetch, false);
-  drop_connect_timer (fetch);
+  free_connect_timer (fetch);
   lb_list_remove (&fetch->pool->fetches, &fetch->link);
   if (request && evhttp_request_get_response_code (request) != 0 && fetch->failure == LB_OK)
     {
@@ -199,7 +199,7 @@
     }
   else
     result.failure = fetch->failure != LB_OK ? fetch->failure : LB_ERROR_IO;
-  lh_pool_give_back (connection, result.failure == LB_OK ? idle_life (fetch, request) : 0);
+  lh_pool_release (connection, result.failure == LB_OK ? get_max_idle_time (fetch, request) : 0);
   fetch->request = request;
   fetch->handlers.on_done (fetch, &result, fetch->user);
   free (fetch);
@@ -210,10 +210,10 @@
 {
   LhFetch *fetch = user;
 
-  if (fetch->starting)
+  if (fetch->is_starting)
     fetch->failure = LB_ERROR_IO;
   else
-    finish (fetch, request);
+    finish_fetch (fetch, request);
 }
 
 static void
@@ -257,37 +257,37 @@
 }
 
 static void
-add_headers (struct evhttp_request *request, const LhRequest *wanted)
+add_headers (struct evhttp_request *request, const LhRequest *spec)
 {
   struct evkeyvalq *headers = evhttp_request_get_output_headers (request);
   char length[32];
 
-  evhttp_add_header (headers, "Host", wanted->host ? wanted->host : wanted->address);
-  for (size_t i = 0; i < wanted->n_headers; i++)
-    evhttp_add_header (headers, wanted->headers[i].name, wanted->headers[i].value);
-  if (wanted->body_length == 0)
+  evhttp_add_header (headers, "Host", spec->host ? spec->host : spec->address);
+  for (size_t i = 0; i < spec->n_headers; i++)
+    evhttp_add_header (headers, spec->headers[i].name, spec->headers[i].value);
+  if (spec->body_length == 0)
     return;
-  /* evhttp adds the length itself only for the methods that usually have a body. */
-  snprintf (length, sizeof length, "%zu", wanted->body_length);
+  /* evhttp adds this header itself only for methods that usually have a body. */
+  snprintf (length, sizeof length, "%zu", spec->body_length);
   evhttp_add_header (headers, "Content-Length", length);
-  evbuffer_add (evhttp_request_get_output_buffer (request), wanted->body, wanted->body_length);
+  evbuffer_add (evhttp_request_get_output_buffer (request), spec->body, spec->body_length);
 }
 
-/* Starts an exchange; NULL and a typed error only when the request itself is malformed. All else,
- * a refused connection included, comes through on_done, never from inside this call. */
+/* Starts an exchange. Returns NULL with an error only if the request is malformed; any other
+ * failure, a refused connection included, is reported by on_done, never from inside this call. */
 LhFetch *
 lh_fetch_start (
-    LhPool *pool, const LhRequest *wanted, const LhHandlers *handlers, void *user, LbError *error)
+    LhPool *pool, const LhRequest *spec, const LhHandlers *handlers, void *user, LbError *error)
 {
   enum evhttp_cmd_type method;
   LhFetch *fetch = NULL;
 
-  if (!method_from_name (wanted->method, &method))
+  if (!method_from_name (spec->method, &method))
     {
-      lb_error_set (error, LB_ERROR_BAD_VALUE, wanted->method, "expected a known HTTP method");
+      lb_error_set (error, LB_ERROR_BAD_VALUE, spec->method, "expected a known HTTP method");
       return NULL;
     }
-  LhConnection *connection = lh_pool_take (pool, wanted->address, wanted->fresh_connection, error);
+  LhConnection *connection = lh_pool_acquire (pool, spec->address, spec->fresh_connection, error);
   if (!connection)
     return NULL;
 
@@ -297,26 +297,26 @@
   fetch->handlers = *handlers;
   fetch->user = user;
   lb_list_append (&pool->fetches, &fetch->link);
-  set_silence (connection, wanted->idle_timeout > 0 ? wanted->idle_timeout : DEFAULT_SILENCE);
+  set_idle_timeout (connection, spec->idle_timeout > 0 ? spec->idle_timeout : DEFAULT_IDLE_TIMEOUT);
   fetch->request = evhttp_request_new (on_request_done, fetch);
   evhttp_request_set_error_cb (fetch->request, on_request_error);
   if (handlers->on_body_chunk)
     evhttp_request_set_chunked_cb (fetch->request, on_chunk);
-  add_headers (fetch->request, wanted);
+  add_headers (fetch->request, spec);
   watch_output (fetch, true);
   evhttp_connection_set_max_body_size (connection->evcon,
                                        handlers->on_body_chunk ? -1 : MAX_BODY_BYTES);
-  fetch->starting = true;
-  if (evhttp_make_request (connection->evcon, fetch->request, method, wanted->path) != 0)
+  fetch->is_starting = true;
+  if (evhttp_make_request (connection->evcon, fetch->request, method, spec->path) != 0)
     fetch->failure = LB_ERROR_IO;
-  fetch->starting = false;
+  fetch->is_starting = false;
   if (fetch->failure != LB_OK)
-    fail_start (fetch);
+    defer_start_failure (fetch);
   else
     {
       lh_socket_enable_keepalive (
           bufferevent_getfd (evhttp_connection_get_bufferevent (connection->evcon)));
-      start_connect_timer (fetch, wanted->connect_timeout);
+      start_connect_timer (fetch, spec->connect_timeout);
     }
   return fetch;
 }
@@ -331,9 +331,9 @@
       return;
     }
   watch_output (fetch, false);
-  drop_connect_timer (fetch);
+  free_connect_timer (fetch);
   lb_list_remove (&fetch->pool->fetches, &fetch->link);
-  /* Freeing the connection frees its request; a half-read stream can't be reused anyway. */
+  /* Also frees the request. A partly read connection couldn't be reused anyway. */
   evhttp_request_set_error_cb (fetch->request, NULL);
   evhttp_cancel_request (fetch->request);
   lh_pool_close_later (fetch->connection);
@@ -355,7 +355,7 @@
 }
 
 void
-lh_fetch_drop_all (LhPool *pool)
+lh_fetch_cancel_all (LhPool *pool)
 {
   LB_LIST_FOREACH (&pool->fetches, LhFetch, link, running)
   {
--- a/packages/http/src/lh-pool.c
+++ b/packages/http/src/lh-pool.c
@@ -11,14 +11,14 @@
 
 #define MAX_HEADER_BYTES (64 << 10)
 #define MAX_IDLE_PER_POOL 512
-#define IDLE_LIFE (20 * LB_SEC)
-/* A stated idle time ends this much earlier here: the next request travels for a while, and the
- * server counts from when it wrote its reply. Half the shortest time the header can state. */
-#define IDLE_MARGIN (500 * LB_MSEC)
-#define REAP_SECONDS 5
+#define MAX_IDLE_TIME (20 * LB_SEC)
+/* A Keep-Alive timeout is shortened by this: the next request takes time to arrive, and the server
+ * counts from when it wrote its response. Half the shortest timeout that the header can state. */
+#define KEEP_ALIVE_MARGIN (500 * LB_MSEC)
+#define EXPIRY_CHECK_SECONDS 5
 
 static bool
-split_address (const char *address, char *host, size_t size, int *port)
+parse_address (const char *address, char *host, size_t size, int *port)
 {
   const char *colon = strrchr (address, ':');
   char *end = NULL;
@@ -42,7 +42,7 @@
 }
 
 static void
-free_closing (LhPool *pool)
+free_closing_connections (LhPool *pool)
 {
   LbLink *link;
 
@@ -51,31 +51,31 @@
 }
 
 static void
-close_now (evutil_socket_t fd, short what, void *user)
+on_cleanup (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
 
-  free_closing (user);
+  free_closing_connections (user);
   lh_fetch_report_failed (user);
 }
 
 static void
-leave_idle (LhConnection *connection)
+remove_from_idle (LhConnection *connection)
 {
   connection->is_idle = false;
   lb_list_remove (&connection->pool->idle, &connection->link);
 }
 
-/* Whether the server may be closing the connection by now. */
+/* Whether the server may already be closing the connection. */
 static bool
-has_idled_out (const LhConnection *connection, LbTime now)
+is_idle_time_over (const LhConnection *connection, LbTime now)
 {
-  return now - connection->idle_since >= connection->idle_life;
+  return now - connection->idle_since >= connection->max_idle_time;
 }
 
 static void
-reap (evutil_socket_t fd, short what, void *user)
+on_expiry_check (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -84,53 +84,53 @@
 
   LB_LIST_FOREACH (&pool->idle, LhConnection, link, connection)
   {
-    if (!has_idled_out (connection, now))
+    if (!is_idle_time_over (connection, now))
       continue;
-    leave_idle (connection);
+    remove_from_idle (connection);
     lb_list_append (&pool->closing, &connection->link);
   }
-  free_closing (pool);
+  free_closing_connections (pool);
 }
 
 LhPool *
 lh_pool_new (struct event_base *base)
 {
   LhPool *pool = LB_NEW (LhPool);
-  const struct timeval period = { .tv_sec = REAP_SECONDS };
+  const struct timeval period = { .tv_sec = EXPIRY_CHECK_SECONDS };
 
   pool->base = base;
   lb_list_init (&pool->idle);
   lb_list_init (&pool->closing);
   lb_list_init (&pool->fetches);
   lb_list_init (&pool->failed);
-  pool->closer = event_new (base, -1, 0, close_now, pool);
-  pool->reaper = event_new (base, -1, EV_PERSIST, reap, pool);
-  event_add (pool->reaper, &period);
+  pool->cleanup_event = event_new (base, -1, 0, on_cleanup, pool);
+  pool->expiry_timer = event_new (base, -1, EV_PERSIST, on_expiry_check, pool);
+  event_add (pool->expiry_timer, &period);
   return pool;
 }
 
-/* Cancels what still runs and closes everything. */
+/* Cancels all fetches and closes all connections. */
 void
 lh_pool_free (LhPool *pool)
 {
   if (!pool)
     return;
-  lh_fetch_drop_all (pool);
+  lh_fetch_cancel_all (pool);
   LB_LIST_FOREACH (&pool->idle, LhConnection, link, connection)
   {
-    leave_idle (connection);
+    remove_from_idle (connection);
     connection_free (connection);
   }
-  free_closing (pool);
-  event_free (pool->reaper);
-  event_free (pool->closer);
+  free_closing_connections (pool);
+  event_free (pool->expiry_timer);
+  event_free (pool->cleanup_event);
   free (pool);
 }
 
 void
-lh_pool_wake (LhPool *pool)
+lh_pool_schedule_cleanup (LhPool *pool)
 {
-  event_active (pool->closer, EV_TIMEOUT, 0);
+  event_active (pool->cleanup_event, EV_TIMEOUT, 0);
 }
 
 void
@@ -139,7 +139,7 @@
   LhPool *pool = connection->pool;
 
   lb_list_append (&pool->closing, &connection->link);
-  lh_pool_wake (pool);
+  lh_pool_schedule_cleanup (pool);
 }
 
 void
@@ -149,59 +149,58 @@
   {
     if (address && strcmp (connection->address, address) != 0)
       continue;
-    leave_idle (connection);
+    remove_from_idle (connection);
     lh_pool_close_later (connection);
   }
 }
 
 LbTime
-lh_pool_idle_life (const char *keep_alive)
+lh_pool_max_idle_time (const char *keep_alive)
 {
   const char *timeout = keep_alive ? strcasestr (keep_alive, "timeout=") : NULL;
   const char *digits = timeout ? timeout + strlen ("timeout=") : "";
   char *end = NULL;
   long seconds = strtol (digits, &end, 10);
 
-  if (end == digits || seconds < 0 || seconds > IDLE_LIFE / LB_SEC)
-    return IDLE_LIFE;
-  return seconds * LB_SEC - IDLE_MARGIN;
+  if (end == digits || seconds < 0 || seconds > MAX_IDLE_TIME / LB_SEC)
+    return MAX_IDLE_TIME;
+  return seconds * LB_SEC - KEEP_ALIVE_MARGIN;
 }
 
-/* The one used last is the likeliest to be used again. */
+/* Recently used connections are kept, as they are the most likely to be reused. */
 static void
-close_oldest (LhPool *pool)
+close_longest_idle (LhPool *pool)
 {
-  LhConnection *oldest = LB_CONTAINER (pool->idle.head.prev, LhConnection, link);
+  LhConnection *longest_idle = LB_CONTAINER (pool->idle.head.prev, LhConnection, link);
 
-  leave_idle (oldest);
-  lh_pool_close_later (oldest);
+  remove_from_idle (longest_idle);
+  lh_pool_close_later (longest_idle);
 }
 
-/* Returning a connection that the other side is closing would fail the next request, so only one
- * whose reply allows keep-alive goes back, for as long as its server keeps it. */
+/* Reusing a connection that the server is closing would fail the next request, so a connection is
+ * kept only if its response allows it, and no longer than the server keeps it. */
 void
-lh_pool_give_back (LhConnection *connection, LbTime idle_life)
+lh_pool_release (LhConnection *connection, LbTime max_idle_time)
 {
-  static const struct timeval idle_limit = { .tv_sec = 2 * IDLE_LIFE / LB_SEC };
+  static const struct timeval idle_timeout = { .tv_sec = 2 * MAX_IDLE_TIME / LB_SEC };
   LhPool *pool = connection->pool;
 
-  if (!lb_switch_is_on (LB_SWITCH_IDLE_CONNECTIONS) || idle_life <= 0)
+  if (!lb_switch_is_on (LB_SWITCH_IDLE_CONNECTIONS) || max_idle_time <= 0)
     {
       lh_pool_close_later (connection);
       return;
     }
   if (pool->idle.length >= MAX_IDLE_PER_POOL)
-    close_oldest (pool);
-  /* evhttp keeps the silence limit of the last exchange on an idle connection and closes it then.
-   */
-  evhttp_connection_set_timeout_tv (connection->evcon, &idle_limit);
+    close_longest_idle (pool);
+  /* Otherwise evhttp would close it after the idle timeout of its last exchange. */
+  evhttp_connection_set_timeout_tv (connection->evcon, &idle_timeout);
   connection->idle_since = lb_clock_monotonic ();
-  connection->idle_life = idle_life;
+  connection->max_idle_time = max_idle_time;
   connection->is_idle = true;
   lb_list_prepend (&pool->idle, &connection->link);
 }
 
-/* The peer closed a connection while it was idle in the pool. */
+/* The server closed the connection; only of interest while it is idle in the pool. */
 static void
 on_connection_closed (struct evhttp_connection *evcon, void *user)
 {
@@ -210,7 +209,7 @@
 
   if (!connection->is_idle)
     return;
-  leave_idle (connection);
+  remove_from_idle (connection);
   lh_pool_close_later (connection);
 }
 
@@ -220,7 +219,7 @@
   char host[LB_NAME_MAX];
   int port;
 
-  if (!split_address (address, host, sizeof host, &port))
+  if (!parse_address (address, host, sizeof host, &port))
     {
       lb_error_set (error, LB_ERROR_BAD_VALUE, address, "expected an address of the form IP:PORT");
       return NULL;
@@ -243,22 +242,22 @@
 
   LB_LIST_FOREACH (&pool->idle, LhConnection, link, connection)
   {
-    n += strcmp (connection->address, address) == 0 && !has_idled_out (connection, now);
+    n += strcmp (connection->address, address) == 0 && !is_idle_time_over (connection, now);
   }
   return n;
 }
 
 LhConnection *
-lh_pool_take (LhPool *pool, const char *address, bool fresh, LbError *error)
+lh_pool_acquire (LhPool *pool, const char *address, bool must_be_new, LbError *error)
 {
   LbTime now = lb_clock_monotonic ();
 
-  if (!fresh)
+  if (!must_be_new)
     LB_LIST_FOREACH (&pool->idle, LhConnection, link, connection)
     {
-      if (strcmp (connection->address, address) != 0 || has_idled_out (connection, now))
+      if (strcmp (connection->address, address) != 0 || is_idle_time_over (connection, now))
         continue;
-      leave_idle (connection);
+      remove_from_idle (connection);
       return connection;
     }
   return connection_new (pool, address, error);
--- a/packages/http/src/lh-pool.h
+++ b/packages/http/src/lh-pool.h
@@ -4,7 +4,7 @@
 #include "lb-list.h"
 #include "lh-fetch.h"
 
-/* The inside of LhPool: connections kept for reuse, and the fetches that run on others. */
+/* Internals of LhPool: idle connections kept for reuse, and the fetches that run on others. */
 
 typedef struct
 {
@@ -14,32 +14,32 @@
   LbName address;
   bool is_idle; /* in LhPool.idle */
   LbTime idle_since;
-  LbTime idle_life; /* not used after lying idle for so long */
+  LbTime max_idle_time; /* not reused after it */
 } LhConnection;
 
 struct LhPool
 {
   struct event_base *base;
-  struct event *reaper;
-  struct event *closer;
+  struct event *expiry_timer;
+  struct event *cleanup_event;
   LbList idle;
-  LbList closing; /* freed outside of evhttp's own callbacks */
+  LbList closing; /* connections to free outside evhttp's callbacks */
   LbList fetches;
-  LbList failed; /* fetches that ended inside lh_fetch_start */
+  LbList failed; /* fetches that failed inside lh_fetch_start */
 };
 
-/* A kept connection to the address, or a new one; NULL for a malformed address. */
-LhConnection *lh_pool_take (LhPool *pool, const char *address, bool fresh, LbError *error);
-/* Keeps the connection for reuse within idle_life; closes it when that is not positive. */
-void lh_pool_give_back (LhConnection *connection, LbTime idle_life);
-/* How long a connection may lie idle by the reply's Keep-Alive header; NULL for no header. */
-LbTime lh_pool_idle_life (const char *keep_alive);
+/* Returns an idle connection to the address, or a new one; NULL for a malformed address. */
+LhConnection *lh_pool_acquire (LhPool *pool, const char *address, bool must_be_new, LbError *error);
+/* Keeps the connection for reuse within max_idle_time; closes it if that is not positive. */
+void lh_pool_release (LhConnection *connection, LbTime max_idle_time);
+/* How long a connection may be idle by its response's Keep-Alive header; NULL: no header. */
+LbTime lh_pool_max_idle_time (const char *keep_alive);
 void lh_pool_close_later (LhConnection *connection);
-/* Frees what closes and reports what failed, in the loop's next turn. */
-void lh_pool_wake (LhPool *pool);
+/* Frees closing connections and reports failed fetches in the event loop's next iteration. */
+void lh_pool_schedule_cleanup (LhPool *pool);
 
 /* in lh-fetch.c */
 void lh_fetch_report_failed (LhPool *pool);
-void lh_fetch_drop_all (LhPool *pool);
+void lh_fetch_cancel_all (LhPool *pool);
 
 #endif
--- a/packages/http/src/lh-reach.c
+++ b/packages/http/src/lh-reach.c
@@ -15,14 +15,14 @@
   struct event_base *base;
   evutil_socket_t fd;
   struct event *event;
-  LbTime hold;
+  LbTime hold_time;
   LhReachDone done;
   void *user;
-  int connect_error; /* of the connect itself; 0: it is on its way */
+  int connect_error; /* errno of a failed connect (); 0: pending or established */
 };
 
 static void
-reach_free (LhReach *reach)
+free_reach (LhReach *reach)
 {
   if (reach->event)
     event_free (reach->event);
@@ -33,11 +33,11 @@
 void
 lh_reach_cancel (LhReach *reach)
 {
-  reach_free (reach);
+  free_reach (reach);
 }
 
 static int
-error_of (const LhReach *reach)
+get_error (const LhReach *reach)
 {
   int error = reach->connect_error;
   socklen_t length = sizeof error;
@@ -48,9 +48,9 @@
 }
 
 static LhReachOutcome
-outcome_of (const LhReach *reach, short what)
+get_outcome (const LhReach *reach, short what)
 {
-  int error = error_of (reach);
+  int error = get_error (reach);
 
   if (error == ECONNREFUSED || error == ECONNRESET)
     return LH_REACH_REFUSED;
@@ -63,48 +63,48 @@
   LhReachDone done = reach->done;
   void *done_user = reach->user;
 
-  reach_free (reach);
+  free_reach (reach);
   done (outcome, done_user);
 }
 
-/* A listener has nothing to say before it is asked: only an end can be read. */
+/* A listener sends nothing before a request, so only the end of the connection can be read. */
 static void
-on_held (evutil_socket_t fd, short what, void *user)
+on_hold_end (evutil_socket_t fd, short what, void *user)
 {
   char byte;
-  bool is_over = (what & EV_READ) && recv (fd, &byte, sizeof byte, 0) <= 0;
+  bool has_ended = (what & EV_READ) && recv (fd, &byte, sizeof byte, 0) <= 0;
 
-  finish (user, is_over ? LH_REACH_CLOSED : LH_REACH_OPEN);
+  finish (user, has_ended ? LH_REACH_CLOSED : LH_REACH_OPEN);
 }
 
 static void
-hold (LhReach *reach)
+start_hold (LhReach *reach)
 {
-  const struct timeval wait = lb_time_to_timeval (reach->hold);
+  const struct timeval wait = lb_time_to_timeval (reach->hold_time);
 
   event_free (reach->event);
-  reach->event = event_new (reach->base, reach->fd, EV_READ, on_held, reach);
+  reach->event = event_new (reach->base, reach->fd, EV_READ, on_hold_end, reach);
   event_add (reach->event, &wait);
 }
 
 static void
-on_event (evutil_socket_t fd, short what, void *user)
+on_connected (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   LhReach *reach = user;
-  LhReachOutcome outcome = outcome_of (reach, what);
+  LhReachOutcome outcome = get_outcome (reach, what);
 
-  if (outcome == LH_REACH_OPEN && reach->hold > 0)
-    hold (reach);
+  if (outcome == LH_REACH_OPEN && reach->hold_time > 0)
+    start_hold (reach);
   else
     finish (reach, outcome);
 }
 
-/* A connect that fails at once is reported from the loop too. */
+/* Also reports a connect that fails immediately from the event loop. */
 static void
-begin (LhReach *reach, const struct sockaddr_in *target, LbTime time)
+start_connect (LhReach *reach, const struct sockaddr_in *target, LbTime timeout)
 {
-  const struct timeval wait = lb_time_to_timeval (time);
+  const struct timeval wait = lb_time_to_timeval (timeout);
 
   if (connect (reach->fd, (const struct sockaddr *)target, sizeof *target) == 0)
     event_active (reach->event, EV_WRITE, 0);
@@ -138,10 +138,10 @@
   reach = LB_NEW (LhReach);
   reach->base = base;
   reach->fd = fd;
-  reach->hold = times->hold_time;
+  reach->hold_time = times->hold_time;
   reach->done = done;
   reach->user = user;
-  reach->event = event_new (base, fd, EV_WRITE, on_event, reach);
-  begin (reach, &target, times->connect_timeout);
+  reach->event = event_new (base, fd, EV_WRITE, on_connected, reach);
+  start_connect (reach, &target, times->connect_timeout);
   return reach;
 }
--- a/packages/http/src/lh-sse.c
+++ b/packages/http/src/lh-sse.c
@@ -6,10 +6,10 @@
 #include <string.h>
 
 void
-lh_sse_init (LhSse *sse, size_t limit)
+lh_sse_init (LhSse *sse, size_t max_event_bytes)
 {
   memset (sse, 0, sizeof *sse);
-  sse->limit = limit;
+  sse->max_event_bytes = max_event_bytes;
 }
 
 void
@@ -37,18 +37,18 @@
   void *user;
 } DataReader;
 
-/* Engines send one data line an event, so each such line is an event. */
+/* Engines send one data line per event, so each data line is treated as an event. */
 static void
 handle_line (const char *line, size_t length, void *user)
 {
   static const char prefix[] = "data:";
-  const size_t skip = sizeof prefix - 1;
+  const size_t prefix_length = sizeof prefix - 1;
   const DataReader *reader = user;
 
-  if (length < skip || memcmp (line, prefix, skip) != 0)
+  if (length < prefix_length || memcmp (line, prefix, prefix_length) != 0)
     return;
-  line += skip;
-  length -= skip;
+  line += prefix_length;
+  length -= prefix_length;
   if (length > 0 && line[0] == ' ')
     {
       line++;
@@ -93,8 +93,8 @@
     }
   memmove (sse->buffer, sse->buffer + start, sse->length - start);
   sse->length -= start;
-  if (sse->length > sse->limit)
-    return lb_error_set (error, LB_ERROR_BODY_TOO_LARGE, "", "an event is over %zu bytes",
-                         sse->limit);
+  if (sse->length > sse->max_event_bytes)
+    return lb_error_set (error, LB_ERROR_BODY_TOO_LARGE, "", "expected events of at most %zu bytes",
+                         sse->max_event_bytes);
   return true;
 }
--- a/packages/http/tests/test-fetch.c
+++ b/packages/http/tests/test-fetch.c
@@ -16,29 +16,29 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* The test plays the server by hand and runs the loop in between. */
+/* The test acts as the server and runs the event loop in between. */
 typedef struct
 {
   struct event_base *base;
   LhPool *pool;
   int listener;
   LbName address;
-  char request[4096]; /* as the server has read it */
+  char request[4096]; /* as read by the server */
   size_t length;
-  bool closed;
-  /* what the client was told */
-  int done;
+  bool is_closed;
+  /* as reported to the client */
+  int n_done;
   LbErrorCode failure;
   bool bytes_handed;
   int status;
   char body[4096];
   char header[64];
-  LhFetch *cancel_at_piece; /* cancelled by the handler at the first piece */
-  int pieces;
-} World;
+  LhFetch *cancel_at_chunk; /* cancelled by the handler at its first chunk */
+  int n_chunks;
+} Fixture;
 
 static void
-world_init (World *w)
+fixture_init (Fixture *w)
 {
   struct sockaddr_in at = { .sin_family = AF_INET, .sin_addr.s_addr = htonl (INADDR_LOOPBACK) };
   socklen_t length = sizeof at;
@@ -55,7 +55,7 @@
 }
 
 static void
-world_clear (World *w)
+fixture_clear (Fixture *w)
 {
   lh_pool_free (w->pool);
   event_base_free (w->base);
@@ -63,7 +63,7 @@
 }
 
 static void
-pump (World *w)
+run_loop_once (Fixture *w)
 {
   event_base_loop (w->base, EVLOOP_NONBLOCK);
   usleep (200);
@@ -75,18 +75,18 @@
       LbTime end_ = lb_clock_monotonic () + 20 * LB_SEC;                                           \
       bool met_ = false;                                                                           \
       while (!(met_ = (condition)) && lb_clock_monotonic () < end_)                                \
-        pump (w);                                                                                  \
-      cr_assert (met_, "never came true: %s", #condition);                                         \
+        run_loop_once (w);                                                                         \
+      cr_assert (met_, "condition not met within 20 s: %s", #condition);                           \
     }                                                                                              \
   while (0)
 
 static void
 on_done (LhFetch *fetch, const LhResult *result, void *user)
 {
-  World *w = user;
+  Fixture *w = user;
   const char *header = lh_fetch_header (fetch, "x-kind");
 
-  w->done++;
+  w->n_done++;
   w->failure = result->failure;
   w->bytes_handed = result->bytes_handed;
   w->status = result->status;
@@ -95,48 +95,49 @@
 }
 
 static void
-on_piece (LhFetch *fetch, const char *bytes, size_t length, void *user)
+on_body_chunk_received (LhFetch *fetch, const char *bytes, size_t length, void *user)
 {
-  World *w = user;
+  Fixture *w = user;
 
-  w->pieces++;
+  w->n_chunks++;
   strncat (w->body, bytes, length);
-  if (fetch == w->cancel_at_piece)
+  if (fetch == w->cancel_at_chunk)
     lh_fetch_cancel (fetch);
 }
 
 static LhFetch *
-start (World *w, const char *method, const char *body, bool streams, LbTime silence)
+start (Fixture *w, const char *method, const char *body, bool streams, LbTime idle_timeout)
 {
   const LhRequest request = { .method = method,
                               .address = w->address,
                               .path = "/p?q=1",
                               .body = body,
                               .body_length = strlen (body),
-                              .idle_timeout = silence };
-  const LhHandlers handlers = { .on_body_chunk = streams ? on_piece : NULL, .on_done = on_done };
+                              .idle_timeout = idle_timeout };
+  const LhHandlers handlers
+      = { .on_body_chunk = streams ? on_body_chunk_received : NULL, .on_done = on_done };
   LbError error = { 0 };
   LhFetch *fetch = lh_fetch_start (w->pool, &request, &handlers, w, &error);
 
   cr_assert (fetch, "%s", error.detail);
-  cr_assert_eq (w->done, 0, "a handler was called from inside the start");
+  cr_assert_eq (w->n_done, 0, "on_done was called from inside lh_fetch_start");
   return fetch;
 }
 
 static bool
-server_read (World *w, int fd, const char *needle)
+server_read (Fixture *w, int fd, const char *needle)
 {
   ssize_t got = recv (fd, w->request + w->length, sizeof w->request - 1 - w->length, MSG_DONTWAIT);
 
   if (got > 0)
     w->length += (size_t)got;
-  w->closed = w->closed || got == 0;
+  w->is_closed = w->is_closed || got == 0;
   w->request[w->length] = '\0';
   return needle && strstr (w->request, needle);
 }
 
 static int
-server_accept (World *w, const char *needle)
+server_accept (Fixture *w, const char *needle)
 {
   int fd = -1;
 
@@ -153,173 +154,172 @@
   cr_assert_eq (send (fd, text, strlen (text), 0), (ssize_t)strlen (text));
 }
 
-Test (fetch, reply_comes_with_status_headers_and_body)
+Test (fetch, response_has_status_headers_and_body)
 {
-  World w;
+  Fixture w;
 
-  world_init (&w);
+  fixture_init (&w);
   start (&w, "DELETE", "bye", false, 0);
   int fd = server_accept (&w, "\r\n\r\nbye");
   cr_assert (strstr (w.request, "DELETE /p?q=1 HTTP/1.1"));
   cr_assert (strstr (w.request, "Content-Length: 3"));
   server_send (fd, "HTTP/1.1 404 No\r\nx-kind: short\r\nContent-Length: 4\r\n\r\nnone");
-  UNTIL (&w, w.done);
+  UNTIL (&w, w.n_done);
   cr_assert_eq (w.failure, LB_OK);
   cr_assert_eq (w.status, 404);
   cr_assert_str_eq (w.body, "none");
   cr_assert_str_eq (w.header, "short");
   close (fd);
-  world_clear (&w);
+  fixture_clear (&w);
 }
 
-Test (fetch, connection_is_reused_and_forgotten)
+Test (fetch, idle_connection_is_reused_and_dropped)
 {
-  World w;
+  Fixture w;
 
-  world_init (&w);
+  fixture_init (&w);
   start (&w, "GET", "", false, 0);
   int fd = server_accept (&w, "\r\n\r\n");
   server_send (fd, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-  UNTIL (&w, w.done);
-  w.done = 0;
+  UNTIL (&w, w.n_done);
+  w.n_done = 0;
   w.length = 0;
   start (&w, "GET", "", false, 0);
   UNTIL (&w, server_read (&w, fd, "\r\n\r\n"));
   server_send (fd, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-  UNTIL (&w, w.done);
+  UNTIL (&w, w.n_done);
   lh_pool_drop_idle (w.pool, w.address);
-  UNTIL (&w, (server_read (&w, fd, NULL), w.closed));
+  UNTIL (&w, (server_read (&w, fd, NULL), w.is_closed));
   close (fd);
-  world_clear (&w);
+  fixture_clear (&w);
 }
 
-/* An endpoint sends more than its reply, a body to a HEAD request for example. The bytes that are
- * left on the connection would be read as the reply to the next request, and reach another caller.
- */
-Test (fetch, connection_with_bytes_left_is_not_reused)
+/* An endpoint sends more than its response, for example a body after a HEAD request. The unread
+ * bytes would be taken for the response to the next request and reach another caller. */
+Test (fetch, connection_with_unread_bytes_is_not_reused)
 {
-  World w;
+  Fixture w;
 
-  world_init (&w);
+  fixture_init (&w);
   start (&w, "GET", "", false, 0);
   int fd = server_accept (&w, "\r\n\r\n");
   server_send (fd, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none"
                    "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstolen");
-  UNTIL (&w, w.done);
+  UNTIL (&w, w.n_done);
   cr_assert_str_eq (w.body, "one");
-  w.done = 0;
+  w.n_done = 0;
   w.body[0] = '\0';
   start (&w, "GET", "", false, 0);
   int fresh = server_accept (&w, "\r\n\r\n");
   server_send (fresh, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo");
-  UNTIL (&w, w.done);
+  UNTIL (&w, w.n_done);
   cr_assert_str_eq (w.body, "two");
   close (fd);
   close (fresh);
-  world_clear (&w);
+  fixture_clear (&w);
 }
 
-/* Nothing listens at the address: no byte was handed to a socket, which is the proof that the
- * request did not run. */
-Test (fetch, refused_connection_handed_no_byte)
+/* Nothing listens at the address, so no byte is handed to a socket, which proves that the request
+ * did not run. */
+Test (fetch, refused_connection_hands_over_no_byte)
 {
-  World w;
+  Fixture w;
 
-  world_init (&w);
+  fixture_init (&w);
   close (w.listener);
   start (&w, "POST", "x", false, 0);
-  UNTIL (&w, w.done);
+  UNTIL (&w, w.n_done);
   cr_assert_neq (w.failure, LB_OK);
   cr_assert_not (w.bytes_handed);
   w.listener = -1;
-  world_clear (&w);
+  fixture_clear (&w);
 }
 
-/* The server takes the request and closes: it may have run. */
-Test (fetch, close_after_the_request_handed_bytes)
+/* The server reads the request and closes the connection: the request may have run. */
+Test (fetch, close_after_the_request_counts_as_bytes_handed)
 {
-  World w;
+  Fixture w;
 
-  world_init (&w);
+  fixture_init (&w);
   start (&w, "POST", "x", false, 0);
   int fd = server_accept (&w, "\r\n\r\nx");
   close (fd);
-  UNTIL (&w, w.done);
+  UNTIL (&w, w.n_done);
   cr_assert_neq (w.failure, LB_OK);
   cr_assert (w.bytes_handed);
-  world_clear (&w);
+  fixture_clear (&w);
 }
 
-/* The body ends before its stated length: it is not a reply, however much came. */
-Test (fetch, cut_body_is_a_failure)
+/* A body that ends before its stated length is no valid response, however much of it arrived. */
+Test (fetch, truncated_body_is_a_failure)
 {
-  World w;
+  Fixture w;
 
-  world_init (&w);
+  fixture_init (&w);
   start (&w, "GET", "", false, 0);
   int fd = server_accept (&w, "\r\n\r\n");
   server_send (fd, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
   for (int i = 0; i < 20; i++)
-    pump (&w);
+    run_loop_once (&w);
   close (fd);
-  UNTIL (&w, w.done);
+  UNTIL (&w, w.n_done);
   cr_assert_neq (w.failure, LB_OK);
-  world_clear (&w);
+  fixture_clear (&w);
 }
 
-Test (fetch, silence_is_a_timeout)
+Test (fetch, silent_stream_times_out)
 {
-  World w;
+  Fixture w;
 
-  world_init (&w);
+  fixture_init (&w);
   start (&w, "GET", "", true, 50 * LB_MSEC);
   int fd = server_accept (&w, "\r\n\r\n");
   server_send (fd, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n");
-  UNTIL (&w, w.done);
+  UNTIL (&w, w.n_done);
   cr_assert_eq (w.failure, LB_ERROR_TIMEOUT);
-  cr_assert_eq (w.done, 1);
+  cr_assert_eq (w.n_done, 1);
   cr_assert_str_eq (w.body, "one");
   close (fd);
-  world_clear (&w);
+  fixture_clear (&w);
 }
 
-/* The reader of a stream gives up in the middle of a piece. */
-Test (fetch, cancel_inside_a_piece)
+/* The reader of a stream cancels it from inside the chunk handler. */
+Test (fetch, cancel_inside_the_chunk_handler)
 {
-  World w;
+  Fixture w;
 
-  world_init (&w);
-  w.cancel_at_piece = start (&w, "GET", "", true, 0);
+  fixture_init (&w);
+  w.cancel_at_chunk = start (&w, "GET", "", true, 0);
   int fd = server_accept (&w, "\r\n\r\n");
   server_send (fd, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n3\r\ntwo\r\n");
-  UNTIL (&w, w.pieces > 0);
-  UNTIL (&w, (server_read (&w, fd, NULL), w.closed));
-  cr_assert_eq (w.pieces, 1);
-  cr_assert_eq (w.done, 0);
+  UNTIL (&w, w.n_chunks > 0);
+  UNTIL (&w, (server_read (&w, fd, NULL), w.is_closed));
+  cr_assert_eq (w.n_chunks, 1);
+  cr_assert_eq (w.n_done, 0);
   close (fd);
-  world_clear (&w);
+  fixture_clear (&w);
 }
 
-Test (fetch, cancel_before_the_connection_stands)
+Test (fetch, cancel_before_the_connection_is_established)
 {
-  World w;
+  Fixture w;
 
-  world_init (&w);
+  fixture_init (&w);
   lh_fetch_cancel (start (&w, "GET", "", true, 0));
   for (int i = 0; i < 20; i++)
-    pump (&w);
-  cr_assert_eq (w.done, 0);
-  world_clear (&w);
+    run_loop_once (&w);
+  cr_assert_eq (w.n_done, 0);
+  fixture_clear (&w);
 }
 
-/* All file descriptors are used. The failure comes from the loop, after the start has returned, so
- * that the starter knows whose it is. */
-Test (fetch, no_descriptor_left_fails_from_the_loop)
+/* All file descriptors are in use. The failure must be reported from the event loop, after
+ * lh_fetch_start has returned the fetch that it belongs to. */
+Test (fetch, exhausted_descriptors_are_reported_from_the_event_loop)
 {
-  World w;
+  Fixture w;
   struct rlimit limit, none;
 
-  world_init (&w);
+  fixture_init (&w);
   getrlimit (RLIMIT_NOFILE, &limit);
   none = limit;
   none.rlim_cur = (rlim_t)dup (0);
@@ -327,24 +327,24 @@
   setrlimit (RLIMIT_NOFILE, &none);
   start (&w, "GET", "", false, 0);
   lh_fetch_cancel (start (&w, "GET", "", false, 0));
-  UNTIL (&w, w.done);
+  UNTIL (&w, w.n_done);
   setrlimit (RLIMIT_NOFILE, &limit);
-  cr_assert_eq (w.done, 1);
+  cr_assert_eq (w.n_done, 1);
   cr_assert_neq (w.failure, LB_OK);
   cr_assert_not (w.bytes_handed);
-  world_clear (&w);
+  fixture_clear (&w);
 }
 
-/* A service works for a minute without a word, and its instance loses power. Nothing closes the
- * connection, so only the kernel's own probes can tell, and those must be asked for. */
-Test (fetch, sockets_look_for_silence)
+/* A service works for a minute without sending anything, and its instance loses power. Nothing
+ * closes the connection, so only the kernel's probes can detect it, and they must be enabled. */
+Test (fetch, sockets_detect_dead_connections)
 {
-  World w;
-  int unconfirmed = 0;
+  Fixture w;
+  int max_unacked_ms = 0;
   int found = 0;
-  socklen_t size = sizeof unconfirmed;
+  socklen_t size = sizeof max_unacked_ms;
 
-  world_init (&w);
+  fixture_init (&w);
   start (&w, "GET", "", false, 0);
   int server = server_accept (&w, "\r\n\r\n");
   for (int fd = 3; fd < 64; fd++)
@@ -358,87 +358,87 @@
       if (strcmp (address, w.address) != 0)
         continue;
       found++;
-      getsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &unconfirmed, &size);
-      cr_assert_eq (unconfirmed, 6000);
+      getsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &max_unacked_ms, &size);
+      cr_assert_eq (max_unacked_ms, 6000);
     }
   cr_assert_eq (found, 1);
   close (server);
-  world_clear (&w);
+  fixture_clear (&w);
 }
 
-Test (fetch, malformed_requests_are_typed)
+Test (fetch, malformed_requests_are_refused_as_bad_value)
 {
-  World w;
+  Fixture w;
   LbError error = { 0 };
   const LhHandlers handlers = { .on_done = on_done };
   LhRequest request = { .method = "BREW", .address = "127.0.0.1:1", .path = "/" };
 
-  world_init (&w);
+  fixture_init (&w);
   cr_assert_null (lh_fetch_start (w.pool, &request, &handlers, &w, &error));
   cr_assert_eq (error.code, LB_ERROR_BAD_VALUE);
   request.method = "GET";
   request.address = "nowhere";
   cr_assert_null (lh_fetch_start (w.pool, &request, &handlers, &w, &error));
   cr_assert_eq (error.code, LB_ERROR_BAD_VALUE);
-  world_clear (&w);
+  fixture_clear (&w);
 }
 
-/* A stream may be silent for 100 ms at most; afterwards its connection lies idle for longer than
- * that. The limit of the last exchange went on to count and closed it, so the next request to the
- * engine paid for a new connection, a thousand times in a quiet half minute. */
-Test (fetch, an_idle_connection_outlives_the_silence_of_its_last_exchange)
+/* A connection is idle for longer than the 100 ms allowed in its last exchange. That timeout
+ * continued to apply and closed it, so the next request needed a new connection: a thousand of them
+ * in half a minute of low load. */
+Test (fetch, idle_connection_outlives_the_timeout_of_its_last_exchange)
 {
-  World w;
+  Fixture w;
   LbTime end = 0;
 
-  world_init (&w);
+  fixture_init (&w);
   start (&w, "GET", "", false, 100 * LB_MSEC);
   int fd = server_accept (&w, "\r\n\r\n");
   server_send (fd, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-  UNTIL (&w, w.done);
+  UNTIL (&w, w.n_done);
   end = lb_clock_monotonic () + 500 * LB_MSEC;
   while (lb_clock_monotonic () < end)
-    pump (&w);
+    run_loop_once (&w);
   w.length = 0;
   server_read (&w, fd, NULL);
-  cr_assert_not (w.closed);
-  w.done = 0;
+  cr_assert_not (w.is_closed);
+  w.n_done = 0;
   start (&w, "GET", "", false, 0);
   UNTIL (&w, server_read (&w, fd, "\r\n\r\n"));
   close (fd);
-  world_clear (&w);
+  fixture_clear (&w);
 }
 
-/* An engine closes idle connections after the second its Keep-Alive header states. A request that
- * is sent just then meets the close, and one that must not run twice is answered 502 although the
- * engine never saw it. */
-Test (fetch, an_idle_connection_is_not_used_near_the_end_its_server_stated)
+/* An engine closes idle connections after the one second stated in its Keep-Alive header. A request
+ * sent at that moment fails, and one that must not run twice is answered 502 although the engine
+ * never received it. */
+Test (fetch, idle_connection_is_not_reused_near_its_keep_alive_timeout)
 {
-  World w;
+  Fixture w;
   LbTime end = 0;
 
-  world_init (&w);
+  fixture_init (&w);
   start (&w, "GET", "", false, 0);
   int fd = server_accept (&w, "\r\n\r\n");
   server_send (fd, "HTTP/1.1 200 OK\r\nKeep-Alive: max=9, timeout=1\r\nContent-Length: 0\r\n\r\n");
-  UNTIL (&w, w.done);
+  UNTIL (&w, w.n_done);
   end = lb_clock_monotonic () + 800 * LB_MSEC;
   while (lb_clock_monotonic () < end)
-    pump (&w);
-  w.done = 0;
+    run_loop_once (&w);
+  w.n_done = 0;
   start (&w, "GET", "", false, 0);
   int fresh = server_accept (&w, "\r\n\r\n");
   close (fd);
   close (fresh);
-  world_clear (&w);
+  fixture_clear (&w);
 }
 
-/* The route's host is part of what the endpoint is asked. */
-Test (fetch, the_host_may_differ_from_the_address)
+/* The endpoint receives the host of the route, not its own address. */
+Test (fetch, host_header_may_differ_from_the_address)
 {
-  World w;
+  Fixture w;
 
-  world_init (&w);
+  fixture_init (&w);
   const LhRequest request
       = { .method = "GET", .address = w.address, .path = "/", .host = "shop.example" };
   const LhHandlers handlers = { .on_done = on_done };
@@ -446,22 +446,22 @@
   int fd = server_accept (&w, "\r\n\r\n");
   cr_assert (strstr (w.request, "Host: shop.example\r\n"));
   close (fd);
-  world_clear (&w);
+  fixture_clear (&w);
 }
 
-/* A machine lost power: nobody answers the opening packet. A caller with two seconds waited for all
- * of them and got no answer, though other endpoints were idle. The request is known not to have
- * been handed over, so it goes elsewhere after the time to connect. */
-Test (fetch, a_connection_that_does_not_open_is_given_up_early)
+/* A host that lost power doesn't answer SYN packets. A caller with a deadline of two seconds got no
+ * answer although other endpoints were idle. No byte was handed over, so the request can go
+ * elsewhere after the connect timeout. */
+Test (fetch, unanswered_connect_ends_after_the_connect_timeout)
 {
-  World w;
+  Fixture w;
   int fillers[64];
   int n = 0;
   struct sockaddr_in at = { .sin_family = AF_INET, .sin_addr.s_addr = htonl (INADDR_LOOPBACK) };
   socklen_t length = sizeof at;
 
-  world_init (&w);
-  /* A listener whose queue is full drops further opening packets. */
+  fixture_init (&w);
+  /* A listener with a full accept queue drops further SYN packets. */
   int full = socket (AF_INET, SOCK_STREAM, 0);
   cr_assert_eq (bind (full, (struct sockaddr *)&at, sizeof at), 0);
   cr_assert_eq (listen (full, 0), 0);
@@ -480,11 +480,11 @@
                               .idle_timeout = 60 * LB_SEC };
   const LhHandlers handlers = { .on_done = on_done };
   lh_fetch_start (w.pool, &request, &handlers, &w, NULL);
-  UNTIL (&w, w.done);
+  UNTIL (&w, w.n_done);
   cr_assert_eq (w.failure, LB_ERROR_TIMEOUT);
   cr_assert_not (w.bytes_handed);
   while (n > 0)
     close (fillers[--n]);
   close (full);
-  world_clear (&w);
+  fixture_clear (&w);
 }
--- a/packages/http/tests/test-reach.c
+++ b/packages/http/tests/test-reach.c
@@ -18,15 +18,15 @@
   LbName address;
   int calls;
   LhReachOutcome outcome;
-} World;
+} Fixture;
 
 static void
-world_init (World *w, int backlog)
+fixture_init (Fixture *w, int backlog)
 {
   struct sockaddr_in at = { .sin_family = AF_INET, .sin_addr.s_addr = htonl (INADDR_LOOPBACK) };
   socklen_t length = sizeof at;
 
-  *w = (World){ .base = event_base_new () };
+  *w = (Fixture){ .base = event_base_new () };
   w->listener = socket (AF_INET, SOCK_STREAM, 0);
   cr_assert_eq (bind (w->listener, (struct sockaddr *)&at, sizeof at), 0);
   cr_assert_eq (listen (w->listener, backlog), 0);
@@ -35,7 +35,7 @@
 }
 
 static void
-world_clear (World *w)
+fixture_clear (Fixture *w)
 {
   if (w->listener >= 0)
     close (w->listener);
@@ -45,61 +45,61 @@
 static void
 on_done (LhReachOutcome outcome, void *user)
 {
-  World *w = user;
+  Fixture *w = user;
 
   w->calls++;
   w->outcome = outcome;
 }
 
 static void
-check_held (World *w, LbTime time, LbTime hold)
+check_with_hold (Fixture *w, LbTime connect_timeout, LbTime hold_time)
 {
-  const LhReachTimes times = { .connect_timeout = time, .hold_time = hold };
+  const LhReachTimes times = { .connect_timeout = connect_timeout, .hold_time = hold_time };
 
   cr_assert (lh_reach_start (w->base, w->address, &times, on_done, w));
-  cr_assert_eq (w->calls, 0, "not from inside");
+  cr_assert_eq (w->calls, 0, "done was called from inside lh_reach_start");
   event_base_dispatch (w->base);
   cr_assert_eq (w->calls, 1);
 }
 
 static void
-check (World *w, LbTime time)
+check (Fixture *w, LbTime connect_timeout)
 {
-  check_held (w, time, 0);
+  check_with_hold (w, connect_timeout, 0);
 }
 
-Test (reach, tells_a_listener)
+Test (reach, reports_a_listener_as_open)
 {
-  World w;
+  Fixture w;
 
-  world_init (&w, 8);
+  fixture_init (&w, 8);
   check (&w, 10 * LB_SEC);
   cr_assert_eq (w.outcome, LH_REACH_OPEN);
-  world_clear (&w);
+  fixture_clear (&w);
 }
 
-Test (reach, tells_that_nobody_listens)
+Test (reach, reports_a_port_without_listener_as_refused)
 {
-  World w;
+  Fixture w;
 
-  world_init (&w, 8);
+  fixture_init (&w, 8);
   close (w.listener);
   w.listener = -1;
   check (&w, 10 * LB_SEC);
   cr_assert_eq (w.outcome, LH_REACH_REFUSED);
-  world_clear (&w);
+  fixture_clear (&w);
 }
 
-/* A machine without power, or behind a cut, answers nothing. A listener whose queue of new
- * connections is full does the same. That proves no end of a process. */
-Test (reach, takes_silence_for_neither)
+/* A host that is off or unreachable doesn't answer, and neither does a listener with a full accept
+ * queue. That must not count as proof that the process has ended. */
+Test (reach, reports_no_answer_as_silent)
 {
-  World w;
+  Fixture w;
   struct sockaddr_in at = { 0 };
   socklen_t length = sizeof at;
   int queued[3];
 
-  world_init (&w, 0);
+  fixture_init (&w, 0);
   getsockname (w.listener, (struct sockaddr *)&at, &length);
   for (int i = 0; i < 3; i++)
     {
@@ -110,55 +110,55 @@
   cr_assert_eq (w.outcome, LH_REACH_SILENT);
   for (int i = 0; i < 3; i++)
     close (queued[i]);
-  world_clear (&w);
+  fixture_clear (&w);
 }
 
 static void
-on_close_time (evutil_socket_t fd, short what, void *user)
+close_listener (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
-  World *w = user;
+  Fixture *w = user;
 
   close (w->listener);
   w->listener = -1;
 }
 
-/* A process that ends on a busy machine loses its connections first and stops listening a moment
- * later. A connection opened between the two is taken, and reset. */
-Test (reach, tells_a_listener_that_is_about_to_end)
+/* A process that ends on a busy host loses its connections first and stops listening a moment
+ * later. A connection opened in between is accepted and then reset. */
+Test (reach, reports_a_listener_about_to_stop_as_closed)
 {
   const struct timeval soon = { .tv_usec = 20000 };
-  World w;
+  Fixture w;
 
-  world_init (&w, 8);
-  struct event *timer = evtimer_new (w.base, on_close_time, &w);
+  fixture_init (&w, 8);
+  struct event *timer = evtimer_new (w.base, close_listener, &w);
   event_add (timer, &soon);
-  check_held (&w, 10 * LB_SEC, 10 * LB_SEC);
+  check_with_hold (&w, 10 * LB_SEC, 10 * LB_SEC);
   cr_assert_eq (w.outcome, LH_REACH_CLOSED);
   event_free (timer);
-  world_clear (&w);
+  fixture_clear (&w);
 }
 
-Test (reach, tells_a_listener_that_stays)
+Test (reach, reports_a_lasting_listener_as_open)
 {
-  World w;
+  Fixture w;
 
-  world_init (&w, 8);
-  check_held (&w, 10 * LB_SEC, 30 * LB_MSEC);
+  fixture_init (&w, 8);
+  check_with_hold (&w, 10 * LB_SEC, 30 * LB_MSEC);
   cr_assert_eq (w.outcome, LH_REACH_OPEN);
-  world_clear (&w);
+  fixture_clear (&w);
 }
 
-Test (reach, refuses_what_is_no_address_and_can_be_cancelled)
+Test (reach, refuses_a_malformed_address_and_can_be_cancelled)
 {
   const LhReachTimes times = { .connect_timeout = LB_SEC };
-  World w;
+  Fixture w;
 
-  world_init (&w, 8);
+  fixture_init (&w, 8);
   cr_assert_null (lh_reach_start (w.base, "nonsense", &times, on_done, &w));
   lh_reach_cancel (lh_reach_start (w.base, w.address, &times, on_done, &w));
   event_base_dispatch (w.base);
   cr_assert_eq (w.calls, 0);
-  world_clear (&w);
+  fixture_clear (&w);
 }
--- a/packages/http/tests/test-sse.c
+++ b/packages/http/tests/test-sse.c
@@ -7,65 +7,66 @@
 {
   char text[256];
   int count;
-} Seen;
+} Events;
 
 static void
 on_event (const char *data, size_t length, void *user)
 {
-  Seen *seen = user;
+  Events *events = user;
 
-  strncat (seen->text, data, length);
-  strcat (seen->text, "|");
-  seen->count++;
+  strncat (events->text, data, length);
+  strcat (events->text, "|");
+  events->count++;
 }
 
-Test (sse, events_come_whole_however_they_are_cut)
+Test (sse, events_are_complete_however_the_stream_is_split)
 {
   static const char stream[] = ": keep-alive\n\ndata: one\r\n\r\nevent: x\ndata:two\n\ndata: \n\n";
 
-  for (size_t cut = 1; cut < sizeof stream - 1; cut++)
+  for (size_t chunk_size = 1; chunk_size < sizeof stream - 1; chunk_size++)
     {
       LhSse sse;
-      Seen seen = { 0 };
+      Events events = { 0 };
       LbError error = { 0 };
 
       lh_sse_init (&sse, 100);
-      for (size_t at = 0; at < sizeof stream - 1; at += cut)
+      for (size_t offset = 0; offset < sizeof stream - 1; offset += chunk_size)
         {
-          size_t left = sizeof stream - 1 - at;
-          cr_assert (
-              lh_sse_feed (&sse, stream + at, cut < left ? cut : left, on_event, &seen, &error));
+          size_t left = sizeof stream - 1 - offset;
+          cr_assert (lh_sse_feed (&sse, stream + offset, chunk_size < left ? chunk_size : left,
+                                  on_event, &events, &error));
         }
-      cr_assert_str_eq (seen.text, "one|two||", "cut into %zu: %s", cut, seen.text);
+      cr_assert_str_eq (events.text, "one|two||", "chunks of %zu bytes: %s", chunk_size,
+                        events.text);
       lh_sse_clear (&sse);
     }
 }
 
-/* An endpoint that sends a line without end would fill the memory. */
-Test (sse, endless_event_is_an_error)
+/* A line without end would fill the memory. */
+Test (sse, oversized_event_is_an_error)
 {
   LhSse sse;
-  Seen seen = { 0 };
+  Events events = { 0 };
   LbError error = { 0 };
   bool ok = true;
 
   lh_sse_init (&sse, 100);
   for (int i = 0; i < 20 && ok; i++)
-    ok = lh_sse_feed (&sse, "aaaaaaaaaa", 10, on_event, &seen, &error);
+    ok = lh_sse_feed (&sse, "aaaaaaaaaa", 10, on_event, &events, &error);
   cr_assert_not (ok);
   cr_assert_eq (error.code, LB_ERROR_BODY_TOO_LARGE);
-  cr_assert_eq (seen.count, 0);
+  cr_assert_eq (events.count, 0);
   lh_sse_clear (&sse);
 }
 
-Test (sse, nothing_fed_is_nothing_read)
+Test (sse, empty_input_yields_no_event)
 {
   LhSse sse;
-  Seen seen = { 0 };
+  Events events = { 0 };
   LbError error = { 0 };
 
   lh_sse_init (&sse, 100);
-  cr_assert (lh_sse_feed (&sse, "", 0, on_event, &seen, &error));
-  cr_assert_eq (seen.count, 0);
+  cr_assert (lh_sse_feed (&sse, "", 0, on_event, &events, &error));
+  cr_assert_eq (events.count, 0);
   lh_sse_clear (&sse);
 }
