--- a/packages/base/include/lb-alloc.h
+++ b/packages/base/include/lb-alloc.h
@@ -3,6 +3,7 @@
 
 #include <stddef.h>
 
+/* These functions abort the process if memory runs out. */
 void *lb_malloc (size_t size);
 void *lb_calloc (size_t count, size_t size);
 void *lb_realloc (void *memory, size_t size);
@@ -14,7 +15,7 @@
 #define LB_NEW(type) ((type *)lb_calloc (1, sizeof (type)))
 #define LB_NEW_ARRAY(type, count) ((type *)lb_calloc ((count), sizeof (type)))
 
-/* Copies text into an array, cut to fit, always ended by NUL. */
+/* Copies text into a char array, truncated to fit and always NUL-terminated. */
 #define LB_COPY(array, text) lb_strlcpy ((array), (text), sizeof (array))
 size_t lb_strlcpy (char *target, const char *text, size_t size);
 
--- a/packages/base/include/lb-clock.h
+++ b/packages/base/include/lb-clock.h
@@ -5,7 +5,7 @@
 
 LbTime lb_clock_monotonic (void);
 int64_t lb_clock_wall_ms (void);
-/* Like the monotonic clock, but it runs on while the machine is suspended. */
+/* Like the monotonic clock, but also counts the time that the machine is suspended. */
 LbTime lb_clock_boot (void);
 
 #endif
--- a/packages/base/include/lb-counter.h
+++ b/packages/base/include/lb-counter.h
@@ -9,7 +9,7 @@
   LB_GAUGE
 } LbMetricKind;
 
-/* A metric lives as a static in the module that counts; it joins the registry at its first use. */
+/* A static variable of the module that updates it; registered at its first use. */
 typedef struct LbMetric
 {
   const char *name;  /* lentilspindle_..., Prometheus style */
@@ -17,7 +17,7 @@
   const char *help;
   LbMetricKind kind;
   int64_t value;
-  bool registered;
+  bool is_registered;
   struct LbMetric *next;
 } LbMetric;
 
@@ -33,10 +33,10 @@
 void lb_metric_add (LbMetric *metric, int64_t amount);
 void lb_metric_set (LbMetric *metric, int64_t value);
 
-/* Counts one more failure of this type (one LbMetric per error code is kept inside). */
+/* Increments the counter of this error code. */
 void lb_metric_count_error (int error_code);
 
-/* Every registered metric in the Prometheus text format; the caller frees it. */
+/* Renders all registered metrics in the Prometheus text format; the caller frees the text. */
 char *lb_metric_render (void);
 
 #endif
--- a/packages/base/include/lb-error.h
+++ b/packages/base/include/lb-error.h
@@ -3,8 +3,8 @@
 
 #include "lb-types.h"
 
-/* Every failure of the product has one of these types. The table in lb-error.c gives each its name
- * on the wire, its HTTP status and whether it proves that the request did not run. */
+/* Type of a failure. The table in lb-error.c gives each type its name on the wire, its HTTP status
+ * and whether it proves that the request did not run. */
 typedef enum
 {
   LB_OK = 0,
@@ -38,13 +38,13 @@
   LB_ERROR_DEADLINE_BEFORE_START,
   LB_ERROR_ENDPOINT_REFUSED,
   LB_ERROR_CANCELLED_BEFORE_START,
-  LB_ERROR_QUARANTINED, /* endpoints ended under requests that ask the same */
-  /* dispatched: the outcome is not known or is a failure that may have run */
+  LB_ERROR_QUARANTINED, /* identical requests have crashed endpoints */
+  /* dispatched: the outcome is unknown, or the request failed and may have run */
   LB_ERROR_OUTCOME_UNKNOWN,
   LB_ERROR_STREAM_BROKEN,
   LB_ERROR_DEADLINE,
   LB_ERROR_ENDPOINT_FAILED,
-  LB_ERROR_REJECTED, /* the endpoint says that this request can never be done */
+  LB_ERROR_REJECTED, /* the endpoint can never serve this request */
   LB_ERROR_UNLABELLED,
   /* platform */
   LB_ERROR_STORE_AWAY,
@@ -62,7 +62,7 @@
   LB_ERROR_WRONG_KEY,
   LB_ERROR_CLOSED,
   LB_ERROR_TIMEOUT,
-  /* the system itself */
+  /* internal */
   LB_ERROR_IO,
   LB_ERROR_INVARIANT,
   LB_ERROR_INTERNAL,
@@ -72,7 +72,7 @@
 typedef struct
 {
   LbErrorCode code;
-  char where[192];  /* file, line or path of the key; empty when it does not apply */
+  char where[192];  /* file, line or key path; empty if not applicable */
   char detail[192]; /* what was found and what was expected */
 } LbError;
 
@@ -81,8 +81,7 @@
 int lb_error_http_status (LbErrorCode code);
 bool lb_error_is_not_run (LbErrorCode code);
 
-/* Sets *error (which may be NULL) and returns false, so that callers can `return lb_error_set
- * (...)`. */
+/* Sets *error if error is not NULL. Returns false, for use in return statements. */
 bool lb_error_set (LbError *error, LbErrorCode code, const char *where, const char *format, ...)
     __attribute__ ((format (printf, 4, 5)));
 
--- a/packages/base/include/lb-histogram.h
+++ b/packages/base/include/lb-histogram.h
@@ -6,8 +6,8 @@
 #include <gsl/gsl_histogram.h>
 #include <stdio.h>
 
-/* Times in buckets from a millisecond to ten seconds. A static in the module that measures; it
- * joins the registry at its first use, as metrics do. */
+/* Durations in buckets from 1 ms to 10 s. A static variable of the module that measures; registered
+ * at its first use, like LbMetric. */
 typedef struct LbHistogram
 {
   const char *name; /* lentilspindle_..._seconds */
@@ -22,9 +22,9 @@
     .name = (n), .help = (h)                                                                       \
   }
 
-void lb_histogram_add (LbHistogram *histogram, LbTime time);
+void lb_histogram_add (LbHistogram *histogram, LbTime duration);
 int64_t lb_histogram_count (const LbHistogram *histogram);
-/* All registered ones in the Prometheus text format. */
+/* Writes all registered histograms in the Prometheus text format. */
 void lb_histogram_render_all (FILE *out);
 
 #endif
--- a/packages/base/include/lb-json-keys.h
+++ b/packages/base/include/lb-json-keys.h
@@ -4,9 +4,9 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-/* Looks for a key that stands twice in one object of a text that is known to be JSON, with
- * comments. The parser takes the later one without a word, and an operator who changes the first
- * wonders why nothing happens. True: *offset is where the second one begins. */
+/* Finds a key that occurs twice in one object of a text known to be JSON with comments. The parser
+ * silently uses the later one, so an operator's change of the first would have no effect. Returns
+ * true if there is one; *offset is then where its second occurrence begins. */
 bool lb_json_find_duplicate_key (const char *text, size_t length, size_t *offset);
 
 #endif
--- a/packages/base/include/lb-json.h
+++ b/packages/base/include/lb-json.h
@@ -13,9 +13,9 @@
 bool lb_json_bool (struct json_object *object, const char *key, bool fallback);
 
 struct json_object *lb_json_from_integers (const int64_t *numbers, size_t n);
-/* Of an array; at most max of them. 0 when there is no array. */
+/* Reads up to max integers of an array. Returns their number; 0 if there is no array. */
 size_t lb_json_integers (struct json_object *object, const char *key, int64_t *numbers, size_t max);
-/* Text of the object, in the form that json-c's flags say; takes the object. */
+/* Serializes the object with json-c's flags and releases it; the caller frees the text. */
 char *lb_json_take_text (struct json_object *object, int flags);
 
 #endif
--- a/packages/base/include/lb-log.h
+++ b/packages/base/include/lb-log.h
@@ -19,7 +19,7 @@
   LB_FIELD_INT,
   LB_FIELD_REAL,
   LB_FIELD_BOOL,
-  LB_FIELD_JSON /* text that already is JSON */
+  LB_FIELD_JSON /* text that is already JSON */
 } LbLogFieldType;
 
 /* One key and value of a log line; build them with the macros below. */
@@ -44,13 +44,13 @@
 #define LB_JSON(k, v) ((LbLogField){ .type = LB_FIELD_JSON, .key = (k), .value.text = (v) })
 
 void lb_log_init (LbLogLevel level, int fd, const char *instance);
-/* From here on lines gather in memory and go out by lb_log_flush, which never waits for the reader:
- * a regular caller keeps the log from delaying anything. What does not fit is dropped and
- * counted; warnings and errors have room of their own. */
+/* From now on, buffers lines in memory until lb_log_flush, which must be called regularly and never
+ * blocks on the reader. Lines that don't fit are dropped and counted; part of the buffer is
+ * reserved for warnings and errors. */
 void lb_log_buffer (void);
-/* Writes as much as the reader takes now. */
+/* Writes as much of the buffer as the reader accepts without blocking. */
 void lb_log_flush (void);
-/* Lines dropped since the start. */
+/* Number of lines dropped since the start. */
 int64_t lb_log_dropped (void);
 bool lb_log_enabled (LbLogLevel level);
 void lb_log_fields (LbLogLevel level, const char *event, const LbLogField *fields);
--- a/packages/base/include/lb-settings.h
+++ b/packages/base/include/lb-settings.h
@@ -16,9 +16,9 @@
   LB_SETTING_ARRAY   /* array of count elements: see LbSettingSpec */
 } LbSettingType;
 
-/* Describes one key of a JSON object and where its value goes in a C struct. An array is stored as
- * a heap pointer at offset and an element count (size_t) at count_offset; the element is a struct
- * of size bytes described by fields, or a name (LbName) when fields is NULL. */
+/* Describes one key of a JSON object and where its value is stored in a C struct. An array is
+ * stored as a heap pointer at offset and an element count (size_t) at count_offset; the element is
+ * a struct of size bytes described by fields, or a name (LbName) when fields is NULL. */
 typedef struct LbSettingSpec
 {
   const char *key;
@@ -28,18 +28,18 @@
   bool required;
   double min;
   double max;
-  const char *const *choices;         /* ended by NULL */
-  const struct LbSettingSpec *fields; /* ended by key NULL */
+  const char *const *choices;         /* terminated by NULL */
+  const struct LbSettingSpec *fields; /* terminated by key NULL */
   size_t count_offset;
 } LbSettingSpec;
 
-/* Reads JSON with comments. NULL and a typed error (file, line, column) when it is not. */
+/* Parses JSON with comments. Returns NULL on an error, which has file, line and column. */
 struct json_object *
 lb_settings_parse (const char *text, size_t length, const char *file, LbError *error);
 struct json_object *lb_settings_read_file (const char *path, LbError *error);
 
-/* Fills target from the object after checking type, range and unknown names of every key. The error
- * names file and key path. Keys that are absent leave target as it was (so put defaults first). */
+/* Fills target from the object, checking the name, type and range of each key. The error has the
+ * file and the key path. Absent keys leave their fields unchanged, so set the defaults first. */
 bool lb_settings_apply (struct json_object *object,
                         const LbSettingSpec *specs,
                         void *target,
--- a/packages/base/include/lb-switch.h
+++ b/packages/base/include/lb-switch.h
@@ -3,36 +3,36 @@
 
 #include <stdbool.h>
 
-/* Mechanisms that can be switched off, by the setting measure.off, to measure what each is worth
- * (tools/ablate). They guard no promise: whatever is off, answers stay whole and labels honest. All
- * are on in service. One state for the process, set before anything runs. */
+/* Optimisations that the setting measure.off disables, to measure the benefit of each
+ * (tools/ablate). No guarantee depends on them: whichever are off, answers stay complete and labels
+ * correct. All are on in production. The state is process-wide and set before anything runs. */
 typedef enum
 {
-  LB_SWITCH_HEDGING,           /* a second try of a call that has heard nothing */
-  LB_SWITCH_MOVES,             /* a text at a slow engine goes on elsewhere */
-  LB_SWITCH_PACE,              /* what streams tell of an engine's speed */
-  LB_SWITCH_FULL_PACE,         /* a long text waits for an engine at full pace */
-  LB_SWITCH_LATEST_START,      /* order by when a text has to begin */
-  LB_SWITCH_KEPT_TEXTS,        /* texts so far in the store, for the next owner */
-  LB_SWITCH_CARRIED_TEXTS,     /* texts of groups that come again */
-  LB_SWITCH_DIVISION,          /* engines by demand */
-  LB_SWITCH_LOADS_IN_TURN,     /* a fifth of the engines loads weights at once */
-  LB_SWITCH_OFFERS,            /* the next batch of a model joins what runs */
-  LB_SWITCH_WAY_THROUGH_PEERS, /* to the store, while the own way is cut */
-  LB_SWITCH_SENT_AGAIN,        /* calls that the silent store swallowed */
-  LB_SWITCH_BREAKERS,
+  LB_SWITCH_HEDGING,       /* second attempt of a call without a response so far */
+  LB_SWITCH_MOVES,         /* continues the text of a slow engine on another one */
+  LB_SWITCH_PACE,          /* estimates an engine's speed from its streams */
+  LB_SWITCH_FULL_PACE,     /* a long text waits for an engine at full speed */
+  LB_SWITCH_LATEST_START,  /* orders texts by the latest time to start them */
+  LB_SWITCH_KEPT_TEXTS,    /* stores partial texts for a batch's next owner */
+  LB_SWITCH_CARRIED_TEXTS, /* reuses the texts of groups that are submitted again */
+  LB_SWITCH_DIVISION,      /* divides the engines among models by demand */
+  LB_SWITCH_LOADS_IN_TURN, /* at most a fifth of the engines loads weights at a time */
+  LB_SWITCH_OFFERS,        /* offers a model's next batch to the instance that runs its others */
+  LB_SWITCH_WAY_THROUGH_PEERS, /* store calls through a peer while the direct path is down */
+  LB_SWITCH_SENT_AGAIN,        /* repeats calls that a silent store left unanswered */
+  LB_SWITCH_BREAKERS,          /* circuit breakers of endpoints */
   LB_SWITCH_PREFIX_AFFINITY,
-  LB_SWITCH_IDLE_CONNECTIONS, /* kept for the next request */
-  LB_SWITCH_SCALING,          /* cheaper endpoints by what trainers ask */
+  LB_SWITCH_IDLE_CONNECTIONS, /* reused for later requests */
+  LB_SWITCH_SCALING,          /* requests cheaper endpoints by the trainers' demand */
   LB_N_SWITCHES
 } LbSwitch;
 
-const char *lb_switch_name (LbSwitch number);
+const char *lb_switch_name (LbSwitch id);
 bool lb_switch_is_known (const char *name);
-/* Nothing happens for a name that is not known. */
+/* Ignores unknown names. */
 void lb_switch_set_off (const char *name);
-bool lb_switch_is_on (LbSwitch number);
-/* All are on again. */
+bool lb_switch_is_on (LbSwitch id);
+/* Switches all on again. */
 void lb_switch_reset (void);
 
 #endif
--- a/packages/base/include/lb-time.h
+++ b/packages/base/include/lb-time.h
@@ -7,7 +7,7 @@
 
 LbTime lb_time_earlier (LbTime a, LbTime b);
 LbTime lb_time_later (LbTime a, LbTime b);
-/* A duration as libevent takes it. */
+/* Converts a duration for libevent. */
 struct timeval lb_time_to_timeval (LbTime time);
 
 #endif
--- a/packages/base/include/lb-types.h
+++ b/packages/base/include/lb-types.h
@@ -12,7 +12,7 @@
 #define LB_SEC ((LbTime)1000000)
 #define LB_TIME_NEVER INT64_MAX
 
-/* Names of instances, endpoints, callers, pools, ...: at most LB_NAME_MAX bytes with the NUL. */
+/* Names of instances, endpoints, callers, pools etc.: at most LB_NAME_MAX bytes, NUL included. */
 #define LB_NAME_MAX 64
 typedef char LbName[LB_NAME_MAX];
 
--- a/packages/base/src/lb-alloc.c
+++ b/packages/base/src/lb-alloc.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 static void *
-check (void *memory)
+abort_if_null (void *memory)
 {
   if (!memory)
     {
@@ -19,19 +19,19 @@
 void *
 lb_malloc (size_t size)
 {
-  return check (malloc (size ? size : 1));
+  return abort_if_null (malloc (size ? size : 1));
 }
 
 void *
 lb_calloc (size_t count, size_t size)
 {
-  return check (calloc (count ? count : 1, size ? size : 1));
+  return abort_if_null (calloc (count ? count : 1, size ? size : 1));
 }
 
 void *
 lb_realloc (void *memory, size_t size)
 {
-  return check (realloc (memory, size ? size : 1));
+  return abort_if_null (realloc (memory, size ? size : 1));
 }
 
 void *
@@ -47,13 +47,13 @@
 char *
 lb_strdup (const char *text)
 {
-  return check (strdup (text));
+  return abort_if_null (strdup (text));
 }
 
 char *
 lb_strndup (const char *text, size_t length)
 {
-  return check (strndup (text, length));
+  return abort_if_null (strndup (text, length));
 }
 
 char *
@@ -65,7 +65,7 @@
   va_start (args, format);
   int length = vasprintf (&text, format, args);
   va_end (args);
-  return check (length < 0 ? NULL : text);
+  return abort_if_null (length < 0 ? NULL : text);
 }
 
 size_t
--- a/packages/base/src/lb-counter.c
+++ b/packages/base/src/lb-counter.c
@@ -13,7 +13,7 @@
 static LbMetric error_metrics[LB_N_ERRORS];
 static char error_labels[LB_N_ERRORS][64];
 
-/* Keeps metrics of one name side by side, as the text format asks. */
+/* Keeps metrics of the same name together, as the text format requires. */
 static void
 register_metric (LbMetric *metric)
 {
@@ -23,13 +23,13 @@
     place = &(*place)->next;
   metric->next = *place;
   *place = metric;
-  metric->registered = true;
+  metric->is_registered = true;
 }
 
 void
 lb_metric_add (LbMetric *metric, int64_t amount)
 {
-  if (!metric->registered)
+  if (!metric->is_registered)
     register_metric (metric);
   metric->value += amount;
 }
@@ -37,7 +37,7 @@
 void
 lb_metric_set (LbMetric *metric, int64_t value)
 {
-  if (!metric->registered)
+  if (!metric->is_registered)
     register_metric (metric);
   metric->value = value;
 }
@@ -59,9 +59,9 @@
 }
 
 static void
-render_metric (FILE *out, const LbMetric *metric, bool first_of_name)
+render_metric (FILE *out, const LbMetric *metric, bool is_first_of_name)
 {
-  if (first_of_name)
+  if (is_first_of_name)
     fprintf (out, "# HELP %s %s\n# TYPE %s %s\n", metric->name, metric->help, metric->name,
              metric->kind == LB_GAUGE ? "gauge" : "counter");
   if (metric->label)
--- a/packages/base/src/lb-error.c
+++ b/packages/base/src/lb-error.c
@@ -10,7 +10,7 @@
 {
   const char *name;
   int http_status;
-  bool not_run;
+  bool proves_not_run;
 } ErrorClass;
 
 static const ErrorClass classes[LB_N_ERRORS] = {
@@ -70,19 +70,19 @@
 };
 
 static const ErrorClass *
-class_of (LbErrorCode code)
+get_class (LbErrorCode code)
 {
   return &classes[(unsigned)code < LB_N_ERRORS ? code : LB_ERROR_INTERNAL];
 }
 
-/* The stable name used in replies, logs and counters. */
+/* Returns the stable name used in replies, logs and counters. */
 const char *
 lb_error_name (LbErrorCode code)
 {
-  return class_of (code)->name;
+  return get_class (code)->name;
 }
 
-/* The reverse of lb_error_name; LB_ERROR_INTERNAL for a name it does not know. */
+/* The reverse of lb_error_name; LB_ERROR_INTERNAL for an unknown name. */
 LbErrorCode
 lb_error_from_name (const char *name)
 {
@@ -95,14 +95,14 @@
 int
 lb_error_http_status (LbErrorCode code)
 {
-  return class_of (code)->http_status;
+  return get_class (code)->http_status;
 }
 
-/* True when a failure of this type proves that no byte of the request went to an endpoint. */
+/* Whether a failure of this type proves that no byte of the request reached an endpoint. */
 bool
 lb_error_is_not_run (LbErrorCode code)
 {
-  return class_of (code)->not_run;
+  return get_class (code)->proves_not_run;
 }
 
 bool
--- a/packages/base/src/lb-histogram.c
+++ b/packages/base/src/lb-histogram.c
@@ -3,7 +3,7 @@
 #include <float.h>
 #include <gsl/gsl_histogram.h>
 
-/* Upper bounds in seconds: about two for each doubling where answers are wanted, fewer above. */
+/* Bucket bounds in seconds: about two per doubling around the intended latencies, fewer above. */
 static const double bounds[]
     = { 0, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 1, 2.5, 5, 10, DBL_MAX };
 #define N_BOUNDS (sizeof bounds / sizeof bounds[0])
@@ -20,9 +20,9 @@
 }
 
 void
-lb_histogram_add (LbHistogram *histogram, LbTime time)
+lb_histogram_add (LbHistogram *histogram, LbTime duration)
 {
-  double seconds = time > 0 ? (double)time / LB_SEC : 0;
+  double seconds = duration > 0 ? (double)duration / LB_SEC : 0;
 
   if (!histogram->buckets)
     register_histogram (histogram);
@@ -39,14 +39,14 @@
 static void
 render (FILE *out, const LbHistogram *histogram)
 {
-  double below = 0;
+  double cumulative = 0;
 
   fprintf (out, "# HELP %s %s\n# TYPE %s histogram\n", histogram->name, histogram->help,
            histogram->name);
   for (size_t i = 0; i + 2 < N_BOUNDS; i++)
     {
-      below += gsl_histogram_get (histogram->buckets, i);
-      fprintf (out, "%s_bucket{le=\"%g\"} %.0f\n", histogram->name, bounds[i + 1], below);
+      cumulative += gsl_histogram_get (histogram->buckets, i);
+      fprintf (out, "%s_bucket{le=\"%g\"} %.0f\n", histogram->name, bounds[i + 1], cumulative);
     }
   fprintf (out, "%s_bucket{le=\"+Inf\"} %lld\n%s_sum %g\n%s_count %lld\n", histogram->name,
            (long long)lb_histogram_count (histogram), histogram->name, histogram->sum,
--- a/packages/base/src/lb-json-keys.c
+++ b/packages/base/src/lb-json-keys.c
@@ -8,11 +8,11 @@
 
 typedef struct
 {
-  const char *name; /* in the text, with its escapes */
+  const char *name; /* points into the text, escapes included */
   UT_hash_handle hh;
 } Key;
 
-/* An object or a list that is open. */
+/* An object or array that is not closed yet. */
 typedef struct Level
 {
   struct Level *outer;
@@ -24,8 +24,8 @@
 {
   const char *text;
   size_t length;
-  size_t at;
-  Level *level; /* innermost; NULL: none is open */
+  size_t position;
+  Level *level; /* innermost; NULL: outside of any */
 } Scan;
 
 static void
@@ -58,46 +58,48 @@
 static bool
 skip_to (Scan *scan, const char *end)
 {
-  const char *found = memmem (scan->text + scan->at, scan->length - scan->at, end, strlen (end));
+  const char *found
+      = memmem (scan->text + scan->position, scan->length - scan->position, end, strlen (end));
 
-  scan->at = found ? (size_t)(found - scan->text) + strlen (end) : scan->length;
+  scan->position = found ? (size_t)(found - scan->text) + strlen (end) : scan->length;
   return true;
 }
 
 static bool
 skip_comment (Scan *scan)
 {
-  if (scan->at + 1 >= scan->length || scan->text[scan->at] != '/')
+  if (scan->position + 1 >= scan->length || scan->text[scan->position] != '/')
     return false;
-  return scan->text[scan->at + 1] == '/'   ? skip_to (scan, "\n")
-         : scan->text[scan->at + 1] == '*' ? skip_to (scan, "*/")
-                                           : false;
+  return scan->text[scan->position + 1] == '/'   ? skip_to (scan, "\n")
+         : scan->text[scan->position + 1] == '*' ? skip_to (scan, "*/")
+                                                 : false;
 }
 
-/* From behind the opening quote to behind the closing one; the text between is the result. */
+/* Moves from after the opening quote to after the closing one; returns the length in between. */
 static size_t
 read_string (Scan *scan)
 {
-  size_t begin = scan->at;
+  size_t begin = scan->position;
 
-  while (scan->at < scan->length && scan->text[scan->at] != '"')
-    scan->at += scan->text[scan->at] == '\\' ? 2 : 1;
-  size_t end = scan->at < scan->length ? scan->at : scan->length;
-  scan->at = end + 1;
+  while (scan->position < scan->length && scan->text[scan->position] != '"')
+    scan->position += scan->text[scan->position] == '\\' ? 2 : 1;
+  size_t end = scan->position < scan->length ? scan->position : scan->length;
+  scan->position = end + 1;
   return end - begin;
 }
 
 static bool
 is_key (const Scan *scan)
 {
-  size_t at = scan->at;
+  size_t position = scan->position;
 
-  while (at < scan->length && strchr (" \t\r\n", scan->text[at]))
-    at++;
-  return scan->level && scan->level->is_object && at < scan->length && scan->text[at] == ':';
+  while (position < scan->length && strchr (" \t\r\n", scan->text[position]))
+    position++;
+  return scan->level && scan->level->is_object && position < scan->length
+         && scan->text[position] == ':';
 }
 
-/* True: the object has the key already. */
+/* Returns true if the object already has the key. */
 static bool
 add_key (Scan *scan, const char *name, size_t length)
 {
@@ -112,10 +114,11 @@
   return false;
 }
 
+/* Returns true if the string is a duplicate key, which begins at *offset. */
 static bool
 scan_string (Scan *scan, size_t *offset)
 {
-  size_t begin = ++scan->at;
+  size_t begin = ++scan->position;
   size_t length = read_string (scan);
 
   *offset = begin - 1;
@@ -128,24 +131,24 @@
   Scan scan = { .text = text, .length = length };
   bool found = false;
 
-  while (!found && scan.at < length)
-    switch (text[scan.at])
+  while (!found && scan.position < length)
+    switch (text[scan.position])
       {
       case '"':
         found = scan_string (&scan, offset);
         break;
       case '{':
       case '[':
-        open_level (&scan, text[scan.at++] == '{');
+        open_level (&scan, text[scan.position++] == '{');
         break;
       case '}':
       case ']':
         close_level (&scan);
-        scan.at++;
+        scan.position++;
         break;
       default:
         if (!skip_comment (&scan))
-          scan.at++;
+          scan.position++;
       }
   while (scan.level)
     close_level (&scan);
--- a/packages/base/src/lb-json.c
+++ b/packages/base/src/lb-json.c
@@ -4,8 +4,8 @@
 
 #include <json-c/json.h>
 
-/* The member stays owned by object. NULL when object is not a JSON object or the key is absent or
- * null. */
+/* Returns NULL if object is not a JSON object or the key is absent or null. The member stays owned
+ * by object. */
 struct json_object *
 lb_json_member (struct json_object *object, const char *key)
 {
@@ -15,7 +15,7 @@
   return value;
 }
 
-/* The text stays owned by object. Fallback for anything but a string. */
+/* Returns fallback for anything but a string. The text stays owned by object. */
 const char *
 lb_json_text (struct json_object *object, const char *key, const char *fallback)
 {
@@ -24,7 +24,7 @@
   return json_object_is_type (value, json_type_string) ? json_object_get_string (value) : fallback;
 }
 
-/* Fallback for anything but a whole number: a text or a fraction is not converted. */
+/* Returns fallback for anything but an integer: strings and fractions are not converted. */
 int64_t
 lb_json_int (struct json_object *object, const char *key, int64_t fallback)
 {
@@ -33,7 +33,7 @@
   return json_object_is_type (value, json_type_int) ? json_object_get_int64 (value) : fallback;
 }
 
-/* Fallback for anything but true and false: a number is not converted. */
+/* Returns fallback for anything but a boolean: numbers are not converted. */
 bool
 lb_json_bool (struct json_object *object, const char *key, bool fallback)
 {
--- a/packages/base/src/lb-list.c
+++ b/packages/base/src/lb-list.c
@@ -14,7 +14,7 @@
   return list->head.next == &list->head;
 }
 
-/* Links the element before position, which may be the head (then it becomes the last). */
+/* Inserts the link before position; before the head means at the end of the list. */
 void
 lb_list_insert_before (LbList *list, LbLink *position, LbLink *link)
 {
@@ -47,7 +47,7 @@
   list->length--;
 }
 
-/* Removes and returns the first link, NULL when the list is empty. */
+/* Removes and returns the first link; NULL if the list is empty. */
 LbLink *
 lb_list_pop (LbList *list)
 {
--- a/packages/base/src/lb-log.c
+++ b/packages/base/src/lb-log.c
@@ -10,16 +10,16 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Memory for lines that the reader has not taken yet. A quarter of it is left to warnings and
- * errors, which explain what went wrong when there is most to say. */
+/* Buffer for lines not written yet. A quarter is reserved for warnings and errors, which explain
+ * what went wrong just when most lines are logged. */
 #define BUFFER_BYTES ((size_t)(256 << 10))
-#define ORDINARY_BYTES (BUFFER_BYTES / 4 * 3)
-/* Of one second: several times what an instance says under full load, and little enough that a
- * storm of refusals does not cost its processor. */
-#define LINES_PER_SECOND 2000
-#define BYTES_PER_SECOND (1 << 20)
-/* A write to a pipe that is said to be writable does not wait when it is no longer than this. */
-#define WRITE_BYTES ((size_t)4096)
+#define MAX_ORDINARY_BYTES (BUFFER_BYTES / 4 * 3)
+/* Several times what an instance logs under full load, but low enough that a burst of refusals
+ * doesn't use up its CPU time. */
+#define MAX_LINES_PER_SECOND 2000
+#define MAX_BYTES_PER_SECOND (1 << 20)
+/* A write of up to this size doesn't block on a pipe that poll reports as writable. */
+#define MAX_WRITE_BYTES ((size_t)4096)
 
 static const char *const level_names[] = { "debug", "info", "warning", "error", "off" };
 
@@ -32,14 +32,14 @@
   char *buffer; /* NULL: lines are written at once */
   size_t length;
   int64_t dropped;
-  int64_t dropped_said; /* in a line of its own */
-  int64_t lines;        /* in the present second */
-  int64_t bytes;
-  LbTime second;
+  int64_t dropped_reported; /* of these, how many a log line has reported */
+  int64_t lines_in_second;
+  int64_t bytes_in_second;
+  LbTime second; /* that the two counts are for */
 } log_state = { .level = LB_LOG_WARNING, .fd = 2 };
 
-/* Sets the lowest level that is written, where to (a file descriptor that stays the caller's) and
- * the instance name shown on each line. */
+/* Sets the lowest level to write, the output (a file descriptor that stays owned by the caller) and
+ * the instance name shown in each line. */
 void
 lb_log_init (LbLogLevel level, int fd, const char *instance)
 {
@@ -68,7 +68,7 @@
 }
 
 static struct json_object *
-field_value (const LbLogField *field)
+field_to_json (const LbLogField *field)
 {
   struct json_object *parsed;
 
@@ -112,22 +112,23 @@
   if (second != log_state.second)
     {
       log_state.second = second;
-      log_state.lines = 0;
-      log_state.bytes = 0;
+      log_state.lines_in_second = 0;
+      log_state.bytes_in_second = 0;
     }
-  log_state.lines++;
-  log_state.bytes += (int64_t)length;
-  return log_state.lines <= LINES_PER_SECOND && log_state.bytes <= BYTES_PER_SECOND;
+  log_state.lines_in_second++;
+  log_state.bytes_in_second += (int64_t)length;
+  return log_state.lines_in_second <= MAX_LINES_PER_SECOND
+         && log_state.bytes_in_second <= MAX_BYTES_PER_SECOND;
 }
 
-/* A reader that stops reading must not hold up requests: what it does not take is dropped. */
+/* A reader that stops reading must not block requests, so lines that don't fit are dropped. */
 static void
-keep_line (LbLogLevel level, const char *line, size_t length)
+buffer_line (LbLogLevel level, const char *line, size_t length)
 {
   bool is_urgent = level >= LB_LOG_WARNING;
-  size_t room = is_urgent ? BUFFER_BYTES : ORDINARY_BYTES;
+  size_t capacity = is_urgent ? BUFFER_BYTES : MAX_ORDINARY_BYTES;
 
-  if (log_state.length + length > room || (!is_within_rate (length) && !is_urgent))
+  if (log_state.length + length > capacity || (!is_within_rate (length) && !is_urgent))
     {
       log_state.dropped++;
       return;
@@ -137,19 +138,19 @@
 }
 
 static void
-say_dropped (void)
+log_dropped_lines (void)
 {
-  int64_t dropped = log_state.dropped - log_state.dropped_said;
+  int64_t dropped = log_state.dropped - log_state.dropped_reported;
 
-  if (dropped == 0 || log_state.length > ORDINARY_BYTES)
+  if (dropped == 0 || log_state.length > MAX_ORDINARY_BYTES)
     return;
-  log_state.dropped_said = log_state.dropped;
+  log_state.dropped_reported = log_state.dropped;
   lb_log (LB_LOG_WARNING, "log_lines_dropped", LB_INT ("lines", dropped),
           LB_INT ("in_all", log_state.dropped));
 }
 
 static bool
-reader_takes_more (void)
+can_write (void)
 {
   struct pollfd ready = { .fd = log_state.fd, .events = POLLOUT };
 
@@ -163,12 +164,12 @@
 
   if (!log_state.buffer)
     return;
-  say_dropped ();
-  while (done < log_state.length && reader_takes_more ())
+  log_dropped_lines ();
+  while (done < log_state.length && can_write ())
     {
       size_t left = log_state.length - done;
-      ssize_t written
-          = write (log_state.fd, log_state.buffer + done, left < WRITE_BYTES ? left : WRITE_BYTES);
+      ssize_t written = write (log_state.fd, log_state.buffer + done,
+                               left < MAX_WRITE_BYTES ? left : MAX_WRITE_BYTES);
       if (written <= 0)
         break;
       done += (size_t)written;
@@ -189,13 +190,13 @@
     json_object_object_add (line, "instance", json_object_new_string (log_state.instance));
   json_object_object_add (line, "event", json_object_new_string (event));
   for (; fields->type != LB_FIELD_END; fields++)
-    json_object_object_add (line, fields->key, field_value (fields));
+    json_object_object_add (line, fields->key, field_to_json (fields));
 
   size_t length;
   const char *text = json_object_to_json_string_length (line, JSON_C_TO_STRING_PLAIN, &length);
   char *with_newline = lb_asprintf ("%s\n", text);
   if (log_state.buffer)
-    keep_line (level, with_newline, length + 1);
+    buffer_line (level, with_newline, length + 1);
   else
     write_all (with_newline, length + 1);
   free (with_newline);
--- a/packages/base/src/lb-settings.c
+++ b/packages/base/src/lb-settings.c
@@ -8,8 +8,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define PATH_MAX_BYTES 160
-#define FILE_MAX_BYTES (4 << 20)
+#define MAX_KEY_PATH_BYTES 160
+#define MAX_FILE_BYTES (4 << 20)
 
 static bool apply_object (struct json_object *object,
                           const LbSettingSpec *specs,
@@ -19,24 +19,25 @@
                           LbError *error);
 
 static bool
-fail (LbError *error, LbErrorCode code, const char *file, const char *path, const char *expected)
+set_error (
+    LbError *error, LbErrorCode code, const char *file, const char *path, const char *expected)
 {
-  char where[LB_NAME_MAX + PATH_MAX_BYTES + 2];
+  char where[LB_NAME_MAX + MAX_KEY_PATH_BYTES + 2];
 
   snprintf (where, sizeof where, "%s: %s", file, path[0] ? path : "(top)");
   return lb_error_set (error, code, where, "%s", expected);
 }
 
 static void
-line_and_column (const char *text, size_t offset, int *line, int *column)
+get_line_and_column (const char *text, size_t offset, int *line, int *column)
 {
   *line = 1;
   *column = 1;
   for (size_t i = 0; i < offset; i++)
     {
-      bool newline = text[i] == '\n';
-      *line += newline;
-      *column = newline ? 1 : *column + 1;
+      bool is_newline = text[i] == '\n';
+      *line += is_newline;
+      *column = is_newline ? 1 : *column + 1;
     }
 }
 
@@ -50,19 +51,19 @@
 
   object = json_tokener_parse_ex (tokener, text, (int)length);
   size_t end = json_tokener_get_parse_end (tokener);
-  enum json_tokener_error problem = json_tokener_get_error (tokener);
-  if (problem == json_tokener_continue && object == NULL)
-    problem = json_tokener_error_parse_eof;
+  enum json_tokener_error parse_error = json_tokener_get_error (tokener);
+  if (parse_error == json_tokener_continue && object == NULL)
+    parse_error = json_tokener_error_parse_eof;
   while (end < length && strchr (" \t\r\n", text[end]))
     end++;
-  if (problem == json_tokener_success && end == length && object)
+  if (parse_error == json_tokener_success && end == length && object)
     goto out;
 
-  line_and_column (text, end, &line, &column);
+  get_line_and_column (text, end, &line, &column);
   snprintf (where, sizeof where, "%s:%d:%d", file, line, column);
   lb_error_set (error, LB_ERROR_BAD_JSON, where, "%s",
-                problem == json_tokener_success ? "expected one JSON value and nothing after it"
-                                                : json_tokener_error_desc (problem));
+                parse_error == json_tokener_success ? "expected one JSON value and nothing after it"
+                                                    : json_tokener_error_desc (parse_error));
   json_object_put (object);
   object = NULL;
 out:
@@ -79,10 +80,10 @@
 
   if (!lb_json_find_duplicate_key (text, length, &offset))
     return true;
-  line_and_column (text, offset, &line, &column);
+  get_line_and_column (text, offset, &line, &column);
   snprintf (where, sizeof where, "%s:%d:%d", path, line, column);
   return lb_error_set (error, LB_ERROR_BAD_JSON, where,
-                       "expected each key once in an object; this one stands there before");
+                       "expected each key once per object, got it a second time");
 }
 
 struct json_object *
@@ -97,13 +98,13 @@
       lb_error_set (error, LB_ERROR_IO, path, "cannot open the file");
       return NULL;
     }
-  text = lb_malloc (FILE_MAX_BYTES + 1);
-  size_t length = fread (text, 1, FILE_MAX_BYTES + 1, in);
+  text = lb_malloc (MAX_FILE_BYTES + 1);
+  size_t length = fread (text, 1, MAX_FILE_BYTES + 1, in);
   if (ferror (in))
     lb_error_set (error, LB_ERROR_IO, path, "cannot read the file");
-  else if (length > FILE_MAX_BYTES)
+  else if (length > MAX_FILE_BYTES)
     lb_error_set (error, LB_ERROR_BODY_TOO_LARGE, path, "expected at most %d bytes",
-                  FILE_MAX_BYTES);
+                  MAX_FILE_BYTES);
   else
     object = lb_settings_parse (text, length, path, error);
   if (object && !has_each_key_once (text, length, path, error))
@@ -125,9 +126,9 @@
             LbError *error)
 {
   if (!json_object_is_type (value, json_type_string))
-    return fail (error, LB_ERROR_BAD_VALUE, file, path, "expected a text");
+    return set_error (error, LB_ERROR_BAD_VALUE, file, path, "expected a string");
   if ((size_t)json_object_get_string_len (value) >= spec->size)
-    return fail (error, LB_ERROR_OUT_OF_RANGE, file, path, "the text is too long");
+    return set_error (error, LB_ERROR_OUT_OF_RANGE, file, path, "expected a shorter string");
   lb_strlcpy (field, json_object_get_string (value), spec->size);
   return true;
 }
@@ -141,20 +142,20 @@
               LbError *error)
 {
   char expected[96];
-  bool integer = spec->type == LB_SETTING_INT;
+  bool is_integer = spec->type == LB_SETTING_INT;
   double number = json_object_get_double (value);
 
-  if (integer ? !json_object_is_type (value, json_type_int)
-              : !json_object_is_type (value, json_type_int)
-                    && !json_object_is_type (value, json_type_double))
-    return fail (error, LB_ERROR_BAD_VALUE, file, path,
-                 integer ? "expected a whole number" : "expected a number");
+  if (is_integer ? !json_object_is_type (value, json_type_int)
+                 : !json_object_is_type (value, json_type_int)
+                       && !json_object_is_type (value, json_type_double))
+    return set_error (error, LB_ERROR_BAD_VALUE, file, path,
+                      is_integer ? "expected a whole number" : "expected a number");
   if (!(number >= spec->min && number <= spec->max))
     {
       snprintf (expected, sizeof expected, "expected a number from %g to %g", spec->min, spec->max);
-      return fail (error, LB_ERROR_OUT_OF_RANGE, file, path, expected);
+      return set_error (error, LB_ERROR_OUT_OF_RANGE, file, path, expected);
     }
-  if (integer)
+  if (is_integer)
     *(int64_t *)field = json_object_get_int64 (value);
   else
     *(double *)field = number;
@@ -183,7 +184,7 @@
       size_t used = strlen (expected);
       snprintf (expected + used, sizeof expected - used, " %s", spec->choices[i]);
     }
-  return fail (error, LB_ERROR_BAD_VALUE, file, path, expected);
+  return set_error (error, LB_ERROR_BAD_VALUE, file, path, expected);
 }
 
 static bool
@@ -195,7 +196,7 @@
              LbError *error)
 {
   if (!json_object_is_type (value, json_type_array))
-    return fail (error, LB_ERROR_BAD_VALUE, file, path, "expected a list");
+    return set_error (error, LB_ERROR_BAD_VALUE, file, path, "expected an array");
 
   const LbSettingSpec name_spec = { .type = LB_SETTING_TEXT, .size = sizeof (LbName) };
   size_t count = json_object_array_length (value);
@@ -207,13 +208,15 @@
   *(size_t *)(target + spec->count_offset) = count;
   for (size_t i = 0; i < count; i++)
     {
-      char element_path[PATH_MAX_BYTES];
+      char element_path[MAX_KEY_PATH_BYTES];
       struct json_object *element = json_object_array_get_idx (value, i);
-      char *slot = elements + i * element_size;
+      char *element_target = elements + i * element_size;
 
       snprintf (element_path, sizeof element_path, "%s[%zu]", path, i);
-      bool ok = spec->fields ? apply_object (element, spec->fields, slot, file, element_path, error)
-                             : apply_text (element, &name_spec, slot, file, element_path, error);
+      bool ok
+          = spec->fields
+                ? apply_object (element, spec->fields, element_target, file, element_path, error)
+                : apply_text (element, &name_spec, element_target, file, element_path, error);
       if (!ok)
         return false;
     }
@@ -239,7 +242,7 @@
       return apply_number (value, spec, field, file, path, error);
     case LB_SETTING_BOOL:
       if (!json_object_is_type (value, json_type_boolean))
-        return fail (error, LB_ERROR_BAD_VALUE, file, path, "expected true or false");
+        return set_error (error, LB_ERROR_BAD_VALUE, file, path, "expected true or false");
       *(bool *)field = json_object_get_boolean (value);
       return true;
     case LB_SETTING_CHOICE:
@@ -249,7 +252,7 @@
     case LB_SETTING_ARRAY:
       return apply_array (value, spec, target, file, path, error);
     }
-  return fail (error, LB_ERROR_INTERNAL, file, path, "no such type of setting");
+  return set_error (error, LB_ERROR_INTERNAL, file, path, "unknown setting type");
 }
 
 static const LbSettingSpec *
@@ -268,13 +271,13 @@
                 const char *path,
                 LbError *error)
 {
-  char key_path[PATH_MAX_BYTES];
+  char key_path[MAX_KEY_PATH_BYTES];
 
   for (; specs->key; specs++)
     if (specs->required && !json_object_object_get_ex (object, specs->key, NULL))
       {
         snprintf (key_path, sizeof key_path, "%s%s%s", path, path[0] ? "." : "", specs->key);
-        return fail (error, LB_ERROR_MISSING_KEY, file, key_path, "this key is required");
+        return set_error (error, LB_ERROR_MISSING_KEY, file, key_path, "required key is missing");
       }
   return true;
 }
@@ -288,16 +291,16 @@
               LbError *error)
 {
   if (!json_object_is_type (object, json_type_object))
-    return fail (error, LB_ERROR_BAD_VALUE, file, path, "expected an object");
+    return set_error (error, LB_ERROR_BAD_VALUE, file, path, "expected an object");
 
   json_object_object_foreach (object, key, value)
   {
-    char key_path[PATH_MAX_BYTES];
+    char key_path[MAX_KEY_PATH_BYTES];
     const LbSettingSpec *spec = find_spec (specs, key);
 
     snprintf (key_path, sizeof key_path, "%s%s%s", path, path[0] ? "." : "", key);
     if (!spec)
-      return fail (error, LB_ERROR_UNKNOWN_KEY, file, key_path, "no key of this name is known");
+      return set_error (error, LB_ERROR_UNKNOWN_KEY, file, key_path, "unknown key");
     if (!apply_value (value, spec, target, file, key_path, error))
       return false;
   }
--- a/packages/base/src/lb-switch.c
+++ b/packages/base/src/lb-switch.c
@@ -24,13 +24,13 @@
 static bool is_off[LB_N_SWITCHES];
 
 const char *
-lb_switch_name (LbSwitch number)
+lb_switch_name (LbSwitch id)
 {
-  return names[number];
+  return names[id];
 }
 
 static int
-find (const char *name)
+find_by_name (const char *name)
 {
   for (int i = 0; i < LB_N_SWITCHES; i++)
     if (strcmp (names[i], name) == 0)
@@ -41,22 +41,22 @@
 bool
 lb_switch_is_known (const char *name)
 {
-  return find (name) >= 0;
+  return find_by_name (name) >= 0;
 }
 
 void
 lb_switch_set_off (const char *name)
 {
-  int number = find (name);
+  int id = find_by_name (name);
 
-  if (number >= 0)
-    is_off[number] = true;
+  if (id >= 0)
+    is_off[id] = true;
 }
 
 bool
-lb_switch_is_on (LbSwitch number)
+lb_switch_is_on (LbSwitch id)
 {
-  return !is_off[number];
+  return !is_off[id];
 }
 
 void
--- a/packages/base/tests/test-base.c
+++ b/packages/base/tests/test-base.c
@@ -54,7 +54,7 @@
   return error;
 }
 
-Test (settings, takes_comments_and_known_keys)
+Test (settings, comments_and_known_keys_are_accepted)
 {
   Settings settings;
   LbError error
@@ -64,7 +64,7 @@
   cr_assert_eq (settings.server.port, 80);
 }
 
-Test (settings, names_file_and_key_path)
+Test (settings, errors_have_file_and_key_path)
 {
   Settings settings;
   LbError error = apply ("{\"server\": {\"port\": 70000}}", &settings);
@@ -78,7 +78,7 @@
   cr_assert_eq (error.code, LB_ERROR_MISSING_KEY);
 }
 
-Test (settings, names_line_and_column_of_bad_json)
+Test (settings, bad_json_is_reported_with_line_and_column)
 {
   Settings settings;
   LbError error = apply ("{\n  \"server\": }", &settings);
@@ -88,11 +88,11 @@
   cr_assert_eq (apply ("{\"server\": {", &settings).code, LB_ERROR_BAD_JSON);
 }
 
-Test (error, every_type_has_a_name_of_its_own)
+Test (error, every_type_has_a_unique_name)
 {
   for (int code = 0; code < LB_N_ERRORS; code++)
     {
-      cr_assert_not_null (lb_error_name ((LbErrorCode)code), "code %d", code);
+      cr_assert_not_null (lb_error_name ((LbErrorCode)code), "error code %d has no name", code);
       cr_assert_eq (lb_error_from_name (lb_error_name ((LbErrorCode)code)), code);
     }
 }
@@ -103,7 +103,7 @@
   int value;
 } Item;
 
-Test (list, survives_removal_while_iterating)
+Test (list, elements_can_be_removed_while_iterating)
 {
   Item items[3] = { { .value = 1 }, { .value = 2 }, { .value = 3 } };
   LbList list;
--- a/packages/base/tests/test-json.c
+++ b/packages/base/tests/test-json.c
@@ -22,7 +22,7 @@
 
 TestSuite (json, .init = set_up, .fini = tear_down);
 
-Test (json, members_of_the_right_type_are_read)
+Test (json, members_of_the_right_type_are_returned)
 {
   cr_assert (json_object_is_type (lb_json_member (object, "array"), json_type_array));
   cr_assert_str_eq (lb_json_text (object, "text", "no"), "abc");
@@ -53,7 +53,7 @@
     }
 }
 
-Test (json, what_is_no_object_has_no_members)
+Test (json, non_objects_have_no_members)
 {
   struct json_object *others[]
       = { NULL, lb_json_member (object, "array"), lb_json_member (object, "text") };
@@ -75,12 +75,12 @@
 
   cr_assert_eq (found, expected >= 0, "%s", text);
   if (found)
-    cr_assert_eq ((long)offset, expected, "%s: at %zu", text, offset);
+    cr_assert_eq ((long)offset, expected, "%s: duplicate found at offset %zu", text, offset);
 }
 
-/* An operator copies a block of the settings, changes the first of the two, and nothing happens:
- * the parser takes the later one without a word. */
-Test (keys, a_key_that_stands_twice_is_found)
+/* An operator duplicates a block of the settings and changes the first copy, without effect: the
+ * parser silently uses the later one. */
+Test (keys, duplicate_key_is_found)
 {
   expect_duplicate ("{\"a\": 1, \"b\": 2, \"a\": 3}", 17);
   expect_duplicate ("{\"o\": {\"x\": 1, \"x\": 2}}", 15);
--- a/packages/base/tests/test-log.c
+++ b/packages/base/tests/test-log.c
@@ -44,10 +44,10 @@
   lb_log_buffer ();
 }
 
-/* The reader of the log stops reading. The pipe fills after 64 KiB; a write would wait for ever,
- * and every request with it. The lines are dropped instead, counted, and the log says so
- * afterwards. */
-Test (log, a_reader_that_stops_holds_up_nothing)
+/* The reader of the log stops reading, and the pipe is full after 64 KiB: a blocking write would
+ * hold up every request for ever. Lines must be dropped and counted instead, and the log must
+ * report it afterwards. */
+Test (log, stopped_reader_does_not_block_logging)
 {
   int ends[2];
   char filler[200];
@@ -69,7 +69,8 @@
       if (read_all (ends[0]) > 0 && count_lines ("\"failure\"") > 0)
         break;
     }
-  cr_assert_eq (count_lines ("\"failure\""), 1, "a failure has room of its own");
+  cr_assert_eq (count_lines ("\"failure\""), 1,
+                "the error line was dropped in spite of its reserved space");
   cr_assert_eq (text[strlen (text) - 1], '\n');
   for (int i = 0; i < 40; i++)
     lb_log_flush ();
@@ -77,9 +78,9 @@
   cr_assert_geq (count_lines ("log_lines_dropped"), 0);
 }
 
-/* A storm of refusals says the same thing ten thousand times a second; the rest of the log has to
- * stay readable, and the processor is for requests. */
-Test (log, a_storm_is_bounded)
+/* A burst of refusals logs ten thousand similar lines per second. The rest of the log must stay
+ * readable, and the CPU time must remain for requests. */
+Test (log, burst_of_lines_is_rate_limited)
 {
   int ends[2];
 
@@ -99,7 +100,7 @@
   cr_assert_eq (count_lines ("\"belief\""), 1);
 }
 
-Test (log, drops_are_said_once_there_is_room)
+Test (log, dropped_lines_are_reported_once_there_is_space)
 {
   int ends[2];
 
@@ -115,10 +116,10 @@
       if (count_lines ("log_lines_dropped") > 0)
         return;
     }
-  cr_assert_fail ("the log does not say that lines were dropped");
+  cr_assert_fail ("log_lines_dropped was not logged");
 }
 
-Test (histogram, counts_in_buckets_and_renders)
+Test (histogram, counts_by_bucket_and_renders)
 {
   static LbHistogram histogram = LB_HISTOGRAM_INIT ("test_seconds", "A test");
 
