--- a/packages/base/include/lb-error.h
+++ b/packages/base/include/lb-error.h
@@ -29,7 +29,7 @@
   LB_ERROR_BAD_REFERENCE,
   LB_ERROR_UNAUTHORIZED,
   LB_ERROR_CONFLICT,
-  /* refused before dispatch: "not run" is true */
+  /* refused before dispatch: the request did not run */
   LB_ERROR_OVERLOADED,
   LB_ERROR_RATE_LIMITED,
   LB_ERROR_NO_ENDPOINT,
--- a/packages/base/src/lb-json-keys.c
+++ b/packages/base/src/lb-json-keys.c
@@ -56,7 +56,7 @@
 }
 
 static bool
-skip_to (Scan *scan, const char *end)
+skip_past (Scan *scan, const char *end)
 {
   const char *found
       = memmem (scan->text + scan->position, scan->length - scan->position, end, strlen (end));
@@ -70,8 +70,8 @@
 {
   if (scan->position + 1 >= scan->length || scan->text[scan->position] != '/')
     return false;
-  return scan->text[scan->position + 1] == '/'   ? skip_to (scan, "\n")
-         : scan->text[scan->position + 1] == '*' ? skip_to (scan, "*/")
+  return scan->text[scan->position + 1] == '/'   ? skip_past (scan, "\n")
+         : scan->text[scan->position + 1] == '*' ? skip_past (scan, "*/")
                                                  : false;
 }
 
--- a/packages/http/src/lh-reach.c
+++ b/packages/http/src/lh-reach.c
@@ -58,7 +58,7 @@
 }
 
 static void
-finish (LhReach *reach, LhReachOutcome outcome)
+finish_check (LhReach *reach, LhReachOutcome outcome)
 {
   LhReachDone done = reach->done;
   void *done_user = reach->user;
@@ -74,7 +74,7 @@
   char byte;
   bool has_ended = (what & EV_READ) && recv (fd, &byte, sizeof byte, 0) <= 0;
 
-  finish (user, has_ended ? LH_REACH_CLOSED : LH_REACH_OPEN);
+  finish_check (user, has_ended ? LH_REACH_CLOSED : LH_REACH_OPEN);
 }
 
 static void
@@ -88,7 +88,7 @@
 }
 
 static void
-on_connected (evutil_socket_t fd, short what, void *user)
+on_connect_end (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   LhReach *reach = user;
@@ -97,7 +97,7 @@
   if (outcome == LH_REACH_OPEN && reach->hold_time > 0)
     start_hold (reach);
   else
-    finish (reach, outcome);
+    finish_check (reach, outcome);
 }
 
 /* Also reports a connect that fails immediately from the event loop. */
@@ -141,7 +141,7 @@
   reach->hold_time = times->hold_time;
   reach->done = done;
   reach->user = user;
-  reach->event = event_new (base, fd, EV_WRITE, on_connected, reach);
+  reach->event = event_new (base, fd, EV_WRITE, on_connect_end, reach);
   start_connect (reach, &target, times->connect_timeout);
   return reach;
 }
--- a/packages/store/include/lp-follow.h
+++ b/packages/store/include/lp-follow.h
@@ -13,7 +13,7 @@
   const char *const *prefixes; /* listed; together they cover all rows of interest */
   size_t n_prefixes;
   LbTime watch_timeout; /* of one watch call; bounds how long a dead connection goes unnoticed */
-  bool tries_history;   /* first requests the whole history: one call, if the table is new */
+  bool tries_history;   /* requests the whole history before listing; saves calls on new tables */
   LbTime retry_delay;   /* after a failed call */
   /* A complete list of the rows is about to be delivered. NULL: not needed. Requires a single
    * prefix. */
--- a/packages/store/src/lp-path.c
+++ b/packages/store/src/lp-path.c
@@ -84,9 +84,8 @@
   return path->direct_success_at > 0 && path->direct_success_at >= since;
 }
 
-/* Keeps a peer that answers, and moves all calls away from one that doesn't. Calls that went
- * through all peers in turn lost a second at each peer that was cut off too, and the instance its
- * lease. */
+/* Keeps a peer that answers, and moves all calls away from one that doesn't. Trying all peers in
+ * turn cost a second at each one that was cut off too, until the instance lost its lease. */
 void
 lp_path_peer_failed (LpPath *path, const char *peer)
 {
