--- a/tests/soak/sk-callers.c
+++ b/tests/soak/sk-callers.c
@@ -7,22 +7,23 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CALL_PERIOD (12 * LB_MSEC)
-#define PROBE_PERIOD (150 * LB_MSEC)
-#define MAX_RUNNING 200
-#define DEADLINE (3 * LB_SEC)
-/* After its deadline a call has its final answer, but for the time of a busy machine. */
-#define ANSWER_SLACK LB_SEC
-#define CONFIG_TIME (2 * LB_SEC) /* in which an accepted state is in force everywhere */
+#define CALL_INTERVAL (12 * LB_MSEC)
+#define PROBE_INTERVAL (150 * LB_MSEC)
+#define MAX_CONCURRENT_CALLS 200
+#define CALL_DEADLINE (3 * LB_SEC)
+/* A call is answered by its deadline; the slack is for a busy machine. */
+#define RESPONSE_SLACK LB_SEC
+/* An accepted configuration is active on all instances after so long. */
+#define CONFIG_PROPAGATION_TIME (2 * LB_SEC)
 #define CONFIG_SLACK (500 * LB_MSEC)
-/* Faults leave their marks for so long: connections that are found silent, views that are old. */
-#define CALM_TIME (3 * LB_SEC)
+/* Faults have effects for so long: dead connections that are not detected yet, stale views. */
+#define FAULT_EFFECT_TIME (3 * LB_SEC)
 
 typedef enum
 {
   CALL_LOOKUP,
   CALL_ORDER,
-  CALL_ROUTE /* of the newest route that was added */
+  CALL_ROUTE_PROBE /* to the newest added route */
 } CallKind;
 
 typedef struct
@@ -30,11 +31,11 @@
   LbLink link;
   SkCallers *callers;
   SkInstance *instance;
-  int start; /* of the instance, when the call began */
+  int instance_start; /* n_starts of the instance when the call started */
   CallKind kind;
   LbName id;
-  int64_t route; /* ROUTE: which */
-  LbTime began;
+  int64_t route; /* number of the newest added route when the call started */
+  LbTime started_at;
   LhFetch *fetch;
 } Call;
 
@@ -43,8 +44,8 @@
   SkWorld *world;
   LbList calls;
   int64_t n_calls;
-  LbTime next_call;
-  LbTime next_probe;
+  LbTime next_call_at;
+  LbTime next_probe_at;
   bool stopped;
 };
 
@@ -76,15 +77,16 @@
   free (callers);
 }
 
-/* The process is the one that the call went to, and nothing was done to it or to the store. */
+/* Whether the called process still runs, and neither it nor the store was disturbed since then. */
 static bool
-was_left_alone (const Call *call, LbTime since)
+was_undisturbed (const Call *call, LbTime since)
 {
-  return call->instance->starts == call->start && sk_instance_is_calm (call->instance, since);
+  return call->instance->n_starts == call->instance_start
+         && sk_instance_was_undisturbed (call->instance, since);
 }
 
 static bool
-is_whole (const Call *call, const LhFetch *fetch, const LhResult *result)
+is_complete_response (const Call *call, const LhFetch *fetch, const LhResult *result)
 {
   const char *stamp = lh_fetch_header (fetch, "Server-Stamp");
   char body[LB_NAME_MAX + 16];
@@ -97,83 +99,84 @@
 }
 
 static void
-check_not_run (Call *call)
+check_refused_request (Call *call)
 {
-  SkRequest *request = sk_request_ensure (call->callers->world, call->id);
+  SkRequest *request = sk_request_find_or_add (call->callers->world, call->id);
 
-  request->said_not_run = true;
-  if (request->runs > 0 && !request->repeatable)
-    sk_fail (call->callers->world, "not run is true", "%s ran %d times and its caller was told 503",
-             call->id, request->runs);
+  request->reported_not_run = true;
+  if (request->n_runs > 0 && !request->is_idempotent)
+    sk_fail (call->callers->world, "a request reported as not run did not run",
+             "%s ran %d times and was refused as not run", call->id, request->n_runs);
 }
 
 static void
-check_route (Call *call, int status, LbTime now)
+check_route_probe (Call *call, int status, LbTime now)
 {
   SkWorld *world = call->callers->world;
   SkInstance *instance = call->instance;
-  LbTime in_force = world->config_at + CONFIG_TIME + CONFIG_SLACK;
+  LbTime in_force_by = world->config_put_at + CONFIG_PROPAGATION_TIME + CONFIG_SLACK;
 
-  if (instance->starts != call->start)
+  if (instance->n_starts != call->instance_start)
     return;
-  if (status == 200 && call->route > instance->route_seen)
-    instance->route_seen = call->route;
+  if (status == 200 && call->route > instance->newest_served_route)
+    instance->newest_served_route = call->route;
   if (status != 404)
     return;
-  if (call->route <= instance->route_seen)
-    sk_fail (world, "an accepted configuration never reverts", "%s has lost route r%lld",
+  if (call->route <= instance->newest_served_route)
+    sk_fail (world, "an accepted configuration never reverts", "%s no longer has route r%lld",
              instance->name, (long long)call->route);
-  else if (call->route == world->n_routes && call->began > in_force
-           && was_left_alone (call, world->config_at - CALM_TIME) && now > in_force)
-    sk_fail (world, "an accepted configuration is in force in seconds",
-             "%s has no route r%lld %.3f s after its acknowledgement", instance->name,
-             (long long)call->route, (double)(call->began - world->config_at) / LB_SEC);
+  else if (call->route == world->n_added_routes && call->started_at > in_force_by
+           && was_undisturbed (call, world->config_put_at - FAULT_EFFECT_TIME) && now > in_force_by)
+    sk_fail (world, "an accepted configuration is active within seconds",
+             "%s has no route r%lld %.3f s after it was accepted", instance->name,
+             (long long)call->route, (double)(call->started_at - world->config_put_at) / LB_SEC);
 }
 
-/* Shutdown cuts nothing: a request that an instance had taken gets its answer, as long as nobody
- * killed the process. What crossed its close was not passed on. */
+/* A graceful shutdown aborts no request: one that ran at a service is answered unless the process
+ * was disturbed. A request that arrives as the instance closes its connection is not forwarded. */
 static void
-check_cut (const Call *call, const LhResult *result)
+check_connection_loss (const Call *call, const LhResult *result)
 {
   const SkInstance *instance = call->instance;
   const SkRequest *request = sk_request_find (call->callers->world, call->id);
 
   if (result->failure != LB_ERROR_CLOSED && result->failure != LB_ERROR_IO)
     return;
-  if (instance->starts != call->start || instance->disturbed_at > call->began
-      || (instance->stopping && instance->disturbed_at > call->began))
+  if (instance->n_starts != call->instance_start || instance->last_disturbed_at > call->started_at
+      || (instance->stopping && instance->last_disturbed_at > call->started_at))
     return;
-  if (request && request->runs > 0)
-    sk_fail (call->callers->world, "shutdown cuts nothing", "%s ran, and %s closed its connection",
-             call->id, instance->name);
+  if (request && request->n_runs > 0)
+    sk_fail (call->callers->world, "shutdown aborts no request",
+             "%s ran, but %s closed its connection", call->id, instance->name);
 }
 
 static void
-check (Call *call, const LhFetch *fetch, const LhResult *result, LbTime now)
+check_result (Call *call, const LhFetch *fetch, const LhResult *result, LbTime now)
 {
   SkWorld *world = call->callers->world;
 
   if (result->failure != LB_OK)
     {
       world->n_failed++;
-      check_cut (call, result);
+      check_connection_loss (call, result);
       return;
     }
-  if (result->status == 200 && !is_whole (call, fetch, result))
-    sk_fail (world, "whole answers", "%s got %.*s", call->id, (int)result->body_length,
+  if (result->status == 200 && !is_complete_response (call, fetch, result))
+    sk_fail (world, "complete responses", "%s got %.*s", call->id, (int)result->body_length,
              result->body);
   world->n_served += result->status == 200;
   world->n_refused += result->status == 503 || result->status == 429;
   if (result->status == 503 || result->status == 429)
-    check_not_run (call);
-  if (call->kind == CALL_ROUTE)
-    check_route (call, result->status, now);
+    check_refused_request (call);
+  if (call->kind == CALL_ROUTE_PROBE)
+    check_route_probe (call, result->status, now);
   else if (result->status == 404)
-    sk_fail (world, "a route that is there is found", "%s got 404 of %s", call->id,
+    sk_fail (world, "configured routes are served", "%s got 404 from %s", call->id,
              call->instance->name);
-  if (now - call->began > DEADLINE + ANSWER_SLACK && was_left_alone (call, call->began - CALM_TIME))
-    sk_fail (world, "an answer by the deadline", "%s was answered %d after %.3f s by %s", call->id,
-             result->status, (double)(now - call->began) / LB_SEC, call->instance->name);
+  if (now - call->started_at > CALL_DEADLINE + RESPONSE_SLACK
+      && was_undisturbed (call, call->started_at - FAULT_EFFECT_TIME))
+    sk_fail (world, "a response by the deadline", "%s got status %d after %.3f s from %s", call->id,
+             result->status, (double)(now - call->started_at) / LB_SEC, call->instance->name);
 }
 
 static void
@@ -181,15 +184,15 @@
 {
   Call *call = user;
 
-  check (call, fetch, result, lb_clock_monotonic ());
+  check_result (call, fetch, result, lb_clock_monotonic ());
   call_free (call);
 }
 
-/* Any instance that a caller may know of: also one that stops, since addresses are kept. */
+/* An instance whose address callers may hold, also one that is shutting down; NULL: none. */
 static SkInstance *
 choose_instance (SkWorld *world)
 {
-  size_t first = (size_t)sk_draw (world, 0, (int64_t)world->n_instances - 1);
+  size_t first = (size_t)sk_random_int (world, 0, (int64_t)world->n_instances - 1);
 
   for (size_t i = 0; i < world->n_instances; i++)
     {
@@ -207,8 +210,9 @@
   Call *call = LB_NEW (Call);
   char path[32];
   char deadline[16];
-  const LhHeader headers[]
-      = { { "Attempt-Id", call->id }, { "Deadline-Ms", deadline }, { "Api-Key", SK_CALLERS_KEY } };
+  const LhHeader headers[] = { { "Attempt-Id", call->id },
+                               { "Deadline-Ms", deadline },
+                               { "Api-Key", SK_CALLER_API_KEY } };
   const LhHandlers handlers = { .on_done = on_done };
   const LhRequest request = { .method = "POST",
                               .address = instance->address,
@@ -218,35 +222,35 @@
                               .n_headers = 3,
                               .body = "hello",
                               .body_length = 5,
-                              .idle_timeout = DEADLINE + 2 * ANSWER_SLACK,
-                              .fresh_connection = sk_draw (world, 0, 3) == 0 };
+                              .idle_timeout = CALL_DEADLINE + 2 * RESPONSE_SLACK,
+                              .fresh_connection = sk_random_int (world, 0, 3) == 0 };
 
   *call = (Call){ .callers = callers,
                   .instance = instance,
-                  .start = instance->starts,
+                  .instance_start = instance->n_starts,
                   .kind = kind,
-                  .route = world->n_routes,
-                  .began = now };
+                  .route = world->n_added_routes,
+                  .started_at = now };
   snprintf (call->id, sizeof call->id, "c%lld", (long long)callers->n_calls++);
-  snprintf (deadline, sizeof deadline, "%lld", (long long)(DEADLINE / LB_MSEC));
-  if (kind == CALL_ROUTE)
+  snprintf (deadline, sizeof deadline, "%lld", (long long)(CALL_DEADLINE / LB_MSEC));
+  if (kind == CALL_ROUTE_PROBE)
     snprintf (path, sizeof path, "/r%lld/x", (long long)call->route);
   else
     snprintf (path, sizeof path, kind == CALL_ORDER ? "/order/x" : "/lookup/x");
-  sk_request_ensure (world, call->id)->repeatable = kind != CALL_ORDER;
+  sk_request_find_or_add (world, call->id)->is_idempotent = kind != CALL_ORDER;
   world->n_calls++;
   lb_list_append (&callers->calls, &call->link);
   call->fetch = lh_fetch_start (world->pool, &request, &handlers, call, NULL);
 }
 
 static void
-start_probes (SkCallers *callers, LbTime now)
+start_route_probes (SkCallers *callers, LbTime now)
 {
   SkWorld *world = callers->world;
 
-  for (size_t i = 0; world->n_routes > 0 && i < world->n_instances; i++)
-    if (sk_instance_runs (&world->instances[i]) && !world->instances[i].stopping)
-      start_call (callers, &world->instances[i], CALL_ROUTE, now);
+  for (size_t i = 0; world->n_added_routes > 0 && i < world->n_instances; i++)
+    if (sk_instance_is_running (&world->instances[i]) && !world->instances[i].stopping)
+      start_call (callers, &world->instances[i], CALL_ROUTE_PROBE, now);
 }
 
 void
@@ -254,18 +258,18 @@
 {
   SkInstance *instance = NULL;
 
-  if (callers->stopped || callers->calls.length > MAX_RUNNING)
+  if (callers->stopped || callers->calls.length > MAX_CONCURRENT_CALLS)
     return;
-  if (now >= callers->next_call && (instance = choose_instance (callers->world)))
+  if (now >= callers->next_call_at && (instance = choose_instance (callers->world)))
     {
-      callers->next_call = now + CALL_PERIOD;
-      start_call (callers, instance, sk_draw (callers->world, 0, 1) ? CALL_LOOKUP : CALL_ORDER,
-                  now);
+      callers->next_call_at = now + CALL_INTERVAL;
+      start_call (callers, instance,
+                  sk_random_int (callers->world, 0, 1) ? CALL_LOOKUP : CALL_ORDER, now);
     }
-  if (now < callers->next_probe)
+  if (now < callers->next_probe_at)
     return;
-  callers->next_probe = now + PROBE_PERIOD;
-  start_probes (callers, now);
+  callers->next_probe_at = now + PROBE_INTERVAL;
+  start_route_probes (callers, now);
 }
 
 void
--- a/tests/soak/sk-callers.h
+++ b/tests/soak/sk-callers.h
@@ -3,16 +3,16 @@
 
 #include "sk-world.h"
 
-/* Live callers: lookups, which may be repeated, and orders, which may not; and probes of the routes
- * that each desired state adds. They keep connections open until the process behind them is gone.
- */
+/* Live callers. They send lookups (idempotent) and orders (not idempotent), and probe the route
+ * that the newest configuration added. Open connections are reused until the process behind them
+ * ends. */
 typedef struct SkCallers SkCallers;
 
 SkCallers *sk_callers_new (SkWorld *world);
 void sk_callers_free (SkCallers *callers);
-/* Starts what is due. */
+/* Starts the calls that are due. */
 void sk_callers_tick (SkCallers *callers, LbTime now);
-/* No more calls from now on. */
+/* Starts no more calls from now on. */
 void sk_callers_stop (SkCallers *callers);
 
 #endif
--- a/tests/soak/sk-crasher.c
+++ b/tests/soak/sk-crasher.c
@@ -7,15 +7,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MIN_PAUSE_MS 100
-#define MAX_PAUSE_MS 500
-#define ENDS_TO_LEARN 3
-/* After the third end every instance has to know, if nothing else is wrong for as long. */
-#define LEARN_TIME (3 * LB_SEC)
-#define LEARN_SLACK (500 * LB_MSEC) /* this machine may be busy */
+#define MIN_CALL_INTERVAL_MS 100
+#define MAX_CALL_INTERVAL_MS 500
+#define CRASHES_TO_QUARANTINE 3
+/* Every instance quarantines the request so long after the third crash, if nothing else fails. */
+#define QUARANTINE_TIME (3 * LB_SEC)
+#define QUARANTINE_SLACK (500 * LB_MSEC) /* for a busy machine */
 #define MAX_LATE_RUNS 3
 #define DEADLINE_MS "2000"
-#define MAX_SILENCE (3 * LB_SEC)
+#define IDLE_TIMEOUT (3 * LB_SEC)
 
 typedef struct
 {
@@ -31,10 +31,10 @@
   SkWorld *world;
   LbList calls;
   int64_t n_calls;
-  LbTime next_call;
-  int n_ends;
-  LbTime learnt_by; /* 0: not enough services have ended */
-  int n_late;
+  LbTime next_call_at;
+  int n_crashes;
+  LbTime quarantined_by; /* 0: fewer services than needed have crashed */
+  int n_late_runs;
   bool stopped;
 };
 
@@ -73,17 +73,18 @@
   Call *call = user;
 
   if (result->failure == LB_OK && result->status == 200)
-    sk_fail (call->crasher->world, "whole answers", "%s got an answer that nobody gave", call->id);
+    sk_fail (call->crasher->world, "complete responses",
+             "%s got status 200, but no service answered it", call->id);
   call_free (call);
 }
 
 static void
-send_to (SkCrasher *crasher, SkInstance *instance)
+send_fatal_request (SkCrasher *crasher, SkInstance *instance)
 {
   Call *call = LB_NEW (Call);
   const LhHeader headers[] = { { "Attempt-Id", call->id },
                                { "Deadline-Ms", DEADLINE_MS },
-                               { "Api-Key", SK_CALLERS_KEY } };
+                               { "Api-Key", SK_CALLER_API_KEY } };
   const LhHandlers handlers = { .on_done = on_done };
   const LhRequest request = { .method = "POST",
                               .address = instance->address,
@@ -91,9 +92,9 @@
                               .host = SK_HOST,
                               .headers = headers,
                               .n_headers = 3,
-                              .body = SK_CRASHER_BODY,
-                              .body_length = strlen (SK_CRASHER_BODY),
-                              .idle_timeout = MAX_SILENCE,
+                              .body = SK_FATAL_BODY,
+                              .body_length = strlen (SK_FATAL_BODY),
+                              .idle_timeout = IDLE_TIMEOUT,
                               .fresh_connection = true };
 
   call->crasher = crasher;
@@ -109,12 +110,13 @@
   SkWorld *world = crasher->world;
   SkInstance *instance = NULL;
 
-  if (crasher->stopped || now < crasher->next_call)
+  if (crasher->stopped || now < crasher->next_call_at)
     return;
-  crasher->next_call = now + sk_draw (world, MIN_PAUSE_MS, MAX_PAUSE_MS) * LB_MSEC;
-  instance = &world->instances[sk_draw (world, 0, (int64_t)world->n_instances - 1)];
-  if (sk_instance_runs (instance))
-    send_to (crasher, instance);
+  crasher->next_call_at
+      = now + sk_random_int (world, MIN_CALL_INTERVAL_MS, MAX_CALL_INTERVAL_MS) * LB_MSEC;
+  instance = &world->instances[sk_random_int (world, 0, (int64_t)world->n_instances - 1)];
+  if (sk_instance_is_running (instance))
+    send_fatal_request (crasher, instance);
 }
 
 void
@@ -124,7 +126,7 @@
 }
 
 static const Call *
-find (const SkCrasher *crasher, const char *id)
+find_call (const SkCrasher *crasher, const char *id)
 {
   LB_LIST_FOREACH (&crasher->calls, Call, link, call)
   {
@@ -135,21 +137,21 @@
 }
 
 void
-sk_crasher_note_run (SkCrasher *crasher, const char *id, const char *service)
+sk_crasher_record_run (SkCrasher *crasher, const char *id, const char *service)
 {
-  const Call *call = find (crasher, id);
+  const Call *call = find_call (crasher, id);
   LbTime now = lb_clock_monotonic ();
 
-  sk_tell (crasher->world, "%s begins at %s", id, service);
-  crasher->n_ends++;
-  if (crasher->n_ends == ENDS_TO_LEARN)
-    crasher->learnt_by = now + LEARN_TIME + LEARN_SLACK;
-  if (crasher->n_ends <= ENDS_TO_LEARN || now < crasher->learnt_by || !call
-      || !sk_instance_is_calm (call->instance, now - LEARN_TIME - LEARN_SLACK))
+  sk_log (crasher->world, "fatal request %s starts at %s", id, service);
+  crasher->n_crashes++;
+  if (crasher->n_crashes == CRASHES_TO_QUARANTINE)
+    crasher->quarantined_by = now + QUARANTINE_TIME + QUARANTINE_SLACK;
+  if (crasher->n_crashes <= CRASHES_TO_QUARANTINE || now < crasher->quarantined_by || !call
+      || !sk_instance_was_undisturbed (call->instance, now - QUARANTINE_TIME - QUARANTINE_SLACK))
     return;
-  crasher->n_late++;
-  if (crasher->n_late > MAX_LATE_RUNS)
-    sk_fail (crasher->world, "a request that ends endpoints stops going round",
-             "%s of %s begins at %s, the %dth run that late, %d in all", id, call->instance->name,
-             service, crasher->n_late, crasher->n_ends);
+  crasher->n_late_runs++;
+  if (crasher->n_late_runs > MAX_LATE_RUNS)
+    sk_fail (crasher->world, "a fatal request is quarantined",
+             "%s from %s starts at %s: run %d after the quarantine time, %d in all", id,
+             call->instance->name, service, crasher->n_late_runs, crasher->n_crashes);
 }
--- a/tests/soak/sk-crasher.h
+++ b/tests/soak/sk-crasher.h
@@ -3,18 +3,19 @@
 
 #include "sk-world.h"
 
-/* A caller whose request ends every service that begins it, and who sends it again and again, at
- * any instance. */
+/* A caller of fatal requests: each crashes every service that starts it. The caller sends them
+ * again and again, to random instances, which must quarantine them. */
 typedef struct SkCrasher SkCrasher;
 
-#define SK_CRASHER_BODY "a body that ends services"
+#define SK_FATAL_BODY "a body that ends services"
 
 SkCrasher *sk_crasher_new (SkWorld *world);
 void sk_crasher_free (SkCrasher *crasher);
+/* Sends the next request if it is due. */
 void sk_crasher_tick (SkCrasher *crasher, LbTime now);
-/* No more requests from now on. */
+/* Sends no more requests from now on. */
 void sk_crasher_stop (SkCrasher *crasher);
-/* One of them begins at a service, which ends. */
-void sk_crasher_note_run (SkCrasher *crasher, const char *id, const char *service);
+/* A service started the fatal request `id` and crashes. */
+void sk_crasher_record_run (SkCrasher *crasher, const char *id, const char *service);
 
 #endif
--- a/tests/soak/sk-faults.c
+++ b/tests/soak/sk-faults.c
@@ -6,25 +6,26 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Between two strikes: short enough that most overlap with the one before. */
-#define MIN_GAP 50
-#define MAX_GAP 900
-#define SLOW_EVENT (125 * LB_MSEC) /* five times the usual */
+/* Between two faults; short enough that most overlap the one before. */
+#define MIN_FAULT_INTERVAL_MS 50
+#define MAX_FAULT_INTERVAL_MS 900
+#define SLOW_EVENT_INTERVAL (125 * LB_MSEC) /* five times the normal interval */
 #define MIN_ENGINES 2
-#define MAX_ROUTES 60
+#define MAX_ADDED_ROUTES 60
 
 static SkInstance *
-pick_instance (SkWorld *world)
+choose_instance (SkWorld *world)
 {
-  return &world->instances[sk_draw (world, 0, (int64_t)world->n_instances - 1)];
+  return &world->instances[sk_random_int (world, 0, (int64_t)world->n_instances - 1)];
 }
 
 static SkEndpoint *
-pick_endpoint (SkWorld *world)
+choose_endpoint (SkWorld *world)
 {
-  SkEndpoint *endpoint = &world->endpoints[sk_draw (world, 0, (int64_t)world->n_endpoints - 1)];
+  SkEndpoint *endpoint
+      = &world->endpoints[sk_random_int (world, 0, (int64_t)world->n_endpoints - 1)];
 
-  return endpoint->is_gone ? NULL : endpoint;
+  return endpoint->is_down ? NULL : endpoint;
 }
 
 static size_t
@@ -33,33 +34,33 @@
   size_t n = 0;
 
   for (size_t i = 0; i < world->n_endpoints; i++)
-    n += world->endpoints[i].sampler.model[0] && !world->endpoints[i].is_gone
-         && world->endpoints[i].leaving_since == 0;
+    n += world->endpoints[i].standin.model[0] && !world->endpoints[i].is_down
+         && world->endpoints[i].draining_since == 0;
   return n;
 }
 
-/* NULL: none can be spared. */
+/* NULL: the random endpoint is no engine, is down or draining, or too few engines would be left. */
 static SkEndpoint *
-pick_engine (SkWorld *world)
+choose_spare_engine (SkWorld *world)
 {
-  SkEndpoint *endpoint = pick_endpoint (world);
+  SkEndpoint *endpoint = choose_endpoint (world);
 
-  return endpoint && endpoint->sampler.model[0] && endpoint->leaving_since == 0
+  return endpoint && endpoint->standin.model[0] && endpoint->draining_since == 0
                  && count_engines (world) > MIN_ENGINES
              ? endpoint
              : NULL;
 }
 
 static LbTime
-draw_ms (SkWorld *world, int64_t low, int64_t high)
+random_ms (SkWorld *world, int64_t low, int64_t high)
 {
-  return sk_draw (world, low, high) * LB_MSEC;
+  return sk_random_int (world, low, high) * LB_MSEC;
 }
 
 static PtRelayFault
-draw_way_fault (SkWorld *world)
+random_relay_fault (SkWorld *world)
 {
-  switch (sk_draw (world, 0, 3))
+  switch (sk_random_int (world, 0, 3))
     {
     case 0:
       return (PtRelayFault){ .loses_to_target = true, .loses_from_target = true };
@@ -68,7 +69,7 @@
     case 2:
       return (PtRelayFault){ .loses_to_target = true };
     default:
-      return (PtRelayFault){ .delay = draw_ms (world, 20, 600) };
+      return (PtRelayFault){ .delay = random_ms (world, 20, 600) };
     }
 }
 
@@ -77,90 +78,91 @@
 static void
 kill_instance (SkWorld *world)
 {
-  sk_instance_kill (pick_instance (world), draw_ms (world, 100, 2500));
+  sk_instance_kill (choose_instance (world), random_ms (world, 100, 2500));
 }
 
-/* As when all machines lose power. */
+/* Power loss of all machines. */
 static void
 kill_all (SkWorld *world)
 {
   for (size_t i = 0; i < world->n_instances; i++)
-    sk_instance_kill (&world->instances[i], draw_ms (world, 300, 700));
+    sk_instance_kill (&world->instances[i], random_ms (world, 300, 700));
 }
 
 static void
 pause_instance (SkWorld *world)
 {
-  sk_instance_pause (pick_instance (world), draw_ms (world, 100, 4000));
+  sk_instance_pause (choose_instance (world), random_ms (world, 100, 4000));
 }
 
-/* Long enough that the batch is taken from it; it wakes up and does not know. */
+/* The pause is long enough for another instance to take the batch over, which the paused one does
+ * not know when it resumes. */
 static void
 pause_owner (SkWorld *world)
 {
-  SkInstance *owner = sk_batch_owner (world);
+  SkInstance *owner = sk_find_batch_owner (world);
 
   if (owner)
-    sk_instance_pause (owner, draw_ms (world, 1500, 4500));
+    sk_instance_pause (owner, random_ms (world, 1500, 4500));
 }
 
 static void
 kill_owner (SkWorld *world)
 {
-  SkInstance *owner = sk_batch_owner (world);
+  SkInstance *owner = sk_find_batch_owner (world);
 
   if (owner)
-    sk_instance_kill (owner, draw_ms (world, 100, 2500));
+    sk_instance_kill (owner, random_ms (world, 100, 2500));
 }
 
 static void
 stop_instance (SkWorld *world)
 {
-  sk_instance_stop (pick_instance (world));
+  sk_instance_stop (choose_instance (world));
 }
 
 static void
 reload_instance (SkWorld *world)
 {
-  SkInstance *instance = pick_instance (world);
+  SkInstance *instance = choose_instance (world);
 
-  if (sk_instance_runs (instance))
+  if (sk_instance_is_running (instance))
     pt_process_signal (&instance->process, SIGHUP);
 }
 
 /* --- the store --- */
 
 static void
-cut_from_store (SkWorld *world)
+impair_store_link (SkWorld *world)
 {
-  SkInstance *instance = pick_instance (world);
+  SkInstance *instance = choose_instance (world);
 
-  sk_tell (world, "%s has trouble to reach the store", instance->name);
-  instance->disturbed_at = lb_clock_monotonic ();
-  world->disturbed_at = instance->disturbed_at;
-  instance->to_store.fault = draw_way_fault (world);
-  instance->heal_at = instance->disturbed_at + draw_ms (world, 300, 6000);
+  sk_log (world, "%s: store connection is impaired", instance->name);
+  instance->last_disturbed_at = lb_clock_monotonic ();
+  world->last_disturbed_at = instance->last_disturbed_at;
+  instance->store_relay.fault = random_relay_fault (world);
+  instance->heal_at = instance->last_disturbed_at + random_ms (world, 300, 6000);
 }
 
 static void
-reset_ways_to_store (SkWorld *world)
+reset_store_connections (SkWorld *world)
 {
   for (size_t i = 0; i < world->n_instances; i++)
-    if (sk_draw (world, 0, 1))
+    if (sk_random_int (world, 0, 1))
       {
-        world->instances[i].disturbed_at = lb_clock_monotonic ();
-        pt_relay_reset (&world->instances[i].to_store);
+        world->instances[i].last_disturbed_at = lb_clock_monotonic ();
+        pt_relay_reset (&world->instances[i].store_relay);
       }
 }
 
-/* Something between loses track of all open connections to the store; new ones work. */
+/* As when a middlebox loses its connection table: open connections go silent, new ones work. */
 static void
-silence_ways_to_store (SkWorld *world)
+silence_store_connections (SkWorld *world)
 {
   for (size_t i = 0; i < world->n_instances; i++)
     {
-      world->instances[i].disturbed_at = lb_clock_monotonic ();
-      pt_relay_lose_track (&world->instances[i].to_store);
+      world->instances[i].last_disturbed_at = lb_clock_monotonic ();
+      pt_relay_lose_track (&world->instances[i].store_relay);
     }
 }
 
@@ -170,88 +172,88 @@
   static const SiRowStoreMode modes[]
       = { SI_ROW_STORE_UNAVAILABLE, SI_ROW_STORE_SILENT, SI_ROW_STORE_LOSES_REPLY };
 
-  world->rows.mode = modes[sk_draw (world, 0, 2)];
-  world->store_heal_at = lb_clock_monotonic () + draw_ms (world, 200, 4000);
-  sk_tell (world, "the store is in mode %d", world->rows.mode);
+  world->store.mode = modes[sk_random_int (world, 0, 2)];
+  world->store_heal_at = lb_clock_monotonic () + random_ms (world, 200, 4000);
+  sk_log (world, "store: fault mode %d", world->store.mode);
 }
 
 static void
-forget_history (SkWorld *world)
+discard_watch_history (SkWorld *world)
 {
-  world->rows.oldest_watchable_version = world->rows.version;
-  world->store_disturbed_at = lb_clock_monotonic ();
+  world->store.oldest_watchable_version = world->store.version;
+  world->store_last_disturbed_at = lb_clock_monotonic ();
 }
 
 /* --- endpoints --- */
 
 static void
-harm_way_to_endpoint (SkWorld *world)
+impair_endpoint_link (SkWorld *world)
 {
-  SkEndpoint *endpoint = pick_endpoint (world);
+  SkEndpoint *endpoint = choose_endpoint (world);
 
   if (!endpoint)
     return;
-  sk_tell (world, "the way to %s is harmed", endpoint->sampler.name);
-  world->disturbed_at = lb_clock_monotonic ();
-  endpoint->way.fault = draw_way_fault (world);
-  endpoint->heal_at = world->disturbed_at + draw_ms (world, 200, 3000);
+  sk_log (world, "%s: connections are impaired", endpoint->standin.name);
+  world->last_disturbed_at = lb_clock_monotonic ();
+  endpoint->relay.fault = random_relay_fault (world);
+  endpoint->heal_at = world->last_disturbed_at + random_ms (world, 200, 3000);
 }
 
 static void
-reset_way_to_endpoint (SkWorld *world)
+break_endpoint_connections (SkWorld *world)
 {
-  SkEndpoint *endpoint = pick_endpoint (world);
+  SkEndpoint *endpoint = choose_endpoint (world);
 
   if (!endpoint)
     return;
-  world->disturbed_at = lb_clock_monotonic ();
-  if (sk_draw (world, 0, 1))
-    pt_relay_reset (&endpoint->way);
+  world->last_disturbed_at = lb_clock_monotonic ();
+  if (sk_random_int (world, 0, 1))
+    pt_relay_reset (&endpoint->relay);
   else
-    pt_relay_lose_track (&endpoint->way);
+    pt_relay_lose_track (&endpoint->relay);
 }
 
 static void
 crash_engine (SkWorld *world)
 {
-  SkEndpoint *endpoint = pick_engine (world);
+  SkEndpoint *endpoint = choose_spare_engine (world);
 
   if (!endpoint)
     return;
-  world->disturbed_at = lb_clock_monotonic ();
-  sk_endpoint_crash (endpoint, draw_ms (world, 300, 4000));
+  world->last_disturbed_at = lb_clock_monotonic ();
+  sk_endpoint_crash (endpoint, random_ms (world, 300, 4000));
 }
 
 static void
 slow_engine (SkWorld *world)
 {
-  SkEndpoint *endpoint = pick_engine (world);
+  SkEndpoint *endpoint = choose_spare_engine (world);
 
   if (!endpoint)
     return;
-  sk_tell (world, "%s is slow", endpoint->sampler.name);
-  endpoint->sampler.event_interval = SLOW_EVENT;
-  endpoint->heal_at = lb_clock_monotonic () + draw_ms (world, 500, 4000);
+  sk_log (world, "%s streams slowly", endpoint->standin.name);
+  endpoint->standin.event_interval = SLOW_EVENT_INTERVAL;
+  endpoint->heal_at = lb_clock_monotonic () + random_ms (world, 500, 4000);
 }
 
 static void
 replace_engine (SkWorld *world)
 {
-  SkEndpoint *endpoint = pick_engine (world);
+  SkEndpoint *endpoint = choose_spare_engine (world);
 
   if (endpoint && sk_engine_add (world))
-    sk_endpoint_leave (endpoint);
+    sk_endpoint_drain (endpoint);
 }
 
-/* --- the operator --- */
+/* --- configuration --- */
 
 static void
 change_config (SkWorld *world)
 {
-  if (world->n_routes < MAX_ROUTES)
-    world->n_routes++;
+  if (world->n_added_routes < MAX_ADDED_ROUTES)
+    world->n_added_routes++;
   sk_config_put (world);
-  sk_tell (world, "desired state %lld", (long long)world->config_version);
+  sk_log (world, "configuration version %lld", (long long)world->config_version);
 }
 
 const SkFault sk_faults[] = { { "kill", kill_instance },
@@ -261,13 +263,13 @@
                               { "kill-owner", kill_owner },
                               { "stop", stop_instance },
                               { "reload", reload_instance },
-                              { "cut-store", cut_from_store },
-                              { "reset-store", reset_ways_to_store },
-                              { "silence-store", silence_ways_to_store },
+                              { "cut-store", impair_store_link },
+                              { "reset-store", reset_store_connections },
+                              { "silence-store", silence_store_connections },
                               { "break-store", break_store },
-                              { "forget-history", forget_history },
-                              { "harm-endpoint", harm_way_to_endpoint },
-                              { "reset-endpoint", reset_way_to_endpoint },
+                              { "forget-history", discard_watch_history },
+                              { "harm-endpoint", impair_endpoint_link },
+                              { "reset-endpoint", break_endpoint_connections },
                               { "crash-engine", crash_engine },
                               { "slow-engine", slow_engine },
                               { "replace-engine", replace_engine },
@@ -275,37 +277,41 @@
                               { NULL, NULL } };
 
 static const SkFault *
-draw_fault (SkWorld *world, const char *only)
+choose_fault (SkWorld *world, const char *only_fault)
 {
   unsigned long n = 0;
 
   while (sk_faults[n].name)
     n++;
-  const SkFault *drawn = &sk_faults[gsl_rng_uniform_int (world->plan, n)];
-  for (const SkFault *fault = sk_faults; only && fault->name; fault++)
-    if (strcmp (fault->name, only) == 0)
+  const SkFault *chosen = &sk_faults[gsl_rng_uniform_int (world->fault_rng, n)];
+  for (const SkFault *fault = sk_faults; only_fault && fault->name; fault++)
+    if (strcmp (fault->name, only_fault) == 0)
       return fault;
-  return drawn;
+  return chosen;
 }
 
-/* Traffic draws from the same numbers as the details of a strike, and how much there is depends on
- * the machine. So each strike begins anew from the plan. */
+/* Traffic and the details of a fault share rng, and the amount of traffic depends on the machine's
+ * speed. So rng is seeded from fault_rng before each fault, which keeps the details reproducible.
+ */
 void
-sk_faults_tick (SkWorld *world, const char *only, LbTime *next, LbTime now)
+sk_faults_tick (SkWorld *world, const char *only_fault, LbTime *next_at, LbTime now)
 {
   const SkFault *fault = NULL;
 
-  if (now < *next)
+  if (now < *next_at)
     return;
-  *next += (MIN_GAP + (LbTime)gsl_rng_uniform_int (world->plan, MAX_GAP - MIN_GAP + 1)) * LB_MSEC;
-  fault = draw_fault (world, only);
-  gsl_rng_set (world->rng, gsl_rng_get (world->plan));
+  *next_at += (MIN_FAULT_INTERVAL_MS
+               + (LbTime)gsl_rng_uniform_int (world->fault_rng,
+                                              MAX_FAULT_INTERVAL_MS - MIN_FAULT_INTERVAL_MS + 1))
+              * LB_MSEC;
+  fault = choose_fault (world, only_fault);
+  gsl_rng_set (world->rng, gsl_rng_get (world->fault_rng));
   world->n_faults++;
-  fault->strike (world);
+  fault->inject (world);
 }
 
 void
-sk_faults_end (SkWorld *world)
+sk_faults_end_all (SkWorld *world)
 {
   LbTime now = lb_clock_monotonic ();
 
--- a/tests/soak/sk-faults.h
+++ b/tests/soak/sk-faults.h
@@ -3,19 +3,19 @@
 
 #include "sk-world.h"
 
-/* What goes wrong, and when: drawn from the world's seed, in series and overlapping. */
+/* A kind of fault. Kinds and times are drawn from the seed; faults overlap. */
 typedef struct
 {
   const char *name;
-  void (*strike) (SkWorld *world);
+  void (*inject) (SkWorld *world);
 } SkFault;
 
-/* Ended by one without a name. */
+/* The last entry has no name. */
 extern const SkFault sk_faults[];
 
-/* Strikes when it is time; only: name of the one kind to strike with, NULL: any. */
-void sk_faults_tick (SkWorld *world, const char *only, LbTime *next, LbTime now);
-/* All faults end, and what was killed is started. */
-void sk_faults_end (SkWorld *world);
+/* Injects a fault if it is due, of the kind only_fault or, if that is NULL, of any kind. */
+void sk_faults_tick (SkWorld *world, const char *only_fault, LbTime *next_at, LbTime now);
+/* Makes all pending recoveries and restarts due now. */
+void sk_faults_end_all (SkWorld *world);
 
 #endif
--- a/tests/soak/sk-one-shot.c
+++ b/tests/soak/sk-one-shot.c
@@ -8,71 +8,71 @@
 #include <string.h>
 
 #define N_ITEMS 3
-#define PERIOD (400 * LB_MSEC)
-#define PREFIX "once"
-/* An ended batch may begin work for so long after its end was acknowledged, and a little more on a
+#define SUBMIT_INTERVAL (400 * LB_MSEC)
+#define BATCH_ID_PREFIX "once"
+/* Items of a batch may start for so long after its deletion is acknowledged; the slack is for a
  * busy machine. */
-#define CANCEL_TIME (3 * LB_SEC)
-#define CANCEL_SLACK LB_SEC
+#define DELETE_EFFECT_TIME (3 * LB_SEC)
+#define DELETE_EFFECT_SLACK LB_SEC
 
 typedef enum
 {
-  SHOT_SUBMITTED,
-  SHOT_REFUSED,
-  SHOT_ACCEPTED,
-  SHOT_ENDING,
-  SHOT_ENDED,
-  SHOT_UNKNOWN /* no answer, or one that promises nothing */
-} ShotState;
+  BATCH_SUBMITTED,
+  BATCH_REFUSED,
+  BATCH_ACCEPTED,
+  BATCH_DELETING,
+  BATCH_DELETED,
+  BATCH_UNKNOWN /* no response, or one that does not tell whether it was accepted */
+} BatchState;
 
 typedef struct
 {
   LbLink link;
-  SkOneShots *shots;
+  SkOneShots *one_shots;
   SkInstance *instance;
   int64_t number;
-  ShotState state;
-  LbTime ended_at;
+  BatchState state;
+  LbTime deleted_at;
   bool has_run;
   LhFetch *fetch;
-} Shot;
+} Batch;
 
 struct SkOneShots
 {
   SkWorld *world;
-  LbList all;
-  int64_t n;
-  LbTime next;
+  LbList batches;
+  int64_t n_batches;
+  LbTime next_submit_at;
   bool stopped;
 };
 
 SkOneShots *
 sk_one_shots_new (SkWorld *world)
 {
-  SkOneShots *shots = LB_NEW (SkOneShots);
+  SkOneShots *one_shots = LB_NEW (SkOneShots);
 
-  shots->world = world;
-  lb_list_init (&shots->all);
-  return shots;
+  one_shots->world = world;
+  lb_list_init (&one_shots->batches);
+  return one_shots;
 }
 
 void
-sk_one_shots_free (SkOneShots *shots)
+sk_one_shots_free (SkOneShots *one_shots)
 {
-  LB_LIST_FOREACH (&shots->all, Shot, link, shot)
+  LB_LIST_FOREACH (&one_shots->batches, Batch, link, batch)
   {
-    if (shot->fetch)
-      lh_fetch_cancel (shot->fetch);
-    lb_list_remove (&shots->all, &shot->link);
-    free (shot);
+    if (batch->fetch)
+      lh_fetch_cancel (batch->fetch);
+    lb_list_remove (&one_shots->batches, &batch->link);
+    free (batch);
   }
-  free (shots);
+  free (one_shots);
 }
 
-static void end_shot (Shot *shot);
+static void delete_if_even (Batch *batch);
 
 static bool
-says_not_run (int status)
+is_not_run_status (int status)
 {
   return status == 503 || status == 429 || status == 408 || status == 421;
 }
@@ -81,65 +81,65 @@
 on_submitted (LhFetch *fetch, const LhResult *result, void *user)
 {
   (void)fetch;
-  Shot *shot = user;
+  Batch *batch = user;
 
-  shot->fetch = NULL;
-  shot->state = SHOT_UNKNOWN;
+  batch->fetch = NULL;
+  batch->state = BATCH_UNKNOWN;
   if (result->failure != LB_OK)
     return;
   if (result->status == 202)
     {
-      shot->state = SHOT_ACCEPTED;
-      end_shot (shot);
+      batch->state = BATCH_ACCEPTED;
+      delete_if_even (batch);
     }
-  else if (says_not_run (result->status))
+  else if (is_not_run_status (result->status))
     {
-      shot->state = SHOT_REFUSED;
-      if (shot->has_run)
-        sk_fail (shot->shots->world, "not run is true", "batch " PREFIX "%lld was refused and ran",
-                 (long long)shot->number);
+      batch->state = BATCH_REFUSED;
+      if (batch->has_run)
+        sk_fail (batch->one_shots->world, "a refused batch does not run",
+                 "batch " BATCH_ID_PREFIX "%lld was refused, but ran", (long long)batch->number);
     }
 }
 
 static void
-on_ended (LhFetch *fetch, const LhResult *result, void *user)
+on_deleted (LhFetch *fetch, const LhResult *result, void *user)
 {
   (void)fetch;
-  Shot *shot = user;
+  Batch *batch = user;
 
-  shot->fetch = NULL;
+  batch->fetch = NULL;
   if (result->failure != LB_OK || result->status != 200)
     return;
-  shot->state = SHOT_ENDED;
-  shot->ended_at = lb_clock_monotonic ();
+  batch->state = BATCH_DELETED;
+  batch->deleted_at = lb_clock_monotonic ();
 }
 
-/* Every second one is ended as soon as it was accepted. */
+/* Deletes every second batch once it is accepted. */
 static void
-end_shot (Shot *shot)
+delete_if_even (Batch *batch)
 {
   char path[48];
 
-  if (shot->number % 2 || !sk_instance_runs (shot->instance))
+  if (batch->number % 2 || !sk_instance_is_running (batch->instance))
     return;
-  shot->state = SHOT_ENDING;
-  snprintf (path, sizeof path, "/-/lots/" PREFIX "%lld", (long long)shot->number);
-  shot->fetch = sk_call_batches (shot->instance, "DELETE", path, "", "", on_ended, shot);
+  batch->state = BATCH_DELETING;
+  snprintf (path, sizeof path, "/-/lots/" BATCH_ID_PREFIX "%lld", (long long)batch->number);
+  batch->fetch = sk_call_batch_api (batch->instance, "DELETE", path, "", "", on_deleted, batch);
 }
 
 static void
-submit (SkOneShots *shots, SkInstance *instance)
+submit (SkOneShots *one_shots, SkInstance *instance)
 {
-  Shot *shot = LB_NEW (Shot);
+  Batch *batch = LB_NEW (Batch);
   char body[1024];
   char id[32];
   size_t length = 0;
 
-  shot->shots = shots;
-  shot->instance = instance;
-  shot->number = shots->n++;
-  lb_list_append (&shots->all, &shot->link);
-  snprintf (id, sizeof id, PREFIX "%lld", (long long)shot->number);
+  batch->one_shots = one_shots;
+  batch->instance = instance;
+  batch->number = one_shots->n_batches++;
+  lb_list_append (&one_shots->batches, &batch->link);
+  snprintf (id, sizeof id, BATCH_ID_PREFIX "%lld", (long long)batch->number);
   length = (size_t)snprintf (body, sizeof body,
                              "{\"step\": 0, \"model\": \"" SK_MODEL "\", \"minVersion\": 1,"
                              " \"targetGroups\": 1, \"requests\": [");
@@ -150,58 +150,61 @@
                                 " \"group\": \"g\"}",
                                 i ? "," : "", id, i);
   snprintf (body + length, sizeof body - length, "]}");
-  shot->fetch = sk_call_batches (instance, "POST", "/steps/1", id, body, on_submitted, shot);
+  batch->fetch = sk_call_batch_api (instance, "POST", "/steps/1", id, body, on_submitted, batch);
 }
 
 void
-sk_one_shots_tick (SkOneShots *shots, LbTime now)
+sk_one_shots_tick (SkOneShots *one_shots, LbTime now)
 {
-  SkWorld *world = shots->world;
+  SkWorld *world = one_shots->world;
   SkInstance *instance = NULL;
 
-  if (shots->stopped || now < shots->next)
+  if (one_shots->stopped || now < one_shots->next_submit_at)
     return;
-  shots->next = now + PERIOD;
-  instance = &world->instances[sk_draw (world, 0, (int64_t)world->n_instances - 1)];
-  if (sk_instance_runs (instance))
-    submit (shots, instance);
+  one_shots->next_submit_at = now + SUBMIT_INTERVAL;
+  instance = &world->instances[sk_random_int (world, 0, (int64_t)world->n_instances - 1)];
+  if (sk_instance_is_running (instance))
+    submit (one_shots, instance);
 }
 
 void
-sk_one_shots_stop (SkOneShots *shots)
+sk_one_shots_stop (SkOneShots *one_shots)
 {
-  shots->stopped = true;
+  one_shots->stopped = true;
 }
 
-static Shot *
-find_shot (SkOneShots *shots, int64_t number)
+static Batch *
+find_batch (SkOneShots *one_shots, int64_t number)
 {
-  LB_LIST_FOREACH (&shots->all, Shot, link, shot)
+  LB_LIST_FOREACH (&one_shots->batches, Batch, link, batch)
   {
-    if (shot->number == number)
-      return shot;
+    if (batch->number == number)
+      return batch;
   }
   return NULL;
 }
 
 void
-sk_one_shots_note_run (SkOneShots *shots, const char *item)
+sk_one_shots_record_run (SkOneShots *one_shots, const char *item)
 {
-  Shot *shot = NULL;
-  LbTime late = 0;
+  Batch *batch = NULL;
+  LbTime time_past_limit = 0;
 
-  if (strncmp (item, PREFIX, strlen (PREFIX)) != 0)
+  if (strncmp (item, BATCH_ID_PREFIX, strlen (BATCH_ID_PREFIX)) != 0)
     return;
-  shot = find_shot (shots, atoll (item + strlen (PREFIX)));
-  if (!shot)
+  batch = find_batch (one_shots, atoll (item + strlen (BATCH_ID_PREFIX)));
+  if (!batch)
     return;
-  shot->has_run = true;
-  if (shot->state == SHOT_REFUSED)
-    sk_fail (shots->world, "not run is true", "%s runs, and its batch was refused", item);
-  late = lb_clock_monotonic () - shot->ended_at - CANCEL_TIME - CANCEL_SLACK;
-  if (shot->state == SHOT_ENDED && late > 0
-      && shots->world->disturbed_at < shot->ended_at - CANCEL_TIME
-      && shots->world->store_disturbed_at < shot->ended_at - CANCEL_TIME)
-    sk_fail (shots->world, "an ended batch stops", "%s begins %.3f s after the end of its batch",
-             item, (double)(lb_clock_monotonic () - shot->ended_at) / LB_SEC);
+  batch->has_run = true;
+  if (batch->state == BATCH_REFUSED)
+    sk_fail (one_shots->world, "a refused batch does not run",
+             "%s starts, but its batch was refused", item);
+  time_past_limit
+      = lb_clock_monotonic () - batch->deleted_at - DELETE_EFFECT_TIME - DELETE_EFFECT_SLACK;
+  if (batch->state == BATCH_DELETED && time_past_limit > 0
+      && one_shots->world->last_disturbed_at < batch->deleted_at - DELETE_EFFECT_TIME
+      && one_shots->world->store_last_disturbed_at < batch->deleted_at - DELETE_EFFECT_TIME)
+    sk_fail (one_shots->world, "a deleted batch stops",
+             "%s starts %.3f s after its batch was deleted", item,
+             (double)(lb_clock_monotonic () - batch->deleted_at) / LB_SEC);
 }
--- a/tests/soak/sk-one-shot.h
+++ b/tests/soak/sk-one-shot.h
@@ -3,16 +3,17 @@
 
 #include "sk-world.h"
 
-/* Trainers that submit a small batch once and never again: what was refused must not run, what was
- * accepted must be there, and what was ended must stop. */
+/* Trainers that submit a small batch once, without a retry, and delete every second one that is
+ * accepted: a refused batch must not run, and a deleted one must stop. */
 typedef struct SkOneShots SkOneShots;
 
 SkOneShots *sk_one_shots_new (SkWorld *world);
-void sk_one_shots_free (SkOneShots *shots);
-void sk_one_shots_tick (SkOneShots *shots, LbTime now);
-/* No more batches from now on. */
-void sk_one_shots_stop (SkOneShots *shots);
-/* An item of one of them, or of any other batch, begins at an engine. */
-void sk_one_shots_note_run (SkOneShots *shots, const char *item);
+void sk_one_shots_free (SkOneShots *one_shots);
+/* Submits the next batch if it is due. */
+void sk_one_shots_tick (SkOneShots *one_shots, LbTime now);
+/* Submits no more batches from now on. */
+void sk_one_shots_stop (SkOneShots *one_shots);
+/* An engine started the item; items of other batches are ignored. */
+void sk_one_shots_record_run (SkOneShots *one_shots, const char *item);
 
 #endif
--- a/tests/soak/sk-trainer.c
+++ b/tests/soak/sk-trainer.c
@@ -11,24 +11,24 @@
 #include <xxhash.h>
 
 #define N_ITEMS 24
-#define RETRY (120 * LB_MSEC)
-#define READ_PERIOD (150 * LB_MSEC)
-/* A step that is not whole after so long although all is well again counts as lost. */
-#define MAX_STEP_TIME (40 * LB_SEC)
+#define RETRY_DELAY (120 * LB_MSEC)
+#define READ_INTERVAL (150 * LB_MSEC)
+/* Faults heal within seconds: a step that is incomplete after so long counts as lost. */
+#define STEP_TIMEOUT (40 * LB_SEC)
 
 typedef enum
 {
-  TRAINER_SUBMITS,
-  TRAINER_READS,
-  TRAINER_ENDS,
+  TRAINER_SUBMITTING,
+  TRAINER_READING,
+  TRAINER_DELETING,
   TRAINER_DONE
 } State;
 
 typedef struct
 {
   LbName item;
-  char *result; /* as it was first read; NULL: nothing stands there yet */
-} Position;
+  char *json; /* the result as first read; NULL: not read yet */
+} Result;
 
 struct SkTrainer
 {
@@ -37,15 +37,15 @@
   int64_t step;
   int64_t min_version;
   LbName batch;
-  Position positions[N_ITEMS];
+  Result results[N_ITEMS]; /* by position in the batch's results */
   int64_t n_read;
   LhFetch *fetch;
-  SkInstance *asked;
-  int asked_start;
-  bool reads_again;
+  SkInstance *called_instance;
+  int called_instance_start; /* n_starts of the instance when it was called */
+  bool is_rereading;
   bool stopped;
-  LbTime next;
-  LbTime began;
+  LbTime next_call_at;
+  LbTime started_at;
   LbTime accepted_at;
 };
 
@@ -54,16 +54,16 @@
 {
   for (int i = 0; i < N_ITEMS; i++)
     {
-      free (trainer->positions[i].result);
-      trainer->positions[i] = (Position){ 0 };
+      free (trainer->results[i].json);
+      trainer->results[i] = (Result){ 0 };
     }
-  trainer->state = TRAINER_SUBMITS;
+  trainer->state = TRAINER_SUBMITTING;
   trainer->n_read = 0;
-  trainer->began = now;
-  trainer->next = now;
+  trainer->started_at = now;
+  trainer->next_call_at = now;
   trainer->min_version = trainer->step > 0 ? trainer->step : 1;
   snprintf (trainer->batch, sizeof trainer->batch, "step%lld", (long long)trainer->step);
-  LB_COPY (trainer->world->batch, trainer->batch);
+  LB_COPY (trainer->world->trainer_batch, trainer->batch);
 }
 
 SkTrainer *
@@ -82,124 +82,133 @@
   if (trainer->fetch)
     lh_fetch_cancel (trainer->fetch);
   for (int i = 0; i < N_ITEMS; i++)
-    free (trainer->positions[i].result);
+    free (trainer->results[i].json);
   free (trainer);
 }
 
 /* --- results --- */
 
-/* Every event in order, and the versions that they name are those of the result. */
+/* Describes what is wrong with the text: its events must be complete and in order, and the result's
+ * label must list exactly the weight versions in them. NULL: nothing. */
 static const char *
-fault_of_text (const char *item, struct json_object *result, int64_t min_version, int events)
+find_text_fault (const char *item, struct json_object *result, int64_t min_version, int events)
 {
   struct json_object *versions = lb_json_member (result, "versions");
   size_t n_versions
       = json_object_is_type (versions, json_type_array) ? json_object_array_length (versions) : 0;
-  const char *at = lb_json_text (result, "text", "");
-  bool named[1000] = { false };
+  const char *rest = lb_json_text (result, "text", "");
+  bool is_used_version[1000] = { false };
   char expected[LB_NAME_MAX + 16];
-  size_t distinct = 0;
+  size_t n_used_versions = 0;
 
   for (int i = 1; i <= events; i++)
     {
       int length = snprintf (expected, sizeof expected, "%s%s.%d v", i > 1 ? "\n" : "", item, i);
       char *end = NULL;
-      if (strncmp (at, expected, (size_t)length) != 0)
+      if (strncmp (rest, expected, (size_t)length) != 0)
         return "an event is missing or out of order";
-      long version = strtol (at + length, &end, 10);
+      long version = strtol (rest + length, &end, 10);
       if (version < min_version || version >= 1000)
-        return "made by weights that are too old";
-      distinct += !named[version];
-      named[version] = true;
-      at = end;
+        return "its weight version is below the minimum or out of range";
+      n_used_versions += !is_used_version[version];
+      is_used_version[version] = true;
+      rest = end;
     }
-  if (*at != '\0')
-    return "something stands behind its last event";
+  if (*rest != '\0')
+    return "its text has trailing data after the last event";
   for (size_t i = 0; i < n_versions; i++)
     {
       int64_t version = json_object_get_int64 (json_object_array_get_idx (versions, i));
-      if (version < 0 || version >= 1000 || !named[version])
-        return "it names a version that made none of it";
+      if (version < 0 || version >= 1000 || !is_used_version[version])
+        return "its label has a weight version that generated none of its events";
     }
-  return n_versions == distinct ? NULL : "it does not name each version that made it";
+  return n_versions == n_used_versions
+             ? NULL
+             : "its label lacks a weight version that generated some of its events";
 }
 
 static void
 check_completed (SkTrainer *trainer, const char *item, struct json_object *result)
 {
   char score[LB_NAME_MAX + 16];
-  const char *fault = fault_of_text (item, result, trainer->min_version,
-                                     trainer->world->endpoints[0].sampler.n_events);
+  const char *fault = find_text_fault (item, result, trainer->min_version,
+                                       trainer->world->endpoints[0].standin.n_events);
 
   snprintf (score, sizeof score, "stamp-score-%s", item);
   if (fault)
-    sk_fail (trainer->world, "whole texts with honest labels", "%s of %s: %s: %s", item,
+    sk_fail (trainer->world, "complete text with correct labels", "%s of %s: %s: %s", item,
              trainer->batch, fault, json_object_to_json_string (result));
   if (strcmp (lb_json_text (result, "score", ""), score) != 0)
-    sk_fail (trainer->world, "scores", "%s of %s: %s", item, trainer->batch,
+    sk_fail (trainer->world, "score matches the item", "%s of %s: %s", item, trainer->batch,
              lb_json_text (result, "score", ""));
 }
 
 static void
-note_first (SkTrainer *trainer, int64_t at, const char *item, struct json_object *result)
+record_first_result (SkTrainer *trainer,
+                     int64_t position,
+                     const char *item,
+                     struct json_object *result)
 {
-  Position *position = &trainer->positions[at];
+  Result *first = &trainer->results[position];
 
   for (int i = 0; i < N_ITEMS; i++)
-    if (trainer->positions[i].result && strcmp (trainer->positions[i].item, item) == 0)
-      sk_fail (trainer->world, "each sample once", "%s of %s stands at %d and at %lld", item,
-               trainer->batch, i, (long long)at);
-  LB_COPY (position->item, item);
-  position->result = lb_strdup (json_object_to_json_string_ext (result, JSON_C_TO_STRING_PLAIN));
+    if (trainer->results[i].json && strcmp (trainer->results[i].item, item) == 0)
+      sk_fail (trainer->world, "each sample is delivered once",
+               "%s of %s is at positions %d and %lld", item, trainer->batch, i,
+               (long long)position);
+  LB_COPY (first->item, item);
+  first->json = lb_strdup (json_object_to_json_string_ext (result, JSON_C_TO_STRING_PLAIN));
   trainer->world->n_results++;
   if (strcmp (lb_json_text (result, "state", ""), "completed") == 0)
     check_completed (trainer, item, result);
   else
-    sk_fail (trainer->world, "every sample to its trainer", "%s of %s: %s", item, trainer->batch,
-             position->result);
+    sk_fail (trainer->world, "every sample is delivered", "%s of %s: %s", item, trainer->batch,
+             first->json);
 }
 
 static void
-take_result (SkTrainer *trainer, int64_t at, struct json_object *result)
+check_result (SkTrainer *trainer, int64_t position, struct json_object *result)
 {
-  if (at < 0 || at >= N_ITEMS)
+  if (position < 0 || position >= N_ITEMS)
     {
-      sk_fail (trainer->world, "each sample once", "%s has a result at %lld", trainer->batch,
-               (long long)at);
+      sk_fail (trainer->world, "each sample is delivered once", "%s has a result at position %lld",
+               trainer->batch, (long long)position);
       return;
     }
-  if (!trainer->positions[at].result)
-    note_first (trainer, at, lb_json_text (result, "id", ""), result);
-  else if (strcmp (trainer->positions[at].result,
+  if (!trainer->results[position].json)
+    record_first_result (trainer, position, lb_json_text (result, "id", ""), result);
+  else if (strcmp (trainer->results[position].json,
                    json_object_to_json_string_ext (result, JSON_C_TO_STRING_PLAIN))
            != 0)
-    sk_fail (trainer->world, "a position keeps its result", "%lld of %s: %s became %s at %s",
-             (long long)at, trainer->batch, trainer->positions[at].result,
-             json_object_to_json_string_ext (result, JSON_C_TO_STRING_PLAIN), trainer->asked->name);
+    sk_fail (trainer->world, "a position keeps its result",
+             "position %lld of %s: %s became %s at %s", (long long)position, trainer->batch,
+             trainer->results[position].json,
+             json_object_to_json_string_ext (result, JSON_C_TO_STRING_PLAIN),
+             trainer->called_instance->name);
 }
 
 static void
-take_page (SkTrainer *trainer, struct json_object *page)
+handle_page (SkTrainer *trainer, struct json_object *page)
 {
   struct json_object *results = lb_json_member (page, "results");
-  int64_t next = lb_json_int (page, "next", -1);
+  int64_t next_position = lb_json_int (page, "next", -1);
   int64_t n = json_object_is_type (results, json_type_array)
                   ? (int64_t)json_object_array_length (results)
                   : 0;
 
   if (lb_json_int (page, "total", 0) != N_ITEMS)
-    sk_fail (trainer->world, "whole batches", "%s has a total of %lld", trainer->batch,
+    sk_fail (trainer->world, "a batch has all its items", "%s has a total of %lld", trainer->batch,
              (long long)lb_json_int (page, "total", 0));
   for (int64_t i = 0; i < n; i++)
-    take_result (trainer, next - n + i, json_object_array_get_idx (results, (size_t)i));
-  if (next > trainer->n_read)
-    trainer->n_read = next;
+    check_result (trainer, next_position - n + i, json_object_array_get_idx (results, (size_t)i));
+  if (next_position > trainer->n_read)
+    trainer->n_read = next_position;
 }
 
 /* --- calls --- */
 
 static char *
-make_body (const SkTrainer *trainer)
+format_batch (const SkTrainer *trainer)
 {
   struct json_object *object = json_object_new_object ();
   struct json_object *items = json_object_new_array ();
@@ -225,15 +234,15 @@
 }
 
 static bool
-was_calm (const SkTrainer *trainer, LbTime since)
+was_undisturbed (const SkTrainer *trainer, LbTime since)
 {
-  return trainer->asked->starts == trainer->asked_start
-         && sk_instance_is_calm (trainer->asked, since) && trainer->world->disturbed_at < since;
+  return trainer->called_instance->n_starts == trainer->called_instance_start
+         && sk_instance_was_undisturbed (trainer->called_instance, since)
+         && trainer->world->last_disturbed_at < since;
 }
 
-/* The row that stands for the batch, in whichever part, under its id and a hash of its
- * organisation.
- */
+/* Whether the batch's head row exists in any part. Its key is the batch id and a hash of the
+ * organisation. */
 static bool
 is_stored (const SkTrainer *trainer)
 {
@@ -241,12 +250,13 @@
   char name[LB_NAME_MAX];
 
   snprintf (name, sizeof name, "%s~%016llx", trainer->batch,
-            (unsigned long long)XXH3_64bits (SK_TRAINER, strlen (SK_TRAINER)));
+            (unsigned long long)XXH3_64bits (SK_TRAINER_ORGANISATION,
+                                             strlen (SK_TRAINER_ORGANISATION)));
 
   for (int i = 0; i < 256; i++)
     {
       snprintf (part, sizeof part, "%02x", i);
-      if (si_row_store_get (&trainer->world->rows, "head", part, name))
+      if (si_row_store_get (&trainer->world->store, "head", part, name))
         return true;
     }
   return false;
@@ -257,13 +267,14 @@
 {
   if (result->failure != LB_OK || result->status != 202)
     return;
-  sk_tell (trainer->world, "%s accepted by %s", trainer->batch, trainer->asked->name);
+  sk_log (trainer->world, "%s accepted by %s", trainer->batch, trainer->called_instance->name);
   trainer->world->n_batches++;
   if (!is_stored (trainer))
-    sk_fail (trainer->world, "an accepted batch is kept", "%s was accepted by %s and is not stored",
-             trainer->batch, trainer->asked->name);
+    sk_fail (trainer->world, "an accepted batch is stored",
+             "%s was accepted by %s and has no head row", trainer->batch,
+             trainer->called_instance->name);
   trainer->accepted_at = now;
-  trainer->state = TRAINER_READS;
+  trainer->state = TRAINER_READING;
 }
 
 static void
@@ -274,32 +285,32 @@
 
   if (result->failure != LB_OK)
     return;
-  if (result->status == 404 && was_calm (trainer, trainer->accepted_at - 3 * LB_SEC)
+  if (result->status == 404 && was_undisturbed (trainer, trainer->accepted_at - 3 * LB_SEC)
       && now - trainer->accepted_at > LB_SEC)
-    sk_fail (trainer->world, "an accepted batch is kept", "%s is not known at %s", trainer->batch,
-             trainer->asked->name);
+    sk_fail (trainer->world, "an accepted batch is found", "%s is unknown to %s", trainer->batch,
+             trainer->called_instance->name);
   if (result->status != 200)
     return;
   text = lb_strndup (result->body, result->body_length);
   page = json_tokener_parse (text);
   if (page)
-    take_page (trainer, page);
+    handle_page (trainer, page);
   else
-    sk_fail (trainer->world, "whole answers", "%s", text);
+    sk_fail (trainer->world, "complete responses", "page of results is not JSON: %s", text);
   free (text);
   json_object_put (page);
-  trainer->reads_again = false;
-  if (trainer->state == TRAINER_READS && trainer->n_read == N_ITEMS)
-    trainer->state = TRAINER_ENDS;
+  trainer->is_rereading = false;
+  if (trainer->state == TRAINER_READING && trainer->n_read == N_ITEMS)
+    trainer->state = TRAINER_DELETING;
 }
 
 static void
-on_ended (SkTrainer *trainer, const LhResult *result, LbTime now)
+on_deleted (SkTrainer *trainer, const LhResult *result, LbTime now)
 {
   if (result->failure != LB_OK || result->status != 200)
     return;
   trainer->step++;
-  sk_version_put (trainer->world, trainer->step + 1);
+  sk_weight_version_put (trainer->world, trainer->step + 1);
   if (trainer->stopped)
     trainer->state = TRAINER_DONE;
   else
@@ -314,16 +325,16 @@
   LbTime now = lb_clock_monotonic ();
 
   trainer->fetch = NULL;
-  trainer->next = now + (trainer->state == TRAINER_READS ? READ_PERIOD : RETRY);
+  trainer->next_call_at = now + (trainer->state == TRAINER_READING ? READ_INTERVAL : RETRY_DELAY);
   switch (trainer->state)
     {
-    case TRAINER_SUBMITS:
+    case TRAINER_SUBMITTING:
       on_submitted (trainer, result, now);
       break;
-    case TRAINER_ENDS:
-      on_ended (trainer, result, now);
+    case TRAINER_DELETING:
+      on_deleted (trainer, result, now);
       break;
-    case TRAINER_READS:
+    case TRAINER_READING:
     case TRAINER_DONE:
       on_read (trainer, result, now);
       break;
@@ -331,40 +342,43 @@
 }
 
 static void
-ask (SkTrainer *trainer,
-     SkInstance *instance,
-     const char *method,
-     const char *path,
-     const char *body)
+call (SkTrainer *trainer,
+      SkInstance *instance,
+      const char *method,
+      const char *path,
+      const char *body)
 {
-  trainer->asked = instance;
-  trainer->asked_start = instance->starts;
-  trainer->fetch = sk_call_batches (instance, method, path, trainer->batch, body, on_done, trainer);
+  trainer->called_instance = instance;
+  trainer->called_instance_start = instance->n_starts;
+  trainer->fetch
+      = sk_call_batch_api (instance, method, path, trainer->batch, body, on_done, trainer);
 }
 
 static SkInstance *
 choose_instance (SkWorld *world)
 {
-  SkInstance *instance = &world->instances[sk_draw (world, 0, (int64_t)world->n_instances - 1)];
+  SkInstance *instance
+      = &world->instances[sk_random_int (world, 0, (int64_t)world->n_instances - 1)];
 
-  return sk_instance_runs (instance) && !instance->stopping ? instance : NULL;
+  return sk_instance_is_running (instance) && !instance->stopping ? instance : NULL;
 }
 
-/* From where it is now, or from an earlier position. */
+/* Reads from the first unread result; at random, or if rereading, from the first result. */
 static void
 read_results (SkTrainer *trainer, SkInstance *instance)
 {
-  int64_t from = trainer->reads_again || sk_draw (trainer->world, 0, 4) == 0 ? 0 : trainer->n_read;
+  int64_t from
+      = trainer->is_rereading || sk_random_int (trainer->world, 0, 4) == 0 ? 0 : trainer->n_read;
   char path[LB_NAME_MAX + 48];
 
   snprintf (path, sizeof path, "/-/lots/%s?after=%lld", trainer->batch, (long long)from);
-  ask (trainer, instance, "GET", path, "");
+  call (trainer, instance, "GET", path, "");
 }
 
 void
-sk_trainer_read_again (SkTrainer *trainer, SkInstance *instance)
+sk_trainer_reread (SkTrainer *trainer, SkInstance *instance)
 {
-  trainer->reads_again = true;
+  trainer->is_rereading = true;
   read_results (trainer, instance);
 }
 
@@ -375,24 +389,24 @@
 }
 
 static void
-call_next (SkTrainer *trainer, SkInstance *instance)
+make_next_call (SkTrainer *trainer, SkInstance *instance)
 {
   char path[LB_NAME_MAX + 16];
   char *body = NULL;
 
   switch (trainer->state)
     {
-    case TRAINER_SUBMITS:
-      body = make_body (trainer);
-      ask (trainer, instance, "POST", "/steps/1", body);
+    case TRAINER_SUBMITTING:
+      body = format_batch (trainer);
+      call (trainer, instance, "POST", "/steps/1", body);
       free (body);
       break;
-    case TRAINER_READS:
+    case TRAINER_READING:
       read_results (trainer, instance);
       break;
-    case TRAINER_ENDS:
+    case TRAINER_DELETING:
       snprintf (path, sizeof path, "/-/lots/%s", trainer->batch);
-      ask (trainer, instance, "DELETE", path, "");
+      call (trainer, instance, "DELETE", path, "");
       break;
     case TRAINER_DONE:
       break;
@@ -404,18 +418,18 @@
 {
   SkInstance *instance = NULL;
 
-  if (trainer->fetch || trainer->state == TRAINER_DONE || now < trainer->next)
+  if (trainer->fetch || trainer->state == TRAINER_DONE || now < trainer->next_call_at)
     return;
-  if (trainer->began > 0 && now - trainer->began > MAX_STEP_TIME)
+  if (trainer->started_at > 0 && now - trainer->started_at > STEP_TIMEOUT)
     {
-      sk_fail (trainer->world, "every sample to its trainer", "%s has %lld of %d after %.0f s",
-               trainer->batch, (long long)trainer->n_read, N_ITEMS,
-               (double)(now - trainer->began) / LB_SEC);
-      trainer->began = 0;
+      sk_fail (trainer->world, "every sample is delivered",
+               "%s has %lld of %d results after %.0f s", trainer->batch, (long long)trainer->n_read,
+               N_ITEMS, (double)(now - trainer->started_at) / LB_SEC);
+      trainer->started_at = 0;
     }
   instance = choose_instance (trainer->world);
   if (instance)
-    call_next (trainer, instance);
+    make_next_call (trainer, instance);
 }
 
 void
--- a/tests/soak/sk-trainer.h
+++ b/tests/soak/sk-trainer.h
@@ -3,19 +3,19 @@
 
 #include "sk-world.h"
 
-/* A trainer: submits a step, again and again until it is accepted, reads its results at any
- * instance, ends it and names new weights for the next one. */
+/* A trainer. It submits a step until an instance accepts it, reads the results from random
+ * instances, deletes the step's batch and announces new weights for the next step. */
 typedef struct SkTrainer SkTrainer;
 
 SkTrainer *sk_trainer_new (SkWorld *world);
 void sk_trainer_free (SkTrainer *trainer);
 void sk_trainer_tick (SkTrainer *trainer, LbTime now);
-/* No further step; the present one is read to its end. */
+/* Starts no further step; the current one is completed. */
 void sk_trainer_stop (SkTrainer *trainer);
-/* Every step that was accepted is whole. */
+/* Whether the trainer was stopped and has the results of all its steps. */
 bool sk_trainer_is_done (const SkTrainer *trainer);
-/* Reads the last step once more at this instance, from the start. */
-void sk_trainer_read_again (SkTrainer *trainer, SkInstance *instance);
+/* Reads the last step again from this instance, from the first result. */
+void sk_trainer_reread (SkTrainer *trainer, SkInstance *instance);
 bool sk_trainer_is_reading (const SkTrainer *trainer);
 
 #endif
--- a/tests/soak/sk-world.c
+++ b/tests/soak/sk-world.c
@@ -16,22 +16,22 @@
 #include <string.h>
 #include <unistd.h>
 
-#define TURN_PAUSE 300 /* us; of a loop with nothing to do */
+#define LOOP_PAUSE_US 300 /* between two passes of the event loop */
 #define N_SERVICES 2
-#define ENDS_AFTER (20 * LB_MSEC) /* from the start of a request that ends a service */
-/* An order may wait so long in a harmed way, or in the sockets of a paused instance. */
-#define ORDER_ON_ITS_WAY (1500 * LB_MSEC)
-#define BATCH_CALL_TIME (4 * LB_SEC)
-/* A service that leaves, or an engine, is gone so long after its word at the earliest. */
-#define LEAVE_TIME (4 * LB_SEC)
-/* Longest time until a stopped process has ended: its drain time, its callers' and its batches'. */
-#define STOP_LIMIT (10 * LB_SEC)
-/* New work may still reach a leaving endpoint for so long, when nothing else is wrong. */
-#define DRAIN_TIME (2 * LB_SEC)
-#define DRAIN_SLACK (500 * LB_MSEC) /* this machine may be busy */
+#define FATAL_REQUEST_CRASH_DELAY (20 * LB_MSEC) /* after the service starts the request */
+/* An order may be delayed for so long by a relay fault or in the sockets of a paused instance. */
+#define MAX_ORDER_DELAY (1500 * LB_MSEC)
+#define BATCH_CALL_IDLE_TIMEOUT (4 * LB_SEC)
+/* A draining endpoint stays up for at least so long. */
+#define MIN_DRAIN_TIME (4 * LB_SEC)
+/* Limit of a graceful shutdown: drain time plus the time for open calls and for batches. */
+#define STOP_TIMEOUT (10 * LB_SEC)
+/* A draining endpoint may get new work for so long if nothing else fails. */
+#define DRAIN_PROPAGATION_TIME (2 * LB_SEC)
+#define DRAIN_SLACK (500 * LB_MSEC) /* for a busy machine */
 
 void
-sk_fail (SkWorld *world, const char *promise, const char *format, ...)
+sk_fail (SkWorld *world, const char *invariant, const char *format, ...)
 {
   char text[512];
   va_list arguments;
@@ -39,20 +39,21 @@
   va_start (arguments, format);
   vsnprintf (text, sizeof text, format, arguments);
   va_end (arguments);
-  world->failures++;
+  world->n_violations++;
   printf ("BROKEN seed %llu at %.3f s: %s: %s (logs in %s)\n", (unsigned long long)world->seed,
-          (double)(lb_clock_monotonic () - world->started) / LB_SEC, promise, text, world->folder);
+          (double)(lb_clock_monotonic () - world->started_at) / LB_SEC, invariant, text,
+          world->directory);
   fflush (stdout);
 }
 
 void
-sk_tell (const SkWorld *world, const char *format, ...)
+sk_log (const SkWorld *world, const char *format, ...)
 {
   va_list arguments;
 
   if (!world->verbose)
     return;
-  fprintf (stderr, "%8.3f ", (double)(lb_clock_monotonic () - world->started) / LB_SEC);
+  fprintf (stderr, "%8.3f ", (double)(lb_clock_monotonic () - world->started_at) / LB_SEC);
   va_start (arguments, format);
   vfprintf (stderr, format, arguments);
   va_end (arguments);
@@ -60,7 +61,7 @@
 }
 
 int64_t
-sk_draw (SkWorld *world, int64_t low, int64_t high)
+sk_random_int (SkWorld *world, int64_t low, int64_t high)
 {
   return low + (int64_t)gsl_rng_uniform_int (world->rng, (unsigned long)(high - low + 1));
 }
@@ -75,7 +76,7 @@
 }
 
 SkRequest *
-sk_request_ensure (SkWorld *world, const char *id)
+sk_request_find_or_add (SkWorld *world, const char *id)
 {
   SkRequest *request = sk_request_find (world, id);
 
@@ -87,7 +88,7 @@
   return request;
 }
 
-/* --- the desired state --- */
+/* --- desired state --- */
 
 static void
 add_route (struct json_object *routes, const char *name, const char *kind, const char *service)
@@ -101,7 +102,7 @@
   free (text);
 }
 
-/* Each state has one route more than the one before. */
+/* Writes the fixed routes and r1 to rN for the N routes added so far. */
 void
 sk_config_put (SkWorld *world)
 {
@@ -112,7 +113,7 @@
   add_route (routes, "lookup", "safe", "lookups");
   add_route (routes, "order", "unsafe", "lookups");
   add_route (routes, "steps", "weight_rollout", "engines");
-  for (int64_t i = 1; i <= world->n_routes; i++)
+  for (int64_t i = 1; i <= world->n_added_routes; i++)
     {
       snprintf (name, sizeof name, "r%lld", (long long)i);
       add_route (routes, name, "safe", "lookups");
@@ -125,63 +126,65 @@
                                               " {\"name\": \"lookups\", \"maxConns\": 200}]"));
   json_object_object_add (object, "tenants",
                           json_tokener_parse (
-                              "[{\"name\": \"" SK_CALLERS "\", \"apiKeys\": [\"" SK_CALLERS_KEY
-                              "\"], \"priority\": 0}, {\"name\": \"" SK_TRAINER
-                              "\", \"apiKeys\": [\"" SK_TRAINER_KEY "\"], \"priority\": 1}]"));
-  si_row_store_put (&world->rows, "op", "", "config", json_object_to_json_string (object));
+                              "[{\"name\": \"" SK_CALLER_ORGANISATION
+                              "\", \"apiKeys\": [\"" SK_CALLER_API_KEY
+                              "\"], \"priority\": 0}, {\"name\": \"" SK_TRAINER_ORGANISATION
+                              "\", \"apiKeys\": [\"" SK_TRAINER_API_KEY "\"], \"priority\": 1}]"));
+  si_row_store_put (&world->store, "op", "", "config", json_object_to_json_string (object));
   json_object_put (object);
-  world->config_at = lb_clock_monotonic ();
+  world->config_put_at = lb_clock_monotonic ();
 }
 
 void
-sk_version_put (SkWorld *world, int64_t version)
+sk_weight_version_put (SkWorld *world, int64_t version)
 {
   char text[96];
 
-  world->named_version = version;
+  world->weight_version = version;
   snprintf (text, sizeof text, "{\"model\": \"" SK_MODEL "\", \"version\": %lld}",
             (long long)version);
-  si_row_store_put (&world->rows, "op", "", "version/" SK_MODEL, text);
+  si_row_store_put (&world->store, "op", "", "version/" SK_MODEL, text);
 }
 
 /* --- instances --- */
 
 bool
-sk_instance_runs (const SkInstance *instance)
+sk_instance_is_running (const SkInstance *instance)
 {
   return instance->process.pid > 0 && !instance->process.ended && !instance->paused
          && instance->address[0];
 }
 
 bool
-sk_instance_is_calm (const SkInstance *instance, LbTime since)
+sk_instance_was_undisturbed (const SkInstance *instance, LbTime since)
 {
-  return sk_instance_runs (instance) && !instance->stopping && instance->disturbed_at < since
-         && instance->world->store_disturbed_at < since;
+  return sk_instance_is_running (instance) && !instance->stopping
+         && instance->last_disturbed_at < since && instance->world->store_last_disturbed_at < since;
 }
 
-/* By their logs, as an operator would look it up. */
+/* Reads the owner from the instances' logs, as an operator would. */
 SkInstance *
-sk_batch_owner (SkWorld *world)
+sk_find_batch_owner (SkWorld *world)
 {
   char line[LB_NAME_MAX + 48];
 
-  snprintf (line, sizeof line, "\"event\":\"batch_running\",\"batch\":\"%s\"", world->batch);
+  snprintf (line, sizeof line, "\"event\":\"batch_running\",\"batch\":\"%s\"",
+            world->trainer_batch);
   for (size_t i = 0; i < world->n_instances; i++)
     {
       SkInstance *instance = &world->instances[i];
-      if (sk_instance_runs (instance) && strstr (instance->process.text, line))
+      if (sk_instance_is_running (instance) && strstr (instance->process.text, line))
         return instance;
     }
   return NULL;
 }
 
 static void
-write_settings (const SkInstance *instance)
+write_config_file (const SkInstance *instance)
 {
   char path[128];
 
-  snprintf (path, sizeof path, "%s/%s.json", instance->world->folder, instance->name);
+  snprintf (path, sizeof path, "%s/%s.json", instance->world->directory, instance->name);
   FILE *out = fopen (path, "w");
   if (!out)
     abort ();
@@ -195,8 +198,9 @@
            " \"duties\": {\"address\": \"%s\", \"usage_window_s\": 1, \"kinds\":"
            " [\"usage_report\"]},"
            " \"address_file\": \"%s/%s.addr\"}",
-           instance->name, 'a' + (int)(instance->index % 3), instance->to_store.address,
-           instance->world->cloud.server.address, instance->world->folder, instance->name);
+           instance->name, 'a' + (int)(instance->index % 3), instance->store_relay.address,
+           instance->world->control_plane.server.address, instance->world->directory,
+           instance->name);
   fclose (out);
 }
 
@@ -208,28 +212,28 @@
   char addresses[128];
   const char *const argv[] = { "lentilspindled", "--config", settings, NULL };
 
-  snprintf (settings, sizeof settings, "%s/%s.json", instance->world->folder, instance->name);
-  snprintf (addresses, sizeof addresses, "%s/%s.addr", instance->world->folder, instance->name);
-  snprintf (log, sizeof log, "%s/%s.err", instance->world->folder, instance->name);
+  snprintf (settings, sizeof settings, "%s/%s.json", instance->world->directory, instance->name);
+  snprintf (addresses, sizeof addresses, "%s/%s.addr", instance->world->directory, instance->name);
+  snprintf (log, sizeof log, "%s/%s.err", instance->world->directory, instance->name);
   unlink (addresses);
   instance->address[0] = '\0';
   instance->restart_at = LB_TIME_NEVER;
   instance->stopping = false;
   instance->paused = false;
-  instance->route_seen = 0;
-  instance->starts++;
-  instance->disturbed_at = lb_clock_monotonic ();
+  instance->newest_served_route = 0;
+  instance->n_starts++;
+  instance->last_disturbed_at = lb_clock_monotonic ();
   pt_process_start (&instance->process, argv, log);
 }
 
-/* What a process wrote is kept beside its settings, start by start. */
+/* Saves the output of each process beside its settings, one file per start. */
 static void
 keep_log (const SkInstance *instance)
 {
   char path[128];
 
-  snprintf (path, sizeof path, "%s/%s.%d.log", instance->world->folder, instance->name,
-            instance->starts);
+  snprintf (path, sizeof path, "%s/%s.%d.log", instance->world->directory, instance->name,
+            instance->n_starts);
   FILE *out = fopen (path, "w");
   if (!out)
     return;
@@ -238,10 +242,10 @@
 }
 
 static void
-note_disturbed (SkInstance *instance)
+record_disturbance (SkInstance *instance)
 {
-  instance->disturbed_at = lb_clock_monotonic ();
-  instance->world->disturbed_at = instance->disturbed_at;
+  instance->last_disturbed_at = lb_clock_monotonic ();
+  instance->world->last_disturbed_at = instance->last_disturbed_at;
 }
 
 void
@@ -249,8 +253,8 @@
 {
   if (instance->process.pid == 0 || instance->process.ended)
     return;
-  sk_tell (instance->world, "kill %s", instance->name);
-  note_disturbed (instance);
+  sk_log (instance->world, "kill %s", instance->name);
+  record_disturbance (instance);
   pt_process_poll (&instance->process);
   keep_log (instance);
   pt_process_clear (&instance->process);
@@ -262,35 +266,35 @@
 }
 
 void
-sk_instance_pause (SkInstance *instance, LbTime time)
+sk_instance_pause (SkInstance *instance, LbTime duration)
 {
-  if (!sk_instance_runs (instance))
+  if (!sk_instance_is_running (instance))
     return;
-  sk_tell (instance->world, "pause %s for %lld ms", instance->name, (long long)(time / LB_MSEC));
-  note_disturbed (instance);
+  sk_log (instance->world, "pause %s for %lld ms", instance->name, (long long)(duration / LB_MSEC));
+  record_disturbance (instance);
   pt_process_signal (&instance->process, SIGSTOP);
   instance->paused = true;
-  instance->resume_at = lb_clock_monotonic () + time;
+  instance->resume_at = lb_clock_monotonic () + duration;
 }
 
 void
 sk_instance_stop (SkInstance *instance)
 {
-  if (!sk_instance_runs (instance) || instance->stopping)
+  if (!sk_instance_is_running (instance) || instance->stopping)
     return;
-  sk_tell (instance->world, "stop %s", instance->name);
-  instance->disturbed_at = lb_clock_monotonic ();
+  sk_log (instance->world, "stop %s", instance->name);
+  instance->last_disturbed_at = lb_clock_monotonic ();
   instance->stopping = true;
-  instance->stopped_at = instance->disturbed_at;
+  instance->sigterm_at = instance->last_disturbed_at;
   pt_process_signal (&instance->process, SIGTERM);
 }
 
 static void
-read_addresses (SkInstance *instance)
+read_address_file (SkInstance *instance)
 {
   char path[128];
 
-  snprintf (path, sizeof path, "%s/%s.addr", instance->world->folder, instance->name);
+  snprintf (path, sizeof path, "%s/%s.addr", instance->world->directory, instance->name);
   if (access (path, R_OK) != 0)
     return;
   struct json_object *object = json_object_from_file (path);
@@ -302,70 +306,70 @@
 }
 
 static void
-resume (SkInstance *instance)
+resume_instance (SkInstance *instance)
 {
-  note_disturbed (instance);
+  record_disturbance (instance);
   pt_process_signal (&instance->process, SIGCONT);
   instance->paused = false;
   instance->resume_at = LB_TIME_NEVER;
 }
 
 static void
-note_end (SkInstance *instance, LbTime now)
+handle_process_exit (SkInstance *instance, LbTime now)
 {
   if (!instance->stopping)
-    sk_fail (instance->world, "nothing ends the process", "%s ended by itself with status %x",
+    sk_fail (instance->world, "no instance crashes", "%s ended unexpectedly with status %x",
              instance->name, instance->process.status);
   else if (!pt_process_has_exited (&instance->process, 0))
-    sk_fail (instance->world, "shutdown is graceful", "%s ended with status %x", instance->name,
-             instance->process.status);
-  note_disturbed (instance);
+    sk_fail (instance->world, "graceful shutdown exits with 0", "%s ended with status %x",
+             instance->name, instance->process.status);
+  record_disturbance (instance);
   keep_log (instance);
   pt_process_clear (&instance->process);
   instance->address[0] = '\0';
   instance->stopping = false;
-  instance->restart_at = now + sk_draw (instance->world, 100, 600) * LB_MSEC;
+  instance->restart_at = now + sk_random_int (instance->world, 100, 600) * LB_MSEC;
 }
 
 static void
-turn_instance (SkInstance *instance, LbTime now)
+update_instance (SkInstance *instance, LbTime now)
 {
   pt_process_poll (&instance->process);
   if (instance->process.pid > 0 && instance->process.ended)
-    note_end (instance, now);
+    handle_process_exit (instance, now);
   if (instance->process.pid > 0 && !instance->address[0])
-    read_addresses (instance);
+    read_address_file (instance);
   if (now >= instance->restart_at)
     sk_instance_start (instance);
   if (instance->paused && now >= instance->resume_at)
-    resume (instance);
-  if (instance->stopping && !instance->paused && now - instance->stopped_at > STOP_LIMIT
-      && instance->disturbed_at <= instance->stopped_at)
+    resume_instance (instance);
+  if (instance->stopping && !instance->paused && now - instance->sigterm_at > STOP_TIMEOUT
+      && instance->last_disturbed_at <= instance->sigterm_at)
     {
-      sk_fail (instance->world, "shutdown ends in time", "%s still runs %.1f s after SIGTERM",
-               instance->name, (double)(now - instance->stopped_at) / LB_SEC);
+      sk_fail (instance->world, "shutdown completes in time", "%s still runs %.1f s after SIGTERM",
+               instance->name, (double)(now - instance->sigterm_at) / LB_SEC);
       sk_instance_kill (instance, LB_SEC);
     }
   if (now >= instance->heal_at)
     {
-      sk_tell (instance->world, "%s reaches the store again", instance->name);
-      note_disturbed (instance);
+      sk_log (instance->world, "%s: store connection is healed", instance->name);
+      record_disturbance (instance);
       instance->heal_at = LB_TIME_NEVER;
-      instance->to_store.fault = (PtRelayFault){ 0 };
+      instance->store_relay.fault = (PtRelayFault){ 0 };
     }
 }
 
 LhFetch *
-sk_call_batches (SkInstance *instance,
-                 const char *method,
-                 const char *path,
-                 const char *id,
-                 const char *body,
-                 void (*on_done) (LhFetch *fetch, const LhResult *result, void *user),
-                 void *user)
+sk_call_batch_api (SkInstance *instance,
+                   const char *method,
+                   const char *path,
+                   const char *id,
+                   const char *body,
+                   void (*on_done) (LhFetch *fetch, const LhResult *result, void *user),
+                   void *user)
 {
   const LhHeader headers[]
-      = { { "Attempt-Id", id }, { "Deadline-Ms", "4000" }, { "Api-Key", SK_TRAINER_KEY } };
+      = { { "Attempt-Id", id }, { "Deadline-Ms", "4000" }, { "Api-Key", SK_TRAINER_API_KEY } };
   const LhHandlers handlers = { .on_done = on_done };
   const LhRequest request = { .method = method,
                               .address = instance->address,
@@ -375,7 +379,7 @@
                               .n_headers = 3,
                               .body = body,
                               .body_length = strlen (body),
-                              .idle_timeout = BATCH_CALL_TIME,
+                              .idle_timeout = BATCH_CALL_IDLE_TIMEOUT,
                               .fresh_connection = true };
 
   return lh_fetch_start (instance->world->pool, &request, &handlers, user, NULL);
@@ -383,110 +387,118 @@
 
 /* --- endpoints --- */
 
-/* An endpoint hears whose a request is, and never by which key that is known. */
+/* Requests reach an endpoint with the name of their organisation and without its API key. */
 static void
-check_identity (const SkEndpoint *endpoint, const char *id, const char *organisation)
+check_organisation (const SkEndpoint *endpoint, const char *id, const char *organisation)
 {
-  const SiEndpoint *sampler = &endpoint->sampler;
+  const SiEndpoint *standin = &endpoint->standin;
 
-  if (strcmp (sampler->organisation, organisation) != 0)
-    sk_fail (endpoint->world, "whose it is", "%s reached %s as that of \"%s\", not \"%s\"", id,
-             sampler->name, sampler->organisation, organisation);
-  if (sampler->leaked_keys > 0)
-    sk_fail (endpoint->world, "keys are not passed on", "%s saw a key", sampler->name);
+  if (strcmp (standin->organisation, organisation) != 0)
+    sk_fail (endpoint->world, "requests carry their organisation",
+             "%s reached %s with organisation \"%s\", expected \"%s\"", id, standin->name,
+             standin->organisation, organisation);
+  if (standin->leaked_keys > 0)
+    sk_fail (endpoint->world, "API keys are not forwarded", "%s received an API key",
+             standin->name);
 }
 
 static void
-on_call (SiEndpoint *sampler, const char *id, void *user)
+on_call (SiEndpoint *standin, const char *id, void *user)
 {
-  (void)sampler;
+  (void)standin;
   SkEndpoint *endpoint = user;
   SkRequest *request = sk_request_find (endpoint->world, id);
 
-  check_identity (endpoint, id, request ? SK_CALLERS : "");
+  check_organisation (endpoint, id, request ? SK_CALLER_ORGANISATION : "");
   if (!request)
-    return; /* a scorer's */
-  request->runs++;
-  if (!request->repeatable && request->runs > 1)
-    sk_fail (endpoint->world, "at most once", "%s ran %d times", id, request->runs);
-  if (request->said_not_run)
-    sk_fail (endpoint->world, "not run is true", "%s runs after its caller was told so", id);
+    return; /* a scorer request */
+  request->n_runs++;
+  if (!request->is_idempotent && request->n_runs > 1)
+    sk_fail (endpoint->world, "a non-idempotent request runs at most once", "%s ran %d times", id,
+             request->n_runs);
+  if (request->reported_not_run)
+    sk_fail (endpoint->world, "a request reported as not run did not run",
+             "%s starts after it was refused as not run", id);
 }
 
 static void
-on_run (SiEndpoint *sampler, const char *id, void *user)
+on_stream (SiEndpoint *standin, const char *id, void *user)
 {
   SkEndpoint *endpoint = user;
   LbTime now = lb_clock_monotonic ();
-  LbTime limit = endpoint->leaving_since + DRAIN_TIME + DRAIN_SLACK;
+  LbTime limit = endpoint->draining_since + DRAIN_PROPAGATION_TIME + DRAIN_SLACK;
 
-  check_identity (endpoint, id, SK_TRAINER);
+  check_organisation (endpoint, id, SK_TRAINER_ORGANISATION);
   if (endpoint->world->one_shots)
-    sk_one_shots_note_run (endpoint->world->one_shots, id);
-  if (endpoint->leaving_since > 0 && now > limit
-      && endpoint->world->disturbed_at < endpoint->leaving_since
-      && endpoint->world->store_disturbed_at < endpoint->leaving_since)
-    sk_fail (endpoint->world, "no new work to a leaving endpoint",
-             "%s got %s %.3f s after its word", sampler->name, id,
-             (double)(now - endpoint->leaving_since) / LB_SEC);
+    sk_one_shots_record_run (endpoint->world->one_shots, id);
+  if (endpoint->draining_since > 0 && now > limit
+      && endpoint->world->last_disturbed_at < endpoint->draining_since
+      && endpoint->world->store_last_disturbed_at < endpoint->draining_since)
+    sk_fail (endpoint->world, "no new work for a draining endpoint",
+             "%s got %s %.3f s after it began to drain", standin->name, id,
+             (double)(now - endpoint->draining_since) / LB_SEC);
 }
 
-/* Engines would refuse it, but a holder that was replaced for so long knows it. */
+/* Engines refuse an old fencing number, but a duty holder that lost its lease so long ago must no
+ * longer send orders. */
 static void
-check_old_holder (SkWorld *world, const char *engine, const char *holder, int64_t fence)
+check_fence_is_current (SkWorld *world, const char *engine, const char *holder, int64_t fence)
 {
   LbTime now = lb_clock_monotonic ();
 
   if (fence > world->highest_fence)
     {
       world->highest_fence = fence;
-      world->fence_at = now;
+      world->highest_fence_at = now;
     }
-  if (fence < world->highest_fence && now - world->fence_at > ORDER_ON_ITS_WAY)
-    sk_fail (world, "one holder",
-             "%s orders %s with fencing number %lld, %.3f s after %lld was used", holder, engine,
-             (long long)fence, (double)(now - world->fence_at) / LB_SEC,
+  if (fence < world->highest_fence && now - world->highest_fence_at > MAX_ORDER_DELAY)
+    sk_fail (world, "a duty has one holder",
+             "%s sent an order to %s with fencing number %lld, %.3f s after %lld was first used",
+             holder, engine, (long long)fence, (double)(now - world->highest_fence_at) / LB_SEC,
              (long long)world->highest_fence);
 }
 
-/* Two holders with one fencing number would both be obeyed. */
+/* Engines would accept the orders of two holders with the same fencing number. */
 static void
-on_order (SiEndpoint *sampler, const char *holder, int64_t fence, bool accepted, void *user)
+on_order (SiEndpoint *standin, const char *holder, int64_t fence, bool accepted, void *user)
 {
-  static LbName holder_of[1000];
-  static uint64_t seed_of;
+  static LbName holder_by_fence[1000];
+  static uint64_t holders_seed;
   SkEndpoint *endpoint = user;
 
-  if (seed_of != endpoint->world->seed)
-    memset (holder_of, 0, sizeof holder_of);
-  seed_of = endpoint->world->seed;
+  if (holders_seed != endpoint->world->seed)
+    memset (holder_by_fence, 0, sizeof holder_by_fence);
+  holders_seed = endpoint->world->seed;
   if (fence < 1 || fence >= 1000)
     {
-      sk_fail (endpoint->world, "one holder", "fencing number %lld", (long long)fence);
+      sk_fail (endpoint->world, "a duty has one holder", "fencing number %lld, expected 1 to 999",
+               (long long)fence);
       return;
     }
-  if (holder_of[fence][0] && strcmp (holder_of[fence], holder) != 0)
-    sk_fail (endpoint->world, "one holder", "%s and %s order %s with fencing number %lld",
-             holder_of[fence], holder, sampler->name, (long long)fence);
-  LB_COPY (holder_of[fence], holder);
-  check_old_holder (endpoint->world, sampler->name, holder, fence);
+  if (holder_by_fence[fence][0] && strcmp (holder_by_fence[fence], holder) != 0)
+    sk_fail (endpoint->world, "a duty has one holder",
+             "%s and then %s sent orders, the latter to %s, with fencing number %lld",
+             holder_by_fence[fence], holder, standin->name, (long long)fence);
+  LB_COPY (holder_by_fence[fence], holder);
+  check_fence_is_current (endpoint->world, standin->name, holder, fence);
   (void)accepted;
 }
 
 static void
-on_fatal (SiEndpoint *sampler, const char *id, void *user)
+on_fatal_request (SiEndpoint *standin, const char *id, void *user)
 {
   SkEndpoint *endpoint = user;
 
-  if (endpoint->ends_at == LB_TIME_NEVER)
-    endpoint->ends_at = lb_clock_monotonic () + ENDS_AFTER;
+  if (endpoint->exit_at == LB_TIME_NEVER)
+    endpoint->exit_at = lb_clock_monotonic () + FATAL_REQUEST_CRASH_DELAY;
   if (endpoint->world->crasher)
-    sk_crasher_note_run (endpoint->world->crasher, id, sampler->name);
+    sk_crasher_record_run (endpoint->world->crasher, id, standin->name);
 }
 
-static const SiEndpointListener listener = {
-  .on_call = on_call, .on_stream = on_run, .on_fatal_request = on_fatal, .on_order = on_order
-};
+static const SiEndpointListener listener = { .on_call = on_call,
+                                             .on_stream = on_stream,
+                                             .on_fatal_request = on_fatal_request,
+                                             .on_order = on_order };
 
 static SkEndpoint *
 add_endpoint (SkWorld *world, const char *name, const char *service, const char *model)
@@ -499,131 +511,131 @@
   *endpoint = (SkEndpoint){ .world = world, .is_used = true };
   endpoint->heal_at = LB_TIME_NEVER;
   endpoint->return_at = LB_TIME_NEVER;
-  endpoint->ends_at = LB_TIME_NEVER;
-  if (!si_endpoint_init (&endpoint->sampler, world->base, &world->rows, name, service, model))
+  endpoint->exit_at = LB_TIME_NEVER;
+  if (!si_endpoint_init (&endpoint->standin, world->base, &world->store, name, service, model))
     abort ();
-  pt_relay_init (&endpoint->way, world->base, endpoint->sampler.server.address);
-  LB_COPY (endpoint->sampler.advertised_address, endpoint->way.address);
-  endpoint->sampler.reports_version = true;
-  endpoint->sampler.listener = &listener;
-  endpoint->sampler.fatal_body = SK_CRASHER_BODY;
-  endpoint->sampler.user = endpoint;
-  endpoint->sampler.call_duration
-      = 80 * LB_MSEC; /* many are on their way when a connection breaks */
-  endpoint->sampler.event_interval = 25 * LB_MSEC;
-  endpoint->sampler.n_events = 24;
-  si_endpoint_register (&endpoint->sampler);
+  pt_relay_init (&endpoint->relay, world->base, endpoint->standin.server.address);
+  LB_COPY (endpoint->standin.advertised_address, endpoint->relay.address);
+  endpoint->standin.reports_version = true;
+  endpoint->standin.listener = &listener;
+  endpoint->standin.fatal_body = SK_FATAL_BODY;
+  endpoint->standin.user = endpoint;
+  /* long enough that many calls are running when a connection breaks */
+  endpoint->standin.call_duration = 80 * LB_MSEC;
+  endpoint->standin.event_interval = 25 * LB_MSEC;
+  endpoint->standin.n_events = 24;
+  si_endpoint_register (&endpoint->standin);
   return endpoint;
 }
 
-/* A new engine has the newest weights. */
+/* The new engine starts with the newest weights. */
 SkEndpoint *
 sk_engine_add (SkWorld *world)
 {
   char name[24];
   SkEndpoint *endpoint = NULL;
 
-  snprintf (name, sizeof name, "i-engine-%d", world->n_engines_made++);
+  snprintf (name, sizeof name, "i-engine-%d", world->n_engines_added++);
   endpoint = add_endpoint (world, name, "engines", SK_MODEL);
   if (!endpoint)
     return NULL;
-  endpoint->sampler.version = world->named_version > 0 ? world->named_version : 1;
-  si_endpoint_register (&endpoint->sampler);
+  endpoint->standin.version = world->weight_version > 0 ? world->weight_version : 1;
+  si_endpoint_register (&endpoint->standin);
   return endpoint;
 }
 
 static void
-take_away (SkEndpoint *endpoint, LbTime return_after)
+take_down (SkEndpoint *endpoint, LbTime return_after)
 {
-  endpoint->is_gone = true;
-  endpoint->ends_at = LB_TIME_NEVER;
+  endpoint->is_down = true;
+  endpoint->exit_at = LB_TIME_NEVER;
   endpoint->return_at
       = return_after == LB_TIME_NEVER ? LB_TIME_NEVER : lb_clock_monotonic () + return_after;
-  si_endpoint_break_streams (&endpoint->sampler);
-  si_endpoint_unregister (&endpoint->sampler);
-  pt_relay_reset (&endpoint->way);
+  si_endpoint_break_streams (&endpoint->standin);
+  si_endpoint_unregister (&endpoint->standin);
+  pt_relay_reset (&endpoint->relay);
 }
 
 void
 sk_endpoint_crash (SkEndpoint *endpoint, LbTime return_after)
 {
-  if (endpoint->is_gone)
+  if (endpoint->is_down)
     return;
-  sk_tell (endpoint->world, "crash %s", endpoint->sampler.name);
-  endpoint->way.fault = (PtRelayFault){ .loses_to_target = true };
-  take_away (endpoint, return_after);
+  sk_log (endpoint->world, "crash %s", endpoint->standin.name);
+  endpoint->relay.fault = (PtRelayFault){ .loses_to_target = true };
+  take_down (endpoint, return_after);
 }
 
 void
-sk_endpoint_end (SkEndpoint *endpoint, LbTime return_after)
+sk_endpoint_exit (SkEndpoint *endpoint, LbTime return_after)
 {
-  if (endpoint->is_gone)
+  if (endpoint->is_down)
     return;
-  sk_tell (endpoint->world, "end %s", endpoint->sampler.name);
-  pt_relay_refuse (&endpoint->way);
-  take_away (endpoint, return_after);
+  sk_log (endpoint->world, "exit %s", endpoint->standin.name);
+  pt_relay_refuse (&endpoint->relay);
+  take_down (endpoint, return_after);
 }
 
 void
-sk_endpoint_leave (SkEndpoint *endpoint)
+sk_endpoint_drain (SkEndpoint *endpoint)
 {
-  if (endpoint->is_gone || endpoint->leaving_since > 0)
+  if (endpoint->is_down || endpoint->draining_since > 0)
     return;
-  sk_tell (endpoint->world, "%s leaves", endpoint->sampler.name);
-  endpoint->leaving_since = lb_clock_monotonic ();
-  endpoint->sampler.draining = true;
-  si_endpoint_register (&endpoint->sampler);
+  sk_log (endpoint->world, "%s drains", endpoint->standin.name);
+  endpoint->draining_since = lb_clock_monotonic ();
+  endpoint->standin.draining = true;
+  si_endpoint_register (&endpoint->standin);
 }
 
 static void
-turn_endpoint (SkEndpoint *endpoint, LbTime now)
+update_endpoint (SkEndpoint *endpoint, LbTime now)
 {
   if (now >= endpoint->heal_at)
     {
       endpoint->heal_at = LB_TIME_NEVER;
-      endpoint->way.fault = (PtRelayFault){ 0 };
-      endpoint->sampler.event_interval = 25 * LB_MSEC;
+      endpoint->relay.fault = (PtRelayFault){ 0 };
+      endpoint->standin.event_interval = 25 * LB_MSEC;
     }
-  if (now >= endpoint->ends_at)
-    sk_endpoint_end (endpoint, sk_draw (endpoint->world, 400, 1200) * LB_MSEC);
+  if (now >= endpoint->exit_at)
+    sk_endpoint_exit (endpoint, sk_random_int (endpoint->world, 400, 1200) * LB_MSEC);
   if (now >= endpoint->return_at)
     {
-      sk_tell (endpoint->world, "%s is back", endpoint->sampler.name);
+      sk_log (endpoint->world, "%s is up again", endpoint->standin.name);
       endpoint->return_at = LB_TIME_NEVER;
-      endpoint->is_gone = false;
-      endpoint->way.fault = (PtRelayFault){ 0 };
-      pt_relay_accept (&endpoint->way);
-      endpoint->sampler.start_ms++;
-      endpoint->sampler.accepted_orders = 0;
-      endpoint->sampler.last_fence = 0;
-      si_endpoint_register (&endpoint->sampler);
+      endpoint->is_down = false;
+      endpoint->relay.fault = (PtRelayFault){ 0 };
+      pt_relay_accept (&endpoint->relay);
+      endpoint->standin.start_ms++;
+      endpoint->standin.accepted_orders = 0;
+      endpoint->standin.last_fence = 0;
+      si_endpoint_register (&endpoint->standin);
     }
-  if (endpoint->leaving_since > 0 && !endpoint->is_gone
-      && now > endpoint->leaving_since + LEAVE_TIME && endpoint->sampler.streams.length == 0)
+  if (endpoint->draining_since > 0 && !endpoint->is_down
+      && now > endpoint->draining_since + MIN_DRAIN_TIME && endpoint->standin.streams.length == 0)
     sk_endpoint_crash (endpoint, LB_TIME_NEVER);
 }
 
-/* --- all --- */
+/* --- world --- */
 
 void
 sk_world_init (SkWorld *world, uint64_t seed, size_t n_instances, size_t n_engines)
 {
   memset (world, 0, sizeof *world);
   signal (SIGPIPE, SIG_IGN);
-  snprintf (world->folder, sizeof world->folder, "/tmp/lentilspindle-soak-XXXXXX");
-  if (!mkdtemp (world->folder))
+  snprintf (world->directory, sizeof world->directory, "/tmp/lentilspindle-soak-XXXXXX");
+  if (!mkdtemp (world->directory))
     abort ();
   world->seed = seed;
-  world->started = lb_clock_monotonic ();
+  world->started_at = lb_clock_monotonic ();
   world->store_heal_at = LB_TIME_NEVER;
   world->rng = gsl_rng_alloc (gsl_rng_taus2);
   gsl_rng_set (world->rng, seed);
-  world->plan = gsl_rng_alloc (gsl_rng_taus2);
-  gsl_rng_set (world->plan, seed);
+  world->fault_rng = gsl_rng_alloc (gsl_rng_taus2);
+  gsl_rng_set (world->fault_rng, seed);
   world->base = si_precise_base_new ();
   world->pool = lh_pool_new (world->base);
-  if (!si_row_store_init (&world->rows, world->base, 0)
-      || !si_control_plane_init (&world->cloud, world->base))
+  if (!si_row_store_init (&world->store, world->base, 0)
+      || !si_control_plane_init (&world->control_plane, world->base))
     abort ();
   sk_config_put (world);
   for (size_t i = 0; i < n_engines; i++)
@@ -639,14 +651,14 @@
       instance->resume_at = LB_TIME_NEVER;
       instance->heal_at = LB_TIME_NEVER;
       snprintf (instance->name, sizeof instance->name, "n%zu", i);
-      pt_relay_init (&instance->to_store, world->base, world->rows.server.address);
-      write_settings (instance);
+      pt_relay_init (&instance->store_relay, world->base, world->store.server.address);
+      write_config_file (instance);
       sk_instance_start (instance);
     }
 }
 
 static void
-remove_folder (const SkWorld *world)
+remove_directory (const SkWorld *world)
 {
   static const char *const kinds[] = { "json", "addr", "err" };
   char path[160];
@@ -656,16 +668,16 @@
       const SkInstance *instance = &world->instances[i];
       for (size_t kind = 0; kind < sizeof kinds / sizeof kinds[0]; kind++)
         {
-          snprintf (path, sizeof path, "%s/%s.%s", world->folder, instance->name, kinds[kind]);
+          snprintf (path, sizeof path, "%s/%s.%s", world->directory, instance->name, kinds[kind]);
           unlink (path);
         }
-      for (int start = 0; start <= instance->starts; start++)
+      for (int start = 0; start <= instance->n_starts; start++)
         {
-          snprintf (path, sizeof path, "%s/%s.%d.log", world->folder, instance->name, start);
+          snprintf (path, sizeof path, "%s/%s.%d.log", world->directory, instance->name, start);
           unlink (path);
         }
     }
-  rmdir (world->folder);
+  rmdir (world->directory);
 }
 
 void
@@ -680,16 +692,16 @@
       if (instance->process.pid > 0)
         keep_log (instance);
       pt_process_clear (&instance->process);
-      pt_relay_clear (&instance->to_store);
+      pt_relay_clear (&instance->store_relay);
     }
   lh_pool_free (world->pool);
   for (size_t i = 0; i < world->n_endpoints; i++)
     {
-      pt_relay_clear (&world->endpoints[i].way);
-      si_endpoint_clear (&world->endpoints[i].sampler);
+      pt_relay_clear (&world->endpoints[i].relay);
+      si_endpoint_clear (&world->endpoints[i].standin);
     }
-  si_control_plane_clear (&world->cloud);
-  si_row_store_clear (&world->rows);
+  si_control_plane_clear (&world->control_plane);
+  si_row_store_clear (&world->store);
   HASH_ITER (hh, world->requests, request, next)
   {
     HASH_DEL (world->requests, request);
@@ -697,40 +709,41 @@
   }
   event_base_free (world->base);
   gsl_rng_free (world->rng);
-  gsl_rng_free (world->plan);
+  gsl_rng_free (world->fault_rng);
   if (!keep_logs)
-    remove_folder (world);
+    remove_directory (world);
 }
 
-/* A holder that reports a window again, another holder too, repeats what was reported. */
+/* A window may be reported twice, also by different holders, but always with the same usage. */
 static void
-check_reports (SkWorld *world)
+check_usage_reports (SkWorld *world)
 {
-  if (world->cloud.conflicting_reports > 0)
-    sk_fail (world, "one report of a window", "%d reports differ from an earlier one",
-             world->cloud.conflicting_reports);
-  world->cloud.conflicting_reports = 0;
+  if (world->control_plane.conflicting_reports > 0)
+    sk_fail (world, "usage reports of a window are equal",
+             "%d reports differ from the first one of their window",
+             world->control_plane.conflicting_reports);
+  world->control_plane.conflicting_reports = 0;
 }
 
 void
-sk_world_turn (SkWorld *world)
+sk_world_run_once (SkWorld *world)
 {
   LbTime now = 0;
 
   event_base_loop (world->base, EVLOOP_NONBLOCK);
   now = lb_clock_monotonic ();
   for (size_t i = 0; i < world->n_instances; i++)
-    turn_instance (&world->instances[i], now);
+    update_instance (&world->instances[i], now);
   for (size_t i = 0; i < world->n_endpoints; i++)
-    turn_endpoint (&world->endpoints[i], now);
-  check_reports (world);
+    update_endpoint (&world->endpoints[i], now);
+  check_usage_reports (world);
   if (world->store_heal_at != LB_TIME_NEVER)
-    world->store_disturbed_at = now;
+    world->store_last_disturbed_at = now;
   if (now >= world->store_heal_at)
     {
-      sk_tell (world, "the store is well again");
+      sk_log (world, "store: healed");
       world->store_heal_at = LB_TIME_NEVER;
-      world->rows.mode = SI_ROW_STORE_NORMAL;
+      world->store.mode = SI_ROW_STORE_NORMAL;
     }
-  usleep (TURN_PAUSE);
+  usleep (LOOP_PAUSE_US);
 }
--- a/tests/soak/soak-processes.c
+++ b/tests/soak/soak-processes.c
@@ -10,18 +10,18 @@
 #include <stdio.h>
 #include <string.h>
 
-#define START_LIMIT (20 * LB_SEC)
-#define SETTLE_LIMIT (60 * LB_SEC)
-#define STOP_LIMIT (25 * LB_SEC)
+#define START_TIMEOUT (20 * LB_SEC)
+#define SETTLE_TIMEOUT (60 * LB_SEC)
+#define STOP_TIMEOUT (25 * LB_SEC)
 
-#define MAX_SECONDS 3600
+#define MAX_FAULT_SECONDS 3600
 
 typedef struct
 {
   int seconds;
   int instances;
   int engines;
-  const char *only; /* NULL: any fault */
+  const char *only_fault; /* NULL: any fault */
   bool verbose;
   bool keep_logs;
 } Options;
@@ -36,16 +36,16 @@
 } Run;
 
 static bool
-all_run (const SkWorld *world)
+are_all_instances_running (const SkWorld *world)
 {
   for (size_t i = 0; i < world->n_instances; i++)
-    if (!sk_instance_runs (&world->instances[i]) || world->instances[i].stopping)
+    if (!sk_instance_is_running (&world->instances[i]) || world->instances[i].stopping)
       return false;
   return true;
 }
 
 static void
-turn (Run *run)
+run_once (Run *run)
 {
   LbTime now = lb_clock_monotonic ();
 
@@ -53,26 +53,26 @@
   sk_trainer_tick (run->trainer, now);
   sk_one_shots_tick (run->one_shots, now);
   sk_crasher_tick (run->crasher, now);
-  sk_world_turn (&run->world);
+  sk_world_run_once (&run->world);
 }
 
 static void
 wait_for_start (Run *run)
 {
-  LbTime end = lb_clock_monotonic () + START_LIMIT;
+  LbTime end = lb_clock_monotonic () + START_TIMEOUT;
 
-  while (!all_run (&run->world) && lb_clock_monotonic () < end)
-    sk_world_turn (&run->world);
-  if (!all_run (&run->world))
-    sk_fail (&run->world, "starts", "not all instances told their addresses");
+  while (!are_all_instances_running (&run->world) && lb_clock_monotonic () < end)
+    sk_world_run_once (&run->world);
+  if (!are_all_instances_running (&run->world))
+    sk_fail (&run->world, "instances start in time", "not all instances wrote their address files");
 }
 
-/* Most seeds mix all kinds. Every fourth strikes with one kind alone: some promises have a time in
- * which they hold, and can be judged only while little else is wrong. */
+/* Most seeds mix all kinds of faults. Every fourth uses a single kind: invariants with a time bound
+ * are checked only while nothing else is disturbed. Returns NULL for all kinds. */
 static const char *
-kind_of_seed (uint64_t seed)
+fault_kind_of_seed (uint64_t seed)
 {
-  size_t n = 1; /* there is one at least */
+  size_t n = 1; /* sk_faults has at least one kind */
 
   while (sk_faults[n].name)
     n++;
@@ -80,58 +80,60 @@
 }
 
 static void
-strike (Run *run, const Options *options)
+run_faults (Run *run, const Options *options)
 {
-  const char *only = options->only ? options->only : kind_of_seed (run->world.seed);
+  const char *only_fault
+      = options->only_fault ? options->only_fault : fault_kind_of_seed (run->world.seed);
   LbTime end = lb_clock_monotonic () + options->seconds * LB_SEC;
   LbTime next = lb_clock_monotonic () + LB_SEC;
 
   for (LbTime now = 0; (now = lb_clock_monotonic ()) < end;)
     {
-      sk_faults_tick (&run->world, only, &next, now);
-      turn (run);
+      sk_faults_tick (&run->world, only_fault, &next, now);
+      run_once (run);
     }
 }
 
-/* All faults have ended: the trainer gets the whole of its last step, and all instances show it
- * alike. */
+/* Ends all faults, then checks that the trainer gets its whole last step and that every instance
+ * returns the same results for it. */
 static void
 settle (Run *run)
 {
   SkWorld *world = &run->world;
-  LbTime end = lb_clock_monotonic () + SETTLE_LIMIT;
+  LbTime end = lb_clock_monotonic () + SETTLE_TIMEOUT;
 
-  sk_faults_end (world);
+  sk_faults_end_all (world);
   sk_trainer_stop (run->trainer);
-  while ((!sk_trainer_is_done (run->trainer) || !all_run (world)) && lb_clock_monotonic () < end)
-    turn (run);
+  while ((!sk_trainer_is_done (run->trainer) || !are_all_instances_running (world))
+         && lb_clock_monotonic () < end)
+    run_once (run);
   if (!sk_trainer_is_done (run->trainer))
-    sk_fail (world, "every sample to its trainer", "the last step is not whole after %.0f s",
-             (double)SETTLE_LIMIT / LB_SEC);
+    sk_fail (world, "every sample is delivered", "the last step is incomplete after %.0f s",
+             (double)SETTLE_TIMEOUT / LB_SEC);
   sk_callers_stop (run->callers);
   sk_one_shots_stop (run->one_shots);
   sk_crasher_stop (run->crasher);
   for (size_t i = 0; i < world->n_instances && sk_trainer_is_done (run->trainer); i++)
     {
-      sk_trainer_read_again (run->trainer, &world->instances[i]);
+      sk_trainer_reread (run->trainer, &world->instances[i]);
       while (sk_trainer_is_reading (run->trainer))
-        turn (run);
+        run_once (run);
     }
 }
 
-/* Every instance becomes idle and ends by itself, whatever it went through. */
+/* Checks that every instance completes a graceful shutdown. */
 static void
 stop_all (Run *run)
 {
   SkWorld *world = &run->world;
-  LbTime end = lb_clock_monotonic () + STOP_LIMIT;
+  LbTime end = lb_clock_monotonic () + STOP_TIMEOUT;
   size_t n_running = world->n_instances;
 
   for (size_t i = 0; i < world->n_instances; i++)
     sk_instance_stop (&world->instances[i]);
   while (n_running > 0 && lb_clock_monotonic () < end)
     {
-      turn (run);
+      run_once (run);
       n_running = 0;
       for (size_t i = 0; i < world->n_instances; i++)
         {
@@ -140,15 +142,15 @@
         }
     }
   if (n_running > 0)
-    sk_fail (world, "shutdown ends in time", "%zu instances still run", n_running);
+    sk_fail (world, "shutdown completes in time", "%zu instances still run", n_running);
 }
 
 static int
-play (const Options *options, uint64_t seed)
+run_seed (const Options *options, uint64_t seed)
 {
   Run run = { 0 };
   SkWorld *world = &run.world;
-  int failures = 0;
+  int n_violations = 0;
 
   sk_world_init (world, seed, (size_t)options->instances, (size_t)options->engines);
   world->verbose = options->verbose;
@@ -159,66 +161,71 @@
   run.crasher = sk_crasher_new (world);
   world->crasher = run.crasher;
   wait_for_start (&run);
-  strike (&run, options);
+  run_faults (&run, options);
   settle (&run);
   stop_all (&run);
-  failures = world->failures;
+  n_violations = world->n_violations;
   printf ("seed %llu: %s, %lld faults, %lld calls (%lld served, %lld refused, %lld failed),"
           " %lld batches, %lld results, %.1f s\n",
-          (unsigned long long)seed, failures ? "BROKEN" : "held", (long long)world->n_faults,
+          (unsigned long long)seed, n_violations ? "BROKEN" : "held", (long long)world->n_faults,
           (long long)world->n_calls, (long long)world->n_served, (long long)world->n_refused,
           (long long)world->n_failed, (long long)world->n_batches, (long long)world->n_results,
-          (double)(lb_clock_monotonic () - world->started) / LB_SEC);
+          (double)(lb_clock_monotonic () - world->started_at) / LB_SEC);
   fflush (stdout);
   sk_callers_free (run.callers);
   sk_trainer_free (run.trainer);
   sk_one_shots_free (run.one_shots);
   sk_crasher_free (run.crasher);
-  sk_world_clear (world, failures > 0 || options->keep_logs);
-  return failures;
+  sk_world_clear (world, n_violations > 0 || options->keep_logs);
+  return n_violations;
 }
 
 static bool
-is_known (const char *name)
+is_known_fault (const char *name)
 {
   for (const SkFault *fault = sk_faults; fault->name; fault++)
     if (strcmp (fault->name, name) == 0)
       return true;
-  fprintf (stderr, "soak-processes: --only: no fault is called \"%s\"\n", name);
+  fprintf (stderr, "soak-processes: --only: unknown fault \"%s\"\n", name);
   return false;
 }
 
 static bool
-is_in_range (const char *option, int value, int least, int most)
+is_in_range (const char *option, int value, int min, int max)
 {
-  if (value >= least && value <= most)
+  if (value >= min && value <= max)
     return true;
-  fprintf (stderr, "soak-processes: --%s: expected %d to %d\n", option, least, most);
+  fprintf (stderr, "soak-processes: --%s: expected %d to %d\n", option, min, max);
   return false;
 }
 
 static bool
-is_possible (const Options *options)
+are_options_valid (const Options *options)
 {
   return is_in_range ("instances", options->instances, 1, SK_MAX_INSTANCES)
          && is_in_range ("engines", options->engines, 2, SK_MAX_ENGINES)
-         && is_in_range ("seconds", options->seconds, 1, MAX_SECONDS);
+         && is_in_range ("seconds", options->seconds, 1, MAX_FAULT_SECONDS);
 }
 
 int
 main (int argc, char **argv)
 {
   struct arg_int *seed = arg_int0 (NULL, "seed", "N", "first seed; 1 by default");
-  struct arg_int *seeds = arg_int0 (NULL, "seeds", "N", "how many; 1 by default");
-  struct arg_int *seconds = arg_int0 (NULL, "seconds", "N", "of faults; 12 by default");
-  struct arg_int *instances = arg_int0 (NULL, "instances", "N", "1 to 200; 4 by default");
-  struct arg_int *engines = arg_int0 (NULL, "engines", "N", "2 to 64; 5 by default");
-  struct arg_str *only = arg_str0 (NULL, "only", "FAULT", "strike with one kind alone");
-  struct arg_lit *verbose = arg_lit0 (NULL, "verbose", "tell what is done, on standard error");
-  struct arg_lit *keep = arg_lit0 (NULL, "keep-logs", "also of seeds that held");
-  struct arg_lit *help = arg_lit0 (NULL, "help", "show this");
+  struct arg_int *seeds = arg_int0 (NULL, "seeds", "N", "number of seeds to run; 1 by default");
+  struct arg_int *seconds
+      = arg_int0 (NULL, "seconds", "N",
+                  "duration of the faults of each seed, 1 to 3600; 12 by default");
+  struct arg_int *instances
+      = arg_int0 (NULL, "instances", "N", "number of instances, 1 to 200; 4 by default");
+  struct arg_int *engines
+      = arg_int0 (NULL, "engines", "N", "number of engines, 2 to 64; 5 by default");
+  struct arg_str *only_fault = arg_str0 (NULL, "only", "FAULT", "inject only this kind of fault");
+  struct arg_lit *verbose = arg_lit0 (NULL, "verbose", "log faults and events to standard error");
+  struct arg_lit *keep = arg_lit0 (NULL, "keep-logs", "keep the logs of seeds that held, too");
+  struct arg_lit *help = arg_lit0 (NULL, "help", "print this help");
   struct arg_end *end = arg_end (4);
-  void *table[] = { seed, seeds, seconds, instances, engines, only, verbose, keep, help, end };
+  void *table[]
+      = { seed, seeds, seconds, instances, engines, only_fault, verbose, keep, help, end };
   Options options = { 0 };
   int status = 0;
 
@@ -233,15 +240,15 @@
   options = (Options){ .seconds = seconds->ival[0],
                        .instances = instances->ival[0],
                        .engines = engines->ival[0],
-                       .only = only->count > 0 ? only->sval[0] : NULL,
+                       .only_fault = only_fault->count > 0 ? only_fault->sval[0] : NULL,
                        .verbose = verbose->count > 0,
                        .keep_logs = keep->count > 0 };
   status = 2;
-  if (!is_possible (&options) || (options.only && !is_known (options.only)))
+  if (!are_options_valid (&options) || (options.only_fault && !is_known_fault (options.only_fault)))
     goto out;
   status = 0;
   for (int i = 0; i < seeds->ival[0]; i++)
-    status |= play (&options, (uint64_t)seed->ival[0] + (uint64_t)i) > 0;
+    status |= run_seed (&options, (uint64_t)seed->ival[0] + (uint64_t)i) > 0;
 
 out:
   arg_freetable (table, sizeof table / sizeof table[0]);
