--- a/packages/cli/include/lt-command.h
+++ b/packages/cli/include/lt-command.h
@@ -5,8 +5,8 @@
 enum
 {
   LT_EXIT_OK = 0,
-  LT_EXIT_FAILED = 1, /* it ran and the answer is no, or the service refused */
-  LT_EXIT_USAGE = 2   /* bad options, or a bad file */
+  LT_EXIT_FAILED = 1, /* reported a difference or a failure, or the service refused */
+  LT_EXIT_USAGE = 2   /* invalid options or an invalid input file */
 };
 
 typedef struct
--- a/packages/cli/src/lt-apply.c
+++ b/packages/cli/src/lt-apply.c
@@ -19,21 +19,24 @@
 } Options;
 
 static void
-init_options (Options *options)
+init_change_options (Options *options)
 {
-  options->dry_run = arg_lit0 ("n", "dry-run", "only check the change");
-  options->force = arg_lit0 (NULL, "force", "apply over whatever revision is accepted");
+  options->dry_run = arg_lit0 ("n", "dry-run", "validate the change without applying it");
+  options->force = arg_lit0 (NULL, "force", "apply whatever revision is accepted");
   options->revision = arg_int0 ("r", "revision", "N",
-                                "the revision that was seen; the present one when not given");
-  options->wait = arg_int0 ("w", "wait", "SECONDS", "wait until it is in force everywhere");
+                                "revision that the change is based on (default: the accepted one)");
+  options->wait = arg_int0 ("w", "wait", "SECONDS", "wait until it is in force on all instances");
 }
 
-/* Checks the change here first, so that an error names the operator's file, then sends it. */
+/* Validates the change locally first, so that an error names the operator's file, then sends it. */
 static int
-send_change (const Options *options, LtClient *client, struct json_object *change, const char *file)
+send_change (const Options *options,
+             LtClient *client,
+             struct json_object *change,
+             const char *source)
 {
   LbError error = { .code = LB_OK };
-  LcResourceSet *next = NULL;
+  LcResourceSet *new_set = NULL;
   int code = LT_EXIT_FAILED;
   LcResourceSet *set = lt_resources_fetch (client, &error);
 
@@ -42,29 +45,30 @@
       lt_print_error (&error);
       goto out;
     }
-  next = lc_change_apply (set, change, file, &error);
-  if (!next)
+  new_set = lc_change_apply (set, change, source, &error);
+  if (!new_set)
     {
       lt_print_error (&error);
       code = LT_EXIT_USAGE;
       goto out;
     }
-  const LtChangeRequest sent
+  const LtChangeRequest request
       = { .client = client,
           .change = change,
-          .revision = options->revision->count > 0 ? options->revision->ival[0] : set->revision,
+          .expected_revision
+          = options->revision->count > 0 ? options->revision->ival[0] : set->revision,
           .force = options->force->count > 0,
           .dry_run = options->dry_run->count > 0,
           .json = lt_arguments_wants_json (&options->common),
-          .wait = options->wait->count > 0 ? options->wait->ival[0] * LB_SEC : 0 };
-  code = lt_change_request_send (&sent);
+          .active_timeout = options->wait->count > 0 ? options->wait->ival[0] * LB_SEC : 0 };
+  code = lt_change_request_send (&request);
 out:
-  lc_resource_set_free (next);
+  lc_resource_set_free (new_set);
   lc_resource_set_free (set);
   return code;
 }
 
-/* Takes the change over. */
+/* Takes ownership of change. */
 static int
 connect_and_send (const Options *options, struct json_object *change, const char *source)
 {
@@ -98,8 +102,8 @@
   Options options;
   void *table[5 + LT_N_COMMON_ARGUMENTS];
 
-  init_options (&options);
-  options.files = arg_filen ("f", "file", "FILE", 1, 16, "resources, JSON with comments");
+  init_change_options (&options);
+  options.files = arg_filen ("f", "file", "FILE", 1, 16, "resource file, JSON with comments");
   table[0] = options.files;
   table[1] = options.dry_run;
   table[2] = options.force;
@@ -114,15 +118,15 @@
 }
 
 static int
-delete_one (const Options *options)
+delete_resource (const Options *options)
 {
   struct json_object *change = json_object_new_object ();
   struct json_object *list = json_object_new_array ();
-  struct json_object *item = json_object_new_object ();
+  struct json_object *resource = json_object_new_object ();
 
-  json_object_object_add (item, "kind", json_object_new_string (options->kind->sval[0]));
-  json_object_object_add (item, "name", json_object_new_string (options->name->sval[0]));
-  json_object_array_add (list, item);
+  json_object_object_add (resource, "kind", json_object_new_string (options->kind->sval[0]));
+  json_object_object_add (resource, "name", json_object_new_string (options->name->sval[0]));
+  json_object_array_add (list, resource);
   json_object_object_add (change, "delete", list);
   return connect_and_send (options, change, "delete");
 }
@@ -134,9 +138,9 @@
   Options options;
   void *table[6 + LT_N_COMMON_ARGUMENTS];
 
-  init_options (&options);
+  init_change_options (&options);
   options.kind = arg_str1 (NULL, NULL, "KIND", "pool, subscription, version_bound or endpoint");
-  options.name = arg_str1 (NULL, NULL, "NAME", "of the resource");
+  options.name = arg_str1 (NULL, NULL, "NAME", "name of the resource");
   table[0] = options.kind;
   table[1] = options.name;
   table[2] = options.dry_run;
@@ -146,7 +150,7 @@
   lt_arguments_init (&options.common, table + 6);
   if (lt_arguments_parse (&options.common, table, 6 + LT_N_COMMON_ARGUMENTS, argc, argv,
                           "Deletes one resource.", &code))
-    code = delete_one (&options);
+    code = delete_resource (&options);
   arg_freetable (table, 6 + LT_N_COMMON_ARGUMENTS);
   return code;
 }
--- a/packages/cli/src/lt-arguments.c
+++ b/packages/cli/src/lt-arguments.c
@@ -9,17 +9,18 @@
 #define DEFAULT_ADDRESS "127.0.0.1:8080"
 #define ADDRESS_VARIABLE "LENTILSPINDLE_ADDRESS"
 #define TOKEN_VARIABLE "LENTILSPINDLE_TOKEN"
-#define MAX_FAULTS 10
+#define MAX_PRINTED_ERRORS 10
 
 void
 lt_arguments_init (LtArguments *arguments, void **table)
 {
-  arguments->address = arg_str0 ("a", "address", "IP:PORT",
-                                 "an instance (" ADDRESS_VARIABLE ", else " DEFAULT_ADDRESS ")");
-  arguments->token = arg_str0 (NULL, "token", "TOKEN", "the operator's token (" TOKEN_VARIABLE ")");
-  arguments->output = arg_str0 ("o", "output", "json|table", "form of the output; table");
+  arguments->address
+      = arg_str0 ("a", "address", "IP:PORT",
+                  "address of an instance (" ADDRESS_VARIABLE ", else " DEFAULT_ADDRESS ")");
+  arguments->token = arg_str0 (NULL, "token", "TOKEN", "operator token (" TOKEN_VARIABLE ")");
+  arguments->output = arg_str0 ("o", "output", "json|table", "output format (default: table)");
   arguments->help = arg_lit0 (NULL, "help", "print this help");
-  arguments->end = arg_end (MAX_FAULTS);
+  arguments->end = arg_end (MAX_PRINTED_ERRORS);
   table[0] = arguments->address;
   table[1] = arguments->token;
   table[2] = arguments->output;
@@ -39,7 +40,7 @@
 bool
 lt_arguments_parse (LtArguments *arguments,
                     void **table,
-                    size_t n,
+                    size_t n_entries,
                     int argc,
                     char **argv,
                     const char *summary,
@@ -48,9 +49,9 @@
   char program[64];
 
   *exit_code = LT_EXIT_USAGE;
-  if (arg_nullcheck (table) != 0 || n == 0)
+  if (arg_nullcheck (table) != 0 || n_entries == 0)
     return false;
-  int faults = arg_parse (argc, argv, table);
+  int n_errors = arg_parse (argc, argv, table);
   if (arguments->help->count > 0)
     {
       lt_print_help (table, argv[0], summary);
@@ -58,7 +59,7 @@
       return false;
     }
   snprintf (program, sizeof program, "lentilspindle %s", argv[0]);
-  if (faults > 0)
+  if (n_errors > 0)
     {
       arg_print_errors (stderr, arguments->end, program);
       return false;
@@ -79,20 +80,23 @@
 }
 
 static const char *
-value_of (const struct arg_str *option, const char *variable, const char *otherwise)
+option_or_environment (const struct arg_str *option,
+                       const char *variable,
+                       const char *default_value)
 {
   const char *from_environment = getenv (variable);
 
   if (option->count > 0)
     return option->sval[0];
-  return from_environment ? from_environment : otherwise;
+  return from_environment ? from_environment : default_value;
 }
 
 LtClient *
 lt_arguments_new_client (const LtArguments *arguments)
 {
-  return lt_client_new (value_of (arguments->address, ADDRESS_VARIABLE, DEFAULT_ADDRESS),
-                        value_of (arguments->token, TOKEN_VARIABLE, ""));
+  return lt_client_new (option_or_environment (arguments->address, ADDRESS_VARIABLE,
+                                               DEFAULT_ADDRESS),
+                        option_or_environment (arguments->token, TOKEN_VARIABLE, ""));
 }
 
 int
--- a/packages/cli/src/lt-arguments.h
+++ b/packages/cli/src/lt-arguments.h
@@ -5,7 +5,7 @@
 
 #include <argtable2.h>
 
-/* The options that every operator's command has, beside its own. */
+/* Options common to all operator commands. */
 typedef struct
 {
   struct arg_lit *help;
@@ -17,19 +17,18 @@
 
 #define LT_N_COMMON_ARGUMENTS 5
 
-/* Makes the common options and writes them (LT_N_COMMON_ARGUMENTS of them, the last is the end) to
- * table.
- */
+/* Creates the common options and writes them to table, LT_N_COMMON_ARGUMENTS entries with arg_end
+ * as the last. */
 void lt_arguments_init (LtArguments *arguments, void **table);
 
-/* Usage, what the command does and its options, on standard output. The table ends with arg_end. */
+/* Prints usage, summary and options to standard output. The last entry of table is arg_end. */
 void lt_print_help (void **table, const char *command, const char *summary);
 
-/* True when the command shall run; else *exit_code tells how to end, and the help or the faults
- * have been printed. table has n entries in all. */
+/* Returns true if the command should run. Otherwise the help text or the errors were printed and
+ * *exit_code is set. table has n_entries entries, the common options included. */
 bool lt_arguments_parse (LtArguments *arguments,
                          void **table,
-                         size_t n,
+                         size_t n_entries,
                          int argc,
                          char **argv,
                          const char *summary,
@@ -38,7 +37,7 @@
 bool lt_arguments_wants_json (const LtArguments *arguments);
 LtClient *lt_arguments_new_client (const LtArguments *arguments);
 
-/* One line on standard error; the exit code of a refusal or failed call. */
+/* Prints the error as one line on standard error and returns LT_EXIT_FAILED. */
 int lt_print_error (const LbError *error);
 
 #endif
--- a/packages/cli/src/lt-client.c
+++ b/packages/cli/src/lt-client.c
@@ -21,25 +21,25 @@
   char *operator_name;
 };
 
-/* What the handlers fill while the loop runs. */
+/* The call that the event loop runs, filled in by its handlers. */
 typedef struct
 {
   LtClient *client;
   LtReply *reply;
   LbErrorCode failure;
-} Exchange;
+} PendingCall;
 
 LtClient *
 lt_client_new (const char *address, const char *token)
 {
   LtClient *client = LB_NEW (LtClient);
-  const char *user = getenv ("USER");
+  const char *user_name = getenv ("USER");
 
   client->base = event_base_new ();
   client->pool = lh_pool_new (client->base);
   LB_COPY (client->address, address);
   client->authorization = lb_asprintf ("Bearer %s", token);
-  client->operator_name = lb_strdup (user ? user : "");
+  client->operator_name = lb_strdup (user_name ? user_name : "");
   return client;
 }
 
@@ -74,18 +74,18 @@
 }
 
 static void
-on_done (LhFetch *fetch, const LhResult *result, void *user)
+on_call_done (LhFetch *fetch, const LhResult *result, void *user_data)
 {
-  Exchange *exchange = user;
+  PendingCall *pending = user_data;
   const char *etag = lh_fetch_header (fetch, "ETag");
 
-  exchange->failure = result->failure;
-  exchange->reply->status = result->status;
+  pending->failure = result->failure;
+  pending->reply->status = result->status;
   if (result->failure == LB_OK)
-    exchange->reply->body = parse_body (result->body, result->body_length);
+    pending->reply->body = parse_body (result->body, result->body_length);
   if (etag)
-    exchange->reply->revision = strtoll (etag + (*etag == '"'), NULL, 10);
-  event_base_loopbreak (exchange->client->base);
+    pending->reply->revision = strtoll (etag + (*etag == '"'), NULL, 10);
+  event_base_loopbreak (pending->client->base);
 }
 
 static size_t
@@ -98,38 +98,38 @@
     headers[n++] = (LhHeader){ "x-operator", client->operator_name };
   if (call->if_match)
     headers[n++] = (LhHeader){ "If-Match", call->if_match };
-  if (call->token)
-    headers[n++] = (LhHeader){ "idempotency-key", call->token };
+  if (call->idempotency_key)
+    headers[n++] = (LhHeader){ "idempotency-key", call->idempotency_key };
   if (call->body)
     headers[n++] = (LhHeader){ "content-type", "application/json" };
   return n;
 }
 
 static bool
-error_of_reply (const LtReply *reply, LbError *error)
+set_error_from_reply (const LtReply *reply, LbError *error)
 {
-  struct json_object *member = NULL;
-
-  if (!reply->body || !json_object_object_get_ex (reply->body, "error", &member))
-    return lb_error_set (error, LB_ERROR_IO, "", "HTTP status %d with no error in the body",
-                         reply->status);
-  return lb_error_set (error, lb_error_from_name (lb_json_text (member, "type", "")),
-                       lb_json_text (member, "where", ""), "%s",
-                       lb_json_text (member, "message", ""));
+  struct json_object *error_object = NULL;
+
+  if (!reply->body || !json_object_object_get_ex (reply->body, "error", &error_object))
+    return lb_error_set (error, LB_ERROR_IO, "",
+                         "HTTP status %d without an error object in the body", reply->status);
+  return lb_error_set (error, lb_error_from_name (lb_json_text (error_object, "type", "")),
+                       lb_json_text (error_object, "where", ""), "%s",
+                       lb_json_text (error_object, "message", ""));
 }
 
 bool
 lt_client_call (LtClient *client, const LtCall *call, LtReply *reply, LbError *error)
 {
   LhHeader headers[MAX_HEADERS];
-  Exchange exchange = { .client = client, .reply = reply };
-  const LhHandlers handlers = { .on_done = on_done };
+  PendingCall pending = { .client = client, .reply = reply };
+  const LhHandlers handlers = { .on_done = on_call_done };
   LhRequest request = { .method = call->method,
                         .address = client->address,
                         .path = call->path,
                         .headers = headers,
                         .n_headers = fill_headers (client, call, headers),
-                        .idle_timeout = call->silence };
+                        .idle_timeout = call->idle_timeout };
 
   *reply = (LtReply){ .revision = -1 };
   if (call->body)
@@ -137,13 +137,13 @@
       request.body = json_object_to_json_string_ext (call->body, JSON_C_TO_STRING_PLAIN);
       request.body_length = strlen (request.body);
     }
-  if (!lh_fetch_start (client->pool, &request, &handlers, &exchange, error))
+  if (!lh_fetch_start (client->pool, &request, &handlers, &pending, error))
     return false;
   event_base_dispatch (client->base);
-  if (exchange.failure != LB_OK || reply->status == 0)
-    return lb_error_set (error, exchange.failure != LB_OK ? exchange.failure : LB_ERROR_IO,
+  if (pending.failure != LB_OK || reply->status == 0)
+    return lb_error_set (error, pending.failure != LB_OK ? pending.failure : LB_ERROR_IO,
                          client->address, "no reply from the instance");
   if (reply->status / 100 != 2)
-    return error_of_reply (reply, error);
+    return set_error_from_reply (reply, error);
   return true;
 }
--- a/packages/cli/src/lt-client.h
+++ b/packages/cli/src/lt-client.h
@@ -5,31 +5,32 @@
 
 struct json_object;
 
-/* A synchronous client of operators' calls: one call at a time, each on its own event loop turn. */
+/* Synchronous HTTP client for operator calls. Each call runs the event loop until it completes. */
 typedef struct LtClient LtClient;
 
 typedef struct
 {
-  int status;               /* 0: no reply came */
-  int64_t revision;         /* of the ETag; -1: none */
-  struct json_object *body; /* NULL when it is not JSON */
+  int status;               /* HTTP status; 0: no reply */
+  int64_t revision;         /* from the ETag header; -1: no ETag */
+  struct json_object *body; /* NULL if the body is not JSON */
 } LtReply;
 
 typedef struct
 {
   const char *method;
   const char *path;
-  const char *if_match; /* NULL: none */
-  const char *token;    /* idempotency-key; NULL: none */
+  const char *if_match;        /* NULL: no such header */
+  const char *idempotency_key; /* NULL: no such header */
   struct json_object *body;
-  LbTime silence;
+  LbTime idle_timeout;
 } LtCall;
 
 LtClient *lt_client_new (const char *address, const char *token);
 void lt_client_free (LtClient *client);
 
-/* False with a typed error when no reply came or its status is not 2xx: then the error of the reply
- * is given, and the reply's status and revision. Always clear the reply. */
+/* Returns false with an error if no reply came or its status is not 2xx. For another status the
+ * error is read from the reply's body, and reply->status and reply->revision are set. The caller
+ * clears the reply in every case. */
 bool lt_client_call (LtClient *client, const LtCall *call, LtReply *reply, LbError *error);
 void lt_reply_clear (LtReply *reply);
 
--- a/packages/cli/src/lt-command.c
+++ b/packages/cli/src/lt-command.c
@@ -10,15 +10,15 @@
   { "apply", "add or replace resources from files", lt_apply_run },
   { "get", "print the accepted resources", lt_get_run },
   { "delete", "delete a resource", lt_delete_run },
-  { "diff", "print what files would change", lt_diff_run },
-  { "watch", "follow what is accepted and in force", lt_watch_run },
+  { "diff", "print what applying files would change", lt_diff_run },
+  { "watch", "follow the accepted revisions and where they are in force", lt_watch_run },
   { "history", "print the last changes", lt_history_run },
-  { "status", "print who holds what and what waits", lt_status_run },
-  { "cost", "measures what decisions cost here", lt_cost_run },
-  { "explain", "tells what became of a request, from logs", lt_explain_run },
-  { "replay", "runs traces against what they state", lt_replay_run },
-  { "soak", "runs at random with faults and checks every promise", lt_soak_run },
-  { "bench", "compares policies on one trace", lt_bench_run },
+  { "status", "print instances, leases and roll-outs", lt_status_run },
+  { "cost", "measure the cost of decisions on this machine", lt_cost_run },
+  { "explain", "print the timeline of a request from logs", lt_explain_run },
+  { "replay", "run traces and check their expectations", lt_replay_run },
+  { "soak", "run random fault simulations and check all invariants", lt_soak_run },
+  { "bench", "compare policies on one workload", lt_bench_run },
   { NULL, NULL, NULL },
 };
 
@@ -28,7 +28,7 @@
   fputs ("Usage: lentilspindle COMMAND [OPTION...]\n\nCommands:\n", out);
   for (const LtCommand *command = commands; command->name; command++)
     fprintf (out, "  %-10s %s\n", command->name, command->summary);
-  fputs ("\nlentilspindle COMMAND --help tells a command's options.\n", out);
+  fputs ("\nlentilspindle COMMAND --help prints the options of a command.\n", out);
 }
 
 static const LtCommand *
--- a/packages/cli/src/lt-get.c
+++ b/packages/cli/src/lt-get.c
@@ -8,7 +8,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#define CALL_SILENCE (15 * LB_SEC)
+#define CALL_IDLE_TIMEOUT (15 * LB_SEC)
 
 typedef struct
 {
@@ -18,7 +18,7 @@
   LtArguments common;
 } Options;
 
-/* KEY=VALUE of what is neither kind nor name. */
+/* Prints kind and name, then the other fields as KEY=VALUE. */
 static void
 print_resource (struct json_object *resource)
 {
@@ -46,13 +46,13 @@
 }
 
 static int
-get (const Options *options)
+get_resources (const Options *options)
 {
   char path[256];
   LtReply reply;
   LbError error = { .code = LB_OK };
   int code = LT_EXIT_OK;
-  const LtCall call = { .method = "GET", .path = path, .silence = CALL_SILENCE };
+  const LtCall call = { .method = "GET", .path = path, .idle_timeout = CALL_IDLE_TIMEOUT };
   LtClient *client = lt_arguments_new_client (&options->common);
 
   snprintf (path, sizeof path, "/v1/resources%s%s%s%s", options->kind->count > 0 ? "/" : "",
@@ -79,11 +79,11 @@
 
   table[0] = options.kind
       = arg_str0 (NULL, NULL, "KIND", "pool, subscription, version_bound or endpoint");
-  table[1] = options.name = arg_str0 (NULL, NULL, "NAME", "of the resource");
+  table[1] = options.name = arg_str0 (NULL, NULL, "NAME", "name of the resource");
   lt_arguments_init (&options.common, table + 2);
   if (lt_arguments_parse (&options.common, table, 2 + LT_N_COMMON_ARGUMENTS, argc, argv,
                           "Prints the accepted resources.", &code))
-    code = get (&options);
+    code = get_resources (&options);
   arg_freetable (table, 2 + LT_N_COMMON_ARGUMENTS);
   return code;
 }
@@ -115,11 +115,11 @@
   }
 }
 
-/* Prints what differs between two sets; how many resources do. */
+/* Prints added and changed resources and returns their number. Applying files deletes none. */
 static size_t
 print_difference (const LcResourceSet *before, const LcResourceSet *after)
 {
-  size_t different = 0;
+  size_t n_different = 0;
   struct json_object *old_set = lc_resource_set_to_json (before);
   struct json_object *new_set = lc_resource_set_to_json (after);
   struct json_object *old_list = json_object_object_get (old_set, "resources");
@@ -131,7 +131,7 @@
       struct json_object *old = find_resource (old_list, resource);
       if (old && json_object_equal (old, resource))
         continue;
-      different++;
+      n_different++;
       if (old)
         print_changed_keys (old, resource);
       else
@@ -139,15 +139,15 @@
     }
   json_object_put (old_set);
   json_object_put (new_set);
-  return different;
+  return n_different;
 }
 
 static int
-diff (const Options *options)
+diff_resources (const Options *options)
 {
   LbError error = { .code = LB_OK };
   int code = LT_EXIT_USAGE;
-  LcResourceSet *set = NULL, *next = NULL;
+  LcResourceSet *set = NULL, *new_set = NULL;
   LtClient *client = lt_arguments_new_client (&options->common);
   struct json_object *change
       = lt_resources_read_files (options->files->filename, (size_t)options->files->count, &error);
@@ -163,15 +163,15 @@
       code = lt_print_error (&error);
       goto out;
     }
-  next = lc_change_apply (set, change, options->files->filename[0], &error);
-  if (!next)
+  new_set = lc_change_apply (set, change, options->files->filename[0], &error);
+  if (!new_set)
     {
       lt_print_error (&error);
       goto out;
     }
-  code = print_difference (set, next) > 0 ? LT_EXIT_FAILED : LT_EXIT_OK;
+  code = print_difference (set, new_set) > 0 ? LT_EXIT_FAILED : LT_EXIT_OK;
 out:
-  lc_resource_set_free (next);
+  lc_resource_set_free (new_set);
   lc_resource_set_free (set);
   json_object_put (change);
   lt_client_free (client);
@@ -186,12 +186,13 @@
   void *table[1 + LT_N_COMMON_ARGUMENTS];
 
   table[0] = options.files
-      = arg_filen ("f", "file", "FILE", 1, 16, "resources, JSON with comments");
+      = arg_filen ("f", "file", "FILE", 1, 16, "resource file, JSON with comments");
   lt_arguments_init (&options.common, table + 1);
-  if (lt_arguments_parse (&options.common, table, 1 + LT_N_COMMON_ARGUMENTS, argc, argv,
-                          "Prints what applying the files would change; exit code 1 when anything.",
-                          &code))
-    code = diff (&options);
+  if (lt_arguments_parse (
+          &options.common, table, 1 + LT_N_COMMON_ARGUMENTS, argc, argv,
+          "Prints what applying the files would change; exits with 1 if they change anything.",
+          &code))
+    code = diff_resources (&options);
   arg_freetable (table, 1 + LT_N_COMMON_ARGUMENTS);
   return code;
 }
--- a/packages/cli/src/lt-operator-commands.h
+++ b/packages/cli/src/lt-operator-commands.h
@@ -1,7 +1,7 @@
 #ifndef LT_OPERATOR_COMMANDS_H
 #define LT_OPERATOR_COMMANDS_H
 
-/* The operators' subcommands; rows of the table in lt-command.c. */
+/* Subcommands that call an instance; each is the run function of an LtCommand. */
 int lt_apply_run (int argc, char **argv);
 int lt_delete_run (int argc, char **argv);
 int lt_get_run (int argc, char **argv);
--- a/packages/cli/src/lt-report.c
+++ b/packages/cli/src/lt-report.c
@@ -11,71 +11,72 @@
 
 enum
 {
-  WIDTH = 760,
-  HEIGHT = 360,
-  MARGIN = 60,
-  BAR = 18
+  CHART_WIDTH_PX = 760,
+  CHART_HEIGHT_PX = 360,
+  MARGIN_PX = 60,
+  BAR_PITCH_PX = 18
 };
 
-typedef double (*Measure) (const LxResult *result);
+typedef double (*Metric) (const LxResult *result);
 
 static double
-idle_of (const LxResult *result)
+get_idle_seconds (const LxResult *result)
 {
   return result->idle_seconds;
 }
 
 static double
-staleness_of (const LxResult *result)
+get_staleness_mean (const LxResult *result)
 {
   return result->staleness_mean;
 }
 
 static double
-p50_of (const LxResult *result)
+get_live_p50_ms (const LxResult *result)
 {
   return result->live_p50_ms;
 }
 
 static double
-p99_of (const LxResult *result)
+get_live_p99_ms (const LxResult *result)
 {
   return result->live_p99_ms;
 }
 
 static double
-imbalance_of (const LxResult *result)
+get_imbalance (const LxResult *result)
 {
   return result->imbalance;
 }
 
 static double
-largest (const LxResult *results, size_t n, Measure measure)
+find_max (const LxResult *results, size_t n, Metric metric)
 {
-  double most = 1e-9;
+  double max = 1e-9;
 
   for (size_t i = 0; i < n; i++)
-    most = measure (&results[i]) > most ? measure (&results[i]) : most;
-  return most;
+    max = metric (&results[i]) > max ? metric (&results[i]) : max;
+  return max;
 }
 
 static void
 write_scatter (FILE *out, const LxResult *results, size_t n)
 {
-  double x_max = largest (results, n, staleness_of) * 1.1;
-  double y_max = largest (results, n, idle_of) * 1.1;
-
-  fprintf (out, "<h2>Idle time against staleness</h2>\n<svg width=\"%d\" height=\"%d\">\n", WIDTH,
-           HEIGHT);
-  fprintf (out, "<path d=\"M%d %d V%d H%d\" stroke=\"black\" fill=\"none\"/>\n", MARGIN, 10,
-           HEIGHT - MARGIN, WIDTH - 10);
-  fprintf (out, "<text x=\"%d\" y=\"%d\">mean staleness, versions (to %.2f)</text>\n", WIDTH / 3,
-           HEIGHT - MARGIN / 3, x_max);
+  double x_max = find_max (results, n, get_staleness_mean) * 1.1;
+  double y_max = find_max (results, n, get_idle_seconds) * 1.1;
+
+  fprintf (out, "<h2>Idle time against staleness</h2>\n<svg width=\"%d\" height=\"%d\">\n",
+           CHART_WIDTH_PX, CHART_HEIGHT_PX);
+  fprintf (out, "<path d=\"M%d %d V%d H%d\" stroke=\"black\" fill=\"none\"/>\n", MARGIN_PX, 10,
+           CHART_HEIGHT_PX - MARGIN_PX, CHART_WIDTH_PX - 10);
+  fprintf (out, "<text x=\"%d\" y=\"%d\">mean staleness, versions (to %.2f)</text>\n",
+           CHART_WIDTH_PX / 3, CHART_HEIGHT_PX - MARGIN_PX / 3, x_max);
   fprintf (out, "<text x=\"5\" y=\"20\">idle s per step (to %.1f)</text>\n", y_max);
   for (size_t i = 0; i < n; i++)
     {
-      double x = MARGIN + (WIDTH - 2 * MARGIN) * results[i].staleness_mean / x_max;
-      double y = HEIGHT - MARGIN - (HEIGHT - 2 * MARGIN) * results[i].idle_seconds / y_max;
+      double x = MARGIN_PX + (CHART_WIDTH_PX - 2 * MARGIN_PX) * results[i].staleness_mean / x_max;
+      double y = CHART_HEIGHT_PX - MARGIN_PX
+                 - (CHART_HEIGHT_PX - 2 * MARGIN_PX) * results[i].idle_seconds / y_max;
       fprintf (out,
                "<circle cx=\"%.1f\" cy=\"%.1f\" r=\"4\" fill=\"%s\"><title>%s</title></circle>\n",
                x, y, strncmp (results[i].policy, "lentil", 6) == 0 ? "#c33" : "#369",
@@ -87,21 +88,22 @@
 }
 
 static void
-write_bars (FILE *out, const char *title, const LxResult *results, size_t n, Measure measure)
+write_bars (FILE *out, const char *title, const LxResult *results, size_t n, Metric metric)
 {
-  double most = largest (results, n, measure);
+  double max = find_max (results, n, metric);
 
-  fprintf (out, "<h2>%s</h2>\n<svg width=\"%d\" height=\"%zu\">\n", title, WIDTH, n * BAR + 10);
+  fprintf (out, "<h2>%s</h2>\n<svg width=\"%d\" height=\"%zu\">\n", title, CHART_WIDTH_PX,
+           n * BAR_PITCH_PX + 10);
   for (size_t i = 0; i < n; i++)
     {
-      double value = measure (&results[i]);
+      double value = metric (&results[i]);
       fprintf (out,
                "<text x=\"0\" y=\"%zu\" font-size=\"11\">%s #%" PRIu64 "</text>"
                "<rect x=\"250\" y=\"%zu\" width=\"%.1f\" height=\"12\" fill=\"#369\"/>"
                "<text x=\"%.1f\" y=\"%zu\" font-size=\"11\">%.2f</text>\n",
-               i * BAR + 14, results[i].policy, results[i].seed, i * BAR + 4,
-               (WIDTH - 330) * value / most, 255 + (WIDTH - 330) * value / most, i * BAR + 14,
-               value);
+               i * BAR_PITCH_PX + 14, results[i].policy, results[i].seed, i * BAR_PITCH_PX + 4,
+               (CHART_WIDTH_PX - 330) * value / max, 255 + (CHART_WIDTH_PX - 330) * value / max,
+               i * BAR_PITCH_PX + 14, value);
     }
   fputs ("</svg>\n", out);
 }
@@ -123,9 +125,9 @@
            "<style>body{font-family:sans-serif;margin:2em}</style><h1>bench, %s</h1>\n",
            site, site);
   write_scatter (out, results, n);
-  write_bars (out, "Live latency, median, ms", results, n, p50_of);
-  write_bars (out, "Live latency, 99th percentile, ms", results, n, p99_of);
-  write_bars (out, "Load of the busiest engine over the mean", results, n, imbalance_of);
+  write_bars (out, "Live latency, median, ms", results, n, get_live_p50_ms);
+  write_bars (out, "Live latency, 99th percentile, ms", results, n, get_live_p99_ms);
+  write_bars (out, "Load of the busiest engine over the mean", results, n, get_imbalance);
   fputs ("</html>\n", out);
   written = true;
 out:
--- a/packages/cli/src/lt-report.h
+++ b/packages/cli/src/lt-report.h
@@ -3,8 +3,7 @@
 
 #include "lx-result.h"
 
-/* Writes DIR/bench.html, a page that needs nothing else; false and a line on standard error when it
- * can't. */
+/* Writes the self-contained page DIR/bench.html. Prints an error and returns false on failure. */
 bool lt_report_write (const char *dir, const char *site, const LxResult *results, size_t n);
 
 #endif
--- a/packages/cli/src/lt-resources.c
+++ b/packages/cli/src/lt-resources.c
@@ -10,9 +10,9 @@
 #include <string.h>
 #include <unistd.h>
 
-#define WATCH_WAIT_MS 1000
-#define CALL_SILENCE (15 * LB_SEC)
-#define MAX_SENDS 3
+#define LONG_POLL_MS 1000
+#define CALL_IDLE_TIMEOUT (15 * LB_SEC)
+#define MAX_SEND_ATTEMPTS 3
 
 void
 lt_print_json (struct json_object *object)
@@ -20,7 +20,6 @@
   puts (json_object_to_json_string_ext (object, JSON_C_TO_STRING_PRETTY | JSON_C_TO_STRING_SPACED));
 }
 
-/* "" when the key is absent or null. */
 const char *
 lt_json_text (struct json_object *object, const char *key)
 {
@@ -48,7 +47,8 @@
 {
   LtReply reply;
   LcResourceSet *set = NULL;
-  const LtCall call = { .method = "GET", .path = "/v1/resources", .silence = CALL_SILENCE };
+  const LtCall call
+      = { .method = "GET", .path = "/v1/resources", .idle_timeout = CALL_IDLE_TIMEOUT };
 
   if (lt_client_call (client, &call, &reply, error))
     set = lc_resource_set_from_json (reply.body, "reply", error);
@@ -57,7 +57,7 @@
 }
 
 static bool
-add_file (struct json_object *apply, const char *file, LbError *error)
+append_file_resources (struct json_object *resources, const char *file, LbError *error)
 {
   struct json_object *list = NULL;
   bool ok = false;
@@ -69,16 +69,17 @@
   {
     if (strcmp (key, "resources") != 0)
       {
-        lb_error_set (error, LB_ERROR_UNKNOWN_KEY, file, "%s: no key of this name is known", key);
+        lb_error_set (error, LB_ERROR_UNKNOWN_KEY, file, "%s: unknown key; expected resources",
+                      key);
         goto out;
       }
     list = value;
   }
   ok = json_object_is_type (list, json_type_array);
   if (!ok)
-    lb_error_set (error, LB_ERROR_BAD_VALUE, file, "resources: expected a list");
+    lb_error_set (error, LB_ERROR_BAD_VALUE, file, "resources: expected an array");
   for (size_t i = 0; ok && i < json_object_array_length (list); i++)
-    json_object_array_add (apply, json_object_get (json_object_array_get_idx (list, i)));
+    json_object_array_add (resources, json_object_get (json_object_array_get_idx (list, i)));
 out:
   json_object_put (object);
   return ok;
@@ -88,11 +89,11 @@
 lt_resources_read_files (const char *const *files, size_t n_files, LbError *error)
 {
   struct json_object *change = json_object_new_object ();
-  struct json_object *apply = json_object_new_array ();
+  struct json_object *resources = json_object_new_array ();
 
-  json_object_object_add (change, "apply", apply);
+  json_object_object_add (change, "apply", resources);
   for (size_t i = 0; i < n_files; i++)
-    if (!add_file (apply, files[i], error))
+    if (!append_file_resources (resources, files[i], error))
       {
         json_object_put (change);
         return NULL;
@@ -101,7 +102,7 @@
 }
 
 static bool
-is_in_force_everywhere (struct json_object *body)
+is_in_force_on_all_instances (struct json_object *body)
 {
   struct json_object *in_force = json_object_object_get (body, "in_force");
 
@@ -115,39 +116,40 @@
 }
 
 bool
-lt_resources_wait_until_active (LtClient *client, int64_t revision, LbTime wait, LbError *error)
+lt_resources_wait_until_active (LtClient *client, int64_t revision, LbTime timeout, LbError *error)
 {
   char path[128];
   LtReply reply;
-  LbTime until = lb_clock_monotonic () + wait;
-  const LtCall call = { .method = "GET", .path = path, .silence = CALL_SILENCE };
+  LbTime deadline = lb_clock_monotonic () + timeout;
+  const LtCall call = { .method = "GET", .path = path, .idle_timeout = CALL_IDLE_TIMEOUT };
 
-  for (int wait_ms = 0;; wait_ms = WATCH_WAIT_MS)
+  for (int long_poll_ms = 0;; long_poll_ms = LONG_POLL_MS)
     {
       snprintf (path, sizeof path, "/v1/resources/watch?after=%lld&wait_ms=%d", (long long)revision,
-                wait_ms);
+                long_poll_ms);
       bool ok = lt_client_call (client, &call, &reply, error);
-      bool done = ok && lt_json_integer (reply.body, "accepted") >= revision
-                  && is_in_force_everywhere (reply.body);
+      bool is_active = ok && lt_json_integer (reply.body, "accepted") >= revision
+                       && is_in_force_on_all_instances (reply.body);
       lt_reply_clear (&reply);
       if (!ok)
         return false;
-      if (done)
+      if (is_active)
         return true;
-      if (lb_clock_monotonic () >= until)
-        return lb_error_set (error, LB_ERROR_TIMEOUT, "", "not in force everywhere yet");
+      if (lb_clock_monotonic () >= deadline)
+        return lb_error_set (error, LB_ERROR_TIMEOUT, "",
+                             "revision is not in force on all instances yet");
     }
 }
 
 static void
-print_outcome (const LtChangeRequest *change, struct json_object *body)
+print_outcome (const LtChangeRequest *request, struct json_object *body)
 {
   struct json_object *in_force = json_object_object_get (body, "in_force");
 
-  if (change->json)
+  if (request->json)
     lt_print_json (body);
-  else if (change->dry_run)
-    printf ("would become revision %lld; nothing was changed\n",
+  else if (request->dry_run)
+    printf ("dry run: would become revision %lld; nothing was changed\n",
             (long long)lt_json_integer (body, "revision"));
   else
     printf ("accepted as revision %lld, in force on %lld of %lld\n",
@@ -156,53 +158,53 @@
             (long long)lt_json_integer (in_force, "of"));
 }
 
-/* The same token with each send: a reply that is lost after the change was accepted is asked for
- * again and not applied twice. */
+/* Sends the same idempotency key with each attempt, so that a change whose reply was lost is not
+ * applied twice. */
 static bool
-send_with_retries (const LtChangeRequest *change, LtReply *reply, LbError *error)
+send_with_retries (const LtChangeRequest *request, LtReply *reply, LbError *error)
 {
-  char token[64], if_match[32];
+  char idempotency_key[64], if_match[32];
   const LtCall call = { .method = "POST",
-                        .path = change->dry_run ? "/v1/resources?dry_run=1" : "/v1/resources",
-                        .if_match = change->force ? "*" : if_match,
-                        .token = token,
-                        .body = change->change,
-                        .silence = CALL_SILENCE };
+                        .path = request->dry_run ? "/v1/resources?dry_run=1" : "/v1/resources",
+                        .if_match = request->force ? "*" : if_match,
+                        .idempotency_key = idempotency_key,
+                        .body = request->change,
+                        .idle_timeout = CALL_IDLE_TIMEOUT };
 
-  snprintf (token, sizeof token, "operator-%ld-%lld-%lld", (long)getpid (),
+  snprintf (idempotency_key, sizeof idempotency_key, "operator-%ld-%lld-%lld", (long)getpid (),
             (long long)lb_clock_wall_ms (), (long long)lb_clock_monotonic ());
-  snprintf (if_match, sizeof if_match, "\"%lld\"", (long long)change->revision);
-  for (int sends = 1;; sends++)
+  snprintf (if_match, sizeof if_match, "\"%lld\"", (long long)request->expected_revision);
+  for (int attempt = 1;; attempt++)
     {
-      if (lt_client_call (change->client, &call, reply, error))
+      if (lt_client_call (request->client, &call, reply, error))
         return true;
-      if (reply->status != 0 || sends == MAX_SENDS || change->force)
+      if (reply->status != 0 || attempt == MAX_SEND_ATTEMPTS || request->force)
         return false;
       lt_reply_clear (reply);
     }
 }
 
 int
-lt_change_request_send (const LtChangeRequest *change)
+lt_change_request_send (const LtChangeRequest *request)
 {
   LtReply reply;
   LbError error = { .code = LB_OK };
   int code = LT_EXIT_OK;
 
-  if (!send_with_retries (change, &reply, &error))
+  if (!send_with_retries (request, &reply, &error))
     {
       code = lt_print_error (&error);
       if (error.code == LB_ERROR_CONFLICT)
         fprintf (stderr,
-                 "lentilspindle: revision %lld is accepted now; look at it with "
+                 "lentilspindle: revision %lld is accepted now; review it with "
                  "`lentilspindle diff` and apply again\n",
                  (long long)reply.revision);
       goto out;
     }
-  print_outcome (change, reply.body);
-  if (change->wait > 0 && !change->dry_run
-      && !lt_resources_wait_until_active (change->client, lt_json_integer (reply.body, "revision"),
-                                          change->wait, &error))
+  print_outcome (request, reply.body);
+  if (request->active_timeout > 0 && !request->dry_run
+      && !lt_resources_wait_until_active (request->client, lt_json_integer (reply.body, "revision"),
+                                          request->active_timeout, &error))
     code = lt_print_error (&error);
 out:
   lt_reply_clear (&reply);
--- a/packages/cli/src/lt-timeline.c
+++ b/packages/cli/src/lt-timeline.c
@@ -7,19 +7,19 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A list of all candidates would fill the screen. */
-#define MAX_VALUE 160
-/* Beliefs that were formed so long before the first line of the story still explain it. */
-#define BELIEFS_BEFORE_MS 5000
-/* Lines that one message brings are written within this time. */
-#define SAME_NEWS_MS 5
+/* Longer values, such as lists of candidate endpoints, are truncated. */
+#define MAX_VALUE_LENGTH 160
+/* State changes this long before the first matching line can still explain it. */
+#define CONTEXT_BEFORE_MS 5000
+/* Lines that one received message causes are logged within this time. */
+#define SAME_MESSAGE_MS 5
 
 typedef struct
 {
-  int64_t time; /* ms */
-  size_t order; /* as read */
-  struct json_object *line;
-  bool chosen;
+  int64_t time_ms;
+  size_t order; /* position in the input; orders lines of the same time */
+  struct json_object *object;
+  bool names_id;
 } Line;
 
 struct LtTimeline
@@ -31,7 +31,8 @@
   size_t n_unreadable;
 };
 
-static const char *const beliefs[]
+/* Events that change what an instance knows of endpoints, other instances, the store or leases. */
+static const char *const state_change_events[]
     = { "endpoint_listed",  "endpoint_lists_leaving", "endpoint_gone",     "endpoint-leaving",
         "instance_alive",   "instance_lost",          "store_lost",        "store_back",
         "desired_in_force", "engines_divided",        "lease_gained",      "lease_lost",
@@ -41,52 +42,53 @@
 LtTimeline *
 lt_timeline_new (const char *id)
 {
-  LtTimeline *story = LB_NEW (LtTimeline);
+  LtTimeline *timeline = LB_NEW (LtTimeline);
 
-  story->id = lb_strdup (id);
-  return story;
+  timeline->id = lb_strdup (id);
+  return timeline;
 }
 
 void
-lt_timeline_free (LtTimeline *story)
+lt_timeline_free (LtTimeline *timeline)
 {
-  for (size_t i = 0; i < story->n_lines; i++)
-    json_object_put (story->lines[i].line);
-  free (story->lines);
-  free (story->id);
-  free (story);
+  for (size_t i = 0; i < timeline->n_lines; i++)
+    json_object_put (timeline->lines[i].object);
+  free (timeline->lines);
+  free (timeline->id);
+  free (timeline);
 }
 
 static void
-add_line (LtTimeline *story, struct json_object *object)
+add_line (LtTimeline *timeline, struct json_object *object)
 {
-  if (story->n_lines == story->capacity)
+  if (timeline->n_lines == timeline->capacity)
     {
-      story->capacity = story->capacity ? story->capacity * 2 : 1024;
-      story->lines = lb_realloc (story->lines, story->capacity * sizeof *story->lines);
+      timeline->capacity = timeline->capacity ? timeline->capacity * 2 : 1024;
+      timeline->lines = lb_realloc (timeline->lines, timeline->capacity * sizeof *timeline->lines);
     }
-  story->lines[story->n_lines]
-      = (Line){ .time = lb_json_int (object, "time", 0), .order = story->n_lines, .line = object };
-  story->n_lines++;
+  timeline->lines[timeline->n_lines] = (Line){ .time_ms = lb_json_int (object, "time", 0),
+                                               .order = timeline->n_lines,
+                                               .object = object };
+  timeline->n_lines++;
 }
 
 static void
-read_line (LtTimeline *story, const char *text)
+read_line (LtTimeline *timeline, const char *text)
 {
   const char *brace = strchr (text, '{');
   struct json_object *object = brace ? json_tokener_parse (brace) : NULL;
 
   if (json_object_is_type (object, json_type_object))
     {
-      add_line (story, object);
+      add_line (timeline, object);
       return;
     }
   json_object_put (object);
-  story->n_unreadable++;
+  timeline->n_unreadable++;
 }
 
 bool
-lt_timeline_read_log (LtTimeline *story, const char *path, LbError *error)
+lt_timeline_read_log (LtTimeline *timeline, const char *path, LbError *error)
 {
   FILE *in = fopen (path, "r");
   char *text = NULL;
@@ -95,160 +97,168 @@
   if (!in)
     return lb_error_set (error, LB_ERROR_IO, path, "cannot open the log");
   while (getline (&text, &size, in) >= 0)
-    read_line (story, text);
+    read_line (timeline, text);
   free (text);
   fclose (in);
   return true;
 }
 
-/* A batch that belongs to an organisation is named by its id and, behind a '~', a hash. */
+/* The id of a batch that belongs to an organisation is followed by '~' and a hash in the logs. */
 static bool
-is_id (const LtTimeline *story, const char *name)
+matches_id (const LtTimeline *timeline, const char *name)
 {
-  size_t length = strlen (story->id);
+  size_t length = strlen (timeline->id);
 
-  return strncmp (name, story->id, length) == 0 && (name[length] == '\0' || name[length] == '~');
+  return strncmp (name, timeline->id, length) == 0 && (name[length] == '\0' || name[length] == '~');
 }
 
 static bool
-names_id (const LtTimeline *story, struct json_object *line)
+has_id (const LtTimeline *timeline, struct json_object *object)
 {
   static const char *const keys[] = { "id", "batch", "item", "caller", "content" };
 
   for (size_t i = 0; i < sizeof keys / sizeof keys[0]; i++)
-    if (is_id (story, lb_json_text (line, keys[i], "")))
+    if (matches_id (timeline, lb_json_text (object, keys[i], "")))
       return true;
   return false;
 }
 
 static bool
-is_belief (struct json_object *line)
+is_state_change (struct json_object *object)
 {
-  const char *event = lb_json_text (line, "event", "");
+  const char *event = lb_json_text (object, "event", "");
 
-  for (size_t i = 0; i < sizeof beliefs / sizeof beliefs[0]; i++)
-    if (strcmp (event, beliefs[i]) == 0)
+  for (size_t i = 0; i < sizeof state_change_events / sizeof state_change_events[0]; i++)
+    if (strcmp (event, state_change_events[i]) == 0)
       return true;
   return false;
 }
 
-/* Instances that had a part in the story; the beliefs of others did not decide anything. */
+/* Whether the line's instance also logged a line that names the id. State changes of other
+ * instances affected no decision. */
 static bool
-is_involved (const LtTimeline *story, struct json_object *line)
+is_instance_involved (const LtTimeline *timeline, struct json_object *object)
 {
-  const char *instance = lb_json_text (line, "instance", "");
+  const char *instance = lb_json_text (object, "instance", "");
 
-  for (size_t i = 0; i < story->n_lines; i++)
-    if (story->lines[i].chosen
-        && strcmp (lb_json_text (story->lines[i].line, "instance", ""), instance) == 0)
+  for (size_t i = 0; i < timeline->n_lines; i++)
+    if (timeline->lines[i].names_id
+        && strcmp (lb_json_text (timeline->lines[i].object, "instance", ""), instance) == 0)
       return true;
   return false;
 }
 
 static int
-by_time (const void *a, const void *b)
+compare_lines_by_time (const void *a, const void *b)
 {
   const Line *first = a;
   const Line *second = b;
 
-  if (first->time != second->time)
-    return first->time < second->time ? -1 : 1;
+  if (first->time_ms != second->time_ms)
+    return first->time_ms < second->time_ms ? -1 : 1;
   return first->order < second->order ? -1 : 1;
 }
 
 static bool
-choose_own (LtTimeline *story, int64_t *first, int64_t *last)
+mark_matching_lines (LtTimeline *timeline, int64_t *first_ms, int64_t *last_ms)
 {
   bool found = false;
 
-  for (size_t i = 0; i < story->n_lines; i++)
+  for (size_t i = 0; i < timeline->n_lines; i++)
     {
-      Line *line = &story->lines[i];
-      line->chosen = names_id (story, line->line);
-      if (!line->chosen)
+      Line *line = &timeline->lines[i];
+      line->names_id = has_id (timeline, line->object);
+      if (!line->names_id)
         continue;
-      *first = !found || line->time < *first ? line->time : *first;
-      *last = !found || line->time > *last ? line->time : *last;
+      *first_ms = !found || line->time_ms < *first_ms ? line->time_ms : *first_ms;
+      *last_ms = !found || line->time_ms > *last_ms ? line->time_ms : *last_ms;
       found = true;
     }
   return found;
 }
 
 static void
-print_line (const Line *line, bool is_own, int64_t first, FILE *out)
+print_line (const Line *line, bool is_match, int64_t first_ms, FILE *out)
 {
-  static const char *const shown_already[] = { "time", "level", "instance", "event" };
+  static const char *const column_keys[] = { "time", "level", "instance", "event" };
 
-  fprintf (out, "%c %+9.3f s  %-20s %-22s", is_own ? ' ' : '~', (double)(line->time - first) / 1000,
-           lb_json_text (line->line, "instance", "?"), lb_json_text (line->line, "event", "?"));
-  json_object_object_foreach (line->line, key, value)
+  fprintf (out, "%c %+9.3f s  %-20s %-22s", is_match ? ' ' : '~',
+           (double)(line->time_ms - first_ms) / 1000, lb_json_text (line->object, "instance", "?"),
+           lb_json_text (line->object, "event", "?"));
+  json_object_object_foreach (line->object, key, value)
   {
     bool skip = false;
-    for (size_t i = 0; i < sizeof shown_already / sizeof shown_already[0]; i++)
-      skip |= strcmp (key, shown_already[i]) == 0;
+    for (size_t i = 0; i < sizeof column_keys / sizeof column_keys[0]; i++)
+      skip |= strcmp (key, column_keys[i]) == 0;
     if (skip)
       continue;
     const char *text = json_object_is_type (value, json_type_string)
                            ? json_object_get_string (value)
                            : json_object_to_json_string_ext (value, JSON_C_TO_STRING_PLAIN);
-    bool is_long = strlen (text) > MAX_VALUE;
-    fprintf (out, " %s=%.*s%s", key, MAX_VALUE, text, is_long ? "..." : "");
+    bool is_long = strlen (text) > MAX_VALUE_LENGTH;
+    fprintf (out, " %s=%.*s%s", key, MAX_VALUE_LENGTH, text, is_long ? "..." : "");
   }
   fputc ('\n', out);
 }
 
-/* Whether `line` tells the same kind of news of the same instance and moment as `last` did, as when
+/* Whether line repeats the state change of last in the same instance and at the same time, as when
  * an instance reads the whole list of endpoints. */
 static bool
-is_more_of (const Line *line, const Line *last)
+is_repeat_of (const Line *line, const Line *last)
 {
-  return last && !line->chosen && !last->chosen && line->time - last->time <= SAME_NEWS_MS
-         && strcmp (lb_json_text (line->line, "event", ""), lb_json_text (last->line, "event", ""))
+  return last && !line->names_id && !last->names_id
+         && line->time_ms - last->time_ms <= SAME_MESSAGE_MS
+         && strcmp (lb_json_text (line->object, "event", ""),
+                    lb_json_text (last->object, "event", ""))
                 == 0
-         && strcmp (lb_json_text (line->line, "instance", ""),
-                    lb_json_text (last->line, "instance", ""))
+         && strcmp (lb_json_text (line->object, "instance", ""),
+                    lb_json_text (last->object, "instance", ""))
                 == 0;
 }
 
 static void
-print_lines (const LtTimeline *story, int64_t first, int64_t last, FILE *out)
+print_lines (const LtTimeline *timeline, int64_t first_ms, int64_t last_ms, FILE *out)
 {
-  const Line *shown = NULL;
-  size_t n_more = 0;
+  const Line *last_printed = NULL;
+  size_t n_repeats = 0;
 
-  for (size_t i = 0; i < story->n_lines; i++)
+  for (size_t i = 0; i < timeline->n_lines; i++)
     {
-      const Line *line = &story->lines[i];
-      bool in_time = line->time >= first - BELIEFS_BEFORE_MS && line->time <= last;
-      if (!line->chosen && !(in_time && is_belief (line->line) && is_involved (story, line->line)))
+      const Line *line = &timeline->lines[i];
+      bool is_in_time_range
+          = line->time_ms >= first_ms - CONTEXT_BEFORE_MS && line->time_ms <= last_ms;
+      if (!line->names_id
+          && !(is_in_time_range && is_state_change (line->object)
+               && is_instance_involved (timeline, line->object)))
         continue;
-      if (is_more_of (line, shown))
+      if (is_repeat_of (line, last_printed))
         {
-          n_more++;
+          n_repeats++;
           continue;
         }
-      if (n_more > 0)
-        fprintf (out, "~ and %zu more of these\n", n_more);
-      n_more = 0;
-      shown = line;
-      print_line (line, line->chosen, first, out);
+      if (n_repeats > 0)
+        fprintf (out, "~ and %zu more of these\n", n_repeats);
+      n_repeats = 0;
+      last_printed = line;
+      print_line (line, line->names_id, first_ms, out);
     }
 }
 
 bool
-lt_timeline_print (LtTimeline *story, FILE *out)
+lt_timeline_print (LtTimeline *timeline, FILE *out)
 {
-  int64_t first = 0;
-  int64_t last = 0;
+  int64_t first_ms = 0;
+  int64_t last_ms = 0;
 
-  if (!choose_own (story, &first, &last))
+  if (!mark_matching_lines (timeline, &first_ms, &last_ms))
     return false;
-  if (story->n_lines > 0)
-    qsort (story->lines, story->n_lines, sizeof *story->lines, by_time);
-  fprintf (out, "%s: %.3f s; lines of the story, and marked ~ what its instances came to believe\n",
-           story->id, (double)(last - first) / 1000);
-  print_lines (story, first, last, out);
-  if (story->n_unreadable > 0)
-    fprintf (out, "%zu lines could not be read\n", story->n_unreadable);
+  if (timeline->n_lines > 0)
+    qsort (timeline->lines, timeline->n_lines, sizeof *timeline->lines, compare_lines_by_time);
+  fprintf (out,
+           "%s: %.3f s; lines that name the id, and marked ~ state changes of the same instances\n",
+           timeline->id, (double)(last_ms - first_ms) / 1000);
+  print_lines (timeline, first_ms, last_ms, out);
+  if (timeline->n_unreadable > 0)
+    fprintf (out, "%zu lines could not be read\n", timeline->n_unreadable);
   return true;
 }
--- a/packages/cli/src/lt-watch.c
+++ b/packages/cli/src/lt-watch.c
@@ -8,9 +8,9 @@
 #include <string.h>
 #include <time.h>
 
-#define WATCH_WAIT_MS 10000
-#define CALL_SILENCE (30 * LB_SEC)
-#define DEFAULT_LIMIT 20
+#define LONG_POLL_MS 10000
+#define CALL_IDLE_TIMEOUT (30 * LB_SEC)
+#define DEFAULT_HISTORY_LIMIT 20
 
 typedef struct
 {
@@ -27,7 +27,7 @@
 }
 
 static void
-print_watch (struct json_object *body)
+print_watch_report (struct json_object *body)
 {
   struct json_object *in_force = json_object_object_get (body, "in_force");
 
@@ -48,31 +48,31 @@
 }
 
 static int
-watch (const Options *options)
+watch_revisions (const Options *options)
 {
   char path[128];
   LtReply reply;
   LbError error = { .code = LB_OK };
   int code = LT_EXIT_OK;
-  bool going = true;
+  bool keep_watching = true;
   long long after = options->number->count > 0 ? options->number->ival[0] : -1;
-  const LtCall call = { .method = "GET", .path = path, .silence = CALL_SILENCE };
+  const LtCall call = { .method = "GET", .path = path, .idle_timeout = CALL_IDLE_TIMEOUT };
   LtClient *client = lt_arguments_new_client (&options->common);
 
-  while (going)
+  while (keep_watching)
     {
-      /* The first call is answered at once. */
+      /* Without --after the first call returns immediately. */
       snprintf (path, sizeof path, "/v1/resources/watch?after=%lld&wait_ms=%d",
-                after < 0 ? 0 : after, after < 0 ? 0 : WATCH_WAIT_MS);
-      going = lt_client_call (client, &call, &reply, &error);
-      if (!going)
+                after < 0 ? 0 : after, after < 0 ? 0 : LONG_POLL_MS);
+      keep_watching = lt_client_call (client, &call, &reply, &error);
+      if (!keep_watching)
         code = lt_print_error (&error);
       else if (lt_arguments_wants_json (&options->common))
         lt_print_json (reply.body);
       else
-        print_watch (reply.body);
-      after = going ? lt_json_integer (reply.body, "accepted") : after;
-      going = going && options->once->count == 0;
+        print_watch_report (reply.body);
+      after = keep_watching ? lt_json_integer (reply.body, "accepted") : after;
+      keep_watching = keep_watching && options->once->count == 0;
       lt_reply_clear (&reply);
     }
   lt_client_free (client);
@@ -87,18 +87,19 @@
   void *table[2 + LT_N_COMMON_ARGUMENTS];
 
   table[0] = options.number
-      = arg_int0 (NULL, "after", "REVISION", "wait for a newer one than this first");
-  table[1] = options.once = arg_lit0 ("1", "once", "print one report and end");
+      = arg_int0 (NULL, "after", "REVISION", "wait for a newer revision before the first report");
+  table[1] = options.once = arg_lit0 ("1", "once", "print one report and exit");
   lt_arguments_init (&options.common, table + 2);
-  if (lt_arguments_parse (&options.common, table, 2 + LT_N_COMMON_ARGUMENTS, argc, argv,
-                          "Prints what is accepted, and in force on how many instances.", &code))
-    code = watch (&options);
+  if (lt_arguments_parse (
+          &options.common, table, 2 + LT_N_COMMON_ARGUMENTS, argc, argv,
+          "Prints the accepted revision and on how many instances each is in force.", &code))
+    code = watch_revisions (&options);
   arg_freetable (table, 2 + LT_N_COMMON_ARGUMENTS);
   return code;
 }
 
 static void
-print_change (struct json_object *row)
+print_history_row (struct json_object *row)
 {
   char at[32];
   time_t seconds = (time_t)(lt_json_integer (row, "at_ms") / 1000);
@@ -119,7 +120,7 @@
 
   printf ("%-9s %-20s %-24s %s\n", "REVISION", "WHEN", "WHO", "CHANGE");
   for (size_t i = 0; i < json_object_array_length (rows); i++)
-    print_change (json_object_array_get_idx (rows, i));
+    print_history_row (json_object_array_get_idx (rows, i));
 }
 
 static void
@@ -156,12 +157,14 @@
 }
 
 static int
-show (const Options *options, const char *path, void (*print) (struct json_object *body))
+fetch_and_print (const Options *options,
+                 const char *path,
+                 void (*print_body) (struct json_object *body))
 {
   LtReply reply;
   LbError error = { .code = LB_OK };
   int code = LT_EXIT_OK;
-  const LtCall call = { .method = "GET", .path = path, .silence = CALL_SILENCE };
+  const LtCall call = { .method = "GET", .path = path, .idle_timeout = CALL_IDLE_TIMEOUT };
   LtClient *client = lt_arguments_new_client (&options->common);
 
   if (!lt_client_call (client, &call, &reply, &error))
@@ -169,7 +172,7 @@
   else if (lt_arguments_wants_json (&options->common))
     lt_print_json (reply.body);
   else
-    print (reply.body);
+    print_body (reply.body);
   lt_reply_clear (&reply);
   lt_client_free (client);
   return code;
@@ -183,14 +186,14 @@
   Options options;
   void *table[1 + LT_N_COMMON_ARGUMENTS];
 
-  table[0] = options.number = arg_int0 ("l", "limit", "N", "how many; 20");
+  table[0] = options.number = arg_int0 ("l", "limit", "N", "number of changes (default: 20)");
   lt_arguments_init (&options.common, table + 1);
   if (lt_arguments_parse (&options.common, table, 1 + LT_N_COMMON_ARGUMENTS, argc, argv,
-                          "Prints the last changes: who, when, what.", &code))
+                          "Prints the last changes with author and time.", &code))
     {
       snprintf (path, sizeof path, "/v1/history?limit=%d",
-                options.number->count > 0 ? options.number->ival[0] : DEFAULT_LIMIT);
-      code = show (&options, path, print_history);
+                options.number->count > 0 ? options.number->ival[0] : DEFAULT_HISTORY_LIMIT);
+      code = fetch_and_print (&options, path, print_history);
     }
   arg_freetable (table, 1 + LT_N_COMMON_ARGUMENTS);
   return code;
@@ -204,9 +207,10 @@
   void *table[LT_N_COMMON_ARGUMENTS];
 
   lt_arguments_init (&options.common, table);
-  if (lt_arguments_parse (&options.common, table, LT_N_COMMON_ARGUMENTS, argc, argv,
-                          "Prints who holds what, which revision is where, and what waits.", &code))
-    code = show (&options, "/v1/status", print_status);
+  if (lt_arguments_parse (
+          &options.common, table, LT_N_COMMON_ARGUMENTS, argc, argv,
+          "Prints the instance's state, all instances and revisions, leases and roll-outs.", &code))
+    code = fetch_and_print (&options, "/v1/status", print_status);
   arg_freetable (table, LT_N_COMMON_ARGUMENTS);
   return code;
 }
--- a/packages/cli/tests/test-story.c
+++ b/packages/cli/tests/test-story.c
@@ -7,7 +7,7 @@
 #include <unistd.h>
 
 static void
-write_log (char *path, const char *lines)
+write_temporary_log (char *path, const char *lines)
 {
   strcpy (path, "/tmp/lentilspindle-story-XXXXXX");
   int fd = mkstemp (path);
@@ -17,34 +17,34 @@
 }
 
 static char *
-tell (const char *id, const char *first, const char *second)
+print_timeline (const char *id, const char *first, const char *second)
 {
   char paths[2][64];
   char *text = NULL;
   size_t size = 0;
   LbError error;
-  LtTimeline *story = lt_timeline_new (id);
+  LtTimeline *timeline = lt_timeline_new (id);
   FILE *out = open_memstream (&text, &size);
 
-  write_log (paths[0], first);
-  write_log (paths[1], second);
+  write_temporary_log (paths[0], first);
+  write_temporary_log (paths[1], second);
   for (int i = 0; i < 2; i++)
     {
-      cr_assert (lt_timeline_read_log (story, paths[i], &error));
+      cr_assert (lt_timeline_read_log (timeline, paths[i], &error));
       unlink (paths[i]);
     }
-  lt_timeline_print (story, out);
+  lt_timeline_print (timeline, out);
   fclose (out);
-  lt_timeline_free (story);
+  lt_timeline_free (timeline);
   return text;
 }
 
-/* A clerk's lookup failed. Its id stands in the lines that placed it and ended it; why the
- * endpoint was chosen stands in a line that does not name it. Another process, and the same one
- * after a restart, give the same number to other requests. */
-Test (story, follows_a_request_and_what_was_believed)
+/* The routing and the end of a failed request are logged with its id; the state change that
+ * explains the choice of endpoint is not. Request numbers do not identify it: other instances, and
+ * the same one after a restart, use the same number for other requests. */
+Test (timeline, prints_a_request_and_earlier_state_changes)
 {
-  char *text = tell (
+  char *text = print_timeline (
       "c1",
       "{\"time\":1000,\"instance\":\"a\",\"event\":\"started\"}\n"
       "{\"time\":9000,\"instance\":\"a\",\"event\":\"store_lost\",\"status\":503}\n"
@@ -57,37 +57,37 @@
       "\"id\":\"c3\"}\n"
       "{\"time\":9650,\"instance\":\"b\",\"event\":\"store_lost\"}\n");
 
-  char *lost = strstr (text, "store_lost");
+  char *store_lost = strstr (text, "store_lost");
   char *route = strstr (text, "route");
-  char *ended = strstr (text, "outcome=broken");
-  cr_assert (lost && route && ended && lost < route && route < ended, "%s", text);
-  cr_assert_null (strstr (text, "started"), "too long ago to explain anything");
-  cr_assert_null (strstr (text, " b "), "another process's request of the same number");
-  cr_assert_null (strstr (text, "c2"), "the same number after a restart");
+  char *attempt_ended = strstr (text, "outcome=broken");
+  cr_assert (store_lost && route && attempt_ended && store_lost < route && route < attempt_ended,
+             "%s", text);
+  cr_assert_null (strstr (text, "started"), "state change too long before the first line");
+  cr_assert_null (strstr (text, " b "), "request of the same number in another instance");
+  cr_assert_null (strstr (text, "c2"), "request of the same number after a restart");
   cr_assert (strstr (text, "1 lines could not be read"));
   free (text);
 }
 
-Test (story, finds_an_item_by_its_batch)
+Test (timeline, finds_the_item_requests_of_a_batch)
 {
-  char *text
-      = tell ("b1",
-              "{\"time\":1,\"instance\":\"a\",\"event\":\"batch_accepted\",\"batch\":\"b1\"}\n",
-              "{\"time\":2,\"instance\":\"b\",\"event\":\"route\",\"request\":3,\"id\":\"i9\","
-              "\"caller\":\"b1\"}\n"
-              "{\"time\":3,\"instance\":\"b\",\"event\":\"attempt_ended\",\"request\":3,"
-              "\"id\":\"i9\",\"caller\":\"b1\"}\n");
+  char *text = print_timeline (
+      "b1", "{\"time\":1,\"instance\":\"a\",\"event\":\"batch_accepted\",\"batch\":\"b1\"}\n",
+      "{\"time\":2,\"instance\":\"b\",\"event\":\"route\",\"request\":3,\"id\":\"i9\","
+      "\"caller\":\"b1\"}\n"
+      "{\"time\":3,\"instance\":\"b\",\"event\":\"attempt_ended\",\"request\":3,"
+      "\"id\":\"i9\",\"caller\":\"b1\"}\n");
 
   cr_assert (strstr (text, "batch_accepted"));
   cr_assert (strstr (text, "attempt_ended"));
   free (text);
 }
 
-/* Requests of two callers ask the same, and endpoints crash under them. Asked for what they have in
- * common, the story shows both, what was found of their endpoints, and the verdict. */
-Test (story, finds_all_requests_of_one_content)
+/* Requests of two callers have the same fingerprint and crash their endpoints. The timeline of the
+ * fingerprint shows both, the checks of their endpoints and the quarantine. */
+Test (timeline, finds_all_requests_of_a_fingerprint)
 {
-  char *text = tell (
+  char *text = print_timeline (
       "777f26cc65beacb0",
       "{\"time\":1,\"instance\":\"a\",\"event\":\"attempt_ended\",\"request\":3,\"id\":\"c1\","
       "\"content\":\"777f26cc65beacb0\",\"outcome\":\"broken\"}\n"
@@ -108,10 +108,10 @@
   free (text);
 }
 
-Test (story, says_when_no_line_names_the_id)
+Test (timeline, returns_false_if_no_line_names_the_id)
 {
-  LtTimeline *story = lt_timeline_new ("nobody");
+  LtTimeline *timeline = lt_timeline_new ("nobody");
 
-  cr_assert_not (lt_timeline_print (story, stdout));
-  lt_timeline_free (story);
+  cr_assert_not (lt_timeline_print (timeline, stdout));
+  lt_timeline_free (timeline);
 }
--- a/packages/cli/tests/test-text.c
+++ b/packages/cli/tests/test-text.c
@@ -3,8 +3,8 @@
 #include <criterion/criterion.h>
 #include <json-c/json.h>
 
-/* A reply with a null where a text belongs ended the command with a crash in place of a line. */
-Test (text, null_is_empty)
+/* A null in a reply where text is expected crashed the command. */
+Test (text, null_reads_as_empty_text)
 {
   struct json_object *object = json_tokener_parse ("{\"kind\": null, \"n\": 7}");
 
