--- a/fuzz/fuzz-answer.c
+++ b/fuzz/fuzz-answer.c
@@ -6,7 +6,8 @@
 
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t size);
 
-/* What the store, or a peer in its place, answers to a list. */
+/* Parses an untrusted answer of the store to a list call. The rows must not be longer than the
+ * input allows. */
 int
 LLVMFuzzerTestOneInput (const uint8_t *data, size_t size)
 {
--- a/fuzz/fuzz-entry.c
+++ b/fuzz/fuzz-entry.c
@@ -8,20 +8,21 @@
 
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t size);
 
-/* A row that an endpoint, or anybody else, wrote about itself: "KEY\nVALUE". */
+/* Parses an untrusted registration row of an endpoint, given as "KEY\nVALUE". */
 int
 LLVMFuzzerTestOneInput (const uint8_t *data, size_t size)
 {
   char *text = lb_strndup ((const char *)data, size);
   char *value = strchr (text, '\n');
-  LcRegistration listed;
+  LcRegistration registration;
   LbError error = { 0 };
 
   if (value)
     {
       *value++ = '\0';
-      if (pf_dialect ()->parse_registration (text, value, &listed, &error)
-          && (listed.name[0] == '\0' || listed.slots <= 0 || listed.n_models > LC_MAX_MODELS))
+      if (pf_dialect ()->parse_registration (text, value, &registration, &error)
+          && (registration.name[0] == '\0' || registration.slots <= 0
+              || registration.n_models > LC_MAX_MODELS))
         abort ();
     }
   free (text);
--- a/fuzz/fuzz-frame.c
+++ b/fuzz/fuzz-frame.c
@@ -5,30 +5,30 @@
 
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t size);
 
-/* What is decoded must encode, and decode to the same bytes once more. */
+/* A decoded message must encode, decode again, and encode to the same bytes. */
 static void
-encode_again (const LwMessage *message)
+check_round_trip (const LwMessage *message)
 {
   size_t length = 0;
   size_t second_length = 0;
   uint8_t *frame = lw_message_encode (message, &length);
-  LwMessage back = { 0 };
+  LwMessage decoded = { 0 };
   LbError error = { 0 };
 
   if (length > LW_FRAME_HEADER + LW_FRAME_MAX_BODY)
     goto out;
-  if (!lw_message_decode (frame + LW_FRAME_HEADER, length - LW_FRAME_HEADER, &back, &error))
+  if (!lw_message_decode (frame + LW_FRAME_HEADER, length - LW_FRAME_HEADER, &decoded, &error))
     abort ();
-  uint8_t *second = lw_message_encode (&back, &second_length);
-  if (length != second_length || memcmp (frame, second, length) != 0)
+  uint8_t *second_frame = lw_message_encode (&decoded, &second_length);
+  if (length != second_length || memcmp (frame, second_frame, length) != 0)
     abort ();
-  free (second);
-  lw_message_clear (&back);
+  free (second_frame);
+  lw_message_clear (&decoded);
 out:
   free (frame);
 }
 
-/* Bytes as they come from another instance: frames one after another. */
+/* Parses a sequence of frames as received from another instance. */
 int
 LLVMFuzzerTestOneInput (const uint8_t *data, size_t size)
 {
@@ -40,7 +40,7 @@
       LwMessage message = { 0 };
       if (lw_message_decode (frame.body, frame.length, &message, &error))
         {
-          encode_again (&message);
+          check_round_trip (&message);
           lw_message_clear (&message);
         }
       data += frame.consumed;
--- a/fuzz/fuzz-resources.c
+++ b/fuzz/fuzz-resources.c
@@ -7,25 +7,25 @@
 
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t size);
 
-/* An accepted set must be written as something that is accepted again and is the same. */
+/* An accepted set must serialise to JSON that is accepted again and gives the same JSON. */
 static void
-write_again (const LcResourceSet *set)
+check_round_trip (const LcResourceSet *set)
 {
   struct json_object *object = lc_resource_set_to_json (set);
   LbError error = { 0 };
-  LcResourceSet *back = lc_resource_set_from_json (object, "back", &error);
+  LcResourceSet *parsed = lc_resource_set_from_json (object, "back", &error);
 
-  if (!back)
+  if (!parsed)
     abort ();
-  struct json_object *second = lc_resource_set_to_json (back);
-  if (strcmp (json_object_to_json_string (object), json_object_to_json_string (second)) != 0)
+  struct json_object *second_object = lc_resource_set_to_json (parsed);
+  if (strcmp (json_object_to_json_string (object), json_object_to_json_string (second_object)) != 0)
     abort ();
-  json_object_put (second);
+  json_object_put (second_object);
   json_object_put (object);
-  lc_resource_set_free (back);
+  lc_resource_set_free (parsed);
 }
 
-/* The same bytes as a whole set, and as a change of an empty set. */
+/* Parses the input as a whole resource set, and as a change to an empty set. */
 int
 LLVMFuzzerTestOneInput (const uint8_t *data, size_t size)
 {
@@ -37,11 +37,11 @@
     return 0;
   LcResourceSet *set = lc_resource_set_from_json (object, "input", &error);
   if (set)
-    write_again (set);
+    check_round_trip (set);
   lc_resource_set_free (set);
   set = lc_change_apply (&empty, object, "input", &error);
   if (set)
-    write_again (set);
+    check_round_trip (set);
   lc_resource_set_free (set);
   json_object_put (object);
   return 0;
--- a/fuzz/fuzz-settings.c
+++ b/fuzz/fuzz-settings.c
@@ -6,7 +6,7 @@
 
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t size);
 
-/* A settings file of the daemon. */
+/* Parses a settings file of the daemon. */
 int
 LLVMFuzzerTestOneInput (const uint8_t *data, size_t size)
 {
--- a/fuzz/fuzz-trace.c
+++ b/fuzz/fuzz-trace.c
@@ -2,7 +2,7 @@
 
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t size);
 
-/* A trace file. */
+/* Parses a trace file. */
 int
 LLVMFuzzerTestOneInput (const uint8_t *data, size_t size)
 {
--- a/packages/cli/src/lt-bench.c
+++ b/packages/cli/src/lt-bench.c
@@ -25,47 +25,47 @@
   uint64_t seed;
   int64_t n_seeds;
   const char *policy; /* NULL: all */
-  int64_t samplers;
+  int64_t n_engines;  /* 0: as many as the site has */
   int64_t concurrency;
-  double seconds;
-  double idle_weight;
-  double hedge_budget;
-  double hard_share;
-  double train;
+  double duration_seconds;
+  double idle_weight;  /* negative: the value of the site's preset */
+  double hedge_budget; /* negative: the default of LxOptions */
+  double hard_share;   /* negative: the default of LxOptions */
+  double train_seconds;
   bool json;
   bool explain;
-  const char *report;
-} Bench;
+  const char *report_dir; /* NULL: no report */
+} BenchOptions;
 
-/* A run of the system without trainers: what live callers get when nothing competes. */
-#define IDLE_SYSTEM "lentilspindle (no trainers)"
+/* A run without trainers: the live latency when no samples compete for the engines. */
+#define NO_TRAINERS_POLICY "lentilspindle (no trainers)"
 
 static bool
-run_one (const Bench *bench, const char *policy, uint64_t seed, LxResult *result)
+run_policy (const BenchOptions *bench, const char *policy, uint64_t seed, LxResult *result)
 {
   LxOptions options;
-  bool idle = strcmp (policy, IDLE_SYSTEM) == 0;
+  bool without_trainers = strcmp (policy, NO_TRAINERS_POLICY) == 0;
 
   lx_options_init (&options, bench->site, seed);
-  if (!lx_options_set_policy (&options, idle ? "lentilspindle" : policy))
+  if (!lx_options_set_policy (&options, without_trainers ? "lentilspindle" : policy))
     return false;
-  if (idle)
+  if (without_trainers)
     options.n_trainers = 0;
-  options.n_engines = bench->samplers;
-  options.duration = (LbTime)(bench->seconds * LB_SEC);
+  options.n_engines = bench->n_engines;
+  options.duration = (LbTime)(bench->duration_seconds * LB_SEC);
   options.idle_weight = bench->idle_weight;
   options.explain = bench->explain;
   options.concurrency = bench->concurrency;
-  options.train_time = (LbTime)(bench->train * LB_SEC);
+  options.train_time = (LbTime)(bench->train_seconds * LB_SEC);
   if (bench->hard_share >= 0)
     options.hard_share = bench->hard_share;
   if (bench->hedge_budget >= 0)
     options.hedge_budget = bench->hedge_budget;
 
   LxWorld *world = lx_world_new (&options);
-  LbTime begun = lb_clock_monotonic ();
+  LbTime started_at = lb_clock_monotonic ();
   lx_world_run (world);
-  lx_result_fill (result, world, policy, (double)(lb_clock_monotonic () - begun) / LB_SEC);
+  lx_result_fill (result, world, policy, (double)(lb_clock_monotonic () - started_at) / LB_SEC);
   if (lx_audit_count_violations (&world->audit) > 0)
     fprintf (stderr, "%s, seed %" PRIu64 ": %s\n", policy, seed, world->audit.first_violation);
   lx_world_free (world);
@@ -73,7 +73,7 @@
 }
 
 static void
-print_head (void)
+print_header (void)
 {
   printf ("%-36s %5s %6s %9s %6s %6s %4s %8s %8s %8s %6s %5s %5s %5s %7s %7s %6s %9s\n", "policy",
           "seed", "steps", "idle_s", "floor", "stale~", "max", "p50_ms", "p99_ms", "refused",
@@ -92,7 +92,8 @@
   fflush (stdout);
 }
 
-/* All routers, the plain dispatcher with each mechanism alone, and the idle system. */
+/* Lists all routing policies, least-outstanding with each mechanism alone, and the run without
+ * trainers. */
 static size_t
 list_policies (char policies[MAX_POLICIES][128])
 {
@@ -102,12 +103,12 @@
     snprintf (policies[n++], 128, "%s", *policy);
   for (const char *const *name = lx_mechanism_names (); *name && n < MAX_POLICIES - 1; name++)
     snprintf (policies[n++], 128, "least-outstanding+%s", *name);
-  snprintf (policies[n++], 128, "%s", IDLE_SYSTEM);
+  snprintf (policies[n++], 128, "%s", NO_TRAINERS_POLICY);
   return n;
 }
 
 static int
-run_all (const Bench *bench)
+run_benchmark (const BenchOptions *bench)
 {
   char policies[MAX_POLICIES][128];
   size_t n_policies = bench->policy ? 1 : list_policies (policies);
@@ -119,12 +120,12 @@
   if (bench->policy)
     snprintf (policies[0], 128, "%s", bench->policy);
   if (!bench->json)
-    print_head ();
+    print_header ();
   for (size_t i = 0; i < n_policies; i++)
     for (int64_t j = 0; j < bench->n_seeds; j++)
       {
         LxResult *result = &results[n];
-        if (!run_one (bench, policies[i], bench->seed + (uint64_t)j, result))
+        if (!run_policy (bench, policies[i], bench->seed + (uint64_t)j, result))
           {
             fprintf (stderr, "lentilspindle bench: unknown policy '%s'\n", policies[i]);
             goto out;
@@ -137,7 +138,7 @@
   if (bench->json)
     puts (json_object_to_json_string_ext (array, JSON_C_TO_STRING_PRETTY));
   code = LT_EXIT_OK;
-  if (bench->report && !lt_report_write (bench->report, bench->site->name, results, n))
+  if (bench->report_dir && !lt_report_write (bench->report_dir, bench->site->name, results, n))
     code = LT_EXIT_FAILED;
 out:
   json_object_put (array);
@@ -145,44 +146,50 @@
   return code;
 }
 
-/* Compares policies on the same trace: the same arrivals, lengths, versions and endpoints. */
+/* Compares policies on the same arrivals, lengths, versions and endpoints. */
 int
 lt_bench_run (int argc, char **argv)
 {
   struct arg_str *site = arg_str1 (NULL, "site", "SITE", "kurunegala or hoa-sen");
-  struct arg_int *seed = arg_int0 (NULL, "seed", "N", "first seed, 1 if not given");
-  struct arg_int *seeds = arg_int0 (NULL, "seeds", "N", "how many seeds, 1 if not given");
-  struct arg_str *policy = arg_str0 (NULL, "policy", "P", "one policy; all if not given");
-  struct arg_int *samplers = arg_int0 (NULL, "samplers", "N", "engines; the site's if not given");
-  struct arg_int *concurrency = arg_int0 (NULL, "concurrency", "N", "of an engine, 32");
-  struct arg_dbl *seconds = arg_dbl0 (NULL, "seconds", "S", "virtual time of a run, 900");
-  struct arg_dbl *weight = arg_dbl0 (NULL, "idle-weight", "W", "0 (staleness) to 1 (idle time)");
-  struct arg_dbl *budget = arg_dbl0 (NULL, "hedge-budget", "B", "share of tokens for hedges, 0.1");
+  struct arg_int *seed = arg_int0 (NULL, "seed", "N", "first seed (default: 1)");
+  struct arg_int *seeds = arg_int0 (NULL, "seeds", "N", "number of seeds (default: 1)");
+  struct arg_str *policy = arg_str0 (NULL, "policy", "P", "run one policy (default: all)");
+  struct arg_int *samplers
+      = arg_int0 (NULL, "samplers", "N", "number of engines (default: the site's)");
+  struct arg_int *concurrency
+      = arg_int0 (NULL, "concurrency", "N", "concurrent requests per engine (default: 32)");
+  struct arg_dbl *seconds = arg_dbl0 (NULL, "seconds", "S", "virtual time per run (default: 900)");
+  struct arg_dbl *weight
+      = arg_dbl0 (NULL, "idle-weight", "W", "weight of idle time over staleness, 0 to 1");
+  struct arg_dbl *budget
+      = arg_dbl0 (NULL, "hedge-budget", "B", "share of tokens for hedges (default: 0.1)");
   struct arg_dbl *hard
-      = arg_dbl0 (NULL, "hard-share", "H", "share of stragglers from hard prompts, 0.5");
-  struct arg_dbl *train = arg_dbl0 (NULL, "train", "S", "seconds of training per step, 45");
+      = arg_dbl0 (NULL, "hard-share", "H", "share of stragglers from hard prompts (default: 0.5)");
+  struct arg_dbl *train
+      = arg_dbl0 (NULL, "train", "S", "seconds of training per step (default: 45)");
   struct arg_lit *json = arg_lit0 (NULL, "json", "print a JSON array");
-  struct arg_lit *explain = arg_lit0 (NULL, "explain", "say what set the end of each step");
-  struct arg_str *report = arg_str0 (NULL, "report", "DIR", "write an HTML page there");
+  struct arg_lit *explain
+      = arg_lit0 (NULL, "explain", "print what determined the end of each step");
+  struct arg_str *report = arg_str0 (NULL, "report", "DIR", "write an HTML report to this folder");
   struct arg_lit *help = arg_lit0 (NULL, "help", "print this help");
   struct arg_end *end = arg_end (8);
   void *table[] = { site,   seed, seeds, policy,  samplers, concurrency, seconds, weight,
                     budget, hard, train, explain, json,     report,      help,    end };
   int errors = arg_parse (argc, argv, table);
   int code = LT_EXIT_USAGE;
-  Bench bench = { .n_seeds = seeds->count ? *seeds->ival : 1,
-                  .seed = seed->count ? (uint64_t)*seed->ival : 1,
-                  .policy = policy->count ? *policy->sval : NULL,
-                  .samplers = samplers->count ? *samplers->ival : 0,
-                  .seconds = seconds->count ? *seconds->dval : 900,
-                  .idle_weight = weight->count ? *weight->dval : -1,
-                  .hedge_budget = budget->count ? *budget->dval : -1,
-                  .train = train->count ? *train->dval : 45,
-                  .hard_share = hard->count ? *hard->dval : -1,
-                  .explain = explain->count > 0,
-                  .concurrency = concurrency->count ? *concurrency->ival : 32,
-                  .json = json->count > 0,
-                  .report = report->count ? *report->sval : NULL };
+  BenchOptions bench = { .n_seeds = seeds->count ? *seeds->ival : 1,
+                         .seed = seed->count ? (uint64_t)*seed->ival : 1,
+                         .policy = policy->count ? *policy->sval : NULL,
+                         .n_engines = samplers->count ? *samplers->ival : 0,
+                         .duration_seconds = seconds->count ? *seconds->dval : 900,
+                         .idle_weight = weight->count ? *weight->dval : -1,
+                         .hedge_budget = budget->count ? *budget->dval : -1,
+                         .train_seconds = train->count ? *train->dval : 45,
+                         .hard_share = hard->count ? *hard->dval : -1,
+                         .explain = explain->count > 0,
+                         .concurrency = concurrency->count ? *concurrency->ival : 32,
+                         .json = json->count > 0,
+                         .report_dir = report->count ? *report->sval : NULL };
 
   if (help->count > 0)
     {
@@ -197,15 +204,15 @@
       goto out;
     }
   bench.site = lx_site_find (*site->sval);
-  if (!bench.site || bench.n_seeds < 1 || bench.samplers < 0 || bench.concurrency < 1
-      || bench.seconds <= 0)
+  if (!bench.site || bench.n_seeds < 1 || bench.n_engines < 0 || bench.concurrency < 1
+      || bench.duration_seconds <= 0)
     {
       fprintf (stderr, "lentilspindle bench: %s\n",
                bench.site ? "numbers must be positive" : "unknown site");
       goto out;
     }
   lb_log_init (LB_LOG_OFF, 2, NULL);
-  code = run_all (&bench);
+  code = run_benchmark (&bench);
 out:
   arg_freetable (table, sizeof table / sizeof table[0]);
   return code;
--- a/packages/cli/src/lt-cost.c
+++ b/packages/cli/src/lt-cost.c
@@ -21,15 +21,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define DECISIONS 20000
-#define REPEATS 200
-#define STEP_GROUPS 256
-#define GROUP_SAMPLES 8
-#define SAMPLE_TOKENS 365
-#define PIECE_TOKENS 16
-#define WAITING 2000
-
-/* One measured cost: time of one operation and bytes that it sends, or that one thing holds. */
+#define N_OPERATIONS 20000
+#define N_REPEATS 200
+#define GROUPS_PER_STEP 256
+#define SAMPLES_PER_GROUP 8
+#define TOKENS_PER_SAMPLE 365
+#define TOKENS_PER_PIECE 16
+#define N_WAITING_REQUESTS 2000
+
+/* Collects measurements: time per operation, and bytes per message or per object held. */
 typedef struct
 {
   struct json_object *array;
@@ -37,7 +37,7 @@
 } Report;
 
 static void
-add (Report *report, const char *what, size_t size, double microseconds, double bytes)
+add_measurement (Report *report, const char *what, size_t size, double microseconds, double bytes)
 {
   struct json_object *object = json_object_new_object ();
 
@@ -51,19 +51,19 @@
 }
 
 static double
-held_bytes (void)
+allocated_bytes (void)
 {
   return (double)mallinfo2 ().uordblks;
 }
 
 static double
-since (LbTime begun, size_t n)
+microseconds_per_operation (LbTime started_at, size_t n)
 {
-  return (double)(lb_clock_monotonic () - begun) / (double)n;
+  return (double)(lb_clock_monotonic () - started_at) / (double)n;
 }
 
 static LcResourceSet *
-make_set (size_t n_endpoints)
+make_resource_set (size_t n_endpoints)
 {
   LcResourceSet *set = LB_NEW (LcResourceSet);
 
@@ -96,7 +96,7 @@
 }
 
 static void
-make_report (size_t i, LbTime now, LcLoadReport *report)
+make_load_report (size_t i, LbTime now, LcLoadReport *report)
 {
   *report = (LcLoadReport){ .version = 3,
                             .running = (int64_t)(i * 7 % 20),
@@ -106,12 +106,13 @@
   snprintf (report->incarnation, sizeof report->incarnation, "engine-%zu-1", i);
 }
 
-/* A decision over n endpoints, with what is noted of it there, and an endpoint's memory. */
+/* Measures a routing decision over n endpoints, with the endpoint's request accounting, and the
+ * memory per endpoint. */
 static void
 measure_routing (Report *report, size_t n)
 {
-  LcResourceSet *set = make_set (n);
-  double before = held_bytes ();
+  LcResourceSet *set = make_resource_set (n);
+  double before = allocated_bytes ();
   LcEndpoints *endpoints = lc_endpoints_new ();
   LcRouter *router = lc_router_new ("lentilspindle", 1);
   LbTime now = LB_SEC;
@@ -127,12 +128,12 @@
   for (size_t i = 0; i < n; i++)
     {
       LcLoadReport load;
-      make_report (i, now, &load);
+      make_load_report (i, now, &load);
       lc_endpoints_record_load (endpoints, lc_endpoints_at (endpoints, i)->member.name, &load, now);
     }
-  double memory = (held_bytes () - before) / (double)n;
-  LbTime begun = lb_clock_monotonic ();
-  for (uint64_t i = 0; i < DECISIONS; i++)
+  double memory = (allocated_bytes () - before) / (double)n;
+  LbTime started_at = lb_clock_monotonic ();
+  for (uint64_t i = 0; i < N_OPERATIONS; i++)
     {
       const uint64_t hashes[] = { i % 40 + 1, i % 40 + 1001, i % 40 + 2001, i + 100000 };
       query.prefix_hashes = hashes;
@@ -143,18 +144,19 @@
       lc_endpoint_request_sent (decision.endpoint, LC_KIND_LIVE, hashes[2], now);
       lc_endpoint_request_ended (decision.endpoint, LC_KIND_LIVE, true, 64, LB_SEC, now);
     }
-  add (report, "routing-decision", n, since (begun, DECISIONS), 0);
-  add (report, "endpoint-memory", n, 0, memory);
+  add_measurement (report, "routing-decision", n,
+                   microseconds_per_operation (started_at, N_OPERATIONS), 0);
+  add_measurement (report, "endpoint-memory", n, 0, memory);
   lc_router_free (router);
   lc_endpoints_free (endpoints);
   lc_resource_set_free (set);
 }
 
-/* Reports of n endpoints, one after another. */
+/* Measures the handling of load reports from n endpoints in turn. */
 static void
-measure_reports (Report *report, size_t n)
+measure_load_reports (Report *report, size_t n)
 {
-  LcResourceSet *set = make_set (n);
+  LcResourceSet *set = make_resource_set (n);
   LcDispatchSettings settings = { .policy = "lentilspindle", .queue_limit = 4096 };
   LcDispatch *dispatch = lc_dispatch_new (&settings);
   LbTime now = LB_SEC;
@@ -162,33 +164,34 @@
 
   lb_list_init (&actions);
   lc_dispatch_configure (dispatch, set, now, &actions);
-  LbTime begun = lb_clock_monotonic ();
-  for (size_t i = 0; i < DECISIONS; i++)
+  LbTime started_at = lb_clock_monotonic ();
+  for (size_t i = 0; i < N_OPERATIONS; i++)
     {
       LcLoadReport load;
       now += 100;
-      make_report (i % n, now, &load);
+      make_load_report (i % n, now, &load);
       lc_dispatch_record_load (dispatch, set->endpoints[i % n].name, &load, now, &actions);
     }
-  add (report, "load-report", n, since (begun, DECISIONS), 0);
+  add_measurement (report, "load-report", n, microseconds_per_operation (started_at, N_OPERATIONS),
+                   0);
   lc_dispatch_free (dispatch);
   lc_resource_set_free (set);
 }
 
-/* The memory of a request that waits because nobody may take it. */
+/* Measures the memory of a queued request. No endpoint has min_version, so all requests wait. */
 static void
-measure_waiting (Report *report)
+measure_waiting_requests (Report *report)
 {
-  LcResourceSet *set = make_set (10);
+  LcResourceSet *set = make_resource_set (10);
   LcDispatchSettings settings = { .policy = "lentilspindle", .queue_limit = 4096 };
   LcDispatch *dispatch = lc_dispatch_new (&settings);
   LbList actions;
 
   lb_list_init (&actions);
   lc_dispatch_configure (dispatch, set, LB_SEC, &actions);
-  double before = held_bytes ();
-  LbTime begun = lb_clock_monotonic ();
-  for (uint64_t i = 1; i <= WAITING; i++)
+  double before = allocated_bytes ();
+  LbTime started_at = lb_clock_monotonic ();
+  for (uint64_t i = 1; i <= N_WAITING_REQUESTS; i++)
     {
       LcRequestSpec spec = { .id = i,
                              .kind = LC_KIND_LIVE,
@@ -204,15 +207,16 @@
     }
   size_t waiting = lc_dispatch_count_waiting (dispatch, LC_KIND_LIVE);
   if (waiting > 0)
-    add (report, "waiting-request", waiting, since (begun, WAITING),
-         (held_bytes () - before) / (double)waiting);
+    add_measurement (report, "waiting-request", waiting,
+                     microseconds_per_operation (started_at, N_WAITING_REQUESTS),
+                     (allocated_bytes () - before) / (double)waiting);
   while (!lb_list_is_empty (&actions))
     lc_action_free (LB_CONTAINER (lb_list_pop (&actions), LcAction, link));
   lc_dispatch_free (dispatch);
   lc_resource_set_free (set);
 }
 
-/* A trainer's step through LcRollouts and LcDispatch, with endpoints that answer at once. */
+/* A trainer's step run through LcRollouts and LcDispatch with endpoints that answer immediately. */
 typedef struct
 {
   LcDispatch *dispatch;
@@ -220,22 +224,22 @@
   LbList actions;
   LbList rollout_actions;
   LbTime now;
-  size_t n_ledger;
-  size_t ledger_bytes;
+  size_t n_ledger_writes;
+  size_t ledger_bytes; /* of the last write */
   size_t n_samples;
   size_t n_decisions;
   char *cursor;
 } Step;
 
 static void
-answer (Step *step, const LcAction *send)
+answer_attempt (Step *step, const LcAction *send)
 {
-  for (int64_t offset = 0; offset < SAMPLE_TOKENS; offset += PIECE_TOKENS)
+  for (int64_t offset = 0; offset < TOKENS_PER_SAMPLE; offset += TOKENS_PER_PIECE)
     {
-      LcPiece piece = { .offset = offset, .tokens = PIECE_TOKENS, .version = 3 };
-      if (offset + PIECE_TOKENS >= SAMPLE_TOKENS)
+      LcPiece piece = { .offset = offset, .tokens = TOKENS_PER_PIECE, .version = 3 };
+      if (offset + TOKENS_PER_PIECE >= TOKENS_PER_SAMPLE)
         {
-          piece.tokens = SAMPLE_TOKENS - offset;
+          piece.tokens = TOKENS_PER_SAMPLE - offset;
           piece.last = true;
         }
       step->now += 10;
@@ -250,12 +254,12 @@
 }
 
 static void
-carry_out (Step *step, const LcAction *action)
+run_dispatch_action (Step *step, const LcAction *action)
 {
   if (action->type == LC_ACTION_SEND)
     {
       step->n_decisions++;
-      answer (step, action);
+      answer_attempt (step, action);
     }
   else if (action->type == LC_ACTION_FINISH)
     {
@@ -265,7 +269,7 @@
 }
 
 static void
-carry_out_rollout (Step *step, const LcRolloutAction *action)
+run_rollout_action (Step *step, const LcRolloutAction *action)
 {
   LbTime retry_after;
   LbError error;
@@ -280,7 +284,7 @@
       lc_dispatch_cancel (step->dispatch, action->spec.id, step->now, &step->actions);
       break;
     case LC_ROLLOUT_WRITE_LEDGER:
-      step->n_ledger++;
+      step->n_ledger_writes++;
       step->ledger_bytes = strlen (action->row_value);
       lc_rollouts_finish_ledger_write (step->rollouts, action->write_id, LB_OK, step->now,
                                        &step->rollout_actions);
@@ -296,7 +300,7 @@
 }
 
 static void
-pump (Step *step)
+run_actions (Step *step)
 {
   for (;;)
     {
@@ -304,13 +308,13 @@
         {
           LcRolloutAction *action
               = LB_CONTAINER (lb_list_pop (&step->rollout_actions), LcRolloutAction, link);
-          carry_out_rollout (step, action);
+          run_rollout_action (step, action);
           lc_rollout_action_free (action);
         }
       else if (!lb_list_is_empty (&step->actions))
         {
           LcAction *action = LB_CONTAINER (lb_list_pop (&step->actions), LcAction, link);
-          carry_out (step, action);
+          run_dispatch_action (step, action);
           lc_action_free (action);
         }
       else
@@ -321,47 +325,47 @@
 }
 
 static void
-fill_step (LcStepSpec *spec)
+fill_step_spec (LcStepSpec *spec)
 {
   LB_COPY (spec->subscription, "trainer");
   spec->step = 1;
   spec->trainer_version = 3;
-  spec->n_groups = STEP_GROUPS;
-  spec->groups = LB_NEW_ARRAY (LcGroupSpec, STEP_GROUPS);
-  for (size_t i = 0; i < STEP_GROUPS; i++)
+  spec->n_groups = GROUPS_PER_STEP;
+  spec->groups = LB_NEW_ARRAY (LcGroupSpec, GROUPS_PER_STEP);
+  for (size_t i = 0; i < GROUPS_PER_STEP; i++)
     {
       snprintf (spec->groups[i].id, LB_NAME_MAX, "g%zu", i);
       spec->groups[i].prompt = lb_strdup ("a prompt");
-      spec->groups[i].samples = GROUP_SAMPLES;
+      spec->groups[i].samples = SAMPLES_PER_GROUP;
       spec->groups[i].max_tokens = 4096;
     }
 }
 
 static void
-pull (Step *step, uint64_t number)
+pull_samples (Step *step, uint64_t number)
 {
   char *cursor = lb_strdup (step->cursor);
-  LcPull wanted = { .id = number,
-                    .subscription = "trainer",
-                    .step = 1,
-                    .cursor = cursor,
-                    .trainer_version = 3,
-                    .max_samples = 64,
-                    .wait_until = step->now + LB_SEC };
+  LcPull request = { .id = number,
+                     .subscription = "trainer",
+                     .step = 1,
+                     .cursor = cursor,
+                     .trainer_version = 3,
+                     .max_samples = 64,
+                     .wait_until = step->now + LB_SEC };
 
   step->now += 100 * LB_MSEC;
-  lc_rollouts_pull (step->rollouts, &wanted, step->now, &step->rollout_actions);
-  pump (step);
+  lc_rollouts_pull (step->rollouts, &request, step->now, &step->rollout_actions);
+  run_actions (step);
   if (lc_rollouts_next_tick (step->rollouts) <= step->now)
     lc_rollouts_tick (step->rollouts, step->now, &step->rollout_actions);
   if (lc_dispatch_next_tick (step->dispatch) <= step->now)
     lc_dispatch_tick (step->dispatch, step->now, &step->actions);
-  pump (step);
+  run_actions (step);
   free (cursor);
 }
 
 static void
-prepare_step (Step *step, const LcResourceSet *set)
+init_step (Step *step, const LcResourceSet *set)
 {
   LcDispatchSettings dispatch = { .policy = "lentilspindle", .queue_limit = 4096 };
   LcRolloutSettings rollouts = lc_rollout_settings_default ();
@@ -376,7 +380,7 @@
   for (size_t i = 0; i < set->n_endpoints; i++)
     {
       LcLoadReport load;
-      make_report (i, step->now, &load);
+      make_load_report (i, step->now, &load);
       load.running = 0;
       load.waiting = 0;
       lc_dispatch_record_load (step->dispatch, set->endpoints[i].name, &load, step->now,
@@ -387,30 +391,31 @@
 static void
 measure_step (Report *report, size_t n)
 {
-  const size_t slots = STEP_GROUPS * GROUP_SAMPLES;
-  LcResourceSet *set = make_set (n);
+  const size_t slots = GROUPS_PER_STEP * SAMPLES_PER_GROUP;
+  LcResourceSet *set = make_resource_set (n);
   LcStepSpec spec = { 0 };
   LbError error = { 0 };
   Step step;
 
-  prepare_step (&step, set);
-  fill_step (&spec);
-  double before = held_bytes ();
-  LbTime begun = lb_clock_monotonic ();
+  init_step (&step, set);
+  fill_step_spec (&spec);
+  double before = allocated_bytes ();
+  LbTime started_at = lb_clock_monotonic ();
   lc_rollouts_open_step (step.rollouts, &spec, 1, step.now, &step.rollout_actions, &error);
-  double memory = held_bytes () - before;
-  pump (&step);
+  double memory = allocated_bytes () - before;
+  run_actions (&step);
   for (uint64_t i = 1; step.n_samples < slots && i < 10000; i++)
-    pull (&step, i);
+    pull_samples (&step, i);
   if (step.n_samples == slots)
     {
-      add (report, "sample-life", n, since (begun, slots), memory / (double)slots);
-      add (report, "ledger-write", slots, 0, (double)step.ledger_bytes);
-      add (report, "ledger-writes-of-a-step", slots, 0, (double)step.n_ledger);
+      add_measurement (report, "sample-life", n, microseconds_per_operation (started_at, slots),
+                       memory / (double)slots);
+      add_measurement (report, "ledger-write", slots, 0, (double)step.ledger_bytes);
+      add_measurement (report, "ledger-writes-of-a-step", slots, 0, (double)step.n_ledger_writes);
     }
   else
     {
-      fprintf (stderr, "lentilspindle cost: step ended with %zu of %zu samples\n", step.n_samples,
+      fprintf (stderr, "lentilspindle cost: step delivered %zu of %zu samples\n", step.n_samples,
                slots);
     }
   lc_step_spec_clear (&spec);
@@ -439,7 +444,8 @@
         LB_CONTAINER (lb_list_pop (actions), LcMembershipAction, link_in_list));
 }
 
-/* A peer's memory, and the processor time of a second of heartbeats among n instances. */
+/* Measures the memory per instance, and the time of a tick with one received heartbeat, among n
+ * instances. */
 static void
 measure_membership (Report *report, size_t n)
 {
@@ -452,14 +458,14 @@
   for (size_t i = 0; i < n; i++)
     make_instance (i, &instances[i]);
   settings.self = instances[0];
-  double before = held_bytes ();
+  double before = allocated_bytes ();
   LcMembership *membership = lc_membership_new (&settings, now);
   LcLinkId link = lc_membership_link_accepted (membership, &instances[1], now, &actions);
   lc_membership_updates_received (membership, link, instances, n, now, &actions);
   free_membership_actions (&actions);
-  add (report, "peer-memory", n, 0, (held_bytes () - before) / (double)n);
-  LbTime begun = lb_clock_monotonic ();
-  for (size_t i = 0; i < REPEATS; i++)
+  add_measurement (report, "peer-memory", n, 0, (allocated_bytes () - before) / (double)n);
+  LbTime started_at = lb_clock_monotonic ();
+  for (size_t i = 0; i < N_REPEATS; i++)
     {
       now += LB_SEC / 10;
       lc_membership_frame_received (membership, link, now);
@@ -467,7 +473,8 @@
       lc_membership_tick (membership, now, &actions);
       free_membership_actions (&actions);
     }
-  add (report, "membership-tick", n, since (begun, REPEATS), 0);
+  add_measurement (report, "membership-tick", n, microseconds_per_operation (started_at, N_REPEATS),
+                   0);
   lc_membership_free (membership);
   free (instances);
 }
@@ -476,18 +483,19 @@
 measure_frame (Report *report, const char *what, LwMessage *message)
 {
   size_t length = 0;
-  LbTime begun = lb_clock_monotonic ();
+  LbTime started_at = lb_clock_monotonic ();
 
-  for (size_t i = 0; i < DECISIONS; i++)
+  for (size_t i = 0; i < N_OPERATIONS; i++)
     {
-      LwMessage back = { 0 };
+      LwMessage decoded = { 0 };
       LbError error;
       uint8_t *frame = lw_message_encode (message, &length);
-      lw_message_decode (frame + LW_FRAME_HEADER, length - LW_FRAME_HEADER, &back, &error);
-      lw_message_clear (&back);
+      lw_message_decode (frame + LW_FRAME_HEADER, length - LW_FRAME_HEADER, &decoded, &error);
+      lw_message_clear (&decoded);
       free (frame);
     }
-  add (report, what, 1, since (begun, DECISIONS), (double)length);
+  add_measurement (report, what, 1, microseconds_per_operation (started_at, N_OPERATIONS),
+                   (double)length);
 }
 
 static void
@@ -495,14 +503,14 @@
 {
   LcInstance instance;
   LwMessage ping = { .type = LW_PING, .digest = 0x123456789abcdefu };
-  LwMessage news = { .type = LW_INSTANCES, .instances = &instance, .n_instances = 1 };
+  LwMessage update = { .type = LW_INSTANCES, .instances = &instance, .n_instances = 1 };
 
   make_instance (1, &instance);
   measure_frame (report, "heartbeat-frame", &ping);
-  measure_frame (report, "instance-news-frame", &news);
+  measure_frame (report, "instance-news-frame", &update);
 }
 
-/* An operator's change of one endpoint among n, as each instance applies it. */
+/* Measures an operator's change to one of n endpoints, as each instance applies it. */
 static void
 measure_change (Report *report, size_t n)
 {
@@ -510,25 +518,27 @@
                              "\"type\": \"engine\", \"pool\": \"pool\", \"address\":"
                              "\"10.0.0.3:9000\", \"data_centre\": \"dc-1\", \"leaving\": true,"
                              "\"checks_fence\": true, \"concurrency\": 32}]}";
-  LcResourceSet *set = make_set (n);
+  LcResourceSet *set = make_resource_set (n);
   struct json_object *change = json_tokener_parse (text);
-  struct json_object *whole = lc_resource_set_to_json (set);
+  struct json_object *set_object = lc_resource_set_to_json (set);
   LbError error = { 0 };
-  LbTime begun = lb_clock_monotonic ();
-  double held = 0;
+  LbTime started_at = lb_clock_monotonic ();
+  double memory = 0;
 
-  for (size_t i = 0; i < REPEATS; i++)
+  for (size_t i = 0; i < N_REPEATS; i++)
     {
-      double before = held_bytes ();
+      double before = allocated_bytes ();
       LcResourceSet *next = lc_change_apply (set, change, "cost", &error);
-      held = held_bytes () - before;
+      memory = allocated_bytes () - before;
       lc_resource_set_free (next);
     }
-  add (report, "configuration-change", n, since (begun, REPEATS), (double)strlen (text));
-  add (report, "configuration-memory", n, 0, held);
-  add (report, "configuration-whole-set", n, 0,
-       (double)strlen (json_object_to_json_string_ext (whole, JSON_C_TO_STRING_PLAIN)));
-  json_object_put (whole);
+  add_measurement (report, "configuration-change", n,
+                   microseconds_per_operation (started_at, N_REPEATS), (double)strlen (text));
+  add_measurement (report, "configuration-memory", n, 0, memory);
+  add_measurement (report, "configuration-whole-set", n, 0,
+                   (double)strlen (
+                       json_object_to_json_string_ext (set_object, JSON_C_TO_STRING_PLAIN)));
+  json_object_put (set_object);
   json_object_put (change);
   lc_resource_set_free (set);
 }
@@ -536,24 +546,24 @@
 static void
 measure_all (Report *report)
 {
-  static const size_t sizes[] = { 10, 100, 600 };
-  static const size_t members[] = { 10, 100, 350 };
+  static const size_t endpoint_counts[] = { 10, 100, 600 };
+  static const size_t instance_counts[] = { 10, 100, 350 };
 
   for (size_t i = 0; i < 3; i++)
-    measure_routing (report, sizes[i]);
+    measure_routing (report, endpoint_counts[i]);
   for (size_t i = 0; i < 3; i++)
-    measure_reports (report, sizes[i]);
-  measure_waiting (report);
+    measure_load_reports (report, endpoint_counts[i]);
+  measure_waiting_requests (report);
   for (size_t i = 0; i < 3; i++)
-    measure_step (report, sizes[i]);
+    measure_step (report, endpoint_counts[i]);
   for (size_t i = 0; i < 3; i++)
-    measure_membership (report, members[i]);
+    measure_membership (report, instance_counts[i]);
   measure_frames (report);
   for (size_t i = 0; i < 3; i++)
-    measure_change (report, sizes[i]);
+    measure_change (report, endpoint_counts[i]);
 }
 
-/* What decisions cost on this machine: docs/CAPACITY.md is made from it. */
+/* Measures what decisions cost on this machine; docs/CAPACITY.md is generated from the result. */
 int
 lt_cost_run (int argc, char **argv)
 {
@@ -567,7 +577,7 @@
 
   if (help->count > 0)
     {
-      lt_print_help (table, "cost", "Measures what decisions cost in microseconds and bytes.");
+      lt_print_help (table, "cost", "Measures the cost of decisions in microseconds and bytes.");
       code = LT_EXIT_OK;
       goto out;
     }
--- a/packages/cli/src/lt-replay.c
+++ b/packages/cli/src/lt-replay.c
@@ -22,17 +22,17 @@
                error.where, error.detail);
       return LT_EXIT_USAGE;
     }
-  bool held = lx_replay_run (&trace, path, stdout);
-  printf ("%s: %s (%s)\n", path, held ? "held" : "FAILED", trace.about);
+  bool passed = lx_replay_run (&trace, path, stdout);
+  printf ("%s: %s (%s)\n", path, passed ? "held" : "FAILED", trace.about);
   lx_trace_clear (&trace);
-  return held ? LT_EXIT_OK : LT_EXIT_FAILED;
+  return passed ? LT_EXIT_OK : LT_EXIT_FAILED;
 }
 
-/* Runs traces against what they state; the worst result of all files is the exit code. */
+/* Runs traces and checks their expectations. The exit code is the worst result of all files. */
 int
 lt_replay_run (int argc, char **argv)
 {
-  struct arg_file *files = arg_filen (NULL, NULL, "FILE", 1, 1000, "a trace: docs/TRACES.md");
+  struct arg_file *files = arg_filen (NULL, NULL, "FILE", 1, 1000, "trace file (docs/TRACES.md)");
   struct arg_lit *help = arg_lit0 (NULL, "help", "print this help");
   struct arg_end *end = arg_end (8);
   void *table[] = { files, help, end };
@@ -42,7 +42,7 @@
   if (help->count > 0)
     {
       lt_print_help (table, "replay",
-                     "Runs traces against the outcomes that they state (docs/TRACES.md).");
+                     "Runs traces and checks the outcomes that they expect (docs/TRACES.md).");
       code = LT_EXIT_OK;
       goto out;
     }
--- a/packages/cli/src/lt-soak.c
+++ b/packages/cli/src/lt-soak.c
@@ -12,7 +12,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/* -1 when no fault has this name. */
+/* Returns the LxFault of this name, or -1. */
 static int
 find_fault (const char *name)
 {
@@ -25,25 +25,26 @@
 static int
 run_seeds (LxSoak *soak, int n_seeds, bool shrink)
 {
-  int failed = 0;
+  int n_failed = 0;
 
   for (int i = 0; i < n_seeds; i++, soak->seed++)
-    failed += !lx_soak_run (soak, shrink, stdout);
-  if (failed > 0)
-    printf ("%d of %d runs failed\n", failed, n_seeds);
-  return failed > 0 ? LT_EXIT_FAILED : LT_EXIT_OK;
+    n_failed += !lx_soak_run (soak, shrink, stdout);
+  if (n_failed > 0)
+    printf ("%d of %d runs failed\n", n_failed, n_seeds);
+  return n_failed > 0 ? LT_EXIT_FAILED : LT_EXIT_OK;
 }
 
-/* Long randomised runs with faults; every promise is checked, from outside and by core itself. */
+/* Runs long randomised simulations with faults. The simulator and core's own checks look for
+ * violated invariants. */
 int
 lt_soak_run (int argc, char **argv)
 {
   struct arg_str *site = arg_str1 (NULL, "site", "SITE", "kurunegala or hoa-sen");
-  struct arg_int *seed = arg_int0 (NULL, "seed", "N", "first seed, 1 if not given");
-  struct arg_int *seeds = arg_int0 (NULL, "seeds", "N", "how many seeds, 1 if not given");
-  struct arg_int *events = arg_int0 (NULL, "events", "N", "events of a run, 1000000");
-  struct arg_str *only = arg_str0 (NULL, "only", "FAULT", "one kind of fault alone");
-  struct arg_lit *shrink = arg_lit0 (NULL, "shrink", "look for a shorter failing run");
+  struct arg_int *seed = arg_int0 (NULL, "seed", "N", "first seed (default: 1)");
+  struct arg_int *seeds = arg_int0 (NULL, "seeds", "N", "number of seeds (default: 1)");
+  struct arg_int *events = arg_int0 (NULL, "events", "N", "events per run (default: 1000000)");
+  struct arg_str *only = arg_str0 (NULL, "only", "FAULT", "inject only this kind of fault");
+  struct arg_lit *shrink = arg_lit0 (NULL, "shrink", "search for a failing run with fewer faults");
   struct arg_lit *help = arg_lit0 (NULL, "help", "print this help");
   struct arg_end *end = arg_end (8);
   void *table[] = { site, seed, seeds, events, only, shrink, help, end };
@@ -57,7 +58,7 @@
     {
       lt_print_help (
           table, "soak",
-          "Runs random faults for long and checks all promises; the same seed is the same run.");
+          "Runs random fault simulations and checks all invariants; a seed reproduces its run.");
       code = LT_EXIT_OK;
       goto out;
     }
