--- a/tools/local.py
+++ b/tools/local.py
@@ -1,5 +1,5 @@
-"""Programs of build/bin on loopback, for tools/demo and tools/bench: started, waited for, and ended
-by whoever started them. Ports are chosen by the kernel."""
+"""Starts and stops programs of build/bin on loopback, for tools/demo, tools/bench and tools/chaos. The
+kernel chooses the ports."""
 
 import http.client
 import json
@@ -11,7 +11,7 @@
 
 
 class Processes:
-    """What one run has started, and nothing else."""
+    """The processes that one run started."""
 
     def __init__(self, build, folder):
         self.build, self.folder = os.path.abspath(build), folder
@@ -23,7 +23,7 @@
     def start(self, name, program, *arguments):
         output = os.path.join(self.folder, name + ".out")
         with open(output, "w") as out, open(os.path.join(self.folder, name + ".log"), "w") as log:
-            # The daemon logs on standard output; what the others say there is their result.
+            # The daemon logs to standard output; the other programs print their result there.
             streams = (log, subprocess.STDOUT) if program == "lentilspindled" else (out, log)
             process = subprocess.Popen([self.program(program), *arguments], stdout=streams[0],
                                        stderr=streams[1])
@@ -31,7 +31,7 @@
         return process, output
 
     def stop(self):
-        """Ends everything in the reverse order and returns the exit codes by name."""
+        """Stops all processes in reverse order and returns their exit codes by name."""
         codes = {}
         for _, process in reversed(self.running):
             if process.poll() is None:
@@ -53,11 +53,11 @@
         if value:
             return value
         time.sleep(0.02)
-    raise RuntimeError(f"no {what} within {seconds} s")
+    raise RuntimeError(f"timed out after {seconds} s waiting for: {what}")
 
 
 def request(address, method, path, body=None, headers=None, timeout=60):
-    """Status and body of one call."""
+    """Makes one call and returns its status and body."""
     connection = http.client.HTTPConnection(address, timeout=timeout)
     try:
         connection.request(method, path, json.dumps(body) if body is not None else None,
@@ -80,7 +80,7 @@
 
 
 def start_daemon(processes, name="daemon", extra=None):
-    """The process and the address for callers, once it is ready."""
+    """Starts a daemon, waits until it is ready, and returns the process and its caller address."""
     address_file = os.path.join(processes.folder, name + ".address")
     settings = os.path.join(processes.folder, name + ".json")
     values = {"instance": {"name": name, "data_centre": "hall-a",
@@ -110,5 +110,5 @@
                            "--address", address, "--token", TOKEN],
                           capture_output=True, text=True, check=False)
     if done.returncode != 0:
-        raise RuntimeError("the resources were not accepted: " + done.stderr.strip())
+        raise RuntimeError("lentilspindle apply failed: " + done.stderr.strip())
     return done.stdout.strip()
