--- a/packages/cli/src/lt-command.c
+++ b/packages/cli/src/lt-command.c
@@ -28,7 +28,7 @@
   fputs ("Usage: lentilspindle COMMAND [OPTION...]\n\nCommands:\n", out);
   for (const LtCommand *command = commands; command->name; command++)
     fprintf (out, "  %-10s %s\n", command->name, command->summary);
-  fputs ("\nlentilspindle COMMAND --help prints the options of a command.\n", out);
+  fputs ("\nlentilspindle COMMAND --help lists a command's options.\n", out);
 }
 
 static const LtCommand *
