--- a/standins/si-arguments.c
+++ b/standins/si-arguments.c
@@ -5,17 +5,18 @@
 #define EXIT_USAGE 2
 
 bool
-si_arguments_parse (int argc, char **argv, void **table, size_t n, const char *program, int *status)
+si_arguments_parse (
+    int argc, char **argv, void **table, size_t n_entries, const char *program, int *exit_code)
 {
-  const struct arg_lit *help = table[n - 2];
-  struct arg_end *end = table[n - 1];
+  const struct arg_lit *help = table[n_entries - 2];
+  struct arg_end *end = table[n_entries - 1];
   int errors = arg_parse (argc, argv, table);
 
-  *status = EXIT_USAGE;
+  *exit_code = EXIT_USAGE;
   if (help->count > 0)
     {
       arg_print_glossary (stdout, table, "  %-30s %s\n");
-      *status = 0;
+      *exit_code = 0;
       return false;
     }
   if (errors > 0)
--- a/standins/si-arguments.h
+++ b/standins/si-arguments.h
@@ -4,9 +4,9 @@
 #include <argtable2.h>
 #include <stdbool.h>
 
-/* Of an argtable whose last two entries are --help and the end. True when the program shall run;
- * else *status is its exit code, and the help or the faults have been printed. */
+/* The last two of the table's n_entries must be --help and arg_end. Returns true when the program
+ * should run; otherwise help or usage errors have been printed and *exit_code is set. */
 bool si_arguments_parse (
-    int argc, char **argv, void **table, size_t n, const char *program, int *status);
+    int argc, char **argv, void **table, size_t n_entries, const char *program, int *exit_code);
 
 #endif
--- a/standins/si-cache.c
+++ b/standins/si-cache.c
@@ -14,30 +14,31 @@
 {
   UT_hash_handle hh;
   LbLink link;
-  uint64_t prefix;
+  uint64_t prefix_hash;
 };
 
 void
-si_cache_init (SiCache *cache, size_t limit)
+si_cache_init (SiCache *cache, size_t max_blocks)
 {
   memset (cache, 0, sizeof *cache);
-  cache->max_blocks = limit;
+  cache->max_blocks = max_blocks;
   cache->next_sequence = 1;
   lb_list_init (&cache->lru);
 }
 
 static void
-add_event (SiCache *cache, uint64_t prefix, bool stored)
+add_event (SiCache *cache, uint64_t prefix_hash, bool is_stored)
 {
-  cache->events[cache->next_sequence % SI_CACHE_MAX_EVENTS]
-      = (SiCacheEvent){ .sequence = cache->next_sequence, .prefix = prefix, .stored = stored };
+  cache->events[cache->next_sequence % SI_CACHE_MAX_EVENTS] = (SiCacheEvent){
+    .sequence = cache->next_sequence, .prefix_hash = prefix_hash, .is_stored = is_stored
+  };
   cache->next_sequence++;
 }
 
 static void
 remove_block (SiCache *cache, SiCacheBlock *block)
 {
-  add_event (cache, block->prefix, false);
+  add_event (cache, block->prefix_hash, false);
   lb_list_remove (&cache->lru, &block->link);
   HASH_DEL (cache->blocks, block);
   free (block);
@@ -56,12 +57,13 @@
   si_cache_evict_all (cache);
 }
 
+/* Makes the block the most recently used one; returns whether it was already cached. */
 static bool
-touch_block (SiCache *cache, uint64_t prefix)
+touch_or_insert_block (SiCache *cache, uint64_t prefix_hash)
 {
   SiCacheBlock *block = NULL;
 
-  HASH_FIND (hh, cache->blocks, &prefix, sizeof prefix, block);
+  HASH_FIND (hh, cache->blocks, &prefix_hash, sizeof prefix_hash, block);
   if (block)
     {
       lb_list_remove (&cache->lru, &block->link);
@@ -71,10 +73,10 @@
   if (cache->lru.length >= cache->max_blocks)
     remove_block (cache, LB_CONTAINER (cache->lru.head.next, SiCacheBlock, link));
   block = LB_NEW (SiCacheBlock);
-  block->prefix = prefix;
-  HASH_ADD (hh, cache->blocks, prefix, sizeof prefix, block);
+  block->prefix_hash = prefix_hash;
+  HASH_ADD (hh, cache->blocks, prefix_hash, sizeof prefix_hash, block);
   lb_list_append (&cache->lru, &block->link);
-  add_event (cache, prefix, true);
+  add_event (cache, prefix_hash, true);
   return false;
 }
 
@@ -82,19 +84,18 @@
 si_cache_insert_prompt (SiCache *cache, const char *prompt)
 {
   size_t length = strlen (prompt);
-  size_t found = 0;
+  size_t cached_bytes = 0;
 
   if (cache->max_blocks == 0)
     return 0;
   for (size_t k = 1; k <= SI_CACHE_MAX_PROMPT_BLOCKS && k * SI_CACHE_BLOCK_BYTES <= length; k++)
-    if (touch_block (cache, XXH3_64bits (prompt, k * SI_CACHE_BLOCK_BYTES)))
-      found = k * SI_CACHE_BLOCK_BYTES;
-  return found;
+    if (touch_or_insert_block (cache, XXH3_64bits (prompt, k * SI_CACHE_BLOCK_BYTES)))
+      cached_bytes = k * SI_CACHE_BLOCK_BYTES;
+  return cached_bytes;
 }
 
-/* Events from the sequence on, as far as they are still kept. */
 struct json_object *
-si_cache_events_to_json (const SiCache *cache, uint64_t since)
+si_cache_events_to_json (const SiCache *cache, uint64_t first_sequence)
 {
   struct json_object *object = json_object_new_object ();
   struct json_object *events = json_object_new_array ();
@@ -102,15 +103,16 @@
       = cache->next_sequence > SI_CACHE_MAX_EVENTS ? cache->next_sequence - SI_CACHE_MAX_EVENTS : 1;
   char hex[20];
 
-  for (uint64_t i = since > oldest ? since : oldest; i < cache->next_sequence; i++)
+  for (uint64_t i = first_sequence > oldest ? first_sequence : oldest; i < cache->next_sequence;
+       i++)
     {
       const SiCacheEvent *event = &cache->events[i % SI_CACHE_MAX_EVENTS];
-      struct json_object *item = json_object_new_object ();
-      snprintf (hex, sizeof hex, "%016" PRIx64, event->prefix);
-      si_json_set_int (item, "sequence", (int64_t)event->sequence);
-      si_json_set_text (item, "type", event->stored ? "stored" : "removed");
-      si_json_set_text (item, "prefix", hex);
-      json_object_array_add (events, item);
+      struct json_object *event_json = json_object_new_object ();
+      snprintf (hex, sizeof hex, "%016" PRIx64, event->prefix_hash);
+      si_json_set_int (event_json, "sequence", (int64_t)event->sequence);
+      si_json_set_text (event_json, "type", event->is_stored ? "stored" : "removed");
+      si_json_set_text (event_json, "prefix", hex);
+      json_object_array_add (events, event_json);
     }
   si_json_set_int (object, "next", (int64_t)cache->next_sequence);
   json_object_object_add (object, "events", events);
--- a/standins/si-cache.h
+++ b/standins/si-cache.h
@@ -5,37 +5,38 @@
 
 struct json_object;
 
-/* Prompts are cached by blocks; the hash of block k is XXH3_64bits of the prompt's first
+/* Prompts are cached in blocks; block k is identified by XXH3_64bits of the prompt's first
  * k * SI_CACHE_BLOCK_BYTES bytes. */
 #define SI_CACHE_BLOCK_BYTES 64
 #define SI_CACHE_MAX_PROMPT_BLOCKS 16
-#define SI_CACHE_MAX_EVENTS 1024
+#define SI_CACHE_MAX_EVENTS 1024 /* older events are overwritten */
 
 typedef struct SiCacheBlock SiCacheBlock;
 
 typedef struct
 {
   uint64_t sequence;
-  uint64_t prefix;
-  bool stored;
+  uint64_t prefix_hash;
+  bool is_stored; /* false: removed */
 } SiCacheEvent;
 
-/* A prefix cache of limited size: least recently used blocks go first. */
+/* A prefix cache of limited size that evicts the least recently used block. */
 typedef struct
 {
-  size_t max_blocks; /* blocks */
+  size_t max_blocks; /* 0: caching is off */
   SiCacheBlock *blocks;
   LbList lru; /* least recently used first */
   SiCacheEvent events[SI_CACHE_MAX_EVENTS];
-  uint64_t next_sequence; /* sequence of the next event, from 1 */
+  uint64_t next_sequence; /* of the next event; the first event has 1 */
 } SiCache;
 
-void si_cache_init (SiCache *cache, size_t limit);
+void si_cache_init (SiCache *cache, size_t max_blocks);
 void si_cache_clear (SiCache *cache);
-/* Drops every block: the cache of one weight version is of no use to another. */
+/* Used when the weights change: KV entries of one weight version are invalid for another. */
 void si_cache_evict_all (SiCache *cache);
-/* Takes the prompt in; answers how many of its bytes were there before. */
+/* Caches the prompt's blocks; returns how many bytes of its prefix were already cached. */
 size_t si_cache_insert_prompt (SiCache *cache, const char *prompt);
-struct json_object *si_cache_events_to_json (const SiCache *cache, uint64_t since);
+/* Events from first_sequence on, as far as they are still kept. */
+struct json_object *si_cache_events_to_json (const SiCache *cache, uint64_t first_sequence);
 
 #endif
--- a/standins/si-checked-call.c
+++ b/standins/si-checked-call.c
@@ -8,29 +8,29 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MAX_EVENT (1 << 20)
+#define MAX_EVENT_BYTES (1 << 20)
 #define MAX_HEADERS 8
 
 typedef struct
 {
   SiCheckedCallKind kind;
   bool stream;
-  char *wanted; /* the whole right answer */
-  char *got;
-  size_t got_length;
-  size_t got_capacity;
-  char *raw; /* a reply that is no stream of events */
-  size_t raw_length;
+  char *expected; /* the correct complete answer */
+  char *received; /* text of the stream's events so far */
+  size_t received_length;
+  size_t received_capacity;
+  char *body; /* of a reply that is not an event stream */
+  size_t body_length;
   LhSse sse;
-  bool done_marker;
+  bool has_done_marker; /* [DONE] was received */
   LbTime start;
   SiCheckedCallResult result;
   SiCheckedCallDone done;
   void *user;
-} Live;
+} CheckedCall;
 
 static void
-append (char **text, size_t *length, const char *bytes, size_t n)
+append_bytes (char **text, size_t *length, const char *bytes, size_t n)
 {
   *text = lb_realloc (*text, *length + n + 1);
   memcpy (*text + *length, bytes, n);
@@ -39,21 +39,21 @@
 }
 
 static void
-append_got (Live *live, const char *text)
+append_answer_text (CheckedCall *call, const char *text)
 {
   size_t n = strlen (text);
 
-  if (live->got_length + n + 1 > live->got_capacity)
+  if (call->received_length + n + 1 > call->received_capacity)
     {
-      live->got_capacity = (live->got_length + n + 1) * 2;
-      live->got = lb_realloc (live->got, live->got_capacity);
+      call->received_capacity = (call->received_length + n + 1) * 2;
+      call->received = lb_realloc (call->received, call->received_capacity);
     }
-  memcpy (live->got + live->got_length, text, n + 1);
-  live->got_length += n;
+  memcpy (call->received + call->received_length, text, n + 1);
+  call->received_length += n;
 }
 
 static const char *
-choice_text (const Live *live, struct json_object *object, const char *chat_key)
+get_choice_text (const CheckedCall *call, struct json_object *object, const char *chat_key)
 {
   struct json_object *choices, *choice, *message;
 
@@ -61,7 +61,7 @@
       || !json_object_is_type (choices, json_type_array))
     return NULL;
   choice = json_object_array_get_idx (choices, 0);
-  if (live->kind != SI_CHECKED_CALL_CHAT)
+  if (call->kind != SI_CHECKED_CALL_CHAT)
     return si_json_text (choice, "text", NULL);
   return json_object_object_get_ex (choice, chat_key, &message)
              ? si_json_text (message, "content", NULL)
@@ -69,139 +69,139 @@
 }
 
 static void
-take_error (Live *live, struct json_object *object)
+copy_error_type (CheckedCall *call, struct json_object *object)
 {
   struct json_object *error;
 
   if (json_object_object_get_ex (object, "error", &error))
-    LB_COPY (live->result.error, si_json_text (error, "type", "untyped"));
+    LB_COPY (call->result.error, si_json_text (error, "type", "untyped"));
 }
 
 static void
-on_event (const char *data, size_t length, void *user)
+on_sse_event (const char *data, size_t length, void *user)
 {
-  Live *live = user;
+  CheckedCall *call = user;
   char *text = lb_strndup (data, length);
 
   if (strcmp (text, "[DONE]") == 0)
-    live->done_marker = true;
+    call->has_done_marker = true;
   else
     {
       struct json_object *event = json_tokener_parse (text);
-      const char *piece = event ? choice_text (live, event, "delta") : NULL;
-      if (piece)
-        append_got (live, piece);
+      const char *chunk = event ? get_choice_text (call, event, "delta") : NULL;
+      if (chunk)
+        append_answer_text (call, chunk);
       else if (event)
-        take_error (live, event);
+        copy_error_type (call, event);
       json_object_put (event);
     }
   free (text);
 }
 
 static void
-on_piece (LhFetch *fetch, const char *bytes, size_t length, void *user)
+on_body_chunk (LhFetch *fetch, const char *bytes, size_t length, void *user)
 {
-  Live *live = user;
+  CheckedCall *call = user;
   LbError error;
 
-  if (live->result.time_to_first_byte == 0)
-    live->result.time_to_first_byte = lb_clock_monotonic () - live->start;
-  if (live->stream && lh_fetch_status (fetch) == 200)
-    lh_sse_feed (&live->sse, bytes, length, on_event, live, &error);
+  if (call->result.time_to_first_byte == 0)
+    call->result.time_to_first_byte = lb_clock_monotonic () - call->start;
+  if (call->stream && lh_fetch_status (fetch) == 200)
+    lh_sse_feed (&call->sse, bytes, length, on_sse_event, call, &error);
   else
-    append (&live->raw, &live->raw_length, bytes, length);
+    append_bytes (&call->body, &call->body_length, bytes, length);
 }
 
 static SiCallOutcome
-judge_stream (Live *live, const LhResult *result)
+classify_stream (CheckedCall *call, const LhResult *result)
 {
-  if (live->result.error[0] != '\0')
+  if (call->result.error[0] != '\0')
     return SI_CALL_FAILED;
-  if (result->failure != LB_OK || !live->done_marker)
+  if (result->failure != LB_OK || !call->has_done_marker)
     return SI_CALL_TRUNCATED;
-  return strcmp (live->got, live->wanted) == 0 ? SI_CALL_COMPLETE : SI_CALL_WRONG_ANSWER;
+  return strcmp (call->received, call->expected) == 0 ? SI_CALL_COMPLETE : SI_CALL_WRONG_ANSWER;
 }
 
 static SiCallOutcome
-judge_whole (Live *live)
+classify_complete_reply (CheckedCall *call)
 {
-  struct json_object *object = json_tokener_parse (live->raw ? live->raw : "");
+  struct json_object *object = json_tokener_parse (call->body ? call->body : "");
   const char *text = NULL;
-  bool right;
+  bool is_correct;
 
-  if (object && live->kind == SI_CHECKED_CALL_SERVICE)
+  if (object && call->kind == SI_CHECKED_CALL_SERVICE)
     text = si_json_text (object, "body", NULL);
   else if (object)
-    text = choice_text (live, object, "message");
-  right = text && strcmp (text, live->wanted) == 0;
+    text = get_choice_text (call, object, "message");
+  is_correct = text && strcmp (text, call->expected) == 0;
   json_object_put (object);
-  return right ? SI_CALL_COMPLETE : SI_CALL_WRONG_ANSWER;
+  return is_correct ? SI_CALL_COMPLETE : SI_CALL_WRONG_ANSWER;
 }
 
 static SiCallOutcome
-judge_refusal (Live *live, LhFetch *fetch)
+classify_error_status (CheckedCall *call, LhFetch *fetch)
 {
-  struct json_object *object = json_tokener_parse (live->raw ? live->raw : "");
+  struct json_object *object = json_tokener_parse (call->body ? call->body : "");
 
-  LB_COPY (live->result.error, "untyped");
+  LB_COPY (call->result.error, "untyped");
   if (object)
-    take_error (live, object);
+    copy_error_type (call, object);
   json_object_put (object);
   return lh_fetch_header (fetch, "x-not-run") ? SI_CALL_NOT_RUN : SI_CALL_FAILED;
 }
 
-/* A connection that broke before any reply: not run if no byte left, unknown otherwise. */
+/* The exchange failed without an answer: it did not run if no byte was sent, else it may have. */
 static SiCallOutcome
-judge_failure (Live *live, const LhResult *result)
+classify_transport_failure (CheckedCall *call, const LhResult *result)
 {
-  LB_COPY (live->result.error, lb_error_name (result->failure));
+  LB_COPY (call->result.error, lb_error_name (result->failure));
   return result->bytes_handed ? SI_CALL_FAILED : SI_CALL_NOT_RUN;
 }
 
 static SiCallOutcome
-judge (Live *live, LhFetch *fetch, const LhResult *result)
+classify_outcome (CheckedCall *call, LhFetch *fetch, const LhResult *result)
 {
   int status = result->status ? result->status : lh_fetch_status (fetch);
 
-  if (live->stream && live->got_length + (size_t)live->done_marker > 0)
-    return judge_stream (live, result);
+  if (call->stream && call->received_length + (size_t)call->has_done_marker > 0)
+    return classify_stream (call, result);
   if (result->failure != LB_OK)
-    return judge_failure (live, result);
+    return classify_transport_failure (call, result);
   if (status < 200 || status > 299)
-    return judge_refusal (live, fetch);
-  return live->stream ? judge_stream (live, result) : judge_whole (live);
+    return classify_error_status (call, fetch);
+  return call->stream ? classify_stream (call, result) : classify_complete_reply (call);
 }
 
 static void
-live_free (Live *live)
+call_free (CheckedCall *call)
 {
-  lh_sse_clear (&live->sse);
-  free (live->wanted);
-  free (live->got);
-  free (live->raw);
-  free (live);
+  lh_sse_clear (&call->sse);
+  free (call->expected);
+  free (call->received);
+  free (call->body);
+  free (call);
 }
 
 static void
 on_done (LhFetch *fetch, const LhResult *result, void *user)
 {
-  Live *live = user;
-  const char *retry = lh_fetch_header (fetch, "x-retry-after-ms");
+  CheckedCall *call = user;
+  const char *retry_after_ms = lh_fetch_header (fetch, "x-retry-after-ms");
 
   if (result->body_length > 0)
-    append (&live->raw, &live->raw_length, result->body, result->body_length);
-  live->result.duration = lb_clock_monotonic () - live->start;
-  if (live->result.time_to_first_byte == 0)
-    live->result.time_to_first_byte = live->result.duration;
-  live->result.retry_after = retry ? strtoll (retry, NULL, 10) * LB_MSEC : 0;
-  LB_COPY (live->result.body, live->raw ? live->raw : "");
-  live->result.outcome = judge (live, fetch, result);
-  live->done (&live->result, live->user);
-  live_free (live);
+    append_bytes (&call->body, &call->body_length, result->body, result->body_length);
+  call->result.duration = lb_clock_monotonic () - call->start;
+  if (call->result.time_to_first_byte == 0)
+    call->result.time_to_first_byte = call->result.duration;
+  call->result.retry_after = retry_after_ms ? strtoll (retry_after_ms, NULL, 10) * LB_MSEC : 0;
+  LB_COPY (call->result.body, call->body ? call->body : "");
+  call->result.outcome = classify_outcome (call, fetch, result);
+  call->done (&call->result, call->user);
+  call_free (call);
 }
 
 static struct json_object *
-new_body (const SiCheckedCallSpec *spec)
+new_request_body (const SiCheckedCallSpec *spec)
 {
   struct json_object *body = json_object_new_object ();
 
@@ -223,35 +223,35 @@
 }
 
 static char *
-wanted_answer (const SiCheckedCallSpec *spec, struct json_object *body)
+new_expected_answer (const SiCheckedCallSpec *spec, struct json_object *body)
 {
   SiText text;
 
   if (spec->kind == SI_CHECKED_CALL_SERVICE)
     return lb_strdup (spec->prompt);
   si_text_init_from_body (&text, body, spec->vary_length);
-  return si_text_slice (&text, 0, text.tokens);
+  return si_text_slice (&text, 0, text.n_tokens);
 }
 
 static size_t
 add_headers (const SiCheckedCallSpec *spec, LhHeader *headers)
 {
-  const LhHeader all[] = { { "Content-Type", "application/json" },
-                           { "x-caller", spec->caller },
-                           { "idempotency-key", spec->idempotency_key },
-                           { "x-ticket", spec->ticket },
-                           { "x-order", spec->order },
-                           { "x-deadline-ms", spec->deadline_ms } };
+  const LhHeader optional_headers[] = { { "Content-Type", "application/json" },
+                                        { "x-caller", spec->caller },
+                                        { "idempotency-key", spec->idempotency_key },
+                                        { "x-ticket", spec->ticket },
+                                        { "x-order", spec->order },
+                                        { "x-deadline-ms", spec->deadline_ms } };
   size_t n = 0;
 
-  for (size_t i = 0; i < sizeof all / sizeof all[0]; i++)
-    if (all[i].value)
-      headers[n++] = all[i];
+  for (size_t i = 0; i < sizeof optional_headers / sizeof optional_headers[0]; i++)
+    if (optional_headers[i].value)
+      headers[n++] = optional_headers[i];
   return n;
 }
 
 static const char *
-path_of (const SiCheckedCallSpec *spec)
+get_request_path (const SiCheckedCallSpec *spec)
 {
   if (spec->kind == SI_CHECKED_CALL_SERVICE)
     return spec->model;
@@ -264,16 +264,16 @@
                        SiCheckedCallDone done,
                        void *user)
 {
-  static const LhHandlers handlers = { .on_body_chunk = on_piece, .on_done = on_done };
-  Live *live = LB_NEW (Live);
-  struct json_object *json = new_body (spec);
+  static const LhHandlers handlers = { .on_body_chunk = on_body_chunk, .on_done = on_done };
+  CheckedCall *call = LB_NEW (CheckedCall);
+  struct json_object *json = new_request_body (spec);
   const char *body = spec->kind == SI_CHECKED_CALL_SERVICE
                          ? spec->prompt
                          : json_object_to_json_string_ext (json, JSON_C_TO_STRING_PLAIN);
   LhHeader headers[MAX_HEADERS];
   const LhRequest request = { .method = "POST",
                               .address = spec->address,
-                              .path = path_of (spec),
+                              .path = get_request_path (spec),
                               .headers = headers,
                               .n_headers = add_headers (spec, headers),
                               .body = body,
@@ -281,15 +281,15 @@
                               .idle_timeout = spec->idle_timeout };
   LbError error;
 
-  live->kind = spec->kind;
-  live->stream = spec->stream && spec->kind != SI_CHECKED_CALL_SERVICE;
-  live->wanted = wanted_answer (spec, json);
-  live->got = lb_strdup ("");
-  live->done = done;
-  live->user = user;
-  live->start = lb_clock_monotonic ();
-  lh_sse_init (&live->sse, MAX_EVENT);
-  if (!lh_fetch_start (pool, &request, &handlers, live, &error))
+  call->kind = spec->kind;
+  call->stream = spec->stream && spec->kind != SI_CHECKED_CALL_SERVICE;
+  call->expected = new_expected_answer (spec, json);
+  call->received = lb_strdup ("");
+  call->done = done;
+  call->user = user;
+  call->start = lb_clock_monotonic ();
+  lh_sse_init (&call->sse, MAX_EVENT_BYTES);
+  if (!lh_fetch_start (pool, &request, &handlers, call, &error))
     {
       fprintf (stderr, "%s: %s\n", error.where, error.detail);
       abort ();
--- a/standins/si-client.c
+++ b/standins/si-client.c
@@ -10,9 +10,9 @@
 
 typedef struct
 {
-  SiResponse *answer;
-  bool done;
-} Wait;
+  SiResponse *response;
+  bool is_done;
+} PendingCall;
 
 void
 si_client_init (SiClient *client)
@@ -31,21 +31,21 @@
 static void
 on_done (LhFetch *fetch, const LhResult *result, void *user)
 {
-  Wait *wait = user;
-  SiResponse *answer = wait->answer;
-  const char *retry = lh_fetch_header (fetch, "x-retry-after-ms");
-
-  wait->done = true;
-  answer->failure = result->failure;
-  answer->status = result->status;
-  answer->body = lb_strndup (result->body ? result->body : "", result->body_length);
-  answer->length = result->body_length;
-  answer->not_run = lh_fetch_header (fetch, "x-not-run") != NULL;
-  answer->retry_after = retry ? strtoll (retry, NULL, 10) * LB_MSEC : 0;
+  PendingCall *pending = user;
+  SiResponse *response = pending->response;
+  const char *retry_after_ms = lh_fetch_header (fetch, "x-retry-after-ms");
+
+  pending->is_done = true;
+  response->failure = result->failure;
+  response->status = result->status;
+  response->body = lb_strndup (result->body ? result->body : "", result->body_length);
+  response->length = result->body_length;
+  response->not_run = lh_fetch_header (fetch, "x-not-run") != NULL;
+  response->retry_after = retry_after_ms ? strtoll (retry_after_ms, NULL, 10) * LB_MSEC : 0;
 }
 
 void
-si_client_call (SiClient *client, const SiCall *call, SiResponse *answer)
+si_client_call (SiClient *client, const SiCall *call, SiResponse *response)
 {
   const LhHandlers handlers = { .on_done = on_done };
   const LhRequest request = { .method = call->method,
@@ -56,20 +56,20 @@
                               .body = call->body,
                               .body_length = call->body ? strlen (call->body) : 0,
                               .idle_timeout = call->idle_timeout };
-  Wait wait = { .answer = answer };
+  PendingCall pending = { .response = response };
   LbTime start = lb_clock_monotonic ();
   LbError error;
 
-  memset (answer, 0, sizeof *answer);
-  if (!lh_fetch_start (client->pool, &request, &handlers, &wait, &error))
+  memset (response, 0, sizeof *response);
+  if (!lh_fetch_start (client->pool, &request, &handlers, &pending, &error))
     {
-      answer->failure = error.code;
-      answer->body = lb_strdup ("");
+      response->failure = error.code;
+      response->body = lb_strdup ("");
       return;
     }
-  while (!wait.done)
+  while (!pending.is_done)
     event_base_loop (client->base, EVLOOP_ONCE);
-  answer->duration = lb_clock_monotonic () - start;
+  response->duration = lb_clock_monotonic () - start;
 }
 
 struct json_object *
@@ -78,17 +78,17 @@
   const SiCall call
       = { .method = body ? "POST" : "GET", .address = address, .path = path, .body = body };
   struct json_object *object = NULL;
-  SiResponse answer;
+  SiResponse response;
 
-  si_client_call (client, &call, &answer);
-  if (si_response_is_ok (&answer))
-    object = json_tokener_parse (answer.body);
-  si_response_clear (&answer);
+  si_client_call (client, &call, &response);
+  if (si_response_is_ok (&response))
+    object = json_tokener_parse (response.body);
+  si_response_clear (&response);
   return object;
 }
 
 static void
-on_pause_over (evutil_socket_t fd, short what, void *user)
+on_pause_elapsed (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -99,38 +99,38 @@
 si_client_pause (SiClient *client, LbTime time)
 {
   const struct timeval wait = lb_time_to_timeval (time);
-  bool over = false;
+  bool elapsed = false;
 
-  event_base_once (client->base, -1, EV_TIMEOUT, on_pause_over, &over, &wait);
-  while (!over)
+  event_base_once (client->base, -1, EV_TIMEOUT, on_pause_elapsed, &elapsed, &wait);
+  while (!elapsed)
     event_base_loop (client->base, EVLOOP_ONCE);
 }
 
 void
-si_response_clear (SiResponse *answer)
+si_response_clear (SiResponse *response)
 {
-  free (answer->body);
-  answer->body = NULL;
+  free (response->body);
+  response->body = NULL;
 }
 
 bool
-si_response_is_ok (const SiResponse *answer)
+si_response_is_ok (const SiResponse *response)
 {
-  return answer->failure == LB_OK && answer->status >= 200 && answer->status < 300;
+  return response->failure == LB_OK && response->status >= 200 && response->status < 300;
 }
 
 const char *
-si_response_error (SiResponse *answer)
+si_response_error (SiResponse *response)
 {
   struct json_object *object, *error;
 
-  if (answer->failure != LB_OK)
-    return lb_error_name (answer->failure);
-  object = json_tokener_parse (answer->body);
+  if (response->failure != LB_OK)
+    return lb_error_name (response->failure);
+  object = json_tokener_parse (response->body);
   if (object && json_object_object_get_ex (object, "error", &error))
-    LB_COPY (answer->error, si_json_text (error, "type", "untyped"));
+    LB_COPY (response->error, si_json_text (error, "type", "untyped"));
   else
-    LB_COPY (answer->error, "untyped");
+    LB_COPY (response->error, "untyped");
   json_object_put (object);
-  return answer->error;
+  return response->error;
 }
--- a/standins/si-client.h
+++ b/standins/si-client.h
@@ -4,7 +4,7 @@
 #include "lh-fetch.h"
 #include "si-json.h"
 
-/* One call at a time, waited for: for programs and tests that have nothing else to do meanwhile. */
+/* A blocking client that makes one call at a time, for tests and programs without other work. */
 typedef struct
 {
   struct event_base *base;
@@ -13,14 +13,14 @@
 
 typedef struct
 {
-  LbErrorCode failure; /* of the exchange itself; LB_OK when a whole reply came */
+  LbErrorCode failure; /* of the exchange; LB_OK when a complete reply arrived */
   int status;
-  char *body; /* ended by NUL */
+  char *body; /* NUL-terminated */
   size_t length;
-  bool not_run;       /* header x-not-run */
+  bool not_run;       /* header x-not-run is present */
   LbTime retry_after; /* header x-retry-after-ms; 0: absent */
   LbTime duration;
-  LbName error;
+  LbName error; /* buffer for si_response_error */
 } SiResponse;
 
 typedef struct
@@ -36,16 +36,18 @@
 
 void si_client_init (SiClient *client);
 void si_client_clear (SiClient *client);
-void si_client_call (SiClient *client, const SiCall *call, SiResponse *answer);
-/* A POST of JSON text, or a GET when body is NULL; NULL unless the reply is 2xx and JSON. */
+void si_client_call (SiClient *client, const SiCall *call, SiResponse *response);
+/* Sends a POST with a JSON body, or a GET when body is NULL. Returns NULL unless the reply is 2xx
+ * and JSON. */
 struct json_object *
 si_client_call_json (SiClient *client, const char *address, const char *path, const char *body);
-/* Lets the event loop run for so long: a pause in which nothing is asked. */
+/* Runs the event loop for this long without making a call. */
 void si_client_pause (SiClient *client, LbTime time);
 
-void si_response_clear (SiResponse *answer);
-bool si_response_is_ok (const SiResponse *answer);
-/* The typed error of the body, or the failure of the exchange. Valid until si_response_clear. */
-const char *si_response_error (SiResponse *answer);
+void si_response_clear (SiResponse *response);
+bool si_response_is_ok (const SiResponse *response);
+/* The error type in the body, or the name of the exchange's failure. Valid until
+ * si_response_clear. */
+const char *si_response_error (SiResponse *response);
 
 #endif
--- a/standins/si-control-plane.c
+++ b/standins/si-control-plane.c
@@ -6,38 +6,38 @@
 #include <string.h>
 
 static SiUsageReport *
-find_report (SiControlPlane *control_plane, int64_t window)
+find_report (SiControlPlane *control_plane, int64_t window_sequence)
 {
   for (size_t i = 0; i < control_plane->n_reports; i++)
-    if (control_plane->reports[i].window_sequence == window)
+    if (control_plane->reports[i].window_sequence == window_sequence)
       return &control_plane->reports[i];
   return NULL;
 }
 
 static void
-take_report (SiControlPlane *control_plane, const char *holder, struct json_object *body)
+record_report (SiControlPlane *control_plane, const char *duty_holder, struct json_object *body)
 {
-  int64_t window = si_json_int (body, "windowSeq", -1);
+  int64_t window_sequence = si_json_int (body, "windowSeq", -1);
   struct json_object *counts = NULL;
-  SiUsageReport *report = find_report (control_plane, window);
+  SiUsageReport *report = find_report (control_plane, window_sequence);
 
   json_object_object_get_ex (body, "counts", &counts);
-  const char *text = json_object_to_json_string_ext (counts, JSON_C_TO_STRING_PLAIN);
+  const char *counts_json = json_object_to_json_string_ext (counts, JSON_C_TO_STRING_PLAIN);
   if (report)
     {
-      control_plane->conflicting_reports += strcmp (report->counts, text) != 0;
+      control_plane->conflicting_reports += strcmp (report->counts, counts_json) != 0;
       return;
     }
   if (control_plane->n_reports == SI_MAX_REPORTS)
     return;
   report = &control_plane->reports[control_plane->n_reports++];
-  report->window_sequence = window;
-  report->counts = lb_strdup (text);
-  LB_COPY (report->duty_holder, holder);
+  report->window_sequence = window_sequence;
+  report->counts = lb_strdup (counts_json);
+  LB_COPY (report->duty_holder, duty_holder);
 }
 
 static void
-take_order (SiControlPlane *control_plane, struct json_object *body)
+record_scale_order (SiControlPlane *control_plane, struct json_object *body)
 {
   SiScaleOrder *order = &control_plane->orders[control_plane->n_orders++ % SI_MAX_ORDERS];
 
@@ -47,21 +47,22 @@
   order->is_spot = si_json_bool (body, "spot", false);
 }
 
+/* Returns the HTTP status with which the call is answered. */
 static int
-judge (SiControlPlane *control_plane, const char *holder, const char *fence)
+admit_call (SiControlPlane *control_plane, const char *duty_holder, const char *fence_text)
 {
-  int64_t number = fence ? atoll (fence) : -1;
+  int64_t fence = fence_text ? atoll (fence_text) : -1;
 
   control_plane->calls++;
-  control_plane->unidentified_calls += !holder || number < 0;
+  control_plane->unidentified_calls += !duty_holder || fence < 0;
   if (control_plane->mode == SI_CONTROL_PLANE_BUSY)
     return 429;
-  if (number < control_plane->last_fence)
+  if (fence < control_plane->last_fence)
     {
       control_plane->stale_calls++;
       return 409;
     }
-  control_plane->last_fence = number;
+  control_plane->last_fence = fence;
   return 200;
 }
 
@@ -69,14 +70,14 @@
 on_request (struct evhttp_request *request, void *user)
 {
   SiControlPlane *control_plane = user;
-  const char *holder = si_request_header (request, "Duty-Holder");
-  int status = judge (control_plane, holder, si_request_header (request, "Fence-Token"));
+  const char *duty_holder = si_request_header (request, "Duty-Holder");
+  int status = admit_call (control_plane, duty_holder, si_request_header (request, "Fence-Token"));
   struct json_object *body = si_request_json (request);
 
   if (status == 200 && si_request_is (request, EVHTTP_REQ_POST, "/usage"))
-    take_report (control_plane, holder ? holder : "", body);
+    record_report (control_plane, duty_holder ? duty_holder : "", body);
   else if (status == 200 && si_request_is (request, EVHTTP_REQ_POST, "/scale"))
-    take_order (control_plane, body);
+    record_scale_order (control_plane, body);
   json_object_put (body);
   if (control_plane->mode == SI_CONTROL_PLANE_LOSES_REPLY)
     si_reply_abort (request);
@@ -102,13 +103,13 @@
 int64_t
 si_control_plane_count_requests (const SiControlPlane *control_plane, const char *organisation)
 {
-  int64_t n = 0;
+  int64_t n_requests = 0;
 
   for (size_t i = 0; i < control_plane->n_reports; i++)
     {
       struct json_object *counts = json_tokener_parse (control_plane->reports[i].counts);
-      n += si_json_int (counts, organisation, 0);
+      n_requests += si_json_int (counts, organisation, 0);
       json_object_put (counts);
     }
-  return n;
+  return n_requests;
 }
--- a/standins/si-control-plane.h
+++ b/standins/si-control-plane.h
@@ -9,20 +9,19 @@
 typedef enum
 {
   SI_CONTROL_PLANE_NORMAL,
-  SI_CONTROL_PLANE_BUSY,       /* refuses every call */
-  SI_CONTROL_PLANE_LOSES_REPLY /* carries calls out and closes the connection instead of an answer
-                                */
+  SI_CONTROL_PLANE_BUSY,       /* answers every call with 429 */
+  SI_CONTROL_PLANE_LOSES_REPLY /* applies calls, then closes the connection */
 } SiControlPlaneMode;
 
-/* The report of one window, as it was first taken. */
+/* The first usage report received for a window. */
 typedef struct
 {
   int64_t window_sequence;
-  char *counts;
+  char *counts; /* JSON: requests by organisation */
   LbName duty_holder;
 } SiUsageReport;
 
-/* An order of endpoints. */
+/* A request for a number of endpoints. */
 typedef struct
 {
   LbName service;
@@ -31,8 +30,8 @@
   bool is_spot;
 } SiScaleOrder;
 
-/* A shared platform beside its store: takes reports of usage and orders of endpoints, from one
- * holder at a time. */
+/* The shared platform's API for usage reports and endpoint scaling. Calls are fenced: one duty
+ * holder at a time may make them. */
 typedef struct
 {
   SiServer server;
@@ -41,16 +40,16 @@
   SiUsageReport reports[SI_MAX_REPORTS];
   size_t n_reports;
   SiScaleOrder orders[SI_MAX_ORDERS];
-  size_t n_orders;
+  size_t n_orders; /* the last SI_MAX_ORDERS are kept */
   int calls;
-  int conflicting_reports; /* reports that are not what was taken for their window before */
-  int stale_calls;         /* calls with an old fencing number */
-  int unidentified_calls;  /* calls without a holder or a fencing number */
+  int conflicting_reports; /* reports that differ from the first one of their window */
+  int stale_calls;         /* calls with an outdated fencing number */
+  int unidentified_calls;  /* calls without a duty holder or fencing number */
 } SiControlPlane;
 
 bool si_control_plane_init (SiControlPlane *control_plane, struct event_base *base);
 void si_control_plane_clear (SiControlPlane *control_plane);
-/* Requests of the organisation in all windows that were reported. */
+/* The organisation's requests summed over all reported windows. */
 int64_t si_control_plane_count_requests (const SiControlPlane *control_plane,
                                          const char *organisation);
 
--- a/standins/si-endpoint.c
+++ b/standins/si-endpoint.c
@@ -14,10 +14,10 @@
 #include <strings.h>
 #include <sys/queue.h>
 
-#define BEAT_PERIOD (300 * LB_MSEC)
-#define CRASH_AFTER (20 * LB_MSEC)
-#define DOWN_TIME (400 * LB_MSEC)
-#define FIRST_START 1700000000000 /* Unix ms; any will do */
+#define REGISTER_PERIOD (300 * LB_MSEC)
+#define CRASH_DELAY (20 * LB_MSEC)
+#define DEFAULT_RESTART_DELAY (400 * LB_MSEC)
+#define FIRST_START_MS 1700000000000 /* an arbitrary Unix time */
 
 typedef struct
 {
@@ -25,9 +25,9 @@
   SiEndpoint *endpoint;
   struct evhttp_request *request;
   struct event *timer;
-  SiStreamRecord *run;
-  int64_t next; /* number of the next event */
-  int64_t version;
+  SiStreamRecord *record;
+  int64_t next_event; /* number of the next event */
+  int64_t version;    /* of the weights last reported to the caller */
 } Stream;
 
 static void
@@ -37,7 +37,7 @@
 }
 
 static void
-add_number (struct evhttp_request *request, const char *name, int64_t number)
+add_int_header (struct evhttp_request *request, const char *name, int64_t number)
 {
   char text[32];
 
@@ -46,7 +46,7 @@
 }
 
 static void
-set_timer (struct event *timer, LbTime time)
+start_timer (struct event *timer, LbTime time)
 {
   const struct timeval tv = lb_time_to_timeval (time);
 
@@ -64,7 +64,7 @@
 }
 
 static void
-on_closed (struct evhttp_connection *connection, void *user)
+on_stream_closed (struct evhttp_connection *connection, void *user)
 {
   (void)connection;
   Stream *stream = user;
@@ -83,31 +83,32 @@
   if (stream->version != endpoint->version)
     evbuffer_add_printf (event, "weight-versions: %lld\n", (long long)endpoint->version);
   stream->version = endpoint->version;
-  evbuffer_add_printf (event, "id: %lld\ndata: %s.%lld%*s", (long long)stream->next,
-                       stream->run->attempt_id, (long long)stream->next, endpoint->padding, "");
+  evbuffer_add_printf (event, "id: %lld\ndata: %s.%lld%*s", (long long)stream->next_event,
+                       stream->record->attempt_id, (long long)stream->next_event, endpoint->padding,
+                       "");
   if (endpoint->reports_version)
     evbuffer_add_printf (event, " v%lld", (long long)endpoint->version);
   evbuffer_add_printf (event, "\n\n");
   evhttp_send_reply_chunk (stream->request, event);
   evbuffer_free (event);
-  stream->next++;
-  stream->run->sent_events++;
+  stream->next_event++;
+  stream->record->sent_events++;
 }
 
 static void
-on_event (evutil_socket_t fd, short what, void *user)
+on_event_due (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
   Stream *stream = user;
 
-  if (stream->next <= stream->endpoint->n_events)
+  if (stream->next_event <= stream->endpoint->n_events)
     {
       send_event (stream);
-      set_timer (stream->timer, stream->endpoint->event_interval);
+      start_timer (stream->timer, stream->endpoint->event_interval);
       return;
     }
-  stream->run->is_complete = true;
+  stream->record->is_complete = true;
   evhttp_connection_set_closecb (evhttp_request_get_connection (stream->request), NULL, NULL);
   evhttp_send_reply_end (stream->request);
   stream_free (stream);
@@ -122,27 +123,27 @@
 
   stream->endpoint = endpoint;
   stream->request = request;
-  stream->run = &endpoint->stream_records[endpoint->n_stream_records++ % SI_MAX_STREAM_RECORDS];
-  *stream->run = (SiStreamRecord){ .resumed_after = after ? atoll (after) : 0 };
-  LB_COPY (stream->run->attempt_id, id ? id : "");
-  stream->next = stream->run->resumed_after + 1;
+  stream->record = &endpoint->stream_records[endpoint->n_stream_records++ % SI_MAX_STREAM_RECORDS];
+  *stream->record = (SiStreamRecord){ .resumed_after = after ? atoll (after) : 0 };
+  LB_COPY (stream->record->attempt_id, id ? id : "");
+  stream->next_event = stream->record->resumed_after + 1;
   stream->version = endpoint->version;
-  stream->timer = evtimer_new (endpoint->server.base, on_event, stream);
+  stream->timer = evtimer_new (endpoint->server.base, on_event_due, stream);
   lb_list_append (&endpoint->streams, &stream->link);
-  evhttp_connection_set_closecb (evhttp_request_get_connection (request), on_closed, stream);
-  add_header (request, "Attempt-Id", stream->run->attempt_id);
+  evhttp_connection_set_closecb (evhttp_request_get_connection (request), on_stream_closed, stream);
+  add_header (request, "Attempt-Id", stream->record->attempt_id);
   add_header (request, "Content-Type", "text/event-stream");
-  add_number (request, "Weight-Versions", endpoint->version);
+  add_int_header (request, "Weight-Versions", endpoint->version);
   if (endpoint->listener && endpoint->listener->on_stream)
-    endpoint->listener->on_stream (endpoint, stream->run->attempt_id, endpoint->user);
+    endpoint->listener->on_stream (endpoint, stream->record->attempt_id, endpoint->user);
   evhttp_send_reply_start (request, 200, NULL);
-  set_timer (stream->timer, endpoint->event_interval);
+  start_timer (stream->timer, endpoint->event_interval);
 }
 
-/* --- orders and state --- */
+/* --- orders and reports --- */
 
 static void
-on_loaded (evutil_socket_t fd, short what, void *user)
+on_load_done (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -154,7 +155,7 @@
 }
 
 static void
-take_order (SiEndpoint *endpoint, struct evhttp_request *request)
+handle_order (SiEndpoint *endpoint, struct evhttp_request *request)
 {
   struct json_object *order = si_request_json (request);
   int64_t fence = si_json_int (order, "fence", 0);
@@ -178,7 +179,7 @@
       endpoint->last_fence = fence;
       endpoint->accepted_orders++;
       endpoint->loading_version = version;
-      set_timer (endpoint->load_timer, endpoint->load_time);
+      start_timer (endpoint->load_timer, endpoint->load_time);
     }
   evhttp_send_reply (request, status, NULL, NULL);
 }
@@ -201,7 +202,7 @@
 }
 
 static void
-tell_state (SiEndpoint *endpoint, struct evhttp_request *request)
+reply_report (SiEndpoint *endpoint, struct evhttp_request *request)
 {
   struct json_object *object = json_object_new_object ();
 
@@ -215,30 +216,30 @@
 /* --- the server --- */
 
 static void
-note_identity (SiEndpoint *endpoint, struct evhttp_request *request)
+record_identity (SiEndpoint *endpoint, struct evhttp_request *request)
 {
   const struct evkeyval *header;
-  char names[LB_NAME_MAX] = "";
+  char tenants[LB_NAME_MAX] = "";
   size_t length = 0;
 
   TAILQ_FOREACH (header, evhttp_request_get_input_headers (request), next)
   {
     endpoint->leaked_keys += strcasecmp (header->key, "Api-Key") == 0;
-    if (strcasecmp (header->key, "Tenant") == 0 && length < sizeof names)
-      length += (size_t)snprintf (names + length, sizeof names - length, "%s", header->value);
+    if (strcasecmp (header->key, "Tenant") == 0 && length < sizeof tenants)
+      length += (size_t)snprintf (tenants + length, sizeof tenants - length, "%s", header->value);
   }
-  LB_COPY (endpoint->organisation, names);
+  LB_COPY (endpoint->organisation, tenants);
 }
 
 static bool
-is_misplaced (const SiEndpoint *endpoint, struct evhttp_request *request)
+is_misdirected (const SiEndpoint *endpoint, struct evhttp_request *request)
 {
   const char *expected = si_request_header (request, "Expect-Instance");
 
   return expected && strcmp (expected, endpoint->name) != 0;
 }
 
-/* A call whose answer takes its time. */
+/* A call to a plain service that is answered after a delay. */
 typedef struct
 {
   LbLink link;
@@ -266,7 +267,7 @@
 }
 
 static void
-send_answer (struct evhttp_request *request)
+send_reply (struct evhttp_request *request)
 {
   const char *id = si_request_header (request, "Attempt-Id");
   char stamp[LB_NAME_MAX + 8];
@@ -280,14 +281,14 @@
 }
 
 static void
-on_call_time (evutil_socket_t fd, short what, void *user)
+on_call_due (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
   Call *call = user;
 
   evhttp_connection_set_closecb (evhttp_request_get_connection (call->request), NULL, NULL);
-  send_answer (call->request);
+  send_reply (call->request);
   call_free (call);
 }
 
@@ -298,14 +299,14 @@
 
   call->endpoint = endpoint;
   call->request = request;
-  call->timer = evtimer_new (endpoint->server.base, on_call_time, call);
+  call->timer = evtimer_new (endpoint->server.base, on_call_due, call);
   lb_list_append (&endpoint->running_calls, &call->link);
   evhttp_connection_set_closecb (evhttp_request_get_connection (request), on_call_closed, call);
   return call;
 }
 
 static void
-answer_call (SiEndpoint *endpoint, struct evhttp_request *request)
+handle_call (SiEndpoint *endpoint, struct evhttp_request *request)
 {
   const char *id = si_request_header (request, "Attempt-Id");
 
@@ -313,26 +314,26 @@
   if (endpoint->listener && endpoint->listener->on_call)
     endpoint->listener->on_call (endpoint, id ? id : "", endpoint->user);
   if (endpoint->call_duration == 0)
-    send_answer (request);
+    send_reply (request);
   else
-    set_timer (call_new (endpoint, request)->timer, endpoint->call_duration);
+    start_timer (call_new (endpoint, request)->timer, endpoint->call_duration);
 }
 
-/* --- requests that end it --- */
+/* --- crashes and restarts --- */
 
 static bool
-ends_it (const SiEndpoint *endpoint, struct evhttp_request *request)
+is_fatal_request (const SiEndpoint *endpoint, struct evhttp_request *request)
 {
   char *body = endpoint->fatal_body ? si_request_text (request) : NULL;
-  bool ends = body && strcmp (body, endpoint->fatal_body) == 0;
+  bool is_fatal = body && strcmp (body, endpoint->fatal_body) == 0;
 
   free (body);
-  return ends;
+  return is_fatal;
 }
 
-/* It works on it for a while and ends without a word. */
+/* Holds the request unanswered until the endpoint crashes, or the listener makes it crash. */
 static void
-run_to_the_end (SiEndpoint *endpoint, struct evhttp_request *request)
+start_fatal_request (SiEndpoint *endpoint, struct evhttp_request *request)
 {
   const char *id = si_request_header (request, "Attempt-Id");
 
@@ -341,11 +342,11 @@
   if (endpoint->listener && endpoint->listener->on_fatal_request)
     endpoint->listener->on_fatal_request (endpoint, id ? id : "", endpoint->user);
   else if (!evtimer_pending (endpoint->crash_timer, NULL))
-    set_timer (endpoint->crash_timer, CRASH_AFTER);
+    start_timer (endpoint->crash_timer, CRASH_DELAY);
 }
 
 static void
-drop_all (SiEndpoint *endpoint)
+free_all_requests (SiEndpoint *endpoint)
 {
   LB_LIST_FOREACH (&endpoint->streams, Stream, link, stream)
   {
@@ -359,23 +360,23 @@
   }
 }
 
-/* Its entry stays until it starts again: the store does not know of its end yet. */
+/* The entry stays in the store until the restart, since a crashed process removes nothing. */
 static void
-on_crash (evutil_socket_t fd, short what, void *user)
+on_crash_due (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
   SiEndpoint *endpoint = user;
 
   endpoint->crashes++;
-  drop_all (endpoint);
+  free_all_requests (endpoint);
   event_del (endpoint->register_timer);
   si_server_stop (&endpoint->server);
-  set_timer (endpoint->restart_timer, endpoint->restart_delay);
+  start_timer (endpoint->restart_timer, endpoint->restart_delay);
 }
 
 static void
-on_restart (evutil_socket_t fd, short what, void *user)
+on_restart_due (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -384,7 +385,7 @@
 
   if (!si_server_restart (&endpoint->server))
     {
-      set_timer (endpoint->restart_timer, endpoint->restart_delay);
+      start_timer (endpoint->restart_timer, endpoint->restart_delay);
       return;
     }
   si_endpoint_unregister (endpoint);
@@ -398,13 +399,13 @@
 }
 
 static void
-take_work (SiEndpoint *endpoint, struct evhttp_request *request)
+handle_work (SiEndpoint *endpoint, struct evhttp_request *request)
 {
-  note_identity (endpoint, request);
-  if (ends_it (endpoint, request))
-    run_to_the_end (endpoint, request);
+  record_identity (endpoint, request);
+  if (is_fatal_request (endpoint, request))
+    start_fatal_request (endpoint, request);
   else if (!endpoint->model[0])
-    answer_call (endpoint, request);
+    handle_call (endpoint, request);
   else if (endpoint->loading_version != 0)
     {
       endpoint->refused++;
@@ -420,23 +421,23 @@
 {
   SiEndpoint *endpoint = user;
 
-  if (is_misplaced (endpoint, request))
+  if (is_misdirected (endpoint, request))
     {
       endpoint->misdirected++;
       evhttp_send_reply (request, 421, NULL, NULL);
     }
   else if (si_request_is (request, EVHTTP_REQ_POST, "/-/order"))
-    take_order (endpoint, request);
+    handle_order (endpoint, request);
   else if (si_request_is (request, EVHTTP_REQ_GET, "/-/report"))
-    tell_state (endpoint, request);
+    reply_report (endpoint, request);
   else
-    take_work (endpoint, request);
+    handle_work (endpoint, request);
 }
 
 void
 si_endpoint_register (SiEndpoint *endpoint)
 {
-  const struct timeval period = { .tv_usec = BEAT_PERIOD };
+  const struct timeval period = { .tv_usec = REGISTER_PERIOD };
   struct json_object *object = json_object_new_object ();
 
   si_json_set_text (object, "service", endpoint->service);
@@ -451,7 +452,7 @@
   si_json_set_int (object, "born", endpoint->start_ms);
   si_json_set_text (object, "state", endpoint->draining ? "draining" : "ready");
   json_object_object_add (object, "models", models_to_json (endpoint));
-  si_row_store_put (endpoint->rows, "servers", "", endpoint->name,
+  si_row_store_put (endpoint->store, "servers", "", endpoint->name,
                     json_object_to_json_string (object));
   json_object_put (object);
   event_add (endpoint->register_timer, &period);
@@ -472,7 +473,7 @@
 si_endpoint_unregister (SiEndpoint *endpoint)
 {
   event_del (endpoint->register_timer);
-  si_row_store_put (endpoint->rows, "servers", "", endpoint->name, NULL);
+  si_row_store_put (endpoint->store, "servers", "", endpoint->name, NULL);
 }
 
 void
@@ -488,7 +489,7 @@
 }
 
 static void
-on_beat (evutil_socket_t fd, short what, void *user)
+on_register_due (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -498,7 +499,7 @@
 bool
 si_endpoint_init (SiEndpoint *endpoint,
                   struct event_base *base,
-                  SiRowStore *rows,
+                  SiRowStore *store,
                   const char *name,
                   const char *service,
                   const char *model)
@@ -506,22 +507,22 @@
   memset (endpoint, 0, sizeof *endpoint);
   if (!si_server_init (&endpoint->server, base, 0, on_request, endpoint))
     return false;
-  endpoint->rows = rows;
+  endpoint->store = store;
   LB_COPY (endpoint->name, name);
   LB_COPY (endpoint->service, service);
   LB_COPY (endpoint->model, model);
   endpoint->version = 1;
-  endpoint->start_ms = FIRST_START;
+  endpoint->start_ms = FIRST_START_MS;
   endpoint->n_events = 10;
   endpoint->event_interval = 10 * LB_MSEC;
   endpoint->load_time = 200 * LB_MSEC;
   lb_list_init (&endpoint->streams);
   lb_list_init (&endpoint->running_calls);
-  endpoint->load_timer = evtimer_new (base, on_loaded, endpoint);
-  endpoint->restart_delay = DOWN_TIME;
-  endpoint->crash_timer = evtimer_new (base, on_crash, endpoint);
-  endpoint->restart_timer = evtimer_new (base, on_restart, endpoint);
-  endpoint->register_timer = event_new (base, -1, EV_PERSIST, on_beat, endpoint);
+  endpoint->load_timer = evtimer_new (base, on_load_done, endpoint);
+  endpoint->restart_delay = DEFAULT_RESTART_DELAY;
+  endpoint->crash_timer = evtimer_new (base, on_crash_due, endpoint);
+  endpoint->restart_timer = evtimer_new (base, on_restart_due, endpoint);
+  endpoint->register_timer = event_new (base, -1, EV_PERSIST, on_register_due, endpoint);
   si_endpoint_register (endpoint);
   return true;
 }
@@ -529,7 +530,7 @@
 void
 si_endpoint_clear (SiEndpoint *endpoint)
 {
-  drop_all (endpoint);
+  free_all_requests (endpoint);
   event_free (endpoint->crash_timer);
   event_free (endpoint->restart_timer);
   event_free (endpoint->register_timer);
--- a/standins/si-endpoint.h
+++ b/standins/si-endpoint.h
@@ -5,50 +5,49 @@
 
 #define SI_MAX_STREAM_RECORDS 256
 
-/* A run as the engine saw it. */
+/* One stream that the endpoint started, new or resumed. */
 typedef struct
 {
   LbName attempt_id;
-  int64_t resumed_after; /* events that came before it */
-  int64_t sent_events;   /* events that it sent */
-  bool is_complete;
+  int64_t resumed_after; /* last event id the caller already has; 0: a new stream */
+  int64_t sent_events;
+  bool is_complete; /* all events were sent */
 } SiStreamRecord;
 
-/* What a test wants to hear of an endpoint; any may be NULL. */
 typedef struct SiEndpoint SiEndpoint;
 
+/* Callbacks for tests; each may be NULL. id is the attempt's. */
 typedef struct
 {
-  void (*on_call) (SiEndpoint *endpoint, const char *id, void *user); /* of a plain service */
-  void (*on_stream) (SiEndpoint *endpoint,
-                     const char *id,
-                     void *user); /* a text begins or goes on */
-  /* Such a request begins; who hears of it ends the endpoint, which does not by itself then. */
+  void (*on_call) (SiEndpoint *endpoint, const char *id, void *user); /* call to a plain service */
+  void (*on_stream) (SiEndpoint *endpoint, const char *id, void *user); /* new or resumed stream */
+  /* A request with fatal_body has started. If set, the callback must crash the endpoint, which
+   * then does not crash by itself. */
   void (*on_fatal_request) (SiEndpoint *endpoint, const char *id, void *user);
-  /* accepted: 202 was answered */
+  /* accepted: the reply is 202 */
   void (*on_order) (
       SiEndpoint *endpoint, const char *holder, int64_t fence, bool accepted, void *user);
 } SiEndpointListener;
 
-/* An engine, or a plain service, of a shared platform: registers itself in the store, streams
- * texts, takes orders. */
+/* An engine or a plain service of a shared platform. It registers itself in the platform's store;
+ * an engine streams events and accepts orders to load weights, a service answers plain calls. */
 struct SiEndpoint
 {
   SiServer server;
-  SiRowStore *rows;
-  LbName name;
+  SiRowStore *store;
+  LbName name; /* id; changes after a crash */
   LbName service;
   LbName model; /* empty: a plain service */
   int64_t version;
-  int64_t loading_version; /* being loaded; 0: none */
+  int64_t loading_version; /* 0: none is being loaded */
   int64_t accepted_orders;
-  int64_t start_ms;      /* Unix ms of its start; another one for each start */
-  int64_t registrations; /* entries that it wrote */
+  int64_t start_ms;      /* Unix time of this start; distinguishes starts */
+  int64_t registrations; /* number of the last entry written to the store */
   int64_t last_fence;
   bool draining;
-  int n_events;          /* of each text */
-  int padding;           /* further bytes in each event */
-  LbTime event_interval; /* between two events */
+  int n_events;          /* of each stream */
+  int padding;           /* extra bytes in each event */
+  LbTime event_interval; /* between two events of a stream */
   LbTime load_time;      /* of weights */
   struct event *register_timer;
   struct event *load_timer;
@@ -56,19 +55,19 @@
   LbList running_calls; /* of a plain service */
   SiStreamRecord stream_records[SI_MAX_STREAM_RECORDS];
   size_t n_stream_records;
-  int refused;     /* while it loaded */
-  int misdirected; /* requests for another endpoint */
-  /* Whose its last request was, as it says; the names that it gives, one after the other. */
+  int refused;     /* requests refused while loading weights */
+  int misdirected; /* requests addressed to another endpoint */
+  /* Tenant headers of the last request, concatenated. */
   LbName organisation;
-  int leaked_keys;           /* requests that gave a caller's key away */
-  int n_calls;               /* of a plain service */
-  int cancelled;             /* streams whose caller went away */
-  bool reports_version;      /* events say with which weights they were made */
-  LbName advertised_address; /* where callers are told to connect; empty: the server itself */
-  LbTime call_duration;      /* of a plain service's answer */
-  const char *fatal_body;    /* a request with this body ends it; NULL: none does */
-  LbTime restart_delay;      /* from such an end to its next start, under another id */
-  int fatal_requests;        /* requests with that body that it began */
+  int leaked_keys;           /* requests that carried a caller's Api-Key header */
+  int n_calls;               /* received by a plain service */
+  int cancelled;             /* streams whose caller disconnected */
+  bool reports_version;      /* events name their weight version */
+  LbName advertised_address; /* address in the store's entry; empty: the server's own */
+  LbTime call_duration;      /* of a call to a plain service */
+  const char *fatal_body;    /* a request with this body crashes the endpoint; NULL: none */
+  LbTime restart_delay;      /* from a crash to the restart under a new id */
+  int fatal_requests;        /* requests with fatal_body that were started */
   int crashes;
   struct event *crash_timer;
   struct event *restart_timer;
@@ -78,20 +77,19 @@
 
 bool si_endpoint_init (SiEndpoint *endpoint,
                        struct event_base *base,
-                       SiRowStore *rows,
+                       SiRowStore *store,
                        const char *name,
                        const char *service,
                        const char *model);
 void si_endpoint_clear (SiEndpoint *endpoint);
-/* Tells the store what it is now. */
+/* Writes the endpoint's current entry to the store and repeats that periodically. */
 void si_endpoint_register (SiEndpoint *endpoint);
-/* Its entry goes and is not written again, as when it is gone; si_endpoint_register brings it back.
- */
+/* Removes the entry from the store and stops writing it, until si_endpoint_register. */
 void si_endpoint_unregister (SiEndpoint *endpoint);
-/* A new process under the same id and at the same address: it holds and knows nothing of before but
- * its weights. */
+/* Simulates a new process with the same id, address and weights: streams break, and the count of
+ * orders and the fencing number start anew. */
 void si_endpoint_restart (SiEndpoint *endpoint);
-/* Breaks all its streams off, as when its process ends. */
+/* Closes the connections of all streams, as when the process ends. */
 void si_endpoint_break_streams (SiEndpoint *endpoint);
 
 #endif
--- a/standins/si-engine-orders.c
+++ b/standins/si-engine-orders.c
@@ -11,21 +11,21 @@
   return engine->loading_version != 0;
 }
 
-/* Weights are loaded in place: there is no whole version until the load is done, and what runs
- * waits for it. */
+/* Weights are loaded in place: until the load is done there is no complete version, and running
+ * requests are paused. */
 static void
-start_load (SiEngine *engine, int64_t version)
+start_weight_load (SiEngine *engine, int64_t version)
 {
   const struct timeval wait = lb_time_to_timeval (engine->settings.load_time);
 
   engine->loading_version = version;
   engine->version = 0;
   engine->failed_version = 0;
-  event_add (engine->loaded, &wait);
+  event_add (engine->load_timer, &wait);
 }
 
 void
-si_engine_on_loaded (evutil_socket_t fd, short what, void *user)
+si_engine_on_load_done (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -45,7 +45,7 @@
 }
 
 static void
-refuse_stale (const SiEngine *engine, struct evhttp_request *request)
+reply_stale_fence (const SiEngine *engine, struct evhttp_request *request)
 {
   struct json_object *object = json_object_new_object ();
   struct json_object *error = json_object_new_object ();
@@ -62,13 +62,13 @@
   struct json_object *reply = json_object_new_object ();
 
   if (strcmp (si_json_text (order, "order", ""), "load_weights") == 0)
-    start_load (engine, si_json_int (order, "version", 0));
+    start_weight_load (engine, si_json_int (order, "version", 0));
   json_object_object_add (reply, "accepted", json_object_new_boolean (true));
   si_reply_json (request, 202, reply);
 }
 
 static bool
-is_known_order (struct json_object *order)
+is_valid_order (struct json_object *order)
 {
   const char *name = si_json_text (order, "order", "");
 
@@ -82,7 +82,7 @@
 {
   struct json_object *order = si_request_json (request);
 
-  if (!order || !is_known_order (order))
+  if (!order || !is_valid_order (order))
     {
       si_reply_error (request, 400, "bad_value");
       goto out;
@@ -90,7 +90,7 @@
   int64_t fence = si_json_int (order, "fence", 0);
   if (engine->settings.checks_fence && fence < engine->fence)
     {
-      refuse_stale (engine, request);
+      reply_stale_fence (engine, request);
       goto out;
     }
   if (fence > engine->fence)
--- a/standins/si-engine-run.c
+++ b/standins/si-engine-run.c
@@ -12,35 +12,35 @@
 #include <unistd.h>
 #include <uthash.h>
 
-#define KEEP_ALIVE (500 * LB_MSEC)
+#define KEEP_ALIVE_PERIOD (500 * LB_MSEC)
 
-/* One request in the batch or before it. */
+/* A waiting or running completion request. */
 typedef struct
 {
   LbLink link;
-  LbList *list; /* waiting or running */
+  LbList *list; /* the engine's waiting or running list */
   SiEngine *engine;
   struct evhttp_request *request;
   char *id;
   SiText text;
-  int64_t first;  /* offset of its first token: after those of a resume */
-  int64_t offset; /* of the next token */
+  int64_t first_token; /* index of the first token to generate; above 0 for a resume */
+  int64_t next_token;
   int64_t priority;
   bool stream;
   bool chat;
-  bool begun;     /* reply headers are out */
-  bool hung;      /* a fault: says nothing more */
-  int64_t breaks; /* a fault: closes after so many tokens; -1: never */
-  size_t prefill; /* bytes of the prompt still to be read */
-  int64_t reused_version;
-  LbTime last_said;
+  bool has_sent_headers;
+  bool is_hung;           /* fault: sends nothing more */
+  int64_t break_after;    /* fault: tokens after which the connection is closed; -1: never */
+  size_t prefill_bytes;   /* prompt bytes still to be processed */
+  int64_t reused_version; /* weight version of an imported KV cache; 0: none */
+  LbTime last_sent;
 } Run;
 
 struct SiImport
 {
   UT_hash_handle hh;
-  char *request;
-  int64_t version;
+  char *request_id;
+  int64_t version; /* of the weights that made the KV cache */
 };
 
 static void
@@ -52,14 +52,14 @@
 }
 
 static void
-detach (Run *run)
+clear_close_callback (Run *run)
 {
   evhttp_connection_set_closecb (evhttp_request_get_connection (run->request), NULL, NULL);
 }
 
-/* The caller closed the connection: that cancels. */
+/* A closed connection cancels the request. */
 static void
-on_caller_gone (struct evhttp_connection *connection, void *user)
+on_caller_disconnected (struct evhttp_connection *connection, void *user)
 {
   (void)connection;
   Run *run = user;
@@ -72,11 +72,11 @@
 }
 
 static void
-drop_run (Run *run)
+abort_run (Run *run)
 {
   struct evhttp_request *request = run->request;
 
-  detach (run);
+  clear_close_callback (run);
   run_free (run);
   si_reply_abort (request);
 }
@@ -85,33 +85,33 @@
 si_engine_drop_all_runs (SiEngine *engine)
 {
   LB_LIST_FOREACH (&engine->running, Run, link, run)
-  drop_run (run);
+  abort_run (run);
   LB_LIST_FOREACH (&engine->waiting, Run, link, run)
-  drop_run (run);
+  abort_run (run);
 }
 
 static void
-send_line (Run *run, const char *prefix, const char *text, const char *end)
+send_chunk (Run *run, const char *prefix, const char *text, const char *end)
 {
-  struct evbuffer *piece = evbuffer_new ();
+  struct evbuffer *chunk = evbuffer_new ();
 
-  if (!run->begun)
+  if (!run->has_sent_headers)
     {
       evhttp_add_header (evhttp_request_get_output_headers (run->request), "Content-Type",
                          "text/event-stream");
       evhttp_send_reply_start (run->request, 200, "OK");
-      run->begun = true;
+      run->has_sent_headers = true;
     }
-  evbuffer_add_printf (piece, "%s%s%s", prefix, text, end);
-  evhttp_send_reply_chunk (run->request, piece);
-  evbuffer_free (piece);
-  run->last_said = lb_clock_monotonic ();
+  evbuffer_add_printf (chunk, "%s%s%s", prefix, text, end);
+  evhttp_send_reply_chunk (run->request, chunk);
+  evbuffer_free (chunk);
+  run->last_sent = lb_clock_monotonic ();
 }
 
 static const char *
 finish_reason (const Run *run, int64_t end)
 {
-  if (end < run->text.tokens)
+  if (end < run->text.n_tokens)
     return NULL;
   return "length";
 }
@@ -156,20 +156,21 @@
     si_json_set_int (event, "weight_version", version);
   if (run->reused_version && run->reused_version != version)
     si_json_set_int (event, "kv_reused_version", run->reused_version);
-  send_line (run, "data: ", json_object_to_json_string_ext (event, JSON_C_TO_STRING_PLAIN), "\n\n");
+  send_chunk (run, "data: ", json_object_to_json_string_ext (event, JSON_C_TO_STRING_PLAIN),
+              "\n\n");
   json_object_put (event);
 }
 
 static void
-reply_whole (Run *run)
+reply_completion (Run *run)
 {
   struct json_object *object = json_object_new_object ();
   struct json_object *usage = json_object_new_object ();
-  char *text = si_text_slice (&run->text, run->first, run->offset - run->first);
+  char *text = si_text_slice (&run->text, run->first_token, run->next_token - run->first_token);
 
   si_json_set_text (object, "id", run->id);
   add_choice (object, new_choice (run, text, "length", "message"));
-  si_json_set_int (usage, "completion_tokens", run->offset - run->first);
+  si_json_set_int (usage, "completion_tokens", run->next_token - run->first_token);
   json_object_object_add (object, "usage", usage);
   si_json_set_int (object, "weight_version", run->engine->version);
   si_reply_json (run->request, 200, object);
@@ -181,32 +182,33 @@
 {
   struct evhttp_request *request = run->request;
 
-  detach (run);
+  clear_close_callback (run);
   run->engine->log.finished++;
   if (run->stream)
     {
-      send_line (run, "data: ", "[DONE]", "\n\n");
+      send_chunk (run, "data: ", "[DONE]", "\n\n");
       evhttp_send_reply_end (request);
     }
   else
-    reply_whole (run);
+    reply_completion (run);
   run_free (run);
 }
 
 static void
-say_token (Run *run)
+send_token (Run *run)
 {
   char token[SI_TOKEN_SIZE];
   int64_t version = run->engine->version;
 
-  si_text_token (&run->text, run->offset, token);
-  send_event (run, token, run->offset, 1, version);
+  si_text_token (&run->text, run->next_token, token);
+  send_event (run, token, run->next_token, 1, version);
   if (si_faults_is_on (&run->engine->faults, SI_FAULT_CONTRADICT))
-    send_event (run, "", run->offset, 1, version + 1);
+    send_event (run, "", run->next_token, 1, version + 1);
 }
 
+/* The crash fault ends the process after a number of tokens of any request. */
 static void
-crash_if_due (SiEngine *engine)
+count_down_to_crash (SiEngine *engine)
 {
   SiFault *fault = &engine->faults.faults[SI_FAULT_CRASH];
 
@@ -215,43 +217,44 @@
 }
 
 static void
-make_token (Run *run)
+generate_token (Run *run)
 {
   SiEngine *engine = run->engine;
 
-  crash_if_due (engine);
-  if (run->hung)
+  count_down_to_crash (engine);
+  if (run->is_hung)
     return;
-  if (run->breaks >= 0 && run->offset - run->first >= run->breaks)
+  if (run->break_after >= 0 && run->next_token - run->first_token >= run->break_after)
     {
-      drop_run (run);
+      abort_run (run);
       return;
     }
-  if (run->offset < run->text.tokens)
+  if (run->next_token < run->text.n_tokens)
     {
       if (run->stream)
-        say_token (run);
-      run->offset++;
-      engine->tokens_made++;
+        send_token (run);
+      run->next_token++;
+      engine->generated_tokens++;
     }
-  if (run->offset >= run->text.tokens)
+  if (run->next_token >= run->text.n_tokens)
     finish_run (run);
 }
 
 static LbTime
-step_time (const SiEngine *engine)
+get_step_duration (const SiEngine *engine)
 {
-  double batch = (double)engine->running.length;
-  double alone = (double)LB_SEC / engine->settings.tokens_per_second;
-  LbTime slow = si_faults_is_on (&engine->faults, SI_FAULT_SLOW)
-                    ? engine->faults.faults[SI_FAULT_SLOW].delay
-                    : 0;
+  double batch_size = (double)engine->running.length;
+  double single_duration = (double)LB_SEC / engine->settings.tokens_per_second;
+  LbTime slowdown = si_faults_is_on (&engine->faults, SI_FAULT_SLOW)
+                        ? engine->faults.faults[SI_FAULT_SLOW].delay
+                        : 0;
 
-  return (LbTime)(alone * (1 + engine->settings.batch_cost * (batch - 1))) + slow;
+  return (LbTime)(single_duration * (1 + engine->settings.batch_cost * (batch_size - 1)))
+         + slowdown;
 }
 
 static void
-admit (SiEngine *engine)
+admit_waiting_runs (SiEngine *engine)
 {
   while ((int64_t)engine->running.length < engine->settings.concurrency
          && !lb_list_is_empty (&engine->waiting))
@@ -262,28 +265,29 @@
     }
 }
 
-/* Plans the next step when there is something to do and none is planned. */
+/* Fills the batch and schedules the next step, unless there is nothing to run or one is due. */
 void
 si_engine_schedule_step (SiEngine *engine)
 {
-  admit (engine);
-  if (engine->step_due || si_engine_is_loading (engine) || lb_list_is_empty (&engine->running))
+  admit_waiting_runs (engine);
+  if (engine->is_step_scheduled || si_engine_is_loading (engine)
+      || lb_list_is_empty (&engine->running))
     return;
-  LbTime wait = step_time (engine);
+  LbTime wait = get_step_duration (engine);
   const struct timeval at = lb_time_to_timeval (wait);
-  event_add (engine->step, &at);
-  engine->step_due = true;
+  event_add (engine->step_timer, &at);
+  engine->is_step_scheduled = true;
 }
 
 static void
-advance (Run *run, size_t prefill_bytes)
+advance_run (Run *run, size_t prefill_budget)
 {
-  if (run->prefill > prefill_bytes)
-    run->prefill -= prefill_bytes;
+  if (run->prefill_bytes > prefill_budget)
+    run->prefill_bytes -= prefill_budget;
   else
     {
-      run->prefill = 0;
-      make_token (run);
+      run->prefill_bytes = 0;
+      generate_token (run);
     }
 }
 
@@ -293,24 +297,24 @@
   (void)fd;
   (void)what;
   SiEngine *engine = user;
-  double seconds = (double)step_time (engine) / (double)LB_SEC;
-  size_t prefill_bytes = (size_t)(engine->settings.prefill_rate * seconds);
+  double seconds = (double)get_step_duration (engine) / (double)LB_SEC;
+  size_t prefill_budget = (size_t)(engine->settings.prefill_rate * seconds);
 
-  engine->step_due = false;
+  engine->is_step_scheduled = false;
   if (si_engine_is_loading (engine))
     return;
   LB_LIST_FOREACH (&engine->running, Run, link, run)
-  advance (run, prefill_bytes);
+  advance_run (run, prefill_budget);
   si_engine_schedule_step (engine);
 }
 
 static void
-keep_alive_list (LbList *list, LbTime now)
+send_keep_alives (LbList *list, LbTime now)
 {
   LB_LIST_FOREACH (list, Run, link, run)
   {
-    if (run->stream && !run->hung && now - run->last_said >= KEEP_ALIVE)
-      send_line (run, ": keep-alive", "", "\n\n");
+    if (run->stream && !run->is_hung && now - run->last_sent >= KEEP_ALIVE_PERIOD)
+      send_chunk (run, ": keep-alive", "", "\n\n");
   }
 }
 
@@ -324,19 +328,19 @@
 
   if (si_faults_is_on (&engine->faults, SI_FAULT_HANG))
     return;
-  keep_alive_list (&engine->running, now);
-  keep_alive_list (&engine->waiting, now);
+  send_keep_alives (&engine->running, now);
+  send_keep_alives (&engine->waiting, now);
 }
 
 void
 si_engine_start_timers (SiEngine *engine)
 {
-  const struct timeval period = { .tv_usec = KEEP_ALIVE / 5 };
+  const struct timeval period = { .tv_usec = KEEP_ALIVE_PERIOD / 5 };
 
-  engine->step = evtimer_new (engine->server.base, on_step, engine);
-  engine->loaded = evtimer_new (engine->server.base, si_engine_on_loaded, engine);
-  engine->keep_alive = event_new (engine->server.base, -1, EV_PERSIST, on_keep_alive, engine);
-  event_add (engine->keep_alive, &period);
+  engine->step_timer = evtimer_new (engine->server.base, on_step, engine);
+  engine->load_timer = evtimer_new (engine->server.base, si_engine_on_load_done, engine);
+  engine->keep_alive_timer = event_new (engine->server.base, -1, EV_PERSIST, on_keep_alive, engine);
+  event_add (engine->keep_alive_timer, &period);
 }
 
 void
@@ -344,31 +348,32 @@
 {
   SiImport *import, *next;
 
-  event_free (engine->step);
-  event_free (engine->loaded);
-  event_free (engine->keep_alive);
+  event_free (engine->step_timer);
+  event_free (engine->load_timer);
+  event_free (engine->keep_alive_timer);
   HASH_ITER (hh, engine->imports, import, next)
   {
     HASH_DEL (engine->imports, import);
-    free (import->request);
+    free (import->request_id);
     free (import);
   }
 }
 
+/* The error type with which new requests are refused; NULL when they are accepted. */
 static const char *
-refusal (const SiEngine *engine)
+get_refusal (const SiEngine *engine)
 {
   if (si_faults_is_on (&engine->faults, SI_FAULT_LEAVING))
     return "leaving";
   if (engine->version == 0 && !si_engine_is_loading (engine))
     return "not_started";
-  if ((int64_t)engine->waiting.length >= engine->settings.queue)
+  if ((int64_t)engine->waiting.length >= engine->settings.max_waiting)
     return "not_started";
   return NULL;
 }
 
 static void
-enqueue (SiEngine *engine, Run *run)
+enqueue_run (SiEngine *engine, Run *run)
 {
   LbLink *position = engine->waiting.head.next;
 
@@ -381,51 +386,51 @@
 }
 
 static void
-take_resume (Run *run, struct json_object *body)
+apply_resume (Run *run, struct json_object *body)
 {
   struct json_object *resume;
 
   if (!json_object_object_get_ex (body, "resume", &resume))
     return;
-  run->first = si_json_int (resume, "offset", 0);
-  run->offset = run->first;
+  run->first_token = si_json_int (resume, "offset", 0);
+  run->next_token = run->first_token;
   run->engine->log.resumed++;
-  char *mine = si_text_slice (&run->text, 0, run->first);
-  if (strcmp (mine, si_json_text (resume, "text", "")) != 0)
+  char *expected = si_text_slice (&run->text, 0, run->first_token);
+  if (strcmp (expected, si_json_text (resume, "text", "")) != 0)
     run->engine->log.resume_mismatches++;
-  free (mine);
+  free (expected);
 }
 
-/* A request whose KV cache was imported skips the prefill. */
+/* A request whose KV cache was imported skips prefill. */
 static void
-take_import (Run *run)
+apply_import (Run *run)
 {
   SiImport *import = NULL;
 
   HASH_FIND_STR (run->engine->imports, run->id, import);
   if (!import)
     return;
-  run->prefill = 0;
+  run->prefill_bytes = 0;
   run->reused_version = import->version;
   HASH_DEL (run->engine->imports, import);
-  free (import->request);
+  free (import->request_id);
   free (import);
 }
 
 static void
-take_faults (Run *run)
+apply_faults (Run *run)
 {
   SiFaults *faults = &run->engine->faults;
 
-  run->breaks = -1;
+  run->break_after = -1;
   if (si_faults_consume (faults, SI_FAULT_BREAK))
-    run->breaks = faults->faults[SI_FAULT_BREAK].tokens;
-  run->hung = si_faults_consume (faults, SI_FAULT_HANG);
+    run->break_after = faults->faults[SI_FAULT_BREAK].tokens;
+  run->is_hung = si_faults_consume (faults, SI_FAULT_HANG);
 }
 
-/* How many bytes of the prompt are not in the prefix cache. */
+/* Prompt bytes that the prefix cache lacks; caches the prompt. */
 static size_t
-count_prefill (SiEngine *engine, struct json_object *body, const char *prompt)
+count_uncached_bytes (SiEngine *engine, struct json_object *body, const char *prompt)
 {
   struct json_object *messages;
   const char *text = prompt;
@@ -447,38 +452,39 @@
   run->id = lb_strdup (si_json_text (body, "request_id", "none"));
   run->stream = si_json_bool (body, "stream", false);
   run->priority = si_json_int (body, "priority", 0);
-  run->last_said = lb_clock_monotonic ();
+  run->last_sent = lb_clock_monotonic ();
   si_text_init_from_body (&run->text, body, engine->settings.vary_length);
-  run->prefill = count_prefill (engine, body, prompt);
-  take_resume (run, body);
-  take_import (run);
-  take_faults (run);
+  run->prefill_bytes = count_uncached_bytes (engine, body, prompt);
+  apply_resume (run, body);
+  apply_import (run);
+  apply_faults (run);
   si_run_log_count_start (&engine->log, si_json_text (body, "key", prompt));
   free (prompt);
   return run;
 }
 
-/* Takes a completion into the batch, or refuses it before it starts. */
+/* Queues the completion, or answers 503 when it can't start. */
 void
 si_engine_handle_completion (SiEngine *engine, struct evhttp_request *request, bool chat)
 {
   struct json_object *body = si_request_json (request);
-  const char *refused = refusal (engine);
+  const char *refusal = get_refusal (engine);
 
-  if (!refused && si_faults_consume (&engine->faults, SI_FAULT_REFUSE))
-    refused = "not_started";
+  if (!refusal && si_faults_consume (&engine->faults, SI_FAULT_REFUSE))
+    refusal = "not_started";
   if (!body)
     si_reply_error (request, 400, "bad_json");
-  else if (refused)
+  else if (refusal)
     {
       engine->log.refused++;
-      si_reply_error (request, 503, refused);
+      si_reply_error (request, 503, refusal);
     }
   else
     {
       Run *run = run_new (engine, request, body, chat);
-      evhttp_connection_set_closecb (evhttp_request_get_connection (request), on_caller_gone, run);
-      enqueue (engine, run);
+      evhttp_connection_set_closecb (evhttp_request_get_connection (request),
+                                     on_caller_disconnected, run);
+      enqueue_run (engine, run);
     }
   json_object_put (body);
 }
@@ -496,7 +502,7 @@
     struct json_object *export = json_object_new_object ();
     si_json_set_text (export, "request", id);
     si_json_set_int (export, "version", engine->version);
-    si_json_set_int (export, "tokens", run->offset);
+    si_json_set_int (export, "tokens", run->next_token);
     si_reply_json (request, 200, export);
     json_object_put (body);
     return;
@@ -522,8 +528,9 @@
   if (!import)
     {
       import = LB_NEW (SiImport);
-      import->request = lb_strdup (id);
-      HASH_ADD_KEYPTR (hh, engine->imports, import->request, strlen (import->request), import);
+      import->request_id = lb_strdup (id);
+      HASH_ADD_KEYPTR (hh, engine->imports, import->request_id, strlen (import->request_id),
+                       import);
     }
   import->version = si_json_int (body, "version", 0);
   si_reply_json (request, 200, json_object_new_object ());
--- a/standins/si-engine.c
+++ b/standins/si-engine.c
@@ -12,9 +12,9 @@
   struct json_object *load = json_object_new_object ();
   const SiEngineSettings *settings = &engine->settings;
   bool leaving = si_faults_is_on (&engine->faults, SI_FAULT_LEAVING);
-  double used = settings->cache_blocks
-                    ? (double)engine->cache.lru.length / (double)settings->cache_blocks
-                    : 0;
+  double used_share = settings->cache_blocks
+                          ? (double)engine->cache.lru.length / (double)settings->cache_blocks
+                          : 0;
 
   si_json_set_text (load, "incarnation", engine->incarnation);
   si_json_set_text (load, "state", leaving ? "leaving" : "serving");
@@ -26,7 +26,7 @@
   si_json_set_int (load, "waiting", (int64_t)engine->waiting.length);
   json_object_object_add (load, "tokens_per_second",
                           json_object_new_double (settings->tokens_per_second));
-  json_object_object_add (load, "kv_used", json_object_new_double (used));
+  json_object_object_add (load, "kv_used", json_object_new_double (used_share));
   si_json_set_int (load, "concurrency", settings->concurrency);
   si_reply_json (request, 200, load);
 }
@@ -35,10 +35,10 @@
 reply_cache_events (SiEngine *engine, struct evhttp_request *request)
 {
   char *since = si_request_query (request, "since");
-  uint64_t first = since ? strtoull (since, NULL, 10) : 0;
+  uint64_t first_sequence = since ? strtoull (since, NULL, 10) : 0;
 
   free (since);
-  si_reply_json (request, 200, si_cache_events_to_json (&engine->cache, first));
+  si_reply_json (request, 200, si_cache_events_to_json (&engine->cache, first_sequence));
 }
 
 static void
@@ -46,7 +46,7 @@
 {
   struct json_object *log = si_run_log_to_json (&engine->log);
 
-  si_json_set_int (log, "tokens", engine->tokens_made);
+  si_json_set_int (log, "tokens", engine->generated_tokens);
   si_json_set_int (log, "fence", engine->fence);
   si_reply_json (request, 200, log);
 }
--- a/standins/si-engine.h
+++ b/standins/si-engine.h
@@ -10,21 +10,22 @@
 {
   const char *name;
   int64_t version;
-  double tokens_per_second; /* of one request alone */
-  double batch_cost;        /* how much longer a step takes for each further request, 0.03: 3 % */
-  double prefill_rate;      /* bytes of prompt a second that are not in the prefix cache */
-  int64_t concurrency;
-  int64_t queue;
+  double tokens_per_second; /* of a request that runs alone */
+  double batch_cost;        /* relative increase of the step time for each further request */
+  double prefill_rate;      /* uncached prompt bytes per second */
+  int64_t concurrency;      /* requests in the batch */
+  int64_t max_waiting;      /* requests waiting to enter the batch */
   int64_t cache_blocks;
   LbTime load_time;
-  bool checks_fence;
-  bool vary_length;
-  uint64_t seed; /* makes the incarnation's name */
+  bool checks_fence; /* refuses orders with an outdated fencing number */
+  bool vary_length;  /* answers end after 1 to max_tokens tokens */
+  uint64_t seed;     /* part of the incarnation's name */
 } SiEngineSettings;
 
 typedef struct SiImport SiImport;
 
-/* A model engine in the small: one step makes one token for each running request. */
+/* Simulates an inference engine with continuous batching: each step generates one token for every
+ * running request. */
 typedef struct
 {
   SiEngineSettings settings;
@@ -32,25 +33,25 @@
   SiFaults faults;
   SiRunLog log;
   SiCache cache;
-  SiImport *imports;
+  SiImport *imports; /* KV caches imported for requests to come */
   char incarnation[64];
-  LbList waiting; /* by priority */
-  LbList running;
-  struct event *step;
-  struct event *keep_alive;
-  struct event *loaded;
-  bool step_due;
-  int64_t version; /* 0: none whole */
-  int64_t loading_version;
-  int64_t failed_version;
-  int64_t fence;
-  int64_t tokens_made;
+  LbList waiting; /* highest priority first */
+  LbList running; /* the batch */
+  struct event *step_timer;
+  struct event *keep_alive_timer;
+  struct event *load_timer;
+  bool is_step_scheduled;
+  int64_t version;         /* 0: no complete weights */
+  int64_t loading_version; /* 0: no load in progress */
+  int64_t failed_version;  /* of the last load, if it failed; else 0 */
+  int64_t fence;           /* highest fencing number seen */
+  int64_t generated_tokens;
 } SiEngine;
 
 bool si_engine_init (SiEngine *engine, const SiEngineSettings *settings, int port);
 void si_engine_clear (SiEngine *engine);
 
-/* The parts: si-engine-run.c makes tokens, si-engine-orders.c changes weights. */
+/* si-engine-run.c: the batch. */
 void si_engine_handle_completion (SiEngine *engine, struct evhttp_request *request, bool chat);
 void si_engine_schedule_step (SiEngine *engine);
 void si_engine_drop_all_runs (SiEngine *engine);
@@ -58,8 +59,10 @@
 void si_engine_stop_timers (SiEngine *engine);
 void si_engine_handle_export (SiEngine *engine, struct evhttp_request *request);
 void si_engine_handle_import (SiEngine *engine, struct evhttp_request *request);
+
+/* si-engine-orders.c: weight loading. */
 void si_engine_handle_order (SiEngine *engine, struct evhttp_request *request);
-void si_engine_on_loaded (evutil_socket_t fd, short what, void *user);
+void si_engine_on_load_done (evutil_socket_t fd, short what, void *user);
 bool si_engine_is_loading (const SiEngine *engine);
 
 #endif
--- a/standins/si-entry.c
+++ b/standins/si-entry.c
@@ -9,18 +9,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-static void ask (SiEntry *entry);
+static void start_refresh (SiEntry *entry);
 
 static void
-ask_later (SiEntry *entry, LbTime wait)
+schedule_refresh (SiEntry *entry, LbTime wait)
 {
   const struct timeval at = lb_time_to_timeval (wait);
 
-  event_add (entry->timer, &at);
+  event_add (entry->refresh_timer, &at);
 }
 
 static bool
-take_addresses (SiEntry *entry, const LhResult *result)
+parse_addresses (SiEntry *entry, const LhResult *result)
 {
   char *text = lb_strndup (result->body ? result->body : "", result->body_length);
   struct json_object *object = json_tokener_parse (text);
@@ -39,29 +39,29 @@
   return n > 0;
 }
 
-/* An instance that is gone is passed over: the next address is asked at once. */
+/* After a failure the next address is tried at once: the instance may have stopped. */
 static void
-on_answer (LhFetch *fetch, const LhResult *result, void *user)
+on_refresh_done (LhFetch *fetch, const LhResult *result, void *user)
 {
   (void)fetch;
   SiEntry *entry = user;
-  bool ok = result->failure == LB_OK && result->status == 200 && take_addresses (entry, result);
+  bool is_ok = result->failure == LB_OK && result->status == 200 && parse_addresses (entry, result);
 
-  entry->fetch = NULL;
-  entry->asked = ok ? 0 : entry->asked + 1;
-  ask_later (entry, ok ? entry->period : LB_MSEC);
+  entry->refresh = NULL;
+  entry->refresh_from = is_ok ? 0 : entry->refresh_from + 1;
+  schedule_refresh (entry, is_ok ? entry->refresh_period : LB_MSEC);
 }
 
 static void
-ask (SiEntry *entry)
+start_refresh (SiEntry *entry)
 {
-  static const LhHandlers handlers = { .on_done = on_answer };
+  static const LhHandlers handlers = { .on_done = on_refresh_done };
   const LhRequest request = { .method = "GET",
-                              .address = si_entry_address (entry, entry->asked),
+                              .address = si_entry_address (entry, entry->refresh_from),
                               .path = entry->path,
                               .idle_timeout = LB_SEC };
 
-  entry->fetch = lh_fetch_start (entry->pool, &request, &handlers, entry, NULL);
+  entry->refresh = lh_fetch_start (entry->pool, &request, &handlers, entry, NULL);
 }
 
 static void
@@ -69,7 +69,7 @@
 {
   (void)fd;
   (void)what;
-  ask (user);
+  start_refresh (user);
 }
 
 void
@@ -81,7 +81,7 @@
 {
   memset (entry, 0, sizeof *entry);
   entry->pool = pool;
-  entry->timer = evtimer_new (base, on_timer, entry);
+  entry->refresh_timer = evtimer_new (base, on_timer, entry);
   entry->n_addresses = n_addresses < SI_ENTRY_MAX_ADDRESSES ? n_addresses : SI_ENTRY_MAX_ADDRESSES;
   for (size_t i = 0; i < entry->n_addresses; i++)
     LB_COPY (entry->addresses[i], addresses[i]);
@@ -90,17 +90,17 @@
 void
 si_entry_clear (SiEntry *entry)
 {
-  if (entry->fetch)
-    lh_fetch_cancel (entry->fetch);
-  event_free (entry->timer);
+  if (entry->refresh)
+    lh_fetch_cancel (entry->refresh);
+  event_free (entry->refresh_timer);
 }
 
 void
-si_entry_start_refresh (SiEntry *entry, const char *caller, LbTime period)
+si_entry_start_refresh (SiEntry *entry, const char *caller, LbTime refresh_period)
 {
   snprintf (entry->path, sizeof entry->path, "/v1/entry?caller=%s", caller);
-  entry->period = period;
-  ask (entry);
+  entry->refresh_period = refresh_period;
+  start_refresh (entry);
 }
 
 const char *
--- a/standins/si-entry.h
+++ b/standins/si-entry.h
@@ -7,17 +7,17 @@
 
 struct event;
 
-/* The addresses that a caller uses: asked of any of them, kept for their time to live. */
+/* The entry addresses of a caller, refreshed periodically from any of them. */
 typedef struct
 {
   LhPool *pool;
-  struct event *timer;
+  struct event *refresh_timer;
   char path[128];
   LbName addresses[SI_ENTRY_MAX_ADDRESSES];
   size_t n_addresses;
-  size_t asked; /* the one asked last */
-  LhFetch *fetch;
-  LbTime period; /* 0: the addresses are never asked for */
+  size_t refresh_from; /* index of the address to refresh from */
+  LhFetch *refresh;    /* in flight; NULL: none */
+  LbTime refresh_period;
 } SiEntry;
 
 void si_entry_init (SiEntry *entry,
@@ -26,8 +26,8 @@
                     const char *const *addresses,
                     size_t n_addresses);
 void si_entry_clear (SiEntry *entry);
-void si_entry_start_refresh (SiEntry *entry, const char *caller, LbTime period);
-/* The n-th choice; there is always one. */
+void si_entry_start_refresh (SiEntry *entry, const char *caller, LbTime refresh_period);
+/* Wraps around after the last address. */
 const char *si_entry_address (const SiEntry *entry, size_t n);
 
 #endif
--- a/standins/si-faults.c
+++ b/standins/si-faults.c
@@ -5,7 +5,7 @@
 
 #include <string.h>
 
-static const char *const names[SI_N_FAULTS] = {
+static const char *const mode_names[SI_N_FAULTS] = {
   [SI_FAULT_CRASH] = "crash",
   [SI_FAULT_REFUSE] = "refuse",
   [SI_FAULT_BREAK] = "break",
@@ -21,9 +21,9 @@
 };
 
 bool
-si_faults_set (SiFaults *faults, struct json_object *order)
+si_faults_set (SiFaults *faults, struct json_object *settings)
 {
-  const char *mode = si_json_text (order, "mode", "");
+  const char *mode = si_json_text (settings, "mode", "");
 
   if (strcmp (mode, "none") == 0)
     {
@@ -31,12 +31,12 @@
       return true;
     }
   for (int i = 0; i < SI_N_FAULTS; i++)
-    if (strcmp (names[i], mode) == 0)
+    if (strcmp (mode_names[i], mode) == 0)
       {
-        faults->faults[i] = (SiFault){ .remaining = si_json_int (order, "count", -1),
-                                       .tokens = si_json_int (order, "tokens", 0),
-                                       .delay = si_json_int (order, "ms", 0) * LB_MSEC };
-        LB_COPY (faults->faults[i].path, si_json_text (order, "path", ""));
+        faults->faults[i] = (SiFault){ .remaining = si_json_int (settings, "count", -1),
+                                       .tokens = si_json_int (settings, "tokens", 0),
+                                       .delay = si_json_int (settings, "ms", 0) * LB_MSEC };
+        LB_COPY (faults->faults[i].path_prefix, si_json_text (settings, "path", ""));
         return true;
       }
   return false;
@@ -45,13 +45,13 @@
 void
 si_faults_handle (SiFaults *faults, struct evhttp_request *request)
 {
-  struct json_object *order = si_request_json (request);
+  struct json_object *settings = si_request_json (request);
 
-  if (order && si_faults_set (faults, order))
+  if (settings && si_faults_set (faults, settings))
     si_reply_json (request, 200, json_object_new_object ());
   else
     si_reply_error (request, 400, "bad_value");
-  json_object_put (order);
+  json_object_put (settings);
 }
 
 bool
@@ -75,7 +75,7 @@
 bool
 si_faults_consume_at_path (SiFaults *faults, SiFaultMode mode, const char *path)
 {
-  const char *only = faults->faults[mode].path;
+  const char *path_prefix = faults->faults[mode].path_prefix;
 
-  return strncmp (path, only, strlen (only)) == 0 && si_faults_consume (faults, mode);
+  return strncmp (path, path_prefix, strlen (path_prefix)) == 0 && si_faults_consume (faults, mode);
 }
--- a/standins/si-faults.h
+++ b/standins/si-faults.h
@@ -8,27 +8,27 @@
 
 typedef enum
 {
-  SI_FAULT_CRASH,        /* exit without a word, after `tokens` more tokens */
-  SI_FAULT_REFUSE,       /* 503 before the start */
-  SI_FAULT_BREAK,        /* close a stream after `tokens` of its tokens */
-  SI_FAULT_HANG,         /* go silent: no answer, no keep-alive, the connection stays open */
-  SI_FAULT_OMIT_VERSION, /* events without weight_version */
-  SI_FAULT_CONTRADICT,   /* two versions for one token */
-  SI_FAULT_FAIL_SWAP,    /* a load of weights fails partway */
-  SI_FAULT_SLOW,         /* everything takes `ms` longer a token, or a call */
-  SI_FAULT_LEAVING,      /* refuse new work as leaving */
-  SI_FAULT_LOSE_REPLY,   /* do it, then close without an answer */
-  SI_FAULT_DOWN,         /* close without an answer and without doing it */
-  SI_FAULT_BUSY,         /* over the rate */
+  SI_FAULT_CRASH,        /* exit without a reply, after `tokens` more tokens */
+  SI_FAULT_REFUSE,       /* answer 503 not_started */
+  SI_FAULT_BREAK,        /* close a stream after `tokens` tokens */
+  SI_FAULT_HANG,         /* send no reply and no keep-alive; keep the connection open */
+  SI_FAULT_OMIT_VERSION, /* send events without weight_version */
+  SI_FAULT_CONTRADICT,   /* send two weight versions for one token */
+  SI_FAULT_FAIL_SWAP,    /* fail a weight load */
+  SI_FAULT_SLOW,         /* delay each token or call by `ms` */
+  SI_FAULT_LEAVING,      /* report and answer `leaving` */
+  SI_FAULT_LOSE_REPLY,   /* do the work, then close without a reply */
+  SI_FAULT_DOWN,         /* close without doing the work */
+  SI_FAULT_BUSY,         /* answer 503 busy */
   SI_N_FAULTS
 } SiFaultMode;
 
 typedef struct
 {
-  int64_t remaining; /* how many times more; -1: until cleared; 0: off */
+  int64_t remaining; /* times it still applies; -1: until cleared; 0: off */
   int64_t tokens;
   LbTime delay;
-  LbName path; /* only on paths that start so */
+  LbName path_prefix; /* applies only to paths with this prefix */
 } SiFault;
 
 typedef struct
@@ -36,13 +36,13 @@
   SiFault faults[SI_N_FAULTS];
 } SiFaults;
 
-/* {"mode": "break", "count": 1, "tokens": 5, "ms": 0, "path": "/table"}; count -1 or absent: until
- * {"mode": "none"}. False when the mode is not known. */
-bool si_faults_set (SiFaults *faults, struct json_object *order);
-/* Answers POST /faults. */
+/* Sets a fault from {"mode": "break", "count": 1, "tokens": 5, "ms": 0, "path": "/table"}. Count -1
+ * or absent: until {"mode": "none"}. Returns false for an unknown mode. */
+bool si_faults_set (SiFaults *faults, struct json_object *settings);
+/* Handles POST /faults. */
 void si_faults_handle (SiFaults *faults, struct evhttp_request *request);
 bool si_faults_is_on (const SiFaults *faults, SiFaultMode mode);
-/* True when the fault is on; uses one of its times up. */
+/* Returns whether the fault applies now and, if so, counts one use of it. */
 bool si_faults_consume (SiFaults *faults, SiFaultMode mode);
 bool si_faults_consume_at_path (SiFaults *faults, SiFaultMode mode, const char *path);
 
--- a/standins/si-json.c
+++ b/standins/si-json.c
@@ -30,7 +30,6 @@
   return json_object_get_boolean (value);
 }
 
-/* The text stays the object's. */
 const char *
 si_json_text (struct json_object *object, const char *key, const char *fallback)
 {
--- a/standins/si-platform.c
+++ b/standins/si-platform.c
@@ -11,44 +11,47 @@
 
 #define DEFAULT_SCAN_LIMIT 1000
 
-/* A reply held back by a slow store. */
+/* A reply delayed by the fault "slow". */
 typedef struct
 {
-  struct evhttp_request *request;
+  struct evhttp_request *request; /* NULL: its connection has closed */
   struct json_object *reply;
   int status;
-} Held;
+} DelayedReply;
 
 static void
-on_held_gone (struct evhttp_connection *connection, void *user)
+on_delayed_reply_closed (struct evhttp_connection *connection, void *user)
 {
   (void)connection;
-  Held *held = user;
+  DelayedReply *delayed = user;
 
-  si_request_release (held->request);
-  held->request = NULL;
+  si_request_release (delayed->request);
+  delayed->request = NULL;
 }
 
 static void
-on_held_due (evutil_socket_t fd, short what, void *user)
+on_delayed_reply_due (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
-  Held *held = user;
+  DelayedReply *delayed = user;
 
-  if (held->request)
+  if (delayed->request)
     {
-      evhttp_connection_set_closecb (evhttp_request_get_connection (held->request), NULL, NULL);
-      si_reply_json (held->request, held->status, held->reply);
+      evhttp_connection_set_closecb (evhttp_request_get_connection (delayed->request), NULL, NULL);
+      si_reply_json (delayed->request, delayed->status, delayed->reply);
     }
   else
-    json_object_put (held->reply);
-  free (held);
+    json_object_put (delayed->reply);
+  free (delayed);
 }
 
-/* The write, if it was one, has been done; what is lost or slow is the answer. */
+/* Sends the reply, unless a fault loses or delays it; a write has been applied already. */
 static void
-answer (SiPlatform *platform, struct evhttp_request *request, int status, struct json_object *reply)
+send_reply (SiPlatform *platform,
+            struct evhttp_request *request,
+            int status,
+            struct json_object *reply)
 {
   const char *path = si_request_path (request);
 
@@ -65,58 +68,59 @@
     }
   LbTime wait = platform->faults.faults[SI_FAULT_SLOW].delay;
   const struct timeval at = lb_time_to_timeval (wait);
-  Held *held = LB_NEW (Held);
-  *held = (Held){ .request = request, .reply = reply, .status = status };
-  evhttp_connection_set_closecb (evhttp_request_get_connection (request), on_held_gone, held);
-  event_base_once (platform->server.base, -1, EV_TIMEOUT, on_held_due, held, &at);
+  DelayedReply *delayed = LB_NEW (DelayedReply);
+  *delayed = (DelayedReply){ .request = request, .reply = reply, .status = status };
+  evhttp_connection_set_closecb (evhttp_request_get_connection (request), on_delayed_reply_closed,
+                                 delayed);
+  event_base_once (platform->server.base, -1, EV_TIMEOUT, on_delayed_reply_due, delayed, &at);
 }
 
 static void
-transact (SiPlatform *platform, struct evhttp_request *request)
+handle_transact (SiPlatform *platform, struct evhttp_request *request)
 {
-  struct json_object *asked = si_request_json (request);
+  struct json_object *transaction = si_request_json (request);
   struct json_object *reply;
 
-  if (!asked)
+  if (!transaction)
     {
       si_reply_error (request, 400, "bad_json");
       return;
     }
   platform->writes++;
-  int status = si_table_transact (platform->store, asked, &reply);
-  answer (platform, request, status, reply);
-  json_object_put (asked);
+  int status = si_table_transact (platform->store, transaction, &reply);
+  send_reply (platform, request, status, reply);
+  json_object_put (transaction);
 }
 
 static void
-get_row (SiPlatform *platform, struct evhttp_request *request)
+handle_get_row (SiPlatform *platform, struct evhttp_request *request)
 {
   char *key = si_request_query (request, "key");
   struct json_object *reply;
   int status = si_table_row (platform->store, key ? key : "", &reply);
 
-  answer (platform, request, status, reply);
+  send_reply (platform, request, status, reply);
   free (key);
 }
 
 static void
-scan (SiPlatform *platform, struct evhttp_request *request)
+handle_scan (SiPlatform *platform, struct evhttp_request *request)
 {
   char *prefix = si_request_query (request, "prefix");
   char *after = si_request_query (request, "after");
   char *limit = si_request_query (request, "limit");
   int64_t n = limit ? strtoll (limit, NULL, 10) : DEFAULT_SCAN_LIMIT;
 
-  answer (platform, request, 200,
-          si_table_scan (platform->store, prefix ? prefix : "",
-                         after && after[0] != '\0' ? after : NULL, n));
+  send_reply (platform, request, 200,
+              si_table_scan (platform->store, prefix ? prefix : "",
+                             after && after[0] != '\0' ? after : NULL, n));
   free (prefix);
   free (after);
   free (limit);
 }
 
 static void
-get_object (SiPlatform *platform, struct evhttp_request *request, const char *key)
+handle_get_object (SiPlatform *platform, struct evhttp_request *request, const char *key)
 {
   size_t length;
   const char *bytes = lp_store_get_object (platform->store, key, &length);
@@ -131,14 +135,14 @@
 }
 
 static void
-put_object (SiPlatform *platform, struct evhttp_request *request, const char *key)
+handle_put_object (SiPlatform *platform, struct evhttp_request *request, const char *key)
 {
   struct evbuffer *input = evhttp_request_get_input_buffer (request);
   size_t length = evbuffer_get_length (input);
 
   platform->writes++;
   lp_store_put_object (platform->store, key, (const char *)evbuffer_pullup (input, -1), length);
-  answer (platform, request, 200, json_object_new_object ());
+  send_reply (platform, request, 200, json_object_new_object ());
 }
 
 static void
@@ -147,23 +151,23 @@
   switch (evhttp_request_get_command (request))
     {
     case EVHTTP_REQ_GET:
-      get_object (platform, request, key);
+      handle_get_object (platform, request, key);
       break;
     case EVHTTP_REQ_PUT:
-      put_object (platform, request, key);
+      handle_put_object (platform, request, key);
       break;
     case EVHTTP_REQ_DELETE:
       lp_store_delete_object (platform->store, key);
-      answer (platform, request, 200, json_object_new_object ());
+      send_reply (platform, request, 200, json_object_new_object ());
       break;
     default:
       si_reply_error (request, 404, "unknown_path");
     }
 }
 
-/* The list lags: what was set is shown only after the lag. */
+/* A new list of instances is shown only after instances_lag. */
 static void
-get_instances (SiPlatform *platform, struct evhttp_request *request)
+handle_get_instances (SiPlatform *platform, struct evhttp_request *request)
 {
   if (platform->pending_instances && lb_clock_monotonic () >= platform->pending_due)
     {
@@ -171,11 +175,11 @@
       platform->instances = platform->pending_instances;
       platform->pending_instances = NULL;
     }
-  answer (platform, request, 200, json_object_get (platform->instances));
+  send_reply (platform, request, 200, json_object_get (platform->instances));
 }
 
 static void
-get_weights (SiPlatform *platform, struct evhttp_request *request)
+handle_get_weights (SiPlatform *platform, struct evhttp_request *request)
 {
   char *pool = si_request_query (request, "pool");
   int64_t version = pool ? lp_store_get_weights (platform->store, pool) : 0;
@@ -187,10 +191,11 @@
       si_json_set_int (reply, "version", version);
       si_json_set_int (reply, "made_ms", lb_clock_wall_ms ());
     }
-  answer (platform, request, version > 0 ? 200 : 404, reply);
+  send_reply (platform, request, version > 0 ? 200 : 404, reply);
   free (pool);
 }
 
+/* Takes one call from the token bucket; returns true when it is empty. */
 static bool
 is_over_rate (SiPlatform *platform)
 {
@@ -210,7 +215,7 @@
 }
 
 static void
-set_instances (SiPlatform *platform, struct json_object *list)
+schedule_instances (SiPlatform *platform, struct json_object *list)
 {
   json_object_put (platform->pending_instances);
   platform->pending_instances = json_object_get (list);
@@ -225,27 +230,27 @@
 }
 
 /* POST /control {"instances": {...}, "weights": {"pool", "version"}, "lag_ms": n, "rate": n}; each
- * optional. */
+ * key is optional. */
 static void
-control (SiPlatform *platform, struct evhttp_request *request)
+handle_control (SiPlatform *platform, struct evhttp_request *request)
 {
-  struct json_object *order = si_request_json (request);
+  struct json_object *settings = si_request_json (request);
   struct json_object *value;
 
-  if (!order)
+  if (!settings)
     {
       si_reply_error (request, 400, "bad_json");
       return;
     }
   platform->instances_lag
-      = si_json_int (order, "lag_ms", platform->instances_lag / LB_MSEC) * LB_MSEC;
-  platform->max_calls_per_second = si_json_real (order, "rate", platform->max_calls_per_second);
-  if (json_object_object_get_ex (order, "instances", &value))
-    set_instances (platform, value);
-  if (json_object_object_get_ex (order, "weights", &value))
+      = si_json_int (settings, "lag_ms", platform->instances_lag / LB_MSEC) * LB_MSEC;
+  platform->max_calls_per_second = si_json_real (settings, "rate", platform->max_calls_per_second);
+  if (json_object_object_get_ex (settings, "instances", &value))
+    schedule_instances (platform, value);
+  if (json_object_object_get_ex (settings, "weights", &value))
     set_weights (platform, value);
   si_reply_json (request, 200, json_object_new_object ());
-  json_object_put (order);
+  json_object_put (settings);
 }
 
 static void
@@ -260,29 +265,29 @@
 }
 
 static void
-route (SiPlatform *platform, struct evhttp_request *request)
+route_call (SiPlatform *platform, struct evhttp_request *request)
 {
-  static const char objects[] = "/objects/";
+  static const char objects_path[] = "/objects/";
   const char *path = si_request_path (request);
 
   if (si_request_is (request, EVHTTP_REQ_POST, "/table/transact"))
-    transact (platform, request);
+    handle_transact (platform, request);
   else if (si_request_is (request, EVHTTP_REQ_GET, "/table/row"))
-    get_row (platform, request);
+    handle_get_row (platform, request);
   else if (si_request_is (request, EVHTTP_REQ_GET, "/table/scan"))
-    scan (platform, request);
+    handle_scan (platform, request);
   else if (si_request_is (request, EVHTTP_REQ_GET, "/instances"))
-    get_instances (platform, request);
+    handle_get_instances (platform, request);
   else if (si_request_is (request, EVHTTP_REQ_GET, "/weights"))
-    get_weights (platform, request);
-  else if (strncmp (path, objects, sizeof objects - 1) == 0)
-    handle_object (platform, request, path + sizeof objects - 1);
+    handle_get_weights (platform, request);
+  else if (strncmp (path, objects_path, sizeof objects_path - 1) == 0)
+    handle_object (platform, request, path + sizeof objects_path - 1);
   else
     si_reply_error (request, 404, "unknown_path");
 }
 
 static void
-serve (SiPlatform *platform, struct evhttp_request *request)
+handle_call (SiPlatform *platform, struct evhttp_request *request)
 {
   const char *path = si_request_path (request);
 
@@ -300,23 +305,23 @@
   else
     {
       platform->served++;
-      route (platform, request);
+      route_call (platform, request);
     }
 }
 
 static void
-handle (struct evhttp_request *request, void *user)
+handle_request (struct evhttp_request *request, void *user)
 {
   SiPlatform *platform = user;
 
   if (si_request_is (request, EVHTTP_REQ_POST, "/faults"))
     si_faults_handle (&platform->faults, request);
   else if (si_request_is (request, EVHTTP_REQ_POST, "/control"))
-    control (platform, request);
+    handle_control (platform, request);
   else if (si_request_is (request, EVHTTP_REQ_GET, "/log"))
     reply_log (platform, request);
   else
-    serve (platform, request);
+    handle_call (platform, request);
 }
 
 static struct json_object *
@@ -330,7 +335,7 @@
 }
 
 static void
-prepare (SiPlatform *platform)
+init_state (SiPlatform *platform)
 {
   memset (platform, 0, sizeof *platform);
   platform->store = lp_store_new ();
@@ -341,15 +346,15 @@
 bool
 si_platform_init (SiPlatform *platform, struct event_base *base, int port)
 {
-  prepare (platform);
-  return si_server_init (&platform->server, base, port, handle, platform);
+  init_state (platform);
+  return si_server_init (&platform->server, base, port, handle_request, platform);
 }
 
 bool
 si_platform_init_program (SiPlatform *platform, int port)
 {
-  prepare (platform);
-  return si_server_init_program (&platform->server, port, handle, platform);
+  init_state (platform);
+  return si_server_init_program (&platform->server, port, handle_request, platform);
 }
 
 void
--- a/standins/si-platform.h
+++ b/standins/si-platform.h
@@ -5,27 +5,28 @@
 #include "si-faults.h"
 #include "si-server.h"
 
-/* The platform over HTTP: table, objects, list of instances, newest weights. Faults by POST
- * /faults; what the list says, its lag and the rate by POST /control. */
+/* The platform over HTTP: table, objects, list of instances, newest weights. POST /faults sets
+ * faults; POST /control sets the list of instances, its lag, the weights and the rate limit. */
 typedef struct
 {
   SiServer server;
   SiFaults faults;
   LpStore *store;
-  struct json_object *instances; /* what GET /instances says */
-  struct json_object *pending_instances;
+  struct json_object *instances;         /* body of GET /instances */
+  struct json_object *pending_instances; /* shown from pending_due on; NULL: none */
   LbTime pending_due;
   LbTime instances_lag;
-  double max_calls_per_second; /* calls a second; 0: any */
-  double rate_tokens;
-  LbTime rate_tokens_at;
-  int64_t received; /* all that came, what a fault took included */
-  int64_t served;   /* all that were served */
+  double max_calls_per_second; /* 0: unlimited */
+  double rate_tokens;          /* token bucket of the rate limit */
+  LbTime rate_tokens_at;       /* when rate_tokens was last refilled */
+  int64_t received;            /* calls, including those that a fault dropped */
+  int64_t served;
   int64_t writes;
   int64_t rejected_busy;
 } SiPlatform;
 
 bool si_platform_init (SiPlatform *platform, struct event_base *base, int port);
+/* With its own event loop and signal handlers, as si_server_init_program. */
 bool si_platform_init_program (SiPlatform *platform, int port);
 void si_platform_clear (SiPlatform *platform);
 
--- a/standins/si-row-store.c
+++ b/standins/si-row-store.c
@@ -12,18 +12,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MAX_ROWS_AT_ONCE 500
-#define MAX_VALUE_LENGTH ((size_t)(64 << 10) / 3 * 4) /* 64 KiB, encoded */
-#define WAKE_PERIOD (20 * LB_MSEC)
+#define MAX_ROWS_PER_PAGE 500
+#define MAX_ENCODED_VALUE_LENGTH ((size_t)(64 << 10) / 3 * 4) /* 64 KiB in base64 */
+#define WATCH_CHECK_PERIOD (20 * LB_MSEC)
 
-/* A row, also after its removal, so that watches hear of it. */
+/* Kept after its removal, so that watches report the removal. */
 typedef struct
 {
   LbLink link;
   char *table;
   char *part;
   char *key;
-  char *value; /* as it came, encoded; NULL: removed */
+  char *value; /* base64, as received; NULL: removed */
   int64_t version;
 } Row;
 
@@ -38,18 +38,18 @@
 typedef struct
 {
   LbLink link;
-  SiRowStore *rows;
+  SiRowStore *store;
   struct evhttp_request *request;
   char *table;
-  int64_t after;
-  LbTime until;
-  bool is_late;
+  int64_t after; /* version; reports newer changes */
+  LbTime deadline;
+  bool is_delayed; /* reports changes only at the deadline */
 } Watch;
 
 static void
-row_free (SiRowStore *rows, Row *row)
+row_free (SiRowStore *store, Row *row)
 {
-  lb_list_remove (&rows->rows, &row->link);
+  lb_list_remove (&store->rows, &row->link);
   free (row->table);
   free (row->part);
   free (row->key);
@@ -58,7 +58,7 @@
 }
 
 static int
-compare (const Row *row, const char *table, const char *part, const char *key)
+compare_row (const Row *row, const char *table, const char *part, const char *key)
 {
   int order = strcmp (row->table, table);
 
@@ -68,21 +68,21 @@
 }
 
 static Row *
-find (const SiRowStore *rows, const char *table, const char *part, const char *key)
+find_row (const SiRowStore *store, const char *table, const char *part, const char *key)
 {
-  LB_LIST_FOREACH (&rows->rows, Row, link, row)
+  LB_LIST_FOREACH (&store->rows, Row, link, row)
   {
-    if (compare (row, table, part, key) == 0)
+    if (compare_row (row, table, part, key) == 0)
       return row;
   }
   return NULL;
 }
 
 static Row *
-ensure (SiRowStore *rows, const char *table, const char *part, const char *key)
+find_or_create_row (SiRowStore *store, const char *table, const char *part, const char *key)
 {
-  Row *row = find (rows, table, part, key);
-  LbLink *before = &rows->rows.head;
+  Row *row = find_row (store, table, part, key);
+  LbLink *position = &store->rows.head;
 
   if (row)
     return row;
@@ -90,19 +90,19 @@
   row->table = lb_strdup (table);
   row->part = lb_strdup (part);
   row->key = lb_strdup (key);
-  LB_LIST_FOREACH (&rows->rows, Row, link, other)
+  LB_LIST_FOREACH (&store->rows, Row, link, other)
   {
-    if (before == &rows->rows.head && compare (other, table, part, key) > 0)
-      before = &other->link;
+    if (position == &store->rows.head && compare_row (other, table, part, key) > 0)
+      position = &other->link;
   }
-  lb_list_insert_before (&rows->rows, before, &row->link);
+  lb_list_insert_before (&store->rows, position, &row->link);
   return row;
 }
 
 static int64_t
-present_version (const SiRowStore *rows, const char *table, const char *part, const char *key)
+get_row_version (const SiRowStore *store, const char *table, const char *part, const char *key)
 {
-  const Row *row = find (rows, table, part, key);
+  const Row *row = find_row (store, table, part, key);
 
   return row && row->value ? row->version : 0;
 }
@@ -110,7 +110,7 @@
 /* --- JSON --- */
 
 static const char *
-text_of (struct json_object *object, const char *key)
+get_text (struct json_object *object, const char *key)
 {
   struct json_object *value = NULL;
 
@@ -134,11 +134,11 @@
 }
 
 static struct json_object *
-new_answer (const SiRowStore *rows)
+new_reply (const SiRowStore *store)
 {
   struct json_object *object = json_object_new_object ();
 
-  json_object_object_add (object, "ver", json_object_new_int64 (rows->version));
+  json_object_object_add (object, "ver", json_object_new_int64 (store->version));
   json_object_object_add (object, "nowMs", json_object_new_int64 (lb_clock_monotonic () / LB_MSEC));
   return object;
 }
@@ -146,7 +146,7 @@
 /* --- transactions --- */
 
 static struct json_object *
-array_of (struct json_object *object, const char *key)
+get_array (struct json_object *object, const char *key)
 {
   struct json_object *array = NULL;
 
@@ -154,16 +154,17 @@
   return json_object_is_type (array, json_type_array) ? array : NULL;
 }
 
+/* Whether every expected row has its expected version; 0: it must not exist. */
 static bool
-holds (const SiRowStore *rows, struct json_object *expected)
+are_expectations_met (const SiRowStore *store, struct json_object *expected)
 {
   for (size_t i = 0; expected && i < json_object_array_length (expected); i++)
     {
       struct json_object *item = json_object_array_get_idx (expected, i);
       struct json_object *version = NULL;
       json_object_object_get_ex (item, "ver", &version);
-      if (present_version (rows, text_of (item, "table"), text_of (item, "part"),
-                           text_of (item, "key"))
+      if (get_row_version (store, get_text (item, "table"), get_text (item, "part"),
+                           get_text (item, "key"))
           != json_object_get_int64 (version))
         return false;
     }
@@ -171,40 +172,42 @@
 }
 
 static void
-apply (SiRowStore *rows, struct json_object *entries, bool remove)
+apply_entries (SiRowStore *store, struct json_object *entries, bool is_removal)
 {
   for (size_t i = 0; entries && i < json_object_array_length (entries); i++)
     {
       struct json_object *item = json_object_array_get_idx (entries, i);
-      Row *row
-          = ensure (rows, text_of (item, "table"), text_of (item, "part"), text_of (item, "key"));
+      Row *row = find_or_create_row (store, get_text (item, "table"), get_text (item, "part"),
+                                     get_text (item, "key"));
       free (row->value);
-      row->value = remove ? NULL : lb_strdup (text_of (item, "value"));
-      row->version = rows->version;
+      row->value = is_removal ? NULL : lb_strdup (get_text (item, "value"));
+      row->version = store->version;
     }
 }
 
+/* Adds the expected rows as they are, so that the caller can retry. */
 static void
-add_present (const SiRowStore *rows, struct json_object *answer, struct json_object *expected)
+add_current_rows (const SiRowStore *store, struct json_object *reply, struct json_object *expected)
 {
   struct json_object *array = json_object_new_array ();
 
   for (size_t i = 0; expected && i < json_object_array_length (expected); i++)
     {
       struct json_object *item = json_object_array_get_idx (expected, i);
-      const Row *row
-          = find (rows, text_of (item, "table"), text_of (item, "part"), text_of (item, "key"));
+      const Row *row = find_row (store, get_text (item, "table"), get_text (item, "part"),
+                                 get_text (item, "key"));
       if (row && row->value)
         json_object_array_add (array, row_to_json (row));
     }
-  json_object_object_add (answer, "rows", array);
+  json_object_object_add (reply, "rows", array);
 }
 
 static bool
 has_large_value (struct json_object *entries)
 {
   for (size_t i = 0; entries && i < json_object_array_length (entries); i++)
-    if (strlen (text_of (json_object_array_get_idx (entries, i), "value")) > MAX_VALUE_LENGTH)
+    if (strlen (get_text (json_object_array_get_idx (entries, i), "value"))
+        > MAX_ENCODED_VALUE_LENGTH)
       return true;
   return false;
 }
@@ -213,45 +216,45 @@
 touches_table (struct json_object *entries, const char *table)
 {
   for (size_t i = 0; entries && i < json_object_array_length (entries); i++)
-    if (strcmp (text_of (json_object_array_get_idx (entries, i), "table"), table) == 0)
+    if (strcmp (get_text (json_object_array_get_idx (entries, i), "table"), table) == 0)
       return true;
   return false;
 }
 
 static void
-transact (SiRowStore *rows, struct evhttp_request *request)
+handle_transaction (SiRowStore *store, struct evhttp_request *request)
 {
   struct json_object *body = si_request_json (request);
-  struct json_object *expected = array_of (body, "expected");
-  bool ok = holds (rows, expected);
+  struct json_object *expected = get_array (body, "expected");
+  bool is_committed = are_expectations_met (store, expected);
 
-  if (has_large_value (array_of (body, "writes")))
+  if (has_large_value (get_array (body, "writes")))
     {
       json_object_put (body);
       si_reply_error (request, 400, "value_too_large");
       return;
     }
-  if (ok)
+  if (is_committed)
     {
-      rows->version++;
-      rows->writes++;
-      apply (rows, array_of (body, "writes"), false);
-      apply (rows, array_of (body, "remove"), true);
+      store->version++;
+      store->writes++;
+      apply_entries (store, get_array (body, "writes"), false);
+      apply_entries (store, get_array (body, "remove"), true);
     }
-  if (ok && rows->lost_replies > 0 && touches_table (array_of (body, "writes"), "head"))
+  if (is_committed && store->lost_replies > 0 && touches_table (get_array (body, "writes"), "head"))
     {
-      if (--rows->lost_replies == 0 && rows->unavailable_after_lost_replies)
-        rows->mode = SI_ROW_STORE_UNAVAILABLE;
+      if (--store->lost_replies == 0 && store->unavailable_after_lost_replies)
+        store->mode = SI_ROW_STORE_UNAVAILABLE;
       si_reply_abort (request);
     }
-  else if (rows->mode == SI_ROW_STORE_LOSES_REPLY)
+  else if (store->mode == SI_ROW_STORE_LOSES_REPLY)
     si_reply_abort (request);
   else
     {
-      struct json_object *answer = new_answer (rows);
-      if (!ok)
-        add_present (rows, answer, expected);
-      si_reply_json (request, ok ? 200 : 412, answer);
+      struct json_object *reply = new_reply (store);
+      if (!is_committed)
+        add_current_rows (store, reply, expected);
+      si_reply_json (request, is_committed ? 200 : 412, reply);
     }
   json_object_put (body);
 }
@@ -259,39 +262,39 @@
 /* --- lists and watches --- */
 
 static char *
-query_of (struct evhttp_request *request, const char *key)
+get_query (struct evhttp_request *request, const char *key)
 {
   char *value = si_request_query (request, key);
 
   return value ? value : lb_strdup ("");
 }
 
-/* Some parts of a store may be silent while others answer. */
+/* One table can be silent while the others are served. */
 static bool
-is_silent (const SiRowStore *rows, struct evhttp_request *request)
+is_table_silent (const SiRowStore *store, struct evhttp_request *request)
 {
-  char *table = query_of (request, "table");
-  bool silent = rows->silent_table && strcmp (table, rows->silent_table) == 0;
+  char *table = get_query (request, "table");
+  bool silent = store->silent_table && strcmp (table, store->silent_table) == 0;
 
   free (table);
   return silent;
 }
 
 static void
-list (SiRowStore *rows, struct evhttp_request *request)
-{
-  char *table = query_of (request, "table");
-  char *part = query_of (request, "part");
-  char *from = query_of (request, "from");
-  char *to = query_of (request, "to");
-  char *limit_text = query_of (request, "limit");
-  size_t limit = limit_text[0] ? (size_t)atoi (limit_text) : MAX_ROWS_AT_ONCE;
+handle_list (SiRowStore *store, struct evhttp_request *request)
+{
+  char *table = get_query (request, "table");
+  char *part = get_query (request, "part");
+  char *from = get_query (request, "from");
+  char *to = get_query (request, "to");
+  char *limit_text = get_query (request, "limit");
+  size_t limit = limit_text[0] ? (size_t)atoi (limit_text) : MAX_ROWS_PER_PAGE;
   struct json_object *array = json_object_new_array ();
-  struct json_object *answer = new_answer (rows);
-  bool is_away = rows->unavailable_table && strcmp (table, rows->unavailable_table) == 0;
-  bool more = false;
+  struct json_object *reply = new_reply (store);
+  bool is_unavailable = store->unavailable_table && strcmp (table, store->unavailable_table) == 0;
+  bool has_more = false;
 
-  LB_LIST_FOREACH (&rows->rows, Row, link, row)
+  LB_LIST_FOREACH (&store->rows, Row, link, row)
   {
     if (!row->value || strcmp (row->table, table) != 0 || strcmp (row->part, part) != 0
         || strcmp (row->key, from) < 0 || (to[0] && strcmp (row->key, to) >= 0))
@@ -299,11 +302,11 @@
     if (json_object_array_length (array) < limit)
       json_object_array_add (array, row_to_json (row));
     else
-      more = true;
+      has_more = true;
   }
-  json_object_object_add (answer, "rows", array);
-  json_object_object_add (answer, "morePages", json_object_new_boolean (more));
-  si_reply_json (request, is_away ? 503 : 200, answer);
+  json_object_object_add (reply, "rows", array);
+  json_object_object_add (reply, "morePages", json_object_new_boolean (has_more));
+  si_reply_json (request, is_unavailable ? 503 : 200, reply);
   free (limit_text);
   free (to);
   free (from);
@@ -312,29 +315,29 @@
 }
 
 static int
-by_version (const void *a, const void *b)
+compare_versions (const void *a, const void *b)
 {
   struct json_object *const *first = a;
   struct json_object *const *second = b;
-  struct json_object *one = NULL;
-  struct json_object *two = NULL;
+  struct json_object *first_version = NULL;
+  struct json_object *second_version = NULL;
 
-  json_object_object_get_ex (*first, "ver", &one);
-  json_object_object_get_ex (*second, "ver", &two);
-  return json_object_get_int64 (one) < json_object_get_int64 (two) ? -1 : 1;
+  json_object_object_get_ex (*first, "ver", &first_version);
+  json_object_object_get_ex (*second, "ver", &second_version);
+  return json_object_get_int64 (first_version) < json_object_get_int64 (second_version) ? -1 : 1;
 }
 
 static struct json_object *
-changes (const SiRowStore *rows, const char *table, int64_t after)
+new_changes_array (const SiRowStore *store, const char *table, int64_t after)
 {
   struct json_object *array = json_object_new_array ();
 
-  LB_LIST_FOREACH (&rows->rows, Row, link, row)
+  LB_LIST_FOREACH (&store->rows, Row, link, row)
   {
     if (row->version > after && strcmp (row->table, table) == 0)
       json_object_array_add (array, row_to_json (row));
   }
-  json_object_array_sort (array, by_version);
+  json_object_array_sort (array, compare_versions);
   return array;
 }
 
@@ -345,64 +348,64 @@
   Watch *watch = user;
 
   si_request_release (watch->request);
-  lb_list_remove (&watch->rows->watches, &watch->link);
+  lb_list_remove (&watch->store->watches, &watch->link);
   free (watch->table);
   free (watch);
 }
 
 static void
-end_watch (Watch *watch, struct json_object *array)
+answer_watch (Watch *watch, struct json_object *array)
 {
-  struct json_object *answer = new_answer (watch->rows);
+  struct json_object *reply = new_reply (watch->store);
 
   evhttp_connection_set_closecb (evhttp_request_get_connection (watch->request), NULL, NULL);
-  json_object_object_add (answer, "rows", array);
-  si_reply_json (watch->request, 200, answer);
-  lb_list_remove (&watch->rows->watches, &watch->link);
+  json_object_object_add (reply, "rows", array);
+  si_reply_json (watch->request, 200, reply);
+  lb_list_remove (&watch->store->watches, &watch->link);
   free (watch->table);
   free (watch);
 }
 
 static void
-on_wake (evutil_socket_t fd, short what, void *user)
+on_watch_check (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
-  SiRowStore *rows = user;
+  SiRowStore *store = user;
 
-  if (rows->mode != SI_ROW_STORE_NORMAL && rows->mode != SI_ROW_STORE_LOSES_REPLY)
+  if (store->mode != SI_ROW_STORE_NORMAL && store->mode != SI_ROW_STORE_LOSES_REPLY)
     return;
-  LB_LIST_FOREACH (&rows->watches, Watch, link, watch)
+  LB_LIST_FOREACH (&store->watches, Watch, link, watch)
   {
-    struct json_object *array = changes (rows, watch->table, watch->after);
-    bool has_news = json_object_array_length (array) > 0 && !watch->is_late;
-    if (has_news || lb_clock_monotonic () >= watch->until)
-      end_watch (watch, array);
+    struct json_object *array = new_changes_array (store, watch->table, watch->after);
+    bool has_changes = json_object_array_length (array) > 0 && !watch->is_delayed;
+    if (has_changes || lb_clock_monotonic () >= watch->deadline)
+      answer_watch (watch, array);
     else
       json_object_put (array);
   }
 }
 
 static void
-start_watch (SiRowStore *rows, struct evhttp_request *request, bool is_late)
+handle_watch (SiRowStore *store, struct evhttp_request *request, bool is_delayed)
 {
-  char *after = query_of (request, "after");
-  char *wait = query_of (request, "waitMs");
+  char *after = get_query (request, "after");
+  char *wait = get_query (request, "waitMs");
   Watch *watch = LB_NEW (Watch);
 
-  watch->rows = rows;
+  watch->store = store;
   watch->request = request;
-  watch->is_late = is_late;
-  watch->table = query_of (request, "table");
+  watch->is_delayed = is_delayed;
+  watch->table = get_query (request, "table");
   watch->after = atoll (after);
-  watch->until = lb_clock_monotonic () + atoll (wait) * LB_MSEC;
-  lb_list_append (&rows->watches, &watch->link);
+  watch->deadline = lb_clock_monotonic () + atoll (wait) * LB_MSEC;
+  lb_list_append (&store->watches, &watch->link);
   evhttp_connection_set_closecb (evhttp_request_get_connection (request), on_watch_closed, watch);
-  if (watch->after < rows->oldest_watchable_version)
+  if (watch->after < store->oldest_watchable_version)
     {
       evhttp_connection_set_closecb (evhttp_request_get_connection (request), NULL, NULL);
       on_watch_closed (NULL, watch);
-      si_reply_json (request, 410, new_answer (rows));
+      si_reply_json (request, 410, new_reply (store));
     }
   free (wait);
   free (after);
@@ -411,18 +414,18 @@
 /* --- objects --- */
 
 static void
-object_free (SiRowStore *rows, Object *object)
+object_free (SiRowStore *store, Object *object)
 {
-  lb_list_remove (&rows->objects, &object->link);
+  lb_list_remove (&store->objects, &object->link);
   free (object->name);
   free (object->bytes);
   free (object);
 }
 
 static Object *
-find_object (const SiRowStore *rows, const char *name)
+find_object (const SiRowStore *store, const char *name)
 {
-  LB_LIST_FOREACH (&rows->objects, Object, link, object)
+  LB_LIST_FOREACH (&store->objects, Object, link, object)
   {
     if (strcmp (object->name, name) == 0)
       return object;
@@ -431,27 +434,27 @@
 }
 
 static void
-put_object (SiRowStore *rows, struct evhttp_request *request, const char *name)
+put_object (SiRowStore *store, struct evhttp_request *request, const char *name)
 {
   struct evbuffer *input = evhttp_request_get_input_buffer (request);
-  Object *object = find_object (rows, name);
+  Object *object = find_object (store, name);
 
   if (!object)
     {
       object = LB_NEW (Object);
       object->name = lb_strdup (name);
-      lb_list_append (&rows->objects, &object->link);
+      lb_list_append (&store->objects, &object->link);
     }
   free (object->bytes);
   object->bytes = si_request_text (request);
   object->length = evbuffer_get_length (input);
-  si_reply_json (request, 200, new_answer (rows));
+  si_reply_json (request, 200, new_reply (store));
 }
 
 static void
-get_object (SiRowStore *rows, struct evhttp_request *request, const char *name)
+get_object (SiRowStore *store, struct evhttp_request *request, const char *name)
 {
-  const Object *object = find_object (rows, name);
+  const Object *object = find_object (store, name);
 
   if (!object)
     {
@@ -463,55 +466,55 @@
 }
 
 static void
-remove_object (SiRowStore *rows, struct evhttp_request *request, const char *name)
+remove_object (SiRowStore *store, struct evhttp_request *request, const char *name)
 {
-  Object *object = find_object (rows, name);
+  Object *object = find_object (store, name);
 
   if (!object)
     {
       si_reply_error (request, 404, "not_found");
       return;
     }
-  object_free (rows, object);
-  si_reply_json (request, 200, new_answer (rows));
+  object_free (store, object);
+  si_reply_json (request, 200, new_reply (store));
 }
 
-/* --- the server --- */
+/* --- server --- */
 
 static bool
-path_begins (const char *path, const char *start, const char **rest)
+strip_path_prefix (const char *path, const char *prefix, const char **rest)
 {
-  size_t length = strlen (start);
+  size_t length = strlen (prefix);
 
   *rest = path + length;
-  return strncmp (path, start, length) == 0;
+  return strncmp (path, prefix, length) == 0;
 }
 
 static void
-answer (SiRowStore *rows, struct evhttp_request *request, bool is_late)
+route_request (SiRowStore *store, struct evhttp_request *request, bool is_delayed)
 {
   const char *path = si_request_path (request);
   const char *name = NULL;
 
-  if (rows->mode == SI_ROW_STORE_SILENT || is_silent (rows, request))
+  if (store->mode == SI_ROW_STORE_SILENT || is_table_silent (store, request))
     return;
-  if (rows->mode == SI_ROW_STORE_UNAVAILABLE)
+  if (store->mode == SI_ROW_STORE_UNAVAILABLE)
     {
       si_reply_error (request, 503, "away");
       return;
     }
   if (strcmp (path, "/-/rows-tx") == 0)
-    transact (rows, request);
+    handle_transaction (store, request);
   else if (strcmp (path, "/-/rows-get") == 0)
-    list (rows, request);
+    handle_list (store, request);
   else if (strcmp (path, "/-/rows-feed") == 0)
-    start_watch (rows, request, is_late);
-  else if (path_begins (path, "/-/blob-put/", &name))
-    put_object (rows, request, name);
-  else if (path_begins (path, "/-/blob-get/", &name))
-    get_object (rows, request, name);
-  else if (path_begins (path, "/-/blob-drop/", &name))
-    remove_object (rows, request, name);
+    handle_watch (store, request, is_delayed);
+  else if (strip_path_prefix (path, "/-/blob-put/", &name))
+    put_object (store, request, name);
+  else if (strip_path_prefix (path, "/-/blob-get/", &name))
+    get_object (store, request, name);
+  else if (strip_path_prefix (path, "/-/blob-drop/", &name))
+    remove_object (store, request, name);
   else
     si_reply_error (request, 404, "unknown_path");
 }
@@ -519,74 +522,74 @@
 static void
 on_request (struct evhttp_request *request, void *user)
 {
-  SiRowStore *rows = user;
+  SiRowStore *store = user;
 
-  answer (rows, request, rows->delayed_server == &rows->server);
+  route_request (store, request, store->delayed_server == &store->server);
 }
 
 static void
-on_far_request (struct evhttp_request *request, void *user)
+on_second_server_request (struct evhttp_request *request, void *user)
 {
-  SiRowStore *rows = user;
+  SiRowStore *store = user;
 
-  answer (rows, request, rows->delayed_server == &rows->second_server);
+  route_request (store, request, store->delayed_server == &store->second_server);
 }
 
 static void
-begin (SiRowStore *rows)
+init_state (SiRowStore *store)
 {
-  const struct timeval period = { .tv_usec = WAKE_PERIOD };
+  const struct timeval period = { .tv_usec = WATCH_CHECK_PERIOD };
 
-  lb_list_init (&rows->rows);
-  lb_list_init (&rows->objects);
-  lb_list_init (&rows->watches);
-  rows->version = 1;
-  rows->watch_timer = event_new (rows->server.base, -1, EV_PERSIST, on_wake, rows);
-  event_add (rows->watch_timer, &period);
+  lb_list_init (&store->rows);
+  lb_list_init (&store->objects);
+  lb_list_init (&store->watches);
+  store->version = 1;
+  store->watch_timer = event_new (store->server.base, -1, EV_PERSIST, on_watch_check, store);
+  event_add (store->watch_timer, &period);
 }
 
 bool
-si_row_store_init (SiRowStore *rows, struct event_base *base, int port)
+si_row_store_init (SiRowStore *store, struct event_base *base, int port)
 {
-  memset (rows, 0, sizeof *rows);
-  if (!si_server_init (&rows->server, base, port, on_request, rows)
-      || !si_server_init (&rows->second_server, base, 0, on_far_request, rows))
+  memset (store, 0, sizeof *store);
+  if (!si_server_init (&store->server, base, port, on_request, store)
+      || !si_server_init (&store->second_server, base, 0, on_second_server_request, store))
     return false;
-  begin (rows);
+  init_state (store);
   return true;
 }
 
 void
-si_row_store_clear (SiRowStore *rows)
+si_row_store_clear (SiRowStore *store)
 {
-  event_free (rows->watch_timer);
-  LB_LIST_FOREACH (&rows->watches, Watch, link, watch)
+  event_free (store->watch_timer);
+  LB_LIST_FOREACH (&store->watches, Watch, link, watch)
   {
     evhttp_connection_set_closecb (evhttp_request_get_connection (watch->request), NULL, NULL);
     on_watch_closed (NULL, watch);
   }
-  LB_LIST_FOREACH (&rows->rows, Row, link, row)
+  LB_LIST_FOREACH (&store->rows, Row, link, row)
   {
-    row_free (rows, row);
+    row_free (store, row);
   }
-  LB_LIST_FOREACH (&rows->objects, Object, link, object)
+  LB_LIST_FOREACH (&store->objects, Object, link, object)
   {
-    object_free (rows, object);
+    object_free (store, object);
   }
-  if (rows->second_server.http)
-    si_server_clear (&rows->second_server);
-  si_server_clear (&rows->server);
+  if (store->second_server.http)
+    si_server_clear (&store->second_server);
+  si_server_clear (&store->server);
 }
 
 void
 si_row_store_put (
-    SiRowStore *rows, const char *table, const char *part, const char *key, const char *value)
+    SiRowStore *store, const char *table, const char *part, const char *key, const char *value)
 {
-  Row *row = ensure (rows, table, part, key);
+  Row *row = find_or_create_row (store, table, part, key);
 
   free (row->value);
   row->value = NULL;
-  row->version = ++rows->version;
+  row->version = ++store->version;
   if (!value)
     return;
   row->value = lb_malloc ((strlen (value) + 2) / 3 * 4 + 1);
@@ -594,25 +597,25 @@
 }
 
 const char *
-si_row_store_get (const SiRowStore *rows, const char *table, const char *part, const char *key)
+si_row_store_get (const SiRowStore *store, const char *table, const char *part, const char *key)
 {
-  const Row *row = find (rows, table, part, key);
+  const Row *row = find_row (store, table, part, key);
 
   return row ? row->value : NULL;
 }
 
 size_t
-si_row_store_count_objects (const SiRowStore *rows)
+si_row_store_count_objects (const SiRowStore *store)
 {
-  return rows->objects.length;
+  return store->objects.length;
 }
 
 size_t
-si_row_store_count (const SiRowStore *rows, const char *table)
+si_row_store_count (const SiRowStore *store, const char *table)
 {
   size_t count = 0;
 
-  LB_LIST_FOREACH (&rows->rows, Row, link, row)
+  LB_LIST_FOREACH (&store->rows, Row, link, row)
   {
     count += row->value && strcmp (row->table, table) == 0;
   }
--- a/standins/si-row-store.h
+++ b/standins/si-row-store.h
@@ -4,48 +4,48 @@
 #include "lb-list.h"
 #include "si-server.h"
 
-/* The store of a shared platform as platform/ speaks to it: rows in tables and parts, conditional
- * transactions, lists, watches, objects. In memory, and with faults to order. */
+/* In-memory stand-in for the shared platform's store, as used by platform/: rows in tables and
+ * parts, conditional transactions, lists, watches, objects. Faults can be injected. */
 
 typedef enum
 {
   SI_ROW_STORE_NORMAL,
-  SI_ROW_STORE_UNAVAILABLE, /* refuses every call */
-  SI_ROW_STORE_SILENT,      /* answers nothing and does nothing */
-  SI_ROW_STORE_LOSES_REPLY  /* carries writes out and closes the connection instead of an answer */
+  SI_ROW_STORE_UNAVAILABLE, /* answers every call with 503 */
+  SI_ROW_STORE_SILENT,      /* ignores every call */
+  SI_ROW_STORE_LOSES_REPLY  /* applies writes, then closes the connection */
 } SiRowStoreMode;
 
 typedef struct
 {
   SiServer server;
-  SiServer second_server; /* another way to the same rows */
-  const SiServer
-      *delayed_server; /* its watches hear of changes only at the end of their time; NULL: none */
-  LbList rows;         /* by table, part and key */
+  SiServer second_server; /* serves the same rows */
+  /* Watches on this server report changes only at the end of their wait; NULL: none. */
+  const SiServer *delayed_server;
+  LbList rows; /* sorted by table, part and key */
   LbList objects;
   LbList watches;
   struct event *watch_timer;
-  const char *unavailable_table; /* lists of it are refused; NULL: none */
-  const char *silent_table;      /* lists of it are not answered; NULL: none */
+  const char *unavailable_table; /* lists of it are answered with 503; NULL: none */
+  const char *silent_table;      /* requests for it are not answered; NULL: none */
   int64_t version;
-  int64_t oldest_watchable_version; /* older versions can't be watched from */
+  int64_t oldest_watchable_version; /* watches from before it get 410 */
   SiRowStoreMode mode;
-  int lost_replies; /* of writes of batches' rows: so many more are lost, whatever the mode */
-  bool unavailable_after_lost_replies; /* refuses every call after the last of those */
-  int64_t writes;                      /* that were carried out */
+  int lost_replies; /* number of next writes to table "head" whose replies are lost, in any mode */
+  bool unavailable_after_lost_replies; /* becomes unavailable after the last lost reply */
+  int64_t writes;                      /* committed transactions */
 } SiRowStore;
 
-bool si_row_store_init (SiRowStore *rows, struct event_base *base, int port);
-void si_row_store_clear (SiRowStore *rows);
+bool si_row_store_init (SiRowStore *store, struct event_base *base, int port);
+void si_row_store_clear (SiRowStore *store);
 
-/* As an operator or an endpoint writes; value NULL: removes. */
+/* Writes outside a transaction, as an operator or an endpoint does; value NULL removes the row. */
 void si_row_store_put (
-    SiRowStore *rows, const char *table, const char *part, const char *key, const char *value);
-/* NULL when there is none; valid until the next change. */
+    SiRowStore *store, const char *table, const char *part, const char *key, const char *value);
+/* Base64-encoded value; NULL when there is no such row. Valid until the next change. */
 const char *
-si_row_store_get (const SiRowStore *rows, const char *table, const char *part, const char *key);
-size_t si_row_store_count_objects (const SiRowStore *rows);
-/* Rows of the table, in all parts. */
-size_t si_row_store_count (const SiRowStore *rows, const char *table);
+si_row_store_get (const SiRowStore *store, const char *table, const char *part, const char *key);
+size_t si_row_store_count_objects (const SiRowStore *store);
+/* Existing rows of the table, in all parts. */
+size_t si_row_store_count (const SiRowStore *store, const char *table);
 
 #endif
--- a/standins/si-run-log.h
+++ b/standins/si-run-log.h
@@ -5,22 +5,22 @@
 
 struct json_object;
 
-/* How often each key was run, so that a test can prove "at most once" and "not run". */
 typedef struct SiRunCount SiRunCount;
 
+/* Counts the runs of each key, so that a test can prove "at most once" and "not run". */
 typedef struct
 {
-  SiRunCount *counts;
+  SiRunCount *counts; /* by key */
   int64_t started;
   int64_t finished;
   int64_t cancelled;
   int64_t refused;
   int64_t resumed;
-  int64_t resume_mismatches; /* a resume whose text is not what the engine would have said */
+  int64_t resume_mismatches; /* resumes with a text that the engine would not generate */
 } SiRunLog;
 
 void si_run_log_clear (SiRunLog *log);
-/* Counts one more run of the key; answers how many there have been. */
+/* Counts a started run of the key; returns the number of its runs so far. */
 int64_t si_run_log_count_start (SiRunLog *log, const char *key);
 struct json_object *si_run_log_to_json (const SiRunLog *log);
 
--- a/standins/si-server.c
+++ b/standins/si-server.c
@@ -19,14 +19,14 @@
    | EVHTTP_REQ_OPTIONS | EVHTTP_REQ_PATCH)
 
 static void
-on_signal (evutil_socket_t fd, short what, void *user)
+on_terminate_signal (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
   event_base_loopbreak (user);
 }
 
-/* Timers to the microsecond: token times are well under a millisecond. */
+/* Token times are well under a millisecond, which the default timers would round up. */
 struct event_base *
 si_precise_base_new (void)
 {
@@ -40,7 +40,7 @@
 }
 
 static void
-read_address (SiServer *server, struct evhttp_bound_socket *socket)
+store_bound_address (SiServer *server, struct evhttp_bound_socket *socket)
 {
   struct sockaddr_in bound = { 0 };
   socklen_t length = sizeof bound;
@@ -49,16 +49,16 @@
   snprintf (server->address, sizeof server->address, "127.0.0.1:%d", ntohs (bound.sin_port));
 }
 
-/* Without it the second small piece of a stream waits for the other side's delayed acknowledgement,
- * some 40 ms. */
+/* With Nagle's algorithm the second small chunk of a stream waits some 40 ms for the peer's delayed
+ * acknowledgement. */
 static void
-send_at_once (struct evhttp_request *request)
+disable_nagle (struct evhttp_request *request)
 {
   struct evhttp_connection *connection = evhttp_request_get_connection (request);
   int fd = bufferevent_getfd (evhttp_connection_get_bufferevent (connection));
-  const int on = 1;
+  const int enabled = 1;
 
-  setsockopt (fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+  setsockopt (fd, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
 }
 
 static void
@@ -66,12 +66,12 @@
 {
   SiServer *server = user;
 
-  send_at_once (request);
+  disable_nagle (request);
   server->handler (request, server->user);
 }
 
 static bool
-bind_to (SiServer *server, int port)
+bind_port (SiServer *server, int port)
 {
   server->http = evhttp_new (server->base);
   evhttp_set_allowed_methods (server->http, ALL_METHODS);
@@ -83,7 +83,7 @@
       fprintf (stderr, "can't bind 127.0.0.1:%d\n", port);
       return false;
     }
-  read_address (server, socket);
+  store_bound_address (server, socket);
   return true;
 }
 
@@ -94,7 +94,7 @@
   server->base = base;
   server->handler = handler;
   server->user = user;
-  return bind_to (server, port);
+  return bind_port (server, port);
 }
 
 void
@@ -107,7 +107,7 @@
 bool
 si_server_restart (SiServer *server)
 {
-  return bind_to (server, atoi (strchr (server->address, ':') + 1));
+  return bind_port (server, atoi (strchr (server->address, ':') + 1));
 }
 
 bool
@@ -118,10 +118,10 @@
   signal (SIGPIPE, SIG_IGN);
   if (!si_server_init (server, base, port, handler, user))
     return false;
-  server->terminate = evsignal_new (base, SIGTERM, on_signal, base);
-  server->interrupt = evsignal_new (base, SIGINT, on_signal, base);
-  event_add (server->terminate, NULL);
-  event_add (server->interrupt, NULL);
+  server->sigterm_event = evsignal_new (base, SIGTERM, on_terminate_signal, base);
+  server->sigint_event = evsignal_new (base, SIGINT, on_terminate_signal, base);
+  event_add (server->sigterm_event, NULL);
+  event_add (server->sigint_event, NULL);
   return true;
 }
 
@@ -130,14 +130,13 @@
 {
   if (server->http)
     evhttp_free (server->http);
-  if (!server->terminate)
+  if (!server->sigterm_event)
     return;
-  event_free (server->terminate);
-  event_free (server->interrupt);
+  event_free (server->sigterm_event);
+  event_free (server->sigint_event);
   event_base_free (server->base);
 }
 
-/* One JSON line on standard output tells the parent process where to connect. */
 void
 si_server_announce (const SiServer *server, const char *name)
 {
@@ -166,7 +165,6 @@
   return evhttp_find_header (evhttp_request_get_input_headers (request), name);
 }
 
-/* NULL when absent; the caller frees it. */
 char *
 si_request_query (struct evhttp_request *request, const char *key)
 {
@@ -183,7 +181,6 @@
   return found;
 }
 
-/* The body ended by NUL; the caller frees it. */
 char *
 si_request_text (struct evhttp_request *request)
 {
@@ -196,7 +193,6 @@
   return text;
 }
 
-/* NULL when the body is not a JSON object. */
 struct json_object *
 si_request_json (struct evhttp_request *request)
 {
@@ -212,7 +208,6 @@
   return object;
 }
 
-/* Takes the object over. */
 void
 si_reply_json (struct evhttp_request *request, int status, struct json_object *object)
 {
@@ -237,9 +232,7 @@
   si_reply_json (request, status, object);
 }
 
-/* evhttp leaves a request that nobody has answered to the one that meant to, when its connection is
- * gone.
- */
+/* When the connection of an unanswered request closes, evhttp leaves the request to its handler. */
 void
 si_request_release (struct evhttp_request *request)
 {
--- a/standins/si-table.c
+++ b/standins/si-table.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 
 static struct json_object *
-array_of (struct json_object *object, const char *key, size_t *length)
+get_array (struct json_object *object, const char *key, size_t *length)
 {
   struct json_object *array = NULL;
 
@@ -17,9 +17,9 @@
 }
 
 static LpCondition *
-read_conditions (struct json_object *asked, size_t *n)
+parse_conditions (struct json_object *request, size_t *n)
 {
-  struct json_object *array = array_of (asked, "conditions", n);
+  struct json_object *array = get_array (request, "conditions", n);
   LpCondition *conditions = LB_NEW_ARRAY (LpCondition, *n);
 
   for (size_t i = 0; i < *n; i++)
@@ -32,11 +32,11 @@
 }
 
 static LpPut *
-read_puts (struct json_object *asked, size_t *n)
+parse_puts (struct json_object *request, size_t *n)
 {
   size_t n_puts, n_deletes;
-  struct json_object *array = array_of (asked, "puts", &n_puts);
-  struct json_object *deletes = array_of (asked, "deletes", &n_deletes);
+  struct json_object *array = get_array (request, "puts", &n_puts);
+  struct json_object *deletes = get_array (request, "deletes", &n_deletes);
   LpPut *puts = LB_NEW_ARRAY (LpPut, n_puts + n_deletes);
 
   for (size_t i = 0; i < n_puts; i++)
@@ -52,7 +52,7 @@
 }
 
 static struct json_object *
-new_versions (const LpTransaction *transaction, int64_t version)
+new_success_reply (const LpTransaction *transaction, int64_t version)
 {
   struct json_object *reply = json_object_new_object ();
   struct json_object *versions = json_object_new_object ();
@@ -65,7 +65,7 @@
 }
 
 static struct json_object *
-new_failure (const LpRow *row)
+new_conflict_reply (const LpRow *row)
 {
   struct json_object *reply = json_object_new_object ();
 
@@ -75,9 +75,9 @@
 }
 
 int
-si_table_transact (LpStore *store, struct json_object *asked, struct json_object **reply)
+si_table_transact (LpStore *store, struct json_object *request, struct json_object **reply)
 {
-  LpTransaction transaction = { .token = si_json_text (asked, "token", NULL) };
+  LpTransaction transaction = { .token = si_json_text (request, "token", NULL) };
   LpRow row;
 
   if (!transaction.token)
@@ -85,19 +85,19 @@
       *reply = json_object_new_object ();
       return 400;
     }
-  LpCondition *conditions = read_conditions (asked, &transaction.n_conditions);
-  LpPut *puts = read_puts (asked, &transaction.n_puts);
+  LpCondition *conditions = parse_conditions (request, &transaction.n_conditions);
+  LpPut *puts = parse_puts (request, &transaction.n_puts);
   transaction.conditions = conditions;
   transaction.puts = puts;
-  bool ok = lp_store_transact (store, &transaction, &row) == LB_OK;
-  *reply = ok ? new_versions (&transaction, row.version) : new_failure (&row);
+  bool is_committed = lp_store_transact (store, &transaction, &row) == LB_OK;
+  *reply = is_committed ? new_success_reply (&transaction, row.version) : new_conflict_reply (&row);
   free (conditions);
   free (puts);
-  return ok ? 200 : 409;
+  return is_committed ? 200 : 409;
 }
 
 static struct json_object *
-new_row (const LpRow *row)
+row_to_json (const LpRow *row)
 {
   struct json_object *object = json_object_new_object ();
 
@@ -112,7 +112,7 @@
 {
   const LpRow *row = lp_store_get (store, key);
 
-  *reply = row ? new_row (row) : json_object_new_object ();
+  *reply = row ? row_to_json (row) : json_object_new_object ();
   return row ? 200 : 404;
 }
 
@@ -125,7 +125,7 @@
 
   for (; row && limit > 0; limit--)
     {
-      json_object_array_add (rows, new_row (row));
+      json_object_array_add (rows, row_to_json (row));
       row = lp_store_next (store, prefix, row->key);
     }
   json_object_object_add (reply, "rows", rows);
--- a/standins/si-table.h
+++ b/standins/si-table.h
@@ -4,8 +4,9 @@
 #include "lp-store.h"
 #include "si-json.h"
 
-/* The JSON of the platform's table around an LpStore. Each answers the HTTP status and the body. */
-int si_table_transact (LpStore *store, struct json_object *asked, struct json_object **reply);
+/* JSON requests of the platform's table, applied to an LpStore. The int is the HTTP status; the
+ * caller owns the reply. */
+int si_table_transact (LpStore *store, struct json_object *request, struct json_object **reply);
 int si_table_row (const LpStore *store, const char *key, struct json_object **reply);
 struct json_object *
 si_table_scan (const LpStore *store, const char *prefix, const char *after, int64_t limit);
--- a/standins/si-tally.c
+++ b/standins/si-tally.c
@@ -7,7 +7,7 @@
 #include <string.h>
 #include <uthash.h>
 
-#define MAX_KEYS 10000
+#define MAX_NOT_RUN_KEYS 10000
 
 typedef struct SiErrorCount
 {
@@ -54,7 +54,7 @@
 }
 
 static void
-add_times (SiTally *tally, const SiCheckedCallResult *result)
+add_durations (SiTally *tally, const SiCheckedCallResult *result)
 {
   if ((tally->n_durations & (tally->n_durations - 1)) == 0)
     {
@@ -74,11 +74,11 @@
   tally->n_calls++;
   tally->outcomes[result->outcome]++;
   if (result->outcome == SI_CALL_COMPLETE)
-    add_times (tally, result);
+    add_durations (tally, result);
   else
     count_error (tally, result->error[0] != '\0' ? result->error : "none");
   if (result->outcome == SI_CALL_NOT_RUN
-      && json_object_array_length (tally->not_run_keys) < MAX_KEYS)
+      && json_object_array_length (tally->not_run_keys) < MAX_NOT_RUN_KEYS)
     json_object_array_add (tally->not_run_keys, json_object_new_string (key));
 }
 
@@ -103,21 +103,20 @@
   static const struct
   {
     const char *name;
-    double share;
-  } wanted[] = { { "p50", 0.5 }, { "p90", 0.9 }, { "p99", 0.99 }, { "max", 1 } };
+    double fraction;
+  } percentiles[] = { { "p50", 0.5 }, { "p90", 0.9 }, { "p99", 0.99 }, { "max", 1 } };
   struct json_object *values = json_object_new_object ();
 
   qsort (times, n, sizeof (LbTime), compare_times);
-  for (size_t i = 0; n > 0 && i < sizeof wanted / sizeof wanted[0]; i++)
+  for (size_t i = 0; n > 0 && i < sizeof percentiles / sizeof percentiles[0]; i++)
     {
-      size_t at = (size_t)((double)(n - 1) * wanted[i].share);
-      json_object_object_add (values, wanted[i].name,
-                              json_object_new_double ((double)times[at] / (double)LB_MSEC));
+      size_t index = (size_t)((double)(n - 1) * percentiles[i].fraction);
+      json_object_object_add (values, percentiles[i].name,
+                              json_object_new_double ((double)times[index] / (double)LB_MSEC));
     }
   json_object_object_add (object, key, values);
 }
 
-/* Sorts the kept times. */
 struct json_object *
 si_tally_to_json (SiTally *tally)
 {
--- a/standins/si-text.c
+++ b/standins/si-text.c
@@ -10,14 +10,13 @@
 
 #define DEFAULT_MAX_TOKENS 16
 
-/* With vary the answer ends by itself after 1 to max_tokens tokens, so that some are stragglers. */
 void
-si_text_init (SiText *text, const char *prompt, int64_t seed, int64_t max_tokens, bool vary)
+si_text_init (SiText *text, const char *prompt, int64_t seed, int64_t max_tokens, bool vary_length)
 {
-  text->key = XXH64 (prompt, strlen (prompt), (uint64_t)seed);
-  text->tokens = max_tokens;
-  if (vary && max_tokens > 0)
-    text->tokens = 1 + (int64_t)((text->key >> 8) % (uint64_t)max_tokens);
+  text->hash = XXH64 (prompt, strlen (prompt), (uint64_t)seed);
+  text->n_tokens = max_tokens;
+  if (vary_length && max_tokens > 0)
+    text->n_tokens = 1 + (int64_t)((text->hash >> 8) % (uint64_t)max_tokens);
 }
 
 char *
@@ -42,24 +41,23 @@
 }
 
 void
-si_text_init_from_body (SiText *text, struct json_object *body, bool vary)
+si_text_init_from_body (SiText *text, struct json_object *body, bool vary_length)
 {
   char *prompt = si_text_prompt (body);
 
   si_text_init (text, prompt, si_json_int (body, "seed", 0),
-                si_json_int (body, "max_tokens", DEFAULT_MAX_TOKENS), vary);
+                si_json_int (body, "max_tokens", DEFAULT_MAX_TOKENS), vary_length);
   free (prompt);
 }
 
 void
 si_text_token (const SiText *text, int64_t index, char token[SI_TOKEN_SIZE])
 {
-  uint64_t hash = XXH64 (&index, sizeof index, text->key);
+  uint64_t hash = XXH64 (&index, sizeof index, text->hash);
 
   snprintf (token, SI_TOKEN_SIZE, " w%06x", (unsigned)(hash & 0xffffff));
 }
 
-/* Tokens first .. first + count - 1 joined; the caller frees it. */
 char *
 si_text_slice (const SiText *text, int64_t first, int64_t count)
 {
--- a/standins/standin-load.c
+++ b/standins/standin-load.c
@@ -17,18 +17,18 @@
 
 typedef struct
 {
-  SiCheckedCallSpec spec; /* what all calls share */
+  SiCheckedCallSpec spec; /* of all calls; address, prompt and caller differ */
   const char *addresses[MAX_ADDRESSES];
   size_t n_addresses;
   const char *name;
   int64_t count;
   int64_t concurrency;
-  double rate;     /* calls a second; 0: as fast as the concurrency lets */
-  int64_t callers; /* names in turn */
-  int64_t retries;
-  LbTime limit;        /* no call is started after it */
-  bool keys;           /* each call with an idempotency key of its own */
-  LbTime entry_period; /* how long entry addresses are kept; 0: never asked for */
+  double calls_per_second; /* 0: limited by the concurrency only */
+  int64_t n_callers;       /* caller names, used in turn */
+  int64_t max_retries;
+  LbTime start_limit;  /* no call starts after this time */
+  bool sends_keys;     /* each call has its own idempotency key */
+  LbTime entry_period; /* between refreshes of the entry addresses; 0: none */
 } Settings;
 
 typedef struct
@@ -37,145 +37,147 @@
   struct event_base *base;
   LhPool *pool;
   SiEntry entry;
-  struct event *starter;
+  struct event *start_timer;
   SiTally tally;
   int64_t started;
   int64_t running;
-  LbTime begin;
+  LbTime start_time;
 } Load;
 
-/* One call, over the addresses at which it was tried. */
+/* One call with its retries at further addresses. */
 typedef struct
 {
   Load *load;
   char *prompt;
   LbName name;
-  size_t address;
-  int64_t tries;
-} Caller;
+  size_t address; /* index */
+  int64_t attempts;
+} Call;
 
-static void start_due (Load *load);
+static void start_due_calls (Load *load);
 
 static void
-caller_end (Caller *caller, const SiCheckedCallResult *result)
+finish_call (Call *call, const SiCheckedCallResult *result)
 {
-  Load *load = caller->load;
+  Load *load = call->load;
 
-  si_tally_add (&load->tally, result, caller->prompt);
+  si_tally_add (&load->tally, result, call->prompt);
   load->running--;
-  free (caller->prompt);
-  free (caller);
-  start_due (load);
+  free (call->prompt);
+  free (call);
+  start_due_calls (load);
 }
 
-static void try_call (Caller *caller);
+static void send_call (Call *call);
 
 static void
 on_retry_due (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
-  try_call (user);
+  send_call (user);
 }
 
-/* Only a call that surely did not run is made again, at the next address, no sooner than told. */
+/* Retries only a call that is proven not to have run: at the next address, after retry_after. */
 static void
 on_result (const SiCheckedCallResult *result, void *user)
 {
-  Caller *caller = user;
-  Load *load = caller->load;
+  Call *call = user;
+  Load *load = call->load;
 
-  if (result->outcome != SI_CALL_NOT_RUN || caller->tries > load->settings.retries)
+  if (result->outcome != SI_CALL_NOT_RUN || call->attempts > load->settings.max_retries)
     {
-      caller_end (caller, result);
+      finish_call (call, result);
       return;
     }
   LbTime wait = result->retry_after > RETRY_PAUSE ? result->retry_after : RETRY_PAUSE;
   const struct timeval at = lb_time_to_timeval (wait);
   load->tally.retries++;
-  caller->address++;
-  event_base_once (load->base, -1, EV_TIMEOUT, on_retry_due, caller, &at);
+  call->address++;
+  event_base_once (load->base, -1, EV_TIMEOUT, on_retry_due, call, &at);
 }
 
 static void
-try_call (Caller *caller)
+send_call (Call *call)
 {
-  Load *load = caller->load;
+  Load *load = call->load;
   SiCheckedCallSpec spec = load->settings.spec;
 
-  spec.address = si_entry_address (&load->entry, caller->address);
-  spec.prompt = caller->prompt;
-  spec.caller = caller->name;
+  spec.address = si_entry_address (&load->entry, call->address);
+  spec.prompt = call->prompt;
+  spec.caller = call->name;
   if (spec.kind == SI_CHECKED_CALL_SERVICE)
-    spec.order = caller->prompt;
-  if (load->settings.keys)
-    spec.idempotency_key = caller->prompt;
-  caller->tries++;
-  si_checked_call_start (load->pool, &spec, on_result, caller);
+    spec.order = call->prompt;
+  if (load->settings.sends_keys)
+    spec.idempotency_key = call->prompt;
+  call->attempts++;
+  si_checked_call_start (load->pool, &spec, on_result, call);
 }
 
 static void
-start_one (Load *load)
+start_call (Load *load)
 {
-  Caller *caller = LB_NEW (Caller);
+  Call *call = LB_NEW (Call);
 
-  caller->load = load;
-  caller->prompt
+  call->load = load;
+  call->prompt
       = lb_asprintf ("%s asks for the %lldth time", load->settings.name, (long long)load->started);
-  snprintf (caller->name, sizeof caller->name, "%s-%lld", load->settings.name,
-            (long long)(load->started % load->settings.callers));
-  caller->address = (size_t)load->started;
+  snprintf (call->name, sizeof call->name, "%s-%lld", load->settings.name,
+            (long long)(load->started % load->settings.n_callers));
+  call->address = (size_t)load->started;
   load->started++;
   load->running++;
-  try_call (caller);
+  send_call (call);
 }
 
 static bool
-may_start (const Load *load, LbTime now)
+can_start_call (const Load *load, LbTime now)
 {
-  return load->started < load->settings.count && now - load->begin < load->settings.limit;
+  return load->started < load->settings.count
+         && now - load->start_time < load->settings.start_limit;
 }
 
-/* When the next call is due by the rate. */
+/* When the rate allows the next call. */
 static LbTime
-next_due (const Load *load)
+get_next_start_time (const Load *load)
 {
-  if (load->settings.rate <= 0)
-    return load->begin;
-  return load->begin + (LbTime)((double)load->started / load->settings.rate * (double)LB_SEC);
+  if (load->settings.calls_per_second <= 0)
+    return load->start_time;
+  return load->start_time
+         + (LbTime)((double)load->started / load->settings.calls_per_second * (double)LB_SEC);
 }
 
 static void
-start_due (Load *load)
+start_due_calls (Load *load)
 {
   LbTime now = lb_clock_monotonic ();
 
-  while (may_start (load, now) && load->running < load->settings.concurrency
-         && next_due (load) <= now)
-    start_one (load);
-  if (!may_start (load, now) && load->running == 0)
+  while (can_start_call (load, now) && load->running < load->settings.concurrency
+         && get_next_start_time (load) <= now)
+    start_call (load);
+  if (!can_start_call (load, now) && load->running == 0)
     {
       event_base_loopbreak (load->base);
       return;
     }
-  LbTime wait = next_due (load) > now ? next_due (load) - now : 10 * LB_MSEC;
+  LbTime wait = get_next_start_time (load) > now ? get_next_start_time (load) - now : 10 * LB_MSEC;
   const struct timeval at = lb_time_to_timeval (wait);
-  event_add (load->starter, &at);
+  event_add (load->start_timer, &at);
 }
 
 static void
-on_starter (evutil_socket_t fd, short what, void *user)
+on_start_timer (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
-  start_due (user);
+  start_due_calls (user);
 }
 
 static void
 print_summary (Load *load)
 {
   struct json_object *summary = si_tally_to_json (&load->tally);
-  double seconds = (double)(lb_clock_monotonic () - load->begin) / (double)LB_SEC;
+  double seconds = (double)(lb_clock_monotonic () - load->start_time) / (double)LB_SEC;
 
   json_object_object_add (summary, "seconds", json_object_new_double (seconds));
   json_object_object_add (summary, "rate",
@@ -185,7 +187,7 @@
 }
 
 static int
-run (const Settings *settings, bool expect_all)
+run_load (const Settings *settings, bool expect_all)
 {
   Load load = { .settings = *settings };
 
@@ -195,20 +197,20 @@
   si_entry_init (&load.entry, load.base, load.pool, settings->addresses, settings->n_addresses);
   if (settings->entry_period > 0)
     si_entry_start_refresh (&load.entry, settings->name, settings->entry_period);
-  load.starter = evtimer_new (load.base, on_starter, &load);
+  load.start_timer = evtimer_new (load.base, on_start_timer, &load);
   si_tally_init (&load.tally);
-  load.begin = lb_clock_monotonic ();
-  start_due (&load);
+  load.start_time = lb_clock_monotonic ();
+  start_due_calls (&load);
   event_base_dispatch (load.base);
   print_summary (&load);
-  bool all = load.tally.outcomes[SI_CALL_COMPLETE] == load.tally.n_calls;
-  bool right = si_tally_has_no_wrong_answers (&load.tally) && (all || !expect_all);
+  bool all_complete = load.tally.outcomes[SI_CALL_COMPLETE] == load.tally.n_calls;
+  bool is_ok = si_tally_has_no_wrong_answers (&load.tally) && (all_complete || !expect_all);
   si_tally_clear (&load.tally);
-  event_free (load.starter);
+  event_free (load.start_timer);
   si_entry_clear (&load.entry);
   lh_pool_free (load.pool);
   event_base_free (load.base);
-  return right ? 0 : 1;
+  return is_ok ? 0 : 1;
 }
 
 typedef struct
@@ -253,7 +255,7 @@
 }
 
 static bool
-read_kind (const char *name, SiCheckedCallKind *kind)
+parse_kind (const char *name, SiCheckedCallKind *kind)
 {
   static const char *const names[] = { "completion", "chat", "service" };
 
@@ -267,7 +269,7 @@
 }
 
 static Settings
-settings_from (const Options *options)
+get_settings (const Options *options)
 {
   Settings settings = {
     .spec = { .model = options->model->sval[0],
@@ -279,11 +281,11 @@
     .name = options->name->sval[0],
     .count = options->count->ival[0],
     .concurrency = options->concurrency->ival[0],
-    .rate = options->rate->dval[0],
-    .callers = options->callers->ival[0] > 0 ? options->callers->ival[0] : 1,
-    .retries = options->retries->ival[0],
-    .limit = options->seconds->ival[0] * LB_SEC,
-    .keys = options->keys->count > 0,
+    .calls_per_second = options->rate->dval[0],
+    .n_callers = options->callers->ival[0] > 0 ? options->callers->ival[0] : 1,
+    .max_retries = options->retries->ival[0],
+    .start_limit = options->seconds->ival[0] * LB_SEC,
+    .sends_keys = options->keys->count > 0,
     .entry_period = options->entry_ms->ival[0] * LB_MSEC,
   };
 
@@ -293,12 +295,12 @@
 }
 
 static int
-run_options (const Options *options)
+run_with_options (const Options *options)
 {
-  Settings settings = settings_from (options);
+  Settings settings = get_settings (options);
 
-  if (read_kind (options->kind->sval[0], &settings.spec.kind))
-    return run (&settings, options->expect_all->count > 0);
+  if (parse_kind (options->kind->sval[0], &settings.spec.kind))
+    return run_load (&settings, options->expect_all->count > 0);
   fprintf (stderr, "standin-load: --kind: expected completion, chat or service\n");
   return 2;
 }
@@ -307,34 +309,35 @@
 main (int argc, char **argv)
 {
   Options options = {
-    .address = arg_strn (NULL, "address", "IP:PORT", 1, MAX_ADDRESSES, "where to call"),
+    .address
+    = arg_strn (NULL, "address", "IP:PORT", 1, MAX_ADDRESSES, "address to call; may be repeated"),
     .kind = arg_str0 (NULL, "kind", "KIND", "completion, chat or service"),
-    .model = arg_str0 (NULL, "model", "NAME", "pool, or the path of a service"),
-    .name = arg_str0 (NULL, "name", "NAME", "name of the caller, part of each prompt"),
-    .count = arg_int0 (NULL, "count", "N", "calls in all"),
-    .concurrency = arg_int0 (NULL, "concurrency", "N", "calls at once at most"),
-    .rate = arg_dbl0 (NULL, "rate", "N", "calls a second; 0: as fast as can be"),
-    .seconds = arg_int0 (NULL, "seconds", "N", "start no call after so long"),
-    .max_tokens = arg_int0 (NULL, "max-tokens", "N", "of an answer"),
-    .callers = arg_int0 (NULL, "callers", "N", "names of callers in turn"),
-    .retries = arg_int0 (NULL, "retries", "N", "tries more of a call that surely did not run"),
-    .deadline_ms = arg_str0 (NULL, "deadline-ms", "N", "x-deadline-ms of each call"),
-    .silence_s = arg_int0 (NULL, "silence-s", "N", "longest silence of an answer"),
-    .entry_ms = arg_int0 (NULL, "entry-ms", "N", "ask for entry addresses so often; 0: never"),
-    .keys = arg_lit0 (NULL, "keys", "an idempotency key for each call"),
-    .stream = arg_lit0 (NULL, "stream", "ask for streams"),
+    .model = arg_str0 (NULL, "model", "NAME", "pool, or path of a service"),
+    .name = arg_str0 (NULL, "name", "NAME", "name of the caller and part of each prompt"),
+    .count = arg_int0 (NULL, "count", "N", "total number of calls"),
+    .concurrency = arg_int0 (NULL, "concurrency", "N", "most concurrent calls"),
+    .rate = arg_dbl0 (NULL, "rate", "N", "calls per second; 0: no limit"),
+    .seconds = arg_int0 (NULL, "seconds", "N", "start no call after this time"),
+    .max_tokens = arg_int0 (NULL, "max-tokens", "N", "most tokens of an answer"),
+    .callers = arg_int0 (NULL, "callers", "N", "number of caller names, used in turn"),
+    .retries = arg_int0 (NULL, "retries", "N", "most retries of a call that did not run"),
+    .deadline_ms = arg_str0 (NULL, "deadline-ms", "N", "header x-deadline-ms of each call"),
+    .silence_s = arg_int0 (NULL, "silence-s", "N", "idle timeout of a call"),
+    .entry_ms = arg_int0 (NULL, "entry-ms", "N", "refresh entry addresses this often; 0: never"),
+    .keys = arg_lit0 (NULL, "keys", "send an idempotency key with each call"),
+    .stream = arg_lit0 (NULL, "stream", "request streams"),
     .vary = arg_lit0 (NULL, "vary-length", "engines run with --vary-length"),
-    .expect_all = arg_lit0 (NULL, "expect-all", "fail unless every answer is whole"),
-    .help = arg_lit0 (NULL, "help", "show this"),
+    .expect_all = arg_lit0 (NULL, "expect-all", "fail unless every answer is complete"),
+    .help = arg_lit0 (NULL, "help", "show this help"),
     .end = arg_end (4),
   };
   void **table = (void **)&options;
-  int status;
+  int exit_code;
 
   set_defaults (&options);
   if (si_arguments_parse (argc, argv, table, sizeof options / sizeof (void *), "standin-load",
-                          &status))
-    status = run_options (&options);
+                          &exit_code))
+    exit_code = run_with_options (&options);
   arg_freetable (table, sizeof options / sizeof (void *));
-  return status;
+  return exit_code;
 }
--- a/standins/standin-service.c
+++ b/standins/standin-service.c
@@ -22,21 +22,21 @@
   int64_t running;
   int64_t concurrency;
   LbTime latency;
-  const char *crash_on; /* a call with this body ends it; "": none does */
+  const char *crash_on; /* a call with this body crashes the service; "": none */
 } Service;
 
-/* A call that answers after the service's latency. */
+/* A call that is answered after the service's latency. */
 typedef struct
 {
   Service *service;
   struct evhttp_request *request;
   struct event *timer;
   struct json_object *reply;
-  bool lose;
+  bool loses_reply;
 } Call;
 
 static void
-on_due (evutil_socket_t fd, short what, void *user)
+on_reply_due (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -46,7 +46,7 @@
   service->running--;
   service->log.finished++;
   evhttp_connection_set_closecb (evhttp_request_get_connection (call->request), NULL, NULL);
-  if (call->lose)
+  if (call->loses_reply)
     {
       si_reply_abort (call->request);
       json_object_put (call->reply);
@@ -58,7 +58,7 @@
 }
 
 static void
-on_caller_gone (struct evhttp_connection *connection, void *user)
+on_caller_disconnected (struct evhttp_connection *connection, void *user)
 {
   (void)connection;
   Call *call = user;
@@ -72,7 +72,7 @@
 }
 
 static void
-answer_later (Service *service, struct evhttp_request *request, struct json_object *reply)
+schedule_reply (Service *service, struct evhttp_request *request, struct json_object *reply)
 {
   Call *call = LB_NEW (Call);
   LbTime wait = service->latency;
@@ -82,30 +82,31 @@
   call->service = service;
   call->request = request;
   call->reply = reply;
-  call->lose = si_faults_consume (&service->faults, SI_FAULT_LOSE_REPLY);
-  call->timer = evtimer_new (service->server.base, on_due, call);
+  call->loses_reply = si_faults_consume (&service->faults, SI_FAULT_LOSE_REPLY);
+  call->timer = evtimer_new (service->server.base, on_reply_due, call);
   service->running++;
-  evhttp_connection_set_closecb (evhttp_request_get_connection (request), on_caller_gone, call);
+  evhttp_connection_set_closecb (evhttp_request_get_connection (request), on_caller_disconnected,
+                                 call);
   const struct timeval at = lb_time_to_timeval (wait);
   event_add (call->timer, &at);
 }
 
-/* The score of a text is a fixed function of it, between 0 and 1. */
+/* The score, between 0 and 1, depends only on the text. */
 static struct json_object *
-new_score (const char *body)
+new_score_reply (const char *body)
 {
-  struct json_object *asked = json_tokener_parse (body);
+  struct json_object *request = json_tokener_parse (body);
   struct json_object *reply = json_object_new_object ();
-  const char *text = asked ? si_json_text (asked, "text", "") : "";
+  const char *text = request ? si_json_text (request, "text", "") : "";
   double score = (double)(XXH64 (text, strlen (text), 0) % 1000) / 1000;
 
   json_object_object_add (reply, "score", json_object_new_double (score));
-  json_object_put (asked);
+  json_object_put (request);
   return reply;
 }
 
 static struct json_object *
-new_echo (struct evhttp_request *request, const char *body, const char *key, int64_t runs)
+new_echo_reply (struct evhttp_request *request, const char *body, const char *key, int64_t runs)
 {
   struct json_object *reply = json_object_new_object ();
 
@@ -116,7 +117,7 @@
   return reply;
 }
 
-/* A run is counted under the header x-order, or the body when there is none. */
+/* The run is counted under the header x-order, or the body if there is none. */
 static void
 run_call (Service *service, struct evhttp_request *request)
 {
@@ -129,9 +130,9 @@
   if (is_fatal || si_faults_consume (&service->faults, SI_FAULT_CRASH))
     _exit (1);
   if (si_request_is (request, EVHTTP_REQ_POST, "/score"))
-    answer_later (service, request, new_score (body));
+    schedule_reply (service, request, new_score_reply (body));
   else if (!si_faults_consume (&service->faults, SI_FAULT_HANG))
-    answer_later (service, request, new_echo (request, body, key, runs));
+    schedule_reply (service, request, new_echo_reply (request, body, key, runs));
   free (body);
 }
 
@@ -150,7 +151,7 @@
 }
 
 static const char *
-refusal (Service *service)
+get_refusal (Service *service)
 {
   if (si_faults_is_on (&service->faults, SI_FAULT_LEAVING))
     return "leaving";
@@ -161,10 +162,10 @@
 }
 
 static void
-handle (struct evhttp_request *request, void *user)
+handle_request (struct evhttp_request *request, void *user)
 {
   Service *service = user;
-  const char *refused;
+  const char *refusal;
 
   if (si_request_is (request, EVHTTP_REQ_POST, "/faults"))
     si_faults_handle (&service->faults, request);
@@ -174,10 +175,10 @@
     si_reply_abort (request);
   else if (si_request_is (request, EVHTTP_REQ_GET, "/load"))
     reply_load (service, request);
-  else if ((refused = refusal (service)))
+  else if ((refusal = get_refusal (service)))
     {
       service->log.refused++;
-      si_reply_error (request, 503, refused);
+      si_reply_error (request, 503, refusal);
     }
   else
     run_call (service, request);
@@ -191,7 +192,7 @@
 
   snprintf (service.incarnation, sizeof service.incarnation, "%s-%x", name,
             (unsigned)((uint64_t)lb_clock_monotonic () ^ ((uint64_t)getpid () << 20)));
-  if (!si_server_init_program (&service.server, port, handle, &service))
+  if (!si_server_init_program (&service.server, port, handle_request, &service))
     return 1;
   si_server_announce (&service.server, name);
   event_base_dispatch (service.server.base);
@@ -203,15 +204,15 @@
 int
 main (int argc, char **argv)
 {
-  struct arg_int *port = arg_int0 (NULL, "port", "N", "port on 127.0.0.1; 0: any free one");
-  struct arg_str *name = arg_str0 (NULL, "name", "NAME", "name in the incarnation");
-  struct arg_int *latency = arg_int0 (NULL, "latency-ms", "N", "time of one call");
-  struct arg_int *concurrency = arg_int0 (NULL, "concurrency", "N", "calls at once");
-  struct arg_str *crash_on = arg_str0 (NULL, "crash-on", "BODY", "end at a call with this body");
-  struct arg_lit *help = arg_lit0 (NULL, "help", "show this");
+  struct arg_int *port = arg_int0 (NULL, "port", "N", "port on 127.0.0.1; 0: any free port");
+  struct arg_str *name = arg_str0 (NULL, "name", "NAME", "prefix of the incarnation");
+  struct arg_int *latency = arg_int0 (NULL, "latency-ms", "N", "latency of a call");
+  struct arg_int *concurrency = arg_int0 (NULL, "concurrency", "N", "most concurrent calls");
+  struct arg_str *crash_on = arg_str0 (NULL, "crash-on", "BODY", "crash on a call with this body");
+  struct arg_lit *help = arg_lit0 (NULL, "help", "show this help");
   struct arg_end *end = arg_end (4);
   void *table[] = { port, name, latency, concurrency, crash_on, help, end };
-  int status;
+  int exit_code;
 
   port->ival[0] = 0;
   name->sval[0] = "service";
@@ -219,9 +220,9 @@
   latency->ival[0] = 1;
   concurrency->ival[0] = 64;
   if (si_arguments_parse (argc, argv, table, sizeof table / sizeof table[0], "standin-service",
-                          &status))
-    status = serve (name->sval[0], crash_on->sval[0], port->ival[0], latency->ival[0],
-                    concurrency->ival[0]);
+                          &exit_code))
+    exit_code = serve (name->sval[0], crash_on->sval[0], port->ival[0], latency->ival[0],
+                       concurrency->ival[0]);
   arg_freetable (table, sizeof table / sizeof table[0]);
-  return status;
+  return exit_code;
 }
--- a/standins/standin-trainer.c
+++ b/standins/standin-trainer.c
@@ -24,38 +24,38 @@
   int64_t first_step;
   int64_t steps;
   int64_t groups;
-  int64_t samples; /* of a group */
+  int64_t samples_per_group;
   int64_t max_tokens;
-  int64_t version;       /* of the trainer's own weights at the first step */
-  int64_t version_every; /* steps after which its weights are one version newer; 0: never */
-  int64_t max_lag;       /* staleness that it must never see; -1: any */
-  int64_t chunk;
+  int64_t first_version;     /* of the trainer's own weights at the first step */
+  int64_t steps_per_version; /* steps until its weight version rises by one; 0: never */
+  int64_t max_lag;           /* highest allowed staleness; -1: any */
+  int64_t max_pull_samples;
   LbTime train_time; /* of one sample */
-  LbTime timeout;    /* of one step */
-  LbTime silence;    /* of one call */
-  bool strict;
+  LbTime step_timeout;
+  LbTime idle_timeout; /* of one call */
+  bool sends_no_cursor;
   bool vary_length;
 } Settings;
 
-/* What the trainer saw, and what was wrong with it. */
+/* What the trainer received, and the errors in it. */
 typedef struct
 {
   int64_t samples;
   int64_t duplicates;
-  int64_t strangers; /* a group or index that was not asked for */
+  int64_t unknown_samples; /* of a group or index that was not requested */
   int64_t wrong_texts;
   int64_t bad_spans;
   int64_t too_stale;
   int64_t wrong_staleness;
   int64_t missing;
   int64_t retries;
-  int64_t reposts; /* of a step that the system no longer knew */
+  int64_t reposts; /* of a step that the system had lost */
   int64_t staleness_sum;
   int64_t staleness_max;
   int64_t versions[MAX_VERSIONS]; /* tokens by version modulo MAX_VERSIONS */
-  LbTime idle;
-  LbTime worst_step;
-  LbTime total;
+  LbTime idle_time;               /* waiting for calls */
+  LbTime longest_step;
+  LbTime total_time;
 } Tally;
 
 typedef struct
@@ -63,25 +63,25 @@
   const Settings *settings;
   SiClient client;
   Tally tally;
-  size_t address; /* the one in use */
+  size_t address; /* index of the one in use */
   int64_t step;
   int64_t version;
-  bool *seen;
-  int64_t n_seen;
+  bool *received; /* of the step, by group and index */
+  int64_t n_received;
   char *cursor;
-  bool step_lost;
-  LbTime give_up;
+  bool is_step_lost;
+  LbTime step_deadline;
 } Trainer;
 
 static char *
-prompt_of (const Trainer *trainer, int64_t group)
+new_prompt (const Trainer *trainer, int64_t group)
 {
   return lb_asprintf ("Read the smudged envelope %lld of round %lld for %s: village of the sender?",
                       (long long)group, (long long)trainer->step, trainer->settings->subscription);
 }
 
 static char *
-step_body (const Trainer *trainer)
+new_step_body (const Trainer *trainer)
 {
   struct json_object *body = json_object_new_object ();
   struct json_object *groups = json_object_new_array ();
@@ -90,11 +90,11 @@
   for (int64_t i = 0; i < trainer->settings->groups; i++)
     {
       struct json_object *group = json_object_new_object ();
-      char *prompt = prompt_of (trainer, i);
+      char *prompt = new_prompt (trainer, i);
       snprintf (id, sizeof id, "g%lld", (long long)i);
       si_json_set_text (group, "id", id);
       si_json_set_text (group, "prompt", prompt);
-      si_json_set_int (group, "samples", trainer->settings->samples);
+      si_json_set_int (group, "samples", trainer->settings->samples_per_group);
       si_json_set_int (group, "max_tokens", trainer->settings->max_tokens);
       json_object_array_add (groups, group);
       free (prompt);
@@ -106,64 +106,63 @@
 }
 
 static char *
-pull_body (const Trainer *trainer)
+new_pull_body (const Trainer *trainer)
 {
   struct json_object *body = json_object_new_object ();
 
   si_json_set_int (body, "step", trainer->step);
-  si_json_set_text (body, "cursor", trainer->settings->strict ? "" : trainer->cursor);
+  si_json_set_text (body, "cursor", trainer->settings->sends_no_cursor ? "" : trainer->cursor);
   si_json_set_int (body, "weight_version", trainer->version);
-  si_json_set_int (body, "max_samples", trainer->settings->chunk);
+  si_json_set_int (body, "max_samples", trainer->settings->max_pull_samples);
   si_json_set_int (body, "wait_ms", PULL_WAIT_MS);
   return lb_json_take_text (body, JSON_C_TO_STRING_PLAIN);
 }
 
 static bool
-is_late (const Trainer *trainer)
+is_past_deadline (const Trainer *trainer)
 {
-  return lb_clock_monotonic () >= trainer->give_up;
+  return lb_clock_monotonic () >= trainer->step_deadline;
 }
 
-/* Says what went wrong and turns to the next address; the same call is made there again. */
+/* Reports the failed call and switches to the next address, where the caller repeats it. */
 static void
-turn_to_next (Trainer *trainer, const char *what, SiResponse *answer)
+switch_address (Trainer *trainer, const char *call_name, SiResponse *response)
 {
   const Settings *settings = trainer->settings;
 
-  fprintf (stderr, "%s step %lld at %s: %d %s\n", what, (long long)trainer->step,
-           settings->addresses[trainer->address], answer->status, si_response_error (answer));
+  fprintf (stderr, "%s step %lld at %s: %d %s\n", call_name, (long long)trainer->step,
+           settings->addresses[trainer->address], response->status, si_response_error (response));
   trainer->tally.retries++;
   trainer->address = (trainer->address + 1) % settings->n_addresses;
   si_client_pause (&trainer->client, RETRY_PAUSE);
 }
 
-/* Repeats the call, at another address each time it fails, until it is answered with 2xx. NULL when
- * the step's time is over, or when the step is lost: accepted as not durable, and its owner died.
- */
+/* Repeats the call, at the next address after each failure, until a 2xx reply. Returns NULL when
+ * the step's deadline has passed or the step is lost: accepted as not durable, its owner died. */
 static struct json_object *
-call_until_answered (Trainer *trainer, const char *what, const char *path, const char *body)
+call_until_success (Trainer *trainer, const char *call_name, const char *path, const char *body)
 {
   struct json_object *reply = NULL;
-  SiResponse answer;
+  SiResponse response;
 
-  trainer->step_lost = false;
-  while (!reply && !trainer->step_lost && !is_late (trainer))
+  trainer->is_step_lost = false;
+  while (!reply && !trainer->is_step_lost && !is_past_deadline (trainer))
     {
       const SiCall call = { .method = "POST",
                             .address = trainer->settings->addresses[trainer->address],
                             .path = path,
                             .body = body,
-                            .idle_timeout = trainer->settings->silence };
-      si_client_call (&trainer->client, &call, &answer);
-      trainer->tally.idle += answer.duration;
-      if (si_response_is_ok (&answer))
-        reply = json_tokener_parse (answer.body);
+                            .idle_timeout = trainer->settings->idle_timeout };
+      si_client_call (&trainer->client, &call, &response);
+      trainer->tally.idle_time += response.duration;
+      if (si_response_is_ok (&response))
+        reply = json_tokener_parse (response.body);
       else
         {
-          trainer->step_lost = strcmp (si_response_error (&answer), "unknown_step") == 0;
-          turn_to_next (trainer, what, &answer);
+          trainer->is_step_lost = strcmp (si_response_error (&response), "unknown_step") == 0;
+          switch_address (trainer, call_name, &response);
         }
-      si_response_clear (&answer);
+      si_response_clear (&response);
     }
   return reply;
 }
@@ -172,39 +171,39 @@
 post_step (Trainer *trainer)
 {
   char *path = lb_asprintf ("/v1/subscriptions/%s/steps", trainer->settings->subscription);
-  char *body = step_body (trainer);
-  struct json_object *reply = call_until_answered (trainer, "post", path, body);
+  char *body = new_step_body (trainer);
+  struct json_object *reply = call_until_success (trainer, "post", path, body);
 
   free (path);
   free (body);
-  bool posted = reply != NULL;
+  bool is_posted = reply != NULL;
   json_object_put (reply);
-  return posted;
+  return is_posted;
 }
 
-/* Every sample of a group has its own seed, its index, unless the system sends none. */
+/* The seed of a sample is its index in the group, or 0 if the system sends no seed. */
 static bool
-is_text_right (
-    const Trainer *trainer, int64_t group, int64_t index, const char *got, int64_t tokens)
+is_text_correct (
+    const Trainer *trainer, int64_t group, int64_t index, const char *sample_text, int64_t tokens)
 {
   const int64_t seeds[] = { 0, index };
-  char *prompt = prompt_of (trainer, group);
-  bool right = false;
+  char *prompt = new_prompt (trainer, group);
+  bool is_correct = false;
 
-  for (size_t i = 0; i < 2 && !right; i++)
+  for (size_t i = 0; i < 2 && !is_correct; i++)
     {
       SiText text;
       si_text_init (&text, prompt, seeds[i], trainer->settings->max_tokens,
                     trainer->settings->vary_length);
-      char *wanted = si_text_slice (&text, 0, text.tokens);
-      right = tokens == text.tokens && strcmp (got, wanted) == 0;
-      free (wanted);
+      char *expected = si_text_slice (&text, 0, text.n_tokens);
+      is_correct = tokens == text.n_tokens && strcmp (sample_text, expected) == 0;
+      free (expected);
     }
   free (prompt);
-  return right;
+  return is_correct;
 }
 
-/* The oldest version of the spans; 0 when they don't cover the tokens without gap or overlap. */
+/* The oldest version of the spans; 0 unless they cover the tokens without gap or overlap. */
 static int64_t
 check_spans (Tally *tally, struct json_object *sample, int64_t tokens)
 {
@@ -244,40 +243,40 @@
 }
 
 static int64_t
-slot_of (const Trainer *trainer, struct json_object *sample, int64_t *group, int64_t *index)
+find_slot (const Trainer *trainer, struct json_object *sample, int64_t *group, int64_t *index)
 {
   const char *id = si_json_text (sample, "group", "");
 
   *group = id[0] == 'g' ? strtoll (id + 1, NULL, 10) : -1;
   *index = si_json_int (sample, "index", -1);
   if (*group < 0 || *group >= trainer->settings->groups || *index < 0
-      || *index >= trainer->settings->samples)
+      || *index >= trainer->settings->samples_per_group)
     return -1;
-  return *group * trainer->settings->samples + *index;
+  return *group * trainer->settings->samples_per_group + *index;
 }
 
 static void
-take_sample (Trainer *trainer, struct json_object *sample)
+check_sample (Trainer *trainer, struct json_object *sample)
 {
   Tally *tally = &trainer->tally;
   int64_t tokens = si_json_int (sample, "tokens", 0);
   int64_t group, index;
-  int64_t slot = slot_of (trainer, sample, &group, &index);
+  int64_t slot = find_slot (trainer, sample, &group, &index);
 
   if (slot < 0)
     {
-      tally->strangers++;
+      tally->unknown_samples++;
       return;
     }
-  if (trainer->seen[slot])
+  if (trainer->received[slot])
     {
       tally->duplicates++;
       return;
     }
-  trainer->seen[slot] = true;
-  trainer->n_seen++;
+  trainer->received[slot] = true;
+  trainer->n_received++;
   tally->samples++;
-  if (!is_text_right (trainer, group, index, si_json_text (sample, "text", ""), tokens))
+  if (!is_text_correct (trainer, group, index, si_json_text (sample, "text", ""), tokens))
     tally->wrong_texts++;
   int64_t oldest = check_spans (tally, sample, tokens);
   if (oldest == 0)
@@ -287,7 +286,7 @@
 }
 
 static void
-take_chunk (Trainer *trainer, struct json_object *reply)
+process_pull_reply (Trainer *trainer, struct json_object *reply)
 {
   struct json_object *samples = NULL;
 
@@ -295,23 +294,23 @@
   size_t n
       = json_object_is_type (samples, json_type_array) ? json_object_array_length (samples) : 0;
   for (size_t i = 0; i < n; i++)
-    take_sample (trainer, json_object_array_get_idx (samples, i));
+    check_sample (trainer, json_object_array_get_idx (samples, i));
   free (trainer->cursor);
   trainer->cursor = lb_strdup (si_json_text (reply, "cursor", ""));
   if (n > 0 && trainer->settings->train_time > 0)
     si_client_pause (&trainer->client, (LbTime)n * trainer->settings->train_time);
 }
 
-/* A pull after `done` acknowledges the last chunk. */
+/* A pull after `done` acknowledges the last samples by its cursor. */
 static void
 acknowledge (Trainer *trainer, const char *path)
 {
   char *body;
 
-  if (trainer->settings->strict)
+  if (trainer->settings->sends_no_cursor)
     return;
-  body = pull_body (trainer);
-  json_object_put (call_until_answered (trainer, "acknowledge", path, body));
+  body = new_pull_body (trainer);
+  json_object_put (call_until_success (trainer, "acknowledge", path, body));
   free (body);
 }
 
@@ -319,14 +318,14 @@
 pull_step (Trainer *trainer)
 {
   char *path = lb_asprintf ("/v1/subscriptions/%s/pull", trainer->settings->subscription);
-  bool done = false;
+  bool is_done = false;
 
-  while (!done && !is_late (trainer))
+  while (!is_done && !is_past_deadline (trainer))
     {
-      char *body = pull_body (trainer);
-      struct json_object *reply = call_until_answered (trainer, "pull", path, body);
+      char *body = new_pull_body (trainer);
+      struct json_object *reply = call_until_success (trainer, "pull", path, body);
       free (body);
-      if (!reply && trainer->step_lost)
+      if (!reply && trainer->is_step_lost)
         {
           trainer->tally.reposts++;
           post_step (trainer);
@@ -334,11 +333,11 @@
         }
       if (!reply)
         break;
-      take_chunk (trainer, reply);
-      done = si_json_bool (reply, "done", false);
+      process_pull_reply (trainer, reply);
+      is_done = si_json_bool (reply, "done", false);
       json_object_put (reply);
     }
-  if (done)
+  if (is_done)
     acknowledge (trainer, path);
   free (path);
 }
@@ -346,27 +345,27 @@
 static void
 run_step (Trainer *trainer)
 {
-  int64_t slots = trainer->settings->groups * trainer->settings->samples;
+  int64_t slots = trainer->settings->groups * trainer->settings->samples_per_group;
   LbTime start = lb_clock_monotonic ();
 
-  trainer->give_up = start + trainer->settings->timeout;
-  trainer->seen = LB_NEW_ARRAY (bool, (size_t)slots);
-  trainer->n_seen = 0;
+  trainer->step_deadline = start + trainer->settings->step_timeout;
+  trainer->received = LB_NEW_ARRAY (bool, (size_t)slots);
+  trainer->n_received = 0;
   trainer->cursor = lb_strdup ("");
   if (post_step (trainer))
     pull_step (trainer);
-  trainer->tally.missing += slots - trainer->n_seen;
+  trainer->tally.missing += slots - trainer->n_received;
   LbTime took = lb_clock_monotonic () - start;
-  if (took > trainer->tally.worst_step)
-    trainer->tally.worst_step = took;
-  free (trainer->seen);
+  if (took > trainer->tally.longest_step)
+    trainer->tally.longest_step = took;
+  free (trainer->received);
   free (trainer->cursor);
 }
 
 static bool
-is_right (const Tally *tally)
+has_no_errors (const Tally *tally)
 {
-  return tally->duplicates + tally->strangers + tally->wrong_texts + tally->bad_spans
+  return tally->duplicates + tally->unknown_samples + tally->wrong_texts + tally->bad_spans
              + tally->too_stale + tally->wrong_staleness + tally->missing
          == 0;
 }
@@ -394,12 +393,12 @@
   struct json_object *summary = json_object_new_object ();
   double mean = tally->samples ? (double)tally->staleness_sum / (double)tally->samples : 0;
 
-  json_object_object_add (summary, "ok", json_object_new_boolean (is_right (tally)));
+  json_object_object_add (summary, "ok", json_object_new_boolean (has_no_errors (tally)));
   si_json_set_int (summary, "steps", trainer->settings->steps);
   si_json_set_int (summary, "samples", tally->samples);
   si_json_set_int (summary, "missing", tally->missing);
   si_json_set_int (summary, "duplicates", tally->duplicates);
-  si_json_set_int (summary, "strangers", tally->strangers);
+  si_json_set_int (summary, "strangers", tally->unknown_samples);
   si_json_set_int (summary, "wrong_texts", tally->wrong_texts);
   si_json_set_int (summary, "bad_spans", tally->bad_spans);
   si_json_set_int (summary, "too_stale", tally->too_stale);
@@ -409,17 +408,17 @@
   si_json_set_int (summary, "staleness_max", tally->staleness_max);
   json_object_object_add (summary, "staleness_mean", json_object_new_double (mean));
   json_object_object_add (summary, "tokens_by_version", versions_to_json (tally));
-  si_json_set_int (summary, "idle_ms", tally->idle / LB_MSEC);
-  si_json_set_int (summary, "total_ms", tally->total / LB_MSEC);
-  si_json_set_int (summary, "worst_step_ms", tally->worst_step / LB_MSEC);
+  si_json_set_int (summary, "idle_ms", tally->idle_time / LB_MSEC);
+  si_json_set_int (summary, "total_ms", tally->total_time / LB_MSEC);
+  si_json_set_int (summary, "worst_step_ms", tally->longest_step / LB_MSEC);
   puts (json_object_to_json_string_ext (summary, JSON_C_TO_STRING_SPACED));
   json_object_put (summary);
 }
 
 static int
-train (const Settings *settings)
+run_trainer (const Settings *settings)
 {
-  Trainer trainer = { .settings = settings, .version = settings->version };
+  Trainer trainer = { .settings = settings, .version = settings->first_version };
   LbTime start = lb_clock_monotonic ();
 
   signal (SIGPIPE, SIG_IGN);
@@ -427,14 +426,14 @@
   for (int64_t i = 0; i < settings->steps; i++)
     {
       trainer.step = settings->first_step + i;
-      if (settings->version_every > 0 && i > 0 && i % settings->version_every == 0)
+      if (settings->steps_per_version > 0 && i > 0 && i % settings->steps_per_version == 0)
         trainer.version++;
       run_step (&trainer);
     }
-  trainer.tally.total = lb_clock_monotonic () - start;
+  trainer.tally.total_time = lb_clock_monotonic () - start;
   print_summary (&trainer);
   si_client_clear (&trainer.client);
-  return is_right (&trainer.tally) ? 0 : 1;
+  return has_no_errors (&trainer.tally) ? 0 : 1;
 }
 
 typedef struct
@@ -478,23 +477,23 @@
 }
 
 static Settings
-settings_from (const Options *options)
+get_settings (const Options *options)
 {
   Settings settings = {
     .subscription = options->subscription->sval[0],
     .first_step = options->first_step->ival[0],
     .steps = options->steps->ival[0],
     .groups = options->groups->ival[0],
-    .samples = options->samples->ival[0],
+    .samples_per_group = options->samples->ival[0],
     .max_tokens = options->max_tokens->ival[0],
-    .version = options->version->ival[0],
-    .version_every = options->version_every->ival[0],
+    .first_version = options->version->ival[0],
+    .steps_per_version = options->version_every->ival[0],
     .max_lag = options->max_lag->ival[0],
-    .chunk = options->chunk->ival[0],
+    .max_pull_samples = options->chunk->ival[0],
     .train_time = options->train_us->ival[0],
-    .timeout = options->timeout_s->ival[0] * LB_SEC,
-    .silence = options->silence_ms->ival[0] * LB_MSEC,
-    .strict = options->strict->count > 0,
+    .step_timeout = options->timeout_s->ival[0] * LB_SEC,
+    .idle_timeout = options->silence_ms->ival[0] * LB_MSEC,
+    .sends_no_cursor = options->strict->count > 0,
     .vary_length = options->vary->count > 0,
   };
 
@@ -507,35 +506,38 @@
 main (int argc, char **argv)
 {
   Options options = {
-    .address = arg_strn (NULL, "address", "IP:PORT", 1, MAX_ADDRESSES, "of an instance"),
-    .subscription = arg_str0 (NULL, "subscription", "NAME", "subscription to pull for"),
+    .address = arg_strn (NULL, "address", "IP:PORT", 1, MAX_ADDRESSES,
+                         "address of an instance; may be repeated"),
+    .subscription
+    = arg_str0 (NULL, "subscription", "NAME", "subscription to post steps to and pull from"),
     .first_step = arg_int0 (NULL, "step", "N", "number of the first step"),
-    .steps = arg_int0 (NULL, "steps", "N", "how many steps"),
-    .groups = arg_int0 (NULL, "groups", "N", "groups of a step"),
-    .samples = arg_int0 (NULL, "samples", "N", "samples of a group"),
-    .max_tokens = arg_int0 (NULL, "max-tokens", "N", "of a sample"),
-    .version = arg_int0 (NULL, "version", "N", "weight version of the trainer at first"),
-    .version_every = arg_int0 (NULL, "version-every", "N", "steps to the next version; 0: never"),
-    .max_lag = arg_int0 (NULL, "max-lag", "N", "staleness that counts as a fault; -1: none"),
-    .chunk = arg_int0 (NULL, "chunk", "N", "samples of a pull at most"),
-    .train_us = arg_int0 (NULL, "train-us", "N", "time to train on one sample"),
-    .timeout_s = arg_int0 (NULL, "timeout-s", "N", "longest time of a step"),
-    .silence_ms = arg_int0 (NULL, "silence-ms", "N", "longest silence of one call"),
+    .steps = arg_int0 (NULL, "steps", "N", "number of steps"),
+    .groups = arg_int0 (NULL, "groups", "N", "groups per step"),
+    .samples = arg_int0 (NULL, "samples", "N", "samples per group"),
+    .max_tokens = arg_int0 (NULL, "max-tokens", "N", "most tokens of a sample"),
+    .version = arg_int0 (NULL, "version", "N", "trainer's weight version at the first step"),
+    .version_every
+    = arg_int0 (NULL, "version-every", "N", "steps until the next weight version; 0: never"),
+    .max_lag = arg_int0 (NULL, "max-lag", "N", "highest allowed staleness; -1: any"),
+    .chunk = arg_int0 (NULL, "chunk", "N", "most samples of a pull"),
+    .train_us = arg_int0 (NULL, "train-us", "N", "training time of a sample"),
+    .timeout_s = arg_int0 (NULL, "timeout-s", "N", "timeout of a step"),
+    .silence_ms = arg_int0 (NULL, "silence-ms", "N", "idle timeout of a call"),
     .strict = arg_lit0 (NULL, "strict", "send no cursor"),
     .vary = arg_lit0 (NULL, "vary-length", "engines run with --vary-length"),
-    .help = arg_lit0 (NULL, "help", "show this"),
+    .help = arg_lit0 (NULL, "help", "show this help"),
     .end = arg_end (4),
   };
   void **table = (void **)&options;
-  int status;
+  int exit_code;
 
   set_defaults (&options);
   if (si_arguments_parse (argc, argv, table, sizeof options / sizeof (void *), "standin-trainer",
-                          &status))
+                          &exit_code))
     {
-      const Settings settings = settings_from (&options);
-      status = train (&settings);
+      const Settings settings = get_settings (&options);
+      exit_code = run_trainer (&settings);
     }
   arg_freetable (table, sizeof options / sizeof (void *));
-  return status;
+  return exit_code;
 }
