--- a/tests/process/pt-assert.h
+++ b/tests/process/pt-assert.h
@@ -4,8 +4,8 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* Assertions of the helpers, which also run in programs that are no Criterion tests: their text
- * goes to standard error. */
+/* Assertions for helpers that also run outside Criterion tests; failures are printed to standard
+ * error. */
 #define PT_ASSERT(condition) PT_ASSERT_MSG (condition, "%s", "")
 
 #define PT_ASSERT_MSG(condition, ...)                                                              \
--- a/tests/process/pt-process.c
+++ b/tests/process/pt-process.c
@@ -14,34 +14,34 @@
 #include <unistd.h>
 
 static void
-become (const char *const *argv, const char *log, int out)
+exec_program (const char *const *argv, const char *log_path, int stdout_fd)
 {
-  char *path = lb_asprintf ("%s/%s", PT_BIN, argv[0]);
-  int errors = open (log, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
+  char *program_path = lb_asprintf ("%s/%s", PT_BIN, argv[0]);
+  int log_fd = open (log_path, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
 
-  /* A test that crashes must leave no program behind. */
+  /* Ends the program when the test crashes. */
   prctl (PR_SET_PDEATHSIG, SIGKILL);
   signal (SIGPIPE, SIG_DFL);
-  dup2 (out, STDOUT_FILENO);
-  dup2 (errors, STDERR_FILENO);
-  execv (path, (char *const *)argv);
+  dup2 (stdout_fd, STDOUT_FILENO);
+  dup2 (log_fd, STDERR_FILENO);
+  execv (program_path, (char *const *)argv);
   _exit (127);
 }
 
 void
-pt_process_start (PtProcess *process, const char *const *argv, const char *log)
+pt_process_start (PtProcess *process, const char *const *argv, const char *log_path)
 {
-  int ends[2];
+  int pipe_fds[2];
 
   memset (process, 0, sizeof *process);
-  PT_ASSERT (pipe2 (ends, O_CLOEXEC) == 0);
+  PT_ASSERT (pipe2 (pipe_fds, O_CLOEXEC) == 0);
   process->pid = fork ();
   PT_ASSERT (process->pid >= 0);
   if (process->pid == 0)
-    become (argv, log, ends[1]);
-  close (ends[1]);
-  fcntl (ends[0], F_SETFL, O_NONBLOCK);
-  process->output_fd = ends[0];
+    exec_program (argv, log_path, pipe_fds[1]);
+  close (pipe_fds[1]);
+  fcntl (pipe_fds[0], F_SETFL, O_NONBLOCK);
+  process->output_fd = pipe_fds[0];
   process->output = lb_strdup ("");
 }
 
@@ -61,10 +61,10 @@
 }
 
 void
-pt_process_signal (const PtProcess *process, int number)
+pt_process_signal (const PtProcess *process, int signal_number)
 {
   PT_ASSERT (process->pid > 0 && !process->ended);
-  PT_ASSERT (kill (process->pid, number) == 0);
+  PT_ASSERT (kill (process->pid, signal_number) == 0);
 }
 
 static void
--- a/tests/process/pt-process.h
+++ b/tests/process/pt-process.h
@@ -7,23 +7,23 @@
 
 #define PT_MAX_ARGS 32
 
-/* A program of the build that a test started. It dies with the test. */
+/* A child process that runs a program of the build. It is killed when the test ends. */
 typedef struct
 {
-  pid_t pid;     /* 0: not running */
-  int output_fd; /* its standard output */
-  char *output;  /* what it has written there so far */
+  pid_t pid;     /* 0: not started */
+  int output_fd; /* read end of the pipe from its standard output; non-blocking */
+  char *output;  /* standard output read so far, NUL-terminated */
   size_t output_length;
-  int status; /* of waitpid, once it has ended */
+  int status; /* from waitpid; valid once ended is true */
   bool ended;
 } PtProcess;
 
-/* argv[0] is the name of a program in build/bin; standard error goes to the file log. */
-void pt_process_start (PtProcess *process, const char *const *argv, const char *log);
-/* Kills it when it still runs. */
+/* Starts the program build/bin/argv[0]; its standard error is appended to log_path. */
+void pt_process_start (PtProcess *process, const char *const *argv, const char *log_path);
+/* Kills the process if it still runs, and frees its output. */
 void pt_process_clear (PtProcess *process);
-void pt_process_signal (const PtProcess *process, int number);
-/* Reads what it has written and whether it has ended; does not block. */
+void pt_process_signal (const PtProcess *process, int signal_number);
+/* Reads pending output and reaps the process if it has ended; does not block. */
 void pt_process_poll (PtProcess *process);
 
 bool pt_process_has_exited (const PtProcess *process, int code);
--- a/tests/process/pt-relay.c
+++ b/tests/process/pt-relay.c
@@ -15,133 +15,133 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define BEHIND_ANOTHER (2 * LB_MSEC) /* until a chunk looks again whether it is the first */
+#define ORDER_POLL_INTERVAL (2 * LB_MSEC) /* between checks for earlier chunks that still wait */
 
-/* One connection through the relay. */
+/* A client's connection to the relay and the matching one to the target. */
 typedef struct
 {
   LbLink link;
   PtRelay *relay;
-  struct bufferevent *near;
-  struct bufferevent *far;
-  bool silent;
+  struct bufferevent *client;
+  struct bufferevent *server;
+  bool is_blackholed;
   LbList delayed; /* Chunk */
-} Line;
+} Connection;
 
-/* Bytes on their way for a while. */
+/* Data that is held back until its delay is over. */
 typedef struct
 {
   LbLink link;
-  Line *line;
-  struct evbuffer *bytes;
-  struct bufferevent *to;
+  Connection *connection;
+  struct evbuffer *data;
+  struct bufferevent *destination;
   struct event *timer;
 } Chunk;
 
 static void
 chunk_free (Chunk *chunk)
 {
-  lb_list_remove (&chunk->line->delayed, &chunk->link);
+  lb_list_remove (&chunk->connection->delayed, &chunk->link);
   event_free (chunk->timer);
-  evbuffer_free (chunk->bytes);
+  evbuffer_free (chunk->data);
   free (chunk);
 }
 
 static void
-line_free (Line *line)
+connection_free (Connection *connection)
 {
-  lb_list_remove (&line->relay->lines, &line->link);
-  LB_LIST_FOREACH (&line->delayed, Chunk, link, chunk)
+  lb_list_remove (&connection->relay->connections, &connection->link);
+  LB_LIST_FOREACH (&connection->delayed, Chunk, link, chunk)
   chunk_free (chunk);
-  bufferevent_free (line->near);
-  bufferevent_free (line->far);
-  free (line);
+  bufferevent_free (connection->client);
+  bufferevent_free (connection->server);
+  free (connection);
 }
 
 static void
-on_chunk_time (evutil_socket_t fd, short what, void *user)
+on_chunk_due (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
   Chunk *chunk = user;
-  const struct timeval again = { .tv_usec = BEHIND_ANOTHER };
+  const struct timeval retry_interval = { .tv_usec = ORDER_POLL_INTERVAL };
 
-  /* One that came before with a longer delay goes first. */
-  if (chunk->line->delayed.head.next != &chunk->link)
+  /* A chunk that arrived earlier with a longer delay is written first. */
+  if (chunk->connection->delayed.head.next != &chunk->link)
     {
-      evtimer_add (chunk->timer, &again);
+      evtimer_add (chunk->timer, &retry_interval);
       return;
     }
-  bufferevent_write_buffer (chunk->to, chunk->bytes);
+  bufferevent_write_buffer (chunk->destination, chunk->data);
   chunk_free (chunk);
 }
 
 static void
-pass_on_later (Line *line, struct evbuffer *input, struct bufferevent *to)
+forward_delayed (Connection *connection, struct evbuffer *input, struct bufferevent *destination)
 {
-  LbTime delay = line->relay->fault.delay;
+  LbTime delay = connection->relay->fault.delay;
   const struct timeval tv = lb_time_to_timeval (delay);
   Chunk *chunk = LB_NEW (Chunk);
 
-  chunk->line = line;
-  chunk->to = to;
-  chunk->bytes = evbuffer_new ();
-  evbuffer_add_buffer (chunk->bytes, input);
-  chunk->timer = evtimer_new (line->relay->base, on_chunk_time, chunk);
+  chunk->connection = connection;
+  chunk->destination = destination;
+  chunk->data = evbuffer_new ();
+  evbuffer_add_buffer (chunk->data, input);
+  chunk->timer = evtimer_new (connection->relay->base, on_chunk_due, chunk);
   evtimer_add (chunk->timer, &tv);
-  lb_list_append (&line->delayed, &chunk->link);
+  lb_list_append (&connection->delayed, &chunk->link);
 }
 
 static void
 on_read (struct bufferevent *from, void *user)
 {
-  Line *line = user;
+  Connection *connection = user;
   struct evbuffer *input = bufferevent_get_input (from);
-  const PtRelayFault *fault = &line->relay->fault;
-  bool to_target = from == line->near;
+  const PtRelayFault *fault = &connection->relay->fault;
+  bool to_target = from == connection->client;
 
-  /* Bytes that were lost once are missing in the middle: such a line delivers nothing more. */
-  line->silent |= to_target ? fault->drops_to_target : fault->drops_from_target;
-  if (line->silent)
+  /* After dropped bytes the TCP stream has a gap, so the connection delivers nothing more. */
+  connection->is_blackholed |= to_target ? fault->drops_to_target : fault->drops_from_target;
+  if (connection->is_blackholed)
     {
       evbuffer_drain (input, evbuffer_get_length (input));
       return;
     }
-  line->relay->bytes += (int64_t)evbuffer_get_length (input);
-  if (fault->delay > 0 || !lb_list_is_empty (&line->delayed))
-    pass_on_later (line, input, to_target ? line->far : line->near);
+  connection->relay->bytes_forwarded += (int64_t)evbuffer_get_length (input);
+  if (fault->delay > 0 || !lb_list_is_empty (&connection->delayed))
+    forward_delayed (connection, input, to_target ? connection->server : connection->client);
   else
-    bufferevent_write_buffer (to_target ? line->far : line->near, input);
+    bufferevent_write_buffer (to_target ? connection->server : connection->client, input);
 }
 
-/* A silent line also keeps a close to itself: the other end never hears of it. */
+/* A blackholed connection does not forward a close either: the other side sees it as open. */
 static void
 on_event (struct bufferevent *from, short what, void *user)
 {
-  Line *line = user;
+  Connection *connection = user;
 
   if (what & BEV_EVENT_CONNECTED)
     return;
-  if (line->silent)
+  if (connection->is_blackholed)
     bufferevent_disable (from, EV_READ | EV_WRITE);
   else
-    line_free (line);
+    connection_free (connection);
 }
 
 static void
-send_at_once (struct bufferevent *end)
+disable_nagle (struct bufferevent *side)
 {
   const int on = 1;
 
-  setsockopt (bufferevent_getfd (end), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+  setsockopt (bufferevent_getfd (side), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
 static void
-watch (Line *line, struct bufferevent *end)
+enable_callbacks (Connection *connection, struct bufferevent *side)
 {
-  bufferevent_setcb (end, on_read, NULL, on_event, line);
-  bufferevent_enable (end, EV_READ | EV_WRITE);
-  send_at_once (end);
+  bufferevent_setcb (side, on_read, NULL, on_event, connection);
+  bufferevent_enable (side, EV_READ | EV_WRITE);
+  disable_nagle (side);
 }
 
 static void
@@ -155,46 +155,48 @@
   (void)address;
   (void)length;
   PtRelay *relay = user;
-  Line *line = LB_NEW (Line);
+  Connection *connection = LB_NEW (Connection);
   struct sockaddr_storage target;
   int target_length = sizeof target;
 
-  line->relay = relay;
-  lb_list_init (&line->delayed);
-  lb_list_append (&relay->lines, &line->link);
-  line->near = bufferevent_socket_new (relay->base, fd, BEV_OPT_CLOSE_ON_FREE);
-  line->far = bufferevent_socket_new (relay->base, -1, BEV_OPT_CLOSE_ON_FREE);
-  PT_ASSERT (evutil_parse_sockaddr_port (relay->target, (struct sockaddr *)&target, &target_length)
-             == 0);
-  bufferevent_socket_connect (line->far, (struct sockaddr *)&target, target_length);
-  watch (line, line->near);
-  watch (line, line->far);
+  connection->relay = relay;
+  lb_list_init (&connection->delayed);
+  lb_list_append (&relay->connections, &connection->link);
+  connection->client = bufferevent_socket_new (relay->base, fd, BEV_OPT_CLOSE_ON_FREE);
+  connection->server = bufferevent_socket_new (relay->base, -1, BEV_OPT_CLOSE_ON_FREE);
+  PT_ASSERT (
+      evutil_parse_sockaddr_port (relay->target_address, (struct sockaddr *)&target, &target_length)
+      == 0);
+  bufferevent_socket_connect (connection->server, (struct sockaddr *)&target, target_length);
+  enable_callbacks (connection, connection->client);
+  enable_callbacks (connection, connection->server);
 }
 
-/* port 0: any free one. Programs that the test starts must not keep the socket open. */
+/* port 0: any free port. Close-on-exec keeps the socket out of programs that the test starts. */
 static void
-listen_at (PtRelay *relay, uint16_t port)
+listen_on_port (PtRelay *relay, uint16_t port)
 {
   const unsigned flags = LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE;
-  struct sockaddr_in at = { .sin_family = AF_INET, .sin_addr.s_addr = htonl (INADDR_LOOPBACK) };
+  struct sockaddr_in bind_address
+      = { .sin_family = AF_INET, .sin_addr.s_addr = htonl (INADDR_LOOPBACK) };
 
-  at.sin_port = htons (port);
+  bind_address.sin_port = htons (port);
   relay->listener = evconnlistener_new_bind (relay->base, on_accept, relay, flags, -1,
-                                             (struct sockaddr *)&at, sizeof at);
+                                             (struct sockaddr *)&bind_address, sizeof bind_address);
   PT_ASSERT (relay->listener != NULL);
 }
 
 void
-pt_relay_init (PtRelay *relay, struct event_base *base, const char *target)
+pt_relay_init (PtRelay *relay, struct event_base *base, const char *target_address)
 {
   struct sockaddr_in bound = { 0 };
   socklen_t length = sizeof bound;
 
   memset (relay, 0, sizeof *relay);
   relay->base = base;
-  lb_list_init (&relay->lines);
-  LB_COPY (relay->target, target);
-  listen_at (relay, 0);
+  lb_list_init (&relay->connections);
+  LB_COPY (relay->target_address, target_address);
+  listen_on_port (relay, 0);
   getsockname (evconnlistener_get_fd (relay->listener), (struct sockaddr *)&bound, &length);
   snprintf (relay->address, sizeof relay->address, "127.0.0.1:%d", ntohs (bound.sin_port));
 }
@@ -211,46 +213,46 @@
 pt_relay_accept_connections (PtRelay *relay)
 {
   if (!relay->listener)
-    listen_at (relay, (uint16_t)atoi (strchr (relay->address, ':') + 1));
+    listen_on_port (relay, (uint16_t)atoi (strchr (relay->address, ':') + 1));
 }
 
 void
 pt_relay_clear (PtRelay *relay)
 {
-  LB_LIST_FOREACH (&relay->lines, Line, link, line)
-  line_free (line);
+  LB_LIST_FOREACH (&relay->connections, Connection, link, connection)
+  connection_free (connection);
   pt_relay_refuse_connections (relay);
 }
 
 void
 pt_relay_blackhole_connections (PtRelay *relay)
 {
-  LB_LIST_FOREACH (&relay->lines, Line, link, line)
-  line->silent = true;
+  LB_LIST_FOREACH (&relay->connections, Connection, link, connection)
+  connection->is_blackholed = true;
 }
 
-/* A close that lingers for no time is a reset. */
+/* With a linger time of zero, close sends a reset. */
 static void
-reset_at_close (struct bufferevent *end)
+reset_on_close (struct bufferevent *side)
 {
-  const struct linger at_once = { .l_onoff = 1 };
+  const struct linger zero_linger = { .l_onoff = 1 };
 
-  setsockopt (bufferevent_getfd (end), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+  setsockopt (bufferevent_getfd (side), SOL_SOCKET, SO_LINGER, &zero_linger, sizeof zero_linger);
 }
 
 void
 pt_relay_reset_connections (PtRelay *relay)
 {
-  LB_LIST_FOREACH (&relay->lines, Line, link, line)
+  LB_LIST_FOREACH (&relay->connections, Connection, link, connection)
   {
-    reset_at_close (line->near);
-    reset_at_close (line->far);
-    line_free (line);
+    reset_on_close (connection->client);
+    reset_on_close (connection->server);
+    connection_free (connection);
   }
 }
 
 size_t
 pt_relay_count_connections (const PtRelay *relay)
 {
-  return relay->lines.length;
+  return relay->connections.length;
 }
--- a/tests/process/pt-relay.h
+++ b/tests/process/pt-relay.h
@@ -6,36 +6,36 @@
 struct event_base;
 struct evconnlistener;
 
-/* What is wrong with a way for now, for open and new connections alike. */
+/* Faults that apply to open and new connections until they are reset. */
 typedef struct
 {
-  bool drops_to_target;   /* bytes towards the target vanish */
-  bool drops_from_target; /* bytes from the target vanish */
-  LbTime delay;           /* of bytes in both directions */
+  bool drops_to_target;   /* data from clients is dropped */
+  bool drops_from_target; /* data from the target is dropped */
+  LbTime delay;           /* of data in both directions */
 } PtRelayFault;
 
-/* Stands between two ends of TCP connections and can lose track of those that are open: they stay
- * open and silent, while new ones work. Runs in the test's event loop. */
+/* A fault-injecting TCP proxy in the test's event loop. */
 typedef struct
 {
   PtRelayFault fault;
   struct event_base *base;
   struct evconnlistener *listener;
-  LbName address; /* where to connect */
-  LbName target;
-  LbList lines;
-  int64_t bytes; /* passed on so far, both ways */
+  LbName address; /* where clients connect */
+  LbName target_address;
+  LbList connections;
+  int64_t bytes_forwarded; /* in both directions */
 } PtRelay;
 
-void pt_relay_init (PtRelay *relay, struct event_base *base, const char *target);
+void pt_relay_init (PtRelay *relay, struct event_base *base, const char *target_address);
 void pt_relay_clear (PtRelay *relay);
-/* Every connection that is open now goes silent for good. */
+/* Drops all further data of the connections that are open now but keeps them open, as a firewall
+ * does that has lost its connection state. New connections work. */
 void pt_relay_blackhole_connections (PtRelay *relay);
 
-/* Every connection that is open now is reset. */
 void pt_relay_reset_connections (PtRelay *relay);
 
-/* New connections are refused, as where no process listens, until they are accepted again. */
+/* Closes the listening socket, so that new connections are refused as if no process listened, until
+ * pt_relay_accept_connections. */
 void pt_relay_refuse_connections (PtRelay *relay);
 void pt_relay_accept_connections (PtRelay *relay);
 
--- a/tests/process/pt-resources.c
+++ b/tests/process/pt-resources.c
@@ -1,4 +1,4 @@
-#include "pt-world.h"
+#include "pt-cluster.h"
 
 #include "pt-assert.h"
 
@@ -7,15 +7,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* An instance that is paused does not answer. */
-#define APPLY_SILENCE (3 * LB_SEC)
+/* A stopped instance does not answer. */
+#define APPLY_TIMEOUT (3 * LB_SEC)
 
 void
-pt_apply_change (PtCluster *world,
+pt_apply_change (PtCluster *cluster,
                  PtProgram *instance,
                  const char *changes,
                  const char *if_match,
-                 SiResponse *answer)
+                 SiResponse *response)
 {
   const LhHeader headers[]
       = { { "authorization", "Bearer " PT_OPERATOR_TOKEN }, { "If-Match", if_match } };
@@ -25,31 +25,31 @@
                         .headers = headers,
                         .n_headers = if_match ? 2 : 1,
                         .body = changes,
-                        .idle_timeout = APPLY_SILENCE };
+                        .idle_timeout = APPLY_TIMEOUT };
 
-  si_client_call (&world->client, &call, answer);
+  si_client_call (&cluster->client, &call, response);
 }
 
 static void
-add (struct json_object *apply, const char *text)
+add_resource (struct json_object *resources, const char *text)
 {
   struct json_object *resource = json_tokener_parse (text);
 
   PT_ASSERT_MSG (resource != NULL, "%s", text);
-  json_object_array_add (apply, resource);
+  json_object_array_add (resources, resource);
 }
 
 static void
-add_endpoint (struct json_object *apply, const PtProgram *endpoint)
+add_endpoint (struct json_object *resources, const PtProgram *endpoint)
 {
-  bool engine = strncmp (endpoint->name, "engine", 6) == 0;
+  bool is_engine = strncmp (endpoint->name, "engine", 6) == 0;
   char *text = lb_asprintf (
       "{\"kind\": \"endpoint\", \"name\": \"%s\", \"type\": \"%s\", \"pool\": \"%s\","
       " \"address\": \"%s\", \"data_centre\": \"hall-a\", \"concurrency\": 32%s}",
-      endpoint->name, engine ? "engine" : "service", engine ? "reader" : "lookup",
-      endpoint->address, engine ? ", \"checks_fence\": true" : "");
+      endpoint->name, is_engine ? "engine" : "service", is_engine ? "reader" : "lookup",
+      endpoint->address, is_engine ? ", \"checks_fence\": true" : "");
 
-  add (apply, text);
+  add_resource (resources, text);
   free (text);
 }
 
@@ -57,75 +57,77 @@
 {
   PtProgram *instance;
   const char *changes;
-} Change;
+} PendingChange;
 
-/* Instances that have just started may not know each other yet; others may be away or paused. */
+/* A new instance may not know the other members yet (503); other instances may be unreachable or
+ * stopped. */
 static bool
-is_accepted (PtCluster *world, void *user)
+is_accepted (PtCluster *cluster, void *user)
 {
-  const Change *change = user;
-  SiResponse answer;
-
-  pt_apply_change (world, change->instance, change->changes, "*", &answer);
-  bool accepted = si_response_is_ok (&answer);
-  PT_ASSERT_MSG (accepted || answer.status == 503 || answer.failure != LB_OK, "%d %s",
-                 answer.status, answer.body);
-  si_response_clear (&answer);
+  const PendingChange *pending = user;
+  SiResponse response;
+
+  pt_apply_change (cluster, pending->instance, pending->changes, "*", &response);
+  bool accepted = si_response_is_ok (&response);
+  PT_ASSERT_MSG (accepted || response.status == 503 || response.failure != LB_OK, "%d %s",
+                 response.status, response.body);
+  si_response_clear (&response);
   return accepted;
 }
 
 static bool
-is_accepted_anywhere (PtCluster *world, void *user)
+is_accepted_anywhere (PtCluster *cluster, void *user)
 {
-  Change *change = user;
+  PendingChange *pending = user;
 
-  for (size_t i = 0; i < world->n_instances; i++)
+  for (size_t i = 0; i < cluster->n_instances; i++)
     {
-      change->instance = &world->instances[i];
-      if (!change->instance->process.ended && is_accepted (world, change))
+      pending->instance = &cluster->instances[i];
+      if (!pending->instance->process.ended && is_accepted (cluster, pending))
         return true;
     }
   return false;
 }
 
 static struct json_object *
-new_changes (const PtCluster *world)
+make_changes (const PtCluster *cluster)
 {
   struct json_object *changes = json_object_new_object ();
-  struct json_object *apply = json_object_new_array ();
-
-  add (apply, "{\"kind\": \"pool\", \"name\": \"reader\", \"model\": \"reader-7b\"}");
-  add (apply, "{\"kind\": \"subscription\", \"name\": \"reader-trainer\", \"pool\": \"reader\"}");
-  add (apply, "{\"kind\": \"version_bound\", \"name\": \"reader-fresh\","
-              " \"subscription\": \"reader-trainer\", \"max_lag\": 2}");
-  for (size_t i = 0; i < world->n_endpoints; i++)
-    add_endpoint (apply, &world->endpoints[i]);
-  json_object_object_add (changes, "apply", apply);
+  struct json_object *resources = json_object_new_array ();
+
+  add_resource (resources, "{\"kind\": \"pool\", \"name\": \"reader\", \"model\": \"reader-7b\"}");
+  add_resource (resources,
+                "{\"kind\": \"subscription\", \"name\": \"reader-trainer\", \"pool\": \"reader\"}");
+  add_resource (resources, "{\"kind\": \"version_bound\", \"name\": \"reader-fresh\","
+                           " \"subscription\": \"reader-trainer\", \"max_lag\": 2}");
+  for (size_t i = 0; i < cluster->n_endpoints; i++)
+    add_endpoint (resources, &cluster->endpoints[i]);
+  json_object_object_add (changes, "apply", resources);
   return changes;
 }
 
 void
-pt_apply_resources (PtCluster *world, PtProgram *instance)
+pt_apply_resources (PtCluster *cluster, PtProgram *instance)
 {
-  struct json_object *changes = new_changes (world);
-  Change change = { instance, json_object_to_json_string (changes) };
+  struct json_object *changes = make_changes (cluster);
+  PendingChange pending = { instance, json_object_to_json_string (changes) };
 
-  pt_wait (world, "the resources are accepted", is_accepted, &change);
+  pt_wait (cluster, "an instance accepts the resources", is_accepted, &pending);
   json_object_put (changes);
 }
 
 void
-pt_apply_resources_anywhere (PtCluster *world)
+pt_apply_resources_anywhere (PtCluster *cluster)
 {
-  struct json_object *changes = new_changes (world);
-  Change change = { NULL, json_object_to_json_string (changes) };
+  struct json_object *changes = make_changes (cluster);
+  PendingChange pending = { NULL, json_object_to_json_string (changes) };
 
-  pt_wait (world, "the resources are accepted", is_accepted_anywhere, &change);
+  pt_wait (cluster, "an instance accepts the resources", is_accepted_anywhere, &pending);
   json_object_put (changes);
 }
 
 static int64_t
-revision_of (PtCluster *world, const PtProgram *instance)
+read_revision (PtCluster *cluster, const PtProgram *instance)
 {
   const LhHeader headers[] = { { "authorization", "Bearer " PT_OPERATOR_TOKEN } };
   const SiCall call = { .method = "GET",
@@ -133,31 +135,31 @@
                         .path = "/v1/resources",
                         .headers = headers,
                         .n_headers = 1 };
-  SiResponse answer;
+  SiResponse response;
   int64_t revision = -1;
 
-  si_client_call (&world->client, &call, &answer);
+  si_client_call (&cluster->client, &call, &response);
   struct json_object *object
-      = si_response_is_ok (&answer) ? json_tokener_parse (answer.body) : NULL;
+      = si_response_is_ok (&response) ? json_tokener_parse (response.body) : NULL;
   if (object)
     revision = si_json_int (object, "revision", -1);
   json_object_put (object);
-  si_response_clear (&answer);
+  si_response_clear (&response);
   return revision;
 }
 
 static bool
-is_in_force (PtCluster *world, void *user)
+is_newest_revision_in_force (PtCluster *cluster, void *user)
 {
   (void)user;
   int64_t newest = 0;
   int64_t oldest = INT64_MAX;
 
-  for (size_t i = 0; i < world->n_instances; i++)
+  for (size_t i = 0; i < cluster->n_instances; i++)
     {
-      if (world->instances[i].process.ended)
+      if (cluster->instances[i].process.ended)
         continue;
-      int64_t revision = revision_of (world, &world->instances[i]);
+      int64_t revision = read_revision (cluster, &cluster->instances[i]);
       newest = revision > newest ? revision : newest;
       oldest = revision < oldest ? revision : oldest;
     }
@@ -165,7 +167,8 @@
 }
 
 void
-pt_wait_revision_in_force (PtCluster *world)
+pt_wait_revision_in_force (PtCluster *cluster)
 {
-  pt_wait (world, "the newest revision is in force everywhere", is_in_force, NULL);
+  pt_wait (cluster, "the newest revision is in force everywhere", is_newest_revision_in_force,
+           NULL);
 }
--- a/tests/process/pt-shared.c
+++ b/tests/process/pt-shared.c
@@ -15,7 +15,7 @@
 
 #define MAX_HEADERS 8
 
-static const char config[]
+static const char config_format[]
     = "{\"version\": %d, \"routes\": ["
       "{\"name\": \"lookup\", \"host\": \"h.example\", \"prefix\": \"/lookup/\", \"kind\": "
       "\"safe\","
@@ -27,109 +27,112 @@
       "\"limits\": {\"maxBodyBytes\": 12582912}%s}";
 
 void
-ps_run_loop_once (PsCluster *w)
+ps_run_loop_once (PsCluster *cluster)
 {
-  event_base_loop (w->base, EVLOOP_NONBLOCK);
-  for (size_t i = 0; i < w->n_instances; i++)
-    pt_process_poll (&w->instances[i].process);
+  event_base_loop (cluster->base, EVLOOP_NONBLOCK);
+  for (size_t i = 0; i < cluster->n_instances; i++)
+    pt_process_poll (&cluster->instances[i].process);
   usleep (500);
 }
 
 void
-ps_put_config (PsCluster *w, int version, const char *more_routes)
+ps_put_config (PsCluster *cluster, int version, const char *more_routes)
 {
-  char *text = lb_asprintf (config, version, more_routes, w->organisations ? w->organisations : "");
+  char *text = lb_asprintf (config_format, version, more_routes,
+                            cluster->organisations_config ? cluster->organisations_config : "");
 
-  si_row_store_put (&w->rows, "op", "", "config", text);
+  si_row_store_put (&cluster->store, "op", "", "config", text);
   free (text);
 }
 
 void
-ps_cluster_init (PsCluster *w)
+ps_cluster_init (PsCluster *cluster)
 {
   char name[16];
 
-  memset (w, 0, sizeof *w);
+  memset (cluster, 0, sizeof *cluster);
   signal (SIGPIPE, SIG_IGN);
-  snprintf (w->folder, sizeof w->folder, "/tmp/lentilspindle-shared-XXXXXX");
-  PT_ASSERT (mkdtemp (w->folder));
-  w->base = event_base_new ();
-  w->pool = lh_pool_new (w->base);
-  PT_ASSERT (si_row_store_init (&w->rows, w->base, 0));
+  snprintf (cluster->folder, sizeof cluster->folder, "/tmp/lentilspindle-shared-XXXXXX");
+  PT_ASSERT (mkdtemp (cluster->folder));
+  cluster->base = event_base_new ();
+  cluster->pool = lh_pool_new (cluster->base);
+  PT_ASSERT (si_row_store_init (&cluster->store, cluster->base, 0));
   for (int i = 0; i < PS_N_ENGINES; i++)
     {
       snprintf (name, sizeof name, "i-engine-%d", i);
-      PT_ASSERT (si_endpoint_init (&w->engines[i], w->base, &w->rows, name, "engines", "m"));
+      PT_ASSERT (si_endpoint_init (&cluster->engines[i], cluster->base, &cluster->store, name,
+                                   "engines", "m"));
     }
-  PT_ASSERT (si_endpoint_init (&w->lookup, w->base, &w->rows, "i-lookup", "lookups", ""));
-  PT_ASSERT (si_control_plane_init (&w->cloud, w->base));
-  ps_put_config (w, 1, "");
+  PT_ASSERT (si_endpoint_init (&cluster->lookup, cluster->base, &cluster->store, "i-lookup",
+                               "lookups", ""));
+  PT_ASSERT (si_control_plane_init (&cluster->control_plane, cluster->base));
+  ps_put_config (cluster, 1, "");
 }
 
 void
-ps_cluster_clear (PsCluster *w)
+ps_cluster_clear (PsCluster *cluster)
 {
-  char command[128];
+  char path[128];
 
-  for (size_t i = 0; i < w->n_instances; i++)
+  for (size_t i = 0; i < cluster->n_instances; i++)
     {
-      pt_process_clear (&w->instances[i].process);
-      pt_relay_clear (&w->instances[i].to_store);
+      pt_process_clear (&cluster->instances[i].process);
+      pt_relay_clear (&cluster->instances[i].store_relay);
     }
-  lh_pool_free (w->pool);
+  lh_pool_free (cluster->pool);
   for (int i = 0; i < PS_N_ENGINES; i++)
-    si_endpoint_clear (&w->engines[i]);
-  si_endpoint_clear (&w->lookup);
-  si_control_plane_clear (&w->cloud);
-  si_row_store_clear (&w->rows);
-  event_base_free (w->base);
-  free (w->body);
-  for (size_t i = 0; i < w->n_instances; i++)
+    si_endpoint_clear (&cluster->engines[i]);
+  si_endpoint_clear (&cluster->lookup);
+  si_control_plane_clear (&cluster->control_plane);
+  si_row_store_clear (&cluster->store);
+  event_base_free (cluster->base);
+  free (cluster->body);
+  for (size_t i = 0; i < cluster->n_instances; i++)
     for (int kind = 0; kind < 3; kind++)
       {
         static const char *const kinds[] = { "json", "addr", "log" };
-        snprintf (command, sizeof command, "%s/%s.%s", w->folder, w->instances[i].name,
+        snprintf (path, sizeof path, "%s/%s.%s", cluster->folder, cluster->instances[i].name,
                   kinds[kind]);
-        unlink (command);
+        unlink (path);
       }
-  rmdir (w->folder);
+  rmdir (cluster->folder);
 }
 
 /* --- callers --- */
 
 static void
-on_done (LhFetch *fetch, const LhResult *result, void *user)
+on_response (LhFetch *fetch, const LhResult *result, void *user)
 {
-  PsCluster *w = user;
+  PsCluster *cluster = user;
   const char *retry_after = lh_fetch_header (fetch, "Retry-After");
-  const char *stamp = lh_fetch_header (fetch, "Server-Stamp");
-
-  w->answers++;
-  w->failure = result->failure;
-  w->status = result->status;
-  free (w->body);
-  w->body = lb_strndup (result->body ? result->body : "", result->body_length);
-  LB_COPY (w->retry_after, retry_after ? retry_after : "");
-  LB_COPY (w->stamp, stamp ? stamp : "");
+  const char *server_stamp = lh_fetch_header (fetch, "Server-Stamp");
+
+  cluster->n_responses++;
+  cluster->failure = result->failure;
+  cluster->status = result->status;
+  free (cluster->body);
+  cluster->body = lb_strndup (result->body ? result->body : "", result->body_length);
+  LB_COPY (cluster->retry_after, retry_after ? retry_after : "");
+  LB_COPY (cluster->server_stamp, server_stamp ? server_stamp : "");
 }
 
 static size_t
-add_identity (const PsCluster *w, LhHeader *headers, size_t n)
+add_credentials (const PsCluster *cluster, LhHeader *headers, size_t n)
 {
-  if (w->key)
-    headers[n++] = (LhHeader){ "Api-Key", w->key };
-  if (w->more_key)
-    headers[n++] = (LhHeader){ "Api-Key", w->more_key };
-  if (w->claims)
+  if (cluster->api_key)
+    headers[n++] = (LhHeader){ "Api-Key", cluster->api_key };
+  if (cluster->second_api_key)
+    headers[n++] = (LhHeader){ "Api-Key", cluster->second_api_key };
+  if (cluster->claimed_organisation)
     {
-      headers[n++] = (LhHeader){ "Tenant", w->claims };
-      headers[n++] = (LhHeader){ "TENANT", w->claims };
+      headers[n++] = (LhHeader){ "Tenant", cluster->claimed_organisation };
+      headers[n++] = (LhHeader){ "TENANT", cluster->claimed_organisation };
     }
   return n;
 }
 
 LhFetch *
-ps_start_call (PsCluster *w,
+ps_start_call (PsCluster *cluster,
                size_t instance,
                const char *method,
                const char *path,
@@ -138,63 +141,63 @@
 {
   LhHeader headers[MAX_HEADERS] = { { "Attempt-Id", id }, { "Deadline-Ms", "20000" } };
   size_t n_headers = 2;
-  const LhHandlers handlers = { .on_done = on_done };
+  const LhHandlers handlers = { .on_done = on_response };
   const LhRequest request = { .method = method,
-                              .address = w->instances[instance].address,
+                              .address = cluster->instances[instance].address,
                               .path = path,
                               .host = "h.example",
                               .headers = headers,
-                              .n_headers = add_identity (w, headers, n_headers),
+                              .n_headers = add_credentials (cluster, headers, n_headers),
                               .body = body,
                               .body_length = strlen (body),
                               .fresh_connection = true };
 
-  return lh_fetch_start (w->pool, &request, &handlers, w, NULL);
+  return lh_fetch_start (cluster->pool, &request, &handlers, cluster, NULL);
 }
 
 void
-ps_call (PsCluster *w,
+ps_call (PsCluster *cluster,
          size_t instance,
          const char *method,
          const char *path,
          const char *id,
          const char *body)
 {
-  int before = w->answers;
+  int before = cluster->n_responses;
 
-  ps_start_call (w, instance, method, path, id, body);
-  PS_WAIT_UNTIL (w, w->answers > before);
+  ps_start_call (cluster, instance, method, path, id, body);
+  PS_WAIT_UNTIL (cluster, cluster->n_responses > before);
 }
 
 /* --- instances --- */
 
 const SiServer *
-ps_store_server (const PsCluster *w, size_t instance)
+ps_store_server (const PsCluster *cluster, size_t instance)
 {
-  return instance == 0 ? &w->rows.server : &w->rows.second_server;
+  return instance == 0 ? &cluster->store.server : &cluster->store.second_server;
 }
 
-/* NULL: the platform wants no calls. Windows of a second, so that no test waits long for one. */
+/* Settings of the calls to the platform; NULL when there are none. Windows last one second, so that
+ * tests need not wait longer. */
 static char *
-duties_of (const PsCluster *w)
+make_duties_settings (const PsCluster *cluster)
 {
-  if (!w->has_duties)
+  if (!cluster->has_duties)
     return NULL;
   return lb_asprintf (" \"duties\": {\"address\": \"%s\", \"usage_window_s\": 1,"
                       " \"usage_due_s\": 10, \"kinds\": [\"usage_report\", \"autoscale\"]},",
-                      w->cloud.server.address);
+                      cluster->control_plane.server.address);
 }
 
 static void
-write_settings (PsCluster *w, PsInstance *instance)
+write_settings (PsCluster *cluster, PsInstance *instance)
 {
-  const SiServer *store = ps_store_server (w, (size_t)(instance - w->instances));
+  const SiServer *store = ps_store_server (cluster, (size_t)(instance - cluster->instances));
   char path[128];
+  char *duties = make_duties_settings (cluster);
 
-  char *duties = duties_of (w);
-
-  pt_relay_init (&instance->to_store, w->base, store->address);
-  snprintf (path, sizeof path, "%s/%s.json", w->folder, instance->name);
+  pt_relay_init (&instance->store_relay, cluster->base, store->address);
+  snprintf (path, sizeof path, "%s/%s.json", cluster->folder, instance->name);
   FILE *out = fopen (path, "w");
   PT_ASSERT (out);
   fprintf (out,
@@ -205,18 +208,18 @@
            " \"batches\": {\"keep_ended_s\": 5},%s"
            " \"drain\": {\"drain_ms\": 300, \"entry_ttl_ms\": 2000},"
            " \"address_file\": \"%s/%s.addr\"}",
-           instance->name, instance->to_store.address, duties ? duties : "", w->folder,
+           instance->name, instance->store_relay.address, duties ? duties : "", cluster->folder,
            instance->name);
   fclose (out);
   free (duties);
 }
 
 static bool
-read_address (PsCluster *w, PsInstance *instance)
+read_address (PsCluster *cluster, PsInstance *instance)
 {
   char path[128];
 
-  snprintf (path, sizeof path, "%s/%s.addr", w->folder, instance->name);
+  snprintf (path, sizeof path, "%s/%s.addr", cluster->folder, instance->name);
   struct json_object *object = json_object_from_file (path);
   LB_COPY (instance->address, object ? lb_json_text (object, "caller_address", "") : "");
   LB_COPY (instance->metrics_address, object ? lb_json_text (object, "metrics_address", "") : "");
@@ -225,72 +228,72 @@
 }
 
 void
-ps_read_metrics (PsCluster *w, size_t instance)
+ps_read_metrics (PsCluster *cluster, size_t instance)
 {
-  const LhHandlers handlers = { .on_done = on_done };
+  const LhHandlers handlers = { .on_done = on_response };
   const LhRequest request = { .method = "GET",
-                              .address = w->instances[instance].metrics_address,
+                              .address = cluster->instances[instance].metrics_address,
                               .path = "/metrics",
                               .fresh_connection = true };
-  int before = w->answers;
+  int before = cluster->n_responses;
 
-  lh_fetch_start (w->pool, &request, &handlers, w, NULL);
-  PS_WAIT_UNTIL (w, w->answers > before);
+  lh_fetch_start (cluster->pool, &request, &handlers, cluster, NULL);
+  PS_WAIT_UNTIL (cluster, cluster->n_responses > before);
 }
 
 bool
-ps_is_ready (PsCluster *w, size_t instance)
+ps_is_ready (PsCluster *cluster, size_t instance)
 {
-  ps_call (w, instance, "GET", "/-/readiness", "", "");
-  return w->status == 200;
+  ps_call (cluster, instance, "GET", "/-/readiness", "", "");
+  return cluster->status == 200;
 }
 
 static void
-start_process (PsCluster *w, PsInstance *instance)
+start_process (PsCluster *cluster, PsInstance *instance)
 {
   char settings[128];
   char log[128];
   const char *const argv[] = { "lentilspindled", "--config", settings, NULL };
 
-  snprintf (settings, sizeof settings, "%s/%s.json", w->folder, instance->name);
-  snprintf (log, sizeof log, "%s/%s.log", w->folder, instance->name);
+  snprintf (settings, sizeof settings, "%s/%s.json", cluster->folder, instance->name);
+  snprintf (log, sizeof log, "%s/%s.log", cluster->folder, instance->name);
   pt_process_start (&instance->process, argv, log);
 }
 
 size_t
-ps_spawn_instance (PsCluster *w)
+ps_spawn_instance (PsCluster *cluster)
 {
-  size_t index = w->n_instances;
-  PsInstance *instance = &w->instances[index];
+  size_t index = cluster->n_instances;
+  PsInstance *instance = &cluster->instances[index];
 
   snprintf (instance->name, sizeof instance->name, "n%zu", index);
-  write_settings (w, instance);
-  start_process (w, instance);
-  w->n_instances++;
-  PS_WAIT_UNTIL (w, read_address (w, instance));
+  write_settings (cluster, instance);
+  start_process (cluster, instance);
+  cluster->n_instances++;
+  PS_WAIT_UNTIL (cluster, read_address (cluster, instance));
   return index;
 }
 
 size_t
-ps_start_instance (PsCluster *w)
+ps_start_instance (PsCluster *cluster)
 {
-  size_t index = ps_spawn_instance (w);
+  size_t index = ps_spawn_instance (cluster);
 
-  PS_WAIT_UNTIL (w, ps_is_ready (w, index));
+  PS_WAIT_UNTIL (cluster, ps_is_ready (cluster, index));
   return index;
 }
 
 void
-ps_restart_instance (PsCluster *w, size_t index)
+ps_restart_instance (PsCluster *cluster, size_t index)
 {
-  PsInstance *instance = &w->instances[index];
-  char *file = lb_asprintf ("%s/%s.addr", w->folder, instance->name);
+  PsInstance *instance = &cluster->instances[index];
+  char *file = lb_asprintf ("%s/%s.addr", cluster->folder, instance->name);
 
   pt_process_clear (&instance->process);
   unlink (file);
-  start_process (w, instance);
-  PS_WAIT_UNTIL (w, read_address (w, instance));
-  PS_WAIT_UNTIL (w, ps_is_ready (w, index));
+  start_process (cluster, instance);
+  PS_WAIT_UNTIL (cluster, read_address (cluster, instance));
+  PS_WAIT_UNTIL (cluster, ps_is_ready (cluster, index));
   free (file);
 }
 
@@ -323,28 +326,28 @@
 }
 
 void
-ps_submit (PsCluster *w, size_t instance, const char *id, int n_items)
+ps_submit (PsCluster *cluster, size_t instance, const char *id, int n_items)
 {
   char *body = ps_make_batch (n_items);
 
-  ps_call (w, instance, "POST", "/steps/1", id, body);
+  ps_call (cluster, instance, "POST", "/steps/1", id, body);
   free (body);
 }
 
 struct json_object *
-ps_read_results (PsCluster *w, size_t instance, const char *id)
+ps_read_results (PsCluster *cluster, size_t instance, const char *id)
 {
   char *path = lb_asprintf ("/-/lots/%s?after=0", id);
 
-  ps_call (w, instance, "GET", path, "", "");
+  ps_call (cluster, instance, "GET", path, "", "");
   free (path);
-  return w->status == 200 ? json_tokener_parse (w->body) : NULL;
+  return cluster->status == 200 ? json_tokener_parse (cluster->body) : NULL;
 }
 
 int64_t
-ps_count_listed (PsCluster *w, size_t instance, const char *id)
+ps_count_listed (PsCluster *cluster, size_t instance, const char *id)
 {
-  struct json_object *page = ps_read_results (w, instance, id);
+  struct json_object *page = ps_read_results (cluster, instance, id);
   int64_t next = page ? lb_json_int (page, "next", 0) : -1;
 
   json_object_put (page);
@@ -352,25 +355,25 @@
 }
 
 static bool
-is_whole_text (const char *item, const char *text, int events)
+is_expected_text (const char *item, const char *text, int events)
 {
   char *expected = lb_strdup ("");
 
   for (int i = 1; i <= events; i++)
     {
-      char *longer = lb_asprintf ("%s%s%s.%d", expected, i > 1 ? "\n" : "", item, i);
+      char *extended = lb_asprintf ("%s%s%s.%d", expected, i > 1 ? "\n" : "", item, i);
       free (expected);
-      expected = longer;
+      expected = extended;
     }
-  bool same = strcmp (expected, text) == 0;
+  bool is_equal = strcmp (expected, text) == 0;
   free (expected);
-  return same;
+  return is_equal;
 }
 
 void
-ps_assert_all_listed (PsCluster *w, size_t instance, const char *id, int n_items)
+ps_assert_all_listed (PsCluster *cluster, size_t instance, const char *id, int n_items)
 {
-  struct json_object *page = ps_read_results (w, instance, id);
+  struct json_object *page = ps_read_results (cluster, instance, id);
   struct json_object *results = lb_json_member (page, "results");
   int seen[64] = { 0 };
   char score[64];
@@ -383,41 +386,42 @@
       int number = atoi (item + strlen ("item"));
       snprintf (score, sizeof score, "stamp-score%d", number);
       PT_ASSERT (strcmp (lb_json_text (result, "state", ""), "completed") == 0);
-      PT_ASSERT (is_whole_text (item, lb_json_text (result, "text", ""), w->engines[0].n_events));
+      PT_ASSERT (
+          is_expected_text (item, lb_json_text (result, "text", ""), cluster->engines[0].n_events));
       PT_ASSERT (strcmp (lb_json_text (result, "score", ""), score) == 0);
-      PT_ASSERT_MSG (seen[number]++ == 0, "%s stands twice", item);
+      PT_ASSERT_MSG (seen[number]++ == 0, "%s is listed twice", item);
     }
   json_object_put (page);
 }
 
 size_t
-ps_count_engine_runs (const PsCluster *w)
+ps_count_engine_runs (const PsCluster *cluster)
 {
   size_t n = 0;
 
   for (int i = 0; i < PS_N_ENGINES; i++)
-    n += w->engines[i].n_stream_records;
+    n += cluster->engines[i].n_stream_records;
   return n;
 }
 
 size_t
-ps_find_owner (PsCluster *w)
+ps_find_owner (PsCluster *cluster)
 {
-  size_t owner = w->n_instances;
+  size_t owner = cluster->n_instances;
 
-  for (size_t i = 0; i < w->n_instances; i++)
+  for (size_t i = 0; i < cluster->n_instances; i++)
     {
-      ps_read_metrics (w, i);
-      if (strstr (w->body, "lentilspindle_batches_owned 1"))
+      ps_read_metrics (cluster, i);
+      if (strstr (cluster->body, "lentilspindle_batches_owned 1"))
         owner = i;
     }
   return owner;
 }
 
 int
-ps_count_logged (const PsCluster *w, size_t instance, const char *text)
+ps_count_logged (const PsCluster *cluster, size_t instance, const char *text)
 {
-  const char *at = w->instances[instance].process.output;
+  const char *at = cluster->instances[instance].process.output;
   int count = 0;
 
   while (at && (at = strstr (at, text)))
@@ -429,12 +433,12 @@
 }
 
 double
-ps_read_metric (PsCluster *w, size_t instance, const char *name)
+ps_read_metric (PsCluster *cluster, size_t instance, const char *name)
 {
   char line[96];
 
-  ps_read_metrics (w, instance);
+  ps_read_metrics (cluster, instance);
   snprintf (line, sizeof line, "\n%s ", name);
-  const char *at = strstr (w->body, line);
+  const char *at = strstr (cluster->body, line);
   return at ? strtod (at + strlen (line), NULL) : 0;
 }
--- a/tests/process/test-chaos.c
+++ b/tests/process/test-chaos.c
@@ -1,4 +1,4 @@
-#include "pt-world.h"
+#include "pt-cluster.h"
 
 #include "lb-clock.h"
 
@@ -21,7 +21,7 @@
 /* Three instances, four engines, two services; a trainer, clerks and order messages. */
 typedef struct
 {
-  PtCluster world;
+  PtCluster cluster;
   PtProgram *engines[4];
   PtProgram *services[2];
   PtProcess trainer;
@@ -37,25 +37,25 @@
 start_world (Scene *scene)
 {
   static const char *const service_options[] = { "--latency-ms", "30", NULL };
-  PtCluster *world = &scene->world;
+  PtCluster *cluster = &scene->cluster;
   char name[16];
 
-  pt_cluster_init (world);
-  world->stream_silence_ms = 1000;
-  pt_start_platform (world);
+  pt_cluster_init (cluster);
+  cluster->stream_silence_ms = 1000;
+  pt_start_platform (cluster);
   for (int i = 0; i < 4; i++)
     {
       snprintf (name, sizeof name, "engine-%d", i + 1);
-      scene->engines[i] = pt_start_engine (world, name, engine_options);
+      scene->engines[i] = pt_start_engine (cluster, name, engine_options);
     }
-  scene->services[0] = pt_start_service (world, "lookup-1", service_options);
-  scene->services[1] = pt_start_service (world, "lookup-2", service_options);
-  pt_start_instance (world, "i1", "hall-a");
-  pt_start_instance (world, "i2", "hall-b");
-  pt_start_instance (world, "i3", "hall-c");
-  pt_apply_resources (world, &world->instances[0]);
-  for (size_t i = 0; i < world->n_instances; i++)
-    pt_wait_ready (world, &world->instances[i]);
+  scene->services[0] = pt_start_service (cluster, "lookup-1", service_options);
+  scene->services[1] = pt_start_service (cluster, "lookup-2", service_options);
+  pt_start_instance (cluster, "i1", "hall-a");
+  pt_start_instance (cluster, "i2", "hall-b");
+  pt_start_instance (cluster, "i3", "hall-c");
+  pt_apply_resources (cluster, &cluster->instances[0]);
+  for (size_t i = 0; i < cluster->n_instances; i++)
+    pt_wait_ready (cluster, &cluster->instances[i]);
 }
 
 static void
@@ -93,9 +93,9 @@
           "6000",      "--retries", "6",         "--entry-ms",
           "500",       NULL };
 
-  pt_start_trainer (&scene->world, &scene->trainer, trainer);
-  pt_start_load (&scene->world, &scene->clerks, clerks);
-  pt_start_load (&scene->world, &scene->orders, orders);
+  pt_start_trainer (&scene->cluster, &scene->trainer, trainer);
+  pt_start_load (&scene->cluster, &scene->clerks, clerks);
+  pt_start_load (&scene->cluster, &scene->orders, orders);
 }
 
 static size_t
@@ -109,7 +109,7 @@
 {
   int span = high_ms - low_ms;
 
-  si_client_pause (&scene->world.client, (low_ms + (LbTime)pick (scene, (size_t)span)) * LB_MSEC);
+  si_client_pause (&scene->cluster.client, (low_ms + (LbTime)pick (scene, (size_t)span)) * LB_MSEC);
 }
 
 static void
@@ -119,8 +119,8 @@
 
   pt_process_signal (&engine->process, SIGKILL);
   pause_for (scene, 300, 1200);
-  pt_restart_engine (&scene->world, engine, engine_options);
-  pt_apply_resources_anywhere (&scene->world);
+  pt_restart_engine (&scene->cluster, engine, engine_options);
+  pt_apply_resources_anywhere (&scene->cluster);
 }
 
 static void
@@ -135,9 +135,9 @@
                                         "{\"mode\": \"fail_swap\", \"count\": 1}" };
   PtProgram *engine = scene->engines[pick (scene, 4)];
 
-  pt_inject_fault (&scene->world, engine, orders[pick (scene, sizeof orders / sizeof orders[0])]);
+  pt_inject_fault (&scene->cluster, engine, orders[pick (scene, sizeof orders / sizeof orders[0])]);
   pause_for (scene, 300, 900);
-  pt_inject_fault (&scene->world, engine, "{\"mode\": \"none\"}");
+  pt_inject_fault (&scene->cluster, engine, "{\"mode\": \"none\"}");
 }
 
 static void
@@ -148,9 +148,10 @@
           "{\"mode\": \"hang\", \"count\": 1}", "{\"mode\": \"slow\", \"ms\": 400}" };
   PtProgram *service = scene->services[pick (scene, 2)];
 
-  pt_inject_fault (&scene->world, service, orders[pick (scene, sizeof orders / sizeof orders[0])]);
+  pt_inject_fault (&scene->cluster, service,
+                   orders[pick (scene, sizeof orders / sizeof orders[0])]);
   pause_for (scene, 200, 700);
-  pt_inject_fault (&scene->world, service, "{\"mode\": \"none\"}");
+  pt_inject_fault (&scene->cluster, service, "{\"mode\": \"none\"}");
 }
 
 static void
@@ -160,16 +161,16 @@
       = { "{\"mode\": \"down\"}", "{\"mode\": \"hang\"}", "{\"mode\": \"slow\", \"ms\": 300}",
           "{\"mode\": \"lose_reply\", \"count\": 6}", "{\"mode\": \"busy\"}" };
 
-  pt_inject_fault (&scene->world, &scene->world.platform,
+  pt_inject_fault (&scene->cluster, &scene->cluster.platform,
                    orders[pick (scene, sizeof orders / sizeof orders[0])]);
   pause_for (scene, 300, 2000);
-  pt_inject_fault (&scene->world, &scene->world.platform, "{\"mode\": \"none\"}");
+  pt_inject_fault (&scene->cluster, &scene->cluster.platform, "{\"mode\": \"none\"}");
 }
 
 static void
 pause_instance (Scene *scene)
 {
-  PtProgram *instance = &scene->world.instances[pick (scene, 3)];
+  PtProgram *instance = &scene->cluster.instances[pick (scene, 3)];
 
   pt_process_signal (&instance->process, SIGSTOP);
   pause_for (scene, 500, 2500);
@@ -183,8 +184,8 @@
 
   snprintf (order, sizeof order, "{\"weights\": {\"pool\": \"reader\", \"version\": %lld}}",
             (long long)++scene->newest);
-  json_object_put (
-      si_client_call_json (&scene->world.client, scene->world.platform.address, "/control", order));
+  json_object_put (si_client_call_json (&scene->cluster.client, scene->cluster.platform.address,
+                                        "/control", order));
   pause_for (scene, 300, 900);
 }
 
@@ -195,11 +196,11 @@
   if (!scene->kills_instances || scene->n_killed == 2)
     return;
   /* A step opened while the store is away is known to its owner alone until it is back. */
-  si_client_pause (&scene->world.client, DURABLE_BY);
-  PtProgram *instance = &scene->world.instances[scene->n_killed++];
+  si_client_pause (&scene->cluster.client, DURABLE_BY);
+  PtProgram *instance = &scene->cluster.instances[scene->n_killed++];
   pt_process_signal (&instance->process, SIGKILL);
   pause_for (scene, 300, 1500);
-  pt_restart_instance (&scene->world, instance);
+  pt_restart_instance (&scene->cluster, instance);
 }
 
 static void
@@ -214,7 +215,7 @@
       if (i % FAULTS_A_VERSION == 0)
         {
           new_weights (scene);
-          pt_inject_fault (&scene->world, scene->services[pick (scene, 2)],
+          pt_inject_fault (&scene->cluster, scene->services[pick (scene, 2)],
                            "{\"mode\": \"lose_reply\", \"count\": 2}");
         }
       faults[pick (scene, sizeof faults / sizeof faults[0])](scene);
@@ -225,23 +226,24 @@
 static void
 check_trainer (Scene *scene)
 {
-  struct json_object *summary = pt_wait_summary (&scene->world, &scene->trainer);
+  struct json_object *summary = pt_wait_summary (&scene->cluster, &scene->trainer);
 
   cr_assert (pt_process_has_exited (&scene->trainer, 0), "trainer: %s (logs in %s)",
-             json_object_to_json_string (summary), scene->world.folder);
+             json_object_to_json_string (summary), scene->cluster.folder);
   json_object_put (summary);
 }
 
 static void
 check_clerks (Scene *scene)
 {
-  struct json_object *summary = pt_wait_summary (&scene->world, &scene->clerks);
+  struct json_object *summary = pt_wait_summary (&scene->cluster, &scene->clerks);
 
   cr_assert_eq (si_json_int (summary, "wrong", -1), 0, "clerks: %s (logs in %s)",
-                json_object_to_json_string (summary), scene->world.folder);
+                json_object_to_json_string (summary), scene->cluster.folder);
   /* Only a killed instance may leave an answer without its end or a typed error. */
   cr_assert (scene->kills_instances || si_json_int (summary, "cut", -1) == 0,
-             "clerks: %s (logs in %s)", json_object_to_json_string (summary), scene->world.folder);
+             "clerks: %s (logs in %s)", json_object_to_json_string (summary),
+             scene->cluster.folder);
   cr_assert_gt (si_json_int (summary, "whole", 0), 50);
   json_object_put (summary);
 }
@@ -259,9 +261,9 @@
 static void
 check_orders (Scene *scene)
 {
-  struct json_object *summary = pt_wait_summary (&scene->world, &scene->orders);
-  struct json_object *logs[] = { pt_read_log (&scene->world, scene->services[0]),
-                                 pt_read_log (&scene->world, scene->services[1]) };
+  struct json_object *summary = pt_wait_summary (&scene->cluster, &scene->orders);
+  struct json_object *logs[] = { pt_read_log (&scene->cluster, scene->services[0]),
+                                 pt_read_log (&scene->cluster, scene->services[1]) };
   struct json_object *not_run = NULL;
   char key[64];
 
@@ -270,14 +272,14 @@
     {
       snprintf (key, sizeof key, "shop asks for the %lldth time", (long long)i);
       cr_assert_leq (runs_of (logs[0], key) + runs_of (logs[1], key), 1, "%s (logs in %s)", key,
-                     scene->world.folder);
+                     scene->cluster.folder);
     }
   json_object_object_get_ex (summary, "not_run_keys", &not_run);
   for (size_t i = 0; i < json_object_array_length (not_run); i++)
     {
       const char *refused = json_object_get_string (json_object_array_get_idx (not_run, i));
       cr_assert_eq (runs_of (logs[0], refused) + runs_of (logs[1], refused), 0, "%s (logs in %s)",
-                    refused, scene->world.folder);
+                    refused, scene->cluster.folder);
     }
   json_object_put (logs[0]);
   json_object_put (logs[1]);
@@ -306,11 +308,11 @@
   check_clerks (&scene);
   check_orders (&scene);
   check_trainer (&scene);
-  pt_cluster_drain (&scene.world);
+  pt_cluster_drain (&scene.cluster);
   pt_process_clear (&scene.trainer);
   pt_process_clear (&scene.clerks);
   pt_process_clear (&scene.orders);
-  pt_cluster_clear (&scene.world);
+  pt_cluster_clear (&scene.cluster);
   gsl_rng_free (scene.rng);
 }
 
--- a/tests/process/test-drain.c
+++ b/tests/process/test-drain.c
@@ -1,4 +1,4 @@
-#include "pt-world.h"
+#include "pt-cluster.h"
 
 #include <criterion/criterion.h>
 #include <signal.h>
@@ -20,22 +20,22 @@
 }
 
 static bool
-is_answered (PtCluster *world, void *user)
+is_answered (PtCluster *cluster, void *user)
 {
-  (void)world;
+  (void)cluster;
   return ((Answer *)user)->done;
 }
 
 static bool
-engine_has_started (PtCluster *world, void *user)
+engine_has_started (PtCluster *cluster, void *user)
 {
-  return pt_read_log_counter (world, user, "started") > 0;
+  return pt_read_log_counter (cluster, user, "started") > 0;
 }
 
 static bool
-stream_has_started (PtCluster *world, void *user)
+stream_has_started (PtCluster *cluster, void *user)
 {
-  return pt_count_runs (world, user, "a long envelope") > 0;
+  return pt_count_runs (cluster, user, "a long envelope") > 0;
 }
 
 /* An instance is replaced while a clerk reads a long answer. If the process ends at SIGTERM, or
@@ -44,40 +44,40 @@
 Test (drain, stream_in_progress_is_finished_before_the_exit)
 {
   static const char *const slow[] = { "--tokens-per-second", "40", NULL };
-  PtCluster world;
+  PtCluster cluster;
   Answer answer = { .done = false };
 
-  pt_cluster_init (&world);
-  world.in_memory = true;
-  PtProgram *engine = pt_start_engine (&world, "engine-1", slow);
-  PtProgram *instance = pt_start_instance (&world, "i1", "hall-a");
-  pt_apply_resources (&world, instance);
-  pt_wait_ready (&world, instance);
+  pt_cluster_init (&cluster);
+  cluster.has_memory_platform = true;
+  PtProgram *engine = pt_start_engine (&cluster, "engine-1", slow);
+  PtProgram *instance = pt_start_instance (&cluster, "i1", "hall-a");
+  pt_apply_resources (&cluster, instance);
+  pt_wait_ready (&cluster, instance);
   SiCheckedCallSpec spec = { .address = instance->address,
                              .model = "reader",
                              .prompt = "a long envelope",
                              .max_tokens = 120,
                              .stream = true };
-  si_checked_call_start (world.client.pool, &spec, on_answer, &answer);
-  pt_wait (&world, "the engine has the call", engine_has_started, engine);
+  si_checked_call_start (cluster.client.pool, &spec, on_answer, &answer);
+  pt_wait (&cluster, "the engine has the call", engine_has_started, engine);
 
   pt_process_signal (&instance->process, SIGTERM);
   pt_process_signal (&instance->process, SIGTERM);
-  si_client_pause (&world.client, 100 * LB_MSEC);
+  si_client_pause (&cluster.client, 100 * LB_MSEC);
   spec.prompt = "another";
-  SiCheckedCallResult refused = pt_checked_call (&world, &spec);
+  SiCheckedCallResult refused = pt_checked_call (&cluster, &spec);
   cr_assert_eq (refused.outcome, SI_CALL_NOT_RUN, "%d %s", refused.outcome, refused.error);
-  cr_assert_eq (pt_count_runs (&world, engine, "another"), 0);
+  cr_assert_eq (pt_count_runs (&cluster, engine, "another"), 0);
 
-  pt_wait (&world, "the stream ends", is_answered, &answer);
+  pt_wait (&cluster, "the stream ends", is_answered, &answer);
   cr_assert_eq (answer.result.outcome, SI_CALL_COMPLETE, "%d %s", answer.result.outcome,
                 answer.result.error);
-  pt_wait_exit (&world, &instance->process, 0);
-  pt_cluster_clear (&world);
+  pt_wait_exit (&cluster, &instance->process, 0);
+  pt_cluster_clear (&cluster);
 }
 
 static bool
-pull_is_turned_away (PtCluster *world, void *user)
+pull_is_turned_away (PtCluster *cluster, void *user)
 {
   const PtProgram *instance = user;
   const SiCall call = { .method = "POST",
@@ -88,7 +88,7 @@
                         .idle_timeout = LB_SEC };
   SiResponse answer;
 
-  si_client_call (&world->client, &call, &answer);
+  si_client_call (&cluster->client, &call, &answer);
   bool turned_away = strcmp (si_response_error (&answer), "draining") == 0;
   si_response_clear (&answer);
   return turned_away;
@@ -101,37 +101,37 @@
 Test (drain, trainer_that_stays_is_turned_away)
 {
   static const char *const slow[] = { "--tokens-per-second", "20", NULL };
-  PtCluster world;
+  PtCluster cluster;
   Answer answer = { .done = false };
 
-  pt_cluster_init (&world);
-  pt_start_platform (&world);
-  PtProgram *engine = pt_start_engine (&world, "engine-1", slow);
-  PtProgram *leaving = pt_start_instance (&world, "i1", "hall-a");
-  PtProgram *owner = pt_start_instance (&world, "i2", "hall-b");
-  pt_apply_resources (&world, leaving);
-  pt_wait_ready (&world, leaving);
-  pt_wait_ready (&world, owner);
+  pt_cluster_init (&cluster);
+  pt_start_platform (&cluster);
+  PtProgram *engine = pt_start_engine (&cluster, "engine-1", slow);
+  PtProgram *leaving = pt_start_instance (&cluster, "i1", "hall-a");
+  PtProgram *owner = pt_start_instance (&cluster, "i2", "hall-b");
+  pt_apply_resources (&cluster, leaving);
+  pt_wait_ready (&cluster, leaving);
+  pt_wait_ready (&cluster, owner);
   json_object_put (si_client_call_json (
-      &world.client, owner->address, "/v1/subscriptions/reader-trainer/steps",
+      &cluster.client, owner->address, "/v1/subscriptions/reader-trainer/steps",
       "{\"step\": 1, \"weight_version\": 1, \"groups\": [{\"id\": \"g0\", \"prompt\": \"p\", "
       "\"samples\": 1, \"max_tokens\": 120}]}"));
-  pt_wait (&world, "the step runs", engine_has_started, engine);
+  pt_wait (&cluster, "the step runs", engine_has_started, engine);
   const SiCheckedCallSpec spec = { .address = leaving->address,
                                    .model = "reader",
                                    .prompt = "a long envelope",
                                    .max_tokens = 120,
                                    .stream = true };
-  si_checked_call_start (world.client.pool, &spec, on_answer, &answer);
-  pt_wait (&world, "the stream runs", stream_has_started, engine);
+  si_checked_call_start (cluster.client.pool, &spec, on_answer, &answer);
+  pt_wait (&cluster, "the stream runs", stream_has_started, engine);
 
   pt_process_signal (&leaving->process, SIGTERM);
-  pt_wait (&world, "the trainer is turned away", pull_is_turned_away, leaving);
-  pt_wait (&world, "the stream ends", is_answered, &answer);
+  pt_wait (&cluster, "the trainer is turned away", pull_is_turned_away, leaving);
+  pt_wait (&cluster, "the stream ends", is_answered, &answer);
   cr_assert_eq (answer.result.outcome, SI_CALL_COMPLETE);
-  pt_wait_exit (&world, &leaving->process, 0);
-  pt_cluster_drain (&world);
-  pt_cluster_clear (&world);
+  pt_wait_exit (&cluster, &leaving->process, 0);
+  pt_cluster_drain (&cluster);
+  pt_cluster_clear (&cluster);
 }
 
 /* An instance is replaced while the store answers nothing. What waits for the store is dropped at
@@ -140,17 +140,17 @@
 Test (drain, store_that_answers_nothing_does_not_spoil_the_exit)
 {
   static const char *const engine_options[] = { "--version", "1", NULL };
-  PtCluster world;
-
-  pt_cluster_init (&world);
-  pt_start_platform (&world);
-  pt_start_engine (&world, "engine-1", engine_options);
-  pt_start_instance (&world, "i1", "hall-a");
-  pt_start_instance (&world, "i2", "hall-b");
-  pt_apply_resources (&world, &world.instances[0]);
-  pt_wait_ready (&world, &world.instances[0]);
-  pt_wait_ready (&world, &world.instances[1]);
-  pt_inject_fault (&world, &world.platform, "{\"mode\": \"hang\"}");
-  pt_cluster_drain (&world);
-  pt_cluster_clear (&world);
+  PtCluster cluster;
+
+  pt_cluster_init (&cluster);
+  pt_start_platform (&cluster);
+  pt_start_engine (&cluster, "engine-1", engine_options);
+  pt_start_instance (&cluster, "i1", "hall-a");
+  pt_start_instance (&cluster, "i2", "hall-b");
+  pt_apply_resources (&cluster, &cluster.instances[0]);
+  pt_wait_ready (&cluster, &cluster.instances[0]);
+  pt_wait_ready (&cluster, &cluster.instances[1]);
+  pt_inject_fault (&cluster, &cluster.platform, "{\"mode\": \"hang\"}");
+  pt_cluster_drain (&cluster);
+  pt_cluster_clear (&cluster);
 }
--- a/tests/process/test-duties.c
+++ b/tests/process/test-duties.c
@@ -16,86 +16,88 @@
 #define N_INSTANCES 2
 
 static void
-begin (PsCluster *w)
+begin (PsCluster *cluster)
 {
-  ps_cluster_init (w);
-  w->organisations = ORGANISATIONS;
-  w->has_duties = true;
-  ps_put_config (w, 2, "");
+  ps_cluster_init (cluster);
+  cluster->organisations_config = ORGANISATIONS;
+  cluster->has_duties = true;
+  ps_put_config (cluster, 2, "");
   for (int i = 0; i < N_INSTANCES; i++)
-    ps_start_instance (w);
-  PS_WAIT_UNTIL (w, w->cloud.calls > 0);
+    ps_start_instance (cluster);
+  PS_WAIT_UNTIL (cluster, cluster->control_plane.calls > 0);
 }
 
 static void
-call (PsCluster *w, size_t instance, const char *key, int n)
+call (PsCluster *cluster, size_t instance, const char *key, int n)
 {
   static int number;
   char id[16];
 
-  w->key = key;
+  cluster->api_key = key;
   for (int i = 0; i < n; i++)
     {
       snprintf (id, sizeof id, "c%d", ++number);
-      ps_call (w, instance, "POST", "/lookup/1", id, "");
-      cr_assert_eq (w->status, 200);
+      ps_call (cluster, instance, "POST", "/lookup/1", id, "");
+      cr_assert_eq (cluster->status, 200);
     }
 }
 
 static bool
-is_reported (const PsCluster *w, int64_t post, int64_t mill)
+is_reported (const PsCluster *cluster, int64_t post, int64_t mill)
 {
-  return si_control_plane_count_requests (&w->cloud, "post") == post
-         && si_control_plane_count_requests (&w->cloud, "mill") == mill;
+  return si_control_plane_count_requests (&cluster->control_plane, "post") == post
+         && si_control_plane_count_requests (&cluster->control_plane, "mill") == mill;
 }
 
 static size_t
-holder (PsCluster *w)
+holder (PsCluster *cluster)
 {
-  for (size_t i = 0; i < w->n_instances; i++)
-    if (w->cloud.n_reports > 0
-        && strcmp (w->cloud.reports[w->cloud.n_reports - 1].duty_holder, w->instances[i].name) == 0)
+  for (size_t i = 0; i < cluster->n_instances; i++)
+    if (cluster->control_plane.n_reports > 0
+        && strcmp (cluster->control_plane.reports[cluster->control_plane.n_reports - 1].duty_holder,
+                   cluster->instances[i].name)
+               == 0)
       return i;
-  return w->n_instances;
+  return cluster->n_instances;
 }
 
 static void
-end (PsCluster *w)
+end (PsCluster *cluster)
 {
-  cr_assert_eq (w->cloud.conflicting_reports, 0);
-  cr_assert_eq (w->cloud.unidentified_calls, 0);
-  ps_cluster_clear (w);
+  cr_assert_eq (cluster->control_plane.conflicting_reports, 0);
+  cr_assert_eq (cluster->control_plane.unidentified_calls, 0);
+  ps_cluster_clear (cluster);
 }
 
 Test (duties, all_instances_usage_is_reported_by_one)
 {
-  PsCluster w;
-
-  begin (&w);
-  call (&w, 0, "post-1", 5);
-  call (&w, 1, "post-1", 2);
-  call (&w, 1, "mill-1", 3);
-  PS_WAIT_UNTIL (&w, is_reported (&w, 7, 3));
-  cr_assert_eq (w.cloud.stale_calls, 0);
-  end (&w);
+  PsCluster cluster;
+
+  begin (&cluster);
+  call (&cluster, 0, "post-1", 5);
+  call (&cluster, 1, "post-1", 2);
+  call (&cluster, 1, "mill-1", 3);
+  PS_WAIT_UNTIL (&cluster, is_reported (&cluster, 7, 3));
+  cr_assert_eq (cluster.control_plane.stale_calls, 0);
+  end (&cluster);
 }
 
 /* A call works for eight seconds, longer than its window is waited for. It is reported where it
  * began, while it still runs. */
 Test (duties, a_long_call_is_reported_where_it_began)
 {
-  PsCluster w;
-
-  begin (&w);
-  w.lookup.call_duration = 8 * LB_SEC;
-  w.key = "post-1";
-  int before = w.answers;
-  ps_start_call (&w, 0, "POST", "/lookup/1", "long", "");
-  PS_WAIT_UNTIL (&w, is_reported (&w, 1, 0));
-  cr_assert_eq (w.answers, before, "it was counted only when it had ended");
-  PS_WAIT_UNTIL (&w, w.answers > before);
-  cr_assert_eq (w.status, 200);
-  end (&w);
+  PsCluster cluster;
+
+  begin (&cluster);
+  cluster.lookup.call_duration = 8 * LB_SEC;
+  cluster.api_key = "post-1";
+  int before = cluster.n_responses;
+  ps_start_call (&cluster, 0, "POST", "/lookup/1", "long", "");
+  PS_WAIT_UNTIL (&cluster, is_reported (&cluster, 1, 0));
+  cr_assert_eq (cluster.n_responses, before, "it was counted only when it had ended");
+  PS_WAIT_UNTIL (&cluster, cluster.n_responses > before);
+  cr_assert_eq (cluster.status, 200);
+  end (&cluster);
 }
 
 /* The instance that served the calls and the one that reports are killed a moment later. What they
@@ -103,55 +105,55 @@
  * other figures. */
 Test (duties, usage_outlives_its_instances)
 {
-  PsCluster w;
+  PsCluster cluster;
 
-  begin (&w);
-  PS_WAIT_UNTIL (&w, holder (&w) < w.n_instances);
-  size_t killed = holder (&w);
-  call (&w, killed, "post-1", 4);
-  PS_WAIT_UNTIL (&w, si_row_store_count (&w.rows, "usage") > 0);
+  begin (&cluster);
+  PS_WAIT_UNTIL (&cluster, holder (&cluster) < cluster.n_instances);
+  size_t killed = holder (&cluster);
+  call (&cluster, killed, "post-1", 4);
+  PS_WAIT_UNTIL (&cluster, si_row_store_count (&cluster.store, "usage") > 0);
   for (LbTime until = lb_clock_monotonic () + 300 * LB_MSEC; lb_clock_monotonic () < until;)
-    ps_run_loop_once (&w);
-  pt_process_signal (&w.instances[killed].process, SIGKILL);
-  call (&w, 1 - killed, "mill-1", 2);
-  PS_WAIT_UNTIL (&w, is_reported (&w, 4, 2));
-  end (&w);
+    ps_run_loop_once (&cluster);
+  pt_process_signal (&cluster.instances[killed].process, SIGKILL);
+  call (&cluster, 1 - killed, "mill-1", 2);
+  PS_WAIT_UNTIL (&cluster, is_reported (&cluster, 4, 2));
+  end (&cluster);
 }
 
 /* The platform carries reports out and its answers are lost, then it refuses calls. Reports are
  * repeated as they were until they are taken. */
 Test (duties, a_platform_that_is_not_well_gets_each_report_once)
 {
-  PsCluster w;
-
-  begin (&w);
-  w.cloud.mode = SI_CONTROL_PLANE_LOSES_REPLY;
-  call (&w, 0, "post-1", 3);
-  int calls = w.cloud.calls;
-  PS_WAIT_UNTIL (&w, w.cloud.calls >= calls + 4);
-  w.cloud.mode = SI_CONTROL_PLANE_BUSY;
-  calls = w.cloud.calls;
-  PS_WAIT_UNTIL (&w, w.cloud.calls >= calls + 4);
-  w.cloud.mode = SI_CONTROL_PLANE_NORMAL;
-  call (&w, 1, "post-1", 1);
-  PS_WAIT_UNTIL (&w, is_reported (&w, 4, 0));
-  end (&w);
+  PsCluster cluster;
+
+  begin (&cluster);
+  cluster.control_plane.mode = SI_CONTROL_PLANE_LOSES_REPLY;
+  call (&cluster, 0, "post-1", 3);
+  int calls = cluster.control_plane.calls;
+  PS_WAIT_UNTIL (&cluster, cluster.control_plane.calls >= calls + 4);
+  cluster.control_plane.mode = SI_CONTROL_PLANE_BUSY;
+  calls = cluster.control_plane.calls;
+  PS_WAIT_UNTIL (&cluster, cluster.control_plane.calls >= calls + 4);
+  cluster.control_plane.mode = SI_CONTROL_PLANE_NORMAL;
+  call (&cluster, 1, "post-1", 1);
+  PS_WAIT_UNTIL (&cluster, is_reported (&cluster, 4, 0));
+  end (&cluster);
 }
 
 /* The holder is stopped as planned: it gives the lease up, and the next one goes on at once. What
  * the stopped one served until its end is reported as well. */
 Test (duties, a_planned_stop_hands_the_duty_over)
 {
-  PsCluster w;
-
-  begin (&w);
-  PS_WAIT_UNTIL (&w, holder (&w) < w.n_instances);
-  size_t stopped = holder (&w);
-  call (&w, stopped, "post-1", 2);
-  pt_process_signal (&w.instances[stopped].process, SIGTERM);
-  call (&w, stopped, "post-1", 1);
-  PS_WAIT_UNTIL (&w, w.instances[stopped].process.ended);
-  PS_WAIT_UNTIL (&w, is_reported (&w, 3, 0));
-  PS_WAIT_UNTIL (&w, holder (&w) == 1 - stopped);
-  end (&w);
+  PsCluster cluster;
+
+  begin (&cluster);
+  PS_WAIT_UNTIL (&cluster, holder (&cluster) < cluster.n_instances);
+  size_t stopped = holder (&cluster);
+  call (&cluster, stopped, "post-1", 2);
+  pt_process_signal (&cluster.instances[stopped].process, SIGTERM);
+  call (&cluster, stopped, "post-1", 1);
+  PS_WAIT_UNTIL (&cluster, cluster.instances[stopped].process.ended);
+  PS_WAIT_UNTIL (&cluster, is_reported (&cluster, 3, 0));
+  PS_WAIT_UNTIL (&cluster, holder (&cluster) == 1 - stopped);
+  end (&cluster);
 }
--- a/tests/process/test-endpoints.c
+++ b/tests/process/test-endpoints.c
@@ -1,4 +1,4 @@
-#include "pt-world.h"
+#include "pt-cluster.h"
 
 #include <criterion/criterion.h>
 #include <signal.h>
@@ -9,22 +9,22 @@
 #define LEAVING_BOUND (3 * LB_SEC)
 
 static bool
-has_tokens (PtCluster *world, void *user)
+has_tokens (PtCluster *cluster, void *user)
 {
-  return pt_read_log_counter (world, user, "tokens") > 0;
+  return pt_read_log_counter (cluster, user, "tokens") > 0;
 }
 
 /* Work that the endpoint was given, whether it took it or not. */
 static int64_t
-count_asked (PtCluster *world, PtProgram *endpoint)
+count_asked (PtCluster *cluster, PtProgram *endpoint)
 {
-  return pt_read_log_counter (world, endpoint, "started")
-         + pt_read_log_counter (world, endpoint, "refused");
+  return pt_read_log_counter (cluster, endpoint, "started")
+         + pt_read_log_counter (cluster, endpoint, "refused");
 }
 
 /* Load in the background, one engine told to leave, the other stays. */
 static void
-leave_under_load (PtCluster *world, void (*leave) (PtCluster *world, PtProgram *engine))
+leave_under_load (PtCluster *cluster, void (*leave) (PtCluster *cluster, PtProgram *engine))
 {
   static const char *const load_options[]
       = { "--rate",    "60", "--concurrency", "40", "--count",  "100000",
@@ -33,21 +33,21 @@
   static const char *const slow[] = { "--tokens-per-second", "100", NULL };
   PtProcess load;
 
-  world->in_memory = true;
-  PtProgram *leaving = pt_start_engine (world, "engine-1", slow);
-  pt_start_engine (world, "engine-2", slow);
-  PtProgram *instance = pt_start_instance (world, "i1", "hall-a");
-  pt_apply_resources (world, instance);
-  pt_wait_ready (world, instance);
-  pt_start_load (world, &load, load_options);
-  pt_wait (world, "the engine that will leave has work", has_tokens, leaving);
-
-  leave (world, leaving);
-  si_client_pause (&world->client, LEAVING_BOUND);
-  int64_t after_bound = count_asked (world, leaving);
-  struct json_object *summary = pt_wait_summary (world, &load);
-  cr_assert_eq (count_asked (world, leaving), after_bound);
-  cr_assert_eq (pt_read_log_counter (world, leaving, "cancelled"), 0);
+  cluster->has_memory_platform = true;
+  PtProgram *leaving = pt_start_engine (cluster, "engine-1", slow);
+  pt_start_engine (cluster, "engine-2", slow);
+  PtProgram *instance = pt_start_instance (cluster, "i1", "hall-a");
+  pt_apply_resources (cluster, instance);
+  pt_wait_ready (cluster, instance);
+  pt_start_load (cluster, &load, load_options);
+  pt_wait (cluster, "the engine that will leave has work", has_tokens, leaving);
+
+  leave (cluster, leaving);
+  si_client_pause (&cluster->client, LEAVING_BOUND);
+  int64_t after_bound = count_asked (cluster, leaving);
+  struct json_object *summary = pt_wait_summary (cluster, &load);
+  cr_assert_eq (count_asked (cluster, leaving), after_bound);
+  cr_assert_eq (pt_read_log_counter (cluster, leaving, "cancelled"), 0);
   cr_assert (pt_process_has_exited (&load, 0), "%s", json_object_to_json_string (summary));
   cr_assert_gt (si_json_int (summary, "whole", 0), 100);
   json_object_put (summary);
@@ -55,13 +55,13 @@
 }
 
 static void
-leave_by_itself (PtCluster *world, PtProgram *engine)
+leave_by_itself (PtCluster *cluster, PtProgram *engine)
 {
-  pt_inject_fault (world, engine, "{\"mode\": \"leaving\"}");
+  pt_inject_fault (cluster, engine, "{\"mode\": \"leaving\"}");
 }
 
 static void
-leave_by_resource (PtCluster *world, PtProgram *engine)
+leave_by_resource (PtCluster *cluster, PtProgram *engine)
 {
   char changes[512];
   SiResponse answer;
@@ -71,7 +71,7 @@
             " \"pool\": \"reader\", \"address\": \"%s\", \"data_centre\": \"hall-a\","
             " \"concurrency\": 32, \"checks_fence\": true, \"leaving\": true}]}",
             engine->name, engine->address);
-  pt_apply_change (world, &world->instances[0], changes, "*", &answer);
+  pt_apply_change (cluster, &cluster->instances[0], changes, "*", &answer);
   cr_assert (si_response_is_ok (&answer), "%s", answer.body);
   si_response_clear (&answer);
 }
@@ -81,28 +81,28 @@
  * before must end whole. */
 Test (leaving, engine_that_says_so_gets_no_new_work_after_3_s)
 {
-  PtCluster world;
+  PtCluster cluster;
 
-  pt_cluster_init (&world);
-  leave_under_load (&world, leave_by_itself);
-  pt_cluster_drain (&world);
-  pt_cluster_clear (&world);
+  pt_cluster_init (&cluster);
+  leave_under_load (&cluster, leave_by_itself);
+  pt_cluster_drain (&cluster);
+  pt_cluster_clear (&cluster);
 }
 
 /* The same, told by an operator's resource while the engine itself knows nothing of it. */
 Test (leaving, engine_that_the_operator_retires_gets_no_new_work_after_3_s)
 {
-  PtCluster world;
+  PtCluster cluster;
 
-  pt_cluster_init (&world);
-  leave_under_load (&world, leave_by_resource);
-  pt_cluster_drain (&world);
-  pt_cluster_clear (&world);
+  pt_cluster_init (&cluster);
+  leave_under_load (&cluster, leave_by_resource);
+  pt_cluster_drain (&cluster);
+  pt_cluster_clear (&cluster);
 }
 
 /* None of the calls that were said not to have run has run. */
 static void
-check_not_run (PtCluster *world, struct json_object *summary, PtProgram *one, PtProgram *other)
+check_not_run (PtCluster *cluster, struct json_object *summary, PtProgram *one, PtProgram *other)
 {
   struct json_object *not_run = NULL;
 
@@ -110,8 +110,8 @@
   for (size_t i = 0; i < json_object_array_length (not_run); i++)
     {
       const char *key = json_object_get_string (json_object_array_get_idx (not_run, i));
-      cr_assert_eq (pt_count_runs (world, one, key), 0, "%s", key);
-      cr_assert (!other || pt_count_runs (world, other, key) == 0, "%s", key);
+      cr_assert_eq (pt_count_runs (cluster, one, key), 0, "%s", key);
+      cr_assert (!other || pt_count_runs (cluster, other, key) == 0, "%s", key);
     }
 }
 
@@ -124,30 +124,30 @@
       = { "--concurrency", "8",  "--count",  "40", "--callers", "40",
           "--max-tokens",  "60", "--stream", NULL };
   static const char *const slow[] = { "--tokens-per-second", "100", NULL };
-  PtCluster world;
+  PtCluster cluster;
   PtProcess load;
 
-  pt_cluster_init (&world);
-  world.in_memory = true;
-  PtProgram *crashing = pt_start_engine (&world, "engine-1", slow);
-  PtProgram *other = pt_start_engine (&world, "engine-2", slow);
-  PtProgram *instance = pt_start_instance (&world, "i1", "hall-a");
-  pt_apply_resources (&world, instance);
-  pt_wait_ready (&world, instance);
-  pt_start_load (&world, &load, load_options);
-  pt_wait (&world, "the engine that will crash has work", has_tokens, crashing);
+  pt_cluster_init (&cluster);
+  cluster.has_memory_platform = true;
+  PtProgram *crashing = pt_start_engine (&cluster, "engine-1", slow);
+  PtProgram *other = pt_start_engine (&cluster, "engine-2", slow);
+  PtProgram *instance = pt_start_instance (&cluster, "i1", "hall-a");
+  pt_apply_resources (&cluster, instance);
+  pt_wait_ready (&cluster, instance);
+  pt_start_load (&cluster, &load, load_options);
+  pt_wait (&cluster, "the engine that will crash has work", has_tokens, crashing);
   pt_process_signal (&crashing->process, SIGKILL);
 
-  struct json_object *summary = pt_wait_summary (&world, &load);
+  struct json_object *summary = pt_wait_summary (&cluster, &load);
   cr_assert (pt_process_has_exited (&load, 0), "%s", json_object_to_json_string (summary));
   cr_assert_gt (si_json_int (summary, "whole", 0), 20);
-  check_not_run (&world, summary, other, NULL);
-  cr_assert_gt (pt_read_log_counter (&world, other, "resumed"), 0);
-  cr_assert_eq (pt_read_log_counter (&world, other, "resume_mismatches"), 0);
+  check_not_run (&cluster, summary, other, NULL);
+  cr_assert_gt (pt_read_log_counter (&cluster, other, "resumed"), 0);
+  cr_assert_eq (pt_read_log_counter (&cluster, other, "resume_mismatches"), 0);
   json_object_put (summary);
   pt_process_clear (&load);
-  pt_cluster_drain (&world);
-  pt_cluster_clear (&world);
+  pt_cluster_drain (&cluster);
+  pt_cluster_clear (&cluster);
 }
 
 /* Two faults at once: every stream of one engine breaks after some words, and the other refuses
@@ -158,26 +158,26 @@
   static const char *const load_options[]
       = { "--concurrency", "8", "--count", "60", "--max-tokens", "30", "--stream", NULL };
   static const char *const fast[] = { "--tokens-per-second", "500", NULL };
-  PtCluster world;
+  PtCluster cluster;
   PtProcess load;
 
-  pt_cluster_init (&world);
-  world.in_memory = true;
-  PtProgram *breaking = pt_start_engine (&world, "engine-1", fast);
-  PtProgram *refusing = pt_start_engine (&world, "engine-2", fast);
-  PtProgram *instance = pt_start_instance (&world, "i1", "hall-a");
-  pt_apply_resources (&world, instance);
-  pt_wait_ready (&world, instance);
-  pt_inject_fault (&world, breaking, "{\"mode\": \"break\", \"count\": 6, \"tokens\": 5}");
-  pt_inject_fault (&world, refusing, "{\"mode\": \"refuse\", \"count\": 4}");
-  pt_start_load (&world, &load, load_options);
-
-  struct json_object *summary = pt_wait_summary (&world, &load);
+  pt_cluster_init (&cluster);
+  cluster.has_memory_platform = true;
+  PtProgram *breaking = pt_start_engine (&cluster, "engine-1", fast);
+  PtProgram *refusing = pt_start_engine (&cluster, "engine-2", fast);
+  PtProgram *instance = pt_start_instance (&cluster, "i1", "hall-a");
+  pt_apply_resources (&cluster, instance);
+  pt_wait_ready (&cluster, instance);
+  pt_inject_fault (&cluster, breaking, "{\"mode\": \"break\", \"count\": 6, \"tokens\": 5}");
+  pt_inject_fault (&cluster, refusing, "{\"mode\": \"refuse\", \"count\": 4}");
+  pt_start_load (&cluster, &load, load_options);
+
+  struct json_object *summary = pt_wait_summary (&cluster, &load);
   cr_assert (pt_process_has_exited (&load, 0), "%s", json_object_to_json_string (summary));
   cr_assert_gt (si_json_int (summary, "whole", 0), 30);
-  check_not_run (&world, summary, breaking, refusing);
+  check_not_run (&cluster, summary, breaking, refusing);
   json_object_put (summary);
   pt_process_clear (&load);
-  pt_cluster_drain (&world);
-  pt_cluster_clear (&world);
+  pt_cluster_drain (&cluster);
+  pt_cluster_clear (&cluster);
 }
--- a/tests/process/test-operator.c
+++ b/tests/process/test-operator.c
@@ -1,4 +1,4 @@
-#include "pt-world.h"
+#include "pt-cluster.h"
 
 #include "lb-alloc.h"
 
@@ -10,7 +10,7 @@
 
 #define MAX_ARGS 16
 
-static PtCluster world;
+static PtCluster test_cluster;
 static PtProgram *instance;
 static char errors[4096]; /* what the last command wrote to standard error */
 static char *output;      /* and to standard output */
@@ -18,10 +18,10 @@
 static void
 setup (void)
 {
-  pt_cluster_init (&world);
-  world.in_memory = true;
-  instance = pt_start_instance (&world, "i1", "hall-a");
-  pt_wait_ready (&world, instance);
+  pt_cluster_init (&test_cluster);
+  test_cluster.has_memory_platform = true;
+  instance = pt_start_instance (&test_cluster, "i1", "hall-a");
+  pt_wait_ready (&test_cluster, instance);
 }
 
 static void
@@ -29,7 +29,7 @@
 {
   free (output);
   output = NULL;
-  pt_cluster_clear (&world);
+  pt_cluster_clear (&test_cluster);
 }
 
 TestSuite (operator, .init = setup, .fini = teardown);
@@ -37,7 +37,7 @@
 static char *
 file_of (const char *name)
 {
-  return lb_asprintf ("%s/%s", world.folder, name);
+  return lb_asprintf ("%s/%s", test_cluster.folder, name);
 }
 
 static void
@@ -53,9 +53,9 @@
 }
 
 static bool
-has_ended (PtCluster *w, void *user)
+has_ended (PtCluster *cluster, void *user)
 {
-  (void)w;
+  (void)cluster;
   PtProcess *process = user;
 
   pt_process_poll (process);
@@ -83,7 +83,7 @@
   remove (log);
   setenv ("LENTILSPINDLE_ADDRESS", instance->address, 1);
   pt_process_start (&process, argv, log);
-  pt_wait (&world, "the command ends", has_ended, &process);
+  pt_wait (&test_cluster, "the command ends", has_ended, &process);
   int code = WIFEXITED (process.status) ? WEXITSTATUS (process.status) : -1;
   free (output);
   output = lb_strdup (process.output);
--- a/tests/process/test-rolling.c
+++ b/tests/process/test-rolling.c
@@ -1,4 +1,4 @@
-#include "pt-world.h"
+#include "pt-cluster.h"
 
 #include <criterion/criterion.h>
 #include <signal.h>
@@ -6,12 +6,12 @@
 #define CALLS "450"
 
 static bool
-has_finished_some (PtCluster *world, void *user)
+has_finished_some (PtCluster *cluster, void *user)
 {
   const int64_t *wanted = user;
 
-  return pt_read_log_counter (world, &world->endpoints[0], "finished")
-             + pt_read_log_counter (world, &world->endpoints[1], "finished")
+  return pt_read_log_counter (cluster, &cluster->endpoints[0], "finished")
+             + pt_read_log_counter (cluster, &cluster->endpoints[1], "finished")
          >= *wanted;
 }
 
@@ -38,40 +38,40 @@
                                               "300",
                                               "--expect-all",
                                               NULL };
-  PtCluster world;
+  PtCluster cluster;
   PtProcess load;
 
-  pt_cluster_init (&world);
+  pt_cluster_init (&cluster);
   /* Shorter than an answer takes. */
-  world.drain_ms = 500;
-  pt_start_platform (&world);
-  pt_start_engine (&world, "engine-1", engine_options);
-  pt_start_engine (&world, "engine-2", engine_options);
-  pt_start_instance (&world, "i1", "hall-a");
-  pt_start_instance (&world, "i2", "hall-b");
-  pt_start_instance (&world, "i3", "hall-c");
-  pt_apply_resources (&world, &world.instances[0]);
-  for (size_t i = 0; i < world.n_instances; i++)
-    pt_wait_ready (&world, &world.instances[i]);
-  pt_start_load (&world, &load, load_options);
-  for (size_t i = 0; i < world.n_instances; i++)
+  cluster.drain_ms = 500;
+  pt_start_platform (&cluster);
+  pt_start_engine (&cluster, "engine-1", engine_options);
+  pt_start_engine (&cluster, "engine-2", engine_options);
+  pt_start_instance (&cluster, "i1", "hall-a");
+  pt_start_instance (&cluster, "i2", "hall-b");
+  pt_start_instance (&cluster, "i3", "hall-c");
+  pt_apply_resources (&cluster, &cluster.instances[0]);
+  for (size_t i = 0; i < cluster.n_instances; i++)
+    pt_wait_ready (&cluster, &cluster.instances[i]);
+  pt_start_load (&cluster, &load, load_options);
+  for (size_t i = 0; i < cluster.n_instances; i++)
     {
       int64_t wanted = 30 * (int64_t)(i + 1);
-      pt_wait (&world, "calls are answered", has_finished_some, &wanted);
-      pt_process_signal (&world.instances[i].process, SIGTERM);
-      pt_wait_exit (&world, &world.instances[i].process, 0);
-      pt_restart_instance (&world, &world.instances[i]);
-      pt_wait_ready (&world, &world.instances[i]);
+      pt_wait (&cluster, "calls are answered", has_finished_some, &wanted);
+      pt_process_signal (&cluster.instances[i].process, SIGTERM);
+      pt_wait_exit (&cluster, &cluster.instances[i].process, 0);
+      pt_restart_instance (&cluster, &cluster.instances[i]);
+      pt_wait_ready (&cluster, &cluster.instances[i]);
     }
 
-  struct json_object *summary = pt_wait_summary (&world, &load);
+  struct json_object *summary = pt_wait_summary (&cluster, &load);
   cr_assert (pt_process_has_exited (&load, 0), "%s (logs in %s)",
-             json_object_to_json_string (summary), world.folder);
-  cr_assert_eq (pt_read_log_counter (&world, &world.endpoints[0], "cancelled")
-                    + pt_read_log_counter (&world, &world.endpoints[1], "cancelled"),
+             json_object_to_json_string (summary), cluster.folder);
+  cr_assert_eq (pt_read_log_counter (&cluster, &cluster.endpoints[0], "cancelled")
+                    + pt_read_log_counter (&cluster, &cluster.endpoints[1], "cancelled"),
                 0);
   json_object_put (summary);
   pt_process_clear (&load);
-  pt_cluster_drain (&world);
-  pt_cluster_clear (&world);
+  pt_cluster_drain (&cluster);
+  pt_cluster_clear (&cluster);
 }
--- a/tests/process/test-silence.c
+++ b/tests/process/test-silence.c
@@ -1,5 +1,5 @@
 #include "pt-relay.h"
-#include "pt-world.h"
+#include "pt-cluster.h"
 
 #include "lb-alloc.h"
 
@@ -24,9 +24,9 @@
 }
 
 static bool
-is_answered (PtCluster *world, void *user)
+is_answered (PtCluster *cluster, void *user)
 {
-  (void)world;
+  (void)cluster;
   return ((Answer *)user)->done;
 }
 
@@ -37,16 +37,16 @@
 } Run;
 
 static bool
-has_run (PtCluster *world, void *user)
+has_run (PtCluster *cluster, void *user)
 {
   Run *run = user;
 
-  return pt_count_runs (world, run->endpoint, run->key) > 0;
+  return pt_count_runs (cluster, run->endpoint, run->key) > 0;
 }
 
 typedef struct
 {
-  PtCluster world;
+  PtCluster cluster;
   PtRelay relay;
   PtProgram *instance;
   PtProgram *endpoint; /* reached through the relay only */
@@ -60,24 +60,24 @@
 {
   LbName direct;
 
-  pt_cluster_init (&scene->world);
-  scene->world.in_memory = true;
-  scene->endpoint = start (&scene->world, name, options);
-  pt_relay_init (&scene->relay, scene->world.client.base, scene->endpoint->address);
-  scene->instance = pt_start_instance (&scene->world, "i1", "hall-a");
+  pt_cluster_init (&scene->cluster);
+  scene->cluster.has_memory_platform = true;
+  scene->endpoint = start (&scene->cluster, name, options);
+  pt_relay_init (&scene->relay, scene->cluster.client.base, scene->endpoint->address);
+  scene->instance = pt_start_instance (&scene->cluster, "i1", "hall-a");
   strcpy (direct, scene->endpoint->address);
   strcpy (scene->endpoint->address, scene->relay.address);
-  pt_apply_resources (&scene->world, scene->instance);
+  pt_apply_resources (&scene->cluster, scene->instance);
   strcpy (scene->endpoint->address, direct);
-  pt_wait_ready (&scene->world, scene->instance);
+  pt_wait_ready (&scene->cluster, scene->instance);
 }
 
 static void
 scene_close (Scene *scene)
 {
   pt_relay_clear (&scene->relay);
-  pt_cluster_drain (&scene->world);
-  pt_cluster_clear (&scene->world);
+  pt_cluster_drain (&scene->cluster);
+  pt_cluster_clear (&scene->cluster);
 }
 
 /* A shopper reads a reply as it is written. Something between an instance and its engine loses
@@ -97,20 +97,20 @@
                              .prompt = "a reply",
                              .max_tokens = 90,
                              .stream = true };
-  cr_assert_eq (pt_checked_call (&scene.world, &spec).outcome, SI_CALL_COMPLETE);
+  cr_assert_eq (pt_checked_call (&scene.cluster, &spec).outcome, SI_CALL_COMPLETE);
   spec.prompt = "another reply";
   Run run = { scene.endpoint, spec.prompt };
-  si_checked_call_start (scene.world.client.pool, &spec, on_answer, &answer);
-  pt_wait (&scene.world, "the engine has the call", has_run, &run);
-  si_client_pause (&scene.world.client, 300 * LB_MSEC);
+  si_checked_call_start (scene.cluster.client.pool, &spec, on_answer, &answer);
+  pt_wait (&scene.cluster, "the engine has the call", has_run, &run);
+  si_client_pause (&scene.cluster.client, 300 * LB_MSEC);
   pt_relay_blackhole_connections (&scene.relay);
 
-  pt_wait (&scene.world, "the answer ends", is_answered, &answer);
+  pt_wait (&scene.cluster, "the answer ends", is_answered, &answer);
   cr_assert_eq (answer.result.outcome, SI_CALL_COMPLETE, "%d %s", answer.result.outcome,
                 answer.result.error);
-  cr_assert_eq (pt_read_log_counter (&scene.world, scene.endpoint, "resume_mismatches"), 0);
+  cr_assert_eq (pt_read_log_counter (&scene.cluster, scene.endpoint, "resume_mismatches"), 0);
   spec.prompt = "a third";
-  cr_assert_eq (pt_checked_call (&scene.world, &spec).outcome, SI_CALL_COMPLETE);
+  cr_assert_eq (pt_checked_call (&scene.cluster, &spec).outcome, SI_CALL_COMPLETE);
   scene_close (&scene);
 }
 
@@ -132,19 +132,19 @@
                              .deadline_ms = "2000",
                              .idle_timeout = PT_WAIT_TIMEOUT };
   Run run = { scene.endpoint, "order-7" };
-  si_checked_call_start (scene.world.client.pool, &spec, on_answer, &answer);
-  pt_wait (&scene.world, "the service has the call", has_run, &run);
+  si_checked_call_start (scene.cluster.client.pool, &spec, on_answer, &answer);
+  pt_wait (&scene.cluster, "the service has the call", has_run, &run);
   pt_relay_blackhole_connections (&scene.relay);
 
-  pt_wait (&scene.world, "the answer ends", is_answered, &answer);
+  pt_wait (&scene.cluster, "the answer ends", is_answered, &answer);
   cr_assert_eq (answer.result.outcome, SI_CALL_FAILED, "%d %s", answer.result.outcome,
                 answer.result.error);
   cr_assert (strcmp (answer.result.error, "deadline") == 0
                  || strcmp (answer.result.error, "outcome_unknown") == 0,
              "%s", answer.result.error);
-  cr_assert_eq (pt_count_runs (&scene.world, scene.endpoint, "order-7"), 1);
+  cr_assert_eq (pt_count_runs (&scene.cluster, scene.endpoint, "order-7"), 1);
   spec.order = "order-8";
   spec.deadline_ms = NULL;
-  cr_assert_eq (pt_checked_call (&scene.world, &spec).outcome, SI_CALL_COMPLETE);
+  cr_assert_eq (pt_checked_call (&scene.cluster, &spec).outcome, SI_CALL_COMPLETE);
   scene_close (&scene);
 }
--- a/tests/process/test-slow.c
+++ b/tests/process/test-slow.c
@@ -1,4 +1,4 @@
-#include "pt-world.h"
+#include "pt-cluster.h"
 
 #include <criterion/criterion.h>
 #include <string.h>
@@ -11,34 +11,34 @@
 {
   static const char *const engine_options[] = { "--tokens-per-second", "40", NULL };
   static const char *const service_options[] = { "--latency-ms", "1500", NULL };
-  PtCluster world;
+  PtCluster cluster;
 
-  pt_cluster_init (&world);
-  world.in_memory = true;
-  world.request_read_ms = 500;
-  pt_start_engine (&world, "engine-1", engine_options);
-  PtProgram *service = pt_start_service (&world, "lookup-1", service_options);
-  PtProgram *instance = pt_start_instance (&world, "i1", "hall-a");
-  pt_apply_resources (&world, instance);
-  pt_wait_ready (&world, instance);
+  pt_cluster_init (&cluster);
+  cluster.has_memory_platform = true;
+  cluster.request_read_ms = 500;
+  pt_start_engine (&cluster, "engine-1", engine_options);
+  PtProgram *service = pt_start_service (&cluster, "lookup-1", service_options);
+  PtProgram *instance = pt_start_instance (&cluster, "i1", "hall-a");
+  pt_apply_resources (&cluster, instance);
+  pt_wait_ready (&cluster, instance);
   SiCheckedCallSpec stream = { .address = instance->address,
                                .model = "reader",
                                .prompt = "slowly",
                                .max_tokens = 60,
                                .stream = true };
-  SiCheckedCallResult result = pt_checked_call (&world, &stream);
+  SiCheckedCallResult result = pt_checked_call (&cluster, &stream);
   cr_assert_eq (result.outcome, SI_CALL_COMPLETE, "stream: %d %s", result.outcome, result.error);
   stream.stream = false;
-  result = pt_checked_call (&world, &stream);
+  result = pt_checked_call (&cluster, &stream);
   cr_assert_eq (result.outcome, SI_CALL_COMPLETE, "whole: %d %s", result.outcome, result.error);
   SiCheckedCallSpec order = { .kind = SI_CHECKED_CALL_SERVICE,
                               .address = instance->address,
                               .model = "/services/lookup/order",
                               .prompt = "one",
                               .order = "order-1" };
-  result = pt_checked_call (&world, &order);
+  result = pt_checked_call (&cluster, &order);
   cr_assert_eq (result.outcome, SI_CALL_COMPLETE, "service: %d %s", result.outcome, result.error);
-  cr_assert_eq (pt_count_runs (&world, service, "order-1"), 1);
-  pt_cluster_drain (&world);
-  pt_cluster_clear (&world);
+  cr_assert_eq (pt_count_runs (&cluster, service, "order-1"), 1);
+  pt_cluster_drain (&cluster);
+  pt_cluster_clear (&cluster);
 }
--- a/tests/process/test-steps.c
+++ b/tests/process/test-steps.c
@@ -1,4 +1,4 @@
-#include "pt-world.h"
+#include "pt-cluster.h"
 
 #include "lb-alloc.h"
 
@@ -16,26 +16,26 @@
 /* Three instances, three engines and a trainer whose step takes some seconds. */
 typedef struct
 {
-  PtCluster world;
+  PtCluster cluster;
   PtProcess trainer;
 } Scene;
 
 static void
 start_world (Scene *scene)
 {
-  PtCluster *world = &scene->world;
-
-  pt_cluster_init (world);
-  pt_start_platform (world);
-  pt_start_engine (world, "engine-1", engine_options);
-  pt_start_engine (world, "engine-2", engine_options);
-  pt_start_engine (world, "engine-3", engine_options);
-  pt_start_instance (world, "i1", "hall-a");
-  pt_start_instance (world, "i2", "hall-b");
-  pt_start_instance (world, "i3", "hall-c");
-  pt_apply_resources (world, &world->instances[0]);
-  for (size_t i = 0; i < world->n_instances; i++)
-    pt_wait_ready (world, &world->instances[i]);
+  PtCluster *cluster = &scene->cluster;
+
+  pt_cluster_init (cluster);
+  pt_start_platform (cluster);
+  pt_start_engine (cluster, "engine-1", engine_options);
+  pt_start_engine (cluster, "engine-2", engine_options);
+  pt_start_engine (cluster, "engine-3", engine_options);
+  pt_start_instance (cluster, "i1", "hall-a");
+  pt_start_instance (cluster, "i2", "hall-b");
+  pt_start_instance (cluster, "i3", "hall-c");
+  pt_apply_resources (cluster, &cluster->instances[0]);
+  for (size_t i = 0; i < cluster->n_instances; i++)
+    pt_wait_ready (cluster, &cluster->instances[i]);
 }
 
 static void
@@ -45,7 +45,7 @@
       = { "--groups",  "6", "--samples", "4", "--max-tokens", "250",      "--version",     "41",
           "--max-lag", "2", "--chunk",   "4", "--silence-ms", silence_ms, "--vary-length", NULL };
 
-  pt_start_trainer (&scene->world, &scene->trainer, options);
+  pt_start_trainer (&scene->cluster, &scene->trainer, options);
 }
 
 static void
@@ -59,7 +59,7 @@
 scene_open_without_store (Scene *scene, const char *silence_ms)
 {
   start_world (scene);
-  pt_inject_fault (&scene->world, &scene->world.platform, "{\"mode\": \"down\"}");
+  pt_inject_fault (&scene->cluster, &scene->cluster.platform, "{\"mode\": \"down\"}");
   start_trainer (scene, silence_ms);
 }
 
@@ -67,41 +67,41 @@
 scene_close (Scene *scene)
 {
   pt_process_clear (&scene->trainer);
-  pt_cluster_drain (&scene->world);
-  pt_cluster_clear (&scene->world);
+  pt_cluster_drain (&scene->cluster);
+  pt_cluster_clear (&scene->cluster);
 }
 
 static int64_t
-count_finished (PtCluster *world)
+count_finished (PtCluster *cluster)
 {
   int64_t n = 0;
 
-  for (size_t i = 0; i < world->n_endpoints; i++)
-    n += pt_read_log_counter (world, &world->endpoints[i], "finished");
+  for (size_t i = 0; i < cluster->n_endpoints; i++)
+    n += pt_read_log_counter (cluster, &cluster->endpoints[i], "finished");
   return n;
 }
 
 static bool
-is_mid_step (PtCluster *world, void *user)
+is_mid_step (PtCluster *cluster, void *user)
 {
   (void)user;
-  return count_finished (world) >= SAMPLES / 4;
+  return count_finished (cluster) >= SAMPLES / 4;
 }
 
 /* What the platform's table says of the owner of step 1. */
 static PtProgram *
-find_owner (PtCluster *world)
+find_owner (PtCluster *cluster)
 {
   struct json_object *row
-      = si_client_call_json (&world->client, world->platform.address, OWNER_ROW, NULL);
+      = si_client_call_json (&cluster->client, cluster->platform.address, OWNER_ROW, NULL);
   cr_assert_not_null (row, "step 1 has no owner");
   struct json_object *owner = json_tokener_parse (si_json_text (row, "value", ""));
   const char *name = si_json_text (owner, "instance", "");
   PtProgram *found = NULL;
 
-  for (size_t i = 0; i < world->n_instances; i++)
-    if (strcmp (world->instances[i].name, name) == 0)
-      found = &world->instances[i];
+  for (size_t i = 0; i < cluster->n_instances; i++)
+    if (strcmp (cluster->instances[i].name, name) == 0)
+      found = &cluster->instances[i];
   json_object_put (owner);
   json_object_put (row);
   cr_assert_not_null (found);
@@ -112,10 +112,10 @@
 static void
 check_trainer (Scene *scene)
 {
-  struct json_object *summary = pt_wait_summary (&scene->world, &scene->trainer);
+  struct json_object *summary = pt_wait_summary (&scene->cluster, &scene->trainer);
 
   cr_assert (pt_process_has_exited (&scene->trainer, 0), "%s (logs in %s)",
-             json_object_to_json_string (summary), scene->world.folder);
+             json_object_to_json_string (summary), scene->cluster.folder);
   cr_assert_eq (si_json_int (summary, "samples", 0), SAMPLES);
   json_object_put (summary);
 }
@@ -128,17 +128,17 @@
   Scene scene;
 
   scene_open (&scene, "3000");
-  pt_wait (&scene.world, "the step is under way", is_mid_step, NULL);
-  PtProgram *owner = find_owner (&scene.world);
+  pt_wait (&scene.cluster, "the step is under way", is_mid_step, NULL);
+  PtProgram *owner = find_owner (&scene.cluster);
   pt_process_signal (&owner->process, SIGKILL);
   check_trainer (&scene);
   scene_close (&scene);
 }
 
 static bool
-has_other_owner (PtCluster *world, void *user)
+has_other_owner (PtCluster *cluster, void *user)
 {
-  return find_owner (world) != user;
+  return find_owner (cluster) != user;
 }
 
 /* The owner of a step is paused for long enough that another instance takes the step over, and then
@@ -149,10 +149,10 @@
   Scene scene;
 
   scene_open (&scene, "1200");
-  pt_wait (&scene.world, "the step is under way", is_mid_step, NULL);
-  PtProgram *owner = find_owner (&scene.world);
+  pt_wait (&scene.cluster, "the step is under way", is_mid_step, NULL);
+  PtProgram *owner = find_owner (&scene.cluster);
   pt_process_signal (&owner->process, SIGSTOP);
-  pt_wait (&scene.world, "another instance takes the step over", has_other_owner, owner);
+  pt_wait (&scene.cluster, "another instance takes the step over", has_other_owner, owner);
   pt_process_signal (&owner->process, SIGCONT);
   check_trainer (&scene);
   scene_close (&scene);
@@ -168,21 +168,21 @@
                                       "--version", "41", "--vary-length", NULL };
 
   scene_open (&scene, "3000");
-  pt_wait (&scene.world, "the step is under way", is_mid_step, NULL);
-  pt_inject_fault (&scene.world, &scene.world.platform, "{\"mode\": \"down\"}");
+  pt_wait (&scene.cluster, "the step is under way", is_mid_step, NULL);
+  pt_inject_fault (&scene.cluster, &scene.cluster.platform, "{\"mode\": \"down\"}");
   check_trainer (&scene);
   pt_process_clear (&scene.trainer);
-  pt_inject_fault (&scene.world, &scene.world.platform, "{\"mode\": \"none\"}");
-  pt_start_trainer (&scene.world, &scene.trainer, next);
+  pt_inject_fault (&scene.cluster, &scene.cluster.platform, "{\"mode\": \"none\"}");
+  pt_start_trainer (&scene.cluster, &scene.trainer, next);
   check_trainer (&scene);
   scene_close (&scene);
 }
 
 static bool
-has_step_chunk (PtCluster *world, void *user)
+has_step_chunk (PtCluster *cluster, void *user)
 {
   (void)user;
-  return count_finished (world) >= SAMPLES / 2;
+  return count_finished (cluster) >= SAMPLES / 2;
 }
 
 /* A step is opened while the store is away, so it is accepted as not durable, and its owner is
@@ -194,10 +194,10 @@
   Scene scene;
 
   scene_open_without_store (&scene, "3000");
-  pt_wait (&scene.world, "the step is under way", has_step_chunk, NULL);
-  pt_process_signal (&scene.world.instances[0].process, SIGKILL);
-  si_client_pause (&scene.world.client, LB_SEC);
-  pt_inject_fault (&scene.world, &scene.world.platform, "{\"mode\": \"none\"}");
+  pt_wait (&scene.cluster, "the step is under way", has_step_chunk, NULL);
+  pt_process_signal (&scene.cluster.instances[0].process, SIGKILL);
+  si_client_pause (&scene.cluster.client, LB_SEC);
+  pt_inject_fault (&scene.cluster, &scene.cluster.platform, "{\"mode\": \"none\"}");
   check_trainer (&scene);
   scene_close (&scene);
 }
--- a/tests/process/test-tickets.c
+++ b/tests/process/test-tickets.c
@@ -1,4 +1,4 @@
-#include "pt-world.h"
+#include "pt-cluster.h"
 
 #include "lb-alloc.h"
 
@@ -10,22 +10,23 @@
 
 typedef struct
 {
-  PtCluster world;
+  PtCluster cluster;
   PtProgram *service;
   PtProgram *first;
   PtProgram *second;
 } Shop;
 
 static bool
-both_named (PtCluster *world, void *user)
+both_named (PtCluster *cluster, void *user)
 {
   (void)user;
   bool all = true;
 
-  for (size_t i = 0; i < world->n_instances && all; i++)
+  for (size_t i = 0; i < cluster->n_instances && all; i++)
     {
-      struct json_object *entry = si_client_call_json (&world->client, world->instances[i].address,
-                                                       "/v1/entry?caller=shop", NULL);
+      struct json_object *entry
+          = si_client_call_json (&cluster->client, cluster->instances[i].address,
+                                 "/v1/entry?caller=shop", NULL);
       struct json_object *addresses = NULL;
       all = entry && json_object_object_get_ex (entry, "addresses", &addresses)
             && json_object_array_length (addresses) == 2;
@@ -41,22 +42,22 @@
   static const char *const options[] = { "--latency-ms", "50", NULL };
 
   memset (shop, 0, sizeof *shop);
-  pt_cluster_init (&shop->world);
-  pt_start_platform (&shop->world);
-  shop->service = pt_start_service (&shop->world, "lookup-1", options);
-  shop->first = pt_start_instance (&shop->world, "i1", "hall-a");
-  shop->second = pt_start_instance (&shop->world, "i2", "hall-b");
-  pt_apply_resources (&shop->world, shop->first);
-  pt_wait_revision_in_force (&shop->world);
-  pt_wait_ready (&shop->world, shop->first);
-  pt_wait_ready (&shop->world, shop->second);
-  pt_wait (&shop->world, "two instances that name each other", both_named, NULL);
+  pt_cluster_init (&shop->cluster);
+  pt_start_platform (&shop->cluster);
+  shop->service = pt_start_service (&shop->cluster, "lookup-1", options);
+  shop->first = pt_start_instance (&shop->cluster, "i1", "hall-a");
+  shop->second = pt_start_instance (&shop->cluster, "i2", "hall-b");
+  pt_apply_resources (&shop->cluster, shop->first);
+  pt_wait_revision_in_force (&shop->cluster);
+  pt_wait_ready (&shop->cluster, shop->first);
+  pt_wait_ready (&shop->cluster, shop->second);
+  pt_wait (&shop->cluster, "two instances that name each other", both_named, NULL);
 }
 
 static void
 shop_clear (Shop *shop)
 {
-  pt_cluster_clear (&shop->world);
+  pt_cluster_clear (&shop->cluster);
 }
 
 static void
@@ -71,7 +72,7 @@
                         .body = "" };
   SiResponse answer;
 
-  si_client_call (&shop->world.client, &call, &answer);
+  si_client_call (&shop->cluster.client, &call, &answer);
   cr_assert (si_response_is_ok (&answer), "%s", si_response_error (&answer));
   struct json_object *object = json_tokener_parse (answer.body);
   struct json_object *text = NULL;
@@ -92,7 +93,7 @@
                         .n_headers = 3,
                         .body = "one tea" };
 
-  si_client_call (&shop->world.client, &call, answer);
+  si_client_call (&shop->cluster.client, &call, answer);
 }
 
 /* A shop makes an order with a ticket of one instance, but connects to another, which passes it on.
@@ -113,14 +114,14 @@
   order (&shop, shop.first, "x-ticket", ticket, &answer);
   cr_assert (si_response_is_ok (&answer), "%s", si_response_error (&answer));
   si_response_clear (&answer);
-  cr_assert_eq (pt_count_runs (&shop.world, shop.service, "tea"), 1);
+  cr_assert_eq (pt_count_runs (&shop.cluster, shop.service, "tea"), 1);
 
   pt_process_signal (&shop.first->process, SIGKILL);
   order (&shop, shop.second, "x-ticket", ticket, &answer);
   cr_assert_str_eq (si_response_error (&answer), "outcome_unknown");
   cr_assert_not (answer.not_run);
   si_response_clear (&answer);
-  cr_assert_eq (pt_count_runs (&shop.world, shop.service, "tea"), 1);
+  cr_assert_eq (pt_count_runs (&shop.cluster, shop.service, "tea"), 1);
   shop_clear (&shop);
 }
 
@@ -131,9 +132,9 @@
 } Repeat;
 
 static bool
-order_is_answered (PtCluster *world, void *user)
+order_is_answered (PtCluster *cluster, void *user)
 {
-  (void)world;
+  (void)cluster;
   const Repeat *repeat = user;
   SiResponse answer;
 
@@ -154,18 +155,18 @@
   SiResponse answer;
 
   shop_init (&shop);
-  pt_inject_fault (&shop.world, &shop.world.platform,
+  pt_inject_fault (&shop.cluster, &shop.cluster.platform,
                    "{\"mode\": \"lose_reply\", \"path\": \"/table/transact\"}");
   order (&shop, shop.first, "idempotency-key", "k1", &answer);
   cr_assert (si_response_is_ok (&answer) || answer.not_run, "%s", si_response_error (&answer));
-  cr_assert_eq (pt_count_runs (&shop.world, shop.service, "tea"), answer.not_run ? 0 : 1);
+  cr_assert_eq (pt_count_runs (&shop.cluster, shop.service, "tea"), answer.not_run ? 0 : 1);
   si_response_clear (&answer);
-  pt_inject_fault (&shop.world, &shop.world.platform, "{\"mode\": \"none\"}");
+  pt_inject_fault (&shop.cluster, &shop.cluster.platform, "{\"mode\": \"none\"}");
   Repeat second = { .shop = &shop, .instance = shop.second };
   Repeat first = { .shop = &shop, .instance = shop.first };
-  pt_wait (&shop.world, "the order at the second instance", order_is_answered, &second);
-  pt_wait (&shop.world, "the order at the first instance", order_is_answered, &first);
-  cr_assert_eq (pt_count_runs (&shop.world, shop.service, "tea"), 1);
+  pt_wait (&shop.cluster, "the order at the second instance", order_is_answered, &second);
+  pt_wait (&shop.cluster, "the order at the first instance", order_is_answered, &first);
+  cr_assert_eq (pt_count_runs (&shop.cluster, shop.service, "tea"), 1);
   shop_clear (&shop);
 }
 
@@ -178,15 +179,15 @@
   char ticket[256];
 
   shop_init (&shop);
-  pt_inject_fault (&shop.world, &shop.world.platform, "{\"mode\": \"down\"}");
+  pt_inject_fault (&shop.cluster, &shop.cluster.platform, "{\"mode\": \"down\"}");
   order (&shop, shop.first, "idempotency-key", "k1", &answer);
   cr_assert (answer.not_run, "%s", si_response_error (&answer));
   si_response_clear (&answer);
-  cr_assert_eq (pt_count_runs (&shop.world, shop.service, "tea"), 0);
+  cr_assert_eq (pt_count_runs (&shop.cluster, shop.service, "tea"), 0);
   get_ticket (&shop, shop.first, ticket);
   order (&shop, shop.first, "x-ticket", ticket, &answer);
   cr_assert (si_response_is_ok (&answer), "%s", si_response_error (&answer));
   si_response_clear (&answer);
-  cr_assert_eq (pt_count_runs (&shop.world, shop.service, "tea"), 1);
+  cr_assert_eq (pt_count_runs (&shop.cluster, shop.service, "tea"), 1);
   shop_clear (&shop);
 }
