--- a/tests/process/test-crashing-services.c
+++ b/tests/process/test-crashing-services.c
@@ -4,21 +4,22 @@
 #include <signal.h>
 #include <string.h>
 
-/* A shop sends a call that ends every service that begins it, to one instance after the other. Each
- * of them tried it at a service that still ran, until none was left, since none knew what the
- * others had seen. The fourth service stays, and serves everybody else. */
+/* A client sends a call that crashes every service that starts it, to one instance after the other.
+ * Each instance knew only the crashes that it had seen itself and tried the call at a service that
+ * still ran, until none was left. All instances must quarantine the call after three crashes, and
+ * the fourth service must keep serving other calls. */
 
-#define BAD "an order of minus one bag"
-#define GOOD "two bags of rice"
+#define FATAL_CALL "an order of minus one bag"
+#define HARMLESS_CALL "two bags of rice"
 #define N_SERVICES 4
-#define N_ENDS 3 /* after which all instances keep it from the others */
-#define REPEATS 6
+#define N_CRASHES 3 /* crashes after which every instance quarantines the call */
+#define N_REPEATS 6
 
 static void
-scene_open (PtCluster *cluster)
+start_cluster (PtCluster *cluster)
 {
   static const char *const names[] = { "lookup-1", "lookup-2", "lookup-3", "lookup-4" };
-  static const char *const options[] = { "--crash-on", BAD, NULL };
+  static const char *const options[] = { "--crash-on", FATAL_CALL, NULL };
 
   pt_cluster_init (cluster);
   pt_start_platform (cluster);
@@ -32,20 +33,20 @@
 }
 
 static SiCheckedCallResult
-order (PtCluster *cluster, size_t instance, const char *text)
+send_call (PtCluster *cluster, size_t instance, const char *text)
 {
   const SiCheckedCallSpec spec = { .kind = SI_CHECKED_CALL_SERVICE,
                                    .address = cluster->instances[instance].address,
                                    .model = "/services/lookup/order",
                                    .prompt = text,
-                                   /* Retries of the one are not to use up the other's. */
-                                   .caller = strcmp (text, BAD) == 0 ? "shop" : "clerk" };
+                                   /* Separate retry budgets. */
+                                   .caller = strcmp (text, FATAL_CALL) == 0 ? "shop" : "clerk" };
 
   return pt_checked_call (cluster, &spec);
 }
 
 static size_t
-count_ended (PtCluster *cluster)
+count_crashed (PtCluster *cluster)
 {
   size_t n = 0;
 
@@ -60,68 +61,69 @@
 static bool
 is_refused (PtCluster *cluster, void *user)
 {
-  return strcmp (order (cluster, *(size_t *)user, BAD).error, "quarantined") == 0;
+  return strcmp (send_call (cluster, *(size_t *)user, FATAL_CALL).error, "quarantined") == 0;
 }
 
 static void
-end_three (PtCluster *cluster)
+crash_three (PtCluster *cluster)
 {
-  for (size_t i = 0; count_ended (cluster) < N_ENDS; i++)
+  for (size_t i = 0; count_crashed (cluster) < N_CRASHES; i++)
     {
-      order (cluster, i % cluster->n_instances, BAD);
+      send_call (cluster, i % cluster->n_instances, FATAL_CALL);
       si_client_pause (&cluster->client, 50 * LB_MSEC);
     }
 }
 
 static bool
-are_reported (PtCluster *cluster, void *user)
+are_crashes_stored (PtCluster *cluster, void *user)
 {
   (void)user;
-  struct json_object *answer = si_client_call_json (&cluster->client, cluster->platform.address,
-                                                    "/table/scan?prefix=crash/all/", NULL);
+  struct json_object *response = si_client_call_json (&cluster->client, cluster->platform.address,
+                                                      "/table/scan?prefix=crash/all/", NULL);
   struct json_object *rows = NULL;
-  bool all = json_object_object_get_ex (answer, "rows", &rows)
-             && json_object_array_length (rows) == N_ENDS;
+  bool are_stored = json_object_object_get_ex (response, "rows", &rows)
+                    && json_object_array_length (rows) == N_CRASHES;
 
-  json_object_put (answer);
-  return all;
+  json_object_put (response);
+  return are_stored;
 }
 
 static void
-assert_one_is_left (PtCluster *cluster)
+assert_others_are_served (PtCluster *cluster)
 {
-  cr_assert_eq (count_ended (cluster), N_ENDS);
+  cr_assert_eq (count_crashed (cluster), N_CRASHES);
   for (size_t i = 0; i < cluster->n_instances; i++)
-    cr_assert_eq (order (cluster, i, GOOD).outcome, SI_CALL_COMPLETE);
+    cr_assert_eq (send_call (cluster, i, HARMLESS_CALL).outcome, SI_CALL_COMPLETE);
 }
 
-Test (crashing_services, all_instances_keep_the_call_from_the_last_one)
+Test (crashing_services, all_instances_quarantine_the_call)
 {
   PtCluster cluster;
 
-  scene_open (&cluster);
-  end_three (&cluster);
-  for (size_t i = 0; i < REPEATS; i++)
+  start_cluster (&cluster);
+  crash_three (&cluster);
+  for (size_t i = 0; i < N_REPEATS; i++)
     {
-      SiCheckedCallResult result = order (&cluster, i % cluster.n_instances, BAD);
+      SiCheckedCallResult result = send_call (&cluster, i % cluster.n_instances, FATAL_CALL);
       cr_assert_eq (result.outcome, SI_CALL_NOT_RUN, "%s", result.error);
       cr_assert_str_eq (result.error, "quarantined");
       cr_assert_gt (result.retry_after, 0);
     }
-  assert_one_is_left (&cluster);
+  assert_others_are_served (&cluster);
   pt_cluster_drain (&cluster);
   pt_cluster_clear (&cluster);
 }
 
-/* Both instances are killed once their reports stand in the store; killed before, they take the
- * last one with them. They start again and have seen nothing themselves. */
-Test (crashing_services, a_restart_of_all_instances_forgets_nothing)
+/* Both instances are killed after the three crash reports are stored (killed earlier, they would
+ * lose the last one). The replacements have seen no crash and must quarantine the call from the
+ * stored reports. */
+Test (crashing_services, quarantine_survives_restart_of_all_instances)
 {
   PtCluster cluster;
 
-  scene_open (&cluster);
-  end_three (&cluster);
-  pt_wait (&cluster, "all reports stand in the store", are_reported, NULL);
+  start_cluster (&cluster);
+  crash_three (&cluster);
+  pt_wait (&cluster, "all crash reports are stored", are_crashes_stored, NULL);
   for (size_t i = 0; i < cluster.n_instances; i++)
     pt_process_signal (&cluster.instances[i].process, SIGKILL);
   for (size_t i = 0; i < cluster.n_instances; i++)
@@ -130,8 +132,8 @@
       pt_wait_ready (&cluster, &cluster.instances[i]);
     }
   for (size_t i = 0; i < cluster.n_instances; i++)
-    pt_wait (&cluster, "the call is refused", is_refused, &i);
-  assert_one_is_left (&cluster);
+    pt_wait (&cluster, "the call is quarantined", is_refused, &i);
+  assert_others_are_served (&cluster);
   pt_cluster_drain (&cluster);
   pt_cluster_clear (&cluster);
 }
--- a/tests/process/test-daemon.c
+++ b/tests/process/test-daemon.c
@@ -8,18 +8,18 @@
 #include <string.h>
 #include <unistd.h>
 
-#define PATIENCE (30 * LB_SEC)
+#define RUN_TIMEOUT (30 * LB_SEC)
 
-/* Runs a program to its end: its exit code, and what it wrote on standard output when `output`
- * is given. */
+/* Runs a program until it exits and returns its exit code, or -1 after RUN_TIMEOUT. Copies its
+ * standard output to `output` unless that is NULL. */
 static int
-run_to_end (const char *const *argv, const char *log, char *output, size_t size)
+run_program (const char *const *argv, const char *log_path, char *output, size_t size)
 {
   PtProcess process = { 0 };
-  LbTime end = lb_clock_monotonic () + PATIENCE;
-  int code = -1;
+  LbTime end = lb_clock_monotonic () + RUN_TIMEOUT;
+  int exit_code = -1;
 
-  pt_process_start (&process, argv, log);
+  pt_process_start (&process, argv, log_path);
   while (!process.ended && lb_clock_monotonic () < end)
     {
       pt_process_poll (&process);
@@ -27,17 +27,17 @@
     }
   for (int i = 0; i < 4; i++)
     if (pt_process_has_exited (&process, i))
-      code = i;
+      exit_code = i;
   if (output)
     snprintf (output, size, "%s", process.output ? process.output : "");
   pt_process_clear (&process);
-  return code;
+  return exit_code;
 }
 
 static int
-exit_code_of (const char *const *argv, const char *log)
+run_for_exit_code (const char *const *argv, const char *log_path)
 {
-  return run_to_end (argv, log, NULL, 0);
+  return run_program (argv, log_path, NULL, 0);
 }
 
 static void
@@ -61,64 +61,70 @@
   fclose (out);
 }
 
-Test (daemon, options_and_settings_have_the_usual_exit_codes)
+Test (daemon, options_and_settings_set_the_exit_code)
 {
   char folder[] = "/tmp/lentilspindle-daemon-XXXXXX";
-  char settings[64], log[64], text[1024];
+  char settings_path[64], log_path[64], text[1024];
 
   cr_assert (mkdtemp (folder));
-  snprintf (settings, sizeof settings, "%s/settings.json", folder);
-  snprintf (log, sizeof log, "%s/log", folder);
-  cr_assert_eq (exit_code_of ((const char *[]){ "lentilspindled", "--help", NULL }, log), 0);
-  cr_assert_eq (exit_code_of ((const char *[]){ "lentilspindled", "--version", NULL }, log), 0);
-  cr_assert_eq (exit_code_of ((const char *[]){ "lentilspindled", "--nonsense", NULL }, log), 2);
+  snprintf (settings_path, sizeof settings_path, "%s/settings.json", folder);
+  snprintf (log_path, sizeof log_path, "%s/log", folder);
+  cr_assert_eq (run_for_exit_code ((const char *[]){ "lentilspindled", "--help", NULL }, log_path),
+                0);
+  cr_assert_eq (run_for_exit_code ((const char *[]){ "lentilspindled", "--version", NULL },
+                                   log_path),
+                0);
+  cr_assert_eq (run_for_exit_code ((const char *[]){ "lentilspindled", "--nonsense", NULL },
+                                   log_path),
+                2);
 
-  write_file (settings, "{ \"seed\": 1 } // good\n");
-  const char *const check[] = { "lentilspindled", "--check", "--config", settings, NULL };
-  const char *const run[] = { "lentilspindled", "--config", settings, NULL };
-  cr_assert_eq (exit_code_of (check, log), 0);
-  write_file (settings, "{\n  \"http\": { \"max_body\": 1 } }\n");
-  cr_assert_eq (exit_code_of (check, log), 2);
-  cr_assert_eq (exit_code_of (run, log), 2);
-  read_file (log, text, sizeof text);
+  write_file (settings_path, "{ \"seed\": 1 } // good\n");
+  const char *const check[] = { "lentilspindled", "--check", "--config", settings_path, NULL };
+  const char *const run[] = { "lentilspindled", "--config", settings_path, NULL };
+  cr_assert_eq (run_for_exit_code (check, log_path), 0);
+  write_file (settings_path, "{\n  \"http\": { \"max_body\": 1 } }\n");
+  cr_assert_eq (run_for_exit_code (check, log_path), 2);
+  cr_assert_eq (run_for_exit_code (run, log_path), 2);
+  read_file (log_path, text, sizeof text);
   cr_assert (strstr (text, "http.max_body"), "%s", text);
-  cr_assert (strstr (text, settings), "%s", text);
-  unlink (settings);
-  cr_assert_eq (exit_code_of (run, log), 2);
-  unlink (log);
+  cr_assert (strstr (text, settings_path), "%s", text);
+  unlink (settings_path);
+  cr_assert_eq (run_for_exit_code (run, log_path), 2);
+  unlink (log_path);
   rmdir (folder);
 }
 
-/* The address that the settings name belongs to another process: the daemon says so in its log and
- * ends, instead of running on as an instance that no caller can reach. */
-Test (daemon, address_in_use_ends_it)
+/* The caller address in the settings is in use by another process. The daemon must log this and
+ * exit with 1, instead of running as an instance that no caller can reach. */
+Test (daemon, address_in_use_is_a_start_failure)
 {
   char folder[] = "/tmp/lentilspindle-daemon-XXXXXX";
-  char settings[64], log[64], text[1024], line[128];
-  PtProcess first = { 0 };
+  char settings_path[64], log_path[64], text[1024], address_settings[128];
+  PtProcess port_owner = { 0 };
   int port = 0;
 
   cr_assert (mkdtemp (folder));
-  snprintf (settings, sizeof settings, "%s/settings.json", folder);
-  snprintf (log, sizeof log, "%s/log", folder);
-  pt_process_start (&first, (const char *[]){ "standin-service", "--port=0", NULL }, log);
-  LbTime end = lb_clock_monotonic () + PATIENCE;
-  while ((!first.output || !strchr (first.output, '\n')) && lb_clock_monotonic () < end)
+  snprintf (settings_path, sizeof settings_path, "%s/settings.json", folder);
+  snprintf (log_path, sizeof log_path, "%s/log", folder);
+  pt_process_start (&port_owner, (const char *[]){ "standin-service", "--port=0", NULL }, log_path);
+  LbTime end = lb_clock_monotonic () + RUN_TIMEOUT;
+  while ((!port_owner.output || !strchr (port_owner.output, '\n')) && lb_clock_monotonic () < end)
     {
-      pt_process_poll (&first);
+      pt_process_poll (&port_owner);
       usleep (2000);
     }
-  cr_assert (first.output);
-  const char *address = strstr (first.output, "127.0.0.1:");
+  cr_assert (port_owner.output);
+  const char *address = strstr (port_owner.output, "127.0.0.1:");
   cr_assert (address);
   port = atoi (address + strlen ("127.0.0.1:"));
-  snprintf (line, sizeof line, "{\"instance\": {\"caller_address\": \"127.0.0.1:%d\"}}", port);
-  write_file (settings, line);
-  const char *const second[] = { "lentilspindled", "--config", settings, NULL };
-  cr_assert_eq (run_to_end (second, log, text, sizeof text), 1);
+  snprintf (address_settings, sizeof address_settings,
+            "{\"instance\": {\"caller_address\": \"127.0.0.1:%d\"}}", port);
+  write_file (settings_path, address_settings);
+  const char *const daemon_argv[] = { "lentilspindled", "--config", settings_path, NULL };
+  cr_assert_eq (run_program (daemon_argv, log_path, text, sizeof text), 1);
   cr_assert (strstr (text, "front_cannot_listen"), "%s", text);
-  pt_process_clear (&first);
-  unlink (settings);
-  unlink (log);
+  pt_process_clear (&port_owner);
+  unlink (settings_path);
+  unlink (log_path);
   rmdir (folder);
 }
