--- a/tests/process/test-duties.c
+++ b/tests/process/test-duties.c
@@ -7,8 +7,8 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Two organisations call at two instances; one of these reports to the platform how much each of
- * them used. */
+/* Two organisations send calls to two instances; one instance reports the usage of each
+ * organisation to the platform. */
 
 #define ORGANISATIONS                                                                              \
   ", \"tenants\": [{\"name\": \"post\", \"apiKeys\": [\"post-1\"], \"priority\": 0},"              \
@@ -16,7 +16,7 @@
 #define N_INSTANCES 2
 
 static void
-begin (PsCluster *cluster)
+start_instances (PsCluster *cluster)
 {
   ps_cluster_init (cluster);
   cluster->organisations_config = ORGANISATIONS;
@@ -28,29 +28,29 @@
 }
 
 static void
-call (PsCluster *cluster, size_t instance, const char *key, int n)
+send_calls (PsCluster *cluster, size_t instance, const char *key, int n)
 {
-  static int number;
+  static int n_sent;
   char id[16];
 
   cluster->api_key = key;
   for (int i = 0; i < n; i++)
     {
-      snprintf (id, sizeof id, "c%d", ++number);
+      snprintf (id, sizeof id, "c%d", ++n_sent);
       ps_call (cluster, instance, "POST", "/lookup/1", id, "");
       cr_assert_eq (cluster->status, 200);
     }
 }
 
 static bool
-is_reported (const PsCluster *cluster, int64_t post, int64_t mill)
+is_usage_reported (const PsCluster *cluster, int64_t post, int64_t mill)
 {
   return si_control_plane_count_requests (&cluster->control_plane, "post") == post
          && si_control_plane_count_requests (&cluster->control_plane, "mill") == mill;
 }
 
 static size_t
-holder (PsCluster *cluster)
+find_reporter (PsCluster *cluster)
 {
   for (size_t i = 0; i < cluster->n_instances; i++)
     if (cluster->control_plane.n_reports > 0
@@ -62,98 +62,99 @@
 }
 
 static void
-end (PsCluster *cluster)
+check_and_clear (PsCluster *cluster)
 {
   cr_assert_eq (cluster->control_plane.conflicting_reports, 0);
   cr_assert_eq (cluster->control_plane.unidentified_calls, 0);
   ps_cluster_clear (cluster);
 }
 
-Test (duties, all_instances_usage_is_reported_by_one)
+Test (duties, one_instance_reports_usage_of_all)
 {
   PsCluster cluster;
 
-  begin (&cluster);
-  call (&cluster, 0, "post-1", 5);
-  call (&cluster, 1, "post-1", 2);
-  call (&cluster, 1, "mill-1", 3);
-  PS_WAIT_UNTIL (&cluster, is_reported (&cluster, 7, 3));
+  start_instances (&cluster);
+  send_calls (&cluster, 0, "post-1", 5);
+  send_calls (&cluster, 1, "post-1", 2);
+  send_calls (&cluster, 1, "mill-1", 3);
+  PS_WAIT_UNTIL (&cluster, is_usage_reported (&cluster, 7, 3));
   cr_assert_eq (cluster.control_plane.stale_calls, 0);
-  end (&cluster);
+  check_and_clear (&cluster);
 }
 
-/* A call works for eight seconds, longer than its window is waited for. It is reported where it
- * began, while it still runs. */
-Test (duties, a_long_call_is_reported_where_it_began)
+/* A call takes eight seconds, longer than its usage window stays open. It must be reported in the
+ * window in which it began, while it still runs. */
+Test (duties, long_call_is_reported_in_the_window_of_its_start)
 {
   PsCluster cluster;
 
-  begin (&cluster);
+  start_instances (&cluster);
   cluster.lookup.call_duration = 8 * LB_SEC;
   cluster.api_key = "post-1";
-  int before = cluster.n_responses;
+  int responses_before = cluster.n_responses;
   ps_start_call (&cluster, 0, "POST", "/lookup/1", "long", "");
-  PS_WAIT_UNTIL (&cluster, is_reported (&cluster, 1, 0));
-  cr_assert_eq (cluster.n_responses, before, "it was counted only when it had ended");
-  PS_WAIT_UNTIL (&cluster, cluster.n_responses > before);
+  PS_WAIT_UNTIL (&cluster, is_usage_reported (&cluster, 1, 0));
+  cr_assert_eq (cluster.n_responses, responses_before, "the call was reported only after its end");
+  PS_WAIT_UNTIL (&cluster, cluster.n_responses > responses_before);
   cr_assert_eq (cluster.status, 200);
-  end (&cluster);
+  check_and_clear (&cluster);
 }
 
-/* The instance that served the calls and the one that reports are killed a moment later. What they
- * counted is in the store by then, and another one reports it; no window is reported twice with
- * other figures. */
-Test (duties, usage_outlives_its_instances)
+/* The instance that served the calls and reports usage is killed 300 ms later. Its counts are
+ * stored by then, and the other instance must report them; no window may be reported twice with
+ * different figures. */
+Test (duties, usage_survives_a_killed_instance)
 {
   PsCluster cluster;
 
-  begin (&cluster);
-  PS_WAIT_UNTIL (&cluster, holder (&cluster) < cluster.n_instances);
-  size_t killed = holder (&cluster);
-  call (&cluster, killed, "post-1", 4);
+  start_instances (&cluster);
+  PS_WAIT_UNTIL (&cluster, find_reporter (&cluster) < cluster.n_instances);
+  size_t killed = find_reporter (&cluster);
+  send_calls (&cluster, killed, "post-1", 4);
   PS_WAIT_UNTIL (&cluster, si_row_store_count (&cluster.store, "usage") > 0);
-  for (LbTime until = lb_clock_monotonic () + 300 * LB_MSEC; lb_clock_monotonic () < until;)
+  for (LbTime wait_end = lb_clock_monotonic () + 300 * LB_MSEC; lb_clock_monotonic () < wait_end;)
     ps_run_loop_once (&cluster);
   pt_process_signal (&cluster.instances[killed].process, SIGKILL);
-  call (&cluster, 1 - killed, "mill-1", 2);
-  PS_WAIT_UNTIL (&cluster, is_reported (&cluster, 4, 2));
-  end (&cluster);
+  send_calls (&cluster, 1 - killed, "mill-1", 2);
+  PS_WAIT_UNTIL (&cluster, is_usage_reported (&cluster, 4, 2));
+  check_and_clear (&cluster);
 }
 
-/* The platform carries reports out and its answers are lost, then it refuses calls. Reports are
- * repeated as they were until they are taken. */
-Test (duties, a_platform_that_is_not_well_gets_each_report_once)
+/* The platform accepts reports and its responses are lost, then it rejects calls. Reports must be
+ * repeated unchanged until they are acknowledged. */
+Test (duties, reports_are_repeated_unchanged_until_acknowledged)
 {
   PsCluster cluster;
 
-  begin (&cluster);
+  start_instances (&cluster);
   cluster.control_plane.mode = SI_CONTROL_PLANE_LOSES_REPLY;
-  call (&cluster, 0, "post-1", 3);
-  int calls = cluster.control_plane.calls;
-  PS_WAIT_UNTIL (&cluster, cluster.control_plane.calls >= calls + 4);
+  send_calls (&cluster, 0, "post-1", 3);
+  int calls_before = cluster.control_plane.calls;
+  PS_WAIT_UNTIL (&cluster, cluster.control_plane.calls >= calls_before + 4);
   cluster.control_plane.mode = SI_CONTROL_PLANE_BUSY;
-  calls = cluster.control_plane.calls;
-  PS_WAIT_UNTIL (&cluster, cluster.control_plane.calls >= calls + 4);
+  calls_before = cluster.control_plane.calls;
+  PS_WAIT_UNTIL (&cluster, cluster.control_plane.calls >= calls_before + 4);
   cluster.control_plane.mode = SI_CONTROL_PLANE_NORMAL;
-  call (&cluster, 1, "post-1", 1);
-  PS_WAIT_UNTIL (&cluster, is_reported (&cluster, 4, 0));
-  end (&cluster);
+  send_calls (&cluster, 1, "post-1", 1);
+  PS_WAIT_UNTIL (&cluster, is_usage_reported (&cluster, 4, 0));
+  check_and_clear (&cluster);
 }
 
-/* The holder is stopped as planned: it gives the lease up, and the next one goes on at once. What
- * the stopped one served until its end is reported as well. */
-Test (duties, a_planned_stop_hands_the_duty_over)
+/* The lease holder is stopped gracefully: it releases the lease, so that the next holder continues
+ * at once. The usage of the calls that the stopped instance served until its exit is reported as
+ * well. */
+Test (duties, graceful_stop_hands_the_duty_over)
 {
   PsCluster cluster;
 
-  begin (&cluster);
-  PS_WAIT_UNTIL (&cluster, holder (&cluster) < cluster.n_instances);
-  size_t stopped = holder (&cluster);
-  call (&cluster, stopped, "post-1", 2);
+  start_instances (&cluster);
+  PS_WAIT_UNTIL (&cluster, find_reporter (&cluster) < cluster.n_instances);
+  size_t stopped = find_reporter (&cluster);
+  send_calls (&cluster, stopped, "post-1", 2);
   pt_process_signal (&cluster.instances[stopped].process, SIGTERM);
-  call (&cluster, stopped, "post-1", 1);
+  send_calls (&cluster, stopped, "post-1", 1);
   PS_WAIT_UNTIL (&cluster, cluster.instances[stopped].process.ended);
-  PS_WAIT_UNTIL (&cluster, is_reported (&cluster, 3, 0));
-  PS_WAIT_UNTIL (&cluster, holder (&cluster) == 1 - stopped);
-  end (&cluster);
+  PS_WAIT_UNTIL (&cluster, is_usage_reported (&cluster, 3, 0));
+  PS_WAIT_UNTIL (&cluster, find_reporter (&cluster) == 1 - stopped);
+  check_and_clear (&cluster);
 }
--- a/tests/process/test-endpoints.c
+++ b/tests/process/test-endpoints.c
@@ -6,47 +6,49 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LEAVING_BOUND (3 * LB_SEC)
+#define LEAVE_TIMEOUT (3 * LB_SEC)
 
 static bool
-has_tokens (PtCluster *cluster, void *user)
+has_generated_tokens (PtCluster *cluster, void *user)
 {
   return pt_read_log_counter (cluster, user, "tokens") > 0;
 }
 
-/* Work that the endpoint was given, whether it took it or not. */
+/* Calls that the endpoint received, whether it accepted them or not. */
 static int64_t
-count_asked (PtCluster *cluster, PtProgram *endpoint)
+count_received_calls (PtCluster *cluster, PtProgram *endpoint)
 {
   return pt_read_log_counter (cluster, endpoint, "started")
          + pt_read_log_counter (cluster, endpoint, "refused");
 }
 
-/* Load in the background, one engine told to leave, the other stays. */
+/* Runs load on two engines while one of them leaves, and checks that it gets no new work after
+ * LEAVE_TIMEOUT and that no call is lost or cancelled. */
 static void
-leave_under_load (PtCluster *cluster, void (*leave) (PtCluster *cluster, PtProgram *engine))
+check_leaving_under_load (PtCluster *cluster,
+                          void (*start_leaving) (PtCluster *cluster, PtProgram *engine))
 {
   static const char *const load_options[]
       = { "--rate",    "60", "--concurrency", "40", "--count",  "100000",
           "--seconds", "8",  "--max-tokens",  "40", "--stream", "--expect-all",
           NULL };
-  static const char *const slow[] = { "--tokens-per-second", "100", NULL };
+  static const char *const slow_options[] = { "--tokens-per-second", "100", NULL };
   PtProcess load;
 
   cluster->has_memory_platform = true;
-  PtProgram *leaving = pt_start_engine (cluster, "engine-1", slow);
-  pt_start_engine (cluster, "engine-2", slow);
+  PtProgram *leaving = pt_start_engine (cluster, "engine-1", slow_options);
+  pt_start_engine (cluster, "engine-2", slow_options);
   PtProgram *instance = pt_start_instance (cluster, "i1", "hall-a");
   pt_apply_resources (cluster, instance);
   pt_wait_ready (cluster, instance);
   pt_start_load (cluster, &load, load_options);
-  pt_wait (cluster, "the engine that will leave has work", has_tokens, leaving);
+  pt_wait (cluster, "the leaving engine has generated tokens", has_generated_tokens, leaving);
 
-  leave (cluster, leaving);
-  si_client_pause (&cluster->client, LEAVING_BOUND);
-  int64_t after_bound = count_asked (cluster, leaving);
+  start_leaving (cluster, leaving);
+  si_client_pause (&cluster->client, LEAVE_TIMEOUT);
+  int64_t calls_after_timeout = count_received_calls (cluster, leaving);
   struct json_object *summary = pt_wait_summary (cluster, &load);
-  cr_assert_eq (count_asked (cluster, leaving), after_bound);
+  cr_assert_eq (count_received_calls (cluster, leaving), calls_after_timeout);
   cr_assert_eq (pt_read_log_counter (cluster, leaving, "cancelled"), 0);
   cr_assert (pt_process_has_exited (&load, 0), "%s", json_object_to_json_string (summary));
   cr_assert_gt (si_json_int (summary, "whole", 0), 100);
@@ -55,54 +57,58 @@
 }
 
 static void
-leave_by_itself (PtCluster *cluster, PtProgram *engine)
+announce_leaving (PtCluster *cluster, PtProgram *engine)
 {
   pt_inject_fault (cluster, engine, "{\"mode\": \"leaving\"}");
 }
 
 static void
-leave_by_resource (PtCluster *cluster, PtProgram *engine)
+apply_leaving_resource (PtCluster *cluster, PtProgram *engine)
 {
   char changes[512];
-  SiResponse answer;
+  SiResponse response;
 
   snprintf (changes, sizeof changes,
             "{\"apply\": [{\"kind\": \"endpoint\", \"name\": \"%s\", \"type\": \"engine\","
             " \"pool\": \"reader\", \"address\": \"%s\", \"data_centre\": \"hall-a\","
             " \"concurrency\": 32, \"checks_fence\": true, \"leaving\": true}]}",
             engine->name, engine->address);
-  pt_apply_change (cluster, &cluster->instances[0], changes, "*", &answer);
-  cr_assert (si_response_is_ok (&answer), "%s", answer.body);
-  si_response_clear (&answer);
+  pt_apply_change (cluster, &cluster->instances[0], changes, "*", &response);
+  cr_assert (si_response_is_ok (&response), "%s", response.body);
+  si_response_clear (&response);
 }
 
-/* An engine says that it leaves, to be shut down soon. New work that still goes there, by a retry,
- * an old load report or the queue, dies with it. After 3 s there may be none, and what it had
- * before must end whole. */
-Test (leaving, engine_that_says_so_gets_no_new_work_after_3_s)
+/* An engine announces that it leaves, and is shut down soon after. New work that a retry, an old
+ * load report or the queue still sends there would be lost with it: after 3 s there may be none,
+ * and work that it had before must complete. */
+Test (leaving, engine_that_announces_it_gets_no_new_work_after_3_s)
 {
   PtCluster cluster;
 
   pt_cluster_init (&cluster);
-  leave_under_load (&cluster, leave_by_itself);
+  check_leaving_under_load (&cluster, announce_leaving);
   pt_cluster_drain (&cluster);
   pt_cluster_clear (&cluster);
 }
 
-/* The same, told by an operator's resource while the engine itself knows nothing of it. */
+/* The same when an operator's resource marks the engine as leaving and the engine itself does not
+ * know. */
 Test (leaving, engine_that_the_operator_retires_gets_no_new_work_after_3_s)
 {
   PtCluster cluster;
 
   pt_cluster_init (&cluster);
-  leave_under_load (&cluster, leave_by_resource);
+  check_leaving_under_load (&cluster, apply_leaving_resource);
   pt_cluster_drain (&cluster);
   pt_cluster_clear (&cluster);
 }
 
-/* None of the calls that were said not to have run has run. */
+/* No call that was reported as not run has run. */
 static void
-check_not_run (PtCluster *cluster, struct json_object *summary, PtProgram *one, PtProgram *other)
+check_not_run_keys (PtCluster *cluster,
+                    struct json_object *summary,
+                    PtProgram *first,
+                    PtProgram *second)
 {
   struct json_object *not_run = NULL;
 
@@ -110,61 +116,61 @@
   for (size_t i = 0; i < json_object_array_length (not_run); i++)
     {
       const char *key = json_object_get_string (json_object_array_get_idx (not_run, i));
-      cr_assert_eq (pt_count_runs (cluster, one, key), 0, "%s", key);
-      cr_assert (!other || pt_count_runs (cluster, other, key) == 0, "%s", key);
+      cr_assert_eq (pt_count_runs (cluster, first, key), 0, "%s", key);
+      cr_assert (!second || pt_count_runs (cluster, second, key) == 0, "%s", key);
     }
 }
 
-/* An engine crashes while clerks read from it. Their answers go on at another engine from the last
- * word, and never with one word twice or one left out; who does not get the whole answer is told by
- * a typed error, and "not run" only if no engine began. */
-Test (crash, answers_are_continued_on_another_engine)
+/* An engine crashes while callers read streams from it. The streams must resume on another engine
+ * after the last token, with no token repeated or missing. A caller whose response is not completed
+ * must get a typed error, and "not run" only if no engine started the call. */
+Test (crash, streams_resume_on_another_engine)
 {
   static const char *const load_options[]
       = { "--concurrency", "8",  "--count",  "40", "--callers", "40",
           "--max-tokens",  "60", "--stream", NULL };
-  static const char *const slow[] = { "--tokens-per-second", "100", NULL };
+  static const char *const slow_options[] = { "--tokens-per-second", "100", NULL };
   PtCluster cluster;
   PtProcess load;
 
   pt_cluster_init (&cluster);
   cluster.has_memory_platform = true;
-  PtProgram *crashing = pt_start_engine (&cluster, "engine-1", slow);
-  PtProgram *other = pt_start_engine (&cluster, "engine-2", slow);
+  PtProgram *crashing = pt_start_engine (&cluster, "engine-1", slow_options);
+  PtProgram *healthy = pt_start_engine (&cluster, "engine-2", slow_options);
   PtProgram *instance = pt_start_instance (&cluster, "i1", "hall-a");
   pt_apply_resources (&cluster, instance);
   pt_wait_ready (&cluster, instance);
   pt_start_load (&cluster, &load, load_options);
-  pt_wait (&cluster, "the engine that will crash has work", has_tokens, crashing);
+  pt_wait (&cluster, "the crashing engine has generated tokens", has_generated_tokens, crashing);
   pt_process_signal (&crashing->process, SIGKILL);
 
   struct json_object *summary = pt_wait_summary (&cluster, &load);
   cr_assert (pt_process_has_exited (&load, 0), "%s", json_object_to_json_string (summary));
   cr_assert_gt (si_json_int (summary, "whole", 0), 20);
-  check_not_run (&cluster, summary, other, NULL);
-  cr_assert_gt (pt_read_log_counter (&cluster, other, "resumed"), 0);
-  cr_assert_eq (pt_read_log_counter (&cluster, other, "resume_mismatches"), 0);
+  check_not_run_keys (&cluster, summary, healthy, NULL);
+  cr_assert_gt (pt_read_log_counter (&cluster, healthy, "resumed"), 0);
+  cr_assert_eq (pt_read_log_counter (&cluster, healthy, "resume_mismatches"), 0);
   json_object_put (summary);
   pt_process_clear (&load);
   pt_cluster_drain (&cluster);
   pt_cluster_clear (&cluster);
 }
 
-/* Two faults at once: every stream of one engine breaks after some words, and the other refuses
- * every second call. Callers still get whole answers or a typed error, and what was said not to
- * have run has not run. */
-Test (faults, broken_streams_and_refusals_give_whole_answers_or_typed_errors)
+/* Every stream of one engine breaks after some tokens, while the other engine rejects every second
+ * call. Callers must get complete responses or a typed error, and calls reported as not run must
+ * not have run. */
+Test (faults, broken_streams_and_rejections_give_complete_responses_or_typed_errors)
 {
   static const char *const load_options[]
       = { "--concurrency", "8", "--count", "60", "--max-tokens", "30", "--stream", NULL };
-  static const char *const fast[] = { "--tokens-per-second", "500", NULL };
+  static const char *const fast_options[] = { "--tokens-per-second", "500", NULL };
   PtCluster cluster;
   PtProcess load;
 
   pt_cluster_init (&cluster);
   cluster.has_memory_platform = true;
-  PtProgram *breaking = pt_start_engine (&cluster, "engine-1", fast);
-  PtProgram *refusing = pt_start_engine (&cluster, "engine-2", fast);
+  PtProgram *breaking = pt_start_engine (&cluster, "engine-1", fast_options);
+  PtProgram *refusing = pt_start_engine (&cluster, "engine-2", fast_options);
   PtProgram *instance = pt_start_instance (&cluster, "i1", "hall-a");
   pt_apply_resources (&cluster, instance);
   pt_wait_ready (&cluster, instance);
@@ -175,7 +181,7 @@
   struct json_object *summary = pt_wait_summary (&cluster, &load);
   cr_assert (pt_process_has_exited (&load, 0), "%s", json_object_to_json_string (summary));
   cr_assert_gt (si_json_int (summary, "whole", 0), 30);
-  check_not_run (&cluster, summary, breaking, refusing);
+  check_not_run_keys (&cluster, summary, breaking, refusing);
   json_object_put (summary);
   pt_process_clear (&load);
   pt_cluster_drain (&cluster);
--- a/tests/process/test-membership.c
+++ b/tests/process/test-membership.c
@@ -11,62 +11,63 @@
 
 typedef struct
 {
-  PtProgram *asked;
+  PtProgram *queried;
   const char *name;
-  size_t addresses;
-} Naming;
+  size_t n_addresses;
+} EntryQuery;
 
-/* The instances that `asked` names to a caller: how many, and whether one of them is `name`. */
+/* Asks `queried` for entry addresses: stores their number and returns whether the instance `name`
+ * is among them. */
 static bool
-ask_entry (PtCluster *cluster, Naming *naming)
+run_entry_query (PtCluster *cluster, EntryQuery *query)
 {
-  struct json_object *answer
-      = si_client_call_json (&cluster->client, naming->asked->address,
+  struct json_object *response
+      = si_client_call_json (&cluster->client, query->queried->address,
                              "/v1/entry?caller=clerk-1&data_centre=hall-b", NULL);
-  struct json_object *addresses = answer ? json_object_object_get (answer, "addresses") : NULL;
-  bool found = false;
+  struct json_object *addresses = response ? json_object_object_get (response, "addresses") : NULL;
+  bool is_found = false;
 
-  naming->addresses = addresses ? json_object_array_length (addresses) : 0;
-  for (size_t i = 0; i < naming->addresses; i++)
+  query->n_addresses = addresses ? json_object_array_length (addresses) : 0;
+  for (size_t i = 0; i < query->n_addresses; i++)
     {
       struct json_object *address = json_object_array_get_idx (addresses, i);
-      found = found || strcmp (si_json_text (address, "instance", ""), naming->name) == 0;
+      is_found = is_found || strcmp (si_json_text (address, "instance", ""), query->name) == 0;
     }
-  json_object_put (answer);
-  return found;
+  json_object_put (response);
+  return is_found;
 }
 
 static bool
-is_named (PtCluster *cluster, void *user)
+is_listed (PtCluster *cluster, void *user)
 {
-  return ask_entry (cluster, user);
+  return run_entry_query (cluster, user);
 }
 
 static bool
-is_not_named (PtCluster *cluster, void *user)
+is_not_listed (PtCluster *cluster, void *user)
 {
-  Naming *naming = user;
+  EntryQuery *query = user;
 
-  return !ask_entry (cluster, naming) && naming->addresses > 0;
+  return !run_entry_query (cluster, query) && query->n_addresses > 0;
 }
 
 static int64_t
 read_counter (PtCluster *cluster, const PtProgram *instance, const char *name)
 {
   const SiCall call = { .method = "GET", .address = instance->address, .path = "/metrics" };
-  char *start = lb_asprintf ("\n%s ", name);
-  SiResponse answer;
-
-  si_client_call (&cluster->client, &call, &answer);
-  const char *at = answer.body ? strstr (answer.body, start) : NULL;
-  int64_t value = at ? strtoll (at + strlen (start), NULL, 10) : -1;
-  si_response_clear (&answer);
-  free (start);
+  char *line_prefix = lb_asprintf ("\n%s ", name);
+  SiResponse response;
+
+  si_client_call (&cluster->client, &call, &response);
+  const char *line = response.body ? strstr (response.body, line_prefix) : NULL;
+  int64_t value = line ? strtoll (line + strlen (line_prefix), NULL, 10) : -1;
+  si_response_clear (&response);
+  free (line_prefix);
   return value;
 }
 
 static void
-start_three (PtCluster *cluster, PtProgram **instances)
+start_three_instances (PtCluster *cluster, PtProgram **instances)
 {
   static const char *const names[] = { "i1", "i2", "i3" };
   static const char *const data_centres[] = { "hall-a", "hall-b", "hall-c" };
@@ -77,72 +78,72 @@
     instances[i] = pt_start_instance (cluster, names[i], data_centres[i]);
   for (size_t i = 0; i < 3; i++)
     for (size_t j = 0; j < 3; j++)
-      pt_wait (cluster, "all know one another", is_named, &(Naming){ instances[i], names[j], 0 });
+      pt_wait (cluster, "all instances list one another", is_listed,
+               &(EntryQuery){ instances[i], names[j], 0 });
 }
 
 static void
-wait_for_both (PtCluster *cluster, PtProgram **instances, const char *what, PtCondition condition)
+wait_for_others (PtCluster *cluster, PtProgram **instances, const char *what, PtCondition condition)
 {
   for (size_t i = 0; i < 3; i += 2)
-    pt_wait (cluster, what, condition, &(Naming){ instances[i], "i2", 0 });
+    pt_wait (cluster, what, condition, &(EntryQuery){ instances[i], "i2", 0 });
 }
 
-/* An instance is killed. A clerk who asks another instance for addresses right after is still sent
- * to the dead one and waits for a timeout. It must be named by nobody soon (3 s on a machine that
- * is not busy; the limit here is generous), and again when its replacement of the same name is
- * there. */
-Test (membership, a_killed_instance_is_not_named_and_its_replacement_is)
+/* An instance is killed. Callers that another instance still sends to its address wait for a
+ * timeout. No instance may list it soon after (3 s on an idle machine; the limit here is generous),
+ * and its replacement with the same name must be listed. */
+Test (membership, killed_instance_is_not_listed_and_its_replacement_is)
 {
   PtCluster cluster;
   PtProgram *instances[3];
 
-  start_three (&cluster, instances);
-  LbTime killed = lb_clock_monotonic ();
+  start_three_instances (&cluster, instances);
+  LbTime killed_at = lb_clock_monotonic ();
   pt_process_signal (&instances[1]->process, SIGKILL);
-  wait_for_both (&cluster, instances, "the killed one is not named", is_not_named);
-  cr_log_info ("not named after %.2f s", (double)(lb_clock_monotonic () - killed) / LB_SEC);
+  wait_for_others (&cluster, instances, "the killed instance is not listed", is_not_listed);
+  cr_log_info ("not listed after %.2f s", (double)(lb_clock_monotonic () - killed_at) / LB_SEC);
   pt_restart_instance (&cluster, instances[1]);
-  wait_for_both (&cluster, instances, "the replacement is named", is_named);
+  wait_for_others (&cluster, instances, "the replacement is listed", is_listed);
   pt_cluster_clear (&cluster);
 }
 
-/* An instance is stopped by a debugger: its sockets stay open and take bytes, so nothing ends. It
- * must not be named meanwhile. When it goes on, it has heard from nobody for seconds; it must not
- * call the others dead, and must be named again. */
-Test (membership, a_stopped_instance_is_not_named_until_it_goes_on)
+/* An instance is stopped by a debugger: its sockets stay open and accept data, so no connection
+ * ends. It must not be listed meanwhile. When it continues, it has not heard from the other members
+ * for seconds; it must not declare them dead, and must be listed again. */
+Test (membership, stopped_instance_is_not_listed_until_it_continues)
 {
   PtCluster cluster;
   PtProgram *instances[3];
 
-  start_three (&cluster, instances);
-  LbTime stopped = lb_clock_monotonic ();
+  start_three_instances (&cluster, instances);
+  LbTime stopped_at = lb_clock_monotonic ();
   pt_process_signal (&instances[1]->process, SIGSTOP);
-  wait_for_both (&cluster, instances, "the stopped one is not named", is_not_named);
-  cr_log_info ("not named after %.2f s", (double)(lb_clock_monotonic () - stopped) / LB_SEC);
+  wait_for_others (&cluster, instances, "the stopped instance is not listed", is_not_listed);
+  cr_log_info ("not listed after %.2f s", (double)(lb_clock_monotonic () - stopped_at) / LB_SEC);
   si_client_pause (&cluster.client, 5 * LB_SEC);
   pt_process_signal (&instances[1]->process, SIGCONT);
-  wait_for_both (&cluster, instances, "it is named again", is_named);
+  wait_for_others (&cluster, instances, "the continued instance is listed", is_listed);
   for (size_t i = 0; i < 3; i += 2)
-    pt_wait (&cluster, "it names the others", is_named,
-             &(Naming){ instances[1], instances[i]->name, 0 });
+    pt_wait (&cluster, "the continued instance lists the others", is_listed,
+             &(EntryQuery){ instances[1], instances[i]->name, 0 });
   cr_assert_geq (read_counter (&cluster, instances[1], "lentilspindle_own_pauses_total"), 1);
   cr_assert_eq (read_counter (&cluster, instances[1], "lentilspindle_members_suspected_total"), 0);
   cr_assert_eq (read_counter (&cluster, instances[1], "lentilspindle_members_condemned_total"), 0);
   pt_cluster_clear (&cluster);
 }
 
-/* An instance drains. Others that go on naming it send clerks to a door that is closed. */
-Test (membership, a_draining_instance_is_not_named)
+/* Instances that still list a draining instance send callers to a closed port. */
+Test (membership, draining_instance_is_not_listed)
 {
   PtCluster cluster;
   PtProgram *instances[3];
 
-  start_three (&cluster, instances);
+  start_three_instances (&cluster, instances);
   pt_process_signal (&instances[1]->process, SIGTERM);
-  wait_for_both (&cluster, instances, "the draining one is not named", is_not_named);
-  Naming own = { instances[1], "i2", 0 };
+  wait_for_others (&cluster, instances, "the draining instance is not listed", is_not_listed);
+  EntryQuery own_query = { instances[1], "i2", 0 };
   if (!instances[1]->process.ended)
-    cr_assert_not (ask_entry (&cluster, &own));
+    cr_assert_not (run_entry_query (&cluster, &own_query));
   pt_wait_exit (&cluster, &instances[1]->process, 0);
   pt_cluster_clear (&cluster);
 }
--- a/tests/process/test-once.c
+++ b/tests/process/test-once.c
@@ -10,34 +10,34 @@
 typedef struct
 {
   SiCheckedCallResult result;
-  bool done;
-} Answer;
+  bool is_done;
+} PendingCall;
 
 static void
-on_answer (const SiCheckedCallResult *result, void *user)
+on_call_done (const SiCheckedCallResult *result, void *user)
 {
-  Answer *answer = user;
+  PendingCall *pending_call = user;
 
-  answer->result = *result;
-  answer->done = true;
+  pending_call->result = *result;
+  pending_call->is_done = true;
 }
 
 static bool
-is_answered (PtCluster *cluster, void *user)
+is_call_done (PtCluster *cluster, void *user)
 {
   (void)cluster;
-  return ((Answer *)user)->done;
+  return ((PendingCall *)user)->is_done;
 }
 
 static void
-scene_open (PtCluster *cluster)
+start_cluster (PtCluster *cluster)
 {
-  static const char *const slow[] = { "--latency-ms", "700", NULL };
+  static const char *const slow_options[] = { "--latency-ms", "700", NULL };
 
   pt_cluster_init (cluster);
   pt_start_platform (cluster);
-  pt_start_service (cluster, "lookup-1", slow);
-  pt_start_service (cluster, "lookup-2", slow);
+  pt_start_service (cluster, "lookup-1", slow_options);
+  pt_start_service (cluster, "lookup-2", slow_options);
   pt_start_instance (cluster, "i1", "hall-a");
   pt_start_instance (cluster, "i2", "hall-b");
   pt_start_instance (cluster, "i3", "hall-c");
@@ -60,19 +60,19 @@
 }
 
 static char *
-take_ticket (PtCluster *cluster, PtProgram *instance)
+create_ticket (PtCluster *cluster, PtProgram *instance)
 {
-  struct json_object *reply
+  struct json_object *response
       = si_client_call_json (&cluster->client, instance->address, "/v1/tickets", "{}");
 
-  cr_assert_not_null (reply);
-  char *ticket = lb_strdup (si_json_text (reply, "ticket", ""));
-  json_object_put (reply);
+  cr_assert_not_null (response);
+  char *ticket = lb_strdup (si_json_text (response, "ticket", ""));
+  json_object_put (response);
   return ticket;
 }
 
 static SiCheckedCallSpec
-order_at (const PtProgram *instance, const char *order)
+make_order_call (const PtProgram *instance, const char *order)
 {
   return (SiCheckedCallSpec){ .kind = SI_CHECKED_CALL_SERVICE,
                               .address = instance->address,
@@ -83,74 +83,75 @@
                               .idle_timeout = PT_WAIT_TIMEOUT };
 }
 
-/* The instance is killed while the order runs; the shop's application, which sees a closed
- * connection, sends the same call to the next instance, several times. */
+/* Kills the instance while the call runs. The caller sees a closed connection and sends the same
+ * call to the other instances: each must report the outcome as unknown, and the call must have run
+ * once. */
 static void
-kill_and_repeat (PtCluster *cluster, SiCheckedCallSpec *spec)
+check_no_rerun_after_kill (PtCluster *cluster, SiCheckedCallSpec *spec)
 {
-  Answer answer = { .done = false };
+  PendingCall pending_call = { .is_done = false };
 
-  si_checked_call_start (cluster->client.pool, spec, on_answer, &answer);
+  si_checked_call_start (cluster->client.pool, spec, on_call_done, &pending_call);
   pt_wait (cluster, "the order runs", has_run_anywhere, (void *)spec->order);
   pt_process_signal (&cluster->instances[0].process, SIGKILL);
-  pt_wait (cluster, "the connection breaks", is_answered, &answer);
-  cr_assert_eq (answer.result.outcome, SI_CALL_FAILED, "%s", answer.result.error);
+  pt_wait (cluster, "the call fails", is_call_done, &pending_call);
+  cr_assert_eq (pending_call.result.outcome, SI_CALL_FAILED, "%s", pending_call.result.error);
   for (size_t i = 1; i < cluster->n_instances; i++)
     {
       spec->address = cluster->instances[i].address;
-      SiCheckedCallResult repeat = pt_checked_call (cluster, spec);
-      cr_assert_eq (repeat.outcome, SI_CALL_FAILED, "%d %s", repeat.outcome, repeat.error);
-      cr_assert_str_eq (repeat.error, "outcome_unknown");
+      SiCheckedCallResult retry = pt_checked_call (cluster, spec);
+      cr_assert_eq (retry.outcome, SI_CALL_FAILED, "%d %s", retry.outcome, retry.error);
+      cr_assert_str_eq (retry.error, "outcome_unknown");
     }
   cr_assert_eq (count_runs (cluster, spec->order), 1);
 }
 
-/* A shopper's order message is sent with a ticket of an instance that is killed while it runs. Were
- * it sent again by the next instance, the shopper would get two orders; were it called "not run",
- * the merchant would send it himself. */
-Test (once, ticket_of_a_killed_instance_is_never_run_again)
+/* A call with a ticket of an instance that is killed while the call runs. Rerun by the next
+ * instance, the order would be placed twice; reported as not run, the caller would place it
+ * again. */
+Test (once, ticket_of_a_killed_instance_is_not_rerun)
 {
   PtCluster cluster;
 
-  scene_open (&cluster);
-  char *ticket = take_ticket (&cluster, &cluster.instances[0]);
-  SiCheckedCallSpec spec = order_at (&cluster.instances[0], "order-1");
+  start_cluster (&cluster);
+  char *ticket = create_ticket (&cluster, &cluster.instances[0]);
+  SiCheckedCallSpec spec = make_order_call (&cluster.instances[0], "order-1");
   spec.ticket = ticket;
-  kill_and_repeat (&cluster, &spec);
+  check_no_rerun_after_kill (&cluster, &spec);
   free (ticket);
   pt_cluster_drain (&cluster);
   pt_cluster_clear (&cluster);
 }
 
-/* The same with the application's own idempotency key: what is left of the killed instance is its
- * claim in the platform's table. */
-Test (once, idempotency_key_claimed_by_a_killed_instance_is_never_run_again)
+/* The same with an idempotency key of the caller: the killed instance leaves only its claim in the
+ * platform's table. */
+Test (once, idempotency_key_of_a_killed_instance_is_not_rerun)
 {
   PtCluster cluster;
 
-  scene_open (&cluster);
-  SiCheckedCallSpec spec = order_at (&cluster.instances[0], "order-2");
+  start_cluster (&cluster);
+  SiCheckedCallSpec spec = make_order_call (&cluster.instances[0], "order-2");
   spec.idempotency_key = "key-2";
-  kill_and_repeat (&cluster, &spec);
+  check_no_rerun_after_kill (&cluster, &spec);
   pt_cluster_drain (&cluster);
   pt_cluster_clear (&cluster);
 }
 
-/* The caller's connection is slow and it sends the same order to two instances at once. The second
- * joins the call in progress, or gets the kept answer; the order runs once. */
-Test (once, same_ticket_at_two_instances_runs_once_and_answers_both)
+/* A caller sends the same call to two instances at once. The second instance must join the call in
+ * progress or return the kept response; the call runs once. */
+Test (once, same_ticket_at_two_instances_runs_once)
 {
   PtCluster cluster;
-  Answer first = { .done = false };
+  PendingCall first = { .is_done = false };
 
-  scene_open (&cluster);
-  char *ticket = take_ticket (&cluster, &cluster.instances[0]);
-  SiCheckedCallSpec spec = order_at (&cluster.instances[0], "order-3");
+  start_cluster (&cluster);
+  char *ticket = create_ticket (&cluster, &cluster.instances[0]);
+  SiCheckedCallSpec spec = make_order_call (&cluster.instances[0], "order-3");
   spec.ticket = ticket;
-  si_checked_call_start (cluster.client.pool, &spec, on_answer, &first);
+  si_checked_call_start (cluster.client.pool, &spec, on_call_done, &first);
   spec.address = cluster.instances[1].address;
   SiCheckedCallResult second = pt_checked_call (&cluster, &spec);
-  pt_wait (&cluster, "the first is answered", is_answered, &first);
+  pt_wait (&cluster, "the first call is done", is_call_done, &first);
   cr_assert_eq (first.result.outcome, SI_CALL_COMPLETE, "%s", first.result.error);
   cr_assert_eq (second.outcome, SI_CALL_COMPLETE, "%d %s", second.outcome, second.error);
   spec.address = cluster.instances[2].address;
--- a/tests/process/test-rolling.c
+++ b/tests/process/test-rolling.c
@@ -3,22 +3,22 @@
 #include <criterion/criterion.h>
 #include <signal.h>
 
-#define CALLS "450"
+#define N_CALLS "450"
 
 static bool
-has_finished_some (PtCluster *cluster, void *user)
+has_finished_calls (PtCluster *cluster, void *user)
 {
-  const int64_t *wanted = user;
+  const int64_t *min_finished = user;
 
   return pt_read_log_counter (cluster, &cluster->endpoints[0], "finished")
              + pt_read_log_counter (cluster, &cluster->endpoints[1], "finished")
-         >= *wanted;
+         >= *min_finished;
 }
 
-/* Every instance is replaced, one after the other, while clerks read streamed answers and ask for
- * entry addresses as they should. A clerk must never see half an answer, nor be told of a failure
- * that a call at his next address would not mend. Every old process must end by itself, with 0. */
-Test (rolling, restart_of_three_instances_loses_and_cuts_nothing)
+/* Each instance is replaced in turn while callers read streamed responses and refresh their entry
+ * addresses. No response may be truncated, no caller may get an error that a retry at its next
+ * address would not fix, and every old process must exit with 0 by itself. */
+Test (rolling, rolling_restart_loses_and_truncates_no_response)
 {
   static const char *const engine_options[] = { "--tokens-per-second", "100", NULL };
   static const char *const load_options[] = { "--rate",
@@ -26,7 +26,7 @@
                                               "--concurrency",
                                               "60",
                                               "--count",
-                                              CALLS,
+                                              N_CALLS,
                                               "--max-tokens",
                                               "110",
                                               "--stream",
@@ -42,7 +42,7 @@
   PtProcess load;
 
   pt_cluster_init (&cluster);
-  /* Shorter than an answer takes. */
+  /* Shorter than a response takes. */
   cluster.drain_ms = 500;
   pt_start_platform (&cluster);
   pt_start_engine (&cluster, "engine-1", engine_options);
@@ -56,8 +56,8 @@
   pt_start_load (&cluster, &load, load_options);
   for (size_t i = 0; i < cluster.n_instances; i++)
     {
-      int64_t wanted = 30 * (int64_t)(i + 1);
-      pt_wait (&cluster, "calls are answered", has_finished_some, &wanted);
+      int64_t min_finished = 30 * (int64_t)(i + 1);
+      pt_wait (&cluster, "more calls are finished", has_finished_calls, &min_finished);
       pt_process_signal (&cluster.instances[i].process, SIGTERM);
       pt_wait_exit (&cluster, &cluster.instances[i].process, 0);
       pt_restart_instance (&cluster, &cluster.instances[i]);
--- a/tests/process/test-shared.c
+++ b/tests/process/test-shared.c
@@ -12,52 +12,52 @@
 #include <string.h>
 #include <unistd.h>
 
-Test (shared, a_step_and_a_call_go_the_whole_way)
+Test (shared, step_and_call_complete_end_to_end)
 {
   PsCluster cluster;
 
   ps_cluster_init (&cluster);
-  size_t a = ps_start_instance (&cluster);
-  ps_call (&cluster, a, "POST", "/lookup/1?q=2", "c1", "hello");
+  size_t instance = ps_start_instance (&cluster);
+  ps_call (&cluster, instance, "POST", "/lookup/1?q=2", "c1", "hello");
   cr_assert_eq (cluster.status, 200);
   cr_assert_str_eq (cluster.body, "answer to c1");
   cr_assert_str_eq (cluster.server_stamp, "stamp-c1");
-  ps_call (&cluster, a, "GET", "/nowhere/", "c2", "");
+  ps_call (&cluster, instance, "GET", "/nowhere/", "c2", "");
   cr_assert_eq (cluster.status, 404);
-  ps_submit (&cluster, a, "b1", 12);
+  ps_submit (&cluster, instance, "b1", 12);
   cr_assert_eq (cluster.status, 202);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, a, "b1") == 12);
-  ps_assert_all_listed (&cluster, a, "b1", 12);
-  ps_call (&cluster, a, "GET", "/-/items/b1?id=item3", "", "");
+  PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, instance, "b1") == 12);
+  ps_assert_all_listed (&cluster, instance, "b1", 12);
+  ps_call (&cluster, instance, "GET", "/-/items/b1?id=item3", "", "");
   cr_assert_eq (cluster.status, 200);
   cr_assert_str_eq (cluster.body, "ABC");
-  ps_call (&cluster, a, "DELETE", "/-/lots/b1", "", "");
+  ps_call (&cluster, instance, "DELETE", "/-/lots/b1", "", "");
   cr_assert_eq (cluster.status, 200);
-  ps_call (&cluster, a, "DELETE", "/-/lots/b1", "", "");
-  cr_assert_eq (cluster.status, 200, "ending it again changes nothing");
-  ps_call (&cluster, a, "GET", "/-/lots/unknown?after=0", "", "");
+  ps_call (&cluster, instance, "DELETE", "/-/lots/b1", "", "");
+  cr_assert_eq (cluster.status, 200, "ending a batch is idempotent");
+  ps_call (&cluster, instance, "GET", "/-/lots/unknown?after=0", "", "");
   cr_assert_eq (cluster.status, 404);
-  ps_call (&cluster, a, "GET", "/-/resolve?name=h.example", "", "");
-  cr_assert (strstr (cluster.body, cluster.instances[a].address));
+  ps_call (&cluster, instance, "GET", "/-/resolve?name=h.example", "", "");
+  cr_assert (strstr (cluster.body, cluster.instances[instance].address));
   ps_cluster_clear (&cluster);
 }
 
-/* A trainer names new weights. Every engine is ordered to load them, each order once, and a sample
- * made afterwards names them. */
-Test (shared, named_weights_reach_every_engine)
+/* A new weight version is published. Every engine gets exactly one order to load it, and samples
+ * generated afterwards report that version. */
+Test (shared, published_weights_reach_every_engine)
 {
   PsCluster cluster;
 
   ps_cluster_init (&cluster);
-  size_t a = ps_start_instance (&cluster);
+  size_t instance = ps_start_instance (&cluster);
   si_row_store_put (&cluster.store, "op", "", "version/m", "{\"model\": \"m\", \"version\": 2}");
   PS_WAIT_UNTIL (&cluster, cluster.engines[0].version == 2 && cluster.engines[1].version == 2
                                && cluster.engines[2].version == 2);
   for (int i = 0; i < PS_N_ENGINES; i++)
     cr_assert_eq (cluster.engines[i].accepted_orders, 1);
-  ps_submit (&cluster, a, "b1", 1);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, a, "b1") == 1);
-  struct json_object *page = ps_read_results (&cluster, a, "b1");
+  ps_submit (&cluster, instance, "b1", 1);
+  PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, instance, "b1") == 1);
+  struct json_object *page = ps_read_results (&cluster, instance, "b1");
   struct json_object *result = json_object_array_get_idx (lb_json_member (page, "results"), 0);
   cr_assert_str_eq (json_object_to_json_string_ext (lb_json_member (result, "versions"),
                                                     JSON_C_TO_STRING_PLAIN),
@@ -66,11 +66,10 @@
   ps_cluster_clear (&cluster);
 }
 
-/* An engine is killed and starts again under its id at once, between two of a trainer's versions.
- * Its count of orders is zero again. Were the count of its start before kept, it would refuse each
- * order for its count, keep its old weights, and the trainer's texts would be thrown away for their
- * age. */
-Test (shared, an_engine_that_started_again_under_its_id_takes_the_next_weights)
+/* An engine is killed and restarts under the same id between two weight versions, so that its order
+ * counter is zero again. With the counter of its previous start it would reject each order, keep
+ * its old weights, and its samples would be discarded as stale. */
+Test (shared, restarted_engine_accepts_the_next_weights)
 {
   PsCluster cluster;
 
@@ -91,20 +90,20 @@
 }
 
 static double
-lists_of_endpoints (PsCluster *cluster, size_t instance)
+count_endpoint_list_calls (PsCluster *cluster, size_t instance)
 {
   return ps_read_metric (cluster, instance,
                          "lentilspindle_store_table_calls_total{table=\"servers\"}");
 }
 
 static double
-beliefs (PsCluster *cluster, size_t instance)
+count_catalog_updates (PsCluster *cluster, size_t instance)
 {
   return ps_read_metric (cluster, instance, "lentilspindle_catalog_beliefs_total");
 }
 
 static void
-put_other (PsCluster *cluster, int index, const char *state)
+put_other_endpoint (PsCluster *cluster, int index, const char *state)
 {
   char key[16];
   char *text = lb_asprintf ("{\"service\": \"others\", \"address\": \"127.0.0.1:%d\", \"zone\": "
@@ -117,102 +116,104 @@
   free (text);
 }
 
-/* The instance lists no endpoints while it hears of three new lists through the catalog. */
+/* Whether the instance makes no endpoint list calls while it gets three lists through the
+ * catalog. */
 static bool
-only_follows (PsCluster *cluster, size_t instance)
+uses_catalog_only (PsCluster *cluster, size_t instance)
 {
-  double lists = lists_of_endpoints (cluster, instance);
-  double heard = beliefs (cluster, instance);
+  double list_calls_before = count_endpoint_list_calls (cluster, instance);
+  double updates_before = count_catalog_updates (cluster, instance);
 
-  PS_WAIT_UNTIL (cluster, beliefs (cluster, instance) >= heard + 3
-                              || lists_of_endpoints (cluster, instance) > lists);
-  return lists_of_endpoints (cluster, instance) <= lists;
+  PS_WAIT_UNTIL (cluster, count_catalog_updates (cluster, instance) >= updates_before + 3
+                              || count_endpoint_list_calls (cluster, instance) > list_calls_before);
+  return count_endpoint_list_calls (cluster, instance) <= list_calls_before;
 }
 
-/* The instance that orders the weights lists the endpoints as well. */
+/* Asks every instance, since the one that sends the weight orders lists the endpoints itself. */
 static bool
-some_only_follows (PsCluster *cluster)
+has_catalog_only_instance (PsCluster *cluster)
 {
-  bool found = false;
+  bool is_found = false;
 
   for (size_t i = 0; i < cluster->n_instances; i++)
-    found |= only_follows (cluster, i);
-  return found;
+    is_found |= uses_catalog_only (cluster, i);
+  return is_found;
 }
 
-/* Among all but one, which was killed. */
+/* The instance that publishes the catalog; one instance, which was killed, is skipped. */
 static size_t
-find_publisher (PsCluster *cluster, size_t killed)
+find_publisher (PsCluster *cluster, size_t excluded)
 {
   for (size_t i = 0; i < cluster->n_instances; i++)
-    if (i != killed && ps_read_metric (cluster, i, "lentilspindle_catalog_writes_total") > 0)
+    if (i != excluded && ps_read_metric (cluster, i, "lentilspindle_catalog_writes_total") > 0)
       return i;
   return cluster->n_instances;
 }
 
-/* A decision's line tells whose list it used. An instance with a duty at the engines lists for
- * itself, so it is looked for among all but the publisher. */
+/* A dispatch decision's log line contains the instance whose endpoint list it used. An instance
+ * with a duty at the engines lists them itself, so all instances except the publisher are
+ * searched. */
 static bool
-some_decision_names (PsCluster *cluster, size_t publisher)
+has_decision_with_lister (PsCluster *cluster, size_t publisher)
 {
   char *text = lb_asprintf ("\"lister\":\"%s\"", cluster->instances[publisher].name);
-  int found = 0;
+  int n_found = 0;
 
   for (size_t i = 0; i < cluster->n_instances; i++)
     {
       ps_call (cluster, i, "POST", "/lookup/1", "c1", "hello");
       cr_assert_eq (cluster->status, 200);
       if (i != publisher)
-        found += ps_count_logged (cluster, i, text);
+        n_found += ps_count_logged (cluster, i, text);
     }
   free (text);
-  return found > 0;
+  return n_found > 0;
 }
 
-/* A site with many endpoints. One of three instances lists them for all; an endpoint that leaves is
- * heard of by the two others all the same. That one is killed, and another one goes on. */
-Test (shared, one_instance_lists_the_endpoints_for_all)
+/* One of three instances lists many endpoints for all; the other two must still notice an endpoint
+ * that drains. After that instance is killed, another one must take over. */
+Test (shared, one_instance_lists_endpoints_for_all)
 {
   PsCluster cluster;
   size_t publisher;
 
   ps_cluster_init (&cluster);
   for (int i = 0; i < 50; i++)
-    put_other (&cluster, i, "ready");
+    put_other_endpoint (&cluster, i, "ready");
   for (int i = 0; i < 3; i++)
     ps_start_instance (&cluster);
   PS_WAIT_UNTIL (&cluster, (publisher = find_publisher (&cluster, 3)) < cluster.n_instances);
-  PS_WAIT_UNTIL (&cluster, some_only_follows (&cluster));
-  PS_WAIT_UNTIL (&cluster, some_decision_names (&cluster, publisher));
-  put_other (&cluster, 7, "draining");
+  PS_WAIT_UNTIL (&cluster, has_catalog_only_instance (&cluster));
+  PS_WAIT_UNTIL (&cluster, has_decision_with_lister (&cluster, publisher));
+  put_other_endpoint (&cluster, 7, "draining");
   for (size_t i = 0; i < 3; i++)
     PS_WAIT_UNTIL (&cluster, ps_count_logged (&cluster, i, "endpoint_lists_leaving") == 1);
   pt_process_signal (&cluster.instances[publisher].process, SIGKILL);
   PS_WAIT_UNTIL (&cluster, find_publisher (&cluster, publisher) < cluster.n_instances);
-  put_other (&cluster, 8, "draining");
+  put_other_endpoint (&cluster, 8, "draining");
   for (size_t i = 0; i < 3; i++)
     if (i != publisher)
       PS_WAIT_UNTIL (&cluster, ps_count_logged (&cluster, i, "endpoint_lists_leaving") == 2);
   ps_cluster_clear (&cluster);
 }
 
-/* Other writers leave rows in the endpoints' table. Calls go to the endpoints that are there, no
- * engine that nobody named is given weights, and the log tells each such row once. */
-Test (shared, rows_of_other_writers_name_no_endpoint)
+/* Rows of other writers in the endpoints' table must not affect calls, must not get weight orders,
+ * and are logged once each. */
+Test (shared, rows_of_other_writers_are_ignored)
 {
-  static const char stray[]
+  static const char stray_row[]
       = "{\"service\": \"strangers\", \"address\": \"127.0.0.1:1\", \"zone\": \"hall-a\","
         " \"version\": \"v1\", \"slots\": 8, \"state\": \"ready\", \"coldLeftMs\": 0, \"seq\": 1,"
         " \"models\": [{\"name\": \"m\", \"version\": 1}]}";
-  LbTime enough;
+  LbTime wait_end;
   PsCluster cluster;
 
   ps_cluster_init (&cluster);
-  si_row_store_put (&cluster.store, "servers", "", "i-stray", stray);
+  si_row_store_put (&cluster.store, "servers", "", "i-stray", stray_row);
   si_row_store_put (&cluster.store, "servers", "", "i-half",
                     "{\"service\": \"lookups\", \"slots\": \"many\"}");
   si_row_store_put (&cluster.store, "servers", "", "i-bytes", "\x01\x02");
-  size_t a = ps_start_instance (&cluster);
+  size_t instance = ps_start_instance (&cluster);
   si_row_store_put (&cluster.store, "op", "", "version/m", "{\"model\": \"m\", \"version\": 2}");
   PS_WAIT_UNTIL (&cluster, cluster.engines[0].version == 2 && cluster.engines[1].version == 2
                                && cluster.engines[2].version == 2);
@@ -220,19 +221,20 @@
     {
       char id[16];
       snprintf (id, sizeof id, "c%d", i);
-      ps_call (&cluster, a, "GET", "/lookup/x", id, "");
+      ps_call (&cluster, instance, "GET", "/lookup/x", id, "");
       cr_assert_eq (cluster.status, 200);
     }
-  enough = lb_clock_monotonic () + 2 * LB_SEC;
-  PS_WAIT_UNTIL (&cluster, lb_clock_monotonic () > enough);
-  cr_assert_eq (ps_count_logged (&cluster, a, "endpoint_unreadable"), 3);
-  cr_assert_eq (ps_count_logged (&cluster, a, "weights_order\",\"endpoint\":\"i-stray"), 0);
+  wait_end = lb_clock_monotonic () + 2 * LB_SEC;
+  PS_WAIT_UNTIL (&cluster, lb_clock_monotonic () > wait_end);
+  cr_assert_eq (ps_count_logged (&cluster, instance, "endpoint_unreadable"), 3);
+  cr_assert_eq (ps_count_logged (&cluster, instance, "weights_order\",\"endpoint\":\"i-stray"), 0);
   ps_cluster_clear (&cluster);
 }
 
-/* An instance starts while the store is slow: it has the routes and not yet the endpoints. Its
- * first callers were told that there is no such route (404), and did not come back. */
-Test (shared, a_route_whose_endpoints_are_not_known_yet_is_not_missing)
+/* An instance starts while the store is slow and has the routes but not the endpoints yet. It
+ * answered with 404, after which callers did not retry; it must answer with 503 and a retry
+ * time. */
+Test (shared, route_with_unknown_endpoints_is_unavailable_not_missing)
 {
   PsCluster cluster;
 
@@ -254,9 +256,9 @@
   ps_cluster_clear (&cluster);
 }
 
-/* The operators allow bodies of 12 MiB. A caller's body of 9 MiB was refused as too large, since
- * the instance went by the bound of its own settings, 8 MiB. */
-Test (shared, the_desired_state_says_how_much_callers_may_send)
+/* The desired state allows bodies of 12 MiB. A body of 9 MiB was rejected as too large, because the
+ * instance applied the limit of its own settings, 8 MiB. */
+Test (shared, body_limit_comes_from_the_desired_state)
 {
   PsCluster cluster;
   size_t length = (size_t)9 << 20;
@@ -272,9 +274,9 @@
   ps_cluster_clear (&cluster);
 }
 
-/* A service of the platform has a path /metrics of its own. Its callers got the counters of the
- * instance instead, since the front answered that path before it looked at the routes. */
-Test (shared, metrics_have_an_address_of_their_own)
+/* A service has a path /metrics of its own. Its callers got the metrics of the instance, because
+ * that path was handled before the routes. */
+Test (shared, metrics_are_served_on_their_own_address)
 {
   PsCluster cluster;
 
@@ -295,9 +297,9 @@
   ps_cluster_clear (&cluster);
 }
 
-/* The instance that runs a batch is killed in the middle. The trainer reads on at the other one:
- * every sample comes, none twice, and what stood at a position before still stands there. */
-Test (shared, a_batch_outlives_its_owner)
+/* The instance that runs a batch is killed. The trainer reads on at the other one: every sample
+ * must be listed exactly once, and each result that was listed before must keep its position. */
+Test (shared, batch_survives_its_killed_owner)
 {
   PsCluster cluster;
 
@@ -309,16 +311,16 @@
   ps_submit (&cluster, 0, "b1", 40);
   cr_assert_eq (cluster.status, 202);
   PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, 0, "b1") >= 5);
-  struct json_object *before = ps_read_results (&cluster, 1, "b1");
-  /* The batch runs at one of the two; the row says which. */
-  const char *encoded = NULL;
-  for (int part = 0; part < 16 && !encoded; part++)
+  struct json_object *page_before = ps_read_results (&cluster, 1, "b1");
+  /* One of the two instances runs the batch; its row must exist. */
+  const char *batch_row = NULL;
+  for (int part = 0; part < 16 && !batch_row; part++)
     {
       char name[8];
       snprintf (name, sizeof name, "%02x", part);
-      encoded = si_row_store_get (&cluster.store, "head", name, "b1");
+      batch_row = si_row_store_get (&cluster.store, "head", name, "b1");
     }
-  cr_assert (encoded);
+  cr_assert (batch_row);
   size_t survivor = 0;
   for (size_t i = 0; i < 2; i++)
     {
@@ -329,20 +331,20 @@
   pt_process_signal (&cluster.instances[1 - survivor].process, SIGKILL);
   PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, survivor, "b1") == 40);
   ps_assert_all_listed (&cluster, survivor, "b1", 40);
-  struct json_object *after = ps_read_results (&cluster, survivor, "b1");
-  struct json_object *old = lb_json_member (before, "results");
-  for (size_t i = 0; i < json_object_array_length (old); i++)
-    cr_assert_str_eq (json_object_to_json_string (json_object_array_get_idx (old, i)),
+  struct json_object *page_after = ps_read_results (&cluster, survivor, "b1");
+  struct json_object *results_before = lb_json_member (page_before, "results");
+  for (size_t i = 0; i < json_object_array_length (results_before); i++)
+    cr_assert_str_eq (json_object_to_json_string (json_object_array_get_idx (results_before, i)),
                       json_object_to_json_string (
-                          json_object_array_get_idx (lb_json_member (after, "results"), i)));
-  json_object_put (before);
-  json_object_put (after);
+                          json_object_array_get_idx (lb_json_member (page_after, "results"), i)));
+  json_object_put (page_before);
+  json_object_put (page_after);
   ps_cluster_clear (&cluster);
 }
 
-/* A trainer does not hear the answer to its submission and sends the same batch to another instance
- * at once. It is accepted once: one row, and each item run once. */
-Test (shared, the_same_batch_at_two_instances_is_accepted_once)
+/* A trainer gets no response to its submission and sends the same batch to another instance at
+ * once. It must be accepted once, with one row, and each item must run once. */
+Test (shared, same_batch_at_two_instances_is_accepted_once)
 {
   PsCluster cluster;
   char *body = ps_make_batch (6);
@@ -350,10 +352,10 @@
   ps_cluster_init (&cluster);
   ps_start_instance (&cluster);
   ps_start_instance (&cluster);
-  int before = cluster.n_responses;
+  int responses_before = cluster.n_responses;
   ps_start_call (&cluster, 0, "POST", "/steps/1", "b1", body);
   ps_start_call (&cluster, 1, "POST", "/steps/1", "b1", body);
-  PS_WAIT_UNTIL (&cluster, cluster.n_responses == before + 2);
+  PS_WAIT_UNTIL (&cluster, cluster.n_responses == responses_before + 2);
   cr_assert_eq (cluster.status, 202);
   cr_assert_eq (si_row_store_count (&cluster.store, "head"), 1);
   PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, 0, "b1") == 6);
@@ -363,10 +365,10 @@
   ps_cluster_clear (&cluster);
 }
 
-/* Each text of a step is generated twice, and the engines are busy for twice as long. The instance
- * that accepted the batch hears late that another one took it, so it thinks that its offer was not
- * taken and begins a run of its own, which can list nothing. */
-Test (shared, an_offer_that_was_taken_is_not_run_twice)
+/* Each sample of a step was generated twice, which doubled the load of the engines. The instance
+ * that accepted the batch learns late that another one took it; it assumed that its offer was not
+ * taken and started a run of its own, whose results cannot be listed. */
+Test (shared, accepted_offer_is_not_run_twice)
 {
   PsCluster cluster;
   size_t owner;
@@ -380,21 +382,21 @@
   PS_WAIT_UNTIL (&cluster, (owner = ps_find_owner (&cluster)) < 2);
   PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, 0, "b1") == 4);
   cluster.store.delayed_server = ps_store_server (&cluster, 1 - owner);
-  /* A watch that began before is over. */
+  /* Lets the watches end that began before. */
   LbTime end = lb_clock_monotonic () + LB_SEC;
   PS_WAIT_UNTIL (&cluster, lb_clock_monotonic () >= end);
-  size_t before = ps_count_engine_runs (&cluster);
+  size_t runs_before = ps_count_engine_runs (&cluster);
   ps_submit (&cluster, 1 - owner, "b2", 6);
   cr_assert_eq (cluster.status, 202);
   PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, owner, "b2") == 6);
-  cr_assert_eq (ps_count_engine_runs (&cluster) - before, 6);
+  cr_assert_eq (ps_count_engine_runs (&cluster) - runs_before, 6);
   ps_cluster_clear (&cluster);
 }
 
-/* The instance that a batch is offered to is cut off and hears of it two seconds late. The acceptor
- * runs the batch by then; the other took it away in the middle, and what its texts had got was made
- * again, at engines that others waited for. */
-Test (shared, an_offer_that_is_heard_late_is_not_taken)
+/* The instance that a batch is offered to is cut off and gets the offer two seconds late, when the
+ * acceptor already runs the batch. It took the batch over nevertheless, and the samples in progress
+ * were generated again, on engines that other batches waited for. */
+Test (shared, late_offer_is_not_taken)
 {
   PsCluster cluster;
   size_t preferred;
@@ -408,22 +410,22 @@
   PS_WAIT_UNTIL (&cluster, (preferred = ps_find_owner (&cluster)) < 2);
   PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, 0, "b1") == 2);
   cluster.store.delayed_server = ps_store_server (&cluster, preferred);
-  /* A watch that began before is over. */
+  /* Lets the watches end that began before. */
   LbTime end = lb_clock_monotonic () + LB_SEC;
   PS_WAIT_UNTIL (&cluster, lb_clock_monotonic () >= end);
-  size_t before = ps_count_engine_runs (&cluster);
+  size_t runs_before = ps_count_engine_runs (&cluster);
   ps_submit (&cluster, 1 - preferred, "b2", 6);
   cr_assert_eq (cluster.status, 202);
   PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, 1 - preferred, "b2") == 6);
   ps_assert_all_listed (&cluster, 1 - preferred, "b2", 6);
-  cr_assert_eq (ps_count_engine_runs (&cluster) - before, 6);
+  cr_assert_eq (ps_count_engine_runs (&cluster) - runs_before, 6);
   ps_cluster_clear (&cluster);
 }
 
-/* With 84 instances the store is busy and instances are taken for dead in turn, with their batches:
- * a part of the store takes 200 writes a second, and renewals, lease and plan lay in the unnamed
- * part with the heartbeats of all endpoints. None of ours lies there. */
-Test (shared, nothing_of_ours_lies_where_endpoints_write)
+/* One partition of the store accepts 200 writes a second. With 84 instances, renewals, lease and
+ * plan in the unnamed partition competed with the heartbeats of all endpoints, and instances were
+ * declared dead in turn, with their batches. No row of an instance may be in that partition. */
+Test (shared, instances_do_not_write_to_the_endpoints_partition)
 {
   static const char *const names[] = { "n0", "n1" };
   PsCluster cluster;
@@ -439,9 +441,10 @@
   ps_cluster_clear (&cluster);
 }
 
-/* After some hours every batch is refused: the store is full of batches that ended long ago, since
- * nothing in it expires. What an ended batch left is removed; one that is open stays. */
-Test (shared, what_an_ended_batch_left_is_removed)
+/* After some hours every batch was rejected: nothing in the store expires, and it was full of
+ * batches that had ended. The rows and objects of an ended batch must be removed; those of an open
+ * one stay. */
+Test (shared, rows_of_an_ended_batch_are_removed)
 {
   PsCluster cluster;
 
@@ -487,9 +490,9 @@
   return is_listed;
 }
 
-/* A trainer waits in vain for a step with one text of 120 KB: a row of the store holds 64 KiB, the
- * write of that result was refused again and again, and all results behind it waited. */
-Test (shared, a_text_longer_than_a_row_is_listed)
+/* A row of the store holds 64 KiB. For a sample of 120 KB the write of the result was rejected
+ * again and again, all results behind it waited, and the trainer never got its step. */
+Test (shared, sample_longer_than_a_row_is_listed)
 {
   PsCluster cluster;
 
@@ -510,21 +513,21 @@
   ps_cluster_clear (&cluster);
 }
 
-/* The store takes the row of a batch and its answer is lost. "Refused" would be a lie: the batch
- * runs. The instance asks again, and the row tells it. */
-Test (shared, a_lost_answer_of_the_store_is_no_refusal)
+/* The store writes the row of a batch, and its response is lost. The batch must not be reported as
+ * rejected, since it runs: the instance retries and finds the row. */
+Test (shared, lost_store_response_is_not_a_rejection)
 {
   PsCluster cluster;
   char *body = ps_make_batch (3);
 
   ps_cluster_init (&cluster);
   ps_start_instance (&cluster);
-  int before = cluster.n_responses;
+  int responses_before = cluster.n_responses;
   cluster.store.mode = SI_ROW_STORE_LOSES_REPLY;
   ps_start_call (&cluster, 0, "POST", "/steps/1", "b1", body);
   PS_WAIT_UNTIL (&cluster, si_row_store_count (&cluster.store, "head") == 1);
   cluster.store.mode = SI_ROW_STORE_NORMAL;
-  PS_WAIT_UNTIL (&cluster, cluster.n_responses > before);
+  PS_WAIT_UNTIL (&cluster, cluster.n_responses > responses_before);
   cr_assert_eq (cluster.status, 202);
   PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, 0, "b1") == 3);
   ps_assert_all_listed (&cluster, 0, "b1", 3);
@@ -532,11 +535,11 @@
   ps_cluster_clear (&cluster);
 }
 
-/* A trainer's step is accepted and no item of it ever begins. The answer to the write of its row
- * was lost, the second try went through another instance, and the watch showed the row before that
- * try was answered: the instance took note of its own row while it still waited, and never looked
- * again. */
-Test (shared, a_batch_whose_row_shows_before_its_answer_is_run)
+/* A step was accepted, and none of its items started. The response to the write of its row was
+ * lost, the retry went through another instance, and the watch delivered the row before the retry
+ * got its response: the instance saw its own row while it still waited for that response, and did
+ * not check again. */
+Test (shared, batch_row_seen_before_the_write_response_is_run)
 {
   PsCluster cluster;
   size_t owner;
@@ -547,7 +550,7 @@
   ps_submit (&cluster, 0, "b1", 2);
   PS_WAIT_UNTIL (&cluster, (owner = ps_find_owner (&cluster)) < 2);
   PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, 0, "b1") == 2);
-  /* Each knows the other by then. */
+  /* Lets the instances learn of each other. */
   LbTime end = lb_clock_monotonic () + LB_SEC;
   PS_WAIT_UNTIL (&cluster, lb_clock_monotonic () >= end);
   cluster.instances[1 - owner].store_relay.fault = (PtRelayFault){ .delay = 150 * LB_MSEC };
@@ -560,10 +563,10 @@
   ps_cluster_clear (&cluster);
 }
 
-/* The store takes the row of a batch, its answer is lost, and it refuses all calls after that. Told
- * "not run" the trainer would submit its step anew, and the batch that was taken would run beside
- * it as soon as the store is back. */
-Test (shared, a_batch_whose_row_may_stand_is_not_called_refused)
+/* The store writes the row of a batch, its response is lost, and it rejects all calls after that.
+ * Reported as not run, the trainer would submit the step again, and the stored batch would run
+ * beside it once the store is back. */
+Test (shared, batch_with_a_possibly_stored_row_is_not_reported_as_not_run)
 {
   PsCluster cluster;
 
@@ -580,9 +583,9 @@
   ps_cluster_clear (&cluster);
 }
 
-/* Without the store nothing can be accepted. The trainer hears so at once, with a time to come
- * back, and nothing of the batch runs; calls of plain services go on. */
-Test (shared, without_the_store_batches_are_refused_and_calls_served)
+/* During a store outage no batch can be accepted: the trainer gets a rejection with a retry time at
+ * once, and no item runs. Calls of plain services must be served. */
+Test (shared, store_outage_rejects_batches_and_serves_calls)
 {
   PsCluster cluster;
 
@@ -600,17 +603,18 @@
   ps_cluster_clear (&cluster);
 }
 
-/* An answer of the store that was held up brings back an older state. Routes that were added since
- * must not vanish. */
-Test (shared, an_older_desired_state_does_not_come_back)
+/* A delayed response of the store contains an older desired state. Routes that were added since
+ * must stay. */
+Test (shared, older_desired_state_is_ignored)
 {
-  static const char more[] = ", {\"name\": \"new\", \"host\": \"h.example\", \"prefix\": \"/new/\","
-                             " \"kind\": \"safe\", \"service\": \"lookups\", \"attempts\": 2}";
+  static const char added_route[]
+      = ", {\"name\": \"new\", \"host\": \"h.example\", \"prefix\": \"/new/\","
+        " \"kind\": \"safe\", \"service\": \"lookups\", \"attempts\": 2}";
   PsCluster cluster;
 
   ps_cluster_init (&cluster);
   ps_start_instance (&cluster);
-  ps_put_config (&cluster, 5, more);
+  ps_put_config (&cluster, 5, added_route);
   PS_WAIT_UNTIL (&cluster,
                  (ps_call (&cluster, 0, "GET", "/new/x", "c1", ""), cluster.status == 200));
   ps_put_config (&cluster, 4, "");
@@ -624,15 +628,15 @@
   for (int i = 0; i < 20; i++)
     {
       ps_call (&cluster, 0, "GET", "/new/x", "c3", "");
-      cr_assert_eq (cluster.status, 200, "one that can't be read changes nothing either");
+      cr_assert_eq (cluster.status, 200, "an invalid desired state is ignored");
       usleep (50000);
     }
   ps_cluster_clear (&cluster);
 }
 
-/* The operator stops an instance. It is not ready from then on, gives its batch away with what has
- * come of it, serves callers that still hold its address, and exits with 0. */
-Test (shared, a_stopped_instance_gives_its_batch_away_and_cuts_nothing)
+/* A stopped instance must report that it is not ready, hand its batch over with the results so far,
+ * serve callers that still use its address, and exit with 0. */
+Test (shared, stopped_instance_hands_its_batch_over_and_serves_calls)
 {
   PsCluster cluster;
 
@@ -655,8 +659,8 @@
   ps_cluster_clear (&cluster);
 }
 
-/* A reload cuts nothing, and a file that can't be read changes nothing. */
-Test (shared, a_reload_cuts_nothing)
+/* A reload interrupts no call and no batch, and an unreadable file changes nothing. */
+Test (shared, reload_interrupts_nothing)
 {
   PsCluster cluster;
   char path[128];
@@ -677,9 +681,9 @@
   ps_cluster_clear (&cluster);
 }
 
-/* The trainer ends a step while its items run: engines stop working on them within a second or so.
- */
-Test (shared, an_ended_batch_stops_at_the_engines)
+/* The trainer ends a step while its items run: the engines must stop working on them within about a
+ * second. */
+Test (shared, ended_batch_is_cancelled_at_the_engines)
 {
   PsCluster cluster;
 
@@ -704,8 +708,8 @@
   ps_cluster_clear (&cluster);
 }
 
-/* An engine says that it leaves: nothing new goes there, and what runs there goes on to its end. */
-Test (shared, an_engine_that_leaves_gets_nothing_new)
+/* An engine announces that it leaves: it must get no new work, and running work must complete. */
+Test (shared, leaving_engine_gets_no_new_work)
 {
   PsCluster cluster;
 
@@ -725,25 +729,25 @@
   ps_cluster_clear (&cluster);
 }
 
-/* A machine was taken away; its row stays in the store. An instance that starts afterwards saw that
- * row for the first time and named the machine to its callers until three renewals were missed. */
-Test (shared, a_started_instance_names_nobody_who_is_long_gone)
+/* The row of a removed machine stays in the store. An instance that started afterwards saw that row
+ * for the first time and listed the machine to callers until three renewals were missed. */
+Test (shared, started_instance_does_not_list_a_removed_machine)
 {
-  static const char gone[]
+  static const char gone_row[]
       = "{\"name\": \"gone\", \"incarnation\": \"1\", \"data_centre\": \"hall-a\","
         " \"callers\": \"127.0.0.9:9\", \"peers\": \"\", \"ready\": true, \"renewed_ms\": 1,"
         " \"renewals\": 7, \"period_ms\": 20000}";
   PsCluster cluster;
 
   ps_cluster_init (&cluster);
-  si_row_store_put (&cluster.store, "instance", "0", "gone", gone);
-  size_t a = ps_start_instance (&cluster);
-  PS_WAIT_UNTIL (&cluster, ps_count_logged (&cluster, a, "instances_listed") > 0);
+  si_row_store_put (&cluster.store, "instance", "0", "gone", gone_row);
+  size_t instance = ps_start_instance (&cluster);
+  PS_WAIT_UNTIL (&cluster, ps_count_logged (&cluster, instance, "instances_listed") > 0);
   for (int i = 0; i < 50; i++)
     {
-      ps_call (&cluster, a, "GET", "/-/resolve?name=h.example", "", "");
-      cr_assert (strstr (cluster.body, cluster.instances[a].address));
-      cr_assert_not (strstr (cluster.body, "127.0.0.9:9"), "it names a machine that is gone");
+      ps_call (&cluster, instance, "GET", "/-/resolve?name=h.example", "", "");
+      cr_assert (strstr (cluster.body, cluster.instances[instance].address));
+      cr_assert_not (strstr (cluster.body, "127.0.0.9:9"), "a removed machine is listed");
     }
   ps_cluster_clear (&cluster);
 }
--- a/tests/process/test-silence.c
+++ b/tests/process/test-silence.c
@@ -11,37 +11,37 @@
 typedef struct
 {
   SiCheckedCallResult result;
-  bool done;
-} Answer;
+  bool is_done;
+} PendingCall;
 
 static void
-on_answer (const SiCheckedCallResult *result, void *user)
+on_call_done (const SiCheckedCallResult *result, void *user)
 {
-  Answer *answer = user;
+  PendingCall *pending_call = user;
 
-  answer->result = *result;
-  answer->done = true;
+  pending_call->result = *result;
+  pending_call->is_done = true;
 }
 
 static bool
-is_answered (PtCluster *cluster, void *user)
+is_call_done (PtCluster *cluster, void *user)
 {
   (void)cluster;
-  return ((Answer *)user)->done;
+  return ((PendingCall *)user)->is_done;
 }
 
 typedef struct
 {
   PtProgram *endpoint;
   const char *key;
-} Run;
+} RunQuery;
 
 static bool
 has_run (PtCluster *cluster, void *user)
 {
-  Run *run = user;
+  RunQuery *run_query = user;
 
-  return pt_count_runs (cluster, run->endpoint, run->key) > 0;
+  return pt_count_runs (cluster, run_query->endpoint, run_query->key) > 0;
 }
 
 typedef struct
@@ -49,49 +49,49 @@
   PtCluster cluster;
   PtRelay relay;
   PtProgram *instance;
-  PtProgram *endpoint; /* reached through the relay only */
+  PtProgram *endpoint; /* the instance reaches it through the relay only */
 } Scene;
 
 static void
-scene_open (Scene *scene,
-            PtProgram *(*start) (PtCluster *, const char *, const char *const *),
+scene_init (Scene *scene,
+            PtProgram *(*start_endpoint) (PtCluster *, const char *, const char *const *),
             const char *name,
             const char *const *options)
 {
-  LbName direct;
+  LbName direct_address;
 
   pt_cluster_init (&scene->cluster);
   scene->cluster.has_memory_platform = true;
-  scene->endpoint = start (&scene->cluster, name, options);
+  scene->endpoint = start_endpoint (&scene->cluster, name, options);
   pt_relay_init (&scene->relay, scene->cluster.client.base, scene->endpoint->address);
   scene->instance = pt_start_instance (&scene->cluster, "i1", "hall-a");
-  strcpy (direct, scene->endpoint->address);
+  strcpy (direct_address, scene->endpoint->address);
   strcpy (scene->endpoint->address, scene->relay.address);
   pt_apply_resources (&scene->cluster, scene->instance);
-  strcpy (scene->endpoint->address, direct);
+  strcpy (scene->endpoint->address, direct_address);
   pt_wait_ready (&scene->cluster, scene->instance);
 }
 
 static void
-scene_close (Scene *scene)
+scene_clear (Scene *scene)
 {
   pt_relay_clear (&scene->relay);
   pt_cluster_drain (&scene->cluster);
   pt_cluster_clear (&scene->cluster);
 }
 
-/* A shopper reads a reply as it is written. Something between an instance and its engine loses
- * track of the open connection: no byte comes any more and none is refused, while new connections
- * work. Without a bound on silence the shopper waits for ever; the answer must go on over a new
- * connection from the last word, and be whole. The answers of the next callers, who would be given
- * the same kept connections, must be whole too. */
-Test (silence, stream_goes_on_over_a_new_connection)
+/* A caller reads a stream when a device between the instance and its engine loses its connection
+ * state: the open connection delivers no data and no error, while new connections work. Without a
+ * bound on silence the caller waits for ever. The stream must resume over a new connection after
+ * the last token and be complete, and so must later calls, which would otherwise get the same
+ * pooled connections. */
+Test (silence, stream_resumes_over_a_new_connection)
 {
-  static const char *const slow[] = { "--tokens-per-second", "60", NULL };
+  static const char *const slow_options[] = { "--tokens-per-second", "60", NULL };
   Scene scene;
-  Answer answer = { .done = false };
+  PendingCall pending_call = { .is_done = false };
 
-  scene_open (&scene, pt_start_engine, "engine-1", slow);
+  scene_init (&scene, pt_start_engine, "engine-1", slow_options);
   SiCheckedCallSpec spec = { .address = scene.instance->address,
                              .model = "reader",
                              .prompt = "a reply",
@@ -99,31 +99,31 @@
                              .stream = true };
   cr_assert_eq (pt_checked_call (&scene.cluster, &spec).outcome, SI_CALL_COMPLETE);
   spec.prompt = "another reply";
-  Run run = { scene.endpoint, spec.prompt };
-  si_checked_call_start (scene.cluster.client.pool, &spec, on_answer, &answer);
-  pt_wait (&scene.cluster, "the engine has the call", has_run, &run);
+  RunQuery run_query = { scene.endpoint, spec.prompt };
+  si_checked_call_start (scene.cluster.client.pool, &spec, on_call_done, &pending_call);
+  pt_wait (&scene.cluster, "the engine has started the call", has_run, &run_query);
   si_client_pause (&scene.cluster.client, 300 * LB_MSEC);
   pt_relay_blackhole_connections (&scene.relay);
 
-  pt_wait (&scene.cluster, "the answer ends", is_answered, &answer);
-  cr_assert_eq (answer.result.outcome, SI_CALL_COMPLETE, "%d %s", answer.result.outcome,
-                answer.result.error);
+  pt_wait (&scene.cluster, "the call is done", is_call_done, &pending_call);
+  cr_assert_eq (pending_call.result.outcome, SI_CALL_COMPLETE, "%d %s", pending_call.result.outcome,
+                pending_call.result.error);
   cr_assert_eq (pt_read_log_counter (&scene.cluster, scene.endpoint, "resume_mismatches"), 0);
   spec.prompt = "a third";
   cr_assert_eq (pt_checked_call (&scene.cluster, &spec).outcome, SI_CALL_COMPLETE);
-  scene_close (&scene);
+  scene_clear (&scene);
 }
 
-/* An order message is on its way to the chat service when the connection is lost track of. Whether
- * it ran can't be known, so it may neither be sent again, or the shopper gets it twice, nor be
- * called "not run", or the merchant sends it again himself. */
-Test (silence, order_that_may_have_run_is_not_repeated_nor_called_not_run)
+/* An unsafe call is in progress when its connection goes silent. Whether it ran cannot be known, so
+ * it must neither be retried, which could run it twice, nor be reported as not run, after which the
+ * caller would send it again. */
+Test (silence, call_that_may_have_run_is_not_retried_nor_reported_as_not_run)
 {
-  static const char *const slow[] = { "--latency-ms", "400", NULL };
+  static const char *const slow_options[] = { "--latency-ms", "400", NULL };
   Scene scene;
-  Answer answer = { .done = false };
+  PendingCall pending_call = { .is_done = false };
 
-  scene_open (&scene, pt_start_service, "lookup-1", slow);
+  scene_init (&scene, pt_start_service, "lookup-1", slow_options);
   SiCheckedCallSpec spec = { .kind = SI_CHECKED_CALL_SERVICE,
                              .address = scene.instance->address,
                              .model = "/services/lookup/order",
@@ -131,20 +131,20 @@
                              .order = "order-7",
                              .deadline_ms = "2000",
                              .idle_timeout = PT_WAIT_TIMEOUT };
-  Run run = { scene.endpoint, "order-7" };
-  si_checked_call_start (scene.cluster.client.pool, &spec, on_answer, &answer);
-  pt_wait (&scene.cluster, "the service has the call", has_run, &run);
+  RunQuery run_query = { scene.endpoint, "order-7" };
+  si_checked_call_start (scene.cluster.client.pool, &spec, on_call_done, &pending_call);
+  pt_wait (&scene.cluster, "the service has started the call", has_run, &run_query);
   pt_relay_blackhole_connections (&scene.relay);
 
-  pt_wait (&scene.cluster, "the answer ends", is_answered, &answer);
-  cr_assert_eq (answer.result.outcome, SI_CALL_FAILED, "%d %s", answer.result.outcome,
-                answer.result.error);
-  cr_assert (strcmp (answer.result.error, "deadline") == 0
-                 || strcmp (answer.result.error, "outcome_unknown") == 0,
-             "%s", answer.result.error);
+  pt_wait (&scene.cluster, "the call is done", is_call_done, &pending_call);
+  cr_assert_eq (pending_call.result.outcome, SI_CALL_FAILED, "%d %s", pending_call.result.outcome,
+                pending_call.result.error);
+  cr_assert (strcmp (pending_call.result.error, "deadline") == 0
+                 || strcmp (pending_call.result.error, "outcome_unknown") == 0,
+             "%s", pending_call.result.error);
   cr_assert_eq (pt_count_runs (&scene.cluster, scene.endpoint, "order-7"), 1);
   spec.order = "order-8";
   spec.deadline_ms = NULL;
   cr_assert_eq (pt_checked_call (&scene.cluster, &spec).outcome, SI_CALL_COMPLETE);
-  scene_close (&scene);
+  scene_clear (&scene);
 }
--- a/tests/process/test-slow.c
+++ b/tests/process/test-slow.c
@@ -3,11 +3,10 @@
 #include <criterion/criterion.h>
 #include <string.h>
 
-/* A clerk sends a request at once and the answer takes longer than a request may take to be read,
- * for the model writes slowly. The limit is meant for callers who send a byte a second: it must end
- * when the request is whole, or the answer is cut, and the clerk told "not run" of a call that ran.
- */
-Test (slow, answer_longer_than_the_time_to_read_a_request_is_whole)
+/* A response takes longer than the limit for reading a request, since the model generates slowly.
+ * The limit is meant for callers that send a byte a second: it must end once the request is read.
+ * Otherwise the response is truncated, and the caller gets "not run" for a call that ran. */
+Test (slow, response_slower_than_the_request_read_limit_is_complete)
 {
   static const char *const engine_options[] = { "--tokens-per-second", "40", NULL };
   static const char *const service_options[] = { "--latency-ms", "1500", NULL };
@@ -30,13 +29,13 @@
   cr_assert_eq (result.outcome, SI_CALL_COMPLETE, "stream: %d %s", result.outcome, result.error);
   stream.stream = false;
   result = pt_checked_call (&cluster, &stream);
-  cr_assert_eq (result.outcome, SI_CALL_COMPLETE, "whole: %d %s", result.outcome, result.error);
-  SiCheckedCallSpec order = { .kind = SI_CHECKED_CALL_SERVICE,
-                              .address = instance->address,
-                              .model = "/services/lookup/order",
-                              .prompt = "one",
-                              .order = "order-1" };
-  result = pt_checked_call (&cluster, &order);
+  cr_assert_eq (result.outcome, SI_CALL_COMPLETE, "unary: %d %s", result.outcome, result.error);
+  SiCheckedCallSpec service_call = { .kind = SI_CHECKED_CALL_SERVICE,
+                                     .address = instance->address,
+                                     .model = "/services/lookup/order",
+                                     .prompt = "one",
+                                     .order = "order-1" };
+  result = pt_checked_call (&cluster, &service_call);
   cr_assert_eq (result.outcome, SI_CALL_COMPLETE, "service: %d %s", result.outcome, result.error);
   cr_assert_eq (pt_count_runs (&cluster, service, "order-1"), 1);
   pt_cluster_drain (&cluster);
--- a/tests/process/test-steps.c
+++ b/tests/process/test-steps.c
@@ -8,12 +8,12 @@
 #include <string.h>
 
 #define OWNER_ROW "/table/row?key=step%2Freader-trainer%2F1"
-#define SAMPLES 24
+#define N_SAMPLES 24
 
 static const char *const engine_options[]
     = { "--tokens-per-second", "100", "--vary-length", "--version", "40", NULL };
 
-/* Three instances, three engines and a trainer whose step takes some seconds. */
+/* Three instances, three engines and a trainer whose step takes several seconds. */
 typedef struct
 {
   PtCluster cluster;
@@ -21,7 +21,7 @@
 } Scene;
 
 static void
-start_world (Scene *scene)
+start_cluster (Scene *scene)
 {
   PtCluster *cluster = &scene->cluster;
 
@@ -49,22 +49,22 @@
 }
 
 static void
-scene_open (Scene *scene, const char *silence_ms)
+scene_init (Scene *scene, const char *silence_ms)
 {
-  start_world (scene);
+  start_cluster (scene);
   start_trainer (scene, silence_ms);
 }
 
 static void
-scene_open_without_store (Scene *scene, const char *silence_ms)
+scene_init_without_store (Scene *scene, const char *silence_ms)
 {
-  start_world (scene);
+  start_cluster (scene);
   pt_inject_fault (&scene->cluster, &scene->cluster.platform, "{\"mode\": \"down\"}");
   start_trainer (scene, silence_ms);
 }
 
 static void
-scene_close (Scene *scene)
+scene_clear (Scene *scene)
 {
   pt_process_clear (&scene->trainer);
   pt_cluster_drain (&scene->cluster);
@@ -82,13 +82,13 @@
 }
 
 static bool
-is_mid_step (PtCluster *cluster, void *user)
+is_quarter_finished (PtCluster *cluster, void *user)
 {
   (void)user;
-  return count_finished (cluster) >= SAMPLES / 4;
+  return count_finished (cluster) >= N_SAMPLES / 4;
 }
 
-/* What the platform's table says of the owner of step 1. */
+/* The owner of step 1 according to the platform's table. */
 static PtProgram *
 find_owner (PtCluster *cluster)
 {
@@ -97,18 +97,19 @@
   cr_assert_not_null (row, "step 1 has no owner");
   struct json_object *owner = json_tokener_parse (si_json_text (row, "value", ""));
   const char *name = si_json_text (owner, "instance", "");
-  PtProgram *found = NULL;
+  PtProgram *owner_instance = NULL;
 
   for (size_t i = 0; i < cluster->n_instances; i++)
     if (strcmp (cluster->instances[i].name, name) == 0)
-      found = &cluster->instances[i];
+      owner_instance = &cluster->instances[i];
   json_object_put (owner);
   json_object_put (row);
-  cr_assert_not_null (found);
-  return found;
+  cr_assert_not_null (owner_instance);
+  return owner_instance;
 }
 
-/* Every sample once, labelled and fresh: the trainer itself has checked it. */
+/* The trainer itself checks that it gets every sample once, labelled and within its staleness
+ * bound; it exits with 0 only then. */
 static void
 check_trainer (Scene *scene)
 {
@@ -116,23 +117,23 @@
 
   cr_assert (pt_process_has_exited (&scene->trainer, 0), "%s (logs in %s)",
              json_object_to_json_string (summary), scene->cluster.folder);
-  cr_assert_eq (si_json_int (summary, "samples", 0), SAMPLES);
+  cr_assert_eq (si_json_int (summary, "samples", 0), N_SAMPLES);
   json_object_put (summary);
 }
 
-/* The instance that owns a trainer's step is killed in the middle of it. The trainer has some of
- * its samples and asks another instance for the rest. One lost leaves letters in bins, one given
- * twice skews the training: each sample must come exactly once. */
-Test (steps, owner_killed_in_mid_step)
+/* The owner of a step is killed after the trainer got some of the samples; it pulls the rest from
+ * another instance. Lost samples leave the step incomplete and duplicates skew the training: each
+ * sample must be delivered exactly once. */
+Test (steps, killed_owner_loses_and_duplicates_no_sample)
 {
   Scene scene;
 
-  scene_open (&scene, "3000");
-  pt_wait (&scene.cluster, "the step is under way", is_mid_step, NULL);
+  scene_init (&scene, "3000");
+  pt_wait (&scene.cluster, "a quarter of the samples is finished", is_quarter_finished, NULL);
   PtProgram *owner = find_owner (&scene.cluster);
   pt_process_signal (&owner->process, SIGKILL);
   check_trainer (&scene);
-  scene_close (&scene);
+  scene_clear (&scene);
 }
 
 static bool
@@ -141,63 +142,64 @@
   return find_owner (cluster) != user;
 }
 
-/* The owner of a step is paused for long enough that another instance takes the step over, and then
- * goes on, unaware: its old session still has samples to give and rows to write. The trainer must
- * not get a sample from both. */
-Test (steps, owner_paused_in_mid_step_and_back)
+/* The owner of a step is suspended until another instance takes the step over, and then continues
+ * with its old session, which still has samples to deliver and rows to write. The trainer must not
+ * get a sample from both. */
+Test (steps, suspended_owner_that_continues_duplicates_no_sample)
 {
   Scene scene;
 
-  scene_open (&scene, "1200");
-  pt_wait (&scene.cluster, "the step is under way", is_mid_step, NULL);
+  scene_init (&scene, "1200");
+  pt_wait (&scene.cluster, "a quarter of the samples is finished", is_quarter_finished, NULL);
   PtProgram *owner = find_owner (&scene.cluster);
   pt_process_signal (&owner->process, SIGSTOP);
   pt_wait (&scene.cluster, "another instance takes the step over", has_other_owner, owner);
   pt_process_signal (&owner->process, SIGCONT);
   check_trainer (&scene);
-  scene_close (&scene);
+  scene_clear (&scene);
 }
 
-/* The platform's store goes away in the middle of a step and stays away. A trainer that sends a
- * cursor needs no row for each chunk: its step must go on to the end. When the store is back the
- * next step works as any. */
-Test (steps, store_away_in_mid_step_and_back)
+/* The store fails in the middle of a step and stays unavailable. A trainer that sends a cursor
+ * needs no row for each chunk, so the step must complete, and the next step must work once the
+ * store is back. */
+Test (steps, step_completes_during_store_outage)
 {
   Scene scene;
-  static const char *const next[] = { "--step",    "2",  "--groups",      "6", "--samples", "4",
-                                      "--version", "41", "--vary-length", NULL };
+  static const char *const next_step_options[] = { "--step",        "2", "--groups",  "6",
+                                                   "--samples",     "4", "--version", "41",
+                                                   "--vary-length", NULL };
 
-  scene_open (&scene, "3000");
-  pt_wait (&scene.cluster, "the step is under way", is_mid_step, NULL);
+  scene_init (&scene, "3000");
+  pt_wait (&scene.cluster, "a quarter of the samples is finished", is_quarter_finished, NULL);
   pt_inject_fault (&scene.cluster, &scene.cluster.platform, "{\"mode\": \"down\"}");
   check_trainer (&scene);
   pt_process_clear (&scene.trainer);
   pt_inject_fault (&scene.cluster, &scene.cluster.platform, "{\"mode\": \"none\"}");
-  pt_start_trainer (&scene.cluster, &scene.trainer, next);
+  pt_start_trainer (&scene.cluster, &scene.trainer, next_step_options);
   check_trainer (&scene);
-  scene_close (&scene);
+  scene_clear (&scene);
 }
 
 static bool
-has_step_chunk (PtCluster *cluster, void *user)
+is_half_finished (PtCluster *cluster, void *user)
 {
   (void)user;
-  return count_finished (cluster) >= SAMPLES / 2;
+  return count_finished (cluster) >= N_SAMPLES / 2;
 }
 
-/* A step is opened while the store is away, so it is accepted as not durable, and its owner is
- * killed when the trainer has some of the samples: nobody is left who knows the step. The trainer
- * is told so, opens it again with the same content, goes on with its cursor, and still gets each
- * sample once. */
-Test (steps, step_opened_without_the_store_and_its_owner_killed)
+/* A step is opened during a store outage, so it is accepted as not durable, and its owner, the only
+ * instance that knows it, is killed after the trainer got some of the samples. The trainer gets an
+ * error, opens the step again with the same content, continues with its cursor, and must still get
+ * each sample once. */
+Test (steps, non_durable_step_survives_its_killed_owner)
 {
   Scene scene;
 
-  scene_open_without_store (&scene, "3000");
-  pt_wait (&scene.cluster, "the step is under way", has_step_chunk, NULL);
+  scene_init_without_store (&scene, "3000");
+  pt_wait (&scene.cluster, "half of the samples are finished", is_half_finished, NULL);
   pt_process_signal (&scene.cluster.instances[0].process, SIGKILL);
   si_client_pause (&scene.cluster.client, LB_SEC);
   pt_inject_fault (&scene.cluster, &scene.cluster.platform, "{\"mode\": \"none\"}");
   check_trainer (&scene);
-  scene_close (&scene);
+  scene_clear (&scene);
 }
--- a/tests/process/test-tickets.c
+++ b/tests/process/test-tickets.c
@@ -14,54 +14,54 @@
   PtProgram *service;
   PtProgram *first;
   PtProgram *second;
-} Shop;
+} Scene;
 
 static bool
-both_named (PtCluster *cluster, void *user)
+are_both_listed (PtCluster *cluster, void *user)
 {
   (void)user;
-  bool all = true;
+  bool all_listed = true;
 
-  for (size_t i = 0; i < cluster->n_instances && all; i++)
+  for (size_t i = 0; i < cluster->n_instances && all_listed; i++)
     {
       struct json_object *entry
           = si_client_call_json (&cluster->client, cluster->instances[i].address,
                                  "/v1/entry?caller=shop", NULL);
       struct json_object *addresses = NULL;
-      all = entry && json_object_object_get_ex (entry, "addresses", &addresses)
-            && json_object_array_length (addresses) == 2;
+      all_listed = entry && json_object_object_get_ex (entry, "addresses", &addresses)
+                   && json_object_array_length (addresses) == 2;
       json_object_put (entry);
     }
-  return all;
+  return all_listed;
 }
 
-/* Two instances that know each other, and one service whose calls may not be repeated. */
+/* Two instances that list each other, and one service whose calls must not be retried. */
 static void
-shop_init (Shop *shop)
+scene_init (Scene *scene)
 {
   static const char *const options[] = { "--latency-ms", "50", NULL };
 
-  memset (shop, 0, sizeof *shop);
-  pt_cluster_init (&shop->cluster);
-  pt_start_platform (&shop->cluster);
-  shop->service = pt_start_service (&shop->cluster, "lookup-1", options);
-  shop->first = pt_start_instance (&shop->cluster, "i1", "hall-a");
-  shop->second = pt_start_instance (&shop->cluster, "i2", "hall-b");
-  pt_apply_resources (&shop->cluster, shop->first);
-  pt_wait_revision_in_force (&shop->cluster);
-  pt_wait_ready (&shop->cluster, shop->first);
-  pt_wait_ready (&shop->cluster, shop->second);
-  pt_wait (&shop->cluster, "two instances that name each other", both_named, NULL);
+  memset (scene, 0, sizeof *scene);
+  pt_cluster_init (&scene->cluster);
+  pt_start_platform (&scene->cluster);
+  scene->service = pt_start_service (&scene->cluster, "lookup-1", options);
+  scene->first = pt_start_instance (&scene->cluster, "i1", "hall-a");
+  scene->second = pt_start_instance (&scene->cluster, "i2", "hall-b");
+  pt_apply_resources (&scene->cluster, scene->first);
+  pt_wait_revision_in_force (&scene->cluster);
+  pt_wait_ready (&scene->cluster, scene->first);
+  pt_wait_ready (&scene->cluster, scene->second);
+  pt_wait (&scene->cluster, "both instances list two addresses", are_both_listed, NULL);
 }
 
 static void
-shop_clear (Shop *shop)
+scene_clear (Scene *scene)
 {
-  pt_cluster_clear (&shop->cluster);
+  pt_cluster_clear (&scene->cluster);
 }
 
 static void
-get_ticket (Shop *shop, PtProgram *instance, char ticket[256])
+create_ticket (Scene *scene, PtProgram *instance, char ticket[256])
 {
   const LhHeader headers[] = { { "x-caller", "shop" } };
   const SiCall call = { .method = "POST",
@@ -70,20 +70,21 @@
                         .headers = headers,
                         .n_headers = 1,
                         .body = "" };
-  SiResponse answer;
+  SiResponse response;
 
-  si_client_call (&shop->cluster.client, &call, &answer);
-  cr_assert (si_response_is_ok (&answer), "%s", si_response_error (&answer));
-  struct json_object *object = json_tokener_parse (answer.body);
+  si_client_call (&scene->cluster.client, &call, &response);
+  cr_assert (si_response_is_ok (&response), "%s", si_response_error (&response));
+  struct json_object *object = json_tokener_parse (response.body);
   struct json_object *text = NULL;
   cr_assert (json_object_object_get_ex (object, "ticket", &text));
   lb_strlcpy (ticket, json_object_get_string (text), 256);
   json_object_put (object);
-  si_response_clear (&answer);
+  si_response_clear (&response);
 }
 
 static void
-order (Shop *shop, PtProgram *instance, const char *header, const char *value, SiResponse *answer)
+send_order (
+    Scene *scene, PtProgram *instance, const char *header, const char *value, SiResponse *response)
 {
   const LhHeader headers[] = { { "x-caller", "shop" }, { "x-order", "tea" }, { header, value } };
   const SiCall call = { .method = "POST",
@@ -93,101 +94,101 @@
                         .n_headers = 3,
                         .body = "one tea" };
 
-  si_client_call (&shop->cluster.client, &call, answer);
+  si_client_call (&scene->cluster.client, &call, response);
 }
 
-/* A shop makes an order with a ticket of one instance, but connects to another, which passes it on.
- * The answer is lost, and the first instance dies. The shop asks again at the second: whether the
- * order was made is no longer known to anyone, so it must neither be made again nor be called "not
- * run". */
-Test (tickets, dead_instance_leaves_the_outcome_unknown)
+/* A caller sends an order with a ticket of one instance to another one, which forwards it. The
+ * response is lost and the first instance is killed. The caller retries at the second instance: the
+ * outcome is no longer known, so the order must neither run again nor be reported as not run. */
+Test (tickets, ticket_of_a_killed_instance_has_an_unknown_outcome)
 {
-  Shop shop;
-  SiResponse answer;
+  Scene scene;
+  SiResponse response;
   char ticket[256];
 
-  shop_init (&shop);
-  get_ticket (&shop, shop.first, ticket);
-  order (&shop, shop.second, "x-ticket", ticket, &answer);
-  cr_assert (si_response_is_ok (&answer), "%s", si_response_error (&answer));
-  si_response_clear (&answer);
-  order (&shop, shop.first, "x-ticket", ticket, &answer);
-  cr_assert (si_response_is_ok (&answer), "%s", si_response_error (&answer));
-  si_response_clear (&answer);
-  cr_assert_eq (pt_count_runs (&shop.cluster, shop.service, "tea"), 1);
-
-  pt_process_signal (&shop.first->process, SIGKILL);
-  order (&shop, shop.second, "x-ticket", ticket, &answer);
-  cr_assert_str_eq (si_response_error (&answer), "outcome_unknown");
-  cr_assert_not (answer.not_run);
-  si_response_clear (&answer);
-  cr_assert_eq (pt_count_runs (&shop.cluster, shop.service, "tea"), 1);
-  shop_clear (&shop);
+  scene_init (&scene);
+  create_ticket (&scene, scene.first, ticket);
+  send_order (&scene, scene.second, "x-ticket", ticket, &response);
+  cr_assert (si_response_is_ok (&response), "%s", si_response_error (&response));
+  si_response_clear (&response);
+  send_order (&scene, scene.first, "x-ticket", ticket, &response);
+  cr_assert (si_response_is_ok (&response), "%s", si_response_error (&response));
+  si_response_clear (&response);
+  cr_assert_eq (pt_count_runs (&scene.cluster, scene.service, "tea"), 1);
+
+  pt_process_signal (&scene.first->process, SIGKILL);
+  send_order (&scene, scene.second, "x-ticket", ticket, &response);
+  cr_assert_str_eq (si_response_error (&response), "outcome_unknown");
+  cr_assert_not (response.not_run);
+  si_response_clear (&response);
+  cr_assert_eq (pt_count_runs (&scene.cluster, scene.service, "tea"), 1);
+  scene_clear (&scene);
 }
 
 typedef struct
 {
-  Shop *shop;
+  Scene *scene;
   PtProgram *instance;
-} Repeat;
+} OrderRetry;
 
 static bool
-order_is_answered (PtCluster *cluster, void *user)
+is_order_completed (PtCluster *cluster, void *user)
 {
   (void)cluster;
-  const Repeat *repeat = user;
-  SiResponse answer;
+  const OrderRetry *retry = user;
+  SiResponse response;
 
-  order (repeat->shop, repeat->instance, "idempotency-key", "k1", &answer);
-  bool ok = si_response_is_ok (&answer);
-  cr_assert (ok || answer.not_run, "%s", si_response_error (&answer));
-  si_response_clear (&answer);
+  send_order (retry->scene, retry->instance, "idempotency-key", "k1", &response);
+  bool ok = si_response_is_ok (&response);
+  cr_assert (ok || response.not_run, "%s", si_response_error (&response));
+  si_response_clear (&response);
   return ok;
 }
 
-/* The instance claims the shop's key, and every reply of the store is lost after its write. Either
- * the instance reads the row back and makes the order, or it can't and refuses it as "not run",
- * which then holds. The shop asks again at both instances: they find the row, and there is one
- * order. */
-Test (tickets, lost_replies_of_the_store_make_no_second_order)
+/* The instance claims the caller's idempotency key, and every response of the store is lost after
+ * the write. The instance must either read the row back and run the order, or reject it as not run
+ * without running it. Retries at both instances then find the row, and the order runs once. */
+Test (tickets, lost_store_responses_cause_no_second_run)
 {
-  Shop shop;
-  SiResponse answer;
+  Scene scene;
+  SiResponse response;
 
-  shop_init (&shop);
-  pt_inject_fault (&shop.cluster, &shop.cluster.platform,
+  scene_init (&scene);
+  pt_inject_fault (&scene.cluster, &scene.cluster.platform,
                    "{\"mode\": \"lose_reply\", \"path\": \"/table/transact\"}");
-  order (&shop, shop.first, "idempotency-key", "k1", &answer);
-  cr_assert (si_response_is_ok (&answer) || answer.not_run, "%s", si_response_error (&answer));
-  cr_assert_eq (pt_count_runs (&shop.cluster, shop.service, "tea"), answer.not_run ? 0 : 1);
-  si_response_clear (&answer);
-  pt_inject_fault (&shop.cluster, &shop.cluster.platform, "{\"mode\": \"none\"}");
-  Repeat second = { .shop = &shop, .instance = shop.second };
-  Repeat first = { .shop = &shop, .instance = shop.first };
-  pt_wait (&shop.cluster, "the order at the second instance", order_is_answered, &second);
-  pt_wait (&shop.cluster, "the order at the first instance", order_is_answered, &first);
-  cr_assert_eq (pt_count_runs (&shop.cluster, shop.service, "tea"), 1);
-  shop_clear (&shop);
+  send_order (&scene, scene.first, "idempotency-key", "k1", &response);
+  cr_assert (si_response_is_ok (&response) || response.not_run, "%s",
+             si_response_error (&response));
+  cr_assert_eq (pt_count_runs (&scene.cluster, scene.service, "tea"), response.not_run ? 0 : 1);
+  si_response_clear (&response);
+  pt_inject_fault (&scene.cluster, &scene.cluster.platform, "{\"mode\": \"none\"}");
+  OrderRetry second = { .scene = &scene, .instance = scene.second };
+  OrderRetry first = { .scene = &scene, .instance = scene.first };
+  pt_wait (&scene.cluster, "the order completes at the second instance", is_order_completed,
+           &second);
+  pt_wait (&scene.cluster, "the order completes at the first instance", is_order_completed, &first);
+  cr_assert_eq (pt_count_runs (&scene.cluster, scene.service, "tea"), 1);
+  scene_clear (&scene);
 }
 
-/* The store is away. An order with a key of the shop's own can't be claimed, and is refused as "not
- * run", which is true; an order with a ticket needs no store and is made. */
-Test (tickets, store_away_refuses_keys_and_not_tickets)
+/* During a store outage an order with an idempotency key cannot be claimed and must be rejected as
+ * not run without running it; an order with a ticket needs no store and runs. */
+Test (tickets, store_outage_rejects_keys_and_accepts_tickets)
 {
-  Shop shop;
-  SiResponse answer;
+  Scene scene;
+  SiResponse response;
   char ticket[256];
 
-  shop_init (&shop);
-  pt_inject_fault (&shop.cluster, &shop.cluster.platform, "{\"mode\": \"down\"}");
-  order (&shop, shop.first, "idempotency-key", "k1", &answer);
-  cr_assert (answer.not_run, "%s", si_response_error (&answer));
-  si_response_clear (&answer);
-  cr_assert_eq (pt_count_runs (&shop.cluster, shop.service, "tea"), 0);
-  get_ticket (&shop, shop.first, ticket);
-  order (&shop, shop.first, "x-ticket", ticket, &answer);
-  cr_assert (si_response_is_ok (&answer), "%s", si_response_error (&answer));
-  si_response_clear (&answer);
-  cr_assert_eq (pt_count_runs (&shop.cluster, shop.service, "tea"), 1);
-  shop_clear (&shop);
+  scene_init (&scene);
+  pt_inject_fault (&scene.cluster, &scene.cluster.platform, "{\"mode\": \"down\"}");
+  send_order (&scene, scene.first, "idempotency-key", "k1", &response);
+  cr_assert (response.not_run, "%s", si_response_error (&response));
+  si_response_clear (&response);
+  cr_assert_eq (pt_count_runs (&scene.cluster, scene.service, "tea"), 0);
+  create_ticket (&scene, scene.first, ticket);
+  send_order (&scene, scene.first, "x-ticket", ticket, &response);
+  cr_assert (si_response_is_ok (&response), "%s", si_response_error (&response));
+  si_response_clear (&response);
+  cr_assert_eq (pt_count_runs (&scene.cluster, scene.service, "tea"), 1);
+  scene_clear (&scene);
 }
