--- a/packages/core/src/membership/lc-fleet.c
+++ b/packages/core/src/membership/lc-fleet.c
@@ -55,8 +55,8 @@
   json_object_object_add (object, "strength", json_object_new_int64 (row->strength));
   if (row->clock_lead_ms != 0)
     json_object_object_add (object, "clock_lead_ms", json_object_new_int64 (row->clock_lead_ms));
-  if (row->crowded[0])
-    json_object_object_add (object, "crowded", json_object_new_string (row->crowded));
+  if (row->overloaded_service[0])
+    json_object_object_add (object, "crowded", json_object_new_string (row->overloaded_service));
   json_object_object_add (object, "renewed_ms", json_object_new_int64 (row->renewed_ms));
   json_object_object_add (object, "period_ms", json_object_new_int64 (row->period / LB_MSEC));
   return object;
@@ -73,7 +73,7 @@
   LB_COPY (row->peer_address, lb_json_text (object, "peers", ""));
   row->ready = lb_json_bool (object, "ready", false);
   row->draining = lb_json_bool (object, "draining", false);
-  LB_COPY (row->crowded, lb_json_text (object, "crowded", ""));
+  LB_COPY (row->overloaded_service, lb_json_text (object, "crowded", ""));
   row->cut = lb_json_bool (object, "cut", false);
   row->strength = lb_json_int (object, "strength", 0);
   row->clock_lead_ms = lb_json_int (object, "clock_lead_ms", 0);
@@ -175,7 +175,7 @@
   return strcmp (a->incarnation, b->incarnation) == 0 && a->ready == b->ready
          && a->draining == b->draining && a->cut == b->cut && a->clock_lead_ms == b->clock_lead_ms
          && strcmp (a->caller_address, b->caller_address) == 0
-         && strcmp (a->crowded, b->crowded) == 0;
+         && strcmp (a->overloaded_service, b->overloaded_service) == 0;
 }
 
 /* Whether a row that is seen for the first time was written recently. */
--- a/packages/node/include/ln-messages.h
+++ b/packages/node/include/ln-messages.h
@@ -187,7 +187,7 @@
   LnMessage base;
   LnMember *members; /* owned by the message */
   size_t n_members;
-  bool is_left_out; /* the directory is full and does not contain this instance */
+  bool is_omitted; /* the directory is full and does not contain this instance */
 } LnMembersMessage;
 
 typedef struct
--- a/packages/node/src/batch/ln-batch-heads.c
+++ b/packages/node/src/batch/ln-batch-heads.c
@@ -83,7 +83,7 @@
 /* The row names this process as owner, but nothing runs here: the write that claimed the batch was
  * considered failed. */
 static void
-adopt_batch (LnBatch *batch)
+start_owned_batch (LnBatch *batch)
 {
   if (batch->batches->draining)
     return;
@@ -100,10 +100,10 @@
 }
 
 void
-ln_batch_heads_adopt_if_owned (LnBatch *batch)
+ln_batch_heads_start_if_owned (LnBatch *batch)
 {
   if (batch->state == LN_BATCH_NOT_OWNED && is_owned_here (batch) && !batch->head.ended)
-    adopt_batch (batch);
+    start_owned_batch (batch);
 }
 
 static void claim_batch (LnBatch *batch);
@@ -125,7 +125,7 @@
       lb_log (LB_LOG_INFO, "batch_ended", LB_TEXT ("batch", batch->id));
     }
   if (batch->head.epoch != old_head->epoch)
-    batch->orphaned_since = 0;
+    batch->owner_gone_since = 0;
   /* A new epoch of this owner: a write that was considered failed was carried out. What runs here
    * was started under the row before and could list no more results. */
   if (is_active_here (batch)
@@ -133,7 +133,7 @@
     ln_batch_owner_stop (batch);
   if (batch->state == LN_BATCH_NOT_OWNED && !is_owned_here (batch) && is_offered_here (batch))
     claim_batch (batch);
-  ln_batch_heads_adopt_if_owned (batch);
+  ln_batch_heads_start_if_owned (batch);
 }
 
 void
@@ -306,14 +306,14 @@
   if (batch->state != LN_BATCH_CLAIMING)
     return;
   batch->state = LN_BATCH_NOT_OWNED;
-  batch->orphaned_since = 0;
+  batch->owner_gone_since = 0;
   lb_log (LB_LOG_INFO, "batch_taken_over", LB_TEXT ("batch", batch->id),
           LB_INT ("epoch", batch->pending_head.epoch), LB_TEXT ("outcome", lb_error_name (error)));
   if (error == LB_OK)
     apply_written_head (batch, row->version);
   else if (error == LB_ERROR_CONDITION_FAILED && row->value)
     ln_batch_heads_apply_row (batch->batches, row);
-  ln_batch_heads_adopt_if_owned (batch);
+  ln_batch_heads_start_if_owned (batch);
 }
 
 void
@@ -394,12 +394,12 @@
       || batch->batches->members_change_count == 0 || batch->batches->draining
       || is_owner_alive (batch, now))
     {
-      batch->orphaned_since = 0;
+      batch->owner_gone_since = 0;
       return;
     }
-  if (batch->orphaned_since == 0)
-    batch->orphaned_since = now;
-  if (now - batch->orphaned_since
+  if (batch->owner_gone_since == 0)
+    batch->owner_gone_since = now;
+  if (now - batch->owner_gone_since
       >= (LbTime)ln_batch_heads_get_rank (batch, batch->head.model) * TAKEOVER_DELAY_PER_RANK)
     claim_batch (batch);
 }
--- a/packages/node/src/batch/ln-batch-submit.c
+++ b/packages/node/src/batch/ln-batch-submit.c
@@ -79,7 +79,7 @@
         ln_batch_heads_apply_row (call->batches, row);
       /* Prevents a batch that is owned here but does not run: an earlier attempt of this write was
        * carried out, and the watch showed its row while this write was still in progress. */
-      ln_batch_heads_adopt_if_owned (batch);
+      ln_batch_heads_start_if_owned (batch);
       reply_accepted (call);
     }
   else
@@ -87,7 +87,7 @@
       call->may_be_accepted |= error == LB_ERROR_STORE_UNKNOWN;
       if (!ln_batch_call_schedule_retry (call))
         {
-          ln_batch_heads_adopt_if_owned (batch);
+          ln_batch_heads_start_if_owned (batch);
           fail_submission (call);
         }
     }
--- a/packages/node/src/batch/ln-batches-private.h
+++ b/packages/node/src/batch/ln-batches-private.h
@@ -67,9 +67,9 @@
   LnOwnerState owner_state; /* computed from these versions of the members and of the row: */
   int64_t owner_members_change;
   int64_t owner_row_version;
-  LbTime version_seen_at; /* when this version was first seen */
-  LbTime orphaned_since;  /* since when its owner is not alive; 0: it is */
-  LbTime load_retry_at;   /* LOADING: after a failure */
+  LbTime version_seen_at;  /* when this version was first seen */
+  LbTime owner_gone_since; /* since when its owner is not alive; 0: it is */
+  LbTime load_retry_at;    /* LOADING: after a failure */
   LbTime offer_expires_at;
   LbTime ended_at;         /* when this instance learned of the end; 0: not ended */
   LbTime cleanup_retry_at; /* after a failure */
@@ -147,7 +147,7 @@
  * parsed. */
 bool ln_batch_heads_apply_row (LnBatches *batches, const LpRow *row);
 /* Starts to run the batch if its row names this process as owner and it does not run yet. */
-void ln_batch_heads_adopt_if_owned (LnBatch *batch);
+void ln_batch_heads_start_if_owned (LnBatch *batch);
 void ln_batch_heads_start_watch (LnBatches *batches);
 void ln_batch_heads_tick (LnBatches *batches, LbTime now);
 void ln_batch_heads_release (LnBatch *batch);
--- a/packages/node/src/batch/ln-batches.c
+++ b/packages/node/src/batch/ln-batches.c
@@ -99,7 +99,7 @@
   batches->members_change_count++;
   /* An instance that is left out gets no offers; a call about an unknown batch reads the store. */
   lp_follow_set_watch_delay (batches->row_watch,
-                             message->is_left_out && !batches->owns_any ? IDLE_WATCH_GAP : 0);
+                             message->is_omitted && !batches->owns_any ? IDLE_WATCH_GAP : 0);
 }
 
 static void
--- a/packages/node/src/calls/ln-calls-attempts.c
+++ b/packages/node/src/calls/ln-calls-attempts.c
@@ -274,14 +274,14 @@
           .body_length = strlen (body),
           .stream_id = stream_id,
           .external_id = call->outgoing.id,
-          .silence = calls->context->settings->calls.stream_silence_ms * LB_MSEC };
+          .idle_timeout = calls->context->settings->calls.stream_silence_ms * LB_MSEC };
   LnUpstream *upstream
       = ln_upstream_start (calls->context->http_pool, &spec, &handlers, attempt, error);
   free (body);
   return upstream;
 }
 
-/* A plain service sends nothing while it works, so only the deadline limits its silence. */
+/* A plain service sends nothing while it works, so only the deadline limits its idle_timeout. */
 static LbTime
 max_service_silence (const LnCall *call)
 {
@@ -306,7 +306,7 @@
                                 .body = call->raw_body,
                                 .body_length = call->raw_length,
                                 .external_id = call->outgoing.id,
-                                .silence = max_service_silence (call) };
+                                .idle_timeout = max_service_silence (call) };
 
   return ln_upstream_start (calls->context->http_pool, &spec, &handlers, attempt, error);
 }
@@ -362,7 +362,7 @@
                           .dialect = dialect,
                           .external_id = call->outgoing.id,
                           .is_stream = is_stream,
-                          .silence = is_stream ? stream_silence : max_service_silence (call) };
+                          .idle_timeout = is_stream ? stream_silence : max_service_silence (call) };
 
   LB_COPY (attempt_headers.id, call->outgoing.id);
   dialect->write_attempt_headers (&words, &attempt_headers);
--- a/packages/node/src/calls/ln-upstream.c
+++ b/packages/node/src/calls/ln-upstream.c
@@ -330,7 +330,8 @@
 {
   LnUpstream *upstream = LB_NEW (LnUpstream);
   const LhHandlers fetch_handlers
-      = { .on_body_chunk = spec->stream_id || spec->is_stream ? on_bytes : NULL, .on_done = on_done };
+      = { .on_body_chunk = spec->stream_id || spec->is_stream ? on_bytes : NULL,
+          .on_done = on_done };
   const LhRequest request = { .method = spec->method,
                               .address = spec->address,
                               .path = spec->path,
@@ -340,7 +341,7 @@
                               .body = spec->body,
                               .body_length = spec->body_length,
                               .connect_timeout = CONNECT_TIMEOUT,
-                              .idle_timeout = spec->silence };
+                              .idle_timeout = spec->idle_timeout };
 
   upstream->request = spec->request;
   upstream->attempt = spec->attempt;
--- a/packages/node/src/calls/ln-upstream.h
+++ b/packages/node/src/calls/ln-upstream.h
@@ -24,7 +24,7 @@
   const char *body;
   size_t body_length;
   const char *stream_id;   /* request_id sent to an engine; NULL: plain service */
-  LbTime silence;          /* timeout without a received byte */
+  LbTime idle_timeout;     /* timeout without a received byte */
   const char *external_id; /* id of the request in logs; with a dialect also in the reply */
   /* With a dialect only: */
   const LnDialect *dialect;
--- a/packages/node/src/config/ln-desired.c
+++ b/packages/node/src/config/ln-desired.c
@@ -453,7 +453,7 @@
 update_members (DesiredTask *task, const LnMembersMessage *message)
 {
   lp_follow_set_watch_timeout (task->operator_rows,
-                               message->is_left_out ? UNLISTED_WATCH_TIMEOUT : WATCH_TIMEOUT);
+                               message->is_omitted ? UNLISTED_WATCH_TIMEOUT : WATCH_TIMEOUT);
   if (!task->draining)
     ln_weight_orders_set_members (task->weight_orders, message);
 }
--- a/packages/node/src/duties/ln-duty-lease.c
+++ b/packages/node/src/duties/ln-duty-lease.c
@@ -242,7 +242,7 @@
 }
 
 bool
-ln_duty_lease_can_order (const LnDutyLease *lease, bool unfenced, LbTime now)
+ln_duty_lease_can_act (const LnDutyLease *lease, bool unfenced, LbTime now)
 {
   return lc_lease_can_order (lease->lease, unfenced, now);
 }
--- a/packages/node/src/duties/ln-duty-lease.h
+++ b/packages/node/src/duties/ln-duty-lease.h
@@ -31,7 +31,7 @@
 bool ln_duty_lease_is_candidate (const LnDutyLease *lease);
 bool ln_duty_lease_is_released (const LnDutyLease *lease, LbTime now);
 /* unfenced: the receiver accepts calls with any fencing number. */
-bool ln_duty_lease_can_order (const LnDutyLease *lease, bool unfenced, LbTime now);
+bool ln_duty_lease_can_act (const LnDutyLease *lease, bool unfenced, LbTime now);
 int64_t ln_duty_lease_fence (const LnDutyLease *lease);
 
 #endif
--- a/packages/node/src/duties/ln-scaler.c
+++ b/packages/node/src/duties/ln-scaler.c
@@ -140,7 +140,7 @@
 
   if (!scaler->desired || !scaler->set)
     return;
-  while (ln_duty_lease_can_order (scaler->lease, unfenced, now)
+  while (ln_duty_lease_can_act (scaler->lease, unfenced, now)
          && lc_scaling_next_order (scaler->scaling, scaler->desired, scaler->set, now, &order))
     send_order (scaler, &order);
 }
--- a/packages/node/src/duties/ln-usage-reporter.c
+++ b/packages/node/src/duties/ln-usage-reporter.c
@@ -518,7 +518,7 @@
   bool unfenced = !reporter->context->settings->duties.platform_checks_fence;
   LcUsageAction action;
 
-  while (ln_duty_lease_can_order (reporter->lease, unfenced, now)
+  while (ln_duty_lease_can_act (reporter->lease, unfenced, now)
          && lc_usage_reports_next_action (reporter->reports, true_ms, now, &action))
     execute_action (reporter, &action);
 }
--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -478,8 +478,8 @@
                                        void *user)
 {
   for (size_t i = 0; i < catalog->n_members; i++)
-    if (catalog->members[i].alive && catalog->members[i].row.crowded[0])
-      callback (catalog->members[i].row.crowded, user);
+    if (catalog->members[i].alive && catalog->members[i].row.overloaded_service[0])
+      callback (catalog->members[i].row.overloaded_service, user);
 }
 
 typedef struct
--- a/packages/node/src/membership/ln-fleet.c
+++ b/packages/node/src/membership/ln-fleet.c
@@ -48,7 +48,7 @@
   LnMembersMessage message = { .base = LN_MESSAGE (LN_MEMBERS) };
 
   message.n_members = ln_fleet_lists_count (task->lists);
-  message.is_left_out = ln_fleet_lists_has_omitted (task->lists, task->own_row.name);
+  message.is_omitted = ln_fleet_lists_has_omitted (task->lists, task->own_row.name);
   message.members = LB_NEW_ARRAY (LnMember, message.n_members + 1);
   message.base.clear = clear_members;
   for (size_t i = 0; i < message.n_members; i++)
@@ -360,7 +360,8 @@
                                   ((const LnFleetMessage *)message)->n_members);
       break;
     case LN_SERVICE_OVERLOADED:
-      LB_COPY (task->own_row.crowded, ((const LnServiceOverloadedMessage *)message)->service);
+      LB_COPY (task->own_row.overloaded_service,
+               ((const LnServiceOverloadedMessage *)message)->service);
       break;
     case LN_READY:
       task->own_row.ready = ((const LnReadyMessage *)message)->ready;
--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -449,8 +449,8 @@
   bool has_ordered = false;
 
   lb_list_init (&actions);
-  lc_weights_tick (model->weights, ln_duty_lease_can_order (lease, false, now),
-                   ln_duty_lease_can_order (lease, true, now), now, &actions);
+  lc_weights_tick (model->weights, ln_duty_lease_can_act (lease, false, now),
+                   ln_duty_lease_can_act (lease, true, now), now, &actions);
   while ((link = lb_list_pop (&actions)))
     {
       LcWeightsAction *action = LB_CONTAINER (link, LcWeightsAction, link);
