--- a/packages/node/include/ln-context.h
+++ b/packages/node/include/ln-context.h
@@ -20,15 +20,15 @@
   const LnSettings *settings;
   struct LhPool *http_pool; /* connections to endpoints and other instances */
   struct LpPlatform *platform;
-  const struct LnDialect *dialect; /* of a shared platform; NULL: the product's own API */
+  const struct LnDialect *dialect; /* formats of a shared platform; NULL: Lentilspindle's own API */
   LbName instance;                 /* name of this instance */
   char incarnation[40];            /* unique to each start of the process */
   LbName caller_address;           /* as bound, with the actual port */
   LbName metrics_address;          /* as bound; empty: no separate metrics listener */
-  LbName peer_address;
-  LcRequestId last_request_id; /* see ln_context_next_request_id */
-  gsl_rng *rng;                /* created at first use */
-  struct LnTicker *ticker;     /* created at first use */
+  LbName peer_address;             /* as bound, for other instances */
+  LcRequestId last_request_id;     /* see ln_context_next_request_id */
+  gsl_rng *rng;                    /* created at first use */
+  struct LnTicker *ticker;         /* created at first use */
 } LnContext;
 
 /* Ids are unique within the process. */
--- a/packages/node/include/ln-dialect.h
+++ b/packages/node/include/ln-dialect.h
@@ -80,8 +80,8 @@
 typedef struct
 {
   bool is_reported; /* the reply has a valid load header */
-  int64_t running;  /* requests */
-  int64_t waiting;
+  int64_t running;  /* number of requests that it processes */
+  int64_t waiting;  /* number of requests that it has queued */
 } LnReportedLoad;
 
 typedef enum
@@ -89,8 +89,8 @@
   LN_ORDER_ACCEPTED,
   LN_ORDER_ALREADY_DONE, /* the endpoint already has the version */
   LN_ORDER_BUSY,         /* another order is in progress, or orders_before is outdated */
-  LN_ORDER_STALE_FENCE,
-  LN_ORDER_REFUSED
+  LN_ORDER_STALE_FENCE,  /* the endpoint knows a higher fencing number */
+  LN_ORDER_REFUSED       /* for any other reason */
 } LnOrderOutcome;
 
 /* How an engine treats its running streams when it changes weights. */
@@ -113,7 +113,7 @@
   int64_t orders_before;
 } LnWeightsOrder;
 
-/* Engine incarnation and model of a state query. */
+/* A query of an engine's state: which incarnation of the engine, and which model. */
 typedef struct
 {
   const char *endpoint;
@@ -163,8 +163,8 @@
 typedef enum
 {
   LN_ROW_OTHER,
-  LN_ROW_DESIRED,
-  LN_ROW_VERSION
+  LN_ROW_DESIRED, /* the desired state: routes and services */
+  LN_ROW_VERSION  /* the newest weight version of a model */
 } LnOperatorRowKind;
 
 typedef struct LnDialect
--- a/packages/node/include/ln-messages.h
+++ b/packages/node/include/ln-messages.h
@@ -96,8 +96,8 @@
 {
   LnMessage base;
   LbName pool;
-  LcVersion newest;
-  LbTime cadence;
+  LcVersion newest; /* newest weight version */
+  LbTime cadence;   /* time between two versions; 0: unknown */
 } LnPoolVersionMessage;
 
 typedef struct
@@ -120,8 +120,8 @@
 {
   LnMessage base;
   LbName endpoint;
-  bool pending;
-  LbTime until;
+  bool pending; /* false: no change is in progress */
+  LbTime until; /* when a pending change is assumed to have ended */
 } LnEndpointSwapMessage;
 
 typedef struct
@@ -133,14 +133,14 @@
 typedef struct
 {
   LnMessage base;
-  LbTime at;
+  LbTime at; /* when the store last confirmed it */
 } LnDesiredConfirmedMessage;
 
 typedef struct
 {
   LnMessage base;
-  LbTime requested_at;
-  LbName listed_by; /* instance that requested the list */
+  LbTime requested_at; /* time as of which the list reflects the store */
+  LbName listed_by;    /* instance that requested the list */
 } LnEndpointListAppliedMessage;
 
 typedef struct
@@ -154,14 +154,14 @@
 {
   LnMessage base;
   LbName model;
-  int64_t tokens;
-  int64_t texts;
+  int64_t tokens; /* expected number of tokens of the batch */
+  int64_t texts;  /* number of items */
 } LnDemandMessage;
 
 typedef struct
 {
   LnMessage base;
-  LbName service; /* "": none */
+  LbName service; /* "": no service is overloaded */
 } LnServiceOverloadedMessage;
 
 /* State of one instance as known here. */
@@ -187,7 +187,7 @@
   LnMessage base;
   LnMember *members; /* owned by the message */
   size_t n_members;
-  bool is_omitted; /* the directory is full and does not contain this instance */
+  bool is_omitted; /* the directory of instances is full and does not contain this one */
 } LnMembersMessage;
 
 typedef struct
@@ -200,14 +200,14 @@
 typedef struct
 {
   LnMessage base;
-  bool followed; /* then this instance need not list the instances itself */
+  bool followed; /* if true, this instance need not list the instances itself */
 } LnCatalogFollowedMessage;
 
 /* The payload is msgpack; topic names the receiving task ("config", "rollouts", "calls"). */
 typedef struct
 {
   LnMessage base;
-  LbName instance; /* SEND: receiver, empty: all; FRAME: sender */
+  LbName instance; /* LN_PEER_SEND: the receiver, empty: all; LN_PEER_FRAME: the sender */
   LbName topic;
   char *payload; /* owned by the message */
   size_t length;
@@ -217,7 +217,7 @@
 {
   LnMessage base;
   LbName organisation;
-  LbTime at;
+  LbTime at; /* when its first attempt that was not refused was sent */
 } LnRequestStartedMessage;
 
 typedef struct
@@ -246,7 +246,7 @@
 {
   LnMessage base;
   LnDuty duty;
-  bool held;
+  bool held; /* this instance has the duty now */
 } LnDutyMessage;
 
 #endif
--- a/packages/node/include/ln-settings.h
+++ b/packages/node/include/ln-settings.h
@@ -31,8 +31,8 @@
   {
     int kind; /* LnPlatformKind */
     LbName address;
-    int64_t deadline_ms;
-    double rate;
+    int64_t deadline_ms; /* for one call to the platform */
+    double rate;         /* maximum number of calls to it per second */
   } platform;
   struct
   {
@@ -59,19 +59,19 @@
   } http;
   struct
   {
-    LbName policy;
-    int64_t queue_limit;
-    int64_t default_deadline_ms;
-    double retry_budget;
-    int64_t hedge_after_ms;
-    int64_t stream_silence_ms; /* a stream without a byte for this long has failed */
-    int64_t load_poll_ms;
+    LbName policy;               /* routing policy, see lc-dispatch.h */
+    int64_t queue_limit;         /* maximum number of queued requests */
+    int64_t default_deadline_ms; /* for a request that states none */
+    double retry_budget;         /* retries and hedges per successful attempt */
+    int64_t hedge_after_ms;      /* for repeatable calls without a first piece; 0: never */
+    int64_t stream_silence_ms;   /* a stream without a byte for this long has failed */
+    int64_t load_poll_ms;        /* period of the load polls of endpoints */
   } calls;
   struct
   {
-    int64_t drain_ms; /* time to serve callers that use cached addresses after SIGTERM */
-    int64_t entry_ttl_ms;
-    int64_t endpoint_ms; /* maximum time until a leaving endpoint gets no new work */
+    int64_t drain_ms;     /* time to serve callers that use cached addresses after SIGTERM */
+    int64_t entry_ttl_ms; /* how long callers may cache the addresses of instances */
+    int64_t endpoint_ms;  /* maximum time until a leaving endpoint gets no new work */
   } drain;
   struct
   {
--- a/packages/node/include/ln-ticker.h
+++ b/packages/node/include/ln-ticker.h
@@ -14,10 +14,10 @@
 typedef struct
 {
   LbLink link;
-  LbTime period;
+  LbTime period; /* between two calls while the process is not idle */
   void (*callback) (void *user);
   void *user;
-  LbTime due_at;
+  LbTime due_at; /* set by the ticker */
 } LnPeriodicCall;
 
 LnTicker *ln_ticker_new (struct event_base *base);
--- a/packages/node/main/lentilspindled.c
+++ b/packages/node/main/lentilspindled.c
@@ -259,6 +259,8 @@
       if (!task)
         return false;
       ln_hub_add (context->hub, task);
+      /* The front task binds the caller address, which is the default name; the other tasks read
+       * the name when they are created. */
       if (i == 0)
         {
           set_identity (daemon);
--- a/packages/node/src/batch/ln-batch-call.h
+++ b/packages/node/src/batch/ln-batch-call.h
@@ -21,25 +21,25 @@
   LnBatches *batches;
   LnExchange *exchange; /* NULL: the caller has disconnected */
   LnBatchCallKind kind;
-  bool waits_for_store;
-  LbName id; /* the batch's name, see ln-batch-name.h */
+  bool waits_for_store; /* a call of the store is in progress */
+  LbName id;            /* the batch's name, see ln-batch-name.h */
   /* Name of the batch without an organisation, tried when none has the name `id`; "": not tried. */
   LbName public_id;
   /* With an error: the caller may access only batches without an organisation. */
   LcAdmission admission;
-  LbName item;
-  int64_t position;
+  LbName item;       /* ITEM: id of the item */
+  int64_t position;  /* RESULTS: index of the first result to return */
   LbTime wait_until; /* RESULTS: when to reply even without a result */
-  LbTime retry_at;   /* LB_TIME_NEVER: no retry is scheduled */
+  LbTime retry_at;   /* time of the next attempt; LB_TIME_NEVER: none is scheduled */
   int failed_attempts;
-  LcBatchResult split_result; /* RESULTS: its text is being read from n_chunks rows */
+  LcBatchResult split_result; /* RESULTS: a result whose text is being read from n_chunks rows */
   size_t n_chunks;
-  /* SUBMIT */
+  /* SUBMIT: the request's body, and the batch and the row made from it */
   char *body;
   size_t body_length;
   LcBatchSpec spec;
   LcBatchHead head;
-  bool is_content_stored;
+  bool is_content_stored; /* the content is stored; the batch's row is written next */
   /* The outcome of a write of the row is unknown; no later failed attempt changes that. */
   bool may_be_accepted;
 } LnBatchCall;
--- a/packages/node/src/batch/ln-batch-cleanup.c
+++ b/packages/node/src/batch/ln-batch-cleanup.c
@@ -12,7 +12,7 @@
 
 /* Rows removed in one transaction; the store accepts 100 entries, one of which is the condition. */
 #define MAX_ROWS_PER_WRITE 90
-/* After a failure; long, since nothing waits for the space. */
+/* Delay after a failure; long, since no batch waits for the space. */
 #define RETRY_DELAY (10 * LB_SEC)
 /* The candidate of rank 0 cleans up; each next one starts this much later, if still needed. */
 #define DELAY_PER_RANK (20 * LB_SEC)
--- a/packages/node/src/batch/ln-batch-heads.c
+++ b/packages/node/src/batch/ln-batch-heads.c
@@ -16,7 +16,7 @@
 /* Partitions of each table. All rows of a batch are in one partition, so that one transaction can
  * write them; batches are spread because each partition accepts a limited rate of writes. */
 #define N_PARTITIONS 16
-#define TABLE "head"
+#define TABLE "head" /* the row of each batch, LcBatchHead */
 /* The end of a batch must reach its owner within 3 s, also when the watch's connection is silently
  * dead, which is detected after this time. */
 #define WATCH_TIMEOUT (800 * LB_MSEC)
@@ -49,12 +49,14 @@
 void
 ln_batch_checkpoint_prefix (const char *id, char *key)
 {
+  /* "begun" is the table of checkpoints: parts of incomplete texts. */
   snprintf (key, LN_BATCH_KEY_SIZE, "begun/%02x/%s:", get_partition (id), id);
 }
 
 void
 ln_batch_all_chunks_prefix (const char *id, char *key)
 {
+  /* "more" is the table of chunks: parts of complete texts that do not fit into one row. */
   snprintf (key, LN_BATCH_KEY_SIZE, "more/%02x/%s:", get_partition (id), id);
 }
 
@@ -80,8 +82,8 @@
          && strcmp (batch->head.incarnation, context->incarnation) == 0;
 }
 
-/* The row names this process as owner, but nothing runs here: the write that claimed the batch was
- * considered failed. */
+/* Loads a batch whose row names this process as owner: after a successful claim, or when a claim
+ * that was considered failed took effect. */
 static void
 start_owned_batch (LnBatch *batch)
 {
@@ -108,7 +110,8 @@
 
 static void claim_batch (LnBatch *batch);
 
-/* The first owner, whose epoch is 1, offers the batch to the preferred instance. */
+/* The first owner, whose epoch is 1, offers the batch to the preferred instance, which accepts by
+ * claiming it. */
 static bool
 is_offered_here (const LnBatch *batch)
 {
@@ -126,8 +129,8 @@
     }
   if (batch->head.epoch != old_head->epoch)
     batch->owner_gone_since = 0;
-  /* A new epoch of this owner: a write that was considered failed was carried out. What runs here
-   * was started under the row before and could list no more results. */
+  /* A new epoch of this owner: a write that was considered failed took effect. The run here was
+   * started under the previous version of the row, so its writes of results would all fail. */
   if (is_active_here (batch)
       && (batch->head.ended || !is_owned_here (batch) || batch->head.epoch != old_head->epoch))
     ln_batch_owner_stop (batch);
@@ -169,9 +172,9 @@
   LcBatchHead old_head = batch->head;
   if (row->version <= batch->version)
     return true;
-  /* Ended batches count as well: an instance that has just started and divides the engines would
-   * otherwise know only the one or two open steps, and move engines because of the lengths of their
-   * texts. */
+  /* Ended batches count as well: an instance that has just started and divides the engines among
+   * the models would otherwise know the demand of the few open batches only, and would reassign
+   * engines because of chance differences between them. */
   if (batch->version == 0)
     ln_batch_heads_publish_demand (batches, &head);
   batch->head = head;
@@ -237,8 +240,9 @@
   return n;
 }
 
-/* Excludes instances that are cut off from the store, unless all are: such an owner learns late of
- * the batch, and each of its lists of results goes through another instance. */
+/* Excludes instances that are cut off (have no working connection to the store), unless all are:
+ * such an owner learns late of the batch, and each write of its results goes through another
+ * instance. */
 LcDutyCandidate *
 ln_batches_list_candidates (const LnBatches *batches, size_t *n)
 {
@@ -335,7 +339,7 @@
   platform->klass->transact (platform, &transaction, priority, done, user);
 }
 
-/* Writes the batch's row with another owner, together with further rows. */
+/* Writes the batch's row with another owner, together with other rows, if it is unchanged. */
 static void
 write_head (LnBatch *batch,
             const LcBatchHead *head,
@@ -371,11 +375,11 @@
 
 /* When the offer expires, this instance claims the batch by a write before it runs it. This covers
  * two delays. The watch may show late that the offer was accepted: running the batch here would
- * generate each text twice and could list nothing; instead, the condition of the write fails. The
- * preferred instance, if it is cut off, may see the offer late: it would take the batch over in the
- * middle of the run, and all texts since the last checkpoint would be lost; the new epoch ends the
- * offer. If the write gets no answer, the batch is run here, as no other instance may have been
- * able to take it. */
+ * generate each text twice and could record no result; instead, the condition of the write fails.
+ * The preferred instance, if it is cut off from the store, may see the offer late: it would take
+ * the batch over in the middle of the run, and all texts since the last checkpoint would be lost;
+ * the new epoch ends the offer. If the write gets no answer, the batch is run here, as possibly no
+ * other instance was able to take it. */
 static void
 expire_offer (LnBatch *batch)
 {
@@ -384,7 +388,8 @@
 
 /* Takes over a batch whose owner is not alive. Candidates are ranked by the model, so that all
  * batches of a model go to one instance, which opens one set of connections to the engines. An
- * owner that was only paused finds the row changed and lists no more results. */
+ * owner that was only paused finds the row changed; its conditional writes then fail, so it can
+ * record no more results. */
 static void
 check_ownership (LnBatch *batch, LbTime now)
 {
--- a/packages/node/src/batch/ln-batch-load.c
+++ b/packages/node/src/batch/ln-batch-load.c
@@ -10,12 +10,12 @@
 
 #define LOAD_RETRY_DELAY (200 * LB_MSEC) /* about as often as other reads are retried */
 
-/* Reads a batch that was taken over: its content, then its listed results, then the checkpoints of
- * the incomplete texts. */
+/* Reads a batch that was taken over: its content, then its recorded results, then the checkpoints
+ * of the incomplete texts. */
 typedef struct
 {
   LnBatch *batch;
-  int64_t epoch;
+  int64_t epoch; /* of the batch when the load began */
   LcBatchSpec spec;
   LnBatchSavedProgress saved;
 } BatchLoad;
--- a/packages/node/src/batch/ln-batch-name.c
+++ b/packages/node/src/batch/ln-batch-name.c
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Of '~' and 16 hexadecimal digits. */
+/* Length of '~' and 16 hexadecimal digits. */
 #define HASH_SUFFIX_LENGTH 17
 
 /* Such an id could be another batch's full name: without an organisation, the id is the name. */
--- a/packages/node/src/batch/ln-batch-owner.c
+++ b/packages/node/src/batch/ln-batch-owner.c
@@ -206,13 +206,13 @@
 
 static void execute_actions (LnBatch *batch, LbList *actions);
 
-/* A write in progress. The batch may be lost, and even owned again, before the answer arrives,
- * which then belongs to an earlier run. */
+/* A write in progress. Another instance may have taken the batch over before the answer arrives,
+ * and this one may even own it again; the answer then belongs to an earlier run. */
 typedef struct
 {
   LnBatch *batch;
-  const LcBatch *run;
-  int64_t epoch;
+  const LcBatch *run; /* of the batch when the write was sent */
+  int64_t epoch;      /* likewise */
 } BatchWrite;
 
 static BatchWrite *
@@ -224,7 +224,7 @@
   return write;
 }
 
-/* Whether the answer belongs to the present run. */
+/* Whether the answer belongs to the current run. */
 static bool
 is_current (const BatchWrite *write)
 {
@@ -249,7 +249,7 @@
 }
 
 /* If the batch's row is unchanged, the condition that failed is that the positions are free: an
- * earlier attempt of this write was carried out, as no other instance can have written there. */
+ * earlier attempt of this write took effect, as no other instance can have written there. */
 static void
 on_head_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
@@ -318,7 +318,7 @@
 }
 
 /* Abandons an item whose text is too long to be stored: otherwise the batch would never be
- * complete, and no result after this one would be listed. */
+ * complete, and no result after this one could be recorded. */
 static char *
 abandon_long_text (const LnBatch *batch, const LcBatchResult *result)
 {
@@ -414,7 +414,8 @@
     }
 }
 
-/* A checkpoint only saves work after a takeover; the next one makes up for a failed write. */
+/* A checkpoint only avoids repeated generation after a takeover; the next one makes up for a failed
+ * write. */
 static void
 on_checkpoint_written (LbErrorCode error, const LpRow *row, void *user)
 {
--- a/packages/node/src/batch/ln-batch-rows.c
+++ b/packages/node/src/batch/ln-batch-rows.c
@@ -11,7 +11,7 @@
 
 #define JSON_FORMAT (JSON_C_TO_STRING_PLAIN | JSON_C_TO_STRING_NOSLASHESCAPE)
 
-/* All fields except the text. */
+/* JSON object with all fields except the text. */
 static struct json_object *
 result_to_object (const LcBatchResult *result)
 {
--- a/packages/node/src/batch/ln-batch-submit.c
+++ b/packages/node/src/batch/ln-batch-submit.c
@@ -46,8 +46,8 @@
     ln_batch_heads_release (batch);
 }
 
-/* Only when the row is known not to exist may the caller be told that the batch will not run: a
- * write without an answer may be carried out seconds later. */
+/* Reports that the batch will not run only if its row is known not to exist: a write without an
+ * answer may still take effect seconds later. */
 static void
 fail_submission (LnBatchCall *call)
 {
@@ -77,8 +77,8 @@
       /* The batch was accepted before, here or by another instance. */
       if (row->value)
         ln_batch_heads_apply_row (call->batches, row);
-      /* Prevents a batch that is owned here but does not run: an earlier attempt of this write was
-       * carried out, and the watch showed its row while this write was still in progress. */
+      /* Prevents a batch that is owned here but does not run: an earlier attempt of this write took
+       * effect, and the watch showed its row while this write was still in progress. */
       ln_batch_heads_start_if_owned (batch);
       reply_accepted (call);
     }
@@ -104,7 +104,7 @@
   const LpTransaction transaction
       = { .token = "", .conditions = &condition, .n_conditions = 1, .puts = &put, .n_puts = 1 };
 
-  /* Prevents adoption of the batch when the watch shows the row before the write is answered. */
+  /* Prevents a start of the batch when the watch shows the row before the write is answered. */
   if (batch->state == LN_BATCH_NOT_OWNED)
     batch->state = LN_BATCH_CLAIMING;
   ln_batch_head_key (call->id, key);
--- a/packages/node/src/batch/ln-batches-private.h
+++ b/packages/node/src/batch/ln-batches-private.h
@@ -60,38 +60,38 @@
   LnBatches *batches;
   LcBatchHead head;
   int64_t version;          /* of the row; 0: the row is not known */
-  LcBatchHead pending_head; /* CLAIMING, RELEASING: in the write in progress */
+  LcBatchHead pending_head; /* CLAIMING, RELEASING: the row that is being written */
   LnBatchState state;
   LcBatch *run; /* RUNNING; else NULL */
   LbTime first_seen_at;
-  LnOwnerState owner_state; /* computed from these versions of the members and of the row: */
-  int64_t owner_members_change;
-  int64_t owner_row_version;
-  LbTime version_seen_at;  /* when this version was first seen */
-  LbTime owner_gone_since; /* since when its owner is not alive; 0: it is */
-  LbTime load_retry_at;    /* LOADING: after a failure */
-  LbTime offer_expires_at;
-  LbTime ended_at;         /* when this instance learned of the end; 0: not ended */
-  LbTime cleanup_retry_at; /* after a failure */
-  LnCleanupStep cleanup_step;
+  LnOwnerState owner_state;     /* cached: valid for the next two values */
+  int64_t owner_members_change; /* LnBatches.members_change_count that owner_state is based on */
+  int64_t owner_row_version;    /* version of the row that owner_state is based on */
+  LbTime version_seen_at;       /* when this version of the row was first seen */
+  LbTime owner_gone_since;      /* since when its owner has not been alive; 0: it is alive */
+  LbTime load_retry_at;         /* LOADING: when to read again after a failure */
+  LbTime offer_expires_at;      /* OFFERED: when this instance claims the batch itself */
+  LbTime ended_at;              /* when this instance learned of the end; 0: not ended */
+  LbTime cleanup_retry_at;      /* when to continue the cleanup after a failure */
+  LnCleanupStep cleanup_step;   /* what the cleanup removes next */
   UT_hash_handle hh;
 } LnBatch;
 
-/* Progress of a batch that earlier owners stored. */
+/* Progress of a batch as its earlier owners stored it. */
 typedef struct
 {
-  LbName *listed; /* items with a result, by position */
+  LbName *listed; /* names of the items that have a result, by position */
   size_t n_listed;
-  LcBatchTextPart *parts;
+  LcBatchTextPart *parts; /* checkpoints of incomplete texts */
   size_t n_parts;
 } LnBatchSavedProgress;
 
-/* A request to the dispatch that generates or scores an item. */
+/* A request, sent to the task "calls", that generates or scores an item. */
 typedef struct
 {
   LcRequestId request; /* key */
   LnBatch *batch;
-  bool is_score;
+  bool is_score; /* scores the item; false: generates its text */
   UT_hash_handle hh;
 } LnBatchRequest;
 
@@ -104,14 +104,14 @@
   LnMember *members;
   size_t n_members;
   int64_t members_change_count; /* number of member lists received; 0: members are not known */
-  LnBatch *by_id;
-  LnBatch *cleanup_batch; /* whose rows are being removed; NULL: none */
-  struct LnModelHistory *model_histories;
-  LnBatchRequest *requests;
-  LbList calls;        /* LnBatchCall in progress */
-  LpFollow *row_watch; /* on the rows of all batches */
-  bool owns_any;       /* a batch, as last published to the other tasks */
-  bool draining;
+  LnBatch *by_id;               /* hash table */
+  LnBatch *cleanup_batch;       /* ended batch whose rows are being removed; NULL: none */
+  struct LnModelHistory *model_histories; /* hash table by model */
+  LnBatchRequest *requests;               /* hash table of the requests in progress */
+  LbList calls;                           /* LnBatchCall in progress */
+  LpFollow *row_watch;                    /* follows the rows of all batches */
+  bool owns_any;                          /* owns a batch, as last published to the other tasks */
+  bool draining;                          /* this instance is shutting down */
 };
 
 /* ln-batches.c */
@@ -128,7 +128,8 @@
 void ln_batch_content_key (const char *id, char *key);
 void ln_batch_result_prefix (const char *id, char *key);
 void ln_batch_checkpoint_prefix (const char *id, char *key);
-/* Chunks of all texts that do not fit into one row, and of the text at one position. */
+/* Prefixes of the keys of text chunks: of all texts of the batch that do not fit into one row, and
+ * of the text at one position. */
 void ln_batch_all_chunks_prefix (const char *id, char *key);
 void ln_batch_chunks_prefix (const char *id, int64_t position, char *key);
 /* Rank of this instance among the candidates for the duty; 0 is the first. */
@@ -146,7 +147,7 @@
 /* Applies a row that was read or written, unless a newer one is known; false when it cannot be
  * parsed. */
 bool ln_batch_heads_apply_row (LnBatches *batches, const LpRow *row);
-/* Starts to run the batch if its row names this process as owner and it does not run yet. */
+/* Loads and then runs the batch if its row names this process as owner and it does not run yet. */
 void ln_batch_heads_start_if_owned (LnBatch *batch);
 void ln_batch_heads_start_watch (LnBatches *batches);
 void ln_batch_heads_tick (LnBatches *batches, LbTime now);
--- a/packages/node/src/batch/ln-batches.c
+++ b/packages/node/src/batch/ln-batches.c
@@ -11,14 +11,14 @@
 #include <string.h>
 
 #define TICK_PERIOD (50 * LB_MSEC)
-/* Between two watches of the batches' rows on an instance that the full directory leaves out. */
+/* Pause between two watches of the batches' rows on an instance that the full directory omits. */
 #define IDLE_WATCH_GAP (2 * LB_SEC)
 
 static LbMetric batches_owned
     = LB_GAUGE_INIT ("lentilspindle_batches_owned", NULL, "Batches that this instance runs");
 
-/* Per model, for the texts of incomplete groups: a few steps of 2,048 samples of 2 KB, of which
- * less than half may be requested again. */
+/* Bytes per model for the texts of incomplete groups: a few steps of 2,048 samples of 2 KB, of
+ * which less than half may be requested again. */
 #define MAX_TEXT_CACHE_BYTES ((size_t)(16 << 20))
 
 /* Statistics and reusable texts of the batches of one model. */
@@ -97,7 +97,7 @@
   batches->members = lb_memdup (message->members, message->n_members * sizeof (LnMember));
   batches->n_members = message->n_members;
   batches->members_change_count++;
-  /* An instance that is left out gets no offers; a call about an unknown batch reads the store. */
+  /* An omitted instance gets no offers; a call about an unknown batch reads the store. */
   lp_follow_set_watch_delay (batches->row_watch,
                              message->is_omitted && !batches->owns_any ? IDLE_WATCH_GAP : 0);
 }
--- a/packages/node/src/calls/ln-call-reader.c
+++ b/packages/node/src/calls/ln-call-reader.c
@@ -243,7 +243,7 @@
 }
 
 static LnCallKind
-call_kind_of_path (const char *path)
+find_call_kind (const char *path)
 {
   if (strncmp (path, "/services/", strlen ("/services/")) == 0)
     return LN_CALL_SERVICE;
@@ -253,7 +253,7 @@
 LnCall *
 ln_call_parse (const LnExchange *exchange, LbTime now, LbTime deadline, LbError *error)
 {
-  LnCall *call = ln_call_new (call_kind_of_path (ln_exchange_path (exchange)));
+  LnCall *call = ln_call_new (find_call_kind (ln_exchange_path (exchange)));
   bool is_service = call->kind == LN_CALL_SERVICE;
 
   call->spec.kind = is_service ? LC_KIND_SERVICE : LC_KIND_LIVE;
--- a/packages/node/src/calls/ln-call.h
+++ b/packages/node/src/calls/ln-call.h
@@ -21,12 +21,12 @@
   LbLink link; /* in LnCall.attempts */
   LnCall *call;
   LnUpstream *upstream;
-  struct evbuffer *text; /* BUFFERED: collected until one attempt wins */
-  LcPiece *pieces;       /* BUFFERED */
+  struct evbuffer *text; /* BUFFERED: text collected until one attempt wins */
+  LcPiece *pieces;       /* BUFFERED: the pieces of this text */
   size_t n_pieces;
   LcVersion versions[LN_MAX_VERSIONS]; /* distinct weight versions of its pieces */
   size_t n_versions;
-  int64_t tokens;
+  int64_t tokens; /* number of tokens received */
   LbTime sent_at;
   char finish_reason[16];
 } LnAttempt;
@@ -44,20 +44,20 @@
 struct LnCall
 {
   LnExchangeHandler handler; /* first; notified when the caller of exchange disconnects */
-  UT_hash_handle hh;         /* by spec.id */
-  LbLink link;               /* in the task's list */
+  UT_hash_handle hh;         /* in LnCalls.by_id, by spec.id */
+  LbLink link;               /* in LnCalls.active_calls */
   LnCallKind kind;
   LcRequestSpec spec;
   LnExchange *exchange; /* NULL: a sample, or the caller has disconnected */
   LbTime submitted_at;
-  bool is_submitted; /* to the dispatch, which will emit its FINISH */
+  bool is_submitted; /* to the dispatch, which will end it by a FINISH action */
   bool has_ticket;   /* continues after its caller disconnects, who may retry with the ticket */
-  bool wants_stream;
+  bool wants_stream; /* the caller requested a stream of events */
   bool is_stream_started;
-  LbTime last_sent_at;      /* to the caller of a stream */
-  char stream_id[96];       /* in events sent to the caller */
-  struct json_object *body; /* for engines */
-  char *method;             /* for services, all owned */
+  LbTime last_sent_at;      /* when a byte was last sent to the caller of a stream */
+  char stream_id[96];       /* id in the events that are sent to the caller */
+  struct json_object *body; /* request to an engine */
+  char *method;             /* request to a service: this and the next five, all owned */
   char *path;
   LhHeader *headers;
   size_t n_headers;
--- a/packages/node/src/calls/ln-calls-attempts.c
+++ b/packages/node/src/calls/ln-calls-attempts.c
@@ -158,7 +158,8 @@
   report.running = load.running;
   report.waiting = load.waiting;
   report.measured_at = lb_clock_monotonic ();
-  /* The load of batches is known beforehand and fills engines on purpose: no sign of overload. */
+  /* The load of batches is known beforehand and fills engines on purpose, so it is no sign of
+   * overload. */
   if (call->kind != LN_CALL_SAMPLE)
     lc_utilisation_add_report (calls->utilisation, endpoint->member.service,
                                load.running + load.waiting, endpoint->member.concurrency);
@@ -281,9 +282,9 @@
   return upstream;
 }
 
-/* A plain service sends nothing while it works, so only the deadline limits its idle_timeout. */
+/* A plain service sends nothing while it works, so only the deadline limits its idle time. */
 static LbTime
-max_service_silence (const LnCall *call)
+get_service_idle_timeout (const LnCall *call)
 {
   LbTime left = call->spec.deadline - lb_clock_monotonic ();
 
@@ -306,7 +307,7 @@
                                 .body = call->raw_body,
                                 .body_length = call->raw_length,
                                 .external_id = call->outgoing.id,
-                                .idle_timeout = max_service_silence (call) };
+                                .idle_timeout = get_service_idle_timeout (call) };
 
   return ln_upstream_start (calls->context->http_pool, &spec, &handlers, attempt, error);
 }
@@ -324,10 +325,10 @@
   return headers;
 }
 
-/* Time until the caller's deadline, sent to the endpoint so that it stops work nobody waits for;
+/* Time until the caller's deadline, sent to the endpoint so that it stops work after that;
  * 0: none. */
 static LbTime
-time_left (const LnCall *call)
+get_time_left (const LnCall *call)
 {
   LbTime left = call->spec.deadline - lb_clock_monotonic ();
 
@@ -343,29 +344,30 @@
   LnCall *call = attempt->call;
   const LnDialect *dialect = calls->context->dialect;
   bool is_stream = ln_call_is_for_engine (call);
-  LbTime stream_silence = calls->context->settings->calls.stream_silence_ms * LB_MSEC;
-  const LnAttemptHeaders words = { .time_left = time_left (call),
-                                   .endpoint = action->endpoint,
-                                   .resume_at = action->resume_at,
-                                   .organisation = call->organisation,
-                                   .is_sample = call->kind != LN_CALL_SERVICE };
+  LbTime stream_idle_timeout = calls->context->settings->calls.stream_silence_ms * LB_MSEC;
+  const LnAttemptHeaders headers_to_write = { .time_left = get_time_left (call),
+                                              .endpoint = action->endpoint,
+                                              .resume_at = action->resume_at,
+                                              .organisation = call->organisation,
+                                              .is_sample = call->kind != LN_CALL_SERVICE };
   LcOutgoing attempt_headers = { 0 };
-  LnUpstreamSpec spec = { .request = action->request,
-                          .attempt = action->attempt,
-                          .endpoint = action->endpoint,
-                          .address = action->address,
-                          .method = call->outgoing.method,
-                          .path = call->outgoing.path,
-                          .host = call->outgoing.host,
-                          .body = call->outgoing.body,
-                          .body_length = call->outgoing.body_length,
-                          .dialect = dialect,
-                          .external_id = call->outgoing.id,
-                          .is_stream = is_stream,
-                          .idle_timeout = is_stream ? stream_silence : max_service_silence (call) };
+  LnUpstreamSpec spec
+      = { .request = action->request,
+          .attempt = action->attempt,
+          .endpoint = action->endpoint,
+          .address = action->address,
+          .method = call->outgoing.method,
+          .path = call->outgoing.path,
+          .host = call->outgoing.host,
+          .body = call->outgoing.body,
+          .body_length = call->outgoing.body_length,
+          .dialect = dialect,
+          .external_id = call->outgoing.id,
+          .is_stream = is_stream,
+          .idle_timeout = is_stream ? stream_idle_timeout : get_service_idle_timeout (call) };
 
   LB_COPY (attempt_headers.id, call->outgoing.id);
-  dialect->write_attempt_headers (&words, &attempt_headers);
+  dialect->write_attempt_headers (&headers_to_write, &attempt_headers);
   LhHeader *headers = concatenate_headers (&call->outgoing, &attempt_headers, &spec.n_headers);
   spec.headers = headers;
   LnUpstream *upstream
--- a/packages/node/src/calls/ln-calls-private.h
+++ b/packages/node/src/calls/ln-calls-private.h
@@ -31,14 +31,14 @@
   LnLeaving *leaving;
   LnEndpointChecks *checks;
   LnCrashes *crashes;
-  struct event *dispatch_timer;
-  LnPeriodicCall keep_alive;
+  struct event *dispatch_timer;     /* fires when the dispatch next has to act */
+  LnPeriodicCall periodic_call;     /* keep-alives of streams, gauges and counts of usage */
   LnAdmissionState admission_state; /* routes and organisations of a shared platform */
   LcUtilisation *utilisation;
   LbName overloaded_service; /* as last posted to the peers task */
   LbTime list_requested_at;  /* request time of the endpoint list in use; 0: none */
   LbName list_requested_by;  /* instance that requested it */
-  LnCall *by_id;
+  LnCall *by_id;             /* hash table */
   LbList active_calls;
   bool is_ready; /* the configuration in force is confirmed */
   bool is_draining;
@@ -68,7 +68,7 @@
 void ln_calls_count_usage (LnCalls *calls, const LnAttempt *attempt);
 void ln_calls_count_running_usage (LnCalls *calls, LnCall *call, LbTime now);
 
-/* ln-calls.c: tells the other instances that the endpoint is leaving, if it is */
+/* ln-calls.c: notifies the other instances if the endpoint is leaving */
 void ln_calls_broadcast_leaving (LnCalls *calls, const char *endpoint);
 
 /* ln-calls-requests.c: a call from the caller's request to its submission */
--- a/packages/node/src/calls/ln-calls-requests.c
+++ b/packages/node/src/calls/ln-calls-requests.c
@@ -30,7 +30,7 @@
 }
 
 static void
-refuse (LnCalls *calls, LnExchange *exchange, LbErrorCode code, const char *detail)
+refuse_request (LnCalls *calls, LnExchange *exchange, LbErrorCode code, const char *detail)
 {
   LbError error = { 0 };
 
@@ -59,7 +59,7 @@
 
   if (calls->is_draining)
     {
-      refuse (calls, exchange, LB_ERROR_DRAINING, "this instance is shutting down");
+      refuse_request (calls, exchange, LB_ERROR_DRAINING, "this instance is shutting down");
       return;
     }
   if (!lc_tickets_issue (ln_ticket_calls_tickets (calls->tickets),
@@ -147,8 +147,9 @@
   ln_call_free (call);
 }
 
+/* ticket: the one bound to the key; NULL: the claim failed with this error. */
 static void
-on_key_claimed (const char *ticket, const LbError *error, void *user)
+on_idempotency_key_claimed (const char *ticket, const LbError *error, void *user)
 {
   LnCall *call = user;
   LnCalls *calls = call->owner;
@@ -168,7 +169,7 @@
 }
 
 static void
-claim_key (LnCalls *calls, LnCall *call, const char *key)
+claim_idempotency_key (LnCalls *calls, LnCall *call, const char *key)
 {
   char ticket[LC_TICKET_SIZE];
   LbError error = { 0 };
@@ -187,7 +188,8 @@
       return;
     }
   ln_claims_claim_key (calls->claims, call->spec.caller, key, ticket,
-                       call->spec.deadline + TICKET_LIFETIME_MS * LB_MSEC, on_key_claimed, call);
+                       call->spec.deadline + TICKET_LIFETIME_MS * LB_MSEC,
+                       on_idempotency_key_claimed, call);
 }
 
 static LnCall *
@@ -240,16 +242,16 @@
   /* With an unconfirmed configuration it might route by one that was replaced long ago. */
   if (!calls->is_ready)
     {
-      refuse (calls, exchange, LB_ERROR_NOT_READY,
-              "the configuration of this instance is not confirmed");
+      refuse_request (calls, exchange, LB_ERROR_NOT_READY,
+                      "the configuration of this instance is not confirmed");
       return;
     }
   /* An instance that has just started may have its configuration before the crash reports, and
    * would crash one more endpoint with a request that all other instances refuse. */
   if (!ln_crashes_is_ready (calls->crashes, lb_clock_monotonic ()))
     {
-      refuse (calls, exchange, LB_ERROR_NOT_READY,
-              "crash reports are not loaded yet on this instance");
+      refuse_request (calls, exchange, LB_ERROR_NOT_READY,
+                      "crash reports are not loaded yet on this instance");
       return;
     }
   if (strcmp (ln_exchange_path (exchange), "/v1/tickets") == 0)
@@ -259,12 +261,12 @@
     }
   if (!is_call_path (ln_exchange_path (exchange)))
     {
-      refuse (calls, exchange, LB_ERROR_UNKNOWN_PATH, "no handler for this path");
+      refuse_request (calls, exchange, LB_ERROR_UNKNOWN_PATH, "no handler for this path");
       return;
     }
   if (calls->is_draining && !ticket && !key)
     {
-      refuse (calls, exchange, LB_ERROR_DRAINING, "this instance is shutting down");
+      refuse_request (calls, exchange, LB_ERROR_DRAINING, "this instance is shutting down");
       return;
     }
   call = parse_call (calls, exchange);
@@ -273,7 +275,7 @@
   if (ticket)
     redeem_ticket (calls, call, ticket);
   else if (key)
-    claim_key (calls, call, key);
+    claim_idempotency_key (calls, call, key);
   else
     ln_calls_submit (calls, call);
 }
--- a/packages/node/src/calls/ln-calls.c
+++ b/packages/node/src/calls/ln-calls.c
@@ -178,13 +178,13 @@
 static void
 on_endpoint_crashed (const char *endpoint,
                      LbTime broken_at,
-                     const LcFingerprint *contents,
-                     size_t n_contents,
+                     const LcFingerprint *fingerprints,
+                     size_t n_fingerprints,
                      void *user)
 {
   LnCalls *calls = user;
 
-  ln_crashes_report_crash (calls->crashes, endpoint, broken_at, contents, n_contents);
+  ln_crashes_report_crash (calls->crashes, endpoint, broken_at, fingerprints, n_fingerprints);
 }
 
 static void
@@ -297,7 +297,7 @@
   ln_ticket_calls_free (calls->tickets);
   ln_poller_free (calls->poller);
   event_free (calls->dispatch_timer);
-  ln_ticker_remove (ln_context_ticker (calls->context), &calls->keep_alive);
+  ln_ticker_remove (ln_context_ticker (calls->context), &calls->periodic_call);
   lc_dispatch_free (calls->dispatch);
   lc_desired_unref (calls->admission_state.desired);
   lc_utilisation_free (calls->utilisation);
@@ -351,9 +351,9 @@
   LN_POST (calls->task.hub, peers, message);
 }
 
-/* Keep-alives let callers tell a slow answer from a dead connection. */
+/* Sends keep-alives, among others, which let callers tell a slow answer from a dead connection. */
 static void
-on_keep_alive_tick (void *user)
+on_periodic_call (void *user)
 {
   LnCalls *calls = user;
   LbTime now = lb_clock_monotonic ();
@@ -395,9 +395,9 @@
     calls->poller
         = ln_poller_new (context->base, context->http_pool,
                          context->settings->calls.load_poll_ms * LB_MSEC, &handlers, calls);
-  calls->keep_alive = (LnPeriodicCall){ .period = KEEP_ALIVE_PERIOD / 2,
-                                        .callback = on_keep_alive_tick,
-                                        .user = calls };
-  ln_ticker_add (ln_context_ticker (context), &calls->keep_alive);
+  calls->periodic_call = (LnPeriodicCall){ .period = KEEP_ALIVE_PERIOD / 2,
+                                           .callback = on_periodic_call,
+                                           .user = calls };
+  ln_ticker_add (ln_context_ticker (context), &calls->periodic_call);
   return &calls->task;
 }
--- a/packages/node/src/calls/ln-claims.c
+++ b/packages/node/src/calls/ln-claims.c
@@ -41,10 +41,10 @@
 {
   LpPlatform *platform;
   struct event *sweep_timer;
-  LbList written_rows;
+  LbList written_rows; /* WrittenRow, to be deleted after they expire */
   LbName incarnation;
-  uint64_t n_transactions;
-  LbList pending;
+  uint64_t n_transactions; /* sent so far; makes their tokens unique */
+  LbList pending;          /* Claim in progress */
 };
 
 static LbMetric keys_claimed
--- a/packages/node/src/calls/ln-poller.c
+++ b/packages/node/src/calls/ln-poller.c
@@ -19,12 +19,12 @@
   LbName name;
   LbName address;
   bool is_engine;
-  LhFetch *load_fetch;
-  LhFetch *events_fetch;
-  int64_t next_event; /* sequence number of the first cache event to request */
+  LhFetch *load_fetch;   /* load poll in progress; NULL: none */
+  LhFetch *events_fetch; /* poll for cache events in progress; NULL: none */
+  int64_t next_event;    /* sequence number of the first cache event to request */
   char incarnation[40];
   LbTime load_requested_at;
-  bool is_configured; /* scratch of ln_poller_configure */
+  bool is_configured; /* used by ln_poller_configure: the new configuration contains it */
 } Target;
 
 struct LnPoller
@@ -139,11 +139,11 @@
            void (*on_done) (LhFetch *fetch, const LhResult *result, void *user))
 {
   const LhHandlers handlers = { .on_done = on_done };
-  LbTime silence = target->poller->period * 4;
+  LbTime idle_timeout = target->poller->period * 4;
   const LhRequest request = { .method = "GET",
                               .address = target->address,
                               .path = path,
-                              .idle_timeout = silence < LB_SEC ? LB_SEC : silence };
+                              .idle_timeout = idle_timeout < LB_SEC ? LB_SEC : idle_timeout };
 
   return lh_fetch_start (target->poller->pool, &request, &handlers, target, NULL);
 }
--- a/packages/node/src/calls/ln-routed.c
+++ b/packages/node/src/calls/ln-routed.c
@@ -15,7 +15,7 @@
 #define NOT_READY_RETRY_AFTER (300 * LB_MSEC)
 
 static void
-refuse (LnExchange *exchange, LbErrorCode code, const char *detail, LbTime retry_after)
+refuse_request (LnExchange *exchange, LbErrorCode code, const char *detail, LbTime retry_after)
 {
   LbError error = { 0 };
 
@@ -141,8 +141,9 @@
   if (lc_dispatch_has_service (calls->dispatch, service))
     ln_calls_submit (calls, new_call (calls, exchange, route, admission, service, inbound));
   else
-    refuse (exchange, LB_ERROR_NOT_READY,
-            "the endpoints of the route are not known on this instance yet", NOT_READY_RETRY_AFTER);
+    refuse_request (exchange, LB_ERROR_NOT_READY,
+                    "the endpoints of the route are not known on this instance yet",
+                    NOT_READY_RETRY_AFTER);
 }
 
 void
@@ -156,8 +157,8 @@
   calls->context->dialect->read_inbound (exchange, &inbound);
   if (!desired)
     {
-      refuse (exchange, LB_ERROR_NOT_READY, "no routes are known on this instance yet",
-              NOT_READY_RETRY_AFTER);
+      refuse_request (exchange, LB_ERROR_NOT_READY, "no routes are known on this instance yet",
+                      NOT_READY_RETRY_AFTER);
       return;
     }
   route = lc_desired_match_route (desired, inbound.host, ln_exchange_path (exchange));
@@ -165,7 +166,7 @@
     {
       lb_log (LB_LOG_INFO, "no_route", LB_TEXT ("id", inbound.id), LB_TEXT ("host", inbound.host),
               LB_TEXT ("path", ln_exchange_path (exchange)), LB_INT ("desired", desired->version));
-      refuse (exchange, LB_ERROR_UNKNOWN_PATH, "no route matches the host and path", 0);
+      refuse_request (exchange, LB_ERROR_UNKNOWN_PATH, "no route matches the host and path", 0);
       return;
     }
   ln_admission_check (calls->context, &calls->admission_state, route->is_public, &inbound,
@@ -177,7 +178,7 @@
     }
   if (!lh_method_is_known (ln_exchange_method (exchange)))
     {
-      refuse (exchange, LB_ERROR_BAD_VALUE, "the method is not supported", 0);
+      refuse_request (exchange, LB_ERROR_BAD_VALUE, "the method is not supported", 0);
       return;
     }
   if (route->kind == LC_ROUTE_BATCH)
--- a/packages/node/src/calls/ln-upstream.c
+++ b/packages/node/src/calls/ln-upstream.c
@@ -32,15 +32,15 @@
   LhSse sse;
   struct evbuffer *body; /* a service's reply, or an engine's reply other than a stream */
   int status;
-  bool connection_lost;     /* before the reply was complete */
+  bool connection_lost;     /* the connection was lost before the reply was complete */
   const LnDialect *dialect; /* NULL: the daemon's own protocol */
   char *external_id;        /* of the request */
   LnStreamReader *reader;   /* with a dialect: parses the stream */
   LcVersion version;        /* of the stream's last event */
-  bool is_head;
-  bool has_end_marker; /* [DONE] was received */
-  bool is_invalid;     /* received something else than this attempt's answer; the rest is ignored */
-  bool is_feeding;     /* the parser is running: a cancel only sets is_cancelled */
+  bool is_head;             /* the method is HEAD, whose reply has no body */
+  bool has_end_marker;      /* [DONE] was received */
+  bool is_invalid; /* received something other than this attempt's answer; the rest is ignored */
+  bool is_feeding; /* the parser is running: a cancel only sets is_cancelled */
   bool is_cancelled;
 };
 
@@ -62,7 +62,7 @@
 }
 
 static const char *
-choice_text (struct json_object *choice)
+get_choice_text (struct json_object *choice)
 {
   struct json_object *text = NULL;
   struct json_object *delta = NULL;
@@ -76,7 +76,7 @@
 }
 
 static struct json_object *
-first_choice (struct json_object *event)
+get_first_choice (struct json_object *event)
 {
   struct json_object *choices = NULL;
 
@@ -100,11 +100,11 @@
 handle_event (LnUpstream *upstream, struct json_object *event)
 {
   struct json_object *finish_reason = NULL;
-  struct json_object *choice = first_choice (event);
+  struct json_object *choice = get_first_choice (event);
 
   if (!choice || !has_own_id (upstream, event))
     return false;
-  const char *text = choice_text (choice);
+  const char *text = get_choice_text (choice);
   LcPiece piece = { .offset = lb_json_int (event, "offset", -1),
                     .tokens = lb_json_int (event, "tokens", -1),
                     .version = lb_json_int (event, "weight_version", 0),
@@ -140,7 +140,7 @@
 }
 
 static void
-finish (LnUpstream *upstream, LcAttemptEnd end)
+end_attempt (LnUpstream *upstream, LcAttemptEnd end)
 {
   upstream->handlers.on_end (upstream, end, upstream->user);
   upstream_free (upstream);
@@ -217,7 +217,7 @@
   if (!upstream->is_invalid)
     return;
   lh_fetch_cancel (fetch);
-  finish (upstream, LC_END_BROKEN);
+  end_attempt (upstream, LC_END_BROKEN);
 }
 
 /* Only these replies prove that the endpoint did not start the request. */
@@ -253,7 +253,7 @@
 /* An endpoint's failure of a plain call is an answer and is forwarded as it is. A failed stream is
  * no answer, since a sample is either complete or not delivered. */
 static LcAttemptEnd
-classify_dialect_end (const LnUpstream *upstream, const LhResult *result)
+classify_end_by_dialect (const LnUpstream *upstream, const LhResult *result)
 {
   if (result->failure != LB_OK)
     return result->bytes_handed ? LC_END_BROKEN : LC_END_NOT_SENT;
@@ -283,7 +283,7 @@
   LcAttemptEnd end = LC_END_FAILED;
 
   if (upstream->dialect)
-    return classify_dialect_end (upstream, result);
+    return classify_end_by_dialect (upstream, result);
 
   if (upstream->has_end_marker)
     return LC_END_COMPLETE;
@@ -318,7 +318,7 @@
               LB_TEXT ("error", lb_error_name (result->failure)),
               LB_BOOL ("bytes_handed", result->bytes_handed));
     }
-  finish (upstream, end);
+  end_attempt (upstream, end);
 }
 
 LnUpstream *
--- a/packages/node/src/calls/ln-upstream.h
+++ b/packages/node/src/calls/ln-upstream.h
@@ -23,13 +23,13 @@
   size_t n_headers;
   const char *body;
   size_t body_length;
-  const char *stream_id;   /* request_id sent to an engine; NULL: plain service */
-  LbTime idle_timeout;     /* timeout without a received byte */
+  const char *stream_id;   /* request_id of the attempt at an engine; NULL: plain service */
+  LbTime idle_timeout;     /* the attempt fails after this time without a received byte */
   const char *external_id; /* id of the request in logs; with a dialect also in the reply */
   /* With a dialect only: */
   const LnDialect *dialect;
-  const char *host;
-  bool is_stream;
+  const char *host; /* value of the Host header */
+  bool is_stream;   /* the reply is an engine's stream of events */
 } LnUpstreamSpec;
 
 typedef struct
--- a/packages/node/src/config/ln-config-api.c
+++ b/packages/node/src/config/ln-config-api.c
@@ -23,7 +23,7 @@
   int64_t after_revision; /* a newer revision ends the watch */
   size_t n_active;        /* instances with the accepted revision when the watch began */
   size_t n_known;         /* known instances at that time */
-  LbTime deadline;
+  LbTime deadline;        /* when to reply even without a newer revision */
   LbTime next_query_at;
 } LnConfigWatch;
 
--- a/packages/node/src/config/ln-config-change.c
+++ b/packages/node/src/config/ln-config-change.c
@@ -21,8 +21,8 @@
 {
   CHANGE_WAITING,           /* another change is in progress */
   CHANGE_AWAITING_MAJORITY, /* waits until a majority of the instances has answered */
-  CHANGE_READING,           /* the head row */
-  CHANGE_COMMITTING
+  CHANGE_READING,           /* the head row, which names the accepted revision, is being read */
+  CHANGE_COMMITTING         /* the transaction is in progress */
 } ChangeState;
 
 /* A change that an operator submitted. */
@@ -372,7 +372,8 @@
     start_first_change (task);
 }
 
-/* A change whose processing has begun is completed without a reply; a waiting one is dropped. */
+/* A change whose processing has begun is completed without a reply; a waiting one is dropped.
+ * Returns false if no change has this exchange. */
 bool
 ln_config_change_caller_disconnected (LnConfigTask *task, LnExchange *exchange)
 {
--- a/packages/node/src/config/ln-config-store.c
+++ b/packages/node/src/config/ln-config-store.c
@@ -27,9 +27,9 @@
 {
   struct event_base *base;
   LpPlatform *platform;
-  LbList reads;
-  LbList commits;
-  LbList histories;
+  LbList reads;     /* HeadRead in progress */
+  LbList commits;   /* Commit in progress */
+  LbList histories; /* HistoryRead in progress */
 };
 
 typedef struct
@@ -68,7 +68,7 @@
   LbLink link;
   LnConfigStore *store;
   int64_t block_start; /* first revision of the block that is being read */
-  size_t limit;
+  size_t limit;        /* maximum number of rows */
   struct json_object *rows;
   LnConfigHistoryDone done;
   void *user;
--- a/packages/node/src/config/ln-config-task.h
+++ b/packages/node/src/config/ln-config-task.h
@@ -20,12 +20,13 @@
   bool is_polling_head;      /* a periodic read of the head row is in progress */
   bool is_listing_instances; /* a read of the platform's list of instances is in progress */
   LbTime next_listing_at;
-  LbList changes;          /* LnChange; only the first is being processed */
-  LbList watches;          /* LnConfigWatch */
-  LbList pool_controllers; /* LnPoolController */
-  LbList pool_operations;  /* LnPoolOperation */
-  uint64_t last_controller_serial;
-  struct json_object *unsent_swaps; /* to be sent to all peers at the end of the tick; NULL: none */
+  LbList changes;                  /* LnChange; only the first is being processed */
+  LbList watches;                  /* LnConfigWatch */
+  LbList pool_controllers;         /* LnPoolController */
+  LbList pool_operations;          /* LnPoolOperation */
+  uint64_t last_controller_serial; /* number of the last controller that was created */
+  /* Weight changes of engines, sent to all instances at the end of the tick; NULL: none. */
+  struct json_object *unsent_swaps;
   bool draining;
 } LnConfigTask;
 
--- a/packages/node/src/config/ln-desired.c
+++ b/packages/node/src/config/ln-desired.c
@@ -24,9 +24,10 @@
  * change. */
 #define WATCH_TIMEOUT (700 * LB_MSEC)
 #define WATCH_RETRY_DELAY (100 * LB_MSEC)
-/* For an instance outside the directory, which orders no weights and runs no batches: detects a
- * lost connection later, but a change is still in force within 2 s. */
-#define UNLISTED_WATCH_TIMEOUT (1500 * LB_MSEC)
+/* For an instance that the directory of instances omits because it is full, and which orders no
+ * weights and runs no batches: detects a lost connection later, but a change is still in force
+ * within 2 s. */
+#define OMITTED_WATCH_TIMEOUT (1500 * LB_MSEC)
 /* After this time a load of weights is assumed to have ended, unless the engine is reported as
  * still loading. */
 #define MAX_LOAD_DURATION (1500 * LB_MSEC)
@@ -36,7 +37,8 @@
 
 /* The task "config" of an instance on a shared platform: reads from the platform's store the
  * desired state that operators write (routes and services), the newest weight versions and the list
- * of endpoints, and posts them to the other tasks. */
+ * of endpoints, and posts them to the other tasks. It has the name of the task that it replaces
+ * there, since both post the configuration. */
 typedef struct
 {
   LnTask task; /* first */
@@ -49,15 +51,15 @@
   LnWeightOrders *weight_orders;
   LnEnginePlans *engine_plans;
   int64_t revision;           /* of the resource set made from the roster */
-  LpFollow *operator_rows;    /* written by operators and trainers */
-  LbTime posted_confirmed_at; /* last LN_DESIRED_CONFIRMED posted */
+  LpFollow *operator_rows;    /* follows the rows that operators and trainers write */
+  LbTime posted_confirmed_at; /* in the last LN_DESIRED_CONFIRMED posted */
   bool has_listed;            /* the endpoints were listed at least once */
   LbTime next_list_at;
   LbTime last_tick_at;
-  bool posted_ready;
-  bool posted_has_orders_lease;    /* last LN_DUTY posted */
+  bool posted_ready;               /* LN_READY was posted */
+  bool posted_has_orders_lease;    /* in the last LN_DUTY posted */
   bool owns_batches;               /* this instance runs batches */
-  bool posted_is_catalog_followed; /* last LN_CATALOG_FOLLOWED posted */
+  bool posted_is_catalog_followed; /* in the last LN_CATALOG_FOLLOWED posted */
   bool draining;
 } DesiredTask;
 
@@ -174,7 +176,8 @@
   LN_POST (task->task.hub, NULL, message);
 }
 
-/* An engine refuses new requests while it loads weights; they would have to be sent elsewhere. */
+/* Notifies the task "calls", so that it sends nothing to the engine while this loads weights: the
+ * engine would refuse new requests. */
 static void
 post_swap (DesiredTask *task, const LcPlanEntry *entry)
 {
@@ -339,9 +342,10 @@
   post_listed_endpoints (user);
 }
 
-/* Most instances only get the publisher's lists, so it lists at the catalog's own period. */
+/* The publisher of the catalog lists at the catalog's own period, since most instances get only its
+ * lists. */
 static LbTime
-list_period (const DesiredTask *task)
+get_list_period (const DesiredTask *task)
 {
   return ln_catalog_is_publisher (task->catalog) ? ln_catalog_publish_period (task->catalog)
                                                  : lc_roster_list_period (task->roster);
@@ -367,7 +371,7 @@
 static void
 request_endpoint_list (DesiredTask *task, LbTime now)
 {
-  task->next_list_at = now + list_period (task);
+  task->next_list_at = now + get_list_period (task);
   if (ln_catalog_is_publisher (task->catalog))
     ln_catalog_foreach_overloaded_service (task->catalog, grow_subset, task);
   else
@@ -375,7 +379,7 @@
   ln_endpoint_list_request (task->endpoint_list, now);
 }
 
-/* Tells the other tasks up to when the desired state is known to be current. */
+/* Notifies the other tasks of the time at which the desired state was last known to be current. */
 static void
 post_confirmed (DesiredTask *task)
 {
@@ -406,7 +410,7 @@
 {
   DesiredTask *task = user;
   LbTime now = lb_clock_monotonic ();
-  LbTime period = list_period (task);
+  LbTime period = get_list_period (task);
 
   ln_stall_set_activity ("tick of config");
   lp_follow_tick (task->operator_rows, now);
@@ -419,7 +423,7 @@
   else if (is_listing && now - ln_endpoint_list_requested_at (task->endpoint_list) > period
            && now >= task->next_list_at && now - task->last_tick_at < MAX_TICK_GAP)
     {
-      /* The store does not answer: the last list of endpoints stays in use. */
+      /* The store does not answer, so the last list of endpoints stays in use. */
       task->next_list_at = now + period;
       post_listed_endpoints (task);
     }
@@ -453,7 +457,7 @@
 update_members (DesiredTask *task, const LnMembersMessage *message)
 {
   lp_follow_set_watch_timeout (task->operator_rows,
-                               message->is_omitted ? UNLISTED_WATCH_TIMEOUT : WATCH_TIMEOUT);
+                               message->is_omitted ? OMITTED_WATCH_TIMEOUT : WATCH_TIMEOUT);
   if (!task->draining)
     ln_weight_orders_set_members (task->weight_orders, message);
 }
--- a/packages/node/src/duties/ln-duty-lease.c
+++ b/packages/node/src/duties/ln-duty-lease.c
@@ -242,9 +242,9 @@
 }
 
 bool
-ln_duty_lease_can_act (const LnDutyLease *lease, bool unfenced, LbTime now)
+ln_duty_lease_can_act (const LnDutyLease *lease, bool fence_is_unchecked, LbTime now)
 {
-  return lc_lease_can_order (lease->lease, unfenced, now);
+  return lc_lease_can_order (lease->lease, fence_is_unchecked, now);
 }
 
 int64_t
--- a/packages/node/src/duties/ln-scaler.c
+++ b/packages/node/src/duties/ln-scaler.c
@@ -135,12 +135,12 @@
 void
 ln_scaler_tick (LnScaler *scaler, LbTime now)
 {
-  bool unfenced = !scaler->context->settings->duties.platform_checks_fence;
+  bool fence_is_unchecked = !scaler->context->settings->duties.platform_checks_fence;
   LcScalingOrder order;
 
   if (!scaler->desired || !scaler->set)
     return;
-  while (ln_duty_lease_can_act (scaler->lease, unfenced, now)
+  while (ln_duty_lease_can_act (scaler->lease, fence_is_unchecked, now)
          && lc_scaling_next_order (scaler->scaling, scaler->desired, scaler->set, now, &order))
     send_order (scaler, &order);
 }
--- a/packages/node/src/duties/ln-usage-reporter.c
+++ b/packages/node/src/duties/ln-usage-reporter.c
@@ -19,9 +19,11 @@
 #include <string.h>
 
 #define REPORT_PREFIX "report/usage/"
-/* Reports that stay in the store: more than a later holder needs. */
+/* Reports that stay in the store: twice as many as the windows on which a later holder of the duty
+ * catches up (MAX_CATCH_UP_WINDOWS of lc-usage-reports.c). */
 #define N_KEPT_REPORTS 48
-/* The store accepts at most 100 entries in a transaction. */
+/* Rows of a window and partition that are removed, in one transaction: the store accepts at most
+ * 100 entries. Further rows stay in the store. */
 #define MAX_REMOVED_ROWS 90
 /* After a window's end: instances write their last rows of it within 1.5 s, a little later on large
  * sites, and the clocks by which they count differ by some 10 ms. */
@@ -41,12 +43,12 @@
 typedef struct
 {
   LnUsageReporter *reporter;
-  int64_t duty_epoch; /* when the action was started */
+  int64_t duty_epoch; /* when the action was started; its result is ignored in a later epoch */
   int64_t window;
-  size_t n_pending_lists;
-  bool has_failed; /* a list failed */
-  LcUsageCounts *counts;
-  char *text;
+  size_t n_pending_lists; /* lists of rows without an answer yet */
+  bool has_failed;        /* a list failed */
+  LcUsageCounts *counts;  /* sum of the listed rows; NULL: the action sums nothing */
+  char *text;             /* counts of the action as JSON; NULL: it has none */
 } PendingAction;
 
 static LbMetric metric_sent
@@ -57,12 +59,12 @@
 static LcUsageReports *
 reports_new (const LnSettings *settings)
 {
-  const LcUsageReportSettings rules
+  const LcUsageReportSettings report_settings
       = { .window_ms = settings->duties.usage_window_s * 1000,
           .settle_delay_ms = SETTLE_DELAY_MS,
           .max_delay_ms = settings->duties.usage_due_s * 1000 - SEND_MARGIN_MS };
 
-  return lc_usage_reports_new (&rules);
+  return lc_usage_reports_new (&report_settings);
 }
 
 LnUsageReporter *
@@ -515,10 +517,11 @@
 void
 ln_usage_reporter_tick (LnUsageReporter *reporter, int64_t true_ms, LbTime now)
 {
-  bool unfenced = !reporter->context->settings->duties.platform_checks_fence;
+  /* The platform accepts calls with an outdated fencing number. */
+  bool fence_is_unchecked = !reporter->context->settings->duties.platform_checks_fence;
   LcUsageAction action;
 
-  while (ln_duty_lease_can_act (reporter->lease, unfenced, now)
+  while (ln_duty_lease_can_act (reporter->lease, fence_is_unchecked, now)
          && lc_usage_reports_next_action (reporter->reports, true_ms, now, &action))
     execute_action (reporter, &action);
 }
--- a/packages/node/src/endpoints/ln-crash-frame.h
+++ b/packages/node/src/endpoints/ln-crash-frame.h
@@ -7,11 +7,11 @@
 /* Enough for a report with LC_MAX_REPORT_FINGERPRINTS fingerprints and its names. */
 #define LN_CRASH_TEXT_SIZE 2048
 
-/* A row of ln-crash-row.h, as carried in a frame between instances. */
+/* A row of ln-crash-row.h, as one instance sends it to the others in a frame. */
 typedef struct
 {
   char key[LC_CRASH_REPORT_ID_SIZE];
-  char text[LN_CRASH_TEXT_SIZE];
+  char text[LN_CRASH_TEXT_SIZE]; /* value of the row */
 } LnCrashFrame;
 
 /* Sends the row to all instances; does nothing if there is no task "peers". */
--- a/packages/node/src/front/ln-caller.c
+++ b/packages/node/src/front/ln-caller.c
@@ -220,7 +220,7 @@
 }
 
 static int
-add_to_framing (evhtp_header_t *header, void *user)
+add_header_to_framing (evhtp_header_t *header, void *user)
 {
   ln_framing_add (user, header->key, header->klen, header->val, header->vlen);
   return 0;
@@ -236,7 +236,7 @@
   /* Copied, as evhtp later replaces the query by the body of a form. */
   free (caller->raw_query);
   caller->raw_query = query ? lb_strdup ((const char *)query) : NULL;
-  evhtp_kvs_for_each (headers, add_to_framing, &framing);
+  evhtp_kvs_for_each (headers, add_header_to_framing, &framing);
   /* The scanner may be ahead of the parser: a malformed request may be a later one. */
   if (ln_framing_is_ambiguous (&framing)
       || caller->n_headers_parsed >= caller->scanner.n_headers_complete)
--- a/packages/node/src/front/ln-entry.c
+++ b/packages/node/src/front/ln-entry.c
@@ -54,7 +54,7 @@
 }
 
 static void
-refuse (LnExchange *exchange)
+refuse_request (LnExchange *exchange)
 {
   LbError error;
 
@@ -92,7 +92,7 @@
   lc_entry_choose (&entry, views, n_views, caller_name (exchange), data_centre);
   lb_metric_add (&replies, 1);
   if (entry.n_chosen == 0)
-    refuse (exchange);
+    refuse_request (exchange);
   else
     reply (exchange, &entry, views, time_to_live_ms);
   free (views);
--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -28,8 +28,8 @@
 /* A write that takes longer is superseded by the next listing. */
 #define WRITE_TIMEOUT (500 * LB_MSEC)
 #define MAX_CANDIDATES 3
-/* Below this number of endpoints, listing costs less than following the catalog: at 2.5 lists per
- * second, a list of 12 endpoints is 16 kB/s, one of 90 is 114 kB/s. */
+/* With fewer endpoints, listing their rows costs less than following the catalog: at 2.5 lists per
+ * second, a list of 12 endpoints takes 16 kB/s, one of 90 takes 114 kB/s. */
 #define MIN_ENDPOINTS_TO_FOLLOW 41
 /* From this number of known instances on, each write of the catalog causes hundreds of answers to
  * followers. */
@@ -43,18 +43,19 @@
   void *user;
   LcCatalog *catalog;
   LpFollow *follower;
-  LnRowCache *endpoint_cache; /* parsed rows of the table */
-  LnRowCache *instance_cache;
-  int64_t delivered_change_count; /* at the last endpoint list; -1: deliver the next in full */
+  LnRowCache *endpoint_cache;     /* parsed rows of endpoints */
+  LnRowCache *instance_cache;     /* parsed rows of instances */
+  int64_t delivered_change_count; /* change count of the endpoint list last delivered; -1: deliver
+                                     the next in full */
   int64_t instances_change_count; /* change count at which the instances were last read */
   int64_t last_instances_version; /* newest row version of the instances last read */
   size_t n_last_instances;        /* number of the instances last read */
-  bool is_active;                 /* there have been enough endpoints at some time */
+  bool has_had_many_endpoints; /* at least MIN_ENDPOINTS_TO_FOLLOW at some time: it is followed */
   bool draining;
-  int rank;               /* in the order of takeover; -1: not a candidate */
-  LcFleetMember *members; /* own view of all instances */
+  int rank; /* in the order in which candidates take over publishing; -1: not a candidate */
+  LcFleetMember *members; /* all instances as this one knows them */
   size_t n_members;
-  int cached_rank; /* valid for these members and this publisher */
+  int cached_rank; /* for these members and cached_rank_publisher */
   LbName cached_rank_publisher;
   bool is_rank_cached;
   LbTime own_list_requested_at; /* when this instance last requested its own endpoint list */
@@ -69,7 +70,7 @@
                                                "Writes to the catalog by this instance");
 
 static int64_t
-store_ms (const LnCatalog *catalog)
+get_store_ms (const LnCatalog *catalog)
 {
   return lp_platform_store_ms (catalog->context->platform);
 }
@@ -97,7 +98,8 @@
 {
   (void)user;
   return lc_registration_from_json (row->value, parsed)
-         || lb_error_set (error, LB_ERROR_BAD_VALUE, row->key, "expected the row of an endpoint");
+         || lb_error_set (error, LB_ERROR_BAD_VALUE, row->key,
+                          "expected JSON with name, address, service and slots above 0");
 }
 
 static bool
@@ -105,10 +107,12 @@
 {
   (void)user;
   return lc_fleet_member_from_text (row->value, parsed)
-         || lb_error_set (error, LB_ERROR_BAD_VALUE, row->key, "expected the row of an instance");
+         || lb_error_set (error, LB_ERROR_BAD_VALUE, row->key,
+                          "expected JSON with name, incarnation and caller_address");
 }
 
-/* Rows of the catalog have no write counter, so every new version is parsed. */
+/* Rows of the catalog have no write counter, so every changed text is parsed: the prefix "\n"
+ * occurs in no row, and no part of a row is skipped as a counter. */
 static const LnRowCacheClass endpoint_row_class
     = { .size = sizeof (LcRegistration), .parse = parse_endpoint, .counter_prefix = "\n" };
 static const LnRowCacheClass instance_row_class
@@ -208,7 +212,7 @@
       lc_catalog_apply_row (catalog->catalog, rows[i].key + strlen (KEY_PREFIX), rows[i].value,
                             rows[i].version);
   log_publisher (catalog, before);
-  if (!lc_catalog_finish_update (catalog->catalog, store_ms (catalog), lb_clock_monotonic ()))
+  if (!lc_catalog_finish_update (catalog->catalog, get_store_ms (catalog), lb_clock_monotonic ()))
     return;
   lb_metric_add (&snapshots_received, 1);
   deliver_endpoints (catalog);
@@ -311,7 +315,7 @@
 typedef struct
 {
   LnCatalog *catalog;
-  int64_t expected_version;
+  int64_t expected_version; /* of the row that the write is conditional on */
 } PendingWrite;
 
 static void
@@ -413,7 +417,7 @@
   catalog->n_members = n_members;
   lc_catalog_set_own_period (catalog->catalog, choose_publish_period (catalog));
   catalog->is_rank_cached = false;
-  if (catalog->is_active && catalog->rank >= 0)
+  if (catalog->has_had_many_endpoints && catalog->rank >= 0)
     update_instance_listing (catalog);
 }
 
@@ -444,8 +448,8 @@
 void
 ln_catalog_tick (LnCatalog *catalog, size_t n_endpoints, LbTime now)
 {
-  catalog->is_active |= n_endpoints >= MIN_ENDPOINTS_TO_FOLLOW;
-  if (!catalog->is_active)
+  catalog->has_had_many_endpoints |= n_endpoints >= MIN_ENDPOINTS_TO_FOLLOW;
+  if (!catalog->has_had_many_endpoints)
     return;
   lp_follow_tick (catalog->follower, now);
   set_rank (catalog, find_rank (catalog));
@@ -461,14 +465,14 @@
 {
   catalog->own_list_requested_at = requested_at;
   ln_catalog_invalidate_list (catalog);
-  if (!catalog->is_active)
+  if (!catalog->has_had_many_endpoints)
     return;
   LcCatalogItem *items = LB_NEW_ARRAY (LcCatalogItem, n_endpoints + 1);
   for (size_t i = 0; i < n_endpoints; i++)
     items[i] = (LcCatalogItem){ .key = lb_asprintf (ENDPOINT_PREFIX "%s", endpoints[i].name),
                                 .value = lc_registration_to_json (&endpoints[i]) };
   lc_catalog_set_listing (catalog->catalog, ENDPOINT_PREFIX, items, n_endpoints,
-                          store_ms (catalog));
+                          get_store_ms (catalog));
   send_next_write (catalog, now);
 }
 
@@ -504,7 +508,7 @@
   BoundItems bounds = { 0 };
 
   lc_subset_foreach_bound (subset, append_bound, &bounds);
-  if (catalog->is_active && bounds.n > 0)
+  if (catalog->has_had_many_endpoints && bounds.n > 0)
     lc_catalog_set_listing (catalog->catalog, BOUND_PREFIX, bounds.items, bounds.n, 0);
 }
 
@@ -524,7 +528,7 @@
 bool
 ln_catalog_needs_endpoint_list (const LnCatalog *catalog, LbTime now)
 {
-  return !catalog->is_active || lc_catalog_needs_listing (catalog->catalog, now);
+  return !catalog->has_had_many_endpoints || lc_catalog_needs_listing (catalog->catalog, now);
 }
 
 bool
@@ -542,7 +546,7 @@
 bool
 ln_catalog_is_publisher (const LnCatalog *catalog)
 {
-  return catalog->is_active && lc_catalog_is_publisher (catalog->catalog);
+  return catalog->has_had_many_endpoints && lc_catalog_is_publisher (catalog->catalog);
 }
 
 const char *
--- a/packages/node/src/membership/ln-catalog.h
+++ b/packages/node/src/membership/ln-catalog.h
@@ -8,13 +8,14 @@
 #include "ln-context.h"
 #include "ln-messages.h"
 
-/* Follows the shared catalog of endpoints and instances (lc-catalog.h) in the store, and publishes
- * it while this instance is the publisher. Sites with few endpoints have no catalog: there each
- * instance lists all rows itself. */
+/* The catalog is a table of the store in which one instance, the publisher, writes the lists of
+ * endpoints and instances, so that the others need not list them themselves (lc-catalog.h). This
+ * follows the catalog, and publishes it while this instance is the publisher. Sites with few
+ * endpoints have no catalog: there each instance lists all rows itself. */
 
 typedef struct LnCatalog LnCatalog;
 
-/* Callbacks for what the catalog says. */
+/* Callbacks for the contents of the catalog. */
 typedef struct
 {
   /* A list of the endpoints that is more recent than this instance's own last one. The handler
--- a/packages/node/src/membership/ln-fleet-lists.c
+++ b/packages/node/src/membership/ln-fleet-lists.c
@@ -46,7 +46,7 @@
 typedef struct
 {
   LnFleetLists *lists;
-  const char *const *prefixes;
+  const char *const *prefixes; /* of the keys of each part */
   size_t n_prefixes;
   int64_t row_limit; /* maximum of rows per part; 0: no limit */
   LcFleet *fleet;
@@ -61,7 +61,7 @@
 struct LnFleetLists
 {
   LpPlatform *platform;
-  LbName self;
+  LbName self; /* name of this instance */
   Listing directory;
   Listing on_duty;
   LcFleetMember *members; /* merged from both lists, or as set from the catalog */
@@ -100,7 +100,8 @@
 
   json_object_put (object);
   return ok
-         || lb_error_set (error, LB_ERROR_BAD_VALUE, row->key, "expected the row of an instance");
+         || lb_error_set (error, LB_ERROR_BAD_VALUE, row->key,
+                          "expected JSON with name, incarnation and caller_address");
 }
 
 static const LnRowCacheClass row_class
@@ -151,7 +152,7 @@
 }
 
 static LbTime
-list_period (const Listing *listing)
+get_list_period (const Listing *listing)
 {
   LbTime n = (LbTime)lc_fleet_count (listing->fleet);
 
@@ -207,9 +208,9 @@
                                     on_row_removed, NULL);
 }
 
-/* Delay below `max`, derived from this instance's name. */
+/* Delay below `max`, derived from this instance's name so that it differs between instances. */
 static LbTime
-delay_by_name (const LnFleetLists *lists, LbTime max)
+compute_delay_by_name (const LnFleetLists *lists, LbTime max)
 {
   return (LbTime)(XXH3_64bits (lists->self, strlen (lists->self)) % (uint64_t)max);
 }
@@ -219,7 +220,7 @@
 static void
 remove_one_dead (const Listing *listing, LbTime now)
 {
-  LbTime wait = REMOVE_DEAD_AFTER + delay_by_name (listing->lists, REMOVE_DEAD_SPREAD);
+  LbTime wait = REMOVE_DEAD_AFTER + compute_delay_by_name (listing->lists, REMOVE_DEAD_SPREAD);
 
   for (size_t i = 0; i < lc_fleet_count (listing->fleet); i++)
     {
@@ -243,13 +244,13 @@
   const LcFleetList list = { .received_at = now,
                              .round_trip = now - listing->requested_at,
                              .store_ms = lp_platform_store_ms (platform),
-                             .period = list_period (listing) };
+                             .period = get_list_period (listing) };
 
   listing->n_pending--;
   listing->has_failed |= error != LB_OK;
   if (error == LB_ERROR_STORE_BUSY)
     listing->next_list_at
-        = now + BUSY_RETRY_DELAY + delay_by_name (listing->lists, BUSY_RETRY_SPREAD);
+        = now + BUSY_RETRY_DELAY + compute_delay_by_name (listing->lists, BUSY_RETRY_SPREAD);
   if (listing->has_failed)
     return;
   if (!listing->has_begun)
@@ -284,7 +285,7 @@
   listing->has_failed = false;
   listing->has_begun = false;
   listing->requested_at = now;
-  listing->next_list_at = now + list_period (listing);
+  listing->next_list_at = now + get_list_period (listing);
   for (size_t i = 0; i < listing->n_prefixes; i++)
     platform->klass->list (platform, listing->prefixes[i], NULL, listing->row_limit, on_part_listed,
                            listing);
--- a/packages/node/src/membership/ln-fleet-renewal.c
+++ b/packages/node/src/membership/ln-fleet-renewal.c
@@ -14,13 +14,13 @@
  * is bounded. */
 #define MIN_RENEW_PERIOD (500 * LB_MSEC)
 #define RENEW_PERIOD_PER_INSTANCE (8 * LB_MSEC)
-/* For an instance that no instance lists. */
+/* For an instance that the full directory omits, which no instance lists. */
 #define OMITTED_RENEW_PERIOD (10 * LB_SEC)
 /* For instances on duty, of which there are few. Until such an instance is detected as dead, its
  * samples make no progress, and the longest samples of a step have only a second or two to spare.
  */
 #define DUTY_RENEW_PERIOD (300 * LB_MSEC)
-/* Kept up after the last batch, since the next step follows soon. */
+/* An instance counts as on duty for this time after its last duty: the next step follows soon. */
 #define DUTY_LINGER_TIME (10 * LB_SEC)
 /* A renewal without an answer for this time is sent through another instance, early enough that no
  * renewal counts as missed. */
@@ -31,12 +31,12 @@
 {
   LpPlatform *platform;
   LcFleetRow *row;
-  int n_in_flight;
-  LbTime next_renewal_at; /* of the row in the directory */
-  LbTime next_duty_renewal_at;
-  LbTime period; /* of the row in the directory */
+  int n_in_flight;             /* renewals without an answer yet */
+  LbTime next_renewal_at;      /* of the row in the directory */
+  LbTime next_duty_renewal_at; /* of the row on duty */
+  LbTime period;               /* between renewals of the row in the directory */
   bool has_duty;
-  LbTime duty_until;         /* treated as on duty until then */
+  LbTime duty_until;         /* counts as on duty until then after its last duty */
   bool may_have_duty_row;    /* the store may contain one */
   bool is_removing_duty_row; /* its removal is in progress */
 };
@@ -146,7 +146,7 @@
 }
 
 static LbTime
-renew_period (const LnFleetListSummary *summary)
+get_renew_period (const LnFleetListSummary *summary)
 {
   if (summary->is_omitted)
     return OMITTED_RENEW_PERIOD;
@@ -156,7 +156,7 @@
 void
 ln_fleet_renewal_tick (LnFleetRenewal *renewal, const LnFleetListSummary *summary, LbTime now)
 {
-  LbTime period = renew_period (summary);
+  LbTime period = get_renew_period (summary);
 
   renewal->may_have_duty_row |= summary->has_duty_row;
   /* An instance that has just been added to the directory renews its row at once. */
--- a/packages/node/src/membership/ln-fleet.c
+++ b/packages/node/src/membership/ln-fleet.c
@@ -33,7 +33,7 @@
   LcFleetRow own_row;
   LnFleetRenewal *renewal; /* of own_row */
   LnFleetLists *lists;
-  bool has_duty[LN_N_DUTIES];
+  bool has_duty[LN_N_DUTIES]; /* by LnDuty */
 } Fleet;
 
 static void
@@ -101,7 +101,7 @@
   return ln_fleet_lists_at (task->lists, (ln_context_random_seed (task->context) % n + index) % n);
 }
 
-/* Sets the instances through which the store can be reached. */
+/* Sets the instances through which the store can be reached while this one is cut off from it. */
 static void
 set_platform_peers (Fleet *task)
 {
@@ -273,7 +273,7 @@
     ln_exchange_reply_text (call->exchange, status, "application/json", body, length);
   else
     {
-      /* 503 means that the call was not carried out, the other status that it may have been. */
+      /* 503 means that the call did not take effect, the other status that it may have. */
       lb_error_set (&reply_error,
                     error == LB_ERROR_STORE_AWAY ? LB_ERROR_STORE_AWAY : LB_ERROR_OUTCOME_UNKNOWN,
                     "", "the store did not answer this instance either");
--- a/packages/node/src/membership/ln-members.c
+++ b/packages/node/src/membership/ln-members.c
@@ -64,9 +64,9 @@
   return member;
 }
 
-/* NULL: simply alive. */
+/* NULL: alive, and neither suspected nor draining. */
 static const char *
-state_name (const LcMemberView *view)
+get_unusual_state (const LcMemberView *view)
 {
   if (view->instance.state == LC_INSTANCE_DEAD)
     return "dead";
@@ -75,7 +75,7 @@
   return view->draining ? "draining" : NULL;
 }
 
-/* Logs one line per change, with the instances that are not simply alive. */
+/* Logs one line per change, with the instances that have an unusual state. */
 static void
 log_members (const LcMemberView *views, size_t n_views, size_t alive)
 {
@@ -83,7 +83,7 @@
 
   for (size_t i = 0; i < n_views; i++)
     {
-      const char *state = state_name (&views[i]);
+      const char *state = get_unusual_state (&views[i]);
       if (state)
         json_object_object_add (exceptions, views[i].instance.name, json_object_new_string (state));
     }
--- a/packages/node/src/membership/ln-peers-private.h
+++ b/packages/node/src/membership/ln-peers-private.h
@@ -21,11 +21,11 @@
   struct evconnlistener *listener;
   LbName *leaving_endpoints; /* endpoints that the platform's last list marks as leaving */
   size_t n_leaving_endpoints;
-  struct event *timer;
-  LcMembership *membership; /* NULL until the event loop runs and all addresses are known */
-  LbList connections;
+  struct event *timer;       /* fires when the membership next has to act */
+  LcMembership *membership;  /* NULL until the event loop runs and all addresses are known */
+  LbList connections;        /* LnPeerConnection */
   LbList closed_connections; /* freed at the next timer event: a handler may be running */
-  LbList actions;
+  LbList actions;            /* of the membership, not executed yet */
   LnFrameWindow *seen_frames;
   LnOutbox outbox;
   uint64_t sequence;    /* of the last broadcast frame */
@@ -45,7 +45,8 @@
 /* Does not notify the membership. The memory is freed at the next timer event. */
 void ln_peers_close_connection (LnPeers *peers, LnPeerConnection *connection);
 void ln_peers_free_connections (LbList *connections);
-/* Tells the membership that a frame was sent on the connection, for which it expects an answer. */
+/* Reports to the membership that a frame was sent on the connection, for which it expects an
+ * answer. */
 void ln_peers_record_sent (const LnPeers *peers, const LnPeerConnection *connection);
 
 /* ln-peers-frames.c: functions that send may close the connection and add actions; the caller has
--- a/packages/node/src/rollout/ln-step-call.h
+++ b/packages/node/src/rollout/ln-step-call.h
@@ -21,18 +21,18 @@
   LbLink link;
   LnStepCallType type;
   LnExchange *exchange; /* NULL: the trainer has disconnected */
-  uint64_t id;          /* of the exchange */
+  uint64_t id;          /* id of the exchange, valid after a disconnect too */
   LnStepKey key;
-  LcPull pull;           /* of a PULL */
-  char *cursor;          /* owned; pull.cursor points to it */
-  int owner_lookups;     /* of its step, made for this call */
-  struct LhFetch *relay; /* request to the owner; NULL: none */
-  LnStepOwner relay_owner;
-  void *relay_state; /* of ln-step-relay.c */
+  LcPull pull;             /* PULL: what the trainer requests */
+  char *cursor;            /* owned; pull.cursor points to it */
+  int owner_lookups;       /* number of lookups of the step's owner for this call */
+  struct LhFetch *relay;   /* request to the owner; NULL: none */
+  LnStepOwner relay_owner; /* the owner to which the call is relayed */
+  void *relay_state;       /* of ln-step-relay.c */
 } LnStepCall;
 
-/* Returns NULL and sets error if path or body is not as in docs/API.md, or if the core would
- * reject the step. */
+/* Returns NULL and sets error if path or body is not as in docs/API.md, or if LcRollouts
+ * would reject the step. */
 LnStepCall *
 ln_step_call_parse (LnExchange *exchange, const LcRollouts *core, LbTime now, LbError *error);
 void ln_step_call_free (LnStepCall *call);
--- a/packages/node/src/rollout/ln-step-claim.h
+++ b/packages/node/src/rollout/ln-step-claim.h
@@ -28,10 +28,10 @@
 typedef struct
 {
   LnStepKey key;
-  const char *content;     /* opens a step that was never opened; NULL: it stays so */
-  uint64_t own_session;    /* under which the step is open here already; 0: it is not */
-  const char *incarnation; /* of this process */
-  bool may_claim;
+  const char *content;  /* opens a step that was never opened; NULL: it stays so */
+  uint64_t own_session; /* session under which the step is open here already; 0: it is not open */
+  const char *incarnation;           /* of this process */
+  bool may_claim;                    /* false: only looks up the owner */
   LnStepIsOwnerAlive is_owner_alive; /* called for other incarnations only */
   LnStepClaimDone done; /* called once, after the start has returned; never if the store is freed */
   void *user;
--- a/packages/node/src/rollout/ln-step-store.h
+++ b/packages/node/src/rollout/ln-step-store.h
@@ -4,7 +4,7 @@
 #include "ln-context.h"
 
 /* State of steps that outlives their owners, in the platform's table and object store: the owner (a
- * row), the trainer's cursor (a ledger row), and what the trainer asked for (an object). */
+ * row), the trainer's cursor (a ledger row), and the trainer's request (an object). */
 typedef struct LnStepStore LnStepStore;
 
 typedef struct
@@ -19,7 +19,7 @@
   LbName instance; /* empty: released by its last owner */
   char incarnation[40];
   LbName address;        /* where the owner accepts callers */
-  char content_hash[24]; /* part of the key of the object with what the trainer asked for */
+  char content_hash[24]; /* part of the key of the object with the trainer's request */
   uint64_t session;      /* incremented by each claim */
   int64_t row_version;   /* 0: the row is absent */
 } LnStepOwner;
--- a/packages/node/src/store/ln-platform-call.c
+++ b/packages/node/src/store/ln-platform-call.c
@@ -22,11 +22,11 @@
   LnPlatformCallDone done;
   void *user;
   LbTime sent_at;
-  LbName path;
+  LbName path; /* for the log */
 } Call;
 
 static void
-finish (Call *call, LnDutyOutcome outcome)
+finish_call (Call *call, LnDutyOutcome outcome)
 {
   lb_list_remove (call->calls, &call->link);
   call->done (outcome, call->user);
@@ -51,7 +51,7 @@
           "platform_called", LB_TEXT ("path", call->path), LB_INT ("status", result->status),
           LB_TEXT ("error", lb_error_name (result->failure)),
           LB_INT ("took_us", lb_clock_monotonic () - call->sent_at));
-  finish (call, read_outcome (call, result));
+  finish_call (call, read_outcome (call, result));
 }
 
 /* Opens a new connection for each call: calls are seconds apart, and a connection kept for so long
@@ -80,7 +80,7 @@
   if (call->fetch)
     return;
   lb_log_error (LB_LOG_WARNING, "platform_not_called", &error);
-  finish (call, LN_DUTY_BUSY);
+  finish_call (call, LN_DUTY_BUSY);
 }
 
 void
@@ -89,6 +89,6 @@
   LB_LIST_FOREACH (calls, Call, link, call)
   {
     lh_fetch_cancel (call->fetch);
-    finish (call, LN_DUTY_NO_ANSWER);
+    finish_call (call, LN_DUTY_NO_ANSWER);
   }
 }
--- a/packages/node/src/store/ln-row-cache.h
+++ b/packages/node/src/store/ln-row-cache.h
@@ -10,7 +10,7 @@
 
 typedef struct
 {
-  size_t size; /* of the parsed content */
+  size_t size; /* number of bytes of the parsed content */
   /* False, with an error, when the row is malformed. */
   bool (*parse) (const LpRow *row, void *content, LbError *error, void *user);
   /* Text in front of the row's write counter, for example "\"count\":". */
--- a/packages/node/src/task/ln-stall.c
+++ b/packages/node/src/task/ln-stall.c
@@ -41,7 +41,7 @@
 static void
 write_stdout (const char *text)
 {
-  /* A failed write can't be reported; the exit status still says that the loop stalled. */
+  /* A failed write can't be reported; the exit status still shows that the loop stalled. */
   if (write (STDOUT_FILENO, text, strlen (text)) < 0)
     return;
 }
--- a/packages/node/src/weights/ln-engine-plans.c
+++ b/packages/node/src/weights/ln-engine-plans.c
@@ -33,19 +33,19 @@
   LnContext *context;
   void (*on_plan) (const LcEnginePlan *plan, void *user);
   void *user;
-  LcEnginePlan parts[LC_ENGINE_PLAN_PARTS]; /* as stored */
-  int64_t versions[LC_ENGINE_PLAN_PARTS];
-  LcEnginePlan plan;    /* of all parts */
-  LcEnginePlan desired; /* to be stored, if is_writer */
-  bool is_writer;
+  LcEnginePlan parts[LC_ENGINE_PLAN_PARTS]; /* as stored, one row each */
+  int64_t versions[LC_ENGINE_PLAN_PARTS];   /* of these rows; 0: absent */
+  LcEnginePlan plan;                        /* all parts together */
+  LcEnginePlan desired;                     /* is_writer: the plan to be stored */
+  bool is_writer; /* this instance orders weights and so writes the plan */
   LbTime writer_since;
   LpFollow *row_watch;
   LcDemand *demand;
   bool is_write_pending;
   bool must_retry_write;
-  bool is_in_write[LC_ENGINE_PLAN_PARTS]; /* in the write in progress, or in the last one */
+  bool is_in_write[LC_ENGINE_PLAN_PARTS]; /* parts in the write in progress, or in the last one */
   LbTime next_write_at;
-  LbTime next_division_at;
+  LbTime next_division_at; /* when the engines are next divided among the models */
 };
 
 static void
--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -43,14 +43,14 @@
   LnWeightOrders *orders;
   LbName address;
   LbName model;
-  int64_t orders_accepted; /* in all, as it stated; -1: must be queried before the next order */
-  LcVersion version;
-  LcVersion ordered_version; /* by the order in progress; 0: none */
+  int64_t orders_accepted;   /* since its start; -1: to be queried before the next order */
+  LcVersion version;         /* of the model, as last stated; 0: unknown */
+  LcVersion ordered_version; /* in the order in progress; 0: none */
   LbTime ordered_at;
   LbTime next_query_at;
-  LbTime query_sent_at; /* of the query in progress */
-  LhFetch *order_fetch;
-  LhFetch *query_fetch;
+  LbTime query_sent_at; /* when the query in progress was sent */
+  LhFetch *order_fetch; /* order without an answer yet; NULL: none */
+  LhFetch *query_fetch; /* query without an answer yet; NULL: none */
   bool is_configured;
   UT_hash_handle hh;
 };
@@ -63,8 +63,8 @@
   LnDutyLease *lease;
   LcLoadTime load_time;
   bool all_check_fences; /* all engines reject an order with an old fencing number */
-  LbList models;
-  Engine *engines;
+  LbList models;         /* Model */
+  Engine *engines;       /* hash table by name */
 };
 
 /* The lease was gained or lost: discards the engines' states, since the orders of the previous
@@ -246,13 +246,13 @@
   engine->orders->on_engine (&entry, engine->orders->user);
 }
 
-/* Applies the version that the engine stated at asked_at. An order counts as in progress until the
- * engine has the ordered version, or until LOAD_TIMEOUT, after which it must have failed. */
+/* Applies the version that the engine stated at requested_at. An order counts as in progress until
+ * the engine has the ordered version, or until LOAD_TIMEOUT, after which it must have failed. */
 static void
-apply_version (Engine *engine, LcVersion version, LbTime asked_at, LbTime now)
+apply_version (Engine *engine, LcVersion version, LbTime requested_at, LbTime now)
 {
   Model *model = find_model (engine->orders, engine->model);
-  LcWeightReport report = { .version = version, .requested_at = asked_at };
+  LcWeightReport report = { .version = version, .requested_at = requested_at };
   LbLink *link;
   LbList actions;
 
@@ -274,7 +274,7 @@
 void
 ln_weight_orders_apply_list (LnWeightOrders *orders,
                              const LcRoster *roster,
-                             LbTime asked_at,
+                             LbTime requested_at,
                              LbTime now)
 {
   for (size_t i = 0; i < lc_roster_count (roster); i++)
@@ -282,9 +282,9 @@
       const LcRegistration *registration = lc_roster_registration (roster, i);
       Engine *engine = find_engine (orders, registration->name);
       LcVersion version = lc_roster_registered_version (roster, i);
-      /* The list lags behind the engine's own statements. */
+      /* The list lags behind the version that the engine itself stated. */
       if (engine && engine->orders_accepted >= 0)
-        apply_version (engine, version > engine->version ? version : engine->version, asked_at,
+        apply_version (engine, version > engine->version ? version : engine->version, requested_at,
                        now);
     }
 }
@@ -329,8 +329,8 @@
               LB_INT ("status", result->status));
       return;
     }
-  const LnEngineStateQuery question = { .endpoint = engine->name, .model = engine->model };
-  if (!engine->orders->context->dialect->read_engine_state (&question, result->body,
+  const LnEngineStateQuery query = { .endpoint = engine->name, .model = engine->model };
+  if (!engine->orders->context->dialect->read_engine_state (&query, result->body,
                                                             result->body_length, &state, &error))
     {
       lb_log_error (LB_LOG_WARNING, "engine_state_unreadable", &error);
@@ -396,7 +396,7 @@
       engine->orders_accepted += result->status == 202;
       return;
     }
-  /* The order may have been accepted and may be carried out later, so the engine is queried. */
+  /* The order may have been accepted and may take effect later, so the engine is queried. */
   engine->ordered_version = 0;
   engine->orders_accepted = -1;
   engine->next_query_at = now + QUERY_RETRY_DELAY;
