--- a/packages/node/src/batch/ln-batch-calls.c
+++ b/packages/node/src/batch/ln-batch-calls.c
@@ -344,7 +344,8 @@
   ln_exchange_reply_error (exchange, &error, LN_BATCH_STORE_RETRY_AFTER);
 }
 
-/* Only a submission has a route, which may be public; for other calls the batch decides. */
+/* Only a submission has a route, which may be public. Other calls need no key if their batch has no
+ * organisation. */
 static bool
 is_public_submission (const LnBatches *batches, const LnExchange *exchange, const LnInbound *in)
 {
--- a/packages/node/src/calls/ln-calls-requests.c
+++ b/packages/node/src/calls/ln-calls-requests.c
@@ -75,7 +75,7 @@
   ln_exchange_reply_json (exchange, 200, reply);
 }
 
-/* Compared to detect a ticket that is reused for a different request. */
+/* Hash by which a ticket that is reused for a different request is detected. */
 static uint64_t
 hash_request (const LnExchange *exchange)
 {
--- a/packages/node/src/duties/ln-usage-rows.c
+++ b/packages/node/src/duties/ln-usage-rows.c
@@ -13,7 +13,7 @@
 #include <xxhash.h>
 
 #define TABLE "usage"
-/* Between two writes of a window's row: requests that a killed instance started since its last
+/* Time between two writes of a window's row: requests that a killed instance started since its last
  * write are not counted. Grows with the number of instances, which bounds their total write rate.
  */
 #define WRITE_PERIOD (200 * LB_MSEC)
--- a/packages/node/src/membership/ln-fleet-lists.c
+++ b/packages/node/src/membership/ln-fleet-lists.c
@@ -51,9 +51,9 @@
   int64_t row_limit; /* maximum of rows per part; 0: no limit */
   LcFleet *fleet;
   LnRowCache *row_cache;
-  size_t n_pending; /* parts whose answer is pending */
-  bool has_begun;
-  bool has_failed;
+  size_t n_pending;    /* parts of the list in progress without an answer yet */
+  bool has_begun;      /* a part of the list in progress has been read */
+  bool has_failed;     /* a part could not be read: the list in progress is discarded */
   LbTime requested_at; /* time of the request that is in progress */
   LbTime next_list_at;
 } Listing;
@@ -266,6 +266,7 @@
   bool changed = lc_fleet_finish_list (listing->fleet, now);
   if (listing == &listing->lists->directory)
     remove_one_dead (listing, now);
+  /* The members come from the catalog meanwhile. */
   if (listing->lists->is_followed)
     return;
   merge_members (listing->lists);
@@ -317,7 +318,7 @@
   lists->is_followed = is_followed;
 }
 
-/* While following, an own list that is still in progress is ignored. */
+/* Ignores members from the catalog after following has ended. */
 void
 ln_fleet_lists_set_members (LnFleetLists *lists, const LcFleetMember *members, size_t n_members)
 {
--- a/packages/node/src/weights/ln-engine-plans.c
+++ b/packages/node/src/weights/ln-engine-plans.c
@@ -13,17 +13,19 @@
 #include <string.h>
 
 #define TABLE "plan"
-/* The partition of the lease, and not the unnamed one, to which endpoints and operators write. */
+/* The rows are in the partition of the lease, not in the unnamed one, to which endpoints and
+ * operators write. */
 #define PREFIX TABLE "/weights/"
 #define KEY_SIZE 32
 #define WATCH_TIMEOUT (900 * LB_MSEC) /* also detects a silently dead connection */
 #define WATCH_RETRY_DELAY (200 * LB_MSEC)
-/* For an instance that sends nothing to engines: loads change rows several times per second. */
+/* Between two reads by an instance that sends nothing to engines: a watch would report changes
+ * several times per second, since loads change rows that often. */
 #define IDLE_READ_PAUSE (5 * LB_SEC)
 /* With many engines, loads begin and end several times per second; one write covers them all. */
 #define WRITE_PERIOD (150 * LB_MSEC)
-/* Between two divisions of the engines among the models; batches arrive every few seconds, and each
- * updates the demand. */
+/* Time between two divisions of the engines among the models; batches arrive every few seconds, and
+ * each updates the demand. */
 #define DIVISION_PERIOD (2 * LB_SEC)
 /* A new writer without any demand may not have read the rows of batches yet. */
 #define DEMAND_LISTING_TIME (3 * LB_SEC)
@@ -188,7 +190,8 @@
   size_t n;
 } PlanWrite;
 
-/* Updates the known part at once: this instance need not wait until the watch shows its own row. */
+/* Adds the part to the write, and updates the known part at once: this instance need not wait until
+ * the watch shows its own row. */
 static void
 add_part (LnEnginePlans *plans, size_t index, LcEnginePlan *part, PlanWrite *write)
 {
@@ -227,7 +230,8 @@
 
   plans->must_retry_write = false;
   add_changed_parts (plans, &write);
-  /* Since the failed write, the watch has shown its rows with the desired content. */
+  /* The rows have the desired content already: a write that failed here took effect, as the watch
+   * has shown since. */
   if (write.n == 0)
     return;
   const LpTransaction transaction = { .token = "",
