--- a/packages/base/include/lb-switch.h
+++ b/packages/base/include/lb-switch.h
@@ -33,6 +33,6 @@
 void lb_switch_set_off (const char *name);
 bool lb_switch_is_on (LbSwitch id);
 /* Switches all on again. */
-void lb_switch_reset (void);
+void lb_switch_set_all_on (void);
 
 #endif
--- a/packages/base/src/lb-switch.c
+++ b/packages/base/src/lb-switch.c
@@ -60,7 +60,7 @@
 }
 
 void
-lb_switch_reset (void)
+lb_switch_set_all_on (void)
 {
   memset (is_off, 0, sizeof is_off);
 }
--- a/packages/base/tests/test-switch.c
+++ b/packages/base/tests/test-switch.c
@@ -10,7 +10,7 @@
   lb_switch_set_off ("moves");
   cr_assert_not (lb_switch_is_on (LB_SWITCH_MOVES));
   cr_assert (lb_switch_is_on (LB_SWITCH_HEDGING));
-  lb_switch_reset ();
+  lb_switch_set_all_on ();
   cr_assert (lb_switch_is_on (LB_SWITCH_MOVES));
 }
 
