--- a/packages/sim/include/lx-audit.h
+++ b/packages/sim/include/lx-audit.h
@@ -34,7 +34,7 @@
   bool reported_not_run;
   int64_t n_starts;     /* on all endpoints */
   int64_t total_tokens; /* of a complete answer */
-  uint64_t step;        /* number of a sample's step in LxAudit */
+  uint64_t step;        /* of a sample: index in LxAudit.steps */
 } LxJob;
 
 #define LX_MAX_STREAM_SPANS 12
@@ -49,6 +49,7 @@
   size_t n_spans;
 } LxStreamRecord;
 
+/* Tokens of a step's samples. */
 typedef struct
 {
   int64_t generated;
@@ -60,12 +61,12 @@
 {
   int64_t violations[LX_N_VIOLATIONS];
   char first_violation[256]; /* description for people */
-  uint64_t first_event;
+  uint64_t first_event;      /* number of the event that caused the first violation */
   LxJob *jobs;
   size_t n_jobs;
   LxStreamRecord *streams;
   size_t n_streams;
-  LxStepTokens *steps;
+  LxStepTokens *steps; /* by step and trainer */
   size_t n_steps;
 } LxAudit;
 
--- a/packages/sim/include/lx-callers.h
+++ b/packages/sim/include/lx-callers.h
@@ -51,8 +51,8 @@
   LbList open_calls;
   uint64_t n_calls;
   int64_t answered;
-  int64_t refused;
-  int64_t failed; /* with an error that does not rule out execution */
+  int64_t refused; /* calls with an error that rules out execution */
+  int64_t failed;  /* calls with an error that does not rule out execution */
   /* one value per answered model call */
   double *latencies_ms;
   size_t n_latencies;
@@ -73,6 +73,6 @@
 
 /* queries */
 /* Returns the latency at this quantile, 0 to 1; 0 if no call was answered. Sorts the latencies. */
-double lx_callers_latency_percentile_ms (LxCallers *callers, double share);
+double lx_callers_latency_percentile_ms (LxCallers *callers, double quantile);
 
 #endif
--- a/packages/sim/include/lx-engine.h
+++ b/packages/sim/include/lx-engine.h
@@ -66,13 +66,13 @@
 {
   uint64_t sequence;
   uint64_t hash;
-  bool stored;
+  bool stored; /* false: evicted */
 } LxCacheEvent;
 
 typedef struct
 {
   uint64_t hash;
-  uint64_t last_used;
+  uint64_t last_used; /* the engine's cache_use_counter at the last use */
 } LxCachedBlock;
 
 /* Simulated endpoint in virtual time: continuous batching with priorities, a prefix cache, weight
@@ -94,9 +94,9 @@
   bool leaving;
   LbTime leaving_since;
   LbTime sent_while_leaving_at; /* when it was last sent new work while leaving; 0: never */
-  bool paused;
-  bool loading;
-  bool fail_next_load;
+  bool paused;                  /* switches to other weights and generates nothing */
+  bool loading;                 /* loads weights or switches to them */
+  bool fail_next_load;          /* injected fault: the next switch leaves it without weights */
   LcVersion version;
   LcVersion loading_version;
   int64_t fence;
@@ -109,8 +109,8 @@
   LxCachedBlock cached_blocks[LX_MAX_CACHED_BLOCKS];
   size_t n_cached_blocks;
   uint64_t cache_use_counter;
-  LxCacheEvent cache_log[LX_CACHE_LOG_LENGTH];
-  uint64_t cache_sequence;
+  LxCacheEvent cache_log[LX_CACHE_LOG_LENGTH]; /* ring buffer of the last events */
+  uint64_t cache_sequence;                     /* of the last event */
   /* totals */
   int64_t generated_tokens;
   int64_t prompt_blocks;
--- a/packages/sim/include/lx-faults.h
+++ b/packages/sim/include/lx-faults.h
@@ -8,18 +8,18 @@
 typedef enum
 {
   LX_FAULT_ENGINE_CRASH,
-  LX_FAULT_STREAMS_BREAK,
-  LX_FAULT_STREAMS_SILENT,
-  LX_FAULT_PIECES_GARBLED, /* duplicated and late pieces and messages for a while */
-  LX_FAULT_VERSION_MISSING,
-  LX_FAULT_SWAP_FAILS,
-  LX_FAULT_ENDPOINT_LEAVES,
+  LX_FAULT_STREAMS_BREAK,   /* all connections of an endpoint are closed */
+  LX_FAULT_STREAMS_SILENT,  /* all its connections stay open, but carry nothing */
+  LX_FAULT_PIECES_GARBLED,  /* duplicated and late pieces and messages for a while */
+  LX_FAULT_VERSION_MISSING, /* some pieces do not name their weight version for a while */
+  LX_FAULT_SWAP_FAILS,      /* the next switch of weights leaves an engine without weights */
+  LX_FAULT_ENDPOINT_LEAVES, /* refuses new work, completes its streams and restarts */
   LX_FAULT_INSTANCE_KILLED,
   LX_FAULT_INSTANCE_PAUSED,
   LX_FAULT_INSTANCE_DRAINS,
   LX_FAULT_OWNER_REPLACED, /* another instance takes over a step from a healthy owner */
-  LX_FAULT_STORE_AWAY,
-  LX_FAULT_REPLIES_LOST,
+  LX_FAULT_STORE_AWAY,     /* the store is unavailable for a while */
+  LX_FAULT_REPLIES_LOST,   /* some of the store's replies are lost for a while */
   LX_N_FAULTS
 } LxFault;
 
@@ -28,10 +28,10 @@
 typedef struct
 {
   struct LxWorld *world;
-  uint32_t enabled_kinds; /* bits by LxFault; 0: none */
+  uint32_t enabled_kinds; /* bit i: LxFault i is injected; 0: none */
   LbTime mean_interval;   /* between injections */
   uint64_t n_injections;
-  const uint8_t *skipped; /* by number of the injection; NULL: none */
+  const uint8_t *skipped; /* by number of the injection: nonzero if not made; NULL: all are made */
   size_t n_skipped;
   LbTime garbled_until;
   LbTime versions_missing_until;
--- a/packages/sim/include/lx-instance.h
+++ b/packages/sim/include/lx-instance.h
@@ -21,8 +21,8 @@
   uint32_t number;
   uint64_t stream; /* number in LxAudit */
   LxEngine *engine;
-  LxText text; /* received */
-  bool is_open;
+  LxText text;  /* received so far */
+  bool is_open; /* its connection is open */
 } LxAttempt;
 
 /* A request that the dispatcher of this instance has accepted. */
@@ -32,8 +32,8 @@
   LcRequestId id;
   LcRequestSpec spec;
   uint64_t job;
-  LxCall *call; /* NULL for a sample */
-  LxText text;
+  LxCall *call;                    /* NULL for a sample */
+  LxText text;                     /* of the answer, set when it ends */
   uint32_t last_forwarded_attempt; /* attempt of the last forwarded piece; 0: none */
   LxAttempt *attempts;
   size_t n_attempts;
@@ -53,7 +53,7 @@
   LbTime started_at;
   LbTime drain_started_at;
   LbTime drain_ended_at; /* when its last drain completed; 0: never */
-  LbTime paused_at;
+  LbTime paused_at;      /* the process executes nothing from then until paused_until */
   LbTime paused_until;
   LcConfig *config;
   LbList config_actions;
@@ -62,13 +62,13 @@
   bool was_ready;           /* at that check */
   LcDispatch *dispatch;
   LcRollouts *rollouts;
-  int64_t invariant_failures; /* at the last check of the counters in core */
+  int64_t invariant_failures; /* counted by core up to the last check */
   LcRequestId last_request;
   LxRequest *requests;
   LbList dispatch_actions;
   LbList rollout_actions;
   LbTime next_tick_at;
-  uint64_t *cache_cursors; /* last applied cache event, by engine */
+  uint64_t *cache_cursors; /* by endpoint: sequence number of the last applied cache event */
 } LxInstance;
 
 /* A piece or the end of an attempt, in transit from an endpoint. */
@@ -94,12 +94,13 @@
 /* Another instance has taken over the step. */
 void lx_instance_abort_step (LxInstance *instance, const char *subscription, int64_t step);
 /* Posts a message to the current process of the instance. It is delayed while the process is paused
- * and lost if the process ends first. drop frees the argument, also after the handler has run. */
+ * and lost if the process ends first. free_argument is called in each case, also after the handler
+ * has run. */
 void lx_instance_post (LxInstance *instance,
                        LbTime delay,
                        LxInstanceHandler handler,
                        void *argument,
-                       void (*drop) (void *argument));
+                       void (*free_argument) (void *argument));
 void lx_instance_apply_config (LxInstance *instance, const LcResourceSet *set);
 /* Submits an operator's change, based on the active revision of this instance. */
 void lx_instance_submit_change (LxInstance *instance, struct json_object *content);
@@ -119,7 +120,7 @@
                            LbTime delay);
 void lx_instance_record_load (LxInstance *instance, size_t engine, const LcLoadReport *report);
 void lx_instance_set_swap (LxInstance *instance, size_t engine, bool pending, LbTime until);
-void lx_instance_set_versions (LxInstance *instance, LcVersion newest, LbTime cadence);
+void lx_instance_set_versions (LxInstance *instance, LcVersion newest, LbTime version_interval);
 /* Opens the step, or takes it over with a new session in the store. Takes ownership of the spec. */
 void lx_instance_open_step (LxInstance *instance, LcStepSpec *spec, size_t trainer);
 void lx_instance_pull (LxInstance *instance, const LcPull *pull);
--- a/packages/sim/include/lx-options.h
+++ b/packages/sim/include/lx-options.h
@@ -12,30 +12,32 @@
   uint64_t seed;
   LbName policy; /* routing policy */
   LcRolloutSettings rollouts;
-  int64_t n_engines;   /* 0: the number of the site */
-  int64_t concurrency; /* of an engine */
+  int64_t n_engines;   /* model engines; 0: as many as the site has */
+  int64_t concurrency; /* streams that an engine runs at once */
   LbTime duration;
   uint64_t max_events; /* 0: no limit */
   size_t n_trainers;
   int64_t groups_per_step;
   int64_t samples_per_group;
   int64_t min_sample_tokens; /* the longest is 3 times as long, a straggler 10 to 30 times */
-  LbTime train_time;         /* on one step */
-  LbTime version_interval;
+  LbTime train_time;         /* how long a trainer trains on one step */
+  LbTime version_interval;   /* between new weight versions */
   double calls_per_second;
   double service_calls_per_second;
-  double hard_share; /* share of stragglers that belong to hard prompts, 0..1 */
-  double hedge_budget;
-  double idle_weight; /* < 0: the value of the site's preset */
-  LbTime hedge_after;
-  bool is_scripted; /* no random events; only polls and swaps happen without a trace line */
-  bool explain;     /* prints a line on standard error for each step */
-  /* soak */
-  uint32_t fault_kinds; /* bits by LxFault */
+  /* Share of the stragglers that are in groups with a hard prompt, 0..1. Every second sample of
+   * such a group is a straggler. */
+  double hard_share;
+  double hedge_budget; /* share of a step's tokens that hedges may waste */
+  double idle_weight;  /* 0 (only staleness counts) to 1 (only idle time); < 0: by preset */
+  LbTime hedge_after;  /* for repeatable live calls without a first piece; 0: never */
+  bool is_scripted;    /* no random events; only polls and swaps happen without a trace line */
+  bool explain;        /* prints a line on standard error for each step */
+  /* of a soak, which injects faults */
+  uint32_t fault_kinds; /* bit i: LxFault i is injected */
   bool stop_at_violation;
   LbTime mean_fault_interval;
   LbTime mean_change_interval;       /* between operators' changes; 0: none */
-  const uint8_t *skipped_injections; /* by number of the fault injection */
+  const uint8_t *skipped_injections; /* by number of the fault injection; nonzero: not made */
   size_t n_skipped_injections;
 } LxOptions;
 
--- a/packages/sim/include/lx-registry.h
+++ b/packages/sim/include/lx-registry.h
@@ -17,7 +17,7 @@
   LbTime accepted_at[LX_MAX_REVISIONS];     /* by revision */
   LbTime first_active_at[LX_MAX_REVISIONS]; /* on any instance; 0: on none */
   int64_t n_accepted;
-  int64_t n_conflicts;
+  int64_t n_conflicts; /* changes refused because another one was accepted first */
 } LxRegistry;
 
 /* Takes ownership of the initial set. */
@@ -28,8 +28,8 @@
 void lx_registry_start (LxRegistry *registry);
 /* Submits a new live reserve of the pool at this instance. */
 void lx_registry_request_change (LxRegistry *registry, LxInstance *instance, double live_reserve);
-/* Commits a change if `revision` is still the head. Returns the new set, owned by the caller; NULL
- * on a conflict or an invalid change. */
+/* Commits a change if `revision` is still the accepted one. Returns the new set, owned by the
+ * caller; NULL on a conflict or an invalid change. */
 LcResourceSet *
 lx_registry_commit (LxRegistry *registry, int64_t revision, struct json_object *change);
 
--- a/packages/sim/include/lx-site.h
+++ b/packages/sim/include/lx-site.h
@@ -11,16 +11,16 @@
   const char *name;
   const char *data_centres[LX_MAX_DATA_CENTRES];
   size_t n_data_centres;
-  LbTime latency_between; /* data centres */
-  LbTime latency_inside;  /* a data centre */
+  LbTime latency_between; /* between two data centres */
+  LbTime latency_inside;  /* inside a data centre */
   LbTime client_latency;  /* between an instance and its callers */
-  const char *pool;
+  const char *pool;       /* of the engines */
   size_t n_engines;
-  const char *service;
-  size_t n_services;
+  const char *service; /* without a model */
+  size_t n_services;   /* endpoints of the service */
   size_t n_instances;
   LcPreset preset;
-  int64_t max_lag;
+  int64_t max_lag; /* largest allowed staleness of a sample, in versions */
 } LxSite;
 
 /* Returns NULL if no site has this name. */
--- a/packages/sim/include/lx-store.h
+++ b/packages/sim/include/lx-store.h
@@ -5,6 +5,9 @@
 
 #include <uthash.h>
 
+/* While replies are lost, the share of calls that get none. */
+#define LX_LOST_REPLY_SHARE 0.33
+
 /* A row of the table: the ledger of a step and the session that may write it. */
 typedef struct
 {
@@ -28,7 +31,7 @@
 {
   LxStoreRow *rows;
   LbTime unavailable_until;
-  LbTime replies_lost_until; /* about a third of the replies is lost */
+  LbTime replies_lost_until;
 } LxStore;
 
 void lx_store_init (LxStore *store);
--- a/packages/sim/include/lx-swaps.h
+++ b/packages/sim/include/lx-swaps.h
@@ -10,7 +10,7 @@
 {
   struct LxWorld *world;
   LcVersion newest_version;
-  size_t max_concurrent_loads;
+  size_t max_concurrent_loads; /* that the weight store allows */
 } LxSwaps;
 
 void lx_swaps_init (LxSwaps *swaps, struct LxWorld *world);
--- a/packages/sim/include/lx-trace.h
+++ b/packages/sim/include/lx-trace.h
@@ -36,11 +36,11 @@
 /* An event or an expectation: a line of a trace after the header. */
 typedef struct
 {
-  int line; /* in the file, from 1 */
-  int event;
-  int expect;
-  int64_t at_ms;
-  int64_t by_ms;
+  int line;      /* in the file, from 1 */
+  int event;     /* LxTraceEvent */
+  int expect;    /* LxTraceExpect */
+  int64_t at_ms; /* time of the event; all times count from the start of the run */
+  int64_t by_ms; /* latest time to meet the expectation */
   int64_t after_ms;
   LbName call;
   LbName trainer;
@@ -50,7 +50,7 @@
   int64_t step;
   int64_t count;
   int64_t tokens;
-  int64_t for_ms;
+  int64_t for_ms; /* duration of the fault */
   int64_t revision;
   int64_t deadline_ms;
   bool repeatable;
@@ -64,10 +64,10 @@
   const LxSite *site;
   uint64_t seed;
   int64_t trainers;
-  int64_t groups;
-  int64_t samples;
-  int64_t shortest;
-  int64_t train_ms;
+  int64_t groups;   /* per step */
+  int64_t samples;  /* per group */
+  int64_t shortest; /* length of the shortest sample in tokens */
+  int64_t train_ms; /* training time of a step */
   LxTraceLine *lines;
   size_t n_lines;
 } LxTrace;
--- a/packages/sim/include/lx-trainer.h
+++ b/packages/sim/include/lx-trainer.h
@@ -18,14 +18,14 @@
   size_t owner; /* index of the instance that owns the step */
   int64_t step;
   bool is_step_open;
-  LcVersion step_version; /* its version when it first requested the step */
-  LbTime train_until;
+  LcVersion step_version;   /* its version when it first requested the step */
+  LbTime train_until;       /* end of the training on the previous step */
   int64_t max_steps;        /* 0: no limit */
   LbTime *step_finished_at; /* by step */
   /* the pull in progress */
   uint64_t pull_id; /* 0: none */
   uint64_t n_pulls;
-  LcVersion pull_version;
+  LcVersion pull_version; /* newest version when it was sent */
   LbTime pulled_at;
   char *cursor;
   /* samples of the step */
@@ -33,7 +33,7 @@
   int64_t n_received;
   LbTime step_requested_at;
   LbTime last_sample_at;
-  uint64_t last_stream; /* stream of a received sample that ended last */
+  uint64_t last_stream; /* of the streams of received samples, the one that ended last */
   LbTime last_stream_ended_at;
   /* measurements without the first step */
   int64_t steps;
@@ -67,7 +67,7 @@
   LxChunkSample *samples;
   size_t n_samples;
   char *cursor;
-  int64_t remaining;
+  int64_t remaining; /* samples of the step that follow in later replies */
 } LxChunk;
 
 void lx_trainer_init (LxTrainer *trainer, struct LxWorld *world, size_t index);
--- a/packages/sim/include/lx-world.h
+++ b/packages/sim/include/lx-world.h
@@ -34,7 +34,7 @@
   LxSwaps swaps;
   LxStore store;
   LxFaults faults;
-  int64_t decisions;
+  int64_t decisions; /* attempts that instances have sent */
   /* ring buffers, printed if a run fails */
   char recent_decisions[LX_HISTORY_LENGTH][128];
   uint64_t n_recorded_decisions;
@@ -60,7 +60,7 @@
                         LxEventHandler handler,
                         void *owner,
                         void *argument,
-                        void (*drop) (void *argument));
+                        void (*free_argument) (void *argument));
 
 /* queries */
 LbTime lx_world_now (const LxWorld *world);
--- a/packages/sim/src/lx-callers.c
+++ b/packages/sim/src/lx-callers.c
@@ -16,6 +16,7 @@
 #define PROMPT_TOKENS 256
 #define CALL_TIMEOUT (60 * LB_SEC)
 #define ANSWER_GRACE_TIME (20 * LB_SEC)
+#define OVERDUE_CHECK_INTERVAL (10 * LB_SEC)
 
 /* A piece or the final result of a call, in transit to the caller. */
 typedef struct
@@ -303,7 +304,7 @@
                                "call of job %" PRIu64 " has no answer after its deadline",
                                call->job);
   }
-  lx_world_schedule (world, 10 * LB_SEC, on_overdue_check, callers, NULL, NULL);
+  lx_world_schedule (world, OVERDUE_CHECK_INTERVAL, on_overdue_check, callers, NULL, NULL);
 }
 
 void
@@ -324,10 +325,10 @@
 }
 
 double
-lx_callers_latency_percentile_ms (LxCallers *callers, double share)
+lx_callers_latency_percentile_ms (LxCallers *callers, double quantile)
 {
   if (callers->n_latencies == 0)
     return 0;
   qsort (callers->latencies_ms, callers->n_latencies, sizeof (double), compare_doubles);
-  return callers->latencies_ms[(size_t)(share * (double)(callers->n_latencies - 1))];
+  return callers->latencies_ms[(size_t)(quantile * (double)(callers->n_latencies - 1))];
 }
--- a/packages/sim/src/lx-engine.c
+++ b/packages/sim/src/lx-engine.c
@@ -15,6 +15,11 @@
   SAMPLE_PIECE_TOKENS = 32
 };
 
+/* Tolerance of the token clock's rounding errors, in tokens. */
+#define CLOCK_TOLERANCE 1e-6
+/* Calls are queued before all samples, whatever the priorities. */
+#define CALL_RANK_OFFSET 1000
+
 static void set_timer (LxEngine *engine);
 
 LxEngine *
@@ -52,7 +57,7 @@
 }
 
 static double
-seconds_per_token (const LxEngine *engine)
+get_seconds_per_token (const LxEngine *engine)
 {
   size_t others = engine->running.length > 0 ? engine->running.length - 1 : 0;
 
@@ -68,7 +73,7 @@
 
   if (!engine->paused)
     engine->token_clock
-        += (double)(now - engine->token_clock_at) / LB_SEC / seconds_per_token (engine);
+        += (double)(now - engine->token_clock_at) / LB_SEC / get_seconds_per_token (engine);
   engine->token_clock_at = now;
 }
 
@@ -146,12 +151,12 @@
 }
 
 static void
-schedule_piece (LxStream *stream, int64_t tokens, double from)
+schedule_piece (LxStream *stream, int64_t tokens, double start_clock)
 {
   int64_t remaining = stream->spec.total_tokens - stream->next_token;
 
   stream->piece_tokens = tokens < remaining ? tokens : remaining;
-  stream->piece_due_clock = from + (double)stream->piece_tokens;
+  stream->piece_due_clock = start_clock + (double)stream->piece_tokens;
 }
 
 static void
@@ -190,7 +195,7 @@
 }
 
 static void
-count_generated (LxEngine *engine, const LxStream *stream, int64_t tokens)
+record_generated (LxEngine *engine, const LxStream *stream, int64_t tokens)
 {
   engine->generated_tokens += tokens;
   engine->listener.on_generated (engine->listener.user, engine, stream, tokens);
@@ -206,7 +211,7 @@
                     .last = stream->next_token + tokens == stream->spec.total_tokens };
 
   stream->next_token += tokens;
-  count_generated (engine, stream, tokens);
+  record_generated (engine, stream, tokens);
   if (!stream->is_silent)
     engine->listener.on_piece (engine->listener.user, engine, stream, &piece);
 }
@@ -235,7 +240,7 @@
   advance_clock (engine);
   LB_LIST_FOREACH (&engine->running, LxStream, link, stream)
   {
-    if (stream->piece_due_clock <= engine->token_clock + 1e-6)
+    if (stream->piece_due_clock <= engine->token_clock + CLOCK_TOLERANCE)
       complete_piece (engine, stream);
   }
   fill_batch (engine);
@@ -257,15 +262,15 @@
   if (isinf (next))
     return;
 
-  double wait = (next - engine->token_clock) * seconds_per_token (engine) * LB_SEC;
+  double wait = (next - engine->token_clock) * get_seconds_per_token (engine) * LB_SEC;
   LbTime at = lx_queue_now (engine->queue) + (LbTime)ceil (fmax (wait, 0));
   lx_queue_add (engine->queue, at, on_timer, engine, (void *)(uintptr_t)engine->timer_number, NULL);
 }
 
 static int
-queue_rank (const LxStreamSpec *spec)
+get_queue_rank (const LxStreamSpec *spec)
 {
-  return (spec->kind == LC_KIND_SAMPLE ? 0 : 1000) + spec->priority;
+  return (spec->kind == LC_KIND_SAMPLE ? 0 : CALL_RANK_OFFSET) + spec->priority;
 }
 
 static void
@@ -274,8 +279,8 @@
   LbLink *position = &engine->waiting.head;
 
   while (position->prev != &engine->waiting.head
-         && queue_rank (&LB_CONTAINER (position->prev, LxStream, link)->spec)
-                < queue_rank (&stream->spec))
+         && get_queue_rank (&LB_CONTAINER (position->prev, LxStream, link)->spec)
+                < get_queue_rank (&stream->spec))
     position = position->prev;
   lb_list_insert_before (&engine->waiting, position, &stream->link);
 }
@@ -326,7 +331,7 @@
       if (generated >= 1)
         {
           stream->next_token += (int64_t)generated;
-          count_generated (engine, stream, (int64_t)generated);
+          record_generated (engine, stream, (int64_t)generated);
         }
     }
   stream->is_silent = true;
@@ -459,7 +464,7 @@
                             .version = engine->paused ? 0 : engine->version,
                             .running = (int64_t)engine->running.length,
                             .waiting = (int64_t)engine->waiting.length,
-                            .tokens_per_second = 1.0 / seconds_per_token (engine),
+                            .tokens_per_second = 1.0 / get_seconds_per_token (engine),
                             .kv_used = (double)engine->running.length / (double)engine->concurrency,
                             .measured_at = lx_queue_now (engine->queue) };
   snprintf (report->incarnation, sizeof report->incarnation, "%.30s-%u", engine->name,
--- a/packages/sim/src/lx-faults.c
+++ b/packages/sim/src/lx-faults.c
@@ -10,6 +10,9 @@
 
 #define WARM_UP_TIME (5 * LB_SEC)
 #define STORE_RECOVERY_TIME (30 * LB_SEC)
+#define RESTART_TIME (2 * LB_SEC)
+#define FIRST_LEAVE_CHECK_DELAY (5 * LB_SEC)
+#define MIN_SERVING_INSTANCES 3 /* for a fault that stops one of them */
 
 static const char *const fault_names[LX_N_FAULTS]
     = { "engine-crash",    "streams-break",   "streams-silent",  "pieces-garbled",
@@ -60,7 +63,7 @@
 }
 
 static double
-draw (Injection *injection)
+draw_fraction (Injection *injection)
 {
   return hash_to_unit_interval (injection->faults->world->options.seed, injection->number,
                                 ++injection->draws);
@@ -69,13 +72,13 @@
 static size_t
 draw_index (Injection *injection, size_t n)
 {
-  return (size_t)(draw (injection) * (double)n);
+  return (size_t)(draw_fraction (injection) * (double)n);
 }
 
 static LbTime
 draw_time (Injection *injection, LbTime shortest, LbTime longest)
 {
-  return shortest + (LbTime)(draw (injection) * (double)(longest - shortest));
+  return shortest + (LbTime)(draw_fraction (injection) * (double)(longest - shortest));
 }
 
 static void
@@ -94,6 +97,7 @@
   lx_world_schedule (world, downtime, on_engine_restart, engine, NULL, NULL);
 }
 
+/* Restarts a leaving endpoint once its last stream has ended. */
 static void
 on_leave_check (void *owner, void *argument)
 {
@@ -105,7 +109,7 @@
   if (lx_engine_count_in_progress (engine) > 0)
     lx_world_schedule (world, LB_SEC, on_leave_check, world, engine, NULL);
   else
-    crash_engine (world, engine, 2 * LB_SEC);
+    crash_engine (world, engine, RESTART_TIME);
 }
 
 static void
@@ -115,7 +119,7 @@
     return;
   engine->leaving = true;
   engine->leaving_since = lx_world_now (world);
-  lx_world_schedule (world, 5 * LB_SEC, on_leave_check, world, engine, NULL);
+  lx_world_schedule (world, FIRST_LEAVE_CHECK_DELAY, on_leave_check, world, engine, NULL);
 }
 
 static size_t
@@ -141,7 +145,7 @@
 static void
 kill_instance (LxWorld *world, LxInstance *instance, LbTime downtime)
 {
-  if (!instance->alive || count_serving_instances (world) < 3)
+  if (!instance->alive || count_serving_instances (world) < MIN_SERVING_INSTANCES)
     return;
   lx_instance_kill (instance);
   lx_world_schedule (world, downtime, on_instance_restart, instance, NULL, NULL);
@@ -151,7 +155,7 @@
 drain_instance (LxWorld *world, LxInstance *instance)
 {
   if (!instance->alive || instance->draining || instance->paused_until > lx_world_now (world)
-      || count_serving_instances (world) < 3)
+      || count_serving_instances (world) < MIN_SERVING_INSTANCES)
     return;
   lx_instance_drain (instance);
   for (size_t i = 0; i < world->options.n_trainers; i++)
@@ -271,7 +275,7 @@
   LbTime duration = draw_time (injection, 500 * LB_MSEC, 12 * LB_SEC);
 
   /* Step owners have the most state to lose: half of the injections hit one. */
-  if (draw (injection) < 0.5)
+  if (draw_fraction (injection) < 0.5)
     instance = &world->instances[world->trainers[trainer].owner];
   inject_into_instance (world, fault, instance, trainer, duration);
 }
@@ -320,8 +324,8 @@
   LxFaults *faults = owner;
   Injection injection = { .faults = faults, .number = faults->n_injections++ };
   LxFault fault = draw_fault (&injection);
-  double interval_draw = draw (&injection);
-  double second_fault_draw = draw (&injection);
+  double interval_draw = draw_fraction (&injection);
+  double second_fault_draw = draw_fraction (&injection);
 
   (void)argument;
   lx_world_schedule (faults->world,
@@ -330,7 +334,8 @@
   if (injection.number < faults->n_skipped && faults->skipped[injection.number])
     return;
   inject_random (&injection, fault);
-  /* Combines faults: the same at another target, or a second one. */
+  /* Combines faults, with a probability of 0.2 each: the same at another target, or a second one.
+   */
   if (second_fault_draw < 0.2)
     inject_random (&injection, fault);
   else if (second_fault_draw < 0.4)
--- a/packages/sim/src/lx-instance-config.c
+++ b/packages/sim/src/lx-instance-config.c
@@ -14,6 +14,7 @@
 /* Other instances detect a paused instance after this time. */
 #define FAILURE_DETECTION_TIME (2 * LB_SEC)
 #define ACCEPTANCE_DELAY (300 * LB_MSEC)
+#define MAX_MEMBERS 64
 
 static void execute_config_actions (LxInstance *instance);
 
@@ -55,9 +56,9 @@
 post_message (LxInstance *instance, LxInstance *to, const LcConfigMessage *message)
 {
   LxWorld *world = instance->world;
-  bool garbled = world->faults.garbled_until > lx_world_now (world);
+  bool is_garbled = world->faults.garbled_until > lx_world_now (world);
   LbTime delay = lx_world_latency (world, instance->data_centre, to->data_centre);
-  double draw = garbled ? gsl_rng_uniform (world->random) : 1;
+  double draw = is_garbled ? gsl_rng_uniform (world->random) : 1;
   int copies = draw < 0.05 ? 0 : draw < 0.1 ? 2 : 1;
 
   for (int i = 0; i < copies; i++)
@@ -66,7 +67,7 @@
       LB_COPY (transit->from, instance->name);
       transit->message = *message;
       transit->message.body = message->body ? json_object_get (message->body) : NULL;
-      lx_instance_post (to, delay + (garbled ? (LbTime)(draw * 500 * LB_MSEC) : 0) + i * LB_SEC,
+      lx_instance_post (to, delay + (is_garbled ? (LbTime)(draw * 500 * LB_MSEC) : 0) + i * LB_SEC,
                         on_message, transit, free_message);
     }
 }
@@ -88,8 +89,8 @@
 typedef struct
 {
   bool failed;
-  int64_t revision;
-  LcResourceSet *set;
+  int64_t revision;   /* of the head */
+  LcResourceSet *set; /* NULL: not newer than the active one, or the read failed */
   LbTime requested_at;
 } HeadRead;
 
@@ -200,9 +201,9 @@
 on_members_update (LxInstance *instance, void *argument)
 {
   LxWorld *world = instance->world;
-  LcConfigMember members[64];
-  LbName incarnations[64];
-  size_t n = world->n_instances < 64 ? world->n_instances : 64;
+  LcConfigMember members[MAX_MEMBERS];
+  LbName incarnations[MAX_MEMBERS];
+  size_t n = world->n_instances < MAX_MEMBERS ? world->n_instances : MAX_MEMBERS;
 
   (void)argument;
   for (size_t i = 0; i < n; i++)
@@ -252,7 +253,7 @@
   struct json_object *change;
   int64_t revision; /* that the change is based on */
   LbTime requested_at;
-  LcResourceSet *next;
+  LcResourceSet *next; /* result of the change; NULL: not committed yet */
 } ChangeInTransit;
 
 static void
@@ -282,8 +283,8 @@
   LxWorld *world = instance->world;
   ChangeInTransit *change = argument;
   LbTime now = current_time (instance);
-  bool reply_lost
-      = now < world->store.replies_lost_until && lx_faults_is_event_selected (&world->faults, 0.33);
+  bool reply_lost = now < world->store.replies_lost_until
+                    && lx_faults_is_event_selected (&world->faults, LX_LOST_REPLY_SHARE);
 
   LcResourceSet *next = NULL;
   if (now >= world->store.unavailable_until
--- a/packages/sim/src/lx-instance.c
+++ b/packages/sim/src/lx-instance.c
@@ -17,6 +17,16 @@
 #define LEAVING_TIME_BOUND (3 * LB_SEC)
 #define DRAIN_CHECK_INTERVAL (200 * LB_MSEC)
 #define DRAIN_TIMEOUT (150 * LB_SEC)
+#define POLL_INTERVAL (500 * LB_MSEC)
+/* Each instance starts to poll so much later than the previous one. */
+#define POLL_OFFSET_MS 37
+/* Of the lost writes, one in so many is lost before the store applies it, the others after. */
+#define LOST_WRITES_PER_LOST_REQUEST 3
+#define DEFAULT_PROMPT_TOKENS 512
+#define N_PROMPT_BLOCKS 4
+/* FNV-1a */
+#define HASH_OFFSET_BASIS 14695981039346656037u
+#define HASH_PRIME 1099511628211u
 
 /* A message for one process of the instance. */
 typedef struct
@@ -25,7 +35,7 @@
   uint32_t incarnation;
   LxInstanceHandler handler;
   void *argument;
-  void (*drop) (void *argument);
+  void (*free_argument) (void *argument);
 } PostedMessage;
 
 /* An attempt in transit to an endpoint. */
@@ -77,8 +87,8 @@
 {
   PostedMessage *posted = argument;
 
-  if (posted->drop)
-    posted->drop (posted->argument);
+  if (posted->free_argument)
+    posted->free_argument (posted->argument);
   free (posted);
 }
 
@@ -105,7 +115,7 @@
                   LbTime delay,
                   LxInstanceHandler handler,
                   void *argument,
-                  void (*drop) (void *argument))
+                  void (*free_argument) (void *argument))
 {
   PostedMessage *posted = LB_NEW (PostedMessage);
 
@@ -113,7 +123,7 @@
                              .incarnation = instance->incarnation,
                              .handler = handler,
                              .argument = argument,
-                             .drop = drop };
+                             .free_argument = free_argument };
   lx_world_schedule (instance->world, delay, on_posted_message, instance, posted,
                      free_posted_message);
 }
@@ -224,7 +234,8 @@
   lc_rollouts_set_id_source (instance->rollouts, next_request_id, instance);
   memset (instance->cache_cursors, 0, instance->world->n_endpoints * sizeof (uint64_t));
   lx_instance_config_start (instance);
-  lx_instance_post (instance, (LbTime)instance->index * 37 * LB_MSEC, on_poll, NULL, NULL);
+  lx_instance_post (instance, (LbTime)instance->index * POLL_OFFSET_MS * LB_MSEC, on_poll, NULL,
+                    NULL);
 }
 
 static void
@@ -473,7 +484,8 @@
   if (engine->leaving && engine->alive
       && engine->leaving_since + LEAVING_TIME_BOUND < current_time (instance))
     lx_audit_report_violation (&world->audit, LX_VIOLATION_SENT_TO_LEAVING, current_time (instance),
-                               lx_world_event_number (world), "%s, by %s", engine->name,
+                               lx_world_event_number (world),
+                               "%s was leaving, but received new work from %s", engine->name,
                                instance->name);
 
   AttemptInTransit *transit = LB_NEW (AttemptInTransit);
@@ -580,15 +592,15 @@
 fill_prompt (LcRequestSpec *spec, const char *prompt)
 {
   if (spec->prompt_tokens == 0)
-    spec->prompt_tokens = 512;
+    spec->prompt_tokens = DEFAULT_PROMPT_TOKENS;
   if (spec->n_prefix_hashes > 0)
     return;
-  spec->n_prefix_hashes = 4;
-  for (size_t i = 0; i < 4; i++)
+  spec->n_prefix_hashes = N_PROMPT_BLOCKS;
+  for (size_t i = 0; i < N_PROMPT_BLOCKS; i++)
     {
-      uint64_t hash = 14695981039346656037u + i;
+      uint64_t hash = HASH_OFFSET_BASIS + i;
       for (const char *c = prompt; *c; c++)
-        hash = (hash ^ (uint8_t)*c) * 1099511628211u;
+        hash = (hash ^ (uint8_t)*c) * HASH_PRIME;
       spec->prefix_hashes[i] = hash;
     }
 }
@@ -658,12 +670,12 @@
 {
   uint64_t write;
   LbErrorCode error;
-} StoreReply;
+} LedgerReply;
 
 static void
-on_store_reply (LxInstance *instance, void *argument)
+on_ledger_reply (LxInstance *instance, void *argument)
 {
-  const StoreReply *reply = argument;
+  const LedgerReply *reply = argument;
 
   lc_rollouts_finish_ledger_write (instance->rollouts, reply->write, reply->error,
                                    current_time (instance), &instance->rollout_actions);
@@ -677,22 +689,24 @@
 
   if (now < world->store.unavailable_until)
     return LX_WRITE_UNAVAILABLE;
-  if (now >= world->store.replies_lost_until || !lx_faults_is_event_selected (&world->faults, 0.33))
+  if (now >= world->store.replies_lost_until
+      || !lx_faults_is_event_selected (&world->faults, LX_LOST_REPLY_SHARE))
     return LX_WRITE_APPLIED;
-  return lx_world_event_number (world) % 3 == 0 ? LX_WRITE_REQUEST_LOST : LX_WRITE_REPLY_LOST;
+  return lx_world_event_number (world) % LOST_WRITES_PER_LOST_REQUEST == 0 ? LX_WRITE_REQUEST_LOST
+                                                                           : LX_WRITE_REPLY_LOST;
 }
 
 static void
 write_ledger (LxInstance *instance, const LcRolloutAction *action)
 {
-  StoreReply *reply = LB_NEW (StoreReply);
+  LedgerReply *reply = LB_NEW (LedgerReply);
   LxWriteOutcome outcome = draw_write_outcome (instance->world);
 
   reply->write = action->write_id;
   reply->error = lx_store_write (&instance->world->store, action->row_key, action->row_value,
                                  action->session, outcome);
   lx_instance_post (instance, outcome == LX_WRITE_APPLIED ? STORE_LATENCY : STORE_TIMEOUT,
-                    on_store_reply, reply, free);
+                    on_ledger_reply, reply, free);
 }
 
 /* A step whose new session has been started in the store. */
@@ -755,6 +769,8 @@
   LxWriteOutcome outcome = draw_write_outcome (world);
   if (outcome != LX_WRITE_APPLIED)
     {
+      /* The store applied the call, but the instance never learns of it; the trainer requests the
+       * step again. */
       if (outcome == LX_WRITE_REPLY_LOST)
         lx_store_begin_session (&world->store, key);
       lc_step_spec_clear (spec);
@@ -882,12 +898,13 @@
   if (!is_idle)
     lx_audit_report_violation (&world->audit, LX_VIOLATION_STUCK, current_time (instance),
                                lx_world_event_number (world),
-                               "%s has not completed its drain in time", instance->name);
+                               "%s: the drain should have ended within its timeout, but did not",
+                               instance->name);
   for (LxRequest *request = instance->requests; request; request = request->hh.next)
     if (request->call)
       lx_audit_report_violation (&world->audit, LX_VIOLATION_CUT_BY_DRAIN, current_time (instance),
                                  lx_world_event_number (world),
-                                 "%s ends its drain with request %" PRIu64 " in progress",
+                                 "%s: expected no request at the end of the drain, found %" PRIu64,
                                  instance->name, request->id);
   lx_instance_kill (instance);
   instance->drain_ended_at = current_time (instance);
@@ -972,7 +989,8 @@
 
   if (!attempt)
     return;
-  /* Nothing arrives on a closed connection, except while pieces are garbled: core must drop those.
+  /* Nothing arrives on a closed connection, except while pieces are garbled: core must
+   * discard those.
    */
   if (!attempt->is_open
       && (delivery->is_end || current_time (instance) >= instance->world->faults.garbled_until))
@@ -1023,14 +1041,14 @@
 {
   size_t engine;
   LcLoadReport report;
-} Report;
+} LoadReportInTransit;
 
 static void
-on_report (LxInstance *instance, void *argument)
+on_load_report (LxInstance *instance, void *argument)
 {
-  const Report *report = argument;
+  const LoadReportInTransit *transit = argument;
 
-  lx_instance_record_load (instance, report->engine, &report->report);
+  lx_instance_record_load (instance, transit->engine, &transit->report);
 }
 
 /* Polls the load of all endpoints; a report arrives one network latency after it was measured. */
@@ -1043,13 +1061,13 @@
     {
       if (!world->engines[i]->alive)
         continue;
-      Report *report = LB_NEW (Report);
-      report->engine = i;
-      lx_engine_get_load_report (world->engines[i], &report->report);
+      LoadReportInTransit *transit = LB_NEW (LoadReportInTransit);
+      transit->engine = i;
+      lx_engine_get_load_report (world->engines[i], &transit->report);
       lx_instance_post (instance,
                         lx_world_latency (world, instance->data_centre,
                                           world->engines[i]->data_centre),
-                        on_report, report, free);
+                        on_load_report, transit, free);
     }
 }
 
@@ -1059,7 +1077,7 @@
   (void)argument;
   poll_endpoints (instance);
   check_core_invariants (instance);
-  lx_instance_post (instance, 500 * LB_MSEC, on_poll, NULL, NULL);
+  lx_instance_post (instance, POLL_INTERVAL, on_poll, NULL, NULL);
 }
 
 void
@@ -1071,10 +1089,10 @@
 }
 
 void
-lx_instance_set_versions (LxInstance *instance, LcVersion newest, LbTime cadence)
+lx_instance_set_versions (LxInstance *instance, LcVersion newest, LbTime version_interval)
 {
   lc_rollouts_set_versions (instance->rollouts, instance->world->options.site->pool, newest,
-                            cadence, current_time (instance), &instance->rollout_actions);
+                            version_interval, current_time (instance), &instance->rollout_actions);
   process_actions (instance);
 }
 
--- a/packages/sim/src/lx-queue.c
+++ b/packages/sim/src/lx-queue.c
@@ -11,7 +11,7 @@
   LxEventHandler handler;
   void *owner;
   void *argument;
-  void (*drop) (void *argument);
+  void (*free_argument) (void *argument);
 } Event;
 
 struct LxQueue
@@ -40,8 +40,8 @@
   if (!queue)
     return;
   for (size_t i = 0; i < queue->length; i++)
-    if (queue->heap[i].drop)
-      queue->heap[i].drop (queue->heap[i].argument);
+    if (queue->heap[i].free_argument)
+      queue->heap[i].free_argument (queue->heap[i].argument);
   free (queue->heap);
   free (queue);
 }
@@ -94,7 +94,7 @@
               LxEventHandler handler,
               void *owner,
               void *argument,
-              void (*drop) (void *argument))
+              void (*free_argument) (void *argument))
 {
   if (queue->length == queue->capacity)
     {
@@ -106,7 +106,7 @@
                                         .handler = handler,
                                         .owner = owner,
                                         .argument = argument,
-                                        .drop = drop };
+                                        .free_argument = free_argument };
   sift_up (queue, queue->length++);
 }
 
--- a/packages/sim/src/lx-replay.c
+++ b/packages/sim/src/lx-replay.c
@@ -10,6 +10,8 @@
 
 /* A replay continues for this long after the last time in the trace. */
 #define EXTRA_TIME (5 * LB_SEC)
+/* by_ms of a trace line without this key. */
+#define NO_TIME_LIMIT_MS 86400000
 
 /* A call of the trace. */
 typedef struct
@@ -24,7 +26,7 @@
   LxWorld *world;
   LbTime started_at;
   NamedCall *calls; /* by line; the name is empty if the line is not a call */
-  bool *was_active; /* by line: result of an in-force expectation at its time */
+  bool *was_active; /* by line of an in-force expectation: whether it was met at its time */
   const char *name;
   FILE *out;
   size_t n_failures;
@@ -287,7 +289,7 @@
 static LbTime
 get_line_time (const LxTraceLine *line)
 {
-  bool has_time_limit = line->expect != LX_EXPECT_NONE && line->by_ms < 86400000;
+  bool has_time_limit = line->expect != LX_EXPECT_NONE && line->by_ms < NO_TIME_LIMIT_MS;
 
   return (has_time_limit ? line->by_ms : line->at_ms) * LB_MSEC;
 }
--- a/packages/sim/src/lx-swaps.c
+++ b/packages/sim/src/lx-swaps.c
@@ -7,20 +7,24 @@
 #include <stdlib.h>
 
 #define CHECK_INTERVAL (250 * LB_MSEC)
+#define FIRST_VERSION 10
+#define ENGINES_PER_LOAD 4 /* of so many engines, one may load weights at a time */
 
+/* Notice to an instance that an engine loads weights, in transit. */
 typedef struct
 {
   size_t engine;
   bool pending;
-  LbTime until;
+  LbTime until; /* when the engine serves the new weights */
 } SwapNotice;
 
 void
 lx_swaps_init (LxSwaps *swaps, LxWorld *world)
 {
   swaps->world = world;
-  swaps->newest_version = 10;
-  swaps->max_concurrent_loads = world->n_engines / 4 > 0 ? world->n_engines / 4 : 1;
+  swaps->newest_version = FIRST_VERSION;
+  swaps->max_concurrent_loads
+      = world->n_engines / ENGINES_PER_LOAD > 0 ? world->n_engines / ENGINES_PER_LOAD : 1;
 }
 
 static void
--- a/packages/sim/src/lx-trainer.c
+++ b/packages/sim/src/lx-trainer.c
@@ -15,6 +15,8 @@
 #define PULL_TIMEOUT (8 * LB_SEC) /* the trainer then opens the step again and repeats the pull */
 #define RETRY_DELAY (500 * LB_MSEC)
 #define STUCK_TIMEOUT (300 * LB_SEC)
+/* The id of a pull is the trainer's index, followed by this many bits for the pull's number. */
+#define PULL_NUMBER_BITS 40
 /* Upper bound of sample length / min_sample_tokens; a straggler reaches 30. */
 #define MAX_LENGTH_FACTOR 41
 #define STRAGGLER_SHARE 0.05
@@ -75,7 +77,7 @@
 {
   LxChunk *chunk = LB_NEW (LxChunk);
 
-  chunk->trainer = (size_t)(action->pull_id >> 40);
+  chunk->trainer = (size_t)(action->pull_id >> PULL_NUMBER_BITS);
   chunk->pull_id = action->pull_id;
   chunk->error = action->error;
   chunk->retry_after = action->retry_after;
@@ -136,7 +138,7 @@
 }
 
 static void
-schedule_request (LxTrainer *trainer, LbTime delay)
+schedule_next_request (LxTrainer *trainer, LbTime delay)
 {
   lx_world_schedule (trainer->world, delay, on_request_due, trainer, NULL, NULL);
 }
@@ -162,7 +164,7 @@
 }
 
 static void
-request_open (LxTrainer *trainer)
+send_open_request (LxTrainer *trainer)
 {
   LxWorld *world = trainer->world;
   const LxInstance *instance = lx_world_choose_instance (world, trainer->owner);
@@ -217,9 +219,10 @@
 {
   LxWorld *world = trainer->world;
   PullInTransit *transit = LB_NEW (PullInTransit);
-  static const uint64_t pull_mask = ((uint64_t)1 << 40) - 1;
+  static const uint64_t number_mask = ((uint64_t)1 << PULL_NUMBER_BITS) - 1;
 
-  trainer->pull_id = ((uint64_t)trainer->index << 40) | (++trainer->n_pulls & pull_mask);
+  trainer->pull_id
+      = ((uint64_t)trainer->index << PULL_NUMBER_BITS) | (++trainer->n_pulls & number_mask);
   trainer->pull_version = world->swaps.newest_version;
   transit->cursor = lb_strdup (trainer->cursor);
   transit->pull
@@ -236,18 +239,19 @@
 }
 
 static void
-check_stuck (LxTrainer *trainer)
+report_if_stuck (LxTrainer *trainer)
 {
   LxWorld *world = trainer->world;
   LbTime now = lx_world_now (world);
-  LbTime since = trainer->last_sample_at > trainer->train_until ? trainer->last_sample_at
-                                                                : trainer->train_until;
+  LbTime waiting_since = trainer->last_sample_at > trainer->train_until ? trainer->last_sample_at
+                                                                        : trainer->train_until;
 
-  if (now - since < STUCK_TIMEOUT)
+  if (now - waiting_since < STUCK_TIMEOUT)
     return;
   lx_audit_report_violation (&world->audit, LX_VIOLATION_STUCK, now, lx_world_event_number (world),
                              "%s has received no sample of step %" PRId64 " for %lld s",
-                             trainer->name, trainer->step, (long long)((now - since) / LB_SEC));
+                             trainer->name, trainer->step,
+                             (long long)((now - waiting_since) / LB_SEC));
   trainer->last_sample_at = now;
 }
 
@@ -257,17 +261,17 @@
 {
   LbTime now = lx_world_now (trainer->world);
 
-  check_stuck (trainer);
+  report_if_stuck (trainer);
   if (trainer->pull_id != 0)
     return;
   if (!trainer->is_step_open)
     {
-      request_open (trainer);
-      schedule_request (trainer, RETRY_DELAY);
+      send_open_request (trainer);
+      schedule_next_request (trainer, RETRY_DELAY);
     }
   else if (now < trainer->train_until)
     {
-      schedule_request (trainer, trainer->train_until - now);
+      schedule_next_request (trainer, trainer->train_until - now);
     }
   else
     {
@@ -305,7 +309,7 @@
 }
 
 static uint64_t
-step_number (const LxTrainer *trainer)
+get_step_number (const LxTrainer *trainer)
 {
   return (uint64_t)trainer->step * trainer->world->options.n_trainers + trainer->index;
 }
@@ -313,7 +317,7 @@
 /* Lower bound of the idle time for any policy: the step's longest sample runs alone on an engine
  * from the time when the step was requested. */
 static LbTime
-get_idle_floor (const LxTrainer *trainer)
+compute_idle_floor (const LxTrainer *trainer)
 {
   const LxOptions *options = &trainer->world->options;
   const LxEngineTimes *times = &trainer->world->engines[0]->times;
@@ -363,14 +367,14 @@
                                lx_world_event_number (world),
                                "%s step %" PRId64 " done with %" PRId64 " of %" PRId64 " samples",
                                trainer->name, trainer->step, trainer->n_received, slots);
-  lx_audit_step (&world->audit, step_number (trainer))->is_done = true;
+  lx_audit_step (&world->audit, get_step_number (trainer))->is_done = true;
   if (options->explain)
     print_step_end (trainer);
   if (trainer->step > 0)
     {
       trainer->steps++;
       trainer->idle_time += lx_world_now (world) - trainer->train_until;
-      trainer->idle_floor += get_idle_floor (trainer);
+      trainer->idle_floor += compute_idle_floor (trainer);
     }
   trainer->step_finished_at
       = lb_realloc (trainer->step_finished_at, (size_t)(trainer->step + 1) * sizeof (LbTime));
@@ -414,7 +418,8 @@
                                length);
   if (!is_same_label (expected_label, &sample->label))
     lx_audit_report_violation (&world->audit, LX_VIOLATION_MISLABELLED, lx_world_now (world),
-                               lx_world_event_number (world), "%s %s/%" PRId64 ": %s",
+                               lx_world_event_number (world),
+                               "%s %s/%" PRId64 ": expected the label of the text %s, got another",
                                trainer->name, sample->group, sample->index, sample->text);
   if (staleness > world->options.site->max_lag)
     lx_audit_report_violation (&world->audit, LX_VIOLATION_STALE, lx_world_now (world),
@@ -457,7 +462,9 @@
   if (trainer->received[slot])
     {
       lx_audit_report_violation (&world->audit, LX_VIOLATION_DOUBLED, lx_world_now (world),
-                                 lx_world_event_number (world), "%s step %" PRId64 " %s/%" PRId64,
+                                 lx_world_event_number (world),
+                                 "%s step %" PRId64 ": expected %s/%" PRId64
+                                 " once, received it again",
                                  trainer->name, trainer->step, sample->group, sample->index);
       return;
     }
@@ -466,14 +473,15 @@
   trainer->last_sample_at = lx_world_now (world);
   if (!lx_text_parse (&text, sample->text) || !lx_text_is_contiguous (&text, 0))
     lx_audit_report_violation (&world->audit, LX_VIOLATION_NOT_WHOLE, lx_world_now (world),
-                               lx_world_event_number (world), "%s %s/%" PRId64 ": %s",
+                               lx_world_event_number (world),
+                               "%s %s/%" PRId64 ": expected tokens without gap or overlap, got %s",
                                trainer->name, sample->group, sample->index, sample->text);
   update_last_stream (trainer, &text);
   lx_audit_compute_label (&world->audit, &text, &expected_label);
   check_sample (trainer, sample, &expected_label,
                 lx_sample_length (&world->options, trainer->index, trainer->step, group,
                                   sample->index));
-  lx_audit_step (&world->audit, step_number (trainer))->delivered += expected_label.tokens;
+  lx_audit_step (&world->audit, get_step_number (trainer))->delivered += expected_label.tokens;
   lx_text_clear (&text);
 }
 
@@ -491,8 +499,8 @@
       if (chunk->error.code == LB_ERROR_UNKNOWN_STEP || chunk->error.code == LB_ERROR_STALE_SESSION
           || chunk->error.code == LB_ERROR_DRAINING)
         trainer->is_step_open = false;
-      schedule_request (trainer,
-                        chunk->retry_after > RETRY_DELAY ? chunk->retry_after : RETRY_DELAY);
+      schedule_next_request (trainer,
+                             chunk->retry_after > RETRY_DELAY ? chunk->retry_after : RETRY_DELAY);
       goto out;
     }
   for (size_t i = 0; i < chunk->n_samples; i++)
@@ -514,7 +522,7 @@
     return;
   trainer->pull_id = 0;
   trainer->is_step_open = false;
-  schedule_request (trainer, RETRY_DELAY);
+  schedule_next_request (trainer, RETRY_DELAY);
 }
 
 void
--- a/packages/sim/src/lx-world.c
+++ b/packages/sim/src/lx-world.c
@@ -44,9 +44,10 @@
                    LxEventHandler handler,
                    void *owner,
                    void *argument,
-                   void (*drop) (void *argument))
+                   void (*free_argument) (void *argument))
 {
-  lx_queue_add (world->queue, lx_world_now (world) + delay, handler, owner, argument, drop);
+  lx_queue_add (world->queue, lx_world_now (world) + delay, handler, owner, argument,
+                free_argument);
 }
 
 void
