--- a/packages/http/src/lh-pool.c
+++ b/packages/http/src/lh-pool.c
@@ -74,6 +74,7 @@
   return now - connection->idle_since >= connection->max_idle_time;
 }
 
+/* Closes the connections that were idle for their max_idle_time. */
 static void
 on_expiry_check (evutil_socket_t fd, short what, void *user)
 {
--- a/packages/http/src/lh-pool.h
+++ b/packages/http/src/lh-pool.h
@@ -14,7 +14,7 @@
   LbName address;
   bool is_idle; /* in LhPool.idle */
   LbTime idle_since;
-  LbTime max_idle_time; /* not reused after it */
+  LbTime max_idle_time; /* a connection that was idle for so long is closed, not reused */
 } LhConnection;
 
 struct LhPool
--- a/packages/store/include/lp-follow.h
+++ b/packages/store/include/lp-follow.h
@@ -9,12 +9,12 @@
 
 typedef struct
 {
-  const char *table;           /* watched as a whole */
-  const char *const *prefixes; /* listed; together they cover all rows of interest */
+  const char *table;           /* watched as a whole, whatever the prefixes */
+  const char *const *prefixes; /* of the keys to list; together they cover all rows of interest */
   size_t n_prefixes;
   LbTime watch_timeout; /* of one watch call; bounds how long a dead connection goes unnoticed */
   bool tries_history;   /* requests the whole history before listing; saves calls on new tables */
-  LbTime retry_delay;   /* after a failed call */
+  LbTime retry_delay;   /* between a failed call and the next */
   /* A complete list of the rows is about to be delivered. NULL: not needed. Requires a single
    * prefix. */
   void (*on_snapshot_begin) (void *user);
--- a/packages/store/include/lp-path.h
+++ b/packages/store/include/lp-path.h
@@ -19,8 +19,8 @@
   size_t n_peers;
   size_t current;           /* index of the peer that calls go through */
   uint64_t seed;            /* selects the first peer */
-  int direct_failures;      /* consecutive */
-  LbTime next_probe_at;     /* of the direct path while it is down */
+  int direct_failures;      /* consecutive direct calls that did not reach the store */
+  LbTime next_probe_at;     /* when to test the direct path again while it is down */
   LbTime direct_success_at; /* last answer over the direct path; 0: never */
 } LpPath;
 
--- a/packages/store/include/lp-platform.h
+++ b/packages/store/include/lp-platform.h
@@ -50,26 +50,29 @@
 typedef void (*LpTransactDone) (LbErrorCode error, const LpRow *row, void *user);
 /* error: LB_OK, NOT_FOUND, STORE_AWAY, STORE_BUSY. Rows are valid during the call. */
 typedef void (*LpRowsDone) (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user);
+/* Bytes are valid during the call. */
 typedef void (*LpObjectDone) (LbErrorCode error, const char *bytes, size_t length, void *user);
 
+/* An instance in the platform's list. */
 typedef struct
 {
   const char *name;
-  const char *caller_address;
-  const char *peer_address;
+  const char *caller_address; /* where callers connect */
+  const char *peer_address;   /* where other instances connect */
   const char *data_centre;
-  bool leaving;
+  bool leaving; /* is to shut down */
 } LpInstance;
 
 typedef struct
 {
   const LpInstance *instances;
   size_t n_instances;
-  const char *const *leaving_endpoints;
+  const char *const *leaving_endpoints; /* names of the endpoints that are to shut down */
   size_t n_leaving_endpoints;
 } LpInstanceList;
 
 typedef void (*LpInstancesDone) (LbErrorCode error, const LpInstanceList *list, void *user);
+/* version: the newest weight version of the pool. */
 typedef void (*LpWeightsDone) (LbErrorCode error, int64_t version, void *user);
 
 /* Order of writes when the client's own rate limit is reached. */
@@ -88,6 +91,7 @@
 /* The same for changed rows, in order; a row without a value was deleted. LB_ERROR_NOT_FOUND: the
  * store no longer has the requested history, so the rows must be listed. */
 typedef LpListDone LpWatchDone;
+/* Answer to a peer's call, see execute_peer_call. */
 typedef void (*LpPeerCallDone) (
     LbErrorCode error, int status, const char *body, size_t length, void *user);
 
@@ -169,7 +173,7 @@
   LbName address;  /* of the platform's HTTP interface */
   LbTime deadline; /* of one call */
   double rate;     /* limit of this instance's calls per second; 0: none */
-  uint64_t seed;   /* of the jitter */
+  uint64_t seed;   /* of the retries' jitter and the choice of a peer */
 } LpHttpSettings;
 
 LpPlatform *lp_memory_new (struct event_base *base);
--- a/packages/store/src/lp-breaker.h
+++ b/packages/store/src/lp-breaker.h
@@ -8,10 +8,10 @@
  * opens it again. */
 typedef struct
 {
-  int failures; /* consecutive */
-  bool is_probing;
-  LbTime open_duration; /* nominal length of the current opening; 0: closed */
-  LbTime open_until;
+  int failures;         /* consecutive failed calls */
+  bool is_probing;      /* the probe was sent and has no outcome yet */
+  LbTime open_duration; /* how long the breaker stays open, before jitter; 0: it is closed */
+  LbTime open_until;    /* when a probe is allowed */
 } LpBreaker;
 
 void lp_breaker_init (LpBreaker *breaker);
--- a/packages/store/src/lp-client.c
+++ b/packages/store/src/lp-client.c
@@ -39,7 +39,7 @@
 typedef struct
 {
   LbLink link;
-  LbList *list; /* that holds the call */
+  LbList *list; /* list that holds the call; NULL: none */
   LpClient *client;
   char *method;
   char *path;
@@ -47,8 +47,8 @@
   size_t body_length;
   LpPriority priority;
   bool is_write;
-  bool may_be_applied;
-  bool was_busy;
+  bool may_be_applied; /* a write whose earlier attempt has an unknown outcome */
+  bool was_busy;       /* refused by the busy store, or not sent before the deadline */
   bool needs_new_connection;
   int attempts;
   LbTime deadline;
--- a/packages/store/src/lp-follow.c
+++ b/packages/store/src/lp-follow.c
@@ -9,23 +9,25 @@
 
 #define MAX_BACKOFF_DOUBLINGS 4 /* of the retry delay after STORE_BUSY */
 
+/* A followed table. Either a watch or the lists of all prefixes are in progress, or the next call
+ * is due at next_call_at. */
 struct LpFollow
 {
   LpPlatform *platform;
   LpFollowSettings settings;
   LpFollowRows on_rows;
   void *user;
-  int64_t version;        /* of the table, as last seen; 0: the rows must be listed */
+  int64_t version;        /* of the table in the last answer; 0: the rows must be listed */
   size_t n_pending;       /* calls without an answer yet */
-  LbErrorCode list_error; /* of the current lists; LB_OK: none failed so far */
-  int64_t list_version;   /* lowest of the current lists' answers; 0: none yet */
+  LbErrorCode list_error; /* of the lists in progress; LB_OK: none failed so far */
+  int64_t list_version;   /* lowest table version in their answers; 0: no answer yet */
   LbTime next_call_at;
   LbTime last_answer_at;
   LbTime list_interval; /* 0: the table is watched */
   LbTime watch_delay;   /* between an answer and the next watch */
   bool has_listed;
   bool has_no_history; /* the store no longer has the table's whole history */
-  int busy_refusals;   /* consecutive */
+  int busy_refusals;   /* consecutive STORE_BUSY answers, up to MAX_BACKOFF_DOUBLINGS */
 };
 
 LpFollow *
@@ -50,7 +52,7 @@
 }
 
 static LbTime
-random_delay (LbTime max)
+draw_delay (LbTime max)
 {
   uint64_t bits;
 
@@ -61,7 +63,7 @@
 /* A busy store refuses calls of many instances at once: they retry with exponential backoff and
  * jitter, so that they don't return together. */
 static LbTime
-next_retry_delay (LpFollow *follow, LbErrorCode error)
+get_next_retry_delay (LpFollow *follow, LbErrorCode error)
 {
   LbTime delay = follow->settings.retry_delay;
 
@@ -74,15 +76,18 @@
     delay *= 2;
   if (follow->busy_refusals < MAX_BACKOFF_DOUBLINGS)
     follow->busy_refusals++;
-  return delay + random_delay (delay);
+  return delay + draw_delay (delay);
 }
 
+/* NOT_FOUND means that the store no longer keeps the changes after `version`: the rows must be
+ * listed. Before the first list this is the answer to the request for the whole history, so the
+ * lists start without delay. */
 static void
 handle_error (LpFollow *follow, LbErrorCode error)
 {
   lb_log (LB_LOG_DEBUG, "table_not_read", LB_TEXT ("table", follow->settings.table),
           LB_TEXT ("error", lb_error_name (error)), LB_INT ("after", follow->version));
-  follow->next_call_at = lb_clock_monotonic () + next_retry_delay (follow, error);
+  follow->next_call_at = lb_clock_monotonic () + get_next_retry_delay (follow, error);
   if (error != LB_ERROR_NOT_FOUND)
     return;
   if (!follow->has_listed)
@@ -91,8 +96,9 @@
   follow->has_no_history = true;
 }
 
-/* The watch continues from the oldest of the lists: a change between two of them is delivered twice
- * instead of being lost. */
+/* Receives the list of one prefix, and calls on_snapshot_begin for each, hence its requirement of a
+ * single prefix. The watch continues from the oldest of the lists: a change between two of them is
+ * delivered twice instead of being lost. */
 static void
 on_list (LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
 {
--- a/packages/store/src/lp-http.c
+++ b/packages/store/src/lp-http.c
@@ -9,7 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define SCAN_PAGE 500
+#define ROWS_PER_SCAN_PAGE 500
 
 typedef struct
 {
@@ -18,7 +18,7 @@
 } LpHttp;
 
 static LpClient *
-client_of (LpPlatform *platform)
+get_client (LpPlatform *platform)
 {
   return ((LpHttp *)platform)->client;
 }
@@ -63,7 +63,7 @@
 
 /* Appends the URI-escaped value to the prefix, such as "/table/row?key=". */
 static char *
-make_path (const char *prefix, const char *value)
+build_path (const char *prefix, const char *value)
 {
   char *escaped = evhttp_uriencode (value, -1, 0);
   char *path = lb_asprintf ("%s%s", prefix, escaped);
@@ -82,7 +82,7 @@
   const LpClientCall call
       = { .method = "GET", .path = path, .priority = LP_PRIORITY_CONFIG, .free_user = free_user };
 
-  lp_client_call (client_of (platform), &call, done, user);
+  lp_client_call (get_client (platform), &call, done, user);
 }
 
 /* transactions */
@@ -90,8 +90,8 @@
 typedef struct
 {
   LpPlatform *platform;
-  char *key;   /* of the first put */
-  char *value; /* of the first put if it is to be read back; else NULL */
+  char *key;   /* of the transaction's first put */
+  char *value; /* of the first put; NULL: not read back after an unknown outcome */
   LpTransactDone done;
   void *user;
 } TransactCall;
@@ -137,7 +137,7 @@
       finish_transact (transact, LB_ERROR_STORE_UNKNOWN, &row);
       return;
     }
-  char *path = make_path ("/table/row?key=", transact->key);
+  char *path = build_path ("/table/row?key=", transact->key);
   start_get (transact->platform, path, on_read_back, free_transact, transact);
   free (path);
 }
@@ -250,7 +250,7 @@
     transact->value = lb_strdup (first->value);
   transact->done = done;
   transact->user = user;
-  lp_client_call (client_of (platform), &call, on_transacted, transact);
+  lp_client_call (get_client (platform), &call, on_transacted, transact);
   json_object_put (object);
 }
 
@@ -259,7 +259,7 @@
 typedef struct
 {
   LpPlatform *platform;
-  char *prefix; /* NULL: a single row */
+  char *prefix; /* of the keys to scan; NULL: a single row is read */
   LpRow *rows;  /* keys and values owned */
   size_t n_rows;
   LpRowsDone done;
@@ -315,7 +315,7 @@
 http_get (LpPlatform *platform, const char *key, LpRowsDone done, void *user)
 {
   RowsCall *rows = LB_NEW (RowsCall);
-  char *path = make_path ("/table/row?key=", key);
+  char *path = build_path ("/table/row?key=", key);
 
   *rows = (RowsCall){ .platform = platform, .done = done, .user = user };
   start_get (platform, path, on_row, free_rows, rows);
@@ -340,7 +340,7 @@
   for (size_t i = 0; i < n; i++)
     add_row (rows, json_object_array_get_idx (page, i));
   json_object_put (reply);
-  if (n < SCAN_PAGE)
+  if (n < ROWS_PER_SCAN_PAGE)
     finish_rows (rows, LB_OK);
   else
     request_next_page (rows);
@@ -352,7 +352,8 @@
   const char *last = rows->n_rows > 0 ? rows->rows[rows->n_rows - 1].key : "";
   char *after = evhttp_uriencode (last, -1, 0);
   char *prefix = evhttp_uriencode (rows->prefix, -1, 0);
-  char *path = lb_asprintf ("/table/scan?prefix=%s&after=%s&limit=%d", prefix, after, SCAN_PAGE);
+  char *path
+      = lb_asprintf ("/table/scan?prefix=%s&after=%s&limit=%d", prefix, after, ROWS_PER_SCAN_PAGE);
 
   start_get (rows->platform, path, on_page, free_rows, rows);
   free (after);
@@ -396,7 +397,7 @@
   ObjectCall *call = LB_NEW (ObjectCall);
 
   *call = (ObjectCall){ .done = done, .user = user };
-  lp_client_call (client_of (platform), request, on_object, call);
+  lp_client_call (get_client (platform), request, on_object, call);
 }
 
 /* Idempotent, so it needs no token: putting the same bytes again changes nothing. */
@@ -408,7 +409,7 @@
                  LpObjectDone done,
                  void *user)
 {
-  char *path = make_path ("/objects/", key);
+  char *path = build_path ("/objects/", key);
   const LpClientCall call = { .method = "PUT",
                               .path = path,
                               .body = bytes,
@@ -424,7 +425,7 @@
 static void
 http_get_object (LpPlatform *platform, const char *key, LpObjectDone done, void *user)
 {
-  char *path = make_path ("/objects/", key);
+  char *path = build_path ("/objects/", key);
   const LpClientCall call
       = { .method = "GET", .path = path, .priority = LP_PRIORITY_LEDGER, .free_user = free };
 
@@ -502,7 +503,7 @@
 }
 
 static void
-http_instances (LpPlatform *platform, LpInstancesDone done, void *user)
+http_list_instances (LpPlatform *platform, LpInstancesDone done, void *user)
 {
   InstancesCall *call = LB_NEW (InstancesCall);
 
@@ -532,10 +533,10 @@
 }
 
 static void
-http_weights (LpPlatform *platform, const char *pool, LpWeightsDone done, void *user)
+http_get_weights (LpPlatform *platform, const char *pool, LpWeightsDone done, void *user)
 {
   WeightsCall *call = LB_NEW (WeightsCall);
-  char *path = make_path ("/weights?pool=", pool);
+  char *path = build_path ("/weights?pool=", pool);
 
   *call = (WeightsCall){ .done = done, .user = user };
   start_get (platform, path, on_weights, free, call);
@@ -545,7 +546,7 @@
 static void
 http_free (LpPlatform *platform)
 {
-  lp_client_free (client_of (platform));
+  lp_client_free (get_client (platform));
   free (platform);
 }
 
@@ -557,8 +558,8 @@
   .scan = http_scan,
   .put_object = http_put_object,
   .get_object = http_get_object,
-  .list_instances = http_instances,
-  .get_weights = http_weights,
+  .list_instances = http_list_instances,
+  .get_weights = http_get_weights,
 };
 
 /* Creates a platform over HTTP. Freeing it drops pending calls without invoking their callbacks. */
--- a/packages/store/src/lp-memory.c
+++ b/packages/store/src/lp-memory.c
@@ -48,7 +48,7 @@
 } LpMemory;
 
 static LpMemory *
-memory_of (LpPlatform *platform)
+get_memory (LpPlatform *platform)
 {
   return (LpMemory *)platform;
 }
@@ -132,7 +132,7 @@
 static void
 memory_free (LpPlatform *platform)
 {
-  LpMemory *memory = memory_of (platform);
+  LpMemory *memory = get_memory (platform);
   LbLink *link;
 
   while ((link = lb_list_pop (&memory->replies)))
@@ -150,7 +150,7 @@
                  void *user)
 {
   (void)priority;
-  LpMemory *memory = memory_of (platform);
+  LpMemory *memory = get_memory (platform);
   Reply *reply = reply_new (memory, REPLY_TRANSACT, user);
   LpRow row;
 
@@ -162,7 +162,7 @@
 static void
 memory_get (LpPlatform *platform, const char *key, LpRowsDone done, void *user)
 {
-  LpMemory *memory = memory_of (platform);
+  LpMemory *memory = get_memory (platform);
   Reply *reply = reply_new (memory, REPLY_ROWS, user);
   const LpRow *row = lp_store_get (memory->store, key);
 
@@ -176,7 +176,7 @@
 static void
 memory_scan (LpPlatform *platform, const char *prefix, LpRowsDone done, void *user)
 {
-  LpMemory *memory = memory_of (platform);
+  LpMemory *memory = get_memory (platform);
   Reply *reply = reply_new (memory, REPLY_ROWS, user);
 
   reply->done.rows = done;
@@ -193,7 +193,7 @@
                    LpObjectDone done,
                    void *user)
 {
-  LpMemory *memory = memory_of (platform);
+  LpMemory *memory = get_memory (platform);
   Reply *reply = reply_new (memory, REPLY_OBJECT, user);
 
   reply->done.object = done;
@@ -203,7 +203,7 @@
 static void
 memory_get_object (LpPlatform *platform, const char *key, LpObjectDone done, void *user)
 {
-  LpMemory *memory = memory_of (platform);
+  LpMemory *memory = get_memory (platform);
   Reply *reply = reply_new (memory, REPLY_OBJECT, user);
   const char *bytes = lp_store_get_object (memory->store, key, &reply->length);
 
@@ -215,17 +215,17 @@
 }
 
 static void
-memory_instances (LpPlatform *platform, LpInstancesDone done, void *user)
+memory_list_instances (LpPlatform *platform, LpInstancesDone done, void *user)
 {
-  Reply *reply = reply_new (memory_of (platform), REPLY_INSTANCES, user);
+  Reply *reply = reply_new (get_memory (platform), REPLY_INSTANCES, user);
 
   reply->done.instances = done;
 }
 
 static void
-memory_weights (LpPlatform *platform, const char *pool, LpWeightsDone done, void *user)
+memory_get_weights (LpPlatform *platform, const char *pool, LpWeightsDone done, void *user)
 {
-  LpMemory *memory = memory_of (platform);
+  LpMemory *memory = get_memory (platform);
   Reply *reply = reply_new (memory, REPLY_WEIGHTS, user);
 
   reply->done.weights = done;
@@ -242,8 +242,8 @@
   .scan = memory_scan,
   .put_object = memory_put_object,
   .get_object = memory_get_object,
-  .list_instances = memory_instances,
-  .get_weights = memory_weights,
+  .list_instances = memory_list_instances,
+  .get_weights = memory_get_weights,
 };
 
 /* Creates a platform inside this process, for a single instance and for tests. Its data is lost
--- a/packages/store/src/lp-pacer.c
+++ b/packages/store/src/lp-pacer.c
@@ -2,7 +2,6 @@
 
 #define BURST_SECONDS 0.25
 
-/* rate 0: no limit. */
 void
 lp_pacer_init (LpPacer *pacer, double rate, LbTime now)
 {
@@ -15,7 +14,7 @@
 }
 
 static double
-tokens_at (const LpPacer *pacer, LbTime now)
+count_tokens_at (const LpPacer *pacer, LbTime now)
 {
   double tokens = pacer->tokens + (double)(now - pacer->updated_at) / (double)LB_SEC * pacer->rate;
 
@@ -27,7 +26,7 @@
 {
   if (pacer->rate <= 0)
     return true;
-  pacer->tokens = tokens_at (pacer, now);
+  pacer->tokens = count_tokens_at (pacer, now);
   pacer->updated_at = now;
   if (pacer->tokens < 1)
     return false;
@@ -42,7 +41,7 @@
 
   if (pacer->rate <= 0)
     return 0;
-  missing = 1 - tokens_at (pacer, now);
+  missing = 1 - count_tokens_at (pacer, now);
   /* Plus one microsecond, so that rounding down never schedules a call too early. */
   return missing > 0 ? (LbTime)(missing / pacer->rate * (double)LB_SEC) + 1 : 0;
 }
--- a/packages/store/src/lp-pacer.h
+++ b/packages/store/src/lp-pacer.h
@@ -6,10 +6,10 @@
 /* Token bucket: limits the calls per second, with bursts of up to a quarter of a second's calls. */
 typedef struct
 {
-  double rate;
-  double burst;
-  double tokens;
-  LbTime updated_at; /* time of the count in tokens */
+  double rate;   /* calls per second; 0: no limit */
+  double burst;  /* largest number of tokens */
+  double tokens; /* calls that could be sent at updated_at */
+  LbTime updated_at;
 } LpPacer;
 
 void lp_pacer_init (LpPacer *pacer, double rate, LbTime now);
--- a/packages/store/src/lp-path.c
+++ b/packages/store/src/lp-path.c
@@ -61,7 +61,7 @@
 }
 
 static LbTime
-probe_period (const LpPath *path)
+get_probe_period (const LpPath *path)
 {
   LbTime period = (LbTime)path->n_peers * PROBE_PERIOD_PER_PEER;
 
@@ -75,7 +75,7 @@
   if (answered)
     path->direct_success_at = now;
   if (path->direct_failures == FAILURES_UNTIL_DOWN)
-    path->next_probe_at = now + probe_period (path);
+    path->next_probe_at = now + get_probe_period (path);
 }
 
 bool
@@ -98,6 +98,6 @@
 {
   if (!lp_path_is_direct_down (path) || path->n_peers == 0 || now < path->next_probe_at)
     return false;
-  path->next_probe_at = now + probe_period (path);
+  path->next_probe_at = now + get_probe_period (path);
   return true;
 }
--- a/packages/store/src/lp-store.c
+++ b/packages/store/src/lp-store.c
@@ -7,7 +7,7 @@
 #include <string.h>
 #include <uthash.h>
 
-/* Number of tokens whose answers are kept; a repeat comes within seconds of the first. */
+/* Transaction tokens whose answers are kept; a repeat comes within seconds of the first. */
 #define MAX_TOKENS 65536
 
 typedef struct
@@ -17,6 +17,7 @@
   char *value;
 } Entry;
 
+/* The answer to a transaction, returned again if its token is repeated. */
 typedef struct
 {
   UT_hash_handle hh;
@@ -47,9 +48,9 @@
   Entry **entries; /* in key order */
   size_t n_entries;
   size_t capacity;
-  int64_t last_version;
-  Answer *answers;
-  LbList token_order;
+  int64_t last_version; /* of the newest applied transaction */
+  Answer *answers;      /* hash table by token */
+  LbList token_order;   /* of Answer, oldest first */
   Object *objects;
   Weights *weights;
 };
