--- a/packages/base/include/lb-switch.h
+++ b/packages/base/include/lb-switch.h
@@ -21,9 +21,9 @@
   LB_SWITCH_WAY_THROUGH_PEERS, /* store calls through a peer while the direct path is down */
   LB_SWITCH_SENT_AGAIN,        /* repeats calls that a silent store left unanswered */
   LB_SWITCH_BREAKERS,          /* circuit breakers of endpoints */
-  LB_SWITCH_PREFIX_AFFINITY,
-  LB_SWITCH_IDLE_CONNECTIONS, /* reused for later requests */
-  LB_SWITCH_SCALING,          /* requests cheaper endpoints by the trainers' demand */
+  LB_SWITCH_PREFIX_AFFINITY,   /* prefers engines that have the prompt's prefix in their cache */
+  LB_SWITCH_IDLE_CONNECTIONS,  /* reuses idle connections for later requests */
+  LB_SWITCH_SCALING,           /* requests cheaper endpoints by the trainers' demand */
   LB_N_SWITCHES
 } LbSwitch;
 
@@ -32,7 +32,6 @@
 /* Ignores unknown names. */
 void lb_switch_set_off (const char *name);
 bool lb_switch_is_on (LbSwitch id);
-/* Switches all on again. */
 void lb_switch_set_all_on (void);
 
 #endif
--- a/packages/wire/include/lw-frame.h
+++ b/packages/wire/include/lw-frame.h
@@ -17,7 +17,7 @@
 {
   const uint8_t *body; /* points into the bytes read */
   size_t length;
-  size_t consumed; /* size of the whole frame; PARTIAL: bytes needed at least */
+  size_t consumed; /* size of the whole frame; after LW_FRAME_PARTIAL: bytes needed at least */
 } LwFrame;
 
 typedef enum
--- a/packages/wire/include/lw-message.h
+++ b/packages/wire/include/lw-message.h
@@ -27,14 +27,15 @@
   uint8_t nonce[LW_NONCE_BYTES];
   uint8_t mac[LW_MAC_BYTES];
   LcInstance instance;
-  uint64_t digest;
-  LcInstance *instances; /* owned; without peer_address: short form, no strings but the name */
+  uint64_t digest; /* of the sender's view of all instances */
+  /* Owned. An instance without peer_address is in short form: the name is its only string. */
+  LcInstance *instances;
   size_t n_instances;
-  bool is_reply;
-  LbName origin;
+  bool is_reply; /* of a COMPARE: answers another one */
+  LbName origin; /* the instance that sent the DATA first */
   uint64_t origin_epoch;
   uint64_t sequence; /* number of the frame at its origin */
-  bool to_all;
+  bool to_all;       /* broadcast, which each receiver forwards; else for the receiver only */
   LbName topic;
   char *payload; /* owned */
   size_t length; /* of the payload */
