--- a/tests/soak/sk-faults.c
+++ b/tests/soak/sk-faults.c
@@ -214,7 +214,7 @@
 }
 
 static void
-crash_engine (SkWorld *world)
+crash_spare_engine (SkWorld *world)
 {
   SkEndpoint *endpoint = choose_spare_engine (world);
 
@@ -225,7 +225,7 @@
 }
 
 static void
-slow_engine (SkWorld *world)
+slow_spare_engine (SkWorld *world)
 {
   SkEndpoint *endpoint = choose_spare_engine (world);
 
@@ -237,7 +237,7 @@
 }
 
 static void
-replace_engine (SkWorld *world)
+replace_spare_engine (SkWorld *world)
 {
   SkEndpoint *endpoint = choose_spare_engine (world);
 
@@ -270,9 +270,9 @@
                               { "forget-history", discard_watch_history },
                               { "harm-endpoint", impair_endpoint_link },
                               { "reset-endpoint", break_endpoint_connections },
-                              { "crash-engine", crash_engine },
-                              { "slow-engine", slow_engine },
-                              { "replace-engine", replace_engine },
+                              { "crash-engine", crash_spare_engine },
+                              { "slow-engine", slow_spare_engine },
+                              { "replace-engine", replace_spare_engine },
                               { "config", change_config },
                               { NULL, NULL } };
 
