--- a/packages/base/include/lb-error.h
+++ b/packages/base/include/lb-error.h
@@ -47,13 +47,13 @@
   LB_ERROR_REJECTED, /* the endpoint can never serve this request */
   LB_ERROR_UNLABELLED,
   /* platform */
-  LB_ERROR_STORE_AWAY,
-  LB_ERROR_STORE_UNKNOWN,
-  LB_ERROR_STORE_BUSY,
+  LB_ERROR_STORE_AWAY,    /* the store did not apply the call */
+  LB_ERROR_STORE_UNKNOWN, /* the store may have applied the write, or may still do so */
+  LB_ERROR_STORE_BUSY,    /* refused for a rate limit, not applied */
   LB_ERROR_CONDITION_FAILED,
   LB_ERROR_NOT_FOUND,
-  LB_ERROR_STALE_FENCE,
-  LB_ERROR_STALE_SESSION,
+  LB_ERROR_STALE_FENCE,   /* a newer fencing number was used */
+  LB_ERROR_STALE_SESSION, /* a newer session has taken the step over */
   LB_ERROR_LEASE_HELD,
   /* frames between instances */
   LB_ERROR_FRAME_TOO_LARGE,
--- a/packages/store/include/lp-store.h
+++ b/packages/store/include/lp-store.h
@@ -3,8 +3,8 @@
 
 #include "lp-platform.h"
 
-/* Table, objects and newest weight versions in memory, without I/O. Used by lp_memory_new, and by
- * the platform's stand-in, which serves it over HTTP. */
+/* Table of rows, objects and newest weight version of each pool in memory, without I/O. Used by
+ * lp_memory_new, and by the platform's stand-in, which serves it over HTTP. */
 typedef struct LpStore LpStore;
 
 LpStore *lp_store_new (void);
--- a/packages/wire/include/lw-handshake.h
+++ b/packages/wire/include/lw-handshake.h
@@ -6,11 +6,11 @@
 /* Mutual proof of the cluster key by the messages HELLO, CHALLENGE and PROOF. */
 typedef struct
 {
-  bool is_dialler;
-  bool done;
+  bool is_dialler;     /* this side has opened the connection */
+  bool done;           /* the peer has proved the key */
   bool has_challenged; /* acceptor: sent the CHALLENGE */
   char key[128];
-  uint8_t nonce[LW_NONCE_BYTES];
+  uint8_t nonce[LW_NONCE_BYTES]; /* of this side */
   uint8_t peer_nonce[LW_NONCE_BYTES];
   LcInstance self;
   LcInstance peer; /* valid once done */
--- a/packages/wire/include/lw-message.h
+++ b/packages/wire/include/lw-message.h
@@ -7,6 +7,7 @@
 #define LW_NONCE_BYTES 16
 #define LW_MAC_BYTES 32
 
+/* Message types with the members that each uses, and in the handshake with its sender. */
 typedef enum
 {
   LW_HELLO = 1, /* dialler: nonce, instance */
