--- a/tests/soak/sk-crasher.c
+++ b/tests/soak/sk-crasher.c
@@ -67,7 +67,7 @@
 }
 
 static void
-on_done (LhFetch *fetch, const LhResult *result, void *user)
+on_call_done (LhFetch *fetch, const LhResult *result, void *user)
 {
   (void)fetch;
   Call *call = user;
@@ -85,7 +85,7 @@
   const LhHeader headers[] = { { "Attempt-Id", call->id },
                                { "Deadline-Ms", DEADLINE_MS },
                                { "Api-Key", SK_CALLER_API_KEY } };
-  const LhHandlers handlers = { .on_done = on_done };
+  const LhHandlers handlers = { .on_done = on_call_done };
   const LhRequest request = { .method = "POST",
                               .address = instance->address,
                               .path = "/lookup/again",
--- a/tests/soak/sk-faults.c
+++ b/tests/soak/sk-faults.c
@@ -83,7 +83,7 @@
 
 /* Power loss of all machines. */
 static void
-kill_all (SkWorld *world)
+kill_all_instances (SkWorld *world)
 {
   for (size_t i = 0; i < world->n_instances; i++)
     sk_instance_kill (&world->instances[i], random_ms (world, 300, 700));
@@ -257,7 +257,7 @@
 }
 
 const SkFault sk_faults[] = { { "kill", kill_instance },
-                              { "kill-all", kill_all },
+                              { "kill-all", kill_all_instances },
                               { "pause", pause_instance },
                               { "pause-owner", pause_owner },
                               { "kill-owner", kill_owner },
--- a/tests/soak/sk-one-shot.c
+++ b/tests/soak/sk-one-shot.c
@@ -128,7 +128,7 @@
 }
 
 static void
-submit (SkOneShots *one_shots, SkInstance *instance)
+submit_batch (SkOneShots *one_shots, SkInstance *instance)
 {
   Batch *batch = LB_NEW (Batch);
   char body[1024];
@@ -164,7 +164,7 @@
   one_shots->next_submit_at = now + SUBMIT_INTERVAL;
   instance = &world->instances[sk_random_int (world, 0, (int64_t)world->n_instances - 1)];
   if (sk_instance_is_running (instance))
-    submit (one_shots, instance);
+    submit_batch (one_shots, instance);
 }
 
 void
--- a/tests/soak/sk-trainer.c
+++ b/tests/soak/sk-trainer.c
@@ -13,6 +13,7 @@
 #define N_ITEMS 24
 #define RETRY_DELAY (120 * LB_MSEC)
 #define READ_INTERVAL (150 * LB_MSEC)
+#define VERSION_LIMIT 1000 /* exclusive */
 /* Faults heal within seconds: a step that is incomplete after so long counts as lost. */
 #define STEP_TIMEOUT (40 * LB_SEC)
 
@@ -97,7 +98,7 @@
   size_t n_versions
       = json_object_is_type (versions, json_type_array) ? json_object_array_length (versions) : 0;
   const char *rest = lb_json_text (result, "text", "");
-  bool is_used_version[1000] = { false };
+  bool is_used_version[VERSION_LIMIT] = { false };
   char expected[LB_NAME_MAX + 16];
   size_t n_used_versions = 0;
 
@@ -108,7 +109,7 @@
       if (strncmp (rest, expected, (size_t)length) != 0)
         return "an event is missing or out of order";
       long version = strtol (rest + length, &end, 10);
-      if (version < min_version || version >= 1000)
+      if (version < min_version || version >= VERSION_LIMIT)
         return "its weight version is below the minimum or out of range";
       n_used_versions += !is_used_version[version];
       is_used_version[version] = true;
@@ -119,7 +120,7 @@
   for (size_t i = 0; i < n_versions; i++)
     {
       int64_t version = json_object_get_int64 (json_object_array_get_idx (versions, i));
-      if (version < 0 || version >= 1000 || !is_used_version[version])
+      if (version < 0 || version >= VERSION_LIMIT || !is_used_version[version])
         return "its label has a weight version that generated none of its events";
     }
   return n_versions == n_used_versions
@@ -139,8 +140,8 @@
     sk_fail (trainer->world, "complete text with correct labels", "%s of %s: %s: %s", item,
              trainer->batch, fault, json_object_to_json_string (result));
   if (strcmp (lb_json_text (result, "score", ""), score) != 0)
-    sk_fail (trainer->world, "score matches the item", "%s of %s: %s", item, trainer->batch,
-             lb_json_text (result, "score", ""));
+    sk_fail (trainer->world, "score matches the item", "%s of %s has another score: %s", item,
+             trainer->batch, lb_json_text (result, "score", ""));
 }
 
 static void
@@ -162,8 +163,8 @@
   if (strcmp (lb_json_text (result, "state", ""), "completed") == 0)
     check_completed (trainer, item, result);
   else
-    sk_fail (trainer->world, "every sample is delivered", "%s of %s: %s", item, trainer->batch,
-             first->json);
+    sk_fail (trainer->world, "every sample is delivered", "%s of %s did not complete: %s", item,
+             trainer->batch, first->json);
 }
 
 static void
@@ -197,7 +198,8 @@
                   : 0;
 
   if (lb_json_int (page, "total", 0) != N_ITEMS)
-    sk_fail (trainer->world, "a batch has all its items", "%s has a total of %lld", trainer->batch,
+    sk_fail (trainer->world, "a batch has all its items",
+             "%s: expected the number of its items as total, got %lld", trainer->batch,
              (long long)lb_json_int (page, "total", 0));
   for (int64_t i = 0; i < n; i++)
     check_result (trainer, next_position - n + i, json_object_array_get_idx (results, (size_t)i));
@@ -342,11 +344,11 @@
 }
 
 static void
-call (SkTrainer *trainer,
-      SkInstance *instance,
-      const char *method,
-      const char *path,
-      const char *body)
+start_call (SkTrainer *trainer,
+            SkInstance *instance,
+            const char *method,
+            const char *path,
+            const char *body)
 {
   trainer->called_instance = instance;
   trainer->called_instance_start = instance->n_starts;
@@ -372,7 +374,7 @@
   char path[LB_NAME_MAX + 48];
 
   snprintf (path, sizeof path, "/-/lots/%s?after=%lld", trainer->batch, (long long)from);
-  call (trainer, instance, "GET", path, "");
+  start_call (trainer, instance, "GET", path, "");
 }
 
 void
@@ -398,7 +400,7 @@
     {
     case TRAINER_SUBMITTING:
       body = format_batch (trainer);
-      call (trainer, instance, "POST", "/steps/1", body);
+      start_call (trainer, instance, "POST", "/steps/1", body);
       free (body);
       break;
     case TRAINER_READING:
@@ -406,7 +408,7 @@
       break;
     case TRAINER_DELETING:
       snprintf (path, sizeof path, "/-/lots/%s", trainer->batch);
-      call (trainer, instance, "DELETE", path, "");
+      start_call (trainer, instance, "DELETE", path, "");
       break;
     case TRAINER_DONE:
       break;
