--- a/packages/core/src/dispatch/lc-dispatch.c
+++ b/packages/core/src/dispatch/lc-dispatch.c
@@ -181,7 +181,7 @@
 drop_lower_value_request (
     LcDispatch *dispatch, LcPoolState *pool, const LcQueueKey *key, LbTime now, LbList *actions)
 {
-  LcQueueEntry *victim = lc_queue_find_victim (pool->queue, key);
+  LcQueueEntry *victim = lc_queue_find_request_to_drop (pool->queue, key);
 
   if (!victim)
     return false;
--- a/packages/core/src/dispatch/lc-queue.c
+++ b/packages/core/src/dispatch/lc-queue.c
@@ -422,7 +422,7 @@
 /* Returns the request to drop for a new one: the last one of the caller that is furthest over its
  * share in the lowest band. NULL if the new request itself has the lowest value. */
 LcQueueEntry *
-lc_queue_find_victim (const LcQueue *queue, const LcQueueKey *key)
+lc_queue_find_request_to_drop (const LcQueue *queue, const LcQueueKey *key)
 {
   BandRank rank = rank_of (key);
   size_t own_index = find_band_index (queue, &rank);
--- a/packages/core/src/dispatch/lc-queue.h
+++ b/packages/core/src/dispatch/lc-queue.h
@@ -46,7 +46,7 @@
 
 /* queries */
 LcQueueEntry *lc_queue_peek (const LcQueue *queue);
-LcQueueEntry *lc_queue_find_victim (const LcQueue *queue, const LcQueueKey *key);
+LcQueueEntry *lc_queue_find_request_to_drop (const LcQueue *queue, const LcQueueKey *key);
 size_t lc_queue_length (const LcQueue *queue);
 size_t lc_queue_length_of_kind (const LcQueue *queue, LcRequestKind kind);
 double lc_queue_estimate_ahead (const LcQueue *queue, const LcQueueKey *key);
--- a/packages/core/src/endpoints/lc-endpoint-entry.c
+++ b/packages/core/src/endpoints/lc-endpoint-entry.c
@@ -95,7 +95,8 @@
 lc_endpoint_entry_publish (LcEndpointEntry *entry, LbTime now)
 {
   LcEndpoint *endpoint = &entry->endpoint;
-  bool leaving = endpoint->member.leaving || lc_leaving_is_current_leaving (&entry->leaving);
+  bool leaving
+      = endpoint->member.leaving || lc_leaving_is_current_incarnation_leaving (&entry->leaving);
 
   lc_endpoints_record_event_time (entry->table, now);
   if (leaving && !endpoint->leaving)
--- a/packages/core/src/endpoints/lc-endpoints-query.c
+++ b/packages/core/src/endpoints/lc-endpoints-query.c
@@ -22,8 +22,8 @@
 {
   const LcEndpointEntry *entry = lc_endpoint_entry (endpoint);
 
-  return lc_prefix_index_share (entry->table->prefix_index, prefix_hashes, n_hashes, &entry->cache,
-                                now);
+  return lc_prefix_index_expected_cached_share (entry->table->prefix_index, prefix_hashes, n_hashes,
+                                                &entry->cache, now);
 }
 
 /* A swap that fails halfway leaves weights of no known version: samples would be unlabelled, and
--- a/packages/core/src/endpoints/lc-leaving.c
+++ b/packages/core/src/endpoints/lc-leaving.c
@@ -74,7 +74,7 @@
 }
 
 bool
-lc_leaving_is_current_leaving (const LcLeaving *leaving)
+lc_leaving_is_current_incarnation_leaving (const LcLeaving *leaving)
 {
   if (leaving->is_ambiguous)
     return true;
--- a/packages/core/src/endpoints/lc-leaving.h
+++ b/packages/core/src/endpoints/lc-leaving.h
@@ -23,6 +23,6 @@
 void lc_leaving_set_platform_listed (LcLeaving *leaving, bool is_listed);
 
 /* queries */
-bool lc_leaving_is_current_leaving (const LcLeaving *leaving);
+bool lc_leaving_is_current_incarnation_leaving (const LcLeaving *leaving);
 
 #endif
--- a/packages/core/src/endpoints/lc-prefix-index.c
+++ b/packages/core/src/endpoints/lc-prefix-index.c
@@ -226,11 +226,11 @@
 }
 
 double
-lc_prefix_index_share (const LcPrefixIndex *index,
-                       const uint64_t *prefixes,
-                       size_t n_prefixes,
-                       const LcEndpointCache *cache,
-                       LbTime now)
+lc_prefix_index_expected_cached_share (const LcPrefixIndex *index,
+                                       const uint64_t *prefixes,
+                                       size_t n_prefixes,
+                                       const LcEndpointCache *cache,
+                                       LbTime now)
 {
   double best = 0;
 
--- a/packages/core/src/endpoints/lc-prefix-index.h
+++ b/packages/core/src/endpoints/lc-prefix-index.h
@@ -51,10 +51,10 @@
                                     LcCachedShare *shares,
                                     size_t max);
 /* The largest share of one endpoint. */
-double lc_prefix_index_share (const LcPrefixIndex *index,
-                              const uint64_t *prefixes,
-                              size_t n_prefixes,
-                              const LcEndpointCache *cache,
-                              LbTime now);
+double lc_prefix_index_expected_cached_share (const LcPrefixIndex *index,
+                                              const uint64_t *prefixes,
+                                              size_t n_prefixes,
+                                              const LcEndpointCache *cache,
+                                              LbTime now);
 
 #endif
--- a/packages/core/src/membership/lc-catalog.c
+++ b/packages/core/src/membership/lc-catalog.c
@@ -332,7 +332,7 @@
 }
 
 bool
-lc_catalog_is_publisher (const LcCatalog *catalog)
+lc_catalog_is_published_here (const LcCatalog *catalog)
 {
   return catalog->publisher_version > 0 && strcmp (catalog->publisher, catalog->instance) == 0
          && strcmp (catalog->publisher_incarnation, catalog->incarnation) == 0;
@@ -357,7 +357,7 @@
 bool
 lc_catalog_needs_listing (const LcCatalog *catalog, LbTime now)
 {
-  bool publishes = catalog->rank >= 0 && lc_catalog_is_publisher (catalog);
+  bool publishes = catalog->rank >= 0 && lc_catalog_is_published_here (catalog);
 
   return publishes || can_take_over (catalog, now) || !lc_catalog_is_fresh (catalog, now);
 }
@@ -424,7 +424,7 @@
 publisher_row_to_text (const LcCatalog *catalog, bool is_complete)
 {
   struct json_object *object = json_object_new_object ();
-  bool is_takeover = !lc_catalog_is_publisher (catalog);
+  bool is_takeover = !lc_catalog_is_published_here (catalog);
 
   json_object_object_add (object, "publisher", json_object_new_string (catalog->instance));
   json_object_object_add (object, "incarnation", json_object_new_string (catalog->incarnation));
@@ -511,7 +511,7 @@
     return false;
   if (!is_last_write_visible && now - catalog->last_write_at < WRITE_TIMEOUT)
     return false;
-  return lc_catalog_is_publisher (catalog) || can_take_over (catalog, now);
+  return lc_catalog_is_published_here (catalog) || can_take_over (catalog, now);
 }
 
 bool
--- a/packages/core/src/rollout/lc-deliver.c
+++ b/packages/core/src/rollout/lc-deliver.c
@@ -175,7 +175,7 @@
   lc_cursor_add_slot (&chunk->cursor, slot_index);
   record_delivery (step, slot, trainer_version);
   slot->was_sent = true;
-  lc_step_set_state (step, slot, LC_SLOT_SENT);
+  lc_step_set_slot_state (step, slot, LC_SLOT_SENT);
 }
 
 static void
@@ -243,7 +243,7 @@
     {
       LcSlot *slot = &step->slots[step->chunk.slots[i]];
       if (slot->state == LC_SLOT_SENT)
-        lc_step_set_state (step, slot, LC_SLOT_READY);
+        lc_step_set_slot_state (step, slot, LC_SLOT_READY);
     }
   lc_chunk_clear (&step->chunk);
   step->status.completed_at = 0;
@@ -258,7 +258,7 @@
 
   lc_slot_cancel_jobs (rollouts, slot, actions);
   lc_step_clear_sample (step, slot);
-  lc_step_set_state (step, slot, LC_SLOT_ACKED);
+  lc_step_set_slot_state (step, slot, LC_SLOT_ACKED);
 }
 
 /* For strict subscriptions: the ledger records the chunk, so it counts as delivered once it is
@@ -483,7 +483,7 @@
 {
   for (size_t i = 0; i < step->n_slots; i++)
     if (lc_cursor_has_slot (ledger_cursor, i))
-      lc_step_set_state (step, &step->slots[i], LC_SLOT_ACKED);
+      lc_step_set_slot_state (step, &step->slots[i], LC_SLOT_ACKED);
   lc_cursor_copy (&step->acked, ledger_cursor);
   step->acked.session = step->session;
 }
--- a/packages/core/src/rollout/lc-generate.c
+++ b/packages/core/src/rollout/lc-generate.c
@@ -232,7 +232,7 @@
   action->max_tokens = group->max_tokens;
   action->resume_text = job->resume_text ? lb_strdup (job->resume_text) : NULL;
   if (slot->state == LC_SLOT_WAITING)
-    lc_step_set_state (step, slot, LC_SLOT_RUNNING);
+    lc_step_set_slot_state (step, slot, LC_SLOT_RUNNING);
   return job;
 }
 
--- a/packages/core/src/rollout/lc-result.c
+++ b/packages/core/src/rollout/lc-result.c
@@ -147,7 +147,7 @@
 
   slot->text = join_text (job->resume_text, text);
   slot->label = lb_memdup (&job->label, sizeof job->label);
-  lc_step_set_state (step, slot, LC_SLOT_WAITING);
+  lc_step_set_slot_state (step, slot, LC_SLOT_WAITING);
   lc_job_free (rollouts, job);
   if (!was_preempted)
     delay_retry (rollouts, step, slot, now);
@@ -226,7 +226,8 @@
   slot->not_before = 0;
   lc_job_free (rollouts, job);
   lc_slot_cancel_jobs (rollouts, slot, actions);
-  lc_step_set_state (step, slot, trainer->subscription.scorer[0] ? LC_SLOT_SCORING : LC_SLOT_READY);
+  lc_step_set_slot_state (step, slot,
+                          trainer->subscription.scorer[0] ? LC_SLOT_SCORING : LC_SLOT_READY);
   if (lc_staleness_is_too_old (slot->label, step->trainer_version, trainer->max_lag))
     {
       lb_metric_add (&stale_metric, 1);
@@ -274,7 +275,7 @@
   slot->consecutive_failures = 0;
   slot->has_score = true;
   slot->score = score;
-  lc_step_set_state (step, slot, LC_SLOT_READY);
+  lc_step_set_slot_state (step, slot, LC_SLOT_READY);
 }
 
 void
@@ -290,9 +291,9 @@
   slot->label = lb_memdup (sample->label, sizeof *sample->label);
   slot->has_score = sample->has_score;
   slot->score = sample->score;
-  lc_step_set_state (step, slot,
-                     trainer->subscription.scorer[0] && !sample->has_score ? LC_SLOT_SCORING
-                                                                           : LC_SLOT_READY);
+  lc_step_set_slot_state (step, slot,
+                          trainer->subscription.scorer[0] && !sample->has_score ? LC_SLOT_SCORING
+                                                                                : LC_SLOT_READY);
 }
 
 /* Staleness. */
--- a/packages/core/src/rollout/lc-step.c
+++ b/packages/core/src/rollout/lc-step.c
@@ -147,7 +147,7 @@
 }
 
 void
-lc_step_set_state (LcStep *step, LcSlot *slot, LcSlotState state)
+lc_step_set_slot_state (LcStep *step, LcSlot *slot, LcSlotState state)
 {
   step->n_in_state[slot->state]--;
   slot->state = state;
@@ -168,7 +168,7 @@
 lc_step_reset_slot (LcStep *step, LcSlot *slot)
 {
   lc_step_clear_sample (step, slot);
-  lc_step_set_state (step, slot, LC_SLOT_WAITING);
+  lc_step_set_slot_state (step, slot, LC_SLOT_WAITING);
 }
 
 size_t
--- a/packages/core/src/rollout/lc-step.h
+++ b/packages/core/src/rollout/lc-step.h
@@ -119,7 +119,7 @@
 void lc_step_free (LcStep *step);
 
 /* Commands. */
-void lc_step_set_state (LcStep *step, LcSlot *slot, LcSlotState state);
+void lc_step_set_slot_state (LcStep *step, LcSlot *slot, LcSlotState state);
 /* Clears text, label and score, and sets the state to WAITING. */
 void lc_step_reset_slot (LcStep *step, LcSlot *slot);
 void lc_step_clear_sample (LcStep *step, LcSlot *slot);
--- a/packages/core/tests/test-catalog.c
+++ b/packages/core/tests/test-catalog.c
@@ -442,7 +442,7 @@
   const char *publisher = lc_catalog_publisher_name (instance->catalog);
   int rank = 0;
 
-  for (size_t i = 0; i < index && !lc_catalog_is_publisher (instance->catalog); i++)
+  for (size_t i = 0; i < index && !lc_catalog_is_published_here (instance->catalog); i++)
     {
       char name[16];
       snprintf (name, sizeof name, "i-%zu", i);
@@ -640,7 +640,7 @@
 
   world_init (w, 100, 40, 3);
   run (w, 5 * LB_SEC, 3);
-  cr_assert (lc_catalog_is_publisher (w->instances[0].catalog));
+  cr_assert (lc_catalog_is_published_here (w->instances[0].catalog));
   w->instances[0].paused_until = w->now + 10 * LB_SEC;
   for (size_t i = 4; i < w->n_instances; i++)
     before += w->instances[i].n_listings;
@@ -766,7 +766,7 @@
       lc_catalog_write_clear (&write);
     }
   cr_assert_eq (writes, 3);
-  cr_assert (lc_catalog_is_publisher (catalog));
+  cr_assert (lc_catalog_is_published_here (catalog));
   free (list);
   lc_catalog_free (catalog);
 }
--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -305,7 +305,7 @@
 
   if (catalog->draining || is_cut_off || !lp_follow_has_listed (catalog->follower))
     return -1;
-  return lc_catalog_is_publisher (catalog->catalog) ? 0 : get_cached_rank (catalog);
+  return lc_catalog_is_published_here (catalog->catalog) ? 0 : get_cached_rank (catalog);
 }
 
 typedef struct
@@ -542,7 +542,7 @@
 bool
 ln_catalog_is_publisher (const LnCatalog *catalog)
 {
-  return catalog->is_active && lc_catalog_is_publisher (catalog->catalog);
+  return catalog->is_active && lc_catalog_is_published_here (catalog->catalog);
 }
 
 const char *
