--- a/packages/core/include/lc-admission.h
+++ b/packages/core/include/lc-admission.h
@@ -9,7 +9,8 @@
 /* Whether a known key is still accepted while this instance can't confirm its configuration. */
 typedef struct
 {
-  bool refuse_unconfirmed; /* refuse even a known key once the configuration is unconfirmed for: */
+  /* Refuse even a known key once the last confirmation of the organisations is this old. */
+  bool refuse_unconfirmed;
   LbTime max_unconfirmed_age;
 } LcAdmissionRules;
 
--- a/packages/core/include/lc-batch.h
+++ b/packages/core/include/lc-batch.h
@@ -45,7 +45,7 @@
   bool completed; /* false: the item was abandoned */
   char *text;
   char *score;
-  LcVersion versions[LC_MAX_RESULT_VERSIONS];
+  LcVersion versions[LC_MAX_RESULT_VERSIONS]; /* that generated the text */
   size_t n_versions;
 } LcBatchResult;
 
@@ -57,9 +57,9 @@
   const char *item;
   int64_t restarts;    /* number of times that the text had restarted from its first event */
   int64_t first_event; /* number of events of the text before these */
-  int64_t n_events;    /* in text, separated by line feeds */
+  int64_t n_events;    /* events in `text`, which are separated by line feeds */
   const char *text;
-  const LcVersion *versions; /* of the text up to the end of this part */
+  const LcVersion *versions; /* weight versions of the text up to the end of this part */
   size_t n_versions;
 } LcBatchTextPart;
 
@@ -84,11 +84,11 @@
   LcRequestId request;
   size_t item_index; /* index into LcBatchSpec.items */
   /* LC_BATCH_GENERATE */
-  int64_t resume_at;          /* number of events that the text has */
-  const char *avoid_endpoint; /* that was too slow; "": none; valid until the next command */
-  int64_t remaining_events;   /* estimate */
+  int64_t resume_at;          /* number of events that the text already has */
+  const char *avoid_endpoint; /* was too slow for the item; "": none; until the next command */
+  int64_t remaining_events;   /* estimate of the events still to come */
   LbTime due_at;              /* when the trainer wants the batch */
-  LbTime latest_start;        /* so that the text is complete at due_at */
+  LbTime latest_start;        /* latest start with which the text is complete at due_at */
   /* LC_BATCH_CHECKPOINT; valid until the next command */
   LcBatchTextPart *parts;
   size_t n_parts;
--- a/packages/core/include/lc-catalog.h
+++ b/packages/core/include/lc-catalog.h
@@ -85,6 +85,7 @@
 /* This instance has to list the rows itself: it publishes, is about to take over, or sees no
  * publisher. */
 bool lc_catalog_needs_listing (const LcCatalog *catalog, LbTime now);
+/* Whether this instance is the publisher according to the publisher's row. */
 bool lc_catalog_is_published_here (const LcCatalog *catalog);
 /* Time between two listings of the publisher, according to its row. */
 LbTime lc_catalog_publish_period (const LcCatalog *catalog);
--- a/packages/core/include/lc-config.h
+++ b/packages/core/include/lc-config.h
@@ -4,13 +4,16 @@
 #include "lc-resources.h"
 
 /* Replication of the configuration between instances: the active revision of this process, the
- * revisions that others confirmed, and whether this instance may accept new work with what it has.
- * No I/O: commands append actions (LcConfigAction) that the caller carries out and frees. */
+ * revisions that others confirmed, and whether this instance may accept new work with its active
+ * revision. The store holds the newest set and a head row with its revision number. The
+ * store confirms the active revision when a read of the head row shows the same number. Without
+ * that, work may be accepted while a majority of the instances answers. No I/O: commands append
+ * actions (LcConfigAction) that the caller carries out and frees. */
 
 typedef enum
 {
   LC_CONFIG_MESSAGE_CHANGE,  /* to all: a revision was accepted; body: the change that led to it */
-  LC_CONFIG_MESSAGE_QUERY,   /* asks for revision and age of the last confirmation */
+  LC_CONFIG_MESSAGE_QUERY,   /* asks for the active revision and how long ago it was confirmed */
   LC_CONFIG_MESSAGE_STATUS,  /* reply to QUERY; also sent unasked after CHANGE */
   LC_CONFIG_MESSAGE_FETCH,   /* requests the whole set */
   LC_CONFIG_MESSAGE_SNAPSHOT /* reply to FETCH; body: the set */
@@ -23,10 +26,14 @@
   int64_t revision;
   LbTime asked_at; /* QUERY: clock of the sender, echoed by STATUS; 0: STATUS without a QUERY */
   LbTime age;      /* STATUS: age of the latest confirmation by the store; -1: none is known */
-  bool confirmed;  /* STATUS: the sender's revision is confirmed and not in doubt */
-  int64_t intent;  /* QUERY: number of the change that the sender is about to commit, 0: none;
-                      STATUS: number of its last change with a known outcome */
-  struct json_object *body;
+  /* STATUS: the sender's process had a revision confirmed by the store or a majority, and either
+   * the store did so recently or no announced change of an instance that no longer answers has an
+   * unknown outcome. */
+  bool confirmed;
+  /* QUERY: number of the change that the sender announces and is about to commit, 0: none; STATUS:
+   * number of its last announced change with a known outcome. */
+  int64_t announced_change;
+  struct json_object *body; /* CHANGE: the change; SNAPSHOT: the set; owned */
 } LcConfigMessage;
 
 void lc_config_message_clear (LcConfigMessage *message);
@@ -59,7 +66,7 @@
   LbName instance;
   /* New work is accepted for at most this long without confirmation by the store or a majority. */
   LbTime max_confirmation_age;
-  LbTime min_poll_period; /* between reads of the head row */
+  LbTime min_poll_period; /* between reads of the head row; longer with many instances */
   uint64_t seed;
 } LcConfigSettings;
 
@@ -79,7 +86,10 @@
 /* commands */
 void lc_config_update_members (
     LcConfig *config, const LcConfigMember *members, size_t n_members, LbTime now, LbList *actions);
+/* Forgets an instance that the platform reports as permanently removed. */
 void lc_config_remove_instance (LcConfig *config, const char *instance);
+/* revision: that of the head row, read at read_at; set: taken over; given if it is newer than the
+ * active one. */
 void lc_config_store_read_completed (LcConfig *config,
                                      int64_t revision,
                                      LcResourceSet *set,
@@ -87,6 +97,7 @@
                                      LbTime now,
                                      LbList *actions);
 void lc_config_store_read_failed (LcConfig *config, LbTime now, LbList *actions);
+/* This instance committed the change that led to the set, which it takes over. */
 void lc_config_change_committed (LcConfig *config,
                                  LcResourceSet *set,
                                  struct json_object *change,
@@ -103,15 +114,21 @@
  * known. */
 void lc_config_announce_change (LcConfig *config, LbTime now, LbList *actions);
 void lc_config_change_abandoned (LcConfig *config, LbTime now, LbList *actions);
+/* Queries the peers that are not known to have the active revision of this instance. */
 void lc_config_query_outdated_peers (LcConfig *config, LbTime now, LbList *actions);
 void lc_config_tick (LcConfig *config, LbTime now, LbList *actions);
 
 /* queries */
 const LcResourceSet *lc_config_set (const LcConfig *config);
 int64_t lc_config_revision (const LcConfig *config);
+/* Whether new work may be accepted with the active revision. */
 bool lc_config_is_ready (const LcConfig *config);
+/* Age of the latest confirmation by the store that this instance or a peer received; -1: none. */
 LbTime lc_config_confirmation_age (const LcConfig *config, LbTime now);
+/* Whether this instance and the peers that answered a query sent at queried_since or later are a
+ * majority of the known instances; only then may it accept a change. */
 bool lc_config_has_majority (const LcConfig *config, LbTime queried_since);
+/* Whether a known instance is not alive but has not left either. */
 bool lc_config_has_absent_members (const LcConfig *config);
 
 /* Number of instances on which a revision or a newer one is active. */
--- a/packages/core/include/lc-detector.h
+++ b/packages/core/include/lc-detector.h
@@ -7,9 +7,9 @@
 typedef struct
 {
   LbTime last_arrival;
-  double mean_gap_us; /* moving average */
-  double gap_deviation_us;
-  LbTime min_timeout; /* bounds of the derived timeout */
+  double mean_gap_us;      /* moving average */
+  double gap_deviation_us; /* moving average of the absolute deviation from mean_gap_us */
+  LbTime min_timeout;      /* bounds of the derived timeout */
   LbTime max_timeout;
 } LcDetector;
 
--- a/packages/core/include/lc-dispatch.h
+++ b/packages/core/include/lc-dispatch.h
@@ -5,8 +5,8 @@
 #include "lc-router.h"
 
 /* Handles the requests of this instance from admission to final result: queue, attempts, retries,
- * hedges, streaming, and which failure may be reported. No I/O: commands append actions for the
- * node to carry out. */
+ * hedges, streaming, and whether a failure may be reported as "not run". No I/O: commands append
+ * actions that the caller carries out. */
 
 #define LC_MAX_PREFIX_HASHES 16
 
@@ -20,31 +20,31 @@
 typedef struct
 {
   LcRequestId id;        /* chosen by the submitter; never reused in this process */
-  LcFingerprint content; /* of what it asks for, for the quarantine */
+  LcFingerprint content; /* hash of what it asks for; the quarantine refuses by it */
   LcRequestKind kind;
   LcDelivery delivery;
-  LbName pool;   /* pool or service name */
-  LbName caller; /* live caller or subscription; unit of fair sharing and retry budgets */
-  LbName flow;   /* callers of one flow share as one; empty: the caller alone */
-  double share;  /* weight of the caller within its kind; 0: 1 */
-  bool repeatable;
-  bool resumable;            /* a broken stream may continue elsewhere at its last offset */
-  bool failure_is_final;     /* the submitter counts endpoint failures itself: no retry after one */
-  int64_t max_attempts;      /* 0: only the dispatch's own limit */
-  LbTime hedge_after;        /* if repeatable and no piece came; 0: default, for live calls */
+  LbName pool;           /* pool or service name */
+  LbName caller;         /* live caller or subscription; unit of fair sharing and retry budgets */
+  LbName flow;           /* callers of one flow share as one; empty: the caller alone */
+  double share;          /* weight of the caller within its kind; 0: 1 */
+  bool repeatable;       /* may run more than once */
+  bool resumable;        /* a broken stream may continue elsewhere at its last offset */
+  bool failure_is_final; /* the submitter counts endpoint failures itself: no retry after one */
+  int64_t max_attempts;  /* 0: only the dispatch's own limit */
+  LbTime hedge_after;    /* if repeatable and no piece came; 0: default, for live calls */
   int organisation_priority; /* higher first within a kind */
   int priority;              /* higher first within one organisation_priority */
   /* Latest start to finish in time; among equal priorities the earlier goes first. 0: none. */
   LbTime latest_start;
   LbTime soft_deadline; /* desired completion time of the whole answer; 0: none */
   int64_t prompt_tokens;
-  int64_t expected_tokens;
+  int64_t expected_tokens; /* of the answer; 0: not known */
   uint64_t prefix_hashes[LC_MAX_PREFIX_HASHES];
   size_t n_prefix_hashes;
-  LcVersion min_version;
-  LbTime deadline;   /* LB_TIME_NEVER: none */
-  int64_t resume_at; /* index of the first token wanted; the submitter has those before it */
-  LbName avoid[LC_MAX_AVOIDED_ENDPOINTS];
+  LcVersion min_version; /* oldest acceptable weights; 0: any */
+  LbTime deadline;       /* LB_TIME_NEVER: none */
+  int64_t resume_at;     /* index of the first token wanted; the submitter has those before it */
+  LbName avoid[LC_MAX_AVOIDED_ENDPOINTS]; /* excluded; for samples only while others are eligible */
   size_t n_avoid;
 } LcRequestSpec;
 
@@ -91,8 +91,8 @@
   uint32_t attempt;
   LbName endpoint;
   LbName address;
-  int64_t resume_at;
-  LbErrorCode error;
+  int64_t resume_at;        /* SEND: index of the first token to generate */
+  LbErrorCode error;        /* FINISH: LB_OK or the failure */
   LbTime retry_after;       /* hint for the caller of a failed request; 0: none */
   LcRouteDecision decision; /* SEND: for the log; pointers are valid until the next command */
 } LcAction;
--- a/packages/core/include/lc-endpoints.h
+++ b/packages/core/include/lc-endpoints.h
@@ -9,7 +9,7 @@
   char incarnation[40]; /* changes with each start of the endpoint's process; "": not stated */
   bool leaving;
   LcVersion version; /* of the weights being served; 0: a swap is in progress or has failed */
-  int64_t running;
+  int64_t running;   /* requests */
   int64_t waiting;
   double tokens_per_second; /* of one stream at the present load; 0: unknown */
   double kv_used;           /* share of the KV cache in use, 0..1 */
@@ -36,8 +36,8 @@
   LbTime swap_until; /* when the new weights are expected to serve */
   int64_t in_flight; /* this instance's requests there */
   int64_t in_flight_rollout;
-  int64_t sent_since_report;
-  double concurrency_limit; /* adaptive, for this instance's requests */
+  int64_t sent_since_report; /* this instance's requests that its last load report lacks */
+  double concurrency_limit;  /* adaptive, for this instance's requests */
   double ewma_token_seconds;
   double ewma_first_byte_seconds;
   LcBreakerState breaker;
@@ -52,10 +52,10 @@
 
 typedef enum
 {
-  LC_LEAVING_RESOURCE,
-  LC_LEAVING_PLATFORM,
-  LC_LEAVING_ENDPOINT,
-  LC_LEAVING_PEER
+  LC_LEAVING_RESOURCE, /* its resource in the configuration */
+  LC_LEAVING_PLATFORM, /* the platform's list of endpoints */
+  LC_LEAVING_ENDPOINT, /* the endpoint itself */
+  LC_LEAVING_PEER      /* another instance */
 } LcLeavingSource;
 
 LcEndpoints *lc_endpoints_new (void);
--- a/packages/core/include/lc-fleet.h
+++ b/packages/core/include/lc-fleet.h
@@ -22,7 +22,7 @@
   int64_t clock_lead_ms; /* see lc-true-time.h; 0: not reported */
   int64_t renewed_ms; /* store's clock at the renewal, as the instance estimated it; 0: unknown */
   LbTime period;      /* between renewals */
-  LbName crowded;     /* service whose known endpoints are nearly full; "": none */
+  LbName crowded;     /* service whose endpoints known to it are nearly full; "": none */
 } LcFleetRow;
 
 struct json_object *lc_fleet_row_to_json (const LcFleetRow *row);
@@ -37,7 +37,7 @@
   bool fresh; /* no renewal missed, as of the last list */
   /* Known to have renewed its row recently, see lc_fleet_add_row. */
   bool confirmed;
-  bool is_in_list; /* of the list that is being read */
+  bool is_in_list; /* in the list that is being read */
   bool is_new;     /* first seen in that list */
 } LcFleetMember;
 
--- a/packages/core/include/lc-membership.h
+++ b/packages/core/include/lc-membership.h
@@ -41,9 +41,9 @@
   LbLink link_in_list;
   LcMembershipActionType type;
   LcLinkId link;
-  LbName address;
-  LbErrorCode reason;
-  uint64_t digest;
+  LbName address;        /* DIAL */
+  LbErrorCode reason;    /* CLOSE */
+  uint64_t digest;       /* PING: of this instance's view */
   LcInstance *instances; /* owned by the action */
   size_t n_instances;
   bool is_reply; /* of COMPARE: a reply, which the peer must not answer with a COMPARE */
@@ -65,12 +65,12 @@
   int64_t connection_timeouts;
   int64_t suspected;
   int64_t declared_dead;
-  int64_t refuted;
-  int64_t own_pauses;
+  int64_t refuted;    /* suspicions of other instances that these refuted */
+  int64_t own_pauses; /* times that this process was found to have been paused */
   int64_t name_conflicts;
 } LcMembershipTotals;
 
-/* One entry of the platform's list, which lags behind. */
+/* One entry of the platform's list of instances, which lags behind their real state. */
 typedef struct
 {
   LbName name;
@@ -110,8 +110,8 @@
                                     LcLinkId link,
                                     uint64_t digest,
                                     LbTime now);
-/* Instances sent by a peer. An entry without peer_address is in short form: it updates an epoch
- * that is known already. */
+/* Instances sent by a peer. An entry without peer_address is in short form: it also lacks
+ * incarnation, data centre and caller address, and updates an epoch that is known already. */
 void lc_membership_updates_received (LcMembership *membership,
                                      LcLinkId link,
                                      const LcInstance *instances,
@@ -126,7 +126,8 @@
                                      bool is_reply,
                                      LbTime now,
                                      LbList *actions);
-/* Keeps a connection to this instance open until then; false when the instance is not known. */
+/* Keeps a connection to the named instance open until that time; false when the instance is not
+ * known. */
 bool lc_membership_keep_connected (
     LcMembership *membership, const char *name, LbTime until, LbTime now, LbList *actions);
 void lc_membership_set_draining (LcMembership *membership, LbTime now, LbList *actions);
--- a/packages/core/include/lc-resources.h
+++ b/packages/core/include/lc-resources.h
@@ -41,8 +41,10 @@
   int preset;          /* LcPreset */
   double idle_weight;  /* 0 (only staleness counts) to 1 (only idle time counts), from the preset */
   double hedge_budget; /* share of a step's tokens that hedges may waste, 0..0.5 */
-  bool strict;         /* no cursor: the ledger is written before each chunk is sent */
-  LbName scorer;       /* service that scores samples before delivery; empty: none */
+  /* Before each chunk is sent, its samples are recorded as delivered in the step's row of the store
+   * (the ledger); the trainer sends no cursor of the samples that it has. */
+  bool strict;
+  LbName scorer; /* service that scores samples before delivery; empty: none */
 } LcSubscription;
 
 /* Largest staleness of a sample when it is delivered to its trainer. */
--- a/packages/core/include/lc-rollouts.h
+++ b/packages/core/include/lc-rollouts.h
@@ -3,10 +3,12 @@
 
 #include "lc-dispatch.h"
 
-/* The owner's side of trainers' steps: schedules generations, labels and scores samples, enforces
- * the staleness bound, delivers chunks with cursors, and migrates or hedges stragglers. It does no
- * I/O: commands add actions for the node, which submits requests to LcDispatch and replies to
- * trainers. */
+/* The owner's side of trainers' steps, where a step is the set of samples that a trainer asks for
+ * at once, a slot the place of one sample in it, and the ledger a row in the store that records
+ * which slots were delivered. Schedules generations, labels and scores samples, enforces the
+ * staleness bound, delivers chunks with cursors, and migrates or hedges stragglers. No I/O:
+ * commands add actions for the node, which submits requests to LcDispatch and replies to trainers.
+ */
 
 typedef struct
 {
@@ -41,7 +43,7 @@
 /* State of a step left by its earlier owner. */
 typedef struct
 {
-  uint64_t session;             /* of the new owner */
+  uint64_t session;             /* number of the new owner; each owner of a step has a larger one */
   const char *ledger_cursor;    /* value of the ledger row; "": there is none */
   const LcReadySample *samples; /* not acknowledged when the earlier owner ended */
   size_t n_samples;
@@ -53,8 +55,8 @@
   uint64_t id; /* chosen by the node; the reply carries it */
   LbName subscription;
   int64_t step;
-  const char *cursor;        /* of the last reply; "" at the start of a step */
-  LcVersion trainer_version; /* current; the staleness bound is applied against it */
+  const char *cursor;        /* from the last reply; "" at the start of a step */
+  LcVersion trainer_version; /* current version; staleness is counted from it */
   int64_t max_samples;
   LbTime wait_until; /* answer without samples at this time */
 } LcPull;
@@ -64,7 +66,7 @@
   LC_ROLLOUT_GENERATE,     /* submit a generation to the dispatch */
   LC_ROLLOUT_CANCEL,       /* cancel a request of an earlier GENERATE or SCORE */
   LC_ROLLOUT_SCORE,        /* send a sample to the scorer */
-  LC_ROLLOUT_WRITE_LEDGER, /* write the row, on condition that the session is still the latest */
+  LC_ROLLOUT_WRITE_LEDGER, /* write the ledger's row, if no later session has written it */
   LC_ROLLOUT_REPLY,        /* answer a pull */
   /* Stop a request of an earlier GENERATE and pass LB_ERROR_CLOSED and the text of exactly those
    * pieces that were reported to lc_rollouts_finish_generation; another request resumes there. */
@@ -83,11 +85,11 @@
   int64_t max_tokens;
   char *resume_text; /* owned; text to resume after; NULL: start from the beginning */
   LbName scorer;
-  const char *text; /* SCORE: of the sample */
+  const char *text; /* SCORE: text of the sample */
   /* WRITE_LEDGER */
   uint64_t write_id; /* for lc_rollouts_finish_ledger_write */
   char *row_key;     /* owned */
-  char *row_value;
+  char *row_value;   /* owned */
   uint64_t session;
   /* REPLY */
   uint64_t pull_id;
@@ -107,7 +109,7 @@
   int64_t ready;
   int64_t running;
   int64_t discarded_stale;
-  int64_t discarded_unlabelled;
+  int64_t discarded_unlabelled; /* samples without a complete label of versions */
   int64_t hedges;
   int64_t tokens;
   int64_t wasted_tokens;
@@ -121,7 +123,8 @@
 {
   LbName instance;
   uint64_t seed;
-  /* All true by default; benchmarks switch them off to measure the effect of each. */
+  /* Parts of the scheduling: all true by default; benchmarks switch them off to measure the effect
+   * of each. */
   bool longest_first;
   bool hedging;
   bool resume;
--- a/packages/core/include/lc-router.h
+++ b/packages/core/include/lc-router.h
@@ -16,10 +16,10 @@
   int64_t prompt_tokens;
   int64_t expected_tokens;
   LbTime soft_deadline;  /* desired completion time of the whole answer; 0: none */
-  LbTime submitted;      /* start of its wait */
+  LbTime submitted;      /* when the request began to wait */
   LcVersion min_version; /* oldest acceptable weights; 0: any */
   LbTime reported_since; /* excludes endpoints whose last report is older; 0: none */
-  double live_reserve;
+  double live_reserve;   /* share of each engine's concurrency kept for live calls, 0..0.9 */
   LbName avoid[LC_MAX_AVOIDED_ENDPOINTS]; /* endpoints to exclude */
   size_t n_avoid;
 } LcRouteQuery;
@@ -39,9 +39,10 @@
   const char *reason;   /* a constant such as "least-finish-time", "no-capacity", "all-leaving" */
   LcCandidate shown[LC_MAX_SHOWN_CANDIDATES]; /* those with the best scores */
   size_t n_shown;
-  size_t n_candidates;
+  size_t n_candidates; /* endpoints that could have taken the request */
 } LcRouteDecision;
 
+/* A routing policy with its state. */
 typedef struct LcRouter LcRouter;
 
 typedef struct
--- a/packages/core/include/lc-scaling.h
+++ b/packages/core/include/lc-scaling.h
@@ -38,8 +38,10 @@
 typedef enum
 {
   LC_SCALING_ACCEPTED,
-  LC_SCALING_UNKNOWN, /* no answer; may be executed late, after a newer order: it is sent again */
-  LC_SCALING_REFUSED  /* no capacity there now */
+  /* No answer: the order may be executed late, even after a newer one, so an order with the number
+   * wanted by then follows. */
+  LC_SCALING_UNKNOWN,
+  LC_SCALING_REFUSED /* no capacity there now */
 } LcScalingOutcome;
 
 void lc_scaling_finish_order (LcScaling *scaling,
--- a/packages/core/include/lc-usage-reports.h
+++ b/packages/core/include/lc-usage-reports.h
@@ -30,7 +30,7 @@
 typedef struct
 {
   LcUsageActionType type;
-  int64_t window;
+  int64_t window;   /* number of the window: Unix milliseconds / window_ms */
   const char *text; /* RECORD_REPORT, SEND_REPORT: valid until the next command */
 } LcUsageAction;
 
@@ -39,7 +39,7 @@
 {
   LC_USAGE_ACCEPTED,
   LC_USAGE_NO_ANSWER, /* the platform may have accepted it, or may still do so */
-  LC_USAGE_REFUSED    /* at present, or from this holder */
+  LC_USAGE_REFUSED /* not accepted now, or not from this holder of the duty; is sent again later */
 } LcUsageSendResult;
 
 typedef struct LcUsageReports LcUsageReports;
@@ -74,7 +74,8 @@
                                       LbTime now);
 void
 lc_usage_reports_close_completed (LcUsageReports *reports, int64_t window, bool ok, LbTime now);
-/* A request to the store failed on this instance. */
+/* A request of this instance to the store failed: windows are not summed until the rows whose
+ * writes failed may have been written. */
 void lc_usage_reports_store_failed (LcUsageReports *reports, LbTime now);
 /* Returns false if there is nothing to do now. true_ms: Unix milliseconds, see lc-true-time.h. */
 bool lc_usage_reports_next_action (LcUsageReports *reports,
--- a/packages/core/include/lc-usage.h
+++ b/packages/core/include/lc-usage.h
@@ -34,7 +34,7 @@
 /* Complete row to write in place of the stored one. */
 typedef struct
 {
-  int64_t window;
+  int64_t window; /* number of the window: Unix milliseconds / window_ms */
   char *text;
 } LcUsageRow;
 
--- a/packages/core/include/lc-weights.h
+++ b/packages/core/include/lc-weights.h
@@ -14,9 +14,9 @@
   char incarnation[40];
   LcVersion version; /* 0: no complete version is loaded */
   bool loading;
-  LcVersion failed_version; /* 0: none */
+  LcVersion failed_version; /* version whose load failed last; 0: none */
   bool leaving;
-  int64_t running;     /* requests */
+  int64_t running;     /* requests being processed */
   LbTime requested_at; /* time at which this process sent the request for the report */
 } LcWeightReport;
 
@@ -32,8 +32,8 @@
   LcWeightsActionType type;
   LbName endpoint;
   LbName address;
-  LcVersion version;
-  bool pending;
+  LcVersion version;  /* ORDER_LOAD: to load */
+  bool pending;       /* UPDATE_ROUTING: the swap begins; false: it has ended */
   LbTime expected_at; /* UPDATE_ROUTING: expected end of the swap */
 } LcWeightsAction;
 
@@ -41,9 +41,9 @@
 {
   LbName pool;
   double orders_per_second; /* rate limit of the weight store */
-  int64_t burst;
-  LbTime load_timeout;   /* a load that takes longer has failed */
-  LbTime report_timeout; /* the state of an engine without a report for this long is unknown */
+  int64_t burst;            /* orders that may be given at once after a pause */
+  LbTime load_timeout;      /* a load that takes longer has failed */
+  LbTime report_timeout;    /* the state of an engine without a report for this long is unknown */
   /* An engine without a report for this long after the lease was gained no longer counts as
    * loading by an order of an earlier holder. */
   LbTime first_report_timeout;
@@ -73,12 +73,17 @@
 /* error: LB_OK, or the failure of an ORDER_LOAD; the engine must then report its state. */
 void
 lc_weights_order_answered (LcWeights *weights, const char *endpoint, LbErrorCode error, LbTime now);
-/* fenced, unfenced: orders may be given now to engines that check fencing numbers, or to those that
- * do not. */
-void lc_weights_tick (LcWeights *weights, bool fenced, bool unfenced, LbTime now, LbList *actions);
+/* can_order_fenced, can_order_unfenced: orders may be given now to engines that refuse an old
+ * fencing number, or to those that accept any: to these only once no order of an earlier lease
+ * holder can still be in transit. */
+void lc_weights_tick (LcWeights *weights,
+                      bool can_order_fenced,
+                      bool can_order_unfenced,
+                      LbTime now,
+                      LbList *actions);
 
-/* Sets how many engines may swap at once, in place of the pool's roll_out_percent; -1: no limit of
- * its own, the percentage applies. */
+/* Sets how many engines may swap at once, in place of the pool's roll_out_percent; -1: the
+ * percentage applies. */
 void lc_weights_set_swap_limit (LcWeights *weights, int64_t limit);
 
 /* queries */
@@ -99,11 +104,11 @@
   LcVersion target;
   LbTime version_interval; /* mean time between new versions; 0: not known */
   size_t engines;
-  size_t on_target;
-  size_t usable; /* serve weights at most one version older than the target */
-  size_t swapping;
-  size_t unknown;
-  size_t failed; /* last load of the target failed */
+  size_t on_target; /* serve the target version */
+  size_t usable;    /* serve weights at most one version older than the target */
+  size_t swapping;  /* load weights, or may load by an order of an earlier lease holder */
+  size_t unknown;   /* state is not known at present */
+  size_t failed;    /* last load of the target failed */
   LcWeightsWaitReason wait_reason;
 } LcWeightsStatus;
 
--- a/packages/core/src/batch/lc-batch-item.h
+++ b/packages/core/src/batch/lc-batch-item.h
@@ -29,22 +29,22 @@
   size_t text_length;
   size_t text_capacity;
   int64_t restarts;        /* one more each time that the text restarts from its first event */
-  int64_t newest_restarts; /* largest among the restored parts */
+  int64_t newest_restarts; /* largest number of restarts among the restored parts */
   bool has_gap;            /* the restored parts are not contiguous */
-  int64_t saved_events;    /* first events of the text, which the store holds */
-  size_t saved_length;     /* of the text up to there */
+  int64_t saved_events;    /* number of events that the checkpoint in the store holds */
+  size_t saved_length;     /* length of their text */
   int64_t saving_events;   /* saved_events once the pending checkpoint succeeds; 0: none pending */
   size_t saving_length;
-  int64_t known_events;   /* that the text had in an earlier batch; 0: not known */
-  bool known_is_complete; /* the text was complete then */
+  int64_t known_events;   /* events that the text had in an earlier batch; 0: not known */
+  bool known_is_complete; /* the text of the earlier batch was complete */
   LbTime started_at;      /* of the current request */
   LbTime first_piece_at;  /* of the current request; 0: none yet */
   LbTime last_piece_at;   /* of the current request */
   LbTime listed_at;
   LcStreamPace pace;      /* of the current request */
-  int64_t request_events; /* that the current request has produced */
-  LbName last_endpoint;   /* that sent the last piece */
-  LbName avoid_endpoint;  /* that the item was moved away from last */
+  int64_t request_events; /* events that the current request has produced */
+  LbName last_endpoint;   /* sent the last piece */
+  LbName avoid_endpoint;  /* the item was last moved away from it; empty: none */
   int n_moves;
   bool is_preempted;
   bool is_unusable; /* a version is unknown or too old, or there are too many: the text restarts */
--- a/packages/core/src/batch/lc-batch-private.h
+++ b/packages/core/src/batch/lc-batch-private.h
@@ -10,7 +10,7 @@
 
 /* A transaction of the store takes at most 100 entries. */
 #define LC_BATCH_MAX_RESULTS_PER_WRITE 40
-/* Of text; a transaction of the store takes 1 MB, encoded. */
+/* Limit for the texts of one write; a transaction of the store takes 1 MB, encoded. */
 #define LC_BATCH_MAX_WRITE_BYTES (400 << 10)
 /* With fewer intervals between events the measured pace of a stream is mostly noise. */
 #define LC_BATCH_MIN_PACE_INTERVALS 4
--- a/packages/core/src/batch/lc-straggler.h
+++ b/packages/core/src/batch/lc-straggler.h
@@ -34,11 +34,11 @@
 
 typedef struct
 {
-  int64_t tokens; /* so far */
+  int64_t tokens; /* generated so far */
   int64_t max_tokens;
   LbTime started_at;
   LbTime first_piece_at;           /* 0: none yet */
-  double recent_seconds_per_token; /* 0: the mean of the stream counts */
+  double recent_seconds_per_token; /* 0: not known; the mean of the whole stream is used */
 } LcSampleProgress;
 
 void lc_length_histogram_add (LcLengthHistogram *lengths, int64_t tokens);
--- a/packages/core/src/config/lc-config-confirm.c
+++ b/packages/core/src/config/lc-config-confirm.c
@@ -48,10 +48,10 @@
 }
 
 static bool
-is_intent_settled (const LcConfig *config, const LcConfigPeer *peer)
+is_announced_change_settled (const LcConfig *config, const LcConfigPeer *peer)
 {
-  return peer->intent == 0 || config->set->revision > peer->intent_base_revision
-         || config->store_confirmed_at >= peer->intent_at + LC_CONFIG_MAX_COMMIT_DURATION;
+  return peer->announced_change == 0 || config->set->revision > peer->announced_base_revision
+         || config->store_confirmed_at >= peer->announced_at + LC_CONFIG_MAX_COMMIT_DURATION;
 }
 
 /* Returns true if an instance announced a change and has not been heard from since.
@@ -63,8 +63,9 @@
 lc_config_is_in_doubt (const LcConfig *config, LbTime now)
 {
   for (const LcConfigPeer *peer = config->peers; peer; peer = peer->hh.next)
-    if (!is_intent_settled (config, peer) && peer->answered_query_at < now - max_answer_age (config)
-        && peer->intent_at < now - config->settings.max_confirmation_age)
+    if (!is_announced_change_settled (config, peer)
+        && peer->answered_query_at < now - max_answer_age (config)
+        && peer->announced_at < now - config->settings.max_confirmation_age)
       return true;
   return false;
 }
--- a/packages/core/src/config/lc-config-message.c
+++ b/packages/core/src/config/lc-config-message.c
@@ -29,7 +29,7 @@
   json_object_object_add (object, "asked_at", json_object_new_int64 (message->asked_at));
   json_object_object_add (object, "age", json_object_new_int64 (message->age));
   json_object_object_add (object, "confirmed", json_object_new_boolean (message->confirmed));
-  json_object_object_add (object, "intent", json_object_new_int64 (message->intent));
+  json_object_object_add (object, "intent", json_object_new_int64 (message->announced_change));
   if (message->body)
     json_object_object_add (object, "body", json_object_get (message->body));
   return object;
@@ -63,7 +63,7 @@
   if (type == N_MESSAGE_TYPES || !read_integer (object, "revision", &message->revision)
       || !read_integer (object, "asked_at", &message->asked_at)
       || !read_integer (object, "age", &message->age)
-      || !read_integer (object, "intent", &message->intent))
+      || !read_integer (object, "intent", &message->announced_change))
     return lb_error_set (error, LB_ERROR_FRAME_GARBLED, "config",
                          "type, revision, asked_at, age or intent is missing or invalid");
   message->type = (LcConfigMessageType)type;
--- a/packages/core/src/config/lc-config-private.h
+++ b/packages/core/src/config/lc-config-private.h
@@ -10,7 +10,7 @@
 #define LC_CONFIG_QUERY_PERIOD (LB_SEC / 2)
 #define LC_CONFIG_QUERIES_PER_PERIOD 20
 
-/* From the announcement of a change until its transaction can no longer take effect. */
+/* Time after the announcement of a change during which its transaction may still take effect. */
 #define LC_CONFIG_MAX_COMMIT_DURATION (10 * LB_SEC)
 
 /* Known state of another instance. */
@@ -20,15 +20,15 @@
   LbName incarnation;
   bool alive;
   bool draining;
-  bool is_listed; /* in the latest list of members */
-  bool confirmed;
-  int64_t revision;
-  LbTime queried_at;
+  bool is_listed;           /* in the latest list of members */
+  bool confirmed;           /* as its last STATUS stated, see LcConfigMessage */
+  int64_t revision;         /* newest known to be active there */
+  LbTime queried_at;        /* send time of the latest query */
   LbTime answered_query_at; /* send time of the latest query that it answered; 0: none */
   LbTime fetched_at;        /* time of the latest FETCH sent to it */
-  int64_t intent;           /* number of its announced change; 0: none with an unknown outcome */
-  int64_t intent_base_revision;
-  LbTime intent_at;
+  int64_t announced_change; /* number of its announced change with an unknown outcome; 0: none */
+  int64_t announced_base_revision; /* that was active there when it announced the change */
+  LbTime announced_at;
   UT_hash_handle hh;
 } LcConfigPeer;
 
@@ -42,7 +42,7 @@
   bool ready;
   LbTime started_at;
   LbTime store_confirmed_at; /* latest known confirmation by the store, own clock; -1: none */
-  LbTime next_poll_at;
+  LbTime next_poll_at;       /* of the head row */
   LbTime next_query_at;
   int64_t announced_change; /* number of the last change that this instance announced */
   int64_t settled_change;   /* number of the last one with a known outcome */
@@ -50,7 +50,10 @@
 };
 
 /* lc-config-confirm.c: validity of the active revision. */
+/* Whether the store confirmed the revision recently enough. */
 bool lc_config_is_store_confirmed (const LcConfig *config, LbTime now);
+/* Whether an instance announced a change, its outcome is unknown and it no longer answers; then
+ * only the store can confirm a revision. */
 bool lc_config_is_in_doubt (const LcConfig *config, LbTime now);
 bool lc_config_can_accept_work (const LcConfig *config, LbTime now);
 
--- a/packages/core/src/config/lc-config.c
+++ b/packages/core/src/config/lc-config.c
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Of all instances together; the store serves about 2,000 requests per second. */
+/* Limit for all instances together; the store serves about 2,000 requests per second. */
 #define MAX_HEAD_READS_PER_SECOND 175
 #define POLL_JITTER 0.2 /* fraction of the period, in either direction */
 
@@ -147,7 +147,7 @@
   status->confirmed
       = config->confirmed
         && (lc_config_is_store_confirmed (config, now) || !lc_config_is_in_doubt (config, now));
-  status->intent = config->settled_change;
+  status->announced_change = config->settled_change;
   status->age = lc_config_confirmation_age (config, now);
 }
 
@@ -263,7 +263,7 @@
   if (set)
     activate_if_newer (config, set, actions);
   if (revision < config->set->revision)
-    /* Answer of a lagging replica; does not confirm anything. */
+    /* The answering replica of the store lags behind, so it confirms nothing. */
     lb_metric_add (&metric_outdated, 1);
   else if (revision == config->set->revision && read_at > config->store_confirmed_at)
     config->store_confirmed_at = read_at;
@@ -333,9 +333,9 @@
     send_status (config, peer->name, 0, now, actions);
 }
 
-/* An age counts only in a reply to a query of this process, and from the time the query was sent:
- * otherwise a reply that waited in the socket of a paused process would make an old confirmation
- * look recent. */
+/* The age of a confirmation counts only in a reply to a query of this process, and from the time
+ * the query was sent: otherwise a reply that waited in the socket of a paused process would make an
+ * old confirmation look recent. */
 static void
 handle_status (LcConfig *config,
                LcConfigPeer *peer,
@@ -352,8 +352,8 @@
           && confirmed_at > config->store_confirmed_at)
         config->store_confirmed_at = confirmed_at;
     }
-  if (status->intent >= peer->intent)
-    peer->intent = 0;
+  if (status->announced_change >= peer->announced_change)
+    peer->announced_change = 0;
   if (status->revision > config->set->revision && status->confirmed)
     fetch_set (config, peer, now, actions);
 }
@@ -379,11 +379,11 @@
 }
 
 static void
-record_intent (LcConfigPeer *peer, const LcConfigMessage *message, LbTime now)
+record_announced_change (LcConfigPeer *peer, const LcConfigMessage *message, LbTime now)
 {
-  peer->intent = message->intent;
-  peer->intent_base_revision = message->revision;
-  peer->intent_at = now;
+  peer->announced_change = message->announced_change;
+  peer->announced_base_revision = message->revision;
+  peer->announced_at = now;
 }
 
 void
@@ -402,8 +402,8 @@
       handle_change (config, peer, message, now, actions);
       break;
     case LC_CONFIG_MESSAGE_QUERY:
-      if (message->intent > 0)
-        record_intent (peer, message, now);
+      if (message->announced_change > 0)
+        record_announced_change (peer, message, now);
       send_status (config, from, message->asked_at, now, actions);
       break;
     case LC_CONFIG_MESSAGE_STATUS:
@@ -427,7 +427,7 @@
   config->announced_change++;
   config->announced_at = now;
   for (LcConfigPeer *peer = config->peers; peer; peer = peer->hh.next)
-    send_query (config, peer, now, actions)->intent = config->announced_change;
+    send_query (config, peer, now, actions)->announced_change = config->announced_change;
 }
 
 /* The announced change is known not to be committed. */
--- a/packages/core/src/config/lc-resources-check.c
+++ b/packages/core/src/config/lc-resources-check.c
@@ -54,7 +54,7 @@
   return strcmp ((*first)->address, (*second)->address);
 }
 
-/* The capacity of a process with two names would count twice. */
+/* Rejects two endpoints with one address: the capacity of their process would count twice. */
 static bool
 check_addresses_are_unique (const LcResourceSet *set, const char *file, LbError *error)
 {
@@ -72,7 +72,8 @@
   return ok;
 }
 
-/* The router treats all endpoints of a pool alike. */
+/* Rejects service endpoints in a pool of engines: the router treats all endpoints of a pool alike.
+ */
 static bool
 check_pools_are_uniform (const LcResourceSet *set, const char *file, LbError *error)
 {
--- a/packages/core/src/config/lc-resources.c
+++ b/packages/core/src/config/lc-resources.c
@@ -222,7 +222,7 @@
   return true;
 }
 
-/* Also formats the location of the resource, for all further errors. */
+/* Reads the kind of a resource, and formats its location for all further errors. */
 static bool
 read_kind (struct json_object *object,
            size_t index,
--- a/packages/core/src/dispatch/lc-candidates.h
+++ b/packages/core/src/dispatch/lc-candidates.h
@@ -7,7 +7,7 @@
 /* The endpoints that may take a request. The same rules apply for every policy. */
 typedef struct
 {
-  LcCandidate *items;                  /* scores are 0 */
+  LcCandidate *items;                  /* their scores are 0 until a policy sets them */
   const LcEndpointSummary **summaries; /* parallel to items */
   size_t n_items;
   size_t capacity;
--- a/packages/core/src/dispatch/lc-dispatch-private.h
+++ b/packages/core/src/dispatch/lc-dispatch-private.h
@@ -18,9 +18,9 @@
   gsl_rng *random;
   LcPoolState *pools[LC_N_POOL_KINDS];
   LcRequest *requests;
-  LcHeap timers; /* LcRequest ordered by timer_due */
-  LbTime polled_at;
-  uint64_t last_sequence;
+  LcHeap timers;          /* LcRequest ordered by timer_due */
+  LbTime polled_at;       /* when the waiting requests of all pools were last retried */
+  uint64_t last_sequence; /* LcQueueEntry.sequence of the latest admitted request */
   uint64_t invariant_failures;
   bool draining;
   bool forbid_cancel; /* the current command must not cancel running attempts */
@@ -50,7 +50,7 @@
 void lc_dispatch_update_timer (LcDispatch *dispatch, LcRequest *request);
 LcRequest *lc_dispatch_find_due (LcDispatch *dispatch, LbTime now);
 
-/* lc-placement.c */
+/* lc-placement.c: queues requests and sends them to endpoints */
 LbTime lc_dispatch_pool_available_at (LcDispatch *dispatch, const LcPoolState *pool);
 bool
 lc_dispatch_may_wait (LcRequestKind kind, LbTime available_at, LbTime start_deadline, LbTime now);
@@ -61,7 +61,7 @@
 void lc_dispatch_send_all_waiting (LcDispatch *dispatch, LbTime now, LbList *actions);
 void lc_dispatch_try_hedge (LcDispatch *dispatch, LcRequest *request, LbTime now, LbList *actions);
 
-/* lc-outcome.c */
+/* lc-outcome.c: ends attempts and requests */
 void lc_dispatch_handle_attempt_end (LcDispatch *dispatch,
                                      LcRequest *request,
                                      LcAttempt *attempt,
--- a/packages/core/src/dispatch/lc-dispatch.c
+++ b/packages/core/src/dispatch/lc-dispatch.c
@@ -175,18 +175,18 @@
   return lb_error_set (error, code, pool, "request refused before dispatch");
 }
 
-/* Drops a waiting request of lower value to admit a new one; false if there is none, or if it has
- * already been attempted. */
+/* Drops a waiting request that ranks below the new one, to admit the latter; false if there is
+ * none, or if it has already been attempted. */
 static bool
-drop_lower_value_request (
+drop_lower_ranked_request (
     LcDispatch *dispatch, LcPoolState *pool, const LcQueueKey *key, LbTime now, LbList *actions)
 {
-  LcQueueEntry *victim = lc_queue_find_request_to_drop (pool->queue, key);
+  LcQueueEntry *to_drop = lc_queue_find_request_to_drop (pool->queue, key);
 
-  if (!victim)
+  if (!to_drop)
     return false;
 
-  LcRequest *request = LB_CONTAINER (victim, LcRequest, queue_entry);
+  LcRequest *request = LB_CONTAINER (to_drop, LcRequest, queue_entry);
 
   if (request->n_attempts > 0)
     return false;
@@ -224,7 +224,8 @@
     return LB_ERROR_NO_ENDPOINT;
   if (latest != LB_TIME_NEVER && lc_pool_state_estimate_wait (pool, key) >= latest - now)
     return LB_ERROR_OVERLOADED;
-  if (lc_pool_state_is_full (pool) && !drop_lower_value_request (dispatch, pool, key, now, actions))
+  if (lc_pool_state_is_full (pool)
+      && !drop_lower_ranked_request (dispatch, pool, key, now, actions))
     return LB_ERROR_OVERLOADED;
   return LB_OK;
 }
--- a/packages/core/src/dispatch/lc-heap.h
+++ b/packages/core/src/dispatch/lc-heap.h
@@ -26,8 +26,11 @@
 void lc_heap_init (LcHeap *heap, LcHeapBefore before);
 void lc_heap_clear (LcHeap *heap);
 void lc_heap_push (LcHeap *heap, LcHeapNode *node);
+/* Has no effect if the element is in no heap. */
 void lc_heap_remove (LcHeap *heap, LcHeapNode *node);
+/* Restores the order after the element's key has changed. */
 void lc_heap_update (LcHeap *heap, LcHeapNode *node);
+/* The element that comes first; NULL if the heap is empty. */
 LcHeapNode *lc_heap_top (const LcHeap *heap);
 
 static inline bool
--- a/packages/core/src/dispatch/lc-invariant.c
+++ b/packages/core/src/dispatch/lc-invariant.c
@@ -6,7 +6,7 @@
 static LbMetric invariant_violations
     = LB_COUNTER_INIT ("lentilspindle_invariant_failures_total",
                        "part=\"dispatch\"",
-                       "Actions refused because they would break a promise");
+                       "Actions suppressed because they would violate an invariant");
 
 /* Checks an invariant right before the action that could violate it, and returns whether it holds.
  * If not, the caller skips that one action and continues: a wrong action is worse than a missing
--- a/packages/core/src/dispatch/lc-outcome.c
+++ b/packages/core/src/dispatch/lc-outcome.c
@@ -9,19 +9,20 @@
 #define MAX_CONSECUTIVE_LOST 3
 #define MIN_RETRY_AFTER (100 * LB_MSEC)
 #define RETRY_AFTER_WITHOUT_ENDPOINT LB_SEC
+/* Time without a piece after which an attempt may have reached an endpoint that never answers. */
 #define SILENCE_LIMIT LB_SEC
-/* For samples, whose first piece normally comes several times sooner than this. */
+/* The same for samples, whose first piece normally comes several times sooner. */
 #define SAMPLE_SILENCE_LIMIT (500 * LB_MSEC)
 
 static LbMetric retries = LB_COUNTER_INIT ("lentilspindle_retries_total",
                                            NULL,
                                            "Attempts made after an earlier one failed");
-static LbMetric failed_requests
-    = LB_COUNTER_INIT ("lentilspindle_requests_given_up_total",
-                       NULL,
-                       "Admitted requests that ended with a typed failure");
-static LbMetric answered_requests
-    = LB_COUNTER_INIT ("lentilspindle_requests_answered_total", NULL, "Whole answers given");
+static LbMetric failed_requests = LB_COUNTER_INIT ("lentilspindle_requests_given_up_total",
+                                                   NULL,
+                                                   "Admitted requests that ended with a failure");
+static LbMetric answered_requests = LB_COUNTER_INIT ("lentilspindle_requests_answered_total",
+                                                     NULL,
+                                                     "Requests that ended with a complete answer");
 
 /* Appends a new action to the list, which owns it. */
 LcAction *
@@ -44,7 +45,7 @@
 typedef enum
 {
   RESULT_SUCCEEDED,
-  RESULT_FAILED, /* the endpoint is to blame */
+  RESULT_FAILED, /* a failure of the endpoint */
   RESULT_REFUSED,
   RESULT_CANCELLED /* cancelled by this instance: says nothing about the endpoint */
 } AttemptResult;
--- a/packages/core/src/dispatch/lc-placement.c
+++ b/packages/core/src/dispatch/lc-placement.c
@@ -9,6 +9,7 @@
 /* Waiting requests skipped in one round because no endpoint can take them now; bounds the cost of a
  * round while a pool is full. */
 #define MAX_SKIPPED_PER_ROUND 16
+/* Longest wait of a call for a pool whose breakers are all open. */
 #define MAX_BLOCKED_WAIT (200 * LB_MSEC)
 /* A sample's hedge timer that fires later than this shows that this instance itself was paused. */
 #define MAX_TIMER_LATENESS (300 * LB_MSEC)
@@ -144,9 +145,9 @@
   return route_request (dispatch, request, false, now);
 }
 
-/* Last check before an attempt is sent. Queued requests, retries, hedges and resumed streams all
- * pass here, so a leaving endpoint gets none of them even if a policy chooses it by mistake, and a
- * non-repeatable call gets no second attempt while it may have run. */
+/* Last check before an attempt is sent. Queued requests, retries, hedges and resumed streams are
+ * all checked here, so a leaving endpoint gets none of them even if a policy chooses it by mistake,
+ * and a non-repeatable call gets no second attempt while it may have run. */
 static bool
 may_send (LcDispatch *dispatch, const LcRequest *request, const LcEndpoint *endpoint)
 {
--- a/packages/core/src/dispatch/lc-policies.h
+++ b/packages/core/src/dispatch/lc-policies.h
@@ -30,12 +30,14 @@
   LcRouter base;
   LcCandidates candidates;
   gsl_rng *rng;
-  uint64_t next_turn;    /* round-robin */
-  double *cached_shares; /* by slot, all 0 between decisions */
+  uint64_t next_turn;    /* round-robin: number of the next decision */
+  double *cached_shares; /* indexed by LcEndpoint.slot; reset to 0 after each decision */
   size_t n_cached_shares;
-  LcLoadCost *load_costs; /* by candidate */
+  LcLoadCost *load_costs; /* parallel to candidates.items */
   size_t n_load_costs;
-  double level_ratio; /* of the last decision, to save iterations */
+  /* Finish time: level of the last decision / level if all candidates are filled; the next decision
+   * starts its iteration there. */
+  double level_ratio;
 };
 
 extern const LcPolicyClass lc_policy_random;
@@ -53,8 +55,8 @@
 
 /* Returns the candidate with the lowest score; ties are broken uniformly at random. */
 size_t lc_policy_pick_lowest_score (LcPolicy *policy);
-/* Returns by slot the share of the query's prompt that is believed to be cached there; valid until
- * lc_policy_clear_cached_shares. */
+/* Returns the share of the query's prompt that is expected to be cached at each endpoint, indexed
+ * by LcEndpoint.slot; valid until lc_policy_clear_cached_shares. */
 const double *lc_policy_compute_cached_shares (LcPolicy *policy,
                                                const LcEndpoints *endpoints,
                                                const LcRouteQuery *query,
--- a/packages/core/src/dispatch/lc-pool.h
+++ b/packages/core/src/dispatch/lc-pool.h
@@ -19,12 +19,12 @@
   LbName name;
   LcPoolKind kind;
   LcQueue *queue;
-  bool configured;   /* part of the current configuration */
-  LbTime held_since; /* all reports are outdated since then, so nothing is sent; 0: no */
-  double live_reserve;
-  int64_t queue_limit;
-  size_t n_requests; /* admitted and not finished */
-  int64_t running[LC_N_KINDS];
+  bool configured;     /* part of the current configuration */
+  LbTime held_since;   /* requests are held back since then, as all reports are outdated; 0: no */
+  double live_reserve; /* share of each engine's concurrency kept for live calls, 0..0.9 */
+  int64_t queue_limit; /* waiting requests */
+  size_t n_requests;   /* admitted and not finished */
+  int64_t running[LC_N_KINDS];             /* attempts */
   double mean_attempt_seconds[LC_N_KINDS]; /* mean duration of an attempt; 0: none has ended yet */
   double first_piece_seconds[LC_N_KINDS];  /* mean from sending to the first piece; 0: not measured
                                               yet */
--- a/packages/core/src/dispatch/lc-queue.c
+++ b/packages/core/src/dispatch/lc-queue.c
@@ -8,7 +8,8 @@
 
 #define MAX_PRIORITY 10
 
-/* Order of a band among the others: lower comes first, compared member by member. */
+/* Position of a band in the order of sending: smaller values are sent first. Compared member by
+ * member. */
 typedef struct
 {
   int kind;
@@ -16,15 +17,17 @@
   int level;
 } BandRank;
 
+/* The requests of one rank. All of a band are sent before any of a later band; within the band,
+ * callers share by start-time fair queueing. */
 typedef struct
 {
   BandRank rank;
-  LcHeap active;  /* flows with ready requests, by virtual start time */
+  LcHeap active;  /* flows with ready requests, smallest next_start first */
   LcHeap backlog; /* flows with requests, largest backlog relative to its share first */
-  LcHeap idle;    /* flows without requests whose start is still ahead of the virtual time */
+  LcHeap idle;    /* flows without requests, smallest next_start first */
   LcFlow *flows;
-  double virtual_time;
-  double active_share;
+  double virtual_time;     /* cost per share that the band has sent so far */
+  double backlogged_share; /* sum over the flows in backlog, including those not in active */
   size_t length;
 } Band;
 
@@ -37,9 +40,9 @@
   LcHeapNode idle_node;
   Band *band;
   LcHeap ready;      /* next request to send on top; without the deferred ones */
-  LcHeap shed_order; /* first request to drop on top; all of them */
+  LcHeap drop_order; /* first request to drop on top; all of them */
   double share;
-  double start;
+  double next_start; /* virtual time at which the next request may be sent */
   LcRequestKind kind;
   LbName caller;
 };
@@ -54,7 +57,7 @@
 };
 
 static bool
-is_served_before (const LcQueueEntry *a, const LcQueueEntry *b)
+is_sent_before (const LcQueueEntry *a, const LcQueueEntry *b)
 {
   if (a->priority != b->priority)
     return a->priority > b->priority;
@@ -66,34 +69,35 @@
 static bool
 ready_before (const LcHeapNode *a, const LcHeapNode *b)
 {
-  return is_served_before (LC_HEAP_ENTRY (a, LcQueueEntry, ready_node),
-                           LC_HEAP_ENTRY (b, LcQueueEntry, ready_node));
+  return is_sent_before (LC_HEAP_ENTRY (a, LcQueueEntry, ready_node),
+                         LC_HEAP_ENTRY (b, LcQueueEntry, ready_node));
 }
 
 static bool
-shed_before (const LcHeapNode *a, const LcHeapNode *b)
+is_dropped_before (const LcHeapNode *a, const LcHeapNode *b)
 {
-  return is_served_before (LC_HEAP_ENTRY (b, LcQueueEntry, shed_node),
-                           LC_HEAP_ENTRY (a, LcQueueEntry, shed_node));
+  return is_sent_before (LC_HEAP_ENTRY (b, LcQueueEntry, drop_node),
+                         LC_HEAP_ENTRY (a, LcQueueEntry, drop_node));
 }
 
 static bool
 active_before (const LcHeapNode *a, const LcHeapNode *b)
 {
-  return LC_HEAP_ENTRY (a, LcFlow, active_node)->start
-         < LC_HEAP_ENTRY (b, LcFlow, active_node)->start;
+  return LC_HEAP_ENTRY (a, LcFlow, active_node)->next_start
+         < LC_HEAP_ENTRY (b, LcFlow, active_node)->next_start;
 }
 
 static bool
 idle_before (const LcHeapNode *a, const LcHeapNode *b)
 {
-  return LC_HEAP_ENTRY (a, LcFlow, idle_node)->start < LC_HEAP_ENTRY (b, LcFlow, idle_node)->start;
+  return LC_HEAP_ENTRY (a, LcFlow, idle_node)->next_start
+         < LC_HEAP_ENTRY (b, LcFlow, idle_node)->next_start;
 }
 
 static double
 relative_backlog (const LcFlow *flow)
 {
-  return (double)flow->shed_order.length / flow->share;
+  return (double)flow->drop_order.length / flow->share;
 }
 
 static bool
@@ -172,7 +176,7 @@
   HASH_DELETE (hh, flow->band->flows, flow);
   lc_heap_remove (&flow->band->idle, &flow->idle_node);
   lc_heap_clear (&flow->ready);
-  lc_heap_clear (&flow->shed_order);
+  lc_heap_clear (&flow->drop_order);
   free (flow);
 }
 
@@ -201,7 +205,7 @@
   return queue;
 }
 
-/* Requests that still wait belong to the caller. */
+/* Does not free the requests that still wait; the dispatch owns them. */
 void
 lc_queue_free (LcQueue *queue)
 {
@@ -232,28 +236,29 @@
   flow->band = band;
   flow->kind = key->kind;
   lc_heap_init (&flow->ready, ready_before);
-  lc_heap_init (&flow->shed_order, shed_before);
+  lc_heap_init (&flow->drop_order, is_dropped_before);
   HASH_ADD_STR (band->flows, caller, flow);
   return flow;
 }
 
-/* A flow that was idle starts at the band's virtual time at the earliest, so idling earns no
- * credit; a flow that was served recently keeps its later start. */
+/* Called when the flow gets its first waiting request. Its next_start is at least the band's
+ * virtual time, so that a caller that was idle is not sent ahead of others to make up for that
+ * time; a flow that had a request sent recently keeps its later next_start. */
 static void
-flow_activate (LcFlow *flow, double share)
+flow_enter_backlog (LcFlow *flow, double share)
 {
   Band *band = flow->band;
 
   lc_heap_remove (&band->idle, &flow->idle_node);
   flow->share = share > 0 ? share : 1;
-  if (flow->start < band->virtual_time)
-    flow->start = band->virtual_time;
-  band->active_share += flow->share;
+  if (flow->next_start < band->virtual_time)
+    flow->next_start = band->virtual_time;
+  band->backlogged_share += flow->share;
   lc_heap_push (&band->backlog, &flow->backlog_node);
 }
 
-/* Frees idle flows whose start the virtual time has passed, since they carry no debt; all of them
- * if the band is empty. */
+/* Frees idle flows whose next_start the virtual time has reached, since a new flow would start at
+ * the same time; all of them if the band is empty. */
 static void
 drop_idle_flows (Band *band)
 {
@@ -263,18 +268,19 @@
     {
       LcFlow *flow = LC_HEAP_ENTRY (node, LcFlow, idle_node);
 
-      if (flow->start > band->virtual_time && band->backlog.length > 0)
+      if (flow->next_start > band->virtual_time && band->backlog.length > 0)
         return;
       flow_free (flow);
     }
 }
 
+/* Called when the flow's last waiting request is removed. */
 static void
-flow_deactivate (LcFlow *flow)
+flow_leave_backlog (LcFlow *flow)
 {
   Band *band = flow->band;
 
-  band->active_share -= flow->share;
+  band->backlogged_share -= flow->share;
   lc_heap_remove (&band->backlog, &flow->backlog_node);
   lc_heap_push (&band->idle, &flow->idle_node);
   drop_idle_flows (band);
@@ -323,12 +329,12 @@
 
   if (!flow)
     flow = flow_new (band, key);
-  if (flow->shed_order.length == 0)
-    flow_activate (flow, key->share);
+  if (flow->drop_order.length == 0)
+    flow_enter_backlog (flow, key->share);
   entry->flow = flow;
   entry->priority = key->priority;
   mark_ready (flow, entry);
-  lc_heap_push (&flow->shed_order, &entry->shed_node);
+  lc_heap_push (&flow->drop_order, &entry->drop_node);
   lc_heap_update (&band->backlog, &flow->backlog_node);
   band->length++;
   queue->length++;
@@ -348,13 +354,13 @@
     lb_list_remove (&queue->deferred, &entry->deferred_link);
   else
     unmark_ready (flow, entry);
-  lc_heap_remove (&flow->shed_order, &entry->shed_node);
+  lc_heap_remove (&flow->drop_order, &entry->drop_node);
   entry->flow = NULL;
   flow->band->length--;
   queue->length--;
   queue->kind_length[flow->kind]--;
-  if (flow->shed_order.length == 0)
-    flow_deactivate (flow);
+  if (flow->drop_order.length == 0)
+    flow_leave_backlog (flow);
   else
     lc_heap_update (&flow->band->backlog, &flow->backlog_node);
 }
@@ -366,9 +372,9 @@
   LcFlow *flow = entry->flow;
   Band *band = flow->band;
 
-  if (flow->start > band->virtual_time)
-    band->virtual_time = flow->start;
-  flow->start += entry->cost / flow->share;
+  if (flow->next_start > band->virtual_time)
+    band->virtual_time = flow->next_start;
+  flow->next_start += entry->cost / flow->share;
   if (lc_heap_node_is_linked (&flow->active_node))
     lc_heap_update (&band->active, &flow->active_node);
   lc_queue_remove (queue, entry);
@@ -411,16 +417,17 @@
 }
 
 static double
-relative_backlog_with_newcomer (const Band *band, const LcQueueKey *key)
+relative_backlog_with_new_request (const Band *band, const LcQueueKey *key)
 {
   const LcFlow *flow = find_flow (band, key->caller);
   double share = key->share > 0 ? key->share : 1;
 
-  return ((flow ? (double)flow->shed_order.length : 0) + 1) / share;
+  return ((flow ? (double)flow->drop_order.length : 0) + 1) / share;
 }
 
-/* Returns the request to drop for a new one: the last one of the caller that is furthest over its
- * share in the lowest band. NULL if the new request itself has the lowest value. */
+/* Returns the request to drop for a new one: in the last band that has requests, the last request
+ * of the caller with the most requests relative to its share. NULL if the new request is itself the
+ * one to drop. */
 LcQueueEntry *
 lc_queue_find_request_to_drop (const LcQueue *queue, const LcQueueKey *key)
 {
@@ -437,9 +444,10 @@
 
       LcFlow *flow = LC_HEAP_ENTRY (lc_heap_top (&band->backlog), LcFlow, backlog_node);
 
-      if (band == own_band && relative_backlog (flow) <= relative_backlog_with_newcomer (band, key))
+      if (band == own_band
+          && relative_backlog (flow) <= relative_backlog_with_new_request (band, key))
         return NULL;
-      return LC_HEAP_ENTRY (lc_heap_top (&flow->shed_order), LcQueueEntry, shed_node);
+      return LC_HEAP_ENTRY (lc_heap_top (&flow->drop_order), LcQueueEntry, drop_node);
     }
   return NULL;
 }
@@ -456,8 +464,10 @@
   return queue->kind_length[kind];
 }
 
-/* Estimates how many requests go before a new one with this key: all of the higher bands and, in
- * its own band, those that fair queueing serves before the caller's last request. */
+/* Estimates how many requests are sent before a new one with this key: all of the earlier bands
+ * and, in its own band, those that fair queueing sends before the caller's last request. The caller
+ * gets the fraction share / active of the sends, so active / share requests of the band are sent
+ * for each one of its own. */
 double
 lc_queue_estimate_ahead (const LcQueue *queue, const LcQueueKey *key)
 {
@@ -473,8 +483,8 @@
     return ahead;
 
   const LcFlow *flow = find_flow (band, key->caller);
-  double active = band->active_share + (flow && flow->shed_order.length ? 0 : share);
-  double ahead_in_band = (flow ? (double)flow->shed_order.length : 0) * active / share;
+  double active = band->backlogged_share + (flow && flow->drop_order.length ? 0 : share);
+  double ahead_in_band = (flow ? (double)flow->drop_order.length : 0) * active / share;
 
   ahead_in_band += (active - share) / share;
   return ahead + (ahead_in_band < (double)band->length ? ahead_in_band : (double)band->length);
--- a/packages/core/src/dispatch/lc-queue.h
+++ b/packages/core/src/dispatch/lc-queue.h
@@ -5,7 +5,8 @@
 #include "lc-types.h"
 
 /* The waiting requests of one pool, in bands of strict priority: live calls, then service calls,
- * then samples; within a kind by the priority of the organisation, then by the request's own.
+ * then samples; within a kind by the priority of the organisation, then, except for samples, by the
+ * request's own.
  * Within a band, callers share by start-time fair queueing: each caller's flow has a virtual start
  * time that grows by cost over share with every request sent. Within a flow, higher priority goes
  * first, then earlier latest start, then the older request. */
@@ -15,14 +16,14 @@
 /* Embedded in the request. */
 typedef struct
 {
-  LcHeapNode ready_node;
-  LcHeapNode shed_node;
-  LbLink deferred_link;
-  LcFlow *flow; /* NULL: not waiting */
-  uint64_t sequence;
-  double cost;
-  int priority;
-  LbTime latest_start; /* 0: none */
+  LcHeapNode ready_node; /* in the order of sending; not linked while deferred */
+  LcHeapNode drop_node;  /* in the order of dropping */
+  LbLink deferred_link;  /* in the list of requests skipped by lc_queue_defer */
+  LcFlow *flow;          /* NULL: not waiting */
+  uint64_t sequence;     /* order of admission; a retry keeps its number */
+  double cost;           /* charged to the caller when sent, in tokens; 1 if unknown; 0: a retry */
+  int priority;          /* larger first within a flow */
+  LbTime latest_start;   /* to finish in time; 0: none */
 } LcQueueEntry;
 
 typedef struct
@@ -30,8 +31,8 @@
   LcRequestKind kind;
   int organisation_priority;
   int priority;
-  const char *caller;
-  double share; /* weight among the callers of the kind; 0: 1 */
+  const char *caller; /* name of the flow */
+  double share;       /* weight among the callers of the kind; 0: 1 */
 } LcQueueKey;
 
 LcQueue *lc_queue_new (void);
--- a/packages/core/src/dispatch/lc-request.h
+++ b/packages/core/src/dispatch/lc-request.h
@@ -23,7 +23,7 @@
 typedef enum
 {
   LC_STATE_WAITING, /* in the queue of its pool */
-  LC_STATE_BACKOFF, /* until retry_at */
+  LC_STATE_BACKOFF, /* waits until retry_at, then is queued again */
   LC_STATE_RUNNING  /* has attempts */
 } LcRequestState;
 
@@ -36,7 +36,7 @@
   LcPoolState *pool;
   LcQueueEntry queue_entry;
   LcHeapNode timer_node;
-  LbTime timer_due; /* LB_TIME_NEVER: no timer */
+  LbTime timer_due; /* when the dispatch must act on the request; LB_TIME_NEVER: no timer */
   LbTime submitted;
   LbTime deadline;       /* of the answer */
   LbTime soft_deadline;  /* 0: none */
@@ -60,10 +60,10 @@
   int64_t prompt_tokens;
   int64_t expected_tokens;
   LcVersion min_version;
-  int64_t first_token;        /* as submitted */
-  int64_t next_token;         /* STREAM: the next one to forward */
+  int64_t first_token;        /* index of the first token that the submitter wants */
+  int64_t next_token;         /* STREAM: index of the next token to forward */
   uint32_t forwarded_attempt; /* STREAM: the attempt whose pieces are forwarded; 0: none yet */
-  uint32_t n_attempts;        /* so far; also the number of the last */
+  uint32_t n_attempts;        /* attempts sent so far; also the number of the last one */
   LbTime hedge_after;         /* 0: the dispatch's default, for live calls */
   uint32_t max_attempts;      /* 0: only the dispatch's own limit */
   uint32_t n_not_sent;        /* of n_attempts, those of which no byte was sent */
@@ -72,7 +72,7 @@
   LbErrorCode last_error;      /* error of the request if no further attempt follows */
   LbList attempts;             /* LcAttempt; the running ones */
   size_t n_prefix_hashes;
-  size_t n_avoid; /* as submitted */
+  size_t n_avoid; /* endpoints to avoid that the submitter named */
   size_t n_tried; /* endpoints that failed this request; they follow the submitted ones in avoid */
   uint64_t *prefix_hashes;
   LbName *avoid; /* n_avoid submitted ones, then n_tried */
@@ -84,7 +84,7 @@
 LcAttempt *lc_request_add_attempt (LcRequest *request, const char *endpoint, LbTime now);
 LcAttempt *lc_request_find_attempt (const LcRequest *request, uint32_t number);
 void lc_request_remove_attempt (LcRequest *request, LcAttempt *attempt);
-/* Later attempts prefer other endpoints. */
+/* Records that the endpoint failed the request; later attempts prefer other endpoints. */
 void lc_request_add_tried (LcRequest *request, const char *endpoint);
 
 LcQueueKey lc_request_queue_key (const LcRequest *request);
--- a/packages/core/src/dispatch/lc-retry.h
+++ b/packages/core/src/dispatch/lc-retry.h
@@ -18,9 +18,11 @@
 void lc_retry_budgets_spend (LcRetryBudgets *budgets, const char *name);
 
 /* queries */
+/* Whether a retry or hedge of this caller, or at this endpoint, is within its budget. */
 bool lc_retry_budgets_allow (const LcRetryBudgets *budgets, const char *name);
 size_t lc_retry_budgets_count (const LcRetryBudgets *budgets);
 
+/* Random delay before the next retry; its bound doubles with each. */
 LbTime lc_retry_delay (gsl_rng *random, uint32_t n_retries);
 
 #endif
--- a/packages/core/src/dispatch/lc-router-finish-time.c
+++ b/packages/core/src/dispatch/lc-router-finish-time.c
@@ -6,7 +6,8 @@
 #include <math.h>
 
 /* The default policy: lowest expected finish time, with a weighted random choice among the
- * endpoints that arrivals not yet reported may have levelled. See docs/design/0002-routing.md. */
+ * endpoints that unreported arrivals may have filled to the same level (see find_level). See
+ * docs/design/0002-routing.md. */
 
 #define SECONDS_PER_LB_TIME 1e-6 /* a factor: cheaper per candidate than a division */
 /* One way between data centres; taken as 0 within one. */
@@ -24,7 +25,7 @@
 #define CONNECTION_KEEP_TIME (5 * LB_SEC)
 #define SILENCE_FACTOR 3.0    /* multiple of the mean age of reports */
 #define SCORE_TOLERANCE 0.002 /* relative difference up to which scores count as equal */
-#define MIN_DRAW_WEIGHT 0.01  /* draw weight of an endpoint above the level, in requests */
+#define MIN_DRAW_WEIGHT 0.01  /* draw weight of an endpoint filled above the level, in requests */
 
 /* What is the same for all candidates of one decision. */
 typedef struct
--- a/packages/core/src/endpoints/lc-concurrency.h
+++ b/packages/core/src/endpoints/lc-concurrency.h
@@ -10,7 +10,7 @@
 {
   double limit;
   double max;                    /* concurrency that the endpoint is sized for */
-  double min_first_byte_seconds; /* without queueing */
+  double min_first_byte_seconds; /* lowest time to the first byte, taken as that without queueing */
   LbTime decreased_at;           /* 0: never */
 } LcConcurrency;
 
--- a/packages/core/src/endpoints/lc-endpoint-table.h
+++ b/packages/core/src/endpoints/lc-endpoint-table.h
@@ -23,12 +23,12 @@
   LbTime reported_at; /* or LC_NEVER_REPORTED */
   LcVersion version;
   float capacity;          /* concurrent requests that it is sized for */
-  float concurrency_limit; /* of this instance's concurrent requests */
-  float requests;          /* last report, corrected by this instance's requests since then */
-  float other_requests;    /* of other instances, in the last report */
+  float concurrency_limit; /* limit of this instance's concurrent requests */
+  float requests;          /* as last reported, corrected by this instance's requests since then */
+  float other_requests;    /* requests of other instances in the last report */
   uint32_t slot;
-  int32_t live_sent_since_report;    /* by this instance */
-  int32_t in_flight;                 /* from this instance */
+  int32_t live_sent_since_report;    /* live requests that this instance sent */
+  int32_t in_flight;                 /* this instance's requests there */
   int16_t data_centre;               /* index into LcEndpoints.data_centres */
   bool is_excluded;                  /* leaving, or no longer in the configuration */
   bool needs_full_check;             /* the entry has state that the summary does not hold */
@@ -42,7 +42,7 @@
   LcEndpoint endpoint; /* first member: lc_endpoint_entry casts it to the entry */
   uint64_t name_hash;
   int data_centre;      /* index into LcEndpoints.data_centres */
-  LbTime refused_until; /* gets no new request before; 0: never rejected one */
+  LbTime refused_until; /* rejected a request and gets no new one before; 0: never rejected one */
   bool is_retired;      /* no longer configured; kept while this instance has requests there */
   bool is_reported;
   int64_t in_flight_at_report;
@@ -66,7 +66,7 @@
 typedef struct
 {
   char key[LB_NAME_MAX + 2]; /* kind and name */
-  uint32_t *slots;
+  uint32_t *slots;           /* LcEndpoint.slot of each */
   size_t n_slots;
   size_t capacity;
   double mean_service_seconds; /* of this instance's requests; 0: none has ended yet */
@@ -84,8 +84,8 @@
   LcEndpointEntry **entries; /* contiguous, in no particular order */
   size_t n_entries;
   size_t capacity;
-  LcEndpointSummary *summaries;   /* by slot */
-  const LcEndpointCache **caches; /* by slot; NULL: free */
+  LcEndpointSummary *summaries;   /* indexed by LcEndpoint.slot */
+  const LcEndpointCache **caches; /* indexed by LcEndpoint.slot; NULL: the slot is free */
   size_t n_slots;
   LcEndpointGroup *groups;
   LbName *data_centres;
@@ -93,7 +93,7 @@
   LbTime last_event_at;       /* of any kind, such as a load report */
   LbTime reports_valid_since; /* reports measured earlier are ignored */
   int64_t n_repeated_reports; /* reports other than the first of an endpoint */
-  uint32_t last_epoch;
+  uint32_t last_epoch;        /* latest LcEndpointCache.epoch given to an endpoint */
   LcPrefixIndex *prefix_index;
 };
 
@@ -115,6 +115,7 @@
 /* Reports measured earlier are ignored; see lc_endpoints_record_event_time. */
 LbTime lc_endpoints_reports_valid_since (const LcEndpoints *endpoints, LbTime now);
 void lc_endpoints_record_event_time (LcEndpoints *endpoints, LbTime now);
+/* Writes the entry's current state to its summary. */
 void lc_endpoint_entry_publish (LcEndpointEntry *entry, LbTime now);
 void lc_endpoint_entry_reset_process (LcEndpointEntry *entry);
 void lc_endpoint_entry_invalidate_prefixes (LcEndpointEntry *entry);
--- a/packages/core/src/endpoints/lc-leaving.h
+++ b/packages/core/src/endpoints/lc-leaving.h
@@ -9,12 +9,14 @@
  * incarnation whose name is not known yet. */
 typedef struct
 {
-  uint64_t current;
+  uint64_t current;                             /* as the endpoint stated last */
   uint64_t marked[LC_MAX_LEAVING_INCARNATIONS]; /* ring buffer of incarnations marked as leaving */
   size_t n_marked;                              /* marked so far, including those overwritten */
   bool platform_listed;         /* the platform's list marks the endpoint as leaving */
   uint64_t platform_listed_for; /* current incarnation when the list first marked the endpoint */
-  bool is_ambiguous;            /* the list's mark may be meant for an earlier incarnation */
+  /* The list's mark may be meant for an earlier incarnation: the current one counts as leaving
+   * while it is listed, but gets no mark of its own, which would be final. */
+  bool is_ambiguous;
 } LcLeaving;
 
 /* commands */
--- a/packages/core/src/endpoints/lc-prefix-index.h
+++ b/packages/core/src/endpoints/lc-prefix-index.h
@@ -12,7 +12,7 @@
 /* The prefix cache of one endpoint. Index entries of an earlier epoch are invalid. */
 typedef struct
 {
-  uint32_t slot;
+  uint32_t slot; /* index of the endpoint in the endpoint table */
   uint32_t epoch;
   uint64_t last_sequence; /* of the latest cache event */
   double missed_decay;    /* grows with each missed event; confidence falls exponentially with it */
@@ -20,8 +20,8 @@
 
 typedef struct
 {
-  uint32_t slot;
-  double share; /* expected share of the prompt in the cache, 0..1 */
+  uint32_t slot; /* of the endpoint, see LcEndpointCache */
+  double share;  /* expected share of the prompt in the cache, 0..1 */
 } LcCachedShare;
 
 LcPrefixIndex *lc_prefix_index_new (void);
@@ -40,8 +40,9 @@
                                LbTime now);
 
 /* queries */
-/* prefixes: hashes of the prompt's prefixes, shortest first; caches: by slot, NULL for a free slot.
- * Fills in at most max shares, one for each pair of prefix and holder, and returns their number. */
+/* prefixes: hashes of the prompt's prefixes, shortest first; caches: indexed by slot of the
+ * endpoint, NULL for a free slot. Fills in at most max shares, one for each pair of prefix and
+ * holder, and returns their number. */
 size_t lc_prefix_index_find_shares (const LcPrefixIndex *index,
                                     const uint64_t *prefixes,
                                     size_t n_prefixes,
@@ -50,7 +51,8 @@
                                     LbTime now,
                                     LcCachedShare *shares,
                                     size_t max);
-/* The largest share of one endpoint. */
+/* Expected share of the prompt in the cache of one endpoint, 0..1: the largest over its prefixes.
+ */
 double lc_prefix_index_expected_cached_share (const LcPrefixIndex *index,
                                               const uint64_t *prefixes,
                                               size_t n_prefixes,
--- a/packages/core/src/endpoints/lc-subset.c
+++ b/packages/core/src/endpoints/lc-subset.c
@@ -143,9 +143,11 @@
   subset->n_rows_read = 0;
 }
 
-/* Rows are sorted, so all endpoints up to the bound have been counted at the first row after it. */
+/* Decides whether the next row in key order belongs to the subset, and moves the bound of its
+ * service. Rows are sorted, so all endpoints up to the bound have been counted at the first row
+ * after it. */
 static bool
-belongs_to_subset (const LcSubset *subset, Service *service, const char *key)
+admit_row (const LcSubset *subset, Service *service, const char *key)
 {
   if (subset->fits_one_page)
     return true;
@@ -174,7 +176,7 @@
     service->n_models = row->n_models;
   if (row->slots > 0)
     service->slots = row->slots;
-  if (!belongs_to_subset (subset, service, key))
+  if (!admit_row (subset, service, key))
     return false;
   subset->n_rows_needed = subset->n_rows_read;
   service->n_ready += !row->leaving;
--- a/packages/core/src/membership/lc-detector.c
+++ b/packages/core/src/membership/lc-detector.c
@@ -3,8 +3,8 @@
 #include <math.h>
 
 /* The timeout lies between two and three heartbeat periods: below two, one late heartbeat would be
- * enough to time out; above three, callers would still be sent to a dead instance after the three
- * seconds allowed. */
+ * enough to time out; above three, the address of a dead instance would still be given to callers
+ * three seconds after its death, which must not happen. */
 #define MIN_TIMEOUT_PERIODS 2
 #define MAX_TIMEOUT_PERIODS 3
 #define TIMEOUT_DEVIATIONS 4.0
--- a/packages/core/src/membership/lc-membership-private.h
+++ b/packages/core/src/membership/lc-membership-private.h
@@ -17,18 +17,18 @@
 {
   LcInstance instance;
   LbTime changed_at;              /* of state or draining */
-  LbTime epoch_learned_at;        /* sent in full form for a while afterwards */
+  LbTime epoch_learned_at;        /* for a while afterwards, its addresses are sent as well */
   LbTime last_heard_at;           /* on any connection */
   LbTime declare_dead_at;         /* while SUSPECT */
-  LbTime suspicion_ignored_until; /* after it refuted one of this instance */
-  LbTime suspicion_ignore_time;
+  LbTime suspicion_ignored_until; /* it refuted a suspicion, so this instance raises none before */
+  LbTime suspicion_ignore_time;   /* length of that interval; doubles with each refutation */
   LbTime keep_connected_until;
   LbTime next_dial_at;
-  bool is_silent; /* its connection timed out or closed, and no new one is open yet */
-  bool is_listed;
-  bool is_listed_leaving;
-  bool is_pending; /* to be sent on all connections */
-  LcLinkId source_link;
+  bool is_silent;         /* its connection timed out or closed, and no new one is open yet */
+  bool is_listed;         /* in the platform's list */
+  bool is_listed_leaving; /* marked as leaving there */
+  bool is_pending;        /* an update about it is to be sent on all connections */
+  LcLinkId source_link;   /* connection on which the pending update arrived; 0: none */
   UT_hash_handle hh;
 } LcMember;
 
@@ -55,7 +55,7 @@
 typedef struct
 {
   LbName address;
-  bool is_listed;
+  bool is_listed; /* from the platform's list */
   LbLink link;
 } LcContact;
 
--- a/packages/core/src/membership/lc-membership-updates.c
+++ b/packages/core/src/membership/lc-membership-updates.c
@@ -171,8 +171,8 @@
   lc_membership_queue_self_update (membership, now);
 }
 
-/* Completes an update in short form with the fields known for its epoch; false when they are not
- * known. */
+/* An update in short form lacks incarnation, data centre and addresses, which never change within
+ * an epoch. Completes it with those known for its epoch; false when they are not known. */
 static bool
 complete_short_form (LcInstance *update, const LcInstance *known)
 {
@@ -315,7 +315,8 @@
 }
 
 /* Writes the known instance to update if it is newer than the peer's summary; returns the number
- * written, 0 or 1. A peer that knows the same epoch gets the short form. */
+ * written, 0 or 1. A peer that knows the same epoch gets the update without incarnation, data
+ * centre and addresses. */
 static size_t
 add_if_newer (const LcInstance *known,
               const LcInstance *summary,
--- a/packages/core/src/rollout/lc-cursor.c
+++ b/packages/core/src/rollout/lc-cursor.c
@@ -37,11 +37,11 @@
 void
 lc_cursor_copy (LcCursor *target, const LcCursor *source)
 {
-  uint8_t *have = lb_memdup (source->bitmap, bitmap_size (source->n_slots));
+  uint8_t *bitmap_copy = lb_memdup (source->bitmap, bitmap_size (source->n_slots));
 
   free (target->bitmap);
   *target = *source;
-  target->bitmap = have;
+  target->bitmap = bitmap_copy;
 }
 
 void
@@ -75,7 +75,7 @@
   return true;
 }
 
-/* Big-endian; moves position behind the number. */
+/* Writes the number in big-endian order and moves position behind it. */
 static void
 append_uint (uint8_t **position, uint64_t value, int bytes)
 {
--- a/packages/core/src/rollout/lc-cursor.h
+++ b/packages/core/src/rollout/lc-cursor.h
@@ -3,9 +3,9 @@
 
 #include "lb-error.h"
 
-/* The set of a step's slots whose samples the trainer has. It is all that a new owner needs to
- * continue the step without losing or repeating a sample, and is stored as text by the trainer and
- * in the ledger. */
+/* The set of a step's slots (one for each sample) whose samples the trainer has. It is all that a
+ * new owner needs to continue the step without losing or repeating a sample, and is stored as text
+ * by the trainer and in the ledger, the step's row in the store. */
 typedef struct
 {
   uint64_t session;     /* of the owner that issued the cursor */
--- a/packages/core/src/rollout/lc-generate.c
+++ b/packages/core/src/rollout/lc-generate.c
@@ -8,7 +8,7 @@
 
 /* A scoring without an answer for this long is repeated. */
 #define SCORING_TIMEOUT (30 * LB_SEC)
-#define BYTES_PER_TOKEN 4 /* estimate for prompts */
+#define BYTES_PER_TOKEN 4 /* estimate of the tokens in a prompt */
 #define MAX_PRIORITY 10
 #define EXPLORATION_WEIGHT 2.0 /* in mean sample lengths, see scheduling_score */
 
@@ -129,7 +129,7 @@
 /* Starting requests. */
 
 static LcVersion
-min_version (LcRollouts *rollouts, const LcStep *step, double tokens)
+choose_min_version (LcRollouts *rollouts, const LcStep *step, double tokens)
 {
   const LcTrainer *trainer = lc_rollouts_find_trainer (rollouts, step->spec.subscription);
   const LcRolloutPool *pool = lc_step_pool (rollouts, step);
@@ -144,7 +144,7 @@
   return lc_staleness_min_version (&policy, lc_pace_expected_seconds (&pool->pace, tokens));
 }
 
-/* The expected length in multiples of the trainer's mean. */
+/* Returns the priority of a request: its expected length in multiples of the trainer's mean. */
 static int
 request_priority (const LcRollouts *rollouts, const LcStep *step, double tokens)
 {
@@ -174,14 +174,15 @@
   spec->prompt_tokens
       = (int64_t)strlen (lc_step_group_spec (step, slot)->prompt) / BYTES_PER_TOKEN + 1;
   spec->expected_tokens = (int64_t)tokens;
-  spec->min_version = min_version (rollouts, step, tokens);
+  spec->min_version = choose_min_version (rollouts, step, tokens);
   spec->deadline = LB_TIME_NEVER;
   spec->resume_at = job->resume_offset;
 }
 
-/* A hedge must not run on the endpoint of its original, nor a migrated sample on the slow one. */
+/* Excludes an endpoint for the request: a hedge must not run on the endpoint of its original, nor a
+ * migrated sample on the slow one. */
 static void
-avoid_endpoint (LcRequestSpec *spec, const char *endpoint)
+add_avoided_endpoint (LcRequestSpec *spec, const char *endpoint)
 {
   if (!endpoint[0])
     return;
@@ -217,10 +218,10 @@
 
   job->is_hedge = original != NULL;
   if (original)
-    avoid_endpoint (&action->spec, original->endpoint);
+    add_avoided_endpoint (&action->spec, original->endpoint);
   else
     {
-      avoid_endpoint (&action->spec, slot->avoid_endpoint);
+      add_avoided_endpoint (&action->spec, slot->avoid_endpoint);
       move_partial_to_job (slot, job);
     }
   lc_step_pool (rollouts, step)->n_running++;
--- a/packages/core/src/rollout/lc-job.h
+++ b/packages/core/src/rollout/lc-job.h
@@ -3,7 +3,7 @@
 
 #include "lc-rollouts-state.h"
 
-/* Running requests of slots. */
+/* Jobs: running requests (generations and scorings) of a step's slots. */
 
 LcJob *lc_job_new (LcRollouts *rollouts, LcStep *step, LcSlot *slot, LbTime now);
 void lc_job_free (LcRollouts *rollouts, LcJob *job);
--- a/packages/core/src/rollout/lc-ledger.h
+++ b/packages/core/src/rollout/lc-ledger.h
@@ -3,13 +3,13 @@
 
 #include "lb-error.h"
 
-/* Schedules the writes of a step's delivery state to the store: one row for each step, overwritten
- * each time, with at most one write in progress. */
+/* Schedules the writes of a step's ledger: a row in the store that records which of its samples
+ * were delivered, overwritten each time, with at most one write in progress. */
 typedef struct
 {
   uint64_t latest_change;  /* number of the latest change that the row should hold */
   uint64_t writing_change; /* latest change in the write in progress; 0: no write in progress */
-  uint64_t stored_change;  /* latest change known to be in the row, written under our session */
+  uint64_t stored_change;  /* latest change known to be in the row, written by this owner */
   uint64_t write_id;       /* of the write in progress; 0: none */
   bool urgent;             /* a delivery waits for the latest change */
   int consecutive_failures;
--- a/packages/core/src/rollout/lc-result.c
+++ b/packages/core/src/rollout/lc-result.c
@@ -153,8 +153,8 @@
     delay_retry (rollouts, step, slot, now);
 }
 
-/* Handles the end of a preempted request: its slot resumes as soon as the pool has room, with no
- * retry delay. */
+/* Handles the end of a preempted request: its slot resumes as soon as the pool has free capacity,
+ * with no retry delay. */
 static void
 finish_preempted (LcRollouts *rollouts, LcJob *job, char *text, LbTime now)
 {
--- a/packages/core/src/rollout/lc-review.c
+++ b/packages/core/src/rollout/lc-review.c
@@ -134,7 +134,8 @@
     }
 }
 
-/* Hedges only when no slot waits: until then a waiting slot makes better use of the pool's room. */
+/* Hedges only once no slot waits: a waiting slot makes better use of the pool's free capacity than
+ * a hedge. */
 void
 lc_review_step (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
 {
--- a/packages/core/src/rollout/lc-rollouts-state.h
+++ b/packages/core/src/rollout/lc-rollouts-state.h
@@ -13,7 +13,7 @@
   LbLink link;
   LbName name;
   int64_t max_running; /* limit of concurrent generations */
-  int64_t n_running;   /* generations */
+  int64_t n_running;   /* concurrent generations */
   LcVersion newest_version;
   LbTime version_interval; /* between new versions; 0: unknown */
   LcPace pace;
@@ -23,10 +23,10 @@
 {
   LbLink link;
   LcSubscription subscription;
-  int64_t max_lag;
-  int64_t n_running; /* generations */
-  LcLengthHistogram lengths;
-  bool is_configured; /* the current configuration has the subscription */
+  int64_t max_lag;           /* staleness bound of the subscription, in versions */
+  int64_t n_running;         /* concurrent generations */
+  LcLengthHistogram lengths; /* of its ended samples */
+  bool is_configured;        /* the current configuration has the subscription */
 } LcTrainer;
 
 typedef struct
@@ -45,7 +45,7 @@
   LbList pools;    /* LcRolloutPool */
   LbList trainers; /* LcTrainer; never removed, since a step may outlive its subscription */
   LbList steps;    /* LcStep, in the order in which they were opened */
-  LcJob *jobs;     /* by request */
+  LcJob *jobs;     /* hash table with the request id as key */
   LcDeferredFree deferred_free;
   LcRequestId (*next_id) (void *user);
   void *next_id_user;
--- a/packages/core/src/rollout/lc-step.h
+++ b/packages/core/src/rollout/lc-step.h
@@ -8,6 +8,7 @@
 
 #include <uthash.h>
 
+/* A step, the samples that a trainer asks for at once, with one slot for each sample. */
 typedef struct LcStep LcStep;
 
 typedef enum
@@ -38,8 +39,8 @@
   LcLabel label;
   LbTime started_at;
   LbTime first_piece_at;   /* 0: no piece yet */
-  int64_t reserved_tokens; /* of the hedge budget */
-  LbName endpoint;         /* of the latest piece */
+  int64_t reserved_tokens; /* taken from the step's hedge budget */
+  LbName endpoint;         /* sent the latest piece */
 } LcJob;
 
 /* State of one sample, which is identified by (subscription, step, group, index). */
@@ -50,10 +51,10 @@
   LcSlotState state;
   LbList jobs;
   char *text;     /* NULL: none */
-  LcLabel *label; /* of text */
+  LcLabel *label; /* versions that generated the text */
   bool has_score;
   double score;
-  bool was_sent; /* in a chunk of this session */
+  bool was_sent; /* in a chunk of this owner */
   int n_migrations;
   LbName avoid_endpoint; /* was slow with this sample; empty: none */
   int consecutive_failures;
@@ -96,14 +97,14 @@
   uint64_t session;
   LcSlot *slots;
   size_t n_slots;
-  LcGroup *groups; /* as many as in the spec */
+  LcGroup *groups; /* parallel to spec.groups */
   size_t n_in_state[LC_N_SLOT_STATES];
   LcVersion trainer_version; /* latest that the trainer stated */
 
-  LcCursor acked;
+  LcCursor acked; /* slots that the trainer has acknowledged */
   LcChunk chunk;
-  LbList waiting_pulls; /* LcWaitingPull */
-  LcLedger ledger;
+  LbList waiting_pulls;            /* LcWaitingPull */
+  LcLedger ledger;                 /* writes of acked and chunk to the store */
   uint64_t required_ledger_change; /* nothing is delivered before this change is stored */
 
   int64_t reserved_tokens; /* that running hedges may waste */
@@ -120,8 +121,9 @@
 
 /* Commands. */
 void lc_step_set_slot_state (LcStep *step, LcSlot *slot, LcSlotState state);
-/* Clears text, label and score, and sets the state to WAITING. */
+/* Discards the slot's sample and sets its state to WAITING. */
 void lc_step_reset_slot (LcStep *step, LcSlot *slot);
+/* Frees text, label and score, and keeps the state. */
 void lc_step_clear_sample (LcStep *step, LcSlot *slot);
 void lc_chunk_clear (LcChunk *chunk);
 
--- a/packages/core/src/rollout/lc-ticket.c
+++ b/packages/core/src/rollout/lc-ticket.c
@@ -262,7 +262,8 @@
   return redeem_known_ticket (tickets, ticket, content_hash, request);
 }
 
-/* Their tickets become TICKET_SPENT, so that the calls don't run again. */
+/* Frees the oldest answers until one of this length fits. Their tickets become TICKET_SPENT, so
+ * that the calls don't run again. */
 static void
 evict_oldest_answers (LcTickets *tickets, size_t answer_length)
 {
--- a/packages/core/src/usage/lc-usage-reports.c
+++ b/packages/core/src/usage/lc-usage-reports.c
@@ -11,8 +11,8 @@
 /* Once the store is available again, instances need this time to write the rows that failed, and
  * delayed writes arrive. */
 #define STORE_RECOVERY_DELAY (1500 * LB_MSEC)
-/* Windows that ended while no instance held the duty and are still reported; older ones are long
- * overdue. */
+/* Windows that ended while no instance held the duty and are still reported; older ones are not
+ * reported at all. */
 #define MAX_CATCH_UP_WINDOWS 24
 
 typedef enum
--- a/packages/core/src/weights/lc-engine-plan.c
+++ b/packages/core/src/weights/lc-engine-plan.c
@@ -11,7 +11,8 @@
 #include <uthash.h>
 #include <xxhash.h>
 
-/* Trainers submit a batch every few seconds, with very different lengths; spans several batches. */
+/* Trainers submit a batch every few seconds, with very different lengths, so the half-life spans
+ * several batches. */
 #define DEMAND_HALF_LIFE (20 * LB_SEC)
 /* Engines that one model lacks plus those that another has in excess, before the first engine is
  * moved: a constant plus a fraction of an even share. Less is noise of the text lengths, which over
@@ -304,8 +305,8 @@
 typedef struct
 {
   const char *name;
-  double share; /* number of engines by demand, at least 1 */
-  double n_engines;
+  double share;     /* number of engines by demand, at least 1 */
+  double n_engines; /* assigned to the model now */
 } Share;
 
 static size_t
@@ -373,7 +374,8 @@
       }
 }
 
-/* An entry that changes its model loses its version, which was one of the previous model. */
+/* Writes the assignment to the plan. An entry that changes its model loses its version, which was
+ * one of the previous model. */
 static bool
 update_plan (LcEnginePlan *plan, const LcPlanEntry *engines, size_t n_engines)
 {
--- a/packages/core/src/weights/lc-weights.c
+++ b/packages/core/src/weights/lc-weights.c
@@ -56,8 +56,8 @@
   LbTime newest_at;
   LbTime version_interval;
   LbTime mean_load_time; /* from an order to the report of its end */
-  double tokens;         /* of the token bucket for orders */
-  LbTime tokens_updated_at;
+  double order_tokens;   /* in the token bucket that limits the rate of orders */
+  LbTime order_tokens_updated_at;
   LbTime lease_changed_at;
   LcWeightsWaitReason wait_reason;
 };
@@ -97,7 +97,7 @@
   LcWeights *weights = LB_NEW (LcWeights);
 
   weights->settings = *settings;
-  weights->tokens = (double)settings->burst;
+  weights->order_tokens = (double)settings->burst;
   weights->mean_load_time = INITIAL_LOAD_TIME;
   weights->swap_limit = -1;
   return weights;
@@ -203,7 +203,7 @@
 void
 lc_weights_set_newest (LcWeights *weights, LcVersion version, LbTime now)
 {
-  /* Delayed answer, or answer of a lagging replica. */
+  /* A delayed answer, or one from a replica of the weight store that lags behind. */
   if (version <= weights->newest)
     return;
   if (weights->newest > 0)
@@ -285,6 +285,7 @@
     weights->mean_load_time = moving_average (weights->mean_load_time, now - engine->ordered_at);
   else
     {
+      /* Version 0 is a load without result, not one with another version. */
       lb_metric_add (&metric_unexpected_versions, engine->report.version > 0);
       record_failure (engine, now);
     }
@@ -346,7 +347,7 @@
 }
 
 /* After a failure it is not known whether the engine accepted the order: its state is unknown until
- * the next report. */
+ * a report that is requested from now on; earlier ones may not show the order yet. */
 void
 lc_weights_order_answered (LcWeights *weights, const char *name, LbErrorCode error, LbTime now)
 {
@@ -377,7 +378,7 @@
   size_t failed;          /* last load of the target failed or timed out */
   size_t reported_failed; /* reported a failed load of the target */
   size_t on_target;
-  size_t usable;
+  size_t usable; /* serve the target or the version before, which a trainer's next step accepts */
   size_t unknown;
   bool has_recently_lost_engine; /* stopped serving less than lost_engine_timeout ago */
 } PoolState;
@@ -480,12 +481,14 @@
   return a->report.running < b->report.running;
 }
 
-/* Returns the engine to order next; NULL, with the reason, if there is none. */
+/* Returns the engine to order next; NULL, with the reason, if there is none. can_order_fenced and
+ * can_order_unfenced: orders may be given now to engines that check the fencing number, and to
+ * those that do not. */
 static Engine *
 choose_engine (const LcWeights *weights,
                const PoolState *pool,
-               bool fenced,
-               bool unfenced,
+               bool can_order_fenced,
+               bool can_order_unfenced,
                LbTime now,
                LcWeightsWaitReason *reason)
 {
@@ -503,7 +506,7 @@
           *reason = LC_WEIGHTS_HALTED;
           continue;
         }
-      if (engine->member.checks_fence ? !fenced : !unfenced)
+      if (engine->member.checks_fence ? !can_order_fenced : !can_order_unfenced)
         *reason = LC_WEIGHTS_NO_LEASE;
       else if (now < engine->retry_at)
         *reason = halted ? LC_WEIGHTS_HALTED : LC_WEIGHTS_BACKOFF;
@@ -524,7 +527,7 @@
   set_state (engine, ENGINE_SWAPPING, now);
   engine->ordered_version = weights->target;
   engine->ordered_at = now;
-  weights->tokens -= 1;
+  weights->order_tokens -= 1;
   lb_metric_add (&metric_orders, 1);
   action->type = LC_WEIGHTS_ORDER_LOAD;
   LB_COPY (action->endpoint, engine->name);
@@ -534,14 +537,14 @@
 }
 
 static void
-refill_tokens (LcWeights *weights, LbTime now)
+refill_order_tokens (LcWeights *weights, LbTime now)
 {
-  double elapsed = (double)(now - weights->tokens_updated_at) / LB_SEC;
+  double elapsed = (double)(now - weights->order_tokens_updated_at) / LB_SEC;
 
-  weights->tokens += elapsed * weights->settings.orders_per_second;
-  if (weights->tokens > (double)weights->settings.burst)
-    weights->tokens = (double)weights->settings.burst;
-  weights->tokens_updated_at = now;
+  weights->order_tokens += elapsed * weights->settings.orders_per_second;
+  if (weights->order_tokens > (double)weights->settings.burst)
+    weights->order_tokens = (double)weights->settings.burst;
+  weights->order_tokens_updated_at = now;
 }
 
 void
@@ -551,12 +554,13 @@
 }
 
 void
-lc_weights_tick (LcWeights *weights, bool fenced, bool unfenced, LbTime now, LbList *actions)
+lc_weights_tick (
+    LcWeights *weights, bool can_order_fenced, bool can_order_unfenced, LbTime now, LbList *actions)
 {
   PoolState pool;
   Engine *engine;
 
-  refill_tokens (weights, now);
+  refill_order_tokens (weights, now);
   for (engine = weights->engines; engine; engine = engine->hh.next)
     check_report_age (weights, engine, now);
   weights->wait_reason = LC_WEIGHTS_IDLE;
@@ -565,7 +569,8 @@
   for (;;)
     {
       compute_pool_state (weights, now, &pool);
-      engine = choose_engine (weights, &pool, fenced, unfenced, now, &weights->wait_reason);
+      engine = choose_engine (weights, &pool, can_order_fenced, can_order_unfenced, now,
+                              &weights->wait_reason);
       if (!engine)
         return;
       bool halted = is_halted (weights, &pool);
@@ -574,7 +579,7 @@
           weights->wait_reason = halted ? LC_WEIGHTS_HALTED : LC_WEIGHTS_IN_PROGRESS;
           return;
         }
-      if (weights->tokens < 1)
+      if (weights->order_tokens < 1)
         {
           weights->wait_reason = LC_WEIGHTS_RATE_LIMITED;
           return;
--- a/packages/core/tests/test-config.c
+++ b/packages/core/tests/test-config.c
@@ -277,13 +277,13 @@
 }
 
 static void
-receive_intent (const char *from, int64_t intent)
+receive_announced_change (const char *from, int64_t announced_change)
 {
   receive (from, (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_QUERY,
                                     .revision = 4,
                                     .asked_at = now,
                                     .age = -1,
-                                    .intent = intent });
+                                    .announced_change = announced_change });
 }
 
 /* Runs for some seconds without the store; i2 and i3 answer, i4 only if i4_answers. */
@@ -307,13 +307,13 @@
 {
   update_members (3, 3);
   make_ready (4);
-  receive_intent ("i4", 1);
+  receive_announced_change ("i4", 1);
   run_without_store (5, false);
   cr_assert (lc_config_is_ready (config));
   run_without_store (20, false);
   cr_assert_not (lc_config_is_ready (config));
   drop_actions ();
-  receive_intent ("i2", 0);
+  receive_announced_change ("i2", 0);
   LcConfigAction *answer = LB_LIST_FIRST (&actions, LcConfigAction, link);
   cr_assert_not (answer->message.confirmed, "a revision in doubt must not confirm others");
   read_store (5);
@@ -328,7 +328,7 @@
 {
   update_members (3, 3);
   make_ready (4);
-  receive_intent ("i4", 1);
+  receive_announced_change ("i4", 1);
   run_without_store (60, true);
 
   cr_assert (lc_config_is_ready (config));
@@ -339,12 +339,12 @@
 {
   update_members (3, 3);
   make_ready (4);
-  receive_intent ("i4", 1);
+  receive_announced_change ("i4", 1);
   receive ("i4", (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_STATUS,
                                     .revision = 4,
                                     .age = -1,
                                     .confirmed = true,
-                                    .intent = 1 });
+                                    .announced_change = 1 });
   run_without_store (60, false);
 
   cr_assert (lc_config_is_ready (config));
@@ -356,13 +356,14 @@
 {
   update_members (3, 3);
   make_ready (4);
-  receive_intent ("i4", 1);
+  receive_announced_change ("i4", 1);
   receive_snapshot ("i2", 5);
   run_without_store (60, false);
   cr_assert (lc_config_is_ready (config), "settled by a newer revision");
 
-  receive ("i4", (LcConfigMessage){
-                     .type = LC_CONFIG_MESSAGE_QUERY, .revision = 5, .age = -1, .intent = 2 });
+  receive ("i4",
+           (LcConfigMessage){
+               .type = LC_CONFIG_MESSAGE_QUERY, .revision = 5, .age = -1, .announced_change = 2 });
   now += 12 * LB_SEC;
   read_store (5);
   run_without_store (60, false);
--- a/packages/core/tests/test-lease.c
+++ b/packages/core/tests/test-lease.c
@@ -130,7 +130,7 @@
 }
 
 static void
-apply (Operation *operation)
+apply_to_store (Operation *operation)
 {
   operation->is_applied = true;
   if (is_store_down || holders[operation->holder].is_cut_off)
@@ -184,7 +184,7 @@
       if (operation->holder < 0)
         continue;
       if (!operation->is_applied && now >= operation->apply_at)
-        apply (operation);
+        apply_to_store (operation);
       if (operation->is_applied && now >= operation->reply_at
           && now >= holders[operation->holder].paused_until)
         reply (operation);
--- a/packages/core/tests/test-rollouts-once.c
+++ b/packages/core/tests/test-rollouts-once.c
@@ -3,7 +3,8 @@
 static const LcSubscription plain = { .share = 1, .idle_weight = 1, .hedge_budget = 0.5 };
 static const LcSubscription strict = { .share = 1, .idle_weight = 1, .strict = true };
 
-/* A second instance that takes the step over with the first one's ledger row. */
+/* A second instance that takes the step over, starting from the first one's row in the store, which
+ * records the slots that were delivered. */
 static Owner *
 new_successor (const Owner *first, uint64_t session)
 {
