--- a/packages/core/include/lc-admission.h
+++ b/packages/core/include/lc-admission.h
@@ -31,12 +31,12 @@
 
 typedef struct
 {
-  LbErrorCode error;           /* LB_OK: admitted */
-  const char *reason;          /* for the log and the caller; NULL if admitted */
-  LbTime retry_after;          /* 0: retrying is useless */
+  LbErrorCode error;  /* LB_OK: admitted */
+  const char *reason; /* reason of a refusal, for the log and the caller; NULL if admitted */
+  LbTime retry_after; /* 0: retrying is useless */
   LcOrganisation organisation; /* the key's holder; an empty name: none */
   bool has_digest;
-  LcKeyDigest digest; /* of the key */
+  LcKeyDigest digest; /* digest of the call's key */
 } LcAdmission;
 
 void lc_admission_decide (const LcAdmissionRules *rules,
--- a/packages/core/include/lc-batch-head.h
+++ b/packages/core/include/lc-batch-head.h
@@ -21,9 +21,9 @@
   /* Instance that should take the batch over from the one that accepted it. One instance runs all
    * batches of a model, so that it keeps its connections to the engines. */
   LbName preferred_instance;
-  LbName organisation;           /* that the batch belongs to; empty: none */
-  int64_t organisation_priority; /* at the time of acceptance; larger first */
-  LbName host;                   /* of the batch's route */
+  LbName organisation;           /* the batch belongs to it; empty: none */
+  int64_t organisation_priority; /* its priority when the batch was accepted; larger first */
+  LbName host;                   /* host of the batch's route */
   char path[128];
 } LcBatchHead;
 
--- a/packages/core/include/lc-batch.h
+++ b/packages/core/include/lc-batch.h
@@ -26,7 +26,7 @@
 {
   LbName id;
   LbName model;
-  LbName organisation; /* that the batch belongs to; empty: none */
+  LbName organisation; /* the batch belongs to it; empty: none */
   int64_t step;
   LcVersion min_version; /* oldest weights that may generate any part of a text */
   int64_t target_groups; /* complete groups that the trainer waits for */
@@ -45,7 +45,7 @@
   bool completed; /* false: the item was abandoned */
   char *text;
   char *score;
-  LcVersion versions[LC_MAX_RESULT_VERSIONS]; /* that generated the text */
+  LcVersion versions[LC_MAX_RESULT_VERSIONS]; /* weight versions that generated the text */
   size_t n_versions;
 } LcBatchResult;
 
@@ -111,8 +111,8 @@
   LcBatchHistory *history;    /* not owned */
   LcTextCache *text_cache;    /* not owned; NULL: texts of earlier batches are not reused */
   int64_t tokens_per_event;   /* 0: not known */
-  int64_t max_failures;       /* of an item at engines; it is then abandoned */
-  int64_t max_score_failures; /* the same for the scorer */
+  int64_t max_failures;       /* failures at engines after which an item is abandoned */
+  int64_t max_score_failures; /* the same for failures of the scorer */
   bool resumable;             /* another endpoint can continue a text */
   bool single_version;        /* one version must generate the whole text */
   LbTime due_at;              /* when the trainer wants the batch */
--- a/packages/core/include/lc-desired.h
+++ b/packages/core/include/lc-desired.h
@@ -27,7 +27,7 @@
 {
   LbName name;
   LbName host;
-  char prefix[128]; /* of the path */
+  char prefix[128]; /* prefix of the paths that the route serves */
   LcRouteKind kind;
   LbTime timeout;       /* longest wait of a caller; 0: only the deadline of the call */
   LbTime latency_goal;  /* answers within it have the highest value */
@@ -54,7 +54,7 @@
 typedef struct
 {
   int64_t min;       /* in each data centre, spot and regular endpoints together */
-  int64_t max;       /* as min; 0: none may be ordered */
+  int64_t max;       /* counted like min; 0: none may be ordered */
   double spot_price; /* relative to regular endpoints; 0: there are no spot endpoints */
   LcDataCentrePrice prices[LC_MAX_DATA_CENTRES];
   size_t n_prices;
@@ -64,7 +64,7 @@
 {
   LbName name;
   LcScalingLimits scaling;
-  int64_t max_connections;  /* to one endpoint, of all instances together */
+  int64_t max_connections;  /* connections to one endpoint, of all instances together */
   int64_t tokens_per_event; /* of an engine's stream; 0: not known or a plain service */
 } LcService;
 
--- a/packages/core/include/lc-dispatch.h
+++ b/packages/core/include/lc-dispatch.h
@@ -38,7 +38,7 @@
   LbTime latest_start;
   LbTime soft_deadline; /* desired completion time of the whole answer; 0: none */
   int64_t prompt_tokens;
-  int64_t expected_tokens; /* of the answer; 0: not known */
+  int64_t expected_tokens; /* expected length of the answer; 0: not known */
   uint64_t prefix_hashes[LC_MAX_PREFIX_HASHES];
   size_t n_prefix_hashes;
   LcVersion min_version; /* oldest acceptable weights; 0: any */
--- a/packages/core/include/lc-endpoints.h
+++ b/packages/core/include/lc-endpoints.h
@@ -11,7 +11,7 @@
   LcVersion version; /* of the weights being served; 0: a swap is in progress or has failed */
   int64_t running;   /* requests */
   int64_t waiting;
-  double tokens_per_second; /* of one stream at the present load; 0: unknown */
+  double tokens_per_second; /* rate of one stream at the present load; 0: unknown */
   double kv_used;           /* share of the KV cache in use, 0..1 */
   LbTime measured_at;       /* converted to this instance's clock */
   bool is_from_registry;    /* read from the store, not sent by the endpoint */
--- a/packages/core/include/lc-fleet.h
+++ b/packages/core/include/lc-fleet.h
@@ -31,7 +31,7 @@
 typedef struct
 {
   LcFleetRow row;
-  int64_t version;        /* of the row in the store */
+  int64_t version;        /* the store's version of the row */
   LbTime version_seen_at; /* local time; 0: before this instance's first list */
   bool alive;
   bool fresh; /* no renewal missed, as of the last list */
@@ -50,7 +50,7 @@
 typedef struct
 {
   LbTime received_at;
-  LbTime round_trip; /* from request to answer */
+  LbTime round_trip; /* time from request to answer */
   int64_t store_ms;  /* store's clock at the listing; 0: unknown */
   LbTime period;     /* between two listings */
 } LcFleetList;
--- a/packages/core/include/lc-lease.h
+++ b/packages/core/include/lc-lease.h
@@ -37,14 +37,14 @@
   LbLink link;
   LcLeaseActionType type;
   LcLeaseRow row;
-  int64_t expected_version; /* of WRITE; 0: the row must be absent */
+  int64_t expected_version; /* WRITE: version that the stored row must have; 0: absent */
 } LcLeaseAction;
 
 typedef struct
 {
   LbName instance;
   char incarnation[40];
-  LbTime duration;             /* of the lease, from its last renewal */
+  LbTime duration;             /* how long the lease is valid after its last renewal */
   LbTime poll_period;          /* between reads of holder and candidates; a holder renews at each */
   LbTime observer_poll_period; /* between reads of an instance that is not a candidate */
   LbTime order_lifetime;       /* longest time that an order may be in transit */
@@ -84,7 +84,7 @@
 typedef struct
 {
   const char *incarnation;
-  int64_t row_version;        /* of its instance row */
+  int64_t row_version;        /* store version of its instance row */
   bool alive;                 /* it still renews its row */
   bool endpoints_check_fence; /* every endpoint refuses orders with an old fencing number */
 } LcLeaseHolderView;
--- a/packages/core/include/lc-load-time.h
+++ b/packages/core/include/lc-load-time.h
@@ -18,9 +18,9 @@
 void lc_load_time_add_sample (LcLoadTime *load, LbTime time);
 
 /* queries */
-/* From the order to the first poll. */
+/* Time from the order to the first poll. */
 LbTime lc_load_time_first_poll_delay (const LcLoadTime *load);
-/* Between further polls. */
+/* Time between further polls. */
 LbTime lc_load_time_poll_interval (const LcLoadTime *load);
 
 #endif
--- a/packages/core/include/lc-membership.h
+++ b/packages/core/include/lc-membership.h
@@ -19,7 +19,7 @@
   LbTime heartbeat_period; /* between heartbeats on a connection */
   size_t n_rings;          /* number of peers that each instance watches */
   LbTime dial_timeout;
-  LbTime suspicion_timeout; /* from suspicion until the member is declared dead */
+  LbTime suspicion_timeout; /* time from suspicion until the member is declared dead */
   uint64_t random_seed;
 } LcMembershipSettings;
 
--- a/packages/core/include/lc-outgoing.h
+++ b/packages/core/include/lc-outgoing.h
@@ -13,7 +13,7 @@
 /* A request that is forwarded as its caller sent it; all strings are owned. */
 typedef struct
 {
-  LbName id; /* of the request, chosen by its caller */
+  LbName id; /* id of the request, chosen by its caller */
   char *method;
   char *host;
   char *path; /* including the query */
--- a/packages/core/include/lc-rollouts.h
+++ b/packages/core/include/lc-rollouts.h
@@ -55,7 +55,7 @@
   uint64_t id; /* chosen by the node; the reply carries it */
   LbName subscription;
   int64_t step;
-  const char *cursor;        /* from the last reply; "" at the start of a step */
+  const char *cursor;        /* cursor of the last reply; "" at the start of a step */
   LcVersion trainer_version; /* current version; staleness is counted from it */
   int64_t max_samples;
   LbTime wait_until; /* answer without samples at this time */
@@ -80,14 +80,14 @@
   /* GENERATE, SCORE, CANCEL, PREEMPT */
   LcRequestSpec spec; /* spec.id is the request's id */
   const char *group;  /* owned by the step; valid until the next command */
-  int64_t index;      /* of the sample in its group */
+  int64_t index;      /* number of the sample in its group */
   const char *prompt; /* owned by the step; valid until the next command */
   int64_t max_tokens;
   char *resume_text; /* owned; text to resume after; NULL: start from the beginning */
   LbName scorer;
   const char *text; /* SCORE: text of the sample */
   /* WRITE_LEDGER */
-  uint64_t write_id; /* for lc_rollouts_finish_ledger_write */
+  uint64_t write_id; /* to be passed to lc_rollouts_finish_ledger_write */
   char *row_key;     /* owned */
   char *row_value;   /* owned */
   uint64_t session;
@@ -166,7 +166,7 @@
                                  LbTime now,
                                  LbList *actions,
                                  LbError *error);
-/* The same without samples of the earlier owner. */
+/* The same as lc_rollouts_take_over_step, without samples of the earlier owner. */
 bool lc_rollouts_recover_step (LcRollouts *rollouts,
                                LcStepSpec *spec,
                                uint64_t session,
@@ -182,7 +182,7 @@
                              LbTime now,
                              LbList *actions);
 void lc_rollouts_pull (LcRollouts *rollouts, const LcPull *pull, LbTime now, LbList *actions);
-/* For a closed connection; the chunk stays available for a repeat of the pull. */
+/* Drops the pull of a closed connection; the chunk stays available for a repeat of the pull. */
 void lc_rollouts_cancel_pull (LcRollouts *rollouts, uint64_t pull_id);
 /* Receives the next piece of a generation. */
 void lc_rollouts_add_piece (LcRollouts *rollouts,
--- a/packages/core/include/lc-router.h
+++ b/packages/core/include/lc-router.h
@@ -10,8 +10,8 @@
 {
   LcRequestKind kind;
   const char *pool;              /* pool or service name */
-  const char *data_centre;       /* of this instance */
-  const uint64_t *prefix_hashes; /* of the prompt's blocks, longest last */
+  const char *data_centre;       /* data centre of this instance */
+  const uint64_t *prefix_hashes; /* hashes of the prompt's prefixes, longest last */
   size_t n_prefix_hashes;
   int64_t prompt_tokens;
   int64_t expected_tokens;
--- a/packages/core/include/lc-scaling.h
+++ b/packages/core/include/lc-scaling.h
@@ -17,7 +17,7 @@
 /* A trainer submitted a batch of n_generations for the model. */
 void
 lc_scaling_add_demand (LcScaling *scaling, const char *model, int64_t n_generations, LbTime now);
-/* For a new lease holder, which does not know the orders of earlier holders: all are given
+/* Called by a new lease holder, which does not know the orders of earlier holders: all are given
  * again. */
 void lc_scaling_forget_orders (LcScaling *scaling);
 
--- a/packages/core/include/lc-usage-reports.h
+++ b/packages/core/include/lc-usage-reports.h
@@ -12,9 +12,10 @@
 typedef struct
 {
   int64_t window_ms;
-  /* From the end of a window until its rows are considered complete, if the store is available. */
+  /* Time from the end of a window until its rows are considered complete, if the store is
+   * available. */
   int64_t settle_delay_ms;
-  /* From the end of a window until it is reported from whatever rows there are. */
+  /* Time from the end of a window until it is reported from whatever rows there are. */
   int64_t max_delay_ms;
 } LcUsageReportSettings;
 
--- a/packages/core/include/lc-weights.h
+++ b/packages/core/include/lc-weights.h
@@ -92,7 +92,7 @@
   LC_WEIGHTS_IDLE,          /* nothing to do */
   LC_WEIGHTS_IN_PROGRESS,   /* swaps are in progress */
   LC_WEIGHTS_NO_LEASE,      /* orders may not be given now */
-  LC_WEIGHTS_RATE_LIMITED,  /* by the weight store */
+  LC_WEIGHTS_RATE_LIMITED,  /* waits for the rate limit of the weight store */
   LC_WEIGHTS_CAPACITY,      /* another swap would reduce live capacity below the reserve */
   LC_WEIGHTS_STATE_UNKNOWN, /* engines have not reported their state */
   LC_WEIGHTS_BACKOFF,       /* loads failed and are retried later */
--- a/packages/core/src/batch/lc-batch-item.c
+++ b/packages/core/src/batch/lc-batch-item.c
@@ -7,7 +7,7 @@
 
 #define FIRST_RETRY_DELAY (50 * LB_MSEC) /* before the first retry; doubles each time */
 #define MAX_RETRY_DELAY (800 * LB_MSEC)
-/* Of a text without an estimated length. */
+/* Length assumed for a text without an estimate. */
 #define DEFAULT_TEXT_EVENTS 8
 /* Estimates are right at the median but often far off: a text always counts as having at least one
  * such part of its estimated length left. */
--- a/packages/core/src/batch/lc-batch-item.h
+++ b/packages/core/src/batch/lc-batch-item.h
@@ -25,7 +25,7 @@
   int64_t failures; /* generation requests that ended with LB_ERROR_ENDPOINT_FAILED */
   int64_t score_failures;
   int retries;      /* since the last progress */
-  int64_t n_events; /* of the text so far */
+  int64_t n_events; /* events of the text so far */
   size_t text_length;
   size_t text_capacity;
   int64_t restarts;        /* one more each time that the text restarts from its first event */
@@ -37,17 +37,17 @@
   size_t saving_length;
   int64_t known_events;   /* events that the text had in an earlier batch; 0: not known */
   bool known_is_complete; /* the text of the earlier batch was complete */
-  LbTime started_at;      /* of the current request */
-  LbTime first_piece_at;  /* of the current request; 0: none yet */
-  LbTime last_piece_at;   /* of the current request */
+  LbTime started_at;      /* start of the current request */
+  LbTime first_piece_at;  /* first piece of the current request; 0: none yet */
+  LbTime last_piece_at;   /* last piece of the current request */
   LbTime listed_at;
-  LcStreamPace pace;      /* of the current request */
+  LcStreamPace pace;      /* pace of the current request's stream */
   int64_t request_events; /* events that the current request has produced */
   LbName last_endpoint;   /* sent the last piece */
   LbName avoid_endpoint;  /* the item was last moved away from it; empty: none */
   int n_moves;
-  bool is_preempted;
-  bool is_unusable; /* a version is unknown or too old, or there are too many: the text restarts */
+  bool is_preempted; /* the current request must stop: the item moves to another endpoint */
+  bool is_unusable;  /* a version is unknown or too old, or there are too many: the text restarts */
   LcBatchResult result;
 } LcBatchItem;
 
--- a/packages/core/src/batch/lc-batch-write.c
+++ b/packages/core/src/batch/lc-batch-write.c
@@ -7,8 +7,8 @@
 #include <string.h>
 
 #define WRITE_RETRY_DELAY (100 * LB_MSEC)
-/* Of listed texts kept for a later batch that asks for their groups again: four times the texts of
- * a step of 2,048 samples of 2 KB. */
+/* Limit for listed texts kept for a later batch that asks for their groups again: four times the
+ * texts of a step of 2,048 samples of 2 KB. */
 #define MAX_RETAINED_BYTES ((size_t)(16 << 20))
 
 /* Writes one list of results at a time, with all that became ready meanwhile. The first write that
--- a/packages/core/src/batch/lc-batch.c
+++ b/packages/core/src/batch/lc-batch.c
@@ -15,8 +15,8 @@
 
 /* Pace of a usual engine, until that of the model is known. */
 #define DEFAULT_EVENT_SECONDS 0.05
-/* Between checkpoints: bounds the events that are lost with an owner, beside those of a write in
- * progress. Costs four writes a second for each running step. */
+/* Time between checkpoints: bounds the events that are lost with an owner, beside those of a write
+ * in progress. Costs four writes a second for each running step. */
 #define CHECKPOINT_PERIOD (250 * LB_MSEC)
 /* A transaction of the store takes 100 entries, of which two may be for the batch's own row. */
 #define MAX_PARTS_PER_CHECKPOINT 90
--- a/packages/core/src/batch/lc-straggler.c
+++ b/packages/core/src/batch/lc-straggler.c
@@ -8,7 +8,7 @@
 /* Weight of the trainer's mean length against the samples of the group. */
 #define PRIOR_SAMPLES 1.0
 #define PACE_SMOOTHING 0.1
-/* With fewer ended samples no prediction is made. */
+/* Ended samples that a prediction needs at least. */
 #define MIN_HISTORY_SAMPLES 8
 /* A sample without a first piece counts as stuck after this time plus so many mean waits. A shorter
  * delay may only mean that it waits for a slot. */
--- a/packages/core/src/batch/lc-straggler.h
+++ b/packages/core/src/batch/lc-straggler.h
@@ -29,7 +29,7 @@
 typedef struct
 {
   double tokens_per_second; /* 0: not known yet */
-  double wait_seconds;      /* from submission to the first piece */
+  double wait_seconds;      /* time from submission to the first piece */
 } LcPace;
 
 typedef struct
--- a/packages/core/src/config/lc-config-private.h
+++ b/packages/core/src/config/lc-config-private.h
@@ -27,7 +27,7 @@
   LbTime answered_query_at; /* send time of the latest query that it answered; 0: none */
   LbTime fetched_at;        /* time of the latest FETCH sent to it */
   int64_t announced_change; /* number of its announced change with an unknown outcome; 0: none */
-  int64_t announced_base_revision; /* that was active there when it announced the change */
+  int64_t announced_base_revision; /* revision active there when it announced the change */
   LbTime announced_at;
   UT_hash_handle hh;
 } LcConfigPeer;
@@ -42,7 +42,7 @@
   bool ready;
   LbTime started_at;
   LbTime store_confirmed_at; /* latest known confirmation by the store, own clock; -1: none */
-  LbTime next_poll_at;       /* of the head row */
+  LbTime next_poll_at;       /* next read of the head row */
   LbTime next_query_at;
   int64_t announced_change; /* number of the last change that this instance announced */
   int64_t settled_change;   /* number of the last one with a known outcome */
--- a/packages/core/src/config/lc-config.c
+++ b/packages/core/src/config/lc-config.c
@@ -238,7 +238,7 @@
   update_readiness (config, now, actions);
 }
 
-/* For an instance that the platform reports as permanently removed. */
+/* Called for an instance that the platform reports as permanently removed. */
 void
 lc_config_remove_instance (LcConfig *config, const char *instance)
 {
--- a/packages/core/src/dispatch/lc-queue.h
+++ b/packages/core/src/dispatch/lc-queue.h
@@ -16,14 +16,14 @@
 /* Embedded in the request. */
 typedef struct
 {
-  LcHeapNode ready_node; /* in the order of sending; not linked while deferred */
-  LcHeapNode drop_node;  /* in the order of dropping */
-  LbLink deferred_link;  /* in the list of requests skipped by lc_queue_defer */
+  LcHeapNode ready_node; /* node in the order of sending; not linked while deferred */
+  LcHeapNode drop_node;  /* node in the order of dropping */
+  LbLink deferred_link;  /* link in the list of requests skipped by lc_queue_defer */
   LcFlow *flow;          /* NULL: not waiting */
   uint64_t sequence;     /* order of admission; a retry keeps its number */
   double cost;           /* charged to the caller when sent, in tokens; 1 if unknown; 0: a retry */
   int priority;          /* larger first within a flow */
-  LbTime latest_start;   /* to finish in time; 0: none */
+  LbTime latest_start;   /* latest start to finish in time; 0: none */
 } LcQueueEntry;
 
 typedef struct
--- a/packages/core/src/dispatch/lc-request.h
+++ b/packages/core/src/dispatch/lc-request.h
@@ -38,7 +38,7 @@
   LcHeapNode timer_node;
   LbTime timer_due; /* when the dispatch must act on the request; LB_TIME_NEVER: no timer */
   LbTime submitted;
-  LbTime deadline;       /* of the answer */
+  LbTime deadline;       /* latest end of the answer */
   LbTime soft_deadline;  /* 0: none */
   LbTime start_deadline; /* latest start of the first attempt; not after the deadline */
   LbTime retry_at;
@@ -66,7 +66,7 @@
   uint32_t n_attempts;        /* attempts sent so far; also the number of the last one */
   LbTime hedge_after;         /* 0: the dispatch's default, for live calls */
   uint32_t max_attempts;      /* 0: only the dispatch's own limit */
-  uint32_t n_not_sent;        /* of n_attempts, those of which no byte was sent */
+  uint32_t n_not_sent;        /* those of n_attempts of which no byte was sent */
   uint32_t n_retries;
   uint32_t n_consecutive_lost; /* consecutive attempts that may have run and returned nothing */
   LbErrorCode last_error;      /* error of the request if no further attempt follows */
--- a/packages/core/src/dispatch/lc-router-finish-time.c
+++ b/packages/core/src/dispatch/lc-router-finish-time.c
@@ -17,7 +17,7 @@
 #define PREFILL_TOKENS_PER_SECOND 8000.0
 #define PREFILL_SLOWDOWN 0.5 /* part of its duration by which it delays each concurrent request */
 #define PRIOR_SENT 0.02      /* added to the requests sent to each endpoint, which may be 0 */
-#define PREFIX_BOUND_EWMA_WEIGHT 0.02 /* of one decision in the group's prefix_bound_share */
+#define PREFIX_BOUND_EWMA_WEIGHT 0.02 /* weight of one decision in prefix_bound_share */
 #define MIN_SILENCE_SECONDS 2.0
 /* Opening a connection to a plain service: a round trip and the endpoint's own work. */
 #define CONNECT_SECONDS 0.003
--- a/packages/core/src/dispatch/lc-router-prefix-affinity.c
+++ b/packages/core/src/dispatch/lc-router-prefix-affinity.c
@@ -1,6 +1,6 @@
 #include "lc-policies.h"
 
-/* Baseline: the endpoint believed to have cached most of the prompt, regardless of load. If none
+/* Baseline: the endpoint expected to have cached most of the prompt, regardless of load. If none
  * has any of it, rendezvous hashing of the prompt's first block makes all instances agree. */
 static size_t
 pick (LcPolicy *policy, LcEndpoints *endpoints, const LcRouteQuery *query, LbTime now)
--- a/packages/core/src/endpoints/lc-batch-cost.c
+++ b/packages/core/src/endpoints/lc-batch-cost.c
@@ -6,7 +6,7 @@
 /* Variance of the fill at which the prior and the reports weigh the same: reports with nearly equal
  * fill hold little information on the slope. */
 #define PRIOR_VARIANCE 0.002
-#define MIN_WEIGHT 0.005 /* of a new report in the means */
+#define MIN_WEIGHT 0.005 /* least weight of a new report in the means */
 #define MIN_SLOWDOWN 0.05
 #define MAX_SLOWDOWN 5.0
 
--- a/packages/core/src/endpoints/lc-endpoint-table.h
+++ b/packages/core/src/endpoints/lc-endpoint-table.h
@@ -44,11 +44,11 @@
   int data_centre;      /* index into LcEndpoints.data_centres */
   LbTime refused_until; /* rejected a request and gets no new one before; 0: never rejected one */
   bool is_retired;      /* no longer configured; kept while this instance has requests there */
-  bool is_reported;
-  int64_t in_flight_at_report;
+  bool is_reported;     /* has sent a load report */
+  int64_t in_flight_at_report; /* this instance's requests that the last report includes */
   int64_t live_sent_since_report;
   double single_stream_token_seconds;
-  LcStreamPace stream_pace; /* of this instance's streams there */
+  LcStreamPace stream_pace; /* pace of this instance's streams there */
   LbTime stream_pace_at;    /* when a stream last updated it; 0: never */
   LbTime swap_started_at;
   LcVersion version_before_swap;
@@ -69,7 +69,7 @@
   uint32_t *slots;           /* LcEndpoint.slot of each */
   size_t n_slots;
   size_t capacity;
-  double mean_service_seconds; /* of this instance's requests; 0: none has ended yet */
+  double mean_service_seconds; /* duration of this instance's requests; 0: none has ended yet */
   LcBatchCost batch_cost;
   double batch_slowdown;        /* lc_batch_cost_slowdown of batch_cost */
   LbTime next_pace_review_at;   /* when outdated paces are discarded next */
@@ -90,7 +90,7 @@
   LcEndpointGroup *groups;
   LbName *data_centres;
   int n_data_centres;
-  LbTime last_event_at;       /* of any kind, such as a load report */
+  LbTime last_event_at;       /* time of the last event of any kind, such as a load report */
   LbTime reports_valid_since; /* reports measured earlier are ignored */
   int64_t n_repeated_reports; /* reports other than the first of an endpoint */
   uint32_t last_epoch;        /* latest LcEndpointCache.epoch given to an endpoint */
--- a/packages/core/src/endpoints/lc-in-flight-history.c
+++ b/packages/core/src/endpoints/lc-in-flight-history.c
@@ -23,7 +23,7 @@
   return &history->changes[i % LC_IN_FLIGHT_HISTORY_LENGTH];
 }
 
-/* For times before the oldest change that is kept, returns the count before that change. */
+/* For a time before the oldest change that is kept, returns the count before that change. */
 int64_t
 lc_in_flight_history_count_at (const LcInFlightHistory *history, LbTime at)
 {
--- a/packages/core/src/endpoints/lc-leaving.h
+++ b/packages/core/src/endpoints/lc-leaving.h
@@ -9,7 +9,7 @@
  * incarnation whose name is not known yet. */
 typedef struct
 {
-  uint64_t current;                             /* as the endpoint stated last */
+  uint64_t current;                             /* the one that the endpoint stated last */
   uint64_t marked[LC_MAX_LEAVING_INCARNATIONS]; /* ring buffer of incarnations marked as leaving */
   size_t n_marked;                              /* marked so far, including those overwritten */
   bool platform_listed;         /* the platform's list marks the endpoint as leaving */
--- a/packages/core/src/endpoints/lc-prefix-index.c
+++ b/packages/core/src/endpoints/lc-prefix-index.c
@@ -8,7 +8,7 @@
 
 #define MAX_PREFIXES 65536
 #define MAX_HOLDERS 16
-/* Of a prefix known only from a request sent there: the engine may not have kept it. */
+/* Confidence in a prefix known only from a request sent there: the engine may not have kept it. */
 #define SENT_CONFIDENCE 0.95
 #define HALF_LIFE_SECONDS 300.0
 /* Every other event evicts one of about a hundred prefixes. */
@@ -17,10 +17,10 @@
 typedef struct
 {
   LbTime at;
-  float missed_decay; /* of the endpoint's cache when the holder was added */
+  float missed_decay; /* LcEndpointCache.missed_decay when the holder was added */
   uint32_t slot;
   uint32_t epoch;
-  bool is_confirmed; /* by a cache event */
+  bool is_confirmed; /* confirmed by a cache event */
 } Holder;
 
 typedef struct
--- a/packages/core/src/endpoints/lc-prefix-index.h
+++ b/packages/core/src/endpoints/lc-prefix-index.h
@@ -14,13 +14,13 @@
 {
   uint32_t slot; /* index of the endpoint in the endpoint table */
   uint32_t epoch;
-  uint64_t last_sequence; /* of the latest cache event */
+  uint64_t last_sequence; /* sequence number of the latest cache event */
   double missed_decay;    /* grows with each missed event; confidence falls exponentially with it */
 } LcEndpointCache;
 
 typedef struct
 {
-  uint32_t slot; /* of the endpoint, see LcEndpointCache */
+  uint32_t slot; /* index of the endpoint, see LcEndpointCache */
   double share;  /* expected share of the prompt in the cache, 0..1 */
 } LcCachedShare;
 
--- a/packages/core/src/endpoints/lc-scaling.c
+++ b/packages/core/src/endpoints/lc-scaling.c
@@ -9,8 +9,8 @@
 /* A model without a batch for this time is no longer trained; several times the period of its
  * steps. */
 #define DEMAND_LIFETIME (20 * LB_SEC)
-/* Between two orders for one location. An order without an answer may still be executed seconds
- * later; the next order corrects the number. */
+/* Time between two orders for one location. An order without an answer may still be executed
+ * seconds later; the next order corrects the number. */
 #define ORDER_PERIOD (4 * LB_SEC)
 /* A location without capacity is skipped for this time, in favour of others. */
 #define REFUSAL_BACKOFF (5 * LB_SEC)
@@ -22,7 +22,7 @@
 {
   LbLink link;
   LbName model;
-  int64_t n_generations; /* of the largest batch within DEMAND_LIFETIME */
+  int64_t n_generations; /* size of the largest batch within DEMAND_LIFETIME */
   LbTime updated_at;
 } Demand;
 
@@ -35,7 +35,7 @@
   int64_t n_wanted;
   LbTime excess_since; /* when fewer than ordered became sufficient; 0: they are not */
   LbTime refused_until;
-  int64_t n_ordered;     /* by the latest accepted order; -1: not known */
+  int64_t n_ordered;     /* endpoints in the latest accepted order; -1: not known */
   bool is_order_pending; /* an order has no outcome yet */
   LbTime next_order_at;
 } Location;
--- a/packages/core/src/endpoints/lc-stream-pace.h
+++ b/packages/core/src/endpoints/lc-stream-pace.h
@@ -7,7 +7,7 @@
  * engine that becomes slow while its long generations are still running. */
 typedef struct
 {
-  double seconds; /* of streaming, with exponential decay */
+  double seconds; /* time spent streaming, with exponential decay */
   double tokens;  /* received in that time, with the same decay */
 } LcStreamPace;
 
--- a/packages/core/src/endpoints/lc-subset.c
+++ b/packages/core/src/endpoints/lc-subset.c
@@ -17,9 +17,9 @@
 #define CUT_ABOVE_PERCENT 200
 /* A request may still hold its slot when those of the next step start. */
 #define SLOTS_PER_REQUEST 2
-/* Between two lists of the whole table that look for a service without endpoints. */
+/* Time between two lists of the whole table that look for a service without endpoints. */
 #define ABSENT_RETRY_PERIOD (10 * LB_SEC)
-/* Between two extensions due to load, until calls reach the new endpoints and replies show the
+/* Time between two extensions due to load, until calls reach the new endpoints and replies show the
  * effect. */
 #define GROW_PERIOD (3 * LB_SEC)
 #define GROW_FACTOR 1.5
@@ -30,13 +30,13 @@
   LbName bound;    /* last key of the subset; "": all endpoints belong to it */
   size_t n_ready;  /* endpoints in service in the subset, in the current list */
   size_t n_models; /* maximum held by one of its engines; 0: a plain service */
-  int64_t slots;   /* of one endpoint, from the latest row */
+  int64_t slots;   /* slots of one endpoint, from the latest row */
   double growth;   /* relative increase of the endpoints wanted, due to load */
   LbTime grown_at;
   bool is_expected;
   bool is_listed;        /* the current list has a row of it */
   bool is_absent;        /* the last list of the whole table had no row of it */
-  bool is_extended;      /* by the current list */
+  bool is_extended;      /* the current list extends the subset */
   LbName sufficient_key; /* key in the current list where the subset was sufficient; "": not yet */
   UT_hash_handle hh;
 } Service;
@@ -58,7 +58,7 @@
   int64_t page_size;
   LbTime list_started_at;
   LbTime full_list_at; /* start of the last list of the whole table */
-  bool fits_one_page;  /* there are no bounds */
+  bool fits_one_page;  /* the table fits one page, so there are no bounds */
 };
 
 LcSubset *
--- a/packages/core/src/endpoints/lc-utilisation.c
+++ b/packages/core/src/endpoints/lc-utilisation.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <uthash.h>
 
-#define REPLY_WEIGHT 0.05 /* of a new reply in the mean */
+#define REPLY_WEIGHT 0.05 /* weight of a new reply in the mean */
 /* Above this mean utilisation requests start to queue at some endpoints. */
 #define OVERLOAD_THRESHOLD 0.6
 
--- a/packages/core/src/membership/lc-catalog.c
+++ b/packages/core/src/membership/lc-catalog.c
@@ -62,12 +62,12 @@
   LbName publisher_incarnation;
   int64_t publisher_epoch;     /* incremented by each new publisher */
   LbTime publisher_period;     /* between its listings */
-  LbTime own_period;           /* of this instance while it publishes */
+  LbTime own_period;           /* the same for this instance while it publishes */
   int64_t listed_ms;           /* store's clock at the listing that the rows come from */
   bool is_complete;            /* every change of that listing has been written */
   bool publisher_row_changed;  /* changed since the last snapshot */
   bool needs_sort;             /* rows were added since the last sort */
-  int64_t change_count;        /* to the rows, see lc_catalog_change_count */
+  int64_t change_count;        /* number of changes to the rows so far */
   LbTime publisher_changed_at; /* when the row last changed, or following began */
   /* the snapshot: the rows as of the last complete listing */
   LbTime snapshot_valid_at;
--- a/packages/core/src/membership/lc-fleet.c
+++ b/packages/core/src/membership/lc-fleet.c
@@ -11,7 +11,7 @@
 /* Renewals that an instance may miss: the answer to one may be lost, and the next takes the longer
  * way through another instance when this one was just cut off from the store. */
 #define MAX_MISSED_RENEWALS 3
-/* From a due renewal to the listing that shows it, when the store answers at once. */
+/* Time from a due renewal to the listing that shows it, when the store answers at once. */
 #define LISTING_DELAY (200 * LB_MSEC)
 /* Store round trips between the two, for a slow store: the renewal, which counts twice since rows
  * of one part are written one after the other, and the listing. */
--- a/packages/core/src/membership/lc-lease.c
+++ b/packages/core/src/membership/lc-lease.c
@@ -19,8 +19,8 @@
 {
   LcLeaseSettings settings;
   int rank;
-  LcLeaseRow row;               /* as last read */
-  int64_t row_version;          /* of row; 0: absent */
+  LcLeaseRow row;               /* the lease's row as last read */
+  int64_t row_version;          /* store version of row; 0: the row is absent */
   bool has_read;                /* the row was read at least once */
   int64_t ended_holder_version; /* version of the row whose holder is known to have ended */
   LbTime version_seen_at;       /* when this version was first read */
--- a/packages/core/src/membership/lc-membership-private.h
+++ b/packages/core/src/membership/lc-membership-private.h
@@ -16,7 +16,7 @@
 typedef struct
 {
   LcInstance instance;
-  LbTime changed_at;              /* of state or draining */
+  LbTime changed_at;              /* when state or draining last changed */
   LbTime epoch_learned_at;        /* for a while afterwards, its addresses are sent as well */
   LbTime last_heard_at;           /* on any connection */
   LbTime declare_dead_at;         /* while SUSPECT */
@@ -75,7 +75,7 @@
   bool view_changed;
   bool is_self_pending;
   bool has_platform_list;
-  uint64_t digest; /* of the view at the end of the last command */
+  uint64_t digest; /* digest of the view at the end of the last command */
   LbTime flush_at; /* LB_TIME_NEVER: no updates are pending */
   LbTime next_contact_at;
   LbTime next_compare_at;
--- a/packages/core/src/membership/lc-membership-updates.c
+++ b/packages/core/src/membership/lc-membership-updates.c
@@ -11,8 +11,8 @@
  * connections at once. One frame holds this many, and the rest wait for the pause. */
 #define MAX_UPDATES_PER_FLUSH 32
 #define FLUSH_PAUSE (100 * LB_MSEC)
-/* For this long after an incarnation became known, its updates go out in full form, with addresses,
- * for peers that do not know it yet. */
+/* Time after an incarnation became known during which its updates are sent in full form, with
+ * addresses, for peers that do not know it yet. */
 #define FULL_FORM_TIME (10 * LB_SEC)
 #define CONFLICT_ANSWER_INTERVAL (5 * LB_SEC)
 #define FIRST_SUSPICION_IGNORE_TIME (5 * LB_SEC)
--- a/packages/core/src/quarantine/lc-quarantine.c
+++ b/packages/core/src/quarantine/lc-quarantine.c
@@ -27,7 +27,7 @@
 {
   UT_hash_handle hh;
   LcFingerprint fingerprint;
-  int n_crashes;               /* that are not attributed to a quarantined fingerprint */
+  int n_crashes;               /* crashes not attributed to a quarantined fingerprint */
   const LcCrash *last_counted; /* the last one counted */
   LbTime threshold_at;         /* time of crash number MIN_CRASHES */
   LbTime quarantined_until;    /* 0: not in quarantine */
--- a/packages/core/src/rollout/lc-cursor.h
+++ b/packages/core/src/rollout/lc-cursor.h
@@ -8,7 +8,7 @@
  * by the trainer and in the ledger, the step's row in the store. */
 typedef struct
 {
-  uint64_t session;     /* of the owner that issued the cursor */
+  uint64_t session;     /* session number of the owner that issued the cursor */
   int64_t chunk_number; /* chunks delivered up to and including this cursor's */
   size_t n_slots;
   uint8_t *bitmap; /* one bit for each slot */
--- a/packages/core/src/rollout/lc-deliver.c
+++ b/packages/core/src/rollout/lc-deliver.c
@@ -261,8 +261,8 @@
   lc_step_set_slot_state (step, slot, LC_SLOT_ACKED);
 }
 
-/* For strict subscriptions: the ledger records the chunk, so it counts as delivered once it is
- * sent. */
+/* Acknowledges the chunk of a strict subscription: the ledger records it, so it counts as delivered
+ * once it is sent. */
 static void
 acknowledge_strict_chunk (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
 {
@@ -374,7 +374,8 @@
   return true;
 }
 
-/* The cursor counts whichever owner issued it. Pulls still waiting with an older cursor fail. */
+/* Acknowledges all samples that the cursor names, whichever owner issued it. Pulls still waiting
+ * with an older cursor fail. */
 static void
 acknowledge_cursor (
     LcRollouts *rollouts, LcStep *step, const LcCursor *cursor, LbTime now, LbList *actions)
--- a/packages/core/src/rollout/lc-ledger.h
+++ b/packages/core/src/rollout/lc-ledger.h
@@ -10,7 +10,7 @@
   uint64_t latest_change;  /* number of the latest change that the row should hold */
   uint64_t writing_change; /* latest change in the write in progress; 0: no write in progress */
   uint64_t stored_change;  /* latest change known to be in the row, written by this owner */
-  uint64_t write_id;       /* of the write in progress; 0: none */
+  uint64_t write_id;       /* id of the write in progress; 0: none */
   bool urgent;             /* a delivery waits for the latest change */
   int consecutive_failures;
   LbTime last_write_at; /* start of the last write */
--- a/packages/core/src/rollout/lc-rollouts-state.h
+++ b/packages/core/src/rollout/lc-rollouts-state.h
@@ -25,7 +25,7 @@
   LcSubscription subscription;
   int64_t max_lag;           /* staleness bound of the subscription, in versions */
   int64_t n_running;         /* concurrent generations */
-  LcLengthHistogram lengths; /* of its ended samples */
+  LcLengthHistogram lengths; /* lengths of its ended samples */
   bool is_configured;        /* the current configuration has the subscription */
 } LcTrainer;
 
--- a/packages/core/src/rollout/lc-rollouts.c
+++ b/packages/core/src/rollout/lc-rollouts.c
@@ -16,7 +16,7 @@
 /* Keeps some generations queued beyond the engines' concurrency, so that no engine slot stays empty
  * until the next request arrives. */
 #define QUEUE_AHEAD_FACTOR 1.1
-#define DEFAULT_MAX_RUNNING 64 /* of a pool without known engines */
+#define DEFAULT_MAX_RUNNING 64 /* limit for a pool without known engines */
 /* A fully acknowledged step is kept for this long, to answer a late repeat of its last pull. */
 #define CLOSED_STEP_RETENTION (300 * LB_SEC)
 #define DEFAULT_PAUSE_LIMIT LB_SEC
--- a/packages/core/src/rollout/lc-step.h
+++ b/packages/core/src/rollout/lc-step.h
@@ -47,14 +47,14 @@
 typedef struct
 {
   size_t group_index;
-  int64_t index; /* of the sample in its group */
+  int64_t index; /* number of the sample in its group */
   LcSlotState state;
   LbList jobs;
   char *text;     /* NULL: none */
   LcLabel *label; /* versions that generated the text */
   bool has_score;
   double score;
-  bool was_sent; /* in a chunk of this owner */
+  bool was_sent; /* this owner has sent it in a chunk */
   int n_migrations;
   LbName avoid_endpoint; /* was slow with this sample; empty: none */
   int consecutive_failures;
@@ -73,7 +73,7 @@
   size_t *slots; /* indices; NULL: there is no unacknowledged chunk */
   size_t n_slots;
   LcCursor cursor;           /* acknowledges the chunk when the trainer sends it back */
-  LcVersion trainer_version; /* that the samples' staleness was checked against */
+  LcVersion trainer_version; /* version against which the samples' staleness was checked */
   uint64_t ledger_change;    /* strict subscriptions: the change that records the chunk; else 0 */
 } LcChunk;
 
@@ -107,7 +107,7 @@
   LcLedger ledger;                 /* writes of acked and chunk to the store */
   uint64_t required_ledger_change; /* nothing is delivered before this change is stored */
 
-  int64_t reserved_tokens; /* that running hedges may waste */
+  int64_t reserved_tokens; /* tokens that running hedges may waste */
   LbTime next_review_at;
   LbTime retry_at;  /* earliest not_before of a slot that had to wait */
   LbTime closed_at; /* when the last sample was acknowledged; 0: not yet */
--- a/packages/core/src/rollout/lc-ticket.c
+++ b/packages/core/src/rollout/lc-ticket.c
@@ -24,13 +24,13 @@
 
 typedef struct
 {
-  UT_hash_handle hh;         /* by number */
-  UT_hash_handle hh_request; /* by request, while running */
+  UT_hash_handle hh;         /* table with the number as key */
+  UT_hash_handle hh_request; /* table with the request as key, while running */
   LbLink expiry_link;        /* in LcTickets.by_expiry, unless running */
   LbLink answered_link;      /* in LcTickets.answered, oldest first, while the answer is stored */
   uint64_t number;
   uint64_t caller_hash;
-  uint64_t content_hash; /* of the call; set when the ticket is first redeemed */
+  uint64_t content_hash; /* hash of the call; set when the ticket is first redeemed */
   LcRequestId request;
   LbTime expires_at;
   TicketState state;
@@ -46,8 +46,8 @@
   LcTicketLimits limits;
   gsl_rng *rng;
   uint64_t n_issued;
-  Ticket *tickets; /* by number */
-  Ticket *running; /* by request */
+  Ticket *tickets; /* hash table with the number as key */
+  Ticket *running; /* hash table with the request as key */
   LbList by_expiry;
   LbList answered;
   size_t answer_bytes;
--- a/packages/core/src/usage/lc-organisations.c
+++ b/packages/core/src/usage/lc-organisations.c
@@ -14,14 +14,14 @@
 typedef struct
 {
   LcOrganisation organisation;
-  UT_hash_handle hh; /* by name */
+  UT_hash_handle hh; /* table with the name as key */
 } Entry;
 
 typedef struct
 {
   LcKeyDigest digest;
   const Entry *entry;
-  UT_hash_handle hh; /* by digest */
+  UT_hash_handle hh; /* table with the digest as key */
 } Key;
 
 struct LcOrganisations
--- a/packages/core/src/usage/lc-usage-reports.c
+++ b/packages/core/src/usage/lc-usage-reports.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Between a failed action and its repetition. */
+/* Time between a failed action and its repetition. */
 #define RETRY_DELAY (250 * LB_MSEC)
 /* Once the store is available again, instances need this time to write the rows that failed, and
  * delayed writes arrive. */
--- a/packages/core/src/weights/lc-engine-plan.c
+++ b/packages/core/src/weights/lc-engine-plan.c
@@ -20,11 +20,12 @@
  * engine's cache. */
 #define MIN_IMBALANCE 1.4
 #define MIN_IMBALANCE_SHARE 0.1
-/* The same for further moves, which make the assignment as even as whole engines allow. A move
- * changes the sum of the squared deviations by 2 - 2 x (lack + excess), so it is an improvement
- * only if lack and excess together are above 1; 0.01 is far above rounding errors. Each move lowers
- * the sum, so the loop ends. Without this bound, two models with a lack of 0.7 and an excess of 0.2
- * took the same engine from each other in an endless loop, which blocked the instance. */
+/* The same threshold for further moves, which make the assignment as even as whole engines allow. A
+ * move changes the sum of the squared deviations by 2 - 2 x (lack + excess), so it is an
+ * improvement only if lack and excess together are above 1; 0.01 is far above rounding errors. Each
+ * move lowers the sum, so the loop ends. Without this bound, two models with a lack of 0.7 and an
+ * excess of 0.2 took the same engine from each other in an endless loop, which blocked the
+ * instance. */
 #define MIN_IMBALANCE_AFTER_FIRST 1.01
 
 void
--- a/packages/core/src/weights/lc-weights.c
+++ b/packages/core/src/weights/lc-weights.c
@@ -7,7 +7,7 @@
 #include <string.h>
 #include <uthash.h>
 
-/* From an accepted order until the engine's reports must show the load. */
+/* Time from an accepted order until the engine's reports must show the load. */
 #define LOAD_START_TIMEOUT LB_SEC
 #define INITIAL_BACKOFF (2 * LB_SEC)
 #define MAX_BACKOFF (60 * LB_SEC)
@@ -36,7 +36,7 @@
   LcVersion ordered_version;
   LbTime ordered_at;
   int failures;       /* consecutive failed loads of the target */
-  bool target_failed; /* as reported by the engine */
+  bool target_failed; /* the engine reported that its load of the target failed */
   LbTime retry_at;
   bool swap_pending; /* routing was notified that a swap is pending */
   bool is_configured;
@@ -55,7 +55,7 @@
   int64_t swap_limit; /* -1: the percentage applies */
   LbTime newest_at;
   LbTime version_interval;
-  LbTime mean_load_time; /* from an order to the report of its end */
+  LbTime mean_load_time; /* mean time from an order to the report of its end */
   double order_tokens;   /* in the token bucket that limits the rate of orders */
   LbTime order_tokens_updated_at;
   LbTime lease_changed_at;
