--- a/packages/core/include/lc-config.h
+++ b/packages/core/include/lc-config.h
@@ -113,6 +113,7 @@
  * the outcome by lc_config_change_committed or lc_config_change_abandoned; by neither if it is not
  * known. */
 void lc_config_announce_change (LcConfig *config, LbTime now, LbList *actions);
+/* The announced change is known not to be committed. */
 void lc_config_change_abandoned (LcConfig *config, LbTime now, LbList *actions);
 /* Queries the peers that are not known to have the active revision of this instance. */
 void lc_config_query_outdated_peers (LcConfig *config, LbTime now, LbList *actions);
@@ -139,7 +140,7 @@
 } LcActiveCount;
 
 LcActiveCount lc_config_count_active (const LcConfig *config, int64_t revision);
-/* revision: last known one of the instance. */
+/* revision: the last one known to be active on the instance. */
 typedef void (*LcConfigVisit) (
     const char *instance, int64_t revision, bool alive, bool draining, void *user);
 /* Calls visit for each known instance, this one included. */
--- a/packages/core/include/lc-endpoints.h
+++ b/packages/core/include/lc-endpoints.h
@@ -36,10 +36,10 @@
   LbTime swap_until; /* when the new weights are expected to serve */
   int64_t in_flight; /* this instance's requests there */
   int64_t in_flight_rollout;
-  int64_t sent_since_report; /* this instance's requests that its last load report lacks */
-  double concurrency_limit;  /* adaptive, for this instance's requests */
-  double ewma_token_seconds;
-  double ewma_first_byte_seconds;
+  int64_t sent_since_report;      /* this instance's requests that its last load report lacks */
+  double concurrency_limit;       /* adaptive, for this instance's requests */
+  double ewma_token_seconds;      /* moving average of a request's duration per token */
+  double ewma_first_byte_seconds; /* moving average of the time to the first byte */
   LcBreakerState breaker;
   LbTime breaker_open_until;
   int64_t consecutive_failures;
@@ -112,6 +112,8 @@
                                  const uint64_t *prefix_hashes,
                                  size_t n_hashes,
                                  LbTime now);
+/* Whether a request of this kind may be sent there now. live_reserve: share of the concurrency kept
+ * for live calls, 0..0.9. */
 bool lc_endpoint_can_accept (const LcEndpoint *endpoint,
                              LcRequestKind kind,
                              double live_reserve,
--- a/packages/core/include/lc-rollouts.h
+++ b/packages/core/include/lc-rollouts.h
@@ -105,16 +105,16 @@
 typedef struct
 {
   int64_t slots;
-  int64_t delivered;
-  int64_t ready;
-  int64_t running;
-  int64_t discarded_stale;
+  int64_t delivered;            /* slots whose sample was sent to the trainer */
+  int64_t ready;                /* slots whose sample can be delivered */
+  int64_t running;              /* slots that are being generated or scored */
+  int64_t discarded_stale;      /* samples that exceeded the staleness bound */
   int64_t discarded_unlabelled; /* samples without a complete label of versions */
   int64_t hedges;
-  int64_t tokens;
-  int64_t wasted_tokens;
-  double staleness_sum;
-  int64_t staleness_max;
+  int64_t tokens;        /* generated, wasted ones included */
+  int64_t wasted_tokens; /* tokens of samples that were discarded or cancelled */
+  double staleness_sum;  /* in versions, over all delivered samples */
+  int64_t staleness_max; /* largest of one delivered sample */
   LbTime opened_at;
   LbTime completed_at; /* 0: not yet */
 } LcStepStatus;
--- a/packages/core/src/endpoints/lc-endpoint-table.h
+++ b/packages/core/src/endpoints/lc-endpoint-table.h
@@ -74,7 +74,7 @@
   double batch_slowdown;        /* lc_batch_cost_slowdown of batch_cost */
   LbTime next_pace_review_at;   /* when outdated paces are discarded next */
   double fastest_token_seconds; /* seconds per token at the fastest endpoint; 0: not known */
-  double prefix_bound_share;    /* of this instance's requests, those routed to a cached prefix */
+  double prefix_bound_share;    /* share of this instance's requests routed to a cached prefix */
   UT_hash_handle hh;
 } LcEndpointGroup;
 
--- a/packages/core/src/rollout/lc-rollouts-state.h
+++ b/packages/core/src/rollout/lc-rollouts-state.h
@@ -12,7 +12,7 @@
 {
   LbLink link;
   LbName name;
-  int64_t max_running; /* limit of concurrent generations */
+  int64_t max_running; /* limit for n_running */
   int64_t n_running;   /* concurrent generations */
   LcVersion newest_version;
   LbTime version_interval; /* between new versions; 0: unknown */
