--- a/packages/core/include/lc-endpoints.h
+++ b/packages/core/include/lc-endpoints.h
@@ -9,9 +9,9 @@
   char incarnation[40]; /* changes with each start of the endpoint's process; "": not stated */
   bool leaving;
   LcVersion version; /* of the weights being served; 0: a swap is in progress or has failed */
-  int64_t running;
+  int64_t running;   /* requests */
   int64_t waiting;
-  double tokens_per_second; /* of one stream at the present load; 0: unknown */
+  double tokens_per_second; /* rate of one stream at the present load; 0: unknown */
   double kv_used;           /* share of the KV cache in use, 0..1 */
   LbTime measured_at;       /* converted to this instance's clock */
   bool is_from_registry;    /* read from the store, not sent by the endpoint */
@@ -36,10 +36,10 @@
   LbTime swap_until; /* when the new weights are expected to serve */
   int64_t in_flight; /* this instance's requests there */
   int64_t in_flight_rollout;
-  int64_t sent_since_report;
-  double concurrency_limit; /* adaptive, for this instance's requests */
-  double ewma_token_seconds;
-  double ewma_first_byte_seconds;
+  int64_t sent_since_report;      /* this instance's requests that its last load report lacks */
+  double concurrency_limit;       /* adaptive, for this instance's requests */
+  double ewma_token_seconds;      /* moving average of a request's duration per token */
+  double ewma_first_byte_seconds; /* moving average of the time to the first byte */
   LcBreakerState breaker;
   LbTime breaker_open_until;
   int64_t consecutive_failures;
@@ -52,10 +52,10 @@
 
 typedef enum
 {
-  LC_LEAVING_RESOURCE,
-  LC_LEAVING_PLATFORM,
-  LC_LEAVING_ENDPOINT,
-  LC_LEAVING_PEER
+  LC_LEAVING_RESOURCE, /* its resource in the configuration */
+  LC_LEAVING_PLATFORM, /* the platform's list of endpoints */
+  LC_LEAVING_ENDPOINT, /* the endpoint itself */
+  LC_LEAVING_PEER      /* another instance */
 } LcLeavingSource;
 
 LcEndpoints *lc_endpoints_new (void);
@@ -112,6 +112,8 @@
                                  const uint64_t *prefix_hashes,
                                  size_t n_hashes,
                                  LbTime now);
+/* Whether a request of this kind may be sent there now. live_reserve: share of the concurrency kept
+ * for live calls, 0..0.9. */
 bool lc_endpoint_can_accept (const LcEndpoint *endpoint,
                              LcRequestKind kind,
                              double live_reserve,
--- a/packages/core/include/lc-fleet.h
+++ b/packages/core/include/lc-fleet.h
@@ -22,7 +22,7 @@
   int64_t clock_lead_ms; /* see lc-true-time.h; 0: not reported */
   int64_t renewed_ms; /* store's clock at the renewal, as the instance estimated it; 0: unknown */
   LbTime period;      /* between renewals */
-  LbName overloaded_service; /* service whose known endpoints are nearly full; "": none */
+  LbName crowded;     /* service whose endpoints known to it are nearly full; "": none */
 } LcFleetRow;
 
 struct json_object *lc_fleet_row_to_json (const LcFleetRow *row);
@@ -31,13 +31,13 @@
 typedef struct
 {
   LcFleetRow row;
-  int64_t version;        /* of the row in the store */
+  int64_t version;        /* the store's version of the row */
   LbTime version_seen_at; /* local time; 0: before this instance's first list */
   bool alive;
   bool fresh; /* no renewal missed, as of the last list */
   /* Known to have renewed its row recently, see lc_fleet_add_row. */
   bool confirmed;
-  bool is_in_list; /* of the list that is being read */
+  bool is_in_list; /* in the list that is being read */
   bool is_new;     /* first seen in that list */
 } LcFleetMember;
 
@@ -50,7 +50,7 @@
 typedef struct
 {
   LbTime received_at;
-  LbTime round_trip; /* from request to answer */
+  LbTime round_trip; /* time from request to answer */
   int64_t store_ms;  /* store's clock at the listing; 0: unknown */
   LbTime period;     /* between two listings */
 } LcFleetList;
--- a/packages/core/include/lc-scaling.h
+++ b/packages/core/include/lc-scaling.h
@@ -17,7 +17,7 @@
 /* A trainer submitted a batch of n_generations for the model. */
 void
 lc_scaling_add_demand (LcScaling *scaling, const char *model, int64_t n_generations, LbTime now);
-/* For a new lease holder, which does not know the orders of earlier holders: all are given
+/* Called by a new lease holder, which does not know the orders of earlier holders: all are given
  * again. */
 void lc_scaling_forget_orders (LcScaling *scaling);
 
@@ -38,8 +38,10 @@
 typedef enum
 {
   LC_SCALING_ACCEPTED,
-  LC_SCALING_UNKNOWN, /* no answer; may be executed late, after a newer order: it is sent again */
-  LC_SCALING_REFUSED  /* no capacity there now */
+  /* No answer: the order may be executed late, even after a newer one, so an order with the number
+   * wanted by then follows. */
+  LC_SCALING_UNKNOWN,
+  LC_SCALING_REFUSED /* no capacity there now */
 } LcScalingOutcome;
 
 void lc_scaling_finish_order (LcScaling *scaling,
--- a/packages/core/src/rollout/lc-step.h
+++ b/packages/core/src/rollout/lc-step.h
@@ -8,6 +8,7 @@
 
 #include <uthash.h>
 
+/* A step, the samples that a trainer asks for at once, with one slot for each sample. */
 typedef struct LcStep LcStep;
 
 typedef enum
@@ -38,22 +39,22 @@
   LcLabel label;
   LbTime started_at;
   LbTime first_piece_at;   /* 0: no piece yet */
-  int64_t reserved_tokens; /* of the hedge budget */
-  LbName endpoint;         /* of the latest piece */
+  int64_t reserved_tokens; /* taken from the step's hedge budget */
+  LbName endpoint;         /* sent the latest piece */
 } LcJob;
 
 /* State of one sample, which is identified by (subscription, step, group, index). */
 typedef struct
 {
   size_t group_index;
-  int64_t index; /* of the sample in its group */
+  int64_t index; /* number of the sample in its group */
   LcSlotState state;
   LbList jobs;
   char *text;     /* NULL: none */
-  LcLabel *label; /* of text */
+  LcLabel *label; /* versions that generated the text */
   bool has_score;
   double score;
-  bool was_sent; /* in a chunk of this session */
+  bool was_sent; /* this owner has sent it in a chunk */
   int n_migrations;
   LbName avoid_endpoint; /* was slow with this sample; empty: none */
   int consecutive_failures;
@@ -72,7 +73,7 @@
   size_t *slots; /* indices; NULL: there is no unacknowledged chunk */
   size_t n_slots;
   LcCursor cursor;           /* acknowledges the chunk when the trainer sends it back */
-  LcVersion trainer_version; /* that the samples' staleness was checked against */
+  LcVersion trainer_version; /* version against which the samples' staleness was checked */
   uint64_t ledger_change;    /* strict subscriptions: the change that records the chunk; else 0 */
 } LcChunk;
 
@@ -96,17 +97,17 @@
   uint64_t session;
   LcSlot *slots;
   size_t n_slots;
-  LcGroup *groups; /* as many as in the spec */
+  LcGroup *groups; /* parallel to spec.groups */
   size_t n_in_state[LC_N_SLOT_STATES];
   LcVersion trainer_version; /* latest that the trainer stated */
 
-  LcCursor acked;
+  LcCursor acked; /* slots that the trainer has acknowledged */
   LcChunk chunk;
-  LbList waiting_pulls; /* LcWaitingPull */
-  LcLedger ledger;
+  LbList waiting_pulls;            /* LcWaitingPull */
+  LcLedger ledger;                 /* writes of acked and chunk to the store */
   uint64_t required_ledger_change; /* nothing is delivered before this change is stored */
 
-  int64_t reserved_tokens; /* that running hedges may waste */
+  int64_t reserved_tokens; /* tokens that running hedges may waste */
   LbTime next_review_at;
   LbTime retry_at;  /* earliest not_before of a slot that had to wait */
   LbTime closed_at; /* when the last sample was acknowledged; 0: not yet */
@@ -119,9 +120,10 @@
 void lc_step_free (LcStep *step);
 
 /* Commands. */
-void lc_step_set_state (LcStep *step, LcSlot *slot, LcSlotState state);
-/* Clears text, label and score, and sets the state to WAITING. */
+void lc_step_set_slot_state (LcStep *step, LcSlot *slot, LcSlotState state);
+/* Discards the slot's sample and sets its state to WAITING. */
 void lc_step_reset_slot (LcStep *step, LcSlot *slot);
+/* Frees text, label and score, and keeps the state. */
 void lc_step_clear_sample (LcStep *step, LcSlot *slot);
 void lc_chunk_clear (LcChunk *chunk);
 
--- a/packages/core/src/weights/lc-engine-plan.c
+++ b/packages/core/src/weights/lc-engine-plan.c
@@ -11,7 +11,8 @@
 #include <uthash.h>
 #include <xxhash.h>
 
-/* Trainers submit a batch every few seconds, with very different lengths; spans several batches. */
+/* Trainers submit a batch every few seconds, with very different lengths, so the half-life spans
+ * several batches. */
 #define DEMAND_HALF_LIFE (20 * LB_SEC)
 /* Engines that one model lacks plus those that another has in excess, before the first engine is
  * moved: a constant plus a fraction of an even share. Less is noise of the text lengths, which over
@@ -19,11 +20,12 @@
  * engine's cache. */
 #define MIN_IMBALANCE 1.4
 #define MIN_IMBALANCE_SHARE 0.1
-/* The same for further moves, which make the assignment as even as whole engines allow. A move
- * changes the sum of the squared deviations by 2 - 2 x (lack + excess), so it is an improvement
- * only if lack and excess together are above 1; 0.01 is far above rounding errors. Each move lowers
- * the sum, so the loop ends. Without this bound, two models with a lack of 0.7 and an excess of 0.2
- * took the same engine from each other in an endless loop, which blocked the instance. */
+/* The same threshold for further moves, which make the assignment as even as whole engines allow. A
+ * move changes the sum of the squared deviations by 2 - 2 x (lack + excess), so it is an
+ * improvement only if lack and excess together are above 1; 0.01 is far above rounding errors. Each
+ * move lowers the sum, so the loop ends. Without this bound, two models with a lack of 0.7 and an
+ * excess of 0.2 took the same engine from each other in an endless loop, which blocked the
+ * instance. */
 #define MIN_IMBALANCE_AFTER_FIRST 1.01
 
 void
@@ -304,8 +306,8 @@
 typedef struct
 {
   const char *name;
-  double share; /* number of engines by demand, at least 1 */
-  double n_engines;
+  double share;     /* number of engines by demand, at least 1 */
+  double n_engines; /* assigned to the model now */
 } Share;
 
 static size_t
@@ -373,7 +375,8 @@
       }
 }
 
-/* An entry that changes its model loses its version, which was one of the previous model. */
+/* Writes the assignment to the plan. An entry that changes its model loses its version, which was
+ * one of the previous model. */
 static bool
 update_plan (LcEnginePlan *plan, const LcPlanEntry *engines, size_t n_engines)
 {
