--- a/packages/core/include/lc-fleet.h
+++ b/packages/core/include/lc-fleet.h
@@ -22,7 +22,8 @@
   int64_t clock_lead_ms; /* see lc-true-time.h; 0: not reported */
   int64_t renewed_ms; /* store's clock at the renewal, as the instance estimated it; 0: unknown */
   LbTime period;      /* between renewals */
-  LbName crowded;     /* service whose endpoints known to it are nearly full; "": none */
+  /* service whose endpoints known to the instance are nearly full; "": none */
+  LbName overloaded_service;
 } LcFleetRow;
 
 struct json_object *lc_fleet_row_to_json (const LcFleetRow *row);
--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -546,7 +546,7 @@
 bool
 ln_catalog_is_publisher (const LnCatalog *catalog)
 {
-  return catalog->is_active && lc_catalog_is_published_here (catalog->catalog);
+  return catalog->has_had_many_endpoints && lc_catalog_is_published_here (catalog->catalog);
 }
 
 const char *
