--- a/packages/node/src/duties/ln-duties.c
+++ b/packages/node/src/duties/ln-duties.c
@@ -18,8 +18,8 @@
 
 #define TICK_PERIOD (100 * LB_MSEC)
 #define DUTY_NAME "platform"
-/* Longest time that the exit waits, from the start of draining, for the usage counts to be written:
- * by then they are in the store, unless it is not reachable. */
+/* Maximum time, from the start of draining, that the exit waits for the usage counts to be written.
+ * They are in the store by then unless it is unreachable. */
 #define MAX_DRAIN_TIME (7 * LB_SEC)
 
 /* The task "duties": holds the lease for calls to the shared platform that only one instance may
@@ -27,16 +27,16 @@
  * usage reports. */
 typedef struct
 {
-  LnTask task; /* first */
+  LnTask task; /* must be the first member */
   LnContext *context;
   struct event *timer;
   LnTrueTime *true_time;
   LnDutyLease *lease;
   LnUsageRows *usage_rows;         /* NULL: no usage reports are configured */
-  LnUsageReporter *usage_reporter; /* NULL: as above */
+  LnUsageReporter *usage_reporter; /* NULL: no usage reports are configured */
   LnScaler *scaler;                /* NULL: no orders of endpoints are configured */
   size_t n_members;
-  bool posted_is_held;   /* last LN_DUTY posted */
+  bool posted_is_held;   /* content of the last LN_DUTY message posted */
   LbTime draining_since; /* 0: not draining */
 } Duties;
 
@@ -106,7 +106,7 @@
 }
 
 static void
-receive (LnTask *task, const LnMessage *message)
+receive_message (LnTask *task, const LnMessage *message)
 {
   Duties *duties = (Duties *)task;
   const LnRequestStartedMessage *started = (const LnRequestStartedMessage *)message;
@@ -121,7 +121,7 @@
 }
 
 static void
-drain (LnTask *task)
+start_drain (LnTask *task)
 {
   Duties *duties = (Duties *)task;
 
@@ -159,9 +159,11 @@
   free (duties);
 }
 
-static const LnTaskClass duties_class = {
-  .name = "duties", .receive = receive, .drain = drain, .is_idle = is_idle, .free = free_task
-};
+static const LnTaskClass duties_class = { .name = "duties",
+                                          .receive = receive_message,
+                                          .drain = start_drain,
+                                          .is_idle = is_idle,
+                                          .free = free_task };
 
 static bool
 is_duty_configured (const LnContext *context, LnPlatformDuty duty)
--- a/packages/node/src/duties/ln-lease.h
+++ b/packages/node/src/duties/ln-lease.h
@@ -4,16 +4,16 @@
 #include "lc-lease.h"
 #include "lp-platform.h"
 
-/* Reads and writes the row of an LcLease in the store. */
+/* Reads and writes the store row of a lease; LcLease decides when, and this does the I/O. */
 
-/* Passes the result of reading the lease's row to the lease. */
+/* Passes the result of reading the row to the lease, which appends its next actions to actions. */
 void ln_lease_read_completed (LcLease *lease,
                               LbErrorCode error,
                               const LpRow *rows,
                               size_t n_rows,
                               LbTime now,
                               LbList *actions);
-/* Executes an LC_LEASE_WRITE. */
+/* Executes an action of type LC_LEASE_WRITE: writes the row that it contains. */
 void ln_lease_write (LpPlatform *platform,
                      const char *key,
                      const char *token,
--- a/packages/node/src/duties/ln-scaler.c
+++ b/packages/node/src/duties/ln-scaler.c
@@ -80,7 +80,7 @@
 }
 
 static LcScalingOutcome
-scaling_outcome (LnDutyOutcome outcome)
+convert_order_outcome (LnDutyOutcome outcome)
 {
   switch (outcome)
     {
@@ -106,7 +106,7 @@
   if (outcome == LN_DUTY_REFUSED)
     ln_duty_lease_read_soon (scaler->lease, now);
   if (call->duty_epoch == scaler->duty_epoch)
-    lc_scaling_finish_order (scaler->scaling, &call->order, scaling_outcome (outcome), now);
+    lc_scaling_finish_order (scaler->scaling, &call->order, convert_order_outcome (outcome), now);
   free (call);
 }
 
--- a/packages/node/src/duties/ln-scaler.h
+++ b/packages/node/src/duties/ln-scaler.h
@@ -5,7 +5,8 @@
 #include "ln-duty-lease.h"
 #include "ln-messages.h"
 
-/* Orders endpoints from the platform while this instance has the duty, as LcScaling decides. */
+/* Orders endpoints from the platform while this instance has the duty. LcScaling decides how many;
+ * this sends the orders. */
 typedef struct LnScaler LnScaler;
 
 /* The caller keeps ownership of the lease. */
--- a/packages/node/src/duties/ln-true-time.h
+++ b/packages/node/src/duties/ln-true-time.h
@@ -4,7 +4,7 @@
 #include "ln-context.h"
 #include "ln-messages.h"
 
-/* Time of day by the median of all instances' clocks, see lc-true-time.h. */
+/* Time of day by the median of all instances' clocks, which tolerates a few wrong clocks. */
 typedef struct LnTrueTime LnTrueTime;
 
 LnTrueTime *ln_true_time_new (const LnContext *context);
--- a/packages/node/src/duties/ln-usage-reporter.c
+++ b/packages/node/src/duties/ln-usage-reporter.c
@@ -19,16 +19,16 @@
 #include <string.h>
 
 #define REPORT_PREFIX "report/usage/"
-/* Reports that stay in the store: twice as many as the windows on which a later holder of the duty
- * catches up (MAX_CATCH_UP_WINDOWS of lc-usage-reports.c). */
+/* Number of reports that are kept in the store: twice the number of missed windows that a later
+ * holder of the duty reports (MAX_CATCH_UP_WINDOWS of lc-usage-reports.c). */
 #define N_KEPT_REPORTS 48
-/* Rows of a window and partition that are removed, in one transaction: the store accepts at most
- * 100 entries. Further rows stay in the store. */
+/* Maximum number of rows of a window and partition that are removed. They are removed in a single
+ * transaction, in which the store accepts at most 100 entries; further rows stay in the store. */
 #define MAX_REMOVED_ROWS 90
-/* After a window's end: instances write their last rows of it within 1.5 s, a little later on large
- * sites, and the clocks by which they count differ by some 10 ms. */
+/* Time after a window's end until its rows are summed: instances write their last rows of it within
+ * 1.5 s, a little later on large sites, and the clocks by which they count differ by some 10 ms. */
 #define SETTLE_DELAY_MS 2500
-/* Reserved for sending, of the 10 s or more until a report is due. */
+/* Time reserved for sending a report, out of the 10 s or more until it is due. */
 #define SEND_MARGIN_MS 3000
 
 struct LnUsageReporter
@@ -360,7 +360,7 @@
 /* --- sending a report --- */
 
 static LcUsageSendResult
-send_result (LnDutyOutcome outcome)
+convert_send_outcome (LnDutyOutcome outcome)
 {
   switch (outcome)
     {
@@ -387,8 +387,8 @@
   if (outcome == LN_DUTY_REFUSED)
     ln_duty_lease_read_soon (reporter->lease, now);
   if (is_current (pending))
-    lc_usage_reports_send_completed (reporter->reports, pending->window, send_result (outcome),
-                                     now);
+    lc_usage_reports_send_completed (reporter->reports, pending->window,
+                                     convert_send_outcome (outcome), now);
   pending_action_free (pending);
 }
 
--- a/packages/node/src/duties/ln-usage-reporter.h
+++ b/packages/node/src/duties/ln-usage-reporter.h
@@ -4,8 +4,8 @@
 #include "ln-context.h"
 #include "ln-duty-lease.h"
 
-/* Reports the usage of all organisations to the platform while this instance has the duty, as
- * LcUsageReports decides. */
+/* Reports the usage of all organisations to the platform while this instance has the duty.
+ * LcUsageReports decides what to read, write and send; this does the I/O. */
 typedef struct LnUsageReporter LnUsageReporter;
 
 /* The caller keeps ownership of the lease. */
--- a/packages/node/src/duties/ln-usage-rows.c
+++ b/packages/node/src/duties/ln-usage-rows.c
@@ -18,7 +18,7 @@
  */
 #define WRITE_PERIOD (200 * LB_MSEC)
 #define WRITE_PERIOD_PER_INSTANCE (4 * LB_MSEC)
-/* Older windows are no longer written. */
+/* Number of windows whose counts are kept; older windows are no longer written. */
 #define N_KEPT_WINDOWS 24
 
 struct LnUsageRows
--- a/packages/node/src/endpoints/ln-crash-frame.h
+++ b/packages/node/src/endpoints/ln-crash-frame.h
@@ -4,10 +4,10 @@
 #include "lc-quarantine.h"
 #include "ln-messages.h"
 
-/* Enough for a report with LC_MAX_REPORT_FINGERPRINTS fingerprints and its names. */
+/* Bytes of a row's text; enough for LC_MAX_REPORT_FINGERPRINTS fingerprints and all names. */
 #define LN_CRASH_TEXT_SIZE 2048
 
-/* A row of ln-crash-row.h, as one instance sends it to the others in a frame. */
+/* The store row of a crash report or clearance, as one instance sends it to the others. */
 typedef struct
 {
   char key[LC_CRASH_REPORT_ID_SIZE];
--- a/packages/node/src/endpoints/ln-crashes.c
+++ b/packages/node/src/endpoints/ln-crashes.c
@@ -25,12 +25,12 @@
 /* Maximum random delay before an expired row is removed, so that not all instances remove the same
  * rows. */
 #define MAX_REMOVAL_DELAY (600 * LB_SEC)
-/* Where rows can't be followed, they are scanned, since frames may be lost with their connection.
- */
+/* On a platform whose rows can't be followed, instances also send them in frames; as these may be
+ * lost with their connection, the rows are scanned at this period. */
 #define SCAN_PERIOD (5 * LB_SEC)
 /* A row that was received less than this ago may be missing from a list requested before that. */
 #define SETTLE_TIME (10 * LB_SEC)
-/* How long a new instance waits for the existing rows: a few answers of a slow store. */
+/* Maximum time that a new instance waits for the existing rows: a few replies of a slow store. */
 #define MAX_INITIAL_READ_TIME (2 * LB_SEC)
 /* Maximum of rows that this instance keeps track of, to remove them when they expire. */
 #define MAX_KNOWN_ROWS 1024
@@ -79,7 +79,7 @@
 }
 
 static int64_t
-to_store_ms (const LnCrashes *crashes, LbTime at)
+convert_to_store_ms (const LnCrashes *crashes, LbTime at)
 {
   return crashes->has_store_clock ? (at + crashes->store_clock_offset) / LB_MSEC : 0;
 }
@@ -87,7 +87,7 @@
 /* Times that are unknown or in the future count as now: the report lasts longer than it should
  * rather than not counting at all. */
 static LbTime
-from_store_ms (const LnCrashes *crashes, int64_t ms, LbTime now)
+convert_from_store_ms (const LnCrashes *crashes, int64_t ms, LbTime now)
 {
   LbTime at = ms * LB_MSEC - crashes->store_clock_offset;
 
@@ -145,7 +145,7 @@
       lb_log_error (LB_LOG_WARNING, "crash_row_not_read", &error);
       return;
     }
-  row.report.at = from_store_ms (crashes, row.at_ms, now);
+  row.report.at = convert_from_store_ms (crashes, row.at_ms, now);
   LB_COPY (row.report.id, key);
   add_known_row (crashes, key, row.report.at);
   if (row.is_clearance)
@@ -257,7 +257,7 @@
                          size_t n_fingerprints)
 {
   const LnContext *context = crashes->context;
-  LnCrashRow row = { .at_ms = to_store_ms (crashes, at) };
+  LnCrashRow row = { .at_ms = convert_to_store_ms (crashes, at) };
   LcCrashReport *report = &row.report;
 
   LB_COPY (report->endpoint, endpoint);
@@ -285,7 +285,7 @@
     {
       lc_fingerprint_to_text (row.report.fingerprints[0], text);
       snprintf (key, sizeof key, "%sanswered:%s", KEY_PREFIX, text);
-      row.at_ms = to_store_ms (crashes, row.report.at);
+      row.at_ms = convert_to_store_ms (crashes, row.report.at);
       publish_row (crashes, key, &row);
     }
 }
--- a/packages/node/src/endpoints/ln-endpoint-checks.c
+++ b/packages/node/src/endpoints/ln-endpoint-checks.c
@@ -18,7 +18,8 @@
 /* How long a probe's connection is watched. A process that exits loses its connections before its
  * listening socket, on a busy machine by some ten milliseconds. */
 #define PROBE_HOLD_TIME (300 * LB_MSEC)
-/* Per endpoint: several times its concurrent requests. Further failed requests are ignored. */
+/* Maximum number of failed requests kept per endpoint, several times its concurrent requests;
+ * further ones are ignored. */
 #define MAX_FINGERPRINTS LC_MAX_REPORT_FINGERPRINTS
 
 typedef struct
--- a/packages/node/src/front/ln-caller.c
+++ b/packages/node/src/front/ln-caller.c
@@ -64,7 +64,7 @@
 
 /* Bytes of a partial request line that are withheld from the parser. */
 static size_t
-partial_line_length (const LnCaller *caller)
+get_partial_line_length (const LnCaller *caller)
 {
   size_t length = ln_request_scanner_partial_line_length (&caller->scanner);
 
@@ -98,14 +98,15 @@
       bufferevent_enable (caller->connection->bev, EV_READ);
       return;
     }
-  if (caller->held_request && partial_line_length (caller) == 0 && !caller->scanner.is_malformed)
+  if (caller->held_request && get_partial_line_length (caller) == 0
+      && !caller->scanner.is_malformed)
     {
       resume_held_request (caller);
       return;
     }
   if (caller->scanner.is_malformed)
     caller->refusal = LB_ERROR_BAD_REQUEST;
-  else if (is_reading_request (caller) || partial_line_length (caller) > 0)
+  else if (is_reading_request (caller) || get_partial_line_length (caller) > 0)
     caller->refusal = LB_ERROR_TOO_SLOW;
   evhtp_connection_free (caller->connection);
 }
@@ -179,7 +180,7 @@
 
 /* Bounds the input buffered for a caller that pipelines requests. */
 static size_t
-max_input_bytes (const LnCallers *callers)
+compute_max_input_bytes (const LnCallers *callers)
 {
   return callers->max_body_bytes + callers->max_header_bytes + 4096;
 }
@@ -277,7 +278,8 @@
 {
   const LnCallers *callers = caller->callers;
 
-  bufferevent_setwatermark (caller->connection->bev, EV_READ, n_bytes, max_input_bytes (callers));
+  bufferevent_setwatermark (caller->connection->bev, EV_READ, n_bytes,
+                            compute_max_input_bytes (callers));
 }
 
 /* Withholds a request line from the parser until it is complete. Where a line continues in a second
@@ -286,7 +288,7 @@
 static void
 withhold_partial_line (LnCaller *caller, struct evbuffer *input, size_t n_added)
 {
-  size_t partial = partial_line_length (caller);
+  size_t partial = get_partial_line_length (caller);
 
   if (caller->held_request)
     {
@@ -399,7 +401,7 @@
 {
   struct evbuffer *output = bufferevent_get_output (caller->connection->bev);
 
-  return caller->exchange || is_reading_request (caller) || partial_line_length (caller) > 0
+  return caller->exchange || is_reading_request (caller) || get_partial_line_length (caller) > 0
          || evbuffer_get_length (output) > 0;
 }
 
@@ -421,7 +423,7 @@
       ln_caller_close (caller);
       return;
     }
-  if (partial_line_length (caller) > 0)
+  if (get_partial_line_length (caller) > 0)
     {
       caller->held_request = request;
       start_timer (caller, caller->callers->read_timeout);
--- a/packages/node/src/front/ln-entry.c
+++ b/packages/node/src/front/ln-entry.c
@@ -16,7 +16,7 @@
 
 /* The name that the caller gives, else its IP, so that it always gets the same addresses. */
 static const char *
-caller_name (const LnExchange *exchange)
+read_caller_name (const LnExchange *exchange)
 {
   const char *caller = ln_exchange_query (exchange, "caller");
 
@@ -63,15 +63,15 @@
 }
 
 static void
-reply (LnExchange *exchange,
-       const LcEntryChoice *entry,
-       const LcMemberView *views,
-       int64_t time_to_live_ms)
+send_addresses (LnExchange *exchange,
+                const LcEntryChoice *entry,
+                const LcMemberView *views,
+                int64_t time_to_live_ms)
 {
   struct json_object *object = json_object_new_object ();
   struct json_object *addresses = addresses_to_json (entry, views);
 
-  lb_log (LB_LOG_INFO, "entry", LB_TEXT ("caller", caller_name (exchange)),
+  lb_log (LB_LOG_INFO, "entry", LB_TEXT ("caller", read_caller_name (exchange)),
           LB_JSON ("addresses", json_object_to_json_string (addresses)));
   json_object_object_add (object, "ttl_ms", json_object_new_int64 (time_to_live_ms));
   json_object_object_add (object, "addresses", addresses);
@@ -89,11 +89,11 @@
   lc_membership_copy_views (membership, views);
   if (!data_centre || !is_known_data_centre (views, n_views, data_centre))
     data_centre = lc_membership_self (membership)->data_centre;
-  lc_entry_choose (&entry, views, n_views, caller_name (exchange), data_centre);
+  lc_entry_choose (&entry, views, n_views, read_caller_name (exchange), data_centre);
   lb_metric_add (&replies, 1);
   if (entry.n_chosen == 0)
     refuse_request (exchange);
   else
-    reply (exchange, &entry, views, time_to_live_ms);
+    send_addresses (exchange, &entry, views, time_to_live_ms);
   free (views);
 }
--- a/packages/node/src/front/ln-exchange-private.h
+++ b/packages/node/src/front/ln-exchange-private.h
@@ -10,7 +10,7 @@
 void ln_exchange_report_disconnect (LnExchange *exchange);
 /* To be called before evhtp frees the connection with its request. */
 void ln_exchange_detach_connection (LnExchange *exchange);
-/* At the end of the process: frees the exchanges that got no reply. */
+/* Frees the exchanges that got no reply; to be called at the end of the process. */
 void ln_exchange_free_all (LbList *exchanges);
 
 /* Data of the owner, for use when the caller disconnects. */
--- a/packages/node/src/front/ln-front.c
+++ b/packages/node/src/front/ln-front.c
@@ -19,7 +19,7 @@
 #include <string.h>
 
 #define BACKLOG 1024
-/* For callers, entry, readiness, metrics and, on a shared platform, peers. */
+/* Listeners for callers, entry, readiness, metrics and, on a shared platform, peers. */
 #define MAX_LISTENERS 5
 
 /* The HTTP front end: receives complete requests, within the configured limits, and posts each to
@@ -198,7 +198,7 @@
 }
 
 static void
-receive (LnTask *task, const LnMessage *message)
+receive_message (LnTask *task, const LnMessage *message)
 {
   LnFront *front = (LnFront *)task;
 
@@ -219,7 +219,7 @@
 }
 
 static void
-drain (LnTask *task)
+start_drain (LnTask *task)
 {
   LnFront *front = (LnFront *)task;
 
@@ -265,9 +265,11 @@
   free (front);
 }
 
-static const LnTaskClass front_class = {
-  .name = "front", .receive = receive, .drain = drain, .is_idle = is_idle, .free = front_free
-};
+static const LnTaskClass front_class = { .name = "front",
+                                         .receive = receive_message,
+                                         .drain = start_drain,
+                                         .is_idle = is_idle,
+                                         .free = front_free };
 
 static evhtp_t *
 add_server (LnFront *front)
--- a/packages/node/src/front/ln-recorder.c
+++ b/packages/node/src/front/ln-recorder.c
@@ -64,7 +64,7 @@
 };
 
 static const char *
-data_centre_site (const char *data_centre)
+find_site_of_data_centre (const char *data_centre)
 {
   return strncmp (data_centre, "hall-", 5) == 0 || strcmp (data_centre, "local") == 0 ? "kurunegala"
                                                                                       : "hoa-sen";
@@ -76,7 +76,7 @@
   LnRecorder *recorder = LB_NEW (LnRecorder);
 
   LB_COPY (recorder->path, path);
-  recorder->site = data_centre_site (data_centre);
+  recorder->site = find_site_of_data_centre (data_centre);
   recorder->seed = seed % 1000000000000000U;
   recorder->started_at = now;
   recorder->groups_per_step = 8;
@@ -87,7 +87,7 @@
 }
 
 static int64_t
-clamp_from_1 (int64_t value, int64_t max)
+clamp_to_positive (int64_t value, int64_t max)
 {
   if (value < 1)
     return 1;
@@ -95,7 +95,7 @@
 }
 
 static int64_t
-ms_since_start (const LnRecorder *recorder, LbTime now)
+compute_ms_since_start (const LnRecorder *recorder, LbTime now)
 {
   return (now - recorder->started_at) / LB_MSEC;
 }
@@ -110,7 +110,7 @@
   record = LB_NEW (Record);
   record->type = type;
   record->exchange_id = ln_exchange_id (exchange);
-  record->at_ms = ms_since_start (recorder, now);
+  record->at_ms = compute_ms_since_start (recorder, now);
   record->completed_ms = -1;
   lb_list_append (&recorder->records, &record->link);
   return record;
@@ -156,7 +156,7 @@
   if (record)
     {
       record->max_tokens
-          = clamp_from_1 (read_integer (body, "max_tokens", DEFAULT_TOKENS), MAX_TOKENS);
+          = clamp_to_positive (read_integer (body, "max_tokens", DEFAULT_TOKENS), MAX_TOKENS);
       record->deadline_ms = read_deadline_ms (exchange);
     }
   json_object_put (body);
@@ -213,9 +213,11 @@
       || !json_object_is_type (groups, json_type_array) || json_object_array_length (groups) == 0)
     return;
   struct json_object *first = json_object_array_get_idx (groups, 0);
-  recorder->groups_per_step = clamp_from_1 ((int64_t)json_object_array_length (groups), MAX_GROUPS);
-  recorder->samples_per_group = clamp_from_1 (read_integer (first, "samples", 1), MAX_SAMPLES);
-  recorder->min_tokens = clamp_from_1 (read_integer (first, "max_tokens", 60) / 3, MAX_MIN_TOKENS);
+  recorder->groups_per_step
+      = clamp_to_positive ((int64_t)json_object_array_length (groups), MAX_GROUPS);
+  recorder->samples_per_group = clamp_to_positive (read_integer (first, "samples", 1), MAX_SAMPLES);
+  recorder->min_tokens
+      = clamp_to_positive (read_integer (first, "max_tokens", 60) / 3, MAX_MIN_TOKENS);
 }
 
 static void
@@ -306,7 +308,7 @@
   if (!record || !json_object_object_get_ex (reply, "done", &done)
       || !json_object_get_boolean (done))
     return;
-  record->completed_ms = ms_since_start (recorder, now);
+  record->completed_ms = compute_ms_since_start (recorder, now);
 }
 
 void
@@ -332,7 +334,7 @@
   Record *record = find_record (recorder, ln_exchange_id (exchange));
 
   if (record && record->type != RECORD_STEP)
-    record->completed_ms = ms_since_start (recorder, now);
+    record->completed_ms = compute_ms_since_start (recorder, now);
 }
 
 static void
--- a/packages/node/src/rollout/ln-pool-controller.c
+++ b/packages/node/src/rollout/ln-pool-controller.c
@@ -28,7 +28,7 @@
 /* An engine of the pool and the requests to it that are in progress. */
 typedef struct LnPoolEngine
 {
-  LbName name; /* key */
+  LbName name; /* key of the hash table */
   LnPoolController *controller;
   LbName address;
   LhFetch *load_request;  /* GET /load; NULL: none */
@@ -328,7 +328,7 @@
 }
 
 static LbErrorCode
-order_error (const LhResult *result)
+read_order_error (const LhResult *result)
 {
   LbErrorCode error = LB_ERROR_ENDPOINT_FAILED;
   struct json_object *object = NULL;
@@ -351,7 +351,7 @@
   Engine *engine = user;
   LnPoolController *controller = engine->controller;
   LbTime now = lb_clock_monotonic ();
-  LbErrorCode error = order_error (result);
+  LbErrorCode error = read_order_error (result);
 
   engine->order_request = NULL;
   engine->next_load_request_at = now;
--- a/packages/node/src/rollout/ln-pool-controllers.c
+++ b/packages/node/src/rollout/ln-pool-controllers.c
@@ -24,7 +24,7 @@
 }
 
 static LnPoolController *
-find_by_pool (LnConfigTask *task, const char *pool)
+find_controller_of_pool (LnConfigTask *task, const char *pool)
 {
   LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, controller)
   {
@@ -37,7 +37,7 @@
 /* --- candidates --- */
 
 static uint64_t
-rendezvous_weight (const char *pool, const char *instance)
+compute_rendezvous_weight (const char *pool, const char *instance)
 {
   return XXH64 (instance, strlen (instance), XXH64 (pool, strlen (pool), 0));
 }
@@ -46,18 +46,19 @@
 {
   const char *pool;
   const char *own_name;
-  int n_preferred; /* candidates with a higher weight than this instance */
+  int n_preferred; /* candidates with a higher rendezvous weight than this instance */
 } RankSearch;
 
 static void
-count_preferred (const char *instance, int64_t revision, bool alive, bool draining, void *user)
+count_preferred_instance (
+    const char *instance, int64_t revision, bool alive, bool draining, void *user)
 {
   (void)revision;
   RankSearch *search = user;
 
   if (alive && !draining && strcmp (instance, search->own_name) != 0
-      && rendezvous_weight (search->pool, instance)
-             > rendezvous_weight (search->pool, search->own_name))
+      && compute_rendezvous_weight (search->pool, instance)
+             > compute_rendezvous_weight (search->pool, search->own_name))
     search->n_preferred++;
 }
 
@@ -70,7 +71,7 @@
 
   if (task->draining)
     return -1;
-  lc_config_visit_instances (task->config, count_preferred, &search);
+  lc_config_visit_instances (task->config, count_preferred_instance, &search);
   return search.n_preferred < MAX_CANDIDATES ? search.n_preferred : -1;
 }
 
@@ -112,7 +113,7 @@
   }
   for (size_t i = 0; i < set->n_pools; i++)
     {
-      LnPoolController *controller = find_by_pool (task, set->pools[i].name);
+      LnPoolController *controller = find_controller_of_pool (task, set->pools[i].name);
       if (!has_engines (set, set->pools[i].name))
         continue;
       if (!controller)
@@ -274,7 +275,7 @@
 static void
 receive_newest_version (LnConfigTask *task, struct json_object *message)
 {
-  LnPoolController *controller = find_by_pool (task, lb_json_text (message, "pool", ""));
+  LnPoolController *controller = find_controller_of_pool (task, lb_json_text (message, "pool", ""));
   int64_t fence = lb_json_int (message, "fence", 0);
 
   if (!controller || fence < controller->highest_fence)
@@ -297,7 +298,8 @@
     receive_newest_version (task, message);
   else if (strcmp (type, "lease_free") == 0)
     {
-      LnPoolController *controller = find_by_pool (task, lb_json_text (message, "pool", ""));
+      LnPoolController *controller
+          = find_controller_of_pool (task, lb_json_text (message, "pool", ""));
       if (controller)
         lc_lease_read_soon (controller->lease, now);
     }
--- a/packages/node/src/rollout/ln-rollouts-owners.c
+++ b/packages/node/src/rollout/ln-rollouts-owners.c
@@ -14,11 +14,11 @@
 
 #define RETRY_AFTER (500 * LB_MSEC)
 #define MAX_OWNER_LOOKUPS 3
-/* Time until a failed claim of a step that was opened while the store was unavailable, or a failed
- * release, is repeated. */
+/* Delay before retrying a failed release, or a failed claim of a step that was opened while the
+ * store was unavailable. */
 #define WRITE_RETRY_INTERVAL LB_SEC
-/* After these the step is dropped without a release. Its row still names this instance, so the next
- * owner claims it once this instance is gone. */
+/* After this number of failed releases the step is dropped without one. Its row still names this
+ * instance, so another instance can claim it once this one has exited. */
 #define MAX_RELEASE_ATTEMPTS 10
 
 typedef struct
--- a/packages/node/src/rollout/ln-rollouts-private.h
+++ b/packages/node/src/rollout/ln-rollouts-private.h
@@ -25,7 +25,7 @@
  * requests. */
 typedef struct
 {
-  LnTask task; /* first */
+  LnTask task; /* must be the first member */
   LnContext *context;
   LcRollouts *core; /* decides; runs no I/O */
   LnStepStore *store;
--- a/packages/node/src/rollout/ln-rollouts-run.c
+++ b/packages/node/src/rollout/ln-rollouts-run.c
@@ -30,7 +30,7 @@
 }
 
 static const char *
-model_name (const LnRollouts *rollouts, const char *pool)
+find_model_name (const LnRollouts *rollouts, const char *pool)
 {
   const LcPool *resource
       = rollouts->resources ? lc_resource_set_find_pool (rollouts->resources, pool) : NULL;
@@ -44,7 +44,7 @@
   struct json_object *object = json_object_new_object ();
 
   json_object_object_add (object, "model",
-                          json_object_new_string (model_name (rollouts, action->spec.pool)));
+                          json_object_new_string (find_model_name (rollouts, action->spec.pool)));
   json_object_object_add (object, "prompt", json_object_new_string (action->prompt));
   json_object_object_add (object, "max_tokens", json_object_new_int64 (action->max_tokens));
   json_object_object_add (object, "stream", json_object_new_boolean (true));
--- a/packages/node/src/rollout/ln-rollouts.c
+++ b/packages/node/src/rollout/ln-rollouts.c
@@ -39,7 +39,7 @@
  * keeps using an address that answers: if its calls were relayed without a limit, one would always
  * be in progress and the drain would never end. A refused trainer switches to another instance. */
 static bool
-must_refuse (LnRollouts *rollouts, const LnStepCall *call, LbTime now)
+must_refuse_call (LnRollouts *rollouts, const LnStepCall *call, LbTime now)
 {
   LbTime drain_time = rollouts->context->settings->drain.drain_ms * LB_MSEC;
 
@@ -54,7 +54,7 @@
   LbTime now = lb_clock_monotonic ();
   LnStepCall *call = ln_step_call_parse (exchange, rollouts->core, now, &error);
 
-  if (call && must_refuse (rollouts, call, now))
+  if (call && must_refuse_call (rollouts, call, now))
     {
       lb_error_set (&error, LB_ERROR_DRAINING, "", "this instance is shutting down");
       ln_exchange_reply_error (exchange, &error, LB_SEC);
@@ -189,7 +189,7 @@
 }
 
 static void
-receive (LnTask *task, const LnMessage *message)
+receive_message (LnTask *task, const LnMessage *message)
 {
   LnRollouts *rollouts = (LnRollouts *)task;
 
@@ -280,7 +280,7 @@
 }
 
 static const LnTaskClass rollouts_class = { .name = "rollouts",
-                                            .receive = receive,
+                                            .receive = receive_message,
                                             .drain = start_drain,
                                             .is_idle = is_idle,
                                             .free = free_rollouts };
--- a/packages/node/src/rollout/ln-step-call.h
+++ b/packages/node/src/rollout/ln-step-call.h
@@ -24,11 +24,11 @@
   uint64_t id;          /* id of the exchange, valid after a disconnect too */
   LnStepKey key;
   LcPull pull;             /* PULL: what the trainer requests */
-  char *cursor;            /* owned; pull.cursor points to it */
+  char *cursor;            /* owned by the call; pull.cursor points to it */
   int owner_lookups;       /* number of lookups of the step's owner for this call */
   struct LhFetch *relay;   /* request to the owner; NULL: none */
   LnStepOwner relay_owner; /* the owner to which the call is relayed */
-  void *relay_state;       /* of ln-step-relay.c */
+  void *relay_state;       /* private to ln-step-relay.c */
 } LnStepCall;
 
 /* Returns NULL and sets error if path or body is not as in docs/API.md, or if LcRollouts
--- a/packages/node/src/rollout/ln-step-claim.h
+++ b/packages/node/src/rollout/ln-step-claim.h
@@ -7,8 +7,8 @@
 
 typedef enum
 {
-  LN_STEP_OWNED_HERE,      /* by this incarnation */
-  LN_STEP_OWNED_ELSEWHERE, /* by another live instance, see owner */
+  LN_STEP_OWNED_HERE,      /* the owner is this incarnation */
+  LN_STEP_OWNED_ELSEWHERE, /* the owner is another live instance, see owner */
   LN_STEP_NOT_FOUND,       /* it was never opened */
   LN_STEP_UNOWNED,         /* it has no live owner, and may_claim was false */
   LN_STEP_CLAIM_FAILED     /* see error */
@@ -28,7 +28,7 @@
 typedef struct
 {
   LnStepKey key;
-  const char *content;  /* opens a step that was never opened; NULL: it stays so */
+  const char *content;  /* body that opens the step if it was never opened; NULL: doesn't open it */
   uint64_t own_session; /* session under which the step is open here already; 0: it is not open */
   const char *incarnation;           /* of this process */
   bool may_claim;                    /* false: only looks up the owner */
--- a/packages/node/src/rollout/ln-step-store.c
+++ b/packages/node/src/rollout/ln-step-store.c
@@ -98,19 +98,19 @@
 }
 
 static LpPlatform *
-platform_of (const Operation *operation)
+get_platform (const Operation *operation)
 {
   return operation->store->context->platform;
 }
 
 static char *
-owner_row_key (const LnStepKey *key)
+format_owner_row_key (const LnStepKey *key)
 {
   return lb_asprintf ("step/%s/%lld", key->subscription, (long long)key->step);
 }
 
 static char *
-ledger_row_key (const LnStepKey *key)
+format_ledger_row_key (const LnStepKey *key)
 {
   return lb_asprintf ("ledger/%s/%lld", key->subscription, (long long)key->step);
 }
@@ -118,15 +118,15 @@
 /* The key contains a hash of the content, so that an instance that loses the race to open a step
  * can't overwrite the content of the winner. */
 static char *
-content_object_key (const LnStepKey *key, const LnStepOwner *owner)
+format_content_object_key (const LnStepKey *key, const LnStepOwner *owner)
 {
   return lb_asprintf ("steps/%s/%lld/%s", key->subscription, (long long)key->step,
                       owner->content_hash);
 }
 
-/* Samples left by the owner of that session. */
+/* Key of the object with the samples that the owner of that session stored at its release. */
 static char *
-samples_object_key (const LnStepKey *key, uint64_t session)
+format_samples_object_key (const LnStepKey *key, uint64_t session)
 {
   return lb_asprintf ("steps/%s/%lld/ready-%llu", key->subscription, (long long)key->step,
                       (unsigned long long)session);
@@ -185,10 +185,10 @@
                           void *user)
 {
   Operation *operation = operation_new (store, key, user);
-  LpPlatform *platform = platform_of (operation);
+  LpPlatform *platform = get_platform (operation);
 
   operation->owner_done = done;
-  operation->row_key = owner_row_key (key);
+  operation->row_key = format_owner_row_key (key);
   platform->klass->get (platform, operation->row_key, on_owner_read, operation);
 }
 
@@ -234,7 +234,7 @@
 
   if (free_if_orphaned (operation))
     return;
-  LpPlatform *platform = platform_of (operation);
+  LpPlatform *platform = get_platform (operation);
   (void)row;
   if (error == LB_OK || error == LB_ERROR_STORE_UNKNOWN || error == LB_ERROR_CONDITION_FAILED)
     platform->klass->get (platform, operation->row_key, on_claim_read_back, operation);
@@ -245,13 +245,13 @@
 static void
 write_claim (Operation *operation)
 {
-  LpPlatform *platform = platform_of (operation);
+  LpPlatform *platform = get_platform (operation);
   LnStepKey expired_key = operation->key;
   LpCondition condition = { .key = operation->row_key, .version = operation->owner.row_version };
 
   expired_key.step -= RETAINED_STEPS;
-  char *expired_owner_row = owner_row_key (&expired_key);
-  char *expired_ledger_row = ledger_row_key (&expired_key);
+  char *expired_owner_row = format_owner_row_key (&expired_key);
+  char *expired_ledger_row = format_ledger_row_key (&expired_key);
   LpPut puts[] = { { .key = operation->row_key, .value = operation->row_value },
                    { .key = expired_owner_row },
                    { .key = expired_ledger_row } };
@@ -290,7 +290,7 @@
                      void *user)
 {
   Operation *operation = operation_new (store, key, user);
-  LpPlatform *platform = platform_of (operation);
+  LpPlatform *platform = get_platform (operation);
   LnStepOwner *owner = &operation->owner;
 
   *owner = *seen;
@@ -302,14 +302,14 @@
   if (content)
     snprintf (owner->content_hash, sizeof owner->content_hash, "%016llx",
               (unsigned long long)XXH64 (content, strlen (content), 0));
-  operation->row_key = owner_row_key (key);
+  operation->row_key = format_owner_row_key (key);
   operation->row_value = owner_to_json (owner);
   if (!content)
     {
       write_claim (operation);
       return;
     }
-  char *object = content_object_key (key, owner);
+  char *object = format_content_object_key (key, owner);
   platform->klass->put_object (platform, object, content, strlen (content), on_content_stored,
                                operation);
   free (object);
@@ -353,8 +353,8 @@
       finish_load (operation, error, NULL, 0);
       return;
     }
-  LpPlatform *platform = platform_of (operation);
-  char *object = samples_object_key (&operation->key, operation->owner.session - 1);
+  LpPlatform *platform = get_platform (operation);
+  char *object = format_samples_object_key (&operation->key, operation->owner.session - 1);
   operation->content = lb_strndup (bytes, length);
   operation->content_length = length;
   platform->klass->get_object (platform, object, on_samples_loaded, operation);
@@ -373,8 +373,8 @@
       finish_load (operation, error, NULL, 0);
       return;
     }
-  LpPlatform *platform = platform_of (operation);
-  char *object = content_object_key (&operation->key, &operation->owner);
+  LpPlatform *platform = get_platform (operation);
+  char *object = format_content_object_key (&operation->key, &operation->owner);
   operation->ledger = lb_strdup (error == LB_OK && n_rows > 0 ? rows[0].value : "");
   platform->klass->get_object (platform, object, on_content_loaded, operation);
   free (object);
@@ -388,11 +388,11 @@
                     void *user)
 {
   Operation *operation = operation_new (store, key, user);
-  LpPlatform *platform = platform_of (operation);
+  LpPlatform *platform = get_platform (operation);
 
   operation->owner = *owner;
   operation->load_done = done;
-  operation->row_key = ledger_row_key (key);
+  operation->row_key = format_ledger_row_key (key);
   platform->klass->get (platform, operation->row_key, on_ledger_read, operation);
 }
 
@@ -422,7 +422,7 @@
     return;
   if (error == LB_ERROR_STORE_UNKNOWN)
     {
-      LpPlatform *platform = platform_of (operation);
+      LpPlatform *platform = get_platform (operation);
       platform->klass->get (platform, operation->row_key, on_row_read_back, operation);
       return;
     }
@@ -433,7 +433,7 @@
 static void
 write_row (Operation *operation, const LnStepOwner *own, const char *condition_key)
 {
-  LpPlatform *platform = platform_of (operation);
+  LpPlatform *platform = get_platform (operation);
   LpCondition condition = { .key = condition_key, .version = own->row_version };
   LpPut put = { .key = operation->row_key, .value = operation->row_value };
   LpTransaction transaction = { .token = operation->token,
@@ -456,10 +456,10 @@
                             void *user)
 {
   Operation *operation = operation_new (store, key, user);
-  char *owner_key = owner_row_key (key);
+  char *owner_key = format_owner_row_key (key);
 
   operation->write_done = done;
-  operation->row_key = ledger_row_key (key);
+  operation->row_key = format_ledger_row_key (key);
   operation->row_value = lb_strdup (value);
   write_row (operation, own, owner_key);
   free (owner_key);
@@ -493,14 +493,14 @@
                        void *user)
 {
   Operation *operation = operation_new (store, key, user);
-  LpPlatform *platform = platform_of (operation);
+  LpPlatform *platform = get_platform (operation);
   LnStepOwner released = { .session = own->session };
-  char *object = samples_object_key (key, own->session);
+  char *object = format_samples_object_key (key, own->session);
 
   LB_COPY (released.content_hash, own->content_hash);
   operation->owner = *own;
   operation->write_done = done;
-  operation->row_key = owner_row_key (key);
+  operation->row_key = format_owner_row_key (key);
   operation->row_value = owner_to_json (&released);
   platform->klass->put_object (platform, object, samples, strlen (samples), on_samples_stored,
                                operation);
--- a/packages/node/tests/steps-fixture.h
+++ b/packages/node/tests/steps-fixture.h
@@ -31,7 +31,7 @@
 /* The in-memory platform with injected faults. */
 typedef struct
 {
-  LpPlatform platform; /* first */
+  LpPlatform platform; /* must be the first member */
   LpPlatform *inner;
   StoreMode mode;
   int writes;
@@ -40,7 +40,7 @@
 /* Stands in for the task "calls": answers each sample at once with ten tokens, or holds it. */
 typedef struct
 {
-  LnTask task; /* first */
+  LnTask task; /* must be the first member */
   bool holds_samples;
   int n_samples;
   size_t n_prefix_hashes; /* largest of any sample */
@@ -66,7 +66,7 @@
   FaultyStore store;
   Instance instances[2];
   struct LhPool *http;
-  /* the trainer */
+  /* State of the trainer. */
   char *cursor;
   int received[MAX_SLOTS]; /* how often each sample was delivered */
   int status;
--- a/packages/node/tests/test-calls-start.c
+++ b/packages/node/tests/test-calls-start.c
@@ -5,7 +5,7 @@
 /* A platform that defers the answer to the scan for crash reports until the test sends it. */
 typedef struct
 {
-  LpPlatform platform;   /* first */
+  LpPlatform platform;   /* must be the first member */
   LpRowsDone on_scanned; /* NULL: no scan pending */
   void *user;
 } SlowStore;
--- a/packages/node/tests/test-calls.c
+++ b/packages/node/tests/test-calls.c
@@ -215,7 +215,8 @@
   setup_clear (&s);
 }
 
-/* The same with the error type of a refusal: null does not prove that the call did not start. */
+/* An engine replies with an error whose type is null. That is not a refusal, so it does not prove
+ * that the call did not start. */
 Test (calls, refusal_with_a_null_type_may_have_run)
 {
   Setup s;
--- a/packages/node/tests/test-crashes.c
+++ b/packages/node/tests/test-crashes.c
@@ -20,7 +20,7 @@
  * unavailable. */
 typedef struct
 {
-  LpPlatform platform; /* first */
+  LpPlatform platform; /* must be the first member */
   LpRow rows[MAX_ROWS];
   size_t n_rows;
   int64_t version;
@@ -402,7 +402,7 @@
   world_clear (&w);
 }
 
-/* --- a platform whose rows can't be followed --- */
+/* --- platforms on which changes of rows can't be followed --- */
 
 /* Running instances get reports in frames; a starting one reads the rows. */
 Test (crashes, reports_go_in_frames_where_rows_can_not_be_followed)
--- a/packages/node/tests/test-fleet-directory.c
+++ b/packages/node/tests/test-fleet-directory.c
@@ -23,7 +23,7 @@
  */
 typedef struct
 {
-  LpPlatform platform; /* first */
+  LpPlatform platform; /* must be the first member */
   Row *rows;           /* sorted by key */
   size_t n_rows;
   size_t n_lists;
--- a/packages/node/tests/test-fleet-lists.c
+++ b/packages/node/tests/test-fleet-lists.c
@@ -22,7 +22,7 @@
 /* A store with the rows of two instances, both in one part, that answers at once. */
 typedef struct
 {
-  LpPlatform platform; /* first */
+  LpPlatform platform; /* must be the first member */
   Instance instances[2];
   int64_t version;
 } Store;
--- a/packages/node/tests/test-fleet-renewal.c
+++ b/packages/node/tests/test-fleet-renewal.c
@@ -21,7 +21,7 @@
 /* A store that records writes and answers them when the test says so. */
 typedef struct
 {
-  LpPlatform platform; /* first */
+  LpPlatform platform; /* must be the first member */
   Write writes[MAX_WRITES];
   size_t n_writes;
   size_t n_answered;
@@ -61,7 +61,7 @@
   LcFleetRow row;
   LnFleetRenewal *renewal;
   LbTime now;
-  bool is_duty_row_listed; /* the row on duty is in the last list */
+  bool is_duty_row_listed; /* the last list contained this instance's duty row */
   bool is_omitted;
 } Setup;
 
@@ -108,6 +108,8 @@
   return n;
 }
 
+/* An instance that runs batches is on duty: it renews a second row, the duty row, more often than
+ * its normal row. */
 Test (fleet_renewal, an_instance_on_duty_renews_a_second_row)
 {
   Setup s;
@@ -123,7 +125,7 @@
   ln_fleet_renewal_free (s.renewal);
 }
 
-/* An instance no longer runs batches. If its row on duty, which is no longer renewed, stayed in the
+/* An instance no longer runs batches. If its duty row, which is no longer renewed, stayed in the
  * store, the other instances would consider it dead. The outcome of the first removal is unknown.
  */
 Test (fleet_renewal, the_duty_row_is_removed_after_the_duty)
@@ -152,7 +154,7 @@
   ln_fleet_renewal_free (s.renewal);
 }
 
-/* A renewal whose answer was lost is applied after the row on duty was removed, so that a stale row
+/* A renewal whose answer was lost is applied after the duty row was removed, so that a stale row
  * is back. */
 Test (fleet_renewal, a_duty_row_that_reappears_is_removed_again)
 {
--- a/packages/node/tests/test-front.c
+++ b/packages/node/tests/test-front.c
@@ -40,7 +40,8 @@
   fixture_clear (&f);
 }
 
-/* The same before the end of the headers, when evhtp has no request yet. */
+/* A request whose headers never end must time out as well; evhtp has no request object for it yet.
+ */
 Test (front, header_sent_byte_by_byte_times_out)
 {
   Fixture f;
@@ -102,7 +103,8 @@
   fixture_clear (&f);
 }
 
-/* The same when the first segment arrives before the reply to the previous request. */
+/* The first segment of a request line arrives before the reply to the previous request. evhtp must
+ * get the line only when it is complete, or its parser changes the path. */
 Test (front, partial_pipelined_request_line_is_held_until_complete)
 {
   Fixture f;
@@ -302,7 +304,7 @@
   fixture_clear (&f);
 }
 
-/* Connections above the limit are closed at once; the others keep working. */
+/* Connections above the limit are closed at once, and those below it keep working. */
 Test (front, connections_above_the_limit_are_closed)
 {
   Fixture f;
--- a/packages/node/tests/test-steps.c
+++ b/packages/node/tests/test-steps.c
@@ -94,8 +94,9 @@
   cluster_free (cluster);
 }
 
-/* The same for a strict subscription, where the pull does not reveal the new owner: the condition
- * on the owner's row fails before a chunk is sent. */
+/* The owner of a strict subscription's step was replaced, and the trainer's pull does not reveal
+ * the new owner. The write of the ledger must fail by its condition on the owner's row, before a
+ * chunk is sent. */
 Test (steps, replaced_owner_of_a_strict_step_fails_to_write_the_ledger)
 {
   Cluster *cluster = cluster_new (true);
--- a/packages/node/tests/test-tickets.c
+++ b/packages/node/tests/test-tickets.c
@@ -5,7 +5,7 @@
 /* A store with one row that returns the errors set by the test. */
 typedef struct
 {
-  LpPlatform platform; /* first */
+  LpPlatform platform; /* must be the first member */
   LbErrorCode transact_error;
   LbErrorCode get_error;
   char key[128];
