--- a/packages/node/src/duties/ln-usage-reporter.c
+++ b/packages/node/src/duties/ln-usage-reporter.c
@@ -191,7 +191,8 @@
   finish_list (pending);
 }
 
-/* Also lists the first row of each partition, which is of the oldest window there. */
+/* Lists the recorded reports, and the first row of each partition, which belongs to the oldest
+ * window there. */
 static void
 read_reports (LnUsageReporter *reporter, const LcUsageAction *action)
 {
@@ -229,7 +230,7 @@
   lc_usage_counts_free (counts);
 }
 
-/* Counts the leading rows that are of the same incarnation; these are adjacent. */
+/* Counts the leading rows of the same incarnation; its rows are adjacent in the list. */
 static size_t
 count_incarnation_rows (const LpRow *rows, size_t n_rows)
 {
--- a/packages/node/src/endpoints/ln-crashes.c
+++ b/packages/node/src/endpoints/ln-crashes.c
@@ -49,10 +49,10 @@
   LnContext *context;
   LcQuarantine *quarantine;
   LpFollow *follower; /* NULL: rows can't be followed on this platform, and are scanned */
-  LbList rows;
+  LbList rows;        /* of KnownRow */
   LnUnwrittenRows *unwritten;
-  uint64_t report_count;
-  LbTime store_clock_offset; /* the store's clock minus the own clock */
+  uint64_t report_count;     /* reports of this instance so far */
+  LbTime store_clock_offset; /* the store's clock minus this instance's clock */
   bool has_store_clock;
   LbTime next_scan_at;
   bool is_scanning;
--- a/packages/node/src/endpoints/ln-leaving.c
+++ b/packages/node/src/endpoints/ln-leaving.c
@@ -23,7 +23,7 @@
 struct LnLeaving
 {
   LnTask *task;
-  AnnouncedEndpoint *announced;
+  AnnouncedEndpoint *announced; /* hash table by endpoint */
 };
 
 LnLeaving *
--- a/packages/node/src/front/ln-recorder.c
+++ b/packages/node/src/front/ln-recorder.c
@@ -42,7 +42,7 @@
   int64_t max_tokens;
   int64_t deadline_ms; /* 0: the default */
   bool is_repeatable;
-  int trainer;
+  int trainer;         /* index in trainers */
   int64_t step;        /* the trainer's own number */
   int64_t replay_step; /* index among the accepted steps of this trainer */
   bool is_accepted;
@@ -54,9 +54,9 @@
   const char *site;
   uint64_t seed;
   LbTime started_at;
-  LbList records;
+  LbList records; /* of Record */
   LbName trainers[MAX_TRAINERS];
-  int64_t n_steps[MAX_TRAINERS]; /* accepted */
+  int64_t n_steps[MAX_TRAINERS]; /* accepted steps, by trainer */
   int n_trainers;
   int64_t groups_per_step;
   int64_t samples_per_group;
@@ -203,7 +203,8 @@
   return NULL;
 }
 
-/* A trace has one shape for all steps; the first step determines it. */
+/* A trace has one number of groups, samples and tokens for all steps; the first step determines
+ * it. */
 static void
 record_step_shape (LnRecorder *recorder, struct json_object *body)
 {
--- a/packages/node/src/front/ln-request-scanner.c
+++ b/packages/node/src/front/ln-request-scanner.c
@@ -50,9 +50,9 @@
   scanner->remaining = 0;
 }
 
-/* The value of the current header line, or NULL when the header has another name. */
+/* Returns the value of the current header line, or NULL if the header has another name. */
 static const char *
-match_header (const LnRequestScanner *scanner, const char *name)
+find_header_value (const LnRequestScanner *scanner, const char *name)
 {
   size_t length = strlen (name);
   const char *value = scanner->line + length + 1;
@@ -75,10 +75,10 @@
 read_header (LnRequestScanner *scanner)
 {
   static const char chunked[] = "chunked";
-  const char *content_length = match_header (scanner, "Content-Length");
-  const char *transfer_coding = match_header (scanner, "Transfer-Encoding");
+  const char *content_length = find_header_value (scanner, "Content-Length");
+  const char *transfer_coding = find_header_value (scanner, "Transfer-Encoding");
 
-  scanner->has_host |= match_header (scanner, "Host") != NULL;
+  scanner->has_host |= find_header_value (scanner, "Host") != NULL;
   if (content_length)
     scanner->remaining = strtoull (content_length, NULL, 10);
   if (transfer_coding)
--- a/packages/node/src/rollout/ln-step-store.c
+++ b/packages/node/src/rollout/ln-step-store.c
@@ -18,7 +18,7 @@
 {
   LnContext *context;
   uint64_t last_token;
-  LbList operations;
+  LbList operations; /* of Operation */
 };
 
 /* An operation of the platform in progress. */
@@ -31,7 +31,7 @@
   char *token;
   char *row_key;
   char *row_value;
-  char *ledger; /* value of the ledger row, read by a load */
+  char *ledger; /* value of the ledger row, read when a step is loaded */
   char *content;
   size_t content_length;
   LnStepOwnerDone owner_done;
--- a/packages/node/src/rollout/ln-step-store.h
+++ b/packages/node/src/rollout/ln-step-store.h
@@ -49,14 +49,15 @@
                                LnStepOwnerDone done,
                                void *user);
 /* Makes this incarnation the owner under the next session, on condition that the row still has the
- * version that was seen; CONDITION_FAILED: another instance has claimed the step. content is stored
- * first; NULL: it is stored already. */
+ * version in seen; CONDITION_FAILED: another instance has claimed the step. Stores content first;
+ * NULL: the content is stored already. */
 void ln_step_store_claim (LnStepStore *store,
                           const LnStepKey *key,
                           const LnStepOwner *seen,
                           const char *content,
                           LnStepOwnerDone done,
                           void *user);
+/* Reads the trainer's request, its cursor, and the samples that the last owner has stored. */
 void ln_step_store_load (LnStepStore *store,
                          const LnStepKey *key,
                          const LnStepOwner *owner,
--- a/packages/node/tests/steps-fixture.h
+++ b/packages/node/tests/steps-fixture.h
@@ -43,7 +43,7 @@
   LnTask task; /* must be the first member */
   bool holds_samples;
   int n_samples;
-  size_t n_prefix_hashes; /* largest of any sample */
+  size_t n_prefix_hashes; /* maximum over all samples */
   LcRequestId held[MAX_SLOTS];
   size_t n_held;
 } FakeCalls;
--- a/packages/node/tests/test-crashes.c
+++ b/packages/node/tests/test-crashes.c
@@ -328,7 +328,8 @@
   report_crash (&w.a, "e1", BAD_REQUEST);
   cr_assert_not_null (w.store.rows[0].value);
   ln_crashes_tick (w.a.crashes, lb_clock_monotonic () + lc_quarantine_report_lifetime ());
-  cr_assert_not_null (w.store.rows[0].value, "a row is kept for some time after it expires");
+  cr_assert_not_null (w.store.rows[0].value,
+                      "expected the row to be kept for some time after it expires");
   ln_crashes_tick (w.a.crashes,
                    lb_clock_monotonic () + lc_quarantine_report_lifetime () + 700 * LB_SEC);
   cr_assert_null (w.store.rows[0].value);
--- a/packages/node/tests/test-fleet-renewal.c
+++ b/packages/node/tests/test-fleet-renewal.c
@@ -137,7 +137,8 @@
   run_for (&s, LB_SEC);
   ln_fleet_renewal_set_duty (s.renewal, false, s.now);
   run_for (&s, 10 * LB_SEC);
-  cr_assert_eq (count_writes (&s, true, true), 0, "the duty row is kept for the next step");
+  cr_assert_eq (count_writes (&s, true, true), 0,
+                "expected no removal yet, as the duty row is kept for the next step");
   s.is_duty_row_listed = true;
   s.now += LB_SEC;
   tick (&s);
@@ -150,7 +151,8 @@
   run_for (&s, LB_SEC);
   cr_assert_eq (count_writes (&s, true, true), 2);
   run_for (&s, 5 * LB_SEC);
-  cr_assert_eq (count_writes (&s, true, true), 2, "the removal is confirmed");
+  cr_assert_eq (count_writes (&s, true, true), 2,
+                "expected no further removal, as the second one succeeded");
   ln_fleet_renewal_free (s.renewal);
 }
 
--- a/packages/node/tests/test-leaving.c
+++ b/packages/node/tests/test-leaving.c
@@ -82,7 +82,7 @@
   Fixture f = fixture_new ();
 
   announce (&f);
-  cr_assert_eq (f.peers->frames, 0, "the endpoint is not leaving");
+  cr_assert_eq (f.peers->frames, 0, "expected no frame, as the endpoint is not leaving");
   f.endpoint.leaving = true;
   announce (&f);
   announce (&f);
