--- a/standins/si-endpoint.h
+++ b/standins/si-endpoint.h
@@ -57,7 +57,7 @@
   size_t n_stream_records;
   int refused;     /* requests refused while loading weights */
   int misdirected; /* requests addressed to another endpoint */
-  /* Tenant headers of the last request, concatenated. */
+  /* Values of the last request's tenant headers, concatenated. */
   LbName organisation;
   int leaked_keys;           /* requests that carried a caller's Api-Key header */
   int n_calls;               /* received by a plain service */
--- a/standins/si-faults.h
+++ b/standins/si-faults.h
@@ -25,7 +25,7 @@
 
 typedef struct
 {
-  int64_t remaining; /* times it still applies; -1: until cleared; 0: off */
+  int64_t remaining; /* number of uses left; -1: unlimited until cleared; 0: off */
   int64_t tokens;
   LbTime delay;
   LbName path_prefix; /* applies only to paths with this prefix */
--- a/standins/si-platform.h
+++ b/standins/si-platform.h
@@ -13,7 +13,7 @@
   SiFaults faults;
   LpStore *store;
   struct json_object *instances;         /* body of GET /instances */
-  struct json_object *pending_instances; /* shown from pending_due on; NULL: none */
+  struct json_object *pending_instances; /* replaces instances at pending_due; NULL: none */
   LbTime pending_due;
   LbTime instances_lag;
   double max_calls_per_second; /* 0: unlimited */
@@ -26,7 +26,7 @@
 } SiPlatform;
 
 bool si_platform_init (SiPlatform *platform, struct event_base *base, int port);
-/* With its own event loop and signal handlers, as si_server_init_program. */
+/* Also creates an event loop and installs signal handlers, see si_server_init_program. */
 bool si_platform_init_program (SiPlatform *platform, int port);
 void si_platform_clear (SiPlatform *platform);
 
--- a/standins/si-row-store.h
+++ b/standins/si-row-store.h
@@ -41,11 +41,11 @@
 /* Writes outside a transaction, as an operator or an endpoint does; value NULL removes the row. */
 void si_row_store_put (
     SiRowStore *store, const char *table, const char *part, const char *key, const char *value);
-/* Base64-encoded value; NULL when there is no such row. Valid until the next change. */
+/* Returns the Base64-encoded value, valid until the next change; NULL when there is no such row. */
 const char *
 si_row_store_get (const SiRowStore *store, const char *table, const char *part, const char *key);
 size_t si_row_store_count_objects (const SiRowStore *store);
-/* Existing rows of the table, in all parts. */
+/* Counts the rows of the table in all parts, without removed rows. */
 size_t si_row_store_count (const SiRowStore *store, const char *table);
 
 #endif
--- a/standins/si-table.h
+++ b/standins/si-table.h
@@ -4,8 +4,8 @@
 #include "lp-store.h"
 #include "si-json.h"
 
-/* JSON requests of the platform's table, applied to an LpStore. The int is the HTTP status; the
- * caller owns the reply. */
+/* JSON requests of the platform's table, applied to an LpStore. An int result is the HTTP
+ * status; the caller owns the reply. */
 int si_table_transact (LpStore *store, struct json_object *request, struct json_object **reply);
 int si_table_row (const LpStore *store, const char *key, struct json_object **reply);
 struct json_object *
--- a/standins/si-text.h
+++ b/standins/si-text.h
@@ -18,12 +18,12 @@
 /* With vary_length the answer has 1 to max_tokens tokens, so that some requests are stragglers. */
 void
 si_text_init (SiText *text, const char *prompt, int64_t seed, int64_t max_tokens, bool vary_length);
-/* From prompt or messages, seed and max_tokens of a completion request. */
+/* Initializes the answer from prompt or messages, seed and max_tokens of a completion request. */
 void si_text_init_from_body (SiText *text, struct json_object *body, bool vary_length);
 void si_text_token (const SiText *text, int64_t index, char token[SI_TOKEN_SIZE]);
-/* Tokens first to first + count - 1, joined; the caller frees it. */
+/* Returns tokens first to first + count - 1, joined; the caller frees it. */
 char *si_text_slice (const SiText *text, int64_t first, int64_t count);
-/* The prompt, or the messages joined; the caller frees it. */
+/* Returns the prompt, or the messages joined; the caller frees it. */
 char *si_text_prompt (struct json_object *body);
 
 #endif
