--- a/packages/node/tests/test-crashes.c
+++ b/packages/node/tests/test-crashes.c
@@ -20,7 +20,7 @@
  * unavailable. */
 typedef struct
 {
-  LpPlatform platform; /* first */
+  LpPlatform platform; /* must be the first member */
   LpRow rows[MAX_ROWS];
   size_t n_rows;
   int64_t version;
@@ -328,7 +328,8 @@
   report_crash (&w.a, "e1", BAD_REQUEST);
   cr_assert_not_null (w.store.rows[0].value);
   ln_crashes_tick (w.a.crashes, lb_clock_monotonic () + lc_quarantine_report_lifetime ());
-  cr_assert_not_null (w.store.rows[0].value, "a row is kept for some time after it expires");
+  cr_assert_not_null (w.store.rows[0].value,
+                      "expected the row to be kept for some time after it expires");
   ln_crashes_tick (w.a.crashes,
                    lb_clock_monotonic () + lc_quarantine_report_lifetime () + 700 * LB_SEC);
   cr_assert_null (w.store.rows[0].value);
@@ -402,7 +403,7 @@
   world_clear (&w);
 }
 
-/* --- a platform whose rows can't be followed --- */
+/* --- platforms on which changes of rows can't be followed --- */
 
 /* Running instances get reports in frames; a starting one reads the rows. */
 Test (crashes, reports_go_in_frames_where_rows_can_not_be_followed)
