--- a/packages/node/main/lentilspindled.c
+++ b/packages/node/main/lentilspindled.c
@@ -120,7 +120,8 @@
             (unsigned long long)lb_clock_wall_ms (), (unsigned)getpid ());
 }
 
-/* With equal seeds, instances would choose the same endpoints at the same time. */
+/* Unless the settings have a seed, derives one from the instance and its incarnation: with equal
+ * seeds, instances would choose the same endpoints at the same time. */
 static void
 set_random_seed (Daemon *daemon)
 {
@@ -133,7 +134,7 @@
   daemon->settings.seed = XXH3_64bits (text, strlen (text));
 }
 
-/* Renamed into place, so that no reader sees an incomplete file. */
+/* The file is renamed into place, so that no reader sees an incomplete one. */
 static bool
 write_address_file (const Daemon *daemon, LbError *error)
 {
--- a/packages/node/src/batch/ln-batch-heads.c
+++ b/packages/node/src/batch/ln-batch-heads.c
@@ -129,8 +129,9 @@
     }
   if (batch->head.epoch != old_head->epoch)
     batch->owner_gone_since = 0;
-  /* A new epoch of this owner: a write that was considered failed took effect. The run here was
-   * started under the previous version of the row, so its writes of results would all fail. */
+  /* If the row has a new epoch but still names this process, a claim that was considered failed
+   * took effect. The run here was started under the previous version of the row, so its writes of
+   * results would all fail. */
   if (is_active_here (batch)
       && (batch->head.ended || !is_owned_here (batch) || batch->head.epoch != old_head->epoch))
     ln_batch_owner_stop (batch);
--- a/packages/node/src/batch/ln-batch-name.c
+++ b/packages/node/src/batch/ln-batch-name.c
@@ -9,7 +9,8 @@
 /* Length of '~' and 16 hexadecimal digits. */
 #define HASH_SUFFIX_LENGTH 17
 
-/* Such an id could be another batch's full name: without an organisation, the id is the name. */
+/* Not allowed in an id: with an organisation, the name is the id plus this suffix, and without one
+ * it is the id itself, so that two batches could have the same name. */
 static bool
 has_hash_suffix (const char *id)
 {
--- a/packages/node/src/batch/ln-batch-owner.c
+++ b/packages/node/src/batch/ln-batch-owner.c
@@ -211,8 +211,8 @@
 typedef struct
 {
   LnBatch *batch;
-  const LcBatch *run; /* of the batch when the write was sent */
-  int64_t epoch;      /* likewise */
+  const LcBatch *run; /* the batch's run when the write was sent */
+  int64_t epoch;      /* the batch's epoch at that time */
 } BatchWrite;
 
 static BatchWrite *
@@ -224,7 +224,7 @@
   return write;
 }
 
-/* Whether the answer belongs to the current run. */
+/* Whether the run that sent the write is still the batch's current one. */
 static bool
 is_current (const BatchWrite *write)
 {
--- a/packages/node/src/batch/ln-batches-private.h
+++ b/packages/node/src/batch/ln-batches-private.h
@@ -64,7 +64,7 @@
   LnBatchState state;
   LcBatch *run; /* RUNNING; else NULL */
   LbTime first_seen_at;
-  LnOwnerState owner_state;     /* cached: valid for the next two values */
+  LnOwnerState owner_state;     /* cached; valid while the next two members have not changed */
   int64_t owner_members_change; /* LnBatches.members_change_count that owner_state is based on */
   int64_t owner_row_version;    /* version of the row that owner_state is based on */
   LbTime version_seen_at;       /* when this version of the row was first seen */
--- a/packages/node/src/calls/ln-calls-attempts.c
+++ b/packages/node/src/calls/ln-calls-attempts.c
@@ -14,7 +14,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* An attempt that was not refused by then counts as started: endpoints refuse at once. */
+/* Endpoints refuse a request at once, so an attempt that is not refused within this time counts as
+ * started. */
 #define STARTED_AFTER (300 * LB_MSEC)
 
 static LbHistogram attempt_duration
--- a/packages/node/src/calls/ln-calls-requests.c
+++ b/packages/node/src/calls/ln-calls-requests.c
@@ -147,7 +147,7 @@
   ln_call_free (call);
 }
 
-/* ticket: the one bound to the key; NULL: the claim failed with this error. */
+/* ticket: the ticket bound to the idempotency key; NULL: the claim failed with this error. */
 static void
 on_idempotency_key_claimed (const char *ticket, const LbError *error, void *user)
 {
--- a/packages/node/src/calls/ln-routed.c
+++ b/packages/node/src/calls/ln-routed.c
@@ -200,7 +200,8 @@
   return !holder || strcmp (holder->name, call->organisation) != 0;
 }
 
-/* Returns the first such call. Ending a call may end others, so callers search again after each. */
+/* Returns the first queued call whose API key was revoked. Ending a call may end others, so callers
+ * search again after each. */
 static LnCall *
 find_queued_with_revoked_key (const LnCalls *calls)
 {
--- a/packages/node/src/calls/ln-upstream.h
+++ b/packages/node/src/calls/ln-upstream.h
@@ -62,7 +62,8 @@
 const char *ln_upstream_address (const LnUpstream *upstream);
 /* The connection was lost before the reply was complete; false for a timeout. */
 bool ln_upstream_has_lost_connection (const LnUpstream *upstream);
-/* The plain service's reply; valid in on_end. */
+/* The HTTP exchange with the endpoint, for the headers of a plain service's reply; valid in on_end.
+ * An engine's call has one as well, but its reply headers are not forwarded. */
 const LhFetch *ln_upstream_fetch (const LnUpstream *upstream);
 int ln_upstream_status (const LnUpstream *upstream);
 const char *ln_upstream_body (LnUpstream *upstream, size_t *length);
--- a/packages/node/src/config/ln-config-api.c
+++ b/packages/node/src/config/ln-config-api.c
@@ -392,8 +392,8 @@
   else if (is_get && strcmp (path, WATCH_PATH) == 0)
     start_watch (task, exchange, lb_clock_monotonic ());
   else if (is_get && is_path_under (path, RESOURCES_PATH))
-    ln_config_store_read (task->store, lc_config_revision (task->config), on_resources_read,
-                          pending_reply_new (task, exchange));
+    ln_config_store_read_accepted (task->store, lc_config_revision (task->config),
+                                   on_resources_read, pending_reply_new (task, exchange));
   else if (is_get && is_path_under (path, "/v1/history"))
     request_history (task, exchange);
   else if (is_get && is_path_under (path, "/v1/status"))
--- a/packages/node/src/config/ln-config-change.c
+++ b/packages/node/src/config/ln-config-change.c
@@ -286,8 +286,8 @@
 {
   change->state = CHANGE_READING;
   change->read_attempts++;
-  ln_config_store_read (change->task->store, lc_config_revision (change->task->config),
-                        on_head_read, change);
+  ln_config_store_read_accepted (change->task->store, lc_config_revision (change->task->config),
+                                 on_head_read, change);
 }
 
 static void
--- a/packages/node/src/config/ln-config-store.c
+++ b/packages/node/src/config/ln-config-store.c
@@ -217,10 +217,10 @@
 }
 
 void
-ln_config_store_read (LnConfigStore *store,
-                      int64_t known_revision,
-                      LnConfigReadDone done,
-                      void *user)
+ln_config_store_read_accepted (LnConfigStore *store,
+                               int64_t known_revision,
+                               LnConfigReadDone done,
+                               void *user)
 {
   HeadRead *read = LB_NEW (HeadRead);
 
--- a/packages/node/src/config/ln-config-store.h
+++ b/packages/node/src/config/ln-config-store.h
@@ -29,11 +29,11 @@
 
 typedef void (*LnConfigReadDone) (const LnConfigRead *read, void *user);
 
-/* Reads the head row, and the set if its revision is above known_revision. */
-void ln_config_store_read (LnConfigStore *store,
-                           int64_t known_revision,
-                           LnConfigReadDone done,
-                           void *user);
+/* Reads the head row and, if its revision is above known_revision, that revision's set. */
+void ln_config_store_read_accepted (LnConfigStore *store,
+                                    int64_t known_revision,
+                                    LnConfigReadDone done,
+                                    void *user);
 
 /* error: LB_OK, CONFLICT, STORE_AWAY, STORE_BUSY, or STORE_UNKNOWN (it may have taken effect, or do
  * so later). */
--- a/packages/node/src/config/ln-config.c
+++ b/packages/node/src/config/ln-config.c
@@ -108,7 +108,8 @@
       if (!task->is_polling_head)
         {
           task->is_polling_head = true;
-          ln_config_store_read (task->store, lc_config_revision (task->config), on_head_read, task);
+          ln_config_store_read_accepted (task->store, lc_config_revision (task->config),
+                                         on_head_read, task);
         }
       break;
     case LC_CONFIG_SEND:
--- a/packages/node/src/config/ln-desired.c
+++ b/packages/node/src/config/ln-desired.c
@@ -176,10 +176,10 @@
   LN_POST (task->task.hub, NULL, message);
 }
 
-/* Notifies the task "calls", so that it sends nothing to the engine while this loads weights: the
- * engine would refuse new requests. */
+/* Notifies the task "calls" that an engine begins or ends a swap (it loads other weights). During a
+ * swap the engine refuses new requests, so none are sent to it. */
 static void
-post_swap (DesiredTask *task, const LcPlanEntry *entry)
+notify_calls_of_swap (DesiredTask *task, const LcPlanEntry *entry)
 {
   LnTask *calls = ln_hub_find_task (task->task.hub, "calls");
   LnEndpointSwapMessage message = { .base = LN_MESSAGE (LN_ENDPOINT_SWAP),
@@ -204,7 +204,7 @@
       post_endpoints (task);
     }
   for (size_t i = 0; i < plan->n_entries; i++)
-    post_swap (task, &plan->entries[i]);
+    notify_calls_of_swap (task, &plan->entries[i]);
   post_listed_endpoints (task);
 }
 
--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -22,7 +22,7 @@
 #define PUBLISHER_DUTY TABLE
 #define ENDPOINT_PREFIX "e:"
 #define INSTANCE_PREFIX "i:"
-#define BOUND_PREFIX "b:"             /* bounds of the endpoint subset, by service */
+#define BOUND_PREFIX "b:"             /* last endpoint key to list, by service */
 #define WATCH_TIMEOUT (700 * LB_MSEC) /* also the time until a silent connection is noticed */
 #define WATCH_RETRY_DELAY (100 * LB_MSEC)
 /* A write that takes longer is superseded by the next listing. */
--- a/packages/node/src/membership/ln-catalog.h
+++ b/packages/node/src/membership/ln-catalog.h
@@ -49,8 +49,8 @@
                                    size_t n_endpoints,
                                    LbTime requested_at,
                                    LbTime now);
-/* Sets the bounds of the subset that this instance has listed, to be published for the instances
- * that list endpoints themselves. */
+/* This instance lists only part of each service's endpoints, up to a last key (the bound). Sets
+ * these keys, which are then published for the instances that list endpoints themselves. */
 void ln_catalog_set_subset_bounds (LnCatalog *catalog, const LcSubset *subset);
 
 /* queries */
@@ -58,7 +58,7 @@
 void ln_catalog_foreach_overloaded_service (const LnCatalog *catalog,
                                             void (*callback) (const char *service, void *user),
                                             void *user);
-/* Sets the published bounds in the subset. */
+/* Copies the published bounds, each the last endpoint key to list of a service, to the subset. */
 void ln_catalog_apply_subset_bounds (const LnCatalog *catalog, LcSubset *subset);
 /* This instance has to list the endpoints itself. */
 bool ln_catalog_needs_endpoint_list (const LnCatalog *catalog, LbTime now);
--- a/packages/node/src/membership/ln-fleet-renewal.c
+++ b/packages/node/src/membership/ln-fleet-renewal.c
@@ -37,7 +37,7 @@
   LbTime period;               /* between renewals of the row in the directory */
   bool has_duty;
   LbTime duty_until;         /* counts as on duty until then after its last duty */
-  bool may_have_duty_row;    /* the store may contain one */
+  bool may_have_duty_row;    /* the store may contain this instance's row on duty */
   bool is_removing_duty_row; /* its removal is in progress */
 };
 
@@ -133,7 +133,7 @@
     lb_log (LB_LOG_DEBUG, "duty_row_not_removed", LB_TEXT ("error", lb_error_name (error)));
 }
 
-/* A row on duty takes precedence over the row in the directory, so a stale one would make this
+/* The row on duty takes precedence over the row in the directory, so a stale one would make this
  * instance count as dead after its last duty. The removal is therefore repeated until the store has
  * confirmed it, and again whenever the row is listed after that: an unanswered renewal may still be
  * applied late, and an instance that was killed leaves its row to its next incarnation. */
--- a/packages/node/src/membership/ln-members.c
+++ b/packages/node/src/membership/ln-members.c
@@ -64,7 +64,7 @@
   return member;
 }
 
-/* NULL: alive, and neither suspected nor draining. */
+/* Returns the state to log; NULL: alive, and neither suspected nor draining. */
 static const char *
 get_unusual_state (const LcMemberView *view)
 {
--- a/packages/node/src/weights/ln-engine-plans.c
+++ b/packages/node/src/weights/ln-engine-plans.c
@@ -27,7 +27,8 @@
 /* Time between two divisions of the engines among the models; batches arrive every few seconds, and
  * each updates the demand. */
 #define DIVISION_PERIOD (2 * LB_SEC)
-/* A new writer without any demand may not have read the rows of batches yet. */
+/* A new writer that knows of no demand may not have read the rows of batches yet, so it divides no
+ * engines until it has been the writer for this time. */
 #define DEMAND_LISTING_TIME (3 * LB_SEC)
 
 struct LnEnginePlans
@@ -36,7 +37,7 @@
   void (*on_plan) (const LcEnginePlan *plan, void *user);
   void *user;
   LcEnginePlan parts[LC_ENGINE_PLAN_PARTS]; /* as stored, one row each */
-  int64_t versions[LC_ENGINE_PLAN_PARTS];   /* of these rows; 0: absent */
+  int64_t versions[LC_ENGINE_PLAN_PARTS];   /* of the parts' rows; 0: no row known */
   LcEnginePlan plan;                        /* all parts together */
   LcEnginePlan desired;                     /* is_writer: the plan to be stored */
   bool is_writer; /* this instance orders weights and so writes the plan */
@@ -71,7 +72,7 @@
   return LC_ENGINE_PLAN_PARTS;
 }
 
-/* True when the row was newer than the one known and could be parsed. */
+/* Returns true if the row was newer than the known row of its part and could be parsed. */
 static bool
 apply_row (LnEnginePlans *plans, const LpRow *row)
 {
@@ -230,8 +231,8 @@
 
   plans->must_retry_write = false;
   add_changed_parts (plans, &write);
-  /* The rows have the desired content already: a write that failed here took effect, as the watch
-   * has shown since. */
+  /* No part differs from its row, for example because a write that was considered failed took
+   * effect and the watch has shown its rows since. */
   if (write.n == 0)
     return;
   const LpTransaction transaction = { .token = "",
--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -44,7 +44,7 @@
   LbName address;
   LbName model;
   int64_t orders_accepted;   /* since its start; -1: to be queried before the next order */
-  LcVersion version;         /* of the model, as last stated; 0: unknown */
+  LcVersion version;         /* of the loaded weights, as last stated; 0: unknown */
   LcVersion ordered_version; /* in the order in progress; 0: none */
   LbTime ordered_at;
   LbTime next_query_at;
@@ -282,7 +282,7 @@
       const LcRegistration *registration = lc_roster_registration (roster, i);
       Engine *engine = find_engine (orders, registration->name);
       LcVersion version = lc_roster_registered_version (roster, i);
-      /* The list lags behind the version that the engine itself stated. */
+      /* The endpoint list lags behind the version that the engine itself stated. */
       if (engine && engine->orders_accepted >= 0)
         apply_version (engine, version > engine->version ? version : engine->version, requested_at,
                        now);
@@ -492,8 +492,9 @@
   free (candidates);
 }
 
-/* The list lags by a second or more, so an engine in a swap is queried itself. So is one whose
- * count of orders is not known, since each order states the count before it. */
+/* The endpoint list lags by a second or more, so an engine in a swap (one that loads other weights)
+ * is queried itself. So is an engine whose count of accepted orders is not known, since each order
+ * states the count before it. */
 static bool
 needs_query (const Engine *engine)
 {
