--- a/standins/si-cache.h
+++ b/standins/si-cache.h
@@ -32,11 +32,12 @@
 
 void si_cache_init (SiCache *cache, size_t max_blocks);
 void si_cache_clear (SiCache *cache);
-/* Used when the weights change: KV entries of one weight version are invalid for another. */
+/* Called when the weights change, since KV entries of one weight version are invalid for another.
+ */
 void si_cache_evict_all (SiCache *cache);
 /* Caches the prompt's blocks; returns how many bytes of its prefix were already cached. */
 size_t si_cache_insert_prompt (SiCache *cache, const char *prompt);
-/* Events from first_sequence on, as far as they are still kept. */
+/* The events from first_sequence on that have not been overwritten. */
 struct json_object *si_cache_events_to_json (const SiCache *cache, uint64_t first_sequence);
 
 #endif
--- a/standins/si-checked-call.c
+++ b/standins/si-checked-call.c
@@ -150,7 +150,8 @@
   return lh_fetch_header (fetch, "x-not-run") ? SI_CALL_NOT_RUN : SI_CALL_FAILED;
 }
 
-/* The exchange failed without an answer: it did not run if no byte was sent, else it may have. */
+/* Classifies a call that failed without an answer: it did not run if no byte was sent, otherwise it
+ * may have run. */
 static SiCallOutcome
 classify_transport_failure (CheckedCall *call, const LhResult *result)
 {
--- a/standins/si-checked-call.h
+++ b/standins/si-checked-call.h
@@ -51,8 +51,9 @@
 
 typedef void (*SiCheckedCallDone) (const SiCheckedCallResult *result, void *user);
 
-/* Sends one call and checks the answer against the stand-in engine's deterministic text. Calls done
- * exactly once unless the pool is freed first. Aborts the program when the spec is invalid. */
+/* Sends one call and checks the answer against the stand-in engine's deterministic text. Invokes
+ * `done` exactly once unless the pool is freed first. Aborts the program when the spec is invalid.
+ */
 void si_checked_call_start (LhPool *pool,
                             const SiCheckedCallSpec *spec,
                             SiCheckedCallDone done,
--- a/standins/si-endpoint.c
+++ b/standins/si-endpoint.c
@@ -331,7 +331,8 @@
   return is_fatal;
 }
 
-/* Holds the request unanswered until the endpoint crashes, or the listener makes it crash. */
+/* Leaves the request unanswered until the endpoint crashes: by the listener's callback if there is
+ * one, otherwise after CRASH_DELAY. */
 static void
 start_fatal_request (SiEndpoint *endpoint, struct evhttp_request *request)
 {
--- a/standins/si-endpoint.h
+++ b/standins/si-endpoint.h
@@ -41,7 +41,7 @@
   int64_t version;
   int64_t loading_version; /* 0: none is being loaded */
   int64_t accepted_orders;
-  int64_t start_ms;      /* Unix time of this start; distinguishes starts */
+  int64_t start_ms;      /* Unix time of the last start; identifies the incarnation */
   int64_t registrations; /* number of the last entry written to the store */
   int64_t last_fence;
   bool draining;
@@ -87,7 +87,7 @@
 /* Removes the entry from the store and stops writing it, until si_endpoint_register. */
 void si_endpoint_unregister (SiEndpoint *endpoint);
 /* Simulates a new process with the same id, address and weights: streams break, and the count of
- * orders and the fencing number start anew. */
+ * orders and the fencing number are reset. */
 void si_endpoint_restart (SiEndpoint *endpoint);
 /* Closes the connections of all streams, as when the process ends. */
 void si_endpoint_break_streams (SiEndpoint *endpoint);
--- a/standins/si-engine-run.c
+++ b/standins/si-engine-run.c
@@ -265,7 +265,8 @@
     }
 }
 
-/* Fills the batch and schedules the next step, unless there is nothing to run or one is due. */
+/* Admits waiting requests to the batch and schedules the next step, unless one is scheduled
+ * already, weights are being loaded or no request is running. */
 void
 si_engine_schedule_step (SiEngine *engine)
 {
@@ -428,7 +429,7 @@
   run->is_hung = si_faults_consume (faults, SI_FAULT_HANG);
 }
 
-/* Prompt bytes that the prefix cache lacks; caches the prompt. */
+/* Adds the prompt to the prefix cache; returns how many of its bytes were not cached before. */
 static size_t
 count_uncached_bytes (SiEngine *engine, struct json_object *body, const char *prompt)
 {
@@ -489,8 +490,10 @@
   json_object_put (body);
 }
 
+/* Replies with what another engine needs to import a running request's KV cache: its weight version
+ * and its number of tokens. */
 void
-si_engine_handle_export (SiEngine *engine, struct evhttp_request *request)
+si_engine_handle_kv_export (SiEngine *engine, struct evhttp_request *request)
 {
   struct json_object *body = si_request_json (request);
   const char *id = body ? si_json_text (body, "request", "") : "";
@@ -511,8 +514,9 @@
   json_object_put (body);
 }
 
+/* Records the KV cache of a request that will be resumed here, so that its prefill is skipped. */
 void
-si_engine_handle_import (SiEngine *engine, struct evhttp_request *request)
+si_engine_handle_kv_import (SiEngine *engine, struct evhttp_request *request)
 {
   struct json_object *body = si_request_json (request);
   const char *id = body ? si_json_text (body, "request", NULL) : NULL;
--- a/standins/si-engine.c
+++ b/standins/si-engine.c
@@ -63,9 +63,9 @@
   else if (strcmp (path, "/orders") == 0)
     si_engine_handle_order (engine, request);
   else if (strcmp (path, "/kv/export") == 0)
-    si_engine_handle_export (engine, request);
+    si_engine_handle_kv_export (engine, request);
   else if (strcmp (path, "/kv/import") == 0)
-    si_engine_handle_import (engine, request);
+    si_engine_handle_kv_import (engine, request);
   else
     si_reply_error (request, 404, "unknown_path");
 }
--- a/standins/si-engine.h
+++ b/standins/si-engine.h
@@ -57,8 +57,8 @@
 void si_engine_drop_all_runs (SiEngine *engine);
 void si_engine_start_timers (SiEngine *engine);
 void si_engine_stop_timers (SiEngine *engine);
-void si_engine_handle_export (SiEngine *engine, struct evhttp_request *request);
-void si_engine_handle_import (SiEngine *engine, struct evhttp_request *request);
+void si_engine_handle_kv_export (SiEngine *engine, struct evhttp_request *request);
+void si_engine_handle_kv_import (SiEngine *engine, struct evhttp_request *request);
 
 /* si-engine-orders.c: weight loading. */
 void si_engine_handle_order (SiEngine *engine, struct evhttp_request *request);
--- a/standins/si-platform.c
+++ b/standins/si-platform.c
@@ -46,7 +46,8 @@
   free (delayed);
 }
 
-/* Sends the reply, unless a fault loses or delays it; a write has been applied already. */
+/* Sends the reply, unless a fault drops or delays it. A write is applied before, so its caller
+ * can't know the outcome when the reply is dropped. */
 static void
 send_reply (SiPlatform *platform,
             struct evhttp_request *request,
@@ -165,7 +166,7 @@
     }
 }
 
-/* A new list of instances is shown only after instances_lag. */
+/* A new list of instances becomes visible to callers only after instances_lag. */
 static void
 handle_get_instances (SiPlatform *platform, struct evhttp_request *request)
 {
--- a/standins/si-platform.h
+++ b/standins/si-platform.h
@@ -26,7 +26,7 @@
 } SiPlatform;
 
 bool si_platform_init (SiPlatform *platform, struct event_base *base, int port);
-/* With its own event loop and signal handlers, as si_server_init_program. */
+/* Creates the event loop and signal handlers too, as si_server_init_program does. */
 bool si_platform_init_program (SiPlatform *platform, int port);
 void si_platform_clear (SiPlatform *platform);
 
--- a/standins/si-row-store.c
+++ b/standins/si-row-store.c
@@ -16,7 +16,7 @@
 #define MAX_ENCODED_VALUE_LENGTH ((size_t)(64 << 10) / 3 * 4) /* 64 KiB in base64 */
 #define WATCH_CHECK_PERIOD (20 * LB_MSEC)
 
-/* Kept after its removal, so that watches report the removal. */
+/* A removed row stays in the table, so that watches report its removal. */
 typedef struct
 {
   LbLink link;
@@ -154,7 +154,7 @@
   return json_object_is_type (array, json_type_array) ? array : NULL;
 }
 
-/* Whether every expected row has its expected version; 0: it must not exist. */
+/* Whether every expected row has its expected version. Version 0 expects that no row exists. */
 static bool
 are_expectations_met (const SiRowStore *store, struct json_object *expected)
 {
@@ -185,7 +185,7 @@
     }
 }
 
-/* Adds the expected rows as they are, so that the caller can retry. */
+/* Adds the current state of the expected rows to the reply, so that the caller can retry. */
 static void
 add_current_rows (const SiRowStore *store, struct json_object *reply, struct json_object *expected)
 {
@@ -269,7 +269,8 @@
   return value ? value : lb_strdup ("");
 }
 
-/* One table can be silent while the others are served. */
+/* Whether the request is for the table whose requests are left unanswered while other tables are
+ * served. */
 static bool
 is_table_silent (const SiRowStore *store, struct evhttp_request *request)
 {
--- a/standins/si-row-store.h
+++ b/standins/si-row-store.h
@@ -11,7 +11,7 @@
 {
   SI_ROW_STORE_NORMAL,
   SI_ROW_STORE_UNAVAILABLE, /* answers every call with 503 */
-  SI_ROW_STORE_SILENT,      /* ignores every call */
+  SI_ROW_STORE_SILENT,      /* never answers a call */
   SI_ROW_STORE_LOSES_REPLY  /* applies writes, then closes the connection */
 } SiRowStoreMode;
 
@@ -28,7 +28,7 @@
   const char *unavailable_table; /* lists of it are answered with 503; NULL: none */
   const char *silent_table;      /* requests for it are not answered; NULL: none */
   int64_t version;
-  int64_t oldest_watchable_version; /* watches from before it get 410 */
+  int64_t oldest_watchable_version; /* a watch from an older version gets 410 */
   SiRowStoreMode mode;
   int lost_replies; /* number of next writes to table "head" whose replies are lost, in any mode */
   bool unavailable_after_lost_replies; /* becomes unavailable after the last lost reply */
--- a/standins/standin-load.c
+++ b/standins/standin-load.c
@@ -78,7 +78,7 @@
   send_call (user);
 }
 
-/* Retries only a call that is proven not to have run: at the next address, after retry_after. */
+/* Retries a call at the next address, after retry_after, only if it provably did not run. */
 static void
 on_result (const SiCheckedCallResult *result, void *user)
 {
@@ -137,7 +137,7 @@
          && now - load->start_time < load->settings.start_limit;
 }
 
-/* When the rate allows the next call. */
+/* Earliest time at which the configured rate allows the next call. */
 static LbTime
 get_next_start_time (const Load *load)
 {
--- a/standins/standin-service.c
+++ b/standins/standin-service.c
@@ -117,7 +117,7 @@
   return reply;
 }
 
-/* The run is counted under the header x-order, or the body if there is none. */
+/* Counts the run of a call under its header x-order, or under its body if it has no such header. */
 static void
 run_call (Service *service, struct evhttp_request *request)
 {
--- a/standins/standin-trainer.c
+++ b/standins/standin-trainer.c
@@ -49,7 +49,7 @@
   int64_t wrong_staleness;
   int64_t missing;
   int64_t retries;
-  int64_t reposts; /* of a step that the system had lost */
+  int64_t reposts; /* of a step that was lost with its owner */
   int64_t staleness_sum;
   int64_t staleness_max;
   int64_t versions[MAX_VERSIONS]; /* tokens by version modulo MAX_VERSIONS */
@@ -138,7 +138,8 @@
 }
 
 /* Repeats the call, at the next address after each failure, until a 2xx reply. Returns NULL when
- * the step's deadline has passed or the step is lost: accepted as not durable, its owner died. */
+ * the step's deadline has passed or the step is lost: it was accepted as not durable and the
+ * instance that owned it has ended. */
 static struct json_object *
 call_until_success (Trainer *trainer, const char *call_name, const char *path, const char *body)
 {
@@ -203,7 +204,8 @@
   return is_correct;
 }
 
-/* The oldest version of the spans; 0 unless they cover the tokens without gap or overlap. */
+/* A span is a range of tokens made by one weight version. Returns the oldest version of the spans;
+ * 0 unless they cover the tokens without gap or overlap. */
 static int64_t
 check_spans (Tally *tally, struct json_object *sample, int64_t tokens)
 {
@@ -301,7 +303,7 @@
     si_client_pause (&trainer->client, (LbTime)n * trainer->settings->train_time);
 }
 
-/* A pull after `done` acknowledges the last samples by its cursor. */
+/* Sends one more pull after `done`, whose cursor acknowledges the last samples. */
 static void
 acknowledge (Trainer *trainer, const char *path)
 {
--- a/tests/process/test-organisations.c
+++ b/tests/process/test-organisations.c
@@ -32,7 +32,7 @@
 }
 
 static void
-revoke_post_1 (PsCluster *cluster)
+revoke_api_key_post_1 (PsCluster *cluster)
 {
   cluster->organisations_config = TWO_ORGANISATIONS_WITHOUT_POST_1;
   ps_put_config (cluster, 3, PUBLIC_ROUTE);
@@ -99,7 +99,7 @@
   size_t instance = start_instance (&cluster);
 
   cr_assert_eq (call_for_status (&cluster, instance, "POST", "/lookup/1", "c1"), 200);
-  revoke_post_1 (&cluster);
+  revoke_api_key_post_1 (&cluster);
   PS_WAIT_UNTIL (&cluster, call_for_status (&cluster, instance, "POST", "/lookup/1", "c2") == 401);
   cluster.api_key = "post-2";
   cr_assert_eq (call_for_status (&cluster, instance, "POST", "/lookup/1", "c3"), 200);
@@ -126,7 +126,7 @@
       ps_start_call (&cluster, instance, "POST", "/lookup/1", id, "");
     }
   PS_WAIT_UNTIL (&cluster, cluster.lookup.n_calls >= 8);
-  revoke_post_1 (&cluster);
+  revoke_api_key_post_1 (&cluster);
   PS_WAIT_UNTIL (&cluster, cluster.n_responses > responses_before);
   cr_assert_eq (cluster.status, 401, "the first response goes to a queued call");
   int calls_sent = cluster.lookup.n_calls;
@@ -211,7 +211,7 @@
   cr_assert_eq (cluster.status, 202);
   PS_WAIT_UNTIL (&cluster, (owner = ps_find_owner (&cluster)) < cluster.n_instances);
   PS_WAIT_UNTIL (&cluster, ps_count_engine_runs (&cluster) > 0);
-  revoke_post_1 (&cluster);
+  revoke_api_key_post_1 (&cluster);
   pt_process_signal (&cluster.instances[owner].process, SIGKILL);
   for (int i = 0; i < PS_N_ENGINES; i++)
     LB_COPY (cluster.engines[i].organisation, "");
--- a/tests/soak/sk-trainer.c
+++ b/tests/soak/sk-trainer.c
@@ -365,7 +365,8 @@
   return sk_instance_is_running (instance) && !instance->stopping ? instance : NULL;
 }
 
-/* Reads from the first unread result; at random, or if rereading, from the first result. */
+/* Requests results from the first unread one on. At random, and always if rereading, requests them
+ * from the first one on. */
 static void
 read_results (SkTrainer *trainer, SkInstance *instance)
 {
@@ -385,7 +386,7 @@
 }
 
 bool
-sk_trainer_is_reading (const SkTrainer *trainer)
+sk_trainer_has_open_call (const SkTrainer *trainer)
 {
   return trainer->fetch != NULL;
 }
--- a/tests/soak/sk-trainer.h
+++ b/tests/soak/sk-trainer.h
@@ -16,6 +16,6 @@
 bool sk_trainer_is_done (const SkTrainer *trainer);
 /* Reads the last step again from this instance, from the first result. */
 void sk_trainer_reread (SkTrainer *trainer, SkInstance *instance);
-bool sk_trainer_is_reading (const SkTrainer *trainer);
+bool sk_trainer_has_open_call (const SkTrainer *trainer);
 
 #endif
--- a/tests/soak/soak-processes.c
+++ b/tests/soak/soak-processes.c
@@ -116,7 +116,7 @@
   for (size_t i = 0; i < world->n_instances && sk_trainer_is_done (run->trainer); i++)
     {
       sk_trainer_reread (run->trainer, &world->instances[i]);
-      while (sk_trainer_is_reading (run->trainer))
+      while (sk_trainer_has_open_call (run->trainer))
         run_once (run);
     }
 }
