--- a/tests/process/pt-resources.c
+++ b/tests/process/pt-resources.c
@@ -7,7 +7,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A stopped instance does not answer. */
+/* Limits the wait for an instance that is stopped and does not answer. */
 #define APPLY_TIMEOUT (3 * LB_SEC)
 
 void
--- a/tests/process/test-rolling.c
+++ b/tests/process/test-rolling.c
@@ -42,7 +42,7 @@
   PtProcess load;
 
   pt_cluster_init (&cluster);
-  /* Shorter than a response takes. */
+  /* Shorter than the time that a response takes. */
   cluster.drain_ms = 500;
   pt_start_platform (&cluster);
   pt_start_engine (&cluster, "engine-1", engine_options);
--- a/tests/process/test-steps.c
+++ b/tests/process/test-steps.c
@@ -88,7 +88,7 @@
   return count_finished (cluster) >= N_SAMPLES / 4;
 }
 
-/* The owner of step 1 according to the platform's table. */
+/* Returns the owner of step 1 according to the platform's table. */
 static PtProgram *
 find_owner (PtCluster *cluster)
 {
--- a/tests/soak/sk-callers.c
+++ b/tests/soak/sk-callers.c
@@ -11,12 +11,13 @@
 #define PROBE_INTERVAL (150 * LB_MSEC)
 #define MAX_CONCURRENT_CALLS 200
 #define CALL_DEADLINE (3 * LB_SEC)
-/* A call is answered by its deadline; the slack is for a busy machine. */
+/* A call must be answered by its deadline; the slack is for a busy machine. */
 #define RESPONSE_SLACK LB_SEC
-/* An accepted configuration is active on all instances after so long. */
+/* An accepted configuration must be active on all instances within this time. */
 #define CONFIG_PROPAGATION_TIME (2 * LB_SEC)
 #define CONFIG_SLACK (500 * LB_MSEC)
-/* Faults have effects for so long: dead connections that are not detected yet, stale views. */
+/* After a fault has ended, dead connections that are not detected yet and outdated endpoint lists
+ * can have effects for this long. */
 #define FAULT_EFFECT_TIME (3 * LB_SEC)
 
 typedef enum
@@ -132,8 +133,9 @@
              (long long)call->route, (double)(call->started_at - world->config_put_at) / LB_SEC);
 }
 
-/* A graceful shutdown aborts no request: one that ran at a service is answered unless the process
- * was disturbed. A request that arrives as the instance closes its connection is not forwarded. */
+/* A graceful shutdown must abort no request: a request that ran at a service must be answered
+ * unless the process was disturbed. A request that arrives as the instance closes its connection is
+ * not forwarded. */
 static void
 check_connection_loss (const Call *call, const LhResult *result)
 {
@@ -188,7 +190,8 @@
   call_free (call);
 }
 
-/* An instance whose address callers may hold, also one that is shutting down; NULL: none. */
+/* Chooses an instance whose address callers may have, also one that is shutting down; NULL: none.
+ */
 static SkInstance *
 choose_instance (SkWorld *world)
 {
--- a/tests/soak/sk-crasher.c
+++ b/tests/soak/sk-crasher.c
@@ -10,7 +10,8 @@
 #define MIN_CALL_INTERVAL_MS 100
 #define MAX_CALL_INTERVAL_MS 500
 #define CRASHES_TO_QUARANTINE 3
-/* Every instance quarantines the request so long after the third crash, if nothing else fails. */
+/* If nothing else fails, every instance must quarantine the request within this time after the
+ * third crash. */
 #define QUARANTINE_TIME (3 * LB_SEC)
 #define QUARANTINE_SLACK (500 * LB_MSEC) /* for a busy machine */
 #define MAX_LATE_RUNS 3
--- a/tests/soak/sk-crasher.h
+++ b/tests/soak/sk-crasher.h
@@ -15,7 +15,7 @@
 void sk_crasher_tick (SkCrasher *crasher, LbTime now);
 /* Sends no more requests from now on. */
 void sk_crasher_stop (SkCrasher *crasher);
-/* A service started the fatal request `id` and crashes. */
+/* Called when a service has started the fatal request `id` and is about to crash. */
 void sk_crasher_record_run (SkCrasher *crasher, const char *id, const char *service);
 
 #endif
--- a/tests/soak/sk-faults.c
+++ b/tests/soak/sk-faults.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Between two faults; short enough that most overlap the one before. */
+/* Time between two faults, short enough that most faults overlap the previous one. */
 #define MIN_FAULT_INTERVAL_MS 50
 #define MAX_FAULT_INTERVAL_MS 900
 #define SLOW_EVENT_INTERVAL (125 * LB_MSEC) /* five times the normal interval */
@@ -39,7 +39,8 @@
   return n;
 }
 
-/* NULL: the random endpoint is no engine, is down or draining, or too few engines would be left. */
+/* Returns NULL if the random endpoint is no engine, is down or draining, or too few engines would
+ * be left. */
 static SkEndpoint *
 choose_spare_engine (SkWorld *world)
 {
@@ -81,7 +82,7 @@
   sk_instance_kill (choose_instance (world), random_ms (world, 100, 2500));
 }
 
-/* Power loss of all machines. */
+/* Simulates a power loss of all machines. */
 static void
 kill_all_instances (SkWorld *world)
 {
@@ -155,7 +156,8 @@
       }
 }
 
-/* As when a middlebox loses its connection table: open connections go silent, new ones work. */
+/* Simulates a middlebox that loses its connection table: open connections carry no more data, new
+ * ones work. */
 static void
 silence_store_connections (SkWorld *world)
 {
--- a/tests/soak/sk-one-shot.c
+++ b/tests/soak/sk-one-shot.c
@@ -10,8 +10,8 @@
 #define N_ITEMS 3
 #define SUBMIT_INTERVAL (400 * LB_MSEC)
 #define BATCH_ID_PREFIX "once"
-/* Items of a batch may start for so long after its deletion is acknowledged; the slack is for a
- * busy machine. */
+/* After the deletion of a batch is acknowledged, its items may still start for this long. The slack
+ * is for a busy machine. */
 #define DELETE_EFFECT_TIME (3 * LB_SEC)
 #define DELETE_EFFECT_SLACK LB_SEC
 
--- a/tests/soak/sk-one-shot.h
+++ b/tests/soak/sk-one-shot.h
@@ -13,7 +13,7 @@
 void sk_one_shots_tick (SkOneShots *one_shots, LbTime now);
 /* Submits no more batches from now on. */
 void sk_one_shots_stop (SkOneShots *one_shots);
-/* An engine started the item; items of other batches are ignored. */
+/* Called when an engine starts an item; items of other batches are ignored. */
 void sk_one_shots_record_run (SkOneShots *one_shots, const char *item);
 
 #endif
--- a/tests/soak/sk-trainer.c
+++ b/tests/soak/sk-trainer.c
@@ -14,7 +14,8 @@
 #define RETRY_DELAY (120 * LB_MSEC)
 #define READ_INTERVAL (150 * LB_MSEC)
 #define VERSION_LIMIT 1000 /* exclusive */
-/* Faults heal within seconds: a step that is incomplete after so long counts as lost. */
+/* All faults end within seconds, so a step that is still incomplete after this time counts as lost.
+ */
 #define STEP_TIMEOUT (40 * LB_SEC)
 
 typedef enum
--- a/tests/soak/sk-world.c
+++ b/tests/soak/sk-world.c
@@ -19,14 +19,14 @@
 #define LOOP_PAUSE_US 300 /* between two passes of the event loop */
 #define N_SERVICES 2
 #define FATAL_REQUEST_CRASH_DELAY (20 * LB_MSEC) /* after the service starts the request */
-/* An order may be delayed for so long by a relay fault or in the sockets of a paused instance. */
+/* Longest delay of an order by a relay fault or in the sockets of a paused instance. */
 #define MAX_ORDER_DELAY (1500 * LB_MSEC)
 #define BATCH_CALL_IDLE_TIMEOUT (4 * LB_SEC)
-/* A draining endpoint stays up for at least so long. */
+/* A draining endpoint stays up for at least this time. */
 #define MIN_DRAIN_TIME (4 * LB_SEC)
 /* Limit of a graceful shutdown: drain time plus the time for open calls and for batches. */
 #define STOP_TIMEOUT (10 * LB_SEC)
-/* A draining endpoint may get new work for so long if nothing else fails. */
+/* A draining endpoint may get new work for at most this time if nothing else fails. */
 #define DRAIN_PROPAGATION_TIME (2 * LB_SEC)
 #define DRAIN_SLACK (500 * LB_MSEC) /* for a busy machine */
 
@@ -439,8 +439,8 @@
              (double)(now - endpoint->draining_since) / LB_SEC);
 }
 
-/* Engines refuse an old fencing number, but a duty holder that lost its lease so long ago must no
- * longer send orders. */
+/* Engines refuse an old fencing number, but a duty holder that lost its lease longer ago than an
+ * order can be delayed must send no orders either. */
 static void
 check_fence_is_current (SkWorld *world, const char *engine, const char *holder, int64_t fence)
 {
@@ -458,7 +458,7 @@
              (long long)world->highest_fence);
 }
 
-/* Engines would accept the orders of two holders with the same fencing number. */
+/* Checks that two duty holders never use the same fencing number: engines would accept both. */
 static void
 on_order (SiEndpoint *standin, const char *holder, int64_t fence, bool accepted, void *user)
 {
