--- a/packages/sim/src/lx-engine.c
+++ b/packages/sim/src/lx-engine.c
@@ -425,7 +425,7 @@
   }
 }
 
-/* Silent streams continue to run. */
+/* If silent, the streams continue to run, but send nothing. */
 void
 lx_engine_break_streams (LxEngine *engine, bool silent)
 {
--- a/packages/sim/src/lx-faults.c
+++ b/packages/sim/src/lx-faults.c
@@ -274,14 +274,14 @@
   size_t trainer = draw_index (injection, world->options.n_trainers);
   LbTime duration = draw_time (injection, 500 * LB_MSEC, 12 * LB_SEC);
 
-  /* Step owners have the most state to lose: half of the injections hit one. */
+  /* Step owners have the most state to lose, so half of the injections hit a step owner. */
   if (draw_fraction (injection) < 0.5)
     instance = &world->instances[world->trainers[trainer].owner];
   inject_into_instance (world, fault, instance, trainer, duration);
 }
 
-/* Keeps store outages apart: without the store no step can be taken over, and a run with one outage
- * after another would test nothing else. */
+/* Keeps a minimum time between store outages: no step can be taken over during an outage, so a run
+ * with one outage after another would test nothing else. */
 static bool
 is_too_soon_after_outage (const LxWorld *world, LxFault fault)
 {
--- a/packages/sim/src/lx-instance.c
+++ b/packages/sim/src/lx-instance.c
@@ -18,9 +18,9 @@
 #define DRAIN_CHECK_INTERVAL (200 * LB_MSEC)
 #define DRAIN_TIMEOUT (150 * LB_SEC)
 #define POLL_INTERVAL (500 * LB_MSEC)
-/* Each instance starts to poll so much later than the previous one. */
+/* Time between the first polls of two successive instances. */
 #define POLL_OFFSET_MS 37
-/* Of the lost writes, one in so many is lost before the store applies it, the others after. */
+/* One lost write in this many is lost before the store applies it, the others afterwards. */
 #define LOST_WRITES_PER_LOST_REQUEST 3
 #define DEFAULT_PROMPT_TOKENS 512
 #define N_PROMPT_BLOCKS 4
--- a/packages/sim/src/lx-swaps.c
+++ b/packages/sim/src/lx-swaps.c
@@ -8,9 +8,9 @@
 
 #define CHECK_INTERVAL (250 * LB_MSEC)
 #define FIRST_VERSION 10
-#define ENGINES_PER_LOAD 4 /* of so many engines, one may load weights at a time */
+#define ENGINES_PER_LOAD 4 /* of this many engines, one may load weights at a time */
 
-/* Notice to an instance that an engine loads weights, in transit. */
+/* A message in transit that tells an instance that an engine loads weights. */
 typedef struct
 {
   size_t engine;
--- a/tests/soak/sk-callers.c
+++ b/tests/soak/sk-callers.c
@@ -16,8 +16,8 @@
 /* An accepted configuration must be active on all instances within this time. */
 #define CONFIG_PROPAGATION_TIME (2 * LB_SEC)
 #define CONFIG_SLACK (500 * LB_MSEC)
-/* After a fault has ended, dead connections that are not detected yet and outdated endpoint lists
- * can have effects for this long. */
+/* After a fault has ended, dead connections that are not detected yet and outdated state of
+ * instances can have effects for this long. */
 #define FAULT_EFFECT_TIME (3 * LB_SEC)
 
 typedef enum
