--- a/tests/soak/sk-trainer.c
+++ b/tests/soak/sk-trainer.c
@@ -14,7 +14,8 @@
 #define RETRY_DELAY (120 * LB_MSEC)
 #define READ_INTERVAL (150 * LB_MSEC)
 #define VERSION_LIMIT 1000 /* exclusive */
-/* Faults heal within seconds: a step that is incomplete after so long counts as lost. */
+/* All faults end within seconds, so a step that is still incomplete after this time counts as lost.
+ */
 #define STEP_TIMEOUT (40 * LB_SEC)
 
 typedef enum
@@ -365,7 +366,8 @@
   return sk_instance_is_running (instance) && !instance->stopping ? instance : NULL;
 }
 
-/* Reads from the first unread result; at random, or if rereading, from the first result. */
+/* Requests results from the first unread one on. At random, and always if rereading, requests them
+ * from the first one on. */
 static void
 read_results (SkTrainer *trainer, SkInstance *instance)
 {
@@ -385,7 +387,7 @@
 }
 
 bool
-sk_trainer_is_reading (const SkTrainer *trainer)
+sk_trainer_has_open_call (const SkTrainer *trainer)
 {
   return trainer->fetch != NULL;
 }
