--- a/packages/node/src/rollout/ln-pool-controllers.c
+++ b/packages/node/src/rollout/ln-pool-controllers.c
@@ -186,8 +186,10 @@
 
 /* --- announcements to other tasks and instances --- */
 
+/* While a swap is pending, the router of the calls task adds the time left to `until`, the expected
+ * end of the swap, to the estimated finish time of calls on the endpoint. */
 static void
-post_swap (LnConfigTask *task, const char *endpoint, bool is_pending, LbTime until)
+post_weight_swap_to_calls (LnConfigTask *task, const char *endpoint, bool is_pending, LbTime until)
 {
   LnTask *calls = ln_hub_find_task (task->task.hub, "calls");
   LnEndpointSwapMessage message
@@ -205,7 +207,7 @@
 {
   struct json_object *swap = json_object_new_object ();
 
-  post_swap (task, action->endpoint, action->pending, action->expected_at);
+  post_weight_swap_to_calls (task, action->endpoint, action->pending, action->expected_at);
   json_object_object_add (swap, "endpoint", json_object_new_string (action->endpoint));
   json_object_object_add (swap, "pending", json_object_new_boolean (action->pending));
   json_object_object_add (swap, "for_ms",
@@ -216,7 +218,10 @@
 }
 
 static void
-post_newest_version (LnConfigTask *task, const char *pool, LcVersion newest_version, LbTime cadence)
+post_newest_version_to_rollouts (LnConfigTask *task,
+                                 const char *pool,
+                                 LcVersion newest_version,
+                                 LbTime cadence)
 {
   LnTask *rollouts = ln_hub_find_task (task->task.hub, "rollouts");
   LnPoolVersionMessage message
@@ -234,8 +239,8 @@
   struct json_object *message = json_object_new_object ();
 
   controller->highest_fence = lc_lease_fence (controller->lease);
-  post_newest_version (controller->task, controller->pool, status->target,
-                       status->version_interval);
+  post_newest_version_to_rollouts (controller->task, controller->pool, status->target,
+                                   status->version_interval);
   json_object_object_add (message, "type", json_object_new_string ("newest"));
   json_object_object_add (message, "pool", json_object_new_string (controller->pool));
   json_object_object_add (message, "fence", json_object_new_int64 (controller->highest_fence));
@@ -266,8 +271,9 @@
   for (size_t i = 0; i < json_object_array_length (swaps); i++)
     {
       struct json_object *swap = json_object_array_get_idx (swaps, i);
-      post_swap (task, lb_json_text (swap, "endpoint", ""), lb_json_bool (swap, "pending", false),
-                 now + lb_json_int (swap, "for_ms", 0) * LB_MSEC);
+      post_weight_swap_to_calls (task, lb_json_text (swap, "endpoint", ""),
+                                 lb_json_bool (swap, "pending", false),
+                                 now + lb_json_int (swap, "for_ms", 0) * LB_MSEC);
     }
 }
 
@@ -281,8 +287,8 @@
   if (!controller || fence < controller->highest_fence)
     return;
   controller->highest_fence = fence;
-  post_newest_version (task, controller->pool, lb_json_int (message, "version", 0),
-                       lb_json_int (message, "cadence_ms", 0) * LB_MSEC);
+  post_newest_version_to_rollouts (task, controller->pool, lb_json_int (message, "version", 0),
+                                   lb_json_int (message, "cadence_ms", 0) * LB_MSEC);
 }
 
 /* Returns false if the message is not for pool controllers. */
--- a/packages/node/src/rollout/ln-step-store.c
+++ b/packages/node/src/rollout/ln-step-store.c
@@ -396,11 +396,13 @@
   platform->klass->get (platform, operation->row_key, on_ledger_read, operation);
 }
 
-/* --- writing the ledger, releasing --- */
+/* --- writing the ledger; giving up ownership of a step --- */
 
-/* A ledger value contains the session and the chunk, so an equal row is this write. */
+/* After a write with an unknown outcome, the ledger row or, at a release, the owner's row is read
+ * back. Both values name the owner's session, and the ledger's also the chunk and its slots. No
+ * other owner can have stored an equal value, so an equal row shows that the write took effect. */
 static void
-on_row_read_back (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
+on_ledger_or_release_read_back (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
   Operation *operation = user;
 
@@ -413,7 +415,7 @@
 }
 
 static void
-on_row_written (LbErrorCode error, const LpRow *row, void *user)
+on_ledger_or_release_written (LbErrorCode error, const LpRow *row, void *user)
 {
   Operation *operation = user;
 
@@ -423,7 +425,8 @@
   if (error == LB_ERROR_STORE_UNKNOWN)
     {
       LpPlatform *platform = get_platform (operation);
-      platform->klass->get (platform, operation->row_key, on_row_read_back, operation);
+      platform->klass->get (platform, operation->row_key, on_ledger_or_release_read_back,
+                            operation);
       return;
     }
   operation->write_done (error, operation->user);
@@ -431,7 +434,7 @@
 }
 
 static void
-write_row (Operation *operation, const LnStepOwner *own, const char *condition_key)
+write_ledger_or_release (Operation *operation, const LnStepOwner *own, const char *condition_key)
 {
   LpPlatform *platform = get_platform (operation);
   LpCondition condition = { .key = condition_key, .version = own->row_version };
@@ -442,7 +445,8 @@
                                 .puts = &put,
                                 .n_puts = 1 };
 
-  platform->klass->transact (platform, &transaction, LP_PRIORITY_LEDGER, on_row_written, operation);
+  platform->klass->transact (platform, &transaction, LP_PRIORITY_LEDGER,
+                             on_ledger_or_release_written, operation);
 }
 
 /* The condition is on the owner's row, which changes with each new owner and never otherwise. The
@@ -461,7 +465,7 @@
   operation->write_done = done;
   operation->row_key = format_ledger_row_key (key);
   operation->row_value = lb_strdup (value);
-  write_row (operation, own, owner_key);
+  write_ledger_or_release (operation, own, owner_key);
   free (owner_key);
 }
 
@@ -476,7 +480,7 @@
     return;
   if (error == LB_OK)
     {
-      write_row (operation, &operation->owner, operation->row_key);
+      write_ledger_or_release (operation, &operation->owner, operation->row_key);
       return;
     }
   operation->write_done (error, operation->user);
--- a/packages/node/tests/test-fleet-lists.c
+++ b/packages/node/tests/test-fleet-lists.c
@@ -28,19 +28,19 @@
 } Store;
 
 static int64_t
-store_ms (const LpPlatform *platform)
+get_store_time_ms (const LpPlatform *platform)
 {
   (void)platform;
   return lb_clock_monotonic () / LB_MSEC;
 }
 
 static void
-store_list (LpPlatform *platform,
-            const char *prefix,
-            const char *from,
-            int64_t limit,
-            LpListDone done,
-            void *user)
+list_rows (LpPlatform *platform,
+           const char *prefix,
+           const char *from,
+           int64_t limit,
+           LpListDone done,
+           void *user)
 {
   (void)from;
   (void)limit;
@@ -62,7 +62,7 @@
 }
 
 static const LpPlatformClass store_class
-    = { .name = "test", .list = store_list, .store_ms = store_ms };
+    = { .name = "test", .list = list_rows, .store_ms = get_store_time_ms };
 
 static void
 renew_all (Store *store)
@@ -71,7 +71,7 @@
     if (!store->instances[i].has_stopped)
       {
         store->instances[i].version = ++store->version;
-        store->instances[i].row.renewed_ms = store_ms (&store->platform);
+        store->instances[i].row.renewed_ms = get_store_time_ms (&store->platform);
       }
 }
 
@@ -93,7 +93,7 @@
 }
 
 static void
-on_change (void *user)
+on_members_changed (void *user)
 {
   (void)user;
 }
@@ -116,7 +116,7 @@
   Store store;
 
   store_init (&store);
-  LnFleetLists *lists = ln_fleet_lists_new (&store.platform, "a", on_change, NULL);
+  LnFleetLists *lists = ln_fleet_lists_new (&store.platform, "a", on_members_changed, NULL);
   renew_all (&store);
   ln_fleet_lists_tick (lists, lb_clock_monotonic ());
   cr_assert (find_member (lists, "gone")->confirmed);
