--- a/packages/core/include/lc-config.h
+++ b/packages/core/include/lc-config.h
@@ -15,7 +15,7 @@
   LC_CONFIG_MESSAGE_CHANGE,  /* to all: a revision was accepted; body: the change that led to it */
   LC_CONFIG_MESSAGE_QUERY,   /* asks for the active revision and how long ago it was confirmed */
   LC_CONFIG_MESSAGE_STATUS,  /* reply to QUERY; also sent unasked after CHANGE */
-  LC_CONFIG_MESSAGE_FETCH,   /* requests the whole set */
+  LC_CONFIG_MESSAGE_FETCH,   /* requests the whole configuration */
   LC_CONFIG_MESSAGE_SNAPSHOT /* reply to FETCH; body: the set */
 } LcConfigMessageType;
 
--- a/packages/core/include/lc-resources.h
+++ b/packages/core/include/lc-resources.h
@@ -52,7 +52,9 @@
 {
   LbName name;
   LbName subscription;
-  int64_t max_lag; /* versions between the trainer's version and that of the oldest span */
+  /* Number of weight versions by which the oldest tokens of the sample may be behind the trainer's
+   * version. */
+  int64_t max_lag;
 } LcVersionBound;
 
 typedef enum
--- a/packages/core/src/batch/lc-batch-item.c
+++ b/packages/core/src/batch/lc-batch-item.c
@@ -9,8 +9,8 @@
 #define MAX_RETRY_DELAY (800 * LB_MSEC)
 /* Length assumed for a text without an estimate. */
 #define DEFAULT_TEXT_EVENTS 8
-/* Estimates are right at the median but often far off: a text always counts as having at least one
- * such part of its estimated length left. */
+/* Estimates are right at the median but often far off: at least this part of the estimated
+ * length (a quarter) is always assumed to remain. */
 #define MIN_REMAINING_DIVISOR 4
 /* Fewer new events cost more to write and to read than to generate again, which takes a quarter of
  * a second at an engine with twelve events a second. */
--- a/packages/core/src/batch/lc-batch.c
+++ b/packages/core/src/batch/lc-batch.c
@@ -133,10 +133,10 @@
   return events * (tokens_per_event > 0 ? tokens_per_event : 1);
 }
 
-/* Latest start at which a text of so many events is complete when the trainer wants it. Requests
- * are ordered by it, so that the longest text of a step does not start last and delay the step. Of
- * two open steps of a trainer, the long texts of the second start before the short ones of the
- * first, which have time left. */
+/* Latest time to start a text of `events` events that must be complete when the trainer needs it.
+ * Requests are ordered by this time, so that the longest text of a step does not start last and
+ * delay the step. Of two open steps of a trainer, the long texts of the second start before the
+ * short ones of the first, which have time left. */
 static LbTime
 compute_latest_start (const LcBatch *batch, int64_t events)
 {
@@ -248,7 +248,7 @@
     lc_batch_item_finish_checkpoint (&batch->items[i], ok);
 }
 
-/* Texts of groups that an earlier batch did not complete. */
+/* Reuses cached texts of groups that an earlier batch did not complete. */
 static void
 reuse_cached_texts (LcBatch *batch, LbList *actions)
 {
@@ -317,7 +317,7 @@
   if (!history || item->first_piece_at == 0)
     return;
   lc_length_histogram_add (&history->lengths, lc_batch_events_to_tokens (batch, item->n_events));
-  /* The measured time begins with the first event, so that one does not count. */
+  /* The measured time begins with the first event, so the first event is not counted. */
   if (item->request_events > LC_BATCH_MIN_PACE_INTERVALS)
     lc_pace_add (&history->pace, lc_batch_events_to_tokens (batch, item->request_events - 1),
                  item->first_piece_at - item->started_at, now - item->first_piece_at);
--- a/packages/core/src/batch/lc-straggler.c
+++ b/packages/core/src/batch/lc-straggler.c
@@ -20,7 +20,7 @@
  * piece. */
 #define MAX_UNSEEN_TOKENS 32
 /* A second generation must be expected to be this much faster even where only idle time counts. */
-#define MIN_SPEEDUP 1.5
+#define MIN_SAFETY_FACTOR 1.5
 
 static size_t
 find_bucket (int64_t tokens)
@@ -158,9 +158,9 @@
 }
 
 static double
-get_required_speedup (double idle_weight)
+get_safety_factor (double idle_weight)
 {
-  return MIN_SPEEDUP + (1.0 - idle_weight);
+  return MIN_SAFETY_FACTOR + (1.0 - idle_weight);
 }
 
 static bool
@@ -179,8 +179,7 @@
   if (!has_enough_history (lengths, pace))
     return 0;
   return expect_seconds_remaining (lengths, pace, progress, now)
-         - get_required_speedup (idle_weight)
-               * expect_seconds_to_regenerate (lengths, pace, progress);
+         - get_safety_factor (idle_weight) * expect_seconds_to_regenerate (lengths, pace, progress);
 }
 
 /* The sample has waited for a slot once; at the same urgency it does not wait longer now. The mean
@@ -207,7 +206,7 @@
       = lc_length_histogram_expect_remaining (lengths, progress->tokens, progress->max_tokens);
   return expect_seconds_remaining (lengths, pace, progress, now)
          - expect_wait_seconds (pace, progress)
-         - get_required_speedup (idle_weight) * remaining / pace->tokens_per_second;
+         - get_safety_factor (idle_weight) * remaining / pace->tokens_per_second;
 }
 
 /* The original continues until the hedge is complete; its tokens are then discarded. */
--- a/packages/core/src/batch/lc-straggler.h
+++ b/packages/core/src/batch/lc-straggler.h
@@ -65,7 +65,9 @@
                                         const LcSampleProgress *progress,
                                         double idle_weight,
                                         LbTime now);
-/* The same for continuing the sample at another endpoint. */
+/* Seconds by which the running sample is expected to end earlier if another endpoint continues it,
+ * where the time to generate the rest there is multiplied by a safety factor; 0 or less: do not
+ * move. 0 without enough history or before the first token. */
 double lc_straggler_move_gain_seconds (const LcLengthHistogram *lengths,
                                        const LcPace *pace,
                                        const LcSampleProgress *progress,
--- a/packages/core/src/config/lc-config-confirm.c
+++ b/packages/core/src/config/lc-config-confirm.c
@@ -70,7 +70,9 @@
   return false;
 }
 
-/* A majority of the peers alone must confirm, since a new process has no knowledge of its own. */
+/* Returns true if more than half of the peers recently answered with a confirmed revision and none
+ * of these is newer than the revision of this instance. This instance is not counted, since its
+ * process has just started and has no confirmation of its own. */
 static bool
 peers_confirm_new_process (const LcConfig *config, LbTime now)
 {
--- a/packages/core/src/endpoints/lc-breaker.c
+++ b/packages/core/src/endpoints/lc-breaker.c
@@ -76,9 +76,9 @@
     open_breaker (breaker, now);
 }
 
-/* Half open, each success raises the concurrency by one. All instances see an endpoint recover in
- * the same second: if each sent its full share at once, the endpoint would fail again, and the
- * breakers of all instances would open and close in step. */
+/* While half open, each success raises the concurrency by one. All instances see an endpoint
+ * recover in the same second: if each sent its full share at once, the endpoint would fail again,
+ * and the breakers of all instances would open and close in step. */
 void
 lc_breaker_request_succeeded (LcBreaker *breaker, LbTime sent_at)
 {
--- a/packages/core/src/endpoints/lc-concurrency.c
+++ b/packages/core/src/endpoints/lc-concurrency.c
@@ -9,7 +9,7 @@
  * by more than SLOW_EXTRA_SECONDS; smaller differences are noise. */
 #define SLOW_FACTOR 3.0
 #define SLOW_EXTRA_SECONDS 0.25
-/* Per first byte, so that the minimum rises when the hardware gets slower. */
+/* Applied at each first byte, so that the minimum rises when the hardware gets slower. */
 #define MIN_RISE_WEIGHT 0.002
 /* Delays of the requests in flight share one cause and cause one decrease, not one each. */
 #define DECREASE_PERIOD LB_SEC
--- a/packages/core/src/endpoints/lc-endpoints-query.c
+++ b/packages/core/src/endpoints/lc-endpoints-query.c
@@ -46,7 +46,7 @@
  * name them. So an endpoint gets requests only after a report or a reply: otherwise a new instance
  * would send the first ones seconds after all other instances stopped. */
 static bool
-has_been_heard (const LcEndpointEntry *entry)
+has_reported_or_replied (const LcEndpointEntry *entry)
 {
   return entry->is_reported || entry->endpoint.last_reply_at > 0;
 }
@@ -59,7 +59,7 @@
                      || (endpoint->member.reports_concurrency && endpoint->swap_pending
                          && now < endpoint->swap_until);
 
-  return !is_refusing && has_been_heard (entry) && has_known_weights (entry, now)
+  return !is_refusing && has_reported_or_replied (entry) && has_known_weights (entry, now)
          && endpoint->in_flight < lc_breaker_max_in_flight (&entry->breaker, now);
 }
 
--- a/packages/core/src/endpoints/lc-endpoints.c
+++ b/packages/core/src/endpoints/lc-endpoints.c
@@ -101,7 +101,7 @@
   [LC_LEAVING_PEER] = "peer",
 };
 
-/* True if the endpoint was not leaving before; logged once for each incarnation. */
+/* Returns true if the endpoint was not leaving before; logged once for each incarnation. */
 static bool
 publish_and_log_leaving (LcEndpointEntry *entry, LcLeavingSource source, LbTime now)
 {
--- a/packages/core/src/endpoints/lc-leaving.c
+++ b/packages/core/src/endpoints/lc-leaving.c
@@ -28,9 +28,10 @@
     leaving->marked[leaving->n_marked++ % LC_MAX_LEAVING_INCARNATIONS] = incarnation;
 }
 
-/* The endpoint stated its incarnation. An incarnation stays marked if it was marked before its name
- * was known, or if it is seen again after another one. Without the ring buffer, an outdated report
- * or one of the next process in between would clear the mark. */
+/* Called when the endpoint reports its incarnation. `marked` is a ring buffer of the last
+ * LC_MAX_LEAVING_INCARNATIONS incarnations that are leaving, so that neither a late report of an
+ * earlier process nor a report of its successor clears a mark. A mark that was set before any
+ * incarnation was known is given to the first one that is reported. */
 void
 lc_leaving_set_incarnation (LcLeaving *leaving, const char *incarnation)
 {
--- a/packages/core/src/endpoints/lc-prefix-index.c
+++ b/packages/core/src/endpoints/lc-prefix-index.c
@@ -11,7 +11,7 @@
 /* Confidence in a prefix known only from a request sent there: the engine may not have kept it. */
 #define SENT_CONFIDENCE 0.95
 #define HALF_LIFE_SECONDS 300.0
-/* Every other event evicts one of about a hundred prefixes. */
+/* On average, every second event evicts one of about a hundred prefixes. */
 #define DECAY_PER_MISSED_EVENT 0.005
 
 typedef struct
--- a/packages/core/src/endpoints/lc-roster.c
+++ b/packages/core/src/endpoints/lc-roster.c
@@ -12,7 +12,8 @@
  * It is several times the usual period. */
 #define MIN_OUTAGE_GAP (1500 * LB_MSEC)
 /* Registrations that expired during an outage of the store are renewed within two seconds of its
- * recovery if the endpoint is alive; the rest is for the list that contains them. */
+ * recovery if the endpoint is alive; the rest of this time is for the next list, which
+ * contains them. */
 #define OUTAGE_GRACE (2400 * LB_MSEC)
 /* Each list costs every instance one call to the store. */
 #define MIN_LIST_PERIOD (400 * LB_MSEC)
@@ -23,7 +24,7 @@
  * the reply and its processing fit in that time, with half a second to spare. */
 #define MAX_LIST_PERIOD (900 * LB_MSEC)
 #define FIRST_CAPACITY 16
-/* Endpoints added or removed by one list that are logged one by one; further ones are only
+/* Endpoints added or removed by one list that are logged individually; further ones are only
  * counted. */
 #define MAX_LOGGED_CHANGES 16
 #define POOL_QUEUE_LIMIT 100000
@@ -141,7 +142,8 @@
                  (*(const LcRegistration *const *)b)->name);
 }
 
-/* Sorted by name; the store and the catalog usually return it in this order. The caller frees. */
+/* Returns the list sorted by name, the usual order of the store and the catalog. The caller frees
+ * the result. */
 static const LcRegistration **
 sort_by_name (const LcRegistration *list, size_t n_list)
 {
--- a/packages/core/src/endpoints/lc-scaling.c
+++ b/packages/core/src/endpoints/lc-scaling.c
@@ -221,7 +221,7 @@
   int64_t max_endpoints = service->scaling.max
                           - count_endpoints (set, location->service, location->data_centre, false);
 
-  /* Existing endpoints can be kept. */
+  /* After a refusal no more endpoints are ordered, but the existing ones are kept. */
   if (now < location->refused_until)
     max_endpoints = count_endpoints (set, location->service, location->data_centre, true);
   return max_endpoints > 0 ? max_endpoints : 0;
--- a/packages/core/src/membership/lc-catalog.c
+++ b/packages/core/src/membership/lc-catalog.c
@@ -9,9 +9,9 @@
 #include <uthash.h>
 
 #define PUBLISHER_KEY "publisher"
-/* Followers that see no publisher start to list for themselves spread over this time. It is given,
- * like PUBLISHER_TIMEOUT, TAKEOVER_DELAY_PER_RANK and MAX_SNAPSHOT_AGE_MS, for LC_CATALOG_PERIOD
- * and scaled to the publisher's period. */
+/* Without a publisher, followers start to list the rows themselves at times spread over this
+ * interval. Like PUBLISHER_TIMEOUT, TAKEOVER_DELAY_PER_RANK and MAX_SNAPSHOT_AGE_MS, it is given
+ * for LC_CATALOG_PERIOD and scaled to the publisher's period. */
 #define FALLBACK_SPREAD (300 * LB_MSEC)
 /* The publisher counts as failed when its row has not changed for 1.5 periods; each further
  * candidate takes over this much later, so that no other instance has to list the rows
@@ -61,7 +61,7 @@
   LbName publisher;
   LbName publisher_incarnation;
   int64_t publisher_epoch;     /* incremented by each new publisher */
-  LbTime publisher_period;     /* between its listings */
+  LbTime publisher_period;     /* time between the publisher's listings */
   LbTime own_period;           /* the same for this instance while it publishes */
   int64_t listed_ms;           /* store's clock at the listing that the rows come from */
   bool is_complete;            /* every change of that listing has been written */
@@ -344,7 +344,8 @@
   return catalog->publisher;
 }
 
-/* The publisher, if any, has been silent for long enough that it is this instance's turn. */
+/* Returns true if the publisher's row, if any, has not changed for so long that this instance may
+ * take over. */
 static bool
 can_take_over (const LcCatalog *catalog, LbTime now)
 {
@@ -382,7 +383,7 @@
   catalog->all_changes_written = false;
 }
 
-/* Time of the oldest listing that ages; 0 when there is none. */
+/* The store's clock at the oldest listing of known age; 0 if there is none. */
 static int64_t
 oldest_listing_ms (const LcCatalog *catalog)
 {
--- a/packages/core/src/rollout/lc-deliver.c
+++ b/packages/core/src/rollout/lc-deliver.c
@@ -88,7 +88,7 @@
   action->n_samples = chunk->n_slots;
   action->samples = LB_NEW_ARRAY (LcReadySample, chunk->n_slots);
   for (size_t i = 0; i < chunk->n_slots; i++)
-    action->samples[i] = lc_step_ready_sample (step, &step->slots[chunk->slots[i]]);
+    action->samples[i] = lc_step_make_ready_sample (step, &step->slots[chunk->slots[i]]);
   action->cursor = is_strict (rollouts, step) ? lb_strdup ("")
                                               : lc_cursor_encode (&chunk->cursor, step->spec_hash);
   action->remaining = (int64_t)lc_step_count_unsent (step);
--- a/packages/core/src/rollout/lc-rollouts.c
+++ b/packages/core/src/rollout/lc-rollouts.c
@@ -670,7 +670,7 @@
     {
       const LcSlot *slot = &step->slots[i];
       if (slot->state >= LC_SLOT_SCORING && slot->state != LC_SLOT_ACKED && slot->text)
-        (*samples)[n_samples++] = lc_step_ready_sample (step, slot);
+        (*samples)[n_samples++] = lc_step_make_ready_sample (step, slot);
     }
   return n_samples;
 }
--- a/packages/core/src/rollout/lc-step.c
+++ b/packages/core/src/rollout/lc-step.c
@@ -178,7 +178,7 @@
 }
 
 LcReadySample
-lc_step_ready_sample (const LcStep *step, const LcSlot *slot)
+lc_step_make_ready_sample (const LcStep *step, const LcSlot *slot)
 {
   return (LcReadySample){ .group = lc_step_group_spec (step, slot)->id,
                           .index = slot->index,
--- a/packages/core/src/rollout/lc-step.h
+++ b/packages/core/src/rollout/lc-step.h
@@ -130,7 +130,7 @@
 /* Queries. */
 /* Slots that are neither in the current chunk nor acknowledged. */
 size_t lc_step_count_unsent (const LcStep *step);
-LcReadySample lc_step_ready_sample (const LcStep *step, const LcSlot *slot);
+LcReadySample lc_step_make_ready_sample (const LcStep *step, const LcSlot *slot);
 /* NULL: the step has no such slot. */
 LcSlot *lc_step_find_slot (LcStep *step, const char *group, int64_t index);
 const LcGroupSpec *lc_step_group_spec (const LcStep *step, const LcSlot *slot);
--- a/packages/core/src/usage/lc-usage-reports.c
+++ b/packages/core/src/usage/lc-usage-reports.c
@@ -11,8 +11,8 @@
 /* Once the store is available again, instances need this time to write the rows that failed, and
  * delayed writes arrive. */
 #define STORE_RECOVERY_DELAY (1500 * LB_MSEC)
-/* Windows that ended while no instance held the duty and are still reported; older ones are not
- * reported at all. */
+/* Windows that ended while no instance held the reporting duty and are still reported; older ones
+ * are not reported at all. */
 #define MAX_CATCH_UP_WINDOWS 24
 
 typedef enum
@@ -39,7 +39,7 @@
   LcUsageReportSettings settings;
   LbList windows;
   int64_t first_window; /* oldest window to report; -1: none known yet, becomes the current one */
-  int64_t epoch;        /* incremented each time the duty is acquired */
+  int64_t epoch;        /* incremented each time the reporting duty is acquired */
   bool has_duty;
   bool has_read;
   bool is_reading;
--- a/packages/core/tests/test-batch-head.c
+++ b/packages/core/tests/test-batch-head.c
@@ -48,8 +48,9 @@
 }
 
 /* After an owner died, two steps of a model run on two instances. The first step ends, which writes
- * its row again; the third step must join the second. It went to the instance of the first step,
- * and the fourth to that of the second, so both instances kept connections to all engines. */
+ * its row again; the third step must join the second. By row versions alone, it went to the
+ * instance of the first step and the fourth to that of the second, so both instances kept
+ * connections to all engines. */
 Test (batch_head, next_batch_joins_a_running_batch_rather_than_an_ended_one)
 {
   const LcBatchHead ended = { .ended = true };
--- a/packages/core/tests/test-batch.c
+++ b/packages/core/tests/test-batch.c
@@ -488,8 +488,8 @@
   lc_batch_history_free (history);
 }
 
-/* An engine sends nothing more on connections that stay open. Its text waited for the two seconds
- * after which a stream counts as broken. */
+/* An engine sends nothing more on connections that stay open. Without a move, its text waited
+ * for the two seconds after which a stream counts as broken. */
 Test (batch, stalled_text_is_moved_soon)
 {
   LcBatchHistory *history = lc_batch_history_new ();
--- a/packages/core/tests/test-dispatch-leaving.c
+++ b/packages/core/tests/test-dispatch-leaving.c
@@ -170,9 +170,9 @@
   fixture_clear (&f);
 }
 
-/* An engine accepts calls and never answers, with its connections open. Each call ends by our own
- * cancel at its deadline, so without special handling no failure would be recorded and every call
- * sent there would be lost. */
+/* An engine accepts calls and never answers, with its connections open. Each call ends when
+ * this instance cancels it at its deadline, so without special handling no failure would be
+ * recorded and every call sent there would be lost. */
 Test (leaving, unresponsive_endpoint_opens_its_breaker)
 {
   Fixture f;
@@ -268,8 +268,8 @@
   fixture_clear (&f);
 }
 
-/* As above, but e2 is full: calls wait for it instead of going to e1 on an outdated report, or to
- * e3, which was just added and has not reported yet. */
+/* The report of e1 is outdated and e2 is full: calls wait for e2 instead of going to e1 on an
+ * outdated report, or to e3, which was just added and has not reported yet. */
 Test (leaving, no_outdated_report_is_used_while_another_is_current)
 {
   Fixture f;
--- a/packages/core/tests/test-usage-reports.c
+++ b/packages/core/tests/test-usage-reports.c
@@ -297,8 +297,8 @@
 }
 
 /* The holder is killed after it recorded a report and before the platform answers, and no instance
- * holds the duty for three windows. The next holder must send the recorded report unchanged, and
- * report the missed windows. */
+ * holds the reporting duty for three windows. The next holder must send the recorded report
+ * unchanged, and report the missed windows. */
 Test (usage_reports, next_holder_resends_recorded_report_and_catches_up)
 {
   world_init (2, false);
