--- a/packages/core/include/lc-batch.h
+++ b/packages/core/include/lc-batch.h
@@ -12,14 +12,14 @@
 typedef struct
 {
   LbName group; /* the items of a group share their prompt */
-  LcOutgoing request;
+  LcOutgoingRequest request;
   int64_t prompt_tokens;
   int64_t max_tokens;
   int64_t expected_tokens; /* trainer's estimate for the whole text; 0: not known */
   uint64_t prefix_hashes[LC_MAX_PREFIX_HASHES];
   size_t n_prefix_hashes;
   bool has_scorer;
-  LcOutgoing scorer;
+  LcOutgoingRequest scorer;
 } LcBatchItemSpec;
 
 typedef struct
--- a/packages/core/include/lc-dispatch.h
+++ b/packages/core/include/lc-dispatch.h
@@ -160,10 +160,10 @@
 LbTime lc_dispatch_next_tick (const LcDispatch *dispatch);
 size_t lc_dispatch_count_in_progress (const LcDispatch *dispatch);
 size_t lc_dispatch_count_waiting (const LcDispatch *dispatch, LcRequestKind kind);
-LcEndpoints *lc_dispatch_endpoints (LcDispatch *dispatch);
-LcQuarantine *lc_dispatch_quarantine (LcDispatch *dispatch);
+LcEndpoints *lc_dispatch_get_endpoints (LcDispatch *dispatch);
+LcQuarantine *lc_dispatch_get_quarantine (LcDispatch *dispatch);
 /* Actions suppressed since the start because they would have violated an invariant; 0 in a correct
  * program. */
-uint64_t lc_dispatch_invariant_failures (const LcDispatch *dispatch);
+uint64_t lc_dispatch_count_invariant_failures (const LcDispatch *dispatch);
 
 #endif
--- a/packages/core/include/lc-outgoing.h
+++ b/packages/core/include/lc-outgoing.h
@@ -21,11 +21,12 @@
   size_t n_headers;
   char *body;
   size_t body_length;
-} LcOutgoing;
+} LcOutgoingRequest;
 
-void lc_outgoing_add_header (LcOutgoing *outgoing, const char *name, const char *value);
-const char *lc_outgoing_find_header (const LcOutgoing *outgoing, const char *name);
-void lc_outgoing_copy (LcOutgoing *target, const LcOutgoing *source);
-void lc_outgoing_clear (LcOutgoing *outgoing);
+void
+lc_outgoing_request_add_header (LcOutgoingRequest *outgoing, const char *name, const char *value);
+const char *lc_outgoing_request_find_header (const LcOutgoingRequest *outgoing, const char *name);
+void lc_outgoing_request_copy (LcOutgoingRequest *target, const LcOutgoingRequest *source);
+void lc_outgoing_request_clear (LcOutgoingRequest *outgoing);
 
 #endif
--- a/packages/core/src/batch/lc-batch-reuse.c
+++ b/packages/core/src/batch/lc-batch-reuse.c
@@ -19,7 +19,7 @@
 } Group;
 
 static uint64_t
-hash_request (uint64_t hash, const LcOutgoing *request)
+hash_request (uint64_t hash, const LcOutgoingRequest *request)
 {
   const char *path = request->path ? request->path : "";
 
--- a/packages/core/src/batch/lc-batch.c
+++ b/packages/core/src/batch/lc-batch.c
@@ -26,8 +26,8 @@
 {
   for (size_t i = 0; i < spec->n_items; i++)
     {
-      lc_outgoing_clear (&spec->items[i].request);
-      lc_outgoing_clear (&spec->items[i].scorer);
+      lc_outgoing_request_clear (&spec->items[i].request);
+      lc_outgoing_request_clear (&spec->items[i].scorer);
     }
   free (spec->items);
   memset (spec, 0, sizeof *spec);
--- a/packages/core/src/dispatch/lc-dispatch-query.c
+++ b/packages/core/src/dispatch/lc-dispatch-query.c
@@ -59,19 +59,19 @@
 }
 
 LcQuarantine *
-lc_dispatch_quarantine (LcDispatch *dispatch)
+lc_dispatch_get_quarantine (LcDispatch *dispatch)
 {
   return dispatch->quarantine;
 }
 
 LcEndpoints *
-lc_dispatch_endpoints (LcDispatch *dispatch)
+lc_dispatch_get_endpoints (LcDispatch *dispatch)
 {
   return dispatch->endpoints;
 }
 
 uint64_t
-lc_dispatch_invariant_failures (const LcDispatch *dispatch)
+lc_dispatch_count_invariant_failures (const LcDispatch *dispatch)
 {
   return dispatch->invariant_failures;
 }
--- a/packages/core/src/dispatch/lc-outgoing.c
+++ b/packages/core/src/dispatch/lc-outgoing.c
@@ -7,7 +7,7 @@
 #include <strings.h>
 
 void
-lc_outgoing_add_header (LcOutgoing *outgoing, const char *name, const char *value)
+lc_outgoing_request_add_header (LcOutgoingRequest *outgoing, const char *name, const char *value)
 {
   size_t size = (outgoing->n_headers + 1) * sizeof *outgoing->headers;
 
@@ -18,7 +18,7 @@
 
 /* Returns NULL if there is no such header. */
 const char *
-lc_outgoing_find_header (const LcOutgoing *outgoing, const char *name)
+lc_outgoing_request_find_header (const LcOutgoingRequest *outgoing, const char *name)
 {
   for (size_t i = 0; i < outgoing->n_headers; i++)
     if (strcasecmp (outgoing->headers[i].name, name) == 0)
@@ -33,7 +33,7 @@
 }
 
 void
-lc_outgoing_copy (LcOutgoing *target, const LcOutgoing *source)
+lc_outgoing_request_copy (LcOutgoingRequest *target, const LcOutgoingRequest *source)
 {
   memset (target, 0, sizeof *target);
   LB_COPY (target->id, source->id);
@@ -41,13 +41,13 @@
   target->host = copy_string (source->host);
   target->path = copy_string (source->path);
   for (size_t i = 0; i < source->n_headers; i++)
-    lc_outgoing_add_header (target, source->headers[i].name, source->headers[i].value);
+    lc_outgoing_request_add_header (target, source->headers[i].name, source->headers[i].value);
   target->body = source->body ? lb_memdup (source->body, source->body_length + 1) : NULL;
   target->body_length = source->body_length;
 }
 
 void
-lc_outgoing_clear (LcOutgoing *outgoing)
+lc_outgoing_request_clear (LcOutgoingRequest *outgoing)
 {
   for (size_t i = 0; i < outgoing->n_headers; i++)
     {
--- a/packages/core/tests/dispatch-fixture.h
+++ b/packages/core/tests/dispatch-fixture.h
@@ -46,7 +46,7 @@
     {
       const char *name = f->members[i].name;
 
-      if (lc_endpoints_find (lc_dispatch_endpoints (f->dispatch), name)->last_reply_at == 0)
+      if (lc_endpoints_find (lc_dispatch_get_endpoints (f->dispatch), name)->last_reply_at == 0)
         lc_dispatch_record_load (f->dispatch, name, &idle, f->now, &f->actions);
     }
 }
@@ -89,7 +89,7 @@
 static inline void
 fixture_clear (Fixture *f)
 {
-  cr_assert_eq (lc_dispatch_invariant_failures (f->dispatch), 0);
+  cr_assert_eq (lc_dispatch_count_invariant_failures (f->dispatch), 0);
   fixture_drop_actions (f);
   lc_dispatch_free (f->dispatch);
 }
--- a/packages/core/tests/test-dispatch-answers.c
+++ b/packages/core/tests/test-dispatch-answers.c
@@ -485,8 +485,9 @@
       hedged++;
     }
   cr_assert_eq (hedged, n_hung, "%d of %d samples were hedged", hedged, n_hung);
-  cr_assert_eq (lc_endpoints_find (lc_dispatch_endpoints (f.dispatch), "e1")->consecutive_failures,
-                n_hung);
+  cr_assert_eq (
+      lc_endpoints_find (lc_dispatch_get_endpoints (f.dispatch), "e1")->consecutive_failures,
+      n_hung);
   fixture_clear (&f);
 }
 
--- a/packages/core/tests/test-dispatch-invariants.c
+++ b/packages/core/tests/test-dispatch-invariants.c
@@ -20,7 +20,7 @@
 static void
 expect_one_violation (Fixture *f)
 {
-  cr_assert_eq (lc_dispatch_invariant_failures (f->dispatch), 1);
+  cr_assert_eq (lc_dispatch_count_invariant_failures (f->dispatch), 1);
   f->dispatch->invariant_failures = 0;
 }
 
--- a/packages/core/tests/test-dispatch-quarantine.c
+++ b/packages/core/tests/test-dispatch-quarantine.c
@@ -13,7 +13,7 @@
     {
       snprintf (crash.id, sizeof crash.id, "%lu-%d", (unsigned long)content, i);
       snprintf (crash.endpoint, sizeof crash.endpoint, "%lu-gone-%d", (unsigned long)content, i);
-      lc_quarantine_add_report (lc_dispatch_quarantine (f->dispatch), &crash, f->now);
+      lc_quarantine_add_report (lc_dispatch_get_quarantine (f->dispatch), &crash, f->now);
     }
 }
 
@@ -136,7 +136,8 @@
         fixture_deliver_piece (&f, spec.id, sent.attempt, 0, 1, false);
       else
         fixture_end_attempt (&f, spec.id, sent.attempt, ends[content - 20]);
-      cr_assert (lc_quarantine_pop_clearance (lc_dispatch_quarantine (f.dispatch), &cleared, &at));
+      cr_assert (
+          lc_quarantine_pop_clearance (lc_dispatch_get_quarantine (f.dispatch), &cleared, &at));
       cr_assert_eq (cleared, content);
     }
   fixture_clear (&f);
@@ -155,6 +156,7 @@
   cr_assert (fixture_submit (&f, &spec));
   LcAction sent = fixture_expect_action (&f, LC_ACTION_SEND, spec.id);
   fixture_end_attempt (&f, spec.id, sent.attempt, LC_END_REFUSED);
-  cr_assert_not (lc_quarantine_pop_clearance (lc_dispatch_quarantine (f.dispatch), &cleared, &at));
+  cr_assert_not (
+      lc_quarantine_pop_clearance (lc_dispatch_get_quarantine (f.dispatch), &cleared, &at));
   fixture_clear (&f);
 }
--- a/packages/core/tests/test-dispatch-random.c
+++ b/packages/core/tests/test-dispatch-random.c
@@ -403,8 +403,8 @@
   cr_assert_eq (lc_dispatch_count_in_progress (model->f.dispatch), 0);
   for (LcRequestId id = 1; id <= model->f.last_id; id++)
     cr_assert (model->calls[id].done, "no final result");
-  for (size_t i = 0; i < lc_endpoints_count (lc_dispatch_endpoints (model->f.dispatch)); i++)
-    cr_assert_eq (lc_endpoints_at (lc_dispatch_endpoints (model->f.dispatch), i)->in_flight, 0);
+  for (size_t i = 0; i < lc_endpoints_count (lc_dispatch_get_endpoints (model->f.dispatch)); i++)
+    cr_assert_eq (lc_endpoints_at (lc_dispatch_get_endpoints (model->f.dispatch), i)->in_flight, 0);
   fixture_clear (&model->f);
   gsl_rng_free (model->random);
   free (model);
--- a/packages/node/include/ln-dialect.h
+++ b/packages/node/include/ln-dialect.h
@@ -184,7 +184,7 @@
   /* endpoints */
   /* Whether the node sets or removes the header, so that the caller's value is not forwarded. */
   bool (*is_own_header) (const char *name);
-  void (*write_attempt_headers) (const LnAttemptHeaders *headers, LcOutgoing *outgoing);
+  void (*write_attempt_headers) (const LnAttemptHeaders *headers, LcOutgoingRequest *outgoing);
   LnReplyClass (*classify_reply) (int status, LnHeaderLookup find_header, const void *source);
   /* Whether the reply is for the request with this id, or names no request. */
   bool (*is_reply_to) (const char *id, LnHeaderLookup find_header, const void *source);
@@ -194,7 +194,7 @@
   LnStreamReader *(*stream_new) (LnStreamHandler handler, void *user);
   bool (*stream_feed) (LnStreamReader *reader, const char *bytes, size_t length);
   void (*stream_free) (LnStreamReader *reader);
-  void (*write_order) (const LnWeightsOrder *order, LcOutgoing *outgoing);
+  void (*write_order) (const LnWeightsOrder *order, LcOutgoingRequest *outgoing);
   LnOrderOutcome (*classify_order_reply) (int status);
   const char *engine_state_path; /* answers a GET with the engine's state */
   bool (*read_engine_state) (const LnEngineStateQuery *query,
@@ -209,8 +209,10 @@
   void (*write_usage) (const LnDutyHolder *duty,
                        int64_t window,
                        const char *counts,
-                       LcOutgoing *outgoing);
-  void (*write_scale) (const LnDutyHolder *duty, const LnScaleOrder *order, LcOutgoing *outgoing);
+                       LcOutgoingRequest *outgoing);
+  void (*write_scale) (const LnDutyHolder *duty,
+                       const LnScaleOrder *order,
+                       LcOutgoingRequest *outgoing);
   LnDutyOutcome (*classify_duty_reply) (int status);
 
   /* the store */
--- a/packages/node/include/ln-messages.h
+++ b/packages/node/include/ln-messages.h
@@ -63,7 +63,7 @@
   char *body;         /* owned: JSON for the endpoint */
   char *resume_text;  /* owned: text before spec.resume_at; NULL: none */
   /* With a dialect: the request to send, owned, instead of body and resume_text. */
-  LcOutgoing *outgoing;
+  LcOutgoingRequest *outgoing;
   LbName organisation; /* to which the request belongs; "": none */
 } LnSampleMessage;
 
--- a/packages/node/src/batch/ln-batch-calls.c
+++ b/packages/node/src/batch/ln-batch-calls.c
@@ -177,7 +177,7 @@
     }
   for (size_t i = 0; i < call->spec.n_items; i++)
     {
-      const LcOutgoing *request = &call->spec.items[i].request;
+      const LcOutgoingRequest *request = &call->spec.items[i].request;
       if (strcmp (request->id, call->item) != 0)
         continue;
       ln_batch_call_reply (call, 200, request->body, request->body_length,
--- a/packages/node/src/batch/ln-batch-owner.c
+++ b/packages/node/src/batch/ln-batch-owner.c
@@ -84,7 +84,7 @@
   LnSampleMessage *message = (LnSampleMessage *)base;
 
   if (message->outgoing)
-    lc_outgoing_clear (message->outgoing);
+    lc_outgoing_request_clear (message->outgoing);
   free (message->outgoing);
 }
 
@@ -92,14 +92,14 @@
 static void
 post_request (LnBatch *batch,
               const LcRequestSpec *spec,
-              const LcOutgoing *outgoing,
+              const LcOutgoingRequest *outgoing,
               const char *organisation)
 {
   LnSampleMessage message = { .base = LN_MESSAGE (LN_SAMPLE), .spec = *spec };
   LnTask *calls = ln_hub_find_task (batch->batches->task.hub, "calls");
 
-  message.outgoing = LB_NEW (LcOutgoing);
-  lc_outgoing_copy (message.outgoing, outgoing);
+  message.outgoing = LB_NEW (LcOutgoingRequest);
+  lc_outgoing_request_copy (message.outgoing, outgoing);
   if (!message.outgoing->host)
     message.outgoing->host = lb_strdup (batch->head.host);
   LB_COPY (message.organisation, organisation);
--- a/packages/node/src/calls/ln-call.c
+++ b/packages/node/src/calls/ln-call.c
@@ -43,7 +43,7 @@
   free (call->path);
   free (call->raw_body);
   free (call->resume_text);
-  lc_outgoing_clear (&call->outgoing);
+  lc_outgoing_request_clear (&call->outgoing);
   evbuffer_free (call->sent_text);
   evbuffer_free (call->replay_events);
   json_object_put (call->body);
@@ -65,7 +65,7 @@
 LcFingerprint
 ln_call_fingerprint (const LnCall *call)
 {
-  const LcOutgoing *outgoing = &call->outgoing;
+  const LcOutgoingRequest *outgoing = &call->outgoing;
   const char *text = NULL;
 
   if (outgoing->path)
--- a/packages/node/src/calls/ln-call.h
+++ b/packages/node/src/calls/ln-call.h
@@ -68,7 +68,7 @@
   bool is_usage_counted; /* in its organisation's usage */
   bool has_key;
   LcKeyDigest key;            /* of the API key that it was admitted with */
-  LcOutgoing outgoing;        /* with a dialect: sent to endpoints instead of the fields above */
+  LcOutgoingRequest outgoing; /* with a dialect: sent to endpoints instead of the fields above */
   char *resume_text;          /* text before resume_at that the submitter has; may be NULL */
   struct evbuffer *sent_text; /* STREAM: text passed to the submitter */
   struct evbuffer *replay_events; /* ticketed streams: events sent, for a retry */
--- a/packages/node/src/calls/ln-calls-attempts.c
+++ b/packages/node/src/calls/ln-calls-attempts.c
@@ -56,7 +56,7 @@
                        const LnUpstream *upstream,
                        LcVersion version)
 {
-  LcEndpoints *endpoints = lc_dispatch_endpoints (calls->dispatch);
+  LcEndpoints *endpoints = lc_dispatch_get_endpoints (calls->dispatch);
   const LcEndpoint *endpoint = lc_endpoints_find (endpoints, ln_upstream_endpoint (upstream));
   LcLoadReport report = { 0 };
 
@@ -133,7 +133,7 @@
 static void
 update_idle_connections (LnCalls *calls, const char *name)
 {
-  LcEndpoint *endpoint = lc_endpoints_find (lc_dispatch_endpoints (calls->dispatch), name);
+  LcEndpoint *endpoint = lc_endpoints_find (lc_dispatch_get_endpoints (calls->dispatch), name);
 
   if (endpoint)
     lc_endpoint_set_idle_connections (endpoint,
@@ -146,7 +146,7 @@
 static void
 record_stated_load (LnCalls *calls, const LnCall *call, const LnUpstream *upstream)
 {
-  const LcEndpoint *endpoint = lc_endpoints_find (lc_dispatch_endpoints (calls->dispatch),
+  const LcEndpoint *endpoint = lc_endpoints_find (lc_dispatch_get_endpoints (calls->dispatch),
                                                   ln_upstream_endpoint (upstream));
   LcLoadReport report = { 0 };
   LnReportedLoad load;
@@ -164,8 +164,8 @@
   if (call->kind != LN_CALL_SAMPLE)
     lc_utilisation_add_report (calls->utilisation, endpoint->member.service,
                                load.running + load.waiting, endpoint->member.concurrency);
-  lc_endpoints_record_load (lc_dispatch_endpoints (calls->dispatch), endpoint->member.name, &report,
-                            report.measured_at);
+  lc_endpoints_record_load (lc_dispatch_get_endpoints (calls->dispatch), endpoint->member.name,
+                            &report, report.measured_at);
 }
 
 /* Usage counts a request once, as of its first attempt that was not refused: plain services start
@@ -314,7 +314,7 @@
 }
 
 static LhHeader *
-concatenate_headers (const LcOutgoing *a, const LcOutgoing *b, size_t *n)
+concatenate_headers (const LcOutgoingRequest *a, const LcOutgoingRequest *b, size_t *n)
 {
   LhHeader *headers = LB_NEW_ARRAY (LhHeader, a->n_headers + b->n_headers);
 
@@ -351,7 +351,7 @@
                                               .resume_at = action->resume_at,
                                               .organisation = call->organisation,
                                               .is_sample = call->kind != LN_CALL_SERVICE };
-  LcOutgoing attempt_headers = { 0 };
+  LcOutgoingRequest attempt_headers = { 0 };
   LnUpstreamSpec spec
       = { .request = action->request,
           .attempt = action->attempt,
@@ -374,7 +374,7 @@
   LnUpstream *upstream
       = ln_upstream_start (calls->context->http_pool, &spec, &handlers, attempt, error);
   free (headers);
-  lc_outgoing_clear (&attempt_headers);
+  lc_outgoing_request_clear (&attempt_headers);
   return upstream;
 }
 
--- a/packages/node/src/calls/ln-calls.c
+++ b/packages/node/src/calls/ln-calls.c
@@ -50,7 +50,7 @@
   call->spec = message->spec;
   LB_COPY (call->organisation, message->organisation);
   if (message->outgoing)
-    lc_outgoing_copy (&call->outgoing, message->outgoing);
+    lc_outgoing_request_copy (&call->outgoing, message->outgoing);
   else if (is_score)
     {
       call->method = lb_strdup ("POST");
@@ -90,8 +90,8 @@
 
   lb_list_init (&actions);
   if (message->withdrawn)
-    lc_endpoints_clear_platform_leaving (lc_dispatch_endpoints (calls->dispatch), message->endpoint,
-                                         lb_clock_monotonic ());
+    lc_endpoints_clear_platform_leaving (lc_dispatch_get_endpoints (calls->dispatch),
+                                         message->endpoint, lb_clock_monotonic ());
   else
     lc_dispatch_mark_leaving (calls->dispatch, message->endpoint, message->incarnation,
                               message->source, lb_clock_monotonic (), &actions);
@@ -103,7 +103,7 @@
 ln_calls_broadcast_leaving (LnCalls *calls, const char *endpoint)
 {
   ln_leaving_announce (calls->leaving,
-                       lc_endpoints_find (lc_dispatch_endpoints (calls->dispatch), endpoint));
+                       lc_endpoints_find (lc_dispatch_get_endpoints (calls->dispatch), endpoint));
 }
 
 /* The registration shows that the endpoint is alive and which weights it has, but not its load: the
@@ -112,7 +112,7 @@
 record_registration (LnCalls *calls, const LnEndpointListedMessage *message)
 {
   LcEndpoint *endpoint
-      = lc_endpoints_find (lc_dispatch_endpoints (calls->dispatch), message->endpoint);
+      = lc_endpoints_find (lc_dispatch_get_endpoints (calls->dispatch), message->endpoint);
   LcLoadReport report = { .version = message->version,
                           .measured_at = lb_clock_monotonic (),
                           .is_from_registry = true };
@@ -192,7 +192,7 @@
 {
   LnCalls *calls = user;
 
-  lc_endpoints_apply_cache_event (lc_dispatch_endpoints (calls->dispatch), endpoint, sequence,
+  lc_endpoints_apply_cache_event (lc_dispatch_get_endpoints (calls->dispatch), endpoint, sequence,
                                   stored, prefix, lb_clock_monotonic ());
 }
 
@@ -246,8 +246,8 @@
       break;
     case LN_ENDPOINT_SWAP:
       swap = (const LnEndpointSwapMessage *)message;
-      lc_endpoints_set_swap (lc_dispatch_endpoints (calls->dispatch), swap->endpoint, swap->pending,
-                             swap->until, lb_clock_monotonic ());
+      lc_endpoints_set_swap (lc_dispatch_get_endpoints (calls->dispatch), swap->endpoint,
+                             swap->pending, swap->until, lb_clock_monotonic ());
       break;
     default:
       break;
@@ -332,7 +332,8 @@
                  (int64_t)lc_dispatch_count_waiting (calls->dispatch, LC_KIND_SAMPLE));
   lb_metric_set (&waiting_service,
                  (int64_t)lc_dispatch_count_waiting (calls->dispatch, LC_KIND_SERVICE));
-  lb_metric_set (&invariant_failures, (int64_t)lc_dispatch_invariant_failures (calls->dispatch));
+  lb_metric_set (&invariant_failures,
+                 (int64_t)lc_dispatch_count_invariant_failures (calls->dispatch));
 }
 
 static void
@@ -386,7 +387,7 @@
   calls->claims = ln_claims_new (context->base, context->platform, context->incarnation);
   calls->relays = ln_relays_new (context);
   calls->leaving = ln_leaving_new (&calls->task);
-  calls->crashes = ln_crashes_new (context, lc_dispatch_quarantine (calls->dispatch));
+  calls->crashes = ln_crashes_new (context, lc_dispatch_get_quarantine (calls->dispatch));
   /* Requests the crash reports before the routes, so that they are known at the first request. */
   ln_crashes_tick (calls->crashes, lb_clock_monotonic ());
   calls->checks = ln_endpoint_checks_new (context, on_endpoint_crashed, calls);
--- a/packages/node/src/calls/ln-routed.c
+++ b/packages/node/src/calls/ln-routed.c
@@ -36,7 +36,7 @@
 typedef struct
 {
   const LnDialect *dialect;
-  LcOutgoing *outgoing;
+  LcOutgoingRequest *outgoing;
 } HeaderCopy;
 
 static void
@@ -45,7 +45,7 @@
   HeaderCopy *copy = user;
 
   if (!ln_is_hop_by_hop_header (name) && !copy->dialect->is_own_header (name))
-    lc_outgoing_add_header (copy->outgoing, name, value);
+    lc_outgoing_request_add_header (copy->outgoing, name, value);
 }
 
 static void
--- a/packages/node/src/duties/ln-scaler.c
+++ b/packages/node/src/duties/ln-scaler.c
@@ -121,7 +121,7 @@
                                .endpoints = order->endpoints,
                                .is_spot = true };
   OrderCall *call = LB_NEW (OrderCall);
-  LcOutgoing outgoing;
+  LcOutgoingRequest outgoing;
 
   *call = (OrderCall){ .scaler = scaler, .order = *order, .duty_epoch = scaler->duty_epoch };
   context->dialect->write_scale (&holder, &scale, &outgoing);
@@ -129,7 +129,7 @@
           LB_TEXT ("data_centre", order->data_centre), LB_INT ("endpoints", order->endpoints),
           LB_INT ("fence", holder.fence));
   ln_platform_call_start (context, &scaler->calls, &outgoing, on_order_answered, call);
-  lc_outgoing_clear (&outgoing);
+  lc_outgoing_request_clear (&outgoing);
 }
 
 void
--- a/packages/node/src/duties/ln-usage-reporter.c
+++ b/packages/node/src/duties/ln-usage-reporter.c
@@ -399,14 +399,14 @@
   const LnContext *context = reporter->context;
   const LnDutyHolder holder
       = { .holder = context->instance, .fence = ln_duty_lease_fence (reporter->lease) };
-  LcOutgoing outgoing;
+  LcOutgoingRequest outgoing;
 
   context->dialect->write_usage (&holder, action->window, action->text, &outgoing);
   lb_log (LB_LOG_INFO, "usage_report", LB_INT ("window", action->window),
           LB_INT ("fence", holder.fence));
   ln_platform_call_start (context, &reporter->calls, &outgoing, on_sent,
                           pending_action_new (reporter, action));
-  lc_outgoing_clear (&outgoing);
+  lc_outgoing_request_clear (&outgoing);
 }
 
 /* --- closing a window --- */
--- a/packages/node/src/store/ln-platform-call.c
+++ b/packages/node/src/store/ln-platform-call.c
@@ -59,7 +59,7 @@
 void
 ln_platform_call_start (const LnContext *context,
                         LbList *calls,
-                        const LcOutgoing *outgoing,
+                        const LcOutgoingRequest *outgoing,
                         LnPlatformCallDone done,
                         void *user)
 {
--- a/packages/node/src/store/ln-platform-call.h
+++ b/packages/node/src/store/ln-platform-call.h
@@ -14,7 +14,7 @@
 /* Adds the call to calls until it is done. */
 void ln_platform_call_start (const LnContext *context,
                              LbList *calls,
-                             const LcOutgoing *outgoing,
+                             const LcOutgoingRequest *outgoing,
                              LnPlatformCallDone done,
                              void *user);
 /* Cancels all calls in progress; their outcome is LN_DUTY_NO_ANSWER. */
--- a/packages/node/src/task/ln-fetch-outgoing.c
+++ b/packages/node/src/task/ln-fetch-outgoing.c
@@ -6,7 +6,7 @@
 
 LhFetch *
 ln_fetch_start_outgoing (const LnContext *context,
-                         const LcOutgoing *outgoing,
+                         const LcOutgoingRequest *outgoing,
                          const LhRequest *request,
                          const LhHandlers *handlers,
                          void *user,
--- a/packages/node/src/task/ln-fetch-outgoing.h
+++ b/packages/node/src/task/ln-fetch-outgoing.h
@@ -8,7 +8,7 @@
 /* Sends a request that the dialect composed. Takes method, path, headers and body from outgoing and
  * everything else from request. Returns NULL on error. */
 LhFetch *ln_fetch_start_outgoing (const LnContext *context,
-                                  const LcOutgoing *outgoing,
+                                  const LcOutgoingRequest *outgoing,
                                   const LhRequest *request,
                                   const LhHandlers *handlers,
                                   void *user,
--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -412,7 +412,7 @@
   Engine *engine = find_engine (orders, action->endpoint);
   const LhHandlers handlers = { .on_done = on_order_answered };
   LhRequest request = { .idle_timeout = RESPONSE_TIMEOUT };
-  LcOutgoing outgoing;
+  LcOutgoingRequest outgoing;
   LnWeightsOrder order = { .endpoint = action->endpoint,
                            .version = action->version,
                            .holder = orders->context->instance,
@@ -436,7 +436,7 @@
           LB_INT ("fence", order.fence), LB_INT ("orders_before", order.orders_before));
   engine->order_fetch
       = ln_fetch_start_outgoing (orders->context, &outgoing, &request, &handlers, engine, NULL);
-  lc_outgoing_clear (&outgoing);
+  lc_outgoing_request_clear (&outgoing);
 }
 
 /* True when a load was ordered. */
--- a/packages/sim/src/lx-instance.c
+++ b/packages/sim/src/lx-instance.c
@@ -158,7 +158,7 @@
 {
   LxWorld *world = instance->world;
   int64_t failures = lc_rollouts_invariant_failures (instance->rollouts)
-                     + (int64_t)lc_dispatch_invariant_failures (instance->dispatch);
+                     + (int64_t)lc_dispatch_count_invariant_failures (instance->dispatch);
 
   if (failures > instance->invariant_failures)
     lx_audit_report_violation (&world->audit, LX_VIOLATION_CORE_INVARIANT, lx_world_now (world),
@@ -1021,8 +1021,8 @@
     {
       const LxCacheEvent *event = &engine->cache_log[++*cursor % LX_CACHE_LOG_LENGTH];
       if (event->sequence == *cursor)
-        lc_endpoints_apply_cache_event (lc_dispatch_endpoints (instance->dispatch), engine->name,
-                                        event->sequence, event->stored, event->hash,
+        lc_endpoints_apply_cache_event (lc_dispatch_get_endpoints (instance->dispatch),
+                                        engine->name, event->sequence, event->stored, event->hash,
                                         current_time (instance));
     }
 }
@@ -1083,7 +1083,7 @@
 void
 lx_instance_set_swap (LxInstance *instance, size_t engine, bool pending, LbTime until)
 {
-  lc_endpoints_set_swap (lc_dispatch_endpoints (instance->dispatch),
+  lc_endpoints_set_swap (lc_dispatch_get_endpoints (instance->dispatch),
                          instance->world->engines[engine]->name, pending, until,
                          current_time (instance));
 }
