--- a/packages/cli/src/lt-cost.c
+++ b/packages/cli/src/lt-cost.c
@@ -354,7 +354,7 @@
                      .wait_until = step->now + LB_SEC };
 
   step->now += 100 * LB_MSEC;
-  lc_rollouts_pull (step->rollouts, &request, step->now, &step->rollout_actions);
+  lc_rollouts_handle_pull (step->rollouts, &request, step->now, &step->rollout_actions);
   run_actions (step);
   if (lc_rollouts_next_tick (step->rollouts) <= step->now)
     lc_rollouts_tick (step->rollouts, step->now, &step->rollout_actions);
--- a/packages/core/bench/bench-dispatch.c
+++ b/packages/core/bench/bench-dispatch.c
@@ -256,7 +256,7 @@
     {
       lc_tickets_issue (tickets, "shop", 0, text, NULL);
       lc_tickets_redeem (tickets, text, "shop", 1, id, 0);
-      lc_tickets_finish (tickets, id, LB_OK, 200, answer_text, sizeof answer_text, 0);
+      lc_tickets_finish_call (tickets, id, LB_OK, 200, answer_text, sizeof answer_text, 0);
     }
 
   double cost = micros_per_item (started_at, N_REQUESTS);
--- a/packages/core/include/lc-rollouts.h
+++ b/packages/core/include/lc-rollouts.h
@@ -181,7 +181,8 @@
                              int64_t step_number,
                              LbTime now,
                              LbList *actions);
-void lc_rollouts_pull (LcRollouts *rollouts, const LcPull *pull, LbTime now, LbList *actions);
+void
+lc_rollouts_handle_pull (LcRollouts *rollouts, const LcPull *pull, LbTime now, LbList *actions);
 /* Drops the pull of a closed connection; the chunk stays available for a repeat of the pull. */
 void lc_rollouts_cancel_pull (LcRollouts *rollouts, uint64_t pull_id);
 /* Receives the next piece of a generation. */
@@ -235,11 +236,11 @@
                                         int64_t step_number,
                                         LcReadySample **samples);
 /* Whether the request is a running scoring. */
-bool lc_rollouts_is_scoring (const LcRollouts *rollouts, LcRequestId request);
+bool lc_rollouts_is_scoring_request (const LcRollouts *rollouts, LcRequestId request);
 /* Running requests and waiting pulls. */
 size_t lc_rollouts_count_in_progress (const LcRollouts *rollouts);
 /* Deliveries prevented by the invariant checks; anything but 0 is a bug. */
-int64_t lc_rollouts_invariant_failures (const LcRollouts *rollouts);
+int64_t lc_rollouts_count_invariant_failures (const LcRollouts *rollouts);
 /* Hash of the step's content, the same on every instance. */
 uint64_t lc_step_spec_hash (const LcStepSpec *spec);
 
--- a/packages/core/include/lc-ticket.h
+++ b/packages/core/include/lc-ticket.h
@@ -54,17 +54,17 @@
                                     uint64_t content_hash,
                                     LcRequestId request,
                                     LbTime now);
-void lc_tickets_finish (LcTickets *tickets,
-                        LcRequestId request,
-                        LbErrorCode error,
-                        int status,
-                        const char *answer,
-                        size_t answer_length,
-                        LbTime now);
-void lc_tickets_tick (LcTickets *tickets, LbTime now);
+void lc_tickets_finish_call (LcTickets *tickets,
+                             LcRequestId request,
+                             LbErrorCode error,
+                             int status,
+                             const char *answer,
+                             size_t answer_length,
+                             LbTime now);
+void lc_tickets_remove_expired (LcTickets *tickets, LbTime now);
 
 /* queries */
-LbTime lc_tickets_next_tick (const LcTickets *tickets);
+LbTime lc_tickets_next_expiry (const LcTickets *tickets);
 size_t lc_tickets_count (const LcTickets *tickets);
 size_t lc_tickets_answer_bytes (const LcTickets *tickets);
 
--- a/packages/core/include/lc-usage-reports.h
+++ b/packages/core/include/lc-usage-reports.h
@@ -50,8 +50,8 @@
 
 /* commands */
 /* This instance holds the duty from now on; starts without any state of earlier holders. */
-void lc_usage_reports_duty_acquired (LcUsageReports *reports);
-void lc_usage_reports_duty_lost (LcUsageReports *reports);
+void lc_usage_reports_begin_duty (LcUsageReports *reports);
+void lc_usage_reports_end_duty (LcUsageReports *reports);
 /* Adds a report that is recorded in the store; before read_completed. */
 void lc_usage_reports_add_recorded (LcUsageReports *reports,
                                     int64_t window,
@@ -77,7 +77,7 @@
 lc_usage_reports_close_completed (LcUsageReports *reports, int64_t window, bool ok, LbTime now);
 /* A request of this instance to the store failed: windows are not summed until the rows whose
  * writes failed may have been written. */
-void lc_usage_reports_store_failed (LcUsageReports *reports, LbTime now);
+void lc_usage_reports_record_store_failure (LcUsageReports *reports, LbTime now);
 /* Returns false if there is nothing to do now. true_ms: Unix milliseconds, see lc-true-time.h. */
 bool lc_usage_reports_next_action (LcUsageReports *reports,
                                    int64_t true_ms,
--- a/packages/core/include/lc-usage.h
+++ b/packages/core/include/lc-usage.h
@@ -47,7 +47,7 @@
 /* ok: false if the write failed; it is then repeated. */
 void lc_usage_write_completed (LcUsage *usage, int64_t window, bool ok);
 /* Removes the windows before first_kept. */
-void lc_usage_remove_before (LcUsage *usage, int64_t first_kept);
+void lc_usage_remove_windows_before (LcUsage *usage, int64_t first_kept);
 
 /* queries */
 bool lc_usage_is_fully_written (const LcUsage *usage);
--- a/packages/core/src/rollout/lc-rollouts.c
+++ b/packages/core/src/rollout/lc-rollouts.c
@@ -427,7 +427,7 @@
 /* Pulls. */
 
 void
-lc_rollouts_pull (LcRollouts *rollouts, const LcPull *pull, LbTime now, LbList *actions)
+lc_rollouts_handle_pull (LcRollouts *rollouts, const LcPull *pull, LbTime now, LbList *actions)
 {
   LcStep *step = find_step (rollouts, pull->subscription, pull->step);
 
@@ -676,7 +676,7 @@
 }
 
 bool
-lc_rollouts_is_scoring (const LcRollouts *rollouts, LcRequestId request)
+lc_rollouts_is_scoring_request (const LcRollouts *rollouts, LcRequestId request)
 {
   const LcJob *job = NULL;
 
@@ -697,7 +697,7 @@
 }
 
 int64_t
-lc_rollouts_invariant_failures (const LcRollouts *rollouts)
+lc_rollouts_count_invariant_failures (const LcRollouts *rollouts)
 {
   return rollouts->invariant_failures;
 }
--- a/packages/core/src/rollout/lc-ticket.c
+++ b/packages/core/src/rollout/lc-ticket.c
@@ -128,7 +128,7 @@
 lc_tickets_issue (
     LcTickets *tickets, const char *caller, LbTime now, char text[LC_TICKET_SIZE], LbError *error)
 {
-  lc_tickets_tick (tickets, now);
+  lc_tickets_remove_expired (tickets, now);
   if (HASH_COUNT (tickets->tickets) >= tickets->limits.max_tickets)
     return lb_error_set (error, LB_ERROR_OVERLOADED, "tickets",
                          "%zu tickets are live, which is the limit", tickets->limits.max_tickets);
@@ -232,8 +232,8 @@
 }
 
 /* Decides how to handle a call that carries this ticket. After LC_TICKET_RUN the call must be
- * submitted as `request`, and its outcome passed to lc_tickets_finish. The same ticket with another
- * content_hash is rejected with LB_ERROR_CONFLICT. */
+ * submitted as `request`, and its outcome passed to lc_tickets_finish_call. The same ticket with
+ * another content_hash is rejected with LB_ERROR_CONFLICT. */
 LcTicketDecision
 lc_tickets_redeem (LcTickets *tickets,
                    const char *text,
@@ -246,7 +246,7 @@
   uint64_t number = 0;
   Ticket *ticket = NULL;
 
-  lc_tickets_tick (tickets, now);
+  lc_tickets_remove_expired (tickets, now);
   if (!parse_ticket (text, &decision, &number))
     return reject (LB_ERROR_UNKNOWN_TICKET);
   if (strcmp (decision.instance, tickets->instance) != 0)
@@ -297,13 +297,13 @@
  * call did not run makes the ticket unused again, and any other error spends it. Requests without a
  * ticket are ignored. */
 void
-lc_tickets_finish (LcTickets *tickets,
-                   LcRequestId request,
-                   LbErrorCode error,
-                   int status,
-                   const char *answer,
-                   size_t answer_length,
-                   LbTime now)
+lc_tickets_finish_call (LcTickets *tickets,
+                        LcRequestId request,
+                        LbErrorCode error,
+                        int status,
+                        const char *answer,
+                        size_t answer_length,
+                        LbTime now)
 {
   Ticket *ticket = NULL;
 
@@ -320,7 +320,7 @@
 
 /* Removes expired tickets. Tickets of running calls don't expire. */
 void
-lc_tickets_tick (LcTickets *tickets, LbTime now)
+lc_tickets_remove_expired (LcTickets *tickets, LbTime now)
 {
   Ticket *ticket = NULL;
 
@@ -331,7 +331,7 @@
 
 /* When the next ticket expires; LB_TIME_NEVER if none will. */
 LbTime
-lc_tickets_next_tick (const LcTickets *tickets)
+lc_tickets_next_expiry (const LcTickets *tickets)
 {
   const Ticket *ticket = LB_LIST_FIRST (&tickets->by_expiry, Ticket, expiry_link);
 
--- a/packages/core/src/usage/lc-usage-reports.c
+++ b/packages/core/src/usage/lc-usage-reports.c
@@ -84,7 +84,7 @@
 }
 
 void
-lc_usage_reports_duty_acquired (LcUsageReports *reports)
+lc_usage_reports_begin_duty (LcUsageReports *reports)
 {
   remove_all_windows (reports);
   reports->epoch++;
@@ -96,7 +96,7 @@
 }
 
 void
-lc_usage_reports_duty_lost (LcUsageReports *reports)
+lc_usage_reports_end_duty (LcUsageReports *reports)
 {
   remove_all_windows (reports);
   reports->has_duty = false;
@@ -164,7 +164,7 @@
 }
 
 void
-lc_usage_reports_store_failed (LcUsageReports *reports, LbTime now)
+lc_usage_reports_record_store_failure (LcUsageReports *reports, LbTime now)
 {
   reports->store_failed_at = now;
 }
--- a/packages/core/src/usage/lc-usage.c
+++ b/packages/core/src/usage/lc-usage.c
@@ -238,7 +238,7 @@
 }
 
 void
-lc_usage_remove_before (LcUsage *usage, int64_t first_kept)
+lc_usage_remove_windows_before (LcUsage *usage, int64_t first_kept)
 {
   LB_LIST_FOREACH (&usage->windows, Window, link, window)
   {
--- a/packages/core/tests/rollouts-fixture.h
+++ b/packages/core/tests/rollouts-fixture.h
@@ -266,7 +266,7 @@
                   .wait_until = owner->now + wait_time };
 
   LB_COPY (pull.subscription, "t");
-  OWNER_CALL (owner, lc_rollouts_pull (owner->rollouts, &pull, owner->now, &actions));
+  OWNER_CALL (owner, lc_rollouts_handle_pull (owner->rollouts, &pull, owner->now, &actions));
   free (copy);
 }
 
--- a/packages/core/tests/test-rollouts-fresh.c
+++ b/packages/core/tests/test-rollouts-fresh.c
@@ -18,7 +18,7 @@
   owner_pull (owner, "", 42);
   cr_assert_eq (owner->n_samples, 4);
   cr_assert_eq (owner_status (owner).staleness_max, 1);
-  cr_assert_eq (lc_rollouts_invariant_failures (owner->rollouts), 0);
+  cr_assert_eq (lc_rollouts_count_invariant_failures (owner->rollouts), 0);
   owner_free (owner);
 }
 
@@ -53,7 +53,7 @@
   owner_pull (owner, "", 42);
   cr_assert_eq (owner->n_samples, 1);
   cr_assert_str_eq (owner->samples[0], "g1/0 young");
-  cr_assert_eq (lc_rollouts_invariant_failures (owner->rollouts), 0);
+  cr_assert_eq (lc_rollouts_count_invariant_failures (owner->rollouts), 0);
   /* The trainer got the first reply after all: its cursor counts, and no sample is repeated. */
   owner_pull (owner, first, 42);
   cr_assert_eq (owner->reply_error, LB_OK);
--- a/packages/core/tests/test-rollouts-labels.c
+++ b/packages/core/tests/test-rollouts-labels.c
@@ -60,7 +60,7 @@
   cr_assert_str_eq (owner->samples[0], "g0/0 again");
   cr_assert_eq (owner_status (owner).discarded_unlabelled, 1);
   cr_assert_eq (owner_status (owner).wasted_tokens, 10);
-  cr_assert_eq (lc_rollouts_invariant_failures (owner->rollouts), 0);
+  cr_assert_eq (lc_rollouts_count_invariant_failures (owner->rollouts), 0);
   owner_free (owner);
 }
 
@@ -89,7 +89,7 @@
   owner_finish (owner, request, LB_OK, "text");
   owner_pull (owner, "", 40);
   cr_assert_eq (owner->n_samples, 0);
-  cr_assert_eq (lc_rollouts_invariant_failures (owner->rollouts), 0);
+  cr_assert_eq (lc_rollouts_count_invariant_failures (owner->rollouts), 0);
   cr_assert_eq (owner_status (owner).discarded_unlabelled, 1);
   expect_regenerated (owner, request);
   owner_free (owner);
--- a/packages/core/tests/test-rollouts-once.c
+++ b/packages/core/tests/test-rollouts-once.c
@@ -126,7 +126,7 @@
   cr_assert_str_eq (owner->samples[0], "g0/0 hedge");
   owner_pull (owner, owner->cursor, 40);
   cr_assert_eq (owner->n_samples, 0);
-  cr_assert_eq (lc_rollouts_invariant_failures (owner->rollouts), 0);
+  cr_assert_eq (lc_rollouts_count_invariant_failures (owner->rollouts), 0);
   owner_free (owner);
 }
 
@@ -346,7 +346,7 @@
   owner_finish_all (owner, 40);
   cr_assert_eq (owner->n_replies, 2);
   cr_assert_eq (owner->n_delivered, owner_status (owner).delivered);
-  cr_assert_eq (lc_rollouts_invariant_failures (owner->rollouts), 0);
+  cr_assert_eq (lc_rollouts_count_invariant_failures (owner->rollouts), 0);
   owner_free (owner);
 }
 
--- a/packages/core/tests/test-ticket.c
+++ b/packages/core/tests/test-ticket.c
@@ -33,7 +33,7 @@
 
   cr_assert_eq (second.action, LC_TICKET_JOIN);
   cr_assert_eq (second.request, 1);
-  lc_tickets_finish (tickets, 1, LB_OK, 200, "do\0e", 4, 30);
+  lc_tickets_finish_call (tickets, 1, LB_OK, 200, "do\0e", 4, 30);
 
   LcTicketDecision third = redeem (tickets, text, 3, 40);
 
@@ -94,9 +94,9 @@
 
   lc_tickets_issue (tickets, "shop", 0, text, NULL);
   cr_assert_eq (redeem (tickets, text, 1, 10).action, LC_TICKET_RUN);
-  lc_tickets_finish (tickets, 1, LB_ERROR_OVERLOADED, 0, NULL, 0, 20);
+  lc_tickets_finish_call (tickets, 1, LB_ERROR_OVERLOADED, 0, NULL, 0, 20);
   cr_assert_eq (redeem (tickets, text, 2, 30).action, LC_TICKET_RUN);
-  lc_tickets_finish (tickets, 2, LB_ERROR_OUTCOME_UNKNOWN, 0, NULL, 0, 40);
+  lc_tickets_finish_call (tickets, 2, LB_ERROR_OUTCOME_UNKNOWN, 0, NULL, 0, 40);
 
   LcTicketDecision decision = redeem (tickets, text, 3, 50);
 
@@ -115,10 +115,10 @@
 
   lc_tickets_issue (tickets, "shop", 0, text, NULL);
   redeem (tickets, text, 1, 10);
-  lc_tickets_tick (tickets, 2 * limits.lifetime);
+  lc_tickets_remove_expired (tickets, 2 * limits.lifetime);
   cr_assert_eq (lc_tickets_count (tickets), 1, "the ticket of a running call must not expire");
-  lc_tickets_finish (tickets, 1, LB_OK, 200, "done", 4, 2 * limits.lifetime);
-  cr_assert_eq (lc_tickets_next_tick (tickets), 3 * limits.lifetime);
+  lc_tickets_finish_call (tickets, 1, LB_OK, 200, "done", 4, 2 * limits.lifetime);
+  cr_assert_eq (lc_tickets_next_expiry (tickets), 3 * limits.lifetime);
   cr_assert_eq (redeem (tickets, text, 2, 3 * limits.lifetime).error, LB_ERROR_OUTCOME_UNKNOWN);
   cr_assert_eq (lc_tickets_count (tickets), 0);
   lc_tickets_free (tickets);
@@ -156,12 +156,12 @@
 
   lc_tickets_issue (tickets, "shop", 0, first, NULL);
   redeem (tickets, first, 1, 0);
-  lc_tickets_finish (tickets, 1, LB_OK, 200, answer, sizeof answer, 1);
+  lc_tickets_finish_call (tickets, 1, LB_OK, 200, answer, sizeof answer, 1);
   for (LcRequestId id = 2; id < 101; id++)
     {
       cr_assert (lc_tickets_issue (tickets, "shop", 0, text, NULL));
       redeem (tickets, text, id, 0);
-      lc_tickets_finish (tickets, id, LB_OK, 200, answer, sizeof answer, 1);
+      lc_tickets_finish_call (tickets, id, LB_OK, 200, answer, sizeof answer, 1);
       cr_assert_leq (lc_tickets_answer_bytes (tickets), limits.max_answer_bytes);
     }
   cr_assert_eq (redeem (tickets, first, 101, 2).error, LB_ERROR_OUTCOME_UNKNOWN);
--- a/packages/core/tests/test-usage-reports.c
+++ b/packages/core/tests/test-usage-reports.c
@@ -221,7 +221,7 @@
       break;
     }
   if (!ok && !is_for_platform (operation))
-    lc_usage_reports_store_failed (reports, w.now);
+    lc_usage_reports_record_store_failure (reports, w.now);
 }
 
 static int64_t
@@ -261,9 +261,9 @@
   int holder = (int)gsl_rng_uniform_int (w.random, N_HOLDERS);
 
   if (happens (0.005))
-    lc_usage_reports_duty_acquired (w.holders[holder]);
+    lc_usage_reports_begin_duty (w.holders[holder]);
   else if (happens (0.005))
-    lc_usage_reports_duty_lost (w.holders[holder]);
+    lc_usage_reports_end_duty (w.holders[holder]);
   if (happens (0.003))
     w.store_down_until = w.now + (LbTime)(gsl_rng_uniform (w.random) * 6 * LB_SEC);
   if (happens (0.003))
@@ -284,7 +284,7 @@
 Test (usage_reports, each_window_is_reported_before_it_is_due)
 {
   world_init (1, false);
-  lc_usage_reports_duty_acquired (w.holders[0]);
+  lc_usage_reports_begin_duty (w.holders[0]);
   while (true_ms () < 60000)
     run_step ();
   for (int64_t window = 0; window < 11; window++)
@@ -302,15 +302,15 @@
 Test (usage_reports, next_holder_resends_recorded_report_and_catches_up)
 {
   world_init (2, false);
-  lc_usage_reports_duty_acquired (w.holders[0]);
+  lc_usage_reports_begin_duty (w.holders[0]);
   while (!w.recorded_text[1])
     run_step ();
-  lc_usage_reports_duty_lost (w.holders[0]);
+  lc_usage_reports_end_duty (w.holders[0]);
   w.expected_requests[1] += 7; /* rows that arrive after the report was recorded */
   while (true_ms () < 25000)
     run_step ();
   cr_assert_null (w.accepted_text[2]);
-  lc_usage_reports_duty_acquired (w.holders[1]);
+  lc_usage_reports_begin_duty (w.holders[1]);
   while (true_ms () < 28000)
     run_step ();
   cr_assert_str_eq (w.accepted_text[1], w.recorded_text[1]);
@@ -324,7 +324,7 @@
 Test (usage_reports, no_report_is_recorded_while_the_store_is_down)
 {
   world_init (3, false);
-  lc_usage_reports_duty_acquired (w.holders[0]);
+  lc_usage_reports_begin_duty (w.holders[0]);
   while (true_ms () < 7400)
     run_step ();
   w.store_down_until = w.now + 2 * LB_SEC;
@@ -348,7 +348,7 @@
   for (unsigned long seed = 1; seed <= n_seeds; seed++)
     {
       world_init (seed, true);
-      lc_usage_reports_duty_acquired (w.holders[0]);
+      lc_usage_reports_begin_duty (w.holders[0]);
       while (true_ms () < (N_WINDOWS - 4) * WINDOW_MS)
         {
           run_step ();
@@ -357,8 +357,8 @@
       w.injects_faults = false;
       w.store_down_until = w.platform_down_until = 0;
       for (int i = 1; i < N_HOLDERS; i++)
-        lc_usage_reports_duty_lost (w.holders[i]);
-      lc_usage_reports_duty_acquired (w.holders[0]);
+        lc_usage_reports_end_duty (w.holders[i]);
+      lc_usage_reports_begin_duty (w.holders[0]);
       while (true_ms () < N_WINDOWS * WINDOW_MS)
         run_step ();
       for (int64_t window = 0; window < N_WINDOWS - 4; window++)
@@ -390,7 +390,7 @@
   LcUsageCounts *counts = lc_usage_counts_new ();
 
   lc_usage_counts_add (counts, "post", 5);
-  lc_usage_reports_duty_acquired (reports);
+  lc_usage_reports_begin_duty (reports);
   expect_action (reports, LC_USAGE_READ_REPORTS, 0);
   lc_usage_reports_add_row_window (reports, 0);
   lc_usage_reports_read_completed (reports, true, 0);
--- a/packages/core/tests/test-usage.c
+++ b/packages/core/tests/test-usage.c
@@ -62,7 +62,7 @@
   cr_assert_not (lc_usage_is_fully_written (usage));
   assert_next (usage, PERIOD, 0, "{\"post\":1}");
   lc_usage_write_completed (usage, 0, true);
-  lc_usage_remove_before (usage, 1);
+  lc_usage_remove_windows_before (usage, 1);
   cr_assert (lc_usage_is_fully_written (usage));
   lc_usage_free (usage);
 }
--- a/packages/node/src/calls/ln-ticket-calls.c
+++ b/packages/node/src/calls/ln-ticket-calls.c
@@ -115,8 +115,8 @@
   size_t length = 0;
   char *bytes = answer ? ln_answer_encode (answer, &length) : NULL;
 
-  lc_tickets_finish (calls->tickets, request, error, answer ? answer->status : 0, bytes, length,
-                     lb_clock_monotonic ());
+  lc_tickets_finish_call (calls->tickets, request, error, answer ? answer->status : 0, bytes,
+                          length, lb_clock_monotonic ());
   free (bytes);
   LB_LIST_FOREACH (&calls->waiters, Waiter, link, waiter)
   {
--- a/packages/node/src/duties/ln-usage-reporter.c
+++ b/packages/node/src/duties/ln-usage-reporter.c
@@ -91,9 +91,9 @@
 ln_usage_reporter_set_duty_held (LnUsageReporter *reporter, bool held)
 {
   if (held)
-    lc_usage_reports_duty_acquired (reporter->reports);
+    lc_usage_reports_begin_duty (reporter->reports);
   else
-    lc_usage_reports_duty_lost (reporter->reports);
+    lc_usage_reports_end_duty (reporter->reports);
 }
 
 static PendingAction *
@@ -132,7 +132,7 @@
   lb_log (LB_LOG_INFO, "usage_step_failed", LB_TEXT ("step", what),
           LB_INT ("window", pending->window), LB_TEXT ("error", lb_error_name (error)));
   if (error != LB_ERROR_CONDITION_FAILED && error != LB_ERROR_STORE_UNKNOWN)
-    lc_usage_reports_store_failed (pending->reporter->reports, lb_clock_monotonic ());
+    lc_usage_reports_record_store_failure (pending->reporter->reports, lb_clock_monotonic ());
 }
 
 /* --- reading what earlier holders recorded --- */
--- a/packages/node/src/duties/ln-usage-rows.c
+++ b/packages/node/src/duties/ln-usage-rows.c
@@ -141,7 +141,7 @@
       write_row (rows, &row);
       free (row.text);
     }
-  lc_usage_remove_before (rows->usage, true_ms / rows->window_ms - N_KEPT_WINDOWS);
+  lc_usage_remove_windows_before (rows->usage, true_ms / rows->window_ms - N_KEPT_WINDOWS);
 }
 
 bool
--- a/packages/node/src/rollout/ln-rollouts-owners.c
+++ b/packages/node/src/rollout/ln-rollouts-owners.c
@@ -150,7 +150,7 @@
 
   lb_list_init (&actions);
   lb_list_append (&rollouts->calls, &call->link);
-  lc_rollouts_pull (rollouts->core, &call->pull, lb_clock_monotonic (), &actions);
+  lc_rollouts_handle_pull (rollouts->core, &call->pull, lb_clock_monotonic (), &actions);
   ln_rollouts_run_actions (rollouts, &actions);
 }
 
--- a/packages/node/src/rollout/ln-rollouts.c
+++ b/packages/node/src/rollout/ln-rollouts.c
@@ -179,7 +179,7 @@
   LbList actions;
 
   lb_list_init (&actions);
-  if (lc_rollouts_is_scoring (rollouts->core, message->request))
+  if (lc_rollouts_is_scoring_request (rollouts->core, message->request))
     receive_score (rollouts, message, &actions);
   else
     lc_rollouts_finish_generation (rollouts->core, message->request, message->error,
--- a/packages/sim/src/lx-instance.c
+++ b/packages/sim/src/lx-instance.c
@@ -157,7 +157,7 @@
 check_core_invariants (LxInstance *instance)
 {
   LxWorld *world = instance->world;
-  int64_t failures = lc_rollouts_invariant_failures (instance->rollouts)
+  int64_t failures = lc_rollouts_count_invariant_failures (instance->rollouts)
                      + (int64_t)lc_dispatch_invariant_failures (instance->dispatch);
 
   if (failures > instance->invariant_failures)
@@ -1099,6 +1099,7 @@
 void
 lx_instance_pull (LxInstance *instance, const LcPull *pull)
 {
-  lc_rollouts_pull (instance->rollouts, pull, current_time (instance), &instance->rollout_actions);
+  lc_rollouts_handle_pull (instance->rollouts, pull, current_time (instance),
+                           &instance->rollout_actions);
   process_actions (instance);
 }
