--- a/packages/core/include/lc-batch.h
+++ b/packages/core/include/lc-batch.h
@@ -129,7 +129,7 @@
 
 /* commands */
 /* Marks the item as listed by an earlier owner; before lc_batch_start. */
-void lc_batch_mark_listed (LcBatch *batch, const char *item);
+void lc_batch_mark_item_listed (LcBatch *batch, const char *item);
 void lc_batch_start (LcBatch *batch, LbTime now, LbList *actions);
 /* Restores a part from the checkpoint of an earlier owner; before lc_batch_start. The parts of an
  * item must be ordered by restarts and first_event. */
@@ -162,7 +162,7 @@
 
 /* queries */
 const LcBatchSpec *lc_batch_get_spec (const LcBatch *batch);
-int64_t lc_batch_count_listed (const LcBatch *batch);
+int64_t lc_batch_count_listed_results (const LcBatch *batch);
 bool lc_batch_is_done (const LcBatch *batch);
 LbTime lc_batch_next_tick_at (const LcBatch *batch);
 
--- a/packages/core/src/batch/lc-batch.c
+++ b/packages/core/src/batch/lc-batch.c
@@ -115,7 +115,7 @@
 }
 
 void
-lc_batch_mark_listed (LcBatch *batch, const char *item_id)
+lc_batch_mark_item_listed (LcBatch *batch, const char *item_id)
 {
   batch->n_listed++;
   for (size_t i = 0; i < batch->spec.n_items; i++)
@@ -319,8 +319,8 @@
   lc_length_histogram_add (&history->lengths, lc_batch_events_to_tokens (batch, item->n_events));
   /* The measured time begins with the first event, so the first event is not counted. */
   if (item->request_events > LC_BATCH_MIN_PACE_INTERVALS)
-    lc_pace_add (&history->pace, lc_batch_events_to_tokens (batch, item->request_events - 1),
-                 item->first_piece_at - item->started_at, now - item->first_piece_at);
+    lc_pace_add_sample (&history->pace, lc_batch_events_to_tokens (batch, item->request_events - 1),
+                        item->first_piece_at - item->started_at, now - item->first_piece_at);
 }
 
 static void
@@ -471,7 +471,7 @@
 }
 
 int64_t
-lc_batch_count_listed (const LcBatch *batch)
+lc_batch_count_listed_results (const LcBatch *batch)
 {
   return batch->n_listed;
 }
--- a/packages/core/src/batch/lc-straggler.c
+++ b/packages/core/src/batch/lc-straggler.c
@@ -66,9 +66,9 @@
 /* The mean over the ended samples that were longer. If none was, the sample is the longest so far,
  * and it is expected to double its length, within max_tokens. */
 double
-lc_length_histogram_expect_remaining (const LcLengthHistogram *lengths,
-                                      int64_t tokens,
-                                      int64_t max_tokens)
+lc_length_histogram_estimate_remaining (const LcLengthHistogram *lengths,
+                                        int64_t tokens,
+                                        int64_t max_tokens)
 {
   double sum = 0;
   double count = 0;
@@ -86,9 +86,9 @@
 }
 
 double
-lc_length_histogram_predict (const LcLengthHistogram *lengths,
-                             const LcGroupLengths *group,
-                             int64_t max_tokens)
+lc_length_histogram_predict_for_group (const LcLengthHistogram *lengths,
+                                       const LcGroupLengths *group,
+                                       int64_t max_tokens)
 {
   double mean = lc_length_histogram_mean (lengths, max_tokens);
 
@@ -102,7 +102,7 @@
 }
 
 void
-lc_pace_add (LcPace *pace, int64_t tokens, LbTime waited, LbTime streamed)
+lc_pace_add_sample (LcPace *pace, int64_t tokens, LbTime waited, LbTime streamed)
 {
   pace->wait_seconds = update_average (pace->wait_seconds, (double)waited / LB_SEC);
   if (tokens >= MIN_RATE_TOKENS && streamed > 0)
@@ -137,7 +137,7 @@
                               const LcSampleProgress *progress)
 {
   double remaining
-      = lc_length_histogram_expect_remaining (lengths, progress->tokens, progress->max_tokens);
+      = lc_length_histogram_estimate_remaining (lengths, progress->tokens, progress->max_tokens);
 
   return lc_pace_expected_seconds (pace, (double)progress->tokens + remaining);
 }
@@ -153,7 +153,7 @@
 
   if (progress->first_piece_at == 0)
     return expect_seconds_to_regenerate (lengths, pace, progress) * (overdue > 0 ? 2 + overdue : 1);
-  return lc_length_histogram_expect_remaining (lengths, progress->tokens, progress->max_tokens)
+  return lc_length_histogram_estimate_remaining (lengths, progress->tokens, progress->max_tokens)
          / estimate_rate (pace, progress, now);
 }
 
@@ -203,7 +203,7 @@
     return 0;
 
   double remaining
-      = lc_length_histogram_expect_remaining (lengths, progress->tokens, progress->max_tokens);
+      = lc_length_histogram_estimate_remaining (lengths, progress->tokens, progress->max_tokens);
   return expect_seconds_remaining (lengths, pace, progress, now)
          - expect_wait_seconds (pace, progress)
          - get_safety_factor (idle_weight) * remaining / pace->tokens_per_second;
--- a/packages/core/src/batch/lc-straggler.h
+++ b/packages/core/src/batch/lc-straggler.h
@@ -45,14 +45,14 @@
 /* Mean length, at most max_tokens; half of max_tokens while no sample has ended. */
 double lc_length_histogram_mean (const LcLengthHistogram *lengths, int64_t max_tokens);
 /* Expected tokens still to come for a sample that has so many. */
-double lc_length_histogram_expect_remaining (const LcLengthHistogram *lengths,
-                                             int64_t tokens,
-                                             int64_t max_tokens);
-double lc_length_histogram_predict (const LcLengthHistogram *lengths,
-                                    const LcGroupLengths *group,
-                                    int64_t max_tokens);
+double lc_length_histogram_estimate_remaining (const LcLengthHistogram *lengths,
+                                               int64_t tokens,
+                                               int64_t max_tokens);
+double lc_length_histogram_predict_for_group (const LcLengthHistogram *lengths,
+                                              const LcGroupLengths *group,
+                                              int64_t max_tokens);
 
-void lc_pace_add (LcPace *pace, int64_t tokens, LbTime waited, LbTime streamed);
+void lc_pace_add_sample (LcPace *pace, int64_t tokens, LbTime waited, LbTime streamed);
 /* Expected time of a new sample of so many tokens. */
 double lc_pace_expected_seconds (const LcPace *pace, double tokens);
 
--- a/packages/core/src/rollout/lc-generate.c
+++ b/packages/core/src/rollout/lc-generate.c
@@ -19,7 +19,7 @@
 expected_tokens (const LcLengthHistogram *lengths, const LcJob *job, int64_t max_tokens)
 {
   return (double)job->label.tokens
-         + lc_length_histogram_expect_remaining (lengths, job->label.tokens, max_tokens);
+         + lc_length_histogram_estimate_remaining (lengths, job->label.tokens, max_tokens);
 }
 
 static LcGroupLengths
@@ -52,8 +52,8 @@
   const LcLengthHistogram *lengths = lc_step_lengths (rollouts, step);
   LcGroupLengths group_lengths = sum_group_lengths (lengths, step, group_index);
 
-  return lc_length_histogram_predict (lengths, &group_lengths,
-                                      step->spec.groups[group_index].max_tokens);
+  return lc_length_histogram_predict_for_group (lengths, &group_lengths,
+                                                step->spec.groups[group_index].max_tokens);
 }
 
 static size_t
--- a/packages/core/src/rollout/lc-result.c
+++ b/packages/core/src/rollout/lc-result.c
@@ -206,8 +206,8 @@
   LbTime first_piece_at = job->first_piece_at ? job->first_piece_at : now;
 
   lc_length_histogram_add (&trainer->lengths, job->label.tokens);
-  lc_pace_add (&pool->pace, lc_job_generated_tokens (job), first_piece_at - job->started_at,
-               now - first_piece_at);
+  lc_pace_add_sample (&pool->pace, lc_job_generated_tokens (job), first_piece_at - job->started_at,
+                      now - first_piece_at);
 }
 
 /* The first complete sample of a hedged pair wins. The other request is cancelled; if its answer is
--- a/packages/core/tests/test-batch.c
+++ b/packages/core/tests/test-batch.c
@@ -341,8 +341,8 @@
   Fixture f;
 
   fixture_init (&f, 4, false, (LcBatchSettings){ .resumable = true });
-  lc_batch_mark_listed (f.batch, "item-0");
-  lc_batch_mark_listed (f.batch, "item-3");
+  lc_batch_mark_item_listed (f.batch, "item-0");
+  lc_batch_mark_item_listed (f.batch, "item-3");
   lc_batch_restore_text_part (f.batch, &part);
   start_batch (&f);
   cr_assert_eq (f.generating[0], 0);
--- a/packages/node/src/batch/ln-batch-owner.c
+++ b/packages/node/src/batch/ln-batch-owner.c
@@ -517,7 +517,7 @@
   ln_batches_publish_ownership (batch->batches, true);
   batch->run = lc_batch_new (spec, &settings);
   for (size_t i = 0; i < saved->n_listed; i++)
-    lc_batch_mark_listed (batch->run, saved->listed[i]);
+    lc_batch_mark_item_listed (batch->run, saved->listed[i]);
   for (size_t i = 0; i < saved->n_parts; i++)
     lc_batch_restore_text_part (batch->run, &saved->parts[i]);
   lb_list_init (&actions);
@@ -535,7 +535,7 @@
   if (!batch->run)
     return;
   lb_log (LB_LOG_INFO, "batch_stopped", LB_TEXT ("batch", batch->id),
-          LB_INT ("listed", lc_batch_count_listed (batch->run)),
+          LB_INT ("listed", lc_batch_count_listed_results (batch->run)),
           LB_BOOL ("ended", batch->head.ended));
   lb_list_init (&actions);
   lc_batch_stop (batch->run, lb_clock_monotonic (), &actions);
