--- a/packages/core/bench/bench-roster.c
+++ b/packages/core/bench/bench-roster.c
@@ -36,9 +36,9 @@
   for (int round = 1; round <= N_LISTS; round++)
     {
       LbTime at = round * 400 * LB_MSEC;
-      lc_roster_update (roster, list, n, at, at);
+      lc_roster_apply_list (roster, list, n, at, at);
       for (size_t i = 0; i < lc_roster_count (roster); i++)
-        sum += lc_roster_latest_version (roster, i);
+        sum += lc_roster_latest_weight_version (roster, i);
     }
   return sum;
 }
@@ -58,13 +58,13 @@
       lc_engine_plan_put (&plan, &planned);
     }
   LbTime started_at = lb_clock_monotonic ();
-  lc_roster_update (roster, list, n, 1, 1);
+  lc_roster_apply_list (roster, list, n, 1, 1);
   LbTime first = lb_clock_monotonic () - started_at;
-  lc_roster_set_plan (roster, &plan);
+  lc_roster_set_engine_plan (roster, &plan);
 
   list[0].leaving = true;
   started_at = lb_clock_monotonic ();
-  lc_roster_update (roster, list, n, 2, 2);
+  lc_roster_apply_list (roster, list, n, 2, 2);
   LbTime changed = lb_clock_monotonic () - started_at;
 
   started_at = lb_clock_monotonic ();
--- a/packages/core/include/lc-endpoints.h
+++ b/packages/core/include/lc-endpoints.h
@@ -78,7 +78,7 @@
 /* The platform's list names the endpoint and does not mark it as leaving. Clears only a mark of the
  * list that may have meant an earlier incarnation. */
 void lc_endpoints_clear_platform_leaving (LcEndpoints *endpoints, const char *name, LbTime now);
-void lc_endpoints_set_swap (
+void lc_endpoints_set_weight_swap (
     LcEndpoints *endpoints, const char *name, bool pending, LbTime until, LbTime now);
 void lc_endpoints_apply_cache_event (LcEndpoints *endpoints,
                                      const char *name,
@@ -108,10 +108,10 @@
 size_t lc_endpoints_count (const LcEndpoints *endpoints);
 LcEndpoint *lc_endpoints_at (LcEndpoints *endpoints, size_t index);
 /* Expected share of the prompt in the endpoint's prefix cache, 0..1. */
-double lc_endpoint_cached_share (const LcEndpoint *endpoint,
-                                 const uint64_t *prefix_hashes,
-                                 size_t n_hashes,
-                                 LbTime now);
+double lc_endpoint_cached_prompt_share (const LcEndpoint *endpoint,
+                                        const uint64_t *prefix_hashes,
+                                        size_t n_hashes,
+                                        LbTime now);
 /* Whether a request of this kind may be sent there now. live_reserve: share of the concurrency kept
  * for live calls, 0..0.9. */
 bool lc_endpoint_can_accept (const LcEndpoint *endpoint,
--- a/packages/core/include/lc-entry.h
+++ b/packages/core/include/lc-entry.h
@@ -13,10 +13,10 @@
   size_t n_chosen;
 } LcEntryChoice;
 
-void lc_entry_choose (LcEntryChoice *choice,
-                      const LcMemberView *views,
-                      size_t n_views,
-                      const char *caller,
-                      const char *data_centre);
+void lc_entry_choose_instances (LcEntryChoice *choice,
+                                const LcMemberView *views,
+                                size_t n_views,
+                                const char *caller,
+                                const char *data_centre);
 
 #endif
--- a/packages/core/include/lc-roster.h
+++ b/packages/core/include/lc-roster.h
@@ -38,14 +38,14 @@
 /* commands */
 /* Applies a complete list, requested from the store at asked_at. True if the resource set
  * changed. */
-bool lc_roster_update (
+bool lc_roster_apply_list (
     LcRoster *roster, const LcRegistration *list, size_t n_list, LbTime asked_at, LbTime now);
 /* The store's list, requested at asked_at, is the same as last time. True if the resource set
  * changed, which it may when the grace period after an outage of the store has ended. */
 bool lc_roster_confirm_list (LcRoster *roster, LbTime asked_at, LbTime now);
 /* Sets the planning instance's assignment of engines to models. Engines that the plan does not name
  * are divided evenly. True if the resource set changed. */
-bool lc_roster_set_plan (LcRoster *roster, const LcEnginePlan *plan);
+bool lc_roster_set_engine_plan (LcRoster *roster, const LcEnginePlan *plan);
 
 /* queries */
 /* Time between two requests for the list of endpoints. */
@@ -53,12 +53,12 @@
 size_t lc_roster_count (const LcRoster *roster);
 const LcRegistration *lc_roster_registration (const LcRoster *roster, size_t index);
 /* The model that the engine is used for; "" for a plain service. */
-const char *lc_roster_model (const LcRoster *roster, size_t index);
+const char *lc_roster_assigned_model (const LcRoster *roster, size_t index);
 /* The engine's version of the model that it is used for: the later one of its registration and the
  * plan; 0: none. */
-LcVersion lc_roster_latest_version (const LcRoster *roster, size_t index);
+LcVersion lc_roster_latest_weight_version (const LcRoster *roster, size_t index);
 /* The same, from the engine's registration alone. */
-LcVersion lc_roster_registered_version (const LcRoster *roster, size_t index);
+LcVersion lc_roster_registered_weight_version (const LcRoster *roster, size_t index);
 /* Builds a set with a pool for each model and a member for each endpoint. checks_fence: whether
  * engines reject orders with an outdated fencing number, which registrations do not state. */
 LcResourceSet *lc_roster_to_resources (const LcRoster *roster, int64_t revision, bool checks_fence);
--- a/packages/core/include/lc-subset.h
+++ b/packages/core/include/lc-subset.h
@@ -40,7 +40,7 @@
 
 /* commands */
 /* Pages are read until the subset has enough endpoints of each expected service. */
-void lc_subset_clear_expected (LcSubset *subset);
+void lc_subset_clear_expected_services (LcSubset *subset);
 void lc_subset_expect_service (LcSubset *subset, const char *service);
 /* Sets the bound that the publisher chose; "": all endpoints of the service are known. */
 void lc_subset_set_bound (LcSubset *subset, const char *service, const char *bound);
--- a/packages/core/src/batch/lc-batch-item.c
+++ b/packages/core/src/batch/lc-batch-item.c
@@ -163,7 +163,7 @@
   LcStreamPace pace = item->pace;
 
   if (now - item->last_piece_at > STALL_THRESHOLD)
-    lc_stream_pace_add (&pace, 0, now - item->last_piece_at);
+    lc_stream_pace_add_tokens (&pace, 0, now - item->last_piece_at);
   return lc_stream_pace_token_seconds (&pace);
 }
 
--- a/packages/core/src/batch/lc-batch.c
+++ b/packages/core/src/batch/lc-batch.c
@@ -301,8 +301,8 @@
   if (item->first_piece_at == 0)
     item->first_piece_at = now;
   else
-    lc_stream_pace_add (&item->pace, lc_batch_events_to_tokens (batch, 1),
-                        now - item->last_piece_at);
+    lc_stream_pace_add_tokens (&item->pace, lc_batch_events_to_tokens (batch, 1),
+                               now - item->last_piece_at);
   item->last_piece_at = now;
   LB_COPY (item->last_endpoint, endpoint);
   lc_batch_item_record_version (item, version, batch->spec.min_version,
--- a/packages/core/src/dispatch/lc-placement.c
+++ b/packages/core/src/dispatch/lc-placement.c
@@ -105,7 +105,7 @@
 static LcRouteDecision
 hold_or_use_outdated (LcPoolState *pool, const LcRouteDecision *outdated, LbTime now)
 {
-  if (!lc_endpoint_entry (outdated->endpoint)->is_reported)
+  if (!lc_endpoint_to_entry (outdated->endpoint)->is_reported)
     return *outdated;
   if (pool->held_since == 0)
     pool->held_since = now;
--- a/packages/core/src/dispatch/lc-router-prefix-affinity.c
+++ b/packages/core/src/dispatch/lc-router-prefix-affinity.c
@@ -15,7 +15,7 @@
 
   for (size_t i = 0; i < candidates->n_items; i++)
     {
-      const LcEndpointEntry *entry = lc_endpoint_entry (candidates->items[i].endpoint);
+      const LcEndpointEntry *entry = lc_endpoint_to_entry (candidates->items[i].endpoint);
       double rank = lc_policy_rendezvous_rank (entry, query->prefix_hashes[0]);
 
       candidates->items[i].score = -cached_shares[entry->endpoint.slot] - rank * 1e-6;
--- a/packages/core/src/endpoints/lc-batch-cost.c
+++ b/packages/core/src/endpoints/lc-batch-cost.c
@@ -29,7 +29,7 @@
 }
 
 double
-lc_batch_cost_slowdown (const LcBatchCost *cost)
+lc_batch_cost_full_batch_slowdown (const LcBatchCost *cost)
 {
   double variance = cost->mean_fill_squared - cost->mean_fill * cost->mean_fill;
   double covariance = cost->mean_fill_token_seconds - cost->mean_fill * cost->mean_token_seconds;
--- a/packages/core/src/endpoints/lc-batch-cost.h
+++ b/packages/core/src/endpoints/lc-batch-cost.h
@@ -16,6 +16,6 @@
 /* fill: share of the batch in use, 0..1; token_seconds: seconds per token of one stream. */
 void lc_batch_cost_add_report (LcBatchCost *cost, double fill, double token_seconds);
 /* Relative increase of seconds per token from a single stream to a full batch; 1: twice as slow. */
-double lc_batch_cost_slowdown (const LcBatchCost *cost);
+double lc_batch_cost_full_batch_slowdown (const LcBatchCost *cost);
 
 #endif
--- a/packages/core/src/endpoints/lc-endpoint-entry.c
+++ b/packages/core/src/endpoints/lc-endpoint-entry.c
@@ -92,7 +92,7 @@
 
 /* Copies the state of the entry's components to its endpoint and its summary. */
 void
-lc_endpoint_entry_publish (LcEndpointEntry *entry, LbTime now)
+lc_endpoint_entry_publish_state (LcEndpointEntry *entry, LbTime now)
 {
   LcEndpoint *endpoint = &entry->endpoint;
   bool leaving
@@ -111,7 +111,7 @@
 
 /* Discards state that belongs to the endpoint's previous process. */
 void
-lc_endpoint_entry_reset_process (LcEndpointEntry *entry)
+lc_endpoint_entry_reset_for_new_process (LcEndpointEntry *entry)
 {
   entry->endpoint.swap_pending = false;
   memset (&entry->breaker, 0, sizeof entry->breaker);
--- a/packages/core/src/endpoints/lc-endpoint-table.h
+++ b/packages/core/src/endpoints/lc-endpoint-table.h
@@ -39,7 +39,7 @@
 /* One endpoint in the table: the part that policies and the node read, and private state. */
 typedef struct LcEndpointEntry
 {
-  LcEndpoint endpoint; /* first member: lc_endpoint_entry casts it to the entry */
+  LcEndpoint endpoint; /* first member: lc_endpoint_to_entry casts it to the entry */
   uint64_t name_hash;
   int data_centre;      /* index into LcEndpoints.data_centres */
   LbTime refused_until; /* rejected a request and gets no new one before; 0: never rejected one */
@@ -71,7 +71,7 @@
   size_t capacity;
   double mean_service_seconds; /* duration of this instance's requests; 0: none has ended yet */
   LcBatchCost batch_cost;
-  double batch_slowdown;        /* lc_batch_cost_slowdown of batch_cost */
+  double batch_slowdown;        /* lc_batch_cost_full_batch_slowdown of batch_cost */
   LbTime next_pace_review_at;   /* when outdated paces are discarded next */
   double fastest_token_seconds; /* seconds per token at the fastest endpoint; 0: not known */
   double prefix_bound_share;    /* share of this instance's requests routed to a cached prefix */
@@ -98,7 +98,7 @@
 };
 
 static inline LcEndpointEntry *
-lc_endpoint_entry (const LcEndpoint *endpoint)
+lc_endpoint_to_entry (const LcEndpoint *endpoint)
 {
   return (LcEndpointEntry *)endpoint;
 }
@@ -116,8 +116,8 @@
 LbTime lc_endpoints_reports_valid_since (const LcEndpoints *endpoints, LbTime now);
 void lc_endpoints_record_event_time (LcEndpoints *endpoints, LbTime now);
 /* Writes the entry's current state to its summary. */
-void lc_endpoint_entry_publish (LcEndpointEntry *entry, LbTime now);
-void lc_endpoint_entry_reset_process (LcEndpointEntry *entry);
+void lc_endpoint_entry_publish_state (LcEndpointEntry *entry, LbTime now);
+void lc_endpoint_entry_reset_for_new_process (LcEndpointEntry *entry);
 void lc_endpoint_entry_invalidate_prefixes (LcEndpointEntry *entry);
 
 /* reports_valid_since: from lc_endpoints_reports_valid_since, once per decision. */
--- a/packages/core/src/endpoints/lc-endpoints-config.c
+++ b/packages/core/src/endpoints/lc-endpoints-config.c
@@ -137,8 +137,8 @@
       memset (&entry->endpoint.report, 0, sizeof entry->endpoint.report);
       entry->is_reported = false;
       entry->endpoint.last_reply_at = 0;
-      lc_leaving_set_incarnation (&entry->leaving, "");
-      lc_endpoint_entry_reset_process (entry);
+      lc_leaving_set_current_incarnation (&entry->leaving, "");
+      lc_endpoint_entry_reset_for_new_process (entry);
     }
   if (strcmp (entry->endpoint.member.pool, member->pool) != 0)
     clear_weights (entry);
@@ -148,7 +148,7 @@
   /* A later revision without the mark does not clear it for this incarnation: the endpoint may
    * already be shutting down, and other instances may still use the earlier revision. */
   if (member->leaving)
-    lc_leaving_mark (&entry->leaving, "");
+    lc_leaving_mark_incarnation (&entry->leaving, "");
 }
 
 static void
@@ -191,7 +191,7 @@
     {
       group = LB_NEW (LcEndpointGroup);
       make_group_key (group->key, sizeof group->key, kind, entry->endpoint.member.pool);
-      group->batch_slowdown = lc_batch_cost_slowdown (&group->batch_cost);
+      group->batch_slowdown = lc_batch_cost_full_batch_slowdown (&group->batch_cost);
       HASH_ADD_STR (endpoints->groups, key, group);
     }
   if (group->n_slots == group->capacity)
@@ -239,7 +239,7 @@
 
       entry->data_centre = add_data_centre (endpoints, entry->endpoint.member.data_centre);
       add_to_group (endpoints, entry);
-      lc_endpoint_entry_publish (entry, now);
+      lc_endpoint_entry_publish_state (entry, now);
     }
 }
 
--- a/packages/core/src/endpoints/lc-endpoints-query.c
+++ b/packages/core/src/endpoints/lc-endpoints-query.c
@@ -15,12 +15,12 @@
 }
 
 double
-lc_endpoint_cached_share (const LcEndpoint *endpoint,
-                          const uint64_t *prefix_hashes,
-                          size_t n_hashes,
-                          LbTime now)
+lc_endpoint_cached_prompt_share (const LcEndpoint *endpoint,
+                                 const uint64_t *prefix_hashes,
+                                 size_t n_hashes,
+                                 LbTime now)
 {
-  const LcEndpointEntry *entry = lc_endpoint_entry (endpoint);
+  const LcEndpointEntry *entry = lc_endpoint_to_entry (endpoint);
 
   return lc_prefix_index_expected_cached_share (entry->table->prefix_index, prefix_hashes, n_hashes,
                                                 &entry->cache, now);
@@ -54,7 +54,7 @@
 static bool
 full_check_accepts (const LcEndpoint *endpoint, LbTime now)
 {
-  const LcEndpointEntry *entry = lc_endpoint_entry (endpoint);
+  const LcEndpointEntry *entry = lc_endpoint_to_entry (endpoint);
   bool is_refusing = now < entry->refused_until
                      || (endpoint->member.reports_concurrency && endpoint->swap_pending
                          && now < endpoint->swap_until);
@@ -94,7 +94,7 @@
                         double live_reserve,
                         LbTime now)
 {
-  const LcEndpoints *table = lc_endpoint_entry (endpoint)->table;
+  const LcEndpoints *table = lc_endpoint_to_entry (endpoint)->table;
 
   return lc_endpoint_summary_can_accept (&table->summaries[endpoint->slot], kind, live_reserve,
                                          lc_endpoints_reports_valid_since (table, now), now);
--- a/packages/core/src/endpoints/lc-endpoints.c
+++ b/packages/core/src/endpoints/lc-endpoints.c
@@ -46,7 +46,7 @@
   if (report->tokens_per_second <= 0)
     return;
   lc_batch_cost_add_report (&group->batch_cost, fill, 1 / report->tokens_per_second);
-  group->batch_slowdown = lc_batch_cost_slowdown (&group->batch_cost);
+  group->batch_slowdown = lc_batch_cost_full_batch_slowdown (&group->batch_cost);
   entry->single_stream_token_seconds
       = 1 / report->tokens_per_second / (1 + group->batch_slowdown * fill);
 }
@@ -60,18 +60,18 @@
   LB_COPY (known_incarnation, endpoint->report.incarnation);
   if (known_incarnation[0] && report->incarnation[0]
       && strcmp (known_incarnation, report->incarnation) != 0)
-    lc_endpoint_entry_reset_process (entry);
+    lc_endpoint_entry_reset_for_new_process (entry);
   if (report->incarnation[0])
-    lc_leaving_set_incarnation (&entry->leaving, report->incarnation);
+    lc_leaving_set_current_incarnation (&entry->leaving, report->incarnation);
   endpoint->report = *report;
   if (!report->incarnation[0])
     LB_COPY (endpoint->report.incarnation, known_incarnation);
   entry->table->n_repeated_reports += entry->is_reported;
   entry->is_reported = true;
   endpoint->sent_since_report
-      = lc_in_flight_history_sent_after (&entry->in_flight_history, report->measured_at);
+      = lc_in_flight_history_count_sent_after (&entry->in_flight_history, report->measured_at);
   entry->live_sent_since_report
-      = lc_in_flight_history_live_sent_after (&entry->in_flight_history, report->measured_at);
+      = lc_in_flight_history_count_live_sent_after (&entry->in_flight_history, report->measured_at);
   entry->in_flight_at_report
       = lc_in_flight_history_count_at (&entry->in_flight_history, report->measured_at);
   update_token_time (entry);
@@ -107,7 +107,7 @@
 {
   bool was_leaving = entry->endpoint.leaving;
 
-  lc_endpoint_entry_publish (entry, now);
+  lc_endpoint_entry_publish_state (entry, now);
   if (was_leaving || !entry->endpoint.leaving)
     return false;
   lb_log (LB_LOG_INFO, "endpoint-leaving", LB_TEXT ("endpoint", entry->endpoint.member.name),
@@ -135,7 +135,7 @@
   if (!entry->is_reported || sanitised.measured_at >= entry->endpoint.report.measured_at)
     apply_report (entry, &sanitised);
   if (report->leaving)
-    lc_leaving_mark (&entry->leaving, report->incarnation);
+    lc_leaving_mark_incarnation (&entry->leaving, report->incarnation);
   publish_and_log_leaving (entry, LC_LEAVING_ENDPOINT, now);
 }
 
@@ -153,9 +153,9 @@
   if (!entry)
     return false;
   if (source == LC_LEAVING_PLATFORM && incarnation[0] == '\0')
-    lc_leaving_set_platform_listed (&entry->leaving, true);
+    lc_leaving_set_marked_by_platform (&entry->leaving, true);
   else
-    lc_leaving_mark (&entry->leaving, incarnation);
+    lc_leaving_mark_incarnation (&entry->leaving, incarnation);
   return publish_and_log_leaving (entry, source, now);
 }
 
@@ -166,12 +166,12 @@
 
   if (!entry)
     return;
-  lc_leaving_set_platform_listed (&entry->leaving, false);
-  lc_endpoint_entry_publish (entry, now);
+  lc_leaving_set_marked_by_platform (&entry->leaving, false);
+  lc_endpoint_entry_publish_state (entry, now);
 }
 
 void
-lc_endpoints_set_swap (
+lc_endpoints_set_weight_swap (
     LcEndpoints *endpoints, const char *name, bool pending, LbTime until, LbTime now)
 {
   LcEndpointEntry *entry = lc_endpoints_find_entry (endpoints, name);
@@ -185,7 +185,7 @@
     }
   entry->endpoint.swap_pending = pending;
   entry->endpoint.swap_until = until;
-  lc_endpoint_entry_publish (entry, now);
+  lc_endpoint_entry_publish_state (entry, now);
 }
 
 void
@@ -210,18 +210,18 @@
                           uint64_t prefix_hash,
                           LbTime now)
 {
-  LcEndpointEntry *entry = lc_endpoint_entry (endpoint);
+  LcEndpointEntry *entry = lc_endpoint_to_entry (endpoint);
 
   endpoint->in_flight++;
   endpoint->in_flight_rollout += kind == LC_KIND_SAMPLE;
   endpoint->sent_since_report++;
   entry->live_sent_since_report += kind != LC_KIND_SAMPLE;
-  lc_in_flight_history_add (&entry->in_flight_history, endpoint->in_flight, true,
-                            kind != LC_KIND_SAMPLE, now);
+  lc_in_flight_history_add_change (&entry->in_flight_history, endpoint->in_flight, true,
+                                   kind != LC_KIND_SAMPLE, now);
   lc_breaker_request_sent (&entry->breaker, now);
   if (prefix_hash != 0)
-    lc_prefix_index_add_sent (entry->table->prefix_index, &entry->cache, prefix_hash, now);
-  lc_endpoint_entry_publish (entry, now);
+    lc_prefix_index_add_sent_prefix (entry->table->prefix_index, &entry->cache, prefix_hash, now);
+  lc_endpoint_entry_publish_state (entry, now);
 }
 
 static void
@@ -234,13 +234,13 @@
 void
 lc_endpoint_first_byte_received (LcEndpoint *endpoint, LbTime waited, LbTime now)
 {
-  LcEndpointEntry *entry = lc_endpoint_entry (endpoint);
+  LcEndpointEntry *entry = lc_endpoint_to_entry (endpoint);
   double seconds = (double)waited / LB_SEC;
 
   endpoint->last_reply_at = now;
   update_ewma (&endpoint->ewma_first_byte_seconds, seconds);
   lc_concurrency_first_byte_received (&entry->concurrency, seconds, endpoint->in_flight, now);
-  lc_endpoint_entry_publish (entry, now);
+  lc_endpoint_entry_publish_state (entry, now);
 }
 
 /* Seconds per token at the fastest endpoint of the group; 0: not known. */
@@ -252,7 +252,7 @@
   for (size_t i = 0; i < group->n_slots; i++)
     {
       const LcEndpointEntry *other
-          = lc_endpoint_entry (entry->table->summaries[group->slots[i]].endpoint);
+          = lc_endpoint_to_entry (entry->table->summaries[group->slots[i]].endpoint);
       double seconds
           = other->stream_pace_at > 0 ? lc_stream_pace_token_seconds (&other->stream_pace) : 0;
       if (seconds > 0 && (fastest == 0 || seconds < fastest))
@@ -267,7 +267,7 @@
   entry->stream_pace = (LcStreamPace){ 0 };
   entry->stream_pace_at = 0;
   entry->single_stream_token_seconds = token_seconds;
-  lc_endpoint_entry_publish (entry, now);
+  lc_endpoint_entry_publish_state (entry, now);
 }
 
 /* Discards outdated paces. A slow engine gets no requests while others have capacity, so without
@@ -285,7 +285,7 @@
   for (size_t i = 0; fastest > 0 && i < group->n_slots; i++)
     {
       LcEndpointEntry *other
-          = lc_endpoint_entry (entry->table->summaries[group->slots[i]].endpoint);
+          = lc_endpoint_to_entry (entry->table->summaries[group->slots[i]].endpoint);
       if (other->stream_pace_at > 0 && now - other->stream_pace_at > MAX_PACE_AGE)
         reset_pace (other, fastest, now);
     }
@@ -297,21 +297,21 @@
 void
 lc_endpoint_tokens_received (LcEndpoint *endpoint, int64_t tokens, LbTime interval, LbTime now)
 {
-  LcEndpointEntry *entry = lc_endpoint_entry (endpoint);
+  LcEndpointEntry *entry = lc_endpoint_to_entry (endpoint);
   double seconds = 0;
 
   if (tokens > 0)
     endpoint->last_reply_at = now;
   if (!lb_switch_is_on (LB_SWITCH_PACE))
     return;
-  lc_stream_pace_add (&entry->stream_pace, tokens, interval);
+  lc_stream_pace_add_tokens (&entry->stream_pace, tokens, interval);
   entry->stream_pace_at = now;
   seconds = lc_stream_pace_token_seconds (&entry->stream_pace);
   review_paces (entry, find_group (entry), now);
   if (seconds == 0 || endpoint->report.tokens_per_second > 0)
     return;
   entry->single_stream_token_seconds = seconds;
-  lc_endpoint_entry_publish (entry, now);
+  lc_endpoint_entry_publish_state (entry, now);
 }
 
 static void
@@ -330,8 +330,8 @@
 {
   entry->endpoint.in_flight--;
   entry->endpoint.in_flight_rollout -= kind == LC_KIND_SAMPLE;
-  lc_in_flight_history_add (&entry->in_flight_history, entry->endpoint.in_flight, false, false,
-                            now);
+  lc_in_flight_history_add_change (&entry->in_flight_history, entry->endpoint.in_flight, false,
+                                   false, now);
 }
 
 void
@@ -344,17 +344,17 @@
 void
 lc_endpoint_request_cancelled (LcEndpoint *endpoint, LcRequestKind kind, LbTime now)
 {
-  LcEndpointEntry *entry = lc_endpoint_entry (endpoint);
+  LcEndpointEntry *entry = lc_endpoint_to_entry (endpoint);
 
   record_request_end (entry, kind, now);
-  lc_endpoint_entry_publish (entry, now);
+  lc_endpoint_entry_publish_state (entry, now);
 }
 
 void
 lc_endpoint_request_ended (
     LcEndpoint *endpoint, LcRequestKind kind, bool ok, int64_t tokens, LbTime took, LbTime now)
 {
-  LcEndpointEntry *entry = lc_endpoint_entry (endpoint);
+  LcEndpointEntry *entry = lc_endpoint_to_entry (endpoint);
 
   record_request_end (entry, kind, now);
   if (ok)
@@ -368,7 +368,7 @@
       lc_breaker_request_failed (&entry->breaker, now - took, now);
       lc_concurrency_request_failed (&entry->concurrency, now);
     }
-  lc_endpoint_entry_publish (entry, now);
+  lc_endpoint_entry_publish_state (entry, now);
 }
 
 /* An engine rejects all new requests while it loads weights. If each rejection counted as a
@@ -378,7 +378,7 @@
 void
 lc_endpoint_request_refused (LcEndpoint *endpoint, LcRequestKind kind, LbTime now)
 {
-  LcEndpointEntry *entry = lc_endpoint_entry (endpoint);
+  LcEndpointEntry *entry = lc_endpoint_to_entry (endpoint);
 
   if (!endpoint->member.reports_concurrency)
     {
@@ -387,7 +387,7 @@
     }
   record_request_end (entry, kind, now);
   entry->refused_until = now + REFUSAL_BACKOFF;
-  lc_endpoint_entry_publish (entry, now);
+  lc_endpoint_entry_publish_state (entry, now);
 }
 
 LcEndpoint *
--- a/packages/core/src/endpoints/lc-entry.c
+++ b/packages/core/src/endpoints/lc-entry.c
@@ -65,11 +65,11 @@
 /* First an instance in the caller's data centre; then one elsewhere, so that the second address
  * works when the caller's data centre fails; then more in the caller's data centre. */
 void
-lc_entry_choose (LcEntryChoice *choice,
-                 const LcMemberView *views,
-                 size_t n_views,
-                 const char *caller,
-                 const char *data_centre)
+lc_entry_choose_instances (LcEntryChoice *choice,
+                           const LcMemberView *views,
+                           size_t n_views,
+                           const char *caller,
+                           const char *data_centre)
 {
   static const bool prefer_same_data_centre[] = { true, false, true, true, false, false };
 
--- a/packages/core/src/endpoints/lc-in-flight-history.c
+++ b/packages/core/src/endpoints/lc-in-flight-history.c
@@ -1,7 +1,7 @@
 #include "lc-in-flight-history.h"
 
 void
-lc_in_flight_history_add (
+lc_in_flight_history_add_change (
     LcInFlightHistory *history, int64_t in_flight, bool is_sent, bool is_live, LbTime now)
 {
   history->changes[history->n_changes++ % LC_IN_FLIGHT_HISTORY_LENGTH] = (LcInFlightChange){
@@ -38,7 +38,7 @@
 }
 
 int64_t
-lc_in_flight_history_sent_after (const LcInFlightHistory *history, LbTime at)
+lc_in_flight_history_count_sent_after (const LcInFlightHistory *history, LbTime at)
 {
   int64_t n_sent = 0;
 
@@ -49,7 +49,7 @@
 }
 
 int64_t
-lc_in_flight_history_live_sent_after (const LcInFlightHistory *history, LbTime at)
+lc_in_flight_history_count_live_sent_after (const LcInFlightHistory *history, LbTime at)
 {
   int64_t n_sent = 0;
 
--- a/packages/core/src/endpoints/lc-in-flight-history.h
+++ b/packages/core/src/endpoints/lc-in-flight-history.h
@@ -22,12 +22,12 @@
 } LcInFlightHistory;
 
 /* commands */
-void lc_in_flight_history_add (
+void lc_in_flight_history_add_change (
     LcInFlightHistory *history, int64_t in_flight, bool is_sent, bool is_live, LbTime now);
 
 /* queries */
 int64_t lc_in_flight_history_count_at (const LcInFlightHistory *history, LbTime at);
-int64_t lc_in_flight_history_sent_after (const LcInFlightHistory *history, LbTime at);
-int64_t lc_in_flight_history_live_sent_after (const LcInFlightHistory *history, LbTime at);
+int64_t lc_in_flight_history_count_sent_after (const LcInFlightHistory *history, LbTime at);
+int64_t lc_in_flight_history_count_live_sent_after (const LcInFlightHistory *history, LbTime at);
 
 #endif
--- a/packages/core/src/endpoints/lc-leaving.c
+++ b/packages/core/src/endpoints/lc-leaving.c
@@ -33,7 +33,7 @@
  * earlier process nor a report of its successor clears a mark. A mark that was set before any
  * incarnation was known is given to the first one that is reported. */
 void
-lc_leaving_set_incarnation (LcLeaving *leaving, const char *incarnation)
+lc_leaving_set_current_incarnation (LcLeaving *leaving, const char *incarnation)
 {
   uint64_t hash = hash_incarnation (incarnation);
 
@@ -48,7 +48,7 @@
 
 /* incarnation: "" for the current one. */
 void
-lc_leaving_mark (LcLeaving *leaving, const char *incarnation)
+lc_leaving_mark_incarnation (LcLeaving *leaving, const char *incarnation)
 {
   add_mark (leaving, incarnation[0] ? hash_incarnation (incarnation) : leaving->current);
 }
@@ -57,7 +57,7 @@
  * incarnation appeared, it may mean the one before. The endpoint is then treated as leaving while
  * it is listed, but the new incarnation gets no mark, since a mark is never cleared. */
 void
-lc_leaving_set_platform_listed (LcLeaving *leaving, bool is_listed)
+lc_leaving_set_marked_by_platform (LcLeaving *leaving, bool is_listed)
 {
   if (!is_listed)
     {
--- a/packages/core/src/endpoints/lc-leaving.h
+++ b/packages/core/src/endpoints/lc-leaving.h
@@ -20,9 +20,9 @@
 } LcLeaving;
 
 /* commands */
-void lc_leaving_set_incarnation (LcLeaving *leaving, const char *incarnation);
-void lc_leaving_mark (LcLeaving *leaving, const char *incarnation);
-void lc_leaving_set_platform_listed (LcLeaving *leaving, bool is_listed);
+void lc_leaving_set_current_incarnation (LcLeaving *leaving, const char *incarnation);
+void lc_leaving_mark_incarnation (LcLeaving *leaving, const char *incarnation);
+void lc_leaving_set_marked_by_platform (LcLeaving *leaving, bool is_listed);
 
 /* queries */
 bool lc_leaving_is_current_incarnation_leaving (const LcLeaving *leaving);
--- a/packages/core/src/endpoints/lc-prefix-index.c
+++ b/packages/core/src/endpoints/lc-prefix-index.c
@@ -172,10 +172,10 @@
 }
 
 void
-lc_prefix_index_add_sent (LcPrefixIndex *index,
-                          const LcEndpointCache *cache,
-                          uint64_t prefix,
-                          LbTime now)
+lc_prefix_index_add_sent_prefix (LcPrefixIndex *index,
+                                 const LcEndpointCache *cache,
+                                 uint64_t prefix,
+                                 LbTime now)
 {
   Prefix *found = find_prefix (index, prefix);
   Holder *holder = found ? find_holder (found, cache) : NULL;
--- a/packages/core/src/endpoints/lc-prefix-index.h
+++ b/packages/core/src/endpoints/lc-prefix-index.h
@@ -34,10 +34,10 @@
                                   bool stored,
                                   uint64_t prefix,
                                   LbTime now);
-void lc_prefix_index_add_sent (LcPrefixIndex *index,
-                               const LcEndpointCache *cache,
-                               uint64_t prefix,
-                               LbTime now);
+void lc_prefix_index_add_sent_prefix (LcPrefixIndex *index,
+                                      const LcEndpointCache *cache,
+                                      uint64_t prefix,
+                                      LbTime now);
 
 /* queries */
 /* prefixes: hashes of the prompt's prefixes, shortest first; caches: indexed by slot of the
--- a/packages/core/src/endpoints/lc-roster.c
+++ b/packages/core/src/endpoints/lc-roster.c
@@ -406,7 +406,7 @@
 }
 
 bool
-lc_roster_update (
+lc_roster_apply_list (
     LcRoster *roster, const LcRegistration *list, size_t n_list, LbTime asked_at, LbTime now)
 {
   bool changed = roster->last_list_at == 0;
@@ -423,7 +423,7 @@
 }
 
 bool
-lc_roster_set_plan (LcRoster *roster, const LcEnginePlan *plan)
+lc_roster_set_engine_plan (LcRoster *roster, const LcEnginePlan *plan)
 {
   bool changed = false;
 
@@ -461,7 +461,7 @@
 }
 
 const char *
-lc_roster_model (const LcRoster *roster, size_t index)
+lc_roster_assigned_model (const LcRoster *roster, size_t index)
 {
   const Entry *entry = &roster->entries[index];
 
@@ -469,7 +469,7 @@
 }
 
 LcVersion
-lc_roster_registered_version (const LcRoster *roster, size_t index)
+lc_roster_registered_weight_version (const LcRoster *roster, size_t index)
 {
   const Entry *entry = &roster->entries[index];
 
@@ -477,12 +477,13 @@
 }
 
 LcVersion
-lc_roster_latest_version (const LcRoster *roster, size_t index)
+lc_roster_latest_weight_version (const LcRoster *roster, size_t index)
 {
   const Entry *entry = &roster->entries[index];
   const LcPlanEntry *planned = lc_engine_plan_find (&roster->plan, entry->registration.name);
-  LcVersion registered = lc_roster_registered_version (roster, index);
-  bool is_planned = planned && strcmp (planned->model, lc_roster_model (roster, index)) == 0;
+  LcVersion registered = lc_roster_registered_weight_version (roster, index);
+  bool is_planned
+      = planned && strcmp (planned->model, lc_roster_assigned_model (roster, index)) == 0;
 
   return is_planned && planned->version > registered ? planned->version : registered;
 }
@@ -505,7 +506,7 @@
 fill_member (const LcRoster *roster, size_t index, bool checks_fence, LcEndpointMember *member)
 {
   const LcRegistration *registration = &roster->entries[index].registration;
-  const char *model = lc_roster_model (roster, index);
+  const char *model = lc_roster_assigned_model (roster, index);
 
   member->kind = registration->n_models > 0 ? LC_ENDPOINT_ENGINE : LC_ENDPOINT_SERVICE;
   LB_COPY (member->name, registration->name);
--- a/packages/core/src/endpoints/lc-stream-pace.c
+++ b/packages/core/src/endpoints/lc-stream-pace.c
@@ -13,7 +13,7 @@
 /* Seconds and tokens decay alike, so chunks that are read late in one go compensate for the long
  * interval before them: a paused reader does not make its engine look slow. */
 void
-lc_stream_pace_add (LcStreamPace *pace, int64_t tokens, LbTime interval)
+lc_stream_pace_add_tokens (LcStreamPace *pace, int64_t tokens, LbTime interval)
 {
   double seconds = (double)interval / LB_SEC;
   double decay = exp (-seconds / WINDOW_SECONDS);
--- a/packages/core/src/endpoints/lc-stream-pace.h
+++ b/packages/core/src/endpoints/lc-stream-pace.h
@@ -12,7 +12,7 @@
 } LcStreamPace;
 
 /* One stream received tokens, or none, in the interval since its previous chunk. */
-void lc_stream_pace_add (LcStreamPace *pace, int64_t tokens, LbTime interval);
+void lc_stream_pace_add_tokens (LcStreamPace *pace, int64_t tokens, LbTime interval);
 /* Seconds per token; 0: not known yet. */
 double lc_stream_pace_token_seconds (const LcStreamPace *pace);
 
--- a/packages/core/src/endpoints/lc-subset.c
+++ b/packages/core/src/endpoints/lc-subset.c
@@ -250,7 +250,7 @@
 }
 
 void
-lc_subset_clear_expected (LcSubset *subset)
+lc_subset_clear_expected_services (LcSubset *subset)
 {
   for (Service *service = subset->services; service; service = service->hh.next)
     {
--- a/packages/core/tests/endpoints-fixture.h
+++ b/packages/core/tests/endpoints-fixture.h
@@ -25,7 +25,7 @@
 
 /* A first report of each engine, without an incarnation. */
 static inline void
-fixture_report_all (Fixture *f)
+fixture_record_first_reports (Fixture *f)
 {
   LcLoadReport report = { .version = 1 };
 
@@ -50,7 +50,7 @@
   f->set.n_endpoints = n;
   f->endpoints = lc_endpoints_new ();
   fixture_configure (f, 0);
-  fixture_report_all (f);
+  fixture_record_first_reports (f);
 }
 
 static inline void
@@ -60,7 +60,7 @@
 }
 
 static inline LcEndpoint *
-fixture_find (Fixture *f, const char *name)
+fixture_find_endpoint (Fixture *f, const char *name)
 {
   LcEndpoint *endpoint = lc_endpoints_find (f->endpoints, name);
 
@@ -69,14 +69,15 @@
 }
 
 static inline bool
-fixture_can_accept (Fixture *f, const char *name, LbTime now)
+fixture_can_accept_live_call (Fixture *f, const char *name, LbTime now)
 {
-  return lc_endpoint_can_accept (fixture_find (f, name), LC_KIND_LIVE, 0, now);
+  return lc_endpoint_can_accept (fixture_find_endpoint (f, name), LC_KIND_LIVE, 0, now);
 }
 
 /* A report that arrives without delay: measured and received at the same time. */
 static inline LcLoadReport
-fixture_report (Fixture *f, const char *name, const char *incarnation, LcVersion version, LbTime at)
+fixture_record_report (
+    Fixture *f, const char *name, const char *incarnation, LcVersion version, LbTime at)
 {
   LcLoadReport report = { .version = version, .measured_at = at };
 
@@ -86,7 +87,7 @@
 }
 
 static inline LcRouteQuery
-fixture_query (void)
+fixture_make_route_query (void)
 {
   return (LcRouteQuery){ .kind = LC_KIND_LIVE,
                          .pool = "reader",
--- a/packages/core/tests/test-batch-cost.c
+++ b/packages/core/tests/test-batch-cost.c
@@ -17,7 +17,7 @@
       lc_batch_cost_add_report (&cost, fill, 0.012 * (1 + slowdown * fill) * noise);
     }
   gsl_rng_free (rng);
-  return lc_batch_cost_slowdown (&cost);
+  return lc_batch_cost_full_batch_slowdown (&cost);
 }
 
 /* With a slowdown three times too large, load is overrated: requests are routed away from the
@@ -32,5 +32,5 @@
 Test (batch_cost, stays_near_the_prior_when_all_batches_are_equally_full)
 {
   cr_assert_float_eq (estimate_slowdown (0.33, 0.5, 0.51), 1.0, 0.5);
-  cr_assert_eq (lc_batch_cost_slowdown (&(LcBatchCost){ 0 }), 1.0);
+  cr_assert_eq (lc_batch_cost_full_batch_slowdown (&(LcBatchCost){ 0 }), 1.0);
 }
--- a/packages/core/tests/test-breaker.c
+++ b/packages/core/tests/test-breaker.c
@@ -86,9 +86,9 @@
   Fixture f;
 
   fixture_init (&f, 1);
-  fixture_report (&f, "e0", "a", 1, 1);
+  fixture_record_report (&f, "e0", "a", 1, 1);
 
-  LcEndpoint *endpoint = fixture_find (&f, "e0");
+  LcEndpoint *endpoint = fixture_find_endpoint (&f, "e0");
 
   for (int i = 0; i < 5; i++)
     {
@@ -96,8 +96,8 @@
       lc_endpoint_request_ended (endpoint, LC_KIND_LIVE, false, 0, 1, 3);
     }
   cr_assert_eq (endpoint->breaker, LC_BREAKER_OPEN);
-  cr_assert_not (fixture_can_accept (&f, "e0", 4));
-  fixture_report (&f, "e0", "b", 1, 10);
-  cr_assert (fixture_can_accept (&f, "e0", 11));
+  cr_assert_not (fixture_can_accept_live_call (&f, "e0", 4));
+  fixture_record_report (&f, "e0", "b", 1, 10);
+  cr_assert (fixture_can_accept_live_call (&f, "e0", 11));
   fixture_clear (&f);
 }
--- a/packages/core/tests/test-entry.c
+++ b/packages/core/tests/test-entry.c
@@ -29,7 +29,7 @@
   char name[32];
 
   snprintf (name, sizeof name, "caller-%d", caller);
-  lc_entry_choose (&choice, views, N_INSTANCES, name, data_centre);
+  lc_entry_choose_instances (&choice, views, N_INSTANCES, name, data_centre);
   return choice;
 }
 
--- a/packages/core/tests/test-prefix-belief.c
+++ b/packages/core/tests/test-prefix-belief.c
@@ -3,7 +3,7 @@
 static double
 cached_share (Fixture *f, const char *name, uint64_t prefix, LbTime now)
 {
-  return lc_endpoint_cached_share (fixture_find (f, name), &prefix, 1, now);
+  return lc_endpoint_cached_prompt_share (fixture_find_endpoint (f, name), &prefix, 1, now);
 }
 
 /* An engine evicts a prefix and the event is lost. Unless the gap in the sequence lowers the
@@ -46,9 +46,9 @@
   Fixture f;
 
   fixture_init (&f, 1);
-  fixture_report (&f, "e0", "a", 1, 5);
+  fixture_record_report (&f, "e0", "a", 1, 5);
   lc_endpoints_apply_cache_event (f.endpoints, "e0", 900, true, 77, 10);
-  fixture_report (&f, "e0", "b", 1, 20);
+  fixture_record_report (&f, "e0", "b", 1, 20);
   cr_assert_eq (cached_share (&f, "e0", 77, 21), 0);
   lc_endpoints_apply_cache_event (f.endpoints, "e0", 1, true, 78, 22);
   cr_assert_gt (cached_share (&f, "e0", 78, 23), 0.99);
@@ -79,8 +79,9 @@
   fixture_init (&f, 1);
   lc_endpoints_apply_cache_event (f.endpoints, "e0", 1, true, 1, 10);
   lc_endpoints_apply_cache_event (f.endpoints, "e0", 2, true, 3, 10);
-  cr_assert_float_eq (lc_endpoint_cached_share (fixture_find (&f, "e0"), prompt, 4, 10), 0.75,
-                      0.01);
+  cr_assert_float_eq (lc_endpoint_cached_prompt_share (fixture_find_endpoint (&f, "e0"), prompt, 4,
+                                                       10),
+                      0.75, 0.01);
   fixture_clear (&f);
 }
 
--- a/packages/core/tests/test-roster.c
+++ b/packages/core/tests/test-roster.c
@@ -38,7 +38,7 @@
   int count = 0;
 
   for (size_t i = 0; i < lc_roster_count (roster); i++)
-    count += strcmp (lc_roster_model (roster, i), model) == 0;
+    count += strcmp (lc_roster_assigned_model (roster, i), model) == 0;
   return count;
 }
 
@@ -52,17 +52,17 @@
   LbTime now = 10 * LB_SEC;
 
   fill_list (list, N_ENGINES);
-  cr_assert (lc_roster_update (roster, list, N_ENGINES, now, now));
+  cr_assert (lc_roster_apply_list (roster, list, N_ENGINES, now, now));
   now += 4 * LB_SEC;
-  lc_roster_update (roster, list, 0, now, now);
+  lc_roster_apply_list (roster, list, 0, now, now);
   cr_assert_eq (lc_roster_count (roster), N_ENGINES);
   now += 400 * LB_MSEC;
-  lc_roster_update (roster, list, 4, now, now);
+  lc_roster_apply_list (roster, list, 4, now, now);
   cr_assert_eq (lc_roster_count (roster), N_ENGINES);
   for (int i = 0; i < 6; i++)
     {
       now += 400 * LB_MSEC;
-      lc_roster_update (roster, list, 4, now, now);
+      lc_roster_apply_list (roster, list, 4, now, now);
     }
   cr_assert_eq (lc_roster_count (roster), 4,
                 "endpoints not listed again are removed after the grace period");
@@ -76,8 +76,8 @@
   LcRegistration list[N_ENGINES];
 
   fill_list (list, N_ENGINES);
-  lc_roster_update (roster, list, N_ENGINES, LB_SEC, LB_SEC);
-  cr_assert (lc_roster_update (roster, list, N_ENGINES - 1, 1400 * LB_MSEC, 1400 * LB_MSEC));
+  lc_roster_apply_list (roster, list, N_ENGINES, LB_SEC, LB_SEC);
+  cr_assert (lc_roster_apply_list (roster, list, N_ENGINES - 1, 1400 * LB_MSEC, 1400 * LB_MSEC));
   cr_assert_eq (lc_roster_count (roster), N_ENGINES - 1);
   lc_roster_free (roster);
 }
@@ -94,13 +94,13 @@
   fill_list (list, N_ENGINES);
   for (int i = 0; i < N_ENGINES; i++)
     reversed[i] = list[N_ENGINES - 1 - i];
-  lc_roster_update (first, list, N_ENGINES, LB_SEC, LB_SEC);
-  lc_roster_update (second, reversed, N_ENGINES, LB_SEC, LB_SEC);
+  lc_roster_apply_list (first, list, N_ENGINES, LB_SEC, LB_SEC);
+  lc_roster_apply_list (second, reversed, N_ENGINES, LB_SEC, LB_SEC);
   for (size_t i = 0; i < N_ENGINES; i++)
     {
       cr_assert_str_eq (lc_roster_registration (first, i)->name,
                         lc_roster_registration (second, i)->name);
-      cr_assert_str_eq (lc_roster_model (first, i), lc_roster_model (second, i));
+      cr_assert_str_eq (lc_roster_assigned_model (first, i), lc_roster_assigned_model (second, i));
     }
   cr_assert_geq (count_model (first, "reader"), 4);
   cr_assert_geq (count_model (first, "writer"), 4);
@@ -117,17 +117,17 @@
   LcPlanEntry entry = { .version = 7 };
 
   fill_list (list, N_ENGINES);
-  lc_roster_update (roster, list, N_ENGINES, LB_SEC, LB_SEC);
+  lc_roster_apply_list (roster, list, N_ENGINES, LB_SEC, LB_SEC);
   LB_COPY (entry.model, "writer");
   for (int i = 0; i < N_ENGINES; i++)
     {
       snprintf (entry.engine, sizeof entry.engine, "i-%d", i);
       lc_engine_plan_put (&plan, &entry);
     }
-  cr_assert (lc_roster_set_plan (roster, &plan));
+  cr_assert (lc_roster_set_engine_plan (roster, &plan));
   cr_assert_eq (count_model (roster, "writer"), N_ENGINES);
-  cr_assert_eq (lc_roster_latest_version (roster, 0), 7);
-  cr_assert_not (lc_roster_set_plan (roster, &plan), "the same plan again changes nothing");
+  cr_assert_eq (lc_roster_latest_weight_version (roster, 0), 7);
+  cr_assert_not (lc_roster_set_engine_plan (roster, &plan), "the same plan again changes nothing");
   lc_engine_plan_clear (&plan);
   lc_roster_free (roster);
 }
@@ -141,7 +141,7 @@
   LB_COPY (list[1].address, "10.0.0.9:80");
   LB_COPY (list[1].service, "lookup");
   list[1].leaving = true;
-  lc_roster_update (roster, list, 2, LB_SEC, LB_SEC);
+  lc_roster_apply_list (roster, list, 2, LB_SEC, LB_SEC);
   LcResourceSet *set = lc_roster_to_resources (roster, 5, true);
   cr_assert_eq (set->n_pools, 2);
   cr_assert_eq (set->n_endpoints, 2);
@@ -163,7 +163,7 @@
       LcRoster *roster = lc_roster_new ();
       LcRegistration registration = make_engine (1);
 
-      lc_roster_update (roster, &registration, 1, LB_SEC, LB_SEC);
+      lc_roster_apply_list (roster, &registration, 1, LB_SEC, LB_SEC);
       LcResourceSet *set = lc_roster_to_resources (roster, 1, checks);
       cr_assert_eq (set->endpoints[0].checks_fence, checks);
       lc_resource_set_free (set);
@@ -182,12 +182,13 @@
 
   for (size_t i = 0; i < 7; i++)
     list[i] = make_engine (order[i]);
-  cr_assert (lc_roster_update (roster, list, 7, now, now));
+  cr_assert (lc_roster_apply_list (roster, list, 7, now, now));
   cr_assert_eq (lc_roster_count (roster), 5);
   fill_list (list, N_ENGINES);
-  cr_assert (lc_roster_update (roster, list, N_ENGINES, now + LB_SEC, now + LB_SEC));
+  cr_assert (lc_roster_apply_list (roster, list, N_ENGINES, now + LB_SEC, now + LB_SEC));
   cr_assert_eq (lc_roster_count (roster), N_ENGINES);
-  cr_assert_not (lc_roster_update (roster, list, N_ENGINES, now + 2 * LB_SEC, now + 2 * LB_SEC));
+  cr_assert_not (
+      lc_roster_apply_list (roster, list, N_ENGINES, now + 2 * LB_SEC, now + 2 * LB_SEC));
   lc_roster_free (roster);
 }
 
@@ -205,11 +206,11 @@
 
   fill_list (list, N_REGISTRATIONS);
   cr_assert_eq (lc_roster_list_period (roster), 400 * LB_MSEC);
-  lc_roster_update (roster, list, 60, LB_SEC, LB_SEC);
+  lc_roster_apply_list (roster, list, 60, LB_SEC, LB_SEC);
   cr_assert_eq (lc_roster_list_period (roster), 400 * LB_MSEC);
-  lc_roster_update (roster, list, 300, 2 * LB_SEC, 2 * LB_SEC);
+  lc_roster_apply_list (roster, list, 300, 2 * LB_SEC, 2 * LB_SEC);
   cr_assert_eq (lc_roster_list_period (roster), 750 * LB_MSEC);
-  lc_roster_update (roster, list, N_REGISTRATIONS, 3 * LB_SEC, 3 * LB_SEC);
+  lc_roster_apply_list (roster, list, N_REGISTRATIONS, 3 * LB_SEC, 3 * LB_SEC);
   cr_assert_eq (lc_roster_list_period (roster), 900 * LB_MSEC);
   free (list);
   lc_roster_free (roster);
@@ -225,10 +226,10 @@
   LbTime now = 10 * LB_SEC;
 
   fill_list (list, N_ENGINES);
-  lc_roster_update (roster, list, N_ENGINES, now, now);
+  lc_roster_apply_list (roster, list, N_ENGINES, now, now);
   now += 4 * LB_SEC;
   LB_COPY (list[3].name, "i-3@2");
-  cr_assert (lc_roster_update (roster, list, 4, now, now));
+  cr_assert (lc_roster_apply_list (roster, list, 4, now, now));
   cr_assert_eq (lc_roster_count (roster), N_ENGINES,
                 "expired registrations are kept for the grace period");
   for (size_t i = 0; i < lc_roster_count (roster); i++)
@@ -249,18 +250,18 @@
       LcEnginePlan plan = { 0 };
       LcPlanEntry planned = { .version = 7 };
       fill_list (list, N_ENGINES);
-      lc_roster_update (roster, list, N_ENGINES, LB_SEC, LB_SEC);
+      lc_roster_apply_list (roster, list, N_ENGINES, LB_SEC, LB_SEC);
       LB_COPY (planned.engine, "i-3");
       LB_COPY (planned.model, pools[i]);
       lc_engine_plan_put (&plan, &planned);
-      lc_roster_set_plan (roster, &plan);
+      lc_roster_set_engine_plan (roster, &plan);
       LB_COPY (list[3].name, "i-3@2");
-      cr_assert (lc_roster_update (roster, list, N_ENGINES, 2 * LB_SEC, 2 * LB_SEC));
+      cr_assert (lc_roster_apply_list (roster, list, N_ENGINES, 2 * LB_SEC, 2 * LB_SEC));
       for (size_t at = 0; at < lc_roster_count (roster); at++)
         if (strcmp (lc_roster_registration (roster, at)->name, "i-3@2") == 0)
           {
-            cr_assert_str_eq (lc_roster_model (roster, at), pools[i]);
-            cr_assert_eq (lc_roster_latest_version (roster, at), 1,
+            cr_assert_str_eq (lc_roster_assigned_model (roster, at), pools[i]);
+            cr_assert_eq (lc_roster_latest_weight_version (roster, at), 1,
                           "the version in its registration");
           }
       lc_engine_plan_clear (&plan);
@@ -277,8 +278,8 @@
   LbTime now = 10 * LB_SEC;
 
   fill_list (list, N_ENGINES);
-  lc_roster_update (roster, list, N_ENGINES, LB_SEC, LB_SEC);
-  lc_roster_update (roster, list, N_ENGINES - 1, now, now);
+  lc_roster_apply_list (roster, list, N_ENGINES, LB_SEC, LB_SEC);
+  lc_roster_apply_list (roster, list, N_ENGINES - 1, now, now);
   cr_assert_eq (lc_roster_count (roster), N_ENGINES);
   for (int i = 1; i < 6; i++)
     cr_assert_not (
@@ -315,9 +316,9 @@
       snprintf (list[i].name, sizeof list[i].name, "i-%07d", i * 7919 % N_MANY_ENGINES);
     }
   started_at = processor_seconds ();
-  cr_assert (lc_roster_update (roster, list, N_MANY_ENGINES, 1, 1));
+  cr_assert (lc_roster_apply_list (roster, list, N_MANY_ENGINES, 1, 1));
   list[0].leaving = true;
-  cr_assert (lc_roster_update (roster, list, N_MANY_ENGINES, 2, 2));
+  cr_assert (lc_roster_apply_list (roster, list, N_MANY_ENGINES, 2, 2));
   cr_assert_lt (processor_seconds () - started_at, MAX_PROCESSOR_SECONDS);
   cr_assert_eq (lc_roster_count (roster), N_MANY_ENGINES);
   cr_assert_eq (count_model (roster, "reader"), N_MANY_ENGINES / 2);
@@ -332,9 +333,9 @@
   LcRegistration list[]
       = { make_engine (2), make_engine (1), make_engine (2), make_engine (3), make_engine (3) };
 
-  lc_roster_update (roster, list, 3, 1, 1);
+  lc_roster_apply_list (roster, list, 3, 1, 1);
   cr_assert_eq (lc_roster_count (roster), 2);
-  lc_roster_update (roster, list, 5, 2, 2);
+  lc_roster_apply_list (roster, list, 5, 2, 2);
   cr_assert_eq (lc_roster_count (roster), 3);
   lc_roster_free (roster);
 }
--- a/packages/core/tests/test-router.c
+++ b/packages/core/tests/test-router.c
@@ -24,18 +24,18 @@
 static void
 check_filters (LcRouter *router, const char *policy)
 {
-  LcRouteQuery query = fixture_query ();
+  LcRouteQuery query = fixture_make_route_query ();
   Fixture f;
 
   fixture_init (&f, 5);
   for (int i = 0; i < 5; i++)
-    fixture_report (&f, f.members[i].name, "a", i == 3 ? 1 : 2, 1);
+    fixture_record_report (&f, f.members[i].name, "a", i == 3 ? 1 : 2, 1);
   lc_endpoints_mark_leaving (f.endpoints, "e1", "a", LC_LEAVING_PEER, 2);
   strcpy (query.avoid[0], "e2");
   query.n_avoid = 1;
   query.min_version = 2;
   for (int i = 0; i < 7; i++)
-    lc_endpoint_request_sent (fixture_find (&f, "e4"), LC_KIND_SAMPLE, 0, 2);
+    lc_endpoint_request_sent (fixture_find_endpoint (&f, "e4"), LC_KIND_SAMPLE, 0, 2);
   query.live_reserve = 0.5;
   query.kind = LC_KIND_SAMPLE;
   for (int i = 0; i < 20; i++)
@@ -67,7 +67,7 @@
 static void
 check_reasons (LcRouter *router, const char *policy)
 {
-  LcRouteQuery query = fixture_query ();
+  LcRouteQuery query = fixture_make_route_query ();
   Fixture f;
 
   (void)policy;
@@ -85,8 +85,8 @@
   query.n_avoid = 0;
   for (int i = 0; i < 8; i++)
     {
-      lc_endpoint_request_sent (fixture_find (&f, "e0"), LC_KIND_LIVE, 0, 1);
-      lc_endpoint_request_sent (fixture_find (&f, "e1"), LC_KIND_LIVE, 0, 1);
+      lc_endpoint_request_sent (fixture_find_endpoint (&f, "e0"), LC_KIND_LIVE, 0, 1);
+      lc_endpoint_request_sent (fixture_find_endpoint (&f, "e1"), LC_KIND_LIVE, 0, 1);
     }
   expect_reason (router, &f, &query, "no-capacity");
   lc_endpoints_mark_leaving (f.endpoints, "e0", "", LC_LEAVING_ENDPOINT, 2);
@@ -119,7 +119,7 @@
   for (uint64_t instance = 0; instance < 100; instance++)
     {
       LcRouter *router = lc_router_new ("lentilspindle", instance + 1);
-      LcRouteQuery query = fixture_query ();
+      LcRouteQuery query = fixture_make_route_query ();
       Fixture f;
 
       fixture_init (&f, 10);
@@ -143,7 +143,7 @@
 choose_with_prefix (Fixture *f, uint64_t prefix, LbTime now)
 {
   LcRouter *router = lc_router_new ("lentilspindle", 3);
-  LcRouteQuery query = fixture_query ();
+  LcRouteQuery query = fixture_make_route_query ();
 
   query.prefix_hashes = &prefix;
   query.n_prefix_hashes = 1;
@@ -160,11 +160,11 @@
 
   fixture_init (&f, 4);
   for (int i = 0; i < 4; i++)
-    fixture_report (&f, f.members[i].name, "a", 1, 1);
+    fixture_record_report (&f, f.members[i].name, "a", 1, 1);
   lc_endpoints_apply_cache_event (f.endpoints, "e2", 1, true, 77, 2);
   cr_assert_str_eq (choose_with_prefix (&f, 77, 3), "e2");
   for (int i = 0; i < 7; i++)
-    lc_endpoint_request_sent (fixture_find (&f, "e2"), LC_KIND_LIVE, 0, 3);
+    lc_endpoint_request_sent (fixture_find_endpoint (&f, "e2"), LC_KIND_LIVE, 0, 3);
   cr_assert_str_neq (choose_with_prefix (&f, 77, 4), "e2");
   fixture_clear (&f);
 }
@@ -176,12 +176,12 @@
   Fixture f;
 
   fixture_init (&f, 2);
-  fixture_report (&f, "e0", "a", 1, 1);
-  fixture_report (&f, "e1", "a", 1, 1);
+  fixture_record_report (&f, "e0", "a", 1, 1);
+  fixture_record_report (&f, "e1", "a", 1, 1);
   for (int i = 0; i < 5; i++)
-    lc_endpoint_request_sent (fixture_find (&f, "e1"), LC_KIND_LIVE, 0, 2);
+    lc_endpoint_request_sent (fixture_find_endpoint (&f, "e1"), LC_KIND_LIVE, 0, 2);
   cr_assert_str_eq (choose_with_prefix (&f, 0, 3), "e0");
-  lc_endpoints_set_swap (f.endpoints, "e0", true, 30 * LB_SEC, 3);
+  lc_endpoints_set_weight_swap (f.endpoints, "e0", true, 30 * LB_SEC, 3);
   cr_assert_str_eq (choose_with_prefix (&f, 0, 4), "e1");
   fixture_clear (&f);
 }
@@ -194,7 +194,7 @@
   Fixture f;
 
   fixture_init (&f, 4);
-  fixture_report (&f, "e0", "a", 1, LB_SEC);
+  fixture_record_report (&f, "e0", "a", 1, LB_SEC);
   for (LbTime now = LB_SEC; now <= 8 * LB_SEC; now += LB_SEC)
     for (int i = 1; i < 4; i++)
       {
@@ -205,7 +205,7 @@
       }
   for (uint64_t prompt = 1; prompt < 50; prompt++)
     cr_assert_str_neq (choose_with_prefix (&f, prompt, 8 * LB_SEC), "e0");
-  lc_endpoint_first_byte_received (fixture_find (&f, "e0"), LB_MSEC, 8 * LB_SEC);
+  lc_endpoint_first_byte_received (fixture_find_endpoint (&f, "e0"), LB_MSEC, 8 * LB_SEC);
   cr_assert_str_eq (choose_with_prefix (&f, 1, 8 * LB_SEC + 1), "e0");
   fixture_clear (&f);
 }
@@ -214,7 +214,7 @@
  * so all seemed to have an open connection and calls rotated over them. */
 Test (router, a_list_of_the_store_opens_no_connection)
 {
-  LcRouteQuery query = fixture_query ();
+  LcRouteQuery query = fixture_make_route_query ();
   LcRouter *router = lc_router_new ("lentilspindle", 7);
   LbTime now = 100 * LB_SEC;
   Fixture f;
@@ -224,9 +224,10 @@
     f.members[i].kind = LC_ENDPOINT_SERVICE;
   fixture_configure (&f, 1);
   query.kind = LC_KIND_SERVICE;
-  lc_endpoint_request_sent (fixture_find (&f, "e2"), LC_KIND_SERVICE, 0, now);
-  lc_endpoint_first_byte_received (fixture_find (&f, "e2"), 20 * LB_MSEC, now);
-  lc_endpoint_request_ended (fixture_find (&f, "e2"), LC_KIND_SERVICE, true, 0, 20 * LB_MSEC, now);
+  lc_endpoint_request_sent (fixture_find_endpoint (&f, "e2"), LC_KIND_SERVICE, 0, now);
+  lc_endpoint_first_byte_received (fixture_find_endpoint (&f, "e2"), 20 * LB_MSEC, now);
+  lc_endpoint_request_ended (fixture_find_endpoint (&f, "e2"), LC_KIND_SERVICE, true, 0,
+                             20 * LB_MSEC, now);
   for (int i = 0; i < 4; i++)
     {
       LcLoadReport listed
@@ -245,7 +246,7 @@
  * is busier. */
 Test (router, service_calls_keep_to_open_connections)
 {
-  LcRouteQuery query = fixture_query ();
+  LcRouteQuery query = fixture_make_route_query ();
   LcRouter *router = lc_router_new ("lentilspindle", 7);
   Fixture f;
 
@@ -255,13 +256,14 @@
   fixture_configure (&f, 1);
   query.kind = LC_KIND_SERVICE;
   LbTime now = 100 * LB_SEC;
-  lc_endpoint_request_sent (fixture_find (&f, "e2"), LC_KIND_SERVICE, 0, now);
-  lc_endpoint_first_byte_received (fixture_find (&f, "e2"), 20 * LB_MSEC, now);
-  lc_endpoint_request_ended (fixture_find (&f, "e2"), LC_KIND_SERVICE, true, 0, 20 * LB_MSEC, now);
+  lc_endpoint_request_sent (fixture_find_endpoint (&f, "e2"), LC_KIND_SERVICE, 0, now);
+  lc_endpoint_first_byte_received (fixture_find_endpoint (&f, "e2"), 20 * LB_MSEC, now);
+  lc_endpoint_request_ended (fixture_find_endpoint (&f, "e2"), LC_KIND_SERVICE, true, 0,
+                             20 * LB_MSEC, now);
   for (int i = 0; i < 40; i++)
     cr_assert_str_eq (choose (router, &f, &query, now + LB_SEC).endpoint->member.name, "e2");
   for (int i = 0; i < 4; i++)
-    lc_endpoint_request_sent (fixture_find (&f, "e2"), LC_KIND_SERVICE, 0, now + LB_SEC);
+    lc_endpoint_request_sent (fixture_find_endpoint (&f, "e2"), LC_KIND_SERVICE, 0, now + LB_SEC);
   cr_assert_str_neq (choose (router, &f, &query, now + LB_SEC).endpoint->member.name, "e2");
   fixture_clear (&f);
   lc_router_free (router);
--- a/packages/core/tests/test-stream-pace.c
+++ b/packages/core/tests/test-stream-pace.c
@@ -13,10 +13,10 @@
 
   cr_assert_eq (lc_stream_pace_token_seconds (&pace), 0, "no data yet");
   for (int i = 0; i < 100; i++)
-    lc_stream_pace_add (&pace, 1, NORMAL_INTERVAL);
+    lc_stream_pace_add_tokens (&pace, 1, NORMAL_INTERVAL);
   cr_assert_float_eq (lc_stream_pace_token_seconds (&pace), 0.048, 0.002);
   for (int i = 0; i < 5; i++)
-    lc_stream_pace_add (&pace, 1, SLOW_INTERVAL);
+    lc_stream_pace_add_tokens (&pace, 1, SLOW_INTERVAL);
   cr_assert_gt (lc_stream_pace_token_seconds (&pace), 0.048 * 1.5);
 }
 
@@ -27,10 +27,10 @@
   LcStreamPace pace = { 0 };
 
   for (int i = 0; i < 40; i++)
-    lc_stream_pace_add (&pace, 1, NORMAL_INTERVAL);
-  lc_stream_pace_add (&pace, 1, 10 * NORMAL_INTERVAL);
+    lc_stream_pace_add_tokens (&pace, 1, NORMAL_INTERVAL);
+  lc_stream_pace_add_tokens (&pace, 1, 10 * NORMAL_INTERVAL);
   for (int i = 0; i < 9; i++)
-    lc_stream_pace_add (&pace, 1, 0);
+    lc_stream_pace_add_tokens (&pace, 1, 0);
   cr_assert_float_eq (lc_stream_pace_token_seconds (&pace), 0.048, 0.003);
 }
 
@@ -39,8 +39,8 @@
   LcStreamPace pace = { 0 };
 
   for (int i = 0; i < 40; i++)
-    lc_stream_pace_add (&pace, 1, NORMAL_INTERVAL);
-  lc_stream_pace_add (&pace, 0, 500 * LB_MSEC);
+    lc_stream_pace_add_tokens (&pace, 1, NORMAL_INTERVAL);
+  lc_stream_pace_add_tokens (&pace, 0, 500 * LB_MSEC);
   cr_assert_gt (lc_stream_pace_token_seconds (&pace), 0.048 * 1.5);
 }
 
@@ -48,13 +48,13 @@
 stream_tokens (Fixture *f, const char *endpoint, LbTime interval, LbTime from, LbTime to)
 {
   for (LbTime now = from; now < to; now += interval)
-    lc_endpoint_tokens_received (fixture_find (f, endpoint), 1, interval, now);
+    lc_endpoint_tokens_received (fixture_find_endpoint (f, endpoint), 1, interval, now);
 }
 
 static int
 count_decisions_for (Fixture *f, const char *endpoint, LbTime now)
 {
-  LcRouteQuery query = fixture_query ();
+  LcRouteQuery query = fixture_make_route_query ();
   LcRouter *router = lc_router_new ("lentilspindle", 7);
   int n = 0;
 
@@ -108,13 +108,13 @@
   stream_tokens (f, "e1", SLOW_INTERVAL, 1, now);
   stream_tokens (f, "e0", NORMAL_INTERVAL, now - LB_SEC, now);
   for (int i = 0; i < 8; i++)
-    lc_endpoint_request_sent (fixture_find (f, "e0"), LC_KIND_SAMPLE, 0, now);
+    lc_endpoint_request_sent (fixture_find_endpoint (f, "e0"), LC_KIND_SAMPLE, 0, now);
 }
 
 static LcRouteQuery
 long_generation_query (LbTime now)
 {
-  LcRouteQuery query = fixture_query ();
+  LcRouteQuery query = fixture_make_route_query ();
 
   query.kind = LC_KIND_SAMPLE;
   query.expected_tokens = 100; /* 4.8 s on a normal engine, 19 s on a slow one */
--- a/packages/node/src/calls/ln-calls.c
+++ b/packages/node/src/calls/ln-calls.c
@@ -246,8 +246,8 @@
       break;
     case LN_ENDPOINT_SWAP:
       swap = (const LnEndpointSwapMessage *)message;
-      lc_endpoints_set_swap (lc_dispatch_endpoints (calls->dispatch), swap->endpoint, swap->pending,
-                             swap->until, lb_clock_monotonic ());
+      lc_endpoints_set_weight_swap (lc_dispatch_endpoints (calls->dispatch), swap->endpoint,
+                                    swap->pending, swap->until, lb_clock_monotonic ());
       break;
     default:
       break;
--- a/packages/node/src/config/ln-desired.c
+++ b/packages/node/src/config/ln-desired.c
@@ -198,7 +198,7 @@
 {
   DesiredTask *task = user;
 
-  if (lc_roster_set_plan (task->roster, plan))
+  if (lc_roster_set_engine_plan (task->roster, plan))
     {
       lb_log (LB_LOG_INFO, "engines_divided", LB_INT ("engines", plan->n_entries));
       post_endpoints (task);
@@ -223,8 +223,9 @@
 
   for (size_t i = 0; calls && i < lc_roster_count (task->roster); i++)
     {
-      LnEndpointListedMessage message = { .base = LN_MESSAGE (LN_ENDPOINT_LISTED),
-                                          .version = lc_roster_latest_version (task->roster, i) };
+      LnEndpointListedMessage message
+          = { .base = LN_MESSAGE (LN_ENDPOINT_LISTED),
+              .version = lc_roster_latest_weight_version (task->roster, i) };
       LB_COPY (message.endpoint, lc_roster_registration (task->roster, i)->name);
       LN_POST (task->task.hub, calls, message);
     }
@@ -261,7 +262,7 @@
     if (!task->desired || lc_desired_find_service (task->desired, list[i].service))
       used[n_used++] = list[i];
   post_list_applied (task, ln_catalog_publisher_name (task->catalog), valid_at);
-  if (lc_roster_update (task->roster, used, n_used, valid_at, now))
+  if (lc_roster_apply_list (task->roster, used, n_used, valid_at, now))
     post_endpoints (task);
   post_listed_endpoints (task);
   free (used);
@@ -329,7 +330,7 @@
   ln_catalog_set_subset_bounds (task->catalog, ln_endpoint_list_subset (task->endpoint_list));
   ln_catalog_set_endpoint_list (task->catalog, list, n_list, requested_at, now);
   post_list_applied (task, task->context->instance, requested_at);
-  if (lc_roster_update (task->roster, list, n_list, requested_at, now))
+  if (lc_roster_apply_list (task->roster, list, n_list, requested_at, now))
     post_endpoints (task);
   ln_weight_orders_apply_list (task->weight_orders, task->roster, requested_at, now);
   post_listed_endpoints (task);
--- a/packages/node/src/endpoints/ln-endpoint-list.c
+++ b/packages/node/src/endpoints/ln-endpoint-list.c
@@ -73,7 +73,7 @@
 {
   lc_desired_unref (list->desired);
   list->desired = lc_desired_ref (desired);
-  lc_subset_clear_expected (list->subset);
+  lc_subset_clear_expected_services (list->subset);
   for (size_t i = 0; i < desired->n_services; i++)
     lc_subset_expect_service (list->subset, desired->services[i].name);
 }
--- a/packages/node/src/front/ln-entry.c
+++ b/packages/node/src/front/ln-entry.c
@@ -89,7 +89,7 @@
   lc_membership_copy_views (membership, views);
   if (!data_centre || !is_known_data_centre (views, n_views, data_centre))
     data_centre = lc_membership_self (membership)->data_centre;
-  lc_entry_choose (&entry, views, n_views, read_caller_name (exchange), data_centre);
+  lc_entry_choose_instances (&entry, views, n_views, read_caller_name (exchange), data_centre);
   lb_metric_add (&replies, 1);
   if (entry.n_chosen == 0)
     refuse_request (exchange);
--- a/packages/node/src/weights/ln-engine-plans.c
+++ b/packages/node/src/weights/ln-engine-plans.c
@@ -291,7 +291,7 @@
       if (registration->n_models == 0 || registration->leaving)
         continue;
       LB_COPY (engines[n_engines].engine, registration->name);
-      LB_COPY (engines[n_engines].model, lc_roster_model (roster, i));
+      LB_COPY (engines[n_engines].model, lc_roster_assigned_model (roster, i));
       n_engines++;
       for (size_t model = 0; model < registration->n_models; model++)
         n_models = add_model (models, n_models, registration->models[model].name);
--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -281,7 +281,7 @@
     {
       const LcRegistration *registration = lc_roster_registration (roster, i);
       Engine *engine = find_engine (orders, registration->name);
-      LcVersion version = lc_roster_registered_version (roster, i);
+      LcVersion version = lc_roster_registered_weight_version (roster, i);
       /* The endpoint list lags behind the version that the engine itself stated. */
       if (engine && engine->orders_accepted >= 0)
         apply_version (engine, version > engine->version ? version : engine->version, requested_at,
--- a/packages/sim/src/lx-instance.c
+++ b/packages/sim/src/lx-instance.c
@@ -1083,9 +1083,9 @@
 void
 lx_instance_set_swap (LxInstance *instance, size_t engine, bool pending, LbTime until)
 {
-  lc_endpoints_set_swap (lc_dispatch_endpoints (instance->dispatch),
-                         instance->world->engines[engine]->name, pending, until,
-                         current_time (instance));
+  lc_endpoints_set_weight_swap (lc_dispatch_endpoints (instance->dispatch),
+                                instance->world->engines[engine]->name, pending, until,
+                                current_time (instance));
 }
 
 void
