--- a/tests/process/pt-relay.c
+++ b/tests/process/pt-relay.c
@@ -14,6 +14,8 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
+#include <sys/socket.h>
+#include <unistd.h>
 
 #define ORDER_POLL_INTERVAL (2 * LB_MSEC) /* between checks for earlier chunks that still wait */
 
@@ -172,33 +174,37 @@
   enable_callbacks (connection, connection->server);
 }
 
-/* port 0: any free port. Close-on-exec keeps the socket out of programs that the test starts. */
-static void
-listen_on_port (PtRelay *relay, uint16_t port)
+/* Binds a socket to a free port. The socket never listens and stays open while the relay refuses
+ * connections, so that no other program can bind the port; SO_REUSEPORT lets the relay's own
+ * listener share it. Close-on-exec keeps the socket out of programs that the test starts. */
+static int
+reserve_port (struct sockaddr_in *bound)
 {
-  const unsigned flags = LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE;
-  struct sockaddr_in bind_address
+  const struct sockaddr_in any_port
       = { .sin_family = AF_INET, .sin_addr.s_addr = htonl (INADDR_LOOPBACK) };
-
-  bind_address.sin_port = htons (port);
-  relay->listener = evconnlistener_new_bind (relay->base, on_accept, relay, flags, -1,
-                                             (struct sockaddr *)&bind_address, sizeof bind_address);
-  PT_ASSERT (relay->listener != NULL);
+  const int on = 1;
+  socklen_t length = sizeof *bound;
+  int fd = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+
+  PT_ASSERT (fd >= 0);
+  PT_ASSERT (setsockopt (fd, SOL_SOCKET, SO_REUSEPORT, &on, sizeof on) == 0);
+  PT_ASSERT (bind (fd, (const struct sockaddr *)&any_port, sizeof any_port) == 0);
+  PT_ASSERT (getsockname (fd, (struct sockaddr *)bound, &length) == 0);
+  return fd;
 }
 
 void
 pt_relay_init (PtRelay *relay, struct event_base *base, const char *target_address)
 {
   struct sockaddr_in bound = { 0 };
-  socklen_t length = sizeof bound;
 
   memset (relay, 0, sizeof *relay);
   relay->base = base;
   lb_list_init (&relay->connections);
   LB_COPY (relay->target_address, target_address);
-  listen_on_port (relay, 0);
-  getsockname (evconnlistener_get_fd (relay->listener), (struct sockaddr *)&bound, &length);
+  relay->reserved_socket = reserve_port (&bound);
   snprintf (relay->address, sizeof relay->address, "127.0.0.1:%d", ntohs (bound.sin_port));
+  pt_relay_accept_connections (relay);
 }
 
 void
@@ -212,8 +218,17 @@
 void
 pt_relay_accept_connections (PtRelay *relay)
 {
-  if (!relay->listener)
-    listen_on_port (relay, (uint16_t)atoi (strchr (relay->address, ':') + 1));
+  const unsigned flags = LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE_PORT;
+  struct sockaddr_in address;
+  int length = sizeof address;
+
+  if (relay->listener)
+    return;
+  PT_ASSERT (evutil_parse_sockaddr_port (relay->address, (struct sockaddr *)&address, &length)
+             == 0);
+  relay->listener = evconnlistener_new_bind (relay->base, on_accept, relay, flags, -1,
+                                             (struct sockaddr *)&address, length);
+  PT_ASSERT (relay->listener != NULL);
 }
 
 void
@@ -222,6 +237,7 @@
   LB_LIST_FOREACH (&relay->connections, Connection, link, connection)
   connection_free (connection);
   pt_relay_refuse_connections (relay);
+  close (relay->reserved_socket);
 }
 
 void
--- a/tests/process/pt-relay.h
+++ b/tests/process/pt-relay.h
@@ -19,8 +19,9 @@
 {
   PtRelayFault fault;
   struct event_base *base;
-  struct evconnlistener *listener;
-  LbName address; /* where clients connect */
+  struct evconnlistener *listener; /* NULL while connections are refused */
+  int reserved_socket;             /* holds the port while the listener is closed */
+  LbName address;                  /* where clients connect */
   LbName target_address;
   LbList connections;
   int64_t bytes_forwarded; /* in both directions */
--- a/tests/process/test-relay.c
+++ b/tests/process/test-relay.c
@@ -46,8 +46,8 @@
   return error;
 }
 
-/* A relay that refuses connections for some seconds gave up its port meanwhile. When another program
- * bound the port, the relay could not listen again, and the test was aborted. */
+/* A relay that refuses connections for some seconds gave up its port meanwhile. When another
+ * program bound the port, the relay could not listen again, and the test was aborted. */
 Test (relay, port_stays_reserved_while_connections_are_refused)
 {
   struct event_base *base = event_base_new ();
