--- a/packages/core/bench/fake-peers.c
+++ b/packages/core/bench/fake-peers.c
@@ -577,7 +577,8 @@
 {
   LcMemberView view;
 
-  return lc_membership_find (peers->nodes[observer].membership, peers->nodes[subject].name, &view)
+  return lc_membership_find_instance (peers->nodes[observer].membership, peers->nodes[subject].name,
+                                      &view)
          && view.alive && !view.draining;
 }
 
@@ -586,7 +587,8 @@
 {
   LcMemberView view;
 
-  if (!lc_membership_find (peers->nodes[observer].membership, peers->nodes[subject].name, &view))
+  if (!lc_membership_find_instance (peers->nodes[observer].membership, peers->nodes[subject].name,
+                                    &view))
     return LC_INSTANCE_DEAD;
   return view.instance.state;
 }
--- a/packages/core/include/lc-catalog.h
+++ b/packages/core/include/lc-catalog.h
@@ -16,8 +16,8 @@
 /* Time between two listings by the publisher. An instance relies on a snapshot that is not renewed
  * for at most 9 / 4 of it; together with the listing before and its own listing afterwards, it
  * learns of a leaving endpoint within about four periods. */
-#define LC_CATALOG_PERIOD (400 * LB_MSEC)
-#define LC_CATALOG_MAX_SILENCE (LC_CATALOG_PERIOD * 9 / 4)
+#define LC_CATALOG_LISTING_PERIOD (400 * LB_MSEC)
+#define LC_CATALOG_SNAPSHOT_TIMEOUT (LC_CATALOG_LISTING_PERIOD * 9 / 4)
 
 typedef struct LcCatalog LcCatalog;
 
@@ -86,13 +86,13 @@
  * publisher. */
 bool lc_catalog_needs_listing (const LcCatalog *catalog, LbTime now);
 /* Whether this instance is the publisher according to the publisher's row. */
-bool lc_catalog_is_published_here (const LcCatalog *catalog);
+bool lc_catalog_is_publisher (const LcCatalog *catalog);
 /* Time between two listings of the publisher, according to its row. */
 LbTime lc_catalog_publish_period (const LcCatalog *catalog);
 /* Name of the instance that published last; "" when none has. */
 const char *lc_catalog_publisher_name (const LcCatalog *catalog);
 /* Time as of which the snapshot reflects the store. */
-LbTime lc_catalog_valid_at (const LcCatalog *catalog);
+LbTime lc_catalog_snapshot_valid_at (const LcCatalog *catalog);
 /* Number of changes applied to the rows; an equal count means an unchanged snapshot. */
 int64_t lc_catalog_change_count (const LcCatalog *catalog);
 /* Value of this key in the table; NULL when there is none. */
--- a/packages/core/include/lc-duty.h
+++ b/packages/core/include/lc-duty.h
@@ -10,12 +10,12 @@
 typedef struct
 {
   LbName name;
-  int64_t strength; /* capacity of its machine, see lc_duty_strength */
+  int64_t strength; /* capacity of its machine, see lc_duty_machine_strength */
 } LcDutyCandidate;
 
 /* Capacity of a machine: its processor share times its link bandwidth, in thousandths of a core x
  * Mbit/s. */
-int64_t lc_duty_strength (double processor_share, double link_mbps);
+int64_t lc_duty_machine_strength (double processor_share, double link_mbps);
 
 /* Sort key that puts strong machines first, derived from the instance's own name and strength
  * alone; smaller is earlier. In 0 .. LC_DUTY_MAX_SORT_KEY. */
--- a/packages/core/include/lc-fleet.h
+++ b/packages/core/include/lc-fleet.h
@@ -72,8 +72,8 @@
 /* Merges two listings: instances that run batches or give weight orders also have a row on duty,
  * which is listed more often than the rows of all. `members` must have room for the members of
  * both; returns how many it holds. */
-size_t lc_fleet_merge (const LcFleet *all, const LcFleet *on_duty, LcFleetMember *members);
-size_t lc_fleet_count (const LcFleet *fleet);
-const LcFleetMember *lc_fleet_at (const LcFleet *fleet, size_t index);
+size_t lc_fleet_merge_members (const LcFleet *all, const LcFleet *on_duty, LcFleetMember *members);
+size_t lc_fleet_count_members (const LcFleet *fleet);
+const LcFleetMember *lc_fleet_member_at (const LcFleet *fleet, size_t index);
 
 #endif
--- a/packages/core/include/lc-lease.h
+++ b/packages/core/include/lc-lease.h
@@ -78,7 +78,7 @@
 void lc_lease_release (LcLease *lease, LbTime now, LbList *actions);
 /* The process that wrote this version of the row is known to have ended, since another one runs
  * under its name: candidates need not wait for the lease to expire. Its orders still in transit are
- * refused because of the higher fencing number, or waited out, see lc_lease_can_order. */
+ * refused because of the higher fencing number, or waited out, see lc_lease_allows_order. */
 void lc_lease_mark_holder_ended (LcLease *lease, int64_t version, LbTime now);
 /* Liveness of the lease's holder, from its instance row. */
 typedef struct
@@ -90,13 +90,13 @@
 } LcLeaseHolderView;
 
 /* Reads the row at the next tick, since another instance reported that it released the lease. */
-void lc_lease_read_soon (LcLease *lease, LbTime now);
+void lc_lease_request_read (LcLease *lease, LbTime now);
 
 /* queries */
 /* Whether an order may be given now; to be checked before each order. unfenced: the endpoint
  * accepts orders with any fencing number. */
-bool lc_lease_can_order (const LcLease *lease, bool unfenced, LbTime now);
-int64_t lc_lease_fence (const LcLease *lease);
+bool lc_lease_allows_order (const LcLease *lease, bool unfenced, LbTime now);
+int64_t lc_lease_fencing_number (const LcLease *lease);
 bool lc_lease_is_held (const LcLease *lease);
 /* As set by lc_lease_set_rank. */
 int lc_lease_rank (const LcLease *lease);
--- a/packages/core/include/lc-membership.h
+++ b/packages/core/include/lc-membership.h
@@ -140,10 +140,11 @@
 LbTime lc_membership_next_tick (const LcMembership *membership);
 uint64_t lc_membership_digest (const LcMembership *membership);
 const LcInstance *lc_membership_self (const LcMembership *membership);
-size_t lc_membership_count (const LcMembership *membership);
-/* Fills an array of lc_membership_count elements, ordered by name. */
+size_t lc_membership_count_instances (const LcMembership *membership);
+/* Fills an array of lc_membership_count_instances elements, ordered by name. */
 void lc_membership_copy_views (const LcMembership *membership, LcMemberView *views);
-bool lc_membership_find (const LcMembership *membership, const char *name, LcMemberView *view);
+bool
+lc_membership_find_instance (const LcMembership *membership, const char *name, LcMemberView *view);
 /* The open connection to the instance on which a frame arrived last; 0 when there is none. */
 LcLinkId lc_membership_find_link (const LcMembership *membership, const char *name);
 const char *lc_membership_link_peer_name (const LcMembership *membership, LcLinkId link);
--- a/packages/core/include/lc-quarantine.h
+++ b/packages/core/include/lc-quarantine.h
@@ -45,7 +45,7 @@
 /* End of the quarantine; 0: not in quarantine. */
 LbTime lc_quarantine_ends_at (const LcQuarantine *quarantine, LcFingerprint fingerprint);
 /* Number of fingerprints in quarantine. */
-size_t lc_quarantine_count (const LcQuarantine *quarantine);
+size_t lc_quarantine_count_fingerprints (const LcQuarantine *quarantine);
 LbTime lc_quarantine_report_lifetime (void);
 
 #endif
--- a/packages/core/src/membership/lc-catalog.c
+++ b/packages/core/src/membership/lc-catalog.c
@@ -11,7 +11,7 @@
 #define PUBLISHER_KEY "publisher"
 /* Without a publisher, followers start to list the rows themselves at times spread over this
  * interval. Like PUBLISHER_TIMEOUT, TAKEOVER_DELAY_PER_RANK and MAX_SNAPSHOT_AGE_MS, it is given
- * for LC_CATALOG_PERIOD and scaled to the publisher's period. */
+ * for LC_CATALOG_LISTING_PERIOD and scaled to the publisher's period. */
 #define FALLBACK_SPREAD (300 * LB_MSEC)
 /* The publisher counts as failed when its row has not changed for 1.5 periods; each further
  * candidate takes over this much later, so that no other instance has to list the rows
@@ -88,8 +88,8 @@
   LB_COPY (catalog->incarnation, incarnation);
   catalog->fallback_delay = (LbTime)(draw % (uint64_t)FALLBACK_SPREAD);
   catalog->rank = -1;
-  catalog->publisher_period = LC_CATALOG_PERIOD;
-  catalog->own_period = LC_CATALOG_PERIOD;
+  catalog->publisher_period = LC_CATALOG_LISTING_PERIOD;
+  catalog->own_period = LC_CATALOG_LISTING_PERIOD;
   catalog->publisher_changed_at = now;
   catalog->all_changes_written = true;
   catalog->last_expected_version = -1;
@@ -198,16 +198,16 @@
 static LbTime
 read_period (struct json_object *object)
 {
-  LbTime period = lb_json_int (object, "period_ms", LC_CATALOG_PERIOD / LB_MSEC) * LB_MSEC;
+  LbTime period = lb_json_int (object, "period_ms", LC_CATALOG_LISTING_PERIOD / LB_MSEC) * LB_MSEC;
 
-  return period < MIN_PERIOD || period > MAX_PERIOD ? LC_CATALOG_PERIOD : period;
+  return period < MIN_PERIOD || period > MAX_PERIOD ? LC_CATALOG_LISTING_PERIOD : period;
 }
 
-/* Scales a time, given for LC_CATALOG_PERIOD, to the publisher's period. */
+/* Scales a time, given for LC_CATALOG_LISTING_PERIOD, to the publisher's period. */
 static LbTime
 scale_to_period (const LcCatalog *catalog, LbTime time)
 {
-  return time * catalog->publisher_period / LC_CATALOG_PERIOD;
+  return time * catalog->publisher_period / LC_CATALOG_LISTING_PERIOD;
 }
 
 /* An unreadable row counts as a row without a publisher: it does not change any more and is
@@ -274,11 +274,11 @@
 {
   return catalog->snapshot_received_at > 0
          && now - catalog->snapshot_received_at
-                < scale_to_period (catalog, LC_CATALOG_MAX_SILENCE + catalog->fallback_delay);
+                < scale_to_period (catalog, LC_CATALOG_SNAPSHOT_TIMEOUT + catalog->fallback_delay);
 }
 
 LbTime
-lc_catalog_valid_at (const LcCatalog *catalog)
+lc_catalog_snapshot_valid_at (const LcCatalog *catalog)
 {
   return catalog->snapshot_valid_at;
 }
@@ -332,7 +332,7 @@
 }
 
 bool
-lc_catalog_is_published_here (const LcCatalog *catalog)
+lc_catalog_is_publisher (const LcCatalog *catalog)
 {
   return catalog->publisher_version > 0 && strcmp (catalog->publisher, catalog->instance) == 0
          && strcmp (catalog->publisher_incarnation, catalog->incarnation) == 0;
@@ -358,7 +358,7 @@
 bool
 lc_catalog_needs_listing (const LcCatalog *catalog, LbTime now)
 {
-  bool publishes = catalog->rank >= 0 && lc_catalog_is_published_here (catalog);
+  bool publishes = catalog->rank >= 0 && lc_catalog_is_publisher (catalog);
 
   return publishes || can_take_over (catalog, now) || !lc_catalog_is_fresh (catalog, now);
 }
@@ -425,7 +425,7 @@
 publisher_row_to_text (const LcCatalog *catalog, bool is_complete)
 {
   struct json_object *object = json_object_new_object ();
-  bool is_takeover = !lc_catalog_is_published_here (catalog);
+  bool is_takeover = !lc_catalog_is_publisher (catalog);
 
   json_object_object_add (object, "publisher", json_object_new_string (catalog->instance));
   json_object_object_add (object, "incarnation", json_object_new_string (catalog->incarnation));
@@ -512,7 +512,7 @@
     return false;
   if (!is_last_write_visible && now - catalog->last_write_at < WRITE_TIMEOUT)
     return false;
-  return lc_catalog_is_published_here (catalog) || can_take_over (catalog, now);
+  return lc_catalog_is_publisher (catalog) || can_take_over (catalog, now);
 }
 
 bool
--- a/packages/core/src/membership/lc-duty.c
+++ b/packages/core/src/membership/lc-duty.c
@@ -10,7 +10,7 @@
 /* A duty is limited by both factors: the processor parses the texts of a step, and the link carries
  * them twice. */
 int64_t
-lc_duty_strength (double processor_share, double link_mbps)
+lc_duty_machine_strength (double processor_share, double link_mbps)
 {
   return (int64_t)(processor_share * 1000 * link_mbps);
 }
--- a/packages/core/src/membership/lc-fleet.c
+++ b/packages/core/src/membership/lc-fleet.c
@@ -290,7 +290,7 @@
 }
 
 size_t
-lc_fleet_merge (const LcFleet *all, const LcFleet *on_duty, LcFleetMember *members)
+lc_fleet_merge_members (const LcFleet *all, const LcFleet *on_duty, LcFleetMember *members)
 {
   size_t n = all->n_members;
 
@@ -309,13 +309,13 @@
 }
 
 size_t
-lc_fleet_count (const LcFleet *fleet)
+lc_fleet_count_members (const LcFleet *fleet)
 {
   return fleet->n_members;
 }
 
 const LcFleetMember *
-lc_fleet_at (const LcFleet *fleet, size_t index)
+lc_fleet_member_at (const LcFleet *fleet, size_t index)
 {
   return &fleet->members[index];
 }
--- a/packages/core/src/membership/lc-lease.c
+++ b/packages/core/src/membership/lc-lease.c
@@ -399,7 +399,7 @@
 }
 
 void
-lc_lease_read_soon (LcLease *lease, LbTime now)
+lc_lease_request_read (LcLease *lease, LbTime now)
 {
   lease->next_read_at = now;
 }
@@ -418,7 +418,7 @@
  * after one of this instance and undo it. It gets its first order only when any such order has
  * expired; the version that it then reports is read back. */
 bool
-lc_lease_can_order (const LcLease *lease, bool unfenced, LbTime now)
+lc_lease_allows_order (const LcLease *lease, bool unfenced, LbTime now)
 {
   if (!lease->held || lease->needs_confirmation || lease->is_releasing || now >= lease->valid_until)
     return false;
@@ -428,7 +428,7 @@
 }
 
 int64_t
-lc_lease_fence (const LcLease *lease)
+lc_lease_fencing_number (const LcLease *lease)
 {
   return lease->row.fence;
 }
--- a/packages/core/src/membership/lc-membership-connect.c
+++ b/packages/core/src/membership/lc-membership-connect.c
@@ -26,7 +26,7 @@
   member->suspicion_ignored_until = 0;
   member->suspicion_ignore_time = 0;
   if (member->instance.state != LC_INSTANCE_ALIVE)
-    lc_membership_send_one (link->id, &member->instance, actions);
+    lc_membership_send_instance (link->id, &member->instance, actions);
 }
 
 static bool
--- a/packages/core/src/membership/lc-membership-contacts.c
+++ b/packages/core/src/membership/lc-membership-contacts.c
@@ -114,7 +114,7 @@
  * the cut nothing else would connect them again. So each instance tries one dead or unknown address
  * from time to time, chosen at random. */
 void
-lc_membership_try_contact (LcMembership *membership, LbTime now, LbList *actions)
+lc_membership_dial_contact (LcMembership *membership, LbTime now, LbList *actions)
 {
   const char *name = "";
   const char *address = NULL;
--- a/packages/core/src/membership/lc-membership-private.h
+++ b/packages/core/src/membership/lc-membership-private.h
@@ -92,7 +92,7 @@
 /* Ends a command: when the view changed, updates the digest and emits CHANGED once. */
 void lc_membership_finish_command (LcMembership *membership, LbList *actions);
 uint64_t lc_membership_compute_digest (const LcMembership *membership);
-void lc_membership_send_one (LcLinkId link, const LcInstance *instance, LbList *actions);
+void lc_membership_send_instance (LcLinkId link, const LcInstance *instance, LbList *actions);
 
 /* lc-membership-updates.c */
 
@@ -150,7 +150,7 @@
 void lc_membership_tick_members (LcMembership *membership, LbTime now);
 
 /* lc-membership-contacts.c: dials the address of a dead or unknown instance when one is due. */
-void lc_membership_try_contact (LcMembership *membership, LbTime now, LbList *actions);
+void lc_membership_dial_contact (LcMembership *membership, LbTime now, LbList *actions);
 
 /* lc-membership-watch.c */
 
--- a/packages/core/src/membership/lc-membership-query.c
+++ b/packages/core/src/membership/lc-membership-query.c
@@ -60,7 +60,7 @@
 
 /* Number of known instances, including this one and the dead that are not removed yet. */
 size_t
-lc_membership_count (const LcMembership *membership)
+lc_membership_count_instances (const LcMembership *membership)
 {
   return HASH_COUNT (membership->members) + 1;
 }
@@ -104,7 +104,7 @@
 }
 
 bool
-lc_membership_find (const LcMembership *membership, const char *name, LcMemberView *view)
+lc_membership_find_instance (const LcMembership *membership, const char *name, LcMemberView *view)
 {
   const LcMember *member = lc_membership_lookup_member (membership, name);
 
--- a/packages/core/src/membership/lc-membership.c
+++ b/packages/core/src/membership/lc-membership.c
@@ -93,7 +93,7 @@
 }
 
 void
-lc_membership_send_one (LcLinkId link, const LcInstance *instance, LbList *actions)
+lc_membership_send_instance (LcLinkId link, const LcInstance *instance, LbList *actions)
 {
   LcMembershipAction *action = lc_membership_add_action (actions, LC_MEMBERSHIP_SEND);
 
@@ -136,7 +136,7 @@
   lc_membership_tick_members (membership, now);
   lc_membership_resolve_name_conflict (membership, now);
   lc_membership_dial_targets (membership, now, actions);
-  lc_membership_try_contact (membership, now, actions);
+  lc_membership_dial_contact (membership, now, actions);
   if (now >= membership->flush_at)
     lc_membership_flush_updates (membership, now, actions);
   lc_membership_finish_command (membership, actions);
--- a/packages/core/src/quarantine/lc-crash-log.c
+++ b/packages/core/src/quarantine/lc-crash-log.c
@@ -120,7 +120,7 @@
 }
 
 bool
-lc_crash_log_add (LcCrashLog *log, const LcCrashReport *report)
+lc_crash_log_add_report (LcCrashLog *log, const LcCrashReport *report)
 {
   LcReportEntry *entry = NULL;
   LcCrash *crash = NULL;
@@ -151,7 +151,7 @@
 }
 
 bool
-lc_crash_log_withdraw (LcCrashLog *log, const char *id)
+lc_crash_log_withdraw_report (LcCrashLog *log, const char *id)
 {
   LB_LIST_FOREACH (&log->crashes, LcCrash, link, crash)
   {
--- a/packages/core/src/quarantine/lc-crash-log.h
+++ b/packages/core/src/quarantine/lc-crash-log.h
@@ -31,9 +31,9 @@
 void lc_crash_log_clear (LcCrashLog *log);
 
 /* False if the report is known already. */
-bool lc_crash_log_add (LcCrashLog *log, const LcCrashReport *report);
+bool lc_crash_log_add_report (LcCrashLog *log, const LcCrashReport *report);
 /* False if there is no such report. */
-bool lc_crash_log_withdraw (LcCrashLog *log, const char *id);
+bool lc_crash_log_withdraw_report (LcCrashLog *log, const char *id);
 /* Drops crashes at or before this time; false if there are none. */
 bool lc_crash_log_expire (LcCrashLog *log, LbTime before);
 
--- a/packages/core/src/quarantine/lc-quarantine.c
+++ b/packages/core/src/quarantine/lc-quarantine.c
@@ -265,7 +265,7 @@
       quarantine_equal_suspects (quarantine, worst_suspect);
       recount_crashes (quarantine);
     }
-  lb_metric_set (&quarantined_requests, (int64_t)lc_quarantine_count (quarantine));
+  lb_metric_set (&quarantined_requests, (int64_t)lc_quarantine_count_fingerprints (quarantine));
 }
 
 /* --- reports --- */
@@ -308,7 +308,7 @@
 void
 lc_quarantine_add_report (LcQuarantine *quarantine, const LcCrashReport *report, LbTime now)
 {
-  if (report->at + REPORT_LIFETIME <= now || !lc_crash_log_add (&quarantine->log, report))
+  if (report->at + REPORT_LIFETIME <= now || !lc_crash_log_add_report (&quarantine->log, report))
     return;
   apply_recent_answers (quarantine, report);
   update_quarantine (quarantine);
@@ -318,7 +318,7 @@
 void
 lc_quarantine_withdraw_report (LcQuarantine *quarantine, const char *id)
 {
-  if (lc_crash_log_withdraw (&quarantine->log, id))
+  if (lc_crash_log_withdraw_report (&quarantine->log, id))
     update_quarantine (quarantine);
 }
 
@@ -410,7 +410,7 @@
 }
 
 size_t
-lc_quarantine_count (const LcQuarantine *quarantine)
+lc_quarantine_count_fingerprints (const LcQuarantine *quarantine)
 {
   size_t n = 0;
 
--- a/packages/core/tests/test-catalog.c
+++ b/packages/core/tests/test-catalog.c
@@ -324,7 +324,7 @@
   static Snapshot snapshot;
   read_snapshot (instance->catalog, &snapshot);
   replace_snapshot (w, instance, snapshot.list, snapshot.n,
-                    lc_catalog_valid_at (instance->catalog));
+                    lc_catalog_snapshot_valid_at (instance->catalog));
 }
 
 /* An answer holds the rows as of the time when it left the store, but the simulation reads the
@@ -442,7 +442,7 @@
   const char *publisher = lc_catalog_publisher_name (instance->catalog);
   int rank = 0;
 
-  for (size_t i = 0; i < index && !lc_catalog_is_published_here (instance->catalog); i++)
+  for (size_t i = 0; i < index && !lc_catalog_is_publisher (instance->catalog); i++)
     {
       char name[16];
       snprintf (name, sizeof name, "i-%zu", i);
@@ -640,7 +640,7 @@
 
   world_init (w, 100, 40, 3);
   run (w, 5 * LB_SEC, 3);
-  cr_assert (lc_catalog_is_published_here (w->instances[0].catalog));
+  cr_assert (lc_catalog_is_publisher (w->instances[0].catalog));
   w->instances[0].paused_until = w->now + 10 * LB_SEC;
   for (size_t i = 4; i < w->n_instances; i++)
     before += w->instances[i].n_listings;
@@ -690,7 +690,7 @@
   lc_catalog_apply_row (catalog, "publisher", PUBLISHER_ROW ("5000", "true"), 3);
   cr_assert (lc_catalog_finish_update (catalog, 5020, LB_SEC));
   cr_assert_eq (read_snapshot (catalog, &snapshot), 2);
-  cr_assert_eq (lc_catalog_valid_at (catalog), LB_SEC - 20 * LB_MSEC);
+  cr_assert_eq (lc_catalog_snapshot_valid_at (catalog), LB_SEC - 20 * LB_MSEC);
   lc_catalog_free (catalog);
 }
 
@@ -766,7 +766,7 @@
       lc_catalog_write_clear (&write);
     }
   cr_assert_eq (writes, 3);
-  cr_assert (lc_catalog_is_published_here (catalog));
+  cr_assert (lc_catalog_is_publisher (catalog));
   free (list);
   lc_catalog_free (catalog);
 }
--- a/packages/core/tests/test-duty.c
+++ b/packages/core/tests/test-duty.c
@@ -56,8 +56,8 @@
   for (int i = 0; i < N_STRONG + N_WEAK; i++)
     {
       snprintf (candidates[i].name, sizeof candidates[i].name, "instance-%d", i);
-      candidates[i].strength
-          = i < N_STRONG ? lc_duty_strength (0.5, 600) : lc_duty_strength (0.12, 60);
+      candidates[i].strength = i < N_STRONG ? lc_duty_machine_strength (0.5, 600)
+                                            : lc_duty_machine_strength (0.12, 60);
     }
   for (int i = 0; i < N_DUTIES; i++)
     {
--- a/packages/core/tests/test-fleet.c
+++ b/packages/core/tests/test-fleet.c
@@ -37,9 +37,9 @@
 static bool
 is_alive (const LcFleet *fleet, const char *name)
 {
-  for (size_t i = 0; i < lc_fleet_count (fleet); i++)
-    if (strcmp (lc_fleet_at (fleet, i)->row.name, name) == 0)
-      return lc_fleet_at (fleet, i)->alive;
+  for (size_t i = 0; i < lc_fleet_count_members (fleet); i++)
+    if (strcmp (lc_fleet_member_at (fleet, i)->row.name, name) == 0)
+      return lc_fleet_member_at (fleet, i)->alive;
   return false;
 }
 
@@ -166,7 +166,7 @@
                            &(LcFleetList){ .received_at = now, .period = DUTY_MS * LB_MSEC });
       lc_fleet_add_row (on_duty, &duty_row, 4, now);
       lc_fleet_finish_list (on_duty, now);
-      size_t n = lc_fleet_merge (all, on_duty, members);
+      size_t n = lc_fleet_merge_members (all, on_duty, members);
       if (!find_member (members, n, "b")->alive)
         detected_at = now;
     }
@@ -197,7 +197,7 @@
       lc_fleet_add_row (on_duty, &newcomer, 11 + now, now);
       lc_fleet_finish_list (on_duty, now);
     }
-  size_t n = lc_fleet_merge (all, on_duty, members);
+  size_t n = lc_fleet_merge_members (all, on_duty, members);
   cr_assert_eq (n, 2);
   cr_assert (find_member (members, n, "b")->alive);
   cr_assert_str_eq (find_member (members, n, "b")->row.incarnation, "2");
@@ -214,20 +214,20 @@
   LbTime now = LB_SEC;
 
   read_list (fleet, 1, 5, now);
-  cr_assert (lc_fleet_at (fleet, 1)->fresh);
+  cr_assert (lc_fleet_member_at (fleet, 1)->fresh);
   now += 2 * PERIOD;
   read_list (fleet, 2, 5, now);
-  cr_assert (lc_fleet_at (fleet, 1)->alive);
-  cr_assert_not (lc_fleet_at (fleet, 1)->fresh);
+  cr_assert (lc_fleet_member_at (fleet, 1)->alive);
+  cr_assert_not (lc_fleet_member_at (fleet, 1)->fresh);
   lc_fleet_free (fleet);
 }
 
 static bool
 is_confirmed (const LcFleet *fleet, const char *name)
 {
-  for (size_t i = 0; i < lc_fleet_count (fleet); i++)
-    if (strcmp (lc_fleet_at (fleet, i)->row.name, name) == 0)
-      return lc_fleet_at (fleet, i)->confirmed;
+  for (size_t i = 0; i < lc_fleet_count_members (fleet); i++)
+    if (strcmp (lc_fleet_member_at (fleet, i)->row.name, name) == 0)
+      return lc_fleet_member_at (fleet, i)->confirmed;
   return false;
 }
 
--- a/packages/core/tests/test-lease-ends.c
+++ b/packages/core/tests/test-lease-ends.c
@@ -63,7 +63,7 @@
   cr_assert (pop_write (&actions, &row));
   lc_lease_write_completed (lease, LB_OK, CLAIMED_AT, &actions);
   pop_write (&actions, &row);
-  cr_assert (lc_lease_can_order (lease, false, CLAIMED_AT));
+  cr_assert (lc_lease_allows_order (lease, false, CLAIMED_AT));
   return lease;
 }
 
@@ -77,7 +77,7 @@
   for (LbTime now = CLAIMED_AT + TICK_INTERVAL; now < end; now += TICK_INTERVAL)
     lc_lease_tick (lease, now, now, &actions);
   pop_write (&actions, &row);
-  return lc_lease_can_order (lease, false, end);
+  return lc_lease_allows_order (lease, false, end);
 }
 
 /* Guards against an engine that the new holder switches to one version and the old holder switches
@@ -104,7 +104,7 @@
   LbList actions;
 
   lb_list_init (&actions);
-  lc_lease_read_soon (lease, now);
+  lc_lease_request_read (lease, now);
   lc_lease_tick (lease, now, now, &actions);
   lc_lease_read_completed (lease, LB_OK, &row, 7, now, &actions);
   return pop_write (&actions, &claim) && claim.fence == 5;
--- a/packages/core/tests/test-lease.c
+++ b/packages/core/tests/test-lease.c
@@ -223,7 +223,7 @@
   for (int i = 0; i < N_HOLDERS; i++)
     {
       if (now < holders[i].paused_until
-          || !lc_lease_can_order (holders[i].lease, false, holder_clock (&holders[i])))
+          || !lc_lease_allows_order (holders[i].lease, false, holder_clock (&holders[i])))
         continue;
       cr_assert_eq (active, -1, "two holders at %lld", (long long)now);
       active = i;
@@ -258,13 +258,13 @@
 {
   run (3 * LB_SEC);
   cr_assert_eq (find_active_holder (), 0);
-  int64_t fence = lc_lease_fence (holders[0].lease);
+  int64_t fence = lc_lease_fencing_number (holders[0].lease);
   for (int i = 0; i < 60; i++)
     {
       run (LB_SEC);
       cr_assert_eq (find_active_holder (), 0);
     }
-  cr_assert_eq (lc_lease_fence (holders[0].lease), fence);
+  cr_assert_eq (lc_lease_fencing_number (holders[0].lease), fence);
 }
 
 /* The holder's process dies. Nobody swaps weights until another instance holds the lease: at most
@@ -278,15 +278,15 @@
       setup ();
       gsl_rng_set (rng, (unsigned long)i + 1);
       run (3 * LB_SEC + i * 50 * LB_MSEC);
-      int64_t fence = lc_lease_fence (holders[0].lease);
+      int64_t fence = lc_lease_fencing_number (holders[0].lease);
       holders[0].paused_until = INT64_MAX;
       holders[1].paused_until = INT64_MAX;
       LbTime gap = run_until_other_holder (0, 20 * LB_SEC);
       cr_assert_leq (gap, 8 * LB_SEC);
-      cr_assert_gt (lc_lease_fence (holders[2].lease), fence);
-      cr_assert_not (lc_lease_can_order (holders[2].lease, true, holder_clock (&holders[2])));
+      cr_assert_gt (lc_lease_fencing_number (holders[2].lease), fence);
+      cr_assert_not (lc_lease_allows_order (holders[2].lease, true, holder_clock (&holders[2])));
       run (10 * LB_SEC - gap);
-      cr_assert (lc_lease_can_order (holders[2].lease, true, holder_clock (&holders[2])));
+      cr_assert (lc_lease_allows_order (holders[2].lease, true, holder_clock (&holders[2])));
     }
 }
 
@@ -299,7 +299,7 @@
   run (9 * LB_SEC - STEP);
   cr_assert_eq (find_active_holder (), 1);
   now += STEP;
-  cr_assert_not (lc_lease_can_order (holders[0].lease, false, holder_clock (&holders[0])));
+  cr_assert_not (lc_lease_allows_order (holders[0].lease, false, holder_clock (&holders[0])));
   run (5 * LB_SEC);
   cr_assert_eq (find_active_holder (), 1);
 }
@@ -313,7 +313,7 @@
   holders[0].offset -= 9 * LB_SEC;
   run (9 * LB_SEC);
   step_holder (0);
-  cr_assert_not (lc_lease_can_order (holders[0].lease, false, holder_clock (&holders[0])));
+  cr_assert_not (lc_lease_allows_order (holders[0].lease, false, holder_clock (&holders[0])));
   run (5 * LB_SEC);
   cr_assert_eq (find_active_holder (), 1);
 }
@@ -331,7 +331,7 @@
   run (9 * LB_SEC);
   step_holder (0);
   step_operations ();
-  cr_assert_not (lc_lease_can_order (holders[0].lease, false, holder_clock (&holders[0])));
+  cr_assert_not (lc_lease_allows_order (holders[0].lease, false, holder_clock (&holders[0])));
 }
 
 /* The holder is cut off from the table; its clock is the slowest and the other's the fastest that
@@ -352,7 +352,7 @@
       holders[1].tick = STEP;
       for (int step = 0; step < 600; step++)
         {
-          lc_lease_read_soon (holders[1].lease, holder_clock (&holders[1]));
+          lc_lease_request_read (holders[1].lease, holder_clock (&holders[1]));
           run (STEP);
         }
       cr_assert_eq (find_active_holder (), 1);
@@ -425,7 +425,7 @@
   lost_reply_ratio = 1.0;
   run (LB_SEC / 2);
   cr_assert_eq (find_active_holder (), 0);
-  cr_assert_eq (lc_lease_fence (holders[0].lease), 1);
+  cr_assert_eq (lc_lease_fencing_number (holders[0].lease), 1);
 }
 
 /* Most reads are answered by a lagging replica. After a handover the new holder must not drop and
@@ -441,7 +441,7 @@
   run_until_other_holder (0, 10 * LB_SEC);
   int next = find_active_holder ();
   cr_assert_gt (next, 0);
-  int64_t fence = lc_lease_fence (holders[next].lease);
+  int64_t fence = lc_lease_fencing_number (holders[next].lease);
   stale_read_ratio = 0.7;
   for (int i = 0; i < 100; i++)
     {
@@ -640,7 +640,7 @@
   LcLease *lease = make_alternating_holder ();
 
   read_and_claim (lease, "nobody", 4, 2 * LB_SEC);
-  cr_assert (lc_lease_can_order (lease, false, 2 * LB_SEC));
+  cr_assert (lc_lease_allows_order (lease, false, 2 * LB_SEC));
   read_and_claim (lease, "a", 6, 4 * LB_SEC);
   cr_assert_not (lc_lease_is_held (lease));
   read_and_claim (lease, "nobody", 7, 5 * LB_SEC);
@@ -648,10 +648,10 @@
   for (LbTime at = 5 * LB_SEC; at < 7 * LB_SEC; at += LB_SEC / 2)
     {
       read_and_claim (lease, "b", 8, at);
-      cr_assert_not (lc_lease_can_order (lease, false, at), "at %lld", (long long)at);
+      cr_assert_not (lc_lease_allows_order (lease, false, at), "at %lld", (long long)at);
     }
   read_and_claim (lease, "b", 8, 7 * LB_SEC);
-  cr_assert (lc_lease_can_order (lease, false, 7100 * LB_MSEC),
+  cr_assert (lc_lease_allows_order (lease, false, 7100 * LB_MSEC),
              "no orders although reacquire_delay is over");
   lc_lease_free (lease);
 }
--- a/packages/core/tests/test-membership.c
+++ b/packages/core/tests/test-membership.c
@@ -266,7 +266,7 @@
   LcMemberView before, after;
   LbList actions;
 
-  lc_membership_find (fake_peers_membership (peers, 0), "instance-6", &before);
+  lc_membership_find_instance (fake_peers_membership (peers, 0), "instance-6", &before);
   fake_peers_set_state (peers, 6, FAKE_KILLED);
   run_for (peers, LB_SEC);
   fake_peers_start (peers, 6);
@@ -279,7 +279,7 @@
   lc_membership_updates_received (fake_peers_membership (peers, 0), 0, &before.instance, 1,
                                   fake_peers_now (peers), &actions);
   cr_assert (lb_list_is_empty (&actions));
-  lc_membership_find (fake_peers_membership (peers, 0), "instance-6", &after);
+  lc_membership_find_instance (fake_peers_membership (peers, 0), "instance-6", &after);
   cr_assert (after.alive);
   cr_assert_gt (after.instance.epoch, before.instance.epoch);
   fake_peers_free (peers);
--- a/packages/core/tests/test-quarantine.c
+++ b/packages/core/tests/test-quarantine.c
@@ -58,7 +58,7 @@
   report_crash (quarantine, 3, HARMFUL, 0);
   cr_assert_eq (lc_quarantine_ends_at (quarantine, HARMFUL),
                 START + 3 * LB_SEC + lc_quarantine_report_lifetime ());
-  cr_assert_eq (lc_quarantine_count (quarantine), 1);
+  cr_assert_eq (lc_quarantine_count_fingerprints (quarantine), 1);
   cr_assert_not (is_quarantined (quarantine, HARMLESS));
   lc_quarantine_free (quarantine);
 }
@@ -216,7 +216,7 @@
   for (int n = 4; n < 1000; n++)
     report_crash (quarantine, n, HARMLESS + (LcFingerprint)n, 0);
   cr_assert (is_quarantined (quarantine, HARMFUL));
-  cr_assert_eq (lc_quarantine_count (quarantine), 1);
+  cr_assert_eq (lc_quarantine_count_fingerprints (quarantine), 1);
   lc_quarantine_free (quarantine);
 }
 
@@ -281,8 +281,8 @@
       cr_assert (is_quarantined (one, HARMFUL), "seed %lu", seed);
       cr_assert_eq (lc_quarantine_ends_at (one, HARMFUL), lc_quarantine_ends_at (other, HARMFUL),
                     "seed %lu", seed);
-      cr_assert_eq (lc_quarantine_count (one), 1, "seed %lu", seed);
-      cr_assert_eq (lc_quarantine_count (other), 1, "seed %lu", seed);
+      cr_assert_eq (lc_quarantine_count_fingerprints (one), 1, "seed %lu", seed);
+      cr_assert_eq (lc_quarantine_count_fingerprints (other), 1, "seed %lu", seed);
       lc_quarantine_free (one);
       lc_quarantine_free (other);
       gsl_rng_free (random);
--- a/packages/node/src/duties/ln-duty-lease.c
+++ b/packages/node/src/duties/ln-duty-lease.c
@@ -209,7 +209,7 @@
 void
 ln_duty_lease_read_soon (LnDutyLease *lease, LbTime now)
 {
-  lc_lease_read_soon (lease->lease, now);
+  lc_lease_request_read (lease->lease, now);
 }
 
 void
@@ -244,11 +244,11 @@
 bool
 ln_duty_lease_can_act (const LnDutyLease *lease, bool fence_is_unchecked, LbTime now)
 {
-  return lc_lease_can_order (lease->lease, fence_is_unchecked, now);
+  return lc_lease_allows_order (lease->lease, fence_is_unchecked, now);
 }
 
 int64_t
 ln_duty_lease_fence (const LnDutyLease *lease)
 {
-  return lc_lease_fence (lease->lease);
+  return lc_lease_fencing_number (lease->lease);
 }
--- a/packages/node/src/front/ln-entry.c
+++ b/packages/node/src/front/ln-entry.c
@@ -81,7 +81,7 @@
 void
 ln_entry_reply (LnExchange *exchange, const LcMembership *membership, int64_t time_to_live_ms)
 {
-  size_t n_views = lc_membership_count (membership);
+  size_t n_views = lc_membership_count_instances (membership);
   LcMemberView *views = LB_NEW_ARRAY (LcMemberView, n_views);
   const char *data_centre = ln_exchange_query (exchange, "data_centre");
   LcEntryChoice entry;
--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -163,7 +163,7 @@
 deliver_endpoints (LnCatalog *catalog)
 {
   RowReader reader = { .cache = catalog->endpoint_cache, .item_size = sizeof (LcRegistration) };
-  LbTime valid_at = lc_catalog_valid_at (catalog->catalog);
+  LbTime valid_at = lc_catalog_snapshot_valid_at (catalog->catalog);
   int64_t changes = lc_catalog_change_count (catalog->catalog);
 
   if (valid_at <= catalog->own_list_requested_at)
@@ -309,7 +309,7 @@
 
   if (catalog->draining || is_cut_off || !lp_follow_has_listed (catalog->follower))
     return -1;
-  return lc_catalog_is_published_here (catalog->catalog) ? 0 : get_cached_rank (catalog);
+  return lc_catalog_is_publisher (catalog->catalog) ? 0 : get_cached_rank (catalog);
 }
 
 typedef struct
@@ -404,8 +404,8 @@
 {
   LbTime period = catalog->context->settings->drain.endpoint_ms * LB_MSEC / 5;
 
-  if (catalog->n_members < LARGE_FLEET_INSTANCES || period < LC_CATALOG_PERIOD)
-    return LC_CATALOG_PERIOD;
+  if (catalog->n_members < LARGE_FLEET_INSTANCES || period < LC_CATALOG_LISTING_PERIOD)
+    return LC_CATALOG_LISTING_PERIOD;
   return period < MAX_PUBLISH_PERIOD ? period : MAX_PUBLISH_PERIOD;
 }
 
@@ -546,7 +546,7 @@
 bool
 ln_catalog_is_publisher (const LnCatalog *catalog)
 {
-  return catalog->has_had_many_endpoints && lc_catalog_is_published_here (catalog->catalog);
+  return catalog->has_had_many_endpoints && lc_catalog_is_publisher (catalog->catalog);
 }
 
 const char *
--- a/packages/node/src/membership/ln-fleet-lists.c
+++ b/packages/node/src/membership/ln-fleet-lists.c
@@ -154,7 +154,7 @@
 static LbTime
 get_list_period (const Listing *listing)
 {
-  LbTime n = (LbTime)lc_fleet_count (listing->fleet);
+  LbTime n = (LbTime)lc_fleet_count_members (listing->fleet);
 
   return listing == &listing->lists->on_duty
              ? DUTY_LIST_PERIOD
@@ -179,10 +179,12 @@
 static void
 merge_members (LnFleetLists *lists)
 {
-  size_t max = lc_fleet_count (lists->directory.fleet) + lc_fleet_count (lists->on_duty.fleet);
+  size_t max = lc_fleet_count_members (lists->directory.fleet)
+               + lc_fleet_count_members (lists->on_duty.fleet);
 
   lists->members = lb_realloc (lists->members, (max + 1) * sizeof *lists->members);
-  lists->n_members = lc_fleet_merge (lists->directory.fleet, lists->on_duty.fleet, lists->members);
+  lists->n_members
+      = lc_fleet_merge_members (lists->directory.fleet, lists->on_duty.fleet, lists->members);
 }
 
 static void
@@ -222,9 +224,9 @@
 {
   LbTime wait = REMOVE_DEAD_AFTER + compute_delay_by_name (listing->lists, REMOVE_DEAD_SPREAD);
 
-  for (size_t i = 0; i < lc_fleet_count (listing->fleet); i++)
+  for (size_t i = 0; i < lc_fleet_count_members (listing->fleet); i++)
     {
-      const LcFleetMember *member = lc_fleet_at (listing->fleet, i);
+      const LcFleetMember *member = lc_fleet_member_at (listing->fleet, i);
       if (member->alive || now - member->version_seen_at < wait)
         continue;
       remove_row (listing->lists, member);
@@ -344,8 +346,8 @@
 {
   const LcFleet *fleet = lists->on_duty.fleet;
 
-  for (size_t i = 0; i < lc_fleet_count (fleet); i++)
-    if (strcmp (lc_fleet_at (fleet, i)->row.name, instance) == 0)
+  for (size_t i = 0; i < lc_fleet_count_members (fleet); i++)
+    if (strcmp (lc_fleet_member_at (fleet, i)->row.name, instance) == 0)
       return true;
   return false;
 }
--- a/packages/node/src/membership/ln-fleet.c
+++ b/packages/node/src/membership/ln-fleet.c
@@ -409,8 +409,8 @@
   LB_COPY (task->own_row.data_centre, context->settings->instance.data_centre);
   LB_COPY (task->own_row.caller_address, context->caller_address);
   LB_COPY (task->own_row.peer_address, context->peer_address);
-  task->own_row.strength = lc_duty_strength (context->settings->instance.processor_share,
-                                             context->settings->instance.link_mbps);
+  task->own_row.strength = lc_duty_machine_strength (context->settings->instance.processor_share,
+                                                     context->settings->instance.link_mbps);
   task->renewal = ln_fleet_renewal_new (context->platform, &task->own_row);
   task->lists = ln_fleet_lists_new (context->platform, context->instance, on_lists_changed, task);
   task->tick = (LnPeriodicCall){ .period = TICK_PERIOD, .callback = on_tick, .user = task };
--- a/packages/node/src/membership/ln-members.c
+++ b/packages/node/src/membership/ln-members.c
@@ -101,7 +101,7 @@
 void
 ln_members_publish (const LcMembership *membership, LnHub *hub)
 {
-  size_t n_views = lc_membership_count (membership);
+  size_t n_views = lc_membership_count_instances (membership);
   LcMemberView *views = LB_NEW_ARRAY (LcMemberView, n_views);
   LnMembersMessage message = { .base = LN_MESSAGE (LN_MEMBERS) };
   size_t alive = 0;
--- a/packages/node/src/membership/ln-peers-list.c
+++ b/packages/node/src/membership/ln-peers-list.c
@@ -89,7 +89,8 @@
 static LbTime
 choose_list_period (const LnPeers *peers, LbTime now)
 {
-  LbTime period = (LbTime)lc_membership_count (peers->membership) * LIST_PERIOD_PER_INSTANCE;
+  LbTime period
+      = (LbTime)lc_membership_count_instances (peers->membership) * LIST_PERIOD_PER_INSTANCE;
   LbTime spread = (LbTime)(XXH64 (&now, sizeof now, peers->context->settings->seed) % 512);
 
   if (period < MIN_LIST_PERIOD)
--- a/packages/node/src/rollout/ln-pool-controller.c
+++ b/packages/node/src/rollout/ln-pool-controller.c
@@ -362,7 +362,7 @@
   lb_log (LB_LOG_WARNING, "weights_order_failed", LB_TEXT ("endpoint", engine->name),
           LB_TEXT ("error", lb_error_name (error)), LB_INT ("status", result->status));
   if (error == LB_ERROR_STALE_FENCE)
-    lc_lease_read_soon (controller->lease, now);
+    lc_lease_request_read (controller->lease, now);
 }
 
 static void
@@ -378,11 +378,11 @@
   char *body = lb_asprintf ("{\"order\": \"load_weights\", \"pool\": \"%s\", \"version\": %lld, "
                             "\"fence\": %lld}",
                             controller->pool, (long long)action->version,
-                            (long long)lc_lease_fence (controller->lease));
+                            (long long)lc_lease_fencing_number (controller->lease));
 
   lb_log (LB_LOG_INFO, "weights_order", LB_TEXT ("pool", controller->pool),
           LB_TEXT ("endpoint", action->endpoint), LB_INT ("version", action->version),
-          LB_INT ("fence", lc_lease_fence (controller->lease)));
+          LB_INT ("fence", lc_lease_fencing_number (controller->lease)));
   request.body = body;
   request.body_length = strlen (body);
   if (engine->order_request)
@@ -400,8 +400,9 @@
   bool ready = lc_config_is_ready (controller->task->config);
 
   lb_list_init (&actions);
-  lc_weights_tick (controller->weights, ready && lc_lease_can_order (controller->lease, false, now),
-                   ready && lc_lease_can_order (controller->lease, true, now), now, &actions);
+  lc_weights_tick (controller->weights,
+                   ready && lc_lease_allows_order (controller->lease, false, now),
+                   ready && lc_lease_allows_order (controller->lease, true, now), now, &actions);
   while ((link = lb_list_pop (&actions)))
     {
       LcWeightsAction *action = LB_CONTAINER (link, LcWeightsAction, link);
--- a/packages/node/src/rollout/ln-pool-controllers.c
+++ b/packages/node/src/rollout/ln-pool-controllers.c
@@ -238,7 +238,7 @@
 {
   struct json_object *message = json_object_new_object ();
 
-  controller->highest_fence = lc_lease_fence (controller->lease);
+  controller->highest_fence = lc_lease_fencing_number (controller->lease);
   post_newest_version_to_rollouts (controller->task, controller->pool, status->target,
                                    status->version_interval);
   json_object_object_add (message, "type", json_object_new_string ("newest"));
@@ -307,7 +307,7 @@
       LnPoolController *controller
           = find_controller_of_pool (task, lb_json_text (message, "pool", ""));
       if (controller)
-        lc_lease_read_soon (controller->lease, now);
+        lc_lease_request_read (controller->lease, now);
     }
   else
     return false;
--- a/packages/node/tests/test-crashes.c
+++ b/packages/node/tests/test-crashes.c
@@ -399,7 +399,7 @@
   report_crash (&w.b, "e3", BAD_REQUEST);
   tick (&w.a);
   cr_assert (is_quarantined (&w.a, BAD_REQUEST));
-  cr_assert_eq (lc_quarantine_count (w.a.quarantine), 1);
+  cr_assert_eq (lc_quarantine_count_fingerprints (w.a.quarantine), 1);
   world_clear (&w);
 }
 
--- a/packages/node/tests/test-fleet-directory.c
+++ b/packages/node/tests/test-fleet-directory.c
@@ -85,7 +85,8 @@
   for (size_t i = 0; i < n_instances; i++)
     {
       LcFleetRow row = { .ready = true, .period = LB_SEC };
-      row.strength = i < N_STRONG ? lc_duty_strength (0.5, 600) : lc_duty_strength (0.12, 60);
+      row.strength = i < N_STRONG ? lc_duty_machine_strength (0.5, 600)
+                                  : lc_duty_machine_strength (0.12, 60);
       row.renewed_ms = store_ms (&store->platform);
       format_name (i, row.name);
       LB_COPY (row.incarnation, "1");
@@ -118,7 +119,7 @@
   size_t n = 0;
 
   for (size_t i = 0; i < ln_fleet_lists_count (lists); i++)
-    n += ln_fleet_lists_at (lists, i)->row.strength == lc_duty_strength (0.5, 600);
+    n += ln_fleet_lists_at (lists, i)->row.strength == lc_duty_machine_strength (0.5, 600);
   return n;
 }
 
