--- a/packages/core/src/batch/lc-straggler.c
+++ b/packages/core/src/batch/lc-straggler.c
@@ -3,27 +3,28 @@
 #include <math.h>
 
 #define BUCKETS_PER_DOUBLING 8
-/* About the last four steps of 2,048 samples. */
+/* Sum of weights at which all weights are halved; about four steps of 2,048 samples. */
 #define MAX_HISTORY_SAMPLES 8192
-/* Weight of the trainer's mean length against the samples of the group. */
+/* The mean length over all groups counts as this many samples in the prediction for one group. */
 #define PRIOR_SAMPLES 1.0
-#define PACE_SMOOTHING 0.1
-/* Ended samples that a prediction needs at least. */
+#define PACE_SMOOTHING_FACTOR 0.1
+/* Minimum number of ended samples to decide on hedges and moves. */
 #define MIN_HISTORY_SAMPLES 8
-/* A sample without a first piece counts as stuck after this time plus so many mean waits. A shorter
- * delay may only mean that it waits for a slot. */
+/* A sample without a first piece counts as stuck after STUCK_SECONDS plus STUCK_WAIT_FACTOR mean
+ * waits. Until then the sample may only be waiting for a slot. */
 #define STUCK_SECONDS 2.0
 #define STUCK_WAIT_FACTOR 4.0
-/* The rate is not measured on fewer tokens. */
+/* Minimum number of tokens in a sample to measure a token rate. */
 #define MIN_RATE_TOKENS 8
-/* Tokens that may have been generated beyond those received, since engines send several in one
- * piece. */
+/* Maximum number of tokens that an engine may have generated but not yet sent, since engines send
+ * several tokens in one piece. */
 #define MAX_UNSEEN_TOKENS 32
-/* A second generation must be expected to be this much faster even where only idle time counts. */
+/* A hedge or a move must be expected to be faster by this factor even if only the trainer's idle
+ * time counts. */
 #define MIN_SAFETY_FACTOR 1.5
 
 static size_t
-find_bucket (int64_t tokens)
+find_length_bucket (int64_t tokens)
 {
   size_t bucket = (size_t)(BUCKETS_PER_DOUBLING * log2 ((double)tokens + 1));
 
@@ -31,13 +32,13 @@
 }
 
 static double
-get_bucket_middle (size_t bucket)
+get_bucket_middle_tokens (size_t bucket)
 {
   return exp2 (((double)bucket + 0.5) / BUCKETS_PER_DOUBLING) - 1;
 }
 
 static void
-halve_weights (LcLengthHistogram *lengths)
+halve_sample_weights (LcLengthHistogram *lengths)
 {
   for (size_t i = 0; i < LC_LENGTH_BUCKETS; i++)
     lengths->buckets[i] /= 2;
@@ -49,8 +50,8 @@
 lc_length_histogram_add (LcLengthHistogram *lengths, int64_t tokens)
 {
   if (lengths->count >= MAX_HISTORY_SAMPLES)
-    halve_weights (lengths);
-  lengths->buckets[find_bucket (tokens)]++;
+    halve_sample_weights (lengths);
+  lengths->buckets[find_length_bucket (tokens)]++;
   lengths->count++;
   lengths->sum += (double)tokens;
 }
@@ -63,8 +64,9 @@
   return fmin (lengths->sum / lengths->count, (double)max_tokens);
 }
 
-/* The mean over the ended samples that were longer. If none was, the sample is the longest so far,
- * and it is expected to double its length, within max_tokens. */
+/* Uses the mean of the ended samples that were longer than `tokens`. If there are none, the sample
+ * is expected to double its length, or to grow by the mean length if that is more, up to
+ * max_tokens. */
 double
 lc_length_histogram_estimate_remaining (const LcLengthHistogram *lengths,
                                         int64_t tokens,
@@ -74,9 +76,9 @@
   double count = 0;
   double max_remaining = fmax ((double)(max_tokens - tokens), 1);
 
-  for (size_t i = find_bucket (tokens) + 1; i < LC_LENGTH_BUCKETS; i++)
+  for (size_t i = find_length_bucket (tokens) + 1; i < LC_LENGTH_BUCKETS; i++)
     {
-      sum += get_bucket_middle (i) * lengths->buckets[i];
+      sum += get_bucket_middle_tokens (i) * lengths->buckets[i];
       count += lengths->buckets[i];
     }
   if (count > 0)
@@ -96,18 +98,18 @@
 }
 
 static double
-update_average (double average, double sample)
+update_moving_average (double average, double sample)
 {
-  return average == 0 ? sample : average + PACE_SMOOTHING * (sample - average);
+  return average == 0 ? sample : average + PACE_SMOOTHING_FACTOR * (sample - average);
 }
 
 void
-lc_pace_add_sample (LcPace *pace, int64_t tokens, LbTime waited, LbTime streamed)
+lc_pace_add_sample (LcPace *pace, int64_t tokens, LbTime wait_time, LbTime stream_time)
 {
-  pace->wait_seconds = update_average (pace->wait_seconds, (double)waited / LB_SEC);
-  if (tokens >= MIN_RATE_TOKENS && streamed > 0)
+  pace->wait_seconds = update_moving_average (pace->wait_seconds, (double)wait_time / LB_SEC);
+  if (tokens >= MIN_RATE_TOKENS && stream_time > 0)
     pace->tokens_per_second
-        = update_average (pace->tokens_per_second, (double)tokens * LB_SEC / streamed);
+        = update_moving_average (pace->tokens_per_second, (double)tokens * LB_SEC / stream_time);
 }
 
 double
@@ -119,7 +121,7 @@
 }
 
 static double
-estimate_rate (const LcPace *pace, const LcSampleProgress *progress, LbTime now)
+estimate_tokens_per_second (const LcPace *pace, const LcSampleProgress *progress, LbTime now)
 {
   LbTime streamed = now - progress->first_piece_at;
 
@@ -132,9 +134,9 @@
 }
 
 static double
-expect_seconds_to_regenerate (const LcLengthHistogram *lengths,
-                              const LcPace *pace,
-                              const LcSampleProgress *progress)
+estimate_regeneration_seconds (const LcLengthHistogram *lengths,
+                               const LcPace *pace,
+                               const LcSampleProgress *progress)
 {
   double remaining
       = lc_length_histogram_estimate_remaining (lengths, progress->tokens, progress->max_tokens);
@@ -143,18 +145,19 @@
 }
 
 static double
-expect_seconds_remaining (const LcLengthHistogram *lengths,
-                          const LcPace *pace,
-                          const LcSampleProgress *progress,
-                          LbTime now)
+estimate_remaining_seconds (const LcLengthHistogram *lengths,
+                            const LcPace *pace,
+                            const LcSampleProgress *progress,
+                            LbTime now)
 {
   double waited = (double)(now - progress->started_at) / LB_SEC;
   double overdue = waited - STUCK_SECONDS - STUCK_WAIT_FACTOR * pace->wait_seconds;
 
   if (progress->first_piece_at == 0)
-    return expect_seconds_to_regenerate (lengths, pace, progress) * (overdue > 0 ? 2 + overdue : 1);
+    return estimate_regeneration_seconds (lengths, pace, progress)
+           * (overdue > 0 ? 2 + overdue : 1);
   return lc_length_histogram_estimate_remaining (lengths, progress->tokens, progress->max_tokens)
-         / estimate_rate (pace, progress, now);
+         / estimate_tokens_per_second (pace, progress, now);
 }
 
 static double
@@ -178,14 +181,15 @@
 {
   if (!has_enough_history (lengths, pace))
     return 0;
-  return expect_seconds_remaining (lengths, pace, progress, now)
-         - get_safety_factor (idle_weight) * expect_seconds_to_regenerate (lengths, pace, progress);
+  return estimate_remaining_seconds (lengths, pace, progress, now)
+         - get_safety_factor (idle_weight)
+               * estimate_regeneration_seconds (lengths, pace, progress);
 }
 
-/* The sample has waited for a slot once; at the same urgency it does not wait longer now. The mean
- * wait over all samples is mostly that of the short ones, which are served last. */
+/* A moved sample keeps its urgency, so it should not wait longer for a slot than it did before. The
+ * mean wait alone would be too long: it is mostly that of short samples, which are served last. */
 static double
-expect_wait_seconds (const LcPace *pace, const LcSampleProgress *progress)
+estimate_move_wait_seconds (const LcPace *pace, const LcSampleProgress *progress)
 {
   double waited = (double)(progress->first_piece_at - progress->started_at) / LB_SEC;
 
@@ -204,20 +208,20 @@
 
   double remaining
       = lc_length_histogram_estimate_remaining (lengths, progress->tokens, progress->max_tokens);
-  return expect_seconds_remaining (lengths, pace, progress, now)
-         - expect_wait_seconds (pace, progress)
+  return estimate_remaining_seconds (lengths, pace, progress, now)
+         - estimate_move_wait_seconds (pace, progress)
          - get_safety_factor (idle_weight) * remaining / pace->tokens_per_second;
 }
 
-/* The original continues until the hedge is complete; its tokens are then discarded. */
+/* The original request runs until the hedge is complete; then its tokens are discarded. */
 int64_t
 lc_straggler_hedge_cost_tokens (const LcLengthHistogram *lengths,
                                 const LcPace *pace,
                                 const LcSampleProgress *progress,
                                 LbTime now)
 {
-  double tokens_meanwhile = estimate_rate (pace, progress, now)
-                            * expect_seconds_to_regenerate (lengths, pace, progress);
+  double tokens_meanwhile = estimate_tokens_per_second (pace, progress, now)
+                            * estimate_regeneration_seconds (lengths, pace, progress);
 
   return progress->tokens + (int64_t)(progress->first_piece_at ? tokens_meanwhile : 0);
 }
--- a/packages/core/src/batch/lc-straggler.h
+++ b/packages/core/src/batch/lc-straggler.h
@@ -3,77 +3,78 @@
 
 #include "lb-types.h"
 
-/* Predicts the length of samples from those that have ended, and decides which running samples to
- * hedge or to move. */
+/* Predicts the length of samples from the lengths of ended samples, and estimates the gain of
+ * hedging a running sample or of moving it to another endpoint. */
 
 #define LC_LENGTH_BUCKETS 192
 
-/* Lengths of a trainer's ended samples, in tokens. The weights of older samples decay, so that it
+/* Lengths of ended samples, in tokens. The weights of older samples decay, so that the histogram
  * follows a model whose answers get longer or shorter. */
 typedef struct
 {
-  double buckets[LC_LENGTH_BUCKETS]; /* eight for each doubling of the length */
-  double count;
-  double sum;
+  double buckets[LC_LENGTH_BUCKETS]; /* sample weights by length; eight buckets per doubling */
+  double count;                      /* sum of the sample weights */
+  double sum;                        /* weighted sum of the lengths */
 } LcLengthHistogram;
 
-/* Lengths of a group's samples, which share a prompt: actual ones of ended samples, expected ones
- * of running samples. */
+/* Number and total length of the samples of a group, which share a prompt. Ended samples count with
+ * their actual length, running samples with their expected length. */
 typedef struct
 {
   int64_t count;
   double sum;
 } LcGroupLengths;
 
-/* Speed of a pool's streams, as measured on ended samples. */
+/* Stream speed of a pool or model, measured on ended samples. */
 typedef struct
 {
-  double tokens_per_second; /* 0: not known yet */
-  double wait_seconds;      /* time from submission to the first piece */
+  double tokens_per_second; /* moving average; 0: not known yet */
+  double wait_seconds;      /* moving average of the time from submission to the first piece */
 } LcPace;
 
 typedef struct
 {
-  int64_t tokens; /* generated so far */
+  int64_t tokens; /* number of tokens generated until now */
   int64_t max_tokens;
   LbTime started_at;
-  LbTime first_piece_at;           /* 0: none yet */
-  double recent_seconds_per_token; /* 0: not known; the mean of the whole stream is used */
+  LbTime first_piece_at;           /* time of the first piece; 0: none yet */
+  double recent_seconds_per_token; /* 0: not known, the mean of the whole stream is used */
 } LcSampleProgress;
 
 void lc_length_histogram_add (LcLengthHistogram *lengths, int64_t tokens);
-/* Mean length, at most max_tokens; half of max_tokens while no sample has ended. */
+/* Mean sample length, capped at max_tokens; half of max_tokens if no sample has ended yet. */
 double lc_length_histogram_mean (const LcLengthHistogram *lengths, int64_t max_tokens);
-/* Expected tokens still to come for a sample that has so many. */
+/* Expected number of further tokens of a sample that has `tokens` tokens. */
 double lc_length_histogram_estimate_remaining (const LcLengthHistogram *lengths,
                                                int64_t tokens,
                                                int64_t max_tokens);
+/* Expected length of the next sample of a group, in tokens. */
 double lc_length_histogram_predict_for_group (const LcLengthHistogram *lengths,
                                               const LcGroupLengths *group,
                                               int64_t max_tokens);
 
-void lc_pace_add_sample (LcPace *pace, int64_t tokens, LbTime waited, LbTime streamed);
-/* Expected time of a new sample of so many tokens. */
+void lc_pace_add_sample (LcPace *pace, int64_t tokens, LbTime wait_time, LbTime stream_time);
+/* Expected time to generate a new sample of `tokens` tokens; 0: the speed is not known. */
 double lc_pace_expected_seconds (const LcPace *pace, double tokens);
 
-/* How many seconds later than a second generation from the start the running sample is expected to
- * end, where the trainer's idle time counts by idle_weight (0..1); 0 or less: do not hedge. Only
- * the pace of its endpoint makes a sample worth a hedge, never its length: generating long samples
- * again until a short one comes would teach the trainer's model to be short. */
+/* Expected seconds saved by a second generation from the start; 0 or less: do not hedge. The time
+ * of the second generation is multiplied by a safety factor, which falls with idle_weight (0..1),
+ * the weight of the trainer's idle time. Only a slow endpoint justifies a hedge, not a long sample:
+ * repeating long samples until a short one comes would teach the trainer's model to be short. */
 double lc_straggler_hedge_gain_seconds (const LcLengthHistogram *lengths,
                                         const LcPace *pace,
                                         const LcSampleProgress *progress,
                                         double idle_weight,
                                         LbTime now);
-/* Seconds by which the running sample is expected to end earlier if another endpoint continues it,
- * where the time to generate the rest there is multiplied by a safety factor; 0 or less: do not
- * move. 0 without enough history or before the first token. */
+/* Expected seconds saved if another endpoint continues the running sample; 0 or less: do not move.
+ * The time to generate the rest at the other endpoint is multiplied by a safety factor. Returns 0
+ * without enough history or before the first token. */
 double lc_straggler_move_gain_seconds (const LcLengthHistogram *lengths,
                                        const LcPace *pace,
                                        const LcSampleProgress *progress,
                                        double idle_weight,
                                        LbTime now);
-/* Tokens that are expected to be discarded if the sample is hedged. */
+/* Expected number of tokens that are discarded if the sample is hedged. */
 int64_t lc_straggler_hedge_cost_tokens (const LcLengthHistogram *lengths,
                                         const LcPace *pace,
                                         const LcSampleProgress *progress,
