--- a/packages/core/include/lc-text-cache.h
+++ b/packages/core/include/lc-text-cache.h
@@ -4,44 +4,44 @@
 #include "lb-types.h"
 #include "lc-types.h"
 
-/* Texts of incomplete groups from ended batches of one model. A trainer asks for such a group again
- * in a later batch, under the same item ids, and its texts are then continued rather than generated
- * anew. No I/O. */
+/* Cache for the texts of incomplete groups from ended batches of one model. A trainer requests an
+ * incomplete group again in a later batch, with the same item ids; the cached texts are then
+ * continued instead of generated again. No I/O. */
 
 typedef struct
 {
   LbName item;
-  uint64_t fingerprint; /* hash of the request and the scorer: the same id may name another item */
+  uint64_t fingerprint; /* hash of request and scorer, since an id may be used for another item */
   bool is_complete;
   int64_t n_events;
-  const char *text; /* not owned; one event a line */
+  const char *text; /* events separated by line feeds; not owned */
   const LcVersion *versions;
   size_t n_versions;
-  const char *score; /* NULL: not scored yet; only a complete text has one */
+  const char *score; /* NULL: not scored; only a complete text has a score */
 } LcCachedText;
 
 typedef struct LcTextCache LcTextCache;
 
-/* Removes the oldest entries beyond max_bytes. */
+/* The cache evicts its oldest entries when it exceeds max_bytes. */
 LcTextCache *lc_text_cache_new (size_t max_bytes);
 void lc_text_cache_free (LcTextCache *cache);
 
-/* commands */
-/* Copies the text. It replaces one of the same item only if it is longer or complete, or has
- * another fingerprint. */
+/* Stores a copy of the text. An entry of the same item and fingerprint is replaced only if the new
+ * text is complete and the cached one is not, or equally complete and at least as long. */
 void lc_text_cache_put (LcTextCache *cache, const LcCachedText *text, LbTime now);
-/* Removes texts that are too old to be asked for again. */
+/* Evicts texts that are too old for a trainer to request their groups again. */
 void lc_text_cache_expire (LcTextCache *cache, LbTime now);
 
-/* queries */
-/* False if there is no such text, or if a version older than min_version generated part of it. The
- * texts in *found are valid until the next command. */
+/* Returns false if no text is cached for the item and fingerprint, or if weights older than
+ * min_version generated part of the cached text. The strings in *found are valid until the cache
+ * next changes. */
 bool lc_text_cache_find (const LcTextCache *cache,
                          const char *item_id,
                          uint64_t fingerprint,
                          LcVersion min_version,
                          LcCachedText *found);
-/* Number of events of the cached text, whatever its versions; 0: none is cached. */
+/* Returns the number of events in the cached text, whatever its weight versions; 0: no text is
+ * cached, *is_complete is unchanged. */
 int64_t lc_text_cache_count_events (const LcTextCache *cache,
                                     const char *item_id,
                                     uint64_t fingerprint,
