--- a/packages/core/include/lc-batch-head.h
+++ b/packages/core/include/lc-batch-head.h
@@ -5,37 +5,39 @@
 
 struct json_object;
 
-/* Stored record of a batch; it exists if and only if the batch was accepted. Every result is
- * written on the condition that this row has not changed, so that an owner that was replaced, or
- * that missed the end of the batch, cannot list anything more. */
+/* Row of a batch in the store; it exists if and only if the batch was accepted. A transaction that
+ * writes results requires this row to be unchanged, so an owner that has been replaced, or has
+ * missed the end of the batch, cannot list further results. */
 typedef struct
 {
   LbName batch;
   LbName owner; /* instance that runs the batch; empty: released, any instance may take it over */
   LbName incarnation;
-  int64_t epoch; /* fencing number: incremented with each change of owner */
+  int64_t epoch; /* fencing token: incremented with each change of owner */
   bool ended;
   int64_t n_items;
   LbName model;
-  int64_t expected_tokens; /* expected length of all its texts together */
-  /* Instance that should take the batch over from the one that accepted it. One instance runs all
-   * batches of a model, so that it keeps its connections to the engines. */
+  int64_t expected_tokens; /* expected total length of the batch's texts */
+  /* Instance that should take over the batch from the instance that accepted it. One instance runs
+   * all batches of a model, so that its connections to the engines are reused. */
   LbName preferred_instance;
-  LbName organisation;           /* the batch belongs to it; empty: none */
-  int64_t organisation_priority; /* its priority when the batch was accepted; larger first */
-  LbName host;                   /* host of the batch's route */
+  LbName organisation;           /* organisation that the batch belongs to; empty: none */
+  int64_t organisation_priority; /* at acceptance of the batch; higher priorities go first */
+  LbName host;                   /* host name of the batch's route */
   char path[128];
 } LcBatchHead;
 
 struct json_object *lc_batch_head_to_json (const LcBatchHead *head);
 bool lc_batch_head_from_json (struct json_object *object, LcBatchHead *head);
 
-/* The preferred instance while the batch has its first owner, and the owner after that. */
+/* Returns the preferred instance, if any, while the batch has its first owner (epoch 1); otherwise
+ * the current owner. */
 const char *lc_batch_head_assigned_instance (const LcBatchHead *head);
-/* Whether the next batch of a model goes to the instance of batch a rather than to that of b. */
+/* Whether the next batch of a model is assigned to the instance of batch a rather than to that of
+ * batch b. The versions are those of the batches' rows in the store. */
 bool lc_batch_head_is_preferred_over (const LcBatchHead *a,
-                                      int64_t version_a,
+                                      int64_t row_version_a,
                                       const LcBatchHead *b,
-                                      int64_t version_b);
+                                      int64_t row_version_b);
 
 #endif
--- a/packages/core/src/batch/lc-batch-head.c
+++ b/packages/core/src/batch/lc-batch-head.c
@@ -57,15 +57,15 @@
   return head->epoch == 1 && head->preferred_instance[0] ? head->preferred_instance : head->owner;
 }
 
-/* A batch that runs takes precedence over one that has ended, whatever their versions: ending a
- * batch writes its row again. By versions alone, the next batch went to the instance whose batch
- * had just ended, so two instances ran the batches of one model in turn, and each held a connection
- * for every slot of every engine. */
+/* A running batch takes precedence over an ended one, whatever their row versions, since the end of
+ * a batch updates its row. By row version alone, the next batch went to the instance whose batch
+ * had just ended. Two instances then ran the batches of one model in turn, and each held a
+ * connection for every slot of every engine. */
 bool
 lc_batch_head_is_preferred_over (const LcBatchHead *a,
-                                 int64_t version_a,
+                                 int64_t row_version_a,
                                  const LcBatchHead *b,
-                                 int64_t version_b)
+                                 int64_t row_version_b)
 {
-  return a->ended != b->ended ? b->ended : version_a > version_b;
+  return a->ended != b->ended ? b->ended : row_version_a > row_version_b;
 }
--- a/packages/core/tests/test-batch-head.c
+++ b/packages/core/tests/test-batch-head.c
@@ -22,8 +22,8 @@
   json_object_put (object);
 }
 
-/* A foreign or truncated row must not become a batch without items. */
-Test (batch_head, rejects_incomplete_rows)
+/* A foreign or truncated row must not be read as a batch without items. */
+Test (batch_head, row_without_required_fields_is_rejected)
 {
   static const char *const texts[]
       = { "{}", "{\"batch\": \"b\", \"epoch\": 1, \"total\": 0}", "{\"batch\": 4, \"epoch\": 1}" };
@@ -32,12 +32,12 @@
   for (size_t i = 0; i < sizeof texts / sizeof texts[0]; i++)
     {
       struct json_object *object = json_tokener_parse (texts[i]);
-      cr_assert_not (lc_batch_head_from_json (object, &head), "%s", texts[i]);
+      cr_assert_not (lc_batch_head_from_json (object, &head), "row must be rejected: %s", texts[i]);
       json_object_put (object);
     }
 }
 
-/* A new batch runs on its preferred instance; after a change of owner it runs on that owner. */
+/* A new batch must run on its preferred instance; after a change of owner, on the new owner. */
 Test (batch_head, batch_is_assigned_to_its_preferred_instance_until_the_owner_changes)
 {
   LcBatchHead head = { .epoch = 1, .owner = "a", .preferred_instance = "b" };
@@ -47,10 +47,10 @@
   cr_assert_str_eq (lc_batch_head_assigned_instance (&head), "a");
 }
 
-/* After an owner died, two steps of a model run on two instances. The first step ends, which writes
- * its row again; the third step must join the second. By row versions alone, it went to the
- * instance of the first step and the fourth to that of the second, so both instances kept
- * connections to all engines. */
+/* After an owner died, two steps of a model run on two instances. The end of the first step updates
+ * its row. The third step must join the running second step. By row version alone, it went to the
+ * instance of the first, and the fourth to that of the second, so both instances kept connections
+ * to all engines. */
 Test (batch_head, next_batch_joins_a_running_batch_rather_than_an_ended_one)
 {
   const LcBatchHead ended = { .ended = true };
