--- a/packages/core/include/lc-batch.h
+++ b/packages/core/include/lc-batch.h
@@ -5,17 +5,17 @@
 #include "lc-dispatch.h"
 #include "lc-outgoing.h"
 
-/* State machine of a batch of samples at the instance that owns it: runs and retries the items,
- * assigns a position to each result and abandons items that fail for good. No I/O: commands append
- * actions. */
+/* State machine of a batch of samples at the instance that owns the batch: generates, scores and
+ * retries the items, assigns a position to each result and abandons items that fail permanently. No
+ * I/O: commands append actions that the caller carries out. */
 
 typedef struct
 {
-  LbName group; /* the items of a group share their prompt */
+  LbName group; /* items of a group share a prompt */
   LcOutgoing request;
   int64_t prompt_tokens;
   int64_t max_tokens;
-  int64_t expected_tokens; /* trainer's estimate for the whole text; 0: not known */
+  int64_t expected_tokens; /* trainer's estimate of the text length; 0: not known */
   uint64_t prefix_hashes[LC_MAX_PREFIX_HASHES];
   size_t n_prefix_hashes;
   bool has_scorer;
@@ -26,10 +26,10 @@
 {
   LbName id;
   LbName model;
-  LbName organisation; /* the batch belongs to it; empty: none */
+  LbName organisation; /* organisation that the batch belongs to; empty: none */
   int64_t step;
-  LcVersion min_version; /* oldest weights that may generate any part of a text */
-  int64_t target_groups; /* complete groups that the trainer waits for */
+  LcVersion min_version; /* oldest weight version that may generate part of a text */
+  int64_t target_groups; /* number of complete groups that the trainer waits for */
   LcBatchItemSpec *items;
   size_t n_items;
 } LcBatchSpec;
@@ -38,7 +38,7 @@
 
 #define LC_MAX_RESULT_VERSIONS 16
 
-/* Result of an item, which is listed at a position that never changes. Owns its texts. */
+/* Result of an item, listed at a fixed position among the batch's results. Owns its strings. */
 typedef struct
 {
   LbName item;
@@ -51,29 +51,30 @@
 
 void lc_batch_result_clear (LcBatchResult *result);
 
-/* Consecutive events of the incomplete text of an item. Does not own its texts. */
+/* Consecutive events of an item's incomplete text, as a checkpoint saves them. Does not own its
+ * strings. */
 typedef struct
 {
   const char *item;
-  int64_t restarts;    /* number of times that the text had restarted from its first event */
-  int64_t first_event; /* number of events of the text before these */
-  int64_t n_events;    /* events in `text`, which are separated by line feeds */
+  int64_t restarts;    /* number of times that the text had been discarded and restarted */
+  int64_t first_event; /* index of the part's first event in the text; 0: start of the text */
+  int64_t n_events;    /* number of events in `text`, separated by line feeds */
   const char *text;
-  const LcVersion *versions; /* weight versions of the text up to the end of this part */
+  const LcVersion *versions; /* weight versions that generated the text up to this part's end */
   size_t n_versions;
 } LcBatchTextPart;
 
 typedef enum
 {
-  LC_BATCH_GENERATE, /* submit the item to the dispatch as `request` */
-  LC_BATCH_SCORE,    /* submit the item's scorer as `request` */
-  LC_BATCH_CANCEL,   /* cancel `request` */
-  /* Cancel `request`; answer with lc_batch_finish_generation and LB_ERROR_CLOSED. No piece may
-   * follow: the text is continued at another endpoint after exactly the pieces that were added. */
+  LC_BATCH_GENERATE, /* submit the item's generation request under the id `request` */
+  LC_BATCH_SCORE,    /* submit the item's scoring request under the id `request` */
+  LC_BATCH_CANCEL,   /* cancel the request with the id `request` */
+  /* Cancel `request`, then call lc_batch_finish_generation with LB_ERROR_CLOSED. Add no piece of
+   * the request after that call: another endpoint continues the text after the last added piece. */
   LC_BATCH_PREEMPT,
-  LC_BATCH_WRITE_RESULTS, /* write `results`; answer with lc_batch_finish_write */
-  /* Save the events that are new since the last checkpoint, for the next owner; answer with
-   * lc_batch_finish_checkpoint. */
+  LC_BATCH_WRITE_RESULTS, /* write `results`, then call lc_batch_finish_write */
+  /* Save `parts`, the events added since the last checkpoint, for the next owner of the batch; then
+   * call lc_batch_finish_checkpoint. */
   LC_BATCH_CHECKPOINT
 } LcBatchActionType;
 
@@ -83,24 +84,24 @@
   LcBatchActionType type;
   LcRequestId request;
   size_t item_index; /* index into LcBatchSpec.items */
-  /* LC_BATCH_GENERATE */
+  /* set for LC_BATCH_GENERATE */
   int64_t resume_at;          /* number of events that the text already has */
-  const char *avoid_endpoint; /* was too slow for the item; "": none; until the next command */
-  int64_t remaining_events;   /* estimate of the events still to come */
-  LbTime due_at;              /* when the trainer wants the batch */
-  LbTime latest_start;        /* latest start with which the text is complete at due_at */
-  /* LC_BATCH_CHECKPOINT; valid until the next command */
+  const char *avoid_endpoint; /* endpoint that was too slow, or ""; valid until the next command */
+  int64_t remaining_events;   /* estimated number of events still to be generated */
+  LbTime due_at;              /* time at which the trainer wants the batch */
+  LbTime latest_start;        /* latest start that completes the text by due_at */
+  /* set for LC_BATCH_CHECKPOINT; valid until the next command */
   LcBatchTextPart *parts;
   size_t n_parts;
-  /* LC_BATCH_WRITE_RESULTS; valid until lc_batch_finish_write */
-  int64_t first_position;
+  /* set for LC_BATCH_WRITE_RESULTS; valid until lc_batch_finish_write */
+  int64_t first_position; /* position of results[0] */
   const LcBatchResult *const *results;
   size_t n_results;
 } LcBatchAction;
 
 void lc_batch_action_free (LcBatchAction *action);
 
-/* Text lengths and stream speed of earlier batches of a model; outlives the batches. */
+/* Text lengths and stream speed measured in the batches of a model; must outlive the batches. */
 typedef struct LcBatchHistory LcBatchHistory;
 
 LcBatchHistory *lc_batch_history_new (void);
@@ -108,31 +109,32 @@
 
 typedef struct
 {
-  LcBatchHistory *history;    /* not owned */
+  LcBatchHistory *history;    /* not owned; NULL: no history */
   LcTextCache *text_cache;    /* not owned; NULL: texts of earlier batches are not reused */
-  int64_t tokens_per_event;   /* 0: not known */
-  int64_t max_failures;       /* failures at engines after which an item is abandoned */
-  int64_t max_score_failures; /* the same for failures of the scorer */
-  bool resumable;             /* another endpoint can continue a text */
-  bool single_version;        /* one version must generate the whole text */
-  LbTime due_at;              /* when the trainer wants the batch */
-  LbTime deadline;            /* unfinished items are abandoned then; LB_TIME_NEVER: never */
+  int64_t tokens_per_event;   /* 0: not known, 1 is assumed */
+  int64_t max_failures;       /* number of failed generations after which an item is abandoned */
+  int64_t max_score_failures; /* number of failed scorings after which an item is abandoned */
+  bool resumable;             /* another endpoint can continue a partial text */
+  bool single_version;        /* one weight version must generate the whole text */
+  LbTime due_at;              /* time at which the trainer wants the batch */
+  LbTime deadline;            /* time to abandon unfinished items; LB_TIME_NEVER: never */
   LcRequestId (*next_request_id) (void *user);
   void *user;
 } LcBatchSettings;
 
 typedef struct LcBatch LcBatch;
 
-/* Takes ownership of the content of the spec. */
+/* Takes the content of *spec, which is zeroed, and copies *settings. */
 LcBatch *lc_batch_new (LcBatchSpec *spec, const LcBatchSettings *settings);
 void lc_batch_free (LcBatch *batch);
 
-/* commands */
-/* Marks the item as listed by an earlier owner; before lc_batch_start. */
-void lc_batch_mark_item_listed (LcBatch *batch, const char *item);
+/* Commands append the actions that the caller must carry out. */
+
+/* Marks an item whose result an earlier owner has already listed. Call before lc_batch_start. */
+void lc_batch_mark_item_listed (LcBatch *batch, const char *item_id);
 void lc_batch_start (LcBatch *batch, LbTime now, LbList *actions);
-/* Restores a part from the checkpoint of an earlier owner; before lc_batch_start. The parts of an
- * item must be ordered by restarts and first_event. */
+/* Restores part of a text from the checkpoint of an earlier owner. Call before lc_batch_start, with
+ * the parts of an item ordered by `restarts`, then `first_event`. */
 void lc_batch_restore_text_part (LcBatch *batch, const LcBatchTextPart *part);
 /* Adds one event to the text that the request generates. */
 void lc_batch_add_piece (LcBatch *batch,
@@ -141,7 +143,7 @@
                          const char *endpoint,
                          const char *text,
                          LbTime now);
-/* Handles the end of a generation request. */
+/* Handles the end of a generation request; LB_OK: the text is complete. */
 void lc_batch_finish_generation (
     LcBatch *batch, LcRequestId request, LbErrorCode error, LbTime now, LbList *actions);
 void lc_batch_finish_scoring (LcBatch *batch,
@@ -150,17 +152,19 @@
                               const char *score,
                               LbTime now,
                               LbList *actions);
-/* A failed write is repeated with the same results at the same positions. */
+/* Handles the outcome of the write in progress. A failed write is retried with the same results at
+ * the same positions. */
 void lc_batch_finish_write (LcBatch *batch, bool ok, LbTime now, LbList *actions);
 void lc_batch_tick (LcBatch *batch, LbTime now, LbList *actions);
-/* Appends LC_BATCH_CHECKPOINT, unless there are only few new events. */
+/* Appends LC_BATCH_CHECKPOINT if any text has enough new events to be worth saving. */
 void lc_batch_checkpoint (LcBatch *batch, LbTime now, LbList *actions);
 void lc_batch_finish_checkpoint (LcBatch *batch, bool ok);
-/* Cancels all requests; nothing is written any more. Texts of incomplete groups go into the text
- * cache, for a batch that asks for them again. */
+/* Cancels all requests; afterwards no results are written. Stores the texts of incomplete groups in
+ * the text cache for a later batch that requests the groups again. */
 void lc_batch_stop (LcBatch *batch, LbTime now, LbList *actions);
 
-/* queries */
+/* Queries leave the batch unchanged. */
+
 const LcBatchSpec *lc_batch_get_spec (const LcBatch *batch);
 int64_t lc_batch_count_listed_results (const LcBatch *batch);
 bool lc_batch_is_done (const LcBatch *batch);
--- a/packages/core/src/batch/lc-batch-item.c
+++ b/packages/core/src/batch/lc-batch-item.c
@@ -5,21 +5,21 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FIRST_RETRY_DELAY (50 * LB_MSEC) /* before the first retry; doubles each time */
+#define FIRST_RETRY_DELAY (50 * LB_MSEC) /* delay of the first retry; doubles with each retry */
 #define MAX_RETRY_DELAY (800 * LB_MSEC)
-/* Length assumed for a text without an estimate. */
+/* Assumed length of a text whose expected and maximum lengths are unknown. */
 #define DEFAULT_TEXT_EVENTS 8
-/* Estimates are right at the median but often far off: at least this part of the estimated
- * length (a quarter) is always assumed to remain. */
+/* At least a quarter of the estimated length is assumed to remain, since the estimates are right at
+ * the median but often far off. */
 #define MIN_REMAINING_DIVISOR 4
-/* Fewer new events cost more to write and to read than to generate again, which takes a quarter of
- * a second at an engine with twelve events a second. */
+/* Minimum number of new events of a text to save it. Fewer events cost more to write and to read
+ * than to generate again, which takes a quarter of a second at twelve events a second. */
 #define MIN_CHECKPOINT_EVENTS 3
-/* A stream without an event for longer counts as stalled. This is at least eight times the usual
+/* A stream without an event for this time counts as stalled. This is at least eight times the usual
  * interval between events. */
-#define STALL_THRESHOLD (400 * LB_MSEC)
+#define STALL_TIMEOUT (400 * LB_MSEC)
 
-/* Stores one event a line. */
+/* Events are separated by line feeds. */
 void
 lc_batch_item_append_event (LcBatchItem *item, const char *text)
 {
@@ -62,8 +62,8 @@
 void
 lc_batch_item_restore_part (LcBatchItem *item, const LcBatchTextPart *part)
 {
-  if (part->restarts > item->newest_restarts)
-    item->newest_restarts = part->restarts;
+  if (part->restarts > item->max_restored_restarts)
+    item->max_restored_restarts = part->restarts;
   if (part->restarts > item->restarts && part->first_event == 0)
     {
       lc_batch_item_restart_text (item);
@@ -91,7 +91,7 @@
 {
   LcBatchResult *result = &item->result;
 
-  /* A text with an event of unknown or too old weights cannot be labelled correctly. */
+  /* Events of unknown weights cannot be labelled; weights older than min_version are stale. */
   if (version <= 0 || version < min_version)
     item->is_unusable = true;
   for (size_t i = 0; i < result->n_versions; i++)
@@ -121,62 +121,63 @@
   item->is_unusable = false;
 }
 
-/* Guards against joining parts of two texts. A checkpoint write whose answer was lost may be
- * carried out late and shorten a row that a later write had extended; the rows behind that gap
- * belong to a text that is not continued. They are ignored, and the text continues under a new
- * restart number, which invalidates all older parts. */
+/* Prevents joining the parts of two different texts. A checkpoint write whose answer was lost may
+ * take effect late and shorten a row that a later write had extended, which leaves a gap. Parts
+ * after the gap are ignored. The text continues with a new restart number, which invalidates all
+ * older parts. */
 void
 lc_batch_item_finish_restore (LcBatchItem *item)
 {
   if (!item->has_gap)
     return;
   item->has_gap = false;
-  item->restarts = item->newest_restarts + 1;
+  item->restarts = item->max_restored_restarts + 1;
   item->saved_events = 0;
   item->saved_length = 0;
 }
 
-/* The estimated length less the events so far, but at least a fraction of the estimate. The length
- * that an earlier batch saw takes precedence over the estimate. */
+/* Returns the estimated length minus the existing events, but at least a fraction of the estimate.
+ * The length of the text in an earlier batch replaces the estimate if that text was complete or
+ * longer. */
 int64_t
-lc_batch_item_expect_remaining_events (const LcBatchItem *item,
-                                       const LcBatchItemSpec *spec,
-                                       int64_t tokens_per_event)
+lc_batch_item_estimate_remaining_events (const LcBatchItem *item,
+                                         const LcBatchItemSpec *spec,
+                                         int64_t tokens_per_event)
 {
   int64_t tokens = spec->expected_tokens > 0 ? spec->expected_tokens : spec->max_tokens;
   int64_t events
       = tokens > 0 ? (tokens + tokens_per_event - 1) / tokens_per_event : DEFAULT_TEXT_EVENTS;
   int64_t remaining = 0;
 
-  if (item->known_is_complete || item->known_events > events)
-    events = item->known_events;
+  if (item->cached_is_complete || item->cached_events > events)
+    events = item->cached_events;
   remaining = events - item->n_events;
   return remaining > events / MIN_REMAINING_DIVISOR ? remaining
                                                     : events / MIN_REMAINING_DIVISOR + 1;
 }
 
-/* The current silence counts as an interval, so that the pace of a stalled stream falls before its
- * next event. */
+/* Counts the time since the last event of a stalled stream as an interval, so that the measured
+ * pace falls before the next event. */
 double
 lc_batch_item_estimate_seconds_per_token (const LcBatchItem *item, LbTime now)
 {
   LcStreamPace pace = item->pace;
 
-  if (now - item->last_piece_at > STALL_THRESHOLD)
+  if (now - item->last_piece_at > STALL_TIMEOUT)
     lc_stream_pace_add (&pace, 0, now - item->last_piece_at);
   return lc_stream_pace_token_seconds (&pace);
 }
 
 bool
-lc_batch_item_has_enough_to_checkpoint (const LcBatchItem *item)
+lc_batch_item_needs_checkpoint (const LcBatchItem *item)
 {
   return item->state == ITEM_GENERATING && !item->is_unusable
          && item->n_events - item->saved_events >= MIN_CHECKPOINT_EVENTS;
 }
 
-/* Skips the line feed before the first new event. */
+/* Returns the offset of the first unsaved event, after the line feed that precedes the event. */
 static size_t
-get_unsaved_offset (const LcBatchItem *item)
+get_unsaved_text_offset (const LcBatchItem *item)
 {
   return item->saved_events > 0 ? item->saved_length + 1 : 0;
 }
@@ -184,7 +185,7 @@
 size_t
 lc_batch_item_count_unsaved_bytes (const LcBatchItem *item)
 {
-  return item->text_length - get_unsaved_offset (item);
+  return item->text_length - get_unsaved_text_offset (item);
 }
 
 LcBatchTextPart
@@ -196,7 +197,7 @@
                             .restarts = item->restarts,
                             .first_event = item->saved_events,
                             .n_events = item->n_events - item->saved_events,
-                            .text = item->result.text + get_unsaved_offset (item),
+                            .text = item->result.text + get_unsaved_text_offset (item),
                             .versions = item->result.versions,
                             .n_versions = item->result.n_versions };
 }
--- a/packages/core/src/batch/lc-batch-item.h
+++ b/packages/core/src/batch/lc-batch-item.h
@@ -10,82 +10,80 @@
 {
   ITEM_WAITING,
   ITEM_GENERATING,
-  ITEM_GENERATED, /* waits to be scored */
+  ITEM_GENERATED, /* text is complete and waits for scoring */
   ITEM_SCORING,
-  ITEM_READY, /* its result waits to be written */
-  ITEM_LISTED
+  ITEM_READY, /* result waits to be written to the store */
+  ITEM_LISTED /* result is in the store */
 } LcBatchItemState;
 
 typedef struct
 {
-  LbLink ready; /* in LcBatch.ready */
+  LbLink ready_link; /* entry in LcBatch.ready_items */
   LcBatchItemState state;
-  LcRequestId request; /* current generation or scoring; 0: none */
+  LcRequestId request; /* current generation or scoring request; 0: none */
   LbTime retry_at;
-  int64_t failures; /* generation requests that ended with LB_ERROR_ENDPOINT_FAILED */
+  int64_t failures; /* number of generations that ended with LB_ERROR_ENDPOINT_FAILED */
   int64_t score_failures;
-  int retries;      /* since the last progress */
-  int64_t n_events; /* events of the text so far */
+  int retries;      /* number of retries since the last progress; sets the retry delay */
+  int64_t n_events; /* number of events in the text */
   size_t text_length;
   size_t text_capacity;
-  int64_t restarts;        /* one more each time that the text restarts from its first event */
-  int64_t newest_restarts; /* largest number of restarts among the restored parts */
-  bool has_gap;            /* the restored parts are not contiguous */
-  int64_t saved_events;    /* number of events that the checkpoint in the store holds */
-  size_t saved_length;     /* length of their text */
-  int64_t saving_events;   /* saved_events once the pending checkpoint succeeds; 0: none pending */
-  size_t saving_length;
-  int64_t known_events;   /* events that the text had in an earlier batch; 0: not known */
-  bool known_is_complete; /* the text of the earlier batch was complete */
-  LbTime started_at;      /* start of the current request */
-  LbTime first_piece_at;  /* first piece of the current request; 0: none yet */
-  LbTime last_piece_at;   /* last piece of the current request */
+  int64_t restarts;              /* number of times that the text was discarded and restarted */
+  int64_t max_restored_restarts; /* largest `restarts` of the restored checkpoint parts */
+  bool has_gap;                  /* the restored checkpoint parts are not contiguous */
+  int64_t saved_events;          /* number of events in the stored checkpoint */
+  size_t saved_length;           /* bytes of text in the stored checkpoint */
+  int64_t saving_events;         /* saved_events after the pending checkpoint; 0: none is pending */
+  size_t saving_length;          /* saved_length after the pending checkpoint */
+  int64_t cached_events;   /* number of events of the text in an earlier batch; 0: not known */
+  bool cached_is_complete; /* an earlier batch completed the text */
+  LbTime started_at;       /* start time of the current request */
+  LbTime first_piece_at;   /* time of the current request's first piece; 0: none yet */
+  LbTime last_piece_at;    /* time of the current request's last piece */
   LbTime listed_at;
-  LcStreamPace pace;      /* pace of the current request's stream */
-  int64_t request_events; /* events that the current request has produced */
-  LbName last_endpoint;   /* sent the last piece */
-  LbName avoid_endpoint;  /* the item was last moved away from it; empty: none */
+  LcStreamPace pace;      /* recent token rate of the current request's stream */
+  int64_t request_events; /* number of events that the current request has generated */
+  LbName last_endpoint;   /* endpoint that sent the last piece */
+  LbName avoid_endpoint;  /* endpoint that the item was last moved away from; empty: none */
   int n_moves;
-  bool is_preempted; /* the current request must stop: the item moves to another endpoint */
-  bool is_unusable;  /* a version is unknown or too old, or there are too many: the text restarts */
+  bool is_preempted; /* the current request is being cancelled to move the item */
+  bool is_unusable; /* the text must restart: a version is unknown or too old, or it has too many */
   LcBatchResult result;
 } LcBatchItem;
 
-/* commands */
 void lc_batch_item_append_event (LcBatchItem *item, const char *text);
-/* Gives an item that has no text yet the one that an earlier batch generated. */
+/* Sets the text of an item that has none to a text from an earlier batch. */
 void lc_batch_item_set_text (LcBatchItem *item,
                              const char *text,
                              int64_t n_events,
                              const LcVersion *versions,
                              size_t n_versions);
-/* Adds the version of an event to the label; marks the text unusable if that version must not be
- * part of it. */
+/* Adds the weight version of an event to the versions of the text. Marks the text as unusable if
+ * the version is not allowed. */
 void lc_batch_item_record_version (LcBatchItem *item,
                                    LcVersion version,
                                    LcVersion min_version,
                                    bool single_version);
-/* Appends the next part of an earlier owner's checkpoint. A part that does not continue the text
- * leaves a gap. */
+/* Appends a part of an earlier owner's checkpoint to the text. Sets has_gap instead if the part
+ * does not start at the end of the text. */
 void lc_batch_item_restore_part (LcBatchItem *item, const LcBatchTextPart *part);
-/* Must follow the last part. */
+/* Call after the last lc_batch_item_restore_part. */
 void lc_batch_item_finish_restore (LcBatchItem *item);
-/* Discards the text. */
+/* Discards the text; the next request generates it from its first event. */
 void lc_batch_item_restart_text (LcBatchItem *item);
-/* Returns the events that the checkpoint in the store lacks. */
+/* Returns the events that are not in the stored checkpoint. */
 LcBatchTextPart lc_batch_item_begin_checkpoint (LcBatchItem *item);
 void lc_batch_item_finish_checkpoint (LcBatchItem *item, bool ok);
-/* Waits in this state for a delay that doubles with each failure in a row. */
+/* Sets the item's state and schedules a retry with exponential backoff. */
 void lc_batch_item_schedule_retry (LcBatchItem *item, LcBatchItemState state, LbTime now);
 
-/* queries */
-/* Estimate of the events still to come. */
-int64_t lc_batch_item_expect_remaining_events (const LcBatchItem *item,
-                                               const LcBatchItemSpec *spec,
-                                               int64_t tokens_per_event);
-/* Recent pace of the stream; 0: not known yet. */
+/* Estimated number of events still to be generated. */
+int64_t lc_batch_item_estimate_remaining_events (const LcBatchItem *item,
+                                                 const LcBatchItemSpec *spec,
+                                                 int64_t tokens_per_event);
+/* Recent seconds per token of the current stream; 0: not known yet. */
 double lc_batch_item_estimate_seconds_per_token (const LcBatchItem *item, LbTime now);
-bool lc_batch_item_has_enough_to_checkpoint (const LcBatchItem *item);
+bool lc_batch_item_needs_checkpoint (const LcBatchItem *item);
 size_t lc_batch_item_count_unsaved_bytes (const LcBatchItem *item);
 
 #endif
--- a/packages/core/src/batch/lc-batch-private.h
+++ b/packages/core/src/batch/lc-batch-private.h
@@ -4,15 +4,16 @@
 #include "lc-batch-item.h"
 #include "lc-straggler.h"
 
-/* Shared by the files of LcBatch: lc-batch.c runs the items, lc-batch-write.c writes their results,
- * lc-batch-review.c moves items whose streams are slow and restarts those whose text is
+/* Shared by the source files of LcBatch: lc-batch.c runs the items, lc-batch-write.c writes their
+ * results, lc-batch-review.c moves items whose streams are slow and restarts those whose text is
  * unusable. */
 
-/* A transaction of the store takes at most 100 entries. */
+/* A store transaction takes at most 100 entries; a result takes a row and a condition. */
 #define LC_BATCH_MAX_RESULTS_PER_WRITE 40
-/* Limit for the texts of one write; a transaction of the store takes 1 MB, encoded. */
+/* Maximum text size of one write; a store transaction takes 1 MB of encoded data. */
 #define LC_BATCH_MAX_WRITE_BYTES (400 << 10)
-/* With fewer intervals between events the measured pace of a stream is mostly noise. */
+/* Minimum number of intervals between events to measure the pace of a stream; fewer intervals give
+ * mostly noise. */
 #define LC_BATCH_MIN_PACE_INTERVALS 4
 
 struct LcBatchHistory
@@ -26,38 +27,39 @@
   LcBatchSpec spec;
   LcBatchSettings settings;
   LcBatchItem *items;
-  LbList ready; /* LcBatchItem.ready; results to write */
+  LbList ready_items; /* items whose results wait to be written, linked by ready_link */
   int64_t n_listed;
-  size_t retained_bytes; /* of the texts of listed items that are still in memory */
+  size_t retained_bytes; /* total size of the listed items' texts that stay in memory */
   const LcBatchResult **results_in_write;
-  size_t n_results_in_write; /* first entries of ready */
+  size_t n_results_in_write; /* length of results_in_write; the first of ready_items */
   bool is_writing;
   LbTime next_review_at;
   LbTime last_tick_at;
   LbTime next_checkpoint_at;
   bool is_checkpointing;
-  LbTime retry_write_at; /* retry of a failed write */
+  LbTime retry_write_at; /* time to retry a failed write; LB_TIME_NEVER: none to retry */
   bool is_started;
   bool is_stopped;
 };
 
-/* lc-batch.c */
+/* Defined in lc-batch.c. */
 LcBatchAction *lc_batch_add_action (LbList *actions, LcBatchActionType type);
 size_t lc_batch_find_item_index (const LcBatch *batch, const LcBatchItem *item);
-/* Tokens in so many events, by the route's number of tokens per event. */
+/* Converts a number of events to tokens with the tokens per event of the settings. */
 int64_t lc_batch_events_to_tokens (const LcBatch *batch, int64_t events);
 /* Cancels the item's generation or scoring request, if there is one. */
 void lc_batch_cancel_request (LcBatchItem *item, LbList *actions);
 
-/* lc-batch-write.c */
+/* Defined in lc-batch-write.c. */
 /* Queues the result of a finished item for the next write. */
 void lc_batch_queue_result (LcBatch *batch, LcBatchItem *item, bool completed, LbList *actions);
 /* Starts a write of the queued results, unless one is in progress. */
 void lc_batch_start_write (LcBatch *batch, LbList *actions);
 
-/* lc-batch-review.c */
+/* Defined in lc-batch-review.c. */
 void lc_batch_review_items (LcBatch *batch, LbTime now, LbList *actions);
-/* Called at the beginning of each tick. */
-void lc_batch_detect_own_pause (LcBatch *batch, LbTime now);
+/* Postpones the next review if this instance was paused since the last tick. Call at the start of
+ * each tick. */
+void lc_batch_postpone_review_after_pause (LcBatch *batch, LbTime now);
 
 #endif
--- a/packages/core/src/batch/lc-batch-reuse.c
+++ b/packages/core/src/batch/lc-batch-reuse.c
@@ -7,13 +7,13 @@
 #include <uthash.h>
 #include <xxhash.h>
 
-/* A trainer polls about twice a second: it may end its step without having read a result that was
- * listed later than this before the end, and ask for that group again. */
+/* Time within which a trainer, which polls about twice a second, reads a listed result. If the step
+ * ends earlier, the trainer may request the group of the result again. */
 #define MAX_READ_DELAY (1500 * LB_MSEC)
 
 typedef struct
 {
-  LbName name; /* key */
+  LbName name; /* key of the hash table */
   bool is_complete;
   UT_hash_handle hh;
 } Group;
@@ -27,8 +27,8 @@
   return XXH3_64bits_withSeed (request->body ? request->body : "", request->body_length, hash);
 }
 
-/* The organisation is part of the hash: one organisation must not get the text of another's item
- * with the same id. */
+/* The hash includes the organisation, so that no organisation gets a text of another organisation's
+ * item with the same id. */
 static uint64_t
 hash_item (const LcBatchSpec *spec, const LcBatchItemSpec *item)
 {
@@ -57,7 +57,7 @@
 }
 
 static bool
-has_been_read (const LcBatchItem *item, LbTime now)
+has_trainer_read_result (const LcBatchItem *item, LbTime now)
 {
   return item->state == ITEM_LISTED && now - item->listed_at > MAX_READ_DELAY;
 }
@@ -69,7 +69,7 @@
 
   for (size_t i = 0; i < spec->n_items; i++)
     find_or_add_group (&groups, spec->items[i].group)->is_complete
-        &= has_been_read (&items[i], now);
+        &= has_trainer_read_result (&items[i], now);
   return groups;
 }
 
@@ -115,10 +115,10 @@
   }
 }
 
-/* A part of a text cannot be continued under a single version, since the version of the next
- * endpoint may differ. */
+/* With single_version a partial text cannot be continued, since the endpoint that continues it may
+ * have another weight version. */
 static bool
-can_reuse (const LcCachedText *text, const LcBatchSettings *settings)
+can_reuse_text (const LcCachedText *text, const LcBatchSettings *settings)
 {
   if (settings->single_version && (!text->is_complete || text->n_versions > 1))
     return false;
@@ -137,12 +137,12 @@
 
   if (item->state != ITEM_WAITING)
     return false;
-  item->known_events = lc_text_cache_count_events (settings->text_cache, item_spec->request.id,
-                                                   item_hash, &item->known_is_complete);
-  if (item->known_events == 0 || item->n_events > 0
+  item->cached_events = lc_text_cache_count_events (settings->text_cache, item_spec->request.id,
+                                                    item_hash, &item->cached_is_complete);
+  if (item->cached_events == 0 || item->n_events > 0
       || !lc_text_cache_find (settings->text_cache, item_spec->request.id, item_hash,
                               spec->min_version, &text)
-      || !can_reuse (&text, settings))
+      || !can_reuse_text (&text, settings))
     return false;
   lc_batch_item_set_text (item, text.text, text.n_events, text.versions, text.n_versions);
   if (!text.is_complete)
--- a/packages/core/src/batch/lc-batch-reuse.h
+++ b/packages/core/src/batch/lc-batch-reuse.h
@@ -3,19 +3,19 @@
 
 #include "lc-batch-item.h"
 
-/* Reuse of texts by a later batch. A trainer that has enough complete groups ends its step and asks
- * for the incomplete groups again in a later step, with the same item ids. Generating a text of 190
- * events anew takes another 7 s and is late again; continuing it takes only the rest of that time.
- * Private to LcBatch. */
+/* Reuse of texts by a later batch. A trainer ends its step when enough groups are complete, and
+ * requests the incomplete groups again in a later step with the same item ids. Generating a text of
+ * 190 events again takes 7 s and makes that step late too; continuing the text takes only the
+ * remaining part of the 7 s. Private to LcBatch. */
 
-/* Puts the texts of incomplete groups into the cache. */
+/* Stores the texts of incomplete groups in the cache. */
 void lc_batch_cache_texts (const LcBatchSpec *spec,
                            const LcBatchItem *items,
                            LcTextCache *cache,
                            LbTime now);
-/* Gives an item without a text the cached one if all its versions are allowed; it then waits to be
- * continued, or counts as generated if the text is complete. Otherwise only the length of the
- * cached text is recorded, so that the longest texts start first. */
+/* Sets the text of an item that has none to its cached text and returns true, if all weight
+ * versions of the cached text are allowed. A complete text makes the item ITEM_GENERATED. Otherwise
+ * records only the length of the cached text, so that the longest texts start first. */
 bool lc_batch_reuse_text (const LcBatchSpec *spec,
                           size_t index,
                           LcBatchItem *item,
--- a/packages/core/src/batch/lc-batch-review.c
+++ b/packages/core/src/batch/lc-batch-review.c
@@ -5,15 +5,14 @@
 #include "lb-switch.h"
 
 #define REVIEW_PERIOD (100 * LB_MSEC)
-/* An item is not moved more often than this. */
-#define MAX_MOVES 3
-/* A review that is this late means that this instance itself was paused. */
-#define MIN_OWN_PAUSE (300 * LB_MSEC)
-/* Weight of the trainer's waiting time against the extra work of a move; 1: only the time
- * counts. */
-#define IDLE_WEIGHT 1.0
+#define MAX_MOVES_PER_ITEM 3
+/* A tick that is late by more than this time means that this instance itself was paused. The next
+ * review is postponed by the same time. */
+#define MIN_INSTANCE_PAUSE (300 * LB_MSEC)
+/* Weight of the trainer's idle time against the extra work of a move; 1: only idle time counts. */
+#define TRAINER_IDLE_WEIGHT 1.0
 
-/* Seconds saved if the item moves to another endpoint now; 0 or less: it should stay. */
+/* Expected seconds saved if the item moves to another endpoint now; 0 or less: do not move it. */
 static double
 estimate_move_gain_seconds (const LcBatch *batch, const LcBatchItem *item, LbTime now)
 {
@@ -25,14 +24,14 @@
           .first_piece_at = item->first_piece_at,
           .recent_seconds_per_token = lc_batch_item_estimate_seconds_per_token (item, now) };
 
-  if (item->state != ITEM_GENERATING || item->is_preempted || item->n_moves >= MAX_MOVES
+  if (item->state != ITEM_GENERATING || item->is_preempted || item->n_moves >= MAX_MOVES_PER_ITEM
       || item->is_unusable || item->request_events <= LC_BATCH_MIN_PACE_INTERVALS)
     return 0;
-  return lc_straggler_move_gain_seconds (&history->lengths, &history->pace, &progress, IDLE_WEIGHT,
-                                         now);
+  return lc_straggler_move_gain_seconds (&history->lengths, &history->pace, &progress,
+                                         TRAINER_IDLE_WEIGHT, now);
 }
 
-/* Restarts unusable texts at once rather than when they are complete. */
+/* Restarts unusable texts at once, without waiting until the texts are complete. */
 static void
 restart_unusable_texts (LcBatch *batch, LbTime now, LbList *actions)
 {
@@ -51,9 +50,9 @@
     }
 }
 
-/* A step is complete only when its slowest texts are. An engine that becomes several times slower
- * would hold up the trainer although other engines have capacity, so the item moves to another
- * endpoint and continues the text that it has. */
+/* Moves items from slow engines to other endpoints, which continue the texts. A step is complete
+ * only when its slowest text is, so an engine that becomes several times slower would delay the
+ * trainer although other engines have free capacity. */
 static void
 move_slow_items (LcBatch *batch, LbTime now, LbList *actions)
 {
@@ -75,13 +74,13 @@
     }
 }
 
-/* After a pause of this instance all its streams look silent until it has read the events that
- * arrived meanwhile, and a review would move every item, so it is put off. */
+/* After a pause of this instance, all streams look silent until the events that arrived during the
+ * pause are read. A review before that would move every item. */
 void
-lc_batch_detect_own_pause (LcBatch *batch, LbTime now)
+lc_batch_postpone_review_after_pause (LcBatch *batch, LbTime now)
 {
-  if (batch->last_tick_at > 0 && now - batch->last_tick_at > REVIEW_PERIOD + MIN_OWN_PAUSE)
-    batch->next_review_at = now + MIN_OWN_PAUSE;
+  if (batch->last_tick_at > 0 && now - batch->last_tick_at > REVIEW_PERIOD + MIN_INSTANCE_PAUSE)
+    batch->next_review_at = now + MIN_INSTANCE_PAUSE;
   batch->last_tick_at = now;
 }
 
--- a/packages/core/src/batch/lc-batch-write.c
+++ b/packages/core/src/batch/lc-batch-write.c
@@ -7,26 +7,27 @@
 #include <string.h>
 
 #define WRITE_RETRY_DELAY (100 * LB_MSEC)
-/* Limit for listed texts kept for a later batch that asks for their groups again: four times the
- * texts of a step of 2,048 samples of 2 KB. */
+/* Maximum size of listed texts that stay in memory for a later batch that requests their groups
+ * again: four times the texts of a step of 2,048 samples of 2 KB. */
 #define MAX_RETAINED_BYTES ((size_t)(16 << 20))
 
-/* Writes one list of results at a time, with all that became ready meanwhile. The first write that
- * includes a result fixes its position. A write whose answer was lost is repeated with the same
- * content, since the store may still carry it out. */
+/* Only one write is in progress at a time; results that become ready during a write go into the
+ * next one. The first write that includes a result fixes the result's position. A write whose
+ * answer was lost is retried with the same results, since the store may still apply the first
+ * attempt. */
 void
 lc_batch_start_write (LcBatch *batch, LbList *actions)
 {
   size_t bytes = 0;
 
-  if (batch->is_writing || batch->is_stopped || lb_list_is_empty (&batch->ready))
+  if (batch->is_writing || batch->is_stopped || lb_list_is_empty (&batch->ready_items))
     return;
   if (batch->n_results_in_write == 0)
     {
       batch->results_in_write
           = lb_realloc (batch->results_in_write,
                         LC_BATCH_MAX_RESULTS_PER_WRITE * sizeof *batch->results_in_write);
-      LB_LIST_FOREACH (&batch->ready, LcBatchItem, ready, item)
+      LB_LIST_FOREACH (&batch->ready_items, LcBatchItem, ready_link, item)
       {
         bytes += item->result.text ? strlen (item->result.text) : 0;
         if (batch->n_results_in_write == LC_BATCH_MAX_RESULTS_PER_WRITE
@@ -43,8 +44,8 @@
   action->n_results = batch->n_results_in_write;
 }
 
-/* Keeps the text in memory, within a limit: a later batch asks for it again if its group is not
- * completed. */
+/* Keeps the item's text in memory, up to MAX_RETAINED_BYTES in all: a later batch requests the text
+ * again if its group stays incomplete. */
 static void
 retain_listed_text (LcBatch *batch, LcBatchItem *item)
 {
@@ -66,7 +67,7 @@
     }
   for (; batch->n_results_in_write > 0; batch->n_results_in_write--)
     {
-      LcBatchItem *item = LB_CONTAINER (lb_list_pop (&batch->ready), LcBatchItem, ready);
+      LcBatchItem *item = LB_CONTAINER (lb_list_pop (&batch->ready_items), LcBatchItem, ready_link);
       item->state = ITEM_LISTED;
       item->listed_at = now;
       retain_listed_text (batch, item);
@@ -87,6 +88,6 @@
       item->result.text = NULL;
       item->result.n_versions = 0;
     }
-  lb_list_append (&batch->ready, &item->ready);
+  lb_list_append (&batch->ready_items, &item->ready_link);
   lc_batch_start_write (batch, actions);
 }
--- a/packages/core/src/batch/lc-batch.c
+++ b/packages/core/src/batch/lc-batch.c
@@ -13,12 +13,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Pace of a usual engine, until that of the model is known. */
-#define DEFAULT_EVENT_SECONDS 0.05
-/* Time between checkpoints: bounds the events that are lost with an owner, beside those of a write
- * in progress. Costs four writes a second for each running step. */
+/* Speed of a usual engine, assumed until the speed for the model is known. */
+#define DEFAULT_SECONDS_PER_EVENT 0.05
+/* Time between checkpoints. A takeover loses at most the events of one period and of a checkpoint
+ * write in progress. Each running step costs four writes a second. */
 #define CHECKPOINT_PERIOD (250 * LB_MSEC)
-/* A transaction of the store takes 100 entries, of which two may be for the batch's own row. */
+/* A store transaction takes at most 100 entries, of which two may be for the batch's own row. */
 #define MAX_PARTS_PER_CHECKPOINT 90
 
 void
@@ -70,7 +70,7 @@
   batch->settings = *settings;
   batch->items = LB_NEW_ARRAY (LcBatchItem, batch->spec.n_items);
   batch->retry_write_at = LB_TIME_NEVER;
-  lb_list_init (&batch->ready);
+  lb_list_init (&batch->ready_items);
   for (size_t i = 0; i < batch->spec.n_items; i++)
     LB_COPY (batch->items[i].result.item, batch->spec.items[i].request.id);
   return batch;
@@ -133,10 +133,10 @@
   return events * (tokens_per_event > 0 ? tokens_per_event : 1);
 }
 
-/* Latest time to start a text of `events` events that must be complete when the trainer needs it.
- * Requests are ordered by this time, so that the longest text of a step does not start last and
- * delay the step. Of two open steps of a trainer, the long texts of the second start before the
- * short ones of the first, which have time left. */
+/* Returns the latest start that completes a text of `events` events by due_at. Requests are ordered
+ * by this time, so that the longest text of a step does not start last and delay the step. If a
+ * trainer has two open steps, the long texts of the second start before the short texts of the
+ * first, which have time left. */
 static LbTime
 compute_latest_start (const LcBatch *batch, int64_t events)
 {
@@ -145,7 +145,7 @@
   if (!lb_switch_is_on (LB_SWITCH_LATEST_START))
     return 0;
   double seconds = rate > 0 ? (double)lc_batch_events_to_tokens (batch, events) / rate
-                            : (double)events * DEFAULT_EVENT_SECONDS;
+                            : (double)events * DEFAULT_SECONDS_PER_EVENT;
 
   return batch->settings.due_at - (LbTime)(seconds * LB_SEC);
 }
@@ -166,7 +166,7 @@
   action->item_index = lc_batch_find_item_index (batch, item);
   action->resume_at = item->n_events;
   action->avoid_endpoint = item->avoid_endpoint;
-  action->remaining_events = lc_batch_item_expect_remaining_events (
+  action->remaining_events = lc_batch_item_estimate_remaining_events (
       item, &batch->spec.items[lc_batch_find_item_index (batch, item)],
       lc_batch_events_to_tokens (batch, 1));
   action->due_at = batch->settings.due_at;
@@ -205,10 +205,10 @@
     }
 }
 
-/* Saves the new events of running texts, so that the next owner continues them if this one is
- * killed or cut off; otherwise the longest text, on which the step waits, would restart. Only new
- * events are written: many long texts that were written as a whole did not fit in one transaction,
- * and those of the last items were never saved. */
+/* Saves the new events of running texts, so that the next owner can continue the texts if this
+ * owner is killed or cut off. Otherwise the longest text, for which the step waits, would restart.
+ * Only new events are saved: many long texts did not fit into one transaction as a whole, and the
+ * texts of the last items were never saved. */
 void
 lc_batch_checkpoint (LcBatch *batch, LbTime now, LbList *actions)
 {
@@ -223,7 +223,7 @@
   for (size_t i = 0; i < batch->spec.n_items && n < MAX_PARTS_PER_CHECKPOINT; i++)
     {
       LcBatchItem *item = &batch->items[i];
-      if (!lc_batch_item_has_enough_to_checkpoint (item)
+      if (!lc_batch_item_needs_checkpoint (item)
           || bytes + lc_batch_item_count_unsaved_bytes (item) > LC_BATCH_MAX_WRITE_BYTES)
         continue;
       bytes += lc_batch_item_count_unsaved_bytes (item);
@@ -399,7 +399,7 @@
 }
 
 static bool
-is_unfinished (const LcBatchItem *item)
+is_item_unfinished (const LcBatchItem *item)
 {
   return item->state != ITEM_READY && item->state != ITEM_LISTED;
 }
@@ -413,15 +413,15 @@
   item->request = 0;
 }
 
-/* Lists all unfinished items as not completed once the operator's time limit has passed, so that
- * the trainer does not wait for them for ever. */
+/* Lists all unfinished items as not completed after the batch's deadline, which the operator sets,
+ * so that the trainer does not wait for them forever. */
 static void
 abandon_unfinished_items (LcBatch *batch, LbList *actions)
 {
   for (size_t i = 0; i < batch->spec.n_items; i++)
     {
       LcBatchItem *item = &batch->items[i];
-      if (!is_unfinished (item))
+      if (!is_item_unfinished (item))
         continue;
       lc_batch_cancel_request (item, actions);
       lc_batch_queue_result (batch, item, false, actions);
@@ -431,7 +431,7 @@
 void
 lc_batch_tick (LcBatch *batch, LbTime now, LbList *actions)
 {
-  lc_batch_detect_own_pause (batch, now);
+  lc_batch_postpone_review_after_pause (batch, now);
   if (batch->is_stopped || !batch->is_started)
     return;
   if (now >= batch->settings.deadline)
@@ -493,7 +493,7 @@
   for (size_t i = 0; i < batch->spec.n_items; i++)
     {
       const LcBatchItem *item = &batch->items[i];
-      any_unfinished |= is_unfinished (item);
+      any_unfinished |= is_item_unfinished (item);
       if (item->state == ITEM_WAITING || item->state == ITEM_GENERATED)
         next = lb_time_earlier (next, item->retry_at);
     }
