--- a/packages/core/tests/test-batch-keep.c
+++ b/packages/core/tests/test-batch-keep.c
@@ -9,7 +9,7 @@
 #define MAX_ITEMS 80
 #define MAX_ROWS 4000
 
-/* A checkpointed part as the store holds it. */
+/* Row of the store that holds a checkpointed part of a text. */
 typedef struct
 {
   char item[16];
@@ -21,19 +21,19 @@
   size_t n_versions;
 } SavedPart;
 
-/* The owner of a batch and its store, whose answers the test controls. */
+/* Owner of a batch with a simulated store; the test decides how the store answers. */
 typedef struct
 {
   LcBatch *batch;
   LcRequestId last_request_id;
   LcRequestId requests[MAX_ITEMS];
   int64_t resume_at[MAX_ITEMS];
-  SavedPart *rows;
+  SavedPart *rows; /* rows in the store */
   size_t n_rows;
   SavedPart *pending; /* parts of the checkpoint in progress */
   size_t n_pending;
   size_t pending_bytes;
-  int64_t saved_bytes; /* in all checkpoints */
+  int64_t saved_bytes; /* total text size of all checkpoints that the store carried out */
 } Owner;
 
 static LcRequestId
@@ -64,7 +64,7 @@
 }
 
 static void
-free_parts (SavedPart *saved, size_t n)
+free_saved_parts (SavedPart *saved, size_t n)
 {
   for (size_t i = 0; i < n; i++)
     free (saved[i].text);
@@ -75,8 +75,8 @@
 owner_clear (Owner *owner)
 {
   lc_batch_free (owner->batch);
-  free_parts (owner->pending, owner->n_pending);
-  free_parts (owner->rows, owner->n_rows);
+  free_saved_parts (owner->pending, owner->n_pending);
+  free_saved_parts (owner->rows, owner->n_rows);
 }
 
 static void
@@ -118,7 +118,7 @@
     }
 }
 
-/* Replaces the row with the same key. */
+/* Stores a row; replaces the row with the same key, if there is one. */
 static void
 put_row (Owner *owner, SavedPart *saved)
 {
@@ -136,8 +136,8 @@
   owner->rows[owner->n_rows++] = *saved;
 }
 
-/* Carries out the checkpoint in progress; is_acknowledged: whether the owner receives the
- * answer. */
+/* Carries out the checkpoint in progress. is_acknowledged: whether the store's answer reaches the
+ * owner. */
 static void
 complete_checkpoint (Owner *owner, bool is_acknowledged)
 {
@@ -158,7 +158,7 @@
 }
 
 static void
-start (Owner *owner, LbTime now)
+start_batch (Owner *owner, LbTime now)
 {
   LbList actions;
 
@@ -168,7 +168,7 @@
 }
 
 static void
-tick (Owner *owner, LbTime now)
+tick_batch (Owner *owner, LbTime now)
 {
   LbList actions;
 
@@ -185,7 +185,7 @@
 }
 
 static int
-compare_keys (const void *a, const void *b)
+compare_row_keys (const void *a, const void *b)
 {
   const SavedPart *x = a;
   const SavedPart *y = b;
@@ -196,12 +196,12 @@
   return order != 0 ? order : (x->first_event > y->first_event) - (x->first_event < y->first_event);
 }
 
-/* Starts the next owner from the rows that the previous one has saved. */
+/* Starts the next owner from the rows that the previous owner has saved. */
 static void
-take_over (Owner *before, Owner *next, size_t n_items, LbTime now)
+start_next_owner (Owner *before, Owner *next, size_t n_items, LbTime now)
 {
   owner_init (next, n_items);
-  qsort (before->rows, before->n_rows, sizeof *before->rows, compare_keys);
+  qsort (before->rows, before->n_rows, sizeof *before->rows, compare_row_keys);
   for (size_t i = 0; i < before->n_rows; i++)
     {
       const SavedPart *row = &before->rows[i];
@@ -214,7 +214,7 @@
                                      .n_versions = row->n_versions };
       lc_batch_restore_text_part (next->batch, &part);
     }
-  start (next, now);
+  start_batch (next, now);
 }
 
 Test (batch_keep, checkpoint_holds_only_new_events)
@@ -222,15 +222,15 @@
   Owner owner;
 
   owner_init (&owner, 1);
-  start (&owner, LB_SEC);
+  start_batch (&owner, LB_SEC);
   add_pieces (&owner, 0, 4, "ab", LB_SEC);
-  tick (&owner, 2 * LB_SEC);
+  tick_batch (&owner, 2 * LB_SEC);
   cr_assert_eq (owner.n_pending, 1);
   cr_assert_eq (owner.pending[0].first_event, 0);
   cr_assert_str_eq (owner.pending[0].text, "ab\nab\nab\nab");
   complete_checkpoint (&owner, true);
   add_pieces (&owner, 0, 3, "cd", 2 * LB_SEC);
-  tick (&owner, 3 * LB_SEC);
+  tick_batch (&owner, 3 * LB_SEC);
   cr_assert_eq (owner.n_pending, 1);
   cr_assert_eq (owner.pending[0].first_event, 4);
   cr_assert_eq (owner.pending[0].n_events, 3);
@@ -238,87 +238,88 @@
   owner_clear (&owner);
 }
 
-/* A checkpoint fails. The next one includes its events, so that the saved text has no gap. */
-Test (batch_keep, next_checkpoint_includes_a_failed_one)
+/* After a failed checkpoint, the next one must include its events. Otherwise the saved text has a
+ * gap. */
+Test (batch_keep, next_checkpoint_includes_the_events_of_a_failed_one)
 {
   Owner owner;
 
   owner_init (&owner, 1);
-  start (&owner, LB_SEC);
+  start_batch (&owner, LB_SEC);
   add_pieces (&owner, 0, 3, "a", LB_SEC);
-  tick (&owner, 2 * LB_SEC);
+  tick_batch (&owner, 2 * LB_SEC);
   fail_checkpoint (&owner);
   add_pieces (&owner, 0, 3, "b", 2 * LB_SEC);
-  tick (&owner, 3 * LB_SEC);
+  tick_batch (&owner, 3 * LB_SEC);
   cr_assert_eq (owner.pending[0].first_event, 0);
   cr_assert_str_eq (owner.pending[0].text, "a\na\na\nb\nb\nb");
   owner_clear (&owner);
 }
 
-/* An owner is killed, and so is the next one. Each successor continues after the last saved
+/* Two owners are killed one after the other. Each successor must continue after the last saved
  * part. */
-Test (batch_keep, next_owners_continue_after_the_joined_parts)
+Test (batch_keep, each_next_owner_continues_after_the_last_saved_part)
 {
   Owner first, second, third;
 
   owner_init (&first, 2);
-  start (&first, LB_SEC);
+  start_batch (&first, LB_SEC);
   add_pieces (&first, 0, 3, "a", LB_SEC);
   add_pieces (&first, 1, 3, "x", LB_SEC);
-  tick (&first, 2 * LB_SEC);
+  tick_batch (&first, 2 * LB_SEC);
   complete_checkpoint (&first, true);
   add_pieces (&first, 0, 4, "b", 2 * LB_SEC);
-  tick (&first, 3 * LB_SEC);
+  tick_batch (&first, 3 * LB_SEC);
   complete_checkpoint (&first, true);
-  take_over (&first, &second, 2, 4 * LB_SEC);
+  start_next_owner (&first, &second, 2, 4 * LB_SEC);
   cr_assert_eq (second.resume_at[0], 7);
   cr_assert_eq (second.resume_at[1], 3);
   add_pieces (&second, 0, 3, "c", 4 * LB_SEC);
-  tick (&second, 5 * LB_SEC);
+  tick_batch (&second, 5 * LB_SEC);
   cr_assert_eq (second.pending[0].first_event, 7);
   for (size_t i = 0; i < second.n_pending; i++)
     put_row (&first, &second.pending[i]);
   second.n_pending = 0;
-  take_over (&first, &third, 2, 6 * LB_SEC);
+  start_next_owner (&first, &third, 2, 6 * LB_SEC);
   cr_assert_eq (third.resume_at[0], 10);
   owner_clear (&first);
   owner_clear (&second);
   owner_clear (&third);
 }
 
-/* The answer to a checkpoint is lost, so its events are written again in a longer row. Then the
- * first write is carried out late and shortens that row, which leaves a gap before the next row.
- * The next owner continues before the gap, and neither it nor its successor may join the rows after
- * the gap. */
+/* The answer to a checkpoint is lost, so its events are written again in a longer row. The store
+ * then carries out the first write late, which shortens the row and leaves a gap before the next
+ * row. The next owner must continue the text before the gap, and neither the next owner nor its
+ * successor may join the rows after the gap. */
 Test (batch_keep, parts_after_a_gap_are_ignored)
 {
   Owner first, second, third;
 
   owner_init (&first, 1);
-  start (&first, LB_SEC);
+  start_batch (&first, LB_SEC);
   add_pieces (&first, 0, 3, "a", LB_SEC);
-  tick (&first, 2 * LB_SEC);
+  tick_batch (&first, 2 * LB_SEC);
   SavedPart late_row = first.pending[0];
   late_row.text = lb_strdup (late_row.text);
   fail_checkpoint (&first);
   add_pieces (&first, 0, 3, "b", 2 * LB_SEC);
-  tick (&first, 3 * LB_SEC);
+  tick_batch (&first, 3 * LB_SEC);
   complete_checkpoint (&first, true);
   add_pieces (&first, 0, 3, "c", 3 * LB_SEC);
-  tick (&first, 4 * LB_SEC);
+  tick_batch (&first, 4 * LB_SEC);
   complete_checkpoint (&first, true);
   put_row (&first, &late_row);
-  take_over (&first, &second, 1, 5 * LB_SEC);
+  start_next_owner (&first, &second, 1, 5 * LB_SEC);
   cr_assert_eq (second.resume_at[0], 3);
   add_pieces (&second, 0, 3, "d", 5 * LB_SEC);
-  tick (&second, 6 * LB_SEC);
+  tick_batch (&second, 6 * LB_SEC);
   cr_assert_eq (second.pending[0].first_event, 0,
                 "the text must be saved again from its first event");
   cr_assert_str_eq (second.pending[0].text, "a\na\na\nd\nd\nd");
   for (size_t i = 0; i < second.n_pending; i++)
     put_row (&first, &second.pending[i]);
   second.n_pending = 0;
-  take_over (&first, &third, 1, 7 * LB_SEC);
+  start_next_owner (&first, &third, 1, 7 * LB_SEC);
   cr_assert_eq (third.resume_at[0], 6, "parts after the gap must be ignored");
   owner_clear (&first);
   owner_clear (&second);
@@ -326,8 +327,8 @@
 }
 
 /* The owner of a step of 78 long texts is killed at any moment. At twelve events of 400 bytes a
- * second, texts of a few seconds do not fit as a whole into one write of 400 KiB; those of the last
- * items were never saved and restarted, and the step was late. */
+ * second, the whole texts exceed one write of 400 KiB after a few seconds. If whole texts are
+ * saved, those of the last items never fit in, restart after a takeover and make the step late. */
 Test (batch_keep, takeover_loses_at_most_half_a_second_of_any_long_text)
 {
   enum
@@ -346,7 +347,7 @@
   memset (event, 'e', sizeof event - 1);
   event[sizeof event - 1] = '\0';
   owner_init (&owner, N_TEXTS);
-  start (&owner, LB_SEC);
+  start_batch (&owner, LB_SEC);
   for (int ms = 1; ms <= LENGTH_MS; ms++)
     {
       LbTime now = LB_SEC + ms * LB_MSEC;
@@ -360,13 +361,13 @@
         complete_checkpoint (&owner, true);
       bool was_pending = owner.n_pending > 0;
       if (ms % 50 == 0)
-        tick (&owner, now);
+        tick_batch (&owner, now);
       if (!was_pending && owner.n_pending > 0)
         completes_at = now + WRITE_MS * LB_MSEC;
       if (ms % 500 != 0)
         continue;
       Owner next;
-      take_over (&owner, &next, N_TEXTS, now);
+      start_next_owner (&owner, &next, N_TEXTS, now);
       for (int i = 0; i < N_TEXTS; i++)
         cr_assert_geq (next.resume_at[i], n_generated - MAX_LOST,
                        "item %d resumes at event %lld of %lld after %d ms", i,
