--- a/packages/core/src/batch/lc-batch-item.h
+++ b/packages/core/src/batch/lc-batch-item.h
@@ -64,8 +64,8 @@
                                    LcVersion version,
                                    LcVersion min_version,
                                    bool single_version);
-/* Appends a part of an earlier owner's checkpoint to the text. Sets has_gap instead if the part
- * does not start at the end of the text. */
+/* Appends a part of an earlier owner's checkpoint to the text; the first part of a later restart
+ * replaces the text. Sets has_gap if the part does not continue the text. */
 void lc_batch_item_restore_part (LcBatchItem *item, const LcBatchTextPart *part);
 /* Call after the last lc_batch_item_restore_part. */
 void lc_batch_item_finish_restore (LcBatchItem *item);
--- a/packages/core/src/batch/lc-batch-reuse.c
+++ b/packages/core/src/batch/lc-batch-reuse.c
@@ -19,7 +19,7 @@
 } Group;
 
 static uint64_t
-hash_request (uint64_t hash, const LcOutgoing *request)
+add_request_to_hash (uint64_t hash, const LcOutgoing *request)
 {
   const char *path = request->path ? request->path : "";
 
@@ -30,15 +30,15 @@
 /* The hash includes the organisation, so that no organisation gets a text of another organisation's
  * item with the same id. */
 static uint64_t
-hash_item (const LcBatchSpec *spec, const LcBatchItemSpec *item)
+compute_item_fingerprint (const LcBatchSpec *spec, const LcBatchItemSpec *item)
 {
   uint64_t seed = XXH3_64bits (spec->organisation, strlen (spec->organisation));
-  uint64_t hash = hash_request (seed, &item->request);
+  uint64_t hash = add_request_to_hash (seed, &item->request);
 
   if (!item->has_scorer)
     return hash;
   hash = XXH3_64bits_withSeed (item->scorer.id, strlen (item->scorer.id), hash);
-  return hash_request (hash, &item->scorer);
+  return add_request_to_hash (hash, &item->scorer);
 }
 
 static Group *
@@ -80,7 +80,7 @@
             LcTextCache *cache,
             LbTime now)
 {
-  LcCachedText text = { .fingerprint = hash_item (spec, item_spec),
+  LcCachedText text = { .fingerprint = compute_item_fingerprint (spec, item_spec),
                         .is_complete = item->state >= ITEM_GENERATED,
                         .n_events = item->n_events,
                         .text = item->result.text,
@@ -132,15 +132,15 @@
                      const LcBatchSettings *settings)
 {
   const LcBatchItemSpec *item_spec = &spec->items[index];
-  uint64_t item_hash = hash_item (spec, item_spec);
+  uint64_t fingerprint = compute_item_fingerprint (spec, item_spec);
   LcCachedText text;
 
   if (item->state != ITEM_WAITING)
     return false;
   item->cached_events = lc_text_cache_count_events (settings->text_cache, item_spec->request.id,
-                                                    item_hash, &item->cached_is_complete);
+                                                    fingerprint, &item->cached_is_complete);
   if (item->cached_events == 0 || item->n_events > 0
-      || !lc_text_cache_find (settings->text_cache, item_spec->request.id, item_hash,
+      || !lc_text_cache_find (settings->text_cache, item_spec->request.id, fingerprint,
                               spec->min_version, &text)
       || !can_reuse_text (&text, settings))
     return false;
--- a/packages/core/src/batch/lc-batch.c
+++ b/packages/core/src/batch/lc-batch.c
@@ -310,7 +310,7 @@
 }
 
 static void
-record_in_history (LcBatch *batch, const LcBatchItem *item, LbTime now)
+record_length_and_pace (LcBatch *batch, const LcBatchItem *item, LbTime now)
 {
   LcBatchHistory *history = batch->settings.history;
 
@@ -333,7 +333,7 @@
       return;
     }
   item->retries = 0;
-  record_in_history (batch, item, now);
+  record_length_and_pace (batch, item, now);
   score_or_queue_result (batch, item, actions);
 }
 
--- a/packages/core/tests/test-batch-keep.c
+++ b/packages/core/tests/test-batch-keep.c
@@ -100,7 +100,7 @@
 }
 
 static void
-handle_actions (Owner *owner, LbList *actions)
+record_actions (Owner *owner, LbList *actions)
 {
   LbLink *link;
 
@@ -164,7 +164,7 @@
 
   lb_list_init (&actions);
   lc_batch_start (owner->batch, now, &actions);
-  handle_actions (owner, &actions);
+  record_actions (owner, &actions);
 }
 
 static void
@@ -174,7 +174,7 @@
 
   lb_list_init (&actions);
   lc_batch_tick (owner->batch, now, &actions);
-  handle_actions (owner, &actions);
+  record_actions (owner, &actions);
 }
 
 static void
@@ -334,10 +334,10 @@
   enum
   {
     N_TEXTS = 78,
-    EVENT_MS = 76,
-    WRITE_MS = 40,
-    LENGTH_MS = 6000,
-    MAX_LOST = 7 /* events; 0.53 s */
+    EVENT_INTERVAL_MS = 76,
+    WRITE_DURATION_MS = 40,
+    GENERATION_MS = 6000,
+    MAX_LOST_EVENTS = 7 /* 0.53 s of generation */
   };
   char event[401];
   Owner owner;
@@ -348,10 +348,10 @@
   event[sizeof event - 1] = '\0';
   owner_init (&owner, N_TEXTS);
   start_batch (&owner, LB_SEC);
-  for (int ms = 1; ms <= LENGTH_MS; ms++)
+  for (int ms = 1; ms <= GENERATION_MS; ms++)
     {
       LbTime now = LB_SEC + ms * LB_MSEC;
-      if (ms % EVENT_MS == 0)
+      if (ms % EVENT_INTERVAL_MS == 0)
         {
           n_generated++;
           for (int i = 0; i < N_TEXTS; i++)
@@ -363,13 +363,13 @@
       if (ms % 50 == 0)
         tick_batch (&owner, now);
       if (!was_pending && owner.n_pending > 0)
-        completes_at = now + WRITE_MS * LB_MSEC;
+        completes_at = now + WRITE_DURATION_MS * LB_MSEC;
       if (ms % 500 != 0)
         continue;
       Owner next;
       start_next_owner (&owner, &next, N_TEXTS, now);
       for (int i = 0; i < N_TEXTS; i++)
-        cr_assert_geq (next.resume_at[i], n_generated - MAX_LOST,
+        cr_assert_geq (next.resume_at[i], n_generated - MAX_LOST_EVENTS,
                        "item %d resumes at event %lld of %lld after %d ms", i,
                        (long long)next.resume_at[i], (long long)n_generated, ms);
       owner_clear (&next);
--- a/packages/core/tests/test-batch.c
+++ b/packages/core/tests/test-batch.c
@@ -68,7 +68,7 @@
 }
 
 static void
-handle_actions (Fixture *f)
+record_actions (Fixture *f)
 {
   LbLink *link;
 
@@ -127,7 +127,7 @@
 start_batch (Fixture *f)
 {
   lc_batch_start (f->batch, f->now, &f->actions);
-  handle_actions (f);
+  record_actions (f);
 }
 
 static void
@@ -140,14 +140,14 @@
 finish_generation (Fixture *f, int item, LbErrorCode error)
 {
   lc_batch_finish_generation (f->batch, f->generating[item], error, f->now, &f->actions);
-  handle_actions (f);
+  record_actions (f);
 }
 
 static void
 finish_write (Fixture *f, bool ok)
 {
   lc_batch_finish_write (f->batch, ok, f->now, &f->actions);
-  handle_actions (f);
+  record_actions (f);
 }
 
 static void
@@ -155,7 +155,7 @@
 {
   f->now += duration;
   lc_batch_tick (f->batch, f->now, &f->actions);
-  handle_actions (f);
+  record_actions (f);
 }
 
 static void
@@ -177,7 +177,7 @@
   cr_assert_neq (f.scoring[0], 0);
   cr_assert_eq (f.n_writes, 0, "a result must not be written before it is scored");
   lc_batch_finish_scoring (f.batch, f.scoring[0], LB_OK, "0.5", f.now, &f.actions);
-  handle_actions (&f);
+  record_actions (&f);
   cr_assert_eq (f.n_writes, 1);
   cr_assert (f.completed[0]);
   finish_write (&f, true);
@@ -538,7 +538,7 @@
   start_batch (&f);
   finish_generation (&f, 0, LB_ERROR_NO_ENDPOINT);
   lc_batch_stop (f.batch, f.now, &f.actions);
-  handle_actions (&f);
+  record_actions (&f);
   cr_assert_eq (f.n_cancelled, 2);
   memset (f.generating, 0, sizeof f.generating);
   advance_and_tick (&f, 10 * LB_SEC);
@@ -563,7 +563,7 @@
   LcBatchSpec spec = make_batch_spec (n_items, true);
 
   lc_batch_stop (f->batch, f->now, &f->actions);
-  handle_actions (f);
+  record_actions (f);
   lc_batch_free (f->batch);
   memset (f->generating, 0, sizeof f->generating);
   memset (f->scoring, 0, sizeof f->scoring);
@@ -571,7 +571,7 @@
   spec.min_version = min_version;
   f->batch = lc_batch_new (&spec, &settings);
   lc_batch_start (f->batch, f->now, &f->actions);
-  handle_actions (f);
+  record_actions (f);
 }
 
 static void
@@ -594,9 +594,9 @@
   add_pieces (&f, 0, 5, 6);
   add_pieces (&f, 1, 2, 6);
   lc_batch_finish_generation (f.batch, f.generating[1], LB_OK, f.now, &f.actions);
-  handle_actions (&f);
+  record_actions (&f);
   lc_batch_finish_scoring (f.batch, f.scoring[1], LB_OK, "stamp", f.now, &f.actions);
-  handle_actions (&f);
+  record_actions (&f);
   lc_batch_finish_write (f.batch, true, f.now, &f.actions);
   start_next_batch (&f, cache, 5, 3);
   cr_assert_eq (f.resume_at[0], 5);
@@ -622,7 +622,7 @@
   add_pieces (&f, 0, 3, 5);
   add_pieces (&f, 0, 40, 6);
   lc_batch_finish_generation (f.batch, f.generating[0], LB_OK, f.now, &f.actions);
-  handle_actions (&f);
+  record_actions (&f);
   start_next_batch (&f, cache, 6, 2);
   cr_assert_eq (f.resume_at[0], 0);
   cr_assert_gt (f.latest_start[0], f.latest_start[1],
@@ -642,11 +642,11 @@
   start_batch (&f);
   add_pieces (&f, 0, 3, 6);
   lc_batch_finish_generation (f.batch, f.generating[0], LB_OK, f.now, &f.actions);
-  handle_actions (&f);
+  record_actions (&f);
   lc_batch_finish_write (f.batch, true, f.now, &f.actions);
   f.now += 5 * LB_SEC;
   lc_batch_stop (f.batch, f.now, &f.actions);
-  handle_actions (&f);
+  record_actions (&f);
   cr_assert_eq (lc_text_cache_count_bytes (cache), 0);
   lc_batch_free (f.batch);
   lc_text_cache_free (cache);
