--- a/packages/core/src/rollout/lc-cursor.c
+++ b/packages/core/src/rollout/lc-cursor.c
@@ -6,9 +6,9 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define CURSOR_FORMAT 1
-#define HEADER_BYTES (1 + 8 + 4 + 4)
-#define CHECKSUM_BYTES 8
+#define CURSOR_FORMAT_VERSION 1
+#define CURSOR_HEADER_BYTES (1 + 8 + 4 + 4)
+#define CURSOR_CHECKSUM_BYTES 8
 
 static const char base64url_alphabet[]
     = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
@@ -77,14 +77,14 @@
 
 /* Writes the number in big-endian order and moves position behind it. */
 static void
-append_uint (uint8_t **position, uint64_t value, int bytes)
+write_big_endian (uint8_t **position, uint64_t value, int bytes)
 {
   for (int shift = 8 * (bytes - 1); shift >= 0; shift -= 8)
     *(*position)++ = (uint8_t)(value >> shift);
 }
 
 static uint64_t
-take_uint (const uint8_t **position, int bytes)
+read_big_endian (const uint8_t **position, int bytes)
 {
   uint64_t value = 0;
 
@@ -141,19 +141,19 @@
 char *
 lc_cursor_encode (const LcCursor *cursor, uint64_t step_hash)
 {
-  size_t body_size = HEADER_BYTES + bitmap_size (cursor->n_slots);
-  uint8_t *bytes = lb_malloc (body_size + CHECKSUM_BYTES);
+  size_t body_size = CURSOR_HEADER_BYTES + bitmap_size (cursor->n_slots);
+  uint8_t *bytes = lb_malloc (body_size + CURSOR_CHECKSUM_BYTES);
   uint8_t *position = bytes;
 
-  append_uint (&position, CURSOR_FORMAT, 1);
-  append_uint (&position, cursor->session, 8);
-  append_uint (&position, (uint64_t)cursor->chunk_number, 4);
-  append_uint (&position, cursor->n_slots, 4);
+  write_big_endian (&position, CURSOR_FORMAT_VERSION, 1);
+  write_big_endian (&position, cursor->session, 8);
+  write_big_endian (&position, (uint64_t)cursor->chunk_number, 4);
+  write_big_endian (&position, cursor->n_slots, 4);
   memcpy (position, cursor->bitmap, bitmap_size (cursor->n_slots));
   position = bytes + body_size;
-  append_uint (&position, XXH64 (bytes, body_size, step_hash), CHECKSUM_BYTES);
+  write_big_endian (&position, XXH64 (bytes, body_size, step_hash), CURSOR_CHECKSUM_BYTES);
 
-  char *text = base64url_encode (bytes, body_size + CHECKSUM_BYTES);
+  char *text = base64url_encode (bytes, body_size + CURSOR_CHECKSUM_BYTES);
   free (bytes);
   return text;
 }
@@ -162,26 +162,26 @@
 lc_cursor_decode (
     LcCursor *cursor, const char *text, size_t n_slots, uint64_t step_hash, LbError *error)
 {
-  size_t body_size = HEADER_BYTES + bitmap_size (n_slots);
+  size_t body_size = CURSOR_HEADER_BYTES + bitmap_size (n_slots);
   uint8_t *bytes = NULL;
   bool ok = false;
 
   lc_cursor_init (cursor, n_slots);
   if (!text[0])
     return true;
-  bytes = lb_malloc (body_size + CHECKSUM_BYTES);
-  if (!base64url_decode (text, bytes, body_size + CHECKSUM_BYTES))
+  bytes = lb_malloc (body_size + CURSOR_CHECKSUM_BYTES);
+  if (!base64url_decode (text, bytes, body_size + CURSOR_CHECKSUM_BYTES))
     goto out;
 
   const uint8_t *checksum = bytes + body_size;
   const uint8_t *position = bytes;
-  if (take_uint (&checksum, CHECKSUM_BYTES) != XXH64 (bytes, body_size, step_hash))
+  if (read_big_endian (&checksum, CURSOR_CHECKSUM_BYTES) != XXH64 (bytes, body_size, step_hash))
     goto out;
-  if (take_uint (&position, 1) != CURSOR_FORMAT)
+  if (read_big_endian (&position, 1) != CURSOR_FORMAT_VERSION)
     goto out;
-  cursor->session = take_uint (&position, 8);
-  cursor->chunk_number = (int64_t)take_uint (&position, 4);
-  if (take_uint (&position, 4) != n_slots)
+  cursor->session = read_big_endian (&position, 8);
+  cursor->chunk_number = (int64_t)read_big_endian (&position, 4);
+  if (read_big_endian (&position, 4) != n_slots)
     goto out;
   memcpy (cursor->bitmap, position, bitmap_size (n_slots));
   ok = true;
--- a/packages/core/src/rollout/lc-deliver.c
+++ b/packages/core/src/rollout/lc-deliver.c
@@ -10,7 +10,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define STORE_RETRY_AFTER LB_SEC
+#define STORE_RETRY_DELAY LB_SEC
 
 typedef enum
 {
@@ -36,21 +36,21 @@
                                                    "Chunks that were sent again");
 
 static const LcTrainer *
-trainer_of_step (const LcRollouts *rollouts, const LcStep *step)
+find_trainer_of_step (const LcRollouts *rollouts, const LcStep *step)
 {
   return lc_rollouts_find_trainer (rollouts, step->spec.subscription);
 }
 
 static bool
-is_strict (const LcRollouts *rollouts, const LcStep *step)
+has_strict_subscription (const LcRollouts *rollouts, const LcStep *step)
 {
-  return trainer_of_step (rollouts, step)->subscription.strict;
+  return find_trainer_of_step (rollouts, step)->subscription.strict;
 }
 
 /* Replies. */
 
 static LcRolloutAction *
-reply_error (
+reply_with_error (
     uint64_t pull_id, LbErrorCode code, const char *detail, LbTime retry_after, LbList *actions)
 {
   LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_REPLY);
@@ -62,7 +62,7 @@
 }
 
 static void
-free_pull (LcStep *step, LcWaitingPull *pull)
+remove_waiting_pull (LcStep *step, LcWaitingPull *pull)
 {
   lb_list_remove (&step->waiting_pulls, &pull->link);
   free (pull);
@@ -73,13 +73,13 @@
 {
   LB_LIST_FOREACH (&step->waiting_pulls, LcWaitingPull, link, pull)
   {
-    reply_error (pull->id, error, "", retry_after, actions);
-    free_pull (step, pull);
+    reply_with_error (pull->id, error, "", retry_after, actions);
+    remove_waiting_pull (step, pull);
   }
 }
 
 static void
-reply_chunk (const LcRollouts *rollouts, LcStep *step, const LcWaitingPull *pull, LbList *actions)
+reply_with_chunk (const LcRollouts *rollouts, LcStep *step, const LcWaitingPull *pull, LbList *actions)
 {
   LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_REPLY);
   const LcChunk *chunk = &step->chunk;
@@ -89,7 +89,7 @@
   action->samples = LB_NEW_ARRAY (LcReadySample, chunk->n_slots);
   for (size_t i = 0; i < chunk->n_slots; i++)
     action->samples[i] = lc_step_make_ready_sample (step, &step->slots[chunk->slots[i]]);
-  action->cursor = is_strict (rollouts, step) ? lb_strdup ("")
+  action->cursor = has_strict_subscription (rollouts, step) ? lb_strdup ("")
                                               : lc_cursor_encode (&chunk->cursor, step->spec_hash);
   action->remaining = (int64_t)lc_step_count_unsent (step);
 }
@@ -106,7 +106,7 @@
   cursor->session = step->session;
   action->pull_id = pull->id;
   action->cursor
-      = is_strict (rollouts, step) ? lb_strdup ("") : lc_cursor_encode (cursor, step->spec_hash);
+      = has_strict_subscription (rollouts, step) ? lb_strdup ("") : lc_cursor_encode (cursor, step->spec_hash);
   action->remaining = (int64_t)lc_step_count_unsent (step);
 }
 
@@ -116,7 +116,7 @@
  * the sample is within the staleness bound, and it was not delivered before. A sample that violates
  * one is logged, counted and not delivered; with a bad label or too stale it is generated again. */
 static bool
-can_deliver_slot (LcRollouts *rollouts, LcStep *step, size_t slot_index, LcVersion trainer_version)
+check_delivery_invariants (LcRollouts *rollouts, LcStep *step, size_t slot_index, LcVersion trainer_version)
 {
   LcSlot *slot = &step->slots[slot_index];
   Invariant violated = N_INVARIANTS;
@@ -124,7 +124,7 @@
   if (!slot->text || !slot->label || !lc_label_is_complete (slot->label, slot->label->tokens))
     violated = INVARIANT_LABEL;
   else if (lc_staleness_is_too_old (slot->label, trainer_version,
-                                    trainer_of_step (rollouts, step)->max_lag))
+                                    find_trainer_of_step (rollouts, step)->max_lag))
     violated = INVARIANT_STALENESS;
   else if (slot->state != LC_SLOT_READY || lc_cursor_has_slot (&step->acked, slot_index))
     violated = INVARIANT_ONCE;
@@ -144,7 +144,7 @@
 /* A group is delivered only as a whole, since a trainer can't learn from a part of it. Without
  * group_release, nothing is delivered before the whole step is ready. */
 static bool
-is_group_released (const LcRollouts *rollouts, const LcStep *step, size_t group_index)
+can_deliver_group (const LcRollouts *rollouts, const LcStep *step, size_t group_index)
 {
   if (rollouts->settings.group_release)
     return lc_step_is_group_complete (step, group_index);
@@ -154,7 +154,7 @@
 }
 
 static void
-record_delivery (LcStep *step, const LcSlot *slot, LcVersion trainer_version)
+update_delivery_status (LcStep *step, const LcSlot *slot, LcVersion trainer_version)
 {
   int64_t staleness = lc_label_staleness (slot->label, trainer_version);
 
@@ -166,14 +166,14 @@
 }
 
 static void
-add_to_chunk (LcStep *step, size_t slot_index, LcVersion trainer_version)
+add_slot_to_chunk (LcStep *step, size_t slot_index, LcVersion trainer_version)
 {
   LcChunk *chunk = &step->chunk;
   LcSlot *slot = &step->slots[slot_index];
 
   chunk->slots[chunk->n_slots++] = slot_index;
   lc_cursor_add_slot (&chunk->cursor, slot_index);
-  record_delivery (step, slot, trainer_version);
+  update_delivery_status (step, slot, trainer_version);
   slot->was_sent = true;
   lc_step_set_slot_state (step, slot, LC_SLOT_SENT);
 }
@@ -191,7 +191,7 @@
 }
 
 static void
-log_chunk (const LcStep *step, LbTime now)
+log_new_chunk (const LcStep *step, LbTime now)
 {
   lb_log (LB_LOG_INFO, "chunk-made", LB_TEXT ("subscription", step->spec.subscription),
           LB_INT ("step", step->spec.step), LB_INT ("session", step->session),
@@ -215,12 +215,12 @@
   for (size_t g = 0; g < step->spec.n_groups && (int64_t)step->chunk.n_slots < capacity; g++)
     {
       const LcGroup *group = &step->groups[g];
-      if (!is_group_released (rollouts, step, g))
+      if (!can_deliver_group (rollouts, step, g))
         continue;
       for (size_t i = group->first_slot; i < group->first_slot + group->n_slots; i++)
         if (step->slots[i].state == LC_SLOT_READY && (int64_t)step->chunk.n_slots < capacity
-            && can_deliver_slot (rollouts, step, i, pull->trainer_version))
-          add_to_chunk (step, i, pull->trainer_version);
+            && check_delivery_invariants (rollouts, step, i, pull->trainer_version))
+          add_slot_to_chunk (step, i, pull->trainer_version);
     }
   if (step->chunk.n_slots == 0)
     {
@@ -229,9 +229,9 @@
     }
   if (lc_step_count_unsent (step) == 0 && step->status.completed_at == 0)
     step->status.completed_at = now;
-  if (is_strict (rollouts, step))
+  if (has_strict_subscription (rollouts, step))
     step->chunk.ledger_change = lc_ledger_add_change (&step->ledger, true);
-  log_chunk (step, now);
+  log_new_chunk (step, now);
   return true;
 }
 
@@ -280,7 +280,7 @@
 static void
 revoke_stale_chunk (LcRollouts *rollouts, LcStep *step, const LcWaitingPull *pull, LbList *actions)
 {
-  const LcTrainer *trainer = trainer_of_step (rollouts, step);
+  const LcTrainer *trainer = find_trainer_of_step (rollouts, step);
   bool stale = false;
 
   if (!step->chunk.slots || pull->trainer_version <= step->chunk.trainer_version)
@@ -295,11 +295,11 @@
 }
 
 static bool
-has_stored_required_changes (const LcRollouts *rollouts, const LcStep *step)
+has_stored_required_ledger_changes (const LcRollouts *rollouts, const LcStep *step)
 {
   if (!lc_ledger_has_stored (&step->ledger, step->required_ledger_change))
     return false;
-  return !is_strict (rollouts, step)
+  return !has_strict_subscription (rollouts, step)
          || lc_ledger_has_stored (&step->ledger, step->chunk.ledger_change);
 }
 
@@ -316,21 +316,21 @@
       /* The staleness check at dispatch is not enough: the trainer may have advanced since, and
        * this pull states its current version. */
       lc_result_discard_stale (rollouts, step, pull->trainer_version,
-                               trainer_of_step (rollouts, step)->max_lag, actions);
+                               find_trainer_of_step (rollouts, step)->max_lag, actions);
       build_chunk (rollouts, step, pull, now);
     }
-  if (!has_stored_required_changes (rollouts, step))
+  if (!has_stored_required_ledger_changes (rollouts, step))
     {
       if (pull->wait_until > now)
         return false;
-      reply_error (pull->id, LB_ERROR_STORE_AWAY, "the ledger can't be written at present",
-                   STORE_RETRY_AFTER, actions);
+      reply_with_error (pull->id, LB_ERROR_STORE_AWAY, "the ledger can't be written at present",
+                   STORE_RETRY_DELAY, actions);
       return true;
     }
   if (step->chunk.slots)
     {
-      reply_chunk (rollouts, step, pull, actions);
-      if (is_strict (rollouts, step))
+      reply_with_chunk (rollouts, step, pull, actions);
+      if (has_strict_subscription (rollouts, step))
         acknowledge_strict_chunk (rollouts, step, now, actions);
       return true;
     }
@@ -346,7 +346,7 @@
   LB_LIST_FOREACH (&step->waiting_pulls, LcWaitingPull, link, pull)
   {
     if (try_answer_pull (rollouts, step, pull, now, actions))
-      free_pull (step, pull);
+      remove_waiting_pull (step, pull);
   }
 }
 
@@ -358,7 +358,7 @@
 #define FIRST_SESSION 1
 
 static bool
-can_acknowledge (const LcStep *step, const LcCursor *cursor, LbError *error)
+can_acknowledge_cursor (const LcStep *step, const LcCursor *cursor, LbError *error)
 {
   if (!lc_cursor_contains (cursor, &step->acked))
     return lb_error_set (
@@ -422,17 +422,17 @@
 {
   LcCursor cursor;
   LbError error = { .code = LB_OK };
-  bool strict = is_strict (rollouts, step);
+  bool strict = has_strict_subscription (rollouts, step);
   bool ok = lc_cursor_decode (&cursor, pull->cursor, step->n_slots, step->spec_hash, &error);
   bool has_later_owner = ok && is_from_later_owner (step, &cursor);
 
   if (ok && strict && pull->cursor[0])
     ok = lb_error_set (&error, LB_ERROR_BAD_CURSOR, "cursor", "expected \"\": strict subscription");
   if (ok && !strict && !has_later_owner)
-    ok = can_acknowledge (step, &cursor, &error);
+    ok = can_acknowledge_cursor (step, &cursor, &error);
   if (!ok || has_later_owner)
     {
-      reply_error (pull->id, has_later_owner ? LB_ERROR_STALE_SESSION : error.code, error.detail, 0,
+      reply_with_error (pull->id, has_later_owner ? LB_ERROR_STALE_SESSION : error.code, error.detail, 0,
                    actions);
       goto out;
     }
--- a/packages/core/src/rollout/lc-generate.c
+++ b/packages/core/src/rollout/lc-generate.c
@@ -16,7 +16,7 @@
 
 /* Expected total length of a running sample, given the tokens that it has so far. */
 static double
-expected_tokens (const LcLengthHistogram *lengths, const LcJob *job, int64_t max_tokens)
+expect_total_tokens (const LcLengthHistogram *lengths, const LcJob *job, int64_t max_tokens)
 {
   return (double)job->label.tokens
          + lc_length_histogram_expect_remaining (lengths, job->label.tokens, max_tokens);
@@ -37,7 +37,7 @@
       if (slot->state >= LC_SLOT_SCORING && slot->label)
         group_lengths.sum += (double)slot->label->tokens;
       else if (slot->state == LC_SLOT_RUNNING && job)
-        group_lengths.sum += expected_tokens (lengths, job, max_tokens);
+        group_lengths.sum += expect_total_tokens (lengths, job, max_tokens);
       else
         continue;
       group_lengths.count++;
@@ -47,9 +47,9 @@
 
 /* Expected length of the group's next sample, in tokens. */
 static double
-predict_tokens (const LcRollouts *rollouts, const LcStep *step, size_t group_index)
+predict_next_sample_tokens (const LcRollouts *rollouts, const LcStep *step, size_t group_index)
 {
-  const LcLengthHistogram *lengths = lc_step_lengths (rollouts, step);
+  const LcLengthHistogram *lengths = lc_step_length_histogram (rollouts, step);
   LcGroupLengths group_lengths = sum_group_lengths (lengths, step, group_index);
 
   return lc_length_histogram_predict (lengths, &group_lengths,
@@ -57,7 +57,7 @@
 }
 
 static size_t
-count_started (const LcStep *step, size_t group_index)
+count_started_samples (const LcStep *step, size_t group_index)
 {
   const LcGroup *group = &step->groups[group_index];
   size_t n_started = 0;
@@ -71,17 +71,17 @@
  * of started samples: starting a sample of a group with few others shows early whether the whole
  * group is long. */
 static double
-scheduling_score (const LcRollouts *rollouts, const LcStep *step, size_t group_index)
+compute_group_score (const LcRollouts *rollouts, const LcStep *step, size_t group_index)
 {
-  double mean = lc_length_histogram_mean (lc_step_lengths (rollouts, step),
+  double mean = lc_length_histogram_mean (lc_step_length_histogram (rollouts, step),
                                           step->spec.groups[group_index].max_tokens);
 
-  return predict_tokens (rollouts, step, group_index)
-         + EXPLORATION_WEIGHT * mean / (1.0 + (double)count_started (step, group_index));
+  return predict_next_sample_tokens (rollouts, step, group_index)
+         + EXPLORATION_WEIGHT * mean / (1.0 + (double)count_started_samples (step, group_index));
 }
 
 static bool
-can_start (LcStep *step, const LcSlot *slot, LbTime now)
+can_start_generation (LcStep *step, const LcSlot *slot, LbTime now)
 {
   if (slot->state != LC_SLOT_WAITING)
     return false;
@@ -96,7 +96,7 @@
  * end with a long sample that was started last. Slots with a part of a sample go before all others.
  * Returns NULL if no slot can start now. */
 static LcSlot *
-pick_slot (const LcRollouts *rollouts, LcStep *step, LbTime now)
+pick_waiting_slot (const LcRollouts *rollouts, LcStep *step, LbTime now)
 {
   LcSlot *best = NULL;
   double best_score = -1;
@@ -109,12 +109,12 @@
       for (size_t i = group->first_slot; i < group->first_slot + group->n_slots; i++)
         {
           LcSlot *slot = &step->slots[i];
-          if (!can_start (step, slot, now))
+          if (!can_start_generation (step, slot, now))
             continue;
           if (!rollouts->settings.longest_first)
             return slot;
           if (group_score < 0)
-            group_score = scheduling_score (rollouts, step, g);
+            group_score = compute_group_score (rollouts, step, g);
           double score = slot->label ? INFINITY : group_score;
           if (score > best_score)
             {
@@ -132,7 +132,7 @@
 choose_min_version (LcRollouts *rollouts, const LcStep *step, double tokens)
 {
   const LcTrainer *trainer = lc_rollouts_find_trainer (rollouts, step->spec.subscription);
-  const LcRolloutPool *pool = lc_step_pool (rollouts, step);
+  const LcRolloutPool *pool = lc_step_find_pool (rollouts, step);
   LcStalenessPolicy policy = { .max_lag = trainer->max_lag,
                                .idle_weight = trainer->subscription.idle_weight,
                                .trainer_version = step->trainer_version,
@@ -146,21 +146,21 @@
 
 /* Returns the priority of a request: its expected length in multiples of the trainer's mean. */
 static int
-request_priority (const LcRollouts *rollouts, const LcStep *step, double tokens)
+compute_request_priority (const LcRollouts *rollouts, const LcStep *step, double tokens)
 {
   double relative_length
-      = tokens / lc_length_histogram_mean (lc_step_lengths (rollouts, step), INT64_MAX);
+      = tokens / lc_length_histogram_mean (lc_step_length_histogram (rollouts, step), INT64_MAX);
 
   return (int)fmin (relative_length, MAX_PRIORITY);
 }
 
 static void
-fill_request_spec (LcRollouts *rollouts, LcRequestSpec *spec, const LcJob *job)
+fill_generation_spec (LcRollouts *rollouts, LcRequestSpec *spec, const LcJob *job)
 {
   const LcStep *step = job->step;
   const LcSlot *slot = lc_job_slot (job);
   const LcTrainer *trainer = lc_rollouts_find_trainer (rollouts, step->spec.subscription);
-  double tokens = predict_tokens (rollouts, step, slot->group_index);
+  double tokens = predict_next_sample_tokens (rollouts, step, slot->group_index);
 
   spec->id = job->request;
   spec->kind = LC_KIND_SAMPLE;
@@ -170,7 +170,7 @@
   spec->share = trainer->subscription.share;
   spec->repeatable = true;
   spec->resumable = rollouts->settings.resume;
-  spec->priority = rollouts->settings.longest_first ? request_priority (rollouts, step, tokens) : 0;
+  spec->priority = rollouts->settings.longest_first ? compute_request_priority (rollouts, step, tokens) : 0;
   spec->prompt_tokens
       = (int64_t)strlen (lc_step_group_spec (step, slot)->prompt) / BYTES_PER_TOKEN + 1;
   spec->expected_tokens = (int64_t)tokens;
@@ -192,7 +192,7 @@
 
 /* Moves the slot's part of an interrupted generation into the job that resumes it. */
 static void
-move_partial_to_job (LcSlot *slot, LcJob *job)
+move_partial_sample_to_job (LcSlot *slot, LcJob *job)
 {
   if (!slot->label)
     return;
@@ -222,11 +222,11 @@
   else
     {
       add_avoided_endpoint (&action->spec, slot->avoid_endpoint);
-      move_partial_to_job (slot, job);
+      move_partial_sample_to_job (slot, job);
     }
-  lc_step_pool (rollouts, step)->n_running++;
+  lc_step_find_pool (rollouts, step)->n_running++;
   lc_rollouts_find_trainer (rollouts, step->spec.subscription)->n_running++;
-  fill_request_spec (rollouts, &action->spec, job);
+  fill_generation_spec (rollouts, &action->spec, job);
   action->group = group->id;
   action->index = slot->index;
   action->prompt = group->prompt;
@@ -289,7 +289,7 @@
 }
 
 static LcSlot *
-pick_slot_of_pool (LcRollouts *rollouts,
+pick_waiting_slot_of_pool (LcRollouts *rollouts,
                    const LcRolloutPool *pool,
                    LcStep **chosen_step,
                    LbTime now)
@@ -305,7 +305,7 @@
       continue;
     if (chosen && !has_fewer_running_per_share (rollouts, trainer, chosen_trainer))
       continue;
-    LcSlot *slot = pick_slot (rollouts, step, now);
+    LcSlot *slot = pick_waiting_slot (rollouts, step, now);
     if (!slot)
       continue;
     chosen = slot;
@@ -329,7 +329,7 @@
     while (pool->n_running < pool->max_running)
       {
         LcStep *step = NULL;
-        LcSlot *slot = pick_slot_of_pool (rollouts, pool, &step, now);
+        LcSlot *slot = pick_waiting_slot_of_pool (rollouts, pool, &step, now);
         if (!slot)
           break;
         lc_generate_start_sample (rollouts, step, slot, NULL, now, actions);
--- a/packages/core/src/rollout/lc-job.c
+++ b/packages/core/src/rollout/lc-job.c
@@ -27,7 +27,7 @@
 }
 
 LcRolloutPool *
-lc_step_pool (LcRollouts *rollouts, const LcStep *step)
+lc_step_find_pool (LcRollouts *rollouts, const LcStep *step)
 {
   return lc_rollouts_ensure_pool (
       rollouts, lc_rollouts_find_trainer (rollouts, step->spec.subscription)->subscription.pool);
@@ -38,7 +38,7 @@
 {
   if (!job->is_scoring)
     {
-      lc_step_pool (rollouts, job->step)->n_running--;
+      lc_step_find_pool (rollouts, job->step)->n_running--;
       lc_rollouts_find_trainer (rollouts, job->step->spec.subscription)->n_running--;
     }
   job->step->reserved_tokens -= job->reserved_tokens;
@@ -74,7 +74,7 @@
 }
 
 const LcLengthHistogram *
-lc_step_lengths (const LcRollouts *rollouts, const LcStep *step)
+lc_step_length_histogram (const LcRollouts *rollouts, const LcStep *step)
 {
   return &lc_rollouts_find_trainer (rollouts, step->spec.subscription)->lengths;
 }
--- a/packages/core/src/rollout/lc-job.h
+++ b/packages/core/src/rollout/lc-job.h
@@ -15,7 +15,7 @@
 LcSlot *lc_job_slot (const LcJob *job);
 /* Tokens that the request itself generated, without those that it was resumed with. */
 int64_t lc_job_generated_tokens (const LcJob *job);
-LcRolloutPool *lc_step_pool (LcRollouts *rollouts, const LcStep *step);
-const LcLengthHistogram *lc_step_lengths (const LcRollouts *rollouts, const LcStep *step);
+LcRolloutPool *lc_step_find_pool (LcRollouts *rollouts, const LcStep *step);
+const LcLengthHistogram *lc_step_length_histogram (const LcRollouts *rollouts, const LcStep *step);
 
 #endif
--- a/packages/core/src/rollout/lc-label.c
+++ b/packages/core/src/rollout/lc-label.c
@@ -9,7 +9,7 @@
 }
 
 static bool
-is_continuation (const LcLabel *label, const LcSpan *span)
+extends_last_span (const LcLabel *label, const LcSpan *span)
 {
   const LcSpan *last = label->n_spans > 0 ? &label->spans[label->n_spans - 1] : NULL;
 
@@ -38,7 +38,7 @@
       label->unlabelled = true;
       return;
     }
-  if (!is_continuation (label, &span))
+  if (!extends_last_span (label, &span))
     {
       if (label->n_spans == LC_MAX_SPANS)
         {
@@ -69,7 +69,7 @@
 
 /* 0 stands for no version. */
 static LcVersion
-older_known (LcVersion a, LcVersion b)
+older_known_version (LcVersion a, LcVersion b)
 {
   if (a == 0 || b == 0)
     return a + b;
@@ -83,8 +83,8 @@
 
   for (size_t i = 0; i < label->n_spans; i++)
     {
-      oldest = older_known (oldest, label->spans[i].version);
-      oldest = older_known (oldest, label->spans[i].kv_reused_version);
+      oldest = older_known_version (oldest, label->spans[i].version);
+      oldest = older_known_version (oldest, label->spans[i].kv_reused_version);
     }
   return oldest;
 }
--- a/packages/core/src/rollout/lc-result.c
+++ b/packages/core/src/rollout/lc-result.c
@@ -23,7 +23,7 @@
 
 /* Exponential backoff with full jitter, so that slots that failed together don't retry together. */
 static void
-delay_retry (LcRollouts *rollouts, LcStep *step, LcSlot *slot, LbTime now)
+delay_slot_retry (LcRollouts *rollouts, LcStep *step, LcSlot *slot, LbTime now)
 {
   LbTime max_delay = RETRY_DELAY_MIN
                      << (slot->consecutive_failures < 6 ? slot->consecutive_failures : 6);
@@ -63,7 +63,7 @@
     return;
   lc_step_reset_slot (step, slot);
   if (should_back_off)
-    delay_retry (rollouts, step, slot, now);
+    delay_slot_retry (rollouts, step, slot, now);
 }
 
 static void
@@ -127,7 +127,7 @@
 }
 
 static char *
-join_text (char *resume_text, char *text)
+join_resume_text (char *resume_text, char *text)
 {
   if (!resume_text)
     return text;
@@ -139,24 +139,24 @@
 
 /* Stores the generated part in the slot, so that the next generation resumes after it. */
 static void
-keep_partial_sample (LcRollouts *rollouts, LcJob *job, char *text, LbTime now)
+store_partial_sample (LcRollouts *rollouts, LcJob *job, char *text, LbTime now)
 {
   LcStep *step = job->step;
   LcSlot *slot = lc_job_slot (job);
   bool was_preempted = job->is_preempted;
 
-  slot->text = join_text (job->resume_text, text);
+  slot->text = join_resume_text (job->resume_text, text);
   slot->label = lb_memdup (&job->label, sizeof job->label);
   lc_step_set_slot_state (step, slot, LC_SLOT_WAITING);
   lc_job_free (rollouts, job);
   if (!was_preempted)
-    delay_retry (rollouts, step, slot, now);
+    delay_slot_retry (rollouts, step, slot, now);
 }
 
 /* Handles the end of a preempted request: its slot resumes as soon as the pool has free capacity,
  * with no retry delay. */
 static void
-finish_preempted (LcRollouts *rollouts, LcJob *job, char *text, LbTime now)
+finish_preempted_job (LcRollouts *rollouts, LcJob *job, char *text, LbTime now)
 {
   LcSlot *slot = lc_job_slot (job);
   bool is_only_job = slot->jobs.length == 1;
@@ -164,7 +164,7 @@
   if (is_only_job && job->label.tokens > 0 && text
       && (text[0] || lc_job_generated_tokens (job) == 0))
     {
-      keep_partial_sample (rollouts, job, text, now);
+      store_partial_sample (rollouts, job, text, now);
       return;
     }
   free (text);
@@ -172,7 +172,7 @@
 }
 
 static void
-finish_failed (LcRollouts *rollouts, LcJob *job, LbErrorCode error, char *text, LbTime now)
+finish_failed_job (LcRollouts *rollouts, LcJob *job, LbErrorCode error, char *text, LbTime now)
 {
   LcSlot *slot = lc_job_slot (job);
   bool can_resume = rollouts->settings.resume && slot->jobs.length == 1
@@ -185,13 +185,13 @@
           LB_TEXT ("endpoint", job->endpoint), LB_INT ("tokens", job->label.tokens));
   if (can_resume && lc_job_generated_tokens (job) > 0 && text && text[0])
     {
-      keep_partial_sample (rollouts, job, text, now);
+      store_partial_sample (rollouts, job, text, now);
       return;
     }
   if (can_resume && lc_job_generated_tokens (job) == 0 && job->resume_offset > 0)
     {
       free (text);
-      keep_partial_sample (rollouts, job, lb_strdup (""), now);
+      store_partial_sample (rollouts, job, lb_strdup (""), now);
       return;
     }
   free (text);
@@ -199,10 +199,10 @@
 }
 
 static void
-record_length_and_pace (LcRollouts *rollouts, const LcJob *job, LbTime now)
+record_sample_length_and_pace (LcRollouts *rollouts, const LcJob *job, LbTime now)
 {
   LcTrainer *trainer = lc_rollouts_find_trainer (rollouts, job->step->spec.subscription);
-  LcRolloutPool *pool = lc_step_pool (rollouts, job->step);
+  LcRolloutPool *pool = lc_step_find_pool (rollouts, job->step);
   LbTime first_piece_at = job->first_piece_at ? job->first_piece_at : now;
 
   lc_length_histogram_add (&trainer->lengths, job->label.tokens);
@@ -213,14 +213,14 @@
 /* The first complete sample of a hedged pair wins. The other request is cancelled; if its answer is
  * already under way, it finds no job and is ignored. */
 static void
-complete_slot (LcRollouts *rollouts, LcJob *job, char *text, LbTime now, LbList *actions)
+complete_sample (LcRollouts *rollouts, LcJob *job, char *text, LbTime now, LbList *actions)
 {
   LcStep *step = job->step;
   LcSlot *slot = lc_job_slot (job);
   const LcTrainer *trainer = lc_rollouts_find_trainer (rollouts, step->spec.subscription);
 
-  record_length_and_pace (rollouts, job, now);
-  slot->text = join_text (job->resume_text, text);
+  record_sample_length_and_pace (rollouts, job, now);
+  slot->text = join_resume_text (job->resume_text, text);
   slot->label = lb_memdup (&job->label, sizeof job->label);
   slot->consecutive_failures = 0;
   slot->not_before = 0;
@@ -241,12 +241,12 @@
 {
   if (error != LB_OK && job->is_preempted)
     {
-      finish_preempted (rollouts, job, text, now);
+      finish_preempted_job (rollouts, job, text, now);
       return;
     }
   if (error != LB_OK)
     {
-      finish_failed (rollouts, job, error, text, now);
+      finish_failed_job (rollouts, job, error, text, now);
       return;
     }
   if (!text || !lc_label_is_complete (&job->label, job->label.tokens))
@@ -255,7 +255,7 @@
       end_unlabelled_job (rollouts, job, now);
       return;
     }
-  complete_slot (rollouts, job, text, now, actions);
+  complete_sample (rollouts, job, text, now, actions);
 }
 
 void
@@ -269,7 +269,7 @@
   if (error != LB_OK)
     {
       lb_metric_count_error (error);
-      delay_retry (rollouts, step, slot, now);
+      delay_slot_retry (rollouts, step, slot, now);
       return;
     }
   slot->consecutive_failures = 0;
--- a/packages/core/src/rollout/lc-review.c
+++ b/packages/core/src/rollout/lc-review.c
@@ -14,7 +14,7 @@
                                                  "Second generations started for running samples");
 
 static LcSampleProgress
-job_progress (const LcJob *job)
+get_job_progress (const LcJob *job)
 {
   return (LcSampleProgress){ .tokens = job->label.tokens,
                              .max_tokens
@@ -42,7 +42,7 @@
 pick_straggler (LcRollouts *rollouts, LcStep *step, GainFunction gain_function, LbTime now)
 {
   const LcTrainer *trainer = lc_rollouts_find_trainer (rollouts, step->spec.subscription);
-  const LcRolloutPool *pool = lc_step_pool (rollouts, step);
+  const LcRolloutPool *pool = lc_step_find_pool (rollouts, step);
   LcJob *best = NULL;
   double best_gain = 0;
 
@@ -54,7 +54,7 @@
               && slot->n_migrations >= MAX_MIGRATIONS))
         continue;
       LcJob *job = LB_LIST_FIRST (&slot->jobs, LcJob, link);
-      LcSampleProgress progress = job_progress (job);
+      LcSampleProgress progress = get_job_progress (job);
       double gain = gain_function (&trainer->lengths, &pool->pace, &progress,
                                    trainer->subscription.idle_weight, now);
       if (gain > best_gain)
@@ -87,7 +87,7 @@
 }
 
 static void
-preempt (LcJob *job, LbList *actions)
+preempt_job (LcJob *job, LbList *actions)
 {
   LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_PREEMPT);
 
@@ -105,7 +105,7 @@
          && (job = pick_straggler (rollouts, step, lc_straggler_move_gain_seconds, now)))
     {
       LB_COPY (lc_job_slot (job)->avoid_endpoint, job->endpoint);
-      preempt (job, actions);
+      preempt_job (job, actions);
       log_straggler (job, "sample-migrated");
     }
 }
@@ -113,14 +113,14 @@
 static void
 hedge_stragglers (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
 {
-  LcRolloutPool *pool = lc_step_pool (rollouts, step);
+  LcRolloutPool *pool = lc_step_find_pool (rollouts, step);
   LcJob *job;
 
   while (rollouts->settings.hedging && pool->n_running < pool->max_running
          && (job = pick_straggler (rollouts, step, lc_straggler_hedge_gain_seconds, now)))
     {
-      LcSampleProgress progress = job_progress (job);
-      int64_t cost_tokens = lc_straggler_hedge_cost_tokens (lc_step_lengths (rollouts, step),
+      LcSampleProgress progress = get_job_progress (job);
+      int64_t cost_tokens = lc_straggler_hedge_cost_tokens (lc_step_length_histogram (rollouts, step),
                                                             &pool->pace, &progress, now);
       if (!is_within_hedge_budget (rollouts, step, cost_tokens))
         return;
@@ -137,7 +137,7 @@
 /* Hedges only once no slot waits: a waiting slot makes better use of the pool's free capacity than
  * a hedge. */
 void
-lc_review_step (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
+lc_review_stragglers (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
 {
   if (rollouts->draining || now < step->next_review_at || step->n_in_state[LC_SLOT_RUNNING] == 0)
     return;
--- a/packages/core/src/rollout/lc-review.h
+++ b/packages/core/src/rollout/lc-review.h
@@ -5,6 +5,6 @@
 
 /* Detects stragglers among the step's running samples: migrates those on slow endpoints, and hedges
  * those that are left once no slot of the step waits. */
-void lc_review_step (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions);
+void lc_review_stragglers (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions);
 
 #endif
--- a/packages/core/src/rollout/lc-rollouts.c
+++ b/packages/core/src/rollout/lc-rollouts.c
@@ -167,7 +167,7 @@
 /* Every command calls this first: it frees what actions of the last command pointed to, and detects
  * pauses of this process. */
 static void
-begin_command (LcRollouts *rollouts, LbTime now)
+free_deferred_and_detect_pause (LcRollouts *rollouts, LbTime now)
 {
   LbTime elapsed = now - rollouts->last_command_at;
 
@@ -185,7 +185,7 @@
 
 /* Commands that may make samples deliverable or slots startable call this last. */
 static void
-finish_step_command (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
+answer_pulls_and_start_requests (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
 {
   lc_deliver_answer_pulls (rollouts, step, now, actions);
   lc_deliver_write_ledger (rollouts, step, now, actions);
@@ -202,7 +202,7 @@
 }
 
 static int64_t
-compute_max_running (const LcResourceSet *set, const LcPool *pool)
+compute_max_running_generations (const LcResourceSet *set, const LcPool *pool)
 {
   int64_t concurrency_sum = 0;
 
@@ -246,7 +246,7 @@
 void
 lc_rollouts_configure (LcRollouts *rollouts, const LcResourceSet *set, LbTime now, LbList *actions)
 {
-  begin_command (rollouts, now);
+  free_deferred_and_detect_pause (rollouts, now);
   LB_LIST_FOREACH (&rollouts->trainers, LcTrainer, link, trainer)
   {
     trainer->is_configured = false;
@@ -255,7 +255,7 @@
     configure_trainer (rollouts, set, &set->subscriptions[i]);
   for (size_t i = 0; i < set->n_pools; i++)
     lc_rollouts_ensure_pool (rollouts, set->pools[i].name)->max_running
-        = compute_max_running (set, &set->pools[i]);
+        = compute_max_running_generations (set, &set->pools[i]);
   lc_generate_start_requests (rollouts, now, actions);
 }
 
@@ -269,7 +269,7 @@
 {
   LcRolloutPool *pool = lc_rollouts_ensure_pool (rollouts, pool_name);
 
-  begin_command (rollouts, now);
+  free_deferred_and_detect_pause (rollouts, now);
   pool->newest_version = newest_version;
   pool->version_interval = version_interval;
   lc_generate_start_requests (rollouts, now, actions);
@@ -288,7 +288,7 @@
 }
 
 static bool
-check_spec (const LcStepSpec *spec, LbError *error)
+check_step_spec (const LcStepSpec *spec, LbError *error)
 {
   int64_t n_samples = 0;
 
@@ -332,7 +332,7 @@
                          "no subscription of this name is declared");
   if (rollouts->draining)
     return lb_error_set (error, LB_ERROR_DRAINING, "", "this instance is shutting down");
-  return check_spec (spec, error);
+  return check_step_spec (spec, error);
 }
 
 static bool
@@ -355,7 +355,7 @@
   LcStep *step = find_step (rollouts, spec->subscription, spec->step);
   LcCursor cursor = { 0 };
 
-  begin_command (rollouts, now);
+  free_deferred_and_detect_pause (rollouts, now);
   if (step)
     return has_same_spec (step, spec, error);
   if (!lc_rollouts_can_open_step (rollouts, spec, error))
@@ -415,7 +415,7 @@
 {
   LcStep *step = find_step (rollouts, subscription, step_number);
 
-  begin_command (rollouts, now);
+  free_deferred_and_detect_pause (rollouts, now);
   if (!step)
     return;
   lb_log (LB_LOG_WARNING, "step-lost", LB_TEXT ("subscription", subscription),
@@ -431,7 +431,7 @@
 {
   LcStep *step = find_step (rollouts, pull->subscription, pull->step);
 
-  begin_command (rollouts, now);
+  free_deferred_and_detect_pause (rollouts, now);
   if (!step)
     {
       LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_REPLY);
@@ -441,7 +441,7 @@
       return;
     }
   if (lc_deliver_accept_pull (rollouts, step, pull, now, actions))
-    finish_step_command (rollouts, step, now, actions);
+    answer_pulls_and_start_requests (rollouts, step, now, actions);
   else
     lc_generate_start_requests (rollouts, now, actions);
 }
@@ -464,7 +464,7 @@
 /* Results of requests. */
 
 static LcJob *
-find_job (LcRollouts *rollouts, LcRequestId request)
+find_job_of_request (LcRollouts *rollouts, LcRequestId request)
 {
   LcJob *job = NULL;
 
@@ -482,9 +482,9 @@
                        LbTime now,
                        LbList *actions)
 {
-  LcJob *job = find_job (rollouts, request);
+  LcJob *job = find_job_of_request (rollouts, request);
 
-  begin_command (rollouts, now);
+  free_deferred_and_detect_pause (rollouts, now);
   if (!job || job->is_scoring)
     return;
   lc_result_add_piece (rollouts, job, piece, endpoint, now, actions);
@@ -500,9 +500,9 @@
                                LbTime now,
                                LbList *actions)
 {
-  LcJob *job = find_job (rollouts, request);
+  LcJob *job = find_job_of_request (rollouts, request);
 
-  begin_command (rollouts, now);
+  free_deferred_and_detect_pause (rollouts, now);
   if (!job || job->is_scoring)
     {
       free (text);
@@ -510,8 +510,8 @@
     }
   LcStep *step = job->step;
   lc_result_finish_generation (rollouts, job, error, text, now, actions);
-  finish_step_command (rollouts, step, now, actions);
-  lc_review_step (rollouts, step, now, actions);
+  answer_pulls_and_start_requests (rollouts, step, now, actions);
+  lc_review_stragglers (rollouts, step, now, actions);
 }
 
 void
@@ -522,18 +522,18 @@
                             LbTime now,
                             LbList *actions)
 {
-  LcJob *job = find_job (rollouts, request);
+  LcJob *job = find_job_of_request (rollouts, request);
 
-  begin_command (rollouts, now);
+  free_deferred_and_detect_pause (rollouts, now);
   if (!job || !job->is_scoring)
     return;
   LcStep *step = job->step;
   lc_result_finish_scoring (rollouts, job, error, score, now);
-  finish_step_command (rollouts, step, now, actions);
+  answer_pulls_and_start_requests (rollouts, step, now, actions);
 }
 
 static LcStep *
-find_step_of_write (const LcRollouts *rollouts, uint64_t write_id)
+find_step_of_ledger_write (const LcRollouts *rollouts, uint64_t write_id)
 {
   LB_LIST_FOREACH (&rollouts->steps, LcStep, link, step)
   {
@@ -547,9 +547,9 @@
 lc_rollouts_finish_ledger_write (
     LcRollouts *rollouts, uint64_t write_id, LbErrorCode error, LbTime now, LbList *actions)
 {
-  LcStep *step = find_step_of_write (rollouts, write_id);
+  LcStep *step = find_step_of_ledger_write (rollouts, write_id);
 
-  begin_command (rollouts, now);
+  free_deferred_and_detect_pause (rollouts, now);
   if (!step)
     return;
   /* Another instance has taken the step over, and may deliver the samples that this one still
@@ -560,7 +560,7 @@
       return;
     }
   lc_ledger_end_write (&step->ledger, error, gsl_rng_uniform (rollouts->rng), now);
-  finish_step_command (rollouts, step, now, actions);
+  answer_pulls_and_start_requests (rollouts, step, now, actions);
 }
 
 /* Drain and ticks. */
@@ -570,7 +570,7 @@
 {
   LcJob *job, *next;
 
-  begin_command (rollouts, now);
+  free_deferred_and_detect_pause (rollouts, now);
   rollouts->draining = true;
   /* Generations without a first piece might never get an engine, so the drain doesn't wait for
    * them; the step's next owner starts them. */
@@ -587,7 +587,7 @@
 }
 
 static bool
-is_expired (const LcStep *step, LbTime now)
+is_closed_step_expired (const LcStep *step, LbTime now)
 {
   return step->closed_at && now - step->closed_at > CLOSED_STEP_RETENTION && !step->ledger.write_id
          && lb_list_is_empty (&step->waiting_pulls);
@@ -596,10 +596,10 @@
 void
 lc_rollouts_tick (LcRollouts *rollouts, LbTime now, LbList *actions)
 {
-  begin_command (rollouts, now);
+  free_deferred_and_detect_pause (rollouts, now);
   LB_LIST_FOREACH (&rollouts->steps, LcStep, link, step)
   {
-    if (is_expired (step, now))
+    if (is_closed_step_expired (step, now))
       {
         lc_rollouts_remove_step (rollouts, step, LB_ERROR_UNKNOWN_STEP, actions);
         continue;
@@ -612,7 +612,7 @@
   lc_generate_start_requests (rollouts, now, actions);
   LB_LIST_FOREACH (&rollouts->steps, LcStep, link, open_step)
   {
-    lc_review_step (rollouts, open_step, now, actions);
+    lc_review_stragglers (rollouts, open_step, now, actions);
   }
 }
 
--- a/packages/core/src/rollout/lc-step.c
+++ b/packages/core/src/rollout/lc-step.c
@@ -58,7 +58,7 @@
 }
 
 static void
-init_groups (LcStep *step)
+init_groups_and_slots (LcStep *step)
 {
   size_t next_slot = 0;
 
@@ -95,7 +95,7 @@
   step->status.slots = (int64_t)step->n_slots;
   step->status.opened_at = now;
   step->ledger.last_write_at = now;
-  init_groups (step);
+  init_groups_and_slots (step);
   lc_cursor_init (&step->acked, step->n_slots);
   lb_list_init (&step->waiting_pulls);
   return step;
--- a/packages/core/src/rollout/lc-ticket.c
+++ b/packages/core/src/rollout/lc-ticket.c
@@ -12,7 +12,7 @@
 
 /* The upper bits of a ticket's number are a sequence number, the lower ones are random, so that a
  * caller can't guess another caller's ticket and get its answer. */
-#define RANDOM_BITS 32
+#define TICKET_RANDOM_BITS 32
 
 typedef enum
 {
@@ -136,7 +136,7 @@
   Ticket *ticket = LB_NEW (Ticket);
   uint64_t random_part = gsl_rng_get (tickets->rng);
 
-  ticket->number = ++tickets->n_issued << RANDOM_BITS | random_part;
+  ticket->number = ++tickets->n_issued << TICKET_RANDOM_BITS | random_part;
   ticket->caller_hash = hash_caller (caller);
   HASH_ADD (hh, tickets->tickets, number, sizeof ticket->number, ticket);
   schedule_expiry (tickets, ticket, now);
@@ -146,13 +146,13 @@
 }
 
 static LcTicketDecision
-reject (LbErrorCode error)
+reject_call (LbErrorCode error)
 {
   return (LcTicketDecision){ .action = LC_TICKET_REJECT, .error = error };
 }
 
 static bool
-parse_number (const char *text, uint64_t *number)
+parse_ticket_number (const char *text, uint64_t *number)
 {
   char *end = NULL;
 
@@ -173,7 +173,7 @@
 
   char *number_dot = strrchr (copy, '.');
 
-  if (!number_dot || !parse_number (number_dot + 1, number))
+  if (!number_dot || !parse_ticket_number (number_dot + 1, number))
     return false;
   *number_dot = '\0';
 
@@ -192,7 +192,7 @@
 static LbErrorCode
 missing_ticket_error (const LcTickets *tickets, uint64_t number)
 {
-  uint64_t sequence = number >> RANDOM_BITS;
+  uint64_t sequence = number >> TICKET_RANDOM_BITS;
 
   return sequence == 0 || sequence > tickets->n_issued ? LB_ERROR_UNKNOWN_TICKET
                                                        : LB_ERROR_OUTCOME_UNKNOWN;
@@ -213,7 +213,7 @@
 redeem_known_ticket (LcTickets *tickets, Ticket *ticket, uint64_t content_hash, LcRequestId request)
 {
   if (ticket->state != TICKET_UNUSED && ticket->content_hash != content_hash)
-    return reject (LB_ERROR_CONFLICT);
+    return reject_call (LB_ERROR_CONFLICT);
   switch (ticket->state)
     {
     case TICKET_UNUSED:
@@ -227,7 +227,7 @@
                                  .answer = ticket->answer,
                                  .answer_length = ticket->answer_length };
     default:
-      return reject (LB_ERROR_OUTCOME_UNKNOWN);
+      return reject_call (LB_ERROR_OUTCOME_UNKNOWN);
     }
 }
 
@@ -248,17 +248,17 @@
 
   lc_tickets_remove_expired (tickets, now);
   if (!parse_ticket (text, &decision, &number))
-    return reject (LB_ERROR_UNKNOWN_TICKET);
+    return reject_call (LB_ERROR_UNKNOWN_TICKET);
   if (strcmp (decision.instance, tickets->instance) != 0)
     return decision;
   /* The records of an earlier incarnation are lost with its memory, so the call may have run. */
   if (strcmp (decision.incarnation, tickets->incarnation) != 0)
-    return reject (LB_ERROR_OUTCOME_UNKNOWN);
+    return reject_call (LB_ERROR_OUTCOME_UNKNOWN);
   HASH_FIND (hh, tickets->tickets, &number, sizeof number, ticket);
   if (!ticket)
-    return reject (missing_ticket_error (tickets, number));
+    return reject_call (missing_ticket_error (tickets, number));
   if (ticket->caller_hash != hash_caller (caller))
-    return reject (LB_ERROR_UNKNOWN_TICKET);
+    return reject_call (LB_ERROR_UNKNOWN_TICKET);
   return redeem_known_ticket (tickets, ticket, content_hash, request);
 }
 
--- a/packages/core/src/usage/lc-usage-reports.c
+++ b/packages/core/src/usage/lc-usage-reports.c
@@ -260,7 +260,7 @@
 /* Guards against missing counts of rows that could not be written: no window is complete while the
  * store is unavailable or shortly after. */
 static bool
-is_complete (const LcUsageReports *reports, const Window *window, int64_t true_ms, LbTime now)
+are_window_rows_complete (const LcUsageReports *reports, const Window *window, int64_t true_ms, LbTime now)
 {
   int64_t ms_since_end = true_ms - (window->number + 1) * reports->settings.window_ms;
   bool store_is_available
@@ -272,7 +272,7 @@
 }
 
 static bool
-next_action_type (const LcUsageReports *reports,
+next_window_action_type (const LcUsageReports *reports,
                   const Window *window,
                   int64_t true_ms,
                   LbTime now,
@@ -282,7 +282,7 @@
     {
     case WINDOW_OPEN:
       *type = LC_USAGE_SUM_ROWS;
-      return is_complete (reports, window, true_ms, now);
+      return are_window_rows_complete (reports, window, true_ms, now);
     case WINDOW_SUMMED:
       *type = LC_USAGE_RECORD_REPORT;
       return true;
@@ -328,7 +328,7 @@
       LcUsageActionType type;
 
       if (window->has_pending_action || now < window->retry_at
-          || !next_action_type (reports, window, true_ms, now, &type))
+          || !next_window_action_type (reports, window, true_ms, now, &type))
         continue;
       window->has_pending_action = true;
       *action = (LcUsageAction){ .type = type, .window = number, .text = window->text };
--- a/packages/core/src/usage/lc-usage.c
+++ b/packages/core/src/usage/lc-usage.c
@@ -133,7 +133,7 @@
 }
 
 static int
-compare_names (const Count *a, const Count *b)
+compare_organisation_names (const Count *a, const Count *b)
 {
   return strcmp (a->organisation, b->organisation);
 }
@@ -143,7 +143,7 @@
 {
   struct json_object *object = json_object_new_object ();
 
-  HASH_SRT (hh, counts->by_organisation, compare_names);
+  HASH_SRT (hh, counts->by_organisation, compare_organisation_names);
   for (const Count *count = counts->by_organisation; count; count = count->hh.next)
     json_object_object_add (object, count->organisation, json_object_new_int64 (count->requests));
   return lb_json_take_text (object, JSON_C_TO_STRING_PLAIN);
--- a/packages/core/tests/rollouts-fixture.h
+++ b/packages/core/tests/rollouts-fixture.h
@@ -84,7 +84,7 @@
 }
 
 static inline void
-owner_cancel_request (Owner *owner, LcRequestId request)
+owner_record_cancelled_request (Owner *owner, LcRequestId request)
 {
   owner->last_cancelled = request;
   owner->n_cancelled++;
@@ -109,7 +109,7 @@
           owner->n_scores += action->type == LC_ROLLOUT_SCORE;
         }
       else if (action->type == LC_ROLLOUT_CANCEL)
-        owner_cancel_request (owner, action->spec.id);
+        owner_record_cancelled_request (owner, action->spec.id);
       else if (action->type == LC_ROLLOUT_PREEMPT)
         owner->last_preempted = action->spec.id;
       else if (action->type == LC_ROLLOUT_WRITE_LEDGER)
@@ -226,11 +226,11 @@
 }
 
 static inline void
-owner_finish (Owner *owner, LcRequestId request, LbErrorCode error, const char *text)
+owner_finish_generation (Owner *owner, LcRequestId request, LbErrorCode error, const char *text)
 {
   char *copy = text ? lb_strdup (text) : NULL;
 
-  owner_cancel_request (owner, request);
+  owner_record_cancelled_request (owner, request);
   owner->n_cancelled--;
   OWNER_CALL (owner, lc_rollouts_finish_generation (owner->rollouts, request, error, copy,
                                                     owner->now, &actions));
@@ -238,7 +238,7 @@
 
 /* Finishes all generations that run now with tokens of one version; those started by this go on. */
 static inline void
-owner_finish_all (Owner *owner, LcVersion version)
+owner_finish_all_generations (Owner *owner, LcVersion version)
 {
   size_t n_requests = owner->n_requests;
 
@@ -249,7 +249,7 @@
         continue;
       LcRequestId id = spec->id;
       owner_add_piece (owner, id, spec->resume_at, 10, version);
-      owner_finish (owner, id, LB_OK, "text");
+      owner_finish_generation (owner, id, LB_OK, "text");
     }
 }
 
@@ -288,7 +288,7 @@
 }
 
 static inline size_t
-owner_count_running (const Owner *owner)
+owner_count_running_requests (const Owner *owner)
 {
   size_t n_running = 0;
 
@@ -298,7 +298,7 @@
 }
 
 static inline LcStepStatus
-owner_status (const Owner *owner)
+owner_get_step_status (const Owner *owner)
 {
   LcStepStatus status = { 0 };
 
--- a/packages/core/tests/test-cursor.c
+++ b/packages/core/tests/test-cursor.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 static LcCursor
-sample_cursor (void)
+make_cursor_with_three_slots (void)
 {
   LcCursor cursor;
 
@@ -20,7 +20,7 @@
 
 Test (cursor, is_unchanged_after_encode_and_decode)
 {
-  LcCursor cursor = sample_cursor ();
+  LcCursor cursor = make_cursor_with_three_slots ();
   LcCursor decoded;
   char *text = lc_cursor_encode (&cursor, 99);
 
@@ -42,7 +42,7 @@
  * acknowledge samples that the trainer never received, and they would be lost. */
 Test (cursor, damaged_or_of_another_step_is_rejected)
 {
-  LcCursor cursor = sample_cursor ();
+  LcCursor cursor = make_cursor_with_three_slots ();
   LcCursor decoded;
   LbError error;
   char *text = lc_cursor_encode (&cursor, 99);
--- a/packages/core/tests/test-organisations.c
+++ b/packages/core/tests/test-organisations.c
@@ -8,7 +8,7 @@
 #define NOW (100 * LB_SEC)
 
 static void
-add (LcOrganisations *organisations, const char *name, int priority, const char *key)
+add_organisation_with_key (LcOrganisations *organisations, const char *name, int priority, const char *key)
 {
   LcOrganisation organisation = { .priority = priority };
   LcKeyDigest digest;
@@ -20,7 +20,7 @@
 }
 
 static LcAdmission
-decide (const LcOrganisations *organisations, LbTime age, bool strict, LcAdmissionCall call)
+decide_admission (const LcOrganisations *organisations, LbTime age, bool strict, LcAdmissionCall call)
 {
   const LcAdmissionRules rules
       = { .refuse_unconfirmed = strict, .max_unconfirmed_age = 5 * LB_SEC };
@@ -32,20 +32,20 @@
 }
 
 static LcOrganisations *
-new_post_and_mill (void)
+new_organisations_post_and_mill (void)
 {
   LcOrganisations *organisations = lc_organisations_new ();
 
-  add (organisations, "post", 3, "key-of-post");
-  add (organisations, "mill", 1, "key-of-mill");
+  add_organisation_with_key (organisations, "post", 3, "key-of-post");
+  add_organisation_with_key (organisations, "mill", 1, "key-of-mill");
   return organisations;
 }
 
 Test (organisations, key_identifies_its_organisation)
 {
-  LcOrganisations *organisations = new_post_and_mill ();
+  LcOrganisations *organisations = new_organisations_post_and_mill ();
   LcAdmission admission
-      = decide (organisations, 0, false, (LcAdmissionCall){ .key = "key-of-mill", .n_keys = 1 });
+      = decide_admission (organisations, 0, false, (LcAdmissionCall){ .key = "key-of-mill", .n_keys = 1 });
 
   cr_assert_eq (admission.error, LB_OK);
   cr_assert_str_eq (admission.organisation.name, "mill");
@@ -60,7 +60,7 @@
  * space: each is unauthorized, and none matches an organisation. */
 Test (organisations, malformed_and_unknown_keys_are_rejected)
 {
-  LcOrganisations *organisations = new_post_and_mill ();
+  LcOrganisations *organisations = new_organisations_post_and_mill ();
   char long_key[8193];
   const char *const keys[]
       = { NULL, "", long_key, "\xff\x01\x80", "key-of-mil", "key-of-mill ", "KEY-OF-MILL" };
@@ -70,7 +70,7 @@
   for (size_t i = 0; i < sizeof keys / sizeof keys[0]; i++)
     {
       LcAdmission admission
-          = decide (organisations, 0, false, (LcAdmissionCall){ .key = keys[i], .n_keys = 1 });
+          = decide_admission (organisations, 0, false, (LcAdmissionCall){ .key = keys[i], .n_keys = 1 });
       cr_assert_eq (admission.error, LB_ERROR_UNAUTHORIZED, "key %zu", i);
       cr_assert_str_eq (admission.organisation.name, "");
     }
@@ -81,9 +81,9 @@
  * attribute it to different callers. */
 Test (organisations, call_with_two_keys_is_a_bad_request)
 {
-  LcOrganisations *organisations = new_post_and_mill ();
+  LcOrganisations *organisations = new_organisations_post_and_mill ();
   LcAdmission admission
-      = decide (organisations, 0, false, (LcAdmissionCall){ .key = "key-of-mill", .n_keys = 2 });
+      = decide_admission (organisations, 0, false, (LcAdmissionCall){ .key = "key-of-mill", .n_keys = 2 });
 
   cr_assert_eq (admission.error, LB_ERROR_BAD_REQUEST);
   lc_organisations_free (organisations);
@@ -91,13 +91,13 @@
 
 Test (organisations, no_key_is_needed_without_organisations_or_on_a_public_route)
 {
-  LcOrganisations *organisations = new_post_and_mill ();
+  LcOrganisations *organisations = new_organisations_post_and_mill ();
 
-  cr_assert_eq (decide (NULL, 0, true, (LcAdmissionCall){ 0 }).error, LB_OK);
+  cr_assert_eq (decide_admission (NULL, 0, true, (LcAdmissionCall){ 0 }).error, LB_OK);
   cr_assert_eq (
-      decide (organisations, 60 * LB_SEC, true, (LcAdmissionCall){ .is_public = true }).error,
+      decide_admission (organisations, 60 * LB_SEC, true, (LcAdmissionCall){ .is_public = true }).error,
       LB_OK);
-  cr_assert_str_eq (decide (organisations, 0, false,
+  cr_assert_str_eq (decide_admission (organisations, 0, false,
                             (LcAdmissionCall){
                                 .key = "key-of-mill", .n_keys = 1, .is_public = true })
                         .organisation.name,
@@ -109,8 +109,8 @@
  * with it must be told to retry instead of being rejected for good. */
 Test (organisations, unknown_key_is_rejected_temporarily_while_the_view_is_stale)
 {
-  LcOrganisations *organisations = new_post_and_mill ();
-  LcAdmission admission = decide (organisations, 2 * LB_SEC, false,
+  LcOrganisations *organisations = new_organisations_post_and_mill ();
+  LcAdmission admission = decide_admission (organisations, 2 * LB_SEC, false,
                                   (LcAdmissionCall){ .key = "key-of-new", .n_keys = 1 });
 
   cr_assert_eq (admission.error, LB_ERROR_NOT_READY);
@@ -122,18 +122,18 @@
  * it rejects every key once its view is too old; otherwise it continues with the last view. */
 Test (organisations, keys_are_rejected_with_a_stale_view_in_strict_mode)
 {
-  LcOrganisations *organisations = new_post_and_mill ();
+  LcOrganisations *organisations = new_organisations_post_and_mill ();
   const LcAdmissionCall call = { .key = "key-of-post", .n_keys = 1 };
 
-  cr_assert_eq (decide (organisations, 4 * LB_SEC, true, call).error, LB_OK);
-  cr_assert_eq (decide (organisations, 5 * LB_SEC, true, call).error, LB_ERROR_NOT_READY);
-  cr_assert_eq (decide (organisations, 60 * LB_SEC, false, call).error, LB_OK);
+  cr_assert_eq (decide_admission (organisations, 4 * LB_SEC, true, call).error, LB_OK);
+  cr_assert_eq (decide_admission (organisations, 5 * LB_SEC, true, call).error, LB_ERROR_NOT_READY);
+  cr_assert_eq (decide_admission (organisations, 60 * LB_SEC, false, call).error, LB_OK);
   lc_organisations_free (organisations);
 }
 
 Test (organisations, duplicate_names_and_keys_are_rejected)
 {
-  LcOrganisations *organisations = new_post_and_mill ();
+  LcOrganisations *organisations = new_organisations_post_and_mill ();
   LcOrganisation again = { .name = "post" };
   LcOrganisation third = { .name = "third" };
   LcKeyDigest digest;
--- a/packages/core/tests/test-rollouts-once.c
+++ b/packages/core/tests/test-rollouts-once.c
@@ -26,7 +26,7 @@
   owner_start_pull (owner, 1, "", 40, 10 * LB_SEC);
   owner_start_pull (owner, 2, "", 40, 10 * LB_SEC);
   cr_assert_eq (owner->n_replies, 0);
-  owner_finish_all (owner, 40);
+  owner_finish_all_generations (owner, 40);
   cr_assert_eq (owner->n_replies, 2);
   char *cursor = lb_strdup (owner->cursor);
   char *sample = lb_strdup (owner->samples[0]);
@@ -54,11 +54,11 @@
 
   owner_open_step (first, 4, 2, 1);
   owner_start_pull (first, 1, "", 40, 10 * LB_SEC);
-  owner_finish_all (first, 40);
+  owner_finish_all_generations (first, 40);
   cr_assert_gt (first->n_samples, 0);
   cr_assert_gt (first->remaining, 0);
   owner_open_step (second, 4, 2, 1);
-  owner_finish_all (second, 40);
+  owner_finish_all_generations (second, 40);
   owner_pull (second, first->cursor, 40);
   cr_assert_eq (second->reply_error, LB_OK);
   cr_assert_eq (first->n_samples + second->n_samples, 8);
@@ -76,7 +76,7 @@
   Owner *owner = owner_new (&plain, 5);
 
   owner_open_step (owner, 4, 2, 1);
-  owner_finish_all (owner, 40);
+  owner_finish_all_generations (owner, 40);
   owner_pull (owner, "", 40);
   owner_pull (owner, owner->cursor, 40);
   owner_pull (owner, "", 40);
@@ -98,7 +98,7 @@
   for (size_t i = 1; i < 10; i++)
     {
       owner_add_piece (owner, owner->requests[i].id, 1, 99, 40);
-      owner_finish (owner, owner->requests[i].id, LB_OK, "short");
+      owner_finish_generation (owner, owner->requests[i].id, LB_OK, "short");
     }
   owner_add_piece (owner, owner->requests[0].id, 0, 10, 40);
   owner_advance_time (owner, 10 * LB_SEC);
@@ -113,14 +113,14 @@
   settings.migrate = false;
   Owner *owner = new_owner_with_straggler (&settings);
   cr_assert_eq (owner->n_requests, 11);
-  cr_assert_eq (owner_status (owner).hedges, 1);
+  cr_assert_eq (owner_get_step_status (owner).hedges, 1);
   cr_assert_str_eq (owner->requests[10].avoid[0], "e1");
   LcRequestId original = owner->requests[0].id;
   owner_add_piece (owner, owner->requests[10].id, 0, 20, 40);
-  owner_finish (owner, owner->requests[10].id, LB_OK, "hedge");
+  owner_finish_generation (owner, owner->requests[10].id, LB_OK, "hedge");
   cr_assert_eq (owner->last_cancelled, original);
   owner_add_piece (owner, original, 10, 5, 40);
-  owner_finish (owner, original, LB_OK, "late");
+  owner_finish_generation (owner, original, LB_OK, "late");
   owner_pull (owner, "", 40);
   cr_assert_eq (owner->n_samples, 10);
   cr_assert_str_eq (owner->samples[0], "g0/0 hedge");
@@ -140,19 +140,19 @@
 
   cr_assert_eq (owner->last_preempted, original);
   cr_assert_eq (owner->n_requests, 10);
-  owner_finish (owner, original, LB_ERROR_CLOSED, "begun ");
+  owner_finish_generation (owner, original, LB_ERROR_CLOSED, "begun ");
   cr_assert_eq (owner->n_requests, 11);
   cr_assert_str_eq (owner->requests[10].avoid[0], "e1");
   cr_assert_eq (owner->requests[10].resume_at, 10);
   owner_add_piece (owner, original, 10, 5, 40);
   owner_add_piece (owner, owner->requests[10].id, 10, 20, 41);
-  owner_finish (owner, owner->requests[10].id, LB_OK, "ended");
+  owner_finish_generation (owner, owner->requests[10].id, LB_OK, "ended");
   owner_pull (owner, "", 41);
   cr_assert_eq (owner->n_samples, 10);
   cr_assert_str_eq (owner->samples[0], "g0/0 begun ended");
   cr_assert_eq (owner->labels[0].n_spans, 2);
   cr_assert_eq (owner->labels[0].tokens, 30);
-  cr_assert_eq (owner_status (owner).wasted_tokens, 0);
+  cr_assert_eq (owner_get_step_status (owner).wasted_tokens, 0);
   owner_free (owner);
 }
 
@@ -163,7 +163,7 @@
   Owner *owner = new_owner_with_straggler (&settings);
 
   owner_add_piece (owner, owner->requests[0].id, 10, 5, 40);
-  owner_finish (owner, owner->requests[0].id, LB_OK, "whole");
+  owner_finish_generation (owner, owner->requests[0].id, LB_OK, "whole");
   cr_assert_eq (owner->n_requests, 10);
   owner_pull (owner, "", 41);
   cr_assert_str_eq (owner->samples[0], "g0/0 whole");
@@ -181,9 +181,9 @@
   for (size_t i = 0; i < 4; i++)
     {
       owner_add_piece (first, first->requests[i].id, 0, 10, 40);
-      owner_finish (first, first->requests[i].id, LB_OK, "text");
+      owner_finish_generation (first, first->requests[i].id, LB_OK, "text");
     }
-  owner_finish_all (first, 40);
+  owner_finish_all_generations (first, 40);
   owner_pull (first, "", 40);
   cr_assert_eq (first->n_samples, 8);
   char *cursor = lb_strdup (first->cursor);
@@ -192,7 +192,7 @@
   cr_assert_eq (second->reply_error, LB_OK);
   cr_assert_eq (second->n_samples, 0);
   cr_assert_eq (second->remaining, 0);
-  cr_assert_eq (owner_count_running (second), 0);
+  cr_assert_eq (owner_count_running_requests (second), 0);
   free (cursor);
   owner_free (first);
   owner_free (second);
@@ -209,7 +209,7 @@
   for (size_t i = 0; i < 5; i++)
     {
       owner_add_piece (first, first->requests[i].id, 0, 10, 40);
-      owner_finish (first, first->requests[i].id, LB_OK, "first");
+      owner_finish_generation (first, first->requests[i].id, LB_OK, "first");
     }
   OWNER_CALL (first, lc_rollouts_drain (first->rollouts, first->now, &actions));
   owner_pull (first, "", 40);
@@ -218,10 +218,10 @@
       = lc_rollouts_list_unacknowledged (first->rollouts, "t", 1, &second->handed_over);
   cr_assert_eq (second->n_handed_over, 5);
   owner_open_step (second, 4, 2, 2);
-  cr_assert_eq (owner_count_running (second), 3);
+  cr_assert_eq (owner_count_running_requests (second), 3);
   owner_pull (second, first->cursor, 40);
   cr_assert_eq (second->remaining, 6);
-  owner_finish_all (second, 40);
+  owner_finish_all_generations (second, 40);
   owner_pull (second, second->cursor, 40);
   cr_assert_eq (second->n_samples, 6);
   cr_assert_str_eq (second->samples[0], "g1/0 first");
@@ -238,7 +238,7 @@
   Owner *owner = owner_new (&plain, 5);
 
   owner_open_step (owner, 4, 2, 1);
-  owner_finish_all (owner, 40);
+  owner_finish_all_generations (owner, 40);
   owner->now += 30 * LB_SEC;
   owner->ledger_error = LB_ERROR_CONDITION_FAILED;
   owner_start_pull (owner, 1, "", 40, 5 * LB_SEC);
@@ -256,7 +256,7 @@
   Owner *owner = owner_new (&plain, 5);
 
   owner_open_step (owner, 4, 2, 1);
-  owner_finish_all (owner, 40);
+  owner_finish_all_generations (owner, 40);
   owner->now += 30 * LB_SEC;
   owner->ledger_error = LB_ERROR_STORE_AWAY;
   owner_pull (owner, "", 40);
@@ -274,7 +274,7 @@
   Owner *first = owner_new (&plain, 5);
 
   owner_open_step (first, 4, 2, 1);
-  owner_finish_all (first, 40);
+  owner_finish_all_generations (first, 40);
   Owner *second = new_successor (first, 2);
   owner_pull (second, "", 40);
   owner_pull (first, second->cursor, 40);
@@ -296,7 +296,7 @@
   for (size_t i = 0; i < 8; i++)
     {
       owner_add_piece (owner, owner->requests[i].id, 0, 10, 40);
-      owner_finish (owner, owner->requests[i].id, LB_OK, "text");
+      owner_finish_generation (owner, owner->requests[i].id, LB_OK, "text");
       owner_pull (owner, owner->cursor, 40);
       cr_assert_eq (owner->reply_error, LB_OK);
       got += owner->n_samples;
@@ -307,7 +307,7 @@
   owner->ledger_error = LB_OK;
   owner_advance_time (owner, 10 * LB_SEC);
   Owner *second = new_successor (owner, 2);
-  cr_assert_eq (owner_count_running (second), 0);
+  cr_assert_eq (owner_count_running_requests (second), 0);
   owner_free (owner);
   owner_free (second);
 }
@@ -319,7 +319,7 @@
   Owner *owner = owner_new (&strict, 5);
 
   owner_open_step (owner, 4, 2, 1);
-  owner_finish_all (owner, 40);
+  owner_finish_all_generations (owner, 40);
   owner->ledger_is_unresponsive = true;
   owner_start_pull (owner, 1, "", 40, 5 * LB_SEC);
   cr_assert_eq (owner->n_replies, 0);
@@ -343,9 +343,9 @@
   owner_open_step (owner, 4, 2, 1);
   owner_start_pull (owner, 1, "", 40, 60 * LB_SEC);
   owner_start_pull (owner, 2, "", 40, 60 * LB_SEC);
-  owner_finish_all (owner, 40);
+  owner_finish_all_generations (owner, 40);
   cr_assert_eq (owner->n_replies, 2);
-  cr_assert_eq (owner->n_delivered, owner_status (owner).delivered);
+  cr_assert_eq (owner->n_delivered, owner_get_step_status (owner).delivered);
   cr_assert_eq (lc_rollouts_count_invariant_failures (owner->rollouts), 0);
   owner_free (owner);
 }
@@ -357,7 +357,7 @@
   Owner *owner = owner_new (&strict, 5);
 
   owner_open_step (owner, 4, 2, 1);
-  owner_finish_all (owner, 40);
+  owner_finish_all_generations (owner, 40);
   owner->ledger_is_unresponsive = true;
   owner_start_pull (owner, 1, "", 40, 5 * LB_SEC);
   lc_rollouts_cancel_pull (owner->rollouts, 1);
--- a/packages/core/tests/test-rollouts.c
+++ b/packages/core/tests/test-rollouts.c
@@ -11,7 +11,7 @@
   owner_pull (owner, "", 40);
   cr_assert_eq (owner->n_samples, 0);
   cr_assert_eq (owner->remaining, 8);
-  owner_finish_all (owner, 40);
+  owner_finish_all_generations (owner, 40);
   owner_pull (owner, owner->cursor, 40);
   cr_assert_eq (owner->n_samples, 8);
   cr_assert_eq (owner->remaining, 0);
@@ -19,7 +19,7 @@
   owner_pull (owner, owner->cursor, 40);
   cr_assert_eq (owner->reply_error, LB_OK);
   cr_assert_eq (owner->n_samples, 0);
-  cr_assert_eq (owner_status (owner).delivered, 8);
+  cr_assert_eq (owner_get_step_status (owner).delivered, 8);
   cr_assert_eq (lc_rollouts_count_in_progress (owner->rollouts), 0);
   owner_free (owner);
 }
@@ -34,7 +34,7 @@
   for (size_t i = 0; i < 200; i++)
     {
       owner_add_piece (owner, owner->requests[i].id, 0, 10, 40);
-      owner_finish (owner, owner->requests[i].id, LB_OK, "text");
+      owner_finish_generation (owner, owner->requests[i].id, LB_OK, "text");
       owner_pull (owner, owner->cursor, 40);
       cr_assert_eq (owner->n_samples, 1);
       owner_advance_time (owner, 100 * LB_MSEC);
@@ -53,7 +53,7 @@
   LB_COPY (scored.scorer, "judge");
   Owner *owner = owner_new (&scored, 2);
   owner_open_step (owner, 1, 1, 1);
-  owner_finish_all (owner, 40);
+  owner_finish_all_generations (owner, 40);
   cr_assert_eq (owner->n_scores, 1);
   cr_assert_str_eq (owner->requests[1].pool, "judge");
   owner_pull (owner, "", 40);
@@ -94,14 +94,14 @@
   LB_COPY (both[1].pool, "reader");
   OWNER_CALL (owner, lc_rollouts_configure (owner->rollouts, &set, owner->now, &actions));
   owner_open_step (owner, 100, 1, 1);
-  cr_assert_eq (owner_count_running (owner), 22);
+  cr_assert_eq (owner_count_running_requests (owner), 22);
   group.prompt = lb_strdup ("p");
   spec.groups = lb_memdup (&group, sizeof group);
   OWNER_CALL (owner, lc_rollouts_open_step (owner->rollouts, &spec, 1, owner->now, &actions, NULL));
   for (size_t i = 0; i < 22; i++)
     {
       owner_add_piece (owner, owner->requests[i].id, 0, 10, 40);
-      owner_finish (owner, owner->requests[i].id, LB_OK, "text");
+      owner_finish_generation (owner, owner->requests[i].id, LB_OK, "text");
     }
   for (size_t i = 22; i < owner->n_requests; i++)
     of_second += strcmp (owner->requests[i].caller, "u") == 0;
@@ -119,7 +119,7 @@
   owner_open_step (owner, 2, 1, 1);
   owner_add_piece (owner, owner->requests[0].id, 0, 10, 40);
   OWNER_CALL (owner, lc_rollouts_drain (owner->rollouts, owner->now, &actions));
-  cr_assert_eq (owner_count_running (owner), 1);
+  cr_assert_eq (owner_count_running_requests (owner), 1);
   cr_assert_eq (lc_rollouts_count_in_progress (owner->rollouts), 1);
   owner_free (owner);
 }
--- a/packages/core/tests/test-usage.c
+++ b/packages/core/tests/test-usage.c
@@ -5,14 +5,14 @@
 #include <stdlib.h>
 
 #define WINDOW_MS 5000
-#define PERIOD (200 * LB_MSEC)
+#define ROW_PERIOD (200 * LB_MSEC)
 
 static void
-assert_next (LcUsage *usage, LbTime now, int64_t window, const char *text)
+assert_next_row (LcUsage *usage, LbTime now, int64_t window, const char *text)
 {
   LcUsageRow row;
 
-  cr_assert (lc_usage_next_row (usage, PERIOD, now, &row));
+  cr_assert (lc_usage_next_row (usage, ROW_PERIOD, now, &row));
   cr_assert_eq (row.window, window);
   cr_assert_str_eq (row.text, text);
   free (row.text);
@@ -25,8 +25,8 @@
   lc_usage_count_request (usage, "post", 4999);
   lc_usage_count_request (usage, "mill", 5000);
   lc_usage_count_request (usage, "mill", 9999);
-  assert_next (usage, 0, 0, "{\"post\":1}");
-  assert_next (usage, 0, 1, "{\"mill\":2}");
+  assert_next_row (usage, 0, 0, "{\"post\":1}");
+  assert_next_row (usage, 0, 1, "{\"mill\":2}");
   cr_assert_not (lc_usage_is_fully_written (usage));
   lc_usage_write_completed (usage, 0, true);
   lc_usage_write_completed (usage, 1, true);
@@ -42,12 +42,12 @@
   LcUsageRow row;
 
   lc_usage_count_request (usage, "post", 1);
-  assert_next (usage, 0, 0, "{\"post\":1}");
+  assert_next_row (usage, 0, 0, "{\"post\":1}");
   lc_usage_count_request (usage, "post", 2);
-  cr_assert_not (lc_usage_next_row (usage, PERIOD, 10 * PERIOD, &row), "a write is in progress");
+  cr_assert_not (lc_usage_next_row (usage, ROW_PERIOD, 10 * ROW_PERIOD, &row), "a write is in progress");
   lc_usage_write_completed (usage, 0, true);
-  cr_assert_not (lc_usage_next_row (usage, PERIOD, PERIOD - 1, &row));
-  assert_next (usage, PERIOD, 0, "{\"post\":2}");
+  cr_assert_not (lc_usage_next_row (usage, ROW_PERIOD, ROW_PERIOD - 1, &row));
+  assert_next_row (usage, ROW_PERIOD, 0, "{\"post\":2}");
   lc_usage_free (usage);
 }
 
@@ -57,10 +57,10 @@
   LcUsage *usage = lc_usage_new (WINDOW_MS);
 
   lc_usage_count_request (usage, "post", 1);
-  assert_next (usage, 0, 0, "{\"post\":1}");
+  assert_next_row (usage, 0, 0, "{\"post\":1}");
   lc_usage_write_completed (usage, 0, false);
   cr_assert_not (lc_usage_is_fully_written (usage));
-  assert_next (usage, PERIOD, 0, "{\"post\":1}");
+  assert_next_row (usage, ROW_PERIOD, 0, "{\"post\":1}");
   lc_usage_write_completed (usage, 0, true);
   lc_usage_remove_windows_before (usage, 1);
   cr_assert (lc_usage_is_fully_written (usage));
