--- a/packages/core/include/lc-organisations.h
+++ b/packages/core/include/lc-organisations.h
@@ -4,7 +4,8 @@
 #include "lb-error.h"
 
 /* Organisations and the API keys that identify them as callers. Only digests of keys are stored,
- * so that no log, core dump or stored row reveals a key. Filled once, then read-only. */
+ * so that no log, core dump or stored row reveals a key. The table is filled once and then only
+ * read. */
 
 #define LC_KEY_DIGEST_SIZE 32
 
@@ -27,7 +28,7 @@
 typedef struct
 {
   LbName name;
-  int priority; /* larger first; has precedence over the priority of a route */
+  int priority; /* requests with a larger value go first; overrides the route's priority */
 } LcOrganisation;
 
 typedef struct LcOrganisations LcOrganisations;
@@ -35,7 +36,7 @@
 LcOrganisations *lc_organisations_new (void);
 void lc_organisations_free (LcOrganisations *organisations);
 
-/* commands */
+/* Commands, which change the state. */
 /* Returns false with an error if the name is empty or already in use. */
 bool lc_organisations_add (LcOrganisations *organisations,
                            const LcOrganisation *organisation,
@@ -46,7 +47,7 @@
                                const LcKeyDigest *digest,
                                LbError *error);
 
-/* queries */
+/* Queries, which do not change the state. */
 size_t lc_organisations_count (const LcOrganisations *organisations);
 /* Returns the organisation that has the key; NULL if there is none. */
 const LcOrganisation *lc_organisations_find_by_key (const LcOrganisations *organisations,
--- a/packages/core/include/lc-rollouts.h
+++ b/packages/core/include/lc-rollouts.h
@@ -3,17 +3,17 @@
 
 #include "lc-dispatch.h"
 
-/* The owner's side of trainers' steps, where a step is the set of samples that a trainer asks for
- * at once, a slot the place of one sample in it, and the ledger a row in the store that records
- * which slots were delivered. Schedules generations, labels and scores samples, enforces the
- * staleness bound, delivers chunks with cursors, and migrates or hedges stragglers. No I/O:
- * commands add actions for the node, which submits requests to LcDispatch and replies to trainers.
- */
+/* Owner of trainers' steps. A step is the set of samples that a trainer asks for at once, a slot is
+ * the place of one sample in a step, and a ledger is the row in the store that records which slots
+ * of a step were delivered. The owner schedules generations, labels samples with weight versions,
+ * has them scored, enforces the staleness bound, delivers chunks with cursors, and migrates or
+ * hedges stragglers. No I/O: commands add actions for the node, which submits requests to
+ * LcDispatch and replies to trainers. */
 
 typedef struct
 {
   LbName id;
-  char *prompt; /* owned by the spec */
+  char *prompt; /* owned by this struct */
   int64_t samples;
   int64_t max_tokens;
 } LcGroupSpec;
@@ -22,14 +22,14 @@
 {
   LbName subscription;
   int64_t step;
-  LcVersion trainer_version; /* when the step was opened */
+  LcVersion trainer_version; /* the trainer's weight version when it opened the step */
   LcGroupSpec *groups;
   size_t n_groups;
 } LcStepSpec;
 
 void lc_step_spec_clear (LcStepSpec *spec);
 
-/* A sample that can be delivered. Pointers are valid until the next command. */
+/* A generated sample for delivery to a trainer. Its pointers are valid until the next command. */
 typedef struct
 {
   const char *group;
@@ -40,36 +40,37 @@
   double score;
 } LcReadySample;
 
-/* State of a step left by its earlier owner. */
+/* State of a step that its previous owner left to the next owner. */
 typedef struct
 {
-  uint64_t session;             /* number of the new owner; each owner of a step has a larger one */
-  const char *ledger_cursor;    /* value of the ledger row; "": there is none */
-  const LcReadySample *samples; /* not acknowledged when the earlier owner ended */
+  uint64_t session;          /* session number of the new owner; larger for each owner of a step */
+  const char *ledger_cursor; /* value of the ledger row; "" if the row does not exist */
+  const LcReadySample *samples; /* samples that the trainer has not acknowledged */
   size_t n_samples;
 } LcStepHandover;
 
 /* A trainer's request for the next chunk of a step. */
 typedef struct
 {
-  uint64_t id; /* chosen by the node; the reply carries it */
+  uint64_t id; /* chosen by the node; the reply has it as pull_id */
   LbName subscription;
   int64_t step;
   const char *cursor;        /* cursor of the last reply; "" at the start of a step */
-  LcVersion trainer_version; /* current version; staleness is counted from it */
+  LcVersion trainer_version; /* the trainer's current version, which staleness is relative to */
   int64_t max_samples;
-  LbTime wait_until; /* answer without samples at this time */
+  LbTime wait_until; /* reply without samples if none is ready by this time */
 } LcPull;
 
 typedef enum
 {
-  LC_ROLLOUT_GENERATE,     /* submit a generation to the dispatch */
-  LC_ROLLOUT_CANCEL,       /* cancel a request of an earlier GENERATE or SCORE */
+  LC_ROLLOUT_GENERATE,     /* submit a generation request to LcDispatch */
+  LC_ROLLOUT_CANCEL,       /* cancel the request of an earlier GENERATE or SCORE action */
   LC_ROLLOUT_SCORE,        /* send a sample to the scorer */
-  LC_ROLLOUT_WRITE_LEDGER, /* write the ledger's row, if no later session has written it */
-  LC_ROLLOUT_REPLY,        /* answer a pull */
-  /* Stop a request of an earlier GENERATE and pass LB_ERROR_CLOSED and the text of exactly those
-   * pieces that were reported to lc_rollouts_finish_generation; another request resumes there. */
+  LC_ROLLOUT_WRITE_LEDGER, /* write a step's ledger row, unless a later session has written it */
+  LC_ROLLOUT_REPLY,        /* reply to a trainer's pull */
+  /* Stop the request of an earlier GENERATE action. Then pass LB_ERROR_CLOSED to
+   * lc_rollouts_finish_generation, with the text of exactly the pieces that were passed to
+   * lc_rollouts_add_piece, so that another request can resume after them. */
   LC_ROLLOUT_PREEMPT
 } LcRolloutActionType;
 
@@ -77,63 +78,64 @@
 {
   LbLink link;
   LcRolloutActionType type;
-  /* GENERATE, SCORE, CANCEL, PREEMPT */
-  LcRequestSpec spec; /* spec.id is the request's id */
-  const char *group;  /* owned by the step; valid until the next command */
-  int64_t index;      /* number of the sample in its group */
+  /* Set for GENERATE and SCORE; CANCEL and PREEMPT set only spec.id. */
+  LcRequestSpec spec; /* request to submit; spec.id is its id */
+  const char *group;  /* id of the sample's group; valid until the next command */
+  int64_t index;      /* index of the sample in its group, from 0 */
   const char *prompt; /* owned by the step; valid until the next command */
   int64_t max_tokens;
-  char *resume_text; /* owned; text to resume after; NULL: start from the beginning */
+  char *resume_text; /* GENERATE: text to resume after, owned by the action; NULL: none */
   LbName scorer;
-  const char *text; /* SCORE: text of the sample */
-  /* WRITE_LEDGER */
-  uint64_t write_id; /* to be passed to lc_rollouts_finish_ledger_write */
-  char *row_key;     /* owned */
-  char *row_value;   /* owned */
+  const char *text; /* SCORE: text of the sample to score */
+  /* Set for WRITE_LEDGER. */
+  uint64_t write_id; /* argument for lc_rollouts_finish_ledger_write */
+  char *row_key;     /* owned by the action */
+  char *row_value;   /* owned by the action */
   uint64_t session;
-  /* REPLY */
+  /* Set for REPLY. */
   uint64_t pull_id;
-  LbError error; /* code LB_OK: the reply is a chunk */
+  LbError error; /* if its code is LB_OK, the reply is a chunk of 0 or more samples */
   LbTime retry_after;
-  LcReadySample *samples; /* owned array */
+  LcReadySample *samples; /* array owned by the action */
   size_t n_samples;
-  char *cursor;      /* owned */
-  int64_t remaining; /* slots still to be delivered after this chunk */
+  char *cursor;      /* owned by the action */
+  int64_t remaining; /* number of slots still to be delivered after this chunk */
 } LcRolloutAction;
 
 /* Totals of a step, for its status and for benchmarks. */
 typedef struct
 {
   int64_t slots;
-  int64_t delivered;            /* slots whose sample was sent to the trainer */
-  int64_t ready;                /* slots whose sample can be delivered */
-  int64_t running;              /* slots that are being generated or scored */
-  int64_t discarded_stale;      /* samples that exceeded the staleness bound */
-  int64_t discarded_unlabelled; /* samples without a complete label of versions */
+  int64_t delivered;            /* number of slots whose sample was sent to the trainer */
+  int64_t ready;                /* number of slots whose sample is ready but not sent */
+  int64_t running;              /* number of slots whose sample is being generated or scored */
+  int64_t discarded_stale;      /* number of samples discarded for exceeding the staleness bound */
+  int64_t discarded_unlabelled; /* number of samples discarded for an incomplete version label */
   int64_t hedges;
-  int64_t tokens;        /* generated, wasted ones included */
-  int64_t wasted_tokens; /* tokens of samples that were discarded or cancelled */
-  double staleness_sum;  /* in versions, over all delivered samples */
-  int64_t staleness_max; /* largest of one delivered sample */
+  int64_t tokens;        /* number of generated tokens, including wasted_tokens */
+  int64_t wasted_tokens; /* number of tokens of samples that were discarded or cancelled */
+  double staleness_sum;  /* sum over all delivered samples, in versions */
+  int64_t staleness_max; /* largest staleness of a delivered sample, in versions */
   LbTime opened_at;
-  LbTime completed_at; /* 0: not yet */
+  LbTime completed_at; /* when no undelivered slot was left; 0 before */
 } LcStepStatus;
 
 typedef struct
 {
   LbName instance;
   uint64_t seed;
-  /* Parts of the scheduling: all true by default; benchmarks switch them off to measure the effect
-   * of each. */
+  /* Scheduling features, all enabled by default. Benchmarks disable them to measure the effect of
+   * each. */
   bool longest_first;
   bool hedging;
   bool resume;
   bool predict_staleness;
   bool group_release;
   bool fair_shares;
-  bool migrate; /* resume samples of slow endpoints on other endpoints */
-  /* An owner that ran no command for longer than this may have been replaced, so it confirms its
-   * session by a ledger write before it delivers again. 0: no limit. */
+  bool migrate; /* stop samples on slow endpoints and resume them on others */
+  /* After a pause between two commands of more than this, another instance may have taken over the
+   * steps. The owner then confirms its session by a ledger write before it delivers again. 0: no
+   * limit. */
   LbTime pause_limit;
 } LcRolloutSettings;
 
@@ -143,30 +145,32 @@
 LcRollouts *lc_rollouts_new (const LcRolloutSettings *settings);
 void lc_rollouts_free (LcRollouts *rollouts);
 
-/* commands */
+/* Commands, which change the state. */
 
-/* Takes request ids from next_id, so that the node can use those of the dispatch. */
+/* Sets the function that returns ids for new requests. The node sets one that shares its ids with
+ * LcDispatch. */
 void
 lc_rollouts_set_id_source (LcRollouts *rollouts, LcRequestId (*next_id) (void *user), void *user);
 void
 lc_rollouts_configure (LcRollouts *rollouts, const LcResourceSet *set, LbTime now, LbList *actions);
-/* Takes ownership of the spec's content. Opening an open step again has no effect if the content is
- * the same, and is a conflict otherwise. Each later owner has a larger session. */
+/* Opens a step and takes ownership of the spec's content. For a step that is already open, the call
+ * has no effect if the content is the same, and fails with LB_ERROR_CONFLICT otherwise. Each later
+ * owner of a step has a larger session. */
 bool lc_rollouts_open_step (LcRollouts *rollouts,
                             LcStepSpec *spec,
                             uint64_t session,
                             LbTime now,
                             LbList *actions,
                             LbError *error);
-/* Opens a step of an earlier owner. Slots that the ledger's cursor names, or for which a sample is
- * handed over, are not generated again. */
+/* Opens a step of a previous owner. Slots in the ledger's cursor, and slots with a sample in the
+ * handover, are not generated again. */
 bool lc_rollouts_take_over_step (LcRollouts *rollouts,
                                  LcStepSpec *spec,
                                  const LcStepHandover *handover,
                                  LbTime now,
                                  LbList *actions,
                                  LbError *error);
-/* The same as lc_rollouts_take_over_step, without samples of the earlier owner. */
+/* Like lc_rollouts_take_over_step, but without samples of the previous owner. */
 bool lc_rollouts_recover_step (LcRollouts *rollouts,
                                LcStepSpec *spec,
                                uint64_t session,
@@ -174,8 +178,8 @@
                                LbTime now,
                                LbList *actions,
                                LbError *error);
-/* Removes a step that has a new owner: cancels its requests and answers its pulls with
- * LB_ERROR_STALE_SESSION. */
+/* Removes a step that another instance has taken over: cancels the step's requests and answers its
+ * pulls with LB_ERROR_STALE_SESSION. */
 void lc_rollouts_abort_step (LcRollouts *rollouts,
                              const char *subscription,
                              int64_t step_number,
@@ -183,16 +187,16 @@
                              LbList *actions);
 void
 lc_rollouts_handle_pull (LcRollouts *rollouts, const LcPull *pull, LbTime now, LbList *actions);
-/* Drops the pull of a closed connection; the chunk stays available for a repeat of the pull. */
+/* Removes the pull of a closed connection. A trainer that repeats the pull gets the same chunk. */
 void lc_rollouts_cancel_pull (LcRollouts *rollouts, uint64_t pull_id);
-/* Receives the next piece of a generation. */
+/* Processes the next piece of a generation's stream, which the endpoint sent. */
 void lc_rollouts_add_piece (LcRollouts *rollouts,
                             LcRequestId request,
                             const LcPiece *piece,
                             const char *endpoint,
                             LbTime now,
                             LbList *actions);
-/* Takes ownership of text, which is what was generated after any resume_text. */
+/* Processes the end of a generation. Takes ownership of text, which excludes any resume_text. */
 void lc_rollouts_finish_generation (LcRollouts *rollouts,
                                     LcRequestId request,
                                     LbErrorCode error,
@@ -207,8 +211,8 @@
                                  LbList *actions);
 void lc_rollouts_finish_ledger_write (
     LcRollouts *rollouts, uint64_t write_id, LbErrorCode error, LbTime now, LbList *actions);
-/* Sets the newest version that the pool serves and the time between versions, both used to predict
- * staleness; 0: unknown. */
+/* Sets the newest version that the pool serves and the time between versions, which predict the
+ * staleness of samples. 0 means that a value is unknown. */
 void lc_rollouts_set_versions (LcRollouts *rollouts,
                                const char *pool_name,
                                LcVersion newest_version,
@@ -219,7 +223,7 @@
 void lc_rollouts_tick (LcRollouts *rollouts, LbTime now, LbList *actions);
 void lc_rollout_action_free (LcRolloutAction *action);
 
-/* queries */
+/* Queries, which do not change the state. */
 /* Whether the current configuration has a subscription of this name. */
 bool lc_rollouts_has_subscription (const LcRollouts *rollouts, const char *subscription);
 /* Whether the step is valid, its subscription is configured and this instance isn't draining. */
@@ -229,19 +233,19 @@
                                   const char *subscription,
                                   int64_t step_number,
                                   LcStepStatus *status);
-/* The step's samples that the trainer has not acknowledged, for handover to the next owner. The
- * caller frees the array; what it points to is valid until the next command. */
+/* Lists the step's samples that the trainer has not acknowledged, for handover to the next owner.
+ * The caller frees the array; the pointers in it are valid until the next command. */
 size_t lc_rollouts_list_unacknowledged (const LcRollouts *rollouts,
                                         const char *subscription,
                                         int64_t step_number,
                                         LcReadySample **samples);
-/* Whether the request is a running scoring. */
+/* Whether the id is that of a running request to a scorer. */
 bool lc_rollouts_is_scoring_request (const LcRollouts *rollouts, LcRequestId request);
-/* Running requests and waiting pulls. */
+/* Returns the number of running requests plus the number of waiting pulls. */
 size_t lc_rollouts_count_in_progress (const LcRollouts *rollouts);
-/* Deliveries prevented by the invariant checks; anything but 0 is a bug. */
+/* Returns how many deliveries the invariant checks prevented; a number above 0 means a bug. */
 int64_t lc_rollouts_count_invariant_failures (const LcRollouts *rollouts);
-/* Hash of the step's content, the same on every instance. */
+/* Returns a hash of the step's content that is the same on every instance. */
 uint64_t lc_step_spec_hash (const LcStepSpec *spec);
 
 #endif
--- a/packages/core/include/lc-ticket.h
+++ b/packages/core/include/lc-ticket.h
@@ -4,23 +4,23 @@
 #include "lc-types.h"
 
 /* Tickets (idempotency keys) for calls that must run at most once. A ticket
- * "INSTANCE.INCARNATION.NUMBER" names the only incarnation of an instance that may run its call.
- * Whether the call has run is recorded only in the memory of that incarnation, so no store is
- * needed and no two instances can disagree. */
+ * "INSTANCE.INCARNATION.NUMBER" names the only process that may run its call: one incarnation of an
+ * instance. Only the memory of this process records whether the call has run, so no store is needed
+ * and no two instances can disagree. */
 
 #define LC_TICKET_SIZE (2 * LB_NAME_MAX + 24)
 
 typedef struct
 {
-  LbTime lifetime;    /* counted from the issue of a ticket, and again from the end of its call */
-  size_t max_tickets; /* unused, running, answered and spent ones together */
-  size_t max_answer_bytes; /* limit for all stored answers; the oldest are evicted */
+  LbTime lifetime;         /* of a ticket, from its issue, and again from the end of its call */
+  size_t max_tickets;      /* limit for the number of tickets in all states together */
+  size_t max_answer_bytes; /* limit for the total size of stored answers; the oldest are evicted */
   uint64_t seed;
 } LcTicketLimits;
 
 typedef enum
 {
-  LC_TICKET_RUN,    /* run the call now; returned again only if it is proven not to have run */
+  LC_TICKET_RUN,    /* run the call now; repeated only after proof that the call did not run */
   LC_TICKET_JOIN,   /* the call is running as `request`: wait for its answer */
   LC_TICKET_REPLAY, /* send the stored `answer` */
   LC_TICKET_RELAY,  /* relay the call to `instance`, the only one that may run it */
@@ -32,7 +32,7 @@
   LcTicketAction action;
   LcRequestId request;
   int status;         /* HTTP status of the stored answer */
-  const char *answer; /* valid until the next command */
+  const char *answer; /* stored answer; valid until the next command */
   size_t answer_length;
   LbName instance;
   LbName incarnation;
@@ -45,7 +45,7 @@
 lc_tickets_new (const char *instance, const char *incarnation, const LcTicketLimits *limits);
 void lc_tickets_free (LcTickets *tickets);
 
-/* commands */
+/* Commands, which change the state. */
 bool lc_tickets_issue (
     LcTickets *tickets, const char *caller, LbTime now, char text[LC_TICKET_SIZE], LbError *error);
 LcTicketDecision lc_tickets_redeem (LcTickets *tickets,
@@ -63,7 +63,7 @@
                              LbTime now);
 void lc_tickets_remove_expired (LcTickets *tickets, LbTime now);
 
-/* queries */
+/* Queries, which do not change the state. */
 LbTime lc_tickets_next_expiry (const LcTickets *tickets);
 size_t lc_tickets_count (const LcTickets *tickets);
 size_t lc_tickets_answer_bytes (const LcTickets *tickets);
--- a/packages/core/include/lc-true-time.h
+++ b/packages/core/include/lc-true-time.h
@@ -8,7 +8,7 @@
  * instance publishes the offset of its wall clock from the store's clock, and all use the median
  * of these offsets. No I/O. */
 
-/* n must be above 0. */
+/* Returns the median of the n offsets, in their unit; n must be above 0. */
 int64_t lc_true_time_median_offset (const int64_t *offsets, size_t n);
 
 #endif
--- a/packages/core/include/lc-usage-reports.h
+++ b/packages/core/include/lc-usage-reports.h
@@ -3,11 +3,11 @@
 
 #include "lc-usage.h"
 
-/* Usage reports, sent by the holder of the usage duty: sums the rows of each window and sends the
- * result to the platform. The text of a report is recorded in the store, on condition that none is
- * recorded yet, before it is first sent; every later holder sends the recorded text. So no two
- * reports of one window ever differ. No I/O: each action is answered exactly once by its command.
- */
+/* Usage reports. The instance that holds the usage reporting duty sums the rows of each window and
+ * sends the result to the platform. Before a report is first sent, its text is recorded in the
+ * store, on condition that the window has no recorded report. Every later holder sends the recorded
+ * text, so no two reports of one window ever differ. No I/O: the caller runs each action and then
+ * calls the command for its result exactly once. */
 
 typedef struct
 {
@@ -15,32 +15,36 @@
   /* Time from the end of a window until its rows are considered complete, if the store is
    * available. */
   int64_t settle_delay_ms;
-  /* Time from the end of a window until it is reported from whatever rows there are. */
+  /* Time from the end of a window until it is reported even if the store was unavailable and rows
+   * may be missing. */
   int64_t max_delay_ms;
 } LcUsageReportSettings;
 
+/* The lc_usage_reports_..._completed function named for an action takes its result. */
 typedef enum
 {
-  LC_USAGE_READ_REPORTS,  /* read the recorded reports; answered by read_completed */
-  LC_USAGE_SUM_ROWS,      /* sum the rows of the window; answered by sum_completed */
-  LC_USAGE_RECORD_REPORT, /* record text if the window has none; answered by record_completed */
-  LC_USAGE_SEND_REPORT,   /* send text to the platform; answered by send_completed */
-  LC_USAGE_CLOSE_WINDOW   /* delete the rows, mark it as sent; answered by close_completed */
+  LC_USAGE_READ_REPORTS,  /* read the recorded reports; then call read_completed */
+  LC_USAGE_SUM_ROWS,      /* sum the rows of the window; then call sum_completed */
+  LC_USAGE_RECORD_REPORT, /* record text unless the window has one; then call record_completed */
+  LC_USAGE_SEND_REPORT,   /* send text to the platform; then call send_completed */
+  LC_USAGE_CLOSE_WINDOW   /* delete the rows, mark the report as sent; then call close_completed */
 } LcUsageActionType;
 
 typedef struct
 {
   LcUsageActionType type;
-  int64_t window;   /* number of the window: Unix milliseconds / window_ms */
-  const char *text; /* RECORD_REPORT, SEND_REPORT: valid until the next command */
+  int64_t window; /* number of the window: Unix milliseconds / window_ms */
+  const char
+      *text; /* the report, for RECORD_REPORT and SEND_REPORT; valid until the next command */
 } LcUsageAction;
 
 /* Result of sending a report. */
 typedef enum
 {
   LC_USAGE_ACCEPTED,
-  LC_USAGE_NO_ANSWER, /* the platform may have accepted it, or may still do so */
-  LC_USAGE_REFUSED /* not accepted now, or not from this holder of the duty; is sent again later */
+  LC_USAGE_NO_ANSWER, /* the platform may have accepted the report, or may accept it later */
+  LC_USAGE_REFUSED    /* the platform rejected this attempt or this sender; the report is sent again
+                         later */
 } LcUsageSendResult;
 
 typedef struct LcUsageReports LcUsageReports;
@@ -48,25 +52,25 @@
 LcUsageReports *lc_usage_reports_new (const LcUsageReportSettings *settings);
 void lc_usage_reports_free (LcUsageReports *reports);
 
-/* commands */
-/* This instance holds the duty from now on; starts without any state of earlier holders. */
+/* Commands, which change the state. */
+/* Starts reporting after this instance acquired the duty; drops all earlier state. */
 void lc_usage_reports_begin_duty (LcUsageReports *reports);
 void lc_usage_reports_end_duty (LcUsageReports *reports);
-/* Adds a report that is recorded in the store; before read_completed. */
+/* Adds a report that is recorded in the store. Called before lc_usage_reports_read_completed. */
 void lc_usage_reports_add_recorded (LcUsageReports *reports,
                                     int64_t window,
                                     const char *text,
                                     bool is_sent);
-/* Adds a window that has rows in the store; before read_completed. */
+/* Adds a window that has rows in the store. Called before lc_usage_reports_read_completed. */
 void lc_usage_reports_add_row_window (LcUsageReports *reports, int64_t window);
 void lc_usage_reports_read_completed (LcUsageReports *reports, bool ok, LbTime now);
-/* counts: NULL if the rows could not be read. */
+/* counts is NULL if the rows could not be read. */
 void lc_usage_reports_sum_completed (LcUsageReports *reports,
                                      int64_t window,
                                      LcUsageCounts *counts,
                                      LbTime now);
-/* recorded: text that was already recorded for the window; NULL if there was none or the outcome
- * is not known. */
+/* recorded is the report that the store already had for the window; NULL if there was none or the
+ * result of the write is unknown. */
 void lc_usage_reports_record_completed (
     LcUsageReports *reports, int64_t window, bool ok, const char *recorded, LbTime now);
 void lc_usage_reports_send_completed (LcUsageReports *reports,
@@ -75,19 +79,19 @@
                                       LbTime now);
 void
 lc_usage_reports_close_completed (LcUsageReports *reports, int64_t window, bool ok, LbTime now);
-/* A request of this instance to the store failed: windows are not summed until the rows whose
- * writes failed may have been written. */
+/* Records that a store request of this instance failed. Windows are then not summed for a while, so
+ * that instances can write the rows that failed. */
 void lc_usage_reports_record_store_failure (LcUsageReports *reports, LbTime now);
-/* Returns false if there is nothing to do now. true_ms: Unix milliseconds, see lc-true-time.h. */
+/* Sets *action to the next action; returns false if none is due. true_ms: Unix milliseconds. */
 bool lc_usage_reports_next_action (LcUsageReports *reports,
                                    int64_t true_ms,
                                    LbTime now,
                                    LcUsageAction *action);
 
-/* queries */
-/* Number that changes each time this instance acquires the duty; 0: it does not hold it. Answers
- * to actions of an earlier epoch must be dropped, since they can't be told from those to the
- * actions of the present one. */
+/* Queries, which do not change the state. */
+/* Returns a number that increases each time this instance acquires the duty; 0 while another
+ * instance or none holds it. Results of actions of an earlier epoch must be dropped, since they
+ * look like results of the current epoch's actions. */
 int64_t lc_usage_reports_duty_epoch (const LcUsageReports *reports);
 
 #endif
--- a/packages/core/src/rollout/lc-cursor.h
+++ b/packages/core/src/rollout/lc-cursor.h
@@ -3,15 +3,16 @@
 
 #include "lb-error.h"
 
-/* The set of a step's slots (one for each sample) whose samples the trainer has. It is all that a
- * new owner needs to continue the step without losing or repeating a sample, and is stored as text
- * by the trainer and in the ledger, the step's row in the store. */
+/* The set of a step's slots (one for each sample) whose samples the trainer has received. From a
+ * cursor, a new owner can continue the step without losing or repeating a sample. The trainer and
+ * the ledger (the step's row in the store) both keep the cursor as text. */
 typedef struct
 {
-  uint64_t session;     /* session number of the owner that issued the cursor */
-  int64_t chunk_number; /* chunks delivered up to and including this cursor's */
+  uint64_t session; /* session number of the owner that issued the cursor */
+  int64_t
+      chunk_number; /* number of chunks delivered when the cursor was issued, its own included */
   size_t n_slots;
-  uint8_t *bitmap; /* one bit for each slot */
+  uint8_t *bitmap; /* bit i is set if the trainer has received slot i */
 } LcCursor;
 
 void lc_cursor_init (LcCursor *cursor, size_t n_slots);
@@ -25,8 +26,8 @@
 bool lc_cursor_contains (const LcCursor *cursor, const LcCursor *subset);
 
 char *lc_cursor_encode (const LcCursor *cursor, uint64_t step_hash);
-/* Initialises the cursor, also on failure; an empty text gives an empty cursor. A damaged cursor or
- * one of a step with another hash fails with LB_ERROR_BAD_CURSOR. */
+/* Initialises the cursor, also on failure; an empty text gives an empty cursor. Fails with
+ * LB_ERROR_BAD_CURSOR if the text is damaged or was encoded with another step_hash. */
 bool lc_cursor_decode (
     LcCursor *cursor, const char *text, size_t n_slots, uint64_t step_hash, LbError *error);
 
--- a/packages/core/src/rollout/lc-deliver.h
+++ b/packages/core/src/rollout/lc-deliver.h
@@ -7,17 +7,18 @@
  * that enters a chunk is checked here to have a complete label, to be within the staleness bound
  * and not to be acknowledged already. */
 
-/* Acknowledges what the pull's cursor names and queues the pull. Returns false if the cursor shows
- * that a later owner has the step; the step has been removed then. */
+/* Acknowledges the samples in the pull's cursor and queues the pull. If the cursor is of a later
+ * session, another instance owns the step: removes the step and returns false. */
 bool lc_deliver_accept_pull (
     LcRollouts *rollouts, LcStep *step, const LcPull *pull, LbTime now, LbList *actions);
-/* Answers the waiting pulls that can be answered now or whose wait has timed out. */
+/* Answers each waiting pull if a chunk is ready, all samples are delivered or the pull has timed
+ * out. */
 void lc_deliver_answer_pulls (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions);
-/* Starts a ledger write if one is due. */
+/* Adds an action that writes the step's ledger row, if a write is due. */
 void lc_deliver_write_ledger (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions);
 /* Stops deliveries of the step until a new ledger write has confirmed its session. */
 void lc_deliver_require_session_check (LcStep *step);
-/* Marks the slots of the ledger's cursor as acknowledged. */
+/* Marks the slots in the cursor of the step's ledger row as acknowledged. */
 void lc_deliver_restore_acknowledged (LcStep *step, const LcCursor *ledger_cursor);
 void lc_deliver_fail_pulls (LcStep *step, LbErrorCode error, LbTime retry_after, LbList *actions);
 
--- a/packages/core/src/rollout/lc-generate.h
+++ b/packages/core/src/rollout/lc-generate.h
@@ -3,11 +3,12 @@
 
 #include "lc-job.h"
 
-/* Scheduling of generations and scorings: which slot runs next, and with which request. */
+/* Schedules generations and scorings: chooses the next slot to run and builds its request. */
 
-/* Starts all scorings that are due, and generations up to each pool's limit. */
+/* Starts all scorings that are due, and generations up to each pool's concurrency limit. */
 void lc_generate_start_requests (LcRollouts *rollouts, LbTime now, LbList *actions);
-/* Starts a generation for the slot; original is the running job that it hedges, or NULL. */
+/* Starts a generation for the slot. For a hedge, original is the running job of the same slot;
+ * otherwise NULL. */
 LcJob *lc_generate_start_sample (LcRollouts *rollouts,
                                  LcStep *step,
                                  LcSlot *slot,
--- a/packages/core/src/rollout/lc-job.h
+++ b/packages/core/src/rollout/lc-job.h
@@ -7,13 +7,14 @@
 
 LcJob *lc_job_new (LcRollouts *rollouts, LcStep *step, LcSlot *slot, LbTime now);
 void lc_job_free (LcRollouts *rollouts, LcJob *job);
-/* Cancels the request and frees the job. */
+/* Cancels the job's request and frees the job. */
 void lc_job_cancel (LcRollouts *rollouts, LcJob *job, LbList *actions);
 /* Cancels all running requests of the slot. */
 void lc_slot_cancel_jobs (LcRollouts *rollouts, LcSlot *slot, LbList *actions);
 
 LcSlot *lc_job_slot (const LcJob *job);
-/* Tokens that the request itself generated, without those that it was resumed with. */
+/* Returns the number of tokens that the job's request generated, without those that it resumed
+ * after. */
 int64_t lc_job_generated_tokens (const LcJob *job);
 LcRolloutPool *lc_step_find_pool (LcRollouts *rollouts, const LcStep *step);
 const LcLengthHistogram *lc_step_length_histogram (const LcRollouts *rollouts, const LcStep *step);
--- a/packages/core/src/rollout/lc-ledger.h
+++ b/packages/core/src/rollout/lc-ledger.h
@@ -3,30 +3,31 @@
 
 #include "lb-error.h"
 
-/* Schedules the writes of a step's ledger: a row in the store that records which of its samples
- * were delivered, overwritten each time, with at most one write in progress. */
+/* Schedules the writes of a step's ledger, the row in the store that records which samples of the
+ * step were delivered. Each write replaces the row, and at most one write is in progress. */
 typedef struct
 {
-  uint64_t latest_change;  /* number of the latest change that the row should hold */
-  uint64_t writing_change; /* latest change in the write in progress; 0: no write in progress */
-  uint64_t stored_change;  /* latest change known to be in the row, written by this owner */
-  uint64_t write_id;       /* id of the write in progress; 0: none */
-  bool urgent;             /* a delivery waits for the latest change */
+  uint64_t latest_change;  /* number of the latest change to be written to the row */
+  uint64_t writing_change; /* latest change included in the write in progress; 0: no write */
+  uint64_t stored_change;  /* latest change that this owner has successfully written */
+  uint64_t write_id;       /* id of the write in progress; 0: no write */
+  bool urgent;             /* write without a batching delay, since a delivery waits for it */
   int consecutive_failures;
-  LbTime last_write_at; /* start of the last write */
+  LbTime last_write_at; /* when the last write started */
   LbTime retry_at;
 } LcLedger;
 
-/* Commands. */
-/* Records that the row has to change; returns the change's number for lc_ledger_has_stored. */
+/* Commands, which change the state. */
+/* Records that the row must be written; returns a change number for lc_ledger_has_stored. */
 uint64_t lc_ledger_add_change (LcLedger *ledger, bool urgent);
 void lc_ledger_begin_write (LcLedger *ledger, uint64_t write_id, LbTime now);
-/* jitter is a random number in 0..1 that spreads the retry of a failed write. */
+/* Processes the result of a write; jitter is a random number in 0..1 that randomizes the retry
+ * delay after a failure. */
 void lc_ledger_end_write (LcLedger *ledger, LbErrorCode error, double jitter, LbTime now);
 
-/* Queries. */
+/* Queries, which do not change the state. */
 bool lc_ledger_has_stored (const LcLedger *ledger, uint64_t change);
-/* When the next write should start; LB_TIME_NEVER while one is in progress. */
+/* Returns when the next write should start; LB_TIME_NEVER while a write is in progress. */
 LbTime lc_ledger_next_write_at (const LcLedger *ledger);
 
 #endif
--- a/packages/core/src/rollout/lc-rollouts-state.h
+++ b/packages/core/src/rollout/lc-rollouts-state.h
@@ -6,16 +6,16 @@
 
 #include <gsl/gsl_rng.h>
 
-/* State that the source files of LcRollouts share. */
+/* Private state of LcRollouts, shared by its source files. */
 
 typedef struct
 {
   LbLink link;
   LbName name;
-  int64_t max_running; /* limit for n_running */
-  int64_t n_running;   /* concurrent generations */
+  int64_t max_running; /* limit for concurrent generations */
+  int64_t n_running;   /* number of running generations in this pool */
   LcVersion newest_version;
-  LbTime version_interval; /* between new versions; 0: unknown */
+  LbTime version_interval; /* time between new versions; 0: unknown */
   LcPace pace;
 } LcRolloutPool;
 
@@ -24,8 +24,8 @@
   LbLink link;
   LcSubscription subscription;
   int64_t max_lag;           /* staleness bound of the subscription, in versions */
-  int64_t n_running;         /* concurrent generations */
-  LcLengthHistogram lengths; /* lengths of its ended samples */
+  int64_t n_running;         /* number of running generations of this trainer */
+  LcLengthHistogram lengths; /* lengths of the trainer's completed samples, in tokens */
   bool is_configured;        /* the current configuration has the subscription */
 } LcTrainer;
 
@@ -42,10 +42,10 @@
 {
   LcRolloutSettings settings;
   gsl_rng *rng;
-  LbList pools;    /* LcRolloutPool */
-  LbList trainers; /* LcTrainer; never removed, since a step may outlive its subscription */
-  LbList steps;    /* LcStep, in the order in which they were opened */
-  LcJob *jobs;     /* hash table with the request id as key */
+  LbList pools;    /* list of LcRolloutPool */
+  LbList trainers; /* list of LcTrainer; never removed, as a step may outlive its subscription */
+  LbList steps;    /* list of LcStep, in the order in which the steps were opened */
+  LcJob *jobs;     /* hash table of running requests by request id */
   LcDeferredFree deferred_free;
   LcRequestId (*next_id) (void *user);
   void *next_id_user;
@@ -57,9 +57,9 @@
 };
 
 LcRolloutAction *lc_rollouts_add_action (LbList *actions, LcRolloutActionType type);
-/* NULL: there is no trainer of this subscription. */
+/* Returns the trainer of the subscription; NULL if there is none. */
 LcTrainer *lc_rollouts_find_trainer (const LcRollouts *rollouts, const char *subscription);
-/* Creates the pool if it is unknown. */
+/* Returns the pool of this name; creates it if there is none. */
 LcRolloutPool *lc_rollouts_ensure_pool (LcRollouts *rollouts, const char *name);
 LcRequestId lc_rollouts_new_request_id (LcRollouts *rollouts);
 /* Answers the step's pulls with the error, cancels its requests and frees it. */
--- a/packages/core/src/rollout/lc-rollouts.c
+++ b/packages/core/src/rollout/lc-rollouts.c
@@ -13,14 +13,14 @@
 #include <string.h>
 
 #define MAX_STEP_SAMPLES 65536
-/* Keeps some generations queued beyond the engines' concurrency, so that no engine slot stays empty
- * until the next request arrives. */
+/* Ratio of started generations to the engines' total concurrency. The excess is queued, so that no
+ * engine idles until its next request arrives. */
 #define QUEUE_AHEAD_FACTOR 1.1
-#define DEFAULT_MAX_RUNNING 64 /* limit for a pool without known engines */
-/* A fully acknowledged step is kept for this long, to answer a late repeat of its last pull. */
+#define DEFAULT_MAX_RUNNING 64 /* concurrent generations of a pool without known engines */
+/* Time for which a fully acknowledged step is kept, to answer a late repeat of its last pull. */
 #define CLOSED_STEP_RETENTION (300 * LB_SEC)
 #define DEFAULT_PAUSE_LIMIT LB_SEC
-/* Well below the pause limit, so that an idle owner of a step is not taken for a paused process. */
+/* Well below the pause limit, so that an idle owner does not look like a paused process. */
 #define TICK_INTERVAL (250 * LB_MSEC)
 
 static LbMetric late_metric
@@ -93,7 +93,7 @@
     free (LB_CONTAINER (link, LcRolloutPool, link));
   while ((link = lb_list_pop (&rollouts->trainers)))
     free (LB_CONTAINER (link, LcTrainer, link));
-  lc_deferred_free_run (&rollouts->deferred_free);
+  lc_deferred_free_release_all (&rollouts->deferred_free);
   gsl_rng_free (rollouts->rng);
   free (rollouts);
 }
@@ -164,14 +164,14 @@
   return NULL;
 }
 
-/* Every command calls this first: it frees what actions of the last command pointed to, and detects
- * pauses of this process. */
+/* Called first by every command. Frees the memory that actions of the last command pointed to. If
+ * the process was paused, makes all steps confirm their session. */
 static void
 free_deferred_and_detect_pause (LcRollouts *rollouts, LbTime now)
 {
   LbTime elapsed = now - rollouts->last_command_at;
 
-  lc_deferred_free_run (&rollouts->deferred_free);
+  lc_deferred_free_release_all (&rollouts->deferred_free);
   if (rollouts->settings.pause_limit > 0 && elapsed > rollouts->settings.pause_limit)
     LB_LIST_FOREACH (&rollouts->steps, LcStep, link, step)
     {
@@ -183,7 +183,7 @@
   rollouts->last_command_at = now;
 }
 
-/* Commands that may make samples deliverable or slots startable call this last. */
+/* Called last by each command that may make a sample deliverable or a slot ready to start. */
 static void
 answer_pulls_and_start_requests (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
 {
@@ -192,7 +192,7 @@
   lc_generate_start_requests (rollouts, now, actions);
 }
 
-/* Configuration. */
+/* Commands that configure the owner. */
 
 void
 lc_rollouts_set_id_source (LcRollouts *rollouts, LcRequestId (*next_id) (void *user), void *user)
@@ -232,7 +232,7 @@
       trainer = LB_NEW (LcTrainer);
       lb_list_append (&rollouts->trainers, &trainer->link);
     }
-  /* Running generations are counted per pool, so the pool stays the same while any runs. */
+  /* Running generations are counted per pool, so a trainer keeps its pool while it has any. */
   LbName pool;
   LB_COPY (pool, trainer->n_running > 0 ? trainer->subscription.pool : subscription->pool);
   trainer->subscription = *subscription;
@@ -275,7 +275,7 @@
   lc_generate_start_requests (rollouts, now, actions);
 }
 
-/* Steps. */
+/* Opening and closing steps. */
 
 static bool
 has_unique_group_ids (const LcStepSpec *spec)
@@ -424,7 +424,7 @@
   lc_generate_start_requests (rollouts, now, actions);
 }
 
-/* Pulls. */
+/* Receiving and cancelling pulls. */
 
 void
 lc_rollouts_handle_pull (LcRollouts *rollouts, const LcPull *pull, LbTime now, LbList *actions)
@@ -461,7 +461,7 @@
   }
 }
 
-/* Results of requests. */
+/* Processing the results of requests. */
 
 static LcJob *
 find_job_of_request (LcRollouts *rollouts, LcRequestId request)
@@ -552,8 +552,8 @@
   free_deferred_and_detect_pause (rollouts, now);
   if (!step)
     return;
-  /* Another instance has taken the step over, and may deliver the samples that this one still
-   * holds. */
+  /* Another instance has taken over the step, and may deliver the samples that this instance still
+   * has. */
   if (error == LB_ERROR_CONDITION_FAILED || error == LB_ERROR_STALE_SESSION)
     {
       lc_rollouts_abort_step (rollouts, step->spec.subscription, step->spec.step, now, actions);
@@ -563,7 +563,7 @@
   answer_pulls_and_start_requests (rollouts, step, now, actions);
 }
 
-/* Drain and ticks. */
+/* Draining and periodic work. */
 
 void
 lc_rollouts_drain (LcRollouts *rollouts, LbTime now, LbList *actions)
@@ -573,7 +573,7 @@
   free_deferred_and_detect_pause (rollouts, now);
   rollouts->draining = true;
   /* Generations without a first piece might never get an engine, so the drain doesn't wait for
-   * them; the step's next owner starts them. */
+   * them. The step's next owner starts them again. */
   HASH_ITER (hh, rollouts->jobs, job, next)
   {
     LcSlot *slot = lc_job_slot (job);
@@ -636,7 +636,7 @@
   return next;
 }
 
-/* Queries. */
+/* Queries, which do not change the state. */
 
 bool
 lc_rollouts_get_step_status (const LcRollouts *rollouts,
--- a/packages/core/src/rollout/lc-step.c
+++ b/packages/core/src/rollout/lc-step.c
@@ -77,14 +77,14 @@
 }
 
 LcStep *
-lc_step_new (LcStepSpec *spec, uint64_t session, LcDeferredFree *deferred, LbTime now)
+lc_step_new (LcStepSpec *spec, uint64_t session, LcDeferredFree *deferred_free, LbTime now)
 {
   LcStep *step = LB_NEW (LcStep);
 
   step->spec_hash = lc_step_spec_hash (spec);
   step->spec = *spec;
   memset (spec, 0, sizeof *spec);
-  step->deferred_free = deferred;
+  step->deferred_free = deferred_free;
   step->session = session;
   step->retry_at = LB_TIME_NEVER;
   step->n_slots = count_slots (&step->spec);
@@ -115,7 +115,7 @@
 }
 
 void
-lc_deferred_free_run (LcDeferredFree *deferred)
+lc_deferred_free_release_all (LcDeferredFree *deferred)
 {
   for (size_t i = 0; i < deferred->n_items; i++)
     free (deferred->items[i]);
@@ -209,11 +209,11 @@
 }
 
 bool
-lc_step_is_group_complete (const LcStep *step, size_t group)
+lc_step_is_group_complete (const LcStep *step, size_t group_index)
 {
-  const LcGroup *at = &step->groups[group];
+  const LcGroup *group = &step->groups[group_index];
 
-  for (size_t i = at->first_slot; i < at->first_slot + at->n_slots; i++)
+  for (size_t i = group->first_slot; i < group->first_slot + group->n_slots; i++)
     if (step->slots[i].state < LC_SLOT_READY)
       return false;
   return true;
