--- a/packages/core/src/rollout/lc-cursor.c
+++ b/packages/core/src/rollout/lc-cursor.c
@@ -75,7 +75,7 @@
   return true;
 }
 
-/* Writes the number in big-endian order and moves position behind it. */
+/* Writes value as a big-endian number of this many bytes and advances position. */
 static void
 write_big_endian (uint8_t **position, uint64_t value, int bytes)
 {
--- a/packages/core/src/rollout/lc-deliver.c
+++ b/packages/core/src/rollout/lc-deliver.c
@@ -47,7 +47,7 @@
   return find_trainer_of_step (rollouts, step)->subscription.strict;
 }
 
-/* Replies. */
+/* Actions that reply to pulls. */
 
 static LcRolloutAction *
 reply_with_error (
@@ -79,7 +79,10 @@
 }
 
 static void
-reply_with_chunk (const LcRollouts *rollouts, LcStep *step, const LcWaitingPull *pull, LbList *actions)
+reply_with_chunk (const LcRollouts *rollouts,
+                  LcStep *step,
+                  const LcWaitingPull *pull,
+                  LbList *actions)
 {
   LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_REPLY);
   const LcChunk *chunk = &step->chunk;
@@ -89,8 +92,9 @@
   action->samples = LB_NEW_ARRAY (LcReadySample, chunk->n_slots);
   for (size_t i = 0; i < chunk->n_slots; i++)
     action->samples[i] = lc_step_make_ready_sample (step, &step->slots[chunk->slots[i]]);
-  action->cursor = has_strict_subscription (rollouts, step) ? lb_strdup ("")
-                                              : lc_cursor_encode (&chunk->cursor, step->spec_hash);
+  action->cursor = has_strict_subscription (rollouts, step)
+                       ? lb_strdup ("")
+                       : lc_cursor_encode (&chunk->cursor, step->spec_hash);
   action->remaining = (int64_t)lc_step_count_unsent (step);
 }
 
@@ -105,18 +109,22 @@
 
   cursor->session = step->session;
   action->pull_id = pull->id;
-  action->cursor
-      = has_strict_subscription (rollouts, step) ? lb_strdup ("") : lc_cursor_encode (cursor, step->spec_hash);
+  action->cursor = has_strict_subscription (rollouts, step)
+                       ? lb_strdup ("")
+                       : lc_cursor_encode (cursor, step->spec_hash);
   action->remaining = (int64_t)lc_step_count_unsent (step);
 }
 
-/* Chunks. */
+/* Building and revoking chunks of samples. */
 
-/* Checks the delivery invariants independently of the code that led here: the label is complete,
- * the sample is within the staleness bound, and it was not delivered before. A sample that violates
- * one is logged, counted and not delivered; with a bad label or too stale it is generated again. */
+/* Checks independently of the code that chose the sample that its label is complete, it is within
+ * the staleness bound, and it was not delivered before. Logs and counts a violation; the caller
+ * must not deliver the sample then. An unlabelled or stale sample is generated again. */
 static bool
-check_delivery_invariants (LcRollouts *rollouts, LcStep *step, size_t slot_index, LcVersion trainer_version)
+check_delivery_invariants (LcRollouts *rollouts,
+                           LcStep *step,
+                           size_t slot_index,
+                           LcVersion trainer_version)
 {
   LcSlot *slot = &step->slots[slot_index];
   Invariant violated = N_INVARIANTS;
@@ -141,8 +149,8 @@
   return false;
 }
 
-/* A group is delivered only as a whole, since a trainer can't learn from a part of it. Without
- * group_release, nothing is delivered before the whole step is ready. */
+/* A group is delivered only once all its samples are complete, since a trainer can't learn from a
+ * part of a group. Without group_release, the whole step must be complete. */
 static bool
 can_deliver_group (const LcRollouts *rollouts, const LcStep *step, size_t group_index)
 {
@@ -154,7 +162,7 @@
 }
 
 static void
-update_delivery_status (LcStep *step, const LcSlot *slot, LcVersion trainer_version)
+update_delivery_statistics (LcStep *step, const LcSlot *slot, LcVersion trainer_version)
 {
   int64_t staleness = lc_label_staleness (slot->label, trainer_version);
 
@@ -173,7 +181,7 @@
 
   chunk->slots[chunk->n_slots++] = slot_index;
   lc_cursor_add_slot (&chunk->cursor, slot_index);
-  update_delivery_status (step, slot, trainer_version);
+  update_delivery_statistics (step, slot, trainer_version);
   slot->was_sent = true;
   lc_step_set_slot_state (step, slot, LC_SLOT_SENT);
 }
@@ -201,7 +209,7 @@
           LB_INT ("after_ms", (now - step->status.opened_at) / LB_MSEC));
 }
 
-/* Builds a chunk of the ready samples of released groups; false if there are none. */
+/* Builds a chunk of ready samples of deliverable groups; returns false if there are none. */
 static bool
 build_chunk (LcRollouts *rollouts, LcStep *step, const LcWaitingPull *pull, LbTime now)
 {
@@ -235,7 +243,7 @@
   return true;
 }
 
-/* Makes the chunk's samples that are not acknowledged ready again. */
+/* Removes the current chunk and returns its unacknowledged samples to state READY. */
 static void
 revoke_chunk (LcStep *step)
 {
@@ -249,7 +257,7 @@
   step->status.completed_at = 0;
 }
 
-/* Answering pulls. */
+/* Answering waiting pulls. */
 
 static void
 acknowledge_slot (LcRollouts *rollouts, LcStep *step, size_t slot_index, LbList *actions)
@@ -261,8 +269,8 @@
   lc_step_set_slot_state (step, slot, LC_SLOT_ACKED);
 }
 
-/* Acknowledges the chunk of a strict subscription: the ledger records it, so it counts as delivered
- * once it is sent. */
+/* Acknowledges the chunk of a strict subscription when it is sent, without a cursor of the trainer:
+ * the ledger already records the chunk as delivered. */
 static void
 acknowledge_strict_chunk (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
 {
@@ -274,9 +282,9 @@
     step->closed_at = now;
 }
 
-/* When a pull asks again for the current chunk at a newer trainer version, a sample in it may
- * exceed the staleness bound by now. The chunk is then revoked and built anew. If the trainer has
- * received the first chunk after all, its cursor acknowledges that one. */
+/* Revokes the current chunk if the trainer repeats its pull at a newer version, for which a sample
+ * of the chunk exceeds the staleness bound. The caller then builds a new chunk. If the trainer did
+ * receive the first chunk, the cursor of that chunk still acknowledges its samples. */
 static void
 revoke_stale_chunk (LcRollouts *rollouts, LcStep *step, const LcWaitingPull *pull, LbList *actions)
 {
@@ -303,7 +311,7 @@
          || lc_ledger_has_stored (&step->ledger, step->chunk.ledger_change);
 }
 
-/* Returns whether the pull was answered; if not, it keeps waiting. */
+/* Returns whether the pull was answered; if not, the pull keeps waiting. */
 static bool
 try_answer_pull (
     LcRollouts *rollouts, LcStep *step, LcWaitingPull *pull, LbTime now, LbList *actions)
@@ -313,8 +321,8 @@
   revoke_stale_chunk (rollouts, step, pull, actions);
   if (!step->chunk.slots && !all_delivered)
     {
-      /* The staleness check at dispatch is not enough: the trainer may have advanced since, and
-       * this pull states its current version. */
+      /* The staleness checks at dispatch and at the end of a generation are not enough: the trainer
+       * may have advanced since, and the pull states the trainer's current version. */
       lc_result_discard_stale (rollouts, step, pull->trainer_version,
                                find_trainer_of_step (rollouts, step)->max_lag, actions);
       build_chunk (rollouts, step, pull, now);
@@ -324,7 +332,7 @@
       if (pull->wait_until > now)
         return false;
       reply_with_error (pull->id, LB_ERROR_STORE_AWAY, "the ledger can't be written at present",
-                   STORE_RETRY_DELAY, actions);
+                        STORE_RETRY_DELAY, actions);
       return true;
     }
   if (step->chunk.slots)
@@ -350,11 +358,11 @@
   }
 }
 
-/* Acknowledgements. */
+/* Acknowledging samples by the cursors of pulls. */
 
-/* Later sessions are claimed in the store and belong to one owner each. Session 1 may have had
- * another owner that opened the step while the store was unavailable and then died or lost it.
- * Rejecting that owner's cursors would block the trainer on this step for ever. */
+/* Each session after this one is claimed in the store by one owner. The first session may have had
+ * another owner, which opened the step while the store was unavailable and then died or lost the
+ * step. Rejecting that owner's cursors would block the trainer on this step for ever. */
 #define FIRST_SESSION 1
 
 static bool
@@ -374,8 +382,8 @@
   return true;
 }
 
-/* Acknowledges all samples that the cursor names, whichever owner issued it. Pulls still waiting
- * with an older cursor fail. */
+/* Acknowledges all samples in the cursor, whichever owner of the step issued the cursor. Pulls that
+ * still wait with an older cursor fail. */
 static void
 acknowledge_cursor (
     LcRollouts *rollouts, LcStep *step, const LcCursor *cursor, LbTime now, LbList *actions)
@@ -396,8 +404,8 @@
   lc_ledger_add_change (&step->ledger, step->closed_at != 0);
 }
 
-/* A cursor of a later session means that another instance took the step over while this one was
- * paused or partitioned. Delivering here could repeat samples that the new owner has delivered. */
+/* A cursor of a later session means that another instance took over the step while this one was
+ * paused or partitioned. This one could repeat samples that the new owner has delivered. */
 static bool
 is_from_later_owner (const LcStep *step, const LcCursor *cursor)
 {
@@ -427,13 +435,14 @@
   bool has_later_owner = ok && is_from_later_owner (step, &cursor);
 
   if (ok && strict && pull->cursor[0])
-    ok = lb_error_set (&error, LB_ERROR_BAD_CURSOR, "cursor", "expected \"\": strict subscription");
+    ok = lb_error_set (&error, LB_ERROR_BAD_CURSOR, "cursor",
+                       "expected an empty cursor: the subscription is strict");
   if (ok && !strict && !has_later_owner)
     ok = can_acknowledge_cursor (step, &cursor, &error);
   if (!ok || has_later_owner)
     {
-      reply_with_error (pull->id, has_later_owner ? LB_ERROR_STALE_SESSION : error.code, error.detail, 0,
-                   actions);
+      reply_with_error (pull->id, has_later_owner ? LB_ERROR_STALE_SESSION : error.code,
+                        error.detail, 0, actions);
       goto out;
     }
   if (!strict)
@@ -450,7 +459,7 @@
   return !has_later_owner;
 }
 
-/* The ledger. */
+/* Writing and restoring the ledger row. */
 
 void
 lc_deliver_write_ledger (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
@@ -470,8 +479,8 @@
   lc_ledger_begin_write (&step->ledger, action->write_id, now);
 }
 
-/* Another instance may have taken the step over and delivered samples while this process was
- * paused. The ledger write is conditional on the session, so it fails if that has happened. */
+/* Another instance may have taken over the step and delivered samples while this process was
+ * paused. In that case the ledger write fails, since it is conditional on the session. */
 void
 lc_deliver_require_session_check (LcStep *step)
 {
--- a/packages/core/src/rollout/lc-generate.c
+++ b/packages/core/src/rollout/lc-generate.c
@@ -6,15 +6,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A scoring without an answer for this long is repeated. */
+/* A scoring request without an answer after this time is repeated. */
 #define SCORING_TIMEOUT (30 * LB_SEC)
-#define BYTES_PER_TOKEN 4 /* estimate of the tokens in a prompt */
+#define BYTES_PER_TOKEN 4 /* estimate, for the token count of a prompt */
 #define MAX_PRIORITY 10
-#define EXPLORATION_WEIGHT 2.0 /* in mean sample lengths, see scheduling_score */
+#define EXPLORATION_WEIGHT 2.0 /* in mean sample lengths, see compute_group_score */
 
-/* Prediction of lengths. */
+/* Prediction of sample lengths. */
 
-/* Expected total length of a running sample, given the tokens that it has so far. */
+/* Returns the expected total length of a running sample in tokens, given those it already has. */
 static double
 expect_total_tokens (const LcLengthHistogram *lengths, const LcJob *job, int64_t max_tokens)
 {
@@ -23,11 +23,11 @@
 }
 
 static LcGroupLengths
-sum_group_lengths (const LcLengthHistogram *lengths, const LcStep *step, size_t index)
+sum_group_lengths (const LcLengthHistogram *lengths, const LcStep *step, size_t group_index)
 {
   LcGroupLengths group_lengths = { 0 };
-  const LcGroup *group = &step->groups[index];
-  int64_t max_tokens = step->spec.groups[index].max_tokens;
+  const LcGroup *group = &step->groups[group_index];
+  int64_t max_tokens = step->spec.groups[group_index].max_tokens;
 
   for (size_t i = group->first_slot; i < group->first_slot + group->n_slots; i++)
     {
@@ -45,7 +45,7 @@
   return group_lengths;
 }
 
-/* Expected length of the group's next sample, in tokens. */
+/* Returns the expected length of the group's next sample, in tokens. */
 static double
 predict_next_sample_tokens (const LcRollouts *rollouts, const LcStep *step, size_t group_index)
 {
@@ -67,9 +67,9 @@
   return n_started;
 }
 
-/* Expected length of the group's next sample plus an exploration bonus that shrinks with the number
- * of started samples: starting a sample of a group with few others shows early whether the whole
- * group is long. */
+/* Returns the expected length of the group's next sample plus an exploration bonus, which shrinks
+ * with the number of the group's started samples. The bonus makes a sample of each group start
+ * early, which shows whether the whole group is long. */
 static double
 compute_group_score (const LcRollouts *rollouts, const LcStep *step, size_t group_index)
 {
@@ -92,9 +92,9 @@
   return false;
 }
 
-/* Picks the waiting slot with the highest score, longest expected first, so that the step does not
- * end with a long sample that was started last. Slots with a part of a sample go before all others.
- * Returns NULL if no slot can start now. */
+/* Picks the waiting slot with the highest score; returns NULL if no slot can start now. Long
+ * samples start first, so that the step does not end with a long sample that started last. Slots
+ * with a partial sample go before all others. */
 static LcSlot *
 pick_waiting_slot (const LcRollouts *rollouts, LcStep *step, LbTime now)
 {
@@ -126,7 +126,7 @@
   return best;
 }
 
-/* Starting requests. */
+/* Starting generations and scorings. */
 
 static LcVersion
 choose_min_version (LcRollouts *rollouts, const LcStep *step, double tokens)
@@ -144,7 +144,7 @@
   return lc_staleness_min_version (&policy, lc_pace_expected_seconds (&pool->pace, tokens));
 }
 
-/* Returns the priority of a request: its expected length in multiples of the trainer's mean. */
+/* Returns the request's priority: its expected length in multiples of the trainer's mean length. */
 static int
 compute_request_priority (const LcRollouts *rollouts, const LcStep *step, double tokens)
 {
@@ -164,13 +164,14 @@
 
   spec->id = job->request;
   spec->kind = LC_KIND_SAMPLE;
-  spec->delivery = LC_DELIVER_STREAM; /* hedging and resuming need the progress */
+  spec->delivery = LC_DELIVER_STREAM; /* hedging and resuming need each piece as it arrives */
   LB_COPY (spec->pool, trainer->subscription.pool);
   LB_COPY (spec->caller, step->spec.subscription);
   spec->share = trainer->subscription.share;
   spec->repeatable = true;
   spec->resumable = rollouts->settings.resume;
-  spec->priority = rollouts->settings.longest_first ? compute_request_priority (rollouts, step, tokens) : 0;
+  spec->priority
+      = rollouts->settings.longest_first ? compute_request_priority (rollouts, step, tokens) : 0;
   spec->prompt_tokens
       = (int64_t)strlen (lc_step_group_spec (step, slot)->prompt) / BYTES_PER_TOKEN + 1;
   spec->expected_tokens = (int64_t)tokens;
@@ -179,8 +180,8 @@
   spec->resume_at = job->resume_offset;
 }
 
-/* Excludes an endpoint for the request: a hedge must not run on the endpoint of its original, nor a
- * migrated sample on the slow one. */
+/* Excludes an endpoint for the request. A hedge must not run on the endpoint of the original
+ * request, and a migrated sample must not return to its slow endpoint. */
 static void
 add_avoided_endpoint (LcRequestSpec *spec, const char *endpoint)
 {
@@ -190,7 +191,7 @@
   spec->n_avoid++;
 }
 
-/* Moves the slot's part of an interrupted generation into the job that resumes it. */
+/* Moves the slot's partial sample of an interrupted generation into the job that resumes it. */
 static void
 move_partial_sample_to_job (LcSlot *slot, LcJob *job)
 {
@@ -277,8 +278,8 @@
     }
 }
 
-/* The trainer with the fewest running generations relative to its share goes next, independently of
- * how many samples wait, so that a burst of one trainer can't starve another. */
+/* Whether trainer a goes before b, as it has fewer running generations relative to its share. The
+ * number of waiting samples does not count, so that a burst of one trainer can't starve another. */
 static bool
 has_fewer_running_per_share (const LcRollouts *rollouts, const LcTrainer *a, const LcTrainer *b)
 {
@@ -290,9 +291,9 @@
 
 static LcSlot *
 pick_waiting_slot_of_pool (LcRollouts *rollouts,
-                   const LcRolloutPool *pool,
-                   LcStep **chosen_step,
-                   LbTime now)
+                           const LcRolloutPool *pool,
+                           LcStep **chosen_step,
+                           LbTime now)
 {
   LcSlot *chosen = NULL;
   const LcTrainer *chosen_trainer = NULL;
--- a/packages/core/src/rollout/lc-label.c
+++ b/packages/core/src/rollout/lc-label.c
@@ -24,7 +24,7 @@
 }
 
 /* A gap or an overlap means that tokens of two generations are mixed, and a missing version can't
- * be derived from anything else. Such a label would be wrong, so it becomes unlabelled for good. */
+ * be derived from other data. The label would be wrong, so it becomes unlabelled for good. */
 void
 lc_label_add_tokens_kv_reused (
     LcLabel *label, int64_t offset, int64_t tokens, LcVersion version, LcVersion kv_reused_version)
@@ -67,7 +67,7 @@
   return covered == tokens;
 }
 
-/* 0 stands for no version. */
+/* Returns the older of two versions; ignores a version of 0, which means none. */
 static LcVersion
 older_known_version (LcVersion a, LcVersion b)
 {
--- a/packages/core/src/rollout/lc-ledger.c
+++ b/packages/core/src/rollout/lc-ledger.c
@@ -1,9 +1,9 @@
 #include "lc-ledger.h"
 
-/* Combines the acknowledgements of several chunks into one write. */
+/* Time between writes, which lets one write combine the acknowledgements of several chunks. */
 #define BATCH_INTERVAL (2 * LB_SEC)
-/* Without changes the row is written at this interval, so that an owner that gets no more pulls
- * detects that it was replaced. */
+/* Time between writes of an unchanged row. If the store rejects the write, an owner that gets no
+ * more pulls detects that another instance has replaced it. */
 #define REFRESH_INTERVAL (10 * LB_SEC)
 #define RETRY_DELAY_MIN (100 * LB_MSEC)
 #define RETRY_DELAY_MAX (5 * LB_SEC)
--- a/packages/core/src/rollout/lc-result.c
+++ b/packages/core/src/rollout/lc-result.c
@@ -10,8 +10,8 @@
 
 #define RETRY_DELAY_MIN (100 * LB_MSEC)
 #define RETRY_DELAY_MAX (5 * LB_SEC)
-/* After this many failures in a row the partial sample itself may be the cause, so the next attempt
- * starts from the beginning. */
+/* After this many consecutive failures the partial sample itself may be the cause, so the next
+ * attempt starts from the beginning. */
 #define MAX_RESUME_FAILURES 3
 
 static LbMetric stale_metric = LB_COUNTER_INIT ("lentilspindle_rollout_discarded_total",
@@ -47,10 +47,10 @@
   lc_step_reset_slot (step, slot);
 }
 
-/* Generations. */
+/* Processing the pieces and the end of a generation. */
 
-/* Frees the job and discards what it generated; the slot waits again unless another job of a hedged
- * pair still runs for it. */
+/* Frees the job and discards the tokens that it generated. The slot returns to state WAITING unless
+ * the other job of a hedged pair still runs. */
 static void
 end_unsuccessful_job (LcRollouts *rollouts, LcJob *job, LbTime now, bool should_back_off)
 {
@@ -79,9 +79,9 @@
   end_unsuccessful_job (rollouts, job, now, true);
 }
 
-/* A retry of the request on another endpoint starts at the resume offset again, so the spans of the
- * first attempt are dropped. A stream of the same endpoint that returns to the resume offset may
- * just repeat itself; then the label is not reset, and records an overlap. */
+/* Drops the spans of the first attempt when a retry on another endpoint starts at the resume offset
+ * again. Must not be called for the same endpoint: a stream that returns to the resume offset may
+ * repeat its tokens, and the label must record the overlap. */
 static void
 reset_label_to_resume_offset (LcJob *job)
 {
@@ -137,7 +137,7 @@
   return whole_text;
 }
 
-/* Stores the generated part in the slot, so that the next generation resumes after it. */
+/* Stores the job's partial sample in the slot, so that the next generation resumes after it. */
 static void
 store_partial_sample (LcRollouts *rollouts, LcJob *job, char *text, LbTime now)
 {
@@ -153,8 +153,8 @@
     delay_slot_retry (rollouts, step, slot, now);
 }
 
-/* Handles the end of a preempted request: its slot resumes as soon as the pool has free capacity,
- * with no retry delay. */
+/* Processes the end of a preempted request. The slot resumes as soon as the pool has free capacity,
+ * without a retry delay. */
 static void
 finish_preempted_job (LcRollouts *rollouts, LcJob *job, char *text, LbTime now)
 {
@@ -210,8 +210,8 @@
                now - first_piece_at);
 }
 
-/* The first complete sample of a hedged pair wins. The other request is cancelled; if its answer is
- * already under way, it finds no job and is ignored. */
+/* Stores a complete sample in its slot. The first complete sample of a hedged pair wins: the other
+ * request is cancelled, and an answer to it that is already in flight is ignored. */
 static void
 complete_sample (LcRollouts *rollouts, LcJob *job, char *text, LbTime now, LbList *actions)
 {
@@ -296,7 +296,7 @@
                                                                                 : LC_SLOT_READY);
 }
 
-/* Staleness. */
+/* Discarding stale samples. */
 
 static void
 cancel_stale_jobs (LcRollouts *rollouts,
--- a/packages/core/src/rollout/lc-review.c
+++ b/packages/core/src/rollout/lc-review.c
@@ -6,8 +6,7 @@
 #include "lc-generate.h"
 
 #define REVIEW_INTERVAL (100 * LB_MSEC)
-/* A sample that was migrated this often stays where it is. */
-#define MAX_MIGRATIONS 4
+#define MAX_MIGRATIONS_PER_SAMPLE 4
 
 static LbMetric hedges_metric = LB_COUNTER_INIT ("lentilspindle_rollout_hedges_total",
                                                  NULL,
@@ -37,7 +36,7 @@
   return slot->state == LC_SLOT_RUNNING && slot->jobs.length == 1 && !job->is_preempted;
 }
 
-/* Picks the running sample with the largest gain; NULL if none has a gain above 0. */
+/* Returns the running sample with the largest gain, in seconds; NULL if no gain is above 0. */
 static LcJob *
 pick_straggler (LcRollouts *rollouts, LcStep *step, GainFunction gain_function, LbTime now)
 {
@@ -51,7 +50,7 @@
       LcSlot *slot = &step->slots[i];
       if (!has_single_running_job (slot)
           || (gain_function == lc_straggler_move_gain_seconds
-              && slot->n_migrations >= MAX_MIGRATIONS))
+              && slot->n_migrations >= MAX_MIGRATIONS_PER_SAMPLE))
         continue;
       LcJob *job = LB_LIST_FIRST (&slot->jobs, LcJob, link);
       LcSampleProgress progress = get_job_progress (job);
@@ -120,8 +119,9 @@
          && (job = pick_straggler (rollouts, step, lc_straggler_hedge_gain_seconds, now)))
     {
       LcSampleProgress progress = get_job_progress (job);
-      int64_t cost_tokens = lc_straggler_hedge_cost_tokens (lc_step_length_histogram (rollouts, step),
-                                                            &pool->pace, &progress, now);
+      int64_t cost_tokens
+          = lc_straggler_hedge_cost_tokens (lc_step_length_histogram (rollouts, step), &pool->pace,
+                                            &progress, now);
       if (!is_within_hedge_budget (rollouts, step, cost_tokens))
         return;
       log_straggler (job, "sample-hedged");
@@ -134,8 +134,8 @@
     }
 }
 
-/* Hedges only once no slot waits: a waiting slot makes better use of the pool's free capacity than
- * a hedge. */
+/* Hedges only once no slot waits for a generation, since a waiting slot makes better use of the
+ * pool's free capacity than a hedge. */
 void
 lc_review_stragglers (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
 {
--- a/packages/core/src/rollout/lc-staleness.c
+++ b/packages/core/src/rollout/lc-staleness.c
@@ -16,15 +16,15 @@
   return (int64_t)(seconds * LB_SEC / (double)policy->version_interval);
 }
 
-/* The trainer advances while the sample runs, so the lag allowed at the start is max_lag less the
- * versions expected until the end. idle_weight scales it down for trainers to which staleness
- * matters more. The result never exceeds the newest version, or no engine could run the sample. */
+/* The trainer advances while the sample runs, so the lag allowed at the start is max_lag minus the
+ * versions expected until the end. A smaller idle_weight reduces this lag, for fresher samples at
+ * the cost of idle time. The result never exceeds the newest version, which some engine serves. */
 LcVersion
 lc_staleness_min_version (const LcStalenessPolicy *policy, double seconds)
 {
   if (policy->max_lag == INT64_MAX || policy->trainer_version == 0)
     return 0;
-  /* The engines' versions are unknown: anything stricter than the bound might be served nowhere. */
+  /* The engines' versions are unknown, and none may serve a stricter minimum than the bound. */
   if (policy->newest_version == 0)
     return policy->trainer_version > policy->max_lag ? policy->trainer_version - policy->max_lag
                                                      : 0;
--- a/packages/core/src/rollout/lc-ticket.c
+++ b/packages/core/src/rollout/lc-ticket.c
@@ -24,13 +24,13 @@
 
 typedef struct
 {
-  UT_hash_handle hh;         /* table with the number as key */
-  UT_hash_handle hh_request; /* table with the request as key, while running */
-  LbLink expiry_link;        /* in LcTickets.by_expiry, unless running */
+  UT_hash_handle hh;         /* in LcTickets.tickets, by number */
+  UT_hash_handle hh_request; /* in LcTickets.running, by request, while the call runs */
+  LbLink expiry_link;        /* in LcTickets.by_expiry, unless the call runs */
   LbLink answered_link;      /* in LcTickets.answered, oldest first, while the answer is stored */
   uint64_t number;
   uint64_t caller_hash;
-  uint64_t content_hash; /* hash of the call; set when the ticket is first redeemed */
+  uint64_t content_hash; /* hash of the call, set when a call first uses the ticket */
   LcRequestId request;
   LbTime expires_at;
   TicketState state;
@@ -46,8 +46,8 @@
   LcTicketLimits limits;
   gsl_rng *rng;
   uint64_t n_issued;
-  Ticket *tickets; /* hash table with the number as key */
-  Ticket *running; /* hash table with the request as key */
+  Ticket *tickets; /* hash table of all tickets by number */
+  Ticket *running; /* hash table of tickets with a running call by request */
   LbList by_expiry;
   LbList answered;
   size_t answer_bytes;
@@ -123,7 +123,7 @@
   lb_list_append (&tickets->by_expiry, &ticket->expiry_link);
 }
 
-/* Writes a new ticket for this caller into text; fails with LB_ERROR_OVERLOADED at max_tickets. */
+/* Writes a new ticket for the caller to text. Fails with LB_ERROR_OVERLOADED at max_tickets. */
 bool
 lc_tickets_issue (
     LcTickets *tickets, const char *caller, LbTime now, char text[LC_TICKET_SIZE], LbError *error)
@@ -131,7 +131,7 @@
   lc_tickets_remove_expired (tickets, now);
   if (HASH_COUNT (tickets->tickets) >= tickets->limits.max_tickets)
     return lb_error_set (error, LB_ERROR_OVERLOADED, "tickets",
-                         "%zu tickets are live, which is the limit", tickets->limits.max_tickets);
+                         "the limit of %zu live tickets is reached", tickets->limits.max_tickets);
 
   Ticket *ticket = LB_NEW (Ticket);
   uint64_t random_part = gsl_rng_get (tickets->rng);
@@ -187,8 +187,8 @@
   return true;
 }
 
-/* A ticket that was never issued can't have run its call. One that was issued and is not found
- * has expired; reporting it as "not run" could make the caller run its call a second time. */
+/* A ticket that was never issued can't have run its call. A ticket that was issued but is not found
+ * has expired; reporting its call as "not run" could make the caller run the call twice. */
 static LbErrorCode
 missing_ticket_error (const LcTickets *tickets, uint64_t number)
 {
@@ -251,7 +251,7 @@
     return reject_call (LB_ERROR_UNKNOWN_TICKET);
   if (strcmp (decision.instance, tickets->instance) != 0)
     return decision;
-  /* The records of an earlier incarnation are lost with its memory, so the call may have run. */
+  /* The memory of an earlier incarnation is lost, so it is unknown whether the call has run. */
   if (strcmp (decision.incarnation, tickets->incarnation) != 0)
     return reject_call (LB_ERROR_OUTCOME_UNKNOWN);
   HASH_FIND (hh, tickets->tickets, &number, sizeof number, ticket);
@@ -262,8 +262,8 @@
   return redeem_known_ticket (tickets, ticket, content_hash, request);
 }
 
-/* Frees the oldest answers until one of this length fits. Their tickets become TICKET_SPENT, so
- * that the calls don't run again. */
+/* Frees the oldest answers until a new one of answer_length bytes fits. Tickets whose answer is
+ * freed become TICKET_SPENT, so that their calls don't run again. */
 static void
 evict_oldest_answers (LcTickets *tickets, size_t answer_length)
 {
@@ -293,9 +293,9 @@
   lb_list_append (&tickets->answered, &ticket->answered_link);
 }
 
-/* Records the outcome of a request: an answer is stored for repeats of the call, proof that the
- * call did not run makes the ticket unused again, and any other error spends it. Requests without a
- * ticket are ignored. */
+/* Records the outcome of a request. An answer is stored for repeats of the call. An error that
+ * proves that the call did not run makes the ticket unused again; any other error makes it
+ * TICKET_SPENT. Requests without a ticket are ignored. */
 void
 lc_tickets_finish_call (LcTickets *tickets,
                         LcRequestId request,
@@ -329,7 +329,7 @@
     remove_ticket (tickets, ticket);
 }
 
-/* When the next ticket expires; LB_TIME_NEVER if none will. */
+/* Returns when the next ticket expires; LB_TIME_NEVER if no ticket has an expiry time. */
 LbTime
 lc_tickets_next_expiry (const LcTickets *tickets)
 {
--- a/packages/core/src/usage/lc-organisations.c
+++ b/packages/core/src/usage/lc-organisations.c
@@ -14,14 +14,14 @@
 typedef struct
 {
   LcOrganisation organisation;
-  UT_hash_handle hh; /* table with the name as key */
+  UT_hash_handle hh; /* in LcOrganisations.entries, by name */
 } Entry;
 
 typedef struct
 {
   LcKeyDigest digest;
   const Entry *entry;
-  UT_hash_handle hh; /* table with the digest as key */
+  UT_hash_handle hh; /* in LcOrganisations.keys, by digest */
 } Key;
 
 struct LcOrganisations
@@ -128,8 +128,8 @@
   return true;
 }
 
-/* The lookup is by digest and the final comparison takes constant time, so timing reveals nothing
- * about how close a guessed key is. */
+/* The lookup uses the digest, and the final comparison takes constant time, so response times don't
+ * reveal how close a guessed key is. */
 static Key *
 find_key (const LcOrganisations *organisations, const LcKeyDigest *digest)
 {
--- a/packages/core/src/usage/lc-true-time.c
+++ b/packages/core/src/usage/lc-true-time.c
@@ -6,7 +6,7 @@
 #include <gsl/gsl_statistics.h>
 #include <stdlib.h>
 
-/* A double holds milliseconds since 1970 without loss. */
+/* Converts offsets to double, which holds milliseconds since 1970 without loss. */
 int64_t
 lc_true_time_median_offset (const int64_t *offsets, size_t n)
 {
--- a/packages/core/src/usage/lc-usage-reports.c
+++ b/packages/core/src/usage/lc-usage-reports.c
@@ -6,19 +6,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Time between a failed action and its repetition. */
+/* Delay before a failed action is repeated. */
 #define RETRY_DELAY (250 * LB_MSEC)
-/* Once the store is available again, instances need this time to write the rows that failed, and
- * delayed writes arrive. */
+/* Time after a store failure for instances to repeat failed writes and late writes to arrive. */
 #define STORE_RECOVERY_DELAY (1500 * LB_MSEC)
-/* Windows that ended while no instance held the reporting duty and are still reported; older ones
- * are not reported at all. */
+/* Largest number of windows reported late after no instance held the reporting duty. Older windows
+ * are not reported. */
 #define MAX_CATCH_UP_WINDOWS 24
 
 typedef enum
 {
-  WINDOW_OPEN,     /* its rows are not complete yet */
-  WINDOW_SUMMED,   /* text is to be recorded */
+  WINDOW_OPEN,     /* rows are incomplete or not summed yet */
+  WINDOW_SUMMED,   /* text has the sums, and is not recorded in the store yet */
   WINDOW_RECORDED, /* text is recorded in the store */
   WINDOW_SENT,     /* the platform accepted text */
   WINDOW_CLOSED
@@ -38,13 +37,13 @@
 {
   LcUsageReportSettings settings;
   LbList windows;
-  int64_t first_window; /* oldest window to report; -1: none known yet, becomes the current one */
+  int64_t first_window; /* number of the oldest window to report; -1: unknown */
   int64_t epoch;        /* incremented each time the reporting duty is acquired */
   bool has_duty;
   bool has_read;
   bool is_reading;
   LbTime next_read_at;
-  LbTime store_failed_at; /* 0: never */
+  LbTime store_failed_at; /* when a store request last failed; 0: never */
 };
 
 LcUsageReports *
@@ -103,52 +102,52 @@
 }
 
 static Window *
-find_window (const LcUsageReports *reports, int64_t number)
+find_window (const LcUsageReports *reports, int64_t window_number)
 {
   LB_LIST_FOREACH (&reports->windows, Window, link, window)
   {
-    if (window->number == number)
+    if (window->number == window_number)
       return window;
   }
   return NULL;
 }
 
 static Window *
-add_window (LcUsageReports *reports, int64_t number)
+add_window (LcUsageReports *reports, int64_t window_number)
 {
   Window *window = LB_NEW (Window);
 
-  window->number = number;
+  window->number = window_number;
   lb_list_append (&reports->windows, &window->link);
   return window;
 }
 
 static void
-lower_first_window (LcUsageReports *reports, int64_t number)
+lower_first_window (LcUsageReports *reports, int64_t window_number)
 {
-  if (reports->first_window < 0 || number < reports->first_window)
-    reports->first_window = number;
+  if (reports->first_window < 0 || window_number < reports->first_window)
+    reports->first_window = window_number;
 }
 
 void
-lc_usage_reports_add_row_window (LcUsageReports *reports, int64_t number)
+lc_usage_reports_add_row_window (LcUsageReports *reports, int64_t window_number)
 {
   if (reports->has_duty && !reports->has_read)
-    lower_first_window (reports, number);
+    lower_first_window (reports, window_number);
 }
 
 void
 lc_usage_reports_add_recorded (LcUsageReports *reports,
-                               int64_t number,
+                               int64_t window_number,
                                const char *text,
                                bool is_sent)
 {
   Window *window = NULL;
 
-  if (!reports->has_duty || reports->has_read || find_window (reports, number))
+  if (!reports->has_duty || reports->has_read || find_window (reports, window_number))
     return;
-  lower_first_window (reports, number);
-  window = add_window (reports, number);
+  lower_first_window (reports, window_number);
+  window = add_window (reports, window_number);
   window->state = is_sent ? WINDOW_CLOSED : WINDOW_RECORDED;
   window->text = lb_strdup (text);
 }
@@ -169,12 +168,12 @@
   reports->store_failed_at = now;
 }
 
-/* Returns the window of a successful answer; NULL if the action failed, which is then retried
- * later, or if no action of the window is pending. */
+/* Ends the window's pending action. Returns the window if the action succeeded; NULL if it failed
+ * and will be retried, or if no action was pending. */
 static Window *
-finish_action (LcUsageReports *reports, int64_t number, bool ok, LbTime now)
+finish_action (LcUsageReports *reports, int64_t window_number, bool ok, LbTime now)
 {
-  Window *window = find_window (reports, number);
+  Window *window = find_window (reports, window_number);
 
   if (!window || !window->has_pending_action)
     return NULL;
@@ -186,11 +185,11 @@
 
 void
 lc_usage_reports_sum_completed (LcUsageReports *reports,
-                                int64_t number,
+                                int64_t window_number,
                                 LcUsageCounts *counts,
                                 LbTime now)
 {
-  Window *window = finish_action (reports, number, counts != NULL, now);
+  Window *window = finish_action (reports, window_number, counts != NULL, now);
 
   if (!window)
     return;
@@ -200,9 +199,9 @@
 
 void
 lc_usage_reports_record_completed (
-    LcUsageReports *reports, int64_t number, bool ok, const char *recorded, LbTime now)
+    LcUsageReports *reports, int64_t window_number, bool ok, const char *recorded, LbTime now)
 {
-  Window *window = finish_action (reports, number, ok || recorded, now);
+  Window *window = finish_action (reports, window_number, ok || recorded, now);
 
   if (!window)
     return;
@@ -215,26 +214,30 @@
 
 void
 lc_usage_reports_send_completed (LcUsageReports *reports,
-                                 int64_t number,
+                                 int64_t window_number,
                                  LcUsageSendResult result,
                                  LbTime now)
 {
-  Window *window = finish_action (reports, number, result == LC_USAGE_ACCEPTED, now);
+  Window *window = finish_action (reports, window_number, result == LC_USAGE_ACCEPTED, now);
 
   if (window)
     window->state = WINDOW_SENT;
 }
 
 void
-lc_usage_reports_close_completed (LcUsageReports *reports, int64_t number, bool ok, LbTime now)
+lc_usage_reports_close_completed (LcUsageReports *reports,
+                                  int64_t window_number,
+                                  bool ok,
+                                  LbTime now)
 {
-  Window *window = finish_action (reports, number, ok, now);
+  Window *window = finish_action (reports, window_number, ok, now);
 
   if (window)
     window->state = WINDOW_CLOSED;
 }
 
-/* Every window from the first one found in the store to the current one must be reported. */
+/* Adds the windows that are not known yet. Every window from the first one in the store to the
+ * current one must be reported. */
 static void
 add_missing_windows (LcUsageReports *reports, int64_t current)
 {
@@ -242,9 +245,9 @@
     reports->first_window = current;
   if (reports->first_window < current - MAX_CATCH_UP_WINDOWS)
     reports->first_window = current - MAX_CATCH_UP_WINDOWS;
-  for (int64_t number = reports->first_window; number <= current; number++)
-    if (!find_window (reports, number))
-      add_window (reports, number);
+  for (int64_t window_number = reports->first_window; window_number <= current; window_number++)
+    if (!find_window (reports, window_number))
+      add_window (reports, window_number);
 }
 
 static void
@@ -257,10 +260,13 @@
   }
 }
 
-/* Guards against missing counts of rows that could not be written: no window is complete while the
- * store is unavailable or shortly after. */
+/* Until max_delay_ms, rows count as incomplete while the store is unavailable and shortly after:
+ * an instance may not have been able to write its row. */
 static bool
-are_window_rows_complete (const LcUsageReports *reports, const Window *window, int64_t true_ms, LbTime now)
+are_window_rows_complete (const LcUsageReports *reports,
+                          const Window *window,
+                          int64_t true_ms,
+                          LbTime now)
 {
   int64_t ms_since_end = true_ms - (window->number + 1) * reports->settings.window_ms;
   bool store_is_available
@@ -273,10 +279,10 @@
 
 static bool
 next_window_action_type (const LcUsageReports *reports,
-                  const Window *window,
-                  int64_t true_ms,
-                  LbTime now,
-                  LcUsageActionType *type)
+                         const Window *window,
+                         int64_t true_ms,
+                         LbTime now,
+                         LcUsageActionType *type)
 {
   switch (window->state)
     {
@@ -322,16 +328,16 @@
     return next_read_action (reports, now, action);
   add_missing_windows (reports, current);
   remove_old_windows (reports);
-  for (int64_t number = reports->first_window; number <= current; number++)
+  for (int64_t window_number = reports->first_window; window_number <= current; window_number++)
     {
-      Window *window = find_window (reports, number);
+      Window *window = find_window (reports, window_number);
       LcUsageActionType type;
 
       if (window->has_pending_action || now < window->retry_at
           || !next_window_action_type (reports, window, true_ms, now, &type))
         continue;
       window->has_pending_action = true;
-      *action = (LcUsageAction){ .type = type, .window = number, .text = window->text };
+      *action = (LcUsageAction){ .type = type, .window = window_number, .text = window->text };
       return true;
     }
   return false;
--- a/packages/core/src/usage/lc-usage.c
+++ b/packages/core/src/usage/lc-usage.c
@@ -11,7 +11,7 @@
 
 typedef struct
 {
-  LbName organisation; /* key */
+  LbName organisation; /* key in LcUsageCounts.by_organisation */
   int64_t requests;
   UT_hash_handle hh;
 } Count;
@@ -26,7 +26,7 @@
   LbLink link;
   int64_t number;
   LcUsageCounts *counts;
-  bool changed; /* since the last row that was returned */
+  bool changed; /* counts have changed since the last row was returned */
   bool is_being_written;
   LbTime next_row_at;
 } Window;
@@ -149,7 +149,7 @@
   return lb_json_take_text (object, JSON_C_TO_STRING_PLAIN);
 }
 
-/* --- windows of one instance --- */
+/* Windows of one instance. */
 
 LcUsage *
 lc_usage_new (int64_t window_ms)
@@ -182,11 +182,11 @@
 }
 
 static Window *
-find_window (const LcUsage *usage, int64_t number)
+find_window (const LcUsage *usage, int64_t window_number)
 {
   LB_LIST_FOREACH (&usage->windows, Window, link, window)
   {
-    if (window->number == number)
+    if (window->number == window_number)
       return window;
   }
   return NULL;
@@ -195,13 +195,13 @@
 void
 lc_usage_count_request (LcUsage *usage, const char *organisation, int64_t true_ms)
 {
-  int64_t number = true_ms / usage->window_ms;
-  Window *window = find_window (usage, number);
+  int64_t window_number = true_ms / usage->window_ms;
+  Window *window = find_window (usage, window_number);
 
   if (!window)
     {
       window = LB_NEW (Window);
-      window->number = number;
+      window->number = window_number;
       window->counts = lc_usage_counts_new ();
       lb_list_append (&usage->windows, &window->link);
     }
@@ -227,9 +227,9 @@
 }
 
 void
-lc_usage_write_completed (LcUsage *usage, int64_t number, bool ok)
+lc_usage_write_completed (LcUsage *usage, int64_t window_number, bool ok)
 {
-  Window *window = find_window (usage, number);
+  Window *window = find_window (usage, window_number);
 
   if (!window)
     return;
