--- a/packages/core/tests/rollouts-fixture.h
+++ b/packages/core/tests/rollouts-fixture.h
@@ -11,34 +11,34 @@
 
 #define MAX_REQUESTS 512
 
-/* A step owner under test. The fixture stands in for the dispatch, the trainer and the store: it
+/* A step owner under test. The fixture replaces the dispatcher, the trainer and the store: it
  * records requests and replies, and stores ledger writes unless a fault is set. */
 typedef struct
 {
   LcRollouts *rollouts;
   LbTime now;
-  LcRequestSpec requests[MAX_REQUESTS]; /* in the order of their start; id 0: ended */
+  LcRequestSpec requests[MAX_REQUESTS]; /* in order of start; id is 0 after the request ended */
   char *resume_texts[MAX_REQUESTS];
   size_t n_requests;
   size_t n_scores;
   LcRequestId last_cancelled;
   LcRequestId last_preempted;
   size_t n_cancelled;
-  LbErrorCode ledger_error;    /* result of ledger writes */
-  bool ledger_is_unresponsive; /* writes get no result */
+  LbErrorCode ledger_error;    /* result of ledger writes; LB_OK: written */
+  bool ledger_is_unresponsive; /* true: ledger writes get no result */
   char *ledger_row;
   int n_ledger_writes;
   uint64_t last_write_id;
-  LcReadySample *handed_over; /* samples of an earlier owner */
+  LcReadySample *handed_over; /* samples that a previous owner hands over */
   size_t n_handed_over;
-  /* totals of replies, then the last reply */
+  /* Totals of all replies, followed by the content of the last reply. */
   size_t n_replies;
-  int64_t n_delivered; /* samples of all replies */
+  int64_t n_delivered; /* number of samples in all replies */
   LbErrorCode reply_error;
   char *cursor;
   int64_t remaining;
   size_t n_samples;
-  char samples[MAX_REQUESTS][64]; /* "group/index text" */
+  char samples[MAX_REQUESTS][64]; /* each as "group/index text" */
   LcLabel labels[MAX_REQUESTS];
 } Owner;
 
@@ -212,7 +212,7 @@
     }
   OWNER_CALL (owner, ok = lc_rollouts_take_over_step (owner->rollouts, &spec, &handover, owner->now,
                                                       &actions, &error));
-  cr_assert (ok, "%s: %s", error.where, error.detail);
+  cr_assert (ok, "expected the step to open; %s: %s", error.where, error.detail);
 }
 
 static inline void
@@ -236,7 +236,8 @@
                                                     owner->now, &actions));
 }
 
-/* Finishes all generations that run now with tokens of one version; those started by this go on. */
+/* Finishes all running generations with tokens of one version. Generations that start as a result
+ * keep running. */
 static inline void
 owner_finish_all_generations (Owner *owner, LcVersion version)
 {
--- a/packages/core/tests/test-cursor.c
+++ b/packages/core/tests/test-cursor.c
@@ -38,8 +38,8 @@
   free (text);
 }
 
-/* A trainer sends the cursor of another step, or a proxy damages it. If it were accepted, it would
- * acknowledge samples that the trainer never received, and they would be lost. */
+/* A trainer sends the cursor of another step, or a proxy damages a cursor. If the cursor were
+ * accepted, it would acknowledge samples that the trainer never received, and lose them. */
 Test (cursor, damaged_or_of_another_step_is_rejected)
 {
   LcCursor cursor = make_cursor_with_three_slots ();
@@ -56,8 +56,8 @@
     {
       char original = text[i];
       text[i] = original == 'A' ? 'B' : 'A';
-      cr_assert_not (lc_cursor_decode (&decoded, text, 19, 99, &error), "character %zu was changed",
-                     i);
+      cr_assert_not (lc_cursor_decode (&decoded, text, 19, 99, &error),
+                     "expected a cursor with character %zu changed to be rejected", i);
       cr_assert_eq (lc_cursor_count_slots (&decoded), 0);
       lc_cursor_clear (&decoded);
       text[i] = original;
--- a/packages/core/tests/test-label.c
+++ b/packages/core/tests/test-label.c
@@ -21,8 +21,8 @@
   cr_assert_eq (lc_label_staleness (&label, 39), 0);
 }
 
-/* The engine left the version out, or two streams were mixed, so it is unknown which weights made a
- * token. A later valid piece must not make the label complete again. */
+/* The engine left the version out, or two streams were mixed, so it is unknown which weights
+ * generated a token. A later valid piece must not make the label complete again. */
 Test (label, missing_or_contradictory_version_is_unlabelled_for_good)
 {
   const struct
@@ -38,8 +38,8 @@
       lc_label_add_tokens (&label, 0, 5, 40);
       lc_label_add_tokens (&label, bad[i].offset, bad[i].tokens, bad[i].version);
       lc_label_add_tokens (&label, 5, 1, 40);
-      cr_assert (label.unlabelled, "case %zu", i);
-      cr_assert_not (lc_label_is_complete (&label, 6), "case %zu", i);
+      cr_assert (label.unlabelled, "case %zu: expected no label", i);
+      cr_assert_not (lc_label_is_complete (&label, 6), "case %zu: expected an incomplete label", i);
     }
 }
 
--- a/packages/core/tests/test-organisations.c
+++ b/packages/core/tests/test-organisations.c
@@ -8,7 +8,10 @@
 #define NOW (100 * LB_SEC)
 
 static void
-add_organisation_with_key (LcOrganisations *organisations, const char *name, int priority, const char *key)
+add_organisation_with_key (LcOrganisations *organisations,
+                           const char *name,
+                           int priority,
+                           const char *key)
 {
   LcOrganisation organisation = { .priority = priority };
   LcKeyDigest digest;
@@ -20,7 +23,10 @@
 }
 
 static LcAdmission
-decide_admission (const LcOrganisations *organisations, LbTime age, bool strict, LcAdmissionCall call)
+decide_admission (const LcOrganisations *organisations,
+                  LbTime age,
+                  bool strict,
+                  LcAdmissionCall call)
 {
   const LcAdmissionRules rules
       = { .refuse_unconfirmed = strict, .max_unconfirmed_age = 5 * LB_SEC };
@@ -44,8 +50,8 @@
 Test (organisations, key_identifies_its_organisation)
 {
   LcOrganisations *organisations = new_organisations_post_and_mill ();
-  LcAdmission admission
-      = decide_admission (organisations, 0, false, (LcAdmissionCall){ .key = "key-of-mill", .n_keys = 1 });
+  LcAdmission admission = decide_admission (organisations, 0, false,
+                                            (LcAdmissionCall){ .key = "key-of-mill", .n_keys = 1 });
 
   cr_assert_eq (admission.error, LB_OK);
   cr_assert_str_eq (admission.organisation.name, "mill");
@@ -56,8 +62,8 @@
   lc_organisations_free (organisations);
 }
 
-/* No key, an empty one, eight kilobytes, invalid UTF-8, a part of a key, other case or a trailing
- * space: each is unauthorized, and none matches an organisation. */
+/* No key, an empty key, a key of 8 KiB, invalid UTF-8, a part of a key, upper case or a trailing
+ * space: each must be rejected as unauthorized and must not match an organisation. */
 Test (organisations, malformed_and_unknown_keys_are_rejected)
 {
   LcOrganisations *organisations = new_organisations_post_and_mill ();
@@ -69,9 +75,10 @@
   long_key[sizeof long_key - 1] = '\0';
   for (size_t i = 0; i < sizeof keys / sizeof keys[0]; i++)
     {
-      LcAdmission admission
-          = decide_admission (organisations, 0, false, (LcAdmissionCall){ .key = keys[i], .n_keys = 1 });
-      cr_assert_eq (admission.error, LB_ERROR_UNAUTHORIZED, "key %zu", i);
+      LcAdmission admission = decide_admission (organisations, 0, false,
+                                                (LcAdmissionCall){ .key = keys[i], .n_keys = 1 });
+      cr_assert_eq (admission.error, LB_ERROR_UNAUTHORIZED,
+                    "key %zu: expected LB_ERROR_UNAUTHORIZED", i);
       cr_assert_str_eq (admission.organisation.name, "");
     }
   lc_organisations_free (organisations);
@@ -82,8 +89,8 @@
 Test (organisations, call_with_two_keys_is_a_bad_request)
 {
   LcOrganisations *organisations = new_organisations_post_and_mill ();
-  LcAdmission admission
-      = decide_admission (organisations, 0, false, (LcAdmissionCall){ .key = "key-of-mill", .n_keys = 2 });
+  LcAdmission admission = decide_admission (organisations, 0, false,
+                                            (LcAdmissionCall){ .key = "key-of-mill", .n_keys = 2 });
 
   cr_assert_eq (admission.error, LB_ERROR_BAD_REQUEST);
   lc_organisations_free (organisations);
@@ -94,12 +101,13 @@
   LcOrganisations *organisations = new_organisations_post_and_mill ();
 
   cr_assert_eq (decide_admission (NULL, 0, true, (LcAdmissionCall){ 0 }).error, LB_OK);
-  cr_assert_eq (
-      decide_admission (organisations, 60 * LB_SEC, true, (LcAdmissionCall){ .is_public = true }).error,
-      LB_OK);
+  cr_assert_eq (decide_admission (organisations, 60 * LB_SEC, true,
+                                  (LcAdmissionCall){ .is_public = true })
+                    .error,
+                LB_OK);
   cr_assert_str_eq (decide_admission (organisations, 0, false,
-                            (LcAdmissionCall){
-                                .key = "key-of-mill", .n_keys = 1, .is_public = true })
+                                      (LcAdmissionCall){
+                                          .key = "key-of-mill", .n_keys = 1, .is_public = true })
                         .organisation.name,
                     "", "calls to a public route belong to no organisation");
   lc_organisations_free (organisations);
@@ -111,15 +119,16 @@
 {
   LcOrganisations *organisations = new_organisations_post_and_mill ();
   LcAdmission admission = decide_admission (organisations, 2 * LB_SEC, false,
-                                  (LcAdmissionCall){ .key = "key-of-new", .n_keys = 1 });
+                                            (LcAdmissionCall){ .key = "key-of-new", .n_keys = 1 });
 
   cr_assert_eq (admission.error, LB_ERROR_NOT_READY);
   cr_assert_gt (admission.retry_after, 0);
   lc_organisations_free (organisations);
 }
 
-/* A key may have been revoked while an instance is cut off from the store. With refuse_unconfirmed
- * it rejects every key once its view is too old; otherwise it continues with the last view. */
+/* A key may have been revoked while an instance is cut off from the store. With
+ * refuse_unconfirmed, the instance rejects every key once its view of the store is too old.
+ * Otherwise it continues with the last view. */
 Test (organisations, keys_are_rejected_with_a_stale_view_in_strict_mode)
 {
   LcOrganisations *organisations = new_organisations_post_and_mill ();
--- a/packages/core/tests/test-rollouts-fresh.c
+++ b/packages/core/tests/test-rollouts-fresh.c
@@ -22,7 +22,7 @@
   owner_free (owner);
 }
 
-/* The sample was started with old weights and finished with new ones; the oldest version counts. */
+/* A sample starts with old weights and ends with new ones; its oldest version decides. */
 Test (rollouts_fresh, oldest_span_decides_staleness)
 {
   Owner *owner = owner_new (&plain, 1);
@@ -37,7 +37,8 @@
 }
 
 /* The reply with a chunk is lost and the trainer repeats its pull a version later, when one sample
- * of the chunk exceeds the bound. The others are delivered, and that one is generated again. */
+ * of the chunk exceeds the bound. The other sample is delivered, and the stale one is generated
+ * again. */
 Test (rollouts_fresh, repeated_pull_at_newer_version_gets_no_stale_sample)
 {
   Owner *owner = owner_new (&plain, 1);
@@ -54,7 +55,7 @@
   cr_assert_eq (owner->n_samples, 1);
   cr_assert_str_eq (owner->samples[0], "g1/0 young");
   cr_assert_eq (lc_rollouts_count_invariant_failures (owner->rollouts), 0);
-  /* The trainer got the first reply after all: its cursor counts, and no sample is repeated. */
+  /* The trainer got the first reply after all: its cursor is accepted, no sample is repeated. */
   owner_pull (owner, first, 42);
   cr_assert_eq (owner->reply_error, LB_OK);
   cr_assert_eq (owner->n_samples, 0);
@@ -95,8 +96,8 @@
   owner_free (owner);
 }
 
-/* A trainer can't use a part of a group, so its other samples wait until the stale one is generated
- * again. */
+/* A trainer can't use a part of a group, so the other samples of the group wait until the stale
+ * sample is generated again. */
 Test (rollouts_fresh, group_with_a_stale_sample_is_held_back)
 {
   Owner *owner = owner_new (&plain, 1);
--- a/packages/core/tests/test-rollouts-labels.c
+++ b/packages/core/tests/test-rollouts-labels.c
@@ -11,7 +11,7 @@
   return owner->requests[0].id;
 }
 
-/* Expects a new generation of the slot and returns its request. */
+/* Expects that the slot's sample is generated again and returns the new request. */
 static LcRequestId
 expect_regenerated_sample (Owner *owner, LcRequestId old)
 {
@@ -22,8 +22,8 @@
   return next_request;
 }
 
-/* The engine's weights change while it streams. Neither the version at dispatch nor the one at the
- * end is the version of every token, so the label needs two spans. */
+/* The engine's weights change while it streams. Neither the version at dispatch nor the final
+ * version is that of every token, so the label needs two spans. */
 Test (rollouts_labels, weight_swap_during_sample_is_delivered_as_two_spans)
 {
   Owner *owner = owner_new (&plain, 5);
@@ -95,7 +95,7 @@
   owner_free (owner);
 }
 
-/* The engine dies during a sample, which resumes on another one with newer weights. The trainer
+/* The engine dies during a sample, which resumes on another engine with newer weights. The trainer
  * must get both versions, and the text joined without a gap. */
 Test (rollouts_labels, resume_with_other_weights_adds_a_span)
 {
--- a/packages/core/tests/test-rollouts-once.c
+++ b/packages/core/tests/test-rollouts-once.c
@@ -3,7 +3,7 @@
 static const LcSubscription plain = { .share = 1, .idle_weight = 1, .hedge_budget = 0.5 };
 static const LcSubscription strict = { .share = 1, .idle_weight = 1, .strict = true };
 
-/* A second instance that takes the step over, starting from the first one's row in the store, which
+/* Creates a second owner, which takes over the step with the first owner's ledger row. The row
  * records the slots that were delivered. */
 static Owner *
 new_successor (const Owner *first, uint64_t session)
@@ -69,7 +69,7 @@
   owner_free (second);
 }
 
-/* A pull delayed by the network arrives after later ones. Answering it would deliver samples that
+/* A pull delayed by the network arrives after later ones. An answer would deliver samples that
  * the trainer already has. */
 Test (rollouts_once, delayed_pull_with_an_older_cursor_is_rejected)
 {
@@ -84,7 +84,8 @@
   owner_free (owner);
 }
 
-/* Nine of ten samples finish at the usual pace; the first one stalls after 10 tokens. */
+/* Creates an owner with ten samples. Nine finish at the usual pace; the first stalls after 10
+ * tokens. */
 static Owner *
 new_owner_with_straggler (const LcRolloutSettings *settings)
 {
@@ -130,8 +131,8 @@
   owner_free (owner);
 }
 
-/* One sample on a slow endpoint delays the step. It resumes on another endpoint after the tokens
- * that it has, none of which is generated again; later pieces of the slow endpoint are ignored. */
+/* One sample on a slow endpoint delays the step. The sample resumes on another endpoint after its
+ * existing tokens, which are not generated again. Later pieces of the slow endpoint are ignored. */
 Test (rollouts_once, sample_of_a_slow_endpoint_is_migrated)
 {
   LcRolloutSettings settings = lc_rollout_settings_default ();
@@ -156,7 +157,7 @@
   owner_free (owner);
 }
 
-/* The sample completes before its preemption takes effect, and counts as it is. */
+/* A sample completes before its preemption takes effect. It must be delivered, not resumed. */
 Test (rollouts_once, preemption_after_completion_has_no_effect)
 {
   LcRolloutSettings settings = lc_rollout_settings_default ();
@@ -170,8 +171,8 @@
   owner_free (owner);
 }
 
-/* The owner dies after it sent a chunk and before the ledger write for it. The ledger is then
- * behind the trainer's cursor; the cursor must count, or samples are delivered twice. */
+/* The owner dies after it sent a chunk and before the ledger write for the chunk. The trainer's
+ * cursor then has slots that the ledger lacks; if it were ignored, samples would be sent twice. */
 Test (rollouts_once, new_owner_continues_from_the_trainers_cursor)
 {
   Owner *first = owner_new (&plain, 5);
@@ -230,9 +231,9 @@
   owner_free (second);
 }
 
-/* The owner's process is paused, another instance takes the step over, and the first one then gets
- * a pull. Delivering could repeat samples of the new owner's chunks. It delivers only after a
- * ledger write, which fails because of the session. */
+/* The owner's process is paused, another instance takes over the step, and the old owner then gets
+ * a pull. A delivery could repeat samples of the new owner's chunks. The old owner delivers only
+ * after a ledger write, which fails because of its older session. */
 Test (rollouts_once, replaced_owner_does_not_deliver_after_a_pause)
 {
   Owner *owner = owner_new (&plain, 5);
@@ -249,8 +250,8 @@
   owner_free (owner);
 }
 
-/* The same while the store is unavailable: the owner can't tell whether it was replaced, so it
- * delivers only after a ledger write succeeds. */
+/* The owner's process is paused, and the store is unavailable afterwards. The owner can't tell
+ * whether it was replaced, so it delivers only after a ledger write succeeds. */
 Test (rollouts_once, paused_owner_waits_for_the_store_before_delivery)
 {
   Owner *owner = owner_new (&plain, 5);
@@ -268,7 +269,8 @@
   owner_free (owner);
 }
 
-/* An owner that doesn't know that it was replaced gets a cursor of the new owner's session. */
+/* An owner that doesn't know that it was replaced gets a cursor of the new owner's session. It must
+ * stop delivering the step. */
 Test (rollouts_once, cursor_of_a_later_session_stops_the_owner)
 {
   Owner *first = owner_new (&plain, 5);
@@ -313,7 +315,7 @@
 }
 
 /* A strict subscription has no cursor, so only the ledger records what was delivered. No chunk may
- * be sent before the write that names it has succeeded. */
+ * be sent before the ledger write that records it has succeeded. */
 Test (rollouts_once, strict_chunk_is_sent_only_after_its_ledger_write)
 {
   Owner *owner = owner_new (&strict, 5);
@@ -335,7 +337,8 @@
   owner_free (owner);
 }
 
-/* Two connections of a strict trainer send the same pull. Each sample must go to only one. */
+/* Two connections of a strict trainer send the same pull. Only one of them may get
+ * each sample. */
 Test (rollouts_once, strict_chunk_is_sent_to_one_of_two_pulls)
 {
   Owner *owner = owner_new (&strict, 5);
--- a/packages/core/tests/test-rollouts.c
+++ b/packages/core/tests/test-rollouts.c
@@ -110,8 +110,8 @@
   owner_free (owner);
 }
 
-/* A drain that waited for generations without an engine would never end. They are cancelled and
- * left to the next owner; those with a first piece are finished. */
+/* A drain that waited for generations without an engine would never end. These generations are
+ * cancelled and left to the next owner; those with a first piece are finished. */
 Test (rollouts, drain_waits_only_for_started_generations)
 {
   Owner *owner = owner_new (&plain, 2);
@@ -124,8 +124,8 @@
   owner_free (owner);
 }
 
-/* idle_weight 0 asks for the newest weights. While the engines' versions are unknown, requiring
- * more than the bound could leave the step without any engine. */
+/* idle_weight 0 asks for the newest weights. While the engines' versions are unknown, a stricter
+ * minimum version than the bound could leave the step without any engine. */
 Test (rollouts, min_version_with_unknown_versions_is_the_bound)
 {
   LcSubscription fresh = plain;
--- a/packages/core/tests/test-ticket.c
+++ b/packages/core/tests/test-ticket.c
@@ -66,8 +66,8 @@
   lc_tickets_free (after);
 }
 
-/* A caller redeems its ticket at another instance than the one that issued it. If that instance ran
- * the call, both could run it; it must only name the instance to relay to. */
+/* A caller redeems its ticket at another instance than the one that issued it. If the other
+ * instance ran the call, both could run it. It must only name the instance to relay to. */
 Test (ticket, ticket_of_other_instance_is_relayed)
 {
   LcTickets *owner = new_tickets ("a");
@@ -86,7 +86,7 @@
 }
 
 /* A call rejected before it started is reported as "not run", so the ticket must run the repeated
- * call. After a broken connection, with an unknown outcome, it must not. */
+ * call. After a broken connection the outcome is unknown, and the ticket must not run it. */
 Test (ticket, only_proof_of_not_run_makes_ticket_unused_again)
 {
   LcTickets *tickets = new_tickets ("a");
@@ -119,7 +119,8 @@
   cr_assert_eq (lc_tickets_count (tickets), 1, "the ticket of a running call must not expire");
   lc_tickets_finish_call (tickets, 1, LB_OK, 200, "done", 4, 2 * limits.lifetime);
   cr_assert_eq (lc_tickets_next_expiry (tickets), 3 * limits.lifetime);
-  cr_assert_eq (redeem_as_shop (tickets, text, 2, 3 * limits.lifetime).error, LB_ERROR_OUTCOME_UNKNOWN);
+  cr_assert_eq (redeem_as_shop (tickets, text, 2, 3 * limits.lifetime).error,
+                LB_ERROR_OUTCOME_UNKNOWN);
   cr_assert_eq (lc_tickets_count (tickets), 0);
   lc_tickets_free (tickets);
 }
--- a/packages/core/tests/test-usage-reports.c
+++ b/packages/core/tests/test-usage-reports.c
@@ -18,7 +18,7 @@
 #define TIME_STEP (50 * LB_MSEC)
 #define DEFAULT_N_SEEDS 300
 
-/* An action in transit to the store or the platform, and its reply. */
+/* An action of a holder, sent to the store or the platform, and its delayed reply. */
 typedef struct
 {
   bool is_pending;
@@ -35,14 +35,14 @@
   bool is_reply_lost;
 } Operation;
 
-/* Several holders with one store and one platform, in virtual time. */
+/* Simulates several holders of the reporting duty, one store and one platform, in virtual time. */
 typedef struct
 {
   LcUsageReports *holders[N_HOLDERS];
   Operation operations[MAX_OPERATIONS];
   char *recorded_text[N_WINDOWS];
   bool is_closed[N_WINDOWS];
-  char *accepted_text[N_WINDOWS]; /* by the platform; NULL: none */
+  char *accepted_text[N_WINDOWS]; /* report that the platform accepted; NULL: none */
   int64_t expected_requests[N_WINDOWS];
   LbTime accepted_at[N_WINDOWS];
   LbTime store_down_until;
@@ -93,9 +93,9 @@
 }
 
 static bool
-happens_with_probability (double share)
+happens_with_probability (double probability)
 {
-  return gsl_rng_uniform (simulation.random) < share;
+  return gsl_rng_uniform (simulation.random) < probability;
 }
 
 static LbTime
@@ -114,14 +114,16 @@
   for (int i = 0; i < MAX_OPERATIONS; i++)
     if (!simulation.operations[i].is_pending)
       {
-        simulation.operations[i] = (Operation){ .is_pending = true,
-                                       .holder = holder,
-                                       .epoch = lc_usage_reports_duty_epoch (simulation.holders[holder]),
-                                       .type = action->type,
-                                       .window = action->window,
-                                       .text = action->text ? lb_strdup (action->text) : NULL,
-                                       .apply_at = simulation.now + random_delay (),
-                                       .is_reply_lost = simulation.injects_faults && happens_with_probability (0.05) };
+        simulation.operations[i]
+            = (Operation){ .is_pending = true,
+                           .holder = holder,
+                           .epoch = lc_usage_reports_duty_epoch (simulation.holders[holder]),
+                           .type = action->type,
+                           .window = action->window,
+                           .text = action->text ? lb_strdup (action->text) : NULL,
+                           .apply_at = simulation.now + random_delay (),
+                           .is_reply_lost
+                           = simulation.injects_faults && happens_with_probability (0.05) };
         simulation.operations[i].reply_at = simulation.operations[i].apply_at + random_delay ();
         return;
       }
@@ -150,7 +152,8 @@
 static void
 apply_operation (Operation *operation)
 {
-  LbTime down_until = is_platform_operation (operation) ? simulation.platform_down_until : simulation.store_down_until;
+  LbTime down_until = is_platform_operation (operation) ? simulation.platform_down_until
+                                                        : simulation.store_down_until;
   char **row = &simulation.recorded_text[operation->window];
 
   operation->is_applied = true;
@@ -175,7 +178,8 @@
 {
   for (int i = 0; operation->ok && i < N_WINDOWS; i++)
     if (simulation.recorded_text[i])
-      lc_usage_reports_add_recorded (reports, i, simulation.recorded_text[i], simulation.is_closed[i]);
+      lc_usage_reports_add_recorded (reports, i, simulation.recorded_text[i],
+                                     simulation.is_closed[i]);
     else if (simulation.expected_requests[i] > 0)
       lc_usage_reports_add_row_window (reports, i);
   lc_usage_reports_read_completed (reports, operation->ok, simulation.now);
@@ -187,7 +191,8 @@
   LcUsageCounts *counts = lc_usage_counts_new ();
 
   lc_usage_counts_add (counts, "post", simulation.expected_requests[operation->window]);
-  lc_usage_reports_sum_completed (reports, operation->window, operation->ok ? counts : NULL, simulation.now);
+  lc_usage_reports_sum_completed (reports, operation->window, operation->ok ? counts : NULL,
+                                  simulation.now);
   lc_usage_counts_free (counts);
 }
 
@@ -230,7 +235,7 @@
   return simulation.now / LB_MSEC;
 }
 
-/* One request starts in each step, and its row is stored at once. */
+/* Advances virtual time by TIME_STEP. One request starts in each step and is counted at once. */
 static void
 run_time_step (void)
 {
@@ -250,7 +255,8 @@
       operation_clear (operation);
     }
   for (int i = 0; i < N_HOLDERS; i++)
-    while (lc_usage_reports_next_action (simulation.holders[i], true_time_ms (), simulation.now, &action))
+    while (lc_usage_reports_next_action (simulation.holders[i], true_time_ms (), simulation.now,
+                                         &action))
       if (action.type == LC_USAGE_READ_REPORTS || action.window < N_WINDOWS)
         start_operation (i, &action);
 }
@@ -265,9 +271,11 @@
   else if (happens_with_probability (0.005))
     lc_usage_reports_end_duty (simulation.holders[holder]);
   if (happens_with_probability (0.003))
-    simulation.store_down_until = simulation.now + (LbTime)(gsl_rng_uniform (simulation.random) * 6 * LB_SEC);
+    simulation.store_down_until
+        = simulation.now + (LbTime)(gsl_rng_uniform (simulation.random) * 6 * LB_SEC);
   if (happens_with_probability (0.003))
-    simulation.platform_down_until = simulation.now + (LbTime)(gsl_rng_uniform (simulation.random) * 6 * LB_SEC);
+    simulation.platform_down_until
+        = simulation.now + (LbTime)(gsl_rng_uniform (simulation.random) * 6 * LB_SEC);
 }
 
 static void
@@ -275,12 +283,13 @@
 {
   char expected[64];
 
-  snprintf (expected, sizeof expected, "{\"post\":%lld}", (long long)simulation.expected_requests[window]);
+  snprintf (expected, sizeof expected, "{\"post\":%lld}",
+            (long long)simulation.expected_requests[window]);
   cr_assert (simulation.accepted_text[window], "window %lld was not reported", (long long)window);
   cr_assert_str_eq (simulation.accepted_text[window], expected);
 }
 
-/* One holder without faults reports each window once it is complete, before it is due. */
+/* A holder without faults reports each window after its end and before the report is due. */
 Test (usage_reports, each_window_is_reported_before_it_is_due)
 {
   simulation_init (1, false);
@@ -290,7 +299,8 @@
   for (int64_t window = 0; window < 11; window++)
     {
       assert_window_accepted (window);
-      cr_assert_lt (simulation.accepted_at[window] / LB_MSEC, (window + 1) * WINDOW_MS + REPORT_DUE_MS);
+      cr_assert_lt (simulation.accepted_at[window] / LB_MSEC,
+                    (window + 1) * WINDOW_MS + REPORT_DUE_MS);
       cr_assert (simulation.is_closed[window]);
     }
   simulation_clear ();
@@ -306,7 +316,8 @@
   while (!simulation.recorded_text[1])
     run_time_step ();
   lc_usage_reports_end_duty (simulation.holders[0]);
-  simulation.expected_requests[1] += 7; /* rows that arrive after the report was recorded */
+  simulation.expected_requests[1]
+      += 7; /* requests whose rows arrive after the report was recorded */
   while (true_time_ms () < 25000)
     run_time_step ();
   cr_assert_null (simulation.accepted_text[2]);
@@ -320,7 +331,7 @@
 }
 
 /* The store is down when a window ends, so instances could not write their rows. The report must
- * wait for them as long as it can still be sent in time. */
+ * wait for these rows as long as it can still be sent before it is due. */
 Test (usage_reports, no_report_is_recorded_while_the_store_is_down)
 {
   simulation_init (3, false);
@@ -330,7 +341,8 @@
   simulation.store_down_until = simulation.now + 2 * LB_SEC;
   while (simulation.now < simulation.store_down_until + LB_SEC)
     run_time_step ();
-  cr_assert_null (simulation.recorded_text[0], "instances must have time to write the rows that failed");
+  cr_assert_null (simulation.recorded_text[0],
+                  "instances must have time to write the rows that failed");
   while (true_time_ms () < 5000 + REPORT_DUE_MS)
     run_time_step ();
   assert_window_accepted (0);
@@ -379,8 +391,8 @@
   return action.text;
 }
 
-/* Two instances hold the duty at once and sum a window at different times. The second one finds the
- * report of the other in the store, and must send that one. */
+/* Two instances hold the duty at once and sum a window at different times. The second
+ * instance finds the first one's report in the store, and must send that report. */
 Test (usage_reports, report_recorded_by_another_holder_is_sent)
 {
   const LcUsageReportSettings settings = { .window_ms = WINDOW_MS,
--- a/packages/core/tests/test-usage.c
+++ b/packages/core/tests/test-usage.c
@@ -34,8 +34,8 @@
   lc_usage_free (usage);
 }
 
-/* Each row has all requests of its window so far, and rows of a window are at least a period apart:
- * a row per request would cause thousands of writes per second. */
+/* Each row has all requests counted in its window, and rows of one window are at least ROW_PERIOD
+ * apart. A row per request would cause thousands of writes per second. */
 Test (usage, rows_have_all_counts_and_are_a_period_apart)
 {
   LcUsage *usage = lc_usage_new (WINDOW_MS);
@@ -44,14 +44,15 @@
   lc_usage_count_request (usage, "post", 1);
   assert_next_row (usage, 0, 0, "{\"post\":1}");
   lc_usage_count_request (usage, "post", 2);
-  cr_assert_not (lc_usage_next_row (usage, ROW_PERIOD, 10 * ROW_PERIOD, &row), "a write is in progress");
+  cr_assert_not (lc_usage_next_row (usage, ROW_PERIOD, 10 * ROW_PERIOD, &row),
+                 "expected no row while a write is in progress");
   lc_usage_write_completed (usage, 0, true);
   cr_assert_not (lc_usage_next_row (usage, ROW_PERIOD, ROW_PERIOD - 1, &row));
   assert_next_row (usage, ROW_PERIOD, 0, "{\"post\":2}");
   lc_usage_free (usage);
 }
 
-/* The store is down while an instance counts requests; they must not be lost. */
+/* The store is down while an instance counts requests. The counts must not be lost. */
 Test (usage, failed_write_is_repeated)
 {
   LcUsage *usage = lc_usage_new (WINDOW_MS);
@@ -67,8 +68,8 @@
   lc_usage_free (usage);
 }
 
-/* A write whose reply was lost is applied after the next one, which has another key: the smaller
- * counts of the earlier row must not replace the later ones. */
+/* A write whose reply was lost is applied after the next write, which has another key. The smaller
+ * counts of the earlier row must not replace the later counts. */
 Test (usage, earlier_row_of_an_incarnation_does_not_lower_counts)
 {
   LcUsageCounts *later = lc_usage_counts_new ();
@@ -91,7 +92,7 @@
   lc_usage_counts_free (total);
 }
 
-/* The wall clocks of three of ten machines jump by two seconds. */
+/* The wall clocks of three of ten machines jump by two seconds; the median must not follow them. */
 Test (true_time, median_offset_ignores_a_few_clocks_that_jump)
 {
   const int64_t offsets[] = { 1003, 1001, 3002, 3001, 999, 1002, -998, 1000, 1001, 1004 };
