--- a/packages/core/src/rollout/lc-ticket.c
+++ b/packages/core/src/rollout/lc-ticket.c
@@ -199,7 +199,10 @@
 }
 
 static LcTicketDecision
-start_call (LcTickets *tickets, Ticket *ticket, uint64_t content_hash, LcRequestId request)
+start_call_of_ticket (LcTickets *tickets,
+                      Ticket *ticket,
+                      uint64_t content_hash,
+                      LcRequestId request)
 {
   lb_list_remove (&tickets->by_expiry, &ticket->expiry_link);
   ticket->state = TICKET_RUNNING;
@@ -217,7 +220,7 @@
   switch (ticket->state)
     {
     case TICKET_UNUSED:
-      return start_call (tickets, ticket, content_hash, request);
+      return start_call_of_ticket (tickets, ticket, content_hash, request);
     case TICKET_RUNNING:
       return (LcTicketDecision){ .action = LC_TICKET_JOIN, .request = ticket->request };
     case TICKET_ANSWERED:
--- a/packages/core/src/usage/lc-usage-reports.c
+++ b/packages/core/src/usage/lc-usage-reports.c
@@ -171,7 +171,7 @@
 /* Ends the window's pending action. Returns the window if the action succeeded; NULL if it failed
  * and will be retried, or if no action was pending. */
 static Window *
-finish_action (LcUsageReports *reports, int64_t window_number, bool ok, LbTime now)
+finish_window_action (LcUsageReports *reports, int64_t window_number, bool ok, LbTime now)
 {
   Window *window = find_window (reports, window_number);
 
@@ -189,7 +189,7 @@
                                 LcUsageCounts *counts,
                                 LbTime now)
 {
-  Window *window = finish_action (reports, window_number, counts != NULL, now);
+  Window *window = finish_window_action (reports, window_number, counts != NULL, now);
 
   if (!window)
     return;
@@ -201,7 +201,7 @@
 lc_usage_reports_record_completed (
     LcUsageReports *reports, int64_t window_number, bool ok, const char *recorded, LbTime now)
 {
-  Window *window = finish_action (reports, window_number, ok || recorded, now);
+  Window *window = finish_window_action (reports, window_number, ok || recorded, now);
 
   if (!window)
     return;
@@ -218,7 +218,7 @@
                                  LcUsageSendResult result,
                                  LbTime now)
 {
-  Window *window = finish_action (reports, window_number, result == LC_USAGE_ACCEPTED, now);
+  Window *window = finish_window_action (reports, window_number, result == LC_USAGE_ACCEPTED, now);
 
   if (window)
     window->state = WINDOW_SENT;
@@ -230,7 +230,7 @@
                                   bool ok,
                                   LbTime now)
 {
-  Window *window = finish_action (reports, window_number, ok, now);
+  Window *window = finish_window_action (reports, window_number, ok, now);
 
   if (window)
     window->state = WINDOW_CLOSED;
@@ -305,7 +305,7 @@
 }
 
 static bool
-next_read_action (LcUsageReports *reports, LbTime now, LcUsageAction *action)
+next_read_reports_action (LcUsageReports *reports, LbTime now, LcUsageAction *action)
 {
   if (reports->is_reading || now < reports->next_read_at)
     return false;
@@ -325,7 +325,7 @@
   if (!reports->has_duty)
     return false;
   if (!reports->has_read)
-    return next_read_action (reports, now, action);
+    return next_read_reports_action (reports, now, action);
   add_missing_windows (reports, current);
   remove_old_windows (reports);
   for (int64_t window_number = reports->first_window; window_number <= current; window_number++)
--- a/packages/core/src/usage/lc-usage.c
+++ b/packages/core/src/usage/lc-usage.c
@@ -149,7 +149,7 @@
   return lb_json_take_text (object, JSON_C_TO_STRING_PLAIN);
 }
 
-/* Windows of one instance. */
+/* Windows in which one instance counts requests. */
 
 LcUsage *
 lc_usage_new (int64_t window_ms)
--- a/packages/core/tests/rollouts-fixture.h
+++ b/packages/core/tests/rollouts-fixture.h
@@ -272,7 +272,7 @@
 }
 
 static inline void
-owner_pull (Owner *owner, const char *cursor, LcVersion version)
+owner_pull_without_waiting (Owner *owner, const char *cursor, LcVersion version)
 {
   owner_start_pull (owner, 1, cursor, version, 0);
 }
--- a/packages/core/tests/test-rollouts-fresh.c
+++ b/packages/core/tests/test-rollouts-fresh.c
@@ -10,12 +10,12 @@
 
   owner_open_step (owner, 2, 2, 1);
   owner_finish_all_generations (owner, 40);
-  owner_pull (owner, "", 42);
+  owner_pull_without_waiting (owner, "", 42);
   cr_assert_eq (owner->n_samples, 0);
   cr_assert_eq (owner_get_step_status (owner).discarded_stale, 4);
   cr_assert_eq (owner_count_running_requests (owner), 4);
   owner_finish_all_generations (owner, 41);
-  owner_pull (owner, "", 42);
+  owner_pull_without_waiting (owner, "", 42);
   cr_assert_eq (owner->n_samples, 4);
   cr_assert_eq (owner_get_step_status (owner).staleness_max, 1);
   cr_assert_eq (lc_rollouts_count_invariant_failures (owner->rollouts), 0);
@@ -31,7 +31,7 @@
   owner_add_piece (owner, owner->requests[0].id, 0, 1, 40);
   owner_add_piece (owner, owner->requests[0].id, 1, 99, 42);
   owner_finish_generation (owner, owner->requests[0].id, LB_OK, "text");
-  owner_pull (owner, "", 42);
+  owner_pull_without_waiting (owner, "", 42);
   cr_assert_eq (owner->n_samples, 0);
   owner_free (owner);
 }
@@ -48,15 +48,15 @@
   owner_finish_generation (owner, owner->requests[0].id, LB_OK, "old");
   owner_add_piece (owner, owner->requests[1].id, 0, 10, 41);
   owner_finish_generation (owner, owner->requests[1].id, LB_OK, "young");
-  owner_pull (owner, "", 41);
+  owner_pull_without_waiting (owner, "", 41);
   cr_assert_eq (owner->n_samples, 2);
   char *first = lb_strdup (owner->cursor);
-  owner_pull (owner, "", 42);
+  owner_pull_without_waiting (owner, "", 42);
   cr_assert_eq (owner->n_samples, 1);
   cr_assert_str_eq (owner->samples[0], "g1/0 young");
   cr_assert_eq (lc_rollouts_count_invariant_failures (owner->rollouts), 0);
   /* The trainer got the first reply after all: its cursor is accepted, no sample is repeated. */
-  owner_pull (owner, first, 42);
+  owner_pull_without_waiting (owner, first, 42);
   cr_assert_eq (owner->reply_error, LB_OK);
   cr_assert_eq (owner->n_samples, 0);
   cr_assert_eq (owner->remaining, 0);
@@ -74,7 +74,7 @@
   owner_open_step (owner, 1, 1, 1);
   LcRequestId request = owner->requests[0].id;
   owner_add_piece (owner, request, 0, 10, 40);
-  owner_pull (owner, "", 42);
+  owner_pull_without_waiting (owner, "", 42);
   cr_assert_eq (owner->last_cancelled, request);
   cr_assert_eq (owner_count_running_requests (owner), 1);
   cr_assert_eq (owner->requests[1].resume_at, 0);
@@ -91,7 +91,7 @@
   owner_open_step (owner, 1, 1, 1);
   cr_assert_eq (owner->requests[0].min_version, 39);
   owner_add_piece (owner, owner->requests[0].id, 0, 10, 40);
-  owner_pull (owner, "", 42);
+  owner_pull_without_waiting (owner, "", 42);
   cr_assert_eq (owner->requests[1].min_version, 41);
   owner_free (owner);
 }
@@ -110,7 +110,7 @@
       owner_add_piece (owner, request, 0, 10, i == 1 ? 39 : 40);
       owner_finish_generation (owner, request, LB_OK, "text");
     }
-  owner_pull (owner, "", 41);
+  owner_pull_without_waiting (owner, "", 41);
   cr_assert_eq (owner->n_samples, 2);
   cr_assert_str_eq (owner->samples[0], "g0/0 text");
   cr_assert_eq (owner->remaining, 2);
--- a/packages/core/tests/test-rollouts-labels.c
+++ b/packages/core/tests/test-rollouts-labels.c
@@ -32,7 +32,7 @@
   owner_add_piece (owner, request, 0, 10, 40);
   owner_add_piece (owner, request, 10, 5, 41);
   owner_finish_generation (owner, request, LB_OK, "text");
-  owner_pull (owner, "", 41);
+  owner_pull_without_waiting (owner, "", 41);
   cr_assert_eq (owner->n_samples, 1);
   cr_assert_eq (owner->labels[0].n_spans, 2);
   cr_assert_eq (owner->labels[0].spans[1].version, 41);
@@ -51,12 +51,12 @@
   owner_add_piece (owner, request, 10, 5, 0);
   cr_assert_eq (owner->last_cancelled, request);
   owner_finish_generation (owner, request, LB_OK, "text");
-  owner_pull (owner, "", 40);
+  owner_pull_without_waiting (owner, "", 40);
   cr_assert_eq (owner->n_samples, 0);
   request = expect_regenerated_sample (owner, request);
   owner_add_piece (owner, request, 0, 12, 40);
   owner_finish_generation (owner, request, LB_OK, "again");
-  owner_pull (owner, "", 40);
+  owner_pull_without_waiting (owner, "", 40);
   cr_assert_str_eq (owner->samples[0], "g0/0 again");
   cr_assert_eq (owner_get_step_status (owner).discarded_unlabelled, 1);
   cr_assert_eq (owner_get_step_status (owner).wasted_tokens, 10);
@@ -73,7 +73,7 @@
   owner_add_piece (owner, request, 0, 10, 40);
   owner_add_piece (owner, request, 0, 10, 41);
   owner_finish_generation (owner, request, LB_OK, "texttext");
-  owner_pull (owner, "", 41);
+  owner_pull_without_waiting (owner, "", 41);
   cr_assert_eq (owner->n_samples, 0);
   expect_regenerated_sample (owner, request);
   cr_assert_eq (owner_get_step_status (owner).discarded_unlabelled, 1);
@@ -87,7 +87,7 @@
   LcRequestId request = open_step_with_one_sample (owner);
 
   owner_finish_generation (owner, request, LB_OK, "text");
-  owner_pull (owner, "", 40);
+  owner_pull_without_waiting (owner, "", 40);
   cr_assert_eq (owner->n_samples, 0);
   cr_assert_eq (lc_rollouts_count_invariant_failures (owner->rollouts), 0);
   cr_assert_eq (owner_get_step_status (owner).discarded_unlabelled, 1);
@@ -109,7 +109,7 @@
   cr_assert_str_eq (owner->resume_texts[1], "first ");
   owner_add_piece (owner, next_request, 10, 5, 41);
   owner_finish_generation (owner, next_request, LB_OK, "second");
-  owner_pull (owner, "", 41);
+  owner_pull_without_waiting (owner, "", 41);
   cr_assert_str_eq (owner->samples[0], "g0/0 first second");
   cr_assert_eq (owner->labels[0].n_spans, 2);
   cr_assert_eq (owner->labels[0].tokens, 15);
@@ -127,7 +127,7 @@
   owner_finish_generation (owner, request, LB_ERROR_STREAM_BROKEN, "first ");
   LcRequestId next_request = expect_regenerated_sample (owner, request);
   owner_add_piece (owner, next_request, 9, 5, 41);
-  owner_pull (owner, "", 41);
+  owner_pull_without_waiting (owner, "", 41);
   cr_assert_eq (owner->n_samples, 0);
   expect_regenerated_sample (owner, next_request);
   cr_assert_eq (owner->requests[owner->n_requests - 1].resume_at, 0);
--- a/packages/core/tests/test-rollouts-once.c
+++ b/packages/core/tests/test-rollouts-once.c
@@ -35,7 +35,7 @@
   cr_assert_str_eq (owner->cursor, cursor);
   cr_assert_str_eq (owner->samples[0], sample);
   cr_assert_eq (owner->n_samples, n_samples);
-  owner_pull (owner, cursor, 40);
+  owner_pull_without_waiting (owner, cursor, 40);
   cr_assert_eq (owner->n_samples, 8 - n_samples);
   cr_assert_str_neq (owner->samples[0], sample);
   free (cursor);
@@ -59,7 +59,7 @@
   cr_assert_gt (first->remaining, 0);
   owner_open_step (second, 4, 2, 1);
   owner_finish_all_generations (second, 40);
-  owner_pull (second, first->cursor, 40);
+  owner_pull_without_waiting (second, first->cursor, 40);
   cr_assert_eq (second->reply_error, LB_OK);
   cr_assert_eq (first->n_samples + second->n_samples, 8);
   for (size_t i = 0; i < second->n_samples; i++)
@@ -77,9 +77,9 @@
 
   owner_open_step (owner, 4, 2, 1);
   owner_finish_all_generations (owner, 40);
-  owner_pull (owner, "", 40);
-  owner_pull (owner, owner->cursor, 40);
-  owner_pull (owner, "", 40);
+  owner_pull_without_waiting (owner, "", 40);
+  owner_pull_without_waiting (owner, owner->cursor, 40);
+  owner_pull_without_waiting (owner, "", 40);
   cr_assert_eq (owner->reply_error, LB_ERROR_BAD_CURSOR);
   owner_free (owner);
 }
@@ -122,10 +122,10 @@
   cr_assert_eq (owner->last_cancelled, original);
   owner_add_piece (owner, original, 10, 5, 40);
   owner_finish_generation (owner, original, LB_OK, "late");
-  owner_pull (owner, "", 40);
+  owner_pull_without_waiting (owner, "", 40);
   cr_assert_eq (owner->n_samples, 10);
   cr_assert_str_eq (owner->samples[0], "g0/0 hedge");
-  owner_pull (owner, owner->cursor, 40);
+  owner_pull_without_waiting (owner, owner->cursor, 40);
   cr_assert_eq (owner->n_samples, 0);
   cr_assert_eq (lc_rollouts_count_invariant_failures (owner->rollouts), 0);
   owner_free (owner);
@@ -148,7 +148,7 @@
   owner_add_piece (owner, original, 10, 5, 40);
   owner_add_piece (owner, owner->requests[10].id, 10, 20, 41);
   owner_finish_generation (owner, owner->requests[10].id, LB_OK, "ended");
-  owner_pull (owner, "", 41);
+  owner_pull_without_waiting (owner, "", 41);
   cr_assert_eq (owner->n_samples, 10);
   cr_assert_str_eq (owner->samples[0], "g0/0 begun ended");
   cr_assert_eq (owner->labels[0].n_spans, 2);
@@ -166,7 +166,7 @@
   owner_add_piece (owner, owner->requests[0].id, 10, 5, 40);
   owner_finish_generation (owner, owner->requests[0].id, LB_OK, "whole");
   cr_assert_eq (owner->n_requests, 10);
-  owner_pull (owner, "", 41);
+  owner_pull_without_waiting (owner, "", 41);
   cr_assert_str_eq (owner->samples[0], "g0/0 whole");
   owner_free (owner);
 }
@@ -185,11 +185,11 @@
       owner_finish_generation (first, first->requests[i].id, LB_OK, "text");
     }
   owner_finish_all_generations (first, 40);
-  owner_pull (first, "", 40);
+  owner_pull_without_waiting (first, "", 40);
   cr_assert_eq (first->n_samples, 8);
   char *cursor = lb_strdup (first->cursor);
   Owner *second = new_successor (first, 2);
-  owner_pull (second, cursor, 40);
+  owner_pull_without_waiting (second, cursor, 40);
   cr_assert_eq (second->reply_error, LB_OK);
   cr_assert_eq (second->n_samples, 0);
   cr_assert_eq (second->remaining, 0);
@@ -213,17 +213,17 @@
       owner_finish_generation (first, first->requests[i].id, LB_OK, "first");
     }
   OWNER_CALL (first, lc_rollouts_drain (first->rollouts, first->now, &actions));
-  owner_pull (first, "", 40);
+  owner_pull_without_waiting (first, "", 40);
   cr_assert_eq (first->n_samples, 2);
   second->n_handed_over
       = lc_rollouts_list_unacknowledged (first->rollouts, "t", 1, &second->handed_over);
   cr_assert_eq (second->n_handed_over, 5);
   owner_open_step (second, 4, 2, 2);
   cr_assert_eq (owner_count_running_requests (second), 3);
-  owner_pull (second, first->cursor, 40);
+  owner_pull_without_waiting (second, first->cursor, 40);
   cr_assert_eq (second->remaining, 6);
   owner_finish_all_generations (second, 40);
-  owner_pull (second, second->cursor, 40);
+  owner_pull_without_waiting (second, second->cursor, 40);
   cr_assert_eq (second->n_samples, 6);
   cr_assert_str_eq (second->samples[0], "g1/0 first");
   free (second->handed_over);
@@ -245,7 +245,7 @@
   owner_start_pull (owner, 1, "", 40, 5 * LB_SEC);
   cr_assert_eq (owner->n_replies, 1);
   cr_assert_eq (owner->reply_error, LB_ERROR_STALE_SESSION);
-  owner_pull (owner, "", 40);
+  owner_pull_without_waiting (owner, "", 40);
   cr_assert_eq (owner->reply_error, LB_ERROR_UNKNOWN_STEP);
   owner_free (owner);
 }
@@ -260,11 +260,11 @@
   owner_finish_all_generations (owner, 40);
   owner->now += 30 * LB_SEC;
   owner->ledger_error = LB_ERROR_STORE_AWAY;
-  owner_pull (owner, "", 40);
+  owner_pull_without_waiting (owner, "", 40);
   cr_assert_eq (owner->reply_error, LB_ERROR_STORE_AWAY);
   owner->ledger_error = LB_OK;
   owner_advance_time (owner, 10 * LB_SEC);
-  owner_pull (owner, "", 40);
+  owner_pull_without_waiting (owner, "", 40);
   cr_assert_eq (owner->n_samples, 8);
   owner_free (owner);
 }
@@ -278,8 +278,8 @@
   owner_open_step (first, 4, 2, 1);
   owner_finish_all_generations (first, 40);
   Owner *second = new_successor (first, 2);
-  owner_pull (second, "", 40);
-  owner_pull (first, second->cursor, 40);
+  owner_pull_without_waiting (second, "", 40);
+  owner_pull_without_waiting (first, second->cursor, 40);
   cr_assert_eq (first->reply_error, LB_ERROR_STALE_SESSION);
   cr_assert_not (lc_rollouts_get_step_status (first->rollouts, "t", 1, &(LcStepStatus){ 0 }));
   owner_free (first);
@@ -299,12 +299,12 @@
     {
       owner_add_piece (owner, owner->requests[i].id, 0, 10, 40);
       owner_finish_generation (owner, owner->requests[i].id, LB_OK, "text");
-      owner_pull (owner, owner->cursor, 40);
+      owner_pull_without_waiting (owner, owner->cursor, 40);
       cr_assert_eq (owner->reply_error, LB_OK);
       got += owner->n_samples;
       owner_advance_time (owner, 30 * LB_SEC);
     }
-  owner_pull (owner, owner->cursor, 40);
+  owner_pull_without_waiting (owner, owner->cursor, 40);
   cr_assert_eq (got, 8);
   owner->ledger_error = LB_OK;
   owner_advance_time (owner, 10 * LB_SEC);
@@ -331,7 +331,7 @@
   cr_assert_eq (owner->n_replies, 1);
   cr_assert_eq (owner->n_samples, 8);
   cr_assert_str_eq (owner->cursor, "");
-  owner_pull (owner, "", 40);
+  owner_pull_without_waiting (owner, "", 40);
   cr_assert_eq (owner->n_samples, 0);
   cr_assert_eq (owner->remaining, 0);
   owner_free (owner);
@@ -366,7 +366,7 @@
   lc_rollouts_cancel_pull (owner->rollouts, 1);
   OWNER_CALL (owner, lc_rollouts_finish_ledger_write (owner->rollouts, owner->last_write_id, LB_OK,
                                                       owner->now, &actions));
-  owner_pull (owner, "", 40);
+  owner_pull_without_waiting (owner, "", 40);
   cr_assert_eq (owner->n_samples, 8);
   owner_free (owner);
 }
--- a/packages/core/tests/test-rollouts.c
+++ b/packages/core/tests/test-rollouts.c
@@ -8,15 +8,15 @@
 
   owner_open_step (owner, 2, 4, 1);
   cr_assert_eq (owner->n_requests, 8);
-  owner_pull (owner, "", 40);
+  owner_pull_without_waiting (owner, "", 40);
   cr_assert_eq (owner->n_samples, 0);
   cr_assert_eq (owner->remaining, 8);
   owner_finish_all_generations (owner, 40);
-  owner_pull (owner, owner->cursor, 40);
+  owner_pull_without_waiting (owner, owner->cursor, 40);
   cr_assert_eq (owner->n_samples, 8);
   cr_assert_eq (owner->remaining, 0);
   cr_assert_str_eq (owner->samples[5], "g1/1 text");
-  owner_pull (owner, owner->cursor, 40);
+  owner_pull_without_waiting (owner, owner->cursor, 40);
   cr_assert_eq (owner->reply_error, LB_OK);
   cr_assert_eq (owner->n_samples, 0);
   cr_assert_eq (owner_get_step_status (owner).delivered, 8);
@@ -35,11 +35,11 @@
     {
       owner_add_piece (owner, owner->requests[i].id, 0, 10, 40);
       owner_finish_generation (owner, owner->requests[i].id, LB_OK, "text");
-      owner_pull (owner, owner->cursor, 40);
+      owner_pull_without_waiting (owner, owner->cursor, 40);
       cr_assert_eq (owner->n_samples, 1);
       owner_advance_time (owner, 100 * LB_MSEC);
     }
-  owner_pull (owner, owner->cursor, 40);
+  owner_pull_without_waiting (owner, owner->cursor, 40);
   cr_assert_leq (owner->n_ledger_writes, 11);
   cr_assert_geq (owner->n_ledger_writes, 9);
   owner_free (owner);
@@ -56,7 +56,7 @@
   owner_finish_all_generations (owner, 40);
   cr_assert_eq (owner->n_scores, 1);
   cr_assert_str_eq (owner->requests[1].pool, "judge");
-  owner_pull (owner, "", 40);
+  owner_pull_without_waiting (owner, "", 40);
   cr_assert_eq (owner->n_samples, 0);
   OWNER_CALL (owner,
               lc_rollouts_finish_scoring (owner->rollouts, owner->requests[1].id,
@@ -65,7 +65,7 @@
   cr_assert_eq (owner->n_scores, 2);
   OWNER_CALL (owner, lc_rollouts_finish_scoring (owner->rollouts, owner->requests[2].id, LB_OK, 0.5,
                                                  owner->now, &actions));
-  owner_pull (owner, "", 40);
+  owner_pull_without_waiting (owner, "", 40);
   cr_assert_eq (owner->n_samples, 1);
   cr_assert_eq (owner->n_requests, 3);
   owner_free (owner);
