--- a/packages/core/src/rollout/lc-deliver.c
+++ b/packages/core/src/rollout/lc-deliver.c
@@ -10,7 +10,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define STORE_RETRY_AFTER LB_SEC
+#define STORE_RETRY_DELAY LB_SEC
 
 typedef enum
 {
@@ -36,21 +36,21 @@
                                                    "Chunks that were sent again");
 
 static const LcTrainer *
-trainer_of_step (const LcRollouts *rollouts, const LcStep *step)
+find_trainer_of_step (const LcRollouts *rollouts, const LcStep *step)
 {
   return lc_rollouts_find_trainer (rollouts, step->spec.subscription);
 }
 
 static bool
-is_strict (const LcRollouts *rollouts, const LcStep *step)
+has_strict_subscription (const LcRollouts *rollouts, const LcStep *step)
 {
-  return trainer_of_step (rollouts, step)->subscription.strict;
+  return find_trainer_of_step (rollouts, step)->subscription.strict;
 }
 
-/* Replies. */
+/* Actions that reply to pulls. */
 
 static LcRolloutAction *
-reply_error (
+reply_with_error (
     uint64_t pull_id, LbErrorCode code, const char *detail, LbTime retry_after, LbList *actions)
 {
   LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_REPLY);
@@ -62,7 +62,7 @@
 }
 
 static void
-free_pull (LcStep *step, LcWaitingPull *pull)
+remove_waiting_pull (LcStep *step, LcWaitingPull *pull)
 {
   lb_list_remove (&step->waiting_pulls, &pull->link);
   free (pull);
@@ -73,13 +73,16 @@
 {
   LB_LIST_FOREACH (&step->waiting_pulls, LcWaitingPull, link, pull)
   {
-    reply_error (pull->id, error, "", retry_after, actions);
-    free_pull (step, pull);
+    reply_with_error (pull->id, error, "", retry_after, actions);
+    remove_waiting_pull (step, pull);
   }
 }
 
 static void
-reply_chunk (const LcRollouts *rollouts, LcStep *step, const LcWaitingPull *pull, LbList *actions)
+reply_with_chunk (const LcRollouts *rollouts,
+                  LcStep *step,
+                  const LcWaitingPull *pull,
+                  LbList *actions)
 {
   LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_REPLY);
   const LcChunk *chunk = &step->chunk;
@@ -89,8 +92,9 @@
   action->samples = LB_NEW_ARRAY (LcReadySample, chunk->n_slots);
   for (size_t i = 0; i < chunk->n_slots; i++)
     action->samples[i] = lc_step_make_ready_sample (step, &step->slots[chunk->slots[i]]);
-  action->cursor = is_strict (rollouts, step) ? lb_strdup ("")
-                                              : lc_cursor_encode (&chunk->cursor, step->spec_hash);
+  action->cursor = has_strict_subscription (rollouts, step)
+                       ? lb_strdup ("")
+                       : lc_cursor_encode (&chunk->cursor, step->spec_hash);
   action->remaining = (int64_t)lc_step_count_unsent (step);
 }
 
@@ -105,18 +109,22 @@
 
   cursor->session = step->session;
   action->pull_id = pull->id;
-  action->cursor
-      = is_strict (rollouts, step) ? lb_strdup ("") : lc_cursor_encode (cursor, step->spec_hash);
+  action->cursor = has_strict_subscription (rollouts, step)
+                       ? lb_strdup ("")
+                       : lc_cursor_encode (cursor, step->spec_hash);
   action->remaining = (int64_t)lc_step_count_unsent (step);
 }
 
-/* Chunks. */
+/* Building and revoking chunks of samples. */
 
-/* Checks the delivery invariants independently of the code that led here: the label is complete,
- * the sample is within the staleness bound, and it was not delivered before. A sample that violates
- * one is logged, counted and not delivered; with a bad label or too stale it is generated again. */
+/* Checks independently of the code that chose the sample that its label is complete, it is within
+ * the staleness bound, and it was not delivered before. Logs and counts a violation; the caller
+ * must not deliver the sample then. An unlabelled or stale sample is generated again. */
 static bool
-can_deliver_slot (LcRollouts *rollouts, LcStep *step, size_t slot_index, LcVersion trainer_version)
+check_delivery_invariants (LcRollouts *rollouts,
+                           LcStep *step,
+                           size_t slot_index,
+                           LcVersion trainer_version)
 {
   LcSlot *slot = &step->slots[slot_index];
   Invariant violated = N_INVARIANTS;
@@ -124,7 +132,7 @@
   if (!slot->text || !slot->label || !lc_label_is_complete (slot->label, slot->label->tokens))
     violated = INVARIANT_LABEL;
   else if (lc_staleness_is_too_old (slot->label, trainer_version,
-                                    trainer_of_step (rollouts, step)->max_lag))
+                                    find_trainer_of_step (rollouts, step)->max_lag))
     violated = INVARIANT_STALENESS;
   else if (slot->state != LC_SLOT_READY || lc_cursor_has_slot (&step->acked, slot_index))
     violated = INVARIANT_ONCE;
@@ -141,10 +149,10 @@
   return false;
 }
 
-/* A group is delivered only as a whole, since a trainer can't learn from a part of it. Without
- * group_release, nothing is delivered before the whole step is ready. */
+/* A group is delivered only once all its samples are complete, since a trainer can't learn from a
+ * part of a group. Without group_release, the whole step must be complete. */
 static bool
-is_group_released (const LcRollouts *rollouts, const LcStep *step, size_t group_index)
+can_deliver_group (const LcRollouts *rollouts, const LcStep *step, size_t group_index)
 {
   if (rollouts->settings.group_release)
     return lc_step_is_group_complete (step, group_index);
@@ -154,7 +162,7 @@
 }
 
 static void
-record_delivery (LcStep *step, const LcSlot *slot, LcVersion trainer_version)
+update_delivery_statistics (LcStep *step, const LcSlot *slot, LcVersion trainer_version)
 {
   int64_t staleness = lc_label_staleness (slot->label, trainer_version);
 
@@ -166,14 +174,14 @@
 }
 
 static void
-add_to_chunk (LcStep *step, size_t slot_index, LcVersion trainer_version)
+add_slot_to_chunk (LcStep *step, size_t slot_index, LcVersion trainer_version)
 {
   LcChunk *chunk = &step->chunk;
   LcSlot *slot = &step->slots[slot_index];
 
   chunk->slots[chunk->n_slots++] = slot_index;
   lc_cursor_add_slot (&chunk->cursor, slot_index);
-  record_delivery (step, slot, trainer_version);
+  update_delivery_statistics (step, slot, trainer_version);
   slot->was_sent = true;
   lc_step_set_slot_state (step, slot, LC_SLOT_SENT);
 }
@@ -191,7 +199,7 @@
 }
 
 static void
-log_chunk (const LcStep *step, LbTime now)
+log_new_chunk (const LcStep *step, LbTime now)
 {
   lb_log (LB_LOG_INFO, "chunk-made", LB_TEXT ("subscription", step->spec.subscription),
           LB_INT ("step", step->spec.step), LB_INT ("session", step->session),
@@ -201,7 +209,7 @@
           LB_INT ("after_ms", (now - step->status.opened_at) / LB_MSEC));
 }
 
-/* Builds a chunk of the ready samples of released groups; false if there are none. */
+/* Builds a chunk of ready samples of deliverable groups; returns false if there are none. */
 static bool
 build_chunk (LcRollouts *rollouts, LcStep *step, const LcWaitingPull *pull, LbTime now)
 {
@@ -215,12 +223,12 @@
   for (size_t g = 0; g < step->spec.n_groups && (int64_t)step->chunk.n_slots < capacity; g++)
     {
       const LcGroup *group = &step->groups[g];
-      if (!is_group_released (rollouts, step, g))
+      if (!can_deliver_group (rollouts, step, g))
         continue;
       for (size_t i = group->first_slot; i < group->first_slot + group->n_slots; i++)
         if (step->slots[i].state == LC_SLOT_READY && (int64_t)step->chunk.n_slots < capacity
-            && can_deliver_slot (rollouts, step, i, pull->trainer_version))
-          add_to_chunk (step, i, pull->trainer_version);
+            && check_delivery_invariants (rollouts, step, i, pull->trainer_version))
+          add_slot_to_chunk (step, i, pull->trainer_version);
     }
   if (step->chunk.n_slots == 0)
     {
@@ -229,13 +237,13 @@
     }
   if (lc_step_count_unsent (step) == 0 && step->status.completed_at == 0)
     step->status.completed_at = now;
-  if (is_strict (rollouts, step))
+  if (has_strict_subscription (rollouts, step))
     step->chunk.ledger_change = lc_ledger_add_change (&step->ledger, true);
-  log_chunk (step, now);
+  log_new_chunk (step, now);
   return true;
 }
 
-/* Makes the chunk's samples that are not acknowledged ready again. */
+/* Removes the current chunk and returns its unacknowledged samples to state READY. */
 static void
 revoke_chunk (LcStep *step)
 {
@@ -249,7 +257,7 @@
   step->status.completed_at = 0;
 }
 
-/* Answering pulls. */
+/* Answering waiting pulls. */
 
 static void
 acknowledge_slot (LcRollouts *rollouts, LcStep *step, size_t slot_index, LbList *actions)
@@ -261,8 +269,8 @@
   lc_step_set_slot_state (step, slot, LC_SLOT_ACKED);
 }
 
-/* Acknowledges the chunk of a strict subscription: the ledger records it, so it counts as delivered
- * once it is sent. */
+/* Acknowledges the chunk of a strict subscription when it is sent, without a cursor of the trainer:
+ * the ledger already records the chunk as delivered. */
 static void
 acknowledge_strict_chunk (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
 {
@@ -274,13 +282,13 @@
     step->closed_at = now;
 }
 
-/* When a pull asks again for the current chunk at a newer trainer version, a sample in it may
- * exceed the staleness bound by now. The chunk is then revoked and built anew. If the trainer has
- * received the first chunk after all, its cursor acknowledges that one. */
+/* Revokes the current chunk if the trainer repeats its pull at a newer version, for which a sample
+ * of the chunk exceeds the staleness bound. The caller then builds a new chunk. If the trainer did
+ * receive the first chunk, the cursor of that chunk still acknowledges its samples. */
 static void
 revoke_stale_chunk (LcRollouts *rollouts, LcStep *step, const LcWaitingPull *pull, LbList *actions)
 {
-  const LcTrainer *trainer = trainer_of_step (rollouts, step);
+  const LcTrainer *trainer = find_trainer_of_step (rollouts, step);
   bool stale = false;
 
   if (!step->chunk.slots || pull->trainer_version <= step->chunk.trainer_version)
@@ -295,15 +303,15 @@
 }
 
 static bool
-has_stored_required_changes (const LcRollouts *rollouts, const LcStep *step)
+has_stored_required_ledger_changes (const LcRollouts *rollouts, const LcStep *step)
 {
   if (!lc_ledger_has_stored (&step->ledger, step->required_ledger_change))
     return false;
-  return !is_strict (rollouts, step)
+  return !has_strict_subscription (rollouts, step)
          || lc_ledger_has_stored (&step->ledger, step->chunk.ledger_change);
 }
 
-/* Returns whether the pull was answered; if not, it keeps waiting. */
+/* Returns whether the pull was answered; if not, the pull keeps waiting. */
 static bool
 try_answer_pull (
     LcRollouts *rollouts, LcStep *step, LcWaitingPull *pull, LbTime now, LbList *actions)
@@ -313,24 +321,24 @@
   revoke_stale_chunk (rollouts, step, pull, actions);
   if (!step->chunk.slots && !all_delivered)
     {
-      /* The staleness check at dispatch is not enough: the trainer may have advanced since, and
-       * this pull states its current version. */
+      /* The staleness checks at dispatch and at the end of a generation are not enough: the trainer
+       * may have advanced since, and the pull states the trainer's current version. */
       lc_result_discard_stale (rollouts, step, pull->trainer_version,
-                               trainer_of_step (rollouts, step)->max_lag, actions);
+                               find_trainer_of_step (rollouts, step)->max_lag, actions);
       build_chunk (rollouts, step, pull, now);
     }
-  if (!has_stored_required_changes (rollouts, step))
+  if (!has_stored_required_ledger_changes (rollouts, step))
     {
       if (pull->wait_until > now)
         return false;
-      reply_error (pull->id, LB_ERROR_STORE_AWAY, "the ledger can't be written at present",
-                   STORE_RETRY_AFTER, actions);
+      reply_with_error (pull->id, LB_ERROR_STORE_AWAY, "the ledger can't be written at present",
+                        STORE_RETRY_DELAY, actions);
       return true;
     }
   if (step->chunk.slots)
     {
-      reply_chunk (rollouts, step, pull, actions);
-      if (is_strict (rollouts, step))
+      reply_with_chunk (rollouts, step, pull, actions);
+      if (has_strict_subscription (rollouts, step))
         acknowledge_strict_chunk (rollouts, step, now, actions);
       return true;
     }
@@ -346,19 +354,19 @@
   LB_LIST_FOREACH (&step->waiting_pulls, LcWaitingPull, link, pull)
   {
     if (try_answer_pull (rollouts, step, pull, now, actions))
-      free_pull (step, pull);
+      remove_waiting_pull (step, pull);
   }
 }
 
-/* Acknowledgements. */
+/* Acknowledging samples by the cursors of pulls. */
 
-/* Later sessions are claimed in the store and belong to one owner each. Session 1 may have had
- * another owner that opened the step while the store was unavailable and then died or lost it.
- * Rejecting that owner's cursors would block the trainer on this step for ever. */
+/* Each session after this one is claimed in the store by one owner. The first session may have had
+ * another owner, which opened the step while the store was unavailable and then died or lost the
+ * step. Rejecting that owner's cursors would block the trainer on this step for ever. */
 #define FIRST_SESSION 1
 
 static bool
-can_acknowledge (const LcStep *step, const LcCursor *cursor, LbError *error)
+can_acknowledge_cursor (const LcStep *step, const LcCursor *cursor, LbError *error)
 {
   if (!lc_cursor_contains (cursor, &step->acked))
     return lb_error_set (
@@ -374,8 +382,8 @@
   return true;
 }
 
-/* Acknowledges all samples that the cursor names, whichever owner issued it. Pulls still waiting
- * with an older cursor fail. */
+/* Acknowledges all samples in the cursor, whichever owner of the step issued the cursor. Pulls that
+ * still wait with an older cursor fail. */
 static void
 acknowledge_cursor (
     LcRollouts *rollouts, LcStep *step, const LcCursor *cursor, LbTime now, LbList *actions)
@@ -396,8 +404,8 @@
   lc_ledger_add_change (&step->ledger, step->closed_at != 0);
 }
 
-/* A cursor of a later session means that another instance took the step over while this one was
- * paused or partitioned. Delivering here could repeat samples that the new owner has delivered. */
+/* A cursor of a later session means that another instance took over the step while this one was
+ * paused or partitioned. This one could repeat samples that the new owner has delivered. */
 static bool
 is_from_later_owner (const LcStep *step, const LcCursor *cursor)
 {
@@ -422,18 +430,19 @@
 {
   LcCursor cursor;
   LbError error = { .code = LB_OK };
-  bool strict = is_strict (rollouts, step);
+  bool strict = has_strict_subscription (rollouts, step);
   bool ok = lc_cursor_decode (&cursor, pull->cursor, step->n_slots, step->spec_hash, &error);
   bool has_later_owner = ok && is_from_later_owner (step, &cursor);
 
   if (ok && strict && pull->cursor[0])
-    ok = lb_error_set (&error, LB_ERROR_BAD_CURSOR, "cursor", "expected \"\": strict subscription");
+    ok = lb_error_set (&error, LB_ERROR_BAD_CURSOR, "cursor",
+                       "expected an empty cursor: the subscription is strict");
   if (ok && !strict && !has_later_owner)
-    ok = can_acknowledge (step, &cursor, &error);
+    ok = can_acknowledge_cursor (step, &cursor, &error);
   if (!ok || has_later_owner)
     {
-      reply_error (pull->id, has_later_owner ? LB_ERROR_STALE_SESSION : error.code, error.detail, 0,
-                   actions);
+      reply_with_error (pull->id, has_later_owner ? LB_ERROR_STALE_SESSION : error.code,
+                        error.detail, 0, actions);
       goto out;
     }
   if (!strict)
@@ -450,7 +459,7 @@
   return !has_later_owner;
 }
 
-/* The ledger. */
+/* Writing and restoring the ledger row. */
 
 void
 lc_deliver_write_ledger (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
@@ -470,8 +479,8 @@
   lc_ledger_begin_write (&step->ledger, action->write_id, now);
 }
 
-/* Another instance may have taken the step over and delivered samples while this process was
- * paused. The ledger write is conditional on the session, so it fails if that has happened. */
+/* Another instance may have taken over the step and delivered samples while this process was
+ * paused. In that case the ledger write fails, since it is conditional on the session. */
 void
 lc_deliver_require_session_check (LcStep *step)
 {
--- a/packages/core/src/rollout/lc-generate.c
+++ b/packages/core/src/rollout/lc-generate.c
@@ -6,28 +6,28 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A scoring without an answer for this long is repeated. */
+/* A scoring request without an answer after this time is repeated. */
 #define SCORING_TIMEOUT (30 * LB_SEC)
-#define BYTES_PER_TOKEN 4 /* estimate of the tokens in a prompt */
+#define BYTES_PER_TOKEN 4 /* estimate, for the token count of a prompt */
 #define MAX_PRIORITY 10
-#define EXPLORATION_WEIGHT 2.0 /* in mean sample lengths, see scheduling_score */
+#define EXPLORATION_WEIGHT 2.0 /* in mean sample lengths, see compute_group_score */
 
-/* Prediction of lengths. */
+/* Prediction of sample lengths. */
 
-/* Expected total length of a running sample, given the tokens that it has so far. */
+/* Returns the expected total length of a running sample in tokens, given those it already has. */
 static double
-expected_tokens (const LcLengthHistogram *lengths, const LcJob *job, int64_t max_tokens)
+expect_total_tokens (const LcLengthHistogram *lengths, const LcJob *job, int64_t max_tokens)
 {
   return (double)job->label.tokens
          + lc_length_histogram_estimate_remaining (lengths, job->label.tokens, max_tokens);
 }
 
 static LcGroupLengths
-sum_group_lengths (const LcLengthHistogram *lengths, const LcStep *step, size_t index)
+sum_group_lengths (const LcLengthHistogram *lengths, const LcStep *step, size_t group_index)
 {
   LcGroupLengths group_lengths = { 0 };
-  const LcGroup *group = &step->groups[index];
-  int64_t max_tokens = step->spec.groups[index].max_tokens;
+  const LcGroup *group = &step->groups[group_index];
+  int64_t max_tokens = step->spec.groups[group_index].max_tokens;
 
   for (size_t i = group->first_slot; i < group->first_slot + group->n_slots; i++)
     {
@@ -37,7 +37,7 @@
       if (slot->state >= LC_SLOT_SCORING && slot->label)
         group_lengths.sum += (double)slot->label->tokens;
       else if (slot->state == LC_SLOT_RUNNING && job)
-        group_lengths.sum += expected_tokens (lengths, job, max_tokens);
+        group_lengths.sum += expect_total_tokens (lengths, job, max_tokens);
       else
         continue;
       group_lengths.count++;
@@ -45,11 +45,11 @@
   return group_lengths;
 }
 
-/* Expected length of the group's next sample, in tokens. */
+/* Returns the expected length of the group's next sample, in tokens. */
 static double
-predict_tokens (const LcRollouts *rollouts, const LcStep *step, size_t group_index)
+predict_next_sample_tokens (const LcRollouts *rollouts, const LcStep *step, size_t group_index)
 {
-  const LcLengthHistogram *lengths = lc_step_lengths (rollouts, step);
+  const LcLengthHistogram *lengths = lc_step_length_histogram (rollouts, step);
   LcGroupLengths group_lengths = sum_group_lengths (lengths, step, group_index);
 
   return lc_length_histogram_predict_for_group (lengths, &group_lengths,
@@ -57,7 +57,7 @@
 }
 
 static size_t
-count_started (const LcStep *step, size_t group_index)
+count_started_samples (const LcStep *step, size_t group_index)
 {
   const LcGroup *group = &step->groups[group_index];
   size_t n_started = 0;
@@ -67,21 +67,21 @@
   return n_started;
 }
 
-/* Expected length of the group's next sample plus an exploration bonus that shrinks with the number
- * of started samples: starting a sample of a group with few others shows early whether the whole
- * group is long. */
+/* Returns the expected length of the group's next sample plus an exploration bonus, which shrinks
+ * with the number of the group's started samples. The bonus makes a sample of each group start
+ * early, which shows whether the whole group is long. */
 static double
-scheduling_score (const LcRollouts *rollouts, const LcStep *step, size_t group_index)
+compute_group_score (const LcRollouts *rollouts, const LcStep *step, size_t group_index)
 {
-  double mean = lc_length_histogram_mean (lc_step_lengths (rollouts, step),
+  double mean = lc_length_histogram_mean (lc_step_length_histogram (rollouts, step),
                                           step->spec.groups[group_index].max_tokens);
 
-  return predict_tokens (rollouts, step, group_index)
-         + EXPLORATION_WEIGHT * mean / (1.0 + (double)count_started (step, group_index));
+  return predict_next_sample_tokens (rollouts, step, group_index)
+         + EXPLORATION_WEIGHT * mean / (1.0 + (double)count_started_samples (step, group_index));
 }
 
 static bool
-can_start (LcStep *step, const LcSlot *slot, LbTime now)
+can_start_generation (LcStep *step, const LcSlot *slot, LbTime now)
 {
   if (slot->state != LC_SLOT_WAITING)
     return false;
@@ -92,11 +92,11 @@
   return false;
 }
 
-/* Picks the waiting slot with the highest score, longest expected first, so that the step does not
- * end with a long sample that was started last. Slots with a part of a sample go before all others.
- * Returns NULL if no slot can start now. */
+/* Picks the waiting slot with the highest score; returns NULL if no slot can start now. Long
+ * samples start first, so that the step does not end with a long sample that started last. Slots
+ * with a partial sample go before all others. */
 static LcSlot *
-pick_slot (const LcRollouts *rollouts, LcStep *step, LbTime now)
+pick_waiting_slot (const LcRollouts *rollouts, LcStep *step, LbTime now)
 {
   LcSlot *best = NULL;
   double best_score = -1;
@@ -109,12 +109,12 @@
       for (size_t i = group->first_slot; i < group->first_slot + group->n_slots; i++)
         {
           LcSlot *slot = &step->slots[i];
-          if (!can_start (step, slot, now))
+          if (!can_start_generation (step, slot, now))
             continue;
           if (!rollouts->settings.longest_first)
             return slot;
           if (group_score < 0)
-            group_score = scheduling_score (rollouts, step, g);
+            group_score = compute_group_score (rollouts, step, g);
           double score = slot->label ? INFINITY : group_score;
           if (score > best_score)
             {
@@ -126,13 +126,13 @@
   return best;
 }
 
-/* Starting requests. */
+/* Starting generations and scorings. */
 
 static LcVersion
 choose_min_version (LcRollouts *rollouts, const LcStep *step, double tokens)
 {
   const LcTrainer *trainer = lc_rollouts_find_trainer (rollouts, step->spec.subscription);
-  const LcRolloutPool *pool = lc_step_pool (rollouts, step);
+  const LcRolloutPool *pool = lc_step_find_pool (rollouts, step);
   LcStalenessPolicy policy = { .max_lag = trainer->max_lag,
                                .idle_weight = trainer->subscription.idle_weight,
                                .trainer_version = step->trainer_version,
@@ -144,33 +144,34 @@
   return lc_staleness_min_version (&policy, lc_pace_expected_seconds (&pool->pace, tokens));
 }
 
-/* Returns the priority of a request: its expected length in multiples of the trainer's mean. */
+/* Returns the request's priority: its expected length in multiples of the trainer's mean length. */
 static int
-request_priority (const LcRollouts *rollouts, const LcStep *step, double tokens)
+compute_request_priority (const LcRollouts *rollouts, const LcStep *step, double tokens)
 {
   double relative_length
-      = tokens / lc_length_histogram_mean (lc_step_lengths (rollouts, step), INT64_MAX);
+      = tokens / lc_length_histogram_mean (lc_step_length_histogram (rollouts, step), INT64_MAX);
 
   return (int)fmin (relative_length, MAX_PRIORITY);
 }
 
 static void
-fill_request_spec (LcRollouts *rollouts, LcRequestSpec *spec, const LcJob *job)
+fill_generation_spec (LcRollouts *rollouts, LcRequestSpec *spec, const LcJob *job)
 {
   const LcStep *step = job->step;
   const LcSlot *slot = lc_job_slot (job);
   const LcTrainer *trainer = lc_rollouts_find_trainer (rollouts, step->spec.subscription);
-  double tokens = predict_tokens (rollouts, step, slot->group_index);
+  double tokens = predict_next_sample_tokens (rollouts, step, slot->group_index);
 
   spec->id = job->request;
   spec->kind = LC_KIND_SAMPLE;
-  spec->delivery = LC_DELIVER_STREAM; /* hedging and resuming need the progress */
+  spec->delivery = LC_DELIVER_STREAM; /* hedging and resuming need each piece as it arrives */
   LB_COPY (spec->pool, trainer->subscription.pool);
   LB_COPY (spec->caller, step->spec.subscription);
   spec->share = trainer->subscription.share;
   spec->repeatable = true;
   spec->resumable = rollouts->settings.resume;
-  spec->priority = rollouts->settings.longest_first ? request_priority (rollouts, step, tokens) : 0;
+  spec->priority
+      = rollouts->settings.longest_first ? compute_request_priority (rollouts, step, tokens) : 0;
   spec->prompt_tokens
       = (int64_t)strlen (lc_step_group_spec (step, slot)->prompt) / BYTES_PER_TOKEN + 1;
   spec->expected_tokens = (int64_t)tokens;
@@ -179,8 +180,8 @@
   spec->resume_at = job->resume_offset;
 }
 
-/* Excludes an endpoint for the request: a hedge must not run on the endpoint of its original, nor a
- * migrated sample on the slow one. */
+/* Excludes an endpoint for the request. A hedge must not run on the endpoint of the original
+ * request, and a migrated sample must not return to its slow endpoint. */
 static void
 add_avoided_endpoint (LcRequestSpec *spec, const char *endpoint)
 {
@@ -190,9 +191,9 @@
   spec->n_avoid++;
 }
 
-/* Moves the slot's part of an interrupted generation into the job that resumes it. */
+/* Moves the slot's partial sample of an interrupted generation into the job that resumes it. */
 static void
-move_partial_to_job (LcSlot *slot, LcJob *job)
+move_partial_sample_to_job (LcSlot *slot, LcJob *job)
 {
   if (!slot->label)
     return;
@@ -222,11 +223,11 @@
   else
     {
       add_avoided_endpoint (&action->spec, slot->avoid_endpoint);
-      move_partial_to_job (slot, job);
+      move_partial_sample_to_job (slot, job);
     }
-  lc_step_pool (rollouts, step)->n_running++;
+  lc_step_find_pool (rollouts, step)->n_running++;
   lc_rollouts_find_trainer (rollouts, step->spec.subscription)->n_running++;
-  fill_request_spec (rollouts, &action->spec, job);
+  fill_generation_spec (rollouts, &action->spec, job);
   action->group = group->id;
   action->index = slot->index;
   action->prompt = group->prompt;
@@ -277,8 +278,8 @@
     }
 }
 
-/* The trainer with the fewest running generations relative to its share goes next, independently of
- * how many samples wait, so that a burst of one trainer can't starve another. */
+/* Whether trainer a goes before b, as it has fewer running generations relative to its share. The
+ * number of waiting samples does not count, so that a burst of one trainer can't starve another. */
 static bool
 has_fewer_running_per_share (const LcRollouts *rollouts, const LcTrainer *a, const LcTrainer *b)
 {
@@ -289,10 +290,10 @@
 }
 
 static LcSlot *
-pick_slot_of_pool (LcRollouts *rollouts,
-                   const LcRolloutPool *pool,
-                   LcStep **chosen_step,
-                   LbTime now)
+pick_waiting_slot_of_pool (LcRollouts *rollouts,
+                           const LcRolloutPool *pool,
+                           LcStep **chosen_step,
+                           LbTime now)
 {
   LcSlot *chosen = NULL;
   const LcTrainer *chosen_trainer = NULL;
@@ -305,7 +306,7 @@
       continue;
     if (chosen && !has_fewer_running_per_share (rollouts, trainer, chosen_trainer))
       continue;
-    LcSlot *slot = pick_slot (rollouts, step, now);
+    LcSlot *slot = pick_waiting_slot (rollouts, step, now);
     if (!slot)
       continue;
     chosen = slot;
@@ -329,7 +330,7 @@
     while (pool->n_running < pool->max_running)
       {
         LcStep *step = NULL;
-        LcSlot *slot = pick_slot_of_pool (rollouts, pool, &step, now);
+        LcSlot *slot = pick_waiting_slot_of_pool (rollouts, pool, &step, now);
         if (!slot)
           break;
         lc_generate_start_sample (rollouts, step, slot, NULL, now, actions);
--- a/packages/core/src/rollout/lc-review.c
+++ b/packages/core/src/rollout/lc-review.c
@@ -6,15 +6,14 @@
 #include "lc-generate.h"
 
 #define REVIEW_INTERVAL (100 * LB_MSEC)
-/* A sample that was migrated this often stays where it is. */
-#define MAX_MIGRATIONS 4
+#define MAX_MIGRATIONS_PER_SAMPLE 4
 
 static LbMetric hedges_metric = LB_COUNTER_INIT ("lentilspindle_rollout_hedges_total",
                                                  NULL,
                                                  "Second generations started for running samples");
 
 static LcSampleProgress
-job_progress (const LcJob *job)
+get_job_progress (const LcJob *job)
 {
   return (LcSampleProgress){ .tokens = job->label.tokens,
                              .max_tokens
@@ -37,12 +36,12 @@
   return slot->state == LC_SLOT_RUNNING && slot->jobs.length == 1 && !job->is_preempted;
 }
 
-/* Picks the running sample with the largest gain; NULL if none has a gain above 0. */
+/* Returns the running sample with the largest gain, in seconds; NULL if no gain is above 0. */
 static LcJob *
 pick_straggler (LcRollouts *rollouts, LcStep *step, GainFunction gain_function, LbTime now)
 {
   const LcTrainer *trainer = lc_rollouts_find_trainer (rollouts, step->spec.subscription);
-  const LcRolloutPool *pool = lc_step_pool (rollouts, step);
+  const LcRolloutPool *pool = lc_step_find_pool (rollouts, step);
   LcJob *best = NULL;
   double best_gain = 0;
 
@@ -51,10 +50,10 @@
       LcSlot *slot = &step->slots[i];
       if (!has_single_running_job (slot)
           || (gain_function == lc_straggler_move_gain_seconds
-              && slot->n_migrations >= MAX_MIGRATIONS))
+              && slot->n_migrations >= MAX_MIGRATIONS_PER_SAMPLE))
         continue;
       LcJob *job = LB_LIST_FIRST (&slot->jobs, LcJob, link);
-      LcSampleProgress progress = job_progress (job);
+      LcSampleProgress progress = get_job_progress (job);
       double gain = gain_function (&trainer->lengths, &pool->pace, &progress,
                                    trainer->subscription.idle_weight, now);
       if (gain > best_gain)
@@ -87,7 +86,7 @@
 }
 
 static void
-preempt (LcJob *job, LbList *actions)
+preempt_job (LcJob *job, LbList *actions)
 {
   LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_PREEMPT);
 
@@ -105,7 +104,7 @@
          && (job = pick_straggler (rollouts, step, lc_straggler_move_gain_seconds, now)))
     {
       LB_COPY (lc_job_slot (job)->avoid_endpoint, job->endpoint);
-      preempt (job, actions);
+      preempt_job (job, actions);
       log_straggler (job, "sample-migrated");
     }
 }
@@ -113,15 +112,16 @@
 static void
 hedge_stragglers (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
 {
-  LcRolloutPool *pool = lc_step_pool (rollouts, step);
+  LcRolloutPool *pool = lc_step_find_pool (rollouts, step);
   LcJob *job;
 
   while (rollouts->settings.hedging && pool->n_running < pool->max_running
          && (job = pick_straggler (rollouts, step, lc_straggler_hedge_gain_seconds, now)))
     {
-      LcSampleProgress progress = job_progress (job);
-      int64_t cost_tokens = lc_straggler_hedge_cost_tokens (lc_step_lengths (rollouts, step),
-                                                            &pool->pace, &progress, now);
+      LcSampleProgress progress = get_job_progress (job);
+      int64_t cost_tokens
+          = lc_straggler_hedge_cost_tokens (lc_step_length_histogram (rollouts, step), &pool->pace,
+                                            &progress, now);
       if (!is_within_hedge_budget (rollouts, step, cost_tokens))
         return;
       log_straggler (job, "sample-hedged");
@@ -134,10 +134,10 @@
     }
 }
 
-/* Hedges only once no slot waits: a waiting slot makes better use of the pool's free capacity than
- * a hedge. */
+/* Hedges only once no slot waits for a generation, since a waiting slot makes better use of the
+ * pool's free capacity than a hedge. */
 void
-lc_review_step (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
+lc_review_stragglers (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
 {
   if (rollouts->draining || now < step->next_review_at || step->n_in_state[LC_SLOT_RUNNING] == 0)
     return;
--- a/packages/core/tests/test-rollouts-once.c
+++ b/packages/core/tests/test-rollouts-once.c
@@ -3,7 +3,7 @@
 static const LcSubscription plain = { .share = 1, .idle_weight = 1, .hedge_budget = 0.5 };
 static const LcSubscription strict = { .share = 1, .idle_weight = 1, .strict = true };
 
-/* A second instance that takes the step over, starting from the first one's row in the store, which
+/* Creates a second owner, which takes over the step with the first owner's ledger row. The row
  * records the slots that were delivered. */
 static Owner *
 new_successor (const Owner *first, uint64_t session)
@@ -26,7 +26,7 @@
   owner_start_pull (owner, 1, "", 40, 10 * LB_SEC);
   owner_start_pull (owner, 2, "", 40, 10 * LB_SEC);
   cr_assert_eq (owner->n_replies, 0);
-  owner_finish_all (owner, 40);
+  owner_finish_all_generations (owner, 40);
   cr_assert_eq (owner->n_replies, 2);
   char *cursor = lb_strdup (owner->cursor);
   char *sample = lb_strdup (owner->samples[0]);
@@ -35,7 +35,7 @@
   cr_assert_str_eq (owner->cursor, cursor);
   cr_assert_str_eq (owner->samples[0], sample);
   cr_assert_eq (owner->n_samples, n_samples);
-  owner_pull (owner, cursor, 40);
+  owner_pull_without_waiting (owner, cursor, 40);
   cr_assert_eq (owner->n_samples, 8 - n_samples);
   cr_assert_str_neq (owner->samples[0], sample);
   free (cursor);
@@ -54,12 +54,12 @@
 
   owner_open_step (first, 4, 2, 1);
   owner_start_pull (first, 1, "", 40, 10 * LB_SEC);
-  owner_finish_all (first, 40);
+  owner_finish_all_generations (first, 40);
   cr_assert_gt (first->n_samples, 0);
   cr_assert_gt (first->remaining, 0);
   owner_open_step (second, 4, 2, 1);
-  owner_finish_all (second, 40);
-  owner_pull (second, first->cursor, 40);
+  owner_finish_all_generations (second, 40);
+  owner_pull_without_waiting (second, first->cursor, 40);
   cr_assert_eq (second->reply_error, LB_OK);
   cr_assert_eq (first->n_samples + second->n_samples, 8);
   for (size_t i = 0; i < second->n_samples; i++)
@@ -69,22 +69,23 @@
   owner_free (second);
 }
 
-/* A pull delayed by the network arrives after later ones. Answering it would deliver samples that
+/* A pull delayed by the network arrives after later ones. An answer would deliver samples that
  * the trainer already has. */
 Test (rollouts_once, delayed_pull_with_an_older_cursor_is_rejected)
 {
   Owner *owner = owner_new (&plain, 5);
 
   owner_open_step (owner, 4, 2, 1);
-  owner_finish_all (owner, 40);
-  owner_pull (owner, "", 40);
-  owner_pull (owner, owner->cursor, 40);
-  owner_pull (owner, "", 40);
+  owner_finish_all_generations (owner, 40);
+  owner_pull_without_waiting (owner, "", 40);
+  owner_pull_without_waiting (owner, owner->cursor, 40);
+  owner_pull_without_waiting (owner, "", 40);
   cr_assert_eq (owner->reply_error, LB_ERROR_BAD_CURSOR);
   owner_free (owner);
 }
 
-/* Nine of ten samples finish at the usual pace; the first one stalls after 10 tokens. */
+/* Creates an owner with ten samples. Nine finish at the usual pace; the first stalls after 10
+ * tokens. */
 static Owner *
 new_owner_with_straggler (const LcRolloutSettings *settings)
 {
@@ -98,7 +99,7 @@
   for (size_t i = 1; i < 10; i++)
     {
       owner_add_piece (owner, owner->requests[i].id, 1, 99, 40);
-      owner_finish (owner, owner->requests[i].id, LB_OK, "short");
+      owner_finish_generation (owner, owner->requests[i].id, LB_OK, "short");
     }
   owner_add_piece (owner, owner->requests[0].id, 0, 10, 40);
   owner_advance_time (owner, 10 * LB_SEC);
@@ -113,25 +114,25 @@
   settings.migrate = false;
   Owner *owner = new_owner_with_straggler (&settings);
   cr_assert_eq (owner->n_requests, 11);
-  cr_assert_eq (owner_status (owner).hedges, 1);
+  cr_assert_eq (owner_get_step_status (owner).hedges, 1);
   cr_assert_str_eq (owner->requests[10].avoid[0], "e1");
   LcRequestId original = owner->requests[0].id;
   owner_add_piece (owner, owner->requests[10].id, 0, 20, 40);
-  owner_finish (owner, owner->requests[10].id, LB_OK, "hedge");
+  owner_finish_generation (owner, owner->requests[10].id, LB_OK, "hedge");
   cr_assert_eq (owner->last_cancelled, original);
   owner_add_piece (owner, original, 10, 5, 40);
-  owner_finish (owner, original, LB_OK, "late");
-  owner_pull (owner, "", 40);
+  owner_finish_generation (owner, original, LB_OK, "late");
+  owner_pull_without_waiting (owner, "", 40);
   cr_assert_eq (owner->n_samples, 10);
   cr_assert_str_eq (owner->samples[0], "g0/0 hedge");
-  owner_pull (owner, owner->cursor, 40);
+  owner_pull_without_waiting (owner, owner->cursor, 40);
   cr_assert_eq (owner->n_samples, 0);
   cr_assert_eq (lc_rollouts_count_invariant_failures (owner->rollouts), 0);
   owner_free (owner);
 }
 
-/* One sample on a slow endpoint delays the step. It resumes on another endpoint after the tokens
- * that it has, none of which is generated again; later pieces of the slow endpoint are ignored. */
+/* One sample on a slow endpoint delays the step. The sample resumes on another endpoint after its
+ * existing tokens, which are not generated again. Later pieces of the slow endpoint are ignored. */
 Test (rollouts_once, sample_of_a_slow_endpoint_is_migrated)
 {
   LcRolloutSettings settings = lc_rollout_settings_default ();
@@ -140,38 +141,38 @@
 
   cr_assert_eq (owner->last_preempted, original);
   cr_assert_eq (owner->n_requests, 10);
-  owner_finish (owner, original, LB_ERROR_CLOSED, "begun ");
+  owner_finish_generation (owner, original, LB_ERROR_CLOSED, "begun ");
   cr_assert_eq (owner->n_requests, 11);
   cr_assert_str_eq (owner->requests[10].avoid[0], "e1");
   cr_assert_eq (owner->requests[10].resume_at, 10);
   owner_add_piece (owner, original, 10, 5, 40);
   owner_add_piece (owner, owner->requests[10].id, 10, 20, 41);
-  owner_finish (owner, owner->requests[10].id, LB_OK, "ended");
-  owner_pull (owner, "", 41);
+  owner_finish_generation (owner, owner->requests[10].id, LB_OK, "ended");
+  owner_pull_without_waiting (owner, "", 41);
   cr_assert_eq (owner->n_samples, 10);
   cr_assert_str_eq (owner->samples[0], "g0/0 begun ended");
   cr_assert_eq (owner->labels[0].n_spans, 2);
   cr_assert_eq (owner->labels[0].tokens, 30);
-  cr_assert_eq (owner_status (owner).wasted_tokens, 0);
+  cr_assert_eq (owner_get_step_status (owner).wasted_tokens, 0);
   owner_free (owner);
 }
 
-/* The sample completes before its preemption takes effect, and counts as it is. */
+/* A sample completes before its preemption takes effect. It must be delivered, not resumed. */
 Test (rollouts_once, preemption_after_completion_has_no_effect)
 {
   LcRolloutSettings settings = lc_rollout_settings_default ();
   Owner *owner = new_owner_with_straggler (&settings);
 
   owner_add_piece (owner, owner->requests[0].id, 10, 5, 40);
-  owner_finish (owner, owner->requests[0].id, LB_OK, "whole");
+  owner_finish_generation (owner, owner->requests[0].id, LB_OK, "whole");
   cr_assert_eq (owner->n_requests, 10);
-  owner_pull (owner, "", 41);
+  owner_pull_without_waiting (owner, "", 41);
   cr_assert_str_eq (owner->samples[0], "g0/0 whole");
   owner_free (owner);
 }
 
-/* The owner dies after it sent a chunk and before the ledger write for it. The ledger is then
- * behind the trainer's cursor; the cursor must count, or samples are delivered twice. */
+/* The owner dies after it sent a chunk and before the ledger write for the chunk. The trainer's
+ * cursor then has slots that the ledger lacks; if it were ignored, samples would be sent twice. */
 Test (rollouts_once, new_owner_continues_from_the_trainers_cursor)
 {
   Owner *first = owner_new (&plain, 5);
@@ -181,18 +182,18 @@
   for (size_t i = 0; i < 4; i++)
     {
       owner_add_piece (first, first->requests[i].id, 0, 10, 40);
-      owner_finish (first, first->requests[i].id, LB_OK, "text");
+      owner_finish_generation (first, first->requests[i].id, LB_OK, "text");
     }
-  owner_finish_all (first, 40);
-  owner_pull (first, "", 40);
+  owner_finish_all_generations (first, 40);
+  owner_pull_without_waiting (first, "", 40);
   cr_assert_eq (first->n_samples, 8);
   char *cursor = lb_strdup (first->cursor);
   Owner *second = new_successor (first, 2);
-  owner_pull (second, cursor, 40);
+  owner_pull_without_waiting (second, cursor, 40);
   cr_assert_eq (second->reply_error, LB_OK);
   cr_assert_eq (second->n_samples, 0);
   cr_assert_eq (second->remaining, 0);
-  cr_assert_eq (owner_count_running (second), 0);
+  cr_assert_eq (owner_count_running_requests (second), 0);
   free (cursor);
   owner_free (first);
   owner_free (second);
@@ -209,20 +210,20 @@
   for (size_t i = 0; i < 5; i++)
     {
       owner_add_piece (first, first->requests[i].id, 0, 10, 40);
-      owner_finish (first, first->requests[i].id, LB_OK, "first");
+      owner_finish_generation (first, first->requests[i].id, LB_OK, "first");
     }
   OWNER_CALL (first, lc_rollouts_drain (first->rollouts, first->now, &actions));
-  owner_pull (first, "", 40);
+  owner_pull_without_waiting (first, "", 40);
   cr_assert_eq (first->n_samples, 2);
   second->n_handed_over
       = lc_rollouts_list_unacknowledged (first->rollouts, "t", 1, &second->handed_over);
   cr_assert_eq (second->n_handed_over, 5);
   owner_open_step (second, 4, 2, 2);
-  cr_assert_eq (owner_count_running (second), 3);
-  owner_pull (second, first->cursor, 40);
+  cr_assert_eq (owner_count_running_requests (second), 3);
+  owner_pull_without_waiting (second, first->cursor, 40);
   cr_assert_eq (second->remaining, 6);
-  owner_finish_all (second, 40);
-  owner_pull (second, second->cursor, 40);
+  owner_finish_all_generations (second, 40);
+  owner_pull_without_waiting (second, second->cursor, 40);
   cr_assert_eq (second->n_samples, 6);
   cr_assert_str_eq (second->samples[0], "g1/0 first");
   free (second->handed_over);
@@ -230,54 +231,55 @@
   owner_free (second);
 }
 
-/* The owner's process is paused, another instance takes the step over, and the first one then gets
- * a pull. Delivering could repeat samples of the new owner's chunks. It delivers only after a
- * ledger write, which fails because of the session. */
+/* The owner's process is paused, another instance takes over the step, and the old owner then gets
+ * a pull. A delivery could repeat samples of the new owner's chunks. The old owner delivers only
+ * after a ledger write, which fails because of its older session. */
 Test (rollouts_once, replaced_owner_does_not_deliver_after_a_pause)
 {
   Owner *owner = owner_new (&plain, 5);
 
   owner_open_step (owner, 4, 2, 1);
-  owner_finish_all (owner, 40);
+  owner_finish_all_generations (owner, 40);
   owner->now += 30 * LB_SEC;
   owner->ledger_error = LB_ERROR_CONDITION_FAILED;
   owner_start_pull (owner, 1, "", 40, 5 * LB_SEC);
   cr_assert_eq (owner->n_replies, 1);
   cr_assert_eq (owner->reply_error, LB_ERROR_STALE_SESSION);
-  owner_pull (owner, "", 40);
+  owner_pull_without_waiting (owner, "", 40);
   cr_assert_eq (owner->reply_error, LB_ERROR_UNKNOWN_STEP);
   owner_free (owner);
 }
 
-/* The same while the store is unavailable: the owner can't tell whether it was replaced, so it
- * delivers only after a ledger write succeeds. */
+/* The owner's process is paused, and the store is unavailable afterwards. The owner can't tell
+ * whether it was replaced, so it delivers only after a ledger write succeeds. */
 Test (rollouts_once, paused_owner_waits_for_the_store_before_delivery)
 {
   Owner *owner = owner_new (&plain, 5);
 
   owner_open_step (owner, 4, 2, 1);
-  owner_finish_all (owner, 40);
+  owner_finish_all_generations (owner, 40);
   owner->now += 30 * LB_SEC;
   owner->ledger_error = LB_ERROR_STORE_AWAY;
-  owner_pull (owner, "", 40);
+  owner_pull_without_waiting (owner, "", 40);
   cr_assert_eq (owner->reply_error, LB_ERROR_STORE_AWAY);
   owner->ledger_error = LB_OK;
   owner_advance_time (owner, 10 * LB_SEC);
-  owner_pull (owner, "", 40);
+  owner_pull_without_waiting (owner, "", 40);
   cr_assert_eq (owner->n_samples, 8);
   owner_free (owner);
 }
 
-/* An owner that doesn't know that it was replaced gets a cursor of the new owner's session. */
+/* An owner that doesn't know that it was replaced gets a cursor of the new owner's session. It must
+ * stop delivering the step. */
 Test (rollouts_once, cursor_of_a_later_session_stops_the_owner)
 {
   Owner *first = owner_new (&plain, 5);
 
   owner_open_step (first, 4, 2, 1);
-  owner_finish_all (first, 40);
+  owner_finish_all_generations (first, 40);
   Owner *second = new_successor (first, 2);
-  owner_pull (second, "", 40);
-  owner_pull (first, second->cursor, 40);
+  owner_pull_without_waiting (second, "", 40);
+  owner_pull_without_waiting (first, second->cursor, 40);
   cr_assert_eq (first->reply_error, LB_ERROR_STALE_SESSION);
   cr_assert_not (lc_rollouts_get_step_status (first->rollouts, "t", 1, &(LcStepStatus){ 0 }));
   owner_free (first);
@@ -296,30 +298,30 @@
   for (size_t i = 0; i < 8; i++)
     {
       owner_add_piece (owner, owner->requests[i].id, 0, 10, 40);
-      owner_finish (owner, owner->requests[i].id, LB_OK, "text");
-      owner_pull (owner, owner->cursor, 40);
+      owner_finish_generation (owner, owner->requests[i].id, LB_OK, "text");
+      owner_pull_without_waiting (owner, owner->cursor, 40);
       cr_assert_eq (owner->reply_error, LB_OK);
       got += owner->n_samples;
       owner_advance_time (owner, 30 * LB_SEC);
     }
-  owner_pull (owner, owner->cursor, 40);
+  owner_pull_without_waiting (owner, owner->cursor, 40);
   cr_assert_eq (got, 8);
   owner->ledger_error = LB_OK;
   owner_advance_time (owner, 10 * LB_SEC);
   Owner *second = new_successor (owner, 2);
-  cr_assert_eq (owner_count_running (second), 0);
+  cr_assert_eq (owner_count_running_requests (second), 0);
   owner_free (owner);
   owner_free (second);
 }
 
 /* A strict subscription has no cursor, so only the ledger records what was delivered. No chunk may
- * be sent before the write that names it has succeeded. */
+ * be sent before the ledger write that records it has succeeded. */
 Test (rollouts_once, strict_chunk_is_sent_only_after_its_ledger_write)
 {
   Owner *owner = owner_new (&strict, 5);
 
   owner_open_step (owner, 4, 2, 1);
-  owner_finish_all (owner, 40);
+  owner_finish_all_generations (owner, 40);
   owner->ledger_is_unresponsive = true;
   owner_start_pull (owner, 1, "", 40, 5 * LB_SEC);
   cr_assert_eq (owner->n_replies, 0);
@@ -329,13 +331,14 @@
   cr_assert_eq (owner->n_replies, 1);
   cr_assert_eq (owner->n_samples, 8);
   cr_assert_str_eq (owner->cursor, "");
-  owner_pull (owner, "", 40);
+  owner_pull_without_waiting (owner, "", 40);
   cr_assert_eq (owner->n_samples, 0);
   cr_assert_eq (owner->remaining, 0);
   owner_free (owner);
 }
 
-/* Two connections of a strict trainer send the same pull. Each sample must go to only one. */
+/* Two connections of a strict trainer send the same pull. Only one of them may get
+ * each sample. */
 Test (rollouts_once, strict_chunk_is_sent_to_one_of_two_pulls)
 {
   Owner *owner = owner_new (&strict, 5);
@@ -343,9 +346,9 @@
   owner_open_step (owner, 4, 2, 1);
   owner_start_pull (owner, 1, "", 40, 60 * LB_SEC);
   owner_start_pull (owner, 2, "", 40, 60 * LB_SEC);
-  owner_finish_all (owner, 40);
+  owner_finish_all_generations (owner, 40);
   cr_assert_eq (owner->n_replies, 2);
-  cr_assert_eq (owner->n_delivered, owner_status (owner).delivered);
+  cr_assert_eq (owner->n_delivered, owner_get_step_status (owner).delivered);
   cr_assert_eq (lc_rollouts_count_invariant_failures (owner->rollouts), 0);
   owner_free (owner);
 }
@@ -357,13 +360,13 @@
   Owner *owner = owner_new (&strict, 5);
 
   owner_open_step (owner, 4, 2, 1);
-  owner_finish_all (owner, 40);
+  owner_finish_all_generations (owner, 40);
   owner->ledger_is_unresponsive = true;
   owner_start_pull (owner, 1, "", 40, 5 * LB_SEC);
   lc_rollouts_cancel_pull (owner->rollouts, 1);
   OWNER_CALL (owner, lc_rollouts_finish_ledger_write (owner->rollouts, owner->last_write_id, LB_OK,
                                                       owner->now, &actions));
-  owner_pull (owner, "", 40);
+  owner_pull_without_waiting (owner, "", 40);
   cr_assert_eq (owner->n_samples, 8);
   owner_free (owner);
 }
