--- a/packages/core/include/lc-endpoints.h
+++ b/packages/core/include/lc-endpoints.h
@@ -3,18 +3,18 @@
 
 #include "lc-resources.h"
 
-/* Load and state as reported by an engine or service; may arrive late or out of order. */
+/* Load and state that an engine or service reports. Reports may arrive late or out of order. */
 typedef struct
 {
   char incarnation[40]; /* changes with each start of the endpoint's process; "": not stated */
   bool leaving;
-  LcVersion version; /* of the weights being served; 0: a swap is in progress or has failed */
-  int64_t running;   /* requests */
-  int64_t waiting;
-  double tokens_per_second; /* rate of one stream at the present load; 0: unknown */
+  LcVersion version; /* weights being served; 0: a weight swap is in progress or has failed */
+  int64_t running;   /* number of requests being processed */
+  int64_t waiting;   /* number of queued requests */
+  double tokens_per_second; /* token rate of one stream at the current load; 0: unknown */
   double kv_used;           /* share of the KV cache in use, 0..1 */
-  LbTime measured_at;       /* converted to this instance's clock */
-  bool is_from_registry;    /* read from the store, not sent by the endpoint */
+  LbTime measured_at;       /* time of the measurement, converted to this instance's clock */
+  bool is_from_registry;    /* the report was read from the store, not sent by the endpoint */
 } LcLoadReport;
 
 typedef enum
@@ -30,21 +30,23 @@
   LcEndpointMember member;
   uint32_t slot; /* index in the table, stable while the endpoint is known */
   LcLoadReport report;
-  bool leaving; /* from any source; never cleared for the same incarnation */
+  /* Marked as leaving by any source. Cleared by a new incarnation, or when the platform's list
+   * clears a mark that may have been meant for an earlier incarnation. */
+  bool leaving;
   LbTime leaving_since;
-  bool swap_pending; /* weights are about to change or in an unknown state */
-  LbTime swap_until; /* when the new weights are expected to serve */
-  int64_t in_flight; /* this instance's requests there */
-  int64_t in_flight_rollout;
-  int64_t sent_since_report;      /* this instance's requests that its last load report lacks */
-  double concurrency_limit;       /* adaptive, for this instance's requests */
-  double ewma_token_seconds;      /* moving average of a request's duration per token */
+  bool swap_pending; /* the weights are about to change or their version is unknown */
+  LbTime swap_until; /* when the weight swap is expected to be complete */
+  int64_t in_flight; /* number of this instance's requests at the endpoint */
+  int64_t in_flight_samples;
+  int64_t sent_since_report; /* requests of this instance that the last report does not include */
+  double concurrency_limit;  /* adaptive limit of in_flight */
+  double ewma_token_seconds; /* moving average of a request's duration per token */
   double ewma_first_byte_seconds; /* moving average of the time to the first byte */
   LcBreakerState breaker;
   LbTime breaker_open_until;
   int64_t consecutive_failures;
   LbTime last_reply_at;
-  size_t idle_connections; /* open and idle, as of idle_connections_at */
+  size_t idle_connections; /* number of open idle connections at idle_connections_at */
   LbTime idle_connections_at;
 } LcEndpoint;
 
@@ -52,10 +54,10 @@
 
 typedef enum
 {
-  LC_LEAVING_RESOURCE, /* its resource in the configuration */
-  LC_LEAVING_PLATFORM, /* the platform's list of endpoints */
-  LC_LEAVING_ENDPOINT, /* the endpoint itself */
-  LC_LEAVING_PEER      /* another instance */
+  LC_LEAVING_RESOURCE, /* marked in the endpoint's configuration resource */
+  LC_LEAVING_PLATFORM, /* marked in the platform's list of endpoints */
+  LC_LEAVING_ENDPOINT, /* announced by the endpoint itself */
+  LC_LEAVING_PEER      /* announced by another instance */
 } LcLeavingSource;
 
 LcEndpoints *lc_endpoints_new (void);
@@ -63,20 +65,20 @@
 
 /* commands */
 void lc_endpoints_configure (LcEndpoints *endpoints, const LcResourceSet *set, LbTime now);
-/* A report with a new incarnation clears leaving, the breaker and cached prefixes. */
+/* A report with a new incarnation clears the leaving mark, the breaker and the cached prefixes. */
 void lc_endpoints_record_load (LcEndpoints *endpoints,
                                const char *name,
                                const LcLoadReport *report,
                                LbTime now);
-/* Marks an incarnation as leaving, "" the current one; true if the endpoint was not leaving
- * before. */
+/* Marks an incarnation of the endpoint as leaving; "": the current incarnation. Returns true if the
+ * endpoint was not leaving before and is leaving now. */
 bool lc_endpoints_mark_leaving (LcEndpoints *endpoints,
                                 const char *name,
                                 const char *incarnation,
                                 LcLeavingSource source,
                                 LbTime now);
-/* The platform's list names the endpoint and does not mark it as leaving. Clears only a mark of the
- * list that may have meant an earlier incarnation. */
+/* Called when the platform's list no longer marks the endpoint as leaving. Clears only a mark of
+ * the list that may have been meant for an earlier incarnation. */
 void lc_endpoints_clear_platform_leaving (LcEndpoints *endpoints, const char *name, LbTime now);
 void lc_endpoints_set_weight_swap (
     LcEndpoints *endpoints, const char *name, bool pending, LbTime until, LbTime now);
@@ -91,10 +93,12 @@
                                uint64_t prefix_hash,
                                LbTime now);
 void lc_endpoint_first_byte_received (LcEndpoint *endpoint, LbTime waited, LbTime now);
-/* A stream delivered tokens, or none, in the interval since its previous chunk. */
+/* Records the tokens, possibly 0, that a stream delivered in the interval since its previous
+ * chunk. */
 void
 lc_endpoint_tokens_received (LcEndpoint *endpoint, int64_t tokens, LbTime interval, LbTime now);
-/* ok: false for a failure of the endpoint, as opposed to a cancellation by this instance. */
+/* ok: false if the endpoint failed. Cancellations by this instance are reported with
+ * lc_endpoint_request_cancelled. */
 void lc_endpoint_request_ended (
     LcEndpoint *endpoint, LcRequestKind kind, bool ok, int64_t tokens, LbTime took, LbTime now);
 void lc_endpoint_set_idle_connections (LcEndpoint *endpoint, size_t n_idle, LbTime now);
@@ -112,8 +116,8 @@
                                         const uint64_t *prefix_hashes,
                                         size_t n_hashes,
                                         LbTime now);
-/* Whether a request of this kind may be sent there now. live_reserve: share of the concurrency kept
- * for live calls, 0..0.9. */
+/* Whether a request of this kind may be sent to the endpoint now. live_reserve: share of the
+ * concurrency kept for live calls, 0..0.9. */
 bool lc_endpoint_can_accept (const LcEndpoint *endpoint,
                              LcRequestKind kind,
                              double live_reserve,
--- a/packages/core/include/lc-entry.h
+++ b/packages/core/include/lc-entry.h
@@ -3,13 +3,14 @@
 
 #include "lc-membership.h"
 
-/* Addresses returned to a caller. */
+/* Maximum number of instance addresses returned to a caller. */
 #define LC_MAX_ENTRY_ADDRESSES 3
 
 /* The instances that a caller should connect to, in order of preference. */
 typedef struct
 {
-  size_t chosen[LC_MAX_ENTRY_ADDRESSES]; /* indexes into views */
+  size_t chosen[LC_MAX_ENTRY_ADDRESSES]; /* indexes into the views given to
+                                            lc_entry_choose_instances */
   size_t n_chosen;
 } LcEntryChoice;
 
--- a/packages/core/src/endpoints/lc-batch-cost.c
+++ b/packages/core/src/endpoints/lc-batch-cost.c
@@ -4,9 +4,9 @@
 
 #define PRIOR_SLOWDOWN 1.0
 /* Variance of the fill at which the prior and the reports weigh the same: reports with nearly equal
- * fill hold little information on the slope. */
-#define PRIOR_VARIANCE 0.002
-#define MIN_WEIGHT 0.005 /* least weight of a new report in the means */
+ * fill contain little information on the slope. */
+#define PRIOR_FILL_VARIANCE 0.002
+#define MIN_REPORT_WEIGHT 0.005 /* minimum weight of a new report in the means */
 #define MIN_SLOWDOWN 0.05
 #define MAX_SLOWDOWN 5.0
 
@@ -19,7 +19,7 @@
 void
 lc_batch_cost_add_report (LcBatchCost *cost, double fill, double token_seconds)
 {
-  double weight = fmax (MIN_WEIGHT, 1 / (cost->n_reports + 1));
+  double weight = fmax (MIN_REPORT_WEIGHT, 1 / (cost->n_reports + 1));
 
   cost->n_reports++;
   update_mean (&cost->mean_fill, fill, weight);
@@ -35,7 +35,8 @@
   double covariance = cost->mean_fill_token_seconds - cost->mean_fill * cost->mean_token_seconds;
   double prior_slope
       = PRIOR_SLOWDOWN * cost->mean_token_seconds / (1 + PRIOR_SLOWDOWN * cost->mean_fill);
-  double slope = (covariance + PRIOR_VARIANCE * prior_slope) / (variance + PRIOR_VARIANCE);
+  double slope
+      = (covariance + PRIOR_FILL_VARIANCE * prior_slope) / (variance + PRIOR_FILL_VARIANCE);
   double intercept = cost->mean_token_seconds - slope * cost->mean_fill;
 
   if (cost->n_reports == 0)
--- a/packages/core/src/endpoints/lc-breaker.c
+++ b/packages/core/src/endpoints/lc-breaker.c
@@ -33,16 +33,17 @@
 }
 
 static void
-record_result (LcBreaker *breaker, bool failed)
+record_request_result (LcBreaker *breaker, bool failed)
 {
   breaker->n_results++;
   breaker->failure_ratio += FAILURE_RATIO_WEIGHT * ((failed ? 1 : 0) - breaker->failure_ratio);
   breaker->consecutive_failures = failed ? breaker->consecutive_failures + 1 : 0;
 }
 
-/* The ratio detects an endpoint that fails many requests, but never enough in a row. */
+/* The failure ratio detects an endpoint that fails many requests, but never
+ * CONSECUTIVE_FAILURES_TO_OPEN in a row. */
 static bool
-should_open (const LcBreaker *breaker)
+has_too_many_failures (const LcBreaker *breaker)
 {
   return breaker->consecutive_failures >= CONSECUTIVE_FAILURES_TO_OPEN
          || (breaker->n_results >= MIN_RESULTS_FOR_RATIO
@@ -61,7 +62,7 @@
 /* Results of requests sent before the first trial are ignored: requests that hung during an outage
  * time out late and would reopen the breaker although the endpoint has recovered. */
 static bool
-predates_trial (const LcBreaker *breaker, LbTime sent_at)
+was_sent_before_first_trial (const LcBreaker *breaker, LbTime sent_at)
 {
   return breaker->state != LC_BREAKER_CLOSED && sent_at < breaker->open_until;
 }
@@ -69,22 +70,22 @@
 void
 lc_breaker_request_failed (LcBreaker *breaker, LbTime sent_at, LbTime now)
 {
-  if (predates_trial (breaker, sent_at) || !lb_switch_is_on (LB_SWITCH_BREAKERS))
+  if (was_sent_before_first_trial (breaker, sent_at) || !lb_switch_is_on (LB_SWITCH_BREAKERS))
     return;
-  record_result (breaker, true);
-  if (breaker->state == LC_BREAKER_HALF_OPEN || should_open (breaker))
+  record_request_result (breaker, true);
+  if (breaker->state == LC_BREAKER_HALF_OPEN || has_too_many_failures (breaker))
     open_breaker (breaker, now);
 }
 
 /* While half open, each success raises the concurrency by one. All instances see an endpoint
- * recover in the same second: if each sent its full share at once, the endpoint would fail again,
- * and the breakers of all instances would open and close in step. */
+ * recover in the same second: if each instance sent its full share at once, the endpoint would
+ * fail again, and the breakers of all instances would open and close at the same time. */
 void
 lc_breaker_request_succeeded (LcBreaker *breaker, LbTime sent_at)
 {
-  if (predates_trial (breaker, sent_at))
+  if (was_sent_before_first_trial (breaker, sent_at))
     return;
-  record_result (breaker, false);
+  record_request_result (breaker, false);
   if (breaker->state != LC_BREAKER_HALF_OPEN)
     return;
   breaker->max_trials++;
--- a/packages/core/src/endpoints/lc-breaker.h
+++ b/packages/core/src/endpoints/lc-breaker.h
@@ -3,17 +3,17 @@
 
 #include "lc-endpoints.h"
 
-/* Circuit breaker of one endpoint. Half open, it raises the number of concurrent requests by one
- * with each success. */
+/* Circuit breaker of one endpoint. While it is half open, each success raises the number of
+ * concurrent requests that it allows by one. */
 typedef struct
 {
   LcBreakerState state;
   LbTime open_until; /* OPEN: when the first trial request may be sent */
   int64_t consecutive_failures;
-  double failure_ratio;         /* exponentially weighted */
-  int64_t n_results;            /* since it was last closed */
-  int64_t consecutive_openings; /* without being closed in between */
-  int64_t max_trials;           /* HALF_OPEN: concurrent requests allowed */
+  double failure_ratio;         /* exponentially weighted mean, 0..1 */
+  int64_t n_results;            /* number of results since the breaker was last closed */
+  int64_t consecutive_openings; /* number of openings since the breaker was last closed */
+  int64_t max_trials;           /* HALF_OPEN: maximum number of concurrent requests */
 } LcBreaker;
 
 /* commands */
@@ -23,7 +23,7 @@
 void lc_breaker_request_failed (LcBreaker *breaker, LbTime sent_at, LbTime now);
 
 /* queries */
-/* Concurrent requests that the breaker allows; INT64_MAX when closed. */
+/* Maximum number of concurrent requests; INT64_MAX if the breaker is closed. */
 int64_t lc_breaker_max_in_flight (const LcBreaker *breaker, LbTime now);
 
 #endif
--- a/packages/core/src/endpoints/lc-concurrency.c
+++ b/packages/core/src/endpoints/lc-concurrency.c
@@ -2,17 +2,18 @@
 
 #include <math.h>
 
-#define MIN_LIMIT 1.0
+#define MIN_CONCURRENCY_LIMIT 1.0
 #define SLOW_DECREASE_FACTOR 0.9
 #define FAILED_DECREASE_FACTOR 0.7
-/* Requests queue at the endpoint when the time to first byte exceeds SLOW_FACTOR times the minimum
- * by more than SLOW_EXTRA_SECONDS; smaller differences are noise. */
-#define SLOW_FACTOR 3.0
-#define SLOW_EXTRA_SECONDS 0.25
-/* Applied at each first byte, so that the minimum rises when the hardware gets slower. */
-#define MIN_RISE_WEIGHT 0.002
-/* Delays of the requests in flight share one cause and cause one decrease, not one each. */
-#define DECREASE_PERIOD LB_SEC
+/* Requests queue at the endpoint when the time to first byte exceeds SLOW_FIRST_BYTE_FACTOR times
+ * the minimum by more than SLOW_FIRST_BYTE_EXTRA_SECONDS; smaller differences are noise. */
+#define SLOW_FIRST_BYTE_FACTOR 3.0
+#define SLOW_FIRST_BYTE_EXTRA_SECONDS 0.25
+/* Weight of each longer time to first byte in the minimum, so that the minimum rises when the
+ * hardware gets slower. */
+#define MIN_FIRST_BYTE_RISE_WEIGHT 0.002
+/* The requests in flight are delayed by the same cause, which must decrease the limit only once. */
+#define MIN_DECREASE_INTERVAL LB_SEC
 
 void
 lc_concurrency_init (LcConcurrency *concurrency, int64_t max)
@@ -33,21 +34,21 @@
 static void
 decrease_limit (LcConcurrency *concurrency, double factor, LbTime now)
 {
-  if (concurrency->decreased_at != 0 && now - concurrency->decreased_at < DECREASE_PERIOD)
+  if (concurrency->decreased_at != 0 && now - concurrency->decreased_at < MIN_DECREASE_INTERVAL)
     return;
   concurrency->decreased_at = now;
-  concurrency->limit = fmax (MIN_LIMIT, concurrency->limit * factor);
+  concurrency->limit = fmax (MIN_CONCURRENCY_LIMIT, concurrency->limit * factor);
 }
 
 static void
-update_min_first_byte (LcConcurrency *concurrency, double first_byte_seconds)
+update_min_first_byte_seconds (LcConcurrency *concurrency, double first_byte_seconds)
 {
   double min_seconds = concurrency->min_first_byte_seconds;
 
   concurrency->min_first_byte_seconds
       = min_seconds == 0 || first_byte_seconds < min_seconds
             ? first_byte_seconds
-            : min_seconds + MIN_RISE_WEIGHT * (first_byte_seconds - min_seconds);
+            : min_seconds + MIN_FIRST_BYTE_RISE_WEIGHT * (first_byte_seconds - min_seconds);
 }
 
 void
@@ -56,8 +57,9 @@
                                     int64_t in_flight,
                                     LbTime now)
 {
-  update_min_first_byte (concurrency, first_byte_seconds);
-  if (first_byte_seconds > SLOW_FACTOR * concurrency->min_first_byte_seconds + SLOW_EXTRA_SECONDS)
+  update_min_first_byte_seconds (concurrency, first_byte_seconds);
+  if (first_byte_seconds > SLOW_FIRST_BYTE_FACTOR * concurrency->min_first_byte_seconds
+                               + SLOW_FIRST_BYTE_EXTRA_SECONDS)
     decrease_limit (concurrency, SLOW_DECREASE_FACTOR, now);
   else if ((double)in_flight * 2 >= concurrency->limit)
     concurrency->limit = fmin (concurrency->max, concurrency->limit + 1 / concurrency->limit);
--- a/packages/core/src/endpoints/lc-concurrency.h
+++ b/packages/core/src/endpoints/lc-concurrency.h
@@ -9,14 +9,15 @@
 typedef struct
 {
   double limit;
-  double max;                    /* concurrency that the endpoint is sized for */
-  double min_first_byte_seconds; /* lowest time to the first byte, taken as that without queueing */
-  LbTime decreased_at;           /* 0: never */
+  double max;                    /* number of concurrent requests that the endpoint is sized for */
+  double min_first_byte_seconds; /* lowest time to the first byte, assumed without queueing */
+  LbTime decreased_at;           /* time of the last decrease of the limit; 0: none */
 } LcConcurrency;
 
 void lc_concurrency_init (LcConcurrency *concurrency, int64_t max);
 void lc_concurrency_set_max (LcConcurrency *concurrency, int64_t max);
-/* in_flight: this instance's requests at the endpoint, including this one. */
+/* in_flight: number of this instance's requests at the endpoint, including the one whose first byte
+ * was received. */
 void lc_concurrency_first_byte_received (LcConcurrency *concurrency,
                                          double first_byte_seconds,
                                          int64_t in_flight,
--- a/packages/core/src/endpoints/lc-endpoint-entry.c
+++ b/packages/core/src/endpoints/lc-endpoint-entry.c
@@ -2,9 +2,9 @@
 
 #include <string.h>
 
-/* A longer gap between events shows that this process was stopped, once MIN_REPEATED_REPORTS show
- * that reports come regularly. */
-#define MIN_PAUSE (2 * LB_SEC)
+/* A longer gap between two events shows that this process was stopped. Applies after
+ * MIN_REPEATED_REPORTS, when reports are known to arrive regularly. */
+#define MAX_EVENT_GAP (2 * LB_SEC)
 #define MIN_REPEATED_REPORTS 10
 
 void
@@ -15,7 +15,7 @@
 }
 
 static int64_t
-count_other_requests (const LcEndpointEntry *entry)
+count_requests_of_other_instances (const LcEndpointEntry *entry)
 {
   const LcLoadReport *report = &entry->endpoint.report;
   int64_t n_others = report->running + report->waiting - entry->in_flight_at_report;
@@ -23,11 +23,11 @@
   return n_others > 0 ? n_others : 0;
 }
 
-/* The last report, corrected by what this instance has sent and completed since. Multiplying this
- * correction by the number of instances that saw the same report gives worse routing, see
- * docs/design/0002-routing.md. */
+/* Returns the number of requests in the last report, corrected by the requests that this instance
+ * has sent and completed since. Multiplying this correction by the number of instances that saw the
+ * same report gives worse routing, see docs/design/0002-routing.md. */
 static int64_t
-estimate_requests (const LcEndpointEntry *entry)
+estimate_current_requests (const LcEndpointEntry *entry)
 {
   const LcEndpoint *endpoint = &entry->endpoint;
 
@@ -36,7 +36,7 @@
 }
 
 static bool
-needs_full_check (const LcEndpointEntry *entry)
+needs_full_admission_check (const LcEndpointEntry *entry)
 {
   const LcEndpoint *endpoint = &entry->endpoint;
 
@@ -57,15 +57,15 @@
     .capacity = (float)entry->concurrency.max,
     .inverse_capacity = 1 / (float)entry->concurrency.max,
     .concurrency_limit = (float)entry->concurrency.limit,
-    .requests = (float)estimate_requests (entry),
-    .other_requests = (float)count_other_requests (entry),
+    .requests = (float)estimate_current_requests (entry),
+    .other_requests = (float)count_requests_of_other_instances (entry),
     .slot = endpoint->slot,
     .live_sent_since_report = (int32_t)entry->live_sent_since_report,
     .in_flight = (int32_t)endpoint->in_flight,
     .data_centre = (int16_t)entry->data_centre,
     .single_stream_token_seconds = (float)entry->single_stream_token_seconds,
     .is_excluded = endpoint->leaving || entry->is_retired,
-    .needs_full_check = needs_full_check (entry),
+    .needs_full_check = needs_full_admission_check (entry),
   };
 }
 
@@ -74,15 +74,15 @@
 {
   bool reports_are_regular = endpoints->n_repeated_reports >= MIN_REPEATED_REPORTS;
 
-  return reports_are_regular && now - endpoints->last_event_at > MIN_PAUSE
+  return reports_are_regular && now - endpoints->last_event_at > MAX_EVENT_GAP
              ? now
              : endpoints->reports_valid_since;
 }
 
 /* Called for every event of the table, to detect that this process was stopped for a while: reports
- * come several times a second, so a gap without any event shows a stop. Reports measured before its
- * end are ignored. Without this, the retry of a stream that broke during the stop could be sent to
- * an endpoint that has announced meanwhile that it is leaving. */
+ * come several times a second, so a gap without any event shows a stop. Reports measured before
+ * the end of the stop are ignored. Without this, the retry of a stream that broke during the stop
+ * could be sent to an endpoint that announced meanwhile that it is leaving. */
 void
 lc_endpoints_record_event_time (LcEndpoints *endpoints, LbTime now)
 {
@@ -90,7 +90,6 @@
   endpoints->last_event_at = now;
 }
 
-/* Copies the state of the entry's components to its endpoint and its summary. */
 void
 lc_endpoint_entry_publish_state (LcEndpointEntry *entry, LbTime now)
 {
--- a/packages/core/src/endpoints/lc-endpoints-config.c
+++ b/packages/core/src/endpoints/lc-endpoints-config.c
@@ -7,7 +7,7 @@
 
 #define DEFAULT_TOKEN_SECONDS 0.02
 
-/* The set of endpoints: configuration, pools, data centres. */
+/* Maintains the endpoint table: adds and removes endpoints, and groups them by pool. */
 
 LcEndpoints *
 lc_endpoints_new (void)
@@ -59,7 +59,7 @@
 }
 
 static uint32_t
-allocate_slot (LcEndpoints *endpoints, const LcEndpointCache *view)
+allocate_slot (LcEndpoints *endpoints, const LcEndpointCache *prefix_cache)
 {
   uint32_t slot = 0;
 
@@ -74,7 +74,7 @@
           = lb_realloc (endpoints->summaries, endpoints->n_slots * sizeof *endpoints->summaries);
       memset (endpoints->caches + slot, 0, (endpoints->n_slots - slot) * sizeof *endpoints->caches);
     }
-  endpoints->caches[slot] = view;
+  endpoints->caches[slot] = prefix_cache;
   return slot;
 }
 
@@ -116,17 +116,18 @@
   free (entry);
 }
 
-/* The reported version is that of the previous pool's model. Kept for the new pool, it would route
- * requests to weights that are too old for them. */
+/* Called when the endpoint changes its pool. The reported weight version belongs to the model of
+ * the previous pool; if it were kept, requests would be routed to weights that are too old for
+ * them. */
 static void
-clear_weights (LcEndpointEntry *entry)
+clear_known_weight_version (LcEndpointEntry *entry)
 {
   entry->endpoint.report.version = 0;
   entry->endpoint.swap_pending = false;
 }
 
 static void
-apply_member (LcEndpoints *endpoints, const LcEndpointMember *member)
+add_or_update_member (LcEndpoints *endpoints, const LcEndpointMember *member)
 {
   LcEndpointEntry *entry = lc_endpoints_find_entry (endpoints, member->name);
 
@@ -141,18 +142,19 @@
       lc_endpoint_entry_reset_for_new_process (entry);
     }
   if (strcmp (entry->endpoint.member.pool, member->pool) != 0)
-    clear_weights (entry);
+    clear_known_weight_version (entry);
   entry->is_retired = false;
   entry->endpoint.member = *member;
   lc_concurrency_set_max (&entry->concurrency, member->concurrency);
-  /* A later revision without the mark does not clear it for this incarnation: the endpoint may
-   * already be shutting down, and other instances may still use the earlier revision. */
+  /* A later revision of the configuration without the leaving mark does not clear the mark for this
+   * incarnation: the endpoint may already be shutting down, and other instances may still use the
+   * earlier revision. */
   if (member->leaving)
     lc_leaving_mark_incarnation (&entry->leaving, "");
 }
 
 static void
-remove_retired (LcEndpoints *endpoints)
+remove_retired_entries (LcEndpoints *endpoints)
 {
   for (size_t i = endpoints->n_entries; i-- > 0;)
     {
@@ -182,7 +184,7 @@
 }
 
 static void
-add_to_group (LcEndpoints *endpoints, LcEndpointEntry *entry)
+add_entry_to_group (LcEndpoints *endpoints, LcEndpointEntry *entry)
 {
   LcEndpointKind kind = (LcEndpointKind)entry->endpoint.member.kind;
   LcEndpointGroup *group = lc_endpoints_find_group (endpoints, kind, entry->endpoint.member.pool);
@@ -238,21 +240,21 @@
       LcEndpointEntry *entry = endpoints->entries[i];
 
       entry->data_centre = add_data_centre (endpoints, entry->endpoint.member.data_centre);
-      add_to_group (endpoints, entry);
+      add_entry_to_group (endpoints, entry);
       lc_endpoint_entry_publish_state (entry, now);
     }
 }
 
-/* Updates the table to the set. An endpoint that is no longer in the set gets no new requests. It
- * is removed by the first later call that finds no requests of this instance there, and pointers to
- * it stay valid until then. */
+/* Updates the table to match the set. An endpoint that is no longer in the set gets no new
+ * requests. It is freed by the first call that finds none of this instance's requests at the
+ * endpoint, and pointers to the endpoint stay valid until then. */
 void
 lc_endpoints_configure (LcEndpoints *endpoints, const LcResourceSet *set, LbTime now)
 {
   for (size_t i = 0; i < endpoints->n_entries; i++)
     endpoints->entries[i]->is_retired = true;
   for (size_t i = 0; i < set->n_endpoints; i++)
-    apply_member (endpoints, &set->endpoints[i]);
-  remove_retired (endpoints);
+    add_or_update_member (endpoints, &set->endpoints[i]);
+  remove_retired_entries (endpoints);
   rebuild_groups (endpoints, now);
 }
--- a/packages/core/src/endpoints/lc-endpoints-query.c
+++ b/packages/core/src/endpoints/lc-endpoints-query.c
@@ -1,6 +1,6 @@
 #include "lc-endpoint-table.h"
 
-#define MAX_REPORT_AGE (10 * LB_SEC) /* an older report does not limit requests */
+#define MAX_REPORT_AGE (10 * LB_SEC) /* an older load report no longer limits requests */
 
 size_t
 lc_endpoints_count (const LcEndpoints *endpoints)
@@ -26,9 +26,9 @@
                                                 &entry->cache, now);
 }
 
-/* A swap that fails halfway leaves weights of no known version: samples would be unlabelled, and
- * live callers would get answers from a half-loaded model. The endpoint gets no requests until a
- * report measured after the swap was due states a version. */
+/* A weight swap that fails halfway leaves weights of unknown version: samples would have no version
+ * label, and live callers would get answers from a half-loaded model. The endpoint gets no requests
+ * until a report measured after the swap was due states a version. */
 static bool
 has_known_weights (const LcEndpointEntry *entry, LbTime now)
 {
@@ -43,8 +43,8 @@
 }
 
 /* A new instance does not know yet which endpoints are leaving, and its configuration may still
- * name them. So an endpoint gets requests only after a report or a reply: otherwise a new instance
- * would send the first ones seconds after all other instances stopped. */
+ * name them. An endpoint therefore gets requests only after a report or a reply: otherwise a new
+ * instance would send requests to a leaving endpoint seconds after all other instances stopped. */
 static bool
 has_reported_or_replied (const LcEndpointEntry *entry)
 {
@@ -52,7 +52,7 @@
 }
 
 static bool
-full_check_accepts (const LcEndpoint *endpoint, LbTime now)
+passes_full_admission_check (const LcEndpoint *endpoint, LbTime now)
 {
   const LcEndpointEntry *entry = lc_endpoint_to_entry (endpoint);
   bool is_refusing = now < entry->refused_until
@@ -63,9 +63,9 @@
          && endpoint->in_flight < lc_breaker_max_in_flight (&entry->breaker, now);
 }
 
-/* Refuses endpoints that are leaving, have an open breaker, serve unknown weights or are full;
- * samples leave the live reserve free. Reads the entry only if needs_full_check: a decision may
- * scan 600 summaries. */
+/* Rejects endpoints that are leaving, have an open breaker, serve unknown weights or are full.
+ * Samples must not use the live reserve. Reads the entry only if needs_full_check is set, because a
+ * routing decision may scan 600 summaries. */
 bool
 lc_endpoint_summary_can_accept (const LcEndpointSummary *summary,
                                 LcRequestKind kind,
@@ -77,7 +77,7 @@
 
   if (summary->is_excluded || (float)summary->in_flight >= summary->concurrency_limit * share)
     return false;
-  if (summary->needs_full_check && !full_check_accepts (summary->endpoint, now))
+  if (summary->needs_full_check && !passes_full_admission_check (summary->endpoint, now))
     return false;
   if (summary->reported_at == LC_NEVER_REPORTED)
     return true;
--- a/packages/core/src/endpoints/lc-endpoints.c
+++ b/packages/core/src/endpoints/lc-endpoints.c
@@ -8,17 +8,17 @@
 #include <string.h>
 
 #define EWMA_WEIGHT 0.1
-/* Time between two requests to an endpoint that rejects them, to find out when a weight load, which
- * takes about a second, has ended. */
+/* Time without new requests after an endpoint rejected one. It is short, so that requests resume
+ * soon after the end of a weight load, which takes about a second. */
 #define REFUSAL_BACKOFF (120 * LB_MSEC)
 #define MAX_TOKENS_PER_SECOND 1e6
 /* The pace of an endpoint without streams is discarded after this time, so that a slow endpoint is
  * tried again: engines are slow for five to ten seconds at a time. */
 #define MAX_PACE_AGE (4 * LB_SEC)
-#define PACE_REVIEW_PERIOD (500 * LB_MSEC)
+#define PACE_REVIEW_INTERVAL (500 * LB_MSEC)
 
 static void
-end_swap_if_confirmed (LcEndpointEntry *entry)
+end_weight_swap_if_confirmed (LcEndpointEntry *entry)
 {
   LcEndpoint *endpoint = &entry->endpoint;
   const LcLoadReport *report = &endpoint->report;
@@ -29,7 +29,7 @@
 }
 
 static LcEndpointGroup *
-find_group (const LcEndpointEntry *entry)
+find_group_of_entry (const LcEndpointEntry *entry)
 {
   const LcEndpointMember *member = &entry->endpoint.member;
 
@@ -37,10 +37,10 @@
 }
 
 static void
-update_token_time (LcEndpointEntry *entry)
+update_single_stream_token_seconds (LcEndpointEntry *entry)
 {
   const LcLoadReport *report = &entry->endpoint.report;
-  LcEndpointGroup *group = find_group (entry);
+  LcEndpointGroup *group = find_group_of_entry (entry);
   double fill = fmin (1, (double)report->running / entry->concurrency.max);
 
   if (report->tokens_per_second <= 0)
@@ -52,7 +52,7 @@
 }
 
 static void
-apply_report (LcEndpointEntry *entry, const LcLoadReport *report)
+apply_load_report (LcEndpointEntry *entry, const LcLoadReport *report)
 {
   LcEndpoint *endpoint = &entry->endpoint;
   char known_incarnation[sizeof endpoint->report.incarnation];
@@ -74,8 +74,8 @@
       = lc_in_flight_history_count_live_sent_after (&entry->in_flight_history, report->measured_at);
   entry->in_flight_at_report
       = lc_in_flight_history_count_at (&entry->in_flight_history, report->measured_at);
-  update_token_time (entry);
-  end_swap_if_confirmed (entry);
+  update_single_stream_token_seconds (entry);
+  end_weight_swap_if_confirmed (entry);
 }
 
 /* Corrects invalid values: a negative load would attract all requests, and a time in the future
@@ -101,7 +101,8 @@
   [LC_LEAVING_PEER] = "peer",
 };
 
-/* Returns true if the endpoint was not leaving before; logged once for each incarnation. */
+/* Publishes the entry's state. If the endpoint was not leaving before and is leaving now, logs the
+ * change, which happens once for each incarnation, and returns true. */
 static bool
 publish_and_log_leaving (LcEndpointEntry *entry, LcLeavingSource source, LbTime now)
 {
@@ -116,8 +117,8 @@
   return true;
 }
 
-/* Reports are ordered by when they were measured. An outdated one changes nothing, but if it says
- * leaving, its incarnation is marked. */
+/* Reports are ordered by the time when they were measured. An outdated report does not change the
+ * load, but if it states that the endpoint is leaving, its incarnation is marked as leaving. */
 void
 lc_endpoints_record_load (LcEndpoints *endpoints,
                           const char *name,
@@ -133,7 +134,7 @@
   if (!report->is_from_registry)
     entry->endpoint.last_reply_at = now;
   if (!entry->is_reported || sanitised.measured_at >= entry->endpoint.report.measured_at)
-    apply_report (entry, &sanitised);
+    apply_load_report (entry, &sanitised);
   if (report->leaving)
     lc_leaving_mark_incarnation (&entry->leaving, report->incarnation);
   publish_and_log_leaving (entry, LC_LEAVING_ENDPOINT, now);
@@ -203,7 +204,7 @@
                                  prefix_hash, now);
 }
 
-/* prefix_hash: of the whole prompt; 0: none. */
+/* prefix_hash: hash of the whole prompt; 0: the request has no prompt hash. */
 void
 lc_endpoint_request_sent (LcEndpoint *endpoint,
                           LcRequestKind kind,
@@ -213,7 +214,7 @@
   LcEndpointEntry *entry = lc_endpoint_to_entry (endpoint);
 
   endpoint->in_flight++;
-  endpoint->in_flight_rollout += kind == LC_KIND_SAMPLE;
+  endpoint->in_flight_samples += kind == LC_KIND_SAMPLE;
   endpoint->sent_since_report++;
   entry->live_sent_since_report += kind != LC_KIND_SAMPLE;
   lc_in_flight_history_add_change (&entry->in_flight_history, endpoint->in_flight, true,
@@ -230,7 +231,7 @@
   *mean = *mean > 0 ? *mean + EWMA_WEIGHT * (sample - *mean) : sample;
 }
 
-/* waited: from sending the request to its first byte. */
+/* waited: time from sending the request to receiving the first byte of the response. */
 void
 lc_endpoint_first_byte_received (LcEndpoint *endpoint, LbTime waited, LbTime now)
 {
@@ -262,7 +263,7 @@
 }
 
 static void
-reset_pace (LcEndpointEntry *entry, double token_seconds, LbTime now)
+reset_stream_pace (LcEndpointEntry *entry, double token_seconds, LbTime now)
 {
   entry->stream_pace = (LcStreamPace){ 0 };
   entry->stream_pace_at = 0;
@@ -270,16 +271,16 @@
   lc_endpoint_entry_publish_state (entry, now);
 }
 
-/* Discards outdated paces. A slow engine gets no requests while others have capacity, so without
- * this its recovery would never be noticed. */
+/* Discards outdated stream paces of the group. A slow engine gets no requests while other engines
+ * have capacity, so with its old pace kept its recovery would never be noticed. */
 static void
-review_paces (LcEndpointEntry *entry, LcEndpointGroup *group, LbTime now)
+refresh_group_paces (LcEndpointEntry *entry, LcEndpointGroup *group, LbTime now)
 {
   double fastest = 0;
 
   if (now < group->next_pace_review_at)
     return;
-  group->next_pace_review_at = now + PACE_REVIEW_PERIOD;
+  group->next_pace_review_at = now + PACE_REVIEW_INTERVAL;
   fastest = find_fastest_token_seconds (entry, group);
   group->fastest_token_seconds = fastest;
   for (size_t i = 0; fastest > 0 && i < group->n_slots; i++)
@@ -287,13 +288,13 @@
       LcEndpointEntry *other
           = lc_endpoint_to_entry (entry->table->summaries[group->slots[i]].endpoint);
       if (other->stream_pace_at > 0 && now - other->stream_pace_at > MAX_PACE_AGE)
-        reset_pace (other, fastest, now);
+        reset_stream_pace (other, fastest, now);
     }
 }
 
 /* Detects an engine that becomes slow while its generations still run. The duration of completed
- * requests shows it several seconds later, and until then the engine would get as many new requests
- * as before. */
+ * requests shows a slowdown several seconds later, and until then the engine would get as many new
+ * requests as before. */
 void
 lc_endpoint_tokens_received (LcEndpoint *endpoint, int64_t tokens, LbTime interval, LbTime now)
 {
@@ -307,7 +308,7 @@
   lc_stream_pace_add_tokens (&entry->stream_pace, tokens, interval);
   entry->stream_pace_at = now;
   seconds = lc_stream_pace_token_seconds (&entry->stream_pace);
-  review_paces (entry, find_group (entry), now);
+  refresh_group_paces (entry, find_group_of_entry (entry), now);
   if (seconds == 0 || endpoint->report.tokens_per_second > 0)
     return;
   entry->single_stream_token_seconds = seconds;
@@ -315,9 +316,9 @@
 }
 
 static void
-update_service_time (LcEndpointEntry *entry, int64_t tokens, LbTime took)
+update_mean_service_time (LcEndpointEntry *entry, int64_t tokens, LbTime took)
 {
-  update_ewma (&find_group (entry)->mean_service_seconds, (double)took / LB_SEC);
+  update_ewma (&find_group_of_entry (entry)->mean_service_seconds, (double)took / LB_SEC);
   if (tokens == 0)
     return;
   update_ewma (&entry->endpoint.ewma_token_seconds, (double)took / LB_SEC / (double)tokens);
@@ -329,7 +330,7 @@
 record_request_end (LcEndpointEntry *entry, LcRequestKind kind, LbTime now)
 {
   entry->endpoint.in_flight--;
-  entry->endpoint.in_flight_rollout -= kind == LC_KIND_SAMPLE;
+  entry->endpoint.in_flight_samples -= kind == LC_KIND_SAMPLE;
   lc_in_flight_history_add_change (&entry->in_flight_history, entry->endpoint.in_flight, false,
                                    false, now);
 }
@@ -361,7 +362,7 @@
     {
       endpoint->last_reply_at = now;
       lc_breaker_request_succeeded (&entry->breaker, now - took);
-      update_service_time (entry, tokens, took);
+      update_mean_service_time (entry, tokens, took);
     }
   else
     {
@@ -372,9 +373,9 @@
 }
 
 /* An engine rejects all new requests while it loads weights. If each rejection counted as a
- * failure, its breaker would open and admit one request, then two, long after the load; with
- * frequent weight updates half of the engines would be idle. An endpoint that states its size is
- * tried again after a short time instead. */
+ * failure, the engine's breaker would open and admit one request, then two, long after the load;
+ * with frequent weight updates half of the engines would be idle. An endpoint that reports its
+ * concurrency is therefore retried after REFUSAL_BACKOFF. */
 void
 lc_endpoint_request_refused (LcEndpoint *endpoint, LcRequestKind kind, LbTime now)
 {
--- a/packages/core/src/endpoints/lc-entry.c
+++ b/packages/core/src/endpoints/lc-entry.c
@@ -5,8 +5,8 @@
 #include <xxhash.h>
 
 /* Weighted rendezvous hashing: the instance with the largest score gets the caller. Callers are
- * distributed by weight, and a change of one instance moves only the callers that it loses or
- * gets. */
+ * distributed by weight, and a change of one instance moves only the callers that this instance
+ * loses or gains. */
 static double
 rendezvous_score (const LcMemberView *view, const char *caller)
 {
@@ -28,20 +28,21 @@
   return false;
 }
 
-/* A draining instance would reject the caller, a suspected one might not answer. */
+/* A draining instance would reject the caller, and an instance that is suspected to have failed
+ * might not answer. */
 static bool
-can_be_chosen (const LcMemberView *view)
+is_eligible_instance (const LcMemberView *view)
 {
   return view->alive && !view->draining && view->instance.caller_address[0] != '\0';
 }
 
 static void
-choose_next (LcEntryChoice *choice,
-             const LcMemberView *views,
-             size_t n_views,
-             const char *caller,
-             const char *data_centre,
-             bool same_data_centre)
+choose_next_instance (LcEntryChoice *choice,
+                      const LcMemberView *views,
+                      size_t n_views,
+                      const char *caller,
+                      const char *data_centre,
+                      bool same_data_centre)
 {
   double best = -1.0;
   size_t chosen = 0;
@@ -49,7 +50,7 @@
   for (size_t i = 0; i < n_views; i++)
     {
       bool in_same_data_centre = strcmp (views[i].instance.data_centre, data_centre) == 0;
-      if (in_same_data_centre != same_data_centre || !can_be_chosen (&views[i])
+      if (in_same_data_centre != same_data_centre || !is_eligible_instance (&views[i])
           || is_chosen (choice, i))
         continue;
       double candidate_score = rendezvous_score (&views[i], caller);
@@ -62,8 +63,9 @@
     choice->chosen[choice->n_chosen++] = chosen;
 }
 
-/* First an instance in the caller's data centre; then one elsewhere, so that the second address
- * works when the caller's data centre fails; then more in the caller's data centre. */
+/* Chooses first an instance in the caller's data centre, then one in another data centre, so that
+ * the second address works when the caller's data centre fails, then another one in the caller's
+ * data centre. */
 void
 lc_entry_choose_instances (LcEntryChoice *choice,
                            const LcMemberView *views,
@@ -77,5 +79,5 @@
   for (size_t i = 0; i < sizeof prefer_same_data_centre / sizeof *prefer_same_data_centre
                      && choice->n_chosen < LC_MAX_ENTRY_ADDRESSES;
        i++)
-    choose_next (choice, views, n_views, caller, data_centre, prefer_same_data_centre[i]);
+    choose_next_instance (choice, views, n_views, caller, data_centre, prefer_same_data_centre[i]);
 }
--- a/packages/core/src/endpoints/lc-in-flight-history.c
+++ b/packages/core/src/endpoints/lc-in-flight-history.c
@@ -10,7 +10,7 @@
 }
 
 static size_t
-oldest_change_index (const LcInFlightHistory *history)
+find_oldest_change_index (const LcInFlightHistory *history)
 {
   return history->n_changes > LC_IN_FLIGHT_HISTORY_LENGTH
              ? history->n_changes - LC_IN_FLIGHT_HISTORY_LENGTH
@@ -18,23 +18,24 @@
 }
 
 static const LcInFlightChange *
-change_at (const LcInFlightHistory *history, size_t i)
+get_change (const LcInFlightHistory *history, size_t i)
 {
   return &history->changes[i % LC_IN_FLIGHT_HISTORY_LENGTH];
 }
 
-/* For a time before the oldest change that is kept, returns the count before that change. */
+/* Returns the number of requests in flight at the given time. For a time before the oldest recorded
+ * change, returns the number before that change. */
 int64_t
 lc_in_flight_history_count_at (const LcInFlightHistory *history, LbTime at)
 {
-  size_t oldest = oldest_change_index (history);
+  size_t oldest = find_oldest_change_index (history);
 
   if (history->n_changes == 0)
     return 0;
   for (size_t i = history->n_changes; i-- > oldest;)
-    if (change_at (history, i)->at <= at)
-      return change_at (history, i)->in_flight;
-  return change_at (history, oldest)->in_flight + (change_at (history, oldest)->is_sent ? -1 : 1);
+    if (get_change (history, i)->at <= at)
+      return get_change (history, i)->in_flight;
+  return get_change (history, oldest)->in_flight + (get_change (history, oldest)->is_sent ? -1 : 1);
 }
 
 int64_t
@@ -43,8 +44,8 @@
   int64_t n_sent = 0;
 
   for (size_t i = history->n_changes;
-       i-- > oldest_change_index (history) && change_at (history, i)->at > at;)
-    n_sent += change_at (history, i)->is_sent;
+       i-- > find_oldest_change_index (history) && get_change (history, i)->at > at;)
+    n_sent += get_change (history, i)->is_sent;
   return n_sent;
 }
 
@@ -54,7 +55,7 @@
   int64_t n_sent = 0;
 
   for (size_t i = history->n_changes;
-       i-- > oldest_change_index (history) && change_at (history, i)->at > at;)
-    n_sent += change_at (history, i)->is_sent && change_at (history, i)->is_live;
+       i-- > find_oldest_change_index (history) && get_change (history, i)->at > at;)
+    n_sent += get_change (history, i)->is_sent && get_change (history, i)->is_live;
   return n_sent;
 }
--- a/packages/core/src/endpoints/lc-in-flight-history.h
+++ b/packages/core/src/endpoints/lc-in-flight-history.h
@@ -8,17 +8,17 @@
 typedef struct
 {
   LbTime at;
-  int32_t in_flight; /* after the change */
-  bool is_sent;      /* false: a request ended */
-  bool is_live;      /* a live request was sent */
+  int32_t in_flight; /* number of requests after the change */
+  bool is_sent;      /* true: a request was sent; false: a request ended */
+  bool is_live;      /* the request that was sent is not a trainer's sample */
 } LcInFlightChange;
 
-/* The latest changes of the number of this instance's requests at an endpoint, to find out which of
- * them a load report that was measured in the past already includes. */
+/* Ring buffer of the latest changes of the number of this instance's requests at an endpoint. Tells
+ * which of these requests a load report includes, given the past time when it was measured. */
 typedef struct
 {
   LcInFlightChange changes[LC_IN_FLIGHT_HISTORY_LENGTH];
-  size_t n_changes; /* including those overwritten */
+  size_t n_changes; /* number of changes added, including overwritten ones */
 } LcInFlightHistory;
 
 /* commands */
--- a/packages/core/src/endpoints/lc-leaving.c
+++ b/packages/core/src/endpoints/lc-leaving.c
@@ -10,7 +10,7 @@
 }
 
 static bool
-is_marked (const LcLeaving *leaving, uint64_t incarnation)
+has_leaving_mark (const LcLeaving *leaving, uint64_t incarnation)
 {
   size_t n = leaving->n_marked < LC_MAX_LEAVING_INCARNATIONS ? leaving->n_marked
                                                              : LC_MAX_LEAVING_INCARNATIONS;
@@ -22,16 +22,16 @@
 }
 
 static void
-add_mark (LcLeaving *leaving, uint64_t incarnation)
+add_leaving_mark (LcLeaving *leaving, uint64_t incarnation)
 {
-  if (!is_marked (leaving, incarnation))
+  if (!has_leaving_mark (leaving, incarnation))
     leaving->marked[leaving->n_marked++ % LC_MAX_LEAVING_INCARNATIONS] = incarnation;
 }
 
 /* Called when the endpoint reports its incarnation. `marked` is a ring buffer of the last
  * LC_MAX_LEAVING_INCARNATIONS incarnations that are leaving, so that neither a late report of an
  * earlier process nor a report of its successor clears a mark. A mark that was set before any
- * incarnation was known is given to the first one that is reported. */
+ * incarnation was known applies to the first incarnation that is reported. */
 void
 lc_leaving_set_current_incarnation (LcLeaving *leaving, const char *incarnation)
 {
@@ -39,47 +39,48 @@
 
   if (hash == leaving->current)
     return;
-  if (leaving->current == 0 && is_marked (leaving, 0))
-    add_mark (leaving, hash);
+  if (leaving->current == 0 && has_leaving_mark (leaving, 0))
+    add_leaving_mark (leaving, hash);
   else if (leaving->current != 0)
-    leaving->is_ambiguous = false;
+    leaving->is_platform_mark_ambiguous = false;
   leaving->current = hash;
 }
 
-/* incarnation: "" for the current one. */
+/* incarnation: "" means the current incarnation. */
 void
 lc_leaving_mark_incarnation (LcLeaving *leaving, const char *incarnation)
 {
-  add_mark (leaving, incarnation[0] ? hash_incarnation (incarnation) : leaving->current);
+  add_leaving_mark (leaving, incarnation[0] ? hash_incarnation (incarnation) : leaving->current);
 }
 
-/* The platform's list names no incarnation and lags. If it still marks the endpoint after a new
- * incarnation appeared, it may mean the one before. The endpoint is then treated as leaving while
- * it is listed, but the new incarnation gets no mark, since a mark is never cleared. */
+/* The platform's list names no incarnation and lags. If the list still marks the endpoint after a
+ * new incarnation appeared, it may mean the previous incarnation. The endpoint is then treated as
+ * leaving while the list marks it, but the new incarnation is not added to `marked`, since entries
+ * of `marked` are never cleared. */
 void
-lc_leaving_set_marked_by_platform (LcLeaving *leaving, bool is_listed)
+lc_leaving_set_marked_by_platform (LcLeaving *leaving, bool is_marked_by_platform)
 {
-  if (!is_listed)
+  if (!is_marked_by_platform)
     {
-      leaving->platform_listed = false;
-      leaving->is_ambiguous = false;
+      leaving->is_marked_by_platform = false;
+      leaving->is_platform_mark_ambiguous = false;
       return;
     }
-  if (!leaving->platform_listed)
-    leaving->platform_listed_for = leaving->current;
-  leaving->platform_listed = true;
-  if (leaving->platform_listed_for == leaving->current && leaving->current != 0)
-    add_mark (leaving, leaving->current);
+  if (!leaving->is_marked_by_platform)
+    leaving->platform_marked_incarnation = leaving->current;
+  leaving->is_marked_by_platform = true;
+  if (leaving->platform_marked_incarnation == leaving->current && leaving->current != 0)
+    add_leaving_mark (leaving, leaving->current);
   else
-    leaving->is_ambiguous = true;
+    leaving->is_platform_mark_ambiguous = true;
 }
 
 bool
 lc_leaving_is_current_incarnation_leaving (const LcLeaving *leaving)
 {
-  if (leaving->is_ambiguous)
+  if (leaving->is_platform_mark_ambiguous)
     return true;
   if (leaving->current == 0)
     return leaving->n_marked > 0;
-  return is_marked (leaving, leaving->current);
+  return has_leaving_mark (leaving, leaving->current);
 }
--- a/packages/core/src/endpoints/lc-leaving.h
+++ b/packages/core/src/endpoints/lc-leaving.h
@@ -9,20 +9,20 @@
  * incarnation whose name is not known yet. */
 typedef struct
 {
-  uint64_t current;                             /* the one that the endpoint stated last */
+  uint64_t current;                             /* incarnation that the endpoint reported last */
   uint64_t marked[LC_MAX_LEAVING_INCARNATIONS]; /* ring buffer of incarnations marked as leaving */
-  size_t n_marked;                              /* marked so far, including those overwritten */
-  bool platform_listed;         /* the platform's list marks the endpoint as leaving */
-  uint64_t platform_listed_for; /* current incarnation when the list first marked the endpoint */
-  /* The list's mark may be meant for an earlier incarnation: the current one counts as leaving
-   * while it is listed, but gets no mark of its own, which would be final. */
-  bool is_ambiguous;
+  size_t n_marked;            /* number of incarnations marked, including overwritten ones */
+  bool is_marked_by_platform; /* the platform's list marks the endpoint as leaving */
+  uint64_t platform_marked_incarnation; /* current incarnation when the platform set its mark */
+  /* The platform's mark may be meant for an earlier incarnation. The current incarnation counts as
+   * leaving while the platform marks it, but is not added to `marked`, which would be final. */
+  bool is_platform_mark_ambiguous;
 } LcLeaving;
 
 /* commands */
 void lc_leaving_set_current_incarnation (LcLeaving *leaving, const char *incarnation);
 void lc_leaving_mark_incarnation (LcLeaving *leaving, const char *incarnation);
-void lc_leaving_set_marked_by_platform (LcLeaving *leaving, bool is_listed);
+void lc_leaving_set_marked_by_platform (LcLeaving *leaving, bool is_marked_by_platform);
 
 /* queries */
 bool lc_leaving_is_current_incarnation_leaving (const LcLeaving *leaving);
--- a/packages/core/src/endpoints/lc-prefix-index.c
+++ b/packages/core/src/endpoints/lc-prefix-index.c
@@ -7,20 +7,22 @@
 #include <uthash.h>
 
 #define MAX_PREFIXES 65536
-#define MAX_HOLDERS 16
-/* Confidence in a prefix known only from a request sent there: the engine may not have kept it. */
-#define SENT_CONFIDENCE 0.95
-#define HALF_LIFE_SECONDS 300.0
-/* On average, every second event evicts one of about a hundred prefixes. */
+#define MAX_HOLDERS_PER_PREFIX 16
+/* Confidence that an engine caches the prefix of a request sent to the engine while no cache event
+ * confirms it: the engine may not have kept the prefix. */
+#define UNCONFIRMED_PREFIX_CONFIDENCE 0.95
+#define CONFIDENCE_HALF_LIFE_SECONDS 300.0
+/* Decay of the confidence per missed cache event. On average, every second event evicts one of
+ * about a hundred prefixes. */
 #define DECAY_PER_MISSED_EVENT 0.005
 
 typedef struct
 {
-  LbTime at;
+  LbTime at;          /* time of the last request or cache event for the prefix */
   float missed_decay; /* LcEndpointCache.missed_decay when the holder was added */
   uint32_t slot;
   uint32_t epoch;
-  bool is_confirmed; /* confirmed by a cache event */
+  bool is_confirmed; /* a cache event stated that the endpoint holds the prefix */
 } Holder;
 
 typedef struct
@@ -29,13 +31,13 @@
   UT_hash_handle hh;
   LbLink recency;
   uint32_t n_holders;
-  Holder holders[MAX_HOLDERS];
+  Holder holders[MAX_HOLDERS_PER_PREFIX];
 } Prefix;
 
 struct LcPrefixIndex
 {
   Prefix *prefixes;
-  LbList by_recency; /* least recent first */
+  LbList by_recency; /* prefixes, least recently used first */
 };
 
 LcPrefixIndex *
@@ -76,7 +78,7 @@
 }
 
 static Prefix *
-touch_prefix (LcPrefixIndex *index, uint64_t hash)
+find_or_add_recent_prefix (LcPrefixIndex *index, uint64_t hash)
 {
   Prefix *prefix = find_prefix (index, hash);
 
@@ -123,12 +125,12 @@
             bool is_confirmed,
             LbTime now)
 {
-  Prefix *prefix = touch_prefix (index, hash);
+  Prefix *prefix = find_or_add_recent_prefix (index, hash);
   Holder *holder = find_holder (prefix, cache);
 
   if (!holder)
-    holder = prefix->n_holders < MAX_HOLDERS ? &prefix->holders[prefix->n_holders++]
-                                             : find_oldest_holder (prefix);
+    holder = prefix->n_holders < MAX_HOLDERS_PER_PREFIX ? &prefix->holders[prefix->n_holders++]
+                                                        : find_oldest_holder (prefix);
   *holder = (Holder){ .at = now,
                       .missed_decay = (float)cache->missed_decay,
                       .slot = cache->slot,
@@ -150,8 +152,9 @@
 }
 
 /* A missed event may have evicted any of the cache's prefixes, so it lowers the confidence in all
- * of them. An event that arrives after a later one has been counted as missed and is ignored:
- * applied out of order it could restore a prefix that was evicted. */
+ * of the prefixes. An event that arrives after one with a higher sequence number was already
+ * counted as missed and is ignored: applied out of order, it could restore a prefix that was
+ * evicted. */
 void
 lc_prefix_index_apply_event (LcPrefixIndex *index,
                              LcEndpointCache *cache,
@@ -189,9 +192,9 @@
 {
   double age = (double)(now - holder->at) / LB_SEC;
 
-  return (holder->is_confirmed ? 1 : SENT_CONFIDENCE)
+  return (holder->is_confirmed ? 1 : UNCONFIRMED_PREFIX_CONFIDENCE)
          * exp ((double)holder->missed_decay - cache->missed_decay
-                - age * M_LN2 / HALF_LIFE_SECONDS);
+                - age * M_LN2 / CONFIDENCE_HALF_LIFE_SECONDS);
 }
 
 size_t
--- a/packages/core/src/endpoints/lc-prefix-index.h
+++ b/packages/core/src/endpoints/lc-prefix-index.h
@@ -5,8 +5,8 @@
 
 /* Approximate index of the endpoints that hold a prompt prefix in their cache, from cache events,
  * which arrive late and with gaps, and from the requests sent. A wrong entry costs time, but does
- * not change answers. Keyed by prefix, so that a decision looks up the few prefixes of the prompt
- * and not every endpoint. */
+ * not change answers. The index is keyed by prefix, so that a routing decision looks up the few
+ * prefixes of the prompt and not every endpoint. */
 typedef struct LcPrefixIndex LcPrefixIndex;
 
 /* The prefix cache of one endpoint. Index entries of an earlier epoch are invalid. */
@@ -15,12 +15,12 @@
   uint32_t slot; /* index of the endpoint in the endpoint table */
   uint32_t epoch;
   uint64_t last_sequence; /* sequence number of the latest cache event */
-  double missed_decay;    /* grows with each missed event; confidence falls exponentially with it */
+  double missed_decay;    /* grows with each missed event and lowers the confidence exponentially */
 } LcEndpointCache;
 
 typedef struct
 {
-  uint32_t slot; /* index of the endpoint, see LcEndpointCache */
+  uint32_t slot; /* index of the endpoint in the endpoint table */
   double share;  /* expected share of the prompt in the cache, 0..1 */
 } LcCachedShare;
 
@@ -41,8 +41,8 @@
 
 /* queries */
 /* prefixes: hashes of the prompt's prefixes, shortest first; caches: indexed by slot of the
- * endpoint, NULL for a free slot. Fills in at most max shares, one for each pair of prefix and
- * holder, and returns their number. */
+ * endpoint, NULL for a free slot. Fills in at most max shares, one for each prefix and
+ * endpoint that holds it, and returns their number. */
 size_t lc_prefix_index_find_shares (const LcPrefixIndex *index,
                                     const uint64_t *prefixes,
                                     size_t n_prefixes,
@@ -51,8 +51,8 @@
                                     LbTime now,
                                     LcCachedShare *shares,
                                     size_t max);
-/* Expected share of the prompt in the cache of one endpoint, 0..1: the largest over its prefixes.
- */
+/* Expected share of the prompt in the cache of one endpoint, 0..1: the largest share over the
+ * prompt's prefixes. */
 double lc_prefix_index_expected_cached_share (const LcPrefixIndex *index,
                                               const uint64_t *prefixes,
                                               size_t n_prefixes,
--- a/packages/core/src/endpoints/lc-stream-pace.h
+++ b/packages/core/src/endpoints/lc-stream-pace.h
@@ -8,12 +8,13 @@
 typedef struct
 {
   double seconds; /* time spent streaming, with exponential decay */
-  double tokens;  /* received in that time, with the same decay */
+  double tokens;  /* tokens received, with the same decay as seconds */
 } LcStreamPace;
 
-/* One stream received tokens, or none, in the interval since its previous chunk. */
+/* Adds the tokens, possibly 0, that one stream received in the interval since its previous
+ * chunk. */
 void lc_stream_pace_add_tokens (LcStreamPace *pace, int64_t tokens, LbTime interval);
-/* Seconds per token; 0: not known yet. */
+/* Mean seconds per token; 0: not enough data. */
 double lc_stream_pace_token_seconds (const LcStreamPace *pace);
 
 #endif
