--- a/packages/core/include/lc-registration.h
+++ b/packages/core/include/lc-registration.h
@@ -3,10 +3,10 @@
 
 #include "lc-roster.h"
 
-/* An endpoint's registration as JSON, as instances exchange it. Leaves out the weight versions,
- * which change with each load and are part of the engine plan. */
+/* JSON form of an endpoint's registration, which instances send to each other. It omits the weight
+ * versions, which change with each load and are part of the engine plan. */
 
-/* Equal registrations give equal texts. The caller frees. */
+/* Equal registrations give equal texts. The caller frees the result. */
 char *lc_registration_to_json (const LcRegistration *registration);
 bool lc_registration_from_json (const char *text, LcRegistration *registration);
 
--- a/packages/core/src/endpoints/lc-registration.c
+++ b/packages/core/src/endpoints/lc-registration.c
@@ -28,7 +28,7 @@
 }
 
 static bool
-read_models (struct json_object *models, LcRegistration *registration)
+parse_model_names (struct json_object *models, LcRegistration *registration)
 {
   size_t n = json_object_is_type (models, json_type_array) ? json_object_array_length (models) : 0;
 
@@ -58,7 +58,7 @@
   registration->slots = lb_json_int (object, "slots", 0);
   registration->leaving = lb_json_bool (object, "leaving", true);
   registration->is_spot = lb_json_bool (object, "cheap", false);
-  bool is_valid = read_models (lb_json_member (object, "models"), registration)
+  bool is_valid = parse_model_names (lb_json_member (object, "models"), registration)
                   && registration->name[0] && registration->address[0] && registration->service[0]
                   && registration->slots > 0;
   json_object_put (object);
--- a/packages/core/src/endpoints/lc-roster.c
+++ b/packages/core/src/endpoints/lc-roster.c
@@ -9,31 +9,31 @@
 #include <xxhash.h>
 
 /* A longer gap between two lists shows that the store was unavailable, at least to this instance.
- * It is several times the usual period. */
+ * The usual time between two lists is several times shorter. */
 #define MIN_OUTAGE_GAP (1500 * LB_MSEC)
-/* Registrations that expired during an outage of the store are renewed within two seconds of its
- * recovery if the endpoint is alive; the rest of this time is for the next list, which
- * contains them. */
+/* Time after an outage of the store during which unlisted endpoints are kept. Live endpoints renew
+ * their expired registrations within two seconds of the store's recovery; the rest of this time is
+ * for the next list, which contains the renewed registrations. */
 #define OUTAGE_GRACE (2400 * LB_MSEC)
-/* Each list costs every instance one call to the store. */
+/* Limits the load on the store: each list costs every instance one call. */
 #define MIN_LIST_PERIOD (400 * LB_MSEC)
 /* Limits the cost of listing, which grows with the number of endpoints, to about 400 rows per
  * second up to MAX_LIST_PERIOD. */
 #define LIST_PERIOD_PER_ENDPOINT (LB_SEC / 400)
-/* A leaving endpoint must get no new requests later than 2 s after it announced it. This period,
- * the reply and its processing fit in that time, with half a second to spare. */
+/* A leaving endpoint must get no new requests later than 2 s after its announcement. This period,
+ * the store's reply and its processing take half a second less. */
 #define MAX_LIST_PERIOD (900 * LB_MSEC)
-#define FIRST_CAPACITY 16
-/* Endpoints added or removed by one list that are logged individually; further ones are only
- * counted. */
+#define INITIAL_CAPACITY 16
+/* Maximum number of endpoints added or removed by one list that are logged individually; further
+ * ones are only counted. */
 #define MAX_LOGGED_CHANGES 16
 #define POOL_QUEUE_LIMIT 100000
 
 typedef struct
 {
   LcRegistration registration;
-  size_t model;   /* index into registration.models of the one that the engine is used for */
-  bool is_listed; /* in the latest list */
+  size_t model;   /* index into registration.models of the model that the engine is used for */
+  bool is_listed; /* the latest list contains the endpoint */
 } Entry;
 
 struct LcRoster
@@ -43,7 +43,7 @@
   size_t capacity;
   LcEnginePlan plan;
   LbTime last_list_at; /* when the latest list was requested; 0: none received yet */
-  LbTime grace_until;  /* unlisted endpoints are kept until then */
+  LbTime grace_until;  /* endpoints missing in the list are kept until this time */
 };
 
 LcRoster *
@@ -63,7 +63,7 @@
 }
 
 static bool
-is_same_member (const LcRegistration *a, const LcRegistration *b)
+describe_same_resource (const LcRegistration *a, const LcRegistration *b)
 {
   if (a->n_models != b->n_models || a->leaving != b->leaving || a->slots != b->slots
       || strcmp (a->address, b->address) != 0 || strcmp (a->service, b->service) != 0)
@@ -76,9 +76,9 @@
 
 typedef struct
 {
-  const char *single_event;  /* logged for one endpoint */
-  const char *summary_event; /* logged with the number of endpoints */
-  size_t n;
+  const char *single_event;  /* log event for one endpoint */
+  const char *summary_event; /* log event with the number of endpoints */
+  size_t n_changes;
 } ChangeLog;
 
 static void
@@ -90,17 +90,17 @@
 }
 
 static void
-log_change (ChangeLog *change_log, const LcRegistration *registration)
+log_endpoint_change (ChangeLog *change_log, const LcRegistration *registration)
 {
-  if (change_log->n++ < MAX_LOGGED_CHANGES)
+  if (change_log->n_changes++ < MAX_LOGGED_CHANGES)
     log_registration (change_log->single_event, registration);
 }
 
 static void
-log_summary (const LcRoster *roster, const ChangeLog *change_log)
+log_change_summary (const LcRoster *roster, const ChangeLog *change_log)
 {
-  if (change_log->n > MAX_LOGGED_CHANGES)
-    lb_log (LB_LOG_INFO, change_log->summary_event, LB_INT ("endpoints", change_log->n),
+  if (change_log->n_changes > MAX_LOGGED_CHANGES)
+    lb_log (LB_LOG_INFO, change_log->summary_event, LB_INT ("endpoints", change_log->n_changes),
             LB_INT ("known", roster->n_entries));
 }
 
@@ -109,12 +109,12 @@
 {
   if (roster->n_entries == roster->capacity)
     {
-      roster->capacity = roster->capacity > 0 ? 2 * roster->capacity : FIRST_CAPACITY;
+      roster->capacity = roster->capacity > 0 ? 2 * roster->capacity : INITIAL_CAPACITY;
       roster->entries = lb_realloc (roster->entries, roster->capacity * sizeof *roster->entries);
     }
   Entry *entry = &roster->entries[roster->n_entries++];
   memset (entry, 0, sizeof *entry);
-  log_change (added, registration);
+  log_endpoint_change (added, registration);
   return entry;
 }
 
@@ -124,7 +124,7 @@
                     const LcRegistration *registration,
                     ChangeLog *added)
 {
-  bool changed = !entry || !is_same_member (&entry->registration, registration);
+  bool changed = !entry || !describe_same_resource (&entry->registration, registration);
 
   if (!entry)
     entry = add_entry (roster, registration, added);
@@ -136,7 +136,7 @@
 }
 
 static int
-compare_registrations (const void *a, const void *b)
+compare_registration_names (const void *a, const void *b)
 {
   return strcmp ((*(const LcRegistration *const *)a)->name,
                  (*(const LcRegistration *const *)b)->name);
@@ -145,7 +145,7 @@
 /* Returns the list sorted by name, the usual order of the store and the catalog. The caller frees
  * the result. */
 static const LcRegistration **
-sort_by_name (const LcRegistration *list, size_t n_list)
+sort_registrations_by_name (const LcRegistration *list, size_t n_list)
 {
   const LcRegistration **sorted = LB_NEW_ARRAY (const LcRegistration *, n_list + 1);
   bool is_sorted = true;
@@ -156,18 +156,18 @@
       is_sorted &= i == 0 || strcmp (list[i - 1].name, list[i].name) <= 0;
     }
   if (!is_sorted)
-    qsort (sorted, n_list, sizeof *sorted, compare_registrations);
+    qsort (sorted, n_list, sizeof *sorted, compare_registration_names);
   return sorted;
 }
 
-/* Merges the sorted list into the entries: known entries are sorted by name, and new ones are
- * appended after them. A search for each endpoint takes quadratic time: with 3,000 endpoints, the
- * first list took every instance longer than the time limit for sending requests to a leaving
- * endpoint. */
+/* Merges the list into the entries. Both are sorted by name, so one pass finds the known entries;
+ * new entries are appended. A search for each endpoint takes quadratic time: with 3,000 endpoints,
+ * every instance processed the first list for longer than the time limit for sending requests to a
+ * leaving endpoint. */
 static bool
 merge_list (LcRoster *roster, const LcRegistration *list, size_t n_list)
 {
-  const LcRegistration **sorted = sort_by_name (list, n_list);
+  const LcRegistration **sorted = sort_registrations_by_name (list, n_list);
   ChangeLog added = { .single_event = "endpoint_listed", .summary_event = "endpoints_listed" };
   size_t n_sorted = roster->n_entries;
   size_t index = 0;
@@ -180,19 +180,19 @@
         index++;
       size_t position = index;
       if (index == n_sorted || strcmp (roster->entries[index].registration.name, name) != 0)
-        position = roster->n_entries - 1; /* appended just now, if the list names it twice */
+        position = roster->n_entries - 1; /* just appended if the list names it twice */
       bool is_known = position < roster->n_entries
                       && strcmp (roster->entries[position].registration.name, name) == 0;
       changed |= apply_registration (roster, is_known ? &roster->entries[position] : NULL,
                                      sorted[i], &added);
     }
-  log_summary (roster, &added);
+  log_change_summary (roster, &added);
   free (sorted);
   return changed;
 }
 
 static const Entry *
-find_listed_address (const LcRoster *roster, const char *address)
+find_listed_entry_by_address (const LcRoster *roster, const char *address)
 {
   for (size_t i = 0; i < roster->n_entries; i++)
     if (roster->entries[i].is_listed
@@ -201,16 +201,18 @@
   return NULL;
 }
 
-/* The listed endpoint at the address of one that is not listed, or NULL. If there is one, the
- * earlier process has ended, even if the store lost registrations in an outage. */
+/* Returns the listed entry with the same address as the missing entry, or NULL. A listed entry at
+ * the address shows that the earlier process has ended, even if the store lost registrations in an
+ * outage. */
 static const Entry *
-find_successor (const LcRoster *roster, const Entry *missing)
+find_successor_at_same_address (const LcRoster *roster, const Entry *missing)
 {
-  return missing->is_listed ? NULL : find_listed_address (roster, missing->registration.address);
+  return missing->is_listed ? NULL
+                            : find_listed_entry_by_address (roster, missing->registration.address);
 }
 
 /* A restarted engine keeps its planned model: another assignment would make it load other weights
- * in the middle of a step. Its version is unknown until it reports it. */
+ * in the middle of a step. The version of its weights is unknown until the engine reports it. */
 static void
 inherit_planned_model (LcRoster *roster, const Entry *previous, const Entry *successor)
 {
@@ -227,7 +229,7 @@
 static void
 remove_entry (LcRoster *roster, size_t index, ChangeLog *removed)
 {
-  log_change (removed, &roster->entries[index].registration);
+  log_endpoint_change (removed, &roster->entries[index].registration);
   memmove (&roster->entries[index], &roster->entries[index + 1],
            (roster->n_entries - index - 1) * sizeof *roster->entries);
   roster->n_entries--;
@@ -235,26 +237,27 @@
 
 /* Removes entries whose address is now used by another endpoint. */
 static bool
-remove_replaced (LcRoster *roster)
+remove_replaced_entries (LcRoster *roster)
 {
   ChangeLog removed = { .single_event = "endpoint_gone", .summary_event = "endpoints_gone" };
 
   for (size_t i = roster->n_entries; i-- > 0;)
     {
-      const Entry *successor = find_successor (roster, &roster->entries[i]);
+      const Entry *successor = find_successor_at_same_address (roster, &roster->entries[i]);
       if (!successor)
         continue;
       inherit_planned_model (roster, &roster->entries[i], successor);
       remove_entry (roster, i, &removed);
     }
-  log_summary (roster, &removed);
-  return removed.n > 0;
+  log_change_summary (roster, &removed);
+  return removed.n_changes > 0;
 }
 
-/* In an outage of the store, registrations expire because live endpoints can't renew them. If these
- * endpoints were removed, all requests would go to the few remaining ones, or to none. */
+/* Keeps unlisted entries during the grace period. In an outage of the store, registrations expire
+ * because live endpoints can't renew them; if these endpoints were removed, all requests would go
+ * to the few remaining endpoints, or fail. */
 static bool
-remove_unlisted (LcRoster *roster, LbTime now)
+remove_unlisted_entries (LcRoster *roster, LbTime now)
 {
   ChangeLog removed = { .single_event = "endpoint_gone", .summary_event = "endpoints_gone" };
 
@@ -263,18 +266,18 @@
   for (size_t i = roster->n_entries; i-- > 0;)
     if (!roster->entries[i].is_listed)
       remove_entry (roster, i, &removed);
-  log_summary (roster, &removed);
-  return removed.n > 0;
+  log_change_summary (roster, &removed);
+  return removed.n_changes > 0;
 }
 
 static int
-compare_names (const void *a, const void *b)
+compare_entry_names (const void *a, const void *b)
 {
   return strcmp (((const Entry *)a)->registration.name, ((const Entry *)b)->registration.name);
 }
 
 static uint64_t
-engine_model_score (const char *engine, const char *model)
+compute_rendezvous_score (const char *engine, const char *model)
 {
   return XXH3_64bits_withSeed (engine, strlen (engine), XXH3_64bits (model, strlen (model)));
 }
@@ -284,27 +287,27 @@
 {
   const char *service;
   size_t n_engines;
-  size_t n_of_model[LC_MAX_MODELS];
-} ModelDivision;
+  size_t n_engines_of_model[LC_MAX_MODELS];
+} ModelAssignment;
 
 static bool
-counts_for_division (const Entry *entry)
+is_assignable_engine (const Entry *entry)
 {
   return !entry->registration.leaving && entry->registration.n_models > 0;
 }
 
-static ModelDivision *
-find_division (ModelDivision *divisions, size_t n, const char *service)
+static ModelAssignment *
+find_assignment_of_service (ModelAssignment *assignments, size_t n, const char *service)
 {
   for (size_t i = 0; i < n; i++)
-    if (strcmp (divisions[i].service, service) == 0)
-      return &divisions[i];
+    if (strcmp (assignments[i].service, service) == 0)
+      return &assignments[i];
   return NULL;
 }
 
-/* Returns the number of services with engines. */
+/* Counts the engines of each service that has any. Returns the number of these services. */
 static size_t
-count_engines (const LcRoster *roster, ModelDivision *divisions)
+count_engines_per_service (const LcRoster *roster, ModelAssignment *assignments)
 {
   size_t n = 0;
 
@@ -313,19 +316,20 @@
       const Entry *entry = &roster->entries[i];
       if (entry->registration.n_models == 0)
         continue;
-      ModelDivision *division = find_division (divisions, n, entry->registration.service);
-      if (!division)
+      ModelAssignment *assignment
+          = find_assignment_of_service (assignments, n, entry->registration.service);
+      if (!assignment)
         {
-          division = &divisions[n++];
-          division->service = entry->registration.service;
+          assignment = &assignments[n++];
+          assignment->service = entry->registration.service;
         }
-      division->n_engines += counts_for_division (entry);
+      assignment->n_engines += is_assignable_engine (entry);
     }
   return n;
 }
 
 static bool
-apply_plan (const LcRoster *roster, Entry *entry)
+assign_planned_model (const LcRoster *roster, Entry *entry)
 {
   const LcPlanEntry *planned = lc_engine_plan_find (&roster->plan, entry->registration.name);
 
@@ -339,18 +343,18 @@
 }
 
 static void
-choose_model (Entry *entry, const ModelDivision *division)
+assign_model_by_hash (Entry *entry, const ModelAssignment *assignment)
 {
   size_t n_models = entry->registration.n_models;
-  size_t max_engines = (division->n_engines + n_models - 1) / n_models;
+  size_t max_engines = (assignment->n_engines + n_models - 1) / n_models;
   uint64_t best = 0;
   bool chosen = false;
 
   for (size_t model = 0; model < n_models; model++)
     {
-      uint64_t score
-          = engine_model_score (entry->registration.name, entry->registration.models[model].name);
-      if (division->n_of_model[model] >= max_engines && !entry->registration.leaving)
+      uint64_t score = compute_rendezvous_score (entry->registration.name,
+                                                 entry->registration.models[model].name);
+      if (assignment->n_engines_of_model[model] >= max_engines && !entry->registration.leaving)
         continue;
       if (!chosen || score > best)
         {
@@ -361,30 +365,31 @@
     }
 }
 
-/* Assigns a model to each engine that holds several, so that a new version of a model is loaded by
- * its own engines only. Rendezvous hashing of engine and model names, limited to an equal share for
- * each model: every instance gets the same division from the same list, and the removal of an
- * engine changes the model of few others. */
+/* Assigns one model to each engine that holds several, so that only the engines assigned to a model
+ * load its new versions. Uses rendezvous hashing of engine and model names, limited to an equal
+ * share of engines for each model: every instance computes the same assignment from the same list,
+ * and the removal of an engine changes the model of few other engines. */
 static void
-divide_engines (LcRoster *roster)
+assign_models_to_engines (LcRoster *roster)
 {
-  ModelDivision *divisions = LB_NEW_ARRAY (ModelDivision, roster->n_entries + 1);
+  ModelAssignment *assignments = LB_NEW_ARRAY (ModelAssignment, roster->n_entries + 1);
 
   if (roster->n_entries > 0)
-    qsort (roster->entries, roster->n_entries, sizeof *roster->entries, compare_names);
-  size_t n = count_engines (roster, divisions);
+    qsort (roster->entries, roster->n_entries, sizeof *roster->entries, compare_entry_names);
+  size_t n = count_engines_per_service (roster, assignments);
   for (size_t i = 0; i < roster->n_entries; i++)
     {
       Entry *entry = &roster->entries[i];
-      ModelDivision *division = find_division (divisions, n, entry->registration.service);
-      if (!division || entry->registration.n_models == 0)
+      ModelAssignment *assignment
+          = find_assignment_of_service (assignments, n, entry->registration.service);
+      if (!assignment || entry->registration.n_models == 0)
         continue;
-      if (!apply_plan (roster, entry))
-        choose_model (entry, division);
-      if (counts_for_division (entry))
-        division->n_of_model[entry->model]++;
+      if (!assign_planned_model (roster, entry))
+        assign_model_by_hash (entry, assignment);
+      if (is_assignable_engine (entry))
+        assignment->n_engines_of_model[entry->model]++;
     }
-  free (divisions);
+  free (assignments);
 }
 
 static void
@@ -399,9 +404,9 @@
 lc_roster_confirm_list (LcRoster *roster, LbTime asked_at, LbTime now)
 {
   record_list_time (roster, asked_at, now);
-  bool changed = remove_unlisted (roster, now);
+  bool changed = remove_unlisted_entries (roster, now);
   if (changed)
-    divide_engines (roster);
+    assign_models_to_engines (roster);
   return changed;
 }
 
@@ -415,10 +420,10 @@
   for (size_t i = 0; i < roster->n_entries; i++)
     roster->entries[i].is_listed = false;
   changed |= merge_list (roster, list, n_list);
-  changed |= remove_replaced (roster);
-  changed |= remove_unlisted (roster, now);
+  changed |= remove_replaced_entries (roster);
+  changed |= remove_unlisted_entries (roster, now);
   if (changed)
-    divide_engines (roster);
+    assign_models_to_engines (roster);
   return changed;
 }
 
@@ -433,7 +438,7 @@
     {
       Entry *entry = &roster->entries[i];
       size_t previous = entry->model;
-      changed |= apply_plan (roster, entry) && entry->model != previous;
+      changed |= assign_planned_model (roster, entry) && entry->model != previous;
     }
   return changed;
 }
@@ -489,7 +494,7 @@
 }
 
 static void
-add_pool (LcResourceSet *set, const char *model)
+add_pool_of_model (LcResourceSet *set, const char *model)
 {
   if (lc_resource_set_find_pool (set, model))
     return;
@@ -503,7 +508,10 @@
 }
 
 static void
-fill_member (const LcRoster *roster, size_t index, bool checks_fence, LcEndpointMember *member)
+fill_endpoint_member (const LcRoster *roster,
+                      size_t index,
+                      bool checks_fence,
+                      LcEndpointMember *member)
 {
   const LcRegistration *registration = &roster->entries[index].registration;
   const char *model = lc_roster_assigned_model (roster, index);
@@ -533,8 +541,8 @@
     {
       const LcRegistration *registration = &roster->entries[i].registration;
       for (size_t model = 0; model < registration->n_models; model++)
-        add_pool (set, registration->models[model].name);
-      fill_member (roster, i, checks_fence, &set->endpoints[i]);
+        add_pool_of_model (set, registration->models[model].name);
+      fill_endpoint_member (roster, i, checks_fence, &set->endpoints[i]);
     }
   return set;
 }
