--- a/packages/core/include/lc-scaling.h
+++ b/packages/core/include/lc-scaling.h
@@ -4,9 +4,9 @@
 #include "lc-desired.h"
 
 /* Decides how many spot endpoints a service should have in each data centre, so that the
- * generations of a trainer's step start without queueing: the longest of them takes most of its
- * step's time, and any wait delays the step. The number of on-demand endpoints is not changed. Spot
- * endpoints may be preempted at any time; meeting a due time does not depend on them. No I/O. */
+ * generations of a trainer's step start without queueing: the longest generation takes most of the
+ * step's time, so any wait delays the step. The number of on-demand endpoints is not changed. Spot
+ * endpoints may be preempted at any time; meeting a deadline does not depend on them. No I/O. */
 
 typedef struct LcScaling LcScaling;
 
@@ -14,21 +14,22 @@
 void lc_scaling_free (LcScaling *scaling);
 
 /* commands */
-/* A trainer submitted a batch of n_generations for the model. */
+/* Records that a trainer submitted a batch of n_generations for the model. */
 void
 lc_scaling_add_demand (LcScaling *scaling, const char *model, int64_t n_generations, LbTime now);
-/* Called by a new lease holder, which does not know the orders of earlier holders: all are given
- * again. */
+/* Discards the record of orders, so that all orders are sent again. Called when this instance
+ * becomes the lease holder, since it does not know the orders of earlier holders. */
 void lc_scaling_forget_orders (LcScaling *scaling);
 
 typedef struct
 {
   LbName service;
   LbName data_centre;
-  int64_t endpoints; /* spot endpoints wanted in total */
+  int64_t endpoints; /* total number of spot endpoints wanted in the data centre */
 } LcScalingOrder;
 
-/* The next order to send, to be followed by lc_scaling_finish_order; false: none now. */
+/* Fills in the next order to send; false: no order is due. Call lc_scaling_finish_order with the
+ * outcome of the order. */
 bool lc_scaling_next_order (LcScaling *scaling,
                             const LcDesired *desired,
                             const LcResourceSet *set,
@@ -38,10 +39,10 @@
 typedef enum
 {
   LC_SCALING_ACCEPTED,
-  /* No answer: the order may be executed late, even after a newer one, so an order with the number
-   * wanted by then follows. */
+  /* No answer: the order may be executed late, even after a newer one. The next order corrects the
+   * number of endpoints. */
   LC_SCALING_UNKNOWN,
-  LC_SCALING_REFUSED /* no capacity there now */
+  LC_SCALING_REFUSED /* the data centre has no capacity now */
 } LcScalingOutcome;
 
 void lc_scaling_finish_order (LcScaling *scaling,
--- a/packages/core/include/lc-subset.h
+++ b/packages/core/include/lc-subset.h
@@ -7,13 +7,13 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Deterministic subsetting of the table of endpoints. Rows are read in the order of their keys,
- * which are random names, so the first rows are a sample of all data centres and services. An
- * instance knows the endpoints of a service with keys up to a bound; it knows all endpoints of a
- * service that has few, and the whole table if that fits one page. No I/O. */
+/* Deterministic subsetting of the endpoint table. Rows are read in key order, and the keys are
+ * random names, so the first rows are a sample of all data centres and services. For each service,
+ * the subset contains the endpoints whose keys are up to a bound, or all endpoints if the service
+ * has few. If the whole table fits one page, the subset is the whole table. No I/O. */
 
-/* Minimum of endpoints in service in the subset of a service, if there are as many; for engines,
- * per model. */
+/* Minimum number of endpoints, leaving ones excluded, in the subset of a service that has at least
+ * that many; for engines, the minimum for each model. */
 #define LC_SUBSET_MIN_ENDPOINTS 48
 
 typedef struct LcSubset LcSubset;
@@ -22,37 +22,39 @@
 typedef struct
 {
   const char *service;
-  size_t n_models; /* 0: a plain service */
-  int64_t slots;   /* concurrent requests that it can process; 0: not known */
+  size_t n_models; /* number of models that the endpoint holds; 0: a plain service */
+  int64_t slots;   /* number of requests that the endpoint can process concurrently; 0: unknown */
   bool leaving;
 } LcSubsetRow;
 
 LcSubset *lc_subset_new (void);
 void lc_subset_free (LcSubset *subset);
 
-/* commands: a list, read page by page */
+/* commands: read the endpoint table page by page */
 void lc_subset_begin_list (LcSubset *subset, LbTime now);
-/* Adds a row, in the order of the keys; true: the endpoint belongs to the subset. */
+/* Adds the next row in key order. Returns true if the endpoint belongs to the subset. */
 bool lc_subset_add_row (LcSubset *subset, const char *key, const LcSubsetRow *row);
-/* Ends a page whose last row has last_key; true: the next page must be read. is_last: end of
- * table. */
+/* Ends a page whose last row has last_key. is_last: the table ends with this page. Returns true if
+ * the next page must be read. */
 bool lc_subset_end_page (LcSubset *subset, const char *last_key, bool is_last);
 
-/* commands */
-/* Pages are read until the subset has enough endpoints of each expected service. */
+/* commands: configure the subset */
+/* Clears the set of expected services. Pages are read until the subset has enough endpoints of each
+ * expected service. */
 void lc_subset_clear_expected_services (LcSubset *subset);
 void lc_subset_expect_service (LcSubset *subset, const char *service);
-/* Sets the bound that the publisher chose; "": all endpoints of the service are known. */
+/* Sets the last key of the service's subset, as chosen by the instance that publishes the bounds;
+ * "": the subset contains all endpoints of the service. */
 void lc_subset_set_bound (LcSubset *subset, const char *service, const char *bound);
-/* requests: maximum of concurrent requests for the model. */
+/* requests: maximum number of concurrent requests for the model. */
 void lc_subset_set_demand (LcSubset *subset, const char *model, int64_t requests);
 
-/* Enlarges the subset of a service whose endpoints are nearly full, at most once in a few
+/* Enlarges the subset of a service whose endpoints are nearly full, at most once every few
  * seconds. */
 void lc_subset_grow (LcSubset *subset, const char *service, LbTime now);
 
 /* queries */
-/* Rows to request per page: as many as the previous list needed. */
+/* Number of rows to request per page: as many as the previous list needed. */
 int64_t lc_subset_page_size (const LcSubset *subset);
 void lc_subset_foreach_bound (const LcSubset *subset,
                               void (*callback) (const char *service, const char *bound, void *user),
--- a/packages/core/include/lc-utilisation.h
+++ b/packages/core/include/lc-utilisation.h
@@ -5,8 +5,8 @@
 
 #include <stdint.h>
 
-/* Mean utilisation of the known endpoints of each service, from the load that their replies state.
- * Tells when the subset of known endpoints is too small for the load. No I/O. */
+/* Mean utilisation of the known endpoints of each service, calculated from the load stated in their
+ * replies. Shows when the subset of known endpoints is too small for the load. No I/O. */
 
 typedef struct LcUtilisation LcUtilisation;
 
@@ -14,14 +14,16 @@
 void lc_utilisation_free (LcUtilisation *utilisation);
 
 /* commands */
-/* Load stated by one reply: requests running or waiting at the endpoint, and its slots. */
+/* Adds the load stated by one reply. requests: number running or waiting at the endpoint; slots:
+ * number of requests that the endpoint can process concurrently. */
 void lc_utilisation_add_report (LcUtilisation *utilisation,
                                 const char *service,
                                 int64_t requests,
                                 int64_t slots);
 
 /* queries */
-/* The most utilised service, if it is overloaded; "": none. */
+/* Name of the service with the highest mean utilisation if it is overloaded; "": no service is
+ * overloaded. */
 const char *lc_utilisation_find_overloaded_service (const LcUtilisation *utilisation);
 
 #endif
--- a/packages/core/src/endpoints/lc-scaling.c
+++ b/packages/core/src/endpoints/lc-scaling.c
@@ -6,16 +6,17 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A model without a batch for this time is no longer trained; several times the period of its
- * steps. */
+/* A model without a batch for this time is treated as no longer trained. The time is several times
+ * the interval between two training steps. */
 #define DEMAND_LIFETIME (20 * LB_SEC)
-/* Time between two orders for one location. An order without an answer may still be executed
- * seconds later; the next order corrects the number. */
-#define ORDER_PERIOD (4 * LB_SEC)
+/* Minimum time between two orders for one location. An order without an answer may still be
+ * executed seconds later; the next order corrects the number of endpoints. */
+#define MIN_ORDER_INTERVAL (4 * LB_SEC)
 /* A location without capacity is skipped for this time, in favour of others. */
 #define REFUSAL_BACKOFF (5 * LB_SEC)
-/* Fewer endpoints are ordered only when fewer have been sufficient for this time: there is a short
- * excess while endpoints are replaced, and stopping an endpoint interrupts its generations. */
+/* The number of endpoints is lowered only after fewer have been sufficient for this time: there is
+ * a short excess while endpoints are replaced, and stopping an endpoint interrupts its
+ * generations. */
 #define SCALE_DOWN_DELAY (10 * LB_SEC)
 
 typedef struct
@@ -33,10 +34,10 @@
   LbName service;
   LbName data_centre;
   int64_t n_wanted;
-  LbTime excess_since; /* when fewer than ordered became sufficient; 0: they are not */
+  LbTime excess_since; /* when fewer endpoints than ordered became sufficient; 0: no excess */
   LbTime refused_until;
-  int64_t n_ordered;     /* endpoints in the latest accepted order; -1: not known */
-  bool is_order_pending; /* an order has no outcome yet */
+  int64_t n_ordered;     /* number of endpoints in the latest accepted order; -1: not known */
+  bool is_order_pending; /* an order was sent and its outcome is not known yet */
   LbTime next_order_at;
 } Location;
 
@@ -139,13 +140,14 @@
   return "";
 }
 
-/* Generations of one step of each model that the service's engines serve: a model's next step
- * starts when most generations of its previous step have ended. */
+/* Returns the total number of generations in one step of each model that the service's engines
+ * serve. Steps of one model are not added up: a step starts when most generations of the previous
+ * step have ended. */
 static int64_t
-count_wanted_generations (const LcScaling *scaling,
-                          const LcResourceSet *set,
-                          const char *service,
-                          LbTime now)
+count_generations_per_step (const LcScaling *scaling,
+                            const LcResourceSet *set,
+                            const char *service,
+                            LbTime now)
 {
   int64_t n_generations = 0;
 
@@ -159,10 +161,10 @@
 }
 
 static int64_t
-count_endpoints (const LcResourceSet *set,
-                 const char *service,
-                 const char *data_centre,
-                 bool is_spot)
+count_service_endpoints (const LcResourceSet *set,
+                         const char *service,
+                         const char *data_centre,
+                         bool is_spot)
 {
   int64_t n = 0;
 
@@ -176,7 +178,7 @@
 }
 
 static int64_t
-slots_per_endpoint (const LcResourceSet *set, const char *service)
+find_slots_per_endpoint (const LcResourceSet *set, const char *service)
 {
   for (size_t i = 0; i < set->n_endpoints; i++)
     if (strcmp (set->endpoints[i].service, service) == 0 && set->endpoints[i].concurrency > 0)
@@ -184,22 +186,23 @@
   return 0;
 }
 
-/* Spot endpoints needed in addition to the on-demand ones; 0 if the endpoints' size is not
- * known. */
+/* Returns the number of spot endpoints needed in addition to the on-demand ones; 0 if the number of
+ * slots per endpoint is not known. */
 static int64_t
 count_wanted_spot_endpoints (const LcScaling *scaling,
                              const LcService *service,
                              const LcResourceSet *set,
                              LbTime now)
 {
-  int64_t slots = slots_per_endpoint (set, service->name);
+  int64_t slots = find_slots_per_endpoint (set, service->name);
   int64_t n_wanted = 0;
 
   if (slots == 0)
     return 0;
-  n_wanted = (count_wanted_generations (scaling, set, service->name, now) + slots - 1) / slots;
+  n_wanted = (count_generations_per_step (scaling, set, service->name, now) + slots - 1) / slots;
   for (size_t i = 0; i < service->scaling.n_prices; i++)
-    n_wanted -= count_endpoints (set, service->name, service->scaling.prices[i].data_centre, false);
+    n_wanted -= count_service_endpoints (set, service->name, service->scaling.prices[i].data_centre,
+                                         false);
   return n_wanted > 0 ? n_wanted : 0;
 }
 
@@ -218,17 +221,18 @@
                     const LcResourceSet *set,
                     LbTime now)
 {
-  int64_t max_endpoints = service->scaling.max
-                          - count_endpoints (set, location->service, location->data_centre, false);
+  int64_t max_endpoints
+      = service->scaling.max
+        - count_service_endpoints (set, location->service, location->data_centre, false);
 
-  /* After a refusal no more endpoints are ordered, but the existing ones are kept. */
+  /* After a refused order no more endpoints are ordered, but the existing ones are kept. */
   if (now < location->refused_until)
-    max_endpoints = count_endpoints (set, location->service, location->data_centre, true);
+    max_endpoints = count_service_endpoints (set, location->service, location->data_centre, true);
   return max_endpoints > 0 ? max_endpoints : 0;
 }
 
 static void
-set_wanted (Location *location, int64_t n_wanted, LbTime now)
+set_wanted_endpoints (Location *location, int64_t n_wanted, LbTime now)
 {
   bool has_excess = n_wanted < location->n_ordered;
 
@@ -242,13 +246,13 @@
     location->n_wanted = location->n_ordered;
 }
 
-/* Fills the cheapest data centres first, each up to its limit, which includes on-demand
- * endpoints. */
+/* Assigns spot endpoints to the cheapest data centres first, each up to its limit, which includes
+ * on-demand endpoints. */
 static void
-distribute_endpoints (LcScaling *scaling,
-                      const LcService *service,
-                      const LcResourceSet *set,
-                      LbTime now)
+distribute_spot_endpoints (LcScaling *scaling,
+                           const LcService *service,
+                           const LcResourceSet *set,
+                           LbTime now)
 {
   LcDataCentrePrice prices[LC_MAX_DATA_CENTRES];
   size_t n = service->scaling.n_prices;
@@ -262,24 +266,24 @@
       int64_t max_endpoints = max_spot_endpoints (location, service, set, now);
       int64_t n_wanted = n_remaining < max_endpoints ? n_remaining : max_endpoints;
       n_remaining -= n_wanted;
-      set_wanted (location, n_wanted, now);
+      set_wanted_endpoints (location, n_wanted, now);
     }
 }
 
 static bool
-can_use_spot (const LcService *service)
+can_use_spot_endpoints (const LcService *service)
 {
   const LcScalingLimits *limits = &service->scaling;
 
   return limits->max > 0 && limits->spot_price > 0 && limits->spot_price < 1;
 }
 
-/* There are fewer endpoints than ordered, and the order is old enough for them to have started:
- * some were preempted or never became available. */
+/* Called MIN_ORDER_INTERVAL after the order, when its endpoints have had time to start: if there
+ * are fewer, some were preempted or never became available. */
 static bool
-is_missing_endpoints (const Location *location, const LcResourceSet *set)
+has_fewer_endpoints_than_ordered (const Location *location, const LcResourceSet *set)
 {
-  return count_endpoints (set, location->service, location->data_centre, true)
+  return count_service_endpoints (set, location->service, location->data_centre, true)
          < location->n_ordered;
 }
 
@@ -290,7 +294,8 @@
     return false;
   if (location->n_ordered < 0)
     return location->n_wanted > 0 && now >= location->refused_until;
-  return location->n_wanted != location->n_ordered || is_missing_endpoints (location, set);
+  return location->n_wanted != location->n_ordered
+         || has_fewer_endpoints_than_ordered (location, set);
 }
 
 bool
@@ -301,8 +306,8 @@
                        LcScalingOrder *order)
 {
   for (size_t i = 0; i < desired->n_services; i++)
-    if (can_use_spot (&desired->services[i]))
-      distribute_endpoints (scaling, &desired->services[i], set, now);
+    if (can_use_spot_endpoints (&desired->services[i]))
+      distribute_spot_endpoints (scaling, &desired->services[i], set, now);
   LB_LIST_FOREACH (&scaling->locations, Location, link, location)
   {
     if (!is_order_due (location, set, now))
@@ -325,7 +330,7 @@
   Location *location = find_or_add_location (scaling, order->service, order->data_centre);
 
   location->is_order_pending = false;
-  location->next_order_at = now + ORDER_PERIOD;
+  location->next_order_at = now + MIN_ORDER_INTERVAL;
   location->n_ordered = outcome == LC_SCALING_ACCEPTED ? order->endpoints : -1;
   if (outcome == LC_SCALING_REFUSED)
     location->refused_until = now + REFUSAL_BACKOFF;
--- a/packages/core/src/endpoints/lc-subset.c
+++ b/packages/core/src/endpoints/lc-subset.c
@@ -7,43 +7,45 @@
 #include <uthash.h>
 
 #define MAX_PAGE_ROWS 500
-/* Rows requested in addition to those of the previous list, since a few are added between two
- * lists. */
-#define SPARE_ROWS 32
-/* A subset with less than this percentage of the endpoints wanted is extended. */
+/* Number of rows requested in addition to those that the previous list needed, since a few
+ * endpoints register between two lists. */
+#define EXTRA_PAGE_ROWS 32
+/* A subset with less than this percentage of the wanted number of endpoints is extended. */
 #define EXTEND_BELOW_PERCENT 75
-/* A subset with more than this percentage is cut. While a deployment starts, endpoints register one
- * after the other, and a bound set for the first ones also includes all that register later. */
+/* A subset with more than this percentage of the wanted number of endpoints is cut. While a
+ * deployment starts, endpoints register one after the other, and a bound set for the first ones
+ * also includes endpoints that register later. */
 #define CUT_ABOVE_PERCENT 200
-/* A request may still hold its slot when those of the next step start. */
+/* Slots wanted for each concurrent request: a request may still hold its slot when the requests of
+ * the next step start. */
 #define SLOTS_PER_REQUEST 2
-/* Time between two lists of the whole table that look for a service without endpoints. */
-#define ABSENT_RETRY_PERIOD (10 * LB_SEC)
-/* Time between two extensions due to load, until calls reach the new endpoints and replies show the
- * effect. */
-#define GROW_PERIOD (3 * LB_SEC)
-#define GROW_FACTOR 1.5
+/* Minimum time between two lists of the whole table that search for a service without endpoints. */
+#define ABSENT_SERVICE_RETRY_INTERVAL (10 * LB_SEC)
+/* Minimum time between two extensions of a subset due to load: calls must first reach the new
+ * endpoints, and replies must show the effect. */
+#define MIN_GROWTH_INTERVAL (3 * LB_SEC)
+#define GROWTH_FACTOR 1.5
 
 typedef struct
 {
-  LbName name;     /* key */
+  LbName name;     /* hash table key */
   LbName bound;    /* last key of the subset; "": all endpoints belong to it */
-  size_t n_ready;  /* endpoints in service in the subset, in the current list */
-  size_t n_models; /* maximum held by one of its engines; 0: a plain service */
-  int64_t slots;   /* slots of one endpoint, from the latest row */
-  double growth;   /* relative increase of the endpoints wanted, due to load */
+  size_t n_ready;  /* number of endpoints of the current list in the subset, without leaving ones */
+  size_t n_models; /* maximum number of models of one of its engines; 0: a plain service */
+  int64_t slots;   /* number of slots of one endpoint, from the latest row of the service */
+  double growth;   /* relative increase of the wanted number of endpoints due to load */
   LbTime grown_at;
   bool is_expected;
-  bool is_listed;        /* the current list has a row of it */
-  bool is_absent;        /* the last list of the whole table had no row of it */
+  bool is_listed;        /* the current list has a row of the service */
+  bool is_absent;        /* the last list of the whole table had no row of the service */
   bool is_extended;      /* the current list extends the subset */
-  LbName sufficient_key; /* key in the current list where the subset was sufficient; "": not yet */
+  LbName sufficient_key; /* key at which the current list's subset is large enough; "": none */
   UT_hash_handle hh;
 } Service;
 
 typedef struct
 {
-  LbName name; /* key */
+  LbName name; /* hash table key */
   int64_t requests;
   UT_hash_handle hh;
 } Model;
@@ -52,8 +54,8 @@
 {
   Service *services;
   Model *models;
-  int64_t max_requests; /* maximum over the models */
-  size_t n_rows_needed; /* of the current list, up to the last row in the subset */
+  int64_t max_requests; /* maximum of the requests of all models */
+  size_t n_rows_needed; /* number of rows of the current list up to the last one in the subset */
   size_t n_rows_read;
   int64_t page_size;
   LbTime list_started_at;
@@ -106,7 +108,8 @@
   return service;
 }
 
-/* Number of endpoints in service that the subset should hold. */
+/* Returns the number of endpoints of the service, leaving ones excluded, that the subset should
+ * contain. */
 static size_t
 count_wanted_endpoints (const LcSubset *subset, const Service *service)
 {
@@ -120,7 +123,7 @@
 }
 
 static bool
-is_too_small (const LcSubset *subset, const Service *service)
+is_subset_too_small (const LcSubset *subset, const Service *service)
 {
   return service->n_ready * 100 < count_wanted_endpoints (subset, service) * EXTEND_BELOW_PERCENT;
 }
@@ -128,7 +131,7 @@
 void
 lc_subset_begin_list (LcSubset *subset, LbTime now)
 {
-  bool retry_absent = now - subset->full_list_at >= ABSENT_RETRY_PERIOD;
+  bool retry_absent = now - subset->full_list_at >= ABSENT_SERVICE_RETRY_INTERVAL;
 
   subset->list_started_at = now;
   for (Service *service = subset->services; service; service = service->hh.next)
@@ -145,9 +148,9 @@
 
 /* Decides whether the next row in key order belongs to the subset, and moves the bound of its
  * service. Rows are sorted, so all endpoints up to the bound have been counted at the first row
- * after it. */
+ * after the bound. */
 static bool
-admit_row (const LcSubset *subset, Service *service, const char *key)
+admit_row_to_subset (const LcSubset *subset, Service *service, const char *key)
 {
   if (subset->fits_one_page)
     return true;
@@ -158,7 +161,7 @@
     }
   if (service->bound[0] == '\0' || strcmp (key, service->bound) <= 0)
     return true;
-  service->is_extended |= is_too_small (subset, service);
+  service->is_extended |= is_subset_too_small (subset, service);
   if (!service->is_extended || service->n_ready >= count_wanted_endpoints (subset, service))
     return false;
   LB_COPY (service->bound, key);
@@ -176,7 +179,7 @@
     service->n_models = row->n_models;
   if (row->slots > 0)
     service->slots = row->slots;
-  if (!admit_row (subset, service, key))
+  if (!admit_row_to_subset (subset, service, key))
     return false;
   subset->n_rows_needed = subset->n_rows_read;
   service->n_ready += !row->leaving;
@@ -189,7 +192,7 @@
 }
 
 static bool
-needs_next_page (const LcSubset *subset, const Service *service, const char *last_key)
+service_needs_next_page (const LcSubset *subset, const Service *service, const char *last_key)
 {
   if (!service->is_expected || service->is_absent)
     return false;
@@ -197,19 +200,19 @@
     return true;
   return strcmp (last_key, service->bound) < 0
          || (service->is_extended && service->n_ready < count_wanted_endpoints (subset, service))
-         || is_too_small (subset, service);
+         || is_subset_too_small (subset, service);
 }
 
 static int64_t
-next_page_size (const LcSubset *subset, bool is_whole)
+compute_next_page_size (const LcSubset *subset, bool is_whole_table)
 {
-  size_t rows = subset->n_rows_needed + SPARE_ROWS;
+  size_t rows = subset->n_rows_needed + EXTRA_PAGE_ROWS;
 
-  return is_whole || rows > MAX_PAGE_ROWS ? MAX_PAGE_ROWS : (int64_t)rows;
+  return is_whole_table || rows > MAX_PAGE_ROWS ? MAX_PAGE_ROWS : (int64_t)rows;
 }
 
 static void
-finish_full_list (LcSubset *subset)
+finish_list_of_whole_table (LcSubset *subset)
 {
   subset->full_list_at = subset->list_started_at;
   subset->fits_one_page = subset->n_rows_read < MAX_PAGE_ROWS;
@@ -237,15 +240,16 @@
 {
   if (is_last)
     {
-      finish_full_list (subset);
-      subset->page_size = next_page_size (subset, subset->n_rows_needed == subset->n_rows_read);
+      finish_list_of_whole_table (subset);
+      subset->page_size
+          = compute_next_page_size (subset, subset->n_rows_needed == subset->n_rows_read);
       return false;
     }
   set_initial_bounds (subset);
   for (const Service *service = subset->services; service; service = service->hh.next)
-    if (needs_next_page (subset, service, last_key))
+    if (service_needs_next_page (subset, service, last_key))
       return true;
-  subset->page_size = next_page_size (subset, false);
+  subset->page_size = compute_next_page_size (subset, false);
   return false;
 }
 
@@ -297,13 +301,14 @@
 {
   Service *service = find_or_add_service (subset, name);
 
-  /* All endpoints are known, or those of the last extension are not listed yet. */
+  /* Skipped if the subset already contains all endpoints of the service, or if the endpoints of the
+   * last extension are not listed yet. */
   if (service->bound[0] == '\0' || service->n_ready < count_wanted_endpoints (subset, service))
     return;
-  if (service->grown_at > 0 && now - service->grown_at < GROW_PERIOD)
+  if (service->grown_at > 0 && now - service->grown_at < MIN_GROWTH_INTERVAL)
     return;
   service->grown_at = now;
-  service->growth = (1 + service->growth) * GROW_FACTOR - 1;
+  service->growth = (1 + service->growth) * GROWTH_FACTOR - 1;
 }
 
 int64_t
--- a/packages/core/src/endpoints/lc-utilisation.c
+++ b/packages/core/src/endpoints/lc-utilisation.c
@@ -5,14 +5,14 @@
 #include <stdlib.h>
 #include <uthash.h>
 
-#define REPLY_WEIGHT 0.05 /* weight of a new reply in the mean */
-/* Above this mean utilisation requests start to queue at some endpoints. */
+#define NEW_REPLY_WEIGHT 0.05 /* weight of a new reply in the mean */
+/* Above this mean utilisation, requests start to queue at some endpoints. */
 #define OVERLOAD_THRESHOLD 0.6
 
 typedef struct
 {
-  LbName name;             /* key */
-  double mean_utilisation; /* requests per slot, exponentially weighted */
+  LbName name;             /* hash table key */
+  double mean_utilisation; /* exponentially weighted mean of requests per slot */
   UT_hash_handle hh;
 } Service;
 
@@ -60,7 +60,7 @@
       HASH_ADD_STR (utilisation->services, name, service);
     }
   service->mean_utilisation
-      += ((double)requests / (double)slots - service->mean_utilisation) * REPLY_WEIGHT;
+      += ((double)requests / (double)slots - service->mean_utilisation) * NEW_REPLY_WEIGHT;
 }
 
 const char *
