--- a/packages/core/tests/endpoints-fixture.h
+++ b/packages/core/tests/endpoints-fixture.h
@@ -23,7 +23,7 @@
   lc_endpoints_configure (f->endpoints, &f->set, now);
 }
 
-/* A first report of each engine, without an incarnation. */
+/* Records a first report of each engine, without an incarnation. */
 static inline void
 fixture_record_first_reports (Fixture *f)
 {
@@ -64,7 +64,7 @@
 {
   LcEndpoint *endpoint = lc_endpoints_find (f->endpoints, name);
 
-  cr_assert_not_null (endpoint, "%s", name);
+  cr_assert_not_null (endpoint, "endpoint %s not found", name);
   return endpoint;
 }
 
@@ -74,7 +74,7 @@
   return lc_endpoint_can_accept (fixture_find_endpoint (f, name), LC_KIND_LIVE, 0, now);
 }
 
-/* A report that arrives without delay: measured and received at the same time. */
+/* Records and returns a report that is measured and received at the same time. */
 static inline LcLoadReport
 fixture_record_report (
     Fixture *f, const char *name, const char *incarnation, LcVersion version, LbTime at)
--- a/packages/core/tests/test-breaker.c
+++ b/packages/core/tests/test-breaker.c
@@ -3,20 +3,20 @@
 #include "lc-breaker.h"
 
 static void
-fail_repeatedly (LcBreaker *breaker, int n, LbTime now)
+record_failures (LcBreaker *breaker, int n, LbTime now)
 {
   for (int i = 0; i < n; i++)
     lc_breaker_request_failed (breaker, now, now);
 }
 
-/* An engine fails for ten seconds and recovers. All instances notice it at the same time; a full
- * share from each of them at once would overload it again. */
-Test (breaker, half_open_adds_one_request_per_success)
+/* An engine fails for ten seconds and recovers. All instances notice the recovery at the same time;
+ * if each sent its full share of requests at once, they would overload the engine again. */
+Test (breaker, half_open_breaker_allows_one_more_request_per_success)
 {
   LcBreaker breaker = { 0 };
   LbTime now = LB_SEC;
 
-  fail_repeatedly (&breaker, 5, now);
+  record_failures (&breaker, 5, now);
   cr_assert_eq (lc_breaker_max_in_flight (&breaker, now), 0);
   now = breaker.open_until;
   cr_assert_eq (lc_breaker_max_in_flight (&breaker, now), 1);
@@ -30,14 +30,14 @@
   cr_assert_eq (breaker.state, LC_BREAKER_CLOSED);
 }
 
-/* An engine that fails each trial request is tried less and less often. */
+/* An engine that fails each trial request must get trial requests at growing intervals. */
 Test (breaker, open_time_grows_with_each_failed_trial)
 {
   LcBreaker breaker = { 0 };
   LbTime now = LB_SEC;
   LbTime last_open_time = 0;
 
-  fail_repeatedly (&breaker, 5, now);
+  record_failures (&breaker, 5, now);
   for (int i = 0; i < 4; i++)
     {
       cr_assert_gt (breaker.open_until - now, last_open_time);
@@ -50,14 +50,14 @@
 }
 
 /* An engine did not respond for ten seconds and has recovered. Requests that hung during the outage
- * reach their deadlines one after the other; if each reopened the breaker, the engine would stay
- * idle until the longest deadline. */
-Test (breaker, late_failures_of_earlier_requests_do_not_reopen_it)
+ * reach their deadlines one after the other; if each late failure reopened the breaker, the engine
+ * would stay idle until the longest deadline. */
+Test (breaker, late_failures_of_earlier_requests_do_not_reopen_the_breaker)
 {
   LcBreaker breaker = { 0 };
   LbTime now = LB_SEC;
 
-  fail_repeatedly (&breaker, 5, now);
+  record_failures (&breaker, 5, now);
 
   LbTime first_trial_at = breaker.open_until;
 
@@ -68,7 +68,8 @@
   cr_assert_eq (lc_breaker_max_in_flight (&breaker, first_trial_at + 1), 2);
 }
 
-/* An engine fails two of three requests, but never five in a row. */
+/* An engine fails two of three requests, but never five in a row. The failure ratio must open the
+ * breaker. */
 Test (breaker, opens_for_a_high_failure_ratio_without_five_in_a_row)
 {
   LcBreaker breaker = { 0 };
--- a/packages/core/tests/test-concurrency.c
+++ b/packages/core/tests/test-concurrency.c
@@ -16,7 +16,7 @@
 
 /* An engine is declared for 32 requests but queues beyond ten: first bytes take seconds and live
  * calls wait behind samples. The limit must decrease until first bytes are fast again. */
-Test (concurrency, decreases_while_first_bytes_are_slow)
+Test (concurrency, limit_decreases_while_first_bytes_are_slow)
 {
   LcConcurrency concurrency = new_concurrency (0.05);
   LbTime now = LB_SEC;
@@ -33,9 +33,9 @@
   cr_assert_gt (concurrency.limit, 7);
 }
 
-/* One slow period delays all requests in flight. If each of them decreased the limit, it would fall
- * to 1 and the engine would be nearly idle. */
-Test (concurrency, decreases_once_for_concurrent_slow_requests)
+/* One slow period delays all requests in flight. If each of them decreased the limit, the limit
+ * would fall to 1 and the engine would be nearly idle. */
+Test (concurrency, limit_decreases_once_for_concurrent_slow_requests)
 {
   LcConcurrency concurrency = new_concurrency (0.05);
 
@@ -44,7 +44,7 @@
   cr_assert_gt (concurrency.limit, 0.8 * MAX_CONCURRENCY);
 }
 
-Test (concurrency, recovers_to_the_declared_size_and_no_further)
+Test (concurrency, limit_recovers_to_the_declared_size_and_no_further)
 {
   LcConcurrency concurrency = new_concurrency (0.05);
 
@@ -58,8 +58,9 @@
   cr_assert_float_eq (concurrency.limit, MAX_CONCURRENCY, 1e-9);
 }
 
-/* Fast first bytes at an idle endpoint do not show that it could handle a higher limit. */
-Test (concurrency, does_not_increase_while_unused)
+/* Fast first bytes at an idle endpoint do not show that the endpoint could handle a higher
+ * limit. */
+Test (concurrency, limit_does_not_increase_while_unused)
 {
   LcConcurrency concurrency = new_concurrency (0.05);
   double decreased_limit = 0;
--- a/packages/core/tests/test-endpoints.c
+++ b/packages/core/tests/test-endpoints.c
@@ -1,8 +1,8 @@
 #include "endpoints-fixture.h"
 
 /* A reply states that the endpoint is leaving; then a load report that was measured earlier arrives
- * late and states that it serves. The outdated report must not make it eligible again, but a report
- * of its next process must. */
+ * late and states that it serves. The outdated report must not make the endpoint eligible again,
+ * but a report of its next process must. */
 Test (leaving, outdated_report_does_not_clear_leaving)
 {
   Fixture f;
@@ -47,9 +47,9 @@
 }
 
 /* An endpoint restarts, and a delayed report of its previous process arrives after the first one of
- * the new process. Taken for a new incarnation, it would reset the known state, and its mark would
- * exclude the new process. */
-Test (leaving, delayed_report_of_previous_process_changes_nothing)
+ * the new process. If this report counted as a new incarnation, it would reset the known state, and
+ * its leaving mark would exclude the new process. */
+Test (leaving, delayed_report_of_previous_process_is_ignored)
 {
   Fixture f;
   LcLoadReport old = { .incarnation = "a", .leaving = true, .version = 1, .measured_at = 15 };
@@ -64,9 +64,9 @@
 }
 
 /* A peer reports that the next process of an endpoint is leaving, before this instance has seen
- * that process. It must be excluded from its first report on, not only when it announces it
- * itself. */
-Test (leaving, mark_of_an_unknown_incarnation_applies_later)
+ * that process. The process must be excluded from its first report on, not only after its own
+ * announcement. */
+Test (leaving, mark_of_an_unknown_incarnation_applies_to_its_first_report)
 {
   Fixture f;
 
@@ -92,9 +92,9 @@
   fixture_clear (&f);
 }
 
-/* Reports of two processes at one address arrive out of order: that of the old process, forwarded
- * by a slow peer with a later time, arrives after that of the new one. The old process is still
- * leaving. */
+/* Reports of two processes at one address arrive out of order: the old process's report, forwarded
+ * by a slow peer with a later time, arrives after the new process's report. The old process must
+ * still count as leaving. */
 Test (leaving, incarnation_seen_again_is_still_leaving)
 {
   Fixture f;
@@ -131,8 +131,9 @@
   fixture_clear (&f);
 }
 
-/* An endpoint is removed from the configuration while a request runs there. A pointer to it is used
- * when the request ends; if it were freed before, the daemon would crash. */
+/* An endpoint is removed from the configuration while it processes a request. The pointer to the
+ * endpoint is used when the request ends; if the endpoint were freed earlier, the daemon would
+ * crash. */
 Test (membership, endpoint_with_requests_outlives_its_removal)
 {
   Fixture f;
@@ -151,9 +152,10 @@
   fixture_clear (&f);
 }
 
-/* An instance is replaced while an endpoint drains. Its configuration still names the endpoint, and
- * without a report it would send requests there, seconds after all other instances stopped. So an
- * endpoint gets no request before its first report, however long that takes. */
+/* An instance is replaced while an endpoint drains. The new instance's configuration still names
+ * the endpoint, and without a report the instance would send requests to the endpoint seconds after
+ * all other instances stopped. An endpoint must get no request before its first report, however
+ * long that takes. */
 Test (leaving, new_instance_sends_nothing_before_the_first_report)
 {
   Fixture f;
@@ -188,7 +190,8 @@
     }
   cr_assert (fixture_can_accept_live_call (&f, "e0", now));
   now += 10 * LB_SEC;
-  cr_assert_not (fixture_can_accept_live_call (&f, "e0", now), "before any event");
+  cr_assert_not (fixture_can_accept_live_call (&f, "e0", now),
+                 "outdated reports must be ignored before the first event after the stop");
   lc_endpoint_request_sent (fixture_find_endpoint (&f, "e1"), LC_KIND_LIVE, 0, now);
   cr_assert_not (fixture_can_accept_live_call (&f, "e0", now),
                  "an event does not make outdated reports valid");
@@ -198,8 +201,8 @@
   fixture_clear (&f);
 }
 
-/* Slots are indexes that other structures hold: the removal of one endpoint must not move
- * another. */
+/* Slots are indexes that other structures hold: the removal of one endpoint must not change
+ * the slot of another. */
 Test (membership, slots_are_stable_when_another_endpoint_is_removed)
 {
   Fixture f;
@@ -216,9 +219,10 @@
   fixture_clear (&f);
 }
 
-/* A weight swap fails halfway and the engine reports version 0: samples from there would be of
- * unknown weights. It gets requests again with the first report that states a version. */
-Test (swap, no_requests_until_a_version_is_stated)
+/* A weight swap fails halfway and the engine reports version 0: its samples would come
+ * from unknown weights. The engine must get requests again after the first report that states a
+ * version. */
+Test (swap, engine_without_a_known_version_gets_no_requests)
 {
   Fixture f;
 
@@ -237,8 +241,8 @@
 }
 
 /* A swap is ordered, but the engine keeps serving the old version and states it after the swap was
- * due: it must not stay excluded for ever. A report that was measured before the swap was due, but
- * arrives later, does not tell how the swap ended. */
+ * due: the engine must not stay excluded for ever. A report that was measured before the swap was
+ * due, but arrives later, does not tell how the swap ended. */
 Test (swap, old_version_stated_after_the_due_time_ends_the_swap)
 {
   Fixture f;
@@ -255,7 +259,7 @@
 }
 
 /* If samples could use all of an engine's capacity, live calls would have to wait. */
-Test (limits, samples_leave_the_live_reserve)
+Test (limits, samples_do_not_use_the_live_reserve)
 {
   Fixture f;
 
@@ -291,7 +295,7 @@
 }
 
 /* A report takes half a second to arrive and includes the requests sent before it was measured. If
- * these were added again, a busy engine would look twice as busy. */
+ * these requests were added again, a busy engine would look twice as busy. */
 Test (limits, late_report_includes_requests_sent_before_it)
 {
   Fixture f;
@@ -320,14 +324,15 @@
   cr_assert_not (fixture_can_accept_live_call (&f, "e0", 11));
   strcpy (f.members[0].address, "127.0.0.1:2");
   fixture_configure (&f, 12);
-  cr_assert_not (fixture_can_accept_live_call (&f, "e0", 13), "no report yet");
+  cr_assert_not (fixture_can_accept_live_call (&f, "e0", 13),
+                 "the new process has sent no report yet");
   fixture_record_report (&f, "e0", "b", 1, 14);
   cr_assert (fixture_can_accept_live_call (&f, "e0", 15));
   fixture_clear (&f);
 }
 
-/* A plain service states its incarnation in some replies only. If the others counted as a new
- * process, they would close its breaker and clear its leaving mark. */
+/* A plain service states its incarnation in some replies only. If a reply without one
+ * counted as a new process, it would close the breaker and clear the leaving mark. */
 Test (membership, report_without_an_incarnation_is_of_the_same_process)
 {
   Fixture f;
@@ -372,14 +377,15 @@
   fixture_init (&f, 1);
   lc_endpoints_record_load (f.endpoints, "e0", &report, 10);
   cr_assert_eq (fixture_find_endpoint (&f, "e0")->report.running, 0);
-  cr_assert_not (fixture_can_accept_live_call (&f, "e0", 11), "a version below 1 means none");
+  cr_assert_not (fixture_can_accept_live_call (&f, "e0", 11),
+                 "version -3 must count as no known version");
   fixture_clear (&f);
 }
 
-/* An engine rejects new requests for the second that it loads weights. If these rejections opened
- * its breaker, it would admit one request, two, three, long after the load; with new weights every
- * few seconds, half of the engines were idle while samples waited for seconds. */
-Test (endpoints, rejections_of_an_endpoint_that_states_its_size_open_no_breaker)
+/* An engine rejects new requests while it loads weights, which takes a second. If these rejections
+ * opened its breaker, the breaker would admit one request, two, three, long after the load. With
+ * new weights every few seconds, half of the engines were idle while samples waited for seconds. */
+Test (endpoints, rejections_by_an_endpoint_that_reports_its_concurrency_open_no_breaker)
 {
   Fixture f;
   LbTime now = LB_SEC;
@@ -395,7 +401,7 @@
       cr_assert_not (lc_endpoint_can_accept (engine, LC_KIND_SAMPLE, 0, now));
       now += 150 * LB_MSEC;
       cr_assert (lc_endpoint_can_accept (engine, LC_KIND_SAMPLE, 0, now),
-                 "it is tried again after a short time");
+                 "the engine must accept requests 150 ms after a rejection");
     }
   cr_assert_eq (engine->breaker, LC_BREAKER_CLOSED);
   cr_assert_eq (engine->concurrency_limit, 8);
@@ -403,9 +409,9 @@
   fixture_clear (&f);
 }
 
-/* During a swap an endpoint that states its size gets no requests; any other endpoint still
- * does. */
-Test (endpoints, endpoint_that_states_its_size_gets_no_requests_during_a_swap)
+/* During a weight swap, an endpoint that reports its concurrency gets no requests; an endpoint that
+ * does not report it still does. */
+Test (endpoints, endpoint_that_reports_its_concurrency_gets_no_requests_during_a_swap)
 {
   Fixture f;
   LbTime now = LB_SEC;
@@ -422,9 +428,9 @@
   fixture_clear (&f);
 }
 
-/* An engine with two models is reassigned to the other one. It has version 7 of the first and
- * version 1 of the second: with the known version kept, samples that need version 6 were sent there
- * and discarded. */
+/* An engine with version 7 of one model and version 1 of another is reassigned from the first model
+ * to the second. With version 7 kept as the known version, samples that need version 6 were sent to
+ * the engine and discarded. */
 Test (endpoints, known_version_is_dropped_when_an_engine_changes_its_pool)
 {
   Fixture f;
--- a/packages/core/tests/test-roster.c
+++ b/packages/core/tests/test-roster.c
@@ -11,7 +11,7 @@
 #define N_ENGINES 9
 
 static LcRegistration
-make_engine (int number)
+make_engine_registration (int number)
 {
   LcRegistration registration = { .slots = 8, .n_models = 2 };
 
@@ -26,14 +26,14 @@
 }
 
 static void
-fill_list (LcRegistration *list, int n)
+fill_engine_registrations (LcRegistration *list, int n)
 {
   for (int i = 0; i < n; i++)
-    list[i] = make_engine (i);
+    list[i] = make_engine_registration (i);
 }
 
 static int
-count_model (const LcRoster *roster, const char *model)
+count_engines_of_model (const LcRoster *roster, const char *model)
 {
   int count = 0;
 
@@ -43,15 +43,15 @@
 }
 
 /* The store is unavailable for four seconds, no registration can be renewed, and all expire. If
- * the empty list after its recovery were applied, all engines would be removed although they are
- * alive. */
+ * the empty list after the store's recovery were applied, all engines would be removed although
+ * they are alive. */
 Test (roster, registrations_expired_in_a_store_outage_are_kept_for_a_grace_period)
 {
   LcRoster *roster = lc_roster_new ();
   LcRegistration list[N_ENGINES];
   LbTime now = 10 * LB_SEC;
 
-  fill_list (list, N_ENGINES);
+  fill_engine_registrations (list, N_ENGINES);
   cr_assert (lc_roster_apply_list (roster, list, N_ENGINES, now, now));
   now += 4 * LB_SEC;
   lc_roster_apply_list (roster, list, 0, now, now);
@@ -69,21 +69,21 @@
   lc_roster_free (roster);
 }
 
-/* Without an outage of the store, a lost engine is removed by the next list. */
+/* Without an outage of the store, the next list must remove a lost engine. */
 Test (roster, unlisted_endpoint_is_removed_without_an_outage)
 {
   LcRoster *roster = lc_roster_new ();
   LcRegistration list[N_ENGINES];
 
-  fill_list (list, N_ENGINES);
+  fill_engine_registrations (list, N_ENGINES);
   lc_roster_apply_list (roster, list, N_ENGINES, LB_SEC, LB_SEC);
   cr_assert (lc_roster_apply_list (roster, list, N_ENGINES - 1, 1400 * LB_MSEC, 1400 * LB_MSEC));
   cr_assert_eq (lc_roster_count (roster), N_ENGINES - 1);
   lc_roster_free (roster);
 }
 
-/* Two models on nine engines: each instance must compute the same division, or weights would be
- * loaded by engines that get no requests for them. */
+/* Nine engines are divided between two models. All instances must compute the same division, or
+ * weights would be loaded by engines that get no requests for them. */
 Test (roster, division_of_engines_does_not_depend_on_the_order_of_the_list)
 {
   LcRoster *first = lc_roster_new ();
@@ -91,7 +91,7 @@
   LcRegistration list[N_ENGINES];
   LcRegistration reversed[N_ENGINES];
 
-  fill_list (list, N_ENGINES);
+  fill_engine_registrations (list, N_ENGINES);
   for (int i = 0; i < N_ENGINES; i++)
     reversed[i] = list[N_ENGINES - 1 - i];
   lc_roster_apply_list (first, list, N_ENGINES, LB_SEC, LB_SEC);
@@ -102,13 +102,14 @@
                         lc_roster_registration (second, i)->name);
       cr_assert_str_eq (lc_roster_assigned_model (first, i), lc_roster_assigned_model (second, i));
     }
-  cr_assert_geq (count_model (first, "reader"), 4);
-  cr_assert_geq (count_model (first, "writer"), 4);
+  cr_assert_geq (count_engines_of_model (first, "reader"), 4);
+  cr_assert_geq (count_engines_of_model (first, "writer"), 4);
   lc_roster_free (first);
   lc_roster_free (second);
 }
 
-/* The plan's model and version take precedence: an engine's registration lags behind its loads. */
+/* The plan's model and version take precedence: an engine's registration lags behind its weight
+ * loads. */
 Test (roster, plan_takes_precedence_over_division)
 {
   LcRoster *roster = lc_roster_new ();
@@ -116,7 +117,7 @@
   LcEnginePlan plan = { 0 };
   LcPlanEntry entry = { .version = 7 };
 
-  fill_list (list, N_ENGINES);
+  fill_engine_registrations (list, N_ENGINES);
   lc_roster_apply_list (roster, list, N_ENGINES, LB_SEC, LB_SEC);
   LB_COPY (entry.model, "writer");
   for (int i = 0; i < N_ENGINES; i++)
@@ -125,7 +126,7 @@
       lc_engine_plan_put (&plan, &entry);
     }
   cr_assert (lc_roster_set_engine_plan (roster, &plan));
-  cr_assert_eq (count_model (roster, "writer"), N_ENGINES);
+  cr_assert_eq (count_engines_of_model (roster, "writer"), N_ENGINES);
   cr_assert_eq (lc_roster_latest_weight_version (roster, 0), 7);
   cr_assert_not (lc_roster_set_engine_plan (roster, &plan), "the same plan again changes nothing");
   lc_engine_plan_clear (&plan);
@@ -135,7 +136,7 @@
 Test (roster, resources_hold_a_pool_for_each_model_and_every_endpoint)
 {
   LcRoster *roster = lc_roster_new ();
-  LcRegistration list[2] = { make_engine (1), { .slots = 6 } };
+  LcRegistration list[2] = { make_engine_registration (1), { .slots = 6 } };
 
   LB_COPY (list[1].name, "i-lookup");
   LB_COPY (list[1].address, "10.0.0.9:80");
@@ -154,14 +155,14 @@
 }
 
 /* Engines that accept orders of any lease holder must not be treated as checking the fencing
- * number: a new holder would send orders while the last one of the previous holder is still in
+ * token: a new holder would send orders while the last order of the previous holder is still in
  * transit. */
-Test (roster, engines_check_fencing_numbers_only_if_configured)
+Test (roster, engines_check_fencing_tokens_only_if_configured)
 {
   for (int checks = 0; checks < 2; checks++)
     {
       LcRoster *roster = lc_roster_new ();
-      LcRegistration registration = make_engine (1);
+      LcRegistration registration = make_engine_registration (1);
 
       lc_roster_apply_list (roster, &registration, 1, LB_SEC, LB_SEC);
       LcResourceSet *set = lc_roster_to_resources (roster, 1, checks);
@@ -171,8 +172,8 @@
     }
 }
 
-/* A list contains new endpoints in any order, some more than once. Each must get one entry, which
- * the next list must find again. */
+/* A list contains new endpoints in any order, some more than once. Each endpoint must get one
+ * entry, and the next list must find this entry again. */
 Test (roster, endpoint_has_one_entry_for_any_order_of_the_list)
 {
   static const int order[] = { 7, 2, 2, 8, 0, 7, 5 };
@@ -181,10 +182,10 @@
   LbTime now = LB_SEC;
 
   for (size_t i = 0; i < 7; i++)
-    list[i] = make_engine (order[i]);
+    list[i] = make_engine_registration (order[i]);
   cr_assert (lc_roster_apply_list (roster, list, 7, now, now));
   cr_assert_eq (lc_roster_count (roster), 5);
-  fill_list (list, N_ENGINES);
+  fill_engine_registrations (list, N_ENGINES);
   cr_assert (lc_roster_apply_list (roster, list, N_ENGINES, now + LB_SEC, now + LB_SEC));
   cr_assert_eq (lc_roster_count (roster), N_ENGINES);
   cr_assert_not (
@@ -194,7 +195,7 @@
 
 /* Listing a thousand endpoints every 0.4 s on each of a hundred instances took some 60% of a core
  * per instance and delayed calls. Longer lists are requested less often, but often enough to notice
- * an endpoint that is leaving in time. */
+ * a leaving endpoint before its time limit. */
 Test (roster, longer_lists_are_requested_less_often)
 {
   enum
@@ -204,7 +205,7 @@
   LcRoster *roster = lc_roster_new ();
   LcRegistration *list = LB_NEW_ARRAY (LcRegistration, N_REGISTRATIONS);
 
-  fill_list (list, N_REGISTRATIONS);
+  fill_engine_registrations (list, N_REGISTRATIONS);
   cr_assert_eq (lc_roster_list_period (roster), 400 * LB_MSEC);
   lc_roster_apply_list (roster, list, 60, LB_SEC, LB_SEC);
   cr_assert_eq (lc_roster_list_period (roster), 400 * LB_MSEC);
@@ -217,15 +218,15 @@
 }
 
 /* An engine restarts under the same id during an outage of the store. If its previous registration
- * were kept for the grace period, requests would be routed to both, with the load, pace and cache
- * of a process that has ended. */
+ * were kept for the grace period, requests would be routed to both registrations, one of them with
+ * the load, pace and cache of a process that has ended. */
 Test (roster, new_registration_replaces_one_with_the_same_address)
 {
   LcRoster *roster = lc_roster_new ();
   LcRegistration list[N_ENGINES];
   LbTime now = 10 * LB_SEC;
 
-  fill_list (list, N_ENGINES);
+  fill_engine_registrations (list, N_ENGINES);
   lc_roster_apply_list (roster, list, N_ENGINES, now, now);
   now += 4 * LB_SEC;
   LB_COPY (list[3].name, "i-3@2");
@@ -238,7 +239,7 @@
 }
 
 /* A restarted engine must keep its planned model, or it would load other weights in the middle of a
- * step. Its version is not known until it reports it. */
+ * step. The version of its weights is not known until the engine reports it. */
 Test (roster, restarted_engine_keeps_its_planned_model)
 {
   static const char *const pools[] = { "reader", "writer" };
@@ -249,7 +250,7 @@
       LcRegistration list[N_ENGINES];
       LcEnginePlan plan = { 0 };
       LcPlanEntry planned = { .version = 7 };
-      fill_list (list, N_ENGINES);
+      fill_engine_registrations (list, N_ENGINES);
       lc_roster_apply_list (roster, list, N_ENGINES, LB_SEC, LB_SEC);
       LB_COPY (planned.engine, "i-3");
       LB_COPY (planned.model, pools[i]);
@@ -262,22 +263,22 @@
           {
             cr_assert_str_eq (lc_roster_assigned_model (roster, at), pools[i]);
             cr_assert_eq (lc_roster_latest_weight_version (roster, at), 1,
-                          "the version in its registration");
+                          "version 1 of the registration must be used");
           }
       lc_engine_plan_clear (&plan);
       lc_roster_free (roster);
     }
 }
 
-/* After an outage of the store, an engine that is not listed is kept for the grace period. It must
- * be removed afterwards, even if all later lists are unchanged. */
+/* After an outage of the store, an engine that is not listed is kept for the grace period. The
+ * engine must be removed afterwards, even if all later lists are unchanged. */
 Test (roster, unchanged_list_removes_unlisted_endpoints_after_the_grace_period)
 {
   LcRoster *roster = lc_roster_new ();
   LcRegistration list[N_ENGINES];
   LbTime now = 10 * LB_SEC;
 
-  fill_list (list, N_ENGINES);
+  fill_engine_registrations (list, N_ENGINES);
   lc_roster_apply_list (roster, list, N_ENGINES, LB_SEC, LB_SEC);
   lc_roster_apply_list (roster, list, N_ENGINES - 1, now, now);
   cr_assert_eq (lc_roster_count (roster), N_ENGINES);
@@ -290,10 +291,10 @@
 }
 
 #define N_MANY_ENGINES 20000
-#define MAX_PROCESSOR_SECONDS 1.0 /* a quadratic algorithm takes twenty */
+#define MAX_PROCESSOR_SECONDS 1.0 /* a quadratic algorithm takes 20 s */
 
 static double
-processor_seconds (void)
+read_processor_seconds (void)
 {
   struct timespec time;
 
@@ -312,26 +313,27 @@
 
   for (int i = 0; i < N_MANY_ENGINES; i++)
     {
-      list[i] = make_engine (i);
+      list[i] = make_engine_registration (i);
       snprintf (list[i].name, sizeof list[i].name, "i-%07d", i * 7919 % N_MANY_ENGINES);
     }
-  started_at = processor_seconds ();
+  started_at = read_processor_seconds ();
   cr_assert (lc_roster_apply_list (roster, list, N_MANY_ENGINES, 1, 1));
   list[0].leaving = true;
   cr_assert (lc_roster_apply_list (roster, list, N_MANY_ENGINES, 2, 2));
-  cr_assert_lt (processor_seconds () - started_at, MAX_PROCESSOR_SECONDS);
+  cr_assert_lt (read_processor_seconds () - started_at, MAX_PROCESSOR_SECONDS);
   cr_assert_eq (lc_roster_count (roster), N_MANY_ENGINES);
-  cr_assert_eq (count_model (roster, "reader"), N_MANY_ENGINES / 2);
+  cr_assert_eq (count_engines_of_model (roster, "reader"), N_MANY_ENGINES / 2);
   free (list);
   lc_roster_free (roster);
 }
 
-/* A known or new endpoint may be listed twice. */
+/* A list may contain a known or a new endpoint twice. */
 Test (roster, endpoint_listed_twice_has_one_entry)
 {
   LcRoster *roster = lc_roster_new ();
   LcRegistration list[]
-      = { make_engine (2), make_engine (1), make_engine (2), make_engine (3), make_engine (3) };
+      = { make_engine_registration (2), make_engine_registration (1), make_engine_registration (2),
+          make_engine_registration (3), make_engine_registration (3) };
 
   lc_roster_apply_list (roster, list, 3, 1, 1);
   cr_assert_eq (lc_roster_count (roster), 2);
--- a/packages/core/tests/test-scaling.c
+++ b/packages/core/tests/test-scaling.c
@@ -9,8 +9,8 @@
 #define SLOTS_PER_ENDPOINT 6
 #define MAX_ENDPOINTS 128
 
-/* Four on-demand engines of one service in each of three data centres; a is the cheapest, b the
- * most expensive. */
+/* Four on-demand engines of one service in each of three data centres. Data centre a is the
+ * cheapest, b the most expensive. */
 typedef struct
 {
   LcScaling *scaling;
@@ -21,7 +21,7 @@
 } Fixture;
 
 static void
-add_engine (Fixture *fixture, const char *data_centre, bool is_spot)
+add_engine_member (Fixture *fixture, const char *data_centre, bool is_spot)
 {
   LcEndpointMember *member = &fixture->endpoints[fixture->set.n_endpoints++];
 
@@ -49,7 +49,7 @@
   lc_desired_add_service (fixture->desired, &service);
   fixture->set.endpoints = fixture->endpoints;
   for (int i = 0; i < 12; i++)
-    add_engine (fixture, data_centres[i % 3], false);
+    add_engine_member (fixture, data_centres[i % 3], false);
 }
 
 static void
@@ -59,10 +59,10 @@
   lc_desired_unref (fixture->desired);
 }
 
-/* Finishes all orders that are due with the outcome. Returns the endpoints ordered in the data
- * centre; -1: none were ordered there. */
+/* Finishes all due orders with the outcome. Returns the number of endpoints ordered in the data
+ * centre; -1: no order for the data centre was due. */
 static int64_t
-run_orders (Fixture *fixture, const char *data_centre, LcScalingOutcome outcome)
+finish_due_orders (Fixture *fixture, const char *data_centre, LcScalingOutcome outcome)
 {
   LcScalingOrder order;
   int64_t found = -1;
@@ -78,7 +78,7 @@
 }
 
 static void
-assert_nothing_ordered (Fixture *fixture)
+assert_no_order_is_due (Fixture *fixture)
 {
   LcScalingOrder order;
 
@@ -86,40 +86,40 @@
                                         fixture->now, &order));
 }
 
-/* A step has 100 generations and there are 72 slots: the others would wait for a second or two, and
- * the longest of them would end too late. Five more engines are ordered in the cheapest data
- * centre. */
+/* A step has 100 generations and there are 72 slots: the remaining generations would wait for a
+ * second or two, and the longest of them would end too late. Five more engines must be ordered in
+ * the cheapest data centre. */
 Test (scaling, orders_a_slot_for_each_generation_of_a_step)
 {
   Fixture fixture;
 
   fixture_init (&fixture);
-  assert_nothing_ordered (&fixture);
+  assert_no_order_is_due (&fixture);
   lc_scaling_add_demand (fixture.scaling, "m", 100, fixture.now);
-  cr_assert_eq (run_orders (&fixture, "a", LC_SCALING_ACCEPTED), 5);
+  cr_assert_eq (finish_due_orders (&fixture, "a", LC_SCALING_ACCEPTED), 5);
   fixture.now += 4 * LB_SEC;
   for (int i = 0; i < 5; i++)
-    add_engine (&fixture, "a", true);
+    add_engine_member (&fixture, "a", true);
   lc_scaling_add_demand (fixture.scaling, "m", 100, fixture.now);
   fixture.now += LB_SEC;
-  assert_nothing_ordered (&fixture);
+  assert_no_order_is_due (&fixture);
   fixture_clear (&fixture);
 }
 
-Test (scaling, limit_of_a_data_centre_is_kept)
+Test (scaling, orders_stay_within_the_limit_of_each_data_centre)
 {
   Fixture fixture;
 
   fixture_init (&fixture);
   lc_scaling_add_demand (fixture.scaling, "m", 1000, fixture.now);
-  cr_assert_eq (run_orders (&fixture, "a", LC_SCALING_ACCEPTED), 6);
+  cr_assert_eq (finish_due_orders (&fixture, "a", LC_SCALING_ACCEPTED), 6);
   lc_scaling_forget_orders (fixture.scaling);
-  cr_assert_eq (run_orders (&fixture, "b", LC_SCALING_ACCEPTED), 6);
+  cr_assert_eq (finish_due_orders (&fixture, "b", LC_SCALING_ACCEPTED), 6);
   fixture_clear (&fixture);
 }
 
-/* All spot engines of a data centre are preempted, and it has no capacity for some seconds. They
- * are ordered elsewhere, and in that data centre again later. */
+/* All spot engines of a data centre are preempted, and the data centre has no capacity for some
+ * seconds. The engines must be ordered in another data centre, and later in the first one again. */
 Test (scaling, refused_endpoints_are_ordered_in_another_data_centre)
 {
   Fixture fixture;
@@ -133,47 +133,48 @@
   cr_assert_str_eq (order.data_centre, "a");
   lc_scaling_finish_order (fixture.scaling, &order, LC_SCALING_REFUSED, fixture.now);
   fixture.now += LB_SEC;
-  cr_assert_eq (run_orders (&fixture, "c", LC_SCALING_ACCEPTED), 5);
+  cr_assert_eq (finish_due_orders (&fixture, "c", LC_SCALING_ACCEPTED), 5);
   fixture.now += 5 * LB_SEC;
-  cr_assert_eq (run_orders (&fixture, "a", LC_SCALING_ACCEPTED), 5, "the cheapest data centre");
+  cr_assert_eq (finish_due_orders (&fixture, "a", LC_SCALING_ACCEPTED), 5,
+                "must order in the cheapest data centre again");
   fixture_clear (&fixture);
 }
 
-/* An order without an answer may be executed after a newer one, so it is sent again. */
+/* An order without an answer may be executed after a newer one, so the order must be sent again. */
 Test (scaling, order_without_an_answer_is_sent_again)
 {
   Fixture fixture;
 
   fixture_init (&fixture);
   lc_scaling_add_demand (fixture.scaling, "m", 100, fixture.now);
-  cr_assert_eq (run_orders (&fixture, "a", LC_SCALING_UNKNOWN), 5);
+  cr_assert_eq (finish_due_orders (&fixture, "a", LC_SCALING_UNKNOWN), 5);
   fixture.now += LB_SEC;
-  assert_nothing_ordered (&fixture);
+  assert_no_order_is_due (&fixture);
   fixture.now += 4 * LB_SEC;
-  cr_assert_eq (run_orders (&fixture, "a", LC_SCALING_ACCEPTED), 5);
+  cr_assert_eq (finish_due_orders (&fixture, "a", LC_SCALING_ACCEPTED), 5);
   fixture_clear (&fixture);
 }
 
 /* On-demand engines are replaced one after the other, and each new one starts before the old one
  * stops. If spot engines were released for each short excess, their generations would be
  * interrupted. */
-Test (scaling, scales_down_only_after_a_delay)
+Test (scaling, excess_endpoints_are_released_only_after_a_delay)
 {
   Fixture fixture;
 
   fixture_init (&fixture);
   lc_scaling_add_demand (fixture.scaling, "m", 100, fixture.now);
-  cr_assert_eq (run_orders (&fixture, "a", LC_SCALING_ACCEPTED), 5);
+  cr_assert_eq (finish_due_orders (&fixture, "a", LC_SCALING_ACCEPTED), 5);
   for (int i = 0; i < 5; i++)
-    add_engine (&fixture, "a", true);
-  add_engine (&fixture, "c", false);
+    add_engine_member (&fixture, "a", true);
+  add_engine_member (&fixture, "c", false);
   fixture.now += 6 * LB_SEC;
-  assert_nothing_ordered (&fixture);
+  assert_no_order_is_due (&fixture);
   fixture.now += 5 * LB_SEC;
-  assert_nothing_ordered (&fixture);
+  assert_no_order_is_due (&fixture);
   fixture.now += 5 * LB_SEC;
   lc_scaling_add_demand (fixture.scaling, "m", 100, fixture.now);
-  cr_assert_eq (run_orders (&fixture, "a", LC_SCALING_ACCEPTED), 4);
+  cr_assert_eq (finish_due_orders (&fixture, "a", LC_SCALING_ACCEPTED), 4);
   fixture_clear (&fixture);
 }
 
@@ -183,12 +184,12 @@
 
   fixture_init (&fixture);
   lc_scaling_add_demand (fixture.scaling, "m", 100, fixture.now);
-  cr_assert_eq (run_orders (&fixture, "a", LC_SCALING_ACCEPTED), 5);
+  cr_assert_eq (finish_due_orders (&fixture, "a", LC_SCALING_ACCEPTED), 5);
   for (int i = 0; i < 5; i++)
-    add_engine (&fixture, "a", true);
+    add_engine_member (&fixture, "a", true);
   fixture.now += 25 * LB_SEC;
-  assert_nothing_ordered (&fixture);
+  assert_no_order_is_due (&fixture);
   fixture.now += 11 * LB_SEC;
-  cr_assert_eq (run_orders (&fixture, "a", LC_SCALING_ACCEPTED), 0);
+  cr_assert_eq (finish_due_orders (&fixture, "a", LC_SCALING_ACCEPTED), 0);
   fixture_clear (&fixture);
 }
--- a/packages/core/tests/test-stream-pace.c
+++ b/packages/core/tests/test-stream-pace.c
@@ -4,14 +4,14 @@
 
 #include "lc-stream-pace.h"
 
-#define NORMAL_INTERVAL (48 * LB_MSEC) /* between two chunks */
+#define NORMAL_INTERVAL (48 * LB_MSEC) /* time between two chunks */
 #define SLOW_INTERVAL (4 * NORMAL_INTERVAL)
 
-Test (pace, follows_a_change_within_the_time_constant)
+Test (pace, pace_follows_a_change_within_the_time_constant)
 {
   LcStreamPace pace = { 0 };
 
-  cr_assert_eq (lc_stream_pace_token_seconds (&pace), 0, "no data yet");
+  cr_assert_eq (lc_stream_pace_token_seconds (&pace), 0, "the pace must be 0 without data");
   for (int i = 0; i < 100; i++)
     lc_stream_pace_add_tokens (&pace, 1, NORMAL_INTERVAL);
   cr_assert_float_eq (lc_stream_pace_token_seconds (&pace), 0.048, 0.002);
@@ -20,8 +20,8 @@
   cr_assert_gt (lc_stream_pace_token_seconds (&pace), 0.048 * 1.5);
 }
 
-/* An instance is paused for half a second and then reads ten chunks at once. Its engine was not
- * slow; if it were treated as slow, each generation there would be moved. */
+/* An instance is paused for half a second and then reads ten chunks at once. The engine was not
+ * slow; if it were treated as slow, each of its generations would be moved to another engine. */
 Test (pace, chunks_read_late_compensate_for_the_interval_before_them)
 {
   LcStreamPace pace = { 0 };
@@ -34,7 +34,7 @@
   cr_assert_float_eq (lc_stream_pace_token_seconds (&pace), 0.048, 0.003);
 }
 
-Test (pace, time_without_chunks_counts_as_slow)
+Test (pace, time_without_chunks_makes_the_pace_slow)
 {
   LcStreamPace pace = { 0 };
 
@@ -45,14 +45,14 @@
 }
 
 static void
-stream_tokens (Fixture *f, const char *endpoint, LbTime interval, LbTime from, LbTime to)
+record_streamed_tokens (Fixture *f, const char *endpoint, LbTime interval, LbTime from, LbTime to)
 {
   for (LbTime now = from; now < to; now += interval)
     lc_endpoint_tokens_received (fixture_find_endpoint (f, endpoint), 1, interval, now);
 }
 
 static int
-count_decisions_for (Fixture *f, const char *endpoint, LbTime now)
+count_decisions_for_endpoint (Fixture *f, const char *endpoint, LbTime now)
 {
   LcRouteQuery query = fixture_make_route_query ();
   LcRouter *router = lc_router_new ("lentilspindle", 7);
@@ -67,27 +67,29 @@
 }
 
 /* One of four engines becomes four times slower. Until its long generations ended, seconds later,
- * new ones were still sent there, and a trainer's step waited for them. It must get none while the
- * others have capacity, and be tried again once its pace is outdated. */
+ * new generations were still sent to it, and a trainer's step waited for them. The slow engine must
+ * get no requests while the others have capacity, and must be tried again once its pace is
+ * outdated. */
 Test (pace, slow_engine_gets_no_requests_while_others_have_capacity)
 {
   Fixture f;
 
   fixture_init (&f, 4);
   for (int i = 0; i < 4; i++)
-    stream_tokens (&f, f.members[i].name, NORMAL_INTERVAL, 1, 2 * LB_SEC);
-  cr_assert_gt (count_decisions_for (&f, "e3", 2 * LB_SEC), 0);
-  stream_tokens (&f, "e3", SLOW_INTERVAL, 2 * LB_SEC, 3 * LB_SEC);
+    record_streamed_tokens (&f, f.members[i].name, NORMAL_INTERVAL, 1, 2 * LB_SEC);
+  cr_assert_gt (count_decisions_for_endpoint (&f, "e3", 2 * LB_SEC), 0);
+  record_streamed_tokens (&f, "e3", SLOW_INTERVAL, 2 * LB_SEC, 3 * LB_SEC);
   for (int i = 0; i < 3; i++)
-    stream_tokens (&f, f.members[i].name, NORMAL_INTERVAL, 2 * LB_SEC, 3 * LB_SEC);
-  cr_assert_eq (count_decisions_for (&f, "e3", 3 * LB_SEC), 0);
+    record_streamed_tokens (&f, f.members[i].name, NORMAL_INTERVAL, 2 * LB_SEC, 3 * LB_SEC);
+  cr_assert_eq (count_decisions_for_endpoint (&f, "e3", 3 * LB_SEC), 0);
   for (int i = 0; i < 3; i++)
-    stream_tokens (&f, f.members[i].name, NORMAL_INTERVAL, 3 * LB_SEC, 9 * LB_SEC);
-  cr_assert_gt (count_decisions_for (&f, "e3", 9 * LB_SEC), 0, "it may have recovered");
+    record_streamed_tokens (&f, f.members[i].name, NORMAL_INTERVAL, 3 * LB_SEC, 9 * LB_SEC);
+  cr_assert_gt (count_decisions_for_endpoint (&f, "e3", 9 * LB_SEC), 0,
+                "the engine must be tried again, since it may have recovered");
   fixture_clear (&f);
 }
 
-/* --- a generation that would be late on a slow engine --- */
+/* --- generations that would miss their deadline on a slow engine --- */
 
 static const char *
 choose_endpoint (Fixture *f, const LcRouteQuery *query, LbTime now)
@@ -99,20 +101,20 @@
   return decision.endpoint ? decision.endpoint->member.name : "";
 }
 
-/* One of a model's two engines, e1, has become slow; the other one is full. */
+/* Creates two engines of one model: e0 has a normal pace and is full, e1 has become slow. */
 static void
-make_slow_and_full (Fixture *f, LbTime now)
+fixture_init_slow_and_full_engines (Fixture *f, LbTime now)
 {
   fixture_init (f, 2);
-  stream_tokens (f, "e0", NORMAL_INTERVAL, 1, now);
-  stream_tokens (f, "e1", SLOW_INTERVAL, 1, now);
-  stream_tokens (f, "e0", NORMAL_INTERVAL, now - LB_SEC, now);
+  record_streamed_tokens (f, "e0", NORMAL_INTERVAL, 1, now);
+  record_streamed_tokens (f, "e1", SLOW_INTERVAL, 1, now);
+  record_streamed_tokens (f, "e0", NORMAL_INTERVAL, now - LB_SEC, now);
   for (int i = 0; i < 8; i++)
     lc_endpoint_request_sent (fixture_find_endpoint (f, "e0"), LC_KIND_SAMPLE, 0, now);
 }
 
 static LcRouteQuery
-long_generation_query (LbTime now)
+make_long_generation_query (LbTime now)
 {
   LcRouteQuery query = fixture_make_route_query ();
 
@@ -124,47 +126,47 @@
 }
 
 /* Two of a model's three engines are slow and have capacity. The longest generation of a step was
- * sent to one of them, found too slow, and moved to the other slow one and back; the step was 3 s
- * late although the third engine had capacity a moment later. It must wait for that engine; a short
- * generation, which is in time on any engine, must not. */
+ * sent to one of them, found too slow, and moved to the other slow engine and back; the step was
+ * 3 s late although the third engine had capacity a moment later. The generation must wait for the
+ * third engine; a short generation, which meets its deadline on any engine, must not wait. */
 Test (pace, long_generation_waits_for_an_engine_at_full_pace)
 {
   LbTime now = 3 * LB_SEC;
-  LcRouteQuery query = long_generation_query (now);
+  LcRouteQuery query = make_long_generation_query (now);
   Fixture f;
 
-  make_slow_and_full (&f, now);
+  fixture_init_slow_and_full_engines (&f, now);
   cr_assert_str_eq (choose_endpoint (&f, &query, now), "");
   query.expected_tokens = 5;
   cr_assert_str_eq (choose_endpoint (&f, &query, now), "e1");
   fixture_clear (&f);
 }
 
-/* A generation that waits for ever is worse than a slow one. */
-Test (pace, long_generation_waits_no_longer_than_it_would_lose)
+/* A generation that waits for ever for a fast engine is worse than one on a slow engine. */
+Test (pace, long_generation_waits_for_a_limited_time)
 {
   LbTime now = 3 * LB_SEC;
-  LcRouteQuery query = long_generation_query (now);
+  LcRouteQuery query = make_long_generation_query (now);
   Fixture f;
 
-  make_slow_and_full (&f, now);
+  fixture_init_slow_and_full_engines (&f, now);
   query.submitted = now - 2 * LB_SEC;
   cr_assert_str_eq (choose_endpoint (&f, &query, now), "");
   query.submitted = now - 3 * LB_SEC;
   cr_assert_str_eq (choose_endpoint (&f, &query, now), "e1",
-                    "it would lose 14 s there, but has waited for the maximum time");
+                    "must use the slow engine after the maximum wait, although it loses 14 s");
   fixture_clear (&f);
 }
 
-/* The normal engine leaves, so there is no better one to wait for, not even for a generation that
- * was moved away from the slow one. */
+/* The engine with a normal pace is leaving, so there is no faster engine to wait for, not even for
+ * a generation that was moved away from the slow engine. */
 Test (pace, long_generation_uses_a_slow_engine_when_no_other_is_left)
 {
   LbTime now = 3 * LB_SEC;
-  LcRouteQuery query = long_generation_query (now);
+  LcRouteQuery query = make_long_generation_query (now);
   Fixture f;
 
-  make_slow_and_full (&f, now);
+  fixture_init_slow_and_full_engines (&f, now);
   lc_endpoints_mark_leaving (f.endpoints, "e0", "", LC_LEAVING_ENDPOINT, now);
   cr_assert_str_eq (choose_endpoint (&f, &query, now), "e1");
   query.n_avoid = 1;
--- a/packages/core/tests/test-subset.c
+++ b/packages/core/tests/test-subset.c
@@ -7,7 +7,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define PAGE_ROWS 500
+#define MAX_PAGE_ROWS 500
 #define KEY_SIZE 32
 
 typedef struct
@@ -21,8 +21,8 @@
 {
   Row *rows;
   size_t n_rows;
-  size_t n_rows_read; /* by the latest list */
-  size_t n_pages;     /* the same */
+  size_t n_rows_read; /* number of rows read by the latest list */
+  size_t n_pages;     /* number of pages read by the latest list */
 } Table;
 
 static int
@@ -37,7 +37,7 @@
   snprintf (key, KEY_SIZE, "%08lx%08lx", random (), random ());
 }
 
-/* Every fifth endpoint is a plain service, the others are engines with six models. */
+/* Every fifth endpoint is a plain service; the other endpoints are engines with six models. */
 static void
 table_init (Table *table, size_t n_rows)
 {
@@ -56,7 +56,7 @@
 static LbTime now = LB_SEC;
 
 static void
-read_list (LcSubset *subset, Table *table)
+read_table_page_by_page (LcSubset *subset, Table *table)
 {
   bool more = true;
 
@@ -81,7 +81,7 @@
 }
 
 static size_t
-count_in_subset (const Table *table, const char *service)
+count_service_endpoints_in_subset (const Table *table, const char *service)
 {
   size_t n = 0;
 
@@ -91,7 +91,7 @@
 }
 
 static LcSubset *
-subset_new (void)
+new_subset_with_expected_services (void)
 {
   LcSubset *subset = lc_subset_new ();
 
@@ -100,40 +100,43 @@
   return subset;
 }
 
-/* The rows read and kept must not grow with the number of endpoints. */
+/* The number of rows read and kept must not grow with the number of endpoints. */
 Test (subset, size_does_not_depend_on_the_number_of_endpoints)
 {
   const size_t sizes[] = { 10000, 20000 };
 
   for (size_t i = 0; i < 2; i++)
     {
-      LcSubset *subset = subset_new ();
+      LcSubset *subset = new_subset_with_expected_services ();
       Table table;
 
       table_init (&table, sizes[i]);
-      read_list (subset, &table);
-      read_list (subset, &table);
+      read_table_page_by_page (subset, &table);
+      read_table_page_by_page (subset, &table);
       cr_assert_eq (table.n_pages, 1);
-      cr_assert_leq (table.n_rows_read, PAGE_ROWS);
-      cr_assert_eq (count_in_subset (&table, "plain"), LC_SUBSET_MIN_ENDPOINTS);
-      cr_assert_eq (count_in_subset (&table, "engines"), 6 * LC_SUBSET_MIN_ENDPOINTS);
+      cr_assert_leq (table.n_rows_read, MAX_PAGE_ROWS);
+      cr_assert_eq (count_service_endpoints_in_subset (&table, "plain"), LC_SUBSET_MIN_ENDPOINTS);
+      cr_assert_eq (count_service_endpoints_in_subset (&table, "engines"),
+                    6 * LC_SUBSET_MIN_ENDPOINTS);
       lc_subset_free (subset);
       free (table.rows);
     }
 }
 
-/* A small deployment must not lose endpoints to a bound. */
+/* In a small deployment, the subset must contain all endpoints. */
 Test (subset, small_table_is_known_completely)
 {
-  LcSubset *subset = subset_new ();
+  LcSubset *subset = new_subset_with_expected_services ();
   Table table;
 
   table_init (&table, 450);
   for (int i = 0; i < 3; i++)
     {
-      read_list (subset, &table);
+      read_table_page_by_page (subset, &table);
       cr_assert_eq (table.n_pages, 1);
-      cr_assert_eq (count_in_subset (&table, "plain") + count_in_subset (&table, "engines"), 450);
+      cr_assert_eq (count_service_endpoints_in_subset (&table, "plain")
+                        + count_service_endpoints_in_subset (&table, "engines"),
+                    450);
     }
   lc_subset_free (subset);
   free (table.rows);
@@ -142,51 +145,53 @@
 /* A service whose keys are the last in the table must not be left without a known endpoint. */
 Test (subset, service_at_the_end_of_the_table_is_found)
 {
-  LcSubset *subset = subset_new ();
+  LcSubset *subset = new_subset_with_expected_services ();
   Table table;
 
   table_init (&table, 3000);
   for (size_t i = 2900; i < 3000; i++)
     table.rows[i].columns = (LcSubsetRow){ .service = "last", .slots = 1 };
   lc_subset_expect_service (subset, "last");
-  read_list (subset, &table);
-  read_list (subset, &table);
-  cr_assert_eq (count_in_subset (&table, "last"), LC_SUBSET_MIN_ENDPOINTS);
-  cr_assert_eq (count_in_subset (&table, "plain"), LC_SUBSET_MIN_ENDPOINTS);
+  read_table_page_by_page (subset, &table);
+  read_table_page_by_page (subset, &table);
+  cr_assert_eq (count_service_endpoints_in_subset (&table, "last"), LC_SUBSET_MIN_ENDPOINTS);
+  cr_assert_eq (count_service_endpoints_in_subset (&table, "plain"), LC_SUBSET_MIN_ENDPOINTS);
   lc_subset_free (subset);
   free (table.rows);
 }
 
-/* Guards against endpoints that leave and enter the subset with each list, along with their
- * requests. */
+/* Leaving endpoints must not be replaced in the subset: otherwise other endpoints would enter and
+ * leave the subset with each list, and requests would move along with them. */
 Test (subset, churn_does_not_displace_other_endpoints)
 {
-  LcSubset *subset = subset_new ();
+  LcSubset *subset = new_subset_with_expected_services ();
   Table table;
 
   table_init (&table, 10000);
-  read_list (subset, &table);
+  read_table_page_by_page (subset, &table);
   for (size_t i = 0; i < 40; i++)
     table.rows[i * 10].columns.leaving = true;
-  read_list (subset, &table);
-  size_t n_in_subset = count_in_subset (&table, "engines") + count_in_subset (&table, "plain");
-  cr_assert_eq (n_in_subset, 7 * LC_SUBSET_MIN_ENDPOINTS, "leaving endpoints stay in the subset");
+  read_table_page_by_page (subset, &table);
+  size_t n_in_subset = count_service_endpoints_in_subset (&table, "engines")
+                       + count_service_endpoints_in_subset (&table, "plain");
+  cr_assert_eq (n_in_subset, 7 * LC_SUBSET_MIN_ENDPOINTS,
+                "leaving endpoints must stay in the subset");
   lc_subset_free (subset);
   free (table.rows);
 }
 
 Test (subset, lost_endpoints_are_replaced)
 {
-  LcSubset *subset = subset_new ();
+  LcSubset *subset = new_subset_with_expected_services ();
   Table table;
 
   table_init (&table, 10000);
-  read_list (subset, &table);
+  read_table_page_by_page (subset, &table);
   table.rows += 250;
   table.n_rows -= 250;
-  read_list (subset, &table);
-  cr_assert_eq (count_in_subset (&table, "engines"), 6 * LC_SUBSET_MIN_ENDPOINTS);
-  cr_assert_eq (count_in_subset (&table, "plain"), LC_SUBSET_MIN_ENDPOINTS);
+  read_table_page_by_page (subset, &table);
+  cr_assert_eq (count_service_endpoints_in_subset (&table, "engines"), 6 * LC_SUBSET_MIN_ENDPOINTS);
+  cr_assert_eq (count_service_endpoints_in_subset (&table, "plain"), LC_SUBSET_MIN_ENDPOINTS);
   lc_subset_free (subset);
   free (table.rows - 250);
 }
@@ -194,29 +199,29 @@
 /* A step of 2,048 generations must not have to wait for the engines of a small subset. */
 Test (subset, grows_with_the_number_of_concurrent_requests)
 {
-  LcSubset *subset = subset_new ();
+  LcSubset *subset = new_subset_with_expected_services ();
   Table table;
 
   table_init (&table, 10000);
-  read_list (subset, &table);
+  read_table_page_by_page (subset, &table);
   lc_subset_set_demand (subset, "m", 2048);
-  read_list (subset, &table);
-  cr_assert_geq (count_in_subset (&table, "engines"), 6 * 2 * 2048 / 6);
+  read_table_page_by_page (subset, &table);
+  cr_assert_geq (count_service_endpoints_in_subset (&table, "engines"), 6 * 2 * 2048 / 6);
   lc_subset_free (subset);
   free (table.rows);
 }
 
-/* All instances must use the same endpoints, those up to the publisher's bound. */
+/* All instances must use the same endpoints: those up to the published bound of their service. */
 Test (subset, follows_published_bounds)
 {
-  LcSubset *subset = subset_new ();
+  LcSubset *subset = new_subset_with_expected_services ();
   Table table;
 
   table_init (&table, 10000);
   lc_subset_set_bound (subset, "engines", table.rows[499].key);
   lc_subset_set_bound (subset, "plain", table.rows[399].key);
-  read_list (subset, &table);
-  read_list (subset, &table);
+  read_table_page_by_page (subset, &table);
+  read_table_page_by_page (subset, &table);
   for (size_t i = 0; i < table.n_rows; i++)
     {
       bool is_engine = table.rows[i].columns.n_models > 0;
@@ -226,27 +231,27 @@
   free (table.rows);
 }
 
-/* A load must not overload the subset while other endpoints are idle. */
+/* High load must not overload the subset while other endpoints are idle. */
 Test (subset, grows_while_its_endpoints_are_overloaded)
 {
-  LcSubset *subset = subset_new ();
+  LcSubset *subset = new_subset_with_expected_services ();
   Table table;
 
   table_init (&table, 10000);
-  read_list (subset, &table);
+  read_table_page_by_page (subset, &table);
   lc_subset_grow (subset, "plain", now);
   lc_subset_grow (subset, "plain", now + LB_SEC);
-  read_list (subset, &table);
-  size_t n_in_subset = count_in_subset (&table, "plain");
+  read_table_page_by_page (subset, &table);
+  size_t n_in_subset = count_service_endpoints_in_subset (&table, "plain");
   cr_assert_geq (n_in_subset, LC_SUBSET_MIN_ENDPOINTS * 3 / 2 - 1);
   cr_assert_leq (n_in_subset, LC_SUBSET_MIN_ENDPOINTS * 3 / 2 + 1,
-                 "grows at most once in a few seconds");
+                 "the subset must grow at most once every few seconds");
   for (int i = 1; i <= 10; i++)
     {
       lc_subset_grow (subset, "plain", now + i * 4 * LB_SEC);
-      read_list (subset, &table);
+      read_table_page_by_page (subset, &table);
     }
-  cr_assert_geq (count_in_subset (&table, "plain"), 1900);
+  cr_assert_geq (count_service_endpoints_in_subset (&table, "plain"), 1900);
   lc_subset_free (subset);
   free (table.rows);
 }
@@ -255,19 +260,20 @@
  * later. */
 Test (subset, is_cut_when_many_endpoints_register_within_its_bounds)
 {
-  LcSubset *subset = subset_new ();
+  LcSubset *subset = new_subset_with_expected_services ();
   Table few;
   Table all;
 
   table_init (&few, 800);
-  read_list (subset, &few);
+  read_table_page_by_page (subset, &few);
   table_init (&all, 10000);
-  read_list (subset, &all);
-  cr_assert_leq (count_in_subset (&all, "engines"), 2 * 6 * LC_SUBSET_MIN_ENDPOINTS);
-  read_list (subset, &all);
-  cr_assert_eq (count_in_subset (&all, "engines"), 6 * LC_SUBSET_MIN_ENDPOINTS);
-  cr_assert_eq (count_in_subset (&all, "plain"), LC_SUBSET_MIN_ENDPOINTS);
-  read_list (subset, &all);
+  read_table_page_by_page (subset, &all);
+  cr_assert_leq (count_service_endpoints_in_subset (&all, "engines"),
+                 2 * 6 * LC_SUBSET_MIN_ENDPOINTS);
+  read_table_page_by_page (subset, &all);
+  cr_assert_eq (count_service_endpoints_in_subset (&all, "engines"), 6 * LC_SUBSET_MIN_ENDPOINTS);
+  cr_assert_eq (count_service_endpoints_in_subset (&all, "plain"), LC_SUBSET_MIN_ENDPOINTS);
+  read_table_page_by_page (subset, &all);
   cr_assert_eq (all.n_pages, 1);
   lc_subset_free (subset);
   free (few.rows);
@@ -277,43 +283,43 @@
 /* A service without endpoints must not cause each list to read the whole table. */
 Test (subset, service_without_endpoints_is_searched_periodically)
 {
-  LcSubset *subset = subset_new ();
+  LcSubset *subset = new_subset_with_expected_services ();
   Table table;
-  size_t n_whole = 0;
+  size_t n_multi_page_lists = 0;
 
   table_init (&table, 10000);
   lc_subset_expect_service (subset, "absent");
   for (int i = 0; i < 30; i++)
     {
-      read_list (subset, &table);
-      n_whole += table.n_pages > 1;
+      read_table_page_by_page (subset, &table);
+      n_multi_page_lists += table.n_pages > 1;
     }
-  cr_assert_leq (n_whole, 4);
+  cr_assert_leq (n_multi_page_lists, 4);
   table.rows[9990].columns.service = "absent";
   for (int i = 0; i < 11; i++)
-    read_list (subset, &table);
+    read_table_page_by_page (subset, &table);
   cr_assert (table.rows[9990].is_in_subset);
   lc_subset_free (subset);
   free (table.rows);
 }
 
-/* The number of endpoints wanted must not overflow while a service stays overloaded with all of its
+/* The wanted number of endpoints must not overflow while a service stays overloaded with all of its
  * endpoints known. */
 Test (subset, does_not_grow_beyond_the_existing_endpoints)
 {
-  LcSubset *subset = subset_new ();
+  LcSubset *subset = new_subset_with_expected_services ();
   Table table;
 
   table_init (&table, 10000);
-  read_list (subset, &table);
-  read_list (subset, &table);
+  read_table_page_by_page (subset, &table);
+  read_table_page_by_page (subset, &table);
   for (int i = 1; i <= 200; i++)
     {
       lc_subset_grow (subset, "plain", now + i * 4 * LB_SEC);
-      read_list (subset, &table);
+      read_table_page_by_page (subset, &table);
     }
-  cr_assert_eq (count_in_subset (&table, "plain"), 2000);
-  cr_assert_eq (count_in_subset (&table, "engines"), 6 * LC_SUBSET_MIN_ENDPOINTS);
+  cr_assert_eq (count_service_endpoints_in_subset (&table, "plain"), 2000);
+  cr_assert_eq (count_service_endpoints_in_subset (&table, "engines"), 6 * LC_SUBSET_MIN_ENDPOINTS);
   lc_subset_free (subset);
   free (table.rows);
 }
