--- a/packages/core/include/lc-endpoints.h
+++ b/packages/core/include/lc-endpoints.h
@@ -28,7 +28,7 @@
 typedef struct LcEndpoint
 {
   LcEndpointMember member;
-  uint32_t slot; /* index in the table, stable while the endpoint is known */
+  uint32_t slot; /* index in the endpoint table, stable while the endpoint is known */
   LcLoadReport report;
   /* Marked as leaving by any source. Cleared by a new incarnation, or when the platform's list
    * clears a mark that may have been meant for an earlier incarnation. */
@@ -104,7 +104,8 @@
 void lc_endpoint_set_idle_connections (LcEndpoint *endpoint, size_t n_idle, LbTime now);
 /* The endpoint rejected the request without starting it. */
 void lc_endpoint_request_refused (LcEndpoint *endpoint, LcRequestKind kind, LbTime now);
-/* This instance cancelled the attempt; it counts neither as a success nor as a failure. */
+/* This instance cancelled the request. The cancellation counts neither as a success nor as a
+ * failure of the endpoint. */
 void lc_endpoint_request_cancelled (LcEndpoint *endpoint, LcRequestKind kind, LbTime now);
 
 /* queries */
--- a/packages/core/include/lc-roster.h
+++ b/packages/core/include/lc-roster.h
@@ -7,6 +7,7 @@
 /* This instance's view of the endpoints that are registered in the store, and the model that each
  * engine is used for. No I/O. */
 
+/* Maximum number of models that one engine holds. */
 #define LC_MAX_MODELS 8
 
 typedef struct
--- a/packages/core/include/lc-subset.h
+++ b/packages/core/include/lc-subset.h
@@ -18,7 +18,7 @@
 
 typedef struct LcSubset LcSubset;
 
-/* The columns of an endpoint's row that subsetting needs. */
+/* The columns of an endpoint's table row that the choice of the subset needs. */
 typedef struct
 {
   const char *service;
--- a/packages/core/src/endpoints/lc-batch-cost.c
+++ b/packages/core/src/endpoints/lc-batch-cost.c
@@ -3,8 +3,8 @@
 #include <math.h>
 
 #define PRIOR_SLOWDOWN 1.0
-/* Variance of the fill at which the prior and the reports weigh the same: reports with nearly equal
- * fill contain little information on the slope. */
+/* Variance of the fill at which the prior and the reports have equal weight: reports with nearly
+ * equal fill contain little information on the slope. */
 #define PRIOR_FILL_VARIANCE 0.002
 #define MIN_REPORT_WEIGHT 0.005 /* minimum weight of a new report in the means */
 #define MIN_SLOWDOWN 0.05
--- a/packages/core/src/endpoints/lc-endpoints-config.c
+++ b/packages/core/src/endpoints/lc-endpoints-config.c
@@ -1,3 +1,5 @@
+/* Maintains the endpoint table: adds and removes endpoints, and groups them by pool. */
+
 #include "lc-endpoint-table.h"
 
 #include "lb-alloc.h"
@@ -7,8 +9,6 @@
 
 #define DEFAULT_TOKEN_SECONDS 0.02
 
-/* Maintains the endpoint table: adds and removes endpoints, and groups them by pool. */
-
 LcEndpoints *
 lc_endpoints_new (void)
 {
--- a/packages/core/src/endpoints/lc-endpoints.c
+++ b/packages/core/src/endpoints/lc-endpoints.c
@@ -244,7 +244,7 @@
   lc_endpoint_entry_publish_state (entry, now);
 }
 
-/* Seconds per token at the fastest endpoint of the group; 0: not known. */
+/* Returns the seconds per token at the fastest endpoint of the group; 0: not known. */
 static double
 find_fastest_token_seconds (const LcEndpointEntry *entry, const LcEndpointGroup *group)
 {
--- a/packages/core/src/endpoints/lc-subset.c
+++ b/packages/core/src/endpoints/lc-subset.c
@@ -29,9 +29,9 @@
 typedef struct
 {
   LbName name;     /* hash table key */
-  LbName bound;    /* last key of the subset; "": all endpoints belong to it */
+  LbName bound;    /* last key of the service's subset; "": the subset has all endpoints */
   size_t n_ready;  /* number of endpoints of the current list in the subset, without leaving ones */
-  size_t n_models; /* maximum number of models of one of its engines; 0: a plain service */
+  size_t n_models; /* maximum number of models that one engine holds; 0: a plain service */
   int64_t slots;   /* number of slots of one endpoint, from the latest row of the service */
   double growth;   /* relative increase of the wanted number of endpoints due to load */
   LbTime grown_at;
@@ -59,7 +59,7 @@
   size_t n_rows_read;
   int64_t page_size;
   LbTime list_started_at;
-  LbTime full_list_at; /* start of the last list of the whole table */
+  LbTime full_list_at; /* time when the last list of the whole table started */
   bool fits_one_page;  /* the table fits one page, so there are no bounds */
 };
 
--- a/packages/core/tests/test-stream-pace.c
+++ b/packages/core/tests/test-stream-pace.c
@@ -119,7 +119,7 @@
   LcRouteQuery query = fixture_make_route_query ();
 
   query.kind = LC_KIND_SAMPLE;
-  query.expected_tokens = 100; /* 4.8 s on a normal engine, 19 s on a slow one */
+  query.expected_tokens = 100; /* take 4.8 s on a normal engine, 19 s on a slow engine */
   query.soft_deadline = now + 7 * LB_SEC;
   query.submitted = now;
   return query;
--- a/packages/core/tests/test-subset.c
+++ b/packages/core/tests/test-subset.c
@@ -225,7 +225,8 @@
   for (size_t i = 0; i < table.n_rows; i++)
     {
       bool is_engine = table.rows[i].columns.n_models > 0;
-      cr_assert_eq (table.rows[i].is_in_subset, i <= (is_engine ? 499 : 399), "row %zu", i);
+      cr_assert_eq (table.rows[i].is_in_subset, i <= (is_engine ? 499 : 399),
+                    "row %zu: wrong choice for the subset", i);
     }
   lc_subset_free (subset);
   free (table.rows);
