--- a/packages/core/include/lc-admission.h
+++ b/packages/core/include/lc-admission.h
@@ -3,13 +3,13 @@
 
 #include "lc-organisations.h"
 
-/* Decides, from its API key alone and before anything else in it is read, whether a call is
- * admitted and for which organisation. No I/O. */
+/* Decides by the API key whether a call is admitted and for which organisation. Nothing else of the
+ * call has been read at that point. No I/O. */
 
-/* Whether a known key is still accepted while this instance can't confirm its configuration. */
+/* Whether known keys stay valid while this instance can't confirm its list of organisations. */
 typedef struct
 {
-  /* Refuse even a known key once the last confirmation of the organisations is this old. */
+  /* Refuse known keys once the last confirmation is max_unconfirmed_age old. */
   bool refuse_unconfirmed;
   LbTime max_unconfirmed_age;
 } LcAdmissionRules;
@@ -17,26 +17,26 @@
 /* Credentials of one call. */
 typedef struct
 {
-  const char *key; /* NULL: none */
-  size_t n_keys;   /* keys in the call */
-  bool is_public;  /* the route requires no key */
+  const char *key; /* API key; NULL: the call carries none */
+  size_t n_keys;   /* number of API keys in the call; more than one is refused */
+  bool is_public;  /* the route requires no API key */
 } LcAdmissionCall;
 
-/* The organisations as this instance knows them. */
+/* This instance's copy of the organisations, read from the store. */
 typedef struct
 {
-  const LcOrganisations *organisations; /* NULL: none are configured, and no call needs a key */
-  LbTime confirmed_at;                  /* when they were last confirmed to be the newest */
+  const LcOrganisations *organisations; /* NULL: none configured, calls need no key */
+  LbTime confirmed_at;                  /* when the copy was last confirmed to be current */
 } LcAdmissionView;
 
 typedef struct
 {
-  LbErrorCode error;  /* LB_OK: admitted */
-  const char *reason; /* reason of a refusal, for the log and the caller; NULL if admitted */
-  LbTime retry_after; /* 0: retrying is useless */
-  LcOrganisation organisation; /* the key's holder; an empty name: none */
+  LbErrorCode error;  /* LB_OK: the call is admitted */
+  const char *reason; /* why the call is refused, for the log and the caller; NULL if admitted */
+  LbTime retry_after; /* delay after which the caller may retry; 0: a retry would fail too */
+  LcOrganisation organisation; /* holder of the key; empty name: no known key */
   bool has_digest;
-  LcKeyDigest digest; /* digest of the call's key */
+  LcKeyDigest digest; /* digest of the call's API key, if has_digest */
 } LcAdmission;
 
 void lc_admission_decide (const LcAdmissionRules *rules,
--- a/packages/core/include/lc-outgoing.h
+++ b/packages/core/include/lc-outgoing.h
@@ -3,20 +3,20 @@
 
 #include "lc-types.h"
 
-/* A header of an HTTP message; both strings are owned. */
+/* A header of an HTTP message; owns both strings. */
 typedef struct
 {
   char *name;
   char *value;
 } LcHeader;
 
-/* A request that is forwarded as its caller sent it; all strings are owned. */
+/* An HTTP request that is forwarded as its caller sent it; owns all strings. */
 typedef struct
 {
-  LbName id; /* id of the request, chosen by its caller */
+  LbName id; /* id that the caller gave the request */
   char *method;
   char *host;
-  char *path; /* including the query */
+  char *path; /* path with the query string */
   LcHeader *headers;
   size_t n_headers;
   char *body;
--- a/packages/core/include/lc-router.h
+++ b/packages/core/include/lc-router.h
@@ -5,7 +5,7 @@
 
 #define LC_MAX_AVOIDED_ENDPOINTS 8
 
-/* What a policy needs to know about a request to place it. */
+/* The properties of a request by which a policy chooses its endpoint. */
 typedef struct
 {
   LcRequestKind kind;
@@ -16,9 +16,9 @@
   int64_t prompt_tokens;
   int64_t expected_tokens;
   LbTime soft_deadline;  /* desired completion time of the whole answer; 0: none */
-  LbTime submitted;      /* when the request began to wait */
-  LcVersion min_version; /* oldest acceptable weights; 0: any */
-  LbTime reported_since; /* excludes endpoints whose last report is older; 0: none */
+  LbTime submitted;      /* when the request was admitted */
+  LcVersion min_version; /* oldest acceptable weight version; 0: any */
+  LbTime reported_since; /* excludes endpoints whose last load report is older; 0: excludes none */
   double live_reserve;   /* share of each engine's concurrency kept for live calls, 0..0.9 */
   LbName avoid[LC_MAX_AVOIDED_ENDPOINTS]; /* endpoints to exclude */
   size_t n_avoid;
@@ -27,19 +27,19 @@
 typedef struct
 {
   LcEndpoint *endpoint;
-  double score; /* lower is better; expected seconds for the default policy */
+  double score; /* lower is better; expected seconds to finish for the default policy */
 } LcCandidate;
 
 #define LC_MAX_SHOWN_CANDIDATES 8
 
-/* A routing decision: the endpoint, the candidates and the reason. Logged as it is. */
+/* A routing decision, as it is logged: the endpoint, the candidates and the reason. */
 typedef struct
 {
   LcEndpoint *endpoint; /* NULL: no endpoint can take the request now */
-  const char *reason;   /* a constant such as "least-finish-time", "no-capacity", "all-leaving" */
-  LcCandidate shown[LC_MAX_SHOWN_CANDIDATES]; /* those with the best scores */
+  const char *reason; /* static string such as "least-finish-time", "no-capacity", "all-leaving" */
+  LcCandidate shown[LC_MAX_SHOWN_CANDIDATES]; /* candidates with the lowest scores */
   size_t n_shown;
-  size_t n_candidates; /* endpoints that could have taken the request */
+  size_t n_candidates; /* number of endpoints that could take the request */
 } LcRouteDecision;
 
 /* A routing policy with its state. */
@@ -47,7 +47,7 @@
 
 typedef struct
 {
-  const char *name; /* "lentilspindle", "random", "round-robin", "least-outstanding", ... */
+  const char *name; /* name in the settings: "lentilspindle", "random", "round-robin", ... */
   LcRouter *(*create) (uint64_t seed);
   void (*destroy) (LcRouter *router);
   LcRouteDecision (*choose) (LcRouter *router,
--- a/packages/core/include/lc-types.h
+++ b/packages/core/include/lc-types.h
@@ -4,16 +4,17 @@
 #include "lb-error.h"
 #include "lb-list.h"
 
-/* A request within one process: unique for the life of the process, never reused. */
+/* Id of a request: unique within one process and never reused there. */
 typedef uint64_t LcRequestId;
 
-/* A weight version as engines, trainers and the weight store name it; 0: not stated. */
+/* Version number of a model's weights, as engines, trainers and the weight store give it; 0: not
+ * stated. */
 typedef int64_t LcVersion;
 
 typedef enum
 {
   LC_KIND_LIVE,    /* a live call to a model pool */
-  LC_KIND_SAMPLE,  /* one generation of a trainer's sample */
+  LC_KIND_SAMPLE,  /* a generation of one sample for a trainer */
   LC_KIND_SERVICE, /* a call to a plain service */
   LC_N_KINDS
 } LcRequestKind;
@@ -22,22 +23,22 @@
 typedef struct
 {
   LcVersion version;
-  int64_t first; /* index of the first token */
+  int64_t first; /* index of the span's first token in the answer */
   int64_t count;
-  LcVersion
-      kv_reused_version; /* version of reused KV cache, which counts for staleness too; 0: none */
+  LcVersion kv_reused_version; /* weight version of reused KV cache, which can make the sample stale
+                                  too; 0: none */
 } LcSpan;
 
 #define LC_MAX_SPANS 16
 
-/* The label of a sample: spans in token order without gaps, built only from what the engine
- * stated. */
+/* Records which weight version generated each token of a sample. The spans are in token order
+ * without gaps and contain only versions that the engine stated. */
 typedef struct
 {
   LcSpan spans[LC_MAX_SPANS];
   size_t n_spans;
   int64_t tokens;
-  bool unlabelled; /* final: some token's version is missing or contradictory */
+  bool unlabelled; /* some token's version is missing or contradictory; kept until a retry starts */
 } LcLabel;
 
 #endif
--- a/packages/core/src/dispatch/lc-admission.c
+++ b/packages/core/src/dispatch/lc-admission.c
@@ -2,26 +2,26 @@
 
 #include <string.h>
 
-/* A refresh of the organisation rows completes at least every 0.7 s; this allows for one lost or
- * late reply. */
-#define MAX_REFRESH_AGE (1500 * LB_MSEC)
-/* Enough for the store to reply; after that the caller does better to try another instance. */
-#define RETRY_AFTER (300 * LB_MSEC)
+/* Once the last confirmation is this old, an unknown key may be a new one. A refresh of the
+ * organisations completes every 0.7 s or sooner, so one reply may be lost or late. */
+#define MAX_CONFIRMATION_AGE (1500 * LB_MSEC)
+/* Long enough for the store to reply. A call refused again should go to another instance. */
+#define UNCONFIRMED_RETRY_AFTER (300 * LB_MSEC)
 
 static void
-refuse (LcAdmission *admission, LbErrorCode error, const char *reason, LbTime retry_after)
+refuse_call (LcAdmission *admission, LbErrorCode error, const char *reason, LbTime retry_after)
 {
   admission->error = error;
   admission->reason = reason;
   admission->retry_after = retry_after;
 }
 
-/* Whether the key may have been revoked unnoticed while this instance is cut off from the store. If
- * it were still accepted, its holder would be served for as long as the partition lasts. */
+/* Whether a key may have been revoked while this instance can't reach the store. Without this check
+ * a revoked key would be accepted for as long as the partition lasts. */
 static bool
-may_be_revoked (const LcAdmissionRules *rules, LbTime age)
+may_key_be_revoked (const LcAdmissionRules *rules, LbTime confirmation_age)
 {
-  return rules->refuse_unconfirmed && age >= rules->max_unconfirmed_age;
+  return rules->refuse_unconfirmed && confirmation_age >= rules->max_unconfirmed_age;
 }
 
 void
@@ -31,7 +31,7 @@
                      LbTime now,
                      LcAdmission *admission)
 {
-  LbTime age = now - view->confirmed_at;
+  LbTime confirmation_age = now - view->confirmed_at;
   const LcOrganisation *holder = NULL;
 
   memset (admission, 0, sizeof *admission);
@@ -39,30 +39,32 @@
     return;
   if (call->n_keys > 1)
     {
-      refuse (admission, LB_ERROR_BAD_REQUEST, "the call carries more than one API key", 0);
+      refuse_call (admission, LB_ERROR_BAD_REQUEST, "the call carries more than one API key", 0);
       return;
     }
   if (!call->key || call->key[0] == '\0')
     {
-      refuse (admission, LB_ERROR_UNAUTHORIZED, "the call carries no API key", 0);
+      refuse_call (admission, LB_ERROR_UNAUTHORIZED, "the call carries no API key", 0);
       return;
     }
   admission->has_digest = lc_key_compute_digest (call->key, &admission->digest);
   if (!admission->has_digest)
     {
-      refuse (admission, LB_ERROR_NOT_READY, "the API key could not be hashed", RETRY_AFTER);
+      refuse_call (admission, LB_ERROR_NOT_READY, "the API key could not be hashed",
+                   UNCONFIRMED_RETRY_AFTER);
       return;
     }
   holder = lc_organisations_find_by_key (view->organisations, &admission->digest);
   if (holder)
     admission->organisation = *holder;
-  if (holder && may_be_revoked (rules, age))
-    refuse (admission, LB_ERROR_NOT_READY, "the API key may have been revoked", RETRY_AFTER);
-  else if (!holder && age >= MAX_REFRESH_AGE)
-    /* An unknown key may have been added since the last refresh: a final "unauthorized" would keep
-     * its caller from retrying. */
-    refuse (admission, LB_ERROR_NOT_READY, "the API key may have been added since the last refresh",
-            RETRY_AFTER);
+  if (holder && may_key_be_revoked (rules, confirmation_age))
+    refuse_call (admission, LB_ERROR_NOT_READY, "the API key may have been revoked",
+                 UNCONFIRMED_RETRY_AFTER);
+  else if (!holder && confirmation_age >= MAX_CONFIRMATION_AGE)
+    /* An unknown key may have been added since the last refresh, so its caller is told to retry:
+     * "unauthorized" would be final. */
+    refuse_call (admission, LB_ERROR_NOT_READY,
+                 "the API key may have been added since the last refresh", UNCONFIRMED_RETRY_AFTER);
   else if (!holder)
-    refuse (admission, LB_ERROR_UNAUTHORIZED, "the API key is unknown", 0);
+    refuse_call (admission, LB_ERROR_UNAUTHORIZED, "the API key is unknown", 0);
 }
--- a/packages/core/src/dispatch/lc-candidates.c
+++ b/packages/core/src/dispatch/lc-candidates.c
@@ -6,13 +6,14 @@
 #include <math.h>
 #include <string.h>
 
-/* An engine counts as slow if it needs this multiple of the fastest engine's time per token. */
-#define SLOW_FACTOR 1.5
-/* Longest wait of a sample for an engine at full speed. An engine with 8 slots and samples of 1 s
- * frees a slot every 0.13 s on average; a sample not placed by then queues behind others as long as
- * itself. */
-#define MAX_SPEED_WAIT_SECONDS 2.5
-
+/* An engine is slow if its time per token is at least this multiple of the fastest engine's. */
+#define SLOW_ENGINE_FACTOR 1.5
+/* Longest time that a sample waits for a fast engine instead of using a slow one. An engine with 8
+ * slots and samples of 1 s frees a slot every 0.13 s on average. A sample that waits longer than
+ * the limit is queued behind samples as long as itself. */
+#define MAX_FAST_ENGINE_WAIT_SECONDS 2.5
+
+/* Counts the endpoints of a pool by the filter that excluded them. */
 typedef struct
 {
   size_t total;
@@ -21,15 +22,15 @@
   size_t outdated_reports;
   size_t avoided;
   size_t too_slow;
-  size_t eligible; /* could take the request, now or once they have capacity */
+  size_t eligible; /* endpoints that can take the request, now or once they have capacity */
 } FilterCounts;
 
-/* Inputs that are the same for all endpoints of one decision. */
+/* Inputs of a routing decision that are the same for all endpoints. */
 typedef struct
 {
   const LcRouteQuery *query;
-  double fastest_token_seconds; /* seconds per token of the currently fastest engine; 0: unknown */
-  bool strict;                  /* also excludes avoided endpoints and slow engines */
+  double fastest_token_seconds; /* seconds per token of the pool's fastest engine; 0: unknown */
+  bool strict;                  /* set to exclude avoided endpoints and slow engines */
   LbTime reports_valid_since;
   LbTime now;
 } DecisionInputs;
@@ -68,11 +69,11 @@
   return false;
 }
 
-/* Keeps a long sample away from a slow engine that is the only one with capacity. It would
- * certainly miss its soft deadline there, and was moved on to another slow engine, and so on,
- * although an engine at full speed had capacity a few tenths of a second later. The sample waits
- * for such an engine at most as long as the slow one would cost it. With two of a model's three
- * engines four times slower, steps took 10.5 s instead of 8 s. */
+/* Whether a sample should wait for a fast engine rather than start on this one, which would miss
+ * the soft deadline. Without this check, long samples were moved from one slow engine to the next,
+ * though a fast engine had capacity a few tenths of a second later: with two of a model's three
+ * engines four times slower, steps took 10.5 s instead of 8 s. The wait is bounded by the time that
+ * the fast engine saves. */
 static bool
 is_too_slow (const DecisionInputs *inputs, const LcEndpointSummary *summary)
 {
@@ -84,18 +85,18 @@
 
   if (!lb_switch_is_on (LB_SWITCH_FULL_PACE) || query->soft_deadline == 0
       || inputs->fastest_token_seconds <= 0
-      || token_seconds < SLOW_FACTOR * inputs->fastest_token_seconds)
+      || token_seconds < SLOW_ENGINE_FACTOR * inputs->fastest_token_seconds)
     return false;
   return tokens * token_seconds > time_left
-         && waited < fmin (MAX_SPEED_WAIT_SECONDS,
+         && waited < fmin (MAX_FAST_ENGINE_WAIT_SECONDS,
                            tokens * (token_seconds - inputs->fastest_token_seconds));
 }
 
 static void
-classify (LcCandidates *candidates,
-          const LcEndpointSummary *summary,
-          const DecisionInputs *inputs,
-          FilterCounts *counts)
+classify_endpoint (LcCandidates *candidates,
+                   const LcEndpointSummary *summary,
+                   const DecisionInputs *inputs,
+                   FilterCounts *counts)
 {
   const LcRouteQuery *query = inputs->query;
 
@@ -137,15 +138,15 @@
 }
 
 static void
-classify_all (LcCandidates *candidates,
-              const LcEndpoints *endpoints,
-              const LcEndpointGroup *group,
-              const DecisionInputs *inputs,
-              FilterCounts *counts)
+classify_endpoints (LcCandidates *candidates,
+                    const LcEndpoints *endpoints,
+                    const LcEndpointGroup *group,
+                    const DecisionInputs *inputs,
+                    FilterCounts *counts)
 {
   candidates->n_items = 0;
   for (size_t i = 0; group && i < group->n_slots; i++)
-    classify (candidates, &endpoints->summaries[group->slots[i]], inputs, counts);
+    classify_endpoint (candidates, &endpoints->summaries[group->slots[i]], inputs, counts);
 }
 
 void
@@ -165,19 +166,18 @@
   FilterCounts counts = { 0 };
 
   ensure_capacity (candidates, group ? group->n_slots : 0);
-  classify_all (candidates, endpoints, group, &inputs, &counts);
+  classify_endpoints (candidates, endpoints, group, &inputs, &counts);
   candidates->reason = candidates->n_items > 0 ? NULL : reason_without_candidates (&counts);
   if (query->kind != LC_KIND_SAMPLE || counts.eligible > 0 || counts.avoided + counts.too_slow == 0)
     return;
-  /* Waiting gains nothing for a sample whose pool offers only avoided or slow engines, so those
-   * become eligible. */
+  /* If only avoided or slow engines remain, a sample gains nothing by waiting: it may use them. */
   inputs.strict = false;
-  classify_all (candidates, endpoints, group, &inputs, &counts);
+  classify_endpoints (candidates, endpoints, group, &inputs, &counts);
   candidates->reason = candidates->n_items > 0 ? NULL : "no-capacity";
 }
 
 static void
-insert_shown (LcRouteDecision *decision, const LcCandidate *candidate)
+insert_shown_candidate (LcRouteDecision *decision, const LcCandidate *candidate)
 {
   size_t index = decision->n_shown;
 
@@ -193,19 +193,19 @@
 }
 
 LcRouteDecision
-lc_candidates_decide (const LcCandidates *candidates, size_t chosen, const char *reason)
+lc_candidates_make_decision (const LcCandidates *candidates, size_t chosen, const char *reason)
 {
   LcRouteDecision decision = { .endpoint = candidates->items[chosen].endpoint,
                                .reason = reason,
                                .n_candidates = candidates->n_items };
 
   for (size_t i = 0; i < candidates->n_items; i++)
-    insert_shown (&decision, &candidates->items[i]);
+    insert_shown_candidate (&decision, &candidates->items[i]);
   return decision;
 }
 
 LcRouteDecision
-lc_candidates_decide_none (const LcCandidates *candidates)
+lc_candidates_make_empty_decision (const LcCandidates *candidates)
 {
   return (LcRouteDecision){ .reason = candidates->reason };
 }
--- a/packages/core/src/dispatch/lc-candidates.h
+++ b/packages/core/src/dispatch/lc-candidates.h
@@ -4,27 +4,27 @@
 #include "lc-endpoint-table.h"
 #include "lc-router.h"
 
-/* The endpoints that may take a request. The same rules apply for every policy. */
+/* The endpoints that can take a request now. Every policy chooses among the same candidates. */
 typedef struct
 {
-  LcCandidate *items;                  /* their scores are 0 until a policy sets them */
-  const LcEndpointSummary **summaries; /* parallel to items */
+  LcCandidate *items;                  /* scores are 0 until a policy sets them */
+  const LcEndpointSummary **summaries; /* summary of the endpoint of each item */
   size_t n_items;
   size_t capacity;
-  const char *reason; /* why there are no items; NULL if there are some */
+  const char *reason; /* why there are no candidates; NULL if there are some */
 } LcCandidates;
 
 void lc_candidates_clear (LcCandidates *candidates);
-/* Replaces the previous content. */
+/* Replaces the list with the endpoints that can take the query's request now. */
 void lc_candidates_gather (LcCandidates *candidates,
                            LcEndpoints *endpoints,
                            const LcRouteQuery *query,
                            LbTime now);
 
-/* Builds the decision for the candidate at index chosen, including the candidates with the best
+/* Builds the decision for the candidate at index chosen; lists the candidates with the lowest
  * scores. */
 LcRouteDecision
-lc_candidates_decide (const LcCandidates *candidates, size_t chosen, const char *reason);
-LcRouteDecision lc_candidates_decide_none (const LcCandidates *candidates);
+lc_candidates_make_decision (const LcCandidates *candidates, size_t chosen, const char *reason);
+LcRouteDecision lc_candidates_make_empty_decision (const LcCandidates *candidates);
 
 #endif
--- a/packages/core/src/dispatch/lc-dispatch-query.c
+++ b/packages/core/src/dispatch/lc-dispatch-query.c
@@ -1,6 +1,6 @@
 #include "lc-dispatch-private.h"
 
-/* Returns NULL if the request is unknown or already finished. */
+/* Returns the unfinished request with the id; NULL if there is none. */
 LcRequest *
 lc_dispatch_find_request (const LcDispatch *dispatch, LcRequestId id)
 {
@@ -11,7 +11,7 @@
 }
 
 static bool
-has_waiting (const LcDispatch *dispatch)
+has_waiting_requests (const LcDispatch *dispatch)
 {
   for (int kind = 0; kind < LC_N_POOL_KINDS; kind++)
     for (const LcPoolState *pool = dispatch->pools[kind]; pool; pool = pool->hh.next)
@@ -20,19 +20,20 @@
   return false;
 }
 
-/* Returns the latest time of the next lc_dispatch_tick call; LB_TIME_NEVER if nothing is due. */
+/* Returns when lc_dispatch_tick must be called next at the latest; LB_TIME_NEVER if no timer is set
+ * and no request waits. */
 LbTime
 lc_dispatch_next_tick (const LcDispatch *dispatch)
 {
   const LcHeapNode *node = lc_heap_top (&dispatch->timers);
   LbTime due = node ? LC_HEAP_ENTRY (node, LcRequest, timer_node)->timer_due : LB_TIME_NEVER;
-  LbTime poll
-      = has_waiting (dispatch) ? dispatch->polled_at + LC_DISPATCH_POLL_INTERVAL : LB_TIME_NEVER;
+  LbTime poll = has_waiting_requests (dispatch) ? dispatch->polled_at + LC_DISPATCH_POLL_INTERVAL
+                                                : LB_TIME_NEVER;
 
   return poll < due ? poll : due;
 }
 
-/* Counts admitted requests that have no final result yet. */
+/* Returns the number of admitted requests without a final result. */
 size_t
 lc_dispatch_count_in_progress (const LcDispatch *dispatch)
 {
--- a/packages/core/src/dispatch/lc-dispatch.c
+++ b/packages/core/src/dispatch/lc-dispatch.c
@@ -16,7 +16,7 @@
                                                     "Requests that were not admitted");
 
 static bool
-timer_before (const LcHeapNode *a, const LcHeapNode *b)
+is_timer_due_before (const LcHeapNode *a, const LcHeapNode *b)
 {
   const LcRequest *first = LC_HEAP_ENTRY (a, LcRequest, timer_node);
   const LcRequest *second = LC_HEAP_ENTRY (b, LcRequest, timer_node);
@@ -25,7 +25,7 @@
                                                : first->id < second->id;
 }
 
-/* Returns NULL if no policy has the name given in the settings. */
+/* Returns NULL if the settings name an unknown routing policy. */
 LcDispatch *
 lc_dispatch_new (const LcDispatchSettings *settings)
 {
@@ -46,7 +46,7 @@
   dispatch->quarantine = lc_quarantine_new ();
   dispatch->random = gsl_rng_alloc (gsl_rng_taus2);
   gsl_rng_set (dispatch->random, settings->seed);
-  lc_heap_init (&dispatch->timers, timer_before);
+  lc_heap_init (&dispatch->timers, is_timer_due_before);
   return dispatch;
 }
 
@@ -104,7 +104,7 @@
 }
 
 static LcPoolState *
-ensure_pool (LcDispatch *dispatch, LcPoolKind kind, const char *name)
+find_or_add_configured_pool (LcDispatch *dispatch, LcPoolKind kind, const char *name)
 {
   LcPoolState *pool = find_pool (dispatch, kind, name);
 
@@ -127,7 +127,8 @@
       pool->configured = false;
   for (size_t i = 0; i < set->n_pools; i++)
     {
-      LcPoolState *pool = ensure_pool (dispatch, LC_POOL_ENGINES, set->pools[i].name);
+      LcPoolState *pool
+          = find_or_add_configured_pool (dispatch, LC_POOL_ENGINES, set->pools[i].name);
 
       pool->live_reserve = set->pools[i].live_reserve;
       if (set->pools[i].queue_limit > 0)
@@ -135,10 +136,10 @@
     }
   for (size_t i = 0; i < set->n_endpoints; i++)
     if (lc_pool_kind_of_endpoint (&set->endpoints[i]) == LC_POOL_SERVICE)
-      ensure_pool (dispatch, LC_POOL_SERVICE, set->endpoints[i].pool);
+      find_or_add_configured_pool (dispatch, LC_POOL_SERVICE, set->endpoints[i].pool);
 }
 
-/* Frees pools that are no longer configured once their last request has finished. */
+/* Frees the pools that are no longer configured and have no unfinished request. */
 static void
 free_unused_pools (LcDispatch *dispatch)
 {
@@ -155,28 +156,29 @@
     }
 }
 
-/* Applies a newer configuration. Attempts at endpoints that it removes run to completion. */
+/* Applies a new configuration. Attempts at removed endpoints run to completion. */
 void
 lc_dispatch_configure (LcDispatch *dispatch, const LcResourceSet *set, LbTime now, LbList *actions)
 {
   dispatch->forbid_cancel = true;
   lc_endpoints_configure (dispatch->endpoints, set, now);
   configure_pools (dispatch, set);
-  lc_dispatch_send_all_waiting (dispatch, now, actions);
+  lc_dispatch_send_waiting_of_all_pools (dispatch, now, actions);
   free_unused_pools (dispatch);
   dispatch->forbid_cancel = false;
 }
 
 static bool
-refuse (LbErrorCode code, LbTime hint, LbTime *retry_after, const char *pool, LbError *error)
+refuse_request (
+    LbErrorCode code, LbTime hint, LbTime *retry_after, const char *pool, LbError *error)
 {
   *retry_after = hint;
   lb_metric_add (&refused_requests, 1);
   return lb_error_set (error, code, pool, "request refused before dispatch");
 }
 
-/* Drops a waiting request that ranks below the new one, to admit the latter; false if there is
- * none, or if it has already been attempted. */
+/* Drops the waiting request of the lowest rank to admit a new one. Returns false if the new request
+ * itself has the lowest rank, or if the one to drop has already been attempted. */
 static bool
 drop_lower_ranked_request (
     LcDispatch *dispatch, LcPoolState *pool, const LcQueueKey *key, LbTime now, LbList *actions)
@@ -194,8 +196,8 @@
   return true;
 }
 
-/* Returns the latest start of the first attempt. A call without a deadline waits no longer than the
- * default one, since its caller is waiting interactively; its stream may then run without limit. */
+/* Returns the latest start of the first attempt. A call without a deadline must start within the
+ * default deadline, since a client waits for it; its stream may then run without limit. */
 static LbTime
 start_deadline_of (const LcDispatch *dispatch, const LcRequestSpec *spec, LbTime now)
 {
@@ -206,21 +208,23 @@
   return now + max_wait;
 }
 
-/* Refuses early what can't be answered in time or doesn't fit into the queue. */
+/* Returns LB_OK if a request may be queued, else the reason for its refusal: it can't start in time
+ * or the queue is full. May drop a waiting request of lower rank to make room. */
 static LbErrorCode
-refusal_reason (LcDispatch *dispatch,
-                LcPoolState *pool,
-                const LcRequestSpec *spec,
-                const LcQueueKey *key,
-                LbTime now,
-                LbList *actions)
+check_admission (LcDispatch *dispatch,
+                 LcPoolState *pool,
+                 const LcRequestSpec *spec,
+                 const LcQueueKey *key,
+                 LbTime now,
+                 LbList *actions)
 {
   LbTime latest = start_deadline_of (dispatch, spec, now);
 
   if (latest <= now)
     return LB_ERROR_DEADLINE_BEFORE_START;
-  if (!lc_dispatch_may_wait (spec->kind, lc_dispatch_pool_available_at (dispatch, pool), latest,
-                             now))
+  if (!lc_dispatch_may_wait_for_pool (spec->kind,
+                                      lc_dispatch_earliest_pool_availability (dispatch, pool),
+                                      latest, now))
     return LB_ERROR_NO_ENDPOINT;
   if (latest != LB_TIME_NEVER && lc_pool_state_estimate_wait (pool, key) >= latest - now)
     return LB_ERROR_OVERLOADED;
@@ -263,18 +267,20 @@
 
   *retry_after = 0;
   if (dispatch->draining)
-    return refuse (LB_ERROR_DRAINING, DRAIN_RETRY_AFTER, retry_after, spec->pool, error);
+    return refuse_request (LB_ERROR_DRAINING, DRAIN_RETRY_AFTER, retry_after, spec->pool, error);
   if (!pool || !pool->configured)
-    return refuse (spec->kind == LC_KIND_SERVICE ? LB_ERROR_UNKNOWN_SERVICE : LB_ERROR_UNKNOWN_POOL,
-                   0, retry_after, spec->pool, error);
-  /* Endpoints have crashed on the same content, sent by this or other instances; another one would
-   * crash too. */
+    return refuse_request (spec->kind == LC_KIND_SERVICE ? LB_ERROR_UNKNOWN_SERVICE
+                                                         : LB_ERROR_UNKNOWN_POOL,
+                           0, retry_after, spec->pool, error);
+  /* Endpoints have crashed on requests with this content, sent by any instance; the next endpoint
+   * would crash, too. */
   LbTime quarantined_until = lc_dispatch_quarantined_until (dispatch, spec->content, now);
   if (quarantined_until > 0)
-    return refuse (LB_ERROR_QUARANTINED, quarantined_until - now, retry_after, spec->pool, error);
+    return refuse_request (LB_ERROR_QUARANTINED, quarantined_until - now, retry_after, spec->pool,
+                           error);
   if (!lc_dispatch_check_invariant (dispatch, !lc_dispatch_find_request (dispatch, spec->id),
                                     "request-ids-are-unique", spec->id))
-    return refuse (LB_ERROR_INVARIANT, 0, retry_after, spec->pool, error);
+    return refuse_request (LB_ERROR_INVARIANT, 0, retry_after, spec->pool, error);
 
   LcQueueKey key = {
     .kind = spec->kind,
@@ -283,17 +289,17 @@
     .caller = spec->flow[0] ? spec->flow : spec->caller,
     .share = spec->share,
   };
-  LbErrorCode reason = refusal_reason (dispatch, pool, spec, &key, now, actions);
+  LbErrorCode reason = check_admission (dispatch, pool, spec, &key, now, actions);
 
   if (reason != LB_OK)
-    return refuse (reason, lc_dispatch_retry_after (dispatch, pool, &key, now), retry_after,
-                   spec->pool, error);
+    return refuse_request (reason, lc_dispatch_compute_retry_after (dispatch, pool, &key, now),
+                           retry_after, spec->pool, error);
 
   LcRequest *request = add_request (dispatch, spec, pool, now);
 
   lc_dispatch_enqueue (dispatch, request);
   if (lc_dispatch_may_be_placed (request))
-    lc_dispatch_send_waiting (dispatch, pool, now, actions);
+    lc_dispatch_send_waiting_requests (dispatch, pool, now, actions);
   return true;
 }
 
@@ -308,7 +314,7 @@
   LcPoolState *pool = request->pool;
 
   lc_dispatch_drop_request (dispatch, request, now, actions);
-  lc_dispatch_send_waiting (dispatch, pool, now, actions);
+  lc_dispatch_send_waiting_requests (dispatch, pool, now, actions);
 }
 
 void
@@ -330,11 +336,11 @@
   if (end == LC_END_REFUSED_LEAVING)
     lc_dispatch_mark_leaving (dispatch, attempt->endpoint, "", LC_LEAVING_ENDPOINT, now, actions);
   lc_dispatch_handle_attempt_end (dispatch, request, attempt, end, now, actions);
-  lc_dispatch_send_waiting (dispatch, pool, now, actions);
+  lc_dispatch_send_waiting_requests (dispatch, pool, now, actions);
 }
 
 static LcPoolState *
-pool_of_endpoint (const LcDispatch *dispatch, const char *name)
+find_pool_of_endpoint (const LcDispatch *dispatch, const char *name)
 {
   const LcEndpoint *endpoint = lc_endpoints_find (dispatch->endpoints, name);
 
@@ -350,13 +356,13 @@
                          LbTime now,
                          LbList *actions)
 {
-  LcPoolState *pool = pool_of_endpoint (dispatch, endpoint);
+  LcPoolState *pool = find_pool_of_endpoint (dispatch, endpoint);
 
   lc_endpoints_record_load (dispatch->endpoints, endpoint, report, now);
   if (!pool)
     return;
   dispatch->forbid_cancel = true;
-  lc_dispatch_send_waiting (dispatch, pool, now, actions);
+  lc_dispatch_send_waiting_requests (dispatch, pool, now, actions);
   dispatch->forbid_cancel = false;
 }
 
@@ -368,12 +374,12 @@
                           LbTime now,
                           LbList *actions)
 {
-  LcPoolState *pool = pool_of_endpoint (dispatch, endpoint);
+  LcPoolState *pool = find_pool_of_endpoint (dispatch, endpoint);
 
   if (!lc_endpoints_mark_leaving (dispatch->endpoints, endpoint, incarnation, source, now) || !pool)
     return;
   dispatch->forbid_cancel = true;
-  lc_dispatch_send_waiting (dispatch, pool, now, actions);
+  lc_dispatch_send_waiting_requests (dispatch, pool, now, actions);
   dispatch->forbid_cancel = false;
 }
 
@@ -386,7 +392,7 @@
 }
 
 static void
-handle_timer (LcDispatch *dispatch, LcRequest *request, LbTime now, LbList *actions)
+handle_request_timer (LcDispatch *dispatch, LcRequest *request, LbTime now, LbList *actions)
 {
   bool is_waiting = request->state == LC_STATE_WAITING;
 
@@ -408,7 +414,7 @@
 {
   LcRequest *request = NULL;
 
-  while ((request = lc_dispatch_find_due (dispatch, now)))
-    handle_timer (dispatch, request, now, actions);
-  lc_dispatch_send_all_waiting (dispatch, now, actions);
+  while ((request = lc_dispatch_find_due_request (dispatch, now)))
+    handle_request_timer (dispatch, request, now, actions);
+  lc_dispatch_send_waiting_of_all_pools (dispatch, now, actions);
 }
--- a/packages/core/src/dispatch/lc-heap.c
+++ b/packages/core/src/dispatch/lc-heap.c
@@ -4,7 +4,7 @@
 
 #include <stdlib.h>
 
-#define FIRST_CAPACITY 4
+#define INITIAL_CAPACITY 4
 
 void
 lc_heap_init (LcHeap *heap, LcHeapBefore before)
@@ -12,7 +12,7 @@
   *heap = (LcHeap){ .before = before };
 }
 
-/* Frees the heap's own memory; the elements belong to the caller. */
+/* Frees the array of node pointers; the elements belong to the caller. */
 void
 lc_heap_clear (LcHeap *heap)
 {
@@ -64,7 +64,7 @@
 {
   if (heap->length == heap->capacity)
     {
-      heap->capacity = heap->capacity ? heap->capacity * 2 : FIRST_CAPACITY;
+      heap->capacity = heap->capacity ? heap->capacity * 2 : INITIAL_CAPACITY;
       heap->nodes = lb_realloc (heap->nodes, heap->capacity * sizeof *heap->nodes);
     }
   heap->length++;
@@ -72,7 +72,6 @@
   sift_up (heap, node);
 }
 
-/* Restores the heap order after the key of this element has changed. */
 void
 lc_heap_update (LcHeap *heap, LcHeapNode *node)
 {
@@ -80,7 +79,6 @@
   sift_down (heap, node);
 }
 
-/* Removes the element from any position; no-op if it is in no heap. */
 void
 lc_heap_remove (LcHeap *heap, LcHeapNode *node)
 {
@@ -99,7 +97,6 @@
   lc_heap_update (heap, last);
 }
 
-/* Returns the top element; NULL if the heap is empty. */
 LcHeapNode *
 lc_heap_top (const LcHeap *heap)
 {
--- a/packages/core/src/dispatch/lc-heap.h
+++ b/packages/core/src/dispatch/lc-heap.h
@@ -7,10 +7,10 @@
  * O(log n) without a search. */
 typedef struct
 {
-  size_t position; /* 1-based; 0: in no heap */
+  size_t position; /* 1-based index in LcHeap.nodes; 0: the node is in no heap */
 } LcHeapNode;
 
-/* Strict weak order: true if a must come out before b. */
+/* Strict weak order of the heap: true if a comes nearer to the top than b. */
 typedef bool (*LcHeapBefore) (const LcHeapNode *a, const LcHeapNode *b);
 
 typedef struct
@@ -26,11 +26,11 @@
 void lc_heap_init (LcHeap *heap, LcHeapBefore before);
 void lc_heap_clear (LcHeap *heap);
 void lc_heap_push (LcHeap *heap, LcHeapNode *node);
-/* Has no effect if the element is in no heap. */
+/* Has no effect if the node is in no heap. */
 void lc_heap_remove (LcHeap *heap, LcHeapNode *node);
-/* Restores the order after the element's key has changed. */
+/* Restores the heap order after the key of the node's element has changed. */
 void lc_heap_update (LcHeap *heap, LcHeapNode *node);
-/* The element that comes first; NULL if the heap is empty. */
+/* Returns the first node of the heap's order; NULL if the heap is empty. */
 LcHeapNode *lc_heap_top (const LcHeap *heap);
 
 static inline bool
--- a/packages/core/src/dispatch/lc-invariant.c
+++ b/packages/core/src/dispatch/lc-invariant.c
@@ -8,9 +8,9 @@
                        "part=\"dispatch\"",
                        "Actions suppressed because they would violate an invariant");
 
-/* Checks an invariant right before the action that could violate it, and returns whether it holds.
- * If not, the caller skips that one action and continues: a wrong action is worse than a missing
- * one, and other requests must not be affected. */
+/* Counts and logs a violated invariant; returns holds. Called right before the action that could
+ * violate the invariant. The caller then skips this action and continues, because a wrong action is
+ * worse than a missing one and other requests must not be affected. */
 bool
 lc_dispatch_check_invariant (LcDispatch *dispatch,
                              bool holds,
--- a/packages/core/src/dispatch/lc-outcome.c
+++ b/packages/core/src/dispatch/lc-outcome.c
@@ -5,14 +5,14 @@
 
 #include <stdlib.h>
 
-/* Limits how many engines a request that crashes them can reach. */
-#define MAX_CONSECUTIVE_LOST 3
+/* Limits how many engines one request can crash. */
+#define MAX_CONSECUTIVE_LOST_ATTEMPTS 3
 #define MIN_RETRY_AFTER (100 * LB_MSEC)
 #define RETRY_AFTER_WITHOUT_ENDPOINT LB_SEC
-/* Time without a piece after which an attempt may have reached an endpoint that never answers. */
-#define SILENCE_LIMIT LB_SEC
-/* The same for samples, whose first piece normally comes several times sooner. */
-#define SAMPLE_SILENCE_LIMIT (500 * LB_MSEC)
+/* An attempt without a piece for this long may count as a failure (see is_black_holed). */
+#define BLACK_HOLE_TIMEOUT LB_SEC
+/* BLACK_HOLE_TIMEOUT for samples, whose first piece normally arrives several times sooner. */
+#define SAMPLE_BLACK_HOLE_TIMEOUT (500 * LB_MSEC)
 
 static LbMetric retries = LB_COUNTER_INIT ("lentilspindle_retries_total",
                                            NULL,
@@ -24,7 +24,7 @@
                                                      NULL,
                                                      "Requests that ended with a complete answer");
 
-/* Appends a new action to the list, which owns it. */
+/* Creates an action and appends it to actions, which owns it. */
 LcAction *
 lc_action_new (LcActionType type, LcRequestId request, LbList *actions)
 {
@@ -42,20 +42,21 @@
   free (action);
 }
 
+/* How the result of an attempt counts for its endpoint. */
 typedef enum
 {
   RESULT_SUCCEEDED,
-  RESULT_FAILED, /* a failure of the endpoint */
+  RESULT_FAILED, /* the endpoint failed */
   RESULT_REFUSED,
-  RESULT_CANCELLED /* cancelled by this instance: says nothing about the endpoint */
+  RESULT_CANCELLED /* neither: cancelled by this instance, or refused by a leaving endpoint */
 } AttemptResult;
 
 static void
-record_result (LcEndpoint *endpoint,
-               LcRequestKind kind,
-               const LcAttempt *attempt,
-               AttemptResult result,
-               LbTime now)
+record_attempt_result (LcEndpoint *endpoint,
+                       LcRequestKind kind,
+                       const LcAttempt *attempt,
+                       AttemptResult result,
+                       LbTime now)
 {
   if (result == RESULT_CANCELLED)
     lc_endpoint_request_cancelled (endpoint, kind, now);
@@ -66,7 +67,8 @@
                                now - attempt->sent_at, now);
 }
 
-/* Records the result of the attempt with its endpoint and pool, and removes it. */
+/* Records the attempt's result in the statistics of its endpoint and pool, and frees the attempt.
+ */
 static void
 close_attempt (
     LcDispatch *dispatch, LcRequest *request, LcAttempt *attempt, AttemptResult result, LbTime now)
@@ -75,17 +77,19 @@
   LbTime duration = now - attempt->sent_at;
 
   if (endpoint)
-    record_result (endpoint, request->kind, attempt, result, now);
-  lc_pool_state_record_end (request->pool, request->kind, attempt->is_complete ? duration : 0);
+    record_attempt_result (endpoint, request->kind, attempt, result, now);
+  lc_pool_state_record_attempt_end (request->pool, request->kind,
+                                    attempt->is_complete ? duration : 0);
   if (request->forwarded_attempt == attempt->number)
     request->forwarded_attempt = 0;
   lc_request_remove_attempt (request, attempt);
 }
 
-/* Detects an endpoint that accepts requests and never answers. Each of its attempts ends by our own
- * cancel, at the deadline or when a hedge wins, so no failure would be recorded and its breaker
- * would stay closed. A long silent attempt therefore counts as a failure if the endpoint has not
- * replied to this instance since the attempt was sent. */
+/* Whether an attempt that is being cancelled counts as a failure of its endpoint. An endpoint that
+ * accepts requests and never answers causes no failure of its own: its attempts are cancelled at
+ * the deadline or when a hedge wins, and its circuit breaker would stay closed. So an attempt
+ * without a piece fails after a timeout if the endpoint has replied to nothing since the attempt
+ * was sent. */
 static bool
 is_black_holed (LcDispatch *dispatch,
                 const LcRequest *request,
@@ -93,14 +97,14 @@
                 LbTime now)
 {
   const LcEndpoint *endpoint = lc_endpoints_find (dispatch->endpoints, attempt->endpoint);
-  LbTime limit = request->kind == LC_KIND_SAMPLE ? SAMPLE_SILENCE_LIMIT : SILENCE_LIMIT;
+  LbTime limit = request->kind == LC_KIND_SAMPLE ? SAMPLE_BLACK_HOLE_TIMEOUT : BLACK_HOLE_TIMEOUT;
 
   return endpoint && !attempt->has_piece && now - attempt->sent_at >= limit
          && endpoint->last_reply_at <= attempt->sent_at;
 }
 
-/* Records the time since the last piece of a cancelled stream: the measured pace of an engine that
- * stalled falls, and the next samples avoid it. */
+/* Counts the time since the last piece of a cancelled stream as time without tokens. This lowers
+ * the measured pace of a stalled engine, so that further samples avoid it. */
 static void
 record_stall (LcDispatch *dispatch, const LcAttempt *attempt, LbTime now)
 {
@@ -134,8 +138,9 @@
   }
 }
 
-/* Removes the request from all queues and tables and cancels its attempts; the caller then appends
- * the final action. */
+/* Cancels the attempts of the request and removes it from the queue, the timers and the
+ * request table. The
+ * caller still has to append the final action and free the request. */
 static void
 detach_request (LcDispatch *dispatch, LcRequest *request, LbTime now, LbList *actions)
 {
@@ -153,17 +158,17 @@
   lc_request_free (request);
 }
 
-/* Returns when the caller should retry: after the expected wait of such a request, and not before a
- * breaker lets a probe through if all of the pool's are open. Adds up to half as much again as
- * jitter, so that callers refused together do not return together. */
+/* Returns the delay after which the caller of a failed request should retry: the estimated queueing
+ * time, and at least the time until a circuit breaker of the pool admits a request. Random jitter
+ * of up to 50 % keeps callers that were refused together from retrying together. */
 LbTime
-lc_dispatch_retry_after (LcDispatch *dispatch,
-                         const LcPoolState *pool,
-                         const LcQueueKey *key,
-                         LbTime now)
+lc_dispatch_compute_retry_after (LcDispatch *dispatch,
+                                 const LcPoolState *pool,
+                                 const LcQueueKey *key,
+                                 LbTime now)
 {
   LbTime retry_after = lc_pool_state_estimate_wait (pool, key);
-  LbTime available_at = lc_dispatch_pool_available_at (dispatch, pool);
+  LbTime available_at = lc_dispatch_earliest_pool_availability (dispatch, pool);
 
   if (available_at == LB_TIME_NEVER)
     retry_after = RETRY_AFTER_WITHOUT_ENDPOINT;
@@ -174,8 +179,9 @@
   return retry_after + (LbTime)(gsl_rng_uniform (dispatch->random) * (double)retry_after / 2);
 }
 
-/* Ends the request with a failure; retry_after 0: computed here. The request leaves every queue
- * first: a copy that still waits could run after its caller has received "not run". */
+/* Ends the request with a failure. retry_after: hint for the caller; 0: the estimated delay. The
+ * request is removed from the queue first, since it must not run after its caller was told "not
+ * run". */
 void
 lc_dispatch_fail_request (LcDispatch *dispatch,
                           LcRequest *request,
@@ -184,7 +190,7 @@
                           LbTime now,
                           LbList *actions)
 {
-  LcQueueKey key = lc_request_queue_key (request);
+  LcQueueKey key = lc_request_make_queue_key (request);
 
   if (!lc_dispatch_check_invariant (dispatch,
                                     !dispatch->forbid_cancel
@@ -192,7 +198,7 @@
                                     "shutdown-cuts-nothing", request->id))
     return;
   if (retry_after == 0)
-    retry_after = lc_dispatch_retry_after (dispatch, request->pool, &key, now);
+    retry_after = lc_dispatch_compute_retry_after (dispatch, request->pool, &key, now);
   detach_request (dispatch, request, now, actions);
   if (!lc_dispatch_check_invariant (dispatch,
                                     !lb_error_is_not_run (error) || !request->may_have_run,
@@ -224,8 +230,8 @@
       return;
     }
   LB_COPY (endpoint, attempt->endpoint);
-  lc_retry_budgets_earn (dispatch->budgets, request->caller);
-  lc_retry_budgets_earn (dispatch->budgets, endpoint);
+  lc_retry_budgets_credit_success (dispatch->budgets, request->caller);
+  lc_retry_budgets_credit_success (dispatch->budgets, endpoint);
   attempt->is_complete = true;
   close_attempt (dispatch, request, attempt, RESULT_SUCCEEDED, now);
   detach_request (dispatch, request, now, actions);
@@ -238,16 +244,16 @@
   lc_request_free (request);
 }
 
-/* Whether this end proves that nothing ran at the endpoint. */
+/* Whether this end of an attempt proves that the endpoint did not run the request. */
 static bool
 proves_not_run (LcAttemptEnd end)
 {
   return end == LC_END_REFUSED || end == LC_END_REFUSED_LEAVING || end == LC_END_NOT_SENT;
 }
 
-/* Returns the error of the request if no further attempt follows. */
+/* Returns the error to report if the request is not retried after an attempt with this end. */
 static LbErrorCode
-error_after (const LcRequest *request, LcAttemptEnd end)
+error_without_retry (const LcRequest *request, LcAttemptEnd end)
 {
   if (!request->may_have_run)
     return end == LC_END_NOT_SENT ? LB_ERROR_NO_ENDPOINT : LB_ERROR_ENDPOINT_REFUSED;
@@ -264,35 +270,35 @@
 may_retry (const LcRequest *request)
 {
   if (!lc_request_has_attempts_left (request)
-      || request->n_consecutive_lost >= MAX_CONSECUTIVE_LOST)
+      || request->n_consecutive_lost >= MAX_CONSECUTIVE_LOST_ATTEMPTS)
     return false;
   if (!request->may_have_run)
     return true;
   return request->repeatable && (request->resumable || !lc_request_has_output (request));
 }
 
-/* Whether a broken stream resumes behind its last piece. This repeats no work and can't cause a
- * retry storm, so it is not charged to the retry budgets; MAX_ATTEMPTS bounds it. If it were
- * charged, the crash of an engine with many streams would use up the budget on the first few, and
- * the other callers would keep half an answer although another engine is free. */
+/* Whether a broken stream resumes behind its last piece. A resumed stream repeats no work and can't
+ * cause a retry storm, so it is not charged to the retry budgets; MAX_ATTEMPTS bounds it. If it
+ * were charged, the crash of an engine with many streams would exhaust the budget on the first few.
+ * The other callers would be left with half an answer although another engine is free. */
 static bool
-resumes_stream (const LcRequest *request, const LcAttempt *attempt, LcAttemptEnd end)
+does_stream_resume (const LcRequest *request, const LcAttempt *attempt, LcAttemptEnd end)
 {
   return end == LC_END_BROKEN && attempt->received_tokens > 0
          && lc_request_is_resumable_stream (request);
 }
 
-/* Whether the endpoint's reply settles the request. */
+/* Whether the endpoint's reply rules out a retry. */
 static bool
-is_final (const LcRequest *request, LcAttemptEnd end)
+is_end_final (const LcRequest *request, LcAttemptEnd end)
 {
   return end == LC_END_REJECTED || (end == LC_END_FAILED && request->failure_is_final);
 }
 
-/* Whether the next attempt needs no delay. An engine that loads weights refuses at once and looks
- * idle, so a delayed sample was sent to it again and again while others had capacity. A refusal
- * costs almost nothing, so a sample goes to another engine immediately; its number of attempts is
- * still bounded. */
+/* Whether the request is retried without backoff. An engine that loads weights refuses at once and
+ * looks idle, so samples retried after a delay were sent to it again while other engines had
+ * capacity. A refusal costs almost nothing, so a refused sample is retried at once; its number of
+ * attempts stays bounded. */
 static bool
 is_retried_immediately (const LcRequest *request, LcAttemptEnd end)
 {
@@ -300,24 +306,24 @@
          || (end == LC_END_REFUSED && request->kind == LC_KIND_SAMPLE);
 }
 
-/* Called after the last running attempt has failed. Retries immediately after a mere refusal,
- * otherwise after a delay and (unless a stream resumes) within the retry budgets; if that is not
- * allowed, the request fails. */
+/* Retries a request whose last running attempt has failed, or fails the request if no retry is
+ * allowed. A refusal may be retried at once. Other retries wait for a backoff and are charged to
+ * the retry budgets; a resumed stream is not charged. */
 static void
-retry_or_fail (LcDispatch *dispatch,
-               LcRequest *request,
-               LcAttemptEnd end,
-               bool resumed,
-               LbTime now,
-               LbList *actions)
+retry_or_fail_request (LcDispatch *dispatch,
+                       LcRequest *request,
+                       LcAttemptEnd end,
+                       bool resumed,
+                       LbTime now,
+                       LbList *actions)
 {
   LbTime delay = lc_retry_delay (dispatch->random, request->n_retries);
   bool immediately = is_retried_immediately (request, end);
   bool charged_to_budget = !immediately && !resumed;
 
-  if (is_final (request, end) || !may_retry (request)
+  if (is_end_final (request, end) || !may_retry (request)
       || (!immediately && now + delay >= request->deadline)
-      || (charged_to_budget && !lc_retry_budgets_allow (dispatch->budgets, request->caller)))
+      || (charged_to_budget && !lc_retry_budgets_allow_retry (dispatch->budgets, request->caller)))
     {
       lc_dispatch_fail_request (dispatch, request, request->last_error, 0, now, actions);
       return;
@@ -330,7 +336,7 @@
       return;
     }
   if (charged_to_budget)
-    lc_retry_budgets_spend (dispatch->budgets, request->caller);
+    lc_retry_budgets_charge_retry (dispatch->budgets, request->caller);
   request->retry_charged = charged_to_budget;
   request->n_retries++;
   request->state = LC_STATE_BACKOFF;
@@ -339,21 +345,22 @@
 }
 
 static AttemptResult
-result_of (LcAttemptEnd end)
+attempt_result_of (LcAttemptEnd end)
 {
   if (end == LC_END_REFUSED_LEAVING)
     return RESULT_CANCELLED;
   return end == LC_END_REFUSED ? RESULT_REFUSED : RESULT_FAILED;
 }
 
-/* Whether the endpoint replied, even with a failure, and so survived the request. */
+/* Whether the endpoint replied, even with a failure, so the request did not crash it. */
 static bool
 endpoint_survived (LcAttemptEnd end)
 {
   return end == LC_END_COMPLETE || end == LC_END_REJECTED || end == LC_END_FAILED;
 }
 
-/* Handles the end of an attempt: the request is retried or its final action is appended. */
+/* Handles the end of an attempt: finishes, retries or fails the request, or waits for its other
+ * attempt. */
 void
 lc_dispatch_handle_attempt_end (LcDispatch *dispatch,
                                 LcRequest *request,
@@ -376,18 +383,18 @@
       request->n_consecutive_lost
           = attempt->received_tokens > 0 ? 0 : request->n_consecutive_lost + 1;
     }
-  bool resumed = resumes_stream (request, attempt, end);
+  bool resumed = does_stream_resume (request, attempt, end);
 
-  lc_request_add_tried (request, attempt->endpoint);
-  close_attempt (dispatch, request, attempt, result_of (end), now);
-  request->last_error = error_after (request, end);
+  lc_request_add_tried_endpoint (request, attempt->endpoint);
+  close_attempt (dispatch, request, attempt, attempt_result_of (end), now);
+  request->last_error = error_without_retry (request, end);
   if (lb_list_is_empty (&request->attempts))
     {
-      retry_or_fail (dispatch, request, end, resumed, now, actions);
+      retry_or_fail_request (dispatch, request, end, resumed, now, actions);
       return;
     }
-  /* Allows another hedge if this one never reached an endpoint: the first attempt hung at an
-   * unresponsive endpoint, the hedge could not connect, and the caller waited until its deadline
+  /* Allows another hedge if this attempt never ran. Otherwise, when a hedge could not connect while
+   * the first attempt hung at an unresponsive endpoint, the caller waited until its deadline
    * although other endpoints were idle. */
   if (proves_not_run (end))
     request->hedged = false;
--- a/packages/core/src/dispatch/lc-outgoing.c
+++ b/packages/core/src/dispatch/lc-outgoing.c
@@ -16,7 +16,7 @@
       = (LcHeader){ .name = lb_strdup (name), .value = lb_strdup (value) };
 }
 
-/* Returns NULL if there is no such header. */
+/* Returns the value of the first header with the name, ignoring case; NULL if there is none. */
 const char *
 lc_outgoing_request_find_header (const LcOutgoingRequest *outgoing, const char *name)
 {
--- a/packages/core/src/dispatch/lc-pieces.c
+++ b/packages/core/src/dispatch/lc-pieces.c
@@ -22,7 +22,8 @@
 
   attempt->has_piece = true;
   request->may_have_run = true;
-  /* A resumable stream continues behind this piece, so the endpoint has survived starting it. */
+  /* The first piece counts as an answer: the endpoint survived the start of the request, and a
+   * resumable stream is continued rather than started again. */
   if (lc_request_is_resumable_stream (request))
     lc_quarantine_record_answer (dispatch->quarantine, request->content, now);
   lc_pool_state_record_first_piece (request->pool, request->kind, now - attempt->sent_at);
@@ -31,7 +32,7 @@
   lc_dispatch_update_timer (dispatch, request);
 }
 
-/* From here on only this attempt's pieces are forwarded; other attempts are cancelled. */
+/* Chooses the attempt whose pieces are forwarded and cancels the request's other attempts. */
 static void
 commit_to_attempt (
     LcDispatch *dispatch, LcRequest *request, const LcAttempt *chosen, LbTime now, LbList *actions)
@@ -44,8 +45,8 @@
   }
 }
 
-/* A gap means that a piece was lost, and later pieces can't be joined to what the submitter has.
- * The attempt ends as a broken stream, and the answer resumes elsewhere or fails. */
+/* Ends an attempt as a broken stream because a piece was lost: later pieces would not continue what
+ * the submitter has. The request is then resumed at another endpoint or fails. */
 static LcPieceVerdict
 end_attempt_at_gap (
     LcDispatch *dispatch, LcRequest *request, LcAttempt *attempt, LbTime now, LbList *actions)
@@ -56,20 +57,20 @@
   action->attempt = attempt->number;
   LB_COPY (action->endpoint, attempt->endpoint);
   lc_dispatch_handle_attempt_end (dispatch, request, attempt, LC_END_BROKEN, now, actions);
-  lc_dispatch_send_waiting (dispatch, pool, now, actions);
+  lc_dispatch_send_waiting_requests (dispatch, pool, now, actions);
   return drop_piece ();
 }
 
 static bool
-is_gap (const LcAttempt *attempt, const LcPiece *piece)
+is_gap_or_partial_overlap (const LcAttempt *attempt, const LcPiece *piece)
 {
   return piece->offset > attempt->next_offset
          || (piece->offset < attempt->next_offset
              && piece->offset + piece->tokens > attempt->next_offset);
 }
 
-/* Last check before a piece is forwarded: it must be the next one of the only attempt whose pieces
- * the submitter gets. */
+/* Last check before a piece is forwarded: the piece must be of the forwarded attempt and start at
+ * the next token. Buffered answers need no check. */
 static bool
 check_is_next_piece (LcDispatch *dispatch,
                      const LcRequest *request,
@@ -84,7 +85,7 @@
 }
 
 static void
-record_pace (LcDispatch *dispatch, LcAttempt *attempt, const LcPiece *piece, LbTime now)
+record_token_pace (LcDispatch *dispatch, LcAttempt *attempt, const LcPiece *piece, LbTime now)
 {
   LcEndpoint *endpoint = lc_endpoints_find (dispatch->endpoints, attempt->endpoint);
 
@@ -108,7 +109,7 @@
     return drop_piece ();
   if (!attempt->has_piece)
     record_first_piece (dispatch, request, attempt, now);
-  if (is_gap (attempt, piece))
+  if (is_gap_or_partial_overlap (attempt, piece))
     return end_attempt_at_gap (dispatch, request, attempt, now, actions);
   if (piece->offset < attempt->next_offset)
     return drop_piece ();
@@ -120,7 +121,7 @@
       return drop_piece ();
     }
   if (request->delivery == LC_DELIVER_STREAM)
-    record_pace (dispatch, attempt, piece, now);
+    record_token_pace (dispatch, attempt, piece, now);
   attempt->next_offset += piece->tokens;
   attempt->received_tokens += piece->tokens;
   attempt->is_complete = piece->last;
--- a/packages/core/src/dispatch/lc-placement.c
+++ b/packages/core/src/dispatch/lc-placement.c
@@ -6,31 +6,33 @@
 
 #include <string.h>
 
-/* Waiting requests skipped in one round because no endpoint can take them now; bounds the cost of a
- * round while a pool is full. */
-#define MAX_SKIPPED_PER_ROUND 16
-/* Longest wait of a call for a pool whose breakers are all open. */
+/* Number of waiting requests without an endpoint that one round may skip; bounds the cost of a
+ * round while the pool is full. */
+#define MAX_SKIPPED_REQUESTS_PER_ROUND 16
+/* Longest wait of a call for a pool whose circuit breakers are all open. */
 #define MAX_BLOCKED_WAIT (200 * LB_MSEC)
-/* A sample's hedge timer that fires later than this shows that this instance itself was paused. */
+/* A sample's hedge timer that expires later than this shows that this instance was paused. */
 #define MAX_TIMER_LATENESS (300 * LB_MSEC)
-/* Delay before a hedge that found no endpoint is tried again. */
+/* Delay before a postponed hedge is tried again. */
 #define HEDGE_RETRY_DELAY (100 * LB_MSEC)
-#define MAX_POOL_HOLD (1200 * LB_MSEC) /* slightly more than one load polling interval */
+/* Longest time that a pool's requests wait for a current load report: slightly more than the
+ * interval at which loads are polled. */
+#define MAX_POOL_HOLD_TIME (1200 * LB_MSEC)
 
 static const LcEndpointGroup *
-find_group (const LcDispatch *dispatch, const LcPoolState *pool)
+find_endpoint_group (const LcDispatch *dispatch, const LcPoolState *pool)
 {
   LcEndpointKind kind = pool->kind == LC_POOL_SERVICE ? LC_ENDPOINT_SERVICE : LC_ENDPOINT_ENGINE;
 
   return lc_endpoints_find_group (dispatch->endpoints, kind, pool->name);
 }
 
-/* Returns the earliest time at which the breaker of some endpoint of the pool lets a request
- * through: 0 for now, LB_TIME_NEVER if no endpoint serves the pool. */
+/* Returns the earliest time at which the circuit breaker of any endpoint of the pool admits a
+ * request: 0 for now, LB_TIME_NEVER if no endpoint serves the pool. */
 LbTime
-lc_dispatch_pool_available_at (LcDispatch *dispatch, const LcPoolState *pool)
+lc_dispatch_earliest_pool_availability (LcDispatch *dispatch, const LcPoolState *pool)
 {
-  const LcEndpointGroup *group = find_group (dispatch, pool);
+  const LcEndpointGroup *group = find_endpoint_group (dispatch, pool);
   LbTime available_at = LB_TIME_NEVER;
 
   if (!pool->configured || !group)
@@ -49,12 +51,15 @@
   return available_at;
 }
 
-/* Whether a request may wait for a pool that becomes available at that time. While all breakers of
- * a pool are open, waiting calls would pile up and hit the first endpoint that returns all at once;
- * their callers get a retry time immediately instead. Samples may wait, since no caller waits for
- * them interactively. */
+/* Whether a request may wait for a pool whose circuit breakers admit nothing before available_at.
+ * Calls may wait only briefly: they would pile up and reach the first recovered endpoint all at
+ * once, so their callers get a retry hint instead. Samples may wait, since no client waits for
+ * them. */
 bool
-lc_dispatch_may_wait (LcRequestKind kind, LbTime available_at, LbTime start_deadline, LbTime now)
+lc_dispatch_may_wait_for_pool (LcRequestKind kind,
+                               LbTime available_at,
+                               LbTime start_deadline,
+                               LbTime now)
 {
   if (available_at == LB_TIME_NEVER || available_at > start_deadline)
     return false;
@@ -64,19 +69,19 @@
 void
 lc_dispatch_enqueue (LcDispatch *dispatch, LcRequest *request)
 {
-  LcQueueKey key = lc_request_queue_key (request);
+  LcQueueKey key = lc_request_make_queue_key (request);
 
   request->state = LC_STATE_WAITING;
   lc_queue_push (request->pool->queue, &key, &request->queue_entry);
   lc_dispatch_update_timer (dispatch, request);
 }
 
-/* Returns the time from which load reports count as current. An instance that was paused, was
- * partitioned from an endpoint or has just started may not know that the endpoint is leaving, and
- * would send it new work seconds after it had to stop. A report requested since then proves that
- * the endpoint was not leaving shortly before. */
+/* Returns the time since which a load report must have been requested to be current. An instance
+ * that was paused or partitioned, or has just started, may not know that an endpoint is leaving and
+ * would send it work seconds after it had to stop. A current report proves that the endpoint was
+ * not leaving shortly before. */
 static LbTime
-reports_current_since (const LcDispatch *dispatch, LbTime now)
+oldest_current_report_time (const LcDispatch *dispatch, LbTime now)
 {
   LbTime max_age = dispatch->settings.max_report_age;
 
@@ -86,7 +91,7 @@
 static bool
 has_current_report (const LcDispatch *dispatch, const LcPoolState *pool, LbTime since)
 {
-  const LcEndpointGroup *group = find_group (dispatch, pool);
+  const LcEndpointGroup *group = find_endpoint_group (dispatch, pool);
 
   for (size_t i = 0; group && i < group->n_slots; i++)
     {
@@ -98,31 +103,31 @@
   return false;
 }
 
-/* Holds back the requests of a pool whose reports are all outdated until an endpoint reports. If
- * this instance was paused, reports arrive within milliseconds. If none arrives within
- * MAX_POOL_HOLD, the endpoints don't report their load and are used as they are. Endpoints that
- * never reported are not held: the endpoint table has already excluded them for as long. */
+/* Returns an empty decision while a pool with only outdated load reports waits for a current one.
+ * After a pause of this instance, reports arrive within milliseconds. After MAX_POOL_HOLD_TIME
+ * without one, the decision on outdated reports is used. An endpoint that never reported is used at
+ * once: the endpoint table has already excluded it for as long. */
 static LcRouteDecision
-hold_or_use_outdated (LcPoolState *pool, const LcRouteDecision *outdated, LbTime now)
+hold_pool_or_use_decision (LcPoolState *pool, const LcRouteDecision *outdated, LbTime now)
 {
   if (!lc_endpoint_entry (outdated->endpoint)->is_reported)
     return *outdated;
   if (pool->held_since == 0)
     pool->held_since = now;
-  if (now - pool->held_since >= MAX_POOL_HOLD)
+  if (now - pool->held_since >= MAX_POOL_HOLD_TIME)
     return *outdated;
   return (LcRouteDecision){ .reason = "view-too-old" };
 }
 
-/* Chooses among the endpoints with current reports, even if all of those are full, and among the
- * others only if there are none. */
+/* Chooses among the endpoints with current load reports, even if all of them are full. Chooses
+ * among endpoints with outdated reports only if no endpoint has a current one. */
 static LcRouteDecision
 route_request (LcDispatch *dispatch, const LcRequest *request, bool avoid_tried, LbTime now)
 {
   LcRouteQuery query
-      = lc_request_route_query (request, dispatch->settings.data_centre, avoid_tried);
+      = lc_request_make_route_query (request, dispatch->settings.data_centre, avoid_tried);
 
-  query.reported_since = reports_current_since (dispatch, now);
+  query.reported_since = oldest_current_report_time (dispatch, now);
 
   LcRouteDecision decision = lc_router_choose (dispatch->router, dispatch->endpoints, &query, now);
 
@@ -132,7 +137,7 @@
     return decision;
   query.reported_since = 0;
   decision = lc_router_choose (dispatch->router, dispatch->endpoints, &query, now);
-  return decision.endpoint ? hold_or_use_outdated (request->pool, &decision, now) : decision;
+  return decision.endpoint ? hold_pool_or_use_decision (request->pool, &decision, now) : decision;
 }
 
 static LcRouteDecision
@@ -145,11 +150,11 @@
   return route_request (dispatch, request, false, now);
 }
 
-/* Last check before an attempt is sent. Queued requests, retries, hedges and resumed streams are
- * all checked here, so a leaving endpoint gets none of them even if a policy chooses it by mistake,
- * and a non-repeatable call gets no second attempt while it may have run. */
+/* Last check before any attempt is sent, whether first attempt, retry, hedge or resumed stream. A
+ * leaving endpoint gets no attempt, even if a policy chooses it by mistake. A non-repeatable call
+ * gets no second attempt if the first may have run. */
 static bool
-may_send (LcDispatch *dispatch, const LcRequest *request, const LcEndpoint *endpoint)
+may_send_attempt (LcDispatch *dispatch, const LcRequest *request, const LcEndpoint *endpoint)
 {
   bool is_first = lb_list_is_empty (&request->attempts) && !request->may_have_run;
 
@@ -177,33 +182,32 @@
   action->decision = *decision;
   LB_COPY (action->endpoint, endpoint->member.name);
   LB_COPY (action->address, endpoint->member.address);
-  lc_pool_state_record_start (request->pool, request->kind);
+  lc_pool_state_record_attempt_start (request->pool, request->kind);
   lc_endpoint_request_sent (endpoint, request->kind,
                             n_hashes ? request->prefix_hashes[n_hashes - 1] : 0, now);
   lc_dispatch_update_timer (dispatch, request);
 }
 
 static bool
-has_constraints (const LcRequest *request)
+has_endpoint_constraints (const LcRequest *request)
 {
   return request->min_version > 0 || request->n_avoid > 0;
 }
 
-/* False if the new request queues behind an unconstrained one that could not be placed a moment
- * ago: then the new one can't be placed either. */
+/* Whether it is worth trying to place a newly queued request. If the queue's first request accepts
+ * any endpoint and still waits, no endpoint has capacity for the new one either. */
 bool
 lc_dispatch_may_be_placed (const LcRequest *request)
 {
   const LcQueueEntry *first = lc_queue_peek (request->pool->queue);
 
   return first == &request->queue_entry
-         || has_constraints (LB_CONTAINER (first, LcRequest, queue_entry));
+         || has_endpoint_constraints (LB_CONTAINER (first, LcRequest, queue_entry));
 }
 
-/* Fails a waiting request whose content has been quarantined since its admission, by crashes here
- * or at other instances. */
+/* Fails a waiting request whose content was quarantined after the request had been admitted. */
 static void
-fail_quarantined (
+fail_quarantined_request (
     LcDispatch *dispatch, LcRequest *request, LbTime until, LbTime now, LbList *actions)
 {
   LbErrorCode error = request->may_have_run ? request->last_error : LB_ERROR_QUARANTINED;
@@ -211,7 +215,8 @@
   lc_dispatch_fail_request (dispatch, request, error, until - now, now, actions);
 }
 
-/* Sends a request to the endpoint that was chosen for it. */
+/* Takes a request from the queue and sends it to the chosen endpoint, or fails it if it may not be
+ * sent. */
 static void
 place_request (LcDispatch *dispatch,
                LcRequest *request,
@@ -225,51 +230,54 @@
   lc_queue_dequeue (request->pool->queue, &request->queue_entry);
   if (quarantined_until > 0)
     {
-      fail_quarantined (dispatch, request, quarantined_until, now, actions);
+      fail_quarantined_request (dispatch, request, quarantined_until, now, actions);
       return;
     }
-  if (!may_send (dispatch, request, decision->endpoint))
+  if (!may_send_attempt (dispatch, request, decision->endpoint))
     {
       lc_dispatch_fail_request (dispatch, request, LB_ERROR_INVARIANT, 0, now, actions);
       return;
     }
-  if (request->retry_charged && !lc_retry_budgets_allow (dispatch->budgets, endpoint))
+  if (request->retry_charged && !lc_retry_budgets_allow_retry (dispatch->budgets, endpoint))
     {
       lc_dispatch_fail_request (dispatch, request, request->last_error, 0, now, actions);
       return;
     }
   if (request->retry_charged)
-    lc_retry_budgets_spend (dispatch->budgets, endpoint);
+    lc_retry_budgets_charge_retry (dispatch->budgets, endpoint);
   request->retry_charged = false;
   send_attempt (dispatch, request, decision, now, actions);
 }
 
-/* Fails the waiting requests of a pool that stays unavailable for too long. */
+/* Fails the waiting requests that may not wait until the pool is available again. */
 static void
-fail_blocked (LcDispatch *dispatch, LcPoolState *pool, LbTime now, LbList *actions)
+fail_blocked_requests (LcDispatch *dispatch, LcPoolState *pool, LbTime now, LbList *actions)
 {
   LcQueueEntry *entry = NULL;
 
   if (lc_queue_length (pool->queue) == 0)
     return;
 
-  LbTime available_at = lc_dispatch_pool_available_at (dispatch, pool);
+  LbTime available_at = lc_dispatch_earliest_pool_availability (dispatch, pool);
 
   while ((entry = lc_queue_peek (pool->queue)))
     {
       LcRequest *request = LB_CONTAINER (entry, LcRequest, queue_entry);
       LbErrorCode error = request->may_have_run ? request->last_error : LB_ERROR_NO_ENDPOINT;
 
-      if (lc_dispatch_may_wait (request->kind, available_at, LB_TIME_NEVER, now))
+      if (lc_dispatch_may_wait_for_pool (request->kind, available_at, LB_TIME_NEVER, now))
         return;
       lc_dispatch_fail_request (dispatch, request, error, 0, now, actions);
     }
 }
 
-/* Sends as many waiting requests of the pool as its endpoints can take. Stops at the first that
- * fits nowhere, unless that one has constraints: then others may still fit. */
+/* Sends as many waiting requests of the pool as its endpoints can take. Skips requests without an
+ * endpoint only if their constraints may be the reason; otherwise the pool is full. */
 void
-lc_dispatch_send_waiting (LcDispatch *dispatch, LcPoolState *pool, LbTime now, LbList *actions)
+lc_dispatch_send_waiting_requests (LcDispatch *dispatch,
+                                   LcPoolState *pool,
+                                   LbTime now,
+                                   LbList *actions)
 {
   LcQueueEntry *entry = NULL;
   int n_skipped = 0;
@@ -281,17 +289,17 @@
 
       if (decision.endpoint)
         place_request (dispatch, request, &decision, now, actions);
-      else if (has_constraints (request) && n_skipped++ < MAX_SKIPPED_PER_ROUND)
+      else if (has_endpoint_constraints (request) && n_skipped++ < MAX_SKIPPED_REQUESTS_PER_ROUND)
         lc_queue_defer (pool->queue, entry);
       else
         break;
     }
   lc_queue_restore_deferred (pool->queue);
-  fail_blocked (dispatch, pool, now, actions);
+  fail_blocked_requests (dispatch, pool, now, actions);
 }
 
 void
-lc_dispatch_send_all_waiting (LcDispatch *dispatch, LbTime now, LbList *actions)
+lc_dispatch_send_waiting_of_all_pools (LcDispatch *dispatch, LbTime now, LbList *actions)
 {
   LcPoolState *next = NULL;
 
@@ -300,21 +308,21 @@
     for (LcPoolState *pool = dispatch->pools[kind]; pool; pool = next)
       {
         next = pool->hh.next;
-        lc_dispatch_send_waiting (dispatch, pool, now, actions);
+        lc_dispatch_send_waiting_requests (dispatch, pool, now, actions);
       }
 }
 
-/* The retry budgets bound the hedges of calls. A sample's hedge is free: it uses a slot that is
- * idle, once, and is cancelled when either engine starts. If it cost budget, the samples that hang
- * at an unresponsive engine would use it up with the first three. */
+/* Whether the retry budgets allow a hedge. Hedges of samples are free: each sample uses one idle
+ * slot once, until either engine starts. If they were charged, the first three of many samples that
+ * hang at an unresponsive engine would exhaust the budget. */
 static bool
 is_hedge_allowed (LcDispatch *dispatch, const LcRequest *request, const LcEndpoint *endpoint)
 {
   const char *name = endpoint->member.name;
 
   return request->kind == LC_KIND_SAMPLE
-         || (lc_retry_budgets_allow (dispatch->budgets, request->caller)
-             && lc_retry_budgets_allow (dispatch->budgets, name));
+         || (lc_retry_budgets_allow_retry (dispatch->budgets, request->caller)
+             && lc_retry_budgets_allow_retry (dispatch->budgets, name));
 }
 
 static void
@@ -322,8 +330,8 @@
 {
   if (request->kind == LC_KIND_SAMPLE)
     return;
-  lc_retry_budgets_spend (dispatch->budgets, request->caller);
-  lc_retry_budgets_spend (dispatch->budgets, endpoint->member.name);
+  lc_retry_budgets_charge_retry (dispatch->budgets, request->caller);
+  lc_retry_budgets_charge_retry (dispatch->budgets, endpoint->member.name);
 }
 
 static void
@@ -334,8 +342,8 @@
   lc_dispatch_update_timer (dispatch, request);
 }
 
-/* Sends a second attempt of a repeatable request that has not received a piece. Postpones it if
- * this instance itself was paused: the timer is then late, and first pieces of its hundreds of
+/* Sends a second attempt of a repeatable request that has not received a piece. Postpones the hedge
+ * of a sample if its timer is late: this instance was paused, and the first pieces of hundreds of
  * samples may be waiting unread. */
 void
 lc_dispatch_try_hedge (LcDispatch *dispatch, LcRequest *request, LbTime now, LbList *actions)
@@ -343,7 +351,8 @@
   const LcAttempt *attempt = LB_LIST_FIRST (&request->attempts, LcAttempt, link);
   LbTime due = request->timer_due;
 
-  /* The usual time to the first piece may have changed since the timer was set. */
+  /* The average time to the first piece, and so the due time, may have changed since the timer was
+   * set. */
   lc_dispatch_update_timer (dispatch, request);
   if (!attempt || request->timer_due > now)
     return;
@@ -358,7 +367,7 @@
       return;
     }
   request->hedged = true;
-  lc_request_add_tried (request, attempt->endpoint);
+  lc_request_add_tried_endpoint (request, attempt->endpoint);
 
   LcRouteDecision decision = route_request (dispatch, request, true, now);
   const LcEndpoint *endpoint = decision.endpoint;
@@ -368,7 +377,8 @@
       postpone_hedge (dispatch, request, attempt, now);
       return;
     }
-  if (is_hedge_allowed (dispatch, request, endpoint) && may_send (dispatch, request, endpoint))
+  if (is_hedge_allowed (dispatch, request, endpoint)
+      && may_send_attempt (dispatch, request, endpoint))
     {
       charge_hedge (dispatch, request, endpoint);
       send_attempt (dispatch, request, &decision, now, actions);
--- a/packages/core/src/dispatch/lc-policies.c
+++ b/packages/core/src/dispatch/lc-policies.c
@@ -41,10 +41,10 @@
 
   lc_candidates_gather (candidates, endpoints, query, now);
   if (candidates->reason)
-    return lc_candidates_decide_none (candidates);
+    return lc_candidates_make_empty_decision (candidates);
 
   size_t chosen = klass->pick (policy, endpoints, query, now);
-  return lc_candidates_decide (candidates, chosen, klass->reason);
+  return lc_candidates_make_decision (candidates, chosen, klass->reason);
 }
 
 size_t
@@ -68,7 +68,7 @@
 }
 
 static void
-ensure_shares (LcPolicy *policy, size_t n_slots)
+ensure_cached_shares_size (LcPolicy *policy, size_t n_slots)
 {
   if (policy->n_cached_shares >= n_slots)
     return;
@@ -90,7 +90,7 @@
                                           query->n_prefix_hashes, endpoints->caches,
                                           endpoints->n_slots, now, shares, MAX_CACHED_SHARES);
 
-  ensure_shares (policy, endpoints->n_slots);
+  ensure_cached_shares_size (policy, endpoints->n_slots);
   for (size_t i = 0; i < n; i++)
     policy->cached_shares[shares[i].slot]
         = fmax (policy->cached_shares[shares[i].slot], shares[i].share);
--- a/packages/core/src/dispatch/lc-policies.h
+++ b/packages/core/src/dispatch/lc-policies.h
@@ -8,21 +8,22 @@
 
 typedef struct LcPolicy LcPolicy;
 
-/* Policies differ only in how they choose among the candidates; which endpoints are candidates is
- * decided the same way for all of them. */
+/* A routing policy. Policies differ only in how they choose among the candidates;
+ * lc_candidates_gather finds the candidates for all of them. */
 typedef struct
 {
   LcRouterClass base;
-  const char *reason;
-  /* Sets the candidates' scores and returns the index of the chosen one; there is at least one. */
+  const char *reason; /* LcRouteDecision.reason if an endpoint is chosen */
+  /* Sets the candidates' scores and returns the index of the chosen candidate. Called only if there
+   * is a candidate. */
   size_t (*pick) (LcPolicy *policy, LcEndpoints *endpoints, const LcRouteQuery *query, LbTime now);
 } LcPolicyClass;
 
-/* Cost that the load of a candidate adds to a request. */
+/* Time that a request takes at a candidate under the candidate's load. */
 typedef struct
 {
-  double seconds;
-  double capacity_per_second; /* further requests that raise it by one second */
+  double seconds;             /* waiting and decoding, and the delay caused to other requests */
+  double capacity_per_second; /* number of added requests that raise seconds by 1 */
 } LcLoadCost;
 
 struct LcPolicy
@@ -30,13 +31,14 @@
   LcRouter base;
   LcCandidates candidates;
   gsl_rng *rng;
-  uint64_t next_turn;    /* round-robin: number of the next decision */
-  double *cached_shares; /* indexed by LcEndpoint.slot; reset to 0 after each decision */
+  uint64_t next_turn;    /* round-robin: counts decisions from a random start; 0: not started */
+  double *cached_shares; /* cached share of the prompt by LcEndpoint.slot; reset to 0 after a
+                            decision */
   size_t n_cached_shares;
-  LcLoadCost *load_costs; /* parallel to candidates.items */
+  LcLoadCost *load_costs; /* load cost of each candidate */
   size_t n_load_costs;
-  /* Finish time: level of the last decision / level if all candidates are filled; the next decision
-   * starts its iteration there. */
+  /* Finish time policy: fill level of the last decision, relative to the level that filling all
+   * candidates gives. Start value of the next decision's iteration. */
   double level_ratio;
 };
 
@@ -47,22 +49,23 @@
 extern const LcPolicyClass lc_policy_prefix_affinity;
 extern const LcPolicyClass lc_policy_finish_time;
 
-/* Implementations of LcRouterClass that all policies share. */
+/* Functions of LcRouterClass that all policies share. */
 LcRouter *lc_policy_new (const LcPolicyClass *klass, uint64_t seed);
 void lc_policy_free (LcRouter *router);
 LcRouteDecision
 lc_policy_choose (LcRouter *router, LcEndpoints *endpoints, const LcRouteQuery *query, LbTime now);
 
-/* Returns the candidate with the lowest score; ties are broken uniformly at random. */
+/* Returns the index of the candidate with the lowest score; breaks ties at random. */
 size_t lc_policy_pick_lowest_score (LcPolicy *policy);
-/* Returns the share of the query's prompt that is expected to be cached at each endpoint, indexed
- * by LcEndpoint.slot; valid until lc_policy_clear_cached_shares. */
+/* Returns for each endpoint the share of the query's prompt that is expected in its prefix cache,
+ * by LcEndpoint.slot. Valid until lc_policy_clear_cached_shares. */
 const double *lc_policy_compute_cached_shares (LcPolicy *policy,
                                                const LcEndpoints *endpoints,
                                                const LcRouteQuery *query,
                                                LbTime now);
 void lc_policy_clear_cached_shares (LcPolicy *policy);
-/* Rendezvous hashing: the same pair has the same rank (0 < rank <= 1) on all instances. */
+/* Rendezvous hashing: returns the rank (0 < rank <= 1) of the endpoint for the key, which is the
+ * same on all instances. */
 double lc_policy_rendezvous_rank (const LcEndpointEntry *entry, uint64_t key);
 
 #endif
--- a/packages/core/src/dispatch/lc-pool.c
+++ b/packages/core/src/dispatch/lc-pool.c
@@ -27,13 +27,13 @@
 }
 
 void
-lc_pool_state_record_start (LcPoolState *pool, LcRequestKind kind)
+lc_pool_state_record_attempt_start (LcPoolState *pool, LcRequestKind kind)
 {
   pool->running[kind]++;
 }
 
 static void
-update_mean (double *mean, LbTime sample)
+update_moving_average (double *mean, LbTime sample)
 {
   double seconds = (double)sample / (double)LB_SEC;
 
@@ -43,16 +43,16 @@
 void
 lc_pool_state_record_first_piece (LcPoolState *pool, LcRequestKind kind, LbTime waited)
 {
-  update_mean (&pool->first_piece_seconds[kind], waited);
+  update_moving_average (&pool->first_piece_seconds[kind], waited);
 }
 
-/* duration: time taken by a complete answer; 0 if the attempt gives no such measurement. */
+/* duration: from sending the attempt to its complete answer; 0 if the attempt ended otherwise. */
 void
-lc_pool_state_record_end (LcPoolState *pool, LcRequestKind kind, LbTime duration)
+lc_pool_state_record_attempt_end (LcPoolState *pool, LcRequestKind kind, LbTime duration)
 {
   pool->running[kind]--;
   if (duration > 0)
-    update_mean (&pool->mean_attempt_seconds[kind], duration);
+    update_moving_average (&pool->mean_attempt_seconds[kind], duration);
 }
 
 bool
@@ -61,8 +61,9 @@
   return (int64_t)lc_queue_length (pool->queue) >= pool->queue_limit;
 }
 
-/* Estimates how long a new request would wait: the number of requests ahead of it over the rate at
- * which attempts end (Little's law on those running now). 0 while nothing has been measured. */
+/* Estimates how long a new request with this key would wait: the number of requests ahead divided
+ * by the rate at which attempts end, which is the number running over their mean duration (Little's
+ * law). Returns 0 if no attempt is running or none has completed. */
 LbTime
 lc_pool_state_estimate_wait (const LcPoolState *pool, const LcQueueKey *key)
 {
@@ -73,5 +74,5 @@
       rate += (double)pool->running[kind] / pool->mean_attempt_seconds[kind];
   if (rate <= 0)
     return 0;
-  return (LbTime)(lc_queue_estimate_ahead (pool->queue, key) / rate * (double)LB_SEC);
+  return (LbTime)(lc_queue_estimate_requests_ahead (pool->queue, key) / rate * (double)LB_SEC);
 }
--- a/packages/core/src/dispatch/lc-pool.h
+++ b/packages/core/src/dispatch/lc-pool.h
@@ -12,34 +12,35 @@
   LC_N_POOL_KINDS
 } LcPoolKind;
 
-/* Queue, running attempts and measured times of one pool or plain service at this instance. */
+/* State of one pool or plain service at this instance: queue, running attempts, measured times. */
 typedef struct
 {
   UT_hash_handle hh;
   LbName name;
   LcPoolKind kind;
   LcQueue *queue;
-  bool configured;     /* part of the current configuration */
-  LbTime held_since;   /* requests are held back since then, as all reports are outdated; 0: no */
+  bool configured;     /* the current configuration contains the pool */
+  LbTime held_since;   /* since when requests wait for a current load report; 0: they don't */
   double live_reserve; /* share of each engine's concurrency kept for live calls, 0..0.9 */
-  int64_t queue_limit; /* waiting requests */
-  size_t n_requests;   /* admitted and not finished */
-  int64_t running[LC_N_KINDS];             /* attempts */
-  double mean_attempt_seconds[LC_N_KINDS]; /* mean duration of an attempt; 0: none has ended yet */
-  double first_piece_seconds[LC_N_KINDS];  /* mean from sending to the first piece; 0: not measured
-                                              yet */
+  int64_t queue_limit; /* limit of waiting requests */
+  size_t n_requests;   /* number of requests admitted and not finished */
+  int64_t running[LC_N_KINDS]; /* number of running attempts */
+  /* Moving average of the duration of complete attempts; 0: none has completed. */
+  double mean_attempt_seconds[LC_N_KINDS];
+  /* Moving average of the time from sending an attempt to its first piece; 0: none has arrived. */
+  double first_piece_seconds[LC_N_KINDS];
 } LcPoolState;
 
 LcPoolState *lc_pool_state_new (LcPoolKind kind, const char *name);
 void lc_pool_state_free (LcPoolState *pool);
 
-/* commands */
-void lc_pool_state_record_start (LcPoolState *pool, LcRequestKind kind);
-/* waited: from sending the attempt to its first piece. */
+/* Functions that change the pool's state. */
+void lc_pool_state_record_attempt_start (LcPoolState *pool, LcRequestKind kind);
+/* waited: time from sending an attempt to its first piece. */
 void lc_pool_state_record_first_piece (LcPoolState *pool, LcRequestKind kind, LbTime waited);
-void lc_pool_state_record_end (LcPoolState *pool, LcRequestKind kind, LbTime duration);
+void lc_pool_state_record_attempt_end (LcPoolState *pool, LcRequestKind kind, LbTime duration);
 
-/* queries */
+/* Functions that only read the pool's state. */
 bool lc_pool_state_is_full (const LcPoolState *pool);
 LbTime lc_pool_state_estimate_wait (const LcPoolState *pool, const LcQueueKey *key);
 
--- a/packages/core/src/dispatch/lc-queue.c
+++ b/packages/core/src/dispatch/lc-queue.c
@@ -8,8 +8,7 @@
 
 #define MAX_PRIORITY 10
 
-/* Position of a band in the order of sending: smaller values are sent first. Compared member by
- * member. */
+/* Position of a band in the order of sending. Compared member by member, smaller values first. */
 typedef struct
 {
   int kind;
@@ -17,8 +16,8 @@
   int level;
 } BandRank;
 
-/* The requests of one rank. All of a band are sent before any of a later band; within the band,
- * callers share by start-time fair queueing. */
+/* The waiting requests of one rank. All of them are sent before those of the next band; within the
+ * band, flows share by start-time fair queueing. */
 typedef struct
 {
   BandRank rank;
@@ -26,12 +25,12 @@
   LcHeap backlog; /* flows with requests, largest backlog relative to its share first */
   LcHeap idle;    /* flows without requests, smallest next_start first */
   LcFlow *flows;
-  double virtual_time;     /* cost per share that the band has sent so far */
-  double backlogged_share; /* sum over the flows in backlog, including those not in active */
+  double virtual_time;     /* largest virtual start time of a request sent */
+  double backlogged_share; /* sum of the shares of the flows in backlog */
   size_t length;
 } Band;
 
-/* One caller's requests in one band. */
+/* The waiting requests of one flow in one band. */
 struct LcFlow
 {
   UT_hash_handle hh;
@@ -39,19 +38,19 @@
   LcHeapNode backlog_node;
   LcHeapNode idle_node;
   Band *band;
-  LcHeap ready;      /* next request to send on top; without the deferred ones */
-  LcHeap drop_order; /* first request to drop on top; all of them */
+  LcHeap ready;      /* requests that are not deferred, next to send on top */
+  LcHeap drop_order; /* all requests, first to drop on top */
   double share;
-  double next_start; /* virtual time at which the next request may be sent */
+  double next_start; /* virtual start time of the flow's next request */
   LcRequestKind kind;
   LbName caller;
 };
 
 struct LcQueue
 {
-  Band **bands; /* in order of rank; empty bands are kept */
+  Band **bands; /* sorted by rank; empty bands are kept */
   size_t n_bands;
-  LbList deferred; /* LcQueueEntry */
+  LbList deferred; /* LcQueueEntry, requests deferred by lc_queue_defer */
   size_t length;
   size_t kind_length[LC_N_KINDS];
 };
@@ -67,7 +66,7 @@
 }
 
 static bool
-ready_before (const LcHeapNode *a, const LcHeapNode *b)
+ready_node_before (const LcHeapNode *a, const LcHeapNode *b)
 {
   return is_sent_before (LC_HEAP_ENTRY (a, LcQueueEntry, ready_node),
                          LC_HEAP_ENTRY (b, LcQueueEntry, ready_node));
@@ -81,14 +80,14 @@
 }
 
 static bool
-active_before (const LcHeapNode *a, const LcHeapNode *b)
+active_flow_before (const LcHeapNode *a, const LcHeapNode *b)
 {
   return LC_HEAP_ENTRY (a, LcFlow, active_node)->next_start
          < LC_HEAP_ENTRY (b, LcFlow, active_node)->next_start;
 }
 
 static bool
-idle_before (const LcHeapNode *a, const LcHeapNode *b)
+idle_flow_before (const LcHeapNode *a, const LcHeapNode *b)
 {
   return LC_HEAP_ENTRY (a, LcFlow, idle_node)->next_start
          < LC_HEAP_ENTRY (b, LcFlow, idle_node)->next_start;
@@ -101,7 +100,7 @@
 }
 
 static bool
-backlog_before (const LcHeapNode *a, const LcHeapNode *b)
+larger_backlog_before (const LcHeapNode *a, const LcHeapNode *b)
 {
   return relative_backlog (LC_HEAP_ENTRY (a, LcFlow, backlog_node))
          > relative_backlog (LC_HEAP_ENTRY (b, LcFlow, backlog_node));
@@ -117,10 +116,10 @@
   return MAX_PRIORITY - priority;
 }
 
-/* Samples of organisations with the same priority share one band, so that no trainer can overtake
- * another by its own priority. */
+/* Returns the rank of the band for requests with this key. All samples of organisations with equal
+ * priority share one band, so that no trainer can overtake another by raising its own priority. */
 static BandRank
-rank_of (const LcQueueKey *key)
+band_rank_of (const LcQueueKey *key)
 {
   static const int kinds[] = { [LC_KIND_LIVE] = 0, [LC_KIND_SERVICE] = 1, [LC_KIND_SAMPLE] = 2 };
 
@@ -130,7 +129,7 @@
 }
 
 static bool
-rank_before (const BandRank *a, const BandRank *b)
+band_rank_before (const BandRank *a, const BandRank *b)
 {
   if (a->kind != b->kind)
     return a->kind < b->kind;
@@ -139,23 +138,23 @@
   return a->level < b->level;
 }
 
-/* Returns the index of the first band that does not come before the rank. */
+/* Returns the index of the band with the rank, or at which such a band would be inserted. */
 static size_t
 find_band_index (const LcQueue *queue, const BandRank *rank)
 {
   size_t index = 0;
 
-  while (index < queue->n_bands && rank_before (&queue->bands[index]->rank, rank))
+  while (index < queue->n_bands && band_rank_before (&queue->bands[index]->rank, rank))
     index++;
   return index;
 }
 
 static Band *
-band_at (const LcQueue *queue, size_t index, const BandRank *rank)
+band_of_rank_at_index (const LcQueue *queue, size_t index, const BandRank *rank)
 {
   Band *band = index < queue->n_bands ? queue->bands[index] : NULL;
 
-  return band && !rank_before (rank, &band->rank) ? band : NULL;
+  return band && !band_rank_before (rank, &band->rank) ? band : NULL;
 }
 
 static Band *
@@ -164,9 +163,9 @@
   Band *band = LB_NEW (Band);
 
   band->rank = *rank;
-  lc_heap_init (&band->active, active_before);
-  lc_heap_init (&band->backlog, backlog_before);
-  lc_heap_init (&band->idle, idle_before);
+  lc_heap_init (&band->active, active_flow_before);
+  lc_heap_init (&band->backlog, larger_backlog_before);
+  lc_heap_init (&band->idle, idle_flow_before);
   return band;
 }
 
@@ -205,7 +204,7 @@
   return queue;
 }
 
-/* Does not free the requests that still wait; the dispatch owns them. */
+/* Does not free the waiting requests, which LcDispatch owns. */
 void
 lc_queue_free (LcQueue *queue)
 {
@@ -235,15 +234,15 @@
   LB_COPY (flow->caller, key->caller);
   flow->band = band;
   flow->kind = key->kind;
-  lc_heap_init (&flow->ready, ready_before);
+  lc_heap_init (&flow->ready, ready_node_before);
   lc_heap_init (&flow->drop_order, is_dropped_before);
   HASH_ADD_STR (band->flows, caller, flow);
   return flow;
 }
 
-/* Called when the flow gets its first waiting request. Its next_start is at least the band's
- * virtual time, so that a caller that was idle is not sent ahead of others to make up for that
- * time; a flow that had a request sent recently keeps its later next_start. */
+/* Called when the flow gets its first waiting request. Raises next_start to the band's virtual
+ * time, so that a flow earns no credit while idle. A later next_start stays, so that a flow can't
+ * gain by letting its queue run empty. */
 static void
 flow_enter_backlog (LcFlow *flow, double share)
 {
@@ -257,10 +256,10 @@
   lc_heap_push (&band->backlog, &flow->backlog_node);
 }
 
-/* Frees idle flows whose next_start the virtual time has reached, since a new flow would start at
- * the same time; all of them if the band is empty. */
+/* Frees the idle flows whose next_start is not later than the band's virtual time: a new flow would
+ * get the same next_start. Frees all idle flows if the band is empty. */
 static void
-drop_idle_flows (Band *band)
+free_caught_up_idle_flows (Band *band)
 {
   LcHeapNode *node = NULL;
 
@@ -274,7 +273,7 @@
     }
 }
 
-/* Called when the flow's last waiting request is removed. */
+/* Called when the last waiting request of the flow was removed; may free the flow. */
 static void
 flow_leave_backlog (LcFlow *flow)
 {
@@ -283,11 +282,11 @@
   band->backlogged_share -= flow->share;
   lc_heap_remove (&band->backlog, &flow->backlog_node);
   lc_heap_push (&band->idle, &flow->idle_node);
-  drop_idle_flows (band);
+  free_caught_up_idle_flows (band);
 }
 
 static void
-mark_ready (LcFlow *flow, LcQueueEntry *entry)
+mark_request_ready (LcFlow *flow, LcQueueEntry *entry)
 {
   lc_heap_push (&flow->ready, &entry->ready_node);
   if (!lc_heap_node_is_linked (&flow->active_node))
@@ -295,7 +294,7 @@
 }
 
 static void
-unmark_ready (LcFlow *flow, LcQueueEntry *entry)
+unmark_request_ready (LcFlow *flow, LcQueueEntry *entry)
 {
   lc_heap_remove (&flow->ready, &entry->ready_node);
   if (flow->ready.length == 0)
@@ -305,9 +304,9 @@
 static Band *
 find_or_add_band (LcQueue *queue, const LcQueueKey *key)
 {
-  BandRank rank = rank_of (key);
+  BandRank rank = band_rank_of (key);
   size_t index = find_band_index (queue, &rank);
-  Band *band = band_at (queue, index, &rank);
+  Band *band = band_of_rank_at_index (queue, index, &rank);
 
   if (band)
     return band;
@@ -319,8 +318,8 @@
   return queue->bands[index];
 }
 
-/* Adds a request. A retry keeps its sequence number and has cost 0, so it goes before newer
- * requests of its flow and is not charged twice. */
+/* Adds a request to the queue. A retry keeps its sequence number, which places it before newer
+ * requests of its flow, and has cost 0, so it is not charged twice. */
 void
 lc_queue_push (LcQueue *queue, const LcQueueKey *key, LcQueueEntry *entry)
 {
@@ -333,7 +332,7 @@
     flow_enter_backlog (flow, key->share);
   entry->flow = flow;
   entry->priority = key->priority;
-  mark_ready (flow, entry);
+  mark_request_ready (flow, entry);
   lc_heap_push (&flow->drop_order, &entry->drop_node);
   lc_heap_update (&band->backlog, &flow->backlog_node);
   band->length++;
@@ -341,8 +340,7 @@
   queue->kind_length[flow->kind]++;
 }
 
-/* Removes a request without charging its caller: it was cancelled, dropped or reached its
- * deadline. */
+/* Removes a request that won't be sent, without charging its flow. No-op if it is not waiting. */
 void
 lc_queue_remove (LcQueue *queue, LcQueueEntry *entry)
 {
@@ -353,7 +351,7 @@
   if (lb_link_is_linked (&entry->deferred_link))
     lb_list_remove (&queue->deferred, &entry->deferred_link);
   else
-    unmark_ready (flow, entry);
+    unmark_request_ready (flow, entry);
   lc_heap_remove (&flow->drop_order, &entry->drop_node);
   entry->flow = NULL;
   flow->band->length--;
@@ -365,7 +363,7 @@
     lc_heap_update (&flow->band->backlog, &flow->backlog_node);
 }
 
-/* Removes a request in order to send it, and charges its caller. */
+/* Removes a request that is about to be sent, and charges its cost to its flow. */
 void
 lc_queue_dequeue (LcQueue *queue, LcQueueEntry *entry)
 {
@@ -380,11 +378,12 @@
   lc_queue_remove (queue, entry);
 }
 
-/* Skips this request until lc_queue_restore_deferred: it can't be placed now, but others may be. */
+/* Hides a request from lc_queue_peek until lc_queue_restore_deferred: no endpoint can take the
+ * request now, but others behind it may have one. */
 void
 lc_queue_defer (LcQueue *queue, LcQueueEntry *entry)
 {
-  unmark_ready (entry->flow, entry);
+  unmark_request_ready (entry->flow, entry);
   lb_list_append (&queue->deferred, &entry->deferred_link);
 }
 
@@ -397,11 +396,11 @@
     {
       LcQueueEntry *entry = LB_CONTAINER (link, LcQueueEntry, deferred_link);
 
-      mark_ready (entry->flow, entry);
+      mark_request_ready (entry->flow, entry);
     }
 }
 
-/* Returns the request to send next; NULL if none is ready. */
+/* Returns the request to send next; NULL if all waiting requests are deferred or none waits. */
 LcQueueEntry *
 lc_queue_peek (const LcQueue *queue)
 {
@@ -425,15 +424,15 @@
   return ((flow ? (double)flow->drop_order.length : 0) + 1) / share;
 }
 
-/* Returns the request to drop for a new one: in the last band that has requests, the last request
- * of the caller with the most requests relative to its share. NULL if the new request is itself the
- * one to drop. */
+/* Returns the request to drop from a full queue for a new one. This is the last request of the flow
+ * with the largest backlog relative to its share, in the last band with requests. Returns NULL if
+ * the new request is the one to drop. */
 LcQueueEntry *
 lc_queue_find_request_to_drop (const LcQueue *queue, const LcQueueKey *key)
 {
-  BandRank rank = rank_of (key);
+  BandRank rank = band_rank_of (key);
   size_t own_index = find_band_index (queue, &rank);
-  const Band *own_band = band_at (queue, own_index, &rank);
+  const Band *own_band = band_of_rank_at_index (queue, own_index, &rank);
 
   for (size_t i = queue->n_bands; i-- > own_index;)
     {
@@ -464,16 +463,16 @@
   return queue->kind_length[kind];
 }
 
-/* Estimates how many requests are sent before a new one with this key: all of the earlier bands
- * and, in its own band, those that fair queueing sends before the caller's last request. The caller
- * gets the fraction share / active of the sends, so active / share requests of the band are sent
- * for each one of its own. */
+/* Estimates how many waiting requests are sent before a new one with this key: all of the earlier
+ * bands, and those of its own band that fair queueing sends before the flow's last request. A flow
+ * gets the fraction share / active of the band's sends, so the band sends active / share requests
+ * for each one of the flow. */
 double
-lc_queue_estimate_ahead (const LcQueue *queue, const LcQueueKey *key)
+lc_queue_estimate_requests_ahead (const LcQueue *queue, const LcQueueKey *key)
 {
-  BandRank rank = rank_of (key);
+  BandRank rank = band_rank_of (key);
   size_t own_index = find_band_index (queue, &rank);
-  const Band *band = band_at (queue, own_index, &rank);
+  const Band *band = band_of_rank_at_index (queue, own_index, &rank);
   double share = key->share > 0 ? key->share : 1;
   double ahead = 0;
 
--- a/packages/core/src/dispatch/lc-queue.h
+++ b/packages/core/src/dispatch/lc-queue.h
@@ -4,26 +4,27 @@
 #include "lc-heap.h"
 #include "lc-types.h"
 
-/* The waiting requests of one pool, in bands of strict priority: live calls, then service calls,
- * then samples; within a kind by the priority of the organisation, then, except for samples, by the
- * request's own.
- * Within a band, callers share by start-time fair queueing: each caller's flow has a virtual start
- * time that grows by cost over share with every request sent. Within a flow, higher priority goes
- * first, then earlier latest start, then the older request. */
+/* The waiting requests of one pool, in bands of strict priority. Bands are ordered by kind (live
+ * calls, service calls, samples), then by the organisation's priority. Bands of calls are further
+ * split by the request's priority.
+ *
+ * A band serves its flows by start-time fair queueing: each request sent advances the virtual start
+ * time of its flow by cost / share. A flow sends higher priority first, then earlier latest start,
+ * then the older request. */
 typedef struct LcQueue LcQueue;
 typedef struct LcFlow LcFlow;
 
-/* Embedded in the request. */
+/* A request's state in the queue, embedded in the request. */
 typedef struct
 {
-  LcHeapNode ready_node; /* node in the order of sending; not linked while deferred */
-  LcHeapNode drop_node;  /* node in the order of dropping */
-  LbLink deferred_link;  /* link in the list of requests skipped by lc_queue_defer */
-  LcFlow *flow;          /* NULL: not waiting */
-  uint64_t sequence;     /* order of admission; a retry keeps its number */
-  double cost;           /* charged to the caller when sent, in tokens; 1 if unknown; 0: a retry */
-  int priority;          /* larger first within a flow */
-  LbTime latest_start;   /* latest start to finish in time; 0: none */
+  LcHeapNode ready_node; /* node in LcFlow.ready; in no heap while deferred */
+  LcHeapNode drop_node;  /* node in LcFlow.drop_order */
+  LbLink deferred_link;  /* link in the list of deferred requests (lc_queue_defer) */
+  LcFlow *flow;          /* flow in which the request waits; NULL: it is not in the queue */
+  uint64_t sequence;     /* number in order of admission; kept when the request is retried */
+  double cost;           /* tokens charged to the flow when sent; 1 if unknown, 0 for a retry */
+  int priority;          /* higher is sent first within a flow */
+  LbTime latest_start;   /* latest start that still lets the answer finish in time; 0: none */
 } LcQueueEntry;
 
 typedef struct
@@ -31,25 +32,25 @@
   LcRequestKind kind;
   int organisation_priority;
   int priority;
-  const char *caller; /* name of the flow */
-  double share;       /* weight among the callers of the kind; 0: 1 */
+  const char *caller; /* name of the flow, of one or more callers */
+  double share;       /* weight in fair queueing among the flows of the kind; 0 means 1 */
 } LcQueueKey;
 
 LcQueue *lc_queue_new (void);
 void lc_queue_free (LcQueue *queue);
 
-/* commands */
+/* Functions that change the queue. */
 void lc_queue_push (LcQueue *queue, const LcQueueKey *key, LcQueueEntry *entry);
 void lc_queue_dequeue (LcQueue *queue, LcQueueEntry *entry);
 void lc_queue_remove (LcQueue *queue, LcQueueEntry *entry);
 void lc_queue_defer (LcQueue *queue, LcQueueEntry *entry);
 void lc_queue_restore_deferred (LcQueue *queue);
 
-/* queries */
+/* Functions that only read the queue. */
 LcQueueEntry *lc_queue_peek (const LcQueue *queue);
 LcQueueEntry *lc_queue_find_request_to_drop (const LcQueue *queue, const LcQueueKey *key);
 size_t lc_queue_length (const LcQueue *queue);
 size_t lc_queue_length_of_kind (const LcQueue *queue, LcRequestKind kind);
-double lc_queue_estimate_ahead (const LcQueue *queue, const LcQueueKey *key);
+double lc_queue_estimate_requests_ahead (const LcQueue *queue, const LcQueueKey *key);
 
 #endif
--- a/packages/core/src/dispatch/lc-request.c
+++ b/packages/core/src/dispatch/lc-request.c
@@ -5,8 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Bounds the attempts of one request whatever its route allows: covers a few unreachable endpoints,
- * and limits retry storms. */
+/* Upper bound of a request's attempts, whatever its route allows: enough to pass a few unreachable
+ * endpoints, few enough to limit retry storms. */
 #define MAX_ATTEMPTS 6
 
 static void *
@@ -16,7 +16,7 @@
 }
 
 static double
-queue_cost (const LcRequestSpec *spec)
+queue_cost_in_tokens (const LcRequestSpec *spec)
 {
   int64_t tokens = spec->prompt_tokens + spec->expected_tokens;
 
@@ -53,7 +53,7 @@
   request->min_version = spec->min_version;
   request->first_token = spec->resume_at;
   request->next_token = spec->resume_at;
-  request->queue_entry.cost = queue_cost (spec);
+  request->queue_entry.cost = queue_cost_in_tokens (spec);
   request->queue_entry.latest_start = spec->latest_start;
   lb_list_init (&request->attempts);
   request->n_prefix_hashes
@@ -93,7 +93,7 @@
   return attempt;
 }
 
-/* Returns NULL if no such attempt is running. */
+/* Returns the running attempt with the number; NULL if there is none. */
 LcAttempt *
 lc_request_find_attempt (const LcRequest *request, uint32_t number)
 {
@@ -113,7 +113,7 @@
 }
 
 void
-lc_request_add_tried (LcRequest *request, const char *endpoint)
+lc_request_add_tried_endpoint (LcRequest *request, const char *endpoint)
 {
   size_t n = request->n_avoid + request->n_tried;
 
@@ -128,7 +128,7 @@
 }
 
 LcQueueKey
-lc_request_queue_key (const LcRequest *request)
+lc_request_make_queue_key (const LcRequest *request)
 {
   return (LcQueueKey){ .kind = request->kind,
                        .organisation_priority = request->organisation_priority,
@@ -138,7 +138,7 @@
 }
 
 LcRouteQuery
-lc_request_route_query (const LcRequest *request, const char *data_centre, bool avoid_tried)
+lc_request_make_route_query (const LcRequest *request, const char *data_centre, bool avoid_tried)
 {
   LcRouteQuery query = {
     .kind = request->kind,
@@ -160,7 +160,7 @@
   return query;
 }
 
-/* Whether the submitter has already received part of the answer. */
+/* Whether the submitter has received a part of the answer. */
 bool
 lc_request_has_output (const LcRequest *request)
 {
@@ -173,10 +173,10 @@
   return request->delivery == LC_DELIVER_STREAM && request->resumable;
 }
 
-/* A route's limit counts only attempts that reached an endpoint; MAX_ATTEMPTS bounds all of them.
- * Otherwise unreachable endpoints used up the limit: with half of a service's endpoints restarting,
- * a call with 1.5 s left failed after 6 ms and two connection failures, while the other half was
- * idle. */
+/* Whether the request may have another attempt. The limit of its route counts only attempts that
+ * reached an endpoint, MAX_ATTEMPTS counts all. When failed connections counted for the route, a
+ * call with 1.5 s left failed after 6 ms and two such failures: half of the service's endpoints
+ * were restarting, the other half was idle. */
 bool
 lc_request_has_attempts_left (const LcRequest *request)
 {
--- a/packages/core/src/dispatch/lc-retry.c
+++ b/packages/core/src/dispatch/lc-retry.c
@@ -5,12 +5,12 @@
 #include <stdlib.h>
 #include <uthash.h>
 
-#define INITIAL_TOKENS 3.0
-#define MAX_TOKENS 10.0
+#define INITIAL_BUCKET_TOKENS 3.0
+#define MAX_BUCKET_TOKENS 10.0
 #define MAX_BUCKETS 16384
-#define BASE_DELAY (25 * LB_MSEC)
-#define MAX_DELAY (2 * LB_SEC)
-#define MAX_DOUBLINGS 10
+#define BASE_RETRY_DELAY (25 * LB_MSEC)
+#define MAX_RETRY_DELAY (2 * LB_SEC)
+#define MAX_DELAY_DOUBLINGS 10
 
 typedef struct
 {
@@ -21,11 +21,11 @@
 
 struct LcRetryBudgets
 {
-  Bucket *buckets; /* in order of last use, oldest first */
+  Bucket *buckets; /* least recently used bucket first */
   double earned_per_success;
 };
 
-/* earned_per_success: tokens that each success earns; 0 allows no retries at all. */
+/* earned_per_success: tokens that a successful attempt adds to a bucket; 0 allows no retries. */
 LcRetryBudgets *
 lc_retry_budgets_new (double earned_per_success)
 {
@@ -61,8 +61,8 @@
   return bucket;
 }
 
-/* Callers choose their own names, so the table is bounded: the least recently used bucket is
- * evicted. */
+/* Returns the bucket of the name, new if there is none, as the most recently used. Callers choose
+ * their names, so the table is bounded: the least recently used bucket is evicted. */
 static Bucket *
 touch_bucket (LcRetryBudgets *budgets, const char *name)
 {
@@ -75,7 +75,7 @@
       if (HASH_COUNT (budgets->buckets) >= MAX_BUCKETS)
         remove_bucket (budgets, budgets->buckets);
       bucket = LB_NEW (Bucket);
-      bucket->tokens = INITIAL_TOKENS;
+      bucket->tokens = INITIAL_BUCKET_TOKENS;
       LB_COPY (bucket->name, name);
     }
   HASH_ADD_STR (budgets->buckets, name, bucket);
@@ -83,46 +83,46 @@
 }
 
 void
-lc_retry_budgets_earn (LcRetryBudgets *budgets, const char *name)
+lc_retry_budgets_credit_success (LcRetryBudgets *budgets, const char *name)
 {
   Bucket *bucket = touch_bucket (budgets, name);
 
   bucket->tokens += budgets->earned_per_success;
-  if (bucket->tokens > MAX_TOKENS)
-    bucket->tokens = MAX_TOKENS;
+  if (bucket->tokens > MAX_BUCKET_TOKENS)
+    bucket->tokens = MAX_BUCKET_TOKENS;
 }
 
 void
-lc_retry_budgets_spend (LcRetryBudgets *budgets, const char *name)
+lc_retry_budgets_charge_retry (LcRetryBudgets *budgets, const char *name)
 {
   touch_bucket (budgets, name)->tokens -= 1;
 }
 
 bool
-lc_retry_budgets_allow (const LcRetryBudgets *budgets, const char *name)
+lc_retry_budgets_allow_retry (const LcRetryBudgets *budgets, const char *name)
 {
   const Bucket *bucket = find_bucket (budgets, name);
 
   if (budgets->earned_per_success <= 0)
     return false;
-  return (bucket ? bucket->tokens : INITIAL_TOKENS) >= 1;
+  return (bucket ? bucket->tokens : INITIAL_BUCKET_TOKENS) >= 1;
 }
 
 size_t
-lc_retry_budgets_count (const LcRetryBudgets *budgets)
+lc_retry_budgets_count_buckets (const LcRetryBudgets *budgets)
 {
   return HASH_COUNT (budgets->buckets);
 }
 
-/* Full jitter: uniform between 0 and a bound that doubles with each retry, so that requests that
- * failed together are not retried together. */
+/* Exponential backoff with full jitter: the delay is uniform between 0 and a bound that doubles
+ * with each retry, so that requests that failed together are not retried together. */
 LbTime
 lc_retry_delay (gsl_rng *random, uint32_t n_retries)
 {
-  uint32_t doublings = n_retries < MAX_DOUBLINGS ? n_retries : MAX_DOUBLINGS;
-  LbTime bound = BASE_DELAY << doublings;
+  uint32_t doublings = n_retries < MAX_DELAY_DOUBLINGS ? n_retries : MAX_DELAY_DOUBLINGS;
+  LbTime bound = BASE_RETRY_DELAY << doublings;
 
-  if (bound > MAX_DELAY)
-    bound = MAX_DELAY;
+  if (bound > MAX_RETRY_DELAY)
+    bound = MAX_RETRY_DELAY;
   return (LbTime)(gsl_rng_uniform (random) * (double)bound);
 }
--- a/packages/core/src/dispatch/lc-router-finish-time.c
+++ b/packages/core/src/dispatch/lc-router-finish-time.c
@@ -5,47 +5,57 @@
 
 #include <math.h>
 
-/* The default policy: lowest expected finish time, with a weighted random choice among the
- * endpoints that unreported arrivals may have filled to the same level (see find_level). See
- * docs/design/0002-routing.md. */
+/* The default policy: chooses the endpoint with the lowest expected finish time. Draws at random
+ * among the endpoints that arrivals since the last load reports may have filled to the same level
+ * (see find_fill_level). See docs/design/0002-routing.md. */
 
-#define SECONDS_PER_LB_TIME 1e-6 /* a factor: cheaper per candidate than a division */
-/* One way between data centres; taken as 0 within one. */
+/* Seconds in one unit of LbTime, as a factor: a division for each candidate would cost more. */
+#define SECONDS_PER_LB_TIME 1e-6
+/* One-way network latency between two data centres; latency within a data centre is taken as 0. */
 #define DATA_CENTRE_LATENCY ((double)LB_MSEC / 2)
 #define DEFAULT_EXPECTED_TOKENS 64
 #define DEFAULT_SERVICE_SECONDS 1.0
 #define PREFILL_TOKENS_PER_SECOND 8000.0
-#define PREFILL_SLOWDOWN 0.5 /* part of its duration by which it delays each concurrent request */
-#define PRIOR_SENT 0.02      /* added to the requests sent to each endpoint, which may be 0 */
-#define PREFIX_BOUND_EWMA_WEIGHT 0.02 /* weight of one decision in prefix_bound_share */
-#define MIN_SILENCE_SECONDS 2.0
-/* Opening a connection to a plain service: a round trip and the endpoint's own work. */
+/* Part of a prefill's duration by which the prefill delays each concurrent request. */
+#define PREFILL_SLOWDOWN 0.5
+/* Added to the number of requests sent to each endpoint, so that their sum is never 0. */
+#define PRIOR_SENT_REQUESTS 0.02
+/* Weight of one decision in the moving average LcEndpointGroup.prefix_bound_share. */
+#define PREFIX_BOUND_EWMA_WEIGHT 0.02
+/* Time to open a connection to a plain service: a round trip and the endpoint's own work. */
 #define CONNECT_SECONDS 0.003
-/* Endpoints close connections that were idle for some seconds. */
-#define CONNECTION_KEEP_TIME (5 * LB_SEC)
-#define SILENCE_FACTOR 3.0    /* multiple of the mean age of reports */
-#define SCORE_TOLERANCE 0.002 /* relative difference up to which scores count as equal */
-#define MIN_DRAW_WEIGHT 0.01  /* draw weight of an endpoint filled above the level, in requests */
+/* Time after which an idle connection counts as closed by the endpoint. */
+#define IDLE_CONNECTION_LIFETIME (5 * LB_SEC)
+/* An endpoint is unresponsive if it has been silent for MIN_SILENCE_SECONDS and for this multiple
+ * of the mean age of the load reports. */
+#define SILENCE_REPORT_AGE_FACTOR 3.0
+#define MIN_SILENCE_SECONDS 2.0
+/* Relative difference up to which two scores count as equal. */
+#define SCORE_TOLERANCE 0.002
+/* Weight in the draw, in requests, of an endpoint that is filled above the level. */
+#define MIN_DRAW_WEIGHT 0.01
 
-/* What is the same for all candidates of one decision. */
+/* Inputs of a routing decision that are the same for all candidates. */
 typedef struct
 {
   const LcEndpoints *endpoints;
-  LcEndpointGroup *group; /* of the pool; exists, since there are candidates */
+  LcEndpointGroup *group; /* endpoints of the pool; not NULL, since there are candidates */
   const LcRouteQuery *query;
   const double *cached_shares;
   double mean_service_seconds;
   double expected_tokens;
-  double full_prefill_seconds;  /* with nothing cached */
-  double unreported;            /* arrivals since the reports that may have gone to any endpoint */
-  double prefix_bound_per_sent; /* arrivals bound to a cached prefix, per request sent there by this
-                                   instance */
+  double full_prefill_seconds; /* time to process the whole prompt, if no part is cached */
+  double unreported; /* requests that other instances have sent since the reports, without those
+                        bound to a cached prefix */
+  double prefix_bound_per_sent; /* unreported requests bound to a cached prefix at an endpoint,
+                                   per request that this instance has sent to the endpoint */
   double silence_limit_seconds;
   int data_centre;
   LbTime now;
 } DecisionInputs;
 
-/* Avoid the function calls per candidate that fmax and fmin cost for their NaN rules. */
+/* Unlike fmax and fmin, max_of and min_of don't handle NaN, which would cost a function call per
+ * candidate. */
 static inline double
 max_of (double a, double b)
 {
@@ -59,7 +69,10 @@
 }
 
 static DecisionInputs
-make_inputs (LcPolicy *policy, LcEndpoints *endpoints, const LcRouteQuery *query, LbTime now)
+make_decision_inputs (LcPolicy *policy,
+                      LcEndpoints *endpoints,
+                      const LcRouteQuery *query,
+                      LbTime now)
 {
   LcEndpointKind kind = query->kind == LC_KIND_SERVICE ? LC_ENDPOINT_SERVICE : LC_ENDPOINT_ENGINE;
   LcEndpointGroup *group = lc_endpoints_find_group (endpoints, kind, query->pool);
@@ -79,29 +92,30 @@
 }
 
 static double
-report_age (const DecisionInputs *inputs, const LcEndpointSummary *summary)
+report_age_seconds (const DecisionInputs *inputs, const LcEndpointSummary *summary)
 {
   if (summary->reported_at == LC_NEVER_REPORTED)
     return 0;
   return (double)(inputs->now - summary->reported_at) * SECONDS_PER_LB_TIME;
 }
 
-/* Returns the fraction of the other instances' requests in the report that is expected to still
- * run. */
+/* Returns the fraction of the other instances' requests in the last load report that is expected to
+ * be still running. */
 static double
-running_fraction (const DecisionInputs *inputs, const LcEndpointSummary *summary)
+still_running_fraction (const DecisionInputs *inputs, const LcEndpointSummary *summary)
 {
   return inputs->mean_service_seconds
-         / (inputs->mean_service_seconds + report_age (inputs, summary));
+         / (inputs->mean_service_seconds + report_age_seconds (inputs, summary));
 }
 
-/* Penalty of an unresponsive endpoint. It would look emptier every second, since what it last
- * reported should have finished, and attract requests from all instances. If it has been silent for
- * longer than the others, it is expected to stay so for as long again; any reply ends that. */
+/* Returns the penalty of an unresponsive endpoint. Its last reported requests are expected to
+ * finish, so without a penalty it would look emptier every second and attract requests of all
+ * instances. An endpoint silent for longer than others is expected to stay silent as long again.
+ * Any reply resets the penalty. */
 static double
-silence_seconds (const DecisionInputs *inputs, const LcEndpointSummary *summary)
+silence_penalty_seconds (const DecisionInputs *inputs, const LcEndpointSummary *summary)
 {
-  double age = report_age (inputs, summary);
+  double age = report_age_seconds (inputs, summary);
   double since_reply = 0;
 
   if (age < inputs->silence_limit_seconds)
@@ -112,7 +126,7 @@
 }
 
 static double
-swap_seconds (const DecisionInputs *inputs, const LcEndpointSummary *summary)
+remaining_swap_seconds (const DecisionInputs *inputs, const LcEndpointSummary *summary)
 {
   const LcEndpoint *endpoint = summary->endpoint;
 
@@ -121,10 +135,11 @@
   return (double)(endpoint->swap_until - inputs->now) / LB_SEC;
 }
 
-/* Returns the cost of waiting and decoding at this load, and its slope. A larger batch slows down
- * all requests in it, so each added request counts twice: for itself and for the others. */
+/* Returns the cost of waiting and decoding at this load, and how many requests raise the cost by a
+ * second. A larger batch slows down all of its requests, so an added request is counted twice: for
+ * its own time and for the delay of the others. */
 static LcLoadCost
-load_cost (const DecisionInputs *inputs, const LcEndpointSummary *summary, double load)
+estimate_load_cost (const DecisionInputs *inputs, const LcEndpointSummary *summary, double load)
 {
   double per_slot = (double)summary->inverse_capacity;
   double decode = inputs->query->kind == LC_KIND_SERVICE
@@ -138,8 +153,9 @@
                        .capacity_per_second = 1 / (slope * per_slot) };
 }
 
-/* A prefill also delays the requests that decode beside it. Their number is taken as the average
- * over all endpoints: an old report is no reason to prefer one endpoint in this. */
+/* Returns the cost of processing the part of the prompt that is not cached. It includes the delay
+ * of concurrent requests, for which estimate_arrivals takes the average number over all endpoints:
+ * the number at one endpoint is as old as its report. */
 static double
 prefill_seconds (const DecisionInputs *inputs, const LcEndpointSummary *summary)
 {
@@ -148,20 +164,21 @@
   return inputs->full_prefill_seconds * (1 - inputs->cached_shares[summary->slot]);
 }
 
-/* Prefers service endpoints with a recently used connection, as long as they are no busier. An
- * instance that rarely calls and rotates over all endpoints finds its connections closed each time,
- * and with many instances each takes one of the connections that an endpoint allows. */
+/* Returns the cost of a new connection to a service endpoint; 0 if a connection was used recently.
+ * An instance that calls rarely and rotates over all endpoints would find its connections closed
+ * each time, and many such instances would exhaust the connections that an endpoint allows. */
 static double
-connect_seconds (const DecisionInputs *inputs, const LcEndpointSummary *summary)
+connect_cost_seconds (const DecisionInputs *inputs, const LcEndpointSummary *summary)
 {
   if (inputs->query->kind != LC_KIND_SERVICE)
     return 0;
-  return inputs->now - summary->endpoint->last_reply_at < CONNECTION_KEEP_TIME ? 0
-                                                                               : CONNECT_SECONDS;
+  return inputs->now - summary->endpoint->last_reply_at < IDLE_CONNECTION_LIFETIME
+             ? 0
+             : CONNECT_SECONDS;
 }
 
 static double
-network_seconds (const DecisionInputs *inputs, const LcEndpointSummary *summary)
+network_latency_seconds (const DecisionInputs *inputs, const LcEndpointSummary *summary)
 {
   if (inputs->data_centre == summary->data_centre)
     return 0;
@@ -178,8 +195,9 @@
       = lb_realloc (policy->load_costs, policy->n_load_costs * sizeof *policy->load_costs);
 }
 
-/* Computes the values that depend on all candidates together. Requests that finished since the
- * reports are assumed to have been replaced by as many arrivals. */
+/* Estimates the requests that have arrived since the load reports, and sets the inputs that depend
+ * on all candidates. Requests that have finished since the reports are assumed to be replaced by as
+ * many arrivals. */
 static void
 estimate_arrivals (LcPolicy *policy, DecisionInputs *inputs)
 {
@@ -194,23 +212,25 @@
     {
       const LcEndpointSummary *summary = policy->candidates.summaries[i];
       double others = (double)summary->other_requests;
-      double remaining = others * running_fraction (inputs, summary);
+      double remaining = others * still_running_fraction (inputs, summary);
 
       unreported += others - remaining;
       total += others + summary->in_flight;
-      age += report_age (inputs, summary);
-      sent += summary->live_sent_since_report + PRIOR_SENT;
-      policy->load_costs[i].seconds = remaining; /* the load, until compute_load_costs */
+      age += report_age_seconds (inputs, summary);
+      sent += summary->live_sent_since_report + PRIOR_SENT_REQUESTS;
+      policy->load_costs[i].seconds = remaining; /* holds the load until compute_all_load_costs */
     }
   inputs->unreported = unreported * (1 - inputs->group->prefix_bound_share);
   inputs->prefix_bound_per_sent = unreported * inputs->group->prefix_bound_share / sent;
-  inputs->silence_limit_seconds = max_of (MIN_SILENCE_SECONDS, SILENCE_FACTOR * age / (double)n);
+  inputs->silence_limit_seconds
+      = max_of (MIN_SILENCE_SECONDS, SILENCE_REPORT_AGE_FACTOR * age / (double)n);
   inputs->full_prefill_seconds = prefill * (1 + PREFILL_SLOWDOWN * total / (double)n);
 }
 
-/* Returns the level that would result if the arrivals filled all candidates. */
+/* Sets the load cost of each candidate. Returns the level of load cost that would result if the
+ * arrivals filled all candidates. */
 static double
-compute_load_costs (LcPolicy *policy, const DecisionInputs *inputs)
+compute_all_load_costs (LcPolicy *policy, const DecisionInputs *inputs)
 {
   double weight = 0;
   double sum = inputs->unreported + 1;
@@ -219,9 +239,9 @@
     {
       const LcEndpointSummary *summary = policy->candidates.summaries[i];
       double prefix_bound
-          = inputs->prefix_bound_per_sent * (summary->live_sent_since_report + PRIOR_SENT);
+          = inputs->prefix_bound_per_sent * (summary->live_sent_since_report + PRIOR_SENT_REQUESTS);
       double load = policy->load_costs[i].seconds + prefix_bound + summary->in_flight;
-      LcLoadCost cost = load_cost (inputs, summary, load);
+      LcLoadCost cost = estimate_load_cost (inputs, summary, load);
 
       policy->load_costs[i] = cost;
       weight += cost.capacity_per_second;
@@ -230,8 +250,8 @@
   return sum / weight;
 }
 
-/* Returns the level reached if the arrivals are spread over the candidates below the given level;
- * HUGE_VAL if there are none. */
+/* Returns the level of load cost that is reached if the arrivals are spread over the candidates
+ * below the given level; HUGE_VAL if no candidate is below. */
 static double
 level_if_filled_below (const LcPolicy *policy, double arrivals, double level)
 {
@@ -249,12 +269,12 @@
   return weight > 0 ? sum / weight : HUGE_VAL;
 }
 
-/* Water-filling: returns the load cost that results everywhere once the arrivals have filled the
- * least loaded candidates first. Newton's method on a convex, piecewise linear function: after the
- * first step the level only falls, and it stops when the level no longer changes. Starts from the
- * ratio that the previous decision found. */
+/* Water-filling: the arrivals fill the least loaded candidates first; returns the level of load
+ * cost to which these rise. Newton's method on a convex, piecewise linear function: after the first
+ * step the level only falls, and the iteration ends when the level stays. It starts from the ratio
+ * of the previous decision. */
 static double
-find_level (LcPolicy *policy, double arrivals, double all_filled)
+find_fill_level (LcPolicy *policy, double arrivals, double all_filled)
 {
   double level = level_if_filled_below (policy, arrivals, all_filled * policy->level_ratio);
   double next = level_if_filled_below (policy, arrivals, level);
@@ -268,19 +288,20 @@
   return level;
 }
 
-/* Returns the lowest score. */
+/* Sets the scores of all candidates and returns the lowest score. */
 static double
-score_all (LcPolicy *policy, const DecisionInputs *inputs, double level)
+score_candidates (LcPolicy *policy, const DecisionInputs *inputs, double level)
 {
   double lowest = HUGE_VAL;
 
   for (size_t i = 0; i < policy->candidates.n_items; i++)
     {
       const LcEndpointSummary *summary = policy->candidates.summaries[i];
-      double score = max_of (level, policy->load_costs[i].seconds)
-                     + network_seconds (inputs, summary) + connect_seconds (inputs, summary)
-                     + swap_seconds (inputs, summary) + silence_seconds (inputs, summary)
-                     + prefill_seconds (inputs, summary);
+      double score
+          = max_of (level, policy->load_costs[i].seconds)
+            + network_latency_seconds (inputs, summary) + connect_cost_seconds (inputs, summary)
+            + remaining_swap_seconds (inputs, summary) + silence_penalty_seconds (inputs, summary)
+            + prefill_seconds (inputs, summary);
 
       policy->candidates.items[i].score = score;
       lowest = min_of (lowest, score);
@@ -292,33 +313,33 @@
 has_idle_connection (const LcEndpoint *endpoint, LbTime now)
 {
   return endpoint->idle_connections > 0
-         && now - endpoint->idle_connections_at < CONNECTION_KEEP_TIME;
+         && now - endpoint->idle_connections_at < IDLE_CONNECTION_LIFETIME;
 }
 
 static bool
-is_near_lowest (const LcPolicy *policy, size_t index, double lowest)
+is_near_lowest_score (const LcPolicy *policy, size_t index, double lowest)
 {
   return policy->candidates.items[index].score <= lowest * (1 + SCORE_TOLERANCE);
 }
 
-/* Whether a candidate near the lowest score has an idle connection of this instance. */
+/* Whether this instance has an idle connection to a candidate near the lowest score. */
 static bool
-any_near_has_connection (const LcPolicy *policy, double lowest, LbTime now)
+any_lowest_has_idle_connection (const LcPolicy *policy, double lowest, LbTime now)
 {
   for (size_t i = 0; i < policy->candidates.n_items; i++)
-    if (is_near_lowest (policy, i, lowest)
+    if (is_near_lowest_score (policy, i, lowest)
         && has_idle_connection (policy->candidates.summaries[i]->endpoint, now))
       return true;
   return false;
 }
 
-/* Draws among the candidates nearest to the lowest score, weighted by the requests each lacks to
- * reach the level. The requests of a step start together: if many endpoints are equally good, those
- * with an idle connection save opening a new one. */
+/* Draws one of the candidates near the lowest score. The weight of a candidate is the number of
+ * requests that would raise it to the level. Candidates with an idle connection are preferred: the
+ * requests of a training step start together, and each would otherwise open a connection. */
 static size_t
 draw_candidate (LcPolicy *policy, double level, double lowest, LbTime now)
 {
-  bool prefer_connected = any_near_has_connection (policy, lowest, now);
+  bool prefer_connected = any_lowest_has_idle_connection (policy, lowest, now);
   double total = 0;
   size_t chosen = 0;
 
@@ -327,7 +348,7 @@
       const LcLoadCost *cost = &policy->load_costs[i];
       double weight = max_of (MIN_DRAW_WEIGHT, (level - cost->seconds) * cost->capacity_per_second);
 
-      if (!is_near_lowest (policy, i, lowest)
+      if (!is_near_lowest_score (policy, i, lowest)
           || (prefer_connected
               && !has_idle_connection (policy->candidates.summaries[i]->endpoint, now)))
         continue;
@@ -338,21 +359,24 @@
   return chosen;
 }
 
-/* All instances see the same old reports. If each chose the lowest score, that endpoint would get
- * the requests of all of them until the next report, and then another one would (herding). So an
- * endpoint below the level is scored as if the unreported arrivals had already filled it, which
- * makes many scores equal, and the draw gives each endpoint its part of those arrivals. */
+/* Avoids herding: all instances see the same reports, so if each chose the lowest score, one
+ * endpoint would get all requests until the next report. Endpoints below the level are therefore
+ * scored as if the unreported arrivals had already filled them. This makes many scores equal, and
+ * the draw gives each endpoint its part of the arrivals. */
 static size_t
-pick (LcPolicy *policy, LcEndpoints *endpoints, const LcRouteQuery *query, LbTime now)
+pick_least_finish_time (LcPolicy *policy,
+                        LcEndpoints *endpoints,
+                        const LcRouteQuery *query,
+                        LbTime now)
 {
-  DecisionInputs inputs = make_inputs (policy, endpoints, query, now);
+  DecisionInputs inputs = make_decision_inputs (policy, endpoints, query, now);
 
   ensure_load_costs (policy);
   estimate_arrivals (policy, &inputs);
 
-  double all_filled = compute_load_costs (policy, &inputs);
-  double level = find_level (policy, inputs.unreported + 1, all_filled);
-  double lowest = score_all (policy, &inputs, level);
+  double all_filled = compute_all_load_costs (policy, &inputs);
+  double level = find_fill_level (policy, inputs.unreported + 1, all_filled);
+  double lowest = score_candidates (policy, &inputs, level);
   size_t chosen = draw_candidate (policy, level, lowest, now);
   bool is_prefix_bound = inputs.cached_shares[policy->candidates.summaries[chosen]->slot] > 0;
 
@@ -363,16 +387,16 @@
 }
 
 static LcRouter *
-create (uint64_t seed)
+create_finish_time_policy (uint64_t seed)
 {
   return lc_policy_new (&lc_policy_finish_time, seed);
 }
 
 const LcPolicyClass lc_policy_finish_time = {
   .base = { .name = "lentilspindle",
-            .create = create,
+            .create = create_finish_time_policy,
             .destroy = lc_policy_free,
             .choose = lc_policy_choose },
   .reason = "least-finish-time",
-  .pick = pick,
+  .pick = pick_least_finish_time,
 };
--- a/packages/core/src/dispatch/lc-router-least-outstanding.c
+++ b/packages/core/src/dispatch/lc-router-least-outstanding.c
@@ -1,9 +1,12 @@
 #include "lc-policies.h"
 
-/* Baseline: the fewest requests of this instance in flight, as a plain load balancer counts
- * them. */
+/* Baseline policy: chooses the endpoint with the fewest requests of this instance in flight, as a
+ * common load balancer does. */
 static size_t
-pick (LcPolicy *policy, LcEndpoints *endpoints, const LcRouteQuery *query, LbTime now)
+pick_least_outstanding (LcPolicy *policy,
+                        LcEndpoints *endpoints,
+                        const LcRouteQuery *query,
+                        LbTime now)
 {
   LcCandidates *candidates = &policy->candidates;
 
@@ -16,16 +19,16 @@
 }
 
 static LcRouter *
-create (uint64_t seed)
+create_least_outstanding_policy (uint64_t seed)
 {
   return lc_policy_new (&lc_policy_least_outstanding, seed);
 }
 
 const LcPolicyClass lc_policy_least_outstanding = {
   .base = { .name = "least-outstanding",
-            .create = create,
+            .create = create_least_outstanding_policy,
             .destroy = lc_policy_free,
             .choose = lc_policy_choose },
   .reason = "least-outstanding",
-  .pick = pick,
+  .pick = pick_least_outstanding,
 };
--- a/packages/core/src/dispatch/lc-router-power-of-two.c
+++ b/packages/core/src/dispatch/lc-router-power-of-two.c
@@ -7,10 +7,13 @@
                   + endpoint->sent_since_report);
 }
 
-/* Baseline: two at random, then the one with the lower load by its report and this instance's own
- * requests since. */
+/* Baseline policy: draws two endpoints at random and chooses the one with the lower load, which is
+ * the last reported load plus the requests that this instance has sent since the report. */
 static size_t
-pick (LcPolicy *policy, LcEndpoints *endpoints, const LcRouteQuery *query, LbTime now)
+pick_less_loaded_of_two (LcPolicy *policy,
+                         LcEndpoints *endpoints,
+                         const LcRouteQuery *query,
+                         LbTime now)
 {
   LcCandidate *items = policy->candidates.items;
   size_t a = gsl_rng_uniform_int (policy->rng, policy->candidates.n_items);
@@ -25,16 +28,16 @@
 }
 
 static LcRouter *
-create (uint64_t seed)
+create_power_of_two_policy (uint64_t seed)
 {
   return lc_policy_new (&lc_policy_power_of_two, seed);
 }
 
 const LcPolicyClass lc_policy_power_of_two = {
   .base = { .name = "power-of-two",
-            .create = create,
+            .create = create_power_of_two_policy,
             .destroy = lc_policy_free,
             .choose = lc_policy_choose },
   .reason = "shorter-of-two",
-  .pick = pick,
+  .pick = pick_less_loaded_of_two,
 };
--- a/packages/core/src/dispatch/lc-router-prefix-affinity.c
+++ b/packages/core/src/dispatch/lc-router-prefix-affinity.c
@@ -1,9 +1,10 @@
 #include "lc-policies.h"
 
-/* Baseline: the endpoint expected to have cached most of the prompt, regardless of load. If none
- * has any of it, rendezvous hashing of the prompt's first block makes all instances agree. */
+/* Baseline policy: chooses the endpoint that is expected to have cached most of the prompt,
+ * regardless of load. Ties are broken by rendezvous hashing of the prompt's first block, so that
+ * all instances choose the same endpoint for a prompt that is cached nowhere. */
 static size_t
-pick (LcPolicy *policy, LcEndpoints *endpoints, const LcRouteQuery *query, LbTime now)
+pick_most_cached (LcPolicy *policy, LcEndpoints *endpoints, const LcRouteQuery *query, LbTime now)
 {
   LcCandidates *candidates = &policy->candidates;
 
@@ -27,16 +28,16 @@
 }
 
 static LcRouter *
-create (uint64_t seed)
+create_prefix_affinity_policy (uint64_t seed)
 {
   return lc_policy_new (&lc_policy_prefix_affinity, seed);
 }
 
 const LcPolicyClass lc_policy_prefix_affinity = {
   .base = { .name = "prefix-affinity",
-            .create = create,
+            .create = create_prefix_affinity_policy,
             .destroy = lc_policy_free,
             .choose = lc_policy_choose },
   .reason = "most-cached",
-  .pick = pick,
+  .pick = pick_most_cached,
 };
--- a/packages/core/src/dispatch/lc-router-random.c
+++ b/packages/core/src/dispatch/lc-router-random.c
@@ -1,8 +1,8 @@
 #include "lc-policies.h"
 
-/* Baseline: uniformly at random. */
+/* Baseline policy: chooses an endpoint uniformly at random. */
 static size_t
-pick (LcPolicy *policy, LcEndpoints *endpoints, const LcRouteQuery *query, LbTime now)
+pick_random (LcPolicy *policy, LcEndpoints *endpoints, const LcRouteQuery *query, LbTime now)
 {
   (void)endpoints;
   (void)query;
@@ -11,14 +11,16 @@
 }
 
 static LcRouter *
-create (uint64_t seed)
+create_random_policy (uint64_t seed)
 {
   return lc_policy_new (&lc_policy_random, seed);
 }
 
 const LcPolicyClass lc_policy_random = {
-  .base
-  = { .name = "random", .create = create, .destroy = lc_policy_free, .choose = lc_policy_choose },
+  .base = { .name = "random",
+            .create = create_random_policy,
+            .destroy = lc_policy_free,
+            .choose = lc_policy_choose },
   .reason = "random",
-  .pick = pick,
+  .pick = pick_random,
 };
--- a/packages/core/src/dispatch/lc-router-round-robin.c
+++ b/packages/core/src/dispatch/lc-router-round-robin.c
@@ -1,9 +1,9 @@
 #include "lc-policies.h"
 
-/* Baseline: round-robin. Instances start at random positions, as if they had been started at
- * different times. */
+/* Baseline policy: chooses the endpoints in turn. Each instance starts at a random position, as if
+ * the instances had been started at different times. */
 static size_t
-pick (LcPolicy *policy, LcEndpoints *endpoints, const LcRouteQuery *query, LbTime now)
+pick_next_in_turn (LcPolicy *policy, LcEndpoints *endpoints, const LcRouteQuery *query, LbTime now)
 {
   (void)endpoints;
   (void)query;
@@ -14,16 +14,16 @@
 }
 
 static LcRouter *
-create (uint64_t seed)
+create_round_robin_policy (uint64_t seed)
 {
   return lc_policy_new (&lc_policy_round_robin, seed);
 }
 
 const LcPolicyClass lc_policy_round_robin = {
   .base = { .name = "round-robin",
-            .create = create,
+            .create = create_round_robin_policy,
             .destroy = lc_policy_free,
             .choose = lc_policy_choose },
   .reason = "next-in-turn",
-  .pick = pick,
+  .pick = pick_next_in_turn,
 };
--- a/packages/core/src/dispatch/lc-timers.c
+++ b/packages/core/src/dispatch/lc-timers.c
@@ -2,8 +2,8 @@
 
 #include "lb-time.h"
 
-/* A sample is hedged only if its first piece takes this multiple of the usual time: engines that
- * are slow or queue requests are late for all samples. */
+/* A sample is hedged only after this multiple of the pool's average time to the first piece. If all
+ * engines are slow or queue requests, the average rises and samples are not hedged. */
 #define HEDGE_FIRST_PIECE_FACTOR 4.0
 
 static LbTime
@@ -19,9 +19,9 @@
   return usual > request->hedge_after ? usual : request->hedge_after;
 }
 
-/* Returns when a hedge is due; LB_TIME_NEVER if none is allowed. */
+/* Returns when a hedge of the request is due; LB_TIME_NEVER if the request may not be hedged. */
 static LbTime
-hedge_due (const LcDispatch *dispatch, const LcRequest *request)
+hedge_due_time (const LcDispatch *dispatch, const LcRequest *request)
 {
   const LcAttempt *attempt = LB_LIST_FIRST (&request->attempts, LcAttempt, link);
   LbTime after = hedge_delay (dispatch, request);
@@ -33,7 +33,7 @@
 }
 
 static LbTime
-next_due (const LcDispatch *dispatch, const LcRequest *request)
+next_timer_due (const LcDispatch *dispatch, const LcRequest *request)
 {
   switch (request->state)
     {
@@ -42,16 +42,17 @@
     case LC_STATE_BACKOFF:
       return lb_time_earlier (request->retry_at, request->deadline);
     default:
-      return lb_time_earlier (request->deadline, hedge_due (dispatch, request));
+      return lb_time_earlier (request->deadline, hedge_due_time (dispatch, request));
     }
 }
 
-/* Must be called after each change of a request's state. One timer per request in a heap: requests
- * that are not due cost nothing in a tick. */
+/* Sets the timer of a request to its next due time. Must be called after each change of the
+ * request's state. The timers are in a heap, so a tick costs nothing for requests that are not due.
+ */
 void
 lc_dispatch_update_timer (LcDispatch *dispatch, LcRequest *request)
 {
-  request->timer_due = next_due (dispatch, request);
+  request->timer_due = next_timer_due (dispatch, request);
   if (request->timer_due == LB_TIME_NEVER)
     lc_heap_remove (&dispatch->timers, &request->timer_node);
   else if (lc_heap_node_is_linked (&request->timer_node))
@@ -62,7 +63,7 @@
 
 /* Returns a request whose timer has expired; NULL if there is none. */
 LcRequest *
-lc_dispatch_find_due (LcDispatch *dispatch, LbTime now)
+lc_dispatch_find_due_request (LcDispatch *dispatch, LbTime now)
 {
   LcHeapNode *node = lc_heap_top (&dispatch->timers);
   LcRequest *request = node ? LC_HEAP_ENTRY (node, LcRequest, timer_node) : NULL;
--- a/packages/core/tests/test-retry.c
+++ b/packages/core/tests/test-retry.c
@@ -8,18 +8,18 @@
   LcRetryBudgets *budgets = lc_retry_budgets_new (0.25);
   int n_retries = 0;
 
-  while (lc_retry_budgets_allow (budgets, "clerk"))
-    lc_retry_budgets_spend (budgets, "clerk");
+  while (lc_retry_budgets_allow_retry (budgets, "clerk"))
+    lc_retry_budgets_charge_retry (budgets, "clerk");
   for (int i = 0; i < 100; i++)
     {
-      lc_retry_budgets_earn (budgets, "clerk");
-      if (!lc_retry_budgets_allow (budgets, "clerk"))
+      lc_retry_budgets_credit_success (budgets, "clerk");
+      if (!lc_retry_budgets_allow_retry (budgets, "clerk"))
         continue;
-      lc_retry_budgets_spend (budgets, "clerk");
+      lc_retry_budgets_charge_retry (budgets, "clerk");
       n_retries++;
     }
   cr_assert_eq (n_retries, 25);
-  cr_assert (lc_retry_budgets_allow (budgets, "pipeline"),
+  cr_assert (lc_retry_budgets_allow_retry (budgets, "pipeline"),
              "retries of one caller were charged to another");
   lc_retry_budgets_free (budgets);
 }
@@ -30,16 +30,16 @@
   LcRetryBudgets *budgets = lc_retry_budgets_new (1e-9);
   char name[32];
 
-  while (lc_retry_budgets_allow (budgets, "busy"))
-    lc_retry_budgets_spend (budgets, "busy");
+  while (lc_retry_budgets_allow_retry (budgets, "busy"))
+    lc_retry_budgets_charge_retry (budgets, "busy");
   for (int i = 0; i < 100000; i++)
     {
       snprintf (name, sizeof name, "caller-%d", i);
-      lc_retry_budgets_earn (budgets, name);
-      lc_retry_budgets_earn (budgets, "busy");
+      lc_retry_budgets_credit_success (budgets, name);
+      lc_retry_budgets_credit_success (budgets, "busy");
     }
-  cr_assert_leq (lc_retry_budgets_count (budgets), 16384);
-  cr_assert_not (lc_retry_budgets_allow (budgets, "busy"), "a recently used bucket was evicted");
+  cr_assert_leq (lc_retry_budgets_count_buckets (budgets), 16384);
+  cr_assert_not (lc_retry_budgets_allow_retry (budgets, "busy"), "a recently used bucket was evicted");
   lc_retry_budgets_free (budgets);
 }
 
