--- a/packages/core/tests/test-admission.c
+++ b/packages/core/tests/test-admission.c
@@ -6,10 +6,10 @@
                                              .retry_budget = 0.2,
                                              .seed = 1 };
 
-/* Fills the only engine, so that later requests wait. Returns the id of the first running
- * request. */
+/* Fills the only engine with live calls, so that later requests wait. Returns the id of the first
+ * call. */
 static LcRequestId
-fill_engine (Fixture *f, int concurrency)
+fill_only_engine (Fixture *f, int concurrency)
 {
   LcRequestId first = f->last_id + 1;
 
@@ -24,7 +24,7 @@
 }
 
 static LcRequestSpec
-spec_of (Fixture *f, LcRequestKind kind, const char *caller, double share)
+make_spec_of_caller (Fixture *f, LcRequestKind kind, const char *caller, double share)
 {
   LcRequestSpec spec = fixture_new_spec (f, kind);
 
@@ -33,9 +33,9 @@
   return spec;
 }
 
-/* Ends the running request and returns the one sent in its place; 0 if there is none. */
+/* Completes the running request. Returns the request that is sent next; 0 if none is. */
 static LcRequestId
-end_and_take_next (Fixture *f, LcRequestId running)
+complete_and_take_next_sent (Fixture *f, LcRequestId running)
 {
   LbLink *link = NULL;
   LcRequestId next = 0;
@@ -53,18 +53,18 @@
   return next;
 }
 
-/* Live calls queued behind a trainer's batch of samples would wait for minutes. */
-Test (admission, live_calls_go_before_samples_and_by_priority)
+/* Guards against live calls that wait for minutes behind a trainer's batch of samples. */
+Test (admission, live_calls_are_sent_before_samples_and_by_priority)
 {
   Fixture f;
 
   fixture_init (&f, &settings, 1, 1);
 
-  LcRequestId running = fill_engine (&f, 1);
-  LcRequestSpec sample = spec_of (&f, LC_KIND_SAMPLE, "trainer", 1);
-  LcRequestSpec low = spec_of (&f, LC_KIND_LIVE, "shop", 1);
-  LcRequestSpec high = spec_of (&f, LC_KIND_LIVE, "clerk", 1);
-  LcRequestSpec second = spec_of (&f, LC_KIND_LIVE, "clerk", 1);
+  LcRequestId running = fill_only_engine (&f, 1);
+  LcRequestSpec sample = make_spec_of_caller (&f, LC_KIND_SAMPLE, "trainer", 1);
+  LcRequestSpec low = make_spec_of_caller (&f, LC_KIND_LIVE, "shop", 1);
+  LcRequestSpec high = make_spec_of_caller (&f, LC_KIND_LIVE, "clerk", 1);
+  LcRequestSpec second = make_spec_of_caller (&f, LC_KIND_LIVE, "clerk", 1);
 
   sample.priority = 1000;
   high.priority = 5;
@@ -74,20 +74,19 @@
   fixture_submit (&f, &high);
   fixture_submit (&f, &second);
   cr_assert_eq (lc_dispatch_count_waiting (f.dispatch, LC_KIND_LIVE), 3);
-  running = end_and_take_next (&f, running);
+  running = complete_and_take_next_sent (&f, running);
   cr_assert_eq (running, high.id);
-  running = end_and_take_next (&f, running);
+  running = complete_and_take_next_sent (&f, running);
   cr_assert_eq (running, second.id);
-  running = end_and_take_next (&f, running);
+  running = complete_and_take_next_sent (&f, running);
   cr_assert_eq (running, low.id);
   cr_assert_eq (lc_dispatch_count_waiting (f.dispatch, LC_KIND_SAMPLE), 1);
   fixture_clear (&f);
 }
 
-/* Two steps of one trainer wait for the same engine. When the steps took turns, a long sample of
- * the second started behind short ones of the first that had seconds to spare. Within a flow, the
- * earliest latest start goes first, whichever caller it belongs to. */
-Test (admission, earliest_latest_start_goes_first_within_a_flow)
+/* Two steps of one trainer wait for the same engine and share a flow. When the steps took turns, a
+ * long sample of one step started after short samples of the other that had seconds to spare. */
+Test (admission, earliest_latest_start_is_sent_first_within_a_flow)
 {
   static const LbTime latest[] = { 30 * LB_SEC, 10 * LB_SEC, 20 * LB_SEC };
   LcRequestId ids[3];
@@ -95,145 +94,150 @@
 
   fixture_init (&f, &settings, 1, 1);
 
-  LcRequestId running = fill_engine (&f, 1);
+  LcRequestId running = fill_only_engine (&f, 1);
 
   for (int i = 0; i < 3; i++)
     {
-      LcRequestSpec spec = spec_of (&f, LC_KIND_SAMPLE, i == 1 ? "step-2" : "step-1", 1);
+      LcRequestSpec spec
+          = make_spec_of_caller (&f, LC_KIND_SAMPLE, i == 1 ? "step-2" : "step-1", 1);
       LB_COPY (spec.flow, "trainer");
       spec.latest_start = latest[i];
       ids[i] = spec.id;
       cr_assert (fixture_submit (&f, &spec));
     }
-  cr_assert_eq (running = end_and_take_next (&f, running), ids[1]);
-  cr_assert_eq (running = end_and_take_next (&f, running), ids[2]);
-  cr_assert_eq (running = end_and_take_next (&f, running), ids[0]);
+  cr_assert_eq (running = complete_and_take_next_sent (&f, running), ids[1]);
+  cr_assert_eq (running = complete_and_take_next_sent (&f, running), ids[2]);
+  cr_assert_eq (running = complete_and_take_next_sent (&f, running), ids[0]);
   fixture_clear (&f);
 }
 
-/* One trainer queues 300 samples, then two others 100 each, one of them with double share. FIFO
- * order would leave both of these idle until the 300 are done. */
-Test (admission, shares_are_fair_and_weighted)
+/* Trainer a queues 300 samples, then b and c queue 100 each, c with double share. In FIFO order, b
+ * and c would get nothing until the 300 samples are done. */
+Test (admission, callers_are_served_in_proportion_to_their_shares)
 {
   Fixture f;
-  int taken[3] = { 0 };
+  int n_sent[3] = { 0 };
 
   fixture_init (&f, &settings, 1, 1);
   f.pool.live_reserve = 0;
   fixture_configure (&f);
 
-  LcRequestId running = fill_engine (&f, 1);
+  LcRequestId running = fill_only_engine (&f, 1);
   LcRequestId base = f.last_id;
 
   for (int i = 0; i < 500; i++)
     {
       const char *caller = i < 300 ? "a" : i < 400 ? "b" : "c";
-      LcRequestSpec spec = spec_of (&f, LC_KIND_SAMPLE, caller, i < 400 ? 1 : 2);
+      LcRequestSpec spec = make_spec_of_caller (&f, LC_KIND_SAMPLE, caller, i < 400 ? 1 : 2);
 
       cr_assert (fixture_submit (&f, &spec));
     }
   for (int i = 0; i < 160; i++)
     {
-      running = end_and_take_next (&f, running);
-      taken[running - base <= 300 ? 0 : running - base <= 400 ? 1 : 2]++;
+      running = complete_and_take_next_sent (&f, running);
+      n_sent[running - base <= 300 ? 0 : running - base <= 400 ? 1 : 2]++;
     }
-  cr_assert (abs (taken[0] - 40) <= 1 && abs (taken[1] - 40) <= 1 && abs (taken[2] - 80) <= 1,
-             "requests sent: a %d, b %d, c %d; expected 40, 40, 80", taken[0], taken[1], taken[2]);
+  cr_assert (abs (n_sent[0] - 40) <= 1 && abs (n_sent[1] - 40) <= 1 && abs (n_sent[2] - 80) <= 1,
+             "requests sent: a %d, b %d, c %d; expected 40, 40, 80", n_sent[0], n_sent[1],
+             n_sent[2]);
   fixture_clear (&f);
 }
 
-/* A caller always has exactly one request waiting and submits the next when it is sent. If its flow
- * started afresh each time, it would get every second turn against ten callers with backlogs. */
-Test (admission, returning_to_the_queue_earns_no_extra_turn)
+/* A caller submits its next request when its only waiting request is sent. If its flow were reset
+ * each time its queue is empty, it would get every second turn against ten callers with backlogs.
+ */
+Test (admission, caller_with_one_request_queued_earns_no_extra_turn)
 {
   Fixture f;
-  int n_greedy = 0;
+  int n_greedy_caller_turns = 0;
 
   fixture_init (&f, &settings, 1, 1);
 
-  LcRequestId running = fill_engine (&f, 1);
-  LcRequestSpec own = spec_of (&f, LC_KIND_LIVE, "greedy", 1);
+  LcRequestId running = fill_only_engine (&f, 1);
+  LcRequestSpec own = make_spec_of_caller (&f, LC_KIND_LIVE, "greedy", 1);
   char name[16];
 
   for (int i = 0; i < 200; i++)
     {
       snprintf (name, sizeof name, "shop-%d", i % 10);
 
-      LcRequestSpec spec = spec_of (&f, LC_KIND_LIVE, name, 1);
+      LcRequestSpec spec = make_spec_of_caller (&f, LC_KIND_LIVE, name, 1);
 
       cr_assert (fixture_submit (&f, &spec));
     }
   fixture_submit (&f, &own);
   for (int i = 0; i < 110; i++)
     {
-      running = end_and_take_next (&f, running);
+      running = complete_and_take_next_sent (&f, running);
       if (running != own.id)
         continue;
-      n_greedy++;
-      own = spec_of (&f, LC_KIND_LIVE, "greedy", 1);
+      n_greedy_caller_turns++;
+      own = make_spec_of_caller (&f, LC_KIND_LIVE, "greedy", 1);
       fixture_submit (&f, &own);
     }
-  cr_assert (n_greedy >= 9 && n_greedy <= 11, "%d of 110 turns, expected 9 to 11", n_greedy);
+  cr_assert (n_greedy_caller_turns >= 9 && n_greedy_caller_turns <= 11,
+             "the caller got %d of 110 turns, expected 9 to 11", n_greedy_caller_turns);
   fixture_clear (&f);
 }
 
-/* A caller is idle while another is served a hundred times, then submits fifty calls at once. If
- * idling earned credit, the other caller would be starved meanwhile. */
-Test (admission, idling_earns_no_credit)
+/* A caller is idle while a hundred calls of another are sent, then submits fifty calls at once. If
+ * idle time earned credit, the other caller would be starved until the fifty are sent. */
+Test (admission, idle_caller_earns_no_credit)
 {
   Fixture f;
-  int n_late = 0;
+  int n_late_caller_turns = 0;
 
   fixture_init (&f, &settings, 1, 1);
 
-  LcRequestId running = fill_engine (&f, 1);
+  LcRequestId running = fill_only_engine (&f, 1);
 
   for (int i = 0; i < 200; i++)
     {
-      LcRequestSpec spec = spec_of (&f, LC_KIND_LIVE, "steady", 1);
+      LcRequestSpec spec = make_spec_of_caller (&f, LC_KIND_LIVE, "steady", 1);
 
       cr_assert (fixture_submit (&f, &spec));
     }
   for (int i = 0; i < 100; i++)
-    running = end_and_take_next (&f, running);
+    running = complete_and_take_next_sent (&f, running);
 
   LcRequestId last_of_steady = f.last_id;
 
   for (int i = 0; i < 50; i++)
     {
-      LcRequestSpec spec = spec_of (&f, LC_KIND_LIVE, "late", 1);
+      LcRequestSpec spec = make_spec_of_caller (&f, LC_KIND_LIVE, "late", 1);
 
       cr_assert (fixture_submit (&f, &spec));
     }
   for (int i = 0; i < 40; i++)
     {
-      running = end_and_take_next (&f, running);
-      n_late += running > last_of_steady;
+      running = complete_and_take_next_sent (&f, running);
+      n_late_caller_turns += running > last_of_steady;
     }
-  cr_assert (n_late >= 19 && n_late <= 21, "%d of 40 turns, expected 19 to 21", n_late);
+  cr_assert (n_late_caller_turns >= 19 && n_late_caller_turns <= 21,
+             "the idle caller got %d of 40 turns, expected 19 to 21", n_late_caller_turns);
   fixture_clear (&f);
 }
 
-/* A live call arrives at a queue full of samples. It is admitted; the last sample of the trainer
- * furthest over its share fails as "not run" with a retry time, and a further sample of that
- * trainer is refused. */
-Test (admission, full_queue_drops_the_request_of_lowest_value)
+/* A live call that arrives at a queue full of samples is admitted. In its place the last sample of
+ * the trainer furthest over its share fails as "not run" with a retry hint. Another sample of this
+ * trainer is refused, one of a trainer without samples is admitted. */
+Test (admission, full_queue_drops_the_lowest_ranked_request)
 {
   LcDispatchSettings small = settings;
   Fixture f;
 
   small.queue_limit = 10;
   fixture_init (&f, &small, 1, 1);
-  fill_engine (&f, 1);
+  fill_only_engine (&f, 1);
   for (int i = 0; i < 10; i++)
     {
-      LcRequestSpec spec = spec_of (&f, LC_KIND_SAMPLE, i < 8 ? "many" : "few", 1);
+      LcRequestSpec spec = make_spec_of_caller (&f, LC_KIND_SAMPLE, i < 8 ? "many" : "few", 1);
 
       cr_assert (fixture_submit (&f, &spec));
     }
 
   LcRequestId last_of_many = f.last_id - 2;
-  LcRequestSpec live = spec_of (&f, LC_KIND_LIVE, "shop", 1);
+  LcRequestSpec live = make_spec_of_caller (&f, LC_KIND_LIVE, "shop", 1);
 
   cr_assert (fixture_submit (&f, &live));
 
@@ -242,8 +246,8 @@
   cr_assert_eq (finish.error, LB_ERROR_OVERLOADED);
   cr_assert_gt (finish.retry_after, 0);
 
-  LcRequestSpec more = spec_of (&f, LC_KIND_SAMPLE, "many", 1);
-  LcRequestSpec fair = spec_of (&f, LC_KIND_SAMPLE, "new", 1);
+  LcRequestSpec more = make_spec_of_caller (&f, LC_KIND_SAMPLE, "many", 1);
+  LcRequestSpec fair = make_spec_of_caller (&f, LC_KIND_SAMPLE, "new", 1);
 
   cr_assert_not (fixture_submit (&f, &more));
   cr_assert_eq (f.error.code, LB_ERROR_OVERLOADED);
@@ -253,40 +257,39 @@
   fixture_clear (&f);
 }
 
-/* The queue is longer than what can be served before a call's deadline. Admitted, the call would
- * wait in vain; refused at once, its caller can go elsewhere. The retry hint covers the queue. A
- * call with a later deadline is admitted, and so is one of a caller with nothing queued, which has
- * fewer requests ahead. */
+/* A call that can't be sent before its deadline is refused at once with a retry hint of about the
+ * queueing time, so that its caller can go elsewhere. A call with a later deadline is admitted, and
+ * so is a call of a caller without queued calls, which has fewer requests ahead. */
 Test (admission, calls_that_would_miss_their_deadline_are_refused_early)
 {
   Fixture f;
 
   fixture_init (&f, &settings, 1, 1);
 
-  LcRequestId running = fill_engine (&f, 1);
+  LcRequestId running = fill_only_engine (&f, 1);
 
   for (int i = 0; i < 60; i++)
     {
-      LcRequestSpec spec = spec_of (&f, LC_KIND_LIVE, "shop", 1);
+      LcRequestSpec spec = make_spec_of_caller (&f, LC_KIND_LIVE, "shop", 1);
 
       cr_assert (fixture_submit (&f, &spec));
     }
   for (int i = 0; i < 10; i++)
     {
       f.now += 490 * LB_MSEC;
-      running = end_and_take_next (&f, running);
+      running = complete_and_take_next_sent (&f, running);
     }
 
-  LcRequestSpec too_late = spec_of (&f, LC_KIND_LIVE, "shop", 1);
+  LcRequestSpec too_late = make_spec_of_caller (&f, LC_KIND_LIVE, "shop", 1);
 
   too_late.deadline = f.now + 20 * LB_SEC;
   cr_assert_not (fixture_submit (&f, &too_late));
   cr_assert_eq (f.error.code, LB_ERROR_OVERLOADED);
-  cr_assert (f.retry_after >= 20 * LB_SEC && f.retry_after <= 40 * LB_SEC, "retry hint is %ld ms",
-             (long)(f.retry_after / LB_MSEC));
+  cr_assert (f.retry_after >= 20 * LB_SEC && f.retry_after <= 40 * LB_SEC,
+             "retry hint is %ld ms, expected 20000 to 40000", (long)(f.retry_after / LB_MSEC));
 
-  LcRequestSpec later_deadline = spec_of (&f, LC_KIND_LIVE, "shop", 1);
-  LcRequestSpec other = spec_of (&f, LC_KIND_LIVE, "clerk", 1);
+  LcRequestSpec later_deadline = make_spec_of_caller (&f, LC_KIND_LIVE, "shop", 1);
+  LcRequestSpec other = make_spec_of_caller (&f, LC_KIND_LIVE, "clerk", 1);
 
   later_deadline.deadline = f.now + 60 * LB_SEC;
   other.deadline = f.now + 20 * LB_SEC;
@@ -295,8 +298,7 @@
   fixture_clear (&f);
 }
 
-/* Samples must leave the slots reserved for live calls free, so that a live call is sent at
- * once. */
+/* Samples must leave the slots reserved for live calls free, so that a live call never waits. */
 Test (admission, samples_leave_the_live_reserve_free)
 {
   Fixture f;
@@ -304,30 +306,30 @@
   fixture_init (&f, &settings, 1, 8);
   for (int i = 0; i < 20; i++)
     {
-      LcRequestSpec spec = spec_of (&f, LC_KIND_SAMPLE, "trainer", 1);
+      LcRequestSpec spec = make_spec_of_caller (&f, LC_KIND_SAMPLE, "trainer", 1);
 
       cr_assert (fixture_submit (&f, &spec));
     }
   cr_assert_eq (lc_dispatch_count_waiting (f.dispatch, LC_KIND_SAMPLE), 14);
 
-  LcRequestSpec live = spec_of (&f, LC_KIND_LIVE, "shop", 1);
+  LcRequestSpec live = make_spec_of_caller (&f, LC_KIND_LIVE, "shop", 1);
 
   cr_assert (fixture_submit (&f, &live));
   fixture_expect_action (&f, LC_ACTION_SEND, live.id);
   fixture_clear (&f);
 }
 
-/* A sample needs weights that no engine has yet. The unconstrained samples behind it, of the same
- * and of other callers, must not wait for it while engines are idle. */
-Test (admission, a_sample_without_endpoint_does_not_block_others)
+/* The first sample in the queue needs weights that no engine has yet. Samples behind it that accept
+ * any engine, of the same and of another caller, must not wait while engines are idle. */
+Test (admission, sample_without_endpoint_does_not_block_others)
 {
   Fixture f;
 
   fixture_init (&f, &settings, 1, 8);
 
-  LcRequestSpec newest = spec_of (&f, LC_KIND_SAMPLE, "trainer", 1);
-  LcRequestSpec same = spec_of (&f, LC_KIND_SAMPLE, "trainer", 1);
-  LcRequestSpec other = spec_of (&f, LC_KIND_SAMPLE, "other", 1);
+  LcRequestSpec newest = make_spec_of_caller (&f, LC_KIND_SAMPLE, "trainer", 1);
+  LcRequestSpec same = make_spec_of_caller (&f, LC_KIND_SAMPLE, "trainer", 1);
+  LcRequestSpec other = make_spec_of_caller (&f, LC_KIND_SAMPLE, "other", 1);
 
   newest.min_version = 41;
   newest.priority = 1;
@@ -345,15 +347,15 @@
   fixture_clear (&f);
 }
 
-/* A call refused by an engine returns to the head of its queue. At the tail, a busy queue could
- * starve it until its deadline. */
-Test (admission, a_retry_keeps_its_position)
+/* A call refused by an engine returns to the head of its queue. At the tail of a busy queue it
+ * could wait until its deadline. */
+Test (admission, refused_request_keeps_its_queue_position)
 {
   Fixture f;
 
   fixture_init (&f, &settings, 1, 1);
 
-  LcRequestId first = fill_engine (&f, 1);
+  LcRequestId first = fill_only_engine (&f, 1);
 
   for (int i = 0; i < 5; i++)
     {
@@ -366,27 +368,28 @@
   LcRequestId running = fixture_expect_action (&f, LC_ACTION_SEND, first + 1).request;
 
   fixture_tick_at (&f, f.now + 5 * LB_SEC);
-  cr_assert_eq (end_and_take_next (&f, running), first);
+  cr_assert_eq (complete_and_take_next_sent (&f, running), first);
   fixture_clear (&f);
 }
 
-/* Hundreds of requests of many callers and kinds, some of them cancelled: the queue must end up
- * empty and consistent, whatever was dequeued, removed or deferred in between. */
-Test (admission, long_queue_loses_no_request)
+/* Queues hundreds of requests of many callers and kinds, some of them cancelled. Each of the others
+ * must be sent exactly once, and the queue must be empty in the end. */
+Test (admission, queue_of_many_callers_loses_no_request)
 {
   Fixture f;
   LcRequestId running = 0;
   size_t n_turns = 0;
 
   fixture_init (&f, &settings, 1, 1);
-  running = fill_engine (&f, 1);
+  running = fill_only_engine (&f, 1);
   for (int i = 0; i < 900; i++)
     {
       char name[16];
 
       snprintf (name, sizeof name, "caller-%d", i % 37);
 
-      LcRequestSpec spec = spec_of (&f, i % 3 ? LC_KIND_LIVE : LC_KIND_SAMPLE, name, 1 + i % 5);
+      LcRequestSpec spec
+          = make_spec_of_caller (&f, i % 3 ? LC_KIND_LIVE : LC_KIND_SAMPLE, name, 1 + i % 5);
 
       spec.priority = i % 7 - 3;
       cr_assert (fixture_submit (&f, &spec));
@@ -398,7 +401,7 @@
   size_t waiting = lc_dispatch_count_waiting (f.dispatch, LC_KIND_LIVE)
                    + lc_dispatch_count_waiting (f.dispatch, LC_KIND_SAMPLE);
 
-  while ((running = end_and_take_next (&f, running)))
+  while ((running = complete_and_take_next_sent (&f, running)))
     n_turns++;
   cr_assert_eq (n_turns, waiting);
   cr_assert_eq (lc_dispatch_count_in_progress (f.dispatch), 0);
--- a/packages/core/tests/test-dispatch.c
+++ b/packages/core/tests/test-dispatch.c
@@ -3,7 +3,7 @@
 static const LcDispatchSettings settings
     = { .max_report_age = LB_TIME_NEVER, .queue_limit = 100, .retry_budget = 0.2, .seed = 1 };
 
-Test (dispatch, answer_is_forwarded_piece_by_piece)
+Test (dispatch, answer_pieces_are_forwarded_as_they_arrive)
 {
   Fixture f;
 
@@ -25,7 +25,7 @@
   fixture_clear (&f);
 }
 
-Test (dispatch, refusals_have_error_codes)
+Test (dispatch, refused_requests_get_the_error_of_their_reason)
 {
   Fixture f;
 
--- a/packages/core/tests/test-retry.c
+++ b/packages/core/tests/test-retry.c
@@ -3,7 +3,7 @@
 
 #include <gsl/gsl_randist.h>
 
-Test (budget, retries_are_a_share_of_successes)
+Test (budget, retries_are_limited_to_a_share_of_successes)
 {
   LcRetryBudgets *budgets = lc_retry_budgets_new (0.25);
   int n_retries = 0;
@@ -20,12 +20,13 @@
     }
   cr_assert_eq (n_retries, 25);
   cr_assert (lc_retry_budgets_allow_retry (budgets, "pipeline"),
-             "retries of one caller were charged to another");
+             "a caller without retries has no budget: another caller's retries were charged to it");
   lc_retry_budgets_free (budgets);
 }
 
-/* Every call has a new caller name. The table of budgets must not grow without bound. */
-Test (budget, table_is_bounded)
+/* If every call has a new caller name, the table of budgets must not grow without bound, and must
+ * keep the budgets in use. */
+Test (budget, bucket_table_is_bounded)
 {
   LcRetryBudgets *budgets = lc_retry_budgets_new (1e-9);
   char name[32];
@@ -39,33 +40,34 @@
       lc_retry_budgets_credit_success (budgets, "busy");
     }
   cr_assert_leq (lc_retry_budgets_count_buckets (budgets), 16384);
-  cr_assert_not (lc_retry_budgets_allow_retry (budgets, "busy"), "a recently used bucket was evicted");
+  cr_assert_not (lc_retry_budgets_allow_retry (budgets, "busy"),
+                 "the bucket \"busy\" was evicted although it was used recently");
   lc_retry_budgets_free (budgets);
 }
 
-/* Calls that fail at the same moment and are retried after a fixed delay would all return, and
- * fail, together again. */
-Test (delay, is_spread_over_its_whole_range)
+/* Guards against calls that fail together, are retried after the same delay and fail together
+ * again. */
+Test (delay, retry_delay_is_uniform_over_its_range)
 {
   gsl_rng *random = gsl_rng_alloc (gsl_rng_taus2);
-  int low = 0;
+  int n_below_half = 0;
 
   for (int i = 0; i < 1000; i++)
     {
       LbTime delay = lc_retry_delay (random, 3);
 
       cr_assert (delay >= 0 && delay < 200 * LB_MSEC);
-      low += delay < 100 * LB_MSEC;
+      n_below_half += delay < 100 * LB_MSEC;
     }
-  cr_assert (low > 400 && low < 600);
+  cr_assert (n_below_half > 400 && n_below_half < 600);
   for (int i = 0; i < 1000; i++)
     cr_assert_lt (lc_retry_delay (random, 1000), 2 * LB_SEC);
   gsl_rng_free (random);
 }
 
-/* All calls of one caller break. It must not use up what another caller's successes have earned at
- * the engines: a broken call of the other must still be retried. */
-Test (budget, is_separate_for_each_caller)
+/* A caller whose calls all break must not use up the retries that another caller's successes have
+ * earned at the engines: a broken call of the other caller must still be retried. */
+Test (budget, each_caller_has_its_own_budget)
 {
   const LcDispatchSettings settings
       = { .max_report_age = LB_TIME_NEVER, .queue_limit = 100, .retry_budget = 0.25, .seed = 1 };
@@ -95,7 +97,8 @@
           n_retries += fixture_take_action (&f, LC_ACTION_SEND, bad.id, &action);
         }
     }
-  cr_assert (n_retries > 0 && n_retries <= 3, "%d retries, expected 1 to 3", n_retries);
+  cr_assert (n_retries > 0 && n_retries <= 3, "the caller got %d retries, expected 1 to 3",
+             n_retries);
 
   LcRequestSpec good = fixture_new_spec (&f, LC_KIND_LIVE);
 
@@ -107,9 +110,9 @@
   fixture_clear (&f);
 }
 
-/* When all engines are slow to start, hedging every call would double the load at the worst
- * moment. */
-Test (budget, hedges_spend_the_budget_too)
+/* If all engines are slow to answer, hedging every call would double the load on engines that are
+ * already overloaded. */
+Test (budget, hedges_are_charged_to_the_budget)
 {
   const LcDispatchSettings settings = { .max_report_age = LB_TIME_NEVER,
                                         .queue_limit = 100,
@@ -127,25 +130,26 @@
     }
   fixture_drop_actions (&f);
   fixture_tick_at (&f, f.now + 10 * LB_SEC);
-  cr_assert_eq (f.actions.length, 3, "%zu hedges, expected 3", f.actions.length);
+  cr_assert_eq (f.actions.length, 3, "%zu hedges were sent, expected 3", f.actions.length);
   fixture_clear (&f);
 }
 
-/* Simulation in virtual time: one endpoint, and callers with a steady rate of calls. */
+/* Simulation of an outage in virtual time, with one endpoint and callers with a steady call rate.
+ */
 
 #define CALLS_PER_SECOND 200
 #define SERVICE_TIME (50 * LB_MSEC)
 #define OUTAGE_BEGINS (20 * LB_SEC)
 #define OUTAGE_ENDS (30 * LB_SEC)
-#define RUN_ENDS (60 * LB_SEC)
-#define MAX_PENDING 4096
+#define SIMULATION_ENDS (60 * LB_SEC)
+#define MAX_PENDING_ENDS 4096
 
 typedef enum
 {
-  OUTAGE_REFUSES, /* refuses connections */
-  OUTAGE_BREAKS,  /* accepts the call, then breaks the connection */
-  OUTAGE_SILENT,  /* accepts the call and never answers; the node closes after 3 s */
-  OUTAGE_PARTIAL  /* breaks two calls of five: too few to open a breaker */
+  OUTAGE_REFUSES, /* the endpoint refuses connections */
+  OUTAGE_BREAKS,  /* the endpoint accepts calls, then breaks the connection */
+  OUTAGE_SILENT,  /* the endpoint accepts calls and never answers; the node gives up after 3 s */
+  OUTAGE_PARTIAL  /* the endpoint breaks two calls of five: too few to open its circuit breaker */
 } OutageKind;
 
 typedef struct
@@ -161,16 +165,16 @@
   Fixture f;
   OutageKind kind;
   gsl_rng *random;
-  PendingEnd pending[MAX_PENDING];
+  PendingEnd pending[MAX_PENDING_ENDS];
   size_t n_pending;
-  size_t n_accepted;                /* during the outage */
-  int sent[RUN_ENDS / LB_SEC];      /* attempts that reached the endpoint, by second */
-  int submitted[RUN_ENDS / LB_SEC]; /* calls submitted, by second */
-  int answered[RUN_ENDS / LB_SEC];
+  size_t n_accepted; /* OUTAGE_PARTIAL: number of calls accepted during the outage */
+  int sent[SIMULATION_ENDS / LB_SEC];      /* number of attempts sent to the endpoint, by second */
+  int submitted[SIMULATION_ENDS / LB_SEC]; /* number of calls submitted, by second */
+  int answered[SIMULATION_ENDS / LB_SEC];
 } StormSimulation;
 
 static PendingEnd
-pending_end_of (StormSimulation *storm, const LcAction *send)
+make_pending_end (StormSimulation *storm, const LcAction *send)
 {
   LbTime now = storm->f.now;
   bool is_out = now >= OUTAGE_BEGINS && now < OUTAGE_ENDS;
@@ -188,7 +192,7 @@
 }
 
 static void
-handle_actions (StormSimulation *storm)
+handle_dispatch_actions (StormSimulation *storm)
 {
   LbLink *link = NULL;
 
@@ -199,8 +203,8 @@
 
       if (action->type == LC_ACTION_SEND)
         {
-          cr_assert_lt (storm->n_pending, MAX_PENDING);
-          storm->pending[storm->n_pending++] = pending_end_of (storm, action);
+          cr_assert_lt (storm->n_pending, MAX_PENDING_ENDS);
+          storm->pending[storm->n_pending++] = make_pending_end (storm, action);
           storm->sent[second]++;
         }
       storm->answered[second] += action->type == LC_ACTION_FINISH && action->error == LB_OK;
@@ -209,7 +213,7 @@
 }
 
 static void
-end_due (StormSimulation *storm)
+end_due_attempts (StormSimulation *storm)
 {
   for (size_t i = 0; i < storm->n_pending;)
     {
@@ -224,7 +228,7 @@
       if (pending.end == LC_END_COMPLETE)
         fixture_deliver_piece (&storm->f, pending.request, pending.attempt, 0, 10, true);
       fixture_end_attempt (&storm->f, pending.request, pending.attempt, pending.end);
-      handle_actions (storm);
+      handle_dispatch_actions (storm);
     }
 }
 
@@ -242,12 +246,12 @@
       spec.deadline = storm->f.now + 2 * LB_SEC;
       storm->submitted[storm->f.now / LB_SEC]++;
       fixture_submit (&storm->f, &spec);
-      handle_actions (storm);
+      handle_dispatch_actions (storm);
     }
 }
 
 static StormSimulation *
-run_storm (OutageKind kind)
+run_outage_simulation (OutageKind kind)
 {
   LcDispatchSettings settings
       = { .max_report_age = LB_TIME_NEVER, .queue_limit = 4096, .retry_budget = 0.1, .seed = 1 };
@@ -256,20 +260,20 @@
   storm->kind = kind;
   storm->random = gsl_rng_alloc (gsl_rng_taus2);
   fixture_init (&storm->f, &settings, 1, 32);
-  for (LbTime now = LB_SEC; now < RUN_ENDS; now += LB_MSEC)
+  for (LbTime now = LB_SEC; now < SIMULATION_ENDS; now += LB_MSEC)
     {
       storm->f.now = now;
-      end_due (storm);
+      end_due_attempts (storm);
       submit_calls (storm);
       if (now >= lc_dispatch_next_tick (storm->f.dispatch))
         fixture_tick_at (&storm->f, now);
-      handle_actions (storm);
+      handle_dispatch_actions (storm);
     }
   return storm;
 }
 
 static void
-free_storm (StormSimulation *storm)
+free_simulation (StormSimulation *storm)
 {
   fixture_clear (&storm->f);
   gsl_rng_free (storm->random);
@@ -277,7 +281,7 @@
 }
 
 static int
-sum (const int *by_second, LbTime from, LbTime to)
+sum_of_seconds (const int *by_second, LbTime from, LbTime to)
 {
   int total = 0;
 
@@ -286,55 +290,55 @@
   return total;
 }
 
-/* Checks that from the outage on the endpoint's load stays near the callers' own rate in every
- * second, and that all calls are answered again at the end. */
+/* Checks that attempts exceed the call rate by at most 20 % in every second from the outage on, and
+ * that at least 99 % of the calls of the last 20 s are answered. */
 static void
-expect_no_storm (OutageKind kind)
+expect_no_retry_storm (OutageKind kind)
 {
-  StormSimulation *storm = run_storm (kind);
-  LbTime last = RUN_ENDS - 20 * LB_SEC;
+  StormSimulation *storm = run_outage_simulation (kind);
+  LbTime last = SIMULATION_ENDS - 20 * LB_SEC;
 
-  for (LbTime at = OUTAGE_BEGINS; at < RUN_ENDS; at += LB_SEC)
+  for (LbTime at = OUTAGE_BEGINS; at < SIMULATION_ENDS; at += LB_SEC)
     {
-      int sent = sum (storm->sent, at, at + LB_SEC);
+      int sent = sum_of_seconds (storm->sent, at, at + LB_SEC);
 
       cr_expect_leq (sent, CALLS_PER_SECOND * 1.2, "%d attempts sent in second %d", sent,
                      (int)(at / LB_SEC));
     }
-  cr_expect_geq (sum (storm->answered, last, RUN_ENDS),
-                 sum (storm->submitted, last, RUN_ENDS) * 0.99);
-  free_storm (storm);
+  cr_expect_geq (sum_of_seconds (storm->answered, last, SIMULATION_ENDS),
+                 sum_of_seconds (storm->submitted, last, SIMULATION_ENDS) * 0.99);
+  free_simulation (storm);
 }
 
-/* An endpoint is down for ten seconds while callers continue at their rate. If every failed call
- * were retried without a budget, the endpoint would return to several times its usual load, fail
- * under it and never recover. */
-Test (storm, connections_refused)
+/* The endpoint is down for ten seconds while calls continue at their rate. Without a retry budget,
+ * the retries of all failed calls would be several times its usual load when it returns. It would
+ * fail again and never recover. */
+Test (storm, refused_connections_cause_no_retry_storm)
 {
-  expect_no_storm (OUTAGE_REFUSES);
+  expect_no_retry_storm (OUTAGE_REFUSES);
 }
 
-Test (storm, calls_break)
+Test (storm, broken_calls_cause_no_retry_storm)
 {
-  expect_no_storm (OUTAGE_BREAKS);
+  expect_no_retry_storm (OUTAGE_BREAKS);
 }
 
-Test (storm, calls_are_never_answered)
+Test (storm, unanswered_calls_cause_no_retry_storm)
 {
-  expect_no_storm (OUTAGE_SILENT);
+  expect_no_retry_storm (OUTAGE_SILENT);
 }
 
-/* The endpoint fails only two calls of five, which opens no breaker: only the budgets limit the
- * load. */
-Test (storm, some_calls_break)
+/* Two failures of five calls don't open the circuit breaker, so only the budgets limit the retries.
+ */
+Test (storm, partly_broken_calls_cause_no_retry_storm)
 {
-  expect_no_storm (OUTAGE_PARTIAL);
+  expect_no_retry_storm (OUTAGE_PARTIAL);
 }
 
-/* An engine that loads weights refuses requests and looks idle, so a long sample was sent to it
- * again every 50 to 800 ms and started a second late although another engine had capacity. It must
- * go to the other engine at once, even with an empty budget. */
-Test (retry, a_sample_that_is_refused_goes_to_another_engine_at_once)
+/* An engine that loads weights refuses requests and looks idle. A refused sample was sent to it
+ * again every 50 to 800 ms and started a second late, although another engine had capacity. The
+ * sample must be sent to the other engine at once, even with an empty budget. */
+Test (retry, refused_sample_is_sent_to_another_engine_at_once)
 {
   const LcDispatchSettings no_budget = {
     .max_report_age = LB_TIME_NEVER, .queue_limit = 100, .default_deadline = 30 * LB_SEC, .seed = 1
--- a/packages/core/tests/test-router.c
+++ b/packages/core/tests/test-router.c
@@ -1,20 +1,20 @@
 #include "endpoints-fixture.h"
 
 static LcRouteDecision
-choose (LcRouter *router, Fixture *f, const LcRouteQuery *query, LbTime now)
+choose_endpoint (LcRouter *router, Fixture *f, const LcRouteQuery *query, LbTime now)
 {
   return lc_router_choose (router, f->endpoints, query, now);
 }
 
-/* Runs the check for each policy. */
+/* Calls check for each policy with a new router. */
 static void
-with_each_policy (void (*check) (LcRouter *router, const char *policy))
+run_check_for_each_policy (void (*check) (LcRouter *router, const char *policy))
 {
   for (const char *const *name = lc_router_policy_names (); *name; name++)
     {
       LcRouter *router = lc_router_new (*name, 7);
 
-      cr_assert_not_null (router, "%s", *name);
+      cr_assert_not_null (router, "the policy %s does not exist", *name);
       cr_assert_str_eq (router->klass->name, *name);
       check (router, *name);
       lc_router_free (router);
@@ -22,7 +22,7 @@
 }
 
 static void
-check_filters (LcRouter *router, const char *policy)
+check_endpoint_filters (LcRouter *router, const char *policy)
 {
   LcRouteQuery query = fixture_query ();
   Fixture f;
@@ -40,32 +40,36 @@
   query.kind = LC_KIND_SAMPLE;
   for (int i = 0; i < 20; i++)
     {
-      LcRouteDecision decision = choose (router, &f, &query, 3);
+      LcRouteDecision decision = choose_endpoint (router, &f, &query, 3);
 
-      cr_assert_eq (decision.n_candidates, 1, "%s", policy);
-      cr_assert_str_eq (decision.endpoint->member.name, "e0", "%s", policy);
+      cr_assert_eq (decision.n_candidates, 1, "policy %s: expected one candidate", policy);
+      cr_assert_str_eq (decision.endpoint->member.name, "e0", "policy %s: expected endpoint e0",
+                        policy);
     }
   fixture_clear (&f);
 }
 
-/* No policy chooses an endpoint that is leaving, avoided, full or has outdated weights: policies
- * can be compared only with the same filters. */
-Test (router, all_policies_have_the_same_filters)
+/* No policy may choose an endpoint that is leaving, avoided or full, or that has outdated weights.
+ * Policies can be compared only if all of them use the same filters. */
+Test (router, all_policies_filter_the_same_endpoints)
 {
-  with_each_policy (check_filters);
+  run_check_for_each_policy (check_endpoint_filters);
 }
 
 static void
-expect_reason (LcRouter *router, Fixture *f, const LcRouteQuery *query, const char *reason)
+expect_no_endpoint_with_reason (LcRouter *router,
+                                Fixture *f,
+                                const LcRouteQuery *query,
+                                const char *reason)
 {
-  LcRouteDecision decision = choose (router, f, query, 10);
+  LcRouteDecision decision = choose_endpoint (router, f, query, 10);
 
   cr_assert_null (decision.endpoint);
   cr_assert_str_eq (decision.reason, reason);
 }
 
 static void
-check_reasons (LcRouter *router, const char *policy)
+check_reasons_of_empty_decisions (LcRouter *router, const char *policy)
 {
   LcRouteQuery query = fixture_query ();
   Fixture f;
@@ -73,34 +77,34 @@
   (void)policy;
   fixture_init (&f, 2);
   query.pool = "other";
-  expect_reason (router, &f, &query, "no-endpoint");
+  expect_no_endpoint_with_reason (router, &f, &query, "no-endpoint");
   query.pool = "reader";
   query.min_version = 5;
-  expect_reason (router, &f, &query, "too-old");
+  expect_no_endpoint_with_reason (router, &f, &query, "too-old");
   query.min_version = 0;
   query.n_avoid = 2;
   strcpy (query.avoid[0], "e0");
   strcpy (query.avoid[1], "e1");
-  expect_reason (router, &f, &query, "all-avoided");
+  expect_no_endpoint_with_reason (router, &f, &query, "all-avoided");
   query.n_avoid = 0;
   for (int i = 0; i < 8; i++)
     {
       lc_endpoint_request_sent (fixture_find (&f, "e0"), LC_KIND_LIVE, 0, 1);
       lc_endpoint_request_sent (fixture_find (&f, "e1"), LC_KIND_LIVE, 0, 1);
     }
-  expect_reason (router, &f, &query, "no-capacity");
+  expect_no_endpoint_with_reason (router, &f, &query, "no-capacity");
   lc_endpoints_mark_leaving (f.endpoints, "e0", "", LC_LEAVING_ENDPOINT, 2);
   lc_endpoints_mark_leaving (f.endpoints, "e1", "", LC_LEAVING_ENDPOINT, 2);
-  expect_reason (router, &f, &query, "all-leaving");
+  expect_no_endpoint_with_reason (router, &f, &query, "all-leaving");
   fixture_clear (&f);
 }
 
 Test (router, empty_decision_states_the_reason)
 {
-  with_each_policy (check_reasons);
+  run_check_for_each_policy (check_reasons_of_empty_decisions);
 }
 
-Test (router, unknown_policy_is_refused_and_empty_name_is_the_default)
+Test (router, unknown_policy_is_refused_and_empty_name_selects_default)
 {
   LcRouter *router = lc_router_new ("", 1);
 
@@ -109,12 +113,12 @@
   lc_router_free (router);
 }
 
-/* All instances see the same report: e0 is nearly idle, the nine others are half full. If every
- * instance chose e0, it would be the fullest before the next report, which would then move them all
- * elsewhere (herding). */
-Test (finish_time, instances_with_the_same_report_do_not_all_choose_the_same)
+/* All instances see the same report: e0 is nearly idle, the nine other engines are half full. If
+ * every instance chose e0, e0 would be the fullest by the next report, and all instances would then
+ * choose another engine (herding). */
+Test (finish_time, instances_with_the_same_report_spread_their_requests)
 {
-  int at_e0 = 0;
+  int n_at_e0 = 0;
 
   for (uint64_t instance = 0; instance < 100; instance++)
     {
@@ -131,16 +135,20 @@
 
           lc_endpoints_record_load (f.endpoints, f.members[i].name, &report, 2 * LB_SEC);
         }
-      at_e0 += strcmp (choose (router, &f, &query, 2 * LB_SEC).endpoint->member.name, "e0") == 0;
+      n_at_e0
+          += strcmp (choose_endpoint (router, &f, &query, 2 * LB_SEC).endpoint->member.name, "e0")
+             == 0;
       lc_router_free (router);
       fixture_clear (&f);
     }
-  cr_assert_gt (at_e0, 100 / 10, "the emptiest engine did not get more than an even share");
-  cr_assert_lt (at_e0, 50, "the emptiest engine got most requests");
+  cr_assert_gt (n_at_e0, 100 / 10,
+                "the emptiest engine got at most 10 of 100 requests, expected 11 to 49");
+  cr_assert_lt (n_at_e0, 50,
+                "the emptiest engine got 50 or more of 100 requests, expected 11 to 49");
 }
 
 static const char *
-choose_with_prefix (Fixture *f, uint64_t prefix, LbTime now)
+choose_engine_for_prefix (Fixture *f, uint64_t prefix, LbTime now)
 {
   LcRouter *router = lc_router_new ("lentilspindle", 3);
   LcRouteQuery query = fixture_query ();
@@ -148,13 +156,13 @@
   query.prefix_hashes = &prefix;
   query.n_prefix_hashes = 1;
 
-  const char *name = choose (router, f, &query, now).endpoint->member.name;
+  const char *name = choose_endpoint (router, f, &query, now).endpoint->member.name;
 
   lc_router_free (router);
   return name;
 }
 
-Test (finish_time, prefers_the_cached_prompt_unless_that_engine_is_much_fuller)
+Test (finish_time, engine_with_cached_prompt_is_preferred_unless_much_fuller)
 {
   Fixture f;
 
@@ -162,16 +170,16 @@
   for (int i = 0; i < 4; i++)
     fixture_report (&f, f.members[i].name, "a", 1, 1);
   lc_endpoints_apply_cache_event (f.endpoints, "e2", 1, true, 77, 2);
-  cr_assert_str_eq (choose_with_prefix (&f, 77, 3), "e2");
+  cr_assert_str_eq (choose_engine_for_prefix (&f, 77, 3), "e2");
   for (int i = 0; i < 7; i++)
     lc_endpoint_request_sent (fixture_find (&f, "e2"), LC_KIND_LIVE, 0, 3);
-  cr_assert_str_neq (choose_with_prefix (&f, 77, 4), "e2");
+  cr_assert_str_neq (choose_engine_for_prefix (&f, 77, 4), "e2");
   fixture_clear (&f);
 }
 
-/* An engine is to swap weights within 30 s: a request sent there would wait for the load or lose
- * its cache. A busier engine is expected to finish it sooner. */
-Test (finish_time, an_engine_about_to_swap_is_chosen_last)
+/* Engine e0 is about to swap its weights within 30 s. A request sent to e0 would wait for the new
+ * weights or lose its cache, so the busier e1 is expected to finish the request sooner. */
+Test (finish_time, engine_about_to_swap_weights_is_chosen_last)
 {
   Fixture f;
 
@@ -180,16 +188,16 @@
   fixture_report (&f, "e1", "a", 1, 1);
   for (int i = 0; i < 5; i++)
     lc_endpoint_request_sent (fixture_find (&f, "e1"), LC_KIND_LIVE, 0, 2);
-  cr_assert_str_eq (choose_with_prefix (&f, 0, 3), "e0");
+  cr_assert_str_eq (choose_engine_for_prefix (&f, 0, 3), "e0");
   lc_endpoints_set_swap (f.endpoints, "e0", true, 30 * LB_SEC, 3);
-  cr_assert_str_eq (choose_with_prefix (&f, 0, 4), "e1");
+  cr_assert_str_eq (choose_engine_for_prefix (&f, 0, 4), "e1");
   fixture_clear (&f);
 }
 
-/* An engine hangs with its connections open. As its last report ages, its load is assumed to
- * have finished, so it would look emptiest and attract requests of all instances until their
- * deadlines. */
-Test (finish_time, a_silent_engine_does_not_attract_requests)
+/* Engine e0 hangs with its connections open. Its last reported requests are assumed to finish, so
+ * e0 would look emptiest and attract requests of all instances. Any reply of e0 ends the penalty.
+ */
+Test (finish_time, silent_engine_does_not_attract_requests)
 {
   Fixture f;
 
@@ -204,15 +212,15 @@
         lc_endpoints_record_load (f.endpoints, f.members[i].name, &report, now);
       }
   for (uint64_t prompt = 1; prompt < 50; prompt++)
-    cr_assert_str_neq (choose_with_prefix (&f, prompt, 8 * LB_SEC), "e0");
+    cr_assert_str_neq (choose_engine_for_prefix (&f, prompt, 8 * LB_SEC), "e0");
   lc_endpoint_first_byte_received (fixture_find (&f, "e0"), LB_MSEC, 8 * LB_SEC);
-  cr_assert_str_eq (choose_with_prefix (&f, 1, 8 * LB_SEC + 1), "e0");
+  cr_assert_str_eq (choose_engine_for_prefix (&f, 1, 8 * LB_SEC + 1), "e0");
   fixture_clear (&f);
 }
 
-/* Endpoints are known from the store's listing. Each listing counted as a reply of every endpoint,
- * so all seemed to have an open connection and calls rotated over them. */
-Test (router, a_list_of_the_store_opens_no_connection)
+/* The store lists the endpoints. When each listing counted as a reply of every endpoint, all
+ * endpoints seemed to have an open connection, and calls rotated over them. */
+Test (router, store_listing_does_not_count_as_connection)
 {
   LcRouteQuery query = fixture_query ();
   LcRouter *router = lc_router_new ("lentilspindle", 7);
@@ -234,16 +242,17 @@
       lc_endpoints_record_load (f.endpoints, f.members[i].name, &listed, now + LB_SEC);
     }
   for (int i = 0; i < 40; i++)
-    cr_assert_str_eq (choose (router, &f, &query, now + LB_SEC).endpoint->member.name, "e2");
+    cr_assert_str_eq (choose_endpoint (router, &f, &query, now + LB_SEC).endpoint->member.name,
+                      "e2");
   fixture_clear (&f);
   lc_router_free (router);
 }
 
-/* Each of eighty instances calls a service only now and then. Rotating over the endpoints, two of
- * three calls had to open a connection because the old one had been closed meanwhile, and endpoints
- * ran out of connections. An instance keeps to the endpoint that it used recently, unless that one
- * is busier. */
-Test (router, service_calls_keep_to_open_connections)
+/* Eighty instances call a service rarely. When they rotated over its endpoints, two of three calls
+ * had to open a connection, since the last one had been closed, and the endpoints ran out of
+ * connections. An instance prefers the endpoint that it used last unless this endpoint is busier.
+ */
+Test (router, service_calls_prefer_endpoints_with_open_connections)
 {
   LcRouteQuery query = fixture_query ();
   LcRouter *router = lc_router_new ("lentilspindle", 7);
@@ -259,10 +268,12 @@
   lc_endpoint_first_byte_received (fixture_find (&f, "e2"), 20 * LB_MSEC, now);
   lc_endpoint_request_ended (fixture_find (&f, "e2"), LC_KIND_SERVICE, true, 0, 20 * LB_MSEC, now);
   for (int i = 0; i < 40; i++)
-    cr_assert_str_eq (choose (router, &f, &query, now + LB_SEC).endpoint->member.name, "e2");
+    cr_assert_str_eq (choose_endpoint (router, &f, &query, now + LB_SEC).endpoint->member.name,
+                      "e2");
   for (int i = 0; i < 4; i++)
     lc_endpoint_request_sent (fixture_find (&f, "e2"), LC_KIND_SERVICE, 0, now + LB_SEC);
-  cr_assert_str_neq (choose (router, &f, &query, now + LB_SEC).endpoint->member.name, "e2");
+  cr_assert_str_neq (choose_endpoint (router, &f, &query, now + LB_SEC).endpoint->member.name,
+                     "e2");
   fixture_clear (&f);
   lc_router_free (router);
 }
