--- a/packages/core/include/lc-dispatch.h
+++ b/packages/core/include/lc-dispatch.h
@@ -29,7 +29,7 @@
   double share;          /* weight in fair queueing among requests of the kind; 0 means 1 */
   bool repeatable;       /* the request may be executed more than once */
   bool resumable;        /* another endpoint may continue a broken stream at its last offset */
-  bool failure_is_final; /* no retry after LC_END_FAILED: the submitter counts failures */
+  bool failure_is_final; /* no retry after LC_END_FAILED, which the submitter counts itself */
   int64_t max_attempts;  /* limit of the route; 0: only MAX_ATTEMPTS of lc-request.c applies */
   /* Time without a piece until a repeatable request is hedged. 0: LcDispatchSettings.hedge_after
    * for live calls, no hedge for others. */
@@ -59,13 +59,13 @@
   int64_t tokens;
   LcVersion version;           /* weight version that generated the tokens; 0: not stated */
   bool last;                   /* the piece carries the explicit end marker */
-  LcVersion kv_reused_version; /* weight version of the KV cache that the engine reused; 0: none */
+  LcVersion kv_reused_version; /* weight version of KV cache reported as reused; 0: none */
 } LcPiece;
 
 typedef enum
 {
   LC_PIECE_FORWARD, /* pass the piece on: forward it (STREAM) or collect it (BUFFERED) */
-  LC_PIECE_DROP     /* discard the piece: repeated, out of order or of a superseded attempt */
+  LC_PIECE_DROP /* discard and count the piece: repeated, out of order or of a superseded attempt */
 } LcPieceVerdict;
 
 /* How an attempt ended, as the node saw it. */
@@ -160,7 +160,7 @@
 void lc_dispatch_tick (LcDispatch *dispatch, LbTime now, LbList *actions);
 void lc_action_free (LcAction *action);
 
-/* Queries of the dispatch's state. */
+/* Functions that append no actions. */
 /* Whether the current configuration contains the plain service. */
 bool lc_dispatch_has_service (const LcDispatch *dispatch, const char *service);
 LbTime lc_dispatch_next_tick (const LcDispatch *dispatch);
--- a/packages/core/include/lc-router.h
+++ b/packages/core/include/lc-router.h
@@ -39,7 +39,7 @@
   const char *reason; /* static string such as "least-finish-time", "no-capacity", "all-leaving" */
   LcCandidate shown[LC_MAX_SHOWN_CANDIDATES]; /* candidates with the lowest scores */
   size_t n_shown;
-  size_t n_candidates; /* number of endpoints that could take the request */
+  size_t n_candidates; /* number of endpoints that can take the request */
 } LcRouteDecision;
 
 /* A routing policy with its state. */
--- a/packages/core/src/dispatch/lc-dispatch-private.h
+++ b/packages/core/src/dispatch/lc-dispatch-private.h
@@ -18,7 +18,7 @@
   gsl_rng *random;
   LcPoolState *pools[LC_N_POOL_KINDS];
   LcRequest *requests;
-  LcHeap timers;          /* of LcRequest, ordered by timer_due */
+  LcHeap timers;          /* requests with a timer (LcRequest), earliest timer_due first */
   LbTime polled_at;       /* when all pools were last polled for requests that can be placed */
   uint64_t last_sequence; /* LcQueueEntry.sequence of the last admitted request */
   uint64_t invariant_failures;
--- a/packages/core/src/dispatch/lc-heap.c
+++ b/packages/core/src/dispatch/lc-heap.c
@@ -21,7 +21,7 @@
 }
 
 static void
-set_node (LcHeap *heap, size_t position, LcHeapNode *node)
+set_node_at_position (LcHeap *heap, size_t position, LcHeapNode *node)
 {
   heap->nodes[position - 1] = node;
   node->position = position;
@@ -34,10 +34,10 @@
 
   while (position > 1 && heap->before (node, heap->nodes[position / 2 - 1]))
     {
-      set_node (heap, position, heap->nodes[position / 2 - 1]);
+      set_node_at_position (heap, position, heap->nodes[position / 2 - 1]);
       position /= 2;
     }
-  set_node (heap, position, node);
+  set_node_at_position (heap, position, node);
 }
 
 static void
@@ -53,10 +53,10 @@
         child++;
       if (!heap->before (heap->nodes[child - 1], node))
         break;
-      set_node (heap, position, heap->nodes[child - 1]);
+      set_node_at_position (heap, position, heap->nodes[child - 1]);
       position = child;
     }
-  set_node (heap, position, node);
+  set_node_at_position (heap, position, node);
 }
 
 void
@@ -68,7 +68,7 @@
       heap->nodes = lb_realloc (heap->nodes, heap->capacity * sizeof *heap->nodes);
     }
   heap->length++;
-  set_node (heap, heap->length, node);
+  set_node_at_position (heap, heap->length, node);
   sift_up (heap, node);
 }
 
@@ -93,7 +93,7 @@
   node->position = 0;
   if (last == node)
     return;
-  set_node (heap, position, last);
+  set_node_at_position (heap, position, last);
   lc_heap_update (heap, last);
 }
 
--- a/packages/core/src/dispatch/lc-outcome.c
+++ b/packages/core/src/dispatch/lc-outcome.c
@@ -67,8 +67,8 @@
                                now - attempt->sent_at, now);
 }
 
-/* Records the attempt's result in the statistics of its endpoint and pool, and frees the attempt.
- */
+/* Records the attempt's result in the statistics of its endpoint and pool, and frees the
+ * attempt. */
 static void
 close_attempt (
     LcDispatch *dispatch, LcRequest *request, LcAttempt *attempt, AttemptResult result, LbTime now)
@@ -138,9 +138,8 @@
   }
 }
 
-/* Cancels the attempts of the request and removes it from the queue, the timers and the
- * request table. The
- * caller still has to append the final action and free the request. */
+/* Cancels the attempts of the request and removes it from the queue, the timers and the request
+ * table. The caller still has to append the final action and free the request. */
 static void
 detach_request (LcDispatch *dispatch, LcRequest *request, LbTime now, LbList *actions)
 {
--- a/packages/core/src/dispatch/lc-pool.h
+++ b/packages/core/src/dispatch/lc-pool.h
@@ -24,7 +24,7 @@
   double live_reserve; /* share of each engine's concurrency kept for live calls, 0..0.9 */
   int64_t queue_limit; /* limit of waiting requests */
   size_t n_requests;   /* number of requests admitted and not finished */
-  int64_t running[LC_N_KINDS]; /* number of running attempts */
+  int64_t running[LC_N_KINDS]; /* number of running attempts by request kind */
   /* Moving average of the duration of complete attempts; 0: none has completed. */
   double mean_attempt_seconds[LC_N_KINDS];
   /* Moving average of the time from sending an attempt to its first piece; 0: none has arrived. */
--- a/packages/core/src/dispatch/lc-queue.c
+++ b/packages/core/src/dispatch/lc-queue.c
@@ -50,7 +50,7 @@
 {
   Band **bands; /* sorted by rank; empty bands are kept */
   size_t n_bands;
-  LbList deferred; /* LcQueueEntry, requests deferred by lc_queue_defer */
+  LbList deferred; /* requests (LcQueueEntry) that lc_queue_defer skips */
   size_t length;
   size_t kind_length[LC_N_KINDS];
 };
@@ -100,7 +100,7 @@
 }
 
 static bool
-larger_backlog_before (const LcHeapNode *a, const LcHeapNode *b)
+backlogged_flow_before (const LcHeapNode *a, const LcHeapNode *b)
 {
   return relative_backlog (LC_HEAP_ENTRY (a, LcFlow, backlog_node))
          > relative_backlog (LC_HEAP_ENTRY (b, LcFlow, backlog_node));
@@ -164,7 +164,7 @@
 
   band->rank = *rank;
   lc_heap_init (&band->active, active_flow_before);
-  lc_heap_init (&band->backlog, larger_backlog_before);
+  lc_heap_init (&band->backlog, backlogged_flow_before);
   lc_heap_init (&band->idle, idle_flow_before);
   return band;
 }
--- a/packages/core/src/dispatch/lc-request.h
+++ b/packages/core/src/dispatch/lc-request.h
@@ -10,7 +10,7 @@
 typedef struct
 {
   LbLink link;
-  uint32_t number; /* 1 for the first attempt of the request */
+  uint32_t number; /* sequence number within the request, from 1 */
   LbName endpoint;
   LbTime sent_at;
   LbTime last_piece_at; /* when the last forwarded piece arrived; 0: none, or not streamed */
@@ -70,7 +70,7 @@
   uint32_t n_retries;
   uint32_t n_consecutive_lost; /* consecutive attempts that may have run and returned no token */
   LbErrorCode last_error;      /* error reported if the request is not retried */
-  LbList attempts;             /* LcAttempt, the running attempts */
+  LbList attempts;             /* running attempts (LcAttempt) */
   size_t n_prefix_hashes;
   size_t n_avoid; /* number of endpoints that the submitter excluded */
   size_t n_tried; /* number of endpoints that failed the request or were slow to answer it */
--- a/packages/core/src/dispatch/lc-router-finish-time.c
+++ b/packages/core/src/dispatch/lc-router-finish-time.c
@@ -157,7 +157,7 @@
  * of concurrent requests, for which estimate_arrivals takes the average number over all endpoints:
  * the number at one endpoint is as old as its report. */
 static double
-prefill_seconds (const DecisionInputs *inputs, const LcEndpointSummary *summary)
+prefill_cost_seconds (const DecisionInputs *inputs, const LcEndpointSummary *summary)
 {
   if (!lb_switch_is_on (LB_SWITCH_PREFIX_AFFINITY))
     return inputs->full_prefill_seconds;
@@ -301,7 +301,7 @@
           = max_of (level, policy->load_costs[i].seconds)
             + network_latency_seconds (inputs, summary) + connect_cost_seconds (inputs, summary)
             + remaining_swap_seconds (inputs, summary) + silence_penalty_seconds (inputs, summary)
-            + prefill_seconds (inputs, summary);
+            + prefill_cost_seconds (inputs, summary);
 
       policy->candidates.items[i].score = score;
       lowest = min_of (lowest, score);
--- a/packages/core/src/dispatch/lc-timers.c
+++ b/packages/core/src/dispatch/lc-timers.c
@@ -47,8 +47,8 @@
 }
 
 /* Sets the timer of a request to its next due time. Must be called after each change of the
- * request's state. The timers are in a heap, so a tick costs nothing for requests that are not due.
- */
+ * request's state. The timers are in a heap, so a tick costs nothing for requests that are not
+ * due. */
 void
 lc_dispatch_update_timer (LcDispatch *dispatch, LcRequest *request)
 {
--- a/packages/core/tests/test-admission.c
+++ b/packages/core/tests/test-admission.c
@@ -144,8 +144,8 @@
 }
 
 /* A caller submits its next request when its only waiting request is sent. If its flow were reset
- * each time its queue is empty, it would get every second turn against ten callers with backlogs.
- */
+ * each time its queue is empty, it would get every second turn against ten callers with
+ * backlogs. */
 Test (admission, caller_with_one_request_queued_earns_no_extra_turn)
 {
   Fixture f;
--- a/packages/core/tests/test-retry.c
+++ b/packages/core/tests/test-retry.c
@@ -134,8 +134,8 @@
   fixture_clear (&f);
 }
 
-/* Simulation of an outage in virtual time, with one endpoint and callers with a steady call rate.
- */
+/* Simulation of an outage in virtual time, with one endpoint and callers with a steady call
+ * rate. */
 
 #define CALLS_PER_SECOND 200
 #define SERVICE_TIME (50 * LB_MSEC)
@@ -328,8 +328,8 @@
   expect_no_retry_storm (OUTAGE_SILENT);
 }
 
-/* Two failures of five calls don't open the circuit breaker, so only the budgets limit the retries.
- */
+/* Two failures of five calls don't open the circuit breaker, so only the budgets limit the
+ * retries. */
 Test (storm, partly_broken_calls_cause_no_retry_storm)
 {
   expect_no_retry_storm (OUTAGE_PARTIAL);
--- a/packages/core/tests/test-router.c
+++ b/packages/core/tests/test-router.c
@@ -195,8 +195,8 @@
 }
 
 /* Engine e0 hangs with its connections open. Its last reported requests are assumed to finish, so
- * e0 would look emptiest and attract requests of all instances. Any reply of e0 ends the penalty.
- */
+ * e0 would look emptiest and attract requests of all instances. Any reply of e0 ends the
+ * penalty. */
 Test (finish_time, silent_engine_does_not_attract_requests)
 {
   Fixture f;
@@ -250,8 +250,8 @@
 
 /* Eighty instances call a service rarely. When they rotated over its endpoints, two of three calls
  * had to open a connection, since the last one had been closed, and the endpoints ran out of
- * connections. An instance prefers the endpoint that it used last unless this endpoint is busier.
- */
+ * connections. An instance prefers the endpoint that it used last unless this endpoint is
+ * busier. */
 Test (router, service_calls_prefer_endpoints_with_open_connections)
 {
   LcRouteQuery query = fixture_query ();
