--- a/packages/core/tests/test-router.c
+++ b/packages/core/tests/test-router.c
@@ -220,7 +220,7 @@
 
 /* The store lists the endpoints. When each listing counted as a reply of every endpoint, all
  * endpoints seemed to have an open connection, and calls rotated over them. */
-Test (router, store_listing_does_not_count_as_connection)
+Test (router, a_list_of_the_store_opens_no_connection)
 {
   LcRouteQuery query = fixture_query ();
   LcRouter *router = lc_router_new ("lentilspindle", 7);
