--- a/packages/core/src/dispatch/lc-heap.c
+++ b/packages/core/src/dispatch/lc-heap.c
@@ -4,7 +4,7 @@
 
 #include <stdlib.h>
 
-#define FIRST_CAPACITY 4
+#define INITIAL_CAPACITY 4
 
 void
 lc_heap_init (LcHeap *heap, LcHeapBefore before)
@@ -12,7 +12,7 @@
   *heap = (LcHeap){ .before = before };
 }
 
-/* Frees the heap's own memory; the elements belong to the caller. */
+/* Frees the array of node pointers; the elements belong to the caller. */
 void
 lc_heap_clear (LcHeap *heap)
 {
@@ -21,7 +21,7 @@
 }
 
 static void
-set_node (LcHeap *heap, size_t position, LcHeapNode *node)
+set_node_at_position (LcHeap *heap, size_t position, LcHeapNode *node)
 {
   heap->nodes[position - 1] = node;
   node->position = position;
@@ -34,10 +34,10 @@
 
   while (position > 1 && heap->before (node, heap->nodes[position / 2 - 1]))
     {
-      set_node (heap, position, heap->nodes[position / 2 - 1]);
+      set_node_at_position (heap, position, heap->nodes[position / 2 - 1]);
       position /= 2;
     }
-  set_node (heap, position, node);
+  set_node_at_position (heap, position, node);
 }
 
 static void
@@ -53,10 +53,10 @@
         child++;
       if (!heap->before (heap->nodes[child - 1], node))
         break;
-      set_node (heap, position, heap->nodes[child - 1]);
+      set_node_at_position (heap, position, heap->nodes[child - 1]);
       position = child;
     }
-  set_node (heap, position, node);
+  set_node_at_position (heap, position, node);
 }
 
 void
@@ -64,15 +64,14 @@
 {
   if (heap->length == heap->capacity)
     {
-      heap->capacity = heap->capacity ? heap->capacity * 2 : FIRST_CAPACITY;
+      heap->capacity = heap->capacity ? heap->capacity * 2 : INITIAL_CAPACITY;
       heap->nodes = lb_realloc (heap->nodes, heap->capacity * sizeof *heap->nodes);
     }
   heap->length++;
-  set_node (heap, heap->length, node);
+  set_node_at_position (heap, heap->length, node);
   sift_up (heap, node);
 }
 
-/* Restores the heap order after the key of this element has changed. */
 void
 lc_heap_update (LcHeap *heap, LcHeapNode *node)
 {
@@ -80,7 +79,6 @@
   sift_down (heap, node);
 }
 
-/* Removes the element from any position; no-op if it is in no heap. */
 void
 lc_heap_remove (LcHeap *heap, LcHeapNode *node)
 {
@@ -95,11 +93,10 @@
   node->position = 0;
   if (last == node)
     return;
-  set_node (heap, position, last);
+  set_node_at_position (heap, position, last);
   lc_heap_update (heap, last);
 }
 
-/* Returns the top element; NULL if the heap is empty. */
 LcHeapNode *
 lc_heap_top (const LcHeap *heap)
 {
