--- a/packages/core/bench/bench-weights.c
+++ b/packages/core/bench/bench-weights.c
@@ -18,7 +18,7 @@
   pool.period = 3 * LB_SEC;
   pool.swap_period = LB_SEC / 2;
   fake_pool_run (&pool, 10 * LB_SEC);
-  lc_weights_set_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest_version (pool.weights, 41, pool.now);
   LbTime duration = fake_pool_run_until_done (&pool, 41, MAX_DURATION);
   printf ("%8zu %8lld %9.1f %9.2f %8zu %8zu %8zu\n", engines, (long long)percent,
           (double)load_time / LB_SEC, (double)duration / LB_SEC, pool.orders, pool.most_swapping,
--- a/packages/core/include/lc-config.h
+++ b/packages/core/include/lc-config.h
@@ -120,8 +120,8 @@
 void lc_config_tick (LcConfig *config, LbTime now, LbList *actions);
 
 /* queries */
-const LcResourceSet *lc_config_set (const LcConfig *config);
-int64_t lc_config_revision (const LcConfig *config);
+const LcResourceSet *lc_config_active_set (const LcConfig *config);
+int64_t lc_config_active_revision (const LcConfig *config);
 /* Whether new work may be accepted with the active revision. */
 bool lc_config_is_ready (const LcConfig *config);
 /* Age of the latest confirmation by the store that this instance or a peer received; -1: none. */
@@ -130,7 +130,7 @@
  * majority of the known instances; only then may it accept a change. */
 bool lc_config_has_majority (const LcConfig *config, LbTime queried_since);
 /* Whether a known instance is not alive but has not left either. */
-bool lc_config_has_absent_members (const LcConfig *config);
+bool lc_config_has_unreachable_members (const LcConfig *config);
 
 /* Number of instances on which a revision or a newer one is active. */
 typedef struct
@@ -139,7 +139,7 @@
   size_t known; /* instances in all, this one included */
 } LcActiveCount;
 
-LcActiveCount lc_config_count_active (const LcConfig *config, int64_t revision);
+LcActiveCount lc_config_count_instances_at_revision (const LcConfig *config, int64_t revision);
 /* revision: the last one known to be active on the instance. */
 typedef void (*LcConfigVisit) (
     const char *instance, int64_t revision, bool alive, bool draining, void *user);
--- a/packages/core/include/lc-engine-plan.h
+++ b/packages/core/include/lc-engine-plan.h
@@ -30,7 +30,8 @@
 /* Adds or replaces the entry of an engine; returns true if that changed the plan. */
 bool lc_engine_plan_put (LcEnginePlan *plan, const LcPlanEntry *entry);
 /* Removes all other engines; returns true if there were any. */
-bool lc_engine_plan_retain (LcEnginePlan *plan, const LcPlanEntry *engines, size_t n_engines);
+bool
+lc_engine_plan_retain_engines (LcEnginePlan *plan, const LcPlanEntry *engines, size_t n_engines);
 bool lc_engine_plan_is_same (const LcEnginePlan *a, const LcEnginePlan *b);
 
 /* The plan is stored in parts by hash of the engine name, since a row of the store holds about 800
--- a/packages/core/include/lc-weights.h
+++ b/packages/core/include/lc-weights.h
@@ -62,7 +62,7 @@
 /* commands */
 void lc_weights_configure (LcWeights *weights, const LcResourceSet *set, LbTime now);
 /* version: newest one in the weight store; the target unless the pool's resource names another. */
-void lc_weights_set_newest (LcWeights *weights, LcVersion version, LbTime now);
+void lc_weights_set_newest_version (LcWeights *weights, LcVersion version, LbTime now);
 /* The lease was gained or lost: the known state of the engines is discarded. */
 void lc_weights_lease_changed (LcWeights *weights, LbTime now);
 void lc_weights_report_received (LcWeights *weights,
--- a/packages/core/src/config/lc-config-query.c
+++ b/packages/core/src/config/lc-config-query.c
@@ -1,13 +1,13 @@
 #include "lc-config-private.h"
 
 const LcResourceSet *
-lc_config_set (const LcConfig *config)
+lc_config_active_set (const LcConfig *config)
 {
   return config->set;
 }
 
 int64_t
-lc_config_revision (const LcConfig *config)
+lc_config_active_revision (const LcConfig *config)
 {
   return config->set->revision;
 }
@@ -29,7 +29,7 @@
 
 /* Returns true if a known instance is not alive but has not left either. */
 bool
-lc_config_has_absent_members (const LcConfig *config)
+lc_config_has_unreachable_members (const LcConfig *config)
 {
   for (const LcConfigPeer *peer = config->peers; peer; peer = peer->hh.next)
     if (!peer->alive)
@@ -38,7 +38,7 @@
 }
 
 LcActiveCount
-lc_config_count_active (const LcConfig *config, int64_t revision)
+lc_config_count_instances_at_revision (const LcConfig *config, int64_t revision)
 {
   LcActiveCount result = { .active = config->set->revision >= revision, .known = 1 };
 
--- a/packages/core/src/weights/lc-engine-plan.c
+++ b/packages/core/src/weights/lc-engine-plan.c
@@ -117,7 +117,7 @@
 }
 
 bool
-lc_engine_plan_retain (LcEnginePlan *plan, const LcPlanEntry *engines, size_t n_engines)
+lc_engine_plan_retain_engines (LcEnginePlan *plan, const LcPlanEntry *engines, size_t n_engines)
 {
   size_t n_kept = 0;
 
@@ -380,7 +380,7 @@
 static bool
 update_plan (LcEnginePlan *plan, const LcPlanEntry *engines, size_t n_engines)
 {
-  bool changed = lc_engine_plan_retain (plan, engines, n_engines);
+  bool changed = lc_engine_plan_retain_engines (plan, engines, n_engines);
 
   for (size_t i = 0; i < n_engines; i++)
     {
--- a/packages/core/src/weights/lc-weights.c
+++ b/packages/core/src/weights/lc-weights.c
@@ -201,7 +201,7 @@
 }
 
 void
-lc_weights_set_newest (LcWeights *weights, LcVersion version, LbTime now)
+lc_weights_set_newest_version (LcWeights *weights, LcVersion version, LbTime now)
 {
   /* A delayed answer, or one from a replica of the weight store that lags behind. */
   if (version <= weights->newest)
--- a/packages/core/tests/fake-engines.h
+++ b/packages/core/tests/fake-engines.h
@@ -102,7 +102,7 @@
   pool->weights = lc_weights_new (&settings);
   lc_weights_configure (pool->weights, pool->set, pool->now);
   lc_weights_lease_changed (pool->weights, pool->now);
-  lc_weights_set_newest (pool->weights, newest, pool->now);
+  lc_weights_set_newest_version (pool->weights, newest, pool->now);
 }
 
 static inline void
--- a/packages/core/tests/test-config.c
+++ b/packages/core/tests/test-config.c
@@ -92,7 +92,7 @@
 static void
 read_store (int64_t revision)
 {
-  bool newer = revision > lc_config_revision (config);
+  bool newer = revision > lc_config_active_revision (config);
 
   lc_config_store_read_completed (config, revision, newer ? make_set (revision) : NULL, now, now,
                                   &actions);
@@ -134,7 +134,7 @@
   receive ("i2",
            (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_CHANGE, .revision = 5, .body = change });
 
-  cr_assert_eq (lc_config_revision (config), 5);
+  cr_assert_eq (lc_config_active_revision (config), 5);
   cr_assert_eq (count_sent ("i2", LC_CONFIG_MESSAGE_STATUS), 1);
   json_object_put (change);
 }
@@ -150,7 +150,7 @@
            (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_CHANGE, .revision = 5, .body = change });
   receive_snapshot ("i3", 5);
 
-  cr_assert_eq (lc_config_revision (config), 6);
+  cr_assert_eq (lc_config_active_revision (config), 6);
   json_object_put (change);
 }
 
@@ -166,7 +166,7 @@
       lc_config_store_read_completed (config, 5, make_set (5), now, now, &actions);
     }
 
-  cr_assert_eq (lc_config_revision (config), 6);
+  cr_assert_eq (lc_config_active_revision (config), 6);
   cr_assert_not (lc_config_is_ready (config));
 }
 
@@ -178,11 +178,11 @@
   struct json_object *change = json_tokener_parse ("{\"apply\": []}");
   receive ("i2",
            (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_CHANGE, .revision = 6, .body = change });
-  cr_assert_eq (lc_config_revision (config), 4);
+  cr_assert_eq (lc_config_active_revision (config), 4);
   cr_assert_eq (count_sent ("i2", LC_CONFIG_MESSAGE_FETCH), 1);
   receive_snapshot ("i2", 6);
 
-  cr_assert_eq (lc_config_revision (config), 6);
+  cr_assert_eq (lc_config_active_revision (config), 6);
   json_object_put (change);
 }
 
@@ -205,7 +205,7 @@
   receive_snapshot ("i3", 5);
 
   cr_assert (lc_config_is_ready (config));
-  cr_assert_eq (lc_config_revision (config), 5);
+  cr_assert_eq (lc_config_active_revision (config), 5);
 }
 
 /* The first store read of a replaced instance is stale: callers that saw revision 5 would be served
@@ -293,10 +293,10 @@
   for (int i = 0; i < 2 * seconds; i++)
     {
       tick_after (LB_SEC / 2);
-      receive_status ("i2", lc_config_revision (config), now);
-      receive_status ("i3", lc_config_revision (config), now);
+      receive_status ("i2", lc_config_active_revision (config), now);
+      receive_status ("i3", lc_config_active_revision (config), now);
       if (i4_answers)
-        receive_status ("i4", lc_config_revision (config), now);
+        receive_status ("i4", lc_config_active_revision (config), now);
     }
 }
 
@@ -394,10 +394,10 @@
   update_members (2, 2);
   make_ready (4);
   receive_status ("i2", 4, now);
-  cr_assert_eq (lc_config_count_active (config, 4).active, 2);
-  cr_assert_eq (lc_config_count_active (config, 4).known, 3);
+  cr_assert_eq (lc_config_count_instances_at_revision (config, 4).active, 2);
+  cr_assert_eq (lc_config_count_instances_at_revision (config, 4).known, 3);
   const LcConfigMember restarted = { .name = "i2", .incarnation = "b", .alive = true };
   lc_config_update_members (config, &restarted, 1, now, &actions);
 
-  cr_assert_eq (lc_config_count_active (config, 4).active, 1);
+  cr_assert_eq (lc_config_count_instances_at_revision (config, 4).active, 1);
 }
--- a/packages/core/tests/test-engine-plan.c
+++ b/packages/core/tests/test-engine-plan.c
@@ -156,7 +156,7 @@
   cr_assert_eq (plan.n_entries, 5);
   cr_assert_eq (lc_engine_plan_find (&plan, "i-1")->version, 4);
   cr_assert_eq (lc_engine_plan_find (&plan, "i-7")->version, 0);
-  cr_assert (lc_engine_plan_retain (&plan, kept, 2));
+  cr_assert (lc_engine_plan_retain_engines (&plan, kept, 2));
   cr_assert_eq (plan.n_entries, 2);
   cr_assert_eq (lc_engine_plan_find (&plan, "i-3")->version, 3);
   cr_assert_eq (lc_engine_plan_find (&plan, "i-9")->version, 2);
--- a/packages/core/tests/test-weights.c
+++ b/packages/core/tests/test-weights.c
@@ -30,7 +30,7 @@
 
 Test (weights, roll_out_stays_within_the_percentage)
 {
-  lc_weights_set_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest_version (pool.weights, 41, pool.now);
   LbTime duration = fake_pool_run_until_done (&pool, 41, 60 * LB_SEC);
 
   cr_assert_lt (duration, 14 * LB_SEC);
@@ -46,10 +46,10 @@
 {
   LbList actions;
 
-  lc_weights_set_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run_until_done (&pool, 41, 60 * LB_SEC);
   fake_pool_run (&pool, LB_SEC);
-  lc_weights_set_newest (pool.weights, 42, pool.now);
+  lc_weights_set_newest_version (pool.weights, 42, pool.now);
   lb_list_init (&actions);
   lc_weights_tick (pool.weights, true, true, pool.now, &actions);
   const LcWeightsAction *swap = LB_LIST_FIRST (&actions, LcWeightsAction, link);
@@ -66,7 +66,7 @@
 {
   fake_pool_clear (&pool);
   fake_pool_init (&pool, 10, 100, 0.6, 40);
-  lc_weights_set_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run_until_done (&pool, 41, 60 * LB_SEC);
 
   cr_assert_eq (fake_pool_count (&pool, 41), 10);
@@ -79,7 +79,7 @@
 {
   fake_pool_clear (&pool);
   fake_pool_init (&pool, 2, 100, 0, 40);
-  lc_weights_set_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run_until_done (&pool, 41, 60 * LB_SEC);
 
   cr_assert_eq (fake_pool_count (&pool, 41), 2);
@@ -90,7 +90,7 @@
 {
   fake_pool_clear (&pool);
   fake_pool_init (&pool, 1, 25, 0.25, 40);
-  lc_weights_set_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run_until_done (&pool, 41, 60 * LB_SEC);
 
   cr_assert_eq (fake_pool_count (&pool, 41), 1);
@@ -99,7 +99,7 @@
 Test (weights, failed_load_is_retried_without_blocking_others)
 {
   pool.engines[0].fail_loads = 1;
-  lc_weights_set_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run_until_done (&pool, 41, 60 * LB_SEC);
 
   cr_assert_eq (fake_pool_count (&pool, 41), 12);
@@ -111,7 +111,7 @@
 Test (weights, load_that_always_fails_is_retried_with_backoff)
 {
   pool.engines[0].fail_loads = 1000;
-  lc_weights_set_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run (&pool, 120 * LB_SEC);
 
   cr_assert_eq (fake_pool_count (&pool, 41), 11);
@@ -127,7 +127,7 @@
   LcWeightReport report = { .version = 40, .incarnation = "0" };
 
   fake_pool_run (&pool, 2 * LB_SEC);
-  lc_weights_set_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_tick (&pool);
   cr_assert_eq (pool.orders, 3);
   lb_list_init (&actions);
@@ -145,7 +145,7 @@
 Test (weights, regained_lease_counts_loads_of_the_other_holder)
 {
   fake_pool_run (&pool, 2 * LB_SEC);
-  lc_weights_set_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest_version (pool.weights, 41, pool.now);
   for (size_t i = 9; i < 12; i++)
     fake_engine_load (&pool, i, 41);
   lc_weights_lease_changed (pool.weights, pool.now);
@@ -161,14 +161,14 @@
 {
   for (size_t i = 0; i < pool.n; i++)
     pool.engines[i].fail_loads = 1000;
-  lc_weights_set_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run (&pool, 120 * LB_SEC);
   cr_assert_geq (fake_pool_count (&pool, 40), 3);
   cr_assert_eq (get_status ().wait_reason, LC_WEIGHTS_HALTED);
 
   for (size_t i = 0; i < pool.n; i++)
     pool.engines[i].fail_loads = 0;
-  lc_weights_set_newest (pool.weights, 42, pool.now);
+  lc_weights_set_newest_version (pool.weights, 42, pool.now);
   LbTime duration = fake_pool_run_until_done (&pool, 42, 60 * LB_SEC);
   cr_assert_lt (duration, 20 * LB_SEC, "failed loads of 41 must not delay 42");
   pool.set->pools[0].weight_version = 40;
@@ -181,7 +181,7 @@
  * first and count these loads, or six of twelve engines would be out of service at once. */
 Test (weights, new_holder_counts_loads_of_a_crashed_one)
 {
-  lc_weights_set_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run (&pool, 3 * LB_SEC / 2);
   cr_assert_eq (pool.most_swapping, 3);
   fake_pool_new_holder (&pool, 41);
@@ -196,10 +196,10 @@
  * get the newest version directly, and those with the intermediate one come last. */
 Test (weights, newer_version_during_a_roll_out_replaces_the_target)
 {
-  lc_weights_set_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run (&pool, 4 * LB_SEC);
   size_t had_41 = fake_pool_count (&pool, 41);
-  lc_weights_set_newest (pool.weights, 42, pool.now);
+  lc_weights_set_newest_version (pool.weights, 42, pool.now);
   fake_pool_run_until_done (&pool, 42, 60 * LB_SEC);
 
   cr_assert_eq (fake_pool_count (&pool, 42), 12);
@@ -215,7 +215,7 @@
 
   for (; version < 61; version++)
     {
-      lc_weights_set_newest (pool.weights, version, pool.now);
+      lc_weights_set_newest_version (pool.weights, version, pool.now);
       fake_pool_run (&pool, 3 * LB_SEC);
     }
   for (size_t i = 0; i < pool.n; i++)
@@ -227,7 +227,7 @@
 /* An operator rolls back by a revision whose pool names the previous version. */
 Test (weights, pinned_older_version_rolls_back)
 {
-  lc_weights_set_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run (&pool, 5 * LB_SEC);
   pool.set->pools[0].weight_version = 40;
   lc_weights_configure (pool.weights, pool.set, pool.now);
@@ -240,7 +240,7 @@
  * the roll-out. Its reports must show that, and it must be ordered again. */
 Test (weights, engine_reverted_by_an_old_order_is_ordered_again)
 {
-  lc_weights_set_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run_until_done (&pool, 41, 60 * LB_SEC);
   fake_engine_load (&pool, 3, 40);
   fake_pool_run (&pool, 3 * LB_SEC);
@@ -258,7 +258,7 @@
     pool.set->endpoints[i].checks_fence = false;
   lc_weights_configure (pool.weights, pool.set, pool.now);
   pool.unfenced = false;
-  lc_weights_set_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run (&pool, 60 * LB_SEC);
   cr_assert_eq (fake_pool_count (&pool, 41), 6);
   cr_assert_eq (get_status ().wait_reason, LC_WEIGHTS_NO_LEASE);
@@ -278,7 +278,7 @@
   pool.engines[1].dead = true;
   pool.engines[2].dead = true;
   fake_pool_run (&pool, 12 * LB_SEC);
-  lc_weights_set_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run (&pool, 20 * LB_SEC);
   cr_assert_eq (pool.engines[0].version, 40);
   fake_pool_run (&pool, 40 * LB_SEC);
@@ -290,7 +290,7 @@
 Test (weights, order_without_effect_is_repeated)
 {
   pool.engines[5].ignores_orders = true;
-  lc_weights_set_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run (&pool, 20 * LB_SEC);
   cr_assert_eq (fake_pool_count (&pool, 41), 11);
   pool.engines[5].ignores_orders = false;
@@ -306,7 +306,7 @@
   fake_pool_run (&pool, 2 * LB_SEC);
   for (size_t i = 0; i < 3; i++)
     pool.engines[i].dead = true;
-  lc_weights_set_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest_version (pool.weights, 41, pool.now);
 
   cr_assert_lt (fake_pool_run_until_done (&pool, 41, 60 * LB_SEC), 9 * LB_SEC);
 }
@@ -316,7 +316,7 @@
 {
   fake_pool_run (&pool, 2 * LB_SEC);
   pool.load_time = 10000 * LB_SEC;
-  lc_weights_set_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run (&pool, LB_SEC);
   pool.load_time = 2 * LB_SEC;
   fake_pool_run (&pool, 100 * LB_SEC);
@@ -335,7 +335,7 @@
 
   lb_list_init (&actions);
   pool.now += LB_SEC;
-  lc_weights_set_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest_version (pool.weights, 41, pool.now);
   lc_weights_lease_changed (pool.weights, pool.now);
   for (size_t i = 0; i < pool.n; i++)
     lc_weights_report_received (pool.weights, pool.engines[i].name, &report, pool.now, &actions);
@@ -395,7 +395,7 @@
 {
   for (size_t i = 0; i < 4; i++)
     pool.engines[i].ignores_orders = true;
-  lc_weights_set_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run (&pool, 60 * LB_SEC);
 
   cr_assert_eq (fake_pool_count (&pool, 41), 8);
@@ -404,9 +404,9 @@
 /* A delayed answer of the weight store has an older version. */
 Test (weights, newest_version_never_goes_back)
 {
-  lc_weights_set_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run_until_done (&pool, 41, 60 * LB_SEC);
-  lc_weights_set_newest (pool.weights, 40, pool.now);
+  lc_weights_set_newest_version (pool.weights, 40, pool.now);
   fake_pool_run (&pool, 20 * LB_SEC);
 
   cr_assert_eq (fake_pool_count (&pool, 41), 12);
@@ -417,7 +417,7 @@
   fake_pool_clear (&pool);
   fake_pool_init (&pool, 600, 100, 0, 40);
   fake_pool_run (&pool, 2 * LB_SEC);
-  lc_weights_set_newest (pool.weights, 41, pool.now);
+  lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run (&pool, LB_SEC);
 
   cr_assert_leq (pool.orders, 60 + 60 + 3);
@@ -431,7 +431,7 @@
   switch (gsl_rng_uniform_int (rng, 6))
     {
     case 0:
-      lc_weights_set_newest (pool.weights, ++*version, pool.now);
+      lc_weights_set_newest_version (pool.weights, ++*version, pool.now);
       break;
     case 1:
       fake_pool_new_holder (&pool, *version);
@@ -464,7 +464,7 @@
   LcVersion version = 41;
 
   gsl_rng_set (rng, 11);
-  lc_weights_set_newest (pool.weights, version, pool.now);
+  lc_weights_set_newest_version (pool.weights, version, pool.now);
   for (int i = 0; i < 2000; i++)
     {
       inject_fault (rng, &version);
--- a/packages/node/src/config/ln-config-api.c
+++ b/packages/node/src/config/ln-config-api.c
@@ -157,7 +157,7 @@
                    "expected pool, subscription, version_bound or endpoint");
       return;
     }
-  struct json_object *object = selected_to_json (lc_config_set (task->config), &selection);
+  struct json_object *object = selected_to_json (lc_config_active_set (task->config), &selection);
   if (selection.name[0]
       && json_object_array_length (json_object_object_get (object, "resources")) == 0)
     {
@@ -169,7 +169,7 @@
   LbTime confirmed = lc_config_confirmation_age (task->config, lb_clock_monotonic ());
   snprintf (age, sizeof age, "%lld", (long long)(confirmed < 0 ? -1 : confirmed / LB_MSEC));
   ln_exchange_set_header (exchange, "x-confirmation-age-ms", age);
-  ln_config_set_etag (exchange, lc_config_revision (task->config));
+  ln_config_set_etag (exchange, lc_config_active_revision (task->config));
   ln_exchange_reply_json (exchange, 200, object);
 }
 
@@ -227,7 +227,7 @@
 {
   struct json_object *object = json_object_new_object ();
   OutdatedSearch search = { .revision = revision, .names = json_object_new_array () };
-  LcActiveCount count = lc_config_count_active (task->config, revision);
+  LcActiveCount count = lc_config_count_instances_at_revision (task->config, revision);
 
   lc_config_visit_instances (task->config, add_if_outdated, &search);
   json_object_object_add (object, "on", json_object_new_int64 ((int64_t)count.active));
@@ -239,7 +239,7 @@
 static void
 finish_watch (LnConfigTask *task, LnConfigWatch *watch)
 {
-  int64_t revision = lc_config_revision (task->config);
+  int64_t revision = lc_config_active_revision (task->config);
   char key[32];
   struct json_object *object = json_object_new_object ();
   struct json_object *activation = json_object_new_object ();
@@ -256,8 +256,8 @@
 static bool
 has_changed (const LnConfigTask *task, const LnConfigWatch *watch)
 {
-  int64_t revision = lc_config_revision (task->config);
-  LcActiveCount count = lc_config_count_active (task->config, revision);
+  int64_t revision = lc_config_active_revision (task->config);
+  LcActiveCount count = lc_config_count_instances_at_revision (task->config, revision);
 
   return revision > watch->after_revision || count.active != watch->n_active
          || count.known != watch->n_known;
@@ -268,7 +268,9 @@
 {
   LnConfigWatch *watch = LB_NEW (LnConfigWatch);
   int64_t wait_ms = get_query_integer (exchange, "wait_ms", 0);
-  LcActiveCount count = lc_config_count_active (task->config, lc_config_revision (task->config));
+  LcActiveCount count
+      = lc_config_count_instances_at_revision (task->config,
+                                               lc_config_active_revision (task->config));
 
   watch->exchange = exchange;
   watch->after_revision = get_query_integer (exchange, "after", 0);
@@ -329,7 +331,7 @@
 {
   int64_t limit = get_query_integer (exchange, "limit", DEFAULT_HISTORY_ROWS);
 
-  ln_config_store_history (task->store, lc_config_revision (task->config),
+  ln_config_store_history (task->store, lc_config_active_revision (task->config),
                            (size_t)(limit < MAX_HISTORY_ROWS ? limit : MAX_HISTORY_ROWS),
                            on_history_read, pending_reply_new (task, exchange));
 }
@@ -358,7 +360,7 @@
   lc_config_visit_instances (task->config, add_instance, instances);
   json_object_object_add (object, "instance", json_object_new_string (task->context->instance));
   json_object_object_add (object, "revision",
-                          json_object_new_int64 (lc_config_revision (task->config)));
+                          json_object_new_int64 (lc_config_active_revision (task->config)));
   json_object_object_add (object, "ready",
                           json_object_new_boolean (lc_config_is_ready (task->config)));
   json_object_object_add (object, "confirmation_age_ms",
@@ -392,7 +394,7 @@
   else if (is_get && strcmp (path, WATCH_PATH) == 0)
     start_watch (task, exchange, lb_clock_monotonic ());
   else if (is_get && is_path_under (path, RESOURCES_PATH))
-    ln_config_store_read_accepted (task->store, lc_config_revision (task->config),
+    ln_config_store_read_accepted (task->store, lc_config_active_revision (task->config),
                                    on_resources_read, pending_reply_new (task, exchange));
   else if (is_get && is_path_under (path, "/v1/history"))
     request_history (task, exchange);
--- a/packages/node/src/config/ln-config-change.c
+++ b/packages/node/src/config/ln-config-change.c
@@ -81,7 +81,7 @@
           LB_TEXT ("detail", error->detail));
   if (change->exchange)
     {
-      ln_config_set_etag (change->exchange, lc_config_revision (change->task->config));
+      ln_config_set_etag (change->exchange, lc_config_active_revision (change->task->config));
       ln_exchange_reply_error (change->exchange, error, retry_after);
     }
   remove_change (change);
@@ -94,7 +94,7 @@
   char where[64];
 
   snprintf (where, sizeof where, "revision %lld",
-            (long long)lc_config_revision (change->task->config));
+            (long long)lc_config_active_revision (change->task->config));
   lb_error_set (&error, code, where, "%s", detail);
   reject_change (change, &error, retry_after);
 }
@@ -191,7 +191,7 @@
 apply_change (LnChange *change, int64_t head_version)
 {
   LbError error;
-  const LcResourceSet *set = lc_config_set (change->task->config);
+  const LcResourceSet *set = lc_config_active_set (change->task->config);
 
   lc_resource_set_free (change->new_set);
   change->new_set = lc_change_apply (set, change->body, "change", &error);
@@ -265,7 +265,7 @@
                                   lb_clock_monotonic (), &actions);
   ln_config_execute_actions (task, &actions);
 
-  int64_t revision = lc_config_revision (task->config);
+  int64_t revision = lc_config_active_revision (task->config);
   if (read->revision < revision || change->read_attempts > MAX_READ_ATTEMPTS)
     /* The read was stale, or other instances kept committing first. */
     reject_change_with (change, LB_ERROR_STORE_BUSY,
@@ -286,8 +286,9 @@
 {
   change->state = CHANGE_READING;
   change->read_attempts++;
-  ln_config_store_read_accepted (change->task->store, lc_config_revision (change->task->config),
-                                 on_head_read, change);
+  ln_config_store_read_accepted (change->task->store,
+                                 lc_config_active_revision (change->task->config), on_head_read,
+                                 change);
 }
 
 static void
@@ -305,7 +306,7 @@
   char *end = NULL;
   const char *text = ln_exchange_header (change->exchange, "if-match");
 
-  if (!text && lc_config_revision (change->task->config) > 0 && !change->dry_run)
+  if (!text && lc_config_active_revision (change->task->config) > 0 && !change->dry_run)
     return lb_error_set (error, LB_ERROR_MISSING_KEY, "If-Match",
                          "expected the revision that the change is based on, or * for any");
   if (!text || strcmp (text, "*") == 0)
--- a/packages/node/src/config/ln-config.c
+++ b/packages/node/src/config/ln-config.c
@@ -93,7 +93,7 @@
   LnReadyMessage message = { .base = LN_MESSAGE (LN_READY), .ready = ready };
 
   lb_log (ready ? LB_LOG_INFO : LB_LOG_WARNING, "config_ready", LB_BOOL ("ready", ready),
-          LB_INT ("revision", lc_config_revision (task->config)),
+          LB_INT ("revision", lc_config_active_revision (task->config)),
           LB_INT ("confirmation_age_us",
                   lc_config_confirmation_age (task->config, lb_clock_monotonic ())));
   LN_POST (task->task.hub, NULL, message);
@@ -108,7 +108,7 @@
       if (!task->is_polling_head)
         {
           task->is_polling_head = true;
-          ln_config_store_read_accepted (task->store, lc_config_revision (task->config),
+          ln_config_store_read_accepted (task->store, lc_config_active_revision (task->config),
                                          on_head_read, task);
         }
       break;
@@ -191,7 +191,7 @@
   LpPlatform *platform = task->context->platform;
 
   if (task->is_listing_instances || now < task->next_listing_at
-      || !lc_config_has_absent_members (task->config))
+      || !lc_config_has_unreachable_members (task->config))
     return;
   task->is_listing_instances = true;
   task->next_listing_at = now + INSTANCE_LISTING_PERIOD;
--- a/packages/node/src/rollout/ln-pool-controller.c
+++ b/packages/node/src/rollout/ln-pool-controller.c
@@ -425,7 +425,7 @@
     return;
   controller->is_querying_newest = false;
   if (error == LB_OK)
-    lc_weights_set_newest (controller->weights, version, lb_clock_monotonic ());
+    lc_weights_set_newest_version (controller->weights, version, lb_clock_monotonic ());
   else if (error != LB_ERROR_NOT_FOUND)
     lb_metric_count_error (error);
 }
--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -231,7 +231,7 @@
                                      LcVersion version,
                                      LbTime now)
 {
-  lc_weights_set_newest (ensure_model (orders, model)->weights, version, now);
+  lc_weights_set_newest_version (ensure_model (orders, model)->weights, version, now);
 }
 
 /* --- states of engines --- */
--- a/packages/sim/src/lx-instance-config.c
+++ b/packages/sim/src/lx-instance-config.c
@@ -128,7 +128,7 @@
   head_read->requested_at = current_time (instance);
   head_read->failed = current_time (instance) < world->store.unavailable_until;
   head_read->revision = world->registry.accepted->revision;
-  if (!head_read->failed && head_read->revision > lc_config_revision (instance->config))
+  if (!head_read->failed && head_read->revision > lc_config_active_revision (instance->config))
     head_read->set = lc_resource_set_copy (world->registry.accepted);
   LbTime delay = head_read->failed ? STORE_TIMEOUT : STORE_LATENCY;
   /* A slow store: its answer is outdated on arrival. */
@@ -149,7 +149,7 @@
       send_message (instance, action);
       break;
     case LC_CONFIG_ACTIVATED:
-      lx_instance_apply_config (instance, lc_config_set (instance->config));
+      lx_instance_apply_config (instance, lc_config_active_set (instance->config));
       break;
     case LC_CONFIG_READINESS_CHANGED:
       break;
@@ -317,7 +317,7 @@
   ChangeInTransit *change = LB_NEW (ChangeInTransit);
 
   change->change = json_object_get (content);
-  change->revision = lc_config_revision (instance->config);
+  change->revision = lc_config_active_revision (instance->config);
   change->requested_at = current_time (instance);
   lc_config_announce_change (instance->config, current_time (instance), &instance->config_actions);
   execute_config_actions (instance);
--- a/packages/sim/src/lx-registry.c
+++ b/packages/sim/src/lx-registry.c
@@ -90,7 +90,7 @@
 check_instance (LxRegistry *registry, LxInstance *instance, LbTime now)
 {
   LxWorld *world = registry->world;
-  int64_t revision = lc_config_revision (instance->config);
+  int64_t revision = lc_config_active_revision (instance->config);
   int64_t due = lx_registry_due_revision (registry, now);
 
   if (revision < instance->checked_revision)
--- a/packages/sim/src/lx-replay.c
+++ b/packages/sim/src/lx-replay.c
@@ -142,7 +142,8 @@
   const LxWorld *world = replay->world;
 
   for (size_t i = 0; i < world->n_instances; i++)
-    if (world->instances[i].alive && lc_config_revision (world->instances[i].config) < revision)
+    if (world->instances[i].alive
+        && lc_config_active_revision (world->instances[i].config) < revision)
       return false;
   return true;
 }
