--- a/packages/core/include/lc-detector.h
+++ b/packages/core/include/lc-detector.h
@@ -7,7 +7,7 @@
 typedef struct
 {
   LbTime last_arrival;
-  double mean_gap_us;      /* moving average */
+  double mean_gap_us;      /* moving average of the gaps between arrivals */
   double gap_deviation_us; /* moving average of the absolute deviation from mean_gap_us */
   LbTime min_timeout;      /* bounds of the derived timeout */
   LbTime max_timeout;
@@ -15,11 +15,11 @@
 
 void lc_detector_init (LcDetector *detector, LbTime period, LbTime now);
 
-/* commands */
+/* commands, which change the state */
 void lc_detector_record_arrival (LcDetector *detector, LbTime now);
 void lc_detector_discount_pause (LcDetector *detector, LbTime pause, LbTime now);
 
-/* queries */
+/* queries, which change no state */
 LbTime lc_detector_deadline (const LcDetector *detector);
 bool lc_detector_has_timed_out (const LcDetector *detector, LbTime now);
 
--- a/packages/core/include/lc-fingerprint.h
+++ b/packages/core/include/lc-fingerprint.h
@@ -3,7 +3,7 @@
 
 #include "lb-types.h"
 
-/* Hash of what a request asks for. Requests that ask for the same have the same fingerprint
+/* Hash of the content of a request. Requests with the same content have the same fingerprint,
  * whatever their ids are, on any instance and after any restart. 0: not known. */
 typedef uint64_t LcFingerprint;
 
@@ -21,7 +21,7 @@
 bool lc_fingerprint_is_among (LcFingerprint fingerprint,
                               const LcFingerprint *fingerprints,
                               size_t n_fingerprints);
-/* 0 if the text is not a fingerprint. */
+/* Returns 0 if the text is not a fingerprint. */
 LcFingerprint lc_fingerprint_from_text (const char *text);
 
 #endif
--- a/packages/core/include/lc-fleet.h
+++ b/packages/core/include/lc-fleet.h
@@ -14,14 +14,15 @@
   LbName incarnation;
   LbName data_centre;
   LbName caller_address;
-  LbName peer_address; /* where it relays store calls of other instances; empty: it does not */
+  LbName peer_address; /* address at which it relays store calls of other instances; empty: it
+                          relays none */
   bool ready;
   bool draining;
   bool cut;              /* can reach the store only through other instances */
   int64_t strength;      /* capacity of its machine, see lc-duty.h; 0: not reported */
-  int64_t clock_lead_ms; /* see lc-true-time.h; 0: not reported */
+  int64_t clock_lead_ms; /* offset of its wall clock from the store's clock; 0: not reported */
   int64_t renewed_ms; /* store's clock at the renewal, as the instance estimated it; 0: unknown */
-  LbTime period;      /* between renewals */
+  LbTime period;      /* time between two renewals of the row */
   /* service whose endpoints known to the instance are nearly full; "": none */
   LbName overloaded_service;
 } LcFleetRow;
@@ -33,17 +34,17 @@
 {
   LcFleetRow row;
   int64_t version;        /* the store's version of the row */
-  LbTime version_seen_at; /* local time; 0: before this instance's first list */
+  LbTime version_seen_at; /* local time at which this version was first listed; 0: not listed yet */
   bool alive;
-  bool fresh; /* no renewal missed, as of the last list */
-  /* Known to have renewed its row recently, see lc_fleet_add_row. */
+  bool fresh; /* had missed no renewal at the last listing */
+  /* Whether it is known to have renewed its row recently; see lc_fleet_add_row. */
   bool confirmed;
-  bool is_in_list; /* in the list that is being read */
-  bool is_new;     /* first seen in that list */
+  bool is_in_list; /* its row is in the listing that is being read */
+  bool is_new;     /* its row is seen for the first time in the listing that is being read */
 } LcFleetMember;
 
-/* Text form in which one instance passes another one's state on. Renewal times are left out, so
- * that the text changes only with the state. The caller frees it. */
+/* Text form of a member, by which one instance passes the member's state on to others. Renewal
+ * times are left out, so that the text changes only with the state. The caller frees it. */
 char *lc_fleet_member_to_text (const LcFleetMember *member);
 bool lc_fleet_member_from_text (const char *text, LcFleetMember *member);
 
@@ -53,7 +54,7 @@
   LbTime received_at;
   LbTime round_trip; /* time from request to answer */
   int64_t store_ms;  /* store's clock at the listing; 0: unknown */
-  LbTime period;     /* between two listings */
+  LbTime period;     /* time between two listings */
 } LcFleetList;
 
 typedef struct LcFleet LcFleet;
@@ -61,17 +62,17 @@
 LcFleet *lc_fleet_new (const char *self);
 void lc_fleet_free (LcFleet *fleet);
 
-/* commands */
+/* commands, which change the state */
 /* Reads one complete listing: begin, add each row, finish. lc_fleet_finish_list returns true when
  * liveness or the state of any instance changed. */
 void lc_fleet_begin_list (LcFleet *fleet, const LcFleetList *list);
 void lc_fleet_add_row (LcFleet *fleet, const LcFleetRow *row, int64_t version, LbTime now);
 bool lc_fleet_finish_list (LcFleet *fleet, LbTime now);
 
-/* queries */
-/* Merges two listings: instances that run batches or give weight orders also have a row on duty,
- * which is listed more often than the rows of all. `members` must have room for the members of
- * both; returns how many it holds. */
+/* queries, which change no state */
+/* Merges the listing of all rows with the listing of rows on duty. Instances that run batches or
+ * give weight orders have a second row, the row on duty, which is listed more often. `members` must
+ * have room for the members of both listings; returns the number of merged members. */
 size_t lc_fleet_merge_members (const LcFleet *all, const LcFleet *on_duty, LcFleetMember *members);
 size_t lc_fleet_count_members (const LcFleet *fleet);
 const LcFleetMember *lc_fleet_member_at (const LcFleet *fleet, size_t index);
--- a/packages/core/include/lc-instance.h
+++ b/packages/core/include/lc-instance.h
@@ -6,21 +6,22 @@
 typedef enum
 {
   LC_INSTANCE_ALIVE,
-  LC_INSTANCE_SUSPECT, /* answers a peer on neither its old nor a new connection */
+  LC_INSTANCE_SUSPECT, /* a peer got no answer from it, neither on the open connection nor on a new
+                          one */
   LC_INSTANCE_DEAD,
   LC_N_INSTANCE_STATES
 } LcInstanceState;
 
-/* State of one instance as instances exchange it. */
+/* State of one instance, as sent between instances. */
 typedef struct
 {
   LbName name;
-  LbName incarnation; /* new at each start of the process */
+  LbName incarnation; /* id that is new at each start of the process */
   LbName data_centre;
   LbName caller_address;
   LbName peer_address;
-  uint64_t epoch;   /* orders the incarnations of one name */
-  uint64_t version; /* raised only by the instance itself */
+  uint64_t epoch;   /* higher for each later incarnation of the same name */
+  uint64_t version; /* version of the state; raised only by the instance itself */
   LcInstanceState state;
   bool draining;
   int64_t load; /* processor use per mille, rounded down to a multiple of LC_INSTANCE_LOAD_STEP */
--- a/packages/core/include/lc-membership.h
+++ b/packages/core/include/lc-membership.h
@@ -10,13 +10,13 @@
  * notified of what happens to them. */
 typedef struct LcMembership LcMembership;
 
-/* Identifies a connection while it is open or being opened; 0 is none. */
+/* Identifies a connection while it is open or being opened; 0: no connection. */
 typedef uint64_t LcLinkId;
 
 typedef struct
 {
-  LcInstance self;         /* state ALIVE; epoch: wall clock at the start */
-  LbTime heartbeat_period; /* between heartbeats on a connection */
+  LcInstance self; /* must be ALIVE; its epoch is the wall clock at the start of the process */
+  LbTime heartbeat_period; /* time between two heartbeats on a connection */
   size_t n_rings;          /* number of peers that each instance watches */
   LbTime dial_timeout;
   LbTime suspicion_timeout; /* time from suspicion until the member is declared dead */
@@ -25,13 +25,13 @@
 
 typedef enum
 {
-  LC_MEMBERSHIP_DIAL,      /* open a connection: link, address */
-  LC_MEMBERSHIP_CLOSE,     /* close a connection: link, reason */
-  LC_MEMBERSHIP_PING,      /* send a heartbeat: link, digest */
-  LC_MEMBERSHIP_BROADCAST, /* send instances on all open connections but link */
-  LC_MEMBERSHIP_SEND,      /* send instances on link alone */
-  LC_MEMBERSHIP_COMPARE,   /* send names, epochs, versions and states of all on link */
-  LC_MEMBERSHIP_CHANGED    /* the view changed */
+  LC_MEMBERSHIP_DIAL,      /* open a connection; uses link and address */
+  LC_MEMBERSHIP_CLOSE,     /* close a connection; uses link and reason */
+  LC_MEMBERSHIP_PING,      /* send a heartbeat; uses link and digest */
+  LC_MEMBERSHIP_BROADCAST, /* send instances on all open connections except link */
+  LC_MEMBERSHIP_SEND,      /* send instances on link only */
+  LC_MEMBERSHIP_COMPARE,   /* send name, epoch, version and state of each instance on link */
+  LC_MEMBERSHIP_CHANGED    /* this instance's view of the members changed */
 } LcMembershipActionType;
 
 /* A heartbeat carries a digest of the view, so its size does not depend on the number of
@@ -41,32 +41,32 @@
   LbLink link_in_list;
   LcMembershipActionType type;
   LcLinkId link;
-  LbName address;        /* DIAL */
-  LbErrorCode reason;    /* CLOSE */
-  uint64_t digest;       /* PING: of this instance's view */
-  LcInstance *instances; /* owned by the action */
+  LbName address;        /* DIAL: address to connect to */
+  LbErrorCode reason;    /* CLOSE: why the connection is closed */
+  uint64_t digest;       /* PING: digest of this instance's view */
+  LcInstance *instances; /* BROADCAST, SEND, COMPARE: instances to send; owned by the action */
   size_t n_instances;
-  bool is_reply; /* of COMPARE: a reply, which the peer must not answer with a COMPARE */
+  bool is_reply; /* COMPARE: this is a reply, which the peer must not answer with another COMPARE */
 } LcMembershipAction;
 
-/* One instance as this instance sees it. */
+/* State of one instance, as known to this instance. */
 typedef struct
 {
   LcInstance instance;
   bool is_self;
-  bool alive;    /* not suspected by any instance and not silent here */
-  bool draining; /* according to the instance itself or to the platform's list */
+  bool alive;    /* no instance suspects it, and its connection to this instance is not silent */
+  bool draining; /* reported by the instance itself or by the platform's list */
   LbTime changed_at;
 } LcMemberView;
 
-/* Totals since the start, for metrics. */
+/* Counters since the start of this process, for metrics. */
 typedef struct
 {
   int64_t connection_timeouts;
   int64_t suspected;
   int64_t declared_dead;
-  int64_t refuted;    /* suspicions of other instances that these refuted */
-  int64_t own_pauses; /* times that this process was found to have been paused */
+  int64_t refuted;    /* suspicions that the suspected instance refuted */
+  int64_t own_pauses; /* detected pauses of this process */
   int64_t name_conflicts;
 } LcMembershipTotals;
 
@@ -82,43 +82,47 @@
 LcMembership *lc_membership_new (const LcMembershipSettings *settings, LbTime now);
 void lc_membership_free (LcMembership *membership);
 
-/* commands; each appends LcMembershipAction to actions */
+/* Commands. Each appends the actions that the caller must carry out (LcMembershipAction) to
+ * actions. */
 void lc_membership_add_seed (LcMembership *membership, const char *address, LbTime now);
 void lc_membership_apply_platform_list (LcMembership *membership,
                                         const LcListedInstance *listed,
                                         size_t n_listed,
                                         LbTime now,
                                         LbList *actions);
-/* A peer opened a connection and proved the cluster key; returns the id of the connection, or 0
- * when the peer has this instance's own name: the caller then closes it. */
+/* Call when a peer opened a connection and proved the cluster key. Returns the id of the
+ * connection, or 0 when the peer has this instance's own name; the caller then closes the
+ * connection. */
 LcLinkId lc_membership_link_accepted (LcMembership *membership,
                                       const LcInstance *peer,
                                       LbTime now,
                                       LbList *actions);
-/* A connection requested by DIAL is open and the peer proved the cluster key. */
+/* Call when a connection requested by DIAL is open and the peer proved the cluster key. */
 void lc_membership_link_dialled (
     LcMembership *membership, LcLinkId link, const LcInstance *peer, LbTime now, LbList *actions);
-/* The connection failed, was refused, or was closed by the peer. */
+/* Call when the connection failed, was refused, or was closed by the peer. */
 void
 lc_membership_link_closed (LcMembership *membership, LcLinkId link, LbTime now, LbList *actions);
-/* A frame other than a heartbeat was sent, so an answer or heartbeat of the peer is due. */
+/* Call when a frame other than a heartbeat was sent; the peer must then send an answer or a
+ * heartbeat. */
 void lc_membership_frame_sent (LcMembership *membership, LcLinkId link, LbTime now);
-/* A frame of any kind was received. */
+/* Call when a frame of any kind was received. */
 void lc_membership_frame_received (LcMembership *membership, LcLinkId link, LbTime now);
-/* The peer's digest, from its heartbeat or its reply to one. */
+/* Call when a heartbeat or a heartbeat reply with the digest of the peer's view has arrived. */
 void lc_membership_digest_received (LcMembership *membership,
                                     LcLinkId link,
                                     uint64_t digest,
                                     LbTime now);
-/* Instances sent by a peer. An entry without peer_address is in short form: it also lacks
- * incarnation, data centre and caller address, and updates an epoch that is known already. */
+/* Applies instance states sent by a peer. An entry without peer_address is in short form: it also
+ * lacks incarnation, data centre and caller address. It updates an epoch that is already known. */
 void lc_membership_updates_received (LcMembership *membership,
                                      LcLinkId link,
                                      const LcInstance *instances,
                                      size_t n_instances,
                                      LbTime now,
                                      LbList *actions);
-/* The peer's summary of its whole view; answered by SEND with whatever is newer here. */
+/* Handles a peer's summary of its whole view. Replies by SEND with the instances whose state is
+ * newer in this instance's view. */
 void lc_membership_summary_received (LcMembership *membership,
                                      LcLinkId link,
                                      const LcInstance *instances,
@@ -126,8 +130,8 @@
                                      bool is_reply,
                                      LbTime now,
                                      LbList *actions);
-/* Keeps a connection to the named instance open until that time; false when the instance is not
- * known. */
+/* Keeps a connection to the named instance open until the time `until`; returns false when the
+ * instance is not known. */
 bool lc_membership_keep_connected (
     LcMembership *membership, const char *name, LbTime until, LbTime now, LbList *actions);
 void lc_membership_set_draining (LcMembership *membership, LbTime now, LbList *actions);
@@ -136,7 +140,7 @@
 void lc_membership_tick (LcMembership *membership, LbTime now, LbList *actions);
 void lc_membership_action_free (LcMembershipAction *action);
 
-/* queries */
+/* queries, which change no state */
 LbTime lc_membership_next_tick (const LcMembership *membership);
 uint64_t lc_membership_digest (const LcMembership *membership);
 const LcInstance *lc_membership_self (const LcMembership *membership);
@@ -145,7 +149,8 @@
 void lc_membership_copy_views (const LcMembership *membership, LcMemberView *views);
 bool
 lc_membership_find_instance (const LcMembership *membership, const char *name, LcMemberView *view);
-/* The open connection to the instance on which a frame arrived last; 0 when there is none. */
+/* Of the open connections to the instance, the one that received a frame last; 0 when there is
+ * none. */
 LcLinkId lc_membership_find_link (const LcMembership *membership, const char *name);
 const char *lc_membership_link_peer_name (const LcMembership *membership, LcLinkId link);
 LcMembershipTotals lc_membership_totals (const LcMembership *membership);
--- a/packages/core/src/membership/lc-membership-private.h
+++ b/packages/core/src/membership/lc-membership-private.h
@@ -8,7 +8,7 @@
 #include <uthash.h>
 
 #define LC_MEMBERSHIP_MAX_RINGS 8
-/* Minimum time between two view comparisons that this instance starts. */
+/* Minimum time between two comparisons of views that this instance starts with any peer. */
 #define LC_COMPARE_INTERVAL LB_SEC
 /* Two peers compare their views when their digests have differed for this many periods. */
 #define LC_COMPARE_AFTER_PERIODS 4
@@ -16,17 +16,20 @@
 typedef struct
 {
   LcInstance instance;
-  LbTime changed_at;              /* when state or draining last changed */
-  LbTime epoch_learned_at;        /* for a while afterwards, its addresses are sent as well */
-  LbTime last_heard_at;           /* on any connection */
-  LbTime declare_dead_at;         /* while SUSPECT */
-  LbTime suspicion_ignored_until; /* it refuted a suspicion, so this instance raises none before */
-  LbTime suspicion_ignore_time;   /* length of that interval; doubles with each refutation */
+  LbTime changed_at;       /* when state or draining last changed */
+  LbTime epoch_learned_at; /* when its epoch became known; for a while afterwards, its updates
+                              include its addresses */
+  LbTime last_heard_at;    /* time of the last frame from it on any connection */
+  LbTime declare_dead_at;  /* when it is declared dead; valid in state SUSPECT */
+  LbTime suspicion_ignored_until; /* after a refutation, this instance does not suspect it before
+                                     this time */
+  LbTime suspicion_ignore_time; /* time for which a refutation prevents suspicion; doubles with each
+                                   one */
   LbTime keep_connected_until;
   LbTime next_dial_at;
   bool is_silent;         /* its connection timed out or closed, and no new one is open yet */
-  bool is_listed;         /* in the platform's list */
-  bool is_listed_leaving; /* marked as leaving there */
+  bool is_listed;         /* the member is in the platform's list */
+  bool is_listed_leaving; /* marked as leaving in the platform's list */
   bool is_pending;        /* an update about it is to be sent on all connections */
   LcLinkId source_link;   /* connection on which the pending update arrived; 0: none */
   UT_hash_handle hh;
@@ -36,26 +39,26 @@
 typedef struct
 {
   LcLinkId id;
-  LbName name; /* empty: not known yet */
+  LbName name; /* name of the peer; empty: not known yet */
   LbName address;
   bool is_outgoing;
   bool is_open;
   bool is_watched; /* heartbeats are sent on it and answers expected */
   LbTime started_at;
   LbTime next_ping_at;
-  LbTime unneeded_since;   /* 0: needed */
-  LbTime unanswered_since; /* a frame was sent and none received since; 0: no */
+  LbTime unneeded_since;   /* when the connection became unneeded; 0: it is needed */
+  LbTime unanswered_since; /* when the first frame was sent after the last arrival; 0: none since */
   LcDetector detector;
   uint64_t peer_digest;
-  LbTime digest_differs_since; /* 0: both ends have the same view */
+  LbTime digest_differs_since; /* when the digests of both ends began to differ; 0: equal */
   UT_hash_handle hh;
 } LcPeerLink;
 
-/* An address to try whose instance may be unknown: a seed or an entry of the platform's list. */
+/* An address to dial, of a possibly unknown instance: a seed or an entry of the platform's list. */
 typedef struct
 {
   LbName address;
-  bool is_listed; /* from the platform's list */
+  bool is_listed; /* the address is in the platform's list */
   LbLink link;
 } LcContact;
 
@@ -64,19 +67,19 @@
 {
   LcMembershipSettings settings;
   LcInstance self;
-  LcMember *members; /* without self */
+  LcMember *members; /* all known instances except self */
   LcPeerLink *links;
   LbList contacts;
   LcLinkId last_link_id;
   gsl_rng *rng;
-  LbName targets[LC_MEMBERSHIP_MAX_RINGS]; /* members that this instance watches */
+  LbName targets[LC_MEMBERSHIP_MAX_RINGS]; /* names of the members that this instance watches */
   size_t n_targets;
   bool targets_outdated;
   bool view_changed;
   bool is_self_pending;
   bool has_platform_list;
   uint64_t digest; /* digest of the view at the end of the last command */
-  LbTime flush_at; /* LB_TIME_NEVER: no updates are pending */
+  LbTime flush_at; /* when to broadcast pending updates; LB_TIME_NEVER: none are pending */
   LbTime next_contact_at;
   LbTime next_compare_at;
   LbTime next_load_update_at;
@@ -89,12 +92,13 @@
 LcMember *lc_membership_lookup_member (const LcMembership *membership, const char *name);
 LcPeerLink *lc_membership_lookup_link (const LcMembership *membership, LcLinkId id);
 LcMembershipAction *lc_membership_add_action (LbList *actions, LcMembershipActionType type);
-/* Ends a command: when the view changed, updates the digest and emits CHANGED once. */
+/* Called at the end of each command: if the view changed, updates the digest and emits CHANGED
+ * once. */
 void lc_membership_finish_command (LcMembership *membership, LbList *actions);
 uint64_t lc_membership_compute_digest (const LcMembership *membership);
 void lc_membership_send_instance (LcLinkId link, const LcInstance *instance, LbList *actions);
 
-/* lc-membership-updates.c */
+/* functions of lc-membership-updates.c */
 
 /* Removes and frees the member; peers may still report it again. */
 void lc_membership_remove_member (LcMembership *membership, LcMember *member);
@@ -111,18 +115,17 @@
 void lc_membership_send_summary (LcMembership *membership, LcLinkId link, LbList *actions);
 void lc_membership_flush_updates (LcMembership *membership, LbTime now, LbList *actions);
 
-/* lc-membership-links.c */
+/* functions of lc-membership-links.c */
 
 LcPeerLink *lc_membership_add_link (LcMembership *membership, bool is_outgoing, LbTime now);
 /* Removes and frees the state of a connection that is closed already. */
 void lc_membership_remove_link (LcMembership *membership, LcPeerLink *link);
-/* Closes a connection that is no longer needed, which says nothing about its member's health; frees
- * link. */
+/* Closes a connection that is no longer needed, without marking its member silent; frees link. */
 void lc_membership_close_link (LcMembership *membership,
                                LcPeerLink *link,
                                LbErrorCode reason,
                                LbList *actions);
-/* Whether a connection that this instance opened is open or being opened. */
+/* Whether a connection to the named member that this instance initiated is open or being opened. */
 bool lc_membership_has_outgoing_link (const LcMembership *membership, const char *name);
 /* Opens a connection unless one to the address is being opened already. name: empty when it is not
  * known which instance has the address. */
@@ -131,31 +134,32 @@
 void
 lc_membership_dial_member (LcMembership *membership, LcMember *member, LbTime now, LbList *actions);
 
-/* lc-membership-connect.c: handles a connection that ended or could not be opened, as evidence
- * against its member; frees link. */
+/* lc-membership-connect.c: handles a connection that ended or could not be opened and frees link.
+ * Its member may become silent or suspect. */
 void lc_membership_handle_link_loss (LcMembership *membership,
                                      LcPeerLink *link,
                                      LbTime now,
                                      LbList *actions);
 
-/* lc-membership-heartbeat.c */
+/* functions of lc-membership-heartbeat.c */
 
 /* Records a frame from the peer; the member no longer counts as silent. */
 void lc_membership_record_arrival (LcMembership *membership, LcPeerLink *link, LbTime now);
 /* Sends due heartbeats and closes connections that timed out or are no longer needed. */
 void lc_membership_tick_links (LcMembership *membership, LbTime now, LbList *actions);
 
-/* lc-membership-members.c: declares suspects dead that did not refute in time, and removes members
- * that have been dead for long. */
+/* lc-membership-members.c: declares suspects dead that did not refute within the suspicion timeout,
+ * and removes members that have been dead for hours. */
 void lc_membership_tick_members (LcMembership *membership, LbTime now);
 
-/* lc-membership-contacts.c: dials the address of a dead or unknown instance when one is due. */
+/* lc-membership-contacts.c: dials the address of a dead or unknown instance when the next attempt
+ * is due. */
 void lc_membership_dial_contact (LcMembership *membership, LbTime now, LbList *actions);
 
-/* lc-membership-watch.c */
+/* functions of lc-membership-watch.c */
 
 void lc_membership_choose_targets (LcMembership *membership);
-/* Dials targets that have no connection, after choosing targets anew if members have changed. */
+/* Dials watched members without a connection; chooses them anew first if members have changed. */
 void lc_membership_dial_targets (LcMembership *membership, LbTime now, LbList *actions);
 bool lc_membership_is_target (const LcMembership *membership, const char *name);
 
--- a/packages/core/src/quarantine/lc-crash-log.h
+++ b/packages/core/src/quarantine/lc-crash-log.h
@@ -3,7 +3,7 @@
 
 #include "lc-quarantine.h"
 
-/* Crash reports of a quarantine, grouped by the crash that they are about. */
+/* Crash reports of a quarantine, grouped by crash. */
 
 typedef struct
 {
@@ -15,7 +15,7 @@
 typedef struct
 {
   LbLink link;
-  LbList entries; /* LcReportEntry; at least one */
+  LbList entries; /* list of LcReportEntry; never empty */
   LbName endpoint;
   LbTime crashed_at;  /* time of the earliest report */
   bool is_attributed; /* attributed to a quarantined fingerprint; set by the quarantine */
@@ -23,18 +23,18 @@
 
 typedef struct
 {
-  LbList crashes; /* LcCrash, ordered by crashed_at */
+  LbList crashes; /* list of LcCrash, ordered by crashed_at */
   size_t n_reports;
 } LcCrashLog;
 
 void lc_crash_log_init (LcCrashLog *log);
 void lc_crash_log_clear (LcCrashLog *log);
 
-/* False if the report is known already. */
+/* Returns false if a report with the same id is already known. */
 bool lc_crash_log_add_report (LcCrashLog *log, const LcCrashReport *report);
-/* False if there is no such report. */
+/* Returns false if there is no report with this id. */
 bool lc_crash_log_withdraw_report (LcCrashLog *log, const char *id);
-/* Drops crashes at or before this time; false if there are none. */
+/* Drops crashes at or before this time; returns false if there were none. */
 bool lc_crash_log_expire (LcCrashLog *log, LbTime before);
 
 bool lc_crash_involves (const LcCrash *crash, LcFingerprint fingerprint);
