--- a/packages/core/src/membership/lc-catalog.c
+++ b/packages/core/src/membership/lc-catalog.c
@@ -9,28 +9,26 @@
 #include <uthash.h>
 
 #define PUBLISHER_KEY "publisher"
-/* Without a publisher, followers start to list the rows themselves at times spread over this
- * interval. Like PUBLISHER_TIMEOUT, TAKEOVER_DELAY_PER_RANK and MAX_SNAPSHOT_AGE_MS, it is given
- * for LC_CATALOG_LISTING_PERIOD and scaled to the publisher's period. */
+/* When the publisher stops, followers start to list the rows themselves at times spread over this
+ * interval. Like PUBLISHER_TIMEOUT, TAKEOVER_DELAY_PER_RANK and MAX_SNAPSHOT_AGE_MS, the value is
+ * for LC_CATALOG_LISTING_PERIOD and is scaled to the publisher's period. */
 #define FALLBACK_SPREAD (300 * LB_MSEC)
-/* The publisher counts as failed when its row has not changed for 1.5 periods; each further
- * candidate takes over this much later, so that no other instance has to list the rows
- * meanwhile. */
+/* The publisher counts as failed when its row has not changed for 1.5 periods. Candidates take over
+ * one after another, early enough that other instances need not list the rows meanwhile. */
 #define PUBLISHER_TIMEOUT (600 * LB_MSEC)
 #define TAKEOVER_DELAY_PER_RANK (250 * LB_MSEC)
 #define MIN_PERIOD (100 * LB_MSEC)
 #define MAX_PERIOD (10 * LB_SEC)
-/* A snapshot that is already this old when it arrives is not used: the publisher's write was
- * delayed. */
+/* A snapshot older than this on arrival is not used: the publisher's write was delayed. */
 #define MAX_SNAPSHOT_AGE_MS 1000
-/* A write without an answer counts as lost after this time; the table then shows whether it was
- * carried out. */
+/* A write without an answer counts as lost after this time; reading the table then shows whether
+ * the store applied it. */
 #define WRITE_TIMEOUT LB_SEC
-/* Changes per write beside the publisher's row: the store takes 100 entries in a transaction, one
- * of which is the condition. */
+/* Changes per write, not counting the publisher's row. The store accepts 100 entries in a
+ * transaction, including the condition. */
 #define MAX_CHANGES_PER_WRITE 90
 
-/* One row of the table. */
+/* One row of the shared table. */
 typedef struct
 {
   char *key; /* hash key */
@@ -56,26 +54,27 @@
   LbTime fallback_delay;
   int rank;
   TableRow *rows;
-  /* the publisher's row, as last read */
+  /* contents of the publisher's row, as last read */
   int64_t publisher_version; /* 0: there is none */
   LbName publisher;
   LbName publisher_incarnation;
-  int64_t publisher_epoch;     /* incremented by each new publisher */
-  LbTime publisher_period;     /* time between the publisher's listings */
-  LbTime own_period;           /* the same for this instance while it publishes */
-  int64_t listed_ms;           /* store's clock at the listing that the rows come from */
-  bool is_complete;            /* every change of that listing has been written */
-  bool publisher_row_changed;  /* changed since the last snapshot */
+  int64_t publisher_epoch; /* incremented by each new publisher */
+  LbTime publisher_period; /* time between the publisher's listings */
+  LbTime own_period;       /* time between this instance's listings while it publishes */
+  int64_t listed_ms;       /* store's clock at the listing that the publisher wrote the rows from */
+  bool is_complete;        /* the publisher has written every change of its listing */
+  bool publisher_row_changed;  /* the publisher's row changed since the last finished update */
   bool needs_sort;             /* rows were added since the last sort */
-  int64_t change_count;        /* number of changes to the rows so far */
-  LbTime publisher_changed_at; /* when the row last changed, or following began */
-  /* the snapshot: the rows as of the last complete listing */
+  int64_t change_count;        /* number of row changes applied so far */
+  LbTime publisher_changed_at; /* when the publisher's row last changed; initially the time of
+                                  lc_catalog_new */
+  /* times of the snapshot (the rows as of the last complete listing) */
   LbTime snapshot_valid_at;
   LbTime snapshot_received_at; /* 0: there is none */
-  /* publishing */
-  Listing *listings;             /* one for each list */
-  bool all_changes_written;      /* every change of the listings is in a write */
-  int64_t last_expected_version; /* expected version of the last write */
+  /* state for publishing */
+  Listing *listings;             /* hash table with one listing for each list */
+  bool all_changes_written;      /* every change of the listings was put into a write */
+  int64_t last_expected_version; /* expected version of the last write; -1: there was none */
   LbTime last_write_at;
 };
 
@@ -117,7 +116,7 @@
 }
 
 static void
-items_free (LcCatalogItem *items, size_t n_items)
+free_items (LcCatalogItem *items, size_t n_items)
 {
   for (size_t i = 0; i < n_items; i++)
     {
@@ -138,7 +137,7 @@
   HASH_ITER (hh, catalog->listings, listing, next)
   {
     HASH_DEL (catalog->listings, listing);
-    items_free (listing->items, listing->n_items);
+    free_items (listing->items, listing->n_items);
     free (listing->prefix);
     free (listing);
   }
@@ -151,7 +150,7 @@
   return PUBLISHER_KEY;
 }
 
-/* --- follow the table --- */
+/* --- following the shared table --- */
 
 void
 lc_catalog_begin_snapshot (LcCatalog *catalog)
@@ -172,7 +171,7 @@
 }
 
 static void
-apply_item (LcCatalog *catalog, const char *key, const char *value, int64_t version)
+apply_row_change (LcCatalog *catalog, const char *key, const char *value, int64_t version)
 {
   TableRow *row = find_row (catalog, key);
 
@@ -196,22 +195,22 @@
 }
 
 static LbTime
-read_period (struct json_object *object)
+parse_publisher_period (struct json_object *object)
 {
   LbTime period = lb_json_int (object, "period_ms", LC_CATALOG_LISTING_PERIOD / LB_MSEC) * LB_MSEC;
 
   return period < MIN_PERIOD || period > MAX_PERIOD ? LC_CATALOG_LISTING_PERIOD : period;
 }
 
-/* Scales a time, given for LC_CATALOG_LISTING_PERIOD, to the publisher's period. */
+/* Scales a time that is given for LC_CATALOG_LISTING_PERIOD to the publisher's period. */
 static LbTime
 scale_to_period (const LcCatalog *catalog, LbTime time)
 {
   return time * catalog->publisher_period / LC_CATALOG_LISTING_PERIOD;
 }
 
-/* An unreadable row counts as a row without a publisher: it does not change any more and is
- * replaced. */
+/* An unreadable row counts as a row without a publisher: it no longer changes, so another instance
+ * takes over and replaces it. */
 static void
 apply_publisher_row (LcCatalog *catalog, const char *value, int64_t version)
 {
@@ -221,7 +220,7 @@
   LB_COPY (catalog->publisher, lb_json_text (object, "publisher", ""));
   LB_COPY (catalog->publisher_incarnation, lb_json_text (object, "incarnation", ""));
   catalog->publisher_epoch = lb_json_int (object, "epoch", 0);
-  catalog->publisher_period = read_period (object);
+  catalog->publisher_period = parse_publisher_period (object);
   catalog->listed_ms = lb_json_int (object, "listed_ms", 0);
   catalog->is_complete = lb_json_bool (object, "whole", false);
   catalog->publisher_row_changed = true;
@@ -232,13 +231,13 @@
 lc_catalog_apply_row (LcCatalog *catalog, const char *key, const char *value, int64_t version)
 {
   if (strcmp (key, PUBLISHER_KEY) != 0)
-    apply_item (catalog, key, value, version);
+    apply_row_change (catalog, key, value, version);
   else if (version > catalog->publisher_version)
     apply_publisher_row (catalog, value, version);
 }
 
 static int
-compare_keys (const TableRow *a, const TableRow *b)
+compare_row_keys (const TableRow *a, const TableRow *b)
 {
   return strcmp (a->key, b->key);
 }
@@ -247,7 +246,7 @@
 sort_rows (LcCatalog *catalog)
 {
   if (catalog->needs_sort)
-    HASH_SRT (hh, catalog->rows, compare_keys);
+    HASH_SRT (hh, catalog->rows, compare_row_keys);
   catalog->needs_sort = false;
 }
 
@@ -311,7 +310,7 @@
       visit (row->key + length, row->value, row->version, user);
 }
 
-/* --- publish --- */
+/* --- publishing to the shared table --- */
 
 void
 lc_catalog_set_own_period (LcCatalog *catalog, LbTime period)
@@ -344,8 +343,8 @@
   return catalog->publisher;
 }
 
-/* Returns true if the publisher's row, if any, has not changed for so long that this instance may
- * take over. */
+/* Whether the publisher's row has been absent or unchanged for so long that this instance may take
+ * over. */
 static bool
 can_take_over (const LcCatalog *catalog, LbTime now)
 {
@@ -376,16 +375,16 @@
       listing->prefix = lb_strdup (prefix);
       HASH_ADD_KEYPTR (hh, catalog->listings, listing->prefix, strlen (listing->prefix), listing);
     }
-  items_free (listing->items, listing->n_items);
+  free_items (listing->items, listing->n_items);
   listing->items = items;
   listing->n_items = n_items;
   listing->store_ms = store_ms;
   catalog->all_changes_written = false;
 }
 
-/* The store's clock at the oldest listing of known age; 0 if there is none. */
+/* Returns the store's clock at the oldest listing of known age; 0 if there is none. */
 static int64_t
-oldest_listing_ms (const LcCatalog *catalog)
+find_oldest_listing_ms (const LcCatalog *catalog)
 {
   int64_t oldest = 0;
 
@@ -395,11 +394,11 @@
   return oldest;
 }
 
-/* Nothing is published before there is a listing with a known age. */
+/* Whether a listing has a known age; nothing is published before. */
 static bool
-has_listing_age (const LcCatalog *catalog)
+has_listing_of_known_age (const LcCatalog *catalog)
 {
-  return oldest_listing_ms (catalog) > 0;
+  return find_oldest_listing_ms (catalog) > 0;
 }
 
 static void
@@ -422,7 +421,7 @@
 }
 
 static char *
-publisher_row_to_text (const LcCatalog *catalog, bool is_complete)
+format_publisher_row (const LcCatalog *catalog, bool is_complete)
 {
   struct json_object *object = json_object_new_object ();
   bool is_takeover = !lc_catalog_is_publisher (catalog);
@@ -431,14 +430,16 @@
   json_object_object_add (object, "incarnation", json_object_new_string (catalog->incarnation));
   json_object_object_add (object, "epoch",
                           json_object_new_int64 (catalog->publisher_epoch + is_takeover));
-  json_object_object_add (object, "listed_ms", json_object_new_int64 (oldest_listing_ms (catalog)));
+  json_object_object_add (object, "listed_ms",
+                          json_object_new_int64 (find_oldest_listing_ms (catalog)));
   json_object_object_add (object, "period_ms",
                           json_object_new_int64 (catalog->own_period / LB_MSEC));
   json_object_object_add (object, "whole", json_object_new_boolean (is_complete));
   return lb_json_take_text (object, JSON_C_TO_STRING_PLAIN);
 }
 
-/* Adds the items that are new or differ from the table; false when more changed than fits. */
+/* Adds the items that are new or differ from the table; returns false when not all fit into the
+ * write. */
 static bool
 add_changed_items (const LcCatalog *catalog, const Listing *listing, LcCatalogWrite *write)
 {
@@ -462,7 +463,8 @@
   UT_hash_handle hh;
 } ListedKey;
 
-/* Adds deletions of the rows that are no longer listed; false when there are more than fit. */
+/* Adds deletions of the rows that are no longer listed; returns false when not all fit into the
+ * write. */
 static bool
 add_deleted_rows (const LcCatalog *catalog, const Listing *listing, LcCatalogWrite *write)
 {
@@ -499,16 +501,15 @@
   return true;
 }
 
-/* A write is based on the rows as read from the table, so the previous write must have shown up
- * there: without an answer it may or may not have been carried out. Once it has shown up its answer
- * is not awaited: a publisher that waited for a lost answer was silent for a second, and all other
- * instances listed the endpoints. */
+/* A write is based on the rows as read from the table, so the previous write must be visible in the
+ * table or have timed out. The answer to a visible write is not awaited: a publisher that waited
+ * for a lost answer was silent for a second, and all other instances listed the endpoints. */
 static bool
-can_write (const LcCatalog *catalog, LbTime now)
+can_write_changes (const LcCatalog *catalog, LbTime now)
 {
   bool is_last_write_visible = catalog->publisher_version != catalog->last_expected_version;
 
-  if (catalog->all_changes_written || catalog->rank < 0 || !has_listing_age (catalog))
+  if (catalog->all_changes_written || catalog->rank < 0 || !has_listing_of_known_age (catalog))
     return false;
   if (!is_last_write_visible && now - catalog->last_write_at < WRITE_TIMEOUT)
     return false;
@@ -519,11 +520,11 @@
 lc_catalog_prepare_write (LcCatalog *catalog, LbTime now, LcCatalogWrite *write)
 {
   memset (write, 0, sizeof *write);
-  if (!can_write (catalog, now))
+  if (!can_write_changes (catalog, now))
     return false;
   add_put (write, (LcCatalogPut){ .key = lb_strdup (PUBLISHER_KEY), .value = NULL });
   bool is_complete = add_all_changes (catalog, write);
-  write->puts[0].value = publisher_row_to_text (catalog, is_complete);
+  write->puts[0].value = format_publisher_row (catalog, is_complete);
   write->expected_version = catalog->publisher_version;
   catalog->last_expected_version = catalog->publisher_version;
   catalog->last_write_at = now;
@@ -531,7 +532,8 @@
   return true;
 }
 
-/* Repeats a failed write, based on the table as read by then, unless another instance publishes. */
+/* Makes the next write include the changes of the failed one, unless another instance publishes by
+ * then. */
 void
 lc_catalog_write_failed (LcCatalog *catalog, int64_t expected_version)
 {
--- a/packages/core/src/membership/lc-detector.c
+++ b/packages/core/src/membership/lc-detector.c
@@ -3,14 +3,14 @@
 #include <math.h>
 
 /* The timeout lies between two and three heartbeat periods: below two, one late heartbeat would be
- * enough to time out; above three, the address of a dead instance would still be given to callers
- * three seconds after its death, which must not happen. */
+ * enough to time out; above three, callers would still be given the address of an instance that
+ * died three seconds ago. */
 #define MIN_TIMEOUT_PERIODS 2
 #define MAX_TIMEOUT_PERIODS 3
 #define TIMEOUT_DEVIATIONS 4.0
 #define SMOOTHING_FACTOR 0.125
 
-/* period: time between the heartbeats that the peer is asked for. */
+/* period: time between two heartbeats that the peer is expected to answer. */
 void
 lc_detector_init (LcDetector *detector, LbTime period, LbTime now)
 {
@@ -21,9 +21,9 @@
   detector->max_timeout = MAX_TIMEOUT_PERIODS * period;
 }
 
-/* Records an arrival; any byte from the peer counts. Gaps well below a period come from bursts of
- * other frames and are left out of the average: they would make the timeout tighter than the
- * heartbeats are. */
+/* Records an arrival; any byte from the peer counts. Gaps below half a period come from bursts of
+ * other frames and are left out of the average: with them, the timeout would be too short for the
+ * heartbeats. */
 void
 lc_detector_record_arrival (LcDetector *detector, LbTime now)
 {
--- a/packages/core/src/membership/lc-duty.c
+++ b/packages/core/src/membership/lc-duty.c
@@ -4,20 +4,20 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Used for machines that report no strength. */
+/* Minimum strength (capacity of a machine); also used for machines that report none. */
 #define MIN_STRENGTH 1
 
-/* A duty is limited by both factors: the processor parses the texts of a step, and the link carries
- * them twice. */
+/* Processor and link both limit a duty: the processor parses the texts of a batch, and the link
+ * carries them twice. */
 int64_t
 lc_duty_machine_strength (double processor_share, double link_mbps)
 {
   return (int64_t)(processor_share * 1000 * link_mbps);
 }
 
-/* Pseudo-random number in (0, 1), derived from the two names alone. */
+/* Pseudo-random number in (0, 1), computed only from the names of the duty and the instance. */
 static double
-hash_to_unit (const char *duty, const char *instance)
+hash_to_unit_interval (const char *duty, const char *instance)
 {
   uint64_t hash
       = XXH3_64bits_withSeed (instance, strlen (instance), XXH3_64bits (duty, strlen (duty)));
@@ -26,22 +26,23 @@
 }
 
 /* Weighted rendezvous hashing: a candidate has the highest score with a probability equal to its
- * share of the sum of squared strengths, and one that joins or leaves does not reorder any others.
- * Weighted by the strength itself, one of ten duties still went to a weak machine where these are
- * many, and a step there began 0.3 s late. */
+ * share of the sum of squared strengths. A candidate that joins or leaves does not reorder the
+ * others. With weights equal to the strength, a tenth of the duties went to weak machines at sites
+ * with many of them, where a batch started 0.3 s late. */
 static double
-compute_score (const char *duty, const LcDutyCandidate *candidate)
+compute_candidate_score (const char *duty, const LcDutyCandidate *candidate)
 {
   int64_t strength = candidate->strength > MIN_STRENGTH ? candidate->strength : MIN_STRENGTH;
 
-  return -(double)strength * (double)strength / log (hash_to_unit (duty, candidate->name));
+  return -(double)strength * (double)strength / log (hash_to_unit_interval (duty, candidate->name));
 }
 
-/* The range fits the squares of all strengths from a thousandth of a core with 1 Mbit/s up. */
+/* The range of sort keys suffices for all strengths from a thousandth of a core with 1 Mbit/s
+ * upwards, although scores grow with the square. */
 int64_t
 lc_duty_sort_key (const char *duty, const LcDutyCandidate *candidate)
 {
-  double sort_key = (double)LC_DUTY_MAX_SORT_KEY / compute_score (duty, candidate);
+  double sort_key = (double)LC_DUTY_MAX_SORT_KEY / compute_candidate_score (duty, candidate);
 
   return sort_key < (double)LC_DUTY_MAX_SORT_KEY ? (int64_t)sort_key : LC_DUTY_MAX_SORT_KEY;
 }
@@ -50,8 +51,8 @@
 static bool
 is_ranked_before (const char *duty, const LcDutyCandidate *a, const LcDutyCandidate *b)
 {
-  double score_a = compute_score (duty, a);
-  double score_b = compute_score (duty, b);
+  double score_a = compute_candidate_score (duty, a);
+  double score_b = compute_candidate_score (duty, b);
 
   return score_a != score_b ? score_a > score_b : strcmp (a->name, b->name) < 0;
 }
@@ -81,9 +82,9 @@
   return rank;
 }
 
-/* Keeps the current holder while it is a candidate, and picks by score only when nobody holds the
- * duty. A duty that moved back to an instance that was briefly away would gain nothing: the moved
- * batches of a model open a new connection for each slot of each engine. */
+/* Keeps the current holder while it is a candidate, and chooses by score only when nobody holds the
+ * duty. Moving a duty back to an instance that was briefly away is costly: the batches of a model
+ * then open a new connection for each slot of each engine. */
 const char *
 lc_duty_choose_holder (const char *duty,
                        const char *current,
--- a/packages/core/src/membership/lc-fleet.c
+++ b/packages/core/src/membership/lc-fleet.c
@@ -8,23 +8,24 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Renewals that an instance may miss: the answer to one may be lost, and the next takes the longer
- * way through another instance when this one was just cut off from the store. */
+/* Renewals that an instance may miss before it counts as dead. The answer to one renewal may be
+ * lost, and the next one may take longer through another instance if the direct path to the store
+ * has just failed. */
 #define MAX_MISSED_RENEWALS 3
-/* Time from a due renewal to the listing that shows it, when the store answers at once. */
+/* Longest time from a due renewal to the listing that shows it, if the store answers at once. */
 #define LISTING_DELAY (200 * LB_MSEC)
-/* Store round trips between the two, for a slow store: the renewal, which counts twice since rows
- * of one part are written one after the other, and the listing. */
+/* Store round trips from a due renewal to the listing that shows it: one for the listing and two
+ * for the renewal, since rows of one partition of the table are written one after the other. */
 #define STORE_ROUND_TRIPS 3
 #define DEFAULT_PERIOD LB_SEC
-/* Cap on the period by which a row seen for the first time is judged recent: a row that is renewed
- * less often says nothing about the last seconds, and callers are not sent there before its next
- * renewal. */
+/* Limit of the renewal period by which a row seen for the first time is judged recent. A row that
+ * is renewed less often does not show that its instance is alive now; callers are not sent to that
+ * instance before its next renewal. */
 #define MAX_RECENT_PERIOD (2500 * LB_MSEC)
-/* A listing that is this much overdue shows that the store was unreachable. */
+/* A listing that is overdue by more than this shows that the store was unreachable. */
 #define OUTAGE_THRESHOLD (300 * LB_MSEC)
-/* Time until renewals get through again after such an outage: a few were lost, and each is awaited
- * for half a second before the next one goes out, directly or through another instance. */
+/* Time until renewals succeed again after a store outage: a few were lost, and an instance waits
+ * half a second for each before it sends the next one, directly or through another instance. */
 #define OUTAGE_RECOVERY_TIME (800 * LB_MSEC)
 
 struct LcFleet
@@ -32,9 +33,10 @@
   LbName self;
   LcFleetMember *members;
   size_t n_members;
-  size_t next_index; /* where the next row's member probably is: listings keep their order */
+  size_t next_index; /* probable index of the next row's member, since listings keep their order */
   LbTime last_list_at;
-  LbTime delay_allowance; /* added to the missed renewals, for the store's current response time */
+  LbTime delay_allowance; /* added to the time of the missed renewals for the store's current
+                             response time */
   int64_t store_ms;       /* store's clock at the current listing; 0: unknown */
   bool changed;
 };
@@ -130,7 +132,7 @@
 }
 
 static size_t
-find_index (const LcFleet *fleet, const char *name, size_t hint)
+find_member_index (const LcFleet *fleet, const char *name, size_t hint)
 {
   if (hint < fleet->n_members && strcmp (fleet->members[hint].row.name, name) == 0)
     return hint;
@@ -143,14 +145,14 @@
 static LcFleetMember *
 find_member (LcFleet *fleet, const char *name)
 {
-  size_t index = find_index (fleet, name, fleet->next_index);
+  size_t index = find_member_index (fleet, name, fleet->next_index);
 
   fleet->next_index = index + 1;
   return index < fleet->n_members ? &fleet->members[index] : NULL;
 }
 
-/* Excludes the time without listings from the silence of instances: nobody can renew while the
- * store is unreachable, and all instances would look dead as soon as it answers again. */
+/* Excludes a store outage from the silence of instances: nobody can renew during an outage, and all
+ * instances would look dead as soon as the store answers again. */
 void
 lc_fleet_begin_list (LcFleet *fleet, const LcFleetList *list)
 {
@@ -170,7 +172,7 @@
 }
 
 static bool
-is_same_state (const LcFleetRow *a, const LcFleetRow *b)
+have_same_state (const LcFleetRow *a, const LcFleetRow *b)
 {
   return strcmp (a->incarnation, b->incarnation) == 0 && a->ready == b->ready
          && a->draining == b->draining && a->cut == b->cut && a->clock_lead_ms == b->clock_lead_ms
@@ -178,9 +180,9 @@
          && strcmp (a->overloaded_service, b->overloaded_service) == 0;
 }
 
-/* Whether a row that is seen for the first time was written recently. */
+/* Whether a row that is seen for the first time was renewed recently, by the store's clock. */
 static bool
-is_recent (const LcFleet *fleet, const LcFleetRow *row)
+is_row_recent (const LcFleet *fleet, const LcFleetRow *row)
 {
   LbTime age = (fleet->store_ms - row->renewed_ms) * LB_MSEC;
   LbTime period = row->period < MAX_RECENT_PERIOD ? row->period : MAX_RECENT_PERIOD;
@@ -189,10 +191,10 @@
          && age < period * MAX_MISSED_RENEWALS + fleet->delay_allowance;
 }
 
-/* A row stays in the store after its instance is gone, and an instance that has just started sees
- * it for the first time; callers must not be sent there. Such a member is confirmed by the age of
- * its row or by its next renewal. Until then it still counts as alive: after a store outage all
- * rows are old, and batches would be taken from owners that are alive. */
+/* A row stays in the store after its instance is gone. So a member whose row is seen for the first
+ * time gets no callers until it is confirmed, by the age of its row or by its next renewal. An
+ * unconfirmed member counts as alive: after a store outage all rows are old, and batches would be
+ * taken from live owners. */
 void
 lc_fleet_add_row (LcFleet *fleet, const LcFleetRow *row, int64_t version, LbTime now)
 {
@@ -205,14 +207,14 @@
       *member = (LcFleetMember){ .row = *row,
                                  .version = version,
                                  .version_seen_at = now,
-                                 .confirmed = is_recent (fleet, row),
+                                 .confirmed = is_row_recent (fleet, row),
                                  .is_new = true };
       fleet->changed = true;
     }
   member->is_in_list = true;
   if (version <= member->version)
     return;
-  fleet->changed |= !is_same_state (&member->row, row) || !member->confirmed;
+  fleet->changed |= !have_same_state (&member->row, row) || !member->confirmed;
   member->confirmed = true;
   member->row = *row;
   member->version = version;
@@ -220,7 +222,7 @@
 }
 
 static void
-remove_unlisted (LcFleet *fleet)
+remove_unlisted_members (LcFleet *fleet)
 {
   for (size_t i = fleet->n_members; i-- > 0;)
     if (!fleet->members[i].is_in_list)
@@ -231,7 +233,7 @@
 }
 
 static void
-set_alive (LcFleet *fleet, LcFleetMember *member, bool alive, LbTime now)
+set_member_alive (LcFleet *fleet, LcFleetMember *member, bool alive, LbTime now)
 {
   if (alive == member->alive)
     return;
@@ -243,8 +245,8 @@
             LB_INT ("silent_us", now - member->version_seen_at));
 }
 
-/* Logs one line for all new instances: at the start of a site with 300 instances each would
- * otherwise write 300. */
+/* Logs one line for all new instances: otherwise each of 300 instances would log 300 lines when a
+ * site starts. */
 static void
 log_new_members (const LcFleet *fleet)
 {
@@ -260,7 +262,7 @@
 bool
 lc_fleet_finish_list (LcFleet *fleet, LbTime now)
 {
-  remove_unlisted (fleet);
+  remove_unlisted_members (fleet);
   log_new_members (fleet);
   for (size_t i = 0; i < fleet->n_members; i++)
     {
@@ -270,18 +272,19 @@
       bool fresh = is_self || silence < member->row.period + fleet->delay_allowance;
       fleet->changed |= fresh != member->fresh;
       member->fresh = fresh;
-      set_alive (fleet, member,
-                 is_self
-                     || silence < member->row.period * MAX_MISSED_RENEWALS + fleet->delay_allowance,
-                 now);
+      set_member_alive (fleet, member,
+                        is_self
+                            || silence < member->row.period * MAX_MISSED_RENEWALS
+                                             + fleet->delay_allowance,
+                        now);
       member->is_new = false;
     }
   return fleet->changed;
 }
 
-/* Whether the row on duty replaces the other one. For the same incarnation it does, since it is
- * renewed more often: otherwise an instance that died just after renewing its other row would be
- * detected as late as any. For two incarnations the newer row counts. */
+/* Whether the row on duty replaces the general row of an instance. Within one incarnation it does,
+ * since it is renewed more often and shows a death sooner. If the incarnations differ, the newer
+ * row is used. */
 static bool
 is_duty_row_preferred (const LcFleetMember *on_duty, const LcFleetMember *other)
 {
@@ -299,7 +302,7 @@
   for (size_t i = 0; i < on_duty->n_members; i++)
     {
       const LcFleetMember *member = &on_duty->members[i];
-      size_t index = find_index (all, member->row.name, all->n_members);
+      size_t index = find_member_index (all, member->row.name, all->n_members);
       if (index == all->n_members)
         members[n++] = *member;
       else if (is_duty_row_preferred (member, &members[index]))
--- a/packages/core/src/membership/lc-instance.c
+++ b/packages/core/src/membership/lc-instance.c
@@ -3,9 +3,9 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* True when the update is later than what is known of the same name: a later incarnation, a later
- * version of the same one, or a worse state of the same version, which only the instance itself can
- * revoke by raising its version. */
+/* Whether the update replaces the known state of the same instance name: it has a later
+ * incarnation, a later version of the same incarnation, or a worse state of the same version. Only
+ * the instance itself can revoke a worse state, by raising its version. */
 bool
 lc_instance_supersedes (const LcInstance *update, const LcInstance *known)
 {
@@ -20,8 +20,8 @@
   return update->state > known->state;
 }
 
-/* Hash of the instance's state; the exclusive or of these hashes is equal for two views with the
- * same members in the same states. */
+/* Hash of the instance's state. The exclusive or of the hashes of all members is the digest of a
+ * view: equal views have equal digests. */
 uint64_t
 lc_instance_digest (const LcInstance *instance)
 {
--- a/packages/core/src/membership/lc-lease.c
+++ b/packages/core/src/membership/lc-lease.c
@@ -8,7 +8,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Allowance on both sides for an order in transit from its check to the engine. */
+/* Added to the expiry by candidates and subtracted by the holder, for an order in transit from its
+ * check to the engine. */
 #define SAFETY_MARGIN (100 * LB_MSEC)
 #define CLAIM_DELAY_PER_RANK (500 * LB_MSEC)
 #define MAX_PAUSE LB_SEC
@@ -21,24 +22,26 @@
   int rank;
   LcLeaseRow row;               /* the lease's row as last read */
   int64_t row_version;          /* store version of row; 0: the row is absent */
-  bool has_read;                /* the row was read at least once */
-  int64_t ended_holder_version; /* version of the row whose holder is known to have ended */
-  LbTime version_seen_at;       /* when this version was first read */
+  bool has_read;                /* the lease's row was read at least once */
+  int64_t ended_holder_version; /* row version whose holder is known to have ended; 0: none */
+  LbTime version_seen_at;       /* when row_version was first read */
   bool is_reading;
-  LbTime read_started_at; /* start of the current or last read */
+  LbTime read_started_at; /* start of the read in progress or of the last one */
   LbTime next_read_at;
   bool is_writing;
-  LcLeaseRow last_written; /* the current or last write */
-  /* Start of each of the last writes, indexed by renewal modulo N_REMEMBERED_WRITES. */
+  LcLeaseRow last_written; /* the write in progress or the last one */
+  /* Start times of the last writes, indexed by renewal number modulo N_REMEMBERED_WRITES. */
   LbTime write_started_at[N_REMEMBERED_WRITES];
-  int64_t last_renewal; /* number of the last write */
+  int64_t last_renewal; /* renewal number of the last write */
   bool held;
-  LbTime valid_until; /* on this instance's clock; no orders from then on */
-  LbTime lost_at;     /* 0: never */
-  LbTime gained_at;   /* when gained_fence was gained */
+  LbTime valid_until; /* end of the lease on this instance's clock; no orders from this time on */
+  LbTime lost_at;     /* when the lease was last lost; 0: never */
+  LbTime gained_at;   /* when the lease was gained with the fencing number gained_fence */
   int64_t gained_fence;
-  bool gained_from_another; /* another instance held it between this instance's last two claims */
-  bool needs_confirmation;  /* paused: no orders until a renewal started since has succeeded */
+  bool gained_from_another; /* another instance held the lease between this instance's last two
+                               claims, as a gap in the fencing numbers shows */
+  bool needs_confirmation;  /* after a pause: no orders until a renewal started since paused_at has
+                               succeeded */
   LbTime paused_at;
   bool is_releasing;
   LbTime last_tick_at;
@@ -99,9 +102,10 @@
   return ok;
 }
 
-/* With these durations another instance takes over in less than 10 s after a crash: a poll (1 s)
- * until the last renewal is seen, the lease's duration (4 s), a poll (1 s), two ranks (1 s) and,
- * for endpoints that do not check fencing numbers, the lifetime of an order (2 s). */
+/* With these durations another instance takes over less than 10 s after the holder crashes: a poll
+ * (1 s) until the last renewal is seen, the lease's duration (4 s), another poll (1 s), the claim
+ * delay of two ranks (1 s) and, for endpoints that do not check fencing numbers, the lifetime of an
+ * order (2 s). */
 void
 lc_lease_settings_init (LcLeaseSettings *settings)
 {
@@ -142,27 +146,27 @@
 }
 
 static bool
-is_own_row (const LcLease *lease)
+is_row_held_by_self (const LcLease *lease)
 {
   return strcmp (lease->row.holder, lease->settings.instance) == 0
          && strcmp (lease->row.incarnation, lease->settings.incarnation) == 0;
 }
 
-/* Expiry for the holder: counted from the start of its write and with the shortest duration that
- * any clock within the allowed drift may measure. */
+/* Expiry of the lease for its holder: the shortest duration that any clock within the allowed drift
+ * may measure, counted from the start of the holder's write. */
 static LbTime
-expiry_for_holder (const LcLease *lease, LbTime write_started_at)
+compute_expiry_for_holder (const LcLease *lease, LbTime write_started_at)
 {
   return write_started_at
          + (LbTime)(lease->settings.duration * (1 - lease->settings.max_clock_drift))
          - SAFETY_MARGIN;
 }
 
-/* Expiry for all others: counted from when they read the renewal and with the longest duration.
- * With the margins on both sides two instances never hold the lease at once, even if their clocks
- * differ: they would switch an engine back and forth between two versions. */
+/* Expiry of the lease for all but its holder: the longest duration, counted from the first read of
+ * the renewal. With the margins on both sides no two instances hold the lease at once, even if
+ * their clocks differ; two holders would switch an engine back and forth between two versions. */
 static LbTime
-expiry_for_others (const LcLease *lease)
+compute_expiry_for_others (const LcLease *lease)
 {
   return lease->version_seen_at
          + (LbTime)(lease->settings.duration * (1 + lease->settings.max_clock_drift))
@@ -181,7 +185,7 @@
 }
 
 static void
-write_row (LcLease *lease, const LcLeaseRow *row, LbTime now, LbList *actions)
+start_row_write (LcLease *lease, const LcLeaseRow *row, LbTime now, LbList *actions)
 {
   LcLeaseAction *action = add_action (actions, LC_LEASE_WRITE);
 
@@ -200,12 +204,13 @@
 
   LB_COPY (row.holder, lease->settings.instance);
   LB_COPY (row.incarnation, lease->settings.incarnation);
-  write_row (lease, &row, now, actions);
+  start_row_write (lease, &row, now, actions);
 }
 
-/* The row holds a write of this instance: the lease is valid from the start of that write. */
+/* Gains or extends the lease after a write of this instance has reached the row: the lease is valid
+ * from the start of that write. */
 static void
-confirm_lease (LcLease *lease, const LcLeaseRow *row, LbTime now, LbList *actions)
+gain_or_extend_lease (LcLease *lease, const LcLeaseRow *row, LbTime now, LbList *actions)
 {
   LbTime write_started_at = lease->last_renewal - row->renewal < N_REMEMBERED_WRITES
                                 ? lease->write_started_at[row->renewal % N_REMEMBERED_WRITES]
@@ -213,8 +218,8 @@
 
   if (row->released)
     return;
-  if (expiry_for_holder (lease, write_started_at) > lease->valid_until)
-    lease->valid_until = expiry_for_holder (lease, write_started_at);
+  if (compute_expiry_for_holder (lease, write_started_at) > lease->valid_until)
+    lease->valid_until = compute_expiry_for_holder (lease, write_started_at);
   if (lease->needs_confirmation && write_started_at >= lease->paused_at)
     lease->needs_confirmation = false;
   if (lease->held || now >= lease->valid_until || lease->is_releasing)
@@ -231,7 +236,7 @@
 }
 
 static void
-renew_or_release (LcLease *lease, LbTime now, LbList *actions)
+renew_or_release_lease (LcLease *lease, LbTime now, LbList *actions)
 {
   LcLeaseRow row = lease->row;
 
@@ -240,19 +245,20 @@
   else if (!row.released)
     {
       row.released = lease->is_releasing;
-      write_row (lease, &row, now, actions);
+      start_row_write (lease, &row, now, actions);
     }
 }
 
 static bool
-can_claim (const LcLease *lease, LbTime now)
+can_claim_lease (const LcLease *lease, LbTime now)
 {
   if (lease->is_releasing || lease->rank < 0)
     return false;
   if (lease->row_version == 0 || lease->row.released
       || lease->ended_holder_version == lease->row_version)
     return now >= lease->version_seen_at + lease->rank * CLAIM_DELAY_PER_RANK;
-  return lease->read_started_at >= expiry_for_others (lease) + lease->rank * CLAIM_DELAY_PER_RANK;
+  return lease->read_started_at
+         >= compute_expiry_for_others (lease) + lease->rank * CLAIM_DELAY_PER_RANK;
 }
 
 void
@@ -263,10 +269,10 @@
   lease->rank = rank;
 }
 
-/* Detects that this process was paused, possibly beyond the end of its lease: another instance may
- * hold it by then, and both would order the same engines. Either the time between ticks shows a
- * gap, or, when the whole machine was suspended, the wall clock jumped relative to the monotonic
- * one. No order is given until a renewal has succeeded. */
+/* Detects a pause of this process, after which another instance may hold the lease and both would
+ * give orders to the same engines. A pause shows as a gap between ticks or, if the machine was
+ * suspended, as a jump of the wall clock relative to the monotonic clock. No order is given until a
+ * renewal has succeeded. */
 static void
 detect_pause (LcLease *lease, LbTime now, LbTime wall)
 {
@@ -294,14 +300,14 @@
     return;
   lease->is_reading = true;
   lease->read_started_at = now;
-  bool is_participant = lease->rank >= 0 || is_own_row (lease);
+  bool is_participant = lease->rank >= 0 || is_row_held_by_self (lease);
   lease->next_read_at
       = now + (is_participant ? lease->settings.poll_period : lease->settings.observer_poll_period);
   add_action (actions, LC_LEASE_READ);
 }
 
 static void
-update_row (LcLease *lease, const LcLeaseRow *row, int64_t version, LbTime now)
+record_read_row (LcLease *lease, const LcLeaseRow *row, int64_t version, LbTime now)
 {
   if (lease->has_read && version == lease->row_version)
     return;
@@ -324,7 +330,7 @@
 {
   lease->is_reading = false;
   if (error == LB_ERROR_NOT_FOUND)
-    update_row (lease, NULL, 0, now);
+    record_read_row (lease, NULL, 0, now);
   else if (error != LB_OK)
     return;
   else if (version < lease->row_version)
@@ -335,27 +341,27 @@
       return;
     }
   else
-    update_row (lease, row, version, now);
-  if (is_own_row (lease))
+    record_read_row (lease, row, version, now);
+  if (is_row_held_by_self (lease))
     {
-      confirm_lease (lease, &lease->row, now, actions);
-      renew_or_release (lease, now, actions);
+      gain_or_extend_lease (lease, &lease->row, now, actions);
+      renew_or_release_lease (lease, now, actions);
       return;
     }
   lose_lease (lease, now, actions);
-  if (can_claim (lease, now))
+  if (can_claim_lease (lease, now))
     claim_lease (lease, now, actions);
 }
 
-/* After a write that lost a race or whose outcome is unknown, the next read decides: the row holds
- * the number of the write that made it. */
+/* After a write that lost a race or has an unknown outcome, the next read decides: the row contains
+ * the renewal number of the write that produced it. */
 void
 lc_lease_write_completed (LcLease *lease, LbErrorCode error, LbTime now, LbList *actions)
 {
   lease->is_writing = false;
   if (error == LB_OK)
     {
-      confirm_lease (lease, &lease->last_written, now, actions);
+      gain_or_extend_lease (lease, &lease->last_written, now, actions);
       lease->row = lease->last_written;
       if (lease->last_written.released)
         lose_lease (lease, now, actions);
@@ -381,9 +387,10 @@
   lease->next_read_at = now;
 }
 
-/* A newer incarnation under the holder's name shows that the holder was restarted. A holder whose
- * row is no longer renewed may only be cut off from the store, but endpoints that have seen the
- * next holder's fencing number refuse its orders, and it stops by itself when its lease expires. */
+/* A newer incarnation under the holder's name shows that the holder was restarted. A holder that no
+ * longer renews its instance row may merely be cut off from the store. But endpoints that have seen
+ * the next holder's fencing number refuse its orders, and it stops by itself when its lease
+ * expires. */
 bool
 lc_lease_holder_has_ended (const LcLease *lease, const LcLeaseHolderView *view)
 {
@@ -404,25 +411,25 @@
   lease->next_read_at = now;
 }
 
-/* Whether this instance regained the lease from another holder too recently. Receivers could not
- * tell the orders of two holders that alternate quickly from old orders that arrive late. A gap
- * between the fencing numbers shows that another instance held the lease in between. */
+/* Whether orders are delayed because this instance recently regained the lease from another holder.
+ * If two holders alternated quickly, receivers could not tell their orders from old orders that
+ * arrive late. */
 static bool
-is_reacquire_delayed (const LcLease *lease, LbTime now)
+are_orders_delayed_after_regain (const LcLease *lease, LbTime now)
 {
   return lease->gained_from_another && lease->lost_at > 0
          && now < lease->lost_at + lease->settings.reacquire_delay;
 }
 
 /* An endpoint that does not check fencing numbers could carry out an order of the previous holder
- * after one of this instance and undo it. It gets its first order only when any such order has
- * expired; the version that it then reports is read back. */
+ * after one of this instance. So it gets its first order only when orders of the previous holder
+ * have expired; the weight version that it then reports is read back. */
 bool
 lc_lease_allows_order (const LcLease *lease, bool unfenced, LbTime now)
 {
   if (!lease->held || lease->needs_confirmation || lease->is_releasing || now >= lease->valid_until)
     return false;
-  if (now - lease->last_tick_at > MAX_PAUSE || is_reacquire_delayed (lease, now))
+  if (now - lease->last_tick_at > MAX_PAUSE || are_orders_delayed_after_regain (lease, now))
     return false;
   return !unfenced || now >= lease->gained_at + lease->settings.order_lifetime;
 }
@@ -448,7 +455,8 @@
 bool
 lc_lease_is_released (const LcLease *lease, LbTime now)
 {
-  return !lease->held && (!is_own_row (lease) || lease->row.released || now >= lease->valid_until);
+  return !lease->held
+         && (!is_row_held_by_self (lease) || lease->row.released || now >= lease->valid_until);
 }
 
 const LcLeaseRow *
--- a/packages/core/src/membership/lc-membership-connect.c
+++ b/packages/core/src/membership/lc-membership-connect.c
@@ -8,10 +8,10 @@
 #define REFUTED_REDIAL_DELAY (2 * LB_SEC)
 #define MAX_RETURN_COMPARE_DELAY (3 * LB_SEC)
 
-/* The handshake holds only what the peer says about itself; if others consider it suspect or dead,
- * this instance sends it that state, so that it can refute. */
+/* Starts using a connection after its handshake. The handshake contains only the peer's own state;
+ * if other instances consider the peer suspect or dead, it is told so and can refute. */
 static void
-activate_link (
+activate_opened_link (
     LcMembership *membership, LcPeerLink *link, const LcInstance *peer, LbTime now, LbList *actions)
 {
   link->is_open = true;
@@ -35,8 +35,8 @@
   return strcmp (peer->name, membership->self.name) == 0;
 }
 
-/* Returns 0 when the peer has this instance's name (a seed that is its own address, or two
- * instances of one name). */
+/* Returns 0 when the peer has this instance's name: a seed is the instance's own address, or two
+ * instances were given the same name. */
 LcLinkId
 lc_membership_link_accepted (LcMembership *membership,
                              const LcInstance *peer,
@@ -46,7 +46,7 @@
   if (has_own_name (membership, peer))
     return 0;
   LcPeerLink *link = lc_membership_add_link (membership, false, now);
-  activate_link (membership, link, peer, now, actions);
+  activate_opened_link (membership, link, peer, now, actions);
   lc_membership_finish_command (membership, actions);
   return link->id;
 }
@@ -58,9 +58,8 @@
 }
 
 /* A connection can go silent for good while new ones work, and a member that answers must not be
- * declared dead. So losing a connection only makes this instance stop giving the member's address
- * to callers, and a new connection is tried at once; only if that fails does the member become
- * suspect to all. */
+ * declared dead. So after the loss of a connection this instance only stops giving the member's
+ * address to callers and dials the member at once. Only a failed dial makes the member suspect. */
 static void
 handle_lost_connection (LcMembership *membership, LcMember *member, LbTime now, LbList *actions)
 {
@@ -76,7 +75,8 @@
   lc_membership_dial_member (membership, member, now, actions);
 }
 
-/* A new connection to the member could not be opened either. */
+/* Makes the member suspect after a failed dial, unless another connection to it works or it refuted
+ * a suspicion recently. */
 static void
 handle_failed_dial (LcMembership *membership, LcMember *member, LbTime now)
 {
@@ -92,11 +92,11 @@
   lc_membership_set_state (membership, member, LC_INSTANCE_SUSPECT, now);
 }
 
-/* After a region returns, each of hundreds of instances would compare its whole view with the first
- * peer it meets. A few comparisons are enough, since their updates reach all; so each instance
- * waits for a random time and compares only if the digests still differ. */
+/* When a lost region returns, hundreds of instances would compare whole views at once. A few
+ * comparisons are enough, since the resulting updates reach all. So each instance waits for a
+ * random time and compares only if the digests still differ. */
 static void
-delay_comparison (LcMembership *membership, LcPeerLink *link, LbTime now)
+delay_view_comparison (LcMembership *membership, LcPeerLink *link, LbTime now)
 {
   double delay = (double)MAX_RETURN_COMPARE_DELAY * gsl_rng_uniform (membership->rng);
 
@@ -120,9 +120,8 @@
       return;
     }
   LcMember *intended = lc_membership_lookup_member (membership, link->name);
-  activate_link (membership, link, peer, now, actions);
-  /* The dialled address now belongs to another instance, which is no sign of life of the intended
-   * one. */
+  activate_opened_link (membership, link, peer, now, actions);
+  /* The dialled address now belongs to another instance: the intended one was not reached. */
   if (intended && strcmp (intended->instance.name, peer->name) != 0)
     handle_failed_dial (membership, intended, now);
   if (!known && now >= membership->next_compare_at)
@@ -131,7 +130,7 @@
       lc_membership_send_summary (membership, id, actions);
     }
   else if (was_dead)
-    delay_comparison (membership, link, now);
+    delay_view_comparison (membership, link, now);
   lc_membership_finish_command (membership, actions);
 }
 
--- a/packages/core/src/membership/lc-membership-contacts.c
+++ b/packages/core/src/membership/lc-membership-contacts.c
@@ -33,7 +33,8 @@
   lb_list_append (&membership->contacts, &contact->link);
 }
 
-/* Adds an address to start from; it is tried for as long as no live member has it. */
+/* Adds the address of a seed, through which this instance finds the cluster. The address is dialled
+ * while no live member has it. */
 void
 lc_membership_add_seed (LcMembership *membership, const char *address, LbTime now)
 {
@@ -42,7 +43,7 @@
 }
 
 static void
-clear_listed (LcMembership *membership)
+clear_platform_list (LcMembership *membership)
 {
   LB_LIST_FOREACH (&membership->contacts, LcContact, link, contact)
   {
@@ -66,7 +67,7 @@
                                    LbList *actions)
 {
   (void)now;
-  clear_listed (membership);
+  clear_platform_list (membership);
   membership->has_platform_list = true;
   for (size_t i = 0; i < n_listed; i++)
     {
@@ -84,7 +85,7 @@
 }
 
 static bool
-has_live_member (const LcMembership *membership, const char *address)
+has_live_member_at (const LcMembership *membership, const char *address)
 {
   for (const LcMember *member = membership->members; member; member = member->hh.next)
     if (member->instance.state != LC_INSTANCE_DEAD
@@ -102,17 +103,17 @@
   return true;
 }
 
-/* Reservoir sampling: picks one of an unknown number of candidates with equal probability; the n-th
- * replaces the choice with probability 1/n. */
+/* Reservoir sampling: whether the next candidate replaces the choice so far, for the n-th with
+ * probability 1/n. So each of an unknown number of candidates is chosen with equal probability. */
 static bool
-is_picked (LcMembership *membership, unsigned long *n_candidates)
+should_pick_candidate (LcMembership *membership, unsigned long *n_candidates)
 {
   return gsl_rng_uniform_int (membership->rng, ++*n_candidates) == 0;
 }
 
-/* Two regions that were cut off from each other have declared each other's members dead, and after
- * the cut nothing else would connect them again. So each instance tries one dead or unknown address
- * from time to time, chosen at random. */
+/* Two regions that were cut off from each other have declared each other's members dead, and
+ * nothing else would connect them again. So each instance dials a random dead or unknown address
+ * from time to time. */
 void
 lc_membership_dial_contact (LcMembership *membership, LbTime now, LbList *actions)
 {
@@ -127,11 +128,13 @@
       = now + (LbTime)((double)interval * (0.5 + gsl_rng_uniform (membership->rng)));
   LB_LIST_FOREACH (&membership->contacts, LcContact, link, contact)
   {
-    if (!has_live_member (membership, contact->address) && is_picked (membership, &n_candidates))
+    if (!has_live_member_at (membership, contact->address)
+        && should_pick_candidate (membership, &n_candidates))
       address = contact->address;
   }
   for (const LcMember *member = membership->members; member; member = member->hh.next)
-    if (member->instance.state == LC_INSTANCE_DEAD && is_picked (membership, &n_candidates))
+    if (member->instance.state == LC_INSTANCE_DEAD
+        && should_pick_candidate (membership, &n_candidates))
       {
         name = member->instance.name;
         address = member->instance.peer_address;
--- a/packages/core/src/membership/lc-membership-heartbeat.c
+++ b/packages/core/src/membership/lc-membership-heartbeat.c
@@ -52,7 +52,7 @@
 }
 
 static bool
-is_needed (const LcMembership *membership, const LcPeerLink *link, LbTime now)
+is_link_needed (const LcMembership *membership, const LcPeerLink *link, LbTime now)
 {
   LcMember *member = lc_membership_lookup_member (membership, link->name);
 
@@ -71,8 +71,8 @@
   link->next_ping_at = now + membership->settings.heartbeat_period;
 }
 
-/* An update that was lost with a connection is not repeated. Each heartbeat carries a digest of the
- * view; when the digests of two peers differ for longer than an update takes to spread, they
+/* An update that is lost with a connection is not repeated. Each heartbeat carries a digest of the
+ * view. When the digests of two peers differ for longer than an update takes to spread, the peers
  * compare their views. */
 static void
 compare_if_digests_differ (LcMembership *membership, LcPeerLink *link, LbTime now, LbList *actions)
@@ -87,21 +87,21 @@
 }
 
 /* Heartbeats are sent only on connections to the members that this instance watches. Connections
- * opened for single frames add up to all pairs (131 KB/s at 350 instances), so on these a heartbeat
- * is sent only after an unanswered frame or a long silence. */
+ * for single frames add up to all pairs of instances: heartbeats on them would cost 131 KB/s at 350
+ * instances. They get a heartbeat only after an unanswered frame or a long silence. */
 static void
-update_watched (const LcMembership *membership, LcPeerLink *link, LbTime now)
+update_link_watched (const LcMembership *membership, LcPeerLink *link, LbTime now)
 {
   bool is_watched = link->is_outgoing && lc_membership_is_target (membership, link->name);
 
-  /* A connection without heartbeats until now has no history to judge its silence by. */
+  /* The connection had no heartbeats until now, so the detector has no usable arrival history. */
   if (is_watched && !link->is_watched)
     lc_detector_init (&link->detector, membership->settings.heartbeat_period, now);
   link->is_watched = is_watched;
 }
 
 static bool
-has_timed_out (const LcMembership *membership, const LcPeerLink *link, LbTime now)
+has_link_timed_out (const LcMembership *membership, const LcPeerLink *link, LbTime now)
 {
   if (link->is_watched)
     return lc_detector_has_timed_out (&link->detector, now);
@@ -123,9 +123,9 @@
 }
 
 static bool
-is_unneeded (const LcMembership *membership, LcPeerLink *link, LbTime now)
+is_unneeded_for_too_long (const LcMembership *membership, LcPeerLink *link, LbTime now)
 {
-  if (!link->is_outgoing || is_needed (membership, link, now))
+  if (!link->is_outgoing || is_link_needed (membership, link, now))
     link->unneeded_since = 0;
   else if (link->unneeded_since == 0)
     link->unneeded_since = now;
@@ -135,7 +135,7 @@
 static void
 maintain_link (LcMembership *membership, LcPeerLink *link, LbTime now, LbList *actions)
 {
-  if (is_unneeded (membership, link, now))
+  if (is_unneeded_for_too_long (membership, link, now))
     {
       lc_membership_close_link (membership, link, LB_OK, actions);
       return;
@@ -164,8 +164,8 @@
 
   HASH_ITER (hh, membership->links, link, next)
   {
-    update_watched (membership, link, now);
-    bool timed_out = link->is_open ? has_timed_out (membership, link, now)
+    update_link_watched (membership, link, now);
+    bool timed_out = link->is_open ? has_link_timed_out (membership, link, now)
                                    : now - link->started_at >= membership->settings.dial_timeout;
     if (timed_out)
       time_out_link (membership, link, now, actions);
--- a/packages/core/src/membership/lc-membership-links.c
+++ b/packages/core/src/membership/lc-membership-links.c
@@ -38,7 +38,7 @@
 }
 
 static bool
-is_dialling (const LcMembership *membership, const char *address)
+is_dialling_address (const LcMembership *membership, const char *address)
 {
   for (const LcPeerLink *link = membership->links; link; link = link->hh.next)
     if (!link->is_open && strcmp (link->address, address) == 0)
@@ -59,7 +59,7 @@
 lc_membership_dial (
     LcMembership *membership, const char *name, const char *address, LbTime now, LbList *actions)
 {
-  if (is_dialling (membership, address))
+  if (is_dialling_address (membership, address))
     return;
   LcPeerLink *link = lc_membership_add_link (membership, true, now);
   LB_COPY (link->name, name);
--- a/packages/core/src/membership/lc-membership-query.c
+++ b/packages/core/src/membership/lc-membership-query.c
@@ -25,7 +25,7 @@
   return link;
 }
 
-/* Latest time for the next lc_membership_tick. */
+/* Returns the latest time at which the caller must call lc_membership_tick again. */
 LbTime
 lc_membership_next_tick (const LcMembership *membership)
 {
@@ -34,7 +34,7 @@
   return membership->flush_at < next_tick ? membership->flush_at : next_tick;
 }
 
-/* Digest of the view without dead members, which instances remove at different times. */
+/* Digest of the view. Dead members are left out, since instances remove them at different times. */
 uint64_t
 lc_membership_compute_digest (const LcMembership *membership)
 {
@@ -58,7 +58,7 @@
   return &membership->self;
 }
 
-/* Number of known instances, including this one and the dead that are not removed yet. */
+/* Number of known instances, including this one and dead members that are not removed yet. */
 size_t
 lc_membership_count_instances (const LcMembership *membership)
 {
@@ -66,7 +66,7 @@
 }
 
 static LcMemberView
-member_view (const LcMember *member)
+make_member_view (const LcMember *member)
 {
   return (LcMemberView){
     .instance = member->instance,
@@ -77,7 +77,7 @@
 }
 
 static LcMemberView
-self_view (const LcMembership *membership)
+make_self_view (const LcMembership *membership)
 {
   return (LcMemberView){ .instance = membership->self,
                          .is_self = true,
@@ -86,7 +86,7 @@
 }
 
 static int
-compare_names (const void *a, const void *b)
+compare_view_names (const void *a, const void *b)
 {
   return strcmp (((const LcMemberView *)a)->instance.name,
                  ((const LcMemberView *)b)->instance.name);
@@ -97,10 +97,10 @@
 {
   size_t count = 0;
 
-  views[count++] = self_view (membership);
+  views[count++] = make_self_view (membership);
   for (const LcMember *member = membership->members; member; member = member->hh.next)
-    views[count++] = member_view (member);
-  qsort (views, count, sizeof *views, compare_names);
+    views[count++] = make_member_view (member);
+  qsort (views, count, sizeof *views, compare_view_names);
 }
 
 bool
@@ -109,9 +109,9 @@
   const LcMember *member = lc_membership_lookup_member (membership, name);
 
   if (strcmp (name, membership->self.name) == 0)
-    *view = self_view (membership);
+    *view = make_self_view (membership);
   else if (member)
-    *view = member_view (member);
+    *view = make_member_view (member);
   else
     return false;
   return true;
@@ -129,7 +129,7 @@
   return best ? best->id : 0;
 }
 
-/* Name of the instance at the other end; NULL while it is not known. */
+/* Name of the instance at the other end of the connection; NULL while it is not open. */
 const char *
 lc_membership_link_peer_name (const LcMembership *membership, LcLinkId id)
 {
--- a/packages/core/src/membership/lc-membership-self.c
+++ b/packages/core/src/membership/lc-membership-self.c
@@ -3,7 +3,8 @@
 #define LOAD_UPDATE_INTERVAL (60 * LB_SEC)
 #define LOAD_HYSTERESIS 75
 
-/* Broadcast without delay: callers must no longer be sent to an instance that drains. */
+/* Marks this instance as draining and broadcasts it at once: no caller must be sent to a draining
+ * instance. */
 void
 lc_membership_set_draining (LcMembership *membership, LbTime now, LbList *actions)
 {
@@ -17,9 +18,9 @@
   lc_membership_finish_command (membership, actions);
 }
 
-/* A load that fluctuates around a step would, with 350 instances, fill the connections with load
- * updates and shift callers between instances. So it is published in steps, with hysteresis, and at
- * most once a minute. */
+/* Publishes the load in steps, with hysteresis, at most once a minute. Otherwise, with 350
+ * instances, loads that fluctuate around a step would fill the connections with updates and shift
+ * callers between instances. */
 void
 lc_membership_set_load (LcMembership *membership, int64_t load, LbTime now, LbList *actions)
 {
--- a/packages/core/src/membership/lc-membership-updates.c
+++ b/packages/core/src/membership/lc-membership-updates.c
@@ -5,14 +5,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Updates wait this long so that several go into one frame. */
+/* Delay of a broadcast, so that several updates go into one frame. */
 #define FLUSH_DELAY (10 * LB_MSEC)
-/* Limits for broadcasts: when a region is lost or returns, hundreds of updates would go to all
- * connections at once. One frame holds this many, and the rest wait for the pause. */
+/* Updates in one broadcast frame, and the pause before the rest is sent. When a region is lost or
+ * returns, hundreds of updates would otherwise go to all connections at once. */
 #define MAX_UPDATES_PER_FLUSH 32
 #define FLUSH_PAUSE (100 * LB_MSEC)
-/* Time after an incarnation became known during which its updates are sent in full form, with
- * addresses, for peers that do not know it yet. */
+/* For this long after an incarnation became known, its updates are sent in full form, with
+ * addresses, since peers may not know it yet. */
 #define FULL_FORM_TIME (10 * LB_SEC)
 #define CONFLICT_ANSWER_INTERVAL (5 * LB_SEC)
 #define FIRST_SUSPICION_IGNORE_TIME (5 * LB_SEC)
@@ -50,7 +50,7 @@
     member->declare_dead_at = now + membership->settings.suspicion_timeout;
 }
 
-/* Sets a state that this instance detected itself. */
+/* Sets a member state that this instance detected itself, rather than received from a peer. */
 void
 lc_membership_set_state (LcMembership *membership,
                          LcMember *member,
@@ -59,16 +59,16 @@
 {
   member->instance.state = state;
   handle_state_change (membership, member, now);
-  /* DEAD needs no broadcast: all instances received the suspicion and declare the member dead by
+  /* DEAD is not broadcast: all instances received the suspicion and declare the member dead by
    * their own clocks. */
   if (state != LC_INSTANCE_DEAD)
     queue_update (membership, member, 0, now);
 }
 
-/* If only the path between this instance and the member is cut, this instance would suspect it, the
- * member refute through others, and so on for ever, with a broadcast each time and the member's
- * address withheld from callers half of the time. So after a refutation this instance's suspicions
- * of the member are ignored for a time that doubles; those of other watchers still count. */
+/* If only the path between this instance and the member is cut, this instance suspects the member,
+ * the member refutes through others, and so on without end. Each round costs a broadcast, and
+ * callers do not get the member's address half of the time. So after each refutation this instance
+ * does not suspect the member for a time that doubles; other watchers still can. */
 static void
 handle_refutation (LcMembership *membership, LcMember *member, LbTime now)
 {
@@ -129,11 +129,11 @@
   membership->view_changed = true;
 }
 
-/* Handles an update about this instance. An instance that was paused or cut off would remain dead
- * for all others, although it answers: only it can revoke that, by a version above the one declared
- * dead. */
+/* Handles an update about this instance. If peers consider it suspect or dead, for example after a
+ * pause, it refutes by raising its version above the one they know; only the instance itself can do
+ * that. */
 static void
-apply_update_of_self (LcMembership *membership, const LcInstance *update, LbTime now)
+apply_update_about_self (LcMembership *membership, const LcInstance *update, LbTime now)
 {
   LcInstance *self = &membership->self;
   bool is_same_incarnation = strcmp (update->incarnation, self->incarnation) == 0;
@@ -153,9 +153,10 @@
   lc_membership_queue_self_update (membership, now);
 }
 
-/* Two live processes that have one name by mistake would outbid each other's epoch as soon as they
- * learn of it, tens of times a second and with a broadcast each time. The first conflict is
- * answered at once, later ones at a limited rate; the total is exported as a metric. */
+/* Raises this instance's epoch above that of another process with the same name. Two live processes
+ * named alike by mistake would outbid each other tens of times a second, with a broadcast each
+ * time. So only the first conflict is answered at once, later ones at a limited rate; the total is
+ * exported as a metric. */
 void
 lc_membership_resolve_name_conflict (LcMembership *membership, LbTime now)
 {
@@ -171,8 +172,9 @@
   lc_membership_queue_self_update (membership, now);
 }
 
-/* An update in short form lacks incarnation, data centre and addresses, which never change within
- * an epoch. Completes it with those known for its epoch; false when they are not known. */
+/* Completes an update in short form, which lacks incarnation, data centre and addresses: these
+ * never change within an epoch and are copied from the known instance. Returns false when the
+ * update's epoch is not known. */
 static bool
 complete_short_form (LcInstance *update, const LcInstance *known)
 {
@@ -187,8 +189,9 @@
   return true;
 }
 
-/* Applies an update about one instance and queues it for broadcast if it is newer than what was
- * known. An update in short form of an unknown epoch is left to the comparison of views. */
+/* Applies an update about one instance and queues it for broadcast if it is newer than the known
+ * state. Ignores an update in short form of an unknown epoch: a comparison of views transfers that
+ * instance later. */
 void
 lc_membership_apply_update (LcMembership *membership,
                             LcLinkId link,
@@ -200,7 +203,7 @@
   if (strcmp (update.name, membership->self.name) == 0)
     {
       if (complete_short_form (&update, &membership->self))
-        apply_update_of_self (membership, &update, now);
+        apply_update_about_self (membership, &update, now);
       return;
     }
   LcMember *member = lc_membership_lookup_member (membership, update.name);
@@ -242,7 +245,8 @@
   return result;
 }
 
-/* Broadcasts pending updates, but not back to the connection that all of them came from. */
+/* Broadcasts pending updates. If all of them came from one connection, they are not sent back on
+ * it. */
 void
 lc_membership_flush_updates (LcMembership *membership, LbTime now, LbList *actions)
 {
@@ -285,9 +289,9 @@
   return NULL;
 }
 
-/* Whether the peer's summary of an instance is newer than what this instance knows. */
+/* Whether a peer's summary of an instance is newer than the state known here. */
 static bool
-is_peer_newer (const LcMembership *membership, const LcInstance *summary)
+is_summary_newer (const LcMembership *membership, const LcInstance *summary)
 {
   LcMember *member = lc_membership_lookup_member (membership, summary->name);
   LcInstance update = *summary;
@@ -302,7 +306,7 @@
 }
 
 static bool
-is_newer_than_peer (const LcInstance *known, const LcInstance *summary)
+is_newer_than_summary (const LcInstance *known, const LcInstance *summary)
 {
   LcInstance known_to_peer;
 
@@ -314,37 +318,37 @@
              : lc_instance_supersedes (known, &known_to_peer);
 }
 
-/* Writes the known instance to update if it is newer than the peer's summary; returns the number
- * written, 0 or 1. A peer that knows the same epoch gets the update without incarnation, data
- * centre and addresses. */
+/* Writes the known instance to *update if it is newer than the peer's summary; returns the number
+ * of instances written, 0 or 1. A peer that knows the same epoch gets the update without
+ * incarnation, data centre and addresses. */
 static size_t
-add_if_newer (const LcInstance *known,
-              const LcInstance *summary,
-              size_t n_summary,
-              LcInstance *update)
+write_update_if_newer (const LcInstance *known,
+                       const LcInstance *summary,
+                       size_t n_summary,
+                       LcInstance *update)
 {
   const LcInstance *known_to_peer = find_instance (summary, n_summary, known->name);
 
-  if (!is_newer_than_peer (known, known_to_peer))
+  if (!is_newer_than_summary (known, known_to_peer))
     return 0;
   *update = known_to_peer && known_to_peer->epoch == known->epoch ? to_short_form (known) : *known;
   return 1;
 }
 
 static void
-send_newer (const LcMembership *membership,
-            LcLinkId link,
-            const LcInstance *summary,
-            size_t n_summary,
-            LbList *actions)
+send_newer_instances (const LcMembership *membership,
+                      LcLinkId link,
+                      const LcInstance *summary,
+                      size_t n_summary,
+                      LbList *actions)
 {
   size_t max_updates = HASH_COUNT (membership->members) + 1;
   LcInstance *updates = LB_NEW_ARRAY (LcInstance, max_updates);
   size_t count = 0;
 
-  count += add_if_newer (&membership->self, summary, n_summary, &updates[count]);
+  count += write_update_if_newer (&membership->self, summary, n_summary, &updates[count]);
   for (LcMember *member = membership->members; member; member = member->hh.next)
-    count += add_if_newer (&member->instance, summary, n_summary, &updates[count]);
+    count += write_update_if_newer (&member->instance, summary, n_summary, &updates[count]);
   LcMembershipAction *action = lc_membership_add_action (actions, LC_MEMBERSHIP_SEND);
   action->link = link;
   action->instances = updates;
@@ -378,10 +382,10 @@
 
   for (size_t i = 0; i < n_instances; i++)
     {
-      peer_has_newer = peer_has_newer || is_peer_newer (membership, &instances[i]);
+      peer_has_newer = peer_has_newer || is_summary_newer (membership, &instances[i]);
       lc_membership_apply_update (membership, link, &instances[i], now);
     }
-  send_newer (membership, link, instances, n_instances, actions);
+  send_newer_instances (membership, link, instances, n_instances, actions);
   if (peer_has_newer && !is_reply)
     send_summary (membership, link, true, actions);
   lc_membership_finish_command (membership, actions);
--- a/packages/core/src/membership/lc-membership-watch.c
+++ b/packages/core/src/membership/lc-membership-watch.c
@@ -13,22 +13,23 @@
 }
 
 static uint64_t
-ring_position (const char *name, size_t ring)
+compute_ring_position (const char *name, size_t ring)
 {
   return XXH64 (name, strlen (name), ring);
 }
 
-/* The nearest successor of this instance on the ring that is neither dead nor chosen already. */
+/* Returns the nearest successor of this instance on the ring that is neither dead nor already a
+ * target; NULL if there is none. */
 static const LcMember *
 find_successor (const LcMembership *membership, size_t ring)
 {
-  uint64_t own_position = ring_position (membership->self.name, ring);
+  uint64_t own_position = compute_ring_position (membership->self.name, ring);
   const LcMember *nearest = NULL;
   uint64_t nearest_distance = UINT64_MAX;
 
   for (const LcMember *member = membership->members; member; member = member->hh.next)
     {
-      uint64_t distance = ring_position (member->instance.name, ring) - own_position;
+      uint64_t distance = compute_ring_position (member->instance.name, ring) - own_position;
       if (member->instance.state == LC_INSTANCE_DEAD || distance > nearest_distance
           || lc_membership_is_target (membership, member->instance.name))
         continue;
@@ -38,9 +39,9 @@
   return nearest;
 }
 
-/* Chooses a successor on each of several rings: every instance is watched by as many others as it
- * watches, and updates reach all in a few hops, since rings in unrelated orders form a graph of
- * small diameter. */
+/* Chooses the members to watch: a successor on each of several rings. Every instance is watched by
+ * as many others as it watches, and updates reach all in a few hops, since rings in unrelated
+ * orders form a graph of small diameter. */
 void
 lc_membership_choose_targets (LcMembership *membership)
 {
--- a/packages/core/src/membership/lc-membership.c
+++ b/packages/core/src/membership/lc-membership.c
@@ -8,7 +8,7 @@
 #define DEFAULT_RINGS 3
 #define DEFAULT_DIAL_TIMEOUT (600 * LB_MSEC)
 #define DEFAULT_SUSPICION_TIMEOUT (2 * LB_SEC)
-/* A gap between ticks, due every 100 ms, above this is a pause of this process. */
+/* Ticks are due every 100 ms; a longer gap than this counts as a pause of this process. */
 #define PAUSE_THRESHOLD (300 * LB_MSEC)
 
 LcMembershipSettings
@@ -102,8 +102,8 @@
   action->n_instances = 1;
 }
 
-/* Excludes a pause of this process from the silence of others. After it every peer looks silent,
- * though its frames wait unread, and all would be declared dead at once. */
+/* Excludes a pause of this process from the silence of its peers. After a pause every peer looks
+ * silent, although its frames wait unread, and all would be declared dead at once. */
 static void
 discount_own_pause (LcMembership *membership, LbTime now)
 {
@@ -127,7 +127,7 @@
     }
 }
 
-/* Does everything that is due. */
+/* Does all periodic work that is due at now: heartbeats, timeouts, dials and broadcasts. */
 void
 lc_membership_tick (LcMembership *membership, LbTime now, LbList *actions)
 {
