--- a/packages/core/src/quarantine/lc-crash-log.c
+++ b/packages/core/src/quarantine/lc-crash-log.c
@@ -6,9 +6,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Instances report one crash at different times, as each notices its broken connection. */
+/* Reports about one endpoint within this time count as one crash: each instance notices its broken
+ * connection at a different time. */
 #define SAME_CRASH_WINDOW (2 * LB_SEC)
-/* Half a megabyte; about fifty crashes of endpoints that ten instances were using. */
+/* Reports of about fifty crashes of endpoints that ten instances were using; half a megabyte. */
 #define MAX_REPORTS 512
 
 void
@@ -40,7 +41,7 @@
 }
 
 static LcReportEntry *
-find_entry (const LcCrash *crash, const char *id)
+find_report_entry (const LcCrash *crash, const char *id)
 {
   LB_LIST_FOREACH (&crash->entries, LcReportEntry, link, entry)
   {
@@ -51,17 +52,17 @@
 }
 
 static bool
-is_known (const LcCrashLog *log, const char *id)
+is_report_known (const LcCrashLog *log, const char *id)
 {
   LB_LIST_FOREACH (&log->crashes, LcCrash, link, crash)
   {
-    if (find_entry (crash, id))
+    if (find_report_entry (crash, id))
       return true;
   }
   return false;
 }
 
-/* Drops the oldest crash, preferably one that no quarantine is based on. */
+/* Drops the oldest crash that no quarantine is based on, or else the oldest one. */
 static void
 evict_crash (LcCrashLog *log)
 {
@@ -80,13 +81,14 @@
 }
 
 static bool
-is_report_of (const LcCrash *crash, const LcCrashReport *report)
+is_report_about_crash (const LcCrash *crash, const LcCrashReport *report)
 {
   return strcmp (crash->endpoint, report->endpoint) == 0
          && llabs (crash->crashed_at - report->at) <= SAME_CRASH_WINDOW;
 }
 
-/* Takes the crash out of the list, since the report may change its position there. */
+/* Returns the crash that the report is about, or a new one. The crash is taken out of the list,
+ * since the report may change its position in the order of time. */
 static LcCrash *
 detach_or_create_crash (LcCrashLog *log, const LcCrashReport *report)
 {
@@ -94,7 +96,7 @@
 
   LB_LIST_FOREACH (&log->crashes, LcCrash, link, crash)
   {
-    if (!is_report_of (crash, report))
+    if (!is_report_about_crash (crash, report))
       continue;
     lb_list_remove (&log->crashes, &crash->link);
     return crash;
@@ -107,7 +109,7 @@
 }
 
 static void
-insert_by_time (LcCrashLog *log, LcCrash *crash)
+insert_crash_by_time (LcCrashLog *log, LcCrash *crash)
 {
   LB_LIST_FOREACH (&log->crashes, LcCrash, link, other)
   {
@@ -125,7 +127,7 @@
   LcReportEntry *entry = NULL;
   LcCrash *crash = NULL;
 
-  if (is_known (log, report->id))
+  if (is_report_known (log, report->id))
     return false;
   if (log->n_reports >= MAX_REPORTS)
     evict_crash (log);
@@ -136,12 +138,12 @@
   log->n_reports++;
   if (report->at < crash->crashed_at)
     crash->crashed_at = report->at;
-  insert_by_time (log, crash);
+  insert_crash_by_time (log, crash);
   return true;
 }
 
 static void
-remove_entry (LcCrashLog *log, LcCrash *crash, LcReportEntry *entry)
+remove_report_entry (LcCrashLog *log, LcCrash *crash, LcReportEntry *entry)
 {
   lb_list_remove (&crash->entries, &entry->link);
   free (entry);
@@ -155,10 +157,10 @@
 {
   LB_LIST_FOREACH (&log->crashes, LcCrash, link, crash)
   {
-    LcReportEntry *entry = find_entry (crash, id);
+    LcReportEntry *entry = find_report_entry (crash, id);
     if (!entry)
       continue;
-    remove_entry (log, crash, entry);
+    remove_report_entry (log, crash, entry);
     return true;
   }
   return false;
--- a/packages/core/src/quarantine/lc-fingerprint.c
+++ b/packages/core/src/quarantine/lc-fingerprint.c
@@ -13,9 +13,10 @@
   return XXH3_64bits_withSeed (bytes, length, seed);
 }
 
-/* The caller is not part of the fingerprint: whoever sends a request, its content makes an endpoint
- * crash. The organisation is, so that the requests of one cannot cause those of another to be
- * refused. Headers are not, since ids and times in them differ with each attempt. */
+/* The caller is not part of the fingerprint, since the content of a request makes an endpoint
+ * crash, whoever sends it. The organisation is, so that requests of one organisation cannot cause
+ * those of another to be refused. Headers are not, since their ids and times differ with each
+ * attempt. */
 LcFingerprint
 lc_fingerprint_of_request (const char *organisation,
                            const char *method,
--- a/packages/core/src/quarantine/lc-quarantine.c
+++ b/packages/core/src/quarantine/lc-quarantine.c
@@ -9,28 +9,28 @@
 #include <string.h>
 #include <uthash.h>
 
-/* Crashes of endpoints under one request before it is quarantined. One or two may be chance: the
- * next endpoint that the request is sent to may crash for another reason. */
+/* Endpoint crashes after which a request that was in flight in all of them is quarantined. One or
+ * two may be chance: the next endpoint that gets the request may crash for another reason. */
 #define MIN_CRASHES 3
-/* How long a report counts. A caller that sends the same request for hours causes three restarts an
- * hour, and a request that was quarantined wrongly, or was repaired, is allowed again within the
- * hour. */
+/* How long a crash report counts. A caller that repeats a harmful request for hours causes three
+ * endpoint restarts an hour. A request that was quarantined wrongly, or whose fault was repaired,
+ * is allowed again within an hour. */
 #define REPORT_LIFETIME (3600 * LB_SEC)
-/* An answer also clears a request of crashes that follow within this time: many callers may send
- * the same request, and all endpoints may crash at once for another reason. */
+/* An answer to a request also clears it of crashes up to this long after the answer: many callers
+ * may send the same request, and all endpoints may crash at once for another reason. */
 #define CLEARANCE_WINDOW (2 * LB_SEC)
-/* A few seconds of answers on this instance, at two hundred a second. */
+/* Enough for the answers of five seconds at two hundred a second on one instance. */
 #define MAX_RECENT_ANSWERS 1024
 
-/* A fingerprint in a crash report. */
+/* A fingerprint that occurs in crash reports, with the number of its crashes. */
 typedef struct
 {
   UT_hash_handle hh;
   LcFingerprint fingerprint;
   int n_crashes;               /* crashes not attributed to a quarantined fingerprint */
-  const LcCrash *last_counted; /* the last one counted */
-  LbTime threshold_at;         /* time of crash number MIN_CRASHES */
-  LbTime quarantined_until;    /* 0: not in quarantine */
+  const LcCrash *last_counted; /* the last crash that was counted for this suspect */
+  LbTime threshold_at;         /* when the MIN_CRASHES-th counted crash happened */
+  LbTime quarantined_until;    /* end of the quarantine; 0: not in quarantine */
 } Suspect;
 
 typedef struct
@@ -51,9 +51,10 @@
   LcCrashLog log;
   Suspect *suspects;
   Clearance *clearances;
-  RecentAnswer answers[MAX_RECENT_ANSWERS]; /* a ring */
+  RecentAnswer answers[MAX_RECENT_ANSWERS]; /* ring buffer of the last answers to requests of this
+                                               instance */
   size_t next_answer;
-  LbList pending_clearances; /* PendingClearance */
+  LbList pending_clearances; /* list of PendingClearance, to be announced to the other instances */
 };
 
 typedef struct
@@ -79,7 +80,7 @@
 }
 
 static void
-drop_suspects (LcQuarantine *quarantine)
+drop_all_suspects (LcQuarantine *quarantine)
 {
   Suspect *suspect, *next;
 
@@ -105,7 +106,7 @@
 
   if (!quarantine)
     return;
-  drop_suspects (quarantine);
+  drop_all_suspects (quarantine);
   HASH_ITER (hh, quarantine->clearances, clearance, next)
   {
     drop_clearance (quarantine, clearance);
@@ -169,7 +170,7 @@
 }
 
 static void
-count_report_fingerprints (LcQuarantine *quarantine, const LcCrash *crash)
+count_crash_for_fingerprints (LcQuarantine *quarantine, const LcCrash *crash)
 {
   LB_LIST_FOREACH (&crash->entries, LcReportEntry, link, entry)
   {
@@ -180,7 +181,7 @@
   }
 }
 
-/* Counts the crashes of each suspect, except those attributed to a quarantined one. */
+/* Counts the crashes of each suspect, except crashes attributed to a quarantined suspect. */
 static void
 recount_crashes (LcQuarantine *quarantine)
 {
@@ -192,12 +193,12 @@
   LB_LIST_FOREACH (&quarantine->log.crashes, LcCrash, link, crash)
   {
     if (!crash->is_attributed)
-      count_report_fingerprints (quarantine, crash);
+      count_crash_for_fingerprints (quarantine, crash);
   }
 }
 
-/* Positive if a is the worse suspect: more crashes or, with as many, MIN_CRASHES of them earlier.
- * 0: equal. */
+/* Returns a positive number if a is the worse suspect: it has more crashes or, if equal, reached
+ * MIN_CRASHES earlier. 0: both are equally bad. */
 static int
 compare_suspects (const Suspect *a, const Suspect *b)
 {
@@ -208,7 +209,7 @@
   return 0;
 }
 
-/* NULL: no suspect has MIN_CRASHES crashes. */
+/* Returns NULL if no suspect has MIN_CRASHES crashes. */
 static const Suspect *
 find_worst_suspect (const LcQuarantine *quarantine)
 {
@@ -244,17 +245,17 @@
       quarantine_suspect (quarantine, suspect);
 }
 
-/* Guards against quarantining requests for crashes that another one caused. An endpoint processes
- * several requests at once; all of them fail with it, and those that are retried meet the harmful
- * one again at the next endpoint. Only the harmful one is involved in every crash. So the suspect
- * with the most crashes is quarantined first, of several the one that reached MIN_CRASHES first,
- * and its crashes are not counted against the others. */
+/* Guards against quarantining requests for crashes that another request caused. All requests in
+ * flight at an endpoint fail when it crashes, and harmless ones may meet the harmful one again
+ * after a retry. Only the harmful one is involved in every crash. So the suspect with the most
+ * crashes is quarantined first (if several, the first to reach MIN_CRASHES), and its crashes are
+ * not counted against others. */
 static void
-update_quarantine (LcQuarantine *quarantine)
+recompute_quarantine (LcQuarantine *quarantine)
 {
   const Suspect *worst_suspect;
 
-  drop_suspects (quarantine);
+  drop_all_suspects (quarantine);
   LB_LIST_FOREACH (&quarantine->log.crashes, LcCrash, link, crash)
   {
     crash->is_attributed = false;
@@ -270,11 +271,12 @@
 
 /* --- reports --- */
 
-static void
-clear_fingerprint (LcQuarantine *quarantine, LcFingerprint fingerprint, LbTime answered_at);
+static void clear_and_announce_fingerprint (LcQuarantine *quarantine,
+                                            LcFingerprint fingerprint,
+                                            LbTime answered_at);
 
-/* Clears fingerprints of the report that an endpoint answered on this instance shortly before the
- * crash or since. */
+/* Clears those fingerprints of the report whose requests were answered on this instance shortly
+ * before the crash or after it. */
 static void
 apply_recent_answers (LcQuarantine *quarantine, const LcCrashReport *report)
 {
@@ -284,12 +286,12 @@
       if (answer->fingerprint && report->at <= answer->answered_at + CLEARANCE_WINDOW
           && lc_fingerprint_is_among (answer->fingerprint, report->fingerprints,
                                       report->n_fingerprints))
-        clear_fingerprint (quarantine, answer->fingerprint, answer->answered_at);
+        clear_and_announce_fingerprint (quarantine, answer->fingerprint, answer->answered_at);
     }
 }
 
 static void
-log_quarantined (const LcQuarantine *quarantine, const LcCrashReport *report, LbTime now)
+log_quarantined_requests (const LcQuarantine *quarantine, const LcCrashReport *report, LbTime now)
 {
   char text[LC_FINGERPRINT_TEXT_SIZE];
 
@@ -311,15 +313,15 @@
   if (report->at + REPORT_LIFETIME <= now || !lc_crash_log_add_report (&quarantine->log, report))
     return;
   apply_recent_answers (quarantine, report);
-  update_quarantine (quarantine);
-  log_quarantined (quarantine, report, now);
+  recompute_quarantine (quarantine);
+  log_quarantined_requests (quarantine, report, now);
 }
 
 void
 lc_quarantine_withdraw_report (LcQuarantine *quarantine, const char *id)
 {
   if (lc_crash_log_withdraw_report (&quarantine->log, id))
-    update_quarantine (quarantine);
+    recompute_quarantine (quarantine);
 }
 
 /* --- answers --- */
@@ -339,11 +341,13 @@
     }
   if (answered_at > clearance->answered_at)
     clearance->answered_at = answered_at;
-  update_quarantine (quarantine);
+  recompute_quarantine (quarantine);
 }
 
 static void
-clear_fingerprint (LcQuarantine *quarantine, LcFingerprint fingerprint, LbTime answered_at)
+clear_and_announce_fingerprint (LcQuarantine *quarantine,
+                                LcFingerprint fingerprint,
+                                LbTime answered_at)
 {
   const Clearance *known = find_clearance (quarantine, fingerprint);
   PendingClearance *pending = NULL;
@@ -365,7 +369,7 @@
   quarantine->answers[quarantine->next_answer] = (RecentAnswer){ fingerprint, now };
   quarantine->next_answer = (quarantine->next_answer + 1) % MAX_RECENT_ANSWERS;
   if (find_suspect (quarantine, fingerprint))
-    clear_fingerprint (quarantine, fingerprint, now);
+    clear_and_announce_fingerprint (quarantine, fingerprint, now);
 }
 
 bool
@@ -385,7 +389,7 @@
   return true;
 }
 
-/* --- time --- */
+/* --- expiry --- */
 
 void
 lc_quarantine_expire (LcQuarantine *quarantine, LbTime now)
@@ -398,7 +402,7 @@
       drop_clearance (quarantine, clearance);
   }
   if (lc_crash_log_expire (&quarantine->log, now - REPORT_LIFETIME))
-    update_quarantine (quarantine);
+    recompute_quarantine (quarantine);
 }
 
 LbTime
