--- a/packages/core/tests/test-carried.c
+++ b/packages/core/tests/test-carried.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 static LcCachedText
-make_text (const char *item, int64_t events)
+make_cached_text (const char *item, int64_t events)
 {
   static const LcVersion versions[] = { 4, 5 };
   LcCachedText text = {
@@ -19,7 +19,7 @@
 Test (carried, keeps_the_most_complete_text)
 {
   LcTextCache *cache = lc_text_cache_new (1 << 20);
-  LcCachedText text = make_text ("i", 9);
+  LcCachedText text = make_cached_text ("i", 9);
   LcCachedText found;
 
   lc_text_cache_put (cache, &text, LB_SEC);
@@ -34,11 +34,12 @@
   lc_text_cache_free (cache);
 }
 
-/* Another trainer that uses the same id for another item must not get this text. */
+/* Another trainer may use the same id for a different item and must not get the cached text of this
+ * one. */
 Test (carried, does_not_find_another_fingerprint_or_an_older_version)
 {
   LcTextCache *cache = lc_text_cache_new (1 << 20);
-  LcCachedText text = make_text ("i", 9);
+  LcCachedText text = make_cached_text ("i", 9);
   LcCachedText found;
   bool is_complete;
 
@@ -60,7 +61,7 @@
     {
       char name[16];
       snprintf (name, sizeof name, "i%d", i);
-      LcCachedText text = make_text (name, 1);
+      LcCachedText text = make_cached_text (name, 1);
       lc_text_cache_put (cache, &text, LB_SEC);
       cr_assert_leq (lc_text_cache_count_bytes (cache), 1000);
     }
--- a/packages/core/tests/test-catalog.c
+++ b/packages/core/tests/test-catalog.c
@@ -14,20 +14,20 @@
 
 #define STEP (10 * LB_MSEC)
 #define TICK_STEPS 5
-#define RANK_UPDATE_STEPS 200 /* health of instances becomes known only after this delay */
+#define RANK_UPDATE_STEPS 200 /* steps between rank updates: the delay of health checks */
 #define LISTING_PERIOD (400 * LB_MSEC)
 #define FEED_WAIT (700 * LB_MSEC)
-#define CALL_TIMEOUT LB_SEC /* when a call without an answer is abandoned */
+#define CALL_TIMEOUT LB_SEC /* time after which a call without an answer is abandoned */
 #define MAX_ENDPOINTS 250
 #define MAX_ROWS (MAX_ENDPOINTS + 2)
 #define MAX_INSTANCES 300
-/* From the change of a leaving endpoint's entry until no instance may send it new work. */
+/* Longest time after an endpoint starts to leave in which instances may still send it new work. */
 #define MAX_LEAVING_DELAY (1900 * LB_MSEC)
 
 typedef struct
 {
   char key[LB_NAME_MAX];
-  char *value; /* NULL: deleted */
+  char *value; /* NULL: the row was deleted */
   int64_t version;
 } Row;
 
@@ -40,20 +40,20 @@
 
 typedef struct
 {
-  LbTime arrives_at; /* at the store; 0: no call in progress */
-  LbTime answers_at; /* LB_TIME_NEVER: not known yet, or lost */
+  LbTime arrives_at; /* when the call reaches the store; 0: no call in progress */
+  LbTime answers_at; /* when the answer reaches the caller; LB_TIME_NEVER: unknown yet, or lost */
   LbTime abandoned_at;
   bool is_carried_out;
-  /* list */
+  /* result of a list call */
   LcRegistration *list;
   size_t n_list;
   int64_t store_ms;
-  /* write */
+  /* contents and result of a write call */
   LcCatalogWrite write;
   bool ok;
-  /* change feed */
+  /* range of a change feed call */
   int64_t from_version;
-  int64_t to_version; /* version up to which the answer goes */
+  int64_t to_version; /* last table version that the answer includes */
 } Call;
 
 typedef struct
@@ -62,10 +62,11 @@
   int start;
   LbTime cut_off_until;
   LbTime paused_until;
-  LbTime in_contact_since; /* reachable and running */
+  LbTime in_contact_since; /* when the instance was last paused or cut off from the store, or was
+                              started */
   Call list, write, feed;
   LbTime next_listing_at;
-  int64_t followed_version; /* 0: none yet */
+  int64_t followed_version; /* table version up to which the change feed was read; 0: none yet */
   LcRegistration snapshot[MAX_ENDPOINTS];
   size_t n_snapshot;
   LbTime valid_at;
@@ -96,7 +97,7 @@
 }
 
 static LbTime
-latency (World *w)
+draw_latency (World *w)
 {
   return 2 * LB_MSEC + (LbTime)(random_unit (w) * 8 * LB_MSEC);
 }
@@ -114,7 +115,7 @@
 }
 
 static void
-call_clear (Call *call)
+clear_call (Call *call)
 {
   free (call->list);
   lc_catalog_write_clear (&call->write);
@@ -122,23 +123,23 @@
 }
 
 static void
-call_start (World *w, Call *call)
+start_call (World *w, Call *call)
 {
-  call->arrives_at = w->now + latency (w);
+  call->arrives_at = w->now + draw_latency (w);
   call->answers_at = LB_TIME_NEVER;
   call->abandoned_at = w->now + CALL_TIMEOUT;
 }
 
 static void
-instance_start (World *w, size_t index)
+restart_instance (World *w, size_t index)
 {
   Instance *instance = &w->instances[index];
   char name[16], incarnation[16];
 
   lc_catalog_free (instance->catalog);
-  call_clear (&instance->list);
-  call_clear (&instance->write);
-  call_clear (&instance->feed);
+  clear_call (&instance->list);
+  clear_call (&instance->write);
+  clear_call (&instance->feed);
   snprintf (name, sizeof name, "i-%zu", index);
   snprintf (incarnation, sizeof incarnation, "%d", ++instance->start);
   instance->catalog = lc_catalog_new (name, incarnation, (uint64_t)gsl_rng_get (w->rng), w->now);
@@ -169,7 +170,7 @@
       w->endpoints[i].exists = true;
     }
   for (size_t i = 0; i < n_instances; i++)
-    instance_start (w, i);
+    restart_instance (w, i);
 }
 
 static void
@@ -179,9 +180,9 @@
     {
       Instance *instance = &w->instances[i];
       lc_catalog_free (instance->catalog);
-      call_clear (&instance->list);
-      call_clear (&instance->write);
-      call_clear (&instance->feed);
+      clear_call (&instance->list);
+      clear_call (&instance->write);
+      clear_call (&instance->feed);
     }
   for (size_t i = 0; i < w->n_rows; i++)
     free (w->rows[i].value);
@@ -216,7 +217,7 @@
 }
 
 static void
-carry_out_write (World *w, Call *call)
+apply_write_to_table (World *w, Call *call)
 {
   const Row *row = find_row (w, lc_catalog_publisher_key ());
   int64_t version = row && row->value ? row->version : 0;
@@ -230,7 +231,7 @@
 }
 
 static void
-carry_out_list (World *w, Call *call)
+read_endpoints_for_list (World *w, Call *call)
 {
   call->list = LB_NEW_ARRAY (LcRegistration, MAX_ENDPOINTS);
   for (size_t i = 0; i < w->n_endpoints; i++)
@@ -273,7 +274,7 @@
 } Snapshot;
 
 static void
-add_snapshot_row (const char *name, const char *text, int64_t version, void *user)
+append_snapshot_row (const char *name, const char *text, int64_t version, void *user)
 {
   (void)version;
   Snapshot *snapshot = user;
@@ -287,7 +288,7 @@
 read_snapshot (const LcCatalog *catalog, Snapshot *snapshot)
 {
   snapshot->n = 0;
-  lc_catalog_foreach (catalog, "e:", add_snapshot_row, snapshot);
+  lc_catalog_foreach (catalog, "e:", append_snapshot_row, snapshot);
   return snapshot->n;
 }
 
@@ -327,16 +328,17 @@
                     lc_catalog_snapshot_valid_at (instance->catalog));
 }
 
-/* An answer holds the rows as of the time when it left the store, but the simulation reads the
- * table when it arrives. An answer that a write has overtaken is therefore requested again. */
+/* Whether the table was written after the answer left the store. Such an answer must be requested
+ * again: it should hold the earlier rows, but the simulation reads the table when the answer
+ * arrives. */
 static bool
-is_overtaken (const World *w, const Call *call)
+is_answer_outdated (const World *w, const Call *call)
 {
   return call->to_version < w->version;
 }
 
 static void
-step_feed (World *w, Instance *instance)
+advance_feed_call (World *w, Instance *instance)
 {
   Call *call = &instance->feed;
 
@@ -348,17 +350,17 @@
     {
       call->to_version = w->version;
       call->store_ms = w->now / LB_MSEC;
-      call->answers_at = w->now + latency (w);
+      call->answers_at = w->now + draw_latency (w);
     }
   if (w->now < call->answers_at || is_paused (w, instance))
     return;
-  if (!is_overtaken (w, call))
+  if (!is_answer_outdated (w, call))
     finish_feed_call (w, instance);
-  call_clear (call);
+  clear_call (call);
 }
 
 static void
-step_list (World *w, Instance *instance)
+advance_list_call (World *w, Instance *instance)
 {
   Call *call = &instance->list;
 
@@ -366,9 +368,9 @@
     return;
   if (!call->is_carried_out && w->now >= call->arrives_at && !is_cut_off (w, instance))
     {
-      carry_out_list (w, call);
+      read_endpoints_for_list (w, call);
       call->is_carried_out = true;
-      call->answers_at = w->now + latency (w);
+      call->answers_at = w->now + draw_latency (w);
     }
   if (is_paused (w, instance))
     return;
@@ -376,12 +378,13 @@
     finish_list_call (w, instance);
   else if (w->now < call->abandoned_at)
     return;
-  call_clear (call);
+  clear_call (call);
 }
 
-/* A write may be carried out after the caller abandoned it, and its answer may be lost. */
+/* Advances a write call. The store may carry out a write after the caller abandoned it, and the
+ * answer may be lost. */
 static void
-step_write (World *w, Instance *instance)
+advance_write_call (World *w, Instance *instance)
 {
   Call *call = &instance->write;
 
@@ -389,9 +392,9 @@
     return;
   if (!call->is_carried_out && w->now >= call->arrives_at && !is_cut_off (w, instance))
     {
-      carry_out_write (w, call);
+      apply_write_to_table (w, call);
       call->is_carried_out = true;
-      call->answers_at = random_unit (w) < 0.02 ? LB_TIME_NEVER : w->now + latency (w);
+      call->answers_at = random_unit (w) < 0.02 ? LB_TIME_NEVER : w->now + draw_latency (w);
     }
   if (is_paused (w, instance))
     return;
@@ -399,31 +402,31 @@
     return;
   if (!call->is_carried_out || w->now < call->answers_at || !call->ok)
     lc_catalog_write_failed (instance->catalog, call->write.expected_version);
-  call_clear (call);
+  clear_call (call);
 }
 
 static void
-tick (World *w, Instance *instance)
+tick_instance (World *w, Instance *instance)
 {
   LcCatalogWrite write;
 
   if (instance->feed.arrives_at == 0)
     {
       instance->feed.from_version = instance->followed_version;
-      call_start (w, &instance->feed);
+      start_call (w, &instance->feed);
     }
   if (instance->list.arrives_at == 0 && w->now >= instance->next_listing_at
       && lc_catalog_needs_listing (instance->catalog, w->now))
     {
       instance->next_listing_at = w->now + LISTING_PERIOD;
-      call_start (w, &instance->list);
+      start_call (w, &instance->list);
     }
   if (instance->write.arrives_at != 0 && !instance->write.is_carried_out)
     return;
   if (lc_catalog_prepare_write (instance->catalog, w->now, &write))
     {
-      call_clear (&instance->write);
-      call_start (w, &instance->write);
+      clear_call (&instance->write);
+      start_call (w, &instance->write);
       instance->write.write = write;
     }
 }
@@ -434,9 +437,10 @@
   return w->now >= instance->cut_off_until + LB_SEC && !is_paused (w, instance);
 }
 
-/* Ranks the first three healthy instances other than the publisher, by number. */
+/* Gives the first three healthy instances other than the publisher the ranks 0 to 2, ordered by
+ * index. */
 static void
-set_rank (World *w, size_t index)
+update_rank (World *w, size_t index)
 {
   Instance *instance = &w->instances[index];
   const char *publisher = lc_catalog_publisher_name (instance->catalog);
@@ -452,21 +456,21 @@
 }
 
 static void
-set_ranks (World *w)
+update_all_ranks (World *w)
 {
   for (size_t i = 0; i < w->n_instances; i++)
-    set_rank (w, i);
+    update_rank (w, i);
 }
 
 static void
-track_contact (World *w, Instance *instance)
+update_in_contact_since (World *w, Instance *instance)
 {
   if (is_cut_off (w, instance) || is_paused (w, instance))
     instance->in_contact_since = w->now;
 }
 
 static bool
-sees_leaving (const Instance *instance, const char *name)
+sees_endpoint_leaving (const Instance *instance, const char *name)
 {
   for (size_t i = 0; i < instance->n_snapshot; i++)
     if (strcmp (instance->snapshot[i].name, name) == 0)
@@ -474,10 +478,10 @@
   return true;
 }
 
-/* No instance in contact with the store sends new work to an endpoint that has been leaving for
- * longer than MAX_LEAVING_DELAY. */
+/* Asserts that an instance in contact with the store sends no new work to an endpoint that has been
+ * leaving for longer than MAX_LEAVING_DELAY. */
 static void
-check_leaving (World *w, const Instance *instance, unsigned long seed)
+check_leaving_endpoints (World *w, const Instance *instance, unsigned long seed)
 {
   for (size_t i = 0; i < w->n_endpoints; i++)
     {
@@ -487,41 +491,41 @@
                                  : instance->in_contact_since;
       if ((endpoint->registration.leaving || !endpoint->exists)
           && w->now - visible_since > MAX_LEAVING_DELAY)
-        cr_assert (sees_leaving (instance, endpoint->registration.name),
+        cr_assert (sees_endpoint_leaving (instance, endpoint->registration.name),
                    "seed %lu: %s is not seen as leaving after %lld ms", seed,
                    endpoint->registration.name, (long long)((w->now - visible_since) / LB_MSEC));
     }
 }
 
 static void
-step (World *w, unsigned long seed)
+advance_world (World *w, unsigned long seed)
 {
   w->now += STEP;
   if ((w->now / STEP) % RANK_UPDATE_STEPS == 0)
-    set_ranks (w);
+    update_all_ranks (w);
   for (size_t i = 0; i < w->n_instances; i++)
     {
       Instance *instance = &w->instances[i];
-      track_contact (w, instance);
-      step_write (w, instance);
-      step_list (w, instance);
-      step_feed (w, instance);
+      update_in_contact_since (w, instance);
+      advance_write_call (w, instance);
+      advance_list_call (w, instance);
+      advance_feed_call (w, instance);
       if ((w->now / STEP + (LbTime)i) % TICK_STEPS == 0 && !is_paused (w, instance))
-        tick (w, instance);
+        tick_instance (w, instance);
       if ((w->now / STEP + (LbTime)i) % 10 == 0 && !is_paused (w, instance))
-        check_leaving (w, instance, seed);
+        check_leaving_endpoints (w, instance, seed);
     }
 }
 
 static void
-run (World *w, LbTime time, unsigned long seed)
+run_world (World *w, LbTime time, unsigned long seed)
 {
   for (LbTime end = w->now + time; w->now < end;)
-    step (w, seed);
+    advance_world (w, seed);
 }
 
 static void
-change_endpoint (World *w)
+change_random_endpoint (World *w)
 {
   Endpoint *endpoint = &w->endpoints[gsl_rng_uniform_int (w->rng, w->n_endpoints)];
 
@@ -533,7 +537,7 @@
 }
 
 static void
-inject_fault (World *w)
+inject_random_fault (World *w)
 {
   size_t index = gsl_rng_uniform_int (w->rng, w->n_instances);
   Instance *instance = &w->instances[random_unit (w) < 0.5 ? index % 4 : index];
@@ -544,16 +548,16 @@
   else if (kind < 0.6)
     instance->paused_until = w->now + (LbTime)(random_unit (w) * 3 * LB_SEC);
   else if (kind < 0.9)
-    instance_start (w, (size_t)(instance - w->instances));
+    restart_instance (w, (size_t)(instance - w->instances));
   else if (kind < 0.95)
     w->outage_until = w->now + (LbTime)(random_unit (w) * 3 * LB_SEC);
   else
     for (size_t i = 0; i < w->n_instances; i++)
-      instance_start (w, i);
+      restart_instance (w, i);
 }
 
 static void
-check_snapshots (const World *w, unsigned long seed)
+check_snapshots_match_store (const World *w, unsigned long seed)
 {
   for (size_t i = 0; i < w->n_instances; i++)
     {
@@ -565,63 +569,65 @@
                     seed, i, instance->n_snapshot, n);
       for (size_t k = 0; k < w->n_endpoints; k++)
         if (w->endpoints[k].exists)
-          cr_assert_eq (sees_leaving (instance, w->endpoints[k].registration.name),
+          cr_assert_eq (sees_endpoint_leaving (instance, w->endpoints[k].registration.name),
                         w->endpoints[k].registration.leaving,
-                        "seed %lu: instance %zu, endpoint %zu", seed, i, k);
+                        "seed %lu: instance %zu has the wrong leaving state for endpoint %zu", seed,
+                        i, k);
     }
 }
 
 static void
-run_scenario (size_t n_instances, size_t n_endpoints, LbTime time, unsigned long seed)
+run_random_scenario (size_t n_instances, size_t n_endpoints, LbTime time, unsigned long seed)
 {
   World *w = LB_NEW (World);
 
   world_init (w, n_instances, n_endpoints, seed);
   for (LbTime end = w->now + time; w->now < end;)
     {
-      run (w, (LbTime)(random_unit (w) * LB_SEC), seed);
+      run_world (w, (LbTime)(random_unit (w) * LB_SEC), seed);
       if (random_unit (w) < 0.5)
-        inject_fault (w);
-      change_endpoint (w);
+        inject_random_fault (w);
+      change_random_endpoint (w);
     }
   for (size_t i = 0; i < w->n_instances; i++)
     w->instances[i].cut_off_until = w->instances[i].paused_until = 0;
   w->outage_until = 0;
-  run (w, 2 * LB_SEC, seed);
-  check_snapshots (w, seed);
+  run_world (w, 2 * LB_SEC, seed);
+  check_snapshots_match_store (w, seed);
   world_clear (w);
   free (w);
 }
 
-/* Instances die, are paused and cut off, the store is unreachable, all instances lose power, and
- * endpoints come, go and leave meanwhile. Two seconds after the last fault every snapshot matches
- * the store, and until then no instance in contact with the store takes a leaving endpoint for one
- * that stays. */
+/* Instances die, are paused or cut off, the store fails, all instances lose power, and endpoints
+ * register, leave and disappear meanwhile. Two seconds after the last fault every snapshot must
+ * match the store. At no time may an instance in contact with the store send work to an endpoint
+ * that has been leaving for too long. */
 Test (catalog, snapshots_match_the_store_after_the_last_fault, .timeout = 300)
 {
   const char *seeds = getenv ("CATALOG_SEEDS");
   unsigned long n = seeds ? strtoul (seeds, NULL, 10) : 12;
 
   for (unsigned long seed = 0; seed < n; seed++)
-    run_scenario (30, seed % 5 == 0 ? 240 : 20, 20 * LB_SEC, seed);
+    run_random_scenario (30, seed % 5 == 0 ? 240 : 20, 20 * LB_SEC, seed);
 }
 
 Test (catalog, snapshots_match_the_store_with_three_hundred_instances, .timeout = 300)
 {
-  run_scenario (300, 60, 15 * LB_SEC, 7);
+  run_random_scenario (300, 60, 15 * LB_SEC, 7);
 }
 
-/* Guards the purpose of the catalog: 300 instances that each list 60 endpoints read 45,000 rows a
- * second, and a quarter of a thousandth of that with the catalog when nothing changes. */
+/* Guards against followers that list rows although nothing changes. Without the catalog, 300
+ * instances that each list 60 endpoints read 45,000 rows a second; with it they must stay below 180
+ * listed rows and 900 change feed rows a second. */
 Test (catalog, an_unchanged_site_reads_few_rows)
 {
   World *w = LB_NEW (World);
 
   world_init (w, 300, 60, 1);
-  run (w, 5 * LB_SEC, 1);
+  run_world (w, 5 * LB_SEC, 1);
   w->n_listed_rows = 0;
   w->n_feed_rows = 0;
-  run (w, 10 * LB_SEC, 1);
+  run_world (w, 10 * LB_SEC, 1);
   cr_assert_leq (w->n_listed_rows, 30 * 60, "%lld rows listed in 10 s, at most 1800 expected",
                  (long long)w->n_listed_rows);
   cr_assert_leq (w->n_feed_rows, 300 * 30,
@@ -631,20 +637,20 @@
   free (w);
 }
 
-/* The publisher loses power. The next one publishes before any other instance has to list the rows
- * itself: 300 instances listing at the same time would overload the store. */
+/* The publisher loses power. The next candidate must publish before any other instance has to list
+ * the rows itself: 300 instances that list at the same time would overload the store. */
 Test (catalog, a_dead_publisher_is_replaced_before_others_list)
 {
   World *w = LB_NEW (World);
   int64_t before = 0;
 
   world_init (w, 100, 40, 3);
-  run (w, 5 * LB_SEC, 3);
+  run_world (w, 5 * LB_SEC, 3);
   cr_assert (lc_catalog_is_publisher (w->instances[0].catalog));
   w->instances[0].paused_until = w->now + 10 * LB_SEC;
   for (size_t i = 4; i < w->n_instances; i++)
     before += w->instances[i].n_listings;
-  run (w, 3 * LB_SEC, 3);
+  run_world (w, 3 * LB_SEC, 3);
   for (size_t i = 4; i < w->n_instances; i++)
     before -= w->instances[i].n_listings;
   cr_assert_eq (before, 0, "followers listed the rows %lld times", (long long)-before);
@@ -658,8 +664,8 @@
   "{\"name\":\"" name                                                                              \
   "\",\"address\":\"10.0.0.1:80\",\"service\":\"s\",\"slots\":1,\"leaving\":false}"
 
-/* A publisher's write is delayed by two seconds. The snapshot is that old when it arrives, so it is
- * not used. */
+/* A publisher's write is delayed by two seconds: the snapshot is too old on arrival and must not be
+ * used. */
 Test (catalog, a_delayed_snapshot_is_not_used)
 {
   LcCatalog *catalog = lc_catalog_new ("a", "1", 0, LB_SEC);
@@ -675,7 +681,7 @@
   lc_catalog_free (catalog);
 }
 
-/* More has changed than fits into one write: the part received so far is not used as a snapshot. */
+/* More rows changed than fit into one write: the incomplete rows must not be used as a snapshot. */
 Test (catalog, an_incomplete_listing_is_not_used)
 {
   LcCatalog *catalog = lc_catalog_new ("a", "1", 0, LB_SEC);
@@ -694,8 +700,8 @@
   lc_catalog_free (catalog);
 }
 
-/* The store dropped its history while this instance was cut off, and with it the deletion of an
- * endpoint's row. The rows are then read anew, and a row that is not among them is deleted. */
+/* The store dropped its change history while this instance was cut off, and with it the deletion of
+ * an endpoint's row. The instance reads all rows again and must drop the rows that are missing. */
 Test (catalog, rows_read_anew_replace_the_old_ones)
 {
   LcCatalog *catalog = lc_catalog_new ("a", "1", 0, LB_SEC);
@@ -715,8 +721,8 @@
   lc_catalog_free (catalog);
 }
 
-/* Nobody publishes any more, and this instance may not: it lists the endpoints itself in time to
- * notice one that leaves. */
+/* The publisher stopped, and this instance must not publish. It must list the endpoints itself
+ * early enough to notice an endpoint that leaves. */
 Test (catalog, a_snapshot_expires_without_a_publisher)
 {
   LcCatalog *catalog = lc_catalog_new ("a", "1", 299999, LB_SEC);
@@ -729,8 +735,8 @@
   lc_catalog_free (catalog);
 }
 
-/* 200 endpoints are listed for the first time: no write exceeds what the store takes in one
- * transaction. */
+/* 200 endpoints are listed for the first time: no write may exceed the limit of the store's
+ * transactions. */
 Test (catalog, a_long_listing_is_split_into_several_writes)
 {
   enum
@@ -797,11 +803,12 @@
   LcRegistration registration;
 
   for (size_t i = 0; i < sizeof texts / sizeof texts[0]; i++)
-    cr_assert_not (lc_registration_from_json (texts[i], &registration), "%s", texts[i]);
+    cr_assert_not (lc_registration_from_json (texts[i], &registration),
+                   "the invalid registration '%s' was accepted", texts[i]);
 }
 
-/* Guards against followers that list the rows themselves between two listings of a slow
- * publisher. */
+/* Guards against followers that list the rows themselves between two listings of a publisher with a
+ * long period. */
 Test (catalog, timeouts_scale_with_the_publishers_period)
 {
   LcCatalog *catalog = lc_catalog_new ("a", "1", 0, LB_SEC);
@@ -811,7 +818,7 @@
                         "\"listed_ms\":1000,\"period_ms\":1000,\"whole\":true}",
                         5);
   cr_assert (lc_catalog_finish_update (catalog, 1000 + 2000, LB_SEC),
-             "a snapshot of two periods' age is not too old");
+             "a snapshot that is two periods old was rejected");
   cr_assert_eq (lc_catalog_publish_period (catalog), LB_SEC);
   cr_assert (lc_catalog_is_fresh (catalog, LB_SEC + 2 * LB_SEC));
   cr_assert_not (lc_catalog_is_fresh (catalog, LB_SEC + 2300 * LB_MSEC));
--- a/packages/core/tests/test-crowding.c
+++ b/packages/core/tests/test-crowding.c
@@ -2,8 +2,8 @@
 
 #include <criterion/criterion.h>
 
-/* Guards against a subset that grows because of a burst at one endpoint, or does not grow under
- * load. */
+/* Guards against a subset of endpoints that grows after a short burst of requests, or does not grow
+ * under sustained load. */
 Test (utilisation, finds_the_service_with_sustained_high_utilisation)
 {
   LcUtilisation *utilisation = lc_utilisation_new ();
--- a/packages/core/tests/test-duty.c
+++ b/packages/core/tests/test-duty.c
@@ -6,8 +6,8 @@
 
 static const LcDutyCandidate instances[] = { { "a", 1 }, { "b", 1 }, { "c", 1 }, { "d", 1 } };
 
-/* All instances notice the loss of a batch's owner at the same time. Each takes over in its turn,
- * so exactly one of them must be the first. */
+/* All instances notice at the same time that the owner of a batch is lost, and take over in the
+ * order of their ranks, so no two may have the same rank. */
 Test (duty, every_candidate_has_a_distinct_rank)
 {
   bool is_rank_taken[4] = { false };
@@ -29,8 +29,7 @@
 }
 
 /* A duty must not move back to an instance that returns after a brief absence: the batches of a
- * model would open a new connection for each slot of each engine. The holder keeps the duty while
- * it is a candidate. */
+ * model would open a new connection for each slot of each engine. */
 Test (duty, the_current_holder_keeps_the_duty)
 {
   for (size_t i = 0; i < 4; i++)
@@ -40,8 +39,8 @@
                     lc_duty_choose_holder ("reader", "", instances, 4));
 }
 
-/* Guards against steps that are handed to one of 235 weak machines next to 60 strong ones: each
- * such step began a quarter of a second later, and again after each loss of power. */
+/* Guards against duties given to one of 235 weak machines although there are 60 strong ones:
+ * batches there started a quarter of a second later, and again after each power loss. */
 Test (duty, strong_machines_get_nearly_all_duties)
 {
   enum
@@ -69,7 +68,8 @@
   cr_assert_geq (n_on_strong, N_DUTIES * 99 / 100);
 }
 
-/* One machine that is a little stronger than many others does not get all duties. */
+/* A machine with six times the strength of 99 others must get a larger share of the duties, but not
+ * all. */
 Test (duty, a_single_strong_machine_gets_its_share)
 {
   enum
@@ -96,8 +96,8 @@
   cr_assert_leq (n_on_strong, N_DUTIES * 36 / 100);
 }
 
-/* A machine that reports no strength, because of an older version or a wrong setting, is still a
- * candidate: it may be the only one. */
+/* A machine that reports no strength, because of an older version or a wrong setting, must remain a
+ * candidate, since it may be the only one. */
 Test (duty, a_machine_without_strength_can_hold_a_duty)
 {
   const LcDutyCandidate without_strength[] = { { "a", 0 }, { "b", -1 } };
--- a/packages/core/tests/test-fleet.c
+++ b/packages/core/tests/test-fleet.c
@@ -9,7 +9,7 @@
 #define PERIOD (500 * LB_MSEC)
 
 static LcFleetRow
-make_row (const char *name, const char *incarnation)
+make_fleet_row (const char *name, const char *incarnation)
 {
   LcFleetRow row = { .ready = true, .period = PERIOD };
 
@@ -22,10 +22,10 @@
 static LbTime round_trip;
 
 static bool
-read_list (LcFleet *fleet, int64_t version_a, int64_t version_b, LbTime now)
+list_two_rows (LcFleet *fleet, int64_t version_a, int64_t version_b, LbTime now)
 {
-  LcFleetRow a = make_row ("a", "1");
-  LcFleetRow b = make_row ("b", "1");
+  LcFleetRow a = make_fleet_row ("a", "1");
+  LcFleetRow b = make_fleet_row ("b", "1");
 
   lc_fleet_begin_list (fleet, &(LcFleetList){
                                   .received_at = now, .round_trip = round_trip, .period = PERIOD });
@@ -35,7 +35,7 @@
 }
 
 static bool
-is_alive (const LcFleet *fleet, const char *name)
+is_member_alive (const LcFleet *fleet, const char *name)
 {
   for (size_t i = 0; i < lc_fleet_count_members (fleet); i++)
     if (strcmp (lc_fleet_member_at (fleet, i)->row.name, name) == 0)
@@ -43,84 +43,84 @@
   return false;
 }
 
-/* A machine loses power and its row stops changing: after three missed renewals the instance is
- * dead and its work is taken over. With four, steps whose longest text takes most of their time
- * finished late after each such loss. */
+/* A machine loses power and its row stops changing: after three missed renewals the instance must
+ * count as dead, so that its work is taken over. With four, steps with one long text finished late
+ * after each power loss. */
 Test (fleet, an_instance_is_dead_after_three_missed_renewals)
 {
   LcFleet *fleet = lc_fleet_new ("a");
   LbTime now = LB_SEC;
   int64_t version = 10;
 
-  read_list (fleet, version, 5, now);
-  cr_assert (is_alive (fleet, "b"));
+  list_two_rows (fleet, version, 5, now);
+  cr_assert (is_member_alive (fleet, "b"));
   for (LbTime silence = 0; silence < 3 * PERIOD; silence += PERIOD)
     {
       now += PERIOD;
-      read_list (fleet, ++version, 5, now);
-      cr_assert (is_alive (fleet, "b"));
+      list_two_rows (fleet, ++version, 5, now);
+      cr_assert (is_member_alive (fleet, "b"));
     }
   now += PERIOD;
-  cr_assert (read_list (fleet, ++version, 5, now));
-  cr_assert_not (is_alive (fleet, "b"));
-  cr_assert (is_alive (fleet, "a"));
+  cr_assert (list_two_rows (fleet, ++version, 5, now));
+  cr_assert_not (is_member_alive (fleet, "b"));
+  cr_assert (is_member_alive (fleet, "a"));
   lc_fleet_free (fleet);
 }
 
-/* The store answers sixty times slower, so that all rows show up late: no instance may be declared
- * dead. */
+/* The store answers sixty times slower than usual, so that all renewals are seen late: no instance
+ * may be declared dead. */
 Test (fleet, a_slow_store_makes_no_instance_dead)
 {
   LcFleet *fleet = lc_fleet_new ("a");
   LbTime now = LB_SEC;
 
   round_trip = 250 * LB_MSEC;
-  read_list (fleet, 1, 5, now);
+  list_two_rows (fleet, 1, 5, now);
   for (int i = 0; i < 4; i++)
     {
       now += PERIOD;
-      read_list (fleet, 2 + i, 5, now);
-      cr_assert (is_alive (fleet, "b"));
+      list_two_rows (fleet, 2 + i, 5, now);
+      cr_assert (is_member_alive (fleet, "b"));
     }
   now += PERIOD;
-  read_list (fleet, 8, 5, now);
-  cr_assert_not (is_alive (fleet, "b"), "a slow store must not hide a dead instance");
+  list_two_rows (fleet, 8, 5, now);
+  cr_assert_not (is_member_alive (fleet, "b"), "a slow store must not hide a dead instance");
   round_trip = 0;
   lc_fleet_free (fleet);
 }
 
-/* The store is unreachable for six seconds and nobody can renew. When it answers again, all
- * instances must not look dead to each other: every batch would change its owner. */
+/* The store is unreachable for six seconds, and nobody can renew. When it answers again, instances
+ * must not declare each other dead: every batch would change its owner. */
 Test (fleet, a_store_outage_does_not_count_as_silence)
 {
   LcFleet *fleet = lc_fleet_new ("a");
   LbTime now = LB_SEC;
 
-  read_list (fleet, 1, 2, now);
+  list_two_rows (fleet, 1, 2, now);
   now += 6 * LB_SEC;
-  read_list (fleet, 1, 2, now);
-  cr_assert (is_alive (fleet, "b"));
+  list_two_rows (fleet, 1, 2, now);
+  cr_assert (is_member_alive (fleet, "b"));
   lc_fleet_free (fleet);
 }
 
-/* The store is silent for four seconds. One instance notices its return first and lists the others
- * 50 ms later; their renewals were lost, and the next ones follow most of a second after that. It
- * declared the owner of a step dead, and the step started again elsewhere. */
+/* The store is unreachable for four seconds. One instance reaches it first and lists the rows 50 ms
+ * later, but the others' renewals were lost and follow most of a second later. Guards against
+ * declaring the owner of a step dead in between, which restarts the step elsewhere. */
 Test (fleet, instances_have_time_to_renew_after_a_store_outage)
 {
   LcFleet *fleet = lc_fleet_new ("a");
   LbTime now = LB_SEC;
 
-  read_list (fleet, 1, 2, now);
+  list_two_rows (fleet, 1, 2, now);
   now += 4 * LB_SEC;
   for (int i = 0; i < 5; i++, now += PERIOD)
     {
-      read_list (fleet, 1, 2, now);
-      cr_assert (is_alive (fleet, "b"), "dead %d periods after the outage", i);
+      list_two_rows (fleet, 1, 2, now);
+      cr_assert (is_member_alive (fleet, "b"), "dead %d periods after the outage", i);
     }
   now += PERIOD;
-  read_list (fleet, 1, 2, now);
-  cr_assert_not (is_alive (fleet, "b"), "an instance that does not renew again is dead");
+  list_two_rows (fleet, 1, 2, now);
+  cr_assert_not (is_member_alive (fleet, "b"), "an instance that does not renew again is dead");
   lc_fleet_free (fleet);
 }
 
@@ -133,9 +133,9 @@
   return NULL;
 }
 
-/* A site of 295 instances renews and lists all rows every few seconds. When the owner of a step
- * lost power, these listings showed it only after 2.5 s, and all texts of its step were late. Its
- * row on duty is listed every 0.3 s and shows it sooner. */
+/* A site of 295 instances renews and lists all rows only every few seconds. When the owner of a
+ * step lost power, that was detected only after 2.5 s, and all texts of the step were late. The
+ * owner's row on duty is listed every 0.3 s and must reveal the loss sooner. */
 Test (fleet, a_row_on_duty_shows_a_dead_owner_sooner)
 {
   enum
@@ -145,8 +145,8 @@
   };
   LcFleet *all = lc_fleet_new ("a");
   LcFleet *on_duty = lc_fleet_new ("a");
-  LcFleetRow general_row = make_row ("b", "1");
-  LcFleetRow duty_row = make_row ("b", "1");
+  LcFleetRow general_row = make_fleet_row ("b", "1");
+  LcFleetRow duty_row = make_fleet_row ("b", "1");
   LcFleetMember members[4];
   LbTime now = LB_SEC;
   LbTime detected_at = 0;
@@ -176,15 +176,15 @@
   lc_fleet_free (on_duty);
 }
 
-/* An owner was killed and has started again without a duty. Its row on duty is from the previous
- * incarnation and does not change any more: the newer row decides that it is alive. */
+/* The owner of a step was killed and restarted without a duty. Its row on duty is from the previous
+ * incarnation and no longer changes: the newer general row must show the instance as alive. */
 Test (fleet, a_row_on_duty_of_an_earlier_incarnation_is_ignored)
 {
   LcFleet *all = lc_fleet_new ("a");
   LcFleet *on_duty = lc_fleet_new ("a");
-  LcFleetRow current_row = make_row ("b", "2");
-  LcFleetRow old_duty_row = make_row ("b", "1");
-  LcFleetRow newcomer = make_row ("c", "1");
+  LcFleetRow current_row = make_fleet_row ("b", "2");
+  LcFleetRow old_duty_row = make_fleet_row ("b", "1");
+  LcFleetRow newcomer = make_fleet_row ("c", "1");
   LcFleetMember members[4];
 
   for (LbTime now = LB_SEC; now < 6 * LB_SEC; now += PERIOD)
@@ -206,24 +206,24 @@
   lc_fleet_free (on_duty);
 }
 
-/* A dead instance's address is still given to callers until it is declared dead, and those who
- * connect to it wait. After one missed renewal its address is given last. */
+/* Callers are given an instance's address until it is declared dead, and would wait for a dead one.
+ * So an instance must lose `fresh` after one missed renewal: its address is then given last. */
 Test (fleet, an_instance_that_missed_a_renewal_is_not_fresh)
 {
   LcFleet *fleet = lc_fleet_new ("a");
   LbTime now = LB_SEC;
 
-  read_list (fleet, 1, 5, now);
+  list_two_rows (fleet, 1, 5, now);
   cr_assert (lc_fleet_member_at (fleet, 1)->fresh);
   now += 2 * PERIOD;
-  read_list (fleet, 2, 5, now);
+  list_two_rows (fleet, 2, 5, now);
   cr_assert (lc_fleet_member_at (fleet, 1)->alive);
   cr_assert_not (lc_fleet_member_at (fleet, 1)->fresh);
   lc_fleet_free (fleet);
 }
 
 static bool
-is_confirmed (const LcFleet *fleet, const char *name)
+is_member_confirmed (const LcFleet *fleet, const char *name)
 {
   for (size_t i = 0; i < lc_fleet_count_members (fleet); i++)
     if (strcmp (lc_fleet_member_at (fleet, i)->row.name, name) == 0)
@@ -231,12 +231,13 @@
   return false;
 }
 
-/* The first listing of an instance that has just started; the store's clock is at 100,000 ms. */
+/* Makes the fleet of an instance that has just started and listed the row of "b" once, when the
+ * store's clock was at 100,000 ms. */
 static LcFleet *
-read_first_list (int64_t renewed_ms_of_b)
+make_fleet_after_first_list (int64_t renewed_ms_of_b)
 {
   LcFleet *fleet = lc_fleet_new ("a");
-  LcFleetRow b = make_row ("b", "1");
+  LcFleetRow b = make_fleet_row ("b", "1");
 
   b.renewed_ms = renewed_ms_of_b;
   lc_fleet_begin_list (fleet, &(LcFleetList){
@@ -247,44 +248,46 @@
 }
 
 /* All processes are killed and start again. One machine was removed 47 s before, but its row is
- * still in the store. A started instance sees the row for the first time and gave that address to
- * callers, where nothing listens. */
+ * still in the store. An instance that has just started must not give that address to callers,
+ * since nothing listens there. */
 Test (fleet, an_old_row_seen_for_the_first_time_is_not_confirmed)
 {
-  LcFleet *fleet = read_first_list (100000 - 47000);
+  LcFleet *fleet = make_fleet_after_first_list (100000 - 47000);
 
-  cr_assert_not (is_confirmed (fleet, "b"));
-  cr_assert (is_alive (fleet, "b"), "its batches must not be taken over after a single listing");
+  cr_assert_not (is_member_confirmed (fleet, "b"));
+  cr_assert (is_member_alive (fleet, "b"),
+             "its batches must not be taken over after a single listing");
   lc_fleet_free (fleet);
 }
 
-/* All processes are killed and start again within a second. Callers need their addresses at once,
- * before each has renewed its row. */
+/* All processes are killed and start again within a second. Callers need the addresses of the
+ * instances at once, before each has renewed its row. */
 Test (fleet, a_recent_row_seen_for_the_first_time_is_confirmed)
 {
-  LcFleet *fleet = read_first_list (100000 - 900);
+  LcFleet *fleet = make_fleet_after_first_list (100000 - 900);
 
-  cr_assert (is_confirmed (fleet, "b"));
+  cr_assert (is_member_confirmed (fleet, "b"));
   lc_fleet_free (fleet);
 }
 
-/* The row of an instance that has not heard from the store yet does not say when it was written. */
+/* An instance that has had no answer from the store yet writes a row without the time of renewal.
+ * Only its next renewal may confirm it. */
 Test (fleet, the_next_renewal_confirms_an_instance)
 {
-  LcFleet *fleet = read_first_list (0);
-  LcFleetRow b = make_row ("b", "1");
+  LcFleet *fleet = make_fleet_after_first_list (0);
+  LcFleetRow b = make_fleet_row ("b", "1");
 
-  cr_assert_not (is_confirmed (fleet, "b"));
+  cr_assert_not (is_member_confirmed (fleet, "b"));
   lc_fleet_begin_list (fleet, &(LcFleetList){ .received_at = 2 * LB_SEC, .period = PERIOD });
   lc_fleet_add_row (fleet, &b, 6, 2 * LB_SEC);
   cr_assert (lc_fleet_finish_list (fleet, 2 * LB_SEC), "the confirmation counts as a change");
-  cr_assert (is_confirmed (fleet, "b"));
+  cr_assert (is_member_confirmed (fleet, "b"));
   lc_fleet_free (fleet);
 }
 
 Test (fleet, a_row_is_unchanged_after_a_round_trip)
 {
-  LcFleetRow first = make_row ("a", "17");
+  LcFleetRow first = make_fleet_row ("a", "17");
   LcFleetRow second;
 
   first.draining = true;
--- a/packages/core/tests/test-lease.c
+++ b/packages/core/tests/test-lease.c
@@ -12,10 +12,10 @@
 #define STEP (10 * LB_MSEC)
 #define TICK_INTERVAL (50 * LB_MSEC)
 
-/* One read or write of the table in progress. */
+/* A read or write of the table in progress. */
 typedef struct
 {
-  int holder; /* -1: free */
+  int holder; /* index of the holder that started it; -1: the entry is free */
   bool is_write;
   LcLeaseRow row;
   int64_t version;
@@ -25,7 +25,7 @@
   LbErrorCode result;
 } Operation;
 
-/* A holder with its own clock: now = offset + rate x true time. */
+/* An instance that may hold the lease. Its own clock shows offset + rate * true time. */
 typedef struct
 {
   LcLease *lease;
@@ -34,31 +34,31 @@
   LbTime paused_until;
   LbTime next_tick;
   LbTime tick;
-  bool is_cut_off; /* from the table */
+  bool is_cut_off; /* its reads and writes of the table fail */
 } Holder;
 
 static Holder holders[N_HOLDERS];
 static Operation operations[MAX_OPERATIONS];
 static LcLeaseRow table_row;
 static LcLeaseRow
-    previous_row; /* last row of another holder, which a lagging replica still returns */
+    previous_row; /* last row of the previous holder, which a lagging replica still returns */
 static int64_t previous_version;
 static int64_t table_version;
 static bool is_store_down;
 static double lost_reply_ratio;
 static double stale_read_ratio;
 static LbTime max_delay;
-static LbTime now; /* true time */
+static LbTime now; /* simulated true time */
 static gsl_rng *rng;
 
 static LbTime
-holder_clock (const Holder *holder)
+read_holder_clock (const Holder *holder)
 {
   return holder->offset + (LbTime)(holder->rate * now);
 }
 
 static void
-setup (void)
+start_holders (void)
 {
   static const char *const names[N_HOLDERS] = { "i1", "i2", "i3" };
   LcLeaseSettings settings;
@@ -79,20 +79,20 @@
       LB_COPY (settings.instance, names[i]);
       LB_COPY (settings.incarnation, "a");
       holders[i] = (Holder){ .rate = 1.0, .offset = 5 * LB_SEC * i, .tick = TICK_INTERVAL };
-      holders[i].lease = lc_lease_new (&settings, holder_clock (&holders[i]), now);
+      holders[i].lease = lc_lease_new (&settings, read_holder_clock (&holders[i]), now);
       lc_lease_set_rank (holders[i].lease, i);
     }
 }
 
 static void
-teardown (void)
+free_holders (void)
 {
   for (int i = 0; i < N_HOLDERS; i++)
     lc_lease_free (holders[i].lease);
   gsl_rng_free (rng);
 }
 
-TestSuite (lease, .init = setup, .fini = teardown);
+TestSuite (lease, .init = start_holders, .fini = free_holders);
 
 static LbTime
 random_delay (void)
@@ -116,7 +116,7 @@
 }
 
 static void
-carry_out (int holder, LbList *actions)
+carry_out_actions (int holder, LbList *actions)
 {
   LbLink *link;
 
@@ -130,7 +130,7 @@
 }
 
 static void
-apply_to_store (Operation *operation)
+apply_operation_to_table (Operation *operation)
 {
   operation->is_applied = true;
   if (is_store_down || holders[operation->holder].is_cut_off)
@@ -159,7 +159,7 @@
 }
 
 static void
-reply (Operation *operation)
+deliver_reply (Operation *operation)
 {
   LbList actions;
   int i = operation->holder;
@@ -168,15 +168,16 @@
   lb_list_init (&actions);
   operation->holder = -1;
   if (operation->is_write)
-    lc_lease_write_completed (holder->lease, operation->result, holder_clock (holder), &actions);
+    lc_lease_write_completed (holder->lease, operation->result, read_holder_clock (holder),
+                              &actions);
   else
     lc_lease_read_completed (holder->lease, operation->result, &operation->row, operation->version,
-                             holder_clock (holder), &actions);
-  carry_out (i, &actions);
+                             read_holder_clock (holder), &actions);
+  carry_out_actions (i, &actions);
 }
 
 static void
-step_operations (void)
+advance_operations (void)
 {
   for (int i = 0; i < MAX_OPERATIONS; i++)
     {
@@ -184,15 +185,15 @@
       if (operation->holder < 0)
         continue;
       if (!operation->is_applied && now >= operation->apply_at)
-        apply_to_store (operation);
+        apply_operation_to_table (operation);
       if (operation->is_applied && now >= operation->reply_at
           && now >= holders[operation->holder].paused_until)
-        reply (operation);
+        deliver_reply (operation);
     }
 }
 
 static void
-step_holder (int i)
+tick_holder (int i)
 {
   LbList actions;
   Holder *holder = &holders[i];
@@ -201,12 +202,12 @@
     return;
   lb_list_init (&actions);
   holder->next_tick = now + holder->tick;
-  lc_lease_tick (holder->lease, holder_clock (holder), now, &actions);
-  carry_out (i, &actions);
+  lc_lease_tick (holder->lease, read_holder_clock (holder), now, &actions);
+  carry_out_actions (i, &actions);
 }
 
 static bool
-is_writing (int holder)
+has_write_in_progress (int holder)
 {
   for (int i = 0; i < MAX_OPERATIONS; i++)
     if (operations[i].holder == holder && operations[i].is_write)
@@ -214,7 +215,8 @@
   return false;
 }
 
-/* The holder that may give orders now; -1: none. Paused holders cannot ask. */
+/* Returns the index of the holder that may give orders now; -1 if none. Skips paused holders and
+ * asserts that there is at most one. */
 static int
 find_active_holder (void)
 {
@@ -223,137 +225,138 @@
   for (int i = 0; i < N_HOLDERS; i++)
     {
       if (now < holders[i].paused_until
-          || !lc_lease_allows_order (holders[i].lease, false, holder_clock (&holders[i])))
+          || !lc_lease_allows_order (holders[i].lease, false, read_holder_clock (&holders[i])))
         continue;
-      cr_assert_eq (active, -1, "two holders at %lld", (long long)now);
+      cr_assert_eq (active, -1, "two holders may give orders at %lld us", (long long)now);
       active = i;
     }
   return active;
 }
 
 static void
-run (LbTime duration)
+run_simulation (LbTime duration)
 {
   for (LbTime until = now + duration; now < until; now += STEP)
     {
       find_active_holder ();
-      step_operations ();
+      advance_operations ();
       for (int i = 0; i < N_HOLDERS; i++)
-        step_holder (i);
+        tick_holder (i);
     }
 }
 
-/* Runs until another holder may give orders; returns the time that took. */
+/* Runs until a holder other than `before` may give orders; returns the simulated time taken. */
 static LbTime
-run_until_other_holder (int before, LbTime limit)
+run_until_other_holder_can_order (int before, LbTime limit)
 {
   LbTime start = now;
 
   while (now - start < limit && (find_active_holder () == before || find_active_holder () == -1))
-    run (STEP);
+    run_simulation (STEP);
   return now - start;
 }
 
 Test (lease, first_candidate_holds_and_keeps_it)
 {
-  run (3 * LB_SEC);
+  run_simulation (3 * LB_SEC);
   cr_assert_eq (find_active_holder (), 0);
   int64_t fence = lc_lease_fencing_number (holders[0].lease);
   for (int i = 0; i < 60; i++)
     {
-      run (LB_SEC);
+      run_simulation (LB_SEC);
       cr_assert_eq (find_active_holder (), 0);
     }
   cr_assert_eq (lc_lease_fencing_number (holders[0].lease), fence);
 }
 
-/* The holder's process dies. Nobody swaps weights until another instance holds the lease: at most
- * 10 s, including the wait for endpoints that do not check fencing numbers. Its fencing number is
- * higher. */
+/* The holder's process dies. Another instance must hold the lease, with a higher fencing number,
+ * and be able to give all orders within 10 s, including the wait for endpoints that do not check
+ * fencing numbers. */
 Test (lease, crash_leaves_no_gap_over_ten_seconds)
 {
   for (int i = 0; i < 20; i++)
     {
-      teardown ();
-      setup ();
+      free_holders ();
+      start_holders ();
       gsl_rng_set (rng, (unsigned long)i + 1);
-      run (3 * LB_SEC + i * 50 * LB_MSEC);
+      run_simulation (3 * LB_SEC + i * 50 * LB_MSEC);
       int64_t fence = lc_lease_fencing_number (holders[0].lease);
       holders[0].paused_until = INT64_MAX;
       holders[1].paused_until = INT64_MAX;
-      LbTime gap = run_until_other_holder (0, 20 * LB_SEC);
+      LbTime gap = run_until_other_holder_can_order (0, 20 * LB_SEC);
       cr_assert_leq (gap, 8 * LB_SEC);
       cr_assert_gt (lc_lease_fencing_number (holders[2].lease), fence);
-      cr_assert_not (lc_lease_allows_order (holders[2].lease, true, holder_clock (&holders[2])));
-      run (10 * LB_SEC - gap);
-      cr_assert (lc_lease_allows_order (holders[2].lease, true, holder_clock (&holders[2])));
+      cr_assert_not (
+          lc_lease_allows_order (holders[2].lease, true, read_holder_clock (&holders[2])));
+      run_simulation (10 * LB_SEC - gap);
+      cr_assert (lc_lease_allows_order (holders[2].lease, true, read_holder_clock (&holders[2])));
     }
 }
 
 /* The holder is paused for longer than its lease and resumes just before giving an order. Another
- * instance has taken over meanwhile, and the engine would be swapped back. */
+ * instance has taken over, so an order would switch the engine back to an old version. */
 Test (lease, paused_holder_gives_no_order_on_resume)
 {
-  run (3 * LB_SEC);
+  run_simulation (3 * LB_SEC);
   holders[0].paused_until = now + 9 * LB_SEC;
-  run (9 * LB_SEC - STEP);
+  run_simulation (9 * LB_SEC - STEP);
   cr_assert_eq (find_active_holder (), 1);
   now += STEP;
-  cr_assert_not (lc_lease_allows_order (holders[0].lease, false, holder_clock (&holders[0])));
-  run (5 * LB_SEC);
+  cr_assert_not (lc_lease_allows_order (holders[0].lease, false, read_holder_clock (&holders[0])));
+  run_simulation (5 * LB_SEC);
   cr_assert_eq (find_active_holder (), 1);
 }
 
 /* The holder's machine is suspended together with its monotonic clock, so that on resume its lease
- * seems valid for seconds. The wall clock has jumped. */
+ * seems valid for seconds. The holder must detect the suspension by the jump of the wall clock. */
 Test (lease, suspended_holder_renews_before_giving_orders)
 {
-  run (3 * LB_SEC);
+  run_simulation (3 * LB_SEC);
   holders[0].paused_until = now + 9 * LB_SEC;
   holders[0].offset -= 9 * LB_SEC;
-  run (9 * LB_SEC);
-  step_holder (0);
-  cr_assert_not (lc_lease_allows_order (holders[0].lease, false, holder_clock (&holders[0])));
-  run (5 * LB_SEC);
+  run_simulation (9 * LB_SEC);
+  tick_holder (0);
+  cr_assert_not (lc_lease_allows_order (holders[0].lease, false, read_holder_clock (&holders[0])));
+  run_simulation (5 * LB_SEC);
   cr_assert_eq (find_active_holder (), 1);
 }
 
-/* The machine is suspended while a renewal is in progress. The reply arrives after another instance
- * has taken over, and must not count as a renewal made since the suspension. */
+/* The holder's machine is suspended while a renewal is in progress. The reply arrives after another
+ * instance has taken over, and must not count as a renewal started after the suspension. */
 Test (lease, reply_from_before_a_suspension_confirms_nothing)
 {
   max_delay = LB_SEC;
-  run (3 * LB_SEC);
-  while (!is_writing (0))
-    run (STEP);
+  run_simulation (3 * LB_SEC);
+  while (!has_write_in_progress (0))
+    run_simulation (STEP);
   holders[0].paused_until = now + 9 * LB_SEC;
   holders[0].offset -= 9 * LB_SEC;
-  run (9 * LB_SEC);
-  step_holder (0);
-  step_operations ();
-  cr_assert_not (lc_lease_allows_order (holders[0].lease, false, holder_clock (&holders[0])));
+  run_simulation (9 * LB_SEC);
+  tick_holder (0);
+  advance_operations ();
+  cr_assert_not (lc_lease_allows_order (holders[0].lease, false, read_holder_clock (&holders[0])));
 }
 
-/* The holder is cut off from the table; its clock is the slowest and the other's the fastest that
- * the settings allow. The two must never be able to give orders at once. */
+/* The holder is cut off from the table. Its clock is the slowest and the candidate's clock the
+ * fastest that the settings allow. Both must never be able to give orders at the same time. */
 Test (lease, drifting_clocks_cause_no_overlap)
 {
   for (int i = 0; i < 100; i++)
     {
-      teardown ();
-      setup ();
+      free_holders ();
+      start_holders ();
       gsl_rng_set (rng, (unsigned long)i + 1);
       holders[0].rate = 0.995;
       holders[1].rate = 1.005;
-      run (3 * LB_SEC + i * 11 * LB_MSEC);
+      run_simulation (3 * LB_SEC + i * 11 * LB_MSEC);
       lc_lease_set_rank (holders[1].lease, 0);
       holders[0].is_cut_off = true;
       holders[0].tick = STEP;
       holders[1].tick = STEP;
       for (int step = 0; step < 600; step++)
         {
-          lc_lease_request_read (holders[1].lease, holder_clock (&holders[1]));
-          run (STEP);
+          lc_lease_request_read (holders[1].lease, read_holder_clock (&holders[1]));
+          run_simulation (STEP);
         }
       cr_assert_eq (find_active_holder (), 1);
     }
@@ -362,68 +365,69 @@
 /* The holder's loop is slow but not paused, and its lease expires between two ticks. */
 Test (lease, order_is_checked_against_the_expiry_itself)
 {
-  run (3 * LB_SEC);
+  run_simulation (3 * LB_SEC);
   holders[0].is_cut_off = true;
   holders[0].tick = 9 * LB_SEC / 10;
   while (find_active_holder () == 0)
-    run (STEP);
+    run_simulation (STEP);
   cr_assert (lc_lease_is_held (holders[0].lease),
              "the lease was lost by a tick, so the check itself was not tested");
 }
 
-/* A process is paused for a shorter time than its lease: it remains the holder, but gives orders
- * only after a renewal. */
+/* The holder is paused for a shorter time than its lease. It remains the holder, but must give
+ * orders only after a renewal. */
 Test (lease, short_pause_keeps_the_lease_after_a_renewal)
 {
-  run (3 * LB_SEC);
+  run_simulation (3 * LB_SEC);
   holders[0].paused_until = now + 3 * LB_SEC / 2;
-  run (3 * LB_SEC / 2);
-  cr_assert_eq (find_active_holder (), -1, "orders before its first tick");
-  step_holder (0);
-  cr_assert_eq (find_active_holder (), -1, "orders before a renewal");
-  run (LB_SEC);
+  run_simulation (3 * LB_SEC / 2);
+  cr_assert_eq (find_active_holder (), -1,
+                "orders are allowed before the first tick after the pause");
+  tick_holder (0);
+  cr_assert_eq (find_active_holder (), -1, "orders are allowed before a renewal after the pause");
+  run_simulation (LB_SEC);
   cr_assert_eq (find_active_holder (), 0);
 }
 
-/* The holder drains: another instance holds the lease within a second or two, and not only after it
- * expires. */
+/* The holder drains and releases the lease: another instance must hold it within 3 s, without
+ * waiting for it to expire. */
 Test (lease, handover_at_drain_is_quick)
 {
   LbList actions;
 
   lb_list_init (&actions);
-  run (3 * LB_SEC);
-  lc_lease_release (holders[0].lease, holder_clock (&holders[0]), &actions);
-  carry_out (0, &actions);
+  run_simulation (3 * LB_SEC);
+  lc_lease_release (holders[0].lease, read_holder_clock (&holders[0]), &actions);
+  carry_out_actions (0, &actions);
   cr_assert_eq (find_active_holder (), -1);
-  LbTime gap = run_until_other_holder (0, 10 * LB_SEC);
+  LbTime gap = run_until_other_holder_can_order (0, 10 * LB_SEC);
   cr_assert_leq (gap, 3 * LB_SEC);
-  cr_assert (lc_lease_is_released (holders[0].lease, holder_clock (&holders[0])));
+  cr_assert (lc_lease_is_released (holders[0].lease, read_holder_clock (&holders[0])));
   int next = find_active_holder ();
   cr_assert_gt (next, 0);
-  run (20 * LB_SEC);
+  run_simulation (20 * LB_SEC);
   cr_assert_eq (find_active_holder (), next);
 }
 
-/* The store is unreachable: the holder stops by itself before another instance can hold the lease,
- * and orders are given again when the store is back. */
+/* The store is unreachable. The holder must stop giving orders by itself when its lease expires,
+ * and orders must be given again after the store returns. */
 Test (lease, store_outage_stops_orders)
 {
-  run (3 * LB_SEC);
+  run_simulation (3 * LB_SEC);
   is_store_down = true;
-  run (5 * LB_SEC);
+  run_simulation (5 * LB_SEC);
   cr_assert_eq (find_active_holder (), -1);
   is_store_down = false;
-  run (6 * LB_SEC);
+  run_simulation (6 * LB_SEC);
   cr_assert_neq (find_active_holder (), -1);
 }
 
-/* The reply to the claim is lost although the write took effect. The holder must not wait for its
- * own lease to expire, with nobody giving orders meanwhile. */
+/* The reply to a claim is lost although the write took effect. The new holder must find its claim
+ * at the next read instead of waiting for its own lease to expire without giving orders. */
 Test (lease, lost_reply_to_a_claim_is_read_back)
 {
   lost_reply_ratio = 1.0;
-  run (LB_SEC / 2);
+  run_simulation (LB_SEC / 2);
   cr_assert_eq (find_active_holder (), 0);
   cr_assert_eq (lc_lease_fencing_number (holders[0].lease), 1);
 }
@@ -435,24 +439,25 @@
   LbList actions;
 
   lb_list_init (&actions);
-  run (3 * LB_SEC);
-  lc_lease_release (holders[0].lease, holder_clock (&holders[0]), &actions);
-  carry_out (0, &actions);
-  run_until_other_holder (0, 10 * LB_SEC);
+  run_simulation (3 * LB_SEC);
+  lc_lease_release (holders[0].lease, read_holder_clock (&holders[0]), &actions);
+  carry_out_actions (0, &actions);
+  run_until_other_holder_can_order (0, 10 * LB_SEC);
   int next = find_active_holder ();
   cr_assert_gt (next, 0);
   int64_t fence = lc_lease_fencing_number (holders[next].lease);
   stale_read_ratio = 0.7;
   for (int i = 0; i < 100; i++)
     {
-      run (LB_SEC / 10);
+      run_simulation (LB_SEC / 10);
       cr_assert_eq (find_active_holder (), next);
     }
   cr_assert_eq (table_row.fence, fence);
 }
 
 /* Long randomised run: clocks 1 % apart, lost replies, stale reads, store outages, slow writes and
- * pauses. run asserts that there are never two holders; the fencing number must never decrease. */
+ * pauses. run_simulation asserts that there are never two holders; the fencing number must never
+ * decrease. */
 Test (lease, never_two_holders_in_a_long_run)
 {
   int64_t fence = 0;
@@ -470,7 +475,7 @@
       if (gsl_rng_uniform (rng) < 0.1)
         holders[gsl_rng_uniform_int (rng, N_HOLDERS)].paused_until
             = now + (LbTime)(gsl_rng_uniform (rng) * 12 * LB_SEC);
-      run (LB_SEC);
+      run_simulation (LB_SEC);
       held += find_active_holder () >= 0;
       cr_assert_geq (table_row.fence, fence);
       fence = table_row.fence;
@@ -479,7 +484,7 @@
   cr_assert_gt (held, 1500);
 }
 
-/* A lease's row was damaged by hand: a null holder must not be read as a text. */
+/* A lease's row was edited wrongly by hand: a null holder must not be read as a string. */
 Test (lease, a_row_with_null_names_is_rejected)
 {
   static const char *const rows[]
@@ -490,12 +495,13 @@
   for (size_t i = 0; i < sizeof rows / sizeof rows[0]; i++)
     {
       LcLeaseRow row;
-      cr_assert_not (lc_lease_row_from_text (rows[i], &row), "%s", rows[i]);
+      cr_assert_not (lc_lease_row_from_text (rows[i], &row), "the invalid row %s was accepted",
+                     rows[i]);
     }
 }
 
 static LcLease *
-make_candidate (void)
+make_candidate_lease (void)
 {
   LcLeaseSettings settings;
 
@@ -507,9 +513,10 @@
   return lease;
 }
 
-/* Whether the candidate claims the lease after it has read the row of holder "a". */
+/* Whether the candidate claims the lease after it has read, at this time, the row of holder "a"
+ * with this version. */
 static bool
-claims_at (LcLease *lease, int64_t version, LbTime at)
+claims_lease_at (LcLease *lease, int64_t version, LbTime at)
 {
   LcLeaseRow row = { .fence = 4 };
   LbList actions;
@@ -530,44 +537,45 @@
   return claims;
 }
 
-/* All processes are killed and start again. Nobody ordered weights until the lease of the dead
- * holder had expired: for four seconds trainers' steps found no engine with recent enough
- * weights. */
+/* All processes are killed and start again. Guards against candidates that wait for the dead
+ * holder's lease to expire: for four seconds nobody ordered weights, and trainers' steps found no
+ * engine with recent enough weights. */
 Test (lease, is_claimed_at_once_from_a_holder_known_to_have_ended)
 {
-  LcLease *lease = make_candidate ();
+  LcLease *lease = make_candidate_lease ();
 
-  cr_assert_not (claims_at (lease, 7, 2 * LB_SEC));
+  cr_assert_not (claims_lease_at (lease, 7, 2 * LB_SEC));
   lc_lease_mark_holder_ended (lease, 6, 2 * LB_SEC);
-  cr_assert_not (claims_at (lease, 7, 2100 * LB_MSEC), "only an older version was marked as ended");
+  cr_assert_not (claims_lease_at (lease, 7, 2100 * LB_MSEC),
+                 "only an older version was marked as ended");
   lc_lease_mark_holder_ended (lease, 7, 2200 * LB_MSEC);
-  cr_assert (claims_at (lease, 7, 2300 * LB_MSEC));
+  cr_assert (claims_lease_at (lease, 7, 2300 * LB_MSEC));
   lc_lease_free (lease);
 }
 
-/* The mark is for one version of the row: a later renewal shows that the lease is held after
- * all. */
+/* lc_lease_mark_holder_ended applies to one version of the row: a later renewal shows that the
+ * holder is alive. */
 Test (lease, a_later_renewal_cancels_the_ended_mark)
 {
-  LcLease *lease = make_candidate ();
+  LcLease *lease = make_candidate_lease ();
 
-  cr_assert_not (claims_at (lease, 7, 2 * LB_SEC));
+  cr_assert_not (claims_lease_at (lease, 7, 2 * LB_SEC));
   lc_lease_mark_holder_ended (lease, 7, 2 * LB_SEC);
-  cr_assert_not (claims_at (lease, 8, 2100 * LB_MSEC));
+  cr_assert_not (claims_lease_at (lease, 8, 2100 * LB_MSEC));
   lc_lease_free (lease);
 }
 
-/* The holder loses power for good while two trainers publish new weights. For the remaining four
- * seconds of its lease nobody ordered any, and steps found no engine with recent enough weights. A
- * missing renewal of its instance row is enough to claim the lease where endpoints refuse orders of
- * an old holder, and nowhere else. */
+/* The holder loses power while two trainers publish new weights. For the remaining four seconds of
+ * its lease nobody ordered weights, and trainers' steps found no engine with recent enough weights.
+ * A missing renewal of the holder's instance row must suffice to claim the lease, but only where
+ * endpoints refuse orders of an old holder. */
 Test (lease, a_dead_holder_has_ended_only_where_fencing_is_checked)
 {
-  LcLease *lease = make_candidate ();
+  LcLease *lease = make_candidate_lease ();
   LcLeaseHolderView view
       = { .incarnation = "a-1", .row_version = 9, .endpoints_check_fence = true };
 
-  cr_assert_not (claims_at (lease, 7, 2 * LB_SEC));
+  cr_assert_not (claims_lease_at (lease, 7, 2 * LB_SEC));
   cr_assert (lc_lease_holder_has_ended (lease, &view));
   view.endpoints_check_fence = false;
   cr_assert_not (lc_lease_holder_has_ended (lease, &view));
@@ -577,24 +585,24 @@
   lc_lease_free (lease);
 }
 
-/* Another process under the holder's name shows that the holder has ended, unless its row is older
- * than the lease's. */
+/* Another incarnation under the holder's name shows that the holder has ended, unless its instance
+ * row is older than the lease's row. */
 Test (lease, a_newer_incarnation_shows_that_the_holder_has_ended)
 {
-  LcLease *lease = make_candidate ();
+  LcLease *lease = make_candidate_lease ();
   LcLeaseHolderView view = { .incarnation = "a-2", .row_version = 9, .alive = true };
 
-  cr_assert_not (claims_at (lease, 7, 2 * LB_SEC));
+  cr_assert_not (claims_lease_at (lease, 7, 2 * LB_SEC));
   cr_assert (lc_lease_holder_has_ended (lease, &view));
   view.row_version = 6;
   cr_assert_not (lc_lease_holder_has_ended (lease, &view));
   lc_lease_free (lease);
 }
 
-/* Plays the table for one instance: answers a read with the row of `holder` and the fencing number,
- * and carries out the claim that follows, if there is one. */
+/* Simulates the table for one instance: answers a read with a row of this holder and fencing
+ * number, and confirms the claim that the instance may write next. */
 static void
-read_and_claim (LcLease *lease, const char *holder, int64_t fence, LbTime at)
+answer_read_and_claim (LcLease *lease, const char *holder, int64_t fence, LbTime at)
 {
   LcLeaseRow row = { .fence = fence, .released = strcmp (holder, "nobody") == 0 };
   LbList actions;
@@ -619,7 +627,7 @@
 }
 
 static LcLease *
-make_alternating_holder (void)
+make_lease_with_reacquire_delay (void)
 {
   LcLeaseSettings settings;
 
@@ -632,25 +640,27 @@
   return lease;
 }
 
-/* A holder loses the lease to another instance, which releases it a second later. If the first one
- * gave orders again at once, receivers would get orders from both in turn within three seconds and
- * could not tell them from old ones that arrive late. */
+/* A holder loses the lease to another instance, which releases it a second later. If the first
+ * holder gave orders at once, receivers would get orders from both within three seconds and could
+ * not tell them from old orders that arrive late. */
 Test (lease, a_holder_that_regains_the_lease_delays_its_orders)
 {
-  LcLease *lease = make_alternating_holder ();
+  LcLease *lease = make_lease_with_reacquire_delay ();
 
-  read_and_claim (lease, "nobody", 4, 2 * LB_SEC);
+  answer_read_and_claim (lease, "nobody", 4, 2 * LB_SEC);
   cr_assert (lc_lease_allows_order (lease, false, 2 * LB_SEC));
-  read_and_claim (lease, "a", 6, 4 * LB_SEC);
+  answer_read_and_claim (lease, "a", 6, 4 * LB_SEC);
   cr_assert_not (lc_lease_is_held (lease));
-  read_and_claim (lease, "nobody", 7, 5 * LB_SEC);
+  answer_read_and_claim (lease, "nobody", 7, 5 * LB_SEC);
   cr_assert (lc_lease_is_held (lease));
   for (LbTime at = 5 * LB_SEC; at < 7 * LB_SEC; at += LB_SEC / 2)
     {
-      read_and_claim (lease, "b", 8, at);
-      cr_assert_not (lc_lease_allows_order (lease, false, at), "at %lld", (long long)at);
+      answer_read_and_claim (lease, "b", 8, at);
+      cr_assert_not (lc_lease_allows_order (lease, false, at),
+                     "orders are allowed at %lld us, before the end of reacquire_delay",
+                     (long long)at);
     }
-  read_and_claim (lease, "b", 8, 7 * LB_SEC);
+  answer_read_and_claim (lease, "b", 8, 7 * LB_SEC);
   cr_assert (lc_lease_allows_order (lease, false, 7100 * LB_MSEC),
              "no orders although reacquire_delay is over");
   lc_lease_free (lease);
--- a/packages/core/tests/test-membership.c
+++ b/packages/core/tests/test-membership.c
@@ -5,7 +5,7 @@
 
 #include <criterion/criterion.h>
 
-#define COUNT 40
+#define N_INSTANCES 40
 
 static FakePeers *
 start_cluster (size_t count)
@@ -21,13 +21,13 @@
 }
 
 static void
-run_for (FakePeers *peers, LbTime duration)
+run_peers_for (FakePeers *peers, LbTime duration)
 {
   fake_peers_run_until (peers, fake_peers_now (peers) + duration);
 }
 
 static LcMembershipTotals
-totals_of_all (const FakePeers *peers, size_t count)
+sum_totals (const FakePeers *peers, size_t count)
 {
   LcMembershipTotals sum = { 0 };
 
@@ -41,68 +41,68 @@
   return sum;
 }
 
-/* Callers that were given the address of a dead instance wait for their timeouts. The instance is
- * killed (its connections end) or its machine vanishes (nothing ends); within 3 s no other instance
- * may give its address to callers. */
+/* Callers that are given the address of a dead instance wait for their timeouts. One instance is
+ * killed, which closes its connections, and one machine becomes unreachable, which closes none.
+ * Within 3 s no other instance may give their addresses to callers. */
 Test (membership, a_dead_instance_is_not_given_to_callers_after_three_seconds)
 {
-  FakePeers *peers = start_cluster (COUNT);
+  FakePeers *peers = start_cluster (N_INSTANCES);
 
   fake_peers_set_state (peers, 5, FAKE_KILLED);
   fake_peers_set_state (peers, 9, FAKE_UNREACHABLE);
-  run_for (peers, 3 * LB_SEC);
+  run_peers_for (peers, 3 * LB_SEC);
   cr_assert_eq (fake_peers_count_listing (peers, 5), 0);
   cr_assert_eq (fake_peers_count_listing (peers, 9), 0);
-  run_for (peers, 5 * LB_SEC);
+  run_peers_for (peers, 5 * LB_SEC);
   cr_assert_eq (fake_peers_known_state (peers, 0, 9), LC_INSTANCE_DEAD);
-  cr_assert_eq (fake_peers_count_agreeing (peers), COUNT - 2);
+  cr_assert_eq (fake_peers_count_agreeing (peers), N_INSTANCES - 2);
   fake_peers_free (peers);
 }
 
-/* A middlebox drops the state of connections: what is written to them is lost, but new connections
- * work. Callers of a healthy instance would be sent elsewhere and its tickets reported as lost. The
- * silence must be detected within 3 s, the connections replaced, and no instance suspected. */
+/* A middlebox drops the state of connections: frames on them are lost, but new connections work.
+ * Callers of a healthy instance would be sent elsewhere and its tickets reported as lost. The
+ * silent connections must be detected within 3 s and replaced, and no instance may be suspected. */
 Test (membership, a_silent_connection_is_replaced_without_suspicion)
 {
-  FakePeers *peers = start_cluster (COUNT);
+  FakePeers *peers = start_cluster (N_INSTANCES);
 
-  for (size_t i = 1; i < COUNT; i++)
+  for (size_t i = 1; i < N_INSTANCES; i++)
     fake_peers_drop_on_open_links (peers, 0, i);
-  run_for (peers, 3 * LB_SEC);
-  LcMembershipTotals totals = totals_of_all (peers, COUNT);
+  run_peers_for (peers, 3 * LB_SEC);
+  LcMembershipTotals totals = sum_totals (peers, N_INSTANCES);
   cr_assert_geq (totals.connection_timeouts, 3);
   cr_assert_eq (totals.suspected, 0);
-  cr_assert_eq (fake_peers_count_agreeing (peers), COUNT);
-  run_for (peers, 60 * LB_SEC);
-  totals = totals_of_all (peers, COUNT);
-  run_for (peers, 120 * LB_SEC);
-  cr_assert_eq (totals_of_all (peers, COUNT).connection_timeouts, totals.connection_timeouts);
+  cr_assert_eq (fake_peers_count_agreeing (peers), N_INSTANCES);
+  run_peers_for (peers, 60 * LB_SEC);
+  totals = sum_totals (peers, N_INSTANCES);
+  run_peers_for (peers, 120 * LB_SEC);
+  cr_assert_eq (sum_totals (peers, N_INSTANCES).connection_timeouts, totals.connection_timeouts);
   cr_assert_eq (totals.suspected, 0);
   fake_peers_free (peers);
 }
 
 /* An instance occasionally talks to all others, for example to ask for their revision. If
- * heartbeats were sent on each of these connections as on those to watched members, all pairs would
- * exchange them and use up a node's budget for control traffic at 350 instances. */
+ * heartbeats were sent on each of these connections, all pairs of instances would exchange
+ * heartbeats, and 350 instances would use up the budget for control traffic. */
 Test (membership, connections_for_single_frames_carry_no_heartbeats)
 {
-  FakePeers *peers = start_cluster (COUNT);
+  FakePeers *peers = start_cluster (N_INSTANCES);
   LcMembership *first = fake_peers_membership (peers, 0);
   LbList actions;
 
   lb_list_init (&actions);
   fake_peers_reset_bytes (peers);
-  run_for (peers, 20 * LB_SEC);
+  run_peers_for (peers, 20 * LB_SEC);
   int64_t before = fake_peers_bytes (peers, 0);
-  for (size_t i = 1; i < COUNT; i++)
+  for (size_t i = 1; i < N_INSTANCES; i++)
     cr_assert (lc_membership_keep_connected (
         first, lc_membership_self (fake_peers_membership (peers, i))->name,
         fake_peers_now (peers) + 60 * LB_SEC, fake_peers_now (peers), &actions));
   fake_peers_execute (peers, 0, &actions);
-  run_for (peers, 5 * LB_SEC);
+  run_peers_for (peers, 5 * LB_SEC);
   fake_peers_reset_bytes (peers);
-  run_for (peers, 20 * LB_SEC);
-  for (size_t i = 1; i < COUNT; i++)
+  run_peers_for (peers, 20 * LB_SEC);
+  for (size_t i = 1; i < N_INSTANCES; i++)
     cr_assert_neq (lc_membership_find_link (
                        first, lc_membership_self (fake_peers_membership (peers, i))->name),
                    0);
@@ -110,16 +110,16 @@
   fake_peers_free (peers);
 }
 
-/* A middlebox drops the state of a connection that is idle. The next frame on it is lost. That must
- * be detected within 3 s of the frame, and a new connection be open. */
+/* A middlebox drops the state of an idle connection, and the next frame on it is lost. Within 3 s
+ * of that frame the loss must be detected and a new connection be open. */
 Test (membership, an_unanswered_frame_reveals_a_silent_connection)
 {
-  FakePeers *peers = start_cluster (COUNT);
+  FakePeers *peers = start_cluster (N_INSTANCES);
   LcMembership *first = fake_peers_membership (peers, 0);
   LbList actions;
 
   lb_list_init (&actions);
-  for (size_t i = 1; i < COUNT; i++)
+  for (size_t i = 1; i < N_INSTANCES; i++)
     {
       const char *name = lc_membership_self (fake_peers_membership (peers, i))->name;
       if (lc_membership_find_link (first, name) != 0)
@@ -127,27 +127,27 @@
       lc_membership_keep_connected (first, name, fake_peers_now (peers) + 60 * LB_SEC,
                                     fake_peers_now (peers), &actions);
       fake_peers_execute (peers, 0, &actions);
-      run_for (peers, 10 * LB_SEC);
+      run_peers_for (peers, 10 * LB_SEC);
       LcLinkId silent = lc_membership_find_link (first, name);
       lc_membership_frame_sent (first, silent, fake_peers_now (peers));
-      run_for (peers, 5 * LB_SEC);
+      run_peers_for (peers, 5 * LB_SEC);
       cr_assert_eq (lc_membership_find_link (first, name), silent,
                     "a healthy connection was closed");
       fake_peers_drop_on_open_links (peers, 0, i);
       lc_membership_frame_sent (first, silent, fake_peers_now (peers));
-      run_for (peers, 3 * LB_SEC);
+      run_peers_for (peers, 3 * LB_SEC);
       cr_assert_neq (lc_membership_find_link (first, name), silent);
       cr_assert_neq (lc_membership_find_link (first, name), 0);
       break;
     }
   cr_assert_geq (lc_membership_totals (first).connection_timeouts, 1);
-  cr_assert_eq (fake_peers_count_agreeing (peers), COUNT);
+  cr_assert_eq (fake_peers_count_agreeing (peers), N_INSTANCES);
   fake_peers_free (peers);
 }
 
-/* An instance dies, and the member watched in its place has a connection that was rightly idle for
- * long. Judged by its last frame it would be closed as silent, and a healthy instance would not be
- * given to callers. */
+/* An instance dies, and another member is watched in its place, on a connection that was idle
+ * without fault. If the connection were judged by its last frame, it would be closed as silent, and
+ * callers would not be sent to a healthy instance. */
 Test (membership, an_idle_connection_is_not_silent_when_it_becomes_watched)
 {
   const size_t count = 6;
@@ -162,30 +162,30 @@
                                   lc_membership_self (fake_peers_membership (peers, i))->name,
                                   until, fake_peers_now (peers), &actions);
   fake_peers_execute (peers, 0, &actions);
-  run_for (peers, 20 * LB_SEC);
+  run_peers_for (peers, 20 * LB_SEC);
   for (size_t i = 1; i < count - 1; i++)
     {
       fake_peers_set_state (peers, i, FAKE_KILLED);
-      run_for (peers, 5 * LB_SEC);
+      run_peers_for (peers, 5 * LB_SEC);
       cr_assert_eq (lc_membership_totals (first).connection_timeouts, 0);
     }
   fake_peers_free (peers);
 }
 
 /* A debugger stops an instance for ten seconds, and the others rightly declare it dead. When it
- * resumes, every peer looks silent to it, since it read nothing meanwhile: it would declare all of
- * them dead. It must not suspect any, and must be given to callers again within 3 s. */
+ * resumes, every peer looks silent, since it read nothing during the pause. It must not suspect any
+ * peer, and within 3 s callers must be sent to it again. */
 Test (membership, a_paused_instance_declares_no_one_dead_on_resume)
 {
-  FakePeers *peers = start_cluster (COUNT);
+  FakePeers *peers = start_cluster (N_INSTANCES);
 
   fake_peers_set_state (peers, 3, FAKE_PAUSED);
-  run_for (peers, 10 * LB_SEC);
+  run_peers_for (peers, 10 * LB_SEC);
   cr_assert_eq (fake_peers_count_listing (peers, 3), 0);
   cr_assert_eq (fake_peers_known_state (peers, 0, 3), LC_INSTANCE_DEAD);
   fake_peers_set_state (peers, 3, FAKE_RUNNING);
-  run_for (peers, 3 * LB_SEC);
-  cr_assert_eq (fake_peers_count_agreeing (peers), COUNT);
+  run_peers_for (peers, 3 * LB_SEC);
+  cr_assert_eq (fake_peers_count_agreeing (peers), N_INSTANCES);
   LcMembershipTotals own = lc_membership_totals (fake_peers_membership (peers, 3));
   cr_assert_eq (own.own_pauses, 1);
   cr_assert_eq (own.suspected, 0);
@@ -193,37 +193,37 @@
   fake_peers_free (peers);
 }
 
-/* The line between two data centres is cut for an hour. Each side declares the other dead and
- * continues. When the line is back, nobody has a connection to the other side or a reason to open
- * one, and the service would stay split. Both sides must rejoin within seconds. */
+/* Two data centres are partitioned for an hour, and each side declares the other dead. Afterwards
+ * nobody has a connection to the other side, and the cluster would stay split. Both sides must
+ * rejoin within 10 s. */
 Test (membership, regions_rejoin_after_an_hour_apart)
 {
   const size_t count = 13;
   FakePeers *peers = start_cluster (count);
 
-  fake_peers_set_state (peers, 0, FAKE_KILLED); /* the only seed: it must not be needed */
-  run_for (peers, 10 * LB_SEC);
+  fake_peers_set_state (peers, 0, FAKE_KILLED); /* the only seed */
+  run_peers_for (peers, 10 * LB_SEC);
   for (size_t i = 1; i < count; i += 3)
     fake_peers_set_group (peers, i, 1);
-  run_for (peers, 3600 * LB_SEC);
+  run_peers_for (peers, 3600 * LB_SEC);
   cr_assert_eq (fake_peers_count_listing (peers, 1), 3);
   cr_assert_eq (fake_peers_count_listing (peers, 2), 7);
   for (size_t i = 1; i < count; i++)
     fake_peers_set_group (peers, i, 0);
-  run_for (peers, 10 * LB_SEC);
+  run_peers_for (peers, 10 * LB_SEC);
   cr_assert_eq (fake_peers_count_agreeing (peers), count - 1);
   fake_peers_free (peers);
 }
 
-/* Only the path between two instances is cut; all others reach both. The watcher suspects the
- * member, which hears of it through others and refutes, and so on for ever: a broadcast each
- * second, and a healthy instance withheld from callers half of the time. */
+/* Only the path between two instances is cut; all others reach both. Guards against a cycle in
+ * which one of them suspects the other, which refutes through others: a broadcast each second, and
+ * callers do not get the address of a healthy instance half of the time. */
 Test (membership, a_cut_between_two_instances_does_not_flap_the_view)
 {
-  FakePeers *peers = start_cluster (COUNT);
+  FakePeers *peers = start_cluster (N_INSTANCES);
   size_t n_disagreements = 0;
 
-  for (size_t i = 1; i < COUNT; i++)
+  for (size_t i = 1; i < N_INSTANCES; i++)
     if (lc_membership_find_link (fake_peers_membership (peers, 0),
                                  lc_membership_self (fake_peers_membership (peers, i))->name)
         != 0)
@@ -233,45 +233,46 @@
       }
   for (int second = 0; second < 120; second++)
     {
-      run_for (peers, LB_SEC);
-      n_disagreements += fake_peers_count_agreeing (peers) < COUNT - 2;
+      run_peers_for (peers, LB_SEC);
+      n_disagreements += fake_peers_count_agreeing (peers) < N_INSTANCES - 2;
     }
   cr_assert_leq (n_disagreements, 1);
-  cr_assert_leq (totals_of_all (peers, COUNT).suspected, 16);
-  cr_assert_eq (totals_of_all (peers, COUNT).declared_dead, 0);
+  cr_assert_leq (sum_totals (peers, N_INSTANCES).suspected, 16);
+  cr_assert_eq (sum_totals (peers, N_INSTANCES).declared_dead, 0);
   fake_peers_free (peers);
 }
 
-/* An instance that shuts down refuses new work, but instances that do not know yet still send
- * callers to it. All must know well before the first callers' answers expire. */
+/* A draining instance refuses new work, but instances that do not know that it is draining still
+ * send callers to it. All must know within a second. */
 Test (membership, a_draining_instance_is_not_given_to_callers)
 {
-  FakePeers *peers = start_cluster (COUNT);
+  FakePeers *peers = start_cluster (N_INSTANCES);
   LbList actions;
 
   lb_list_init (&actions);
   lc_membership_set_draining (fake_peers_membership (peers, 4), fake_peers_now (peers), &actions);
   fake_peers_execute (peers, 4, &actions);
-  run_for (peers, LB_SEC);
+  run_peers_for (peers, LB_SEC);
   cr_assert_eq (fake_peers_count_listing (peers, 4), 0);
   cr_assert_eq (fake_peers_known_state (peers, 0, 4), LC_INSTANCE_ALIVE);
   fake_peers_free (peers);
 }
 
 /* An instance is replaced under its old name. A late update that the earlier incarnation is dead
- * reaches instances that already know the new one; it must not hide the new one from callers. */
+ * reaches an instance that already knows the new incarnation. The late update must not change its
+ * view. */
 Test (membership, updates_of_an_earlier_incarnation_are_ignored)
 {
-  FakePeers *peers = start_cluster (COUNT);
+  FakePeers *peers = start_cluster (N_INSTANCES);
   LcMemberView before, after;
   LbList actions;
 
   lc_membership_find_instance (fake_peers_membership (peers, 0), "instance-6", &before);
   fake_peers_set_state (peers, 6, FAKE_KILLED);
-  run_for (peers, LB_SEC);
+  run_peers_for (peers, LB_SEC);
   fake_peers_start (peers, 6);
-  run_for (peers, 5 * LB_SEC);
-  cr_assert_eq (fake_peers_count_agreeing (peers), COUNT);
+  run_peers_for (peers, 5 * LB_SEC);
+  cr_assert_eq (fake_peers_count_agreeing (peers), N_INSTANCES);
 
   lb_list_init (&actions);
   before.instance.state = LC_INSTANCE_DEAD;
@@ -285,10 +286,10 @@
   fake_peers_free (peers);
 }
 
-/* Two live processes get the same name by mistake. Each would outbid the other's epoch whenever it
- * hears of it, and all instances pass that on: one wrong setting would cause a storm of broadcasts.
- * The first answer must be immediate (it may be a proper replacement whose clock is behind), later
- * ones rare, and the conflict counted. */
+/* Two live processes get the same name by mistake. Each would outbid the other's epoch on every
+ * update, with broadcasts by all instances each time. The first answer must be immediate, since a
+ * regular replacement may have a slow clock. Later answers must be rare, and conflicts must be
+ * counted. */
 Test (membership, a_name_conflict_is_answered_at_a_limited_rate)
 {
   FakePeers *peers = start_cluster (6);
@@ -302,19 +303,19 @@
       LB_COPY (rival.incarnation, "rival");
       rival.epoch++;
       lc_membership_updates_received (first, 0, &rival, 1, fake_peers_now (peers), &actions);
-      run_for (peers, 10 * LB_MSEC);
+      run_peers_for (peers, 10 * LB_MSEC);
       if (i == 50)
         cr_assert_eq (lc_membership_totals (first).name_conflicts, 1);
     }
   cr_assert_eq (lc_membership_totals (first).name_conflicts, 1);
-  run_for (peers, 10 * LB_SEC);
+  run_peers_for (peers, 10 * LB_SEC);
   cr_assert_eq (lc_membership_totals (first).name_conflicts, 2);
   cr_assert_eq (fake_peers_count_agreeing (peers), 6);
   fake_peers_free (peers);
 }
 
-/* Instances whose seeds are all gone start at the same time, each alone and giving callers only its
- * own address. The platform's list, although it lags, must connect them. */
+/* Instances whose seeds are all gone start at the same time. Each knows only itself and gives
+ * callers only its own address. The platform's list must connect them, although it lags behind. */
 Test (membership, the_platform_list_connects_isolated_instances)
 {
   LcMembershipSettings settings = lc_membership_settings_default ();
@@ -327,12 +328,12 @@
   lb_list_init (&actions);
   for (size_t i = 1; i < 4; i++)
     fake_peers_start (peers, i);
-  run_for (peers, 10 * LB_SEC);
+  run_peers_for (peers, 10 * LB_SEC);
   cr_assert_eq (fake_peers_count_agreeing (peers), 0);
   for (size_t i = 1; i < 4; i++)
     lc_membership_apply_platform_list (fake_peers_membership (peers, i), listed, 3,
                                        fake_peers_now (peers), &actions);
-  run_for (peers, 10 * LB_SEC);
+  run_peers_for (peers, 10 * LB_SEC);
   cr_assert_eq (fake_peers_count_agreeing (peers), 3);
 
   listed[1].leaving = true;
@@ -343,12 +344,12 @@
   fake_peers_free (peers);
 }
 
-/* An update is lost with a connection, and nothing later repeats it: one instance would go on
- * giving callers the address of a draining one. The heartbeats' digests differ, so the views must
- * be compared. */
+/* An update is lost with a connection and is not repeated, so other instances would go on giving
+ * callers the address of a draining instance. The heartbeats' digests differ, so the peers must
+ * compare their views. */
 Test (membership, a_lost_update_is_found_by_the_digest)
 {
-  FakePeers *peers = start_cluster (COUNT);
+  FakePeers *peers = start_cluster (N_INSTANCES);
   LbList actions;
 
   lb_list_init (&actions);
@@ -358,14 +359,14 @@
     lb_list_remove (&actions, &action->link_in_list);
     lc_membership_action_free (action);
   }
-  run_for (peers, 10 * LB_SEC);
+  run_peers_for (peers, 10 * LB_SEC);
   cr_assert_eq (fake_peers_count_listing (peers, 4), 0);
   fake_peers_free (peers);
 }
 
-/* A busy or distant peer sometimes answers late. With a fixed timeout of two periods its connection
- * would be closed again and again; the timeout must follow the gaps seen, but never exceed the
- * bound that the three seconds allow. */
+/* A busy or distant peer sometimes answers late. With a fixed timeout of two heartbeat periods its
+ * connection would be closed again and again. The timeout must follow the measured gaps between
+ * arrivals, but never exceed three periods. */
 Test (detector, the_timeout_follows_the_gaps_between_its_bounds)
 {
   LcDetector steady, jittery, irregular;
