--- a/packages/core/src/membership/lc-membership-heartbeat.c
+++ b/packages/core/src/membership/lc-membership-heartbeat.c
@@ -58,7 +58,7 @@
 
   return member
          && (now < member->keep_connected_until
-             || lc_membership_is_target (membership, link->name));
+             || lc_membership_is_watch_target (membership, link->name));
 }
 
 static void
@@ -92,7 +92,7 @@
 static void
 update_link_watched (const LcMembership *membership, LcPeerLink *link, LbTime now)
 {
-  bool is_watched = link->is_outgoing && lc_membership_is_target (membership, link->name);
+  bool is_watched = link->is_outgoing && lc_membership_is_watch_target (membership, link->name);
 
   /* The connection had no heartbeats until now, so the detector has no usable arrival history. */
   if (is_watched && !link->is_watched)
--- a/packages/core/src/membership/lc-membership-private.h
+++ b/packages/core/src/membership/lc-membership-private.h
@@ -158,9 +158,9 @@
 
 /* functions of lc-membership-watch.c */
 
-void lc_membership_choose_targets (LcMembership *membership);
+void lc_membership_choose_watch_targets (LcMembership *membership);
 /* Dials watched members without a connection; chooses them anew first if members have changed. */
-void lc_membership_dial_targets (LcMembership *membership, LbTime now, LbList *actions);
-bool lc_membership_is_target (const LcMembership *membership, const char *name);
+void lc_membership_dial_watch_targets (LcMembership *membership, LbTime now, LbList *actions);
+bool lc_membership_is_watch_target (const LcMembership *membership, const char *name);
 
 #endif
--- a/packages/core/src/membership/lc-membership-watch.c
+++ b/packages/core/src/membership/lc-membership-watch.c
@@ -4,7 +4,7 @@
 #include <xxhash.h>
 
 bool
-lc_membership_is_target (const LcMembership *membership, const char *name)
+lc_membership_is_watch_target (const LcMembership *membership, const char *name)
 {
   for (size_t i = 0; i < membership->n_targets; i++)
     if (strcmp (membership->targets[i], name) == 0)
@@ -31,7 +31,7 @@
     {
       uint64_t distance = compute_ring_position (member->instance.name, ring) - own_position;
       if (member->instance.state == LC_INSTANCE_DEAD || distance > nearest_distance
-          || lc_membership_is_target (membership, member->instance.name))
+          || lc_membership_is_watch_target (membership, member->instance.name))
         continue;
       nearest = member;
       nearest_distance = distance;
@@ -43,7 +43,7 @@
  * as many others as it watches, and updates reach all in a few hops, since rings in unrelated
  * orders form a graph of small diameter. */
 void
-lc_membership_choose_targets (LcMembership *membership)
+lc_membership_choose_watch_targets (LcMembership *membership)
 {
   membership->targets_outdated = false;
   membership->n_targets = 0;
@@ -57,10 +57,10 @@
 }
 
 void
-lc_membership_dial_targets (LcMembership *membership, LbTime now, LbList *actions)
+lc_membership_dial_watch_targets (LcMembership *membership, LbTime now, LbList *actions)
 {
   if (membership->targets_outdated)
-    lc_membership_choose_targets (membership);
+    lc_membership_choose_watch_targets (membership);
   for (size_t i = 0; i < membership->n_targets; i++)
     {
       LcMember *member = lc_membership_lookup_member (membership, membership->targets[i]);
--- a/packages/core/src/membership/lc-membership.c
+++ b/packages/core/src/membership/lc-membership.c
@@ -135,7 +135,7 @@
   lc_membership_tick_links (membership, now, actions);
   lc_membership_tick_members (membership, now);
   lc_membership_resolve_name_conflict (membership, now);
-  lc_membership_dial_targets (membership, now, actions);
+  lc_membership_dial_watch_targets (membership, now, actions);
   lc_membership_dial_contact (membership, now, actions);
   if (now >= membership->flush_at)
     lc_membership_flush_updates (membership, now, actions);
