--- a/packages/node/include/ln-messages.h
+++ b/packages/node/include/ln-messages.h
@@ -154,8 +154,8 @@
 {
   LnMessage base;
   LbName model;
-  int64_t tokens; /* expected number of tokens of the batch */
-  int64_t texts;  /* number of items */
+  int64_t tokens;  /* expected number of generated tokens of the batch */
+  int64_t n_items; /* number of items in the batch */
 } LnDemandMessage;
 
 typedef struct
--- a/packages/node/src/batch/ln-batch-heads.c
+++ b/packages/node/src/batch/ln-batch-heads.c
@@ -144,8 +144,9 @@
 ln_batch_heads_publish_demand (LnBatches *batches, const LcBatchHead *head)
 {
   static const char *const tasks[] = { "config", "duties" };
-  LnDemandMessage message
-      = { .base = LN_MESSAGE (LN_DEMAND), .tokens = head->expected_tokens, .texts = head->n_items };
+  LnDemandMessage message = { .base = LN_MESSAGE (LN_DEMAND),
+                              .tokens = head->expected_tokens,
+                              .n_items = head->n_items };
 
   LB_COPY (message.model, head->model);
   for (size_t i = 0; i < sizeof tasks / sizeof tasks[0]; i++)
--- a/packages/node/src/config/ln-desired.c
+++ b/packages/node/src/config/ln-desired.c
@@ -451,7 +451,7 @@
 {
   ln_engine_plans_add_demand (task->engine_plans, demand->model, demand->tokens, now);
   lc_subset_set_demand (ln_endpoint_list_subset (task->endpoint_list), demand->model,
-                        demand->texts);
+                        demand->n_items);
 }
 
 static void
--- a/packages/node/src/duties/ln-scaler.c
+++ b/packages/node/src/duties/ln-scaler.c
@@ -62,7 +62,7 @@
 void
 ln_scaler_add_demand (LnScaler *scaler, const LnDemandMessage *demand, LbTime now)
 {
-  lc_scaling_add_demand (scaler->scaling, demand->model, demand->texts, now);
+  lc_scaling_add_demand (scaler->scaling, demand->model, demand->n_items, now);
 }
 
 void
--- a/packages/node/tests/node-fixture.h
+++ b/packages/node/tests/node-fixture.h
@@ -58,7 +58,7 @@
 }
 
 static inline void
-fixture_start (Fixture *f)
+fixture_start_tasks (Fixture *f)
 {
   LnReadyMessage ready = { .base = LN_MESSAGE (LN_READY), .ready = true };
 
@@ -108,7 +108,7 @@
   while (0)
 
 static inline struct sockaddr_in
-fixture_loopback (const char *address)
+fixture_make_loopback_address (const char *address)
 {
   struct sockaddr_in to = { .sin_family = AF_INET };
 
@@ -120,10 +120,10 @@
 
 /* Returns a listening socket and sets its address. */
 static inline int
-fixture_listen (LbName address)
+fixture_open_listener (LbName address)
 {
   int fd = socket (AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
-  struct sockaddr_in at = fixture_loopback (NULL);
+  struct sockaddr_in at = fixture_make_loopback_address (NULL);
   socklen_t length = sizeof at;
 
   cr_assert_eq (bind (fd, (struct sockaddr *)&at, sizeof at), 0);
@@ -173,7 +173,7 @@
 }
 
 static inline bool
-peer_has (Peer *peer, const char *needle)
+peer_has_received (Peer *peer, const char *needle)
 {
   peer_read (peer);
   return strstr (peer->text, needle) != NULL;
@@ -195,17 +195,17 @@
 
 /* Opens a connection as a caller. */
 static inline void
-caller_open (Fixture *f, Peer *caller)
+caller_connect (Fixture *f, Peer *caller)
 {
   int fd = socket (AF_INET, SOCK_STREAM, 0);
-  struct sockaddr_in to = fixture_loopback (f->context.caller_address);
+  struct sockaddr_in to = fixture_make_loopback_address (f->context.caller_address);
 
   cr_assert_eq (connect (fd, (struct sockaddr *)&to, sizeof to), 0);
   peer_init (caller, fd);
 }
 
 static inline void
-caller_post (Peer *caller, const char *path, const char *headers, const char *body)
+caller_send_post (Peer *caller, const char *path, const char *headers, const char *body)
 {
   char *text = lb_asprintf ("POST %s HTTP/1.1\r\nHost: x\r\n%sContent-Length: %zu\r\n\r\n%s", path,
                             headers, strlen (body), body);
@@ -215,7 +215,7 @@
 }
 
 static inline void
-endpoint_reply_load (Peer *peer)
+endpoint_reply_to_load_poll (Peer *peer)
 {
   const char *load = "{\"incarnation\":\"e\",\"state\":\"serving\",\"weight_version\":40}";
   char *text = lb_asprintf ("HTTP/1.1 200 OK\r\nContent-Length: %zu\r\n"
@@ -229,7 +229,7 @@
 /* Accepts the next call at an endpoint. Also answers load polls, since the daemon sends no work to
  * an endpoint without a load report; polls for cache events are answered by a close. */
 static inline bool
-endpoint_try_accept (int listener, Peer *peer)
+endpoint_try_accept_call (int listener, Peer *peer)
 {
   if (peer->fd <= 0)
     {
@@ -240,7 +240,7 @@
     }
   peer_read (peer);
   if (strncmp (peer->text, "GET /load", 9) == 0)
-    endpoint_reply_load (peer);
+    endpoint_reply_to_load_poll (peer);
   if (strncmp (peer->text, "GET /load", 9) == 0 || strncmp (peer->text, "GET /cache_e", 12) == 0
       || peer->closed)
     {
@@ -251,23 +251,23 @@
 }
 
 static inline void
-endpoint_accept (Fixture *f, int listener, Peer *peer)
+endpoint_accept_call (Fixture *f, int listener, Peer *peer)
 {
   memset (peer, 0, sizeof *peer);
-  FIXTURE_WAIT_UNTIL (f, endpoint_try_accept (listener, peer));
+  FIXTURE_WAIT_UNTIL (f, endpoint_try_accept_call (listener, peer));
 }
 
 static inline void
-endpoint_accept_stream (Fixture *f, int listener, Peer *peer, char id[96])
+endpoint_accept_stream_call (Fixture *f, int listener, Peer *peer, char id[96])
 {
-  endpoint_accept (f, listener, peer);
-  FIXTURE_WAIT_UNTIL (f, peer_has (peer, "\"request_id\":\""));
-  FIXTURE_WAIT_UNTIL (f, peer_has (peer, "}"));
+  endpoint_accept_call (f, listener, peer);
+  FIXTURE_WAIT_UNTIL (f, peer_has_received (peer, "\"request_id\":\""));
+  FIXTURE_WAIT_UNTIL (f, peer_has_received (peer, "}"));
   sscanf (strstr (peer->text, "\"request_id\":\"") + 14, "%95[^\"]", id);
 }
 
 static inline void
-endpoint_send_head (Peer *peer)
+endpoint_send_stream_head (Peer *peer)
 {
   peer_send (peer, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
                    "Transfer-Encoding: chunked\r\n\r\n");
@@ -295,7 +295,7 @@
 }
 
 static inline void
-endpoint_send_end (Peer *peer)
+endpoint_send_stream_end (Peer *peer)
 {
   endpoint_send_chunk (peer, "data: [DONE]\n\n");
   peer_send (peer, "0\r\n\r\n");
--- a/packages/node/tests/test-calls-start.c
+++ b/packages/node/tests/test-calls-start.c
@@ -54,9 +54,9 @@
 {
   Peer caller;
 
-  caller_open (f, &caller);
-  caller_post (&caller, "/services/s/order", "", "BAD");
-  FIXTURE_WAIT_UNTIL (f, peer_has (&caller, "not_run"));
+  caller_connect (f, &caller);
+  caller_send_post (&caller, "/services/s/order", "", "BAD");
+  FIXTURE_WAIT_UNTIL (f, peer_has_received (&caller, "not_run"));
   cr_assert (strstr (caller.text, error), "expected %s, got %s", error, caller.text);
   peer_close (&caller);
 }
@@ -70,18 +70,18 @@
   Fixture f;
   Peer service = { 0 };
   LbName address;
-  int listener = fixture_listen (address);
+  int listener = fixture_open_listener (address);
 
   fixture_init (&f);
   f.context.platform = &store.platform;
-  fixture_start (&f);
+  fixture_start_tasks (&f);
   fixture_configure (&f, NULL, (const char *[]){ address, NULL });
   expect_refusal (&f, "not_ready");
   cr_assert (store.on_scanned);
   answer_scan (&store, "/order", "BAD");
   expect_refusal (&f, "quarantined");
-  cr_assert_not (endpoint_try_accept (listener, &service), "the call was sent to the endpoint: %s",
-                 service.text);
+  cr_assert_not (endpoint_try_accept_call (listener, &service),
+                 "the call was sent to the endpoint: %s", service.text);
   fixture_clear (&f);
   close (listener);
 }
--- a/packages/node/tests/test-calls.c
+++ b/packages/node/tests/test-calls.c
@@ -18,10 +18,10 @@
   fixture_init (&s->f);
   for (int i = 0; i < n_engines; i++)
     {
-      s->listener[i] = fixture_listen (s->address[i]);
+      s->listener[i] = fixture_open_listener (s->address[i]);
       addresses[i] = s->address[i];
     }
-  fixture_start (&s->f);
+  fixture_start_tasks (&s->f);
   fixture_configure (&s->f, addresses, NULL);
 }
 
@@ -38,12 +38,13 @@
   Peer candidates[2] = { 0 };
   int chosen = -1;
 
-  FIXTURE_WAIT_UNTIL (&s->f, (chosen = endpoint_try_accept (s->listener[0], &candidates[0])   ? 0
-                                       : endpoint_try_accept (s->listener[1], &candidates[1]) ? 1
-                                                                                              : -1)
-                                 >= 0);
+  FIXTURE_WAIT_UNTIL (&s->f,
+                      (chosen = endpoint_try_accept_call (s->listener[0], &candidates[0])   ? 0
+                                : endpoint_try_accept_call (s->listener[1], &candidates[1]) ? 1
+                                                                                            : -1)
+                          >= 0);
   *peer = candidates[chosen];
-  FIXTURE_WAIT_UNTIL (&s->f, peer_has (peer, "\"request_id\":\""));
+  FIXTURE_WAIT_UNTIL (&s->f, peer_has_received (peer, "\"request_id\":\""));
   sscanf (strstr (peer->text, "\"request_id\":\"") + 14, "%95[^\"]", id);
   return chosen;
 }
@@ -55,17 +56,17 @@
   char id[96];
 
   setup_init (&s, 1);
-  caller_open (&s.f, &caller);
-  caller_post (&caller, "/v1/completions", "", STREAM);
-  endpoint_accept_stream (&s.f, s.listener[0], &engine, id);
-  endpoint_send_head (&engine);
+  caller_connect (&s.f, &caller);
+  caller_send_post (&caller, "/v1/completions", "", STREAM);
+  endpoint_accept_stream_call (&s.f, s.listener[0], &engine, id);
+  endpoint_send_stream_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", false);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, " one"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, " one"));
   cr_assert_not (strstr (caller.text, id));
   cr_assert_not (strstr (caller.text, "[DONE]"));
   endpoint_send_token (&engine, id, 1, " two", true);
-  endpoint_send_end (&engine);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "data: [DONE]"));
+  endpoint_send_stream_end (&engine);
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "data: [DONE]"));
   cr_assert (strstr (caller.text, "x-endpoint: e0"));
   cr_assert (strstr (caller.text, " two"));
   FIXTURE_WAIT_UNTIL (&s.f, ln_hub_is_idle (s.f.context.hub));
@@ -82,15 +83,15 @@
   char id[96];
 
   setup_init (&s, 1);
-  caller_open (&s.f, &caller);
+  caller_connect (&s.f, &caller);
   char *text = lb_asprintf ("POST /v1/completions HTTP/1.0\r\nContent-Length: %zu\r\n\r\n%s",
                             strlen (STREAM), STREAM);
   peer_send (&caller, text);
   free (text);
-  endpoint_accept_stream (&s.f, s.listener[0], &engine, id);
-  endpoint_send_head (&engine);
+  endpoint_accept_stream_call (&s.f, s.listener[0], &engine, id);
+  endpoint_send_stream_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", true);
-  endpoint_send_end (&engine);
+  endpoint_send_stream_end (&engine);
   FIXTURE_WAIT_UNTIL (&s.f, peer_is_closed (&caller));
   cr_assert_not (strstr (caller.text, "chunked"), "%s", caller.text);
   cr_assert_not (strstr (caller.text, "Content-Length"), "%s", caller.text);
@@ -108,14 +109,14 @@
   char id[96];
 
   setup_init (&s, 1);
-  caller_open (&s.f, &caller);
-  caller_post (&caller, "/v1/completions", "", BODY (""));
-  endpoint_accept_stream (&s.f, s.listener[0], &engine, id);
-  endpoint_send_head (&engine);
+  caller_connect (&s.f, &caller);
+  caller_send_post (&caller, "/v1/completions", "", BODY (""));
+  endpoint_accept_stream_call (&s.f, s.listener[0], &engine, id);
+  endpoint_send_stream_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", false);
   endpoint_send_token (&engine, id, 1, " two", true);
-  endpoint_send_end (&engine);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "completion_tokens"));
+  endpoint_send_stream_end (&engine);
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "completion_tokens"));
   cr_assert (strstr (caller.text, "\"text\":\" one two\""), "%s", caller.text);
   cr_assert (strstr (caller.text, "x-weight-versions: 40"));
   cr_assert (strstr (caller.text, "\"completion_tokens\":2"));
@@ -133,12 +134,12 @@
   char id[96];
 
   setup_init (&s, 1);
-  caller_open (&s.f, &caller);
-  caller_post (&caller, "/v1/completions", "", STREAM);
-  endpoint_accept_stream (&s.f, s.listener[0], &engine, id);
-  endpoint_send_head (&engine);
+  caller_connect (&s.f, &caller);
+  caller_send_post (&caller, "/v1/completions", "", STREAM);
+  endpoint_accept_stream_call (&s.f, s.listener[0], &engine, id);
+  endpoint_send_stream_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", false);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, " one"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, " one"));
   peer_close (&caller);
   FIXTURE_WAIT_UNTIL (&s.f, peer_is_closed (&engine));
   FIXTURE_WAIT_UNTIL (&s.f, ln_hub_is_idle (s.f.context.hub));
@@ -158,12 +159,12 @@
   setup_init (&s, 1);
   for (int i = 0; i < 20; i++)
     {
-      caller_open (&s.f, &caller);
-      caller_post (&caller, "/v1/completions", "", i % 2 ? STREAM : BODY (""));
-      endpoint_accept_stream (&s.f, s.listener[0], &engine, id);
-      endpoint_send_head (&engine);
+      caller_connect (&s.f, &caller);
+      caller_send_post (&caller, "/v1/completions", "", i % 2 ? STREAM : BODY (""));
+      endpoint_accept_stream_call (&s.f, s.listener[0], &engine, id);
+      endpoint_send_stream_head (&engine);
       endpoint_send_token (&engine, id, 0, " one", true);
-      endpoint_send_end (&engine);
+      endpoint_send_stream_end (&engine);
       peer_close (&caller);
       FIXTURE_WAIT_UNTIL (&s.f, ln_hub_is_idle (s.f.context.hub));
       peer_close (&engine);
@@ -180,12 +181,12 @@
   char id[96];
 
   setup_init (&s, 1);
-  caller_open (&s.f, &caller);
-  caller_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\n", STREAM);
-  endpoint_accept_stream (&s.f, s.listener[0], &engine, id);
-  endpoint_send_head (&engine);
+  caller_connect (&s.f, &caller);
+  caller_send_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\n", STREAM);
+  endpoint_accept_stream_call (&s.f, s.listener[0], &engine, id);
+  endpoint_send_stream_head (&engine);
   endpoint_send_token (&engine, "other-1.1", 0, " secret", false);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "error"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "error"));
   cr_assert_not (strstr (caller.text, "secret"));
   cr_assert (strstr (caller.text, "outcome_unknown"), "%s", caller.text);
   FIXTURE_WAIT_UNTIL (&s.f, peer_is_closed (&engine));
@@ -203,13 +204,13 @@
   char id[96];
 
   setup_init (&s, 1);
-  caller_open (&s.f, &caller);
-  caller_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\n", STREAM);
-  endpoint_accept_stream (&s.f, s.listener[0], &engine, id);
-  endpoint_send_head (&engine);
+  caller_connect (&s.f, &caller);
+  caller_send_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\n", STREAM);
+  endpoint_accept_stream_call (&s.f, s.listener[0], &engine, id);
+  endpoint_send_stream_head (&engine);
   endpoint_send_chunk (&engine,
                        "data: {\"id\":null,\"choices\":[{\"index\":0,\"text\":\"x\"}]}\n\n");
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "outcome_unknown"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "outcome_unknown"));
   peer_close (&engine);
   peer_close (&caller);
   setup_clear (&s);
@@ -225,15 +226,15 @@
   static const char body[] = "{\"error\":{\"type\":null}}";
 
   setup_init (&s, 1);
-  caller_open (&s.f, &caller);
-  caller_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\n", BODY (""));
+  caller_connect (&s.f, &caller);
+  caller_send_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\n", BODY (""));
   accept_any (&s, &engine, id);
   char *reply
       = lb_asprintf ("HTTP/1.1 503 Busy\r\nContent-Length: %zu\r\n\r\n%s", sizeof body - 1, body);
   peer_send (&engine, reply);
   free (reply);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "endpoint_failed"));
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "\"not_run\":false"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "endpoint_failed"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "\"not_run\":false"));
   peer_close (&engine);
   peer_close (&caller);
   setup_clear (&s);
@@ -252,23 +253,23 @@
   fixture_init (&s.f);
   s.f.settings.calls.stream_silence_ms = 1000;
   s.f.settings.calls.retry_budget = 1;
-  s.listener[0] = fixture_listen (s.address[0]);
-  s.listener[1] = fixture_listen (s.address[1]);
-  fixture_start (&s.f);
+  s.listener[0] = fixture_open_listener (s.address[0]);
+  s.listener[1] = fixture_open_listener (s.address[1]);
+  fixture_start_tasks (&s.f);
   fixture_configure (&s.f, (const char *[]){ s.address[0], s.address[1], NULL }, NULL);
-  caller_open (&s.f, &caller);
-  caller_post (&caller, "/v1/completions", "", STREAM);
+  caller_connect (&s.f, &caller);
+  caller_send_post (&caller, "/v1/completions", "", STREAM);
   accept_any (&s, &engine, id);
-  endpoint_send_head (&engine);
+  endpoint_send_stream_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", false);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, " one"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, " one"));
   accept_any (&s, &resumed, id);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&resumed, "\"offset\":1"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&resumed, "\"offset\":1"));
   cr_assert (strstr (resumed.text, "\"text\":\" one\""), "%s", resumed.text);
-  endpoint_send_head (&resumed);
+  endpoint_send_stream_head (&resumed);
   endpoint_send_token (&resumed, id, 1, " two", true);
-  endpoint_send_end (&resumed);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "data: [DONE]"));
+  endpoint_send_stream_end (&resumed);
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "data: [DONE]"));
   cr_assert (strstr (caller.text, " two"));
   peer_close (&engine);
   peer_close (&resumed);
@@ -285,13 +286,13 @@
   char id[96];
 
   setup_init (&s, 1);
-  caller_open (&s.f, &caller);
-  caller_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\n", STREAM);
-  endpoint_accept_stream (&s.f, s.listener[0], &engine, id);
-  endpoint_send_head (&engine);
+  caller_connect (&s.f, &caller);
+  caller_send_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\n", STREAM);
+  endpoint_accept_stream_call (&s.f, s.listener[0], &engine, id);
+  endpoint_send_stream_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", false);
   peer_send (&engine, "0\r\n\r\n");
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "\"error\""));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "\"error\""));
   cr_assert_not (strstr (caller.text, "[DONE]"));
   cr_assert (strstr (caller.text, "\"not_run\":false"));
   peer_close (&engine);
@@ -308,10 +309,10 @@
 
   setup_init (&s, 1);
   close (s.listener[0]);
-  caller_open (&s.f, &caller);
-  caller_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\nx-deadline-ms: 1000\r\n",
-               BODY (""));
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "not_run"));
+  caller_connect (&s.f, &caller);
+  caller_send_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\nx-deadline-ms: 1000\r\n",
+                    BODY (""));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "not_run"));
   cr_assert (strstr (caller.text, "\"not_run\":true"), "%s", caller.text);
   cr_assert (strstr (caller.text, "x-not-run: 1"));
   peer_close (&caller);
@@ -328,14 +329,14 @@
   char id[96];
 
   setup_init (&s, 2);
-  caller_open (&s.f, &caller);
-  caller_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\n", BODY (""));
+  caller_connect (&s.f, &caller);
+  caller_send_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\n", BODY (""));
   int chosen = accept_any (&s, &engine, id);
   peer_close (&engine);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "outcome_unknown"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "outcome_unknown"));
   cr_assert (strstr (caller.text, "\"not_run\":false"), "%s", caller.text);
   cr_assert_not (strstr (caller.text, "x-not-run"));
-  cr_assert_not (endpoint_try_accept (s.listener[1 - chosen], &other));
+  cr_assert_not (endpoint_try_accept_call (s.listener[1 - chosen], &other));
   peer_close (&caller);
   setup_clear (&s);
 }
@@ -350,18 +351,18 @@
   static const char body[] = "{\"error\":{\"type\":\"not_started\"}}";
 
   setup_init (&s, 2);
-  caller_open (&s.f, &caller);
-  caller_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\n", BODY (""));
+  caller_connect (&s.f, &caller);
+  caller_send_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\n", BODY (""));
   accept_any (&s, &engine, id);
   char *reply
       = lb_asprintf ("HTTP/1.1 503 Busy\r\nContent-Length: %zu\r\n\r\n%s", sizeof body - 1, body);
   peer_send (&engine, reply);
   free (reply);
   accept_any (&s, &next, id);
-  endpoint_send_head (&next);
+  endpoint_send_stream_head (&next);
   endpoint_send_token (&next, id, 0, " one", true);
-  endpoint_send_end (&next);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "\"text\":\" one\""));
+  endpoint_send_stream_end (&next);
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "\"text\":\" one\""));
   peer_close (&engine);
   peer_close (&next);
   peer_close (&caller);
@@ -371,9 +372,9 @@
 static void
 reply_with_one_token (Setup *s, Peer *engine, const char *id, const char *text)
 {
-  endpoint_send_head (engine);
+  endpoint_send_stream_head (engine);
   endpoint_send_token (engine, id, 0, text, true);
-  endpoint_send_end (engine);
+  endpoint_send_stream_end (engine);
   FIXTURE_WAIT_UNTIL (&s->f, peer_read (engine));
 }
 
@@ -389,16 +390,16 @@
   fixture_init (&s.f);
   s.f.settings.calls.stream_silence_ms = 1000;
   s.f.settings.calls.retry_budget = 1;
-  s.listener[0] = fixture_listen (s.address[0]);
-  fixture_start (&s.f);
+  s.listener[0] = fixture_open_listener (s.address[0]);
+  fixture_start_tasks (&s.f);
   fixture_configure (&s.f, (const char *[]){ s.address[0], NULL }, NULL);
-  caller_open (&s.f, &caller);
-  caller_open (&s.f, &other);
-  caller_post (&caller, "/v1/completions", "", BODY (""));
-  endpoint_accept_stream (&s.f, s.listener[0], &idle[0], id);
-  caller_post (&other, "/v1/completions", "", BODY (""));
+  caller_connect (&s.f, &caller);
+  caller_connect (&s.f, &other);
+  caller_send_post (&caller, "/v1/completions", "", BODY (""));
+  endpoint_accept_stream_call (&s.f, s.listener[0], &idle[0], id);
+  caller_send_post (&other, "/v1/completions", "", BODY (""));
   char second[96];
-  endpoint_accept_stream (&s.f, s.listener[0], &idle[1], second);
+  endpoint_accept_stream_call (&s.f, s.listener[0], &idle[1], second);
   reply_with_one_token (&s, &idle[0], id, " one");
   reply_with_one_token (&s, &idle[1], second, " one");
   FIXTURE_WAIT_UNTIL (&s.f, ln_hub_is_idle (s.f.context.hub));
@@ -406,11 +407,12 @@
   peer_clear_text (&idle[0]);
   peer_clear_text (&idle[1]);
 
-  caller_post (&caller, "/v1/completions", "", BODY (""));
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&idle[0], "POST /v1") || peer_has (&idle[1], "POST /v1"));
-  endpoint_accept_stream (&s.f, s.listener[0], &fresh, id);
+  caller_send_post (&caller, "/v1/completions", "", BODY (""));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&idle[0], "POST /v1")
+                                || peer_has_received (&idle[1], "POST /v1"));
+  endpoint_accept_stream_call (&s.f, s.listener[0], &fresh, id);
   reply_with_one_token (&s, &fresh, id, " two");
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "\"text\":\" two\""));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "\"text\":\" two\""));
   FIXTURE_WAIT_UNTIL (&s.f, peer_is_closed (&idle[0]) && peer_is_closed (&idle[1]));
   cr_assert_not (strstr (idle[0].text, "POST") && strstr (idle[1].text, "POST"));
   peer_close (&idle[0]);
@@ -456,25 +458,25 @@
   char id[96];
 
   setup_init (&s, 1);
-  caller_open (&s.f, &caller);
-  caller_post (&caller, "/v1/completions", "", STREAM);
-  endpoint_accept_stream (&s.f, s.listener[0], &engine, id);
-  endpoint_send_head (&engine);
+  caller_connect (&s.f, &caller);
+  caller_send_post (&caller, "/v1/completions", "", STREAM);
+  endpoint_accept_stream_call (&s.f, s.listener[0], &engine, id);
+  endpoint_send_stream_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", false);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, " one"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, " one"));
   post_members (&s);
   ln_hub_drain (s.f.context.hub);
-  caller_open (&s.f, &late);
-  caller_post (&late, "/v1/completions", "", BODY (""));
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&late, "draining"));
+  caller_connect (&s.f, &late);
+  caller_send_post (&late, "/v1/completions", "", BODY (""));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&late, "draining"));
   cr_assert (strstr (late.text, "x-not-run: 1"));
   cr_assert (strstr (late.text, "x-entry-stale: 1"));
   cr_assert (strstr (late.text, "x-entry: 10.0.0.2:80\r\n"), "%s", late.text);
   FIXTURE_WAIT_UNTIL (&s.f, peer_is_closed (&late));
   cr_assert_not (ln_hub_is_idle (s.f.context.hub));
   endpoint_send_token (&engine, id, 1, " two", true);
-  endpoint_send_end (&engine);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "data: [DONE]"));
+  endpoint_send_stream_end (&engine);
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "data: [DONE]"));
   FIXTURE_WAIT_UNTIL (&s.f, ln_hub_is_idle (s.f.context.hub));
   peer_close (&engine);
   peer_close (&caller);
@@ -508,10 +510,10 @@
   memset (text, 'a', (size_t)text_length);
   text[text_length] = '\0';
   setup_init (&s, 1);
-  caller_open (&s.f, &caller);
-  caller_post (&caller, "/v1/completions", "", STREAM);
-  endpoint_accept_stream (&s.f, s.listener[0], &engine, id);
-  endpoint_send_head (&engine);
+  caller_connect (&s.f, &caller);
+  caller_send_post (&caller, "/v1/completions", "", STREAM);
+  endpoint_accept_stream_call (&s.f, s.listener[0], &engine, id);
+  endpoint_send_stream_head (&engine);
   while (!engine.closed && offset < 200)
     {
       char *event = lb_asprintf ("data: {\"id\":\"%s\",\"choices\":[{\"index\":0,\"text\":\"%s\","
@@ -543,13 +545,13 @@
   char id[96];
 
   setup_init (&s, 1);
-  caller_open (&s.f, &caller);
-  caller_post (&caller, "/v1/completions", "", STREAM);
-  endpoint_accept_stream (&s.f, s.listener[0], &engine, id);
-  endpoint_send_head (&engine);
+  caller_connect (&s.f, &caller);
+  caller_send_post (&caller, "/v1/completions", "", STREAM);
+  endpoint_accept_stream_call (&s.f, s.listener[0], &engine, id);
+  endpoint_send_stream_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", false);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, " one"));
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, ": keep-alive"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, " one"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, ": keep-alive"));
   peer_close (&engine);
   peer_close (&caller);
   setup_clear (&s);
@@ -564,15 +566,15 @@
   LbName address;
 
   fixture_init (&f);
-  int listener = fixture_listen (address);
-  fixture_start (&f);
+  int listener = fixture_open_listener (address);
+  fixture_start_tasks (&f);
   fixture_configure (&f, NULL, (const char *[]){ address, NULL });
-  caller_open (&f, &caller);
-  caller_post (&caller, "/services/s/orders", "", "a=b");
-  endpoint_accept (&f, listener, &service);
+  caller_connect (&f, &caller);
+  caller_send_post (&caller, "/services/s/orders", "", "a=b");
+  endpoint_accept_call (&f, listener, &service);
   peer_send (&service, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf an or");
   peer_close (&service);
-  FIXTURE_WAIT_UNTIL (&f, peer_has (&caller, "outcome_unknown"));
+  FIXTURE_WAIT_UNTIL (&f, peer_has_received (&caller, "outcome_unknown"));
   cr_assert_not (strstr (caller.text, "half"));
   peer_close (&caller);
   fixture_clear (&f);
@@ -585,18 +587,18 @@
   LbName address;
 
   fixture_init (&f);
-  int listener = fixture_listen (address);
-  fixture_start (&f);
+  int listener = fixture_open_listener (address);
+  fixture_start_tasks (&f);
   fixture_configure (&f, NULL, (const char *[]){ address, NULL });
-  caller_open (&f, &caller);
-  caller_post (&caller, "/services/s/orders?shop=4",
-               "x-shop: saigon\r\nContent-Type: application/x-www-form-urlencoded\r\n", "a=b");
-  endpoint_accept (&f, listener, &service);
-  FIXTURE_WAIT_UNTIL (&f, peer_has (&service, "a=b"));
+  caller_connect (&f, &caller);
+  caller_send_post (&caller, "/services/s/orders?shop=4",
+                    "x-shop: saigon\r\nContent-Type: application/x-www-form-urlencoded\r\n", "a=b");
+  endpoint_accept_call (&f, listener, &service);
+  FIXTURE_WAIT_UNTIL (&f, peer_has_received (&service, "a=b"));
   cr_assert (strstr (service.text, "POST /orders?shop=4 HTTP/1.1"), "%s", service.text);
   cr_assert (strstr (service.text, "x-shop: saigon"));
   peer_send (&service, "HTTP/1.1 418 Teapot\r\nx-kind: short\r\nContent-Length: 5\r\n\r\nstout");
-  FIXTURE_WAIT_UNTIL (&f, peer_has (&caller, "stout"));
+  FIXTURE_WAIT_UNTIL (&f, peer_has_received (&caller, "stout"));
   cr_assert (strstr (caller.text, " 418 "));
   cr_assert (strstr (caller.text, "x-kind: short"));
   peer_close (&service);
--- a/packages/node/tests/test-front.c
+++ b/packages/node/tests/test-front.c
@@ -5,9 +5,9 @@
 {
   Peer caller;
 
-  caller_open (f, &caller);
+  caller_connect (f, &caller);
   peer_send (&caller, request);
-  FIXTURE_WAIT_UNTIL (f, peer_has (&caller, "not_run"));
+  FIXTURE_WAIT_UNTIL (f, peer_has_received (&caller, "not_run"));
   cr_assert (strstr (caller.text, status), "expected %s, got %s", status, caller.text);
   cr_assert (strstr (caller.text, type), "expected %s, got %s", type, caller.text);
   peer_close (&caller);
@@ -23,12 +23,12 @@
 
   fixture_init (&f);
   f.settings.http.request_read_ms = 100;
-  fixture_start (&f);
-  caller_open (&f, &caller);
+  fixture_start_tasks (&f);
+  caller_connect (&f, &caller);
   peer_send (&caller,
              "POST /v1/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 1000000\r\n\r\n");
   LbTime end = lb_clock_monotonic () + FIXTURE_TIMEOUT;
-  while (!peer_has (&caller, "too_slow") && lb_clock_monotonic () < end)
+  while (!peer_has_received (&caller, "too_slow") && lb_clock_monotonic () < end)
     {
       send (caller.fd, "a", 1, 0);
       fixture_run_loop_once (&f);
@@ -49,11 +49,11 @@
 
   fixture_init (&f);
   f.settings.http.request_read_ms = 100;
-  fixture_start (&f);
-  caller_open (&f, &caller);
+  fixture_start_tasks (&f);
+  caller_connect (&f, &caller);
   peer_send (&caller, "GET /healthz HTTP/1.1\r\nHost: h\r\nx-long: ");
   LbTime end = lb_clock_monotonic () + FIXTURE_TIMEOUT;
-  while (!peer_has (&caller, "too_slow") && lb_clock_monotonic () < end)
+  while (!peer_has_received (&caller, "too_slow") && lb_clock_monotonic () < end)
     {
       send (caller.fd, "a", 1, 0);
       fixture_run_loop_once (&f);
@@ -76,7 +76,7 @@
   for (int i = 0; i < 5; i++)
     fixture_run_loop_once (f);
   peer_send (caller, request + first_length);
-  FIXTURE_WAIT_UNTIL (f, peer_has (caller, "not_run"));
+  FIXTURE_WAIT_UNTIL (f, peer_has_received (caller, "not_run"));
   cr_assert (strstr (caller->text, expected), "cut after \"%s\": %s", first_segment, caller->text);
   peer_clear_text (caller);
   free (request);
@@ -94,9 +94,9 @@
   Peer caller;
 
   fixture_init (&f);
-  fixture_start (&f);
+  fixture_start_tasks (&f);
   fixture_configure (&f, NULL, NULL);
-  caller_open (&f, &caller);
+  caller_connect (&f, &caller);
   for (size_t length = 1; length < strlen (paths[0]) + 20; length++)
     expect_path_in_reply (&f, &caller, paths[length % 2], length);
   peer_close (&caller);
@@ -111,16 +111,16 @@
   Peer caller;
 
   fixture_init (&f);
-  fixture_start (&f);
+  fixture_start_tasks (&f);
   fixture_configure (&f, NULL, NULL);
-  caller_open (&f, &caller);
+  caller_connect (&f, &caller);
   peer_send (&caller, "GET /nowhere/0123456789 HTTP/1.1\r\nHost: h\r\n\r\nGET /elsew");
-  FIXTURE_WAIT_UNTIL (&f, peer_has (&caller, "GET /nowhere/0123456789\""));
+  FIXTURE_WAIT_UNTIL (&f, peer_has_received (&caller, "GET /nowhere/0123456789\""));
   peer_clear_text (&caller);
   for (int i = 0; i < 5; i++)
     fixture_run_loop_once (&f);
   peer_send (&caller, "here/zyx HTTP/1.1\r\nHost: h\r\n\r\n");
-  FIXTURE_WAIT_UNTIL (&f, peer_has (&caller, "not_run"));
+  FIXTURE_WAIT_UNTIL (&f, peer_has_received (&caller, "not_run"));
   cr_assert (strstr (caller.text, "GET /elsewhere/zyx\""), "%s", caller.text);
   peer_close (&caller);
   fixture_clear (&f);
@@ -134,10 +134,10 @@
 
   fixture_init (&f);
   f.settings.http.request_read_ms = 100;
-  fixture_start (&f);
-  caller_open (&f, &caller);
+  fixture_start_tasks (&f);
+  caller_connect (&f, &caller);
   peer_send (&caller, "GET /health");
-  FIXTURE_WAIT_UNTIL (&f, peer_has (&caller, "too_slow"));
+  FIXTURE_WAIT_UNTIL (&f, peer_has_received (&caller, "too_slow"));
   cr_assert (strstr (caller.text, "408"), "%s", caller.text);
   peer_close (&caller);
   fixture_clear (&f);
@@ -152,7 +152,7 @@
   fixture_init (&f);
   f.settings.http.max_body_bytes = 1024;
   f.settings.http.max_header_bytes = 1024;
-  fixture_start (&f);
+  fixture_start_tasks (&f);
   fixture_configure (&f, NULL, NULL);
   expect_refusal (&f, "NONSENSE\r\n\r\n", " 400 ", "bad_request");
   expect_refusal (&f, "GET /nowhere HTTP/1.1\r\nHost: h\r\n\r\n", " 404 ", "unknown_path");
@@ -229,14 +229,14 @@
   Fixture f;
 
   fixture_init (&f);
-  fixture_start (&f);
+  fixture_start_tasks (&f);
   for (size_t i = 0; i < sizeof headers / sizeof headers[0]; i++)
     {
       Peer caller;
       char *request = lb_asprintf ("POST /services/none/x HTTP/1.1\r\nHost: h\r\n%s\r\n\r\n"
                                    "0\r\n\r\nGET /services/none/hidden HTTP/1.1\r\nHost: h\r\n\r\n",
                                    headers[i]);
-      caller_open (&f, &caller);
+      caller_connect (&f, &caller);
       peer_send (&caller, request);
       FIXTURE_WAIT_UNTIL (&f, peer_is_closed (&caller));
       cr_assert (strstr (caller.text, " 400 "), "%s: %s", headers[i], caller.text);
@@ -268,12 +268,12 @@
   Fixture f;
 
   fixture_init (&f);
-  fixture_start (&f);
+  fixture_start_tasks (&f);
   for (size_t i = 0; i < sizeof requests / sizeof requests[0]; i++)
     {
       Peer caller;
       size_t length = requests[i].length > 0 ? requests[i].length : strlen (requests[i].text);
-      caller_open (&f, &caller);
+      caller_connect (&f, &caller);
       cr_assert_eq (write (caller.fd, requests[i].text, length), (ssize_t)length);
       FIXTURE_WAIT_UNTIL (&f, peer_is_closed (&caller));
       cr_assert (strstr (caller.text, " 400 "), "%zu: %s", i, caller.text);
@@ -289,8 +289,8 @@
   Peer caller;
 
   fixture_init (&f);
-  fixture_start (&f);
-  caller_open (&f, &caller);
+  fixture_start_tasks (&f);
+  caller_connect (&f, &caller);
   peer_send (&caller,
              "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\nGET /nowhere HTTP/1.1\r\nHost: h\r\n\r\n"
              "GET /readyz HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
@@ -312,15 +312,15 @@
 
   fixture_init (&f);
   f.settings.http.max_connections = 1;
-  fixture_start (&f);
-  caller_open (&f, &first);
+  fixture_start_tasks (&f);
+  caller_connect (&f, &first);
   peer_send (&first, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n");
-  FIXTURE_WAIT_UNTIL (&f, peer_has (&first, "alive"));
-  caller_open (&f, &second);
+  FIXTURE_WAIT_UNTIL (&f, peer_has_received (&first, "alive"));
+  caller_connect (&f, &second);
   FIXTURE_WAIT_UNTIL (&f, peer_is_closed (&second));
   peer_clear_text (&first);
   peer_send (&first, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n");
-  FIXTURE_WAIT_UNTIL (&f, peer_has (&first, "alive"));
+  FIXTURE_WAIT_UNTIL (&f, peer_has_received (&first, "alive"));
   peer_close (&first);
   peer_close (&second);
   fixture_clear (&f);
@@ -332,7 +332,7 @@
   LnReadyMessage ready = { .base = LN_MESSAGE (LN_READY), .ready = false };
 
   fixture_init (&f);
-  fixture_start (&f);
+  fixture_start_tasks (&f);
   LN_POST (f.context.hub, NULL, ready);
   fixture_run_loop_once (&f);
   expect_refusal (&f, "GET /readyz HTTP/1.1\r\nHost: h\r\n\r\n", " 503 ", "not_ready");
@@ -351,12 +351,12 @@
 
   fixture_init (&f);
   f.settings.http.max_connections = 1;
-  fixture_start (&f);
+  fixture_start_tasks (&f);
   for (int i = 0; i < 3; i++)
     {
-      caller_open (&f, &caller);
+      caller_connect (&f, &caller);
       peer_send (&caller, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n");
-      FIXTURE_WAIT_UNTIL (&f, peer_has (&caller, "alive"));
+      FIXTURE_WAIT_UNTIL (&f, peer_has_received (&caller, "alive"));
       errno = EAGAIN;
       peer_close (&caller);
       for (int turn = 0; turn < 20; turn++)
--- a/packages/node/tests/test-recorder.c
+++ b/packages/node/tests/test-recorder.c
@@ -24,23 +24,23 @@
   fixture_init (&f);
   LB_COPY (f.settings.instance.data_centre, "quan-bay");
   LB_COPY (f.settings.record, path);
-  int engine_listener = fixture_listen (addresses[0]);
-  int service_listener = fixture_listen (addresses[1]);
-  fixture_start (&f);
+  int engine_listener = fixture_open_listener (addresses[0]);
+  int service_listener = fixture_open_listener (addresses[1]);
+  fixture_start_tasks (&f);
   fixture_configure (&f, (const char *[]){ addresses[0], NULL },
                      (const char *[]){ addresses[1], NULL });
-  caller_open (&f, &caller);
-  caller_post (&caller, "/v1/completions", "x-deadline-ms: 9000\r\n",
-               "{\"model\":\"p\",\"prompt\":\"a\",\"max_tokens\":7}");
-  endpoint_accept_stream (&f, engine_listener, &engine, id);
-  endpoint_send_head (&engine);
+  caller_connect (&f, &caller);
+  caller_send_post (&caller, "/v1/completions", "x-deadline-ms: 9000\r\n",
+                    "{\"model\":\"p\",\"prompt\":\"a\",\"max_tokens\":7}");
+  endpoint_accept_stream_call (&f, engine_listener, &engine, id);
+  endpoint_send_stream_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", true);
-  endpoint_send_end (&engine);
-  FIXTURE_WAIT_UNTIL (&f, peer_has (&caller, " one"));
-  caller_post (&caller, "/services/s/order", "", "tea");
-  endpoint_accept (&f, service_listener, &service);
+  endpoint_send_stream_end (&engine);
+  FIXTURE_WAIT_UNTIL (&f, peer_has_received (&caller, " one"));
+  caller_send_post (&caller, "/services/s/order", "", "tea");
+  endpoint_accept_call (&f, service_listener, &service);
   peer_close (&service);
-  FIXTURE_WAIT_UNTIL (&f, peer_has (&caller, "outcome_unknown"));
+  FIXTURE_WAIT_UNTIL (&f, peer_has_received (&caller, "outcome_unknown"));
   peer_close (&engine);
   peer_close (&caller);
   fixture_clear (&f);
--- a/packages/node/tests/test-tickets.c
+++ b/packages/node/tests/test-tickets.c
@@ -82,16 +82,16 @@
   s->store.platform.klass = &fake_class;
   fixture_init (&s->f);
   s->f.context.platform = &s->store.platform;
-  s->listener = fixture_listen (s->address);
-  fixture_start (&s->f);
+  s->listener = fixture_open_listener (s->address);
+  fixture_start_tasks (&s->f);
   fixture_configure (&s->f, NULL, (const char *[]){ s->address, NULL });
 }
 
 static void
 get_ticket (Setup *s, Peer *caller, char ticket[160])
 {
-  caller_post (caller, "/v1/tickets", "", "");
-  FIXTURE_WAIT_UNTIL (&s->f, peer_has (caller, "expires_in_ms"));
+  caller_send_post (caller, "/v1/tickets", "", "");
+  FIXTURE_WAIT_UNTIL (&s->f, peer_has_received (caller, "expires_in_ms"));
   sscanf (strstr (caller->text, "\"ticket\":\"") + 10, "%159[^\"]", ticket);
   peer_clear_text (caller);
 }
@@ -101,7 +101,7 @@
 {
   char *line = lb_asprintf ("%s: %s\r\n", header, value);
 
-  caller_post (caller, "/services/s/order", line, "tea");
+  caller_send_post (caller, "/services/s/order", line, "tea");
   free (line);
 }
 
@@ -124,7 +124,7 @@
   for (int i = 0; i < 50; i++)
     {
       fixture_run_loop_once (&s->f);
-      cr_assert_not (endpoint_try_accept (s->listener, &peer),
+      cr_assert_not (endpoint_try_accept_call (s->listener, &peer),
                      "the call was sent to the endpoint: %s", peer.text);
     }
 }
@@ -138,15 +138,15 @@
   char ticket[160];
 
   setup_init (&s);
-  caller_open (&s.f, &caller);
+  caller_connect (&s.f, &caller);
   get_ticket (&s, &caller, ticket);
   post_order (&caller, "x-ticket", ticket);
-  endpoint_accept (&s.f, s.listener, &service);
+  endpoint_accept_call (&s.f, s.listener, &service);
   service_send_reply (&service, "order 7");
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "order 7"));
-  caller_open (&s.f, &retry);
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "order 7"));
+  caller_connect (&s.f, &retry);
   post_order (&retry, "x-ticket", ticket);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&retry, "order 7"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&retry, "order 7"));
   cr_assert (strstr (retry.text, "text/plain"));
   peer_close (&service);
   expect_no_call (&s);
@@ -164,16 +164,16 @@
   char ticket[160];
 
   setup_init (&s);
-  caller_open (&s.f, &caller);
+  caller_connect (&s.f, &caller);
   get_ticket (&s, &caller, ticket);
   post_order (&caller, "x-ticket", ticket);
-  endpoint_accept (&s.f, s.listener, &service);
+  endpoint_accept_call (&s.f, s.listener, &service);
   peer_close (&caller);
-  caller_open (&s.f, &retry);
+  caller_connect (&s.f, &retry);
   post_order (&retry, "x-ticket", ticket);
   expect_no_call (&s);
   service_send_reply (&service, "order 7");
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&retry, "order 7"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&retry, "order 7"));
   FIXTURE_WAIT_UNTIL (&s.f, ln_hub_is_idle (s.f.context.hub));
   peer_close (&service);
   peer_close (&retry);
@@ -189,15 +189,15 @@
   char ticket[160];
 
   setup_init (&s);
-  caller_open (&s.f, &caller);
+  caller_connect (&s.f, &caller);
   get_ticket (&s, &caller, ticket);
   post_order (&caller, "x-ticket", ticket);
-  endpoint_accept (&s.f, s.listener, &service);
+  endpoint_accept_call (&s.f, s.listener, &service);
   peer_close (&service);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "outcome_unknown"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "outcome_unknown"));
   peer_clear_text (&caller);
   post_order (&caller, "x-ticket", ticket);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "outcome_unknown"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "outcome_unknown"));
   expect_no_call (&s);
   peer_close (&caller);
   fixture_clear (&s.f);
@@ -211,9 +211,9 @@
   Peer caller;
 
   setup_init (&s);
-  caller_open (&s.f, &caller);
+  caller_connect (&s.f, &caller);
   post_order (&caller, "x-ticket", "i9.b2.0000000000000001");
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "outcome_unknown"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "outcome_unknown"));
   cr_assert (strstr (caller.text, "\"not_run\":false"));
   expect_no_call (&s);
   peer_close (&caller);
@@ -250,17 +250,17 @@
   LbName address;
 
   setup_init (&s);
-  int instance = fixture_listen (address);
+  int instance = fixture_open_listener (address);
   post_member (&s, "i2", "b1", address);
-  caller_open (&s.f, &caller);
+  caller_connect (&s.f, &caller);
   post_order (&caller, "x-ticket", "i2.b1.0000000000000001");
-  endpoint_accept (&s.f, instance, &other);
+  endpoint_accept_call (&s.f, instance, &other);
   cr_assert (strstr (other.text, "POST /services/s/order"));
   cr_assert (strstr (other.text, "x-ticket: i2.b1.0000000000000001"));
   cr_assert (strstr (other.text, "x-caller: 127.0.0.1"));
   cr_assert (strstr (other.text, "x-relayed-by: i1"));
   service_send_reply (&other, "order 7");
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "order 7"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "order 7"));
   expect_no_call (&s);
   peer_close (&other);
   peer_close (&caller);
@@ -275,12 +275,12 @@
   LbName address;
 
   setup_init (&s);
-  fixture_listen (address);
+  fixture_open_listener (address);
   post_member (&s, "i2", "b1", address);
-  caller_open (&s.f, &caller);
-  caller_post (&caller, "/services/s/order",
-               "x-relayed-by: i3\r\nx-ticket: i2.b1.0000000000000001\r\n", "tea");
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "outcome_unknown"));
+  caller_connect (&s.f, &caller);
+  caller_send_post (&caller, "/services/s/order",
+                    "x-relayed-by: i3\r\nx-ticket: i2.b1.0000000000000001\r\n", "tea");
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "outcome_unknown"));
   peer_close (&caller);
   fixture_clear (&s.f);
 }
@@ -291,15 +291,15 @@
   Peer caller, service;
 
   setup_init (&s);
-  caller_open (&s.f, &caller);
+  caller_connect (&s.f, &caller);
   post_order (&caller, "idempotency-key", "k1");
-  endpoint_accept (&s.f, s.listener, &service);
+  endpoint_accept_call (&s.f, s.listener, &service);
   service_send_reply (&service, "order 7");
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "order 7"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "order 7"));
   peer_clear_text (&caller);
   peer_close (&service);
   post_order (&caller, "idempotency-key", "k1");
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "order 7"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "order 7"));
   expect_no_call (&s);
   cr_assert_eq (s.store.n_transactions, 2);
   peer_close (&caller);
@@ -315,9 +315,9 @@
 
   setup_init (&s);
   s.store.transact_error = LB_ERROR_STORE_AWAY;
-  caller_open (&s.f, &caller);
+  caller_connect (&s.f, &caller);
   post_order (&caller, "idempotency-key", "k1");
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "store_away"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "store_away"));
   cr_assert (strstr (caller.text, "x-not-run: 1"));
   expect_no_call (&s);
   peer_close (&caller);
@@ -334,11 +334,11 @@
   setup_init (&s);
   s.store.transact_error = LB_ERROR_STORE_UNKNOWN;
   s.store.apply_on_error = true;
-  caller_open (&s.f, &caller);
+  caller_connect (&s.f, &caller);
   post_order (&caller, "idempotency-key", "k1");
-  endpoint_accept (&s.f, s.listener, &service);
+  endpoint_accept_call (&s.f, s.listener, &service);
   service_send_reply (&service, "order 7");
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "order 7"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "order 7"));
   peer_close (&service);
   peer_close (&caller);
   fixture_clear (&s.f);
@@ -356,17 +356,17 @@
   s.store.transact_error = LB_ERROR_STORE_UNKNOWN;
   s.store.get_error = LB_ERROR_STORE_AWAY;
   s.store.apply_on_error = true;
-  caller_open (&s.f, &caller);
+  caller_connect (&s.f, &caller);
   post_order (&caller, "idempotency-key", "k1");
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "x-not-run: 1"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "x-not-run: 1"));
   expect_no_call (&s);
   peer_clear_text (&caller);
   s.store.transact_error = LB_OK;
   s.store.get_error = LB_OK;
   post_order (&caller, "idempotency-key", "k1");
-  endpoint_accept (&s.f, s.listener, &service);
+  endpoint_accept_call (&s.f, s.listener, &service);
   service_send_reply (&service, "order 7");
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has (&caller, "order 7"));
+  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "order 7"));
   peer_close (&service);
   peer_close (&caller);
   fixture_clear (&s.f);
