--- a/packages/node/src/calls/ln-calls-requests.c
+++ b/packages/node/src/calls/ln-calls-requests.c
@@ -248,7 +248,7 @@
     }
   /* An instance that has just started may have its configuration before the crash reports, and
    * would crash one more endpoint with a request that all other instances refuse. */
-  if (!ln_crashes_is_ready (calls->crashes, lb_clock_monotonic ()))
+  if (!ln_crashes_is_initial_read_over (calls->crashes, lb_clock_monotonic ()))
     {
       refuse_request (calls, exchange, LB_ERROR_NOT_READY,
                       "crash reports are not loaded yet on this instance");
--- a/packages/node/src/config/ln-desired.c
+++ b/packages/node/src/config/ln-desired.c
@@ -112,8 +112,8 @@
   lc_desired_unref (task->desired);
   task->desired = desired;
   /* Endpoints are used only if the desired state names their service. */
-  ln_endpoint_list_set_desired (task->endpoint_list, desired);
-  ln_catalog_invalidate_list (task->catalog);
+  ln_endpoint_list_set_desired_state (task->endpoint_list, desired);
+  ln_catalog_invalidate_endpoint_list (task->catalog);
   lb_metric_set (&metric_desired_version, desired->version);
   message.desired = lc_desired_ref (desired);
   message.base.clear = clear_desired;
@@ -277,7 +277,7 @@
 
   if (must_list_endpoints (task, now))
     {
-      ln_catalog_invalidate_list (task->catalog);
+      ln_catalog_invalidate_endpoint_list (task->catalog);
       return;
     }
   post_list_applied (task, ln_catalog_publisher_name (task->catalog), valid_at);
@@ -332,7 +332,7 @@
   post_list_applied (task, task->context->instance, requested_at);
   if (lc_roster_apply_list (task->roster, list, n_list, requested_at, now))
     post_endpoints (task);
-  ln_weight_orders_apply_list (task->weight_orders, task->roster, requested_at, now);
+  ln_weight_orders_apply_endpoint_list (task->weight_orders, task->roster, requested_at, now);
   post_listed_endpoints (task);
   post_ready (task);
 }
@@ -431,10 +431,11 @@
   task->last_tick_at = now;
   ln_weight_orders_tick (task->weight_orders, now);
   post_orders_duty (task);
-  ln_engine_plans_set_needed (task->engine_plans,
-                              task->owns_batches || ln_weight_orders_has_lease (task->weight_orders)
-                                  || ln_weight_orders_is_lease_candidate (task->weight_orders),
-                              now);
+  ln_engine_plans_set_watched (task->engine_plans,
+                               task->owns_batches
+                                   || ln_weight_orders_has_lease (task->weight_orders)
+                                   || ln_weight_orders_is_lease_candidate (task->weight_orders),
+                               now);
   ln_engine_plans_tick (task->engine_plans, task->roster,
                         ln_weight_orders_has_lease (task->weight_orders), now);
 }
--- a/packages/node/src/endpoints/ln-crashes.c
+++ b/packages/node/src/endpoints/ln-crashes.c
@@ -317,7 +317,7 @@
 }
 
 bool
-ln_crashes_is_ready (const LnCrashes *crashes, LbTime now)
+ln_crashes_is_initial_read_over (const LnCrashes *crashes, LbTime now)
 {
   bool has_read
       = crashes->follower ? lp_follow_has_listed (crashes->follower) : crashes->has_scanned;
--- a/packages/node/src/endpoints/ln-crashes.h
+++ b/packages/node/src/endpoints/ln-crashes.h
@@ -24,7 +24,7 @@
 /* Publishes the pending clearances of the quarantine (see lc_quarantine_pop_clearance). */
 void ln_crashes_publish_clearances (LnCrashes *crashes);
 /* The rows written before this instance started have been read, or could not be read in time. */
-bool ln_crashes_is_ready (const LnCrashes *crashes, LbTime now);
+bool ln_crashes_is_initial_read_over (const LnCrashes *crashes, LbTime now);
 /* Handles a frame from another instance; false if it is of another kind or malformed. */
 bool ln_crashes_receive_frame (LnCrashes *crashes, const LnPeerMessage *frame);
 
--- a/packages/node/src/endpoints/ln-endpoint-list.c
+++ b/packages/node/src/endpoints/ln-endpoint-list.c
@@ -69,7 +69,7 @@
 }
 
 void
-ln_endpoint_list_set_desired (LnEndpointList *list, LcDesired *desired)
+ln_endpoint_list_set_desired_state (LnEndpointList *list, LcDesired *desired)
 {
   lc_desired_unref (list->desired);
   list->desired = lc_desired_ref (desired);
--- a/packages/node/src/endpoints/ln-endpoint-list.h
+++ b/packages/node/src/endpoints/ln-endpoint-list.h
@@ -25,7 +25,7 @@
 
 /* commands */
 /* Endpoints of services that are not in the desired state are omitted. Keeps a reference. */
-void ln_endpoint_list_set_desired (LnEndpointList *list, LcDesired *desired);
+void ln_endpoint_list_set_desired_state (LnEndpointList *list, LcDesired *desired);
 /* Starts a list. Must not be called while one is in progress. */
 void ln_endpoint_list_request (LnEndpointList *list, LbTime now);
 
--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -422,7 +422,7 @@
 }
 
 void
-ln_catalog_invalidate_list (LnCatalog *catalog)
+ln_catalog_invalidate_endpoint_list (LnCatalog *catalog)
 {
   catalog->delivered_change_count = -1;
 }
@@ -464,7 +464,7 @@
                               LbTime now)
 {
   catalog->own_list_requested_at = requested_at;
-  ln_catalog_invalidate_list (catalog);
+  ln_catalog_invalidate_endpoint_list (catalog);
   if (!catalog->has_had_many_endpoints)
     return;
   LcCatalogItem *items = LB_NEW_ARRAY (LcCatalogItem, n_endpoints + 1);
--- a/packages/node/src/membership/ln-catalog.h
+++ b/packages/node/src/membership/ln-catalog.h
@@ -40,7 +40,7 @@
 /* Sets the state of all instances, including this one, as this instance knows it. */
 void ln_catalog_set_members (LnCatalog *catalog, const LcFleetMember *members, size_t n_members);
 /* The next snapshot of the endpoints is delivered in full, even if it is unchanged. */
-void ln_catalog_invalidate_list (LnCatalog *catalog);
+void ln_catalog_invalidate_endpoint_list (LnCatalog *catalog);
 /* This instance is shutting down: it stops publishing. */
 void ln_catalog_drain (LnCatalog *catalog);
 /* Sets the list of endpoints that this instance read itself; requested_at: by its own clock. */
--- a/packages/node/src/membership/ln-fleet-lists.c
+++ b/packages/node/src/membership/ln-fleet-lists.c
@@ -78,7 +78,7 @@
 static const char *const duty_prefixes[] = { TABLE "/" DUTY_PART "/" };
 
 void
-ln_fleet_row_key (const LcFleetRow *row, bool on_duty, char *key)
+ln_fleet_row_format_key (const LcFleetRow *row, bool on_duty, char *key)
 {
   uint64_t hash = XXH3_64bits (row->name, strlen (row->name));
   LcDutyCandidate candidate = { .strength = row->strength };
@@ -205,7 +205,7 @@
   const LpTransaction transaction
       = { .token = "", .conditions = &condition, .n_conditions = 1, .puts = &put, .n_puts = 1 };
 
-  ln_fleet_row_key (&member->row, false, key);
+  ln_fleet_row_format_key (&member->row, false, key);
   lists->platform->klass->transact (lists->platform, &transaction, LP_PRIORITY_STATUS,
                                     on_row_removed, NULL);
 }
@@ -353,7 +353,7 @@
 }
 
 bool
-ln_fleet_lists_has_omitted (const LnFleetLists *lists, const char *instance)
+ln_fleet_lists_omits_instance (const LnFleetLists *lists, const char *instance)
 {
   if (lists->n_members * 100 < (size_t)LN_FLEET_DIRECTORY_MAX * FULL_PERCENT)
     return false;
@@ -364,13 +364,13 @@
 }
 
 size_t
-ln_fleet_lists_count (const LnFleetLists *lists)
+ln_fleet_lists_count_members (const LnFleetLists *lists)
 {
   return lists->n_members;
 }
 
 const LcFleetMember *
-ln_fleet_lists_at (const LnFleetLists *lists, size_t index)
+ln_fleet_lists_member_at (const LnFleetLists *lists, size_t index)
 {
   return &lists->members[index];
 }
--- a/packages/node/src/membership/ln-fleet-lists.h
+++ b/packages/node/src/membership/ln-fleet-lists.h
@@ -16,11 +16,11 @@
 /* Key of an instance's row in the directory, or of its row on duty. Within a part of the table,
  * keys sort in the order of preference for the directory. */
 #define LN_FLEET_KEY_SIZE (LB_NAME_MAX + 32)
-void ln_fleet_row_key (const LcFleetRow *row, bool on_duty, char *key);
+void ln_fleet_row_format_key (const LcFleetRow *row, bool on_duty, char *key);
 
 typedef struct LnFleetLists LnFleetLists;
 
-/* on_change: the instances or their states have changed; see ln_fleet_lists_at. */
+/* on_change: the instances or their states have changed; see ln_fleet_lists_member_at. */
 LnFleetLists *ln_fleet_lists_new (struct LpPlatform *platform,
                                   const char *self,
                                   void (*on_change) (void *user),
@@ -37,11 +37,11 @@
 
 /* queries */
 /* The directory is full and does not contain the instance. */
-bool ln_fleet_lists_has_omitted (const LnFleetLists *lists, const char *instance);
+bool ln_fleet_lists_omits_instance (const LnFleetLists *lists, const char *instance);
 /* The last list of the instances on duty contains a row of the instance, from its current or an
  * earlier incarnation. */
 bool ln_fleet_lists_has_duty_row (const LnFleetLists *lists, const char *instance);
-size_t ln_fleet_lists_count (const LnFleetLists *lists);
-const LcFleetMember *ln_fleet_lists_at (const LnFleetLists *lists, size_t index);
+size_t ln_fleet_lists_count_members (const LnFleetLists *lists);
+const LcFleetMember *ln_fleet_lists_member_at (const LnFleetLists *lists, size_t index);
 
 #endif
--- a/packages/node/src/membership/ln-fleet.c
+++ b/packages/node/src/membership/ln-fleet.c
@@ -47,13 +47,13 @@
 {
   LnMembersMessage message = { .base = LN_MESSAGE (LN_MEMBERS) };
 
-  message.n_members = ln_fleet_lists_count (task->lists);
-  message.is_omitted = ln_fleet_lists_has_omitted (task->lists, task->own_row.name);
+  message.n_members = ln_fleet_lists_count_members (task->lists);
+  message.is_omitted = ln_fleet_lists_omits_instance (task->lists, task->own_row.name);
   message.members = LB_NEW_ARRAY (LnMember, message.n_members + 1);
   message.base.clear = clear_members;
   for (size_t i = 0; i < message.n_members; i++)
     {
-      const LcFleetMember *known = ln_fleet_lists_at (task->lists, i);
+      const LcFleetMember *known = ln_fleet_lists_member_at (task->lists, i);
       LnMember *member = &message.members[i];
       LB_COPY (member->name, known->row.name);
       LB_COPY (member->incarnation, known->row.incarnation);
@@ -81,12 +81,13 @@
 post_fleet_to_config (Fleet *task)
 {
   LnTask *config = ln_hub_find_task (task->task.hub, "config");
-  size_t n = ln_fleet_lists_count (task->lists);
+  size_t n = ln_fleet_lists_count_members (task->lists);
   LnFleetMessage message = { .base = LN_MESSAGE (LN_FLEET), .n_members = n };
 
   if (!config || n == 0)
     return;
-  message.members = lb_memdup (ln_fleet_lists_at (task->lists, 0), n * sizeof (LcFleetMember));
+  message.members
+      = lb_memdup (ln_fleet_lists_member_at (task->lists, 0), n * sizeof (LcFleetMember));
   message.base.clear = clear_fleet;
   LN_POST (task->task.hub, config, message);
 }
@@ -96,9 +97,10 @@
 static const LcFleetMember *
 get_rotated_member (const Fleet *task, size_t index)
 {
-  size_t n = ln_fleet_lists_count (task->lists);
+  size_t n = ln_fleet_lists_count_members (task->lists);
 
-  return ln_fleet_lists_at (task->lists, (ln_context_random_seed (task->context) % n + index) % n);
+  return ln_fleet_lists_member_at (task->lists,
+                                   (ln_context_random_seed (task->context) % n + index) % n);
 }
 
 /* Sets the instances through which the store can be reached while this one is cut off from it. */
@@ -109,7 +111,7 @@
   LbName addresses[LP_MAX_PEERS];
   size_t n = 0;
 
-  for (size_t i = 0; i < ln_fleet_lists_count (task->lists) && n < LP_MAX_PEERS; i++)
+  for (size_t i = 0; i < ln_fleet_lists_count_members (task->lists) && n < LP_MAX_PEERS; i++)
     {
       const LcFleetMember *member = get_rotated_member (task, i);
       if (member->alive && member->row.peer_address[0]
@@ -148,7 +150,7 @@
   if (is_cut_off == task->own_row.cut)
     return;
   task->own_row.cut = is_cut_off;
-  if (!ln_fleet_lists_has_omitted (task->lists, task->own_row.name))
+  if (!ln_fleet_lists_omits_instance (task->lists, task->own_row.name))
     ln_fleet_renewal_write_now (task->renewal, now);
 }
 
@@ -174,8 +176,8 @@
   update_reachability (task, now);
   update_clock_lead (task, now);
   const LnFleetListSummary summary
-      = { .n_instances = ln_fleet_lists_count (task->lists),
-          .is_omitted = ln_fleet_lists_has_omitted (task->lists, task->own_row.name),
+      = { .n_instances = ln_fleet_lists_count_members (task->lists),
+          .is_omitted = ln_fleet_lists_omits_instance (task->lists, task->own_row.name),
           .has_duty_row = ln_fleet_lists_has_duty_row (task->lists, task->own_row.name) };
   ln_fleet_renewal_tick (task->renewal, &summary, now);
   ln_ticker_set_idle (ln_context_ticker (task->context),
@@ -208,7 +210,7 @@
 add_other_addresses (
     const Fleet *task, bool must_be_fresh, bool same_data_centre, const char **addresses, size_t *n)
 {
-  for (size_t i = 0; i < ln_fleet_lists_count (task->lists); i++)
+  for (size_t i = 0; i < ln_fleet_lists_count_members (task->lists); i++)
     {
       const LcFleetMember *member = get_rotated_member (task, i);
       bool is_in_data_centre = strcmp (member->row.data_centre, task->own_row.data_centre) == 0;
--- a/packages/node/src/membership/ln-peers-connections.c
+++ b/packages/node/src/membership/ln-peers-connections.c
@@ -51,7 +51,7 @@
 }
 
 void
-ln_peers_record_sent (const LnPeers *peers, const LnPeerConnection *connection)
+ln_peers_record_sent_frame (const LnPeers *peers, const LnPeerConnection *connection)
 {
   lc_membership_frame_sent (peers->membership, connection->id, lb_clock_monotonic ());
 }
--- a/packages/node/src/membership/ln-peers-frames.c
+++ b/packages/node/src/membership/ln-peers-frames.c
@@ -36,7 +36,7 @@
 
   send_frame (peers, connection, frame, length);
   if (message->type != LW_PING && message->type != LW_PONG)
-    ln_peers_record_sent (peers, connection);
+    ln_peers_record_sent_frame (peers, connection);
   free (frame);
 }
 
@@ -55,7 +55,7 @@
     if (name && (!except_name || strcmp (name, except_name) != 0)
         && lc_membership_find_link (peers->membership, name) == connection->id)
       {
-        ln_peers_record_sent (peers, connection);
+        ln_peers_record_sent_frame (peers, connection);
         send_frame (peers, connection, frame, length);
       }
   }
@@ -67,7 +67,7 @@
 {
   LnPeerConnection *connection = user;
 
-  ln_peers_record_sent (connection->user, connection);
+  ln_peers_record_sent_frame (connection->user, connection);
   if (!ln_peer_connection_send (connection, frame, length))
     lb_metric_add (&frames_dropped, 1);
 }
--- a/packages/node/src/membership/ln-peers-list.c
+++ b/packages/node/src/membership/ln-peers-list.c
@@ -101,7 +101,7 @@
 }
 
 void
-ln_peers_request_list (LnPeers *peers, LbTime now)
+ln_peers_request_platform_list (LnPeers *peers, LbTime now)
 {
   LpPlatform *platform = peers->context->platform;
 
--- a/packages/node/src/membership/ln-peers-listen.c
+++ b/packages/node/src/membership/ln-peers-listen.c
@@ -58,7 +58,7 @@
 
 /* Otherwise a client that connects and sends nothing would hold a socket forever. */
 void
-ln_peers_close_unauthenticated (LnPeers *peers, LbTime now)
+ln_peers_close_expired_handshakes (LnPeers *peers, LbTime now)
 {
   LB_LIST_FOREACH (&peers->connections, LnPeerConnection, link, connection)
   {
--- a/packages/node/src/membership/ln-peers-private.h
+++ b/packages/node/src/membership/ln-peers-private.h
@@ -47,7 +47,7 @@
 void ln_peers_free_connections (LbList *connections);
 /* Reports to the membership that a frame was sent on the connection, for which it expects an
  * answer. */
-void ln_peers_record_sent (const LnPeers *peers, const LnPeerConnection *connection);
+void ln_peers_record_sent_frame (const LnPeers *peers, const LnPeerConnection *connection);
 
 /* ln-peers-frames.c: functions that send may close the connection and add actions; the caller has
  * to call ln_peers_run_actions. */
@@ -81,10 +81,10 @@
  * returns false if it cannot be bound. */
 bool ln_peers_start_listening (LnPeers *peers);
 /* Closes accepted connections whose handshake was not done in time. */
-void ln_peers_close_unauthenticated (LnPeers *peers, LbTime now);
+void ln_peers_close_expired_handshakes (LnPeers *peers, LbTime now);
 
 /* ln-peers-list.c: requests the platform's list of instances when it is due. */
-void ln_peers_request_list (LnPeers *peers, LbTime now);
+void ln_peers_request_platform_list (LnPeers *peers, LbTime now);
 
 /* ln-peers-load.c: measures this instance's load when it is due, and passes it to the membership.
  */
--- a/packages/node/src/membership/ln-peers.c
+++ b/packages/node/src/membership/ln-peers.c
@@ -60,9 +60,9 @@
   if (!peers->membership)
     start_membership (peers, now);
   ln_peers_free_connections (&peers->closed_connections);
-  ln_peers_close_unauthenticated (peers, now);
+  ln_peers_close_expired_handshakes (peers, now);
   ln_peers_expire_outbox (peers, now);
-  ln_peers_request_list (peers, now);
+  ln_peers_request_platform_list (peers, now);
   ln_peers_measure_load (peers, now);
   lc_membership_tick (peers->membership, now, &peers->actions);
   ln_peers_run_actions (peers);
--- a/packages/node/src/weights/ln-engine-plans.c
+++ b/packages/node/src/weights/ln-engine-plans.c
@@ -135,7 +135,7 @@
 }
 
 void
-ln_engine_plans_set_needed (LnEnginePlans *plans, bool needed, LbTime now)
+ln_engine_plans_set_watched (LnEnginePlans *plans, bool needed, LbTime now)
 {
   lp_follow_set_list_interval (plans->row_watch, needed ? 0 : IDLE_READ_PAUSE, now);
 }
--- a/packages/node/src/weights/ln-engine-plans.h
+++ b/packages/node/src/weights/ln-engine-plans.h
@@ -15,7 +15,7 @@
                                     void *user);
 /* needed: this instance sends requests to engines, or may soon order their weights. Changes are
  * then received at once, otherwise at intervals. */
-void ln_engine_plans_set_needed (LnEnginePlans *plans, bool needed, LbTime now);
+void ln_engine_plans_set_watched (LnEnginePlans *plans, bool needed, LbTime now);
 void ln_engine_plans_free (LnEnginePlans *plans);
 void
 ln_engine_plans_add_demand (LnEnginePlans *plans, const char *model, int64_t tokens, LbTime now);
--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -272,10 +272,10 @@
 }
 
 void
-ln_weight_orders_apply_list (LnWeightOrders *orders,
-                             const LcRoster *roster,
-                             LbTime requested_at,
-                             LbTime now)
+ln_weight_orders_apply_endpoint_list (LnWeightOrders *orders,
+                                      const LcRoster *roster,
+                                      LbTime requested_at,
+                                      LbTime now)
 {
   for (size_t i = 0; i < lc_roster_count (roster); i++)
     {
--- a/packages/node/src/weights/ln-weight-orders.h
+++ b/packages/node/src/weights/ln-weight-orders.h
@@ -17,10 +17,10 @@
 
 void ln_weight_orders_configure (LnWeightOrders *orders, const LcResourceSet *set);
 /* Applies the versions in the store's list of endpoints, which was requested at requested_at. */
-void ln_weight_orders_apply_list (LnWeightOrders *orders,
-                                  const LcRoster *roster,
-                                  LbTime requested_at,
-                                  LbTime now);
+void ln_weight_orders_apply_endpoint_list (LnWeightOrders *orders,
+                                           const LcRoster *roster,
+                                           LbTime requested_at,
+                                           LbTime now);
 void ln_weight_orders_set_newest_version (LnWeightOrders *orders,
                                           const char *model,
                                           LcVersion version,
--- a/packages/node/tests/test-fleet-directory.c
+++ b/packages/node/tests/test-fleet-directory.c
@@ -91,7 +91,7 @@
       format_name (i, row.name);
       LB_COPY (row.incarnation, "1");
       LB_COPY (row.caller_address, "10.0.0.1:80");
-      ln_fleet_row_key (&row, false, store->rows[i].key);
+      ln_fleet_row_format_key (&row, false, store->rows[i].key);
       struct json_object *object = lc_fleet_row_to_json (&row);
       store->rows[i].value = lb_strdup (json_object_to_json_string (object));
       json_object_put (object);
@@ -118,8 +118,8 @@
 {
   size_t n = 0;
 
-  for (size_t i = 0; i < ln_fleet_lists_count (lists); i++)
-    n += ln_fleet_lists_at (lists, i)->row.strength == lc_duty_machine_strength (0.5, 600);
+  for (size_t i = 0; i < ln_fleet_lists_count_members (lists); i++)
+    n += ln_fleet_lists_member_at (lists, i)->row.strength == lc_duty_machine_strength (0.5, 600);
   return n;
 }
 
@@ -136,7 +136,7 @@
       ln_fleet_lists_tick (lists, lb_clock_monotonic ());
       cr_assert_eq (store.n_rows_returned, LN_FLEET_DIRECTORY_MAX);
       cr_assert_leq (store.n_lists, 9);
-      cr_assert_eq (ln_fleet_lists_count (lists), LN_FLEET_DIRECTORY_MAX);
+      cr_assert_eq (ln_fleet_lists_count_members (lists), LN_FLEET_DIRECTORY_MAX);
       cr_assert_geq (count_strong (lists) * 100, LN_FLEET_DIRECTORY_MAX * 80);
       ln_fleet_lists_free (lists);
       store_clear (&store);
@@ -151,9 +151,9 @@
   store_init (&store, 100);
   LnFleetLists *lists = ln_fleet_lists_new (&store.platform, "front-0", on_change, NULL);
   ln_fleet_lists_tick (lists, lb_clock_monotonic ());
-  cr_assert_eq (ln_fleet_lists_count (lists), 100);
-  cr_assert_not (ln_fleet_lists_has_omitted (lists, "front-99"));
-  cr_assert_not (ln_fleet_lists_has_omitted (lists, "unknown"));
+  cr_assert_eq (ln_fleet_lists_count_members (lists), 100);
+  cr_assert_not (ln_fleet_lists_omits_instance (lists, "front-99"));
+  cr_assert_not (ln_fleet_lists_omits_instance (lists, "unknown"));
   ln_fleet_lists_free (lists);
   store_clear (&store);
 }
@@ -170,7 +170,7 @@
   for (size_t i = 0; i < 1000; i++)
     {
       format_name (i, name);
-      n_omitted += ln_fleet_lists_has_omitted (lists, name);
+      n_omitted += ln_fleet_lists_omits_instance (lists, name);
     }
   cr_assert_eq (n_omitted, 1000 - LN_FLEET_DIRECTORY_MAX);
   ln_fleet_lists_free (lists);
--- a/packages/node/tests/test-fleet-lists.c
+++ b/packages/node/tests/test-fleet-lists.c
@@ -101,9 +101,9 @@
 static const LcFleetMember *
 find_member (const LnFleetLists *lists, const char *name)
 {
-  for (size_t i = 0; i < ln_fleet_lists_count (lists); i++)
-    if (strcmp (ln_fleet_lists_at (lists, i)->row.name, name) == 0)
-      return ln_fleet_lists_at (lists, i);
+  for (size_t i = 0; i < ln_fleet_lists_count_members (lists); i++)
+    if (strcmp (ln_fleet_lists_member_at (lists, i)->row.name, name) == 0)
+      return ln_fleet_lists_member_at (lists, i);
   return NULL;
 }
 
--- a/packages/node/tests/test-fleet-renewal.c
+++ b/packages/node/tests/test-fleet-renewal.c
@@ -102,7 +102,7 @@
   char key[LN_FLEET_KEY_SIZE];
   size_t n = 0;
 
-  ln_fleet_row_key (&s->row, on_duty, key);
+  ln_fleet_row_format_key (&s->row, on_duty, key);
   for (size_t i = 0; i < s->store.n_writes; i++)
     n += strcmp (s->store.writes[i].key, key) == 0 && s->store.writes[i].is_removal == is_removal;
   return n;
