--- a/packages/node/src/endpoints/ln-crash-frame.c
+++ b/packages/node/src/endpoints/ln-crash-frame.c
@@ -6,12 +6,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TOPIC "calls"
-#define KIND "crash"
-#define N_FIELDS 3 /* kind, key, text */
+#define FRAME_TOPIC "calls"
+#define FRAME_KIND "crash"
+#define N_FRAME_FIELDS 3 /* elements of the frame's array: kind, key, text */
 
 static void
-clear_frame (LnMessage *message)
+free_payload (LnMessage *message)
 {
   free (((LnPeerMessage *)message)->payload);
 }
@@ -20,7 +20,7 @@
 ln_crash_frame_send (LnHub *hub, const char *key, const char *text)
 {
   LnTask *peers = ln_hub_find_task (hub, "peers");
-  LnPeerMessage message = { .base = LN_MESSAGE (LN_PEER_SEND), .topic = TOPIC };
+  LnPeerMessage message = { .base = LN_MESSAGE (LN_PEER_SEND), .topic = FRAME_TOPIC };
   msgpack_sbuffer buffer;
   msgpack_packer packer;
 
@@ -28,11 +28,11 @@
     return;
   msgpack_sbuffer_init (&buffer);
   msgpack_packer_init (&packer, &buffer, msgpack_sbuffer_write);
-  msgpack_pack_array (&packer, N_FIELDS);
-  ln_pack_text (&packer, KIND);
+  msgpack_pack_array (&packer, N_FRAME_FIELDS);
+  ln_pack_text (&packer, FRAME_KIND);
   ln_pack_text (&packer, key);
   ln_pack_text (&packer, text);
-  message.base.clear = clear_frame;
+  message.base.clear = free_payload;
   message.payload = lb_memdup (buffer.data, buffer.size);
   message.length = buffer.size;
   msgpack_sbuffer_destroy (&buffer);
@@ -40,13 +40,13 @@
 }
 
 static bool
-parse_fields (const msgpack_object *object, LnCrashFrame *row)
+parse_crash_fields (const msgpack_object *object, LnCrashFrame *row)
 {
   const msgpack_object *fields = object->via.array.ptr;
-  char kind[sizeof KIND];
+  char kind[sizeof FRAME_KIND];
 
-  return object->type == MSGPACK_OBJECT_ARRAY && object->via.array.size == N_FIELDS
-         && ln_unpack_text (&fields[0], kind, sizeof kind) && strcmp (kind, KIND) == 0
+  return object->type == MSGPACK_OBJECT_ARRAY && object->via.array.size == N_FRAME_FIELDS
+         && ln_unpack_text (&fields[0], kind, sizeof kind) && strcmp (kind, FRAME_KIND) == 0
          && ln_unpack_text (&fields[1], row->key, sizeof row->key)
          && ln_unpack_text (&fields[2], row->text, sizeof row->text);
 }
@@ -61,7 +61,7 @@
   msgpack_unpacked_init (&unpacked);
   ok = msgpack_unpack_next (&unpacked, frame->payload, frame->length, &offset)
            == MSGPACK_UNPACK_SUCCESS
-       && parse_fields (&unpacked.data, row);
+       && parse_crash_fields (&unpacked.data, row);
   msgpack_unpacked_destroy (&unpacked);
   return ok;
 }
--- a/packages/node/src/endpoints/ln-crash-frame.h
+++ b/packages/node/src/endpoints/ln-crash-frame.h
@@ -4,19 +4,21 @@
 #include "lc-quarantine.h"
 #include "ln-messages.h"
 
-/* Bytes of a row's text; enough for LC_MAX_REPORT_FINGERPRINTS fingerprints and all names. */
+/* Size of a row's JSON text in bytes, enough for LC_MAX_REPORT_FINGERPRINTS fingerprints and an
+ * endpoint's name. */
 #define LN_CRASH_TEXT_SIZE 2048
 
-/* The store row of a crash report or clearance, as one instance sends it to the others. */
+/* Store row of a crash report, or of the clearance of a request that an endpoint answered; an
+ * instance sends it to the others in a frame. */
 typedef struct
 {
   char key[LC_CRASH_REPORT_ID_SIZE];
-  char text[LN_CRASH_TEXT_SIZE]; /* value of the row */
+  char text[LN_CRASH_TEXT_SIZE]; /* value of the row, JSON */
 } LnCrashFrame;
 
-/* Sends the row to all instances; does nothing if there is no task "peers". */
+/* Sends the row to all other instances; does nothing if this instance has no task "peers". */
 void ln_crash_frame_send (LnHub *hub, const char *key, const char *text);
-/* False if the frame is of another kind or malformed. */
+/* Returns false if the frame does not contain a crash row or is malformed. */
 bool ln_crash_frame_read (const LnPeerMessage *frame, LnCrashFrame *row);
 
 #endif
--- a/packages/node/src/endpoints/ln-crash-row.h
+++ b/packages/node/src/endpoints/ln-crash-row.h
@@ -3,23 +3,28 @@
 
 #include "lc-quarantine.h"
 
-/* Row in which an instance shares a crash report, or a clearance of a request, with the others. */
+/* Store row with which an instance shares a crash report, or the clearance of a request that an
+ * endpoint answered, with the other instances. */
 typedef struct
 {
-  bool is_clearance;    /* clears report.fingerprints[0]: an endpoint answered that request at
-                           report.at */
-  LcCrashReport report; /* the report, if not a clearance; its id is not part of the text */
-  int64_t at_ms;        /* report.at by the store's clock; 0: unknown */
+  bool is_clearance; /* an endpoint answered the request report.fingerprints[0] at report.at, so the
+                        request did not cause the crashes */
+  LcCrashReport report; /* a clearance sets only the time and one fingerprint; the id is the row's
+                           key and not part of its text */
+  int64_t at_ms;        /* report.at in milliseconds of the store's clock; 0: unknown */
 } LnCrashRow;
 
 struct json_object;
 
-/* JSON array of the fingerprints in text form, as in rows and log lines. */
+/* Returns a JSON array of the fingerprints in hex, as rows and log lines have them; the caller
+ * frees the array.
+ */
 struct json_object *ln_crash_fingerprints_to_json (const LcFingerprint *fingerprints,
                                                    size_t n_fingerprints);
-/* The caller frees it. */
+/* Returns the row's JSON text, which the caller frees. */
 char *ln_crash_row_to_text (const LnCrashRow *row);
-/* Does not set report.id and report.at. */
+/* Parses the row's JSON text; returns false and sets `error` if the text is malformed. The caller
+ * sets report.id and report.at, which are not in the text. */
 bool ln_crash_row_from_text (const char *text, LnCrashRow *row, LbError *error);
 
 #endif
--- a/packages/node/src/endpoints/ln-crashes.c
+++ b/packages/node/src/endpoints/ln-crashes.c
@@ -17,25 +17,27 @@
 
 #define TABLE "crash"
 #define KEY_PREFIX TABLE "/all/"
-/* Timeout of one watch, and so the time until a silent connection is noticed. It is below the three
- * seconds within which all instances have to know of a bad request; a shorter one would cost each
- * instance more than half a store call per second. */
+/* Timeout of one watch call, which also bounds how long a dead connection goes unnoticed. It is
+ * below the three seconds within which all instances have to know of a request that crashes
+ * endpoints. A shorter timeout would cost each instance more than half a store call per second. */
 #define WATCH_TIMEOUT (2 * LB_SEC)
 #define WATCH_RETRY_DELAY (100 * LB_MSEC)
 /* Maximum random delay before an expired row is removed, so that not all instances remove the same
  * rows. */
 #define MAX_REMOVAL_DELAY (600 * LB_SEC)
-/* On a platform whose rows can't be followed, instances also send them in frames; as these may be
- * lost with their connection, the rows are scanned at this period. */
+/* Time between two scans of the rows on a platform without watches. Instances there also send each
+ * row in a frame, but a frame may be lost with its connection. */
 #define SCAN_PERIOD (5 * LB_SEC)
-/* A row that was received less than this ago may be missing from a list requested before that. */
-#define SETTLE_TIME (10 * LB_SEC)
-/* Maximum time that a new instance waits for the existing rows: a few replies of a slow store. */
+/* A row received less than this time ago is kept if a list does not contain it, because the list
+ * may have been requested before the row was written. */
+#define NEW_ROW_GRACE_TIME (10 * LB_SEC)
+/* Maximum time that a new instance waits for the existing rows; enough for a few replies of a slow
+ * store. */
 #define MAX_INITIAL_READ_TIME (2 * LB_SEC)
-/* Maximum of rows that this instance keeps track of, to remove them when they expire. */
+/* Maximum number of rows that this instance tracks in order to remove them when they expire. */
 #define MAX_KNOWN_ROWS 1024
 
-/* A row that is in the store. */
+/* A row of the store that this instance has read or written. */
 typedef struct
 {
   LbLink link;
@@ -48,23 +50,24 @@
 {
   LnContext *context;
   LcQuarantine *quarantine;
-  LpFollow *follower; /* NULL: rows can't be followed on this platform, and are scanned */
-  LbList rows;        /* of KnownRow */
+  LpFollow *follower; /* watches the rows; NULL: scans them on a platform without watches */
+  LbList rows;        /* list of KnownRow, oldest first */
   LnUnwrittenRows *unwritten;
-  uint64_t report_count;     /* reports of this instance so far */
+  uint64_t report_count;     /* number of crash reports by this instance, part of their ids */
   LbTime store_clock_offset; /* the store's clock minus this instance's clock */
   bool has_store_clock;
   LbTime next_scan_at;
   bool is_scanning;
-  bool is_complete_copy; /* the next rows are a complete copy of the table */
+  bool is_complete_copy; /* the next delivered rows are the whole table, not only changes */
   bool has_scanned;
   LbTime started_at;
 };
 
 /* --- clocks --- */
 
-/* Times in rows are by the store's steady clock, which all instances know from its answers; without
- * one, by the time of day, which is accurate enough for lifetimes of an hour. */
+/* Times in rows are by the store's monotonic clock, which all instances know from the store's
+ * answers. On a store without a clock they are by the wall clock, which is accurate enough for
+ * report lifetimes of an hour. */
 static void
 update_store_clock (LnCrashes *crashes)
 {
@@ -84,8 +87,8 @@
   return crashes->has_store_clock ? (at + crashes->store_clock_offset) / LB_MSEC : 0;
 }
 
-/* Times that are unknown or in the future count as now: the report lasts longer than it should
- * rather than not counting at all. */
+/* Replaces an unknown or future time by the current time: the report then expires late instead of
+ * being ignored. */
 static LbTime
 convert_from_store_ms (const LnCrashes *crashes, int64_t ms, LbTime now)
 {
@@ -154,7 +157,8 @@
     lc_quarantine_add_report (crashes->quarantine, &row.report, now);
 }
 
-/* A row is removed when it has expired, or by operators who release a request from quarantine. */
+/* Applies the removal of a row from the store: the row expired, or an operator released its request
+ * from quarantine. */
 static void
 apply_removal (LnCrashes *crashes, const char *key)
 {
@@ -166,7 +170,7 @@
 }
 
 static bool
-has_key (const char *key, const LpRow *rows, size_t n_rows)
+has_row_with_key (const char *key, const LpRow *rows, size_t n_rows)
 {
   for (size_t i = 0; i < n_rows; i++)
     if (strcmp (rows[i].key, key) == 0)
@@ -181,7 +185,7 @@
 {
   LB_LIST_FOREACH (&crashes->rows, KnownRow, link, row)
   {
-    if (now - row->received_at < SETTLE_TIME || has_key (row->key, rows, n_rows))
+    if (now - row->received_at < NEW_ROW_GRACE_TIME || has_row_with_key (row->key, rows, n_rows))
       continue;
     lc_quarantine_withdraw_report (crashes->quarantine, row->key);
     remove_known_row (crashes, row);
@@ -237,7 +241,8 @@
 
 /* --- writing rows --- */
 
-/* Where rows can't be followed, running instances get them in frames. */
+/* Writes the row to the store and, on a platform without watches, sends it to the running instances
+ * in a frame. */
 static void
 publish_row (LnCrashes *crashes, const char *key, const LnCrashRow *row)
 {
@@ -326,7 +331,7 @@
 }
 
 static void
-scan_if_due (LnCrashes *crashes, LbTime now)
+scan_rows_if_due (LnCrashes *crashes, LbTime now)
 {
   LpPlatform *platform = crashes->context->platform;
 
@@ -344,7 +349,7 @@
   else
     {
       update_store_clock (crashes);
-      scan_if_due (crashes, now);
+      scan_rows_if_due (crashes, now);
     }
   lc_quarantine_expire (crashes->quarantine, now);
   ln_unwritten_rows_retry (crashes->unwritten);
--- a/packages/node/src/endpoints/ln-crashes.h
+++ b/packages/node/src/endpoints/ln-crashes.h
@@ -5,27 +5,31 @@
 #include "ln-context.h"
 #include "ln-messages.h"
 
-/* Shares crash reports (which requests endpoints crashed under) and clearances among the instances,
- * since a caller may send the same request to any of them. They are kept as rows in the platform's
- * store, so that they survive a restart of all instances. */
+/* Shares crash reports (requests under which an endpoint crashed) and clearances (requests that an
+ * endpoint answered) among the instances, since a caller may send the same request to any instance.
+ * Both are rows in the platform's store, so that they survive a restart of all instances.
+ */
 typedef struct LnCrashes LnCrashes;
 
 LnCrashes *ln_crashes_new (LnContext *context, LcQuarantine *quarantine);
 void ln_crashes_free (LnCrashes *crashes);
 
-/* Reads the rows of other instances, and retries writes that failed. */
+/* Reads the rows of other instances, retries failed writes and removes expired rows. */
 void ln_crashes_tick (LnCrashes *crashes, LbTime now);
-/* Reports that an endpoint crashed under requests of this instance. */
+/* Publishes a crash report: the endpoint crashed at `at`, and the requests of this instance with
+ * these fingerprints failed with it. */
 void ln_crashes_report_crash (LnCrashes *crashes,
                               const char *endpoint,
                               LbTime at,
                               const LcFingerprint *fingerprints,
                               size_t n_fingerprints);
-/* Publishes the pending clearances of the quarantine (see lc_quarantine_pop_clearance). */
+/* Publishes the clearances that are pending in the quarantine (see lc_quarantine_pop_clearance). */
 void ln_crashes_publish_clearances (LnCrashes *crashes);
-/* The rows written before this instance started have been read, or could not be read in time. */
+/* Returns true once the rows written before this instance started have been read, or two seconds
+ * after its start if they could not be read. */
 bool ln_crashes_is_initial_read_over (const LnCrashes *crashes, LbTime now);
-/* Handles a frame from another instance; false if it is of another kind or malformed. */
+/* Applies the crash row in a frame from another instance. Returns false if the frame does not
+ * contain a crash row or is malformed. */
 bool ln_crashes_receive_frame (LnCrashes *crashes, const LnPeerMessage *frame);
 
 #endif
--- a/packages/node/src/endpoints/ln-endpoint-checks.c
+++ b/packages/node/src/endpoints/ln-endpoint-checks.c
@@ -15,11 +15,11 @@
 
 /* Timeout of one probe: a hundred round trips between data centres. */
 #define PROBE_TIMEOUT (250 * LB_MSEC)
-/* How long a probe's connection is watched. A process that exits loses its connections before its
- * listening socket, on a busy machine by some ten milliseconds. */
+/* Time for which an accepted probe connection must stay open. An exiting process loses its
+ * connections before its listening socket, on a busy machine by some ten milliseconds. */
 #define PROBE_HOLD_TIME (300 * LB_MSEC)
-/* Maximum number of failed requests kept per endpoint, several times its concurrent requests;
- * further ones are ignored. */
+/* Maximum number of failed requests recorded per check, several times the concurrent requests of an
+ * endpoint; further requests are not recorded. */
 #define MAX_FINGERPRINTS LC_MAX_REPORT_FINGERPRINTS
 
 typedef struct
@@ -29,7 +29,7 @@
   LhReach *probe;
   LbName endpoint;
   LbName address;
-  LbTime failed_at; /* the first failure */
+  LbTime failed_at; /* time of the first failed request */
   LcFingerprint fingerprints[MAX_FINGERPRINTS];
   size_t n_fingerprints;
 } Check;
@@ -95,11 +95,11 @@
   json_object_put (fingerprints);
 }
 
-static bool start_probe (Check *check, LbTime hold);
+static bool start_probe (Check *check, LbTime hold_time);
 
-/* If the connection was accepted and then closed, probes a second time. An endpoint that is just
- * exiting does that, and refuses the second connection; one that is alive may close connections
- * because it has too many. */
+/* Probes a second time if the connection was accepted and then closed. An exiting endpoint does so
+ * and refuses the second connection; a live endpoint may close connections if it has too many.
+ */
 static void
 on_probe_done (LhReachOutcome outcome, void *user)
 {
@@ -119,7 +119,7 @@
 }
 
 static Check *
-find_check (LnEndpointChecks *checks, const char *endpoint)
+find_running_check (LnEndpointChecks *checks, const char *endpoint)
 {
   LB_LIST_FOREACH (&checks->running, Check, link, check)
   {
@@ -130,9 +130,9 @@
 }
 
 static bool
-start_probe (Check *check, LbTime hold)
+start_probe (Check *check, LbTime hold_time)
 {
-  const LhReachTimes times = { .connect_timeout = PROBE_TIMEOUT, .hold_time = hold };
+  const LhReachTimes times = { .connect_timeout = PROBE_TIMEOUT, .hold_time = hold_time };
 
   check->probe
       = lh_reach_start (check->owner->context->base, check->address, &times, on_probe_done, check);
@@ -163,7 +163,7 @@
                                    const char *address,
                                    LcFingerprint fingerprint)
 {
-  Check *check = find_check (checks, endpoint);
+  Check *check = find_running_check (checks, endpoint);
 
   if (!check)
     check = start_check (checks, endpoint, address);
--- a/packages/node/src/endpoints/ln-endpoint-checks.h
+++ b/packages/node/src/endpoints/ln-endpoint-checks.h
@@ -4,11 +4,11 @@
 #include "lc-quarantine.h"
 #include "ln-context.h"
 
-/* Distinguishes a crashed endpoint from one that aborted a single answer. Both close the connection
- * of the request, but only a crashed one refuses new connections right afterwards. */
+/* Distinguishes a crashed endpoint from one that aborted a single answer. Both close the request's
+ * connection, but only a crashed endpoint refuses new connections right afterwards. */
 typedef struct LnEndpointChecks LnEndpointChecks;
 
-/* The endpoint crashed, and the requests with these fingerprints failed with it. */
+/* Called when an endpoint has crashed. fingerprints: of the requests that failed with it. */
 typedef void (*LnEndpointCrashed) (const char *endpoint,
                                    LbTime failed_at,
                                    const LcFingerprint *fingerprints,
@@ -19,8 +19,8 @@
 ln_endpoint_checks_new (LnContext *context, LnEndpointCrashed on_crashed, void *user);
 void ln_endpoint_checks_free (LnEndpointChecks *checks);
 
-/* A request failed at the endpoint before any byte of an answer arrived. Requests that fail there
- * while the check runs share its outcome. */
+/* Starts a check of the endpoint after a request failed there before any byte of its answer
+ * arrived. Requests that fail at the endpoint during the check share its outcome. */
 void ln_endpoint_checks_request_failed (LnEndpointChecks *checks,
                                         const char *endpoint,
                                         const char *address,
--- a/packages/node/src/endpoints/ln-endpoint-list.c
+++ b/packages/node/src/endpoints/ln-endpoint-list.c
@@ -20,19 +20,19 @@
   LnRowCache *row_cache;
   LnUnreadableRows *unreadable_rows;
   LcSubset *subset;
-  LcDesired *desired; /* NULL: unknown so far */
+  LcDesired *desired; /* NULL: not known yet */
   bool is_in_progress;
   LbTime requested_at;
   int64_t page_size;
   size_t n_pages;
-  size_t logged_pages;           /* number of pages last logged */
-  LcRegistration *registrations; /* from the pages read so far */
+  size_t logged_pages;           /* n_pages in the last log line */
+  LcRegistration *registrations; /* parsed from the pages read since the last request */
   size_t n_registrations;
   size_t capacity;
 };
 
 static bool
-parse_row (const LpRow *row, void *parsed, LbError *error, void *user)
+parse_endpoint_row (const LpRow *row, void *parsed, LbError *error, void *user)
 {
   const LnEndpointList *list = user;
 
@@ -49,7 +49,7 @@
   list->user = user;
   list->row_class
       = (LnRowCacheClass){ .size = sizeof (LcRegistration),
-                           .parse = parse_row,
+                           .parse = parse_endpoint_row,
                            .counter_prefix = context->dialect->registration_counter_prefix };
   list->row_cache = ln_row_cache_new (&list->row_class, list);
   list->unreadable_rows = ln_unreadable_rows_new ();
@@ -78,9 +78,9 @@
     lc_subset_expect_service (list->subset, desired->services[i].name);
 }
 
-/* Rejects endpoints of services that are not in the desired state: they serve no route, and an
- * engine among them would be given weights and samples. Until the desired state is known, no
- * endpoint is rejected. */
+/* Parses the row, and rejects an endpoint whose service is not in the desired state: no route leads
+ * to the endpoint, but if it is an engine, it would be given weights and samples. Until the desired
+ * state is known, no endpoint is rejected. */
 static const LcRegistration *
 read_registration (LnEndpointList *list, const LpRow *row, LbError *error)
 {
@@ -107,7 +107,7 @@
 }
 
 static void
-add_row (LnEndpointList *list, const LpRow *row)
+add_endpoint_row (LnEndpointList *list, const LpRow *row)
 {
   LbError error = { 0 };
   const LcRegistration *registration = read_registration (list, row, &error);
@@ -158,7 +158,7 @@
     }
   list->n_pages++;
   for (size_t i = 0; i < n_rows; i++)
-    add_row (list, &rows[i]);
+    add_endpoint_row (list, &rows[i]);
   if (lc_subset_end_page (list->subset, last, is_last))
     request_page (list, last);
   else
--- a/packages/node/src/endpoints/ln-endpoint-list.h
+++ b/packages/node/src/endpoints/ln-endpoint-list.h
@@ -6,8 +6,8 @@
 #include "lc-subset.h"
 #include "ln-context.h"
 
-/* Lists endpoints from the shared platform's store, page by page, as far as the subset needs them.
- */
+/* Lists endpoints from the shared platform's store, page by page, until this instance's subset of
+ * the endpoints is complete. */
 typedef struct LnEndpointList LnEndpointList;
 
 typedef struct
@@ -23,13 +23,14 @@
 ln_endpoint_list_new (LnContext *context, const LnEndpointListHandlers *handlers, void *user);
 void ln_endpoint_list_free (LnEndpointList *list);
 
-/* commands */
-/* Endpoints of services that are not in the desired state are omitted. Keeps a reference. */
+/* commands: change the list */
+/* Sets the desired state and keeps a reference to it. Endpoints of services that it does not
+ * contain are omitted from the list. */
 void ln_endpoint_list_set_desired_state (LnEndpointList *list, LcDesired *desired);
-/* Starts a list. Must not be called while one is in progress. */
+/* Requests a new list. Must not be called while a list is in progress. */
 void ln_endpoint_list_request (LnEndpointList *list, LbTime now);
 
-/* queries */
+/* queries: leave the list unchanged */
 bool ln_endpoint_list_is_in_progress (const LnEndpointList *list);
 LbTime ln_endpoint_list_requested_at (const LnEndpointList *list);
 LcSubset *ln_endpoint_list_subset (LnEndpointList *list);
--- a/packages/node/src/endpoints/ln-leaving.c
+++ b/packages/node/src/endpoints/ln-leaving.c
@@ -10,8 +10,8 @@
 #include <string.h>
 #include <uthash.h>
 
-#define TOPIC "calls"
-#define N_FIELDS 2
+#define FRAME_TOPIC "calls"
+#define N_FRAME_FIELDS 2 /* elements of the frame's array: endpoint name, incarnation */
 
 typedef struct
 {
@@ -23,7 +23,7 @@
 struct LnLeaving
 {
   LnTask *task;
-  AnnouncedEndpoint *announced; /* hash table by endpoint */
+  AnnouncedEndpoint *announced; /* hash table by endpoint name */
 };
 
 LnLeaving *
@@ -49,7 +49,8 @@
   free (leaving);
 }
 
-/* Returns true if the endpoint had not been marked for this incarnation. */
+/* Records that this incarnation of the endpoint was announced; returns false if that was recorded
+ * before. */
 static bool
 mark_announced (LnLeaving *leaving, const char *endpoint, const char *incarnation)
 {
@@ -69,7 +70,7 @@
 }
 
 static void
-clear_peer_message (LnMessage *message)
+free_payload (LnMessage *message)
 {
   free (((LnPeerMessage *)message)->payload);
 }
@@ -77,27 +78,27 @@
 static void
 broadcast_leaving (LnTask *peers, const LcEndpoint *endpoint)
 {
-  LnPeerMessage message = { .base = LN_MESSAGE (LN_PEER_SEND), .topic = TOPIC };
+  LnPeerMessage message = { .base = LN_MESSAGE (LN_PEER_SEND), .topic = FRAME_TOPIC };
   msgpack_sbuffer buffer;
   msgpack_packer packer;
 
   msgpack_sbuffer_init (&buffer);
   msgpack_packer_init (&packer, &buffer, msgpack_sbuffer_write);
-  msgpack_pack_array (&packer, N_FIELDS);
+  msgpack_pack_array (&packer, N_FRAME_FIELDS);
   ln_pack_text (&packer, endpoint->member.name);
   ln_pack_text (&packer, endpoint->report.incarnation);
-  message.base.clear = clear_peer_message;
+  message.base.clear = free_payload;
   message.payload = lb_memdup (buffer.data, buffer.size);
   message.length = buffer.size;
   msgpack_sbuffer_destroy (&buffer);
   LN_POST (peers->hub, peers, message);
 }
 
-/* An endpoint announces that it is leaving to a single instance, in a refusal or a load report;
- * without this notification the others would send it new work until they have polled it themselves.
- * Endpoints that are marked as leaving in the resources are skipped, since all instances know
- * these; so are those without an incarnation, since the others could not tell which incarnation is
- * meant. */
+/* An endpoint reports that it is leaving to a single instance, in a refusal or a load report.
+ * Without this notification the other instances would send it new work until they poll it. Skips
+ * endpoints that are marked as leaving in the resources, since all instances know that, and
+ * endpoints without an incarnation, since the notification could also apply to a restarted
+ * endpoint. */
 void
 ln_leaving_announce (LnLeaving *leaving, const LcEndpoint *endpoint)
 {
@@ -111,9 +112,9 @@
 }
 
 static bool
-parse_fields (const msgpack_object *object, LnEndpointLeavingMessage *message)
+parse_leaving_fields (const msgpack_object *object, LnEndpointLeavingMessage *message)
 {
-  return object->type == MSGPACK_OBJECT_ARRAY && object->via.array.size == N_FIELDS
+  return object->type == MSGPACK_OBJECT_ARRAY && object->via.array.size == N_FRAME_FIELDS
          && ln_unpack_text (&object->via.array.ptr[0], message->endpoint, sizeof message->endpoint)
          && ln_unpack_text (&object->via.array.ptr[1], message->incarnation,
                             sizeof message->incarnation);
@@ -132,7 +133,7 @@
   msgpack_unpacked_init (&unpacked);
   bool ok = msgpack_unpack_next (&unpacked, frame->payload, frame->length, &offset)
                 == MSGPACK_UNPACK_SUCCESS
-            && parse_fields (&unpacked.data, message);
+            && parse_leaving_fields (&unpacked.data, message);
   msgpack_unpacked_destroy (&unpacked);
   if (ok)
     mark_announced (leaving, message->endpoint, message->incarnation);
--- a/packages/node/src/endpoints/ln-leaving.h
+++ b/packages/node/src/endpoints/ln-leaving.h
@@ -4,18 +4,18 @@
 #include "lc-endpoints.h"
 #include "ln-messages.h"
 
-/* Notifies the other instances of leaving endpoints, and reads such notifications from them. */
+/* Notifies the other instances of endpoints that are leaving (and get no new work), and reads such
+ * notifications. */
 typedef struct LnLeaving LnLeaving;
 
 LnLeaving *ln_leaving_new (LnTask *task);
 void ln_leaving_free (LnLeaving *leaving);
 
-/* Notifies all instances, once per incarnation, that the endpoint is leaving; does nothing if it is
- * not. */
+/* If the endpoint is leaving, notifies all instances, once per incarnation of the endpoint. */
 void ln_leaving_announce (LnLeaving *leaving, const LcEndpoint *endpoint);
 
-/* Reads a frame of ln_leaving_announce; false if it is malformed. The endpoint is then not
- * announced again by this instance. */
+/* Reads a notification that another instance sent with ln_leaving_announce; returns false if it is
+ * malformed. This instance then does not announce the same incarnation of the endpoint again. */
 bool ln_leaving_receive_frame (LnLeaving *leaving,
                                const LnPeerMessage *frame,
                                LnEndpointLeavingMessage *message);
