--- a/packages/node/src/endpoints/ln-crash-row.h
+++ b/packages/node/src/endpoints/ln-crash-row.h
@@ -16,9 +16,7 @@
 
 struct json_object;
 
-/* Returns a JSON array of the fingerprints in hex, as rows and log lines have them; the caller
- * frees the array.
- */
+/* Returns a JSON array of the fingerprints in hex, which the caller frees. */
 struct json_object *ln_crash_fingerprints_to_json (const LcFingerprint *fingerprints,
                                                    size_t n_fingerprints);
 /* Returns the row's JSON text, which the caller frees. */
--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -16,23 +16,23 @@
 #include <string.h>
 
 #define TABLE "catalog"
-/* All rows are in one part of the table, since each write is conditional on the version of one of
- * them. */
+/* All rows are in one partition of the table, since each write is conditional on the version of one
+ * of the rows, that of the publisher. */
 #define KEY_PREFIX TABLE "/all/"
 #define PUBLISHER_DUTY TABLE
 #define ENDPOINT_PREFIX "e:"
 #define INSTANCE_PREFIX "i:"
-#define BOUND_PREFIX "b:"             /* last endpoint key to list, by service */
-#define WATCH_TIMEOUT (700 * LB_MSEC) /* also the time until a silent connection is noticed */
+#define BOUND_PREFIX "b:"             /* followed by a service; value: last endpoint key to list */
+#define WATCH_TIMEOUT (700 * LB_MSEC) /* also bounds how long a dead connection goes unnoticed */
 #define WATCH_RETRY_DELAY (100 * LB_MSEC)
-/* A write that takes longer is superseded by the next listing. */
+/* A write that takes longer than this is superseded by the next listing. */
 #define WRITE_TIMEOUT (500 * LB_MSEC)
-#define MAX_CANDIDATES 3
-/* With fewer endpoints, listing their rows costs less than following the catalog: at 2.5 lists per
- * second, a list of 12 endpoints takes 16 kB/s, one of 90 takes 114 kB/s. */
+#define MAX_PUBLISHER_CANDIDATES 3
+/* With fewer endpoints than this, listing their rows costs less than watching the catalog: at 2.5
+ * lists per second, a list of 12 endpoints takes 16 kB/s, a list of 90 endpoints 114 kB/s. */
 #define MIN_ENDPOINTS_TO_FOLLOW 41
-/* From this number of known instances on, each write of the catalog causes hundreds of answers to
- * followers. */
+/* Number of known instances from which each write of the catalog causes hundreds of answers to the
+ * instances that watch it. */
 #define LARGE_FLEET_INSTANCES (LN_FLEET_DIRECTORY_MAX * 9 / 10)
 #define MAX_PUBLISH_PERIOD LB_SEC
 
@@ -45,17 +45,19 @@
   LpFollow *follower;
   LnRowCache *endpoint_cache;     /* parsed rows of endpoints */
   LnRowCache *instance_cache;     /* parsed rows of instances */
-  int64_t delivered_change_count; /* change count of the endpoint list last delivered; -1: deliver
-                                     the next in full */
+  int64_t delivered_change_count; /* change count of the endpoint list last delivered; -1: the next
+                                     list is delivered in full */
   int64_t instances_change_count; /* change count at which the instances were last read */
   int64_t last_instances_version; /* newest row version of the instances last read */
-  size_t n_last_instances;        /* number of the instances last read */
-  bool has_had_many_endpoints; /* at least MIN_ENDPOINTS_TO_FOLLOW at some time: it is followed */
+  size_t n_last_instances;        /* number of instances last read */
+  bool has_had_many_endpoints;    /* at least MIN_ENDPOINTS_TO_FOLLOW were known at some time; the
+                                     catalog is watched from then on */
   bool draining;
-  int rank; /* in the order in which candidates take over publishing; -1: not a candidate */
-  LcFleetMember *members; /* all instances as this one knows them */
+  int rank; /* position in the order in which candidates take over publishing, from 0; -1: not a
+               candidate */
+  LcFleetMember *members; /* all instances that this one knows */
   size_t n_members;
-  int cached_rank; /* for these members and cached_rank_publisher */
+  int cached_rank; /* rank computed from `members` and cached_rank_publisher */
   LbName cached_rank_publisher;
   bool is_rank_cached;
   LbTime own_list_requested_at; /* when this instance last requested its own endpoint list */
@@ -70,7 +72,7 @@
                                                "Writes to the catalog by this instance");
 
 static int64_t
-get_store_ms (const LnCatalog *catalog)
+get_store_time_ms (const LnCatalog *catalog)
 {
   return lp_platform_store_ms (catalog->context->platform);
 }
@@ -82,7 +84,7 @@
 }
 
 static void
-log_publisher (LnCatalog *catalog, const char *before)
+log_publisher_change (LnCatalog *catalog, const char *before)
 {
   const char *publisher = lc_catalog_publisher_name (catalog->catalog);
 
@@ -91,10 +93,10 @@
             LB_TEXT ("before", before));
 }
 
-/* --- following --- */
+/* --- watching the catalog --- */
 
 static bool
-parse_endpoint (const LpRow *row, void *parsed, LbError *error, void *user)
+parse_endpoint_row (const LpRow *row, void *parsed, LbError *error, void *user)
 {
   (void)user;
   return lc_registration_from_json (row->value, parsed)
@@ -103,7 +105,7 @@
 }
 
 static bool
-parse_instance (const LpRow *row, void *parsed, LbError *error, void *user)
+parse_instance_row (const LpRow *row, void *parsed, LbError *error, void *user)
 {
   (void)user;
   return lc_fleet_member_from_text (row->value, parsed)
@@ -111,12 +113,12 @@
                           "expected JSON with name, incarnation and caller_address");
 }
 
-/* Rows of the catalog have no write counter, so every changed text is parsed: the prefix "\n"
- * occurs in no row, and no part of a row is skipped as a counter. */
+/* Rows of the catalog contain no write counter that the cache could skip. The prefix "\n" occurs in
+ * no row, so every changed text is parsed. */
 static const LnRowCacheClass endpoint_row_class
-    = { .size = sizeof (LcRegistration), .parse = parse_endpoint, .counter_prefix = "\n" };
+    = { .size = sizeof (LcRegistration), .parse = parse_endpoint_row, .counter_prefix = "\n" };
 static const LnRowCacheClass instance_row_class
-    = { .size = sizeof (LcFleetMember), .parse = parse_instance, .counter_prefix = "\n" };
+    = { .size = sizeof (LcFleetMember), .parse = parse_instance_row, .counter_prefix = "\n" };
 
 typedef struct
 {
@@ -125,11 +127,11 @@
   size_t item_size;
   size_t n_items;
   size_t capacity;
-  int64_t newest_version; /* of the rows read */
+  int64_t newest_version; /* highest version of the rows read */
 } RowReader;
 
 static void
-append_item (const char *name, const char *text, int64_t version, void *user)
+append_parsed_row (const char *name, const char *text, int64_t version, void *user)
 {
   RowReader *reader = user;
   const LpRow row = { .key = name, .value = text, .version = version };
@@ -152,10 +154,10 @@
 }
 
 static void
-read_rows (const LnCatalog *catalog, const char *prefix, RowReader *reader)
+read_rows_with_prefix (const LnCatalog *catalog, const char *prefix, RowReader *reader)
 {
   ln_row_cache_begin_list (reader->cache);
-  lc_catalog_foreach (catalog->catalog, prefix, append_item, reader);
+  lc_catalog_foreach (catalog->catalog, prefix, append_parsed_row, reader);
   ln_row_cache_end_list (reader->cache);
 }
 
@@ -173,7 +175,7 @@
       catalog->handlers.on_endpoints_confirmed (valid_at, catalog->user);
       return;
     }
-  read_rows (catalog, ENDPOINT_PREFIX, &reader);
+  read_rows_with_prefix (catalog, ENDPOINT_PREFIX, &reader);
   bool is_used = catalog->handlers.on_endpoints ((const LcRegistration *)reader.items,
                                                  reader.n_items, valid_at, catalog->user);
   catalog->delivered_change_count = is_used ? changes : -1;
@@ -189,7 +191,7 @@
   if (catalog->instances_change_count == changes)
     return;
   catalog->instances_change_count = changes;
-  read_rows (catalog, INSTANCE_PREFIX, &reader);
+  read_rows_with_prefix (catalog, INSTANCE_PREFIX, &reader);
   if (reader.n_items > 0
       && (reader.newest_version != catalog->last_instances_version
           || reader.n_items != catalog->n_last_instances))
@@ -211,8 +213,9 @@
     if (strncmp (rows[i].key, KEY_PREFIX, strlen (KEY_PREFIX)) == 0)
       lc_catalog_apply_row (catalog->catalog, rows[i].key + strlen (KEY_PREFIX), rows[i].value,
                             rows[i].version);
-  log_publisher (catalog, before);
-  if (!lc_catalog_finish_update (catalog->catalog, get_store_ms (catalog), lb_clock_monotonic ()))
+  log_publisher_change (catalog, before);
+  if (!lc_catalog_finish_update (catalog->catalog, get_store_time_ms (catalog),
+                                 lb_clock_monotonic ()))
     return;
   lb_metric_add (&snapshots_received, 1);
   deliver_endpoints (catalog);
@@ -255,11 +258,12 @@
   free (catalog);
 }
 
-/* --- publishing --- */
+/* --- publishing the catalog --- */
 
-/* An instance that is draining or cut off from the store can't publish. */
+/* Collects the instances that can take over from the publisher. An instance that is draining or cut
+ * off from the store can't publish. */
 static size_t
-collect_candidates (const LnCatalog *catalog, LcDutyCandidate *candidates)
+collect_publisher_candidates (const LnCatalog *catalog, LcDutyCandidate *candidates)
 {
   const char *publisher = lc_catalog_publisher_name (catalog->catalog);
   size_t n = 0;
@@ -277,49 +281,49 @@
 }
 
 static int
-compute_rank (const LnCatalog *catalog)
+compute_takeover_rank (const LnCatalog *catalog)
 {
   LcDutyCandidate *candidates = LB_NEW_ARRAY (LcDutyCandidate, catalog->n_members + 1);
-  size_t n = collect_candidates (catalog, candidates);
+  size_t n = collect_publisher_candidates (catalog, candidates);
   size_t rank = lc_duty_rank (PUBLISHER_DUTY, catalog->context->instance, candidates, n);
 
   free (candidates);
-  return rank < MAX_CANDIDATES && rank < n ? (int)rank : -1;
+  return rank < MAX_PUBLISHER_CANDIDATES && rank < n ? (int)rank : -1;
 }
 
-/* Cached, because it is needed on each tick and there may be hundreds of members, which change
- * seldom. */
+/* The rank is cached because each tick needs it and computing it reads all members, which may be
+ * hundreds and rarely change. */
 static int
-get_cached_rank (LnCatalog *catalog)
+get_cached_takeover_rank (LnCatalog *catalog)
 {
   const char *publisher = lc_catalog_publisher_name (catalog->catalog);
 
   if (!catalog->is_rank_cached || strcmp (catalog->cached_rank_publisher, publisher) != 0)
-    catalog->cached_rank = compute_rank (catalog);
+    catalog->cached_rank = compute_takeover_rank (catalog);
   LB_COPY (catalog->cached_rank_publisher, publisher);
   catalog->is_rank_cached = true;
   return catalog->cached_rank;
 }
 
 static int
-find_rank (LnCatalog *catalog)
+get_takeover_rank (LnCatalog *catalog)
 {
   LpPlatform *platform = catalog->context->platform;
   bool is_cut_off = !lp_platform_is_store_reachable (platform);
 
   if (catalog->draining || is_cut_off || !lp_follow_has_listed (catalog->follower))
     return -1;
-  return lc_catalog_is_publisher (catalog->catalog) ? 0 : get_cached_rank (catalog);
+  return lc_catalog_is_publisher (catalog->catalog) ? 0 : get_cached_takeover_rank (catalog);
 }
 
 typedef struct
 {
   LnCatalog *catalog;
-  int64_t expected_version; /* of the row that the write is conditional on */
+  int64_t expected_version; /* of the publisher's row, on which the write is conditional */
 } PendingWrite;
 
 static void
-on_write_done (LbErrorCode error, const LpRow *row, void *user)
+on_catalog_written (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
   PendingWrite *write = user;
@@ -333,7 +337,7 @@
 }
 
 static void
-send_write (LnCatalog *catalog, const LcCatalogWrite *next)
+send_catalog_write (LnCatalog *catalog, const LcCatalogWrite *next)
 {
   LpPlatform *platform = catalog->context->platform;
   LpPut *puts = LB_NEW_ARRAY (LpPut, next->n_puts);
@@ -351,7 +355,7 @@
                                       .n_puts = next->n_puts,
                                       .timeout = WRITE_TIMEOUT };
   lb_metric_add (&writes_sent, 1);
-  platform->klass->transact (platform, &transaction, LP_PRIORITY_STATUS, on_write_done, write);
+  platform->klass->transact (platform, &transaction, LP_PRIORITY_STATUS, on_catalog_written, write);
   for (size_t i = 0; i < next->n_puts; i++)
     free ((char *)puts[i].key);
   free (puts);
@@ -364,15 +368,15 @@
 
   if (!lc_catalog_prepare_write (catalog->catalog, now, &write))
     return;
-  send_write (catalog, &write);
+  send_catalog_write (catalog, &write);
   lc_catalog_write_clear (&write);
 }
 
-/* --- listing --- */
+/* --- lists to publish --- */
 
-/* The version of an instance's row changes with each renewal; the catalog has the version that was
- * first seen of its incarnation. If the catalog has a row of that incarnation already, its version
- * is kept, so that a new publisher does not have to rewrite all rows. */
+/* The version of an instance's row changes with each renewal, so the catalog contains the version
+ * that was first seen of the instance's incarnation. A version that the catalog already contains
+ * for the incarnation is kept, so that a new publisher does not have to rewrite all rows. */
 static LcCatalogItem
 make_instance_item (const LnCatalog *catalog, const LcFleetMember *member)
 {
@@ -397,8 +401,9 @@
   lc_catalog_set_listing (catalog->catalog, INSTANCE_PREFIX, items, catalog->n_members, 0);
 }
 
-/* With a period of one fifth of the limit (drain.endpoint_ms), the limit is kept even if the
- * publisher fails. For a small fleet the shorter default period costs little. */
+/* drain.endpoint_ms limits the time until a leaving endpoint gets no new work. With a publish
+ * period of one fifth of the limit, the limit is kept even if the publisher fails. For a small
+ * fleet the shorter default period costs little. */
 static LbTime
 choose_publish_period (const LnCatalog *catalog)
 {
@@ -433,9 +438,10 @@
   catalog->draining = true;
 }
 
-/* A new candidate has not set its listing of the instances yet. */
+/* Sets the list of the instances when this instance becomes a candidate, since changes of the
+ * members set it only on candidates. */
 static void
-set_rank (LnCatalog *catalog, int rank)
+set_takeover_rank (LnCatalog *catalog, int rank)
 {
   bool is_new = rank >= 0 && catalog->rank < 0;
 
@@ -452,7 +458,7 @@
   if (!catalog->has_had_many_endpoints)
     return;
   lp_follow_tick (catalog->follower, now);
-  set_rank (catalog, find_rank (catalog));
+  set_takeover_rank (catalog, get_takeover_rank (catalog));
   send_next_write (catalog, now);
 }
 
@@ -472,7 +478,7 @@
     items[i] = (LcCatalogItem){ .key = lb_asprintf (ENDPOINT_PREFIX "%s", endpoints[i].name),
                                 .value = lc_registration_to_json (&endpoints[i]) };
   lc_catalog_set_listing (catalog->catalog, ENDPOINT_PREFIX, items, n_endpoints,
-                          get_store_ms (catalog));
+                          get_store_time_ms (catalog));
   send_next_write (catalog, now);
 }
 
@@ -493,7 +499,7 @@
 } BoundItems;
 
 static void
-append_bound (const char *service, const char *bound, void *user)
+append_subset_bound (const char *service, const char *bound, void *user)
 {
   BoundItems *bounds = user;
 
@@ -507,13 +513,13 @@
 {
   BoundItems bounds = { 0 };
 
-  lc_subset_foreach_bound (subset, append_bound, &bounds);
+  lc_subset_foreach_bound (subset, append_subset_bound, &bounds);
   if (catalog->has_had_many_endpoints && bounds.n > 0)
     lc_catalog_set_listing (catalog->catalog, BOUND_PREFIX, bounds.items, bounds.n, 0);
 }
 
 static void
-apply_bound (const char *service, const char *bound, int64_t version, void *user)
+apply_subset_bound (const char *service, const char *bound, int64_t version, void *user)
 {
   (void)version;
   lc_subset_set_bound (user, service, bound);
@@ -522,7 +528,7 @@
 void
 ln_catalog_apply_subset_bounds (const LnCatalog *catalog, LcSubset *subset)
 {
-  lc_catalog_foreach (catalog->catalog, BOUND_PREFIX, apply_bound, subset);
+  lc_catalog_foreach (catalog->catalog, BOUND_PREFIX, apply_subset_bound, subset);
 }
 
 bool
--- a/packages/node/src/membership/ln-fleet-lists.c
+++ b/packages/node/src/membership/ln-fleet-lists.c
@@ -16,45 +16,48 @@
 #include <xxhash.h>
 
 #define TABLE "instance"
-/* Rows are divided into parts, because the store limits the write rate of each part. In the unnamed
- * part, which endpoints and operators write to as well, renewals of 84 instances were delayed by a
- * second, so that live instances were taken for dead and lost their batches and their lease. Each
- * part costs one list call, so there are few. */
-#define N_PARTS 8
-#define DUTY_PART "duty"
-#define MAX_ROWS_PER_PART (LN_FLEET_DIRECTORY_MAX / N_PARTS)
-#define FULL_PERCENT 90 /* of the capacity, since rows of dead instances occupy some of it */
-/* Rows of instances are removed after they have been dead for this time; otherwise they would fill
- * the directory. */
-#define REMOVE_DEAD_AFTER (60 * LB_SEC)
-#define REMOVE_DEAD_SPREAD (30 * LB_SEC) /* so that not all instances remove the same rows */
-
-/* Time between two lists of the directory, which limits the rate to a few hundred rows per second.
- */
+/* Number of partitions of the directory's rows, since the store limits the write rate per
+ * partition. In the unnamed partition, to which endpoints and operators also write, renewals of 84
+ * instances were delayed by a second: live instances were considered dead and lost their batches
+ * and lease. Each partition costs one list call, so there are few. */
+#define N_PARTITIONS 8
+#define DUTY_PARTITION "duty"
+#define MAX_ROWS_PER_PARTITION (LN_FLEET_DIRECTORY_MAX / N_PARTITIONS)
+/* Percentage of its capacity from which the directory counts as full, since rows of dead instances
+ * occupy some of it. */
+#define FULL_DIRECTORY_PERCENT 90
+/* The row of an instance is removed after the instance has been dead for this time; otherwise rows
+ * of dead instances would fill the directory. */
+#define DEAD_ROW_REMOVAL_DELAY (60 * LB_SEC)
+/* Maximum additional delay, different on each instance, so that not all remove the same rows. */
+#define DEAD_ROW_REMOVAL_SPREAD (30 * LB_SEC)
+
+/* Time between two lists of the directory. It grows with the fleet and so limits the rate to a few
+ * hundred rows per second. */
 #define MIN_LIST_PERIOD (250 * LB_MSEC)
 #define LIST_PERIOD_PER_INSTANCE (8 * LB_MSEC)
-/* Delay after the store refused a list because it was busy, spread over the instances: a starting
- * fleet sends more requests than the store accepts. */
+/* Delay before a list that the busy store refused is retried, and its maximum variation between
+ * instances: a starting fleet sends more requests than the store accepts. */
 #define BUSY_RETRY_DELAY (300 * LB_MSEC)
 #define BUSY_RETRY_SPREAD LB_SEC
-/* Time between two lists of the instances on duty, about a dozen. With a renewal every 0.3 s, a
- * dead owner is detected 1.5 s after its last renewal; by the directory of 295 instances it would
- * take 2.5 s. On small sites the directory is listed more often. */
+/* Time between two lists of the instances on duty, which are about a dozen. With a renewal every
+ * 0.3 s, the death of an instance that runs batches is detected 1.5 s after its last renewal. From
+ * the directory of 295 instances it would be detected after 2.5 s, on small sites sooner. */
 #define DUTY_LIST_PERIOD (300 * LB_MSEC)
 
-/* One list of rows, read from one or more parts of the table. */
+/* The directory or the list of instances on duty, read from one or more partitions of the table. */
 typedef struct
 {
   LnFleetLists *lists;
-  const char *const *prefixes; /* of the keys of each part */
+  const char *const *prefixes; /* key prefix of each partition */
   size_t n_prefixes;
-  int64_t row_limit; /* maximum of rows per part; 0: no limit */
+  int64_t row_limit; /* maximum number of rows per partition; 0: no limit */
   LcFleet *fleet;
   LnRowCache *row_cache;
-  size_t n_pending;    /* parts of the list in progress without an answer yet */
-  bool has_begun;      /* a part of the list in progress has been read */
-  bool has_failed;     /* a part could not be read: the list in progress is discarded */
-  LbTime requested_at; /* time of the request that is in progress */
+  size_t n_pending;    /* number of partitions of the list in progress without an answer */
+  bool has_begun;      /* a partition of the list in progress has been read */
+  bool has_failed;     /* a partition could not be read: the list in progress is discarded */
+  LbTime requested_at; /* when the list in progress was requested */
   LbTime next_list_at;
 } Listing;
 
@@ -66,16 +69,17 @@
   Listing on_duty;
   LcFleetMember *members; /* merged from both lists, or as set from the catalog */
   size_t n_members;
-  bool is_followed; /* the catalog is followed, and nothing is listed here */
-  bool must_report; /* following has ended: report the next list even if it is unchanged */
+  bool is_followed; /* the members come from the catalog, and no rows are listed */
+  bool must_report; /* call on_change for the next list even if it is unchanged, since following has
+                       ended */
   void (*on_change) (void *user);
   void *user;
 };
 
-static const char *const directory_prefixes[N_PARTS]
+static const char *const directory_prefixes[N_PARTITIONS]
     = { TABLE "/0/", TABLE "/1/", TABLE "/2/", TABLE "/3/",
         TABLE "/4/", TABLE "/5/", TABLE "/6/", TABLE "/7/" };
-static const char *const duty_prefixes[] = { TABLE "/" DUTY_PART "/" };
+static const char *const duty_prefixes[] = { TABLE "/" DUTY_PARTITION "/" };
 
 void
 ln_fleet_row_format_key (const LcFleetRow *row, bool on_duty, char *key)
@@ -87,12 +91,12 @@
   if (on_duty)
     snprintf (key, LN_FLEET_KEY_SIZE, "%s%s", duty_prefixes[0], row->name);
   else
-    snprintf (key, LN_FLEET_KEY_SIZE, "%s%018lld-%s", directory_prefixes[hash % N_PARTS],
+    snprintf (key, LN_FLEET_KEY_SIZE, "%s%018lld-%s", directory_prefixes[hash % N_PARTITIONS],
               (long long)lc_duty_sort_key (TABLE, &candidate), row->name);
 }
 
 static bool
-parse_row (const LpRow *row, void *parsed, LbError *error, void *user)
+parse_instance_row (const LpRow *row, void *parsed, LbError *error, void *user)
 {
   (void)user;
   struct json_object *object = row->value ? json_tokener_parse (row->value) : NULL;
@@ -104,8 +108,9 @@
                           "expected JSON with name, incarnation and caller_address");
 }
 
-static const LnRowCacheClass row_class
-    = { .size = sizeof (LcFleetRow), .parse = parse_row, .counter_prefix = "\"renewed_ms\":" };
+static const LnRowCacheClass row_class = { .size = sizeof (LcFleetRow),
+                                           .parse = parse_instance_row,
+                                           .counter_prefix = "\"renewed_ms\":" };
 
 static void
 listing_init (Listing *listing,
@@ -135,7 +140,8 @@
   LB_COPY (lists->self, self);
   lists->on_change = on_change;
   lists->user = user;
-  listing_init (&lists->directory, lists, self, directory_prefixes, N_PARTS, MAX_ROWS_PER_PART);
+  listing_init (&lists->directory, lists, self, directory_prefixes, N_PARTITIONS,
+                MAX_ROWS_PER_PARTITION);
   listing_init (&lists->on_duty, lists, self, duty_prefixes, 1, 0);
   return lists;
 }
@@ -162,7 +168,7 @@
 }
 
 static void
-add_rows (Listing *listing, const LpRow *rows, size_t n_rows, LbTime now)
+add_listed_rows (Listing *listing, const LpRow *rows, size_t n_rows, LbTime now)
 {
   LbError error = { 0 };
 
@@ -197,7 +203,7 @@
 }
 
 static void
-remove_row (const LnFleetLists *lists, const LcFleetMember *member)
+remove_directory_row (const LnFleetLists *lists, const LcFleetMember *member)
 {
   char key[LN_FLEET_KEY_SIZE];
   const LpCondition condition = { .key = key, .version = member->version };
@@ -217,27 +223,29 @@
   return (LbTime)(XXH3_64bits (lists->self, strlen (lists->self)) % (uint64_t)max);
 }
 
-/* At most one row per list, so that the rows of a fleet that lost its power are not all removed at
- * once. */
+/* Removes at most one row per list, so that the rows of a fleet that lost power are not all removed
+ * at once. */
 static void
-remove_one_dead (const Listing *listing, LbTime now)
+remove_one_dead_row (const Listing *listing, LbTime now)
 {
-  LbTime wait = REMOVE_DEAD_AFTER + compute_delay_by_name (listing->lists, REMOVE_DEAD_SPREAD);
+  LbTime wait
+      = DEAD_ROW_REMOVAL_DELAY + compute_delay_by_name (listing->lists, DEAD_ROW_REMOVAL_SPREAD);
 
   for (size_t i = 0; i < lc_fleet_count_members (listing->fleet); i++)
     {
       const LcFleetMember *member = lc_fleet_member_at (listing->fleet, i);
       if (member->alive || now - member->version_seen_at < wait)
         continue;
-      remove_row (listing->lists, member);
+      remove_directory_row (listing->lists, member);
       return;
     }
 }
 
-/* The list counts only when all parts have been read. If one fails, the whole list is requested
- * again. */
+/* Uses the list only when all its partitions have been read. If one could not be read, the whole
+ * list is requested again. */
 static void
-on_part_listed (LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
+on_partition_listed (
+    LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
 {
   (void)version;
   Listing *listing = user;
@@ -261,14 +269,14 @@
       ln_row_cache_begin_list (listing->row_cache);
     }
   listing->has_begun = true;
-  add_rows (listing, rows, n_rows, now);
+  add_listed_rows (listing, rows, n_rows, now);
   if (listing->n_pending > 0)
     return;
   ln_row_cache_end_list (listing->row_cache);
   bool changed = lc_fleet_finish_list (listing->fleet, now);
   if (listing == &listing->lists->directory)
-    remove_one_dead (listing, now);
-  /* The members come from the catalog meanwhile. */
+    remove_one_dead_row (listing, now);
+  /* While the catalog is followed, the members come from the catalog. */
   if (listing->lists->is_followed)
     return;
   merge_members (listing->lists);
@@ -278,7 +286,7 @@
 }
 
 static void
-list_if_due (Listing *listing, LbTime now)
+request_list_if_due (Listing *listing, LbTime now)
 {
   LpPlatform *platform = listing->lists->platform;
 
@@ -290,8 +298,8 @@
   listing->requested_at = now;
   listing->next_list_at = now + get_list_period (listing);
   for (size_t i = 0; i < listing->n_prefixes; i++)
-    platform->klass->list (platform, listing->prefixes[i], NULL, listing->row_limit, on_part_listed,
-                           listing);
+    platform->klass->list (platform, listing->prefixes[i], NULL, listing->row_limit,
+                           on_partition_listed, listing);
 }
 
 static void
@@ -306,8 +314,8 @@
 }
 
 /* Drops the old lists when following begins. Otherwise the time without lists would look like an
- * outage of the store, in which no instance could renew its row, and an instance that left
- * meanwhile would count as alive. */
+ * outage of the store in which no instance could renew its row, and an instance that stopped during
+ * that time would count as alive. */
 void
 ln_fleet_lists_set_catalog_followed (LnFleetLists *lists, bool is_followed)
 {
@@ -337,8 +345,8 @@
 {
   if (lists->is_followed)
     return;
-  list_if_due (&lists->directory, now);
-  list_if_due (&lists->on_duty, now);
+  request_list_if_due (&lists->directory, now);
+  request_list_if_due (&lists->on_duty, now);
 }
 
 bool
@@ -355,7 +363,7 @@
 bool
 ln_fleet_lists_omits_instance (const LnFleetLists *lists, const char *instance)
 {
-  if (lists->n_members * 100 < (size_t)LN_FLEET_DIRECTORY_MAX * FULL_PERCENT)
+  if (lists->n_members * 100 < (size_t)LN_FLEET_DIRECTORY_MAX * FULL_DIRECTORY_PERCENT)
     return false;
   for (size_t i = 0; i < lists->n_members; i++)
     if (strcmp (lists->members[i].row.name, instance) == 0)
--- a/packages/node/src/membership/ln-fleet-renewal.c
+++ b/packages/node/src/membership/ln-fleet-renewal.c
@@ -10,17 +10,18 @@
 #include <json-c/json.h>
 #include <stdlib.h>
 
-/* The periods grow with the fleet, so that the rate of renewals and lists of all instances together
- * is bounded. */
+/* The renewal period grows with the fleet, as the list period does. This bounds the rate of
+ * renewals and lists of all instances together. */
 #define MIN_RENEW_PERIOD (500 * LB_MSEC)
 #define RENEW_PERIOD_PER_INSTANCE (8 * LB_MSEC)
-/* For an instance that the full directory omits, which no instance lists. */
+/* Renewal period of an instance that the full directory omits, since no instance lists its row. */
 #define OMITTED_RENEW_PERIOD (10 * LB_SEC)
-/* For instances on duty, of which there are few. Until such an instance is detected as dead, its
- * samples make no progress, and the longest samples of a step have only a second or two to spare.
- */
+/* Renewal period of instances on duty, of which there are few. Until the death of such an instance
+ * is detected, its samples make no progress, and the longest samples of a training step have only a
+ * second or two to spare. */
 #define DUTY_RENEW_PERIOD (300 * LB_MSEC)
-/* An instance counts as on duty for this time after its last duty: the next step follows soon. */
+/* An instance still counts as on duty for this time after its last duty ended, because the next
+ * training step follows soon. */
 #define DUTY_LINGER_TIME (10 * LB_SEC)
 /* A renewal without an answer for this time is sent through another instance, early enough that no
  * renewal counts as missed. */
@@ -31,14 +32,14 @@
 {
   LpPlatform *platform;
   LcFleetRow *row;
-  int n_in_flight;             /* renewals without an answer yet */
-  LbTime next_renewal_at;      /* of the row in the directory */
-  LbTime next_duty_renewal_at; /* of the row on duty */
-  LbTime period;               /* between renewals of the row in the directory */
+  int n_in_flight;             /* number of renewals without an answer yet */
+  LbTime next_renewal_at;      /* when the directory row is due */
+  LbTime next_duty_renewal_at; /* when the duty row is due */
+  LbTime period;               /* time between two renewals of the directory row */
   bool has_duty;
-  LbTime duty_until;         /* counts as on duty until then after its last duty */
-  bool may_have_duty_row;    /* the store may contain this instance's row on duty */
-  bool is_removing_duty_row; /* its removal is in progress */
+  LbTime duty_until;         /* without a duty, the instance counts as on duty until this time */
+  bool may_have_duty_row;    /* the store may contain this instance's duty row */
+  bool is_removing_duty_row; /* the removal of the duty row is in progress */
 };
 
 LnFleetRenewal *
@@ -65,7 +66,7 @@
 }
 
 static void
-write_row (LnFleetRenewal *renewal, bool on_duty, const char *value, LpTransactDone done)
+write_own_row (LnFleetRenewal *renewal, bool on_duty, const char *value, LpTransactDone done)
 {
   char key[LN_FLEET_KEY_SIZE];
   const LpPut put = { .key = key, .value = value };
@@ -77,10 +78,10 @@
                                       renewal);
 }
 
-/* Later renewals do not wait for one whose answer was lost. They may arrive in any order, since
- * each only shows that this instance is alive. */
+/* A renewal does not wait for the answer to an earlier one, which may be lost. The store may apply
+ * renewals in any order, since each only shows that this instance is alive. */
 static void
-on_renewed (LbErrorCode error, const LpRow *row, void *user)
+on_renewal_answered (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
   LnFleetRenewal *renewal = user;
@@ -101,7 +102,7 @@
   renewal->row->period = period;
   renewal->row->renewed_ms = lp_platform_store_ms_at (renewal->platform, now);
   object = lc_fleet_row_to_json (renewal->row);
-  write_row (renewal, on_duty, json_object_to_json_string (object), on_renewed);
+  write_own_row (renewal, on_duty, json_object_to_json_string (object), on_renewal_answered);
   json_object_put (object);
 }
 
@@ -133,16 +134,16 @@
     lb_log (LB_LOG_DEBUG, "duty_row_not_removed", LB_TEXT ("error", lb_error_name (error)));
 }
 
-/* The row on duty takes precedence over the row in the directory, so a stale one would make this
- * instance count as dead after its last duty. The removal is therefore repeated until the store has
- * confirmed it, and again whenever the row is listed after that: an unanswered renewal may still be
- * applied late, and an instance that was killed leaves its row to its next incarnation. */
+/* The duty row takes precedence over the directory row, so a stale duty row would make this
+ * instance count as dead after its last duty. The removal is retried until the store confirms it,
+ * and repeated if the row is listed afterwards: an unanswered renewal may be applied late, and a
+ * killed instance leaves its duty row to its next incarnation. */
 static void
 remove_duty_row (LnFleetRenewal *renewal, LbTime now)
 {
   renewal->next_duty_renewal_at = now + DUTY_RENEW_PERIOD;
   renewal->is_removing_duty_row = true;
-  write_row (renewal, true, NULL, on_duty_row_removed);
+  write_own_row (renewal, true, NULL, on_duty_row_removed);
 }
 
 static LbTime
@@ -159,7 +160,8 @@
   LbTime period = get_renew_period (summary);
 
   renewal->may_have_duty_row |= summary->has_duty_row;
-  /* An instance that has just been added to the directory renews its row at once. */
+  /* An instance that was just added to the directory does not wait for the end of its longer
+   * period. */
   if (period < renewal->period && renewal->next_renewal_at > now + period)
     renewal->next_renewal_at = now + period;
   renewal->period = period;
--- a/packages/node/src/membership/ln-fleet-renewal.h
+++ b/packages/node/src/membership/ln-fleet-renewal.h
@@ -5,30 +5,30 @@
 
 struct LpPlatform;
 
-/* Renews this instance's row in a shared store, from which the other instances see that it is
- * alive. An instance on duty (one that runs batches or orders weights) has a second row, which is
+/* Renews this instance's row in a shared store as a heartbeat for the other instances. An instance
+ * on duty (one that runs batches or orders weights) has a second row, the duty row, which is
  * renewed and listed more often. */
 
 typedef struct LnFleetRenewal LnFleetRenewal;
 
-/* The caller keeps the state in `row` up to date; changes go out with the next renewal or with
+/* The caller keeps the state in `row` up to date. Changes are written by the next renewal or by
  * ln_fleet_renewal_write_now. */
 LnFleetRenewal *ln_fleet_renewal_new (struct LpPlatform *platform, LcFleetRow *row);
 void ln_fleet_renewal_free (LnFleetRenewal *renewal);
 
-/* commands */
-/* Results of the lists of instances. */
+/* What the last lists of instances contained. */
 typedef struct
 {
-  size_t n_instances;
-  bool is_omitted;   /* the directory is full without this instance */
-  bool has_duty_row; /* a row on duty of this instance was listed */
+  size_t n_instances; /* number of known instances */
+  bool is_omitted;    /* the directory is full and does not contain this instance */
+  bool has_duty_row;  /* the duty row of this instance was in the list */
 } LnFleetListSummary;
 
+/* commands: write rows */
 void ln_fleet_renewal_tick (LnFleetRenewal *renewal, const LnFleetListSummary *summary, LbTime now);
-/* Writes the row at once, because the state in it has changed. */
+/* Writes the row at once, after the caller changed the state in it. */
 void ln_fleet_renewal_write_now (LnFleetRenewal *renewal, LbTime now);
-/* Sets whether this instance has any duty. */
+/* Sets whether this instance runs batches or orders weights. */
 void ln_fleet_renewal_set_duty (LnFleetRenewal *renewal, bool has_duty, LbTime now);
 
 #endif
--- a/packages/node/src/membership/ln-fleet.c
+++ b/packages/node/src/membership/ln-fleet.c
@@ -23,21 +23,21 @@
 #define CLOCK_LEAD_TOLERANCE_MS 25
 #define NOT_READY_RETRY_AFTER (300 * LB_MSEC)
 
-/* The task "peers" on a shared platform: membership from rows in the store, the addresses that
- * callers get, and store calls on behalf of other instances. */
+/* The task "peers" on a shared platform. It derives the membership from rows in the store, gives
+ * callers the addresses of instances, and makes store calls on behalf of other instances. */
 typedef struct
 {
-  LnTask task; /* first */
+  LnTask task; /* must be the first member */
   LnContext *context;
   LnPeriodicCall tick;
   LcFleetRow own_row;
-  LnFleetRenewal *renewal; /* of own_row */
+  LnFleetRenewal *renewal; /* renews own_row */
   LnFleetLists *lists;
-  bool has_duty[LN_N_DUTIES]; /* by LnDuty */
+  bool has_duty[LN_N_DUTIES]; /* indexed by LnDuty */
 } Fleet;
 
 static void
-clear_members (LnMessage *message)
+clear_members_message (LnMessage *message)
 {
   free (((LnMembersMessage *)message)->members);
 }
@@ -50,7 +50,7 @@
   message.n_members = ln_fleet_lists_count_members (task->lists);
   message.is_omitted = ln_fleet_lists_omits_instance (task->lists, task->own_row.name);
   message.members = LB_NEW_ARRAY (LnMember, message.n_members + 1);
-  message.base.clear = clear_members;
+  message.base.clear = clear_members_message;
   for (size_t i = 0; i < message.n_members; i++)
     {
       const LcFleetMember *known = ln_fleet_lists_member_at (task->lists, i);
@@ -72,7 +72,7 @@
 }
 
 static void
-clear_fleet (LnMessage *message)
+clear_fleet_message (LnMessage *message)
 {
   free (((LnFleetMessage *)message)->members);
 }
@@ -88,12 +88,12 @@
     return;
   message.members
       = lb_memdup (ln_fleet_lists_member_at (task->lists, 0), n * sizeof (LcFleetMember));
-  message.base.clear = clear_fleet;
+  message.base.clear = clear_fleet_message;
   LN_POST (task->task.hub, config, message);
 }
 
-/* Members in an order that starts at a different one on each instance, so that not all instances
- * name the same few. */
+/* Returns a member by its index in an order that starts at a random member on each instance, so
+ * that not all instances choose the same few members. */
 static const LcFleetMember *
 get_rotated_member (const Fleet *task, size_t index)
 {
@@ -139,8 +139,8 @@
   return false;
 }
 
-/* Writes the row at once, since other instances must not assign batches to this one while it is cut
- * off from the store. */
+/* Writes a change of reachability to the row at once, since other instances must not assign batches
+ * to this instance while it is cut off from the store. */
 static void
 update_reachability (Fleet *task, LbTime now)
 {
@@ -188,7 +188,7 @@
 /* --- addresses for callers --- */
 
 static void
-add_address (const char **addresses, size_t *n, const char *address)
+append_address_if_new (const char **addresses, size_t *n, const char *address)
 {
   for (size_t i = 0; i < *n; i++)
     if (strcmp (addresses[i], address) == 0)
@@ -197,15 +197,15 @@
     addresses[(*n)++] = address;
 }
 
-/* Callers may be directed to this instance. */
+/* Returns true if callers may be directed to the instance. */
 static bool
-is_available (const LcFleetMember *member)
+is_available_to_callers (const LcFleetMember *member)
 {
   return member->alive && member->confirmed && member->row.ready && !member->row.draining;
 }
 
-/* Adds other instances: only those that missed no renewal, or all; those in the same data centre,
- * or the rest. */
+/* Adds the addresses of other instances in the same data centre, or of those in other data centres.
+ * must_be_fresh: adds only instances that missed no renewal. */
 static void
 add_other_addresses (
     const Fleet *task, bool must_be_fresh, bool same_data_centre, const char **addresses, size_t *n)
@@ -214,24 +214,24 @@
     {
       const LcFleetMember *member = get_rotated_member (task, i);
       bool is_in_data_centre = strcmp (member->row.data_centre, task->own_row.data_centre) == 0;
-      if (is_available (member) && member->fresh >= must_be_fresh
+      if (is_available_to_callers (member) && member->fresh >= must_be_fresh
           && is_in_data_centre == same_data_centre
           && strcmp (member->row.name, task->own_row.name) != 0)
-        add_address (addresses, n, member->row.caller_address);
+        append_address_if_new (addresses, n, member->row.caller_address);
     }
 }
 
 /* This instance comes first if it is ready, since it knows its own state best. The number of
- * addresses is limited: instances that missed no renewal go first, since one that did may be dead,
- * and a caller that connects to it waits for a second; among these, instances in the same data
- * centre go first. */
+ * addresses is limited, so instances that missed no renewal come before the others: an instance
+ * that missed one may be dead, and a caller that connects to it waits for a second. Among equals,
+ * instances in the same data centre come first. */
 static size_t
-choose_addresses (const Fleet *task, const char **addresses)
+choose_caller_addresses (const Fleet *task, const char **addresses)
 {
   size_t n = 0;
 
   if (task->own_row.ready && !task->own_row.draining)
-    add_address (addresses, &n, task->own_row.caller_address);
+    append_address_if_new (addresses, &n, task->own_row.caller_address);
   add_other_addresses (task, true, true, addresses, &n);
   add_other_addresses (task, true, false, addresses, &n);
   add_other_addresses (task, false, true, addresses, &n);
@@ -240,10 +240,10 @@
 }
 
 static void
-answer_entry_request (Fleet *task, LnExchange *exchange)
+answer_address_lookup (Fleet *task, LnExchange *exchange)
 {
   const char *addresses[MAX_ENTRY_ADDRESSES];
-  size_t n = choose_addresses (task, addresses);
+  size_t n = choose_caller_addresses (task, addresses);
   LbTime ttl = task->context->settings->drain.entry_ttl_ms * LB_MSEC;
   LbError error = { 0 };
 
@@ -266,7 +266,8 @@
 } RelayedCall;
 
 static void
-on_call_completed (LbErrorCode error, int status, const char *body, size_t length, void *user)
+on_relayed_call_answered (
+    LbErrorCode error, int status, const char *body, size_t length, void *user)
 {
   RelayedCall *call = user;
   LbError reply_error = { 0 };
@@ -275,7 +276,8 @@
     ln_exchange_reply_text (call->exchange, status, "application/json", body, length);
   else
     {
-      /* 503 means that the call did not take effect, the other status that it may have. */
+      /* STORE_AWAY (status 503) means that the call did not take effect, OUTCOME_UNKNOWN that it
+       * may have taken effect. */
       lb_error_set (&reply_error,
                     error == LB_ERROR_STORE_AWAY ? LB_ERROR_STORE_AWAY : LB_ERROR_OUTCOME_UNKNOWN,
                     "", "the store did not answer this instance either");
@@ -284,10 +286,10 @@
   free (call);
 }
 
-/* Refuses at once if this instance is cut off from the store as well; otherwise the peer would wait
- * for a whole deadline before it tries another instance. */
+/* Refuses the call at once if this instance is cut off from the store too. Otherwise the peer would
+ * wait for a whole deadline before it tries another instance. */
 static bool
-refuse_if_cut_off (const LpPlatform *platform, LnExchange *exchange)
+refuse_call_if_cut_off (const LpPlatform *platform, LnExchange *exchange)
 {
   LbError error = { 0 };
 
@@ -299,7 +301,7 @@
 }
 
 static void
-relay_call (Fleet *task, LnExchange *exchange)
+relay_store_call (Fleet *task, LnExchange *exchange)
 {
   LpPlatform *platform = task->context->platform;
   const char *method = ln_exchange_header (exchange, LP_PEER_METHOD_HEADER);
@@ -316,21 +318,21 @@
       ln_exchange_reply_error (exchange, &error, 0);
       return;
     }
-  if (refuse_if_cut_off (platform, exchange))
+  if (refuse_call_if_cut_off (platform, exchange))
     return;
   call = LB_NEW (RelayedCall);
   call->exchange = exchange;
-  platform->klass->execute_peer_call (platform, method, path, body, length, on_call_completed,
-                                      call);
+  platform->klass->execute_peer_call (platform, method, path, body, length,
+                                      on_relayed_call_answered, call);
 }
 
 static void
-handle_exchange (Fleet *task, LnExchange *exchange)
+handle_http_exchange (Fleet *task, LnExchange *exchange)
 {
   if (strcmp (ln_exchange_path (exchange), LP_PEER_PATH) == 0)
-    relay_call (task, exchange);
+    relay_store_call (task, exchange);
   else
-    answer_entry_request (task, exchange);
+    answer_address_lookup (task, exchange);
 }
 
 static void
@@ -341,14 +343,14 @@
 }
 
 static void
-receive (LnTask *base, const LnMessage *message)
+receive_message (LnTask *base, const LnMessage *message)
 {
   Fleet *task = (Fleet *)base;
 
   switch ((LnMessageType)message->type)
     {
     case LN_EXCHANGE:
-      handle_exchange (task, ((const LnExchangeMessage *)message)->exchange);
+      handle_http_exchange (task, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_DUTY:
       update_duty (task, (const LnDutyMessage *)message, lb_clock_monotonic ());
@@ -374,9 +376,10 @@
     }
 }
 
-/* Writes the row at once, so that callers avoid this instance from their next lookup on. */
+/* Writes the draining state to the row at once, so that callers avoid this instance from their next
+ * address lookup on. */
 static void
-drain (LnTask *base)
+drain_task (LnTask *base)
 {
   Fleet *task = (Fleet *)base;
 
@@ -396,7 +399,7 @@
 }
 
 static const LnTaskClass fleet_class
-    = { .name = "peers", .receive = receive, .drain = drain, .free = free_task };
+    = { .name = "peers", .receive = receive_message, .drain = drain_task, .free = free_task };
 
 LnTask *
 ln_fleet_new (LnContext *context)
--- a/packages/node/src/membership/ln-frame-window.c
+++ b/packages/node/src/membership/ln-frame-window.c
@@ -12,7 +12,7 @@
   LbName origin;
   uint64_t epoch;
   uint64_t highest_sequence;
-  uint64_t seen_bits; /* bit n: the frame highest_sequence - n */
+  uint64_t seen_bits; /* bit n is set if the frame highest_sequence - n was seen */
   UT_hash_handle hh;
 } Origin;
 
@@ -56,8 +56,8 @@
   return origin;
 }
 
-/* Frames reach an instance on several paths and out of order; a frame that is WINDOW_FRAMES or more
- * behind the newest counts as seen. */
+/* Frames reach an instance on several paths and out of order. A frame that is WINDOW_FRAMES or more
+ * behind the origin's newest frame counts as seen. */
 bool
 ln_frame_window_add (LnFrameWindow *window, const char *name, uint64_t epoch, uint64_t sequence)
 {
--- a/packages/node/src/membership/ln-frame-window.h
+++ b/packages/node/src/membership/ln-frame-window.h
@@ -3,14 +3,14 @@
 
 #include "lb-types.h"
 
-/* Duplicate detection for broadcast frames, per origin, so that each frame is delivered and
- * forwarded once. */
+/* Duplicate detection for broadcast frames, per sending instance (origin), so that each frame is
+ * delivered and forwarded once. */
 typedef struct LnFrameWindow LnFrameWindow;
 
 LnFrameWindow *ln_frame_window_new (void);
 void ln_frame_window_free (LnFrameWindow *window);
-/* Returns true if the frame was not seen before, and records it as seen. epoch: incarnation of the
- * origin. */
+/* Returns true if the frame was not seen before, and records it as seen. epoch: number of the
+ * origin's incarnation, higher for a later one. */
 bool
 ln_frame_window_add (LnFrameWindow *window, const char *origin, uint64_t epoch, uint64_t sequence);
 
--- a/packages/node/src/membership/ln-members.c
+++ b/packages/node/src/membership/ln-members.c
@@ -64,7 +64,7 @@
   return member;
 }
 
-/* Returns the state to log; NULL: alive, and neither suspected nor draining. */
+/* Returns the state to log; NULL: the instance is alive, and neither suspected nor draining. */
 static const char *
 get_unusual_state (const LcMemberView *view)
 {
@@ -75,7 +75,7 @@
   return view->draining ? "draining" : NULL;
 }
 
-/* Logs one line per change, with the instances that have an unusual state. */
+/* Logs the number of instances, and by name those that are dead, suspected or draining. */
 static void
 log_members (const LcMemberView *views, size_t n_views, size_t alive)
 {
@@ -93,7 +93,7 @@
 }
 
 static void
-clear_members (LnMessage *message)
+clear_members_message (LnMessage *message)
 {
   free (((LnMembersMessage *)message)->members);
 }
@@ -106,7 +106,7 @@
   LnMembersMessage message = { .base = LN_MESSAGE (LN_MEMBERS) };
   size_t alive = 0;
 
-  message.base.clear = clear_members;
+  message.base.clear = clear_members_message;
   message.members = LB_NEW_ARRAY (LnMember, n_views);
   lc_membership_copy_views (membership, views);
   for (size_t i = 0; i < n_views; i++)
--- a/packages/node/src/membership/ln-members.h
+++ b/packages/node/src/membership/ln-members.h
@@ -4,9 +4,9 @@
 #include "lc-membership.h"
 #include "ln-messages.h"
 
-/* Posts the current view as LN_MEMBERS to all tasks, logs it and sets the gauges. */
+/* Posts the current members as LN_MEMBERS to all tasks, logs them and sets the gauges. */
 void ln_members_publish (const LcMembership *membership, LnHub *hub);
-/* Adds the growth of the membership's totals since `counted` to the counters, and updates
+/* Adds the increase of the membership's totals since `counted` to the counters, and updates
  * `counted`. */
 void ln_members_update_counters (const LcMembership *membership, LcMembershipTotals *counted);
 
--- a/packages/node/src/membership/ln-outbox.c
+++ b/packages/node/src/membership/ln-outbox.c
@@ -5,8 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MAX_FRAMES 1024
-#define MAX_BYTES ((size_t)16 << 20)
+#define MAX_QUEUED_FRAMES 1024
+#define MAX_QUEUED_BYTES ((size_t)16 << 20)
 #define MAX_QUEUE_TIME (5 * LB_SEC)
 
 typedef struct
@@ -26,7 +26,7 @@
 }
 
 static void
-remove_frame (LnOutbox *outbox, QueuedFrame *queued)
+remove_queued_frame (LnOutbox *outbox, QueuedFrame *queued)
 {
   lb_list_remove (&outbox->frames, &queued->link);
   outbox->bytes -= queued->length;
@@ -39,14 +39,14 @@
 {
   LB_LIST_FOREACH (&outbox->frames, QueuedFrame, link, queued)
   {
-    remove_frame (outbox, queued);
+    remove_queued_frame (outbox, queued);
   }
 }
 
 bool
 ln_outbox_add (LnOutbox *outbox, const char *instance, uint8_t *frame, size_t length, LbTime now)
 {
-  if (outbox->frames.length >= MAX_FRAMES || outbox->bytes + length > MAX_BYTES)
+  if (outbox->frames.length >= MAX_QUEUED_FRAMES || outbox->bytes + length > MAX_QUEUED_BYTES)
     {
       free (frame);
       return false;
@@ -69,7 +69,7 @@
     if (strcmp (queued->instance, instance) != 0)
       continue;
     send (queued->frame, queued->length, user);
-    remove_frame (outbox, queued);
+    remove_queued_frame (outbox, queued);
   }
 }
 
@@ -81,7 +81,7 @@
   LB_LIST_FOREACH (&outbox->frames, QueuedFrame, link, queued)
   {
     if (now >= queued->expires_at)
-      remove_frame (outbox, queued);
+      remove_queued_frame (outbox, queued);
   }
   return before - outbox->frames.length;
 }
--- a/packages/node/src/membership/ln-peer-connection.c
+++ b/packages/node/src/membership/ln-peer-connection.c
@@ -14,8 +14,8 @@
 #include <string.h>
 #include <sys/socket.h>
 
-/* Maximum of unsent bytes per connection: two frames of maximum size. */
-#define MAX_UNSENT (2 * LW_FRAME_MAX_BODY)
+/* Maximum number of unsent bytes per connection: two frames of maximum size. */
+#define MAX_UNSENT_BYTES (2 * LW_FRAME_MAX_BODY)
 
 static LbMetric bytes_sent = LB_COUNTER_INIT ("lentilspindle_peer_bytes_sent_total",
                                               NULL,
@@ -25,7 +25,7 @@
                                                   "Bytes of frames received from other instances");
 
 static void
-report_failure (LnPeerConnection *connection, const LbError *error)
+report_connection_failure (LnPeerConnection *connection, const LbError *error)
 {
   connection->handlers->failed (connection, error, connection->user);
 }
@@ -70,9 +70,8 @@
   return ok;
 }
 
-/* Reads one frame from the buffer. For a partial frame it sets the low watermark to the frame's
- * end: making the bytes contiguous again at each arrival would copy a large frame hundreds of
- * times. */
+/* Reads one frame from the buffer. For a partial frame, sets the read low watermark to the frame's
+ * end: evbuffer_pullup at each arrival of bytes would copy a large frame hundreds of times. */
 static LwFrameResult
 read_frame (LnPeerConnection *connection, struct evbuffer *input, LbError *error)
 {
@@ -106,11 +105,11 @@
          && evbuffer_get_length (bufferevent_get_input (stream)) > 0)
     result = read_frame (connection, bufferevent_get_input (stream), &error);
   if (!connection->is_closed && result == LW_FRAME_INVALID)
-    report_failure (connection, &error);
+    report_connection_failure (connection, &error);
 }
 
 static void
-set_no_delay (struct bufferevent *stream)
+set_tcp_no_delay (struct bufferevent *stream)
 {
   int on = 1;
 
@@ -126,7 +125,7 @@
 
   if (what & BEV_EVENT_CONNECTED)
     {
-      set_no_delay (stream);
+      set_tcp_no_delay (stream);
       lw_handshake_hello (&connection->handshake, &hello);
       send_message (connection, &hello);
       return;
@@ -136,7 +135,7 @@
   lb_error_set (&error, LB_ERROR_CLOSED, "peer", "%s",
                 what & BEV_EVENT_EOF ? "the peer closed the connection"
                                      : evutil_socket_error_to_string (evutil_socket_geterror (-1)));
-  report_failure (connection, &error);
+  report_connection_failure (connection, &error);
 }
 
 static LnPeerConnection *
@@ -183,8 +182,8 @@
   LnPeerConnection *connection = connection_new (stream, true, key, self, handlers, user);
   if (!connection)
     return NULL;
-  /* Without callbacks during the connect: the handlers must not be called before the owner knows
-   * the connection. */
+  /* Removes the callbacks during the connect call: no handler may be called before this function
+   * has returned the connection to its owner. */
   bufferevent_setcb (stream, NULL, NULL, NULL, NULL);
   int failed = bufferevent_socket_connect (stream, (struct sockaddr *)&target, length);
   bufferevent_setcb (stream, on_read, NULL, on_event, connection);
@@ -208,7 +207,7 @@
   if (!stream)
     evutil_closesocket (fd);
   else
-    set_no_delay (stream);
+    set_tcp_no_delay (stream);
   return connection_new (stream, false, key, self, handlers, user);
 }
 
@@ -237,7 +236,7 @@
   if (connection->is_closed)
     return true;
   struct evbuffer *output = bufferevent_get_output (connection->stream);
-  if (evbuffer_get_length (output) + length > MAX_UNSENT)
+  if (evbuffer_get_length (output) + length > MAX_UNSENT_BYTES)
     return false;
   lb_metric_add (&bytes_sent, (int64_t)length);
   return bufferevent_write (connection->stream, frame, length) == 0;
--- a/packages/node/src/membership/ln-peer-connection.h
+++ b/packages/node/src/membership/ln-peer-connection.h
@@ -21,9 +21,9 @@
 /* TCP connection to another instance, which carries frames. */
 struct LnPeerConnection
 {
-  LbLink link;               /* used by the owner */
-  uint64_t id;               /* used by the owner */
-  LbTime handshake_deadline; /* used by the owner */
+  LbLink link;               /* in a list of the owner */
+  uint64_t id;               /* set by the owner */
+  LbTime handshake_deadline; /* set by the owner */
 
   const LnPeerHandlers *handlers;
   void *user;
@@ -32,7 +32,8 @@
   bool is_closed;
 };
 
-/* NULL if the address is invalid or no socket can be created. */
+/* Connects to another instance; returns NULL if the address is invalid or no socket can be created.
+ */
 LnPeerConnection *ln_peer_connection_dial (struct event_base *base,
                                            const char *address,
                                            const char *key,
@@ -45,12 +46,12 @@
                                              const LcInstance *self,
                                              const LnPeerHandlers *handlers,
                                              void *user);
-/* Closes the socket; no handler is called from then on. The memory is released by _free. */
+/* Closes the socket; no handler is called afterwards. ln_peer_connection_free frees the memory. */
 void ln_peer_connection_close (LnPeerConnection *connection);
 void ln_peer_connection_free (LnPeerConnection *connection);
 
-/* frame: made by lw_message_encode. False if too many bytes are unsent, because the other end does
- * not read, or if the write fails. */
+/* Sends a frame made by lw_message_encode. Returns false if the write fails, or if too many bytes
+ * are unsent because the other end does not read. */
 bool ln_peer_connection_send (LnPeerConnection *connection, const uint8_t *frame, size_t length);
 
 #endif
--- a/packages/node/src/membership/ln-peers-actions.c
+++ b/packages/node/src/membership/ln-peers-actions.c
@@ -24,7 +24,7 @@
 }
 
 static void
-close_link (LnPeers *peers, const LcMembershipAction *action)
+close_peer_link (LnPeers *peers, const LcMembershipAction *action)
 {
   LnPeerConnection *connection = ln_peers_find_connection (peers, action->link);
 
@@ -69,7 +69,7 @@
       dial_peer (peers, action);
       break;
     case LC_MEMBERSHIP_CLOSE:
-      close_link (peers, action);
+      close_peer_link (peers, action);
       break;
     case LC_MEMBERSHIP_PING:
     case LC_MEMBERSHIP_BROADCAST:
@@ -84,7 +84,7 @@
 }
 
 static void
-set_timer (LnPeers *peers)
+schedule_next_tick (LnPeers *peers)
 {
   LbTime wait = lc_membership_next_tick (peers->membership) - lb_clock_monotonic ();
 
@@ -106,5 +106,5 @@
       lc_membership_action_free (action);
     }
   ln_members_update_counters (peers->membership, &peers->counted_totals);
-  set_timer (peers);
+  schedule_next_tick (peers);
 }
--- a/packages/node/src/membership/ln-peers-frames.c
+++ b/packages/node/src/membership/ln-peers-frames.c
@@ -15,7 +15,7 @@
                                                   NULL,
                                                   "Frames dropped before they were sent");
 
-/* Closes the connection if its peer does not read: too many unsent bytes count like silence. */
+/* Closes the connection if the frame can't be sent: a peer that does not read counts as silent. */
 static void
 send_frame (LnPeers *peers, LnPeerConnection *connection, const uint8_t *frame, size_t length)
 {
@@ -40,8 +40,8 @@
   free (frame);
 }
 
-/* Two instances may have a connection in each direction; the frame goes over the one that a frame
- * arrived on last. */
+/* Two instances may have a connection in each direction. The frame is sent on the connection on
+ * which a frame arrived last. */
 void
 ln_peers_broadcast (LnPeers *peers, const LwMessage *message, LcLinkId except)
 {
@@ -85,7 +85,7 @@
 }
 
 static void
-clear_peer_message (LnMessage *message)
+free_payload (LnMessage *message)
 {
   free (((LnPeerMessage *)message)->payload);
 }
@@ -102,7 +102,7 @@
       lb_log (LB_LOG_WARNING, "peer_frame_without_task", LB_TEXT ("topic", topic));
       return;
     }
-  message.base.clear = clear_peer_message;
+  message.base.clear = free_payload;
   LB_COPY (message.instance, sender);
   LB_COPY (message.topic, topic);
   message.payload = lb_malloc (length + 1);
@@ -111,8 +111,8 @@
   LN_POST (peers->base.hub, task, message);
 }
 
-/* Broadcast frames are forwarded over all connections, since the sender does not have one to each
- * instance. */
+/* Broadcast frames are forwarded to all connected instances, since their sender is not connected to
+ * each instance. */
 void
 ln_peers_handle_data (LnPeers *peers, LcLinkId from, const LwMessage *message)
 {
--- a/packages/node/src/membership/ln-peers-handlers.c
+++ b/packages/node/src/membership/ln-peers-handlers.c
@@ -5,7 +5,7 @@
 #include "lb-log.h"
 
 static void
-on_opened (LnPeerConnection *connection, const LcInstance *peer, void *user)
+on_connection_opened (LnPeerConnection *connection, const LcInstance *peer, void *user)
 {
   LnPeers *peers = user;
   LbTime now = lb_clock_monotonic ();
@@ -22,7 +22,7 @@
 }
 
 static void
-on_failed (LnPeerConnection *connection, const LbError *error, void *user)
+on_connection_failed (LnPeerConnection *connection, const LbError *error, void *user)
 {
   LnPeers *peers = user;
   LcLinkId id = connection->id;
@@ -44,17 +44,17 @@
 }
 
 static void
-reject_message (LnPeers *peers, LnPeerConnection *connection)
+reject_handshake_message (LnPeers *peers, LnPeerConnection *connection)
 {
   LbError error;
 
   lb_error_set (&error, LB_ERROR_FRAME_GARBLED, "peer",
                 "unexpected handshake message after the handshake");
-  on_failed (connection, &error, peers);
+  on_connection_failed (connection, &error, peers);
 }
 
 static void
-on_received (LnPeerConnection *connection, const LwMessage *message, void *user)
+on_message_received (LnPeerConnection *connection, const LwMessage *message, void *user)
 {
   LnPeers *peers = user;
   LcLinkId id = connection->id;
@@ -85,11 +85,12 @@
     case LW_CHALLENGE:
     case LW_PROOF:
     case LW_N_MESSAGES:
-      reject_message (peers, connection);
+      reject_handshake_message (peers, connection);
       return;
     }
   ln_peers_run_actions (peers);
 }
 
-const LnPeerHandlers ln_peers_handlers
-    = { .opened = on_opened, .received = on_received, .failed = on_failed };
+const LnPeerHandlers ln_peers_handlers = { .opened = on_connection_opened,
+                                           .received = on_message_received,
+                                           .failed = on_connection_failed };
--- a/packages/node/src/membership/ln-peers-list.c
+++ b/packages/node/src/membership/ln-peers-list.c
@@ -13,7 +13,7 @@
 #define LIST_PERIOD_PER_INSTANCE (200 * LB_MSEC)
 
 static bool
-has_name (const char *const *names, size_t n_names, const char *name)
+contains_name (const char *const *names, size_t n_names, const char *name)
 {
   for (size_t i = 0; i < n_names; i++)
     if (strcmp (names[i], name) == 0)
@@ -22,12 +22,12 @@
 }
 
 static void
-post_endpoint_leaving (LnPeers *peers, const char *endpoint, bool stays)
+post_endpoint_leaving (LnPeers *peers, const char *endpoint, bool is_withdrawn)
 {
   LnTask *calls = ln_hub_find_task (peers->base.hub, "calls");
   LnEndpointLeavingMessage message = { .base = LN_MESSAGE (LN_ENDPOINT_LEAVING),
                                        .source = LC_LEAVING_PLATFORM,
-                                       .withdrawn = stays };
+                                       .withdrawn = is_withdrawn };
 
   if (!calls)
     return;
@@ -40,7 +40,8 @@
 apply_leaving_endpoints (LnPeers *peers, const LpInstanceList *list)
 {
   for (size_t i = 0; i < peers->n_leaving_endpoints; i++)
-    if (!has_name (list->leaving_endpoints, list->n_leaving_endpoints, peers->leaving_endpoints[i]))
+    if (!contains_name (list->leaving_endpoints, list->n_leaving_endpoints,
+                        peers->leaving_endpoints[i]))
       post_endpoint_leaving (peers, peers->leaving_endpoints[i], true);
   peers->leaving_endpoints
       = lb_realloc (peers->leaving_endpoints, list->n_leaving_endpoints * sizeof (LbName));
@@ -53,7 +54,7 @@
 }
 
 static void
-apply_list (LnPeers *peers, const LpInstanceList *list)
+apply_platform_list (LnPeers *peers, const LpInstanceList *list)
 {
   LcListedInstance *listed = LB_NEW_ARRAY (LcListedInstance, list->n_instances);
 
@@ -70,22 +71,22 @@
   ln_peers_run_actions (peers);
 }
 
-/* The platform is freed right after the tasks and drops its pending calls, so on_list is never
- * called after its task was freed, and a pending call leaks nothing. */
+/* The platform is freed right after the tasks and drops its pending calls, so this callback never
+ * runs after its task was freed, and a pending call leaks nothing. */
 static void
-on_list (LbErrorCode error, const LpInstanceList *list, void *user)
+on_platform_list (LbErrorCode error, const LpInstanceList *list, void *user)
 {
   LnPeers *peers = user;
 
   peers->is_list_pending = false;
   if (error == LB_OK)
-    apply_list (peers, list);
+    apply_platform_list (peers, list);
 }
 
-/* The list grows with the number of instances, and each instance reads it, so the period grows with
- * that number too: on average one instance still reads it every LIST_PERIOD_PER_INSTANCE and
- * notifies the others of leaving instances. Random, so that instances that started together do not
- * read it together. */
+/* Each instance reads the list, which grows with the number of instances, so the period grows with
+ * that number too. On average one instance still reads the list every LIST_PERIOD_PER_INSTANCE, and
+ * notifies the others of leaving instances. The period is randomly shortened by up to a quarter, so
+ * that instances that started together do not read the list at the same time. */
 static LbTime
 choose_list_period (const LnPeers *peers, LbTime now)
 {
@@ -109,5 +110,5 @@
     return;
   peers->next_list_at = now + choose_list_period (peers, now);
   peers->is_list_pending = true;
-  platform->klass->list_instances (platform, on_list, peers);
+  platform->klass->list_instances (platform, on_platform_list, peers);
 }
--- a/packages/node/src/membership/ln-peers-listen.c
+++ b/packages/node/src/membership/ln-peers-listen.c
@@ -14,11 +14,11 @@
 
 /* An accepted connection has to finish the handshake within this time. */
 #define HANDSHAKE_TIMEOUT (2 * LB_SEC)
-/* Maximum of accepted connections whose handshake is not done. */
-#define MAX_UNAUTHENTICATED 256
+/* Maximum number of accepted connections whose handshake is not done. */
+#define MAX_UNAUTHENTICATED_CONNECTIONS 256
 
 static size_t
-count_unauthenticated (const LnPeers *peers)
+count_unauthenticated_connections (const LnPeers *peers)
 {
   size_t count = 0;
 
@@ -41,7 +41,8 @@
   (void)length;
   LnPeers *peers = user;
 
-  if (!peers->membership || count_unauthenticated (peers) >= MAX_UNAUTHENTICATED)
+  if (!peers->membership
+      || count_unauthenticated_connections (peers) >= MAX_UNAUTHENTICATED_CONNECTIONS)
     {
       evutil_closesocket (fd);
       return;
@@ -56,7 +57,7 @@
   ln_peers_add_connection (peers, connection, 0);
 }
 
-/* Otherwise a client that connects and sends nothing would hold a socket forever. */
+/* Without the deadline, a client that connects and sends nothing would hold a socket forever. */
 void
 ln_peers_close_expired_handshakes (LnPeers *peers, LbTime now)
 {
@@ -82,7 +83,7 @@
             ntohs (bound.sin_port));
 }
 
-/* Own parser, because libevent's rejects port 0, which lets the kernel choose a port. */
+/* evutil_parse_sockaddr_port rejects port 0, with which the kernel chooses a free port. */
 static bool
 parse_listen_address (const char *text, struct sockaddr_in *address)
 {
--- a/packages/node/src/membership/ln-peers-load.c
+++ b/packages/node/src/membership/ln-peers-load.c
@@ -14,8 +14,8 @@
          + usage.ru_stime.tv_usec;
 }
 
-/* The load is the share of one core that the process used, in thousandths: an instance has a single
- * event loop. */
+/* The load is the share of one core that the process used, in thousandths, since an instance has a
+ * single event loop. */
 void
 ln_peers_measure_load (LnPeers *peers, LbTime now)
 {
--- a/packages/node/src/membership/ln-peers-private.h
+++ b/packages/node/src/membership/ln-peers-private.h
@@ -11,52 +11,54 @@
 #include <event2/event.h>
 #include <event2/listener.h>
 
-/* State of the task "peers", shared by the files ln-peers-*.c: it runs the actions of the
+/* State of the task "peers", shared by the files ln-peers-*.c: the task runs the actions of the
  * membership protocol on connections to other instances, and carries frames between tasks of
  * different instances. */
 typedef struct
 {
-  LnTask base; /* first */
+  LnTask base; /* must be the first member */
   LnContext *context;
   struct evconnlistener *listener;
   LbName *leaving_endpoints; /* endpoints that the platform's last list marks as leaving */
   size_t n_leaving_endpoints;
   struct event *timer;       /* fires when the membership next has to act */
   LcMembership *membership;  /* NULL until the event loop runs and all addresses are known */
-  LbList connections;        /* LnPeerConnection */
-  LbList closed_connections; /* freed at the next timer event: a handler may be running */
-  LbList actions;            /* of the membership, not executed yet */
+  LbList connections;        /* list of LnPeerConnection */
+  LbList closed_connections; /* freed at the next timer event, not inside a handler */
+  LbList actions;            /* list of LcMembershipAction that are not executed yet */
   LnFrameWindow *seen_frames;
   LnOutbox outbox;
-  uint64_t sequence;    /* of the last broadcast frame */
+  uint64_t sequence;    /* sequence number of the last broadcast frame sent */
   bool is_list_pending; /* a request for the platform's list is in progress */
   LbTime next_list_at;
   LbTime next_load_at;
-  LbTime cpu_time_used;              /* at the last measurement */
-  LcMembershipTotals counted_totals; /* already added to the counters */
+  LbTime cpu_time_used;              /* CPU time of the process at the last load measurement */
+  LcMembershipTotals counted_totals; /* totals already added to the counters */
 } LnPeers;
 
 /* ln-peers-connections.c */
 
-/* NULL for id 0, which is that of accepted connections whose handshake is not done. */
+/* Returns NULL for id 0, which all accepted connections have until their handshake is done. */
 LnPeerConnection *ln_peers_find_connection (const LnPeers *peers, LcLinkId id);
-/* Takes ownership. id: 0 for an accepted connection until the membership assigns one. */
+/* Takes ownership of the connection. id: 0 for an accepted connection, to which the membership
+ * assigns an id after the handshake. */
 void ln_peers_add_connection (LnPeers *peers, LnPeerConnection *connection, LcLinkId id);
-/* Does not notify the membership. The memory is freed at the next timer event. */
+/* Closes the connection without notifying the membership. Its memory is freed at the next timer
+ * event. */
 void ln_peers_close_connection (LnPeers *peers, LnPeerConnection *connection);
 void ln_peers_free_connections (LbList *connections);
-/* Reports to the membership that a frame was sent on the connection, for which it expects an
- * answer. */
+/* Reports to the membership that a frame was sent on the connection, so that the membership expects
+ * an answer. */
 void ln_peers_record_sent_frame (const LnPeers *peers, const LnPeerConnection *connection);
 
-/* ln-peers-frames.c: functions that send may close the connection and add actions; the caller has
- * to call ln_peers_run_actions. */
+/* ln-peers-frames.c: functions that send may close the connection and add actions of the
+ * membership, so the caller has to call ln_peers_run_actions afterwards. */
 
 void ln_peers_send_message (LnPeers *peers, LnPeerConnection *connection, const LwMessage *message);
 /* Sends one frame to each instance to which a connection is open, except to the peer of the link
  * `except` (0: to all). */
 void ln_peers_broadcast (LnPeers *peers, const LwMessage *message, LcLinkId except);
-/* Sends the frames queued in the outbox for the instance at the other end. */
+/* Sends the frames queued in the outbox for the instance `name`, which is the connection's peer. */
 void ln_peers_flush_outbox (LnPeers *peers, LnPeerConnection *connection, const char *name);
 /* Drops the frames that were queued in the outbox for too long. */
 void ln_peers_expire_outbox (LnPeers *peers, LbTime now);
@@ -65,8 +67,7 @@
 /* Sends a local task's frame to one instance or to all. */
 void ln_peers_send_data (LnPeers *peers, const LnPeerMessage *message);
 
-/* ln-peers-handlers.c: handlers of all connections, dialled or accepted; their `user` is the
- * LnPeers. */
+/* ln-peers-handlers.c: callbacks of all connections, dialled or accepted; `user` is the LnPeers. */
 extern const LnPeerHandlers ln_peers_handlers;
 
 /* ln-peers-actions.c */
@@ -80,7 +81,7 @@
 /* Binds the configured peer address and stores the bound address in the context. Logs the error and
  * returns false if it cannot be bound. */
 bool ln_peers_start_listening (LnPeers *peers);
-/* Closes accepted connections whose handshake was not done in time. */
+/* Closes accepted connections whose handshake is not done at its deadline. */
 void ln_peers_close_expired_handshakes (LnPeers *peers, LbTime now);
 
 /* ln-peers-list.c: requests the platform's list of instances when it is due. */
--- a/packages/node/src/membership/ln-peers.c
+++ b/packages/node/src/membership/ln-peers.c
@@ -9,9 +9,9 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Two processes of one name that start in the same millisecond must not have the same epoch, since
- * then no instance would see that they are two. So the epoch is the clock followed by sixteen bits
- * of a hash of the incarnation. */
+/* The epoch is the wall clock in milliseconds, followed by 16 bits of a hash of the incarnation.
+ * With equal epochs, two processes that start under the same name in the same millisecond would
+ * count as one instance. */
 static uint64_t
 make_epoch (const char *incarnation)
 {
@@ -21,7 +21,7 @@
 }
 
 static LcInstance
-describe_self (const LnContext *context)
+make_own_instance (const LnContext *context)
 {
   LcInstance self = { .epoch = make_epoch (context->incarnation) };
 
@@ -40,7 +40,7 @@
   const LnSettings *settings = peers->context->settings;
   LcMembershipSettings membership = lc_membership_settings_default ();
 
-  membership.self = describe_self (peers->context);
+  membership.self = make_own_instance (peers->context);
   membership.random_seed
       = XXH64 (peers->context->incarnation, strlen (peers->context->incarnation), settings->seed);
   peers->membership = lc_membership_new (&membership, now);
@@ -69,7 +69,7 @@
 }
 
 static void
-answer_entry_request (LnPeers *peers, LnExchange *exchange)
+answer_address_lookup (LnPeers *peers, LnExchange *exchange)
 {
   ln_exchange_set_owner (exchange, &peers->base);
   ln_entry_reply (exchange, peers->membership, peers->context->settings->drain.entry_ttl_ms);
@@ -96,7 +96,7 @@
   switch (message->type)
     {
     case LN_EXCHANGE:
-      answer_entry_request (peers, ((const LnExchangeMessage *)message)->exchange);
+      answer_address_lookup (peers, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_PEER_SEND:
       ln_peers_send_data (peers, (const LnPeerMessage *)message);
@@ -132,8 +132,8 @@
 static const LnTaskClass peers_class
     = { .name = "peers", .receive = peers_receive, .drain = peers_drain, .free = peers_free };
 
-/* Binds the configured peer address and stores the bound address in the context. NULL if it cannot
- * be bound. */
+/* Creates the task, binds the configured peer address and stores the bound address in the context.
+ * Returns NULL if the address can't be bound. */
 LnTask *
 ln_peers_new (LnContext *context)
 {
