--- a/packages/node/src/endpoints/ln-crashes.c
+++ b/packages/node/src/endpoints/ln-crashes.c
@@ -138,7 +138,7 @@
 }
 
 static void
-apply_row (LnCrashes *crashes, const char *key, const char *text, LbTime now)
+apply_crash_row (LnCrashes *crashes, const char *key, const char *text, LbTime now)
 {
   LnCrashRow row;
   LbError error = { 0 };
@@ -160,7 +160,7 @@
 /* Applies the removal of a row from the store: the row expired, or an operator released its request
  * from quarantine. */
 static void
-apply_removal (LnCrashes *crashes, const char *key)
+apply_row_removal (LnCrashes *crashes, const char *key)
 {
   KnownRow *row = find_known_row (crashes, key);
 
@@ -193,7 +193,7 @@
 }
 
 static void
-apply_rows (LnCrashes *crashes, const LpRow *rows, size_t n_rows)
+apply_crash_rows (LnCrashes *crashes, const LpRow *rows, size_t n_rows)
 {
   LbTime now = lb_clock_monotonic ();
 
@@ -204,16 +204,16 @@
   update_store_clock (crashes);
   for (size_t i = 0; i < n_rows; i++)
     if (rows[i].value)
-      apply_row (crashes, rows[i].key, rows[i].value, now);
+      apply_crash_row (crashes, rows[i].key, rows[i].value, now);
     else
-      apply_removal (crashes, rows[i].key);
+      apply_row_removal (crashes, rows[i].key);
   ln_crashes_publish_clearances (crashes);
 }
 
 static void
-on_rows (const LpRow *rows, size_t n_rows, void *user)
+on_crash_rows (const LpRow *rows, size_t n_rows, void *user)
 {
-  apply_rows (user, rows, n_rows);
+  apply_crash_rows (user, rows, n_rows);
 }
 
 static void
@@ -226,7 +226,7 @@
 }
 
 static void
-on_scanned (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
+on_rows_scanned (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
   LnCrashes *crashes = user;
 
@@ -236,7 +236,7 @@
   crashes->next_scan_at = lb_clock_monotonic () + SCAN_PERIOD;
   crashes->has_scanned = true;
   crashes->is_complete_copy = true;
-  apply_rows (crashes, rows, error == LB_OK ? n_rows : 0);
+  apply_crash_rows (crashes, rows, error == LB_OK ? n_rows : 0);
 }
 
 /* --- writing rows --- */
@@ -244,7 +244,7 @@
 /* Writes the row to the store and, on a platform without watches, sends it to the running instances
  * in a frame. */
 static void
-publish_row (LnCrashes *crashes, const char *key, const LnCrashRow *row)
+publish_crash_row (LnCrashes *crashes, const char *key, const LnCrashRow *row)
 {
   char *text = ln_crash_row_to_text (row);
 
@@ -272,7 +272,7 @@
   memcpy (report->fingerprints, fingerprints, report->n_fingerprints * sizeof *fingerprints);
   snprintf (report->id, sizeof report->id, "%s%s:%s:%s-%llu", KEY_PREFIX, endpoint,
             context->instance, context->incarnation, (unsigned long long)++crashes->report_count);
-  publish_row (crashes, report->id, &row);
+  publish_crash_row (crashes, report->id, &row);
   lc_quarantine_add_report (crashes->quarantine, report, lb_clock_monotonic ());
   ln_crashes_publish_clearances (crashes);
 }
@@ -291,7 +291,7 @@
       lc_fingerprint_to_text (row.report.fingerprints[0], text);
       snprintf (key, sizeof key, "%sanswered:%s", KEY_PREFIX, text);
       row.at_ms = convert_to_store_ms (crashes, row.report.at);
-      publish_row (crashes, key, &row);
+      publish_crash_row (crashes, key, &row);
     }
 }
 
@@ -302,7 +302,7 @@
 
   if (!ln_crash_frame_read (frame, &row))
     return false;
-  apply_row (crashes, row.key, row.text, lb_clock_monotonic ());
+  apply_crash_row (crashes, row.key, row.text, lb_clock_monotonic ());
   ln_crashes_publish_clearances (crashes);
   return true;
 }
@@ -338,7 +338,7 @@
   if (crashes->is_scanning || now < crashes->next_scan_at)
     return;
   crashes->is_scanning = true;
-  platform->klass->scan (platform, KEY_PREFIX, on_scanned, crashes);
+  platform->klass->scan (platform, KEY_PREFIX, on_rows_scanned, crashes);
 }
 
 void
@@ -374,7 +374,7 @@
   lb_list_init (&crashes->rows);
   crashes->unwritten = ln_unwritten_rows_new (context->platform, context->incarnation);
   if (context->platform->klass->watch)
-    crashes->follower = lp_follow_new (context->platform, &settings, on_rows, crashes);
+    crashes->follower = lp_follow_new (context->platform, &settings, on_crash_rows, crashes);
   return crashes;
 }
 
--- a/packages/node/src/endpoints/ln-endpoint-checks.c
+++ b/packages/node/src/endpoints/ln-endpoint-checks.c
@@ -78,7 +78,7 @@
 }
 
 static void
-log_outcome (const Check *check, LhReachOutcome outcome)
+log_check_outcome (const Check *check, LhReachOutcome outcome)
 {
   static const char *const names[] = { [LH_REACH_OPEN] = "open",
                                        [LH_REACH_CLOSED] = "closed",
@@ -106,7 +106,7 @@
   Check *check = user;
   const LnEndpointChecks *checks = check->owner;
 
-  log_outcome (check, outcome);
+  log_check_outcome (check, outcome);
   if (outcome == LH_REACH_CLOSED && start_probe (check, 0))
     return;
   if (outcome == LH_REACH_REFUSED)
--- a/packages/node/src/endpoints/ln-endpoint-list.c
+++ b/packages/node/src/endpoints/ln-endpoint-list.c
@@ -126,7 +126,7 @@
 }
 
 static void
-finish_list (LnEndpointList *list)
+finish_endpoint_list (LnEndpointList *list)
 {
   ln_unreadable_rows_end_list (list->unreadable_rows);
   ln_row_cache_end_list (list->row_cache);
@@ -142,7 +142,7 @@
 static void request_page (LnEndpointList *list, const char *after);
 
 static void
-on_page (LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
+on_page_listed (LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
 {
   (void)version;
   LnEndpointList *list = user;
@@ -162,7 +162,7 @@
   if (lc_subset_end_page (list->subset, last, is_last))
     request_page (list, last);
   else
-    finish_list (list);
+    finish_endpoint_list (list);
 }
 
 /* after: last key of the previous page; "": requests the first page. */
@@ -173,7 +173,7 @@
   const char *prefix = list->context->dialect->endpoint_key_prefix;
   char *from = after[0] ? lb_asprintf ("%s\x01", after + strlen (prefix)) : NULL;
 
-  platform->klass->list (platform, prefix, from, list->page_size, on_page, list);
+  platform->klass->list (platform, prefix, from, list->page_size, on_page_listed, list);
   free (from);
 }
 
--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -203,7 +203,7 @@
 }
 
 static void
-on_rows (const LpRow *rows, size_t n_rows, void *user)
+on_catalog_rows (const LpRow *rows, size_t n_rows, void *user)
 {
   LnCatalog *catalog = user;
   LbName before;
@@ -241,7 +241,7 @@
   catalog->delivered_change_count = -1;
   catalog->catalog = lc_catalog_new (context->instance, context->incarnation,
                                      ln_context_random_seed (context), lb_clock_monotonic ());
-  catalog->follower = lp_follow_new (context->platform, &settings, on_rows, catalog);
+  catalog->follower = lp_follow_new (context->platform, &settings, on_catalog_rows, catalog);
   catalog->endpoint_cache = ln_row_cache_new (&endpoint_row_class, NULL);
   catalog->instance_cache = ln_row_cache_new (&instance_row_class, NULL);
   return catalog;
@@ -362,7 +362,7 @@
 }
 
 static void
-send_next_write (LnCatalog *catalog, LbTime now)
+send_next_catalog_write (LnCatalog *catalog, LbTime now)
 {
   LcCatalogWrite write;
 
@@ -459,7 +459,7 @@
     return;
   lp_follow_tick (catalog->follower, now);
   set_takeover_rank (catalog, get_takeover_rank (catalog));
-  send_next_write (catalog, now);
+  send_next_catalog_write (catalog, now);
 }
 
 void
@@ -479,7 +479,7 @@
                                 .value = lc_registration_to_json (&endpoints[i]) };
   lc_catalog_set_listing (catalog->catalog, ENDPOINT_PREFIX, items, n_endpoints,
                           get_store_time_ms (catalog));
-  send_next_write (catalog, now);
+  send_next_catalog_write (catalog, now);
 }
 
 void
--- a/packages/node/src/membership/ln-fleet-lists.c
+++ b/packages/node/src/membership/ln-fleet-lists.c
@@ -29,7 +29,8 @@
 /* The row of an instance is removed after the instance has been dead for this time; otherwise rows
  * of dead instances would fill the directory. */
 #define DEAD_ROW_REMOVAL_DELAY (60 * LB_SEC)
-/* Maximum additional delay, different on each instance, so that not all remove the same rows. */
+/* Upper limit of the delay that each instance adds, derived from its name, so that not all
+ * instances remove the same rows. */
 #define DEAD_ROW_REMOVAL_SPREAD (30 * LB_SEC)
 
 /* Time between two lists of the directory. It grows with the fleet and so limits the rate to a few
--- a/packages/node/src/membership/ln-fleet-renewal.c
+++ b/packages/node/src/membership/ln-fleet-renewal.c
@@ -160,8 +160,8 @@
   LbTime period = get_renew_period (summary);
 
   renewal->may_have_duty_row |= summary->has_duty_row;
-  /* An instance that was just added to the directory does not wait for the end of its longer
-   * period. */
+  /* A period that becomes shorter, as on an instance just added to the directory, applies to the
+   * next renewal. */
   if (period < renewal->period && renewal->next_renewal_at > now + period)
     renewal->next_renewal_at = now + period;
   renewal->period = period;
--- a/packages/node/src/membership/ln-fleet-renewal.h
+++ b/packages/node/src/membership/ln-fleet-renewal.h
@@ -16,12 +16,12 @@
 LnFleetRenewal *ln_fleet_renewal_new (struct LpPlatform *platform, LcFleetRow *row);
 void ln_fleet_renewal_free (LnFleetRenewal *renewal);
 
-/* What the last lists of instances contained. */
+/* Results of the last lists of instances. */
 typedef struct
 {
   size_t n_instances; /* number of known instances */
   bool is_omitted;    /* the directory is full and does not contain this instance */
-  bool has_duty_row;  /* the duty row of this instance was in the list */
+  bool has_duty_row;  /* the list of instances on duty contains a row of this instance */
 } LnFleetListSummary;
 
 /* commands: write rows */
--- a/packages/node/src/membership/ln-fleet.c
+++ b/packages/node/src/membership/ln-fleet.c
@@ -103,7 +103,8 @@
                                    (ln_context_random_seed (task->context) % n + index) % n);
 }
 
-/* Sets the instances through which the store can be reached while this one is cut off from it. */
+/* Sets the instances through which the store can be reached while this one is cut off from the
+ * store. */
 static void
 set_platform_peers (Fleet *task)
 {
@@ -168,7 +169,7 @@
 }
 
 static void
-on_tick (void *user)
+on_fleet_tick (void *user)
 {
   Fleet *task = user;
   LbTime now = lb_clock_monotonic ();
@@ -343,7 +344,7 @@
 }
 
 static void
-receive_message (LnTask *base, const LnMessage *message)
+receive_fleet_message (LnTask *base, const LnMessage *message)
 {
   Fleet *task = (Fleet *)base;
 
@@ -379,7 +380,7 @@
 /* Writes the draining state to the row at once, so that callers avoid this instance from their next
  * address lookup on. */
 static void
-drain_task (LnTask *base)
+drain_fleet_task (LnTask *base)
 {
   Fleet *task = (Fleet *)base;
 
@@ -388,7 +389,7 @@
 }
 
 static void
-free_task (LnTask *base)
+free_fleet_task (LnTask *base)
 {
   Fleet *task = (Fleet *)base;
 
@@ -398,8 +399,10 @@
   free (task);
 }
 
-static const LnTaskClass fleet_class
-    = { .name = "peers", .receive = receive_message, .drain = drain_task, .free = free_task };
+static const LnTaskClass fleet_class = { .name = "peers",
+                                         .receive = receive_fleet_message,
+                                         .drain = drain_fleet_task,
+                                         .free = free_fleet_task };
 
 LnTask *
 ln_fleet_new (LnContext *context)
@@ -418,7 +421,7 @@
                                                      context->settings->instance.link_mbps);
   task->renewal = ln_fleet_renewal_new (context->platform, &task->own_row);
   task->lists = ln_fleet_lists_new (context->platform, context->instance, on_lists_changed, task);
-  task->tick = (LnPeriodicCall){ .period = TICK_PERIOD, .callback = on_tick, .user = task };
+  task->tick = (LnPeriodicCall){ .period = TICK_PERIOD, .callback = on_fleet_tick, .user = task };
   ln_ticker_add (ln_context_ticker (context), &task->tick);
   return &task->task;
 }
--- a/packages/node/src/membership/ln-peer-connection.h
+++ b/packages/node/src/membership/ln-peer-connection.h
@@ -14,16 +14,16 @@
   /* The handshake is done: both ends have proved that they know the key. */
   void (*opened) (LnPeerConnection *connection, const LcInstance *peer, void *user);
   void (*received) (LnPeerConnection *connection, const LwMessage *message, void *user);
-  /* The other end closed the connection, or it failed; the owner has to close it. */
+  /* The peer closed the connection, or the connection failed; the owner has to close it. */
   void (*failed) (LnPeerConnection *connection, const LbError *error, void *user);
 } LnPeerHandlers;
 
 /* TCP connection to another instance, which carries frames. */
 struct LnPeerConnection
 {
-  LbLink link;               /* in a list of the owner */
-  uint64_t id;               /* set by the owner */
-  LbTime handshake_deadline; /* set by the owner */
+  LbLink link;               /* link in a list of the owner */
+  uint64_t id;               /* set by the owner to identify the connection */
+  LbTime handshake_deadline; /* set and checked by the owner */
 
   const LnPeerHandlers *handlers;
   void *user;
--- a/packages/node/src/membership/ln-peers-private.h
+++ b/packages/node/src/membership/ln-peers-private.h
@@ -36,7 +36,7 @@
   LcMembershipTotals counted_totals; /* totals already added to the counters */
 } LnPeers;
 
-/* ln-peers-connections.c */
+/* --- ln-peers-connections.c: the list of connections --- */
 
 /* Returns NULL for id 0, which all accepted connections have until their handshake is done. */
 LnPeerConnection *ln_peers_find_connection (const LnPeers *peers, LcLinkId id);
@@ -70,13 +70,13 @@
 /* ln-peers-handlers.c: callbacks of all connections, dialled or accepted; `user` is the LnPeers. */
 extern const LnPeerHandlers ln_peers_handlers;
 
-/* ln-peers-actions.c */
+/* --- ln-peers-actions.c: actions of the membership --- */
 
 /* Runs the pending actions of the membership and sets the timer for its next tick. Must be the last
  * step of every handler that changes the membership. */
 void ln_peers_run_actions (LnPeers *peers);
 
-/* ln-peers-listen.c */
+/* --- ln-peers-listen.c: accepted connections --- */
 
 /* Binds the configured peer address and stores the bound address in the context. Logs the error and
  * returns false if it cannot be bound. */
--- a/packages/node/src/weights/ln-engine-plans.c
+++ b/packages/node/src/weights/ln-engine-plans.c
@@ -13,23 +13,24 @@
 #include <string.h>
 
 #define TABLE "plan"
-/* The rows are in the partition of the lease, not in the unnamed one, to which endpoints and
- * operators write. */
-#define PREFIX TABLE "/weights/"
+/* The rows are in the partition of the weights lease, not in the unnamed partition, to which
+ * endpoints and operators write. */
+#define KEY_PREFIX TABLE "/weights/"
 #define KEY_SIZE 32
-#define WATCH_TIMEOUT (900 * LB_MSEC) /* also detects a silently dead connection */
+#define WATCH_TIMEOUT (900 * LB_MSEC) /* also bounds how long a dead connection goes unnoticed */
 #define WATCH_RETRY_DELAY (200 * LB_MSEC)
-/* Between two reads by an instance that sends nothing to engines: a watch would report changes
- * several times per second, since loads change rows that often. */
-#define IDLE_READ_PAUSE (5 * LB_SEC)
-/* With many engines, loads begin and end several times per second; one write covers them all. */
+/* Time between two reads by an instance that sends nothing to engines. A watch would report changes
+ * several times per second, since weight loads change the rows that often. */
+#define IDLE_READ_INTERVAL (5 * LB_SEC)
+/* Minimum time between two writes of the plan. With many engines, weight loads begin and end
+ * several times per second; one write covers them all. */
 #define WRITE_PERIOD (150 * LB_MSEC)
 /* Time between two divisions of the engines among the models; batches arrive every few seconds, and
  * each updates the demand. */
 #define DIVISION_PERIOD (2 * LB_SEC)
-/* A new writer that knows of no demand may not have read the rows of batches yet, so it divides no
- * engines until it has been the writer for this time. */
-#define DEMAND_LISTING_TIME (3 * LB_SEC)
+/* Time for which a new writer without known demand divides no engines, since it may not have read
+ * the rows of batches yet. */
+#define DEMAND_WARM_UP_TIME (3 * LB_SEC)
 
 struct LnEnginePlans
 {
@@ -37,16 +38,17 @@
   void (*on_plan) (const LcEnginePlan *plan, void *user);
   void *user;
   LcEnginePlan parts[LC_ENGINE_PLAN_PARTS]; /* as stored, one row each */
-  int64_t versions[LC_ENGINE_PLAN_PARTS];   /* of the parts' rows; 0: no row known */
+  int64_t versions[LC_ENGINE_PLAN_PARTS];   /* row version of each part; 0: no row known */
   LcEnginePlan plan;                        /* all parts together */
-  LcEnginePlan desired;                     /* is_writer: the plan to be stored */
+  LcEnginePlan desired;                     /* the plan to be stored, kept by the writer only */
   bool is_writer; /* this instance orders weights and so writes the plan */
   LbTime writer_since;
   LpFollow *row_watch;
   LcDemand *demand;
   bool is_write_pending;
   bool must_retry_write;
-  bool is_in_write[LC_ENGINE_PLAN_PARTS]; /* parts in the write in progress, or in the last one */
+  bool is_in_write[LC_ENGINE_PLAN_PARTS]; /* the part is in the write in progress, or in the last
+                                             write */
   LbTime next_write_at;
   LbTime next_division_at; /* when the engines are next divided among the models */
 };
@@ -54,10 +56,11 @@
 static void
 format_part_key (size_t index, char *key)
 {
-  snprintf (key, KEY_SIZE, PREFIX "%02zx", index);
+  snprintf (key, KEY_SIZE, KEY_PREFIX "%02zx", index);
 }
 
-/* Index of the part that is stored under the key; LC_ENGINE_PLAN_PARTS: none. */
+/* Returns the index of the part that is stored under the key, or LC_ENGINE_PLAN_PARTS if there is
+ * none. */
 static size_t
 find_part_index (const char *key)
 {
@@ -74,7 +77,7 @@
 
 /* Returns true if the row was newer than the known row of its part and could be parsed. */
 static bool
-apply_row (LnEnginePlans *plans, const LpRow *row)
+apply_plan_row (LnEnginePlans *plans, const LpRow *row)
 {
   size_t index = find_part_index (row->key);
   struct json_object *object = row->value ? json_tokener_parse (row->value) : NULL;
@@ -105,7 +108,7 @@
   bool is_applied = false;
 
   for (size_t i = 0; i < n_rows; i++)
-    is_applied |= apply_row (plans, &rows[i]);
+    is_applied |= apply_plan_row (plans, &rows[i]);
   if (!is_applied)
     return;
   lc_engine_plan_clear (&plans->plan);
@@ -118,7 +121,7 @@
                      void (*on_plan) (const LcEnginePlan *plan, void *user),
                      void *user)
 {
-  static const char *const prefixes[] = { PREFIX };
+  static const char *const prefixes[] = { KEY_PREFIX };
   const LpFollowSettings settings = { .table = TABLE,
                                       .prefixes = prefixes,
                                       .n_prefixes = 1,
@@ -135,9 +138,9 @@
 }
 
 void
-ln_engine_plans_set_watched (LnEnginePlans *plans, bool needed, LbTime now)
+ln_engine_plans_set_watched (LnEnginePlans *plans, bool is_watched, LbTime now)
 {
-  lp_follow_set_list_interval (plans->row_watch, needed ? 0 : IDLE_READ_PAUSE, now);
+  lp_follow_set_list_interval (plans->row_watch, is_watched ? 0 : IDLE_READ_INTERVAL, now);
 }
 
 void
@@ -158,8 +161,8 @@
   lc_demand_add (plans->demand, model, (double)tokens, now);
 }
 
-/* After a failed write, clears the part so that it is written again: it would otherwise differ from
- * its row until its next change. */
+/* Clears the known content of a part whose write failed, so that the part is written again.
+ * Otherwise its row would be outdated until the next change of the part. */
 static void
 invalidate_part (LnEnginePlans *plans, size_t index)
 {
@@ -191,10 +194,10 @@
   size_t n;
 } PlanWrite;
 
-/* Adds the part to the write, and updates the known part at once: this instance need not wait until
- * the watch shows its own row. */
+/* Adds the part to the write, and updates the known part at once, without waiting until the watch
+ * delivers the row that this instance writes. */
 static void
-add_part (LnEnginePlans *plans, size_t index, LcEnginePlan *part, PlanWrite *write)
+add_part_to_write (LnEnginePlans *plans, size_t index, LcEnginePlan *part, PlanWrite *write)
 {
   size_t n = write->n++;
 
@@ -209,7 +212,7 @@
 }
 
 static void
-add_changed_parts (LnEnginePlans *plans, PlanWrite *write)
+add_changed_parts_to_write (LnEnginePlans *plans, PlanWrite *write)
 {
   for (size_t i = 0; i < LC_ENGINE_PLAN_PARTS; i++)
     {
@@ -217,7 +220,7 @@
       lc_engine_plan_copy_part (&plans->desired, i, &part);
       plans->is_in_write[i] = !lc_engine_plan_is_same (&part, &plans->parts[i]);
       if (plans->is_in_write[i])
-        add_part (plans, i, &part, write);
+        add_part_to_write (plans, i, &part, write);
       else
         lc_engine_plan_clear (&part);
     }
@@ -230,7 +233,7 @@
   PlanWrite write = { .n = 0 };
 
   plans->must_retry_write = false;
-  add_changed_parts (plans, &write);
+  add_changed_parts_to_write (plans, &write);
   /* No part differs from its row, for example because a write that was considered failed took
    * effect and the watch has shown its rows since. */
   if (write.n == 0)
@@ -255,13 +258,14 @@
 {
   const LcPlanEntry *desired = lc_engine_plan_find (&plans->desired, entry->engine);
 
-  /* State of the model that the engine served before must not revert its assignment. */
+  /* The state of the model that an engine served before must not revert the assignment of its new
+   * model. */
   if (plans->is_writer && (!desired || strcmp (desired->model, entry->model) == 0))
     lc_engine_plan_put (&plans->desired, entry);
 }
 
 static size_t
-add_model (LbName *models, size_t n, const char *model)
+append_model_if_new (LbName *models, size_t n, const char *model)
 {
   for (size_t i = 0; i < n; i++)
     if (strcmp (models[i], model) == 0)
@@ -274,7 +278,7 @@
 static bool
 is_demand_known (const LnEnginePlans *plans, LbTime now)
 {
-  return !lc_demand_is_empty (plans->demand) || now - plans->writer_since >= DEMAND_LISTING_TIME;
+  return !lc_demand_is_empty (plans->demand) || now - plans->writer_since >= DEMAND_WARM_UP_TIME;
 }
 
 static void
@@ -294,7 +298,7 @@
       LB_COPY (engines[n_engines].model, lc_roster_assigned_model (roster, i));
       n_engines++;
       for (size_t model = 0; model < registration->n_models; model++)
-        n_models = add_model (models, n_models, registration->models[model].name);
+        n_models = append_model_if_new (models, n_models, registration->models[model].name);
     }
   ln_stall_set_activity ("division of engines");
   lc_engine_plan_rebalance (&plans->desired, engines, n_engines, models, n_models, plans->demand,
@@ -302,9 +306,9 @@
   free (engines);
 }
 
-/* A new writer starts from the plan of the previous one. */
+/* A new writer starts from the plan of the previous writer. */
 static void
-set_writer (LnEnginePlans *plans, bool is_writer, LbTime now)
+set_is_writer (LnEnginePlans *plans, bool is_writer, LbTime now)
 {
   if (is_writer && !plans->is_writer)
     {
@@ -319,7 +323,7 @@
 ln_engine_plans_tick (LnEnginePlans *plans, const LcRoster *roster, bool may_write, LbTime now)
 {
   lp_follow_tick (plans->row_watch, now);
-  set_writer (plans, may_write && lp_follow_has_listed (plans->row_watch), now);
+  set_is_writer (plans, may_write && lp_follow_has_listed (plans->row_watch), now);
   if (!plans->is_writer)
     return;
   if (now >= plans->next_division_at && is_demand_known (plans, now))
--- a/packages/node/src/weights/ln-engine-plans.h
+++ b/packages/node/src/weights/ln-engine-plans.h
@@ -4,18 +4,18 @@
 #include "lc-roster.h"
 #include "ln-context.h"
 
-/* Which model each engine serves, which version it has and whether it is loading. The instance that
- * orders weights writes this plan into rows of the store, and all instances watch them, since the
- * engines' own entries lag by a second or two. */
+/* Plan of the engines: which model each engine serves, which version of the model it has and
+ * whether it is loading. The instance that orders weights writes the plan to rows of the store. All
+ * instances watch these rows, since the endpoint rows of the engines lag by a second or two. */
 typedef struct LnEnginePlans LnEnginePlans;
 
 /* on_plan: called when the plan has changed. */
 LnEnginePlans *ln_engine_plans_new (LnContext *context,
                                     void (*on_plan) (const LcEnginePlan *plan, void *user),
                                     void *user);
-/* needed: this instance sends requests to engines, or may soon order their weights. Changes are
- * then received at once, otherwise at intervals. */
-void ln_engine_plans_set_watched (LnEnginePlans *plans, bool needed, LbTime now);
+/* Sets whether changes of the plan are received at once, or else read at intervals. An instance
+ * that sends requests to engines, or may soon order their weights, needs changes at once. */
+void ln_engine_plans_set_watched (LnEnginePlans *plans, bool is_watched, LbTime now);
 void ln_engine_plans_free (LnEnginePlans *plans);
 void
 ln_engine_plans_add_demand (LnEnginePlans *plans, const char *model, int64_t tokens, LbTime now);
--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -17,13 +17,14 @@
 #include <string.h>
 #include <uthash.h>
 
-#define DUTY "weights"
-#define RESPONSE_TIMEOUT (1200 * LB_MSEC) /* of orders and state queries */
+#define DUTY_NAME "weights"
+#define RESPONSE_TIMEOUT (1200 * LB_MSEC) /* for the answer to an order or a state query */
 #define LOAD_TIMEOUT (6 * LB_SEC)         /* several times the load time of a single engine */
 #define QUERY_RETRY_DELAY (120 * LB_MSEC) /* after a failed query or order */
-/* All engines are queried as soon as the lease is held, and answer within some 10 ms, whether they
- * are loading or not. */
-#define STATE_TIMEOUT (400 * LB_MSEC)
+/* Time after which an engine without an answer no longer counts as loading by an order of the
+ * previous lease holder. A new holder queries all engines at once, and they answer within some 10
+ * ms, whether they are loading or not. */
+#define FIRST_STATE_TIMEOUT (400 * LB_MSEC)
 
 typedef struct Engine Engine;
 
@@ -39,13 +40,13 @@
 
 struct Engine
 {
-  LbName name; /* key */
+  LbName name; /* key in LnWeightOrders.engines */
   LnWeightOrders *orders;
   LbName address;
   LbName model;
-  int64_t orders_accepted;   /* since its start; -1: to be queried before the next order */
-  LcVersion version;         /* of the loaded weights, as last stated; 0: unknown */
-  LcVersion ordered_version; /* in the order in progress; 0: none */
+  int64_t orders_accepted; /* since the engine's start; -1: unknown, query before the next order */
+  LcVersion version;       /* of the loaded weights, as last reported; 0: unknown */
+  LcVersion ordered_version; /* in the order in progress; 0: no order */
   LbTime ordered_at;
   LbTime next_query_at;
   LbTime query_sent_at; /* when the query in progress was sent */
@@ -62,15 +63,15 @@
   void *user;
   LnDutyLease *lease;
   LcLoadTime load_time;
-  bool all_check_fences; /* all engines reject an order with an old fencing number */
-  LbList models;         /* Model */
+  bool all_check_fences; /* all engines reject an order with an old fencing token */
+  LbList models;         /* list of Model */
   Engine *engines;       /* hash table by name */
 };
 
-/* The lease was gained or lost: discards the engines' states, since the orders of the previous
- * holder are not known here. */
+/* Called when the lease was gained or lost. Discards the engines' states, since this instance does
+ * not know the orders of the previous holder. */
 static void
-discard_states (LbTime now, void *user)
+discard_engine_states (LbTime now, void *user)
 {
   LnWeightOrders *orders = user;
 
@@ -97,8 +98,8 @@
   orders->on_engine = on_engine;
   orders->user = user;
   orders->lease
-      = ln_duty_lease_new (context, DUTY, context->settings->weights.endpoints_check_fence,
-                           discard_states, orders);
+      = ln_duty_lease_new (context, DUTY_NAME, context->settings->weights.endpoints_check_fence,
+                           discard_engine_states, orders);
   lb_list_init (&orders->models);
   return orders;
 }
@@ -144,7 +145,7 @@
 }
 
 static Model *
-ensure_model (LnWeightOrders *orders, const char *name)
+find_or_add_model (LnWeightOrders *orders, const char *name)
 {
   Model *model = find_model (orders, name);
   LcWeightsSettings settings;
@@ -154,7 +155,7 @@
   model = LB_NEW (Model);
   lc_weights_settings_init (&settings, name);
   settings.load_timeout = LOAD_TIMEOUT;
-  settings.first_report_timeout = STATE_TIMEOUT;
+  settings.first_report_timeout = FIRST_STATE_TIMEOUT;
   model->orders = orders;
   model->weights = lc_weights_new (&settings);
   LB_COPY (model->name, name);
@@ -186,8 +187,8 @@
     }
   engine->is_configured = true;
   LB_COPY (engine->address, member->address);
-  /* The state of one model's weights does not apply to another's: requests would be sent to weights
-   * that the engine does not have, and their texts discarded as stale. */
+  /* The version of the previous model's weights says nothing about the new model: requests would be
+   * sent to weights that the engine does not have, and the generated texts discarded as stale. */
   if (strcmp (engine->model, member->pool) != 0)
     {
       engine->ordered_version = 0;
@@ -218,7 +219,7 @@
       engine_free (engine);
   }
   for (size_t i = 0; i < set->n_pools; i++)
-    ensure_model (orders, set->pools[i].name);
+    find_or_add_model (orders, set->pools[i].name);
   LB_LIST_FOREACH (&orders->models, Model, link, model)
   {
     lc_weights_configure (model->weights, set, lb_clock_monotonic ());
@@ -231,13 +232,13 @@
                                      LcVersion version,
                                      LbTime now)
 {
-  lc_weights_set_newest (ensure_model (orders, model)->weights, version, now);
+  lc_weights_set_newest (find_or_add_model (orders, model)->weights, version, now);
 }
 
 /* --- states of engines --- */
 
 static void
-publish_engine (const Engine *engine)
+publish_engine_state (const Engine *engine)
 {
   LcPlanEntry entry = { .version = engine->version, .loading = engine->ordered_version != 0 };
 
@@ -246,10 +247,11 @@
   engine->orders->on_engine (&entry, engine->orders->user);
 }
 
-/* Applies the version that the engine stated at requested_at. An order counts as in progress until
- * the engine has the ordered version, or until LOAD_TIMEOUT, after which it must have failed. */
+/* Applies the version that the engine reported when asked at requested_at. An order counts as in
+ * progress until the engine has the ordered version, or until LOAD_TIMEOUT, after which it must
+ * have failed. */
 static void
-apply_version (Engine *engine, LcVersion version, LbTime requested_at, LbTime now)
+apply_engine_version (Engine *engine, LcVersion version, LbTime requested_at, LbTime now)
 {
   Model *model = find_model (engine->orders, engine->model);
   LcWeightReport report = { .version = version, .requested_at = requested_at };
@@ -262,7 +264,7 @@
   if (engine->ordered_version != 0
       && (version >= engine->ordered_version || now - engine->ordered_at > LOAD_TIMEOUT))
     engine->ordered_version = 0;
-  publish_engine (engine);
+  publish_engine_state (engine);
   report.loading = engine->ordered_version != 0;
   LB_COPY (report.incarnation, engine->name);
   lb_list_init (&actions);
@@ -282,23 +284,24 @@
       const LcRegistration *registration = lc_roster_registration (roster, i);
       Engine *engine = find_engine (orders, registration->name);
       LcVersion version = lc_roster_registered_weight_version (roster, i);
-      /* The endpoint list lags behind the version that the engine itself stated. */
+      /* The endpoint list lags behind the version that the engine itself reported. */
       if (engine && engine->orders_accepted >= 0)
-        apply_version (engine, version > engine->version ? version : engine->version, requested_at,
-                       now);
+        apply_engine_version (engine, version > engine->version ? version : engine->version,
+                              requested_at, now);
     }
 }
 
-static void tick_models (LnWeightOrders *orders, LbTime now);
+static void order_loads (LnWeightOrders *orders, LbTime now);
 
-/* The end of a load starts the next one at once: waiting for the next tick would take 25 ms. */
+/* Applies the version read from the engine. When a load has ended, orders the next load at once:
+ * the next tick may be 25 ms away. */
 static void
 handle_queried_version (Engine *engine, LcVersion version, LbTime now)
 {
   LnWeightOrders *orders = engine->orders;
   LcVersion ordered_version = engine->ordered_version;
 
-  apply_version (engine, version, engine->query_sent_at, now);
+  apply_engine_version (engine, version, engine->query_sent_at, now);
   if (engine->ordered_version != 0)
     {
       engine->next_query_at = now + lc_load_time_poll_interval (&orders->load_time);
@@ -307,11 +310,11 @@
   if (ordered_version == 0 || version < ordered_version)
     return;
   lc_load_time_add_sample (&orders->load_time, now - engine->ordered_at);
-  tick_models (orders, now);
+  order_loads (orders, now);
 }
 
 static void
-on_state_read (LhFetch *fetch, const LhResult *result, void *user)
+on_state_query_done (LhFetch *fetch, const LhResult *result, void *user)
 {
   (void)fetch;
   Engine *engine = user;
@@ -341,9 +344,9 @@
 }
 
 static void
-query_state (Engine *engine, LbTime now)
+query_engine_state (Engine *engine, LbTime now)
 {
-  const LhHandlers handlers = { .on_done = on_state_read };
+  const LhHandlers handlers = { .on_done = on_state_query_done };
   const LhRequest request = { .method = "GET",
                               .address = engine->address,
                               .path = engine->orders->context->dialect->engine_state_path,
@@ -357,7 +360,7 @@
 /* --- orders --- */
 
 static LbErrorCode
-get_outcome_error (LnOrderOutcome outcome)
+convert_outcome_to_error (LnOrderOutcome outcome)
 {
   switch (outcome)
     {
@@ -382,10 +385,10 @@
   LnWeightOrders *orders = engine->orders;
   Model *model = find_model (orders, engine->model);
   LbTime now = lb_clock_monotonic ();
-  LbErrorCode error
-      = result->failure != LB_OK
-            ? result->failure
-            : get_outcome_error (orders->context->dialect->classify_order_reply (result->status));
+  LbErrorCode error = result->failure != LB_OK
+                          ? result->failure
+                          : convert_outcome_to_error (
+                              orders->context->dialect->classify_order_reply (result->status));
 
   engine->order_fetch = NULL;
   lb_log (error == LB_OK ? LB_LOG_INFO : LB_LOG_WARNING, "weights_ordered",
@@ -430,7 +433,7 @@
   orders->context->dialect->write_order (&order, &outgoing);
   if (engine->order_fetch)
     lh_fetch_cancel (engine->order_fetch);
-  publish_engine (engine);
+  publish_engine_state (engine);
   lb_log (LB_LOG_INFO, "weights_order", LB_TEXT ("endpoint", engine->name),
           LB_TEXT ("model", engine->model), LB_INT ("version", order.version),
           LB_INT ("fence", order.fence), LB_INT ("orders_before", order.orders_before));
@@ -439,9 +442,9 @@
   lc_outgoing_request_clear (&outgoing);
 }
 
-/* True when a load was ordered. */
+/* Sends the orders that LcWeights decides for the model. Returns true if a load was ordered. */
 static bool
-tick_model (Model *model, LbTime now)
+order_model_loads (Model *model, LbTime now)
 {
   const LnDutyLease *lease = model->orders->lease;
   LbLink *link;
@@ -462,10 +465,10 @@
   return has_ordered;
 }
 
-/* Orders loads one by one, each for the model that needs it most, up to the limit of concurrent
+/* Orders loads one by one, each for the model that needs a load most, up to the limit of concurrent
  * loads. */
 static void
-tick_models (LnWeightOrders *orders, LbTime now)
+order_loads (LnWeightOrders *orders, LbTime now)
 {
   size_t n = orders->models.length;
   LcSwapCandidate *candidates = LB_NEW_ARRAY (LcSwapCandidate, n + 1);
@@ -484,7 +487,7 @@
     {
       LcWeightsStatus *status = &candidates[next].status;
       lc_weights_set_swap_limit (models[next]->weights, (int64_t)status->swapping + 1);
-      candidates[next].blocked = !tick_model (models[next], now);
+      candidates[next].blocked = !order_model_loads (models[next], now);
       swapping += !candidates[next].blocked;
       lc_weights_status (models[next]->weights, now, status);
     }
@@ -492,28 +495,28 @@
   free (candidates);
 }
 
-/* The endpoint list lags by a second or more, so an engine in a swap (one that loads other weights)
- * is queried itself. So is an engine whose count of accepted orders is not known, since each order
- * states the count before it. */
+/* Returns true if the engine itself is queried. The endpoint list lags by a second or more, so an
+ * engine in a swap (one that loads other weights) is queried. An engine whose count of accepted
+ * orders is not known is queried too, since each order states the count before it. */
 static bool
-needs_query (const Engine *engine)
+needs_state_query (const Engine *engine)
 {
   return engine->ordered_version != 0 || engine->orders_accepted < 0;
 }
 
-/* Does nothing for the engines without the lease: there may be hundreds of such instances, and this
- * runs 40 times per second. */
+/* Skips the engines if this instance does not hold the lease: there may be hundreds of such
+ * instances, and this function runs 40 times per second. */
 void
 ln_weight_orders_tick (LnWeightOrders *orders, LbTime now)
 {
   ln_duty_lease_tick (orders->lease, orders->all_check_fences, now);
   if (!ln_duty_lease_is_held (orders->lease))
     return;
-  tick_models (orders, now);
+  order_loads (orders, now);
   for (Engine *engine = orders->engines; engine; engine = engine->hh.next)
-    if (needs_query (engine) && !engine->order_fetch && !engine->query_fetch
+    if (needs_state_query (engine) && !engine->order_fetch && !engine->query_fetch
         && now >= engine->next_query_at)
-      query_state (engine, now);
+      query_engine_state (engine, now);
 }
 
 void
--- a/packages/node/src/weights/ln-weight-orders.h
+++ b/packages/node/src/weights/ln-weight-orders.h
@@ -5,18 +5,20 @@
 #include "ln-context.h"
 #include "ln-messages.h"
 
-/* Orders engines on a shared platform to load weights. The holder of one lease gives the orders for
- * all models; LcWeights decides the roll-out of each model. */
+/* Orders engines on a shared platform to load weights. One instance, the holder of the weights
+ * lease, sends the orders for all models; LcWeights decides the roll-out of each model. */
 typedef struct LnWeightOrders LnWeightOrders;
 
-/* on_engine: called when an engine's state was learned or the engine was ordered to load. */
+/* on_engine: called when the state of an engine was read, or an order to load was sent to the
+ * engine. */
 LnWeightOrders *ln_weight_orders_new (LnContext *context,
                                       void (*on_engine) (const LcPlanEntry *entry, void *user),
                                       void *user);
 void ln_weight_orders_free (LnWeightOrders *orders);
 
 void ln_weight_orders_configure (LnWeightOrders *orders, const LcResourceSet *set);
-/* Applies the versions in the store's list of endpoints, which was requested at requested_at. */
+/* Applies the weight versions in the store's list of endpoints, which was requested at
+ * requested_at. */
 void ln_weight_orders_apply_endpoint_list (LnWeightOrders *orders,
                                            const LcRoster *roster,
                                            LbTime requested_at,
@@ -29,7 +31,7 @@
 void ln_weight_orders_tick (LnWeightOrders *orders, LbTime now);
 void ln_weight_orders_release_lease (LnWeightOrders *orders, LbTime now);
 bool ln_weight_orders_has_lease (const LnWeightOrders *orders);
-/* Whether this instance is among the few that may hold the lease next. */
+/* Returns true if this instance is one of the few that may hold the lease next. */
 bool ln_weight_orders_is_lease_candidate (const LnWeightOrders *orders);
 bool ln_weight_orders_is_lease_released (const LnWeightOrders *orders, LbTime now);
 
--- a/packages/node/tests/test-crashes.c
+++ b/packages/node/tests/test-crashes.c
@@ -11,12 +11,12 @@
 #include <string.h>
 #include <unistd.h>
 
-#define BAD_REQUEST 7
-#define GOOD_REQUEST 8
+#define BAD_REQUEST 7  /* fingerprint of a request under which endpoints crash */
+#define GOOD_REQUEST 8 /* fingerprint of a request that an endpoint answers */
 #define MAX_ROWS 32
-#define STORE_MS 5000000 /* the store's clock at the start of a test */
+#define STORE_START_MS 5000000 /* the store's clock at the start of a test */
 
-/* A store, shared by all instances, whose rows can be listed and watched, and which can be
+/* Fake store shared by all instances. Its rows can be listed and watched, and it can be
  * unavailable. */
 typedef struct
 {
@@ -132,31 +132,31 @@
 typedef struct
 {
   LnTask task;
-  int frames;
+  int n_frames;
   LnPeerMessage last;
 } FakePeers;
 
 static void
-peers_receive (LnTask *task, const LnMessage *message)
+fake_peers_receive (LnTask *task, const LnMessage *message)
 {
   FakePeers *peers = (FakePeers *)task;
   const LnPeerMessage *frame = (const LnPeerMessage *)message;
 
   free (peers->last.payload);
-  peers->frames++;
+  peers->n_frames++;
   peers->last = *frame;
   peers->last.payload = lb_memdup (frame->payload, frame->length);
 }
 
 static void
-peers_free (LnTask *task)
+fake_peers_free (LnTask *task)
 {
   free (((FakePeers *)task)->last.payload);
   free (task);
 }
 
 static const LnTaskClass peers_class
-    = { .name = "peers", .receive = peers_receive, .free = peers_free };
+    = { .name = "peers", .receive = fake_peers_receive, .free = fake_peers_free };
 
 /* The parts of an instance that handle crashes of endpoints. */
 typedef struct
@@ -197,7 +197,7 @@
 }
 
 static void
-tick (Instance *instance)
+tick_crashes (Instance *instance)
 {
   ln_crashes_tick (instance->crashes, lb_clock_monotonic ());
 }
@@ -227,11 +227,11 @@
   memset (w, 0, sizeof *w);
   w->base = event_base_new ();
   w->store.platform.klass = &store_class;
-  w->store.now_ms = STORE_MS;
+  w->store.now_ms = STORE_START_MS;
   instance_init (&w->a, w->base, &w->store.platform, "a");
   instance_init (&w->b, w->base, &w->store.platform, "b");
-  tick (&w->a);
-  tick (&w->b);
+  tick_crashes (&w->a);
+  tick_crashes (&w->b);
 }
 
 static void
@@ -247,9 +247,9 @@
   event_base_free (w->base);
 }
 
-/* Three endpoints crash under one request that went to two instances. Neither has seen enough
- * crashes alone, but both quarantine the request, and so does an instance that starts afterwards.
- */
+/* Three endpoints crash under one request that went to two instances. Neither instance has seen
+ * enough crashes alone, but both quarantine the request, and so does an instance that starts
+ * afterwards. */
 Test (crashes, reports_are_shared_through_the_store)
 {
   World w;
@@ -259,20 +259,21 @@
   report_crash (&w.a, "e1", BAD_REQUEST);
   report_crash (&w.b, "e2", BAD_REQUEST);
   report_crash (&w.a, "e3", BAD_REQUEST);
-  tick (&w.a);
-  tick (&w.b);
+  tick_crashes (&w.a);
+  tick_crashes (&w.b);
   cr_assert (is_quarantined (&w.a, BAD_REQUEST));
   cr_assert (is_quarantined (&w.b, BAD_REQUEST));
-  cr_assert_eq (w.a.peers->frames + w.b.peers->frames, 0,
-                "no frames are needed where rows are followed");
+  cr_assert_eq (w.a.peers->n_frames + w.b.peers->n_frames, 0,
+                "expected no frames, as the platform has watches");
   instance_init (&fresh, w.base, &w.store.platform, "a");
-  tick (&fresh);
+  tick_crashes (&fresh);
   cr_assert (is_quarantined (&fresh, BAD_REQUEST));
   instance_clear (&fresh);
   world_clear (&w);
 }
 
-/* The store is unavailable while endpoints crash. The reports are written once it is back. */
+/* The store is unavailable while endpoints crash. The reports are written once the store is
+ * available again. */
 Test (crashes, reports_are_written_when_the_store_is_back)
 {
   World w;
@@ -282,15 +283,15 @@
   report_crash (&w.a, "e1", BAD_REQUEST);
   report_crash (&w.a, "e2", BAD_REQUEST);
   report_crash (&w.a, "e3", BAD_REQUEST);
-  tick (&w.a);
+  tick_crashes (&w.a);
   cr_assert (is_quarantined (&w.a, BAD_REQUEST));
   cr_assert_eq (w.store.n_rows, 0);
   w.store.is_unavailable = false;
-  tick (&w.a);
+  tick_crashes (&w.a);
   cr_assert_eq (w.store.n_rows, 3);
   usleep (150000);
-  tick (&w.b);
-  tick (&w.b);
+  tick_crashes (&w.b);
+  tick_crashes (&w.b);
   cr_assert (is_quarantined (&w.b, BAD_REQUEST));
   world_clear (&w);
 }
@@ -308,18 +309,19 @@
   report_crash (&w.a, "e3", BAD_REQUEST);
   w.store.now_ms += lc_quarantine_report_lifetime () / LB_MSEC - 1000;
   instance_init (&fresh, w.base, &w.store.platform, "c");
-  tick (&fresh);
+  tick_crashes (&fresh);
   cr_assert (is_quarantined (&fresh, BAD_REQUEST));
   instance_clear (&fresh);
   w.store.now_ms += 2000;
   instance_init (&fresh, w.base, &w.store.platform, "c");
-  tick (&fresh);
+  tick_crashes (&fresh);
   cr_assert_not (is_quarantined (&fresh, BAD_REQUEST));
   instance_clear (&fresh);
   world_clear (&w);
 }
 
-/* Guards against a store that fills with expired reports: its rows do not expire by themselves. */
+/* Guards against a store that fills with expired reports, since the store never deletes rows by
+ * itself. */
 Test (crashes, expired_rows_are_removed)
 {
   World w;
@@ -336,7 +338,8 @@
   world_clear (&w);
 }
 
-/* Operators remove the rows that keep a request in quarantine, and it is released at once. */
+/* Operators remove the rows that keep a request in quarantine, and the request is released at once.
+ */
 Test (crashes, rows_removed_by_operators_no_longer_count)
 {
   World w;
@@ -345,18 +348,18 @@
   report_crash (&w.a, "e1", BAD_REQUEST);
   report_crash (&w.b, "e2", BAD_REQUEST);
   report_crash (&w.b, "e3", BAD_REQUEST);
-  tick (&w.a);
+  tick_crashes (&w.a);
   cr_assert (is_quarantined (&w.a, BAD_REQUEST));
   put_row (&w.store, w.store.rows[1].key, NULL);
-  tick (&w.a);
-  tick (&w.b);
+  tick_crashes (&w.a);
+  tick_crashes (&w.b);
   cr_assert_not (is_quarantined (&w.a, BAD_REQUEST));
   cr_assert_not (is_quarantined (&w.b, BAD_REQUEST));
   world_clear (&w);
 }
 
 /* All endpoints stop at once under a request that many callers send. An instance that got an answer
- * to it publishes a clearance, and the other instances release the request. */
+ * to the request publishes a clearance, and the other instances release the request. */
 Test (crashes, an_answer_at_one_instance_clears_the_request_at_all)
 {
   World w;
@@ -367,8 +370,8 @@
   report_crash (&w.b, "e2", GOOD_REQUEST);
   report_crash (&w.b, "e3", GOOD_REQUEST);
   cr_assert (is_quarantined (&w.b, GOOD_REQUEST));
-  tick (&w.a);
-  tick (&w.b);
+  tick_crashes (&w.a);
+  tick_crashes (&w.b);
   cr_assert_not (is_quarantined (&w.a, GOOD_REQUEST));
   cr_assert_not (is_quarantined (&w.b, GOOD_REQUEST));
   world_clear (&w);
@@ -397,15 +400,15 @@
   report_crash (&w.b, "e1", BAD_REQUEST);
   report_crash (&w.b, "e2", BAD_REQUEST);
   report_crash (&w.b, "e3", BAD_REQUEST);
-  tick (&w.a);
+  tick_crashes (&w.a);
   cr_assert (is_quarantined (&w.a, BAD_REQUEST));
   cr_assert_eq (lc_quarantine_count_fingerprints (w.a.quarantine), 1);
   world_clear (&w);
 }
 
-/* --- platforms on which changes of rows can't be followed --- */
+/* --- platforms without watches --- */
 
-/* Running instances get reports in frames; a starting one reads the rows. */
+/* Running instances get crash reports in frames; an instance that starts reads the rows. */
 Test (crashes, reports_go_in_frames_where_rows_can_not_be_followed)
 {
   struct event_base *base = event_base_new ();
@@ -419,12 +422,12 @@
     {
       report_crash (&a, endpoints[i], BAD_REQUEST);
       event_base_loop (base, EVLOOP_NONBLOCK);
-      cr_assert_eq (a.peers->frames, (int)i + 1);
+      cr_assert_eq (a.peers->n_frames, (int)i + 1);
       cr_assert (ln_crashes_receive_frame (b.crashes, &a.peers->last));
     }
   cr_assert (is_quarantined (&b, BAD_REQUEST));
   instance_init (&fresh, base, platform, "c");
-  tick (&fresh);
+  tick_crashes (&fresh);
   event_base_loop (base, EVLOOP_NONBLOCK);
   cr_assert (is_quarantined (&fresh, BAD_REQUEST));
   instance_clear (&fresh);
@@ -435,7 +438,7 @@
 }
 
 /* An endpoint that its supervisor restarts under the same name crashes three times under a request,
- * ten seconds apart. An instance that starts afterwards must not count that as one crash. */
+ * ten seconds apart. An instance that starts afterwards must count three crashes, not one. */
 Test (crashes, reports_keep_their_times_where_the_store_has_no_clock)
 {
   struct event_base *base = event_base_new ();
@@ -445,12 +448,12 @@
   LbTime now = lb_clock_monotonic ();
 
   instance_init (&a, base, platform, "a");
-  tick (&a);
+  tick_crashes (&a);
   for (int i = 2; i >= 0; i--)
     ln_crashes_report_crash (a.crashes, "e1", now - i * 10 * LB_SEC, &fingerprint, 1);
   cr_assert (is_quarantined (&a, BAD_REQUEST));
   instance_init (&fresh, base, platform, "b");
-  tick (&fresh);
+  tick_crashes (&fresh);
   event_base_loop (base, EVLOOP_NONBLOCK);
   cr_assert (is_quarantined (&fresh, BAD_REQUEST));
   instance_clear (&fresh);
@@ -459,7 +462,8 @@
   event_base_free (base);
 }
 
-/* A frame was lost with its connection; the next scan reads the report. */
+/* Frames with crash reports were lost with their connection; the next scan reads the reports from
+ * the store. */
 Test (crashes, a_scan_reads_reports_whose_frames_were_lost)
 {
   struct event_base *base = event_base_new ();
--- a/packages/node/tests/test-fleet-directory.c
+++ b/packages/node/tests/test-fleet-directory.c
@@ -11,7 +11,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define N_STRONG 200
+#define N_STRONG_INSTANCES 200 /* instances with a machine of high capacity */
 
 typedef struct
 {
@@ -19,8 +19,8 @@
   char *value;
 } Row;
 
-/* A store with the rows of a fleet that answers at once and counts the lists and the rows returned.
- */
+/* Fake store with the rows of a fleet. It answers at once and counts the list calls and the
+ * returned rows. */
 typedef struct
 {
   LpPlatform platform; /* must be the first member */
@@ -38,12 +38,12 @@
 }
 
 static void
-store_list (LpPlatform *platform,
-            const char *prefix,
-            const char *from,
-            int64_t limit,
-            LpListDone done,
-            void *user)
+list_store_rows (LpPlatform *platform,
+                 const char *prefix,
+                 const char *from,
+                 int64_t limit,
+                 LpListDone done,
+                 void *user)
 {
   (void)from;
   Store *store = (Store *)platform;
@@ -62,16 +62,16 @@
 }
 
 static const LpPlatformClass store_class
-    = { .name = "test", .list = store_list, .store_ms = store_ms };
+    = { .name = "test", .list = list_store_rows, .store_ms = store_ms };
 
 static int
-compare_keys (const void *a, const void *b)
+compare_rows_by_key (const void *a, const void *b)
 {
   return strcmp (((const Row *)a)->key, ((const Row *)b)->key);
 }
 
 static void
-format_name (size_t index, char *name)
+format_instance_name (size_t index, char *name)
 {
   snprintf (name, LB_NAME_MAX, "front-%zu", index);
 }
@@ -85,10 +85,10 @@
   for (size_t i = 0; i < n_instances; i++)
     {
       LcFleetRow row = { .ready = true, .period = LB_SEC };
-      row.strength = i < N_STRONG ? lc_duty_machine_strength (0.5, 600)
-                                  : lc_duty_machine_strength (0.12, 60);
+      row.strength = i < N_STRONG_INSTANCES ? lc_duty_machine_strength (0.5, 600)
+                                            : lc_duty_machine_strength (0.12, 60);
       row.renewed_ms = store_ms (&store->platform);
-      format_name (i, row.name);
+      format_instance_name (i, row.name);
       LB_COPY (row.incarnation, "1");
       LB_COPY (row.caller_address, "10.0.0.1:80");
       ln_fleet_row_format_key (&row, false, store->rows[i].key);
@@ -96,7 +96,7 @@
       store->rows[i].value = lb_strdup (json_object_to_json_string (object));
       json_object_put (object);
     }
-  qsort (store->rows, n_instances, sizeof *store->rows, compare_keys);
+  qsort (store->rows, n_instances, sizeof *store->rows, compare_rows_by_key);
 }
 
 static void
@@ -108,13 +108,13 @@
 }
 
 static void
-on_change (void *user)
+on_members_changed (void *user)
 {
   (void)user;
 }
 
 static size_t
-count_strong (const LnFleetLists *lists)
+count_strong_members (const LnFleetLists *lists)
 {
   size_t n = 0;
 
@@ -123,7 +123,8 @@
   return n;
 }
 
-/* Guards against a cost of listing, in rows read and instances kept, that grows with the fleet. */
+/* Guards against a cost of listing, in rows read and instances stored, that grows with the fleet.
+ */
 Test (fleet_directory, listing_cost_does_not_grow_with_the_fleet)
 {
   const size_t sizes[] = { 1000, 2000 };
@@ -132,24 +133,25 @@
     {
       Store store;
       store_init (&store, sizes[i]);
-      LnFleetLists *lists = ln_fleet_lists_new (&store.platform, "front-0", on_change, NULL);
+      LnFleetLists *lists
+          = ln_fleet_lists_new (&store.platform, "front-0", on_members_changed, NULL);
       ln_fleet_lists_tick (lists, lb_clock_monotonic ());
       cr_assert_eq (store.n_rows_returned, LN_FLEET_DIRECTORY_MAX);
       cr_assert_leq (store.n_lists, 9);
       cr_assert_eq (ln_fleet_lists_count_members (lists), LN_FLEET_DIRECTORY_MAX);
-      cr_assert_geq (count_strong (lists) * 100, LN_FLEET_DIRECTORY_MAX * 80);
+      cr_assert_geq (count_strong_members (lists) * 100, LN_FLEET_DIRECTORY_MAX * 80);
       ln_fleet_lists_free (lists);
       store_clear (&store);
     }
 }
 
-/* Guards against instances of a small fleet that are not in the directory. */
+/* Guards against a directory that does not contain all instances of a small fleet. */
 Test (fleet_directory, a_small_fleet_is_known_completely)
 {
   Store store;
 
   store_init (&store, 100);
-  LnFleetLists *lists = ln_fleet_lists_new (&store.platform, "front-0", on_change, NULL);
+  LnFleetLists *lists = ln_fleet_lists_new (&store.platform, "front-0", on_members_changed, NULL);
   ln_fleet_lists_tick (lists, lb_clock_monotonic ());
   cr_assert_eq (ln_fleet_lists_count_members (lists), 100);
   cr_assert_not (ln_fleet_lists_omits_instance (lists, "front-99"));
@@ -165,11 +167,11 @@
   LbName name;
 
   store_init (&store, 1000);
-  LnFleetLists *lists = ln_fleet_lists_new (&store.platform, "front-0", on_change, NULL);
+  LnFleetLists *lists = ln_fleet_lists_new (&store.platform, "front-0", on_members_changed, NULL);
   ln_fleet_lists_tick (lists, lb_clock_monotonic ());
   for (size_t i = 0; i < 1000; i++)
     {
-      format_name (i, name);
+      format_instance_name (i, name);
       n_omitted += ln_fleet_lists_omits_instance (lists, name);
     }
   cr_assert_eq (n_omitted, 1000 - LN_FLEET_DIRECTORY_MAX);
--- a/packages/node/tests/test-fleet-lists.c
+++ b/packages/node/tests/test-fleet-lists.c
@@ -10,16 +10,16 @@
 #include <string.h>
 #include <unistd.h>
 
-#define PERIOD (500 * LB_MSEC)
+#define RENEWAL_PERIOD (500 * LB_MSEC)
 
 typedef struct
 {
   LcFleetRow row;
   int64_t version;
-  bool has_stopped; /* no longer renews its row */
+  bool has_stopped; /* the instance no longer renews its row */
 } Instance;
 
-/* A store with the rows of two instances, both in one part, that answers at once. */
+/* Fake store with the rows of two instances, both in one partition. It answers at once. */
 typedef struct
 {
   LpPlatform platform; /* must be the first member */
@@ -35,12 +35,12 @@
 }
 
 static void
-list_rows (LpPlatform *platform,
-           const char *prefix,
-           const char *from,
-           int64_t limit,
-           LpListDone done,
-           void *user)
+list_store_rows (LpPlatform *platform,
+                 const char *prefix,
+                 const char *from,
+                 int64_t limit,
+                 LpListDone done,
+                 void *user)
 {
   (void)from;
   (void)limit;
@@ -62,10 +62,10 @@
 }
 
 static const LpPlatformClass store_class
-    = { .name = "test", .list = list_rows, .store_ms = get_store_time_ms };
+    = { .name = "test", .list = list_store_rows, .store_ms = get_store_time_ms };
 
 static void
-renew_all (Store *store)
+renew_all_rows (Store *store)
 {
   for (size_t i = 0; i < 2; i++)
     if (!store->instances[i].has_stopped)
@@ -85,7 +85,7 @@
   for (size_t i = 0; i < 2; i++)
     {
       LcFleetRow *row = &store->instances[i].row;
-      *row = (LcFleetRow){ .ready = true, .period = PERIOD };
+      *row = (LcFleetRow){ .ready = true, .period = RENEWAL_PERIOD };
       LB_COPY (row->name, names[i]);
       LB_COPY (row->incarnation, "1");
       LB_COPY (row->caller_address, "10.0.0.1:80");
@@ -107,23 +107,23 @@
   return NULL;
 }
 
-/* An instance lists the others at its start and then follows the catalog; meanwhile a machine is
- * removed. When the instance listed for itself again half a minute later, it treated the time
- * without lists as an outage of the store, counted the removed machine as alive, and gave its
- * address to all callers. */
+/* Guards against callers that get the address of a removed machine. An instance lists the others at
+ * its start, then follows the catalog while a machine is removed. When the instance listed rows
+ * itself again half a minute later, it treated the time without lists as a store outage and counted
+ * the machine as alive. */
 Test (fleet_lists, an_instance_that_left_while_following_is_not_confirmed)
 {
   Store store;
 
   store_init (&store);
   LnFleetLists *lists = ln_fleet_lists_new (&store.platform, "a", on_members_changed, NULL);
-  renew_all (&store);
+  renew_all_rows (&store);
   ln_fleet_lists_tick (lists, lb_clock_monotonic ());
   cr_assert (find_member (lists, "gone")->confirmed);
   ln_fleet_lists_set_catalog_followed (lists, true);
   store.instances[1].has_stopped = true;
-  usleep (3 * PERIOD + PERIOD);
-  renew_all (&store);
+  usleep (3 * RENEWAL_PERIOD + RENEWAL_PERIOD);
+  renew_all_rows (&store);
   ln_fleet_lists_set_catalog_followed (lists, false);
   ln_fleet_lists_tick (lists, lb_clock_monotonic ());
   cr_assert_not (find_member (lists, "gone")->confirmed);
--- a/packages/node/tests/test-fleet-renewal.c
+++ b/packages/node/tests/test-fleet-renewal.c
@@ -18,7 +18,7 @@
   void *user;
 } Write;
 
-/* A store that records writes and answers them when the test says so. */
+/* Fake store that records writes and answers them when the test calls answer_all_writes. */
 typedef struct
 {
   LpPlatform platform; /* must be the first member */
@@ -28,11 +28,11 @@
 } Store;
 
 static void
-store_transact (LpPlatform *platform,
-                const LpTransaction *transaction,
-                LpPriority priority,
-                LpTransactDone done,
-                void *user)
+record_write (LpPlatform *platform,
+              const LpTransaction *transaction,
+              LpPriority priority,
+              LpTransactDone done,
+              void *user)
 {
   (void)priority;
   Store *store = (Store *)platform;
@@ -43,10 +43,10 @@
   snprintf (write->key, sizeof write->key, "%s", transaction->puts[0].key);
 }
 
-static const LpPlatformClass store_class = { .name = "test", .transact = store_transact };
+static const LpPlatformClass store_class = { .name = "test", .transact = record_write };
 
 static void
-answer_all (Store *store, LbErrorCode error)
+answer_all_writes (Store *store, LbErrorCode error)
 {
   while (store->n_answered < store->n_writes)
     {
@@ -77,7 +77,7 @@
 }
 
 static void
-tick (Setup *s)
+tick_renewal (Setup *s)
 {
   const LnFleetListSummary summary
       = { .n_instances = 295, .is_omitted = s->is_omitted, .has_duty_row = s->is_duty_row_listed };
@@ -87,12 +87,12 @@
 
 /* Ticks every 100 ms and answers all writes. */
 static void
-run_for (Setup *s, LbTime duration)
+tick_for (Setup *s, LbTime duration)
 {
   for (LbTime end = s->now + duration; s->now < end; s->now += 100 * LB_MSEC)
     {
-      tick (s);
-      answer_all (&s->store, LB_OK);
+      tick_renewal (s);
+      answer_all_writes (&s->store, LB_OK);
     }
 }
 
@@ -115,79 +115,79 @@
   Setup s;
 
   setup_init (&s);
-  run_for (&s, 3 * LB_SEC);
+  tick_for (&s, 3 * LB_SEC);
   cr_assert_eq (count_writes (&s, false, false), 2);
   cr_assert_eq (count_writes (&s, true, false), 0);
   ln_fleet_renewal_set_duty (s.renewal, true, s.now);
-  run_for (&s, 3 * LB_SEC);
+  tick_for (&s, 3 * LB_SEC);
   cr_assert_geq (count_writes (&s, true, false), 10);
   cr_assert_leq (count_writes (&s, false, false), 3);
   ln_fleet_renewal_free (s.renewal);
 }
 
-/* An instance no longer runs batches. If its duty row, which is no longer renewed, stayed in the
- * store, the other instances would consider it dead. The outcome of the first removal is unknown.
- */
+/* Guards against a duty row that stays in the store after an instance has stopped running batches:
+ * the row is not renewed any more, so the other instances would consider the instance dead. The
+ * store answers the first removal with an unknown outcome. */
 Test (fleet_renewal, the_duty_row_is_removed_after_the_duty)
 {
   Setup s;
 
   setup_init (&s);
   ln_fleet_renewal_set_duty (s.renewal, true, s.now);
-  run_for (&s, LB_SEC);
+  tick_for (&s, LB_SEC);
   ln_fleet_renewal_set_duty (s.renewal, false, s.now);
-  run_for (&s, 10 * LB_SEC);
+  tick_for (&s, 10 * LB_SEC);
   cr_assert_eq (count_writes (&s, true, true), 0,
                 "expected no removal yet, as the duty row is kept for the next step");
   s.is_duty_row_listed = true;
   s.now += LB_SEC;
-  tick (&s);
-  answer_all (&s.store, LB_OK);
+  tick_renewal (&s);
+  answer_all_writes (&s.store, LB_OK);
   s.now += 100 * LB_MSEC;
-  tick (&s);
+  tick_renewal (&s);
   s.is_duty_row_listed = false;
   cr_assert_eq (count_writes (&s, true, true), 1);
-  answer_all (&s.store, LB_ERROR_STORE_UNKNOWN);
-  run_for (&s, LB_SEC);
+  answer_all_writes (&s.store, LB_ERROR_STORE_UNKNOWN);
+  tick_for (&s, LB_SEC);
   cr_assert_eq (count_writes (&s, true, true), 2);
-  run_for (&s, 5 * LB_SEC);
+  tick_for (&s, 5 * LB_SEC);
   cr_assert_eq (count_writes (&s, true, true), 2,
                 "expected no further removal, as the second one succeeded");
   ln_fleet_renewal_free (s.renewal);
 }
 
-/* A renewal whose answer was lost is applied after the duty row was removed, so that a stale row
- * is back. */
+/* Guards against a stale duty row that stays in the store: a renewal whose answer was lost is
+ * applied after the row was removed. */
 Test (fleet_renewal, a_duty_row_that_reappears_is_removed_again)
 {
   Setup s;
 
   setup_init (&s);
   ln_fleet_renewal_set_duty (s.renewal, true, s.now);
-  run_for (&s, LB_SEC);
+  tick_for (&s, LB_SEC);
   ln_fleet_renewal_set_duty (s.renewal, false, s.now);
-  run_for (&s, 12 * LB_SEC);
+  tick_for (&s, 12 * LB_SEC);
   cr_assert_eq (count_writes (&s, true, true), 1);
   s.is_duty_row_listed = true;
-  run_for (&s, LB_SEC);
+  tick_for (&s, LB_SEC);
   s.is_duty_row_listed = false;
   cr_assert_geq (count_writes (&s, true, true), 2);
   ln_fleet_renewal_free (s.renewal);
 }
 
 /* Guards against a renewal rate that grows with the fleet: instances that are not in the directory
- * renew seldom, since no instance lists them. */
+ * renew their rows rarely, since no instance lists these rows. */
 Test (fleet_renewal, an_omitted_instance_renews_seldom_until_it_is_in_the_directory)
 {
   Setup s;
 
   setup_init (&s);
   s.is_omitted = true;
-  run_for (&s, 30 * LB_SEC);
+  tick_for (&s, 30 * LB_SEC);
   cr_assert_leq (count_writes (&s, false, false), 4);
   size_t before = count_writes (&s, false, false);
   s.is_omitted = false;
-  run_for (&s, 2500 * LB_MSEC);
+  tick_for (&s, 2500 * LB_MSEC);
   cr_assert_geq (count_writes (&s, false, false), before + 1);
   ln_fleet_renewal_free (s.renewal);
 }
--- a/packages/node/tests/test-leaving.c
+++ b/packages/node/tests/test-leaving.c
@@ -10,7 +10,7 @@
 typedef struct
 {
   LnTask task;
-  int frames;
+  int n_frames;
   char payload[256];
   size_t length;
 } FakePeers;
@@ -21,7 +21,7 @@
   FakePeers *peers = (FakePeers *)task;
   const LnPeerMessage *frame = (const LnPeerMessage *)message;
 
-  peers->frames++;
+  peers->n_frames++;
   peers->length = frame->length;
   memcpy (peers->payload, frame->payload, frame->length);
 }
@@ -68,28 +68,28 @@
 }
 
 static void
-announce (Fixture *f)
+announce_endpoint (Fixture *f)
 {
   ln_leaving_announce (f->leaving, &f->endpoint);
   event_base_loop (f->base, EVLOOP_NONBLOCK);
 }
 
-/* Guards against new work for an engine that is leaving: it has announced that to one instance, and
- * the others, which polled it just before, would send it work for seconds. The first instance to
- * know notifies the others, once per incarnation of the engine. */
-Test (leaving, is_announced_once_per_incarnation)
+/* Guards against new work for an engine that is leaving. The engine reports that to one instance;
+ * the others, which polled the engine just before, would send it work for seconds. So the first
+ * instance notifies the others, once per incarnation of the engine. */
+Test (leaving, a_leaving_endpoint_is_announced_once_per_incarnation)
 {
   Fixture f = fixture_new ();
 
-  announce (&f);
-  cr_assert_eq (f.peers->frames, 0, "expected no frame, as the endpoint is not leaving");
+  announce_endpoint (&f);
+  cr_assert_eq (f.peers->n_frames, 0, "expected no frame, as the endpoint is not leaving");
   f.endpoint.leaving = true;
-  announce (&f);
-  announce (&f);
-  cr_assert_eq (f.peers->frames, 1);
+  announce_endpoint (&f);
+  announce_endpoint (&f);
+  cr_assert_eq (f.peers->n_frames, 1);
   LB_COPY (f.endpoint.report.incarnation, "life-2");
-  announce (&f);
-  cr_assert_eq (f.peers->frames, 2);
+  announce_endpoint (&f);
+  cr_assert_eq (f.peers->n_frames, 2);
   fixture_free (&f);
 }
 
@@ -101,15 +101,15 @@
   LnEndpointLeavingMessage message;
 
   f.endpoint.leaving = true;
-  announce (&f);
+  announce_endpoint (&f);
   const LnPeerMessage frame = { .payload = f.peers->payload, .length = f.peers->length };
   cr_assert (ln_leaving_receive_frame (other.leaving, &frame, &message));
   cr_assert_str_eq (message.endpoint, "e1");
   cr_assert_str_eq (message.incarnation, "life-1");
   cr_assert_eq (message.source, LC_LEAVING_PEER);
   other.endpoint.leaving = true;
-  announce (&other);
-  cr_assert_eq (other.peers->frames, 0);
+  announce_endpoint (&other);
+  cr_assert_eq (other.peers->n_frames, 0);
   fixture_free (&other);
   fixture_free (&f);
 }
@@ -121,9 +121,9 @@
   char bytes[] = "\x92\xa2"
                  "e1\x07";
   const LnPeerMessage wrong_type = { .payload = bytes, .length = sizeof bytes - 1 };
-  const LnPeerMessage cut = { .payload = bytes, .length = 3 };
+  const LnPeerMessage truncated = { .payload = bytes, .length = 3 };
 
   cr_assert_not (ln_leaving_receive_frame (f.leaving, &wrong_type, &message));
-  cr_assert_not (ln_leaving_receive_frame (f.leaving, &cut, &message));
+  cr_assert_not (ln_leaving_receive_frame (f.leaving, &truncated, &message));
   fixture_free (&f);
 }
--- a/packages/node/tests/test-peers.c
+++ b/packages/node/tests/test-peers.c
@@ -23,12 +23,12 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define TIMEOUT (30 * LB_SEC)
-/* More than the number of instances that one has connections to, so that broadcast frames have to
- * be forwarded. */
+#define WAIT_TIMEOUT (30 * LB_SEC)
+/* More instances than a single instance has connections to, so that broadcast frames have to be
+ * forwarded. */
 #define MAX_INSTANCES 10
 
-/* A task that records the messages from the peers task of its instance. */
+/* Task that records the messages from the peers task of its instance. */
 typedef struct
 {
   LnTask base;
@@ -144,7 +144,7 @@
 #define WAIT_UNTIL(world, condition)                                                               \
   do                                                                                               \
     {                                                                                              \
-      LbTime end_ = lb_clock_monotonic () + TIMEOUT;                                               \
+      LbTime end_ = lb_clock_monotonic () + WAIT_TIMEOUT;                                          \
       while (!(condition) && lb_clock_monotonic () < end_)                                         \
         run_loop_once (world);                                                                     \
       cr_assert ((condition), "still false at the timeout: %s", #condition);                       \
@@ -152,7 +152,7 @@
   while (0)
 
 static size_t
-count_alive (const Instance *instance)
+count_alive_members (const Instance *instance)
 {
   size_t alive = 0;
 
@@ -162,7 +162,7 @@
 }
 
 static bool
-sees_draining (const Instance *instance, const char *name)
+sees_member_draining (const Instance *instance, const char *name)
 {
   for (size_t i = 0; i < instance->listener->n_members; i++)
     if (strcmp (instance->listener->members[i].name, name) == 0)
@@ -190,7 +190,7 @@
 }
 
 static void
-send_to (Instance *from, const char *to, const char *payload)
+send_frame_to (Instance *from, const char *to, const char *payload)
 {
   LnPeerMessage message = { .base = LN_MESSAGE (LN_PEER_SEND), .topic = "config" };
 
@@ -211,13 +211,13 @@
   while (world.n_instances < MAX_INSTANCES)
     start_instance (&world, "key", first->context.peer_address);
   for (size_t i = 0; i < MAX_INSTANCES; i++)
-    WAIT_UNTIL (&world, count_alive (&world.instances[i]) == MAX_INSTANCES);
+    WAIT_UNTIL (&world, count_alive_members (&world.instances[i]) == MAX_INSTANCES);
 
   Instance *sender = &world.instances[5];
-  send_to (sender, "", "to all");
+  send_frame_to (sender, "", "to all");
   for (size_t i = 0; i < MAX_INSTANCES; i++)
     WAIT_UNTIL (&world, i == 5 || world.instances[i].listener->n_frames == 1);
-  send_to (&world.instances[1], "i4", "to one");
+  send_frame_to (&world.instances[1], "i4", "to one");
   WAIT_UNTIL (&world, world.instances[3].listener->n_frames == 2);
   cr_assert_str_eq (world.instances[3].listener->last_payload, "to one");
   cr_assert_str_eq (world.instances[3].listener->last_sender, "i2");
@@ -228,13 +228,13 @@
 
   ln_hub_drain (first->context.hub);
   for (size_t i = 1; i < MAX_INSTANCES; i++)
-    WAIT_UNTIL (&world, sees_draining (&world.instances[i], "i1"));
+    WAIT_UNTIL (&world, sees_member_draining (&world.instances[i], "i1"));
   world_clear (&world);
 }
 
-/* Guards against two clusters that mix members and configurations, after an instance of one was
- * given a seed of the other by mistake. The key keeps it out, and a counter shows the operator why.
- */
+/* Guards against two clusters that mix their members and configurations after an instance of one
+ * cluster was given a seed address of the other by mistake. Its key keeps the instance out, and a
+ * counter shows the operator why. */
 Test (peers, an_instance_with_another_key_stays_alone)
 {
   World world;
@@ -244,8 +244,8 @@
   run_loop_once (&world);
   Instance *other = start_instance (&world, "other key", first->context.peer_address);
   WAIT_UNTIL (&world, read_metric ("lentilspindle_errors_total{type=\"wrong_key\"}") >= 2);
-  cr_assert_eq (count_alive (first), 1);
-  cr_assert_eq (count_alive (other), 1);
+  cr_assert_eq (count_alive_members (first), 1);
+  cr_assert_eq (count_alive_members (other), 1);
   world_clear (&world);
 }
 
@@ -263,7 +263,7 @@
 }
 
 static bool
-is_closed (int fd)
+is_socket_closed (int fd)
 {
   char byte;
   ssize_t got = recv (fd, &byte, 1, 0);
@@ -272,8 +272,9 @@
 }
 
 /* Guards against faulty clients that disturb the cluster: port scans, other protocol versions,
- * damaged frames, lengths of gigabytes, connections on which nothing is sent. Each closes its own
- * connection only and is counted by type; the other instances are not affected. */
+ * damaged frames, lengths of gigabytes, connections on which nothing is sent. Each fault closes its
+ * own connection only and is counted by type; the connection between the instances is not affected.
+ */
 Test (peers, bad_frames_close_their_own_connection_with_a_counted_error)
 {
   static const struct
@@ -294,26 +295,26 @@
   Instance *first = start_instance (&world, "key", NULL);
   run_loop_once (&world);
   start_instance (&world, "key", first->context.peer_address);
-  WAIT_UNTIL (&world, count_alive (first) == 2);
+  WAIT_UNTIL (&world, count_alive_members (first) == 2);
   for (size_t i = 0; i < sizeof cases / sizeof *cases; i++)
     {
       int64_t before = read_metric (cases[i].counter);
       int fd = connect_client (first);
       cr_assert_eq (send (fd, cases[i].bytes, 8, 0), 8);
-      WAIT_UNTIL (&world, is_closed (fd));
+      WAIT_UNTIL (&world, is_socket_closed (fd));
       cr_assert_eq (read_metric (cases[i].counter), before + 1, "case %zu", i);
       close (fd);
     }
   int silent_fd = connect_client (first);
-  WAIT_UNTIL (&world, is_closed (silent_fd));
+  WAIT_UNTIL (&world, is_socket_closed (silent_fd));
   cr_assert_geq (read_metric ("lentilspindle_errors_total{type=\"timeout\"}"), 1);
   close (silent_fd);
-  cr_assert_eq (count_alive (first), 2);
+  cr_assert_eq (count_alive_members (first), 2);
   world_clear (&world);
 }
 
-/* Proxy between two instances; when `drops_bytes` is set, it discards what arrives on its
- * connections but keeps them open. */
+/* Proxy between two instances. While `drops_bytes` is set, the proxy discards the bytes that arrive
+ * on its connections but keeps the connections open. */
 typedef struct
 {
   World *world;
@@ -393,7 +394,7 @@
 
 /* A middlebox between two instances drops the state of their open connection: bytes are lost and
  * neither end is notified. Guards against lost frames and a healthy instance that is declared dead:
- * the silence is detected and a new connection opened, and neither instance suspects the other. */
+ * the silence is detected, a new connection is opened, and neither instance suspects the other. */
 Test (peers, a_connection_that_loses_bytes_is_replaced)
 {
   World world;
@@ -404,15 +405,15 @@
   run_loop_once (&world);
   proxy_init (&proxy, &world, first->context.peer_address);
   Instance *second = start_instance (&world, "key", proxy.address);
-  WAIT_UNTIL (&world, count_alive (first) == 2 && count_alive (second) == 2);
+  WAIT_UNTIL (&world, count_alive_members (first) == 2 && count_alive_members (second) == 2);
   cr_assert (proxy.ends[0]);
 
   proxy.drops_bytes = true;
   LbTime lost_at = lb_clock_monotonic ();
   WAIT_UNTIL (&world, read_metric ("lentilspindle_peer_silent_connections_total") > 0);
   LbTime detection_time = lb_clock_monotonic () - lost_at;
-  WAIT_UNTIL (&world, count_alive (first) == 2 && count_alive (second) == 2);
-  send_to (second, "i1", "over the new one");
+  WAIT_UNTIL (&world, count_alive_members (first) == 2 && count_alive_members (second) == 2);
+  send_frame_to (second, "i1", "over the new one");
   WAIT_UNTIL (&world, first->listener->n_frames == 1);
   cr_assert_eq (read_metric ("lentilspindle_members_suspected_total"), 0);
   cr_log_info ("silence detected after %.2f s", (double)detection_time / LB_SEC);
