--- a/packages/node/src/endpoints/ln-crashes.c
+++ b/packages/node/src/endpoints/ln-crashes.c
@@ -17,25 +17,27 @@
 
 #define TABLE "crash"
 #define KEY_PREFIX TABLE "/all/"
-/* Timeout of one watch, and so the time until a silent connection is noticed. It is below the three
- * seconds within which all instances have to know of a bad request; a shorter one would cost each
- * instance more than half a store call per second. */
+/* Timeout of one watch call, which also bounds how long a dead connection goes unnoticed. It is
+ * below the three seconds within which all instances have to know of a request that crashes
+ * endpoints. A shorter timeout would cost each instance more than half a store call per second. */
 #define WATCH_TIMEOUT (2 * LB_SEC)
 #define WATCH_RETRY_DELAY (100 * LB_MSEC)
 /* Maximum random delay before an expired row is removed, so that not all instances remove the same
  * rows. */
 #define MAX_REMOVAL_DELAY (600 * LB_SEC)
-/* On a platform whose rows can't be followed, instances also send them in frames; as these may be
- * lost with their connection, the rows are scanned at this period. */
+/* Time between two scans of the rows on a platform without watches. Instances there also send each
+ * row in a frame, but a frame may be lost with its connection. */
 #define SCAN_PERIOD (5 * LB_SEC)
-/* A row that was received less than this ago may be missing from a list requested before that. */
-#define SETTLE_TIME (10 * LB_SEC)
-/* Maximum time that a new instance waits for the existing rows: a few replies of a slow store. */
+/* A row received less than this time ago is kept if a list does not contain it, because the list
+ * may have been requested before the row was written. */
+#define NEW_ROW_GRACE_TIME (10 * LB_SEC)
+/* Maximum time that a new instance waits for the existing rows; enough for a few replies of a slow
+ * store. */
 #define MAX_INITIAL_READ_TIME (2 * LB_SEC)
-/* Maximum of rows that this instance keeps track of, to remove them when they expire. */
+/* Maximum number of rows that this instance tracks in order to remove them when they expire. */
 #define MAX_KNOWN_ROWS 1024
 
-/* A row that is in the store. */
+/* A row of the store that this instance has read or written. */
 typedef struct
 {
   LbLink link;
@@ -48,23 +50,24 @@
 {
   LnContext *context;
   LcQuarantine *quarantine;
-  LpFollow *follower; /* NULL: rows can't be followed on this platform, and are scanned */
-  LbList rows;        /* of KnownRow */
+  LpFollow *follower; /* watches the rows; NULL: scans them on a platform without watches */
+  LbList rows;        /* list of KnownRow, oldest first */
   LnUnwrittenRows *unwritten;
-  uint64_t report_count;     /* reports of this instance so far */
+  uint64_t report_count;     /* number of crash reports by this instance, part of their ids */
   LbTime store_clock_offset; /* the store's clock minus this instance's clock */
   bool has_store_clock;
   LbTime next_scan_at;
   bool is_scanning;
-  bool is_complete_copy; /* the next rows are a complete copy of the table */
+  bool is_complete_copy; /* the next delivered rows are the whole table, not only changes */
   bool has_scanned;
   LbTime started_at;
 };
 
 /* --- clocks --- */
 
-/* Times in rows are by the store's steady clock, which all instances know from its answers; without
- * one, by the time of day, which is accurate enough for lifetimes of an hour. */
+/* Times in rows are by the store's monotonic clock, which all instances know from the store's
+ * answers. On a store without a clock they are by the wall clock, which is accurate enough for
+ * report lifetimes of an hour. */
 static void
 update_store_clock (LnCrashes *crashes)
 {
@@ -84,8 +87,8 @@
   return crashes->has_store_clock ? (at + crashes->store_clock_offset) / LB_MSEC : 0;
 }
 
-/* Times that are unknown or in the future count as now: the report lasts longer than it should
- * rather than not counting at all. */
+/* Replaces an unknown or future time by the current time: the report then expires late instead of
+ * being ignored. */
 static LbTime
 convert_from_store_ms (const LnCrashes *crashes, int64_t ms, LbTime now)
 {
@@ -135,7 +138,7 @@
 }
 
 static void
-apply_row (LnCrashes *crashes, const char *key, const char *text, LbTime now)
+apply_crash_row (LnCrashes *crashes, const char *key, const char *text, LbTime now)
 {
   LnCrashRow row;
   LbError error = { 0 };
@@ -154,9 +157,10 @@
     lc_quarantine_add_report (crashes->quarantine, &row.report, now);
 }
 
-/* A row is removed when it has expired, or by operators who release a request from quarantine. */
+/* Applies the removal of a row from the store: the row expired, or an operator released its request
+ * from quarantine. */
 static void
-apply_removal (LnCrashes *crashes, const char *key)
+apply_row_removal (LnCrashes *crashes, const char *key)
 {
   KnownRow *row = find_known_row (crashes, key);
 
@@ -166,7 +170,7 @@
 }
 
 static bool
-has_key (const char *key, const LpRow *rows, size_t n_rows)
+has_row_with_key (const char *key, const LpRow *rows, size_t n_rows)
 {
   for (size_t i = 0; i < n_rows; i++)
     if (strcmp (rows[i].key, key) == 0)
@@ -181,7 +185,7 @@
 {
   LB_LIST_FOREACH (&crashes->rows, KnownRow, link, row)
   {
-    if (now - row->received_at < SETTLE_TIME || has_key (row->key, rows, n_rows))
+    if (now - row->received_at < NEW_ROW_GRACE_TIME || has_row_with_key (row->key, rows, n_rows))
       continue;
     lc_quarantine_withdraw_report (crashes->quarantine, row->key);
     remove_known_row (crashes, row);
@@ -189,7 +193,7 @@
 }
 
 static void
-apply_rows (LnCrashes *crashes, const LpRow *rows, size_t n_rows)
+apply_crash_rows (LnCrashes *crashes, const LpRow *rows, size_t n_rows)
 {
   LbTime now = lb_clock_monotonic ();
 
@@ -200,16 +204,16 @@
   update_store_clock (crashes);
   for (size_t i = 0; i < n_rows; i++)
     if (rows[i].value)
-      apply_row (crashes, rows[i].key, rows[i].value, now);
+      apply_crash_row (crashes, rows[i].key, rows[i].value, now);
     else
-      apply_removal (crashes, rows[i].key);
+      apply_row_removal (crashes, rows[i].key);
   ln_crashes_publish_clearances (crashes);
 }
 
 static void
-on_rows (const LpRow *rows, size_t n_rows, void *user)
+on_crash_rows (const LpRow *rows, size_t n_rows, void *user)
 {
-  apply_rows (user, rows, n_rows);
+  apply_crash_rows (user, rows, n_rows);
 }
 
 static void
@@ -222,7 +226,7 @@
 }
 
 static void
-on_scanned (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
+on_rows_scanned (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
   LnCrashes *crashes = user;
 
@@ -232,14 +236,15 @@
   crashes->next_scan_at = lb_clock_monotonic () + SCAN_PERIOD;
   crashes->has_scanned = true;
   crashes->is_complete_copy = true;
-  apply_rows (crashes, rows, error == LB_OK ? n_rows : 0);
+  apply_crash_rows (crashes, rows, error == LB_OK ? n_rows : 0);
 }
 
 /* --- writing rows --- */
 
-/* Where rows can't be followed, running instances get them in frames. */
+/* Writes the row to the store and, on a platform without watches, sends it to the running instances
+ * in a frame. */
 static void
-publish_row (LnCrashes *crashes, const char *key, const LnCrashRow *row)
+publish_crash_row (LnCrashes *crashes, const char *key, const LnCrashRow *row)
 {
   char *text = ln_crash_row_to_text (row);
 
@@ -267,7 +272,7 @@
   memcpy (report->fingerprints, fingerprints, report->n_fingerprints * sizeof *fingerprints);
   snprintf (report->id, sizeof report->id, "%s%s:%s:%s-%llu", KEY_PREFIX, endpoint,
             context->instance, context->incarnation, (unsigned long long)++crashes->report_count);
-  publish_row (crashes, report->id, &row);
+  publish_crash_row (crashes, report->id, &row);
   lc_quarantine_add_report (crashes->quarantine, report, lb_clock_monotonic ());
   ln_crashes_publish_clearances (crashes);
 }
@@ -286,7 +291,7 @@
       lc_fingerprint_to_text (row.report.fingerprints[0], text);
       snprintf (key, sizeof key, "%sanswered:%s", KEY_PREFIX, text);
       row.at_ms = convert_to_store_ms (crashes, row.report.at);
-      publish_row (crashes, key, &row);
+      publish_crash_row (crashes, key, &row);
     }
 }
 
@@ -297,7 +302,7 @@
 
   if (!ln_crash_frame_read (frame, &row))
     return false;
-  apply_row (crashes, row.key, row.text, lb_clock_monotonic ());
+  apply_crash_row (crashes, row.key, row.text, lb_clock_monotonic ());
   ln_crashes_publish_clearances (crashes);
   return true;
 }
@@ -326,14 +331,14 @@
 }
 
 static void
-scan_if_due (LnCrashes *crashes, LbTime now)
+scan_rows_if_due (LnCrashes *crashes, LbTime now)
 {
   LpPlatform *platform = crashes->context->platform;
 
   if (crashes->is_scanning || now < crashes->next_scan_at)
     return;
   crashes->is_scanning = true;
-  platform->klass->scan (platform, KEY_PREFIX, on_scanned, crashes);
+  platform->klass->scan (platform, KEY_PREFIX, on_rows_scanned, crashes);
 }
 
 void
@@ -344,7 +349,7 @@
   else
     {
       update_store_clock (crashes);
-      scan_if_due (crashes, now);
+      scan_rows_if_due (crashes, now);
     }
   lc_quarantine_expire (crashes->quarantine, now);
   ln_unwritten_rows_retry (crashes->unwritten);
@@ -369,7 +374,7 @@
   lb_list_init (&crashes->rows);
   crashes->unwritten = ln_unwritten_rows_new (context->platform, context->incarnation);
   if (context->platform->klass->watch)
-    crashes->follower = lp_follow_new (context->platform, &settings, on_rows, crashes);
+    crashes->follower = lp_follow_new (context->platform, &settings, on_crash_rows, crashes);
   return crashes;
 }
 
