--- a/packages/node/src/batch/ln-batch-call.c
+++ b/packages/node/src/batch/ln-batch-call.c
@@ -7,11 +7,11 @@
 
 #include <stdlib.h>
 
-#define MAX_ATTEMPTS 4
-/* A healthy store answers within a few tens of milliseconds. */
-#define RETRY_DELAY (80 * LB_MSEC)
+#define MAX_CALL_ATTEMPTS 4
+/* Longer than a healthy store takes to answer, a few tens of milliseconds. */
+#define CALL_RETRY_DELAY (80 * LB_MSEC)
 
-static const char *const kind_names[] = {
+static const char *const call_kind_names[] = {
   [LN_BATCH_CALL_SUBMIT] = "submit",
   [LN_BATCH_CALL_RESULTS] = "results",
   [LN_BATCH_CALL_ITEM] = "item",
@@ -55,7 +55,7 @@
   LbError error = { 0 };
 
   lb_log (LB_LOG_INFO, "batch_call_failed", LB_TEXT ("batch", call->id),
-          LB_TEXT ("call", kind_names[call->kind]), LB_TEXT ("error", lb_error_name (code)),
+          LB_TEXT ("call", call_kind_names[call->kind]), LB_TEXT ("error", lb_error_name (code)),
           LB_INT ("tries", call->failed_attempts));
   lb_error_set (&error, code, call->id, "%s", detail);
   if (call->exchange)
@@ -70,14 +70,15 @@
                       LN_BATCH_STORE_RETRY_AFTER);
 }
 
-/* Prevents a caller without a valid key from learning which batches exist. */
+/* Replies the admission error to a caller without a valid key, so that the caller cannot find out
+ * which batches exist. */
 void
-ln_batch_call_fail_not_found (LnBatchCall *call, const char *what)
+ln_batch_call_fail_not_found (LnBatchCall *call, const char *detail)
 {
   const LcAdmission *admission = &call->admission;
 
   if (admission->error == LB_OK)
-    ln_batch_call_fail (call, LB_ERROR_NOT_FOUND, what, 0);
+    ln_batch_call_fail (call, LB_ERROR_NOT_FOUND, detail, 0);
   else
     ln_batch_call_fail (call, admission->error, admission->reason, admission->retry_after);
 }
@@ -85,9 +86,9 @@
 bool
 ln_batch_call_schedule_retry (LnBatchCall *call)
 {
-  if (++call->failed_attempts >= MAX_ATTEMPTS || !call->exchange)
+  if (++call->failed_attempts >= MAX_CALL_ATTEMPTS || !call->exchange)
     return false;
-  call->retry_at = lb_clock_monotonic () + RETRY_DELAY;
+  call->retry_at = lb_clock_monotonic () + CALL_RETRY_DELAY;
   return true;
 }
 
--- a/packages/node/src/batch/ln-batch-call.h
+++ b/packages/node/src/batch/ln-batch-call.h
@@ -13,34 +13,39 @@
   LN_BATCH_CALL_END
 } LnBatchCallKind;
 
-/* A caller's request about a batch. The reply depends on the store alone, so any instance can give
- * it. */
+/* A caller's HTTP request about a batch. Its reply depends only on the store, so any instance can
+ * serve the request. */
 typedef struct
 {
-  LbLink link; /* in LnBatches.calls */
+  LbLink link; /* entry in LnBatches.calls */
   LnBatches *batches;
-  LnExchange *exchange; /* NULL: the caller has disconnected */
+  LnExchange *exchange; /* NULL if the caller has disconnected */
   LnBatchCallKind kind;
-  bool waits_for_store; /* a call of the store is in progress */
-  LbName id;            /* the batch's name, see ln-batch-name.h */
-  /* Name of the batch without an organisation, tried when none has the name `id`; "": not tried. */
+  bool waits_for_store; /* an operation of the store is in progress */
+  LbName id;            /* name under which the batch is stored, see ln-batch-name.h */
+  /* Name that the batch has if it belongs to no organisation, tried if no batch is stored as `id`;
+   * "" if there is no second name to try. */
   LbName public_id;
-  /* With an error: the caller may access only batches without an organisation. */
+  /* Outcome of the admission check. If it is an error, the caller may access only batches without
+   * an organisation. */
   LcAdmission admission;
-  LbName item;       /* ITEM: id of the item */
-  int64_t position;  /* RESULTS: index of the first result to return */
-  LbTime wait_until; /* RESULTS: when to reply even without a result */
-  LbTime retry_at;   /* time of the next attempt; LB_TIME_NEVER: none is scheduled */
+  LbName item;       /* set for ITEM calls: id of the item to return */
+  int64_t position;  /* set for RESULTS calls: index of the first result to return */
+  LbTime wait_until; /* set for RESULTS calls: time to reply even if no result is available */
+  LbTime retry_at;   /* time of the next attempt; LB_TIME_NEVER if no attempt is scheduled */
   int failed_attempts;
-  LcBatchResult split_result; /* RESULTS: a result whose text is being read from n_chunks rows */
+  /* Set for RESULTS calls: a result whose text is being read from n_chunks rows. */
+  LcBatchResult split_result;
   size_t n_chunks;
-  /* SUBMIT: the request's body, and the batch and the row made from it */
+  /* Set for SUBMIT calls: the body of the request, the batch parsed from the body, and the row to
+   * write for the batch. */
   char *body;
   size_t body_length;
   LcBatchSpec spec;
   LcBatchHead head;
-  bool is_content_stored; /* the content is stored; the batch's row is written next */
-  /* The outcome of a write of the row is unknown; no later failed attempt changes that. */
+  bool is_content_stored; /* the body is in the object store; the batch's row is written next */
+  /* The store did not confirm a write of the batch's row, so the batch may have been accepted.
+   * Stays true when a later attempt fails. */
   bool may_be_accepted;
 } LnBatchCall;
 
@@ -48,21 +53,22 @@
 LpPlatform *ln_batch_call_platform (const LnBatchCall *call);
 const LnDialect *ln_batch_call_dialect (const LnBatchCall *call);
 
-/* Each of these replies to the caller and frees the call. */
+/* The functions ln_batch_call_reply and ln_batch_call_fail* reply to the caller and free the call.
+ */
 void ln_batch_call_reply (
     LnBatchCall *call, int status, const char *text, size_t length, const char *type);
 void
 ln_batch_call_fail (LnBatchCall *call, LbErrorCode code, const char *detail, LbTime retry_after);
 void ln_batch_call_fail_store_unavailable (LnBatchCall *call);
-/* Replies "not found" to an admitted caller, and the admission error to any other. */
-void ln_batch_call_fail_not_found (LnBatchCall *call, const char *what);
+/* Replies "not found" if the caller was admitted, else the error of its admission check. */
+void ln_batch_call_fail_not_found (LnBatchCall *call, const char *detail);
 
-/* Schedules another attempt; false after the last attempt, or when the caller has disconnected. */
+/* Schedules another attempt. Returns false if no attempt is left or the caller has disconnected. */
 bool ln_batch_call_schedule_retry (LnBatchCall *call);
-/* Fails the call, which frees it, when there is no other attempt. */
+/* Schedules another attempt; if that is not possible, fails and frees the call. */
 void ln_batch_call_retry_or_fail (LnBatchCall *call);
 
-/* ln-batch-submit.c: accepts batches */
+/* Defined in ln-batch-submit.c, which accepts new batches. */
 void ln_batch_submit (LnBatchCall *call, const LnInbound *in);
 void ln_batch_submit_retry (LnBatchCall *call);
 
--- a/packages/node/src/batch/ln-batch-calls.c
+++ b/packages/node/src/batch/ln-batch-calls.c
@@ -12,15 +12,17 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define RESULT_POLL_PERIOD (150 * LB_MSEC) /* while a caller waits for a result */
-#define MAX_RESULT_WAIT LB_SEC
-#define MAX_PAGE_ROWS 200
+/* Interval between reads of the store while a caller waits for a result. */
+#define RESULT_POLL_INTERVAL (150 * LB_MSEC)
+#define MAX_RESULT_WAIT_TIME LB_SEC
+#define MAX_RESULTS_PER_REPLY 200
 
 static void start_call (LnBatchCall *call);
 
-/* The organisation has no batch with this id; one without an organisation may exist. */
+/* The caller's organisation has no batch with the id, so looks for a batch with the same id and no
+ * organisation. */
 static void
-try_public_id (LnBatchCall *call)
+retry_without_organisation (LnBatchCall *call)
 {
   if (call->public_id[0] == '\0')
     {
@@ -32,10 +34,10 @@
   start_call (call);
 }
 
-/* NULL after replying "not found": an ended batch may be cleaned up while a call about it waits for
- * the store. */
+/* Returns NULL after replying "not found": an ended batch may have been removed while the call
+ * waited for the store. */
 static LnBatch *
-find_batch_or_reply (LnBatchCall *call)
+find_batch_or_fail_call (LnBatchCall *call)
 {
   LnBatch *batch = ln_batches_find (call->batches, call->id);
 
@@ -49,7 +51,7 @@
 static void
 reply_results (LnBatchCall *call, const LcBatchResult *results, size_t n_results)
 {
-  const LnBatch *batch = find_batch_or_reply (call);
+  const LnBatch *batch = find_batch_or_fail_call (call);
   size_t length;
 
   if (!batch)
@@ -61,7 +63,8 @@
 }
 
 static void
-on_chunks_listed (LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
+on_text_chunks_read (
+    LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
 {
   (void)version;
   LnBatchCall *call = user;
@@ -85,9 +88,9 @@
   reply_results (call, &call->split_result, 1);
 }
 
-/* Reads the chunks of the result's text; the reply will hold this result alone. */
+/* Reads the chunks of a result's text, then replies with only this result. */
 static void
-list_chunks (LnBatchCall *call, LcBatchResult *result, size_t n_chunks)
+read_text_chunks (LnBatchCall *call, LcBatchResult *result, size_t n_chunks)
 {
   char prefix[LN_BATCH_KEY_SIZE];
 
@@ -95,15 +98,16 @@
   call->split_result = *result;
   memset (result, 0, sizeof *result);
   call->n_chunks = n_chunks;
-  ln_batch_chunks_prefix (call->id, call->position, prefix);
+  ln_batch_format_text_chunks_prefix (call->id, call->position, prefix);
   call->waits_for_store = true;
   ln_batch_call_platform (call)->klass->list (ln_batch_call_platform (call), prefix, NULL, 0,
-                                              on_chunks_listed, call);
+                                              on_text_chunks_read, call);
 }
 
-/* Replies with the results up to the first whose text is stored in chunks. */
+/* Replies with the results before the first result whose text is stored in chunks. If that is the
+ * first row, reads its chunks instead. */
 static void
-reply_rows (LnBatchCall *call, const LpRow *rows, size_t n_rows)
+reply_result_rows (LnBatchCall *call, const LpRow *rows, size_t n_rows)
 {
   LcBatchResult *results = LB_NEW_ARRAY (LcBatchResult, n_rows + 1);
   size_t n_chunks = 0;
@@ -112,7 +116,7 @@
   while (n < n_rows && ln_batch_result_from_row (&rows[n], &results[n], &n_chunks) && n_chunks == 0)
     n++;
   if (n == 0 && n_chunks > 0)
-    list_chunks (call, &results[0], n_chunks);
+    read_text_chunks (call, &results[0], n_chunks);
   else
     reply_results (call, results, n);
   for (size_t i = 0; i <= n; i++)
@@ -121,7 +125,8 @@
 }
 
 static void
-on_results_listed (LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
+on_result_rows_read (
+    LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
 {
   (void)version;
   LnBatchCall *call = user;
@@ -134,28 +139,28 @@
       return;
     }
   if (n_rows == 0 && now < call->wait_until && call->exchange)
-    call->retry_at = now + RESULT_POLL_PERIOD;
+    call->retry_at = now + RESULT_POLL_INTERVAL;
   else
-    reply_rows (call, rows, n_rows);
+    reply_result_rows (call, rows, n_rows);
 }
 
 static void
-read_results (LnBatchCall *call)
+read_result_rows (LnBatchCall *call)
 {
   char prefix[LN_BATCH_KEY_SIZE];
   char first_key[16];
 
-  ln_batch_result_prefix (call->id, prefix);
+  ln_batch_format_result_prefix (call->id, prefix);
   snprintf (first_key, sizeof first_key, "%06lld", (long long)call->position);
   call->waits_for_store = true;
   ln_batch_call_platform (call)->klass->list (ln_batch_call_platform (call), prefix, first_key,
-                                              MAX_PAGE_ROWS, on_results_listed, call);
+                                              MAX_RESULTS_PER_REPLY, on_result_rows_read, call);
 }
 
 /* --- reading the body of an item --- */
 
 static void
-on_content_read (LbErrorCode error, const char *bytes, size_t length, void *user)
+on_batch_content_read (LbErrorCode error, const char *bytes, size_t length, void *user)
 {
   LnBatchCall *call = user;
   LbError parse_error = { 0 };
@@ -163,7 +168,7 @@
   call->waits_for_store = false;
   if (error == LB_ERROR_NOT_FOUND)
     {
-      try_public_id (call);
+      retry_without_organisation (call);
       return;
     }
   if (error == LB_OK
@@ -188,26 +193,26 @@
 }
 
 static void
-read_item (LnBatchCall *call)
+read_item_body (LnBatchCall *call)
 {
   char key[LN_BATCH_KEY_SIZE];
 
-  ln_batch_content_key (call->id, key);
+  ln_batch_format_content_key (call->id, key);
   call->waits_for_store = true;
   ln_batch_call_platform (call)->klass->get_object (ln_batch_call_platform (call), key,
-                                                    on_content_read, call);
+                                                    on_batch_content_read, call);
 }
 
 /* --- ending a batch --- */
 
 static void
-reply_ended (LnBatchCall *call)
+reply_batch_ended (LnBatchCall *call)
 {
   ln_batch_call_reply (call, 200, "{}", 2, "application/json");
 }
 
 static void
-on_end_written (LbErrorCode error, const LpRow *row, void *user)
+on_ended_row_written (LbErrorCode error, const LpRow *row, void *user)
 {
   LnBatchCall *call = user;
   LnBatch *batch = ln_batches_find (call->batches, call->id);
@@ -224,7 +229,7 @@
                        .version = row->version };
       ln_batch_heads_apply_row (call->batches, &ended);
       json_object_put (object);
-      reply_ended (call);
+      reply_batch_ended (call);
       return;
     }
   if (error == LB_ERROR_CONDITION_FAILED && row->value)
@@ -235,7 +240,7 @@
 static void
 end_batch (LnBatchCall *call)
 {
-  const LnBatch *batch = find_batch_or_reply (call);
+  const LnBatch *batch = find_batch_or_fail_call (call);
   char key[LN_BATCH_KEY_SIZE];
 
   if (!batch)
@@ -243,22 +248,23 @@
   LcBatchHead head = batch->head;
   if (batch->head.ended)
     {
-      reply_ended (call);
+      reply_batch_ended (call);
       return;
     }
   head.ended = true;
   struct json_object *object = lc_batch_head_to_json (&head);
   const LpPut put = { .key = key, .value = json_object_to_json_string (object) };
-  ln_batch_head_key (call->id, key);
+  ln_batch_format_row_key (call->id, key);
   call->waits_for_store = true;
-  ln_batch_heads_write_if_unchanged (batch, &put, 1, LP_PRIORITY_LEDGER, on_end_written, call);
+  ln_batch_heads_write_if_unchanged (batch, &put, 1, LP_PRIORITY_LEDGER, on_ended_row_written,
+                                     call);
   json_object_put (object);
 }
 
-/* --- all calls --- */
+/* --- starting and retrying calls --- */
 
 static void
-continue_call (LnBatchCall *call)
+dispatch_call_by_kind (LnBatchCall *call)
 {
   switch (call->kind)
     {
@@ -266,10 +272,10 @@
       ln_batch_submit_retry (call);
       break;
     case LN_BATCH_CALL_RESULTS:
-      read_results (call);
+      read_result_rows (call);
       break;
     case LN_BATCH_CALL_ITEM:
-      read_item (call);
+      read_item_body (call);
       break;
     case LN_BATCH_CALL_END:
       end_batch (call);
@@ -277,22 +283,22 @@
     }
 }
 
-/* Only the store shows whether the batch exists: another instance may have accepted it a moment
- * ago. */
+/* Handles the row of a batch that this instance does not know yet. Another instance may have
+ * accepted the batch a moment ago. */
 static void
-on_head_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
+on_batch_row_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
   LnBatchCall *call = user;
 
   call->waits_for_store = false;
   if (error == LB_ERROR_NOT_FOUND)
     {
-      try_public_id (call);
+      retry_without_organisation (call);
       return;
     }
   if (error == LB_OK && n_rows > 0 && ln_batch_heads_apply_row (call->batches, &rows[0]))
     {
-      continue_call (call);
+      dispatch_call_by_kind (call);
       return;
     }
   ln_batch_call_retry_or_fail (call);
@@ -308,17 +314,17 @@
   if (call->kind == LN_BATCH_CALL_SUBMIT || call->kind == LN_BATCH_CALL_ITEM
       || (batch && batch->version > 0))
     {
-      continue_call (call);
+      dispatch_call_by_kind (call);
       return;
     }
-  ln_batch_head_key (call->id, key);
+  ln_batch_format_row_key (call->id, key);
   call->waits_for_store = true;
-  ln_batch_call_platform (call)->klass->get (ln_batch_call_platform (call), key, on_head_read,
+  ln_batch_call_platform (call)->klass->get (ln_batch_call_platform (call), key, on_batch_row_read,
                                              call);
 }
 
 static LnBatchCallKind
-get_call_kind (LnInboundKind kind)
+call_kind_from_inbound (LnInboundKind kind)
 {
   switch (kind)
     {
@@ -333,55 +339,56 @@
     }
 }
 
-/* Without the list of organisations, the organisation of a caller cannot be determined. */
+/* Rejects a request with NOT_READY: without the list of organisations, the caller's organisation
+ * cannot be determined. */
 static void
-reject_not_ready (LnExchange *exchange)
+reject_until_organisations_known (LnExchange *exchange)
 {
   LbError error = { 0 };
 
   lb_error_set (&error, LB_ERROR_NOT_READY, "",
-                "this instance has not received the organisations yet");
+                "this instance has not received the list of organisations yet");
   ln_exchange_reply_error (exchange, &error, LN_BATCH_STORE_RETRY_AFTER);
 }
 
-/* Only a submission has a route, which may be public. Other calls need no key if their batch has no
- * organisation. */
+/* Whether the request submits a batch on a public route, which requires no API key. Requests about
+ * an existing batch have no route; they require no key if the batch has no organisation. */
 static bool
 is_public_submission (const LnBatches *batches, const LnExchange *exchange, const LnInbound *in)
 {
   const LcRoute *route = NULL;
 
-  if (get_call_kind (in->kind) == LN_BATCH_CALL_SUBMIT)
+  if (call_kind_from_inbound (in->kind) == LN_BATCH_CALL_SUBMIT)
     route = lc_desired_match_route (batches->admission_state.desired, in->host,
                                     ln_exchange_path (exchange));
   return route && route->is_public;
 }
 
-/* False after rejecting the call. A caller without a valid key may still access batches without an
- * organisation. */
+/* Returns false after rejecting the request. Requests about an existing batch pass without a valid
+ * API key, because the batch may have no organisation. */
 static bool
-check_admission (const LnBatches *batches,
-                 LnExchange *exchange,
-                 const LnInbound *in,
-                 LcAdmission *admission)
+admit_or_reject_call (const LnBatches *batches,
+                      LnExchange *exchange,
+                      const LnInbound *in,
+                      LcAdmission *admission)
 {
   const LnAdmissionState *admission_state = &batches->admission_state;
 
   if (!admission_state->desired)
     {
-      reject_not_ready (exchange);
+      reject_until_organisations_known (exchange);
       return false;
     }
   ln_admission_check (batches->context, admission_state,
                       is_public_submission (batches, exchange, in), in, admission);
-  if (admission->error == LB_OK || get_call_kind (in->kind) != LN_BATCH_CALL_SUBMIT)
+  if (admission->error == LB_OK || call_kind_from_inbound (in->kind) != LN_BATCH_CALL_SUBMIT)
     return true;
   ln_admission_refuse (exchange, admission_state, in, admission);
   return false;
 }
 
 static bool
-set_batch_name (LnBatchCall *call, const LnInbound *in)
+set_call_batch_names (LnBatchCall *call, const LnInbound *in)
 {
   bool is_submission = call->kind == LN_BATCH_CALL_SUBMIT;
   const char *organisation = call->admission.organisation.name;
@@ -393,7 +400,7 @@
 }
 
 void
-ln_batch_calls_receive (LnBatches *batches, LnExchange *exchange)
+ln_batch_calls_receive_request (LnBatches *batches, LnExchange *exchange)
 {
   LnBatchCall *call = NULL;
   LcAdmission admission;
@@ -401,20 +408,20 @@
   LbTime now = lb_clock_monotonic ();
 
   batches->context->dialect->read_inbound (exchange, &in);
-  if (!check_admission (batches, exchange, &in, &admission))
+  if (!admit_or_reject_call (batches, exchange, &in, &admission))
     return;
   call = LB_NEW (LnBatchCall);
   call->admission = admission;
   call->batches = batches;
   call->exchange = exchange;
-  call->kind = get_call_kind (in.kind);
+  call->kind = call_kind_from_inbound (in.kind);
   call->position = in.position;
-  call->wait_until = now + (in.wait < MAX_RESULT_WAIT ? in.wait : MAX_RESULT_WAIT);
+  call->wait_until = now + (in.wait < MAX_RESULT_WAIT_TIME ? in.wait : MAX_RESULT_WAIT_TIME);
   call->retry_at = LB_TIME_NEVER;
   LB_COPY (call->item, in.item ? in.item : "");
   ln_exchange_set_user_data (exchange, call);
   lb_list_append (&batches->calls, &call->link);
-  if (!set_batch_name (call, &in))
+  if (!set_call_batch_names (call, &in))
     ln_batch_call_fail (
         call, LB_ERROR_BAD_VALUE,
         "invalid batch id: it is empty or too long, contains '/' or ends in '~' and a hash", 0);
@@ -424,10 +431,10 @@
     start_call (call);
 }
 
-/* A submission that waits for the store continues without its caller: the write of the row may
- * already be in progress. */
+/* Frees the call of a disconnected caller, unless the call waits for the store. A waiting
+ * submission continues, because its write of the batch's row may already be in progress. */
 void
-ln_batch_calls_caller_disconnected (LnBatches *batches, LnExchange *exchange)
+ln_batch_calls_handle_disconnect (LnBatches *batches, LnExchange *exchange)
 {
   (void)batches;
   LnBatchCall *call = ln_exchange_user_data (exchange);
--- a/packages/node/src/batch/ln-batch-cleanup.c
+++ b/packages/node/src/batch/ln-batch-cleanup.c
@@ -10,12 +10,14 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* Rows removed in one transaction; the store accepts 100 entries, one of which is the condition. */
-#define MAX_ROWS_PER_WRITE 90
-/* Delay after a failure; long, since no batch waits for the space. */
-#define RETRY_DELAY (10 * LB_SEC)
-/* The candidate of rank 0 cleans up; each next one starts this much later, if still needed. */
-#define DELAY_PER_RANK (20 * LB_SEC)
+/* Maximum number of rows to remove in one transaction. The store accepts 100 entries, one of which
+ * is the condition. */
+#define MAX_ROWS_PER_REMOVAL 90
+/* Delay before a failed cleanup is retried. It is long because no batch waits for the space. */
+#define CLEANUP_RETRY_DELAY (10 * LB_SEC)
+/* The candidate of rank 0 cleans up a batch. A candidate of a higher rank waits this long per rank
+ * and cleans up only if the batch still exists. */
+#define CLEANUP_DELAY_PER_RANK (20 * LB_SEC)
 
 static LbMetric batches_removed
     = LB_COUNTER_INIT ("lentilspindle_batches_removed_total",
@@ -28,7 +30,7 @@
   return batch->batches->context->platform;
 }
 
-static void remove_next (LnBatch *batch);
+static void remove_next_rows (LnBatch *batch);
 
 static void
 finish_cleanup (LnBatch *batch)
@@ -41,13 +43,14 @@
 {
   lb_log (LB_LOG_INFO, "batch_not_removed", LB_TEXT ("batch", batch->id),
           LB_TEXT ("error", lb_error_name (error)));
-  batch->cleanup_retry_at = lb_clock_monotonic () + RETRY_DELAY;
+  batch->cleanup_retry_at = lb_clock_monotonic () + CLEANUP_RETRY_DELAY;
   finish_cleanup (batch);
 }
 
-/* A failed condition without a row: an earlier write, whose answer was lost, has removed it. */
+/* If the condition failed because the row is absent, an earlier write removed the row but its
+ * answer was lost. */
 static void
-on_head_removed (LbErrorCode error, const LpRow *row, void *user)
+on_batch_row_removed (LbErrorCode error, const LpRow *row, void *user)
 {
   LnBatch *batch = user;
 
@@ -62,15 +65,17 @@
   ln_batches_remove (batch);
 }
 
-/* The batch's own row is removed last: while it exists, any instance can restart the cleanup. */
+/* Removes the batch's own row after all its other rows: while the row exists, any instance can
+ * restart the cleanup. */
 static void
-remove_head (LnBatch *batch)
+remove_batch_row (LnBatch *batch)
 {
   char key[LN_BATCH_KEY_SIZE];
   const LpPut put = { .key = key };
 
-  ln_batch_head_key (batch->id, key);
-  ln_batch_heads_write_if_unchanged (batch, &put, 1, LP_PRIORITY_STATUS, on_head_removed, batch);
+  ln_batch_format_row_key (batch->id, key);
+  ln_batch_heads_write_if_unchanged (batch, &put, 1, LP_PRIORITY_STATUS, on_batch_row_removed,
+                                     batch);
 }
 
 static void
@@ -83,16 +88,16 @@
   if (error != LB_OK && error != LB_ERROR_NOT_FOUND)
     postpone_cleanup (batch, error);
   else
-    remove_head (batch);
+    remove_batch_row (batch);
 }
 
 static void
-remove_content (LnBatch *batch)
+remove_batch_content (LnBatch *batch)
 {
   LpPlatform *platform = get_platform (batch);
   char key[LN_BATCH_KEY_SIZE];
 
-  ln_batch_content_key (batch->id, key);
+  ln_batch_format_content_key (batch->id, key);
   platform->klass->remove_object (platform, key, on_content_removed, batch);
 }
 
@@ -105,13 +110,13 @@
   if (error != LB_OK)
     postpone_cleanup (batch, error);
   else
-    remove_next (batch);
+    remove_next_rows (batch);
 }
 
 static void
 remove_rows (LnBatch *batch, const LpRow *rows, size_t n_rows)
 {
-  LpPut puts[MAX_ROWS_PER_WRITE];
+  LpPut puts[MAX_ROWS_PER_REMOVAL];
 
   for (size_t i = 0; i < n_rows; i++)
     puts[i] = (LpPut){ .key = rows[i].key };
@@ -132,15 +137,15 @@
     }
   if (n_rows > 0)
     {
-      remove_rows (batch, rows, n_rows < MAX_ROWS_PER_WRITE ? n_rows : MAX_ROWS_PER_WRITE);
+      remove_rows (batch, rows, n_rows < MAX_ROWS_PER_REMOVAL ? n_rows : MAX_ROWS_PER_REMOVAL);
       return;
     }
   batch->cleanup_step++;
-  remove_next (batch);
+  remove_next_rows (batch);
 }
 
 static void
-remove_next (LnBatch *batch)
+remove_next_rows (LnBatch *batch)
 {
   LpPlatform *platform = get_platform (batch);
   char prefix[LN_BATCH_KEY_SIZE];
@@ -148,19 +153,19 @@
   switch (batch->cleanup_step)
     {
     case LN_CLEANUP_RESULTS:
-      ln_batch_result_prefix (batch->id, prefix);
+      ln_batch_format_result_prefix (batch->id, prefix);
       break;
     case LN_CLEANUP_TEXT_CHUNKS:
-      ln_batch_all_chunks_prefix (batch->id, prefix);
+      ln_batch_format_all_text_chunks_prefix (batch->id, prefix);
       break;
     case LN_CLEANUP_CHECKPOINTS:
-      ln_batch_checkpoint_prefix (batch->id, prefix);
+      ln_batch_format_checkpoint_prefix (batch->id, prefix);
       break;
     case LN_CLEANUP_CONTENT:
-      remove_content (batch);
+      remove_batch_content (batch);
       return;
     }
-  platform->klass->list (platform, prefix, NULL, MAX_ROWS_PER_WRITE, on_rows_listed, batch);
+  platform->klass->list (platform, prefix, NULL, MAX_ROWS_PER_REMOVAL, on_rows_listed, batch);
 }
 
 static bool
@@ -172,12 +177,13 @@
   if (!batch->head.ended || batch->state != LN_BATCH_NOT_OWNED || batch->ended_at == 0
       || now < batch->cleanup_retry_at || now < batch->ended_at + retention)
     return false;
-  LbTime rank_delay = (LbTime)ln_batch_heads_get_rank (batch, batch->id) * DELAY_PER_RANK;
+  LbTime rank_delay
+      = (LbTime)ln_batch_heads_get_own_rank (batch, batch->id) * CLEANUP_DELAY_PER_RANK;
   return now >= batch->ended_at + retention + rank_delay;
 }
 
-/* Removes ended batches at the end of their retention time. Nothing in the store expires, and a
- * full store rejects writes: without the cleanup, batches would be rejected after some hours. */
+/* Starts to remove an ended batch whose retention time is over. The store has no expiry and rejects
+ * writes when it is full, so without the cleanup it would reject new batches after some hours. */
 void
 ln_batch_cleanup_tick (LnBatches *batches, LbTime now)
 {
@@ -189,7 +195,7 @@
       {
         batches->cleanup_batch = batch;
         batch->cleanup_step = LN_CLEANUP_RESULTS;
-        remove_next (batch);
+        remove_next_rows (batch);
         return;
       }
 }
--- a/packages/node/src/batch/ln-batch-heads.c
+++ b/packages/node/src/batch/ln-batch-heads.c
@@ -13,68 +13,70 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Partitions of each table. All rows of a batch are in one partition, so that one transaction can
- * write them; batches are spread because each partition accepts a limited rate of writes. */
+/* Number of partitions of each table. All rows of a batch are in one partition, so that one
+ * transaction can write them. Batches are spread over the partitions because each partition accepts
+ * a limited rate of writes. */
 #define N_PARTITIONS 16
-#define TABLE "head" /* the row of each batch, LcBatchHead */
-/* The end of a batch must reach its owner within 3 s, also when the watch's connection is silently
- * dead, which is detected after this time. */
+#define BATCH_TABLE "head" /* table with one row per batch, an LcBatchHead as JSON */
+/* Duration of one watch request, after which a silently dead connection is detected. The owner of a
+ * batch must learn of the batch's end within 3 s even over such a connection. */
 #define WATCH_TIMEOUT (800 * LB_MSEC)
 #define WATCH_RETRY_DELAY (150 * LB_MSEC)
-#define OFFER_TIMEOUT (300 * LB_MSEC) /* several round trips to the store */
-/* An owner that is not in the list of members may have just got its first duty: its member row is
- * written, listed and published within this time. */
+#define OFFER_TIMEOUT (300 * LB_MSEC) /* longer than several round trips to the store */
+/* An owner that is missing from the member list is presumed alive this long: it may just have got
+ * its first duty, and its member row is written, listed and published within this time. */
 #define UNKNOWN_OWNER_GRACE (2500 * LB_MSEC)
-/* Each next candidate takes a batch over this much later, so that they do not all write. */
+/* A candidate waits this long per rank before it takes a batch over, so that the candidates do not
+ * all write at once. */
 #define TAKEOVER_DELAY_PER_RANK (400 * LB_MSEC)
 
 static unsigned
-get_partition (const char *id)
+compute_partition (const char *id)
 {
   return (unsigned)(XXH3_64bits (id, strlen (id)) % N_PARTITIONS);
 }
 
 void
-ln_batch_head_key (const char *id, char *key)
+ln_batch_format_row_key (const char *id, char *key)
 {
-  snprintf (key, LN_BATCH_KEY_SIZE, TABLE "/%02x/%s", get_partition (id), id);
+  snprintf (key, LN_BATCH_KEY_SIZE, BATCH_TABLE "/%02x/%s", compute_partition (id), id);
 }
 
 void
-ln_batch_result_prefix (const char *id, char *key)
+ln_batch_format_result_prefix (const char *id, char *key)
 {
-  snprintf (key, LN_BATCH_KEY_SIZE, "result/%02x/%s:", get_partition (id), id);
+  snprintf (key, LN_BATCH_KEY_SIZE, "result/%02x/%s:", compute_partition (id), id);
 }
 
 void
-ln_batch_checkpoint_prefix (const char *id, char *key)
+ln_batch_format_checkpoint_prefix (const char *id, char *key)
 {
-  /* "begun" is the table of checkpoints: parts of incomplete texts. */
-  snprintf (key, LN_BATCH_KEY_SIZE, "begun/%02x/%s:", get_partition (id), id);
+  /* The table "begun" holds the checkpoints, which are parts of incomplete texts. */
+  snprintf (key, LN_BATCH_KEY_SIZE, "begun/%02x/%s:", compute_partition (id), id);
 }
 
 void
-ln_batch_all_chunks_prefix (const char *id, char *key)
+ln_batch_format_all_text_chunks_prefix (const char *id, char *key)
 {
-  /* "more" is the table of chunks: parts of complete texts that do not fit into one row. */
-  snprintf (key, LN_BATCH_KEY_SIZE, "more/%02x/%s:", get_partition (id), id);
+  /* The table "more" holds the chunks of complete texts that do not fit into one row. */
+  snprintf (key, LN_BATCH_KEY_SIZE, "more/%02x/%s:", compute_partition (id), id);
 }
 
 void
-ln_batch_chunks_prefix (const char *id, int64_t position, char *key)
+ln_batch_format_text_chunks_prefix (const char *id, int64_t position, char *key)
 {
-  snprintf (key, LN_BATCH_KEY_SIZE, "more/%02x/%s:%06lld:", get_partition (id), id,
+  snprintf (key, LN_BATCH_KEY_SIZE, "more/%02x/%s:%06lld:", compute_partition (id), id,
             (long long)position);
 }
 
 void
-ln_batch_content_key (const char *id, char *key)
+ln_batch_format_content_key (const char *id, char *key)
 {
   snprintf (key, LN_BATCH_KEY_SIZE, "batch-%s", id);
 }
 
 static bool
-is_owned_here (const LnBatch *batch)
+is_owned_by_this_process (const LnBatch *batch)
 {
   const LnContext *context = batch->batches->context;
 
@@ -82,10 +84,10 @@
          && strcmp (batch->head.incarnation, context->incarnation) == 0;
 }
 
-/* Loads a batch whose row names this process as owner: after a successful claim, or when a claim
- * that was considered failed took effect. */
+/* Loads a batch whose row names this process as the owner, after a claim that succeeded or that was
+ * reported as failed but took effect. */
 static void
-start_owned_batch (LnBatch *batch)
+load_owned_batch (LnBatch *batch)
 {
   if (batch->batches->draining)
     return;
@@ -95,7 +97,7 @@
 }
 
 static bool
-is_active_here (const LnBatch *batch)
+is_loading_running_or_offered (const LnBatch *batch)
 {
   return batch->state == LN_BATCH_RUNNING || batch->state == LN_BATCH_LOADING
          || batch->state == LN_BATCH_OFFERED;
@@ -104,23 +106,23 @@
 void
 ln_batch_heads_start_if_owned (LnBatch *batch)
 {
-  if (batch->state == LN_BATCH_NOT_OWNED && is_owned_here (batch) && !batch->head.ended)
-    start_owned_batch (batch);
+  if (batch->state == LN_BATCH_NOT_OWNED && is_owned_by_this_process (batch) && !batch->head.ended)
+    load_owned_batch (batch);
 }
 
 static void claim_batch (LnBatch *batch);
 
-/* The first owner, whose epoch is 1, offers the batch to the preferred instance, which accepts by
- * claiming it. */
+/* Whether the instance that accepted the batch, its owner in epoch 1, offers it to this instance.
+ * This instance accepts the offer by claiming the batch. */
 static bool
-is_offered_here (const LnBatch *batch)
+is_offered_to_this_instance (const LnBatch *batch)
 {
   return batch->head.epoch == 1 && !batch->head.ended && !batch->batches->draining
          && strcmp (batch->head.preferred_instance, batch->batches->context->instance) == 0;
 }
 
 static void
-handle_head_change (LnBatch *batch, const LcBatchHead *old_head)
+handle_batch_row_change (LnBatch *batch, const LcBatchHead *old_head)
 {
   if (batch->head.ended && !old_head->ended)
     {
@@ -129,13 +131,15 @@
     }
   if (batch->head.epoch != old_head->epoch)
     batch->owner_gone_since = 0;
-  /* If the row has a new epoch but still names this process, a claim that was considered failed
-   * took effect. The run here was started under the previous version of the row, so its writes of
-   * results would all fail. */
-  if (is_active_here (batch)
-      && (batch->head.ended || !is_owned_here (batch) || batch->head.epoch != old_head->epoch))
-    ln_batch_owner_stop (batch);
-  if (batch->state == LN_BATCH_NOT_OWNED && !is_owned_here (batch) && is_offered_here (batch))
+  /* If the row has a new epoch but still names this process, a claim that was reported as failed
+   * took effect. The current run was started under the previous version of the row, so all its
+   * writes of results would fail. */
+  if (is_loading_running_or_offered (batch)
+      && (batch->head.ended || !is_owned_by_this_process (batch)
+          || batch->head.epoch != old_head->epoch))
+    ln_batch_owner_stop_run (batch);
+  if (batch->state == LN_BATCH_NOT_OWNED && !is_owned_by_this_process (batch)
+      && is_offered_to_this_instance (batch))
     claim_batch (batch);
   ln_batch_heads_start_if_owned (batch);
 }
@@ -169,26 +173,27 @@
       lb_log (LB_LOG_WARNING, "batch_row_unreadable", LB_TEXT ("key", row->key));
       return false;
     }
-  LnBatch *batch = ln_batches_ensure (batches, head.batch);
+  LnBatch *batch = ln_batches_find_or_create (batches, head.batch);
   LcBatchHead old_head = batch->head;
   if (row->version <= batch->version)
     return true;
-  /* Ended batches count as well: an instance that has just started and divides the engines among
-   * the models would otherwise know the demand of the few open batches only, and would reassign
-   * engines because of chance differences between them. */
+  /* Publishes the demand of ended batches too. Otherwise an instance that has just started and
+   * assigns engines to models would know only the demand of the few open batches, and would
+   * reassign engines because of random differences between those batches. */
   if (batch->version == 0)
     ln_batch_heads_publish_demand (batches, &head);
   batch->head = head;
   batch->version = row->version;
   batch->version_seen_at = lb_clock_monotonic ();
-  handle_head_change (batch, &old_head);
+  handle_batch_row_change (batch, &old_head);
   return true;
 }
 
 /* --- takeover --- */
 
-/* An owner with another incarnation has restarted and lost the batch, if its member row is newer
- * than the batch's row; otherwise the member list is outdated. */
+/* Looks up the batch's owner in the member list. A member with another incarnation has restarted
+ * and lost the batch if its member row is newer than the batch's row. Otherwise the member list is
+ * outdated, and the owner counts as alive. */
 static LnOwnerState
 find_owner_state (const LnBatch *batch)
 {
@@ -208,8 +213,8 @@
   return LN_OWNER_UNKNOWN;
 }
 
-/* Caches the owner's state: this runs 20 times per second for each batch, and there are hundreds of
- * members, which rarely change. */
+/* Caches the owner's state: the function runs 20 times per second for each batch, and the list of
+ * hundreds of members rarely changes. */
 static bool
 is_owner_alive (LnBatch *batch, LbTime now)
 {
@@ -226,14 +231,17 @@
 }
 
 static size_t
-add_candidates (const LnBatches *batches, bool is_cut_off, LcDutyCandidate *candidates)
+add_live_candidates (const LnBatches *batches,
+                     bool without_store_connection,
+                     LcDutyCandidate *candidates)
 {
   size_t n = 0;
 
   for (size_t i = 0; i < batches->n_members; i++)
     {
       const LnMember *member = &batches->members[i];
-      if (!member->alive || !member->confirmed || member->draining || member->cut != is_cut_off)
+      if (!member->alive || !member->confirmed || member->draining
+          || member->cut != without_store_connection)
         continue;
       LB_COPY (candidates[n].name, member->name);
       candidates[n++].strength = member->strength;
@@ -241,33 +249,35 @@
   return n;
 }
 
-/* Excludes instances that are cut off (have no working connection to the store), unless all are:
- * such an owner learns late of the batch, and each write of its results goes through another
- * instance. */
+/* Excludes instances that have no working connection to the store, unless all instances have none.
+ * An owner without a connection learns late of its batch, and each write of results passes through
+ * another instance. */
 LcDutyCandidate *
-ln_batches_list_candidates (const LnBatches *batches, size_t *n)
+ln_batches_list_duty_candidates (const LnBatches *batches, size_t *n)
 {
   LcDutyCandidate *candidates = LB_NEW_ARRAY (LcDutyCandidate, batches->n_members + 1);
 
-  *n = add_candidates (batches, false, candidates);
+  *n = add_live_candidates (batches, false, candidates);
   if (*n == 0)
-    *n = add_candidates (batches, true, candidates);
+    *n = add_live_candidates (batches, true, candidates);
   return candidates;
 }
 
 static bool
-is_assigned_to (const LnBatch *batch, const char *instance)
+is_open_and_assigned_to (const LnBatch *batch, const char *instance)
 {
   return batch->version > 0 && !batch->head.ended
          && strcmp (lc_batch_head_assigned_instance (&batch->head), instance) == 0;
 }
 
-/* Prevents a model with several batches from being counted more than once. */
+/* Whether no earlier batch in the hash table has the same model and is assigned to the instance. So
+ * a model with several batches is counted once. */
 static bool
-is_first_of_model (const LnBatches *batches, const LnBatch *batch, const char *instance)
+is_first_assigned_of_model (const LnBatches *batches, const LnBatch *batch, const char *instance)
 {
   for (const LnBatch *other = batches->by_id; other != batch; other = other->hh.next)
-    if (is_assigned_to (other, instance) && strcmp (other->head.model, batch->head.model) == 0)
+    if (is_open_and_assigned_to (other, instance)
+        && strcmp (other->head.model, batch->head.model) == 0)
       return false;
   return true;
 }
@@ -278,24 +288,26 @@
   size_t n = 0;
 
   for (const LnBatch *batch = batches->by_id; batch; batch = batch->hh.next)
-    n += is_assigned_to (batch, instance) && is_first_of_model (batches, batch, instance);
+    n += is_open_and_assigned_to (batch, instance)
+         && is_first_assigned_of_model (batches, batch, instance);
   return n;
 }
 
 size_t
-ln_batch_heads_get_rank (const LnBatch *batch, const char *duty)
+ln_batch_heads_get_own_rank (const LnBatch *batch, const char *duty)
 {
   size_t n;
-  LcDutyCandidate *candidates = ln_batches_list_candidates (batch->batches, &n);
+  LcDutyCandidate *candidates = ln_batches_list_duty_candidates (batch->batches, &n);
   size_t rank = lc_duty_rank (duty, batch->batches->context->instance, candidates, n);
 
   free (candidates);
   return rank;
 }
 
-/* Applies the row that was written, unless the watch has already shown it or a later one. */
+/* Applies the batch's row that was written, unless the watch has already shown that version of the
+ * row or a newer one. */
 static void
-apply_written_head (LnBatch *batch, int64_t version)
+apply_written_row (LnBatch *batch, int64_t version)
 {
   if (version <= batch->version)
     return;
@@ -315,9 +327,11 @@
   lb_log (LB_LOG_INFO, "batch_taken_over", LB_TEXT ("batch", batch->id),
           LB_INT ("epoch", batch->pending_head.epoch), LB_TEXT ("outcome", lb_error_name (error)));
   if (error == LB_OK)
-    apply_written_head (batch, row->version);
+    apply_written_row (batch, row->version);
   else if (error == LB_ERROR_CONDITION_FAILED && row->value)
     ln_batch_heads_apply_row (batch->batches, row);
+  /* If the claim after an expired offer got no answer, the row still names this process. The batch
+   * is then run here, because possibly no other instance was able to claim it. */
   ln_batch_heads_start_if_owned (batch);
 }
 
@@ -336,17 +350,18 @@
     .token = "", .conditions = &condition, .n_conditions = 1, .puts = puts, .n_puts = n_puts
   };
 
-  ln_batch_head_key (batch->id, key);
+  ln_batch_format_row_key (batch->id, key);
   platform->klass->transact (platform, &transaction, priority, done, user);
 }
 
-/* Writes the batch's row with another owner, together with other rows, if it is unchanged. */
+/* Writes head as the batch's row, and more_puts, on the condition that the batch's row is
+ * unchanged. */
 static void
-write_head (LnBatch *batch,
-            const LcBatchHead *head,
-            const LpPut *more_puts,
-            size_t n_more_puts,
-            LpTransactDone done)
+write_batch_row (LnBatch *batch,
+                 const LcBatchHead *head,
+                 const LpPut *more_puts,
+                 size_t n_more_puts,
+                 LpTransactDone done)
 {
   struct json_object *object = lc_batch_head_to_json (head);
   char key[LN_BATCH_KEY_SIZE];
@@ -355,7 +370,7 @@
 
   for (size_t i = 0; i < n_more_puts; i++)
     puts[i + 1] = more_puts[i];
-  ln_batch_head_key (batch->id, key);
+  ln_batch_format_row_key (batch->id, key);
   ln_batch_heads_write_if_unchanged (batch, puts, n_more_puts + 1, LP_PRIORITY_LEDGER, done, batch);
   json_object_put (object);
 }
@@ -371,31 +386,29 @@
   LB_COPY (head.owner, batch->batches->context->instance);
   LB_COPY (head.incarnation, batch->batches->context->incarnation);
   batch->pending_head = head;
-  write_head (batch, &head, NULL, 0, on_claim_written);
+  write_batch_row (batch, &head, NULL, 0, on_claim_written);
 }
 
-/* When the offer expires, this instance claims the batch by a write before it runs it. This covers
- * two delays. The watch may show late that the offer was accepted: running the batch here would
- * generate each text twice and could record no result; instead, the condition of the write fails.
- * The preferred instance, if it is cut off from the store, may see the offer late: it would take
- * the batch over in the middle of the run, and all texts since the last checkpoint would be lost;
- * the new epoch ends the offer. If the write gets no answer, the batch is run here, as possibly no
- * other instance was able to take it. */
+/* Claims a batch that the preferred instance did not accept in time, rather than running it in the
+ * old epoch. If the watch shows an accepted offer late, the claim fails; a run would generate each
+ * text twice and could record no result. If the preferred instance is cut off from the store and
+ * sees the offer late, the new epoch has ended the offer; a takeover during the run would lose all
+ * texts since the last checkpoint. */
 static void
-expire_offer (LnBatch *batch)
+claim_after_offer_expired (LnBatch *batch)
 {
   claim_batch (batch);
 }
 
-/* Takes over a batch whose owner is not alive. Candidates are ranked by the model, so that all
- * batches of a model go to one instance, which opens one set of connections to the engines. An
- * owner that was only paused finds the row changed; its conditional writes then fail, so it can
- * record no more results. */
+/* Claims a batch whose owner is not alive or whose offer expired. Candidates are ranked by the
+ * model, so that one instance runs all batches of a model over one set of connections to the
+ * engines. If the old owner was only paused, its conditional writes fail, so it cannot record more
+ * results. */
 static void
-check_ownership (LnBatch *batch, LbTime now)
+claim_if_unowned_or_offer_expired (LnBatch *batch, LbTime now)
 {
   if (batch->state == LN_BATCH_OFFERED && now >= batch->offer_expires_at)
-    expire_offer (batch);
+    claim_after_offer_expired (batch);
   if (batch->state != LN_BATCH_NOT_OWNED || batch->head.ended || batch->version == 0
       || batch->batches->members_change_count == 0 || batch->batches->draining
       || is_owner_alive (batch, now))
@@ -406,7 +419,7 @@
   if (batch->owner_gone_since == 0)
     batch->owner_gone_since = now;
   if (now - batch->owner_gone_since
-      >= (LbTime)ln_batch_heads_get_rank (batch, batch->head.model) * TAKEOVER_DELAY_PER_RANK)
+      >= (LbTime)ln_batch_heads_get_own_rank (batch, batch->head.model) * TAKEOVER_DELAY_PER_RANK)
     claim_batch (batch);
 }
 
@@ -416,16 +429,16 @@
   LnBatch *batch = user;
 
   if (error == LB_OK)
-    apply_written_head (batch, row->version);
+    apply_written_row (batch, row->version);
   lb_log (LB_LOG_INFO, "batch_released", LB_TEXT ("batch", batch->id),
           LB_TEXT ("outcome", lb_error_name (error)));
   batch->state = LN_BATCH_NOT_OWNED;
 }
 
-/* On shutdown, saves the incomplete texts and clears the owner, so that another instance can
- * continue without first detecting that this one is gone. */
+/* Called on shutdown. With the owner cleared from the row, another instance can continue the batch
+ * without first detecting that this instance is gone. */
 void
-ln_batch_heads_release (LnBatch *batch)
+ln_batch_heads_release_batch (LnBatch *batch)
 {
   LcBatchHead head = batch->head;
 
@@ -434,7 +447,7 @@
   LbList actions;
   LbLink *link;
 
-  if (!is_active_here (batch))
+  if (!is_loading_running_or_offered (batch))
     return;
   lb_list_init (&actions);
   if (batch->run)
@@ -445,19 +458,19 @@
       n = ln_batch_owner_build_checkpoint_puts (batch, action, puts, LN_BATCH_MAX_CHECKPOINT_PARTS);
       lc_batch_action_free (action);
     }
-  ln_batch_owner_stop (batch);
+  ln_batch_owner_stop_run (batch);
   batch->state = LN_BATCH_RELEASING;
   LB_COPY (head.owner, "");
   LB_COPY (head.incarnation, "");
   batch->pending_head = head;
-  write_head (batch, &head, puts, n, on_release_written);
-  ln_batch_owner_clear_puts (puts, n);
+  write_batch_row (batch, &head, puts, n, on_release_written);
+  ln_batch_owner_free_put_strings (puts, n);
 }
 
-/* The preferred instance may have been killed without being detected yet, so this instance runs the
- * batch itself when the offer is not accepted in time. */
+/* The offer has a timeout, after which this instance claims the batch itself: the preferred
+ * instance may have been killed, and its death may not have been detected yet. */
 bool
-ln_batch_heads_offer (LnBatch *batch, LbTime now)
+ln_batch_heads_offer_batch (LnBatch *batch, LbTime now)
 {
   if (!batch->head.preferred_instance[0] || !lb_switch_is_on (LB_SWITCH_OFFERS)
       || strcmp (batch->head.preferred_instance, batch->batches->context->instance) == 0)
@@ -467,11 +480,12 @@
   return true;
 }
 
-/* --- all rows --- */
+/* --- watch of the rows of all batches --- */
 
-/* A removed row belonged to a batch that ended long ago. */
+/* Applies a change of a row that the watch reported. A row without a value was removed by the
+ * cleanup of an ended batch. */
 static void
-apply_change (LnBatches *batches, const LpRow *row)
+apply_row_change (LnBatches *batches, const LpRow *row)
 {
   LnBatch *batch = NULL;
 
@@ -480,26 +494,27 @@
       ln_batch_heads_apply_row (batches, row);
       return;
     }
-  batch = ln_batches_find (batches, row->key + strlen (TABLE "/00/"));
+  batch = ln_batches_find (batches, row->key + strlen (BATCH_TABLE "/00/"));
   if (batch && batch != batches->cleanup_batch && batch->state == LN_BATCH_NOT_OWNED)
     ln_batches_remove (batch);
 }
 
 static void
-on_rows_changed (const LpRow *rows, size_t n_rows, void *user)
+on_batch_rows_changed (const LpRow *rows, size_t n_rows, void *user)
 {
   for (size_t i = 0; i < n_rows; i++)
-    apply_change (user, &rows[i]);
+    apply_row_change (user, &rows[i]);
 }
 
 void
 ln_batch_heads_start_watch (LnBatches *batches)
 {
   static const char *const prefixes[]
-      = { TABLE "/00/", TABLE "/01/", TABLE "/02/", TABLE "/03/", TABLE "/04/", TABLE "/05/",
-          TABLE "/06/", TABLE "/07/", TABLE "/08/", TABLE "/09/", TABLE "/0a/", TABLE "/0b/",
-          TABLE "/0c/", TABLE "/0d/", TABLE "/0e/", TABLE "/0f/" };
-  const LpFollowSettings settings = { .table = TABLE,
+      = { BATCH_TABLE "/00/", BATCH_TABLE "/01/", BATCH_TABLE "/02/", BATCH_TABLE "/03/",
+          BATCH_TABLE "/04/", BATCH_TABLE "/05/", BATCH_TABLE "/06/", BATCH_TABLE "/07/",
+          BATCH_TABLE "/08/", BATCH_TABLE "/09/", BATCH_TABLE "/0a/", BATCH_TABLE "/0b/",
+          BATCH_TABLE "/0c/", BATCH_TABLE "/0d/", BATCH_TABLE "/0e/", BATCH_TABLE "/0f/" };
+  const LpFollowSettings settings = { .table = BATCH_TABLE,
                                       .prefixes = prefixes,
                                       .n_prefixes = N_PARTITIONS,
                                       .watch_timeout = WATCH_TIMEOUT,
@@ -509,13 +524,13 @@
   _Static_assert(sizeof prefixes / sizeof prefixes[0] == N_PARTITIONS,
                  "one prefix for each partition");
   batches->row_watch
-      = lp_follow_new (batches->context->platform, &settings, on_rows_changed, batches);
+      = lp_follow_new (batches->context->platform, &settings, on_batch_rows_changed, batches);
 }
 
 void
 ln_batch_heads_tick (LnBatches *batches, LbTime now)
 {
   for (LnBatch *batch = batches->by_id; batch; batch = batch->hh.next)
-    check_ownership (batch, now);
+    claim_if_unowned_or_offer_expired (batch, now);
   lp_follow_tick (batches->row_watch, now);
 }
--- a/packages/node/src/batch/ln-batch-load.c
+++ b/packages/node/src/batch/ln-batch-load.c
@@ -8,14 +8,14 @@
 
 #include <stdlib.h>
 
-#define LOAD_RETRY_DELAY (200 * LB_MSEC) /* about as often as other reads are retried */
+#define LOAD_RETRY_DELAY (200 * LB_MSEC) /* similar to the retry delay of other reads */
 
-/* Reads a batch that was taken over: its content, then its recorded results, then the checkpoints
- * of the incomplete texts. */
+/* A load in progress of a batch that this instance has taken over. Reads first the batch's content,
+ * then the recorded results, then the checkpoints of incomplete texts. */
 typedef struct
 {
   LnBatch *batch;
-  int64_t epoch; /* of the batch when the load began */
+  int64_t epoch; /* epoch of the batch when the load began */
   LcBatchSpec spec;
   LnBatchSavedProgress saved;
 } BatchLoad;
@@ -30,11 +30,11 @@
       free ((LcVersion *)saved->parts[i].versions);
     }
   free (saved->parts);
-  free (saved->listed);
+  free (saved->finished_items);
 }
 
 static void
-load_free (BatchLoad *load)
+batch_load_free (BatchLoad *load)
 {
   lc_batch_spec_clear (&load->spec);
   saved_progress_clear (&load->saved);
@@ -42,7 +42,7 @@
 }
 
 static bool
-is_outdated (const BatchLoad *load)
+is_load_outdated (const BatchLoad *load)
 {
   return load->batch->state != LN_BATCH_LOADING || load->batch->head.epoch != load->epoch;
 }
@@ -53,17 +53,17 @@
   lb_log (LB_LOG_WARNING, "batch_not_loaded", LB_TEXT ("batch", load->batch->id),
           LB_TEXT ("error", lb_error_name (error)));
   load->batch->load_retry_at = lb_clock_monotonic () + LOAD_RETRY_DELAY;
-  load_free (load);
+  batch_load_free (load);
 }
 
-/* False after ending the load, because its batch is no longer owned at its epoch or the read
- * failed. */
+/* Returns true if the read succeeded and this instance still owns the batch in the epoch of the
+ * load. Otherwise ends the load and returns false. */
 static bool
-check_read (BatchLoad *load, LbErrorCode error)
+check_read_or_end_load (BatchLoad *load, LbErrorCode error)
 {
-  if (is_outdated (load))
+  if (is_load_outdated (load))
     {
-      load_free (load);
+      batch_load_free (load);
       return false;
     }
   if (error == LB_OK)
@@ -80,14 +80,14 @@
   BatchLoad *load = user;
   LnBatchSavedProgress *saved = &load->saved;
 
-  if (!check_read (load, error))
+  if (!check_read_or_end_load (load, error))
     return;
   saved->parts = LB_NEW_ARRAY (LcBatchTextPart, n_rows + 1);
   for (size_t i = 0; i < n_rows; i++)
-    if (!ln_batch_part_from_row (&rows[i], &saved->parts[saved->n_parts++]))
+    if (!ln_batch_text_part_from_row (&rows[i], &saved->parts[saved->n_parts++]))
       lb_log (LB_LOG_WARNING, "text_so_far_unreadable", LB_TEXT ("key", rows[i].key));
-  ln_batch_owner_start (load->batch, &load->spec, saved);
-  load_free (load);
+  ln_batch_owner_start_run (load->batch, &load->spec, saved);
+  batch_load_free (load);
 }
 
 static void
@@ -99,18 +99,18 @@
   LnBatchSavedProgress *saved = &load->saved;
   char prefix[LN_BATCH_KEY_SIZE];
 
-  if (!check_read (load, error))
+  if (!check_read_or_end_load (load, error))
     return;
-  saved->listed = LB_NEW_ARRAY (LbName, n_rows + 1);
+  saved->finished_items = LB_NEW_ARRAY (LbName, n_rows + 1);
   for (size_t i = 0; i < n_rows; i++)
     {
       LcBatchResult result;
       size_t n_chunks;
       ln_batch_result_from_row (&rows[i], &result, &n_chunks);
-      lb_strlcpy (saved->listed[saved->n_listed++], result.item, LB_NAME_MAX);
+      lb_strlcpy (saved->finished_items[saved->n_finished_items++], result.item, LB_NAME_MAX);
       lc_batch_result_clear (&result);
     }
-  ln_batch_checkpoint_prefix (load->batch->id, prefix);
+  ln_batch_format_checkpoint_prefix (load->batch->id, prefix);
   platform->klass->list (platform, prefix, NULL, 0, on_checkpoints_listed, load);
 }
 
@@ -123,7 +123,7 @@
   char prefix[LN_BATCH_KEY_SIZE];
   LbError parse_error = { 0 };
 
-  if (!check_read (load, error))
+  if (!check_read_or_end_load (load, error))
     return;
   if (!batch->batches->context->dialect->read_batch (bytes, length, batch->id, &load->spec,
                                                      &parse_error))
@@ -131,7 +131,7 @@
       schedule_load_retry (load, parse_error.code);
       return;
     }
-  ln_batch_result_prefix (batch->id, prefix);
+  ln_batch_format_result_prefix (batch->id, prefix);
   platform->klass->list (platform, prefix, NULL, 0, on_results_listed, load);
 }
 
@@ -146,6 +146,6 @@
   batch->load_retry_at = LB_TIME_NEVER;
   load->batch = batch;
   load->epoch = batch->head.epoch;
-  ln_batch_content_key (batch->id, key);
+  ln_batch_format_content_key (batch->id, key);
   platform->klass->get_object (platform, key, on_content_read, load);
 }
--- a/packages/node/src/batch/ln-batch-name.c
+++ b/packages/node/src/batch/ln-batch-name.c
@@ -6,11 +6,11 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Length of '~' and 16 hexadecimal digits. */
+/* Length in bytes of the suffix of a name: '~' and 16 hexadecimal digits. */
 #define HASH_SUFFIX_LENGTH 17
 
-/* Not allowed in an id: with an organisation, the name is the id plus this suffix, and without one
- * it is the id itself, so that two batches could have the same name. */
+/* Whether the id ends like a name with an organisation's hash. Such an id is rejected: without an
+ * organisation, the name of its batch could equal the name of an organisation's batch. */
 static bool
 has_hash_suffix (const char *id)
 {
--- a/packages/node/src/batch/ln-batch-name.h
+++ b/packages/node/src/batch/ln-batch-name.h
@@ -3,11 +3,12 @@
 
 #include "lb-types.h"
 
-/* A batch is stored under the id that its caller chose, followed by a hash of its organisation. So
- * two organisations can use the same id for different batches, and a batch can be found only with a
- * key of its organisation. */
+/* The name under which a batch is stored: the id that the caller chose, followed by a hash of the
+ * caller's organisation. Two organisations can therefore use the same id for different batches, and
+ * a batch can be found only with an API key of its organisation. */
 
-/* organisation: "" for a batch without one. False: the id is not valid. */
+/* Builds the name of a batch. organisation is "" if the batch belongs to no organisation. Returns
+ * false if the id is not valid. */
 bool ln_batch_build_name (const char *organisation, const char *id, LbName name);
 
 #endif
--- a/packages/node/src/batch/ln-batch-owner.c
+++ b/packages/node/src/batch/ln-batch-owner.c
@@ -12,16 +12,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define DEFAULT_MAX_ATTEMPTS 3
-/* A text without a first event after this time is hedged to a second engine; the usual time is
- * 0.15 s. An unresponsive engine would delay it until its stream is considered broken, 2 s of a
- * step's 8 s. */
+#define DEFAULT_MAX_ITEM_ATTEMPTS 3
+/* A text that has no first event after this time is hedged on a second engine. The first event
+ * usually takes 0.15 s. Without the hedge, an unresponsive engine delays the text until its stream
+ * is considered broken, which takes 2 s of a step's 8 s. */
 #define TEXT_HEDGE_DELAY (600 * LB_MSEC)
-#define SCORE_TIMEOUT (2 * LB_SEC) /* for a scorer whose route has no timeout */
-/* A limit of the store. LcBatch writes at most 40 results at once, with at most 400 KiB of text
- * unless it is a single result: 81 rows and conditions and up to 13 chunks. */
+#define DEFAULT_SCORE_TIMEOUT (2 * LB_SEC) /* used if the scorer's route has no timeout */
+/* Limit of the store on the entries of one transaction. LcBatch writes at most 40 results at once,
+ * with at most 400 KiB of text unless it writes a single result. That makes 81 rows and conditions
+ * and up to 13 chunks. */
 #define MAX_TRANSACTION_ENTRIES 100
-/* A transaction holds 1 MB, a quarter of which is taken by the encoding. */
+/* Maximum size of a text that is stored in chunks. The store accepts 1 MB per transaction, of which
+ * the encoding takes a quarter. */
 #define MAX_STORED_TEXT_BYTES ((size_t)(700 << 10))
 
 static LbMetric results_written
@@ -32,7 +34,7 @@
 /* --- requests --- */
 
 static void
-add_request (LnBatch *batch, LcRequestId id, bool is_score)
+add_batch_request (LnBatch *batch, LcRequestId id, bool is_score)
 {
   LnBatchRequest *request = LB_NEW (LnBatchRequest);
 
@@ -43,7 +45,7 @@
 }
 
 static LnBatchRequest *
-find_request (LnBatches *batches, LcRequestId id)
+find_batch_request (LnBatches *batches, LcRequestId id)
 {
   LnBatchRequest *request = NULL;
 
@@ -52,14 +54,14 @@
 }
 
 static void
-remove_request (LnBatches *batches, LnBatchRequest *request)
+remove_batch_request (LnBatches *batches, LnBatchRequest *request)
 {
   HASH_DEL (batches->requests, request);
   free (request);
 }
 
 static const LcRoute *
-get_route (const LnBatch *batch)
+find_batch_route (const LnBatch *batch)
 {
   const LcDesired *desired = batch->batches->admission_state.desired;
 
@@ -69,7 +71,7 @@
 static int64_t
 get_tokens_per_event (const LnBatch *batch)
 {
-  const LcRoute *route = get_route (batch);
+  const LcRoute *route = find_batch_route (batch);
   const LcService *service = route
                                  ? lc_desired_find_service (batch->batches->admission_state.desired,
                                                             lc_route_choose_service (route, 0))
@@ -88,12 +90,13 @@
   free (message->outgoing);
 }
 
-/* organisation: name that is sent to the endpoint; "": none. */
+/* Posts a request to the task "calls". organisation is the name to send to the endpoint; "" if
+ * there is none. */
 static void
-post_request (LnBatch *batch,
-              const LcRequestSpec *spec,
-              const LcOutgoingRequest *outgoing,
-              const char *organisation)
+post_request_to_calls (LnBatch *batch,
+                       const LcRequestSpec *spec,
+                       const LcOutgoingRequest *outgoing,
+                       const char *organisation)
 {
   LnSampleMessage message = { .base = LN_MESSAGE (LN_SAMPLE), .spec = *spec };
   LnTask *calls = ln_hub_find_task (batch->batches->task.hub, "calls");
@@ -107,10 +110,10 @@
   LN_POST (batch->batches->task.hub, calls, message);
 }
 
-/* All batches of a model are one flow in fair sharing, so that they are ordered by due time.
- * Lengths are in events, the pieces of text that an engine streams. */
+/* Uses the model as the flow of fair queueing, so that the batches of a model are ordered by due
+ * time. expected_tokens and resume_at are in events, the pieces of text that an engine streams. */
 static void
-generate_item (LnBatch *batch, const LcBatchAction *action)
+request_generation (LnBatch *batch, const LcBatchAction *action)
 {
   const LcBatchSpec *spec = lc_batch_get_spec (batch->run);
   const LcBatchItemSpec *item = &spec->items[action->item_index];
@@ -138,12 +141,12 @@
   LB_COPY (request.flow, spec->model);
   LB_COPY (request.avoid[0], action->avoid_endpoint);
   memcpy (request.prefix_hashes, item->prefix_hashes, sizeof request.prefix_hashes);
-  add_request (batch, action->request, false);
-  post_request (batch, &request, &item->request, batch->head.organisation);
+  add_batch_request (batch, action->request, false);
+  post_request_to_calls (batch, &request, &item->request, batch->head.organisation);
 }
 
 static void
-fail_request (LnBatch *batch, LcRequestId id, LbErrorCode code)
+post_request_failure (LnBatch *batch, LcRequestId id, LbErrorCode code)
 {
   LnSampleDoneMessage message
       = { .base = LN_MESSAGE (LN_SAMPLE_DONE), .request = id, .error = code };
@@ -152,7 +155,7 @@
 }
 
 static void
-score_item (LnBatch *batch, const LcBatchAction *action)
+request_scoring (LnBatch *batch, const LcBatchAction *action)
 {
   const LcBatchItemSpec *item = &lc_batch_get_spec (batch->run)->items[action->item_index];
   const LcDesired *desired = batch->batches->admission_state.desired;
@@ -164,23 +167,25 @@
                             .repeatable = true,
                             .expected_tokens = 1 };
 
-  add_request (batch, action->request, true);
+  add_batch_request (batch, action->request, true);
   if (!route)
     {
-      fail_request (batch, action->request, LB_ERROR_UNKNOWN_PATH);
+      post_request_failure (batch, action->request, LB_ERROR_UNKNOWN_PATH);
       return;
     }
   request.priority = route->priority;
   request.max_attempts = route->max_attempts;
   request.hedge_after = lc_route_hedge_delay (route);
-  request.deadline = lb_clock_monotonic () + (route->timeout > 0 ? route->timeout : SCORE_TIMEOUT);
+  request.deadline
+      = lb_clock_monotonic () + (route->timeout > 0 ? route->timeout : DEFAULT_SCORE_TIMEOUT);
   LB_COPY (request.caller, route->name);
   LB_COPY (request.pool,
            lc_route_choose_service (route, ln_context_random_uniform (batch->batches->context)));
-  post_request (batch, &request, &item->scorer, "");
+  post_request_to_calls (batch, &request, &item->scorer, "");
 }
 
-/* Cancels the request; its answer follows after all pieces of the text so far. */
+/* Cancels a request and asks for its partial text: the task "calls" first posts all received pieces
+ * of the text, then the end of the request. */
 static void
 preempt_request (LnBatch *batch, LcRequestId id)
 {
@@ -194,29 +199,30 @@
 cancel_request (LnBatch *batch, LcRequestId id)
 {
   LnSampleCancelMessage message = { .base = LN_MESSAGE (LN_SAMPLE_CANCEL), .request = id };
-  LnBatchRequest *request = find_request (batch->batches, id);
+  LnBatchRequest *request = find_batch_request (batch->batches, id);
 
   if (!request)
     return;
-  remove_request (batch->batches, request);
+  remove_batch_request (batch->batches, request);
   LN_POST (batch->batches->task.hub, ln_hub_find_task (batch->batches->task.hub, "calls"), message);
 }
 
 /* --- writing results --- */
 
-static void execute_actions (LnBatch *batch, LbList *actions);
+static void execute_batch_actions (LnBatch *batch, LbList *actions);
 
-/* A write in progress. Another instance may have taken the batch over before the answer arrives,
- * and this one may even own it again; the answer then belongs to an earlier run. */
+/* A write of results or of a checkpoint in progress. Before its answer arrives, another instance
+ * may take the batch over, and this instance may even take it back. The answer then belongs to an
+ * earlier run and is ignored. */
 typedef struct
 {
   LnBatch *batch;
   const LcBatch *run; /* the batch's run when the write was sent */
-  int64_t epoch;      /* the batch's epoch at that time */
+  int64_t epoch;      /* the batch's epoch when the write was sent */
 } BatchWrite;
 
 static BatchWrite *
-write_new (LnBatch *batch)
+batch_write_new (LnBatch *batch)
 {
   BatchWrite *write = LB_NEW (BatchWrite);
 
@@ -224,9 +230,9 @@
   return write;
 }
 
-/* Whether the run that sent the write is still the batch's current one. */
+/* Whether the run that sent the write is still the batch's current run. */
 static bool
-is_current (const BatchWrite *write)
+is_write_of_current_run (const BatchWrite *write)
 {
   const LnBatch *batch = write->batch;
 
@@ -234,24 +240,25 @@
 }
 
 static void
-finish_write (BatchWrite *write, bool ok)
+finish_results_write (BatchWrite *write, bool ok)
 {
   LnBatch *batch = write->batch;
   LbList actions;
 
-  if (is_current (write))
+  if (is_write_of_current_run (write))
     {
       lb_list_init (&actions);
       lc_batch_finish_write (batch->run, ok, lb_clock_monotonic (), &actions);
-      execute_actions (batch, &actions);
+      execute_batch_actions (batch, &actions);
     }
   free (write);
 }
 
-/* If the batch's row is unchanged, the condition that failed is that the positions are free: an
- * earlier attempt of this write took effect, as no other instance can have written there. */
+/* Decides whether a write of results with a failed condition took effect. If the batch's row is
+ * unchanged, a result row already existed. Only an earlier attempt of the same write can have
+ * created it, since no other instance can write results under this version of the batch's row. */
 static void
-on_head_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
+on_row_read_after_conflict (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
   BatchWrite *write = user;
   LnBatch *batch = write->batch;
@@ -259,7 +266,7 @@
 
   if (error == LB_OK && n_rows > 0 && !unchanged)
     ln_batch_heads_apply_row (batch->batches, &rows[0]);
-  finish_write (write, unchanged);
+  finish_results_write (write, unchanged);
 }
 
 static void
@@ -273,14 +280,14 @@
 
   if (error == LB_ERROR_CONDITION_FAILED)
     {
-      ln_batch_head_key (batch->id, key);
-      platform->klass->get (platform, key, on_head_read, write);
+      ln_batch_format_row_key (batch->id, key);
+      platform->klass->get (platform, key, on_row_read_after_conflict, write);
       return;
     }
   if (error != LB_OK)
     lb_log (LB_LOG_WARNING, "results_not_written", LB_TEXT ("batch", batch->id),
             LB_TEXT ("error", lb_error_name (error)));
-  finish_write (write, error == LB_OK);
+  finish_results_write (write, error == LB_OK);
 }
 
 typedef struct
@@ -292,13 +299,13 @@
 } TransactionEntries;
 
 static void
-entries_clear (TransactionEntries *entries)
+transaction_entries_clear (TransactionEntries *entries)
 {
-  ln_batch_owner_clear_puts (entries->puts, entries->n_puts);
+  ln_batch_owner_free_put_strings (entries->puts, entries->n_puts);
 }
 
-/* Splits a text that is too long for one row into chunks, in the transaction that writes the row of
- * its result. */
+/* Splits a text that is too long for one row into chunk rows, which the transaction writes together
+ * with the result's row. Returns the number of chunks. */
 static size_t
 add_text_chunks (TransactionEntries *entries,
                  const LnBatch *batch,
@@ -309,7 +316,7 @@
   size_t n = 0;
   char prefix[LN_BATCH_KEY_SIZE];
 
-  ln_batch_chunks_prefix (batch->id, position, prefix);
+  ln_batch_format_text_chunks_prefix (batch->id, position, prefix);
   for (size_t start = 0; start < length; start += LN_BATCH_MAX_ROW_BYTES, n++)
     entries->puts[entries->n_puts++]
         = (LpPut){ .key = lb_asprintf ("%s%02zu", prefix, n),
@@ -317,10 +324,10 @@
   return n;
 }
 
-/* Abandons an item whose text is too long to be stored: otherwise the batch would never be
- * complete, and no result after this one could be recorded. */
+/* Returns the result as that of an abandoned item, because the text is too long to be stored.
+ * Otherwise the batch would never be complete, and no later result could be recorded. */
 static char *
-abandon_long_text (const LnBatch *batch, const LcBatchResult *result)
+build_abandoned_result_json (const LnBatch *batch, const LcBatchResult *result)
 {
   LcBatchResult failed = *result;
 
@@ -333,10 +340,10 @@
 }
 
 static void
-add_result (TransactionEntries *entries,
-            const LnBatch *batch,
-            int64_t position,
-            const LcBatchResult *result)
+add_result_row (TransactionEntries *entries,
+                const LnBatch *batch,
+                int64_t position,
+                const LcBatchResult *result)
 {
   char prefix[LN_BATCH_KEY_SIZE];
   char *value = ln_batch_result_to_json (result);
@@ -345,12 +352,12 @@
     {
       free (value);
       value = strlen (result->text) > MAX_STORED_TEXT_BYTES
-                  ? abandon_long_text (batch, result)
+                  ? build_abandoned_result_json (batch, result)
                   : ln_batch_result_to_json_without_text (result,
                                                           add_text_chunks (entries, batch, position,
                                                                            result->text));
     }
-  ln_batch_result_prefix (batch->id, prefix);
+  ln_batch_format_result_prefix (batch->id, prefix);
   char *key = lb_asprintf ("%s%06lld", prefix, (long long)position);
   entries->puts[entries->n_puts++] = (LpPut){ .key = key, .value = value };
   entries->conditions[entries->n_conditions++] = (LpCondition){ .key = key, .version = 0 };
@@ -361,13 +368,13 @@
 {
   LpPlatform *platform = batch->batches->context->platform;
   char head_key[LN_BATCH_KEY_SIZE];
-  BatchWrite *write = write_new (batch);
+  BatchWrite *write = batch_write_new (batch);
   TransactionEntries entries = { .n_conditions = 1 };
 
-  ln_batch_head_key (batch->id, head_key);
+  ln_batch_format_row_key (batch->id, head_key);
   entries.conditions[0] = (LpCondition){ .key = head_key, .version = batch->version };
   for (size_t i = 0; i < action->n_results; i++)
-    add_result (&entries, batch, action->first_position + (int64_t)i, action->results[i]);
+    add_result_row (&entries, batch, action->first_position + (int64_t)i, action->results[i]);
   const LpTransaction transaction = { .token = "",
                                       .conditions = entries.conditions,
                                       .n_conditions = entries.n_conditions,
@@ -375,7 +382,7 @@
                                       .n_puts = entries.n_puts };
   lb_metric_add (&results_written, (int64_t)action->n_results);
   platform->klass->transact (platform, &transaction, LP_PRIORITY_LEDGER, on_results_written, write);
-  entries_clear (&entries);
+  transaction_entries_clear (&entries);
 }
 
 size_t
@@ -387,10 +394,10 @@
   char prefix[LN_BATCH_KEY_SIZE];
   size_t n = 0;
 
-  ln_batch_checkpoint_prefix (batch->id, prefix);
+  ln_batch_format_checkpoint_prefix (batch->id, prefix);
   for (size_t i = 0; i < action->n_parts && n < max; i++)
     {
-      char *value = ln_batch_part_to_json (&action->parts[i]);
+      char *value = ln_batch_text_part_to_json (&action->parts[i]);
       if (strlen (value) > LN_BATCH_MAX_ROW_BYTES)
         {
           free (value);
@@ -405,7 +412,7 @@
 }
 
 void
-ln_batch_owner_clear_puts (LpPut *puts, size_t n)
+ln_batch_owner_free_put_strings (LpPut *puts, size_t n)
 {
   for (size_t i = 0; i < n; i++)
     {
@@ -414,8 +421,8 @@
     }
 }
 
-/* A checkpoint only avoids repeated generation after a takeover; the next one makes up for a failed
- * write. */
+/* A failed write of a checkpoint is not retried: checkpoints only avoid repeated generation after a
+ * takeover, and the next checkpoint saves the same texts. */
 static void
 on_checkpoint_written (LbErrorCode error, const LpRow *row, void *user)
 {
@@ -424,7 +431,7 @@
 
   if (error != LB_OK)
     lb_log (LB_LOG_DEBUG, "texts_not_kept", LB_TEXT ("error", lb_error_name (error)));
-  if (is_current (write))
+  if (is_write_of_current_run (write))
     lc_batch_finish_checkpoint (write->batch->run, error == LB_OK);
   free (write);
 }
@@ -438,14 +445,14 @@
 
   if (n > 0)
     ln_batch_heads_write_if_unchanged (batch, puts, n, LP_PRIORITY_STATUS, on_checkpoint_written,
-                                       write_new (batch));
+                                       batch_write_new (batch));
   else
     lc_batch_finish_checkpoint (batch->run, true);
-  ln_batch_owner_clear_puts (puts, n);
+  ln_batch_owner_free_put_strings (puts, n);
 }
 
 static void
-execute_actions (LnBatch *batch, LbList *actions)
+execute_batch_actions (LnBatch *batch, LbList *actions)
 {
   LbLink *link;
 
@@ -455,10 +462,10 @@
       switch (action->type)
         {
         case LC_BATCH_GENERATE:
-          generate_item (batch, action);
+          request_generation (batch, action);
           break;
         case LC_BATCH_SCORE:
-          score_item (batch, action);
+          request_scoring (batch, action);
           break;
         case LC_BATCH_CANCEL:
           cancel_request (batch, action->request);
@@ -486,17 +493,17 @@
 }
 
 void
-ln_batch_owner_start (LnBatch *batch, LcBatchSpec *spec, const LnBatchSavedProgress *saved)
+ln_batch_owner_start_run (LnBatch *batch, LcBatchSpec *spec, const LnBatchSavedProgress *saved)
 {
-  const LcRoute *route = get_route (batch);
+  const LcRoute *route = find_batch_route (batch);
   LcBatchSettings settings
       = { .history = ln_batches_get_history (batch->batches, spec->model),
           .text_cache = lb_switch_is_on (LB_SWITCH_CARRIED_TEXTS)
                             ? ln_batches_get_text_cache (batch->batches, spec->model)
                             : NULL,
           .tokens_per_event = get_tokens_per_event (batch),
-          .max_failures = route ? route->max_attempts : DEFAULT_MAX_ATTEMPTS,
-          .max_score_failures = DEFAULT_MAX_ATTEMPTS + 1,
+          .max_failures = route ? route->max_attempts : DEFAULT_MAX_ITEM_ATTEMPTS,
+          .max_score_failures = DEFAULT_MAX_ITEM_ATTEMPTS + 1,
           .resumable = !route || route->resumable,
           .single_version = route && route->single_version,
           .due_at = batch->first_seen_at + (route ? route->due_after : 0),
@@ -510,23 +517,23 @@
   lb_log (LB_LOG_INFO, "batch_running", LB_TEXT ("batch", batch->id),
           LB_TEXT ("model", spec->model), LB_INT ("step", spec->step),
           LB_INT ("min_version", spec->min_version), LB_INT ("items", spec->n_items),
-          LB_INT ("listed", saved->n_listed), LB_INT ("begun", saved->n_parts),
+          LB_INT ("listed", saved->n_finished_items), LB_INT ("begun", saved->n_parts),
           LB_INT ("epoch", batch->head.epoch));
   LB_COPY (spec->organisation, batch->head.organisation);
   batch->state = LN_BATCH_RUNNING;
   ln_batches_publish_ownership (batch->batches, true);
   batch->run = lc_batch_new (spec, &settings);
-  for (size_t i = 0; i < saved->n_listed; i++)
-    lc_batch_mark_item_listed (batch->run, saved->listed[i]);
+  for (size_t i = 0; i < saved->n_finished_items; i++)
+    lc_batch_mark_item_listed (batch->run, saved->finished_items[i]);
   for (size_t i = 0; i < saved->n_parts; i++)
     lc_batch_restore_text_part (batch->run, &saved->parts[i]);
   lb_list_init (&actions);
   lc_batch_start (batch->run, lb_clock_monotonic (), &actions);
-  execute_actions (batch, &actions);
+  execute_batch_actions (batch, &actions);
 }
 
 void
-ln_batch_owner_stop (LnBatch *batch)
+ln_batch_owner_stop_run (LnBatch *batch)
 {
   LnBatchRequest *request, *next;
   LbList actions;
@@ -539,11 +546,11 @@
           LB_BOOL ("ended", batch->head.ended));
   lb_list_init (&actions);
   lc_batch_stop (batch->run, lb_clock_monotonic (), &actions);
-  execute_actions (batch, &actions);
+  execute_batch_actions (batch, &actions);
   HASH_ITER (hh, batch->batches->requests, request, next)
   {
     if (request->batch == batch)
-      remove_request (batch->batches, request);
+      remove_batch_request (batch->batches, request);
   }
   lc_batch_free (batch->run);
   batch->run = NULL;
@@ -560,13 +567,13 @@
     return;
   lb_list_init (&actions);
   lc_batch_tick (batch->run, now, &actions);
-  execute_actions (batch, &actions);
+  execute_batch_actions (batch, &actions);
 }
 
 void
 ln_batch_owner_receive_piece (LnBatches *batches, const LnSamplePieceMessage *message)
 {
-  const LnBatchRequest *request = find_request (batches, message->request);
+  const LnBatchRequest *request = find_batch_request (batches, message->request);
 
   if (request && request->batch->run)
     lc_batch_add_piece (request->batch->run, message->request, message->piece.version,
@@ -577,7 +584,7 @@
 void
 ln_batch_owner_finish_request (LnBatches *batches, const LnSampleDoneMessage *message)
 {
-  LnBatchRequest *request = find_request (batches, message->request);
+  LnBatchRequest *request = find_batch_request (batches, message->request);
   LnBatch *batch = request ? request->batch : NULL;
   bool is_score = request && request->is_score;
   LbTime now = lb_clock_monotonic ();
@@ -585,7 +592,7 @@
 
   if (!request)
     return;
-  remove_request (batches, request);
+  remove_batch_request (batches, request);
   if (!batch->run)
     return;
   lb_list_init (&actions);
@@ -594,5 +601,5 @@
                              message->text ? message->text : "", now, &actions);
   else
     lc_batch_finish_generation (batch->run, message->request, message->error, now, &actions);
-  execute_actions (batch, &actions);
+  execute_batch_actions (batch, &actions);
 }
--- a/packages/node/src/batch/ln-batch-rows.c
+++ b/packages/node/src/batch/ln-batch-rows.c
@@ -11,7 +11,7 @@
 
 #define JSON_FORMAT (JSON_C_TO_STRING_PLAIN | JSON_C_TO_STRING_NOSLASHESCAPE)
 
-/* JSON object with all fields except the text. */
+/* Returns a JSON object with all fields of the result except the text. */
 static struct json_object *
 result_to_object (const LcBatchResult *result)
 {
@@ -65,7 +65,7 @@
 }
 
 char *
-ln_batch_part_to_json (const LcBatchTextPart *part)
+ln_batch_text_part_to_json (const LcBatchTextPart *part)
 {
   struct json_object *object = json_object_new_object ();
 
@@ -80,10 +80,10 @@
 }
 
 bool
-ln_batch_part_from_row (const LpRow *row, LcBatchTextPart *part)
+ln_batch_text_part_from_row (const LpRow *row, LcBatchTextPart *part)
 {
   struct json_object *object = row->value ? json_tokener_parse (row->value) : NULL;
-  /* One more than a text may have, so that a row with too many is detected. */
+  /* Room for one more version than a text may have, so that a row with too many is detected. */
   LcVersion *versions = LB_NEW_ARRAY (LcVersion, LC_MAX_RESULT_VERSIONS + 1);
   size_t n = lb_json_integers (object, "versions", versions, LC_MAX_RESULT_VERSIONS + 1);
 
--- a/packages/node/src/batch/ln-batch-submit.c
+++ b/packages/node/src/batch/ln-batch-submit.c
@@ -16,7 +16,7 @@
                                                     "Batches that this instance accepted");
 
 static void
-reply_accepted (LnBatchCall *call)
+reply_batch_accepted (LnBatchCall *call)
 {
   ln_batch_call_reply (call, 202, "{}", 2, "application/json");
 }
@@ -25,7 +25,7 @@
 accept_batch (LnBatchCall *call, int64_t version)
 {
   LnBatches *batches = call->batches;
-  LnBatch *batch = ln_batches_ensure (batches, call->id);
+  LnBatch *batch = ln_batches_find_or_create (batches, call->id);
   const LnBatchSavedProgress no_progress = { 0 };
 
   lb_metric_add (&batches_accepted, 1);
@@ -39,15 +39,15 @@
       batch->version = version;
     }
   if (batch->state != LN_BATCH_NOT_OWNED || batch->version != version
-      || ln_batch_heads_offer (batch, lb_clock_monotonic ()))
+      || ln_batch_heads_offer_batch (batch, lb_clock_monotonic ()))
     return;
-  ln_batch_owner_start (batch, &call->spec, &no_progress);
+  ln_batch_owner_start_run (batch, &call->spec, &no_progress);
   if (batches->draining)
-    ln_batch_heads_release (batch);
+    ln_batch_heads_release_batch (batch);
 }
 
-/* Reports that the batch will not run only if its row is known not to exist: a write without an
- * answer may still take effect seconds later. */
+/* Reports OUTCOME_UNKNOWN if a write of the batch's row got no answer, because that write may still
+ * take effect seconds later. Otherwise the row does not exist, and the batch will not run. */
 static void
 fail_submission (LnBatchCall *call)
 {
@@ -59,10 +59,10 @@
 }
 
 static void
-on_head_written (LbErrorCode error, const LpRow *row, void *user)
+on_batch_row_written (LbErrorCode error, const LpRow *row, void *user)
 {
   LnBatchCall *call = user;
-  LnBatch *batch = ln_batches_ensure (call->batches, call->id);
+  LnBatch *batch = ln_batches_find_or_create (call->batches, call->id);
 
   call->waits_for_store = false;
   if (batch->state == LN_BATCH_CLAIMING)
@@ -70,17 +70,17 @@
   if (error == LB_OK)
     {
       accept_batch (call, row->version);
-      reply_accepted (call);
+      reply_batch_accepted (call);
     }
   else if (error == LB_ERROR_CONDITION_FAILED)
     {
-      /* The batch was accepted before, here or by another instance. */
+      /* This instance or another one has already accepted the batch. */
       if (row->value)
         ln_batch_heads_apply_row (call->batches, row);
-      /* Prevents a batch that is owned here but does not run: an earlier attempt of this write took
-       * effect, and the watch showed its row while this write was still in progress. */
+      /* Starts the batch if this instance owns it: an earlier attempt of the write may have taken
+       * effect, and the watch may have shown the row while the last attempt was in progress. */
       ln_batch_heads_start_if_owned (batch);
-      reply_accepted (call);
+      reply_batch_accepted (call);
     }
   else
     {
@@ -94,9 +94,9 @@
 }
 
 static void
-write_head (LnBatchCall *call)
+create_batch_row (LnBatchCall *call)
 {
-  LnBatch *batch = ln_batches_ensure (call->batches, call->id);
+  LnBatch *batch = ln_batches_find_or_create (call->batches, call->id);
   struct json_object *object = lc_batch_head_to_json (&call->head);
   char key[LN_BATCH_KEY_SIZE];
   const LpCondition condition = { .key = key, .version = 0 };
@@ -104,18 +104,18 @@
   const LpTransaction transaction
       = { .token = "", .conditions = &condition, .n_conditions = 1, .puts = &put, .n_puts = 1 };
 
-  /* Prevents a start of the batch when the watch shows the row before the write is answered. */
+  /* Prevents the watch from starting the batch if it shows the row before the write is answered. */
   if (batch->state == LN_BATCH_NOT_OWNED)
     batch->state = LN_BATCH_CLAIMING;
-  ln_batch_head_key (call->id, key);
+  ln_batch_format_row_key (call->id, key);
   call->waits_for_store = true;
   ln_batch_call_platform (call)->klass->transact (ln_batch_call_platform (call), &transaction,
-                                                  LP_PRIORITY_LEDGER, on_head_written, call);
+                                                  LP_PRIORITY_LEDGER, on_batch_row_written, call);
   json_object_put (object);
 }
 
 static void
-on_content_stored (LbErrorCode error, const char *bytes, size_t length, void *user)
+on_batch_content_stored (LbErrorCode error, const char *bytes, size_t length, void *user)
 {
   (void)bytes;
   (void)length;
@@ -125,31 +125,33 @@
   if (error == LB_OK)
     {
       call->is_content_stored = true;
-      write_head (call);
+      create_batch_row (call);
     }
   else
     ln_batch_call_retry_or_fail (call);
 }
 
-/* The content is stored before the row: a batch without content could not be run. */
+/* Stores the content before the batch's row is written: a batch without content could not be run.
+ */
 static void
-store_content (LnBatchCall *call)
+store_batch_content (LnBatchCall *call)
 {
   char key[LN_BATCH_KEY_SIZE];
 
-  ln_batch_content_key (call->id, key);
+  ln_batch_format_content_key (call->id, key);
   call->waits_for_store = true;
   ln_batch_call_platform (call)->klass->put_object (ln_batch_call_platform (call), key, call->body,
-                                                    call->body_length, on_content_stored, call);
+                                                    call->body_length, on_batch_content_stored,
+                                                    call);
 }
 
 void
 ln_batch_submit_retry (LnBatchCall *call)
 {
   if (call->is_content_stored)
-    write_head (call);
+    create_batch_row (call);
   else
-    store_content (call);
+    store_batch_content (call);
 }
 
 static int64_t
@@ -163,9 +165,10 @@
   return tokens;
 }
 
-/* Instance to which the model's latest batch is assigned; "" when none is known. */
+/* Returns the instance to which the latest batch of the model is assigned, or "" if no batch of the
+ * model is known. */
 static const char *
-find_last_instance (const LnBatches *batches, const char *model)
+find_last_assigned_instance (const LnBatches *batches, const char *model)
 {
   const LnBatch *last = NULL;
 
@@ -181,10 +184,10 @@
   return last ? lc_batch_head_assigned_instance (&last->head) : "";
 }
 
-/* Divides each strength by the number of models that are assigned already, plus one: otherwise a
- * strong machine among weak ones would get the batches of all models. */
+/* Divides the strength of each candidate by one plus the number of models already assigned to the
+ * candidate. Otherwise a strong machine among weak ones would get the batches of all models. */
 static void
-divide_strengths (const LnBatches *batches, LcDutyCandidate *candidates, size_t n)
+divide_strengths_by_model_counts (const LnBatches *batches, LcDutyCandidate *candidates, size_t n)
 {
   for (size_t i = 0; i < n; i++)
     candidates[i].strength
@@ -195,10 +198,10 @@
 choose_preferred_instance (LnBatchCall *call)
 {
   size_t n;
-  LcDutyCandidate *candidates = ln_batches_list_candidates (call->batches, &n);
-  const char *last = find_last_instance (call->batches, call->spec.model);
+  LcDutyCandidate *candidates = ln_batches_list_duty_candidates (call->batches, &n);
+  const char *last = find_last_assigned_instance (call->batches, call->spec.model);
 
-  divide_strengths (call->batches, candidates, n);
+  divide_strengths_by_model_counts (call->batches, candidates, n);
   LB_COPY (call->head.preferred_instance,
            lc_duty_choose_holder (call->spec.model, last, candidates, n));
   free (candidates);
@@ -215,7 +218,7 @@
 
   if (known && known->version > 0)
     {
-      reply_accepted (call);
+      reply_batch_accepted (call);
       return;
     }
   if (!ln_batch_call_dialect (call)->read_batch (body, length, call->id, &call->spec, &error))
@@ -237,5 +240,5 @@
   choose_preferred_instance (call);
   call->head.epoch = 1;
   call->head.n_items = (int64_t)call->spec.n_items;
-  store_content (call);
+  store_batch_content (call);
 }
--- a/packages/node/src/batch/ln-batches-private.h
+++ b/packages/node/src/batch/ln-batches-private.h
@@ -16,82 +16,86 @@
 #include <event2/util.h>
 #include <uthash.h>
 
-#define LN_BATCH_KEY_SIZE 160
-#define LN_BATCH_MAX_ROW_BYTES ((size_t)(60 << 10)) /* the store accepts rows of 64 KiB */
-/* Checkpoint parts in one transaction. The store accepts 100 entries, among them the batch's row as
- * the condition and as one of the writes. */
+#define LN_BATCH_KEY_SIZE 160 /* buffer size in bytes for a key of a row or an object */
+#define LN_BATCH_MAX_ROW_BYTES ((size_t)(60 << 10)) /* the store's limit is 64 KiB per row */
+/* Maximum number of checkpoint parts in one transaction. The store accepts 100 entries, two of
+ * which are the batch's row: once as the condition, once as a write. */
 #define LN_BATCH_MAX_CHECKPOINT_PARTS 90
-/* When a caller may retry after a failure because the store is unavailable: short outages last some
- * seconds, and a batch that arrives much later is worth little. */
+/* Delay that a caller is told to wait before it retries while the store is unavailable. Short
+ * outages last a few seconds, and a batch that arrives much later is of little use to its trainer.
+ */
 #define LN_BATCH_STORE_RETRY_AFTER (400 * LB_MSEC)
 
 typedef struct LnBatches LnBatches;
 
 typedef enum
 {
-  LN_BATCH_NOT_OWNED, /* owned by another instance, or by none */
-  LN_BATCH_CLAIMING,  /* the row that names this instance as owner is being written */
-  LN_BATCH_OFFERED,   /* owned here until the preferred instance takes it over */
-  LN_BATCH_LOADING,   /* owned here; its content and saved progress are being read */
-  LN_BATCH_RUNNING,
-  LN_BATCH_RELEASING /* the row without an owner is being written */
+  LN_BATCH_NOT_OWNED, /* another instance or no instance owns the batch */
+  LN_BATCH_CLAIMING,  /* a write of the row with this instance as the owner is in progress */
+  LN_BATCH_OFFERED,   /* this instance owns the batch until the preferred instance claims it */
+  LN_BATCH_LOADING,   /* this instance owns the batch and reads its content and saved progress */
+  LN_BATCH_RUNNING,   /* this instance owns the batch and generates its texts */
+  LN_BATCH_RELEASING  /* a write of the row without an owner is in progress */
 } LnBatchState;
 
 typedef enum
 {
-  LN_OWNER_UNKNOWN, /* not in the list of members */
+  LN_OWNER_UNKNOWN, /* the owner is not in the list of members */
   LN_OWNER_ALIVE,
   LN_OWNER_GONE
 } LnOwnerState;
 
-/* What the cleanup of an ended batch removes next, in this order; the batch's row comes last. */
+/* Steps of the cleanup of an ended batch, in order. Each names what the step removes. The batch's
+ * own row is removed after the last step. */
 typedef enum
 {
   LN_CLEANUP_RESULTS,
-  LN_CLEANUP_TEXT_CHUNKS, /* of texts that do not fit into the row of their result */
+  LN_CLEANUP_TEXT_CHUNKS, /* chunks of texts that do not fit into the row of their result */
   LN_CLEANUP_CHECKPOINTS,
   LN_CLEANUP_CONTENT
 } LnCleanupStep;
 
-/* A batch as its row in the store describes it, and its state here while this instance owns it. */
+/* A batch: its row in the store, and its state on this instance. */
 typedef struct
 {
-  LbName id; /* key */
+  LbName id; /* key of LnBatches.by_id */
   LnBatches *batches;
   LcBatchHead head;
-  int64_t version;          /* of the row; 0: the row is not known */
-  LcBatchHead pending_head; /* CLAIMING, RELEASING: the row that is being written */
+  int64_t version;          /* version of the row; 0 if the row is not known */
+  LcBatchHead pending_head; /* while CLAIMING or RELEASING: the row that is being written */
   LnBatchState state;
-  LcBatch *run; /* RUNNING; else NULL */
+  LcBatch *run; /* state machine of the batch while RUNNING; else NULL */
   LbTime first_seen_at;
-  LnOwnerState owner_state;     /* cached; valid while the next two members have not changed */
-  int64_t owner_members_change; /* LnBatches.members_change_count that owner_state is based on */
-  int64_t owner_row_version;    /* version of the row that owner_state is based on */
-  LbTime version_seen_at;       /* when this version of the row was first seen */
-  LbTime owner_gone_since;      /* since when its owner has not been alive; 0: it is alive */
-  LbTime load_retry_at;         /* LOADING: when to read again after a failure */
-  LbTime offer_expires_at;      /* OFFERED: when this instance claims the batch itself */
-  LbTime ended_at;              /* when this instance learned of the end; 0: not ended */
-  LbTime cleanup_retry_at;      /* when to continue the cleanup after a failure */
-  LnCleanupStep cleanup_step;   /* what the cleanup removes next */
+  /* Cached state of the batch's owner, computed from the member list and the row version that the
+   * next two members identify. */
+  LnOwnerState owner_state;
+  int64_t owner_members_change; /* value of LnBatches.members_change_count for owner_state */
+  int64_t owner_row_version;    /* version of the batch's row for owner_state */
+  LbTime version_seen_at;       /* when this instance first saw the current version of the row */
+  LbTime owner_gone_since;      /* when the owner was first found not alive; 0 if it is alive */
+  LbTime load_retry_at;         /* while LOADING: when to retry a failed load */
+  LbTime offer_expires_at;      /* while OFFERED: when this instance claims the batch itself */
+  LbTime ended_at;              /* when this instance learned that the batch ended; 0: not ended */
+  LbTime cleanup_retry_at;      /* when to retry a failed cleanup */
+  LnCleanupStep cleanup_step;   /* current step of the cleanup */
   UT_hash_handle hh;
 } LnBatch;
 
-/* Progress of a batch as its earlier owners stored it. */
+/* Progress of a batch that its earlier owners saved in the store. */
 typedef struct
 {
-  LbName *listed; /* names of the items that have a result, by position */
-  size_t n_listed;
-  LcBatchTextPart *parts; /* checkpoints of incomplete texts */
+  LbName *finished_items; /* ids of the items that have a result, ordered by result position */
+  size_t n_finished_items;
+  LcBatchTextPart *parts; /* checkpointed parts of incomplete texts */
   size_t n_parts;
 } LnBatchSavedProgress;
 
-/* A request, sent to the task "calls", that generates or scores an item. */
+/* A request in flight that generates or scores an item of a batch. The task "calls" runs it. */
 typedef struct
 {
-  LcRequestId request; /* key */
+  LcRequestId request; /* key of LnBatches.requests */
   LnBatch *batch;
-  bool is_score; /* scores the item; false: generates its text */
+  bool is_score; /* true if the request scores the item, false if it generates the item's text */
   UT_hash_handle hh;
 } LnBatchRequest;
 
@@ -100,99 +104,110 @@
   LnTask task; /* must be first */
   LnContext *context;
   LnPeriodicCall tick;
-  LnAdmissionState admission_state; /* routes and organisations */
+  LnAdmissionState admission_state; /* routes and organisations for the admission of callers */
   LnMember *members;
   size_t n_members;
   int64_t members_change_count; /* number of member lists received; 0: members are not known */
-  LnBatch *by_id;               /* hash table */
-  LnBatch *cleanup_batch;       /* ended batch whose rows are being removed; NULL: none */
-  struct LnModelHistory *model_histories; /* hash table by model */
-  LnBatchRequest *requests;               /* hash table of the requests in progress */
-  LbList calls;                           /* LnBatchCall in progress */
-  LpFollow *row_watch;                    /* follows the rows of all batches */
-  bool owns_any;                          /* owns a batch, as last published to the other tasks */
-  bool draining;                          /* this instance is shutting down */
+  LnBatch *by_id;               /* hash table of all known batches */
+  LnBatch *cleanup_batch; /* ended batch whose rows are being removed; NULL if there is none */
+  struct LnModelHistory *model_histories; /* hash table with the model as key */
+  LnBatchRequest *requests;               /* hash table of the requests in flight */
+  LbList calls;                           /* list of the LnBatchCall in progress */
+  LpFollow *row_watch;                    /* watch of the rows of all batches */
+  bool owns_any;                          /* last published value: this instance owns a batch */
+  bool draining;                          /* set while this instance shuts down */
 };
 
-/* ln-batches.c */
-/* Notifies the other tasks when this instance gets its first batch or no longer owns any. */
+/* Defined in ln-batches.c. */
+/* Tells the other tasks whether this instance owns any batch, if the value has changed. */
 void ln_batches_publish_ownership (LnBatches *batches, bool owns_any);
 LnBatch *ln_batches_find (LnBatches *batches, const char *id);
 LcBatchHistory *ln_batches_get_history (LnBatches *batches, const char *model);
 LcTextCache *ln_batches_get_text_cache (LnBatches *batches, const char *model);
-LnBatch *ln_batches_ensure (LnBatches *batches, const char *id);
+LnBatch *ln_batches_find_or_create (LnBatches *batches, const char *id);
 void ln_batches_remove (LnBatch *batch);
 
-/* ln-batch-heads.c: the rows of batches; takes over batches that have lost their owner */
-void ln_batch_head_key (const char *id, char *key);
-void ln_batch_content_key (const char *id, char *key);
-void ln_batch_result_prefix (const char *id, char *key);
-void ln_batch_checkpoint_prefix (const char *id, char *key);
-/* Prefixes of the keys of text chunks: of all texts of the batch that do not fit into one row, and
- * of the text at one position. */
-void ln_batch_all_chunks_prefix (const char *id, char *key);
-void ln_batch_chunks_prefix (const char *id, int64_t position, char *key);
-/* Rank of this instance among the candidates for the duty; 0 is the first. */
-size_t ln_batch_heads_get_rank (const LnBatch *batch, const char *duty);
-/* Writes rows on the condition that the batch's own row still has the version known here. */
+/* Defined in ln-batch-heads.c, which reads and writes the rows of batches and takes over batches
+ * whose owner is gone. */
+/* The ln_batch_format_* functions write a key, or a prefix of keys, to a buffer of
+ * LN_BATCH_KEY_SIZE bytes. */
+void ln_batch_format_row_key (const char *id, char *key);
+void ln_batch_format_content_key (const char *id, char *key);
+void ln_batch_format_result_prefix (const char *id, char *key);
+void ln_batch_format_checkpoint_prefix (const char *id, char *key);
+/* Prefix of the keys of all text chunks of a batch; a chunk is a part of a text that does not fit
+ * into one row. */
+void ln_batch_format_all_text_chunks_prefix (const char *id, char *key);
+/* Prefix of the keys of the chunks of the text at one result position. */
+void ln_batch_format_text_chunks_prefix (const char *id, int64_t position, char *key);
+/* Returns the rank of this instance among the candidates for the duty; 0 is the first candidate. */
+size_t ln_batch_heads_get_own_rank (const LnBatch *batch, const char *duty);
+/* Writes rows on the condition that the batch's row still has the version batch->version. */
 void ln_batch_heads_write_if_unchanged (const LnBatch *batch,
                                         const LpPut *puts,
                                         size_t n_puts,
                                         LpPriority priority,
                                         LpTransactDone done,
                                         void *user);
-/* Reports the demand of a new batch to the tasks that divide the engines among the models and scale
- * the services. */
+/* Posts the expected tokens of a new batch to the task "config", which assigns engines to models,
+ * and to the task "duties", which scales services. */
 void ln_batch_heads_publish_demand (LnBatches *batches, const LcBatchHead *head);
-/* Applies a row that was read or written, unless a newer one is known; false when it cannot be
- * parsed. */
+/* Updates a batch from its row in the store, unless a newer version of the row is known. Returns
+ * false if the row cannot be parsed. */
 bool ln_batch_heads_apply_row (LnBatches *batches, const LpRow *row);
-/* Loads and then runs the batch if its row names this process as owner and it does not run yet. */
+/* Loads and then runs the batch if its row names this process as the owner and the batch does not
+ * run yet. */
 void ln_batch_heads_start_if_owned (LnBatch *batch);
 void ln_batch_heads_start_watch (LnBatches *batches);
 void ln_batch_heads_tick (LnBatches *batches, LbTime now);
-void ln_batch_heads_release (LnBatch *batch);
-/* Offers a batch that was accepted here to its preferred instance. False: this instance runs it. */
-bool ln_batch_heads_offer (LnBatch *batch, LbTime now);
-/* Number of models with open batches that are assigned to the instance. */
+/* Saves the incomplete texts of a batch that this instance owns and clears the owner in its row. */
+void ln_batch_heads_release_batch (LnBatch *batch);
+/* Offers a batch that this instance accepted to the preferred instance. Returns false if offers
+ * are disabled or no other instance is preferred; this instance then runs the batch. */
+bool ln_batch_heads_offer_batch (LnBatch *batch, LbTime now);
+/* Returns the number of models that have an open batch assigned to the instance. */
 size_t ln_batches_count_assigned_models (const LnBatches *batches, const char *instance);
-/* Live instances that accept new batches; the caller frees. */
-LcDutyCandidate *ln_batches_list_candidates (const LnBatches *batches, size_t *n);
+/* Returns the live instances that may own batches, and their number in *n. The caller frees the
+ * array. */
+LcDutyCandidate *ln_batches_list_duty_candidates (const LnBatches *batches, size_t *n);
 
-/* ln-batch-rows.c: encoding of the rows of a batch. The caller frees the texts; false: the row
- * cannot be parsed, and the result still has to be cleared. */
+/* Defined in ln-batch-rows.c, which encodes the rows of a batch as JSON. The caller frees a
+ * returned text. The *_from_row functions return false if the row cannot be parsed; the caller must
+ * clear the output in either case. */
 char *ln_batch_result_to_json (const LcBatchResult *result);
-/* The same for a result whose text is too long for one row and is stored in n_chunks other rows. */
+/* Encodes a result whose text is too long for one row and is stored in n_chunks separate rows. */
 char *ln_batch_result_to_json_without_text (const LcBatchResult *result, size_t n_chunks);
-/* *n_chunks is 0 when the text is in this row. */
+/* Sets *n_chunks to the number of rows that hold the text, or to 0 if the text is in this row. */
 bool ln_batch_result_from_row (const LpRow *row, LcBatchResult *result, size_t *n_chunks);
-char *ln_batch_part_to_json (const LcBatchTextPart *part);
-bool ln_batch_part_from_row (const LpRow *row, LcBatchTextPart *part);
+char *ln_batch_text_part_to_json (const LcBatchTextPart *part);
+bool ln_batch_text_part_from_row (const LpRow *row, LcBatchTextPart *part);
 
-/* ln-batch-load.c: reads the content and the saved progress of a batch, then runs it */
+/* Defined in ln-batch-load.c: reads the content and the saved progress of a batch, then runs it. */
 void ln_batch_load (LnBatch *batch);
 
-/* ln-batch-owner.c: runs the batches that this instance owns */
-void ln_batch_owner_start (LnBatch *batch, LcBatchSpec *spec, const LnBatchSavedProgress *saved);
-/* Builds the rows of an LC_BATCH_CHECKPOINT and returns their number; they are freed by
- * ln_batch_owner_clear_puts. A part that is too long for a row is left out: the next owner
- * continues the text after the parts before it. */
+/* Defined in ln-batch-owner.c, which runs the batches that this instance owns. */
+void
+ln_batch_owner_start_run (LnBatch *batch, LcBatchSpec *spec, const LnBatchSavedProgress *saved);
+/* Builds at most max rows from the parts of an LC_BATCH_CHECKPOINT action and returns their number.
+ * ln_batch_owner_free_put_strings frees the rows. A part that is too long for a row is left out;
+ * the next owner then resumes the text after the preceding part. */
 size_t ln_batch_owner_build_checkpoint_puts (const LnBatch *batch,
                                              const LcBatchAction *action,
                                              LpPut *puts,
                                              size_t max);
-void ln_batch_owner_clear_puts (LpPut *puts, size_t n);
-void ln_batch_owner_stop (LnBatch *batch);
+/* Frees the keys and values of n puts, but not the array. */
+void ln_batch_owner_free_put_strings (LpPut *puts, size_t n);
+void ln_batch_owner_stop_run (LnBatch *batch);
 void ln_batch_owner_tick (LnBatch *batch, LbTime now);
 void ln_batch_owner_receive_piece (LnBatches *batches, const LnSamplePieceMessage *message);
 void ln_batch_owner_finish_request (LnBatches *batches, const LnSampleDoneMessage *message);
 
-/* ln-batch-cleanup.c: removes ended batches from the store */
+/* Defined in ln-batch-cleanup.c: removes ended batches from the store. */
 void ln_batch_cleanup_tick (LnBatches *batches, LbTime now);
 
-/* ln-batch-calls.c: callers' requests about batches */
-void ln_batch_calls_receive (LnBatches *batches, LnExchange *exchange);
-void ln_batch_calls_caller_disconnected (LnBatches *batches, LnExchange *exchange);
+/* Defined in ln-batch-calls.c, which serves callers' HTTP requests about batches. */
+void ln_batch_calls_receive_request (LnBatches *batches, LnExchange *exchange);
+void ln_batch_calls_handle_disconnect (LnBatches *batches, LnExchange *exchange);
 void ln_batch_calls_tick (LnBatches *batches, LbTime now);
 void ln_batch_calls_free_all (LnBatches *batches);
 
--- a/packages/node/src/batch/ln-batches.c
+++ b/packages/node/src/batch/ln-batches.c
@@ -10,28 +10,29 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TICK_PERIOD (50 * LB_MSEC)
-/* Pause between two watches of the batches' rows on an instance that the full directory omits. */
-#define IDLE_WATCH_GAP (2 * LB_SEC)
+#define TICK_INTERVAL (50 * LB_MSEC)
+/* Delay between watch requests for the rows of batches, on an instance that does not fit into the
+ * full directory of instances. */
+#define OMITTED_WATCH_DELAY (2 * LB_SEC)
 
 static LbMetric batches_owned
     = LB_GAUGE_INIT ("lentilspindle_batches_owned", NULL, "Batches that this instance runs");
 
-/* Bytes per model for the texts of incomplete groups: a few steps of 2,048 samples of 2 KB, of
- * which less than half may be requested again. */
-#define MAX_TEXT_CACHE_BYTES ((size_t)(16 << 20))
+/* Size of the cache for the texts of incomplete groups. Holds a few steps of 2,048 samples of 2 KB
+ * each; a later batch may request less than half of the texts again. */
+#define MAX_TEXT_CACHE_BYTES_PER_MODEL ((size_t)(16 << 20))
 
-/* Statistics and reusable texts of the batches of one model. */
+/* Statistics and cached texts of the batches of one model. */
 typedef struct LnModelHistory
 {
-  LbName model; /* key */
+  LbName model; /* key of LnBatches.model_histories */
   LcBatchHistory *history;
   LcTextCache *text_cache;
   UT_hash_handle hh;
 } LnModelHistory;
 
 static LnModelHistory *
-ensure_model (LnBatches *batches, const char *model)
+find_or_create_model_history (LnBatches *batches, const char *model)
 {
   LnModelHistory *entry = NULL;
 
@@ -40,7 +41,7 @@
     {
       entry = LB_NEW (LnModelHistory);
       entry->history = lc_batch_history_new ();
-      entry->text_cache = lc_text_cache_new (MAX_TEXT_CACHE_BYTES);
+      entry->text_cache = lc_text_cache_new (MAX_TEXT_CACHE_BYTES_PER_MODEL);
       LB_COPY (entry->model, model);
       HASH_ADD_STR (batches->model_histories, model, entry);
     }
@@ -50,13 +51,13 @@
 LcBatchHistory *
 ln_batches_get_history (LnBatches *batches, const char *model)
 {
-  return ensure_model (batches, model)->history;
+  return find_or_create_model_history (batches, model)->history;
 }
 
 LcTextCache *
 ln_batches_get_text_cache (LnBatches *batches, const char *model)
 {
-  return ensure_model (batches, model)->text_cache;
+  return find_or_create_model_history (batches, model)->text_cache;
 }
 
 LnBatch *
@@ -69,7 +70,7 @@
 }
 
 LnBatch *
-ln_batches_ensure (LnBatches *batches, const char *id)
+ln_batches_find_or_create (LnBatches *batches, const char *id)
 {
   LnBatch *batch = ln_batches_find (batches, id);
 
@@ -91,15 +92,16 @@
 }
 
 static void
-set_members (LnBatches *batches, const LnMembersMessage *message)
+update_members (LnBatches *batches, const LnMembersMessage *message)
 {
   free (batches->members);
   batches->members = lb_memdup (message->members, message->n_members * sizeof (LnMember));
   batches->n_members = message->n_members;
   batches->members_change_count++;
-  /* An omitted instance gets no offers; a call about an unknown batch reads the store. */
+  /* An instance that the directory omits may learn late of a batch: it gets no offers, and a call
+   * about an unknown batch reads the store. */
   lp_follow_set_watch_delay (batches->row_watch,
-                             message->is_omitted && !batches->owns_any ? IDLE_WATCH_GAP : 0);
+                             message->is_omitted && !batches->owns_any ? OMITTED_WATCH_DELAY : 0);
 }
 
 static void
@@ -111,10 +113,10 @@
     {
     case LN_EXCHANGE:
       ln_ticker_report_work (ln_context_ticker (batches->context), lb_clock_monotonic ());
-      ln_batch_calls_receive (batches, ((const LnExchangeMessage *)message)->exchange);
+      ln_batch_calls_receive_request (batches, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_CALLER_DISCONNECTED:
-      ln_batch_calls_caller_disconnected (batches, ((const LnExchangeMessage *)message)->exchange);
+      ln_batch_calls_handle_disconnect (batches, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_DESIRED:
       ln_admission_state_update (&batches->admission_state, (const LnDesiredMessage *)message);
@@ -123,7 +125,7 @@
       batches->admission_state.confirmed_at = ((const LnDesiredConfirmedMessage *)message)->at;
       break;
     case LN_MEMBERS:
-      set_members (batches, (const LnMembersMessage *)message);
+      update_members (batches, (const LnMembersMessage *)message);
       break;
     case LN_SAMPLE_PIECE:
       ln_batch_owner_receive_piece (batches, (const LnSamplePieceMessage *)message);
@@ -149,7 +151,7 @@
 }
 
 static void
-on_tick (void *user)
+on_batches_tick (void *user)
 {
   LnBatches *batches = user;
   LbTime now = lb_clock_monotonic ();
@@ -173,17 +175,17 @@
 }
 
 static void
-drain (LnTask *base)
+drain_batches (LnTask *base)
 {
   LnBatches *batches = (LnBatches *)base;
 
   batches->draining = true;
   for (LnBatch *batch = batches->by_id; batch; batch = batch->hh.next)
-    ln_batch_heads_release (batch);
+    ln_batch_heads_release_batch (batch);
 }
 
 static bool
-is_idle (const LnTask *base)
+is_batches_task_idle (const LnTask *base)
 {
   const LnBatches *batches = (const LnBatches *)base;
 
@@ -194,7 +196,7 @@
 }
 
 static void
-free_task (LnTask *base)
+free_batches_task (LnTask *base)
 {
   LnBatches *batches = (LnBatches *)base;
   LnBatch *batch, *next;
@@ -229,11 +231,11 @@
 
 static const LnTaskClass batches_class = { .name = "rollouts",
                                            .receive = handle_message,
-                                           .drain = drain,
-                                           .is_idle = is_idle,
-                                           .free = free_task };
+                                           .drain = drain_batches,
+                                           .is_idle = is_batches_task_idle,
+                                           .free = free_batches_task };
 
-/* Runs batches of samples on a shared platform, as the task "rollouts". */
+/* Creates the task "rollouts" for a shared platform, where it runs batches of samples. */
 LnTask *
 ln_batches_new (LnContext *context)
 {
@@ -244,7 +246,8 @@
   batches->context = context;
   lb_list_init (&batches->calls);
   ln_batch_heads_start_watch (batches);
-  batches->tick = (LnPeriodicCall){ .period = TICK_PERIOD, .callback = on_tick, .user = batches };
+  batches->tick
+      = (LnPeriodicCall){ .period = TICK_INTERVAL, .callback = on_batches_tick, .user = batches };
   ln_ticker_add (ln_context_ticker (context), &batches->tick);
   return &batches->task;
 }
