--- a/packages/node/src/batch/ln-batch-heads.c
+++ b/packages/node/src/batch/ln-batch-heads.c
@@ -189,7 +189,7 @@
   return true;
 }
 
-/* --- takeover --- */
+/* --- taking over batches without a live owner --- */
 
 /* Looks up the batch's owner in the member list. A member with another incarnation has restarted
  * and lost the batch if its member row is newer than the batch's row. Otherwise the member list is
--- a/packages/node/src/batch/ln-batch-owner.c
+++ b/packages/node/src/batch/ln-batch-owner.c
@@ -31,7 +31,7 @@
                        NULL,
                        "Results of items that were written to the store");
 
-/* --- requests --- */
+/* --- generation and scoring requests --- */
 
 static void
 add_batch_request (LnBatch *batch, LcRequestId id, bool is_score)
