--- a/packages/node/src/rollout/ln-pool-controller.c
+++ b/packages/node/src/rollout/ln-pool-controller.c
@@ -17,22 +17,22 @@
 #include <string.h>
 #include <uthash.h>
 
-#define NEWEST_QUERY_PERIOD LB_SEC
-#define ANNOUNCEMENT_PERIOD (10 * LB_SEC)
-#define LOAD_PERIOD LB_SEC
-#define MAX_LOAD_REQUESTS_PER_SECOND 200
-#define SWAP_LOAD_PERIOD (LB_SEC / 4)
+#define NEWEST_VERSION_QUERY_INTERVAL LB_SEC
+#define NEWEST_VERSION_ANNOUNCEMENT_INTERVAL (10 * LB_SEC)
+#define LOAD_REPORT_INTERVAL LB_SEC
+#define MAX_LOAD_REPORT_REQUESTS_PER_SECOND 200
+#define LOAD_REPORT_INTERVAL_DURING_SWAP (LB_SEC / 4)
 #define ENGINE_IDLE_TIMEOUT (2 * LB_SEC)
-#define KEY_MAX 96
+#define LEASE_KEY_SIZE 96 /* buffer size in bytes for the key of a lease row */
 
-/* An engine of the pool and the requests to it that are in progress. */
+/* An engine of the pool, and the requests in flight to the engine. */
 typedef struct LnPoolEngine
 {
-  LbName name; /* key of the hash table */
+  LbName name; /* key of LnPoolController.engines */
   LnPoolController *controller;
   LbName address;
-  LhFetch *load_request;  /* GET /load; NULL: none */
-  LhFetch *order_request; /* POST /orders; NULL: none */
+  LhFetch *load_request;  /* GET /load in flight; NULL if there is none */
+  LhFetch *order_request; /* POST /orders in flight; NULL if there is none */
   LbTime load_requested_at;
   LbTime next_load_request_at;
   bool is_configured;
@@ -51,7 +51,7 @@
 }
 
 static LnPoolOperation *
-operation_new (const LnPoolController *controller)
+pool_operation_new (const LnPoolController *controller)
 {
   LnPoolOperation *operation = LB_NEW (LnPoolOperation);
 
@@ -62,10 +62,10 @@
 }
 
 static LnPoolController *
-operation_end (LnPoolOperation *operation)
+pool_operation_end (LnPoolOperation *operation)
 {
   LnPoolController *controller
-      = ln_pool_controllers_find (operation->task, operation->controller_serial);
+      = ln_pool_controllers_find_by_serial (operation->task, operation->controller_serial);
 
   lb_list_remove (&operation->task->pool_operations, &operation->link);
   free (operation);
@@ -149,38 +149,38 @@
   lc_weights_configure (controller->weights, set, lb_clock_monotonic ());
 }
 
-/* --- the lease --- */
+/* --- lease of the pool --- */
 
-static void run_lease_actions (LnPoolController *controller, LbList *actions);
+static void execute_lease_actions (LnPoolController *controller, LbList *actions);
 
 static void
 on_lease_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
-  LnPoolController *controller = operation_end (user);
+  LnPoolController *controller = pool_operation_end (user);
   LbList actions;
 
   if (!controller)
     return;
   lb_list_init (&actions);
   ln_lease_read_completed (controller->lease, error, rows, n_rows, lb_clock_monotonic (), &actions);
-  run_lease_actions (controller, &actions);
+  execute_lease_actions (controller, &actions);
 }
 
 static void
 read_lease (LnPoolController *controller)
 {
-  char key[KEY_MAX];
+  char key[LEASE_KEY_SIZE];
   LpPlatform *platform = controller->task->context->platform;
 
   snprintf (key, sizeof key, "lease/%s", controller->pool);
-  platform->klass->get (platform, key, on_lease_read, operation_new (controller));
+  platform->klass->get (platform, key, on_lease_read, pool_operation_new (controller));
 }
 
 static void
 on_lease_written (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
-  LnPoolController *controller = operation_end (user);
+  LnPoolController *controller = pool_operation_end (user);
   LbTime now = lb_clock_monotonic ();
   LbList actions;
 
@@ -188,21 +188,21 @@
     return;
   lb_list_init (&actions);
   lc_lease_write_completed (controller->lease, error, now, &actions);
-  run_lease_actions (controller, &actions);
+  execute_lease_actions (controller, &actions);
   if (error == LB_OK && lc_lease_row (controller->lease)->released)
-    ln_pool_controllers_announce_release (controller->task, controller->pool);
+    ln_pool_controllers_announce_lease_release (controller->task, controller->pool);
 }
 
 static void
 write_lease (LnPoolController *controller, const LcLeaseAction *action)
 {
-  char key[KEY_MAX], token[KEY_MAX * 2];
+  char key[LEASE_KEY_SIZE], token[LEASE_KEY_SIZE * 2];
 
   snprintf (key, sizeof key, "lease/%s", controller->pool);
   snprintf (token, sizeof token, "lease-%s-%s-%llu-%lld", controller->pool, action->row.incarnation,
             (unsigned long long)controller->serial, (long long)action->row.renewal);
   ln_lease_write (controller->task->context->platform, key, token, action, on_lease_written,
-                  operation_new (controller));
+                  pool_operation_new (controller));
 }
 
 static void
@@ -221,7 +221,7 @@
 }
 
 static void
-run_lease_actions (LnPoolController *controller, LbList *actions)
+execute_lease_actions (LnPoolController *controller, LbList *actions)
 {
   LbLink *link;
 
@@ -246,19 +246,19 @@
 }
 
 void
-ln_pool_controller_release (LnPoolController *controller, LbTime now)
+ln_pool_controller_release_lease (LnPoolController *controller, LbTime now)
 {
   LbList actions;
 
   lb_list_init (&actions);
   lc_lease_release (controller->lease, now, &actions);
-  run_lease_actions (controller, &actions);
+  execute_lease_actions (controller, &actions);
 }
 
 /* --- engines: load reports and orders --- */
 
 static struct json_object *
-parse_reply (const LhResult *result)
+parse_engine_reply (const LhResult *result)
 {
   LbError error;
 
@@ -268,20 +268,20 @@
 }
 
 static void
-announce_swaps (LnPoolController *controller, LbList *actions, LbTime now)
+announce_weight_swaps (LnPoolController *controller, LbList *actions, LbTime now)
 {
   LbLink *link;
 
   while ((link = lb_list_pop (actions)))
     {
       LcWeightsAction *action = LB_CONTAINER (link, LcWeightsAction, link);
-      ln_pool_controllers_announce_swap (controller->task, action, now);
+      ln_pool_controllers_announce_weight_swap (controller->task, action, now);
       free (action);
     }
 }
 
 static void
-on_load_received (LhFetch *fetch, const LhResult *result, void *user)
+on_load_report_received (LhFetch *fetch, const LhResult *result, void *user)
 {
   (void)fetch;
   Engine *engine = user;
@@ -289,7 +289,7 @@
   LbTime now = lb_clock_monotonic ();
   LcWeightReport report = { .requested_at = engine->load_requested_at };
   LbList actions;
-  struct json_object *object = result->status == 200 ? parse_reply (result) : NULL;
+  struct json_object *object = result->status == 200 ? parse_engine_reply (result) : NULL;
 
   engine->load_request = NULL;
   if (!object)
@@ -303,24 +303,24 @@
   json_object_put (object);
   lb_list_init (&actions);
   lc_weights_report_received (controller->weights, engine->name, &report, now, &actions);
-  announce_swaps (controller, &actions, now);
+  announce_weight_swaps (controller, &actions, now);
 }
 
 static void
-request_load (Engine *engine, LbTime now)
+request_load_report (Engine *engine, LbTime now)
 {
-  const LhHandlers handlers = { .on_done = on_load_received };
+  const LhHandlers handlers = { .on_done = on_load_report_received };
   const LhRequest request = { .method = "GET",
                               .address = engine->address,
                               .path = "/load",
                               .idle_timeout = ENGINE_IDLE_TIMEOUT };
-  LbTime period
-      = (LbTime)HASH_COUNT (engine->controller->engines) * LB_SEC / MAX_LOAD_REQUESTS_PER_SECOND;
+  LbTime period = (LbTime)HASH_COUNT (engine->controller->engines) * LB_SEC
+                  / MAX_LOAD_REPORT_REQUESTS_PER_SECOND;
 
-  if (period < LOAD_PERIOD)
-    period = LOAD_PERIOD;
+  if (period < LOAD_REPORT_INTERVAL)
+    period = LOAD_REPORT_INTERVAL;
   if (lc_weights_is_swapping (engine->controller->weights, engine->name))
-    period = SWAP_LOAD_PERIOD;
+    period = LOAD_REPORT_INTERVAL_DURING_SWAP;
   engine->next_load_request_at = now + period;
   engine->load_requested_at = now;
   engine->load_request = lh_fetch_start (engine->controller->task->context->http_pool, &request,
@@ -328,7 +328,7 @@
 }
 
 static LbErrorCode
-read_order_error (const LhResult *result)
+get_order_error (const LhResult *result)
 {
   LbErrorCode error = LB_ERROR_ENDPOINT_FAILED;
   struct json_object *object = NULL;
@@ -337,7 +337,7 @@
     return result->failure;
   if (result->status / 100 == 2)
     return LB_OK;
-  object = parse_reply (result);
+  object = parse_engine_reply (result);
   if (strcmp (lb_json_text (lb_json_member (object, "error"), "type", ""), "stale_fence") == 0)
     error = LB_ERROR_STALE_FENCE;
   json_object_put (object);
@@ -351,7 +351,7 @@
   Engine *engine = user;
   LnPoolController *controller = engine->controller;
   LbTime now = lb_clock_monotonic ();
-  LbErrorCode error = read_order_error (result);
+  LbErrorCode error = get_order_error (result);
 
   engine->order_request = NULL;
   engine->next_load_request_at = now;
@@ -366,7 +366,7 @@
 }
 
 static void
-send_order (LnPoolController *controller, const LcWeightsAction *action)
+send_load_weights_order (LnPoolController *controller, const LcWeightsAction *action)
 {
   Engine *engine = find_engine (controller, action->endpoint);
   const LhHandlers handlers = { .on_done = on_order_answered };
@@ -393,7 +393,7 @@
 }
 
 static void
-tick_weights (LnPoolController *controller, LbTime now)
+tick_weight_roll_out (LnPoolController *controller, LbTime now)
 {
   LbLink *link;
   LbList actions;
@@ -407,9 +407,9 @@
     {
       LcWeightsAction *action = LB_CONTAINER (link, LcWeightsAction, link);
       if (action->type == LC_WEIGHTS_UPDATE_ROUTING)
-        ln_pool_controllers_announce_swap (controller->task, action, now);
+        ln_pool_controllers_announce_weight_swap (controller->task, action, now);
       else
-        send_order (controller, action);
+        send_load_weights_order (controller, action);
       free (action);
     }
 }
@@ -417,9 +417,9 @@
 /* --- newest weight version --- */
 
 static void
-on_newest_version (LbErrorCode error, int64_t version, void *user)
+on_newest_version_queried (LbErrorCode error, int64_t version, void *user)
 {
-  LnPoolController *controller = operation_end (user);
+  LnPoolController *controller = pool_operation_end (user);
 
   if (!controller)
     return;
@@ -438,9 +438,9 @@
   if (controller->is_querying_newest || now < controller->next_newest_query_at)
     return;
   controller->is_querying_newest = true;
-  controller->next_newest_query_at = now + NEWEST_QUERY_PERIOD;
-  platform->klass->get_weights (platform, controller->pool, on_newest_version,
-                                operation_new (controller));
+  controller->next_newest_query_at = now + NEWEST_VERSION_QUERY_INTERVAL;
+  platform->klass->get_weights (platform, controller->pool, on_newest_version_queried,
+                                pool_operation_new (controller));
 }
 
 static void
@@ -453,8 +453,8 @@
       || (status.target == controller->announced_version && now < controller->next_announcement_at))
     return;
   controller->announced_version = status.target;
-  controller->next_announcement_at = now + ANNOUNCEMENT_PERIOD;
-  ln_pool_controllers_announce_newest (controller, &status);
+  controller->next_announcement_at = now + NEWEST_VERSION_ANNOUNCEMENT_INTERVAL;
+  ln_pool_controllers_announce_newest_version (controller, &status);
 }
 
 void
@@ -464,13 +464,13 @@
 
   lb_list_init (&actions);
   lc_lease_tick (controller->lease, now, lb_clock_wall_ms () * LB_MSEC, &actions);
-  run_lease_actions (controller, &actions);
+  execute_lease_actions (controller, &actions);
   if (!lc_lease_is_held (controller->lease))
     return;
   query_newest_version (controller, now);
   announce_newest_version (controller, now);
   for (Engine *engine = controller->engines; engine; engine = engine->hh.next)
     if (!engine->load_request && now >= engine->next_load_request_at)
-      request_load (engine, now);
-  tick_weights (controller, now);
+      request_load_report (engine, now);
+  tick_weight_roll_out (controller, now);
 }
--- a/packages/node/src/rollout/ln-pool-controllers.c
+++ b/packages/node/src/rollout/ln-pool-controllers.c
@@ -10,10 +10,10 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define MAX_CANDIDATES 3
+#define MAX_LEASE_CANDIDATES 3
 
 LnPoolController *
-ln_pool_controllers_find (LnConfigTask *task, uint64_t serial)
+ln_pool_controllers_find_by_serial (LnConfigTask *task, uint64_t serial)
 {
   LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, controller)
   {
@@ -34,7 +34,7 @@
   return NULL;
 }
 
-/* --- candidates --- */
+/* --- candidates for the leases --- */
 
 static uint64_t
 compute_rendezvous_weight (const char *pool, const char *instance)
@@ -46,15 +46,15 @@
 {
   const char *pool;
   const char *own_name;
-  int n_preferred; /* candidates with a higher rendezvous weight than this instance */
-} RankSearch;
+  int n_preferred; /* number of candidates with a higher rendezvous weight than this instance */
+} LeaseRankSearch;
 
 static void
-count_preferred_instance (
+count_if_preferred_for_lease (
     const char *instance, int64_t revision, bool alive, bool draining, void *user)
 {
   (void)revision;
-  RankSearch *search = user;
+  LeaseRankSearch *search = user;
 
   if (alive && !draining && strcmp (instance, search->own_name) != 0
       && compute_rendezvous_weight (search->pool, instance)
@@ -62,36 +62,37 @@
     search->n_preferred++;
 }
 
-/* Returns this instance's position among the candidates for the pool's lease; -1: it is none.
- * Rendezvous hashing spreads the pools over the instances, and only a few watch each lease row. */
+/* Returns the rank of this instance among the candidates for the pool's lease, or -1 if it is no
+ * candidate. Rendezvous hashing spreads the pools over the instances, so that only a few instances
+ * poll each lease row. */
 static int
-compute_rank (const LnConfigTask *task, const char *pool)
+compute_lease_rank (const LnConfigTask *task, const char *pool)
 {
-  RankSearch search = { .pool = pool, .own_name = task->context->instance };
+  LeaseRankSearch search = { .pool = pool, .own_name = task->context->instance };
 
   if (task->draining)
     return -1;
-  lc_config_visit_instances (task->config, count_preferred_instance, &search);
-  return search.n_preferred < MAX_CANDIDATES ? search.n_preferred : -1;
+  lc_config_visit_instances (task->config, count_if_preferred_for_lease, &search);
+  return search.n_preferred < MAX_LEASE_CANDIDATES ? search.n_preferred : -1;
 }
 
 static void
-update_ranks (LnConfigTask *task)
+update_lease_ranks (LnConfigTask *task)
 {
   LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, controller)
   {
-    lc_lease_set_rank (controller->lease, compute_rank (task, controller->pool));
+    lc_lease_set_rank (controller->lease, compute_lease_rank (task, controller->pool));
   }
 }
 
 void
 ln_pool_controllers_update_ranks (LnConfigTask *task)
 {
-  update_ranks (task);
+  update_lease_ranks (task);
 }
 
 static bool
-has_engines (const LcResourceSet *set, const char *pool)
+pool_has_engines (const LcResourceSet *set, const char *pool)
 {
   for (size_t i = 0; i < set->n_endpoints; i++)
     if (set->endpoints[i].kind == LC_ENDPOINT_ENGINE && strcmp (set->endpoints[i].pool, pool) == 0)
@@ -99,14 +100,14 @@
   return false;
 }
 
-/* Removes the controller of a pool that has no engines left: there is nothing to order, and the
- * lease expires. */
+/* Creates a controller for each new pool with engines. Removes the controller of a pool without
+ * engines, which needs no orders; the pool's lease then expires. */
 void
 ln_pool_controllers_configure (LnConfigTask *task, const LcResourceSet *set)
 {
   LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, controller)
   {
-    if (has_engines (set, controller->pool))
+    if (pool_has_engines (set, controller->pool))
       continue;
     lb_list_remove (&task->pool_controllers, &controller->link);
     ln_pool_controller_free (controller);
@@ -114,7 +115,7 @@
   for (size_t i = 0; i < set->n_pools; i++)
     {
       LnPoolController *controller = find_controller_of_pool (task, set->pools[i].name);
-      if (!has_engines (set, set->pools[i].name))
+      if (!pool_has_engines (set, set->pools[i].name))
         continue;
       if (!controller)
         {
@@ -124,7 +125,7 @@
         }
       ln_pool_controller_configure (controller, set);
     }
-  update_ranks (task);
+  update_lease_ranks (task);
 }
 
 void
@@ -149,10 +150,10 @@
 {
   LbTime now = lb_clock_monotonic ();
 
-  update_ranks (task);
+  update_lease_ranks (task);
   LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, controller)
   {
-    ln_pool_controller_release (controller, now);
+    ln_pool_controller_release_lease (controller, now);
   }
 }
 
@@ -186,8 +187,9 @@
 
 /* --- announcements to other tasks and instances --- */
 
-/* While a swap is pending, the router of the calls task adds the time left to `until`, the expected
- * end of the swap, to the estimated finish time of calls on the endpoint. */
+/* Tells the task "calls" whether a swap of weights is pending on an endpoint. While it is, the
+ * task's router adds the time left until the swap's expected end, `until`, to the estimated finish
+ * time of calls on the endpoint. */
 static void
 post_weight_swap_to_calls (LnConfigTask *task, const char *endpoint, bool is_pending, LbTime until)
 {
@@ -201,9 +203,11 @@
   LN_POST (task->task.hub, calls, message);
 }
 
-/* Notifies the calls task at once; peers get all swaps of a tick in one message. */
+/* Notifies the task "calls" at once. Other instances get all swaps of a tick in one message. */
 void
-ln_pool_controllers_announce_swap (LnConfigTask *task, const LcWeightsAction *action, LbTime now)
+ln_pool_controllers_announce_weight_swap (LnConfigTask *task,
+                                          const LcWeightsAction *action,
+                                          LbTime now)
 {
   struct json_object *swap = json_object_new_object ();
 
@@ -234,7 +238,8 @@
 }
 
 void
-ln_pool_controllers_announce_newest (LnPoolController *controller, const LcWeightsStatus *status)
+ln_pool_controllers_announce_newest_version (LnPoolController *controller,
+                                             const LcWeightsStatus *status)
 {
   struct json_object *message = json_object_new_object ();
 
@@ -251,7 +256,7 @@
 }
 
 void
-ln_pool_controllers_announce_release (LnConfigTask *task, const char *pool)
+ln_pool_controllers_announce_lease_release (LnConfigTask *task, const char *pool)
 {
   struct json_object *message = json_object_new_object ();
 
@@ -261,7 +266,7 @@
 }
 
 static void
-receive_swaps (LnConfigTask *task, struct json_object *message, LbTime now)
+receive_weight_swaps (LnConfigTask *task, struct json_object *message, LbTime now)
 {
   struct json_object *swaps = NULL;
 
@@ -277,7 +282,8 @@
     }
 }
 
-/* Ignores the announcement of an earlier lease holder, which may have been paused while sending. */
+/* Handles a newest version that the lease holder announced. Ignores an announcement with an old
+ * fencing number: an earlier lease holder may have been paused while sending it. */
 static void
 receive_newest_version (LnConfigTask *task, struct json_object *message)
 {
@@ -291,7 +297,8 @@
                                    lb_json_int (message, "cadence_ms", 0) * LB_MSEC);
 }
 
-/* Returns false if the message is not for pool controllers. */
+/* Handles a message from another instance. Returns false if its type is not one of the pool
+ * controllers. */
 bool
 ln_pool_controllers_receive (LnConfigTask *task, struct json_object *message)
 {
@@ -299,7 +306,7 @@
   LbTime now = lb_clock_monotonic ();
 
   if (strcmp (type, "swaps") == 0)
-    receive_swaps (task, message, now);
+    receive_weight_swaps (task, message, now);
   else if (strcmp (type, "newest") == 0)
     receive_newest_version (task, message);
   else if (strcmp (type, "lease_free") == 0)
@@ -314,10 +321,10 @@
   return true;
 }
 
-/* --- status --- */
+/* --- status of leases and roll-outs --- */
 
 static struct json_object *
-lease_to_json (const LnPoolController *controller)
+lease_status_to_json (const LnPoolController *controller)
 {
   struct json_object *object = json_object_new_object ();
   const LcLeaseRow *row = lc_lease_row (controller->lease);
@@ -332,7 +339,7 @@
 }
 
 static struct json_object *
-roll_out_to_json (const LnPoolController *controller)
+roll_out_status_to_json (const LnPoolController *controller)
 {
   LcWeightsStatus status;
   struct json_object *object = json_object_new_object ();
@@ -353,7 +360,8 @@
   return object;
 }
 
-/* Adds "leases" of all pools, and "roll_outs" of those whose lease this instance holds. */
+/* Adds "leases", the leases of all pools, and "roll_outs", the weight roll-outs of the pools whose
+ * lease this instance holds. */
 void
 ln_pool_controllers_add_status (LnConfigTask *task, struct json_object *status)
 {
@@ -362,9 +370,9 @@
 
   LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, controller)
   {
-    json_object_array_add (leases, lease_to_json (controller));
+    json_object_array_add (leases, lease_status_to_json (controller));
     if (lc_lease_is_held (controller->lease))
-      json_object_array_add (roll_outs, roll_out_to_json (controller));
+      json_object_array_add (roll_outs, roll_out_status_to_json (controller));
   }
   json_object_object_add (status, "leases", leases);
   json_object_object_add (status, "roll_outs", roll_outs);
--- a/packages/node/src/rollout/ln-rollouts-owners.c
+++ b/packages/node/src/rollout/ln-rollouts-owners.c
@@ -12,23 +12,23 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define RETRY_AFTER (500 * LB_MSEC)
-#define MAX_OWNER_LOOKUPS 3
+#define CALL_RETRY_AFTER (500 * LB_MSEC) /* delay after which a trainer may retry a failed call */
+#define MAX_OWNER_LOOKUPS 3              /* lookups of the step's owner for one call */
 /* Delay before retrying a failed release, or a failed claim of a step that was opened while the
  * store was unavailable. */
-#define WRITE_RETRY_INTERVAL LB_SEC
-/* After this number of failed releases the step is dropped without one. Its row still names this
- * instance, so another instance can claim it once this one has exited. */
+#define OWNER_WRITE_RETRY_DELAY LB_SEC
+/* After this number of failed releases, the step is dropped. Its row still names this instance, so
+ * another instance can claim the step only when this instance has exited. */
 #define MAX_RELEASE_ATTEMPTS 10
 
 typedef struct
 {
   LnRollouts *rollouts;
   LnStepKey key;
-} StepOperation;
+} OwnershipOperation;
 
 static bool
-is_same_key (const LnStepKey *a, const LnStepKey *b)
+is_same_step (const LnStepKey *a, const LnStepKey *b)
 {
   return a->step == b->step && strcmp (a->subscription, b->subscription) == 0;
 }
@@ -38,14 +38,14 @@
 {
   LB_LIST_FOREACH (&rollouts->steps, LnTrackedStep, link, step)
   {
-    if (is_same_key (&step->key, key))
+    if (is_same_step (&step->key, key))
       return step;
   }
   return NULL;
 }
 
 static LnTrackedStep *
-add_step (LnRollouts *rollouts, const LnStepKey *key)
+add_tracked_step (LnRollouts *rollouts, const LnStepKey *key)
 {
   LnTrackedStep *step = LB_NEW (LnTrackedStep);
 
@@ -77,7 +77,7 @@
   }
 }
 
-/* --- calls --- */
+/* --- serving calls --- */
 
 void
 ln_rollouts_end_call (LnRollouts *rollouts, LnStepCall *call)
@@ -94,12 +94,12 @@
   LbError error;
 
   lb_error_set (&error, code, call->key.subscription, "%s", detail);
-  ln_step_call_reply_error (call, &error, RETRY_AFTER);
+  ln_step_call_reply_error (call, &error, CALL_RETRY_AFTER);
   ln_rollouts_end_call (rollouts, call);
 }
 
 static void
-fail_unknown_step (LnRollouts *rollouts, LnStepCall *call)
+fail_call_for_unknown_step (LnRollouts *rollouts, LnStepCall *call)
 {
   if (lc_rollouts_has_subscription (rollouts->core, call->key.subscription))
     fail_call (rollouts, call, LB_ERROR_UNKNOWN_STEP, "the step was never opened");
@@ -109,7 +109,7 @@
 }
 
 LnStepCall *
-ln_rollouts_find_call (LbList *calls, uint64_t id)
+ln_rollouts_find_call_by_id (LbList *calls, uint64_t id)
 {
   LB_LIST_FOREACH (calls, LnStepCall, link, call)
   {
@@ -136,11 +136,11 @@
   lc_step_spec_clear (&spec);
   lc_rollouts_get_step_status (rollouts->core, call->key.subscription, call->key.step, &status);
   if (ok)
-    ln_step_call_reply_open (call, status.slots, step->owner.session, step->is_durable);
+    ln_step_call_reply_opened (call, status.slots, step->owner.session, step->is_durable);
   else
     ln_step_call_reply_error (call, &error, 0);
   ln_rollouts_end_call (rollouts, call);
-  ln_rollouts_run_actions (rollouts, &actions);
+  ln_rollouts_execute_actions (rollouts, &actions);
 }
 
 static void
@@ -151,11 +151,11 @@
   lb_list_init (&actions);
   lb_list_append (&rollouts->calls, &call->link);
   lc_rollouts_handle_pull (rollouts->core, &call->pull, lb_clock_monotonic (), &actions);
-  ln_rollouts_run_actions (rollouts, &actions);
+  ln_rollouts_execute_actions (rollouts, &actions);
 }
 
 static void
-reply_status (LnRollouts *rollouts, LnStepCall *call, const LnTrackedStep *step)
+reply_step_status (LnRollouts *rollouts, LnStepCall *call, const LnTrackedStep *step)
 {
   LcStepStatus status;
 
@@ -169,7 +169,7 @@
 }
 
 static void
-serve_call (LnRollouts *rollouts, LnStepCall *call, const LnTrackedStep *step)
+serve_call_of_open_step (LnRollouts *rollouts, LnStepCall *call, const LnTrackedStep *step)
 {
   switch (call->type)
     {
@@ -180,16 +180,16 @@
       start_pull (rollouts, call);
       break;
     case LN_STEP_STATUS:
-      reply_status (rollouts, call, step);
+      reply_step_status (rollouts, call, step);
       break;
     }
 }
 
 /* --- liveness of owners --- */
 
-/* An instance that is missing from the membership view, or there as another incarnation, counts as
- * dead. If the view is wrong, a step has two owners for a while; the session in rows and cursors
- * makes sure that only one of them delivers. */
+/* An owner that is missing from the member list, or listed with another incarnation, counts as
+ * dead. If the list is wrong, a step has two owners for a while. The session number in rows and
+ * cursors ensures that only one of the two owners delivers samples. */
 static bool
 is_owner_alive (const LnRollouts *rollouts, const LnStepOwner *owner)
 {
@@ -203,7 +203,7 @@
   return false;
 }
 
-/* --- relays --- */
+/* --- relaying calls --- */
 
 static void
 on_relay_done (LnStepCall *call, LbErrorCode failure, void *user)
@@ -218,7 +218,7 @@
 }
 
 static void
-relay_call (LnRollouts *rollouts, LnStepCall *call, const LnStepOwner *owner)
+relay_call_to_owner (LnRollouts *rollouts, LnStepCall *call, const LnStepOwner *owner)
 {
   if (ln_exchange_header (call->exchange, "x-relayed-by"))
     {
@@ -236,7 +236,7 @@
 }
 
 void
-ln_rollouts_reroute_relays (LnRollouts *rollouts)
+ln_rollouts_reroute_calls_of_dead_owners (LnRollouts *rollouts)
 {
   LB_LIST_FOREACH (&rollouts->calls, LnStepCall, link, call)
   {
@@ -248,9 +248,10 @@
   }
 }
 
-/* A draining instance doesn't claim steps; it relays the call to one that does. */
+/* Relays a call for a step without an owner to an instance that can claim the step. Called while
+ * draining, when this instance claims no steps. */
 static void
-relay_to_other_member (LnRollouts *rollouts, LnStepCall *call)
+relay_call_to_accepting_member (LnRollouts *rollouts, LnStepCall *call)
 {
   for (size_t i = 0; i < rollouts->n_members; i++)
     {
@@ -261,13 +262,13 @@
       LB_COPY (other.instance, member->name);
       LB_COPY (other.incarnation, member->incarnation);
       LB_COPY (other.address, member->caller_address);
-      relay_call (rollouts, call, &other);
+      relay_call_to_owner (rollouts, call, &other);
       return;
     }
   fail_call (rollouts, call, LB_ERROR_DRAINING, "this instance is shutting down");
 }
 
-/* --- claims --- */
+/* --- looking up owners and claiming steps --- */
 
 static bool
 take_over_step (LnRollouts *rollouts,
@@ -292,11 +293,11 @@
                                            &actions, error);
   lc_step_spec_clear (&spec);
   ln_step_samples_clear (&samples);
-  ln_rollouts_run_actions (rollouts, &actions);
+  ln_rollouts_execute_actions (rollouts, &actions);
   return ok;
 }
 
-/* Serves or relays the calls that waited for the step's owner, in the order of their arrival. */
+/* Serves or relays, in order of arrival, the calls that waited for the step's owner to be known. */
 static void
 serve_waiting_calls (LnRollouts *rollouts, LbList *waiting_calls, const LnStepClaimResult *result)
 {
@@ -309,22 +310,23 @@
       if (!call->exchange)
         ln_rollouts_end_call (rollouts, call);
       else if (result->outcome == LN_STEP_OWNED_HERE && step && step->is_open)
-        serve_call (rollouts, call, step);
+        serve_call_of_open_step (rollouts, call, step);
       else if (result->outcome == LN_STEP_OWNED_ELSEWHERE)
-        relay_call (rollouts, call, &result->owner);
+        relay_call_to_owner (rollouts, call, &result->owner);
       else if (result->outcome == LN_STEP_UNOWNED)
-        relay_to_other_member (rollouts, call);
+        relay_call_to_accepting_member (rollouts, call);
       else if (result->outcome == LN_STEP_NOT_FOUND)
-        fail_unknown_step (rollouts, call);
+        fail_call_for_unknown_step (rollouts, call);
       else
         fail_call (rollouts, call, result->error ? result->error : LB_ERROR_NOT_READY,
                    "the step's owner could not be determined");
     }
 }
 
-/* A step may be opened while the store is unavailable; its row is written when the store is back.
- * Until then another instance may open the same step as well. Each accepts the cursors of the
- * other, as they name the samples that the trainer has. */
+/* A step may be opened while the store is unavailable. Its row is written when the store is
+ * available again. Another instance may also open the step in the meantime. Each of the two
+ * instances accepts cursors of the other, because a cursor names the samples that the trainer has.
+ */
 static bool
 can_open_without_store (const LnTrackedStep *step, const LnStepClaimResult *result)
 {
@@ -334,7 +336,7 @@
 }
 
 static void
-mark_open (LnTrackedStep *step, const LnStepOwner *owner, bool is_durable)
+mark_step_open (LnTrackedStep *step, const LnStepOwner *owner, bool is_durable)
 {
   step->owner = *owner;
   step->is_open = true;
@@ -347,7 +349,7 @@
 }
 
 static void
-finish_lookup (LnRollouts *rollouts, LnTrackedStep *step, LnStepClaimResult *result)
+finish_owner_lookup (LnRollouts *rollouts, LnTrackedStep *step, LnStepClaimResult *result)
 {
   LbList waiting_calls = { 0 };
   LbError error = { .code = LB_OK };
@@ -359,13 +361,13 @@
   if (can_open_without_store (step, result))
     {
       LnStepOwner own = { .session = 1 };
-      mark_open (step, &own, false);
-      step->retry_at = lb_clock_monotonic () + WRITE_RETRY_INTERVAL;
+      mark_step_open (step, &own, false);
+      step->retry_at = lb_clock_monotonic () + OWNER_WRITE_RETRY_DELAY;
       result->outcome = LN_STEP_OWNED_HERE;
     }
   else if (result->outcome == LN_STEP_OWNED_HERE
            && (!result->stored.content || take_over_step (rollouts, step, result, &error)))
-    mark_open (step, &result->owner, true);
+    mark_step_open (step, &result->owner, true);
   else
     {
       if (result->outcome == LN_STEP_OWNED_HERE)
@@ -376,33 +378,36 @@
   ln_rollouts_remove_closed_steps (rollouts);
 }
 
-/* Handles the claim of a step that was opened while the store was unavailable. */
+/* Handles the result of claiming a step that was opened while the store was unavailable. Aborts the
+ * step if another instance owns it. */
 static void
-finish_late_claim (LnRollouts *rollouts, LnTrackedStep *step, const LnStepClaimResult *result)
+finish_claim_of_open_step (LnRollouts *rollouts,
+                           LnTrackedStep *step,
+                           const LnStepClaimResult *result)
 {
   LbList actions;
 
   if (result->outcome == LN_STEP_OWNED_HERE && result->owner.session == step->owner.session)
     {
-      mark_open (step, &result->owner, true);
+      mark_step_open (step, &result->owner, true);
       return;
     }
   if (result->outcome == LN_STEP_CLAIM_FAILED)
     {
-      step->retry_at = lb_clock_monotonic () + WRITE_RETRY_INTERVAL;
+      step->retry_at = lb_clock_monotonic () + OWNER_WRITE_RETRY_DELAY;
       return;
     }
   lb_list_init (&actions);
   lc_rollouts_abort_step (rollouts->core, step->key.subscription, step->key.step,
                           lb_clock_monotonic (), &actions);
-  ln_rollouts_run_actions (rollouts, &actions);
+  ln_rollouts_execute_actions (rollouts, &actions);
   ln_rollouts_remove_closed_steps (rollouts);
 }
 
 static void
 on_claim_done (const LnStepClaimResult *claim_result, void *user)
 {
-  StepOperation *operation = user;
+  OwnershipOperation *operation = user;
   LnRollouts *rollouts = operation->rollouts;
   LnTrackedStep *step = ln_rollouts_find_step (rollouts, &operation->key);
   LnStepClaimResult result = *claim_result;
@@ -411,25 +416,25 @@
   rollouts->n_operations--;
   step->is_claiming = false;
   if (step->is_open)
-    finish_late_claim (rollouts, step, &result);
+    finish_claim_of_open_step (rollouts, step, &result);
   else
-    finish_lookup (rollouts, step, &result);
+    finish_owner_lookup (rollouts, step, &result);
 }
 
 static bool
 is_owner_alive_callback (const LnStepOwner *owner, void *user)
 {
-  const StepOperation *operation = user;
+  const OwnershipOperation *operation = user;
 
   return is_owner_alive (operation->rollouts, owner);
 }
 
 static void
-start_claim (LnRollouts *rollouts, LnTrackedStep *step)
+start_step_claim (LnRollouts *rollouts, LnTrackedStep *step)
 {
-  StepOperation *operation = LB_NEW (StepOperation);
+  OwnershipOperation *operation = LB_NEW (OwnershipOperation);
 
-  *operation = (StepOperation){ .rollouts = rollouts, .key = step->key };
+  *operation = (OwnershipOperation){ .rollouts = rollouts, .key = step->key };
   step->is_claiming = true;
   rollouts->n_operations++;
   ln_step_claim_start (rollouts->store, &(LnStepClaimRequest){
@@ -451,7 +456,7 @@
 
   if (step && step->is_open)
     {
-      serve_call (rollouts, call, step);
+      serve_call_of_open_step (rollouts, call, step);
       return;
     }
   if (++call->owner_lookups > MAX_OWNER_LOOKUPS)
@@ -460,25 +465,25 @@
       return;
     }
   if (!step)
-    step = add_step (rollouts, &call->key);
+    step = add_tracked_step (rollouts, &call->key);
   if (call->type == LN_STEP_OPEN && !step->content && !step->is_claiming)
     step->content = lb_strdup (ln_exchange_body (call->exchange, &length));
   lb_list_append (&step->waiting_calls, &call->link);
   if (!step->is_claiming)
-    start_claim (rollouts, step);
+    start_step_claim (rollouts, step);
 }
 
 static void
-start_late_claims (LnRollouts *rollouts, LbTime now)
+start_claims_of_open_steps (LnRollouts *rollouts, LbTime now)
 {
   LB_LIST_FOREACH (&rollouts->steps, LnTrackedStep, link, step)
   {
     if (step->is_open && !step->is_durable && !step->is_claiming && step->retry_at <= now)
-      start_claim (rollouts, step);
+      start_step_claim (rollouts, step);
   }
 }
 
-/* --- releases --- */
+/* --- releasing steps while draining --- */
 
 static void
 abort_step (LnRollouts *rollouts, const LnTrackedStep *step)
@@ -489,14 +494,14 @@
   lb_list_init (&actions);
   lc_rollouts_abort_step (rollouts->core, key.subscription, key.step, lb_clock_monotonic (),
                           &actions);
-  ln_rollouts_run_actions (rollouts, &actions);
+  ln_rollouts_execute_actions (rollouts, &actions);
   ln_rollouts_remove_closed_steps (rollouts);
 }
 
 static void
-on_released (LbErrorCode error, void *user)
+on_step_released (LbErrorCode error, void *user)
 {
-  StepOperation *operation = user;
+  OwnershipOperation *operation = user;
   LnRollouts *rollouts = operation->rollouts;
   LnTrackedStep *step = ln_rollouts_find_step (rollouts, &operation->key);
 
@@ -507,7 +512,7 @@
   lb_log (LB_LOG_INFO, "step-released", LB_TEXT ("subscription", step->key.subscription),
           LB_INT ("step", step->key.step), LB_TEXT ("error", lb_error_name (error)));
   step->is_releasing = false;
-  step->retry_at = lb_clock_monotonic () + WRITE_RETRY_INTERVAL;
+  step->retry_at = lb_clock_monotonic () + OWNER_WRITE_RETRY_DELAY;
   if (error == LB_OK || error == LB_ERROR_CONDITION_FAILED
       || ++step->release_attempts >= MAX_RELEASE_ATTEMPTS)
     abort_step (rollouts, step);
@@ -516,23 +521,23 @@
 static void
 release_step (LnRollouts *rollouts, LnTrackedStep *step)
 {
-  StepOperation *operation = LB_NEW (StepOperation);
+  OwnershipOperation *operation = LB_NEW (OwnershipOperation);
   LcReadySample *samples = NULL;
   size_t n_samples = lc_rollouts_list_unacknowledged (rollouts->core, step->key.subscription,
                                                       step->key.step, &samples);
   struct json_object *json = ln_step_samples_to_json (samples, n_samples, 0);
 
-  *operation = (StepOperation){ .rollouts = rollouts, .key = step->key };
+  *operation = (OwnershipOperation){ .rollouts = rollouts, .key = step->key };
   step->is_releasing = true;
   rollouts->n_operations++;
-  ln_step_store_release (rollouts->store, &step->key, &step->owner,
-                         json_object_to_json_string_ext (json, JSON_C_TO_STRING_PLAIN), on_released,
-                         operation);
+  ln_step_store_release_step (rollouts->store, &step->key, &step->owner,
+                              json_object_to_json_string_ext (json, JSON_C_TO_STRING_PLAIN),
+                              on_step_released, operation);
   json_object_put (json);
   free (samples);
 }
 
-/* Releases only steps without running requests, so that no generation is interrupted. */
+/* Releases the steps that have no running requests, so that no generation is interrupted. */
 static void
 release_idle_steps (LnRollouts *rollouts, LbTime now)
 {
@@ -546,7 +551,7 @@
       continue;
     if (step->is_durable)
       release_step (rollouts, step);
-    else if (now - rollouts->draining_since > MAX_RELEASE_ATTEMPTS * WRITE_RETRY_INTERVAL)
+    else if (now - rollouts->draining_since > MAX_RELEASE_ATTEMPTS * OWNER_WRITE_RETRY_DELAY)
       {
         abort_step (rollouts, step);
         return;
@@ -555,11 +560,11 @@
 }
 
 void
-ln_rollouts_tick_owners (LnRollouts *rollouts)
+ln_rollouts_retry_claims_and_releases (LnRollouts *rollouts)
 {
   LbTime now = lb_clock_monotonic ();
 
-  start_late_claims (rollouts, now);
+  start_claims_of_open_steps (rollouts, now);
   if (rollouts->is_draining)
     release_idle_steps (rollouts, now);
 }
--- a/packages/node/src/rollout/ln-rollouts-private.h
+++ b/packages/node/src/rollout/ln-rollouts-private.h
@@ -5,59 +5,61 @@
 #include "ln-messages.h"
 #include "ln-step-call.h"
 
-/* A step that this instance owns, or whose owner it is looking up. */
+/* A step that this instance owns, or whose owner this instance is looking up. */
 typedef struct
 {
   LbLink link;
   LnStepKey key;
   LnStepOwner owner;
-  bool is_open;      /* this instance owns and serves it; false: the owner is being looked up */
-  bool is_durable;   /* its owner row is known to be stored */
-  bool is_claiming;  /* a lookup or claim is in progress */
-  bool is_releasing; /* its release to another instance is in progress */
-  int release_attempts;
-  char *content;        /* body of the open request, until the step is durable; NULL: none */
-  LbTime retry_at;      /* time of the next attempt of the claim or the release */
-  LbList waiting_calls; /* LnStepCall, until the owner is known */
+  bool is_open;      /* true: this instance owns and serves the step; false: looks up its owner */
+  bool is_durable;   /* the owner row of the step is known to be stored */
+  bool is_claiming;  /* a lookup of the owner or a claim of the step is in progress */
+  bool is_releasing; /* a write that releases the step for another instance is in progress */
+  int release_attempts; /* number of failed releases */
+  char *content;        /* body of the request that opens the step; NULL if none or durable */
+  LbTime retry_at;      /* time of the next attempt to claim or release the step */
+  LbList waiting_calls; /* list of the LnStepCall that wait for the owner to be known */
 } LnTrackedStep;
 
-/* The task "rollouts": serves the steps of trainers. Runs LcRollouts and does the I/O that it
- * requests. */
+/* The task "rollouts", which serves the steps of trainers. Runs LcRollouts and does the I/O that
+ * LcRollouts requests. */
 typedef struct
 {
   LnTask task; /* must be the first member */
   LnContext *context;
-  LcRollouts *core; /* decides; runs no I/O */
+  LcRollouts *core; /* state machine of the steps; does no I/O */
   LnStepStore *store;
-  LcResourceSet *resources; /* the configuration in force */
+  LcResourceSet *resources; /* current configuration; NULL before the first one */
   LnMember *members;
   size_t n_members;
   struct event *timer;
-  LbList steps;        /* LnTrackedStep */
-  LbList calls;        /* LnStepCall that wait in LcRollouts or for a relay */
-  size_t n_operations; /* claims and releases in progress */
-  bool is_ready;       /* the resources in force are confirmed */
-  bool is_draining;
+  LbList steps;        /* list of LnTrackedStep */
+  LbList calls;        /* list of the LnStepCall that wait for samples or for a relayed reply */
+  size_t n_operations; /* number of claims and releases in progress */
+  bool is_ready;       /* the current configuration is confirmed, so new steps may be opened */
+  bool is_draining;    /* set while this instance shuts down */
   LbTime draining_since;
 } LnRollouts;
 
-/* ln-rollouts-run.c: actions of LcRollouts */
-void ln_rollouts_run_actions (LnRollouts *rollouts, LbList *actions);
+/* Defined in ln-rollouts-run.c: carries out and frees the actions that LcRollouts returned. */
+void ln_rollouts_execute_actions (LnRollouts *rollouts, LbList *actions);
 
-/* ln-rollouts-owners.c: which instance owns a step */
+/* Defined in ln-rollouts-owners.c, which looks up, claims and releases the ownership of steps. */
 
-/* Serves the call if the step is open here, else looks up the owner and relays the call to it. */
+/* Serves the call if this instance has the step open. Otherwise looks up the step's owner and
+ * relays the call to the owner. */
 void ln_rollouts_route_call (LnRollouts *rollouts, LnStepCall *call);
+/* Cancels the call's relay, if any, and frees the call. */
 void ln_rollouts_end_call (LnRollouts *rollouts, LnStepCall *call);
-/* Routes calls again that were relayed to an owner that has died since, instead of waiting for the
- * relay to time out. */
-void ln_rollouts_reroute_relays (LnRollouts *rollouts);
-/* Removes steps that LcRollouts has closed or aborted. */
+/* Routes calls again whose relay target has died, instead of waiting for the relay to time out. */
+void ln_rollouts_reroute_calls_of_dead_owners (LnRollouts *rollouts);
+/* Frees the tracked steps that LcRollouts has closed or aborted. */
 void ln_rollouts_remove_closed_steps (LnRollouts *rollouts);
-/* Claims steps that were opened while the store was unavailable; releases steps while draining. */
-void ln_rollouts_tick_owners (LnRollouts *rollouts);
+/* Retries claims of steps that were opened while the store was unavailable. While draining,
+ * releases steps. */
+void ln_rollouts_retry_claims_and_releases (LnRollouts *rollouts);
 void ln_rollouts_remove_step (LnRollouts *rollouts, LnTrackedStep *step);
 LnTrackedStep *ln_rollouts_find_step (LnRollouts *rollouts, const LnStepKey *key);
-LnStepCall *ln_rollouts_find_call (LbList *calls, uint64_t id);
+LnStepCall *ln_rollouts_find_call_by_id (LbList *calls, uint64_t id);
 
 #endif
--- a/packages/node/src/rollout/ln-rollouts-run.c
+++ b/packages/node/src/rollout/ln-rollouts-run.c
@@ -12,7 +12,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define DRAIN_TICK_PERIOD (50 * LB_MSEC)
+#define DRAIN_TICK_INTERVAL (50 * LB_MSEC)
 
 typedef struct
 {
@@ -39,7 +39,7 @@
 }
 
 static char *
-build_generate_body (const LnRollouts *rollouts, const LcRolloutAction *action)
+build_generation_body (const LnRollouts *rollouts, const LcRolloutAction *action)
 {
   struct json_object *object = json_object_new_object ();
 
@@ -52,7 +52,7 @@
 }
 
 static char *
-build_score_body (const LcRolloutAction *action)
+build_scoring_body (const LcRolloutAction *action)
 {
   struct json_object *object = json_object_new_object ();
 
@@ -62,24 +62,24 @@
 }
 
 static void
-post_sample (LnRollouts *rollouts, LcRolloutAction *action)
+post_sample_request (LnRollouts *rollouts, LcRolloutAction *action)
 {
   LnSampleMessage message = { .base = LN_MESSAGE (LN_SAMPLE), .spec = action->spec };
 
   message.base.clear = clear_sample_message;
-  /* The samples of a group share their prompt, so an endpoint that has it cached is worth waiting
-   * for. */
+  /* Lets the router prefer an endpoint that has the prompt cached: the samples of a group share
+   * their prompt. */
   if (action->type == LC_ROLLOUT_GENERATE)
     ln_call_hash_prompt (&message.spec, action->prompt, strlen (action->prompt));
-  message.body = action->type == LC_ROLLOUT_SCORE ? build_score_body (action)
-                                                  : build_generate_body (rollouts, action);
+  message.body = action->type == LC_ROLLOUT_SCORE ? build_scoring_body (action)
+                                                  : build_generation_body (rollouts, action);
   message.resume_text = action->resume_text;
   action->resume_text = NULL;
   LN_POST (rollouts->task.hub, ln_hub_find_task (rollouts->task.hub, "calls"), message);
 }
 
 static void
-post_cancel (LnRollouts *rollouts, const LcRolloutAction *action)
+post_sample_cancel (LnRollouts *rollouts, const LcRolloutAction *action)
 {
   LnSampleCancelMessage message = { .base = LN_MESSAGE (LN_SAMPLE_CANCEL),
                                     .request = action->spec.id,
@@ -99,7 +99,7 @@
   lc_rollouts_finish_ledger_write (rollouts->core, write->write_id, error, lb_clock_monotonic (),
                                    &actions);
   free (write);
-  ln_rollouts_run_actions (rollouts, &actions);
+  ln_rollouts_execute_actions (rollouts, &actions);
   ln_rollouts_remove_closed_steps (rollouts);
 }
 
@@ -134,7 +134,7 @@
                               on_ledger_written, write);
 }
 
-/* Routes the trainer's call again, since another instance has claimed the step meanwhile. */
+/* Routes a trainer's call again after another instance has claimed the step. */
 static void
 reroute_call (LnRollouts *rollouts, LnStepCall *call)
 {
@@ -146,7 +146,7 @@
 static void
 reply_to_pull (LnRollouts *rollouts, const LcRolloutAction *action)
 {
-  LnStepCall *call = ln_rollouts_find_call (&rollouts->calls, action->pull_id);
+  LnStepCall *call = ln_rollouts_find_call_by_id (&rollouts->calls, action->pull_id);
 
   if (!call)
     return;
@@ -156,24 +156,24 @@
       return;
     }
   if (action->error.code == LB_OK)
-    ln_step_call_reply_chunk (call, action);
+    ln_step_call_reply_samples (call, action);
   else
     ln_step_call_reply_error (call, &action->error, action->retry_after);
   ln_rollouts_end_call (rollouts, call);
 }
 
 static void
-run_action (LnRollouts *rollouts, LcRolloutAction *action, LbList *actions)
+execute_action (LnRollouts *rollouts, LcRolloutAction *action, LbList *actions)
 {
   switch (action->type)
     {
     case LC_ROLLOUT_GENERATE:
     case LC_ROLLOUT_SCORE:
-      post_sample (rollouts, action);
+      post_sample_request (rollouts, action);
       break;
     case LC_ROLLOUT_CANCEL:
     case LC_ROLLOUT_PREEMPT:
-      post_cancel (rollouts, action);
+      post_sample_cancel (rollouts, action);
       break;
     case LC_ROLLOUT_WRITE_LEDGER:
       write_ledger (rollouts, action, actions);
@@ -185,12 +185,12 @@
 }
 
 static void
-schedule_tick (LnRollouts *rollouts)
+schedule_next_tick (LnRollouts *rollouts)
 {
   LbTime next = lc_rollouts_next_tick (rollouts->core);
 
   if (rollouts->is_draining && !lb_list_is_empty (&rollouts->steps))
-    next = lb_clock_monotonic () + DRAIN_TICK_PERIOD;
+    next = lb_clock_monotonic () + DRAIN_TICK_INTERVAL;
   if (next == LB_TIME_NEVER)
     {
       evtimer_del (rollouts->timer);
@@ -204,15 +204,15 @@
 }
 
 void
-ln_rollouts_run_actions (LnRollouts *rollouts, LbList *actions)
+ln_rollouts_execute_actions (LnRollouts *rollouts, LbList *actions)
 {
   LbLink *link;
 
   while ((link = lb_list_pop (actions)))
     {
       LcRolloutAction *action = LB_CONTAINER (link, LcRolloutAction, link);
-      run_action (rollouts, action, actions);
+      execute_action (rollouts, action, actions);
       lc_rollout_action_free (action);
     }
-  schedule_tick (rollouts);
+  schedule_next_tick (rollouts);
 }
--- a/packages/node/src/rollout/ln-rollouts.c
+++ b/packages/node/src/rollout/ln-rollouts.c
@@ -11,7 +11,7 @@
 #include <string.h>
 
 static void
-on_tick (evutil_socket_t fd, short what, void *user)
+on_tick_timer (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -20,31 +20,31 @@
 
   lb_list_init (&actions);
   lc_rollouts_tick (rollouts->core, lb_clock_monotonic (), &actions);
-  ln_rollouts_run_actions (rollouts, &actions);
+  ln_rollouts_execute_actions (rollouts, &actions);
   ln_rollouts_remove_closed_steps (rollouts);
-  ln_rollouts_tick_owners (rollouts);
+  ln_rollouts_retry_claims_and_releases (rollouts);
 }
 
-/* --- messages --- */
+/* --- handling messages --- */
 
 static bool
-is_open_here (LnRollouts *rollouts, const LnStepCall *call)
+is_step_open_here (LnRollouts *rollouts, const LnStepCall *call)
 {
   const LnTrackedStep *step = ln_rollouts_find_step (rollouts, &call->key);
 
   return step && step->is_open;
 }
 
-/* Once the drain time is over, a call is refused unless its step is still open here. A trainer
- * keeps using an address that answers: if its calls were relayed without a limit, one would always
- * be in progress and the drain would never end. A refused trainer switches to another instance. */
+/* Whether to refuse a call after the drain time because its step is not open on this instance. A
+ * trainer keeps using an address that answers, so relaying its calls without a time limit would
+ * keep the drain from ending. A refused trainer switches to another instance. */
 static bool
 must_refuse_call (LnRollouts *rollouts, const LnStepCall *call, LbTime now)
 {
   LbTime drain_time = rollouts->context->settings->drain.drain_ms * LB_MSEC;
 
   return rollouts->is_draining && now - rollouts->draining_since > drain_time
-         && !is_open_here (rollouts, call);
+         && !is_step_open_here (rollouts, call);
 }
 
 static void
@@ -61,7 +61,7 @@
       ln_step_call_free (call);
       return;
     }
-  if (call && (rollouts->is_ready || is_open_here (rollouts, call)))
+  if (call && (rollouts->is_ready || is_step_open_here (rollouts, call)))
     {
       ln_rollouts_route_call (rollouts, call);
       return;
@@ -76,14 +76,14 @@
 }
 
 static LnStepCall *
-find_pending_call (LnRollouts *rollouts, uint64_t id)
+find_call_in_progress (LnRollouts *rollouts, uint64_t id)
 {
-  LnStepCall *call = ln_rollouts_find_call (&rollouts->calls, id);
+  LnStepCall *call = ln_rollouts_find_call_by_id (&rollouts->calls, id);
 
   LB_LIST_FOREACH (&rollouts->steps, LnTrackedStep, link, step)
   {
     if (!call)
-      call = ln_rollouts_find_call (&step->waiting_calls, id);
+      call = ln_rollouts_find_call_by_id (&step->waiting_calls, id);
   }
   return call;
 }
@@ -91,15 +91,15 @@
 static void
 handle_disconnect (LnRollouts *rollouts, LnExchange *exchange)
 {
-  LnStepCall *call = find_pending_call (rollouts, ln_exchange_id (exchange));
+  LnStepCall *call = find_call_in_progress (rollouts, ln_exchange_id (exchange));
 
   if (!call)
     return;
   lc_rollouts_cancel_pull (rollouts->core, call->id);
   call->exchange = NULL;
   ln_exchange_end (exchange);
-  /* A call that waits for the step's owner ends when the lookup is done. */
-  if (ln_rollouts_find_call (&rollouts->calls, call->id))
+  /* A call that waits for a lookup of the step's owner is freed when the lookup is done. */
+  if (ln_rollouts_find_call_by_id (&rollouts->calls, call->id))
     ln_rollouts_end_call (rollouts, call);
 }
 
@@ -112,7 +112,7 @@
   lc_resource_set_free (rollouts->resources);
   rollouts->resources = lc_resource_set_copy (set);
   lc_rollouts_configure (rollouts->core, rollouts->resources, lb_clock_monotonic (), &actions);
-  ln_rollouts_run_actions (rollouts, &actions);
+  ln_rollouts_execute_actions (rollouts, &actions);
 }
 
 static void
@@ -121,7 +121,7 @@
   free (rollouts->members);
   rollouts->members = lb_memdup (message->members, message->n_members * sizeof (LnMember));
   rollouts->n_members = message->n_members;
-  ln_rollouts_reroute_relays (rollouts);
+  ln_rollouts_reroute_calls_of_dead_owners (rollouts);
 }
 
 static void
@@ -132,18 +132,18 @@
   lb_list_init (&actions);
   lc_rollouts_set_versions (rollouts->core, message->pool, message->newest, message->cadence,
                             lb_clock_monotonic (), &actions);
-  ln_rollouts_run_actions (rollouts, &actions);
+  ln_rollouts_execute_actions (rollouts, &actions);
 }
 
 static void
-receive_piece (LnRollouts *rollouts, const LnSamplePieceMessage *message)
+receive_sample_piece (LnRollouts *rollouts, const LnSamplePieceMessage *message)
 {
   LbList actions;
 
   lb_list_init (&actions);
   lc_rollouts_add_piece (rollouts->core, message->request, &message->piece, message->endpoint,
                          lb_clock_monotonic (), &actions);
-  ln_rollouts_run_actions (rollouts, &actions);
+  ln_rollouts_execute_actions (rollouts, &actions);
 }
 
 static bool
@@ -162,7 +162,7 @@
 }
 
 static void
-receive_score (LnRollouts *rollouts, const LnSampleDoneMessage *message, LbList *actions)
+receive_scoring_result (LnRollouts *rollouts, const LnSampleDoneMessage *message, LbList *actions)
 {
   LbErrorCode error = message->error;
   double score = 0;
@@ -174,18 +174,18 @@
 }
 
 static void
-receive_result (LnRollouts *rollouts, const LnSampleDoneMessage *message)
+receive_sample_result (LnRollouts *rollouts, const LnSampleDoneMessage *message)
 {
   LbList actions;
 
   lb_list_init (&actions);
   if (lc_rollouts_is_scoring_request (rollouts->core, message->request))
-    receive_score (rollouts, message, &actions);
+    receive_scoring_result (rollouts, message, &actions);
   else
     lc_rollouts_finish_generation (rollouts->core, message->request, message->error,
                                    message->text ? lb_strdup (message->text) : NULL,
                                    lb_clock_monotonic (), &actions);
-  ln_rollouts_run_actions (rollouts, &actions);
+  ln_rollouts_execute_actions (rollouts, &actions);
 }
 
 static void
@@ -205,10 +205,10 @@
       apply_config (rollouts, ((const LnConfigMessage *)message)->set);
       break;
     case LN_SAMPLE_PIECE:
-      receive_piece (rollouts, (const LnSamplePieceMessage *)message);
+      receive_sample_piece (rollouts, (const LnSamplePieceMessage *)message);
       break;
     case LN_SAMPLE_DONE:
-      receive_result (rollouts, (const LnSampleDoneMessage *)message);
+      receive_sample_result (rollouts, (const LnSampleDoneMessage *)message);
       break;
     case LN_POOL_VERSION:
       update_pool_version (rollouts, (const LnPoolVersionMessage *)message);
@@ -225,7 +225,7 @@
 }
 
 static void
-start_drain (LnTask *task)
+drain_rollouts (LnTask *task)
 {
   LnRollouts *rollouts = (LnRollouts *)task;
   LbList actions;
@@ -234,11 +234,11 @@
   rollouts->draining_since = lb_clock_monotonic ();
   lb_list_init (&actions);
   lc_rollouts_drain (rollouts->core, lb_clock_monotonic (), &actions);
-  ln_rollouts_run_actions (rollouts, &actions);
+  ln_rollouts_execute_actions (rollouts, &actions);
 }
 
 static bool
-is_idle (const LnTask *task)
+is_rollouts_task_idle (const LnTask *task)
 {
   const LnRollouts *rollouts = (const LnRollouts *)task;
 
@@ -248,7 +248,7 @@
 }
 
 static void
-free_calls (LbList *calls)
+free_step_calls (LbList *calls)
 {
   LbLink *link;
 
@@ -261,14 +261,14 @@
 }
 
 static void
-free_rollouts (LnTask *task)
+free_rollouts_task (LnTask *task)
 {
   LnRollouts *rollouts = (LnRollouts *)task;
 
-  free_calls (&rollouts->calls);
+  free_step_calls (&rollouts->calls);
   LB_LIST_FOREACH (&rollouts->steps, LnTrackedStep, link, step)
   {
-    free_calls (&step->waiting_calls);
+    free_step_calls (&step->waiting_calls);
     ln_rollouts_remove_step (rollouts, step);
   }
   ln_step_store_free (rollouts->store);
@@ -281,9 +281,9 @@
 
 static const LnTaskClass rollouts_class = { .name = "rollouts",
                                             .receive = receive_message,
-                                            .drain = start_drain,
-                                            .is_idle = is_idle,
-                                            .free = free_rollouts };
+                                            .drain = drain_rollouts,
+                                            .is_idle = is_rollouts_task_idle,
+                                            .free = free_rollouts_task };
 
 static LcRequestId
 new_request_id (void *user)
@@ -305,7 +305,7 @@
   rollouts->core = lc_rollouts_new (&settings);
   lc_rollouts_set_id_source (rollouts->core, new_request_id, context);
   rollouts->store = ln_step_store_new (context);
-  rollouts->timer = evtimer_new (context->base, on_tick, rollouts);
+  rollouts->timer = evtimer_new (context->base, on_tick_timer, rollouts);
   lb_list_init (&rollouts->steps);
   lb_list_init (&rollouts->calls);
   return &rollouts->task;
--- a/packages/node/src/rollout/ln-step-call.c
+++ b/packages/node/src/rollout/ln-step-call.c
@@ -10,20 +10,25 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define PATH_PREFIX "/v1/subscriptions/"
-#define MAX_WAIT_MS 30000
+#define SUBSCRIPTION_PATH_PREFIX "/v1/subscriptions/"
+#define MAX_PULL_WAIT_MS 30000
 #define MAX_SAMPLES_PER_PULL 4096
-#define MAX_TOKENS 10000000
+#define MAX_TOKENS_PER_SAMPLE 10000000
 
 static bool
-split_path (const char *path, LbName subscription, const char **subpath, LbError *error)
+split_subscription_path (const char *path,
+                         LbName subscription,
+                         const char **subpath,
+                         LbError *error)
 {
-  bool has_prefix = strncmp (path, PATH_PREFIX, strlen (PATH_PREFIX)) == 0;
-  const char *name = has_prefix ? path + strlen (PATH_PREFIX) : "";
+  bool has_prefix
+      = strncmp (path, SUBSCRIPTION_PATH_PREFIX, strlen (SUBSCRIPTION_PATH_PREFIX)) == 0;
+  const char *name = has_prefix ? path + strlen (SUBSCRIPTION_PATH_PREFIX) : "";
   const char *slash = strchr (name, '/');
 
   if (!slash || slash == name || slash - name >= LB_NAME_MAX)
-    return lb_error_set (error, LB_ERROR_UNKNOWN_PATH, path, "expected " PATH_PREFIX "NAME/...");
+    return lb_error_set (error, LB_ERROR_UNKNOWN_PATH, path,
+                         "expected " SUBSCRIPTION_PATH_PREFIX "NAME/...");
   memcpy (subscription, name, (size_t)(slash - name));
   subscription[slash - name] = '\0';
   *subpath = slash + 1;
@@ -54,15 +59,16 @@
   return true;
 }
 
-/* An absent key that is not required leaves value unchanged. */
+/* Reads an integer member of a JSON object. Leaves *value unchanged if the key is absent and not
+ * required. */
 static bool
-read_integer (struct json_object *object,
-              const char *key,
-              int64_t min,
-              int64_t max,
-              bool is_required,
-              int64_t *value,
-              LbError *error)
+read_json_integer (struct json_object *object,
+                   const char *key,
+                   int64_t min,
+                   int64_t max,
+                   bool is_required,
+                   int64_t *value,
+                   LbError *error)
 {
   struct json_object *member = NULL;
 
@@ -78,7 +84,7 @@
 }
 
 static bool
-read_text (struct json_object *object, const char *key, const char **text, LbError *error)
+read_json_string (struct json_object *object, const char *key, const char **text, LbError *error)
 {
   struct json_object *member = NULL;
 
@@ -91,7 +97,7 @@
 }
 
 static struct json_object *
-parse_body (const char *body, size_t length, LbError *error)
+parse_json_body (const char *body, size_t length, LbError *error)
 {
   struct json_tokener *tokener = json_tokener_new ();
   struct json_object *object
@@ -108,20 +114,20 @@
 }
 
 static bool
-parse_pull (LnStepCall *call, LbTime now, LbError *error)
+parse_pull_request (LnStepCall *call, LbTime now, LbError *error)
 {
   size_t length;
   const char *body = ln_exchange_body (call->exchange, &length);
-  struct json_object *object = parse_body (body, length, error);
+  struct json_object *object = parse_json_body (body, length, error);
   const char *cursor = "";
   int64_t wait_ms = 0;
-  bool ok = object && read_integer (object, "step", 0, INT64_MAX, true, &call->key.step, error)
-            && read_text (object, "cursor", &cursor, error)
-            && read_integer (object, "weight_version", 0, INT64_MAX, true,
-                             &call->pull.trainer_version, error)
-            && read_integer (object, "max_samples", 1, MAX_SAMPLES_PER_PULL, false,
-                             &call->pull.max_samples, error)
-            && read_integer (object, "wait_ms", 0, MAX_WAIT_MS, false, &wait_ms, error);
+  bool ok = object && read_json_integer (object, "step", 0, INT64_MAX, true, &call->key.step, error)
+            && read_json_string (object, "cursor", &cursor, error)
+            && read_json_integer (object, "weight_version", 0, INT64_MAX, true,
+                                  &call->pull.trainer_version, error)
+            && read_json_integer (object, "max_samples", 1, MAX_SAMPLES_PER_PULL, false,
+                                  &call->pull.max_samples, error)
+            && read_json_integer (object, "wait_ms", 0, MAX_PULL_WAIT_MS, false, &wait_ms, error);
 
   if (ok)
     {
@@ -137,7 +143,7 @@
 }
 
 static bool
-parse_open (LnStepCall *call, const LcRollouts *core, LbError *error)
+parse_open_request (LnStepCall *call, const LcRollouts *core, LbError *error)
 {
   size_t length;
   const char *body = ln_exchange_body (call->exchange, &length);
@@ -145,8 +151,9 @@
 
   if (!ln_step_spec_parse (&spec, call->key.subscription, body, length, error))
     return false;
-  /* Checked before the store is written, since a step claimed with invalid content could not be
-   * opened. A draining instance relays the call. */
+  /* Rejects an invalid step before the store is written, because a step that was claimed with
+   * invalid content could not be opened. Draining is no error, because a draining instance relays
+   * the call. */
   bool ok = lc_rollouts_can_open_step (core, &spec, error) || error->code == LB_ERROR_DRAINING;
   call->key.step = spec.step;
   lc_step_spec_clear (&spec);
@@ -162,12 +169,13 @@
   call->exchange = exchange;
   call->id = ln_exchange_id (exchange);
   call->pull.max_samples = MAX_SAMPLES_PER_PULL;
-  if (!split_path (ln_exchange_path (exchange), call->key.subscription, &subpath, error)
+  if (!split_subscription_path (ln_exchange_path (exchange), call->key.subscription, &subpath,
+                                error)
       || !parse_call_type (call, ln_exchange_method (exchange), subpath, error))
     goto fail;
-  if (call->type == LN_STEP_PULL && !parse_pull (call, now, error))
+  if (call->type == LN_STEP_PULL && !parse_pull_request (call, now, error))
     goto fail;
-  if (call->type == LN_STEP_OPEN && !parse_open (call, core, error))
+  if (call->type == LN_STEP_OPEN && !parse_open_request (call, core, error))
     goto fail;
   return call;
 fail:
@@ -183,16 +191,18 @@
 }
 
 static bool
-parse_group (struct json_object *object, LcGroupSpec *group, LbError *error)
+parse_group_spec (struct json_object *object, LcGroupSpec *group, LbError *error)
 {
   const char *id = "";
   const char *prompt = "";
 
   if (!json_object_is_type (object, json_type_object))
     return lb_error_set (error, LB_ERROR_BAD_VALUE, "groups", "expected a list of objects");
-  if (!read_text (object, "id", &id, error) || !read_text (object, "prompt", &prompt, error)
-      || !read_integer (object, "samples", 1, INT32_MAX, true, &group->samples, error)
-      || !read_integer (object, "max_tokens", 1, MAX_TOKENS, true, &group->max_tokens, error))
+  if (!read_json_string (object, "id", &id, error)
+      || !read_json_string (object, "prompt", &prompt, error)
+      || !read_json_integer (object, "samples", 1, INT32_MAX, true, &group->samples, error)
+      || !read_json_integer (object, "max_tokens", 1, MAX_TOKENS_PER_SAMPLE, true,
+                             &group->max_tokens, error))
     return false;
   if (strlen (id) >= LB_NAME_MAX)
     return lb_error_set (error, LB_ERROR_OUT_OF_RANGE, "groups.id", "the id is too long");
@@ -202,7 +212,7 @@
 }
 
 static bool
-parse_groups (struct json_object *object, LcStepSpec *spec, LbError *error)
+parse_group_specs (struct json_object *object, LcStepSpec *spec, LbError *error)
 {
   struct json_object *groups = NULL;
 
@@ -212,7 +222,7 @@
   spec->n_groups = json_object_array_length (groups);
   spec->groups = LB_NEW_ARRAY (LcGroupSpec, spec->n_groups);
   for (size_t i = 0; i < spec->n_groups; i++)
-    if (!parse_group (json_object_array_get_idx (groups, i), &spec->groups[i], error))
+    if (!parse_group_spec (json_object_array_get_idx (groups, i), &spec->groups[i], error))
       return false;
   return true;
 }
@@ -221,21 +231,22 @@
 ln_step_spec_parse (
     LcStepSpec *spec, const char *subscription, const char *body, size_t length, LbError *error)
 {
-  struct json_object *object = parse_body (body, length, error);
+  struct json_object *object = parse_json_body (body, length, error);
   bool ok;
 
   memset (spec, 0, sizeof *spec);
   LB_COPY (spec->subscription, subscription);
-  ok = object && read_integer (object, "step", 0, INT64_MAX, true, &spec->step, error)
-       && read_integer (object, "weight_version", 0, INT64_MAX, true, &spec->trainer_version, error)
-       && parse_groups (object, spec, error);
+  ok = object && read_json_integer (object, "step", 0, INT64_MAX, true, &spec->step, error)
+       && read_json_integer (object, "weight_version", 0, INT64_MAX, true, &spec->trainer_version,
+                             error)
+       && parse_group_specs (object, spec, error);
   if (!ok)
     lc_step_spec_clear (spec);
   json_object_put (object);
   return ok;
 }
 
-/* --- replies --- */
+/* --- replies to the trainer --- */
 
 void
 ln_step_call_reply_error (LnStepCall *call, const LbError *error, LbTime retry_after)
@@ -246,7 +257,7 @@
 }
 
 static void
-send_reply (LnStepCall *call, int status, struct json_object *object)
+send_json_reply (LnStepCall *call, int status, struct json_object *object)
 {
   if (call->exchange)
     ln_exchange_reply_json (call->exchange, status, object);
@@ -256,36 +267,36 @@
 }
 
 static void
-add_integer (struct json_object *object, const char *key, int64_t value)
+add_json_integer (struct json_object *object, const char *key, int64_t value)
 {
   json_object_object_add (object, key, json_object_new_int64 (value));
 }
 
 void
-ln_step_call_reply_open (LnStepCall *call, int64_t samples, uint64_t session, bool durable)
+ln_step_call_reply_opened (LnStepCall *call, int64_t samples, uint64_t session, bool durable)
 {
   struct json_object *object = json_object_new_object ();
 
-  add_integer (object, "step", call->key.step);
-  add_integer (object, "samples", samples);
-  add_integer (object, "session", (int64_t)session);
+  add_json_integer (object, "step", call->key.step);
+  add_json_integer (object, "samples", samples);
+  add_json_integer (object, "session", (int64_t)session);
   json_object_object_add (object, "durable", json_object_new_boolean (durable));
-  send_reply (call, 202, object);
+  send_json_reply (call, 202, object);
 }
 
 void
-ln_step_call_reply_chunk (LnStepCall *call, const LcRolloutAction *action)
+ln_step_call_reply_samples (LnStepCall *call, const LcRolloutAction *action)
 {
   struct json_object *object = json_object_new_object ();
 
-  add_integer (object, "step", call->key.step);
+  add_json_integer (object, "step", call->key.step);
   json_object_object_add (object, "cursor", json_object_new_string (action->cursor));
-  add_integer (object, "remaining", action->remaining);
+  add_json_integer (object, "remaining", action->remaining);
   json_object_object_add (object, "done", json_object_new_boolean (action->remaining == 0));
   json_object_object_add (object, "samples",
                           ln_step_samples_to_json (action->samples, action->n_samples,
                                                    call->pull.trainer_version));
-  send_reply (call, 200, object);
+  send_json_reply (call, 200, object);
 }
 
 void
@@ -293,22 +304,22 @@
 {
   struct json_object *object = json_object_new_object ();
 
-  add_integer (object, "step", call->key.step);
-  add_integer (object, "session", (int64_t)session);
-  add_integer (object, "samples", status->slots);
-  add_integer (object, "delivered", status->delivered);
-  add_integer (object, "ready", status->ready);
-  add_integer (object, "running", status->running);
-  add_integer (object, "discarded_stale", status->discarded_stale);
-  add_integer (object, "discarded_unlabelled", status->discarded_unlabelled);
-  add_integer (object, "hedges", status->hedges);
-  add_integer (object, "tokens", status->tokens);
-  add_integer (object, "wasted_tokens", status->wasted_tokens);
-  add_integer (object, "staleness_max", status->staleness_max);
+  add_json_integer (object, "step", call->key.step);
+  add_json_integer (object, "session", (int64_t)session);
+  add_json_integer (object, "samples", status->slots);
+  add_json_integer (object, "delivered", status->delivered);
+  add_json_integer (object, "ready", status->ready);
+  add_json_integer (object, "running", status->running);
+  add_json_integer (object, "discarded_stale", status->discarded_stale);
+  add_json_integer (object, "discarded_unlabelled", status->discarded_unlabelled);
+  add_json_integer (object, "hedges", status->hedges);
+  add_json_integer (object, "tokens", status->tokens);
+  add_json_integer (object, "wasted_tokens", status->wasted_tokens);
+  add_json_integer (object, "staleness_max", status->staleness_max);
   json_object_object_add (object, "staleness_mean",
                           json_object_new_double (
                               status->delivered ? status->staleness_sum / (double)status->delivered
                                                 : 0));
   json_object_object_add (object, "done", json_object_new_boolean (status->completed_at != 0));
-  send_reply (call, 200, object);
+  send_json_reply (call, 200, object);
 }
--- a/packages/node/src/rollout/ln-step-claim.c
+++ b/packages/node/src/rollout/ln-step-claim.c
@@ -6,8 +6,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A claim that loses to another instance is repeated from the lookup. One instance wins each race,
- * so a few rounds are enough. */
+/* Maximum number of attempts of a claim. A claim that loses a race against another instance starts
+ * again with the lookup. One instance wins each race, so a few attempts are enough. */
 #define MAX_CLAIM_ATTEMPTS 4
 
 typedef struct
@@ -15,11 +15,11 @@
   LnStepStore *store;
   LnStepClaimRequest request;
   char *content;
-  LnStepOwner owner; /* as last read or claimed */
+  LnStepOwner owner; /* owner row as last read or written */
   int attempts;
 } Claim;
 
-static void read_owner (Claim *claim);
+static void read_step_owner (Claim *claim);
 
 static void
 finish_claim (Claim *claim, LnStepClaimResult *result)
@@ -66,7 +66,7 @@
 
   if (error == LB_ERROR_CONDITION_FAILED && ++claim->attempts < MAX_CLAIM_ATTEMPTS)
     {
-      read_owner (claim);
+      read_step_owner (claim);
       return;
     }
   if (error != LB_OK)
@@ -79,20 +79,22 @@
   if (seen.row_version == 0)
     finish_claim (claim, &result);
   else
-    ln_step_store_load (claim->store, &claim->request.key, &claim->owner, on_step_loaded, claim);
+    ln_step_store_load_step (claim->store, &claim->request.key, &claim->owner, on_step_loaded,
+                             claim);
 }
 
-/* A row that names this process although the step is not open here is left from a claim whose reply
- * was lost, or from a step that was closed here. It is claimed again, under a new session. */
 static bool
-is_owned_elsewhere (const Claim *claim, const LnStepOwner *owner)
+is_owned_by_other_live_process (const Claim *claim, const LnStepOwner *owner)
 {
   return strcmp (owner->incarnation, claim->request.incarnation) != 0
          && claim->request.is_owner_alive (owner, claim->request.user);
 }
 
+/* False for a row that names this process under a session that is not open. Such a row is left from
+ * a claim whose reply was lost, or from a step that this process closed. The step is then claimed
+ * again under a new session. */
 static bool
-is_owned_here (const Claim *claim, const LnStepOwner *owner)
+is_owned_and_open_here (const Claim *claim, const LnStepOwner *owner)
 {
   return strcmp (owner->incarnation, claim->request.incarnation) == 0
          && claim->request.own_session == owner->session;
@@ -115,13 +117,13 @@
       finish_claim (claim, &result);
       return;
     }
-  if (owner->row_version != 0 && is_owned_here (claim, owner))
+  if (owner->row_version != 0 && is_owned_and_open_here (claim, owner))
     {
       result.outcome = LN_STEP_OWNED_HERE;
       finish_claim (claim, &result);
       return;
     }
-  if (owner->row_version != 0 && is_owned_elsewhere (claim, owner))
+  if (owner->row_version != 0 && is_owned_by_other_live_process (claim, owner))
     {
       result.outcome = LN_STEP_OWNED_ELSEWHERE;
       finish_claim (claim, &result);
@@ -133,12 +135,13 @@
       finish_claim (claim, &result);
       return;
     }
-  ln_step_store_claim (claim->store, &claim->request.key, owner,
-                       owner->row_version == 0 ? claim->content : NULL, on_claim_written, claim);
+  ln_step_store_claim_step (claim->store, &claim->request.key, owner,
+                            owner->row_version == 0 ? claim->content : NULL, on_claim_written,
+                            claim);
 }
 
 static void
-read_owner (Claim *claim)
+read_step_owner (Claim *claim)
 {
   ln_step_store_read_owner (claim->store, &claim->request.key, on_owner_read, claim);
 }
@@ -152,5 +155,5 @@
   claim->request = *request;
   claim->request.content = NULL;
   claim->content = request->content ? lb_strdup (request->content) : NULL;
-  read_owner (claim);
+  read_step_owner (claim);
 }
--- a/packages/node/src/rollout/ln-step-claim.h
+++ b/packages/node/src/rollout/ln-step-claim.h
@@ -3,15 +3,15 @@
 
 #include "ln-step-store.h"
 
-/* Looks up the owner of a step, and claims the step if it has no live owner. */
+/* Looks up the owner of a step, and claims the step for this process if it has no live owner. */
 
 typedef enum
 {
-  LN_STEP_OWNED_HERE,      /* the owner is this incarnation */
-  LN_STEP_OWNED_ELSEWHERE, /* the owner is another live instance, see owner */
-  LN_STEP_NOT_FOUND,       /* it was never opened */
-  LN_STEP_UNOWNED,         /* it has no live owner, and may_claim was false */
-  LN_STEP_CLAIM_FAILED     /* see error */
+  LN_STEP_OWNED_HERE,      /* this process owns the step */
+  LN_STEP_OWNED_ELSEWHERE, /* another live process owns the step; set in `owner` */
+  LN_STEP_NOT_FOUND,       /* the step was never opened */
+  LN_STEP_UNOWNED,         /* the step has no live owner, and may_claim is false */
+  LN_STEP_CLAIM_FAILED     /* the lookup or claim failed; set in `error` */
 } LnStepClaimOutcome;
 
 typedef struct
@@ -19,7 +19,7 @@
   LnStepClaimOutcome outcome;
   LbErrorCode error;
   LnStepOwner owner;
-  LnStoredStep stored; /* valid during the callback; empty unless there was an earlier owner */
+  LnStoredStep stored; /* state left by an earlier owner, or empty; valid during the callback */
 } LnStepClaimResult;
 
 typedef bool (*LnStepIsOwnerAlive) (const LnStepOwner *owner, void *user);
@@ -28,12 +28,15 @@
 typedef struct
 {
   LnStepKey key;
-  const char *content;  /* body that opens the step if it was never opened; NULL: doesn't open it */
-  uint64_t own_session; /* session under which the step is open here already; 0: it is not open */
-  const char *incarnation;           /* of this process */
-  bool may_claim;                    /* false: only looks up the owner */
-  LnStepIsOwnerAlive is_owner_alive; /* called for other incarnations only */
-  LnStepClaimDone done; /* called once, after the start has returned; never if the store is freed */
+  /* Body of the request that opens the step, used if the step was never opened. If NULL, such a
+   * step is reported as LN_STEP_NOT_FOUND. */
+  const char *content;
+  uint64_t own_session;              /* session under which this process has the step open, or 0 */
+  const char *incarnation;           /* incarnation of this process */
+  bool may_claim;                    /* false to look up the owner without claiming the step */
+  LnStepIsOwnerAlive is_owner_alive; /* called only for an owner with another incarnation */
+  /* Called once, after ln_step_claim_start has returned; never called if the store is freed. */
+  LnStepClaimDone done;
   void *user;
 } LnStepClaimRequest;
 
--- a/packages/node/src/rollout/ln-step-relay.c
+++ b/packages/node/src/rollout/ln-step-relay.c
@@ -8,7 +8,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Idle time allowed in addition to the time that the trainer waits for samples. */
+/* The idle timeout of a relayed request is this much longer than the time that the trainer waits
+ * for samples. */
 #define RELAY_TIMEOUT_MARGIN (3 * LB_SEC)
 
 typedef struct
@@ -19,7 +20,7 @@
 } Relay;
 
 static void
-on_reply_received (LhFetch *fetch, const LhResult *result, void *user)
+on_owner_reply_received (LhFetch *fetch, const LhResult *result, void *user)
 {
   Relay *relay = user;
   LnStepCall *call = relay->call;
@@ -56,7 +57,7 @@
                      LnStepRelayDone done,
                      void *user)
 {
-  static const LhHandlers handlers = { .on_done = on_reply_received };
+  static const LhHandlers handlers = { .on_done = on_owner_reply_received };
   const LhHeader headers[]
       = { { "Content-Type", "application/json" }, { "x-relayed-by", context->instance } };
   LbError error = { .code = LB_OK };
--- a/packages/node/src/rollout/ln-step-relay.h
+++ b/packages/node/src/rollout/ln-step-relay.h
@@ -3,13 +3,13 @@
 
 #include "ln-step-call.h"
 
-/* Relays a trainer's call to the instance that owns its step. */
+/* Relays a trainer's call to the instance that owns the call's step. */
 
 typedef void (*LnStepRelayDone) (LnStepCall *call, LbErrorCode failure, void *user);
 
-/* done is called once unless the relay is cancelled: with LB_OK after the owner's reply was passed
- * to the trainer, else with a failure, and the call still needs a reply. Returns false, and never
- * calls done, if the request could not be sent. */
+/* Sends the call to the owner. Unless the relay is cancelled, calls done once: with LB_OK after
+ * passing the owner's reply to the trainer, or with the failure if the call still needs a reply.
+ * Returns false without ever calling done if the request cannot be sent. */
 bool ln_step_relay_start (LnContext *context,
                           LnStepCall *call,
                           const LnStepOwner *owner,
--- a/packages/node/src/rollout/ln-step-samples.c
+++ b/packages/node/src/rollout/ln-step-samples.c
@@ -10,7 +10,7 @@
 #include <string.h>
 
 static void
-add_integer (struct json_object *object, const char *key, int64_t value)
+add_json_integer (struct json_object *object, const char *key, int64_t value)
 {
   json_object_object_add (object, key, json_object_new_int64 (value));
 }
@@ -20,11 +20,11 @@
 {
   struct json_object *object = json_object_new_object ();
 
-  add_integer (object, "version", span->version);
-  add_integer (object, "first", span->first);
-  add_integer (object, "count", span->count);
+  add_json_integer (object, "version", span->version);
+  add_json_integer (object, "first", span->first);
+  add_json_integer (object, "count", span->count);
   if (span->kv_reused_version)
-    add_integer (object, "kv_reused_version", span->kv_reused_version);
+    add_json_integer (object, "kv_reused_version", span->kv_reused_version);
   return object;
 }
 
@@ -35,12 +35,12 @@
   struct json_object *spans = json_object_new_array ();
 
   json_object_object_add (object, "group", json_object_new_string (sample->group));
-  add_integer (object, "index", sample->index);
+  add_json_integer (object, "index", sample->index);
   json_object_object_add (object, "text", json_object_new_string (sample->text));
-  add_integer (object, "tokens", sample->label->tokens);
+  add_json_integer (object, "tokens", sample->label->tokens);
   if (sample->has_score)
     json_object_object_add (object, "score", json_object_new_double (sample->score));
-  add_integer (object, "staleness", lc_label_staleness (sample->label, trainer_version));
+  add_json_integer (object, "staleness", lc_label_staleness (sample->label, trainer_version));
   for (size_t i = 0; i < sample->label->n_spans; i++)
     json_object_array_add (spans, span_to_json (&sample->label->spans[i]));
   json_object_object_add (object, "spans", spans);
@@ -57,8 +57,8 @@
   return array;
 }
 
-/* Uses the function that builds labels from an engine's pieces, so that stored data can't produce a
- * label that pieces couldn't. */
+/* Builds the label with the function that handles the pieces an engine streams, so that stored data
+ * cannot produce a label that an engine could not. */
 static LcLabel *
 parse_label (struct json_object *object)
 {
--- a/packages/node/src/rollout/ln-step-samples.h
+++ b/packages/node/src/rollout/ln-step-samples.h
@@ -5,13 +5,13 @@
 
 struct json_object;
 
-/* JSON form of samples, for trainers and for the next owner of a step. */
+/* Converts samples to and from JSON, for trainers and for the next owner of a step. */
 
-/* Staleness is computed against trainer_version. */
+/* Returns a JSON array. The staleness of each sample is relative to trainer_version. */
 struct json_object *
 ln_step_samples_to_json (const LcReadySample *samples, size_t n_samples, LcVersion trainer_version);
 
-/* Parsed samples. */
+/* Samples parsed from JSON. */
 typedef struct
 {
   LcReadySample *samples;
@@ -19,7 +19,8 @@
   struct json_object *json; /* owns the strings of the samples */
 } LnStepSamples;
 
-/* Skips entries that lack a group or a text. text may be NULL. */
+/* Parses a JSON array of samples. Skips entries without a group or a text. If the JSON text is NULL
+ * or is no array, the result is empty. */
 void ln_step_samples_parse (LnStepSamples *samples, const char *text, size_t length);
 void ln_step_samples_clear (LnStepSamples *samples);
 
--- a/packages/node/src/rollout/ln-step-store.c
+++ b/packages/node/src/rollout/ln-step-store.c
@@ -10,28 +10,28 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* The claim of step N deletes the rows of the subscription's step N - RETAINED_STEPS in the same
- * transaction, which bounds the table without extra writes. */
-#define RETAINED_STEPS 64
+/* Number of steps per subscription whose rows are kept. The transaction that claims step N deletes
+ * the rows of step N - MAX_RETAINED_STEPS, which bounds the table without extra writes. */
+#define MAX_RETAINED_STEPS 64
 
 struct LnStepStore
 {
   LnContext *context;
   uint64_t last_token;
-  LbList operations; /* of Operation */
+  LbList operations; /* list of the Operation in progress */
 };
 
-/* An operation of the platform in progress. */
+/* An operation on a step that waits for an answer of the platform. */
 typedef struct
 {
   LbLink link;
   LnStepStore *store;
   LnStepKey key;
-  LnStepOwner owner; /* this incarnation's row, stored or to be stored */
+  LnStepOwner owner; /* owner row of this process, as stored or as being written */
   char *token;
   char *row_key;
   char *row_value;
-  char *ledger; /* value of the ledger row, read when a step is loaded */
+  char *ledger; /* value of the ledger row, set while loading a step */
   char *content;
   size_t content_length;
   LnStepOwnerDone owner_done;
@@ -67,9 +67,10 @@
   free (operation);
 }
 
-/* Frees the operation if its store was freed while the platform processed it. */
+/* Frees the operation and returns true if its LnStepStore was freed while the platform processed
+ * the operation. */
 static bool
-free_if_orphaned (Operation *operation)
+free_if_store_is_gone (Operation *operation)
 {
   if (operation->store)
     return false;
@@ -115,8 +116,8 @@
   return lb_asprintf ("ledger/%s/%lld", key->subscription, (long long)key->step);
 }
 
-/* The key contains a hash of the content, so that an instance that loses the race to open a step
- * can't overwrite the content of the winner. */
+/* Returns the key of the object with the trainer's request. The key contains a hash of the content,
+ * so that an instance that loses the race to open a step cannot overwrite the winner's content. */
 static char *
 format_content_object_key (const LnStepKey *key, const LnStepOwner *owner)
 {
@@ -124,7 +125,8 @@
                       owner->content_hash);
 }
 
-/* Key of the object with the samples that the owner of that session stored at its release. */
+/* Returns the key of the object with the samples that the owner of a session stores at its release.
+ */
 static char *
 format_samples_object_key (const LnStepKey *key, uint64_t session)
 {
@@ -160,7 +162,7 @@
   json_object_put (object);
 }
 
-/* --- reading the owner --- */
+/* --- reading the owner row --- */
 
 static void
 on_owner_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
@@ -168,7 +170,7 @@
   Operation *operation = user;
   LnStepOwner owner = { 0 };
 
-  if (free_if_orphaned (operation))
+  if (free_if_store_is_gone (operation))
     return;
   if (error == LB_ERROR_NOT_FOUND)
     error = LB_OK;
@@ -192,17 +194,17 @@
   platform->klass->get (platform, operation->row_key, on_owner_read, operation);
 }
 
-/* --- claiming --- */
+/* --- claiming a step --- */
 
 static void
-finish_claim (Operation *operation, LbErrorCode error)
+finish_claim_operation (Operation *operation, LbErrorCode error)
 {
   operation->owner_done (error, &operation->owner, operation->user);
   operation_free (operation);
 }
 
 static bool
-is_own_claim (const Operation *operation, const LnStepOwner *owner)
+is_row_of_own_claim (const Operation *operation, const LnStepOwner *owner)
 {
   return strcmp (owner->incarnation, operation->owner.incarnation) == 0
          && owner->session == operation->owner.session;
@@ -214,42 +216,42 @@
   Operation *operation = user;
   LnStepOwner owner = { 0 };
 
-  if (free_if_orphaned (operation))
+  if (free_if_store_is_gone (operation))
     return;
   if (error == LB_OK && n_rows > 0)
     owner_from_row (&owner, &rows[0]);
   operation->owner.row_version = owner.row_version;
-  if (error == LB_OK && !is_own_claim (operation, &owner))
+  if (error == LB_OK && !is_row_of_own_claim (operation, &owner))
     error = LB_ERROR_CONDITION_FAILED;
-  finish_claim (operation, error == LB_ERROR_NOT_FOUND ? LB_ERROR_STORE_AWAY : error);
+  finish_claim_operation (operation, error == LB_ERROR_NOT_FOUND ? LB_ERROR_STORE_AWAY : error);
 }
 
-/* The reply to a write may be lost after the write took effect, and a condition may have failed
- * because of an earlier attempt of the same write. Reporting either as a failure would leave a row
- * that names this instance while no instance serves the step, so the row is read back first. */
+/* Reads the row back unless the write certainly failed. A write may take effect although its reply
+ * is lost, and its condition may fail because of an earlier attempt of the same write. If that were
+ * reported as a failure, the row would name this instance while no instance serves the step. */
 static void
 on_claim_written (LbErrorCode error, const LpRow *row, void *user)
 {
   Operation *operation = user;
 
-  if (free_if_orphaned (operation))
+  if (free_if_store_is_gone (operation))
     return;
   LpPlatform *platform = get_platform (operation);
   (void)row;
   if (error == LB_OK || error == LB_ERROR_STORE_UNKNOWN || error == LB_ERROR_CONDITION_FAILED)
     platform->klass->get (platform, operation->row_key, on_claim_read_back, operation);
   else
-    finish_claim (operation, error);
+    finish_claim_operation (operation, error);
 }
 
 static void
-write_claim (Operation *operation)
+write_claim_row (Operation *operation)
 {
   LpPlatform *platform = get_platform (operation);
   LnStepKey expired_key = operation->key;
   LpCondition condition = { .key = operation->row_key, .version = operation->owner.row_version };
 
-  expired_key.step -= RETAINED_STEPS;
+  expired_key.step -= MAX_RETAINED_STEPS;
   char *expired_owner_row = format_owner_row_key (&expired_key);
   char *expired_ledger_row = format_ledger_row_key (&expired_key);
   LpPut puts[] = { { .key = operation->row_key, .value = operation->row_value },
@@ -273,21 +275,21 @@
 
   (void)bytes;
   (void)length;
-  if (free_if_orphaned (operation))
+  if (free_if_store_is_gone (operation))
     return;
   if (error == LB_OK)
-    write_claim (operation);
+    write_claim_row (operation);
   else
-    finish_claim (operation, error);
+    finish_claim_operation (operation, error);
 }
 
 void
-ln_step_store_claim (LnStepStore *store,
-                     const LnStepKey *key,
-                     const LnStepOwner *seen,
-                     const char *content,
-                     LnStepOwnerDone done,
-                     void *user)
+ln_step_store_claim_step (LnStepStore *store,
+                          const LnStepKey *key,
+                          const LnStepOwner *seen,
+                          const char *content,
+                          LnStepOwnerDone done,
+                          void *user)
 {
   Operation *operation = operation_new (store, key, user);
   LpPlatform *platform = get_platform (operation);
@@ -306,7 +308,7 @@
   operation->row_value = owner_to_json (owner);
   if (!content)
     {
-      write_claim (operation);
+      write_claim_row (operation);
       return;
     }
   char *object = format_content_object_key (key, owner);
@@ -315,10 +317,10 @@
   free (object);
 }
 
-/* --- loading --- */
+/* --- loading the stored state of a step --- */
 
 static void
-finish_load (Operation *operation, LbErrorCode error, const char *samples, size_t length)
+finish_load_operation (Operation *operation, LbErrorCode error, const char *samples, size_t length)
 {
   const LnStoredStep stored = { .content = operation->content,
                                 .content_length = operation->content_length,
@@ -330,15 +332,16 @@
   operation_free (operation);
 }
 
-/* Missing samples are not an error: their slots are generated again. */
+/* Ignores a failure to read the samples, because samples that are missing are generated again. */
 static void
 on_samples_loaded (LbErrorCode error, const char *bytes, size_t length, void *user)
 {
   Operation *operation = user;
 
-  if (free_if_orphaned (operation))
+  if (free_if_store_is_gone (operation))
     return;
-  finish_load (operation, LB_OK, error == LB_OK ? bytes : NULL, error == LB_OK ? length : 0);
+  finish_load_operation (operation, LB_OK, error == LB_OK ? bytes : NULL,
+                         error == LB_OK ? length : 0);
 }
 
 static void
@@ -346,11 +349,11 @@
 {
   Operation *operation = user;
 
-  if (free_if_orphaned (operation))
+  if (free_if_store_is_gone (operation))
     return;
   if (error != LB_OK)
     {
-      finish_load (operation, error, NULL, 0);
+      finish_load_operation (operation, error, NULL, 0);
       return;
     }
   LpPlatform *platform = get_platform (operation);
@@ -366,11 +369,11 @@
 {
   Operation *operation = user;
 
-  if (free_if_orphaned (operation))
+  if (free_if_store_is_gone (operation))
     return;
   if (error != LB_OK && error != LB_ERROR_NOT_FOUND)
     {
-      finish_load (operation, error, NULL, 0);
+      finish_load_operation (operation, error, NULL, 0);
       return;
     }
   LpPlatform *platform = get_platform (operation);
@@ -381,11 +384,11 @@
 }
 
 void
-ln_step_store_load (LnStepStore *store,
-                    const LnStepKey *key,
-                    const LnStepOwner *owner,
-                    LnStepLoadDone done,
-                    void *user)
+ln_step_store_load_step (LnStepStore *store,
+                         const LnStepKey *key,
+                         const LnStepOwner *owner,
+                         LnStepLoadDone done,
+                         void *user)
 {
   Operation *operation = operation_new (store, key, user);
   LpPlatform *platform = get_platform (operation);
@@ -396,17 +399,17 @@
   platform->klass->get (platform, operation->row_key, on_ledger_read, operation);
 }
 
-/* --- writing the ledger; giving up ownership of a step --- */
+/* --- writing the ledger and releasing a step --- */
 
-/* After a write with an unknown outcome, the ledger row or, at a release, the owner's row is read
- * back. Both values name the owner's session, and the ledger's also the chunk and its slots. No
- * other owner can have stored an equal value, so an equal row shows that the write took effect. */
+/* Handles the row that is read back after a write with an unknown outcome. If the row has the
+ * written value, the write took effect: no other owner can write an equal value, because the value
+ * contains the owner's session (and in the ledger row, also the chunk and its slots). */
 static void
 on_ledger_or_release_read_back (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
   Operation *operation = user;
 
-  if (free_if_orphaned (operation))
+  if (free_if_store_is_gone (operation))
     return;
   bool is_written
       = error == LB_OK && n_rows > 0 && strcmp (rows[0].value, operation->row_value) == 0;
@@ -420,7 +423,7 @@
   Operation *operation = user;
 
   (void)row;
-  if (free_if_orphaned (operation))
+  if (free_if_store_is_gone (operation))
     return;
   if (error == LB_ERROR_STORE_UNKNOWN)
     {
@@ -449,8 +452,8 @@
                              on_ledger_or_release_written, operation);
 }
 
-/* The condition is on the owner's row, which changes with each new owner and never otherwise. The
- * write of an owner that was paused while another took over fails, however late it arrives. */
+/* Writes on the condition that the owner row is unchanged. Only a change of the owner changes that
+ * row, so a late write of an owner that was paused during a takeover fails. */
 void
 ln_step_store_write_ledger (LnStepStore *store,
                             const LnStepKey *key,
@@ -476,7 +479,7 @@
 
   (void)bytes;
   (void)length;
-  if (free_if_orphaned (operation))
+  if (free_if_store_is_gone (operation))
     return;
   if (error == LB_OK)
     {
@@ -487,14 +490,15 @@
   operation_free (operation);
 }
 
-/* Stores the samples first: the next owner may load them as soon as the row has no owner. */
+/* Stores the samples before the owner row is cleared, because the next owner may load the samples
+ * as soon as the row has no owner. */
 void
-ln_step_store_release (LnStepStore *store,
-                       const LnStepKey *key,
-                       const LnStepOwner *own,
-                       const char *samples,
-                       LnStepWriteDone done,
-                       void *user)
+ln_step_store_release_step (LnStepStore *store,
+                            const LnStepKey *key,
+                            const LnStepOwner *own,
+                            const char *samples,
+                            LnStepWriteDone done,
+                            void *user)
 {
   Operation *operation = operation_new (store, key, user);
   LpPlatform *platform = get_platform (operation);
--- a/packages/node/tests/steps-fixture.h
+++ b/packages/node/tests/steps-fixture.h
@@ -18,33 +18,34 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TIMEOUT (30 * LB_SEC)
-#define MAX_SLOTS 64
+#define WAIT_TIMEOUT (30 * LB_SEC)
+#define MAX_SAMPLES 64
 
 typedef enum
 {
   STORE_WORKS,
-  STORE_UNAVAILABLE, /* no operation is applied */
-  STORE_LOSES_REPLY  /* a write is applied, and its outcome reported as unknown */
+  STORE_UNAVAILABLE, /* all operations fail and have no effect */
+  STORE_LOSES_REPLY  /* writes take effect, but their outcome is reported as unknown */
 } StoreMode;
 
-/* The in-memory platform with injected faults. */
+/* Wraps the in-memory platform and injects faults. */
 typedef struct
 {
   LpPlatform platform; /* must be the first member */
   LpPlatform *inner;
   StoreMode mode;
-  int writes;
+  int n_writes;
 } FaultyStore;
 
-/* Stands in for the task "calls": answers each sample at once with ten tokens, or holds it. */
+/* Replaces the task "calls". Answers each sample request at once with ten tokens, or holds the
+ * request until the test answers it. */
 typedef struct
 {
   LnTask task; /* must be the first member */
   bool holds_samples;
-  int n_samples;
-  size_t n_prefix_hashes; /* maximum over all samples */
-  LcRequestId held[MAX_SLOTS];
+  int n_samples;          /* number of sample requests received */
+  size_t n_prefix_hashes; /* largest number of prefix hashes in a sample request */
+  LcRequestId held[MAX_SAMPLES];
   size_t n_held;
 } FakeCalls;
 
@@ -55,11 +56,11 @@
   FakeCalls calls;
   LnTask *front;
   LnTask *rollouts;
-  bool alive; /* in the membership view of both instances */
+  bool alive; /* reported to both instances as the liveness of this instance */
   bool draining;
 } Instance;
 
-/* Two instances with one store, and a trainer. */
+/* Two instances that share a store, and a trainer that calls the instances. */
 typedef struct
 {
   struct event_base *base;
@@ -68,20 +69,21 @@
   struct LhPool *http;
   /* State of the trainer. */
   char *cursor;
-  int received[MAX_SLOTS]; /* how often each sample was delivered */
-  int status;
-  char *reply;
-  int n_pending; /* calls without a reply */
-  bool strict;
+  int received[MAX_SAMPLES]; /* number of times that each sample was delivered */
+  int status;                /* HTTP status of the last reply */
+  char *reply;               /* body of the last reply */
+  int n_pending;             /* number of calls without a reply */
+  bool strict;               /* value of LcSubscription.strict for the subscription */
 } Cluster;
 
-static inline void store_transact (LpPlatform *platform,
-                                   const LpTransaction *transaction,
-                                   LpPriority priority,
-                                   LpTransactDone done,
-                                   void *user);
+static inline void faulty_store_transact (LpPlatform *platform,
+                                          const LpTransaction *transaction,
+                                          LpPriority priority,
+                                          LpTransactDone done,
+                                          void *user);
 
-/* A reply that is delivered from the event loop, as those of the platform are. */
+/* A reply of the store that is delivered from the event loop, like the replies of a real platform.
+ */
 typedef struct
 {
   FaultyStore *store;
@@ -90,14 +92,14 @@
   LpObjectDone object_done;
   LbErrorCode error;
   void *user;
-} DeferredReply;
+} DeferredStoreReply;
 
 static inline void
-deliver_reply (evutil_socket_t fd, short what, void *user)
+deliver_store_reply (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
-  DeferredReply reply = *(DeferredReply *)user;
+  DeferredStoreReply reply = *(DeferredStoreReply *)user;
 
   free (user);
   if (reply.done)
@@ -111,18 +113,18 @@
 static struct event_base *store_event_base;
 
 static inline void
-defer_reply (DeferredReply reply)
+defer_store_reply (DeferredStoreReply reply)
 {
   const struct timeval now = { 0 };
 
-  event_base_once (store_event_base, -1, EV_TIMEOUT, deliver_reply,
+  event_base_once (store_event_base, -1, EV_TIMEOUT, deliver_store_reply,
                    lb_memdup (&reply, sizeof reply), &now);
 }
 
 static inline void
-lose_reply (LbErrorCode error, const LpRow *row, void *user)
+lose_store_reply (LbErrorCode error, const LpRow *row, void *user)
 {
-  DeferredReply *reply = user;
+  DeferredStoreReply *reply = user;
 
   (void)error;
   (void)row;
@@ -131,70 +133,71 @@
 }
 
 static inline void
-store_transact (LpPlatform *platform,
-                const LpTransaction *transaction,
-                LpPriority priority,
-                LpTransactDone done,
-                void *user)
+faulty_store_transact (LpPlatform *platform,
+                       const LpTransaction *transaction,
+                       LpPriority priority,
+                       LpTransactDone done,
+                       void *user)
 {
   FaultyStore *store = (FaultyStore *)platform;
-  DeferredReply reply
+  DeferredStoreReply reply
       = { .store = store, .done = done, .error = LB_ERROR_STORE_AWAY, .user = user };
 
-  store->writes++;
+  store->n_writes++;
   if (store->mode == STORE_UNAVAILABLE)
-    defer_reply (reply);
+    defer_store_reply (reply);
   else if (store->mode == STORE_LOSES_REPLY)
-    store->inner->klass->transact (store->inner, transaction, priority, lose_reply,
+    store->inner->klass->transact (store->inner, transaction, priority, lose_store_reply,
                                    lb_memdup (&reply, sizeof reply));
   else
     store->inner->klass->transact (store->inner, transaction, priority, done, user);
 }
 
 static inline void
-store_get (LpPlatform *platform, const char *key, LpRowsDone done, void *user)
+faulty_store_get (LpPlatform *platform, const char *key, LpRowsDone done, void *user)
 {
   FaultyStore *store = (FaultyStore *)platform;
 
   if (store->mode == STORE_UNAVAILABLE)
-    defer_reply ((DeferredReply){ .rows_done = done, .error = LB_ERROR_STORE_AWAY, .user = user });
+    defer_store_reply (
+        (DeferredStoreReply){ .rows_done = done, .error = LB_ERROR_STORE_AWAY, .user = user });
   else
     store->inner->klass->get (store->inner, key, done, user);
 }
 
 static inline void
-store_put_object (LpPlatform *platform,
-                  const char *key,
-                  const char *bytes,
-                  size_t length,
-                  LpObjectDone done,
-                  void *user)
+faulty_store_put_object (LpPlatform *platform,
+                         const char *key,
+                         const char *bytes,
+                         size_t length,
+                         LpObjectDone done,
+                         void *user)
 {
   FaultyStore *store = (FaultyStore *)platform;
 
   if (store->mode == STORE_UNAVAILABLE)
-    defer_reply (
-        (DeferredReply){ .object_done = done, .error = LB_ERROR_STORE_AWAY, .user = user });
+    defer_store_reply (
+        (DeferredStoreReply){ .object_done = done, .error = LB_ERROR_STORE_AWAY, .user = user });
   else
     store->inner->klass->put_object (store->inner, key, bytes, length, done, user);
 }
 
 static inline void
-store_get_object (LpPlatform *platform, const char *key, LpObjectDone done, void *user)
+faulty_store_get_object (LpPlatform *platform, const char *key, LpObjectDone done, void *user)
 {
   FaultyStore *store = (FaultyStore *)platform;
 
   store->inner->klass->get_object (store->inner, key, done, user);
 }
 
-static const LpPlatformClass store_class = { .name = "faulty",
-                                             .transact = store_transact,
-                                             .get = store_get,
-                                             .put_object = store_put_object,
-                                             .get_object = store_get_object };
+static const LpPlatformClass faulty_store_class = { .name = "faulty",
+                                                    .transact = faulty_store_transact,
+                                                    .get = faulty_store_get,
+                                                    .put_object = faulty_store_put_object,
+                                                    .get_object = faulty_store_get_object };
 
 static inline void
-calls_post_piece (FakeCalls *calls, LcRequestId request)
+fake_calls_post_piece (FakeCalls *calls, LcRequestId request)
 {
   LnSamplePieceMessage piece = { .base = LN_MESSAGE (LN_SAMPLE_PIECE),
                                  .request = request,
@@ -205,7 +208,7 @@
 }
 
 static inline void
-calls_post_done (FakeCalls *calls, LcRequestId request)
+fake_calls_post_done (FakeCalls *calls, LcRequestId request)
 {
   LnSampleDoneMessage done = { .base = LN_MESSAGE (LN_SAMPLE_DONE), .request = request };
 
@@ -214,7 +217,7 @@
 }
 
 static inline void
-calls_receive (LnTask *task, const LnMessage *message)
+fake_calls_receive (LnTask *task, const LnMessage *message)
 {
   FakeCalls *calls = (FakeCalls *)task;
 
@@ -229,19 +232,19 @@
     calls->held[calls->n_held++] = request;
   else
     {
-      calls_post_piece (calls, request);
-      calls_post_done (calls, request);
+      fake_calls_post_piece (calls, request);
+      fake_calls_post_done (calls, request);
     }
 }
 
 static inline void
-calls_free (LnTask *task)
+fake_calls_free (LnTask *task)
 {
   (void)task;
 }
 
-static const LnTaskClass calls_class
-    = { .name = "calls", .receive = calls_receive, .free = calls_free };
+static const LnTaskClass fake_calls_class
+    = { .name = "calls", .receive = fake_calls_receive, .free = fake_calls_free };
 
 static inline void
 cluster_send_members (Cluster *cluster)
@@ -269,7 +272,7 @@
 }
 
 static inline void
-instance_configure (Cluster *cluster, Instance *instance)
+instance_send_config (Cluster *cluster, Instance *instance)
 {
   LcPool pool = { .name = "reader" };
   LcSubscription subscription
@@ -305,11 +308,11 @@
   instance->alive = true;
   instance->front = ln_front_new (context);
   instance->rollouts = ln_rollouts_new (context);
-  instance->calls.task.klass = &calls_class;
+  instance->calls.task.klass = &fake_calls_class;
   ln_hub_add (context->hub, instance->front);
   ln_hub_add (context->hub, &instance->calls.task);
   ln_hub_add (context->hub, instance->rollouts);
-  instance_configure (cluster, instance);
+  instance_send_config (cluster, instance);
 }
 
 static inline Cluster *
@@ -322,7 +325,7 @@
   cluster->strict = strict;
   cluster->base = event_base_new ();
   store_event_base = cluster->base;
-  cluster->store.platform.klass = &store_class;
+  cluster->store.platform.klass = &faulty_store_class;
   cluster->store.inner = lp_memory_new (cluster->base);
   cluster->http = lh_pool_new (cluster->base);
   cluster->cursor = lb_strdup ("");
@@ -350,23 +353,23 @@
 }
 
 static inline void
-cluster_run_once (Cluster *cluster)
+cluster_run_event_loop_once (Cluster *cluster)
 {
   event_base_loop (cluster->base, EVLOOP_ONCE | EVLOOP_NONBLOCK);
 }
 
-#define CLUSTER_UNTIL(cluster, condition)                                                          \
+#define CLUSTER_WAIT_UNTIL(cluster, condition)                                                     \
   do                                                                                               \
     {                                                                                              \
-      LbTime end_ = lb_clock_monotonic () + TIMEOUT;                                               \
+      LbTime end_ = lb_clock_monotonic () + WAIT_TIMEOUT;                                          \
       while (!(condition) && lb_clock_monotonic () < end_)                                         \
-        cluster_run_once (cluster);                                                                \
+        cluster_run_event_loop_once (cluster);                                                     \
       cr_assert ((condition), "timed out waiting for: %s", #condition);                            \
     }                                                                                              \
   while (0)
 
 static inline void
-cluster_on_reply (LhFetch *fetch, const LhResult *result, void *user)
+cluster_record_reply (LhFetch *fetch, const LhResult *result, void *user)
 {
   Cluster *cluster = user;
 
@@ -377,15 +380,15 @@
   cluster->n_pending--;
 }
 
-/* Sends a call of the trainer without waiting for the reply. */
+/* Sends an HTTP request of the trainer without waiting for the reply. */
 static inline void
-cluster_send_to (Cluster *cluster,
-                 size_t instance,
-                 const char *subscription,
-                 const char *subpath,
-                 const char *body)
+cluster_send_subscription_call (Cluster *cluster,
+                                size_t instance,
+                                const char *subscription,
+                                const char *subpath,
+                                const char *body)
 {
-  static const LhHandlers handlers = { .on_done = cluster_on_reply };
+  static const LhHandlers handlers = { .on_done = cluster_record_reply };
   char *path = lb_asprintf ("/v1/subscriptions/%s/%s", subscription, subpath);
   const LhRequest request = { .method = body ? "POST" : "GET",
                               .address = cluster->instances[instance].context.caller_address,
@@ -395,21 +398,21 @@
   LbError error;
 
   cluster->n_pending++;
-  cr_assert (lh_fetch_start (cluster->http, &request, &handlers, cluster, &error), "%s",
-             error.detail);
+  cr_assert (lh_fetch_start (cluster->http, &request, &handlers, cluster, &error),
+             "the request could not be sent: %s", error.detail);
   free (path);
 }
 
 static inline void
-cluster_send (Cluster *cluster, size_t instance, const char *subpath, const char *body)
+cluster_send_call (Cluster *cluster, size_t instance, const char *subpath, const char *body)
 {
-  cluster_send_to (cluster, instance, "t", subpath, body);
+  cluster_send_subscription_call (cluster, instance, "t", subpath, body);
 }
 
 static inline void
-cluster_send_open (Cluster *cluster, size_t instance)
+cluster_send_open_step (Cluster *cluster, size_t instance)
 {
-  cluster_send (
+  cluster_send_call (
       cluster, instance, "steps",
       "{\"step\":1,\"weight_version\":40,\"groups\":["
       "{\"id\":\"g0\",\"prompt\":\"Read this smudged envelope and name the village of its "
@@ -420,8 +423,8 @@
 static inline void
 cluster_open_step (Cluster *cluster, size_t instance)
 {
-  cluster_send_open (cluster, instance);
-  CLUSTER_UNTIL (cluster, cluster->n_pending == 0);
+  cluster_send_open_step (cluster, instance);
+  CLUSTER_WAIT_UNTIL (cluster, cluster->n_pending == 0);
 }
 
 static inline void
@@ -431,19 +434,20 @@
                             "\"max_samples\":%d,\"wait_ms\":%d}",
                             cluster->cursor, max_samples, wait_ms);
 
-  cluster_send (cluster, instance, "pull", body);
+  cluster_send_call (cluster, instance, "pull", body);
   free (body);
 }
 
-/* Records the samples and the cursor of the last reply, as a trainer does. Returns the number of
- * samples. */
+/* Records the samples and the cursor of the last reply, like a trainer. Returns the number of
+ * samples in the reply. */
 static inline size_t
-cluster_accept_reply (Cluster *cluster)
+cluster_record_samples (Cluster *cluster)
 {
   struct json_object *reply = json_tokener_parse (cluster->reply);
   struct json_object *cursor = NULL, *samples = NULL, *group = NULL, *index = NULL;
 
-  cr_assert (json_object_object_get_ex (reply, "cursor", &cursor), "%s", cluster->reply);
+  cr_assert (json_object_object_get_ex (reply, "cursor", &cursor), "reply without a cursor: %s",
+             cluster->reply);
   json_object_object_get_ex (reply, "samples", &samples);
   free (cluster->cursor);
   cluster->cursor = lb_strdup (json_object_get_string (cursor));
@@ -461,12 +465,13 @@
 }
 
 static inline size_t
-cluster_pull (Cluster *cluster, size_t instance, int max_samples)
+cluster_pull_samples (Cluster *cluster, size_t instance, int max_samples)
 {
   cluster_send_pull (cluster, instance, max_samples, 5000);
-  CLUSTER_UNTIL (cluster, cluster->n_pending == 0);
-  cr_assert_eq (cluster->status, 200, "%d %s", cluster->status, cluster->reply);
-  return cluster_accept_reply (cluster);
+  CLUSTER_WAIT_UNTIL (cluster, cluster->n_pending == 0);
+  cr_assert_eq (cluster->status, 200, "status %d instead of 200: %s", cluster->status,
+                cluster->reply);
+  return cluster_record_samples (cluster);
 }
 
 static inline void
--- a/packages/node/tests/test-request-bytes.c
+++ b/packages/node/tests/test-request-bytes.c
@@ -6,45 +6,45 @@
 typedef struct
 {
   const char *text;
-  size_t length; /* 0: up to the terminating NUL */
-} Sample;
+  size_t length; /* in bytes; 0 if the text ends at its first NUL */
+} RequestSample;
 
 static size_t
-length_of (const Sample *sample)
+get_sample_length (const RequestSample *sample)
 {
   return sample->length > 0 ? sample->length : strlen (sample->text);
 }
 
-/* Scans the sample in segments of one size: where segments end must not change the result. */
+/* Scans the request in segments of the given length. The result must not depend on the length. */
 static bool
-is_accepted (const Sample *sample, size_t segment_length)
+is_accepted_in_segments (const RequestSample *sample, size_t segment_length)
 {
   LnRequestScanner scanner = { 0 };
   bool is_valid = true;
 
-  for (size_t offset = 0; offset < length_of (sample); offset += segment_length)
+  for (size_t offset = 0; offset < get_sample_length (sample); offset += segment_length)
     {
-      size_t n_left = length_of (sample) - offset;
+      size_t n_left = get_sample_length (sample) - offset;
       is_valid = ln_request_scanner_feed (&scanner, sample->text + offset,
                                           n_left < segment_length ? n_left : segment_length);
     }
   return is_valid;
 }
 
-#define HEAD "POST /a HTTP/1.1\r\nHost: h\r\n"
+#define POST_HEAD "POST /a HTTP/1.1\r\nHost: h\r\n"
 
 Test (request_bytes, well_formed_requests_are_accepted)
 {
-  static const Sample samples[] = {
+  static const RequestSample samples[] = {
     { "GET /a HTTP/1.1\r\nHost: h\r\n\r\n", 0 },
     { "\r\nGET /a HTTP/1.1\r\nhost:h\r\n\r\nGET /b HTTP/1.1\r\nHost: h\r\n\r\n", 0 },
     { "GET /a HTTP/1.0\r\n\r\n", 0 },
-    { HEAD "Content-Length: 5\r\n\r\n \0\n\n GET / HTTP/1.1\r\nHost: h\r\n\r\n",
-      sizeof HEAD "Content-Length: 5\r\n\r\n \0\n\n GET / HTTP/1.1\r\nHost: h\r\n\r\n" - 1 },
-    { HEAD
+    { POST_HEAD "Content-Length: 5\r\n\r\n \0\n\n GET / HTTP/1.1\r\nHost: h\r\n\r\n",
+      sizeof POST_HEAD "Content-Length: 5\r\n\r\n \0\n\n GET / HTTP/1.1\r\nHost: h\r\n\r\n" - 1 },
+    { POST_HEAD
       "Transfer-Encoding: chunked\r\n\r\n5\r\n \0\n\n \r\na;x=1\r\n0123456789\r\n0\r\nT: 1\r\n\r\n"
       "GET / HTTP/1.1\r\nHost: h\r\n\r\n",
-      sizeof HEAD
+      sizeof POST_HEAD
           "Transfer-Encoding: chunked\r\n\r\n5\r\n \0\n\n \r\na;x=1\r\n0123456789\r\n0\r\nT: "
           "1\r\n\r\nGET / HTTP/1.1\r\nHost: h\r\n\r\n"
           - 1 }
@@ -52,27 +52,28 @@
 
   for (size_t i = 0; i < sizeof samples / sizeof samples[0]; i++)
     for (size_t segment_length = 1; segment_length < 40; segment_length++)
-      cr_assert (is_accepted (&samples[i], segment_length), "sample %zu in segments of %zu bytes",
-                 i, segment_length);
+      cr_assert (is_accepted_in_segments (&samples[i], segment_length),
+                 "valid request %zu was rejected in segments of %zu bytes", i, segment_length);
 }
 
-/* The HTTP library misread each of these or waited for more bytes without limit. */
+/* The HTTP library misread each of these requests, or waited for more bytes without limit. */
 Test (request_bytes, malformed_requests_are_detected)
 {
-  static const Sample samples[]
+  static const RequestSample samples[]
       = { { "GET /a HTTP/1.1\r\n\r\n", 0 },
           { "GET /a\0b HTTP/1.1\r\nHost: h\r\n\r\n", 33 },
-          { HEAD "X: a\r\n b\r\n\r\n", 0 },
-          { HEAD " X: a\r\n\r\n", 0 },
-          { HEAD "X: a\0b\r\n\r\n", sizeof HEAD "X: a\0b\r\n\r\n" - 1 },
-          { HEAD "Transfer-Encoding: chunked\r\n\r\nFFFFFFFFFFFFFFFFF\r\n", 0 },
-          { HEAD "Transfer-Encoding: chunked\r\n\r\n-1\r\n", 0 },
-          { HEAD "Transfer-Encoding: chunked\r\n\r\n\r\n", 0 },
-          { HEAD "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n0\r\n\r\n", 0 },
-          { HEAD "Transfer-Encoding: chunked\r\n\r\n0\r\nT: 1\r\n folded\r\n\r\n", 0 } };
+          { POST_HEAD "X: a\r\n b\r\n\r\n", 0 },
+          { POST_HEAD " X: a\r\n\r\n", 0 },
+          { POST_HEAD "X: a\0b\r\n\r\n", sizeof POST_HEAD "X: a\0b\r\n\r\n" - 1 },
+          { POST_HEAD "Transfer-Encoding: chunked\r\n\r\nFFFFFFFFFFFFFFFFF\r\n", 0 },
+          { POST_HEAD "Transfer-Encoding: chunked\r\n\r\n-1\r\n", 0 },
+          { POST_HEAD "Transfer-Encoding: chunked\r\n\r\n\r\n", 0 },
+          { POST_HEAD "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n0\r\n\r\n", 0 },
+          { POST_HEAD "Transfer-Encoding: chunked\r\n\r\n0\r\nT: 1\r\n folded\r\n\r\n", 0 } };
 
   for (size_t i = 0; i < sizeof samples / sizeof samples[0]; i++)
     for (size_t segment_length = 1; segment_length < 40; segment_length++)
-      cr_assert_not (is_accepted (&samples[i], segment_length),
-                     "sample %zu in segments of %zu bytes", i, segment_length);
+      cr_assert_not (is_accepted_in_segments (&samples[i], segment_length),
+                     "malformed request %zu was accepted in segments of %zu bytes", i,
+                     segment_length);
 }
--- a/packages/node/tests/test-steps.c
+++ b/packages/node/tests/test-steps.c
@@ -2,20 +2,21 @@
 
 #include "ln-step-store.h"
 
-/* A trainer may call any instance, also one that does not own its step. */
+/* A trainer may call any instance, including one that does not own the trainer's step. */
 Test (steps, pull_at_an_instance_that_is_not_the_owner_is_relayed)
 {
   Cluster *cluster = cluster_new (false);
 
   cluster_open_step (cluster, 0);
-  cr_assert_eq (cluster->status, 202, "%s", cluster->reply);
+  cr_assert_eq (cluster->status, 202, "status %d instead of 202: %s", cluster->status,
+                cluster->reply);
   cr_assert (strstr (cluster->reply, "\"session\":1"));
   cr_assert (strstr (cluster->reply, "\"durable\":true"));
-  cr_assert_eq (cluster_pull (cluster, 1, 2), 2);
-  cr_assert_eq (cluster_pull (cluster, 0, 2), 2);
-  cluster_send (cluster, 1, "steps/1", NULL);
-  CLUSTER_UNTIL (cluster, cluster->n_pending == 0);
-  cr_assert (strstr (cluster->reply, "\"delivered\":4"), "%s", cluster->reply);
+  cr_assert_eq (cluster_pull_samples (cluster, 1, 2), 2);
+  cr_assert_eq (cluster_pull_samples (cluster, 0, 2), 2);
+  cluster_send_call (cluster, 1, "steps/1", NULL);
+  CLUSTER_WAIT_UNTIL (cluster, cluster->n_pending == 0);
+  cr_assert (strstr (cluster->reply, "\"delivered\":4"), "unexpected reply: %s", cluster->reply);
   cluster_expect_each_sample_once (cluster);
   cr_assert_eq (cluster->instances[1].calls.n_samples, 0);
   cr_assert_eq (cluster->instances[0].calls.n_prefix_hashes, 1);
@@ -37,129 +38,136 @@
 
   for (size_t i = 0; i < sizeof bad / sizeof bad[0]; i++)
     {
-      cluster_send (cluster, 0, bad[i].subpath, bad[i].body);
-      CLUSTER_UNTIL (cluster, cluster->n_pending == 0);
-      cr_assert (strstr (cluster->reply, bad[i].type), "%s: %s", bad[i].type, cluster->reply);
+      cluster_send_call (cluster, 0, bad[i].subpath, bad[i].body);
+      CLUSTER_WAIT_UNTIL (cluster, cluster->n_pending == 0);
+      cr_assert (strstr (cluster->reply, bad[i].type), "expected the error %s, got: %s",
+                 bad[i].type, cluster->reply);
     }
-  cr_assert_eq (cluster->store.writes, 0);
+  cr_assert_eq (cluster->store.n_writes, 0);
   cluster_free (cluster);
 }
 
-/* A trainer with a misspelt subscription would post its step again and again if the error said that
- * the step is unknown. */
+/* If the error said that the step is unknown, a trainer with a misspelt subscription would open the
+ * step again and again. */
 Test (steps, unknown_subscription_is_not_reported_as_unknown_step)
 {
   Cluster *cluster = cluster_new (false);
 
-  cluster_send_to (cluster, 0, "tt", "pull", "{\"step\":9,\"cursor\":\"\",\"weight_version\":1}");
-  CLUSTER_UNTIL (cluster, cluster->n_pending == 0);
-  cr_assert (strstr (cluster->reply, "unknown_subscription"), "%s", cluster->reply);
+  cluster_send_subscription_call (cluster, 0, "tt", "pull",
+                                  "{\"step\":9,\"cursor\":\"\",\"weight_version\":1}");
+  CLUSTER_WAIT_UNTIL (cluster, cluster->n_pending == 0);
+  cr_assert (strstr (cluster->reply, "unknown_subscription"), "unexpected reply: %s",
+             cluster->reply);
   cluster_free (cluster);
 }
 
-/* The owner dies after it delivered half of the step. The next owner must continue right after the
- * samples that the trainer has, although the ledger has no record of them yet. */
+/* The owner dies after delivering half of the step. The next owner must deliver only the samples
+ * that the trainer does not have, although the ledger does not record the delivered samples yet. */
 Test (steps, step_continues_at_another_instance_after_its_owner_died)
 {
   Cluster *cluster = cluster_new (false);
 
   cluster_open_step (cluster, 0);
-  cr_assert_eq (cluster_pull (cluster, 0, 2), 2);
+  cr_assert_eq (cluster_pull_samples (cluster, 0, 2), 2);
   cluster->instances[0].alive = false;
   cluster_send_members (cluster);
-  cr_assert_eq (cluster_pull (cluster, 1, 4), 2);
+  cr_assert_eq (cluster_pull_samples (cluster, 1, 4), 2);
   cluster_expect_each_sample_once (cluster);
-  cluster_send (cluster, 1, "steps/1", NULL);
-  CLUSTER_UNTIL (cluster, cluster->n_pending == 0);
-  cr_assert (strstr (cluster->reply, "\"session\":2"), "%s", cluster->reply);
+  cluster_send_call (cluster, 1, "steps/1", NULL);
+  CLUSTER_WAIT_UNTIL (cluster, cluster->n_pending == 0);
+  cr_assert (strstr (cluster->reply, "\"session\":2"), "unexpected reply: %s", cluster->reply);
   cluster_free (cluster);
 }
 
-/* The owner was wrongly taken for dead and replaced. Then it gets the trainer's next pull. It must
- * not deliver from its own state: the cursor names a later session, so the call is relayed to
- * the owner of that session. */
-Test (steps, owner_that_was_replaced_does_not_deliver)
+/* An owner that was wrongly considered dead and replaced receives the trainer's next pull. The
+ * cursor names a later session, so the replaced owner must relay the pull to the owner of that
+ * session. */
+Test (steps, replaced_owner_relays_a_pull_with_a_later_session)
 {
   Cluster *cluster = cluster_new (false);
 
   cluster_open_step (cluster, 0);
-  cr_assert_eq (cluster_pull (cluster, 0, 1), 1);
+  cr_assert_eq (cluster_pull_samples (cluster, 0, 1), 1);
   cluster->instances[0].alive = false;
   cluster_send_members (cluster);
-  cr_assert_eq (cluster_pull (cluster, 1, 1), 1);
+  cr_assert_eq (cluster_pull_samples (cluster, 1, 1), 1);
   cluster->instances[0].alive = true;
   cluster_send_members (cluster);
-  cr_assert_eq (cluster_pull (cluster, 0, 4), 2);
+  cr_assert_eq (cluster_pull_samples (cluster, 0, 4), 2);
   cluster_expect_each_sample_once (cluster);
   cluster_free (cluster);
 }
 
-/* The owner of a strict subscription's step was replaced, and the trainer's pull does not reveal
- * the new owner. The write of the ledger must fail by its condition on the owner's row, before a
- * chunk is sent. */
+/* The step of a strict subscription has got a new owner, which the trainer's pull does not reveal
+ * to the old owner. The old owner's write of the ledger must fail because the owner row has
+ * changed, and the old owner must deliver no samples. */
 Test (steps, replaced_owner_of_a_strict_step_fails_to_write_the_ledger)
 {
   Cluster *cluster = cluster_new (true);
 
   cluster_open_step (cluster, 0);
-  cr_assert_eq (cluster_pull (cluster, 0, 1), 1);
+  cr_assert_eq (cluster_pull_samples (cluster, 0, 1), 1);
   cluster->instances[0].alive = false;
   cluster_send_members (cluster);
-  cr_assert_eq (cluster_pull (cluster, 1, 1), 1);
+  cr_assert_eq (cluster_pull_samples (cluster, 1, 1), 1);
   cluster->instances[0].alive = true;
   cluster_send_members (cluster);
-  cr_assert_eq (cluster_pull (cluster, 0, 4), 2);
+  cr_assert_eq (cluster_pull_samples (cluster, 0, 4), 2);
   cluster_expect_each_sample_once (cluster);
   cluster_free (cluster);
 }
 
-/* The store's replies are lost after the writes took effect. If these counted as failures, the step
- * would never open or a strict chunk would be delivered twice; so each outcome is read back. */
+/* The store's replies are lost although the writes take effect, so each outcome must be read back.
+ * If the writes counted as failed, the step would never open, or samples of a strict subscription
+ * would be delivered twice. */
 Test (steps, writes_with_lost_replies_are_read_back)
 {
   Cluster *cluster = cluster_new (true);
 
   cluster->store.mode = STORE_LOSES_REPLY;
   cluster_open_step (cluster, 0);
-  cr_assert_eq (cluster->status, 202, "%s", cluster->reply);
-  cr_assert (strstr (cluster->reply, "\"durable\":true"), "%s", cluster->reply);
-  cr_assert_eq (cluster_pull (cluster, 0, 2), 2);
-  cr_assert_eq (cluster_pull (cluster, 0, 2), 2);
+  cr_assert_eq (cluster->status, 202, "status %d instead of 202: %s", cluster->status,
+                cluster->reply);
+  cr_assert (strstr (cluster->reply, "\"durable\":true"), "unexpected reply: %s", cluster->reply);
+  cr_assert_eq (cluster_pull_samples (cluster, 0, 2), 2);
+  cr_assert_eq (cluster_pull_samples (cluster, 0, 2), 2);
   cluster_expect_each_sample_once (cluster);
-  cr_assert_eq (cluster->store.writes, 3);
+  cr_assert_eq (cluster->store.n_writes, 3);
   cluster_free (cluster);
 }
 
-/* The store is unavailable when the step opens. The trainer need not wait: the row is written when
- * the store is back, and then another instance can take over. */
+/* A step can be opened while the store is unavailable, so that the trainer need not wait. Its row
+ * is written when the store is available again; after that, another instance can serve the step. */
 Test (steps, step_opens_while_the_store_is_unavailable)
 {
   Cluster *cluster = cluster_new (false);
 
   cluster->store.mode = STORE_UNAVAILABLE;
   cluster_open_step (cluster, 0);
-  cr_assert_eq (cluster->status, 202, "%s", cluster->reply);
-  cr_assert (strstr (cluster->reply, "\"durable\":false"), "%s", cluster->reply);
-  cr_assert_eq (cluster_pull (cluster, 0, 2), 2);
-  int writes = cluster->store.writes;
+  cr_assert_eq (cluster->status, 202, "status %d instead of 202: %s", cluster->status,
+                cluster->reply);
+  cr_assert (strstr (cluster->reply, "\"durable\":false"), "unexpected reply: %s", cluster->reply);
+  cr_assert_eq (cluster_pull_samples (cluster, 0, 2), 2);
+  int n_writes = cluster->store.n_writes;
   cluster->store.mode = STORE_WORKS;
-  CLUSTER_UNTIL (cluster, cluster->store.writes > writes);
-  cr_assert_eq (cluster_pull (cluster, 1, 4), 2);
+  CLUSTER_WAIT_UNTIL (cluster, cluster->store.n_writes > n_writes);
+  cr_assert_eq (cluster_pull_samples (cluster, 1, 4), 2);
   cluster_expect_each_sample_once (cluster);
   cluster_free (cluster);
 }
 
-/* Two instances get the request to open the same step at the same time, as from a trainer that
- * timed out and tried again. One becomes the owner, and both serve the step's calls. */
+/* Two instances receive the request to open the same step at the same time, as from a trainer that
+ * timed out and retried. One instance becomes the owner, and both accept calls for the step. */
 Test (steps, concurrent_opens_have_one_owner)
 {
   Cluster *cluster = cluster_new (false);
 
-  cluster_send_open (cluster, 1);
+  cluster_send_open_step (cluster, 1);
   cluster_open_step (cluster, 0);
-  cr_assert_eq (cluster->status, 202, "%s", cluster->reply);
-  cr_assert_eq (cluster_pull (cluster, 0, 2), 2);
-  cr_assert_eq (cluster_pull (cluster, 1, 2), 2);
+  cr_assert_eq (cluster->status, 202, "status %d instead of 202: %s", cluster->status,
+                cluster->reply);
+  cr_assert_eq (cluster_pull_samples (cluster, 0, 2), 2);
+  cr_assert_eq (cluster_pull_samples (cluster, 1, 2), 2);
   cluster_expect_each_sample_once (cluster);
   cr_assert (cluster->instances[0].calls.n_samples == 0
              || cluster->instances[1].calls.n_samples == 0);
@@ -179,9 +187,9 @@
   *(OwnerResult *)user = (OwnerResult){ .n_replies = 1, .error = error, .owner = *owner };
 }
 
-/* Two instances saw the same owner die, and the claim of the slower one arrives after the faster
- * one has begun to deliver. It must fail because of the row version that it read, or both would
- * deliver under the same session. */
+/* Two instances claim a step for which they have read the same version of the owner row. The second
+ * claim must fail because that version is outdated; otherwise both instances would deliver samples
+ * under the same session. */
 Test (steps, claim_with_an_outdated_row_version_fails)
 {
   Cluster *cluster = cluster_new (false);
@@ -194,8 +202,8 @@
     {
       stores[i] = ln_step_store_new (&cluster->instances[i].context);
       result.n_replies = 0;
-      ln_step_store_claim (stores[i], &key, &nobody, "{}", on_owner_result, &result);
-      CLUSTER_UNTIL (cluster, result.n_replies == 1);
+      ln_step_store_claim_step (stores[i], &key, &nobody, "{}", on_owner_result, &result);
+      CLUSTER_WAIT_UNTIL (cluster, result.n_replies == 1);
       cr_assert_eq (result.error, i == 0 ? LB_OK : LB_ERROR_CONDITION_FAILED);
     }
   ln_step_store_free (stores[0]);
@@ -204,16 +212,16 @@
 }
 
 static void
-on_put (LbErrorCode error, const LpRow *row, void *user)
+expect_put_succeeded (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
   cr_assert_eq (error, LB_OK);
   *(bool *)user = true;
 }
 
-/* A step's row was damaged by hand and has nulls and numbers in place of strings. A call for the
- * step crashed the instance, as a null was copied like a string. */
-Test (steps, damaged_row_names_no_owner)
+/* An owner row that was edited by hand has nulls and numbers in place of strings. A call for the
+ * step crashed the instance, because a null was copied like a string. */
+Test (steps, owner_row_with_wrong_types_is_read_as_no_owner)
 {
   Cluster *cluster = cluster_new (false);
   const LnStepKey key = { .subscription = "t", .step = 1 };
@@ -225,10 +233,11 @@
   OwnerResult result = { 0 };
   bool done = false;
 
-  store_transact (&cluster->store.platform, &transaction, LP_PRIORITY_LEDGER, on_put, &done);
-  CLUSTER_UNTIL (cluster, done);
+  faulty_store_transact (&cluster->store.platform, &transaction, LP_PRIORITY_LEDGER,
+                         expect_put_succeeded, &done);
+  CLUSTER_WAIT_UNTIL (cluster, done);
   ln_step_store_read_owner (store, &key, on_owner_result, &result);
-  CLUSTER_UNTIL (cluster, result.n_replies == 1);
+  CLUSTER_WAIT_UNTIL (cluster, result.n_replies == 1);
   cr_assert_eq (result.error, LB_OK);
   cr_assert_str_empty (result.owner.instance);
   cr_assert_str_empty (result.owner.incarnation);
@@ -240,41 +249,43 @@
   cluster_free (cluster);
 }
 
-/* The owner drains while some samples are ready and others are running. It must finish the running
- * ones and hand all over to the next owner, so that no sample is generated twice. */
-Test (steps, draining_owner_hands_its_samples_over)
+/* The owner drains while one sample is ready and three are being generated. It must finish the
+ * three samples and hand all samples over to the next owner, so that no sample is generated twice.
+ */
+Test (steps, draining_owner_finishes_its_samples_and_hands_them_over)
 {
   Cluster *cluster = cluster_new (false);
   Instance *first = &cluster->instances[0];
 
   first->calls.holds_samples = true;
   cluster_open_step (cluster, 0);
-  CLUSTER_UNTIL (cluster, first->calls.n_held == 4);
+  CLUSTER_WAIT_UNTIL (cluster, first->calls.n_held == 4);
   for (size_t i = 0; i < 4; i++)
-    calls_post_piece (&first->calls, first->calls.held[i]);
-  calls_post_done (&first->calls, first->calls.held[0]);
+    fake_calls_post_piece (&first->calls, first->calls.held[i]);
+  fake_calls_post_done (&first->calls, first->calls.held[0]);
   for (int i = 0; i < 10; i++)
-    cluster_run_once (cluster);
+    cluster_run_event_loop_once (cluster);
   first->draining = true;
   cluster_send_members (cluster);
   ln_hub_drain (first->context.hub);
   cluster_send_pull (cluster, 0, 4, 5000);
-  /* Several drain ticks pass, in which the step must not be released. */
+  /* Waits for several drain ticks, which must not release the step while samples are generated. */
   LbTime until = lb_clock_monotonic () + 300 * LB_MSEC;
-  CLUSTER_UNTIL (cluster, lb_clock_monotonic () > until);
+  CLUSTER_WAIT_UNTIL (cluster, lb_clock_monotonic () > until);
   cr_assert_not (ln_hub_is_idle (first->context.hub));
   for (size_t i = 1; i < 4; i++)
-    calls_post_done (&first->calls, first->calls.held[i]);
-  CLUSTER_UNTIL (cluster, cluster->n_pending == 0);
-  cluster_accept_reply (cluster);
-  CLUSTER_UNTIL (cluster, ln_hub_is_idle (first->context.hub));
-  cluster_pull (cluster, 1, 4);
+    fake_calls_post_done (&first->calls, first->calls.held[i]);
+  CLUSTER_WAIT_UNTIL (cluster, cluster->n_pending == 0);
+  cluster_record_samples (cluster);
+  CLUSTER_WAIT_UNTIL (cluster, ln_hub_is_idle (first->context.hub));
+  cluster_pull_samples (cluster, 1, 4);
   cluster_expect_each_sample_once (cluster);
   cr_assert_eq (cluster->instances[1].calls.n_samples, 0);
   cluster_free (cluster);
 }
 
-/* A draining instance relays the request to open a step to one that is not draining. */
+/* A draining instance claims no steps, so it relays the request to open a step to another instance.
+ */
 Test (steps, draining_instance_relays_the_open_of_a_step)
 {
   Cluster *cluster = cluster_new (false);
@@ -283,10 +294,11 @@
   cluster_send_members (cluster);
   ln_hub_drain (cluster->instances[0].context.hub);
   cluster_open_step (cluster, 0);
-  cr_assert_eq (cluster->status, 202, "%s", cluster->reply);
-  cr_assert_eq (cluster_pull (cluster, 0, 4), 4);
+  cr_assert_eq (cluster->status, 202, "status %d instead of 202: %s", cluster->status,
+                cluster->reply);
+  cr_assert_eq (cluster_pull_samples (cluster, 0, 4), 4);
   cluster_expect_each_sample_once (cluster);
   cr_assert_eq (cluster->instances[0].calls.n_samples, 0);
-  CLUSTER_UNTIL (cluster, ln_hub_is_idle (cluster->instances[0].context.hub));
+  CLUSTER_WAIT_UNTIL (cluster, ln_hub_is_idle (cluster->instances[0].context.hub));
   cluster_free (cluster);
 }
