--- a/packages/node/tests/test-steps.c
+++ b/packages/node/tests/test-steps.c
@@ -8,8 +8,7 @@
   Cluster *cluster = cluster_new (false);
 
   cluster_open_step (cluster, 0);
-  cr_assert_eq (cluster->status, 202, "status %d instead of 202: %s", cluster->status,
-                cluster->reply);
+  cr_assert_eq (cluster->status, 202, "expected status 202, got the reply: %s", cluster->reply);
   cr_assert (strstr (cluster->reply, "\"session\":1"));
   cr_assert (strstr (cluster->reply, "\"durable\":true"));
   cr_assert_eq (cluster_pull_samples (cluster, 1, 2), 2);
@@ -126,8 +125,7 @@
 
   cluster->store.mode = STORE_LOSES_REPLY;
   cluster_open_step (cluster, 0);
-  cr_assert_eq (cluster->status, 202, "status %d instead of 202: %s", cluster->status,
-                cluster->reply);
+  cr_assert_eq (cluster->status, 202, "expected status 202, got the reply: %s", cluster->reply);
   cr_assert (strstr (cluster->reply, "\"durable\":true"), "unexpected reply: %s", cluster->reply);
   cr_assert_eq (cluster_pull_samples (cluster, 0, 2), 2);
   cr_assert_eq (cluster_pull_samples (cluster, 0, 2), 2);
@@ -144,8 +142,7 @@
 
   cluster->store.mode = STORE_UNAVAILABLE;
   cluster_open_step (cluster, 0);
-  cr_assert_eq (cluster->status, 202, "status %d instead of 202: %s", cluster->status,
-                cluster->reply);
+  cr_assert_eq (cluster->status, 202, "expected status 202, got the reply: %s", cluster->reply);
   cr_assert (strstr (cluster->reply, "\"durable\":false"), "unexpected reply: %s", cluster->reply);
   cr_assert_eq (cluster_pull_samples (cluster, 0, 2), 2);
   int n_writes = cluster->store.n_writes;
@@ -164,8 +161,7 @@
 
   cluster_send_open_step (cluster, 1);
   cluster_open_step (cluster, 0);
-  cr_assert_eq (cluster->status, 202, "status %d instead of 202: %s", cluster->status,
-                cluster->reply);
+  cr_assert_eq (cluster->status, 202, "expected status 202, got the reply: %s", cluster->reply);
   cr_assert_eq (cluster_pull_samples (cluster, 0, 2), 2);
   cr_assert_eq (cluster_pull_samples (cluster, 1, 2), 2);
   cluster_expect_each_sample_once (cluster);
@@ -294,8 +290,7 @@
   cluster_send_members (cluster);
   ln_hub_drain (cluster->instances[0].context.hub);
   cluster_open_step (cluster, 0);
-  cr_assert_eq (cluster->status, 202, "status %d instead of 202: %s", cluster->status,
-                cluster->reply);
+  cr_assert_eq (cluster->status, 202, "expected status 202, got the reply: %s", cluster->reply);
   cr_assert_eq (cluster_pull_samples (cluster, 0, 4), 4);
   cluster_expect_each_sample_once (cluster);
   cr_assert_eq (cluster->instances[0].calls.n_samples, 0);
