--- a/packages/node/tests/test-steps.c
+++ b/packages/node/tests/test-steps.c
@@ -97,9 +97,9 @@
   cluster_free (cluster);
 }
 
-/* The step of a strict subscription has got a new owner, which the trainer's pull does not reveal
- * to the old owner. The old owner's write of the ledger must fail because the owner row has
- * changed, and the old owner must deliver no samples. */
+/* Pulls of a strict subscription have an empty cursor, which does not tell a replaced owner that
+ * the step has a new owner. The replaced owner's write of the ledger must fail because the owner
+ * row has changed, before any sample is delivered. */
 Test (steps, replaced_owner_of_a_strict_step_fails_to_write_the_ledger)
 {
   Cluster *cluster = cluster_new (true);
