--- a/packages/node/include/ln-context.h
+++ b/packages/node/include/ln-context.h
@@ -42,15 +42,15 @@
 void ln_context_clear (LnContext *context);
 
 /* Constructors of the tasks; each is defined in the .c file of its name. */
-LnTask *ln_front_new (LnContext *context);
-LnTask *ln_calls_new (LnContext *context);
-LnTask *ln_rollouts_new (LnContext *context);
-LnTask *ln_config_new (LnContext *context);
-LnTask *ln_peers_new (LnContext *context);
+LnTask *ln_front_task_new (LnContext *context);
+LnTask *ln_calls_task_new (LnContext *context);
+LnTask *ln_rollouts_task_new (LnContext *context);
+LnTask *ln_config_task_new (LnContext *context);
+LnTask *ln_peers_task_new (LnContext *context);
 /* On a shared platform these replace rollouts, config and peers. */
-LnTask *ln_batches_new (LnContext *context);
-LnTask *ln_desired_new (LnContext *context);
-LnTask *ln_fleet_new (LnContext *context);
-LnTask *ln_duties_new (LnContext *context);
+LnTask *ln_batches_task_new (LnContext *context);
+LnTask *ln_desired_task_new (LnContext *context);
+LnTask *ln_fleet_task_new (LnContext *context);
+LnTask *ln_duties_task_new (LnContext *context);
 
 #endif
--- a/packages/node/include/ln-task.h
+++ b/packages/node/include/ln-task.h
@@ -43,7 +43,7 @@
 LnHub *ln_hub_new (struct event_base *base);
 void ln_hub_free (LnHub *hub);
 
-void ln_hub_add (LnHub *hub, LnTask *task);
+void ln_hub_add_task (LnHub *hub, LnTask *task);
 /* NULL when there is none of this name. */
 LnTask *ln_hub_find_task (const LnHub *hub, const char *name);
 /* Posts a copy of the message's size bytes and takes ownership of what the message owns. */
--- a/packages/node/main/lentilspindled.c
+++ b/packages/node/main/lentilspindled.c
@@ -248,10 +248,15 @@
 {
   LnContext *context = &daemon->context;
   LnTask *(*const standalone[]) (LnContext *)
-      = { ln_front_new, ln_peers_new, ln_calls_new, ln_rollouts_new, ln_config_new, NULL };
-  LnTask *(*const shared_platform[]) (LnContext *)
-      = { ln_front_new,   ln_fleet_new,  ln_calls_new, ln_batches_new,
-          ln_desired_new, ln_duties_new, NULL };
+      = { ln_front_task_new,    ln_peers_task_new,  ln_calls_task_new,
+          ln_rollouts_task_new, ln_config_task_new, NULL };
+  LnTask *(*const shared_platform[]) (LnContext *) = { ln_front_task_new,
+                                                       ln_fleet_task_new,
+                                                       ln_calls_task_new,
+                                                       ln_batches_task_new,
+                                                       ln_desired_task_new,
+                                                       ln_duties_task_new,
+                                                       NULL };
   LnTask *(*const *constructors) (LnContext *) = context->dialect ? shared_platform : standalone;
 
   for (size_t i = 0; constructors[i]; i++)
@@ -259,7 +264,7 @@
       LnTask *task = constructors[i](context);
       if (!task)
         return false;
-      ln_hub_add (context->hub, task);
+      ln_hub_add_task (context->hub, task);
       /* The front task binds the caller address, which is the default name; the other tasks read
        * the name when they are created. */
       if (i == 0)
--- a/packages/node/src/batch/ln-batches.c
+++ b/packages/node/src/batch/ln-batches.c
@@ -235,7 +235,7 @@
 
 /* Runs batches of samples on a shared platform, as the task "rollouts". */
 LnTask *
-ln_batches_new (LnContext *context)
+ln_batches_task_new (LnContext *context)
 {
   LnBatches *batches = LB_NEW (LnBatches);
 
--- a/packages/node/src/calls/ln-calls.c
+++ b/packages/node/src/calls/ln-calls.c
@@ -370,7 +370,7 @@
 }
 
 LnTask *
-ln_calls_new (LnContext *context)
+ln_calls_task_new (LnContext *context)
 {
   static const LnPollerHandlers handlers
       = { .on_report = on_report, .on_cache_event = on_cache_event };
--- a/packages/node/src/config/ln-config.c
+++ b/packages/node/src/config/ln-config.c
@@ -322,7 +322,7 @@
 };
 
 LnTask *
-ln_config_new (LnContext *context)
+ln_config_task_new (LnContext *context)
 {
   LnConfigTask *task = LB_NEW (LnConfigTask);
   LcConfigSettings settings = { .max_confirmation_age = MAX_CONFIRMATION_AGE,
--- a/packages/node/src/config/ln-desired.c
+++ b/packages/node/src/config/ln-desired.c
@@ -523,7 +523,7 @@
 };
 
 LnTask *
-ln_desired_new (LnContext *context)
+ln_desired_task_new (LnContext *context)
 {
   static const LnCatalogHandlers catalog_handlers
       = { .on_endpoints = on_catalog_endpoints,
--- a/packages/node/src/duties/ln-duties.c
+++ b/packages/node/src/duties/ln-duties.c
@@ -178,7 +178,7 @@
 
 /* Without a configured duty the timer is not started, so the lease's row is not read either. */
 LnTask *
-ln_duties_new (LnContext *context)
+ln_duties_task_new (LnContext *context)
 {
   const struct timeval tick = lb_time_to_timeval (TICK_PERIOD);
   bool reports_usage = is_duty_configured (context, LN_PLATFORM_USAGE);
--- a/packages/node/src/endpoints/ln-endpoint-list.c
+++ b/packages/node/src/endpoints/ln-endpoint-list.c
@@ -84,7 +84,7 @@
 static const LcRegistration *
 read_registration (LnEndpointList *list, const LpRow *row, LbError *error)
 {
-  const LcRegistration *registration = ln_row_cache_parse (list->row_cache, row, error);
+  const LcRegistration *registration = ln_row_cache_get_content (list->row_cache, row, error);
 
   if (!registration || !list->desired
       || lc_desired_find_service (list->desired, registration->service))
--- a/packages/node/src/front/ln-caller.c
+++ b/packages/node/src/front/ln-caller.c
@@ -223,7 +223,7 @@
 static int
 add_header_to_framing (evhtp_header_t *header, void *user)
 {
-  ln_framing_add (user, header->key, header->klen, header->val, header->vlen);
+  ln_framing_add_header (user, header->key, header->klen, header->val, header->vlen);
   return 0;
 }
 
--- a/packages/node/src/front/ln-entry.c
+++ b/packages/node/src/front/ln-entry.c
@@ -79,7 +79,9 @@
 }
 
 void
-ln_entry_reply (LnExchange *exchange, const LcMembership *membership, int64_t time_to_live_ms)
+ln_entry_reply_addresses (LnExchange *exchange,
+                          const LcMembership *membership,
+                          int64_t time_to_live_ms)
 {
   size_t n_views = lc_membership_count_instances (membership);
   LcMemberView *views = LB_NEW_ARRAY (LcMemberView, n_views);
--- a/packages/node/src/front/ln-entry.h
+++ b/packages/node/src/front/ln-entry.h
@@ -6,6 +6,8 @@
 
 /* Replies to GET /v1/entry with the addresses of the instances that the caller should use, chosen
  * from the current membership view. */
-void ln_entry_reply (LnExchange *exchange, const LcMembership *membership, int64_t time_to_live_ms);
+void ln_entry_reply_addresses (LnExchange *exchange,
+                               const LcMembership *membership,
+                               int64_t time_to_live_ms);
 
 #endif
--- a/packages/node/src/front/ln-framing.c
+++ b/packages/node/src/front/ln-framing.c
@@ -54,7 +54,7 @@
 }
 
 void
-ln_framing_add (
+ln_framing_add_header (
     LnFraming *framing, const char *name, size_t name_length, const char *value, size_t length)
 {
   framing->is_ambiguous |= !is_token (name, name_length) || !is_single_line (value, length);
--- a/packages/node/src/front/ln-framing.h
+++ b/packages/node/src/front/ln-framing.h
@@ -17,7 +17,7 @@
 } LnFraming;
 
 /* Adds one header; the order does not matter. Name and value need not be NUL-terminated. */
-void ln_framing_add (
+void ln_framing_add_header (
     LnFraming *framing, const char *name, size_t name_length, const char *value, size_t length);
 /* To be called after the last header was added. */
 bool ln_framing_is_ambiguous (const LnFraming *framing);
--- a/packages/node/src/front/ln-front.c
+++ b/packages/node/src/front/ln-front.c
@@ -366,7 +366,7 @@
 /* Listens at the configured addresses and stores the bound ones in context. Returns NULL, after
  * logging the error, when it can't listen. */
 LnTask *
-ln_front_new (LnContext *context)
+ln_front_task_new (LnContext *context)
 {
   const LnSettings *settings = context->settings;
   LnFront *front = LB_NEW (LnFront);
--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -134,7 +134,7 @@
   RowReader *reader = user;
   const LpRow row = { .key = name, .value = text, .version = version };
   LbError error = { 0 };
-  const void *parsed = ln_row_cache_parse (reader->cache, &row, &error);
+  const void *parsed = ln_row_cache_get_content (reader->cache, &row, &error);
 
   if (version > reader->newest_version)
     reader->newest_version = version;
--- a/packages/node/src/membership/ln-fleet-lists.c
+++ b/packages/node/src/membership/ln-fleet-lists.c
@@ -168,7 +168,7 @@
 
   for (size_t i = 0; i < n_rows; i++)
     {
-      const LcFleetRow *row = ln_row_cache_parse (listing->row_cache, &rows[i], &error);
+      const LcFleetRow *row = ln_row_cache_get_content (listing->row_cache, &rows[i], &error);
       if (row)
         lc_fleet_add_row (listing->fleet, row, rows[i].version, now);
       else
--- a/packages/node/src/membership/ln-fleet.c
+++ b/packages/node/src/membership/ln-fleet.c
@@ -399,7 +399,7 @@
     = { .name = "peers", .receive = receive, .drain = drain, .free = free_task };
 
 LnTask *
-ln_fleet_new (LnContext *context)
+ln_fleet_task_new (LnContext *context)
 {
   Fleet *task = LB_NEW (Fleet);
 
--- a/packages/node/src/membership/ln-peers.c
+++ b/packages/node/src/membership/ln-peers.c
@@ -72,7 +72,8 @@
 answer_entry_request (LnPeers *peers, LnExchange *exchange)
 {
   ln_exchange_set_owner (exchange, &peers->base);
-  ln_entry_reply (exchange, peers->membership, peers->context->settings->drain.entry_ttl_ms);
+  ln_entry_reply_addresses (exchange, peers->membership,
+                            peers->context->settings->drain.entry_ttl_ms);
 }
 
 static void
@@ -135,7 +136,7 @@
 /* Binds the configured peer address and stores the bound address in the context. NULL if it cannot
  * be bound. */
 LnTask *
-ln_peers_new (LnContext *context)
+ln_peers_task_new (LnContext *context)
 {
   LnPeers *peers = LB_NEW (LnPeers);
   struct timeval no_delay = { 0 };
--- a/packages/node/src/rollout/ln-rollouts.c
+++ b/packages/node/src/rollout/ln-rollouts.c
@@ -292,7 +292,7 @@
 }
 
 LnTask *
-ln_rollouts_new (LnContext *context)
+ln_rollouts_task_new (LnContext *context)
 {
   LnRollouts *rollouts = LB_NEW (LnRollouts);
   LcRolloutSettings settings = lc_rollout_settings_default ();
--- a/packages/node/src/store/ln-row-cache.c
+++ b/packages/node/src/store/ln-row-cache.c
@@ -127,7 +127,7 @@
 }
 
 const void *
-ln_row_cache_parse (LnRowCache *cache, const LpRow *row, LbError *error)
+ln_row_cache_get_content (LnRowCache *cache, const LpRow *row, LbError *error)
 {
   Entry *entry = NULL;
 
--- a/packages/node/src/store/ln-row-cache.h
+++ b/packages/node/src/store/ln-row-cache.h
@@ -26,7 +26,7 @@
 void ln_row_cache_begin_list (LnRowCache *cache);
 /* Returns the row's content, valid until the next list, or NULL with an error when it is malformed.
  * The write counter in the content may be outdated. */
-const void *ln_row_cache_parse (LnRowCache *cache, const LpRow *row, LbError *error);
+const void *ln_row_cache_get_content (LnRowCache *cache, const LpRow *row, LbError *error);
 /* Drops cached rows that were not in the list. */
 void ln_row_cache_end_list (LnRowCache *cache);
 
--- a/packages/node/src/task/ln-task.c
+++ b/packages/node/src/task/ln-task.c
@@ -92,7 +92,7 @@
 }
 
 void
-ln_hub_add (LnHub *hub, LnTask *task)
+ln_hub_add_task (LnHub *hub, LnTask *task)
 {
   task->hub = hub;
   lb_list_append (&hub->tasks, &task->link);
--- a/packages/node/tests/node-fixture.h
+++ b/packages/node/tests/node-fixture.h
@@ -70,11 +70,11 @@
     f->context.platform = lp_memory_new (f->base);
   LB_COPY (f->context.instance, "i1");
   LB_COPY (f->context.incarnation, "a1");
-  f->front = ln_front_new (&f->context);
+  f->front = ln_front_task_new (&f->context);
   cr_assert (f->front);
-  ln_hub_add (f->context.hub, f->front);
-  f->calls = ln_calls_new (&f->context);
-  ln_hub_add (f->context.hub, f->calls);
+  ln_hub_add_task (f->context.hub, f->front);
+  f->calls = ln_calls_task_new (&f->context);
+  ln_hub_add_task (f->context.hub, f->calls);
   LN_POST (f->context.hub, NULL, ready);
 }
 
--- a/packages/node/tests/steps-fixture.h
+++ b/packages/node/tests/steps-fixture.h
@@ -303,12 +303,12 @@
   LB_COPY (context->instance, name);
   snprintf (context->incarnation, sizeof context->incarnation, "%s-1", name);
   instance->alive = true;
-  instance->front = ln_front_new (context);
-  instance->rollouts = ln_rollouts_new (context);
+  instance->front = ln_front_task_new (context);
+  instance->rollouts = ln_rollouts_task_new (context);
   instance->calls.task.klass = &calls_class;
-  ln_hub_add (context->hub, instance->front);
-  ln_hub_add (context->hub, &instance->calls.task);
-  ln_hub_add (context->hub, instance->rollouts);
+  ln_hub_add_task (context->hub, instance->front);
+  ln_hub_add_task (context->hub, &instance->calls.task);
+  ln_hub_add_task (context->hub, instance->rollouts);
   instance_configure (cluster, instance);
 }
 
--- a/packages/node/tests/test-crashes.c
+++ b/packages/node/tests/test-crashes.c
@@ -181,7 +181,7 @@
   LB_COPY (instance->context.incarnation, "life");
   instance->peers = LB_NEW (FakePeers);
   instance->peers->task.klass = &peers_class;
-  ln_hub_add (instance->context.hub, &instance->peers->task);
+  ln_hub_add_task (instance->context.hub, &instance->peers->task);
   instance->quarantine = lc_quarantine_new ();
   instance->crashes = ln_crashes_new (&instance->context, instance->quarantine);
 }
--- a/packages/node/tests/test-leaving.c
+++ b/packages/node/tests/test-leaving.c
@@ -52,7 +52,7 @@
   f.hub = ln_hub_new (f.base);
   f.peers = LB_NEW (FakePeers);
   f.peers->task.klass = &fake_peers_class;
-  ln_hub_add (f.hub, &f.peers->task);
+  ln_hub_add_task (f.hub, &f.peers->task);
   f.leaving = ln_leaving_new (&f.peers->task);
   LB_COPY (f.endpoint.member.name, "e1");
   LB_COPY (f.endpoint.report.incarnation, "life-1");
--- a/packages/node/tests/test-peers.c
+++ b/packages/node/tests/test-peers.c
@@ -110,12 +110,12 @@
   snprintf (instance->context.instance, LB_NAME_MAX, "i%zu", world->n_instances);
   snprintf (instance->context.incarnation, 40, "a%zu", world->n_instances);
   LB_COPY (instance->context.caller_address, "127.0.0.1:1");
-  instance->peers = ln_peers_new (&instance->context);
+  instance->peers = ln_peers_task_new (&instance->context);
   cr_assert (instance->peers);
-  ln_hub_add (instance->context.hub, instance->peers);
+  ln_hub_add_task (instance->context.hub, instance->peers);
   instance->listener = LB_NEW (Listener);
   instance->listener->base.klass = &listener_class;
-  ln_hub_add (instance->context.hub, &instance->listener->base);
+  ln_hub_add_task (instance->context.hub, &instance->listener->base);
   return instance;
 }
 
--- a/packages/node/tests/test-row-cache.c
+++ b/packages/node/tests/test-row-cache.c
@@ -32,7 +32,7 @@
   LbError error = { 0 };
 
   ln_row_cache_begin_list (cache);
-  const Content *content = ln_row_cache_parse (cache, &row, &error);
+  const Content *content = ln_row_cache_get_content (cache, &row, &error);
   ln_row_cache_end_list (cache);
   return content;
 }
