--- a/packages/core/include/lc-change.h
+++ b/packages/core/include/lc-change.h
@@ -3,13 +3,15 @@
 
 #include "lc-resources.h"
 
-/* A change request of an operator: {"apply": [RESOURCE...], "delete": [{"kind", "name"}]}. */
+/* Change request of an operator to the configuration: {"apply": [RESOURCE...], "delete": [{"kind",
+ * "name"}]}. */
 
-#define LC_CHANGE_MAX_ITEMS 2000
+#define LC_CHANGE_MAX_ITEMS 2000 /* in each of the two lists */
 
-/* Returns the validated set after the change, with the next revision; NULL and an error for the
- * first fault. A resource in "apply" replaces the whole resource of its kind and name.
- * Deterministic: the same set and change give the same result on every instance. */
+/* Returns a validated copy of set with the change applied and the next revision number; NULL, with
+ * an error, if the change is invalid. A resource in "apply" replaces the existing one of its kind
+ * and name as a whole. Deterministic: the same set and change give the same result on every
+ * instance. */
 LcResourceSet *lc_change_apply (const LcResourceSet *set,
                                 struct json_object *change,
                                 const char *file,
--- a/packages/core/include/lc-config.h
+++ b/packages/core/include/lc-config.h
@@ -3,37 +3,43 @@
 
 #include "lc-resources.h"
 
-/* Replication of the configuration between instances: the active revision of this process, the
- * revisions that others confirmed, and whether this instance may accept new work with its active
- * revision. The store holds the newest set and a head row with its revision number. The
- * store confirms the active revision when a read of the head row shows the same number. Without
- * that, work may be accepted while a majority of the instances answers. No I/O: commands append
- * actions (LcConfigAction) that the caller carries out and frees. */
+/* Replication of the configuration between instances. Tracks the active revision of this process,
+ * the revisions that its peers report, and whether this instance may accept new work. The store
+ * holds the newest resource set and a head row with its revision number. The store confirms the
+ * active revision when a read of the head row returns the same number. Without a recent
+ * confirmation, an instance may accept work only while a majority of the instances answers it. No
+ * I/O: commands append actions (LcConfigAction), which the caller carries out and frees. */
 
 typedef enum
 {
-  LC_CONFIG_MESSAGE_CHANGE,  /* to all: a revision was accepted; body: the change that led to it */
-  LC_CONFIG_MESSAGE_QUERY,   /* asks for the active revision and how long ago it was confirmed */
-  LC_CONFIG_MESSAGE_STATUS,  /* reply to QUERY; also sent unasked after CHANGE */
-  LC_CONFIG_MESSAGE_FETCH,   /* requests the whole configuration */
-  LC_CONFIG_MESSAGE_SNAPSHOT /* reply to FETCH; body: the set */
+  /* broadcast of an accepted revision; body: the change that led to this revision */
+  LC_CONFIG_MESSAGE_CHANGE,
+  /* asks a peer for its active revision and the age of its confirmation */
+  LC_CONFIG_MESSAGE_QUERY,
+  /* reply to QUERY; also sent after a CHANGE, SNAPSHOT or abandoned change */
+  LC_CONFIG_MESSAGE_STATUS,
+  LC_CONFIG_MESSAGE_FETCH,   /* requests the whole configuration from a peer */
+  LC_CONFIG_MESSAGE_SNAPSHOT /* reply to FETCH; body: the whole configuration */
 } LcConfigMessageType;
 
-/* Message between instances. */
+/* Message about the configuration between two instances. */
 typedef struct
 {
   LcConfigMessageType type;
   int64_t revision;
-  LbTime asked_at; /* QUERY: clock of the sender, echoed by STATUS; 0: STATUS without a QUERY */
-  LbTime age;      /* STATUS: age of the latest confirmation by the store; -1: none is known */
-  /* STATUS: the sender's process had a revision confirmed by the store or a majority, and either
-   * the store did so recently or no announced change of an instance that no longer answers has an
-   * unknown outcome. */
+  /* QUERY: send time by the sender's clock; STATUS: copied from the QUERY, 0 if there was none */
+  LbTime asked_at;
+  /* STATUS: time since the latest known confirmation by the store; -1: none known */
+  LbTime age;
+  /* STATUS: the store or a majority has confirmed a revision since the sender started. Also
+   * requires a recent confirmation by the store, or that no unreachable instance has an announced
+   * change with an unknown outcome. */
   bool confirmed;
-  /* QUERY: number of the change that the sender announces and is about to commit, 0: none; STATUS:
-   * number of its last announced change with a known outcome. */
+  /* QUERY: number of the change that the sender is about to commit; 0: none. STATUS: number of the
+   * sender's last announced change with a known outcome. */
   int64_t announced_change;
-  struct json_object *body; /* CHANGE: the change; SNAPSHOT: the set; owned */
+  /* JSON of the change (CHANGE) or of the whole configuration (SNAPSHOT); owned */
+  struct json_object *body;
 } LcConfigMessage;
 
 void lc_config_message_clear (LcConfigMessage *message);
@@ -43,9 +49,10 @@
 
 typedef enum
 {
-  LC_CONFIG_READ_STORE, /* read the head row; if its revision is newer, the set as well */
-  LC_CONFIG_SEND,       /* send message to instance `to`; empty: to all */
-  LC_CONFIG_ACTIVATED,  /* `set` is the active configuration from now on */
+  /* read the store's head row, and the resource set if the row has a newer revision */
+  LC_CONFIG_READ_STORE,
+  LC_CONFIG_SEND,      /* send `message` to the instance `to`; to all instances if `to` is empty */
+  LC_CONFIG_ACTIVATED, /* `set` is the active configuration from now on */
   LC_CONFIG_READINESS_CHANGED
 } LcConfigActionType;
 
@@ -55,8 +62,8 @@
   LcConfigActionType type;
   LbName to;
   LcConfigMessage message;
-  const LcResourceSet *set; /* ACTIVATED: valid until the next command */
-  bool ready;               /* READINESS_CHANGED: new work may be accepted */
+  const LcResourceSet *set; /* ACTIVATED: new configuration, valid until the next command */
+  bool ready;               /* READINESS_CHANGED: whether new work may be accepted */
 } LcConfigAction;
 
 void lc_config_action_free (LcConfigAction *action);
@@ -64,9 +71,11 @@
 typedef struct
 {
   LbName instance;
-  /* New work is accepted for at most this long without confirmation by the store or a majority. */
+  /* Maximum time for which new work is accepted without a confirmation by the store or a
+   * majority. */
   LbTime max_confirmation_age;
-  LbTime min_poll_period; /* between reads of the head row; longer with many instances */
+  /* period of reads of the store's head row, before jitter; longer with many instances */
+  LbTime min_poll_period;
   uint64_t seed;
 } LcConfigSettings;
 
@@ -86,10 +95,11 @@
 /* commands */
 void lc_config_update_members (
     LcConfig *config, const LcConfigMember *members, size_t n_members, LbTime now, LbList *actions);
-/* Forgets an instance that the platform reports as permanently removed. */
+/* Removes an instance that the platform reports as permanently removed, so that it no longer counts
+ * for the majority. */
 void lc_config_remove_instance (LcConfig *config, const char *instance);
-/* revision: that of the head row, read at read_at; set: taken over; given if it is newer than the
- * active one. */
+/* Handles the result of a read of the store that began at read_at. revision: number in the head
+ * row. set: resources of a revision newer than the active one, otherwise NULL; takes ownership. */
 void lc_config_store_read_completed (LcConfig *config,
                                      int64_t revision,
                                      LcResourceSet *set,
@@ -97,7 +107,8 @@
                                      LbTime now,
                                      LbList *actions);
 void lc_config_store_read_failed (LcConfig *config, LbTime now, LbList *actions);
-/* This instance committed the change that led to the set, which it takes over. */
+/* Activates and broadcasts the result of a change that this instance committed. Takes ownership of
+ * set. */
 void lc_config_change_committed (LcConfig *config,
                                  LcResourceSet *set,
                                  struct json_object *change,
@@ -109,41 +120,42 @@
                                  const LcConfigMessage *message,
                                  LbTime now,
                                  LbList *actions);
-/* Notifies and queries all known instances before a change is committed here. The caller reports
- * the outcome by lc_config_change_committed or lc_config_change_abandoned; by neither if it is not
- * known. */
+/* Sends each peer a query that announces a change, before this instance commits it. The caller
+ * reports the outcome with lc_config_change_committed or lc_config_change_abandoned; with neither
+ * if the outcome is unknown. */
 void lc_config_announce_change (LcConfig *config, LbTime now, LbList *actions);
-/* The announced change is known not to be committed. */
+/* Tells all peers that the announced change was not committed. */
 void lc_config_change_abandoned (LcConfig *config, LbTime now, LbList *actions);
-/* Queries the peers that are not known to have the active revision of this instance. */
+/* Sends a query to each peer that is not known to have this instance's active revision. */
 void lc_config_query_outdated_peers (LcConfig *config, LbTime now, LbList *actions);
 void lc_config_tick (LcConfig *config, LbTime now, LbList *actions);
 
 /* queries */
 const LcResourceSet *lc_config_active_set (const LcConfig *config);
 int64_t lc_config_active_revision (const LcConfig *config);
-/* Whether new work may be accepted with the active revision. */
+/* Returns true if this instance may accept new work with its active revision. */
 bool lc_config_is_ready (const LcConfig *config);
-/* Age of the latest confirmation by the store that this instance or a peer received; -1: none. */
+/* Returns the time since the latest confirmation by the store that this instance or a peer
+ * received; -1 if none is known. */
 LbTime lc_config_confirmation_age (const LcConfig *config, LbTime now);
-/* Whether this instance and the peers that answered a query sent at queried_since or later are a
- * majority of the known instances; only then may it accept a change. */
+/* Returns true if this instance and the peers that answered a query sent at queried_since or later
+ * form a majority of the known instances. Only then may this instance accept a change. */
 bool lc_config_has_majority (const LcConfig *config, LbTime queried_since);
-/* Whether a known instance is not alive but has not left either. */
+/* Returns true if the membership does not list some known instance as alive. */
 bool lc_config_has_unreachable_members (const LcConfig *config);
 
-/* Number of instances on which a revision or a newer one is active. */
+/* Number of instances on which one revision is active, and of all instances. */
 typedef struct
 {
-  size_t active;
-  size_t known; /* instances in all, this one included */
+  size_t active; /* instances on which the revision or a newer one is active */
+  size_t known;  /* all known instances, including this one */
 } LcActiveCount;
 
 LcActiveCount lc_config_count_instances_at_revision (const LcConfig *config, int64_t revision);
-/* revision: the last one known to be active on the instance. */
+/* Callback for one instance. revision: newest one known to be active on the instance. */
 typedef void (*LcConfigVisit) (
     const char *instance, int64_t revision, bool alive, bool draining, void *user);
-/* Calls visit for each known instance, this one included. */
+/* Calls visit for each known instance, including this one. */
 void lc_config_visit_instances (const LcConfig *config, LcConfigVisit visit, void *user);
 LbTime lc_config_next_tick_at (const LcConfig *config);
 
--- a/packages/core/include/lc-desired.h
+++ b/packages/core/include/lc-desired.h
@@ -12,7 +12,7 @@
   LC_ROUTE_IDEMPOTENT,   /* calls that may run more than once */
   LC_ROUTE_AT_MOST_ONCE, /* calls that must not run twice */
   LC_ROUTE_STREAM,       /* calls with a streamed answer */
-  LC_ROUTE_BATCH         /* batches of samples, accepted at once and run later */
+  LC_ROUTE_BATCH         /* batches of items, acknowledged at once and run later */
 } LcRouteKind;
 
 #define LC_MAX_ROUTE_TARGETS 8
@@ -29,14 +29,14 @@
   LbName host;
   char prefix[128]; /* prefix of the paths that the route serves */
   LcRouteKind kind;
-  LbTime timeout;       /* longest wait of a caller; 0: only the deadline of the call */
-  LbTime latency_goal;  /* answers within it have the highest value */
+  LbTime timeout;       /* maximum time of a call; 0: only the call's own deadline applies */
+  LbTime latency_goal;  /* answers within this time have the highest value */
   LbTime item_expiry;   /* BATCH: items may be dropped this long after submission; 0: never */
   LbTime due_after;     /* BATCH: all results are due this long after submission */
-  int64_t max_attempts; /* endpoints that one request is sent to */
-  int priority;         /* larger first */
+  int64_t max_attempts; /* maximum number of endpoints that one request is sent to */
+  int priority;         /* requests of routes with a larger value run first */
   bool resumable;
-  bool is_public;      /* needs no key where organisations are declared */
+  bool is_public;      /* calls need no API key even if organisations are declared */
   bool single_version; /* BATCH: each result must come from one weight version */
   LcRouteTarget targets[LC_MAX_ROUTE_TARGETS];
   size_t n_targets;
@@ -45,17 +45,19 @@
 typedef struct
 {
   LbName data_centre;
-  double price; /* of an endpoint there, relative to the other data centres */
+  double price; /* price of an endpoint in this data centre, relative to the other data centres */
 } LcDataCentrePrice;
 
 #define LC_MAX_DATA_CENTRES 16
 
-/* Limits for ordering endpoints of a service. */
+/* Limits on the number of endpoints that are ordered from the platform for a service. */
 typedef struct
 {
-  int64_t min;       /* in each data centre, spot and regular endpoints together */
-  int64_t max;       /* counted like min; 0: none may be ordered */
-  double spot_price; /* relative to regular endpoints; 0: there are no spot endpoints */
+  /* minimum number of endpoints in each data centre, spot and regular together */
+  int64_t min;
+  int64_t max; /* maximum number, counted like min; 0: no endpoint may be ordered */
+  /* price of a spot endpoint relative to a regular one; 0: there are no spot endpoints */
+  double spot_price;
   LcDataCentrePrice prices[LC_MAX_DATA_CENTRES];
   size_t n_prices;
 } LcScalingLimits;
@@ -64,8 +66,9 @@
 {
   LbName name;
   LcScalingLimits scaling;
-  int64_t max_connections;  /* connections to one endpoint, of all instances together */
-  int64_t tokens_per_event; /* of an engine's stream; 0: not known or a plain service */
+  int64_t max_connections; /* maximum connections to one endpoint, of all instances together */
+  /* tokens in one event of an engine's stream; 0: unknown, or a plain service */
+  int64_t tokens_per_event;
 } LcService;
 
 /* Limits for requests and connections of callers. */
@@ -81,29 +84,32 @@
 {
   int references;
   int64_t version;
-  LcRoute *routes; /* longest prefix first */
+  LcRoute *routes; /* sorted by length of the prefix, longest first */
   size_t n_routes;
   LcService *services;
   size_t n_services;
-  LcOrganisations *organisations; /* NULL: none are declared, and no call needs a key */
+  LcOrganisations *organisations; /* NULL: none are declared, so no call needs an API key */
   LcCallerLimits limits;
 } LcDesired;
 
 LcDesired *lc_desired_new (int64_t version);
 LcDesired *lc_desired_ref (LcDesired *desired);
 void lc_desired_unref (LcDesired *desired);
-/* Both copy. lc_desired_sort_routes must be called after the last route. */
+/* lc_desired_add_route and lc_desired_add_service copy their second argument. Call
+ * lc_desired_sort_routes after the last route was added. */
 void lc_desired_add_route (LcDesired *desired, const LcRoute *route);
 void lc_desired_add_service (LcDesired *desired, const LcService *service);
 void lc_desired_sort_routes (LcDesired *desired);
 
-/* Returns the route of the host with the longest prefix of the path; NULL if there is none. */
+/* Returns the route of the host with the longest prefix that matches the path; NULL if no route
+ * matches. */
 const LcRoute *
 lc_desired_match_route (const LcDesired *desired, const char *host, const char *path);
 const LcService *lc_desired_find_service (const LcDesired *desired, const char *name);
-/* Time without an answer after which a call is hedged on another endpoint; 0: never. */
+/* Returns the time without an answer after which a call is also sent to another endpoint (hedged);
+ * 0: never. */
 LbTime lc_route_hedge_delay (const LcRoute *route);
-/* Chooses a service of the route by weight. random: between 0 and 1. */
+/* Chooses one of the route's services at random by weight. random: uniform number from 0 to 1. */
 const char *lc_route_choose_service (const LcRoute *route, double random);
 
 #endif
--- a/packages/core/include/lc-load-time.h
+++ b/packages/core/include/lc-load-time.h
@@ -3,24 +3,26 @@
 
 #include "lb-error.h"
 
-/* Times to poll an engine that loads weights for the end of the load. Load reports are about 100 ms
- * old, and load times vary between sites and with the number of concurrent loads, so they are
- * learned from earlier loads. A late poll delays the load of the next engine; frequent polls cost
- * requests. No I/O. */
+/* Computes when to poll an engine for the end of a weight load. Load reports are about 100 ms old,
+ * and load times vary between sites and with the number of concurrent loads, so the expected load
+ * time is learned from earlier loads. A late poll delays the load of the next engine; frequent
+ * polls cost requests. No I/O. */
 
 typedef struct
 {
-  LbTime mean; /* from an order to the poll that showed the end of the load; 0: none seen yet */
+  /* moving average of the time from a load order to the poll that detects the end of the load; 0:
+   * no load has ended yet */
+  LbTime mean;
 } LcLoadTime;
 
 /* commands */
-/* time: from an order to the poll that showed the end of the load. */
+/* Adds the time of one load: from the order to the poll that detected the end of the load. */
 void lc_load_time_add_sample (LcLoadTime *load, LbTime time);
 
 /* queries */
-/* Time from the order to the first poll. */
+/* Returns the time from a load order to the first poll of the engine. */
 LbTime lc_load_time_first_poll_delay (const LcLoadTime *load);
-/* Time between further polls. */
+/* Returns the time between the first poll of an engine and each further one. */
 LbTime lc_load_time_poll_interval (const LcLoadTime *load);
 
 #endif
--- a/packages/core/include/lc-resources.h
+++ b/packages/core/include/lc-resources.h
@@ -14,45 +14,49 @@
   LC_N_RESOURCE_KINDS
 } LcResourceKind;
 
-/* Engines that serve one model to live callers and trainers. */
+/* Pool of engines that serve one model to interactive (live) callers and to trainers. */
 typedef struct
 {
   LbName name;
   LbName model;
-  int64_t weight_version;   /* to load on all engines; 0: the newest of the weight store */
-  double live_reserve;      /* share of each engine's concurrency kept for live calls, 0..0.9 */
-  int64_t roll_out_percent; /* most engines that load weights at once, 1..100 */
-  int64_t queue_limit;      /* waiting requests per instance */
+  int64_t weight_version; /* version to load on all engines; 0: the newest in the weight store */
+  /* share of each engine's concurrency that is reserved for live calls, 0..0.9 */
+  double live_reserve;
+  /* maximum percentage of the engines that load weights at once, 1..100 */
+  int64_t roll_out_percent;
+  int64_t queue_limit; /* maximum number of waiting requests per instance */
 } LcPool;
 
 typedef enum
 {
   LC_PRESET_BALANCED,
-  LC_PRESET_IDLE_TIME, /* weighs idle time of trainers more */
-  LC_PRESET_STALENESS  /* weighs staleness of samples more */
+  LC_PRESET_IDLE_TIME, /* idle time of trainers counts more than staleness of samples */
+  LC_PRESET_STALENESS  /* staleness of samples counts more than idle time of trainers */
 } LcPreset;
 
-/* Use of a pool by a trainer. */
+/* Subscription: use of a pool's engines by one trainer. */
 typedef struct
 {
   LbName name;
   LbName pool;
-  double share;        /* weight among the trainers of the pool */
-  int preset;          /* LcPreset */
-  double idle_weight;  /* 0 (only staleness counts) to 1 (only idle time counts), from the preset */
-  double hedge_budget; /* share of a step's tokens that hedges may waste, 0..0.5 */
-  /* Before each chunk is sent, its samples are recorded as delivered in the step's row of the store
-   * (the ledger); the trainer sends no cursor of the samples that it has. */
+  double share; /* relative weight among the trainers of the pool */
+  int preset;   /* LcPreset */
+  /* derived from preset: 0 (only staleness counts) to 1 (only idle time counts) */
+  double idle_weight;
+  double hedge_budget; /* maximum share of a step's tokens that hedged requests may waste, 0..0.5 */
+  /* If set, the samples of a chunk are recorded as delivered in the step's row of the store (the
+   * ledger) before the chunk is sent. The trainer then sends no cursor of the samples that it
+   * has. */
   bool strict;
   LbName scorer; /* service that scores samples before delivery; empty: none */
 } LcSubscription;
 
-/* Largest staleness of a sample when it is delivered to its trainer. */
+/* Maximum staleness of a sample when it is delivered to its trainer. */
 typedef struct
 {
   LbName name;
   LbName subscription;
-  /* Number of weight versions by which the oldest tokens of the sample may be behind the trainer's
+  /* Number of weight versions by which the oldest tokens of a sample may be behind the trainer's
    * version. */
   int64_t max_lag;
 } LcVersionBound;
@@ -63,25 +67,27 @@
   LC_ENDPOINT_SERVICE
 } LcEndpointKind;
 
-/* Engine of a pool, or address of a plain service. */
+/* Endpoint: an engine of a pool, or an address of a plain service. */
 typedef struct
 {
   LbName name;
   int kind;       /* LcEndpointKind */
-  LbName pool;    /* SERVICE: name of the service */
-  LbName address; /* "127.0.0.1:9000" */
+  LbName pool;    /* pool of the engine; LC_ENDPOINT_SERVICE: name of the service */
+  LbName address; /* IPv4 address and port, as in "127.0.0.1:9000" */
   LbName data_centre;
   bool leaving;
-  LbName service;      /* shared platform: service of the engine */
-  bool is_spot;        /* shared platform: cheaper, may be reclaimed at any time */
-  bool checks_fence;   /* rejects orders with an old fencing number */
-  int64_t concurrency; /* requests that the endpoint can run at once */
-  /* concurrency comes from the endpoint itself: a refusal below it means that the endpoint is busy
-   * with other work, for example an order, and does not lower the estimate of its capacity. */
+  LbName service; /* on a shared platform: service that the engine belongs to */
+  /* on a shared platform: cheaper endpoint that may be reclaimed at any time */
+  bool is_spot;
+  bool checks_fence;   /* the endpoint rejects orders with an outdated fencing token */
+  int64_t concurrency; /* maximum number of requests that the endpoint runs at once */
+  /* The endpoint itself reported its concurrency. If it refuses a request while it runs fewer, it
+   * is busy with other work, such as an order, and the refusal does not lower the estimate of its
+   * capacity. */
   bool reports_concurrency;
 } LcEndpointMember;
 
-/* Complete accepted configuration; immutable once built. */
+/* Complete configuration of one accepted revision; immutable once built. */
 typedef struct
 {
   int64_t revision;
@@ -95,9 +101,9 @@
   size_t n_endpoints;
 } LcResourceSet;
 
-/* Builds and validates a set from {"revision": n, "resources": [{"kind", "name", ...}]}: types,
- * ranges, unknown keys, duplicate names and references. Returns NULL and an error with file and key
- * path for the first fault. */
+/* Builds a set from {"revision": n, "resources": [{"kind", "name", ...}]} and validates types,
+ * ranges, unknown keys, duplicate names and references. Returns NULL and an error with the file and
+ * key path of the first fault. */
 LcResourceSet *
 lc_resource_set_from_json (struct json_object *object, const char *file, LbError *error);
 struct json_object *lc_resource_set_to_json (const LcResourceSet *set);
@@ -111,7 +117,7 @@
 const LcSubscription *lc_resource_set_find_subscription (const LcResourceSet *set,
                                                          const char *name);
 const LcEndpointMember *lc_resource_set_find_endpoint (const LcResourceSet *set, const char *name);
-/* Smallest max_lag of the subscription's bounds; INT64_MAX if it has none. */
+/* Returns the smallest max_lag of the subscription's bounds; INT64_MAX if it has none. */
 int64_t lc_resource_set_max_lag (const LcResourceSet *set, const char *subscription);
 
 #endif
--- a/packages/core/include/lc-swap-turns.h
+++ b/packages/core/include/lc-swap-turns.h
@@ -3,23 +3,23 @@
 
 #include "lc-weights.h"
 
-/* Scheduling of weight loads among models: only a few loads at once run at full speed, and this
- * chooses the model that may start the next one. */
+/* Scheduling of weight loads among models. Only a few loads run at full speed at the same time, so
+ * the scheduler chooses the model that may start the next one. */
 typedef struct
 {
   LcWeightsStatus status;
-  bool blocked; /* gave no order the last time it was chosen */
+  bool blocked; /* the model could order no load when it was last chosen */
 } LcSwapCandidate;
 
-/* Returns the index of the model with the fewest engines that have usable weights; n if no model
- * needs a load. */
+/* Returns the index of the model with the smallest share of engines whose weights are usable or
+ * being loaded; n if no model needs a load. */
 size_t lc_swap_turns_choose_model (const LcSwapCandidate *candidates, size_t n);
 
-/* Engines that can load at full speed at the same time, in percent of all engines; more slow each
- * other down. One fifth, rounded up, for all known sizes. */
+/* Maximum percentage of all engines that load weights at once; more loads slow each other down. The
+ * number of engines is rounded up. Applies to deployments of all known sizes. */
 #define LC_SWAP_TURNS_MAX_LOADING_PERCENT 20
 
-/* Returns how many engines may load at once, over all models. */
+/* Returns how many engines of all models together may load weights at once. */
 size_t lc_swap_turns_max_loads (size_t n_engines);
 
 #endif
--- a/packages/core/src/config/lc-change.c
+++ b/packages/core/src/config/lc-change.c
@@ -14,7 +14,10 @@
 } ChangeLists;
 
 static bool
-check_list (struct json_object *value, const char *key, const char *file, LbError *error)
+check_list_is_bounded_array (struct json_object *value,
+                             const char *key,
+                             const char *file,
+                             LbError *error)
 {
   if (!json_object_is_type (value, json_type_array))
     return lb_error_set (error, LB_ERROR_BAD_VALUE, file, "%s: expected an array", key);
@@ -25,10 +28,11 @@
 }
 
 static bool
-read_lists (struct json_object *object, ChangeLists *change, const char *file, LbError *error)
+parse_change (struct json_object *object, ChangeLists *change, const char *file, LbError *error)
 {
   if (!json_object_is_type (object, json_type_object))
-    return lb_error_set (error, LB_ERROR_BAD_VALUE, file, "expected an object");
+    return lb_error_set (error, LB_ERROR_BAD_VALUE, file,
+                         "expected an object with the keys apply and delete");
   json_object_object_foreach (object, key, value)
   {
     if (strcmp (key, "apply") == 0)
@@ -37,21 +41,21 @@
       change->delete = value;
     else
       return lb_error_set (error, LB_ERROR_UNKNOWN_KEY, file, "%s: unknown key", key);
-    if (!check_list (value, key, file, error))
+    if (!check_list_is_bounded_array (value, key, file, error))
       return false;
   }
   return true;
 }
 
-/* Rejects a second item for a resource: the result would depend on the order of the items. seen:
- * "KIND/NAME" of the items so far. */
+/* Rejects a second item for the same resource, since the result would depend on the order of the
+ * items. seen_items: set of "KIND/NAME" of the previous items, to which this item is added. */
 static bool
-check_item (struct json_object *seen,
-            struct json_object *item,
-            const char *key,
-            size_t i,
-            const char *file,
-            LbError *error)
+check_item_is_unique (struct json_object *seen_items,
+                      struct json_object *item,
+                      const char *key,
+                      size_t i,
+                      const char *file,
+                      LbError *error)
 {
   char id[512];
   const char *kind = lb_json_text (item, "kind", NULL);
@@ -61,35 +65,35 @@
     return lb_error_set (error, LB_ERROR_MISSING_KEY, file,
                          "%s[%zu]: expected an object with keys kind and name", key, i);
   snprintf (id, sizeof id, "%s/%s", kind, name);
-  if (json_object_object_get_ex (seen, id, NULL))
+  if (json_object_object_get_ex (seen_items, id, NULL))
     return lb_error_set (error, LB_ERROR_BAD_VALUE, file, "%s[%zu]: duplicate resource %s", key, i,
                          id);
-  json_object_object_add (seen, id, json_object_new_boolean (true));
+  json_object_object_add (seen_items, id, json_object_new_boolean (true));
   return true;
 }
 
 static size_t
-list_length (struct json_object *list)
+array_length_or_zero (struct json_object *list)
 {
   return list ? json_object_array_length (list) : 0;
 }
 
 static bool
-delete_items (LcResourceSet *set,
-              struct json_object *list,
-              struct json_object *seen,
-              const char *file,
-              LbError *error)
+delete_resources (LcResourceSet *set,
+                  struct json_object *list,
+                  struct json_object *seen_items,
+                  const char *file,
+                  LbError *error)
 {
   LcResourceKind kind;
 
-  for (size_t i = 0; i < list_length (list); i++)
+  for (size_t i = 0; i < array_length_or_zero (list); i++)
     {
       struct json_object *item = json_object_array_get_idx (list, i);
-      if (!check_item (seen, item, "delete", i, file, error))
+      if (!check_item_is_unique (seen_items, item, "delete", i, file, error))
         return false;
       if (!lc_resource_kind_from_name (lb_json_text (item, "kind", NULL), &kind)
-          || !lc_resource_set_remove (set, kind, lb_json_text (item, "name", NULL)))
+          || !lc_resource_set_remove_resource (set, kind, lb_json_text (item, "name", NULL)))
         return lb_error_set (error, LB_ERROR_UNKNOWN_RESOURCE, file,
                              "delete[%zu]: %s/%s does not exist", i,
                              lb_json_text (item, "kind", NULL), lb_json_text (item, "name", NULL));
@@ -98,17 +102,17 @@
 }
 
 static bool
-put_items (LcResourceSet *set,
-           struct json_object *list,
-           struct json_object *seen,
-           const char *file,
-           LbError *error)
+put_resources (LcResourceSet *set,
+               struct json_object *list,
+               struct json_object *seen_items,
+               const char *file,
+               LbError *error)
 {
-  for (size_t i = 0; i < list_length (list); i++)
+  for (size_t i = 0; i < array_length_or_zero (list); i++)
     {
       struct json_object *item = json_object_array_get_idx (list, i);
-      if (!check_item (seen, item, "apply", i, file, error)
-          || !lc_resource_set_put (set, item, i, file, error))
+      if (!check_item_is_unique (seen_items, item, "apply", i, file, error)
+          || !lc_resource_set_put_resource (set, item, i, file, error))
         return false;
     }
   return true;
@@ -122,15 +126,15 @@
 {
   ChangeLists lists = { NULL, NULL };
 
-  if (!read_lists (change, &lists, file, error))
+  if (!parse_change (change, &lists, file, error))
     return NULL;
-  struct json_object *seen = json_object_new_object ();
-  LcResourceSet *next = lc_resource_set_copy_with_room (set, list_length (lists.apply));
+  struct json_object *seen_items = json_object_new_object ();
+  LcResourceSet *next = lc_resource_set_copy_with_room (set, array_length_or_zero (lists.apply));
   next->revision++;
-  bool ok = delete_items (next, lists.delete, seen, file, error)
-            && put_items (next, lists.apply, seen, file, error)
-            && lc_resource_set_check (next, file, error);
-  json_object_put (seen);
+  bool ok = delete_resources (next, lists.delete, seen_items, file, error)
+            && put_resources (next, lists.apply, seen_items, file, error)
+            && lc_resource_set_validate (next, file, error);
+  json_object_put (seen_items);
   if (ok)
     return next;
   lc_resource_set_free (next);
--- a/packages/core/src/config/lc-config-message.c
+++ b/packages/core/src/config/lc-config-message.c
@@ -4,13 +4,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-static const char *const type_names[] = { [LC_CONFIG_MESSAGE_CHANGE] = "news",
-                                          [LC_CONFIG_MESSAGE_QUERY] = "ask",
-                                          [LC_CONFIG_MESSAGE_STATUS] = "have",
-                                          [LC_CONFIG_MESSAGE_FETCH] = "want",
-                                          [LC_CONFIG_MESSAGE_SNAPSHOT] = "set" };
+static const char *const message_type_names[] = { [LC_CONFIG_MESSAGE_CHANGE] = "news",
+                                                  [LC_CONFIG_MESSAGE_QUERY] = "ask",
+                                                  [LC_CONFIG_MESSAGE_STATUS] = "have",
+                                                  [LC_CONFIG_MESSAGE_FETCH] = "want",
+                                                  [LC_CONFIG_MESSAGE_SNAPSHOT] = "set" };
 
-#define N_MESSAGE_TYPES (sizeof type_names / sizeof type_names[0])
+#define N_MESSAGE_TYPES (sizeof message_type_names / sizeof message_type_names[0])
 
 void
 lc_config_message_clear (LcConfigMessage *message)
@@ -24,7 +24,8 @@
 {
   struct json_object *object = json_object_new_object ();
 
-  json_object_object_add (object, "type", json_object_new_string (type_names[message->type]));
+  json_object_object_add (object, "type",
+                          json_object_new_string (message_type_names[message->type]));
   json_object_object_add (object, "revision", json_object_new_int64 (message->revision));
   json_object_object_add (object, "asked_at", json_object_new_int64 (message->asked_at));
   json_object_object_add (object, "age", json_object_new_int64 (message->age));
@@ -36,7 +37,7 @@
 }
 
 static bool
-read_integer (struct json_object *object, const char *key, int64_t *value)
+read_required_integer (struct json_object *object, const char *key, int64_t *value)
 {
   struct json_object *member = NULL;
 
@@ -47,7 +48,7 @@
   return true;
 }
 
-/* The message keeps a reference to the body until lc_config_message_clear. */
+/* Parses a message. It keeps a reference to the body until lc_config_message_clear. */
 bool
 lc_config_message_from_json (struct json_object *object, LcConfigMessage *message, LbError *error)
 {
@@ -58,12 +59,13 @@
   if (json_object_object_get_ex (object, "type", &member))
     type_name = json_object_get_string (member);
   size_t type = 0;
-  while (type < N_MESSAGE_TYPES && strcmp (type_names[type], type_name ? type_name : "") != 0)
+  while (type < N_MESSAGE_TYPES
+         && strcmp (message_type_names[type], type_name ? type_name : "") != 0)
     type++;
-  if (type == N_MESSAGE_TYPES || !read_integer (object, "revision", &message->revision)
-      || !read_integer (object, "asked_at", &message->asked_at)
-      || !read_integer (object, "age", &message->age)
-      || !read_integer (object, "intent", &message->announced_change))
+  if (type == N_MESSAGE_TYPES || !read_required_integer (object, "revision", &message->revision)
+      || !read_required_integer (object, "asked_at", &message->asked_at)
+      || !read_required_integer (object, "age", &message->age)
+      || !read_required_integer (object, "intent", &message->announced_change))
     return lb_error_set (error, LB_ERROR_FRAME_GARBLED, "config",
                          "type, revision, asked_at, age or intent is missing or invalid");
   message->type = (LcConfigMessageType)type;
--- a/packages/core/src/config/lc-config-private.h
+++ b/packages/core/src/config/lc-config-private.h
@@ -6,7 +6,7 @@
 #include <gsl/gsl_rng.h>
 #include <uthash.h>
 
-/* Peers are queried this often, and this many each time. */
+/* Time between rounds of queries, and maximum number of peers queried in each round. */
 #define LC_CONFIG_QUERY_PERIOD (LB_SEC / 2)
 #define LC_CONFIG_QUERIES_PER_PERIOD 20
 
@@ -16,18 +16,19 @@
 /* Known state of another instance. */
 typedef struct
 {
-  LbName name; /* key */
+  LbName name; /* key of the hash table */
   LbName incarnation;
   bool alive;
   bool draining;
-  bool is_listed;           /* in the latest list of members */
-  bool confirmed;           /* as its last STATUS stated, see LcConfigMessage */
-  int64_t revision;         /* newest known to be active there */
+  bool is_listed;           /* the latest list of members contains the peer */
+  bool confirmed;           /* `confirmed` of the peer's latest STATUS */
+  int64_t revision;         /* newest revision known to be active on the peer */
   LbTime queried_at;        /* send time of the latest query */
-  LbTime answered_query_at; /* send time of the latest query that it answered; 0: none */
-  LbTime fetched_at;        /* time of the latest FETCH sent to it */
-  int64_t announced_change; /* number of its announced change with an unknown outcome; 0: none */
-  int64_t announced_base_revision; /* revision active there when it announced the change */
+  LbTime answered_query_at; /* send time of the latest query that the peer answered; 0: none */
+  LbTime fetched_at;        /* send time of the latest FETCH to the peer; 0: none */
+  /* number of the peer's announced change with an unknown outcome; 0: none */
+  int64_t announced_change;
+  int64_t announced_base_revision; /* revision active on the peer when it announced the change */
   LbTime announced_at;
   UT_hash_handle hh;
 } LcConfigPeer;
@@ -38,23 +39,24 @@
   gsl_rng *rng;
   LcConfigPeer *peers; /* all known instances except this one */
   LcResourceSet *set;
-  bool confirmed; /* store or majority have confirmed some revision of this process */
+  bool confirmed; /* the store or a majority has confirmed a revision since this process started */
   bool ready;
   LbTime started_at;
-  LbTime store_confirmed_at; /* latest known confirmation by the store, own clock; -1: none */
-  LbTime next_poll_at;       /* next read of the head row */
+  /* time of the latest known confirmation by the store, own clock; -1: none */
+  LbTime store_confirmed_at;
+  LbTime next_poll_at; /* time of the next read of the store's head row */
   LbTime next_query_at;
   int64_t announced_change; /* number of the last change that this instance announced */
-  int64_t settled_change;   /* number of the last one with a known outcome */
+  int64_t settled_change;   /* number of the last announced change with a known outcome */
   LbTime announced_at;
 };
 
-/* lc-config-confirm.c: validity of the active revision. */
-/* Whether the store confirmed the revision recently enough. */
-bool lc_config_is_store_confirmed (const LcConfig *config, LbTime now);
-/* Whether an instance announced a change, its outcome is unknown and it no longer answers; then
- * only the store can confirm a revision. */
-bool lc_config_is_in_doubt (const LcConfig *config, LbTime now);
+/* Returns true if the store confirmed a revision at most max_confirmation_age ago. */
+bool lc_config_is_confirmed_by_store (const LcConfig *config, LbTime now);
+/* Returns true if an instance announced a change, its outcome is unknown and the instance no longer
+ * answers. Then only the store can confirm a revision. */
+bool lc_config_has_change_in_doubt (const LcConfig *config, LbTime now);
+/* Returns true if the active revision is confirmed well enough to accept new work. */
 bool lc_config_can_accept_work (const LcConfig *config, LbTime now);
 
 #endif
--- a/packages/core/src/config/lc-config-query.c
+++ b/packages/core/src/config/lc-config-query.c
@@ -12,22 +12,22 @@
   return config->set->revision;
 }
 
-/* Returns true if new work may be accepted with the active revision. */
+/* Returns true if this instance may accept new work with its active revision. */
 bool
 lc_config_is_ready (const LcConfig *config)
 {
   return config->ready;
 }
 
-/* Returns the age of the latest confirmation by the store that this instance or a peer received; -1
- * if none is known. */
+/* Returns the time since the latest confirmation by the store that this instance or a peer
+ * received; -1 if none is known. */
 LbTime
 lc_config_confirmation_age (const LcConfig *config, LbTime now)
 {
   return config->store_confirmed_at < 0 ? -1 : now - config->store_confirmed_at;
 }
 
-/* Returns true if a known instance is not alive but has not left either. */
+/* Returns true if the membership does not list some known instance as alive. */
 bool
 lc_config_has_unreachable_members (const LcConfig *config)
 {
--- a/packages/core/src/config/lc-config.c
+++ b/packages/core/src/config/lc-config.c
@@ -8,9 +8,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Limit for all instances together; the store serves about 2,000 requests per second. */
+/* Limit on reads of the store's head row, for all instances together. The store serves about 2,000
+ * requests per second. */
 #define MAX_HEAD_READS_PER_SECOND 175
-#define POLL_JITTER 0.2 /* fraction of the period, in either direction */
+/* maximum random deviation from the poll period, as a fraction of the period */
+#define POLL_JITTER 0.2
 
 static LbMetric metric_revision = LB_GAUGE_INIT ("lentilspindle_config_revision",
                                                  NULL,
@@ -25,7 +27,7 @@
                      "1 if the configuration allows new work to be accepted");
 
 static LcConfigAction *
-add_action (LbList *actions, LcConfigActionType type)
+append_action (LbList *actions, LcConfigActionType type)
 {
   LcConfigAction *action = LB_NEW (LcConfigAction);
 
@@ -42,7 +44,7 @@
 }
 
 static LcResourceSet *
-empty_set (void)
+new_empty_set (void)
 {
   return LB_NEW (LcResourceSet);
 }
@@ -55,7 +57,7 @@
   config->settings = *settings;
   config->rng = gsl_rng_alloc (gsl_rng_taus2);
   gsl_rng_set (config->rng, settings->seed);
-  config->set = empty_set ();
+  config->set = new_empty_set ();
   config->started_at = now;
   config->store_confirmed_at = -1;
   config->next_poll_at = now;
@@ -81,7 +83,7 @@
 }
 
 static LcConfigPeer *
-find_peer (const LcConfig *config, const char *name)
+find_peer_by_name (const LcConfig *config, const char *name)
 {
   LcConfigPeer *peer;
 
@@ -92,7 +94,7 @@
 static LcConfigPeer *
 get_or_add_peer (LcConfig *config, const char *name)
 {
-  LcConfigPeer *peer = find_peer (config, name);
+  LcConfigPeer *peer = find_peer_by_name (config, name);
 
   if (peer)
     return peer;
@@ -103,7 +105,7 @@
 }
 
 static LbTime
-random_poll_period (const LcConfig *config)
+compute_jittered_poll_period (const LcConfig *config)
 {
   LbTime period = (LbTime)(HASH_COUNT (config->peers) + 1) * LB_SEC / MAX_HEAD_READS_PER_SECOND;
 
@@ -122,13 +124,13 @@
     return;
   config->ready = ready;
   lb_metric_set (&metric_ready, ready);
-  add_action (actions, LC_CONFIG_READINESS_CHANGED)->ready = ready;
+  append_action (actions, LC_CONFIG_READINESS_CHANGED)->ready = ready;
 }
 
 static LcConfigMessage *
 send_message (LbList *actions, const char *to, LcConfigMessageType type, int64_t revision)
 {
-  LcConfigAction *action = add_action (actions, LC_CONFIG_SEND);
+  LcConfigAction *action = append_action (actions, LC_CONFIG_SEND);
 
   LB_COPY (action->to, to);
   action->message.type = type;
@@ -144,18 +146,18 @@
       = send_message (actions, to, LC_CONFIG_MESSAGE_STATUS, config->set->revision);
 
   status->asked_at = asked_at;
-  status->confirmed
-      = config->confirmed
-        && (lc_config_is_store_confirmed (config, now) || !lc_config_is_in_doubt (config, now));
+  status->confirmed = config->confirmed
+                      && (lc_config_is_confirmed_by_store (config, now)
+                          || !lc_config_has_change_in_doubt (config, now));
   status->announced_change = config->settled_change;
   status->age = lc_config_confirmation_age (config, now);
 }
 
-/* Activates a set, which it takes over, unless its revision is not newer than the active one.
+/* Activates the set if its revision is newer than the active one. Takes ownership of set.
  *
  * Guards against a revision that goes back: a delayed push, an old copy of a peer or a stale read
- * of the store would undo a change that operators saw accepted. All sets pass through here, and
- * the store assigns each revision number once, by a conditional write. */
+ * of the store would undo a change that operators saw accepted. Every set passes through this
+ * function, and the store assigns each revision number once, by a conditional write. */
 static bool
 activate_if_newer (LcConfig *config, LcResourceSet *set, LbList *actions)
 {
@@ -169,7 +171,7 @@
   lc_resource_set_free (config->set);
   config->set = set;
   lb_metric_set (&metric_revision, set->revision);
-  add_action (actions, LC_CONFIG_ACTIVATED)->set = set;
+  append_action (actions, LC_CONFIG_ACTIVATED)->set = set;
   return true;
 }
 
@@ -191,9 +193,10 @@
     send_query (config, peer, now, actions);
 }
 
-/* The state of the previous process of this name does not apply to the new one. */
+/* Discards the state that the previous process of a restarted peer reported: it does not apply to
+ * the new process. */
 static void
-reset_peer (LcConfigPeer *peer, const char *incarnation)
+reset_restarted_peer (LcConfigPeer *peer, const char *incarnation)
 {
   if (peer->incarnation[0])
     {
@@ -204,8 +207,9 @@
   LB_COPY (peer->incarnation, incarnation);
 }
 
-/* An instance that is missing from the members stays known until lc_config_remove_instance: the
- * loss of instances by a partition must not lower the majority that the rest needs. */
+/* A peer that is missing from members stays known until lc_config_remove_instance, unless it was
+ * draining. The loss of instances by a partition must not lower the majority that the rest
+ * needs. */
 void
 lc_config_update_members (
     LcConfig *config, const LcConfigMember *members, size_t n_members, LbTime now, LbList *actions)
@@ -220,7 +224,7 @@
         continue;
       peer = get_or_add_peer (config, members[i].name);
       if (strcmp (peer->incarnation, members[i].incarnation) != 0)
-        reset_peer (peer, members[i].incarnation);
+        reset_restarted_peer (peer, members[i].incarnation);
       peer->is_listed = true;
       peer->alive = members[i].alive;
       peer->draining = members[i].draining;
@@ -238,11 +242,11 @@
   update_readiness (config, now, actions);
 }
 
-/* Called for an instance that the platform reports as permanently removed. */
+/* Removes an instance that the platform reports as permanently removed. */
 void
 lc_config_remove_instance (LcConfig *config, const char *instance)
 {
-  LcConfigPeer *peer = find_peer (config, instance);
+  LcConfigPeer *peer = find_peer_by_name (config, instance);
 
   if (!peer || !config->peers)
     return;
@@ -250,8 +254,9 @@
   free (peer);
 }
 
-/* revision: head revision of the store, from a read that began at read_at. set: taken over; given
- * if the revision is newer than the active one at the time of the read. */
+/* Handles the result of a read of the store that began at read_at. revision: number in the head
+ * row. set: taken over; given if the revision was newer than the active one at the time of the
+ * read. */
 void
 lc_config_store_read_completed (LcConfig *config,
                                 int64_t revision,
@@ -263,25 +268,25 @@
   if (set)
     activate_if_newer (config, set, actions);
   if (revision < config->set->revision)
-    /* The answering replica of the store lags behind, so it confirms nothing. */
+    /* The replica of the store that answered lags behind, so its answer confirms nothing. */
     lb_metric_add (&metric_outdated, 1);
   else if (revision == config->set->revision && read_at > config->store_confirmed_at)
     config->store_confirmed_at = read_at;
   if (read_at >= config->announced_at + LC_CONFIG_MAX_COMMIT_DURATION)
     config->settled_change = config->announced_change;
-  config->next_poll_at = now + random_poll_period (config);
+  config->next_poll_at = now + compute_jittered_poll_period (config);
   update_readiness (config, now, actions);
 }
 
 void
 lc_config_store_read_failed (LcConfig *config, LbTime now, LbList *actions)
 {
-  config->next_poll_at = now + random_poll_period (config);
+  config->next_poll_at = now + compute_jittered_poll_period (config);
   update_readiness (config, now, actions);
 }
 
-/* This instance committed the change that led to set (taken over): activates the set and broadcasts
- * the change. */
+/* Activates and broadcasts the result of a change that this instance committed. Takes ownership of
+ * set. */
 void
 lc_config_change_committed (LcConfig *config,
                             LcResourceSet *set,
@@ -301,9 +306,10 @@
   update_readiness (config, now, actions);
 }
 
-/* Requests the newer set of a peer, at most once per peer and LC_CONFIG_QUERY_PERIOD. */
+/* Requests the whole set of a peer with a newer revision, at most once per peer and
+ * LC_CONFIG_QUERY_PERIOD. */
 static void
-fetch_set (LcConfig *config, LcConfigPeer *peer, LbTime now, LbList *actions)
+send_fetch (LcConfig *config, LcConfigPeer *peer, LbTime now, LbList *actions)
 {
   if (peer->fetched_at > 0 && now - peer->fetched_at < LC_CONFIG_QUERY_PERIOD)
     return;
@@ -312,11 +318,11 @@
 }
 
 static void
-handle_change (LcConfig *config,
-               LcConfigPeer *peer,
-               const LcConfigMessage *message,
-               LbTime now,
-               LbList *actions)
+handle_change_message (LcConfig *config,
+                       LcConfigPeer *peer,
+                       const LcConfigMessage *message,
+                       LbTime now,
+                       LbList *actions)
 {
   LbError error;
   LcResourceSet *next = NULL;
@@ -326,22 +332,22 @@
   if (next)
     activate_if_newer (config, next, actions);
   else if (message->revision > config->set->revision)
-    fetch_set (config, peer, now, actions);
+    send_fetch (config, peer, now, actions);
   else if (message->revision < config->set->revision)
     lb_metric_add (&metric_outdated, 1);
   if (message->revision <= config->set->revision)
     send_status (config, peer->name, 0, now, actions);
 }
 
-/* The age of a confirmation counts only in a reply to a query of this process, and from the time
- * the query was sent: otherwise a reply that waited in the socket of a paused process would make an
+/* A confirmation age counts only in a reply to a query of this process, and is measured from the
+ * time of the query. Otherwise a reply that waited in the socket of a paused process would make an
  * old confirmation look recent. */
 static void
-handle_status (LcConfig *config,
-               LcConfigPeer *peer,
-               const LcConfigMessage *status,
-               LbTime now,
-               LbList *actions)
+handle_status_message (LcConfig *config,
+                       LcConfigPeer *peer,
+                       const LcConfigMessage *status,
+                       LbTime now,
+                       LbList *actions)
 {
   if (status->asked_at > 0 && status->asked_at <= now && status->asked_at > peer->answered_query_at)
     {
@@ -355,15 +361,15 @@
   if (status->announced_change >= peer->announced_change)
     peer->announced_change = 0;
   if (status->revision > config->set->revision && status->confirmed)
-    fetch_set (config, peer, now, actions);
+    send_fetch (config, peer, now, actions);
 }
 
 static void
-handle_snapshot (LcConfig *config,
-                 LcConfigPeer *peer,
-                 const LcConfigMessage *message,
-                 LbTime now,
-                 LbList *actions)
+handle_snapshot_message (LcConfig *config,
+                         LcConfigPeer *peer,
+                         const LcConfigMessage *message,
+                         LbTime now,
+                         LbList *actions)
 {
   LbError error;
   LcResourceSet *set
@@ -399,7 +405,7 @@
   switch (message->type)
     {
     case LC_CONFIG_MESSAGE_CHANGE:
-      handle_change (config, peer, message, now, actions);
+      handle_change_message (config, peer, message, now, actions);
       break;
     case LC_CONFIG_MESSAGE_QUERY:
       if (message->announced_change > 0)
@@ -407,7 +413,7 @@
       send_status (config, from, message->asked_at, now, actions);
       break;
     case LC_CONFIG_MESSAGE_STATUS:
-      handle_status (config, peer, message, now, actions);
+      handle_status_message (config, peer, message, now, actions);
       break;
     case LC_CONFIG_MESSAGE_FETCH:
       if (message->revision < config->set->revision)
@@ -415,7 +421,7 @@
             = lc_resource_set_to_json (config->set);
       break;
     case LC_CONFIG_MESSAGE_SNAPSHOT:
-      handle_snapshot (config, peer, message, now, actions);
+      handle_snapshot_message (config, peer, message, now, actions);
       break;
     }
   update_readiness (config, now, actions);
@@ -430,7 +436,7 @@
     send_query (config, peer, now, actions)->announced_change = config->announced_change;
 }
 
-/* The announced change is known not to be committed. */
+/* Tells all peers that the announced change was not committed. */
 void
 lc_config_change_abandoned (LcConfig *config, LbTime now, LbList *actions)
 {
@@ -438,7 +444,7 @@
   send_status (config, "", 0, now, actions);
 }
 
-/* Queries peers that are not known to have the active revision of this instance. */
+/* Sends a query to each peer that is not known to have this instance's active revision. */
 void
 lc_config_query_outdated_peers (LcConfig *config, LbTime now, LbList *actions)
 {
@@ -447,9 +453,10 @@
       send_query (config, peer, now, actions);
 }
 
-/* Starts with the peers whose last query is longest ago. */
+/* Queries up to LC_CONFIG_QUERIES_PER_PERIOD peers, beginning with the one whose last query is the
+ * oldest. */
 static void
-query_oldest_peers (LcConfig *config, LbTime now, LbList *actions)
+query_least_recently_queried_peers (LcConfig *config, LbTime now, LbList *actions)
 {
   for (size_t n = 0; n < LC_CONFIG_QUERIES_PER_PERIOD; n++)
     {
@@ -468,8 +475,8 @@
 {
   if (now >= config->next_poll_at)
     {
-      config->next_poll_at = now + random_poll_period (config);
-      add_action (actions, LC_CONFIG_READ_STORE);
+      config->next_poll_at = now + compute_jittered_poll_period (config);
+      append_action (actions, LC_CONFIG_READ_STORE);
     }
   if (now >= config->next_query_at)
     {
@@ -478,7 +485,7 @@
           = !config->confirmed || config->store_confirmed_at < 0
             || now - config->store_confirmed_at > config->settings.max_confirmation_age / 4;
       if (needs_confirmation)
-        query_oldest_peers (config, now, actions);
+        query_least_recently_queried_peers (config, now, actions);
     }
   update_readiness (config, now, actions);
 }
--- a/packages/core/src/config/lc-desired.c
+++ b/packages/core/src/config/lc-desired.c
@@ -7,7 +7,7 @@
 #include <string.h>
 #include <strings.h>
 
-#define HEDGE_DELAY_PERCENT 70 /* of the latency goal */
+#define HEDGE_DELAY_PERCENT 70 /* delay before a hedge, in percent of the route's latency goal */
 
 LcDesired *
 lc_desired_new (int64_t version)
@@ -53,7 +53,7 @@
 }
 
 static int
-compare_prefix_lengths (const void *a, const void *b)
+compare_prefix_lengths_descending (const void *a, const void *b)
 {
   size_t first = strlen (((const LcRoute *)a)->prefix);
   size_t second = strlen (((const LcRoute *)b)->prefix);
@@ -65,12 +65,13 @@
 lc_desired_sort_routes (LcDesired *desired)
 {
   if (desired->n_routes > 0)
-    qsort (desired->routes, desired->n_routes, sizeof *desired->routes, compare_prefix_lengths);
+    qsort (desired->routes, desired->n_routes, sizeof *desired->routes,
+           compare_prefix_lengths_descending);
 }
 
-/* A port in the Host header is ignored. */
+/* Returns true if the Host header names the route's host; a port in the header is ignored. */
 static bool
-matches_host (const LcRoute *route, const char *host)
+route_matches_host (const LcRoute *route, const char *host)
 {
   size_t length = strlen (route->host);
 
@@ -84,7 +85,8 @@
   for (size_t i = 0; i < desired->n_routes; i++)
     {
       const LcRoute *route = &desired->routes[i];
-      if (matches_host (route, host) && strncmp (path, route->prefix, strlen (route->prefix)) == 0)
+      if (route_matches_host (route, host)
+          && strncmp (path, route->prefix, strlen (route->prefix)) == 0)
         return route;
     }
   return NULL;
--- a/packages/core/src/config/lc-resources-check.c
+++ b/packages/core/src/config/lc-resources-check.c
@@ -6,17 +6,17 @@
 #include <string.h>
 
 static bool
-fail_reference (
+set_reference_error (
     const char *file, LcResourceKind kind, const char *name, const char *text, LbError *error)
 {
   char where[192];
 
-  lc_resource_format_where (where, sizeof where, file, 0, lc_resource_kind_name (kind), name);
+  lc_resource_format_location (where, sizeof where, file, 0, lc_resource_kind_name (kind), name);
   return lb_error_set (error, LB_ERROR_BAD_REFERENCE, where, "%s", text);
 }
 
 static bool
-has_service (const LcResourceSet *set, const char *service)
+has_service_endpoint (const LcResourceSet *set, const char *service)
 {
   for (size_t i = 0; i < set->n_endpoints; i++)
     if (set->endpoints[i].kind == LC_ENDPOINT_SERVICE
@@ -26,35 +26,37 @@
 }
 
 static bool
-check_subscriptions (const LcResourceSet *set, const char *file, LbError *error)
+check_subscription_references (const LcResourceSet *set, const char *file, LbError *error)
 {
   for (size_t i = 0; i < set->n_subscriptions; i++)
     {
       const LcSubscription *subscription = &set->subscriptions[i];
       if (!lc_resource_set_find_pool (set, subscription->pool))
-        return fail_reference (file, LC_RESOURCE_SUBSCRIPTION, subscription->name,
-                               "pool: does not exist", error);
-      if (subscription->scorer[0] && !has_service (set, subscription->scorer))
-        return fail_reference (file, LC_RESOURCE_SUBSCRIPTION, subscription->name,
-                               "scorer: no endpoint of type service has this name as its pool",
-                               error);
+        return set_reference_error (file, LC_RESOURCE_SUBSCRIPTION, subscription->name,
+                                    "pool: expected the name of an existing pool", error);
+      if (subscription->scorer[0] && !has_service_endpoint (set, subscription->scorer))
+        return set_reference_error (file, LC_RESOURCE_SUBSCRIPTION, subscription->name,
+                                    "scorer: no endpoint of type service has this name as its pool",
+                                    error);
     }
   for (size_t i = 0; i < set->n_bounds; i++)
     if (!lc_resource_set_find_subscription (set, set->bounds[i].subscription))
-      return fail_reference (file, LC_RESOURCE_VERSION_BOUND, set->bounds[i].name,
-                             "subscription: does not exist", error);
+      return set_reference_error (file, LC_RESOURCE_VERSION_BOUND, set->bounds[i].name,
+                                  "subscription: expected the name of an existing subscription",
+                                  error);
   return true;
 }
 
 static int
-compare_addresses (const void *a, const void *b)
+compare_endpoint_addresses (const void *a, const void *b)
 {
   const LcEndpointMember *const *first = a, *const *second = b;
 
   return strcmp ((*first)->address, (*second)->address);
 }
 
-/* Rejects two endpoints with one address: the capacity of their process would count twice. */
+/* Rejects two endpoints with the same address, since the capacity of the process at this address
+ * would count twice. */
 static bool
 check_addresses_are_unique (const LcResourceSet *set, const char *file, LbError *error)
 {
@@ -63,19 +65,19 @@
 
   for (size_t i = 0; i < set->n_endpoints; i++)
     sorted[i] = &set->endpoints[i];
-  qsort (sorted, set->n_endpoints, sizeof *sorted, compare_addresses);
+  qsort (sorted, set->n_endpoints, sizeof *sorted, compare_endpoint_addresses);
   for (size_t i = 1; ok && i < set->n_endpoints; i++)
     if (strcmp (sorted[i - 1]->address, sorted[i]->address) == 0)
-      ok = fail_reference (file, LC_RESOURCE_ENDPOINT, sorted[i]->name,
-                           "address: already used by another endpoint", error);
+      ok = set_reference_error (file, LC_RESOURCE_ENDPOINT, sorted[i]->name,
+                                "address: already used by another endpoint", error);
   free (sorted);
   return ok;
 }
 
-/* Rejects service endpoints in a pool of engines: the router treats all endpoints of a pool alike.
- */
+/* Rejects endpoints of type service in a pool that has engines, since the router treats all
+ * endpoints of a pool alike. */
 static bool
-check_pools_are_uniform (const LcResourceSet *set, const char *file, LbError *error)
+check_pools_have_one_endpoint_kind (const LcResourceSet *set, const char *file, LbError *error)
 {
   bool *has_engine = LB_NEW_ARRAY (bool, set->n_pools);
   bool ok = true;
@@ -88,9 +90,9 @@
       const LcEndpointMember *endpoint = &set->endpoints[i];
       const LcPool *pool = lc_resource_set_find_pool (set, endpoint->pool);
       if (endpoint->kind == LC_ENDPOINT_SERVICE && pool && has_engine[pool - set->pools])
-        ok = fail_reference (file, LC_RESOURCE_ENDPOINT, endpoint->name,
-                             "pool: has engines, so it can't have endpoints of type service",
-                             error);
+        ok = set_reference_error (file, LC_RESOURCE_ENDPOINT, endpoint->name,
+                                  "pool: has engines, so it can't have endpoints of type service",
+                                  error);
     }
   free (has_engine);
   return ok;
@@ -103,15 +105,15 @@
     {
       const LcEndpointMember *endpoint = &set->endpoints[i];
       if (endpoint->kind == LC_ENDPOINT_ENGINE && !lc_resource_set_find_pool (set, endpoint->pool))
-        return fail_reference (file, LC_RESOURCE_ENDPOINT, endpoint->name, "pool: does not exist",
-                               error);
+        return set_reference_error (file, LC_RESOURCE_ENDPOINT, endpoint->name,
+                                    "pool: expected the name of an existing pool", error);
     }
-  return check_pools_are_uniform (set, file, error)
+  return check_pools_have_one_endpoint_kind (set, file, error)
          && check_addresses_are_unique (set, file, error);
 }
 
 bool
-lc_resource_set_check (const LcResourceSet *set, const char *file, LbError *error)
+lc_resource_set_validate (const LcResourceSet *set, const char *file, LbError *error)
 {
-  return check_subscriptions (set, file, error) && check_endpoints (set, file, error);
+  return check_subscription_references (set, file, error) && check_endpoints (set, file, error);
 }
--- a/packages/core/src/config/lc-resources-private.h
+++ b/packages/core/src/config/lc-resources-private.h
@@ -3,22 +3,24 @@
 
 #include "lc-resources.h"
 
-/* Changes to a copy of a set: resources are put and removed one by one, then the whole set is
- * validated. */
+/* Functions that change a copy of a set. Put and remove resources one by one, then validate the
+ * whole set. */
 
-/* room: further resources of each kind that can be put in the copy. */
+/* room: number of resources of each kind that can be added to the copy. */
 LcResourceSet *lc_resource_set_copy_with_room (const LcResourceSet *set, size_t room);
-/* Adds a resource or replaces the one of its kind and name. */
-bool lc_resource_set_put (
+/* Adds the resource in object, or replaces the one of the same kind and name. index: position in
+ * the list of resources, for errors. */
+bool lc_resource_set_put_resource (
     LcResourceSet *set, struct json_object *object, size_t index, const char *file, LbError *error);
-/* Returns false if there is no such resource. */
-bool lc_resource_set_remove (LcResourceSet *set, LcResourceKind kind, const char *name);
-/* Validates references and unique addresses; in lc-resources-check.c. */
-bool lc_resource_set_check (const LcResourceSet *set, const char *file, LbError *error);
+/* Removes a resource; returns false if the set has none of this kind and name. */
+bool lc_resource_set_remove_resource (LcResourceSet *set, LcResourceKind kind, const char *name);
+/* Checks that all referenced resources exist and that no two endpoints have the same address.
+ * Defined in lc-resources-check.c. */
+bool lc_resource_set_validate (const LcResourceSet *set, const char *file, LbError *error);
 
-/* Formats the location for errors: "FILE: KIND/NAME", or "FILE: resources[INDEX]" if kind or name
- * is NULL. */
-void lc_resource_format_where (
+/* Writes the location of a resource for errors: "FILE: KIND/NAME", or "FILE: resources[INDEX]" if
+ * kind or name is NULL. */
+void lc_resource_format_location (
     char *where, size_t size, const char *file, size_t index, const char *kind, const char *name);
 
 #endif
--- a/packages/core/src/config/lc-resources.c
+++ b/packages/core/src/config/lc-resources.c
@@ -12,55 +12,55 @@
 
 #define MAX_POOLS 64
 #define MAX_SUBSCRIPTIONS 256
-#define MAX_BOUNDS 512
+#define MAX_VERSION_BOUNDS 512
 #define MAX_ENDPOINTS 4000
 
 static const char *const preset_names[] = { "balanced", "idle_time", "staleness", NULL };
 static const double preset_idle_weights[] = { 0.5, 0.9, 0.1 };
 static const char *const endpoint_types[] = { "engine", "service", NULL };
 
-#define TEXT(type_name, json_key, member, is_required)                                             \
+#define TEXT_SETTING(type_name, json_key, member, is_required)                                     \
   {                                                                                                \
     .key = (json_key), .type = LB_SETTING_TEXT, .offset = offsetof (type_name, member),            \
     .size = sizeof (LbName), .required = (is_required)                                             \
   }
-#define NUMBER(type_name, json_key, member, kind, low, high)                                       \
+#define NUMBER_SETTING(type_name, json_key, member, kind, low, high)                               \
   {                                                                                                \
     .key = (json_key), .type = (kind), .offset = offsetof (type_name, member), .min = (low),       \
     .max = (high)                                                                                  \
   }
-#define FLAG(type_name, json_key, member)                                                          \
+#define FLAG_SETTING(type_name, json_key, member)                                                  \
   {                                                                                                \
     .key = (json_key), .type = LB_SETTING_BOOL, .offset = offsetof (type_name, member)             \
   }
 
 static const LbSettingSpec pool_specs[] = {
-  TEXT (LcPool, "name", name, true),
-  TEXT (LcPool, "model", model, false),
-  NUMBER (LcPool, "weight_version", weight_version, LB_SETTING_INT, 0, 1e15),
-  NUMBER (LcPool, "live_reserve", live_reserve, LB_SETTING_REAL, 0, 0.9),
-  NUMBER (LcPool, "roll_out_percent", roll_out_percent, LB_SETTING_INT, 1, 100),
-  NUMBER (LcPool, "queue_limit", queue_limit, LB_SETTING_INT, 1, 1e6),
+  TEXT_SETTING (LcPool, "name", name, true),
+  TEXT_SETTING (LcPool, "model", model, false),
+  NUMBER_SETTING (LcPool, "weight_version", weight_version, LB_SETTING_INT, 0, 1e15),
+  NUMBER_SETTING (LcPool, "live_reserve", live_reserve, LB_SETTING_REAL, 0, 0.9),
+  NUMBER_SETTING (LcPool, "roll_out_percent", roll_out_percent, LB_SETTING_INT, 1, 100),
+  NUMBER_SETTING (LcPool, "queue_limit", queue_limit, LB_SETTING_INT, 1, 1e6),
   { .key = NULL },
 };
 
 static const LbSettingSpec subscription_specs[] = {
-  TEXT (LcSubscription, "name", name, true),
-  TEXT (LcSubscription, "pool", pool, true),
-  NUMBER (LcSubscription, "share", share, LB_SETTING_REAL, 0.001, 1000),
+  TEXT_SETTING (LcSubscription, "name", name, true),
+  TEXT_SETTING (LcSubscription, "pool", pool, true),
+  NUMBER_SETTING (LcSubscription, "share", share, LB_SETTING_REAL, 0.001, 1000),
   { .key = "preset",
     .type = LB_SETTING_CHOICE,
     .offset = offsetof (LcSubscription, preset),
     .choices = preset_names },
-  NUMBER (LcSubscription, "hedge_budget", hedge_budget, LB_SETTING_REAL, 0, 0.5),
-  FLAG (LcSubscription, "strict", strict),
-  TEXT (LcSubscription, "scorer", scorer, false),
+  NUMBER_SETTING (LcSubscription, "hedge_budget", hedge_budget, LB_SETTING_REAL, 0, 0.5),
+  FLAG_SETTING (LcSubscription, "strict", strict),
+  TEXT_SETTING (LcSubscription, "scorer", scorer, false),
   { .key = NULL },
 };
 
 static const LbSettingSpec bound_specs[] = {
-  TEXT (LcVersionBound, "name", name, true),
-  TEXT (LcVersionBound, "subscription", subscription, true),
+  TEXT_SETTING (LcVersionBound, "name", name, true),
+  TEXT_SETTING (LcVersionBound, "subscription", subscription, true),
   { .key = "max_lag",
     .type = LB_SETTING_INT,
     .offset = offsetof (LcVersionBound, max_lag),
@@ -70,22 +70,23 @@
 };
 
 static const LbSettingSpec endpoint_specs[] = {
-  TEXT (LcEndpointMember, "name", name, true),
+  TEXT_SETTING (LcEndpointMember, "name", name, true),
   { .key = "type",
     .type = LB_SETTING_CHOICE,
     .offset = offsetof (LcEndpointMember, kind),
     .choices = endpoint_types,
     .required = true },
-  TEXT (LcEndpointMember, "pool", pool, true),
-  TEXT (LcEndpointMember, "address", address, true),
-  TEXT (LcEndpointMember, "data_centre", data_centre, false),
-  FLAG (LcEndpointMember, "leaving", leaving),
-  FLAG (LcEndpointMember, "checks_fence", checks_fence),
-  NUMBER (LcEndpointMember, "concurrency", concurrency, LB_SETTING_INT, 1, 1e5),
+  TEXT_SETTING (LcEndpointMember, "pool", pool, true),
+  TEXT_SETTING (LcEndpointMember, "address", address, true),
+  TEXT_SETTING (LcEndpointMember, "data_centre", data_centre, false),
+  FLAG_SETTING (LcEndpointMember, "leaving", leaving),
+  FLAG_SETTING (LcEndpointMember, "checks_fence", checks_fence),
+  NUMBER_SETTING (LcEndpointMember, "concurrency", concurrency, LB_SETTING_INT, 1, 1e5),
   { .key = NULL },
 };
 
-/* Layout of the resources of one kind in a set. The first member of each resource is its name. */
+/* Describes the resources of one kind in a set. The first member of each resource struct is its
+ * name. */
 typedef struct
 {
   const char *name;
@@ -96,7 +97,7 @@
   size_t max_count;
 } ResourceKindInfo;
 
-static const ResourceKindInfo kinds[LC_N_RESOURCE_KINDS] = {
+static const ResourceKindInfo kind_infos[LC_N_RESOURCE_KINDS] = {
   [LC_RESOURCE_POOL] = { "pool", pool_specs, sizeof (LcPool), offsetof (LcResourceSet, pools),
                          offsetof (LcResourceSet, n_pools), MAX_POOLS },
   [LC_RESOURCE_SUBSCRIPTION] = { "subscription", subscription_specs, sizeof (LcSubscription),
@@ -104,26 +105,26 @@
                                  offsetof (LcResourceSet, n_subscriptions), MAX_SUBSCRIPTIONS },
   [LC_RESOURCE_VERSION_BOUND]
   = { "version_bound", bound_specs, sizeof (LcVersionBound), offsetof (LcResourceSet, bounds),
-      offsetof (LcResourceSet, n_bounds), MAX_BOUNDS },
+      offsetof (LcResourceSet, n_bounds), MAX_VERSION_BOUNDS },
   [LC_RESOURCE_ENDPOINT]
   = { "endpoint", endpoint_specs, sizeof (LcEndpointMember), offsetof (LcResourceSet, endpoints),
       offsetof (LcResourceSet, n_endpoints), MAX_ENDPOINTS },
 };
 
 static char **
-items_field (const LcResourceSet *set, LcResourceKind kind)
+resource_array_field (const LcResourceSet *set, LcResourceKind kind)
 {
-  return (char **)((char *)set + kinds[kind].items_offset);
+  return (char **)((char *)set + kind_infos[kind].items_offset);
 }
 
 static size_t *
-count_field (const LcResourceSet *set, LcResourceKind kind)
+resource_count_field (const LcResourceSet *set, LcResourceKind kind)
 {
-  return (size_t *)((char *)set + kinds[kind].count_offset);
+  return (size_t *)((char *)set + kind_infos[kind].count_offset);
 }
 
 static int
-compare_names (const void *a, const void *b)
+compare_resource_names (const void *a, const void *b)
 {
   return strcmp (a, b);
 }
@@ -131,14 +132,14 @@
 static const void *
 find_resource (const LcResourceSet *set, LcResourceKind kind, const char *name)
 {
-  if (*count_field (set, kind) == 0)
+  if (*resource_count_field (set, kind) == 0)
     return NULL;
-  return bsearch (name, *items_field (set, kind), *count_field (set, kind), kinds[kind].size,
-                  compare_names);
+  return bsearch (name, *resource_array_field (set, kind), *resource_count_field (set, kind),
+                  kind_infos[kind].size, compare_resource_names);
 }
 
 static void
-set_defaults (LcResourceKind kind, void *item)
+set_resource_defaults (LcResourceKind kind, void *item)
 {
   if (kind == LC_RESOURCE_POOL)
     *(LcPool *)item = (LcPool){ .live_reserve = 0.25, .roll_out_percent = 25, .queue_limit = 4096 };
@@ -148,9 +149,10 @@
     *(LcEndpointMember *)item = (LcEndpointMember){ .checks_fence = true, .concurrency = 32 };
 }
 
-/* Names appear in URLs, row keys and log lines. */
+/* Names appear in URLs, row keys and log lines, so only characters that are safe in all of these
+ * are allowed. */
 static bool
-is_valid_name (const char *name)
+is_valid_resource_name (const char *name)
 {
   static const char allowed[] = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._-";
 
@@ -158,7 +160,7 @@
 }
 
 static bool
-is_valid_address (const char *address)
+is_ipv4_address_and_port (const char *address)
 {
   LbName host;
   struct in_addr ip;
@@ -175,7 +177,7 @@
 }
 
 void
-lc_resource_format_where (
+lc_resource_format_location (
     char *where, size_t size, const char *file, size_t index, const char *kind, const char *name)
 {
   if (kind && name)
@@ -185,7 +187,7 @@
 }
 
 static struct json_object *
-copy_without_kind (struct json_object *object)
+copy_without_kind_key (struct json_object *object)
 {
   struct json_object *copy = json_object_new_object ();
 
@@ -198,43 +200,45 @@
 }
 
 static bool
-read_item (
+parse_resource (
     struct json_object *object, LcResourceKind kind, void *item, const char *where, LbError *error)
 {
-  struct json_object *body = copy_without_kind (object);
+  struct json_object *body = copy_without_kind_key (object);
 
-  set_defaults (kind, item);
-  bool ok = lb_settings_apply (body, kinds[kind].specs, item, where, error);
+  set_resource_defaults (kind, item);
+  bool ok = lb_settings_apply (body, kind_infos[kind].specs, item, where, error);
   json_object_put (body);
   if (!ok)
     return false;
-  if (!is_valid_name (item))
+  if (!is_valid_resource_name (item))
     return lb_error_set (error, LB_ERROR_BAD_VALUE, where,
-                         "name: expected letters, digits, '-', '_' and '.'");
+                         "name: expected letters, digits, '-', '_' and '.', without a leading '.'");
   if (kind == LC_RESOURCE_SUBSCRIPTION)
     {
       LcSubscription *subscription = item;
       subscription->idle_weight = preset_idle_weights[subscription->preset];
     }
-  if (kind == LC_RESOURCE_ENDPOINT && !is_valid_address (((LcEndpointMember *)item)->address))
+  if (kind == LC_RESOURCE_ENDPOINT
+      && !is_ipv4_address_and_port (((LcEndpointMember *)item)->address))
     return lb_error_set (error, LB_ERROR_BAD_VALUE, where,
                          "address: expected an IPv4 address and a port, as in 127.0.0.1:9000");
   return true;
 }
 
-/* Reads the kind of a resource, and formats its location for all further errors. */
+/* Reads the kind of a resource. Also writes the resource's location to where, for further
+ * errors. */
 static bool
-read_kind (struct json_object *object,
-           size_t index,
-           const char *file,
-           char *where,
-           size_t size,
-           LcResourceKind *kind,
-           LbError *error)
+parse_resource_kind (struct json_object *object,
+                     size_t index,
+                     const char *file,
+                     char *where,
+                     size_t size,
+                     LcResourceKind *kind,
+                     LbError *error)
 {
   const char *name = lb_json_text (object, "kind", NULL);
 
-  lc_resource_format_where (where, size, file, index, name, lb_json_text (object, "name", NULL));
+  lc_resource_format_location (where, size, file, index, name, lb_json_text (object, "name", NULL));
   if (!json_object_is_type (object, json_type_object))
     return lb_error_set (error, LB_ERROR_BAD_VALUE, where, "expected an object");
   if (!name)
@@ -246,41 +250,47 @@
 }
 
 static bool
-check_count (const LcResourceSet *set, LcResourceKind kind, const char *where, LbError *error)
+check_resource_limit (const LcResourceSet *set,
+                      LcResourceKind kind,
+                      const char *where,
+                      LbError *error)
 {
-  if (*count_field (set, kind) < kinds[kind].max_count)
+  if (*resource_count_field (set, kind) < kind_infos[kind].max_count)
     return true;
   return lb_error_set (error, LB_ERROR_OUT_OF_RANGE, where,
-                       "expected at most %zu resources of this kind", kinds[kind].max_count);
+                       "expected at most %zu resources of this kind", kind_infos[kind].max_count);
 }
 
 static bool
-add_item (
+append_resource (
     LcResourceSet *set, struct json_object *object, size_t index, const char *file, LbError *error)
 {
   char where[192];
   LcResourceKind kind = LC_RESOURCE_POOL;
 
-  if (!read_kind (object, index, file, where, sizeof where, &kind, error)
-      || !check_count (set, kind, where, error))
+  if (!parse_resource_kind (object, index, file, where, sizeof where, &kind, error)
+      || !check_resource_limit (set, kind, where, error))
     return false;
-  size_t *count = count_field (set, kind);
-  if (!read_item (object, kind, *items_field (set, kind) + *count * kinds[kind].size, where, error))
+  size_t *count = resource_count_field (set, kind);
+  if (!parse_resource (object, kind,
+                       *resource_array_field (set, kind) + *count * kind_infos[kind].size, where,
+                       error))
     return false;
   (*count)++;
   return true;
 }
 
-/* Returns the index of the name in the sorted resources, or the index to insert it at. */
+/* Returns the index of the resource with this name in the sorted array, or the index to insert it
+ * at. */
 static size_t
-find_position (const LcResourceSet *set, LcResourceKind kind, const char *name)
+find_resource_position (const LcResourceSet *set, LcResourceKind kind, const char *name)
 {
-  size_t low = 0, high = *count_field (set, kind);
+  size_t low = 0, high = *resource_count_field (set, kind);
 
   while (low < high)
     {
       size_t middle = (low + high) / 2;
-      if (strcmp (*items_field (set, kind) + middle * kinds[kind].size, name) < 0)
+      if (strcmp (*resource_array_field (set, kind) + middle * kind_infos[kind].size, name) < 0)
         low = middle + 1;
       else
         high = middle;
@@ -289,32 +299,33 @@
 }
 
 static bool
-has_name_at (const LcResourceSet *set, LcResourceKind kind, size_t position, const char *name)
+has_resource_at (const LcResourceSet *set, LcResourceKind kind, size_t position, const char *name)
 {
-  return position < *count_field (set, kind)
-         && strcmp (*items_field (set, kind) + position * kinds[kind].size, name) == 0;
+  return position < *resource_count_field (set, kind)
+         && strcmp (*resource_array_field (set, kind) + position * kind_infos[kind].size, name)
+                == 0;
 }
 
 bool
-lc_resource_set_put (
+lc_resource_set_put_resource (
     LcResourceSet *set, struct json_object *object, size_t index, const char *file, LbError *error)
 {
   char where[192];
   LcResourceKind kind = LC_RESOURCE_POOL;
   bool ok = false;
 
-  if (!read_kind (object, index, file, where, sizeof where, &kind, error))
+  if (!parse_resource_kind (object, index, file, where, sizeof where, &kind, error))
     return false;
-  size_t size = kinds[kind].size;
-  size_t *count = count_field (set, kind);
+  size_t size = kind_infos[kind].size;
+  size_t *count = resource_count_field (set, kind);
   char *item = lb_calloc (1, size);
-  if (!read_item (object, kind, item, where, error))
+  if (!parse_resource (object, kind, item, where, error))
     goto out;
-  size_t position = find_position (set, kind, item);
-  char *slot = *items_field (set, kind) + position * size;
-  if (!has_name_at (set, kind, position, item))
+  size_t position = find_resource_position (set, kind, item);
+  char *slot = *resource_array_field (set, kind) + position * size;
+  if (!has_resource_at (set, kind, position, item))
     {
-      if (!check_count (set, kind, where, error))
+      if (!check_resource_limit (set, kind, where, error))
         goto out;
       memmove (slot + size, slot, (*count - position) * size);
       (*count)++;
@@ -327,14 +338,14 @@
 }
 
 bool
-lc_resource_set_remove (LcResourceSet *set, LcResourceKind kind, const char *name)
+lc_resource_set_remove_resource (LcResourceSet *set, LcResourceKind kind, const char *name)
 {
-  size_t size = kinds[kind].size;
-  size_t *count = count_field (set, kind);
-  size_t position = find_position (set, kind, name);
-  char *slot = *items_field (set, kind) + position * size;
+  size_t size = kind_infos[kind].size;
+  size_t *count = resource_count_field (set, kind);
+  size_t position = find_resource_position (set, kind, name);
+  char *slot = *resource_array_field (set, kind) + position * size;
 
-  if (!has_name_at (set, kind, position, name))
+  if (!has_resource_at (set, kind, position, name))
     return false;
   (*count)--;
   memmove (slot, slot + size, (*count - position) * size);
@@ -342,20 +353,20 @@
 }
 
 static bool
-check_names_are_unique (const LcResourceSet *set,
-                        LcResourceKind kind,
-                        const char *file,
-                        LbError *error)
+check_resource_names_are_unique (const LcResourceSet *set,
+                                 LcResourceKind kind,
+                                 const char *file,
+                                 LbError *error)
 {
   char where[192];
-  const char *items = *items_field (set, kind);
+  const char *items = *resource_array_field (set, kind);
 
-  for (size_t i = 1; i < *count_field (set, kind); i++)
+  for (size_t i = 1; i < *resource_count_field (set, kind); i++)
     {
-      const char *item = items + i * kinds[kind].size;
-      if (strcmp (item - kinds[kind].size, item) != 0)
+      const char *item = items + i * kind_infos[kind].size;
+      if (strcmp (item - kind_infos[kind].size, item) != 0)
         continue;
-      lc_resource_format_where (where, sizeof where, file, 0, kinds[kind].name, item);
+      lc_resource_format_location (where, sizeof where, file, 0, kind_infos[kind].name, item);
       return lb_error_set (error, LB_ERROR_BAD_VALUE, where,
                            "name: already used by another resource of this kind");
     }
@@ -363,33 +374,34 @@
 }
 
 static bool
-read_resources (LcResourceSet *set, struct json_object *list, const char *file, LbError *error)
+parse_resources (LcResourceSet *set, struct json_object *list, const char *file, LbError *error)
 {
   size_t length = json_object_array_length (list);
 
   for (int kind = 0; kind < LC_N_RESOURCE_KINDS; kind++)
-    *items_field (set, kind)
-        = lb_calloc (length < kinds[kind].max_count ? length : kinds[kind].max_count,
-                     kinds[kind].size);
+    *resource_array_field (set, kind)
+        = lb_calloc (length < kind_infos[kind].max_count ? length : kind_infos[kind].max_count,
+                     kind_infos[kind].size);
   for (size_t i = 0; i < length; i++)
-    if (!add_item (set, json_object_array_get_idx (list, i), i, file, error))
+    if (!append_resource (set, json_object_array_get_idx (list, i), i, file, error))
       return false;
   for (int kind = 0; kind < LC_N_RESOURCE_KINDS; kind++)
     {
-      qsort (*items_field (set, kind), *count_field (set, kind), kinds[kind].size, compare_names);
-      if (!check_names_are_unique (set, kind, file, error))
+      qsort (*resource_array_field (set, kind), *resource_count_field (set, kind),
+             kind_infos[kind].size, compare_resource_names);
+      if (!check_resource_names_are_unique (set, kind, file, error))
         return false;
     }
-  return lc_resource_set_check (set, file, error);
+  return lc_resource_set_validate (set, file, error);
 }
 
-/* Reads the keys of the outermost object. */
+/* Reads revision and resources, the keys of the outermost object. */
 static bool
-read_document (struct json_object *object,
-               int64_t *revision,
-               struct json_object **list,
-               const char *file,
-               LbError *error)
+parse_resource_document (struct json_object *object,
+                         int64_t *revision,
+                         struct json_object **list,
+                         const char *file,
+                         LbError *error)
 {
   if (!json_object_is_type (object, json_type_object))
     return lb_error_set (error, LB_ERROR_BAD_VALUE, file, "expected an object with key resources");
@@ -400,7 +412,9 @@
     else if (strcmp (key, "revision") == 0 && json_object_is_type (value, json_type_int))
       *revision = json_object_get_int64 (value);
     else if (strcmp (key, "resources") == 0 || strcmp (key, "revision") == 0)
-      return lb_error_set (error, LB_ERROR_BAD_VALUE, file, "%s: has the wrong type", key);
+      return lb_error_set (
+          error, LB_ERROR_BAD_VALUE, file,
+          "%s: wrong type; expected resources as an array and revision as an integer", key);
     else
       return lb_error_set (error, LB_ERROR_UNKNOWN_KEY, file, "%s: unknown key", key);
   }
@@ -417,15 +431,15 @@
   struct json_object *list = NULL;
   LcResourceSet *set = LB_NEW (LcResourceSet);
 
-  if (read_document (object, &set->revision, &list, file, error)
-      && read_resources (set, list, file, error))
+  if (parse_resource_document (object, &set->revision, &list, file, error)
+      && parse_resources (set, list, file, error))
     return set;
   lc_resource_set_free (set);
   return NULL;
 }
 
 static struct json_object *
-value_to_json (const LbSettingSpec *spec, const char *item)
+setting_to_json (const LbSettingSpec *spec, const char *item)
 {
   const char *field = item + spec->offset;
 
@@ -449,17 +463,17 @@
 }
 
 static struct json_object *
-item_to_json (LcResourceKind kind, const char *item)
+resource_to_json (LcResourceKind kind, const char *item)
 {
   struct json_object *object = json_object_new_object ();
 
-  json_object_object_add (object, "kind", json_object_new_string (kinds[kind].name));
-  for (const LbSettingSpec *spec = kinds[kind].specs; spec->key; spec++)
-    json_object_object_add (object, spec->key, value_to_json (spec, item));
+  json_object_object_add (object, "kind", json_object_new_string (kind_infos[kind].name));
+  for (const LbSettingSpec *spec = kind_infos[kind].specs; spec->key; spec++)
+    json_object_object_add (object, spec->key, setting_to_json (spec, item));
   return object;
 }
 
-/* Writes every key of every resource, sorted by kind and name. */
+/* Returns the set as JSON, with every key of every resource, sorted by kind and name. */
 struct json_object *
 lc_resource_set_to_json (const LcResourceSet *set)
 {
@@ -467,9 +481,9 @@
   struct json_object *list = json_object_new_array ();
 
   for (int kind = 0; kind < LC_N_RESOURCE_KINDS; kind++)
-    for (size_t i = 0; i < *count_field (set, kind); i++)
-      json_object_array_add (list,
-                             item_to_json (kind, *items_field (set, kind) + i * kinds[kind].size));
+    for (size_t i = 0; i < *resource_count_field (set, kind); i++)
+      json_object_array_add (list, resource_to_json (kind, *resource_array_field (set, kind)
+                                                               + i * kind_infos[kind].size));
   json_object_object_add (object, "revision", json_object_new_int64 (set->revision));
   json_object_object_add (object, "resources", list);
   return object;
@@ -482,11 +496,11 @@
 
   for (int kind = 0; kind < LC_N_RESOURCE_KINDS; kind++)
     {
-      size_t used = *count_field (set, kind) * kinds[kind].size;
-      char *items = lb_malloc (used + room * kinds[kind].size);
+      size_t used = *resource_count_field (set, kind) * kind_infos[kind].size;
+      char *items = lb_malloc (used + room * kind_infos[kind].size);
       if (used > 0)
-        memcpy (items, *items_field (set, kind), used);
-      *items_field (copy, kind) = items;
+        memcpy (items, *resource_array_field (set, kind), used);
+      *resource_array_field (copy, kind) = items;
     }
   return copy;
 }
@@ -503,21 +517,21 @@
   if (!set)
     return;
   for (int kind = 0; kind < LC_N_RESOURCE_KINDS; kind++)
-    free (*items_field (set, kind));
+    free (*resource_array_field (set, kind));
   free (set);
 }
 
 const char *
 lc_resource_kind_name (LcResourceKind kind)
 {
-  return kinds[kind].name;
+  return kind_infos[kind].name;
 }
 
 bool
 lc_resource_kind_from_name (const char *name, LcResourceKind *kind)
 {
   for (int i = 0; i < LC_N_RESOURCE_KINDS; i++)
-    if (strcmp (kinds[i].name, name) == 0)
+    if (strcmp (kind_infos[i].name, name) == 0)
       {
         *kind = (LcResourceKind)i;
         return true;
