--- a/packages/core/src/weights/lc-engine-plan.c
+++ b/packages/core/src/weights/lc-engine-plan.c
@@ -11,22 +11,23 @@
 #include <uthash.h>
 #include <xxhash.h>
 
-/* Trainers submit a batch every few seconds, with very different lengths, so the half-life spans
- * several batches. */
+/* Half-life of the recorded demand. It spans several batches, since trainers submit a batch every
+ * few seconds, with very different lengths. */
 #define DEMAND_HALF_LIFE (20 * LB_SEC)
-/* Engines that one model lacks plus those that another has in excess, before the first engine is
- * moved: a constant plus a fraction of an even share. Less is noise of the text lengths, which over
- * five steps of 40 texts is a tenth of the share, and each move costs a load of weights and the
- * engine's cache. */
-#define MIN_IMBALANCE 1.4
-#define MIN_IMBALANCE_SHARE 0.1
-/* The same threshold for further moves, which make the assignment as even as whole engines allow. A
- * move changes the sum of the squared deviations by 2 - 2 x (lack + excess), so it is an
- * improvement only if lack and excess together are above 1; 0.01 is far above rounding errors. Each
+/* Minimum imbalance that moves the first engine: MIN_IMBALANCE_ENGINES plus
+ * MIN_IMBALANCE_SHARE_FACTOR of an even share of engines. The imbalance is the number of engines
+ * that one model lacks plus the number that another has in excess. Less is noise of the text
+ * lengths, which over five steps of 40 texts is a tenth of the share. Each move costs a load of
+ * weights and the engine's cache. */
+#define MIN_IMBALANCE_ENGINES 1.4
+#define MIN_IMBALANCE_SHARE_FACTOR 0.1
+/* Minimum imbalance for the moves after the first one, which make the assignment as even as whole
+ * engines allow. A move changes the sum of the squared deviations by 2 - 2 x (lack + excess), so it
+ * is an improvement only if lack plus excess is above 1; 0.01 is far above rounding errors. Each
  * move lowers the sum, so the loop ends. Without this bound, two models with a lack of 0.7 and an
  * excess of 0.2 took the same engine from each other in an endless loop, which blocked the
  * instance. */
-#define MIN_IMBALANCE_AFTER_FIRST 1.01
+#define MIN_IMBALANCE_AFTER_FIRST_MOVE 1.01
 
 void
 lc_engine_plan_clear (LcEnginePlan *plan)
@@ -43,9 +44,10 @@
 }
 
 /* Returns the index of the engine's entry, or the index to insert it at. Entries are sorted by
- * engine name: with a linear search, each list of 1,000 engines took every instance 3 ms. */
+ * engine name: with a linear search, processing each list of 1,000 engines took 3 ms on every
+ * instance. */
 static size_t
-find_position (const LcEnginePlan *plan, const char *engine)
+find_engine_position (const LcEnginePlan *plan, const char *engine)
 {
   size_t low = 0;
   size_t high = plan->n_entries;
@@ -70,20 +72,20 @@
 const LcPlanEntry *
 lc_engine_plan_find (const LcEnginePlan *plan, const char *engine)
 {
-  size_t position = find_position (plan, engine);
+  size_t position = find_engine_position (plan, engine);
 
   return has_engine_at (plan, position, engine) ? &plan->entries[position] : NULL;
 }
 
 static bool
-is_same_entry (const LcPlanEntry *a, const LcPlanEntry *b)
+is_same_plan_entry (const LcPlanEntry *a, const LcPlanEntry *b)
 {
   return strcmp (a->engine, b->engine) == 0 && strcmp (a->model, b->model) == 0
          && a->version == b->version && a->loading == b->loading;
 }
 
 static void
-insert_at (LcEnginePlan *plan, size_t position, const LcPlanEntry *entry)
+insert_entry_at (LcEnginePlan *plan, size_t position, const LcPlanEntry *entry)
 {
   plan->entries = lb_realloc (plan->entries, (plan->n_entries + 1) * sizeof *plan->entries);
   memmove (&plan->entries[position + 1], &plan->entries[position],
@@ -95,20 +97,20 @@
 bool
 lc_engine_plan_put (LcEnginePlan *plan, const LcPlanEntry *entry)
 {
-  size_t position = find_position (plan, entry->engine);
+  size_t position = find_engine_position (plan, entry->engine);
 
   if (!has_engine_at (plan, position, entry->engine))
     {
-      insert_at (plan, position, entry);
+      insert_entry_at (plan, position, entry);
       return true;
     }
-  bool changed = !is_same_entry (&plan->entries[position], entry);
+  bool changed = !is_same_plan_entry (&plan->entries[position], entry);
   plan->entries[position] = *entry;
   return changed;
 }
 
 static bool
-is_listed (const LcPlanEntry *entry, const LcPlanEntry *engines, size_t n_engines)
+is_engine_listed (const LcPlanEntry *entry, const LcPlanEntry *engines, size_t n_engines)
 {
   for (size_t i = 0; i < n_engines; i++)
     if (strcmp (engines[i].engine, entry->engine) == 0)
@@ -122,7 +124,7 @@
   size_t n_kept = 0;
 
   for (size_t i = 0; i < plan->n_entries; i++)
-    if (is_listed (&plan->entries[i], engines, n_engines))
+    if (is_engine_listed (&plan->entries[i], engines, n_engines))
       plan->entries[n_kept++] = plan->entries[i];
   bool changed = n_kept != plan->n_entries;
   plan->n_entries = n_kept;
@@ -137,14 +139,14 @@
   for (size_t i = 0; i < a->n_entries; i++)
     {
       const LcPlanEntry *other = lc_engine_plan_find (b, a->entries[i].engine);
-      if (!other || !is_same_entry (&a->entries[i], other))
+      if (!other || !is_same_plan_entry (&a->entries[i], other))
         return false;
     }
   return true;
 }
 
 static size_t
-part_index (const char *engine)
+engine_part_index (const char *engine)
 {
   return XXH3_64bits (engine, strlen (engine)) % LC_ENGINE_PLAN_PARTS;
 }
@@ -163,12 +165,12 @@
 {
   memset (part, 0, sizeof *part);
   for (size_t i = 0; i < plan->n_entries; i++)
-    if (part_index (plan->entries[i].engine) == index)
+    if (engine_part_index (plan->entries[i].engine) == index)
       append_entries (part, &plan->entries[i], 1);
 }
 
 static int
-compare_engines (const void *a, const void *b)
+compare_engine_names (const void *a, const void *b)
 {
   return strcmp (((const LcPlanEntry *)a)->engine, ((const LcPlanEntry *)b)->engine);
 }
@@ -181,7 +183,7 @@
     if (parts[i].n_entries > 0)
       append_entries (plan, parts[i].entries, parts[i].n_entries);
   if (plan->n_entries > 0)
-    qsort (plan->entries, plan->n_entries, sizeof *plan->entries, compare_engines);
+    qsort (plan->entries, plan->n_entries, sizeof *plan->entries, compare_engine_names);
 }
 
 struct json_object *
@@ -219,11 +221,11 @@
   return true;
 }
 
-/* --- demand --- */
+/* --- demand for each model, in tokens that trainers requested --- */
 
 typedef struct
 {
-  LbName model; /* key */
+  LbName model; /* key of the hash table */
   double tokens;
   LbTime updated_at;
   UT_hash_handle hh;
@@ -301,17 +303,17 @@
   return model_demand ? decayed_tokens (model_demand, now) : 0;
 }
 
-/* --- assignment of engines --- */
+/* --- assignment of engines to models --- */
 
 typedef struct
 {
   const char *name;
-  double share;     /* number of engines by demand, at least 1 */
-  double n_engines; /* assigned to the model now */
-} Share;
+  double share;     /* number of engines that the model should have by demand, at least 1 */
+  double n_engines; /* number of engines that are assigned to the model now */
+} ModelShare;
 
 static size_t
-find_share (const Share *shares, size_t n, const char *model)
+find_share_index (const ModelShare *shares, size_t n, const char *model)
 {
   for (size_t i = 0; i < n; i++)
     if (strcmp (shares[i].name, model) == 0)
@@ -319,15 +321,16 @@
   return n;
 }
 
-/* Each model gets one engine; the others are shared by demand, or evenly without demand: engines
- * that registered one after the other may be assigned 5, 3 and 1, and first steps would wait. */
+/* Computes how many engines each model should have: one each, and the rest by demand, or evenly
+ * without demand. Engines that registered one after the other may be assigned 5, 3 and 1; the first
+ * steps of the model with one engine would wait. */
 static void
-compute_shares (Share *shares,
-                const LbName *models,
-                size_t n_models,
-                size_t n_engines,
-                const LcDemand *demand,
-                LbTime now)
+compute_model_shares (ModelShare *shares,
+                      const LbName *models,
+                      size_t n_models,
+                      size_t n_engines,
+                      const LcDemand *demand,
+                      LbTime now)
 {
   double total = 0;
 
@@ -337,15 +340,16 @@
     {
       double fraction
           = total > 0 ? lc_demand_tokens (demand, models[i], now) / total : 1 / (double)n_models;
-      shares[i]
-          = (Share){ .name = models[i], .share = 1 + fraction * (double)(n_engines - n_models) };
+      shares[i] = (ModelShare){ .name = models[i],
+                                .share = 1 + fraction * (double)(n_engines - n_models) };
     }
 }
 
-/* Finds the model that lacks most engines and the one with the largest excess. Returns true if an
- * engine should move between them. */
+/* Finds the model that lacks most engines and the model with the largest excess. Returns true if an
+ * engine should move from the latter to the former. */
 static bool
-find_move (const Share *shares, size_t n, double min_imbalance, size_t *to, size_t *from)
+find_engine_move (
+    const ModelShare *shares, size_t n, double min_imbalance, size_t *to, size_t *from)
 {
   double lack;
   double excess;
@@ -375,10 +379,10 @@
       }
 }
 
-/* Writes the assignment to the plan. An entry that changes its model loses its version, which was
- * one of the previous model. */
+/* Writes the assignment to the plan. An entry that changes its model loses its version, which
+ * belonged to the previous model. */
 static bool
-update_plan (LcEnginePlan *plan, const LcPlanEntry *engines, size_t n_engines)
+store_assignment_in_plan (LcEnginePlan *plan, const LcPlanEntry *engines, size_t n_engines)
 {
   bool changed = lc_engine_plan_retain_engines (plan, engines, n_engines);
 
@@ -397,20 +401,24 @@
 
 /* Moves engines one by one from models with too many to models with too few. */
 static void
-balance_by_demand (LcPlanEntry *engines, size_t n_engines, Share *shares, size_t n_models)
+balance_engines_by_demand (LcPlanEntry *engines,
+                           size_t n_engines,
+                           ModelShare *shares,
+                           size_t n_models)
 {
-  double min_imbalance = MIN_IMBALANCE + MIN_IMBALANCE_SHARE * (double)n_engines / (double)n_models;
+  double min_imbalance
+      = MIN_IMBALANCE_ENGINES + MIN_IMBALANCE_SHARE_FACTOR * (double)n_engines / (double)n_models;
   size_t to = 0;
   size_t from = 0;
 
   for (size_t i = 0; i < n_engines; i++)
     {
-      size_t model = find_share (shares, n_models, engines[i].model);
+      size_t model = find_share_index (shares, n_models, engines[i].model);
       if (model < n_models)
         shares[model].n_engines++;
     }
-  for (; find_move (shares, n_models, min_imbalance, &to, &from);
-       min_imbalance = MIN_IMBALANCE_AFTER_FIRST)
+  for (; find_engine_move (shares, n_models, min_imbalance, &to, &from);
+       min_imbalance = MIN_IMBALANCE_AFTER_FIRST_MOVE)
     {
       reassign_one_engine (engines, n_engines, shares[from].name, shares[to].name);
       shares[from].n_engines--;
@@ -427,15 +435,15 @@
                           const LcDemand *demand,
                           LbTime now)
 {
-  Share *shares = LB_NEW_ARRAY (Share, n_models + 1);
+  ModelShare *shares = LB_NEW_ARRAY (ModelShare, n_models + 1);
   LcPlanEntry *assigned = lb_memdup (engines, n_engines * sizeof *engines);
 
   if (n_models > 1 && n_engines > n_models && lb_switch_is_on (LB_SWITCH_DIVISION))
     {
-      compute_shares (shares, models, n_models, n_engines, demand, now);
-      balance_by_demand (assigned, n_engines, shares, n_models);
+      compute_model_shares (shares, models, n_models, n_engines, demand, now);
+      balance_engines_by_demand (assigned, n_engines, shares, n_models);
     }
-  bool changed = update_plan (plan, assigned, n_engines);
+  bool changed = store_assignment_in_plan (plan, assigned, n_engines);
   free (assigned);
   free (shares);
   return changed;
--- a/packages/core/src/weights/lc-swap-turns.c
+++ b/packages/core/src/weights/lc-swap-turns.c
@@ -2,13 +2,13 @@
 
 #include "lb-switch.h"
 
-/* Share of the model's engines that its trainer's next step can use; ties are broken by the share
- * that has or loads the newest weights. The next step accepts weights one version old, so engines
- * two versions behind are unusable for it. Loads in progress count in both shares: otherwise the
- * first of several equal models would get all loads, and the next step of another model would find
- * none of its engines ready. */
+/* Returns the share of a model's engines whose weights its trainer's next step can use. Ties are
+ * broken by the share that has or loads the newest weights. The next step accepts weights one
+ * version old, so engines two versions behind are unusable for it. Loads in progress count in both
+ * shares: otherwise the first of several equal models would get all loads, and the next step of
+ * another model would find none of its engines ready. */
 static double
-readiness (const LcWeightsStatus *status)
+usable_engine_score (const LcWeightsStatus *status)
 {
   double engines = (double)status->engines;
 
@@ -17,7 +17,7 @@
 }
 
 static bool
-needs_load (const LcSwapCandidate *candidate)
+is_candidate_for_load (const LcSwapCandidate *candidate)
 {
   const LcWeightsStatus *status = &candidate->status;
 
@@ -31,9 +31,10 @@
   size_t least_ready = n;
 
   for (size_t i = 0; i < n; i++)
-    if (needs_load (&candidates[i])
+    if (is_candidate_for_load (&candidates[i])
         && (least_ready == n
-            || readiness (&candidates[i].status) < readiness (&candidates[least_ready].status)))
+            || usable_engine_score (&candidates[i].status)
+                   < usable_engine_score (&candidates[least_ready].status)))
       least_ready = i;
   return least_ready;
 }
--- a/packages/core/src/weights/lc-weights.c
+++ b/packages/core/src/weights/lc-weights.c
@@ -7,38 +7,38 @@
 #include <string.h>
 #include <uthash.h>
 
-/* Time from an accepted order until the engine's reports must show the load. */
+/* Maximum time from an accepted order until the engine's reports show the load. */
 #define LOAD_START_TIMEOUT LB_SEC
-#define INITIAL_BACKOFF (2 * LB_SEC)
-#define MAX_BACKOFF (60 * LB_SEC)
-#define EWMA_WEIGHT 0.3
-#define INITIAL_LOAD_TIME (5 * LB_SEC) /* before the first load has ended */
+#define INITIAL_RETRY_BACKOFF (2 * LB_SEC)
+#define MAX_RETRY_BACKOFF (60 * LB_SEC)
+#define MOVING_AVERAGE_WEIGHT 0.3      /* weight of the latest sample in a moving average */
+#define INITIAL_LOAD_TIME (5 * LB_SEC) /* load time assumed until the first load has ended */
 #define MIN_FAILED_ENGINES_TO_HALT 2
 #define MAX_FAILED_ENGINES_TO_HALT 5
 
 typedef enum
 {
-  ENGINE_UNKNOWN, /* no recent report */
-  ENGINE_EMPTY,   /* no complete version, not loading */
+  ENGINE_UNKNOWN, /* not known: no recent report, a failed order or a load that hangs */
+  ENGINE_EMPTY,   /* no complete version is loaded, and no load is in progress */
   ENGINE_SERVING,
   ENGINE_SWAPPING
 } EngineState;
 
 typedef struct
 {
-  LbName name; /* key */
+  LbName name; /* key of the hash table */
   LcEndpointMember member;
   EngineState state;
   LcWeightReport report;
   LbTime last_report_at;
-  LbTime not_serving_since; /* 0: serving */
-  LbTime loading_since;     /* time of the first report of the present load; 0: none */
-  LcVersion ordered_version;
+  LbTime not_serving_since;  /* time at which the engine stopped serving; 0: it serves */
+  LbTime loading_since;      /* time of the first report of the load in progress; 0: none */
+  LcVersion ordered_version; /* version of the pending load order; 0: none */
   LbTime ordered_at;
-  int failures;       /* consecutive failed loads of the target */
+  int failures;       /* number of consecutive failed loads of the target */
   bool target_failed; /* the engine reported that its load of the target failed */
   LbTime retry_at;
-  bool swap_pending; /* routing was notified that a swap is pending */
+  bool swap_pending; /* the router was told that a swap is pending */
   bool is_configured;
   UT_hash_handle hh;
 } Engine;
@@ -52,11 +52,11 @@
   LcVersion target;
   double live_reserve;
   int64_t roll_out_percent;
-  int64_t swap_limit; /* -1: the percentage applies */
+  int64_t swap_limit; /* maximum concurrent swaps; -1: roll_out_percent applies */
   LbTime newest_at;
   LbTime version_interval;
-  LbTime mean_load_time; /* mean time from an order to the report of its end */
-  double order_tokens;   /* in the token bucket that limits the rate of orders */
+  LbTime mean_load_time; /* mean time from a load order to the report that the load has ended */
+  double order_tokens;   /* tokens in the bucket that limits the rate of orders */
   LbTime order_tokens_updated_at;
   LbTime lease_changed_at;
   LcWeightsWaitReason wait_reason;
@@ -149,9 +149,9 @@
   return engine;
 }
 
-/* Failed loads of the previous target do not count for a new one. */
+/* Sets the target version. Failed loads of the previous target do not count for a new one. */
 static void
-update_target (LcWeights *weights)
+update_target_version (LcWeights *weights)
 {
   LcVersion target = weights->pinned_version > 0 ? weights->pinned_version : weights->newest;
 
@@ -191,19 +191,19 @@
   weights->pinned_version = pool ? pool->weight_version : 0;
   weights->live_reserve = pool ? pool->live_reserve : 0;
   weights->roll_out_percent = pool ? pool->roll_out_percent : 0;
-  update_target (weights);
+  update_target_version (weights);
 }
 
 static LbTime
-moving_average (LbTime before, LbTime latest)
+next_moving_average (LbTime previous, LbTime latest)
 {
-  return (LbTime)(EWMA_WEIGHT * latest + (1 - EWMA_WEIGHT) * before);
+  return (LbTime)(MOVING_AVERAGE_WEIGHT * latest + (1 - MOVING_AVERAGE_WEIGHT) * previous);
 }
 
 void
 lc_weights_set_newest_version (LcWeights *weights, LcVersion version, LbTime now)
 {
-  /* A delayed answer, or one from a replica of the weight store that lags behind. */
+  /* An older version comes from a delayed answer or from a lagging replica of the weight store. */
   if (version <= weights->newest)
     return;
   if (weights->newest > 0)
@@ -211,17 +211,17 @@
       LbTime interval = (now - weights->newest_at) / (version - weights->newest);
       weights->version_interval = weights->version_interval == 0
                                       ? interval
-                                      : moving_average (weights->version_interval, interval);
+                                      : next_moving_average (weights->version_interval, interval);
     }
   weights->newest = version;
   weights->newest_at = now;
-  update_target (weights);
+  update_target_version (weights);
 }
 
-/* Guards against a holder that relies on state from an earlier lease, or that starts without state
- * after its predecessor crashed during a roll-out: too many engines would swap at once, and callers
- * would find none. Each engine counts as not serving until it has reported its state, and one that
- * loads by anyone's order counts as swapping. */
+/* Guards against a lease holder that relies on engine states from an earlier lease, or that starts
+ * without any after its predecessor crashed during a roll-out: too many engines would swap at once,
+ * and callers would find none. Each engine counts as not serving until it reports its state. An
+ * engine that reports a load counts as swapping, whoever ordered the load. */
 void
 lc_weights_lease_changed (LcWeights *weights, LbTime now)
 {
@@ -238,7 +238,7 @@
 }
 
 static void
-add_routing_update (Engine *engine, bool pending, LbTime expected_at, LbList *actions)
+append_routing_update (Engine *engine, bool pending, LbTime expected_at, LbList *actions)
 {
   LcWeightsAction *action = LB_NEW (LcWeightsAction);
 
@@ -251,20 +251,20 @@
 }
 
 static void
-record_failure (Engine *engine, LbTime now)
+record_load_failure (Engine *engine, LbTime now)
 {
-  LbTime backoff = INITIAL_BACKOFF;
+  LbTime backoff = INITIAL_RETRY_BACKOFF;
 
-  for (int i = 0; i < engine->failures && backoff < MAX_BACKOFF; i++)
+  for (int i = 0; i < engine->failures && backoff < MAX_RETRY_BACKOFF; i++)
     backoff *= 2;
   engine->failures++;
   engine->ordered_version = 0;
-  engine->retry_at = now + (backoff < MAX_BACKOFF ? backoff : MAX_BACKOFF);
+  engine->retry_at = now + (backoff < MAX_RETRY_BACKOFF ? backoff : MAX_RETRY_BACKOFF);
   lb_metric_add (&metric_failures, 1);
 }
 
 static void
-set_state (Engine *engine, EngineState state, LbTime now)
+set_engine_state (Engine *engine, EngineState state, LbTime now)
 {
   if (state == ENGINE_SERVING)
     engine->not_serving_since = 0;
@@ -274,43 +274,47 @@
 }
 
 /* Ends the pending order after a report that no load is in progress. An order without effect (the
- * engine ignored it, restarted, or accepted another order) counts as failed too: without a backoff
- * it would be repeated at once, and such engines would take the turns of all others. */
+ * engine ignored it, restarted, or accepted another order) also counts as a failure. Without a
+ * backoff, such an order would be repeated at once and keep all other engines from being
+ * ordered. */
 static void
-finish_order (LcWeights *weights, Engine *engine, LbTime now)
+finish_load_order (LcWeights *weights, Engine *engine, LbTime now)
 {
   if (engine->ordered_version == 0)
     return;
   if (engine->report.version == engine->ordered_version)
-    weights->mean_load_time = moving_average (weights->mean_load_time, now - engine->ordered_at);
+    weights->mean_load_time
+        = next_moving_average (weights->mean_load_time, now - engine->ordered_at);
   else
     {
-      /* Version 0 is a load without result, not one with another version. */
+      /* Version 0 means that no version is loaded; it does not count as an unexpected version. */
       lb_metric_add (&metric_unexpected_versions, engine->report.version > 0);
-      record_failure (engine, now);
+      record_load_failure (engine, now);
     }
   engine->ordered_version = 0;
 }
 
-/* A load that hangs must not count against the limit of concurrent swaps forever. */
+/* Handles a report of a load in progress. A load that hangs must not count against the limit of
+ * concurrent swaps forever. */
 static void
-handle_loading (const LcWeights *weights, Engine *engine, LbTime now)
+handle_loading_report (const LcWeights *weights, Engine *engine, LbTime now)
 {
   if (engine->loading_since == 0)
     engine->loading_since = now;
   if (now - engine->loading_since <= weights->settings.load_timeout)
     {
-      set_state (engine, ENGINE_SWAPPING, now);
+      set_engine_state (engine, ENGINE_SWAPPING, now);
       return;
     }
   if (engine->ordered_version != 0)
-    record_failure (engine, now);
-  set_state (engine, ENGINE_UNKNOWN, now);
+    record_load_failure (engine, now);
+  set_engine_state (engine, ENGINE_UNKNOWN, now);
 }
 
-/* Returns true for a report requested before the order or before its load can have started. */
+/* Returns true if the report was requested before the pending order, or too early to show the
+ * ordered load. */
 static bool
-is_older_than_order (const Engine *engine, const LcWeightReport *report)
+is_report_older_than_order (const Engine *engine, const LcWeightReport *report)
 {
   return engine->ordered_version != 0 && !report->loading
          && report->version != engine->ordered_version
@@ -328,26 +332,26 @@
       || report->requested_at < engine->report.requested_at)
     return;
   engine->last_report_at = now;
-  if (is_older_than_order (engine, report))
+  if (is_report_older_than_order (engine, report))
     return;
   engine->report = *report;
   if (report->loading)
     {
-      handle_loading (weights, engine, now);
+      handle_loading_report (weights, engine, now);
       return;
     }
   engine->loading_since = 0;
-  finish_order (weights, engine, now);
+  finish_load_order (weights, engine, now);
   if (report->version == weights->target)
     engine->failures = 0;
   engine->target_failed = report->failed_version > 0 && report->failed_version == weights->target;
-  set_state (engine, report->version > 0 ? ENGINE_SERVING : ENGINE_EMPTY, now);
+  set_engine_state (engine, report->version > 0 ? ENGINE_SERVING : ENGINE_EMPTY, now);
   if (engine->swap_pending && report->version > 0)
-    add_routing_update (engine, false, now, actions);
+    append_routing_update (engine, false, now, actions);
 }
 
-/* After a failure it is not known whether the engine accepted the order: its state is unknown until
- * a report that is requested from now on; earlier ones may not show the order yet. */
+/* After an error it is unknown whether the engine accepted the order. Its state stays unknown until
+ * a report that is requested from now on, since earlier ones may not show the order yet. */
 void
 lc_weights_order_answered (LcWeights *weights, const char *name, LbErrorCode error, LbTime now)
 {
@@ -355,19 +359,19 @@
 
   if (!engine || error == LB_OK || engine->ordered_version == 0)
     return;
-  record_failure (engine, now);
-  set_state (engine, ENGINE_UNKNOWN, now);
+  record_load_failure (engine, now);
+  set_engine_state (engine, ENGINE_UNKNOWN, now);
   engine->report.requested_at = now;
 }
 
 static void
-check_report_age (const LcWeights *weights, Engine *engine, LbTime now)
+expire_engine_state (const LcWeights *weights, Engine *engine, LbTime now)
 {
   if (now - engine->last_report_at > weights->settings.report_timeout)
-    set_state (engine, ENGINE_UNKNOWN, now);
+    set_engine_state (engine, ENGINE_UNKNOWN, now);
 }
 
-/* Summary of the pool. Capacity is in concurrent requests. */
+/* Summary of the engines of the pool. Capacity is in concurrent requests. */
 typedef struct
 {
   int64_t capacity;
@@ -375,17 +379,19 @@
   size_t engines;
   size_t serving;
   size_t swapping;
-  size_t failed;          /* last load of the target failed or timed out */
-  size_t reported_failed; /* reported a failed load of the target */
+  size_t failed;          /* number of engines whose last load of the target failed or timed out */
+  size_t reported_failed; /* number of engines that reported a failed load of the target */
   size_t on_target;
-  size_t usable; /* serve the target or the version before, which a trainer's next step accepts */
+  /* number of engines that serve the target or the version before, which a trainer's next step
+   * accepts */
+  size_t usable;
   size_t unknown;
-  bool has_recently_lost_engine; /* stopped serving less than lost_engine_timeout ago */
+  bool has_recently_lost_engine; /* some engine stopped serving less than lost_engine_timeout ago */
 } PoolState;
 
-/* Returns true if an earlier holder of the lease may have ordered the engine: it has not reported
- * since the lease was gained. Ends after first_report_timeout: engines that load do report, and
- * those that never answer would otherwise take the turns of those that do. */
+/* Returns true if an earlier lease holder may have ordered the engine to load, because the engine
+ * has not reported since the lease was gained. Ends after first_report_timeout: engines that load
+ * do report, and those that never answer would otherwise keep all others from loading. */
 static bool
 may_be_swapping (const LcWeights *weights, const Engine *engine, LbTime now)
 {
@@ -419,7 +425,7 @@
 }
 
 static size_t
-max_swaps (const LcWeights *weights, const PoolState *pool)
+max_concurrent_swaps (const LcWeights *weights, const PoolState *pool)
 {
   size_t limit = pool->engines * (size_t)weights->roll_out_percent / 100;
 
@@ -429,12 +435,12 @@
 }
 
 /* Guards against a version that no engine can load, which would take one engine after the other out
- * of service until none is left. Once some engines have reported a failed load and none has the
- * version, only those are retried, one at a time. */
+ * of service until none is left. Once some engines have reported a failed load and none serves the
+ * version, only the failed ones are retried, one at a time. */
 static bool
-is_halted (const LcWeights *weights, const PoolState *pool)
+is_roll_out_halted (const LcWeights *weights, const PoolState *pool)
 {
-  size_t limit = max_swaps (weights, pool);
+  size_t limit = max_concurrent_swaps (weights, pool);
 
   if (limit < MIN_FAILED_ENGINES_TO_HALT)
     limit = MIN_FAILED_ENGINES_TO_HALT;
@@ -443,11 +449,12 @@
   return pool->on_target == 0 && pool->reported_failed >= limit;
 }
 
-/* Guards against live callers that find no engine while many swap: without this engine, the others
- * must still cover the live reserve, and at least one must serve. A permanently lost engine would
- * block all others forever, so after lost_engine_timeout they swap one at a time. */
+/* Returns true if the engine may stop serving for a swap. Guards against live callers that find no
+ * engine while many swap: without this engine, the others must still cover the live reserve, and at
+ * least one must serve. A permanently lost engine would block all swaps forever, so after
+ * lost_engine_timeout they run one at a time. */
 static bool
-leaves_enough_capacity (const LcWeights *weights, const PoolState *pool, const Engine *engine)
+swap_leaves_enough_capacity (const LcWeights *weights, const PoolState *pool, const Engine *engine)
 {
   if (engine->state != ENGINE_SERVING)
     return true;
@@ -459,16 +466,17 @@
 }
 
 static bool
-needs_load (const LcWeights *weights, const Engine *engine)
+needs_target_load (const LcWeights *weights, const Engine *engine)
 {
   return engine->report.version != weights->target && !engine->report.leaving
          && (engine->state == ENGINE_SERVING || engine->state == ENGINE_EMPTY);
 }
 
-/* Engines without weights come first, since they serve no one; then those with the oldest version,
- * so that none starves if versions come faster than a roll-out takes; then the least busy. */
+/* Returns true if engine a should load before engine b. Engines without weights come first, since
+ * they serve no one; then those with the oldest version, so that none starves if versions come
+ * faster than a roll-out takes; then the least busy. */
 static bool
-has_precedence (const LcWeights *weights, const Engine *a, const Engine *b)
+should_load_before (const LcWeights *weights, const Engine *a, const Engine *b)
 {
   if (!b)
     return true;
@@ -481,25 +489,25 @@
   return a->report.running < b->report.running;
 }
 
-/* Returns the engine to order next; NULL, with the reason, if there is none. can_order_fenced and
- * can_order_unfenced: orders may be given now to engines that check the fencing number, and to
- * those that do not. */
+/* Returns the next engine to order; NULL, with the reason, if no engine can be ordered.
+ * can_order_fenced, can_order_unfenced: orders may be given now to engines that check the fencing
+ * token, and to those that do not. */
 static Engine *
-choose_engine (const LcWeights *weights,
-               const PoolState *pool,
-               bool can_order_fenced,
-               bool can_order_unfenced,
-               LbTime now,
-               LcWeightsWaitReason *reason)
+choose_engine_to_load (const LcWeights *weights,
+                       const PoolState *pool,
+                       bool can_order_fenced,
+                       bool can_order_unfenced,
+                       LbTime now,
+                       LcWeightsWaitReason *reason)
 {
   Engine *best = NULL;
-  bool halted = is_halted (weights, pool);
+  bool halted = is_roll_out_halted (weights, pool);
 
   *reason = pool->swapping > 0 ? LC_WEIGHTS_IN_PROGRESS
                                : (pool->unknown > 0 ? LC_WEIGHTS_STATE_UNKNOWN : LC_WEIGHTS_IDLE);
   for (Engine *engine = weights->engines; engine; engine = engine->hh.next)
     {
-      if (!needs_load (weights, engine))
+      if (!needs_target_load (weights, engine))
         continue;
       if (halted && !engine->target_failed)
         {
@@ -510,9 +518,9 @@
         *reason = LC_WEIGHTS_NO_LEASE;
       else if (now < engine->retry_at)
         *reason = halted ? LC_WEIGHTS_HALTED : LC_WEIGHTS_BACKOFF;
-      else if (!leaves_enough_capacity (weights, pool, engine))
+      else if (!swap_leaves_enough_capacity (weights, pool, engine))
         *reason = LC_WEIGHTS_CAPACITY;
-      else if (has_precedence (weights, engine, best))
+      else if (should_load_before (weights, engine, best))
         best = engine;
     }
   return best;
@@ -523,8 +531,8 @@
 {
   LcWeightsAction *action = LB_NEW (LcWeightsAction);
 
-  add_routing_update (engine, true, now + weights->mean_load_time, actions);
-  set_state (engine, ENGINE_SWAPPING, now);
+  append_routing_update (engine, true, now + weights->mean_load_time, actions);
+  set_engine_state (engine, ENGINE_SWAPPING, now);
   engine->ordered_version = weights->target;
   engine->ordered_at = now;
   weights->order_tokens -= 1;
@@ -562,19 +570,19 @@
 
   refill_order_tokens (weights, now);
   for (engine = weights->engines; engine; engine = engine->hh.next)
-    check_report_age (weights, engine, now);
+    expire_engine_state (weights, engine, now);
   weights->wait_reason = LC_WEIGHTS_IDLE;
   if (weights->target <= 0)
     return;
   for (;;)
     {
       compute_pool_state (weights, now, &pool);
-      engine = choose_engine (weights, &pool, can_order_fenced, can_order_unfenced, now,
-                              &weights->wait_reason);
+      engine = choose_engine_to_load (weights, &pool, can_order_fenced, can_order_unfenced, now,
+                                      &weights->wait_reason);
       if (!engine)
         return;
-      bool halted = is_halted (weights, &pool);
-      if (pool.swapping >= (halted ? 1 : max_swaps (weights, &pool)))
+      bool halted = is_roll_out_halted (weights, &pool);
+      if (pool.swapping >= (halted ? 1 : max_concurrent_swaps (weights, &pool)))
         {
           weights->wait_reason = halted ? LC_WEIGHTS_HALTED : LC_WEIGHTS_IN_PROGRESS;
           return;
