--- a/packages/core/tests/test-config.c
+++ b/packages/core/tests/test-config.c
@@ -5,26 +5,28 @@
 #include <json-c/json.h>
 #include <string.h>
 
-#define MAX_AGE (8 * LB_SEC)
-#define START (100 * LB_SEC)
+#define MAX_CONFIRMATION_AGE (8 * LB_SEC)
+#define START_TIME (100 * LB_SEC)
 
 static LcConfig *config;
 static LbList actions;
 static LbTime now;
 
 static void
-setup (void)
+create_config (void)
 {
-  const LcConfigSettings settings
-      = { .instance = "i1", .max_confirmation_age = MAX_AGE, .min_poll_period = LB_SEC, .seed = 7 };
+  const LcConfigSettings settings = { .instance = "i1",
+                                      .max_confirmation_age = MAX_CONFIRMATION_AGE,
+                                      .min_poll_period = LB_SEC,
+                                      .seed = 7 };
 
-  now = START;
+  now = START_TIME;
   lb_list_init (&actions);
   config = lc_config_new (&settings, now);
 }
 
 static void
-drop_actions (void)
+free_actions (void)
 {
   LbLink *link;
 
@@ -33,16 +35,16 @@
 }
 
 static void
-teardown (void)
+free_config (void)
 {
-  drop_actions ();
+  free_actions ();
   lc_config_free (config);
 }
 
-TestSuite (config, .init = setup, .fini = teardown);
+TestSuite (config, .init = create_config, .fini = free_config);
 
 static LcResourceSet *
-make_set (int64_t revision)
+make_empty_set (int64_t revision)
 {
   LcResourceSet *set = LB_NEW (LcResourceSet);
 
@@ -50,7 +52,7 @@
   return set;
 }
 
-/* n peers i2, i3, ..., alive except those from index first_dead on. */
+/* Reports n peers i2, i3, ... as members; those with an index below first_dead are alive. */
 static void
 update_members (int n, int first_dead)
 {
@@ -63,7 +65,7 @@
 }
 
 static void
-receive (const char *from, LcConfigMessage message)
+receive_message (const char *from, LcConfigMessage message)
 {
   lc_config_message_received (config, from, &message, now, &actions);
 }
@@ -71,42 +73,42 @@
 static void
 receive_status (const char *from, int64_t revision, LbTime asked_at)
 {
-  receive (from, (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_STATUS,
-                                    .revision = revision,
-                                    .asked_at = asked_at,
-                                    .age = -1,
-                                    .confirmed = true });
+  receive_message (from, (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_STATUS,
+                                            .revision = revision,
+                                            .asked_at = asked_at,
+                                            .age = -1,
+                                            .confirmed = true });
 }
 
 static void
 receive_snapshot (const char *from, int64_t revision)
 {
-  LcResourceSet *set = make_set (revision);
+  LcResourceSet *set = make_empty_set (revision);
 
-  receive (from, (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_SNAPSHOT,
-                                    .revision = revision,
-                                    .body = lc_resource_set_to_json (set) });
+  receive_message (from, (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_SNAPSHOT,
+                                            .revision = revision,
+                                            .body = lc_resource_set_to_json (set) });
   lc_resource_set_free (set);
 }
 
 static void
-read_store (int64_t revision)
+complete_store_read (int64_t revision)
 {
   bool newer = revision > lc_config_active_revision (config);
 
-  lc_config_store_read_completed (config, revision, newer ? make_set (revision) : NULL, now, now,
-                                  &actions);
+  lc_config_store_read_completed (config, revision, newer ? make_empty_set (revision) : NULL, now,
+                                  now, &actions);
 }
 
 static void
-tick_after (LbTime duration)
+advance_and_tick (LbTime duration)
 {
   now += duration;
   lc_config_tick (config, now, &actions);
 }
 
 static size_t
-count_sent (const char *to, LcConfigMessageType type)
+count_sent_messages (const char *to, LcConfigMessageType type)
 {
   size_t n = 0;
 
@@ -119,35 +121,35 @@
 }
 
 static void
-make_ready (int64_t revision)
+make_config_ready (int64_t revision)
 {
-  read_store (revision);
+  complete_store_read (revision);
   now += LB_SEC;
-  read_store (revision);
+  complete_store_read (revision);
   cr_assert (lc_config_is_ready (config));
 }
 
 Test (config, pushed_change_is_applied_and_acknowledged)
 {
-  make_ready (4);
+  make_config_ready (4);
   struct json_object *change = json_tokener_parse ("{\"apply\": []}");
-  receive ("i2",
-           (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_CHANGE, .revision = 5, .body = change });
+  receive_message ("i2", (LcConfigMessage){
+                             .type = LC_CONFIG_MESSAGE_CHANGE, .revision = 5, .body = change });
 
   cr_assert_eq (lc_config_active_revision (config), 5);
-  cr_assert_eq (count_sent ("i2", LC_CONFIG_MESSAGE_STATUS), 1);
+  cr_assert_eq (count_sent_messages ("i2", LC_CONFIG_MESSAGE_STATUS), 1);
   json_object_put (change);
 }
 
-/* The push of revision 5 is delayed and arrives after that of 6: calls would be routed by revision
- * 5 again after operators saw 6 active. */
-Test (config, late_old_push_does_not_revert)
+/* Guards against a push of revision 5 that is delayed and arrives after that of 6: calls would be
+ * routed by revision 5 again after operators saw 6 active. */
+Test (config, delayed_push_of_an_old_revision_is_ignored)
 {
-  make_ready (4);
+  make_config_ready (4);
   receive_snapshot ("i2", 6);
   struct json_object *change = json_tokener_parse ("{\"apply\": []}");
-  receive ("i2",
-           (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_CHANGE, .revision = 5, .body = change });
+  receive_message ("i2", (LcConfigMessage){
+                             .type = LC_CONFIG_MESSAGE_CHANGE, .revision = 5, .body = change });
   receive_snapshot ("i3", 5);
 
   cr_assert_eq (lc_config_active_revision (config), 6);
@@ -156,14 +158,14 @@
 
 /* A lagging replica answers the read of the head row with revision 5 although 6 is active. The read
  * must neither activate 5 nor count as a confirmation. */
-Test (config, stale_read_does_not_revert_and_does_not_confirm)
+Test (config, stale_store_read_neither_reverts_nor_confirms)
 {
   update_members (2, 2);
-  make_ready (6);
+  make_config_ready (6);
   for (int i = 0; i < 10; i++)
     {
-      tick_after (LB_SEC);
-      lc_config_store_read_completed (config, 5, make_set (5), now, now, &actions);
+      advance_and_tick (LB_SEC);
+      lc_config_store_read_completed (config, 5, make_empty_set (5), now, now, &actions);
     }
 
   cr_assert_eq (lc_config_active_revision (config), 6);
@@ -172,54 +174,57 @@
 
 /* A push is lost, so the next change can't be applied: the instance fetches the whole set from the
  * sender. */
-Test (config, lost_push_is_recovered_by_fetching_the_set)
+Test (config, lost_push_makes_instance_fetch_the_whole_set)
 {
-  make_ready (4);
+  make_config_ready (4);
   struct json_object *change = json_tokener_parse ("{\"apply\": []}");
-  receive ("i2",
-           (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_CHANGE, .revision = 6, .body = change });
+  receive_message ("i2", (LcConfigMessage){
+                             .type = LC_CONFIG_MESSAGE_CHANGE, .revision = 6, .body = change });
   cr_assert_eq (lc_config_active_revision (config), 4);
-  cr_assert_eq (count_sent ("i2", LC_CONFIG_MESSAGE_FETCH), 1);
+  cr_assert_eq (count_sent_messages ("i2", LC_CONFIG_MESSAGE_FETCH), 1);
   receive_snapshot ("i2", 6);
 
   cr_assert_eq (lc_config_active_revision (config), 6);
   json_object_put (change);
 }
 
-/* An instance is replaced while the store is unavailable. Serving at once would route callers by an
- * empty or old configuration; it serves once a majority of its peers has reported theirs. */
+/* Guards against a replaced instance that routes callers by an empty or old configuration while the
+ * store is unavailable. It may serve only once a majority of its peers has reported their
+ * revisions. */
 Test (config, new_instance_without_store_waits_for_a_majority_of_peers)
 {
   lc_config_store_read_failed (config, now, &actions);
-  tick_after (LB_SEC);
+  advance_and_tick (LB_SEC);
   cr_assert_not (lc_config_is_ready (config));
   update_members (3, 3);
-  cr_assert_eq (count_sent ("i2", LC_CONFIG_MESSAGE_QUERY), 1);
+  cr_assert_eq (count_sent_messages ("i2", LC_CONFIG_MESSAGE_QUERY), 1);
   LbTime asked_at = now;
   now += LB_MSEC;
   receive_status ("i2", 4, asked_at);
   receive_snapshot ("i2", 4);
   cr_assert_not (lc_config_is_ready (config));
   receive_status ("i3", 5, asked_at);
-  cr_assert_not (lc_config_is_ready (config), "i3 reported a newer revision");
+  cr_assert_not (lc_config_is_ready (config),
+                 "must not be ready before the newer revision 5 of i3 is active");
   receive_snapshot ("i3", 5);
 
   cr_assert (lc_config_is_ready (config));
   cr_assert_eq (lc_config_active_revision (config), 5);
 }
 
-/* The first store read of a replaced instance is stale: callers that saw revision 5 would be served
- * by 4. Its peers must report 5 before it accepts the first call. */
+/* The first store read of a replaced instance returns the outdated revision 4, while callers
+ * already saw 5. The instance must not accept calls before its peers have reported 5 and it has
+ * activated 5. */
 Test (config, new_instance_with_a_stale_read_waits_for_its_peers)
 {
   update_members (2, 2);
-  read_store (4);
+  complete_store_read (4);
   receive_status ("i2", 5, now);
   now += LB_SEC;
-  read_store (4);
+  complete_store_read (4);
   cr_assert_not (lc_config_is_ready (config));
   receive_snapshot ("i2", 5);
-  read_store (5);
+  complete_store_read (5);
 
   cr_assert (lc_config_is_ready (config));
 }
@@ -229,12 +234,12 @@
 Test (config, isolated_instance_stops_accepting_work)
 {
   update_members (2, 2);
-  make_ready (4);
+  make_config_ready (4);
   update_members (0, 0);
   for (int i = 0; i < 18; i++)
-    tick_after (LB_SEC / 2);
+    advance_and_tick (LB_SEC / 2);
   cr_assert_not (lc_config_is_ready (config));
-  read_store (5);
+  complete_store_read (5);
 
   cr_assert (lc_config_is_ready (config));
 }
@@ -244,15 +249,16 @@
 Test (config, store_outage_does_not_stop_a_majority)
 {
   update_members (4, 4);
-  make_ready (4);
+  make_config_ready (4);
   for (int i = 0; i < 120; i++)
     {
-      tick_after (LB_SEC / 2);
+      advance_and_tick (LB_SEC / 2);
       LbTime asked_at = now;
       now += LB_MSEC;
       receive_status ("i2", 4, asked_at);
       receive_status ("i3", 4, asked_at);
-      cr_assert (lc_config_is_ready (config), "second %d", i / 2);
+      cr_assert (lc_config_is_ready (config),
+                 "must stay ready with a majority, but was not after %d s", i / 2);
     }
 }
 
@@ -261,38 +267,40 @@
 Test (config, unreachable_instances_still_count_for_the_majority)
 {
   update_members (4, 4);
-  make_ready (4);
+  make_config_ready (4);
   update_members (1, 1);
   for (int i = 0; i < 20; i++)
     {
-      tick_after (LB_SEC / 2);
+      advance_and_tick (LB_SEC / 2);
       receive_status ("i2", 4, now);
     }
   cr_assert_not (lc_config_is_ready (config));
   lc_config_remove_instance (config, "i4");
   lc_config_remove_instance (config, "i5");
-  tick_after (LB_SEC / 2);
+  advance_and_tick (LB_SEC / 2);
 
-  cr_assert (lc_config_is_ready (config), "the platform removed two instances");
+  cr_assert (lc_config_is_ready (config),
+             "must be ready as a majority of the three instances that remain");
 }
 
 static void
 receive_announced_change (const char *from, int64_t announced_change)
 {
-  receive (from, (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_QUERY,
-                                    .revision = 4,
-                                    .asked_at = now,
-                                    .age = -1,
-                                    .announced_change = announced_change });
+  receive_message (from, (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_QUERY,
+                                            .revision = 4,
+                                            .asked_at = now,
+                                            .age = -1,
+                                            .announced_change = announced_change });
 }
 
-/* Runs for some seconds without the store; i2 and i3 answer, i4 only if i4_answers. */
+/* Runs for a number of seconds without the store. i2 and i3 answer queries; i4 answers only if
+ * i4_answers. */
 static void
 run_without_store (int seconds, bool i4_answers)
 {
   for (int i = 0; i < 2 * seconds; i++)
     {
-      tick_after (LB_SEC / 2);
+      advance_and_tick (LB_SEC / 2);
       receive_status ("i2", lc_config_active_revision (config), now);
       receive_status ("i3", lc_config_active_revision (config), now);
       if (i4_answers)
@@ -306,93 +314,98 @@
 Test (config, partition_during_a_commit_stops_new_work)
 {
   update_members (3, 3);
-  make_ready (4);
+  make_config_ready (4);
   receive_announced_change ("i4", 1);
   run_without_store (5, false);
   cr_assert (lc_config_is_ready (config));
   run_without_store (20, false);
   cr_assert_not (lc_config_is_ready (config));
-  drop_actions ();
+  free_actions ();
   receive_announced_change ("i2", 0);
   LcConfigAction *answer = LB_LIST_FIRST (&actions, LcConfigAction, link);
-  cr_assert_not (answer->message.confirmed, "a revision in doubt must not confirm others");
-  read_store (5);
+  cr_assert_not (answer->message.confirmed,
+                 "STATUS must not confirm a revision while the change of i4 is in doubt");
+  complete_store_read (5);
   run_without_store (60, false);
 
-  cr_assert (lc_config_is_ready (config), "the store answered, so the outcome is known");
+  cr_assert (lc_config_is_ready (config),
+             "must be ready, since the store read settles the outcome");
 }
 
-/* The store fails while i4 commits. As long as i4 answers with the old revision, no instance has a
- * newer one active, and work continues. */
+/* The store fails while i4 commits a change. As long as i4 answers with the old revision, no
+ * instance has a newer one active, so work must continue. */
 Test (config, pending_change_does_not_stop_work_while_its_announcer_answers)
 {
   update_members (3, 3);
-  make_ready (4);
+  make_config_ready (4);
   receive_announced_change ("i4", 1);
   run_without_store (60, true);
 
   cr_assert (lc_config_is_ready (config));
 }
 
-/* The store rejected the announced change; later the store and i4 become unreachable. */
+/* The store rejected the announced change of i4, and i4 reported this. New work must continue when
+ * the store and i4 become unreachable later. */
 Test (config, abandoned_change_does_not_stop_work)
 {
   update_members (3, 3);
-  make_ready (4);
+  make_config_ready (4);
   receive_announced_change ("i4", 1);
-  receive ("i4", (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_STATUS,
-                                    .revision = 4,
-                                    .age = -1,
-                                    .confirmed = true,
-                                    .announced_change = 1 });
+  receive_message ("i4", (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_STATUS,
+                                            .revision = 4,
+                                            .age = -1,
+                                            .confirmed = true,
+                                            .announced_change = 1 });
   run_without_store (60, false);
 
   cr_assert (lc_config_is_ready (config));
 }
 
-/* i4 announces a change and crashes. The outcome is settled by a newer revision, or by a store read
- * from the time when the change can no longer take effect. */
+/* i4 announces a change and crashes. A newer revision settles the outcome, and so does a store read
+ * from a time when the change can no longer take effect. */
 Test (config, newer_revision_or_store_read_settles_an_announced_change)
 {
   update_members (3, 3);
-  make_ready (4);
+  make_config_ready (4);
   receive_announced_change ("i4", 1);
   receive_snapshot ("i2", 5);
   run_without_store (60, false);
-  cr_assert (lc_config_is_ready (config), "settled by a newer revision");
+  cr_assert (lc_config_is_ready (config), "must be ready: revision 5 settles the announced change");
 
-  receive ("i4",
-           (LcConfigMessage){
-               .type = LC_CONFIG_MESSAGE_QUERY, .revision = 5, .age = -1, .announced_change = 2 });
+  receive_message ("i4", (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_QUERY,
+                                            .revision = 5,
+                                            .age = -1,
+                                            .announced_change = 2 });
   now += 12 * LB_SEC;
-  read_store (5);
+  complete_store_read (5);
   run_without_store (60, false);
-  cr_assert (lc_config_is_ready (config), "settled by the store");
+  cr_assert (lc_config_is_ready (config),
+             "must be ready: the store read settles the announced change");
 }
 
-/* While an instance is paused for a minute, an answer with a recent confirmation waits in its
- * socket. Counted from the arrival, an old confirmation would look recent. */
+/* While an instance is paused for a minute, a peer's answer with a recent confirmation waits in its
+ * socket. Measured from the arrival of the answer, the old confirmation would look recent. */
 Test (config, confirmation_age_counts_from_the_query)
 {
   update_members (1, 1);
-  make_ready (4);
-  tick_after (LB_SEC);
+  make_config_ready (4);
+  advance_and_tick (LB_SEC);
   LbTime asked_at = now;
   now += 60 * LB_SEC;
-  receive ("i2", (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_STATUS,
-                                    .revision = 4,
-                                    .asked_at = asked_at,
-                                    .age = 0,
-                                    .confirmed = true });
+  receive_message ("i2", (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_STATUS,
+                                            .revision = 4,
+                                            .asked_at = asked_at,
+                                            .age = 0,
+                                            .confirmed = true });
 
   cr_assert_not (lc_config_is_ready (config));
   cr_assert_geq (lc_config_confirmation_age (config, now), 60 * LB_SEC);
 }
 
-Test (config, active_count_forgets_the_revision_of_a_restarted_peer)
+Test (config, restarted_peer_is_not_counted_at_its_old_revision)
 {
   update_members (2, 2);
-  make_ready (4);
+  make_config_ready (4);
   receive_status ("i2", 4, now);
   cr_assert_eq (lc_config_count_instances_at_revision (config, 4).active, 2);
   cr_assert_eq (lc_config_count_instances_at_revision (config, 4).known, 3);
--- a/packages/core/tests/test-desired.c
+++ b/packages/core/tests/test-desired.c
@@ -24,9 +24,9 @@
   return route ? route->name : "";
 }
 
-/* Calls that match the longer prefix must not reach the service of a shorter one, in whatever order
- * the operator listed the routes. */
-Test (desired, longest_prefix_of_the_host_wins)
+/* Calls that match a longer prefix must not reach the service of a shorter one, whatever the order
+ * in which the operator listed the routes. */
+Test (desired, route_with_the_longest_matching_prefix_is_chosen)
 {
   LcDesired *desired = lc_desired_new (3);
 
@@ -42,7 +42,7 @@
   lc_desired_unref (desired);
 }
 
-Test (desired, stays_valid_until_the_last_unref)
+Test (desired, desired_state_stays_valid_until_the_last_unref)
 {
   LcDesired *desired = lc_desired_new (1);
   LcDesired *second = lc_desired_ref (desired);
--- a/packages/core/tests/test-engine-plan.c
+++ b/packages/core/tests/test-engine-plan.c
@@ -13,7 +13,7 @@
 static const LbName models[] = { "short", "long" };
 
 static void
-make_engines (LcPlanEntry *engines)
+make_engines_with_alternating_models (LcPlanEntry *engines)
 {
   for (int i = 0; i < N_ENGINES; i++)
     {
@@ -24,7 +24,7 @@
 }
 
 static int
-count_engines (const LcEnginePlan *plan, const char *model)
+count_engines_of_model (const LcEnginePlan *plan, const char *model)
 {
   int n = 0;
 
@@ -33,26 +33,27 @@
   return n;
 }
 
-/* One trainer requests four times the tokens of the other. With an even assignment its steps would
- * queue while engines of the other model are idle. */
-Test (engine_plan, engines_are_assigned_by_demand)
+/* One trainer requests four times the tokens of the other. If both models had the same number of
+ * engines, its steps would queue while engines of the other model are idle. */
+Test (engine_plan, engines_are_assigned_in_proportion_to_demand)
 {
   LcDemand *demand = lc_demand_new ();
   LcEnginePlan plan = { 0 };
   LcPlanEntry engines[N_ENGINES];
   LbTime now = LB_SEC;
 
-  make_engines (engines);
+  make_engines_with_alternating_models (engines);
   lc_demand_add (demand, "short", 1000, now);
   lc_demand_add (demand, "long", 4000, now);
   cr_assert (lc_engine_plan_rebalance (&plan, engines, N_ENGINES, models, 2, demand, now));
-  cr_assert_eq (count_engines (&plan, "long"), 7);
-  cr_assert_eq (count_engines (&plan, "short"), 3);
+  cr_assert_eq (count_engines_of_model (&plan, "long"), 7);
+  cr_assert_eq (count_engines_of_model (&plan, "short"), 3);
   lc_engine_plan_clear (&plan);
   lc_demand_free (demand);
 }
 
-/* Demand varies slightly with the lengths of texts, and each move costs a load of weights. */
+/* Demand varies slightly with the lengths of texts. A small imbalance must not move an engine,
+ * since each move costs a load of weights. */
 Test (engine_plan, small_imbalance_moves_no_engine)
 {
   LcDemand *demand = lc_demand_new ();
@@ -60,32 +61,32 @@
   LcPlanEntry engines[N_ENGINES];
   LbTime now = LB_SEC;
 
-  make_engines (engines);
+  make_engines_with_alternating_models (engines);
   lc_demand_add (demand, "short", 1000, now);
   lc_demand_add (demand, "long", 1100, now);
   lc_engine_plan_rebalance (&plan, engines, N_ENGINES, models, 2, demand, now);
-  cr_assert_eq (count_engines (&plan, "short"), 5);
+  cr_assert_eq (count_engines_of_model (&plan, "short"), 5);
   cr_assert_not (lc_engine_plan_rebalance (&plan, engines, N_ENGINES, models, 2, demand, now));
   lc_engine_plan_clear (&plan);
   lc_demand_free (demand);
 }
 
-Test (engine_plan, each_model_keeps_an_engine)
+Test (engine_plan, model_without_demand_keeps_one_engine)
 {
   LcDemand *demand = lc_demand_new ();
   LcEnginePlan plan = { 0 };
   LcPlanEntry engines[N_ENGINES];
   LbTime now = LB_SEC;
 
-  make_engines (engines);
+  make_engines_with_alternating_models (engines);
   lc_demand_add (demand, "long", 1e9, now);
   lc_engine_plan_rebalance (&plan, engines, N_ENGINES, models, 2, demand, now);
-  cr_assert_eq (count_engines (&plan, "short"), 1);
+  cr_assert_eq (count_engines_of_model (&plan, "short"), 1);
   lc_engine_plan_clear (&plan);
   lc_demand_free (demand);
 }
 
-Test (engine_plan, demand_decays)
+Test (engine_plan, demand_halves_in_20_seconds)
 {
   LcDemand *demand = lc_demand_new ();
 
@@ -95,8 +96,8 @@
   lc_demand_free (demand);
 }
 
-/* An engine's version belongs to the model that it served: kept after a change of the model, it
- * would route requests to weights that the engine does not have. */
+/* The version of an engine belongs to the model that it served. If the version were kept after a
+ * change of the model, requests would be routed to weights that the engine does not have. */
 Test (engine_plan, engine_that_changes_its_model_loses_its_version)
 {
   LcDemand *demand = lc_demand_new ();
@@ -104,7 +105,7 @@
   LcPlanEntry engines[N_ENGINES];
   LbTime now = LB_SEC;
 
-  make_engines (engines);
+  make_engines_with_alternating_models (engines);
   lc_engine_plan_rebalance (&plan, engines, N_ENGINES, models, 2, demand, now);
   LcPlanEntry loaded = { .version = 9 };
   LB_COPY (loaded.engine, "i-1");
@@ -116,7 +117,7 @@
   cr_assert_eq (lc_engine_plan_find (&plan, "i-1")->version, 0);
   cr_assert (lc_engine_plan_rebalance (&plan, engines, N_ENGINES - 1, models, 2, demand, now));
   cr_assert_null (lc_engine_plan_find (&plan, "i-9"),
-                  "an engine that left must be removed from the plan");
+                  "engine i-9 left and must be removed from the plan");
   lc_engine_plan_clear (&plan);
   lc_demand_free (demand);
 }
@@ -138,9 +139,9 @@
   lc_engine_plan_clear (&read);
 }
 
-/* Engines are put in any order, one of them twice, and some are removed: each that remains must be
- * found once. */
-Test (engine_plan, engines_are_found_whatever_order_they_were_put_in)
+/* Engines are put in unsorted order, one of them twice, and some are removed. Each engine that
+ * remains must be found once. */
+Test (engine_plan, engines_put_in_unsorted_order_are_found)
 {
   static const char *const names[] = { "i-7", "i-1", "i-9", "i-3", "i-1", "i-5" };
   LcEnginePlan plan = { 0 };
@@ -164,7 +165,7 @@
   lc_engine_plan_clear (&plan);
 }
 
-/* --- random numbers of models and engines, random demand --- */
+/* --- plans with random models, engines and demand --- */
 
 #define MAX_MODELS 10
 #define MAX_ENGINES 100
@@ -202,8 +203,8 @@
     }
 }
 
-/* Sum of the squared deviations from the share by demand, as lc_engine_plan_rebalance reduces it.
- */
+/* Returns the sum over the models of the squared deviation from the share by demand, which
+ * lc_engine_plan_rebalance reduces. */
 static double
 sum_squared_deviations (const RandomCase *random_case, const LcEnginePlan *plan)
 {
@@ -217,14 +218,15 @@
       double share = 1
                      + random_case->tokens[i] / total
                            * (double)(random_case->n_engines - random_case->n_models);
-      double lack = share - count_engines (plan, random_case->models[i]);
+      double lack = share - count_engines_of_model (plan, random_case->models[i]);
       sum += lack * lack;
     }
   return sum;
 }
 
-/* With three or more models, two of them could take the same engine from each other in an endless
- * loop. It blocked the planning instance and then each successor, and all trainers waited. */
+/* Rebalancing must end for any demand. With three or more models, two of them could take the same
+ * engine from each other in an endless loop. This blocked the planning instance and then each
+ * successor, and all trainers waited. */
 Test (engine_plan, rebalancing_ends_for_any_demand, .timeout = 20)
 {
   gsl_rng *random = gsl_rng_alloc (gsl_rng_taus2);
@@ -241,13 +243,15 @@
       lc_engine_plan_rebalance (&after, random_case.engines, random_case.n_engines,
                                 random_case.models, random_case.n_models, random_case.demand,
                                 LB_SEC);
-      cr_assert_eq (after.n_entries, random_case.n_engines, "seed %lu", seed);
+      cr_assert_eq (after.n_entries, random_case.n_engines,
+                    "seed %lu: expected all engines in the plan", seed);
       if (random_case.n_engines > random_case.n_models && random_case.n_models > 1)
         cr_assert_leq (sum_squared_deviations (&random_case, &after),
-                       sum_squared_deviations (&random_case, &before) + 1e-6, "seed %lu", seed);
+                       sum_squared_deviations (&random_case, &before) + 1e-6,
+                       "seed %lu: rebalancing increased the deviation", seed);
       for (size_t i = 0; i < random_case.n_models; i++)
-        cr_assert (count_engines (&after, random_case.models[i]) > 0
-                       || count_engines (&before, random_case.models[i]) == 0,
+        cr_assert (count_engines_of_model (&after, random_case.models[i]) > 0
+                       || count_engines_of_model (&before, random_case.models[i]) == 0,
                    "seed %lu: a model lost its last engine", seed);
       cr_assert_not (lc_engine_plan_rebalance (&after, after.entries, after.n_entries,
                                                random_case.models, random_case.n_models,
@@ -260,7 +264,8 @@
   gsl_rng_free (random);
 }
 
-/* model_indexes: index of the model that each of the nine engines is assigned to. */
+/* Makes nine engines. model_indexes: for each engine, the index in names of the model that it is
+ * assigned to. */
 static void
 make_nine_engines (LcPlanEntry *engines, const LbName *names, const char *model_indexes)
 {
@@ -273,8 +278,8 @@
 }
 
 /* Initially the model with the least demand has four engines and one with high demand has two, so
- * that each of its steps runs in two rounds and ends one to two seconds late. Lack and excess must
- * be added when they are compared with the bound. */
+ * that each of its steps runs in two rounds and ends one to two seconds late. The sum of lack and
+ * excess must be compared with the threshold, not each one alone. */
 Test (engine_plan, lack_and_excess_both_count_as_imbalance)
 {
   static const LbName three_models[] = { "light", "heavy", "middle" };
@@ -288,15 +293,15 @@
   lc_demand_add (demand, "heavy", 1150, LB_SEC);
   lc_demand_add (demand, "middle", 1179, LB_SEC);
   lc_engine_plan_rebalance (&plan, engines, 9, three_models, 3, demand, LB_SEC);
-  cr_assert_eq (count_engines (&plan, "light"), 3);
-  cr_assert_eq (count_engines (&plan, "heavy"), 3);
-  cr_assert_eq (count_engines (&plan, "middle"), 3);
+  cr_assert_eq (count_engines_of_model (&plan, "light"), 3);
+  cr_assert_eq (count_engines_of_model (&plan, "heavy"), 3);
+  cr_assert_eq (count_engines_of_model (&plan, "middle"), 3);
   lc_engine_plan_clear (&plan);
   lc_demand_free (demand);
 }
 
-/* Engines register one after the other and are assigned as they are listed, here 5, 3 and 1: the
- * first steps of one trainer would wait for its only engine. */
+/* Engines that register one after the other are assigned as they are listed, here 5, 3 and 1.
+ * Without rebalancing, the first steps of one trainer would wait for its only engine. */
 Test (engine_plan, engines_are_assigned_evenly_without_demand)
 {
   static const LbName three_models[] = { "a", "b", "c" };
@@ -308,15 +313,15 @@
   make_nine_engines (engines, three_models, model_indexes);
   cr_assert (lc_demand_is_empty (demand));
   lc_engine_plan_rebalance (&plan, engines, 9, three_models, 3, demand, LB_SEC);
-  cr_assert_eq (count_engines (&plan, "a"), 3);
-  cr_assert_eq (count_engines (&plan, "b"), 3);
-  cr_assert_eq (count_engines (&plan, "c"), 3);
+  cr_assert_eq (count_engines_of_model (&plan, "a"), 3);
+  cr_assert_eq (count_engines_of_model (&plan, "b"), 3);
+  cr_assert_eq (count_engines_of_model (&plan, "c"), 3);
   lc_engine_plan_clear (&plan);
   lc_demand_free (demand);
 }
 
-/* The parts of the largest expected plan must fit into a row of the store. */
-Test (engine_plan, part_of_a_large_plan_fits_a_row)
+/* Each stored part of the largest expected plan must fit into a row of the store. */
+Test (engine_plan, each_part_of_a_large_plan_fits_a_store_row)
 {
   enum
   {
--- a/packages/core/tests/test-load-time.c
+++ b/packages/core/tests/test-load-time.c
@@ -5,12 +5,13 @@
 
 typedef struct
 {
-  LbTime delay; /* mean, from the time at which the end of a load is visible to the poll */
-  double polls; /* mean per load */
+  LbTime delay; /* mean time from when the end of a load is visible to the poll that detects it */
+  double polls; /* mean number of polls per load */
 } PollResult;
 
-/* Simulates consecutive loads; the end of each is visible visible_after its order, with a range of
- * jitter. fixed_delay, fixed_interval: times of the polls; 0: those of lc-load-time. */
+/* Simulates consecutive loads and returns the mean delay of detection and number of polls. The end
+ * of a load becomes visible after a random time of visible_after plus or minus half of jitter.
+ * fixed_delay, fixed_interval: times of the polls; 0: as computed by lc-load-time. */
 static PollResult
 simulate_loads (LbTime visible_after, LbTime jitter, LbTime fixed_delay, LbTime fixed_interval)
 {
@@ -40,8 +41,8 @@
   return result;
 }
 
-/* Six models get a version every four seconds on 77 engines, 16 of which load at once. A load whose
- * end is detected late delays the next one, and the weights are late for the steps. */
+/* Six models get a version every four seconds on 77 engines, 16 of which load at once. Late
+ * detection of the end of a load delays the next load, and the weights are late for the steps. */
 Test (load_time, end_of_a_load_is_detected_soon)
 {
   PollResult fixed = simulate_loads (1120 * LB_MSEC, 60 * LB_MSEC, 1010 * LB_MSEC, 120 * LB_MSEC);
@@ -52,9 +53,9 @@
   cr_assert_leq (learned.polls, 2.1, "%f", learned.polls);
 }
 
-/* Loads take three times as long or a third, as on another site or with other numbers of concurrent
- * loads. */
-Test (load_time, polls_adapt_to_any_load_time)
+/* Loads take three times as long or a third as long, as on another site or with another number of
+ * concurrent loads. */
+Test (load_time, polls_adapt_to_long_and_short_loads)
 {
   PollResult slow = simulate_loads (3400 * LB_MSEC, 200 * LB_MSEC, 0, 0);
   PollResult quick = simulate_loads (400 * LB_MSEC, 40 * LB_MSEC, 0, 0);
--- a/packages/core/tests/test-resources.c
+++ b/packages/core/tests/test-resources.c
@@ -13,7 +13,7 @@
   "\"address\":\"" address "\"}"
 
 static LcResourceSet *
-parse (const char *list, LbError *error)
+parse_resource_list (const char *list, LbError *error)
 {
   char text[2048];
 
@@ -25,7 +25,7 @@
 }
 
 static LcResourceSet *
-apply_change (const LcResourceSet *set, const char *text, LbError *error)
+apply_change_text (const LcResourceSet *set, const char *text, LbError *error)
 {
   struct json_object *object = json_tokener_parse (text);
   LcResourceSet *next = lc_change_apply (set, object, "c.json", error);
@@ -37,11 +37,12 @@
 Test (resources, json_round_trip_preserves_resources)
 {
   LbError error;
-  LcResourceSet *set = parse (POOL "," SUBSCRIPTION "\"preset\":\"staleness\"},"
-                                   "{\"kind\":\"version_bound\",\"name\":\"b\","
-                                   "\"subscription\":\"t\",\"max_lag\":2}," //
-                              ENGINE ("e2", "127.0.0.1:2") "," ENGINE ("e1", "127.0.0.1:1"),
-                              &error);
+  LcResourceSet *set
+      = parse_resource_list (POOL "," SUBSCRIPTION "\"preset\":\"staleness\"},"
+                                  "{\"kind\":\"version_bound\",\"name\":\"b\","
+                                  "\"subscription\":\"t\",\"max_lag\":2}," //
+                             ENGINE ("e2", "127.0.0.1:2") "," ENGINE ("e1", "127.0.0.1:1"),
+                             &error);
   struct json_object *first = lc_resource_set_to_json (set);
   LcResourceSet *again = lc_resource_set_from_json (first, "again", &error);
   struct json_object *second = lc_resource_set_to_json (again);
@@ -57,7 +58,7 @@
   lc_resource_set_free (again);
 }
 
-Test (resources, each_error_has_its_code_and_location)
+Test (resources, invalid_resources_are_rejected_with_code_and_location)
 {
   static const struct
   {
@@ -90,16 +91,18 @@
   for (size_t i = 0; i < sizeof faults / sizeof faults[0]; i++)
     {
       LbError error = { .code = LB_OK };
-      cr_assert_null (parse (faults[i].list, &error), "fault %zu", i);
-      cr_assert_eq (error.code, faults[i].code, "fault %zu: %s", i, lb_error_name (error.code));
+      cr_assert_null (parse_resource_list (faults[i].list, &error),
+                      "fault %zu: expected the resources to be rejected", i);
+      cr_assert_eq (error.code, faults[i].code, "fault %zu: unexpected error %s", i,
+                    lb_error_name (error.code));
       if (faults[i].where)
         cr_assert_str_eq (error.where, faults[i].where);
     }
 }
 
-/* A set changed in place must equal the same set parsed from JSON. */
+/* A set that was built by a change must equal the set parsed from its JSON. */
 static void
-assert_equals_parsed_set (const LcResourceSet *set)
+assert_set_equals_its_json_round_trip (const LcResourceSet *set)
 {
   LbError error;
   struct json_object *object = lc_resource_set_to_json (set);
@@ -112,31 +115,32 @@
   lc_resource_set_free (again);
 }
 
-Test (change, result_stays_sorted_by_name)
+Test (change, changed_set_stays_sorted_by_name)
 {
   LbError error;
   LcResourceSet *set
-      = parse (POOL "," ENGINE ("e3", "127.0.0.1:3") "," ENGINE ("e5", "127.0.0.1:5"), &error);
+      = parse_resource_list (POOL "," ENGINE ("e3", "127.0.0.1:3") "," ENGINE ("e5", "127.0.0.1:5"),
+                             &error);
   LcResourceSet *next
-      = apply_change (set,
-                      "{\"apply\":[" ENGINE ("e4", "127.0.0.1:4") "," ENGINE ("e9",
-                                                                              "127.0.0.1:9") //
-                      "," ENGINE ("e1", "127.0.0.1:1") "," ENGINE ("e3", "127.0.0.1:33") "]}",
-                      &error);
+      = apply_change_text (set,
+                           "{\"apply\":[" ENGINE ("e4", "127.0.0.1:4") "," ENGINE ("e9",
+                                                                                   "127.0.0.1:9") //
+                           "," ENGINE ("e1", "127.0.0.1:1") "," ENGINE ("e3", "127.0.0.1:33") "]}",
+                           &error);
 
   cr_assert_eq (next->n_endpoints, 5);
   cr_assert_str_eq (lc_resource_set_find_endpoint (next, "e3")->address, "127.0.0.1:33");
   cr_assert_str_eq (lc_resource_set_find_endpoint (next, "e9")->address, "127.0.0.1:9");
-  assert_equals_parsed_set (next);
+  assert_set_equals_its_json_round_trip (next);
   lc_resource_set_free (set);
   lc_resource_set_free (next);
 }
 
-Test (change, adds_replaces_deletes_and_increments_the_revision)
+Test (change, change_adds_replaces_deletes_and_increments_the_revision)
 {
   LbError error;
-  LcResourceSet *set = parse (POOL "," ENGINE ("e1", "127.0.0.1:1"), &error);
-  LcResourceSet *next = apply_change (
+  LcResourceSet *set = parse_resource_list (POOL "," ENGINE ("e1", "127.0.0.1:1"), &error);
+  LcResourceSet *next = apply_change_text (
       set,
       "{\"apply\":[" ENGINE ("e2",
                              "127.0.0.1:2") ",{\"kind\":\"pool\",\"name\":"
@@ -148,24 +152,25 @@
   cr_assert_null (lc_resource_set_find_endpoint (next, "e1"));
   cr_assert_not_null (lc_resource_set_find_endpoint (next, "e2"));
   cr_assert_eq (lc_resource_set_find_pool (next, "reader")->weight_version, 9);
-  assert_equals_parsed_set (next);
+  assert_set_equals_its_json_round_trip (next);
   lc_resource_set_free (set);
   lc_resource_set_free (next);
 }
 
-Test (change, invalid_result_is_rejected)
+Test (change, change_with_an_invalid_result_is_rejected)
 {
   LbError error;
-  LcResourceSet *set = parse (POOL "," ENGINE ("e1", "127.0.0.1:1"), &error);
+  LcResourceSet *set = parse_resource_list (POOL "," ENGINE ("e1", "127.0.0.1:1"), &error);
 
   cr_assert_null (
-      apply_change (set, "{\"delete\":[{\"kind\":\"pool\",\"name\":\"reader\"}]}", &error));
+      apply_change_text (set, "{\"delete\":[{\"kind\":\"pool\",\"name\":\"reader\"}]}", &error));
   cr_assert_eq (error.code, LB_ERROR_BAD_REFERENCE);
-  cr_assert_null (apply_change (set, "{\"delete\":[{\"kind\":\"pool\",\"name\":\"x\"}]}", &error));
+  cr_assert_null (
+      apply_change_text (set, "{\"delete\":[{\"kind\":\"pool\",\"name\":\"x\"}]}", &error));
   cr_assert_eq (error.code, LB_ERROR_UNKNOWN_RESOURCE);
-  cr_assert_null (apply_change (set, "{\"apply\":[" POOL "," POOL "]}", &error));
+  cr_assert_null (apply_change_text (set, "{\"apply\":[" POOL "," POOL "]}", &error));
   cr_assert_eq (error.code, LB_ERROR_BAD_VALUE);
-  cr_assert_null (apply_change (set, "{\"aply\":[]}", &error));
+  cr_assert_null (apply_change_text (set, "{\"aply\":[]}", &error));
   cr_assert_eq (error.code, LB_ERROR_UNKNOWN_KEY);
   lc_resource_set_free (set);
 }
--- a/packages/core/tests/test-swap-turns.c
+++ b/packages/core/tests/test-swap-turns.c
@@ -3,7 +3,7 @@
 #include <criterion/criterion.h>
 
 static LcSwapCandidate
-candidate (size_t engines, size_t usable, size_t on_target, size_t swapping)
+make_candidate (size_t engines, size_t usable, size_t on_target, size_t swapping)
 {
   return (LcSwapCandidate){ .status = { .target = 5,
                                         .engines = engines,
@@ -12,42 +12,44 @@
                                         .swapping = swapping } };
 }
 
-/* A trainer that catches up after a fault publishes a version every two seconds. If the loads were
- * shared evenly, its engines would fall two versions behind and its steps find none, while the
- * other trainer's engines are all up to date. */
+/* A trainer that catches up after a fault publishes a version every two seconds. If loads were
+ * shared evenly between the models, its engines would fall two versions behind and its steps would
+ * find no usable engine, while the engines of the other trainer are all up to date. */
 Test (swap_turns, model_with_fewest_usable_engines_is_chosen)
 {
-  const LcSwapCandidate candidates[] = { candidate (5, 5, 3, 0), candidate (5, 1, 0, 0) };
+  const LcSwapCandidate candidates[] = { make_candidate (5, 5, 3, 0), make_candidate (5, 1, 0, 0) };
 
   cr_assert_eq (lc_swap_turns_choose_model (candidates, 2), 1);
 }
 
 Test (swap_turns, tie_is_broken_by_fewest_engines_on_target)
 {
-  const LcSwapCandidate candidates[] = { candidate (5, 5, 3, 0), candidate (5, 5, 1, 0) };
+  const LcSwapCandidate candidates[] = { make_candidate (5, 5, 3, 0), make_candidate (5, 5, 1, 0) };
 
   cr_assert_eq (lc_swap_turns_choose_model (candidates, 2), 1);
 }
 
-/* Two trainers publish weights a second apart. If loads in progress were not counted, all loads
- * would go to engines of the first, and the next step of the second would wait for a whole load. */
-Test (swap_turns, loads_in_progress_count_as_ready)
+/* Two trainers publish weights one second apart. If loads in progress were not counted, all loads
+ * would go to engines of the first trainer, and the next step of the second would wait for a whole
+ * load. */
+Test (swap_turns, loads_in_progress_count_as_usable_engines)
 {
-  const LcSwapCandidate candidates[] = { candidate (8, 6, 0, 2), candidate (8, 8, 0, 0) };
+  const LcSwapCandidate candidates[] = { make_candidate (8, 6, 0, 2), make_candidate (8, 8, 0, 0) };
 
   cr_assert_eq (lc_swap_turns_choose_model (candidates, 2), 1);
 }
 
 Test (swap_turns, no_model_is_chosen_if_none_needs_a_load)
 {
-  LcSwapCandidate candidates[] = { candidate (5, 5, 4, 1), candidate (5, 2, 1, 0) };
+  LcSwapCandidate candidates[] = { make_candidate (5, 5, 4, 1), make_candidate (5, 2, 1, 0) };
 
   candidates[1].blocked = true;
   cr_assert_eq (lc_swap_turns_choose_model (candidates, 2), 2);
 }
 
-/* Rounded down, only one of nine engines would load at a time: nine loads took 9 s with a new
- * version every 4 s, and a step waited 6 s for the first engine with usable weights. */
+/* If the limit were rounded down, only one of nine engines would load at a time. Nine loads took 9
+ * s with a new version every 4 s, and a step waited 6 s for the first engine with usable
+ * weights. */
 Test (swap_turns, one_fifth_of_the_engines_may_load_rounded_up)
 {
   cr_assert_eq (lc_swap_turns_max_loads (9), 2);
--- a/packages/core/tests/test-weights.c
+++ b/packages/core/tests/test-weights.c
@@ -6,21 +6,21 @@
 static FakePool pool;
 
 static void
-setup (void)
+create_pool (void)
 {
   fake_pool_init (&pool, 12, 25, 0.25, 40);
 }
 
 static void
-teardown (void)
+free_pool (void)
 {
   fake_pool_clear (&pool);
 }
 
-TestSuite (weights, .init = setup, .fini = teardown);
+TestSuite (weights, .init = create_pool, .fini = free_pool);
 
 static LcWeightsStatus
-get_status (void)
+get_weights_status (void)
 {
   LcWeightsStatus result;
 
@@ -28,7 +28,7 @@
   return result;
 }
 
-Test (weights, roll_out_stays_within_the_percentage)
+Test (weights, roll_out_percent_limits_concurrent_loads)
 {
   lc_weights_set_newest_version (pool.weights, 41, pool.now);
   LbTime duration = fake_pool_run_until_done (&pool, 41, 60 * LB_SEC);
@@ -38,10 +38,11 @@
   cr_assert_eq (pool.orders, 12);
   fake_pool_run (&pool, 10 * LB_SEC);
   cr_assert_eq (pool.orders, 12);
-  cr_assert_eq (get_status ().wait_reason, LC_WEIGHTS_IDLE);
+  cr_assert_eq (get_weights_status ().wait_reason, LC_WEIGHTS_IDLE);
 }
 
-/* Routing needs the expected end of a swap, which must be estimated from the loads seen so far. */
+/* Routing needs the expected end of a swap. It must be estimated from the load times seen
+ * before. */
 Test (weights, expected_end_of_a_swap_follows_measured_load_times)
 {
   LbList actions;
@@ -60,8 +61,8 @@
   fake_pool_drop_actions (&actions);
 }
 
-/* The percentage would allow all engines to swap at once; the live reserve must limit them, or
- * callers would be refused. */
+/* roll_out_percent would allow all engines to swap at once. The live reserve must limit the swaps,
+ * or callers would be refused. */
 Test (weights, live_reserve_limits_engines_out_of_service)
 {
   fake_pool_clear (&pool);
@@ -73,9 +74,9 @@
   cr_assert_eq (pool.most_out, 4);
 }
 
-/* All engines of a small pool need a load at once; one must always serve, whatever the percentage.
- */
-Test (weights, one_engine_always_serves)
+/* All engines of a pool of two need a load, and roll_out_percent allows all at once. One engine
+ * must still serve at any time. */
+Test (weights, at_least_one_engine_serves_during_a_roll_out)
 {
   fake_pool_clear (&pool);
   fake_pool_init (&pool, 2, 100, 0, 40);
@@ -86,7 +87,7 @@
   cr_assert_eq (pool.most_out, 1);
 }
 
-Test (weights, single_engine_is_swapped)
+Test (weights, only_engine_of_a_pool_is_swapped)
 {
   fake_pool_clear (&pool);
   fake_pool_init (&pool, 1, 25, 0.25, 40);
@@ -104,10 +105,11 @@
 
   cr_assert_eq (fake_pool_count (&pool, 41), 12);
   cr_assert_eq (pool.orders, 13);
-  cr_assert_eq (get_status ().failed, 0);
+  cr_assert_eq (get_weights_status ().failed, 0);
 }
 
-/* A load that fails each time on one engine must not use up the rate limit of the weight store. */
+/* A load that always fails on one engine must be retried with a backoff, so that it does not use up
+ * the rate limit of the weight store. */
 Test (weights, load_that_always_fails_is_retried_with_backoff)
 {
   pool.engines[0].fail_loads = 1000;
@@ -119,9 +121,9 @@
   cr_assert_leq (pool.orders, 18);
 }
 
-/* A report requested before the order arrives after it and has the old version. Taken for the end
- * of the load, it would cause a second order and take another engine out of service. */
-Test (weights, report_from_before_the_order_does_not_end_it)
+/* A report that was requested before the order arrives after it and shows the old version. If it
+ * counted as the end of the load, a second order would take another engine out of service. */
+Test (weights, report_from_before_the_order_does_not_end_the_load)
 {
   LbList actions;
   LcWeightReport report = { .version = 40, .incarnation = "0" };
@@ -134,15 +136,16 @@
   report.requested_at = pool.now - 1;
   for (size_t i = 0; i < pool.n; i++)
     lc_weights_report_received (pool.weights, pool.engines[i].name, &report, pool.now, &actions);
-  cr_assert (lb_list_is_empty (&actions), "routing must not be notified of the end of a swap");
+  cr_assert (lb_list_is_empty (&actions), "an old report must not end the swap in routing");
   fake_pool_tick (&pool);
 
   cr_assert_eq (pool.orders, 3);
 }
 
-/* An instance loses the lease, another one orders three engines, and the first regains it. Its
- * state of the engines is outdated: it must not order three more. */
-Test (weights, regained_lease_counts_loads_of_the_other_holder)
+/* An instance loses the lease, another one orders three engines, and the first regains the lease.
+ * The first must count these loads instead of its outdated engine states, or it would order three
+ * more engines. */
+Test (weights, holder_that_regains_the_lease_counts_loads_of_the_other)
 {
   fake_pool_run (&pool, 2 * LB_SEC);
   lc_weights_set_newest_version (pool.weights, 41, pool.now);
@@ -155,8 +158,8 @@
   cr_assert_eq (pool.most_swapping, 3);
 }
 
-/* A broken version fails on every engine, which would take all of them out of service one by one.
- * Most must keep serving 40, and another target must be loaded without delay. */
+/* A broken version 41 fails on every engine, which would take all engines out of service one by
+ * one. Most engines must keep serving 40, and another target must be loaded without delay. */
 Test (weights, broken_version_halts_the_roll_out)
 {
   for (size_t i = 0; i < pool.n; i++)
@@ -164,7 +167,7 @@
   lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run (&pool, 120 * LB_SEC);
   cr_assert_geq (fake_pool_count (&pool, 40), 3);
-  cr_assert_eq (get_status ().wait_reason, LC_WEIGHTS_HALTED);
+  cr_assert_eq (get_weights_status ().wait_reason, LC_WEIGHTS_HALTED);
 
   for (size_t i = 0; i < pool.n; i++)
     pool.engines[i].fail_loads = 0;
@@ -177,9 +180,9 @@
   cr_assert_eq (fake_pool_count (&pool, 40), 12);
 }
 
-/* The holder of the lease crashes while three engines load. Its successor must read the engines
- * first and count these loads, or six of twelve engines would be out of service at once. */
-Test (weights, new_holder_counts_loads_of_a_crashed_one)
+/* The lease holder crashes while three engines load. The new holder must read the engines first and
+ * count these loads, or six of twelve engines would be out of service at once. */
+Test (weights, new_lease_holder_counts_loads_of_the_crashed_holder)
 {
   lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run (&pool, 3 * LB_SEC / 2);
@@ -192,8 +195,8 @@
   cr_assert_eq (pool.orders, 12);
 }
 
-/* A newer version arrives halfway through a roll-out. Loads in progress finish; the other engines
- * get the newest version directly, and those with the intermediate one come last. */
+/* A newer version 42 arrives halfway through the roll-out of 41. Loads in progress must finish; the
+ * other engines must load 42 directly, and those with 41 come last. */
 Test (weights, newer_version_during_a_roll_out_replaces_the_target)
 {
   lc_weights_set_newest_version (pool.weights, 41, pool.now);
@@ -207,8 +210,8 @@
   cr_assert_eq (pool.most_swapping, 3);
 }
 
-/* Versions come faster than a roll-out takes. If each one began with the same engines, the others
- * would keep an old version, and their samples would be discarded as stale. */
+/* Versions come faster than a roll-out takes. If every roll-out began with the same engines, the
+ * others would keep an old version, and their samples would be discarded as stale. */
 Test (weights, no_engine_starves_if_versions_come_fast)
 {
   LcVersion version = 41;
@@ -224,7 +227,7 @@
                      (long long)pool.engines[i].version);
 }
 
-/* An operator rolls back by a revision whose pool names the previous version. */
+/* An operator rolls back by a configuration revision whose pool names the previous version. */
 Test (weights, pinned_older_version_rolls_back)
 {
   lc_weights_set_newest_version (pool.weights, 41, pool.now);
@@ -236,8 +239,9 @@
   cr_assert_eq (fake_pool_count (&pool, 40), 12);
 }
 
-/* Engine 3 ignores fencing numbers, and a delayed order of an earlier holder reverts it to 40 after
- * the roll-out. Its reports must show that, and it must be ordered again. */
+/* Engine 3 ignores fencing tokens, and a delayed order of an earlier lease holder reverts it to
+ * version 40 after the roll-out. The lease holder must see this in its reports and order the engine
+ * again. */
 Test (weights, engine_reverted_by_an_old_order_is_ordered_again)
 {
   lc_weights_set_newest_version (pool.weights, 41, pool.now);
@@ -250,9 +254,10 @@
   cr_assert_eq (pool.orders, 13);
 }
 
-/* After a pause or a change of the holder, engines that don't check fencing numbers may be ordered
- * only when orders of the previous holder have expired; the others at once. */
-Test (weights, unfenced_engines_are_not_ordered_without_permission)
+/* After a pause or a change of the lease holder, engines that don't check fencing tokens may be
+ * ordered only when orders of the previous holder have expired. The other engines may be ordered at
+ * once. */
+Test (weights, unfenced_engines_are_not_ordered_while_old_orders_may_arrive)
 {
   for (size_t i = 0; i < 6; i++)
     pool.set->endpoints[i].checks_fence = false;
@@ -261,15 +266,15 @@
   lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run (&pool, 60 * LB_SEC);
   cr_assert_eq (fake_pool_count (&pool, 41), 6);
-  cr_assert_eq (get_status ().wait_reason, LC_WEIGHTS_NO_LEASE);
+  cr_assert_eq (get_weights_status ().wait_reason, LC_WEIGHTS_NO_LEASE);
   pool.unfenced = true;
   fake_pool_run_until_done (&pool, 41, 60 * LB_SEC);
 
   cr_assert_eq (fake_pool_count (&pool, 41), 12);
 }
 
-/* Two of three engines are lost permanently. The third must keep serving 40 for a while, since they
- * may return, and then be swapped, or trainers would only get stale samples. */
+/* Two of three engines are lost permanently. The third must keep serving 40 for a while, since the
+ * lost ones may return. Then it must be swapped, or trainers would only get stale samples. */
 Test (weights, lost_engines_block_the_others_only_until_the_timeout)
 {
   fake_pool_clear (&pool);
@@ -286,7 +291,8 @@
   cr_assert_eq (pool.engines[0].version, 41);
 }
 
-/* An engine accepts the order without carrying it out, or restarts in between. */
+/* An engine accepts an order without carrying it out, as if it restarted. The order must be
+ * repeated. */
 Test (weights, order_without_effect_is_repeated)
 {
   pool.engines[5].ignores_orders = true;
@@ -299,8 +305,8 @@
   cr_assert_eq (fake_pool_count (&pool, 41), 12);
 }
 
-/* Three engines die just before the roll-out, while their state is still serving. Their orders fail
- * and must not count against the limit of concurrent swaps. */
+/* Three engines die just before the roll-out, while their known state is still serving. Their
+ * orders fail and must not count against the limit of concurrent swaps. */
 Test (weights, failed_orders_do_not_count_as_swaps)
 {
   fake_pool_run (&pool, 2 * LB_SEC);
@@ -311,7 +317,7 @@
   cr_assert_lt (fake_pool_run_until_done (&pool, 41, 60 * LB_SEC), 9 * LB_SEC);
 }
 
-/* Three loads hang forever; after load_timeout the other engines must be ordered. */
+/* Three loads hang forever. After load_timeout they must no longer block the other engines. */
 Test (weights, loads_that_hang_block_others_only_until_the_timeout)
 {
   fake_pool_run (&pool, 2 * LB_SEC);
@@ -326,8 +332,8 @@
   cr_assert_eq (fake_pool_count (&pool, 41), 9);
 }
 
-/* Reports requested before the holder lost the lease arrive after it has regained it. They show
- * engines as serving that may load by now. */
+/* Reports that were requested before the holder lost the lease arrive after it has regained the
+ * lease. They must be ignored, since engines that they show as serving may be loading now. */
 Test (weights, reports_from_before_a_lease_change_are_ignored)
 {
   LbList actions;
@@ -345,8 +351,8 @@
 }
 
 /* 13 of 70 engines fail while the store is down for some seconds; they stay listed until their
- * entries expire. The holder that gains the lease then counted them as swapping, which left room
- * for a single load, and for three seconds hardly any other engine got new weights. */
+ * entries expire. A holder that has just gained the lease once counted them as swapping, which left
+ * room for a single load. For three seconds hardly any other engine got new weights. */
 Test (weights, silent_engines_do_not_count_as_swapping_for_long)
 {
   enum
@@ -371,9 +377,9 @@
   cr_assert_eq (fake_pool_count (&pool, 41), N_ENGINES - N_SILENT);
 }
 
-/* Whether a model is ticked depends on the loads of all models, so its status is read without a
- * tick. As of the last tick, failed engines would count as swapping until a load of another model
- * ends; they blocked all loads for 1.3 s. */
+/* The status of a model must be correct without a tick, since a model is not ticked while loads of
+ * other models use up the limit. A status computed in the last tick kept counting failed engines as
+ * swapping until a load of another model ended; this blocked all loads for 1.3 s. */
 Test (weights, status_does_not_depend_on_the_last_tick)
 {
   fake_pool_clear (&pool);
@@ -384,13 +390,13 @@
     pool.engines[i].dead = true;
   fake_pool_new_holder (&pool, 41);
   fake_pool_tick (&pool);
-  cr_assert_eq (get_status ().swapping, 20);
+  cr_assert_eq (get_weights_status ().swapping, 20);
   pool.now += 500 * LB_MSEC;
-  cr_assert_eq (get_status ().swapping, 0);
+  cr_assert_eq (get_weights_status ().swapping, 0);
 }
 
-/* Four of twelve engines accept orders without carrying them out. As the ones with the oldest
- * version they come first, and without a backoff the others would never be ordered. */
+/* Four of twelve engines accept orders without carrying them out. They have the oldest version and
+ * come first, so without a backoff the other engines would never be ordered. */
 Test (weights, orders_without_effect_do_not_block_the_others)
 {
   for (size_t i = 0; i < 4; i++)
@@ -401,7 +407,7 @@
   cr_assert_eq (fake_pool_count (&pool, 41), 8);
 }
 
-/* A delayed answer of the weight store has an older version. */
+/* A delayed answer of the weight store reports version 40 after 41. It must be ignored. */
 Test (weights, newest_version_never_goes_back)
 {
   lc_weights_set_newest_version (pool.weights, 41, pool.now);
@@ -412,7 +418,7 @@
   cr_assert_eq (fake_pool_count (&pool, 41), 12);
 }
 
-Test (weights, orders_stay_within_the_rate_limit)
+Test (weights, load_orders_stay_within_the_rate_limit)
 {
   fake_pool_clear (&pool);
   fake_pool_init (&pool, 600, 100, 0, 40);
@@ -424,7 +430,7 @@
 }
 
 static void
-inject_fault (gsl_rng *rng, LcVersion *version)
+inject_random_fault (gsl_rng *rng, LcVersion *version)
 {
   FakeEngine *engine = &pool.engines[gsl_rng_uniform_int (rng, pool.n)];
 
@@ -443,7 +449,7 @@
       engine->ignores_orders = !engine->ignores_orders;
       break;
     case 4:
-      /* It restarts with its initial version. */
+      /* The engine restarts with its initial version. */
       engine->loading = 0;
       engine->version = 40;
       engine->incarnation++;
@@ -455,10 +461,10 @@
     }
 }
 
-/* Random run: new versions, crashes of the holder, failed loads, orders without effect, restarts of
- * engines and lost leases. The number of engines that load must stay within the percentage, and
- * every engine must get the newest version once the faults end. */
-Test (weights, limits_hold_under_random_faults)
+/* Random run with new versions, crashes of the lease holder, failed loads, orders without effect,
+ * restarts of engines and lost leases. The number of engines that load must stay within
+ * roll_out_percent, and every engine must get the newest version once the faults end. */
+Test (weights, load_limit_holds_under_random_faults)
 {
   gsl_rng *rng = gsl_rng_alloc (gsl_rng_taus2);
   LcVersion version = 41;
@@ -467,9 +473,10 @@
   lc_weights_set_newest_version (pool.weights, version, pool.now);
   for (int i = 0; i < 2000; i++)
     {
-      inject_fault (rng, &version);
+      inject_random_fault (rng, &version);
       fake_pool_run (&pool, (LbTime)(gsl_rng_uniform (rng) * 4 * LB_SEC));
-      cr_assert_leq (pool.most_swapping, 3, "after fault %d", i);
+      cr_assert_leq (pool.most_swapping, 3,
+                     "expected at most 3 engines to load at once, after fault %d", i);
     }
   for (size_t i = 0; i < pool.n; i++)
     {
