--- a/packages/core/include/lc-config.h
+++ b/packages/core/include/lc-config.h
@@ -92,7 +92,7 @@
 LcConfig *lc_config_new (const LcConfigSettings *settings, LbTime now);
 void lc_config_free (LcConfig *config);
 
-/* commands */
+/* Commands: functions that change the state. */
 void lc_config_update_members (
     LcConfig *config, const LcConfigMember *members, size_t n_members, LbTime now, LbList *actions);
 /* Removes an instance that the platform reports as permanently removed, so that it no longer counts
@@ -130,7 +130,7 @@
 void lc_config_query_outdated_peers (LcConfig *config, LbTime now, LbList *actions);
 void lc_config_tick (LcConfig *config, LbTime now, LbList *actions);
 
-/* queries */
+/* Queries: functions that only read the state. */
 const LcResourceSet *lc_config_active_set (const LcConfig *config);
 int64_t lc_config_active_revision (const LcConfig *config);
 /* Returns true if this instance may accept new work with its active revision. */
--- a/packages/core/include/lc-engine-plan.h
+++ b/packages/core/include/lc-engine-plan.h
@@ -53,7 +53,8 @@
 LcDemand *lc_demand_new (void);
 void lc_demand_free (LcDemand *demand);
 void lc_demand_add (LcDemand *demand, const char *model, double tokens, LbTime now);
-bool lc_demand_is_empty (const LcDemand *demand); /* true until the first lc_demand_add */
+/* returns true until the first call of lc_demand_add */
+bool lc_demand_is_empty (const LcDemand *demand);
 double lc_demand_tokens (const LcDemand *demand, const char *model, LbTime now);
 
 /* Assigns engines to models in proportion to demand, or evenly if there is no demand; every model
--- a/packages/core/include/lc-load-time.h
+++ b/packages/core/include/lc-load-time.h
@@ -15,11 +15,11 @@
   LbTime mean;
 } LcLoadTime;
 
-/* commands */
+/* Commands: functions that change the state. */
 /* Adds the time of one load: from the order to the poll that detected the end of the load. */
 void lc_load_time_add_sample (LcLoadTime *load, LbTime time);
 
-/* queries */
+/* Queries: functions that only read the state. */
 /* Returns the time from a load order to the first poll of the engine. */
 LbTime lc_load_time_first_poll_delay (const LcLoadTime *load);
 /* Returns the time between the first poll of an engine and each further one. */
--- a/packages/core/include/lc-resources.h
+++ b/packages/core/include/lc-resources.h
@@ -40,7 +40,7 @@
   LbName name;
   LbName pool;
   double share; /* relative weight among the trainers of the pool */
-  int preset;   /* LcPreset */
+  int preset;   /* value of LcPreset */
   /* derived from preset: 0 (only staleness counts) to 1 (only idle time counts) */
   double idle_weight;
   double hedge_budget; /* maximum share of a step's tokens that hedged requests may waste, 0..0.5 */
@@ -71,7 +71,7 @@
 typedef struct
 {
   LbName name;
-  int kind;       /* LcEndpointKind */
+  int kind;       /* value of LcEndpointKind */
   LbName pool;    /* pool of the engine; LC_ENDPOINT_SERVICE: name of the service */
   LbName address; /* IPv4 address and port, as in "127.0.0.1:9000" */
   LbName data_centre;
@@ -81,9 +81,9 @@
   bool is_spot;
   bool checks_fence;   /* the endpoint rejects orders with an outdated fencing token */
   int64_t concurrency; /* maximum number of requests that the endpoint runs at once */
-  /* The endpoint itself reported its concurrency. If it refuses a request while it runs fewer, it
-   * is busy with other work, such as an order, and the refusal does not lower the estimate of its
-   * capacity. */
+  /* The endpoint itself reported its concurrency. If it refuses a request while it runs fewer
+   * requests than that, it is busy with other work, such as an order to load weights. The refusal
+   * then does not lower the estimate of its capacity. */
   bool reports_concurrency;
 } LcEndpointMember;
 
--- a/packages/core/include/lc-weights.h
+++ b/packages/core/include/lc-weights.h
@@ -12,7 +12,7 @@
 typedef struct
 {
   char incarnation[40];
-  LcVersion version; /* 0: no complete version is loaded */
+  LcVersion version; /* loaded version; 0: no complete version is loaded */
   bool loading;
   LcVersion failed_version; /* version of the latest load that failed; 0: none */
   bool leaving;
@@ -61,7 +61,7 @@
 LcWeights *lc_weights_new (const LcWeightsSettings *settings);
 void lc_weights_free (LcWeights *weights);
 
-/* commands */
+/* Commands: functions that change the state. */
 void lc_weights_configure (LcWeights *weights, const LcResourceSet *set, LbTime now);
 /* Records the newest version in the weight store. It is the target unless the pool's weight_version
  * names another. */
@@ -90,7 +90,7 @@
  * -1: the percentage applies. */
 void lc_weights_set_swap_limit (LcWeights *weights, int64_t limit);
 
-/* queries */
+/* Queries: functions that only read the state. */
 typedef enum
 {
   LC_WEIGHTS_IDLE,          /* no engine needs a load */
@@ -98,7 +98,7 @@
   LC_WEIGHTS_NO_LEASE,      /* the lease does not allow orders now */
   LC_WEIGHTS_RATE_LIMITED,  /* the rate limit of the weight store delays the next order */
   LC_WEIGHTS_CAPACITY,      /* another swap would reduce live capacity below the reserve */
-  LC_WEIGHTS_STATE_UNKNOWN, /* engines have not reported their state */
+  LC_WEIGHTS_STATE_UNKNOWN, /* some engines have not reported their state */
   LC_WEIGHTS_BACKOFF,       /* failed loads are retried later */
   LC_WEIGHTS_HALTED         /* loads of this version fail on all engines */
 } LcWeightsWaitReason;
