--- a/packages/store/include/lp-platform.h
+++ b/packages/store/include/lp-platform.h
@@ -164,8 +164,8 @@
 
 /* Call the optional functions of the class. Defaults if not supported: 0 for the clocks, and the
  * store counts as reachable. */
-int64_t lp_platform_store_ms (const LpPlatform *platform);
-int64_t lp_platform_store_ms_at (const LpPlatform *platform, LbTime at);
+int64_t lp_platform_store_clock_ms (const LpPlatform *platform);
+int64_t lp_platform_store_clock_ms_at (const LpPlatform *platform, LbTime at);
 bool lp_platform_is_store_reachable (const LpPlatform *platform);
 
 typedef struct
