--- a/packages/node/src/config/ln-config-task.h
+++ b/packages/node/src/config/ln-config-task.h
@@ -33,7 +33,8 @@
 /* ln-config.c: executes and frees the actions that a command of LcConfig returned. */
 void ln_config_execute_actions (LnConfigTask *task, LbList *actions);
 /* Sends object, which it takes ownership of, to the task "config" of the instance; "": of all. */
-void ln_config_send (LnConfigTask *task, const char *instance, struct json_object *object);
+void
+ln_config_send_peer_message (LnConfigTask *task, const char *instance, struct json_object *object);
 
 /* ln-config-api.c: HTTP requests of operators. */
 void ln_config_api_handle (LnConfigTask *task, LnExchange *exchange);
@@ -53,11 +54,11 @@
 void ln_pool_controllers_configure (LnConfigTask *task, const LcResourceSet *set);
 void ln_pool_controllers_update_ranks (LnConfigTask *task);
 void ln_pool_controllers_tick (LnConfigTask *task, LbTime now);
-bool ln_pool_controllers_receive (LnConfigTask *task, struct json_object *message);
+bool ln_pool_controllers_handle_peer_message (LnConfigTask *task, struct json_object *message);
 void ln_pool_controllers_add_status (LnConfigTask *task, struct json_object *status);
-void ln_pool_controllers_drain (LnConfigTask *task);
-bool ln_pool_controllers_are_released (const LnConfigTask *task);
-void ln_pool_controllers_clear (LnConfigTask *task);
+void ln_pool_controllers_release_leases (LnConfigTask *task);
+bool ln_pool_controllers_have_released_leases (const LnConfigTask *task);
+void ln_pool_controllers_free_all (LnConfigTask *task);
 
 struct json_object *ln_config_activation_to_json (const LnConfigTask *task, int64_t revision);
 void ln_config_set_etag (LnExchange *exchange, int64_t revision);
--- a/packages/node/src/config/ln-config.c
+++ b/packages/node/src/config/ln-config.c
@@ -38,7 +38,7 @@
 }
 
 void
-ln_config_send (LnConfigTask *task, const char *instance, struct json_object *object)
+ln_config_send_peer_message (LnConfigTask *task, const char *instance, struct json_object *object)
 {
   LnTask *peers = ln_hub_find_task (task->task.hub, "peers");
   LnPeerMessage message = { .base = LN_MESSAGE (LN_PEER_SEND), .topic = TOPIC };
@@ -113,7 +113,7 @@
         }
       break;
     case LC_CONFIG_SEND:
-      ln_config_send (task, action->to, lc_config_message_to_json (&action->message));
+      ln_config_send_peer_message (task, action->to, lc_config_message_to_json (&action->message));
       break;
     case LC_CONFIG_ACTIVATED:
       activate_set (task, action->set);
@@ -245,7 +245,7 @@
       = lb_settings_parse (frame->payload, frame->length, frame->instance, &error);
 
   lb_list_init (&actions);
-  if (object && ln_pool_controllers_receive (task, object))
+  if (object && ln_pool_controllers_handle_peer_message (task, object))
     goto out;
   if (object && lc_config_message_from_json (object, &message, &error))
     lc_config_message_received (task->config, frame->instance, &message, now, &actions);
@@ -292,7 +292,7 @@
 
   task->draining = true;
   ln_config_api_drain (task);
-  ln_pool_controllers_drain (task);
+  ln_pool_controllers_release_leases (task);
 }
 
 static bool
@@ -301,7 +301,7 @@
   const LnConfigTask *task = (const LnConfigTask *)base;
 
   return ln_config_api_is_idle (task)
-         && (!task->draining || ln_pool_controllers_are_released (task));
+         && (!task->draining || ln_pool_controllers_have_released_leases (task));
 }
 
 static void
@@ -310,7 +310,7 @@
   LnConfigTask *task = config_task (base);
 
   ln_config_api_clear (task);
-  ln_pool_controllers_clear (task);
+  ln_pool_controllers_free_all (task);
   event_free (task->timer);
   ln_config_store_free (task->store);
   lc_config_free (task->config);
--- a/packages/node/src/duties/ln-duty-lease.c
+++ b/packages/node/src/duties/ln-duty-lease.c
@@ -82,7 +82,7 @@
   LbList actions;
 
   lb_list_init (&actions);
-  ln_lease_read_completed (lease->lease, error, rows, n_rows, lb_clock_monotonic (), &actions);
+  ln_lease_handle_read_result (lease->lease, error, rows, n_rows, lb_clock_monotonic (), &actions);
   execute_actions (lease, &actions);
 }
 
@@ -123,7 +123,7 @@
           platform->klass->get (platform, lease->key, on_read, lease);
           break;
         case LC_LEASE_WRITE:
-          ln_lease_write (platform, lease->key, "", action, on_written, lease);
+          ln_lease_write_row (platform, lease->key, "", action, on_written, lease);
           break;
         case LC_LEASE_GAINED:
         case LC_LEASE_LOST:
@@ -207,7 +207,7 @@
 }
 
 void
-ln_duty_lease_read_soon (LnDutyLease *lease, LbTime now)
+ln_duty_lease_request_read (LnDutyLease *lease, LbTime now)
 {
   lc_lease_request_read (lease->lease, now);
 }
@@ -242,13 +242,13 @@
 }
 
 bool
-ln_duty_lease_can_act (const LnDutyLease *lease, bool fence_is_unchecked, LbTime now)
+ln_duty_lease_allows_call (const LnDutyLease *lease, bool fence_is_unchecked, LbTime now)
 {
   return lc_lease_allows_order (lease->lease, fence_is_unchecked, now);
 }
 
 int64_t
-ln_duty_lease_fence (const LnDutyLease *lease)
+ln_duty_lease_fencing_number (const LnDutyLease *lease)
 {
   return lc_lease_fencing_number (lease->lease);
 }
--- a/packages/node/src/duties/ln-duty-lease.h
+++ b/packages/node/src/duties/ln-duty-lease.h
@@ -24,7 +24,7 @@
 void ln_duty_lease_tick (LnDutyLease *lease, bool all_check_fences, LbTime now);
 /* Reads the lease's row at the next tick. To be called when a receiver refused a call because of
  * its fencing number. */
-void ln_duty_lease_read_soon (LnDutyLease *lease, LbTime now);
+void ln_duty_lease_request_read (LnDutyLease *lease, LbTime now);
 void ln_duty_lease_release (LnDutyLease *lease, LbTime now);
 
 /* queries */
@@ -33,7 +33,7 @@
 bool ln_duty_lease_is_released (const LnDutyLease *lease, LbTime now);
 /* Whether the holder may make a call of its duty now; to be checked before each.
  * fence_is_unchecked: the receiver accepts calls with any fencing number. */
-bool ln_duty_lease_can_act (const LnDutyLease *lease, bool fence_is_unchecked, LbTime now);
-int64_t ln_duty_lease_fence (const LnDutyLease *lease);
+bool ln_duty_lease_allows_call (const LnDutyLease *lease, bool fence_is_unchecked, LbTime now);
+int64_t ln_duty_lease_fencing_number (const LnDutyLease *lease);
 
 #endif
--- a/packages/node/src/duties/ln-lease.c
+++ b/packages/node/src/duties/ln-lease.c
@@ -5,12 +5,12 @@
 /* A row that can't be parsed counts as a failure of the store, so that no instance claims the lease
  * because of it. */
 void
-ln_lease_read_completed (LcLease *lease,
-                         LbErrorCode error,
-                         const LpRow *rows,
-                         size_t n_rows,
-                         LbTime now,
-                         LbList *actions)
+ln_lease_handle_read_result (LcLease *lease,
+                             LbErrorCode error,
+                             const LpRow *rows,
+                             size_t n_rows,
+                             LbTime now,
+                             LbList *actions)
 {
   LcLeaseRow row = { .fence = 0 };
   int64_t version = 0;
@@ -25,12 +25,12 @@
 }
 
 void
-ln_lease_write (LpPlatform *platform,
-                const char *key,
-                const char *token,
-                const LcLeaseAction *action,
-                LpTransactDone done,
-                void *user)
+ln_lease_write_row (LpPlatform *platform,
+                    const char *key,
+                    const char *token,
+                    const LcLeaseAction *action,
+                    LpTransactDone done,
+                    void *user)
 {
   struct json_object *object = lc_lease_row_to_json (&action->row);
   const LpCondition condition = { .key = key, .version = action->expected_version };
--- a/packages/node/src/duties/ln-scaler.c
+++ b/packages/node/src/duties/ln-scaler.c
@@ -104,7 +104,7 @@
   LbTime now = lb_clock_monotonic ();
 
   if (outcome == LN_DUTY_REFUSED)
-    ln_duty_lease_read_soon (scaler->lease, now);
+    ln_duty_lease_request_read (scaler->lease, now);
   if (call->duty_epoch == scaler->duty_epoch)
     lc_scaling_finish_order (scaler->scaling, &call->order, convert_order_outcome (outcome), now);
   free (call);
@@ -115,7 +115,7 @@
 {
   const LnContext *context = scaler->context;
   const LnDutyHolder holder
-      = { .holder = context->instance, .fence = ln_duty_lease_fence (scaler->lease) };
+      = { .holder = context->instance, .fence = ln_duty_lease_fencing_number (scaler->lease) };
   const LnScaleOrder scale = { .service = order->service,
                                .data_centre = order->data_centre,
                                .endpoints = order->endpoints,
@@ -140,7 +140,7 @@
 
   if (!scaler->desired || !scaler->set)
     return;
-  while (ln_duty_lease_can_act (scaler->lease, fence_is_unchecked, now)
+  while (ln_duty_lease_allows_call (scaler->lease, fence_is_unchecked, now)
          && lc_scaling_next_order (scaler->scaling, scaler->desired, scaler->set, now, &order))
     send_order (scaler, &order);
 }
--- a/packages/node/src/duties/ln-true-time.h
+++ b/packages/node/src/duties/ln-true-time.h
@@ -17,6 +17,6 @@
 /* Unix time in ms at the monotonic time `at`. */
 int64_t ln_true_time_ms (const LnTrueTime *time, LbTime at);
 /* This machine's time of day minus the store's clock, in ms; 0: not known. */
-int64_t ln_true_time_local_offset_ms (const LnContext *context, LbTime now);
+int64_t ln_true_time_local_clock_offset_ms (const LnContext *context, LbTime now);
 
 #endif
--- a/packages/node/src/duties/ln-usage-reporter.c
+++ b/packages/node/src/duties/ln-usage-reporter.c
@@ -386,7 +386,7 @@
   if (outcome == LN_DUTY_DONE)
     lb_metric_add (&metric_sent, 1);
   if (outcome == LN_DUTY_REFUSED)
-    ln_duty_lease_read_soon (reporter->lease, now);
+    ln_duty_lease_request_read (reporter->lease, now);
   if (is_current (pending))
     lc_usage_reports_send_completed (reporter->reports, pending->window,
                                      convert_send_outcome (outcome), now);
@@ -398,7 +398,7 @@
 {
   const LnContext *context = reporter->context;
   const LnDutyHolder holder
-      = { .holder = context->instance, .fence = ln_duty_lease_fence (reporter->lease) };
+      = { .holder = context->instance, .fence = ln_duty_lease_fencing_number (reporter->lease) };
   LcOutgoingRequest outgoing;
 
   context->dialect->write_usage (&holder, action->window, action->text, &outgoing);
@@ -522,7 +522,7 @@
   bool fence_is_unchecked = !reporter->context->settings->duties.platform_checks_fence;
   LcUsageAction action;
 
-  while (ln_duty_lease_can_act (reporter->lease, fence_is_unchecked, now)
+  while (ln_duty_lease_allows_call (reporter->lease, fence_is_unchecked, now)
          && lc_usage_reports_next_action (reporter->reports, true_ms, now, &action))
     execute_action (reporter, &action);
 }
--- a/packages/node/src/membership/ln-fleet.c
+++ b/packages/node/src/membership/ln-fleet.c
@@ -160,7 +160,7 @@
 static void
 update_clock_lead (Fleet *task, LbTime now)
 {
-  int64_t lead = ln_true_time_local_offset_ms (task->context, now);
+  int64_t lead = ln_true_time_local_clock_offset_ms (task->context, now);
 
   if (task->context->settings->duties.n_kinds == 0 || lead == 0)
     return;
--- a/packages/node/src/rollout/ln-pool-controller.c
+++ b/packages/node/src/rollout/ln-pool-controller.c
@@ -162,7 +162,8 @@
   if (!controller)
     return;
   lb_list_init (&actions);
-  ln_lease_read_completed (controller->lease, error, rows, n_rows, lb_clock_monotonic (), &actions);
+  ln_lease_handle_read_result (controller->lease, error, rows, n_rows, lb_clock_monotonic (),
+                               &actions);
   run_lease_actions (controller, &actions);
 }
 
@@ -201,8 +202,8 @@
   snprintf (key, sizeof key, "lease/%s", controller->pool);
   snprintf (token, sizeof token, "lease-%s-%s-%llu-%lld", controller->pool, action->row.incarnation,
             (unsigned long long)controller->serial, (long long)action->row.renewal);
-  ln_lease_write (controller->task->context->platform, key, token, action, on_lease_written,
-                  operation_new (controller));
+  ln_lease_write_row (controller->task->context->platform, key, token, action, on_lease_written,
+                      operation_new (controller));
 }
 
 static void
--- a/packages/node/src/rollout/ln-pool-controllers.c
+++ b/packages/node/src/rollout/ln-pool-controllers.c
@@ -140,12 +140,12 @@
       json_object_object_add (message, "type", json_object_new_string ("swaps"));
       json_object_object_add (message, "swaps", task->unsent_swaps);
       task->unsent_swaps = NULL;
-      ln_config_send (task, "", message);
+      ln_config_send_peer_message (task, "", message);
     }
 }
 
 void
-ln_pool_controllers_drain (LnConfigTask *task)
+ln_pool_controllers_release_leases (LnConfigTask *task)
 {
   LbTime now = lb_clock_monotonic ();
 
@@ -157,7 +157,7 @@
 }
 
 bool
-ln_pool_controllers_are_released (const LnConfigTask *task)
+ln_pool_controllers_have_released_leases (const LnConfigTask *task)
 {
   LbTime now = lb_clock_monotonic ();
 
@@ -170,7 +170,7 @@
 }
 
 void
-ln_pool_controllers_clear (LnConfigTask *task)
+ln_pool_controllers_free_all (LnConfigTask *task)
 {
   LbLink *link;
 
@@ -247,7 +247,7 @@
   json_object_object_add (message, "version", json_object_new_int64 (status->target));
   json_object_object_add (message, "cadence_ms",
                           json_object_new_int64 (status->version_interval / LB_MSEC));
-  ln_config_send (controller->task, "", message);
+  ln_config_send_peer_message (controller->task, "", message);
 }
 
 void
@@ -257,7 +257,7 @@
 
   json_object_object_add (message, "type", json_object_new_string ("lease_free"));
   json_object_object_add (message, "pool", json_object_new_string (pool));
-  ln_config_send (task, "", message);
+  ln_config_send_peer_message (task, "", message);
 }
 
 static void
@@ -293,7 +293,7 @@
 
 /* Returns false if the message is not for pool controllers. */
 bool
-ln_pool_controllers_receive (LnConfigTask *task, struct json_object *message)
+ln_pool_controllers_handle_peer_message (LnConfigTask *task, struct json_object *message)
 {
   const char *type = lb_json_text (message, "type", "");
   LbTime now = lb_clock_monotonic ();
--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -406,7 +406,7 @@
   if (model)
     lc_weights_order_answered (model->weights, engine->name, error, now);
   if (error == LB_ERROR_STALE_FENCE)
-    ln_duty_lease_read_soon (orders->lease, now);
+    ln_duty_lease_request_read (orders->lease, now);
 }
 
 static void
@@ -419,7 +419,7 @@
   LnWeightsOrder order = { .endpoint = action->endpoint,
                            .version = action->version,
                            .holder = orders->context->instance,
-                           .fence = ln_duty_lease_fence (orders->lease),
+                           .fence = ln_duty_lease_fencing_number (orders->lease),
                            .mode = LN_SWAP_KEEP_STREAMS };
 
   if (!engine)
@@ -452,8 +452,8 @@
   bool has_ordered = false;
 
   lb_list_init (&actions);
-  lc_weights_tick (model->weights, ln_duty_lease_can_act (lease, false, now),
-                   ln_duty_lease_can_act (lease, true, now), now, &actions);
+  lc_weights_tick (model->weights, ln_duty_lease_allows_call (lease, false, now),
+                   ln_duty_lease_allows_call (lease, true, now), now, &actions);
   while ((link = lb_list_pop (&actions)))
     {
       LcWeightsAction *action = LB_CONTAINER (link, LcWeightsAction, link);
