--- a/packages/node/include/ln-exchange.h
+++ b/packages/node/include/ln-exchange.h
@@ -15,31 +15,35 @@
 typedef struct
 {
   const char *method; /* NULL: any method */
-  const char *prefix; /* of the path; the longest matching prefix wins */
+  const char *prefix; /* prefix of the path; the route with the longest match wins */
   const char *task;   /* name of the task that handles the request */
 } LnRoute;
 
 uint64_t ln_exchange_id (const LnExchange *exchange);
 const char *ln_exchange_method (const LnExchange *exchange);
-const char *ln_exchange_path (const LnExchange *exchange);                   /* without the query */
-const char *ln_exchange_query (const LnExchange *exchange, const char *key); /* NULL when absent */
+const char *ln_exchange_path (const LnExchange *exchange); /* path without the query */
+const char *ln_exchange_query (const LnExchange *exchange, const char *key); /* NULL: no such key */
 const char *ln_exchange_header (const LnExchange *exchange, const char *name);
 /* Number of occurrences of the header in the request. */
 size_t ln_exchange_count_header (const LnExchange *exchange, const char *name);
-const char *ln_exchange_body (const LnExchange *exchange, size_t *length); /* NUL-terminated */
+/* Returns the body, followed by a NUL that length does not count. */
+const char *ln_exchange_body (const LnExchange *exchange, size_t *length);
 const char *ln_exchange_caller_ip (const LnExchange *exchange);
 void ln_exchange_set_owner (LnExchange *exchange, LnTask *owner);
 void ln_exchange_set_header (LnExchange *exchange, const char *name, const char *value);
 
-/* These send the complete reply and free the exchange; reply_json takes ownership of object. */
+/* The ln_exchange_reply_ functions send the complete reply and free the exchange.
+ * ln_exchange_reply_json takes ownership of object. */
 void ln_exchange_reply_json (LnExchange *exchange, int status, struct json_object *object);
 void ln_exchange_reply_text (
     LnExchange *exchange, int status, const char *type, const char *text, size_t length);
-/* Body {"error":{"type","message","where","not_run"}}, with the headers Retry-After and x-not-run;
- * within a stream, the error is its last event. */
+/* Replies with the body {"error":{"type","message","where","not_run"}}, and with the headers
+ * Retry-After and x-not-run where they apply. A reply that already streams ends with an event that
+ * has this body. */
 void ln_exchange_reply_error (LnExchange *exchange, const LbError *error, LbTime retry_after);
 
-/* A streamed reply: start, any number of writes, then ln_exchange_end, which frees the exchange. */
+/* A streamed reply consists of ln_exchange_start_stream, any number of ln_exchange_write_stream,
+ * and ln_exchange_end, which frees the exchange. */
 void ln_exchange_start_stream (LnExchange *exchange, int status, const char *type);
 void ln_exchange_write_stream (LnExchange *exchange, const char *bytes, size_t length);
 void ln_exchange_end (LnExchange *exchange);
--- a/packages/node/include/ln-messages.h
+++ b/packages/node/include/ln-messages.h
@@ -16,27 +16,27 @@
 typedef enum
 {
   LN_EXCHANGE,              /* front -> task of the route: a request to answer */
-  LN_CALLER_DISCONNECTED,   /* front -> owner of the exchange */
-  LN_CONFIG,                /* config -> all: a newer revision is in force */
-  LN_SAMPLE,                /* rollouts -> calls: generate a sample or call a scorer */
-  LN_SAMPLE_CANCEL,         /* rollouts -> calls */
-  LN_SAMPLE_PIECE,          /* calls -> rollouts */
-  LN_SAMPLE_DONE,           /* calls -> rollouts */
-  LN_POOL_VERSION,          /* config -> rollouts: newest version and cadence of a pool */
+  LN_CALLER_DISCONNECTED,   /* front -> task that owns the exchange: its caller is gone */
+  LN_CONFIG,                /* config -> all: a newer revision of the resources is in force */
+  LN_SAMPLE,                /* rollouts -> calls: generate a sample, or call a scorer */
+  LN_SAMPLE_CANCEL,         /* rollouts -> calls: cancel the sample */
+  LN_SAMPLE_PIECE,          /* calls -> rollouts: a piece of a sample was generated */
+  LN_SAMPLE_DONE,           /* calls -> rollouts: a sample or a scorer's call has ended */
+  LN_POOL_VERSION,          /* config -> rollouts: newest weight version and cadence of a pool */
   LN_ENDPOINT_REPORT,       /* calls -> config: load report of an endpoint */
-  LN_ENDPOINT_LEAVING,      /* any -> calls: the first source that reports it is enough */
-  LN_ENDPOINT_SWAP,         /* config -> calls: weights are about to change */
+  LN_ENDPOINT_LEAVING,      /* any -> calls: an endpoint is about to stop */
+  LN_ENDPOINT_SWAP,         /* config -> calls: a weight change at an endpoint is due or over */
   LN_MEMBERS,               /* peers -> all: the set or state of live instances changed */
-  LN_FLEET,                 /* peers -> config: the same with the complete rows */
-  LN_CATALOG_MEMBERS,       /* config -> peers: instances as the catalog lists them */
-  LN_CATALOG_FOLLOWED,      /* config -> peers: this instance started or stopped following it */
-  LN_PEER_SEND,             /* any -> peers: a frame for one instance or all */
-  LN_PEER_FRAME,            /* peers -> task named in the frame */
-  LN_DRAINING,              /* main -> all */
-  LN_DESIRED,               /* config -> all: routes and services of the shared platform */
+  LN_FLEET,                 /* peers -> config: complete rows of the instances in LN_MEMBERS */
+  LN_CATALOG_MEMBERS,       /* config -> peers: the instances that the catalog lists */
+  LN_CATALOG_FOLLOWED,      /* config -> peers: whether this instance follows the catalog changed */
+  LN_PEER_SEND,             /* any -> peers: send a frame to one or all other instances */
+  LN_PEER_FRAME,            /* peers -> task named in the frame: an instance sent a frame */
+  LN_DRAINING,              /* main -> all: the process is shutting down */
+  LN_DESIRED,               /* config -> all: new routes and services of the shared platform */
   LN_DESIRED_CONFIRMED,     /* config -> all: the last LN_DESIRED is still the newest */
-  LN_ENDPOINT_LIST_APPLIED, /* config -> calls: origin of the endpoint list in use */
-  LN_ENDPOINT_LISTED,       /* config -> calls: an endpoint is still listed, with this version */
+  LN_ENDPOINT_LIST_APPLIED, /* config -> calls: age and requester of the endpoint list in use */
+  LN_ENDPOINT_LISTED,       /* config -> calls: an endpoint is listed, with its weight version */
   LN_DEMAND,                /* rollouts -> config, duties: a trainer submitted a batch */
   LN_DUTY,                  /* rollouts, config -> all: this instance took or lost a duty */
   LN_REQUEST_STARTED,       /* calls -> duties: an organisation's request started running */
@@ -59,20 +59,20 @@
 typedef struct
 {
   LnMessage base;
-  LcRequestSpec spec; /* spec.id from ln_context_next_request_id; kind SERVICE: call of a scorer */
-  char *body;         /* owned: JSON for the endpoint */
-  char *resume_text;  /* owned: text before spec.resume_at; NULL: none */
-  /* With a dialect: the request to send, owned, instead of body and resume_text. */
+  LcRequestSpec spec; /* id from ln_context_next_request_id; kind SERVICE: call to a scorer */
+  char *body;         /* owned JSON body of the request to the endpoint */
+  char *resume_text;  /* owned text that was generated before spec.resume_at; NULL: none */
+  /* Owned request to send with a dialect, instead of body and resume_text; NULL: no dialect. */
   LcOutgoingRequest *outgoing;
-  LbName organisation; /* to which the request belongs; "": none */
+  LbName organisation; /* organisation that the request belongs to; "": none */
 } LnSampleMessage;
 
 typedef struct
 {
   LnMessage base;
   LcRequestId request;
-  bool return_partial; /* answer with LN_SAMPLE_DONE, LB_ERROR_CLOSED and the text of the pieces
-                          posted */
+  bool return_partial; /* post LN_SAMPLE_DONE with LB_ERROR_CLOSED and the text of the pieces that
+                          were posted */
 } LnSampleCancelMessage;
 
 typedef struct
@@ -81,7 +81,7 @@
   LcRequestId request;
   LcPiece piece;
   LbName endpoint;
-  char *text; /* owned; NULL without a dialect */
+  char *text; /* owned text of the piece; NULL without a dialect */
 } LnSamplePieceMessage;
 
 typedef struct
@@ -89,7 +89,7 @@
   LnMessage base;
   LcRequestId request;
   LbErrorCode error;
-  char *text; /* owned: generated text, or the service's reply */
+  char *text; /* owned generated text or scorer's reply; NULL: none, after an error */
 } LnSampleDoneMessage;
 
 typedef struct
@@ -97,7 +97,7 @@
   LnMessage base;
   LbName pool;
   LcVersion newest; /* newest weight version */
-  LbTime cadence;   /* time between two versions; 0: unknown */
+  LbTime cadence;   /* time between two weight versions; 0: unknown */
 } LnPoolVersionMessage;
 
 typedef struct
@@ -107,33 +107,34 @@
   LcLoadReport report;
 } LnEndpointReportMessage;
 
+/* Several sources may report the same endpoint; the first report is enough. */
 typedef struct
 {
   LnMessage base;
   LbName endpoint;
-  char incarnation[40]; /* empty: the current one */
+  char incarnation[40]; /* incarnation of the endpoint; empty: its current one */
   LcLeavingSource source;
-  bool withdrawn; /* the platform no longer lists it as leaving */
+  bool withdrawn; /* the platform no longer lists the endpoint as leaving */
 } LnEndpointLeavingMessage;
 
 typedef struct
 {
   LnMessage base;
   LbName endpoint;
-  bool pending; /* false: no change is in progress */
-  LbTime until; /* when a pending change is assumed to have ended */
+  bool pending; /* a weight change is about to start or in progress */
+  LbTime until; /* when a pending weight change is assumed to have ended */
 } LnEndpointSwapMessage;
 
 typedef struct
 {
   LnMessage base;
-  LcDesired *desired; /* a reference, owned by the message */
+  LcDesired *desired; /* reference owned by the message */
 } LnDesiredMessage;
 
 typedef struct
 {
   LnMessage base;
-  LbTime at; /* when the store last confirmed it */
+  LbTime at; /* when the store last confirmed the desired state as the newest */
 } LnDesiredConfirmedMessage;
 
 typedef struct
@@ -147,7 +148,7 @@
 {
   LnMessage base;
   LbName endpoint;
-  LcVersion version; /* of the model it serves; 0: plain service */
+  LcVersion version; /* weight version of the endpoint's model; 0: plain service */
 } LnEndpointListedMessage;
 
 typedef struct
@@ -164,21 +165,21 @@
   LbName service; /* "": no service is overloaded */
 } LnServiceOverloadedMessage;
 
-/* State of one instance as known here. */
+/* State of one instance, as known to the instance that holds this record. */
 typedef struct
 {
   LbName name;
   LbName incarnation;
-  int64_t version; /* of its row in the shared platform's store, if any */
+  int64_t version; /* version of the instance's row in the shared platform's store */
   LbName data_centre;
-  LbName caller_address; /* for callers */
-  LbName peer_address;   /* for other instances */
-  bool alive;            /* not suspected */
-  bool confirmed;        /* known to be alive recently; may be false for one that just started */
+  LbName caller_address; /* address at which callers connect */
+  LbName peer_address;   /* address at which other instances connect */
+  bool alive;            /* not suspected of having failed */
+  bool confirmed;        /* seen alive recently; may be false for an instance that just started */
   bool draining;
-  bool cut;              /* can reach the store only through other instances */
-  int64_t strength;      /* capacity of its machine, see lc-duty.h */
-  int64_t clock_lead_ms; /* of its wall clock over the store's; 0: not reported */
+  bool cut;              /* the instance can reach the store only through other instances */
+  int64_t strength;      /* capacity of the instance's machine, see lc-duty.h */
+  int64_t clock_lead_ms; /* its wall clock minus the store's clock; 0: not reported */
   bool is_self;
 } LnMember;
 
@@ -187,7 +188,7 @@
   LnMessage base;
   LnMember *members; /* owned by the message */
   size_t n_members;
-  bool is_omitted; /* the directory of instances is full and does not contain this one */
+  bool is_omitted; /* this instance is missing from the directory of instances, which is full */
 } LnMembersMessage;
 
 typedef struct
@@ -200,16 +201,16 @@
 typedef struct
 {
   LnMessage base;
-  bool followed; /* if true, this instance need not list the instances itself */
+  bool followed; /* follows the catalog, so this instance need not list the instances itself */
 } LnCatalogFollowedMessage;
 
-/* The payload is msgpack; topic names the receiving task ("config", "rollouts", "calls"). */
+/* A frame between two instances. */
 typedef struct
 {
   LnMessage base;
-  LbName instance; /* LN_PEER_SEND: the receiver, empty: all; LN_PEER_FRAME: the sender */
-  LbName topic;
-  char *payload; /* owned by the message */
+  LbName instance; /* LN_PEER_SEND: receiver, empty: all instances; LN_PEER_FRAME: sender */
+  LbName topic;    /* name of the receiving task: "config", "rollouts" or "calls" */
+  char *payload;   /* msgpack, owned by the message */
   size_t length;
 } LnPeerMessage;
 
@@ -217,7 +218,7 @@
 {
   LnMessage base;
   LbName organisation;
-  LbTime at; /* when its first attempt that was not refused was sent */
+  LbTime at; /* when the request's first attempt that was not refused was sent */
 } LnRequestStartedMessage;
 
 typedef struct
@@ -225,20 +226,20 @@
   LnMessage base;
 } LnDrainingMessage;
 
-/* Until the first one, new work is refused as LB_ERROR_NOT_READY: a new process has no confirmed
- * configuration. Becomes false again when the instance loses contact. */
+/* New work is refused with LB_ERROR_NOT_READY until the first LN_READY, since a new process has no
+ * confirmed configuration, and again while the configuration can no longer be confirmed. */
 typedef struct
 {
   LnMessage base;
-  bool ready;
+  bool ready; /* new work is accepted */
 } LnReadyMessage;
 
 /* Work that other instances have to take over when this one exits or crashes. */
 typedef enum
 {
-  LN_DUTY_BATCHES,        /* owns batches */
-  LN_DUTY_WEIGHT_ORDERS,  /* holds the lease to give weight orders */
-  LN_DUTY_PLATFORM_CALLS, /* holds the lease to call the platform */
+  LN_DUTY_BATCHES,        /* this instance owns batches */
+  LN_DUTY_WEIGHT_ORDERS,  /* this instance holds the lease for ordering weight changes */
+  LN_DUTY_PLATFORM_CALLS, /* this instance holds the lease for calls to the shared platform */
   LN_N_DUTIES
 } LnDuty;
 
@@ -246,7 +247,7 @@
 {
   LnMessage base;
   LnDuty duty;
-  bool held; /* this instance has the duty now */
+  bool held; /* this instance took the duty; false: it lost the duty */
 } LnDutyMessage;
 
 #endif
--- a/packages/node/src/calls/ln-admission.h
+++ b/packages/node/src/calls/ln-admission.h
@@ -7,16 +7,17 @@
 #include "ln-dialect.h"
 #include "ln-messages.h"
 
-/* Authenticates callers' requests by the configuration in force on this instance. */
+/* Decides by the API key of a caller's request whether the request is admitted. */
 
-/* Desired state as a task knows it, and when it was last confirmed to be the newest. */
+/* Newest desired state (routes, services and organisations of a shared platform) that a task has
+ * received, and when the store last confirmed that it is the newest. */
 typedef struct
 {
-  LcDesired *desired; /* owned reference; NULL: none known */
+  LcDesired *desired; /* owned reference; NULL: no desired state was received yet */
   LbTime confirmed_at;
 } LnAdmissionState;
 
-/* Replaces the desired state by a newer one. */
+/* Replaces the desired state by the one in the message, which counts as confirmed now. */
 void ln_admission_state_update (LnAdmissionState *state, const LnDesiredMessage *message);
 
 void ln_admission_check (const LnContext *context,
@@ -24,7 +25,7 @@
                          bool is_public,
                          const LnInbound *inbound,
                          LcAdmission *admission);
-/* Sends the final reply to a call that is not admitted; invalidates the exchange. */
+/* Replies to a request that was not admitted with the error in admission; frees the exchange. */
 void ln_admission_refuse (LnExchange *exchange,
                           const LnAdmissionState *state,
                           const LnInbound *inbound,
--- a/packages/node/src/calls/ln-answer.c
+++ b/packages/node/src/calls/ln-answer.c
@@ -42,7 +42,7 @@
 }
 
 void
-ln_answer_reply (const LnAnswer *answer, LnExchange *exchange)
+ln_answer_send (const LnAnswer *answer, LnExchange *exchange)
 {
   ln_exchange_reply_text (exchange, answer->status,
                           answer->content_type[0] ? answer->content_type : NULL, answer->body,
--- a/packages/node/src/calls/ln-answer.h
+++ b/packages/node/src/calls/ln-answer.h
@@ -5,7 +5,7 @@
 
 typedef struct LnExchange LnExchange;
 
-/* A complete reply, stored for callers who retry with the same ticket. */
+/* A complete HTTP reply, stored for a caller that retries the request with the same ticket. */
 typedef struct
 {
   int status;
@@ -15,9 +15,9 @@
 } LnAnswer;
 
 void ln_answer_clear (LnAnswer *answer);
-/* Serializes content type and body; the caller frees the result. */
+/* Serializes the content type and body, but not the status; the caller frees the result. */
 char *ln_answer_encode (const LnAnswer *answer, size_t *length);
 void ln_answer_decode (LnAnswer *answer, int status, const char *bytes, size_t length);
-void ln_answer_reply (const LnAnswer *answer, LnExchange *exchange);
+void ln_answer_send (const LnAnswer *answer, LnExchange *exchange);
 
 #endif
--- a/packages/node/src/calls/ln-call-reader.c
+++ b/packages/node/src/calls/ln-call-reader.c
@@ -56,7 +56,7 @@
 }
 
 static bool
-has_flag_header (const LnExchange *exchange, const char *name)
+is_flag_header_set (const LnExchange *exchange, const char *name)
 {
   const char *value = ln_exchange_header (exchange, name);
 
@@ -64,7 +64,7 @@
 }
 
 static bool
-parse_headers (
+parse_call_headers (
     LcRequestSpec *spec, const LnExchange *exchange, LbTime now, LbTime deadline, LbError *error)
 {
   const char *caller = ln_exchange_header (exchange, "x-caller");
@@ -80,7 +80,7 @@
   LB_COPY (spec->caller, caller && *caller ? caller : ln_exchange_caller_ip (exchange));
   spec->priority = (int)priority;
   spec->deadline = now + deadline_ms * LB_MSEC;
-  if (has_flag_header (exchange, "x-not-repeatable") || ln_exchange_header (exchange, "x-ticket")
+  if (is_flag_header_set (exchange, "x-not-repeatable") || ln_exchange_header (exchange, "x-ticket")
       || ln_exchange_header (exchange, "idempotency-key"))
     spec->repeatable = false;
   spec->resumable = spec->resumable && spec->repeatable;
@@ -105,7 +105,7 @@
 }
 
 static bool
-parse_options (LnCall *call, struct json_object *body, LbError *error)
+parse_generation_options (LnCall *call, struct json_object *body, LbError *error)
 {
   struct json_object *max_tokens = lb_json_member (body, "max_tokens");
   struct json_object *stream = lb_json_member (body, "stream");
@@ -190,7 +190,7 @@
     return false;
   if (!json_object_is_type (body, json_type_object))
     return lb_error_set (error, LB_ERROR_BAD_VALUE, "body", "expected an object");
-  if (!parse_model (call, body, error) || !parse_options (call, body, error))
+  if (!parse_model (call, body, error) || !parse_generation_options (call, body, error))
     return false;
   if (call->kind == LN_CALL_CHAT)
     return parse_messages (call, body, error);
@@ -198,7 +198,7 @@
 }
 
 static void
-copy_header (const char *name, const char *value, void *user)
+add_header_to_call (const char *name, const char *value, void *user)
 {
   LnCall *call = user;
 
@@ -235,15 +235,15 @@
   const char *body = ln_exchange_body (exchange, &length);
   call->raw_body = lb_memdup (body, length + 1);
   call->raw_length = length;
-  ln_exchange_foreach_header (exchange, copy_header, call);
+  ln_exchange_foreach_header (exchange, add_header_to_call, call);
   call->spec.repeatable
-      = is_idempotent_method (call->method) || has_flag_header (exchange, "x-repeatable");
+      = is_idempotent_method (call->method) || is_flag_header_set (exchange, "x-repeatable");
   call->spec.expected_tokens = 1;
   return true;
 }
 
 static LnCallKind
-find_call_kind (const char *path)
+get_call_kind_of_path (const char *path)
 {
   if (strncmp (path, "/services/", strlen ("/services/")) == 0)
     return LN_CALL_SERVICE;
@@ -253,7 +253,7 @@
 LnCall *
 ln_call_parse (const LnExchange *exchange, LbTime now, LbTime deadline, LbError *error)
 {
-  LnCall *call = ln_call_new (find_call_kind (ln_exchange_path (exchange)));
+  LnCall *call = ln_call_new (get_call_kind_of_path (ln_exchange_path (exchange)));
   bool is_service = call->kind == LN_CALL_SERVICE;
 
   call->spec.kind = is_service ? LC_KIND_SERVICE : LC_KIND_LIVE;
@@ -261,7 +261,7 @@
   call->spec.resumable = !is_service;
   if (!(is_service ? parse_service_call (call, exchange, error)
                    : parse_engine_call (call, exchange, error))
-      || !parse_headers (&call->spec, exchange, now, deadline, error))
+      || !parse_call_headers (&call->spec, exchange, now, deadline, error))
     {
       ln_call_free (call);
       return NULL;
--- a/packages/node/src/calls/ln-call-reader.h
+++ b/packages/node/src/calls/ln-call-reader.h
@@ -3,8 +3,8 @@
 
 #include "ln-call.h"
 
-/* Parses and validates a live call: path, headers and body. Returns NULL and sets the error for bad
- * input. The submitter sets the id. */
+/* Parses and validates the path, headers and body of a caller's request. Returns NULL and sets the
+ * error if the request is invalid. spec.id is left for the submitter to set. */
 LnCall *ln_call_parse (const LnExchange *exchange, LbTime now, LbTime deadline, LbError *error);
 /* Sets the hashes of the prompt's prefixes, shortest first, and the estimated prompt_tokens. */
 void ln_call_hash_prompt (LcRequestSpec *spec, const char *prompt, size_t length);
--- a/packages/node/src/calls/ln-call.c
+++ b/packages/node/src/calls/ln-call.c
@@ -11,7 +11,7 @@
 #include <string.h>
 #include <strings.h>
 
-#define JSON_FORMAT (JSON_C_TO_STRING_PLAIN | JSON_C_TO_STRING_NOSLASHESCAPE)
+#define JSON_FORMAT_FLAGS (JSON_C_TO_STRING_PLAIN | JSON_C_TO_STRING_NOSLASHESCAPE)
 
 LnCall *
 ln_call_new (LnCallKind kind)
@@ -74,7 +74,7 @@
   if (!ln_call_is_for_engine (call))
     return lc_fingerprint_of_request (call->organisation, call->method, NULL, call->path,
                                       call->raw_body, call->raw_length);
-  text = json_object_to_json_string_ext (call->body, JSON_FORMAT);
+  text = json_object_to_json_string_ext (call->body, JSON_FORMAT_FLAGS);
   return lc_fingerprint_of_request (call->organisation, "POST", NULL, ln_call_engine_path (call),
                                     text, strlen (text));
 }
@@ -103,7 +103,7 @@
   json_object_object_del (call->body, "resume");
   if (resume_at > 0)
     json_object_object_add (call->body, "resume", make_resume_object (call, resume_at));
-  return lb_strdup (json_object_to_json_string_ext (call->body, JSON_FORMAT));
+  return lb_strdup (json_object_to_json_string_ext (call->body, JSON_FORMAT_FLAGS));
 }
 
 LnAttempt *
@@ -132,7 +132,7 @@
 {
   LB_LIST_FOREACH (&call->attempts, LnAttempt, link, attempt)
   {
-    if (ln_upstream_attempt (attempt->upstream) == number)
+    if (ln_upstream_attempt_number (attempt->upstream) == number)
       return attempt;
   }
   return NULL;
@@ -141,7 +141,7 @@
 static void
 add_weight_version (LnAttempt *attempt, LcVersion version)
 {
-  if (version == 0 || attempt->n_versions == LN_MAX_VERSIONS)
+  if (version == 0 || attempt->n_versions == LN_MAX_WEIGHT_VERSIONS)
     return;
   for (size_t i = 0; i < attempt->n_versions; i++)
     if (attempt->versions[i] == version)
@@ -180,7 +180,7 @@
 }
 
 static void
-set_reply_fields (LnCall *call, struct json_object *event)
+set_common_reply_fields (LnCall *call, struct json_object *event)
 {
   const char *type = call->kind == LN_CALL_CHAT ? "chat.completion.chunk" : "text_completion";
 
@@ -191,7 +191,7 @@
 }
 
 static void
-start_stream (LnCall *call, const char *endpoint)
+start_reply_stream (LnCall *call, const char *endpoint)
 {
   call->is_stream_started = true;
   ln_exchange_set_header (call->exchange, "x-endpoint", endpoint);
@@ -204,13 +204,14 @@
 {
   size_t length;
 
-  set_reply_fields (call, event);
-  char *line = lb_asprintf ("data: %s\n\n", json_object_to_json_string_ext (event, JSON_FORMAT));
+  set_common_reply_fields (call, event);
+  char *line
+      = lb_asprintf ("data: %s\n\n", json_object_to_json_string_ext (event, JSON_FORMAT_FLAGS));
   length = strlen (line);
   if (call->has_ticket)
     evbuffer_add (call->replay_events, line, length);
   if (call->exchange && !call->is_stream_started)
-    start_stream (call, endpoint);
+    start_reply_stream (call, endpoint);
   if (call->exchange)
     ln_exchange_write_stream (call->exchange, line, length);
   call->last_sent_at = lb_clock_monotonic ();
@@ -229,9 +230,9 @@
 }
 
 static void
-set_versions_header (LnExchange *exchange, const LnAttempt *attempt)
+set_weight_versions_header (LnExchange *exchange, const LnAttempt *attempt)
 {
-  char text[LN_MAX_VERSIONS * 21 + 1] = "";
+  char text[LN_MAX_WEIGHT_VERSIONS * 21 + 1] = "";
   size_t used = 0;
 
   for (size_t i = 0; i < attempt->n_versions; i++)
@@ -242,7 +243,7 @@
 }
 
 static struct json_object *
-make_choice (const LnCall *call, LnAttempt *winner)
+make_choice_object (const LnCall *call, LnAttempt *winner)
 {
   struct json_object *choice = json_object_new_object ();
   size_t length = evbuffer_get_length (winner->text);
@@ -264,16 +265,16 @@
 }
 
 static struct json_object *
-make_reply_object (LnCall *call, LnAttempt *winner)
+make_completion_object (LnCall *call, LnAttempt *winner)
 {
   struct json_object *reply = json_object_new_object ();
   struct json_object *choices = json_object_new_array ();
   struct json_object *usage = json_object_new_object ();
 
-  set_reply_fields (call, reply);
+  set_common_reply_fields (call, reply);
   if (call->kind == LN_CALL_CHAT)
     json_object_object_add (reply, "object", json_object_new_string ("chat.completion"));
-  json_object_array_add (choices, make_choice (call, winner));
+  json_object_array_add (choices, make_choice_object (call, winner));
   json_object_object_add (reply, "choices", choices);
   json_object_object_add (usage, "completion_tokens", json_object_new_int64 (winner->tokens));
   json_object_object_add (reply, "usage", usage);
@@ -281,11 +282,11 @@
 }
 
 static void
-reply_object (LnCall *call, LnAttempt *winner)
+reply_with_completion (LnCall *call, LnAttempt *winner)
 {
   ln_exchange_set_header (call->exchange, "x-endpoint", ln_upstream_endpoint (winner->upstream));
-  set_versions_header (call->exchange, winner);
-  ln_exchange_reply_json (call->exchange, 200, make_reply_object (call, winner));
+  set_weight_versions_header (call->exchange, winner);
+  ln_exchange_reply_json (call->exchange, 200, make_completion_object (call, winner));
 }
 
 bool
@@ -303,19 +304,20 @@
 }
 
 static void
-forward_header (const char *name, const char *value, void *user)
+forward_header_to_caller (const char *name, const char *value, void *user)
 {
   if (!ln_is_hop_by_hop_header (name))
     ln_exchange_set_header (user, name, value);
 }
 
 static void
-reply_service (LnCall *call, LnAttempt *winner)
+forward_service_reply (LnCall *call, LnAttempt *winner)
 {
   size_t length;
   const char *body = ln_upstream_body (winner->upstream, &length);
 
-  lh_fetch_each_header (ln_upstream_fetch (winner->upstream), forward_header, call->exchange);
+  lh_fetch_each_header (ln_upstream_get_fetch (winner->upstream), forward_header_to_caller,
+                        call->exchange);
   if (!call->outgoing.path)
     ln_exchange_set_header (call->exchange, "x-endpoint", ln_upstream_endpoint (winner->upstream));
   ln_exchange_reply_text (call->exchange, ln_upstream_status (winner->upstream), NULL, body,
@@ -327,7 +329,7 @@
 static void
 copy_service_answer (LnAttempt *winner, LnAnswer *answer)
 {
-  const char *type = lh_fetch_header (ln_upstream_fetch (winner->upstream), "Content-Type");
+  const char *type = lh_fetch_header (ln_upstream_get_fetch (winner->upstream), "Content-Type");
   const char *body = ln_upstream_body (winner->upstream, &answer->length);
 
   answer->status = ln_upstream_status (winner->upstream);
@@ -336,7 +338,7 @@
 }
 
 static void
-copy_stream (LnCall *call, LnAnswer *answer)
+copy_stream_events (LnCall *call, LnAnswer *answer)
 {
   evbuffer_add (call->replay_events, end_event, sizeof end_event - 1);
   LB_COPY (answer->content_type, "text/event-stream");
@@ -346,12 +348,12 @@
 }
 
 static void
-copy_reply_object (LnCall *call, LnAttempt *winner, LnAnswer *answer)
+copy_completion_object (LnCall *call, LnAttempt *winner, LnAnswer *answer)
 {
-  struct json_object *object = make_reply_object (call, winner);
+  struct json_object *object = make_completion_object (call, winner);
 
   LB_COPY (answer->content_type, "application/json");
-  answer->body = lb_json_take_text (object, JSON_FORMAT);
+  answer->body = lb_json_take_text (object, JSON_FORMAT_FLAGS);
   answer->length = strlen (answer->body);
 }
 
@@ -363,9 +365,9 @@
   if (call->kind == LN_CALL_SERVICE)
     copy_service_answer (winner, answer);
   else if (call->wants_stream)
-    copy_stream (call, answer);
+    copy_stream_events (call, answer);
   else
-    copy_reply_object (call, winner, answer);
+    copy_completion_object (call, winner, answer);
 }
 
 void
@@ -374,14 +376,14 @@
   if (!call->exchange)
     return;
   if (call->kind == LN_CALL_SERVICE)
-    reply_service (call, winner);
+    forward_service_reply (call, winner);
   else if (call->wants_stream)
     {
       ln_exchange_write_stream (call->exchange, end_event, sizeof end_event - 1);
       ln_exchange_end (call->exchange);
     }
   else
-    reply_object (call, winner);
+    reply_with_completion (call, winner);
   call->exchange = NULL;
 }
 
--- a/packages/node/src/calls/ln-call.h
+++ b/packages/node/src/calls/ln-call.h
@@ -13,18 +13,18 @@
 struct evbuffer;
 typedef struct LnCall LnCall;
 
-#define LN_MAX_VERSIONS 16
+#define LN_MAX_WEIGHT_VERSIONS 16
 
-/* What one attempt has received so far. */
+/* One attempt to run a call at an endpoint, with the data received from the endpoint. */
 typedef struct
 {
-  LbLink link; /* in LnCall.attempts */
+  LbLink link; /* in the list LnCall.attempts */
   LnCall *call;
   LnUpstream *upstream;
-  struct evbuffer *text; /* BUFFERED: text collected until one attempt wins */
-  LcPiece *pieces;       /* BUFFERED: the pieces of this text */
+  struct evbuffer *text; /* BUFFERED delivery: received text, delivered if this attempt wins */
+  LcPiece *pieces;       /* BUFFERED delivery: received pieces of the text */
   size_t n_pieces;
-  LcVersion versions[LN_MAX_VERSIONS]; /* distinct weight versions of its pieces */
+  LcVersion versions[LN_MAX_WEIGHT_VERSIONS]; /* distinct weight versions of the pieces */
   size_t n_versions;
   int64_t tokens; /* number of tokens received */
   LbTime sent_at;
@@ -40,72 +40,73 @@
   LN_CALL_SCORE
 } LnCallKind;
 
-/* One request in progress: what to send to endpoints and where the answer goes. */
+/* One call in progress: the request to send to endpoints, and the exchange to reply to. */
 struct LnCall
 {
-  LnExchangeHandler handler; /* first; notified when the caller of exchange disconnects */
-  UT_hash_handle hh;         /* in LnCalls.by_id, by spec.id */
-  LbLink link;               /* in LnCalls.active_calls */
+  LnExchangeHandler handler; /* must be the first member; notified when the caller disconnects */
+  UT_hash_handle hh;         /* in the hash table LnCalls.by_id, keyed by spec.id */
+  LbLink link;               /* in the list LnCalls.active_calls */
   LnCallKind kind;
   LcRequestSpec spec;
-  LnExchange *exchange; /* NULL: a sample, or the caller has disconnected */
+  LnExchange *exchange; /* NULL: sample or score, caller disconnected, or already replied to */
   LbTime submitted_at;
-  bool is_submitted; /* to the dispatch, which will end it by a FINISH action */
-  bool has_ticket;   /* continues after its caller disconnects, who may retry with the ticket */
+  bool is_submitted; /* passed to the dispatch, which ends the call with a FINISH action */
+  bool has_ticket;   /* if the caller disconnects, the call continues for a retry */
   bool wants_stream; /* the caller requested a stream of events */
   bool is_stream_started;
-  LbTime last_sent_at;      /* when a byte was last sent to the caller of a stream */
-  char stream_id[96];       /* id in the events that are sent to the caller */
-  struct json_object *body; /* request to an engine */
-  char *method;             /* request to a service: this and the next five, all owned */
+  LbTime last_sent_at;      /* when bytes were last sent on the caller's stream */
+  char stream_id[96];       /* id in the events and replies sent to the caller */
+  struct json_object *body; /* request to an engine; NULL: plain service, or with a dialect */
+  char *method;             /* method to raw_length: request to a plain service, all owned */
   char *path;
   LhHeader *headers;
   size_t n_headers;
   char *raw_body;
   size_t raw_length;
-  LbName organisation;   /* to which the call belongs; "": none */
-  bool was_sent;         /* at least one attempt was started */
-  bool is_usage_counted; /* in its organisation's usage */
+  LbName organisation;   /* organisation that the call belongs to; "": none */
+  bool was_sent;         /* at least one attempt was started for the call */
+  bool is_usage_counted; /* the call was counted in its organisation's usage */
   bool has_key;
-  LcKeyDigest key;            /* of the API key that it was admitted with */
-  LcOutgoingRequest outgoing; /* with a dialect: sent to endpoints instead of the fields above */
-  char *resume_text;          /* text before resume_at that the submitter has; may be NULL */
-  struct evbuffer *sent_text; /* STREAM: text passed to the submitter */
-  struct evbuffer *replay_events; /* ticketed streams: events sent, for a retry */
+  LcKeyDigest key; /* digest of the API key that the call was admitted with; valid if has_key */
+  LcOutgoingRequest outgoing;     /* with a dialect: the complete request to endpoints */
+  char *resume_text;              /* text before spec.resume_at, generated earlier; NULL: none */
+  struct evbuffer *sent_text;     /* STREAM delivery: text already delivered */
+  struct evbuffer *replay_events; /* events already sent, if has_ticket; replayed on a retry */
   LbList attempts;
-  LnAttempt *ended_attempt; /* whose end is being handled; removed from attempts */
-  void *owner;              /* the LnCalls task */
+  LnAttempt *ended_attempt; /* attempt whose end is being handled, not in attempts; NULL: none */
+  void *owner;              /* LnCalls task that runs the call */
 };
 
 LnCall *ln_call_new (LnCallKind kind);
 void ln_call_free (LnCall *call);
 bool ln_call_is_for_engine (const LnCall *call);
-/* Request path at engines; without a dialect only. */
+/* Path of the engine's API that serves the call. Not used with a dialect. */
 const char *ln_call_engine_path (const LnCall *call);
-/* Fingerprint of the request; valid before its first attempt, which modifies the body. */
+/* Fingerprint of the request. Call it before the first attempt, which modifies the body. */
 LcFingerprint ln_call_fingerprint (const LnCall *call);
-/* JSON body for one attempt at an engine; the caller frees it. */
+/* Formats the JSON body of an attempt that starts at token resume_at; the caller frees it. */
 char *ln_call_format_engine_body (LnCall *call, const char *stream_id, int64_t resume_at);
 
-/* Whether the header applies to one connection only (hop-by-hop) and is not forwarded. */
+/* Whether the HTTP header applies to one connection only and must not be forwarded. */
 bool ln_is_hop_by_hop_header (const char *name);
 
 LnAttempt *ln_attempt_new (LnCall *call);
 void ln_attempt_free (LnAttempt *attempt);
 LnAttempt *ln_call_find_attempt (LnCall *call, uint32_t number);
-/* Updates the totals of the attempt; stores the piece itself if delivery is BUFFERED. */
+/* Adds the piece to the attempt's token count and weight versions. Stores the piece and its text if
+ * delivery is BUFFERED. */
 void ln_attempt_add_piece (LnAttempt *attempt,
                            const LcPiece *piece,
                            struct json_object *event,
                            const char *text);
 
-/* Forwards an engine's event to a streaming caller. */
+/* Writes an engine's event to the caller's stream; stores it too if the call has a ticket. */
 void ln_call_forward_event (LnCall *call, struct json_object *event, const char *endpoint);
-/* Sends an SSE comment if nothing was sent on the stream after idle_since. */
+/* Sends an SSE comment as keep-alive if nothing was sent on the call's stream after idle_since. */
 void ln_call_send_keep_alive (LnCall *call, LbTime idle_since, LbTime now);
-/* Copies the complete answer, to store it for the call's ticket. */
+/* Copies the winning attempt's complete answer, to be stored for the call's ticket. */
 void ln_call_copy_answer (LnCall *call, LnAttempt *winner, LnAnswer *answer);
-/* Sends the answer of the winning attempt to the caller; invalidates the exchange. */
+/* Sends the winning attempt's answer to the caller and frees the exchange. */
 void ln_call_reply (LnCall *call, LnAttempt *winner);
 void ln_call_reply_error (LnCall *call, LbErrorCode code, LbTime retry_after);
 
--- a/packages/node/src/calls/ln-calls-attempts.c
+++ b/packages/node/src/calls/ln-calls-attempts.c
@@ -16,7 +16,7 @@
 
 /* Endpoints refuse a request at once, so an attempt that is not refused within this time counts as
  * started. */
-#define STARTED_AFTER (300 * LB_MSEC)
+#define ATTEMPT_STARTED_AFTER (300 * LB_MSEC)
 
 static LbHistogram attempt_duration
     = LB_HISTOGRAM_INIT ("lentilspindle_attempt_seconds",
@@ -27,7 +27,7 @@
     "Pieces of answers dropped as repeated, out of order or from a losing attempt");
 
 static void
-clear_piece (LnMessage *message)
+clear_sample_piece_message (LnMessage *message)
 {
   free (((LnSamplePieceMessage *)message)->text);
 }
@@ -44,17 +44,17 @@
 
   LB_COPY (message.endpoint, endpoint);
   message.text = calls->context->dialect ? lb_strdup (text) : NULL;
-  message.base.clear = clear_piece;
+  message.base.clear = clear_sample_piece_message;
   LN_POST (calls->task.hub, ln_hub_find_task (calls->task.hub, "rollouts"), message);
 }
 
-/* The version in an engine's own event is more reliable than the endpoint list, which lags, and the
- * plan, which may be wrong. */
+/* Records the weight version that an engine reports in its events, which is more reliable than the
+ * endpoint list, which lags behind, and the weight plan, which may be wrong. */
 static void
-record_stated_version (LnCalls *calls,
-                       const LnCall *call,
-                       const LnUpstream *upstream,
-                       LcVersion version)
+record_reported_version (LnCalls *calls,
+                         const LnCall *call,
+                         const LnUpstream *upstream,
+                         LcVersion version)
 {
   LcEndpoints *endpoints = lc_dispatch_get_endpoints (calls->dispatch);
   const LcEndpoint *endpoint = lc_endpoints_find (endpoints, ln_upstream_endpoint (upstream));
@@ -73,11 +73,11 @@
 }
 
 static void
-on_piece (LnUpstream *upstream,
-          const LcPiece *piece,
-          struct json_object *event,
-          const char *text,
-          void *user)
+on_piece_received (LnUpstream *upstream,
+                   const LcPiece *piece,
+                   struct json_object *event,
+                   const char *text,
+                   void *user)
 {
   LnAttempt *attempt = user;
   LnCall *call = attempt->call;
@@ -86,10 +86,10 @@
 
   lb_list_init (&actions);
   if (calls->context->dialect)
-    record_stated_version (calls, call, upstream, piece->version);
-  LcPieceVerdict verdict
-      = lc_dispatch_receive_piece (calls->dispatch, call->spec.id, ln_upstream_attempt (upstream),
-                                   piece, lb_clock_monotonic (), &actions);
+    record_reported_version (calls, call, upstream, piece->version);
+  LcPieceVerdict verdict = lc_dispatch_receive_piece (calls->dispatch, call->spec.id,
+                                                      ln_upstream_attempt_number (upstream), piece,
+                                                      lb_clock_monotonic (), &actions);
   if (verdict == LC_PIECE_DROP)
     lb_metric_add (&pieces_dropped, 1);
   else
@@ -121,7 +121,8 @@
   lb_histogram_add (&attempt_duration, lb_clock_monotonic () - attempt->sent_at);
   lb_log (LB_LOG_INFO, "attempt_ended", LB_INT ("request", call->spec.id),
           LB_TEXT ("id", call->outgoing.id), LB_TEXT ("caller", call->spec.caller),
-          LB_TEXT ("content", content), LB_INT ("attempt", ln_upstream_attempt (attempt->upstream)),
+          LB_TEXT ("content", content),
+          LB_INT ("attempt", ln_upstream_attempt_number (attempt->upstream)),
           LB_TEXT ("endpoint", ln_upstream_endpoint (attempt->upstream)),
           LB_TEXT ("outcome", names[end]),
           LB_INT ("status", ln_upstream_status (attempt->upstream)),
@@ -129,11 +130,13 @@
           LB_INT ("took_us", lb_clock_monotonic () - attempt->sent_at));
 }
 
-/* Among equally good endpoints the router prefers one with an idle connection. */
+/* Stores the endpoint's number of idle connections for the router, which prefers an endpoint with
+ * an idle connection among equally good ones. */
 static void
-update_idle_connections (LnCalls *calls, const char *name)
+update_idle_connection_count (LnCalls *calls, const char *endpoint_name)
 {
-  LcEndpoint *endpoint = lc_endpoints_find (lc_dispatch_get_endpoints (calls->dispatch), name);
+  LcEndpoint *endpoint
+      = lc_endpoints_find (lc_dispatch_get_endpoints (calls->dispatch), endpoint_name);
 
   if (endpoint)
     lc_endpoint_set_idle_connections (endpoint,
@@ -142,9 +145,9 @@
                                       lb_clock_monotonic ());
 }
 
-/* Endpoints state their load in reply headers, so that no extra request is needed. */
+/* Records the load that the endpoint reports in its reply headers, which saves a load request. */
 static void
-record_stated_load (LnCalls *calls, const LnCall *call, const LnUpstream *upstream)
+record_reported_load (LnCalls *calls, const LnCall *call, const LnUpstream *upstream)
 {
   const LcEndpoint *endpoint = lc_endpoints_find (lc_dispatch_get_endpoints (calls->dispatch),
                                                   ln_upstream_endpoint (upstream));
@@ -159,8 +162,8 @@
   report.running = load.running;
   report.waiting = load.waiting;
   report.measured_at = lb_clock_monotonic ();
-  /* The load of batches is known beforehand and fills engines on purpose, so it is no sign of
-   * overload. */
+  /* Samples of batches fill the engines on purpose, and their number is known in advance, so their
+   * load is no sign of overload. */
   if (call->kind != LN_CALL_SAMPLE)
     lc_utilisation_add_report (calls->utilisation, endpoint->member.service,
                                load.running + load.waiting, endpoint->member.concurrency);
@@ -168,8 +171,8 @@
                             &report, report.measured_at);
 }
 
-/* Usage counts a request once, as of its first attempt that was not refused: plain services start
- * working on an accepted request at once. */
+/* Counts the call once in its organisation's usage, at the start of its first attempt that was not
+ * refused, since a plain service starts work on an accepted request at once. */
 void
 ln_calls_count_usage (LnCalls *calls, const LnAttempt *attempt)
 {
@@ -185,13 +188,13 @@
   LN_POST (calls->task.hub, duties, message);
 }
 
-/* Counts a call that is still running, since its usage window may be reported before it ends. */
+/* Counts a running call, since the usage report for its start time may be due before it ends. */
 void
-ln_calls_count_running_usage (LnCalls *calls, LnCall *call, LbTime now)
+ln_calls_count_usage_of_running_call (LnCalls *calls, LnCall *call, LbTime now)
 {
   LB_LIST_FOREACH (&call->attempts, LnAttempt, link, attempt)
   {
-    if (now - attempt->sent_at >= STARTED_AFTER)
+    if (now - attempt->sent_at >= ATTEMPT_STARTED_AFTER)
       {
         ln_calls_count_usage (calls, attempt);
         return;
@@ -200,16 +203,16 @@
 }
 
 static bool
-may_have_run (LcAttemptEnd end)
+attempt_may_have_run (LcAttemptEnd end)
 {
   return end != LC_END_REFUSED && end != LC_END_REFUSED_LEAVING && end != LC_END_NOT_SENT;
 }
 
-/* A crash of the endpoint looks like a single truncated answer; the check tells them apart. A
- * stream that is resumed after its last piece is not reported: its next attempt is not the same
- * request. */
+/* Requests a check of the endpoint after a lost connection, since only a check tells a crash of the
+ * endpoint from a single truncated answer. A stream that is resumed after its last piece is not
+ * reported, since its next attempt is a different request. */
 static void
-report_broken_attempt (LnCalls *calls, const LnAttempt *attempt, LcAttemptEnd end)
+report_broken_attempt_to_checks (LnCalls *calls, const LnAttempt *attempt, LcAttemptEnd end)
 {
   const LnUpstream *upstream = attempt->upstream;
   const LcRequestSpec *spec = &attempt->call->spec;
@@ -220,10 +223,10 @@
                                        ln_upstream_address (upstream), spec->content);
 }
 
-/* The attempt is kept until the resulting actions are performed: a FINISH among them takes the
- * answer from it. */
+/* Keeps the attempt until the resulting actions are performed, since a FINISH action takes the
+ * answer from the attempt. */
 static void
-on_end (LnUpstream *upstream, LcAttemptEnd end, void *user)
+on_attempt_ended (LnUpstream *upstream, LcAttemptEnd end, void *user)
 {
   LnAttempt *attempt = user;
   LnCall *call = attempt->call;
@@ -231,21 +234,21 @@
   LbList actions;
 
   lb_list_init (&actions);
-  record_stated_load (calls, call, upstream);
-  update_idle_connections (calls, ln_upstream_endpoint (upstream));
+  record_reported_load (calls, call, upstream);
+  update_idle_connection_count (calls, ln_upstream_endpoint (upstream));
   lb_list_remove (&call->attempts, &attempt->link);
   call->ended_attempt = attempt;
   log_attempt_end (attempt, end);
-  if (may_have_run (end))
+  if (attempt_may_have_run (end))
     ln_calls_count_usage (calls, attempt);
-  report_broken_attempt (calls, attempt, end);
+  report_broken_attempt_to_checks (calls, attempt, end);
   LcRequestId id = call->spec.id;
-  lc_dispatch_record_attempt_end (calls->dispatch, id, ln_upstream_attempt (upstream), end,
+  lc_dispatch_record_attempt_end (calls->dispatch, id, ln_upstream_attempt_number (upstream), end,
                                   lb_clock_monotonic (), &actions);
   ln_calls_perform_actions (calls, &actions);
   ln_crashes_publish_clearances (calls->crashes);
   if (end == LC_END_REFUSED_LEAVING)
-    ln_calls_broadcast_leaving (calls, ln_upstream_endpoint (upstream));
+    ln_calls_broadcast_endpoint_leaving (calls, ln_upstream_endpoint (upstream));
   call = ln_calls_find (calls, id);
   if (call)
     call->ended_attempt = NULL;
@@ -255,7 +258,8 @@
 static LnUpstream *
 start_engine_attempt (LnCalls *calls, LnAttempt *attempt, const LcAction *action, LbError *error)
 {
-  static const LnUpstreamHandlers handlers = { .on_piece = on_piece, .on_end = on_end };
+  static const LnUpstreamHandlers handlers
+      = { .on_piece = on_piece_received, .on_end = on_attempt_ended };
   static const LhHeader headers[] = { { "Content-Type", "application/json" } };
   LnCall *call = attempt->call;
   char stream_id[96];
@@ -283,7 +287,7 @@
   return upstream;
 }
 
-/* A plain service sends nothing while it works, so only the deadline limits its idle time. */
+/* A plain service sends nothing while it works, so its idle timeout is the time to the deadline. */
 static LbTime
 get_service_idle_timeout (const LnCall *call)
 {
@@ -295,7 +299,7 @@
 static LnUpstream *
 start_service_attempt (LnCalls *calls, LnAttempt *attempt, const LcAction *action, LbError *error)
 {
-  static const LnUpstreamHandlers handlers = { .on_end = on_end };
+  static const LnUpstreamHandlers handlers = { .on_end = on_attempt_ended };
   LnCall *call = attempt->call;
   const LnUpstreamSpec spec = { .request = action->request,
                                 .attempt = action->attempt,
@@ -326,10 +330,10 @@
   return headers;
 }
 
-/* Time until the caller's deadline, sent to the endpoint so that it stops work after that;
- * 0: none. */
+/* Returns the time to the caller's deadline; 0: no deadline. The endpoint receives the time and
+ * stops work at the deadline. */
 static LbTime
-get_time_left (const LnCall *call)
+get_time_to_deadline (const LnCall *call)
 {
   LbTime left = call->spec.deadline - lb_clock_monotonic ();
 
@@ -339,14 +343,18 @@
 }
 
 static LnUpstream *
-start_dialect_attempt (LnCalls *calls, LnAttempt *attempt, const LcAction *action, LbError *error)
+start_attempt_with_dialect (LnCalls *calls,
+                            LnAttempt *attempt,
+                            const LcAction *action,
+                            LbError *error)
 {
-  static const LnUpstreamHandlers handlers = { .on_piece = on_piece, .on_end = on_end };
+  static const LnUpstreamHandlers handlers
+      = { .on_piece = on_piece_received, .on_end = on_attempt_ended };
   LnCall *call = attempt->call;
   const LnDialect *dialect = calls->context->dialect;
   bool is_stream = ln_call_is_for_engine (call);
   LbTime stream_idle_timeout = calls->context->settings->calls.stream_silence_ms * LB_MSEC;
-  const LnAttemptHeaders headers_to_write = { .time_left = get_time_left (call),
+  const LnAttemptHeaders headers_to_write = { .time_left = get_time_to_deadline (call),
                                               .endpoint = action->endpoint,
                                               .resume_at = action->resume_at,
                                               .organisation = call->organisation,
@@ -384,11 +392,11 @@
   LnUpstream *upstream = NULL;
 
   if (calls->context->dialect)
-    upstream = start_dialect_attempt (calls, attempt, action, error);
+    upstream = start_attempt_with_dialect (calls, attempt, action, error);
   else if (ln_call_is_for_engine (attempt->call))
     upstream = start_engine_attempt (calls, attempt, action, error);
   else
     upstream = start_service_attempt (calls, attempt, action, error);
-  update_idle_connections (calls, action->endpoint);
+  update_idle_connection_count (calls, action->endpoint);
   return upstream;
 }
--- a/packages/node/src/calls/ln-calls-requests.c
+++ b/packages/node/src/calls/ln-calls-requests.c
@@ -12,12 +12,11 @@
 #include <xxhash.h>
 
 #define TICKET_LIFETIME_MS 600000
-#define MAX_KEY_BYTES 256
+#define MAX_IDEMPOTENCY_KEY_BYTES 256
 
-/* A caller that is refused because of this instance's state, not its load, is referred to others.
- */
+/* Refers a caller to other instances if this one refuses because of its state, not its load. */
 void
-ln_calls_set_entry_headers (LnCalls *calls, LnExchange *exchange, LbErrorCode code)
+ln_calls_set_other_instance_headers (LnCalls *calls, LnExchange *exchange, LbErrorCode code)
 {
   char addresses[4 * LB_NAME_MAX];
 
@@ -34,7 +33,7 @@
 {
   LbError error = { 0 };
 
-  ln_calls_set_entry_headers (calls, exchange, code);
+  ln_calls_set_other_instance_headers (calls, exchange, code);
   lb_error_set (&error, code, "", "%s", detail);
   ln_exchange_reply_error (exchange, &error, code == LB_ERROR_NOT_READY ? LB_SEC : 0);
 }
@@ -62,7 +61,7 @@
       refuse_request (calls, exchange, LB_ERROR_DRAINING, "this instance is shutting down");
       return;
     }
-  if (!lc_tickets_issue (ln_ticket_calls_tickets (calls->tickets),
+  if (!lc_tickets_issue (ln_ticket_calls_get_tickets (calls->tickets),
                          caller && *caller ? caller : ln_exchange_caller_ip (exchange),
                          lb_clock_monotonic (), text, &error))
     {
@@ -75,7 +74,7 @@
   ln_exchange_reply_json (exchange, 200, reply);
 }
 
-/* Hash by which a ticket that is reused for a different request is detected. */
+/* Hashes the request, so that a ticket that is reused for a different request is detected. */
 static uint64_t
 hash_request (const LnExchange *exchange)
 {
@@ -106,21 +105,22 @@
 }
 
 static void
-replay_answer (LnExchange *exchange, const LcTicketDecision *decision)
+replay_stored_answer (LnExchange *exchange, const LcTicketDecision *decision)
 {
   LnAnswer answer;
 
   ln_answer_decode (&answer, decision->status, decision->answer, decision->answer_length);
-  ln_answer_reply (&answer, exchange);
+  ln_answer_send (&answer, exchange);
   ln_answer_clear (&answer);
 }
 
-/* Takes ownership of the call. */
+/* Runs, joins, replays, relays or rejects the call, depending on its ticket; takes ownership of the
+ * call. */
 static void
 redeem_ticket (LnCalls *calls, LnCall *call, const char *ticket)
 {
   LcTicketDecision decision
-      = lc_tickets_redeem (ln_ticket_calls_tickets (calls->tickets), ticket, call->spec.caller,
+      = lc_tickets_redeem (ln_ticket_calls_get_tickets (calls->tickets), ticket, call->spec.caller,
                            hash_request (call->exchange), call->spec.id, lb_clock_monotonic ());
   LbError error = { 0 };
 
@@ -134,7 +134,7 @@
       ln_ticket_calls_add_waiter (calls->tickets, call->exchange, decision.request);
       break;
     case LC_TICKET_REPLAY:
-      replay_answer (call->exchange, &decision);
+      replay_stored_answer (call->exchange, &decision);
       break;
     case LC_TICKET_RELAY:
       relay_call (calls, call, ticket, &decision);
@@ -147,7 +147,7 @@
   ln_call_free (call);
 }
 
-/* ticket: the ticket bound to the idempotency key; NULL: the claim failed with this error. */
+/* ticket: the ticket bound to the idempotency key; NULL: the claim failed with error. */
 static void
 on_idempotency_key_claimed (const char *ticket, const LbError *error, void *user)
 {
@@ -173,13 +173,13 @@
 {
   char ticket[LC_TICKET_SIZE];
   LbError error = { 0 };
-  bool ok = strlen (key) <= MAX_KEY_BYTES;
+  bool ok = strlen (key) <= MAX_IDEMPOTENCY_KEY_BYTES;
 
   if (!ok)
     lb_error_set (&error, LB_ERROR_OUT_OF_RANGE, "idempotency-key", "expected at most %d bytes",
-                  MAX_KEY_BYTES);
+                  MAX_IDEMPOTENCY_KEY_BYTES);
   else
-    ok = lc_tickets_issue (ln_ticket_calls_tickets (calls->tickets), call->spec.caller,
+    ok = lc_tickets_issue (ln_ticket_calls_get_tickets (calls->tickets), call->spec.caller,
                            lb_clock_monotonic (), ticket, &error);
   if (!ok)
     {
@@ -239,15 +239,16 @@
       ln_routed_handle_request (calls, exchange);
       return;
     }
-  /* With an unconfirmed configuration it might route by one that was replaced long ago. */
+  /* An unconfirmed configuration may be outdated and route calls to endpoints that were replaced.
+   */
   if (!calls->is_ready)
     {
       refuse_request (calls, exchange, LB_ERROR_NOT_READY,
                       "the configuration of this instance is not confirmed");
       return;
     }
-  /* An instance that has just started may have its configuration before the crash reports, and
-   * would crash one more endpoint with a request that all other instances refuse. */
+  /* An instance that has just started may load its configuration before the crash reports. It would
+   * then crash one more endpoint with a request that all other instances refuse. */
   if (!ln_crashes_is_ready (calls->crashes, lb_clock_monotonic ()))
     {
       refuse_request (calls, exchange, LB_ERROR_NOT_READY,
--- a/packages/node/src/calls/ln-calls-run.c
+++ b/packages/node/src/calls/ln-calls-run.c
@@ -44,7 +44,7 @@
 }
 
 static void
-remove_call (LnCalls *calls, LnCall *call)
+remove_and_free_call (LnCalls *calls, LnCall *call)
 {
   HASH_DELETE (hh, calls->by_id, call);
   lb_list_remove (&calls->active_calls, &call->link);
@@ -82,7 +82,7 @@
 }
 
 static void
-log_route (const LnCalls *calls, const LnCall *call, const LcAction *action)
+log_route_decision (const LnCalls *calls, const LnCall *call, const LcAction *action)
 {
   const LcRouteDecision *decision = &action->decision;
   LbTime now = lb_clock_monotonic ();
@@ -114,12 +114,12 @@
 }
 
 static void
-clear_sample_done (LnMessage *message)
+clear_sample_done_message (LnMessage *message)
 {
   free (((LnSampleDoneMessage *)message)->text);
 }
 
-/* Takes ownership of the text. */
+/* Posts the end of a sample or score to the rollouts task. Takes ownership of text. */
 void
 ln_calls_post_sample_done (LnCalls *calls, LcRequestId request, LbErrorCode error, char *text)
 {
@@ -127,7 +127,7 @@
       = { .base = LN_MESSAGE (LN_SAMPLE_DONE), .request = request, .error = error };
 
   message.text = text;
-  message.base.clear = clear_sample_done;
+  message.base.clear = clear_sample_done_message;
   LN_POST (calls->task.hub, ln_hub_find_task (calls->task.hub, "rollouts"), message);
 }
 
@@ -140,7 +140,7 @@
 
   if (!call)
     return;
-  log_route (calls, call, action);
+  log_route_decision (calls, call, action);
   call->was_sent = true;
   if (action->attempt == 1)
     lb_histogram_add (&queue_time, lb_clock_monotonic () - call->submitted_at);
@@ -181,7 +181,7 @@
 }
 
 static void
-finish_sample (LnCalls *calls, LnCall *call, LbErrorCode code)
+finish_sample_or_score (LnCalls *calls, LnCall *call, LbErrorCode code)
 {
   LnAttempt *winner = call->ended_attempt;
   struct evbuffer *text = call->sent_text;
@@ -213,14 +213,14 @@
 }
 
 static void
-finish_ticketed_call (LnCalls *calls, LnCall *call, LbErrorCode code, LbTime retry_after)
+store_result_for_ticket (LnCalls *calls, LnCall *call, LbErrorCode code, LbTime retry_after)
 {
   LnAnswer answer = { 0 };
 
   if (code == LB_OK)
     ln_call_copy_answer (call, call->ended_attempt, &answer);
-  ln_ticket_calls_finish (calls->tickets, call->spec.id, code, retry_after,
-                          code == LB_OK ? &answer : NULL);
+  ln_ticket_calls_finish_request (calls->tickets, call->spec.id, code, retry_after,
+                                  code == LB_OK ? &answer : NULL);
   ln_answer_clear (&answer);
 }
 
@@ -245,7 +245,7 @@
 
   if (!call)
     return;
-  /* The answer is taken from the attempt whose end caused this action. */
+  /* A successful call takes its answer from the attempt whose end caused the FINISH action. */
   if (code == LB_OK && !call->ended_attempt)
     code = LB_ERROR_INTERNAL;
   if (call->exchange)
@@ -253,17 +253,17 @@
   if (code != LB_OK)
     log_failed_call (call, code, action->retry_after);
   if (call->kind == LN_CALL_SAMPLE || call->kind == LN_CALL_SCORE)
-    finish_sample (calls, call, code);
+    finish_sample_or_score (calls, call, code);
   else
     {
       if (call->has_ticket)
-        finish_ticketed_call (calls, call, code, action->retry_after);
+        store_result_for_ticket (calls, call, code, action->retry_after);
       if (code == LB_OK)
         ln_call_reply (call, call->ended_attempt);
       else
         ln_call_reply_error (call, code, action->retry_after);
     }
-  remove_call (calls, call);
+  remove_and_free_call (calls, call);
 }
 
 void
@@ -312,15 +312,15 @@
     }
   log_failed_call (call, error.code, retry_after);
   if (call->has_ticket)
-    ln_ticket_calls_finish (calls->tickets, call->spec.id, error.code, retry_after, NULL);
+    ln_ticket_calls_finish_request (calls->tickets, call->spec.id, error.code, retry_after, NULL);
   if (call->exchange)
     {
-      ln_calls_set_entry_headers (calls, call->exchange, error.code);
+      ln_calls_set_other_instance_headers (calls, call->exchange, error.code);
       ln_exchange_reply_error (call->exchange, &error, retry_after);
     }
   else if (!call->has_ticket)
     ln_calls_post_sample_done (calls, call->spec.id, error.code, NULL);
-  remove_call (calls, call);
+  remove_and_free_call (calls, call);
   ln_calls_perform_actions (calls, &actions);
 }
 
@@ -331,7 +331,7 @@
 
   lb_list_init (&actions);
   lc_dispatch_cancel (calls->dispatch, call->spec.id, lb_clock_monotonic (), &actions);
-  remove_call (calls, call);
+  remove_and_free_call (calls, call);
   ln_calls_perform_actions (calls, &actions);
 }
 
--- a/packages/node/src/calls/ln-calls.c
+++ b/packages/node/src/calls/ln-calls.c
@@ -42,7 +42,7 @@
 }
 
 static void
-submit_sample (LnCalls *calls, const LnSampleMessage *message)
+submit_sample_or_score (LnCalls *calls, const LnSampleMessage *message)
 {
   bool is_score = message->spec.kind == LC_KIND_SERVICE;
   LnCall *call = ln_call_new (is_score ? LN_CALL_SCORE : LN_CALL_SAMPLE);
@@ -84,7 +84,7 @@
 }
 
 static void
-apply_leaving (LnCalls *calls, const LnEndpointLeavingMessage *message)
+apply_endpoint_leaving (LnCalls *calls, const LnEndpointLeavingMessage *message)
 {
   LbList actions;
 
@@ -96,20 +96,21 @@
     lc_dispatch_mark_leaving (calls->dispatch, message->endpoint, message->incarnation,
                               message->source, lb_clock_monotonic (), &actions);
   ln_calls_perform_actions (calls, &actions);
-  ln_calls_broadcast_leaving (calls, message->endpoint);
+  ln_calls_broadcast_endpoint_leaving (calls, message->endpoint);
 }
 
 void
-ln_calls_broadcast_leaving (LnCalls *calls, const char *endpoint)
+ln_calls_broadcast_endpoint_leaving (LnCalls *calls, const char *endpoint)
 {
   ln_leaving_announce (calls->leaving,
                        lc_endpoints_find (lc_dispatch_get_endpoints (calls->dispatch), endpoint));
 }
 
-/* The registration shows that the endpoint is alive and which weights it has, but not its load: the
- * number of this instance's requests in flight there is used until a reply states it. */
+/* An endpoint's registration shows that the endpoint is alive and its weight version, but not its
+ * load. Until a reply reports the load, the number of requests that this instance has in flight at
+ * the endpoint is used. */
 static void
-record_registration (LnCalls *calls, const LnEndpointListedMessage *message)
+record_endpoint_registration (LnCalls *calls, const LnEndpointListedMessage *message)
 {
   LcEndpoint *endpoint
       = lc_endpoints_find (lc_dispatch_get_endpoints (calls->dispatch), message->endpoint);
@@ -129,25 +130,25 @@
 }
 
 static void
-set_list_origin (LnCalls *calls, const LnEndpointListAppliedMessage *message)
+set_endpoint_list_origin (LnCalls *calls, const LnEndpointListAppliedMessage *message)
 {
   calls->list_requested_at = message->requested_at;
   LB_COPY (calls->list_requested_by, message->listed_by);
 }
 
 static void
-handle_frame (LnCalls *calls, const LnPeerMessage *frame)
+handle_peer_frame (LnCalls *calls, const LnPeerMessage *frame)
 {
   LnEndpointLeavingMessage leaving;
 
   if (ln_crashes_receive_frame (calls->crashes, frame))
     return;
   if (ln_leaving_receive_frame (calls->leaving, frame, &leaving))
-    apply_leaving (calls, &leaving);
+    apply_endpoint_leaving (calls, &leaving);
 }
 
 static void
-configure (LnCalls *calls, const LcResourceSet *set)
+configure_dispatch_and_poller (LnCalls *calls, const LcResourceSet *set)
 {
   LbList actions;
 
@@ -159,7 +160,7 @@
 }
 
 static void
-on_report (const char *endpoint, const LcLoadReport *report, void *user)
+on_load_report (const char *endpoint, const LcLoadReport *report, void *user)
 {
   LnCalls *calls = user;
   LnEndpointReportMessage message = { .base = LN_MESSAGE (LN_ENDPOINT_REPORT), .report = *report };
@@ -169,7 +170,7 @@
   lb_list_init (&actions);
   lc_dispatch_record_load (calls->dispatch, endpoint, report, lb_clock_monotonic (), &actions);
   ln_calls_perform_actions (calls, &actions);
-  ln_calls_broadcast_leaving (calls, endpoint);
+  ln_calls_broadcast_endpoint_leaving (calls, endpoint);
   LB_COPY (message.endpoint, endpoint);
   if (config)
     LN_POST (calls->task.hub, config, message);
@@ -197,7 +198,7 @@
 }
 
 static void
-receive (LnTask *task, const LnMessage *message)
+calls_receive_message (LnTask *task, const LnMessage *message)
 {
   LnCalls *calls = (LnCalls *)task;
   const LnEndpointSwapMessage *swap;
@@ -211,7 +212,7 @@
       on_caller_disconnected (((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_CONFIG:
-      configure (calls, ((const LnConfigMessage *)message)->set);
+      configure_dispatch_and_poller (calls, ((const LnConfigMessage *)message)->set);
       break;
     case LN_MEMBERS:
       ln_relays_set_members (calls->relays, (const LnMembersMessage *)message);
@@ -220,29 +221,29 @@
       calls->is_ready = ((const LnReadyMessage *)message)->ready;
       break;
     case LN_SAMPLE:
-      submit_sample (calls, (const LnSampleMessage *)message);
+      submit_sample_or_score (calls, (const LnSampleMessage *)message);
       break;
     case LN_SAMPLE_CANCEL:
       cancel_sample (calls, (const LnSampleCancelMessage *)message);
       break;
     case LN_ENDPOINT_LEAVING:
-      apply_leaving (calls, (const LnEndpointLeavingMessage *)message);
+      apply_endpoint_leaving (calls, (const LnEndpointLeavingMessage *)message);
       break;
     case LN_PEER_FRAME:
-      handle_frame (calls, (const LnPeerMessage *)message);
+      handle_peer_frame (calls, (const LnPeerMessage *)message);
       break;
     case LN_DESIRED:
       ln_admission_state_update (&calls->admission_state, (const LnDesiredMessage *)message);
-      ln_routed_fail_revoked_calls (calls);
+      ln_routed_fail_calls_with_revoked_key (calls);
       break;
     case LN_DESIRED_CONFIRMED:
       calls->admission_state.confirmed_at = ((const LnDesiredConfirmedMessage *)message)->at;
       break;
     case LN_ENDPOINT_LIST_APPLIED:
-      set_list_origin (calls, (const LnEndpointListAppliedMessage *)message);
+      set_endpoint_list_origin (calls, (const LnEndpointListAppliedMessage *)message);
       break;
     case LN_ENDPOINT_LISTED:
-      record_registration (calls, (const LnEndpointListedMessage *)message);
+      record_endpoint_registration (calls, (const LnEndpointListedMessage *)message);
       break;
     case LN_ENDPOINT_SWAP:
       swap = (const LnEndpointSwapMessage *)message;
@@ -255,14 +256,14 @@
 }
 
 static void
-drain (LnTask *task)
+calls_drain (LnTask *task)
 {
   LnCalls *calls = (LnCalls *)task;
   LbList actions;
 
   calls->is_draining = true;
-  /* On a shared platform callers use this instance's address for seconds after it stopped being
-   * ready, so it serves them until it exits. */
+  /* On a shared platform, callers connect for some seconds after the instance reported that it is
+   * not ready, so the instance serves calls until it exits. */
   if (calls->context->dialect)
     return;
   lb_list_init (&actions);
@@ -271,7 +272,7 @@
 }
 
 static bool
-is_idle (const LnTask *task)
+calls_is_idle (const LnTask *task)
 {
   const LnCalls *calls = (const LnCalls *)task;
 
@@ -304,12 +305,14 @@
   free (calls);
 }
 
-static const LnTaskClass calls_class = {
-  .name = "calls", .receive = receive, .drain = drain, .is_idle = is_idle, .free = calls_free
-};
+static const LnTaskClass calls_class = { .name = "calls",
+                                         .receive = calls_receive_message,
+                                         .drain = calls_drain,
+                                         .is_idle = calls_is_idle,
+                                         .free = calls_free };
 
 static LcDispatch *
-new_dispatch (const LnContext *context)
+new_dispatch_from_settings (const LnContext *context)
 {
   const LnSettings *settings = context->settings;
   LcDispatchSettings dispatch = { .queue_limit = settings->calls.queue_limit,
@@ -337,7 +340,7 @@
 }
 
 static void
-post_overloaded_service (LnCalls *calls)
+post_overloaded_service_if_changed (LnCalls *calls)
 {
   const char *service = lc_utilisation_find_overloaded_service (calls->utilisation);
   LnTask *peers = ln_hub_find_task (calls->task.hub, "peers");
@@ -352,20 +355,21 @@
   LN_POST (calls->task.hub, peers, message);
 }
 
-/* Sends keep-alives, among others, which let callers tell a slow answer from a dead connection. */
+/* Updates gauges and usage, and sends keep-alives, by which callers tell a slow answer from a dead
+ * connection. */
 static void
-on_periodic_call (void *user)
+on_periodic_timer (void *user)
 {
   LnCalls *calls = user;
   LbTime now = lb_clock_monotonic ();
 
   update_gauges (calls);
-  post_overloaded_service (calls);
+  post_overloaded_service_if_changed (calls);
   ln_crashes_tick (calls->crashes, now);
   LB_LIST_FOREACH (&calls->active_calls, LnCall, link, call)
   {
     ln_call_send_keep_alive (call, now - KEEP_ALIVE_PERIOD, now);
-    ln_calls_count_running_usage (calls, call, now);
+    ln_calls_count_usage_of_running_call (calls, call, now);
   }
 }
 
@@ -373,14 +377,14 @@
 ln_calls_new (LnContext *context)
 {
   static const LnPollerHandlers handlers
-      = { .on_report = on_report, .on_cache_event = on_cache_event };
+      = { .on_report = on_load_report, .on_cache_event = on_cache_event };
   LnCalls *calls = LB_NEW (LnCalls);
 
   calls->task.klass = &calls_class;
   calls->task.hub = context->hub;
   calls->context = context;
   lb_list_init (&calls->active_calls);
-  calls->dispatch = new_dispatch (context);
+  calls->dispatch = new_dispatch_from_settings (context);
   calls->utilisation = lc_utilisation_new ();
   calls->tickets
       = ln_ticket_calls_new (context->instance, context->incarnation, context->settings->seed);
@@ -388,7 +392,7 @@
   calls->relays = ln_relays_new (context);
   calls->leaving = ln_leaving_new (&calls->task);
   calls->crashes = ln_crashes_new (context, lc_dispatch_get_quarantine (calls->dispatch));
-  /* Requests the crash reports before the routes, so that they are known at the first request. */
+  /* Requests the crash reports before the routes, so that the first call finds them loaded. */
   ln_crashes_tick (calls->crashes, lb_clock_monotonic ());
   calls->checks = ln_endpoint_checks_new (context, on_endpoint_crashed, calls);
   calls->dispatch_timer = evtimer_new (context->base, ln_calls_on_dispatch_timer, calls);
@@ -397,7 +401,7 @@
         = ln_poller_new (context->base, context->http_pool,
                          context->settings->calls.load_poll_ms * LB_MSEC, &handlers, calls);
   calls->periodic_call = (LnPeriodicCall){ .period = KEEP_ALIVE_PERIOD / 2,
-                                           .callback = on_periodic_call,
+                                           .callback = on_periodic_timer,
                                            .user = calls };
   ln_ticker_add (ln_context_ticker (context), &calls->periodic_call);
   return &calls->task;
--- a/packages/node/src/calls/ln-claims.h
+++ b/packages/node/src/calls/ln-claims.h
@@ -6,20 +6,21 @@
 struct LpPlatform;
 struct event_base;
 
-/* Idempotency keys chosen by callers. The first instance that receives a key writes a row in the
- * platform's store on condition that it is absent. The row names the ticket under which the call
- * runs, so that a retry with the key uses the same ticket on every instance. */
+/* Claims of idempotency keys, which callers choose. The first instance that receives a key writes
+ * the key's row to the platform's store, on condition that the row does not exist. The row names
+ * the ticket under which the call runs, so that a retry with the key uses that ticket on every
+ * instance. */
 typedef struct LnClaims LnClaims;
 
-/* ticket: the one bound to the key, not always the one offered; NULL if error is set. Called once,
- * never from inside ln_claims_claim_key. */
+/* Called once per claim, never from inside ln_claims_claim_key. ticket: the ticket bound to the
+ * key, which may differ from the one claimed for; NULL if error is set. */
 typedef void (*LnClaimHandler) (const char *ticket, const LbError *error, void *user);
 
 LnClaims *
 ln_claims_new (struct event_base *base, struct LpPlatform *platform, const char *incarnation);
 void ln_claims_free (LnClaims *claims);
-/* Claims the key for the ticket unless it is bound to another one. expires_at: when the ticket
- * becomes useless; the row is deleted some time after. */
+/* Binds the caller's key to the ticket, unless the key is already bound to another ticket.
+ * expires_at: when the ticket expires; the key's row is deleted after that. */
 void ln_claims_claim_key (LnClaims *claims,
                           const char *caller,
                           const char *key,
--- a/packages/node/src/calls/ln-exchange-handler.h
+++ b/packages/node/src/calls/ln-exchange-handler.h
@@ -1,13 +1,13 @@
 #ifndef LN_EXCHANGE_HANDLER_H
 #define LN_EXCHANGE_HANDLER_H
 
-/* Base of a type that receives the events of an exchange of the calls task. It is the first member
- * of that type, and is set with ln_exchange_set_user_data. */
+/* Base type of objects that receive the events of an exchange owned by the calls task. It must be
+ * the object's first member; ln_exchange_set_user_data registers the object. */
 typedef struct LnExchangeHandler LnExchangeHandler;
 
 typedef struct
 {
-  /* The handler must end the exchange, and must not write to it. */
+  /* The callback must end the exchange without writing to it. */
   void (*on_caller_disconnected) (LnExchangeHandler *handler);
 } LnExchangeHandlerClass;
 
--- a/packages/node/src/calls/ln-poller.h
+++ b/packages/node/src/calls/ln-poller.h
@@ -6,7 +6,8 @@
 
 struct event_base;
 
-/* Polls each endpoint periodically for its load report and engines for their cache events. */
+/* Polls every endpoint periodically for its load report, and every engine also for its prefix-cache
+ * events. */
 typedef struct LnPoller LnPoller;
 
 typedef struct
--- a/packages/node/src/calls/ln-relay.h
+++ b/packages/node/src/calls/ln-relay.h
@@ -4,7 +4,7 @@
 #include "ln-context.h"
 #include "ln-messages.h"
 
-/* Forwards calls to the only instance that may run them. */
+/* Forwards a call to the instance that issued its ticket, the only one that may run the call. */
 typedef struct LnRelays LnRelays;
 
 typedef struct
@@ -12,7 +12,7 @@
   const char *instance;
   const char *incarnation;
   const char *ticket;
-  const char *caller; /* to whom the ticket was issued */
+  const char *caller; /* name of the caller that uses the ticket */
   LbTime deadline;
 } LnRelayTarget;
 
@@ -22,7 +22,8 @@
 bool ln_relays_is_idle (const LnRelays *relays);
 /* Takes ownership of the exchange and always replies to it. */
 void ln_relays_forward (LnRelays *relays, LnExchange *exchange, const LnRelayTarget *target);
-/* Writes addresses of other instances for a refused caller, "A,B"; empty if none is known. */
+/* Writes the addresses of other live instances, separated by commas, for a caller that this
+ * instance refuses; "" if none is known. */
 void ln_relays_list_addresses (const LnRelays *relays, char *text, size_t size);
 
 #endif
--- a/packages/node/src/calls/ln-routed.c
+++ b/packages/node/src/calls/ln-routed.c
@@ -10,8 +10,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The first read of the store takes some tens of milliseconds; a retry finds the routes here or on
- * another instance. */
+/* The first read of the routes from the store takes some tens of milliseconds, so a retry after
+ * this time finds the routes on this or another instance. */
 #define NOT_READY_RETRY_AFTER (300 * LB_MSEC)
 
 static void
@@ -24,7 +24,7 @@
 }
 
 static void
-hand_over_to_task (LnCalls *calls, LnExchange *exchange, const char *name)
+hand_over_exchange_to_task (LnCalls *calls, LnExchange *exchange, const char *name)
 {
   LnTask *task = ln_hub_find_task (calls->task.hub, name);
   LnExchangeMessage message = { .base = LN_MESSAGE (LN_EXCHANGE), .exchange = exchange };
@@ -40,7 +40,7 @@
 } HeaderCopy;
 
 static void
-copy_header (const char *name, const char *value, void *user)
+copy_header_to_outgoing (const char *name, const char *value, void *user)
 {
   HeaderCopy *copy = user;
 
@@ -49,10 +49,10 @@
 }
 
 static void
-copy_request (const LnCalls *calls,
-              LnCall *call,
-              const LnExchange *exchange,
-              const LnInbound *inbound)
+copy_request_to_call (const LnCalls *calls,
+                      LnCall *call,
+                      const LnExchange *exchange,
+                      const LnInbound *inbound)
 {
   HeaderCopy copy = { .dialect = calls->context->dialect, .outgoing = &call->outgoing };
   const char *query = ln_exchange_raw_query (exchange);
@@ -66,10 +66,10 @@
   call->outgoing.host = lb_strdup (inbound->host);
   call->outgoing.body = lb_memdup (body, length + 1);
   call->outgoing.body_length = length;
-  ln_exchange_foreach_header (exchange, copy_header, &copy);
+  ln_exchange_foreach_header (exchange, copy_header_to_outgoing, &copy);
 }
 
-/* The earliest of the caller's deadline, the route's timeout and the default. */
+/* Returns the earliest of the caller's deadline, the route's timeout and the default deadline. */
 static LbTime
 compute_deadline (const LnCalls *calls, const LcRoute *route, const LnInbound *inbound, LbTime now)
 {
@@ -82,9 +82,10 @@
   return now + timeout;
 }
 
-/* All callers of one organisation form one flow in the fair sharing of a service's endpoints. */
+/* All callers of an organisation form one flow, so that organisations share a service's endpoints
+ * fairly. */
 static void
-set_organisation (LnCall *call, const LcAdmission *admission)
+set_call_organisation (LnCall *call, const LcAdmission *admission)
 {
   if (!admission->organisation.name[0])
     return;
@@ -96,12 +97,12 @@
 }
 
 static LnCall *
-new_call (LnCalls *calls,
-          LnExchange *exchange,
-          const LcRoute *route,
-          const LcAdmission *admission,
-          const char *service,
-          const LnInbound *inbound)
+new_service_call (LnCalls *calls,
+                  LnExchange *exchange,
+                  const LcRoute *route,
+                  const LcAdmission *admission,
+                  const char *service,
+                  const LnInbound *inbound)
 {
   static const LnExchangeHandlerClass call_class
       = { .on_caller_disconnected = ln_calls_on_caller_disconnected };
@@ -121,25 +122,25 @@
   call->spec.deadline = compute_deadline (calls, route, inbound, lb_clock_monotonic ());
   LB_COPY (call->spec.caller, route->name);
   LB_COPY (call->spec.pool, service);
-  set_organisation (call, admission);
-  copy_request (calls, call, exchange, inbound);
+  set_call_organisation (call, admission);
+  copy_request_to_call (calls, call, exchange, inbound);
   ln_exchange_set_user_data (exchange, call);
   return call;
 }
 
-/* An instance that has just started, or just received a new service, knows the routes before the
- * endpoints. It replies "not ready", since on a "not found" the caller would not retry. */
+/* An instance that has just started, or has just received a new service, knows the routes before
+ * the endpoints. It then replies "not ready", since callers do not retry after "not found". */
 static void
-submit_call (LnCalls *calls,
-             LnExchange *exchange,
-             const LcRoute *route,
-             const LcAdmission *admission,
-             const LnInbound *inbound)
+submit_routed_call (LnCalls *calls,
+                    LnExchange *exchange,
+                    const LcRoute *route,
+                    const LcAdmission *admission,
+                    const LnInbound *inbound)
 {
   const char *service = lc_route_choose_service (route, ln_context_random_uniform (calls->context));
 
   if (lc_dispatch_has_service (calls->dispatch, service))
-    ln_calls_submit (calls, new_call (calls, exchange, route, admission, service, inbound));
+    ln_calls_submit (calls, new_service_call (calls, exchange, route, admission, service, inbound));
   else
     refuse_request (exchange, LB_ERROR_NOT_READY,
                     "the endpoints of the route are not known on this instance yet",
@@ -182,14 +183,15 @@
       return;
     }
   if (route->kind == LC_ROUTE_BATCH)
-    hand_over_to_task (calls, exchange, "rollouts");
+    hand_over_exchange_to_task (calls, exchange, "rollouts");
   else
-    submit_call (calls, exchange, route, &admission, &inbound);
+    submit_routed_call (calls, exchange, route, &admission, &inbound);
 }
 
-/* Calls that were sent to an endpoint are left alone: "not run" would not be true for them. */
+/* Excludes calls that were sent to an endpoint: they may have run, but the error for a revoked key
+ * says "not run". */
 static bool
-is_queued_with_revoked_key (const LnCall *call, const LcDesired *desired)
+is_queued_call_with_revoked_key (const LnCall *call, const LcDesired *desired)
 {
   const LcOrganisation *holder = NULL;
 
@@ -200,26 +202,26 @@
   return !holder || strcmp (holder->name, call->organisation) != 0;
 }
 
-/* Returns the first queued call whose API key was revoked. Ending a call may end others, so callers
- * search again after each. */
+/* Returns the first queued call whose API key was revoked; NULL: none. Ending a call may end other
+ * calls, so the search starts again after each one. */
 static LnCall *
-find_queued_with_revoked_key (const LnCalls *calls)
+find_queued_call_with_revoked_key (const LnCalls *calls)
 {
   LB_LIST_FOREACH (&calls->active_calls, LnCall, link, call)
   {
-    if (is_queued_with_revoked_key (call, calls->admission_state.desired))
+    if (is_queued_call_with_revoked_key (call, calls->admission_state.desired))
       return call;
   }
   return NULL;
 }
 
-/* Without this, a revoked key stays effective for queued calls, under load for seconds. */
+/* Under load, calls wait in the queue for seconds and would run although their key was revoked. */
 void
-ln_routed_fail_revoked_calls (LnCalls *calls)
+ln_routed_fail_calls_with_revoked_key (LnCalls *calls)
 {
   LnCall *call = NULL;
 
-  while ((call = find_queued_with_revoked_key (calls)))
+  while ((call = find_queued_call_with_revoked_key (calls)))
     {
       lb_log (LB_LOG_INFO, "request_given_up", LB_INT ("request", call->spec.id),
               LB_TEXT ("id", call->outgoing.id), LB_TEXT ("organisation", call->organisation),
--- a/packages/node/src/calls/ln-ticket-calls.c
+++ b/packages/node/src/calls/ln-ticket-calls.c
@@ -14,7 +14,7 @@
 
 typedef struct
 {
-  LnExchangeHandler handler; /* first */
+  LnExchangeHandler handler; /* must be the first member, since handlers are cast to Waiter */
   LbLink link;
   LnTicketCalls *calls;
   LnExchange *exchange;
@@ -62,7 +62,7 @@
 }
 
 LcTickets *
-ln_ticket_calls_tickets (LnTicketCalls *calls)
+ln_ticket_calls_get_tickets (LnTicketCalls *calls)
 {
   return calls->tickets;
 }
@@ -98,7 +98,7 @@
 
   if (code == LB_OK)
     {
-      ln_answer_reply (answer, waiter->exchange);
+      ln_answer_send (answer, waiter->exchange);
       return;
     }
   lb_error_set (&error, code, "x-ticket", "the call started with this ticket has failed");
@@ -106,11 +106,11 @@
 }
 
 void
-ln_ticket_calls_finish (LnTicketCalls *calls,
-                        LcRequestId request,
-                        LbErrorCode error,
-                        LbTime retry_after,
-                        const LnAnswer *answer)
+ln_ticket_calls_finish_request (LnTicketCalls *calls,
+                                LcRequestId request,
+                                LbErrorCode error,
+                                LbTime retry_after,
+                                const LnAnswer *answer)
 {
   size_t length = 0;
   char *bytes = answer ? ln_answer_encode (answer, &length) : NULL;
--- a/packages/node/src/calls/ln-upstream.c
+++ b/packages/node/src/calls/ln-upstream.c
@@ -13,10 +13,10 @@
 #include <string.h>
 
 #define MAX_EVENT_BYTES (1 << 20)
-/* A hundred round trips between data centres: an endpoint that has not accepted a connection by
- * then is down or full. */
+/* A hundred round trips between data centres. An endpoint that has not accepted a connection within
+ * this time is down or overloaded. */
 #define CONNECT_TIMEOUT (250 * LB_MSEC)
-#define MAX_REFUSAL_BYTES (64 << 10)
+#define MAX_ERROR_BODY_BYTES (64 << 10)
 
 struct LnUpstream
 {
@@ -24,23 +24,24 @@
   uint32_t attempt;
   LbName endpoint;
   LbName address;
-  char *stream_id; /* NULL: plain service */
+  char *stream_id; /* NULL: plain service, or with a dialect */
   LhPool *pool;
   LhFetch *fetch;
   LnUpstreamHandlers handlers;
   void *user;
   LhSse sse;
-  struct evbuffer *body; /* a service's reply, or an engine's reply other than a stream */
+  struct evbuffer
+      *body; /* body of a service's reply, or of an engine's reply that is not a stream */
   int status;
   bool connection_lost;     /* the connection was lost before the reply was complete */
   const LnDialect *dialect; /* NULL: the daemon's own protocol */
-  char *external_id;        /* of the request */
-  LnStreamReader *reader;   /* with a dialect: parses the stream */
-  LcVersion version;        /* of the stream's last event */
+  char *external_id;        /* id of the request in logs; NULL: none */
+  LnStreamReader *reader;   /* with a dialect: parses the engine's stream; NULL: no stream */
+  LcVersion version;        /* weight version of the stream's last event; 0: unknown */
   bool is_head;             /* the method is HEAD, whose reply has no body */
   bool has_end_marker;      /* [DONE] was received */
-  bool is_invalid; /* received something other than this attempt's answer; the rest is ignored */
-  bool is_feeding; /* the parser is running: a cancel only sets is_cancelled */
+  bool is_invalid; /* invalid data or another request's answer was received; the rest is ignored */
+  bool is_parsing; /* the parser is running, so a cancel only sets is_cancelled and frees nothing */
   bool is_cancelled;
 };
 
@@ -86,10 +87,10 @@
   return json_object_array_get_idx (choices, 0);
 }
 
-/* An endpoint or a proxy may mix up streams, and an answer would reach the wrong caller. So each
- * attempt has its own id, and each event must contain it. */
+/* Each attempt has a unique stream id that all its events must contain. Otherwise an endpoint or
+ * proxy that mixes up streams would send an answer to the wrong caller. */
 static bool
-has_own_id (const LnUpstream *upstream, struct json_object *event)
+event_has_stream_id (const LnUpstream *upstream, struct json_object *event)
 {
   const char *id = lb_json_text (event, "id", NULL);
 
@@ -97,12 +98,12 @@
 }
 
 static bool
-handle_event (LnUpstream *upstream, struct json_object *event)
+handle_engine_event (LnUpstream *upstream, struct json_object *event)
 {
   struct json_object *finish_reason = NULL;
   struct json_object *choice = get_first_choice (event);
 
-  if (!choice || !has_own_id (upstream, event))
+  if (!choice || !event_has_stream_id (upstream, event))
     return false;
   const char *text = get_choice_text (choice);
   LcPiece piece = { .offset = lb_json_int (event, "offset", -1),
@@ -117,7 +118,7 @@
 }
 
 static void
-on_event (const char *data, size_t length, void *user)
+on_sse_event (const char *data, size_t length, void *user)
 {
   LnUpstream *upstream = user;
   struct json_object *event = NULL;
@@ -131,7 +132,7 @@
       return;
     }
   event = lb_settings_parse (data, length, "event", &error);
-  if (!event || !handle_event (upstream, event))
+  if (!event || !handle_engine_event (upstream, event))
     {
       upstream->is_invalid = true;
       lb_metric_add (&streams_aborted, 1);
@@ -140,28 +141,27 @@
 }
 
 static void
-end_attempt (LnUpstream *upstream, LcAttemptEnd end)
+report_attempt_end_and_free (LnUpstream *upstream, LcAttemptEnd end)
 {
   upstream->handlers.on_end (upstream, end, upstream->user);
   upstream_free (upstream);
 }
 
 static const char *
-get_header (const void *source, const char *name)
+get_reply_header (const void *source, const char *name)
 {
   return lh_fetch_header (source, name);
 }
 
-/* An engine may first send a late answer to another request, whose text must not reach this caller.
- */
+/* An engine may first send a late answer to another request, which must not reach the caller. */
 static bool
 is_reply_to_request (const LnUpstream *upstream, const LhFetch *fetch)
 {
-  return upstream->dialect->is_reply_to (upstream->external_id, get_header, fetch);
+  return upstream->dialect->is_reply_to (upstream->external_id, get_reply_header, fetch);
 }
 
 static void
-on_stream_event (const LnStreamEvent *event, void *user)
+on_dialect_stream_event (const LnStreamEvent *event, void *user)
 {
   LnUpstream *upstream = user;
   char *text = NULL;
@@ -177,38 +177,38 @@
 }
 
 static bool
-feed_stream (LnUpstream *upstream, const LhFetch *fetch, const char *bytes, size_t length)
+parse_stream_bytes (LnUpstream *upstream, const LhFetch *fetch, const char *bytes, size_t length)
 {
   LbError error;
 
   if (!upstream->dialect)
-    return lh_sse_feed (&upstream->sse, bytes, length, on_event, upstream, &error);
+    return lh_sse_feed (&upstream->sse, bytes, length, on_sse_event, upstream, &error);
   if (!is_reply_to_request (upstream, fetch))
     {
       lb_metric_add (&streams_aborted, 1);
       return false;
     }
   if (upstream->version == 0)
-    upstream->version = upstream->dialect->read_first_version (get_header, fetch);
+    upstream->version = upstream->dialect->read_first_version (get_reply_header, fetch);
   return upstream->dialect->stream_feed (upstream->reader, bytes, length);
 }
 
 static void
-on_bytes (LhFetch *fetch, const char *bytes, size_t length, void *user)
+on_body_bytes (LhFetch *fetch, const char *bytes, size_t length, void *user)
 {
   LnUpstream *upstream = user;
 
   if (lh_fetch_status (fetch) != 200)
     {
-      if (evbuffer_get_length (upstream->body) + length <= MAX_REFUSAL_BYTES)
+      if (evbuffer_get_length (upstream->body) + length <= MAX_ERROR_BODY_BYTES)
         evbuffer_add (upstream->body, bytes, length);
       return;
     }
-  upstream->is_feeding = true;
+  upstream->is_parsing = true;
   upstream->fetch = fetch;
-  if (!feed_stream (upstream, fetch, bytes, length))
+  if (!parse_stream_bytes (upstream, fetch, bytes, length))
     upstream->is_invalid = true;
-  upstream->is_feeding = false;
+  upstream->is_parsing = false;
   if (upstream->is_cancelled)
     {
       upstream_free (upstream);
@@ -217,10 +217,11 @@
   if (!upstream->is_invalid)
     return;
   lh_fetch_cancel (fetch);
-  end_attempt (upstream, LC_END_BROKEN);
+  report_attempt_end_and_free (upstream, LC_END_BROKEN);
 }
 
-/* Only these replies prove that the endpoint did not start the request. */
+/* Only a 503 or 429 reply with the error type "leaving" or "not_started" proves that the endpoint
+ * did not start the request. */
 static bool
 parse_refusal (LnUpstream *upstream, LcAttemptEnd *end)
 {
@@ -240,8 +241,8 @@
   return refused;
 }
 
-/* A body that ends with its connection can't be told from one truncated by a crash, so such a reply
- * does not count as complete. */
+/* Whether the reply headers define where the body ends. A body that ends when the connection closes
+ * may have been truncated by a crash, so the reply does not count as complete. */
 static bool
 has_delimited_body (const LnUpstream *upstream)
 {
@@ -250,16 +251,16 @@
          || lh_fetch_header (upstream->fetch, "Transfer-Encoding");
 }
 
-/* An endpoint's failure of a plain call is an answer and is forwarded as it is. A failed stream is
- * no answer, since a sample is either complete or not delivered. */
+/* A plain service's failure reply is an answer and is forwarded unchanged. An engine's failure
+ * reply is no answer, since a sample is either complete or not delivered. */
 static LcAttemptEnd
-classify_end_by_dialect (const LnUpstream *upstream, const LhResult *result)
+classify_attempt_end_by_dialect (const LnUpstream *upstream, const LhResult *result)
 {
   if (result->failure != LB_OK)
     return result->bytes_handed ? LC_END_BROKEN : LC_END_NOT_SENT;
   if (!is_reply_to_request (upstream, upstream->fetch))
     return LC_END_BROKEN;
-  switch (upstream->dialect->classify_reply (upstream->status, get_header, upstream->fetch))
+  switch (upstream->dialect->classify_reply (upstream->status, get_reply_header, upstream->fetch))
     {
     case LN_REPLY_NOT_RUN:
       return LC_END_REFUSED;
@@ -278,12 +279,12 @@
 }
 
 static LcAttemptEnd
-classify_end (LnUpstream *upstream, const LhResult *result)
+classify_attempt_end (LnUpstream *upstream, const LhResult *result)
 {
   LcAttemptEnd end = LC_END_FAILED;
 
   if (upstream->dialect)
-    return classify_end_by_dialect (upstream, result);
+    return classify_attempt_end_by_dialect (upstream, result);
 
   if (upstream->has_end_marker)
     return LC_END_COMPLETE;
@@ -297,7 +298,7 @@
 }
 
 static void
-on_done (LhFetch *fetch, const LhResult *result, void *user)
+on_fetch_done (LhFetch *fetch, const LhResult *result, void *user)
 {
   LnUpstream *upstream = user;
 
@@ -306,11 +307,11 @@
   upstream->connection_lost = result->failure == LB_ERROR_CLOSED || result->failure == LB_ERROR_IO;
   if (result->body_length > 0)
     evbuffer_add (upstream->body, result->body, result->body_length);
-  LcAttemptEnd end = classify_end (upstream, result);
+  LcAttemptEnd end = classify_attempt_end (upstream, result);
   if (result->failure != LB_OK)
     {
-      /* A middlebox may have dropped the state of all connections of this age: new ones work, but
-       * requests on idle ones get lost. None of them is reused. */
+      /* A middlebox may have dropped the state of all older connections. Requests on idle
+       * connections would then get lost, so the next request opens a new connection. */
       lh_pool_drop_idle (upstream->pool, upstream->address);
       lb_log (LB_LOG_INFO, "attempt_failed", LB_INT ("request", upstream->request),
               LB_TEXT ("id", upstream->external_id), LB_INT ("attempt", upstream->attempt),
@@ -318,7 +319,7 @@
               LB_TEXT ("error", lb_error_name (result->failure)),
               LB_BOOL ("bytes_handed", result->bytes_handed));
     }
-  end_attempt (upstream, end);
+  report_attempt_end_and_free (upstream, end);
 }
 
 LnUpstream *
@@ -330,8 +331,8 @@
 {
   LnUpstream *upstream = LB_NEW (LnUpstream);
   const LhHandlers fetch_handlers
-      = { .on_body_chunk = spec->stream_id || spec->is_stream ? on_bytes : NULL,
-          .on_done = on_done };
+      = { .on_body_chunk = spec->stream_id || spec->is_stream ? on_body_bytes : NULL,
+          .on_done = on_fetch_done };
   const LhRequest request = { .method = spec->method,
                               .address = spec->address,
                               .path = spec->path,
@@ -352,7 +353,7 @@
   upstream->dialect = spec->dialect;
   upstream->external_id = spec->external_id ? lb_strdup (spec->external_id) : NULL;
   if (spec->dialect && spec->is_stream)
-    upstream->reader = spec->dialect->stream_new (on_stream_event, upstream);
+    upstream->reader = spec->dialect->stream_new (on_dialect_stream_event, upstream);
   upstream->is_head = strcmp (spec->method, "HEAD") == 0;
   upstream->handlers = *handlers;
   upstream->user = user;
@@ -370,7 +371,7 @@
 {
   lh_fetch_cancel (upstream->fetch);
   upstream->is_cancelled = true;
-  if (!upstream->is_feeding)
+  if (!upstream->is_parsing)
     upstream_free (upstream);
 }
 
@@ -379,7 +380,7 @@
 {
   memset (load, 0, sizeof *load);
   if (upstream->dialect && upstream->fetch)
-    upstream->dialect->read_load (get_header, upstream->fetch, load);
+    upstream->dialect->read_load (get_reply_header, upstream->fetch, load);
 }
 
 const char *
@@ -387,11 +388,11 @@
 {
   if (!upstream->dialect || upstream->status / 100 != 2)
     return NULL;
-  return upstream->dialect->read_score (get_header, upstream->fetch);
+  return upstream->dialect->read_score (get_reply_header, upstream->fetch);
 }
 
 uint32_t
-ln_upstream_attempt (const LnUpstream *upstream)
+ln_upstream_attempt_number (const LnUpstream *upstream)
 {
   return upstream->attempt;
 }
@@ -415,7 +416,7 @@
 }
 
 const LhFetch *
-ln_upstream_fetch (const LnUpstream *upstream)
+ln_upstream_get_fetch (const LnUpstream *upstream)
 {
   return upstream->fetch;
 }
--- a/packages/node/src/calls/ln-upstream.h
+++ b/packages/node/src/calls/ln-upstream.h
@@ -23,10 +23,10 @@
   size_t n_headers;
   const char *body;
   size_t body_length;
-  const char *stream_id;   /* request_id of the attempt at an engine; NULL: plain service */
-  LbTime idle_timeout;     /* the attempt fails after this time without a received byte */
-  const char *external_id; /* id of the request in logs; with a dialect also in the reply */
-  /* With a dialect only: */
+  const char *stream_id; /* request_id sent to an engine; NULL: plain service, or with a dialect */
+  LbTime idle_timeout;   /* the attempt fails after this time without a received byte */
+  const char *external_id; /* request id in logs; with a dialect, replies must match it */
+  /* The members below are used only with a dialect. */
   const LnDialect *dialect;
   const char *host; /* value of the Host header */
   bool is_stream;   /* the reply is an engine's stream of events */
@@ -34,14 +34,14 @@
 
 typedef struct
 {
-  /* A piece of an engine's answer; event: as the engine sent it, valid during the call, NULL with a
-   * dialect. */
+  /* Called for each piece of an engine's answer. event: the engine's JSON event that contains the
+   * piece, valid during the callback; NULL with a dialect. */
   void (*on_piece) (LnUpstream *upstream,
                     const LcPiece *piece,
                     struct json_object *event,
                     const char *text,
                     void *user);
-  /* Called last; the upstream is freed after it. */
+  /* Called once, as the last callback; the upstream is freed when it returns. */
   void (*on_end) (LnUpstream *upstream, LcAttemptEnd end, void *user);
 } LnUpstreamHandlers;
 
@@ -50,21 +50,23 @@
                                const LnUpstreamHandlers *handlers,
                                void *user,
                                LbError *error);
-/* Closes the connection, on which the engine cancels its work. Calls no handler. */
+/* Closes the connection, which makes the engine cancel the request. Calls no handler; the upstream
+ * must not be used afterwards. */
 void ln_upstream_cancel (LnUpstream *upstream);
 
-/* Reads the endpoint's load from the reply headers, if they were received and state it. */
+/* Reads the endpoint's load from the reply headers. Sets load->is_reported to false if they do not
+ * state the load or were not received. */
 void ln_upstream_read_load (const LnUpstream *upstream, LnReportedLoad *load);
-/* The score in a scorer's reply; NULL: none. */
+/* Returns the score in a scorer's reply; NULL: the call failed or the reply has no score. */
 const char *ln_upstream_read_score (const LnUpstream *upstream);
-uint32_t ln_upstream_attempt (const LnUpstream *upstream);
+uint32_t ln_upstream_attempt_number (const LnUpstream *upstream);
 const char *ln_upstream_endpoint (const LnUpstream *upstream);
 const char *ln_upstream_address (const LnUpstream *upstream);
-/* The connection was lost before the reply was complete; false for a timeout. */
+/* Whether the connection was lost before the reply was complete; false for a timeout. */
 bool ln_upstream_has_lost_connection (const LnUpstream *upstream);
-/* The HTTP exchange with the endpoint, for the headers of a plain service's reply; valid in on_end.
- * An engine's call has one as well, but its reply headers are not forwarded. */
-const LhFetch *ln_upstream_fetch (const LnUpstream *upstream);
+/* Returns the HTTP request to the endpoint, from which a plain service's reply headers are read and
+ * forwarded; an engine's are not forwarded. Valid in on_end. */
+const LhFetch *ln_upstream_get_fetch (const LnUpstream *upstream);
 int ln_upstream_status (const LnUpstream *upstream);
 const char *ln_upstream_body (LnUpstream *upstream, size_t *length);
 
