--- a/packages/node/src/calls/ln-claims.c
+++ b/packages/node/src/calls/ln-claims.c
@@ -29,7 +29,8 @@
   void *user;
 } Claim;
 
-/* A row that this instance wrote and has to delete. */
+/* An idempotency key's row that this instance wrote to the store, and deletes after the row has
+ * expired. */
 typedef struct
 {
   LbLink link;
@@ -41,10 +42,10 @@
 {
   LpPlatform *platform;
   struct event *sweep_timer;
-  LbList written_rows; /* WrittenRow, to be deleted after they expire */
+  LbList written_rows; /* WrittenRow items, deleted from the store after they expire */
   LbName incarnation;
-  uint64_t n_transactions; /* sent so far; makes their tokens unique */
-  LbList pending;          /* Claim in progress */
+  uint64_t n_transactions; /* number of transactions sent; makes their tokens unique */
+  LbList pending;          /* Claim items that wait for an answer of the store */
 };
 
 static LbMetric keys_claimed
@@ -68,10 +69,11 @@
     lb_metric_count_error (error);
 }
 
-/* Deletes expired rows, which would otherwise fill the table. Only the instance that wrote a row
- * deletes it, so no condition is needed. Rows of a failed transaction stay. */
+/* Deletes expired rows, which would otherwise fill the store's table. Only the instance that wrote
+ * a row deletes it, so the transaction has no condition. If the transaction fails, its rows stay in
+ * the store. */
 static void
-on_sweep (evutil_socket_t fd, short what, void *user)
+on_sweep_timer (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -107,7 +109,7 @@
   const struct timeval period = { .tv_sec = SWEEP_PERIOD_SECONDS };
   LnClaims *claims = LB_NEW (LnClaims);
 
-  claims->sweep_timer = event_new (base, -1, EV_PERSIST, on_sweep, claims);
+  claims->sweep_timer = event_new (base, -1, EV_PERSIST, on_sweep_timer, claims);
   event_add (claims->sweep_timer, &period);
   lb_list_init (&claims->written_rows);
 
@@ -124,7 +126,7 @@
   free (claim);
 }
 
-/* Must be called only when the platform can no longer answer. */
+/* Must not be called while the platform may still answer, since its callbacks use the claims. */
 void
 ln_claims_free (LnClaims *claims)
 {
@@ -149,7 +151,7 @@
 }
 
 static void
-remember_row (const Claim *claim)
+remember_written_row (const Claim *claim)
 {
   WrittenRow *row = LB_NEW (WrittenRow);
 
@@ -162,13 +164,13 @@
 finish_claim (Claim *claim, const char *ticket)
 {
   if (strcmp (ticket, claim->ticket) == 0)
-    remember_row (claim);
+    remember_written_row (claim);
   claim->on_done (ticket, NULL, claim->user);
   claim_free (claim);
 }
 
-/* No call was or will be dispatched for this claim, so "not run" is true even if the row was
- * written after all: then it names an unused ticket. */
+/* Fails the claim with a "not run" error, which is true even if the row was written: no call is
+ * dispatched for the claim, and the row then names an unused ticket. */
 static void
 fail_claim (Claim *claim, LbErrorCode cause)
 {
@@ -192,8 +194,8 @@
     fail_claim (claim, error == LB_OK ? LB_ERROR_NOT_FOUND : error);
 }
 
-/* If the store's reply is lost, the row may have been written or not: it is read back and decides
- * which ticket holds the key. */
+/* If the store's reply is lost, the row may or may not have been written. The row is then read
+ * back, and names the ticket that holds the key. */
 static void
 on_row_written (LbErrorCode error, const LpRow *row, void *user)
 {
@@ -218,7 +220,7 @@
 }
 
 static void
-make_row_key (Claim *claim, const char *caller, const char *key)
+set_claim_row_key (Claim *claim, const char *caller, const char *key)
 {
   char *scoped_key = lb_asprintf ("%s\n%s", caller, key);
   XXH128_hash_t hash = XXH3_128bits (scoped_key, strlen (scoped_key));
@@ -245,7 +247,7 @@
   claim->expires_at = expires_at;
   claim->user = user;
   LB_COPY (claim->ticket, ticket);
-  make_row_key (claim, caller, key);
+  set_claim_row_key (claim, caller, key);
   lb_list_append (&claims->pending, &claim->link);
   snprintf (token, sizeof token, "claim-%s-%" PRIu64, claims->incarnation,
             ++claims->n_transactions);
--- a/packages/node/src/calls/ln-poller.c
+++ b/packages/node/src/calls/ln-poller.c
@@ -24,7 +24,7 @@
   int64_t next_event;    /* sequence number of the first cache event to request */
   char incarnation[40];
   LbTime load_requested_at;
-  bool is_configured; /* used by ln_poller_configure: the new configuration contains it */
+  bool is_configured; /* used by ln_poller_configure: the new configuration contains the target */
 } Target;
 
 struct LnPoller
@@ -49,7 +49,7 @@
 }
 
 static struct json_object *
-parse_reply (const LhResult *result)
+parse_json_reply (const LhResult *result)
 {
   struct json_object *object = NULL;
   LbError error;
@@ -62,9 +62,9 @@
   return NULL;
 }
 
-/* A new incarnation restarts the sequence of its cache events. */
+/* A new incarnation of an endpoint restarts the sequence numbers of its cache events. */
 static void
-set_incarnation (Target *target, const char *incarnation)
+update_incarnation (Target *target, const char *incarnation)
 {
   if (strcmp (target->incarnation, incarnation) == 0)
     return;
@@ -73,11 +73,11 @@
 }
 
 static void
-on_load (LhFetch *fetch, const LhResult *result, void *user)
+on_load_reply (LhFetch *fetch, const LhResult *result, void *user)
 {
   (void)fetch;
   Target *target = user;
-  struct json_object *object = parse_reply (result);
+  struct json_object *object = parse_json_reply (result);
   LcLoadReport report = { .measured_at = target->load_requested_at };
 
   target->load_fetch = NULL;
@@ -95,7 +95,7 @@
   report.waiting = json_object_get_int64 (lb_json_member (object, "waiting"));
   report.tokens_per_second = json_object_get_double (lb_json_member (object, "tokens_per_second"));
   report.kv_used = json_object_get_double (lb_json_member (object, "kv_used"));
-  set_incarnation (target, report.incarnation);
+  update_incarnation (target, report.incarnation);
   json_object_put (object);
   target->poller->handlers.on_report (target->name, &report, target->poller->user);
 }
@@ -117,11 +117,11 @@
 }
 
 static void
-on_events (LhFetch *fetch, const LhResult *result, void *user)
+on_cache_events_reply (LhFetch *fetch, const LhResult *result, void *user)
 {
   (void)fetch;
   Target *target = user;
-  struct json_object *object = parse_reply (result);
+  struct json_object *object = parse_json_reply (result);
   struct json_object *events = object ? lb_json_member (object, "events") : NULL;
 
   target->events_fetch = NULL;
@@ -134,9 +134,9 @@
 }
 
 static LhFetch *
-start_get (Target *target,
-           const char *path,
-           void (*on_done) (LhFetch *fetch, const LhResult *result, void *user))
+start_get_request (Target *target,
+                   const char *path,
+                   void (*on_done) (LhFetch *fetch, const LhResult *result, void *user))
 {
   const LhHandlers handlers = { .on_done = on_done };
   LbTime idle_timeout = target->poller->period * 4;
@@ -156,16 +156,16 @@
   if (!target->load_fetch)
     {
       target->load_requested_at = lb_clock_monotonic ();
-      target->load_fetch = start_get (target, "/load", on_load);
+      target->load_fetch = start_get_request (target, "/load", on_load_reply);
     }
   if (!target->is_engine || target->events_fetch)
     return;
   snprintf (path, sizeof path, "/cache_events?since=%lld", (long long)target->next_event);
-  target->events_fetch = start_get (target, path, on_events);
+  target->events_fetch = start_get_request (target, path, on_cache_events_reply);
 }
 
 static void
-on_timer (evutil_socket_t fd, short what, void *user)
+on_poll_timer (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -192,7 +192,7 @@
   poller->handlers = *handlers;
   poller->user = user;
   lb_list_init (&poller->targets);
-  poller->timer = event_new (base, -1, EV_PERSIST, on_timer, poller);
+  poller->timer = event_new (base, -1, EV_PERSIST, on_poll_timer, poller);
   event_add (poller->timer, &tv);
   return poller;
 }
@@ -222,7 +222,7 @@
 }
 
 static void
-add_target (LnPoller *poller, const LcEndpointMember *member)
+add_and_poll_target (LnPoller *poller, const LcEndpointMember *member)
 {
   Target *target = LB_NEW (Target);
 
@@ -249,7 +249,7 @@
       if (target)
         target->is_configured = true;
       else
-        add_target (poller, &set->endpoints[i]);
+        add_and_poll_target (poller, &set->endpoints[i]);
     }
   LB_LIST_FOREACH (&poller->targets, Target, link, stale)
   {
--- a/packages/node/src/calls/ln-relay.c
+++ b/packages/node/src/calls/ln-relay.c
@@ -16,12 +16,13 @@
 #include <strings.h>
 
 #define MAX_LISTED_ADDRESSES 3
-/* Added to the deadline, so that the other instance's own timeout reply arrives first. */
-#define DEADLINE_MARGIN (2 * LB_SEC)
+/* Added to the call's deadline, so that the timeout reply of the instance that runs the call
+ * arrives before the relay's own timeout. */
+#define REPLY_TIMEOUT_MARGIN (2 * LB_SEC)
 
 typedef struct
 {
-  LnExchangeHandler handler; /* first */
+  LnExchangeHandler handler; /* must be the first member, since handlers are cast to Relay */
   LbLink link;
   LnRelays *relays;
   LnExchange *exchange;
@@ -126,9 +127,9 @@
   return NULL;
 }
 
-/* Only the memory of the ticket's incarnation records whether the call has run. Without its answer
- * the outcome is unknown, even if no byte of this relay was sent: the same ticket may have been
- * used before. */
+/* Only the instance that issued the ticket knows, in its memory, whether the call has run. Without
+ * an answer from that instance the outcome is unknown, even if the relay sent no byte, since the
+ * ticket may have been used before. */
 static void
 reply_outcome_unknown (LnExchange *exchange, const char *instance)
 {
@@ -140,14 +141,14 @@
 }
 
 static void
-forward_header (const char *name, const char *value, void *user)
+forward_header_to_caller (const char *name, const char *value, void *user)
 {
   if (!ln_is_hop_by_hop_header (name))
     ln_exchange_set_header (user, name, value);
 }
 
 static void
-on_done (LhFetch *fetch, const LhResult *result, void *user)
+on_relay_done (LhFetch *fetch, const LhResult *result, void *user)
 {
   Relay *relay = user;
   LnExchange *exchange = relay->exchange;
@@ -156,7 +157,7 @@
     reply_outcome_unknown (exchange, relay->instance);
   else
     {
-      lh_fetch_each_header (fetch, forward_header, exchange);
+      lh_fetch_each_header (fetch, forward_header_to_caller, exchange);
       ln_exchange_reply_text (exchange, result->status, NULL, result->body, result->body_length);
     }
   relay_free (relay);
@@ -173,14 +174,14 @@
 }
 
 static void
-add_header (HeaderList *headers, const char *name, const char *value)
+append_header (HeaderList *headers, const char *name, const char *value)
 {
   headers->items = lb_realloc (headers->items, (headers->count + 1) * sizeof (LhHeader));
   headers->items[headers->count++] = (LhHeader){ .name = name, .value = value };
 }
 
 static void
-copy_header (const char *name, const char *value, void *user)
+copy_forwarded_header (const char *name, const char *value, void *user)
 {
   static const char *const replaced_headers[]
       = { "x-ticket", "idempotency-key", "x-caller", "x-relayed-by", "x-deadline-ms" };
@@ -189,17 +190,17 @@
     if (strcasecmp (name, replaced_headers[i]) == 0)
       return;
   if (!ln_is_hop_by_hop_header (name))
-    add_header (user, name, value);
+    append_header (user, name, value);
 }
 
 static LhFetch *
-start_request (LnRelays *relays,
-               Relay *relay,
-               const LnMember *member,
-               const LnRelayTarget *target,
-               LbError *error)
+start_relay_request (LnRelays *relays,
+                     Relay *relay,
+                     const LnMember *member,
+                     const LnRelayTarget *target,
+                     LbError *error)
 {
-  static const LhHandlers handlers = { .on_done = on_done };
+  static const LhHandlers handlers = { .on_done = on_relay_done };
   const char *query = ln_exchange_raw_query (relay->exchange);
   LbTime time_left = target->deadline - lb_clock_monotonic ();
   char time_left_ms[32];
@@ -210,20 +211,21 @@
 
   snprintf (time_left_ms, sizeof time_left_ms, "%lld",
             (long long)(time_left > 0 ? time_left / LB_MSEC : 0));
-  ln_exchange_foreach_header (relay->exchange, copy_header, &headers);
-  add_header (&headers, "x-ticket", target->ticket);
-  add_header (&headers, "x-caller", target->caller);
-  add_header (&headers, "x-deadline-ms", time_left_ms);
-  add_header (&headers, "x-relayed-by", relays->context->instance);
+  ln_exchange_foreach_header (relay->exchange, copy_forwarded_header, &headers);
+  append_header (&headers, "x-ticket", target->ticket);
+  append_header (&headers, "x-caller", target->caller);
+  append_header (&headers, "x-deadline-ms", time_left_ms);
+  append_header (&headers, "x-relayed-by", relays->context->instance);
   const char *body = ln_exchange_body (relay->exchange, &length);
-  const LhRequest request = { .method = ln_exchange_method (relay->exchange),
-                              .address = member->caller_address,
-                              .path = path,
-                              .headers = headers.items,
-                              .n_headers = headers.count,
-                              .body = body,
-                              .body_length = length,
-                              .idle_timeout = (time_left > 0 ? time_left : 0) + DEADLINE_MARGIN };
+  const LhRequest request
+      = { .method = ln_exchange_method (relay->exchange),
+          .address = member->caller_address,
+          .path = path,
+          .headers = headers.items,
+          .n_headers = headers.count,
+          .body = body,
+          .body_length = length,
+          .idle_timeout = (time_left > 0 ? time_left : 0) + REPLY_TIMEOUT_MARGIN };
   LhFetch *fetch = lh_fetch_start (relays->context->http_pool, &request, &handlers, relay, error);
   free (headers.items);
   free (path);
@@ -238,7 +240,7 @@
   const LnMember *member = find_live_member (relays, target);
   LbError error = { 0 };
 
-  /* A second relay could loop for ever. */
+  /* A call is relayed only once, since a second relay could start an endless loop. */
   if (!member || ln_exchange_header (exchange, "x-relayed-by"))
     {
       reply_outcome_unknown (exchange, target->instance);
@@ -250,7 +252,7 @@
   relay->exchange = exchange;
   LB_COPY (relay->instance, target->instance);
   lb_list_append (&relays->active_relays, &relay->link);
-  relay->fetch = start_request (relays, relay, member, target, &error);
+  relay->fetch = start_relay_request (relays, relay, member, target, &error);
   if (!relay->fetch)
     {
       relay_free (relay);
