--- a/packages/node/tests/node-fixture.h
+++ b/packages/node/tests/node-fixture.h
@@ -23,10 +23,10 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Runs the front and calls tasks in the process of the test. The test acts as callers and endpoints
- * on the other ends of all sockets, byte by byte, and runs the event loop in between. */
 #define FIXTURE_TIMEOUT (20 * LB_SEC)
 
+/* Runs the front and calls tasks in the test process. The test acts as the callers and endpoints at
+ * the other ends of all sockets, and runs the event loop itself. */
 typedef struct
 {
   struct event_base *base;
@@ -36,7 +36,7 @@
   LnTask *calls;
 } Fixture;
 
-/* The test's end of one connection, with the bytes received on it. */
+/* The test's end of a connection to the daemon, with the bytes received on the connection. */
 typedef struct
 {
   int fd;
@@ -156,6 +156,7 @@
   cr_assert_eq (send (peer->fd, text, length, 0), (ssize_t)length);
 }
 
+/* Receives the bytes that are available. Always returns true, for use in FIXTURE_WAIT_UNTIL. */
 static inline bool
 peer_read (Peer *peer)
 {
@@ -193,7 +194,7 @@
   peer->text[0] = '\0';
 }
 
-/* Opens a connection as a caller. */
+/* Connects to the daemon's listener for callers. */
 static inline void
 caller_connect (Fixture *f, Peer *caller)
 {
@@ -226,8 +227,9 @@
   free (text);
 }
 
-/* Accepts the next call at an endpoint. Also answers load polls, since the daemon sends no work to
- * an endpoint without a load report; polls for cache events are answered by a close. */
+/* Accepts the next call at the endpoint's listener; false if none has arrived yet. Also answers
+ * load polls, since the daemon sends no work to an endpoint without a load report, and closes the
+ * connections of polls for cache events. */
 static inline bool
 endpoint_try_accept_call (int listener, Peer *peer)
 {
@@ -301,7 +303,8 @@
   peer_send (peer, "0\r\n\r\n");
 }
 
-/* Applies a configuration: a pool "p" with one engine per address, and a service "s" likewise. */
+/* Applies a configuration with a pool "p" of engines and a service "s" of plain services, one
+ * endpoint per address. */
 static inline void
 fixture_configure (Fixture *f, const char *const *engines, const char *const *services)
 {
--- a/packages/node/tests/test-calls-start.c
+++ b/packages/node/tests/test-calls-start.c
@@ -11,7 +11,7 @@
 } SlowStore;
 
 static void
-slow_scan (LpPlatform *platform, const char *prefix, LpRowsDone done, void *user)
+slow_store_scan (LpPlatform *platform, const char *prefix, LpRowsDone done, void *user)
 {
   (void)prefix;
   SlowStore *store = (SlowStore *)platform;
@@ -21,16 +21,17 @@
 }
 
 static void
-slow_free (LpPlatform *platform)
+slow_store_free (LpPlatform *platform)
 {
   (void)platform;
 }
 
-static const LpPlatformClass slow_class = { .name = "slow", .free = slow_free, .scan = slow_scan };
+static const LpPlatformClass slow_store_class
+    = { .name = "slow", .free = slow_store_free, .scan = slow_store_scan };
 
-/* Answers with crash reports of three endpoints for this call. */
+/* Answers the pending scan with three endpoints' crash reports for the call with path and body. */
 static void
-answer_scan (SlowStore *store, const char *path, const char *body)
+answer_scan_with_crash_reports (SlowStore *store, const char *path, const char *body)
 {
   char content[LC_FINGERPRINT_TEXT_SIZE];
   LpRow rows[3];
@@ -50,7 +51,7 @@
 }
 
 static void
-expect_refusal (Fixture *f, const char *error)
+expect_call_is_refused_with (Fixture *f, const char *error)
 {
   Peer caller;
 
@@ -61,12 +62,12 @@
   peer_close (&caller);
 }
 
-/* After a restart of all instances, one on a busy machine had its configuration before the crash
- * reports. It accepted a call that had crashed three endpoints and crashed the fourth and last one.
- */
+/* After a restart of all instances, one instance on a busy machine had its configuration before the
+ * crash reports. The instance accepted a call that had crashed three endpoints, and the call
+ * crashed the fourth and last endpoint. */
 Test (calls_start, calls_are_refused_until_crash_reports_are_known)
 {
-  SlowStore store = { .platform.klass = &slow_class };
+  SlowStore store = { .platform.klass = &slow_store_class };
   Fixture f;
   Peer service = { 0 };
   LbName address;
@@ -76,10 +77,10 @@
   f.context.platform = &store.platform;
   fixture_start_tasks (&f);
   fixture_configure (&f, NULL, (const char *[]){ address, NULL });
-  expect_refusal (&f, "not_ready");
+  expect_call_is_refused_with (&f, "not_ready");
   cr_assert (store.on_scanned);
-  answer_scan (&store, "/order", "BAD");
-  expect_refusal (&f, "quarantined");
+  answer_scan_with_crash_reports (&store, "/order", "BAD");
+  expect_call_is_refused_with (&f, "quarantined");
   cr_assert_not (endpoint_try_accept_call (listener, &service),
                  "the call was sent to the endpoint: %s", service.text);
   fixture_clear (&f);
--- a/packages/node/tests/test-calls.c
+++ b/packages/node/tests/test-calls.c
@@ -1,7 +1,7 @@
 #include "node-fixture.h"
 
-#define BODY(extra) "{\"model\":\"p\",\"prompt\":\"hello\",\"max_tokens\":2" extra "}"
-#define STREAM BODY (",\"stream\":true")
+#define COMPLETION_BODY(extra) "{\"model\":\"p\",\"prompt\":\"hello\",\"max_tokens\":2" extra "}"
+#define STREAM_BODY COMPLETION_BODY (",\"stream\":true")
 
 typedef struct
 {
@@ -11,7 +11,7 @@
 } Setup;
 
 static void
-setup_init (Setup *s, int n_engines)
+setup_init_with_engines (Setup *s, int n_engines)
 {
   const char *addresses[3] = { NULL };
 
@@ -31,9 +31,10 @@
   fixture_clear (&s->f);
 }
 
-/* Accepts the call at whichever of two engines was chosen; returns its index. */
+/* Accepts the call at the engine that the daemon chose, and reads the attempt's id. Returns the
+ * index of the engine. */
 static int
-accept_any (Setup *s, Peer *peer, char id[96])
+accept_call_at_chosen_engine (Setup *s, Peer *peer, char id[96])
 {
   Peer candidates[2] = { 0 };
   int chosen = -1;
@@ -49,15 +50,15 @@
   return chosen;
 }
 
-Test (calls, stream_is_forwarded_under_the_callers_id)
+Test (calls, stream_is_forwarded_without_the_attempts_id)
 {
   Setup s;
   Peer caller, engine;
   char id[96];
 
-  setup_init (&s, 1);
+  setup_init_with_engines (&s, 1);
   caller_connect (&s.f, &caller);
-  caller_send_post (&caller, "/v1/completions", "", STREAM);
+  caller_send_post (&caller, "/v1/completions", "", STREAM_BODY);
   endpoint_accept_stream_call (&s.f, s.listener[0], &engine, id);
   endpoint_send_stream_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", false);
@@ -75,17 +76,17 @@
   setup_clear (&s);
 }
 
-/* An HTTP/1.0 client would read chunk headers as part of its answer. */
-Test (calls, stream_to_http_1_0_has_no_chunks)
+/* A caller with HTTP/1.0 would read the chunk headers as part of the answer. */
+Test (calls, stream_to_an_http_1_0_caller_is_not_chunked)
 {
   Setup s;
   Peer caller, engine;
   char id[96];
 
-  setup_init (&s, 1);
+  setup_init_with_engines (&s, 1);
   caller_connect (&s.f, &caller);
   char *text = lb_asprintf ("POST /v1/completions HTTP/1.0\r\nContent-Length: %zu\r\n\r\n%s",
-                            strlen (STREAM), STREAM);
+                            strlen (STREAM_BODY), STREAM_BODY);
   peer_send (&caller, text);
   free (text);
   endpoint_accept_stream_call (&s.f, s.listener[0], &engine, id);
@@ -108,9 +109,9 @@
   Peer caller, engine;
   char id[96];
 
-  setup_init (&s, 1);
+  setup_init_with_engines (&s, 1);
   caller_connect (&s.f, &caller);
-  caller_send_post (&caller, "/v1/completions", "", BODY (""));
+  caller_send_post (&caller, "/v1/completions", "", COMPLETION_BODY (""));
   endpoint_accept_stream_call (&s.f, s.listener[0], &engine, id);
   endpoint_send_stream_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", false);
@@ -126,16 +127,16 @@
 }
 
 /* The caller disconnects while its answer streams. The connection to the engine must be closed, or
- * it would go on generating tokens that nobody reads. */
+ * the engine would generate more tokens that nobody reads. */
 Test (calls, caller_disconnect_cancels_the_engines_stream)
 {
   Setup s;
   Peer caller, engine;
   char id[96];
 
-  setup_init (&s, 1);
+  setup_init_with_engines (&s, 1);
   caller_connect (&s.f, &caller);
-  caller_send_post (&caller, "/v1/completions", "", STREAM);
+  caller_send_post (&caller, "/v1/completions", "", STREAM_BODY);
   endpoint_accept_stream_call (&s.f, s.listener[0], &engine, id);
   endpoint_send_stream_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", false);
@@ -148,19 +149,19 @@
 }
 
 /* The caller disconnects in the loop iteration in which its answer ends, so LN_CALLER_DISCONNECTED
- * is queued while the exchange is replied to. The exchange must not be freed before both are
- * handled. */
-Test (calls, caller_disconnect_as_the_answer_ends_is_safe)
+ * is queued while the exchange is replied to. The exchange must not be freed before the queued
+ * message is handled. */
+Test (calls, caller_disconnect_while_the_answer_ends_does_not_crash)
 {
   Setup s;
   Peer caller, engine;
   char id[96];
 
-  setup_init (&s, 1);
+  setup_init_with_engines (&s, 1);
   for (int i = 0; i < 20; i++)
     {
       caller_connect (&s.f, &caller);
-      caller_send_post (&caller, "/v1/completions", "", i % 2 ? STREAM : BODY (""));
+      caller_send_post (&caller, "/v1/completions", "", i % 2 ? STREAM_BODY : COMPLETION_BODY (""));
       endpoint_accept_stream_call (&s.f, s.listener[0], &engine, id);
       endpoint_send_stream_head (&engine);
       endpoint_send_token (&engine, id, 0, " one", true);
@@ -173,16 +174,16 @@
 }
 
 /* An engine or a proxy mixes up two streams, so a caller would read another caller's answer. An
- * event with another id ends the attempt, and its text is dropped. */
-Test (calls, event_of_another_request_is_dropped)
+ * event with the id of another attempt ends the attempt, and the text of the event is dropped. */
+Test (calls, event_with_another_requests_id_is_dropped)
 {
   Setup s;
   Peer caller, engine;
   char id[96];
 
-  setup_init (&s, 1);
+  setup_init_with_engines (&s, 1);
   caller_connect (&s.f, &caller);
-  caller_send_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\n", STREAM);
+  caller_send_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\n", STREAM_BODY);
   endpoint_accept_stream_call (&s.f, s.listener[0], &engine, id);
   endpoint_send_stream_head (&engine);
   endpoint_send_token (&engine, "other-1.1", 0, " secret", false);
@@ -195,17 +196,17 @@
   setup_clear (&s);
 }
 
-/* An engine sends an event whose id is null. Comparing it as a string crashed the instance with all
- * its streams. */
+/* An engine sends an event whose id is null. Comparing the null id as a string crashed the instance
+ * with all its streams. */
 Test (calls, event_with_a_null_id_ends_the_attempt)
 {
   Setup s;
   Peer caller, engine;
   char id[96];
 
-  setup_init (&s, 1);
+  setup_init_with_engines (&s, 1);
   caller_connect (&s.f, &caller);
-  caller_send_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\n", STREAM);
+  caller_send_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\n", STREAM_BODY);
   endpoint_accept_stream_call (&s.f, s.listener[0], &engine, id);
   endpoint_send_stream_head (&engine);
   endpoint_send_chunk (&engine,
@@ -218,17 +219,17 @@
 
 /* An engine replies with an error whose type is null. That is not a refusal, so it does not prove
  * that the call did not start. */
-Test (calls, refusal_with_a_null_type_may_have_run)
+Test (calls, error_reply_with_a_null_type_may_have_run)
 {
   Setup s;
   Peer caller, engine;
   char id[96];
   static const char body[] = "{\"error\":{\"type\":null}}";
 
-  setup_init (&s, 1);
+  setup_init_with_engines (&s, 1);
   caller_connect (&s.f, &caller);
-  caller_send_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\n", BODY (""));
-  accept_any (&s, &engine, id);
+  caller_send_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\n", COMPLETION_BODY (""));
+  accept_call_at_chosen_engine (&s, &engine, id);
   char *reply
       = lb_asprintf ("HTTP/1.1 503 Busy\r\nContent-Length: %zu\r\n\r\n%s", sizeof body - 1, body);
   peer_send (&engine, reply);
@@ -240,10 +241,10 @@
   setup_clear (&s);
 }
 
-/* A middlebox drops the state of the connection to the engine in mid-answer, so nothing more
- * arrives on it. After stream_silence_ms without even a keep-alive the attempt counts as broken,
- * and the stream is resumed at its last offset on a new connection, so the caller gets the complete
- * answer. */
+/* A middlebox drops the state of the connection to the engine in the middle of the answer, so
+ * nothing more arrives. After stream_silence_ms without even a keep-alive, the attempt counts as
+ * broken. The stream is resumed at its last offset on a new connection, so that the caller gets the
+ * complete answer. */
 Test (calls, silent_stream_is_resumed_at_its_last_offset)
 {
   Setup s;
@@ -258,12 +259,12 @@
   fixture_start_tasks (&s.f);
   fixture_configure (&s.f, (const char *[]){ s.address[0], s.address[1], NULL }, NULL);
   caller_connect (&s.f, &caller);
-  caller_send_post (&caller, "/v1/completions", "", STREAM);
-  accept_any (&s, &engine, id);
+  caller_send_post (&caller, "/v1/completions", "", STREAM_BODY);
+  accept_call_at_chosen_engine (&s, &engine, id);
   endpoint_send_stream_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", false);
   FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, " one"));
-  accept_any (&s, &resumed, id);
+  accept_call_at_chosen_engine (&s, &resumed, id);
   FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&resumed, "\"offset\":1"));
   cr_assert (strstr (resumed.text, "\"text\":\" one\""), "%s", resumed.text);
   endpoint_send_stream_head (&resumed);
@@ -285,9 +286,9 @@
   Peer caller, engine;
   char id[96];
 
-  setup_init (&s, 1);
+  setup_init_with_engines (&s, 1);
   caller_connect (&s.f, &caller);
-  caller_send_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\n", STREAM);
+  caller_send_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\n", STREAM_BODY);
   endpoint_accept_stream_call (&s.f, s.listener[0], &engine, id);
   endpoint_send_stream_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", false);
@@ -302,16 +303,16 @@
 
 /* Nothing listens at the endpoint's address. No byte was sent, so the error is "not run", even for
  * a call that is not repeatable. */
-Test (calls, refused_connection_is_not_run)
+Test (calls, refused_connection_is_reported_as_not_run)
 {
   Setup s;
   Peer caller;
 
-  setup_init (&s, 1);
+  setup_init_with_engines (&s, 1);
   close (s.listener[0]);
   caller_connect (&s.f, &caller);
   caller_send_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\nx-deadline-ms: 1000\r\n",
-                    BODY (""));
+                    COMPLETION_BODY (""));
   FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "not_run"));
   cr_assert (strstr (caller.text, "\"not_run\":true"), "%s", caller.text);
   cr_assert (strstr (caller.text, "x-not-run: 1"));
@@ -321,17 +322,17 @@
 
 /* The engine receives the request and closes the connection before it answers, so the call may have
  * run. A call that is not repeatable gets "outcome unknown" and is not sent to another engine. */
-Test (calls, connection_lost_after_sending_is_outcome_unknown)
+Test (calls, connection_lost_after_sending_is_reported_as_outcome_unknown)
 {
   Setup s;
   Peer caller, engine;
   Peer other = { 0 };
   char id[96];
 
-  setup_init (&s, 2);
+  setup_init_with_engines (&s, 2);
   caller_connect (&s.f, &caller);
-  caller_send_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\n", BODY (""));
-  int chosen = accept_any (&s, &engine, id);
+  caller_send_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\n", COMPLETION_BODY (""));
+  int chosen = accept_call_at_chosen_engine (&s, &engine, id);
   peer_close (&engine);
   FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "outcome_unknown"));
   cr_assert (strstr (caller.text, "\"not_run\":false"), "%s", caller.text);
@@ -350,15 +351,15 @@
   char id[96];
   static const char body[] = "{\"error\":{\"type\":\"not_started\"}}";
 
-  setup_init (&s, 2);
+  setup_init_with_engines (&s, 2);
   caller_connect (&s.f, &caller);
-  caller_send_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\n", BODY (""));
-  accept_any (&s, &engine, id);
+  caller_send_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\n", COMPLETION_BODY (""));
+  accept_call_at_chosen_engine (&s, &engine, id);
   char *reply
       = lb_asprintf ("HTTP/1.1 503 Busy\r\nContent-Length: %zu\r\n\r\n%s", sizeof body - 1, body);
   peer_send (&engine, reply);
   free (reply);
-  accept_any (&s, &next, id);
+  accept_call_at_chosen_engine (&s, &next, id);
   endpoint_send_stream_head (&next);
   endpoint_send_token (&next, id, 0, " one", true);
   endpoint_send_stream_end (&next);
@@ -378,9 +379,9 @@
   FIXTURE_WAIT_UNTIL (&s->f, peer_read (engine));
 }
 
-/* A middlebox dropped the state of all idle connections to an endpoint. The next request on one of
- * them gets lost, and so would each retry on another one. The first timeout closes all idle
- * connections to that address, so the retry opens a new one, which works. */
+/* A middlebox dropped the state of all idle connections to an endpoint, so requests on them get
+ * lost. The first timeout must close all idle connections to the endpoint's address. The retry then
+ * opens a new connection, which works. */
 Test (calls, timeout_closes_all_idle_connections_to_the_address)
 {
   Setup s;
@@ -395,9 +396,9 @@
   fixture_configure (&s.f, (const char *[]){ s.address[0], NULL }, NULL);
   caller_connect (&s.f, &caller);
   caller_connect (&s.f, &other);
-  caller_send_post (&caller, "/v1/completions", "", BODY (""));
+  caller_send_post (&caller, "/v1/completions", "", COMPLETION_BODY (""));
   endpoint_accept_stream_call (&s.f, s.listener[0], &idle[0], id);
-  caller_send_post (&other, "/v1/completions", "", BODY (""));
+  caller_send_post (&other, "/v1/completions", "", COMPLETION_BODY (""));
   char second[96];
   endpoint_accept_stream_call (&s.f, s.listener[0], &idle[1], second);
   reply_with_one_token (&s, &idle[0], id, " one");
@@ -407,7 +408,7 @@
   peer_clear_text (&idle[0]);
   peer_clear_text (&idle[1]);
 
-  caller_send_post (&caller, "/v1/completions", "", BODY (""));
+  caller_send_post (&caller, "/v1/completions", "", COMPLETION_BODY (""));
   FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&idle[0], "POST /v1")
                                 || peer_has_received (&idle[1], "POST /v1"));
   endpoint_accept_stream_call (&s.f, s.listener[0], &fresh, id);
@@ -429,9 +430,9 @@
   free (((LnMembersMessage *)message)->members);
 }
 
-/* Members: this instance, a live one, a suspected one and a draining one. */
+/* Posts four members: this instance, a live one, a suspected one and a draining one. */
 static void
-post_members (Setup *s)
+post_members_of_four_instances (Setup *s)
 {
   LnMembersMessage message = { .base = LN_MESSAGE (LN_MEMBERS), .n_members = 4 };
 
@@ -451,23 +452,23 @@
 
 /* The instance is drained while an answer streams. New calls are refused as "not run", the stream
  * runs to its end, and only then is the instance idle. */
-Test (calls, drain_lets_streams_finish)
+Test (calls, drain_refuses_new_calls_and_lets_streams_finish)
 {
   Setup s;
   Peer caller, late, engine;
   char id[96];
 
-  setup_init (&s, 1);
+  setup_init_with_engines (&s, 1);
   caller_connect (&s.f, &caller);
-  caller_send_post (&caller, "/v1/completions", "", STREAM);
+  caller_send_post (&caller, "/v1/completions", "", STREAM_BODY);
   endpoint_accept_stream_call (&s.f, s.listener[0], &engine, id);
   endpoint_send_stream_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", false);
   FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, " one"));
-  post_members (&s);
+  post_members_of_four_instances (&s);
   ln_hub_drain (s.f.context.hub);
   caller_connect (&s.f, &late);
-  caller_send_post (&late, "/v1/completions", "", BODY (""));
+  caller_send_post (&late, "/v1/completions", "", COMPLETION_BODY (""));
   FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&late, "draining"));
   cr_assert (strstr (late.text, "x-not-run: 1"));
   cr_assert (strstr (late.text, "x-entry-stale: 1"));
@@ -484,9 +485,9 @@
   setup_clear (&s);
 }
 
-/* Sends as much as the socket accepts; true when all of it was sent. */
+/* Sends as much of the text as the socket accepts; returns true when the whole text was sent. */
 static bool
-send_available (Peer *peer, const char *text, size_t length, size_t *sent)
+send_available_bytes (Peer *peer, const char *text, size_t length, size_t *sent)
 {
   ssize_t n = send (peer->fd, text + *sent, length - *sent, 0);
 
@@ -495,9 +496,9 @@
   return *sent == length;
 }
 
-/* A caller stops reading in mid-answer but keeps its connection open, so the engine's output would
- * fill the daemon's memory. Above a limit the caller counts as disconnected, and the engine's
- * stream is cancelled. */
+/* A caller stops reading in the middle of its answer but keeps its connection open, so the engine's
+ * output would fill the daemon's memory. Above a limit on unsent output, the caller counts as
+ * disconnected and the engine's stream is cancelled. */
 Test (calls, caller_that_stops_reading_counts_as_disconnected)
 {
   Setup s;
@@ -509,9 +510,9 @@
 
   memset (text, 'a', (size_t)text_length);
   text[text_length] = '\0';
-  setup_init (&s, 1);
+  setup_init_with_engines (&s, 1);
   caller_connect (&s.f, &caller);
-  caller_send_post (&caller, "/v1/completions", "", STREAM);
+  caller_send_post (&caller, "/v1/completions", "", STREAM_BODY);
   endpoint_accept_stream_call (&s.f, s.listener[0], &engine, id);
   endpoint_send_stream_head (&engine);
   while (!engine.closed && offset < 200)
@@ -522,7 +523,7 @@
                                  id, text, offset++);
       char *chunk = lb_asprintf ("%zx\r\n%s\r\n", strlen (event), event);
       size_t sent = 0;
-      FIXTURE_WAIT_UNTIL (&s.f, send_available (&engine, chunk, strlen (chunk), &sent)
+      FIXTURE_WAIT_UNTIL (&s.f, send_available_bytes (&engine, chunk, strlen (chunk), &sent)
                                     || peer_is_closed (&engine));
       free (event);
       free (chunk);
@@ -544,9 +545,9 @@
   Peer caller, engine;
   char id[96];
 
-  setup_init (&s, 1);
+  setup_init_with_engines (&s, 1);
   caller_connect (&s.f, &caller);
-  caller_send_post (&caller, "/v1/completions", "", STREAM);
+  caller_send_post (&caller, "/v1/completions", "", STREAM_BODY);
   endpoint_accept_stream_call (&s.f, s.listener[0], &engine, id);
   endpoint_send_stream_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", false);
@@ -559,7 +560,7 @@
 
 /* A service crashes in the middle of a reply without a length. The caller must not take the part
  * that was received for the complete reply. */
-Test (calls, reply_delimited_by_close_is_not_complete)
+Test (calls, reply_whose_body_ends_by_close_is_outcome_unknown)
 {
   Fixture f;
   Peer caller, service;
--- a/packages/node/tests/test-claims.c
+++ b/packages/node/tests/test-claims.c
@@ -41,7 +41,7 @@
 }
 
 static void
-run_until (struct event_base *base, const bool *condition)
+run_loop_until (struct event_base *base, const bool *condition)
 {
   LbTime deadline = lb_clock_monotonic () + 20 * LB_SEC;
 
@@ -54,17 +54,17 @@
 }
 
 static bool
-has_rows (struct event_base *base, LpPlatform *platform)
+store_has_claim_rows (struct event_base *base, LpPlatform *platform)
 {
   ScanResult scan = { 0 };
 
   platform->klass->scan (platform, "claim/", on_scanned, &scan);
-  run_until (base, &scan.is_done);
+  run_loop_until (base, &scan.is_done);
   return scan.error == LB_OK;
 }
 
-/* Without deletion the rows of idempotency keys fill the operators' table. A row is deleted once
- * its ticket has expired, and not before. */
+/* Rows of idempotency keys that are never deleted would fill the operators' table. A row must be
+ * deleted after its ticket has expired, and not before. */
 Test (claims, rows_of_expired_keys_are_deleted)
 {
   struct event_base *base = event_base_new ();
@@ -74,18 +74,18 @@
   LbTime deadline = lb_clock_monotonic () + 20 * LB_SEC;
 
   ln_claims_claim_key (claims, "shop", "k1", "i1.a.1", 0, on_claimed, &first);
-  run_until (base, &first.is_done);
+  run_loop_until (base, &first.is_done);
   cr_assert (first.is_ours);
-  while (has_rows (base, platform) && lb_clock_monotonic () < deadline)
+  while (store_has_claim_rows (base, platform) && lb_clock_monotonic () < deadline)
     usleep (1000);
-  cr_assert_not (has_rows (base, platform));
+  cr_assert_not (store_has_claim_rows (base, platform));
 
   ClaimResult second = { 0 };
   ln_claims_claim_key (claims, "shop", "k1", "i1.a.1", LB_TIME_NEVER, on_claimed, &second);
-  run_until (base, &second.is_done);
+  run_loop_until (base, &second.is_done);
   deadline = lb_clock_monotonic () + 3 * LB_SEC;
   while (lb_clock_monotonic () < deadline)
-    cr_assert (has_rows (base, platform));
+    cr_assert (store_has_claim_rows (base, platform));
   ln_claims_free (claims);
   platform->klass->free (platform);
   event_base_free (base);
--- a/packages/node/tests/test-tickets.c
+++ b/packages/node/tests/test-tickets.c
@@ -9,17 +9,17 @@
   LbErrorCode transact_error;
   LbErrorCode get_error;
   char key[128];
-  char value[256];     /* of the row; empty: no row */
+  char value[256];     /* value of the row; empty: no row */
   bool apply_on_error; /* writes take effect even if transact_error is returned */
   int n_transactions;
 } FakeStore;
 
 static void
-fake_transact (LpPlatform *platform,
-               const LpTransaction *transaction,
-               LpPriority priority,
-               LpTransactDone done,
-               void *user)
+fake_store_transact (LpPlatform *platform,
+                     const LpTransaction *transaction,
+                     LpPriority priority,
+                     LpTransactDone done,
+                     void *user)
 {
   (void)priority;
   FakeStore *store = (FakeStore *)platform;
@@ -38,7 +38,7 @@
 }
 
 static void
-fake_get (LpPlatform *platform, const char *key, LpRowsDone done, void *user)
+fake_store_get (LpPlatform *platform, const char *key, LpRowsDone done, void *user)
 {
   FakeStore *store = (FakeStore *)platform;
   const LpRow row = { .key = key, .value = store->value, .version = 1 };
@@ -50,7 +50,7 @@
 }
 
 static void
-fake_scan (LpPlatform *platform, const char *prefix, LpRowsDone done, void *user)
+fake_store_scan (LpPlatform *platform, const char *prefix, LpRowsDone done, void *user)
 {
   (void)platform;
   (void)prefix;
@@ -58,14 +58,16 @@
 }
 
 static void
-fake_free (LpPlatform *platform)
+fake_store_free (LpPlatform *platform)
 {
   (void)platform;
 }
 
-static const LpPlatformClass fake_class = {
-  .name = "fake", .free = fake_free, .transact = fake_transact, .get = fake_get, .scan = fake_scan
-};
+static const LpPlatformClass fake_store_class = { .name = "fake",
+                                                  .free = fake_store_free,
+                                                  .transact = fake_store_transact,
+                                                  .get = fake_store_get,
+                                                  .scan = fake_store_scan };
 
 typedef struct
 {
@@ -76,10 +78,10 @@
 } Setup;
 
 static void
-setup_init (Setup *s)
+setup_init_with_fake_store (Setup *s)
 {
   memset (&s->store, 0, sizeof s->store);
-  s->store.platform.klass = &fake_class;
+  s->store.platform.klass = &fake_store_class;
   fixture_init (&s->f);
   s->f.context.platform = &s->store.platform;
   s->listener = fixture_open_listener (s->address);
@@ -88,7 +90,7 @@
 }
 
 static void
-get_ticket (Setup *s, Peer *caller, char ticket[160])
+request_ticket (Setup *s, Peer *caller, char ticket[160])
 {
   caller_send_post (caller, "/v1/tickets", "", "");
   FIXTURE_WAIT_UNTIL (&s->f, peer_has_received (caller, "expires_in_ms"));
@@ -97,7 +99,7 @@
 }
 
 static void
-post_order (Peer *caller, const char *header, const char *value)
+send_order (Peer *caller, const char *header, const char *value)
 {
   char *line = lb_asprintf ("%s: %s\r\n", header, value);
 
@@ -117,7 +119,7 @@
 }
 
 static void
-expect_no_call (Setup *s)
+expect_no_call_at_the_endpoint (Setup *s)
 {
   Peer peer = { 0 };
 
@@ -137,19 +139,19 @@
   Peer caller, retry, service;
   char ticket[160];
 
-  setup_init (&s);
+  setup_init_with_fake_store (&s);
   caller_connect (&s.f, &caller);
-  get_ticket (&s, &caller, ticket);
-  post_order (&caller, "x-ticket", ticket);
+  request_ticket (&s, &caller, ticket);
+  send_order (&caller, "x-ticket", ticket);
   endpoint_accept_call (&s.f, s.listener, &service);
   service_send_reply (&service, "order 7");
   FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "order 7"));
   caller_connect (&s.f, &retry);
-  post_order (&retry, "x-ticket", ticket);
+  send_order (&retry, "x-ticket", ticket);
   FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&retry, "order 7"));
   cr_assert (strstr (retry.text, "text/plain"));
   peer_close (&service);
-  expect_no_call (&s);
+  expect_no_call_at_the_endpoint (&s);
   peer_close (&caller);
   peer_close (&retry);
   fixture_clear (&s.f);
@@ -163,15 +165,15 @@
   Peer caller, retry, service;
   char ticket[160];
 
-  setup_init (&s);
+  setup_init_with_fake_store (&s);
   caller_connect (&s.f, &caller);
-  get_ticket (&s, &caller, ticket);
-  post_order (&caller, "x-ticket", ticket);
+  request_ticket (&s, &caller, ticket);
+  send_order (&caller, "x-ticket", ticket);
   endpoint_accept_call (&s.f, s.listener, &service);
   peer_close (&caller);
   caller_connect (&s.f, &retry);
-  post_order (&retry, "x-ticket", ticket);
-  expect_no_call (&s);
+  send_order (&retry, "x-ticket", ticket);
+  expect_no_call_at_the_endpoint (&s);
   service_send_reply (&service, "order 7");
   FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&retry, "order 7"));
   FIXTURE_WAIT_UNTIL (&s.f, ln_hub_is_idle (s.f.context.hub));
@@ -180,42 +182,42 @@
   fixture_clear (&s.f);
 }
 
-/* The connection to the service breaks after it received the call, which may have run. A retry with
- * the same ticket must not run it a second time. */
-Test (tickets, ticket_of_a_broken_call_is_spent)
+/* The connection to the service breaks after the service received the call, which may have run. A
+ * retry with the same ticket must not run the call a second time. */
+Test (tickets, retry_of_a_broken_call_is_not_run_again)
 {
   Setup s;
   Peer caller, service;
   char ticket[160];
 
-  setup_init (&s);
+  setup_init_with_fake_store (&s);
   caller_connect (&s.f, &caller);
-  get_ticket (&s, &caller, ticket);
-  post_order (&caller, "x-ticket", ticket);
+  request_ticket (&s, &caller, ticket);
+  send_order (&caller, "x-ticket", ticket);
   endpoint_accept_call (&s.f, s.listener, &service);
   peer_close (&service);
   FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "outcome_unknown"));
   peer_clear_text (&caller);
-  post_order (&caller, "x-ticket", ticket);
+  send_order (&caller, "x-ticket", ticket);
   FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "outcome_unknown"));
-  expect_no_call (&s);
+  expect_no_call_at_the_endpoint (&s);
   peer_close (&caller);
   fixture_clear (&s.f);
 }
 
 /* The ticket names an instance that no longer exists, so nothing records whether the call has run.
  */
-Test (tickets, ticket_of_a_dead_instance_is_outcome_unknown)
+Test (tickets, call_with_the_ticket_of_a_dead_instance_is_outcome_unknown)
 {
   Setup s;
   Peer caller;
 
-  setup_init (&s);
+  setup_init_with_fake_store (&s);
   caller_connect (&s.f, &caller);
-  post_order (&caller, "x-ticket", "i9.b2.0000000000000001");
+  send_order (&caller, "x-ticket", "i9.b2.0000000000000001");
   FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "outcome_unknown"));
   cr_assert (strstr (caller.text, "\"not_run\":false"));
-  expect_no_call (&s);
+  expect_no_call_at_the_endpoint (&s);
   peer_close (&caller);
   fixture_clear (&s.f);
 }
@@ -227,7 +229,7 @@
 }
 
 static void
-post_member (Setup *s, const char *name, const char *incarnation, const char *address)
+post_single_member (Setup *s, const char *name, const char *incarnation, const char *address)
 {
   LnMembersMessage message = { .base = LN_MESSAGE (LN_MEMBERS), .n_members = 1 };
 
@@ -241,19 +243,19 @@
   fixture_run_loop_once (&s->f);
 }
 
-/* The caller uses its ticket at another instance. Only the one named in the ticket may run the
- * call, so it is relayed there, once, under the caller's name. */
-Test (tickets, ticket_of_another_instance_is_relayed)
+/* The caller uses its ticket at another instance. Only the instance named in the ticket may run the
+ * call, so the call is relayed to that instance once, under the caller's name. */
+Test (tickets, call_with_the_ticket_of_another_instance_is_relayed)
 {
   Setup s;
   Peer caller, other;
   LbName address;
 
-  setup_init (&s);
+  setup_init_with_fake_store (&s);
   int instance = fixture_open_listener (address);
-  post_member (&s, "i2", "b1", address);
+  post_single_member (&s, "i2", "b1", address);
   caller_connect (&s.f, &caller);
-  post_order (&caller, "x-ticket", "i2.b1.0000000000000001");
+  send_order (&caller, "x-ticket", "i2.b1.0000000000000001");
   endpoint_accept_call (&s.f, instance, &other);
   cr_assert (strstr (other.text, "POST /services/s/order"));
   cr_assert (strstr (other.text, "x-ticket: i2.b1.0000000000000001"));
@@ -261,22 +263,23 @@
   cr_assert (strstr (other.text, "x-relayed-by: i1"));
   service_send_reply (&other, "order 7");
   FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "order 7"));
-  expect_no_call (&s);
+  expect_no_call_at_the_endpoint (&s);
   peer_close (&other);
   peer_close (&caller);
   fixture_clear (&s.f);
 }
 
-/* If two instances each consider the ticket the other's, the call must not loop between them. */
+/* Two instances may each assume that the other one issued the ticket. The call must not loop
+ * between the two. */
 Test (tickets, relayed_call_is_not_relayed_again)
 {
   Setup s;
   Peer caller;
   LbName address;
 
-  setup_init (&s);
+  setup_init_with_fake_store (&s);
   fixture_open_listener (address);
-  post_member (&s, "i2", "b1", address);
+  post_single_member (&s, "i2", "b1", address);
   caller_connect (&s.f, &caller);
   caller_send_post (&caller, "/services/s/order",
                     "x-relayed-by: i3\r\nx-ticket: i2.b1.0000000000000001\r\n", "tea");
@@ -285,22 +288,22 @@
   fixture_clear (&s.f);
 }
 
-Test (tickets, retry_with_the_key_gets_the_stored_answer)
+Test (tickets, retry_with_the_idempotency_key_gets_the_stored_answer)
 {
   Setup s;
   Peer caller, service;
 
-  setup_init (&s);
+  setup_init_with_fake_store (&s);
   caller_connect (&s.f, &caller);
-  post_order (&caller, "idempotency-key", "k1");
+  send_order (&caller, "idempotency-key", "k1");
   endpoint_accept_call (&s.f, s.listener, &service);
   service_send_reply (&service, "order 7");
   FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "order 7"));
   peer_clear_text (&caller);
   peer_close (&service);
-  post_order (&caller, "idempotency-key", "k1");
+  send_order (&caller, "idempotency-key", "k1");
   FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "order 7"));
-  expect_no_call (&s);
+  expect_no_call_at_the_endpoint (&s);
   cr_assert_eq (s.store.n_transactions, 2);
   peer_close (&caller);
   fixture_clear (&s.f);
@@ -308,34 +311,34 @@
 
 /* While the store is unavailable no instance can know whether another one holds the key. The call
  * is refused before it is sent anywhere, so the error is "not run". */
-Test (tickets, key_is_refused_as_not_run_while_the_store_is_unavailable)
+Test (tickets, call_with_a_key_is_not_run_while_the_store_is_unavailable)
 {
   Setup s;
   Peer caller;
 
-  setup_init (&s);
+  setup_init_with_fake_store (&s);
   s.store.transact_error = LB_ERROR_STORE_AWAY;
   caller_connect (&s.f, &caller);
-  post_order (&caller, "idempotency-key", "k1");
+  send_order (&caller, "idempotency-key", "k1");
   FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "store_away"));
   cr_assert (strstr (caller.text, "x-not-run: 1"));
-  expect_no_call (&s);
+  expect_no_call_at_the_endpoint (&s);
   peer_close (&caller);
   fixture_clear (&s.f);
 }
 
 /* The store writes the row but its reply is lost. Reading the row back shows that this instance
  * holds the key, and the call runs. */
-Test (tickets, row_is_read_back_when_the_reply_to_the_claim_is_lost)
+Test (tickets, claimed_row_is_read_back_when_the_stores_reply_is_lost)
 {
   Setup s;
   Peer caller, service;
 
-  setup_init (&s);
+  setup_init_with_fake_store (&s);
   s.store.transact_error = LB_ERROR_STORE_UNKNOWN;
   s.store.apply_on_error = true;
   caller_connect (&s.f, &caller);
-  post_order (&caller, "idempotency-key", "k1");
+  send_order (&caller, "idempotency-key", "k1");
   endpoint_accept_call (&s.f, s.listener, &service);
   service_send_reply (&service, "order 7");
   FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "order 7"));
@@ -345,25 +348,25 @@
 }
 
 /* The row is written, the reply is lost, and the store becomes unavailable before the row can be
- * read back. The error is "not run", which is true: when the store is available again, a retry with
- * the key runs the call for the first time, under the ticket in the row. */
+ * read back. The error is "not run", since no call was sent. When the store is available again, a
+ * retry with the key runs the call for the first time, under the ticket in the row. */
 Test (tickets, call_whose_claim_cannot_be_read_back_is_not_run)
 {
   Setup s;
   Peer caller, service;
 
-  setup_init (&s);
+  setup_init_with_fake_store (&s);
   s.store.transact_error = LB_ERROR_STORE_UNKNOWN;
   s.store.get_error = LB_ERROR_STORE_AWAY;
   s.store.apply_on_error = true;
   caller_connect (&s.f, &caller);
-  post_order (&caller, "idempotency-key", "k1");
+  send_order (&caller, "idempotency-key", "k1");
   FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "x-not-run: 1"));
-  expect_no_call (&s);
+  expect_no_call_at_the_endpoint (&s);
   peer_clear_text (&caller);
   s.store.transact_error = LB_OK;
   s.store.get_error = LB_OK;
-  post_order (&caller, "idempotency-key", "k1");
+  send_order (&caller, "idempotency-key", "k1");
   endpoint_accept_call (&s.f, s.listener, &service);
   service_send_reply (&service, "order 7");
   FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "order 7"));
