--- a/packages/node/include/ln-messages.h
+++ b/packages/node/include/ln-messages.h
@@ -16,7 +16,7 @@
 typedef enum
 {
   LN_EXCHANGE,              /* front -> task of the route: a request to answer */
-  LN_CALLER_DISCONNECTED,   /* front -> task that owns the exchange: its caller is gone */
+  LN_CALLER_DISCONNECTED,   /* front -> task that owns the exchange: the caller disconnected */
   LN_CONFIG,                /* config -> all: a newer revision of the resources is in force */
   LN_SAMPLE,                /* rollouts -> calls: generate a sample, or call a scorer */
   LN_SAMPLE_CANCEL,         /* rollouts -> calls: cancel the sample */
@@ -29,7 +29,7 @@
   LN_MEMBERS,               /* peers -> all: the set or state of live instances changed */
   LN_FLEET,                 /* peers -> config: complete rows of the instances in LN_MEMBERS */
   LN_CATALOG_MEMBERS,       /* config -> peers: the instances that the catalog lists */
-  LN_CATALOG_FOLLOWED,      /* config -> peers: whether this instance follows the catalog changed */
+  LN_CATALOG_FOLLOWED,      /* config -> peers: started or stopped following the catalog */
   LN_PEER_SEND,             /* any -> peers: send a frame to one or all other instances */
   LN_PEER_FRAME,            /* peers -> task named in the frame: an instance sent a frame */
   LN_DRAINING,              /* main -> all: the process is shutting down */
@@ -40,8 +40,8 @@
   LN_DEMAND,                /* rollouts -> config, duties: a trainer submitted a batch */
   LN_DUTY,                  /* rollouts, config -> all: this instance took or lost a duty */
   LN_REQUEST_STARTED,       /* calls -> duties: an organisation's request started running */
-  LN_SERVICE_OVERLOADED,    /* calls -> peers: the service with nearly full endpoints changed */
-  LN_READY                  /* config -> all: whether new work may be accepted changed */
+  LN_SERVICE_OVERLOADED, /* calls -> peers: the service whose endpoints are nearly full changed */
+  LN_READY               /* config -> all: this instance now accepts or refuses new work */
 } LnMessageType;
 
 typedef struct
@@ -162,7 +162,7 @@
 typedef struct
 {
   LnMessage base;
-  LbName service; /* "": no service is overloaded */
+  LbName service; /* overloaded service; "": none */
 } LnServiceOverloadedMessage;
 
 /* State of one instance, as known to the instance that holds this record. */
@@ -179,7 +179,7 @@
   bool draining;
   bool cut;              /* the instance can reach the store only through other instances */
   int64_t strength;      /* capacity of the instance's machine, see lc-duty.h */
-  int64_t clock_lead_ms; /* its wall clock minus the store's clock; 0: not reported */
+  int64_t clock_lead_ms; /* the instance's wall clock minus the store's; 0: not reported */
   bool is_self;
 } LnMember;
 
@@ -201,7 +201,7 @@
 typedef struct
 {
   LnMessage base;
-  bool followed; /* follows the catalog, so this instance need not list the instances itself */
+  bool followed; /* this instance follows the catalog and need not list the instances itself */
 } LnCatalogFollowedMessage;
 
 /* A frame between two instances. */
--- a/packages/node/src/calls/ln-call.h
+++ b/packages/node/src/calls/ln-call.h
@@ -51,7 +51,7 @@
   LnExchange *exchange; /* NULL: sample or score, caller disconnected, or already replied to */
   LbTime submitted_at;
   bool is_submitted; /* passed to the dispatch, which ends the call with a FINISH action */
-  bool has_ticket;   /* if the caller disconnects, the call continues for a retry */
+  bool has_ticket;   /* the call continues if the caller disconnects, for a retry with the ticket */
   bool wants_stream; /* the caller requested a stream of events */
   bool is_stream_started;
   LbTime last_sent_at;      /* when bytes were last sent on the caller's stream */
