--- a/packages/node/src/config/ln-config-api.c
+++ b/packages/node/src/config/ln-config-api.c
@@ -20,14 +20,14 @@
 {
   LbLink link;
   LnExchange *exchange;
-  int64_t after_revision; /* a newer revision ends the watch */
-  size_t n_active;        /* instances with the accepted revision when the watch began */
-  size_t n_known;         /* known instances at that time */
-  LbTime deadline;        /* when to reply even without a newer revision */
-  LbTime next_query_at;
+  int64_t after_revision;   /* a revision above this one ends the watch */
+  size_t n_active_at_start; /* number of instances on the active revision when the watch began */
+  size_t n_known_at_start;  /* number of known instances when the watch began */
+  LbTime deadline;          /* when to reply even if nothing has changed */
+  LbTime next_query_at;     /* when to query the instances with an older revision again */
 } LnConfigWatch;
 
-/* An operator's request that is answered when a read of the store completes. */
+/* Operator's request that is answered when a read of the store completes. */
 typedef struct
 {
   LnConfigTask *task;
@@ -49,7 +49,7 @@
 
 /* Compares in constant time, so that the duration does not reveal where the first difference is. */
 static bool
-is_same_secret (const char *given, const char *secret)
+equals_secret_in_constant_time (const char *given, const char *secret)
 {
   size_t length = strlen (secret);
   unsigned difference = strlen (given) != length;
@@ -60,14 +60,14 @@
 }
 
 static bool
-is_authorized (const LnConfigTask *task, const LnExchange *exchange)
+has_operator_token (const LnConfigTask *task, const LnExchange *exchange)
 {
   static const char scheme[] = "Bearer ";
   const char *token = task->context->settings->http.operator_token;
   const char *given = ln_exchange_header (exchange, "authorization");
 
   return token[0] && given && strncmp (given, scheme, sizeof scheme - 1) == 0
-         && is_same_secret (given + sizeof scheme - 1, token);
+         && equals_secret_in_constant_time (given + sizeof scheme - 1, token);
 }
 
 static void
@@ -94,42 +94,42 @@
 
 typedef struct
 {
-  char kind[32]; /* "": all */
-  LbName name;   /* "": all */
-} Selection;
+  char kind[32]; /* "": all kinds */
+  LbName name;   /* "": all names */
+} ResourceFilter;
 
 /* Parses what follows RESOURCES_PATH: "", "/KIND" or "/KIND/NAME". */
 static bool
-parse_selection (const char *path, Selection *selection)
+parse_resource_filter (const char *path, ResourceFilter *filter)
 {
   LcResourceKind kind;
   const char *rest = path + strlen (RESOURCES_PATH);
 
-  memset (selection, 0, sizeof *selection);
+  memset (filter, 0, sizeof *filter);
   while (*rest == '/')
     rest++;
   const char *slash = strchr (rest, '/');
   size_t length = slash ? (size_t)(slash - rest) : strlen (rest);
-  if (length >= sizeof selection->kind)
+  if (length >= sizeof filter->kind)
     return false;
-  memcpy (selection->kind, rest, length);
+  memcpy (filter->kind, rest, length);
   if (slash)
-    LB_COPY (selection->name, slash + 1);
-  return !selection->kind[0] || lc_resource_kind_from_name (selection->kind, &kind);
+    LB_COPY (filter->name, slash + 1);
+  return !filter->kind[0] || lc_resource_kind_from_name (filter->kind, &kind);
 }
 
 static bool
-is_selected (struct json_object *resource, const Selection *selection)
+matches_resource_filter (struct json_object *resource, const ResourceFilter *filter)
 {
   const char *kind = json_object_get_string (json_object_object_get (resource, "kind"));
   const char *name = json_object_get_string (json_object_object_get (resource, "name"));
 
-  return (!selection->kind[0] || strcmp (selection->kind, kind) == 0)
-         && (!selection->name[0] || strcmp (selection->name, name) == 0);
+  return (!filter->kind[0] || strcmp (filter->kind, kind) == 0)
+         && (!filter->name[0] || strcmp (filter->name, name) == 0);
 }
 
 static struct json_object *
-selected_to_json (const LcResourceSet *set, const Selection *selection)
+filtered_set_to_json (const LcResourceSet *set, const ResourceFilter *filter)
 {
   struct json_object *object = lc_resource_set_to_json (set);
   struct json_object *all = json_object_object_get (object, "resources");
@@ -138,7 +138,7 @@
   for (size_t i = 0; i < json_object_array_length (all); i++)
     {
       struct json_object *resource = json_object_array_get_idx (all, i);
-      if (is_selected (resource, selection))
+      if (matches_resource_filter (resource, filter))
         json_object_array_add (list, json_object_get (resource));
     }
   json_object_object_add (object, "resources", list);
@@ -146,19 +146,19 @@
 }
 
 static void
-reply_resources (const LnConfigTask *task, LnExchange *exchange)
+reply_with_active_resources (const LnConfigTask *task, LnExchange *exchange)
 {
   char age[32];
-  Selection selection;
+  ResourceFilter filter;
 
-  if (!parse_selection (ln_exchange_path (exchange), &selection))
+  if (!parse_resource_filter (ln_exchange_path (exchange), &filter))
     {
       reply_error (exchange, LB_ERROR_UNKNOWN_RESOURCE, ln_exchange_path (exchange),
-                   "expected pool, subscription, version_bound or endpoint");
+                   "expected a resource kind: pool, subscription, version_bound or endpoint");
       return;
     }
-  struct json_object *object = selected_to_json (lc_config_active_set (task->config), &selection);
-  if (selection.name[0]
+  struct json_object *object = filtered_set_to_json (lc_config_active_set (task->config), &filter);
+  if (filter.name[0]
       && json_object_array_length (json_object_object_get (object, "resources")) == 0)
     {
       json_object_put (object);
@@ -173,8 +173,8 @@
   ln_exchange_reply_json (exchange, 200, object);
 }
 
-/* If the store cannot be read, replies with the last confirmed set; x-confirmation-age-ms states
- * its age. */
+/* If the store cannot be read, replies with the active set, which may be outdated. The header
+ * x-confirmation-age-ms states how long ago the store confirmed the set. */
 static void
 on_resources_read (const LnConfigRead *read, void *user)
 {
@@ -188,7 +188,7 @@
     lc_config_store_read_completed (task->config, read->revision, read->set, read->requested_at,
                                     now, &actions);
   ln_config_execute_actions (task, &actions);
-  reply_resources (task, pending->exchange);
+  reply_with_active_resources (task, pending->exchange);
   free (pending);
 }
 
@@ -207,11 +207,11 @@
 typedef struct
 {
   int64_t revision;
-  struct json_object *names; /* of the instances with an older revision */
+  struct json_object *names; /* names of the instances with an older revision */
 } OutdatedSearch;
 
 static void
-add_if_outdated (const char *instance, int64_t revision, bool alive, bool draining, void *user)
+add_name_if_outdated (const char *instance, int64_t revision, bool alive, bool draining, void *user)
 {
   (void)alive;
   (void)draining;
@@ -221,7 +221,8 @@
     json_object_array_add (search->names, json_object_new_string (instance));
 }
 
-/* Which instances have activated the revision: {"on": active, "of": known, "behind": [names]} */
+/* Returns how many instances have activated the revision or a newer one, how many are known, and
+ * the names of those with an older one: {"on": active, "of": known, "behind": [names]} */
 struct json_object *
 ln_config_activation_to_json (const LnConfigTask *task, int64_t revision)
 {
@@ -229,7 +230,7 @@
   OutdatedSearch search = { .revision = revision, .names = json_object_new_array () };
   LcActiveCount count = lc_config_count_instances_at_revision (task->config, revision);
 
-  lc_config_visit_instances (task->config, add_if_outdated, &search);
+  lc_config_visit_instances (task->config, add_name_if_outdated, &search);
   json_object_object_add (object, "on", json_object_new_int64 ((int64_t)count.active));
   json_object_object_add (object, "of", json_object_new_int64 ((int64_t)count.known));
   json_object_object_add (object, "behind", search.names);
@@ -254,13 +255,13 @@
 }
 
 static bool
-has_changed (const LnConfigTask *task, const LnConfigWatch *watch)
+has_activation_changed (const LnConfigTask *task, const LnConfigWatch *watch)
 {
   int64_t revision = lc_config_active_revision (task->config);
   LcActiveCount count = lc_config_count_instances_at_revision (task->config, revision);
 
-  return revision > watch->after_revision || count.active != watch->n_active
-         || count.known != watch->n_known;
+  return revision > watch->after_revision || count.active != watch->n_active_at_start
+         || count.known != watch->n_known_at_start;
 }
 
 static void
@@ -274,14 +275,14 @@
 
   watch->exchange = exchange;
   watch->after_revision = get_query_integer (exchange, "after", 0);
-  watch->n_active = count.active;
-  watch->n_known = count.known;
+  watch->n_active_at_start = count.active;
+  watch->n_known_at_start = count.known;
   watch->deadline = now + (wait_ms * LB_MSEC < MAX_WATCH_WAIT ? wait_ms * LB_MSEC : MAX_WATCH_WAIT);
   lb_list_append (&task->watches, &watch->link);
 }
 
-/* While a watch waits, queries the outdated instances: they report a new revision only to the
- * instance that sent it to them, which may be another one. */
+/* Answers watches that have ended. While any watch waits, queries the instances with an older
+ * revision: an instance reports a new revision only to the instance that sent the revision. */
 static void
 tick_watches (LnConfigTask *task, LbTime now)
 {
@@ -291,7 +292,7 @@
   lb_list_init (&actions);
   LB_LIST_FOREACH (&task->watches, LnConfigWatch, link, watch)
   {
-    if (now >= watch->deadline || task->draining || has_changed (task, watch))
+    if (now >= watch->deadline || task->draining || has_activation_changed (task, watch))
       finish_watch (task, watch);
     else if (now >= watch->next_query_at)
       {
@@ -327,19 +328,19 @@
 }
 
 static void
-request_history (LnConfigTask *task, LnExchange *exchange)
+handle_history_request (LnConfigTask *task, LnExchange *exchange)
 {
   int64_t limit = get_query_integer (exchange, "limit", DEFAULT_HISTORY_ROWS);
 
-  ln_config_store_history (task->store, lc_config_active_revision (task->config),
-                           (size_t)(limit < MAX_HISTORY_ROWS ? limit : MAX_HISTORY_ROWS),
-                           on_history_read, pending_reply_new (task, exchange));
+  ln_config_store_read_history (task->store, lc_config_active_revision (task->config),
+                                (size_t)(limit < MAX_HISTORY_ROWS ? limit : MAX_HISTORY_ROWS),
+                                on_history_read, pending_reply_new (task, exchange));
 }
 
 /* --- GET /v1/status --- */
 
 static void
-add_instance (const char *instance, int64_t revision, bool alive, bool draining, void *user)
+add_instance_to_json (const char *instance, int64_t revision, bool alive, bool draining, void *user)
 {
   struct json_object *object = json_object_new_object ();
 
@@ -357,7 +358,7 @@
   struct json_object *instances = json_object_new_array ();
   LbTime age = lc_config_confirmation_age (task->config, lb_clock_monotonic ());
 
-  lc_config_visit_instances (task->config, add_instance, instances);
+  lc_config_visit_instances (task->config, add_instance_to_json, instances);
   json_object_object_add (object, "instance", json_object_new_string (task->context->instance));
   json_object_object_add (object, "revision",
                           json_object_new_int64 (lc_config_active_revision (task->config)));
@@ -372,7 +373,7 @@
   ln_exchange_reply_json (exchange, 200, object);
 }
 
-/* --- routing --- */
+/* --- routing of requests by method and path --- */
 
 static bool
 is_path_under (const char *path, const char *prefix)
@@ -394,10 +395,10 @@
   else if (is_get && strcmp (path, WATCH_PATH) == 0)
     start_watch (task, exchange, lb_clock_monotonic ());
   else if (is_get && is_path_under (path, RESOURCES_PATH))
-    ln_config_store_read_accepted (task->store, lc_config_active_revision (task->config),
-                                   on_resources_read, pending_reply_new (task, exchange));
+    ln_config_store_read_accepted_set (task->store, lc_config_active_revision (task->config),
+                                       on_resources_read, pending_reply_new (task, exchange));
   else if (is_get && is_path_under (path, "/v1/history"))
-    request_history (task, exchange);
+    handle_history_request (task, exchange);
   else if (is_get && is_path_under (path, "/v1/status"))
     reply_status (task, exchange);
   else
@@ -406,10 +407,10 @@
 }
 
 void
-ln_config_api_handle (LnConfigTask *task, LnExchange *exchange)
+ln_config_api_handle_request (LnConfigTask *task, LnExchange *exchange)
 {
   ln_exchange_set_owner (exchange, &task->task);
-  if (!is_authorized (task, exchange))
+  if (!has_operator_token (task, exchange))
     {
       lb_metric_add (&metric_unauthorized, 1);
       reply_error (exchange, LB_ERROR_UNAUTHORIZED, ln_exchange_path (exchange),
@@ -419,7 +420,8 @@
   route_request (task, exchange);
 }
 
-/* A request that waits only for a read of the store needs no cleanup: its reply is discarded. */
+/* Requests that wait only for a read of the store need no cleanup: the reply is discarded when the
+ * read completes. */
 void
 ln_config_api_caller_disconnected (LnConfigTask *task, LnExchange *exchange)
 {
@@ -439,7 +441,7 @@
 ln_config_api_tick (LnConfigTask *task, LbTime now)
 {
   tick_watches (task, now);
-  ln_config_change_tick (task, now);
+  ln_config_change_commit_on_majority (task, now);
 }
 
 bool
@@ -449,17 +451,17 @@
 }
 
 void
-ln_config_api_drain (LnConfigTask *task)
+ln_config_api_finish_watches (LnConfigTask *task)
 {
   tick_watches (task, lb_clock_monotonic ());
 }
 
 void
-ln_config_api_clear (LnConfigTask *task)
+ln_config_api_free_requests (LnConfigTask *task)
 {
   LbLink *link;
 
   while ((link = lb_list_pop (&task->watches)))
     free (LB_CONTAINER (link, LnConfigWatch, link));
-  ln_config_change_clear (task);
+  ln_config_change_free_all (task);
 }
--- a/packages/node/src/config/ln-config-change.c
+++ b/packages/node/src/config/ln-config-change.c
@@ -15,33 +15,33 @@
 
 #define MAX_WAITING_CHANGES 64
 #define MAJORITY_TIMEOUT LB_SEC
-#define MAX_READ_ATTEMPTS 5
+#define MAX_HEAD_READ_ATTEMPTS 5
 
 typedef enum
 {
-  CHANGE_WAITING,           /* another change is in progress */
-  CHANGE_AWAITING_MAJORITY, /* waits until a majority of the instances has answered */
+  CHANGE_WAITING,           /* queued until the changes before it are finished */
+  CHANGE_AWAITING_MAJORITY, /* announced; waits for answers of a majority of the instances */
   CHANGE_READING,           /* the head row, which names the accepted revision, is being read */
-  CHANGE_COMMITTING         /* the transaction is in progress */
+  CHANGE_COMMITTING         /* the transaction that writes the new revision is in progress */
 } ChangeState;
 
-/* A change that an operator submitted. */
+/* Configuration change that an operator submitted. */
 typedef struct
 {
   LbLink link;
   LnConfigTask *task;
   LnExchange *exchange; /* NULL: the operator disconnected */
   ChangeState state;
-  struct json_object *body;
-  bool any_revision; /* applies to any revision: If-Match: *, or a dry run without If-Match */
-  int64_t expected_revision; /* revision in If-Match; 0: the first change */
-  bool dry_run;
-  char token[80];                  /* idempotency key */
-  char submitter[LB_NAME_MAX * 2]; /* NAME@IP */
+  struct json_object *body;  /* JSON body of the request */
+  bool accepts_any_revision; /* the request has If-Match: *, or is a dry run without If-Match */
+  int64_t expected_revision; /* from If-Match; 0: the configuration has no revision yet */
+  bool is_dry_run;
+  char token[80];                  /* idempotency key of the change */
+  char submitter[LB_NAME_MAX * 2]; /* who submitted the change, as NAME@IP */
   LbTime announced_at;
   int read_attempts;
-  int64_t head_version;   /* of the head row as read */
-  LcResourceSet *new_set; /* the set with the change applied */
+  int64_t head_version;   /* store version of the head row as read; condition of the commit */
+  LcResourceSet *new_set; /* the active set with the change applied; NULL: not applied yet */
 } LnChange;
 
 static LbMetric metric_accepted = LB_COUNTER_INIT ("lentilspindle_config_changes_total",
@@ -88,7 +88,7 @@
 }
 
 static void
-reject_change_with (LnChange *change, LbErrorCode code, const char *detail, LbTime retry_after)
+reject_change_with_code (LnChange *change, LbErrorCode code, const char *detail, LbTime retry_after)
 {
   LbError error;
   char where[64];
@@ -100,12 +100,12 @@
 }
 
 static void
-reply_accepted (LnChange *change, int64_t revision, bool dry_run)
+reply_accepted (LnChange *change, int64_t revision, bool is_dry_run)
 {
   struct json_object *object = json_object_new_object ();
 
   json_object_object_add (object, "revision", json_object_new_int64 (revision));
-  json_object_object_add (object, "accepted", json_object_new_boolean (!dry_run));
+  json_object_object_add (object, "accepted", json_object_new_boolean (!is_dry_run));
   json_object_object_add (object, "token", json_object_new_string (change->token));
   json_object_object_add (object, "in_force",
                           ln_config_activation_to_json (change->task, revision));
@@ -134,11 +134,11 @@
   return lb_json_take_text (object, JSON_C_TO_STRING_PLAIN);
 }
 
-static void read_head (LnChange *change);
+static void read_head_row (LnChange *change);
 static void announce_abandoned_change (LnChange *change);
 
 static void
-on_committed (LbErrorCode error, LbTime started_at, void *user)
+on_commit_finished (LbErrorCode error, LbTime started_at, void *user)
 {
   LnChange *change = user;
   LnConfigTask *task = change->task;
@@ -148,17 +148,17 @@
     announce_abandoned_change (change);
   if (error == LB_ERROR_CONFLICT)
     {
-      /* Another instance committed first: compares again with the revision that it wrote. */
-      read_head (change);
+      /* Another instance committed first: reads the new revision and compares it with If-Match. */
+      read_head_row (change);
       return;
     }
   if (error != LB_OK)
     {
-      reject_change_with (
+      reject_change_with_code (
           change, error,
           error == LB_ERROR_STORE_UNKNOWN
               ? "the change may have been accepted: look for its token in the history"
-              : "nothing was changed",
+              : "the change was not written; the configuration is unchanged",
           LB_SEC);
       return;
     }
@@ -184,11 +184,11 @@
   change->announced_at = lb_clock_monotonic ();
   lc_config_announce_change (change->task->config, change->announced_at, &actions);
   ln_config_execute_actions (change->task, &actions);
-  ln_config_change_tick (change->task, change->announced_at);
+  ln_config_change_commit_on_majority (change->task, change->announced_at);
 }
 
 static void
-apply_change (LnChange *change, int64_t head_version)
+apply_change_to_active_set (LnChange *change, int64_t head_version)
 {
   LbError error;
   const LcResourceSet *set = lc_config_active_set (change->task->config);
@@ -198,7 +198,7 @@
   change->head_version = head_version;
   if (!change->new_set)
     reject_change (change, &error, 0);
-  else if (change->dry_run)
+  else if (change->is_dry_run)
     reply_accepted (change, change->new_set->revision, true);
   else
     announce_change (change);
@@ -210,8 +210,8 @@
   char *history = history_row_to_text (change);
 
   change->state = CHANGE_COMMITTING;
-  ln_config_store_commit (change->task->store, change->new_set, change->head_version, change->token,
-                          history, on_committed, change);
+  ln_config_store_commit_set (change->task->store, change->new_set, change->head_version,
+                              change->token, history, on_commit_finished, change);
   free (history);
 }
 
@@ -226,9 +226,9 @@
   ln_config_execute_actions (change->task, &actions);
 }
 
-/* The revision in If-Match is outdated. If the next revision's history row has this change's token,
- * the operator retries a change that was committed but whose reply was lost: it gets that reply
- * again. */
+/* Handles an outdated revision in If-Match. If the history row of the next revision has this
+ * change's token, the change was committed but its reply was lost. The operator's retry then gets
+ * the same reply; any other change is rejected. */
 static void
 on_next_revision_read (LbErrorCode error, struct json_object *rows, void *user)
 {
@@ -243,12 +243,12 @@
   if (is_committed)
     reply_accepted (change, change->expected_revision + 1, false);
   else
-    reject_change_with (change, LB_ERROR_CONFLICT,
-                        "the configuration has changed since the revision in If-Match", 0);
+    reject_change_with_code (change, LB_ERROR_CONFLICT,
+                             "the configuration has changed since the revision in If-Match", 0);
 }
 
 static void
-on_head_read (const LnConfigRead *read, void *user)
+on_head_row_read (const LnConfigRead *read, void *user)
 {
   LnChange *change = user;
   LnConfigTask *task = change->task;
@@ -256,8 +256,8 @@
 
   if (read->error != LB_OK)
     {
-      reject_change_with (change, read->error,
-                          "the head row could not be read from the platform's table", LB_SEC);
+      reject_change_with_code (change, read->error,
+                               "the head row could not be read from the platform's table", LB_SEC);
       return;
     }
   lb_list_init (&actions);
@@ -266,29 +266,30 @@
   ln_config_execute_actions (task, &actions);
 
   int64_t revision = lc_config_active_revision (task->config);
-  if (read->revision < revision || change->read_attempts > MAX_READ_ATTEMPTS)
-    /* The read was stale, or other instances kept committing first. */
-    reject_change_with (change, LB_ERROR_STORE_BUSY,
-                        "the head row as read is stale, or other instances keep committing first",
-                        LB_SEC);
-  else if (change->any_revision || change->expected_revision == revision)
-    apply_change (change, read->head_version);
+  if (read->revision < revision || change->read_attempts > MAX_HEAD_READ_ATTEMPTS)
+    /* A revision below the active one means a stale read. Many attempts mean that other instances
+     * kept committing first. */
+    reject_change_with_code (
+        change, LB_ERROR_STORE_BUSY,
+        "the head row as read is stale, or other instances keep committing first", LB_SEC);
+  else if (change->accepts_any_revision || change->expected_revision == revision)
+    apply_change_to_active_set (change, read->head_version);
   else if (change->expected_revision < revision)
-    ln_config_store_history (task->store, change->expected_revision + 1, 1, on_next_revision_read,
-                             change);
+    ln_config_store_read_history (task->store, change->expected_revision + 1, 1,
+                                  on_next_revision_read, change);
   else
-    reject_change_with (change, LB_ERROR_CONFLICT,
-                        "If-Match names a revision that was never accepted", 0);
+    reject_change_with_code (change, LB_ERROR_CONFLICT,
+                             "If-Match names a revision that was never accepted", 0);
 }
 
 static void
-read_head (LnChange *change)
+read_head_row (LnChange *change)
 {
   change->state = CHANGE_READING;
   change->read_attempts++;
-  ln_config_store_read_accepted (change->task->store,
-                                 lc_config_active_revision (change->task->config), on_head_read,
-                                 change);
+  ln_config_store_read_accepted_set (change->task->store,
+                                     lc_config_active_revision (change->task->config),
+                                     on_head_row_read, change);
 }
 
 static void
@@ -297,7 +298,7 @@
   LnChange *change = LB_LIST_FIRST (&task->changes, LnChange, link);
 
   if (change && change->state == CHANGE_WAITING)
-    read_head (change);
+    read_head_row (change);
 }
 
 static bool
@@ -306,12 +307,12 @@
   char *end = NULL;
   const char *text = ln_exchange_header (change->exchange, "if-match");
 
-  if (!text && lc_config_active_revision (change->task->config) > 0 && !change->dry_run)
+  if (!text && lc_config_active_revision (change->task->config) > 0 && !change->is_dry_run)
     return lb_error_set (error, LB_ERROR_MISSING_KEY, "If-Match",
                          "expected the revision that the change is based on, or * for any");
   if (!text || strcmp (text, "*") == 0)
     {
-      change->any_revision = text != NULL || change->dry_run;
+      change->accepts_any_revision = text != NULL || change->is_dry_run;
       return true;
     }
   if (*text == '"')
@@ -323,7 +324,7 @@
 }
 
 static void
-read_submitter (LnChange *change)
+read_token_and_submitter (LnChange *change)
 {
   const char *key = ln_exchange_header (change->exchange, "idempotency-key");
   const char *operator_name = ln_exchange_header (change->exchange, "x-operator");
@@ -338,13 +339,13 @@
 }
 
 static bool
-parse_request (LnChange *change, LbError *error)
+parse_change_request (LnChange *change, LbError *error)
 {
   size_t length;
   const char *text = ln_exchange_body (change->exchange, &length);
   const char *dry_run = ln_exchange_query (change->exchange, "dry_run");
 
-  change->dry_run = dry_run && strcmp (dry_run, "0") != 0;
+  change->is_dry_run = dry_run && strcmp (dry_run, "0") != 0;
   change->body = lb_settings_parse (text, length, "body", error);
   if (!change->body || !parse_if_match (change, error))
     return false;
@@ -356,7 +357,7 @@
   return true;
 }
 
-/* Takes ownership of the exchange. An instance processes the changes that it gets one at a time. */
+/* Takes ownership of the exchange. Changes are processed one at a time, in order of arrival. */
 void
 ln_config_change_submit (LnConfigTask *task, LnExchange *exchange)
 {
@@ -366,15 +367,15 @@
   change->task = task;
   change->exchange = exchange;
   lb_list_append (&task->changes, &change->link);
-  read_submitter (change);
-  if (!parse_request (change, &error))
+  read_token_and_submitter (change);
+  if (!parse_change_request (change, &error))
     reject_change (change, &error, error.code == LB_ERROR_OVERLOADED ? LB_SEC : 0);
   else
     start_first_change (task);
 }
 
-/* A change whose processing has begun is completed without a reply; a waiting one is dropped.
- * Returns false if no change has this exchange. */
+/* Drops the exchange's change if it is still queued. A change in progress is completed without a
+ * reply. Returns false if no change belongs to the exchange. */
 bool
 ln_config_change_caller_disconnected (LnConfigTask *task, LnExchange *exchange)
 {
@@ -392,10 +393,10 @@
 }
 
 /* Commits the announced change only after a majority of the known instances has answered the
- * announcement, see lc_config_has_majority. Otherwise an instance in a minority partition would
- * report a change as accepted while most instances continue with the previous revision. */
+ * announcement (lc_config_has_majority). An instance in a minority partition would otherwise report
+ * a change as accepted while most instances continue with the previous revision. */
 void
-ln_config_change_tick (LnConfigTask *task, LbTime now)
+ln_config_change_commit_on_majority (LnConfigTask *task, LbTime now)
 {
   LnChange *change = LB_LIST_FIRST (&task->changes, LnChange, link);
 
@@ -406,14 +407,14 @@
   else if (now - change->announced_at > MAJORITY_TIMEOUT)
     {
       announce_abandoned_change (change);
-      reject_change_with (
+      reject_change_with_code (
           change, LB_ERROR_NOT_READY,
-          "a change is accepted by an instance that reaches a majority of the others", LB_SEC);
+          "this instance did not reach a majority of the known instances within 1 s", LB_SEC);
     }
 }
 
 void
-ln_config_change_clear (LnConfigTask *task)
+ln_config_change_free_all (LnConfigTask *task)
 {
   LbLink *link;
 
--- a/packages/node/src/config/ln-config-store.c
+++ b/packages/node/src/config/ln-config-store.c
@@ -16,9 +16,9 @@
 #define HEAD_KEY "config/head"
 #define MAX_KEY_SIZE 64
 #define N_KEPT_SETS 8
-#define MAX_READ_ATTEMPTS 4
-/* History rows read by one scan: their keys differ only in the last two digits. */
-#define HISTORY_BLOCK_ROWS 100
+#define MAX_HEAD_READ_ATTEMPTS 4
+/* Number of history rows that one scan reads: their keys differ only in the last two digits. */
+#define HISTORY_ROWS_PER_BLOCK 100
 #define COMMIT_TIMEOUT (5 * LB_SEC)
 #define FIRST_RETRY_DELAY (50 * LB_MSEC)
 #define MAX_RETRY_DELAY LB_SEC
@@ -27,9 +27,9 @@
 {
   struct event_base *base;
   LpPlatform *platform;
-  LbList reads;     /* HeadRead in progress */
-  LbList commits;   /* Commit in progress */
-  LbList histories; /* HistoryRead in progress */
+  LbList reads;     /* HeadRead: reads of the accepted set in progress */
+  LbList commits;   /* Commit: commits in progress */
+  LbList histories; /* HistoryRead: history reads in progress */
 };
 
 typedef struct
@@ -56,9 +56,9 @@
   struct event *retry_timer;
   LbTime started_at;
   LbTime retry_delay;
-  bool may_be_applied;      /* the outcome of an attempt is unknown */
-  bool retry_reads_history; /* the next retry reads the history row instead of writing again */
-  LbErrorCode last_error;   /* of the last attempt */
+  bool may_be_applied;      /* an attempt had an unknown outcome */
+  bool retry_reads_history; /* the next retry reads the history row instead of writing */
+  LbErrorCode last_error;   /* error of the last write attempt */
   LnConfigCommitDone done;
   void *user;
 } Commit;
@@ -67,8 +67,8 @@
 {
   LbLink link;
   LnConfigStore *store;
-  int64_t block_start; /* first revision of the block that is being read */
-  size_t limit;        /* maximum number of rows */
+  int64_t block_start; /* first revision of the block of history rows that is being read */
+  size_t limit;        /* maximum number of rows to return */
   struct json_object *rows;
   LnConfigHistoryDone done;
   void *user;
@@ -130,7 +130,7 @@
 }
 
 static void
-finish_read (HeadRead *read, LbErrorCode error)
+finish_head_read (HeadRead *read, LbErrorCode error)
 {
   read->result.error = error;
   lb_list_remove (&read->store->reads, &read->link);
@@ -139,7 +139,7 @@
 }
 
 static bool
-parse_head (const char *text, int64_t *revision)
+parse_head_revision (const char *text, int64_t *revision)
 {
   struct json_object *member = NULL;
   struct json_object *object = json_tokener_parse (text);
@@ -152,18 +152,18 @@
   return ok;
 }
 
-static void read_head (HeadRead *read);
+static void read_head_row (HeadRead *read);
 
 static void
-on_set_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
+on_set_row_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
   HeadRead *read = user;
   LbError parse_error = { .code = LB_OK };
 
-  /* Newer commits pruned the set's row between the two reads: reads the new head. */
-  if (error == LB_ERROR_NOT_FOUND && read->attempts < MAX_READ_ATTEMPTS)
+  /* Newer commits removed the set's row after the head row was read: starts over. */
+  if (error == LB_ERROR_NOT_FOUND && read->attempts < MAX_HEAD_READ_ATTEMPTS)
     {
-      read_head (read);
+      read_head_row (read);
       return;
     }
   if (error == LB_OK && n_rows == 1)
@@ -177,11 +177,11 @@
           error = LB_ERROR_INTERNAL;
         }
     }
-  finish_read (read, error);
+  finish_head_read (read, error);
 }
 
 static void
-on_head_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
+on_head_row_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
   HeadRead *read = user;
   char key[MAX_KEY_SIZE];
@@ -190,37 +190,37 @@
     {
       read->result.revision = 0;
       read->result.head_version = 0;
-      finish_read (read, LB_OK);
+      finish_head_read (read, LB_OK);
       return;
     }
-  if (error != LB_OK || n_rows != 1 || !parse_head (rows[0].value, &read->result.revision))
+  if (error != LB_OK || n_rows != 1 || !parse_head_revision (rows[0].value, &read->result.revision))
     {
-      finish_read (read, error == LB_OK ? LB_ERROR_INTERNAL : error);
+      finish_head_read (read, error == LB_OK ? LB_ERROR_INTERNAL : error);
       return;
     }
   read->result.head_version = rows[0].version;
   if (read->result.revision <= read->known_revision)
     {
-      finish_read (read, LB_OK);
+      finish_head_read (read, LB_OK);
       return;
     }
   snprintf (key, sizeof key, "config/set/%020lld", (long long)read->result.revision);
-  get_row (read->store, key, on_set_read, read);
+  get_row (read->store, key, on_set_row_read, read);
 }
 
 static void
-read_head (HeadRead *read)
+read_head_row (HeadRead *read)
 {
   read->attempts++;
   read->result.requested_at = lb_clock_monotonic ();
-  get_row (read->store, HEAD_KEY, on_head_read, read);
+  get_row (read->store, HEAD_KEY, on_head_row_read, read);
 }
 
 void
-ln_config_store_read_accepted (LnConfigStore *store,
-                               int64_t known_revision,
-                               LnConfigReadDone done,
-                               void *user)
+ln_config_store_read_accepted_set (LnConfigStore *store,
+                                   int64_t known_revision,
+                                   LnConfigReadDone done,
+                                   void *user)
 {
   HeadRead *read = LB_NEW (HeadRead);
 
@@ -229,7 +229,7 @@
   read->done = done;
   read->user = user;
   lb_list_append (&store->reads, &read->link);
-  read_head (read);
+  read_head_row (read);
 }
 
 static void
@@ -252,7 +252,7 @@
 }
 
 static void
-schedule_retry (Commit *commit)
+schedule_retry_or_time_out (Commit *commit)
 {
   const struct timeval timeout = lb_time_to_timeval (commit->retry_delay);
 
@@ -266,10 +266,9 @@
   event_add (commit->retry_timer, &timeout);
 }
 
-/* Finds out which transaction wrote the revision, by the token in its history row. Otherwise a
- * write whose reply was lost would be reported as failed or as a conflict although it took effect.
- * While there is no such row, the transaction can be sent again, since its token makes it take
- * effect only once. */
+/* Finds out by the token in the history row which transaction wrote the revision. Without this
+ * check, a write whose reply was lost would be reported as failed or as a conflict although it took
+ * effect. If the row is absent, the transaction is sent again: the token makes it idempotent. */
 static void
 on_history_row_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
@@ -282,7 +281,7 @@
   else
     {
       commit->retry_reads_history = error != LB_ERROR_NOT_FOUND;
-      schedule_retry (commit);
+      schedule_retry_or_time_out (commit);
     }
 }
 
@@ -296,7 +295,7 @@
 }
 
 static void
-on_retry (evutil_socket_t fd, short what, void *user)
+on_retry_timer (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -321,7 +320,7 @@
   else if (error == LB_ERROR_CONDITION_FAILED || error == LB_ERROR_STORE_UNKNOWN)
     read_history_row (commit);
   else
-    schedule_retry (commit);
+    schedule_retry_or_time_out (commit);
 }
 
 static void
@@ -352,13 +351,13 @@
 }
 
 void
-ln_config_store_commit (LnConfigStore *store,
-                        const LcResourceSet *set,
-                        int64_t head_version,
-                        const char *token,
-                        const char *history,
-                        LnConfigCommitDone done,
-                        void *user)
+ln_config_store_commit_set (LnConfigStore *store,
+                            const LcResourceSet *set,
+                            int64_t head_version,
+                            const char *token,
+                            const char *history,
+                            LnConfigCommitDone done,
+                            void *user)
 {
   Commit *commit = LB_NEW (Commit);
 
@@ -369,7 +368,7 @@
   commit->head_text = lb_asprintf ("{\"revision\": %lld}", (long long)set->revision);
   commit->set_text = lb_json_take_text (lc_resource_set_to_json (set), JSON_C_TO_STRING_PLAIN);
   commit->history_text = lb_strdup (history);
-  commit->retry_timer = event_new (store->base, -1, 0, on_retry, commit);
+  commit->retry_timer = event_new (store->base, -1, 0, on_retry_timer, commit);
   commit->started_at = lb_clock_monotonic ();
   commit->retry_delay = FIRST_RETRY_DELAY;
   commit->done = done;
@@ -404,7 +403,7 @@
   for (size_t i = n_rows; error == LB_OK && i > 0; i--)
     if (json_object_array_length (history->rows) < history->limit)
       json_object_array_add (history->rows, json_tokener_parse (rows[i - 1].value));
-  history->block_start -= HISTORY_BLOCK_ROWS;
+  history->block_start -= HISTORY_ROWS_PER_BLOCK;
   if (history->block_start < 0 || json_object_array_length (history->rows) >= history->limit)
     finish_history_read (history, LB_OK);
   else
@@ -417,19 +416,19 @@
   char prefix[MAX_KEY_SIZE];
 
   snprintf (prefix, sizeof prefix, "config/history/%018lld",
-            (long long)(history->block_start / HISTORY_BLOCK_ROWS));
+            (long long)(history->block_start / HISTORY_ROWS_PER_BLOCK));
   history->store->platform->klass->scan (history->store->platform, prefix, on_history_block_read,
                                          history);
 }
 
 void
-ln_config_store_history (
+ln_config_store_read_history (
     LnConfigStore *store, int64_t revision, size_t limit, LnConfigHistoryDone done, void *user)
 {
   HistoryRead *history = LB_NEW (HistoryRead);
 
   history->store = store;
-  history->block_start = revision - revision % HISTORY_BLOCK_ROWS;
+  history->block_start = revision - revision % HISTORY_ROWS_PER_BLOCK;
   history->limit = limit;
   history->rows = json_object_new_array ();
   history->done = done;
--- a/packages/node/src/config/ln-config-task.h
+++ b/packages/node/src/config/ln-config-task.h
@@ -9,7 +9,7 @@
 struct event;
 struct json_object;
 
-/* State of the task "config", shared by its source files. */
+/* State of the task "config", which replicates the configuration. Shared by its source files. */
 typedef struct
 {
   LnTask task;
@@ -17,40 +17,41 @@
   LcConfig *config;
   LnConfigStore *store;
   struct event *timer;
-  bool is_polling_head;      /* a periodic read of the head row is in progress */
+  bool is_polling_head;      /* a read of the head row for LcConfig is in progress */
   bool is_listing_instances; /* a read of the platform's list of instances is in progress */
-  LbTime next_listing_at;
-  LbList changes;                  /* LnChange; only the first is being processed */
-  LbList watches;                  /* LnConfigWatch */
-  LbList pool_controllers;         /* LnPoolController */
-  LbList pool_operations;          /* LnPoolOperation */
-  uint64_t last_controller_serial; /* number of the last controller that was created */
-  /* Weight changes of engines, sent to all instances at the end of the tick; NULL: none. */
+  LbTime next_listing_at;    /* earliest time of the next read of the instance list */
+  LbList changes;            /* LnChange, submitted by operators; only the first is in progress */
+  LbList watches;            /* LnConfigWatch: requests that wait for a change */
+  LbList pool_controllers;   /* LnPoolController, one per pool with engines */
+  LbList pool_operations;    /* LnPoolOperation in progress */
+  uint64_t last_controller_serial; /* serial of the last pool controller created */
+  /* JSON array of engines' weight changes, sent to all instances at the next tick; NULL: none. */
   struct json_object *unsent_swaps;
   bool draining;
 } LnConfigTask;
 
-/* ln-config.c: executes and frees the actions that a command of LcConfig returned. */
+/* ln-config.c: executes and frees the actions that a command of LcConfig appended. */
 void ln_config_execute_actions (LnConfigTask *task, LbList *actions);
-/* Sends object, which it takes ownership of, to the task "config" of the instance; "": of all. */
+/* Sends a message to the task "config" of another instance; "": of all other instances. Takes
+ * ownership of object. */
 void
 ln_config_send_peer_message (LnConfigTask *task, const char *instance, struct json_object *object);
 
-/* ln-config-api.c: HTTP requests of operators. */
-void ln_config_api_handle (LnConfigTask *task, LnExchange *exchange);
+/* ln-config-api.c: handles HTTP requests of operators. */
+void ln_config_api_handle_request (LnConfigTask *task, LnExchange *exchange);
 void ln_config_api_caller_disconnected (LnConfigTask *task, LnExchange *exchange);
 void ln_config_api_tick (LnConfigTask *task, LbTime now);
 bool ln_config_api_is_idle (const LnConfigTask *task);
-void ln_config_api_drain (LnConfigTask *task);
-void ln_config_api_clear (LnConfigTask *task);
+void ln_config_api_finish_watches (LnConfigTask *task);
+void ln_config_api_free_requests (LnConfigTask *task);
 
-/* ln-config-change.c: POST /v1/resources, one change at a time. */
+/* ln-config-change.c: handles POST /v1/resources, one change at a time. */
 void ln_config_change_submit (LnConfigTask *task, LnExchange *exchange);
 bool ln_config_change_caller_disconnected (LnConfigTask *task, LnExchange *exchange);
-void ln_config_change_tick (LnConfigTask *task, LbTime now);
-void ln_config_change_clear (LnConfigTask *task);
+void ln_config_change_commit_on_majority (LnConfigTask *task, LbTime now);
+void ln_config_change_free_all (LnConfigTask *task);
 
-/* ln-pool-controllers.c: leases of pools, and roll-outs of weights by their holders. */
+/* ln-pool-controllers.c: holds leases of pools, and rolls out weights to a held pool's engines. */
 void ln_pool_controllers_configure (LnConfigTask *task, const LcResourceSet *set);
 void ln_pool_controllers_update_ranks (LnConfigTask *task);
 void ln_pool_controllers_tick (LnConfigTask *task, LbTime now);
--- a/packages/node/src/config/ln-config.c
+++ b/packages/node/src/config/ln-config.c
@@ -17,10 +17,10 @@
 #define MAX_CONFIRMATION_AGE (8 * LB_SEC)
 #define MIN_HEAD_POLL_PERIOD LB_SEC
 #define INSTANCE_LISTING_PERIOD (10 * LB_SEC)
-#define TOPIC "config"
+#define PEER_TOPIC "config"
 
 static LnConfigTask *
-config_task (LnTask *task)
+config_task_from_base (LnTask *task)
 {
   return (LnConfigTask *)task;
 }
@@ -41,7 +41,7 @@
 ln_config_send_peer_message (LnConfigTask *task, const char *instance, struct json_object *object)
 {
   LnTask *peers = ln_hub_find_task (task->task.hub, "peers");
-  LnPeerMessage message = { .base = LN_MESSAGE (LN_PEER_SEND), .topic = TOPIC };
+  LnPeerMessage message = { .base = LN_MESSAGE (LN_PEER_SEND), .topic = PEER_TOPIC };
 
   if (peers)
     {
@@ -75,7 +75,7 @@
 }
 
 static void
-activate_set (LnConfigTask *task, const LcResourceSet *set)
+post_activated_set (LnConfigTask *task, const LcResourceSet *set)
 {
   LnConfigMessage message = { .base = LN_MESSAGE (LN_CONFIG) };
 
@@ -100,7 +100,7 @@
 }
 
 static void
-execute_action (LnConfigTask *task, const LcConfigAction *action)
+execute_config_action (LnConfigTask *task, const LcConfigAction *action)
 {
   switch (action->type)
     {
@@ -108,15 +108,15 @@
       if (!task->is_polling_head)
         {
           task->is_polling_head = true;
-          ln_config_store_read_accepted (task->store, lc_config_active_revision (task->config),
-                                         on_head_read, task);
+          ln_config_store_read_accepted_set (task->store, lc_config_active_revision (task->config),
+                                             on_head_read, task);
         }
       break;
     case LC_CONFIG_SEND:
       ln_config_send_peer_message (task, action->to, lc_config_message_to_json (&action->message));
       break;
     case LC_CONFIG_ACTIVATED:
-      activate_set (task, action->set);
+      post_activated_set (task, action->set);
       break;
     case LC_CONFIG_READINESS_CHANGED:
       post_readiness (task, action->ready);
@@ -132,13 +132,13 @@
   while ((link = lb_list_pop (actions)))
     {
       LcConfigAction *action = LB_CONTAINER (link, LcConfigAction, link);
-      execute_action (task, action);
+      execute_config_action (task, action);
       lc_config_action_free (action);
     }
 }
 
 static bool
-is_listed (const LpInstanceList *list, const char *name)
+contains_instance (const LpInstanceList *list, const char *name)
 {
   for (size_t i = 0; i < list->n_instances; i++)
     if (strcmp (list->instances[i].name, name) == 0)
@@ -149,7 +149,7 @@
 typedef struct
 {
   const LpInstanceList *list;
-  LbName removed; /* "": none */
+  LbName removed; /* an instance missing from the list; "": none is missing */
 } RemovedSearch;
 
 static void
@@ -160,12 +160,12 @@
   (void)draining;
   RemovedSearch *search = user;
 
-  if (!alive && !is_listed (search->list, instance))
+  if (!alive && !contains_instance (search->list, instance))
     LB_COPY (search->removed, instance);
 }
 
-/* Removes the absent instances that the platform no longer lists. Until then an absent instance
- * counts as outdated, and in the total that a majority refers to. */
+/* Forgets unreachable instances that the platform no longer lists. Until an instance is forgotten,
+ * it counts as outdated and as one of the known instances that a majority is computed from. */
 static void
 on_instances_listed (LbErrorCode error, const LpInstanceList *list, void *user)
 {
@@ -186,7 +186,7 @@
 }
 
 static void
-list_instances (LnConfigTask *task, LbTime now)
+list_instances_if_due (LnConfigTask *task, LbTime now)
 {
   LpPlatform *platform = task->context->platform;
 
@@ -210,7 +210,7 @@
   lb_list_init (&actions);
   lc_config_tick (task->config, now, &actions);
   ln_config_execute_actions (task, &actions);
-  list_instances (task, now);
+  list_instances_if_due (task, now);
   ln_pool_controllers_tick (task, now);
   ln_config_api_tick (task, now);
 }
@@ -256,20 +256,20 @@
     }
   lc_config_message_clear (&message);
   ln_config_execute_actions (task, &actions);
-  ln_config_change_tick (task, now);
+  ln_config_change_commit_on_majority (task, now);
 out:
   json_object_put (object);
 }
 
 static void
-receive (LnTask *base, const LnMessage *message)
+receive_message (LnTask *base, const LnMessage *message)
 {
-  LnConfigTask *task = config_task (base);
+  LnConfigTask *task = config_task_from_base (base);
 
   switch (message->type)
     {
     case LN_EXCHANGE:
-      ln_config_api_handle (task, ((const LnExchangeMessage *)message)->exchange);
+      ln_config_api_handle_request (task, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_CALLER_DISCONNECTED:
       ln_config_api_caller_disconnected (task, ((const LnExchangeMessage *)message)->exchange);
@@ -286,12 +286,12 @@
 }
 
 static void
-drain (LnTask *base)
+start_drain (LnTask *base)
 {
-  LnConfigTask *task = config_task (base);
+  LnConfigTask *task = config_task_from_base (base);
 
   task->draining = true;
-  ln_config_api_drain (task);
+  ln_config_api_finish_watches (task);
   ln_pool_controllers_release_leases (task);
 }
 
@@ -307,9 +307,9 @@
 static void
 free_task (LnTask *base)
 {
-  LnConfigTask *task = config_task (base);
+  LnConfigTask *task = config_task_from_base (base);
 
-  ln_config_api_clear (task);
+  ln_config_api_free_requests (task);
   ln_pool_controllers_free_all (task);
   event_free (task->timer);
   ln_config_store_free (task->store);
@@ -317,9 +317,11 @@
   free (task);
 }
 
-static const LnTaskClass config_class = {
-  .name = "config", .receive = receive, .drain = drain, .is_idle = is_idle, .free = free_task
-};
+static const LnTaskClass config_class = { .name = "config",
+                                          .receive = receive_message,
+                                          .drain = start_drain,
+                                          .is_idle = is_idle,
+                                          .free = free_task };
 
 LnTask *
 ln_config_task_new (LnContext *context)
--- a/packages/node/src/config/ln-desired.c
+++ b/packages/node/src/config/ln-desired.c
@@ -19,47 +19,47 @@
 #include <string.h>
 
 #define TICK_PERIOD (50 * LB_MSEC)
-/* A change must be in force within 2 s, even if the connection of the watch is lost silently: this
- * is detected after the timeout plus the store client's margin, and the next watch returns the
- * change. */
+/* Timeout of one watch call. A change must take effect within 2 s even if the watch's connection is
+ * lost silently. The loss is detected after this timeout plus the store client's margin, and the
+ * next watch returns the change. */
 #define WATCH_TIMEOUT (700 * LB_MSEC)
 #define WATCH_RETRY_DELAY (100 * LB_MSEC)
-/* For an instance that the directory of instances omits because it is full, and which orders no
- * weights and runs no batches: detects a lost connection later, but a change is still in force
- * within 2 s. */
+/* Watch timeout of an instance that is omitted from the full directory of instances; such an
+ * instance orders no weights and runs no batches. A lost connection is detected later, but a change
+ * still takes effect within 2 s. */
 #define OMITTED_WATCH_TIMEOUT (1500 * LB_MSEC)
-/* After this time a load of weights is assumed to have ended, unless the engine is reported as
- * still loading. */
+/* Longest assumed time of a weight load. Afterwards the load counts as ended, unless the engine is
+ * reported as still loading. */
 #define MAX_LOAD_DURATION (1500 * LB_MSEC)
-/* A longer time between two ticks means that this process was suspended: its last list of endpoints
- * is then not confirmed again until the store has been read. */
+/* A longer time between two ticks means that this process was suspended. The last list of endpoints
+ * may then be outdated and is not confirmed until the store has been read again. */
 #define MAX_TICK_GAP LB_SEC
 
-/* The task "config" of an instance on a shared platform: reads from the platform's store the
- * desired state that operators write (routes and services), the newest weight versions and the list
- * of endpoints, and posts them to the other tasks. It has the name of the task that it replaces
- * there, since both post the configuration. */
+/* The task "config" of an instance on a shared platform. Reads the desired state (routes and
+ * services, written by operators), the newest weight versions and the list of endpoints from the
+ * platform's store, and posts them to the other tasks. Has the name of the task of ln-config.c,
+ * which it replaces, since both post the configuration. */
 typedef struct
 {
-  LnTask task; /* first */
+  LnTask task; /* must be the first member */
   LnContext *context;
   LnPeriodicCall tick;
-  LcDesired *desired; /* NULL: not read yet */
-  LcRoster *roster;   /* the endpoints in use */
+  LcDesired *desired; /* desired state; NULL: not read yet */
+  LcRoster *roster;   /* endpoints in use */
   LnEndpointList *endpoint_list;
   LnCatalog *catalog;
   LnWeightOrders *weight_orders;
   LnEnginePlans *engine_plans;
-  int64_t revision;           /* of the resource set made from the roster */
-  LpFollow *operator_rows;    /* follows the rows that operators and trainers write */
-  LbTime posted_confirmed_at; /* in the last LN_DESIRED_CONFIRMED posted */
-  bool has_listed;            /* the endpoints were listed at least once */
+  int64_t revision;           /* revision of the last resource set made from the roster */
+  LpFollow *operator_rows;    /* watches the rows that operators and trainers write */
+  LbTime posted_confirmed_at; /* time in the last LN_DESIRED_CONFIRMED posted */
+  bool has_listed_endpoints;  /* this instance has read a list of endpoints from the store */
   LbTime next_list_at;
   LbTime last_tick_at;
   bool posted_ready;               /* LN_READY was posted */
-  bool posted_has_orders_lease;    /* in the last LN_DUTY posted */
-  bool owns_batches;               /* this instance runs batches */
-  bool posted_is_catalog_followed; /* in the last LN_CATALOG_FOLLOWED posted */
+  bool posted_has_orders_lease;    /* value in the last LN_DUTY posted */
+  bool runs_batches;               /* this instance runs trainers' batches */
+  bool posted_is_catalog_followed; /* value in the last LN_CATALOG_FOLLOWED posted */
   bool draining;
 } DesiredTask;
 
@@ -69,17 +69,17 @@
                      "Version of the routes in force in this instance");
 
 static void
-clear_desired (LnMessage *message)
+clear_desired_message (LnMessage *message)
 {
   lc_desired_unref (((LnDesiredMessage *)message)->desired);
 }
 
 static void
-post_ready (DesiredTask *task)
+post_ready_when_loaded (DesiredTask *task)
 {
   LnReadyMessage message = { .base = LN_MESSAGE (LN_READY), .ready = true };
 
-  if (task->posted_ready || !task->desired || !task->has_listed)
+  if (task->posted_ready || !task->desired || !task->has_listed_endpoints)
     return;
   task->posted_ready = true;
   lb_log (LB_LOG_INFO, "ready", LB_INT ("desired", task->desired->version),
@@ -87,10 +87,10 @@
   LN_POST (task->task.hub, NULL, message);
 }
 
-/* Ignores a version that is not newer than the one in force: a stale or delayed answer of the store
- * would otherwise revert a change. */
+/* Ignores a version that is not newer than the active one. Otherwise a stale or delayed answer of
+ * the store would revert a change. */
 static void
-apply_desired (DesiredTask *task, const char *text)
+apply_desired_state (DesiredTask *task, const char *text)
 {
   LnDesiredMessage message = { .base = LN_MESSAGE (LN_DESIRED) };
   LbError error = { 0 };
@@ -111,18 +111,18 @@
           LB_INT ("routes", desired->n_routes));
   lc_desired_unref (task->desired);
   task->desired = desired;
-  /* Endpoints are used only if the desired state names their service. */
+  /* Only endpoints of services in the desired state are used: both lists must be filtered again. */
   ln_endpoint_list_set_desired_state (task->endpoint_list, desired);
   ln_catalog_invalidate_endpoint_list (task->catalog);
   lb_metric_set (&metric_desired_version, desired->version);
   message.desired = lc_desired_ref (desired);
-  message.base.clear = clear_desired;
+  message.base.clear = clear_desired_message;
   LN_POST (task->task.hub, NULL, message);
-  post_ready (task);
+  post_ready_when_loaded (task);
 }
 
 static void
-apply_newest_version (DesiredTask *task, const char *text)
+apply_newest_weight_version (DesiredTask *task, const char *text)
 {
   LnPoolVersionMessage message = { .base = LN_MESSAGE (LN_POOL_VERSION) };
   LbError error = { 0 };
@@ -142,7 +142,7 @@
 }
 
 static void
-on_operator_rows (const LpRow *rows, size_t n_rows, void *user)
+on_operator_rows_changed (const LpRow *rows, size_t n_rows, void *user)
 {
   DesiredTask *task = user;
 
@@ -150,36 +150,36 @@
     {
       LnOperatorRowKind kind = task->context->dialect->classify_operator_row (rows[i].key);
       if (kind == LN_ROW_DESIRED && rows[i].value)
-        apply_desired (task, rows[i].value);
+        apply_desired_state (task, rows[i].value);
       else if (kind == LN_ROW_VERSION && rows[i].value)
-        apply_newest_version (task, rows[i].value);
+        apply_newest_weight_version (task, rows[i].value);
     }
 }
 
-/* --- endpoints --- */
+/* --- endpoints and engines --- */
 
 static void
-clear_config (LnMessage *message)
+clear_config_message (LnMessage *message)
 {
   lc_resource_set_free (((LnConfigMessage *)message)->set);
 }
 
 static void
-post_endpoints (DesiredTask *task)
+post_endpoint_resources (DesiredTask *task)
 {
   LnConfigMessage message = { .base = LN_MESSAGE (LN_CONFIG) };
 
   message.set = lc_roster_to_resources (task->roster, ++task->revision,
                                         task->context->settings->weights.endpoints_check_fence);
-  message.base.clear = clear_config;
+  message.base.clear = clear_config_message;
   ln_weight_orders_configure (task->weight_orders, message.set);
   LN_POST (task->task.hub, NULL, message);
 }
 
-/* Notifies the task "calls" that an engine begins or ends a swap (it loads other weights). During a
- * swap the engine refuses new requests, so none are sent to it. */
+/* Notifies the task "calls" that an engine begins or ends loading other weights (a swap). During a
+ * swap the engine refuses new requests, so the task sends none to the engine. */
 static void
-notify_calls_of_swap (DesiredTask *task, const LcPlanEntry *entry)
+notify_calls_task_of_swap (DesiredTask *task, const LcPlanEntry *entry)
 {
   LnTask *calls = ln_hub_find_task (task->task.hub, "calls");
   LnEndpointSwapMessage message = { .base = LN_MESSAGE (LN_ENDPOINT_SWAP),
@@ -194,17 +194,17 @@
 static void post_listed_endpoints (DesiredTask *task);
 
 static void
-on_plan_changed (const LcEnginePlan *plan, void *user)
+on_engine_plan_changed (const LcEnginePlan *plan, void *user)
 {
   DesiredTask *task = user;
 
   if (lc_roster_set_engine_plan (task->roster, plan))
     {
       lb_log (LB_LOG_INFO, "engines_divided", LB_INT ("engines", plan->n_entries));
-      post_endpoints (task);
+      post_endpoint_resources (task);
     }
   for (size_t i = 0; i < plan->n_entries; i++)
-    notify_calls_of_swap (task, &plan->entries[i]);
+    notify_calls_task_of_swap (task, &plan->entries[i]);
   post_listed_endpoints (task);
 }
 
@@ -232,7 +232,7 @@
 }
 
 static void
-post_list_applied (DesiredTask *task, const char *listed_by, LbTime requested_at)
+post_endpoint_list_applied (DesiredTask *task, const char *listed_by, LbTime requested_at)
 {
   LnTask *calls = ln_hub_find_task (task->task.hub, "calls");
   LnEndpointListAppliedMessage message
@@ -245,8 +245,8 @@
 
 static bool must_list_endpoints (const DesiredTask *task, LbTime now);
 
-/* The catalog's list is not used by an instance that lists the endpoints itself: its own list also
- * has the weights that the engines state. */
+/* Ignores the catalog's list if this instance lists the endpoints itself: a list read from the
+ * store also has the weight versions that the engines registered. */
 static bool
 on_catalog_endpoints (const LcRegistration *list, size_t n_list, LbTime valid_at, void *user)
 {
@@ -261,9 +261,9 @@
   for (size_t i = 0; i < n_list; i++)
     if (!task->desired || lc_desired_find_service (task->desired, list[i].service))
       used[n_used++] = list[i];
-  post_list_applied (task, ln_catalog_publisher_name (task->catalog), valid_at);
+  post_endpoint_list_applied (task, ln_catalog_publisher_name (task->catalog), valid_at);
   if (lc_roster_apply_list (task->roster, used, n_used, valid_at, now))
-    post_endpoints (task);
+    post_endpoint_resources (task);
   post_listed_endpoints (task);
   free (used);
   return true;
@@ -280,14 +280,14 @@
       ln_catalog_invalidate_endpoint_list (task->catalog);
       return;
     }
-  post_list_applied (task, ln_catalog_publisher_name (task->catalog), valid_at);
+  post_endpoint_list_applied (task, ln_catalog_publisher_name (task->catalog), valid_at);
   if (lc_roster_confirm_list (task->roster, valid_at, now))
-    post_endpoints (task);
+    post_endpoint_resources (task);
   post_listed_endpoints (task);
 }
 
 static void
-clear_fleet (LnMessage *message)
+clear_fleet_message (LnMessage *message)
 {
   free (((LnFleetMessage *)message)->members);
 }
@@ -302,7 +302,7 @@
   if (!peers)
     return;
   message.members = lb_memdup (members, n_members * sizeof *members);
-  message.base.clear = clear_fleet;
+  message.base.clear = clear_fleet_message;
   LN_POST (task->task.hub, peers, message);
 }
 
@@ -326,43 +326,43 @@
   DesiredTask *task = user;
   LbTime now = lb_clock_monotonic ();
 
-  task->has_listed = true;
+  task->has_listed_endpoints = true;
   ln_catalog_set_subset_bounds (task->catalog, ln_endpoint_list_subset (task->endpoint_list));
   ln_catalog_set_endpoint_list (task->catalog, list, n_list, requested_at, now);
-  post_list_applied (task, task->context->instance, requested_at);
+  post_endpoint_list_applied (task, task->context->instance, requested_at);
   if (lc_roster_apply_list (task->roster, list, n_list, requested_at, now))
-    post_endpoints (task);
+    post_endpoint_resources (task);
   ln_weight_orders_apply_endpoint_list (task->weight_orders, task->roster, requested_at, now);
   post_listed_endpoints (task);
-  post_ready (task);
+  post_ready_when_loaded (task);
 }
 
 static void
-on_listing_failed (void *user)
+on_endpoint_listing_failed (void *user)
 {
   post_listed_endpoints (user);
 }
 
-/* The publisher of the catalog lists at the catalog's own period, since most instances get only its
- * lists. */
+/* The publisher lists the endpoints at the catalog's period, since most instances get their list of
+ * endpoints only from the catalog. */
 static LbTime
-get_list_period (const DesiredTask *task)
+get_endpoint_list_period (const DesiredTask *task)
 {
   return ln_catalog_is_publisher (task->catalog) ? ln_catalog_publish_period (task->catalog)
                                                  : lc_roster_list_period (task->roster);
 }
 
-/* An instance that sends requests to engines or orders their weights needs the weights that the
- * engines state, which are not in the catalog. */
+/* An instance that runs batches or orders weights must list the endpoints itself: it needs the
+ * weight versions that the engines registered, which are not in the catalog. */
 static bool
 must_list_endpoints (const DesiredTask *task, LbTime now)
 {
-  return task->owns_batches || ln_weight_orders_has_lease (task->weight_orders)
+  return task->runs_batches || ln_weight_orders_has_lease (task->weight_orders)
          || ln_catalog_needs_endpoint_list (task->catalog, now);
 }
 
 static void
-grow_subset (const char *service, void *user)
+grow_service_subset (const char *service, void *user)
 {
   DesiredTask *task = user;
 
@@ -372,17 +372,17 @@
 static void
 request_endpoint_list (DesiredTask *task, LbTime now)
 {
-  task->next_list_at = now + get_list_period (task);
+  task->next_list_at = now + get_endpoint_list_period (task);
   if (ln_catalog_is_publisher (task->catalog))
-    ln_catalog_foreach_overloaded_service (task->catalog, grow_subset, task);
+    ln_catalog_foreach_overloaded_service (task->catalog, grow_service_subset, task);
   else
     ln_catalog_apply_subset_bounds (task->catalog, ln_endpoint_list_subset (task->endpoint_list));
   ln_endpoint_list_request (task->endpoint_list, now);
 }
 
-/* Notifies the other tasks of the time at which the desired state was last known to be current. */
+/* Posts the time at which the store last confirmed the desired state, if that time has changed. */
 static void
-post_confirmed (DesiredTask *task)
+post_desired_confirmed (DesiredTask *task)
 {
   LnDesiredConfirmedMessage message = { .base = LN_MESSAGE (LN_DESIRED_CONFIRMED),
                                         .at = lp_follow_last_answer_at (task->operator_rows) };
@@ -394,7 +394,7 @@
 }
 
 static void
-post_orders_duty (DesiredTask *task)
+post_weight_orders_duty (DesiredTask *task)
 {
   bool has_lease = ln_weight_orders_has_lease (task->weight_orders);
   LnDutyMessage message
@@ -411,11 +411,11 @@
 {
   DesiredTask *task = user;
   LbTime now = lb_clock_monotonic ();
-  LbTime period = get_list_period (task);
+  LbTime period = get_endpoint_list_period (task);
 
   ln_stall_set_activity ("tick of config");
   lp_follow_tick (task->operator_rows, now);
-  post_confirmed (task);
+  post_desired_confirmed (task);
   ln_catalog_tick (task->catalog, lc_roster_count (task->roster), now);
   post_catalog_followed (task, now);
   bool is_listing = ln_endpoint_list_is_in_progress (task->endpoint_list);
@@ -424,15 +424,15 @@
   else if (is_listing && now - ln_endpoint_list_requested_at (task->endpoint_list) > period
            && now >= task->next_list_at && now - task->last_tick_at < MAX_TICK_GAP)
     {
-      /* The store does not answer, so the last list of endpoints stays in use. */
+      /* The store does not answer the list request: the last list of endpoints stays in use. */
       task->next_list_at = now + period;
       post_listed_endpoints (task);
     }
   task->last_tick_at = now;
   ln_weight_orders_tick (task->weight_orders, now);
-  post_orders_duty (task);
+  post_weight_orders_duty (task);
   ln_engine_plans_set_watched (task->engine_plans,
-                               task->owns_batches
+                               task->runs_batches
                                    || ln_weight_orders_has_lease (task->weight_orders)
                                    || ln_weight_orders_is_lease_candidate (task->weight_orders),
                                now);
@@ -441,14 +441,14 @@
 }
 
 static void
-update_duty (DesiredTask *task, const LnDutyMessage *message)
+update_batch_duty (DesiredTask *task, const LnDutyMessage *message)
 {
   if (message->duty == LN_DUTY_BATCHES)
-    task->owns_batches = message->held;
+    task->runs_batches = message->held;
 }
 
 static void
-add_demand (DesiredTask *task, const LnDemandMessage *demand, LbTime now)
+add_model_demand (DesiredTask *task, const LnDemandMessage *demand, LbTime now)
 {
   ln_engine_plans_add_demand (task->engine_plans, demand->model, demand->tokens, now);
   lc_subset_set_demand (ln_endpoint_list_subset (task->endpoint_list), demand->model,
@@ -465,7 +465,7 @@
 }
 
 static void
-receive (LnTask *base, const LnMessage *message)
+receive_message (LnTask *base, const LnMessage *message)
 {
   DesiredTask *task = (DesiredTask *)base;
 
@@ -478,13 +478,13 @@
   else if (message->type == LN_FLEET)
     ln_catalog_set_members (task->catalog, fleet->members, fleet->n_members);
   else if (message->type == LN_DUTY)
-    update_duty (task, (const LnDutyMessage *)message);
+    update_batch_duty (task, (const LnDutyMessage *)message);
   else if (message->type == LN_DEMAND)
-    add_demand (task, demand, lb_clock_monotonic ());
+    add_model_demand (task, demand, lb_clock_monotonic ());
 }
 
 static void
-drain (LnTask *base)
+start_drain (LnTask *base)
 {
   DesiredTask *task = (DesiredTask *)base;
 
@@ -518,9 +518,11 @@
   free (task);
 }
 
-static const LnTaskClass desired_class = {
-  .name = "config", .receive = receive, .drain = drain, .is_idle = is_idle, .free = free_task
-};
+static const LnTaskClass desired_class = { .name = "config",
+                                           .receive = receive_message,
+                                           .drain = start_drain,
+                                           .is_idle = is_idle,
+                                           .free = free_task };
 
 LnTask *
 ln_desired_task_new (LnContext *context)
@@ -530,12 +532,12 @@
           .on_endpoints_confirmed = on_catalog_endpoints_confirmed,
           .on_members = on_catalog_members };
   static const LnEndpointListHandlers list_handlers
-      = { .on_listed = on_endpoints_listed, .on_failed = on_listing_failed };
-  const LpFollowSettings rows = { .table = context->dialect->operator_table,
-                                  .prefixes = &context->dialect->operator_key_prefix,
-                                  .n_prefixes = 1,
-                                  .watch_timeout = WATCH_TIMEOUT,
-                                  .retry_delay = WATCH_RETRY_DELAY };
+      = { .on_listed = on_endpoints_listed, .on_failed = on_endpoint_listing_failed };
+  const LpFollowSettings follow_settings = { .table = context->dialect->operator_table,
+                                             .prefixes = &context->dialect->operator_key_prefix,
+                                             .n_prefixes = 1,
+                                             .watch_timeout = WATCH_TIMEOUT,
+                                             .retry_delay = WATCH_RETRY_DELAY };
   DesiredTask *task = LB_NEW (DesiredTask);
 
   task->task.klass = &desired_class;
@@ -545,8 +547,9 @@
   task->endpoint_list = ln_endpoint_list_new (context, &list_handlers, task);
   task->catalog = ln_catalog_new (context, &catalog_handlers, task);
   task->weight_orders = ln_weight_orders_new (context, on_engine_changed, task);
-  task->engine_plans = ln_engine_plans_new (context, on_plan_changed, task);
-  task->operator_rows = lp_follow_new (context->platform, &rows, on_operator_rows, task);
+  task->engine_plans = ln_engine_plans_new (context, on_engine_plan_changed, task);
+  task->operator_rows
+      = lp_follow_new (context->platform, &follow_settings, on_operator_rows_changed, task);
   task->last_tick_at = lb_clock_monotonic ();
   task->tick = (LnPeriodicCall){ .period = TICK_PERIOD, .callback = on_tick, .user = task };
   ln_ticker_add (ln_context_ticker (context), &task->tick);
