--- a/packages/node/src/duties/ln-duties.c
+++ b/packages/node/src/duties/ln-duties.c
@@ -18,8 +18,8 @@
 
 #define TICK_PERIOD (100 * LB_MSEC)
 #define DUTY_NAME "platform"
-/* Maximum time, from the start of draining, that the exit waits for the usage counts to be written.
- * They are in the store by then unless it is unreachable. */
+/* Maximum time that a draining process delays its exit until its usage counts are written. If the
+ * store is reachable, writing the counts takes less time. */
 #define MAX_DRAIN_TIME (7 * LB_SEC)
 
 /* The task "duties": holds the lease for calls to the shared platform that only one instance may
@@ -35,13 +35,13 @@
   LnUsageRows *usage_rows;         /* NULL: no usage reports are configured */
   LnUsageReporter *usage_reporter; /* NULL: no usage reports are configured */
   LnScaler *scaler;                /* NULL: no orders of endpoints are configured */
-  size_t n_members;
-  bool posted_is_held;   /* content of the last LN_DUTY message posted */
-  LbTime draining_since; /* 0: not draining */
+  size_t n_members;                /* number of known instances */
+  bool posted_is_held;             /* value of `held` in the last LN_DUTY posted */
+  LbTime draining_since;           /* start of draining; 0: not draining */
 } Duties;
 
 static void
-post_duty (Duties *duties, bool held)
+post_duty_if_changed (Duties *duties, bool held)
 {
   LnDutyMessage message
       = { .base = LN_MESSAGE (LN_DUTY), .duty = LN_DUTY_PLATFORM_CALLS, .held = held };
@@ -63,7 +63,7 @@
     ln_usage_reporter_set_duty_held (duties->usage_reporter, held);
   if (duties->scaler)
     ln_scaler_set_duty_held (duties->scaler, held);
-  post_duty (duties, held);
+  post_duty_if_changed (duties, held);
 }
 
 static void
@@ -73,7 +73,7 @@
   (void)what;
   Duties *duties = user;
   LbTime now = lb_clock_monotonic ();
-  int64_t true_ms = ln_true_time_ms (duties->true_time, now);
+  int64_t true_ms = ln_true_time_to_unix_ms (duties->true_time, now);
 
   ln_duty_lease_tick (duties->lease, duties->context->settings->duties.platform_checks_fence, now);
   if (duties->usage_rows)
@@ -95,12 +95,12 @@
 }
 
 static void
-update_scaler (LnScaler *scaler, const LnMessage *message)
+pass_message_to_scaler (LnScaler *scaler, const LnMessage *message)
 {
   if (message->type == LN_DEMAND)
     ln_scaler_add_demand (scaler, (const LnDemandMessage *)message, lb_clock_monotonic ());
   else if (message->type == LN_DESIRED)
-    ln_scaler_set_desired (scaler, ((const LnDesiredMessage *)message)->desired);
+    ln_scaler_set_desired_state (scaler, ((const LnDesiredMessage *)message)->desired);
   else if (message->type == LN_CONFIG)
     ln_scaler_set_endpoints (scaler, ((const LnConfigMessage *)message)->set);
 }
@@ -115,9 +115,9 @@
     update_members (duties, (const LnMembersMessage *)message);
   else if (message->type == LN_REQUEST_STARTED && duties->usage_rows)
     ln_usage_rows_count_request (duties->usage_rows, started->organisation,
-                                 ln_true_time_ms (duties->true_time, started->at));
+                                 ln_true_time_to_unix_ms (duties->true_time, started->at));
   else if (duties->scaler)
-    update_scaler (duties->scaler, message);
+    pass_message_to_scaler (duties->scaler, message);
 }
 
 static void
@@ -138,7 +138,7 @@
   if (duties->draining_since == 0 || now - duties->draining_since >= MAX_DRAIN_TIME)
     return true;
   return ln_duty_lease_is_released (duties->lease, now)
-         && (!duties->usage_rows || ln_usage_rows_are_written (duties->usage_rows));
+         && (!duties->usage_rows || ln_usage_rows_are_all_written (duties->usage_rows));
 }
 
 static void
@@ -176,7 +176,8 @@
   return false;
 }
 
-/* Without a configured duty the timer is not started, so the lease's row is not read either. */
+/* If no duty is configured, the timer is not started: this instance then does not read the lease's
+ * row and makes no calls to the platform. */
 LnTask *
 ln_duties_task_new (LnContext *context)
 {
--- a/packages/node/src/duties/ln-duty-lease.c
+++ b/packages/node/src/duties/ln-duty-lease.c
@@ -13,29 +13,30 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Bounds the time without a holder, in which no engine gets new weights while trainers continue. If
- * the store is 60 times slower than usual, a renewal (a read and a write) takes half a second. */
+/* Bounds the time without a holder after a failure: engines get no new weights in that time while
+ * trainers continue. Even if the store is 60 times slower than usual, a renewal (a read and a
+ * write) takes only half a second. */
 #define LEASE_DURATION (2 * LB_SEC)
-/* For engines that accept orders with any fencing number: orders of two holders must not alternate
- * within 3 s. */
+/* Lease duration if engines accept orders with any fencing number: such an engine must not get
+ * orders of two alternating holders within 3 s. */
 #define UNFENCED_LEASE_DURATION (3200 * LB_MSEC)
-#define RENEWAL_PERIOD (500 * LB_MSEC)     /* three renewals within LEASE_DURATION */
-#define OBSERVER_POLL_PERIOD (10 * LB_SEC) /* for instances that are not candidates */
+#define RENEWAL_PERIOD (500 * LB_MSEC)     /* allows three renewals within LEASE_DURATION */
+#define OBSERVER_POLL_PERIOD (10 * LB_SEC) /* for instances that are no candidates */
 #define MAX_CANDIDATES 3
-/* Receivers that get calls from one holder, another one and the first again within 3 s can't tell
- * which of them holds the lease. */
+/* A holder that loses and regains the lease makes no calls for this long after the loss. Receivers
+ * that get calls from holder A, holder B and A again within 3 s can't tell which one is current. */
 #define REACQUIRE_DELAY (3200 * LB_MSEC)
-#define KEY_SIZE 64
+#define ROW_KEY_SIZE 64
 
 struct LnDutyLease
 {
   LnContext *context;
   const char *duty;
-  char key[KEY_SIZE]; /* of the row */
+  char key[ROW_KEY_SIZE]; /* key of the lease's row */
   void (*on_change) (LbTime now, void *user);
   void *user;
   LcLease *lease;
-  LnMember *members;
+  LnMember *members; /* all known instances */
   size_t n_members;
 };
 
@@ -73,21 +74,21 @@
   free (lease);
 }
 
-static void execute_actions (LnDutyLease *lease, LbList *actions);
+static void execute_lease_actions (LnDutyLease *lease, LbList *actions);
 
 static void
-on_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
+on_row_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
   LnDutyLease *lease = user;
   LbList actions;
 
   lb_list_init (&actions);
   ln_lease_handle_read_result (lease->lease, error, rows, n_rows, lb_clock_monotonic (), &actions);
-  execute_actions (lease, &actions);
+  execute_lease_actions (lease, &actions);
 }
 
 static void
-on_written (LbErrorCode error, const LpRow *row, void *user)
+on_row_written (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
   LnDutyLease *lease = user;
@@ -95,11 +96,11 @@
 
   lb_list_init (&actions);
   lc_lease_write_completed (lease->lease, error, lb_clock_monotonic (), &actions);
-  execute_actions (lease, &actions);
+  execute_lease_actions (lease, &actions);
 }
 
 static void
-notify_change (LnDutyLease *lease, const LcLeaseAction *action)
+notify_holder_change (LnDutyLease *lease, const LcLeaseAction *action)
 {
   bool gained = action->type == LC_LEASE_GAINED;
 
@@ -109,7 +110,7 @@
 }
 
 static void
-execute_actions (LnDutyLease *lease, LbList *actions)
+execute_lease_actions (LnDutyLease *lease, LbList *actions)
 {
   LpPlatform *platform = lease->context->platform;
   LbLink *link;
@@ -120,14 +121,14 @@
       switch (action->type)
         {
         case LC_LEASE_READ:
-          platform->klass->get (platform, lease->key, on_read, lease);
+          platform->klass->get (platform, lease->key, on_row_read, lease);
           break;
         case LC_LEASE_WRITE:
-          ln_lease_write_row (platform, lease->key, "", action, on_written, lease);
+          ln_lease_write_row (platform, lease->key, "", action, on_row_written, lease);
           break;
         case LC_LEASE_GAINED:
         case LC_LEASE_LOST:
-          notify_change (lease, action);
+          notify_holder_change (lease, action);
           break;
         }
       free (action);
@@ -140,8 +141,8 @@
   return member->alive && member->confirmed && !member->draining && !member->cut;
 }
 
-/* Always includes this instance, so that a holder that cannot reach the store directly for a moment
- * keeps the lease. */
+/* Returns the number of candidates added. Always includes this instance, so that a holder that
+ * briefly cannot reach the store directly keeps the lease. */
 static size_t
 add_candidates (const LnMembersMessage *members, LcDutyCandidate *candidates)
 {
@@ -158,8 +159,8 @@
   return n;
 }
 
-/* The first MAX_CANDIDATES instances in rank order are candidates; each claims a free lease a
- * little later than the one before it. */
+/* The MAX_CANDIDATES instances with the lowest ranks are candidates. A candidate claims a free
+ * lease a little later than the candidate of the next lower rank. */
 void
 ln_duty_lease_set_members (LnDutyLease *lease, const LnMembersMessage *members)
 {
@@ -203,7 +204,7 @@
     detect_ended_holder (lease, all_check_fences, now);
   lb_list_init (&actions);
   lc_lease_tick (lease->lease, now, lb_clock_boot (), &actions);
-  execute_actions (lease, &actions);
+  execute_lease_actions (lease, &actions);
 }
 
 void
@@ -220,7 +221,7 @@
   lb_list_init (&actions);
   lc_lease_set_rank (lease->lease, -1);
   lc_lease_release (lease->lease, now, &actions);
-  execute_actions (lease, &actions);
+  execute_lease_actions (lease, &actions);
 }
 
 bool
--- a/packages/node/src/duties/ln-duty-lease.h
+++ b/packages/node/src/duties/ln-duty-lease.h
@@ -4,13 +4,15 @@
 #include "ln-context.h"
 #include "ln-messages.h"
 
-/* Lease for a duty that only one instance may have at a time, such as ordering engines to load
- * weights or calling the platform for all instances. Each duty has its own lease, a row of the
- * store. A few instances are candidates, chosen by the capacity of their machines. */
+/* Lease for a duty: work that only one instance may do at a time, such as ordering engines to load
+ * weights or calling the platform for all instances. Each duty has its own lease, which is a row of
+ * the store. A few instances, chosen by the capacity of their machines, are candidates for the
+ * lease. */
 typedef struct LnDutyLease LnDutyLease;
 
-/* duty: its name, not copied. receivers_check_fence: the receivers of the holder's calls refuse an
- * old fencing number. on_change: the lease was gained or lost; state from before is outdated. */
+/* duty: name of the duty, not copied. receivers_check_fence: receivers of the holder's calls refuse
+ * an old fencing number. on_change: called when this instance gained or lost the lease, after which
+ * state from before the change is outdated. */
 LnDutyLease *ln_duty_lease_new (LnContext *context,
                                 const char *duty,
                                 bool receivers_check_fence,
@@ -18,20 +20,22 @@
                                 void *user);
 void ln_duty_lease_free (LnDutyLease *lease);
 
-/* commands */
+/* commands, which change the lease's state */
+/* Sets the instances from which the candidates are chosen. */
 void ln_duty_lease_set_members (LnDutyLease *lease, const LnMembersMessage *members);
-/* all_check_fences: every current receiver refuses an old fencing number. */
+/* Renews or claims the lease if due. all_check_fences: every current receiver of the holder's calls
+ * refuses an old fencing number. */
 void ln_duty_lease_tick (LnDutyLease *lease, bool all_check_fences, LbTime now);
-/* Reads the lease's row at the next tick. To be called when a receiver refused a call because of
- * its fencing number. */
+/* Reads the lease's row at the next tick. Call it when a receiver refused a call because of the
+ * call's fencing number. */
 void ln_duty_lease_request_read (LnDutyLease *lease, LbTime now);
 void ln_duty_lease_release (LnDutyLease *lease, LbTime now);
 
-/* queries */
+/* queries, which change no state */
 bool ln_duty_lease_is_held (const LnDutyLease *lease);
 bool ln_duty_lease_is_candidate (const LnDutyLease *lease);
 bool ln_duty_lease_is_released (const LnDutyLease *lease, LbTime now);
-/* Whether the holder may make a call of its duty now; to be checked before each.
+/* Whether this instance may make a call of the duty now; check before each call.
  * fence_is_unchecked: the receiver accepts calls with any fencing number. */
 bool ln_duty_lease_allows_call (const LnDutyLease *lease, bool fence_is_unchecked, LbTime now);
 int64_t ln_duty_lease_fencing_number (const LnDutyLease *lease);
--- a/packages/node/src/duties/ln-lease.c
+++ b/packages/node/src/duties/ln-lease.c
@@ -2,8 +2,8 @@
 
 #include <json-c/json.h>
 
-/* A row that can't be parsed counts as a failure of the store, so that no instance claims the lease
- * because of it. */
+/* Reports a row that can't be parsed as a failure of the store: the lease would otherwise look
+ * free, and this instance might claim it. */
 void
 ln_lease_handle_read_result (LcLease *lease,
                              LbErrorCode error,
--- a/packages/node/src/duties/ln-scaler.c
+++ b/packages/node/src/duties/ln-scaler.c
@@ -16,17 +16,17 @@
   LnContext *context;
   LnDutyLease *lease;
   LcScaling *scaling;
-  LcDesired *desired; /* NULL: none is known */
-  LcResourceSet *set; /* the endpoints; NULL: none is known */
+  LcDesired *desired; /* desired state of the services; NULL: not known */
+  LcResourceSet *set; /* endpoints in use; NULL: not known */
   LbList calls;       /* LnPlatformCall in progress */
-  int64_t duty_epoch; /* incremented each time that the duty is gained or lost */
+  int64_t duty_epoch; /* incremented when the duty is gained or lost */
 };
 
 typedef struct
 {
   LnScaler *scaler;
   LcScalingOrder order;
-  int64_t duty_epoch; /* when the order was sent */
+  int64_t duty_epoch; /* epoch in which the order was sent; outcomes in later epochs are ignored */
 } OrderCall;
 
 LnScaler *
@@ -66,7 +66,7 @@
 }
 
 void
-ln_scaler_set_desired (LnScaler *scaler, LcDesired *desired)
+ln_scaler_set_desired_state (LnScaler *scaler, LcDesired *desired)
 {
   lc_desired_unref (scaler->desired);
   scaler->desired = lc_desired_ref (desired);
@@ -80,7 +80,7 @@
 }
 
 static LcScalingOutcome
-convert_order_outcome (LnDutyOutcome outcome)
+convert_to_scaling_outcome (LnDutyOutcome outcome)
 {
   switch (outcome)
     {
@@ -95,9 +95,10 @@
   return LC_SCALING_REFUSED;
 }
 
-/* A refusal may be due to the higher fencing number of a new holder, so reads the lease again. */
+/* Requests a read of the lease after a refusal, which may mean that another instance holds the
+ * lease now and has a higher fencing number. */
 static void
-on_order_answered (LnDutyOutcome outcome, void *user)
+on_scaling_order_answered (LnDutyOutcome outcome, void *user)
 {
   OrderCall *call = user;
   LnScaler *scaler = call->scaler;
@@ -106,12 +107,13 @@
   if (outcome == LN_DUTY_REFUSED)
     ln_duty_lease_request_read (scaler->lease, now);
   if (call->duty_epoch == scaler->duty_epoch)
-    lc_scaling_finish_order (scaler->scaling, &call->order, convert_order_outcome (outcome), now);
+    lc_scaling_finish_order (scaler->scaling, &call->order, convert_to_scaling_outcome (outcome),
+                             now);
   free (call);
 }
 
 static void
-send_order (LnScaler *scaler, const LcScalingOrder *order)
+send_scaling_order (LnScaler *scaler, const LcScalingOrder *order)
 {
   const LnContext *context = scaler->context;
   const LnDutyHolder holder
@@ -128,7 +130,7 @@
   lb_log (LB_LOG_INFO, "endpoints_ordered", LB_TEXT ("service", order->service),
           LB_TEXT ("data_centre", order->data_centre), LB_INT ("endpoints", order->endpoints),
           LB_INT ("fence", holder.fence));
-  ln_platform_call_start (context, &scaler->calls, &outgoing, on_order_answered, call);
+  ln_platform_call_start (context, &scaler->calls, &outgoing, on_scaling_order_answered, call);
   lc_outgoing_request_clear (&outgoing);
 }
 
@@ -142,5 +144,5 @@
     return;
   while (ln_duty_lease_allows_call (scaler->lease, fence_is_unchecked, now)
          && lc_scaling_next_order (scaler->scaling, scaler->desired, scaler->set, now, &order))
-    send_order (scaler, &order);
+    send_scaling_order (scaler, &order);
 }
--- a/packages/node/src/duties/ln-true-time.c
+++ b/packages/node/src/duties/ln-true-time.c
@@ -10,7 +10,7 @@
 struct LnTrueTime
 {
   const LnContext *context;
-  int64_t offset_ms; /* of true time from the store's clock; 0: not known */
+  int64_t offset_ms; /* true time minus the store's clock; 0: not known */
 };
 
 LnTrueTime *
@@ -42,9 +42,9 @@
   free (offsets);
 }
 
-/* Falls back to this machine's time of day if the offset is unknown or the store has no clock. */
+/* Uses this machine's wall clock if the offset is not known or the store has no clock. */
 int64_t
-ln_true_time_ms (const LnTrueTime *time, LbTime at)
+ln_true_time_to_unix_ms (const LnTrueTime *time, LbTime at)
 {
   int64_t store_ms = lp_platform_store_ms_at (time->context->platform, at);
 
--- a/packages/node/src/duties/ln-true-time.h
+++ b/packages/node/src/duties/ln-true-time.h
@@ -4,19 +4,21 @@
 #include "ln-context.h"
 #include "ln-messages.h"
 
-/* Time of day by the median of all instances' clocks, which tolerates a few wrong clocks. */
+/* Wall-clock time that all instances agree on (true time): the median of their clocks, so that a
+ * few wrong clocks do no harm. */
 typedef struct LnTrueTime LnTrueTime;
 
 LnTrueTime *ln_true_time_new (const LnContext *context);
 void ln_true_time_free (LnTrueTime *time);
 
-/* commands */
+/* commands, which change the state */
+/* Updates true time from the clock offsets that the instances report. */
 void ln_true_time_set_members (LnTrueTime *time, const LnMembersMessage *members);
 
-/* queries */
-/* Unix time in ms at the monotonic time `at`. */
-int64_t ln_true_time_ms (const LnTrueTime *time, LbTime at);
-/* This machine's time of day minus the store's clock, in ms; 0: not known. */
+/* queries, which change no state */
+/* Converts the monotonic time `at` to true time as Unix milliseconds. */
+int64_t ln_true_time_to_unix_ms (const LnTrueTime *time, LbTime at);
+/* This machine's wall clock minus the store's clock, in ms; 0: the store's clock is not known. */
 int64_t ln_true_time_local_clock_offset_ms (const LnContext *context, LbTime now);
 
 #endif
--- a/packages/node/src/duties/ln-usage-reporter.c
+++ b/packages/node/src/duties/ln-usage-reporter.c
@@ -19,16 +19,16 @@
 #include <string.h>
 
 #define REPORT_PREFIX "report/usage/"
-/* Number of reports that are kept in the store: twice the number of missed windows that a later
- * holder of the duty reports (MAX_CATCH_UP_WINDOWS of lc-usage-reports.c). */
+/* Number of reports kept in the store: twice the number of missed windows that a new lease holder
+ * reports afterwards (MAX_CATCH_UP_WINDOWS of lc-usage-reports.c). */
 #define N_KEPT_REPORTS 48
-/* Maximum number of rows of a window and partition that are removed. They are removed in a single
- * transaction, in which the store accepts at most 100 entries; further rows stay in the store. */
-#define MAX_REMOVED_ROWS 90
-/* Time after a window's end until its rows are summed: instances write their last rows of it within
- * 1.5 s, a little later on large sites, and the clocks by which they count differ by some 10 ms. */
+/* Maximum number of rows of a window that are removed in each partition. One transaction removes
+ * them, and the store accepts at most 100 entries in it. Further rows stay in the store. */
+#define MAX_REMOVED_ROWS_PER_PARTITION 90
+/* Time from a window's end until its rows are summed. Instances write their last rows of the window
+ * within 1.5 s, slightly later on large sites, and their clocks differ by about 10 ms. */
 #define SETTLE_DELAY_MS 2500
-/* Time reserved for sending a report, out of the 10 s or more until it is due. */
+/* Time reserved for sending a report, which is due 10 s or more after the window's end. */
 #define SEND_MARGIN_MS 3000
 
 struct LnUsageReporter
@@ -39,16 +39,16 @@
   LbList calls; /* LnPlatformCall in progress */
 };
 
-/* An action in progress. */
+/* Action of LcUsageReports whose store or platform calls are in progress. */
 typedef struct
 {
   LnUsageReporter *reporter;
-  int64_t duty_epoch; /* when the action was started; its result is ignored in a later epoch */
-  int64_t window;
-  size_t n_pending_lists; /* lists of rows without an answer yet */
-  bool has_failed;        /* a list failed */
-  LcUsageCounts *counts;  /* sum of the listed rows; NULL: the action sums nothing */
-  char *text;             /* counts of the action as JSON; NULL: it has none */
+  int64_t duty_epoch; /* epoch in which the action started; its result is ignored in a later one */
+  int64_t window;     /* number of the window */
+  size_t n_pending_lists; /* number of list calls in progress */
+  bool has_failed;        /* a list call failed */
+  LcUsageCounts *counts;  /* sum of the listed rows; NULL unless the action is LC_USAGE_SUM_ROWS */
+  char *text;             /* text of the action: the report's counts as JSON; NULL: none */
 } PendingAction;
 
 static LbMetric metric_sent
@@ -57,7 +57,7 @@
                        "Usage reports of this instance that the platform accepted");
 
 static LcUsageReports *
-reports_new (const LnSettings *settings)
+usage_reports_new (const LnSettings *settings)
 {
   const LcUsageReportSettings report_settings
       = { .window_ms = settings->duties.usage_window_s * 1000,
@@ -74,7 +74,7 @@
 
   reporter->context = context;
   reporter->lease = lease;
-  reporter->reports = reports_new (context->settings);
+  reporter->reports = usage_reports_new (context->settings);
   lb_list_init (&reporter->calls);
   return reporter;
 }
@@ -117,25 +117,26 @@
 }
 
 static bool
-is_current (const PendingAction *pending)
+is_duty_epoch_current (const PendingAction *pending)
 {
   return pending->duty_epoch == lc_usage_reports_duty_epoch (pending->reporter->reports);
 }
 
-/* Marks the store as failed, except for a failed condition or one lost answer, which do not imply
- * that other instances' rows are late. Lists fail as well while the store is not reachable. */
+/* Logs the error and records a store failure. A failed condition or a single lost answer does not
+ * count: it does not imply that other instances' rows are late. If the store is unreachable, list
+ * calls fail as well, and their errors count. */
 static void
-handle_error (const PendingAction *pending, LbErrorCode error, const char *what)
+handle_store_error (const PendingAction *pending, LbErrorCode error, const char *step_name)
 {
   if (error == LB_OK)
     return;
-  lb_log (LB_LOG_INFO, "usage_step_failed", LB_TEXT ("step", what),
+  lb_log (LB_LOG_INFO, "usage_step_failed", LB_TEXT ("step", step_name),
           LB_INT ("window", pending->window), LB_TEXT ("error", lb_error_name (error)));
   if (error != LB_ERROR_CONDITION_FAILED && error != LB_ERROR_STORE_UNKNOWN)
     lc_usage_reports_record_store_failure (pending->reporter->reports, lb_clock_monotonic ());
 }
 
-/* --- reading what earlier holders recorded --- */
+/* --- reading the reports that earlier lease holders recorded --- */
 
 static void
 add_recorded_report (PendingAction *pending, const LpRow *row)
@@ -153,11 +154,11 @@
 }
 
 static void
-finish_list (PendingAction *pending)
+finish_report_list (PendingAction *pending)
 {
   if (--pending->n_pending_lists > 0)
     return;
-  if (is_current (pending))
+  if (is_duty_epoch_current (pending))
     lc_usage_reports_read_completed (pending->reporter->reports, !pending->has_failed,
                                      lb_clock_monotonic ());
   pending_action_free (pending);
@@ -169,11 +170,11 @@
   (void)version;
   PendingAction *pending = user;
 
-  handle_error (pending, error, "read");
+  handle_store_error (pending, error, "read");
   pending->has_failed |= error != LB_OK;
-  for (size_t i = 0; i < n_rows && is_current (pending); i++)
+  for (size_t i = 0; i < n_rows && is_duty_epoch_current (pending); i++)
     add_recorded_report (pending, &rows[i]);
-  finish_list (pending);
+  finish_report_list (pending);
 }
 
 static void
@@ -183,18 +184,18 @@
   (void)version;
   PendingAction *pending = user;
 
-  handle_error (pending, error, "read");
+  handle_store_error (pending, error, "read");
   pending->has_failed |= error != LB_OK;
-  if (n_rows > 0 && is_current (pending) && ln_usage_window_from_key (rows[0].key) >= 0)
+  if (n_rows > 0 && is_duty_epoch_current (pending) && ln_usage_window_from_key (rows[0].key) >= 0)
     lc_usage_reports_add_row_window (pending->reporter->reports,
                                      ln_usage_window_from_key (rows[0].key));
-  finish_list (pending);
+  finish_report_list (pending);
 }
 
-/* Lists the recorded reports, and the first row of each partition, which belongs to the oldest
- * window there. */
+/* Lists the recorded reports, and the first row of each partition. Rows are sorted by window, so
+ * the first row belongs to the partition's oldest window. */
 static void
-read_reports (LnUsageReporter *reporter, const LcUsageAction *action)
+list_recorded_reports (LnUsageReporter *reporter, const LcUsageAction *action)
 {
   LpPlatform *platform = reporter->context->platform;
   PendingAction *pending = pending_action_new (reporter, action);
@@ -204,12 +205,12 @@
   platform->klass->list (platform, REPORT_PREFIX, NULL, 0, on_reports_listed, pending);
   for (size_t partition = 0; partition < LN_USAGE_N_PARTITIONS; partition++)
     {
-      ln_usage_partition_prefix (partition, prefix);
+      ln_usage_format_partition_prefix (partition, prefix);
       platform->klass->list (platform, prefix, NULL, 1, on_first_row_listed, pending);
     }
 }
 
-/* --- adding up the rows of a window --- */
+/* --- summing the rows of a window --- */
 
 static void
 add_incarnation_counts (LcUsageCounts *total, const LpRow *rows, size_t n_rows)
@@ -230,7 +231,8 @@
   lc_usage_counts_free (counts);
 }
 
-/* Counts the leading rows of the same incarnation; its rows are adjacent in the list. */
+/* Returns the number of rows at the start of the list that belong to the first row's incarnation.
+ * Rows of one incarnation are adjacent. */
 static size_t
 count_incarnation_rows (const LpRow *rows, size_t n_rows)
 {
@@ -244,12 +246,13 @@
 }
 
 static void
-on_rows_listed (LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
+on_window_rows_listed (
+    LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
 {
   (void)version;
   PendingAction *pending = user;
 
-  handle_error (pending, error, "count");
+  handle_store_error (pending, error, "count");
   pending->has_failed |= error != LB_OK;
   for (size_t i = 0; i < n_rows;)
     {
@@ -259,7 +262,7 @@
     }
   if (--pending->n_pending_lists > 0)
     return;
-  if (is_current (pending))
+  if (is_duty_epoch_current (pending))
     lc_usage_reports_sum_completed (pending->reporter->reports, pending->window,
                                     pending->has_failed ? NULL : pending->counts,
                                     lb_clock_monotonic ());
@@ -267,7 +270,7 @@
 }
 
 static void
-sum_rows (LnUsageReporter *reporter, const LcUsageAction *action)
+sum_window_rows (LnUsageReporter *reporter, const LcUsageAction *action)
 {
   LpPlatform *platform = reporter->context->platform;
   PendingAction *pending = pending_action_new (reporter, action);
@@ -277,12 +280,12 @@
   pending->n_pending_lists = LN_USAGE_N_PARTITIONS;
   for (size_t partition = 0; partition < LN_USAGE_N_PARTITIONS; partition++)
     {
-      ln_usage_window_prefix (partition, action->window, prefix);
-      platform->klass->list (platform, prefix, NULL, 0, on_rows_listed, pending);
+      ln_usage_format_window_prefix (partition, action->window, prefix);
+      platform->klass->list (platform, prefix, NULL, 0, on_window_rows_listed, pending);
     }
 }
 
-/* --- recording a report --- */
+/* --- recording a report in the store --- */
 
 static void
 format_report_key (int64_t window, char *key)
@@ -300,8 +303,8 @@
   return lb_json_take_text (object, JSON_C_TO_STRING_PLAIN);
 }
 
-/* The existing report was recorded by another holder, or by a write of this one whose answer was
- * lost. */
+/* Handles the report that the store already had for the window. Another lease holder recorded the
+ * report, or this instance did by a write whose answer was lost. */
 static void
 on_existing_report_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
@@ -309,8 +312,8 @@
   struct json_object *object
       = error == LB_OK && n_rows > 0 && rows[0].value ? json_tokener_parse (rows[0].value) : NULL;
 
-  handle_error (pending, error, "decide");
-  if (is_current (pending))
+  handle_store_error (pending, error, "decide");
+  if (is_duty_epoch_current (pending))
     lc_usage_reports_record_completed (pending->reporter->reports, pending->window, false,
                                        lb_json_text (object, "counts", NULL),
                                        lb_clock_monotonic ());
@@ -319,21 +322,21 @@
 }
 
 static void
-on_recorded (LbErrorCode error, const LpRow *row, void *user)
+on_report_recorded (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
   PendingAction *pending = user;
   LpPlatform *platform = pending->reporter->context->platform;
   char key[LN_USAGE_KEY_SIZE];
 
-  handle_error (pending, error, "decide");
+  handle_store_error (pending, error, "decide");
   if (error == LB_ERROR_CONDITION_FAILED)
     {
       format_report_key (pending->window, key);
       platform->klass->get (platform, key, on_existing_report_read, pending);
       return;
     }
-  if (is_current (pending))
+  if (is_duty_epoch_current (pending))
     lc_usage_reports_record_completed (pending->reporter->reports, pending->window, error == LB_OK,
                                        NULL, lb_clock_monotonic ());
   pending_action_free (pending);
@@ -353,12 +356,12 @@
   format_report_key (action->window, key);
   lb_log (LB_LOG_INFO, "usage_decided", LB_INT ("window", action->window),
           LB_JSON ("counts", action->text));
-  platform->klass->transact (platform, &transaction, LP_PRIORITY_LEDGER, on_recorded,
+  platform->klass->transact (platform, &transaction, LP_PRIORITY_LEDGER, on_report_recorded,
                              pending_action_new (reporter, action));
   free (text);
 }
 
-/* --- sending a report --- */
+/* --- sending a report to the platform --- */
 
 static LcUsageSendResult
 convert_send_outcome (LnDutyOutcome outcome)
@@ -377,7 +380,7 @@
 }
 
 static void
-on_sent (LnDutyOutcome outcome, void *user)
+on_report_sent (LnDutyOutcome outcome, void *user)
 {
   PendingAction *pending = user;
   LnUsageReporter *reporter = pending->reporter;
@@ -387,7 +390,7 @@
     lb_metric_add (&metric_sent, 1);
   if (outcome == LN_DUTY_REFUSED)
     ln_duty_lease_request_read (reporter->lease, now);
-  if (is_current (pending))
+  if (is_duty_epoch_current (pending))
     lc_usage_reports_send_completed (reporter->reports, pending->window,
                                      convert_send_outcome (outcome), now);
   pending_action_free (pending);
@@ -404,14 +407,15 @@
   context->dialect->write_usage (&holder, action->window, action->text, &outgoing);
   lb_log (LB_LOG_INFO, "usage_report", LB_INT ("window", action->window),
           LB_INT ("fence", holder.fence));
-  ln_platform_call_start (context, &reporter->calls, &outgoing, on_sent,
+  ln_platform_call_start (context, &reporter->calls, &outgoing, on_report_sent,
                           pending_action_new (reporter, action));
   lc_outgoing_request_clear (&outgoing);
 }
 
-/* --- closing a window --- */
+/* --- closing a window whose report was sent --- */
 
-/* Rows that remain are harmless, since the window's report is recorded. */
+/* Only logs the failure: rows left in the store are not counted again, since their window's report
+ * is recorded. */
 static void
 log_rows_not_removed (LbErrorCode error)
 {
@@ -434,8 +438,8 @@
   (void)version;
   LnUsageReporter *reporter = user;
   LpPlatform *platform = reporter->context->platform;
-  LpPut puts[MAX_REMOVED_ROWS];
-  size_t n = n_rows < MAX_REMOVED_ROWS ? n_rows : MAX_REMOVED_ROWS;
+  LpPut puts[MAX_REMOVED_ROWS_PER_PARTITION];
+  size_t n = n_rows < MAX_REMOVED_ROWS_PER_PARTITION ? n_rows : MAX_REMOVED_ROWS_PER_PARTITION;
 
   if (error != LB_OK)
     log_rows_not_removed (error);
@@ -448,27 +452,27 @@
 }
 
 static void
-remove_rows (LnUsageReporter *reporter, int64_t window)
+remove_window_rows (LnUsageReporter *reporter, int64_t window)
 {
   LpPlatform *platform = reporter->context->platform;
   char prefix[LN_USAGE_KEY_SIZE];
 
   for (size_t partition = 0; partition < LN_USAGE_N_PARTITIONS; partition++)
     {
-      ln_usage_window_prefix (partition, window, prefix);
-      platform->klass->list (platform, prefix, NULL, MAX_REMOVED_ROWS, on_rows_to_remove_listed,
-                             reporter);
+      ln_usage_format_window_prefix (partition, window, prefix);
+      platform->klass->list (platform, prefix, NULL, MAX_REMOVED_ROWS_PER_PARTITION,
+                             on_rows_to_remove_listed, reporter);
     }
 }
 
 static void
-on_closed (LbErrorCode error, const LpRow *row, void *user)
+on_window_closed (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
   PendingAction *pending = user;
 
-  handle_error (pending, error, "close");
-  if (is_current (pending))
+  handle_store_error (pending, error, "close");
+  if (is_duty_epoch_current (pending))
     lc_usage_reports_close_completed (pending->reporter->reports, pending->window, error == LB_OK,
                                       lb_clock_monotonic ());
   pending_action_free (pending);
@@ -486,22 +490,22 @@
 
   format_report_key (action->window, key);
   format_report_key (action->window - N_KEPT_REPORTS, oldest_key);
-  platform->klass->transact (platform, &transaction, LP_PRIORITY_STATUS, on_closed,
+  platform->klass->transact (platform, &transaction, LP_PRIORITY_STATUS, on_window_closed,
                              pending_action_new (reporter, action));
-  remove_rows (reporter, action->window);
+  remove_window_rows (reporter, action->window);
   free (text);
 }
 
 static void
-execute_action (LnUsageReporter *reporter, const LcUsageAction *action)
+execute_usage_action (LnUsageReporter *reporter, const LcUsageAction *action)
 {
   switch (action->type)
     {
     case LC_USAGE_READ_REPORTS:
-      read_reports (reporter, action);
+      list_recorded_reports (reporter, action);
       break;
     case LC_USAGE_SUM_ROWS:
-      sum_rows (reporter, action);
+      sum_window_rows (reporter, action);
       break;
     case LC_USAGE_RECORD_REPORT:
       record_report (reporter, action);
@@ -518,11 +522,11 @@
 void
 ln_usage_reporter_tick (LnUsageReporter *reporter, int64_t true_ms, LbTime now)
 {
-  /* The platform accepts calls with an outdated fencing number. */
+  /* true: the platform accepts calls with an outdated fencing number */
   bool fence_is_unchecked = !reporter->context->settings->duties.platform_checks_fence;
   LcUsageAction action;
 
   while (ln_duty_lease_allows_call (reporter->lease, fence_is_unchecked, now)
          && lc_usage_reports_next_action (reporter->reports, true_ms, now, &action))
-    execute_action (reporter, &action);
+    execute_usage_action (reporter, &action);
 }
--- a/packages/node/src/duties/ln-usage-rows.c
+++ b/packages/node/src/duties/ln-usage-rows.c
@@ -12,13 +12,13 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define TABLE "usage"
-/* Time between two writes of a window's row: requests that a killed instance started since its last
- * write are not counted. Grows with the number of instances, which bounds their total write rate.
- */
+#define USAGE_TABLE "usage"
+/* Minimum time between two writes of a window's row. Requests that a killed instance started since
+ * its last write are not counted. The time grows with the number of instances, which bounds the
+ * total write rate of all instances. */
 #define WRITE_PERIOD (200 * LB_MSEC)
 #define WRITE_PERIOD_PER_INSTANCE (4 * LB_MSEC)
-/* Number of windows whose counts are kept; older windows are no longer written. */
+/* Number of windows whose counts are kept in memory; older windows are no longer written. */
 #define N_KEPT_WINDOWS 24
 
 struct LnUsageRows
@@ -26,7 +26,8 @@
   LnContext *context;
   LcUsage *usage;
   int64_t window_ms;
-  int64_t key_generation; /* last part of the rows' keys, see write_row */
+  int64_t key_generation; /* last part of the rows' keys; incremented after a write with unknown
+                             outcome */
 };
 
 typedef struct
@@ -36,15 +37,15 @@
 } RowWrite;
 
 void
-ln_usage_partition_prefix (size_t partition, char *key)
+ln_usage_format_partition_prefix (size_t partition, char *key)
 {
-  snprintf (key, LN_USAGE_KEY_SIZE, TABLE "/%zu/", partition);
+  snprintf (key, LN_USAGE_KEY_SIZE, USAGE_TABLE "/%zu/", partition);
 }
 
 void
-ln_usage_window_prefix (size_t partition, int64_t window, char *key)
+ln_usage_format_window_prefix (size_t partition, int64_t window, char *key)
 {
-  snprintf (key, LN_USAGE_KEY_SIZE, TABLE "/%zu/%012lld:", partition, (long long)window);
+  snprintf (key, LN_USAGE_KEY_SIZE, USAGE_TABLE "/%zu/%012lld:", partition, (long long)window);
 }
 
 int64_t
@@ -92,12 +93,12 @@
 }
 
 static void
-on_written (LbErrorCode error, const LpRow *row, void *user)
+on_row_written (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
   RowWrite *write = user;
 
-  /* The write may still take effect later and replace a newer row of the same key. */
+  /* The write may still take effect later: a new key keeps it from replacing a newer row. */
   if (error == LB_ERROR_STORE_UNKNOWN)
     write->rows->key_generation++;
   if (error != LB_OK)
@@ -107,9 +108,9 @@
   free (write);
 }
 
-/* Each row holds the totals that this incarnation counted in the window. A write without an answer
- * may take effect after a later one, and would then replace larger counts by smaller ones. So later
- * rows get a new key, and readers use the largest counts. */
+/* Each row holds all counts of this incarnation in the window. A write without an answer may take
+ * effect after a later write and would then replace larger counts by smaller ones. So later rows
+ * get a new key, and readers use the largest counts. */
 static void
 write_row (LnUsageRows *rows, const LcUsageRow *row)
 {
@@ -121,12 +122,12 @@
   RowWrite *write = LB_NEW (RowWrite);
 
   *write = (RowWrite){ .rows = rows, .window = row->window };
-  ln_usage_window_prefix (partition, row->window, prefix);
+  ln_usage_format_window_prefix (partition, row->window, prefix);
   char *key = lb_asprintf ("%s%s:%s:%lld", prefix, context->instance, context->incarnation,
                            (long long)rows->key_generation);
   const LpPut put = { .key = key, .value = row->text };
   const LpTransaction transaction = { .token = "", .puts = &put, .n_puts = 1 };
-  platform->klass->transact (platform, &transaction, LP_PRIORITY_LEDGER, on_written, write);
+  platform->klass->transact (platform, &transaction, LP_PRIORITY_LEDGER, on_row_written, write);
   free (key);
 }
 
@@ -145,7 +146,7 @@
 }
 
 bool
-ln_usage_rows_are_written (const LnUsageRows *rows)
+ln_usage_rows_are_all_written (const LnUsageRows *rows)
 {
   return lc_usage_is_fully_written (rows->usage);
 }
