--- a/packages/node/src/endpoints/ln-crashes.c
+++ b/packages/node/src/endpoints/ln-crashes.c
@@ -72,8 +72,8 @@
 update_store_clock (LnCrashes *crashes)
 {
   LpPlatform *platform = crashes->context->platform;
-  int64_t ms
-      = platform->klass->store_ms ? platform->klass->store_ms (platform) : lb_clock_wall_ms ();
+  int64_t ms = platform->klass->store_clock_ms ? platform->klass->store_clock_ms (platform)
+                                               : lb_clock_wall_ms ();
 
   if (ms == 0)
     return;
@@ -324,8 +324,8 @@
 bool
 ln_crashes_is_initial_read_over (const LnCrashes *crashes, LbTime now)
 {
-  bool has_read
-      = crashes->follower ? lp_follow_has_listed (crashes->follower) : crashes->has_scanned;
+  bool has_read = crashes->follower ? lp_follow_has_delivered_all_rows (crashes->follower)
+                                    : crashes->has_scanned;
 
   return has_read || now - crashes->started_at >= MAX_INITIAL_READ_TIME;
 }
--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -74,7 +74,7 @@
 static int64_t
 get_store_time_ms (const LnCatalog *catalog)
 {
-  return lp_platform_store_ms (catalog->context->platform);
+  return lp_platform_store_clock_ms (catalog->context->platform);
 }
 
 static void
@@ -311,7 +311,7 @@
   LpPlatform *platform = catalog->context->platform;
   bool is_cut_off = !lp_platform_is_store_reachable (platform);
 
-  if (catalog->draining || is_cut_off || !lp_follow_has_listed (catalog->follower))
+  if (catalog->draining || is_cut_off || !lp_follow_has_delivered_all_rows (catalog->follower))
     return -1;
   return lc_catalog_is_publisher (catalog->catalog) ? 0 : get_cached_takeover_rank (catalog);
 }
--- a/packages/node/src/weights/ln-engine-plans.c
+++ b/packages/node/src/weights/ln-engine-plans.c
@@ -323,7 +323,7 @@
 ln_engine_plans_tick (LnEnginePlans *plans, const LcRoster *roster, bool may_write, LbTime now)
 {
   lp_follow_tick (plans->row_watch, now);
-  set_is_writer (plans, may_write && lp_follow_has_listed (plans->row_watch), now);
+  set_is_writer (plans, may_write && lp_follow_has_delivered_all_rows (plans->row_watch), now);
   if (!plans->is_writer)
     return;
   if (now >= plans->next_division_at && is_demand_known (plans, now))
--- a/packages/node/tests/test-crashes.c
+++ b/packages/node/tests/test-crashes.c
@@ -126,7 +126,7 @@
                                              .transact = fake_transact,
                                              .list = fake_list,
                                              .watch = fake_watch,
-                                             .store_ms = fake_store_ms };
+                                             .store_clock_ms = fake_store_ms };
 
 /* Replaces the peers task: counts the frames that it is asked to send and keeps the last one. */
 typedef struct
--- a/packages/node/tests/test-fleet-directory.c
+++ b/packages/node/tests/test-fleet-directory.c
@@ -62,7 +62,7 @@
 }
 
 static const LpPlatformClass store_class
-    = { .name = "test", .list = list_store_rows, .store_ms = store_ms };
+    = { .name = "test", .list = list_store_rows, .store_clock_ms = store_ms };
 
 static int
 compare_rows_by_key (const void *a, const void *b)
--- a/packages/node/tests/test-fleet-lists.c
+++ b/packages/node/tests/test-fleet-lists.c
@@ -62,7 +62,7 @@
 }
 
 static const LpPlatformClass store_class
-    = { .name = "test", .list = list_store_rows, .store_ms = get_store_time_ms };
+    = { .name = "test", .list = list_store_rows, .store_clock_ms = get_store_time_ms };
 
 static void
 renew_all_rows (Store *store)
--- a/packages/store/include/lp-follow.h
+++ b/packages/store/include/lp-follow.h
@@ -46,6 +46,6 @@
 /* Time of the store's last answer; all rows as of then have been delivered. 0: none yet. */
 LbTime lp_follow_last_answer_at (const LpFollow *follow);
 /* Whether all rows have been delivered at least once. */
-bool lp_follow_has_listed (const LpFollow *follow);
+bool lp_follow_has_delivered_all_rows (const LpFollow *follow);
 
 #endif
--- a/packages/store/include/lp-platform.h
+++ b/packages/store/include/lp-platform.h
@@ -141,9 +141,9 @@
   bool (*is_store_reachable) (const LpPlatform *platform);
   /* The store's own monotonic clock, in ms, in the answer being delivered; 0: the answer has none.
    * NULL if not supported. */
-  int64_t (*store_ms) (const LpPlatform *platform);
+  int64_t (*store_clock_ms) (const LpPlatform *platform);
   /* The same clock at time `now` of this process, extrapolated from earlier answers; 0: unknown. */
-  int64_t (*store_ms_at) (const LpPlatform *platform, LbTime now);
+  int64_t (*store_clock_ms_at) (const LpPlatform *platform, LbTime now);
   /* Executes a peer's call directly, never through another peer. status 0: no answer came; error
    * says whether the call may have been executed. */
   void (*execute_peer_call) (LpPlatform *platform,
@@ -164,8 +164,8 @@
 
 /* Call the optional functions of the class. Defaults if not supported: 0 for the clocks, and the
  * store counts as reachable. */
-int64_t lp_platform_store_ms (const LpPlatform *platform);
-int64_t lp_platform_store_ms_at (const LpPlatform *platform, LbTime at);
+int64_t lp_platform_store_clock_ms (const LpPlatform *platform);
+int64_t lp_platform_store_clock_ms_at (const LpPlatform *platform, LbTime at);
 bool lp_platform_is_store_reachable (const LpPlatform *platform);
 
 typedef struct
--- a/packages/store/src/lp-follow.c
+++ b/packages/store/src/lp-follow.c
@@ -220,7 +220,7 @@
 }
 
 bool
-lp_follow_has_listed (const LpFollow *follow)
+lp_follow_has_delivered_all_rows (const LpFollow *follow)
 {
   return follow->has_listed;
 }
--- a/packages/store/src/lp-memory.c
+++ b/packages/store/src/lp-memory.c
@@ -164,7 +164,7 @@
 {
   LpMemory *memory = get_memory (platform);
   Reply *reply = reply_new (memory, REPLY_ROWS, user);
-  const LpRow *row = lp_store_get (memory->store, key);
+  const LpRow *row = lp_store_get_row (memory->store, key);
 
   reply->done.rows = done;
   if (row)
@@ -180,8 +180,8 @@
   Reply *reply = reply_new (memory, REPLY_ROWS, user);
 
   reply->done.rows = done;
-  for (const LpRow *row = lp_store_next (memory->store, prefix, NULL); row;
-       row = lp_store_next (memory->store, prefix, row->key))
+  for (const LpRow *row = lp_store_next_row (memory->store, prefix, NULL); row;
+       row = lp_store_next_row (memory->store, prefix, row->key))
     reply_add_row (reply, row);
 }
 
@@ -229,7 +229,7 @@
   Reply *reply = reply_new (memory, REPLY_WEIGHTS, user);
 
   reply->done.weights = done;
-  reply->version = lp_store_get_weights (memory->store, pool);
+  reply->version = lp_store_get_weight_version (memory->store, pool);
   if (reply->version == 0)
     reply->error = LB_ERROR_NOT_FOUND;
 }
--- a/packages/store/src/lp-store.c
+++ b/packages/store/src/lp-store.c
@@ -288,7 +288,7 @@
 }
 
 void
-lp_store_set_weights (LpStore *store, const char *pool, int64_t version)
+lp_store_set_weight_version (LpStore *store, const char *pool, int64_t version)
 {
   Weights *weights = NULL;
 
@@ -304,7 +304,7 @@
 
 /* Returns NULL if absent. Valid until the next change. */
 const LpRow *
-lp_store_get (const LpStore *store, const char *key)
+lp_store_get_row (const LpStore *store, const char *key)
 {
   const Entry *entry = find_entry (store, key);
 
@@ -314,7 +314,7 @@
 /* Returns the first row with the prefix after the key `after` (NULL: the first row with the
  * prefix); NULL at the end. Valid until the next change. */
 const LpRow *
-lp_store_next (const LpStore *store, const char *prefix, const char *after)
+lp_store_next_row (const LpStore *store, const char *prefix, const char *after)
 {
   size_t i = lower_bound (store, prefix);
 
@@ -342,7 +342,7 @@
 
 /* Returns the pool's newest weight version; 0 if none was set. */
 int64_t
-lp_store_get_weights (const LpStore *store, const char *pool)
+lp_store_get_weight_version (const LpStore *store, const char *pool)
 {
   Weights *weights = NULL;
 
--- a/packages/store/tests/test-follow.c
+++ b/packages/store/tests/test-follow.c
@@ -99,9 +99,9 @@
   lp_follow_tick (follow, LB_SEC);
   cr_assert_eq (fake.n_lists, 2);
   answer_first (&fake, LB_OK, 2, 9);
-  cr_assert_not (lp_follow_has_listed (follow));
+  cr_assert_not (lp_follow_has_delivered_all_rows (follow));
   answer_first (&fake, LB_OK, 1, 7);
-  cr_assert (lp_follow_has_listed (follow));
+  cr_assert (lp_follow_has_delivered_all_rows (follow));
   cr_assert_eq (fake.n_rows_delivered, 3);
   lp_follow_tick (follow, LB_SEC);
   cr_assert_eq (fake.n_watches, 1);
@@ -123,7 +123,7 @@
   lp_follow_tick (follow, LB_SEC);
   answer_first (&fake, LB_ERROR_STORE_AWAY, 0, 0);
   answer_first (&fake, LB_OK, 1, 7);
-  cr_assert_not (lp_follow_has_listed (follow));
+  cr_assert_not (lp_follow_has_delivered_all_rows (follow));
   LbTime now = lb_clock_monotonic ();
   lp_follow_tick (follow, now);
   cr_assert_eq (fake.n_lists, 2, "lists again before the retry delay");
@@ -193,7 +193,7 @@
   cr_assert_eq (fake.n_watches, 1);
   cr_assert_eq (fake.watched_after, 0);
   answer_first (&fake, LB_OK, 2, 9);
-  cr_assert (lp_follow_has_listed (follow));
+  cr_assert (lp_follow_has_delivered_all_rows (follow));
   lp_follow_tick (follow, LB_SEC);
   cr_assert_eq (fake.watched_after, 9);
   cr_assert_eq (fake.n_lists, 0);
@@ -211,7 +211,7 @@
   LbTime now = lb_clock_monotonic ();
   lp_follow_tick (follow, now);
   answer_first (&fake, LB_ERROR_NOT_FOUND, 0, 0);
-  cr_assert_not (lp_follow_has_listed (follow));
+  cr_assert_not (lp_follow_has_delivered_all_rows (follow));
   lp_follow_tick (follow, now);
   cr_assert_eq (fake.n_lists, 2);
   lp_follow_free (follow);
--- a/packages/store/tests/test-http.c
+++ b/packages/store/tests/test-http.c
@@ -206,7 +206,7 @@
   fixture.platform->klass->get_weights (fixture.platform, "reader", on_weights, &none);
   wait_for (&fixture, &none);
   cr_assert_eq (none.error, LB_ERROR_NOT_FOUND);
-  lp_store_set_weights (fixture.store.store, "reader", 41);
+  lp_store_set_weight_version (fixture.store.store, "reader", 41);
   fixture.platform->klass->get_weights (fixture.platform, "reader", on_weights, &newest);
   wait_for (&fixture, &newest);
   cr_assert_eq (newest.version, 41);
@@ -225,7 +225,7 @@
   result = put (&fixture, "k", "v1");
   cr_assert_eq (result.error, LB_OK);
   cr_assert_eq (fixture.store.writes, 2);
-  cr_assert_eq (lp_store_get (fixture.store.store, "k")->version, 1);
+  cr_assert_eq (lp_store_get_row (fixture.store.store, "k")->version, 1);
   cr_assert_eq (result.version, 1);
   fixture_clear (&fixture);
 }
@@ -241,7 +241,7 @@
   set_fault (&fixture, "{\"mode\": \"lose_reply\"}");
   result = put (&fixture, "k", "v1");
   cr_assert_eq (result.error, LB_ERROR_STORE_UNKNOWN);
-  cr_assert_str_eq (lp_store_get (fixture.store.store, "k")->value, "v1");
+  cr_assert_str_eq (lp_store_get_row (fixture.store.store, "k")->value, "v1");
   fixture_clear (&fixture);
 }
 
@@ -257,7 +257,7 @@
   set_fault (&fixture, "{\"mode\": \"slow\", \"ms\": 10000, \"path\": \"/table/transact\"}");
   result = put (&fixture, "k", "mine!");
   cr_assert_eq (result.error, LB_OK);
-  cr_assert_eq (result.version, lp_store_get (fixture.store.store, "k")->version);
+  cr_assert_eq (result.version, lp_store_get_row (fixture.store.store, "k")->version);
   fixture_clear (&fixture);
 }
 
@@ -315,7 +315,7 @@
   set_fault (&fixture, "{\"mode\": \"busy\"}");
   result = put (&fixture, "k", "v2");
   cr_assert_eq (result.error, LB_ERROR_STORE_BUSY);
-  cr_assert_str_eq (lp_store_get (fixture.store.store, "k")->value, "v1");
+  cr_assert_str_eq (lp_store_get_row (fixture.store.store, "k")->value, "v1");
   fixture_clear (&fixture);
 }
 
--- a/packages/store/tests/test-store.c
+++ b/packages/store/tests/test-store.c
@@ -31,7 +31,7 @@
   cr_assert_eq (put (store, "t2", "k", 0, "b", &row), LB_ERROR_CONDITION_FAILED);
   cr_assert_str_eq (row.key, "k");
   cr_assert_eq (row.version, first);
-  cr_assert_str_eq (lp_store_get (store, "k")->value, "a");
+  cr_assert_str_eq (lp_store_get_row (store, "k")->value, "a");
   cr_assert_eq (put (store, "t3", "k", first, "b", &row), LB_OK);
   cr_assert_gt (row.version, first);
   lp_store_free (store);
@@ -49,7 +49,7 @@
   cr_assert_eq (put (store, "t2", "k", first, "b", &row), LB_OK);
   cr_assert_eq (put (store, "t1", "k", 0, "a", &row), LB_OK);
   cr_assert_eq (row.version, first);
-  cr_assert_str_eq (lp_store_get (store, "k")->value, "b");
+  cr_assert_str_eq (lp_store_get_row (store, "k")->value, "b");
   lp_store_free (store);
 }
 
@@ -63,7 +63,7 @@
   put (store, "t1", "k", 0, "a", &row);
   int64_t first = row.version;
   cr_assert_eq (put (store, "t2", "k", first, NULL, &row), LB_OK);
-  cr_assert_null (lp_store_get (store, "k"));
+  cr_assert_null (lp_store_get_row (store, "k"));
   cr_assert_eq (put (store, "t3", "k", 0, "c", &row), LB_OK);
   cr_assert_gt (row.version, first);
   lp_store_free (store);
@@ -83,11 +83,11 @@
       snprintf (token, sizeof token, "%zu", i);
       put (store, token, keys[i], 0, "v", &row);
     }
-  for (const LpRow *next = lp_store_next (store, "b/", NULL); next;
-       next = lp_store_next (store, "b/", next->key))
+  for (const LpRow *next = lp_store_next_row (store, "b/", NULL); next;
+       next = lp_store_next_row (store, "b/", next->key))
     cr_assert_str_eq (next->key, expected[n++]);
   cr_assert_eq (n, 3);
-  cr_assert_str_eq (lp_store_next (store, "b/", "b/1")->key, "b/10");
+  cr_assert_str_eq (lp_store_next_row (store, "b/", "b/1")->key, "b/10");
   lp_store_free (store);
 }
 
--- a/standins/si-platform.c
+++ b/standins/si-platform.c
@@ -183,7 +183,7 @@
 handle_get_weights (SiPlatform *platform, struct evhttp_request *request)
 {
   char *pool = si_request_query (request, "pool");
-  int64_t version = pool ? lp_store_get_weights (platform->store, pool) : 0;
+  int64_t version = pool ? lp_store_get_weight_version (platform->store, pool) : 0;
   struct json_object *reply = json_object_new_object ();
 
   if (version > 0)
@@ -226,8 +226,8 @@
 static void
 set_weights (SiPlatform *platform, struct json_object *weights)
 {
-  lp_store_set_weights (platform->store, si_json_text (weights, "pool", ""),
-                        si_json_int (weights, "version", 0));
+  lp_store_set_weight_version (platform->store, si_json_text (weights, "pool", ""),
+                               si_json_int (weights, "version", 0));
 }
 
 /* POST /control {"instances": {...}, "weights": {"pool", "version"}, "lag_ms": n, "rate": n}; each
--- a/standins/si-table.c
+++ b/standins/si-table.c
@@ -110,7 +110,7 @@
 int
 si_table_row (const LpStore *store, const char *key, struct json_object **reply)
 {
-  const LpRow *row = lp_store_get (store, key);
+  const LpRow *row = lp_store_get_row (store, key);
 
   *reply = row ? row_to_json (row) : json_object_new_object ();
   return row ? 200 : 404;
@@ -121,12 +121,12 @@
 {
   struct json_object *reply = json_object_new_object ();
   struct json_object *rows = json_object_new_array ();
-  const LpRow *row = lp_store_next (store, prefix, after);
+  const LpRow *row = lp_store_next_row (store, prefix, after);
 
   for (; row && limit > 0; limit--)
     {
       json_object_array_add (rows, row_to_json (row));
-      row = lp_store_next (store, prefix, row->key);
+      row = lp_store_next_row (store, prefix, row->key);
     }
   json_object_object_add (reply, "rows", rows);
   return reply;
