--- a/packages/node/src/endpoints/ln-crashes.c
+++ b/packages/node/src/endpoints/ln-crashes.c
@@ -72,8 +72,8 @@
 update_store_clock (LnCrashes *crashes)
 {
   LpPlatform *platform = crashes->context->platform;
-  int64_t ms
-      = platform->klass->store_ms ? platform->klass->store_ms (platform) : lb_clock_wall_ms ();
+  int64_t ms = platform->klass->store_clock_ms ? platform->klass->store_clock_ms (platform)
+                                               : lb_clock_wall_ms ();
 
   if (ms == 0)
     return;
