--- a/fuzz/fuzz-frame.c
+++ b/fuzz/fuzz-frame.c
@@ -15,9 +15,10 @@
   LwMessage decoded = { 0 };
   LbError error = { 0 };
 
-  if (length > LW_FRAME_HEADER + LW_FRAME_MAX_BODY)
+  if (length > LW_FRAME_HEADER_BYTES + LW_FRAME_MAX_BODY_BYTES)
     goto out;
-  if (!lw_message_decode (frame + LW_FRAME_HEADER, length - LW_FRAME_HEADER, &decoded, &error))
+  if (!lw_message_decode (frame + LW_FRAME_HEADER_BYTES, length - LW_FRAME_HEADER_BYTES, &decoded,
+                          &error))
     abort ();
   uint8_t *second_frame = lw_message_encode (&decoded, &second_length);
   if (length != second_length || memcmp (frame, second_frame, length) != 0)
@@ -35,7 +36,7 @@
   LwFrame frame;
   LbError error = { 0 };
 
-  while (lw_frame_read (data, size, LW_FRAME_MAX_BODY, &frame, &error) == LW_FRAME_COMPLETE)
+  while (lw_frame_read (data, size, LW_FRAME_MAX_BODY_BYTES, &frame, &error) == LW_FRAME_COMPLETE)
     {
       LwMessage message = { 0 };
       if (lw_message_decode (frame.body, frame.length, &message, &error))
--- a/packages/base/include/lb-error.h
+++ b/packages/base/include/lb-error.h
@@ -79,7 +79,7 @@
 const char *lb_error_name (LbErrorCode code);
 LbErrorCode lb_error_from_name (const char *name);
 int lb_error_http_status (LbErrorCode code);
-bool lb_error_is_not_run (LbErrorCode code);
+bool lb_error_proves_not_run (LbErrorCode code);
 
 /* Sets *error if error is not NULL. Returns false, for use in return statements. */
 bool lb_error_set (LbError *error, LbErrorCode code, const char *where, const char *format, ...)
--- a/packages/base/include/lb-histogram.h
+++ b/packages/base/include/lb-histogram.h
@@ -23,7 +23,7 @@
   }
 
 void lb_histogram_add (LbHistogram *histogram, LbTime duration);
-int64_t lb_histogram_count (const LbHistogram *histogram);
+int64_t lb_histogram_count_values (const LbHistogram *histogram);
 /* Writes all registered histograms in the Prometheus text format. */
 void lb_histogram_render_all (FILE *out);
 
--- a/packages/base/include/lb-json.h
+++ b/packages/base/include/lb-json.h
@@ -12,10 +12,11 @@
 int64_t lb_json_int (struct json_object *object, const char *key, int64_t fallback);
 bool lb_json_bool (struct json_object *object, const char *key, bool fallback);
 
-struct json_object *lb_json_from_integers (const int64_t *numbers, size_t n);
+struct json_object *lb_json_array_from_integers (const int64_t *numbers, size_t n);
 /* Reads up to max integers of an array. Returns their number; 0 if there is no array. */
-size_t lb_json_integers (struct json_object *object, const char *key, int64_t *numbers, size_t max);
+size_t
+lb_json_read_integers (struct json_object *object, const char *key, int64_t *numbers, size_t max);
 /* Serializes the object with json-c's flags and releases it; the caller frees the text. */
-char *lb_json_take_text (struct json_object *object, int flags);
+char *lb_json_serialize_and_release (struct json_object *object, int flags);
 
 #endif
--- a/packages/base/include/lb-list.h
+++ b/packages/base/include/lb-list.h
@@ -34,6 +34,6 @@
 void lb_list_insert_before (LbList *list, LbLink *position, LbLink *link);
 void lb_list_remove (LbList *list, LbLink *link);
 LbLink *lb_list_pop (LbList *list);
-bool lb_link_is_linked (const LbLink *link);
+bool lb_link_is_in_list (const LbLink *link);
 
 #endif
--- a/packages/base/include/lb-log.h
+++ b/packages/base/include/lb-log.h
@@ -47,23 +47,23 @@
 /* From now on, buffers lines in memory until lb_log_flush, which must be called regularly and never
  * blocks on the reader. Lines that don't fit are dropped and counted; part of the buffer is
  * reserved for warnings and errors. */
-void lb_log_buffer (void);
+void lb_log_enable_buffering (void);
 /* Writes as much of the buffer as the reader accepts without blocking. */
 void lb_log_flush (void);
 /* Number of lines dropped since the start. */
-int64_t lb_log_dropped (void);
-bool lb_log_enabled (LbLogLevel level);
-void lb_log_fields (LbLogLevel level, const char *event, const LbLogField *fields);
+int64_t lb_log_count_dropped_lines (void);
+bool lb_log_is_enabled (LbLogLevel level);
+void lb_log_write_event (LbLogLevel level, const char *event, const LbLogField *fields);
 void lb_log_error (LbLogLevel level, const char *event, const LbError *error);
 
 /* lb_log (LB_LOG_INFO, "started", LB_TEXT ("address", a), LB_INT ("port", p)); */
 #define lb_log(level, event, ...)                                                                  \
   do                                                                                               \
     {                                                                                              \
-      if (lb_log_enabled (level))                                                                  \
-        lb_log_fields (level, event,                                                               \
-                       (const LbLogField[]){                                                       \
-                           __VA_ARGS__ __VA_OPT__ (, ){ .type = LB_FIELD_END } });                 \
+      if (lb_log_is_enabled (level))                                                               \
+        lb_log_write_event (level, event,                                                          \
+                            (const LbLogField[]){                                                  \
+                                __VA_ARGS__ __VA_OPT__ (, ){ .type = LB_FIELD_END } });            \
     }                                                                                              \
   while (0)
 
--- a/packages/base/include/lb-switch.h
+++ b/packages/base/include/lb-switch.h
@@ -30,8 +30,8 @@
 const char *lb_switch_name (LbSwitch id);
 bool lb_switch_is_known (const char *name);
 /* Ignores unknown names. */
-void lb_switch_set_off (const char *name);
+void lb_switch_disable (const char *name);
 bool lb_switch_is_on (LbSwitch id);
-void lb_switch_set_all_on (void);
+void lb_switch_enable_all (void);
 
 #endif
--- a/packages/base/src/lb-clock.c
+++ b/packages/base/src/lb-clock.c
@@ -21,7 +21,7 @@
 }
 
 LbTime
-lb_clock_boot (void)
+lb_clock_boottime (void)
 {
   struct timespec ts;
 
--- a/packages/base/src/lb-error.c
+++ b/packages/base/src/lb-error.c
@@ -100,7 +100,7 @@
 
 /* Whether a failure of this type proves that no byte of the request reached an endpoint. */
 bool
-lb_error_is_not_run (LbErrorCode code)
+lb_error_proves_not_run (LbErrorCode code)
 {
   return get_class (code)->proves_not_run;
 }
--- a/packages/base/src/lb-histogram.c
+++ b/packages/base/src/lb-histogram.c
@@ -31,7 +31,7 @@
 }
 
 int64_t
-lb_histogram_count (const LbHistogram *histogram)
+lb_histogram_count_values (const LbHistogram *histogram)
 {
   return histogram->buckets ? (int64_t)gsl_histogram_sum (histogram->buckets) : 0;
 }
@@ -49,8 +49,8 @@
       fprintf (out, "%s_bucket{le=\"%g\"} %.0f\n", histogram->name, bounds[i + 1], cumulative);
     }
   fprintf (out, "%s_bucket{le=\"+Inf\"} %lld\n%s_sum %g\n%s_count %lld\n", histogram->name,
-           (long long)lb_histogram_count (histogram), histogram->name, histogram->sum,
-           histogram->name, (long long)lb_histogram_count (histogram));
+           (long long)lb_histogram_count_values (histogram), histogram->name, histogram->sum,
+           histogram->name, (long long)lb_histogram_count_values (histogram));
 }
 
 void
--- a/packages/base/src/lb-json.c
+++ b/packages/base/src/lb-json.c
@@ -44,7 +44,7 @@
 }
 
 struct json_object *
-lb_json_from_integers (const int64_t *numbers, size_t n)
+lb_json_array_from_integers (const int64_t *numbers, size_t n)
 {
   struct json_object *array = json_object_new_array ();
 
@@ -54,7 +54,7 @@
 }
 
 size_t
-lb_json_integers (struct json_object *object, const char *key, int64_t *numbers, size_t max)
+lb_json_read_integers (struct json_object *object, const char *key, int64_t *numbers, size_t max)
 {
   struct json_object *array = lb_json_member (object, key);
   size_t n = 0;
@@ -67,7 +67,7 @@
 }
 
 char *
-lb_json_take_text (struct json_object *object, int flags)
+lb_json_serialize_and_release (struct json_object *object, int flags)
 {
   char *text = lb_strdup (json_object_to_json_string_ext (object, flags));
 
--- a/packages/base/src/lb-list.c
+++ b/packages/base/src/lb-list.c
@@ -60,7 +60,7 @@
 }
 
 bool
-lb_link_is_linked (const LbLink *link)
+lb_link_is_in_list (const LbLink *link)
 {
   return link->next != NULL;
 }
--- a/packages/base/src/lb-log.c
+++ b/packages/base/src/lb-log.c
@@ -49,20 +49,20 @@
 }
 
 void
-lb_log_buffer (void)
+lb_log_enable_buffering (void)
 {
   if (!log_state.buffer)
     log_state.buffer = lb_malloc (BUFFER_BYTES);
 }
 
 int64_t
-lb_log_dropped (void)
+lb_log_count_dropped_lines (void)
 {
   return log_state.dropped;
 }
 
 bool
-lb_log_enabled (LbLogLevel level)
+lb_log_is_enabled (LbLogLevel level)
 {
   return level >= log_state.level && level < LB_LOG_OFF;
 }
@@ -180,7 +180,7 @@
 
 /* Writes one JSON line: time (ms since 1970), level, instance, event and the fields. */
 void
-lb_log_fields (LbLogLevel level, const char *event, const LbLogField *fields)
+lb_log_write_event (LbLogLevel level, const char *event, const LbLogField *fields)
 {
   struct json_object *line = json_object_new_object ();
 
--- a/packages/base/tests/test-log.c
+++ b/packages/base/tests/test-log.c
@@ -41,7 +41,7 @@
   cr_assert_eq (pipe (ends), 0);
   fcntl (ends[0], F_SETFL, O_NONBLOCK);
   lb_log_init (LB_LOG_INFO, ends[1], "a");
-  lb_log_buffer ();
+  lb_log_enable_buffering ();
 }
 
 /* The reader of the log stops reading, and the pipe is full after 64 KiB: a blocking write would
@@ -61,7 +61,7 @@
       if (i % 100 == 0)
         lb_log_flush ();
     }
-  cr_assert_gt (lb_log_dropped (), 0);
+  cr_assert_gt (lb_log_count_dropped_lines (), 0);
   lb_log (LB_LOG_ERROR, "failure", LB_INT ("number", 7));
   for (int i = 0; i < 40; i++)
     {
@@ -91,7 +91,7 @@
       lb_log (LB_LOG_INFO, "refused", LB_INT ("request", i));
       lb_log_flush ();
     }
-  cr_assert_gt (lb_log_dropped (), 0);
+  cr_assert_gt (lb_log_count_dropped_lines (), 0);
   read_all (ends[0]);
   cr_assert_gt (count_lines ("\"refused\""), 100);
   lb_log (LB_LOG_WARNING, "belief", LB_TEXT ("of", "engine"));
@@ -107,7 +107,7 @@
   open_pipe (ends);
   for (int i = 0; i < 30000; i++)
     lb_log (LB_LOG_INFO, "refused", LB_INT ("request", i));
-  int64_t dropped = lb_log_dropped ();
+  int64_t dropped = lb_log_count_dropped_lines ();
   cr_assert_gt (dropped, 0);
   for (int i = 0; i < 40; i++)
     {
@@ -127,7 +127,7 @@
   lb_histogram_add (&histogram, 3 * LB_SEC);
   lb_histogram_add (&histogram, 30 * LB_SEC);
   lb_histogram_add (&histogram, -1);
-  cr_assert_eq (lb_histogram_count (&histogram), 4);
+  cr_assert_eq (lb_histogram_count_values (&histogram), 4);
   char *all = lb_metric_render ();
   cr_assert (strstr (all, "# TYPE test_seconds histogram"));
   cr_assert (strstr (all, "test_seconds_bucket{le=\"0.001\"} 1\n"));
--- a/packages/cli/src/lt-client.c
+++ b/packages/cli/src/lt-client.c
@@ -77,7 +77,7 @@
 on_call_done (LhFetch *fetch, const LhResult *result, void *user_data)
 {
   PendingCall *pending = user_data;
-  const char *etag = lh_fetch_header (fetch, "ETag");
+  const char *etag = lh_fetch_get_response_header (fetch, "ETag");
 
   pending->failure = result->failure;
   pending->reply->status = result->status;
--- a/packages/cli/src/lt-cost.c
+++ b/packages/cli/src/lt-cost.c
@@ -490,7 +490,8 @@
       LwMessage decoded = { 0 };
       LbError error;
       uint8_t *frame = lw_message_encode (message, &length);
-      lw_message_decode (frame + LW_FRAME_HEADER, length - LW_FRAME_HEADER, &decoded, &error);
+      lw_message_decode (frame + LW_FRAME_HEADER_BYTES, length - LW_FRAME_HEADER_BYTES, &decoded,
+                         &error);
       lw_message_clear (&decoded);
       free (frame);
     }
--- a/packages/core/src/dispatch/lc-outcome.c
+++ b/packages/core/src/dispatch/lc-outcome.c
@@ -200,7 +200,7 @@
     retry_after = lc_dispatch_compute_retry_after (dispatch, request->pool, &key, now);
   detach_request (dispatch, request, now, actions);
   if (!lc_dispatch_check_invariant (dispatch,
-                                    !lb_error_is_not_run (error) || !request->may_have_run,
+                                    !lb_error_proves_not_run (error) || !request->may_have_run,
                                     "not-run-is-a-proof", request->id))
     error = LB_ERROR_OUTCOME_UNKNOWN;
 
--- a/packages/core/src/dispatch/lc-queue.c
+++ b/packages/core/src/dispatch/lc-queue.c
@@ -348,7 +348,7 @@
 
   if (!flow)
     return;
-  if (lb_link_is_linked (&entry->deferred_link))
+  if (lb_link_is_in_list (&entry->deferred_link))
     lb_list_remove (&queue->deferred, &entry->deferred_link);
   else
     unmark_request_ready (flow, entry);
--- a/packages/core/src/endpoints/lc-registration.c
+++ b/packages/core/src/endpoints/lc-registration.c
@@ -24,7 +24,7 @@
   if (registration->is_spot)
     json_object_object_add (object, "cheap", json_object_new_boolean (true));
   json_object_object_add (object, "models", models);
-  return lb_json_take_text (object, JSON_C_TO_STRING_PLAIN);
+  return lb_json_serialize_and_release (object, JSON_C_TO_STRING_PLAIN);
 }
 
 static bool
--- a/packages/core/src/membership/lc-catalog.c
+++ b/packages/core/src/membership/lc-catalog.c
@@ -435,7 +435,7 @@
   json_object_object_add (object, "period_ms",
                           json_object_new_int64 (catalog->own_period / LB_MSEC));
   json_object_object_add (object, "whole", json_object_new_boolean (is_complete));
-  return lb_json_take_text (object, JSON_C_TO_STRING_PLAIN);
+  return lb_json_serialize_and_release (object, JSON_C_TO_STRING_PLAIN);
 }
 
 /* Adds the items that are new or differ from the table; returns false when not all fit into the
--- a/packages/core/src/membership/lc-fleet.c
+++ b/packages/core/src/membership/lc-fleet.c
@@ -95,7 +95,7 @@
   json_object_object_add (object, "alive", json_object_new_boolean (member->alive));
   json_object_object_add (object, "fresh", json_object_new_boolean (member->fresh));
   json_object_object_add (object, "confirmed", json_object_new_boolean (member->confirmed));
-  return lb_json_take_text (object, JSON_C_TO_STRING_PLAIN);
+  return lb_json_serialize_and_release (object, JSON_C_TO_STRING_PLAIN);
 }
 
 bool
--- a/packages/core/src/rollout/lc-ticket.c
+++ b/packages/core/src/rollout/lc-ticket.c
@@ -71,7 +71,7 @@
 static void
 free_answer (LcTickets *tickets, Ticket *ticket)
 {
-  if (lb_link_is_linked (&ticket->answered_link))
+  if (lb_link_is_in_list (&ticket->answered_link))
     lb_list_remove (&tickets->answered, &ticket->answered_link);
   tickets->answer_bytes -= ticket->answer_length;
   free (ticket->answer);
@@ -83,7 +83,7 @@
 remove_ticket (LcTickets *tickets, Ticket *ticket)
 {
   free_answer (tickets, ticket);
-  if (lb_link_is_linked (&ticket->expiry_link))
+  if (lb_link_is_in_list (&ticket->expiry_link))
     lb_list_remove (&tickets->by_expiry, &ticket->expiry_link);
   /* The analyzer assumes that the tables may be empty although they hold the ticket.
    * NOLINTBEGIN(clang-analyzer-core.NullDereference) */
@@ -317,7 +317,7 @@
   if (error == LB_OK)
     store_answer (tickets, ticket, status, answer, answer_length);
   else
-    ticket->state = lb_error_is_not_run (error) ? TICKET_UNUSED : TICKET_SPENT;
+    ticket->state = lb_error_proves_not_run (error) ? TICKET_UNUSED : TICKET_SPENT;
   schedule_expiry (tickets, ticket, now);
 }
 
--- a/packages/core/src/usage/lc-usage.c
+++ b/packages/core/src/usage/lc-usage.c
@@ -146,7 +146,7 @@
   HASH_SRT (hh, counts->by_organisation, compare_organisation_names);
   for (const Count *count = counts->by_organisation; count; count = count->hh.next)
     json_object_object_add (object, count->organisation, json_object_new_int64 (count->requests));
-  return lb_json_take_text (object, JSON_C_TO_STRING_PLAIN);
+  return lb_json_serialize_and_release (object, JSON_C_TO_STRING_PLAIN);
 }
 
 /* Windows in which one instance counts requests. */
--- a/packages/core/tests/test-dispatch-random.c
+++ b/packages/core/tests/test-dispatch-random.c
@@ -113,7 +113,7 @@
   if (action->error != LB_OK)
     {
       cr_assert_gt (action->retry_after, 0);
-      cr_assert (!lb_error_is_not_run (action->error) || call->n_runs == 0,
+      cr_assert (!lb_error_proves_not_run (action->error) || call->n_runs == 0,
                  "failed as %s, which means not run, but it ran", lb_error_name (action->error));
       return;
     }
@@ -167,7 +167,7 @@
   *call = (Call){ .spec = spec, .length = 1 + gsl_rng_uniform_int (model->random, 12) };
   if (fixture_submit (&model->f, &spec))
     return;
-  cr_assert (lb_error_is_not_run (model->f.error.code));
+  cr_assert (lb_error_proves_not_run (model->f.error.code));
   call->done = true;
 }
 
--- a/packages/http/include/lh-fetch.h
+++ b/packages/http/include/lh-fetch.h
@@ -51,24 +51,25 @@
   bool fresh_connection;  /* don't reuse an idle connection, which may have gone silent */
 } LhRequest;
 
-bool lh_method_is_known (const char *name);
+bool lh_method_is_supported (const char *name);
 
 LhPool *lh_pool_new (struct event_base *base);
 void lh_pool_free (LhPool *pool);
 /* Closes the idle connections to the address; NULL: to all addresses. */
-void lh_pool_drop_idle (LhPool *pool, const char *address);
+void lh_pool_close_idle_connections (LhPool *pool, const char *address);
 /* Number of idle connections to the address that are still usable. */
-size_t lh_pool_count_idle (const LhPool *pool, const char *address);
+size_t lh_pool_count_idle_connections (const LhPool *pool, const char *address);
 
 LhFetch *lh_fetch_start (
     LhPool *pool, const LhRequest *request, const LhHandlers *handlers, void *user, LbError *error);
 /* Closes the connection and frees the fetch without calling a handler. */
 void lh_fetch_cancel (LhFetch *fetch);
 /* Returns a header of the response; NULL if absent. Valid in the handlers. */
-const char *lh_fetch_header (const LhFetch *fetch, const char *name);
-void lh_fetch_each_header (const LhFetch *fetch,
-                           void (*visit) (const char *name, const char *value, void *user),
-                           void *user);
-int lh_fetch_status (const LhFetch *fetch);
+const char *lh_fetch_get_response_header (const LhFetch *fetch, const char *name);
+void
+lh_fetch_visit_response_headers (const LhFetch *fetch,
+                                 void (*visit) (const char *name, const char *value, void *user),
+                                 void *user);
+int lh_fetch_get_response_status (const LhFetch *fetch);
 
 #endif
--- a/packages/http/src/lh-fetch.c
+++ b/packages/http/src/lh-fetch.c
@@ -58,7 +58,7 @@
 
 /* Whether a request with this method can be sent. */
 bool
-lh_method_is_known (const char *name)
+lh_method_is_supported (const char *name)
 {
   enum evhttp_cmd_type method;
 
@@ -128,7 +128,7 @@
   value = evhttp_find_header (headers, "Connection");
   if (value && strcasecmp (value, "close") == 0)
     return 0;
-  return lh_pool_max_idle_time (evhttp_find_header (headers, "Keep-Alive"));
+  return lh_pool_parse_max_idle_time (evhttp_find_header (headers, "Keep-Alive"));
 }
 
 /* evhttp calls back from inside evhttp_make_request if it can't open a socket, for example because
@@ -368,7 +368,7 @@
 }
 
 const char *
-lh_fetch_header (const LhFetch *fetch, const char *name)
+lh_fetch_get_response_header (const LhFetch *fetch, const char *name)
 {
   if (!fetch->request)
     return NULL;
@@ -376,9 +376,9 @@
 }
 
 void
-lh_fetch_each_header (const LhFetch *fetch,
-                      void (*visit) (const char *name, const char *value, void *user),
-                      void *user)
+lh_fetch_visit_response_headers (const LhFetch *fetch,
+                                 void (*visit) (const char *name, const char *value, void *user),
+                                 void *user)
 {
   struct evkeyval *header;
 
@@ -391,7 +391,7 @@
 }
 
 int
-lh_fetch_status (const LhFetch *fetch)
+lh_fetch_get_response_status (const LhFetch *fetch)
 {
   return fetch->request ? evhttp_request_get_response_code (fetch->request) : 0;
 }
--- a/packages/http/src/lh-pool.c
+++ b/packages/http/src/lh-pool.c
@@ -144,7 +144,7 @@
 }
 
 void
-lh_pool_drop_idle (LhPool *pool, const char *address)
+lh_pool_close_idle_connections (LhPool *pool, const char *address)
 {
   LB_LIST_FOREACH (&pool->idle, LhConnection, link, connection)
   {
@@ -156,7 +156,7 @@
 }
 
 LbTime
-lh_pool_max_idle_time (const char *keep_alive)
+lh_pool_parse_max_idle_time (const char *keep_alive)
 {
   const char *timeout = keep_alive ? strcasestr (keep_alive, "timeout=") : NULL;
   const char *digits = timeout ? timeout + strlen ("timeout=") : "";
@@ -236,7 +236,7 @@
 }
 
 size_t
-lh_pool_count_idle (const LhPool *pool, const char *address)
+lh_pool_count_idle_connections (const LhPool *pool, const char *address)
 {
   LbTime now = lb_clock_monotonic ();
   size_t n = 0;
--- a/packages/http/src/lh-pool.h
+++ b/packages/http/src/lh-pool.h
@@ -33,7 +33,7 @@
 /* Keeps the connection for reuse within max_idle_time; closes it if that is not positive. */
 void lh_pool_release (LhConnection *connection, LbTime max_idle_time);
 /* How long a connection may be idle by its response's Keep-Alive header; NULL: no header. */
-LbTime lh_pool_max_idle_time (const char *keep_alive);
+LbTime lh_pool_parse_max_idle_time (const char *keep_alive);
 void lh_pool_close_later (LhConnection *connection);
 /* Frees closing connections and reports failed fetches in the event loop's next iteration. */
 void lh_pool_schedule_cleanup (LhPool *pool);
--- a/packages/http/src/lh-reach.c
+++ b/packages/http/src/lh-reach.c
@@ -10,19 +10,19 @@
 #include <stdlib.h>
 #include <sys/socket.h>
 
-struct LhReach
+struct LhConnectProbe
 {
   struct event_base *base;
   evutil_socket_t fd;
   struct event *event;
   LbTime hold_time;
-  LhReachDone done;
+  LhConnectProbeDone done;
   void *user;
   int connect_error; /* errno of a failed connect (); 0: pending or established */
 };
 
 static void
-free_reach (LhReach *reach)
+free_reach (LhConnectProbe *reach)
 {
   if (reach->event)
     event_free (reach->event);
@@ -31,13 +31,13 @@
 }
 
 void
-lh_reach_cancel (LhReach *reach)
+lh_connect_probe_cancel (LhConnectProbe *reach)
 {
   free_reach (reach);
 }
 
 static int
-get_error (const LhReach *reach)
+get_error (const LhConnectProbe *reach)
 {
   int error = reach->connect_error;
   socklen_t length = sizeof error;
@@ -47,20 +47,20 @@
   return error;
 }
 
-static LhReachOutcome
-get_outcome (const LhReach *reach, short what)
+static LhConnectProbeOutcome
+get_outcome (const LhConnectProbe *reach, short what)
 {
   int error = get_error (reach);
 
   if (error == ECONNREFUSED || error == ECONNRESET)
-    return LH_REACH_REFUSED;
-  return error == 0 && (what & EV_WRITE) ? LH_REACH_OPEN : LH_REACH_SILENT;
+    return LH_CONNECT_PROBE_REFUSED;
+  return error == 0 && (what & EV_WRITE) ? LH_CONNECT_PROBE_OPEN : LH_CONNECT_PROBE_NO_ANSWER;
 }
 
 static void
-finish_check (LhReach *reach, LhReachOutcome outcome)
+finish_check (LhConnectProbe *reach, LhConnectProbeOutcome outcome)
 {
-  LhReachDone done = reach->done;
+  LhConnectProbeDone done = reach->done;
   void *done_user = reach->user;
 
   free_reach (reach);
@@ -74,11 +74,11 @@
   char byte;
   bool has_ended = (what & EV_READ) && recv (fd, &byte, sizeof byte, 0) <= 0;
 
-  finish_check (user, has_ended ? LH_REACH_CLOSED : LH_REACH_OPEN);
+  finish_check (user, has_ended ? LH_CONNECT_PROBE_CLOSED : LH_CONNECT_PROBE_OPEN);
 }
 
 static void
-start_hold (LhReach *reach)
+start_hold (LhConnectProbe *reach)
 {
   const struct timeval wait = lb_time_to_timeval (reach->hold_time);
 
@@ -91,10 +91,10 @@
 on_connect_end (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
-  LhReach *reach = user;
-  LhReachOutcome outcome = get_outcome (reach, what);
+  LhConnectProbe *reach = user;
+  LhConnectProbeOutcome outcome = get_outcome (reach, what);
 
-  if (outcome == LH_REACH_OPEN && reach->hold_time > 0)
+  if (outcome == LH_CONNECT_PROBE_OPEN && reach->hold_time > 0)
     start_hold (reach);
   else
     finish_check (reach, outcome);
@@ -102,7 +102,7 @@
 
 /* Also reports a connect that fails immediately from the event loop. */
 static void
-start_connect (LhReach *reach, const struct sockaddr_in *target, LbTime timeout)
+start_connect (LhConnectProbe *reach, const struct sockaddr_in *target, LbTime timeout)
 {
   const struct timeval wait = lb_time_to_timeval (timeout);
 
@@ -117,16 +117,16 @@
     }
 }
 
-LhReach *
-lh_reach_start (struct event_base *base,
-                const char *address,
-                const LhReachTimes *times,
-                LhReachDone done,
-                void *user)
+LhConnectProbe *
+lh_connect_probe_start (struct event_base *base,
+                        const char *address,
+                        const LhConnectProbeTimes *times,
+                        LhConnectProbeDone done,
+                        void *user)
 {
   struct sockaddr_in target = { 0 };
   int length = sizeof target;
-  LhReach *reach = NULL;
+  LhConnectProbe *reach = NULL;
   int fd = -1;
 
   if (evutil_parse_sockaddr_port (address, (struct sockaddr *)&target, &length) != 0
@@ -135,7 +135,7 @@
   fd = socket (AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0)
     return NULL;
-  reach = LB_NEW (LhReach);
+  reach = LB_NEW (LhConnectProbe);
   reach->base = base;
   reach->fd = fd;
   reach->hold_time = times->hold_time;
--- a/packages/http/tests/test-fetch.c
+++ b/packages/http/tests/test-fetch.c
@@ -84,7 +84,7 @@
 on_done (LhFetch *fetch, const LhResult *result, void *user)
 {
   Fixture *f = user;
-  const char *header = lh_fetch_header (fetch, "x-kind");
+  const char *header = lh_fetch_get_response_header (fetch, "x-kind");
 
   f->n_done++;
   f->failure = result->failure;
@@ -188,7 +188,7 @@
   UNTIL (&f, server_read (&f, fd, "\r\n\r\n"));
   server_send (fd, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
   UNTIL (&f, f.n_done);
-  lh_pool_drop_idle (f.pool, f.address);
+  lh_pool_close_idle_connections (f.pool, f.address);
   UNTIL (&f, (server_read (&f, fd, NULL), f.is_closed));
   close (fd);
   fixture_clear (&f);
--- a/packages/http/tests/test-reach.c
+++ b/packages/http/tests/test-reach.c
@@ -17,7 +17,7 @@
   int listener;
   LbName address;
   int calls;
-  LhReachOutcome outcome;
+  LhConnectProbeOutcome outcome;
 } Fixture;
 
 static void
@@ -43,7 +43,7 @@
 }
 
 static void
-on_done (LhReachOutcome outcome, void *user)
+on_done (LhConnectProbeOutcome outcome, void *user)
 {
   Fixture *f = user;
 
@@ -54,9 +54,9 @@
 static void
 check_with_hold (Fixture *f, LbTime connect_timeout, LbTime hold_time)
 {
-  const LhReachTimes times = { .connect_timeout = connect_timeout, .hold_time = hold_time };
+  const LhConnectProbeTimes times = { .connect_timeout = connect_timeout, .hold_time = hold_time };
 
-  cr_assert (lh_reach_start (f->base, f->address, &times, on_done, f));
+  cr_assert (lh_connect_probe_start (f->base, f->address, &times, on_done, f));
   cr_assert_eq (f->calls, 0, "done was called from inside lh_reach_start");
   event_base_dispatch (f->base);
   cr_assert_eq (f->calls, 1);
@@ -74,7 +74,7 @@
 
   fixture_init (&f, 8);
   check (&f, 10 * LB_SEC);
-  cr_assert_eq (f.outcome, LH_REACH_OPEN);
+  cr_assert_eq (f.outcome, LH_CONNECT_PROBE_OPEN);
   fixture_clear (&f);
 }
 
@@ -86,7 +86,7 @@
   close (f.listener);
   f.listener = -1;
   check (&f, 10 * LB_SEC);
-  cr_assert_eq (f.outcome, LH_REACH_REFUSED);
+  cr_assert_eq (f.outcome, LH_CONNECT_PROBE_REFUSED);
   fixture_clear (&f);
 }
 
@@ -107,7 +107,7 @@
       cr_assert (connect (queued[i], (struct sockaddr *)&at, length) == 0 || errno == EINPROGRESS);
     }
   check (&f, 100 * LB_MSEC);
-  cr_assert_eq (f.outcome, LH_REACH_SILENT);
+  cr_assert_eq (f.outcome, LH_CONNECT_PROBE_NO_ANSWER);
   for (int i = 0; i < 3; i++)
     close (queued[i]);
   fixture_clear (&f);
@@ -135,7 +135,7 @@
   struct event *timer = evtimer_new (f.base, close_listener, &f);
   event_add (timer, &soon);
   check_with_hold (&f, 10 * LB_SEC, 10 * LB_SEC);
-  cr_assert_eq (f.outcome, LH_REACH_CLOSED);
+  cr_assert_eq (f.outcome, LH_CONNECT_PROBE_CLOSED);
   event_free (timer);
   fixture_clear (&f);
 }
@@ -146,18 +146,18 @@
 
   fixture_init (&f, 8);
   check_with_hold (&f, 10 * LB_SEC, 30 * LB_MSEC);
-  cr_assert_eq (f.outcome, LH_REACH_OPEN);
+  cr_assert_eq (f.outcome, LH_CONNECT_PROBE_OPEN);
   fixture_clear (&f);
 }
 
 Test (reach, refuses_a_malformed_address_and_can_be_cancelled)
 {
-  const LhReachTimes times = { .connect_timeout = LB_SEC };
+  const LhConnectProbeTimes times = { .connect_timeout = LB_SEC };
   Fixture f;
 
   fixture_init (&f, 8);
-  cr_assert_null (lh_reach_start (f.base, "nonsense", &times, on_done, &f));
-  lh_reach_cancel (lh_reach_start (f.base, f.address, &times, on_done, &f));
+  cr_assert_null (lh_connect_probe_start (f.base, "nonsense", &times, on_done, &f));
+  lh_connect_probe_cancel (lh_connect_probe_start (f.base, f.address, &times, on_done, &f));
   event_base_dispatch (f.base);
   cr_assert_eq (f.calls, 0);
   fixture_clear (&f);
--- a/packages/node/main/lentilspindled.c
+++ b/packages/node/main/lentilspindled.c
@@ -283,7 +283,7 @@
 
   context->settings = &daemon->settings;
   for (size_t i = 0; i < daemon->settings.measure.n_off; i++)
-    lb_switch_set_off (daemon->settings.measure.off[i]);
+    lb_switch_disable (daemon->settings.measure.off[i]);
   context->base = event_base_new ();
   context->hub = ln_hub_new (context->base);
   context->http_pool = lh_pool_new (context->base);
@@ -327,7 +327,7 @@
   int exit_code = EXIT_FAILURE;
 
   signal (SIGPIPE, SIG_IGN);
-  lb_log_buffer ();
+  lb_log_enable_buffering ();
   lb_log_init ((LbLogLevel)daemon->settings.log.level, STDOUT_FILENO,
                daemon->settings.instance.name);
   daemon_open (daemon);
--- a/packages/node/src/batch/ln-batch-rows.c
+++ b/packages/node/src/batch/ln-batch-rows.c
@@ -20,7 +20,7 @@
   json_object_object_add (object, "item", json_object_new_string (result->item));
   json_object_object_add (object, "completed", json_object_new_boolean (result->completed));
   json_object_object_add (object, "versions",
-                          lb_json_from_integers (result->versions, result->n_versions));
+                          lb_json_array_from_integers (result->versions, result->n_versions));
   if (result->score)
     json_object_object_add (object, "score", json_object_new_string (result->score));
   return object;
@@ -33,7 +33,7 @@
 
   json_object_object_add (object, "text",
                           json_object_new_string (result->text ? result->text : ""));
-  return lb_json_take_text (object, JSON_FORMAT);
+  return lb_json_serialize_and_release (object, JSON_FORMAT);
 }
 
 char *
@@ -42,7 +42,7 @@
   struct json_object *object = result_to_object (result);
 
   json_object_object_add (object, "pieces", json_object_new_int64 ((int64_t)n_chunks));
-  return lb_json_take_text (object, JSON_FORMAT);
+  return lb_json_serialize_and_release (object, JSON_FORMAT);
 }
 
 bool
@@ -58,7 +58,7 @@
   result->text = lb_strdup (lb_json_text (object, "text", ""));
   result->score = score ? lb_strdup (score) : NULL;
   result->n_versions
-      = lb_json_integers (object, "versions", result->versions, LC_MAX_RESULT_VERSIONS);
+      = lb_json_read_integers (object, "versions", result->versions, LC_MAX_RESULT_VERSIONS);
   *n_chunks = chunks > 0 ? (size_t)chunks : 0;
   json_object_put (object);
   return result->item[0] != '\0';
@@ -74,9 +74,9 @@
   json_object_object_add (object, "first", json_object_new_int64 (part->first_event));
   json_object_object_add (object, "events", json_object_new_int64 (part->n_events));
   json_object_object_add (object, "versions",
-                          lb_json_from_integers (part->versions, part->n_versions));
+                          lb_json_array_from_integers (part->versions, part->n_versions));
   json_object_object_add (object, "text", json_object_new_string (part->text));
-  return lb_json_take_text (object, JSON_FORMAT);
+  return lb_json_serialize_and_release (object, JSON_FORMAT);
 }
 
 bool
@@ -85,7 +85,7 @@
   struct json_object *object = row->value ? json_tokener_parse (row->value) : NULL;
   /* Room for one more version than a text may have, so that a row with too many is detected. */
   LcVersion *versions = LB_NEW_ARRAY (LcVersion, LC_MAX_RESULT_VERSIONS + 1);
-  size_t n = lb_json_integers (object, "versions", versions, LC_MAX_RESULT_VERSIONS + 1);
+  size_t n = lb_json_read_integers (object, "versions", versions, LC_MAX_RESULT_VERSIONS + 1);
 
   *part = (LcBatchTextPart){ .item = lb_strdup (lb_json_text (object, "item", "")),
                              .restarts = lb_json_int (object, "run", 0),
--- a/packages/node/src/calls/ln-call-reader.c
+++ b/packages/node/src/calls/ln-call-reader.c
@@ -225,7 +225,7 @@
   size_t name_length = slash ? (size_t)(slash - name) : strlen (name);
   size_t length;
 
-  if (!lh_method_is_known (ln_exchange_method (exchange)))
+  if (!lh_method_is_supported (ln_exchange_method (exchange)))
     return lb_error_set (error, LB_ERROR_BAD_VALUE, "method", "the method is not supported");
   if (name_length == 0 || name_length >= LB_NAME_MAX)
     return lb_error_set (error, LB_ERROR_UNKNOWN_SERVICE, "path", "expected /services/NAME/PATH");
--- a/packages/node/src/calls/ln-call.c
+++ b/packages/node/src/calls/ln-call.c
@@ -120,7 +120,7 @@
 void
 ln_attempt_free (LnAttempt *attempt)
 {
-  if (lb_link_is_linked (&attempt->link))
+  if (lb_link_is_in_list (&attempt->link))
     lb_list_remove (&attempt->call->attempts, &attempt->link);
   evbuffer_free (attempt->text);
   free (attempt->pieces);
@@ -315,7 +315,8 @@
   size_t length;
   const char *body = ln_upstream_body (winner->upstream, &length);
 
-  lh_fetch_each_header (ln_upstream_fetch (winner->upstream), forward_header, call->exchange);
+  lh_fetch_visit_response_headers (ln_upstream_fetch (winner->upstream), forward_header,
+                                   call->exchange);
   if (!call->outgoing.path)
     ln_exchange_set_header (call->exchange, "x-endpoint", ln_upstream_endpoint (winner->upstream));
   ln_exchange_reply_text (call->exchange, ln_upstream_status (winner->upstream), NULL, body,
@@ -327,7 +328,8 @@
 static void
 copy_service_answer (LnAttempt *winner, LnAnswer *answer)
 {
-  const char *type = lh_fetch_header (ln_upstream_fetch (winner->upstream), "Content-Type");
+  const char *type
+      = lh_fetch_get_response_header (ln_upstream_fetch (winner->upstream), "Content-Type");
   const char *body = ln_upstream_body (winner->upstream, &answer->length);
 
   answer->status = ln_upstream_status (winner->upstream);
@@ -351,7 +353,7 @@
   struct json_object *object = make_reply_object (call, winner);
 
   LB_COPY (answer->content_type, "application/json");
-  answer->body = lb_json_take_text (object, JSON_FORMAT);
+  answer->body = lb_json_serialize_and_release (object, JSON_FORMAT);
   answer->length = strlen (answer->body);
 }
 
@@ -388,7 +390,7 @@
 static const char *
 describe_failure (LbErrorCode code)
 {
-  return lb_error_is_not_run (code) ? "the request was not run" : "the request may have run";
+  return lb_error_proves_not_run (code) ? "the request was not run" : "the request may have run";
 }
 
 void
--- a/packages/node/src/calls/ln-calls-attempts.c
+++ b/packages/node/src/calls/ln-calls-attempts.c
@@ -137,8 +137,8 @@
 
   if (endpoint)
     lc_endpoint_set_idle_connections (endpoint,
-                                      lh_pool_count_idle (calls->context->http_pool,
-                                                          endpoint->member.address),
+                                      lh_pool_count_idle_connections (calls->context->http_pool,
+                                                                      endpoint->member.address),
                                       lb_clock_monotonic ());
 }
 
--- a/packages/node/src/calls/ln-calls-run.c
+++ b/packages/node/src/calls/ln-calls-run.c
@@ -89,7 +89,7 @@
   LbTime list_age = calls->list_requested_at > 0 ? now - calls->list_requested_at : 0;
   struct json_object *candidates;
 
-  if (!lb_log_enabled (LB_LOG_INFO))
+  if (!lb_log_is_enabled (LB_LOG_INFO))
     return;
   candidates = json_object_new_array ();
   for (size_t i = 0; i < decision->n_shown; i++)
--- a/packages/node/src/calls/ln-poller.c
+++ b/packages/node/src/calls/ln-poller.c
@@ -82,7 +82,7 @@
 
   target->load_fetch = NULL;
   if (result->failure == LB_ERROR_TIMEOUT)
-    lh_pool_drop_idle (target->poller->pool, target->address);
+    lh_pool_close_idle_connections (target->poller->pool, target->address);
   /* Any reply shows that a plain service is alive, even if it reports no load. */
   if (!object && !target->is_engine && result->failure == LB_OK)
     target->poller->handlers.on_report (target->name, &report, target->poller->user);
--- a/packages/node/src/calls/ln-relay.c
+++ b/packages/node/src/calls/ln-relay.c
@@ -156,7 +156,7 @@
     reply_outcome_unknown (exchange, relay->instance);
   else
     {
-      lh_fetch_each_header (fetch, forward_header, exchange);
+      lh_fetch_visit_response_headers (fetch, forward_header, exchange);
       ln_exchange_reply_text (exchange, result->status, NULL, result->body, result->body_length);
     }
   relay_free (relay);
--- a/packages/node/src/calls/ln-routed.c
+++ b/packages/node/src/calls/ln-routed.c
@@ -176,7 +176,7 @@
       ln_admission_refuse (exchange, &calls->admission_state, &inbound, &admission);
       return;
     }
-  if (!lh_method_is_known (ln_exchange_method (exchange)))
+  if (!lh_method_is_supported (ln_exchange_method (exchange)))
     {
       refuse_request (exchange, LB_ERROR_BAD_VALUE, "the method is not supported", 0);
       return;
--- a/packages/node/src/calls/ln-upstream.c
+++ b/packages/node/src/calls/ln-upstream.c
@@ -149,7 +149,7 @@
 static const char *
 get_header (const void *source, const char *name)
 {
-  return lh_fetch_header (source, name);
+  return lh_fetch_get_response_header (source, name);
 }
 
 /* An engine may first send a late answer to another request, whose text must not reach this caller.
@@ -198,7 +198,7 @@
 {
   LnUpstream *upstream = user;
 
-  if (lh_fetch_status (fetch) != 200)
+  if (lh_fetch_get_response_status (fetch) != 200)
     {
       if (evbuffer_get_length (upstream->body) + length <= MAX_REFUSAL_BYTES)
         evbuffer_add (upstream->body, bytes, length);
@@ -246,8 +246,8 @@
 has_delimited_body (const LnUpstream *upstream)
 {
   return upstream->is_head || upstream->status == 204 || upstream->status == 304
-         || lh_fetch_header (upstream->fetch, "Content-Length")
-         || lh_fetch_header (upstream->fetch, "Transfer-Encoding");
+         || lh_fetch_get_response_header (upstream->fetch, "Content-Length")
+         || lh_fetch_get_response_header (upstream->fetch, "Transfer-Encoding");
 }
 
 /* An endpoint's failure of a plain call is an answer and is forwarded as it is. A failed stream is
@@ -311,7 +311,7 @@
     {
       /* A middlebox may have dropped the state of all connections of this age: new ones work, but
        * requests on idle ones get lost. None of them is reused. */
-      lh_pool_drop_idle (upstream->pool, upstream->address);
+      lh_pool_close_idle_connections (upstream->pool, upstream->address);
       lb_log (LB_LOG_INFO, "attempt_failed", LB_INT ("request", upstream->request),
               LB_TEXT ("id", upstream->external_id), LB_INT ("attempt", upstream->attempt),
               LB_TEXT ("endpoint", upstream->endpoint),
--- a/packages/node/src/config/ln-config-change.c
+++ b/packages/node/src/config/ln-config-change.c
@@ -131,7 +131,7 @@
                           json_object_new_string (change->task->context->instance));
   json_object_object_add (object, "token", json_object_new_string (change->token));
   json_object_object_add (object, "change", json_object_get (change->body));
-  return lb_json_take_text (object, JSON_C_TO_STRING_PLAIN);
+  return lb_json_serialize_and_release (object, JSON_C_TO_STRING_PLAIN);
 }
 
 static void read_head (LnChange *change);
--- a/packages/node/src/config/ln-config-store.c
+++ b/packages/node/src/config/ln-config-store.c
@@ -367,7 +367,8 @@
   commit->head_version = head_version;
   commit->token = lb_strdup (token);
   commit->head_text = lb_asprintf ("{\"revision\": %lld}", (long long)set->revision);
-  commit->set_text = lb_json_take_text (lc_resource_set_to_json (set), JSON_C_TO_STRING_PLAIN);
+  commit->set_text
+      = lb_json_serialize_and_release (lc_resource_set_to_json (set), JSON_C_TO_STRING_PLAIN);
   commit->history_text = lb_strdup (history);
   commit->retry_timer = event_new (store->base, -1, 0, on_retry, commit);
   commit->started_at = lb_clock_monotonic ();
--- a/packages/node/src/duties/ln-duty-lease.c
+++ b/packages/node/src/duties/ln-duty-lease.c
@@ -61,7 +61,7 @@
   snprintf (lease->key, sizeof lease->key, "lease/%s/holder", duty);
   lease->on_change = on_change;
   lease->user = user;
-  lease->lease = lc_lease_new (&settings, lb_clock_monotonic (), lb_clock_boot ());
+  lease->lease = lc_lease_new (&settings, lb_clock_monotonic (), lb_clock_boottime ());
   return lease;
 }
 
@@ -202,7 +202,7 @@
   if (ln_duty_lease_is_candidate (lease))
     detect_ended_holder (lease, all_check_fences, now);
   lb_list_init (&actions);
-  lc_lease_tick (lease->lease, now, lb_clock_boot (), &actions);
+  lc_lease_tick (lease->lease, now, lb_clock_boottime (), &actions);
   execute_actions (lease, &actions);
 }
 
--- a/packages/node/src/duties/ln-usage-reporter.c
+++ b/packages/node/src/duties/ln-usage-reporter.c
@@ -297,7 +297,7 @@
 
   json_object_object_add (object, "counts", json_object_new_string (counts));
   json_object_object_add (object, "sent", json_object_new_boolean (is_sent));
-  return lb_json_take_text (object, JSON_C_TO_STRING_PLAIN);
+  return lb_json_serialize_and_release (object, JSON_C_TO_STRING_PLAIN);
 }
 
 /* The existing report was recorded by another holder, or by a write of this one whose answer was
--- a/packages/node/src/endpoints/ln-crash-row.c
+++ b/packages/node/src/endpoints/ln-crash-row.c
@@ -33,7 +33,7 @@
   json_object_object_add (object, "contents",
                           ln_crash_fingerprints_to_json (row->report.fingerprints,
                                                          row->report.n_fingerprints));
-  return lb_json_take_text (object, JSON_FORMAT);
+  return lb_json_serialize_and_release (object, JSON_FORMAT);
 }
 
 static bool
--- a/packages/node/src/endpoints/ln-endpoint-checks.c
+++ b/packages/node/src/endpoints/ln-endpoint-checks.c
@@ -26,7 +26,7 @@
 {
   LbLink link;
   LnEndpointChecks *owner;
-  LhReach *probe;
+  LhConnectProbe *probe;
   LbName endpoint;
   LbName address;
   LbTime failed_at; /* time of the first failed request */
@@ -71,19 +71,19 @@
 {
   LB_LIST_FOREACH (&checks->running, Check, link, check)
   {
-    lh_reach_cancel (check->probe);
+    lh_connect_probe_cancel (check->probe);
     check_free (check);
   }
   free (checks);
 }
 
 static void
-log_check_outcome (const Check *check, LhReachOutcome outcome)
+log_check_outcome (const Check *check, LhConnectProbeOutcome outcome)
 {
-  static const char *const names[] = { [LH_REACH_OPEN] = "open",
-                                       [LH_REACH_CLOSED] = "closed",
-                                       [LH_REACH_REFUSED] = "refused",
-                                       [LH_REACH_SILENT] = "silent" };
+  static const char *const names[] = { [LH_CONNECT_PROBE_OPEN] = "open",
+                                       [LH_CONNECT_PROBE_CLOSED] = "closed",
+                                       [LH_CONNECT_PROBE_REFUSED] = "refused",
+                                       [LH_CONNECT_PROBE_NO_ANSWER] = "silent" };
   struct json_object *fingerprints
       = ln_crash_fingerprints_to_json (check->fingerprints, check->n_fingerprints);
 
@@ -101,15 +101,15 @@
  * and refuses the second connection; a live endpoint may close connections if it has too many.
  */
 static void
-on_probe_done (LhReachOutcome outcome, void *user)
+on_probe_done (LhConnectProbeOutcome outcome, void *user)
 {
   Check *check = user;
   const LnEndpointChecks *checks = check->owner;
 
   log_check_outcome (check, outcome);
-  if (outcome == LH_REACH_CLOSED && start_probe (check, 0))
+  if (outcome == LH_CONNECT_PROBE_CLOSED && start_probe (check, 0))
     return;
-  if (outcome == LH_REACH_REFUSED)
+  if (outcome == LH_CONNECT_PROBE_REFUSED)
     {
       lb_metric_add (&crashes_seen, 1);
       checks->on_crashed (check->endpoint, check->failed_at, check->fingerprints,
@@ -132,10 +132,10 @@
 static bool
 start_probe (Check *check, LbTime hold_time)
 {
-  const LhReachTimes times = { .connect_timeout = PROBE_TIMEOUT, .hold_time = hold_time };
+  const LhConnectProbeTimes times = { .connect_timeout = PROBE_TIMEOUT, .hold_time = hold_time };
 
-  check->probe
-      = lh_reach_start (check->owner->context->base, check->address, &times, on_probe_done, check);
+  check->probe = lh_connect_probe_start (check->owner->context->base, check->address, &times,
+                                         on_probe_done, check);
   return check->probe != NULL;
 }
 
--- a/packages/node/src/membership/ln-fleet.c
+++ b/packages/node/src/membership/ln-fleet.c
@@ -312,7 +312,7 @@
   size_t length;
   const char *body = ln_exchange_body (exchange, &length);
 
-  if (!method || !path || !lh_method_is_known (method) || !platform->klass->execute_peer_call)
+  if (!method || !path || !lh_method_is_supported (method) || !platform->klass->execute_peer_call)
     {
       lb_error_set (&error, LB_ERROR_BAD_REQUEST, LP_PEER_PATH_HEADER,
                     "expected the method and path of a store call");
--- a/packages/node/src/membership/ln-peer-connection.c
+++ b/packages/node/src/membership/ln-peer-connection.c
@@ -15,7 +15,7 @@
 #include <sys/socket.h>
 
 /* Maximum number of unsent bytes per connection: two frames of maximum size. */
-#define MAX_UNSENT_BYTES (2 * LW_FRAME_MAX_BODY)
+#define MAX_UNSENT_BYTES (2 * LW_FRAME_MAX_BODY_BYTES)
 
 static LbMetric bytes_sent = LB_COUNTER_INIT ("lentilspindle_peer_bytes_sent_total",
                                               NULL,
@@ -45,7 +45,7 @@
 {
   LwMessage answer;
 
-  if (!lw_handshake_receive (&connection->handshake, message, &answer, error))
+  if (!lw_handshake_handle_message (&connection->handshake, message, &answer, error))
     return false;
   if (answer.type != 0)
     send_message (connection, &answer);
@@ -75,7 +75,8 @@
 static LwFrameResult
 read_frame (LnPeerConnection *connection, struct evbuffer *input, LbError *error)
 {
-  size_t cap = connection->handshake.done ? LW_FRAME_MAX_BODY : LW_FRAME_MAX_BODY_UNAUTHENTICATED;
+  size_t cap = connection->handshake.done ? LW_FRAME_MAX_BODY_BYTES
+                                          : LW_FRAME_MAX_UNAUTHENTICATED_BODY_BYTES;
   size_t length = evbuffer_get_length (input);
   LwFrame frame;
 
@@ -126,7 +127,7 @@
   if (what & BEV_EVENT_CONNECTED)
     {
       set_tcp_no_delay (stream);
-      lw_handshake_hello (&connection->handshake, &hello);
+      lw_handshake_build_hello (&connection->handshake, &hello);
       send_message (connection, &hello);
       return;
     }
--- a/packages/node/src/membership/ln-peers-frames.c
+++ b/packages/node/src/membership/ln-peers-frames.c
@@ -118,12 +118,13 @@
 {
   if (strcmp (message->origin, lc_membership_self (peers->membership)->name) == 0)
     return;
-  if (message->to_all
+  if (message->is_broadcast
       && !ln_frame_window_add (peers->seen_frames, message->origin, message->origin_epoch,
                                message->sequence))
     return;
-  deliver_to_task (peers, message->origin, message->topic, message->payload, message->length);
-  if (message->to_all)
+  deliver_to_task (peers, message->origin, message->topic, message->payload,
+                   message->payload_length);
+  if (message->is_broadcast)
     ln_peers_broadcast (peers, message, from);
 }
 
@@ -156,13 +157,13 @@
   const LcInstance *self = lc_membership_self (peers->membership);
   LwMessage data = { .type = LW_DATA,
                      .origin_epoch = self->epoch,
-                     .to_all = message->instance[0] == '\0',
+                     .is_broadcast = message->instance[0] == '\0',
                      .payload = message->payload,
-                     .length = message->length };
+                     .payload_length = message->length };
 
   LB_COPY (data.origin, self->name);
   LB_COPY (data.topic, message->topic);
-  if (data.to_all)
+  if (data.is_broadcast)
     {
       data.sequence = ++peers->sequence;
       ln_peers_broadcast (peers, &data, 0);
--- a/packages/node/src/rollout/ln-rollouts-owners.c
+++ b/packages/node/src/rollout/ln-rollouts-owners.c
@@ -83,7 +83,7 @@
 ln_rollouts_end_call (LnRollouts *rollouts, LnStepCall *call)
 {
   ln_step_relay_cancel (call);
-  if (lb_link_is_linked (&call->link))
+  if (lb_link_is_in_list (&call->link))
     lb_list_remove (&rollouts->calls, &call->link);
   ln_step_call_free (call);
 }
--- a/packages/node/src/rollout/ln-rollouts-run.c
+++ b/packages/node/src/rollout/ln-rollouts-run.c
@@ -48,7 +48,7 @@
   json_object_object_add (object, "prompt", json_object_new_string (action->prompt));
   json_object_object_add (object, "max_tokens", json_object_new_int64 (action->max_tokens));
   json_object_object_add (object, "stream", json_object_new_boolean (true));
-  return lb_json_take_text (object, JSON_C_TO_STRING_PLAIN);
+  return lb_json_serialize_and_release (object, JSON_C_TO_STRING_PLAIN);
 }
 
 static char *
@@ -58,7 +58,7 @@
 
   json_object_object_add (object, "prompt", json_object_new_string (action->prompt));
   json_object_object_add (object, "text", json_object_new_string (action->text));
-  return lb_json_take_text (object, JSON_C_TO_STRING_PLAIN);
+  return lb_json_serialize_and_release (object, JSON_C_TO_STRING_PLAIN);
 }
 
 static void
--- a/packages/node/src/rollout/ln-step-relay.c
+++ b/packages/node/src/rollout/ln-step-relay.c
@@ -26,7 +26,7 @@
   LnStepCall *call = relay->call;
   LnStepRelayDone done = relay->done;
   void *done_user = relay->user;
-  const char *retry_after = lh_fetch_header (fetch, "x-retry-after-ms");
+  const char *retry_after = lh_fetch_get_response_header (fetch, "x-retry-after-ms");
 
   free (relay);
   call->relay = NULL;
--- a/packages/node/src/rollout/ln-step-store.c
+++ b/packages/node/src/rollout/ln-step-store.c
@@ -144,7 +144,7 @@
   json_object_object_add (object, "address", json_object_new_string (owner->address));
   json_object_object_add (object, "content", json_object_new_string (owner->content_hash));
   json_object_object_add (object, "session", json_object_new_int64 ((int64_t)owner->session));
-  return lb_json_take_text (object, JSON_C_TO_STRING_PLAIN);
+  return lb_json_serialize_and_release (object, JSON_C_TO_STRING_PLAIN);
 }
 
 static void
--- a/packages/sim/src/lx-instance.c
+++ b/packages/sim/src/lx-instance.c
@@ -504,7 +504,7 @@
   LxWorld *world = instance->world;
   LxJob *job = lx_audit_job (&world->audit, number);
 
-  if (!lb_error_is_not_run (error))
+  if (!lb_error_proves_not_run (error))
     return;
   job->reported_not_run = true;
   if (job->n_starts > 0)
--- a/packages/store/src/lp-client.c
+++ b/packages/store/src/lp-client.c
@@ -231,7 +231,7 @@
     call->may_be_applied = true;
   call->needs_new_connection = true;
   if (result->failure == LB_ERROR_TIMEOUT)
-    lh_pool_drop_idle (client->pool, client->settings.address);
+    lh_pool_close_idle_connections (client->pool, client->settings.address);
   retry_or_fail (call);
 }
 
--- a/packages/wire/include/lw-frame.h
+++ b/packages/wire/include/lw-frame.h
@@ -7,11 +7,11 @@
 #define LW_FRAME_VERSION 1
 
 /* A frame: length of the body (4 bytes, big-endian), version (1 byte), body (msgpack). */
-#define LW_FRAME_HEADER 5
+#define LW_FRAME_HEADER_BYTES 5
 
 /* Largest body in bytes, before and after the peer has proved the cluster key. */
-#define LW_FRAME_MAX_BODY_UNAUTHENTICATED ((size_t)4096)
-#define LW_FRAME_MAX_BODY ((size_t)8 << 20)
+#define LW_FRAME_MAX_UNAUTHENTICATED_BODY_BYTES ((size_t)4096)
+#define LW_FRAME_MAX_BODY_BYTES ((size_t)8 << 20)
 
 typedef struct
 {
@@ -27,7 +27,7 @@
   LW_FRAME_INVALID
 } LwFrameResult;
 
-void lw_frame_write_header (uint8_t header[LW_FRAME_HEADER], size_t body_length);
+void lw_frame_write_header (uint8_t header[LW_FRAME_HEADER_BYTES], size_t body_length);
 LwFrameResult lw_frame_read (
     const uint8_t *bytes, size_t length, size_t max_body, LwFrame *frame, LbError *error);
 
--- a/packages/wire/include/lw-handshake.h
+++ b/packages/wire/include/lw-handshake.h
@@ -22,10 +22,12 @@
                         const char *key,
                         const LcInstance *self,
                         const uint8_t nonce[LW_NONCE_BYTES]);
-void lw_handshake_hello (const LwHandshake *handshake, LwMessage *out);
+void lw_handshake_build_hello (const LwHandshake *handshake, LwMessage *out);
 /* Sets out to the message to send next, its type to 0 for none. Errors: WRONG_KEY, FRAME_GARBLED
  * (unexpected message). */
-bool
-lw_handshake_receive (LwHandshake *handshake, const LwMessage *in, LwMessage *out, LbError *error);
+bool lw_handshake_handle_message (LwHandshake *handshake,
+                                  const LwMessage *in,
+                                  LwMessage *out,
+                                  LbError *error);
 
 #endif
--- a/packages/wire/include/lw-message.h
+++ b/packages/wire/include/lw-message.h
@@ -17,7 +17,7 @@
   LW_PONG,      /* digest */
   LW_INSTANCES, /* instances */
   LW_COMPARE,   /* instances in short form, is_reply */
-  LW_DATA,      /* origin, origin_epoch, sequence, to_all, topic, payload */
+  LW_DATA,      /* origin, origin_epoch, sequence, is_broadcast, topic, payload */
   LW_N_MESSAGES
 } LwMessageType;
 
@@ -36,10 +36,10 @@
   LbName origin; /* the instance that sent the DATA first */
   uint64_t origin_epoch;
   uint64_t sequence; /* number of the frame at its origin */
-  bool to_all;       /* broadcast, which each receiver forwards; else for the receiver only */
+  bool is_broadcast; /* broadcast, which each receiver forwards; else for the receiver only */
   LbName topic;
   char *payload; /* owned */
-  size_t length; /* of the payload */
+  size_t payload_length;
 } LwMessage;
 
 /* Returns the whole frame, header included; the caller frees it. */
--- a/packages/wire/src/lw-frame.c
+++ b/packages/wire/src/lw-frame.c
@@ -1,7 +1,7 @@
 #include "lw-frame.h"
 
 void
-lw_frame_write_header (uint8_t header[LW_FRAME_HEADER], size_t body_length)
+lw_frame_write_header (uint8_t header[LW_FRAME_HEADER_BYTES], size_t body_length)
 {
   for (int i = 0; i < 4; i++)
     header[i] = (uint8_t)(body_length >> (24 - 8 * i));
@@ -16,8 +16,8 @@
 {
   size_t body = 0;
 
-  *frame = (LwFrame){ .consumed = LW_FRAME_HEADER };
-  if (length < LW_FRAME_HEADER)
+  *frame = (LwFrame){ .consumed = LW_FRAME_HEADER_BYTES };
+  if (length < LW_FRAME_HEADER_BYTES)
     return LW_FRAME_PARTIAL;
   if (bytes[4] != LW_FRAME_VERSION)
     {
@@ -36,7 +36,7 @@
   frame->consumed += body;
   if (length < frame->consumed)
     return LW_FRAME_PARTIAL;
-  frame->body = bytes + LW_FRAME_HEADER;
+  frame->body = bytes + LW_FRAME_HEADER_BYTES;
   frame->length = body;
   return LW_FRAME_COMPLETE;
 }
--- a/packages/wire/src/lw-handshake.c
+++ b/packages/wire/src/lw-handshake.c
@@ -23,7 +23,7 @@
 }
 
 void
-lw_handshake_hello (const LwHandshake *handshake, LwMessage *out)
+lw_handshake_build_hello (const LwHandshake *handshake, LwMessage *out)
 {
   memset (out, 0, sizeof *out);
   out->type = LW_HELLO;
@@ -105,7 +105,10 @@
 }
 
 bool
-lw_handshake_receive (LwHandshake *handshake, const LwMessage *in, LwMessage *out, LbError *error)
+lw_handshake_handle_message (LwHandshake *handshake,
+                             const LwMessage *in,
+                             LwMessage *out,
+                             LbError *error)
 {
   memset (out, 0, sizeof *out);
   if (handshake->done)
--- a/packages/wire/src/lw-message.c
+++ b/packages/wire/src/lw-message.c
@@ -67,9 +67,9 @@
   pack_text (packer, message->origin);
   msgpack_pack_uint64 (packer, message->origin_epoch);
   msgpack_pack_uint64 (packer, message->sequence);
-  pack_bool (packer, message->to_all);
+  pack_bool (packer, message->is_broadcast);
   pack_text (packer, message->topic);
-  pack_bytes (packer, message->payload, message->length);
+  pack_bytes (packer, message->payload, message->payload_length);
 }
 
 /* Number of fields of each message type, including the type itself. */
@@ -126,10 +126,10 @@
   msgpack_packer_init (&packer, &buffer, msgpack_sbuffer_write);
   pack_message (&packer, message);
 
-  uint8_t *frame = lb_malloc (LW_FRAME_HEADER + buffer.size);
+  uint8_t *frame = lb_malloc (LW_FRAME_HEADER_BYTES + buffer.size);
   lw_frame_write_header (frame, buffer.size);
-  memcpy (frame + LW_FRAME_HEADER, buffer.data, buffer.size);
-  *length = LW_FRAME_HEADER + buffer.size;
+  memcpy (frame + LW_FRAME_HEADER_BYTES, buffer.data, buffer.size);
+  *length = LW_FRAME_HEADER_BYTES + buffer.size;
   msgpack_sbuffer_destroy (&buffer);
   return frame;
 }
@@ -231,10 +231,10 @@
 
   if (!object)
     return;
-  message->length = object->via.bin.size;
-  message->payload = lb_malloc (message->length + 1);
-  memcpy (message->payload, object->via.bin.ptr, message->length);
-  message->payload[message->length] = '\0';
+  message->payload_length = object->via.bin.size;
+  message->payload = lb_malloc (message->payload_length + 1);
+  memcpy (message->payload, object->via.bin.ptr, message->payload_length);
+  message->payload[message->payload_length] = '\0';
 }
 
 static Fields
@@ -295,7 +295,7 @@
   read_name (fields, message->origin);
   message->origin_epoch = read_uint (fields);
   message->sequence = read_uint (fields);
-  message->to_all = read_bool (fields);
+  message->is_broadcast = read_bool (fields);
   read_name (fields, message->topic);
   read_payload (fields, message);
 }
@@ -477,5 +477,5 @@
   message->instances = NULL;
   message->n_instances = 0;
   message->payload = NULL;
-  message->length = 0;
+  message->payload_length = 0;
 }
--- a/packages/wire/tests/test-frames.c
+++ b/packages/wire/tests/test-frames.c
@@ -34,9 +34,9 @@
                         .is_reply = true,
                         .origin_epoch = 9,
                         .sequence = 70000,
-                        .to_all = true,
+                        .is_broadcast = true,
                         .payload = "a\0b",
-                        .length = 3 };
+                        .payload_length = 3 };
 
   memset (message.nonce, 7, sizeof message.nonce);
   memset (message.mac, 9, sizeof message.mac);
@@ -57,7 +57,7 @@
       LwFrame frame;
       LwMessage decoded;
 
-      cr_assert_eq (lw_frame_read (bytes, length, LW_FRAME_MAX_BODY, &frame, NULL),
+      cr_assert_eq (lw_frame_read (bytes, length, LW_FRAME_MAX_BODY_BYTES, &frame, NULL),
                     LW_FRAME_COMPLETE);
       cr_assert_eq (frame.consumed, length);
       cr_assert (lw_message_decode (frame.body, frame.length, &decoded, NULL), "type %d", type);
@@ -65,7 +65,7 @@
       cr_assert_eq (length, reencoded_length);
       cr_assert_eq (memcmp (bytes, reencoded, length), 0);
       for (size_t cut = 0; cut < length; cut++)
-        cr_assert_eq (lw_frame_read (bytes, cut, LW_FRAME_MAX_BODY, &frame, NULL),
+        cr_assert_eq (lw_frame_read (bytes, cut, LW_FRAME_MAX_BODY_BYTES, &frame, NULL),
                       LW_FRAME_PARTIAL);
       lw_message_clear (&decoded);
       free (bytes);
@@ -78,17 +78,17 @@
  * alone must be enough to refuse both. */
 Test (frame, wrong_version_and_size_are_refused_from_the_header_alone)
 {
-  uint8_t bytes[LW_FRAME_HEADER];
+  uint8_t bytes[LW_FRAME_HEADER_BYTES];
   LbError error;
   LwFrame frame;
 
   lw_frame_write_header (bytes, 100);
   bytes[4]++;
-  cr_assert_eq (lw_frame_read (bytes, sizeof bytes, LW_FRAME_MAX_BODY, &frame, &error),
+  cr_assert_eq (lw_frame_read (bytes, sizeof bytes, LW_FRAME_MAX_BODY_BYTES, &frame, &error),
                 LW_FRAME_INVALID);
   cr_assert_eq (error.code, LB_ERROR_FRAME_VERSION);
-  lw_frame_write_header (bytes, LW_FRAME_MAX_BODY_UNAUTHENTICATED + 1);
-  cr_assert_eq (lw_frame_read (bytes, sizeof bytes, LW_FRAME_MAX_BODY_UNAUTHENTICATED, &frame,
+  lw_frame_write_header (bytes, LW_FRAME_MAX_UNAUTHENTICATED_BODY_BYTES + 1);
+  cr_assert_eq (lw_frame_read (bytes, sizeof bytes, LW_FRAME_MAX_UNAUTHENTICATED_BODY_BYTES, &frame,
                                &error),
                 LW_FRAME_INVALID);
   cr_assert_eq (error.code, LB_ERROR_FRAME_TOO_LARGE);
@@ -154,16 +154,16 @@
       LwMessage message = example ((LwMessageType)(1 + round % (LW_N_MESSAGES - 1)), instances);
       size_t length;
       uint8_t *bytes = lw_message_encode (&message, &length);
-      size_t body = gsl_rng_uniform_int (rng, length - LW_FRAME_HEADER) + 1;
+      size_t body = gsl_rng_uniform_int (rng, length - LW_FRAME_HEADER_BYTES) + 1;
       LwMessage decoded;
       LbError error = { .code = LB_OK };
 
       for (int damage = 0; damage < 3; damage++)
-        bytes[LW_FRAME_HEADER + gsl_rng_uniform_int (rng, body)]
+        bytes[LW_FRAME_HEADER_BYTES + gsl_rng_uniform_int (rng, body)]
             = (uint8_t)gsl_rng_uniform_int (rng, 256);
       if (round % 2)
-        body = length - LW_FRAME_HEADER;
-      if (lw_message_decode (bytes + LW_FRAME_HEADER, body, &decoded, &error))
+        body = length - LW_FRAME_HEADER_BYTES;
+      if (lw_message_decode (bytes + LW_FRAME_HEADER_BYTES, body, &decoded, &error))
         lw_message_clear (&decoded);
       else
         refused += error.code == LB_ERROR_FRAME_GARBLED;
@@ -193,25 +193,26 @@
   memset (pair, 0, sizeof *pair);
   lw_handshake_init (&pair->dialler, true, dialler_key, &ends[0], nonces[0]);
   lw_handshake_init (&pair->acceptor, false, acceptor_key, &ends[1], nonces[1]);
-  lw_handshake_hello (&pair->dialler, &pair->hello);
+  lw_handshake_build_hello (&pair->dialler, &pair->hello);
 }
 
 static bool
 answer_hello (HandshakePair *pair)
 {
-  return lw_handshake_receive (&pair->acceptor, &pair->hello, &pair->challenge, &pair->error);
+  return lw_handshake_handle_message (&pair->acceptor, &pair->hello, &pair->challenge,
+                                      &pair->error);
 }
 
 static bool
 answer_challenge (HandshakePair *pair)
 {
-  return lw_handshake_receive (&pair->dialler, &pair->challenge, &pair->proof, &pair->error);
+  return lw_handshake_handle_message (&pair->dialler, &pair->challenge, &pair->proof, &pair->error);
 }
 
 static bool
 verify_proof (HandshakePair *pair)
 {
-  return lw_handshake_receive (&pair->acceptor, &pair->proof, &pair->none, &pair->error);
+  return lw_handshake_handle_message (&pair->acceptor, &pair->proof, &pair->none, &pair->error);
 }
 
 Test (handshake, both_ends_learn_the_peer)
@@ -269,7 +270,7 @@
   LwMessage ping = { .type = LW_PING };
 
   pair_init (&pair, "key", "key");
-  cr_assert_not (lw_handshake_receive (&pair.acceptor, &ping, &pair.none, &pair.error));
+  cr_assert_not (lw_handshake_handle_message (&pair.acceptor, &ping, &pair.none, &pair.error));
   cr_assert_eq (pair.error.code, LB_ERROR_FRAME_GARBLED);
   pair.proof.type = LW_PROOF;
   cr_assert_not (verify_proof (&pair));
--- a/standins/si-checked-call.c
+++ b/standins/si-checked-call.c
@@ -106,7 +106,7 @@
 
   if (call->result.time_to_first_byte == 0)
     call->result.time_to_first_byte = lb_clock_monotonic () - call->start;
-  if (call->stream && lh_fetch_status (fetch) == 200)
+  if (call->stream && lh_fetch_get_response_status (fetch) == 200)
     lh_sse_feed (&call->sse, bytes, length, on_sse_event, call, &error);
   else
     append_bytes (&call->body, &call->body_length, bytes, length);
@@ -147,7 +147,7 @@
   if (object)
     copy_error_type (call, object);
   json_object_put (object);
-  return lh_fetch_header (fetch, "x-not-run") ? SI_CALL_NOT_RUN : SI_CALL_FAILED;
+  return lh_fetch_get_response_header (fetch, "x-not-run") ? SI_CALL_NOT_RUN : SI_CALL_FAILED;
 }
 
 /* Classifies a call that failed without an answer: it did not run if no byte was sent, otherwise it
@@ -162,7 +162,7 @@
 static SiCallOutcome
 classify_outcome (CheckedCall *call, LhFetch *fetch, const LhResult *result)
 {
-  int status = result->status ? result->status : lh_fetch_status (fetch);
+  int status = result->status ? result->status : lh_fetch_get_response_status (fetch);
 
   if (call->stream && call->received_length + (size_t)call->has_done_marker > 0)
     return classify_stream (call, result);
@@ -187,7 +187,7 @@
 on_done (LhFetch *fetch, const LhResult *result, void *user)
 {
   CheckedCall *call = user;
-  const char *retry_after_ms = lh_fetch_header (fetch, "x-retry-after-ms");
+  const char *retry_after_ms = lh_fetch_get_response_header (fetch, "x-retry-after-ms");
 
   if (result->body_length > 0)
     append_bytes (&call->body, &call->body_length, result->body, result->body_length);
--- a/standins/si-client.c
+++ b/standins/si-client.c
@@ -33,14 +33,14 @@
 {
   PendingCall *pending = user;
   SiResponse *response = pending->response;
-  const char *retry_after_ms = lh_fetch_header (fetch, "x-retry-after-ms");
+  const char *retry_after_ms = lh_fetch_get_response_header (fetch, "x-retry-after-ms");
 
   pending->is_done = true;
   response->failure = result->failure;
   response->status = result->status;
   response->body = lb_strndup (result->body ? result->body : "", result->body_length);
   response->length = result->body_length;
-  response->not_run = lh_fetch_header (fetch, "x-not-run") != NULL;
+  response->not_run = lh_fetch_get_response_header (fetch, "x-not-run") != NULL;
   response->retry_after = retry_after_ms ? strtoll (retry_after_ms, NULL, 10) * LB_MSEC : 0;
 }
 
--- a/standins/standin-trainer.c
+++ b/standins/standin-trainer.c
@@ -102,7 +102,7 @@
   si_json_set_int (body, "step", trainer->step);
   si_json_set_int (body, "weight_version", trainer->version);
   json_object_object_add (body, "groups", groups);
-  return lb_json_take_text (body, JSON_C_TO_STRING_PLAIN);
+  return lb_json_serialize_and_release (body, JSON_C_TO_STRING_PLAIN);
 }
 
 static char *
@@ -115,7 +115,7 @@
   si_json_set_int (body, "weight_version", trainer->version);
   si_json_set_int (body, "max_samples", trainer->settings->max_pull_samples);
   si_json_set_int (body, "wait_ms", PULL_WAIT_MS);
-  return lb_json_take_text (body, JSON_C_TO_STRING_PLAIN);
+  return lb_json_serialize_and_release (body, JSON_C_TO_STRING_PLAIN);
 }
 
 static bool
--- a/tests/process/pt-shared.c
+++ b/tests/process/pt-shared.c
@@ -104,8 +104,8 @@
 on_response (LhFetch *fetch, const LhResult *result, void *user)
 {
   PsCluster *cluster = user;
-  const char *retry_after = lh_fetch_header (fetch, "Retry-After");
-  const char *server_stamp = lh_fetch_header (fetch, "Server-Stamp");
+  const char *retry_after = lh_fetch_get_response_header (fetch, "Retry-After");
+  const char *server_stamp = lh_fetch_get_response_header (fetch, "Server-Stamp");
 
   cluster->n_responses++;
   cluster->failure = result->failure;
--- a/tests/soak/sk-callers.c
+++ b/tests/soak/sk-callers.c
@@ -89,7 +89,7 @@
 static bool
 is_complete_response (const Call *call, const LhFetch *fetch, const LhResult *result)
 {
-  const char *stamp = lh_fetch_header (fetch, "Server-Stamp");
+  const char *stamp = lh_fetch_get_response_header (fetch, "Server-Stamp");
   char body[LB_NAME_MAX + 16];
   char expected[LB_NAME_MAX + 8];
 
