--- a/packages/node/src/calls/ln-calls-attempts.c
+++ b/packages/node/src/calls/ln-calls-attempts.c
@@ -140,8 +140,8 @@
 
   if (endpoint)
     lc_endpoint_set_idle_connections (endpoint,
-                                      lh_pool_count_idle (calls->context->http_pool,
-                                                          endpoint->member.address),
+                                      lh_pool_count_idle_connections (calls->context->http_pool,
+                                                                      endpoint->member.address),
                                       lb_clock_monotonic ());
 }
 
