--- a/packages/cli/src/lt-bench.c
+++ b/packages/cli/src/lt-bench.c
@@ -101,7 +101,7 @@
 
   for (const char *const *policy = lc_router_policy_names (); *policy && n < MAX_POLICIES; policy++)
     snprintf (policies[n++], 128, "%s", *policy);
-  for (const char *const *name = lx_mechanism_names (); *name && n < MAX_POLICIES - 1; name++)
+  for (const char *const *name = lx_rollout_mechanism_names (); *name && n < MAX_POLICIES - 1; name++)
     snprintf (policies[n++], 128, "least-outstanding+%s", *name);
   snprintf (policies[n++], 128, "%s", NO_TRAINERS_POLICY);
   return n;
--- a/packages/sim/include/lx-options.h
+++ b/packages/sim/include/lx-options.h
@@ -46,6 +46,6 @@
  * mechanisms: "random+hedging". Returns false if a part is unknown. */
 bool lx_options_set_policy (LxOptions *options, const char *policy);
 
-const char *const *lx_mechanism_names (void);
+const char *const *lx_rollout_mechanism_names (void);
 
 #endif
--- a/packages/sim/src/lx-options.c
+++ b/packages/sim/src/lx-options.c
@@ -17,7 +17,7 @@
 };
 
 const char *const *
-lx_mechanism_names (void)
+lx_rollout_mechanism_names (void)
 {
   return mechanism_names;
 }
