--- a/packages/node/include/ln-context.h
+++ b/packages/node/include/ln-context.h
@@ -12,7 +12,7 @@
 struct LpPlatform;
 struct LnDialect;
 
-/* Shared by all tasks of the process; lives as long as the process. */
+/* State that all tasks of the process share; it exists until the process ends. */
 typedef struct
 {
   struct event_base *base;
@@ -20,34 +20,37 @@
   const LnSettings *settings;
   struct LhPool *http_pool; /* connections to endpoints and other instances */
   struct LpPlatform *platform;
-  const struct LnDialect *dialect; /* formats of a shared platform; NULL: Lentilspindle's own API */
-  LbName instance;                 /* name of this instance */
-  char incarnation[40];            /* unique to each start of the process */
-  LbName caller_address;           /* as bound, with the actual port */
-  LbName metrics_address;          /* as bound; empty: no separate metrics listener */
-  LbName peer_address;             /* as bound, for other instances */
-  LcRequestId last_request_id;     /* see ln_context_next_request_id */
-  gsl_rng *rng;                    /* created at first use */
-  struct LnTicker *ticker;         /* created at first use */
+  const struct LnDialect
+      *dialect;                /* codec of a shared platform; NULL: the node's own API is used */
+  LbName instance;             /* name of this instance */
+  char incarnation[40];        /* identifies this start of the process */
+  LbName caller_address;       /* bound address for callers, with the actual port */
+  LbName metrics_address;      /* bound address for metrics; empty: none */
+  LbName peer_address;         /* bound address for other instances */
+  LcRequestId last_request_id; /* highest id that was assigned to a request */
+  gsl_rng *rng;                /* random number generator; NULL until its first use */
+  struct LnTicker *ticker;     /* NULL until its first use */
 } LnContext;
 
-/* Ids are unique within the process. */
+/* Returns a new request id, unique within the process. */
 LcRequestId ln_context_next_request_id (LnContext *context);
-/* Derived from the configured seed and the instance name, so that it differs between instances. */
+/* Returns a seed derived from the configured seed and the instance name, so that instances get
+ * different random numbers. */
 uint64_t ln_context_random_seed (const LnContext *context);
-/* Uniform in [0, 1). */
+/* Returns a uniformly distributed random number in [0, 1). */
 double ln_context_random_uniform (LnContext *context);
-/* The ticker that all tasks share. */
+/* Returns the ticker that all tasks share. */
 struct LnTicker *ln_context_ticker (LnContext *context);
 void ln_context_clear (LnContext *context);
 
-/* Constructors of the tasks; each is defined in the .c file of its name. */
+/* Constructors of the tasks, each in the .c file of its task (ln-front.c for the front task).
+ * ln_front_task_new returns NULL when it can't listen. */
 LnTask *ln_front_task_new (LnContext *context);
 LnTask *ln_calls_task_new (LnContext *context);
 LnTask *ln_rollouts_task_new (LnContext *context);
 LnTask *ln_config_task_new (LnContext *context);
 LnTask *ln_peers_task_new (LnContext *context);
-/* On a shared platform these replace rollouts, config and peers. */
+/* Tasks that replace the rollouts, config and peers tasks on a shared platform. */
 LnTask *ln_batches_task_new (LnContext *context);
 LnTask *ln_desired_task_new (LnContext *context);
 LnTask *ln_fleet_task_new (LnContext *context);
--- a/packages/node/include/ln-dialect.h
+++ b/packages/node/include/ln-dialect.h
@@ -6,69 +6,70 @@
 #include "lc-roster.h"
 #include "ln-exchange.h"
 
-/* Codec between the node's types and the wire formats of a shared platform: its callers, endpoints
- * and store. Without a dialect the node serves its own interface (docs/API.md). The functions only
- * translate; they have no state and make no decisions. */
+/* Codec between the node's types and the wire formats of a shared platform: formats for callers,
+ * endpoints and the store. Without a dialect the node serves its own API (docs/API.md). The
+ * functions only translate; they keep no state between calls and make no decisions. */
 
 struct LhFetch;
 struct evbuffer;
 
 typedef enum
 {
-  LN_INBOUND_RESOLVE,      /* addresses of the instances to connect to */
-  LN_INBOUND_READINESS,    /* whether this instance accepts callers */
-  LN_INBOUND_RESULTS,      /* the results of a batch */
-  LN_INBOUND_ITEM,         /* the request body of a batch item */
+  LN_INBOUND_RESOLVE,      /* asks for addresses of instances to connect to */
+  LN_INBOUND_READINESS,    /* asks whether this instance accepts callers */
+  LN_INBOUND_RESULTS,      /* reads results of a batch */
+  LN_INBOUND_ITEM,         /* reads the request body of a batch item */
   LN_INBOUND_DELETE_BATCH, /* ends a batch */
-  LN_INBOUND_ROUTED        /* a request that a route maps to a service */
+  LN_INBOUND_ROUTED        /* other requests; the route selects the service */
 } LnInboundKind;
 
-/* A parsed request of a caller. Pointers are valid as long as the exchange. */
+/* A parsed request of a caller. The pointers are valid until the exchange is freed. */
 typedef struct
 {
   LnInboundKind kind;
   const char *id;   /* request id set by the caller; NULL: none */
   const char *key;  /* API key, identifies the organisation; NULL: none */
-  size_t n_keys;    /* number of API key headers */
-  const char *host; /* selects the route; "" when absent */
-  LbTime deadline;  /* time left from now; 0: no deadline */
+  size_t n_keys;    /* number of API key headers in the request */
+  const char *host; /* host name that selects the route; "": none */
+  LbTime deadline;  /* time left until the deadline; 0: no deadline */
   const char *model;
   int64_t prompt_tokens;
   int64_t max_tokens;
-  LbName batch;     /* RESULTS, ITEM, DELETE_BATCH */
-  const char *item; /* ITEM: id of the item; NULL: none */
-  int64_t position; /* RESULTS: index of the first result to return */
-  LbTime wait;      /* RESULTS: longest wait for a result */
+  LbName batch;     /* id of the batch; set only for RESULTS, ITEM and DELETE_BATCH requests */
+  const char *item; /* id of the batch item that an ITEM request reads; NULL: none */
+  int64_t position; /* index of the first result that a RESULTS request reads */
+  LbTime wait;      /* how long a RESULTS request waits if there is no result yet */
 } LnInbound;
 
-/* Values that are sent as headers of one attempt, in addition to the caller's headers. */
+/* Values that the node sends to an endpoint as headers of one attempt, in addition to the caller's
+ * headers. */
 typedef struct
 {
-  LbTime time_left;         /* until the deadline; 0: none is sent */
-  const char *endpoint;     /* the only one that may run the request */
-  int64_t resume_at;        /* number of events already received; 0: from the start */
-  const char *organisation; /* of the caller; NULL or "": unknown */
-  bool is_sample;
+  LbTime time_left;         /* time until the deadline; 0: not sent */
+  const char *endpoint;     /* name of the only endpoint that may run the request */
+  int64_t resume_at;        /* number of stream events already received; 0: not resumed */
+  const char *organisation; /* the caller's organisation; NULL or "": unknown */
+  bool is_sample;           /* the request generates or scores text; then its id is sent */
 } LnAttemptHeaders;
 
-/* What an endpoint's reply proves about the request. */
+/* What an endpoint's reply says about the request. */
 typedef enum
 {
-  LN_REPLY_ANSWER,        /* a final answer, to be passed on with any status */
-  LN_REPLY_FAILURE,       /* failed after it ran or may have run */
-  LN_REPLY_UNPROCESSABLE, /* no endpoint can process it */
-  LN_REPLY_NOT_RUN,       /* endpoint busy, or deadline passed */
-  LN_REPLY_WRONG_ENDPOINT /* not run: the address belongs to another endpoint now */
+  LN_REPLY_ANSWER,        /* final answer, forwarded to the caller whatever its status */
+  LN_REPLY_FAILURE,       /* the request failed and may have run */
+  LN_REPLY_UNPROCESSABLE, /* the request is invalid for every endpoint */
+  LN_REPLY_NOT_RUN,       /* not run: the endpoint is busy, or the deadline has passed */
+  LN_REPLY_WRONG_ENDPOINT /* not run: another endpoint uses the address now */
 } LnReplyClass;
 
-/* Value of a reply's header; NULL: the reply has no such header. */
+/* Returns the value of the named header of a reply, or NULL if the reply does not have it. */
 typedef const char *(*LnHeaderLookup) (const void *source, const char *name);
 
 /* One event of an engine's response stream. */
 typedef struct
 {
-  int64_t number;    /* from 1 on, without gaps */
-  LcVersion version; /* of the weights; 0: same as the event before */
+  int64_t number;    /* consecutive number in the stream, from 1 on */
+  LcVersion version; /* weight version; 0: the previous event's version */
   const char *data;
   size_t length;
 } LnStreamEvent;
@@ -76,70 +77,73 @@
 typedef struct LnStreamReader LnStreamReader;
 typedef void (*LnStreamHandler) (const LnStreamEvent *event, void *user);
 
-/* Load that an endpoint reports in a header of its replies. */
+/* Load of an endpoint, read from a header of its reply. */
 typedef struct
 {
   bool is_reported; /* the reply has a valid load header */
-  int64_t running;  /* number of requests that it processes */
-  int64_t waiting;  /* number of requests that it has queued */
+  int64_t running;  /* number of requests that the endpoint processes */
+  int64_t waiting;  /* number of requests in the endpoint's queue */
 } LnReportedLoad;
 
+/* Outcome of an order to an engine to load a weight version. */
 typedef enum
 {
   LN_ORDER_ACCEPTED,
-  LN_ORDER_ALREADY_DONE, /* the endpoint already has the version */
+  LN_ORDER_ALREADY_DONE, /* the engine already has the weight version */
   LN_ORDER_BUSY,         /* another order is in progress, or orders_before is outdated */
-  LN_ORDER_STALE_FENCE,  /* the endpoint knows a higher fencing number */
-  LN_ORDER_REFUSED       /* for any other reason */
+  LN_ORDER_STALE_FENCE,  /* the engine has seen a higher fencing number */
+  LN_ORDER_REFUSED       /* the engine refused the order for another reason */
 } LnOrderOutcome;
 
-/* How an engine treats its running streams when it changes weights. */
+/* What an engine does with its running streams when it loads new weights. */
 typedef enum
 {
-  LN_SWAP_DRAIN,       /* waits for them to end */
-  LN_SWAP_ABORT,       /* truncates them */
-  LN_SWAP_KEEP_STREAMS /* continues them with the new weights */
+  LN_SWAP_DRAIN,       /* waits until the running streams have ended */
+  LN_SWAP_ABORT,       /* truncates the running streams */
+  LN_SWAP_KEEP_STREAMS /* continues the running streams with the new weights */
 } LnSwapMode;
 
+/* Order to an engine to load a weight version. */
 typedef struct
 {
   const char *endpoint;
   const char *model;
   LcVersion version;
-  const char *holder;
-  int64_t fence;
+  const char *holder; /* instance that holds the lease for weight orders */
+  int64_t fence;      /* fencing number of the holder's lease */
   LnSwapMode mode;
-  /* Number of orders that the endpoint has accepted; it refuses the order if the count differs. */
+  /* Number of orders that the engine has accepted; with another number, it refuses this order. */
   int64_t orders_before;
 } LnWeightsOrder;
 
-/* A query of an engine's state: which incarnation of the engine, and which model. */
+/* Selects the state to read: of which engine process, and of which model. */
 typedef struct
 {
   const char *endpoint;
   const char *model;
 } LnEngineStateQuery;
 
+/* An engine's reply to a query of its state. */
 typedef struct
 {
-  LcVersion version;       /* 0: the engine does not have the model */
-  int64_t orders_accepted; /* since the engine's start */
-  bool busy;               /* an order is in progress */
+  LcVersion version;       /* weight version of the model; 0: the engine does not have the model */
+  int64_t orders_accepted; /* number of orders accepted since the engine started */
+  bool busy;               /* the engine is carrying out an order */
 } LnEngineState;
 
-/* Duties with calls to the platform that only one instance may make at a time. */
+/* Duties that call the platform's API. Only one instance performs each duty at a time. */
 typedef enum
 {
-  LN_PLATFORM_USAGE, /* reports the usage of each organisation */
-  LN_PLATFORM_SCALE, /* orders endpoints for services */
-  LN_PLATFORM_OTHER  /* unknown duty */
+  LN_PLATFORM_USAGE, /* reports the number of requests of each organisation */
+  LN_PLATFORM_SCALE, /* sets the number of endpoints of services */
+  LN_PLATFORM_OTHER  /* duty that this node does not perform */
 } LnPlatformDuty;
 
-/* Lease holder and its fencing number, sent with each call of a duty. */
+/* Holder of a duty's lease, sent with each call of the duty. */
 typedef struct
 {
-  const char *holder;
-  int64_t fence;
+  const char *holder; /* name of the instance */
+  int64_t fence;      /* fencing number of the lease */
 } LnDutyHolder;
 
 /* Target number of endpoints of a service in one data centre. */
@@ -151,29 +155,31 @@
   bool is_spot; /* preemptible endpoints at a lower price */
 } LnScaleOrder;
 
+/* Outcome of a duty's call to the platform. */
 typedef enum
 {
   LN_DUTY_DONE,
   LN_DUTY_NO_ANSWER, /* the call may have taken effect, or may still do so */
-  LN_DUTY_BUSY,      /* rate limit, or failure of the platform */
-  LN_DUTY_REFUSED    /* fenced off by a newer holder, or not available */
+  LN_DUTY_BUSY,      /* rejected by a rate limit, or the platform failed */
+  LN_DUTY_REFUSED    /* the fencing number is outdated, or the call is not available */
 } LnDutyOutcome;
 
-/* Content of a row of the operators' table. */
+/* What a row of the operators' table contains. */
 typedef enum
 {
   LN_ROW_OTHER,
   LN_ROW_DESIRED, /* the desired state: routes and services */
-  LN_ROW_VERSION  /* the newest weight version of a model */
+  LN_ROW_VERSION  /* the newest weight version of one model */
 } LnOperatorRowKind;
 
 typedef struct LnDialect
 {
-  /* requests of callers */
+  /* Functions for requests of callers. */
   void (*read_inbound) (const LnExchange *exchange, LnInbound *inbound);
   bool (*read_batch) (
       const char *body, size_t length, const char *id, LcBatchSpec *spec, LbError *error);
-  /* Writes as many of the results as fit into one page. */
+  /* Returns a page with as many results as fit. total: number of items in the batch; position:
+   * index of results[0] in the batch. */
   char *(*write_results) (int64_t total,
                           int64_t position,
                           const LcBatchResult *results,
@@ -181,12 +187,12 @@
                           size_t *length);
   char *(*write_resolve_reply) (const char *const *addresses, size_t n_addresses, LbTime ttl);
 
-  /* endpoints */
-  /* Whether the node sets or removes the header, so that the caller's value is not forwarded. */
+  /* Functions for requests to endpoints and their replies. */
+  /* Whether the node sets or removes the header itself instead of forwarding the caller's value. */
   bool (*is_own_header) (const char *name);
   void (*write_attempt_headers) (const LnAttemptHeaders *headers, LcOutgoingRequest *outgoing);
   LnReplyClass (*classify_reply) (int status, LnHeaderLookup find_header, const void *source);
-  /* Whether the reply is for the request with this id, or names no request. */
+  /* False when the reply contains the id of another request. */
   bool (*is_reply_to) (const char *id, LnHeaderLookup find_header, const void *source);
   void (*read_load) (LnHeaderLookup find_header, const void *source, LnReportedLoad *load);
   const char *(*read_score) (LnHeaderLookup find_header, const void *source);
@@ -196,16 +202,17 @@
   void (*stream_free) (LnStreamReader *reader);
   void (*write_order) (const LnWeightsOrder *order, LcOutgoingRequest *outgoing);
   LnOrderOutcome (*classify_order_reply) (int status);
-  const char *engine_state_path; /* answers a GET with the engine's state */
+  const char *engine_state_path; /* path of the GET request for an engine's state */
   bool (*read_engine_state) (const LnEngineStateQuery *query,
                              const char *text,
                              size_t length,
                              LnEngineState *state,
                              LbError *error);
 
-  /* the platform's API other than its store */
+  /* Functions for the platform's duty API. */
   LnPlatformDuty (*parse_duty_name) (const char *name);
-  /* counts: JSON object, number of requests by organisation. */
+  /* window: index of the reported time window; counts: JSON object with the number of requests of
+   * each organisation. */
   void (*write_usage) (const LnDutyHolder *duty,
                        int64_t window,
                        const char *counts,
@@ -215,10 +222,10 @@
                        LcOutgoingRequest *outgoing);
   LnDutyOutcome (*classify_duty_reply) (int status);
 
-  /* the store */
+  /* Names and functions for rows of the platform's store. */
   const char *operator_table;
-  const char *operator_key_prefix; /* of the rows of operator_table */
-  const char *endpoint_key_prefix; /* of the rows of endpoints */
+  const char *operator_key_prefix; /* prefix of the row keys in operator_table */
+  const char *endpoint_key_prefix; /* prefix of the row keys of endpoints */
   LnOperatorRowKind (*classify_operator_row) (const char *key);
   LcDesired *(*read_desired) (const char *text, LbError *error);
   bool (*read_version) (const char *text, LbName model, LcVersion *version, LbError *error);
@@ -226,7 +233,7 @@
                               const char *text,
                               LcRegistration *registration,
                               LbError *error);
-  const char *registration_counter_prefix; /* text before a row's write counter */
+  const char *registration_counter_prefix; /* text before the write counter in an endpoint's row */
 } LnDialect;
 
 #endif
--- a/packages/node/include/ln-task.h
+++ b/packages/node/include/ln-task.h
@@ -15,38 +15,42 @@
 {
   const char *name;
   void (*receive) (LnTask *task, const LnMessage *message);
-  /* Accepts no new work; work in progress continues. */
+  /* Stops accepting new work; work in progress continues. */
   void (*drain) (LnTask *task);
   /* True when the task has no work in progress. */
   bool (*is_idle) (const LnTask *task);
   void (*free) (LnTask *task);
 } LnTaskClass;
 
+/* Base of all tasks. Must be the first member of a task's struct, so that an LnTask pointer can be
+ * cast to the type of the task. */
 struct LnTask
 {
-  const LnTaskClass *klass; /* first member, so that a task can be cast to its own type */
+  const LnTaskClass *klass;
   LnHub *hub;
   LbLink link;
 };
 
-/* Header of every message, as the first member of its struct. Message types: ln-messages.h. */
+/* Header of a message; must be the first member of each message's struct. The message types are in
+ * ln-messages.h. */
 struct LnMessage
 {
   LbLink link;
   int type;
-  LnTask *to;                         /* NULL: all tasks */
-  void (*clear) (LnMessage *message); /* frees what the message owns; NULL: nothing */
+  LnTask *to;                         /* receiver; NULL: all tasks */
+  void (*clear) (LnMessage *message); /* frees what the message owns; NULL: it owns nothing */
 };
 
-/* The hub owns the tasks of a process. It delivers messages in the order they were posted, always
- * from the event loop and never from within ln_post. */
+/* The hub owns the tasks of a process. It delivers messages from the event loop, in the order of
+ * posting, and never from within ln_post. */
 LnHub *ln_hub_new (struct event_base *base);
 void ln_hub_free (LnHub *hub);
 
 void ln_hub_add_task (LnHub *hub, LnTask *task);
-/* NULL when there is none of this name. */
+/* Returns NULL when no task has this name. */
 LnTask *ln_hub_find_task (const LnHub *hub, const char *name);
-/* Posts a copy of the message's size bytes and takes ownership of what the message owns. */
+/* Posts a copy of the message, which has size bytes, and takes ownership of what the message owns.
+ * to: the receiver; NULL: all tasks. */
 void ln_post (LnHub *hub, LnTask *to, const LnMessage *message, size_t size);
 void ln_hub_drain (LnHub *hub);
 bool ln_hub_is_idle (const LnHub *hub);
--- a/packages/node/include/ln-ticker.h
+++ b/packages/node/include/ln-ticker.h
@@ -6,29 +6,32 @@
 
 struct event_base;
 
-/* One timer for the periodic work of all tasks: in an idle process a wake-up costs as much as the
- * work that it does. */
+/* Runs the periodic work of all tasks from one timer, since in an idle process a wake-up costs as
+ * much as the work done after it. */
 typedef struct LnTicker LnTicker;
 
-/* Embedded in the task that is called; the task sets period, callback and user. */
+/* A periodic call of a task, embedded in the task's struct. The task sets period, callback and
+ * user. */
 typedef struct
 {
   LbLink link;
-  LbTime period; /* between two calls while the process is not idle */
+  LbTime period; /* time between two calls while the process is not idle */
   void (*callback) (void *user);
   void *user;
-  LbTime due_at; /* set by the ticker */
+  LbTime due_at; /* time of the next call, set by the ticker */
 } LnPeriodicCall;
 
 LnTicker *ln_ticker_new (struct event_base *base);
 void ln_ticker_free (LnTicker *ticker);
 
-/* The first call comes in the next iteration of the event loop. */
+/* Adds a periodic call; its first run is in the next iteration of the event loop. */
 void ln_ticker_add (LnTicker *ticker, LnPeriodicCall *call);
 void ln_ticker_remove (LnTicker *ticker, LnPeriodicCall *call);
-/* While idle, calls are less frequent, unless work was reported within the last seconds. */
+/* Sets whether the process is idle. An idle process makes calls less often, unless work was
+ * reported within the last 5 s. */
 void ln_ticker_set_idle (LnTicker *ticker, bool is_idle);
-/* For some seconds all calls are made at their own periods, even while idle. */
+/* Reports that the process has work: for 5 s, all calls are made at their own periods even if the
+ * process is idle. */
 void ln_ticker_report_work (LnTicker *ticker, LbTime now);
 
 #endif
--- a/packages/node/src/front/ln-caller.h
+++ b/packages/node/src/front/ln-caller.h
@@ -8,63 +8,67 @@
 
 #include <evhtp/evhtp.h>
 
+/* Time limit between two requests of a connection, unless the platform's limit is longer. */
 #define LN_CALLER_IDLE_TIMEOUT (60 * LB_SEC)
 
 typedef struct LnExchange LnExchange;
 typedef struct LnCaller LnCaller;
 
-/* Limits and state shared by all connections of callers; owned by the front task. */
+/* Limits and state that all callers' connections share; owned by the front task. */
 typedef struct
 {
   struct event_base *base;
-  LbList connections; /* of LnCaller */
-  LbList lingers;     /* of LnLinger: connections that are closed after a flush */
-  LbList exchanges;   /* of LnExchange: requests without a complete reply */
+  LbList connections; /* open connections, of type LnCaller */
+  LbList lingers;     /* connections to close once flushed, of type LnLinger */
+  LbList exchanges;   /* requests without a complete reply, of type LnExchange */
   size_t max_connections;
   size_t max_body_bytes;
   size_t max_header_bytes;
-  LbTime read_timeout;         /* limit for receiving a complete request */
-  LbTime idle_timeout;         /* limit between two requests of a connection */
-  struct LnRecorder *recorder; /* NULL: no trace is recorded */
-  bool has_exact_retry_after;  /* Retry-After is sent with fractions of a second */
-  bool is_draining;            /* connections are closed after their next reply */
+  LbTime read_timeout;         /* time limit for receiving a complete request */
+  LbTime idle_timeout;         /* time limit between two requests of a connection */
+  struct LnRecorder *recorder; /* records a trace of the requests; NULL: none is recorded */
+  bool has_exact_retry_after;  /* Retry-After headers contain fractions of a second */
+  bool is_draining;            /* each connection is closed after its next reply */
 } LnCallers;
 
-/* One connection of a caller: enforces the limits and closes the connection. */
+/* A caller's connection. Enforces the limits in LnCallers and closes the connection. */
 struct LnCaller
 {
   LbLink link;
   LnCallers *callers;
   evhtp_connection_t *connection;
-  LnExchange *exchange; /* the request in progress; NULL: none */
+  LnExchange *exchange; /* request that is being processed; NULL: none */
   struct event *timer;
   size_t header_bytes;
   size_t body_bytes;
-  LbErrorCode refusal;        /* error reply to send before the connection closes */
-  bool is_closed_after_reply; /* to the request in progress */
-  bool is_flushed_at_close;   /* pending output is sent before the connection closes */
+  LbErrorCode refusal;        /* error to reply with before closing the connection; LB_OK: none */
+  bool is_closed_after_reply; /* closed after the reply to the current request */
+  bool is_flushed_at_close;   /* the connection is closed only after sending pending output */
   char ip[64];
-  char *raw_query;           /* of the request being read; NULL: none */
-  LnRequestScanner scanner;  /* has scanned all bytes received */
-  uint64_t n_headers_parsed; /* requests whose headers the HTTP library has passed on */
+  char *raw_query;           /* query string of the request being read; NULL: none */
+  LnRequestScanner scanner;  /* scanner that has seen all bytes received */
+  uint64_t n_headers_parsed; /* number of requests whose headers evhtp has parsed */
   struct evbuffer_cb_entry *input_callback;
-  bool is_read_timer_started; /* for a partial request line that the parser has not got yet */
-  /* Replied to, but not resumed until the next request line is complete; NULL: none. */
+  bool is_read_timer_started; /* a partial request line has already started the read timeout */
+  /* Request already replied to, resumed when the next request line is complete; NULL: none. */
   evhtp_request_t *held_request;
 };
 
 void ln_callers_init (LnCallers *callers, struct event_base *base);
 void ln_callers_clear (LnCallers *callers);
-/* Callback of evhtp for each new connection. */
+/* Callback of evhtp for a new connection. callers: the LnCallers. Refuses the connection when
+ * max_connections are open. */
 evhtp_res ln_caller_accept (evhtp_connection_t *connection, void *callers);
+/* Returns the caller that ln_caller_accept created for the connection. */
 LnCaller *ln_caller_from_connection (const evhtp_connection_t *connection);
-/* Whether a request is being received or processed, or output is pending. */
+/* True while a request is being received or processed, or output is pending. */
 bool ln_caller_is_busy (const LnCaller *caller);
-/* Detects a disconnect of the caller while its request is processed. */
+/* Starts detecting a disconnect of the caller while the caller's request is processed. */
 void ln_caller_watch_disconnect (LnCaller *caller);
-/* To be called when the reply was passed to evhtp: accepts the next request or closes. */
+/* Call after passing the complete reply to evhtp. Closes the connection, or accepts the next
+ * request if the connection is kept alive. */
 void ln_caller_finish_reply (LnCaller *caller, evhtp_request_t *request);
-/* Closes the connection after its pending output was sent. */
+/* Closes the connection after sending pending output. */
 void ln_caller_close (LnCaller *caller);
 
 #endif
--- a/packages/node/src/front/ln-framing.h
+++ b/packages/node/src/front/ln-framing.h
@@ -4,10 +4,10 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-/* Detects headers that leave the end or the host of a request ambiguous. Where two servers resolve
- * such headers differently, a caller can smuggle a second request past the first server's checks in
- * the body of the first request (RFC 9112, 6.3 and 11.2). Such a request is refused and its
- * connection closed. */
+/* Detects headers that make the end or the host of a request ambiguous. If two servers interpret
+ * these headers differently, a caller can smuggle a second request in the body of the first, past
+ * the checks of the first server (RFC 9112, 6.3 and 11.2). The caller of these functions must
+ * refuse an ambiguous request and close the connection. */
 typedef struct
 {
   bool has_content_length;
@@ -16,10 +16,11 @@
   bool is_ambiguous;
 } LnFraming;
 
-/* Adds one header; the order does not matter. Name and value need not be NUL-terminated. */
+/* Checks a header of the request. Headers can be added in any order; name and value need not be
+ * NUL-terminated. */
 void ln_framing_add_header (
     LnFraming *framing, const char *name, size_t name_length, const char *value, size_t length);
-/* To be called after the last header was added. */
+/* Call after adding the last header. */
 bool ln_framing_is_ambiguous (const LnFraming *framing);
 
 #endif
--- a/packages/node/src/front/ln-linger.h
+++ b/packages/node/src/front/ln-linger.h
@@ -5,13 +5,15 @@
 
 struct bufferevent;
 
-/* Lingering close: closes a connection only after its pending output, such as a final error reply,
- * was sent. Closing at once would reset the connection while the caller is still sending, and the
- * caller's system would discard the reply unread. */
+/* Lingering close: closes a connection only after sending pending output, for example an error
+ * reply. Closing at once would reset the connection if the caller is still sending, and the
+ * caller's operating system would discard the unread reply. */
 typedef struct LnLinger LnLinger;
 
-/* Takes ownership of bev. The linger frees itself, unless ln_linger_free_all does. */
+/* Starts the lingering close of bev and takes ownership of bev. The LnLinger in lingers frees
+ * itself when the connection is closed. */
 void ln_linger_start (LbList *lingers, struct bufferevent *bev);
+/* Closes all connections at once, without waiting for pending output. */
 void ln_linger_free_all (LbList *lingers);
 
 #endif
--- a/packages/node/src/store/ln-platform-call.h
+++ b/packages/node/src/store/ln-platform-call.h
@@ -6,18 +6,18 @@
 #include "ln-context.h"
 #include "ln-dialect.h"
 
-/* Calls to the platform's duty API. Each is sent once, without retries, and done is called exactly
- * once. */
+/* Calls to the platform's duty API. Each call is sent once, without retries. */
 
+/* Called exactly once for each call, with the outcome. */
 typedef void (*LnPlatformCallDone) (LnDutyOutcome outcome, void *user);
 
-/* Adds the call to calls until it is done. */
+/* Sends the call and keeps it in the list calls until done is called. */
 void ln_platform_call_start (const LnContext *context,
                              LbList *calls,
                              const LcOutgoingRequest *outgoing,
                              LnPlatformCallDone done,
                              void *user);
-/* Cancels all calls in progress; their outcome is LN_DUTY_NO_ANSWER. */
+/* Cancels all calls in the list; done gets LN_DUTY_NO_ANSWER for each call. */
 void ln_platform_calls_cancel (LbList *calls);
 
 #endif
--- a/packages/node/src/store/ln-unreadable-rows.h
+++ b/packages/node/src/store/ln-unreadable-rows.h
@@ -4,17 +4,19 @@
 #include "lb-error.h"
 #include "lb-types.h"
 
-/* Logs malformed rows of a list once each. The list is read several times a second, and a malformed
- * row may stay in it all day; it is logged again only after it was absent from a list. */
+/* Logs each malformed row of a repeatedly read list only once. The list is read several times a
+ * second, and a malformed row may stay in the list all day. The row is logged again only after a
+ * list did not contain it. */
 typedef struct LnUnreadableRows LnUnreadableRows;
 
 LnUnreadableRows *ln_unreadable_rows_new (void);
 void ln_unreadable_rows_free (LnUnreadableRows *rows);
 
-/* Each list of rows is enclosed in begin_list and end_list. */
+/* Call before reporting the malformed rows of a list; call end_list after the last row. */
 void ln_unreadable_rows_begin_list (LnUnreadableRows *rows);
+/* Logs the malformed row, unless the row was also reported for the previous list. */
 void ln_unreadable_rows_report (LnUnreadableRows *rows, const char *key, const LbError *reason);
-/* Drops rows that were not in the list. */
+/* Forgets rows that were not reported since begin_list. */
 void ln_unreadable_rows_end_list (LnUnreadableRows *rows);
 
 #endif
--- a/packages/node/src/store/ln-unwritten-rows.h
+++ b/packages/node/src/store/ln-unwritten-rows.h
@@ -3,18 +3,18 @@
 
 struct LpPlatform;
 
-/* Writes rows to the platform's store, and keeps each until the store has accepted it. Writes are
- * unconditional: only for rows where the last write may win. */
+/* Writes rows to the platform's store and keeps each row until the store has accepted the write.
+ * Writes are unconditional, so use this only for rows where the last write may win. */
 typedef struct LnUnwrittenRows LnUnwrittenRows;
 
-/* incarnation: of this process; borrowed, must outlive the object. */
+/* incarnation: unique id of this process start; borrowed, must outlive the object. */
 LnUnwrittenRows *ln_unwritten_rows_new (struct LpPlatform *platform, const char *incarnation);
-/* The platform must not call back after this. */
+/* The platform must not call back for a pending write after this call. */
 void ln_unwritten_rows_free (LnUnwrittenRows *rows);
 
-/* Sends the write at once. Takes ownership of text; NULL deletes the row. */
+/* Sends a write of the row at once and takes ownership of text; NULL deletes the row. */
 void ln_unwritten_rows_write (LnUnwrittenRows *rows, const char *key, char *text);
-/* Sends again the rows that the store did not accept. */
+/* Resends the writes that the store did not accept. */
 void ln_unwritten_rows_retry (LnUnwrittenRows *rows);
 
 #endif
--- a/packages/node/src/task/ln-fetch-outgoing.h
+++ b/packages/node/src/task/ln-fetch-outgoing.h
@@ -5,8 +5,8 @@
 #include "lh-fetch.h"
 #include "ln-context.h"
 
-/* Sends a request that the dialect composed. Takes method, path, headers and body from outgoing and
- * everything else from request. Returns NULL on error. */
+/* Sends an HTTP request that the dialect composed: method, path, headers and body are those of
+ * outgoing, the address and timeouts those of request. Returns NULL and sets error on failure. */
 LhFetch *ln_fetch_start_outgoing (const LnContext *context,
                                   const LcOutgoingRequest *outgoing,
                                   const LhRequest *request,
