--- a/packages/node/main/lentilspindled.c
+++ b/packages/node/main/lentilspindled.c
@@ -24,25 +24,25 @@
 #include <xxhash.h>
 
 #define EXIT_USAGE 2
-#define N_SIGNALS 3
+#define N_HANDLED_SIGNALS 3
 
 typedef struct
 {
   const char *config;
   bool check_only;
-  int exit_code; /* -1: continue */
+  int exit_code; /* exit code of the process; -1: do not exit */
 } Options;
 
 typedef struct
 {
   LnContext context;
   LnSettings settings;
-  struct event *signals[N_SIGNALS];
+  struct event *signals[N_HANDLED_SIGNALS];
   const char *config;        /* path of the settings file; NULL: none */
-  struct event *drain_timer; /* runs while draining */
+  struct event *drain_timer; /* checks during a drain whether the process can exit */
   LnPeriodicCall log_flush;
   LnStallDetector *stall_detector;
-  LbTime min_drain_end;
+  LbTime min_drain_end; /* earliest time to exit after a drain started */
   bool is_draining;
 } Daemon;
 
@@ -85,7 +85,7 @@
     }
   else
     {
-      /* The strings point into argv and so outlive the table. */
+      /* The strings point into argv, so they stay valid after the table is freed. */
       options.config = config->count > 0 ? config->filename[0] : NULL;
       options.check_only = check->count > 0;
     }
@@ -107,7 +107,7 @@
 }
 
 static void
-set_identity (Daemon *daemon)
+set_name_and_incarnation (Daemon *daemon)
 {
   LnContext *context = &daemon->context;
   const char *name = daemon->settings.instance.name;
@@ -120,8 +120,8 @@
             (unsigned long long)lb_clock_wall_ms (), (unsigned)getpid ());
 }
 
-/* Unless the settings have a seed, derives one from the instance and its incarnation: with equal
- * seeds, instances would choose the same endpoints at the same time. */
+/* Derives the seed of random numbers from the instance's name and incarnation if the settings have
+ * no seed. With equal seeds, instances would choose the same endpoints at the same time. */
 static void
 set_random_seed (Daemon *daemon)
 {
@@ -134,7 +134,7 @@
   daemon->settings.seed = XXH3_64bits (text, strlen (text));
 }
 
-/* The file is renamed into place, so that no reader sees an incomplete one. */
+/* Writes a temporary file and renames it, so that readers never see an incomplete address file. */
 static bool
 write_address_file (const Daemon *daemon, LbError *error)
 {
@@ -168,10 +168,11 @@
   event_base_loopbreak (daemon->context.base);
 }
 
-/* The first signal starts the drain; later ones are ignored, since they must not interrupt requests
- * in progress. The instance still serves callers that use cached addresses for drain_ms. */
+/* The first SIGTERM or SIGINT starts the drain. Later signals are ignored, since they must not
+ * interrupt requests in progress. For drain_ms the instance still serves callers that use cached
+ * addresses. */
 static void
-on_signal (evutil_socket_t number, short what, void *user)
+start_drain_on_signal (evutil_socket_t number, short what, void *user)
 {
   (void)what;
   Daemon *daemon = user;
@@ -189,10 +190,11 @@
   event_add (daemon->drain_timer, &period);
 }
 
-/* Applies the settings that can change at run time. Addresses and platform stay as they are, so
- * that no connection is closed. An invalid file changes nothing. */
+/* Rereads the settings file and applies the log level and the drain settings. Addresses and
+ * platform do not change at run time, so that no connection is closed. An invalid file changes
+ * nothing. */
 static void
-on_reload (evutil_socket_t number, short what, void *user)
+reload_settings_on_sighup (evutil_socket_t number, short what, void *user)
 {
   (void)number;
   (void)what;
@@ -215,7 +217,8 @@
   ln_settings_clear (&reloaded);
 }
 
-/* Maximum time that log lines are buffered: a write per line would cost more than formatting it. */
+/* Maximum time that log lines are buffered. One write per line would cost more than formatting the
+ * line. */
 #define LOG_FLUSH_PERIOD (50 * LB_MSEC)
 
 static void
@@ -226,13 +229,13 @@
 }
 
 static LpPlatform *
-make_platform (const LnSettings *settings, struct event_base *base)
+create_platform_client (const LnSettings *settings, struct event_base *base)
 {
   LpHttpSettings http
       = { .deadline = settings->platform.deadline_ms * LB_MSEC, .rate = settings->platform.rate };
 
-  /* A seed per process: with equal back-off after a failure of the store, all instances would retry
-   * at the same time. */
+  /* Each process has its own seed for the jitter of its retries. With equal back-off after a
+   * failure of the store, all instances would retry at the same time. */
   http.seed = settings->seed ^ (uint64_t)lb_clock_monotonic () ^ (uint64_t)getpid () << 32;
 
   if (settings->platform.kind == LN_PLATFORM_MEMORY)
@@ -265,11 +268,11 @@
       if (!task)
         return false;
       ln_hub_add_task (context->hub, task);
-      /* The front task binds the caller address, which is the default name; the other tasks read
-       * the name when they are created. */
+      /* The front task, the first, binds the caller address, which is the default instance name.
+       * The other tasks read the instance name in their constructors. */
       if (i == 0)
         {
-          set_identity (daemon);
+          set_name_and_incarnation (daemon);
           set_random_seed (daemon);
         }
     }
@@ -277,7 +280,7 @@
 }
 
 static void
-daemon_open (Daemon *daemon)
+daemon_init (Daemon *daemon)
 {
   LnContext *context = &daemon->context;
 
@@ -289,20 +292,20 @@
   context->http_pool = lh_pool_new (context->base);
   if (daemon->settings.platform.kind == LN_PLATFORM_SHARED)
     context->dialect = pf_dialect ();
-  context->platform = make_platform (&daemon->settings, context->base);
-  daemon->signals[0] = evsignal_new (context->base, SIGTERM, on_signal, daemon);
-  daemon->signals[1] = evsignal_new (context->base, SIGINT, on_signal, daemon);
-  daemon->signals[2] = evsignal_new (context->base, SIGHUP, on_reload, daemon);
+  context->platform = create_platform_client (&daemon->settings, context->base);
+  daemon->signals[0] = evsignal_new (context->base, SIGTERM, start_drain_on_signal, daemon);
+  daemon->signals[1] = evsignal_new (context->base, SIGINT, start_drain_on_signal, daemon);
+  daemon->signals[2] = evsignal_new (context->base, SIGHUP, reload_settings_on_sighup, daemon);
   daemon->log_flush = (LnPeriodicCall){ .period = LOG_FLUSH_PERIOD, .callback = flush_log };
   ln_ticker_add (ln_context_ticker (context), &daemon->log_flush);
   daemon->stall_detector = ln_stall_detector_new (context->base, LN_STALL_CPU_LIMIT);
   daemon->drain_timer = event_new (context->base, -1, EV_PERSIST, exit_when_idle, daemon);
-  for (int i = 0; i < N_SIGNALS; i++)
+  for (int i = 0; i < N_HANDLED_SIGNALS; i++)
     event_add (daemon->signals[i], NULL);
 }
 
 static void
-daemon_close (Daemon *daemon)
+daemon_clear (Daemon *daemon)
 {
   LnContext *context = &daemon->context;
 
@@ -310,18 +313,18 @@
   context->platform->klass->free (context->platform);
   lh_pool_free (context->http_pool);
   ln_context_clear (context);
-  for (int i = 0; i < N_SIGNALS; i++)
+  for (int i = 0; i < N_HANDLED_SIGNALS; i++)
     event_free (daemon->signals[i]);
   event_free (daemon->drain_timer);
   ln_stall_detector_free (daemon->stall_detector);
-  /* Connections freed above are still referenced by deferred callbacks of libevent, which would be
-   * lost, and the connections leaked, with the base. One loop iteration runs them. */
+  /* Deferred callbacks of libevent still refer to the connections freed above. Freeing the event
+   * base before they run would leak the connections, so one loop iteration runs the callbacks. */
   event_base_loop (context->base, EVLOOP_NONBLOCK);
   event_base_free (context->base);
 }
 
 static int
-run (Daemon *daemon)
+run_daemon (Daemon *daemon)
 {
   LbError error = { 0 };
   int exit_code = EXIT_FAILURE;
@@ -330,7 +333,7 @@
   lb_log_buffer ();
   lb_log_init ((LbLogLevel)daemon->settings.log.level, STDOUT_FILENO,
                daemon->settings.instance.name);
-  daemon_open (daemon);
+  daemon_init (daemon);
   if (!add_tasks (daemon))
     goto out;
   lb_log_init ((LbLogLevel)daemon->settings.log.level, STDOUT_FILENO, daemon->context.instance);
@@ -346,7 +349,7 @@
   lb_log (LB_LOG_INFO, "stopped", LB_BOOL ("drained", daemon->is_draining));
   exit_code = EXIT_SUCCESS;
 out:
-  daemon_close (daemon);
+  daemon_clear (daemon);
   lb_log_flush ();
   return exit_code;
 }
@@ -363,7 +366,7 @@
   if (!read_settings (&daemon.settings, &options))
     goto out;
   daemon.config = options.config;
-  exit_code = options.check_only ? EXIT_SUCCESS : run (&daemon);
+  exit_code = options.check_only ? EXIT_SUCCESS : run_daemon (&daemon);
 out:
   ln_settings_clear (&daemon.settings);
   return exit_code;
--- a/packages/node/src/front/ln-caller.c
+++ b/packages/node/src/front/ln-caller.c
@@ -15,8 +15,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* evhtp's parser rejects lines of this many bytes or more. */
-#define PARSER_LINE_MAX 8192
+/* evhtp's parser rejects a line with this number of bytes or more. */
+#define MAX_PARSER_LINE_BYTES 8192
 
 static LbMetric connections
     = LB_GAUGE_INIT ("lentilspindle_caller_connections", NULL, "Open connections of callers");
@@ -62,16 +62,16 @@
   return request && !(request->flags & EVHTP_REQ_FLAG_FINISHED);
 }
 
-/* Bytes of a partial request line that are withheld from the parser. */
+/* Returns the size in bytes of a partial request line that the parser has not got yet; 0: none. */
 static size_t
-get_partial_line_length (const LnCaller *caller)
+get_partial_request_line_length (const LnCaller *caller)
 {
   size_t length = ln_request_scanner_partial_line_length (&caller->scanner);
 
-  return caller->scanner.is_malformed || length >= PARSER_LINE_MAX ? 0 : length;
+  return caller->scanner.is_malformed || length >= MAX_PARSER_LINE_BYTES ? 0 : length;
 }
 
-/* Called once the request line of the next request is complete. */
+/* Accepts the next request of the connection, whose request line is now complete. */
 static void
 resume_held_request (LnCaller *caller)
 {
@@ -83,11 +83,11 @@
 }
 
 /* Limits the time from the first to the last byte of a request. evhtp's own timeouts restart with
- * each byte, so a caller that sends a byte a second would hold its connection for ever. An idle
- * connection is closed without a reply. While a request is processed, this resumes reading; see
- * ln_caller_watch_disconnect. */
+ * each byte, so a caller that sends one byte a second would hold its connection for ever. An idle
+ * connection is closed without a reply. While a request is processed, the timer instead resumes
+ * reading; see ln_caller_watch_disconnect. */
 static void
-on_timer (evutil_socket_t fd, short what, void *user)
+on_connection_timer (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -98,7 +98,7 @@
       bufferevent_enable (caller->connection->bev, EV_READ);
       return;
     }
-  if (caller->held_request && get_partial_line_length (caller) == 0
+  if (caller->held_request && get_partial_request_line_length (caller) == 0
       && !caller->scanner.is_malformed)
     {
       resume_held_request (caller);
@@ -106,22 +106,22 @@
     }
   if (caller->scanner.is_malformed)
     caller->refusal = LB_ERROR_BAD_REQUEST;
-  else if (is_reading_request (caller) || get_partial_line_length (caller) > 0)
+  else if (is_reading_request (caller) || get_partial_request_line_length (caller) > 0)
     caller->refusal = LB_ERROR_TOO_SLOW;
   evhtp_connection_free (caller->connection);
 }
 
 static LbErrorCode
-read_parser_error (const evhtp_connection_t *connection)
+get_parser_error (const evhtp_connection_t *connection)
 {
   switch (htparser_get_error (connection->parser))
     {
     case htparse_error_none:
-    case htparse_error_user: /* stopped by one of the hooks below, or paused for the reply */
+    case htparse_error_user: /* stopped by a hook of this file, or paused until the reply */
       return LB_OK;
     case htparse_error_too_big:
-      /* The parser also reports this for an invalid Content-Length. */
-      return htparser_get_total_bytes_read (connection->parser) < PARSER_LINE_MAX
+      /* The parser also reports "too big" for an invalid Content-Length. */
+      return htparser_get_total_bytes_read (connection->parser) < MAX_PARSER_LINE_BYTES
                  ? LB_ERROR_BAD_REQUEST
                  : LB_ERROR_HEADER_TOO_LARGE;
     default:
@@ -130,7 +130,7 @@
 }
 
 static void
-write_refusal (struct bufferevent *bev, LbErrorCode code)
+write_error_reply (struct bufferevent *bev, LbErrorCode code)
 {
   int status = lb_error_http_status (code);
   char *body = lb_asprintf (
@@ -147,9 +147,9 @@
   lb_metric_count_error (code);
 }
 
-/* evhtp discards pending output when it frees a connection, also after a parser error, so the
- * caller would get no reply at all. This hook runs before that: it takes over the socket, adds the
- * error reply and starts a lingering close. */
+/* evhtp discards pending output when it frees a connection, even after a parser error, so the
+ * caller would get no reply. evhtp calls this hook first: the hook takes over the socket, writes
+ * the error reply and starts a lingering close. */
 static evhtp_res
 on_connection_end (evhtp_connection_t *connection, void *user)
 {
@@ -158,14 +158,14 @@
 
   if (caller->refusal == LB_OK && !caller->exchange)
     caller->refusal
-        = caller->scanner.is_malformed ? LB_ERROR_BAD_REQUEST : read_parser_error (connection);
+        = caller->scanner.is_malformed ? LB_ERROR_BAD_REQUEST : get_parser_error (connection);
   if (bev)
     evbuffer_remove_cb_entry (bufferevent_get_input (bev), caller->input_callback);
   if (bev && (caller->refusal != LB_OK || caller->is_flushed_at_close))
     {
       connection->bev = NULL;
       if (caller->refusal != LB_OK)
-        write_refusal (bev, caller->refusal);
+        write_error_reply (bev, caller->refusal);
       ln_linger_start (&caller->callers->lingers, bev);
     }
   if (caller->exchange)
@@ -178,7 +178,7 @@
   return EVHTP_RES_OK;
 }
 
-/* Bounds the input buffered for a caller that pipelines requests. */
+/* Returns the maximum number of input bytes to buffer for a caller that pipelines requests. */
 static size_t
 compute_max_input_bytes (const LnCallers *callers)
 {
@@ -234,11 +234,12 @@
   LnFraming framing = { 0 };
   const unsigned char *query = request->uri ? request->uri->query_raw : NULL;
 
-  /* Copied, as evhtp later replaces the query by the body of a form. */
+  /* The query is copied, since evhtp later replaces the query by the body of a submitted form. */
   free (caller->raw_query);
   caller->raw_query = query ? lb_strdup ((const char *)query) : NULL;
   evhtp_kvs_for_each (headers, add_header_to_framing, &framing);
-  /* The scanner may be ahead of the parser: a malformed request may be a later one. */
+  /* The scanner may be ahead of the parser, so is_malformed may concern a later request. This
+   * request is malformed only if the scanner has not counted its headers as complete. */
   if (ln_framing_is_ambiguous (&framing)
       || caller->n_headers_parsed >= caller->scanner.n_headers_complete)
     return refuse_request (caller, LB_ERROR_BAD_REQUEST);
@@ -249,7 +250,7 @@
 }
 
 static evhtp_res
-on_body (evhtp_request_t *request, struct evbuffer *buffer, void *user)
+on_body_received (evhtp_request_t *request, struct evbuffer *buffer, void *user)
 {
   (void)request;
   LnCaller *caller = user;
@@ -260,11 +261,11 @@
   return EVHTP_RES_OK;
 }
 
-/* Detects a caller that disconnects while its request is processed; otherwise the engine would go
- * on generating for nobody. evhtp does not call its error hook for a paused connection, but calls
- * this one for every event. */
+/* Detects a caller that disconnects while its request is processed; otherwise the engine would
+ * continue to generate text without a recipient. evhtp does not call its error hook for a paused
+ * connection, but calls this event hook for every event. */
 static void
-on_event (evhtp_connection_t *connection, short events, void *user)
+on_connection_event (evhtp_connection_t *connection, short events, void *user)
 {
   (void)connection;
   LnCaller *caller = user;
@@ -282,13 +283,13 @@
                             compute_max_input_bytes (callers));
 }
 
-/* Withholds a request line from the parser until it is complete. Where a line continues in a second
- * segment, evhtp's parser skips one byte of its buffer and leaves there a byte of the previous
- * request: "/services/" became "/serv3ices/", and a service ran that request. */
+/* Withholds a request line from the parser until the line is complete. If a request line continues
+ * in a second segment, evhtp's parser skips one byte of its buffer and keeps a byte of the previous
+ * request instead: "/services/" became "/serv3ices/", and a service ran the changed request. */
 static void
-withhold_partial_line (LnCaller *caller, struct evbuffer *input, size_t n_added)
+withhold_partial_request_line (LnCaller *caller, struct evbuffer *input, size_t n_added)
 {
-  size_t partial = get_partial_line_length (caller);
+  size_t partial = get_partial_request_line_length (caller);
 
   if (caller->held_request)
     {
@@ -306,35 +307,37 @@
   caller->is_read_timer_started = true;
 }
 
-/* Scans received bytes before evhtp's parser gets them. A malformed request is refused once the
- * requests before it are replied to; the parser can't do this, as it may wait for more bytes. */
+/* Scans received bytes before evhtp's parser gets them. A malformed request is refused after the
+ * replies to all earlier requests. The parser can't refuse the request, as it may wait for more
+ * bytes. */
 static void
-on_input (struct evbuffer *input, const struct evbuffer_cb_info *info, void *user)
+on_input_received (struct evbuffer *input, const struct evbuffer_cb_info *info, void *user)
 {
   LnCaller *caller = user;
-  struct evbuffer_ptr at;
+  struct evbuffer_ptr position;
   struct evbuffer_iovec segment;
   size_t remaining = info->n_added;
 
   if (remaining == 0
-      || evbuffer_ptr_set (input, &at, evbuffer_get_length (input) - remaining, EVBUFFER_PTR_SET)
+      || evbuffer_ptr_set (input, &position, evbuffer_get_length (input) - remaining,
+                           EVBUFFER_PTR_SET)
              != 0)
     return;
-  while (remaining > 0 && evbuffer_peek (input, (ev_ssize_t)remaining, &at, &segment, 1) > 0)
+  while (remaining > 0 && evbuffer_peek (input, (ev_ssize_t)remaining, &position, &segment, 1) > 0)
     {
       size_t length = segment.iov_len < remaining ? segment.iov_len : remaining;
       ln_request_scanner_feed (&caller->scanner, segment.iov_base, length);
       remaining -= length;
-      if (remaining > 0 && evbuffer_ptr_set (input, &at, length, EVBUFFER_PTR_ADD) != 0)
+      if (remaining > 0 && evbuffer_ptr_set (input, &position, length, EVBUFFER_PTR_ADD) != 0)
         break;
     }
-  withhold_partial_line (caller, input, info->n_added);
+  withhold_partial_request_line (caller, input, info->n_added);
   if (caller->scanner.is_malformed && !caller->exchange)
     start_timer (caller, 0);
 }
 
 static void
-set_hooks (evhtp_connection_t *connection, LnCaller *caller)
+set_connection_hooks (evhtp_connection_t *connection, LnCaller *caller)
 {
   const struct
   {
@@ -343,8 +346,8 @@
   } hooks[] = { { evhtp_hook_on_headers_start, (evhtp_hook)on_headers_start },
                 { evhtp_hook_on_header, (evhtp_hook)on_header },
                 { evhtp_hook_on_headers, (evhtp_hook)on_headers },
-                { evhtp_hook_on_read, (evhtp_hook)on_body },
-                { evhtp_hook_on_event, (evhtp_hook)(void (*) (void))on_event },
+                { evhtp_hook_on_read, (evhtp_hook)on_body_received },
+                { evhtp_hook_on_event, (evhtp_hook)(void (*) (void))on_connection_event },
                 { evhtp_hook_on_connection_fini, (evhtp_hook)on_connection_end } };
 
   for (size_t i = 0; i < sizeof hooks / sizeof hooks[0]; i++)
@@ -352,7 +355,7 @@
 }
 
 static void
-read_ip (LnCaller *caller)
+read_caller_ip (LnCaller *caller)
 {
   const struct sockaddr *address = caller->connection->saddr;
 
@@ -377,15 +380,15 @@
   LnCaller *caller = LB_NEW (LnCaller);
   caller->callers = callers;
   caller->connection = connection;
-  caller->timer = evtimer_new (callers->base, on_timer, caller);
+  caller->timer = evtimer_new (callers->base, on_connection_timer, caller);
   lb_list_append (&callers->connections, &caller->link);
   lb_metric_add (&connections, 1);
-  read_ip (caller);
+  read_caller_ip (caller);
   lh_socket_enable_keepalive (connection->sock);
-  set_hooks (connection, caller);
+  set_connection_hooks (connection, caller);
   start_timer (caller, callers->read_timeout);
   caller->input_callback
-      = evbuffer_add_cb (bufferevent_get_input (connection->bev), on_input, caller);
+      = evbuffer_add_cb (bufferevent_get_input (connection->bev), on_input_received, caller);
   set_read_watermark (caller, 0);
   return EVHTP_RES_OK;
 }
@@ -401,13 +404,13 @@
 {
   struct evbuffer *output = bufferevent_get_output (caller->connection->bev);
 
-  return caller->exchange || is_reading_request (caller) || get_partial_line_length (caller) > 0
-         || evbuffer_get_length (output) > 0;
+  return caller->exchange || is_reading_request (caller)
+         || get_partial_request_line_length (caller) > 0 || evbuffer_get_length (output) > 0;
 }
 
-/* evhtp stops reading from a paused connection and would not see a disconnect. It stops reading a
- * second time after its callback returns, so reading is resumed in the next iteration of the event
- * loop, by the timer, which is unused while a request is processed. */
+/* evhtp stops reading from a paused connection, so it would not detect a disconnect. evhtp stops
+ * reading again after its callback returns, so reading must be resumed in the next iteration of the
+ * event loop. The timer does this, as it is otherwise unused while a request is processed. */
 void
 ln_caller_watch_disconnect (LnCaller *caller)
 {
@@ -423,7 +426,7 @@
       ln_caller_close (caller);
       return;
     }
-  if (get_partial_line_length (caller) > 0)
+  if (get_partial_request_line_length (caller) > 0)
     {
       caller->held_request = request;
       start_timer (caller, caller->callers->read_timeout);
--- a/packages/node/src/front/ln-entry.c
+++ b/packages/node/src/front/ln-entry.c
@@ -9,14 +9,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define RETRY_AFTER (2 * LB_SEC)
+#define NO_INSTANCE_RETRY_AFTER (2 * LB_SEC)
 
 static LbMetric replies
     = LB_COUNTER_INIT ("lentilspindle_entry_answers_total", NULL, "Replies to GET /v1/entry");
 
-/* The name that the caller gives, else its IP, so that it always gets the same addresses. */
+/* Returns the name in the request, or else the caller's IP address. Addresses are chosen by this
+ * name, so that a caller always gets the same addresses. */
 static const char *
-read_caller_name (const LnExchange *exchange)
+get_caller_name (const LnExchange *exchange)
 {
   const char *caller = ln_exchange_query (exchange, "caller");
 
@@ -54,24 +55,24 @@
 }
 
 static void
-refuse_request (LnExchange *exchange)
+reply_no_instance_available (LnExchange *exchange)
 {
   LbError error;
 
   lb_error_set (&error, LB_ERROR_NOT_READY, "entry", "no instance accepts new callers at present");
-  ln_exchange_reply_error (exchange, &error, RETRY_AFTER);
+  ln_exchange_reply_error (exchange, &error, NO_INSTANCE_RETRY_AFTER);
 }
 
 static void
-send_addresses (LnExchange *exchange,
-                const LcEntryChoice *entry,
-                const LcMemberView *views,
-                int64_t time_to_live_ms)
+reply_addresses (LnExchange *exchange,
+                 const LcEntryChoice *entry,
+                 const LcMemberView *views,
+                 int64_t time_to_live_ms)
 {
   struct json_object *object = json_object_new_object ();
   struct json_object *addresses = addresses_to_json (entry, views);
 
-  lb_log (LB_LOG_INFO, "entry", LB_TEXT ("caller", read_caller_name (exchange)),
+  lb_log (LB_LOG_INFO, "entry", LB_TEXT ("caller", get_caller_name (exchange)),
           LB_JSON ("addresses", json_object_to_json_string (addresses)));
   json_object_object_add (object, "ttl_ms", json_object_new_int64 (time_to_live_ms));
   json_object_object_add (object, "addresses", addresses);
@@ -91,11 +92,11 @@
   lc_membership_copy_views (membership, views);
   if (!data_centre || !is_known_data_centre (views, n_views, data_centre))
     data_centre = lc_membership_self (membership)->data_centre;
-  lc_entry_choose_instances (&entry, views, n_views, read_caller_name (exchange), data_centre);
+  lc_entry_choose_instances (&entry, views, n_views, get_caller_name (exchange), data_centre);
   lb_metric_add (&replies, 1);
   if (entry.n_chosen == 0)
-    refuse_request (exchange);
+    reply_no_instance_available (exchange);
   else
-    send_addresses (exchange, &entry, views, time_to_live_ms);
+    reply_addresses (exchange, &entry, views, time_to_live_ms);
   free (views);
 }
--- a/packages/node/src/front/ln-exchange.c
+++ b/packages/node/src/front/ln-exchange.c
@@ -18,14 +18,14 @@
 
 #define JSON_FORMAT (JSON_C_TO_STRING_PLAIN | JSON_C_TO_STRING_NOSLASHESCAPE)
 
-/* A caller that falls behind its stream by more than this counts as disconnected. */
+/* A caller with more unsent bytes of its reply is treated as disconnected. */
 #define MAX_UNSENT_BYTES (16 << 20)
 
 struct LnExchange
 {
-  LbLink link; /* in LnCallers.exchanges */
-  LbList *exchanges;
-  int references; /* one until the reply is complete, one for a queued LN_CALLER_DISCONNECTED */
+  LbLink link;       /* link in the list exchanges */
+  LbList *exchanges; /* LnCallers.exchanges */
+  int references;    /* 1 until the reply is complete, +1 for a queued LN_CALLER_DISCONNECTED */
   uint64_t id;
   LnHub *hub;
   LnTask *owner;
@@ -37,7 +37,7 @@
   bool is_disconnected;
   bool is_streaming;
   bool is_chunked;
-  int status; /* of the reply, or of the error that ended a stream */
+  int status; /* HTTP status of the reply, or of the error that ended a stream */
   char *method;
   char *path;
   char *body;
@@ -59,7 +59,7 @@
   exchange->hub = hub;
   exchange->caller = caller;
   exchange->request = request;
-  /* evhtp's parser accepts some methods that it has no name for. */
+  /* evhtp accepts some methods that it can't name. */
   exchange->method = lb_strdup (method ? method : "UNKNOWN");
   exchange->path = lb_strdup (path ? path : "/");
   LB_COPY (exchange->caller_ip, caller->ip);
@@ -91,7 +91,7 @@
   free (exchange);
 }
 
-/* Ends the owner's use of the exchange, and frees it unless a queued message refers to it. */
+/* Ends the exchange for its owner. Frees the exchange unless a queued message refers to it. */
 static void
 exchange_close (LnExchange *exchange)
 {
@@ -128,7 +128,8 @@
   exchange->is_disconnected = true;
   if (!exchange->owner)
     return;
-  /* The owner may reply before it gets this message, which must not refer to a freed exchange. */
+  /* The owner may reply before it receives this message. The reference keeps the exchange from
+   * being freed earlier. */
   exchange->references++;
   message.base.clear = clear_disconnected_message;
   LN_POST (exchange->hub, exchange->owner, message);
@@ -172,7 +173,7 @@
   return exchange->raw_query;
 }
 
-/* NULL when absent, and also once the caller's connection is closed. */
+/* Returns NULL when the request has no such header, or once the caller's connection is closed. */
 const char *
 ln_exchange_header (const LnExchange *exchange, const char *name)
 {
@@ -248,10 +249,10 @@
     evhtp_headers_add_header (exchange->request->headers_out, evhtp_header_new (name, value, 1, 1));
 }
 
-/* After a disconnect nothing is written to the connection: evhtp has marked it for freeing, and
- * does so when it is resumed. */
+/* False after a disconnect: evhtp has then marked the connection for freeing, and frees it when the
+ * request is resumed. */
 static bool
-is_writable (const LnExchange *exchange)
+can_write_reply (const LnExchange *exchange)
 {
   return exchange->caller && exchange->request && !exchange->is_disconnected;
 }
@@ -261,7 +262,7 @@
 {
   LnRecorder *recorder = exchange->caller ? exchange->caller->callers->recorder : NULL;
 
-  if (recorder && is_writable (exchange) && exchange->status == 200)
+  if (recorder && can_write_reply (exchange) && exchange->status == 200)
     ln_recorder_add_completion (recorder, exchange, lb_clock_monotonic ());
 }
 
@@ -296,7 +297,7 @@
     LnExchange *exchange, int status, const char *type, const char *text, size_t length)
 {
   exchange->status = status;
-  if (is_writable (exchange))
+  if (can_write_reply (exchange))
     {
       close_after_reply_if_draining (exchange);
       if (type)
@@ -343,7 +344,8 @@
   lb_metric_count_error (error->code);
   if (exchange->is_streaming)
     {
-      /* The status line is already sent: the error is the last event, without an end marker. */
+      /* The status line is already sent, so the error is sent as the last event of the stream,
+       * without an end marker. */
       struct json_object *object = error_to_json (error);
       char *event
           = lb_asprintf ("data: %s\n\n", json_object_to_json_string_ext (object, JSON_FORMAT));
@@ -374,11 +376,11 @@
 {
   exchange->is_streaming = true;
   exchange->status = status;
-  if (!is_writable (exchange))
+  if (!can_write_reply (exchange))
     return;
   close_after_reply_if_draining (exchange);
   ln_exchange_set_header (exchange, "Content-Type", type);
-  /* HTTP/1.0 has no chunked coding: closing the connection ends the reply. */
+  /* HTTP/1.0 has no chunked coding; there the end of the connection ends the reply. */
   exchange->is_chunked = exchange->request->proto != EVHTP_PROTO_10;
   if (exchange->is_chunked)
     evhtp_send_reply_chunk_start (exchange->request, (evhtp_res)status);
@@ -394,7 +396,7 @@
 {
   struct evbuffer *chunk;
 
-  if (!is_writable (exchange) || length == 0)
+  if (!can_write_reply (exchange) || length == 0)
     return;
   chunk = evbuffer_new ();
   evbuffer_add (chunk, bytes, length);
@@ -403,7 +405,7 @@
   else
     evhtp_send_reply_body (exchange->request, chunk);
   evbuffer_free (chunk);
-  /* The unsent reply of a caller that has stopped reading must not exhaust the memory. */
+  /* The unsent reply to a caller that has stopped reading must not exhaust the daemon's memory. */
   struct evbuffer *unsent = bufferevent_get_output (exchange->caller->connection->bev);
   if (evbuffer_get_length (unsent) > MAX_UNSENT_BYTES)
     ln_exchange_report_disconnect (exchange);
@@ -412,9 +414,9 @@
 void
 ln_exchange_end (LnExchange *exchange)
 {
-  if (is_writable (exchange) && exchange->is_chunked)
+  if (can_write_reply (exchange) && exchange->is_chunked)
     evhtp_send_reply_chunk_end (exchange->request);
-  else if (is_writable (exchange))
+  else if (can_write_reply (exchange))
     evhtp_send_reply_end (exchange->request);
   finish_reply (exchange);
 }
--- a/packages/node/src/front/ln-framing.c
+++ b/packages/node/src/front/ln-framing.c
@@ -10,7 +10,8 @@
   return length == strlen (expected) && strncasecmp (name, expected, length) == 0;
 }
 
-/* Names must be tokens: some servers ignore a space between name and colon, others do not. */
+/* Whether a header's name is a valid token. A name that ends in a space is not: some servers ignore
+ * a space before the colon, others do not. */
 static bool
 is_token (const char *name, size_t length)
 {
@@ -22,7 +23,7 @@
   return length > 0;
 }
 
-/* Some servers end the header at a bare CR or LF in a value. */
+/* Whether a header's value has no CR, LF or NUL. Some servers end the header at a bare CR or LF. */
 static bool
 is_single_line (const char *value, size_t length)
 {
@@ -31,7 +32,7 @@
 }
 
 static bool
-is_number (const char *value, size_t length)
+is_decimal_number (const char *value, size_t length)
 {
   for (size_t i = 0; i < length; i++)
     if (!isdigit ((unsigned char)value[i]))
@@ -39,15 +40,17 @@
   return length > 0;
 }
 
-/* The only transfer coding that is decoded here; with any other the end of the body is unknown. */
+/* Whether the transfer coding is "chunked". This daemon decodes no other coding, so with another
+ * coding the end of the body is unknown. */
 static bool
-is_chunked (const char *value, size_t length)
+is_chunked_coding (const char *value, size_t length)
 {
   return equals_ignoring_case (value, length, "chunked");
 }
 
+/* Marks the request as ambiguous when the header was already present or is invalid. */
 static void
-add_unique_header (bool *is_present, bool is_valid, LnFraming *framing)
+check_unique_header (bool *is_present, bool is_valid, LnFraming *framing)
 {
   framing->is_ambiguous |= *is_present || !is_valid;
   *is_present = true;
@@ -59,11 +62,12 @@
 {
   framing->is_ambiguous |= !is_token (name, name_length) || !is_single_line (value, length);
   if (equals_ignoring_case (name, name_length, "Content-Length"))
-    add_unique_header (&framing->has_content_length, is_number (value, length), framing);
+    check_unique_header (&framing->has_content_length, is_decimal_number (value, length), framing);
   else if (equals_ignoring_case (name, name_length, "Transfer-Encoding"))
-    add_unique_header (&framing->has_transfer_encoding, is_chunked (value, length), framing);
+    check_unique_header (&framing->has_transfer_encoding, is_chunked_coding (value, length),
+                         framing);
   else if (equals_ignoring_case (name, name_length, "Host"))
-    add_unique_header (&framing->has_host, true, framing);
+    check_unique_header (&framing->has_host, true, framing);
 }
 
 bool
--- a/packages/node/src/front/ln-front.c
+++ b/packages/node/src/front/ln-front.c
@@ -18,7 +18,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define BACKLOG 1024
+#define LISTEN_BACKLOG 1024
 /* Listeners for callers, entry, readiness, metrics and, on a shared platform, peers. */
 #define MAX_LISTENERS 5
 
@@ -30,11 +30,11 @@
   LnContext *context;
   evhtp_t *servers[MAX_LISTENERS];
   size_t n_servers;
-  evhtp_t *peer_server;    /* one of servers; NULL: the peers task listens */
-  evhtp_t *metrics_server; /* one of servers; NULL: no separate metrics listener */
+  evhtp_t *peer_server; /* element of servers for other instances; NULL: the peers task listens */
+  evhtp_t *metrics_server; /* element of servers for metrics only; NULL: none */
   LnCallers callers;
   uint64_t last_exchange_id;
-  bool is_ready; /* the resources in use are confirmed */
+  bool is_ready; /* the store or other instances have confirmed the resources */
   bool is_draining;
 } LnFront;
 
@@ -55,7 +55,7 @@
                                             NULL,
                                             "Complete requests received from callers");
 
-/* A prefix matches whole path segments only: /metricsx is not /metrics. */
+/* A route's prefix matches whole path segments only: /metrics does not match /metricsx. */
 static bool
 route_matches (const LnRoute *route, const char *method, const char *path)
 {
@@ -68,7 +68,8 @@
   return !route->method || strcmp (route->method, method) == 0;
 }
 
-/* Only instances may use the path of the peers task; callers can't reach the peer address. */
+/* Finds the task on a shared platform. The path of the peers task is for instances only, so it is
+ * accepted only at the peer address, which callers can't reach. */
 static LnTask *
 find_task_by_dialect (const LnFront *front, const LnExchange *exchange, bool is_from_peer)
 {
@@ -86,7 +87,7 @@
 }
 
 static LnTask *
-find_task (const LnFront *front, const LnExchange *exchange, bool is_from_peer)
+find_task_for_request (const LnFront *front, const LnExchange *exchange, bool is_from_peer)
 {
   const LnRoute *best = NULL;
 
@@ -99,17 +100,18 @@
   return best ? ln_hub_find_task (front->task.hub, best->task) : NULL;
 }
 
-/* Replies must not be sent from within evhtp's callbacks, so requests for the front task are posted
- * as well. */
+/* Posts the request to the task of its route. Requests for the front task are posted as well, since
+ * evhtp's callbacks must not send replies. */
 static void
-on_request (evhtp_request_t *request, void *user)
+on_request_received (evhtp_request_t *request, void *user)
 {
   LnFront *front = user;
   LnExchange *exchange = ln_exchange_new (ln_caller_from_connection (request->conn), request,
                                           ++front->last_exchange_id, front->task.hub);
   bool is_from_peer = front->peer_server && request->conn->htp == front->peer_server;
   bool is_for_metrics = front->metrics_server && request->conn->htp == front->metrics_server;
-  LnTask *task = is_for_metrics ? &front->task : find_task (front, exchange, is_from_peer);
+  LnTask *task
+      = is_for_metrics ? &front->task : find_task_for_request (front, exchange, is_from_peer);
   LnRecorder *recorder = front->callers.recorder;
   LnExchangeMessage message = { .base = LN_MESSAGE (LN_EXCHANGE), .exchange = exchange };
 
@@ -123,7 +125,7 @@
 }
 
 static void
-reply_ready (LnFront *front, LnExchange *exchange)
+reply_readiness (LnFront *front, LnExchange *exchange)
 {
   LbError error = { 0 };
 
@@ -140,7 +142,7 @@
 }
 
 static void
-reply_to_exchange (LnFront *front, LnExchange *exchange)
+reply_to_front_request (LnFront *front, LnExchange *exchange)
 {
   const char *path = ln_exchange_path (exchange);
   LbError error = { 0 };
@@ -150,7 +152,7 @@
     front->context->dialect->read_inbound (exchange, &inbound);
   if (inbound.kind == LN_INBOUND_READINESS)
     {
-      reply_ready (front, exchange);
+      reply_readiness (front, exchange);
       return;
     }
   if (strcmp (path, "/metrics") == 0)
@@ -167,7 +169,7 @@
     }
   if (strcmp (path, "/readyz") == 0)
     {
-      reply_ready (front, exchange);
+      reply_readiness (front, exchange);
       return;
     }
   lb_error_set (&error, LB_ERROR_UNKNOWN_PATH, "", "no handler for %s %.120s",
@@ -181,11 +183,11 @@
   return a > b ? a : b;
 }
 
-/* The operators of a shared platform publish size limits and an idle timeout for callers. Where
- * these exceed this instance's settings, they apply: otherwise the instance would refuse permitted
- * requests, and a connection closed too early fails the request that is being written to it. */
+/* Applies the size limits and the idle timeout for callers that the operators of a shared platform
+ * publish, where they exceed this instance's settings. Otherwise the instance would refuse
+ * permitted requests, or close a connection to which a caller is writing a request. */
 static void
-raise_limits (LnFront *front, const LcCallerLimits *limits)
+raise_caller_limits (LnFront *front, const LcCallerLimits *limits)
 {
   const LnSettings *settings = front->context->settings;
   LnCallers *callers = &front->callers;
@@ -205,13 +207,13 @@
   switch ((LnMessageType)message->type)
     {
     case LN_EXCHANGE:
-      reply_to_exchange (front, ((const LnExchangeMessage *)message)->exchange);
+      reply_to_front_request (front, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_READY:
       front->is_ready = ((const LnReadyMessage *)message)->ready;
       break;
     case LN_DESIRED:
-      raise_limits (front, &((const LnDesiredMessage *)message)->desired->limits);
+      raise_caller_limits (front, &((const LnDesiredMessage *)message)->desired->limits);
       break;
     default:
       break;
@@ -272,13 +274,13 @@
                                          .free = front_free };
 
 static evhtp_t *
-add_server (LnFront *front)
+add_http_server (LnFront *front)
 {
   evhtp_t *server = evhtp_new (front->context->base, NULL);
 
   evhtp_enable_flag (server, EVHTP_FLAG_ENABLE_NODELAY);
   evhtp_set_post_accept_cb (server, ln_caller_accept, &front->callers);
-  evhtp_set_gencb (server, on_request, front);
+  evhtp_set_gencb (server, on_request_received, front);
   front->servers[front->n_servers++] = server;
   return server;
 }
@@ -292,8 +294,8 @@
   if (colon)
     lb_strlcpy (ip, address, (size_t)(colon - address) + 1);
   if (!colon
-      || evhtp_bind_socket (add_server (front), ip, (uint16_t)strtoul (colon + 1, NULL, 10),
-                            BACKLOG)
+      || evhtp_bind_socket (add_http_server (front), ip, (uint16_t)strtoul (colon + 1, NULL, 10),
+                            LISTEN_BACKLOG)
              != 0)
     return lb_error_set (error, LB_ERROR_IO, key, "cannot listen at %s: %s", address,
                          strerror (errno));
@@ -315,7 +317,8 @@
   snprintf (address, LB_NAME_MAX, "%s:%u", ip, ntohs (bound.sin_port));
 }
 
-/* Instances on a shared platform communicate by HTTP; otherwise the peers task listens. */
+/* On a shared platform, instances communicate by HTTP, so the front task listens at the peer
+ * address. Otherwise the peers task does. */
 static bool
 listen_for_peers (LnFront *front, LbError *error)
 {
@@ -331,7 +334,8 @@
   return true;
 }
 
-/* A separate address: on a shared platform any path at the caller address may be a route. */
+/* Metrics can have an address of their own, since on a shared platform any path at the caller
+ * address may be a route. */
 static bool
 listen_for_metrics (LnFront *front, LbError *error)
 {
@@ -348,7 +352,7 @@
 }
 
 static bool
-listen_at_all (LnFront *front, LbError *error)
+listen_at_all_addresses (LnFront *front, LbError *error)
 {
   const LnSettings *settings = front->context->settings;
   const char *entry = settings->instance.entry_address;
@@ -363,8 +367,8 @@
          && listen_for_metrics (front, error) && listen_for_peers (front, error);
 }
 
-/* Listens at the configured addresses and stores the bound ones in context. Returns NULL, after
- * logging the error, when it can't listen. */
+/* Listens at the configured addresses and stores the bound addresses in context. When it can't
+ * listen, logs the error and returns NULL. */
 LnTask *
 ln_front_task_new (LnContext *context)
 {
@@ -382,7 +386,7 @@
   front->callers.idle_timeout = LN_CALLER_IDLE_TIMEOUT;
   front->callers.read_timeout = settings->http.request_read_ms * LB_MSEC;
   front->callers.has_exact_retry_after = context->dialect != NULL;
-  if (!listen_at_all (front, &error))
+  if (!listen_at_all_addresses (front, &error))
     {
       lb_log_error (LB_LOG_ERROR, "front_cannot_listen", &error);
       free_servers (front);
--- a/packages/node/src/front/ln-linger.c
+++ b/packages/node/src/front/ln-linger.c
@@ -27,7 +27,7 @@
 }
 
 static void
-discard_input (struct bufferevent *bev, void *user)
+discard_received_input (struct bufferevent *bev, void *user)
 {
   (void)user;
   struct evbuffer *input = bufferevent_get_input (bev);
@@ -36,13 +36,13 @@
 }
 
 static void
-on_flushed (struct bufferevent *bev, void *user)
+on_output_flushed (struct bufferevent *bev, void *user)
 {
   (void)user;
   const struct timeval timeout = { .tv_sec = CLOSE_TIMEOUT_SECONDS };
 
-  /* The callback is deferred to the next loop iteration, so it may refer to output of the previous
-   * owner while new output is pending. */
+  /* libevent defers this callback to the next loop iteration. It may be for output of the previous
+   * owner of bev, while newer output is still pending. */
   if (evbuffer_get_length (bufferevent_get_output (bev)) > 0)
     return;
   shutdown (bufferevent_getfd (bev), SHUT_WR);
@@ -51,7 +51,7 @@
 }
 
 static void
-on_event (struct bufferevent *bev, short what, void *user)
+on_closed_or_timeout (struct bufferevent *bev, short what, void *user)
 {
   (void)bev;
   (void)what;
@@ -67,13 +67,13 @@
   linger->lingers = lingers;
   linger->bev = bev;
   lb_list_append (lingers, &linger->link);
-  bufferevent_setcb (bev, discard_input, on_flushed, on_event, linger);
+  bufferevent_setcb (bev, discard_received_input, on_output_flushed, on_closed_or_timeout, linger);
   bufferevent_set_timeouts (bev, &flush, &flush);
   bufferevent_setwatermark (bev, EV_READ, 0, 0);
   bufferevent_enable (bev, EV_READ | EV_WRITE);
-  /* Without pending output there would be no write callback. */
+  /* Without pending output, libevent would not call the write callback. */
   if (evbuffer_get_length (bufferevent_get_output (bev)) == 0)
-    on_flushed (bev, linger);
+    on_output_flushed (bev, linger);
 }
 
 void
--- a/packages/node/src/front/ln-recorder.c
+++ b/packages/node/src/front/ln-recorder.c
@@ -14,15 +14,17 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MAX_EVENTS 100000
+#define MAX_RECORDED_EVENTS 100000
+/* Largest values that `lentilspindle replay` accepts in a trace. */
 #define MAX_TRAINERS 10
-#define MAX_TOKENS 4000
-#define MAX_GROUPS 512
-#define MAX_SAMPLES 64
-#define MAX_MIN_TOKENS 400
-#define DEFAULT_TOKENS 16
-/* A replay has engines and latencies of its own: it must complete the same requests, but may take
- * longer. */
+#define MAX_CALL_TOKENS 4000
+#define MAX_GROUPS_PER_STEP 512
+#define MAX_SAMPLES_PER_GROUP 64
+#define MAX_MIN_SAMPLE_TOKENS 400
+/* Recorded for a call without max_tokens. */
+#define DEFAULT_CALL_TOKENS 16
+/* Extra time for each completion in a replay. A replay has other engines and latencies, so it must
+ * complete the same requests but may take longer. */
 #define COMPLETION_MARGIN_MS 60000
 
 typedef enum
@@ -37,14 +39,14 @@
   LbLink link;
   RecordType type;
   uint64_t exchange_id;
-  int64_t at_ms;        /* since the start of the recording */
-  int64_t completed_ms; /* since the start of the recording; -1: not completed */
+  int64_t at_ms;        /* time of the request since the start of the recording */
+  int64_t completed_ms; /* time of completion since the start of the recording; -1: not completed */
   int64_t max_tokens;
-  int64_t deadline_ms; /* 0: the default */
+  int64_t deadline_ms; /* caller's deadline; 0: the default deadline */
   bool is_repeatable;
-  int trainer;         /* index in trainers */
-  int64_t step;        /* the trainer's own number */
-  int64_t replay_step; /* index among the accepted steps of this trainer */
+  int trainer;         /* index in LnRecorder.trainers */
+  int64_t step;        /* step number that the trainer assigned */
+  int64_t replay_step; /* index of the step among the trainer's accepted steps */
   bool is_accepted;
 } Record;
 
@@ -54,13 +56,13 @@
   const char *site;
   uint64_t seed;
   LbTime started_at;
-  LbList records; /* of Record */
+  LbList records; /* recorded requests, of type Record */
   LbName trainers[MAX_TRAINERS];
-  int64_t n_steps[MAX_TRAINERS]; /* accepted steps, by trainer */
+  int64_t n_steps[MAX_TRAINERS]; /* number of accepted steps of each trainer */
   int n_trainers;
   int64_t groups_per_step;
   int64_t samples_per_group;
-  int64_t min_tokens;
+  int64_t min_sample_tokens;
 };
 
 static const char *
@@ -81,7 +83,7 @@
   recorder->started_at = now;
   recorder->groups_per_step = 8;
   recorder->samples_per_group = 4;
-  recorder->min_tokens = 20;
+  recorder->min_sample_tokens = 20;
   lb_list_init (&recorder->records);
   return recorder;
 }
@@ -105,7 +107,7 @@
 {
   Record *record;
 
-  if (recorder->records.length >= MAX_EVENTS)
+  if (recorder->records.length >= MAX_RECORDED_EVENTS)
     return NULL;
   record = LB_NEW (Record);
   record->type = type;
@@ -117,7 +119,7 @@
 }
 
 static struct json_object *
-read_body (const LnExchange *exchange)
+parse_json_body (const LnExchange *exchange)
 {
   size_t length;
   const char *body = ln_exchange_body (exchange, &length);
@@ -129,9 +131,9 @@
   return NULL;
 }
 
-/* Unlike lb_json_int, also accepts integers written as 7.0, as some trainers send them. */
+/* Unlike lb_json_int, accepts an integer in the form 7.0, which some trainers send. */
 static int64_t
-read_integer (struct json_object *object, const char *key, int64_t default_value)
+read_integer_or_default (struct json_object *object, const char *key, int64_t default_value)
 {
   struct json_object *value = NULL;
 
@@ -150,20 +152,21 @@
 static void
 record_call (LnRecorder *recorder, const LnExchange *exchange, LbTime now)
 {
-  struct json_object *body = read_body (exchange);
+  struct json_object *body = parse_json_body (exchange);
   Record *record = body ? add_record (recorder, RECORD_CALL, exchange, now) : NULL;
 
   if (record)
     {
       record->max_tokens
-          = clamp_to_positive (read_integer (body, "max_tokens", DEFAULT_TOKENS), MAX_TOKENS);
+          = clamp_to_positive (read_integer_or_default (body, "max_tokens", DEFAULT_CALL_TOKENS),
+                               MAX_CALL_TOKENS);
       record->deadline_ms = read_deadline_ms (exchange);
     }
   json_object_put (body);
 }
 
 static void
-record_service (LnRecorder *recorder, const LnExchange *exchange, LbTime now)
+record_service_call (LnRecorder *recorder, const LnExchange *exchange, LbTime now)
 {
   Record *record = add_record (recorder, RECORD_SERVICE, exchange, now);
 
@@ -173,7 +176,8 @@
   record->deadline_ms = read_deadline_ms (exchange);
 }
 
-/* Index of the trainer, added if new; -1 when there are too many trainers. */
+/* Returns the index of the trainer that the path names, and adds a new trainer. Returns -1 when
+ * there are already MAX_TRAINERS trainers. */
 static int
 find_or_add_trainer (LnRecorder *recorder, const char *path)
 {
@@ -203,8 +207,8 @@
   return NULL;
 }
 
-/* A trace has one number of groups, samples and tokens for all steps; the first step determines
- * it. */
+/* Sets the numbers of groups, samples and tokens in a step. A trace has the same numbers for all
+ * steps, so the first step determines them. */
 static void
 record_step_shape (LnRecorder *recorder, struct json_object *body)
 {
@@ -215,20 +219,22 @@
     return;
   struct json_object *first = json_object_array_get_idx (groups, 0);
   recorder->groups_per_step
-      = clamp_to_positive ((int64_t)json_object_array_length (groups), MAX_GROUPS);
-  recorder->samples_per_group = clamp_to_positive (read_integer (first, "samples", 1), MAX_SAMPLES);
-  recorder->min_tokens
-      = clamp_to_positive (read_integer (first, "max_tokens", 60) / 3, MAX_MIN_TOKENS);
+      = clamp_to_positive ((int64_t)json_object_array_length (groups), MAX_GROUPS_PER_STEP);
+  recorder->samples_per_group
+      = clamp_to_positive (read_integer_or_default (first, "samples", 1), MAX_SAMPLES_PER_GROUP);
+  recorder->min_sample_tokens
+      = clamp_to_positive (read_integer_or_default (first, "max_tokens", 60) / 3,
+                           MAX_MIN_SAMPLE_TOKENS);
 }
 
 static void
-record_step (LnRecorder *recorder, const LnExchange *exchange, LbTime now)
+record_submitted_step (LnRecorder *recorder, const LnExchange *exchange, LbTime now)
 {
-  struct json_object *body = read_body (exchange);
+  struct json_object *body = parse_json_body (exchange);
   int trainer = body ? find_or_add_trainer (recorder, ln_exchange_path (exchange)) : -1;
-  int64_t step = body ? read_integer (body, "step", 0) : 0;
+  int64_t step = body ? read_integer_or_default (body, "step", 0) : 0;
 
-  /* A repeated request for a step, sent after a lost reply, is not recorded again. */
+  /* A trainer repeats the request for a step after a lost reply; the repetition is not recorded. */
   if (trainer >= 0 && !find_step (recorder, trainer, step))
     {
       Record *record = add_record (recorder, RECORD_STEP, exchange, now);
@@ -266,15 +272,15 @@
   if (strcmp (path, "/v1/completions") == 0 || strcmp (path, "/v1/chat/completions") == 0)
     record_call (recorder, exchange, now);
   else if (has_prefix (path, "/services/"))
-    record_service (recorder, exchange, now);
+    record_service_call (recorder, exchange, now);
   else if (has_prefix (path, "/v1/subscriptions/") && has_suffix (path, "/steps"))
-    record_step (recorder, exchange, now);
+    record_submitted_step (recorder, exchange, now);
 }
 
 static Record *
-find_record (LnRecorder *recorder, uint64_t exchange_id)
+find_record_of_exchange (LnRecorder *recorder, uint64_t exchange_id)
 {
-  /* From the newest: most replies follow soon after their request. */
+  /* Searches from the newest record, since most replies follow soon after their request. */
   for (LbLink *link = recorder->records.head.prev; link != &recorder->records.head;
        link = link->prev)
     {
@@ -288,7 +294,7 @@
 static void
 record_accepted_step (LnRecorder *recorder, const LnExchange *exchange)
 {
-  Record *record = find_record (recorder, ln_exchange_id (exchange));
+  Record *record = find_record_of_exchange (recorder, ln_exchange_id (exchange));
 
   if (!record || record->is_accepted)
     return;
@@ -297,14 +303,14 @@
 }
 
 static void
-record_pull (LnRecorder *recorder,
-             const LnExchange *exchange,
-             struct json_object *reply,
-             LbTime now)
+record_completed_step (LnRecorder *recorder,
+                       const LnExchange *exchange,
+                       struct json_object *reply,
+                       LbTime now)
 {
   struct json_object *done = NULL;
   int trainer = find_or_add_trainer (recorder, ln_exchange_path (exchange));
-  Record *record = find_step (recorder, trainer, read_integer (reply, "step", -1));
+  Record *record = find_step (recorder, trainer, read_integer_or_default (reply, "step", -1));
 
   if (!record || !json_object_object_get_ex (reply, "done", &done)
       || !json_object_get_boolean (done))
@@ -326,20 +332,20 @@
   if (status == 202 && has_suffix (path, "/steps"))
     record_accepted_step (recorder, exchange);
   else if (status == 200 && has_suffix (path, "/pull"))
-    record_pull (recorder, exchange, reply, now);
+    record_completed_step (recorder, exchange, reply, now);
 }
 
 void
 ln_recorder_add_completion (LnRecorder *recorder, const LnExchange *exchange, LbTime now)
 {
-  Record *record = find_record (recorder, ln_exchange_id (exchange));
+  Record *record = find_record_of_exchange (recorder, ln_exchange_id (exchange));
 
   if (record && record->type != RECORD_STEP)
     record->completed_ms = compute_ms_since_start (recorder, now);
 }
 
 static void
-write_event (FILE *out, const Record *record)
+write_request_event (FILE *out, const Record *record)
 {
   const char *name = record->type == RECORD_CALL ? "call" : "service";
 
@@ -364,7 +370,7 @@
 }
 
 static void
-write_expectation (FILE *out, const Record *record)
+write_expected_completion (FILE *out, const Record *record)
 {
   if (record->completed_ms < 0)
     return;
@@ -386,19 +392,19 @@
            ", \"about\": \"recorded by lentilspindled\", \"trainers\": %d, \"groups\": %" PRId64
            ", \"samples\": %" PRId64 ", \"shortest\": %" PRId64 ", \"train_ms\": 0 }\n",
            recorder->site, recorder->seed, recorder->n_trainers, recorder->groups_per_step,
-           recorder->samples_per_group, recorder->min_tokens);
+           recorder->samples_per_group, recorder->min_sample_tokens);
   LB_LIST_FOREACH (&recorder->records, Record, link, event)
   {
-    write_event (out, event);
+    write_request_event (out, event);
   }
   LB_LIST_FOREACH (&recorder->records, Record, link, expectation)
   {
-    write_expectation (out, expectation);
+    write_expected_completion (out, expectation);
   }
 }
 
 static void
-write_file (const LnRecorder *recorder)
+write_trace_file (const LnRecorder *recorder)
 {
   FILE *out = fopen (recorder->path, "w");
   bool ok = out != NULL;
@@ -412,7 +418,7 @@
   if (ok)
     lb_log (LB_LOG_INFO, "trace_written", LB_TEXT ("path", recorder->path),
             LB_INT ("events", recorder->records.length),
-            LB_BOOL ("cut", recorder->records.length == MAX_EVENTS));
+            LB_BOOL ("cut", recorder->records.length == MAX_RECORDED_EVENTS));
   else
     lb_log (LB_LOG_ERROR, "trace_not_written", LB_TEXT ("path", recorder->path),
             LB_TEXT ("error", lb_error_name (LB_ERROR_IO)), LB_TEXT ("detail", strerror (errno)));
@@ -423,7 +429,7 @@
 {
   if (!recorder)
     return;
-  write_file (recorder);
+  write_trace_file (recorder);
   LB_LIST_FOREACH (&recorder->records, Record, link, record)
   {
     free (record);
--- a/packages/node/src/front/ln-request-scanner.c
+++ b/packages/node/src/front/ln-request-scanner.c
@@ -5,8 +5,9 @@
 #include <string.h>
 #include <strings.h>
 
-/* Hexadecimal digits of a chunk size: keeps the size below 64 bits, more than any allowed body. */
-#define MAX_SIZE_DIGITS 15
+/* Maximum number of hexadecimal digits in a chunk size: the size is then below 2^60 and fits into
+ * 64 bits, and no allowed body needs more digits. */
+#define MAX_CHUNK_SIZE_DIGITS 15
 
 enum
 {
@@ -19,9 +20,10 @@
   TRAILER_LINE
 };
 
-/* Counts the character, and stores it if there is room; the stored text stays NUL-terminated. */
+/* Counts a character of the current line and stores the character if line has room. The stored text
+ * stays NUL-terminated. */
 static void
-append_char (LnRequestScanner *scanner, char c)
+append_char_to_line (LnRequestScanner *scanner, char c)
 {
   if (scanner->length + 1 < sizeof scanner->line)
     {
@@ -70,9 +72,10 @@
   return text[strspn (text, " \t")] == '\0';
 }
 
-/* Reads Host and the length of the body. ln-framing refuses contradicting lengths and codings. */
+/* Reads from the current header line whether Host is present and how long the body is. ln-framing.c
+ * refuses contradictory lengths and codings. */
 static void
-read_header (LnRequestScanner *scanner)
+read_header_line (LnRequestScanner *scanner)
 {
   static const char chunked[] = "chunked";
   const char *content_length = find_header_value (scanner, "Content-Length");
@@ -86,6 +89,7 @@
                           && is_blank (transfer_coding + sizeof chunked - 1);
 }
 
+/* Returns false when a required Host header is missing. */
 static bool
 end_headers (LnRequestScanner *scanner)
 {
@@ -101,7 +105,8 @@
   return true;
 }
 
-/* Accepts spaces between the size and a chunk extension, which some older senders write. */
+/* Reads a chunk's size. Accepts spaces between the size and a chunk extension, since some older
+ * senders write them. Returns false when the size is invalid. */
 static bool
 read_chunk_size (LnRequestScanner *scanner)
 {
@@ -110,7 +115,7 @@
 
   while (*rest == ' ' || *rest == '\t')
     rest++;
-  if (digits == 0 || digits > MAX_SIZE_DIGITS || (*rest != '\0' && *rest != ';'))
+  if (digits == 0 || digits > MAX_CHUNK_SIZE_DIGITS || (*rest != '\0' && *rest != ';'))
     return false;
   scanner->remaining = strtoull (scanner->line, NULL, 16);
   if (scanner->remaining > 0)
@@ -140,7 +145,7 @@
     case HEADER_LINE:
       if (is_empty)
         return end_headers (scanner);
-      read_header (scanner);
+      read_header_line (scanner);
       begin_line (scanner, HEADER_LINE);
       return true;
     case CHUNK_SIZE:
@@ -159,7 +164,7 @@
 
 /* Detects "HTTP/1.0" at the end of a request line of any length, one character at a time. */
 static void
-match_version (LnRequestScanner *scanner, char c)
+match_http_1_0_version (LnRequestScanner *scanner, char c)
 {
   static const char version[] = "HTTP/1.0";
   size_t n_matched = scanner->remaining;
@@ -189,14 +194,15 @@
   if (c == '\0' || (is_header && scanner->length == 0 && (c == ' ' || c == '\t')))
     return false;
   if (scanner->state == REQUEST_LINE)
-    match_version (scanner, c);
-  append_char (scanner, c);
+    match_http_1_0_version (scanner, c);
+  append_char_to_line (scanner, c);
   return true;
 }
 
-/* Returns how many of the bytes belong to the body. */
+/* Skips the bytes of the current body or chunk. Returns the number of bytes skipped, at most
+ * length. */
 static size_t
-skip_body_bytes (LnRequestScanner *scanner, size_t length)
+skip_body_or_chunk_bytes (LnRequestScanner *scanner, size_t length)
 {
   size_t n_body = scanner->remaining < length ? (size_t)scanner->remaining : length;
 
@@ -222,7 +228,7 @@
   for (size_t i = 0; i < length && !scanner->is_malformed;)
     {
       if (scanner->state == BODY || scanner->state == CHUNK)
-        i += skip_body_bytes (scanner, length - i);
+        i += skip_body_or_chunk_bytes (scanner, length - i);
       else
         scanner->is_malformed = !scan_line_char (scanner, data[i++]);
     }
--- a/packages/node/src/store/ln-platform-call.c
+++ b/packages/node/src/store/ln-platform-call.c
@@ -9,20 +9,21 @@
 
 #include <stdlib.h>
 
-/* After this time without a response a call is lost; 10 times the duration on a slow platform. */
+/* A call without a response for this time is treated as lost; 10 times the duration of a call on a
+ * slow platform. */
 #define RESPONSE_TIMEOUT (2 * LB_SEC)
 #define CONNECT_TIMEOUT (500 * LB_MSEC)
 
 typedef struct
 {
   LbLink link;
-  LbList *calls; /* the list that holds this call */
+  LbList *calls; /* list that contains this call */
   const LnContext *context;
   LhFetch *fetch;
   LnPlatformCallDone done;
   void *user;
   LbTime sent_at;
-  LbName path; /* for the log */
+  LbName path; /* path of the request, for log lines */
 } Call;
 
 static void
@@ -34,7 +35,7 @@
 }
 
 static LnDutyOutcome
-read_outcome (const Call *call, const LhResult *result)
+classify_call_result (const Call *call, const LhResult *result)
 {
   if (result->failure == LB_OK)
     return call->context->dialect->classify_duty_reply (result->status);
@@ -42,7 +43,7 @@
 }
 
 static void
-on_done (LhFetch *fetch, const LhResult *result, void *user)
+on_call_done (LhFetch *fetch, const LhResult *result, void *user)
 {
   (void)fetch;
   Call *call = user;
@@ -51,11 +52,11 @@
           "platform_called", LB_TEXT ("path", call->path), LB_INT ("status", result->status),
           LB_TEXT ("error", lb_error_name (result->failure)),
           LB_INT ("took_us", lb_clock_monotonic () - call->sent_at));
-  finish_call (call, read_outcome (call, result));
+  finish_call (call, classify_call_result (call, result));
 }
 
-/* Opens a new connection for each call: calls are seconds apart, and a connection kept for so long
- * may have failed unnoticed. */
+/* Opens a new connection for each call: calls are seconds apart, and a connection that was idle for
+ * seconds may have failed unnoticed. */
 void
 ln_platform_call_start (const LnContext *context,
                         LbList *calls,
@@ -63,7 +64,7 @@
                         LnPlatformCallDone done,
                         void *user)
 {
-  const LhHandlers handlers = { .on_done = on_done };
+  const LhHandlers handlers = { .on_done = on_call_done };
   const LhRequest request = { .address = context->settings->duties.address,
                               .connect_timeout = CONNECT_TIMEOUT,
                               .idle_timeout = RESPONSE_TIMEOUT,
--- a/packages/node/src/store/ln-row-cache.c
+++ b/packages/node/src/store/ln-row-cache.c
@@ -15,8 +15,8 @@
   char *text;
   void *content;
   bool is_valid;
-  LbError error;  /* when not valid */
-  bool is_listed; /* by the current list */
+  LbError error;  /* why the row is malformed; set if is_valid is false */
+  bool is_listed; /* the current list contains the row */
   UT_hash_handle hh;
 } Entry;
 
@@ -88,7 +88,7 @@
 }
 
 static const char *
-skip_number (const char *text)
+skip_spaces_and_digits (const char *text)
 {
   while (isspace ((unsigned char)*text))
     text++;
@@ -97,7 +97,7 @@
   return text;
 }
 
-/* Whether the texts are equal except for the number after the first prefix. */
+/* Whether the texts are equal except for the number after the first occurrence of prefix. */
 static bool
 is_equal_except_counter (const char *before, const char *after, const char *prefix)
 {
@@ -106,11 +106,12 @@
 
   if (!counter || strncmp (before, after, length) != 0)
     return strcmp (before, after) == 0;
-  return strcmp (skip_number (before + length), skip_number (after + length)) == 0;
+  return strcmp (skip_spaces_and_digits (before + length), skip_spaces_and_digits (after + length))
+         == 0;
 }
 
 static void
-update_entry (LnRowCache *cache, Entry *entry, const LpRow *row)
+update_entry_from_row (LnRowCache *cache, Entry *entry, const LpRow *row)
 {
   const char *text = row->value ? row->value : "";
 
@@ -141,7 +142,7 @@
     }
   entry->is_listed = true;
   if (!entry->text || entry->version != row->version)
-    update_entry (cache, entry, row);
+    update_entry_from_row (cache, entry, row);
   else
     lb_metric_add (&rows_unchanged, 1);
   if (entry->is_valid)
--- a/packages/node/src/store/ln-unreadable-rows.c
+++ b/packages/node/src/store/ln-unreadable-rows.c
@@ -9,7 +9,7 @@
 typedef struct
 {
   char *key;
-  bool is_reported; /* during the current list */
+  bool is_reported; /* reported for the current list */
   UT_hash_handle hh;
 } Row;
 
--- a/packages/node/src/store/ln-unwritten-rows.c
+++ b/packages/node/src/store/ln-unwritten-rows.c
@@ -7,17 +7,17 @@
 
 #include <stdlib.h>
 
-/* While the store is unreachable, each endpoint that fails adds a row; a site of 300 endpoints
- * loses about 10 at once. */
-#define MAX_ROWS 64
+/* Maximum number of rows kept. While the store is unreachable, each endpoint that fails adds a row;
+ * a site with 300 endpoints loses about 10 at once. */
+#define MAX_UNWRITTEN_ROWS 64
 
 typedef struct
 {
   LbLink link;
   LnUnwrittenRows *owner;
   char *key;
-  char *text;  /* NULL: the row is deleted */
-  char *token; /* idempotency token; includes the key, as other writers use the same numbers */
+  char *text;  /* text to write; NULL: deletes the row */
+  char *token; /* idempotency token; contains the key, as other writers use the same numbers */
   bool is_in_flight;
 } Row;
 
@@ -61,7 +61,7 @@
 }
 
 static void
-on_written (LbErrorCode error, const LpRow *reply, void *user)
+on_row_written (LbErrorCode error, const LpRow *reply, void *user)
 {
   (void)reply;
   Row *row = user;
@@ -84,12 +84,12 @@
   const LpTransaction transaction = { .token = row->token, .puts = &put, .n_puts = 1 };
 
   row->is_in_flight = true;
-  platform->klass->transact (platform, &transaction, LP_PRIORITY_LEDGER, on_written, row);
+  platform->klass->transact (platform, &transaction, LP_PRIORITY_LEDGER, on_row_written, row);
 }
 
-/* Drops the oldest row that is not in flight, as later rows are more relevant. */
+/* Drops the oldest row whose write is not in flight, as newer rows are more relevant. */
 static void
-drop_oldest (LnUnwrittenRows *rows)
+drop_oldest_row (LnUnwrittenRows *rows)
 {
   LB_LIST_FOREACH (&rows->rows, Row, link, row)
   {
@@ -106,8 +106,8 @@
 {
   Row *row = LB_NEW (Row);
 
-  if (rows->rows.length >= MAX_ROWS)
-    drop_oldest (rows);
+  if (rows->rows.length >= MAX_UNWRITTEN_ROWS)
+    drop_oldest_row (rows);
   row->owner = rows;
   row->key = lb_strdup (key);
   row->text = text;
--- a/packages/node/src/task/ln-context.c
+++ b/packages/node/src/task/ln-context.c
@@ -11,7 +11,8 @@
   return ++context->last_request_id;
 }
 
-/* With equal seeds, all instances would choose the same one of several equally good endpoints. */
+/* The seed depends on the instance: with equal seeds, all instances would choose the same endpoint
+ * among several equally good endpoints. */
 uint64_t
 ln_context_random_seed (const LnContext *context)
 {
--- a/packages/node/src/task/ln-settings.c
+++ b/packages/node/src/task/ln-settings.c
@@ -10,7 +10,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MAX_MS ((double)(24 * 3600 * 1000))
+#define MAX_DURATION_MS ((double)(24 * 3600 * 1000))
 
 #define TEXT(k, member)                                                                            \
   {                                                                                                \
@@ -36,7 +36,8 @@
     .key = (k), .type = LB_SETTING_CHOICE, .offset = offsetof (LnSettings, member),                \
     .choices = (names)                                                                             \
   }
-/* A group of keys only structures the file: offsets of its members are those in LnSettings. */
+/* A group of keys only structures the settings file. The offsets of the keys are relative to
+ * LnSettings, so the group's offset is 0. */
 #define GROUP(k, specs)                                                                            \
   {                                                                                                \
     .key = (k), .type = LB_SETTING_OBJECT, .offset = 0, .fields = (specs)                          \
@@ -87,24 +88,24 @@
     = { TEXT ("operator_token", http.operator_token),
         INTEGER ("max_body_bytes", http.max_body_bytes, 1024, 1 << 30),
         INTEGER ("max_header_bytes", http.max_header_bytes, 1024, 1 << 20),
-        INTEGER ("request_read_ms", http.request_read_ms, 50, MAX_MS),
+        INTEGER ("request_read_ms", http.request_read_ms, 50, MAX_DURATION_MS),
         INTEGER ("max_connections", http.max_connections, 1, 1000000),
         END };
 
 static const LbSettingSpec calls_specs[]
     = { TEXT ("policy", calls.policy),
         INTEGER ("queue_limit", calls.queue_limit, 0, 10000000),
-        INTEGER ("default_deadline_ms", calls.default_deadline_ms, 1, MAX_MS),
+        INTEGER ("default_deadline_ms", calls.default_deadline_ms, 1, MAX_DURATION_MS),
         REAL ("retry_budget", calls.retry_budget, 0, 10),
-        INTEGER ("hedge_after_ms", calls.hedge_after_ms, 0, MAX_MS),
-        INTEGER ("stream_silence_ms", calls.stream_silence_ms, 50, MAX_MS),
+        INTEGER ("hedge_after_ms", calls.hedge_after_ms, 0, MAX_DURATION_MS),
+        INTEGER ("stream_silence_ms", calls.stream_silence_ms, 50, MAX_DURATION_MS),
         INTEGER ("load_poll_ms", calls.load_poll_ms, 10, 60000),
         END };
 
 static const LbSettingSpec drain_specs[]
-    = { INTEGER ("drain_ms", drain.drain_ms, 0, MAX_MS),
-        INTEGER ("entry_ttl_ms", drain.entry_ttl_ms, 100, MAX_MS),
-        INTEGER ("endpoint_ms", drain.endpoint_ms, 100, MAX_MS), END };
+    = { INTEGER ("drain_ms", drain.drain_ms, 0, MAX_DURATION_MS),
+        INTEGER ("entry_ttl_ms", drain.entry_ttl_ms, 100, MAX_DURATION_MS),
+        INTEGER ("endpoint_ms", drain.endpoint_ms, 100, MAX_DURATION_MS), END };
 
 static const LbSettingSpec batches_specs[]
     = { INTEGER ("keep_ended_s", batches.keep_ended_s, 5, 86400 * 30), END };
@@ -114,7 +115,8 @@
 
 static const LbSettingSpec keys_specs[]
     = { FLAG ("refuse_unconfirmed", keys.refuse_unconfirmed),
-        INTEGER ("longest_unconfirmed_ms", keys.longest_unconfirmed_ms, 500, MAX_MS), END };
+        INTEGER ("longest_unconfirmed_ms", keys.longest_unconfirmed_ms, 500, MAX_DURATION_MS),
+        END };
 
 static const LbSettingSpec duties_specs[]
     = { TEXT ("address", duties.address),
@@ -189,7 +191,7 @@
 }
 
 static bool
-report_invalid (LbError *error, const char *path, const char *key, const char *expected)
+report_invalid_key (LbError *error, const char *path, const char *key, const char *expected)
 {
   char where[192];
 
@@ -198,7 +200,7 @@
 }
 
 static bool
-is_address (const char *address)
+is_address_with_port (const char *address)
 {
   const char *colon = strrchr (address, ':');
   char *end = NULL;
@@ -209,17 +211,17 @@
   return *end == '\0' && port >= 0 && port <= 65535;
 }
 
-/* Other machines receive this address and connect to it; a wildcard would connect them to
- * themselves. */
+/* Whether the address is a wildcard. Other machines connect to the configured address; with a
+ * wildcard they would connect to themselves. */
 static bool
-is_wildcard (const char *address)
+is_wildcard_address (const char *address)
 {
   return strncmp (address, "0.0.0.0:", strlen ("0.0.0.0:")) == 0
          || strncmp (address, "[::]:", strlen ("[::]:")) == 0;
 }
 
 static bool
-is_known_policy (const char *name)
+is_known_routing_policy (const char *name)
 {
   for (const char *const *policy = lc_router_policy_names (); *policy; policy++)
     if (strcmp (*policy, name) == 0)
@@ -227,46 +229,51 @@
   return false;
 }
 
-/* Checks that go beyond the type and range of a single key. */
+/* Checks addresses, names and dependent keys, which type and range of a key don't cover. */
 static bool
-validate (const LnSettings *settings, const char *path, LbError *error)
+validate_settings (const LnSettings *settings, const char *path, LbError *error)
 {
   static const char address[] = "expected an address of the form IP:PORT";
   static const char reachable[] = "expected the address that others reach, not a wildcard";
 
-  if (!is_address (settings->instance.caller_address))
-    return report_invalid (error, path, "instance.caller_address", address);
-  if (!is_address (settings->instance.peer_address))
-    return report_invalid (error, path, "instance.peer_address", address);
-  if (settings->instance.entry_address[0] && !is_address (settings->instance.entry_address))
-    return report_invalid (error, path, "instance.entry_address", address);
+  if (!is_address_with_port (settings->instance.caller_address))
+    return report_invalid_key (error, path, "instance.caller_address", address);
+  if (!is_address_with_port (settings->instance.peer_address))
+    return report_invalid_key (error, path, "instance.peer_address", address);
+  if (settings->instance.entry_address[0]
+      && !is_address_with_port (settings->instance.entry_address))
+    return report_invalid_key (error, path, "instance.entry_address", address);
   if (settings->platform.kind == LN_PLATFORM_SHARED
-      && is_wildcard (settings->instance.caller_address))
-    return report_invalid (error, path, "instance.caller_address", reachable);
-  if (is_wildcard (settings->instance.peer_address))
-    return report_invalid (error, path, "instance.peer_address", reachable);
-  if (is_wildcard (settings->instance.entry_address))
-    return report_invalid (error, path, "instance.entry_address", reachable);
-  if (settings->instance.ready_address[0] && !is_address (settings->instance.ready_address))
-    return report_invalid (error, path, "instance.ready_address", address);
-  if (settings->instance.metrics_address[0] && !is_address (settings->instance.metrics_address))
-    return report_invalid (error, path, "instance.metrics_address", address);
-  if (settings->platform.kind != LN_PLATFORM_MEMORY && !is_address (settings->platform.address))
-    return report_invalid (error, path, "platform.address", address);
-  if (settings->duties.address[0] && !is_address (settings->duties.address))
-    return report_invalid (error, path, "duties.address", address);
-  if (!is_known_policy (settings->calls.policy))
-    return report_invalid (error, path, "calls.policy", "expected the name of a routing policy");
+      && is_wildcard_address (settings->instance.caller_address))
+    return report_invalid_key (error, path, "instance.caller_address", reachable);
+  if (is_wildcard_address (settings->instance.peer_address))
+    return report_invalid_key (error, path, "instance.peer_address", reachable);
+  if (is_wildcard_address (settings->instance.entry_address))
+    return report_invalid_key (error, path, "instance.entry_address", reachable);
+  if (settings->instance.ready_address[0]
+      && !is_address_with_port (settings->instance.ready_address))
+    return report_invalid_key (error, path, "instance.ready_address", address);
+  if (settings->instance.metrics_address[0]
+      && !is_address_with_port (settings->instance.metrics_address))
+    return report_invalid_key (error, path, "instance.metrics_address", address);
+  if (settings->platform.kind != LN_PLATFORM_MEMORY
+      && !is_address_with_port (settings->platform.address))
+    return report_invalid_key (error, path, "platform.address", address);
+  if (settings->duties.address[0] && !is_address_with_port (settings->duties.address))
+    return report_invalid_key (error, path, "duties.address", address);
+  if (!is_known_routing_policy (settings->calls.policy))
+    return report_invalid_key (error, path, "calls.policy",
+                               "expected the name of a routing policy");
   for (size_t i = 0; i < settings->cluster.n_seeds; i++)
-    if (!is_address (settings->cluster.seeds[i]))
-      return report_invalid (error, path, "cluster.seeds", address);
+    if (!is_address_with_port (settings->cluster.seeds[i]))
+      return report_invalid_key (error, path, "cluster.seeds", address);
   for (size_t i = 0; i < settings->measure.n_off; i++)
     if (!lb_switch_is_known (settings->measure.off[i]))
-      return report_invalid (error, path, "measure.off",
-                             "expected names of mechanisms that can be disabled");
+      return report_invalid_key (error, path, "measure.off",
+                                 "expected names of mechanisms that can be disabled");
   if (settings->cluster.n_seeds > 0 && settings->cluster.key[0] == '\0')
-    return report_invalid (error, path, "cluster.key",
-                           "expected a shared key, since cluster.seeds is set");
+    return report_invalid_key (error, path, "cluster.key",
+                               "expected a shared key, since cluster.seeds is set");
   return true;
 }
 
@@ -278,7 +285,7 @@
   if (!object)
     return false;
   bool ok = lb_settings_apply (object, specs, settings, path, error)
-            && validate (settings, path, error);
+            && validate_settings (settings, path, error);
   json_object_put (object);
   return ok;
 }
--- a/packages/node/src/task/ln-stall.c
+++ b/packages/node/src/task/ln-stall.c
@@ -13,9 +13,10 @@
 #include <sys/time.h>
 #include <unistd.h>
 
-#define CHECK_PERIOD (250 * LB_MSEC)
-/* A longer delay is logged: lease renewals and streamed text are delayed by as much. */
-#define LATE_LOG_THRESHOLD (500 * LB_MSEC)
+#define LOOP_CHECK_PERIOD (250 * LB_MSEC)
+/* Longer delays of the event loop are logged, since lease renewals and streamed text are delayed
+ * equally long. */
+#define MIN_LOGGED_DELAY (500 * LB_MSEC)
 /* EX_SOFTWARE of sysexits.h: an internal error of the program. */
 #define STALL_EXIT_STATUS 70
 
@@ -39,21 +40,21 @@
 }
 
 static void
-write_stdout (const char *text)
+write_to_stdout (const char *text)
 {
   /* A failed write can't be reported; the exit status still shows that the loop stalled. */
   if (write (STDOUT_FILENO, text, strlen (text)) < 0)
     return;
 }
 
-/* A signal handler: calls only async-signal-safe functions. */
+/* Handler of SIGPROF; calls only async-signal-safe functions. */
 static void
-on_cpu_limit (int number)
+exit_on_cpu_limit (int number)
 {
   (void)number;
-  write_stdout ("{\"level\":\"error\",\"event\":\"loop_stalled\",\"doing\":\"");
-  write_stdout (current_activity);
-  write_stdout ("\"}\n");
+  write_to_stdout ("{\"level\":\"error\",\"event\":\"loop_stalled\",\"doing\":\"");
+  write_to_stdout (current_activity);
+  write_to_stdout ("\"}\n");
   _exit (STALL_EXIT_STATUS);
 }
 
@@ -67,7 +68,7 @@
 }
 
 static void
-on_timer (evutil_socket_t fd, short what, void *user)
+check_loop_delay (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -76,24 +77,24 @@
   LbTime delay = now > detector->expected_at ? now - detector->expected_at : 0;
 
   lb_histogram_add (&loop_delay, delay);
-  if (delay > LATE_LOG_THRESHOLD)
+  if (delay > MIN_LOGGED_DELAY)
     lb_log (LB_LOG_WARNING, "loop_late", LB_INT ("late_us", delay),
             LB_TEXT ("before", current_activity));
-  detector->expected_at = now + CHECK_PERIOD;
+  detector->expected_at = now + LOOP_CHECK_PERIOD;
   start_cpu_timer (detector);
 }
 
 LnStallDetector *
 ln_stall_detector_new (struct event_base *base, LbTime cpu_limit)
 {
-  const struct timeval period = { .tv_usec = CHECK_PERIOD };
-  const struct sigaction action = { .sa_handler = on_cpu_limit };
+  const struct timeval period = { .tv_usec = LOOP_CHECK_PERIOD };
+  const struct sigaction action = { .sa_handler = exit_on_cpu_limit };
   LnStallDetector *detector = LB_NEW (LnStallDetector);
 
   detector->cpu_limit = cpu_limit;
-  detector->expected_at = lb_clock_monotonic () + CHECK_PERIOD;
+  detector->expected_at = lb_clock_monotonic () + LOOP_CHECK_PERIOD;
   sigaction (SIGPROF, &action, NULL);
-  detector->timer = event_new (base, -1, EV_PERSIST, on_timer, detector);
+  detector->timer = event_new (base, -1, EV_PERSIST, check_loop_delay, detector);
   event_add (detector->timer, &period);
   start_cpu_timer (detector);
   return detector;
--- a/packages/node/src/task/ln-task.c
+++ b/packages/node/src/task/ln-task.c
@@ -24,7 +24,7 @@
 }
 
 static void
-deliver (LnHub *hub, const LnMessage *message)
+deliver_message (LnHub *hub, const LnMessage *message)
 {
   if (message->to)
     {
@@ -39,10 +39,10 @@
   }
 }
 
-/* Delivers only the messages queued when it starts: messages posted in response are left for the
- * next iteration of the event loop, so that socket events are handled in between. */
+/* Delivers only the messages that are queued at the start. Messages posted by their receivers wait
+ * for the next iteration of the event loop, so that socket events are handled in between. */
 static void
-deliver_queued (evutil_socket_t fd, short what, void *user)
+deliver_queued_messages (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -51,7 +51,7 @@
   for (size_t n_left = hub->queue.length; n_left > 0; n_left--)
     {
       LnMessage *message = LB_CONTAINER (lb_list_pop (&hub->queue), LnMessage, link);
-      deliver (hub, message);
+      deliver_message (hub, message);
       message_free (message);
     }
   if (!lb_list_is_empty (&hub->queue))
@@ -63,13 +63,13 @@
 {
   LnHub *hub = LB_NEW (LnHub);
 
-  hub->deliver_event = event_new (base, -1, 0, deliver_queued, hub);
+  hub->deliver_event = event_new (base, -1, 0, deliver_queued_messages, hub);
   lb_list_init (&hub->tasks);
   lb_list_init (&hub->queue);
   return hub;
 }
 
-/* Frees the tasks in reverse order of their addition. */
+/* Frees the tasks in reverse order, the last added task first. */
 void
 ln_hub_free (LnHub *hub)
 {
--- a/packages/node/src/task/ln-ticker.c
+++ b/packages/node/src/task/ln-ticker.c
@@ -7,11 +7,12 @@
 #include <event2/event.h>
 #include <stdlib.h>
 
-#define BUSY_INTERVAL (50 * LB_MSEC)
-#define IDLE_INTERVAL (250 * LB_MSEC)
-#define BUSY_TIME (5 * LB_SEC) /* after work was reported */
-/* Calls due within this time after the timer fires are made at once. */
-#define TOLERANCE (BUSY_INTERVAL / 4)
+#define BUSY_TICK_INTERVAL (50 * LB_MSEC)
+#define IDLE_TICK_INTERVAL (250 * LB_MSEC)
+/* For this time after reported work, an idle process ticks at BUSY_TICK_INTERVAL. */
+#define BUSY_TIME_AFTER_WORK (5 * LB_SEC)
+/* Calls that are due within this time after a tick are made in the same tick. */
+#define DUE_TIME_TOLERANCE (BUSY_TICK_INTERVAL / 4)
 
 struct LnTicker
 {
@@ -22,32 +23,32 @@
 };
 
 static bool
-is_slowed_down (const LnTicker *ticker, LbTime now)
+uses_idle_interval (const LnTicker *ticker, LbTime now)
 {
   return ticker->is_idle && now >= ticker->busy_until;
 }
 
 static void
-start_timer (LnTicker *ticker, LbTime now)
+start_tick_timer (LnTicker *ticker, LbTime now)
 {
-  const struct timeval interval
-      = lb_time_to_timeval (is_slowed_down (ticker, now) ? IDLE_INTERVAL : BUSY_INTERVAL);
+  const struct timeval interval = lb_time_to_timeval (
+      uses_idle_interval (ticker, now) ? IDLE_TICK_INTERVAL : BUSY_TICK_INTERVAL);
 
   event_add (ticker->timer, &interval);
 }
 
 static void
-on_timer (evutil_socket_t fd, short what, void *user)
+run_due_calls (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
   LnTicker *ticker = user;
   LbTime now = lb_clock_monotonic ();
 
-  start_timer (ticker, now);
+  start_tick_timer (ticker, now);
   LB_LIST_FOREACH (&ticker->calls, LnPeriodicCall, link, call)
   {
-    if (call->due_at > now + TOLERANCE)
+    if (call->due_at > now + DUE_TIME_TOLERANCE)
       continue;
     call->due_at = now + call->period;
     call->callback (call->user);
@@ -60,7 +61,7 @@
   LnTicker *ticker = LB_NEW (LnTicker);
 
   lb_list_init (&ticker->calls);
-  ticker->timer = event_new (base, -1, 0, on_timer, ticker);
+  ticker->timer = event_new (base, -1, 0, run_due_calls, ticker);
   return ticker;
 }
 
@@ -98,7 +99,7 @@
 void
 ln_ticker_report_work (LnTicker *ticker, LbTime now)
 {
-  if (is_slowed_down (ticker, now))
+  if (uses_idle_interval (ticker, now))
     event_active (ticker->timer, EV_TIMEOUT, 0);
-  ticker->busy_until = now + BUSY_TIME;
+  ticker->busy_until = now + BUSY_TIME_AFTER_WORK;
 }
--- a/packages/node/tests/test-context.c
+++ b/packages/node/tests/test-context.c
@@ -3,8 +3,8 @@
 #include <criterion/criterion.h>
 #include <string.h>
 
-/* Guards against bursts at one service: instances that split a route's calls by weight send in step
- * when their random numbers are equal. */
+/* Guards against bursts at one service: instances that split a route's calls by weight would choose
+ * the same service at the same time if their random numbers were equal. */
 Test (context, random_numbers_differ_between_instances)
 {
   LnSettings settings = { .seed = 1 };
--- a/packages/node/tests/test-front.c
+++ b/packages/node/tests/test-front.c
@@ -1,7 +1,7 @@
 #include "node-fixture.h"
 
 static void
-expect_refusal (Fixture *f, const char *request, const char *status, const char *type)
+expect_error_reply (Fixture *f, const char *request, const char *status, const char *type)
 {
   Peer caller;
 
@@ -13,9 +13,9 @@
   peer_close (&caller);
 }
 
-/* A slow or malicious caller sends its request a byte at a time. Each byte restarts a plain read
- * timeout, so enough such callers could hold all connections for ever. They must get 408 too_slow
- * after request_read_ms. */
+/* A slow or malicious caller sends its request one byte at a time. Each byte restarts a plain read
+ * timeout, so enough slow callers could hold all connections for ever. The reply must be 408
+ * too_slow after request_read_ms. */
 Test (front, request_sent_byte_by_byte_times_out)
 {
   Fixture f;
@@ -33,15 +33,14 @@
       send (caller.fd, "a", 1, 0);
       fixture_run_loop_once (&f);
     }
-  cr_assert (strstr (caller.text, "408"), "%s", caller.text);
+  cr_assert (strstr (caller.text, "408"), "expected status 408, got %s", caller.text);
   cr_assert (strstr (caller.text, "too_slow"));
   FIXTURE_WAIT_UNTIL (&f, peer_is_closed (&caller));
   peer_close (&caller);
   fixture_clear (&f);
 }
 
-/* A request whose headers never end must time out as well; evhtp has no request object for it yet.
- */
+/* A request whose headers never end must time out too, although evhtp has no request object yet. */
 Test (front, header_sent_byte_by_byte_times_out)
 {
   Fixture f;
@@ -58,13 +57,13 @@
       send (caller.fd, "a", 1, 0);
       fixture_run_loop_once (&f);
     }
-  cr_assert (strstr (caller.text, "too_slow"), "%s", caller.text);
+  cr_assert (strstr (caller.text, "too_slow"), "expected too_slow, got %s", caller.text);
   peer_close (&caller);
   fixture_clear (&f);
 }
 
-/* Sends a request in two segments, the first with first_length bytes, and expects that the reply
- * names the complete path. */
+/* Sends a request in two segments, the first with first_length bytes, and expects a reply that
+ * contains the complete path. */
 static void
 expect_path_in_reply (Fixture *f, Peer *caller, const char *path, size_t first_length)
 {
@@ -77,7 +76,9 @@
     fixture_run_loop_once (f);
   peer_send (caller, request + first_length);
   FIXTURE_WAIT_UNTIL (f, peer_has_received (caller, "not_run"));
-  cr_assert (strstr (caller->text, expected), "cut after \"%s\": %s", first_segment, caller->text);
+  cr_assert (strstr (caller->text, expected),
+             "expected the complete path after the first segment \"%s\", got %s", first_segment,
+             caller->text);
   peer_clear_text (caller);
   free (request);
   free (expected);
@@ -121,12 +122,13 @@
     fixture_run_loop_once (&f);
   peer_send (&caller, "here/zyx HTTP/1.1\r\nHost: h\r\n\r\n");
   FIXTURE_WAIT_UNTIL (&f, peer_has_received (&caller, "not_run"));
-  cr_assert (strstr (caller.text, "GET /elsewhere/zyx\""), "%s", caller.text);
+  cr_assert (strstr (caller.text, "GET /elsewhere/zyx\""), "expected the complete path, got %s",
+             caller.text);
   peer_close (&caller);
   fixture_clear (&f);
 }
 
-/* An incomplete request line is subject to the same time limit as any request. */
+/* An incomplete request line must time out after request_read_ms, like an incomplete request. */
 Test (front, partial_request_line_times_out)
 {
   Fixture f;
@@ -138,80 +140,82 @@
   caller_connect (&f, &caller);
   peer_send (&caller, "GET /health");
   FIXTURE_WAIT_UNTIL (&f, peer_has_received (&caller, "too_slow"));
-  cr_assert (strstr (caller.text, "408"), "%s", caller.text);
+  cr_assert (strstr (caller.text, "408"), "expected status 408, got %s", caller.text);
   peer_close (&caller);
   fixture_clear (&f);
 }
 
-/* Each kind of invalid input gets its typed error, and the daemon serves the next caller. */
+/* Each kind of invalid input must get its typed error; the daemon must serve the next caller. */
 Test (front, invalid_input_gets_typed_errors)
 {
   Fixture f;
-  char *big = lb_malloc (5000);
+  char *text_4999_bytes = lb_malloc (5000);
 
   fixture_init (&f);
   f.settings.http.max_body_bytes = 1024;
   f.settings.http.max_header_bytes = 1024;
   fixture_start_tasks (&f);
   fixture_configure (&f, NULL, NULL);
-  expect_refusal (&f, "NONSENSE\r\n\r\n", " 400 ", "bad_request");
-  expect_refusal (&f, "GET /nowhere HTTP/1.1\r\nHost: h\r\n\r\n", " 404 ", "unknown_path");
-  expect_refusal (&f, "GET /metricsx HTTP/1.1\r\nHost: h\r\n\r\n", " 404 ", "unknown_path");
-  expect_refusal (&f, "POST /v1/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 2000\r\n\r\n",
-                  " 413 ", "body_too_large");
-  /* evhtp's parser reports these as too large; the reply must say that they are malformed. */
-  expect_refusal (&f, "POST /v1/completions HTTP/1.1\r\nHost: h\r\nContent-Length: abc\r\n\r\n",
-                  " 400 ", "bad_request");
-  expect_refusal (&f, "POST /v1/completions HTTP/1.1\r\nHost: h\r\nContent-Length: -1\r\n\r\n",
-                  " 400 ", "bad_request");
-  expect_refusal (&f,
-                  "POST /v1/completions HTTP/1.1\r\nHost: h\r\n"
-                  "Content-Length: 99999999999999999999999999\r\n\r\n",
-                  " 400 ", "bad_request");
-  memset (big, 'a', 4999);
-  big[4999] = '\0';
+  expect_error_reply (&f, "NONSENSE\r\n\r\n", " 400 ", "bad_request");
+  expect_error_reply (&f, "GET /nowhere HTTP/1.1\r\nHost: h\r\n\r\n", " 404 ", "unknown_path");
+  expect_error_reply (&f, "GET /metricsx HTTP/1.1\r\nHost: h\r\n\r\n", " 404 ", "unknown_path");
+  expect_error_reply (&f,
+                      "POST /v1/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 2000\r\n\r\n",
+                      " 413 ", "body_too_large");
+  /* evhtp reports an invalid Content-Length as too large; the reply must be bad_request. */
+  expect_error_reply (&f, "POST /v1/completions HTTP/1.1\r\nHost: h\r\nContent-Length: abc\r\n\r\n",
+                      " 400 ", "bad_request");
+  expect_error_reply (&f, "POST /v1/completions HTTP/1.1\r\nHost: h\r\nContent-Length: -1\r\n\r\n",
+                      " 400 ", "bad_request");
+  expect_error_reply (&f,
+                      "POST /v1/completions HTTP/1.1\r\nHost: h\r\n"
+                      "Content-Length: 99999999999999999999999999\r\n\r\n",
+                      " 400 ", "bad_request");
+  memset (text_4999_bytes, 'a', 4999);
+  text_4999_bytes[4999] = '\0';
   char *chunked = lb_asprintf (
       "POST /v1/completions HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
       "1387\r\n%s\r\n0\r\n\r\n",
-      big);
-  expect_refusal (&f, chunked, " 413 ", "body_too_large");
+      text_4999_bytes);
+  expect_error_reply (&f, chunked, " 413 ", "body_too_large");
   free (chunked);
-  char *header = lb_asprintf ("GET /healthz HTTP/1.1\r\nHost: h\r\nx-a: %s\r\n\r\n", big);
-  expect_refusal (&f, header, " 431 ", "header_too_large");
+  char *header
+      = lb_asprintf ("GET /healthz HTTP/1.1\r\nHost: h\r\nx-a: %s\r\n\r\n", text_4999_bytes);
+  expect_error_reply (&f, header, " 431 ", "header_too_large");
   free (header);
-  free (big);
-  expect_refusal (&f,
-                  "POST /v1/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\n{\"a\":",
-                  " 400 ", "bad_json");
-  expect_refusal (&f, "POST /v1/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\n[]",
-                  " 400 ", "bad_value");
-  expect_refusal (&f, "POST /v1/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\n{}",
-                  " 400 ", "missing_key");
-  expect_refusal (&f,
-                  "POST /v1/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 27\r\n\r\n"
-                  "{\"model\":\"no\",\"prompt\":\"a\"}",
-                  " 404 ", "unknown_pool");
-  expect_refusal (
+  free (text_4999_bytes);
+  expect_error_reply (
+      &f, "POST /v1/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\n{\"a\":", " 400 ",
+      "bad_json");
+  expect_error_reply (&f, "POST /v1/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\n[]",
+                      " 400 ", "bad_value");
+  expect_error_reply (&f, "POST /v1/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\n{}",
+                      " 400 ", "missing_key");
+  expect_error_reply (&f,
+                      "POST /v1/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 27\r\n\r\n"
+                      "{\"model\":\"no\",\"prompt\":\"a\"}",
+                      " 404 ", "unknown_pool");
+  expect_error_reply (
       &f,
       "POST /v1/completions HTTP/1.1\r\nHost: h\r\nx-priority: 99\r\nContent-Length: 26\r\n\r\n"
       "{\"model\":\"p\",\"prompt\":\"a\"}",
       " 400 ", "out_of_range");
-  expect_refusal (&f,
-                  "POST /v1/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 41\r\n\r\n"
-                  "{\"model\":\"p\",\"prompt\":\"a\",\"stream\":\"yes\"}",
-                  " 400 ", "bad_value");
-  expect_refusal (&f, "BREW /pot HTTP/1.1\r\nHost: h\r\n\r\n", " 404 ", "unknown_path");
-  expect_refusal (&f, "BREW /services/s/pot HTTP/1.1\r\nHost: h\r\n\r\n", " 400 ", "bad_value");
-  expect_refusal (&f, "POST /v1/completions/more HTTP/1.1\r\nHost: h\r\n\r\n", " 404 ",
-                  "unknown_path");
-  expect_refusal (&f, "GET /services/none/x HTTP/1.1\r\nHost: h\r\n\r\n", " 404 ",
-                  "unknown_service");
+  expect_error_reply (&f,
+                      "POST /v1/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 41\r\n\r\n"
+                      "{\"model\":\"p\",\"prompt\":\"a\",\"stream\":\"yes\"}",
+                      " 400 ", "bad_value");
+  expect_error_reply (&f, "BREW /pot HTTP/1.1\r\nHost: h\r\n\r\n", " 404 ", "unknown_path");
+  expect_error_reply (&f, "BREW /services/s/pot HTTP/1.1\r\nHost: h\r\n\r\n", " 400 ", "bad_value");
+  expect_error_reply (&f, "POST /v1/completions/more HTTP/1.1\r\nHost: h\r\n\r\n", " 404 ",
+                      "unknown_path");
+  expect_error_reply (&f, "GET /services/none/x HTTP/1.1\r\nHost: h\r\n\r\n", " 404 ",
+                      "unknown_service");
   fixture_clear (&f);
 }
 
-/* Request smuggling: of two lengths, or a length and a transfer coding, this daemon would use one
- * and the service behind it the other, which would then run the hidden request unchecked. The
- * request must be refused and the connection closed. */
+/* Request smuggling: with two lengths, or a length and a transfer coding, this daemon could use one
+ * and the service behind it the other. The service would then run a hidden request unchecked. The
+ * daemon must refuse the request and close the connection. */
 Test (front, request_with_ambiguous_framing_is_refused)
 {
   static const char *const headers[]
@@ -239,17 +243,19 @@
       caller_connect (&f, &caller);
       peer_send (&caller, request);
       FIXTURE_WAIT_UNTIL (&f, peer_is_closed (&caller));
-      cr_assert (strstr (caller.text, " 400 "), "%s: %s", headers[i], caller.text);
-      cr_assert_not (strstr (caller.text, " 404 "), "%s: %s", headers[i], caller.text);
+      cr_assert (strstr (caller.text, " 400 "), "%s: expected status 400, got %s", headers[i],
+                 caller.text);
+      cr_assert_not (strstr (caller.text, " 404 "), "%s: expected no status 404, got %s",
+                     headers[i], caller.text);
       peer_close (&caller);
       free (request);
     }
   fixture_clear (&f);
 }
 
-/* Requests that RFC 9112 forbids. The HTTP library ended the target at a NUL and so chose another
- * route, did not require Host, never replied to a folded header, and waited without limit for a
- * chunk whose size has 68 bits. */
+/* Requests that RFC 9112 forbids must be refused. evhtp ended the target at a NUL and so chose
+ * another route, did not require Host, never replied to a folded header, and waited without limit
+ * for a chunk whose size has 68 bits. */
 Test (front, malformed_request_is_refused)
 {
   static const struct
@@ -276,8 +282,12 @@
       caller_connect (&f, &caller);
       cr_assert_eq (write (caller.fd, requests[i].text, length), (ssize_t)length);
       FIXTURE_WAIT_UNTIL (&f, peer_is_closed (&caller));
-      cr_assert (strstr (caller.text, " 400 "), "%zu: %s", i, caller.text);
-      cr_assert_eq (strstr (caller.text, " 200 ") != NULL, i == 4, "%zu: %s", i, caller.text);
+      cr_assert (strstr (caller.text, " 400 "), "request %zu: expected status 400, got %s", i,
+                 caller.text);
+      cr_assert_eq (
+          strstr (caller.text, " 200 ") != NULL, i == 4,
+          "request %zu: expected status 200 only for the valid request before request 4, got %s", i,
+          caller.text);
       peer_close (&caller);
     }
   fixture_clear (&f);
@@ -304,7 +314,8 @@
   fixture_clear (&f);
 }
 
-/* Connections above the limit are closed at once, and those below it keep working. */
+/* A connection above max_connections must be closed at once, and open connections must keep
+ * working. */
 Test (front, connections_above_the_limit_are_closed)
 {
   Fixture f;
@@ -335,15 +346,15 @@
   fixture_start_tasks (&f);
   LN_POST (f.context.hub, NULL, ready);
   fixture_run_loop_once (&f);
-  expect_refusal (&f, "GET /readyz HTTP/1.1\r\nHost: h\r\n\r\n", " 503 ", "not_ready");
-  expect_refusal (&f,
-                  "POST /v1/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 26\r\n\r\n"
-                  "{\"model\":\"p\",\"prompt\":\"a\"}",
-                  " 503 ", "not_ready");
+  expect_error_reply (&f, "GET /readyz HTTP/1.1\r\nHost: h\r\n\r\n", " 503 ", "not_ready");
+  expect_error_reply (&f,
+                      "POST /v1/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 26\r\n\r\n"
+                      "{\"model\":\"p\",\"prompt\":\"a\"}",
+                      " 503 ", "not_ready");
   fixture_clear (&f);
 }
 
-/* A connection that its caller closes must be detected, since it counts towards max_connections. */
+/* A connection closed by its caller must be detected, since it counts towards max_connections. */
 Test (front, closed_idle_connections_free_their_slot)
 {
   Fixture f;
@@ -359,7 +370,7 @@
       FIXTURE_WAIT_UNTIL (&f, peer_has_received (&caller, "alive"));
       errno = EAGAIN;
       peer_close (&caller);
-      for (int turn = 0; turn < 20; turn++)
+      for (int iteration = 0; iteration < 20; iteration++)
         {
           errno = EAGAIN;
           fixture_run_loop_once (&f);
--- a/packages/node/tests/test-recorder.c
+++ b/packages/node/tests/test-recorder.c
@@ -10,7 +10,7 @@
   fclose (in);
 }
 
-/* The trace contains each request, and an expected completion only for those that completed. */
+/* The trace must contain all requests, but an expected completion only for completed requests. */
 Test (recorder, expects_completion_only_of_completed_calls)
 {
   Fixture f;
@@ -46,10 +46,10 @@
   fixture_clear (&f);
 
   read_trace (path, text, sizeof text);
-  cr_assert (strstr (text, "\"site\": \"hoa-sen\""), "%s", text);
+  cr_assert (strstr (text, "\"site\": \"hoa-sen\""), "expected site hoa-sen, got %s", text);
   cr_assert (strstr (text, "\"event\": \"call\", \"call\": \"c1\", \"tokens\": 7, "
                            "\"deadline_ms\": 9000 }"),
-             "%s", text);
+             "expected call c1 with 7 tokens and a deadline of 9000 ms, got %s", text);
   cr_assert (strstr (text, "\"event\": \"service\", \"call\": \"c2\", \"repeatable\": false"));
   cr_assert (strstr (text, "\"expect\": \"whole\", \"call\": \"c1\""));
   cr_assert_not (strstr (text, "\"expect\": \"whole\", \"call\": \"c2\""));
--- a/packages/node/tests/test-row-cache.c
+++ b/packages/node/tests/test-row-cache.c
@@ -9,7 +9,7 @@
 typedef struct
 {
   char text[64];
-} Content;
+} RowContent;
 
 static int n_parsed;
 
@@ -18,21 +18,21 @@
 {
   (void)user;
   n_parsed++;
-  snprintf (((Content *)content)->text, sizeof (Content), "%s", row->value);
+  snprintf (((RowContent *)content)->text, sizeof (RowContent), "%s", row->value);
   return row->value[0] == '{' || lb_error_set (error, LB_ERROR_BAD_VALUE, row->key, "nonsense");
 }
 
 static const LnRowCacheClass klass
-    = { .size = sizeof (Content), .parse = parse_row, .counter_prefix = "\"count\":" };
+    = { .size = sizeof (RowContent), .parse = parse_row, .counter_prefix = "\"count\":" };
 
-static const Content *
-read_list (LnRowCache *cache, const char *value, int64_t version)
+static const RowContent *
+get_content_of_single_row_list (LnRowCache *cache, const char *value, int64_t version)
 {
   const LpRow row = { .key = "t//a", .value = value, .version = version };
   LbError error = { 0 };
 
   ln_row_cache_begin_list (cache);
-  const Content *content = ln_row_cache_get_content (cache, &row, &error);
+  const RowContent *content = ln_row_cache_get_content (cache, &row, &error);
   ln_row_cache_end_list (cache);
   return content;
 }
@@ -44,15 +44,15 @@
   LnRowCache *cache = ln_row_cache_new (&klass, NULL);
 
   n_parsed = 0;
-  cr_assert_not_null (read_list (cache, "{\"a\":1,\"count\":9,\"z\":2}", 5));
-  cr_assert_not_null (read_list (cache, "{\"a\":1,\"count\":9,\"z\":2}", 5));
-  cr_assert_not_null (read_list (cache, "{\"a\":1,\"count\":10,\"z\":2}", 6));
-  cr_assert_not_null (read_list (cache, "{\"a\":1,\"count\": 11,\"z\":2}", 7));
+  cr_assert_not_null (get_content_of_single_row_list (cache, "{\"a\":1,\"count\":9,\"z\":2}", 5));
+  cr_assert_not_null (get_content_of_single_row_list (cache, "{\"a\":1,\"count\":9,\"z\":2}", 5));
+  cr_assert_not_null (get_content_of_single_row_list (cache, "{\"a\":1,\"count\":10,\"z\":2}", 6));
+  cr_assert_not_null (get_content_of_single_row_list (cache, "{\"a\":1,\"count\": 11,\"z\":2}", 7));
   cr_assert_eq (n_parsed, 1);
   ln_row_cache_free (cache);
 }
 
-/* Any other change must be seen: before or after the counter, or a shorter text. */
+/* Each change outside the counter must be detected: text before or after it, or a shorter text. */
 Test (row_cache, changed_row_is_parsed)
 {
   static const char *const texts[] = { "{\"a\":1,\"count\":9,\"z\":2}",
@@ -67,7 +67,7 @@
   n_parsed = 0;
   for (int i = 0; i < (int)(sizeof texts / sizeof texts[0]); i++)
     {
-      const Content *content = read_list (cache, texts[i], i + 1);
+      const RowContent *content = get_content_of_single_row_list (cache, texts[i], i + 1);
       cr_assert_str_eq (content->text, texts[i]);
       cr_assert_eq (n_parsed, i + 1);
     }
@@ -79,23 +79,23 @@
   LnRowCache *cache = ln_row_cache_new (&klass, NULL);
 
   n_parsed = 0;
-  cr_assert_null (read_list (cache, "nonsense", 1));
-  cr_assert_null (read_list (cache, "nonsense", 2));
+  cr_assert_null (get_content_of_single_row_list (cache, "nonsense", 1));
+  cr_assert_null (get_content_of_single_row_list (cache, "nonsense", 2));
   cr_assert_eq (n_parsed, 1);
-  cr_assert_not_null (read_list (cache, "{}", 3));
+  cr_assert_not_null (get_content_of_single_row_list (cache, "{}", 3));
   ln_row_cache_free (cache);
 }
 
-/* The content of a row is dropped when a list does not contain it. */
+/* A row's cached content must be evicted when a list does not contain the row. */
 Test (row_cache, row_missing_from_a_list_is_parsed_again)
 {
   LnRowCache *cache = ln_row_cache_new (&klass, NULL);
 
   n_parsed = 0;
-  read_list (cache, "{}", 1);
+  get_content_of_single_row_list (cache, "{}", 1);
   ln_row_cache_begin_list (cache);
   ln_row_cache_end_list (cache);
-  read_list (cache, "{}", 1);
+  get_content_of_single_row_list (cache, "{}", 1);
   cr_assert_eq (n_parsed, 2);
   ln_row_cache_free (cache);
 }
--- a/packages/node/tests/test-settings.c
+++ b/packages/node/tests/test-settings.c
@@ -21,47 +21,52 @@
 }
 
 static void
-expect_error (const char *text, LbErrorCode code, const char *where)
+expect_settings_error (const char *text, LbErrorCode code, const char *where)
 {
   LnSettings settings;
   LbError error = { 0 };
 
-  cr_assert_not (read_settings_text (&settings, text, &error), "%s", text);
-  cr_assert_eq (error.code, code, "%s: %s", text, lb_error_name (error.code));
-  cr_assert (strstr (error.where, where), "%s: %s", text, error.where);
+  cr_assert_not (read_settings_text (&settings, text, &error), "expected an error: %s", text);
+  cr_assert_eq (error.code, code, "%s: unexpected error type %s", text, lb_error_name (error.code));
+  cr_assert (strstr (error.where, where), "%s: unexpected place of the error: %s", text,
+             error.where);
   cr_assert (error.detail[0]);
   ln_settings_clear (&settings);
 }
 
-Test (settings, every_error_names_its_place)
+Test (settings, each_error_names_the_line_or_key)
 {
-  expect_error ("{\n  \"http\": {,}\n}", LB_ERROR_BAD_JSON, ":2:");
-  expect_error ("[]", LB_ERROR_BAD_VALUE, "(top)");
-  expect_error ("{\"htp\": {}}", LB_ERROR_UNKNOWN_KEY, "htp");
-  expect_error ("{\"http\": {\"max_body\": 1}}", LB_ERROR_UNKNOWN_KEY, "http.max_body");
-  expect_error ("{\"http\": {\"max_body_bytes\": \"1\"}}", LB_ERROR_BAD_VALUE,
-                "http.max_body_bytes");
-  expect_error ("{\"http\": {\"max_body_bytes\": 1}}", LB_ERROR_OUT_OF_RANGE,
-                "http.max_body_bytes");
-  expect_error ("{\"http\": 4}", LB_ERROR_BAD_VALUE, "http");
-  expect_error ("{\"platform\": {\"kind\": \"disk\"}}", LB_ERROR_BAD_VALUE, "platform.kind");
-  expect_error ("{\"platform\": {\"kind\": \"http\"}}", LB_ERROR_BAD_VALUE, "platform.address");
-  expect_error ("{\"instance\": {\"caller_address\": \"here\"}}", LB_ERROR_BAD_VALUE,
-                "instance.caller_address");
-  expect_error ("{\"instance\": {\"caller_address\": \"127.0.0.1:70000\"}}", LB_ERROR_BAD_VALUE,
-                "instance.caller_address");
-  expect_error ("{\"instance\": {\"peer_address\": \"0.0.0.0:7000\"}}", LB_ERROR_BAD_VALUE,
-                "instance.peer_address");
-  expect_error ("{\"instance\": {\"entry_address\": \"[::]:7000\"}}", LB_ERROR_BAD_VALUE,
-                "instance.entry_address");
-  expect_error ("{\"cluster\": {\"seeds\": [\"127.0.0.1:1\"]}}", LB_ERROR_BAD_VALUE, "cluster.key");
-  expect_error ("{\"cluster\": {\"key\": \"k\", \"seeds\": [7]}}", LB_ERROR_BAD_VALUE,
-                "cluster.seeds[0]");
-  expect_error ("{\"cluster\": {\"key\": \"k\", \"seeds\": [\"x\"]}}", LB_ERROR_BAD_VALUE,
-                "cluster.seeds");
-  expect_error ("{\"calls\": {\"policy\": \"luck\"}}", LB_ERROR_BAD_VALUE, "calls.policy");
-  expect_error ("{\"calls\": {\"retry_budget\": -1}}", LB_ERROR_OUT_OF_RANGE, "calls.retry_budget");
-  expect_error ("{\"log\": {\"level\": \"loud\"}}", LB_ERROR_BAD_VALUE, "log.level");
+  expect_settings_error ("{\n  \"http\": {,}\n}", LB_ERROR_BAD_JSON, ":2:");
+  expect_settings_error ("[]", LB_ERROR_BAD_VALUE, "(top)");
+  expect_settings_error ("{\"htp\": {}}", LB_ERROR_UNKNOWN_KEY, "htp");
+  expect_settings_error ("{\"http\": {\"max_body\": 1}}", LB_ERROR_UNKNOWN_KEY, "http.max_body");
+  expect_settings_error ("{\"http\": {\"max_body_bytes\": \"1\"}}", LB_ERROR_BAD_VALUE,
+                         "http.max_body_bytes");
+  expect_settings_error ("{\"http\": {\"max_body_bytes\": 1}}", LB_ERROR_OUT_OF_RANGE,
+                         "http.max_body_bytes");
+  expect_settings_error ("{\"http\": 4}", LB_ERROR_BAD_VALUE, "http");
+  expect_settings_error ("{\"platform\": {\"kind\": \"disk\"}}", LB_ERROR_BAD_VALUE,
+                         "platform.kind");
+  expect_settings_error ("{\"platform\": {\"kind\": \"http\"}}", LB_ERROR_BAD_VALUE,
+                         "platform.address");
+  expect_settings_error ("{\"instance\": {\"caller_address\": \"here\"}}", LB_ERROR_BAD_VALUE,
+                         "instance.caller_address");
+  expect_settings_error ("{\"instance\": {\"caller_address\": \"127.0.0.1:70000\"}}",
+                         LB_ERROR_BAD_VALUE, "instance.caller_address");
+  expect_settings_error ("{\"instance\": {\"peer_address\": \"0.0.0.0:7000\"}}", LB_ERROR_BAD_VALUE,
+                         "instance.peer_address");
+  expect_settings_error ("{\"instance\": {\"entry_address\": \"[::]:7000\"}}", LB_ERROR_BAD_VALUE,
+                         "instance.entry_address");
+  expect_settings_error ("{\"cluster\": {\"seeds\": [\"127.0.0.1:1\"]}}", LB_ERROR_BAD_VALUE,
+                         "cluster.key");
+  expect_settings_error ("{\"cluster\": {\"key\": \"k\", \"seeds\": [7]}}", LB_ERROR_BAD_VALUE,
+                         "cluster.seeds[0]");
+  expect_settings_error ("{\"cluster\": {\"key\": \"k\", \"seeds\": [\"x\"]}}", LB_ERROR_BAD_VALUE,
+                         "cluster.seeds");
+  expect_settings_error ("{\"calls\": {\"policy\": \"luck\"}}", LB_ERROR_BAD_VALUE, "calls.policy");
+  expect_settings_error ("{\"calls\": {\"retry_budget\": -1}}", LB_ERROR_OUT_OF_RANGE,
+                         "calls.retry_budget");
+  expect_settings_error ("{\"log\": {\"level\": \"loud\"}}", LB_ERROR_BAD_VALUE, "log.level");
 }
 
 Test (settings, missing_file_is_an_io_error)
--- a/packages/node/tests/test-stall.c
+++ b/packages/node/tests/test-stall.c
@@ -5,9 +5,9 @@
 #include <criterion/criterion.h>
 #include <event2/event.h>
 
-/* A handler loops for ever. Without the detector, callers would wait without a reply, other
- * instances would take over only after its leases expire, and no log line would tell why. The
- * process must exit instead, so that the platform restarts it. */
+/* A handler loops for ever. Without the detector, callers would get no reply, other instances would
+ * take over only after the leases of this instance expire, and no log line would tell the cause.
+ * The process must exit instead, so that the platform restarts it. */
 Test (stall, endless_handler_terminates_the_process, .exit_code = 70, .timeout = 60)
 {
   struct event_base *base = event_base_new ();
@@ -19,7 +19,8 @@
     n_iterations++;
 }
 
-/* A waiting process, like one on a busy or paused machine, uses no processor time. */
+/* A process that waits uses no processor time, like a process on a busy or paused machine. It is
+ * healthy and must not be terminated. */
 Test (stall, waiting_loop_is_not_terminated)
 {
   struct event_base *base = event_base_new ();
