--- a/packages/node/include/ln-context.h
+++ b/packages/node/include/ln-context.h
@@ -20,16 +20,15 @@
   const LnSettings *settings;
   struct LhPool *http_pool; /* connections to endpoints and other instances */
   struct LpPlatform *platform;
-  const struct LnDialect
-      *dialect;                /* codec of a shared platform; NULL: the node's own API is used */
-  LbName instance;             /* name of this instance */
-  char incarnation[40];        /* identifies this start of the process */
-  LbName caller_address;       /* bound address for callers, with the actual port */
-  LbName metrics_address;      /* bound address for metrics; empty: none */
-  LbName peer_address;         /* bound address for other instances */
-  LcRequestId last_request_id; /* highest id that was assigned to a request */
-  gsl_rng *rng;                /* random number generator; NULL until its first use */
-  struct LnTicker *ticker;     /* NULL until its first use */
+  const struct LnDialect *dialect; /* codec for a shared platform; NULL: the node's own API */
+  LbName instance;                 /* name of this instance */
+  char incarnation[40];            /* identifies this start of the process */
+  LbName caller_address;           /* bound address for callers, with the actual port */
+  LbName metrics_address;          /* bound address for metrics; empty: none */
+  LbName peer_address;             /* bound address for other instances */
+  LcRequestId last_request_id;     /* highest id that was assigned to a request */
+  gsl_rng *rng;                    /* random number generator; NULL until its first use */
+  struct LnTicker *ticker; /* timer for all tasks' periodic work; NULL until its first use */
 } LnContext;
 
 /* Returns a new request id, unique within the process. */
--- a/packages/node/include/ln-dialect.h
+++ b/packages/node/include/ln-dialect.h
@@ -112,7 +112,7 @@
   const char *holder; /* instance that holds the lease for weight orders */
   int64_t fence;      /* fencing number of the holder's lease */
   LnSwapMode mode;
-  /* Number of orders that the engine has accepted; with another number, it refuses this order. */
+  /* Number of orders accepted by the engine. The engine refuses this order if its count differs. */
   int64_t orders_before;
 } LnWeightsOrder;
 
--- a/packages/node/include/ln-settings.h
+++ b/packages/node/include/ln-settings.h
@@ -30,7 +30,7 @@
   } instance;
   struct
   {
-    int kind; /* LnPlatformKind */
+    int kind; /* value of LnPlatformKind */
     LbName address;
     int64_t deadline_ms; /* time limit for one call to the platform */
     double rate;         /* maximum number of calls to the platform per second */
@@ -48,7 +48,7 @@
   } measure;
   struct
   {
-    int level; /* LbLogLevel */
+    int level; /* value of LbLogLevel */
   } log;
   struct
   {
--- a/packages/node/src/front/ln-caller.c
+++ b/packages/node/src/front/ln-caller.c
@@ -209,7 +209,7 @@
 }
 
 static evhtp_res
-on_header (evhtp_request_t *request, evhtp_header_t *header, void *user)
+on_header_received (evhtp_request_t *request, evhtp_header_t *header, void *user)
 {
   (void)request;
   LnCaller *caller = user;
@@ -228,7 +228,7 @@
 }
 
 static evhtp_res
-on_headers (evhtp_request_t *request, evhtp_headers_t *headers, void *user)
+on_headers_complete (evhtp_request_t *request, evhtp_headers_t *headers, void *user)
 {
   LnCaller *caller = user;
   LnFraming framing = { 0 };
@@ -344,8 +344,8 @@
     evhtp_hook_type type;
     evhtp_hook hook;
   } hooks[] = { { evhtp_hook_on_headers_start, (evhtp_hook)on_headers_start },
-                { evhtp_hook_on_header, (evhtp_hook)on_header },
-                { evhtp_hook_on_headers, (evhtp_hook)on_headers },
+                { evhtp_hook_on_header, (evhtp_hook)on_header_received },
+                { evhtp_hook_on_headers, (evhtp_hook)on_headers_complete },
                 { evhtp_hook_on_read, (evhtp_hook)on_body_received },
                 { evhtp_hook_on_event, (evhtp_hook)(void (*) (void))on_connection_event },
                 { evhtp_hook_on_connection_fini, (evhtp_hook)on_connection_end } };
--- a/packages/node/src/front/ln-caller.h
+++ b/packages/node/src/front/ln-caller.h
@@ -56,8 +56,8 @@
 
 void ln_callers_init (LnCallers *callers, struct event_base *base);
 void ln_callers_clear (LnCallers *callers);
-/* Callback of evhtp for a new connection. callers: the LnCallers. Refuses the connection when
- * max_connections are open. */
+/* Callback of evhtp for a new connection. callers: the LnCallers to add the connection to. Refuses
+ * the connection when max_connections are open. */
 evhtp_res ln_caller_accept (evhtp_connection_t *connection, void *callers);
 /* Returns the caller that ln_caller_accept created for the connection. */
 LnCaller *ln_caller_from_connection (const evhtp_connection_t *connection);
--- a/packages/node/src/front/ln-exchange-private.h
+++ b/packages/node/src/front/ln-exchange-private.h
@@ -8,7 +8,7 @@
 LnExchange *ln_exchange_new (LnCaller *caller, evhtp_request_t *request, uint64_t id, LnHub *hub);
 /* Notifies the task that owns the exchange, only once, that the caller has disconnected. */
 void ln_exchange_report_disconnect (LnExchange *exchange);
-/* Call before evhtp frees the connection and its request. */
+/* Detaches the exchange from its connection. Call before evhtp frees the connection and request. */
 void ln_exchange_detach_connection (LnExchange *exchange);
 /* Frees all exchanges that got no reply. Call only at the end of the process. */
 void ln_exchange_free_all (LbList *exchanges);
--- a/packages/node/src/front/ln-exchange.c
+++ b/packages/node/src/front/ln-exchange.c
@@ -18,13 +18,13 @@
 
 #define JSON_FORMAT (JSON_C_TO_STRING_PLAIN | JSON_C_TO_STRING_NOSLASHESCAPE)
 
-/* A caller with more unsent bytes of its reply is treated as disconnected. */
+/* A caller whose reply has more unsent bytes than this is treated as disconnected. */
 #define MAX_UNSENT_BYTES (16 << 20)
 
 struct LnExchange
 {
   LbLink link;       /* link in the list exchanges */
-  LbList *exchanges; /* LnCallers.exchanges */
+  LbList *exchanges; /* list that contains this exchange: LnCallers.exchanges */
   int references;    /* 1 until the reply is complete, +1 for a queued LN_CALLER_DISCONNECTED */
   uint64_t id;
   LnHub *hub;
@@ -59,7 +59,7 @@
   exchange->hub = hub;
   exchange->caller = caller;
   exchange->request = request;
-  /* evhtp accepts some methods that it can't name. */
+  /* evhtp's parser accepts some methods for which evhtp has no name. */
   exchange->method = lb_strdup (method ? method : "UNKNOWN");
   exchange->path = lb_strdup (path ? path : "/");
   LB_COPY (exchange->caller_ip, caller->ip);
@@ -91,7 +91,8 @@
   free (exchange);
 }
 
-/* Ends the exchange for its owner. Frees the exchange unless a queued message refers to it. */
+/* Detaches the exchange from its owner and connection. Frees the exchange unless a queued message
+ * refers to it. */
 static void
 exchange_close (LnExchange *exchange)
 {
@@ -380,7 +381,7 @@
     return;
   close_after_reply_if_draining (exchange);
   ln_exchange_set_header (exchange, "Content-Type", type);
-  /* HTTP/1.0 has no chunked coding; there the end of the connection ends the reply. */
+  /* HTTP/1.0 has no chunked coding, so closing the connection ends an HTTP/1.0 reply. */
   exchange->is_chunked = exchange->request->proto != EVHTP_PROTO_10;
   if (exchange->is_chunked)
     evhtp_send_reply_chunk_start (exchange->request, (evhtp_res)status);
--- a/packages/node/src/front/ln-framing.h
+++ b/packages/node/src/front/ln-framing.h
@@ -20,7 +20,7 @@
  * NUL-terminated. */
 void ln_framing_add_header (
     LnFraming *framing, const char *name, size_t name_length, const char *value, size_t length);
-/* Call after adding the last header. */
+/* Whether the headers added are ambiguous. Call after adding the last header. */
 bool ln_framing_is_ambiguous (const LnFraming *framing);
 
 #endif
--- a/packages/node/src/front/ln-front.c
+++ b/packages/node/src/front/ln-front.c
@@ -19,7 +19,8 @@
 #include <string.h>
 
 #define LISTEN_BACKLOG 1024
-/* Listeners for callers, entry, readiness, metrics and, on a shared platform, peers. */
+/* Listeners for callers, address lookups, readiness checks, metrics and, on a shared platform,
+ * other instances. */
 #define MAX_LISTENERS 5
 
 /* The HTTP front end: receives complete requests, within the configured limits, and posts each to
--- a/packages/node/src/front/ln-recorder.c
+++ b/packages/node/src/front/ln-recorder.c
@@ -21,7 +21,7 @@
 #define MAX_GROUPS_PER_STEP 512
 #define MAX_SAMPLES_PER_GROUP 64
 #define MAX_MIN_SAMPLE_TOKENS 400
-/* Recorded for a call without max_tokens. */
+/* Number of tokens to record for a call without max_tokens. */
 #define DEFAULT_CALL_TOKENS 16
 /* Extra time for each completion in a replay. A replay has other engines and latencies, so it must
  * complete the same requests but may take longer. */
@@ -210,7 +210,7 @@
 /* Sets the numbers of groups, samples and tokens in a step. A trace has the same numbers for all
  * steps, so the first step determines them. */
 static void
-record_step_shape (LnRecorder *recorder, struct json_object *body)
+record_group_and_sample_counts (LnRecorder *recorder, struct json_object *body)
 {
   struct json_object *groups = NULL;
 
@@ -244,7 +244,7 @@
           record->step = step;
         }
       if (recorder->n_trainers == 1 && recorder->n_steps[0] == 0)
-        record_step_shape (recorder, body);
+        record_group_and_sample_counts (recorder, body);
     }
   json_object_put (body);
 }
--- a/packages/node/src/front/ln-request-scanner.c
+++ b/packages/node/src/front/ln-request-scanner.c
@@ -91,7 +91,7 @@
 
 /* Returns false when a required Host header is missing. */
 static bool
-end_headers (LnRequestScanner *scanner)
+process_end_of_headers (LnRequestScanner *scanner)
 {
   if (!scanner->has_host && !scanner->is_http_1_0)
     return false;
@@ -126,7 +126,7 @@
 }
 
 static bool
-end_request_line (LnRequestScanner *scanner)
+process_end_of_request_line (LnRequestScanner *scanner)
 {
   /* RFC 9112, 2.2: empty lines before a request line are ignored. */
   begin_line (scanner, scanner->length == 0 ? REQUEST_LINE : HEADER_LINE);
@@ -134,17 +134,17 @@
 }
 
 static bool
-end_line (LnRequestScanner *scanner)
+process_end_of_line (LnRequestScanner *scanner)
 {
   bool is_empty = scanner->length == 0;
 
   switch (scanner->state)
     {
     case REQUEST_LINE:
-      return end_request_line (scanner);
+      return process_end_of_request_line (scanner);
     case HEADER_LINE:
       if (is_empty)
-        return end_headers (scanner);
+        return process_end_of_headers (scanner);
       read_header_line (scanner);
       begin_line (scanner, HEADER_LINE);
       return true;
@@ -187,7 +187,7 @@
     {
       if (scanner->state == REQUEST_LINE)
         scanner->remaining = 0;
-      return end_line (scanner);
+      return process_end_of_line (scanner);
     }
   if (c == '\r')
     return true;
--- a/packages/node/src/store/ln-unreadable-rows.h
+++ b/packages/node/src/store/ln-unreadable-rows.h
@@ -6,7 +6,7 @@
 
 /* Logs each malformed row of a repeatedly read list only once. The list is read several times a
  * second, and a malformed row may stay in the list all day. The row is logged again only after a
- * list did not contain it. */
+ * list without the row. */
 typedef struct LnUnreadableRows LnUnreadableRows;
 
 LnUnreadableRows *ln_unreadable_rows_new (void);
