--- a/packages/store/include/lp-path.h
+++ b/packages/store/include/lp-path.h
@@ -32,11 +32,11 @@
 const char *lp_path_current_peer (const LpPath *path);
 void lp_path_record_direct_result (LpPath *path, bool answered, LbTime now);
 /* Records that a call through the peer got no answer from the store. */
-void lp_path_peer_failed (LpPath *path, const char *peer);
+void lp_path_record_peer_failure (LpPath *path, const char *peer);
 /* Whether a probe of the direct path is due; if so, schedules the next one. */
 bool lp_path_start_probe_if_due (LpPath *path, LbTime now);
 /* Whether the store has answered a direct call since then. */
-bool lp_path_has_answered_since (const LpPath *path, LbTime since);
+bool lp_path_has_direct_answer_since (const LpPath *path, LbTime since);
 bool lp_path_is_direct_down (const LpPath *path);
 
 #endif
--- a/packages/store/src/lp-breaker.c
+++ b/packages/store/src/lp-breaker.c
@@ -14,7 +14,7 @@
 
 /* Whether a call may be sent now. The outcome of each allowed call must be recorded. */
 bool
-lp_breaker_allow (LpBreaker *breaker, LbTime now)
+lp_breaker_allow_call (LpBreaker *breaker, LbTime now)
 {
   if (!lp_breaker_is_open (breaker))
     return true;
--- a/packages/store/src/lp-breaker.h
+++ b/packages/store/src/lp-breaker.h
@@ -15,7 +15,7 @@
 } LpBreaker;
 
 void lp_breaker_init (LpBreaker *breaker);
-bool lp_breaker_allow (LpBreaker *breaker, LbTime now);
+bool lp_breaker_allow_call (LpBreaker *breaker, LbTime now);
 void lp_breaker_record_success (LpBreaker *breaker);
 bool lp_breaker_record_failure (LpBreaker *breaker, double jitter, LbTime now);
 
--- a/packages/store/src/lp-client.c
+++ b/packages/store/src/lp-client.c
@@ -330,18 +330,18 @@
   while (client->in_flight.length < MAX_IN_FLIGHT && (call = find_first_waiting (client)))
     {
       LbTime now = lb_clock_monotonic ();
-      LbTime delay = lp_pacer_wait (&client->pacer, now);
+      LbTime delay = lp_pacer_time_until_next_call (&client->pacer, now);
       if (delay > 0)
         {
           schedule_sending (client, delay);
           break;
         }
-      if (!lp_breaker_allow (&client->breaker, now))
+      if (!lp_breaker_allow_call (&client->breaker, now))
         {
           fail_call (call);
           continue;
         }
-      lp_pacer_take (&client->pacer, now);
+      lp_pacer_take_token (&client->pacer, now);
       send_call (call);
     }
   lb_metric_set (&waiting_gauge, count_waiting (client));
--- a/packages/store/src/lp-pacer.c
+++ b/packages/store/src/lp-pacer.c
@@ -22,7 +22,7 @@
 }
 
 bool
-lp_pacer_take (LpPacer *pacer, LbTime now)
+lp_pacer_take_token (LpPacer *pacer, LbTime now)
 {
   if (pacer->rate <= 0)
     return true;
@@ -35,7 +35,7 @@
 }
 
 LbTime
-lp_pacer_wait (const LpPacer *pacer, LbTime now)
+lp_pacer_time_until_next_call (const LpPacer *pacer, LbTime now)
 {
   double missing;
 
--- a/packages/store/src/lp-pacer.h
+++ b/packages/store/src/lp-pacer.h
@@ -13,9 +13,9 @@
 } LpPacer;
 
 void lp_pacer_init (LpPacer *pacer, double rate, LbTime now);
-bool lp_pacer_take (LpPacer *pacer, LbTime now);
+bool lp_pacer_take_token (LpPacer *pacer, LbTime now);
 
 /* Time until the next call may be sent; 0: now. */
-LbTime lp_pacer_wait (const LpPacer *pacer, LbTime now);
+LbTime lp_pacer_time_until_next_call (const LpPacer *pacer, LbTime now);
 
 #endif
--- a/packages/store/src/lp-path.c
+++ b/packages/store/src/lp-path.c
@@ -79,7 +79,7 @@
 }
 
 bool
-lp_path_has_answered_since (const LpPath *path, LbTime since)
+lp_path_has_direct_answer_since (const LpPath *path, LbTime since)
 {
   return path->direct_success_at > 0 && path->direct_success_at >= since;
 }
@@ -87,7 +87,7 @@
 /* Keeps a peer that answers, and moves all calls away from one that doesn't. Trying all peers in
  * turn cost a second at each one that was cut off too, until the instance lost its lease. */
 void
-lp_path_peer_failed (LpPath *path, const char *peer)
+lp_path_record_peer_failure (LpPath *path, const char *peer)
 {
   if (path->n_peers > 0 && strcmp (path->peers[path->current], peer) == 0)
     path->current = (path->current + 1) % path->n_peers;
--- a/packages/store/tests/test-breaker.c
+++ b/packages/store/tests/test-breaker.c
@@ -7,7 +7,7 @@
 fail_until_open (LpBreaker *breaker, LbTime now)
 {
   while (!lp_breaker_record_failure (breaker, 1, now))
-    cr_assert (lp_breaker_allow (breaker, now));
+    cr_assert (lp_breaker_allow_call (breaker, now));
 }
 
 /* While the store hangs, each call would wait for its whole deadline, and the daemon's status page
@@ -19,16 +19,16 @@
   LbTime now = LB_SEC;
 
   lp_breaker_init (&breaker);
-  cr_assert (lp_breaker_allow (&breaker, now));
+  cr_assert (lp_breaker_allow_call (&breaker, now));
   fail_until_open (&breaker, now);
-  cr_assert_not (lp_breaker_allow (&breaker, now));
+  cr_assert_not (lp_breaker_allow_call (&breaker, now));
   now = breaker.open_until;
-  cr_assert (lp_breaker_allow (&breaker, now));
-  cr_assert_not (lp_breaker_allow (&breaker, now),
+  cr_assert (lp_breaker_allow_call (&breaker, now));
+  cr_assert_not (lp_breaker_allow_call (&breaker, now),
                  "a second probe was allowed while the first is pending");
   lp_breaker_record_success (&breaker);
-  cr_assert (lp_breaker_allow (&breaker, now));
-  cr_assert (lp_breaker_allow (&breaker, now));
+  cr_assert (lp_breaker_allow_call (&breaker, now));
+  cr_assert (lp_breaker_allow_call (&breaker, now));
 }
 
 Test (breaker, failed_probe_lengthens_the_opening_up_to_a_limit)
@@ -44,7 +44,7 @@
       cr_assert_geq (breaker.open_duration, previous);
       previous = breaker.open_duration;
       now = breaker.open_until;
-      cr_assert (lp_breaker_allow (&breaker, now));
+      cr_assert (lp_breaker_allow_call (&breaker, now));
       cr_assert (lp_breaker_record_failure (&breaker, 1, now));
     }
   cr_assert_leq (breaker.open_duration, 2 * LB_SEC);
@@ -73,9 +73,9 @@
   lp_pacer_init (&pacer, 100, now);
   while (now < 11 * LB_SEC)
     {
-      while (lp_pacer_take (&pacer, now))
+      while (lp_pacer_take_token (&pacer, now))
         sent++;
-      LbTime wait = lp_pacer_wait (&pacer, now);
+      LbTime wait = lp_pacer_time_until_next_call (&pacer, now);
       cr_assert_gt (wait, 0);
       now += wait;
     }
--- a/packages/store/tests/test-path.c
+++ b/packages/store/tests/test-path.c
@@ -38,10 +38,10 @@
   mark_direct_down (&path, LB_SEC);
   const char *first = lp_path_choose_peer (&path);
   cr_assert_str_eq (first, lp_path_choose_peer (&path));
-  lp_path_peer_failed (&path, first);
+  lp_path_record_peer_failure (&path, first);
   const char *second = lp_path_choose_peer (&path);
   cr_assert_str_neq (second, first);
-  lp_path_peer_failed (&path, first);
+  lp_path_record_peer_failure (&path, first);
   cr_assert_str_eq (lp_path_choose_peer (&path), second,
                     "an earlier call through the first peer must not replace the second");
 }
