--- a/packages/store/src/lp-breaker.c
+++ b/packages/store/src/lp-breaker.c
@@ -12,7 +12,7 @@
   memset (breaker, 0, sizeof *breaker);
 }
 
-/* Whether a call may be sent now. The outcome of each allowed call must be recorded. */
+/* Returns whether a call may be sent now. The outcome of each allowed call must be recorded. */
 bool
 lp_breaker_allow_call (LpBreaker *breaker, LbTime now)
 {
@@ -30,8 +30,9 @@
   lp_breaker_init (breaker);
 }
 
-/* Returns true if this failure opened the breaker. jitter (0..1) spreads the probes of many
- * instances, which would otherwise all hit a recovering store at the same moment. */
+/* Returns true if this failure opened the breaker. jitter: random number from 0 to 1. It spreads
+ * the probes of many instances, which would otherwise all reach a recovering store at the same
+ * time. */
 bool
 lp_breaker_record_failure (LpBreaker *breaker, double jitter, LbTime now)
 {
--- a/packages/store/src/lp-breaker.h
+++ b/packages/store/src/lp-breaker.h
@@ -3,15 +3,15 @@
 
 #include "lb-types.h"
 
-/* Circuit breaker for store calls: opens after several consecutive failures, and calls then fail
- * immediately. After a delay one call is allowed as a probe; its outcome closes the breaker or
- * opens it again. */
+/* Circuit breaker for store calls. Opens after several consecutive failures; while it is open,
+ * calls fail immediately. After a delay one call is allowed as a probe: its success closes the
+ * breaker, its failure opens it again. */
 typedef struct
 {
-  int failures;         /* consecutive failed calls */
-  bool is_probing;      /* the probe was sent and has no outcome yet */
-  LbTime open_duration; /* how long the breaker stays open, before jitter; 0: it is closed */
-  LbTime open_until;    /* when a probe is allowed */
+  int failures;         /* number of consecutive failed calls */
+  bool is_probing;      /* a probe was sent and has no outcome yet */
+  LbTime open_duration; /* time to stay open, before jitter; 0: the breaker is closed */
+  LbTime open_until;    /* time from which a probe is allowed */
 } LpBreaker;
 
 void lp_breaker_init (LpBreaker *breaker);
--- a/packages/store/src/lp-client.c
+++ b/packages/store/src/lp-client.c
@@ -16,10 +16,10 @@
 #include <string.h>
 
 #define N_PRIORITIES (LP_PRIORITY_STATUS + 1)
-#define ATTEMPTS_PER_DEADLINE 3
-#define FIRST_BACKOFF (20 * LB_MSEC)
+#define ATTEMPTS_PER_DEADLINE 3 /* deadline divided by the timeout of one attempt */
+#define BASE_BACKOFF (20 * LB_MSEC)
 #define MAX_BACKOFF (500 * LB_MSEC)
-#define MAX_IN_FLIGHT 128
+#define MAX_CALLS_IN_FLIGHT 128
 
 struct LpClient
 {
@@ -32,14 +32,14 @@
   struct event *send_event;
   LbList waiting[N_PRIORITIES];
   LbList in_flight;
-  LbList backing_off; /* calls between two attempts */
+  LbList backing_off; /* calls that wait for the backoff before their next attempt */
 };
 
-/* One call with all its attempts. */
+/* A call to the platform, with its queue state and the state of its attempts. */
 typedef struct
 {
   LbLink link;
-  LbList *list; /* list that holds the call; NULL: none */
+  LbList *list; /* list of the client that holds the call; NULL: none */
   LpClient *client;
   char *method;
   char *path;
@@ -47,8 +47,8 @@
   size_t body_length;
   LpPriority priority;
   bool is_write;
-  bool may_be_applied; /* a write whose earlier attempt has an unknown outcome */
-  bool was_busy;       /* refused by the busy store, or not sent before the deadline */
+  bool may_be_applied;   /* the call is a write, and an attempt has an unknown outcome */
+  bool was_rate_limited; /* refused by a busy store, or not sent before its deadline */
   bool needs_new_connection;
   int attempts;
   LbTime deadline;
@@ -66,13 +66,14 @@
 static LbMetric retries_total = LB_COUNTER_INIT ("lentilspindle_store_retries_total",
                                                  NULL,
                                                  "Retried attempts of store calls.");
-static LbMetric unknown_total = LB_COUNTER_INIT ("lentilspindle_store_unknown_total",
-                                                 NULL,
-                                                 "Store writes with an unknown outcome.");
-static LbMetric opened_total = LB_COUNTER_INIT ("lentilspindle_store_breaker_opened_total",
-                                                NULL,
-                                                "Openings of the store's circuit breaker.");
-static LbMetric waiting_gauge
+static LbMetric unknown_outcomes_total = LB_COUNTER_INIT ("lentilspindle_store_unknown_total",
+                                                          NULL,
+                                                          "Store writes with an unknown outcome.");
+static LbMetric breaker_openings_total
+    = LB_COUNTER_INIT ("lentilspindle_store_breaker_opened_total",
+                       NULL,
+                       "Openings of the store's circuit breaker.");
+static LbMetric waiting_calls_gauge
     = LB_GAUGE_INIT ("lentilspindle_store_calls_waiting", NULL, "Store calls waiting to be sent.");
 
 static void
@@ -105,8 +106,8 @@
   call_free (call);
 }
 
-/* A write that was handed to a socket without an answer may be applied, now or later; any other
- * call is known not to be applied. */
+/* A write that was sent and not answered may be applied, even later: its outcome is unknown. Any
+ * other failed call was certainly not applied. */
 static void
 fail_call (Call *call)
 {
@@ -114,10 +115,10 @@
 
   if (call->may_be_applied)
     error = LB_ERROR_STORE_UNKNOWN;
-  else if (call->was_busy)
+  else if (call->was_rate_limited)
     error = LB_ERROR_STORE_BUSY;
   if (error == LB_ERROR_STORE_UNKNOWN)
-    lb_metric_add (&unknown_total, 1);
+    lb_metric_add (&unknown_outcomes_total, 1);
   finish_call (call, error, 0, "", 0);
 }
 
@@ -130,14 +131,14 @@
 }
 
 static void
-enqueue (Call *call)
+enqueue_call (Call *call)
 {
   move_to_list (call, &call->client->waiting[call->priority]);
   schedule_sending (call->client, 0);
 }
 
 static void
-record_success (LpClient *client)
+record_store_success (LpClient *client)
 {
   if (lp_breaker_is_open (&client->breaker))
     lb_log (LB_LOG_INFO, "store_back", LB_TEXT ("address", client->settings.address));
@@ -145,25 +146,25 @@
 }
 
 static void
-record_failure (LpClient *client, const Call *call, const char *reason)
+record_store_failure (LpClient *client, const Call *call, const char *reason)
 {
   double jitter = gsl_rng_uniform (client->rng);
 
   if (!lp_breaker_record_failure (&client->breaker, jitter, lb_clock_monotonic ()))
     return;
-  lb_metric_add (&opened_total, 1);
+  lb_metric_add (&breaker_openings_total, 1);
   lb_log (LB_LOG_WARNING, "store_breaker_open", LB_TEXT ("address", client->settings.address),
           LB_TEXT ("path", call->path), LB_TEXT ("why", reason),
           LB_INT ("open_us", client->breaker.open_until - lb_clock_monotonic ()));
 }
 
-/* Full jitter, so that instances that failed together don't retry together. If the deadline leaves
- * no time for another attempt, the call fails now rather than at the deadline. */
+/* Retries after an exponential backoff. Full jitter spreads the retries of instances that failed at
+ * the same time. If the backoff would end after the deadline, the call fails immediately. */
 static void
 retry_or_fail (Call *call)
 {
   LpClient *client = call->client;
-  LbTime max_backoff = FIRST_BACKOFF << (call->attempts < 6 ? call->attempts : 6);
+  LbTime max_backoff = BASE_BACKOFF << (call->attempts < 6 ? call->attempts : 6);
 
   if (max_backoff > MAX_BACKOFF)
     max_backoff = MAX_BACKOFF;
@@ -183,10 +184,11 @@
 {
   (void)fd;
   (void)what;
-  enqueue (user);
+  enqueue_call (user);
 }
 
-/* Whether the store itself says that it did not take the call; any other 503 proves nothing. */
+/* Whether the response is the store's own "busy" error, which proves that the call was not applied.
+ * Any other 503 does not prove it. */
 static bool
 is_store_busy (const LhResult *result)
 {
@@ -197,36 +199,36 @@
 }
 
 static void
-handle_response (Call *call, const LhResult *result)
+handle_attempt_response (Call *call, const LhResult *result)
 {
   if (result->status < 500)
     {
-      record_success (call->client);
+      record_store_success (call->client);
       finish_call (call, LB_OK, result->status, result->body, result->body_length);
       return;
     }
   if (is_store_busy (result))
     {
-      record_success (call->client);
-      call->was_busy = true;
+      record_store_success (call->client);
+      call->was_rate_limited = true;
     }
   else
     {
-      record_failure (call->client, call, "status");
+      record_store_failure (call->client, call, "status");
       call->may_be_applied = call->may_be_applied || call->is_write;
     }
   retry_or_fail (call);
 }
 
-/* A connection may go silent for good while new ones work, which shows as a timeout. The next
- * attempt therefore uses a new connection, and idle connections to this address, which may be
- * silent for the same cause, are dropped. */
+/* A timeout may mean that the connection is dead although new connections work. The next attempt
+ * therefore uses a new connection. Idle connections to this address may be dead too, so they are
+ * closed. */
 static void
-handle_failure (Call *call, const LhResult *result)
+handle_failed_attempt (Call *call, const LhResult *result)
 {
   LpClient *client = call->client;
 
-  record_failure (client, call, lb_error_name (result->failure));
+  record_store_failure (client, call, lb_error_name (result->failure));
   if (call->is_write && result->bytes_handed)
     call->may_be_applied = true;
   call->needs_new_connection = true;
@@ -244,14 +246,14 @@
 
   call->fetch = NULL;
   if (result->failure == LB_OK)
-    handle_response (call, result);
+    handle_attempt_response (call, result);
   else
-    handle_failure (call, result);
+    handle_failed_attempt (call, result);
   schedule_sending (client, 0);
 }
 
 static void
-on_deadline (evutil_socket_t fd, short what, void *user)
+on_call_deadline (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -263,10 +265,10 @@
       lh_fetch_cancel (call->fetch);
       call->fetch = NULL;
       call->may_be_applied = call->may_be_applied || call->is_write;
-      record_failure (client, call, "deadline");
+      record_store_failure (client, call, "deadline");
     }
   else if (call->attempts == 0)
-    call->was_busy = true;
+    call->was_rate_limited = true;
   fail_call (call);
   schedule_sending (client, 0);
 }
@@ -296,12 +298,12 @@
   if (call->fetch)
     return;
   lb_log_error (LB_LOG_ERROR, "store_call_malformed", &error);
-  record_failure (client, call, "malformed");
+  record_store_failure (client, call, "malformed");
   fail_call (call);
 }
 
 static Call *
-find_first_waiting (const LpClient *client)
+find_next_waiting_call (const LpClient *client)
 {
   for (size_t i = 0; i < N_PRIORITIES; i++)
     if (!lb_list_is_empty (&client->waiting[i]))
@@ -310,7 +312,7 @@
 }
 
 static int64_t
-count_waiting (const LpClient *client)
+count_waiting_calls (const LpClient *client)
 {
   size_t n = 0;
 
@@ -320,14 +322,14 @@
 }
 
 static void
-on_send_event (evutil_socket_t fd, short what, void *user)
+send_waiting_calls (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
   LpClient *client = user;
   Call *call;
 
-  while (client->in_flight.length < MAX_IN_FLIGHT && (call = find_first_waiting (client)))
+  while (client->in_flight.length < MAX_CALLS_IN_FLIGHT && (call = find_next_waiting_call (client)))
     {
       LbTime now = lb_clock_monotonic ();
       LbTime delay = lp_pacer_time_until_next_call (&client->pacer, now);
@@ -344,7 +346,7 @@
       lp_pacer_take_token (&client->pacer, now);
       send_call (call);
     }
-  lb_metric_set (&waiting_gauge, count_waiting (client));
+  lb_metric_set (&waiting_calls_gauge, count_waiting_calls (client));
 }
 
 LpClient *
@@ -359,7 +361,7 @@
   gsl_rng_set (client->rng, settings->seed);
   lp_pacer_init (&client->pacer, settings->rate, lb_clock_monotonic ());
   lp_breaker_init (&client->breaker);
-  client->send_event = evtimer_new (base, on_send_event, client);
+  client->send_event = evtimer_new (base, send_waiting_calls, client);
   for (size_t i = 0; i < N_PRIORITIES; i++)
     lb_list_init (&client->waiting[i]);
   lb_list_init (&client->in_flight);
@@ -368,7 +370,7 @@
 }
 
 static void
-free_list (LbList *list)
+cancel_calls (LbList *list)
 {
   LB_LIST_FOREACH (list, Call, link, call)
   {
@@ -379,22 +381,22 @@
   }
 }
 
-/* Drops pending calls without invoking their callbacks. */
+/* Cancels pending calls without invoking their callbacks, and frees the client. */
 void
 lp_client_free (LpClient *client)
 {
   for (size_t i = 0; i < N_PRIORITIES; i++)
-    free_list (&client->waiting[i]);
-  free_list (&client->in_flight);
-  free_list (&client->backing_off);
+    cancel_calls (&client->waiting[i]);
+  cancel_calls (&client->in_flight);
+  cancel_calls (&client->backing_off);
   event_free (client->send_event);
   lh_pool_free (client->pool);
   gsl_rng_free (client->rng);
   free (client);
 }
 
-/* Invokes done exactly once, never from inside this call, at the latest after the settings'
- * deadline. */
+/* Starts a call. Invokes done exactly once, never from inside this function, and at the latest
+ * after settings.deadline. */
 void
 lp_client_call (LpClient *client, const LpClientCall *spec, LpClientDone done, void *user)
 {
@@ -412,8 +414,8 @@
   call->free_user = spec->free_user;
   call->user = user;
   call->deadline = lb_clock_monotonic () + client->settings.deadline;
-  call->deadline_timer = evtimer_new (client->base, on_deadline, call);
+  call->deadline_timer = evtimer_new (client->base, on_call_deadline, call);
   call->backoff_timer = evtimer_new (client->base, on_backoff_end, call);
   event_add (call->deadline_timer, &timeout);
-  enqueue (call);
+  enqueue_call (call);
 }
--- a/packages/store/src/lp-client.h
+++ b/packages/store/src/lp-client.h
@@ -3,23 +3,23 @@
 
 #include "lp-platform.h"
 
-/* Calls to the platform's HTTP interface with a prioritised rate limit, a deadline, retries and a
- * circuit breaker. */
+/* HTTP client of the platform. Each call has a priority for the client's rate limit, a deadline and
+ * retries; a circuit breaker stops calls while the platform fails. */
 typedef struct LpClient LpClient;
 
 typedef struct
 {
   const char *method;
   const char *path;
-  const char *body; /* NULL: none */
+  const char *body; /* NULL: no body */
   size_t body_length;
   LpPriority priority;
-  /* The call changes something. It must be idempotent, by its token or by nature. */
+  /* The call changes data. It must be idempotent: it has a token, or a repeat has no effect. */
   bool is_write;
-  void (*free_user) (void *user); /* called if the client is freed before the answer */
+  void (*free_user) (void *user); /* frees the callback's user data if the client is freed first */
 } LpClientCall;
 
-/* error LB_OK: the outcome is a response with a status below 500. STORE_AWAY: not applied.
+/* error LB_OK: the response's status is below 500. STORE_AWAY: no answer, and not applied.
  * STORE_UNKNOWN: a write that may have been applied. STORE_BUSY: over a rate limit, not applied. */
 typedef void (*LpClientDone) (
     LbErrorCode error, int status, const char *body, size_t length, void *user);
--- a/packages/store/src/lp-pacer.c
+++ b/packages/store/src/lp-pacer.c
@@ -5,20 +5,21 @@
 void
 lp_pacer_init (LpPacer *pacer, double rate, LbTime now)
 {
-  double burst = rate * BURST_SECONDS;
+  double capacity = rate * BURST_SECONDS;
 
   pacer->rate = rate;
-  pacer->burst = burst > 1 ? burst : 1;
-  pacer->tokens = pacer->burst;
+  pacer->capacity = capacity > 1 ? capacity : 1;
+  pacer->tokens = pacer->capacity;
   pacer->updated_at = now;
 }
 
+/* Number of tokens in the bucket at time now, without changing the bucket. */
 static double
 count_tokens_at (const LpPacer *pacer, LbTime now)
 {
   double tokens = pacer->tokens + (double)(now - pacer->updated_at) / (double)LB_SEC * pacer->rate;
 
-  return tokens < pacer->burst ? tokens : pacer->burst;
+  return tokens < pacer->capacity ? tokens : pacer->capacity;
 }
 
 bool
@@ -42,6 +43,6 @@
   if (pacer->rate <= 0)
     return 0;
   missing = 1 - count_tokens_at (pacer, now);
-  /* Plus one microsecond, so that rounding down never schedules a call too early. */
+  /* Adds a microsecond: the conversion rounds down, and the call would be sent too early. */
   return missing > 0 ? (LbTime)(missing / pacer->rate * (double)LB_SEC) + 1 : 0;
 }
--- a/packages/store/src/lp-pacer.h
+++ b/packages/store/src/lp-pacer.h
@@ -3,19 +3,20 @@
 
 #include "lb-types.h"
 
-/* Token bucket: limits the calls per second, with bursts of up to a quarter of a second's calls. */
+/* Token bucket: limits the calls per second. It holds the tokens of a quarter of a second. */
 typedef struct
 {
-  double rate;   /* calls per second; 0: no limit */
-  double burst;  /* largest number of tokens */
-  double tokens; /* calls that could be sent at updated_at */
+  double rate;     /* calls per second; 0: no limit */
+  double capacity; /* largest number of tokens in the bucket */
+  double tokens;   /* number of tokens in the bucket at updated_at; each call takes one */
   LbTime updated_at;
 } LpPacer;
 
 void lp_pacer_init (LpPacer *pacer, double rate, LbTime now);
+/* Takes one token for a call; false: none is left. */
 bool lp_pacer_take_token (LpPacer *pacer, LbTime now);
 
-/* Time until the next call may be sent; 0: now. */
+/* Time until the bucket has a token for the next call; 0: it has one now. */
 LbTime lp_pacer_time_until_next_call (const LpPacer *pacer, LbTime now);
 
 #endif
