--- a/packages/store/src/lp-follow.c
+++ b/packages/store/src/lp-follow.c
@@ -7,27 +7,27 @@
 #include <event2/util.h>
 #include <stdlib.h>
 
-#define MAX_BACKOFF_DOUBLINGS 4 /* of the retry delay after STORE_BUSY */
+#define MAX_BACKOFF_DOUBLINGS 4 /* how often the retry delay doubles after STORE_BUSY */
 
-/* A followed table. Either a watch or the lists of all prefixes are in progress, or the next call
- * is due at next_call_at. */
+/* State of following one table. Either a watch is in progress, or a list of each prefix, or nothing
+ * until next_call_at. */
 struct LpFollow
 {
   LpPlatform *platform;
   LpFollowSettings settings;
   LpFollowRows on_rows;
   void *user;
-  int64_t version;        /* of the table in the last answer; 0: the rows must be listed */
-  size_t n_pending;       /* calls without an answer yet */
-  LbErrorCode list_error; /* of the lists in progress; LB_OK: none failed so far */
-  int64_t list_version;   /* lowest table version in their answers; 0: no answer yet */
+  int64_t version;        /* table version of the last answer; 0: the rows must be listed */
+  size_t n_pending;       /* number of calls without an answer yet */
+  LbErrorCode list_error; /* error of the lists in progress; LB_OK: no list has failed */
+  int64_t list_version;   /* lowest table version in answers to these lists; 0: no answer */
   LbTime next_call_at;
   LbTime last_answer_at;
-  LbTime list_interval; /* 0: the table is watched */
-  LbTime watch_delay;   /* between an answer and the next watch */
+  LbTime list_interval; /* time between lists; 0: the table is watched instead */
+  LbTime watch_delay;   /* minimum time between an answer and the next watch */
   bool has_listed;
-  bool has_no_history; /* the store no longer has the table's whole history */
-  int busy_refusals;   /* consecutive STORE_BUSY answers, up to MAX_BACKOFF_DOUBLINGS */
+  bool has_no_history; /* the store has dropped some of the table's changes */
+  int busy_refusals;   /* number of consecutive STORE_BUSY answers, at most MAX_BACKOFF_DOUBLINGS */
 };
 
 LpFollow *
@@ -52,7 +52,7 @@
 }
 
 static LbTime
-draw_delay (LbTime max)
+draw_random_delay (LbTime max)
 {
   uint64_t bits;
 
@@ -60,10 +60,10 @@
   return (LbTime)(bits % (uint64_t)max);
 }
 
-/* A busy store refuses calls of many instances at once: they retry with exponential backoff and
- * jitter, so that they don't return together. */
+/* Returns the delay before the next call, and counts a STORE_BUSY answer. A busy store refuses the
+ * calls of many instances at once; exponential backoff with jitter spreads their retries. */
 static LbTime
-get_next_retry_delay (LpFollow *follow, LbErrorCode error)
+advance_retry_delay (LpFollow *follow, LbErrorCode error)
 {
   LbTime delay = follow->settings.retry_delay;
 
@@ -76,18 +76,18 @@
     delay *= 2;
   if (follow->busy_refusals < MAX_BACKOFF_DOUBLINGS)
     follow->busy_refusals++;
-  return delay + draw_delay (delay);
+  return delay + draw_random_delay (delay);
 }
 
-/* NOT_FOUND means that the store no longer keeps the changes after `version`: the rows must be
- * listed. Before the first list this is the answer to the request for the whole history, so the
+/* Schedules a retry. NOT_FOUND means that the store has dropped changes after follow->version, so
+ * the rows must be listed. Before the first list it answers the request for all changes, so the
  * lists start without delay. */
 static void
-handle_error (LpFollow *follow, LbErrorCode error)
+handle_call_error (LpFollow *follow, LbErrorCode error)
 {
   lb_log (LB_LOG_DEBUG, "table_not_read", LB_TEXT ("table", follow->settings.table),
           LB_TEXT ("error", lb_error_name (error)), LB_INT ("after", follow->version));
-  follow->next_call_at = lb_clock_monotonic () + get_next_retry_delay (follow, error);
+  follow->next_call_at = lb_clock_monotonic () + advance_retry_delay (follow, error);
   if (error != LB_ERROR_NOT_FOUND)
     return;
   if (!follow->has_listed)
@@ -96,11 +96,11 @@
   follow->has_no_history = true;
 }
 
-/* Receives the list of one prefix, and calls on_snapshot_begin for each, hence its requirement of a
- * single prefix. The watch continues from the oldest of the lists: a change between two of them is
- * delivered twice instead of being lost. */
+/* Receives the list of one prefix. The watch continues from the lowest version of all lists: a
+ * change between two lists is then delivered twice instead of being lost. Each list calls
+ * on_snapshot_begin, which is why that callback requires a single prefix. */
 static void
-on_list (LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
+on_prefix_listed (LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
 {
   LpFollow *follow = user;
 
@@ -116,7 +116,7 @@
     return;
   if (follow->list_error != LB_OK)
     {
-      handle_error (follow, follow->list_error);
+      handle_call_error (follow, follow->list_error);
       return;
     }
   follow->version = follow->list_version;
@@ -128,7 +128,7 @@
 }
 
 static void
-start_lists (LpFollow *follow)
+start_listing_prefixes (LpFollow *follow)
 {
   const LpFollowSettings *settings = &follow->settings;
 
@@ -136,19 +136,19 @@
   follow->list_version = 0;
   follow->n_pending = settings->n_prefixes;
   for (size_t i = 0; i < settings->n_prefixes; i++)
-    follow->platform->klass->list (follow->platform, settings->prefixes[i], NULL, 0, on_list,
-                                   follow);
+    follow->platform->klass->list (follow->platform, settings->prefixes[i], NULL, 0,
+                                   on_prefix_listed, follow);
 }
 
 static void
-on_changes (LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
+on_watch_answer (LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
 {
   LpFollow *follow = user;
 
   follow->n_pending = 0;
   if (error != LB_OK)
     {
-      handle_error (follow, error);
+      handle_call_error (follow, error);
       return;
     }
   follow->version = version;
@@ -161,10 +161,10 @@
     follow->on_rows (rows, n_rows, follow->user);
 }
 
-/* While the store still has all changes of the table, one call reads them; a list takes one call
- * for each prefix. */
+/* Whether to read the table by a watch from version 0, one call for the whole change history. A
+ * list takes one call for each prefix, but also works after the store has dropped old changes. */
 static bool
-can_read_history (const LpFollow *follow)
+should_read_whole_history (const LpFollow *follow)
 {
   return follow->settings.tries_history && !follow->has_listed && !follow->has_no_history;
 }
@@ -196,8 +196,8 @@
 
   follow->n_pending = 1;
   follow->platform->klass->watch (follow->platform, settings->table, follow->version,
-                                  follow->version > 0 ? settings->watch_timeout : 0, on_changes,
-                                  follow);
+                                  follow->version > 0 ? settings->watch_timeout : 0,
+                                  on_watch_answer, follow);
 }
 
 void
@@ -205,10 +205,10 @@
 {
   if (follow->n_pending > 0 || now < follow->next_call_at)
     return;
-  if (can_read_history (follow))
+  if (should_read_whole_history (follow))
     start_watch (follow);
   else if (follow->version == 0 || follow->list_interval > 0)
-    start_lists (follow);
+    start_listing_prefixes (follow);
   else
     start_watch (follow);
 }
--- a/packages/store/src/lp-http.c
+++ b/packages/store/src/lp-http.c
@@ -18,14 +18,14 @@
 } LpHttp;
 
 static LpClient *
-get_client (LpPlatform *platform)
+get_http_client (LpPlatform *platform)
 {
   return ((LpHttp *)platform)->client;
 }
 
-/* Unlike lb_json_int, accepts versions that a platform writes as 7.0. */
+/* Unlike lb_json_int, also accepts an integer that is written as a real number, such as 7.0. */
 static int64_t
-get_int (struct json_object *object, const char *key)
+get_integer_member (struct json_object *object, const char *key)
 {
   struct json_object *value;
 
@@ -33,7 +33,7 @@
 }
 
 static struct json_object *
-get_array (struct json_object *object, const char *key, size_t *length)
+get_array_member (struct json_object *object, const char *key, size_t *length)
 {
   struct json_object *array;
 
@@ -47,7 +47,7 @@
 
 /* Returns NULL if the body is not a JSON object. */
 static struct json_object *
-parse_object (const char *body, size_t length)
+parse_json_object (const char *body, size_t length)
 {
   struct json_tokener *tokener = json_tokener_new ();
   struct json_object *object = json_tokener_parse_ex (tokener, body, (int)length);
@@ -61,7 +61,7 @@
   return object;
 }
 
-/* Appends the URI-escaped value to the prefix, such as "/table/row?key=". */
+/* Appends the URI-escaped value to a prefix such as "/table/row?key=". */
 static char *
 build_path (const char *prefix, const char *value)
 {
@@ -73,31 +73,31 @@
 }
 
 static void
-start_get (LpPlatform *platform,
-           const char *path,
-           LpClientDone done,
-           void (*free_user) (void *user),
-           void *user)
+start_get_request (LpPlatform *platform,
+                   const char *path,
+                   LpClientDone done,
+                   void (*free_user) (void *user),
+                   void *user)
 {
   const LpClientCall call
       = { .method = "GET", .path = path, .priority = LP_PRIORITY_CONFIG, .free_user = free_user };
 
-  lp_client_call (get_client (platform), &call, done, user);
+  lp_client_call (get_http_client (platform), &call, done, user);
 }
 
-/* transactions */
+/* calls that apply a transaction */
 
 typedef struct
 {
   LpPlatform *platform;
-  char *key;   /* of the transaction's first put */
-  char *value; /* of the first put; NULL: not read back after an unknown outcome */
+  char *key;   /* key of the transaction's first put */
+  char *value; /* value of the first put; NULL: an unknown outcome is not read back */
   LpTransactDone done;
   void *user;
 } TransactCall;
 
 static void
-free_transact (void *user)
+free_transact_call (void *user)
 {
   TransactCall *transact = user;
 
@@ -107,26 +107,28 @@
 }
 
 static void
-finish_transact (TransactCall *transact, LbErrorCode error, const LpRow *row)
+finish_transact_call (TransactCall *transact, LbErrorCode error, const LpRow *row)
 {
   transact->done (error, row, transact->user);
-  free_transact (transact);
+  free_transact_call (transact);
 }
 
 static void
-on_read_back (LbErrorCode error, int status, const char *body, size_t length, void *user)
+on_read_back_answer (LbErrorCode error, int status, const char *body, size_t length, void *user)
 {
   TransactCall *transact = user;
   LpRow row = { .key = transact->key };
-  struct json_object *reply = error == LB_OK && status == 200 ? parse_object (body, length) : NULL;
+  struct json_object *reply
+      = error == LB_OK && status == 200 ? parse_json_object (body, length) : NULL;
   bool applied = reply && strcmp (lb_json_text (reply, "value", ""), transact->value) == 0;
 
   if (applied)
-    row.version = get_int (reply, "version");
-  finish_transact (transact, applied ? LB_OK : LB_ERROR_STORE_UNKNOWN, &row);
+    row.version = get_integer_member (reply, "version");
+  finish_transact_call (transact, applied ? LB_OK : LB_ERROR_STORE_UNKNOWN, &row);
   json_object_put (reply);
 }
 
+/* Reads the row of the first put, if requested, to find out whether the transaction was applied. */
 static void
 resolve_unknown_outcome (TransactCall *transact)
 {
@@ -134,11 +136,11 @@
 
   if (!transact->value)
     {
-      finish_transact (transact, LB_ERROR_STORE_UNKNOWN, &row);
+      finish_transact_call (transact, LB_ERROR_STORE_UNKNOWN, &row);
       return;
     }
   char *path = build_path ("/table/row?key=", transact->key);
-  start_get (transact->platform, path, on_read_back, free_transact, transact);
+  start_get_request (transact->platform, path, on_read_back_answer, free_transact_call, transact);
   free (path);
 }
 
@@ -147,31 +149,33 @@
 {
   struct json_object *versions;
 
-  return json_object_object_get_ex (reply, "versions", &versions) ? get_int (versions, key) : 0;
+  return json_object_object_get_ex (reply, "versions", &versions)
+             ? get_integer_member (versions, key)
+             : 0;
 }
 
 static void
-on_transacted (LbErrorCode error, int status, const char *body, size_t length, void *user)
+on_transact_answer (LbErrorCode error, int status, const char *body, size_t length, void *user)
 {
   TransactCall *transact = user;
   LpRow row = { .key = transact->key };
-  struct json_object *reply = error == LB_OK ? parse_object (body, length) : NULL;
+  struct json_object *reply = error == LB_OK ? parse_json_object (body, length) : NULL;
 
   if (error != LB_OK && error != LB_ERROR_STORE_UNKNOWN)
-    finish_transact (transact, error, &row);
+    finish_transact_call (transact, error, &row);
   else if (reply && status == 200)
     {
       row.version = get_row_version (reply, transact->key);
-      finish_transact (transact, LB_OK, &row);
+      finish_transact_call (transact, LB_OK, &row);
     }
   else if (reply && status == 409)
     {
       row = (LpRow){ .key = lb_json_text (reply, "failed", ""),
-                     .version = get_int (reply, "version") };
-      finish_transact (transact, LB_ERROR_CONDITION_FAILED, &row);
+                     .version = get_integer_member (reply, "version") };
+      finish_transact_call (transact, LB_ERROR_CONDITION_FAILED, &row);
     }
   else if (error == LB_OK && status >= 400)
-    finish_transact (transact, LB_ERROR_BAD_REQUEST, &row);
+    finish_transact_call (transact, LB_ERROR_BAD_REQUEST, &row);
   else
     resolve_unknown_outcome (transact);
   json_object_put (reply);
@@ -194,7 +198,7 @@
 }
 
 static void
-add_put (struct json_object *puts, struct json_object *deletes, const LpPut *put)
+add_put_or_delete (struct json_object *puts, struct json_object *deletes, const LpPut *put)
 {
   struct json_object *item;
 
@@ -217,7 +221,7 @@
   struct json_object *deletes = json_object_new_array ();
 
   for (size_t i = 0; i < transaction->n_puts; i++)
-    add_put (puts, deletes, &transaction->puts[i]);
+    add_put_or_delete (puts, deletes, &transaction->puts[i]);
   json_object_object_add (object, "token", json_object_new_string (transaction->token));
   json_object_object_add (object, "conditions", conditions_to_json (transaction));
   json_object_object_add (object, "puts", puts);
@@ -240,7 +244,7 @@
                               .body_length = strlen (body),
                               .priority = priority,
                               .is_write = true,
-                              .free_user = free_transact };
+                              .free_user = free_transact_call };
   const LpPut *first = transaction->n_puts > 0 ? &transaction->puts[0] : NULL;
   TransactCall *transact = LB_NEW (TransactCall);
 
@@ -250,24 +254,24 @@
     transact->value = lb_strdup (first->value);
   transact->done = done;
   transact->user = user;
-  lp_client_call (get_client (platform), &call, on_transacted, transact);
+  lp_client_call (get_http_client (platform), &call, on_transact_answer, transact);
   json_object_put (object);
 }
 
-/* rows */
+/* calls that read rows */
 
 typedef struct
 {
   LpPlatform *platform;
-  char *prefix; /* of the keys to scan; NULL: a single row is read */
-  LpRow *rows;  /* keys and values owned */
+  char *prefix; /* prefix of the keys to scan; NULL: a single row is read */
+  LpRow *rows;  /* rows received so far, which own their keys and values */
   size_t n_rows;
   LpRowsDone done;
   void *user;
 } RowsCall;
 
 static void
-free_rows (void *user)
+free_rows_call (void *user)
 {
   RowsCall *rows = user;
 
@@ -282,32 +286,33 @@
 }
 
 static void
-finish_rows (RowsCall *rows, LbErrorCode error)
+finish_rows_call (RowsCall *rows, LbErrorCode error)
 {
   rows->done (error, rows->rows, error == LB_OK ? rows->n_rows : 0, rows->user);
-  free_rows (rows);
+  free_rows_call (rows);
 }
 
 static void
-add_row (RowsCall *rows, struct json_object *row)
+add_row_from_json (RowsCall *rows, struct json_object *row)
 {
   rows->rows = lb_realloc (rows->rows, (rows->n_rows + 1) * sizeof (LpRow));
   rows->rows[rows->n_rows++] = (LpRow){ .key = lb_strdup (lb_json_text (row, "key", "")),
                                         .value = lb_strdup (lb_json_text (row, "value", "")),
-                                        .version = get_int (row, "version") };
+                                        .version = get_integer_member (row, "version") };
 }
 
 static void
-on_row (LbErrorCode error, int status, const char *body, size_t length, void *user)
+on_row_answer (LbErrorCode error, int status, const char *body, size_t length, void *user)
 {
   RowsCall *rows = user;
-  struct json_object *reply = error == LB_OK && status == 200 ? parse_object (body, length) : NULL;
+  struct json_object *reply
+      = error == LB_OK && status == 200 ? parse_json_object (body, length) : NULL;
 
   if (reply)
-    add_row (rows, reply);
+    add_row_from_json (rows, reply);
   else if (error == LB_OK)
     error = status == 404 ? LB_ERROR_NOT_FOUND : LB_ERROR_STORE_AWAY;
-  finish_rows (rows, error);
+  finish_rows_call (rows, error);
   json_object_put (reply);
 }
 
@@ -318,30 +323,31 @@
   char *path = build_path ("/table/row?key=", key);
 
   *rows = (RowsCall){ .platform = platform, .done = done, .user = user };
-  start_get (platform, path, on_row, free_rows, rows);
+  start_get_request (platform, path, on_row_answer, free_rows_call, rows);
   free (path);
 }
 
 static void request_next_page (RowsCall *rows);
 
 static void
-on_page (LbErrorCode error, int status, const char *body, size_t length, void *user)
+on_scan_page (LbErrorCode error, int status, const char *body, size_t length, void *user)
 {
   RowsCall *rows = user;
-  struct json_object *reply = error == LB_OK && status == 200 ? parse_object (body, length) : NULL;
+  struct json_object *reply
+      = error == LB_OK && status == 200 ? parse_json_object (body, length) : NULL;
   size_t n = 0;
 
   if (!reply)
     {
-      finish_rows (rows, error != LB_OK ? error : LB_ERROR_STORE_AWAY);
+      finish_rows_call (rows, error != LB_OK ? error : LB_ERROR_STORE_AWAY);
       return;
     }
-  struct json_object *page = get_array (reply, "rows", &n);
+  struct json_object *page = get_array_member (reply, "rows", &n);
   for (size_t i = 0; i < n; i++)
-    add_row (rows, json_object_array_get_idx (page, i));
+    add_row_from_json (rows, json_object_array_get_idx (page, i));
   json_object_put (reply);
   if (n < ROWS_PER_SCAN_PAGE)
-    finish_rows (rows, LB_OK);
+    finish_rows_call (rows, LB_OK);
   else
     request_next_page (rows);
 }
@@ -355,7 +361,7 @@
   char *path
       = lb_asprintf ("/table/scan?prefix=%s&after=%s&limit=%d", prefix, after, ROWS_PER_SCAN_PAGE);
 
-  start_get (rows->platform, path, on_page, free_rows, rows);
+  start_get_request (rows->platform, path, on_scan_page, free_rows_call, rows);
   free (after);
   free (prefix);
   free (path);
@@ -372,7 +378,7 @@
   request_next_page (rows);
 }
 
-/* objects */
+/* calls that write or read an object */
 
 typedef struct
 {
@@ -381,7 +387,7 @@
 } ObjectCall;
 
 static void
-on_object (LbErrorCode error, int status, const char *body, size_t length, void *user)
+on_object_answer (LbErrorCode error, int status, const char *body, size_t length, void *user)
 {
   ObjectCall *call = user;
 
@@ -397,10 +403,10 @@
   ObjectCall *call = LB_NEW (ObjectCall);
 
   *call = (ObjectCall){ .done = done, .user = user };
-  lp_client_call (get_client (platform), request, on_object, call);
+  lp_client_call (get_http_client (platform), request, on_object_answer, call);
 }
 
-/* Idempotent, so it needs no token: putting the same bytes again changes nothing. */
+/* Needs no token: putting the same bytes again changes nothing, so a retry is idempotent. */
 static void
 http_put_object (LpPlatform *platform,
                  const char *key,
@@ -433,7 +439,7 @@
   free (path);
 }
 
-/* instances */
+/* calls that list the instances */
 
 typedef struct
 {
@@ -444,7 +450,7 @@
 static LpInstance *
 read_instances (struct json_object *reply, size_t *n)
 {
-  struct json_object *array = get_array (reply, "instances", n);
+  struct json_object *array = get_array_member (reply, "instances", n);
   LpInstance *instances = LB_NEW_ARRAY (LpInstance, *n);
 
   for (size_t i = 0; i < *n; i++)
@@ -464,7 +470,7 @@
 read_leaving_endpoints (struct json_object *reply, size_t *n_leaving)
 {
   size_t n;
-  struct json_object *array = get_array (reply, "endpoints", &n);
+  struct json_object *array = get_array_member (reply, "endpoints", &n);
   const char **names = LB_NEW_ARRAY (const char *, n);
 
   *n_leaving = 0;
@@ -478,10 +484,11 @@
 }
 
 static void
-on_instances (LbErrorCode error, int status, const char *body, size_t length, void *user)
+on_instances_answer (LbErrorCode error, int status, const char *body, size_t length, void *user)
 {
   InstancesCall *call = user;
-  struct json_object *reply = error == LB_OK && status == 200 ? parse_object (body, length) : NULL;
+  struct json_object *reply
+      = error == LB_OK && status == 200 ? parse_json_object (body, length) : NULL;
   LpInstanceList list = { 0 };
   LpInstance *instances = NULL;
   const char **leaving = NULL;
@@ -508,10 +515,10 @@
   InstancesCall *call = LB_NEW (InstancesCall);
 
   *call = (InstancesCall){ .done = done, .user = user };
-  start_get (platform, "/instances", on_instances, free, call);
+  start_get_request (platform, "/instances", on_instances_answer, free, call);
 }
 
-/* weights */
+/* calls that read a weight version */
 
 typedef struct
 {
@@ -520,14 +527,15 @@
 } WeightsCall;
 
 static void
-on_weights (LbErrorCode error, int status, const char *body, size_t length, void *user)
+on_weights_answer (LbErrorCode error, int status, const char *body, size_t length, void *user)
 {
   WeightsCall *call = user;
-  struct json_object *reply = error == LB_OK && status == 200 ? parse_object (body, length) : NULL;
+  struct json_object *reply
+      = error == LB_OK && status == 200 ? parse_json_object (body, length) : NULL;
 
   if (error == LB_OK && !reply)
     error = status == 404 ? LB_ERROR_NOT_FOUND : LB_ERROR_STORE_AWAY;
-  call->done (error, reply ? get_int (reply, "version") : 0, call->user);
+  call->done (error, reply ? get_integer_member (reply, "version") : 0, call->user);
   json_object_put (reply);
   free (call);
 }
@@ -539,14 +547,14 @@
   char *path = build_path ("/weights?pool=", pool);
 
   *call = (WeightsCall){ .done = done, .user = user };
-  start_get (platform, path, on_weights, free, call);
+  start_get_request (platform, path, on_weights_answer, free, call);
   free (path);
 }
 
 static void
 http_free (LpPlatform *platform)
 {
-  lp_client_free (get_client (platform));
+  lp_client_free (get_http_client (platform));
   free (platform);
 }
 
--- a/packages/store/src/lp-memory.c
+++ b/packages/store/src/lp-memory.c
@@ -17,13 +17,14 @@
   REPLY_WEIGHTS
 } ReplyType;
 
-/* A reply that is not delivered yet; a copy, because the store may change before delivery. */
+/* A reply that waits for the event loop to deliver it. Its rows and bytes are copies, because the
+ * store may change before the delivery. */
 typedef struct
 {
   LbLink link;
   ReplyType type;
   LbErrorCode error;
-  LpRow *rows; /* keys and values owned */
+  LpRow *rows; /* rows to deliver, which own their keys and values */
   size_t n_rows;
   char *bytes;
   size_t length;
@@ -48,7 +49,7 @@
 } LpMemory;
 
 static LpMemory *
-get_memory (LpPlatform *platform)
+get_memory_platform (LpPlatform *platform)
 {
   return (LpMemory *)platform;
 }
@@ -88,7 +89,7 @@
 }
 
 static void
-invoke_callback (const Reply *reply)
+invoke_reply_callback (const Reply *reply)
 {
   static const LpInstanceList no_instances = { 0 };
 
@@ -112,7 +113,7 @@
     }
 }
 
-/* Delivers only the replies queued now: callbacks may make further calls, whose replies follow in
+/* Delivers the replies that are queued now. Replies to calls that a callback makes are delivered in
  * the event loop's next iteration. */
 static void
 deliver_replies (evutil_socket_t fd, short what, void *user)
@@ -124,7 +125,7 @@
   for (size_t n = memory->replies.length; n > 0; n--)
     {
       Reply *reply = LB_CONTAINER (lb_list_pop (&memory->replies), Reply, link);
-      invoke_callback (reply);
+      invoke_reply_callback (reply);
       reply_free (reply);
     }
 }
@@ -132,7 +133,7 @@
 static void
 memory_free (LpPlatform *platform)
 {
-  LpMemory *memory = get_memory (platform);
+  LpMemory *memory = get_memory_platform (platform);
   LbLink *link;
 
   while ((link = lb_list_pop (&memory->replies)))
@@ -150,7 +151,7 @@
                  void *user)
 {
   (void)priority;
-  LpMemory *memory = get_memory (platform);
+  LpMemory *memory = get_memory_platform (platform);
   Reply *reply = reply_new (memory, REPLY_TRANSACT, user);
   LpRow row;
 
@@ -162,7 +163,7 @@
 static void
 memory_get (LpPlatform *platform, const char *key, LpRowsDone done, void *user)
 {
-  LpMemory *memory = get_memory (platform);
+  LpMemory *memory = get_memory_platform (platform);
   Reply *reply = reply_new (memory, REPLY_ROWS, user);
   const LpRow *row = lp_store_get_row (memory->store, key);
 
@@ -176,7 +177,7 @@
 static void
 memory_scan (LpPlatform *platform, const char *prefix, LpRowsDone done, void *user)
 {
-  LpMemory *memory = get_memory (platform);
+  LpMemory *memory = get_memory_platform (platform);
   Reply *reply = reply_new (memory, REPLY_ROWS, user);
 
   reply->done.rows = done;
@@ -193,7 +194,7 @@
                    LpObjectDone done,
                    void *user)
 {
-  LpMemory *memory = get_memory (platform);
+  LpMemory *memory = get_memory_platform (platform);
   Reply *reply = reply_new (memory, REPLY_OBJECT, user);
 
   reply->done.object = done;
@@ -203,7 +204,7 @@
 static void
 memory_get_object (LpPlatform *platform, const char *key, LpObjectDone done, void *user)
 {
-  LpMemory *memory = get_memory (platform);
+  LpMemory *memory = get_memory_platform (platform);
   Reply *reply = reply_new (memory, REPLY_OBJECT, user);
   const char *bytes = lp_store_get_object (memory->store, key, &reply->length);
 
@@ -217,7 +218,7 @@
 static void
 memory_list_instances (LpPlatform *platform, LpInstancesDone done, void *user)
 {
-  Reply *reply = reply_new (get_memory (platform), REPLY_INSTANCES, user);
+  Reply *reply = reply_new (get_memory_platform (platform), REPLY_INSTANCES, user);
 
   reply->done.instances = done;
 }
@@ -225,7 +226,7 @@
 static void
 memory_get_weights (LpPlatform *platform, const char *pool, LpWeightsDone done, void *user)
 {
-  LpMemory *memory = get_memory (platform);
+  LpMemory *memory = get_memory_platform (platform);
   Reply *reply = reply_new (memory, REPLY_WEIGHTS, user);
 
   reply->done.weights = done;
@@ -246,8 +247,8 @@
   .get_weights = memory_get_weights,
 };
 
-/* Creates a platform inside this process, for a single instance and for tests. Its data is lost
- * when it is freed, and its list of instances is empty. */
+/* Creates a platform in this process's memory, for a single instance and for tests. Its data is
+ * lost when it is freed, and its list of instances is always empty. */
 LpPlatform *
 lp_memory_new (struct event_base *base)
 {
--- a/packages/store/src/lp-path.c
+++ b/packages/store/src/lp-path.c
@@ -5,17 +5,18 @@
 
 #include <string.h>
 
-/* A single lost answer proves nothing; two consecutive ones justify the detour through a peer. */
+/* A single call without an answer does not prove that the direct path is down; after two in a row,
+ * calls go through a peer. */
 #define FAILURES_UNTIL_DOWN 2
-/* A probe costs the store one read. Instances return to the direct path within this time, during
- * which a step's results wait for their write. */
+/* Time between probes of the direct path; each probe costs the store one read. A recovered path is
+ * used again within this time, while the results of a step wait to be written. */
 #define PROBE_PERIOD (150 * LB_MSEC)
-/* Limits the probes of all instances, when none reaches the store, to about 1,400 reads per second
- * at 350 instances; each knows at most 64 peers. */
+/* Lengthens the period with the number of peers, of which an instance knows at most 64. When none
+ * of 350 instances reaches the store, their probes stay at about 1,400 reads per second. */
 #define PROBE_PERIOD_PER_PEER (4 * LB_MSEC)
 
 static size_t
-find_peer (const LpPath *path, const char *peer)
+find_peer_index (const LpPath *path, const char *peer)
 {
   for (size_t i = 0; i < path->n_peers; i++)
     if (strcmp (path->peers[i], peer) == 0)
@@ -23,8 +24,9 @@
   return path->n_peers;
 }
 
-/* Keeps the peer in use if it is still listed. Instances start with different peers, so that one
- * peer doesn't have to execute the calls of all when many are cut off at once. */
+/* Keeps the peer in use if it is still listed. Otherwise the seed selects the peer, so that
+ * instances use different ones: a single peer could not execute the calls of many disconnected
+ * instances. */
 void
 lp_path_set_peers (LpPath *path, const LbName *peers, size_t n_peers)
 {
@@ -35,7 +37,7 @@
   path->n_peers = n_peers < LP_MAX_PEERS ? n_peers : LP_MAX_PEERS;
   for (size_t i = 0; i < path->n_peers; i++)
     LB_COPY (path->peers[i], peers[i]);
-  path->current = find_peer (path, in_use);
+  path->current = find_peer_index (path, in_use);
   if (path->current == path->n_peers && path->n_peers > 0)
     path->current = path->seed % path->n_peers;
 }
@@ -84,8 +86,8 @@
   return path->direct_success_at > 0 && path->direct_success_at >= since;
 }
 
-/* Keeps a peer that answers, and moves all calls away from one that doesn't. Trying all peers in
- * turn cost a second at each one that was cut off too, until the instance lost its lease. */
+/* Switches to the next peer when the one in use fails; a peer that answers stays in use. Using the
+ * peers in turn cost a second at each disconnected peer, until the instance lost its lease. */
 void
 lp_path_record_peer_failure (LpPath *path, const char *peer)
 {
--- a/packages/store/src/lp-store.c
+++ b/packages/store/src/lp-store.c
@@ -7,8 +7,9 @@
 #include <string.h>
 #include <uthash.h>
 
-/* Transaction tokens whose answers are kept; a repeat comes within seconds of the first. */
-#define MAX_TOKENS 65536
+/* Number of answers kept to recognise repeated transaction tokens. A token is repeated within
+ * seconds, so old answers are dropped. */
+#define MAX_KEPT_ANSWERS 65536
 
 typedef struct
 {
@@ -17,11 +18,11 @@
   char *value;
 } Entry;
 
-/* The answer to a transaction, returned again if its token is repeated. */
+/* Answer to a transaction, kept to be returned again if its token is repeated. */
 typedef struct
 {
   UT_hash_handle hh;
-  LbLink link; /* in LpStore.token_order */
+  LbLink link; /* link in LpStore.token_order */
   char *token;
   char *key;
   LbErrorCode error;
@@ -45,12 +46,12 @@
 
 struct LpStore
 {
-  Entry **entries; /* in key order */
+  Entry **entries; /* sorted by key */
   size_t n_entries;
   size_t capacity;
-  int64_t last_version; /* of the newest applied transaction */
-  Answer *answers;      /* hash table by token */
-  LbList token_order;   /* of Answer, oldest first */
+  int64_t last_version; /* version of the newest applied transaction; 0: none yet */
+  Answer *answers;      /* hash table, by transaction token */
+  LbList token_order;   /* the entries of answers, oldest first */
   Object *objects;
   Weights *weights;
 };
@@ -120,9 +121,9 @@
   free (store);
 }
 
-/* Index of the first entry whose key is not less than key. */
+/* Index of the first entry whose key is equal to or greater than `key`. */
 static size_t
-lower_bound (const LpStore *store, const char *key)
+find_lower_bound_index (const LpStore *store, const char *key)
 {
   size_t low = 0;
   size_t high = store->n_entries;
@@ -141,7 +142,7 @@
 static Entry *
 find_entry (const LpStore *store, const char *key)
 {
-  size_t i = lower_bound (store, key);
+  size_t i = find_lower_bound_index (store, key);
 
   if (i < store->n_entries && strcmp (store->entries[i]->key, key) == 0)
     return store->entries[i];
@@ -151,7 +152,7 @@
 static Entry *
 insert_entry (LpStore *store, const char *key)
 {
-  size_t i = lower_bound (store, key);
+  size_t i = find_lower_bound_index (store, key);
   Entry *entry = LB_NEW (Entry);
 
   if (store->n_entries == store->capacity)
@@ -170,7 +171,7 @@
 static void
 delete_entry (LpStore *store, const char *key)
 {
-  size_t i = lower_bound (store, key);
+  size_t i = find_lower_bound_index (store, key);
 
   if (i == store->n_entries || strcmp (store->entries[i]->key, key) != 0)
     return;
@@ -224,7 +225,7 @@
   answer->version = version;
   HASH_ADD_KEYPTR (hh, store->answers, answer->token, strlen (answer->token), answer);
   lb_list_append (&store->token_order, &answer->link);
-  if (store->token_order.length > MAX_TOKENS)
+  if (store->token_order.length > MAX_KEPT_ANSWERS)
     answer_free (store, LB_CONTAINER (store->token_order.head.next, Answer, link));
   return answer;
 }
@@ -246,11 +247,11 @@
                         store->last_version);
 }
 
-/* Applies the transaction completely or not at all. All its puts get the same new version, larger
- * than any before, so that a row that is deleted and created again never has an old version. *row
- * gets the first put's key and the new version, or after CONDITION_FAILED the failed key and its
- * current version; it is valid until the next change. A repeated token changes nothing and returns
- * the first answer. */
+/* Applies the transaction completely or not at all. All its puts get a new version, larger than any
+ * before, so a row that is deleted and created again never reuses a version. *row gets the first
+ * put's key and the new version, or on CONDITION_FAILED the key that failed and its current
+ * version; it is valid until the next change. A repeated token changes nothing and returns the
+ * first answer. */
 LbErrorCode
 lp_store_transact (LpStore *store, const LpTransaction *transaction, LpRow *row)
 {
@@ -274,7 +275,7 @@
   HASH_ADD_KEYPTR (hh, store->objects, object->key, strlen (object->key), object);
 }
 
-/* Returns false if there is no such object. */
+/* Returns false if the store has no object with this key. */
 bool
 lp_store_delete_object (LpStore *store, const char *key)
 {
@@ -302,7 +303,7 @@
   weights->version = version;
 }
 
-/* Returns NULL if absent. Valid until the next change. */
+/* Returns the row, valid until the next change; NULL if there is none with this key. */
 const LpRow *
 lp_store_get_row (const LpStore *store, const char *key)
 {
@@ -311,16 +312,16 @@
   return entry ? &entry->row : NULL;
 }
 
-/* Returns the first row with the prefix after the key `after` (NULL: the first row with the
- * prefix); NULL at the end. Valid until the next change. */
+/* Returns the first row whose key starts with `prefix` and is greater than `after` (NULL: the first
+ * with the prefix); NULL if there is none. The row is valid until the next change. */
 const LpRow *
 lp_store_next_row (const LpStore *store, const char *prefix, const char *after)
 {
-  size_t i = lower_bound (store, prefix);
+  size_t i = find_lower_bound_index (store, prefix);
 
   if (after && strcmp (after, prefix) >= 0)
     {
-      i = lower_bound (store, after);
+      i = find_lower_bound_index (store, after);
       if (i < store->n_entries && strcmp (store->entries[i]->key, after) == 0)
         i++;
     }
@@ -329,7 +330,7 @@
   return &store->entries[i]->row;
 }
 
-/* Returns NULL if absent. Valid until the next change. */
+/* Returns the object's bytes, valid until the next change; NULL if there is none with this key. */
 const char *
 lp_store_get_object (const LpStore *store, const char *key, size_t *length)
 {
@@ -340,7 +341,7 @@
   return object ? object->bytes : NULL;
 }
 
-/* Returns the pool's newest weight version; 0 if none was set. */
+/* Returns the pool's newest weight version; 0: none was set. */
 int64_t
 lp_store_get_weight_version (const LpStore *store, const char *pool)
 {
