--- a/packages/store/tests/test-breaker.c
+++ b/packages/store/tests/test-breaker.c
@@ -4,23 +4,23 @@
 #include <criterion/criterion.h>
 
 static void
-fail_until_open (LpBreaker *breaker, LbTime now)
+record_failures_until_open (LpBreaker *breaker, LbTime now)
 {
   while (!lp_breaker_record_failure (breaker, 1, now))
     cr_assert (lp_breaker_allow_call (breaker, now));
 }
 
-/* While the store hangs, each call would wait for its whole deadline, and the daemon's status page
- * and leases with it. After a few consecutive failures calls must fail at once, and one probe at a
- * time must find out when the store is back. */
-Test (breaker, opens_allows_one_probe_and_closes_after_its_success)
+/* While the store hangs, each call would wait for its whole deadline and delay the daemon's status
+ * page and leases. After a few consecutive failures calls must fail immediately, and a single probe
+ * at a time must detect the store's recovery. */
+Test (breaker, opens_after_failures_and_closes_after_a_successful_probe)
 {
   LpBreaker breaker;
   LbTime now = LB_SEC;
 
   lp_breaker_init (&breaker);
   cr_assert (lp_breaker_allow_call (&breaker, now));
-  fail_until_open (&breaker, now);
+  record_failures_until_open (&breaker, now);
   cr_assert_not (lp_breaker_allow_call (&breaker, now));
   now = breaker.open_until;
   cr_assert (lp_breaker_allow_call (&breaker, now));
@@ -31,14 +31,14 @@
   cr_assert (lp_breaker_allow_call (&breaker, now));
 }
 
-Test (breaker, failed_probe_lengthens_the_opening_up_to_a_limit)
+Test (breaker, failed_probes_lengthen_the_open_duration_up_to_a_limit)
 {
   LpBreaker breaker;
   LbTime now = LB_SEC;
   LbTime previous = 0;
 
   lp_breaker_init (&breaker);
-  fail_until_open (&breaker, now);
+  record_failures_until_open (&breaker, now);
   for (int i = 0; i < 10; i++)
     {
       cr_assert_geq (breaker.open_duration, previous);
@@ -50,21 +50,21 @@
   cr_assert_leq (breaker.open_duration, 2 * LB_SEC);
 }
 
-/* Calls sent before the breaker opened may fail afterwards; that must not delay the probe. */
+/* Calls sent before the breaker opened may fail after it opened. They must not delay the probe. */
 Test (breaker, late_failures_do_not_delay_the_probe)
 {
   LpBreaker breaker;
   LbTime now = LB_SEC;
 
   lp_breaker_init (&breaker);
-  fail_until_open (&breaker, now);
+  record_failures_until_open (&breaker, now);
   LbTime open_until_before = breaker.open_until;
   for (int i = 0; i < 50; i++)
     cr_assert_not (lp_breaker_record_failure (&breaker, 1, now + 10 * LB_MSEC));
   cr_assert_eq (breaker.open_until, open_until_before);
 }
 
-Test (pacer, keeps_the_rate_when_waiting_as_told)
+Test (pacer, calls_keep_the_rate_when_they_wait_for_the_returned_time)
 {
   LpPacer pacer;
   LbTime now = LB_SEC;
--- a/packages/store/tests/test-follow.c
+++ b/packages/store/tests/test-follow.c
@@ -10,17 +10,17 @@
 typedef struct
 {
   LpPlatform platform;
-  LpListDone done[4]; /* of the pending calls, oldest first */
-  void *user[4];
+  LpListDone done[4]; /* callbacks of the pending calls, oldest first */
+  void *user[4];      /* arguments of these callbacks */
   size_t n_pending;
   int n_lists;
   int n_watches;
-  int64_t watched_after;
-  int n_rows_delivered; /* by the follower */
+  int64_t watched_after; /* argument `after` of the last watch */
+  int n_rows_delivered;  /* number of rows that the follower delivered */
 } FakeStore;
 
 static void
-add_pending (FakeStore *fake, LpListDone done, void *user)
+add_pending_call (FakeStore *fake, LpListDone done, void *user)
 {
   fake->done[fake->n_pending] = done;
   fake->user[fake->n_pending++] = user;
@@ -40,7 +40,7 @@
   FakeStore *fake = (FakeStore *)platform;
 
   fake->n_lists++;
-  add_pending (fake, done, user);
+  add_pending_call (fake, done, user);
 }
 
 static void
@@ -57,7 +57,7 @@
 
   fake->n_watches++;
   fake->watched_after = after;
-  add_pending (fake, done, user);
+  add_pending_call (fake, done, user);
 }
 
 static const LpPlatformClass fake_class = { .list = fake_list, .watch = fake_watch };
@@ -76,7 +76,7 @@
 }
 
 static void
-answer_first (FakeStore *fake, LbErrorCode error, size_t n_rows, int64_t version)
+answer_oldest_call (FakeStore *fake, LbErrorCode error, size_t n_rows, int64_t version)
 {
   const LpRow rows[2] = { { .key = "t/00/a", .value = "1" }, { .key = "t/00/b", .value = "2" } };
   LpListDone done = fake->done[0];
@@ -88,9 +88,9 @@
   done (error, rows, n_rows, version, user);
 }
 
-/* A row may change after its prefix was listed and before the next one is. A watch from the later
- * list's version would never deliver that change. */
-Test (follow, watch_continues_from_the_oldest_list)
+/* A row may change between the lists of two prefixes. A watch from the version of the second list
+ * would never deliver a change to a row of the first prefix. */
+Test (follow, watch_continues_from_the_lowest_list_version)
 {
   FakeStore fake = { .platform.klass = &fake_class };
   LpFollow *follow = lp_follow_new (&fake.platform, &settings, on_rows, &fake);
@@ -98,42 +98,43 @@
   lp_follow_tick (follow, LB_SEC);
   lp_follow_tick (follow, LB_SEC);
   cr_assert_eq (fake.n_lists, 2);
-  answer_first (&fake, LB_OK, 2, 9);
+  answer_oldest_call (&fake, LB_OK, 2, 9);
   cr_assert_not (lp_follow_has_delivered_all_rows (follow));
-  answer_first (&fake, LB_OK, 1, 7);
+  answer_oldest_call (&fake, LB_OK, 1, 7);
   cr_assert (lp_follow_has_delivered_all_rows (follow));
   cr_assert_eq (fake.n_rows_delivered, 3);
   lp_follow_tick (follow, LB_SEC);
   cr_assert_eq (fake.n_watches, 1);
   cr_assert_eq (fake.watched_after, 7);
-  answer_first (&fake, LB_OK, 1, 12);
+  answer_oldest_call (&fake, LB_OK, 1, 12);
   lp_follow_tick (follow, LB_SEC);
   cr_assert_eq (fake.watched_after, 12);
   cr_assert_eq (fake.n_rows_delivered, 4);
   lp_follow_free (follow);
 }
 
-/* If the list of one prefix fails and the others' answers pass for the whole table, its rows are
- * missing for good. */
-Test (follow, partly_failed_list_is_repeated)
+/* If the list of one prefix fails and the lists of the other prefixes count as the whole table, the
+ * rows of the failed prefix are never delivered. */
+Test (follow, all_prefixes_are_listed_again_when_one_list_failed)
 {
   FakeStore fake = { .platform.klass = &fake_class };
   LpFollow *follow = lp_follow_new (&fake.platform, &settings, on_rows, &fake);
 
   lp_follow_tick (follow, LB_SEC);
-  answer_first (&fake, LB_ERROR_STORE_AWAY, 0, 0);
-  answer_first (&fake, LB_OK, 1, 7);
+  answer_oldest_call (&fake, LB_ERROR_STORE_AWAY, 0, 0);
+  answer_oldest_call (&fake, LB_OK, 1, 7);
   cr_assert_not (lp_follow_has_delivered_all_rows (follow));
   LbTime now = lb_clock_monotonic ();
   lp_follow_tick (follow, now);
-  cr_assert_eq (fake.n_lists, 2, "lists again before the retry delay");
+  cr_assert_eq (fake.n_lists, 2, "expected no list before the retry delay has passed");
   lp_follow_tick (follow, now + settings.retry_delay);
   cr_assert_eq (fake.n_lists, 4);
   lp_follow_free (follow);
 }
 
-/* An idle instance reads a row that changes several times per second only periodically, since a
- * watch would deliver each change. Once it has work, it must receive changes at once. */
+/* A watch delivers each change of a row that changes several times per second, so an idle instance
+ * lists it periodically instead. Once the instance has work, it must watch and receive changes
+ * immediately. */
 Test (follow, lists_periodically_until_the_interval_is_cleared)
 {
   FakeStore fake = { .platform.klass = &fake_class };
@@ -142,15 +143,15 @@
 
   lp_follow_set_list_interval (follow, 5 * LB_SEC, now);
   lp_follow_tick (follow, now);
-  answer_first (&fake, LB_OK, 0, 7);
-  answer_first (&fake, LB_OK, 0, 7);
+  answer_oldest_call (&fake, LB_OK, 0, 7);
+  answer_oldest_call (&fake, LB_OK, 0, 7);
   lp_follow_tick (follow, now + 4 * LB_SEC);
   cr_assert_eq (fake.n_lists, 2);
   lp_follow_tick (follow, now + 6 * LB_SEC);
   cr_assert_eq (fake.n_lists, 4);
   cr_assert_eq (fake.n_watches, 0);
-  answer_first (&fake, LB_OK, 1, 9);
-  answer_first (&fake, LB_OK, 1, 9);
+  answer_oldest_call (&fake, LB_OK, 1, 9);
+  answer_oldest_call (&fake, LB_OK, 1, 9);
   lp_follow_set_list_interval (follow, 0, now);
   lp_follow_tick (follow, now);
   cr_assert_eq (fake.n_watches, 1);
@@ -158,31 +159,31 @@
   lp_follow_free (follow);
 }
 
-/* If the store dropped its history while this instance was cut off, no watch delivers the changes
- * of that time, so the rows must be listed again. A watch that only failed continues from its
- * version. */
-Test (follow, lists_again_when_the_history_is_gone)
+/* The store may drop changes while this instance can't reach it. No watch delivers them, so the
+ * rows must be listed again. After any other error the watch continues from its version. */
+Test (follow, lists_again_when_the_store_has_dropped_changes)
 {
   FakeStore fake = { .platform.klass = &fake_class };
   LpFollow *follow = lp_follow_new (&fake.platform, &settings, on_rows, &fake);
   LbTime later = lb_clock_monotonic () + LB_SEC;
 
   lp_follow_tick (follow, later);
-  answer_first (&fake, LB_OK, 0, 7);
-  answer_first (&fake, LB_OK, 0, 7);
+  answer_oldest_call (&fake, LB_OK, 0, 7);
+  answer_oldest_call (&fake, LB_OK, 0, 7);
   lp_follow_tick (follow, later);
-  answer_first (&fake, LB_ERROR_STORE_AWAY, 0, 0);
+  answer_oldest_call (&fake, LB_ERROR_STORE_AWAY, 0, 0);
   lp_follow_tick (follow, later);
   cr_assert_eq (fake.n_watches, 2);
   cr_assert_eq (fake.watched_after, 7);
-  answer_first (&fake, LB_ERROR_NOT_FOUND, 0, 0);
+  answer_oldest_call (&fake, LB_ERROR_NOT_FOUND, 0, 0);
   lp_follow_tick (follow, later);
   cr_assert_eq (fake.n_lists, 4);
   lp_follow_free (follow);
 }
 
-/* Without the history, a starting fleet makes one call for each prefix and instance. */
-Test (follow, new_table_is_read_by_its_history)
+/* One watch from version 0 reads all changes of a new table. Without it, each instance of a
+ * starting fleet calls the store once for each prefix. */
+Test (follow, new_table_is_read_by_one_watch_from_version_0)
 {
   LpFollowSettings history = settings;
   FakeStore fake = { .platform.klass = &fake_class };
@@ -192,7 +193,7 @@
   lp_follow_tick (follow, LB_SEC);
   cr_assert_eq (fake.n_watches, 1);
   cr_assert_eq (fake.watched_after, 0);
-  answer_first (&fake, LB_OK, 2, 9);
+  answer_oldest_call (&fake, LB_OK, 2, 9);
   cr_assert (lp_follow_has_delivered_all_rows (follow));
   lp_follow_tick (follow, LB_SEC);
   cr_assert_eq (fake.watched_after, 9);
@@ -200,8 +201,9 @@
   lp_follow_free (follow);
 }
 
-/* The history of an old table lacks the rows written before it begins. */
-Test (follow, table_without_its_whole_history_is_listed_at_once)
+/* The store has dropped the oldest changes of an old table, so a watch from version 0 would miss
+ * the rows that they wrote. */
+Test (follow, table_with_dropped_changes_is_listed_immediately)
 {
   LpFollowSettings history = settings;
   FakeStore fake = { .platform.klass = &fake_class };
@@ -210,14 +212,15 @@
   LpFollow *follow = lp_follow_new (&fake.platform, &history, on_rows, &fake);
   LbTime now = lb_clock_monotonic ();
   lp_follow_tick (follow, now);
-  answer_first (&fake, LB_ERROR_NOT_FOUND, 0, 0);
+  answer_oldest_call (&fake, LB_ERROR_NOT_FOUND, 0, 0);
   cr_assert_not (lp_follow_has_delivered_all_rows (follow));
   lp_follow_tick (follow, now);
   cr_assert_eq (fake.n_lists, 2);
   lp_follow_free (follow);
 }
 
-/* Calls that a busy store refused must not return at the same rate and be refused again. */
+/* Calls that a busy store has refused must back off. Retried at a constant rate, they would be
+ * refused again. */
 Test (follow, busy_store_is_retried_with_growing_delays)
 {
   FakeStore fake = { .platform.klass = &fake_class };
@@ -230,16 +233,16 @@
       lp_follow_tick (follow, now);
       cr_assert_eq (fake.n_lists, 2 * refused);
       now = lb_clock_monotonic ();
-      answer_first (&fake, LB_ERROR_STORE_BUSY, 0, 0);
-      answer_first (&fake, LB_ERROR_STORE_BUSY, 0, 0);
+      answer_oldest_call (&fake, LB_ERROR_STORE_BUSY, 0, 0);
+      answer_oldest_call (&fake, LB_ERROR_STORE_BUSY, 0, 0);
       lp_follow_tick (follow, now + retry - 1);
-      cr_assert_eq (fake.n_lists, 2 * refused, "retried before the backoff ended");
+      cr_assert_eq (fake.n_lists, 2 * refused, "expected no retry before the backoff has ended");
       now += 2 * retry + LB_SEC;
     }
   lp_follow_free (follow);
 }
 
-/* Without the delay, each instance of a fleet gets an answer for each change of a table. */
+/* Without the watch delay, the store sends each change of a table to each instance of a fleet. */
 Test (follow, changes_within_the_watch_delay_share_one_answer)
 {
   FakeStore fake = { .platform.klass = &fake_class };
@@ -247,12 +250,12 @@
 
   lp_follow_set_watch_delay (follow, 2 * LB_SEC);
   lp_follow_tick (follow, LB_SEC);
-  answer_first (&fake, LB_OK, 0, 7);
-  answer_first (&fake, LB_OK, 0, 7);
+  answer_oldest_call (&fake, LB_OK, 0, 7);
+  answer_oldest_call (&fake, LB_OK, 0, 7);
   lp_follow_tick (follow, LB_SEC);
   cr_assert_eq (fake.n_watches, 1);
   LbTime now = lb_clock_monotonic ();
-  answer_first (&fake, LB_OK, 1, 8);
+  answer_oldest_call (&fake, LB_OK, 1, 8);
   lp_follow_tick (follow, now + LB_SEC);
   cr_assert_eq (fake.n_watches, 1);
   lp_follow_tick (follow, now + 3 * LB_SEC);
--- a/packages/store/tests/test-http.c
+++ b/packages/store/tests/test-http.c
@@ -8,7 +8,7 @@
 
 #define DEADLINE (600 * LB_MSEC)
 
-/* The HTTP adapter and the platform's stand-in in one event loop. */
+/* The HTTP platform and a fake server for it, in one event loop. */
 typedef struct
 {
   struct event_base *base;
@@ -24,7 +24,7 @@
   char key[32];
   char value[64];
   size_t n_rows;
-  int order; /* number of transactions answered before it */
+  int order; /* number of transactions answered before this one */
 } CallResult;
 
 static int n_answered;
@@ -49,7 +49,7 @@
 }
 
 static void
-set_fault (Fixture *fixture, const char *text)
+set_store_fault (Fixture *fixture, const char *text)
 {
   struct json_object *order = json_tokener_parse (text);
 
@@ -101,15 +101,16 @@
   result->version = version;
 }
 
-/* Ends, since every call is answered at the latest after its deadline. */
+/* Runs the event loop until the call is answered, at the latest after its deadline. */
 static void
-wait_for (Fixture *fixture, const CallResult *result)
+wait_for_answer (Fixture *fixture, const CallResult *result)
 {
   while (result->n_callbacks == 0)
     event_base_loop (fixture->base, EVLOOP_ONCE);
   cr_assert_eq (result->n_callbacks, 1);
 }
 
+/* Starts a transaction with the value as its token. A "!" in the value requests a read-back. */
 static void
 start_put (
     Fixture *fixture, const char *key, const char *value, LpPriority priority, CallResult *result)
@@ -124,51 +125,51 @@
 }
 
 static CallResult
-put (Fixture *fixture, const char *key, const char *value)
+put_and_wait (Fixture *fixture, const char *key, const char *value)
 {
   CallResult result;
 
   start_put (fixture, key, value, LP_PRIORITY_CONFIG, &result);
-  wait_for (fixture, &result);
+  wait_for_answer (fixture, &result);
   return result;
 }
 
 static CallResult
-get (Fixture *fixture, const char *key)
+get_and_wait (Fixture *fixture, const char *key)
 {
   CallResult result = { 0 };
 
   fixture->platform->klass->get (fixture->platform, key, on_rows, &result);
-  wait_for (fixture, &result);
+  wait_for_answer (fixture, &result);
   return result;
 }
 
-Test (http, table_round_trip)
+Test (http, rows_are_written_and_read_back_and_a_failed_condition_is_reported)
 {
   Fixture fixture;
   CallResult result;
 
   fixture_init (&fixture, 0);
-  result = put (&fixture, "a/b c&d", "v1");
+  result = put_and_wait (&fixture, "a/b c&d", "v1");
   cr_assert_eq (result.error, LB_OK);
   cr_assert_gt (result.version, 0);
-  result = get (&fixture, "a/b c&d");
+  result = get_and_wait (&fixture, "a/b c&d");
   cr_assert_str_eq (result.value, "v1");
-  cr_assert_eq (get (&fixture, "none").error, LB_ERROR_NOT_FOUND);
+  cr_assert_eq (get_and_wait (&fixture, "none").error, LB_ERROR_NOT_FOUND);
 
   const LpCondition condition = { .key = "a/b c&d", .version = 0 };
   const LpTransaction refused = { .token = "t", .conditions = &condition, .n_conditions = 1 };
   CallResult conflict = { 0 };
   fixture.platform->klass->transact (fixture.platform, &refused, LP_PRIORITY_CONFIG, on_transact,
                                      &conflict);
-  wait_for (&fixture, &conflict);
+  wait_for_answer (&fixture, &conflict);
   cr_assert_eq (conflict.error, LB_ERROR_CONDITION_FAILED);
   cr_assert_str_eq (conflict.key, "a/b c&d");
   cr_assert_gt (conflict.version, 0);
   fixture_clear (&fixture);
 }
 
-Test (http, scan_gathers_all_pages)
+Test (http, scan_returns_the_rows_of_all_pages)
 {
   Fixture fixture;
   CallResult result = { 0 };
@@ -184,45 +185,45 @@
       lp_store_transact (fixture.store.store, &transaction, &row);
     }
   fixture.platform->klass->scan (fixture.platform, "p/", on_rows, &result);
-  wait_for (&fixture, &result);
+  wait_for_answer (&fixture, &result);
   cr_assert_eq (result.n_rows, 1200);
   fixture_clear (&fixture);
 }
 
-Test (http, objects_and_weights_round_trip)
+Test (http, objects_and_weight_versions_are_read_back)
 {
   Fixture fixture;
   CallResult written = { 0 }, read = { 0 }, absent = { 0 }, none = { 0 }, newest = { 0 };
 
   fixture_init (&fixture, 0);
   fixture.platform->klass->put_object (fixture.platform, "s/1", "bytes", 5, on_object, &written);
-  wait_for (&fixture, &written);
+  wait_for_answer (&fixture, &written);
   fixture.platform->klass->get_object (fixture.platform, "s/1", on_object, &read);
-  wait_for (&fixture, &read);
+  wait_for_answer (&fixture, &read);
   cr_assert_str_eq (read.value, "bytes");
   fixture.platform->klass->get_object (fixture.platform, "s/2", on_object, &absent);
-  wait_for (&fixture, &absent);
+  wait_for_answer (&fixture, &absent);
   cr_assert_eq (absent.error, LB_ERROR_NOT_FOUND);
   fixture.platform->klass->get_weights (fixture.platform, "reader", on_weights, &none);
-  wait_for (&fixture, &none);
+  wait_for_answer (&fixture, &none);
   cr_assert_eq (none.error, LB_ERROR_NOT_FOUND);
   lp_store_set_weight_version (fixture.store.store, "reader", 41);
   fixture.platform->klass->get_weights (fixture.platform, "reader", on_weights, &newest);
-  wait_for (&fixture, &newest);
+  wait_for_answer (&fixture, &newest);
   cr_assert_eq (newest.version, 41);
   fixture_clear (&fixture);
 }
 
-/* A change is applied and its reply is lost. The client must neither report a failure nor apply it
- * twice: it retries with the same token and gets the first outcome. */
+/* A write is applied but its reply is lost. The client must neither report a failure nor apply the
+ * write twice: it retries with the same token and gets the first outcome. */
 Test (http, write_with_a_lost_reply_is_retried_and_applied_once)
 {
   Fixture fixture;
   CallResult result;
 
   fixture_init (&fixture, 0);
-  set_fault (&fixture, "{\"mode\": \"lose_reply\", \"count\": 1}");
-  result = put (&fixture, "k", "v1");
+  set_store_fault (&fixture, "{\"mode\": \"lose_reply\", \"count\": 1}");
+  result = put_and_wait (&fixture, "k", "v1");
   cr_assert_eq (result.error, LB_OK);
   cr_assert_eq (fixture.store.writes, 2);
   cr_assert_eq (lp_store_get_row (fixture.store.store, "k")->version, 1);
@@ -230,38 +231,38 @@
   fixture_clear (&fixture);
 }
 
-/* Every reply is lost until the deadline, but the write was applied. STORE_AWAY means "not
- * applied", and a lease holder or an operator would act on it. */
-Test (http, unanswered_write_is_unknown_and_never_away)
+/* The write is applied, but every reply is lost until the deadline. STORE_AWAY would tell a lease
+ * holder or an operator that it was not applied. */
+Test (http, write_without_replies_has_an_unknown_outcome)
 {
   Fixture fixture;
   CallResult result;
 
   fixture_init (&fixture, 0);
-  set_fault (&fixture, "{\"mode\": \"lose_reply\"}");
-  result = put (&fixture, "k", "v1");
+  set_store_fault (&fixture, "{\"mode\": \"lose_reply\"}");
+  result = put_and_wait (&fixture, "k", "v1");
   cr_assert_eq (result.error, LB_ERROR_STORE_UNKNOWN);
   cr_assert_str_eq (lp_store_get_row (fixture.store.store, "k")->value, "v1");
   fixture_clear (&fixture);
 }
 
-/* As above, but reads are answered and the caller requested the read-back: its own value in the row
- * proves that the transaction was applied. */
-Test (http, unknown_write_is_read_back_on_request)
+/* No reply to the write arrives, but reads are answered and the caller requested a read-back. Its
+ * own value in the row proves that the transaction was applied. */
+Test (http, unknown_outcome_is_resolved_by_reading_the_row_back)
 {
   Fixture fixture;
   CallResult result;
 
   fixture_init (&fixture, 0);
-  /* Slow, so that there are fewer attempts than failures needed to open the breaker. */
-  set_fault (&fixture, "{\"mode\": \"slow\", \"ms\": 10000, \"path\": \"/table/transact\"}");
-  result = put (&fixture, "k", "mine!");
+  /* A slow server allows fewer attempts than the number of failures that opens the breaker. */
+  set_store_fault (&fixture, "{\"mode\": \"slow\", \"ms\": 10000, \"path\": \"/table/transact\"}");
+  result = put_and_wait (&fixture, "k", "mine!");
   cr_assert_eq (result.error, LB_OK);
   cr_assert_eq (result.version, lp_store_get_row (fixture.store.store, "k")->version);
   fixture_clear (&fixture);
 }
 
-/* Nothing listens at the address: no byte left this process, so the write was not applied. */
+/* Nothing listens at the address. No byte was sent, so the write was certainly not applied. */
 Test (http, refused_connection_proves_the_write_not_applied)
 {
   Fixture fixture;
@@ -275,53 +276,54 @@
   strcpy (settings.address, gone.server.address);
   si_platform_clear (&gone);
   fixture.platform = lp_http_new (fixture.base, &settings);
-  result = put (&fixture, "k", "v1");
+  result = put_and_wait (&fixture, "k", "v1");
   cr_assert_eq (result.error, LB_ERROR_STORE_AWAY);
   fixture.platform->klass->free (fixture.platform);
   fixture.platform = reachable;
   fixture_clear (&fixture);
 }
 
-/* While the store hangs, calls must not each wait for it: after a few failures they fail at once as
- * not applied and put no load on the store. A recovered store is used without a restart. */
+/* While the store hangs, calls must not each wait for their deadline. After a few failures they
+ * fail immediately as not applied, and are not sent. The client must use a recovered store without
+ * a restart. */
 Test (http, breaker_fails_fast_and_recovers_with_the_store)
 {
   Fixture fixture;
   CallResult result;
 
   fixture_init (&fixture, 0);
-  set_fault (&fixture, "{\"mode\": \"hang\"}");
+  set_store_fault (&fixture, "{\"mode\": \"hang\"}");
   for (int i = 0; i < 10; i++)
-    put (&fixture, "k", "v1");
+    put_and_wait (&fixture, "k", "v1");
   int64_t before = fixture.store.received;
-  result = put (&fixture, "k", "v2");
+  result = put_and_wait (&fixture, "k", "v2");
   cr_assert_eq (result.error, LB_ERROR_STORE_AWAY);
   cr_assert_eq (fixture.store.received, before);
-  set_fault (&fixture, "{\"mode\": \"none\"}");
-  while ((result = put (&fixture, "k", "v3")).error != LB_OK)
+  set_store_fault (&fixture, "{\"mode\": \"none\"}");
+  while ((result = put_and_wait (&fixture, "k", "v3")).error != LB_OK)
     cr_assert_eq (result.error, LB_ERROR_STORE_AWAY);
-  cr_assert_str_eq (get (&fixture, "k").value, "v3");
+  cr_assert_str_eq (get_and_wait (&fixture, "k").value, "v3");
   fixture_clear (&fixture);
 }
 
-Test (http, busy_is_retried_and_then_reported)
+Test (http, busy_store_is_retried_then_reported_at_the_deadline)
 {
   Fixture fixture;
   CallResult result;
 
   fixture_init (&fixture, 0);
-  set_fault (&fixture, "{\"mode\": \"busy\", \"count\": 2}");
-  cr_assert_eq (put (&fixture, "k", "v1").error, LB_OK);
-  set_fault (&fixture, "{\"mode\": \"busy\"}");
-  result = put (&fixture, "k", "v2");
+  set_store_fault (&fixture, "{\"mode\": \"busy\", \"count\": 2}");
+  cr_assert_eq (put_and_wait (&fixture, "k", "v1").error, LB_OK);
+  set_store_fault (&fixture, "{\"mode\": \"busy\"}");
+  result = put_and_wait (&fixture, "k", "v2");
   cr_assert_eq (result.error, LB_ERROR_STORE_BUSY);
   cr_assert_str_eq (lp_store_get_row (fixture.store.store, "k")->value, "v1");
   fixture_clear (&fixture);
 }
 
-/* A burst of status rows uses up this instance's rate limit just as its lease is due. If the
- * renewal waited behind them, the lease would expire and another instance take over a healthy one's
- * work. */
+/* A burst of status rows uses up an instance's rate limit when its lease must be renewed. If the
+ * renewal waited behind the status rows, the lease would expire and another instance would take
+ * over the work of a healthy one. */
 Test (http, lease_is_sent_before_status_rows_at_the_rate_limit)
 {
   Fixture fixture;
@@ -336,7 +338,7 @@
       start_put (&fixture, value, value, LP_PRIORITY_STATUS, &status[i]);
     }
   start_put (&fixture, "lease", "l", LP_PRIORITY_LEASE, &lease);
-  wait_for (&fixture, &lease);
+  wait_for_answer (&fixture, &lease);
   cr_assert_eq (lease.error, LB_OK);
   cr_assert_lt (lease.order, 12);
   fixture_clear (&fixture);
--- a/packages/store/tests/test-path.c
+++ b/packages/store/tests/test-path.c
@@ -11,8 +11,8 @@
   lp_path_record_direct_result (path, false, now);
 }
 
-/* One instance is cut off from the store for seven seconds while the others reach it. Its batches
- * would be taken over and their unfinished work lost, so its calls go through a peer. */
+/* One instance can't reach the store for seven seconds, while other instances can. Its batches
+ * would be taken over and their unfinished work lost, so its calls must go through a peer. */
 Test (path, uses_a_peer_while_the_direct_path_is_down)
 {
   LpPath path = { 0 };
@@ -27,9 +27,9 @@
   cr_assert_not_null (lp_path_choose_peer (&path));
 }
 
-/* A third of the instances, the lease holder among them, is cut off for twelve seconds. Each call
- * went to the next peer and lost a second whenever that one was cut off too, so the holder learned
- * of new weights four seconds late. An answering peer must be kept and a failed one replaced. */
+/* A third of the instances, including a lease holder, could not reach the store for twelve seconds.
+ * Each call used the next peer and lost a second at each disconnected one, so the holder learned of
+ * new weights four seconds late. A peer that answers must be kept, and one that fails replaced. */
 Test (path, answering_peer_is_kept_and_a_failed_one_is_replaced)
 {
   LpPath path = { 0 };
@@ -46,8 +46,8 @@
                     "an earlier call through the first peer must not replace the second");
 }
 
-/* An instance that starts or stops changes the list of peers; calls stay with the one in use. */
-Test (path, peer_in_use_survives_a_change_of_the_list)
+/* The list of peers changes when an instance starts or stops. Calls must keep the peer in use. */
+Test (path, peer_in_use_is_kept_when_the_peer_list_changes)
 {
   static const LbName fewer[] = { "10.0.0.9:7660", "10.0.0.3:7660" };
   LpPath path = { .seed = 1 };
@@ -59,7 +59,8 @@
   cr_assert_str_eq (lp_path_choose_peer (&path), peers[1]);
 }
 
-/* When twenty instances were cut off at once, all of them called the first peer of the list. */
+/* When twenty instances lost the store at once, all of them called the first peer of the list. The
+ * seed must make them use different peers. */
 Test (path, instances_start_with_different_peers)
 {
   LpPath one = { .seed = 4 };
@@ -70,23 +71,26 @@
   cr_assert_str_neq (lp_path_current_peer (&one), lp_path_current_peer (&other));
 }
 
-/* While the direct path is down, only a periodic probe uses it, not the calls themselves. */
+/* While the direct path is down, only a periodic probe uses it; calls go through a peer. */
 Test (path, periodic_probe_detects_the_recovered_direct_path)
 {
   LpPath path = { 0 };
   LbTime now = LB_SEC;
 
   lp_path_set_peers (&path, peers, 3);
-  cr_assert_not (lp_path_start_probe_if_due (&path, now), "a probe while the direct path is up");
+  cr_assert_not (lp_path_start_probe_if_due (&path, now),
+                 "expected no probe while the direct path is up");
   mark_direct_down (&path, now);
   cr_assert_not (lp_path_start_probe_if_due (&path, now));
   now += LB_SEC;
   cr_assert (lp_path_start_probe_if_due (&path, now));
-  cr_assert_not (lp_path_start_probe_if_due (&path, now), "a second probe within the period");
+  cr_assert_not (lp_path_start_probe_if_due (&path, now),
+                 "expected no second probe within the probe period");
   lp_path_record_direct_result (&path, false, now);
   cr_assert_not_null (lp_path_choose_peer (&path));
   lp_path_record_direct_result (&path, true, now);
-  cr_assert_null (lp_path_choose_peer (&path), "the direct path has recovered");
+  cr_assert_null (lp_path_choose_peer (&path),
+                  "expected direct calls after the direct path has recovered");
 }
 
 Test (path, without_peers_calls_stay_on_the_direct_path)
@@ -97,5 +101,5 @@
   cr_assert_null (lp_path_choose_peer (&path));
   cr_assert_null (lp_path_current_peer (&path));
   cr_assert_not (lp_path_start_probe_if_due (&path, 9 * LB_SEC),
-                 "calls use the direct path themselves");
+                 "expected no probe, since calls use the direct path");
 }
--- a/packages/store/tests/test-store.c
+++ b/packages/store/tests/test-store.c
@@ -5,12 +5,12 @@
 #include <string.h>
 
 static LbErrorCode
-put (LpStore *store,
-     const char *token,
-     const char *key,
-     int64_t expected_version,
-     const char *value,
-     LpRow *row)
+put_if_version (LpStore *store,
+                const char *token,
+                const char *key,
+                int64_t expected_version,
+                const char *value,
+                LpRow *row)
 {
   const LpCondition condition = { .key = key, .version = expected_version };
   const LpPut change = { .key = key, .value = value };
@@ -26,50 +26,50 @@
   LpStore *store = lp_store_new ();
   LpRow row;
 
-  cr_assert_eq (put (store, "t1", "k", 0, "a", &row), LB_OK);
+  cr_assert_eq (put_if_version (store, "t1", "k", 0, "a", &row), LB_OK);
   int64_t first = row.version;
-  cr_assert_eq (put (store, "t2", "k", 0, "b", &row), LB_ERROR_CONDITION_FAILED);
+  cr_assert_eq (put_if_version (store, "t2", "k", 0, "b", &row), LB_ERROR_CONDITION_FAILED);
   cr_assert_str_eq (row.key, "k");
   cr_assert_eq (row.version, first);
   cr_assert_str_eq (lp_store_get_row (store, "k")->value, "a");
-  cr_assert_eq (put (store, "t3", "k", first, "b", &row), LB_OK);
+  cr_assert_eq (put_if_version (store, "t3", "k", first, "b", &row), LB_OK);
   cr_assert_gt (row.version, first);
   lp_store_free (store);
 }
 
-/* A change is applied and its reply is lost, so the client repeats it. Applied a second time, it
- * would fail its own condition, and the operator would see a conflict with their own change. */
+/* A write is applied but its reply is lost, so the client repeats the write. Applied a second time,
+ * its condition would fail, and the operator would see a conflict with their own change. */
 Test (store, repeated_token_gets_the_first_answer)
 {
   LpStore *store = lp_store_new ();
   LpRow row;
 
-  cr_assert_eq (put (store, "t1", "k", 0, "a", &row), LB_OK);
+  cr_assert_eq (put_if_version (store, "t1", "k", 0, "a", &row), LB_OK);
   int64_t first = row.version;
-  cr_assert_eq (put (store, "t2", "k", first, "b", &row), LB_OK);
-  cr_assert_eq (put (store, "t1", "k", 0, "a", &row), LB_OK);
+  cr_assert_eq (put_if_version (store, "t2", "k", first, "b", &row), LB_OK);
+  cr_assert_eq (put_if_version (store, "t1", "k", 0, "a", &row), LB_OK);
   cr_assert_eq (row.version, first);
   cr_assert_str_eq (lp_store_get_row (store, "k")->value, "b");
   lp_store_free (store);
 }
 
-/* A lease row is deleted and created again by another holder while the first is paused. If versions
- * started at one again, the first holder's old version would match the new row. */
+/* While a lease holder is paused, its lease row is deleted and created again by another holder. If
+ * versions started at 1 again, the first holder's old version would match the new row. */
 Test (store, version_is_not_reused_after_a_delete)
 {
   LpStore *store = lp_store_new ();
   LpRow row;
 
-  put (store, "t1", "k", 0, "a", &row);
+  put_if_version (store, "t1", "k", 0, "a", &row);
   int64_t first = row.version;
-  cr_assert_eq (put (store, "t2", "k", first, NULL, &row), LB_OK);
+  cr_assert_eq (put_if_version (store, "t2", "k", first, NULL, &row), LB_OK);
   cr_assert_null (lp_store_get_row (store, "k"));
-  cr_assert_eq (put (store, "t3", "k", 0, "c", &row), LB_OK);
+  cr_assert_eq (put_if_version (store, "t3", "k", 0, "c", &row), LB_OK);
   cr_assert_gt (row.version, first);
   lp_store_free (store);
 }
 
-Test (store, scans_a_prefix_in_key_order)
+Test (store, rows_of_a_prefix_are_returned_in_key_order)
 {
   static const char *const keys[] = { "b/2", "a/9", "b/10", "c", "b/" };
   static const char *const expected[] = { "b/", "b/10", "b/2" };
@@ -81,7 +81,7 @@
   for (size_t i = 0; i < 5; i++)
     {
       snprintf (token, sizeof token, "%zu", i);
-      put (store, token, keys[i], 0, "v", &row);
+      put_if_version (store, token, keys[i], 0, "v", &row);
     }
   for (const LpRow *next = lp_store_next_row (store, "b/", NULL); next;
        next = lp_store_next_row (store, "b/", next->key))
