--- a/standins/si-endpoint.c
+++ b/standins/si-endpoint.c
@@ -158,20 +158,20 @@
 handle_order (SiEndpoint *endpoint, struct evhttp_request *request)
 {
   struct json_object *order = si_request_json (request);
-  int64_t fence = si_json_int (order, "fence", 0);
-  int64_t version = si_json_int (order, "version", 0);
+  int64_t fence = si_json_get_int (order, "fence", 0);
+  int64_t version = si_json_get_int (order, "version", 0);
   int status = 202;
 
   if (fence < endpoint->last_fence)
     status = 412;
   else if (endpoint->loading_version != 0
-           || si_json_int (order, "expected", endpoint->accepted_orders)
+           || si_json_get_int (order, "expected", endpoint->accepted_orders)
                   != endpoint->accepted_orders)
     status = 409;
   else if (version == endpoint->version)
     status = 200;
   if (endpoint->listener && endpoint->listener->on_order)
-    endpoint->listener->on_order (endpoint, si_json_text (order, "holder", ""), fence,
+    endpoint->listener->on_order (endpoint, si_json_get_text (order, "holder", ""), fence,
                                   status == 202, endpoint->user);
   json_object_put (order);
   if (status == 202)
