--- a/standins/si-checked-call.c
+++ b/standins/si-checked-call.c
@@ -62,9 +62,9 @@
     return NULL;
   choice = json_object_array_get_idx (choices, 0);
   if (call->kind != SI_CHECKED_CALL_CHAT)
-    return si_json_text (choice, "text", NULL);
+    return si_json_get_text (choice, "text", NULL);
   return json_object_object_get_ex (choice, chat_key, &message)
-             ? si_json_text (message, "content", NULL)
+             ? si_json_get_text (message, "content", NULL)
              : NULL;
 }
 
@@ -74,7 +74,7 @@
   struct json_object *error;
 
   if (json_object_object_get_ex (object, "error", &error))
-    LB_COPY (call->result.error, si_json_text (error, "type", "untyped"));
+    LB_COPY (call->result.error, si_json_get_text (error, "type", "untyped"));
 }
 
 static void
@@ -130,7 +130,7 @@
   bool is_correct;
 
   if (object && call->kind == SI_CHECKED_CALL_SERVICE)
-    text = si_json_text (object, "body", NULL);
+    text = si_json_get_text (object, "body", NULL);
   else if (object)
     text = get_choice_text (call, object, "message");
   is_correct = text && strcmp (text, call->expected) == 0;
--- a/standins/si-client.c
+++ b/standins/si-client.c
@@ -120,7 +120,7 @@
 }
 
 const char *
-si_response_error (SiResponse *response)
+si_response_get_error_type (SiResponse *response)
 {
   struct json_object *object, *error;
 
@@ -128,7 +128,7 @@
     return lb_error_name (response->failure);
   object = json_tokener_parse (response->body);
   if (object && json_object_object_get_ex (object, "error", &error))
-    LB_COPY (response->error, si_json_text (error, "type", "untyped"));
+    LB_COPY (response->error, si_json_get_text (error, "type", "untyped"));
   else
     LB_COPY (response->error, "untyped");
   json_object_put (object);
--- a/standins/si-client.h
+++ b/standins/si-client.h
@@ -20,7 +20,7 @@
   bool not_run;       /* header x-not-run is present */
   LbTime retry_after; /* header x-retry-after-ms; 0: absent */
   LbTime duration;
-  LbName error; /* buffer for si_response_error */
+  LbName error; /* buffer for si_response_get_error_type */
 } SiResponse;
 
 typedef struct
@@ -48,6 +48,6 @@
 bool si_response_is_ok (const SiResponse *response);
 /* The error type in the body, or the name of the exchange's failure. Valid until
  * si_response_clear. */
-const char *si_response_error (SiResponse *response);
+const char *si_response_get_error_type (SiResponse *response);
 
 #endif
--- a/standins/si-control-plane.c
+++ b/standins/si-control-plane.c
@@ -17,7 +17,7 @@
 static void
 record_report (SiControlPlane *control_plane, const char *duty_holder, struct json_object *body)
 {
-  int64_t window_sequence = si_json_int (body, "windowSeq", -1);
+  int64_t window_sequence = si_json_get_int (body, "windowSeq", -1);
   struct json_object *counts = NULL;
   SiUsageReport *report = find_report (control_plane, window_sequence);
 
@@ -41,10 +41,10 @@
 {
   SiScaleOrder *order = &control_plane->orders[control_plane->n_orders++ % SI_MAX_ORDERS];
 
-  LB_COPY (order->service, si_json_text (body, "service", ""));
-  LB_COPY (order->data_centre, si_json_text (body, "zone", ""));
-  order->endpoints = si_json_int (body, "targetGroups", -1);
-  order->is_spot = si_json_bool (body, "spot", false);
+  LB_COPY (order->service, si_json_get_text (body, "service", ""));
+  LB_COPY (order->data_centre, si_json_get_text (body, "zone", ""));
+  order->endpoints = si_json_get_int (body, "targetGroups", -1);
+  order->is_spot = si_json_get_bool (body, "spot", false);
 }
 
 /* Returns the HTTP status with which the call is answered. */
@@ -101,14 +101,15 @@
 }
 
 int64_t
-si_control_plane_count_requests (const SiControlPlane *control_plane, const char *organisation)
+si_control_plane_count_reported_requests (const SiControlPlane *control_plane,
+                                          const char *organisation)
 {
   int64_t n_requests = 0;
 
   for (size_t i = 0; i < control_plane->n_reports; i++)
     {
       struct json_object *counts = json_tokener_parse (control_plane->reports[i].counts);
-      n_requests += si_json_int (counts, organisation, 0);
+      n_requests += si_json_get_int (counts, organisation, 0);
       json_object_put (counts);
     }
   return n_requests;
--- a/standins/si-control-plane.h
+++ b/standins/si-control-plane.h
@@ -50,7 +50,7 @@
 bool si_control_plane_init (SiControlPlane *control_plane, struct event_base *base);
 void si_control_plane_clear (SiControlPlane *control_plane);
 /* The organisation's requests summed over all reported windows. */
-int64_t si_control_plane_count_requests (const SiControlPlane *control_plane,
-                                         const char *organisation);
+int64_t si_control_plane_count_reported_requests (const SiControlPlane *control_plane,
+                                                  const char *organisation);
 
 #endif
--- a/standins/si-endpoint.c
+++ b/standins/si-endpoint.c
@@ -69,7 +69,7 @@
   (void)connection;
   Stream *stream = user;
 
-  stream->endpoint->cancelled++;
+  stream->endpoint->cancelled_streams++;
   si_request_release (stream->request);
   stream_free (stream);
 }
@@ -84,8 +84,8 @@
     evbuffer_add_printf (event, "weight-versions: %lld\n", (long long)endpoint->version);
   stream->version = endpoint->version;
   evbuffer_add_printf (event, "id: %lld\ndata: %s.%lld%*s", (long long)stream->next_event,
-                       stream->record->attempt_id, (long long)stream->next_event, endpoint->padding,
-                       "");
+                       stream->record->attempt_id, (long long)stream->next_event,
+                       endpoint->event_padding_size, "");
   if (endpoint->reports_version)
     evbuffer_add_printf (event, " v%lld", (long long)endpoint->version);
   evbuffer_add_printf (event, "\n\n");
@@ -158,20 +158,20 @@
 handle_order (SiEndpoint *endpoint, struct evhttp_request *request)
 {
   struct json_object *order = si_request_json (request);
-  int64_t fence = si_json_int (order, "fence", 0);
-  int64_t version = si_json_int (order, "version", 0);
+  int64_t fence = si_json_get_int (order, "fence", 0);
+  int64_t version = si_json_get_int (order, "version", 0);
   int status = 202;
 
   if (fence < endpoint->last_fence)
     status = 412;
   else if (endpoint->loading_version != 0
-           || si_json_int (order, "expected", endpoint->accepted_orders)
+           || si_json_get_int (order, "expected", endpoint->accepted_orders)
                   != endpoint->accepted_orders)
     status = 409;
   else if (version == endpoint->version)
     status = 200;
   if (endpoint->listener && endpoint->listener->on_order)
-    endpoint->listener->on_order (endpoint, si_json_text (order, "holder", ""), fence,
+    endpoint->listener->on_order (endpoint, si_json_get_text (order, "holder", ""), fence,
                                   status == 202, endpoint->user);
   json_object_put (order);
   if (status == 202)
@@ -409,7 +409,7 @@
     handle_call (endpoint, request);
   else if (endpoint->loading_version != 0)
     {
-      endpoint->refused++;
+      endpoint->refused_requests++;
       add_header (request, "Not-Run", "1");
       evhttp_send_reply (request, 503, NULL, NULL);
     }
@@ -424,7 +424,7 @@
 
   if (is_misdirected (endpoint, request))
     {
-      endpoint->misdirected++;
+      endpoint->misdirected_requests++;
       evhttp_send_reply (request, 421, NULL, NULL);
     }
   else if (si_request_is (request, EVHTTP_REQ_POST, "/-/order"))
@@ -449,7 +449,7 @@
   si_json_set_text (object, "version", "v1");
   si_json_set_int (object, "slots", 8);
   si_json_set_int (object, "coldLeftMs", 0);
-  si_json_set_int (object, "seq", ++endpoint->registrations);
+  si_json_set_int (object, "seq", ++endpoint->entry_sequence);
   si_json_set_int (object, "born", endpoint->start_ms);
   si_json_set_text (object, "state", endpoint->draining ? "draining" : "ready");
   json_object_object_add (object, "models", models_to_json (endpoint));
--- a/standins/si-endpoint.h
+++ b/standins/si-endpoint.h
@@ -41,27 +41,27 @@
   int64_t version;
   int64_t loading_version; /* 0: none is being loaded */
   int64_t accepted_orders;
-  int64_t start_ms;      /* Unix time of the last start; identifies the incarnation */
-  int64_t registrations; /* number of the last entry written to the store */
+  int64_t start_ms;       /* Unix time of the last start; identifies the incarnation */
+  int64_t entry_sequence; /* number of the last entry written to the store */
   int64_t last_fence;
   bool draining;
-  int n_events;          /* of each stream */
-  int padding;           /* extra bytes in each event */
-  LbTime event_interval; /* between two events of a stream */
-  LbTime load_time;      /* of weights */
+  int n_events;           /* of each stream */
+  int event_padding_size; /* extra bytes in each event */
+  LbTime event_interval;  /* between two events of a stream */
+  LbTime load_time;       /* of weights */
   struct event *register_timer;
   struct event *load_timer;
   LbList streams;
   LbList running_calls; /* of a plain service */
   SiStreamRecord stream_records[SI_MAX_STREAM_RECORDS];
   size_t n_stream_records;
-  int refused;     /* requests refused while loading weights */
-  int misdirected; /* requests addressed to another endpoint */
+  int refused_requests;     /* requests refused while loading weights */
+  int misdirected_requests; /* requests addressed to another endpoint */
   /* Values of the last request's tenant headers, concatenated. */
   LbName organisation;
   int leaked_keys;           /* requests that carried a caller's Api-Key header */
   int n_calls;               /* received by a plain service */
-  int cancelled;             /* streams whose caller disconnected */
+  int cancelled_streams;     /* streams whose caller disconnected */
   bool reports_version;      /* events name their weight version */
   LbName advertised_address; /* address in the store's entry; empty: the server's own */
   LbTime call_duration;      /* of a call to a plain service */
--- a/standins/si-engine-orders.c
+++ b/standins/si-engine-orders.c
@@ -61,8 +61,8 @@
 {
   struct json_object *reply = json_object_new_object ();
 
-  if (strcmp (si_json_text (order, "order", ""), "load_weights") == 0)
-    start_weight_load (engine, si_json_int (order, "version", 0));
+  if (strcmp (si_json_get_text (order, "order", ""), "load_weights") == 0)
+    start_weight_load (engine, si_json_get_int (order, "version", 0));
   json_object_object_add (reply, "accepted", json_object_new_boolean (true));
   si_reply_json (request, 202, reply);
 }
@@ -70,10 +70,10 @@
 static bool
 is_valid_order (struct json_object *order)
 {
-  const char *name = si_json_text (order, "order", "");
+  const char *name = si_json_get_text (order, "order", "");
 
   if (strcmp (name, "load_weights") == 0)
-    return si_json_int (order, "version", 0) > 0;
+    return si_json_get_int (order, "version", 0) > 0;
   return strcmp (name, "load_adapter") == 0 || strcmp (name, "change_role") == 0;
 }
 
@@ -87,7 +87,7 @@
       si_reply_error (request, 400, "bad_value");
       goto out;
     }
-  int64_t fence = si_json_int (order, "fence", 0);
+  int64_t fence = si_json_get_int (order, "fence", 0);
   if (engine->settings.checks_fence && fence < engine->fence)
     {
       reply_stale_fence (engine, request);
--- a/standins/si-engine-run.c
+++ b/standins/si-engine-run.c
@@ -393,11 +393,11 @@
 
   if (!json_object_object_get_ex (body, "resume", &resume))
     return;
-  run->first_token = si_json_int (resume, "offset", 0);
+  run->first_token = si_json_get_int (resume, "offset", 0);
   run->next_token = run->first_token;
   run->engine->log.resumed++;
   char *expected = si_text_slice (&run->text, 0, run->first_token);
-  if (strcmp (expected, si_json_text (resume, "text", "")) != 0)
+  if (strcmp (expected, si_json_get_text (resume, "text", "")) != 0)
     run->engine->log.resume_mismatches++;
   free (expected);
 }
@@ -450,16 +450,16 @@
   run->engine = engine;
   run->request = request;
   run->chat = chat;
-  run->id = lb_strdup (si_json_text (body, "request_id", "none"));
-  run->stream = si_json_bool (body, "stream", false);
-  run->priority = si_json_int (body, "priority", 0);
+  run->id = lb_strdup (si_json_get_text (body, "request_id", "none"));
+  run->stream = si_json_get_bool (body, "stream", false);
+  run->priority = si_json_get_int (body, "priority", 0);
   run->last_sent = lb_clock_monotonic ();
   si_text_init_from_body (&run->text, body, engine->settings.vary_length);
   run->prefill_bytes = count_uncached_bytes (engine, body, prompt);
   apply_resume (run, body);
   apply_import (run);
   apply_faults (run);
-  si_run_log_count_start (&engine->log, si_json_text (body, "key", prompt));
+  si_run_log_count_start (&engine->log, si_json_get_text (body, "key", prompt));
   free (prompt);
   return run;
 }
@@ -496,7 +496,7 @@
 si_engine_handle_kv_export (SiEngine *engine, struct evhttp_request *request)
 {
   struct json_object *body = si_request_json (request);
-  const char *id = body ? si_json_text (body, "request", "") : "";
+  const char *id = body ? si_json_get_text (body, "request", "") : "";
 
   LB_LIST_FOREACH (&engine->running, Run, link, run)
   {
@@ -519,7 +519,7 @@
 si_engine_handle_kv_import (SiEngine *engine, struct evhttp_request *request)
 {
   struct json_object *body = si_request_json (request);
-  const char *id = body ? si_json_text (body, "request", NULL) : NULL;
+  const char *id = body ? si_json_get_text (body, "request", NULL) : NULL;
   SiImport *import = NULL;
 
   if (!id)
@@ -536,7 +536,7 @@
       HASH_ADD_KEYPTR (hh, engine->imports, import->request_id, strlen (import->request_id),
                        import);
     }
-  import->version = si_json_int (body, "version", 0);
+  import->version = si_json_get_int (body, "version", 0);
   si_reply_json (request, 200, json_object_new_object ());
   json_object_put (body);
 }
--- a/standins/si-entry.c
+++ b/standins/si-entry.c
@@ -32,7 +32,7 @@
     n = json_object_array_length (list);
   for (size_t i = 0; i < n && i < SI_ENTRY_MAX_ADDRESSES; i++)
     LB_COPY (entry->addresses[i],
-             si_json_text (json_object_array_get_idx (list, i), "address", ""));
+             si_json_get_text (json_object_array_get_idx (list, i), "address", ""));
   if (n > 0)
     entry->n_addresses = n < SI_ENTRY_MAX_ADDRESSES ? n : SI_ENTRY_MAX_ADDRESSES;
   json_object_put (object);
--- a/standins/si-faults.c
+++ b/standins/si-faults.c
@@ -23,7 +23,7 @@
 bool
 si_faults_set (SiFaults *faults, struct json_object *settings)
 {
-  const char *mode = si_json_text (settings, "mode", "");
+  const char *mode = si_json_get_text (settings, "mode", "");
 
   if (strcmp (mode, "none") == 0)
     {
@@ -33,10 +33,10 @@
   for (int i = 0; i < SI_N_FAULTS; i++)
     if (strcmp (mode_names[i], mode) == 0)
       {
-        faults->faults[i] = (SiFault){ .remaining = si_json_int (settings, "count", -1),
-                                       .tokens = si_json_int (settings, "tokens", 0),
-                                       .delay = si_json_int (settings, "ms", 0) * LB_MSEC };
-        LB_COPY (faults->faults[i].path_prefix, si_json_text (settings, "path", ""));
+        faults->faults[i] = (SiFault){ .remaining = si_json_get_int (settings, "count", -1),
+                                       .tokens = si_json_get_int (settings, "tokens", 0),
+                                       .delay = si_json_get_int (settings, "ms", 0) * LB_MSEC };
+        LB_COPY (faults->faults[i].path_prefix, si_json_get_text (settings, "path", ""));
         return true;
       }
   return false;
--- a/standins/si-json.c
+++ b/standins/si-json.c
@@ -1,7 +1,7 @@
 #include "si-json.h"
 
 int64_t
-si_json_int (struct json_object *object, const char *key, int64_t fallback)
+si_json_get_int (struct json_object *object, const char *key, int64_t fallback)
 {
   struct json_object *value;
 
@@ -11,7 +11,7 @@
 }
 
 double
-si_json_real (struct json_object *object, const char *key, double fallback)
+si_json_get_real (struct json_object *object, const char *key, double fallback)
 {
   struct json_object *value;
 
@@ -21,7 +21,7 @@
 }
 
 bool
-si_json_bool (struct json_object *object, const char *key, bool fallback)
+si_json_get_bool (struct json_object *object, const char *key, bool fallback)
 {
   struct json_object *value;
 
@@ -31,7 +31,7 @@
 }
 
 const char *
-si_json_text (struct json_object *object, const char *key, const char *fallback)
+si_json_get_text (struct json_object *object, const char *key, const char *fallback)
 {
   struct json_object *value;
 
--- a/standins/si-platform.c
+++ b/standins/si-platform.c
@@ -226,8 +226,8 @@
 static void
 set_weights (SiPlatform *platform, struct json_object *weights)
 {
-  lp_store_set_weight_version (platform->store, si_json_text (weights, "pool", ""),
-                               si_json_int (weights, "version", 0));
+  lp_store_set_weight_version (platform->store, si_json_get_text (weights, "pool", ""),
+                               si_json_get_int (weights, "version", 0));
 }
 
 /* POST /control {"instances": {...}, "weights": {"pool", "version"}, "lag_ms": n, "rate": n}; each
@@ -244,8 +244,9 @@
       return;
     }
   platform->instances_lag
-      = si_json_int (settings, "lag_ms", platform->instances_lag / LB_MSEC) * LB_MSEC;
-  platform->max_calls_per_second = si_json_real (settings, "rate", platform->max_calls_per_second);
+      = si_json_get_int (settings, "lag_ms", platform->instances_lag / LB_MSEC) * LB_MSEC;
+  platform->max_calls_per_second
+      = si_json_get_real (settings, "rate", platform->max_calls_per_second);
   if (json_object_object_get_ex (settings, "instances", &value))
     schedule_instances (platform, value);
   if (json_object_object_get_ex (settings, "weights", &value))
--- a/standins/si-row-store.c
+++ b/standins/si-row-store.c
@@ -598,7 +598,10 @@
 }
 
 const char *
-si_row_store_get (const SiRowStore *store, const char *table, const char *part, const char *key)
+si_row_store_get_value (const SiRowStore *store,
+                        const char *table,
+                        const char *part,
+                        const char *key)
 {
   const Row *row = find_row (store, table, part, key);
 
@@ -612,7 +615,7 @@
 }
 
 size_t
-si_row_store_count (const SiRowStore *store, const char *table)
+si_row_store_count_rows (const SiRowStore *store, const char *table)
 {
   size_t count = 0;
 
--- a/standins/si-row-store.h
+++ b/standins/si-row-store.h
@@ -42,10 +42,12 @@
 void si_row_store_put (
     SiRowStore *store, const char *table, const char *part, const char *key, const char *value);
 /* Returns the Base64-encoded value, valid until the next change; NULL when there is no such row. */
-const char *
-si_row_store_get (const SiRowStore *store, const char *table, const char *part, const char *key);
+const char *si_row_store_get_value (const SiRowStore *store,
+                                    const char *table,
+                                    const char *part,
+                                    const char *key);
 size_t si_row_store_count_objects (const SiRowStore *store);
 /* Counts the rows of the table in all parts, without removed rows. */
-size_t si_row_store_count (const SiRowStore *store, const char *table);
+size_t si_row_store_count_rows (const SiRowStore *store, const char *table);
 
 #endif
--- a/standins/si-server.c
+++ b/standins/si-server.c
@@ -28,7 +28,7 @@
 
 /* Token times are well under a millisecond, which the default timers would round up. */
 struct event_base *
-si_precise_base_new (void)
+si_precise_event_base_new (void)
 {
   struct event_config *config = event_config_new ();
   struct event_base *base;
@@ -113,7 +113,7 @@
 bool
 si_server_init_program (SiServer *server, int port, SiHandler handler, void *user)
 {
-  struct event_base *base = si_precise_base_new ();
+  struct event_base *base = si_precise_event_base_new ();
 
   signal (SIGPIPE, SIG_IGN);
   if (!si_server_init (server, base, port, handler, user))
--- a/standins/si-server.h
+++ b/standins/si-server.h
@@ -21,7 +21,7 @@
 } SiServer;
 
 /* An event loop whose timers have microsecond resolution. */
-struct event_base *si_precise_base_new (void);
+struct event_base *si_precise_event_base_new (void);
 
 /* Port 0: the kernel chooses one. Returns false when the address can't be bound. */
 bool
--- a/standins/si-table.c
+++ b/standins/si-table.c
@@ -25,8 +25,8 @@
   for (size_t i = 0; i < *n; i++)
     {
       struct json_object *item = json_object_array_get_idx (array, i);
-      conditions[i].key = si_json_text (item, "key", "");
-      conditions[i].version = si_json_int (item, "version", 0);
+      conditions[i].key = si_json_get_text (item, "key", "");
+      conditions[i].version = si_json_get_int (item, "version", 0);
     }
   return conditions;
 }
@@ -42,8 +42,8 @@
   for (size_t i = 0; i < n_puts; i++)
     {
       struct json_object *item = json_object_array_get_idx (array, i);
-      puts[i].key = si_json_text (item, "key", "");
-      puts[i].value = si_json_text (item, "value", "");
+      puts[i].key = si_json_get_text (item, "key", "");
+      puts[i].value = si_json_get_text (item, "value", "");
     }
   for (size_t i = 0; i < n_deletes; i++)
     puts[n_puts + i].key = json_object_get_string (json_object_array_get_idx (deletes, i));
@@ -77,7 +77,7 @@
 int
 si_table_transact (LpStore *store, struct json_object *request, struct json_object **reply)
 {
-  LpTransaction transaction = { .token = si_json_text (request, "token", NULL) };
+  LpTransaction transaction = { .token = si_json_get_text (request, "token", NULL) };
   LpRow row;
 
   if (!transaction.token)
--- a/standins/si-text.c
+++ b/standins/si-text.c
@@ -27,13 +27,13 @@
 
   if (!json_object_object_get_ex (body, "messages", &messages)
       || !json_object_is_type (messages, json_type_array))
-    return lb_strdup (si_json_text (body, "prompt", ""));
+    return lb_strdup (si_json_get_text (body, "prompt", ""));
   prompt = lb_strdup ("");
   for (size_t i = 0; i < json_object_array_length (messages); i++)
     {
       struct json_object *message = json_object_array_get_idx (messages, i);
-      char *longer = lb_asprintf ("%s%s: %s\n", prompt, si_json_text (message, "role", ""),
-                                  si_json_text (message, "content", ""));
+      char *longer = lb_asprintf ("%s%s: %s\n", prompt, si_json_get_text (message, "role", ""),
+                                  si_json_get_text (message, "content", ""));
       free (prompt);
       prompt = longer;
     }
@@ -45,8 +45,8 @@
 {
   char *prompt = si_text_prompt (body);
 
-  si_text_init (text, prompt, si_json_int (body, "seed", 0),
-                si_json_int (body, "max_tokens", DEFAULT_MAX_TOKENS), vary_length);
+  si_text_init (text, prompt, si_json_get_int (body, "seed", 0),
+                si_json_get_int (body, "max_tokens", DEFAULT_MAX_TOKENS), vary_length);
   free (prompt);
 }
 
--- a/standins/standin-load.c
+++ b/standins/standin-load.c
@@ -192,7 +192,7 @@
   Load load = { .settings = *settings };
 
   signal (SIGPIPE, SIG_IGN);
-  load.base = si_precise_base_new ();
+  load.base = si_precise_event_base_new ();
   load.pool = lh_pool_new (load.base);
   si_entry_init (&load.entry, load.base, load.pool, settings->addresses, settings->n_addresses);
   if (settings->entry_period > 0)
--- a/standins/standin-service.c
+++ b/standins/standin-service.c
@@ -97,7 +97,7 @@
 {
   struct json_object *request = json_tokener_parse (body);
   struct json_object *reply = json_object_new_object ();
-  const char *text = request ? si_json_text (request, "text", "") : "";
+  const char *text = request ? si_json_get_text (request, "text", "") : "";
   double score = (double)(XXH64 (text, strlen (text), 0) % 1000) / 1000;
 
   json_object_object_add (reply, "score", json_object_new_double (score));
--- a/standins/standin-trainer.c
+++ b/standins/standin-trainer.c
@@ -131,7 +131,8 @@
   const Settings *settings = trainer->settings;
 
   fprintf (stderr, "%s step %lld at %s: %d %s\n", call_name, (long long)trainer->step,
-           settings->addresses[trainer->address], response->status, si_response_error (response));
+           settings->addresses[trainer->address], response->status,
+           si_response_get_error_type (response));
   trainer->tally.retries++;
   trainer->address = (trainer->address + 1) % settings->n_addresses;
   si_client_pause (&trainer->client, RETRY_PAUSE);
@@ -160,7 +161,8 @@
         reply = json_tokener_parse (response.body);
       else
         {
-          trainer->is_step_lost = strcmp (si_response_error (&response), "unknown_step") == 0;
+          trainer->is_step_lost
+              = strcmp (si_response_get_error_type (&response), "unknown_step") == 0;
           switch_address (trainer, call_name, &response);
         }
       si_response_clear (&response);
@@ -218,9 +220,9 @@
   for (size_t i = 0; i < n; i++)
     {
       struct json_object *span = json_object_array_get_idx (spans, i);
-      int64_t version = si_json_int (span, "version", 0);
-      int64_t count = si_json_int (span, "count", 0);
-      if (si_json_int (span, "first", -1) != next || version <= 0 || count <= 0)
+      int64_t version = si_json_get_int (span, "version", 0);
+      int64_t count = si_json_get_int (span, "count", 0);
+      if (si_json_get_int (span, "first", -1) != next || version <= 0 || count <= 0)
         return 0;
       next += count;
       oldest = version < oldest ? version : oldest;
@@ -240,17 +242,17 @@
     tally->staleness_max = staleness;
   if (trainer->settings->max_lag >= 0 && staleness > trainer->settings->max_lag)
     tally->too_stale++;
-  if (si_json_int (sample, "staleness", -1) != staleness)
+  if (si_json_get_int (sample, "staleness", -1) != staleness)
     tally->wrong_staleness++;
 }
 
 static int64_t
 find_slot (const Trainer *trainer, struct json_object *sample, int64_t *group, int64_t *index)
 {
-  const char *id = si_json_text (sample, "group", "");
+  const char *id = si_json_get_text (sample, "group", "");
 
   *group = id[0] == 'g' ? strtoll (id + 1, NULL, 10) : -1;
-  *index = si_json_int (sample, "index", -1);
+  *index = si_json_get_int (sample, "index", -1);
   if (*group < 0 || *group >= trainer->settings->groups || *index < 0
       || *index >= trainer->settings->samples_per_group)
     return -1;
@@ -261,7 +263,7 @@
 check_sample (Trainer *trainer, struct json_object *sample)
 {
   Tally *tally = &trainer->tally;
-  int64_t tokens = si_json_int (sample, "tokens", 0);
+  int64_t tokens = si_json_get_int (sample, "tokens", 0);
   int64_t group, index;
   int64_t slot = find_slot (trainer, sample, &group, &index);
 
@@ -278,7 +280,7 @@
   trainer->received[slot] = true;
   trainer->n_received++;
   tally->samples++;
-  if (!is_text_correct (trainer, group, index, si_json_text (sample, "text", ""), tokens))
+  if (!is_text_correct (trainer, group, index, si_json_get_text (sample, "text", ""), tokens))
     tally->wrong_texts++;
   int64_t oldest = check_spans (tally, sample, tokens);
   if (oldest == 0)
@@ -298,7 +300,7 @@
   for (size_t i = 0; i < n; i++)
     check_sample (trainer, json_object_array_get_idx (samples, i));
   free (trainer->cursor);
-  trainer->cursor = lb_strdup (si_json_text (reply, "cursor", ""));
+  trainer->cursor = lb_strdup (si_json_get_text (reply, "cursor", ""));
   if (n > 0 && trainer->settings->train_time > 0)
     si_client_pause (&trainer->client, (LbTime)n * trainer->settings->train_time);
 }
@@ -336,7 +338,7 @@
       if (!reply)
         break;
       process_pull_reply (trainer, reply);
-      is_done = si_json_bool (reply, "done", false);
+      is_done = si_json_get_bool (reply, "done", false);
       json_object_put (reply);
     }
   if (is_done)
--- a/tests/process/pt-cluster.c
+++ b/tests/process/pt-cluster.c
@@ -96,7 +96,7 @@
   if (!strchr (program->process.output, '\n'))
     return false;
   line = json_tokener_parse (program->process.output);
-  LB_COPY (program->address, si_json_text (line, "address", ""));
+  LB_COPY (program->address, si_json_get_text (line, "address", ""));
   json_object_put (line);
   return true;
 }
@@ -235,8 +235,8 @@
                  instance->name, cluster->folder);
   if (addresses)
     {
-      LB_COPY (instance->address, si_json_text (addresses, "caller_address", ""));
-      LB_COPY (instance->peer_address, si_json_text (addresses, "peer_address", ""));
+      LB_COPY (instance->address, si_json_get_text (addresses, "caller_address", ""));
+      LB_COPY (instance->peer_address, si_json_get_text (addresses, "peer_address", ""));
     }
   json_object_put (addresses);
   free (path);
@@ -379,7 +379,7 @@
 pt_read_log_counter (PtCluster *cluster, PtProgram *program, const char *key)
 {
   struct json_object *log = pt_read_log (cluster, program);
-  int64_t number = si_json_int (log, key, -1);
+  int64_t number = si_json_get_int (log, key, -1);
 
   json_object_put (log);
   return number;
@@ -393,7 +393,7 @@
   int64_t n;
 
   json_object_object_get_ex (log, "runs", &runs);
-  n = si_json_int (runs, key, 0);
+  n = si_json_get_int (runs, key, 0);
   json_object_put (log);
   return n;
 }
--- a/tests/process/pt-resources.c
+++ b/tests/process/pt-resources.c
@@ -142,7 +142,7 @@
   struct json_object *object
       = si_response_is_ok (&response) ? json_tokener_parse (response.body) : NULL;
   if (object)
-    revision = si_json_int (object, "revision", -1);
+    revision = si_json_get_int (object, "revision", -1);
   json_object_put (object);
   si_response_clear (&response);
   return revision;
--- a/tests/process/test-chaos.c
+++ b/tests/process/test-chaos.c
@@ -242,13 +242,13 @@
 {
   struct json_object *summary = pt_wait_summary (&scene->cluster, &scene->completion_load);
 
-  cr_assert_eq (si_json_int (summary, "wrong", -1), 0, "completion load: %s (logs in %s)",
+  cr_assert_eq (si_json_get_int (summary, "wrong", -1), 0, "completion load: %s (logs in %s)",
                 json_object_to_json_string (summary), scene->cluster.folder);
   /* Only a killed instance may leave a response without its end or a typed error. */
-  cr_assert (scene->kills_instances || si_json_int (summary, "cut", -1) == 0,
+  cr_assert (scene->kills_instances || si_json_get_int (summary, "cut", -1) == 0,
              "completion load: %s (logs in %s)", json_object_to_json_string (summary),
              scene->cluster.folder);
-  cr_assert_gt (si_json_int (summary, "whole", 0), 50);
+  cr_assert_gt (si_json_get_int (summary, "whole", 0), 50);
   json_object_put (summary);
 }
 
@@ -258,7 +258,7 @@
   struct json_object *runs = NULL;
 
   json_object_object_get_ex (log, "runs", &runs);
-  return si_json_int (runs, key, 0);
+  return si_json_get_int (runs, key, 0);
 }
 
 /* No call ran twice, and none that was reported as not run has run. */
@@ -271,8 +271,8 @@
   struct json_object *not_run = NULL;
   char key[64];
 
-  cr_assert_gt (si_json_int (summary, "whole", 0), 20);
-  for (int64_t i = 0; i < si_json_int (summary, "calls", 0); i++)
+  cr_assert_gt (si_json_get_int (summary, "whole", 0), 20);
+  for (int64_t i = 0; i < si_json_get_int (summary, "calls", 0); i++)
     {
       snprintf (key, sizeof key, "shop asks for the %lldth time", (long long)i);
       cr_assert_leq (read_run_count (logs[0], key) + read_run_count (logs[1], key), 1,
--- a/tests/process/test-config.c
+++ b/tests/process/test-config.c
@@ -123,7 +123,7 @@
 
   pt_apply_change (&test_cluster, instance, changes, if_match, &response);
   int status_code = response.status;
-  lb_strlcpy (error, si_response_error (&response), LB_NAME_MAX);
+  lb_strlcpy (error, si_response_get_error_type (&response), LB_NAME_MAX);
   si_response_clear (&response);
   return status_code;
 }
@@ -132,7 +132,7 @@
 read_revision (const PtProgram *instance)
 {
   struct json_object *status = read_status (instance);
-  int64_t revision = status ? si_json_int (status, "revision", -1) : -1;
+  int64_t revision = status ? si_json_get_int (status, "revision", -1) : -1;
 
   json_object_put (status);
   return revision;
@@ -265,7 +265,7 @@
       if (lease && json_object_get_boolean (json_object_object_get (lease, "held_here")))
         {
           search->found = instance;
-          search->fence = si_json_int (lease, "fence", 0);
+          search->fence = si_json_get_int (lease, "fence", 0);
         }
       json_object_put (status);
     }
@@ -281,7 +281,7 @@
     {
       struct json_object *load
           = si_client_call_json (&cluster->client, cluster->endpoints[i].address, "/load", NULL);
-      int64_t reported = load ? si_json_int (load, "weight_version", 0) : 0;
+      int64_t reported = load ? si_json_get_int (load, "weight_version", 0) : 0;
       json_object_put (load);
       if (reported != *version)
         return false;
--- a/tests/process/test-drain.c
+++ b/tests/process/test-drain.c
@@ -89,7 +89,7 @@
   SiResponse response;
 
   si_client_call (&cluster->client, &call, &response);
-  bool is_rejected = strcmp (si_response_error (&response), "draining") == 0;
+  bool is_rejected = strcmp (si_response_get_error_type (&response), "draining") == 0;
   si_response_clear (&response);
   return is_rejected;
 }
--- a/tests/process/test-duties.c
+++ b/tests/process/test-duties.c
@@ -45,8 +45,8 @@
 static bool
 is_usage_reported (const PsCluster *cluster, int64_t post, int64_t mill)
 {
-  return si_control_plane_count_requests (&cluster->control_plane, "post") == post
-         && si_control_plane_count_requests (&cluster->control_plane, "mill") == mill;
+  return si_control_plane_count_reported_requests (&cluster->control_plane, "post") == post
+         && si_control_plane_count_reported_requests (&cluster->control_plane, "mill") == mill;
 }
 
 static size_t
@@ -111,7 +111,7 @@
   PS_WAIT_UNTIL (&cluster, find_reporter (&cluster) < cluster.n_instances);
   size_t killed = find_reporter (&cluster);
   send_calls (&cluster, killed, "post-1", 4);
-  PS_WAIT_UNTIL (&cluster, si_row_store_count (&cluster.store, "usage") > 0);
+  PS_WAIT_UNTIL (&cluster, si_row_store_count_rows (&cluster.store, "usage") > 0);
   for (LbTime wait_end = lb_clock_monotonic () + 300 * LB_MSEC; lb_clock_monotonic () < wait_end;)
     ps_run_loop_once (&cluster);
   pt_process_signal (&cluster.instances[killed].process, SIGKILL);
--- a/tests/process/test-endpoints.c
+++ b/tests/process/test-endpoints.c
@@ -51,7 +51,7 @@
   cr_assert_eq (count_received_calls (cluster, leaving), calls_after_timeout);
   cr_assert_eq (pt_read_log_counter (cluster, leaving, "cancelled"), 0);
   cr_assert (pt_process_has_exited (&load, 0), "%s", json_object_to_json_string (summary));
-  cr_assert_gt (si_json_int (summary, "whole", 0), 100);
+  cr_assert_gt (si_json_get_int (summary, "whole", 0), 100);
   json_object_put (summary);
   pt_process_clear (&load);
 }
@@ -146,7 +146,7 @@
 
   struct json_object *summary = pt_wait_summary (&cluster, &load);
   cr_assert (pt_process_has_exited (&load, 0), "%s", json_object_to_json_string (summary));
-  cr_assert_gt (si_json_int (summary, "whole", 0), 20);
+  cr_assert_gt (si_json_get_int (summary, "whole", 0), 20);
   check_not_run_keys (&cluster, summary, healthy, NULL);
   cr_assert_gt (pt_read_log_counter (&cluster, healthy, "resumed"), 0);
   cr_assert_eq (pt_read_log_counter (&cluster, healthy, "resume_mismatches"), 0);
@@ -180,7 +180,7 @@
 
   struct json_object *summary = pt_wait_summary (&cluster, &load);
   cr_assert (pt_process_has_exited (&load, 0), "%s", json_object_to_json_string (summary));
-  cr_assert_gt (si_json_int (summary, "whole", 0), 30);
+  cr_assert_gt (si_json_get_int (summary, "whole", 0), 30);
   check_not_run_keys (&cluster, summary, breaking, refusing);
   json_object_put (summary);
   pt_process_clear (&load);
--- a/tests/process/test-membership.c
+++ b/tests/process/test-membership.c
@@ -31,7 +31,7 @@
   for (size_t i = 0; i < query->n_addresses; i++)
     {
       struct json_object *address = json_object_array_get_idx (addresses, i);
-      is_found = is_found || strcmp (si_json_text (address, "instance", ""), query->name) == 0;
+      is_found = is_found || strcmp (si_json_get_text (address, "instance", ""), query->name) == 0;
     }
   json_object_put (response);
   return is_found;
--- a/tests/process/test-once.c
+++ b/tests/process/test-once.c
@@ -66,7 +66,7 @@
       = si_client_call_json (&cluster->client, instance->address, "/v1/tickets", "{}");
 
   cr_assert_not_null (response);
-  char *ticket = lb_strdup (si_json_text (response, "ticket", ""));
+  char *ticket = lb_strdup (si_json_get_text (response, "ticket", ""));
   json_object_put (response);
   return ticket;
 }
--- a/tests/process/test-shared.c
+++ b/tests/process/test-shared.c
@@ -85,7 +85,7 @@
                                    && cluster.engines[2].version == version);
       si_endpoint_restart (&cluster.engines[version % PS_N_ENGINES]);
     }
-  cr_assert_eq (cluster.engines[0].misdirected, 0);
+  cr_assert_eq (cluster.engines[0].misdirected_requests, 0);
   ps_cluster_clear (&cluster);
 }
 
@@ -318,7 +318,7 @@
     {
       char name[8];
       snprintf (name, sizeof name, "%02x", part);
-      batch_row = si_row_store_get (&cluster.store, "head", name, "b1");
+      batch_row = si_row_store_get_value (&cluster.store, "head", name, "b1");
     }
   cr_assert (batch_row);
   size_t survivor = 0;
@@ -357,7 +357,7 @@
   ps_start_call (&cluster, 1, "POST", "/steps/1", "b1", body);
   PS_WAIT_UNTIL (&cluster, cluster.n_responses == responses_before + 2);
   cr_assert_eq (cluster.status, 202);
-  cr_assert_eq (si_row_store_count (&cluster.store, "head"), 1);
+  cr_assert_eq (si_row_store_count_rows (&cluster.store, "head"), 1);
   PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, 0, "b1") == 6);
   ps_assert_all_listed (&cluster, 1, "b1", 6);
   cr_assert_eq (ps_count_engine_runs (&cluster), 6);
@@ -433,11 +433,11 @@
   ps_cluster_init (&cluster);
   ps_start_instance (&cluster);
   ps_start_instance (&cluster);
-  PS_WAIT_UNTIL (&cluster, si_row_store_count (&cluster.store, "instance") == 2);
-  PS_WAIT_UNTIL (&cluster, si_row_store_count (&cluster.store, "lease") == 1);
+  PS_WAIT_UNTIL (&cluster, si_row_store_count_rows (&cluster.store, "instance") == 2);
+  PS_WAIT_UNTIL (&cluster, si_row_store_count_rows (&cluster.store, "lease") == 1);
   for (size_t i = 0; i < 2; i++)
-    cr_assert_null (si_row_store_get (&cluster.store, "instance", "", names[i]));
-  cr_assert_null (si_row_store_get (&cluster.store, "lease", "", "weights"));
+    cr_assert_null (si_row_store_get_value (&cluster.store, "instance", "", names[i]));
+  cr_assert_null (si_row_store_get_value (&cluster.store, "lease", "", "weights"));
   ps_cluster_clear (&cluster);
 }
 
@@ -457,8 +457,8 @@
   PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, 0, "b2") == 3);
   ps_call (&cluster, 1, "DELETE", "/-/lots/b1", "", "");
   cr_assert_eq (cluster.status, 200);
-  PS_WAIT_UNTIL (&cluster, si_row_store_count (&cluster.store, "head") == 1);
-  cr_assert_eq (si_row_store_count (&cluster.store, "result"), 3);
+  PS_WAIT_UNTIL (&cluster, si_row_store_count_rows (&cluster.store, "head") == 1);
+  cr_assert_eq (si_row_store_count_rows (&cluster.store, "result"), 3);
   cr_assert_eq (si_row_store_count_objects (&cluster.store), 1);
   PS_WAIT_UNTIL (&cluster,
                  (ps_call (&cluster, 0, "GET", "/-/lots/b1", "", ""), cluster.status == 404));
@@ -498,7 +498,7 @@
 
   ps_cluster_init (&cluster);
   for (int i = 0; i < PS_N_ENGINES; i++)
-    cluster.engines[i].padding = 40000;
+    cluster.engines[i].event_padding_size = 40000;
   ps_start_instance (&cluster);
   ps_start_instance (&cluster);
   ps_submit (&cluster, 0, "b1", 4);
@@ -506,9 +506,9 @@
     PS_WAIT_UNTIL (&cluster, is_long_text_listed (&cluster, (size_t)i % 2, i,
                                                   (size_t)cluster.engines[0].n_events * 40000));
   ps_call (&cluster, 0, "DELETE", "/-/lots/b1", "", "");
-  PS_WAIT_UNTIL (&cluster, si_row_store_count (&cluster.store, "head") == 0);
-  cr_assert_eq (si_row_store_count (&cluster.store, "result")
-                    + si_row_store_count (&cluster.store, "more"),
+  PS_WAIT_UNTIL (&cluster, si_row_store_count_rows (&cluster.store, "head") == 0);
+  cr_assert_eq (si_row_store_count_rows (&cluster.store, "result")
+                    + si_row_store_count_rows (&cluster.store, "more"),
                 0);
   ps_cluster_clear (&cluster);
 }
@@ -525,7 +525,7 @@
   int responses_before = cluster.n_responses;
   cluster.store.mode = SI_ROW_STORE_LOSES_REPLY;
   ps_start_call (&cluster, 0, "POST", "/steps/1", "b1", body);
-  PS_WAIT_UNTIL (&cluster, si_row_store_count (&cluster.store, "head") == 1);
+  PS_WAIT_UNTIL (&cluster, si_row_store_count_rows (&cluster.store, "head") == 1);
   cluster.store.mode = SI_ROW_STORE_NORMAL;
   PS_WAIT_UNTIL (&cluster, cluster.n_responses > responses_before);
   cr_assert_eq (cluster.status, 202);
@@ -576,7 +576,7 @@
   cluster.store.unavailable_after_lost_replies = true;
   ps_submit (&cluster, 0, "b1", 3);
   cr_assert_eq (cluster.status, 502);
-  cr_assert_eq (si_row_store_count (&cluster.store, "head"), 1);
+  cr_assert_eq (si_row_store_count_rows (&cluster.store, "head"), 1);
   cluster.store.mode = SI_ROW_STORE_NORMAL;
   PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, 0, "b1") == 3);
   ps_assert_all_listed (&cluster, 0, "b1", 3);
@@ -698,8 +698,9 @@
   PS_WAIT_UNTIL (&cluster, ps_count_engine_runs (&cluster) >= 6);
   ps_call (&cluster, 0, "DELETE", "/-/lots/b1", "", "");
   cr_assert_eq (cluster.status, 200);
-  PS_WAIT_UNTIL (&cluster, cluster.engines[0].cancelled + cluster.engines[1].cancelled
-                                   + cluster.engines[2].cancelled
+  PS_WAIT_UNTIL (&cluster, cluster.engines[0].cancelled_streams
+                                   + cluster.engines[1].cancelled_streams
+                                   + cluster.engines[2].cancelled_streams
                                == 6);
   size_t runs = ps_count_engine_runs (&cluster);
   for (int i = 0; i < 100; i++)
--- a/tests/process/test-steps.c
+++ b/tests/process/test-steps.c
@@ -95,8 +95,8 @@
   struct json_object *row
       = si_client_call_json (&cluster->client, cluster->platform.address, OWNER_ROW, NULL);
   cr_assert_not_null (row, "step 1 has no owner");
-  struct json_object *owner = json_tokener_parse (si_json_text (row, "value", ""));
-  const char *name = si_json_text (owner, "instance", "");
+  struct json_object *owner = json_tokener_parse (si_json_get_text (row, "value", ""));
+  const char *name = si_json_get_text (owner, "instance", "");
   PtProgram *owner_instance = NULL;
 
   for (size_t i = 0; i < cluster->n_instances; i++)
@@ -117,7 +117,7 @@
 
   cr_assert (pt_process_has_exited (&scene->trainer, 0), "%s (logs in %s)",
              json_object_to_json_string (summary), scene->cluster.folder);
-  cr_assert_eq (si_json_int (summary, "samples", 0), N_SAMPLES);
+  cr_assert_eq (si_json_get_int (summary, "samples", 0), N_SAMPLES);
   json_object_put (summary);
 }
 
--- a/tests/process/test-tickets.c
+++ b/tests/process/test-tickets.c
@@ -73,7 +73,7 @@
   SiResponse response;
 
   si_client_call (&scene->cluster.client, &call, &response);
-  cr_assert (si_response_is_ok (&response), "%s", si_response_error (&response));
+  cr_assert (si_response_is_ok (&response), "%s", si_response_get_error_type (&response));
   struct json_object *object = json_tokener_parse (response.body);
   struct json_object *text = NULL;
   cr_assert (json_object_object_get_ex (object, "ticket", &text));
@@ -109,16 +109,16 @@
   scene_init (&scene);
   create_ticket (&scene, scene.first, ticket);
   send_order (&scene, scene.second, "x-ticket", ticket, &response);
-  cr_assert (si_response_is_ok (&response), "%s", si_response_error (&response));
+  cr_assert (si_response_is_ok (&response), "%s", si_response_get_error_type (&response));
   si_response_clear (&response);
   send_order (&scene, scene.first, "x-ticket", ticket, &response);
-  cr_assert (si_response_is_ok (&response), "%s", si_response_error (&response));
+  cr_assert (si_response_is_ok (&response), "%s", si_response_get_error_type (&response));
   si_response_clear (&response);
   cr_assert_eq (pt_count_runs (&scene.cluster, scene.service, "tea"), 1);
 
   pt_process_signal (&scene.first->process, SIGKILL);
   send_order (&scene, scene.second, "x-ticket", ticket, &response);
-  cr_assert_str_eq (si_response_error (&response), "outcome_unknown");
+  cr_assert_str_eq (si_response_get_error_type (&response), "outcome_unknown");
   cr_assert_not (response.not_run);
   si_response_clear (&response);
   cr_assert_eq (pt_count_runs (&scene.cluster, scene.service, "tea"), 1);
@@ -140,7 +140,7 @@
 
   send_order (retry->scene, retry->instance, "idempotency-key", "k1", &response);
   bool ok = si_response_is_ok (&response);
-  cr_assert (ok || response.not_run, "%s", si_response_error (&response));
+  cr_assert (ok || response.not_run, "%s", si_response_get_error_type (&response));
   si_response_clear (&response);
   return ok;
 }
@@ -158,7 +158,7 @@
                    "{\"mode\": \"lose_reply\", \"path\": \"/table/transact\"}");
   send_order (&scene, scene.first, "idempotency-key", "k1", &response);
   cr_assert (si_response_is_ok (&response) || response.not_run, "%s",
-             si_response_error (&response));
+             si_response_get_error_type (&response));
   cr_assert_eq (pt_count_runs (&scene.cluster, scene.service, "tea"), response.not_run ? 0 : 1);
   si_response_clear (&response);
   pt_inject_fault (&scene.cluster, &scene.cluster.platform, "{\"mode\": \"none\"}");
@@ -182,12 +182,12 @@
   scene_init (&scene);
   pt_inject_fault (&scene.cluster, &scene.cluster.platform, "{\"mode\": \"down\"}");
   send_order (&scene, scene.first, "idempotency-key", "k1", &response);
-  cr_assert (response.not_run, "%s", si_response_error (&response));
+  cr_assert (response.not_run, "%s", si_response_get_error_type (&response));
   si_response_clear (&response);
   cr_assert_eq (pt_count_runs (&scene.cluster, scene.service, "tea"), 0);
   create_ticket (&scene, scene.first, ticket);
   send_order (&scene, scene.first, "x-ticket", ticket, &response);
-  cr_assert (si_response_is_ok (&response), "%s", si_response_error (&response));
+  cr_assert (si_response_is_ok (&response), "%s", si_response_get_error_type (&response));
   si_response_clear (&response);
   cr_assert_eq (pt_count_runs (&scene.cluster, scene.service, "tea"), 1);
   scene_clear (&scene);
--- a/tests/soak/sk-trainer.c
+++ b/tests/soak/sk-trainer.c
@@ -259,7 +259,7 @@
   for (int i = 0; i < 256; i++)
     {
       snprintf (part, sizeof part, "%02x", i);
-      if (si_row_store_get (&trainer->world->store, "head", part, name))
+      if (si_row_store_get_value (&trainer->world->store, "head", part, name))
         return true;
     }
   return false;
--- a/tests/soak/sk-world.c
+++ b/tests/soak/sk-world.c
@@ -632,7 +632,7 @@
   gsl_rng_set (world->rng, seed);
   world->fault_rng = gsl_rng_alloc (gsl_rng_taus2);
   gsl_rng_set (world->fault_rng, seed);
-  world->base = si_precise_base_new ();
+  world->base = si_precise_event_base_new ();
   world->pool = lh_pool_new (world->base);
   if (!si_row_store_init (&world->store, world->base, 0)
       || !si_control_plane_init (&world->control_plane, world->base))
