--- a/tests/process/test-shared.c
+++ b/tests/process/test-shared.c
@@ -85,7 +85,7 @@
                                    && cluster.engines[2].version == version);
       si_endpoint_restart (&cluster.engines[version % PS_N_ENGINES]);
     }
-  cr_assert_eq (cluster.engines[0].misdirected, 0);
+  cr_assert_eq (cluster.engines[0].misdirected_requests, 0);
   ps_cluster_clear (&cluster);
 }
 
@@ -498,7 +498,7 @@
 
   ps_cluster_init (&cluster);
   for (int i = 0; i < PS_N_ENGINES; i++)
-    cluster.engines[i].padding = 40000;
+    cluster.engines[i].event_padding_size = 40000;
   ps_start_instance (&cluster);
   ps_start_instance (&cluster);
   ps_submit (&cluster, 0, "b1", 4);
@@ -698,8 +698,9 @@
   PS_WAIT_UNTIL (&cluster, ps_count_engine_runs (&cluster) >= 6);
   ps_call (&cluster, 0, "DELETE", "/-/lots/b1", "", "");
   cr_assert_eq (cluster.status, 200);
-  PS_WAIT_UNTIL (&cluster, cluster.engines[0].cancelled + cluster.engines[1].cancelled
-                                   + cluster.engines[2].cancelled
+  PS_WAIT_UNTIL (&cluster, cluster.engines[0].cancelled_streams
+                                   + cluster.engines[1].cancelled_streams
+                                   + cluster.engines[2].cancelled_streams
                                == 6);
   size_t runs = ps_count_engine_runs (&cluster);
   for (int i = 0; i < 100; i++)
