--- a/packages/sim/include/lx-audit.h
+++ b/packages/sim/include/lx-audit.h
@@ -79,18 +79,18 @@
     __attribute__ ((format (printf, 5, 6)));
 uint64_t lx_audit_add_job (LxAudit *audit, const LxJob *job);
 uint64_t lx_audit_add_stream (LxAudit *audit, uint64_t job, LbTime now);
-void lx_audit_add_tokens (
+void lx_audit_add_generated_tokens (
     LxAudit *audit, uint64_t stream, int64_t offset, int64_t tokens, LcVersion version, LbTime now);
 
 /* The step with this number; created at its first use. */
-LxStepTokens *lx_audit_step (LxAudit *audit, uint64_t step);
+LxStepTokens *lx_audit_ensure_step_tokens (LxAudit *audit, uint64_t step);
 
 /* queries */
-LxJob *lx_audit_job (LxAudit *audit, uint64_t job);
+LxJob *lx_audit_get_job (LxAudit *audit, uint64_t job);
 int64_t lx_audit_count_violations (const LxAudit *audit);
 /* Computes the correct label of a text from the engines' record. */
 void lx_audit_compute_label (const LxAudit *audit, const LxText *text, LcLabel *label);
 /* Share of the tokens generated for completed steps that were not delivered to a trainer. */
-double lx_audit_wasted_ratio (const LxAudit *audit);
+double lx_audit_compute_wasted_ratio (const LxAudit *audit);
 
 #endif
--- a/packages/sim/include/lx-callers.h
+++ b/packages/sim/include/lx-callers.h
@@ -66,7 +66,7 @@
 /* commands */
 void lx_callers_start (LxCallers *callers);
 /* Sends one call of a trace. */
-void lx_callers_submit (LxCallers *callers, const LxCallSpec *spec);
+void lx_callers_submit_call (LxCallers *callers, const LxCallSpec *spec);
 void
 lx_callers_send_piece (LxCallers *callers, LxCall *call, uint64_t stream, const LcPiece *piece);
 void lx_callers_send_result (LxCallers *callers, LxCall *call, LbErrorCode error);
--- a/packages/sim/include/lx-engine.h
+++ b/packages/sim/include/lx-engine.h
@@ -122,9 +122,9 @@
 
 /* commands */
 /* Returns false if the endpoint refuses the stream: it is leaving or has no complete weights. */
-bool lx_engine_submit (LxEngine *engine, const LxStreamSpec *spec);
+bool lx_engine_submit_stream (LxEngine *engine, const LxStreamSpec *spec);
 /* The client closed the connection of this stream. */
-void lx_engine_cancel (LxEngine *engine, uint64_t id);
+void lx_engine_cancel_stream (LxEngine *engine, uint64_t id);
 /* Loads a version while the current one serves, then switches to it; streams continue. */
 void lx_engine_load_version (LxEngine *engine, LcVersion version);
 void lx_engine_crash (LxEngine *engine);
@@ -135,6 +135,6 @@
 
 /* queries */
 void lx_engine_get_load_report (const LxEngine *engine, LcLoadReport *report);
-size_t lx_engine_count_in_progress (const LxEngine *engine);
+size_t lx_engine_count_streams (const LxEngine *engine);
 
 #endif
--- a/packages/sim/include/lx-instance.h
+++ b/packages/sim/include/lx-instance.h
@@ -96,14 +96,14 @@
 /* Posts a message to the current process of the instance. It is delayed while the process is paused
  * and lost if the process ends first. free_argument is called in each case, also after the handler
  * has run. */
-void lx_instance_post (LxInstance *instance,
-                       LbTime delay,
-                       LxInstanceHandler handler,
-                       void *argument,
-                       void (*free_argument) (void *argument));
-void lx_instance_apply_config (LxInstance *instance, const LcResourceSet *set);
+void lx_instance_post_message (LxInstance *instance,
+                               LbTime delay,
+                               LxInstanceHandler handler,
+                               void *argument,
+                               void (*free_argument) (void *argument));
+void lx_instance_apply_configuration (LxInstance *instance, const LcResourceSet *set);
 /* Submits an operator's change, based on the active revision of this instance. */
-void lx_instance_submit_change (LxInstance *instance, struct json_object *content);
+void lx_instance_submit_config_change (LxInstance *instance, struct json_object *content);
 /* Returns false and sets the error if the call is refused as "not run". */
 bool lx_instance_submit_call (
     LxInstance *instance, LcRequestSpec *spec, uint64_t job, LxCall *call, LbError *error);
@@ -118,11 +118,12 @@
                            const LxStreamSpec *stream,
                            LcAttemptEnd end,
                            LbTime delay);
-void lx_instance_record_load (LxInstance *instance, size_t engine, const LcLoadReport *report);
-void lx_instance_set_swap (LxInstance *instance, size_t engine, bool pending, LbTime until);
+void
+lx_instance_record_load_report (LxInstance *instance, size_t engine, const LcLoadReport *report);
+void lx_instance_set_weight_swap (LxInstance *instance, size_t engine, bool pending, LbTime until);
 void lx_instance_set_versions (LxInstance *instance, LcVersion newest, LbTime version_interval);
 /* Opens the step, or takes it over with a new session in the store. Takes ownership of the spec. */
 void lx_instance_open_step (LxInstance *instance, LcStepSpec *spec, size_t trainer);
-void lx_instance_pull (LxInstance *instance, const LcPull *pull);
+void lx_instance_handle_pull (LxInstance *instance, const LcPull *pull);
 
 #endif
--- a/packages/sim/include/lx-queue.h
+++ b/packages/sim/include/lx-queue.h
@@ -15,16 +15,16 @@
 
 /* Adds an event; a time in the past means now. free_argument frees the argument of an event that
  * never runs; NULL: nothing is to be freed. */
-void lx_queue_add (LxQueue *queue,
-                   LbTime at,
-                   LxEventHandler handler,
-                   void *owner,
-                   void *argument,
-                   void (*free_argument) (void *argument));
+void lx_queue_add_event (LxQueue *queue,
+                         LbTime at,
+                         LxEventHandler handler,
+                         void *owner,
+                         void *argument,
+                         void (*free_argument) (void *argument));
 /* Runs the next event if it is due at or before `until`; returns false otherwise. */
-bool lx_queue_run_next (LxQueue *queue, LbTime until);
+bool lx_queue_run_next_event (LxQueue *queue, LbTime until);
 
 LbTime lx_queue_now (const LxQueue *queue);
-uint64_t lx_queue_count_handled (const LxQueue *queue);
+uint64_t lx_queue_count_handled_events (const LxQueue *queue);
 
 #endif
--- a/packages/sim/include/lx-registry.h
+++ b/packages/sim/include/lx-registry.h
@@ -27,11 +27,12 @@
 /* commands */
 void lx_registry_start (LxRegistry *registry);
 /* Submits a new live reserve of the pool at this instance. */
-void lx_registry_request_change (LxRegistry *registry, LxInstance *instance, double live_reserve);
+void
+lx_registry_request_live_reserve (LxRegistry *registry, LxInstance *instance, double live_reserve);
 /* Commits a change if `revision` is still the accepted one. Returns the new set, owned by the
  * caller; NULL on a conflict or an invalid change. */
 LcResourceSet *
-lx_registry_commit (LxRegistry *registry, int64_t revision, struct json_object *change);
+lx_registry_commit_change (LxRegistry *registry, int64_t revision, struct json_object *change);
 
 /* queries */
 /* Returns the newest revision that an instance with access to the store must have activated by now.
--- a/packages/sim/include/lx-store.h
+++ b/packages/sim/include/lx-store.h
@@ -39,13 +39,13 @@
 
 /* commands */
 /* Writes the value if `session` is the row's session; LB_ERROR_STALE_SESSION otherwise. */
-LbErrorCode lx_store_write (
+LbErrorCode lx_store_write_row (
     LxStore *store, const char *key, const char *value, uint64_t session, LxWriteOutcome outcome);
 /* Starts a new session of the row and returns its number. */
 uint64_t lx_store_begin_session (LxStore *store, const char *key);
 
 /* queries */
 /* Returns the value; "" if the row does not exist. */
-const char *lx_store_get (const LxStore *store, const char *key);
+const char *lx_store_get_value (const LxStore *store, const char *key);
 
 #endif
--- a/packages/sim/include/lx-swaps.h
+++ b/packages/sim/include/lx-swaps.h
@@ -11,11 +11,11 @@
   struct LxWorld *world;
   LcVersion newest_version;
   size_t max_concurrent_loads; /* that the weight store allows */
-} LxSwaps;
+} LxWeightSwaps;
 
-void lx_swaps_init (LxSwaps *swaps, struct LxWorld *world);
-void lx_swaps_start (LxSwaps *swaps);
+void lx_weight_swaps_init (LxWeightSwaps *swaps, struct LxWorld *world);
+void lx_weight_swaps_start (LxWeightSwaps *swaps);
 /* Adds a new version to the weight store. */
-void lx_swaps_publish (LxSwaps *swaps);
+void lx_weight_swaps_publish_version (LxWeightSwaps *swaps);
 
 #endif
--- a/packages/sim/include/lx-trace.h
+++ b/packages/sim/include/lx-trace.h
@@ -3,7 +3,7 @@
 
 #include "lx-site.h"
 
-#define LX_TRACE_FORMAT 1
+#define LX_TRACE_FORMAT_VERSION 1
 
 typedef enum
 {
@@ -78,6 +78,6 @@
 lx_trace_parse (LxTrace *trace, const char *text, size_t length, const char *file, LbError *error);
 void lx_trace_clear (LxTrace *trace);
 
-const char *lx_expect_name (LxTraceExpect expect);
+const char *lx_trace_expect_name (LxTraceExpect expect);
 
 #endif
--- a/packages/sim/include/lx-trainer.h
+++ b/packages/sim/include/lx-trainer.h
@@ -83,7 +83,7 @@
 /* Takes ownership of the chunk. */
 void lx_trainer_receive_chunk (LxTrainer *trainer, LxChunk *chunk);
 /* The instance has opened the step. */
-void lx_trainer_step_opened (LxTrainer *trainer, size_t instance, int64_t step);
+void lx_trainer_handle_step_opened (LxTrainer *trainer, size_t instance, int64_t step);
 /* The connection of the pull broke. */
 void lx_trainer_abort_pull (LxTrainer *trainer);
 /* Makes the trainer continue at another instance, which takes over the step. */
--- a/packages/sim/include/lx-world.h
+++ b/packages/sim/include/lx-world.h
@@ -13,7 +13,7 @@
 
 #include <gsl/gsl_rng.h>
 
-#define LX_HISTORY_LENGTH 24
+#define LX_MAX_HISTORY_LINES 24
 
 /* A simulation run in virtual time: instances with the real decisions of core, and simulated
  * endpoints, trainers, callers, store and operators. */
@@ -31,14 +31,14 @@
   size_t n_instances;
   LxTrainer *trainers;
   LxCallers callers;
-  LxSwaps swaps;
+  LxWeightSwaps swaps;
   LxStore store;
   LxFaults faults;
   int64_t decisions; /* attempts that instances have sent */
   /* ring buffers, printed if a run fails */
-  char recent_decisions[LX_HISTORY_LENGTH][128];
+  char recent_decisions[LX_MAX_HISTORY_LINES][128];
   uint64_t n_recorded_decisions;
-  char recent_faults[LX_HISTORY_LENGTH][128];
+  char recent_faults[LX_MAX_HISTORY_LINES][128];
   uint64_t n_recorded_faults;
 } LxWorld;
 
@@ -54,7 +54,7 @@
 void lx_world_record_fault (LxWorld *world, const char *fault, const char *target);
 void lx_world_record_decision (LxWorld *world, const char *format, ...)
     __attribute__ ((format (printf, 2, 3)));
-/* Runs the handler after a delay; see lx_queue_add. */
+/* Runs the handler after a delay; see lx_queue_add_event. */
 void lx_world_schedule (LxWorld *world,
                         LbTime delay,
                         LxEventHandler handler,
@@ -71,6 +71,6 @@
 LxInstance *lx_world_find_instance (LxWorld *world, const char *name);
 /* Returns the first instance from index `preferred` on that serves callers; NULL if there is none.
  */
-LxInstance *lx_world_choose_instance (LxWorld *world, size_t preferred);
+LxInstance *lx_world_choose_serving_instance (LxWorld *world, size_t preferred);
 
 #endif
--- a/packages/sim/src/lx-audit.c
+++ b/packages/sim/src/lx-audit.c
@@ -73,7 +73,7 @@
 }
 
 LxStepTokens *
-lx_audit_step (LxAudit *audit, uint64_t step)
+lx_audit_ensure_step_tokens (LxAudit *audit, uint64_t step)
 {
   while (audit->n_steps <= step)
     {
@@ -84,7 +84,7 @@
 }
 
 void
-lx_audit_add_tokens (
+lx_audit_add_generated_tokens (
     LxAudit *audit, uint64_t stream, int64_t offset, int64_t tokens, LcVersion version, LbTime now)
 {
   LxStreamRecord *record = &audit->streams[stream - 1];
@@ -103,7 +103,7 @@
 }
 
 LxJob *
-lx_audit_job (LxAudit *audit, uint64_t job)
+lx_audit_get_job (LxAudit *audit, uint64_t job)
 {
   return &audit->jobs[job - 1];
 }
@@ -143,7 +143,7 @@
 }
 
 double
-lx_audit_wasted_ratio (const LxAudit *audit)
+lx_audit_compute_wasted_ratio (const LxAudit *audit)
 {
   int64_t generated = 0;
   int64_t delivered = 0;
--- a/packages/sim/src/lx-callers.c
+++ b/packages/sim/src/lx-callers.c
@@ -181,8 +181,8 @@
 {
   LxWorld *world = callers->world;
 
-  return lx_world_choose_instance (world,
-                                   gsl_rng_uniform_int (callers->random, world->n_instances));
+  return lx_world_choose_serving_instance (world, gsl_rng_uniform_int (callers->random,
+                                                                       world->n_instances));
 }
 
 static void
@@ -241,7 +241,7 @@
 }
 
 void
-lx_callers_submit (LxCallers *callers, const LxCallSpec *spec)
+lx_callers_submit_call (LxCallers *callers, const LxCallSpec *spec)
 {
   Submission *submission = new_submission (callers, spec->is_service_call);
 
--- a/packages/sim/src/lx-engine.c
+++ b/packages/sim/src/lx-engine.c
@@ -264,7 +264,8 @@
 
   double wait = (next - engine->token_clock) * get_seconds_per_token (engine) * LB_SEC;
   LbTime at = lx_queue_now (engine->queue) + (LbTime)ceil (fmax (wait, 0));
-  lx_queue_add (engine->queue, at, on_timer, engine, (void *)(uintptr_t)engine->timer_number, NULL);
+  lx_queue_add_event (engine->queue, at, on_timer, engine, (void *)(uintptr_t)engine->timer_number,
+                      NULL);
 }
 
 static int
@@ -286,7 +287,7 @@
 }
 
 bool
-lx_engine_submit (LxEngine *engine, const LxStreamSpec *spec)
+lx_engine_submit_stream (LxEngine *engine, const LxStreamSpec *spec)
 {
   if (engine->leaving || (!engine->is_service && engine->version == 0))
     return false;
@@ -315,7 +316,7 @@
 
 /* Ends the stream without a notification. Tokens generated since its last piece are counted. */
 void
-lx_engine_cancel (LxEngine *engine, uint64_t id)
+lx_engine_cancel_stream (LxEngine *engine, uint64_t id)
 {
   LxStream *stream = find_stream (&engine->running, id);
 
@@ -393,8 +394,8 @@
   flush_pieces (engine);
   engine->paused = true;
   set_timer (engine);
-  lx_queue_add (engine->queue, lx_queue_now (engine->queue) + engine->times.pause_time,
-                on_swap_completed, engine, argument, NULL);
+  lx_queue_add_event (engine->queue, lx_queue_now (engine->queue) + engine->times.pause_time,
+                      on_swap_completed, engine, argument, NULL);
 }
 
 void
@@ -404,8 +405,8 @@
     return;
   engine->loading = true;
   engine->loading_version = version;
-  lx_queue_add (engine->queue, lx_queue_now (engine->queue) + engine->times.load_time,
-                on_load_completed, engine, (void *)(uintptr_t)engine->incarnation, NULL);
+  lx_queue_add_event (engine->queue, lx_queue_now (engine->queue) + engine->times.load_time,
+                      on_load_completed, engine, (void *)(uintptr_t)engine->incarnation, NULL);
 }
 
 static void
@@ -472,7 +473,7 @@
 }
 
 size_t
-lx_engine_count_in_progress (const LxEngine *engine)
+lx_engine_count_streams (const LxEngine *engine)
 {
   return engine->running.length + engine->waiting.length;
 }
--- a/packages/sim/src/lx-faults.c
+++ b/packages/sim/src/lx-faults.c
@@ -106,7 +106,7 @@
 
   if (!engine->alive || !engine->leaving)
     return;
-  if (lx_engine_count_in_progress (engine) > 0)
+  if (lx_engine_count_streams (engine) > 0)
     lx_world_schedule (world, LB_SEC, on_leave_check, world, engine, NULL);
   else
     crash_engine (world, engine, RESTART_TIME);
--- a/packages/sim/src/lx-instance-config.c
+++ b/packages/sim/src/lx-instance-config.c
@@ -67,8 +67,10 @@
       LB_COPY (transit->from, instance->name);
       transit->message = *message;
       transit->message.body = message->body ? json_object_get (message->body) : NULL;
-      lx_instance_post (to, delay + (is_garbled ? (LbTime)(draw * 500 * LB_MSEC) : 0) + i * LB_SEC,
-                        on_message, transit, free_message);
+      lx_instance_post_message (to,
+                                delay + (is_garbled ? (LbTime)(draw * 500 * LB_MSEC) : 0)
+                                    + i * LB_SEC,
+                                on_message, transit, free_message);
     }
 }
 
@@ -134,7 +136,7 @@
   /* A slow store: its answer is outdated on arrival. */
   if (current_time (instance) < world->store.replies_lost_until)
     delay += (LbTime)(gsl_rng_uniform (world->random) * (double)(STORE_TIMEOUT - STORE_LATENCY));
-  lx_instance_post (instance, delay, on_head_read, head_read, free_head_read);
+  lx_instance_post_message (instance, delay, on_head_read, head_read, free_head_read);
 }
 
 static void
@@ -149,7 +151,7 @@
       send_message (instance, action);
       break;
     case LC_CONFIG_ACTIVATED:
-      lx_instance_apply_config (instance, lc_config_active_set (instance->config));
+      lx_instance_apply_configuration (instance, lc_config_active_set (instance->config));
       break;
     case LC_CONFIG_READINESS_CHANGED:
       break;
@@ -185,7 +187,7 @@
   if (due >= instance->next_config_tick_at)
     return;
   instance->next_config_tick_at = due;
-  lx_instance_post (instance, due - current_time (instance), on_config_tick, NULL, NULL);
+  lx_instance_post_message (instance, due - current_time (instance), on_config_tick, NULL, NULL);
 }
 
 static bool
@@ -218,11 +220,11 @@
   lc_config_update_members (instance->config, members, n, current_time (instance),
                             &instance->config_actions);
   execute_config_actions (instance);
-  lx_instance_post (instance, MEMBERS_INTERVAL, on_members_update, NULL, NULL);
+  lx_instance_post_message (instance, MEMBERS_INTERVAL, on_members_update, NULL, NULL);
 }
 
 void
-lx_instance_config_start (LxInstance *instance)
+lx_instance_start_config (LxInstance *instance)
 {
   LcConfigSettings settings = { .max_confirmation_age = 10 * LB_SEC,
                                 .min_poll_period = 2 * LB_SEC,
@@ -237,7 +239,7 @@
 }
 
 void
-lx_instance_config_stop (LxInstance *instance)
+lx_instance_stop_config (LxInstance *instance)
 {
   LbLink *link;
 
@@ -289,7 +291,7 @@
   LcResourceSet *next = NULL;
   if (now >= world->store.unavailable_until
       && lc_config_has_majority (instance->config, change->requested_at))
-    next = lx_registry_commit (&world->registry, change->revision, change->change);
+    next = lx_registry_commit_change (&world->registry, change->revision, change->change);
   if (!next)
     {
       lc_config_change_abandoned (instance->config, now, &instance->config_actions);
@@ -308,11 +310,11 @@
   committed->change = json_object_get (change->change);
   committed->next = next;
   committed->requested_at = now;
-  lx_instance_post (instance, STORE_LATENCY, on_committed, committed, free_change);
+  lx_instance_post_message (instance, STORE_LATENCY, on_committed, committed, free_change);
 }
 
 void
-lx_instance_submit_change (LxInstance *instance, struct json_object *content)
+lx_instance_submit_config_change (LxInstance *instance, struct json_object *content)
 {
   ChangeInTransit *change = LB_NEW (ChangeInTransit);
 
@@ -321,5 +323,5 @@
   change->requested_at = current_time (instance);
   lc_config_announce_change (instance->config, current_time (instance), &instance->config_actions);
   execute_config_actions (instance);
-  lx_instance_post (instance, ACCEPTANCE_DELAY, on_commit_due, change, free_change);
+  lx_instance_post_message (instance, ACCEPTANCE_DELAY, on_commit_due, change, free_change);
 }
--- a/packages/sim/src/lx-instance-config.h
+++ b/packages/sim/src/lx-instance-config.h
@@ -4,7 +4,7 @@
 #include "lx-instance.h"
 
 /* The configuration of an instance: LcConfig with simulated links and a simulated store. */
-void lx_instance_config_start (LxInstance *instance);
-void lx_instance_config_stop (LxInstance *instance);
+void lx_instance_start_config (LxInstance *instance);
+void lx_instance_stop_config (LxInstance *instance);
 
 #endif
--- a/packages/sim/src/lx-instance.c
+++ b/packages/sim/src/lx-instance.c
@@ -101,8 +101,8 @@
 
   if (!is_lost && instance->paused_until > lx_world_now (instance->world))
     {
-      lx_queue_add (instance->world->queue, instance->paused_until, on_posted_message, instance,
-                    posted, free_posted_message);
+      lx_queue_add_event (instance->world->queue, instance->paused_until, on_posted_message,
+                          instance, posted, free_posted_message);
       return;
     }
   if (!is_lost)
@@ -111,11 +111,11 @@
 }
 
 void
-lx_instance_post (LxInstance *instance,
-                  LbTime delay,
-                  LxInstanceHandler handler,
-                  void *argument,
-                  void (*free_argument) (void *argument))
+lx_instance_post_message (LxInstance *instance,
+                          LbTime delay,
+                          LxInstanceHandler handler,
+                          void *argument,
+                          void (*free_argument) (void *argument))
 {
   PostedMessage *posted = LB_NEW (PostedMessage);
 
@@ -174,7 +174,7 @@
 
   check_core_invariants (instance);
   free_actions (instance);
-  lx_instance_config_stop (instance);
+  lx_instance_stop_config (instance);
   HASH_ITER (hh, instance->requests, request, next)
   {
     free_request (instance, request);
@@ -233,9 +233,9 @@
   instance->rollouts = lc_rollouts_new (&rollouts);
   lc_rollouts_set_id_source (instance->rollouts, next_request_id, instance);
   memset (instance->cache_cursors, 0, instance->world->n_endpoints * sizeof (uint64_t));
-  lx_instance_config_start (instance);
-  lx_instance_post (instance, (LbTime)instance->index * POLL_OFFSET_MS * LB_MSEC, on_poll, NULL,
-                    NULL);
+  lx_instance_start_config (instance);
+  lx_instance_post_message (instance, (LbTime)instance->index * POLL_OFFSET_MS * LB_MSEC, on_poll,
+                            NULL, NULL);
 }
 
 static void
@@ -244,7 +244,7 @@
   CloseInTransit *closing = argument;
 
   (void)owner;
-  lx_engine_cancel (closing->engine, closing->stream);
+  lx_engine_cancel_stream (closing->engine, closing->stream);
   free (closing);
 }
 
@@ -323,8 +323,8 @@
     return;
   double draw = gsl_rng_uniform (world->random);
   if (draw < 0.03)
-    lx_instance_post (instance, *delay + (LbTime)(draw * LB_SEC), on_delivery,
-                      lb_memdup (delivery, sizeof *delivery), free);
+    lx_instance_post_message (instance, *delay + (LbTime)(draw * LB_SEC), on_delivery,
+                              lb_memdup (delivery, sizeof *delivery), free);
   else if (draw < 0.06 && !delivery->piece.last)
     *delay += (LbTime)(draw * 5 * LB_SEC);
 }
@@ -345,7 +345,7 @@
   copy->request = stream->request;
   copy->attempt = stream->attempt;
   garble_delivery (instance, copy, &delay);
-  lx_instance_post (instance, latency + delay, on_delivery, copy, free);
+  lx_instance_post_message (instance, latency + delay, on_delivery, copy, free);
 }
 
 void
@@ -370,7 +370,7 @@
 static void
 record_start (LxWorld *world, const LxStreamSpec *stream)
 {
-  LxJob *job = lx_audit_job (&world->audit, stream->job);
+  LxJob *job = lx_audit_get_job (&world->audit, stream->job);
 
   job->n_starts++;
   if (job->reported_not_run)
@@ -400,7 +400,7 @@
       lx_instance_send_end (instance, engine, &transit->stream, LC_END_NOT_SENT, 0);
       goto out;
     }
-  if (!lx_engine_submit (engine, &transit->stream))
+  if (!lx_engine_submit_stream (engine, &transit->stream))
     {
       lx_instance_send_end (instance, engine, &transit->stream,
                             engine->leaving ? LC_END_REFUSED_LEAVING : LC_END_REFUSED, 0);
@@ -460,7 +460,7 @@
                             .n_prefix_hashes = spec->n_prefix_hashes,
                             .offset = offset,
                             .job = request->job };
-  stream->total_tokens = lx_audit_job (&instance->world->audit, request->job)->total_tokens;
+  stream->total_tokens = lx_audit_get_job (&instance->world->audit, request->job)->total_tokens;
   memcpy (stream->prefix_hashes, spec->prefix_hashes, sizeof stream->prefix_hashes);
 }
 
@@ -502,7 +502,7 @@
 record_not_run (LxInstance *instance, uint64_t number, LbErrorCode error)
 {
   LxWorld *world = instance->world;
-  LxJob *job = lx_audit_job (&world->audit, number);
+  LxJob *job = lx_audit_get_job (&world->audit, number);
 
   if (!lb_error_is_not_run (error))
     return;
@@ -703,10 +703,10 @@
   LxWriteOutcome outcome = draw_write_outcome (instance->world);
 
   reply->write = action->write_id;
-  reply->error = lx_store_write (&instance->world->store, action->row_key, action->row_value,
-                                 action->session, outcome);
-  lx_instance_post (instance, outcome == LX_WRITE_APPLIED ? STORE_LATENCY : STORE_TIMEOUT,
-                    on_ledger_reply, reply, free);
+  reply->error = lx_store_write_row (&instance->world->store, action->row_key, action->row_value,
+                                     action->session, outcome);
+  lx_instance_post_message (instance, outcome == LX_WRITE_APPLIED ? STORE_LATENCY : STORE_TIMEOUT,
+                            on_ledger_reply, reply, free);
 }
 
 /* A step whose new session has been started in the store. */
@@ -744,7 +744,8 @@
                             lb_error_name (error.code));
   process_actions (instance);
   if (opened)
-    lx_trainer_step_opened (&instance->world->trainers[opening->trainer], instance->index, step);
+    lx_trainer_handle_step_opened (&instance->world->trainers[opening->trainer], instance->index,
+                                   step);
 }
 
 void
@@ -761,7 +762,7 @@
     }
   if (lc_rollouts_get_step_status (instance->rollouts, spec->subscription, spec->step, &status))
     {
-      lx_trainer_step_opened (&world->trainers[trainer], instance->index, spec->step);
+      lx_trainer_handle_step_opened (&world->trainers[trainer], instance->index, spec->step);
       lc_step_spec_clear (spec);
       return;
     }
@@ -780,9 +781,9 @@
   opening->spec = *spec;
   opening->trainer = trainer;
   opening->session = lx_store_begin_session (&world->store, key);
-  opening->ledger_row = lb_strdup (lx_store_get (&world->store, key));
+  opening->ledger_row = lb_strdup (lx_store_get_value (&world->store, key));
   memset (spec, 0, sizeof *spec);
-  lx_instance_post (instance, STORE_LATENCY, on_session_started, opening, free_opening);
+  lx_instance_post_message (instance, STORE_LATENCY, on_session_started, opening, free_opening);
 }
 
 static void
@@ -846,7 +847,7 @@
   if (due >= instance->next_tick_at)
     return;
   instance->next_tick_at = due;
-  lx_instance_post (instance, due - current_time (instance), on_tick, NULL, NULL);
+  lx_instance_post_message (instance, due - current_time (instance), on_tick, NULL, NULL);
 }
 
 static bool
@@ -892,7 +893,7 @@
   (void)argument;
   if (!is_idle && current_time (instance) - instance->drain_started_at < DRAIN_TIMEOUT)
     {
-      lx_instance_post (instance, DRAIN_CHECK_INTERVAL, on_drain_check, NULL, NULL);
+      lx_instance_post_message (instance, DRAIN_CHECK_INTERVAL, on_drain_check, NULL, NULL);
       return;
     }
   if (!is_idle)
@@ -919,7 +920,7 @@
   lc_rollouts_drain (instance->rollouts, current_time (instance), &instance->rollout_actions);
   process_actions (instance);
   instance->drain_started_at = current_time (instance);
-  lx_instance_post (instance, DRAIN_CHECK_INTERVAL, on_drain_check, NULL, NULL);
+  lx_instance_post_message (instance, DRAIN_CHECK_INTERVAL, on_drain_check, NULL, NULL);
 }
 
 void
@@ -931,7 +932,7 @@
 }
 
 void
-lx_instance_apply_config (LxInstance *instance, const LcResourceSet *set)
+lx_instance_apply_configuration (LxInstance *instance, const LcResourceSet *set)
 {
   lc_dispatch_configure (instance->dispatch, set, current_time (instance),
                          &instance->dispatch_actions);
@@ -1028,7 +1029,7 @@
 }
 
 void
-lx_instance_record_load (LxInstance *instance, size_t engine, const LcLoadReport *report)
+lx_instance_record_load_report (LxInstance *instance, size_t engine, const LcLoadReport *report)
 {
   apply_cache_events (instance, engine);
   lc_dispatch_record_load (instance->dispatch, instance->world->engines[engine]->name, report,
@@ -1048,7 +1049,7 @@
 {
   const LoadReportInTransit *transit = argument;
 
-  lx_instance_record_load (instance, transit->engine, &transit->report);
+  lx_instance_record_load_report (instance, transit->engine, &transit->report);
 }
 
 /* Polls the load of all endpoints; a report arrives one network latency after it was measured. */
@@ -1064,10 +1065,10 @@
       LoadReportInTransit *transit = LB_NEW (LoadReportInTransit);
       transit->engine = i;
       lx_engine_get_load_report (world->engines[i], &transit->report);
-      lx_instance_post (instance,
-                        lx_world_latency (world, instance->data_centre,
-                                          world->engines[i]->data_centre),
-                        on_load_report, transit, free);
+      lx_instance_post_message (instance,
+                                lx_world_latency (world, instance->data_centre,
+                                                  world->engines[i]->data_centre),
+                                on_load_report, transit, free);
     }
 }
 
@@ -1077,11 +1078,11 @@
   (void)argument;
   poll_endpoints (instance);
   check_core_invariants (instance);
-  lx_instance_post (instance, POLL_INTERVAL, on_poll, NULL, NULL);
+  lx_instance_post_message (instance, POLL_INTERVAL, on_poll, NULL, NULL);
 }
 
 void
-lx_instance_set_swap (LxInstance *instance, size_t engine, bool pending, LbTime until)
+lx_instance_set_weight_swap (LxInstance *instance, size_t engine, bool pending, LbTime until)
 {
   lc_endpoints_set_weight_swap (lc_dispatch_get_endpoints (instance->dispatch),
                                 instance->world->engines[engine]->name, pending, until,
@@ -1097,7 +1098,7 @@
 }
 
 void
-lx_instance_pull (LxInstance *instance, const LcPull *pull)
+lx_instance_handle_pull (LxInstance *instance, const LcPull *pull)
 {
   lc_rollouts_handle_pull (instance->rollouts, pull, current_time (instance),
                            &instance->rollout_actions);
--- a/packages/sim/src/lx-queue.c
+++ b/packages/sim/src/lx-queue.c
@@ -89,12 +89,12 @@
 }
 
 void
-lx_queue_add (LxQueue *queue,
-              LbTime at,
-              LxEventHandler handler,
-              void *owner,
-              void *argument,
-              void (*free_argument) (void *argument))
+lx_queue_add_event (LxQueue *queue,
+                    LbTime at,
+                    LxEventHandler handler,
+                    void *owner,
+                    void *argument,
+                    void (*free_argument) (void *argument))
 {
   if (queue->length == queue->capacity)
     {
@@ -111,7 +111,7 @@
 }
 
 bool
-lx_queue_run_next (LxQueue *queue, LbTime until)
+lx_queue_run_next_event (LxQueue *queue, LbTime until)
 {
   if (queue->length == 0 || queue->heap[0].at > until)
     return false;
@@ -132,7 +132,7 @@
 }
 
 uint64_t
-lx_queue_count_handled (const LxQueue *queue)
+lx_queue_count_handled_events (const LxQueue *queue)
 {
   return queue->handled;
 }
--- a/packages/sim/src/lx-registry.c
+++ b/packages/sim/src/lx-registry.c
@@ -32,7 +32,7 @@
 }
 
 LcResourceSet *
-lx_registry_commit (LxRegistry *registry, int64_t revision, struct json_object *change)
+lx_registry_commit_change (LxRegistry *registry, int64_t revision, struct json_object *change)
 {
   LbError error = { 0 };
 
@@ -153,11 +153,11 @@
 }
 
 void
-lx_registry_request_change (LxRegistry *registry, LxInstance *instance, double live_reserve)
+lx_registry_request_live_reserve (LxRegistry *registry, LxInstance *instance, double live_reserve)
 {
   struct json_object *change = build_change (registry, live_reserve);
 
-  lx_instance_submit_change (instance, change);
+  lx_instance_submit_config_change (instance, change);
   json_object_put (change);
 }
 
@@ -168,15 +168,15 @@
   LxWorld *world = registry->world;
   uint64_t draw = gsl_rng_uniform_int (world->random, 1000);
   struct json_object *change = build_change (registry, 0.2 + (double)(draw % 20) / 100);
-  LxInstance *instance = lx_world_choose_instance (world, draw % world->n_instances);
-  LxInstance *other = lx_world_choose_instance (world, (draw + 1) % world->n_instances);
+  LxInstance *instance = lx_world_choose_serving_instance (world, draw % world->n_instances);
+  LxInstance *other = lx_world_choose_serving_instance (world, (draw + 1) % world->n_instances);
 
   (void)argument;
   if (instance)
-    lx_instance_submit_change (instance, change);
+    lx_instance_submit_config_change (instance, change);
   /* One change in three competes with the same change at another instance. */
   if (other && draw % 3 == 0)
-    lx_instance_submit_change (other, change);
+    lx_instance_submit_config_change (other, change);
   json_object_put (change);
   /* Some changes come in bursts, so that messages about one arrive after the next. */
   lx_world_schedule (world,
--- a/packages/sim/src/lx-replay.c
+++ b/packages/sim/src/lx-replay.c
@@ -70,7 +70,7 @@
 {
   replay->n_failures++;
   fprintf (replay->out, "%s:%d: %s: %s (at %.3f s, event %" PRIu64 ")\n", replay->name, line->line,
-           line->event ? "event" : lx_expect_name ((LxTraceExpect)line->expect), problem,
+           line->event ? "event" : lx_trace_expect_name ((LxTraceExpect)line->expect), problem,
            (double)(lx_world_now (replay->world) - replay->started_at) / LB_SEC,
            lx_world_event_number (replay->world));
 }
@@ -84,13 +84,13 @@
   NamedCall *call = &replay->calls[index];
 
   LB_COPY (call->name, line->call);
-  lx_callers_submit (&replay->world->callers,
-                     &(LxCallSpec){ .is_service_call = line->event == LX_EVENT_SERVICE,
-                                    .repeatable = line->repeatable,
-                                    .tokens = line->tokens,
-                                    .timeout = line->deadline_ms * LB_MSEC,
-                                    .instance = line->instance,
-                                    .result = &call->result });
+  lx_callers_submit_call (&replay->world->callers,
+                          &(LxCallSpec){ .is_service_call = line->event == LX_EVENT_SERVICE,
+                                         .repeatable = line->repeatable,
+                                         .tokens = line->tokens,
+                                         .timeout = line->deadline_ms * LB_MSEC,
+                                         .instance = line->instance,
+                                         .result = &call->result });
 }
 
 static void
@@ -131,7 +131,7 @@
   LxInstance *instance = lx_world_find_instance (world, line->instance[0] ? line->instance : "i1");
 
   if (instance && instance->alive)
-    lx_registry_request_change (&world->registry, instance, line->live_reserve);
+    lx_registry_request_live_reserve (&world->registry, instance, line->live_reserve);
   else
     report_failure (replay, line, "the instance is unknown or not running");
 }
@@ -165,7 +165,7 @@
       start_call (replay, scheduled->index);
       break;
     case LX_EVENT_VERSION:
-      lx_swaps_publish (&replay->world->swaps);
+      lx_weight_swaps_publish_version (&replay->world->swaps);
       break;
     case LX_EVENT_CHANGE:
       submit_change (replay, line);
@@ -196,7 +196,7 @@
   if (!call)
     return "unknown call";
 
-  const LxJob *job = lx_audit_job (&replay->world->audit, call->result.job);
+  const LxJob *job = lx_audit_get_job (&replay->world->audit, call->result.job);
   if (line->expect == LX_EXPECT_RUNS)
     return job->n_starts <= line->count ? NULL : "endpoints started the call more often than count";
   if (call->result.ended_at == 0)
--- a/packages/sim/src/lx-result.c
+++ b/packages/sim/src/lx-result.c
@@ -84,7 +84,7 @@
   result->live_calls = world->callers.answered;
   result->refused = world->callers.refused;
   result->failed = world->callers.failed;
-  result->wasted_tokens_ratio = lx_audit_wasted_ratio (&world->audit);
+  result->wasted_tokens_ratio = lx_audit_compute_wasted_ratio (&world->audit);
   result->decisions = world->decisions;
   result->events = lx_world_event_number (world);
   if (real_seconds > 0)
--- a/packages/sim/src/lx-soak.c
+++ b/packages/sim/src/lx-soak.c
@@ -90,13 +90,13 @@
 
 static void
 print_ring_buffer (const char *title,
-                   const char ring[LX_HISTORY_LENGTH][128],
+                   const char ring[LX_MAX_HISTORY_LINES][128],
                    uint64_t n,
                    FILE *out)
 {
   fprintf (out, "%s:\n", title);
-  for (uint64_t i = n > LX_HISTORY_LENGTH ? n - LX_HISTORY_LENGTH : 0; i < n; i++)
-    fprintf (out, "  %s\n", ring[i % LX_HISTORY_LENGTH]);
+  for (uint64_t i = n > LX_MAX_HISTORY_LINES ? n - LX_MAX_HISTORY_LINES : 0; i < n; i++)
+    fprintf (out, "  %s\n", ring[i % LX_MAX_HISTORY_LINES]);
 }
 
 static void
--- a/packages/sim/src/lx-store.c
+++ b/packages/sim/src/lx-store.c
@@ -48,7 +48,7 @@
 }
 
 LbErrorCode
-lx_store_write (
+lx_store_write_row (
     LxStore *store, const char *key, const char *value, uint64_t session, LxWriteOutcome outcome)
 {
   LxStoreRow *row = ensure_row (store, key);
@@ -74,7 +74,7 @@
 }
 
 const char *
-lx_store_get (const LxStore *store, const char *key)
+lx_store_get_value (const LxStore *store, const char *key)
 {
   const LxStoreRow *row = find_row (store, key);
 
--- a/packages/sim/src/lx-swaps.c
+++ b/packages/sim/src/lx-swaps.c
@@ -19,7 +19,7 @@
 } SwapNotice;
 
 void
-lx_swaps_init (LxSwaps *swaps, LxWorld *world)
+lx_weight_swaps_init (LxWeightSwaps *swaps, LxWorld *world)
 {
   swaps->world = world;
   swaps->newest_version = FIRST_VERSION;
@@ -32,7 +32,7 @@
 {
   const SwapNotice *notice = argument;
 
-  lx_instance_set_swap (instance, notice->engine, notice->pending, notice->until);
+  lx_instance_set_weight_swap (instance, notice->engine, notice->pending, notice->until);
 }
 
 static void
@@ -42,8 +42,8 @@
     {
       SwapNotice *notice = LB_NEW (SwapNotice);
       *notice = (SwapNotice){ .engine = engine, .pending = pending, .until = until };
-      lx_instance_post (&world->instances[i], world->options.site->latency_between, on_swap_notice,
-                        notice, free);
+      lx_instance_post_message (&world->instances[i], world->options.site->latency_between,
+                                on_swap_notice, notice, free);
     }
 }
 
@@ -62,7 +62,7 @@
 static void
 on_load_check (void *owner, void *argument)
 {
-  LxSwaps *swaps = owner;
+  LxWeightSwaps *swaps = owner;
   LxWorld *world = swaps->world;
   size_t loading = count_loading (world);
 
@@ -89,7 +89,7 @@
 }
 
 static void
-notify_versions (LxSwaps *swaps)
+notify_versions (LxWeightSwaps *swaps)
 {
   LxWorld *world = swaps->world;
 
@@ -97,13 +97,13 @@
     {
       LcVersion *newest = LB_NEW (LcVersion);
       *newest = swaps->newest_version;
-      lx_instance_post (&world->instances[i], world->options.site->latency_between,
-                        on_versions_notice, newest, free);
+      lx_instance_post_message (&world->instances[i], world->options.site->latency_between,
+                                on_versions_notice, newest, free);
     }
 }
 
 void
-lx_swaps_publish (LxSwaps *swaps)
+lx_weight_swaps_publish_version (LxWeightSwaps *swaps)
 {
   swaps->newest_version++;
   notify_versions (swaps);
@@ -112,16 +112,16 @@
 static void
 on_version_due (void *owner, void *argument)
 {
-  LxSwaps *swaps = owner;
+  LxWeightSwaps *swaps = owner;
 
   (void)argument;
-  lx_swaps_publish (swaps);
+  lx_weight_swaps_publish_version (swaps);
   lx_world_schedule (swaps->world, swaps->world->options.version_interval, on_version_due, swaps,
                      NULL, NULL);
 }
 
 void
-lx_swaps_start (LxSwaps *swaps)
+lx_weight_swaps_start (LxWeightSwaps *swaps)
 {
   notify_versions (swaps);
   on_load_check (swaps, NULL);
--- a/packages/sim/src/lx-trace.c
+++ b/packages/sim/src/lx-trace.c
@@ -84,7 +84,7 @@
 };
 
 const char *
-lx_expect_name (LxTraceExpect expect)
+lx_trace_expect_name (LxTraceExpect expect)
 {
   return expect_names[expect];
 }
@@ -131,8 +131,9 @@
 
   if (!lb_settings_apply (object, header_specs, &header, where, error))
     return false;
-  if (header.format != LX_TRACE_FORMAT)
-    return lb_error_set (error, LB_ERROR_BAD_VALUE, where, "format: expected %d", LX_TRACE_FORMAT);
+  if (header.format != LX_TRACE_FORMAT_VERSION)
+    return lb_error_set (error, LB_ERROR_BAD_VALUE, where, "format: expected %d",
+                         LX_TRACE_FORMAT_VERSION);
   trace->site = lx_site_find (header.site);
   if (!trace->site)
     return lb_error_set (error, LB_ERROR_BAD_VALUE, where, "site: unknown site '%s'", header.site);
--- a/packages/sim/src/lx-trainer.c
+++ b/packages/sim/src/lx-trainer.c
@@ -156,7 +156,7 @@
 }
 
 void
-lx_trainer_step_opened (LxTrainer *trainer, size_t instance, int64_t step)
+lx_trainer_handle_step_opened (LxTrainer *trainer, size_t instance, int64_t step)
 {
   if (trainer->owner != instance || trainer->step != step)
     return;
@@ -167,13 +167,13 @@
 send_open_request (LxTrainer *trainer)
 {
   LxWorld *world = trainer->world;
-  const LxInstance *instance = lx_world_choose_instance (world, trainer->owner);
+  const LxInstance *instance = lx_world_choose_serving_instance (world, trainer->owner);
 
   if (!instance)
     return;
   trainer->owner = instance->index;
-  lx_instance_post (&world->instances[trainer->owner], world->options.site->client_latency,
-                    on_open_request, trainer, NULL);
+  lx_instance_post_message (&world->instances[trainer->owner], world->options.site->client_latency,
+                            on_open_request, trainer, NULL);
 }
 
 /* A pull in transit to an instance, with its own copy of the cursor. */
@@ -198,7 +198,7 @@
   PullInTransit *transit = argument;
 
   transit->pull.cursor = transit->cursor;
-  lx_instance_pull (instance, &transit->pull);
+  lx_instance_handle_pull (instance, &transit->pull);
 }
 
 static void
@@ -232,8 +232,8 @@
                   .max_samples = world->options.groups_per_step * world->options.samples_per_group,
                   .wait_until = lx_world_now (world) + PULL_WAIT_TIME };
   LB_COPY (transit->pull.subscription, trainer->name);
-  lx_instance_post (&world->instances[trainer->owner], world->options.site->client_latency, on_pull,
-                    transit, free_pull);
+  lx_instance_post_message (&world->instances[trainer->owner], world->options.site->client_latency,
+                            on_pull, transit, free_pull);
   lx_world_schedule (world, PULL_TIMEOUT, on_pull_timeout, trainer,
                      (void *)(uintptr_t)trainer->pull_id, NULL);
 }
@@ -367,7 +367,7 @@
                                lx_world_event_number (world),
                                "%s step %" PRId64 " done with %" PRId64 " of %" PRId64 " samples",
                                trainer->name, trainer->step, trainer->n_received, slots);
-  lx_audit_step (&world->audit, get_step_number (trainer))->is_done = true;
+  lx_audit_ensure_step_tokens (&world->audit, get_step_number (trainer))->is_done = true;
   if (options->explain)
     print_step_end (trainer);
   if (trainer->step > 0)
@@ -481,7 +481,8 @@
   check_sample (trainer, sample, &expected_label,
                 lx_sample_length (&world->options, trainer->index, trainer->step, group,
                                   sample->index));
-  lx_audit_step (&world->audit, get_step_number (trainer))->delivered += expected_label.tokens;
+  lx_audit_ensure_step_tokens (&world->audit, get_step_number (trainer))->delivered
+      += expected_label.tokens;
   lx_text_clear (&text);
 }
 
--- a/packages/sim/src/lx-world.c
+++ b/packages/sim/src/lx-world.c
@@ -28,7 +28,7 @@
 uint64_t
 lx_world_event_number (const LxWorld *world)
 {
-  return lx_queue_count_handled (world->queue);
+  return lx_queue_count_handled_events (world->queue);
 }
 
 LbTime
@@ -46,14 +46,14 @@
                    void *argument,
                    void (*free_argument) (void *argument))
 {
-  lx_queue_add (world->queue, lx_world_now (world) + delay, handler, owner, argument,
-                free_argument);
+  lx_queue_add_event (world->queue, lx_world_now (world) + delay, handler, owner, argument,
+                      free_argument);
 }
 
 void
 lx_world_record_decision (LxWorld *world, const char *format, ...)
 {
-  char *line = world->recent_decisions[world->n_recorded_decisions++ % LX_HISTORY_LENGTH];
+  char *line = world->recent_decisions[world->n_recorded_decisions++ % LX_MAX_HISTORY_LINES];
   int length = snprintf (line, sizeof world->recent_decisions[0], "%.6f ",
                          (double)lx_world_now (world) / LB_SEC);
   va_list arguments;
@@ -66,7 +66,7 @@
 void
 lx_world_record_fault (LxWorld *world, const char *fault, const char *target)
 {
-  snprintf (world->recent_faults[world->n_recorded_faults++ % LX_HISTORY_LENGTH],
+  snprintf (world->recent_faults[world->n_recorded_faults++ % LX_MAX_HISTORY_LINES],
             sizeof world->recent_faults[0], "%.6f %s %s", (double)lx_world_now (world) / LB_SEC,
             fault, target);
 }
@@ -90,7 +90,7 @@
 }
 
 LxInstance *
-lx_world_choose_instance (LxWorld *world, size_t preferred)
+lx_world_choose_serving_instance (LxWorld *world, size_t preferred)
 {
   LbTime now = lx_world_now (world);
 
@@ -133,13 +133,13 @@
 on_generated (void *user, LxEngine *engine, const LxStream *stream, int64_t tokens)
 {
   LxWorld *world = user;
-  uint64_t step = lx_audit_job (&world->audit, stream->spec.job)->step;
+  uint64_t step = lx_audit_get_job (&world->audit, stream->spec.job)->step;
 
   if (!engine->is_service)
-    lx_audit_add_tokens (&world->audit, stream->spec.id, stream->next_token - tokens, tokens,
-                         engine->version, lx_world_now (world));
+    lx_audit_add_generated_tokens (&world->audit, stream->spec.id, stream->next_token - tokens,
+                                   tokens, engine->version, lx_world_now (world));
   if (stream->spec.kind == LC_KIND_SAMPLE)
-    lx_audit_step (&world->audit, step)->generated += tokens;
+    lx_audit_ensure_step_tokens (&world->audit, step)->generated += tokens;
 }
 
 static void
@@ -258,7 +258,7 @@
   for (size_t i = 0; i < options->n_trainers; i++)
     lx_trainer_init (&world->trainers[i], world, i);
   lx_callers_init (&world->callers, world);
-  lx_swaps_init (&world->swaps, world);
+  lx_weight_swaps_init (&world->swaps, world);
   lx_store_init (&world->store);
   lx_faults_init (&world->faults, world);
   return world;
@@ -295,7 +295,7 @@
   for (size_t i = 0; i < world->n_instances; i++)
     lx_instance_start (&world->instances[i]);
   lx_registry_start (&world->registry);
-  lx_swaps_start (&world->swaps);
+  lx_weight_swaps_start (&world->swaps);
   if (world->options.is_scripted)
     return;
   lx_callers_start (&world->callers);
@@ -312,7 +312,7 @@
 
   lx_world_start (world);
   while ((max == 0 || lx_world_event_number (world) < max)
-         && lx_queue_run_next (world->queue, until))
+         && lx_queue_run_next_event (world->queue, until))
     if (world->options.stop_at_violation && world->audit.first_violation[0])
       return;
 }
--- a/packages/sim/tests/test-engine.c
+++ b/packages/sim/tests/test-engine.c
@@ -73,8 +73,8 @@
   LxEngine *engine = make_engine (queue, &output);
   LbTime started_at = lx_queue_now (queue);
 
-  cr_assert (lx_engine_submit (engine, &(LxStreamSpec){ .id = 1, .total_tokens = 100 }));
-  while (lx_queue_run_next (queue, 100 * LB_SEC))
+  cr_assert (lx_engine_submit_stream (engine, &(LxStreamSpec){ .id = 1, .total_tokens = 100 }));
+  while (lx_queue_run_next_event (queue, 100 * LB_SEC))
     continue;
   cr_assert_eq (output.tokens, 100);
   cr_assert_eq (output.n_ends, 1);
@@ -90,9 +90,9 @@
   Output output = { 0 };
   LxEngine *engine = make_engine (queue, &output);
 
-  lx_engine_submit (engine, &(LxStreamSpec){ .id = 1, .total_tokens = 150 });
+  lx_engine_submit_stream (engine, &(LxStreamSpec){ .id = 1, .total_tokens = 150 });
   lx_engine_load_version (engine, 2);
-  while (lx_queue_run_next (queue, 100 * LB_SEC))
+  while (lx_queue_run_next_event (queue, 100 * LB_SEC))
     continue;
   cr_assert_eq (output.tokens_by_version[1] + output.tokens_by_version[2], 150);
   cr_assert_gt (output.tokens_by_version[1], 95);
--- a/packages/sim/tests/test-ledger.c
+++ b/packages/sim/tests/test-ledger.c
@@ -14,9 +14,9 @@
   uint64_t job = lx_audit_add_job (&audit, &(LxJob){ .total_tokens = 100 });
   uint64_t first = lx_audit_add_stream (&audit, job, LB_SEC);
   uint64_t second = lx_audit_add_stream (&audit, job, LB_SEC);
-  lx_audit_add_tokens (&audit, first, 0, 30, 4, LB_SEC);
-  lx_audit_add_tokens (&audit, first, 30, 30, 5, LB_SEC);
-  lx_audit_add_tokens (&audit, second, 50, 50, 6, LB_SEC);
+  lx_audit_add_generated_tokens (&audit, first, 0, 30, 4, LB_SEC);
+  lx_audit_add_generated_tokens (&audit, first, 30, 30, 5, LB_SEC);
+  lx_audit_add_generated_tokens (&audit, second, 50, 50, 6, LB_SEC);
   lx_text_append (&text, first, 0, 50);
   lx_text_append (&text, second, 50, 50);
   lx_audit_compute_label (&audit, &text, &label);
--- a/packages/sim/tests/test-queue.c
+++ b/packages/sim/tests/test-queue.c
@@ -23,10 +23,10 @@
   LxQueue *queue = lx_queue_new ();
   CallLog log = { 0 };
 
-  lx_queue_add (queue, 30 * LB_SEC, log_call, &log, (void *)3, NULL);
-  lx_queue_add (queue, 10 * LB_SEC, log_call, &log, (void *)1, NULL);
-  lx_queue_add (queue, 10 * LB_SEC, log_call, &log, (void *)2, NULL);
-  while (lx_queue_run_next (queue, 20 * LB_SEC))
+  lx_queue_add_event (queue, 30 * LB_SEC, log_call, &log, (void *)3, NULL);
+  lx_queue_add_event (queue, 10 * LB_SEC, log_call, &log, (void *)1, NULL);
+  lx_queue_add_event (queue, 10 * LB_SEC, log_call, &log, (void *)2, NULL);
+  while (lx_queue_run_next_event (queue, 20 * LB_SEC))
     continue;
   cr_assert_eq (log.n_calls, 2);
   cr_assert_eq (log.order[0], 1);
