--- a/packages/sim/include/lx-callers.h
+++ b/packages/sim/include/lx-callers.h
@@ -9,41 +9,41 @@
 
 struct LxWorld;
 
-/* Outcome of a scripted call. */
+/* Outcome of a call that a trace requests. */
 typedef struct
 {
   uint64_t job;
-  LbTime ended_at; /* 0: in progress */
+  LbTime ended_at; /* 0: the call is in progress */
   LbErrorCode error;
 } LxCallResult;
 
-/* A call that a trace makes. */
+/* A call that a trace requests. */
 typedef struct
 {
   bool is_service_call;
   bool repeatable;
   int64_t tokens;
   LbTime timeout;
-  const char *instance; /* "": any */
-  LxCallResult *result; /* written while the call runs; must outlive it */
+  const char *instance; /* name of the instance that receives the call; "": any */
+  LxCallResult *result; /* written while the call runs, so it must outlive the call */
 } LxCallSpec;
 
-/* A call in progress, from the point of view of its caller. */
+/* A call in progress, as its caller sees it. */
 typedef struct LxCall
 {
   LbLink link;
   uint64_t job;
   LcRequestKind kind;
   LbTime sent_at;
-  LbTime first_piece_at; /* 0: none received */
-  int64_t total_tokens;  /* of a complete answer */
+  LbTime first_piece_at; /* 0: no piece received yet */
+  int64_t total_tokens;  /* length of the complete answer */
   bool is_reported_stuck;
   LxText text;
-  LxCallResult *result; /* NULL for a random call */
+  LxCallResult *result; /* NULL: not a call of a trace */
 } LxCall;
 
-/* Simulated callers. They send model and service calls at random times; the prompts of model calls
- * belong to families that share a prefix. */
+/* Simulated callers that send model and service calls at random times. The prompts of model calls
+ * belong to families with a common prefix. */
 typedef struct
 {
   struct LxWorld *world;
@@ -51,9 +51,9 @@
   LbList open_calls;
   uint64_t n_calls;
   int64_t answered;
-  int64_t refused; /* calls with an error that rules out execution */
-  int64_t failed;  /* calls with an error that does not rule out execution */
-  /* one value per answered model call */
+  int64_t refused; /* calls with a "not run" error */
+  int64_t failed;  /* calls with any other error; they may have run */
+  /* latencies of the answered model calls */
   double *latencies_ms;
   size_t n_latencies;
   double *first_piece_latencies_ms;
@@ -65,14 +65,15 @@
 
 /* commands */
 void lx_callers_start (LxCallers *callers);
-/* Sends one call of a trace. */
+/* Sends a call that a trace requests. */
 void lx_callers_submit_call (LxCallers *callers, const LxCallSpec *spec);
 void
 lx_callers_send_piece (LxCallers *callers, LxCall *call, uint64_t stream, const LcPiece *piece);
 void lx_callers_send_result (LxCallers *callers, LxCall *call, LbErrorCode error);
 
 /* queries */
-/* Returns the latency at this quantile, 0 to 1; 0 if no call was answered. Sorts the latencies. */
+/* Returns the latency of answered model calls at this quantile, 0..1; 0 if there are none. Sorts
+ * latencies_ms. */
 double lx_callers_latency_percentile_ms (LxCallers *callers, double quantile);
 
 #endif
--- a/packages/sim/include/lx-engine.h
+++ b/packages/sim/include/lx-engine.h
@@ -8,12 +8,12 @@
 #define LX_MAX_CACHED_BLOCKS 256
 #define LX_CACHE_LOG_LENGTH 512
 
-/* An attempt as the endpoint receives it. */
+/* An attempt to execute a request, as the endpoint receives it. */
 typedef struct
 {
-  uint64_t id;                   /* unique in the run */
-  size_t instance;               /* index of the sender */
-  uint32_t instance_incarnation; /* process of the sender */
+  uint64_t id;                   /* stream number in LxAudit */
+  size_t instance;               /* index of the instance that sent the attempt */
+  uint32_t instance_incarnation; /* incarnation of the process that sent the attempt */
   LcRequestId request;
   uint32_t attempt;
   LcRequestKind kind;
@@ -21,9 +21,9 @@
   int64_t prompt_tokens;
   uint64_t prefix_hashes[LC_MAX_PREFIX_HASHES];
   size_t n_prefix_hashes;
-  int64_t offset;       /* first token to generate */
-  int64_t total_tokens; /* of the complete answer */
-  uint64_t job;         /* number in LxAudit */
+  int64_t offset;       /* position of the first token to generate */
+  int64_t total_tokens; /* length of the complete answer */
+  uint64_t job;         /* job number in LxAudit */
 } LxStreamSpec;
 
 typedef struct
@@ -31,10 +31,10 @@
   LbLink link;
   LxStreamSpec spec;
   bool is_running;
-  bool is_silent;         /* its pieces and its end are no longer sent */
-  int64_t next_token;     /* first token of the next piece */
-  int64_t piece_tokens;   /* length of the next piece */
-  double piece_due_clock; /* token clock of the engine when the next piece is complete */
+  bool is_silent;         /* the engine no longer sends the stream's pieces and end */
+  int64_t next_token;     /* position of the first token of the next piece */
+  int64_t piece_tokens;   /* length of the next piece in tokens */
+  double piece_due_clock; /* LxEngine.token_clock when the next piece is complete */
   LbTime arrived_at;
 } LxStream;
 
@@ -45,8 +45,9 @@
 {
   void (*on_piece) (void *user, LxEngine *engine, const LxStream *stream, const LcPiece *piece);
   void (*on_end) (void *user, LxEngine *engine, const LxStream *stream, LcAttemptEnd end);
-  /* counts all generated tokens, also those that are not sent */
+  /* reports all generated tokens, including tokens that are never sent */
   void (*on_generated) (void *user, LxEngine *engine, const LxStream *stream, int64_t tokens);
+  /* from now on the open connection of the stream carries nothing */
   void (*on_silenced) (void *user, LxEngine *engine, const LxStream *stream);
   void *user;
 } LxEngineListener;
@@ -54,34 +55,35 @@
 /* Performance of an endpoint. */
 typedef struct
 {
-  double token_seconds;           /* per token of a single stream */
-  double token_seconds_per_other; /* added for each other stream in the batch */
-  double prefill_token_seconds;   /* per prompt token that is not in the prefix cache */
-  size_t max_cached_blocks;       /* capacity of the prefix cache */
-  LbTime load_time;               /* to fetch a version while the previous one serves */
-  LbTime pause_time;              /* to switch to the fetched version */
+  double token_seconds;           /* time per token of a stream that runs alone */
+  double token_seconds_per_other; /* added to token_seconds for each other stream in the batch */
+  double prefill_token_seconds;   /* time per prompt token that is not in the prefix cache */
+  size_t max_cached_blocks;       /* capacity of the prefix cache in blocks */
+  LbTime load_time;  /* time to load a weight version while the previous version serves */
+  LbTime pause_time; /* time without generation, to switch to the loaded version */
 } LxEngineTimes;
 
 typedef struct
 {
   uint64_t sequence;
   uint64_t hash;
-  bool stored; /* false: evicted */
+  bool stored; /* true: the block was stored; false: evicted */
 } LxCacheEvent;
 
 typedef struct
 {
   uint64_t hash;
-  uint64_t last_used; /* the engine's cache_use_counter at the last use */
+  uint64_t last_used; /* LxEngine.cache_use_counter at the last use of the block */
 } LxCachedBlock;
 
-/* Simulated endpoint in virtual time: continuous batching with priorities, a prefix cache, weight
- * swaps during a stream, and faults. A service is an endpoint whose answers have one token. */
+/* A simulated endpoint in virtual time, with continuous batching by priority, a prefix cache,
+ * weight swaps during streams, and faults. A service is an endpoint whose answers have one
+ * token. */
 struct LxEngine
 {
   LbName name;
   LbName address;
-  LbName pool; /* or name of the service */
+  LbName pool; /* name of the engine's pool or of the service */
   size_t data_centre;
   bool is_service;
   int64_t concurrency;
@@ -93,25 +95,25 @@
   bool alive;
   bool leaving;
   LbTime leaving_since;
-  LbTime sent_while_leaving_at; /* when it was last sent new work while leaving; 0: never */
-  bool paused;                  /* switches to other weights and generates nothing */
-  bool loading;                 /* loads weights or switches to them */
-  bool fail_next_load;          /* injected fault: the next switch leaves it without weights */
+  LbTime sent_while_leaving_at; /* last time new work was sent to the leaving endpoint; 0: never */
+  bool paused;                  /* the engine switches weights and generates no tokens */
+  bool loading;                 /* the engine loads a weight version or switches to it */
+  bool fail_next_load;          /* injected fault: the next weight switch leaves no weights */
   LcVersion version;
   LcVersion loading_version;
   int64_t fence;
   LbList running;
   LbList waiting;
-  double token_clock; /* tokens that a stream running since the start would have generated */
-  LbTime token_clock_at;
-  uint64_t timer_number; /* timer events with other numbers are obsolete */
+  double token_clock;    /* tokens that a stream would have generated if it had always run */
+  LbTime token_clock_at; /* time of the last update of token_clock */
+  uint64_t timer_number; /* timer events with any other number are ignored */
   /* prefix cache */
   LxCachedBlock cached_blocks[LX_MAX_CACHED_BLOCKS];
   size_t n_cached_blocks;
   uint64_t cache_use_counter;
-  LxCacheEvent cache_log[LX_CACHE_LOG_LENGTH]; /* ring buffer of the last events */
-  uint64_t cache_sequence;                     /* of the last event */
-  /* totals */
+  LxCacheEvent cache_log[LX_CACHE_LOG_LENGTH]; /* ring buffer of the last cache events */
+  uint64_t cache_sequence;                     /* sequence number of the last cache event */
+  /* totals since the engine was created */
   int64_t generated_tokens;
   int64_t prompt_blocks;
   int64_t prompt_blocks_cached;
@@ -121,16 +123,18 @@
 void lx_engine_free (LxEngine *engine);
 
 /* commands */
-/* Returns false if the endpoint refuses the stream: it is leaving or has no complete weights. */
+/* Returns false if the endpoint refuses the stream because it is leaving or has no weights. */
 bool lx_engine_submit_stream (LxEngine *engine, const LxStreamSpec *spec);
-/* The client closed the connection of this stream. */
+/* Ends a stream whose connection the client has closed. */
 void lx_engine_cancel_stream (LxEngine *engine, uint64_t id);
-/* Loads a version while the current one serves, then switches to it; streams continue. */
+/* Loads a weight version while the current version serves, then switches versions; streams
+ * continue. */
 void lx_engine_load_version (LxEngine *engine, LcVersion version);
 void lx_engine_crash (LxEngine *engine);
-/* Starts a new process; version 0: without weights. */
+/* Starts a new process of the endpoint with this weight version; 0: without weights. */
 void lx_engine_start (LxEngine *engine, LcVersion version);
-/* Breaks all connections; if silent, they stay open but nothing more is sent on them. */
+/* Closes the connections of all streams. If silent, the connections stay open, but the endpoint
+ * sends nothing more on them. */
 void lx_engine_break_streams (LxEngine *engine, bool silent);
 
 /* queries */
--- a/packages/sim/include/lx-queue.h
+++ b/packages/sim/include/lx-queue.h
@@ -6,15 +6,15 @@
 /* Event queue in virtual time. Events with the same time run in the order of insertion. */
 typedef struct LxQueue LxQueue;
 
-/* Takes ownership of argument if the event was added with free_argument. */
+/* Handles a due event. Takes ownership of argument if the event was added with free_argument. */
 typedef void (*LxEventHandler) (void *owner, void *argument);
 
 /* The clock starts at one second, so that 0 is never a valid time. */
 LxQueue *lx_queue_new (void);
 void lx_queue_free (LxQueue *queue);
 
-/* Adds an event; a time in the past means now. free_argument frees the argument of an event that
- * never runs; NULL: nothing is to be freed. */
+/* Adds an event; a time in the past means now. free_argument, which may be NULL, frees the argument
+ * of an event that never runs. */
 void lx_queue_add_event (LxQueue *queue,
                          LbTime at,
                          LxEventHandler handler,
--- a/packages/sim/include/lx-site.h
+++ b/packages/sim/include/lx-site.h
@@ -11,13 +11,13 @@
   const char *name;
   const char *data_centres[LX_MAX_DATA_CENTRES];
   size_t n_data_centres;
-  LbTime latency_between; /* between two data centres */
-  LbTime latency_inside;  /* inside a data centre */
-  LbTime client_latency;  /* between an instance and its callers */
-  const char *pool;       /* of the engines */
+  LbTime latency_between; /* network latency between two data centres */
+  LbTime latency_inside;  /* network latency within a data centre */
+  LbTime client_latency;  /* network latency between an instance and its callers */
+  const char *pool;       /* name of the pool that has all engines */
   size_t n_engines;
-  const char *service; /* without a model */
-  size_t n_services;   /* endpoints of the service */
+  const char *service; /* name of the service, which has no model */
+  size_t n_services;   /* number of endpoints of the service */
   size_t n_instances;
   LcPreset preset;
   int64_t max_lag; /* largest allowed staleness of a sample, in versions */
--- a/packages/sim/include/lx-store.h
+++ b/packages/sim/include/lx-store.h
@@ -5,10 +5,10 @@
 
 #include <uthash.h>
 
-/* While replies are lost, the share of calls that get none. */
+/* Share of the store calls that get no reply while the fault LX_FAULT_REPLIES_LOST is active. */
 #define LX_LOST_REPLY_SHARE 0.33
 
-/* A row of the table: the ledger of a step and the session that may write it. */
+/* A table row: the ledger of a step, and the only session that may write the row. */
 typedef struct
 {
   UT_hash_handle hh;
@@ -17,16 +17,16 @@
   uint64_t session;
 } LxStoreRow;
 
-/* Outcome of a write. */
+/* Simulated outcome of a write to the store. */
 typedef enum
 {
   LX_WRITE_APPLIED,
-  LX_WRITE_UNAVAILABLE, /* not applied, and the writer receives an error */
-  LX_WRITE_REPLY_LOST,  /* applied, but the writer has no answer */
-  LX_WRITE_REQUEST_LOST /* not applied, and the writer has no answer */
+  LX_WRITE_UNAVAILABLE, /* not applied; the writer receives an error */
+  LX_WRITE_REPLY_LOST,  /* applied, but the writer receives no answer */
+  LX_WRITE_REQUEST_LOST /* not applied, and the writer receives no answer */
 } LxWriteOutcome;
 
-/* The platform's table in virtual time, with outages and lost replies. */
+/* Simulated database table of the platform, with outages and lost replies in virtual time. */
 typedef struct
 {
   LxStoreRow *rows;
@@ -38,10 +38,11 @@
 void lx_store_clear (LxStore *store);
 
 /* commands */
-/* Writes the value if `session` is the row's session; LB_ERROR_STALE_SESSION otherwise. */
+/* Writes the value if `session` is the current session of the row; otherwise returns
+ * LB_ERROR_STALE_SESSION. Only LX_WRITE_APPLIED and LX_WRITE_REPLY_LOST change the row. */
 LbErrorCode lx_store_write_row (
     LxStore *store, const char *key, const char *value, uint64_t session, LxWriteOutcome outcome);
-/* Starts a new session of the row and returns its number. */
+/* Starts a new session of the row and returns the session's number. */
 uint64_t lx_store_begin_session (LxStore *store, const char *key);
 
 /* queries */
--- a/packages/sim/include/lx-swaps.h
+++ b/packages/sim/include/lx-swaps.h
@@ -5,17 +5,17 @@
 
 struct LxWorld;
 
-/* Publishes new versions and makes the engines load them, a few at a time. */
+/* Publishes new weight versions and makes the engines load them, a few engines at a time. */
 typedef struct
 {
   struct LxWorld *world;
   LcVersion newest_version;
-  size_t max_concurrent_loads; /* that the weight store allows */
+  size_t max_concurrent_loads; /* limit of the weight store for concurrent loads */
 } LxWeightSwaps;
 
 void lx_weight_swaps_init (LxWeightSwaps *swaps, struct LxWorld *world);
 void lx_weight_swaps_start (LxWeightSwaps *swaps);
-/* Adds a new version to the weight store. */
+/* Adds the next weight version to the weight store. */
 void lx_weight_swaps_publish_version (LxWeightSwaps *swaps);
 
 #endif
--- a/packages/sim/include/lx-text.h
+++ b/packages/sim/include/lx-text.h
@@ -3,8 +3,8 @@
 
 #include "lb-types.h"
 
-/* A range of tokens of an engine's stream. Simulated answers consist of these in place of text, so
- * that the receiver can compare an answer with what the engines generated. */
+/* A range of the tokens of an engine's stream. Simulated answers consist of segments instead of
+ * text, so that the receiver can compare an answer with what the engines generated. */
 typedef struct
 {
   uint64_t stream;
@@ -21,7 +21,7 @@
 void lx_text_clear (LxText *text);
 void lx_text_append (LxText *text, uint64_t stream, int64_t first, int64_t count);
 void lx_text_copy (LxText *target, const LxText *source);
-/* Keeps the first `tokens` tokens. */
+/* Removes all but the first `tokens` tokens. */
 void lx_text_truncate (LxText *text, int64_t tokens);
 /* Appends text written by lx_text_render; returns false on any other input. */
 bool lx_text_parse (LxText *text, const char *rendered);
