--- a/packages/sim/src/lx-audit.c
+++ b/packages/sim/src/lx-audit.c
@@ -47,13 +47,14 @@
   audit->first_event = event;
 }
 
-/* Makes room for one more element; the capacity is the next power of two. */
+/* Makes room for one more element after the first n. The capacity is always a power of two and
+ * doubles when n reaches the capacity. */
 static void *
-grow_array (void *array, size_t n, size_t size)
+grow_array (void *array, size_t n, size_t element_size)
 {
   if (n > 0 && (n & (n - 1)) != 0)
     return array;
-  return lb_realloc (array, (n > 0 ? 2 * n : 1) * size);
+  return lb_realloc (array, (n > 0 ? 2 * n : 1) * element_size);
 }
 
 uint64_t
@@ -119,7 +120,7 @@
 }
 
 static void
-add_overlap (LcLabel *label, const LcSpan *span, const LxSegment *segment)
+add_overlap_to_label (LcLabel *label, const LcSpan *span, const LxSegment *segment)
 {
   int64_t first = span->first > segment->first ? span->first : segment->first;
   int64_t span_end = span->first + span->count;
@@ -138,7 +139,7 @@
     {
       const LxStreamRecord *record = &audit->streams[text->segments[i].stream - 1];
       for (size_t j = 0; j < record->n_spans; j++)
-        add_overlap (label, &record->spans[j], &text->segments[i]);
+        add_overlap_to_label (label, &record->spans[j], &text->segments[i]);
     }
 }
 
--- a/packages/sim/src/lx-callers.c
+++ b/packages/sim/src/lx-callers.c
@@ -11,11 +11,11 @@
 #include <string.h>
 
 #define N_PREFIX_FAMILIES 40
-#define N_CALLERS 50
-#define N_SHARED_BLOCKS 3
-#define PROMPT_TOKENS 256
+#define N_CALLER_NAMES 50
+#define N_SHARED_PROMPT_BLOCKS 3
+#define MODEL_CALL_PROMPT_TOKENS 256
 #define CALL_TIMEOUT (60 * LB_SEC)
-#define ANSWER_GRACE_TIME (20 * LB_SEC)
+#define OVERDUE_GRACE_TIME (20 * LB_SEC)
 #define OVERDUE_CHECK_INTERVAL (10 * LB_SEC)
 
 /* A piece or the final result of a call, in transit to the caller. */
@@ -39,7 +39,7 @@
 }
 
 static void
-free_call (LxCallers *callers, LxCall *call)
+remove_and_free_call (LxCallers *callers, LxCall *call)
 {
   lb_list_remove (&callers->open_calls, &call->link);
   lx_text_clear (&call->text);
@@ -51,7 +51,7 @@
 {
   LB_LIST_FOREACH (&callers->open_calls, LxCall, link, call)
   {
-    free_call (callers, call);
+    remove_and_free_call (callers, call);
   }
   gsl_rng_free (callers->random);
   free (callers->latencies_ms);
@@ -87,7 +87,7 @@
 }
 
 static void
-on_answer (void *owner, void *argument)
+on_answer_arrived (void *owner, void *argument)
 {
   LxCallers *callers = owner;
   Answer *answer = argument;
@@ -111,7 +111,7 @@
     callers->refused++;
   else
     callers->failed++;
-  free_call (callers, call);
+  remove_and_free_call (callers, call);
 out:
   free (answer);
 }
@@ -119,8 +119,8 @@
 static void
 send_answer (LxCallers *callers, const Answer *answer)
 {
-  lx_world_schedule (callers->world, callers->world->options.site->client_latency, on_answer,
-                     callers, lb_memdup (answer, sizeof *answer), free);
+  lx_world_schedule (callers->world, callers->world->options.site->client_latency,
+                     on_answer_arrived, callers, lb_memdup (answer, sizeof *answer), free);
 }
 
 /* Sends a piece from the instance to the caller. */
@@ -138,28 +138,28 @@
 }
 
 static void
-fill_model_call (LxCallers *callers, LcRequestSpec *spec)
+fill_model_request_spec (LxCallers *callers, LcRequestSpec *spec)
 {
-  /* Squaring makes families of low number more popular: a few shops or sorting offices send most
-   * calls. */
-  double position = gsl_rng_uniform (callers->random);
-  uint64_t family = (uint64_t)(N_PREFIX_FAMILIES * position * position);
+  /* Squaring favours families with a low number, because on real sites a few callers (shops,
+   * sorting offices) send most calls. */
+  double draw = gsl_rng_uniform (callers->random);
+  uint64_t family = (uint64_t)(N_PREFIX_FAMILIES * draw * draw);
 
   spec->kind = LC_KIND_LIVE;
   spec->delivery = LC_DELIVER_STREAM;
   spec->repeatable = true;
   spec->resumable = true;
-  spec->prompt_tokens = PROMPT_TOKENS;
+  spec->prompt_tokens = MODEL_CALL_PROMPT_TOKENS;
   spec->expected_tokens = 64;
-  spec->n_prefix_hashes = N_SHARED_BLOCKS + 1;
-  for (size_t i = 0; i < N_SHARED_BLOCKS; i++)
+  spec->n_prefix_hashes = N_SHARED_PROMPT_BLOCKS + 1;
+  for (size_t i = 0; i < N_SHARED_PROMPT_BLOCKS; i++)
     spec->prefix_hashes[i] = (family + 1) * 1000003 + i;
-  spec->prefix_hashes[N_SHARED_BLOCKS] = ((uint64_t)1 << 40) + callers->n_calls;
+  spec->prefix_hashes[N_SHARED_PROMPT_BLOCKS] = ((uint64_t)1 << 40) + callers->n_calls;
   LB_COPY (spec->pool, callers->world->options.site->pool);
 }
 
 static void
-fill_service_call (LxCallers *callers, LcRequestSpec *spec)
+fill_service_request_spec (LxCallers *callers, LcRequestSpec *spec)
 {
   spec->kind = LC_KIND_SERVICE;
   spec->delivery = LC_DELIVER_BUFFERED;
@@ -173,11 +173,11 @@
 {
   LxCall *call;
   LcRequestSpec spec;
-  LbName instance; /* "": any */
+  LbName instance; /* name of the receiving instance; "": any instance */
 } Submission;
 
 static LxInstance *
-choose_random_instance (LxCallers *callers)
+choose_random_serving_instance (LxCallers *callers)
 {
   LxWorld *world = callers->world;
 
@@ -193,7 +193,7 @@
   LxWorld *world = callers->world;
   LxInstance *instance = submission->instance[0]
                              ? lx_world_find_instance (world, submission->instance)
-                             : choose_random_instance (callers);
+                             : choose_random_serving_instance (callers);
   LbError error = { 0 };
 
   if (!instance || !instance->alive)
@@ -205,19 +205,19 @@
 }
 
 static Submission *
-new_submission (LxCallers *callers, bool is_service_call)
+new_call_submission (LxCallers *callers, bool is_service_call)
 {
   Submission *submission = LB_NEW (Submission);
   LxCall *call = LB_NEW (LxCall);
 
   callers->n_calls++;
   if (is_service_call)
-    fill_service_call (callers, &submission->spec);
+    fill_service_request_spec (callers, &submission->spec);
   else
-    fill_model_call (callers, &submission->spec);
+    fill_model_request_spec (callers, &submission->spec);
   submission->spec.deadline = lx_world_now (callers->world) + CALL_TIMEOUT;
   snprintf (submission->spec.caller, LB_NAME_MAX, "caller-%lu",
-            gsl_rng_uniform_int (callers->random, N_CALLERS));
+            gsl_rng_uniform_int (callers->random, N_CALLER_NAMES));
   call->kind = submission->spec.kind;
   call->total_tokens
       = is_service_call ? 1 : 32 + (int64_t)gsl_rng_uniform_int (callers->random, 64);
@@ -243,7 +243,7 @@
 void
 lx_callers_submit_call (LxCallers *callers, const LxCallSpec *spec)
 {
-  Submission *submission = new_submission (callers, spec->is_service_call);
+  Submission *submission = new_call_submission (callers, spec->is_service_call);
 
   submission->spec.repeatable = spec->repeatable;
   submission->spec.deadline = lx_world_now (callers->world) + spec->timeout;
@@ -256,9 +256,9 @@
 }
 
 static LbTime
-draw_interval (LxCallers *callers, double rate)
+draw_call_interval (LxCallers *callers, double rate_per_second)
 {
-  return (LbTime)gsl_ran_exponential (callers->random, (double)LB_SEC / rate);
+  return (LbTime)gsl_ran_exponential (callers->random, (double)LB_SEC / rate_per_second);
 }
 
 static void
@@ -267,9 +267,9 @@
   LxCallers *callers = owner;
 
   (void)argument;
-  send_call (callers, new_submission (callers, false));
+  send_call (callers, new_call_submission (callers, false));
   lx_world_schedule (callers->world,
-                     draw_interval (callers, callers->world->options.calls_per_second),
+                     draw_call_interval (callers, callers->world->options.calls_per_second),
                      on_model_call_due, callers, NULL, NULL);
 }
 
@@ -279,15 +279,15 @@
   LxCallers *callers = owner;
 
   (void)argument;
-  send_call (callers, new_submission (callers, true));
+  send_call (callers, new_call_submission (callers, true));
   lx_world_schedule (callers->world,
-                     draw_interval (callers, callers->world->options.service_calls_per_second),
+                     draw_call_interval (callers, callers->world->options.service_calls_per_second),
                      on_service_call_due, callers, NULL, NULL);
 }
 
-/* Reports calls without a final answer some time after their deadline. */
+/* Reports calls that have no final answer OVERDUE_GRACE_TIME after their deadline. */
 static void
-on_overdue_check (void *owner, void *argument)
+on_overdue_call_check (void *owner, void *argument)
 {
   LxCallers *callers = owner;
   LxWorld *world = callers->world;
@@ -296,7 +296,7 @@
   (void)argument;
   LB_LIST_FOREACH (&callers->open_calls, LxCall, link, call)
   {
-    if (call->is_reported_stuck || call->sent_at + CALL_TIMEOUT + ANSWER_GRACE_TIME > now)
+    if (call->is_reported_stuck || call->sent_at + CALL_TIMEOUT + OVERDUE_GRACE_TIME > now)
       continue;
     call->is_reported_stuck = true;
     lx_audit_report_violation (&world->audit, LX_VIOLATION_STUCK, now,
@@ -304,13 +304,13 @@
                                "call of job %" PRIu64 " has no answer after its deadline",
                                call->job);
   }
-  lx_world_schedule (world, OVERDUE_CHECK_INTERVAL, on_overdue_check, callers, NULL, NULL);
+  lx_world_schedule (world, OVERDUE_CHECK_INTERVAL, on_overdue_call_check, callers, NULL, NULL);
 }
 
 void
 lx_callers_start (LxCallers *callers)
 {
-  lx_world_schedule (callers->world, LB_SEC, on_overdue_check, callers, NULL, NULL);
+  lx_world_schedule (callers->world, LB_SEC, on_overdue_call_check, callers, NULL, NULL);
   lx_world_schedule (callers->world, LB_SEC, on_model_call_due, callers, NULL, NULL);
   lx_world_schedule (callers->world, LB_SEC, on_service_call_due, callers, NULL, NULL);
 }
--- a/packages/sim/src/lx-engine.c
+++ b/packages/sim/src/lx-engine.c
@@ -6,8 +6,8 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* Live callers receive short pieces for a low time to the next token, samples receive long ones so
- * that a run has fewer events. */
+/* Live calls have short pieces, for a low latency of each token. Samples have long pieces, for
+ * fewer simulation events. */
 enum
 {
   FIRST_PIECE_TOKENS = 1,
@@ -15,12 +15,12 @@
   SAMPLE_PIECE_TOKENS = 32
 };
 
-/* Tolerance of the token clock's rounding errors, in tokens. */
-#define CLOCK_TOLERANCE 1e-6
-/* Calls are queued before all samples, whatever the priorities. */
-#define CALL_RANK_OFFSET 1000
+/* Tolerance for rounding errors of the token clock, in tokens. */
+#define TOKEN_CLOCK_TOLERANCE 1e-6
+/* Added to the priority of a call, so that calls are queued before all samples. */
+#define CALL_PRIORITY_OFFSET 1000
 
-static void set_timer (LxEngine *engine);
+static void set_piece_timer (LxEngine *engine);
 
 LxEngine *
 lx_engine_new (const char *name, LxQueue *queue, const LxEngineTimes *times)
@@ -64,10 +64,10 @@
   return engine->times.token_seconds + engine->times.token_seconds_per_other * (double)others;
 }
 
-/* Advances the token clock to the present. Must be called before the batch changes, because the
- * speed depends on its size. */
+/* Advances the token clock to the current time. Must be called before the batch changes, because
+ * the speed of the clock depends on the batch size. */
 static void
-advance_clock (LxEngine *engine)
+advance_token_clock (LxEngine *engine)
 {
   LbTime now = lx_queue_now (engine->queue);
 
@@ -86,7 +86,7 @@
 }
 
 static LxCachedBlock *
-find_block (LxEngine *engine, uint64_t hash)
+find_cached_block (LxEngine *engine, uint64_t hash)
 {
   for (size_t i = 0; i < engine->n_cached_blocks; i++)
     if (engine->cached_blocks[i].hash == hash)
@@ -95,7 +95,7 @@
 }
 
 static LxCachedBlock *
-find_least_recently_used_block (LxEngine *engine)
+find_least_recently_used_cached_block (LxEngine *engine)
 {
   LxCachedBlock *oldest = &engine->cached_blocks[0];
 
@@ -106,7 +106,7 @@
 }
 
 static void
-store_block (LxEngine *engine, uint64_t hash)
+store_cached_block (LxEngine *engine, uint64_t hash)
 {
   LxCachedBlock *block;
 
@@ -117,33 +117,34 @@
     }
   else
     {
-      block = find_least_recently_used_block (engine);
+      block = find_least_recently_used_cached_block (engine);
       log_cache_event (engine, block->hash, false);
     }
   *block = (LxCachedBlock){ .hash = hash, .last_used = ++engine->cache_use_counter };
   log_cache_event (engine, hash, true);
 }
 
-/* Returns the share of the prompt that is not cached, 0..1, and stores its blocks. */
+/* Returns the share of the prompt, 0..1, that is not in the prefix cache, and stores the missing
+ * blocks in the cache. */
 static double
-look_up_prompt (LxEngine *engine, const LxStreamSpec *spec)
+look_up_prompt_in_cache (LxEngine *engine, const LxStreamSpec *spec)
 {
   size_t n_cached = 0;
-  bool leading = true;
+  bool is_in_cached_prefix = true;
 
   if (spec->n_prefix_hashes == 0 || engine->times.max_cached_blocks == 0)
     return 1.0;
   for (size_t i = 0; i < spec->n_prefix_hashes; i++)
     {
-      LxCachedBlock *block = find_block (engine, spec->prefix_hashes[i]);
+      LxCachedBlock *block = find_cached_block (engine, spec->prefix_hashes[i]);
 
-      leading = leading && block;
-      if (leading)
+      is_in_cached_prefix = is_in_cached_prefix && block;
+      if (is_in_cached_prefix)
         n_cached++;
       if (block)
         block->last_used = ++engine->cache_use_counter;
       else
-        store_block (engine, spec->prefix_hashes[i]);
+        store_cached_block (engine, spec->prefix_hashes[i]);
     }
   engine->prompt_blocks += (int64_t)spec->n_prefix_hashes;
   engine->prompt_blocks_cached += (int64_t)n_cached;
@@ -151,7 +152,7 @@
 }
 
 static void
-schedule_piece (LxStream *stream, int64_t tokens, double start_clock)
+schedule_next_piece (LxStream *stream, int64_t tokens, double start_clock)
 {
   int64_t remaining = stream->spec.total_tokens - stream->next_token;
 
@@ -162,24 +163,24 @@
 static void
 start_stream (LxEngine *engine, LxStream *stream)
 {
-  double uncached_share = look_up_prompt (engine, &stream->spec);
+  double uncached_share = look_up_prompt_in_cache (engine, &stream->spec);
   double prefill_clock = (double)(stream->spec.prompt_tokens + stream->next_token) * uncached_share
                          * engine->times.prefill_token_seconds / engine->times.token_seconds;
 
   stream->is_running = true;
-  schedule_piece (stream, FIRST_PIECE_TOKENS, engine->token_clock + prefill_clock);
+  schedule_next_piece (stream, FIRST_PIECE_TOKENS, engine->token_clock + prefill_clock);
 }
 
-/* Moves waiting streams into the batch, by priority. */
+/* Moves waiting streams into the running batch, highest priority first. */
 static void
-fill_batch (LxEngine *engine)
+fill_running_batch (LxEngine *engine)
 {
   while (!engine->paused && (int64_t)engine->running.length < engine->concurrency
          && !lb_list_is_empty (&engine->waiting))
     {
       LxStream *stream = LB_CONTAINER (lb_list_pop (&engine->waiting), LxStream, link);
 
-      advance_clock (engine);
+      advance_token_clock (engine);
       lb_list_append (&engine->running, &stream->link);
       start_stream (engine, stream);
     }
@@ -195,13 +196,13 @@
 }
 
 static void
-record_generated (LxEngine *engine, const LxStream *stream, int64_t tokens)
+record_generated_tokens (LxEngine *engine, const LxStream *stream, int64_t tokens)
 {
   engine->generated_tokens += tokens;
   engine->listener.on_generated (engine->listener.user, engine, stream, tokens);
 }
 
-/* Sends the tokens generated since the last piece. */
+/* Sends the tokens that the stream has generated since its last piece. */
 static void
 send_piece (LxEngine *engine, LxStream *stream, int64_t tokens)
 {
@@ -211,13 +212,13 @@
                     .last = stream->next_token + tokens == stream->spec.total_tokens };
 
   stream->next_token += tokens;
-  record_generated (engine, stream, tokens);
+  record_generated_tokens (engine, stream, tokens);
   if (!stream->is_silent)
     engine->listener.on_piece (engine->listener.user, engine, stream, &piece);
 }
 
 static void
-complete_piece (LxEngine *engine, LxStream *stream)
+finish_due_piece (LxEngine *engine, LxStream *stream)
 {
   double due_clock = stream->piece_due_clock;
 
@@ -225,30 +226,31 @@
   if (stream->next_token == stream->spec.total_tokens)
     end_stream (engine, stream, LC_END_COMPLETE);
   else
-    schedule_piece (stream,
-                    stream->spec.kind == LC_KIND_SAMPLE ? SAMPLE_PIECE_TOKENS : LIVE_PIECE_TOKENS,
-                    due_clock);
+    schedule_next_piece (stream,
+                         stream->spec.kind == LC_KIND_SAMPLE ? SAMPLE_PIECE_TOKENS
+                                                             : LIVE_PIECE_TOKENS,
+                         due_clock);
 }
 
 static void
-on_timer (void *owner, void *argument)
+on_piece_timer (void *owner, void *argument)
 {
   LxEngine *engine = owner;
 
   if ((uintptr_t)argument != engine->timer_number)
     return;
-  advance_clock (engine);
+  advance_token_clock (engine);
   LB_LIST_FOREACH (&engine->running, LxStream, link, stream)
   {
-    if (stream->piece_due_clock <= engine->token_clock + CLOCK_TOLERANCE)
-      complete_piece (engine, stream);
+    if (stream->piece_due_clock <= engine->token_clock + TOKEN_CLOCK_TOLERANCE)
+      finish_due_piece (engine, stream);
   }
-  fill_batch (engine);
-  set_timer (engine);
+  fill_running_batch (engine);
+  set_piece_timer (engine);
 }
 
 static void
-set_timer (LxEngine *engine)
+set_piece_timer (LxEngine *engine)
 {
   double next = INFINITY;
 
@@ -264,24 +266,24 @@
 
   double wait = (next - engine->token_clock) * get_seconds_per_token (engine) * LB_SEC;
   LbTime at = lx_queue_now (engine->queue) + (LbTime)ceil (fmax (wait, 0));
-  lx_queue_add_event (engine->queue, at, on_timer, engine, (void *)(uintptr_t)engine->timer_number,
-                      NULL);
+  lx_queue_add_event (engine->queue, at, on_piece_timer, engine,
+                      (void *)(uintptr_t)engine->timer_number, NULL);
 }
 
 static int
-get_queue_rank (const LxStreamSpec *spec)
+get_queue_priority (const LxStreamSpec *spec)
 {
-  return (spec->kind == LC_KIND_SAMPLE ? 0 : CALL_RANK_OFFSET) + spec->priority;
+  return (spec->kind == LC_KIND_SAMPLE ? 0 : CALL_PRIORITY_OFFSET) + spec->priority;
 }
 
 static void
-enqueue (LxEngine *engine, LxStream *stream)
+enqueue_stream_by_priority (LxEngine *engine, LxStream *stream)
 {
   LbLink *position = &engine->waiting.head;
 
   while (position->prev != &engine->waiting.head
-         && get_queue_rank (&LB_CONTAINER (position->prev, LxStream, link)->spec)
-                < get_queue_rank (&stream->spec))
+         && get_queue_priority (&LB_CONTAINER (position->prev, LxStream, link)->spec)
+                < get_queue_priority (&stream->spec))
     position = position->prev;
   lb_list_insert_before (&engine->waiting, position, &stream->link);
 }
@@ -296,15 +298,15 @@
   stream->spec = *spec;
   stream->next_token = spec->offset;
   stream->arrived_at = lx_queue_now (engine->queue);
-  advance_clock (engine);
-  enqueue (engine, stream);
-  fill_batch (engine);
-  set_timer (engine);
+  advance_token_clock (engine);
+  enqueue_stream_by_priority (engine, stream);
+  fill_running_batch (engine);
+  set_piece_timer (engine);
   return true;
 }
 
 static LxStream *
-find_stream (LbList *list, uint64_t id)
+find_stream_by_id (LbList *list, uint64_t id)
 {
   LB_LIST_FOREACH (list, LxStream, link, stream)
   {
@@ -314,17 +316,18 @@
   return NULL;
 }
 
-/* Ends the stream without a notification. Tokens generated since its last piece are counted. */
+/* Ends the stream without calling on_end. Tokens generated since the last piece of the stream still
+ * count as generated. */
 void
 lx_engine_cancel_stream (LxEngine *engine, uint64_t id)
 {
-  LxStream *stream = find_stream (&engine->running, id);
+  LxStream *stream = find_stream_by_id (&engine->running, id);
 
   if (!stream)
-    stream = find_stream (&engine->waiting, id);
+    stream = find_stream_by_id (&engine->waiting, id);
   if (!stream)
     return;
-  advance_clock (engine);
+  advance_token_clock (engine);
   if (stream->is_running)
     {
       double generated
@@ -332,19 +335,19 @@
       if (generated >= 1)
         {
           stream->next_token += (int64_t)generated;
-          record_generated (engine, stream, (int64_t)generated);
+          record_generated_tokens (engine, stream, (int64_t)generated);
         }
     }
   stream->is_silent = true;
   end_stream (engine, stream, LC_END_BROKEN);
-  fill_batch (engine);
-  set_timer (engine);
+  fill_running_batch (engine);
+  set_piece_timer (engine);
 }
 
-/* Sends the tokens of the old version before the weights change, so that a piece has one version.
- */
+/* Sends the tokens of the old weight version before the weights change, so that no piece mixes
+ * versions. */
 static void
-flush_pieces (LxEngine *engine)
+flush_partial_pieces (LxEngine *engine)
 {
   LB_LIST_FOREACH (&engine->running, LxStream, link, stream)
   {
@@ -360,13 +363,13 @@
 }
 
 static void
-on_swap_completed (void *owner, void *argument)
+on_weight_swap_completed (void *owner, void *argument)
 {
   LxEngine *engine = owner;
 
   if ((uintptr_t)argument != engine->incarnation || !engine->alive)
     return;
-  advance_clock (engine);
+  advance_token_clock (engine);
   engine->paused = false;
   engine->loading = false;
   if (engine->fail_next_load)
@@ -379,23 +382,23 @@
     {
       engine->version = engine->loading_version;
     }
-  fill_batch (engine);
-  set_timer (engine);
+  fill_running_batch (engine);
+  set_piece_timer (engine);
 }
 
 static void
-on_load_completed (void *owner, void *argument)
+on_weight_load_completed (void *owner, void *argument)
 {
   LxEngine *engine = owner;
 
   if ((uintptr_t)argument != engine->incarnation || !engine->alive)
     return;
-  advance_clock (engine);
-  flush_pieces (engine);
+  advance_token_clock (engine);
+  flush_partial_pieces (engine);
   engine->paused = true;
-  set_timer (engine);
+  set_piece_timer (engine);
   lx_queue_add_event (engine->queue, lx_queue_now (engine->queue) + engine->times.pause_time,
-                      on_swap_completed, engine, argument, NULL);
+                      on_weight_swap_completed, engine, argument, NULL);
 }
 
 void
@@ -406,7 +409,8 @@
   engine->loading = true;
   engine->loading_version = version;
   lx_queue_add_event (engine->queue, lx_queue_now (engine->queue) + engine->times.load_time,
-                      on_load_completed, engine, (void *)(uintptr_t)engine->incarnation, NULL);
+                      on_weight_load_completed, engine, (void *)(uintptr_t)engine->incarnation,
+                      NULL);
 }
 
 static void
@@ -426,14 +430,14 @@
   }
 }
 
-/* If silent, the streams continue to run, but send nothing. */
+/* If silent, the streams continue to generate tokens, but send nothing. */
 void
 lx_engine_break_streams (LxEngine *engine, bool silent)
 {
-  advance_clock (engine);
+  advance_token_clock (engine);
   break_streams_of_list (engine, &engine->running, silent);
   break_streams_of_list (engine, &engine->waiting, silent);
-  set_timer (engine);
+  set_piece_timer (engine);
 }
 
 void
@@ -449,7 +453,7 @@
 void
 lx_engine_start (LxEngine *engine, LcVersion version)
 {
-  advance_clock (engine);
+  advance_token_clock (engine);
   engine->incarnation++;
   engine->alive = true;
   engine->leaving = false;
