--- a/packages/sim/src/lx-faults.c
+++ b/packages/sim/src/lx-faults.c
@@ -8,11 +8,11 @@
 #include <stdio.h>
 #include <xxhash.h>
 
-#define WARM_UP_TIME (5 * LB_SEC)
-#define STORE_RECOVERY_TIME (30 * LB_SEC)
-#define RESTART_TIME (2 * LB_SEC)
-#define FIRST_LEAVE_CHECK_DELAY (5 * LB_SEC)
-#define MIN_SERVING_INSTANCES 3 /* for a fault that stops one of them */
+#define FIRST_INJECTION_DELAY (5 * LB_SEC)
+#define MIN_TIME_BETWEEN_STORE_OUTAGES (30 * LB_SEC)
+#define LEAVING_ENDPOINT_RESTART_TIME (2 * LB_SEC)
+#define FIRST_ENDPOINT_LEAVE_CHECK_DELAY (5 * LB_SEC)
+#define MIN_SERVING_INSTANCES 3 /* faults stop an instance only while this many serve */
 
 static const char *const fault_names[LX_N_FAULTS]
     = { "engine-crash",    "streams-break",   "streams-silent",  "pieces-garbled",
@@ -20,7 +20,7 @@
         "instance-paused", "instance-drains", "owner-replaced",  "store-away",
         "replies-lost" };
 
-/* Random sequence of one injection. */
+/* One fault injection and the state of its random sequence. */
 typedef struct
 {
   LxFaults *faults;
@@ -76,30 +76,30 @@
 }
 
 static LbTime
-draw_time (Injection *injection, LbTime shortest, LbTime longest)
+draw_duration (Injection *injection, LbTime shortest, LbTime longest)
 {
   return shortest + (LbTime)(draw_fraction (injection) * (double)(longest - shortest));
 }
 
 static void
-on_engine_restart (void *owner, void *argument)
+on_engine_restart_due (void *owner, void *argument)
 {
   (void)argument;
   lx_engine_start (owner, ((LxEngine *)owner)->is_service ? 1 : 0);
 }
 
 static void
-crash_engine (LxWorld *world, LxEngine *engine, LbTime downtime)
+crash_and_restart_engine (LxWorld *world, LxEngine *engine, LbTime downtime)
 {
   if (!engine->alive)
     return;
   lx_engine_crash (engine);
-  lx_world_schedule (world, downtime, on_engine_restart, engine, NULL, NULL);
+  lx_world_schedule (world, downtime, on_engine_restart_due, engine, NULL, NULL);
 }
 
 /* Restarts a leaving endpoint once its last stream has ended. */
 static void
-on_leave_check (void *owner, void *argument)
+on_endpoint_leave_check (void *owner, void *argument)
 {
   LxWorld *world = owner;
   LxEngine *engine = argument;
@@ -107,19 +107,20 @@
   if (!engine->alive || !engine->leaving)
     return;
   if (lx_engine_count_streams (engine) > 0)
-    lx_world_schedule (world, LB_SEC, on_leave_check, world, engine, NULL);
+    lx_world_schedule (world, LB_SEC, on_endpoint_leave_check, world, engine, NULL);
   else
-    crash_engine (world, engine, RESTART_TIME);
+    crash_and_restart_engine (world, engine, LEAVING_ENDPOINT_RESTART_TIME);
 }
 
 static void
-start_leaving (LxWorld *world, LxEngine *engine)
+start_endpoint_leave (LxWorld *world, LxEngine *engine)
 {
   if (!engine->alive || engine->leaving)
     return;
   engine->leaving = true;
   engine->leaving_since = lx_world_now (world);
-  lx_world_schedule (world, FIRST_LEAVE_CHECK_DELAY, on_leave_check, world, engine, NULL);
+  lx_world_schedule (world, FIRST_ENDPOINT_LEAVE_CHECK_DELAY, on_endpoint_leave_check, world,
+                     engine, NULL);
 }
 
 static size_t
@@ -133,7 +134,7 @@
 }
 
 static void
-on_instance_restart (void *owner, void *argument)
+on_instance_restart_due (void *owner, void *argument)
 {
   LxInstance *instance = owner;
 
@@ -143,16 +144,16 @@
 }
 
 static void
-kill_instance (LxWorld *world, LxInstance *instance, LbTime downtime)
+kill_and_restart_instance (LxWorld *world, LxInstance *instance, LbTime downtime)
 {
   if (!instance->alive || count_serving_instances (world) < MIN_SERVING_INSTANCES)
     return;
   lx_instance_kill (instance);
-  lx_world_schedule (world, downtime, on_instance_restart, instance, NULL, NULL);
+  lx_world_schedule (world, downtime, on_instance_restart_due, instance, NULL, NULL);
 }
 
 static void
-drain_instance (LxWorld *world, LxInstance *instance)
+drain_instance_and_move_steps (LxWorld *world, LxInstance *instance)
 {
   if (!instance->alive || instance->draining || instance->paused_until > lx_world_now (world)
       || count_serving_instances (world) < MIN_SERVING_INSTANCES)
@@ -167,11 +168,11 @@
 }
 
 static void
-inject_into_endpoint (LxWorld *world, LxFault fault, LxEngine *engine, LbTime duration)
+inject_endpoint_fault (LxWorld *world, LxFault fault, LxEngine *engine, LbTime duration)
 {
   lx_world_record_fault (world, fault_names[fault], engine->name);
   if (fault == LX_FAULT_ENGINE_CRASH)
-    crash_engine (world, engine, duration);
+    crash_and_restart_engine (world, engine, duration);
   else if (fault == LX_FAULT_STREAMS_BREAK)
     lx_engine_break_streams (engine, false);
   else if (fault == LX_FAULT_STREAMS_SILENT)
@@ -179,7 +180,7 @@
   else if (fault == LX_FAULT_SWAP_FAILS)
     engine->fail_next_load = true;
   else
-    start_leaving (world, engine);
+    start_endpoint_leave (world, engine);
 }
 
 static void
@@ -192,14 +193,14 @@
 }
 
 static void
-inject_into_instance (
+inject_instance_fault (
     LxWorld *world, LxFault fault, LxInstance *instance, size_t trainer, LbTime duration)
 {
   lx_world_record_fault (world, fault_names[fault], instance->name);
   if (fault == LX_FAULT_INSTANCE_KILLED)
-    kill_instance (world, instance, duration);
+    kill_and_restart_instance (world, instance, duration);
   else if (fault == LX_FAULT_INSTANCE_DRAINS)
-    drain_instance (world, instance);
+    drain_instance_and_move_steps (world, instance);
   else if (fault == LX_FAULT_OWNER_REPLACED)
     lx_trainer_change_owner (&world->trainers[trainer], instance->index);
   else
@@ -207,7 +208,7 @@
 }
 
 static void
-inject_shared_fault (LxFaults *faults, LxFault fault, LbTime duration)
+inject_site_wide_fault (LxFaults *faults, LxFault fault, LbTime duration)
 {
   LxWorld *world = faults->world;
   LbTime until = lx_world_now (world) + duration;
@@ -252,17 +253,17 @@
     {
       LxEngine *engine = lx_world_find_engine (world, endpoint);
       if (engine)
-        inject_into_endpoint (world, fault, engine, duration);
+        inject_endpoint_fault (world, fault, engine, duration);
       return engine != NULL;
     }
   if (is_instance_fault (fault))
     {
       LxInstance *target = lx_world_find_instance (world, instance);
       if (target)
-        inject_into_instance (world, fault, target, trainer, duration);
+        inject_instance_fault (world, fault, target, trainer, duration);
       return target != NULL;
     }
-  inject_shared_fault (faults, fault, duration);
+  inject_site_wide_fault (faults, fault, duration);
   return true;
 }
 
@@ -272,43 +273,44 @@
   LxWorld *world = injection->faults->world;
   LxInstance *instance = &world->instances[draw_index (injection, world->n_instances)];
   size_t trainer = draw_index (injection, world->options.n_trainers);
-  LbTime duration = draw_time (injection, 500 * LB_MSEC, 12 * LB_SEC);
+  LbTime duration = draw_duration (injection, 500 * LB_MSEC, 12 * LB_SEC);
 
   /* Step owners have the most state to lose, so half of the injections hit a step owner. */
   if (draw_fraction (injection) < 0.5)
     instance = &world->instances[world->trainers[trainer].owner];
-  inject_into_instance (world, fault, instance, trainer, duration);
+  inject_instance_fault (world, fault, instance, trainer, duration);
 }
 
-/* Keeps a minimum time between store outages: no step can be taken over during an outage, so a run
+/* Keeps a minimum time between store outages. No step can be taken over during an outage, so a run
  * with one outage after another would test nothing else. */
 static bool
-is_too_soon_after_outage (const LxWorld *world, LxFault fault)
+is_too_soon_after_store_outage (const LxWorld *world, LxFault fault)
 {
   return fault == LX_FAULT_STORE_AWAY && world->store.unavailable_until > 0
-         && lx_world_now (world) < world->store.unavailable_until + STORE_RECOVERY_TIME;
+         && lx_world_now (world) < world->store.unavailable_until + MIN_TIME_BETWEEN_STORE_OUTAGES;
 }
 
 static void
-inject_random (Injection *injection, LxFault fault)
+inject_fault_at_random_target (Injection *injection, LxFault fault)
 {
   LxWorld *world = injection->faults->world;
 
-  if (is_too_soon_after_outage (world, fault))
+  if (is_too_soon_after_store_outage (world, fault))
     return;
   if (is_instance_fault (fault))
     inject_random_instance_fault (injection, fault);
   else if (is_endpoint_fault (fault))
-    inject_into_endpoint (world, fault, world->engines[draw_index (injection, world->n_endpoints)],
-                          draw_time (injection, LB_SEC, 15 * LB_SEC));
+    inject_endpoint_fault (world, fault, world->engines[draw_index (injection, world->n_endpoints)],
+                           draw_duration (injection, LB_SEC, 15 * LB_SEC));
   else
-    inject_shared_fault (injection->faults, fault,
-                         draw_time (injection, LB_SEC,
-                                    fault == LX_FAULT_STORE_AWAY ? 40 * LB_SEC : 10 * LB_SEC));
+    inject_site_wide_fault (injection->faults, fault,
+                            draw_duration (injection, LB_SEC,
+                                           fault == LX_FAULT_STORE_AWAY ? 40 * LB_SEC
+                                                                        : 10 * LB_SEC));
 }
 
 static LxFault
-draw_fault (Injection *injection)
+draw_enabled_fault (Injection *injection)
 {
   LxFault fault;
 
@@ -323,7 +325,7 @@
 {
   LxFaults *faults = owner;
   Injection injection = { .faults = faults, .number = faults->n_injections++ };
-  LxFault fault = draw_fault (&injection);
+  LxFault fault = draw_enabled_fault (&injection);
   double interval_draw = draw_fraction (&injection);
   double second_fault_draw = draw_fraction (&injection);
 
@@ -333,18 +335,18 @@
                      on_injection_due, faults, NULL, NULL);
   if (injection.number < faults->n_skipped && faults->skipped[injection.number])
     return;
-  inject_random (&injection, fault);
-  /* Combines faults, with a probability of 0.2 each: the same at another target, or a second one.
-   */
+  inject_fault_at_random_target (&injection, fault);
+  /* Combines faults: with a probability of 0.2 injects the same fault again at a random target,
+   * with a probability of 0.2 injects a second random fault. */
   if (second_fault_draw < 0.2)
-    inject_random (&injection, fault);
+    inject_fault_at_random_target (&injection, fault);
   else if (second_fault_draw < 0.4)
-    inject_random (&injection, draw_fault (&injection));
+    inject_fault_at_random_target (&injection, draw_enabled_fault (&injection));
 }
 
 void
 lx_faults_start (LxFaults *faults)
 {
   if (faults->enabled_kinds != 0)
-    lx_world_schedule (faults->world, WARM_UP_TIME, on_injection_due, faults, NULL, NULL);
+    lx_world_schedule (faults->world, FIRST_INJECTION_DELAY, on_injection_due, faults, NULL, NULL);
 }
--- a/packages/sim/src/lx-registry.c
+++ b/packages/sim/src/lx-registry.c
@@ -10,12 +10,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Within this time an accepted revision must be active on every instance that can learn of it. */
-#define ACTIVATION_BOUND (10 * LB_SEC)
-/* Instances are not checked for this long after they or the store were unavailable. */
+/* An accepted revision must be active within this time on every instance that runs and can reach
+ * the store. */
+#define MAX_ACTIVATION_TIME (10 * LB_SEC)
+/* An instance is not checked for this time after an outage of the instance or of the store. */
 #define CATCH_UP_TIME (20 * LB_SEC)
-#define CHECK_INTERVAL LB_SEC
-#define BURST_INTERVAL (400 * LB_MSEC)
+#define REVISION_CHECK_INTERVAL LB_SEC
+#define BURST_CHANGE_INTERVAL (400 * LB_MSEC)
 
 void
 lx_registry_init (LxRegistry *registry, LxWorld *world, LcResourceSet *set)
@@ -58,28 +59,28 @@
 {
   int64_t revision = registry->accepted->revision;
 
-  while (revision > 0 && registry->accepted_at[revision] + ACTIVATION_BOUND > now)
+  while (revision > 0 && registry->accepted_at[revision] + MAX_ACTIVATION_TIME > now)
     revision--;
   return revision;
 }
 
-/* Returns the newest revision that has been active on some instance for longer than the bound. A
- * revision whose commit reply was lost counts only once an instance has read it: its operator got
- * an unknown outcome. */
+/* Returns the newest revision that has been active on an instance for longer than
+ * MAX_ACTIVATION_TIME. If the commit reply was lost, the operator does not know the outcome; the
+ * revision then counts only once an instance has read the revision. */
 static int64_t
-newest_long_active_revision (const LxRegistry *registry, LbTime now)
+get_newest_long_active_revision (const LxRegistry *registry, LbTime now)
 {
   int64_t revision = lx_registry_due_revision (registry, now);
 
   while (revision > 0
          && (registry->first_active_at[revision] == 0
-             || registry->first_active_at[revision] + ACTIVATION_BOUND > now))
+             || registry->first_active_at[revision] + MAX_ACTIVATION_TIME > now))
     revision--;
   return revision;
 }
 
 static bool
-should_be_up_to_date (const LxInstance *instance, LbTime now)
+must_have_due_revision (const LxInstance *instance, LbTime now)
 {
   return instance->alive && instance->started_at + CATCH_UP_TIME < now
          && instance->paused_until + CATCH_UP_TIME < now
@@ -87,7 +88,7 @@
 }
 
 static void
-check_instance (LxRegistry *registry, LxInstance *instance, LbTime now)
+check_active_revision (LxRegistry *registry, LxInstance *instance, LbTime now)
 {
   LxWorld *world = registry->world;
   int64_t revision = lc_config_active_revision (instance->config);
@@ -101,22 +102,22 @@
   instance->checked_revision = revision;
   if (registry->first_active_at[revision] == 0)
     registry->first_active_at[revision] = now;
-  if (should_be_up_to_date (instance, now) && revision < due)
+  if (must_have_due_revision (instance, now) && revision < due)
     lx_audit_report_violation (&world->audit, LX_VIOLATION_NOT_IN_FORCE, now,
                                lx_world_event_number (world),
                                "%s has revision %" PRId64 " active, %" PRId64
                                " was accepted %.1f s ago",
                                instance->name, revision, due,
                                (double)(now - registry->accepted_at[due]) / LB_SEC);
-  /* A process that becomes ready must not be behind a revision that was active elsewhere in time.
-   */
+  /* An instance that becomes ready must not use an older revision than one that has long been
+   * active on another instance. */
   if (!instance->was_ready && lc_config_is_ready (instance->config)
-      && revision < newest_long_active_revision (registry, now))
+      && revision < get_newest_long_active_revision (registry, now))
     lx_audit_report_violation (&world->audit, LX_VIOLATION_REVERTED, now,
                                lx_world_event_number (world),
                                "%s is ready with revision %" PRId64 " after %" PRId64 " was active",
                                instance->name, revision,
-                               newest_long_active_revision (registry, now));
+                               get_newest_long_active_revision (registry, now));
   instance->was_ready = lc_config_is_ready (instance->config);
 }
 
@@ -130,13 +131,13 @@
   (void)argument;
   for (size_t i = 0; i < world->n_instances; i++)
     if (world->instances[i].alive && world->instances[i].paused_until <= now)
-      check_instance (registry, &world->instances[i], now);
-  lx_world_schedule (world, CHECK_INTERVAL, on_revision_check, registry, NULL, NULL);
+      check_active_revision (registry, &world->instances[i], now);
+  lx_world_schedule (world, REVISION_CHECK_INTERVAL, on_revision_check, registry, NULL, NULL);
 }
 
-/* Returns {"apply": [the pool with a new live reserve]}. */
+/* Returns a change {"apply": [pool]} that sets the live reserve of the first pool. */
 static struct json_object *
-build_change (const LxRegistry *registry, double live_reserve)
+build_live_reserve_change (const LxRegistry *registry, double live_reserve)
 {
   struct json_object *change = json_object_new_object ();
   struct json_object *apply = json_object_new_array ();
@@ -155,7 +156,7 @@
 void
 lx_registry_request_live_reserve (LxRegistry *registry, LxInstance *instance, double live_reserve)
 {
-  struct json_object *change = build_change (registry, live_reserve);
+  struct json_object *change = build_live_reserve_change (registry, live_reserve);
 
   lx_instance_submit_config_change (instance, change);
   json_object_put (change);
@@ -167,20 +168,22 @@
   LxRegistry *registry = owner;
   LxWorld *world = registry->world;
   uint64_t draw = gsl_rng_uniform_int (world->random, 1000);
-  struct json_object *change = build_change (registry, 0.2 + (double)(draw % 20) / 100);
+  struct json_object *change
+      = build_live_reserve_change (registry, 0.2 + (double)(draw % 20) / 100);
   LxInstance *instance = lx_world_choose_serving_instance (world, draw % world->n_instances);
   LxInstance *other = lx_world_choose_serving_instance (world, (draw + 1) % world->n_instances);
 
   (void)argument;
   if (instance)
     lx_instance_submit_config_change (instance, change);
-  /* One change in three competes with the same change at another instance. */
+  /* Submits one change in three at a second instance as well, so that the two submissions
+   * conflict. */
   if (other && draw % 3 == 0)
     lx_instance_submit_config_change (other, change);
   json_object_put (change);
-  /* Some changes come in bursts, so that messages about one arrive after the next. */
+  /* Some changes come in bursts, so that messages about a change arrive after the next change. */
   lx_world_schedule (world,
-                     draw % 5 < 2 ? BURST_INTERVAL
+                     draw % 5 < 2 ? BURST_CHANGE_INTERVAL
                                   : (LbTime)((0.5 + (double)draw / 1000)
                                              * (double)world->options.mean_change_interval),
                      on_operator_change_due, registry, NULL, NULL);
@@ -191,7 +194,7 @@
 {
   LxWorld *world = registry->world;
 
-  lx_world_schedule (world, CHECK_INTERVAL, on_revision_check, registry, NULL, NULL);
+  lx_world_schedule (world, REVISION_CHECK_INTERVAL, on_revision_check, registry, NULL, NULL);
   if (world->options.mean_change_interval > 0)
     lx_world_schedule (world, world->options.mean_change_interval, on_operator_change_due, registry,
                        NULL, NULL);
--- a/packages/sim/src/lx-soak.c
+++ b/packages/sim/src/lx-soak.c
@@ -6,17 +6,17 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define ALL_FAULTS ((1u << LX_N_FAULTS) - 1)
+#define ALL_FAULT_KINDS ((1u << LX_N_FAULTS) - 1)
 
-/* Outcome of a run. */
+/* Outcome of a simulation run. */
 typedef struct
 {
-  LxViolation violation;
-  uint64_t event;
+  LxViolation violation; /* the last LxViolation with a count above 0 */
+  uint64_t event;        /* number of the event that caused the first violation */
   uint64_t n_injections;
   char first_violation[256];
   bool failed;
-} Outcome;
+} RunOutcome;
 
 /* Every fourth seed injects a single kind of fault, all others inject all kinds. */
 static uint32_t
@@ -26,11 +26,11 @@
     return 1u << soak->only_fault;
   if (soak->seed % 4 == 0)
     return 1u << (soak->seed / 4 % LX_N_FAULTS);
-  return ALL_FAULTS;
+  return ALL_FAULT_KINDS;
 }
 
 static void
-fill_options (const LxSoak *soak, LxOptions *options)
+fill_options_from_soak (const LxSoak *soak, LxOptions *options)
 {
   lx_options_init (options, soak->site, soak->seed);
   options->duration = LB_TIME_NEVER / 2;
@@ -44,15 +44,15 @@
   options->hedge_after = 500 * LB_MSEC;
   options->fault_kinds = choose_fault_kinds (soak);
   options->mean_fault_interval = (1 + (LbTime)(soak->seed % 5)) * LB_SEC;
-  /* A single kind hits the same targets more often. With shorter intervals, owners would not run
-   * for as long as the longest sample takes, and no step would complete. */
-  if (options->fault_kinds != ALL_FAULTS)
+  /* A single kind of fault hits the same targets more often. With shorter intervals, the owner of a
+   * step would not run for as long as the longest sample takes, and no step would complete. */
+  if (options->fault_kinds != ALL_FAULT_KINDS)
     options->mean_fault_interval += 3 * LB_SEC;
   options->stop_at_violation = true;
 }
 
 static void
-get_outcome (const LxWorld *world, Outcome *outcome)
+get_run_outcome (const LxWorld *world, RunOutcome *outcome)
 {
   const LxAudit *audit = &world->audit;
 
@@ -67,7 +67,7 @@
 }
 
 static void
-print_totals (const LxSoak *soak, const LxWorld *world, FILE *out)
+print_run_totals (const LxSoak *soak, const LxWorld *world, FILE *out)
 {
   int64_t steps = 0;
   int64_t samples = 0;
@@ -100,45 +100,47 @@
 }
 
 static void
-print_history (const LxWorld *world, FILE *out)
+print_recent_faults_and_decisions (const LxWorld *world, FILE *out)
 {
   print_ring_buffer ("last faults", world->recent_faults, world->n_recorded_faults, out);
   print_ring_buffer ("last decisions", world->recent_decisions, world->n_recorded_decisions, out);
 }
 
 static void
-run_once (const LxSoak *soak, const uint8_t *skipped, size_t n, Outcome *outcome, FILE *out)
+run_with_skipped_injections (
+    const LxSoak *soak, const uint8_t *skipped, size_t n, RunOutcome *outcome, FILE *out)
 {
   LxOptions options;
 
-  fill_options (soak, &options);
+  fill_options_from_soak (soak, &options);
   options.skipped_injections = skipped;
   options.n_skipped_injections = n;
   LxWorld *world = lx_world_new (&options);
   lx_world_run (world);
-  get_outcome (world, outcome);
+  get_run_outcome (world, outcome);
   if (out)
     {
-      print_totals (soak, world, out);
+      print_run_totals (soak, world, out);
       if (outcome->failed)
         {
           fprintf (out, "FAILED: %s\n", outcome->first_violation);
-          print_history (world, out);
+          print_recent_faults_and_decisions (world, out);
         }
     }
   lx_world_free (world);
 }
 
-/* Skips one range of injections after the other, from halves down to single ones, and keeps a range
- * skipped if the run still fails in the same way. */
+/* Reduces the fault injections of a failing run. Repeats the run without one range of injections
+ * after the other, from halves down to single injections, and drops a range for good if the run
+ * still fails with the same kind of violation. */
 static void
-shrink_run (const LxSoak *soak, const Outcome *failure, FILE *out)
+shrink_failing_run (const LxSoak *soak, const RunOutcome *failure, FILE *out)
 {
   size_t n = failure->n_injections;
   uint8_t *skipped = LB_NEW_ARRAY (uint8_t, n + 1);
   uint8_t *candidate = LB_NEW_ARRAY (uint8_t, n + 1);
   LxSoak shorter = *soak;
-  Outcome outcome;
+  RunOutcome outcome;
   size_t n_kept = 0;
 
   shorter.events = failure->event + 1;
@@ -148,7 +150,7 @@
       {
         memcpy (candidate, skipped, n);
         memset (candidate + first, 1, first + range_length <= n ? range_length : n - first);
-        run_once (&shorter, candidate, n, &outcome, NULL);
+        run_with_skipped_injections (&shorter, candidate, n, &outcome, NULL);
         if (!outcome.failed || outcome.violation != failure->violation)
           continue;
         memcpy (skipped, candidate, n);
@@ -159,7 +161,7 @@
     n_kept += !skipped[i];
   fprintf (out, "shrunk to %zu of %zu fault injections, %" PRIu64 " events:\n", n_kept, n,
            shorter.events);
-  run_once (&shorter, skipped, n, &outcome, out);
+  run_with_skipped_injections (&shorter, skipped, n, &outcome, out);
   free (skipped);
   free (candidate);
 }
@@ -167,10 +169,10 @@
 bool
 lx_soak_run (const LxSoak *soak, bool shrink, FILE *out)
 {
-  Outcome outcome;
+  RunOutcome outcome;
 
-  run_once (soak, NULL, 0, &outcome, out);
+  run_with_skipped_injections (soak, NULL, 0, &outcome, out);
   if (outcome.failed && shrink)
-    shrink_run (soak, &outcome, out);
+    shrink_failing_run (soak, &outcome, out);
   return !outcome.failed;
 }
