--- a/packages/sim/src/lx-instance-config.c
+++ b/packages/sim/src/lx-instance-config.c
@@ -8,12 +8,12 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define STORE_LATENCY (5 * LB_MSEC)
+#define STORE_ROUND_TRIP_TIME (5 * LB_MSEC)
 #define STORE_TIMEOUT LB_SEC
-#define MEMBERS_INTERVAL LB_SEC
-/* Other instances detect a paused instance after this time. */
+#define MEMBERSHIP_UPDATE_INTERVAL LB_SEC
+/* Time after which the other instances detect that an instance is paused. */
 #define FAILURE_DETECTION_TIME (2 * LB_SEC)
-#define ACCEPTANCE_DELAY (300 * LB_MSEC)
+#define CHANGE_COMMIT_DELAY (300 * LB_MSEC)
 #define MAX_MEMBERS 64
 
 static void execute_config_actions (LxInstance *instance);
@@ -24,36 +24,36 @@
   return lx_world_now (instance->world);
 }
 
-/* A message between instances. */
+/* A configuration message in transit between two instances. */
 typedef struct
 {
   LbName from;
   LcConfigMessage message;
-} MessageInTransit;
+} ConfigMessageInTransit;
 
 static void
-free_message (void *argument)
+free_config_message (void *argument)
 {
-  MessageInTransit *transit = argument;
+  ConfigMessageInTransit *transit = argument;
 
   lc_config_message_clear (&transit->message);
   free (transit);
 }
 
 static void
-on_message (LxInstance *instance, void *argument)
+on_config_message (LxInstance *instance, void *argument)
 {
-  const MessageInTransit *transit = argument;
+  const ConfigMessageInTransit *transit = argument;
 
   lc_config_message_received (instance->config, transit->from, &transit->message,
                               current_time (instance), &instance->config_actions);
   execute_config_actions (instance);
 }
 
-/* Posts a message to another instance; it may be lost, duplicated or late while links are garbled.
- */
+/* Posts a configuration message to another instance. While LX_FAULT_PIECES_GARBLED is active, the
+ * message may be lost, duplicated or late. */
 static void
-post_message (LxInstance *instance, LxInstance *to, const LcConfigMessage *message)
+post_config_message (LxInstance *instance, LxInstance *to, const LcConfigMessage *message)
 {
   LxWorld *world = instance->world;
   bool is_garbled = world->faults.garbled_until > lx_world_now (world);
@@ -63,19 +63,19 @@
 
   for (int i = 0; i < copies; i++)
     {
-      MessageInTransit *transit = LB_NEW (MessageInTransit);
+      ConfigMessageInTransit *transit = LB_NEW (ConfigMessageInTransit);
       LB_COPY (transit->from, instance->name);
       transit->message = *message;
       transit->message.body = message->body ? json_object_get (message->body) : NULL;
       lx_instance_post_message (to,
                                 delay + (is_garbled ? (LbTime)(draw * 500 * LB_MSEC) : 0)
                                     + i * LB_SEC,
-                                on_message, transit, free_message);
+                                on_config_message, transit, free_config_message);
     }
 }
 
 static void
-send_message (LxInstance *instance, const LcConfigAction *action)
+send_config_message (LxInstance *instance, const LcConfigAction *action)
 {
   LxWorld *world = instance->world;
 
@@ -83,16 +83,16 @@
     {
       LxInstance *to = &world->instances[i];
       if (to != instance && (!action->to[0] || strcmp (to->name, action->to) == 0))
-        post_message (instance, to, &action->message);
+        post_config_message (instance, to, &action->message);
     }
 }
 
-/* A read of the configuration head, in transit. */
+/* The result of reading the configuration's head row, in transit from the store. */
 typedef struct
 {
   bool failed;
-  int64_t revision;   /* of the head */
-  LcResourceSet *set; /* NULL: not newer than the active one, or the read failed */
+  int64_t revision;   /* revision in the head row */
+  LcResourceSet *set; /* NULL: not newer than the active revision, or the read failed */
   LbTime requested_at;
 } HeadRead;
 
@@ -106,7 +106,7 @@
 }
 
 static void
-on_head_read (LxInstance *instance, void *argument)
+on_head_read_completed (LxInstance *instance, void *argument)
 {
   HeadRead *head_read = argument;
 
@@ -122,7 +122,7 @@
 }
 
 static void
-read_store (LxInstance *instance)
+read_head_from_store (LxInstance *instance)
 {
   LxWorld *world = instance->world;
   HeadRead *head_read = LB_NEW (HeadRead);
@@ -132,23 +132,25 @@
   head_read->revision = world->registry.accepted->revision;
   if (!head_read->failed && head_read->revision > lc_config_active_revision (instance->config))
     head_read->set = lc_resource_set_copy (world->registry.accepted);
-  LbTime delay = head_read->failed ? STORE_TIMEOUT : STORE_LATENCY;
-  /* A slow store: its answer is outdated on arrival. */
+  LbTime delay = head_read->failed ? STORE_TIMEOUT : STORE_ROUND_TRIP_TIME;
+  /* While LX_FAULT_REPLIES_LOST is active, the store is slow and its answer may be outdated on
+   * arrival. */
   if (current_time (instance) < world->store.replies_lost_until)
-    delay += (LbTime)(gsl_rng_uniform (world->random) * (double)(STORE_TIMEOUT - STORE_LATENCY));
-  lx_instance_post_message (instance, delay, on_head_read, head_read, free_head_read);
+    delay += (LbTime)(gsl_rng_uniform (world->random)
+                      * (double)(STORE_TIMEOUT - STORE_ROUND_TRIP_TIME));
+  lx_instance_post_message (instance, delay, on_head_read_completed, head_read, free_head_read);
 }
 
 static void
-execute_action (LxInstance *instance, const LcConfigAction *action)
+execute_config_action (LxInstance *instance, const LcConfigAction *action)
 {
   switch (action->type)
     {
     case LC_CONFIG_READ_STORE:
-      read_store (instance);
+      read_head_from_store (instance);
       break;
     case LC_CONFIG_SEND:
-      send_message (instance, action);
+      send_config_message (instance, action);
       break;
     case LC_CONFIG_ACTIVATED:
       lx_instance_apply_configuration (instance, lc_config_active_set (instance->config));
@@ -179,7 +181,7 @@
   while ((link = lb_list_pop (&instance->config_actions)))
     {
       LcConfigAction *action = LB_CONTAINER (link, LcConfigAction, link);
-      execute_action (instance, action);
+      execute_config_action (instance, action);
       lc_config_action_free (action);
     }
 
@@ -191,16 +193,17 @@
 }
 
 static bool
-is_seen_alive (const LxInstance *instance, LbTime now)
+is_reported_alive (const LxInstance *instance, LbTime now)
 {
   bool paused = instance->paused_until > now && instance->paused_at + FAILURE_DETECTION_TIME < now;
 
   return instance->alive && !paused;
 }
 
-/* Reports the instances as membership would, with its detection delay. */
+/* Reports the state of all instances to LcConfig as the membership protocol does, with
+ * FAILURE_DETECTION_TIME as delay. */
 static void
-on_members_update (LxInstance *instance, void *argument)
+on_membership_update_due (LxInstance *instance, void *argument)
 {
   LxWorld *world = instance->world;
   LcConfigMember members[MAX_MEMBERS];
@@ -214,13 +217,14 @@
       snprintf (incarnations[i], LB_NAME_MAX, "%u", other->incarnation);
       members[i] = (LcConfigMember){ .name = other->name,
                                      .incarnation = incarnations[i],
-                                     .alive = is_seen_alive (other, current_time (instance)),
+                                     .alive = is_reported_alive (other, current_time (instance)),
                                      .draining = other->draining };
     }
   lc_config_update_members (instance->config, members, n, current_time (instance),
                             &instance->config_actions);
   execute_config_actions (instance);
-  lx_instance_post_message (instance, MEMBERS_INTERVAL, on_members_update, NULL, NULL);
+  lx_instance_post_message (instance, MEMBERSHIP_UPDATE_INTERVAL, on_membership_update_due, NULL,
+                            NULL);
 }
 
 void
@@ -235,7 +239,7 @@
   instance->next_config_tick_at = LB_TIME_NEVER;
   instance->checked_revision = 0;
   instance->was_ready = false;
-  on_members_update (instance, NULL);
+  on_membership_update_due (instance, NULL);
 }
 
 void
@@ -249,17 +253,17 @@
   instance->config = NULL;
 }
 
-/* An operator's change that is not yet accepted. */
+/* A configuration change by an operator, in transit to the store or back. */
 typedef struct
 {
   struct json_object *change;
-  int64_t revision; /* that the change is based on */
+  int64_t revision; /* revision that the change is based on */
   LbTime requested_at;
-  LcResourceSet *next; /* result of the change; NULL: not committed yet */
+  LcResourceSet *next; /* new configuration; NULL: the change is not committed yet */
 } ChangeInTransit;
 
 static void
-free_change (void *argument)
+free_change_in_transit (void *argument)
 {
   ChangeInTransit *change = argument;
 
@@ -269,7 +273,7 @@
 }
 
 static void
-on_committed (LxInstance *instance, void *argument)
+on_change_committed (LxInstance *instance, void *argument)
 {
   ChangeInTransit *change = argument;
 
@@ -280,7 +284,7 @@
 }
 
 static void
-on_commit_due (LxInstance *instance, void *argument)
+on_change_commit_due (LxInstance *instance, void *argument)
 {
   LxWorld *world = instance->world;
   ChangeInTransit *change = argument;
@@ -300,7 +304,8 @@
     }
   if (reply_lost)
     {
-      /* Committed, but this instance learns of it only by reading the head row. */
+      /* The change is committed, but this instance learns the new revision only by reading the head
+       * row. */
       lc_resource_set_free (next);
       return;
     }
@@ -310,7 +315,8 @@
   committed->change = json_object_get (change->change);
   committed->next = next;
   committed->requested_at = now;
-  lx_instance_post_message (instance, STORE_LATENCY, on_committed, committed, free_change);
+  lx_instance_post_message (instance, STORE_ROUND_TRIP_TIME, on_change_committed, committed,
+                            free_change_in_transit);
 }
 
 void
@@ -323,5 +329,6 @@
   change->requested_at = current_time (instance);
   lc_config_announce_change (instance->config, current_time (instance), &instance->config_actions);
   execute_config_actions (instance);
-  lx_instance_post_message (instance, ACCEPTANCE_DELAY, on_commit_due, change, free_change);
+  lx_instance_post_message (instance, CHANGE_COMMIT_DELAY, on_change_commit_due, change,
+                            free_change_in_transit);
 }
--- a/packages/sim/src/lx-instance-config.h
+++ b/packages/sim/src/lx-instance-config.h
@@ -3,7 +3,8 @@
 
 #include "lx-instance.h"
 
-/* The configuration of an instance: LcConfig with simulated links and a simulated store. */
+/* Start and stop the LcConfig of an instance, which runs with simulated links and a simulated
+ * store. */
 void lx_instance_start_config (LxInstance *instance);
 void lx_instance_stop_config (LxInstance *instance);
 
--- a/packages/sim/src/lx-instance.c
+++ b/packages/sim/src/lx-instance.c
@@ -10,25 +10,26 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Round trip of a store request. */
-#define STORE_LATENCY (5 * LB_MSEC)
+/* Time from a store request to its reply. */
+#define STORE_ROUND_TRIP_TIME (5 * LB_MSEC)
 #define STORE_TIMEOUT LB_SEC
-/* New work may be sent to an endpoint for this long after it started to leave. */
-#define LEAVING_TIME_BOUND (3 * LB_SEC)
+/* Instances may send new work to a leaving endpoint for at most this time after the leave began. */
+#define MAX_LEAVE_DETECTION_TIME (3 * LB_SEC)
 #define DRAIN_CHECK_INTERVAL (200 * LB_MSEC)
 #define DRAIN_TIMEOUT (150 * LB_SEC)
-#define POLL_INTERVAL (500 * LB_MSEC)
-/* Time between the first polls of two successive instances. */
-#define POLL_OFFSET_MS 37
-/* One lost write in this many is lost before the store applies it, the others afterwards. */
+#define ENDPOINT_POLL_INTERVAL (500 * LB_MSEC)
+/* Time between the first endpoint polls of two successive instances. */
+#define FIRST_POLL_OFFSET_MS 37
+/* One in this many lost writes is lost before the store applies the write; the others lose only the
+ * reply. */
 #define LOST_WRITES_PER_LOST_REQUEST 3
 #define DEFAULT_PROMPT_TOKENS 512
 #define N_PROMPT_BLOCKS 4
-/* FNV-1a */
-#define HASH_OFFSET_BASIS 14695981039346656037u
-#define HASH_PRIME 1099511628211u
+/* Parameters of the FNV-1a hash. */
+#define FNV_OFFSET_BASIS 14695981039346656037u
+#define FNV_PRIME 1099511628211u
 
-/* A message for one process of the instance. */
+/* A message to one process, that is one incarnation, of an instance. */
 typedef struct
 {
   LxInstance *instance;
@@ -46,17 +47,17 @@
   LxStreamSpec stream;
 } AttemptInTransit;
 
-/* The close of a connection, in transit to an endpoint. */
+/* The close of a stream's connection, in transit to an endpoint. */
 typedef struct
 {
   LxEngine *engine;
   uint64_t stream;
 } CloseInTransit;
 
-static void process_actions (LxInstance *instance);
+static void execute_pending_actions (LxInstance *instance);
 
 static void
-on_restart (void *owner, void *argument)
+on_instance_restart_due (void *owner, void *argument)
 {
   LxInstance *instance = owner;
 
@@ -143,7 +144,7 @@
 }
 
 static void
-free_actions (LxInstance *instance)
+free_pending_actions (LxInstance *instance)
 {
   while (!lb_list_is_empty (&instance->dispatch_actions))
     lc_action_free (LB_CONTAINER (lb_list_pop (&instance->dispatch_actions), LcAction, link));
@@ -152,9 +153,9 @@
         LB_CONTAINER (lb_list_pop (&instance->rollout_actions), LcRolloutAction, link));
 }
 
-/* Reports an increase of the failed invariants that core counts itself. */
+/* Reports a violation if core has counted further failed invariants since the last check. */
 static void
-check_core_invariants (LxInstance *instance)
+report_new_invariant_failures (LxInstance *instance)
 {
   LxWorld *world = instance->world;
   int64_t failures = lc_rollouts_count_invariant_failures (instance->rollouts)
@@ -172,8 +173,8 @@
 {
   LxRequest *request, *next;
 
-  check_core_invariants (instance);
-  free_actions (instance);
+  report_new_invariant_failures (instance);
+  free_pending_actions (instance);
   lx_instance_stop_config (instance);
   HASH_ITER (hh, instance->requests, request, next)
   {
@@ -203,9 +204,9 @@
 }
 
 static void poll_endpoints (LxInstance *instance);
-static void on_poll (LxInstance *instance, void *argument);
+static void on_endpoint_poll_due (LxInstance *instance, void *argument);
 
-/* Starts a new process of the instance. */
+/* Starts a new process of the instance, with empty state. */
 void
 lx_instance_start (LxInstance *instance)
 {
@@ -234,8 +235,8 @@
   lc_rollouts_set_id_source (instance->rollouts, next_request_id, instance);
   memset (instance->cache_cursors, 0, instance->world->n_endpoints * sizeof (uint64_t));
   lx_instance_start_config (instance);
-  lx_instance_post_message (instance, (LbTime)instance->index * POLL_OFFSET_MS * LB_MSEC, on_poll,
-                            NULL, NULL);
+  lx_instance_post_message (instance, (LbTime)instance->index * FIRST_POLL_OFFSET_MS * LB_MSEC,
+                            on_endpoint_poll_due, NULL, NULL);
 }
 
 static void
@@ -248,9 +249,9 @@
   free (closing);
 }
 
-/* Closes the connection; the endpoint detects it after the network latency. */
+/* Closes the connection of an attempt. The endpoint detects the close after the network latency. */
 static void
-close_attempt (LxInstance *instance, LxAttempt *attempt)
+close_attempt_connection (LxInstance *instance, LxAttempt *attempt)
 {
   CloseInTransit *closing = LB_NEW (CloseInTransit);
 
@@ -263,11 +264,11 @@
 }
 
 static void
-close_attempts (LxInstance *instance, LxRequest *request)
+close_open_attempts (LxInstance *instance, LxRequest *request)
 {
   for (size_t i = 0; i < request->n_attempts; i++)
     if (request->attempts[i].is_open)
-      close_attempt (instance, &request->attempts[i]);
+      close_attempt_connection (instance, &request->attempts[i]);
 }
 
 void
@@ -277,7 +278,7 @@
 
   HASH_ITER (hh, instance->requests, request, next)
   {
-    close_attempts (instance, request);
+    close_open_attempts (instance, request);
     if (request->call)
       lx_callers_send_result (&instance->world->callers, request->call, LB_ERROR_STREAM_BROKEN);
   }
@@ -305,12 +306,13 @@
   return NULL;
 }
 
-static void on_delivery (LxInstance *instance, void *argument);
+static void on_delivery_arrived (LxInstance *instance, void *argument);
 
-/* Makes pieces arrive twice, late or without a version. The last piece and the end are never late:
- * an answer without its end marker is not reported as complete. */
+/* While injected faults are active, makes pieces arrive twice, late or without a version. The last
+ * piece and the end are never late, because an answer without an end marker is not reported as
+ * complete. */
 static void
-garble_delivery (LxInstance *instance, LxDelivery *delivery, LbTime *delay)
+apply_delivery_faults (LxInstance *instance, LxDelivery *delivery, LbTime *delay)
 {
   LxWorld *world = instance->world;
   LbTime now = lx_world_now (world);
@@ -323,14 +325,14 @@
     return;
   double draw = gsl_rng_uniform (world->random);
   if (draw < 0.03)
-    lx_instance_post_message (instance, *delay + (LbTime)(draw * LB_SEC), on_delivery,
+    lx_instance_post_message (instance, *delay + (LbTime)(draw * LB_SEC), on_delivery_arrived,
                               lb_memdup (delivery, sizeof *delivery), free);
   else if (draw < 0.06 && !delivery->piece.last)
     *delay += (LbTime)(draw * 5 * LB_SEC);
 }
 
 static void
-send_delivery (LxInstance *instance,
+post_delivery (LxInstance *instance,
                const LxEngine *engine,
                const LxStreamSpec *stream,
                const LxDelivery *delivery,
@@ -344,8 +346,8 @@
   copy = lb_memdup (delivery, sizeof *delivery);
   copy->request = stream->request;
   copy->attempt = stream->attempt;
-  garble_delivery (instance, copy, &delay);
-  lx_instance_post_message (instance, latency + delay, on_delivery, copy, free);
+  apply_delivery_faults (instance, copy, &delay);
+  lx_instance_post_message (instance, latency + delay, on_delivery_arrived, copy, free);
 }
 
 void
@@ -354,7 +356,7 @@
                         const LxStreamSpec *stream,
                         const LcPiece *piece)
 {
-  send_delivery (instance, engine, stream, &(LxDelivery){ .piece = *piece }, 0);
+  post_delivery (instance, engine, stream, &(LxDelivery){ .piece = *piece }, 0);
 }
 
 void
@@ -364,11 +366,11 @@
                       LcAttemptEnd end,
                       LbTime delay)
 {
-  send_delivery (instance, engine, stream, &(LxDelivery){ .is_end = true, .end = end }, delay);
+  post_delivery (instance, engine, stream, &(LxDelivery){ .is_end = true, .end = end }, delay);
 }
 
 static void
-record_start (LxWorld *world, const LxStreamSpec *stream)
+record_job_start (LxWorld *world, const LxStreamSpec *stream)
 {
   LxJob *job = lx_audit_get_job (&world->audit, stream->job);
 
@@ -406,14 +408,15 @@
                             engine->leaving ? LC_END_REFUSED_LEAVING : LC_END_REFUSED, 0);
       goto out;
     }
-  record_start (instance->world, &transit->stream);
+  record_job_start (instance->world, &transit->stream);
 out:
   free (transit);
 }
 
-/* A resumed attempt continues the text that an earlier attempt of the request received. */
+/* Gives a resumed attempt the first `tokens` tokens that an earlier attempt of the request
+ * received. */
 static void
-copy_resumed_text (LxRequest *request, LxAttempt *attempt, int64_t tokens)
+copy_text_to_resumed_attempt (LxRequest *request, LxAttempt *attempt, int64_t tokens)
 {
   for (size_t i = request->n_attempts; i > 0 && tokens > 0; i--)
     {
@@ -433,7 +436,7 @@
 
   attempt.stream
       = lx_audit_add_stream (&instance->world->audit, request->job, current_time (instance));
-  copy_resumed_text (request, &attempt, action->resume_at - request->spec.resume_at);
+  copy_text_to_resumed_attempt (request, &attempt, action->resume_at - request->spec.resume_at);
   request->attempts
       = lb_realloc (request->attempts, (request->n_attempts + 1) * sizeof (LxAttempt));
   request->attempts[request->n_attempts] = attempt;
@@ -482,7 +485,7 @@
   if (engine->leaving && engine->alive)
     engine->sent_while_leaving_at = current_time (instance);
   if (engine->leaving && engine->alive
-      && engine->leaving_since + LEAVING_TIME_BOUND < current_time (instance))
+      && engine->leaving_since + MAX_LEAVE_DETECTION_TIME < current_time (instance))
     lx_audit_report_violation (&world->audit, LX_VIOLATION_SENT_TO_LEAVING, current_time (instance),
                                lx_world_event_number (world),
                                "%s was leaving, but received new work from %s", engine->name,
@@ -497,12 +500,13 @@
                      on_attempt_arrived, NULL, transit, free);
 }
 
-/* After a "not run" error no endpoint may have started the job, or start it later. */
+/* Records a "not run" error of a job, which no endpoint may start afterwards. Reports a violation
+ * if an endpoint has already started the job. */
 static void
-record_not_run (LxInstance *instance, uint64_t number, LbErrorCode error)
+record_not_run_error (LxInstance *instance, uint64_t job_number, LbErrorCode error)
 {
   LxWorld *world = instance->world;
-  LxJob *job = lx_audit_get_job (&world->audit, number);
+  LxJob *job = lx_audit_get_job (&world->audit, job_number);
 
   if (!lb_error_is_not_run (error))
     return;
@@ -510,12 +514,12 @@
   if (job->n_starts > 0)
     lx_audit_report_violation (&world->audit, LX_VIOLATION_RAN_AFTER_NOT_RUN,
                                current_time (instance), lx_world_event_number (world),
-                               "job %" PRIu64 " had been started when %s returned %s", number,
+                               "job %" PRIu64 " had been started when %s returned %s", job_number,
                                instance->name, lb_error_name (error));
 }
 
 static void
-finish_request (LxInstance *instance, const LcAction *action)
+finish_and_free_request (LxInstance *instance, const LcAction *action)
 {
   LxRequest *request = find_request (instance, action->request);
 
@@ -523,16 +527,16 @@
     return;
   lx_world_record_decision (instance->world, "%s finishes request %" PRIu64 ": %s", instance->name,
                             action->request, lb_error_name (action->error));
-  close_attempts (instance, request);
-  record_not_run (instance, request->job, action->error);
+  close_open_attempts (instance, request);
+  record_not_run_error (instance, request->job, action->error);
   if (request->call)
     {
       lx_callers_send_result (&instance->world->callers, request->call, action->error);
     }
   else
     {
-      /* On a failure, LcRollouts needs the text of the pieces that were forwarded to it, not that
-       * of a later attempt without any. */
+      /* On a failure, LcRollouts needs the text of the forwarded pieces. A later attempt may have
+       * ended before it forwarded a piece. */
       LxAttempt *last_forwarded = find_attempt (request, request->last_forwarded_attempt);
       if (action->error != LB_OK && last_forwarded)
         lx_text_copy (&request->text, &last_forwarded->text);
@@ -556,10 +560,10 @@
       break;
     case LC_ACTION_CANCEL:
       if (attempt && attempt->is_open)
-        close_attempt (instance, attempt);
+        close_attempt_connection (instance, attempt);
       break;
     case LC_ACTION_FINISH:
-      finish_request (instance, action);
+      finish_and_free_request (instance, action);
       break;
     }
 }
@@ -582,14 +586,15 @@
   if (lc_dispatch_submit (instance->dispatch, spec, current_time (instance),
                           &instance->dispatch_actions, retry_after, error))
     return true;
-  record_not_run (instance, job, error->code);
+  record_not_run_error (instance, job, error->code);
   free_request (instance, request);
   return false;
 }
 
-/* Sets the prompt blocks, which all samples of a group share. */
+/* Sets the prompt's length and block hashes if missing. The hashes depend only on the prompt, so
+ * all samples of a group share the prompt blocks. */
 static void
-fill_prompt (LcRequestSpec *spec, const char *prompt)
+fill_prompt_blocks (LcRequestSpec *spec, const char *prompt)
 {
   if (spec->prompt_tokens == 0)
     spec->prompt_tokens = DEFAULT_PROMPT_TOKENS;
@@ -598,9 +603,9 @@
   spec->n_prefix_hashes = N_PROMPT_BLOCKS;
   for (size_t i = 0; i < N_PROMPT_BLOCKS; i++)
     {
-      uint64_t hash = HASH_OFFSET_BASIS + i;
+      uint64_t hash = FNV_OFFSET_BASIS + i;
       for (const char *c = prompt; *c; c++)
-        hash = (hash ^ (uint8_t)*c) * HASH_PRIME;
+        hash = (hash ^ (uint8_t)*c) * FNV_PRIME;
       spec->prefix_hashes[i] = hash;
     }
 }
@@ -623,13 +628,13 @@
 }
 
 static void
-start_generation (LxInstance *instance, LcRolloutAction *action)
+start_sample_generation (LxInstance *instance, LcRolloutAction *action)
 {
   LbTime retry_after = 0;
   LbError error = { 0 };
   LcRequestId id = action->spec.id;
 
-  fill_prompt (&action->spec, action->prompt);
+  fill_prompt_blocks (&action->spec, action->prompt);
   if (submit_request (instance, &action->spec, add_sample_job (instance, action), NULL,
                       &retry_after, &error))
     return;
@@ -645,11 +650,11 @@
   lc_dispatch_cancel (instance->dispatch, id, current_time (instance), &instance->dispatch_actions);
   if (!request)
     return;
-  close_attempts (instance, request);
+  close_open_attempts (instance, request);
   free_request (instance, request);
 }
 
-/* Ends a request and returns the text received so far to LcRollouts. */
+/* Ends a request and passes the text received for the request to LcRollouts. */
 static void
 preempt_request (LxInstance *instance, LcRequestId id)
 {
@@ -679,7 +684,7 @@
 
   lc_rollouts_finish_ledger_write (instance->rollouts, reply->write, reply->error,
                                    current_time (instance), &instance->rollout_actions);
-  process_actions (instance);
+  execute_pending_actions (instance);
 }
 
 static LxWriteOutcome
@@ -705,11 +710,12 @@
   reply->write = action->write_id;
   reply->error = lx_store_write_row (&instance->world->store, action->row_key, action->row_value,
                                      action->session, outcome);
-  lx_instance_post_message (instance, outcome == LX_WRITE_APPLIED ? STORE_LATENCY : STORE_TIMEOUT,
+  lx_instance_post_message (instance,
+                            outcome == LX_WRITE_APPLIED ? STORE_ROUND_TRIP_TIME : STORE_TIMEOUT,
                             on_ledger_reply, reply, free);
 }
 
-/* A step whose new session has been started in the store. */
+/* A request to open a step, after the store has started a new session for the step. */
 typedef struct
 {
   LcStepSpec spec;
@@ -719,7 +725,7 @@
 } StepOpening;
 
 static void
-free_opening (void *argument)
+free_step_opening (void *argument)
 {
   StepOpening *opening = argument;
 
@@ -729,7 +735,7 @@
 }
 
 static void
-on_session_started (LxInstance *instance, void *argument)
+on_step_session_started (LxInstance *instance, void *argument)
 {
   StepOpening *opening = argument;
   LbError error = { 0 };
@@ -742,7 +748,7 @@
                             "%s opens trainer %zu step %" PRId64 " session %" PRIu64 ": %s",
                             instance->name, opening->trainer + 1, step, opening->session,
                             lb_error_name (error.code));
-  process_actions (instance);
+  execute_pending_actions (instance);
   if (opened)
     lx_trainer_handle_step_opened (&instance->world->trainers[opening->trainer], instance->index,
                                    step);
@@ -770,8 +776,8 @@
   LxWriteOutcome outcome = draw_write_outcome (world);
   if (outcome != LX_WRITE_APPLIED)
     {
-      /* The store applied the call, but the instance never learns of it; the trainer requests the
-       * step again. */
+      /* With LX_WRITE_REPLY_LOST the store starts a session, but the instance never receives the
+       * session number. The trainer requests the step again. */
       if (outcome == LX_WRITE_REPLY_LOST)
         lx_store_begin_session (&world->store, key);
       lc_step_spec_clear (spec);
@@ -783,11 +789,12 @@
   opening->session = lx_store_begin_session (&world->store, key);
   opening->ledger_row = lb_strdup (lx_store_get_value (&world->store, key));
   memset (spec, 0, sizeof *spec);
-  lx_instance_post_message (instance, STORE_LATENCY, on_session_started, opening, free_opening);
+  lx_instance_post_message (instance, STORE_ROUND_TRIP_TIME, on_step_session_started, opening,
+                            free_step_opening);
 }
 
 static void
-on_chunk (void *owner, void *argument)
+on_chunk_arrived (void *owner, void *argument)
 {
   LxWorld *world = owner;
   LxChunk *chunk = argument;
@@ -801,7 +808,7 @@
   switch (action->type)
     {
     case LC_ROLLOUT_GENERATE:
-      start_generation (instance, action);
+      start_sample_generation (instance, action);
       break;
     case LC_ROLLOUT_CANCEL:
       cancel_request (instance, action->spec.id);
@@ -813,8 +820,8 @@
       write_ledger (instance, action);
       break;
     case LC_ROLLOUT_REPLY:
-      lx_world_schedule (instance->world, instance->world->options.site->client_latency, on_chunk,
-                         instance->world, lx_chunk_new (action), lx_chunk_free);
+      lx_world_schedule (instance->world, instance->world->options.site->client_latency,
+                         on_chunk_arrived, instance->world, lx_chunk_new (action), lx_chunk_free);
       break;
     case LC_ROLLOUT_SCORE:
       break;
@@ -822,7 +829,7 @@
 }
 
 static void
-on_tick (LxInstance *instance, void *argument)
+on_core_tick_due (LxInstance *instance, void *argument)
 {
   LbTime now = current_time (instance);
 
@@ -834,11 +841,11 @@
     lc_dispatch_tick (instance->dispatch, now, &instance->dispatch_actions);
   if (lc_rollouts_next_tick (instance->rollouts) <= now)
     lc_rollouts_tick (instance->rollouts, now, &instance->rollout_actions);
-  process_actions (instance);
+  execute_pending_actions (instance);
 }
 
 static void
-schedule_tick (LxInstance *instance)
+schedule_core_tick (LxInstance *instance)
 {
   LbTime due = lc_dispatch_next_tick (instance->dispatch);
   LbTime rollouts_due = lc_rollouts_next_tick (instance->rollouts);
@@ -847,13 +854,14 @@
   if (due >= instance->next_tick_at)
     return;
   instance->next_tick_at = due;
-  lx_instance_post_message (instance, due - current_time (instance), on_tick, NULL, NULL);
+  lx_instance_post_message (instance, due - current_time (instance), on_core_tick_due, NULL, NULL);
 }
 
 static bool
-process_next_action (LxInstance *instance)
+execute_next_pending_action (LxInstance *instance)
 {
-  /* Rollout actions first: their prompts are valid only until the next command of LcRollouts. */
+  /* Executes rollout actions first, because their prompts are valid only until the next command of
+   * LcRollouts. */
   if (!lb_list_is_empty (&instance->rollout_actions))
     {
       LcRolloutAction *action
@@ -872,16 +880,16 @@
   return false;
 }
 
-/* Executes the actions of the last command and those that follow from them. */
+/* Executes all pending actions, including actions that are added during the execution. */
 static void
-process_actions (LxInstance *instance)
+execute_pending_actions (LxInstance *instance)
 {
-  while (process_next_action (instance))
+  while (execute_next_pending_action (instance))
     continue;
-  schedule_tick (instance);
+  schedule_core_tick (instance);
 }
 
-/* Ends a draining process once nothing is in progress. */
+/* Ends a draining process once no request is in progress or DRAIN_TIMEOUT has passed. */
 static void
 on_drain_check (LxInstance *instance, void *argument)
 {
@@ -909,7 +917,7 @@
                                  instance->name, request->id);
   lx_instance_kill (instance);
   instance->drain_ended_at = current_time (instance);
-  lx_world_schedule (world, 2 * LB_SEC, on_restart, instance, NULL, NULL);
+  lx_world_schedule (world, 2 * LB_SEC, on_instance_restart_due, instance, NULL, NULL);
 }
 
 void
@@ -918,7 +926,7 @@
   instance->draining = true;
   lc_dispatch_drain (instance->dispatch, current_time (instance), &instance->dispatch_actions);
   lc_rollouts_drain (instance->rollouts, current_time (instance), &instance->rollout_actions);
-  process_actions (instance);
+  execute_pending_actions (instance);
   instance->drain_started_at = current_time (instance);
   lx_instance_post_message (instance, DRAIN_CHECK_INTERVAL, on_drain_check, NULL, NULL);
 }
@@ -928,7 +936,7 @@
 {
   lc_rollouts_abort_step (instance->rollouts, subscription, step, current_time (instance),
                           &instance->rollout_actions);
-  process_actions (instance);
+  execute_pending_actions (instance);
 }
 
 void
@@ -938,8 +946,8 @@
                          &instance->dispatch_actions);
   lc_rollouts_configure (instance->rollouts, set, current_time (instance),
                          &instance->rollout_actions);
-  process_actions (instance);
-  /* The daemon also polls new endpoints at once. */
+  execute_pending_actions (instance);
+  /* Polls without delay, because the daemon also polls new endpoints at once. */
   if (!instance->is_configured)
     poll_endpoints (instance);
   instance->is_configured = true;
@@ -955,12 +963,15 @@
     return lb_error_set (error, LB_ERROR_NOT_READY, instance->name, "no confirmed configuration");
   spec->id = next_request_id (instance);
   bool is_accepted = submit_request (instance, spec, job, call, &retry_after, error);
-  process_actions (instance);
+  execute_pending_actions (instance);
   return is_accepted;
 }
 
 static void
-receive_piece (LxInstance *instance, LxRequest *request, LxAttempt *attempt, const LcPiece *piece)
+handle_arrived_piece (LxInstance *instance,
+                      LxRequest *request,
+                      LxAttempt *attempt,
+                      const LcPiece *piece)
 {
   LcPieceVerdict verdict
       = lc_dispatch_receive_piece (instance->dispatch, request->id, attempt->number, piece,
@@ -982,7 +993,7 @@
 }
 
 static void
-on_delivery (LxInstance *instance, void *argument)
+on_delivery_arrived (LxInstance *instance, void *argument)
 {
   const LxDelivery *delivery = argument;
   LxRequest *request = find_request (instance, delivery->request);
@@ -990,9 +1001,8 @@
 
   if (!attempt)
     return;
-  /* Nothing arrives on a closed connection, except while pieces are garbled: core must
-   * discard those.
-   */
+  /* Nothing arrives on a closed connection, except late pieces while LX_FAULT_PIECES_GARBLED is
+   * active. Core must discard late pieces. */
   if (!attempt->is_open
       && (delivery->is_end || current_time (instance) >= instance->world->faults.garbled_until))
     return;
@@ -1005,9 +1015,9 @@
     }
   else
     {
-      receive_piece (instance, request, attempt, &delivery->piece);
+      handle_arrived_piece (instance, request, attempt, &delivery->piece);
     }
-  process_actions (instance);
+  execute_pending_actions (instance);
 }
 
 static void
@@ -1034,7 +1044,7 @@
   apply_cache_events (instance, engine);
   lc_dispatch_record_load (instance->dispatch, instance->world->engines[engine]->name, report,
                            current_time (instance), &instance->dispatch_actions);
-  process_actions (instance);
+  execute_pending_actions (instance);
 }
 
 /* A load report in transit to the instance. */
@@ -1045,14 +1055,15 @@
 } LoadReportInTransit;
 
 static void
-on_load_report (LxInstance *instance, void *argument)
+on_load_report_arrived (LxInstance *instance, void *argument)
 {
   const LoadReportInTransit *transit = argument;
 
   lx_instance_record_load_report (instance, transit->engine, &transit->report);
 }
 
-/* Polls the load of all endpoints; a report arrives one network latency after it was measured. */
+/* Polls the load of all endpoints. A load report arrives one network latency after its
+ * measurement. */
 static void
 poll_endpoints (LxInstance *instance)
 {
@@ -1068,17 +1079,17 @@
       lx_instance_post_message (instance,
                                 lx_world_latency (world, instance->data_centre,
                                                   world->engines[i]->data_centre),
-                                on_load_report, transit, free);
+                                on_load_report_arrived, transit, free);
     }
 }
 
 static void
-on_poll (LxInstance *instance, void *argument)
+on_endpoint_poll_due (LxInstance *instance, void *argument)
 {
   (void)argument;
   poll_endpoints (instance);
-  check_core_invariants (instance);
-  lx_instance_post_message (instance, POLL_INTERVAL, on_poll, NULL, NULL);
+  report_new_invariant_failures (instance);
+  lx_instance_post_message (instance, ENDPOINT_POLL_INTERVAL, on_endpoint_poll_due, NULL, NULL);
 }
 
 void
@@ -1094,7 +1105,7 @@
 {
   lc_rollouts_set_versions (instance->rollouts, instance->world->options.site->pool, newest,
                             version_interval, current_time (instance), &instance->rollout_actions);
-  process_actions (instance);
+  execute_pending_actions (instance);
 }
 
 void
@@ -1102,5 +1113,5 @@
 {
   lc_rollouts_handle_pull (instance->rollouts, pull, current_time (instance),
                            &instance->rollout_actions);
-  process_actions (instance);
+  execute_pending_actions (instance);
 }
