--- a/packages/sim/src/lx-replay.c
+++ b/packages/sim/src/lx-replay.c
@@ -8,12 +8,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A replay continues for this long after the last time in the trace. */
-#define EXTRA_TIME (5 * LB_SEC)
-/* by_ms of a trace line without this key. */
+/* A replay continues for this time after the last event or time limit of the trace. */
+#define TIME_AFTER_LAST_LINE (5 * LB_SEC)
+/* Default of by_ms in trace lines, which means no time limit. */
 #define NO_TIME_LIMIT_MS 86400000
 
-/* A call of the trace. */
+/* A call of the trace and its result. */
 typedef struct
 {
   LbName name;
@@ -25,14 +25,14 @@
   const LxTrace *trace;
   LxWorld *world;
   LbTime started_at;
-  NamedCall *calls; /* by line; the name is empty if the line is not a call */
-  bool *was_active; /* by line of an in-force expectation: whether it was met at its time */
+  NamedCall *calls; /* indexed by trace line; name is empty if no call was sent */
+  bool *was_active; /* indexed by trace line: result of an in-force expectation */
   const char *name;
   FILE *out;
   size_t n_failures;
 } Replay;
 
-/* Argument of the event that handles a line of the trace. */
+/* Argument of the simulation event that handles a line of the trace. */
 typedef struct
 {
   Replay *replay;
@@ -40,13 +40,13 @@
 } ScheduledLine;
 
 static const LxTraceLine *
-get_line (const ScheduledLine *scheduled)
+get_trace_line (const ScheduledLine *scheduled)
 {
   return &scheduled->replay->trace->lines[scheduled->index];
 }
 
 static LxTrainer *
-find_trainer (const Replay *replay, const char *name)
+find_trainer_by_name (const Replay *replay, const char *name)
 {
   LxWorld *world = replay->world;
 
@@ -57,7 +57,7 @@
 }
 
 static const NamedCall *
-find_call (const Replay *replay, const char *name)
+find_call_by_name (const Replay *replay, const char *name)
 {
   for (size_t i = 0; i < replay->trace->n_lines; i++)
     if (strcmp (replay->calls[i].name, name) == 0)
@@ -66,7 +66,7 @@
 }
 
 static void
-report_failure (Replay *replay, const LxTraceLine *line, const char *problem)
+report_line_failure (Replay *replay, const LxTraceLine *line, const char *problem)
 {
   replay->n_failures++;
   fprintf (replay->out, "%s:%d: %s: %s (at %.3f s, event %" PRIu64 ")\n", replay->name, line->line,
@@ -75,10 +75,10 @@
            lx_world_event_number (replay->world));
 }
 
-/* Events */
+/* Execution of the events of a trace */
 
 static void
-start_call (Replay *replay, size_t index)
+submit_named_call (Replay *replay, size_t index)
 {
   const LxTraceLine *line = &replay->trace->lines[index];
   NamedCall *call = &replay->calls[index];
@@ -94,18 +94,18 @@
 }
 
 static void
-start_steps (Replay *replay, const LxTraceLine *line)
+start_trainer_steps (Replay *replay, const LxTraceLine *line)
 {
-  LxTrainer *trainer = find_trainer (replay, line->trainer);
+  LxTrainer *trainer = find_trainer_by_name (replay, line->trainer);
 
   if (!trainer)
-    report_failure (replay, line, "unknown trainer");
+    report_line_failure (replay, line, "unknown trainer");
   else
     lx_trainer_start (trainer, line->count);
 }
 
 static LxFault
-find_fault (const char *name)
+find_fault_by_name (const char *name)
 {
   LxFault fault = 0;
 
@@ -115,17 +115,17 @@
 }
 
 static void
-inject_fault (Replay *replay, const LxTraceLine *line)
+inject_trace_fault (Replay *replay, const LxTraceLine *line)
 {
-  const LxTrainer *trainer = find_trainer (replay, line->trainer);
+  const LxTrainer *trainer = find_trainer_by_name (replay, line->trainer);
 
-  if (!lx_faults_inject (&replay->world->faults, find_fault (line->fault), line->endpoint,
+  if (!lx_faults_inject (&replay->world->faults, find_fault_by_name (line->fault), line->endpoint,
                          line->instance, trainer ? trainer->index : 0, line->for_ms * LB_MSEC))
-    report_failure (replay, line, "unknown endpoint or instance");
+    report_line_failure (replay, line, "unknown endpoint or instance");
 }
 
 static void
-submit_change (Replay *replay, const LxTraceLine *line)
+submit_live_reserve_change (Replay *replay, const LxTraceLine *line)
 {
   LxWorld *world = replay->world;
   LxInstance *instance = lx_world_find_instance (world, line->instance[0] ? line->instance : "i1");
@@ -133,11 +133,11 @@
   if (instance && instance->alive)
     lx_registry_request_live_reserve (&world->registry, instance, line->live_reserve);
   else
-    report_failure (replay, line, "the instance is unknown or not running");
+    report_line_failure (replay, line, "the instance is unknown or not running");
 }
 
 static bool
-is_revision_active (const Replay *replay, int64_t revision)
+is_revision_active_on_all_instances (const Replay *replay, int64_t revision)
 {
   const LxWorld *world = replay->world;
 
@@ -149,49 +149,50 @@
 }
 
 static void
-on_line (void *owner, void *argument)
+on_trace_line_due (void *owner, void *argument)
 {
   ScheduledLine *scheduled = argument;
   Replay *replay = owner;
-  const LxTraceLine *line = get_line (scheduled);
+  const LxTraceLine *line = get_trace_line (scheduled);
 
   switch ((LxTraceEvent)line->event)
     {
     case LX_EVENT_STEPS:
-      start_steps (replay, line);
+      start_trainer_steps (replay, line);
       break;
     case LX_EVENT_CALL:
     case LX_EVENT_SERVICE:
-      start_call (replay, scheduled->index);
+      submit_named_call (replay, scheduled->index);
       break;
     case LX_EVENT_VERSION:
       lx_weight_swaps_publish_version (&replay->world->swaps);
       break;
     case LX_EVENT_CHANGE:
-      submit_change (replay, line);
+      submit_live_reserve_change (replay, line);
       break;
     case LX_EVENT_FAULT:
-      inject_fault (replay, line);
+      inject_trace_fault (replay, line);
       break;
     default:
-      replay->was_active[scheduled->index] = is_revision_active (replay, line->revision);
+      replay->was_active[scheduled->index]
+          = is_revision_active_on_all_instances (replay, line->revision);
       break;
     }
   free (scheduled);
 }
 
-/* Expectations, checked at the end of the run */
+/* Checks of the expectations of a trace at the end of the run */
 
 static bool
-is_in_time (const Replay *replay, const LxTraceLine *line, LbTime at)
+is_within_time_limit (const Replay *replay, const LxTraceLine *line, LbTime at)
 {
   return at > 0 && at - replay->started_at <= line->by_ms * LB_MSEC;
 }
 
 static const char *
-check_call (const Replay *replay, const LxTraceLine *line)
+check_call_expectation (const Replay *replay, const LxTraceLine *line)
 {
-  const NamedCall *call = find_call (replay, line->call);
+  const NamedCall *call = find_call_by_name (replay, line->call);
 
   if (!call)
     return "unknown call";
@@ -201,7 +202,7 @@
     return job->n_starts <= line->count ? NULL : "endpoints started the call more often than count";
   if (call->result.ended_at == 0)
     return "the call has no answer";
-  if (!is_in_time (replay, line, call->result.ended_at))
+  if (!is_within_time_limit (replay, line, call->result.ended_at))
     return "the answer arrived later than by_ms";
   if (line->expect == LX_EXPECT_WHOLE)
     return call->result.error == LB_OK ? NULL : lb_error_name (call->result.error);
@@ -215,9 +216,9 @@
 }
 
 static const char *
-check_trainer (const Replay *replay, const LxTraceLine *line)
+check_trainer_expectation (const Replay *replay, const LxTraceLine *line)
 {
-  const LxTrainer *trainer = find_trainer (replay, line->trainer);
+  const LxTrainer *trainer = find_trainer_by_name (replay, line->trainer);
 
   if (!trainer)
     return "unknown trainer";
@@ -230,13 +231,13 @@
                                                  : "fewer than count samples have several versions";
   if (lx_trainer_step_finished_at (trainer, line->step) == 0)
     return "samples of the step are missing";
-  return is_in_time (replay, line, lx_trainer_step_finished_at (trainer, line->step))
+  return is_within_time_limit (replay, line, lx_trainer_step_finished_at (trainer, line->step))
              ? NULL
              : "the last sample arrived later than by_ms";
 }
 
 static const char *
-check_no_new_work (const Replay *replay, const LxTraceLine *line)
+check_no_new_work_expectation (const Replay *replay, const LxTraceLine *line)
 {
   const LxEngine *engine = lx_world_find_engine (replay->world, line->endpoint);
 
@@ -248,19 +249,19 @@
 }
 
 static const char *
-check_drained (const Replay *replay, const LxTraceLine *line)
+check_drained_expectation (const Replay *replay, const LxTraceLine *line)
 {
   const LxInstance *instance = lx_world_find_instance (replay->world, line->instance);
 
   if (!instance)
     return "unknown instance";
-  return is_in_time (replay, line, instance->drain_ended_at)
+  return is_within_time_limit (replay, line, instance->drain_ended_at)
              ? NULL
              : "the instance did not complete its drain by by_ms";
 }
 
 static const char *
-check_line (const Replay *replay, size_t index)
+check_expectation (const Replay *replay, size_t index)
 {
   const LxTraceLine *line = &replay->trace->lines[index];
 
@@ -270,15 +271,15 @@
     case LX_EXPECT_NOT_RUN:
     case LX_EXPECT_UNKNOWN:
     case LX_EXPECT_RUNS:
-      return check_call (replay, line);
+      return check_call_expectation (replay, line);
     case LX_EXPECT_STEP_DONE:
     case LX_EXPECT_STALENESS:
     case LX_EXPECT_MIXED:
-      return check_trainer (replay, line);
+      return check_trainer_expectation (replay, line);
     case LX_EXPECT_NO_NEW_WORK:
-      return check_no_new_work (replay, line);
+      return check_no_new_work_expectation (replay, line);
     case LX_EXPECT_DRAINED:
-      return check_drained (replay, line);
+      return check_drained_expectation (replay, line);
     case LX_EXPECT_IN_FORCE:
       return replay->was_active[index] ? NULL : "a running instance has an older revision";
     default:
@@ -286,9 +287,10 @@
     }
 }
 
-/* Returns when the event happens, or by when the expectation must be met. */
+/* Returns the time of an event or the time limit of an expectation, counted from the start of the
+ * run. */
 static LbTime
-get_line_time (const LxTraceLine *line)
+get_line_due_time (const LxTraceLine *line)
 {
   bool has_time_limit = line->expect != LX_EXPECT_NONE && line->by_ms < NO_TIME_LIMIT_MS;
 
@@ -296,27 +298,27 @@
 }
 
 static LbTime
-schedule_lines (Replay *replay)
+schedule_trace_lines (Replay *replay)
 {
   LbTime last = 0;
 
   for (size_t i = 0; i < replay->trace->n_lines; i++)
     {
       const LxTraceLine *line = &replay->trace->lines[i];
-      LbTime at = get_line_time (line);
+      LbTime at = get_line_due_time (line);
 
       last = at > last ? at : last;
       if (line->event == LX_EVENT_NONE && line->expect != LX_EXPECT_IN_FORCE)
         continue;
       ScheduledLine *scheduled = LB_NEW (ScheduledLine);
       *scheduled = (ScheduledLine){ .replay = replay, .index = i };
-      lx_world_schedule (replay->world, at, on_line, replay, scheduled, free);
+      lx_world_schedule (replay->world, at, on_trace_line_due, replay, scheduled, free);
     }
   return last;
 }
 
 static void
-fill_options (const LxTrace *trace, LxOptions *options)
+fill_options_from_trace (const LxTrace *trace, LxOptions *options)
 {
   lx_options_init (options, trace->site, trace->seed);
   options->is_scripted = true;
@@ -334,19 +336,19 @@
   LxOptions options;
   Replay replay = { .trace = trace, .name = name, .out = out };
 
-  fill_options (trace, &options);
+  fill_options_from_trace (trace, &options);
   replay.world = lx_world_new (&options);
   replay.started_at = lx_world_now (replay.world);
   replay.calls = LB_NEW_ARRAY (NamedCall, trace->n_lines + 1);
   replay.was_active = LB_NEW_ARRAY (bool, trace->n_lines + 1);
-  replay.world->options.duration = schedule_lines (&replay) + EXTRA_TIME;
+  replay.world->options.duration = schedule_trace_lines (&replay) + TIME_AFTER_LAST_LINE;
   lx_world_run (replay.world);
 
   for (size_t i = 0; i < trace->n_lines; i++)
     {
-      const char *problem = check_line (&replay, i);
+      const char *problem = check_expectation (&replay, i);
       if (problem)
-        report_failure (&replay, &trace->lines[i], problem);
+        report_line_failure (&replay, &trace->lines[i], problem);
     }
   if (replay.world->audit.first_violation[0])
     {
--- a/packages/sim/src/lx-trace.c
+++ b/packages/sim/src/lx-trace.c
@@ -10,7 +10,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MAX_MS 86400000.0
+#define MAX_TIME_MS 86400000.0
 #define MAX_FILE_BYTES ((size_t)16 << 20)
 
 typedef struct
@@ -60,9 +60,9 @@
     .type = LB_SETTING_CHOICE,
     .offset = offsetof (LxTraceLine, expect),
     .choices = expect_names },
-  INT_KEY (LxTraceLine, at_ms, 0, MAX_MS),
-  INT_KEY (LxTraceLine, by_ms, 0, MAX_MS),
-  INT_KEY (LxTraceLine, after_ms, 0, MAX_MS),
+  INT_KEY (LxTraceLine, at_ms, 0, MAX_TIME_MS),
+  INT_KEY (LxTraceLine, by_ms, 0, MAX_TIME_MS),
+  INT_KEY (LxTraceLine, after_ms, 0, MAX_TIME_MS),
   TEXT_KEY (LxTraceLine, call),
   TEXT_KEY (LxTraceLine, trainer),
   TEXT_KEY (LxTraceLine, instance),
@@ -71,9 +71,9 @@
   INT_KEY (LxTraceLine, step, 0, 1000),
   INT_KEY (LxTraceLine, count, 0, 100000),
   INT_KEY (LxTraceLine, tokens, 1, 4000),
-  INT_KEY (LxTraceLine, for_ms, 0, MAX_MS),
+  INT_KEY (LxTraceLine, for_ms, 0, MAX_TIME_MS),
   INT_KEY (LxTraceLine, revision, 1, 4000),
-  INT_KEY (LxTraceLine, deadline_ms, 1, MAX_MS),
+  INT_KEY (LxTraceLine, deadline_ms, 1, MAX_TIME_MS),
   { .key = "repeatable", .type = LB_SETTING_BOOL, .offset = offsetof (LxTraceLine, repeatable) },
   { .key = "live_reserve",
     .type = LB_SETTING_REAL,
@@ -90,7 +90,7 @@
 }
 
 static bool
-is_fault (const char *name)
+is_fault_name (const char *name)
 {
   for (int i = 0; i < LX_N_FAULTS; i++)
     if (strcmp (lx_fault_name ((LxFault)i), name) == 0)
@@ -98,9 +98,9 @@
   return false;
 }
 
-/* Checks that the line has the keys that its kind requires. */
+/* Checks that the line has the keys that its event or expectation requires. */
 static bool
-check_line (const LxTraceLine *line, const char *where, LbError *error)
+check_required_keys (const LxTraceLine *line, const char *where, LbError *error)
 {
   bool needs_call = line->event == LX_EVENT_CALL || line->event == LX_EVENT_SERVICE
                     || (line->expect >= LX_EXPECT_WHOLE && line->expect <= LX_EXPECT_RUNS);
@@ -113,7 +113,7 @@
     return lb_error_set (error, LB_ERROR_MISSING_KEY, where, "call: expected a name");
   if (needs_trainer && !line->trainer[0])
     return lb_error_set (error, LB_ERROR_MISSING_KEY, where, "trainer: expected a name");
-  if (line->event == LX_EVENT_FAULT && !is_fault (line->fault))
+  if (line->event == LX_EVENT_FAULT && !is_fault_name (line->fault))
     return lb_error_set (error, LB_ERROR_BAD_VALUE, where, "fault: unknown fault '%s'",
                          line->fault);
   if (line->expect == LX_EXPECT_NO_NEW_WORK && !line->endpoint[0])
@@ -124,7 +124,7 @@
 }
 
 static bool
-read_header (LxTrace *trace, struct json_object *object, const char *where, LbError *error)
+parse_header (LxTrace *trace, struct json_object *object, const char *where, LbError *error)
 {
   Header header
       = { .seed = 1, .trainers = 1, .groups = 8, .samples = 4, .shortest = 20, .train_ms = 1000 };
@@ -148,11 +148,11 @@
 }
 
 static bool
-read_line (
+parse_and_add_line (
     LxTrace *trace, struct json_object *object, int number, const char *where, LbError *error)
 {
   LxTraceLine line = { .line = number,
-                       .by_ms = (int64_t)MAX_MS,
+                       .by_ms = (int64_t)MAX_TIME_MS,
                        .count = 1,
                        .tokens = 64,
                        .repeatable = true,
@@ -160,7 +160,7 @@
                        .live_reserve = 0.3 };
 
   if (!lb_settings_apply (object, line_specs, &line, where, error)
-      || !check_line (&line, where, error))
+      || !check_required_keys (&line, where, error))
     return false;
   trace->lines = lb_realloc (trace->lines, (trace->n_lines + 1) * sizeof (LxTraceLine));
   trace->lines[trace->n_lines++] = line;
@@ -168,7 +168,7 @@
 }
 
 static bool
-read_text_line (
+parse_header_or_line (
     LxTrace *trace, const char *text, size_t length, int number, const char *file, LbError *error)
 {
   char where[256];
@@ -179,8 +179,8 @@
   struct json_object *object = lb_settings_parse (text, length, where, error);
   if (!object)
     return false;
-  bool ok = trace->site ? read_line (trace, object, number, where, error)
-                        : read_header (trace, object, where, error);
+  bool ok = trace->site ? parse_and_add_line (trace, object, number, where, error)
+                        : parse_header (trace, object, where, error);
   json_object_put (object);
   return ok;
 }
@@ -196,7 +196,7 @@
     {
       const char *stop = memchr (text, '\n', (size_t)(end - text));
       char *line = lb_strndup (text, (size_t)((stop ? stop : end) - text));
-      bool ok = read_text_line (trace, line, strlen (line), ++number, file, error);
+      bool ok = parse_header_or_line (trace, line, strlen (line), ++number, file, error);
 
       free (line);
       if (!ok)
@@ -232,7 +232,8 @@
     }
   while (length < MAX_FILE_BYTES);
   if (ferror (in) || length >= MAX_FILE_BYTES)
-    lb_error_set (error, LB_ERROR_IO, path, "unreadable, or not under %zu bytes", MAX_FILE_BYTES);
+    lb_error_set (error, LB_ERROR_IO, path, "read failed, or the file has %zu bytes or more",
+                  MAX_FILE_BYTES);
   else
     ok = lx_trace_parse (trace, text, length, path, error);
   free (text);
--- a/packages/sim/src/lx-trainer.c
+++ b/packages/sim/src/lx-trainer.c
@@ -12,28 +12,31 @@
 #include <xxhash.h>
 
 #define PULL_WAIT_TIME (5 * LB_SEC)
-#define PULL_TIMEOUT (8 * LB_SEC) /* the trainer then opens the step again and repeats the pull */
-#define RETRY_DELAY (500 * LB_MSEC)
-#define STUCK_TIMEOUT (300 * LB_SEC)
-/* The id of a pull is the trainer's index, followed by this many bits for the pull's number. */
+#define PULL_TIMEOUT (8 * LB_SEC) /* the trainer then reopens the step and pulls again */
+#define REQUEST_RETRY_DELAY (500 * LB_MSEC)
+#define NO_SAMPLE_TIMEOUT (300 * LB_SEC)
+/* Number of low bits of a pull's id that hold the number of the pull; the high bits hold the
+ * trainer's index. */
 #define PULL_NUMBER_BITS 40
-/* Upper bound of sample length / min_sample_tokens; a straggler reaches 30. */
-#define MAX_LENGTH_FACTOR 41
+/* max_tokens of a sample in units of min_sample_tokens; a straggler has up to 30 units. */
+#define MAX_TOKENS_FACTOR 41
+/* Share of the samples that are stragglers. */
 #define STRAGGLER_SHARE 0.05
 
-static void send_next_request (LxTrainer *trainer);
+static void send_open_or_pull_request (LxTrainer *trainer);
 
-/* Maps the numbers to 0 <= value < 1 by a hash. */
+/* Hashes the numbers to a value from 0 inclusive to 1 exclusive. */
 static double
 hash_to_unit_interval (uint64_t seed, const int64_t *numbers, size_t n)
 {
   return (double)(XXH64 (numbers, n * sizeof (int64_t), seed) >> 11) / 9007199254740992.0;
 }
 
-/* One to three times the shortest length, and ten times that for one sample in twenty. The share
- * hard_share of these stragglers is in groups with a hard prompt, in which every second sample is
- * one. The length depends only on the slot: a hedge or a repeat has the same length, so that no
- * policy gains by repeating a sample until a short one is drawn. */
+/* Returns one to three times min_sample_tokens, and ten times as much for one sample in twenty, the
+ * stragglers. The share hard_share of the stragglers is in groups with a hard prompt, where every
+ * second sample is a straggler. The length depends only on the slot: a hedged or repeated sample
+ * has the same length, so that no policy gains by repeating a sample until a short length is
+ * drawn. */
 int64_t
 lx_sample_length (
     const LxOptions *options, size_t trainer, int64_t step, int64_t group, int64_t index)
@@ -41,12 +44,13 @@
   const int64_t group_key[] = { (int64_t)trainer, step, group };
   const int64_t slot_key[] = { (int64_t)trainer, step, group, index };
   double hard_group_share = 2 * STRAGGLER_SHARE * options->hard_share;
-  double share_elsewhere = STRAGGLER_SHARE * (1 - options->hard_share) / (1 - hard_group_share);
+  double straggler_share_of_other_groups
+      = STRAGGLER_SHARE * (1 - options->hard_share) / (1 - hard_group_share);
   double spread = 2 * hash_to_unit_interval (options->seed, slot_key, 4);
   int64_t length = (int64_t)((1 + spread) * (double)options->min_sample_tokens);
   bool is_hard = hash_to_unit_interval (options->seed, group_key, 3) < hard_group_share;
-  bool is_straggler
-      = hash_to_unit_interval (options->seed + 1, slot_key, 4) < (is_hard ? 0.5 : share_elsewhere);
+  bool is_straggler = hash_to_unit_interval (options->seed + 1, slot_key, 4)
+                      < (is_hard ? 0.5 : straggler_share_of_other_groups);
 
   return is_straggler ? 10 * length : length;
 }
@@ -126,25 +130,25 @@
       spec->groups[i].prompt
           = lb_asprintf ("t%zu/s%" PRId64 "/g%zu", trainer->index, trainer->step, i);
       spec->groups[i].samples = options->samples_per_group;
-      spec->groups[i].max_tokens = MAX_LENGTH_FACTOR * options->min_sample_tokens;
+      spec->groups[i].max_tokens = MAX_TOKENS_FACTOR * options->min_sample_tokens;
     }
 }
 
 static void
-on_request_due (void *owner, void *argument)
+on_trainer_request_due (void *owner, void *argument)
 {
   (void)argument;
-  send_next_request (owner);
+  send_open_or_pull_request (owner);
 }
 
 static void
-schedule_next_request (LxTrainer *trainer, LbTime delay)
+schedule_open_or_pull_request (LxTrainer *trainer, LbTime delay)
 {
-  lx_world_schedule (trainer->world, delay, on_request_due, trainer, NULL, NULL);
+  lx_world_schedule (trainer->world, delay, on_trainer_request_due, trainer, NULL, NULL);
 }
 
 static void
-on_open_request (LxInstance *instance, void *argument)
+on_open_step_request (LxInstance *instance, void *argument)
 {
   LxTrainer *trainer = argument;
   LcStepSpec spec = { 0 };
@@ -164,7 +168,7 @@
 }
 
 static void
-send_open_request (LxTrainer *trainer)
+send_open_step_request (LxTrainer *trainer)
 {
   LxWorld *world = trainer->world;
   const LxInstance *instance = lx_world_choose_serving_instance (world, trainer->owner);
@@ -173,7 +177,7 @@
     return;
   trainer->owner = instance->index;
   lx_instance_post_message (&world->instances[trainer->owner], world->options.site->client_latency,
-                            on_open_request, trainer, NULL);
+                            on_open_step_request, trainer, NULL);
 }
 
 /* A pull in transit to an instance, with its own copy of the cursor. */
@@ -184,7 +188,7 @@
 } PullInTransit;
 
 static void
-free_pull (void *argument)
+free_pull_in_transit (void *argument)
 {
   PullInTransit *transit = argument;
 
@@ -193,7 +197,7 @@
 }
 
 static void
-on_pull (LxInstance *instance, void *argument)
+on_pull_arrived (LxInstance *instance, void *argument)
 {
   PullInTransit *transit = argument;
 
@@ -210,10 +214,10 @@
     return;
   trainer->pull_id = 0;
   trainer->is_step_open = false;
-  send_next_request (trainer);
+  send_open_or_pull_request (trainer);
 }
 
-/* Pulls with the newest version and the cursor of the last received chunk. */
+/* Sends a pull with the newest weight version and the cursor of the last received chunk. */
 static void
 send_pull (LxTrainer *trainer)
 {
@@ -233,20 +237,20 @@
                   .wait_until = lx_world_now (world) + PULL_WAIT_TIME };
   LB_COPY (transit->pull.subscription, trainer->name);
   lx_instance_post_message (&world->instances[trainer->owner], world->options.site->client_latency,
-                            on_pull, transit, free_pull);
+                            on_pull_arrived, transit, free_pull_in_transit);
   lx_world_schedule (world, PULL_TIMEOUT, on_pull_timeout, trainer,
                      (void *)(uintptr_t)trainer->pull_id, NULL);
 }
 
 static void
-report_if_stuck (LxTrainer *trainer)
+report_stuck_step (LxTrainer *trainer)
 {
   LxWorld *world = trainer->world;
   LbTime now = lx_world_now (world);
   LbTime waiting_since = trainer->last_sample_at > trainer->train_until ? trainer->last_sample_at
                                                                         : trainer->train_until;
 
-  if (now - waiting_since < STUCK_TIMEOUT)
+  if (now - waiting_since < NO_SAMPLE_TIMEOUT)
     return;
   lx_audit_report_violation (&world->audit, LX_VIOLATION_STUCK, now, lx_world_event_number (world),
                              "%s has received no sample of step %" PRId64 " for %lld s",
@@ -255,23 +259,23 @@
   trainer->last_sample_at = now;
 }
 
-/* Opens the step, or pulls once the training on the previous step is over. */
+/* Sends a request to open the step, or a pull once the training on the previous step has ended. */
 static void
-send_next_request (LxTrainer *trainer)
+send_open_or_pull_request (LxTrainer *trainer)
 {
   LbTime now = lx_world_now (trainer->world);
 
-  report_if_stuck (trainer);
+  report_stuck_step (trainer);
   if (trainer->pull_id != 0)
     return;
   if (!trainer->is_step_open)
     {
-      send_open_request (trainer);
-      schedule_next_request (trainer, RETRY_DELAY);
+      send_open_step_request (trainer);
+      schedule_open_or_pull_request (trainer, REQUEST_RETRY_DELAY);
     }
   else if (now < trainer->train_until)
     {
-      schedule_next_request (trainer, trainer->train_until - now);
+      schedule_open_or_pull_request (trainer, trainer->train_until - now);
     }
   else
     {
@@ -291,7 +295,7 @@
   trainer->step_requested_at = lx_world_now (trainer->world);
   free (trainer->cursor);
   trainer->cursor = lb_strdup ("");
-  send_next_request (trainer);
+  send_open_or_pull_request (trainer);
 }
 
 void
@@ -309,13 +313,13 @@
 }
 
 static uint64_t
-get_step_number (const LxTrainer *trainer)
+get_audit_step_index (const LxTrainer *trainer)
 {
   return (uint64_t)trainer->step * trainer->world->options.n_trainers + trainer->index;
 }
 
-/* Lower bound of the idle time for any policy: the step's longest sample runs alone on an engine
- * from the time when the step was requested. */
+/* Returns a lower bound of the idle time for any policy: the step's longest sample runs alone on an
+ * engine from the time when the step was requested. */
 static LbTime
 compute_idle_floor (const LxTrainer *trainer)
 {
@@ -335,9 +339,9 @@
   return generation_time > options->train_time ? generation_time - options->train_time : 0;
 }
 
-/* Prints the times of the step and its last sample, the one whose stream ended last. */
+/* Prints the times of the step and of its last sample, whose stream ended after all others. */
 static void
-print_step_end (const LxTrainer *trainer)
+print_step_times (const LxTrainer *trainer)
 {
   const LxWorld *world = trainer->world;
   const LxStreamRecord *record = &world->audit.streams[trainer->last_stream - 1];
@@ -367,9 +371,9 @@
                                lx_world_event_number (world),
                                "%s step %" PRId64 " done with %" PRId64 " of %" PRId64 " samples",
                                trainer->name, trainer->step, trainer->n_received, slots);
-  lx_audit_ensure_step_tokens (&world->audit, get_step_number (trainer))->is_done = true;
+  lx_audit_ensure_step_tokens (&world->audit, get_audit_step_index (trainer))->is_done = true;
   if (options->explain)
-    print_step_end (trainer);
+    print_step_times (trainer);
   if (trainer->step > 0)
     {
       trainer->steps++;
@@ -387,7 +391,7 @@
 }
 
 static bool
-is_same_label (const LcLabel *a, const LcLabel *b)
+is_equal_label (const LcLabel *a, const LcLabel *b)
 {
   if (a->unlabelled || b->unlabelled || a->n_spans != b->n_spans || a->tokens != b->tokens)
     return false;
@@ -399,10 +403,10 @@
 }
 
 static void
-check_sample (LxTrainer *trainer,
-              const LxChunkSample *sample,
-              const LcLabel *expected_label,
-              int64_t length)
+check_and_count_sample (LxTrainer *trainer,
+                        const LxChunkSample *sample,
+                        const LcLabel *expected_label,
+                        int64_t length)
 {
   LxWorld *world = trainer->world;
   int64_t staleness = 0;
@@ -416,7 +420,7 @@
                                "%s %s/%" PRId64 " has %" PRId64 " of %" PRId64 " tokens",
                                trainer->name, sample->group, sample->index, expected_label->tokens,
                                length);
-  if (!is_same_label (expected_label, &sample->label))
+  if (!is_equal_label (expected_label, &sample->label))
     lx_audit_report_violation (&world->audit, LX_VIOLATION_MISLABELLED, lx_world_now (world),
                                lx_world_event_number (world),
                                "%s %s/%" PRId64 ": expected the label of the text %s, got another",
@@ -478,15 +482,16 @@
                                trainer->name, sample->group, sample->index, sample->text);
   update_last_stream (trainer, &text);
   lx_audit_compute_label (&world->audit, &text, &expected_label);
-  check_sample (trainer, sample, &expected_label,
-                lx_sample_length (&world->options, trainer->index, trainer->step, group,
-                                  sample->index));
-  lx_audit_ensure_step_tokens (&world->audit, get_step_number (trainer))->delivered
+  check_and_count_sample (trainer, sample, &expected_label,
+                          lx_sample_length (&world->options, trainer->index, trainer->step, group,
+                                            sample->index));
+  lx_audit_ensure_step_tokens (&world->audit, get_audit_step_index (trainer))->delivered
       += expected_label.tokens;
   lx_text_clear (&text);
 }
 
-/* Ignores replies to any pull but the current one, such as one that has timed out. */
+/* Ignores replies to all pulls but the one in progress, for example to a pull that has timed
+ * out. */
 void
 lx_trainer_receive_chunk (LxTrainer *trainer, LxChunk *chunk)
 {
@@ -500,8 +505,9 @@
       if (chunk->error.code == LB_ERROR_UNKNOWN_STEP || chunk->error.code == LB_ERROR_STALE_SESSION
           || chunk->error.code == LB_ERROR_DRAINING)
         trainer->is_step_open = false;
-      schedule_next_request (trainer,
-                             chunk->retry_after > RETRY_DELAY ? chunk->retry_after : RETRY_DELAY);
+      schedule_open_or_pull_request (trainer, chunk->retry_after > REQUEST_RETRY_DELAY
+                                                  ? chunk->retry_after
+                                                  : REQUEST_RETRY_DELAY);
       goto out;
     }
   for (size_t i = 0; i < chunk->n_samples; i++)
@@ -511,7 +517,7 @@
   if (chunk->remaining == 0)
     finish_step (trainer);
   else
-    send_next_request (trainer);
+    send_open_or_pull_request (trainer);
 out:
   lx_chunk_free (chunk);
 }
@@ -523,7 +529,7 @@
     return;
   trainer->pull_id = 0;
   trainer->is_step_open = false;
-  schedule_next_request (trainer, RETRY_DELAY);
+  schedule_open_or_pull_request (trainer, REQUEST_RETRY_DELAY);
 }
 
 void
@@ -532,5 +538,5 @@
   trainer->owner = owner;
   trainer->is_step_open = false;
   trainer->pull_id = 0;
-  send_next_request (trainer);
+  send_open_or_pull_request (trainer);
 }
