--- a/packages/sim/src/lx-options.c
+++ b/packages/sim/src/lx-options.c
@@ -45,7 +45,7 @@
 }
 
 static bool *
-get_mechanism (LcRolloutSettings *settings, size_t i)
+get_mechanism_flag (LcRolloutSettings *settings, size_t i)
 {
   return (bool *)((char *)settings + mechanism_offsets[i]);
 }
@@ -56,7 +56,7 @@
   for (size_t i = 0; mechanism_names[i]; i++)
     if (strcmp (mechanism_names[i], name) == 0)
       {
-        *get_mechanism (settings, i) = true;
+        *get_mechanism_flag (settings, i) = true;
         return true;
       }
   return false;
@@ -85,7 +85,7 @@
   if (strcmp (policy, "lentilspindle") == 0)
     return true;
   for (size_t i = 0; mechanism_names[i]; i++)
-    *get_mechanism (&options->rollouts, i) = false;
+    *get_mechanism_flag (&options->rollouts, i) = false;
   for (char *part = strtok_r (NULL, "+", &rest); part; part = strtok_r (NULL, "+", &rest))
     if (!enable_mechanism (&options->rollouts, part))
       return false;
--- a/packages/sim/src/lx-queue.c
+++ b/packages/sim/src/lx-queue.c
@@ -33,7 +33,7 @@
   return queue;
 }
 
-/* Frees the arguments of events that have not run. */
+/* Frees the queue and the arguments of events that have not run. */
 void
 lx_queue_free (LxQueue *queue)
 {
@@ -47,7 +47,7 @@
 }
 
 static bool
-is_before (const Event *a, const Event *b)
+is_event_before (const Event *a, const Event *b)
 {
   return a->at != b->at ? a->at < b->at : a->sequence < b->sequence;
 }
@@ -64,7 +64,7 @@
 static void
 sift_up (LxQueue *queue, size_t i)
 {
-  while (i > 0 && is_before (&queue->heap[i], &queue->heap[(i - 1) / 2]))
+  while (i > 0 && is_event_before (&queue->heap[i], &queue->heap[(i - 1) / 2]))
     {
       swap_events (&queue->heap[i], &queue->heap[(i - 1) / 2]);
       i = (i - 1) / 2;
@@ -79,7 +79,7 @@
       size_t earliest = i;
 
       for (size_t child = 2 * i + 1; child <= 2 * i + 2 && child < queue->length; child++)
-        if (is_before (&queue->heap[child], &queue->heap[earliest]))
+        if (is_event_before (&queue->heap[child], &queue->heap[earliest]))
           earliest = child;
       if (earliest == i)
         return;
--- a/packages/sim/src/lx-result.c
+++ b/packages/sim/src/lx-result.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 static void
-fill_trainers (LxResult *result, const LxWorld *world)
+fill_trainer_measurements (LxResult *result, const LxWorld *world)
 {
   LbTime idle = 0;
   LbTime idle_floor = 0;
@@ -36,7 +36,7 @@
 }
 
 static void
-fill_engines (LxResult *result, const LxWorld *world)
+fill_engine_measurements (LxResult *result, const LxWorld *world)
 {
   int64_t total_tokens = 0;
   int64_t max_tokens = 0;
@@ -61,7 +61,7 @@
 }
 
 static void
-fill_violations (LxResult *result, const LxAudit *audit)
+fill_violation_counts (LxResult *result, const LxAudit *audit)
 {
   result->lost = audit->violations[LX_VIOLATION_LOST] + audit->violations[LX_VIOLATION_STUCK];
   result->doubled = audit->violations[LX_VIOLATION_DOUBLED];
@@ -76,9 +76,9 @@
   memset (result, 0, sizeof *result);
   LB_COPY (result->policy, policy);
   result->seed = world->options.seed;
-  fill_trainers (result, world);
-  fill_engines (result, world);
-  fill_violations (result, &world->audit);
+  fill_trainer_measurements (result, world);
+  fill_engine_measurements (result, world);
+  fill_violation_counts (result, &world->audit);
   result->live_p50_ms = lx_callers_latency_percentile_ms (&world->callers, 0.5);
   result->live_p99_ms = lx_callers_latency_percentile_ms (&world->callers, 0.99);
   result->live_calls = world->callers.answered;
@@ -92,7 +92,7 @@
 }
 
 static void
-add_double (struct json_object *object, const char *key, double value)
+add_json_double (struct json_object *object, const char *key, double value)
 {
   char text[32];
 
@@ -101,7 +101,7 @@
 }
 
 static void
-add_int (struct json_object *object, const char *key, int64_t value)
+add_json_int (struct json_object *object, const char *key, int64_t value)
 {
   json_object_object_add (object, key, json_object_new_int64 (value));
 }
@@ -112,26 +112,26 @@
   struct json_object *object = json_object_new_object ();
 
   json_object_object_add (object, "policy", json_object_new_string (result->policy));
-  add_int (object, "seed", (int64_t)result->seed);
-  add_int (object, "steps", result->steps);
-  add_double (object, "idle_seconds", result->idle_seconds);
-  add_double (object, "idle_floor_seconds", result->idle_floor_seconds);
-  add_double (object, "staleness_mean", result->staleness_mean);
-  add_int (object, "staleness_max", result->staleness_max);
-  add_double (object, "live_p50_ms", result->live_p50_ms);
-  add_double (object, "live_p99_ms", result->live_p99_ms);
-  add_int (object, "live_calls", result->live_calls);
-  add_int (object, "refused", result->refused);
-  add_int (object, "failed", result->failed);
-  add_int (object, "lost", result->lost);
-  add_int (object, "doubled", result->doubled);
-  add_int (object, "stale", result->stale);
-  add_int (object, "other_breaches", result->other_breaches);
-  add_double (object, "wasted_tokens_ratio", result->wasted_tokens_ratio);
-  add_double (object, "imbalance", result->imbalance);
-  add_double (object, "prefix_hits", result->prefix_hits);
-  add_double (object, "tokens_per_second", result->tokens_per_second);
-  add_int (object, "decisions", result->decisions);
-  add_double (object, "decisions_per_second", result->decisions_per_second);
+  add_json_int (object, "seed", (int64_t)result->seed);
+  add_json_int (object, "steps", result->steps);
+  add_json_double (object, "idle_seconds", result->idle_seconds);
+  add_json_double (object, "idle_floor_seconds", result->idle_floor_seconds);
+  add_json_double (object, "staleness_mean", result->staleness_mean);
+  add_json_int (object, "staleness_max", result->staleness_max);
+  add_json_double (object, "live_p50_ms", result->live_p50_ms);
+  add_json_double (object, "live_p99_ms", result->live_p99_ms);
+  add_json_int (object, "live_calls", result->live_calls);
+  add_json_int (object, "refused", result->refused);
+  add_json_int (object, "failed", result->failed);
+  add_json_int (object, "lost", result->lost);
+  add_json_int (object, "doubled", result->doubled);
+  add_json_int (object, "stale", result->stale);
+  add_json_int (object, "other_breaches", result->other_breaches);
+  add_json_double (object, "wasted_tokens_ratio", result->wasted_tokens_ratio);
+  add_json_double (object, "imbalance", result->imbalance);
+  add_json_double (object, "prefix_hits", result->prefix_hits);
+  add_json_double (object, "tokens_per_second", result->tokens_per_second);
+  add_json_int (object, "decisions", result->decisions);
+  add_json_double (object, "decisions_per_second", result->decisions_per_second);
   return object;
 }
--- a/packages/sim/src/lx-store.c
+++ b/packages/sim/src/lx-store.c
@@ -34,7 +34,7 @@
 }
 
 static LxStoreRow *
-ensure_row (LxStore *store, const char *key)
+find_or_add_row (LxStore *store, const char *key)
 {
   LxStoreRow *row = find_row (store, key);
 
@@ -51,7 +51,7 @@
 lx_store_write_row (
     LxStore *store, const char *key, const char *value, uint64_t session, LxWriteOutcome outcome)
 {
-  LxStoreRow *row = ensure_row (store, key);
+  LxStoreRow *row = find_or_add_row (store, key);
 
   if (outcome == LX_WRITE_UNAVAILABLE)
     return LB_ERROR_STORE_AWAY;
@@ -70,7 +70,7 @@
 uint64_t
 lx_store_begin_session (LxStore *store, const char *key)
 {
-  return ++ensure_row (store, key)->session;
+  return ++find_or_add_row (store, key)->session;
 }
 
 const char *
--- a/packages/sim/src/lx-swaps.c
+++ b/packages/sim/src/lx-swaps.c
@@ -6,29 +6,30 @@
 
 #include <stdlib.h>
 
-#define CHECK_INTERVAL (250 * LB_MSEC)
-#define FIRST_VERSION 10
-#define ENGINES_PER_LOAD 4 /* of this many engines, one may load weights at a time */
+#define LOAD_CHECK_INTERVAL (250 * LB_MSEC)
+#define FIRST_WEIGHT_VERSION 10
+#define ENGINES_PER_CONCURRENT_LOAD 4 /* one engine in this many may load weights at a time */
 
 /* A message in transit that tells an instance that an engine loads weights. */
 typedef struct
 {
   size_t engine;
   bool pending;
-  LbTime until; /* when the engine serves the new weights */
+  LbTime until; /* time when the engine starts to serve the new weights */
 } SwapNotice;
 
 void
 lx_weight_swaps_init (LxWeightSwaps *swaps, LxWorld *world)
 {
   swaps->world = world;
-  swaps->newest_version = FIRST_VERSION;
-  swaps->max_concurrent_loads
-      = world->n_engines / ENGINES_PER_LOAD > 0 ? world->n_engines / ENGINES_PER_LOAD : 1;
+  swaps->newest_version = FIRST_WEIGHT_VERSION;
+  swaps->max_concurrent_loads = world->n_engines / ENGINES_PER_CONCURRENT_LOAD > 0
+                                    ? world->n_engines / ENGINES_PER_CONCURRENT_LOAD
+                                    : 1;
 }
 
 static void
-on_swap_notice (LxInstance *instance, void *argument)
+on_weight_swap_notice (LxInstance *instance, void *argument)
 {
   const SwapNotice *notice = argument;
 
@@ -36,19 +37,19 @@
 }
 
 static void
-notify_swap (LxWorld *world, size_t engine, bool pending, LbTime until)
+notify_instances_of_swap (LxWorld *world, size_t engine, bool pending, LbTime until)
 {
   for (size_t i = 0; i < world->n_instances; i++)
     {
       SwapNotice *notice = LB_NEW (SwapNotice);
       *notice = (SwapNotice){ .engine = engine, .pending = pending, .until = until };
       lx_instance_post_message (&world->instances[i], world->options.site->latency_between,
-                                on_swap_notice, notice, free);
+                                on_weight_swap_notice, notice, free);
     }
 }
 
 static size_t
-count_loading (const LxWorld *world)
+count_loading_engines (const LxWorld *world)
 {
   size_t loading = 0;
 
@@ -57,14 +58,14 @@
   return loading;
 }
 
-/* Starts loads on outdated engines, up to the number of loads that the weight store allows at once.
- */
+/* Starts loads on engines with outdated weights, up to the number of concurrent loads that the
+ * weight store allows. */
 static void
-on_load_check (void *owner, void *argument)
+on_engine_load_check (void *owner, void *argument)
 {
   LxWeightSwaps *swaps = owner;
   LxWorld *world = swaps->world;
-  size_t loading = count_loading (world);
+  size_t loading = count_loading_engines (world);
 
   (void)argument;
   for (size_t i = 0; i < world->n_engines && loading < swaps->max_concurrent_loads; i++)
@@ -73,15 +74,16 @@
       if (!engine->alive || engine->loading || engine->version == swaps->newest_version)
         continue;
       lx_engine_load_version (engine, swaps->newest_version);
-      notify_swap (world, i, true,
-                   lx_world_now (world) + engine->times.load_time + engine->times.pause_time);
+      notify_instances_of_swap (world, i, true,
+                                lx_world_now (world) + engine->times.load_time
+                                    + engine->times.pause_time);
       loading++;
     }
-  lx_world_schedule (world, CHECK_INTERVAL, on_load_check, swaps, NULL, NULL);
+  lx_world_schedule (world, LOAD_CHECK_INTERVAL, on_engine_load_check, swaps, NULL, NULL);
 }
 
 static void
-on_versions_notice (LxInstance *instance, void *argument)
+on_newest_version_notice (LxInstance *instance, void *argument)
 {
   const LcVersion *newest = argument;
 
@@ -89,7 +91,7 @@
 }
 
 static void
-notify_versions (LxWeightSwaps *swaps)
+notify_instances_of_newest_version (LxWeightSwaps *swaps)
 {
   LxWorld *world = swaps->world;
 
@@ -98,7 +100,7 @@
       LcVersion *newest = LB_NEW (LcVersion);
       *newest = swaps->newest_version;
       lx_instance_post_message (&world->instances[i], world->options.site->latency_between,
-                                on_versions_notice, newest, free);
+                                on_newest_version_notice, newest, free);
     }
 }
 
@@ -106,27 +108,27 @@
 lx_weight_swaps_publish_version (LxWeightSwaps *swaps)
 {
   swaps->newest_version++;
-  notify_versions (swaps);
+  notify_instances_of_newest_version (swaps);
 }
 
 static void
-on_version_due (void *owner, void *argument)
+on_new_version_due (void *owner, void *argument)
 {
   LxWeightSwaps *swaps = owner;
 
   (void)argument;
   lx_weight_swaps_publish_version (swaps);
-  lx_world_schedule (swaps->world, swaps->world->options.version_interval, on_version_due, swaps,
-                     NULL, NULL);
+  lx_world_schedule (swaps->world, swaps->world->options.version_interval, on_new_version_due,
+                     swaps, NULL, NULL);
 }
 
 void
 lx_weight_swaps_start (LxWeightSwaps *swaps)
 {
-  notify_versions (swaps);
-  on_load_check (swaps, NULL);
+  notify_instances_of_newest_version (swaps);
+  on_engine_load_check (swaps, NULL);
   if (swaps->world->options.is_scripted)
     return;
-  lx_world_schedule (swaps->world, swaps->world->options.version_interval, on_version_due, swaps,
-                     NULL, NULL);
+  lx_world_schedule (swaps->world, swaps->world->options.version_interval, on_new_version_due,
+                     swaps, NULL, NULL);
 }
--- a/packages/sim/src/lx-world.c
+++ b/packages/sim/src/lx-world.c
@@ -7,17 +7,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A 7B model on one accelerator: a token every 12 ms alone, every 16 ms in a batch of 32. */
-static const LxEngineTimes engine_times = { .token_seconds = 0.012,
-                                            .token_seconds_per_other = 0.000125,
-                                            .prefill_token_seconds = 0.0001,
-                                            .max_cached_blocks = 192,
-                                            .load_time = 4 * LB_SEC,
-                                            .pause_time = 500 * LB_MSEC };
+/* Times of a 7B model on one accelerator: 12 ms per token for a single stream, 16 ms per token in a
+ * batch of 32. */
+static const LxEngineTimes model_engine_times = { .token_seconds = 0.012,
+                                                  .token_seconds_per_other = 0.000125,
+                                                  .prefill_token_seconds = 0.0001,
+                                                  .max_cached_blocks = 192,
+                                                  .load_time = 4 * LB_SEC,
+                                                  .pause_time = 500 * LB_MSEC };
 static const LxEngineTimes service_times
     = { .token_seconds = 0.020, .token_seconds_per_other = 0.001 };
 
-#define SERVICE_CONCURRENCY 64
+#define MAX_STREAMS_PER_SERVICE_ENDPOINT 64
 
 LbTime
 lx_world_now (const LxWorld *world)
@@ -104,7 +105,7 @@
 }
 
 static void
-on_piece (void *user, LxEngine *engine, const LxStream *stream, const LcPiece *piece)
+on_engine_piece (void *user, LxEngine *engine, const LxStream *stream, const LcPiece *piece)
 {
   LxWorld *world = user;
   LxInstance *instance = &world->instances[stream->spec.instance];
@@ -113,7 +114,7 @@
 }
 
 static void
-on_end (void *user, LxEngine *engine, const LxStream *stream, LcAttemptEnd end)
+on_stream_end (void *user, LxEngine *engine, const LxStream *stream, LcAttemptEnd end)
 {
   LxWorld *world = user;
 
@@ -121,7 +122,7 @@
 }
 
 static void
-on_silenced (void *user, LxEngine *engine, const LxStream *stream)
+on_stream_silenced (void *user, LxEngine *engine, const LxStream *stream)
 {
   LxWorld *world = user;
 
@@ -130,7 +131,7 @@
 }
 
 static void
-on_generated (void *user, LxEngine *engine, const LxStream *stream, int64_t tokens)
+on_tokens_generated (void *user, LxEngine *engine, const LxStream *stream, int64_t tokens)
 {
   LxWorld *world = user;
   uint64_t step = lx_audit_get_job (&world->audit, stream->spec.job)->step;
@@ -151,16 +152,16 @@
 
   snprintf (name, sizeof name, "%.40s-%zu", is_service ? site->service : site->pool, number + 1);
   LxEngine *engine
-      = lx_engine_new (name, world->queue, is_service ? &service_times : &engine_times);
+      = lx_engine_new (name, world->queue, is_service ? &service_times : &model_engine_times);
   snprintf (engine->address, LB_NAME_MAX, "127.0.0.1:%zu", 10000 + index);
   LB_COPY (engine->pool, is_service ? site->service : site->pool);
   engine->data_centre = number % site->n_data_centres;
   engine->is_service = is_service;
-  engine->concurrency = is_service ? SERVICE_CONCURRENCY : world->options.concurrency;
-  engine->listener = (LxEngineListener){ .on_piece = on_piece,
-                                         .on_end = on_end,
-                                         .on_generated = on_generated,
-                                         .on_silenced = on_silenced,
+  engine->concurrency = is_service ? MAX_STREAMS_PER_SERVICE_ENDPOINT : world->options.concurrency;
+  engine->listener = (LxEngineListener){ .on_piece = on_engine_piece,
+                                         .on_end = on_stream_end,
+                                         .on_generated = on_tokens_generated,
+                                         .on_silenced = on_stream_silenced,
                                          .user = world };
   world->engines[index] = engine;
 }
@@ -178,7 +179,7 @@
 }
 
 static void
-fill_member (const LxWorld *world, const LxEngine *engine, LcEndpointMember *member)
+fill_endpoint_member (const LxWorld *world, const LxEngine *engine, LcEndpointMember *member)
 {
   LB_COPY (member->name, engine->name);
   LB_COPY (member->pool, engine->pool);
@@ -205,9 +206,9 @@
   subscription->hedge_budget = options->hedge_budget;
 }
 
-/* Returns the initial configuration of the site. */
+/* Returns the initial configuration of the simulated site. */
 static LcResourceSet *
-make_resources (const LxWorld *world)
+make_initial_resource_set (const LxWorld *world)
 {
   const LxOptions *options = &world->options;
   LcResourceSet *set = LB_NEW (LcResourceSet);
@@ -234,7 +235,7 @@
   set->endpoints = LB_NEW_ARRAY (LcEndpointMember, world->n_endpoints);
   set->n_endpoints = world->n_endpoints;
   for (size_t i = 0; i < world->n_endpoints; i++)
-    fill_member (world, world->engines[i], &set->endpoints[i]);
+    fill_endpoint_member (world, world->engines[i], &set->endpoints[i]);
   return set;
 }
 
@@ -249,7 +250,7 @@
   gsl_rng_set (world->random, options->seed);
   lx_audit_init (&world->audit);
   add_endpoints (world);
-  lx_registry_init (&world->registry, world, make_resources (world));
+  lx_registry_init (&world->registry, world, make_initial_resource_set (world));
   world->n_instances = options->site->n_instances;
   world->instances = LB_NEW_ARRAY (LxInstance, world->n_instances);
   for (size_t i = 0; i < world->n_instances; i++)
