--- a/packages/sim/tests/test-engine.c
+++ b/packages/sim/tests/test-engine.c
@@ -17,12 +17,12 @@
   int n_ends;
   LbTime ended_at;
   LxQueue *queue;
-} Output;
+} EngineOutput;
 
 static void
-record_piece (void *user, LxEngine *engine, const LxStream *stream, const LcPiece *piece)
+check_and_record_piece (void *user, LxEngine *engine, const LxStream *stream, const LcPiece *piece)
 {
-  Output *output = user;
+  EngineOutput *output = user;
 
   (void)engine;
   (void)stream;
@@ -32,9 +32,9 @@
 }
 
 static void
-record_end (void *user, LxEngine *engine, const LxStream *stream, LcAttemptEnd end)
+check_and_record_end (void *user, LxEngine *engine, const LxStream *stream, LcAttemptEnd end)
 {
-  Output *output = user;
+  EngineOutput *output = user;
 
   (void)engine;
   (void)stream;
@@ -44,7 +44,7 @@
 }
 
 static void
-ignore_generated (void *user, LxEngine *engine, const LxStream *stream, int64_t tokens)
+ignore_generated_tokens (void *user, LxEngine *engine, const LxStream *stream, int64_t tokens)
 {
   (void)user;
   (void)engine;
@@ -53,14 +53,15 @@
 }
 
 static LxEngine *
-make_engine (LxQueue *queue, Output *output)
+make_started_engine (LxQueue *queue, EngineOutput *output)
 {
   LxEngine *engine = lx_engine_new ("e1", queue, &times);
 
   engine->concurrency = 4;
-  engine->listener = (LxEngineListener){
-    .on_piece = record_piece, .on_end = record_end, .on_generated = ignore_generated, .user = output
-  };
+  engine->listener = (LxEngineListener){ .on_piece = check_and_record_piece,
+                                         .on_end = check_and_record_end,
+                                         .on_generated = ignore_generated_tokens,
+                                         .user = output };
   output->queue = queue;
   lx_engine_start (engine, 1);
   return engine;
@@ -69,8 +70,8 @@
 Test (engine, stream_ends_after_its_service_time_with_each_token_sent_once)
 {
   LxQueue *queue = lx_queue_new ();
-  Output output = { 0 };
-  LxEngine *engine = make_engine (queue, &output);
+  EngineOutput output = { 0 };
+  LxEngine *engine = make_started_engine (queue, &output);
   LbTime started_at = lx_queue_now (queue);
 
   cr_assert (lx_engine_submit_stream (engine, &(LxStreamSpec){ .id = 1, .total_tokens = 100 }));
@@ -78,8 +79,8 @@
     continue;
   cr_assert_eq (output.tokens, 100);
   cr_assert_eq (output.n_ends, 1);
-  cr_assert_lt (llabs (output.ended_at - started_at - LB_SEC), 100, "took %ld",
-                (long)(output.ended_at - started_at));
+  cr_assert_lt (llabs (output.ended_at - started_at - LB_SEC), 100,
+                "stream took %ld us, expected 1000000 us", (long)(output.ended_at - started_at));
   lx_engine_free (engine);
   lx_queue_free (queue);
 }
@@ -87,8 +88,8 @@
 Test (engine, pieces_after_a_weight_swap_carry_the_new_version)
 {
   LxQueue *queue = lx_queue_new ();
-  Output output = { 0 };
-  LxEngine *engine = make_engine (queue, &output);
+  EngineOutput output = { 0 };
+  LxEngine *engine = make_started_engine (queue, &output);
 
   lx_engine_submit_stream (engine, &(LxStreamSpec){ .id = 1, .total_tokens = 150 });
   lx_engine_load_version (engine, 2);
--- a/packages/sim/tests/test-ledger.c
+++ b/packages/sim/tests/test-ledger.c
@@ -49,12 +49,13 @@
   LxTrace trace;
   LbError error = { 0 };
 
-  cr_expect_not (lx_trace_parse (&trace, text, strlen (text), "t.jsonl", &error), "%s", text);
-  cr_expect_eq (error.code, code, "%s: %s", text, lb_error_name (error.code));
-  cr_expect (strstr (error.where, where) != NULL, "%s: %s", text, error.where);
+  cr_expect_not (lx_trace_parse (&trace, text, strlen (text), "t.jsonl", &error),
+                 "expected a parse error: %s", text);
+  cr_expect_eq (error.code, code, "%s: got error %s", text, lb_error_name (error.code));
+  cr_expect (strstr (error.where, where) != NULL, "%s: got error at %s", text, error.where);
 }
 
-#define HEADER "{ \"format\": 1, \"site\": \"hoa-sen\" }\n"
+#define TRACE_HEADER "{ \"format\": 1, \"site\": \"hoa-sen\" }\n"
 
 Test (trace, parse_errors_name_the_line)
 {
@@ -63,19 +64,19 @@
                       "t.jsonl:1");
   expect_parse_error ("{ \"format\": 1, \"site\": \"nowhere\" }\n", LB_ERROR_BAD_VALUE,
                       "t.jsonl:1");
-  expect_parse_error (HEADER "{ \"event\": \"version\", ", LB_ERROR_BAD_JSON, "t.jsonl:2");
-  expect_parse_error (HEADER "{ \"event\": \"version\", \"att_ms\": 3 }", LB_ERROR_UNKNOWN_KEY,
-                      "t.jsonl:2");
-  expect_parse_error (HEADER "\n{ \"event\": \"call\" }", LB_ERROR_MISSING_KEY, "t.jsonl:3");
-  expect_parse_error (HEADER "{ \"event\": \"fault\", \"fault\": \"flood\" }", LB_ERROR_BAD_VALUE,
-                      "t.jsonl:2");
-  expect_parse_error (HEADER "{ \"at_ms\": 5 }", LB_ERROR_MISSING_KEY, "t.jsonl:2");
+  expect_parse_error (TRACE_HEADER "{ \"event\": \"version\", ", LB_ERROR_BAD_JSON, "t.jsonl:2");
+  expect_parse_error (TRACE_HEADER "{ \"event\": \"version\", \"att_ms\": 3 }",
+                      LB_ERROR_UNKNOWN_KEY, "t.jsonl:2");
+  expect_parse_error (TRACE_HEADER "\n{ \"event\": \"call\" }", LB_ERROR_MISSING_KEY, "t.jsonl:3");
+  expect_parse_error (TRACE_HEADER "{ \"event\": \"fault\", \"fault\": \"flood\" }",
+                      LB_ERROR_BAD_VALUE, "t.jsonl:2");
+  expect_parse_error (TRACE_HEADER "{ \"at_ms\": 5 }", LB_ERROR_MISSING_KEY, "t.jsonl:2");
 }
 
 Test (trace, reads_events_and_expectations)
 {
-  const char *text = HEADER "{ \"at_ms\": 5, \"event\": \"call\", \"call\": \"a\" }\n"
-                            "{ \"expect\": \"whole\", \"call\": \"a\", \"by_ms\": 9 }\n";
+  const char *text = TRACE_HEADER "{ \"at_ms\": 5, \"event\": \"call\", \"call\": \"a\" }\n"
+                                  "{ \"expect\": \"whole\", \"call\": \"a\", \"by_ms\": 9 }\n";
   LxTrace trace;
   LbError error = { 0 };
 
--- a/packages/sim/tests/test-queue.c
+++ b/packages/sim/tests/test-queue.c
@@ -7,28 +7,28 @@
 typedef struct
 {
   int order[4];
-  size_t n_calls;
-} CallLog;
+  size_t n_events;
+} EventLog;
 
 static void
-log_call (void *owner, void *argument)
+log_handled_event (void *owner, void *argument)
 {
-  CallLog *log = owner;
+  EventLog *log = owner;
 
-  log->order[log->n_calls++] = (int)(intptr_t)argument;
+  log->order[log->n_events++] = (int)(intptr_t)argument;
 }
 
 Test (queue, events_run_by_time_then_by_insertion_order)
 {
   LxQueue *queue = lx_queue_new ();
-  CallLog log = { 0 };
+  EventLog log = { 0 };
 
-  lx_queue_add_event (queue, 30 * LB_SEC, log_call, &log, (void *)3, NULL);
-  lx_queue_add_event (queue, 10 * LB_SEC, log_call, &log, (void *)1, NULL);
-  lx_queue_add_event (queue, 10 * LB_SEC, log_call, &log, (void *)2, NULL);
+  lx_queue_add_event (queue, 30 * LB_SEC, log_handled_event, &log, (void *)3, NULL);
+  lx_queue_add_event (queue, 10 * LB_SEC, log_handled_event, &log, (void *)1, NULL);
+  lx_queue_add_event (queue, 10 * LB_SEC, log_handled_event, &log, (void *)2, NULL);
   while (lx_queue_run_next_event (queue, 20 * LB_SEC))
     continue;
-  cr_assert_eq (log.n_calls, 2);
+  cr_assert_eq (log.n_events, 2);
   cr_assert_eq (log.order[0], 1);
   cr_assert_eq (log.order[1], 2);
   cr_assert_eq (lx_queue_now (queue), 10 * LB_SEC);
--- a/packages/sim/tests/test-replay.c
+++ b/packages/sim/tests/test-replay.c
@@ -4,10 +4,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define HEADER "{ \"format\": 1, \"site\": \"hoa-sen\", \"trainers\": 0 }\n"
+#define TRACE_HEADER "{ \"format\": 1, \"site\": \"hoa-sen\", \"trainers\": 0 }\n"
 
 static bool
-replay (const char *text, char **output)
+replay_trace (const char *text, char **output)
 {
   LxTrace trace;
   LbError error = { 0 };
@@ -23,47 +23,52 @@
 }
 
 static void
-expect_failure (const char *text, const char *expected)
+expect_failed_replay (const char *text, const char *expected)
 {
   char *output;
 
-  cr_expect_not (replay (text, &output), "%s", text);
-  cr_expect (strstr (output, expected) != NULL, "%s: %s", text, output);
+  cr_expect_not (replay_trace (text, &output), "expected a failed replay: %s", text);
+  cr_expect (strstr (output, expected) != NULL, "%s: expected text not found in output: %s", text,
+             output);
   free (output);
 }
 
 /* A check that can never fail would make traces pass without testing anything. */
 Test (replay, failed_expectation_is_reported_with_its_line)
 {
-  const char *call = HEADER "{ \"at_ms\": 2000, \"event\": \"call\", \"call\": \"a\" }\n";
+  const char *call = TRACE_HEADER "{ \"at_ms\": 2000, \"event\": \"call\", \"call\": \"a\" }\n";
   char text[1024];
 
   snprintf (text, sizeof text, "%s{ \"expect\": \"not-run\", \"call\": \"a\" }", call);
-  expect_failure (text, "t:3: not-run: ok");
+  expect_failed_replay (text, "t:3: not-run: ok");
   snprintf (text, sizeof text, "%s{ \"expect\": \"unknown\", \"call\": \"a\" }", call);
-  expect_failure (text, "t:3: unknown: ok");
+  expect_failed_replay (text, "t:3: unknown: ok");
   snprintf (text, sizeof text, "%s{ \"expect\": \"whole\", \"call\": \"a\", \"by_ms\": 2100 }",
             call);
-  expect_failure (text, "answer arrived later");
+  expect_failed_replay (text, "answer arrived later");
   snprintf (text, sizeof text, "%s{ \"expect\": \"runs\", \"call\": \"a\", \"count\": 0 }", call);
-  expect_failure (text, "more often than count");
-  expect_failure (HEADER "{ \"expect\": \"in-force\", \"revision\": 2, \"by_ms\": 9000 }",
-                  "older revision");
-  expect_failure (HEADER "{ \"expect\": \"drained\", \"instance\": \"i1\", \"by_ms\": 9000 }",
-                  "did not complete its drain by by_ms");
-  expect_failure ("{ \"format\": 1, \"site\": \"hoa-sen\" }\n"
-                  "{ \"expect\": \"step-done\", \"trainer\": \"trainer-1\", \"by_ms\": 9000 }",
-                  "samples of the step are missing");
+  expect_failed_replay (text, "more often than count");
+  expect_failed_replay (TRACE_HEADER
+                        "{ \"expect\": \"in-force\", \"revision\": 2, \"by_ms\": 9000 }",
+                        "older revision");
+  expect_failed_replay (TRACE_HEADER
+                        "{ \"expect\": \"drained\", \"instance\": \"i1\", \"by_ms\": 9000 }",
+                        "did not complete its drain by by_ms");
+  expect_failed_replay (
+      "{ \"format\": 1, \"site\": \"hoa-sen\" }\n"
+      "{ \"expect\": \"step-done\", \"trainer\": \"trainer-1\", \"by_ms\": 9000 }",
+      "samples of the step are missing");
 }
 
 Test (replay, met_expectations_pass)
 {
   char *output;
 
-  cr_expect (replay (HEADER "{ \"at_ms\": 2000, \"event\": \"call\", \"call\": \"a\" }\n"
-                            "{ \"expect\": \"whole\", \"call\": \"a\", \"by_ms\": 6000 }\n"
-                            "{ \"expect\": \"runs\", \"call\": \"a\", \"count\": 1 }\n",
-                     &output),
-             "%s", output);
+  cr_expect (replay_trace (TRACE_HEADER
+                           "{ \"at_ms\": 2000, \"event\": \"call\", \"call\": \"a\" }\n"
+                           "{ \"expect\": \"whole\", \"call\": \"a\", \"by_ms\": 6000 }\n"
+                           "{ \"expect\": \"runs\", \"call\": \"a\", \"count\": 1 }\n",
+                           &output),
+             "expected no failed expectation, got: %s", output);
   free (output);
 }
--- a/packages/sim/tests/test-soak.c
+++ b/packages/sim/tests/test-soak.c
@@ -5,12 +5,13 @@
 #include <string.h>
 
 static char *
-run_soak (const char *site, uint64_t seed, uint64_t events, int only, bool *passed)
+run_soak (const char *site, uint64_t seed, uint64_t events, int only_fault, bool *passed)
 {
   char *text = NULL;
   size_t size = 0;
   FILE *out = open_memstream (&text, &size);
-  LxSoak soak = { .site = lx_site_find (site), .seed = seed, .events = events, .only_fault = only };
+  LxSoak soak
+      = { .site = lx_site_find (site), .seed = seed, .events = events, .only_fault = only_fault };
 
   *passed = lx_soak_run (&soak, false, out);
   fclose (out);
@@ -18,12 +19,12 @@
 }
 
 static void
-expect_passed (const char *site, uint64_t seed, uint64_t events, int only)
+expect_soak_without_violation (const char *site, uint64_t seed, uint64_t events, int only_fault)
 {
   bool passed;
-  char *text = run_soak (site, seed, events, only, &passed);
+  char *text = run_soak (site, seed, events, only_fault, &passed);
 
-  cr_expect (passed, "%s", text);
+  cr_expect (passed, "expected no violation, got: %s", text);
   free (text);
 }
 
@@ -33,20 +34,21 @@
 {
   for (int fault = 0; fault < LX_N_FAULTS; fault++)
     {
-      expect_passed ("kurunegala", 101, 50000, fault);
-      expect_passed ("hoa-sen", 102, 50000, fault);
+      expect_soak_without_violation ("kurunegala", 101, 50000, fault);
+      expect_soak_without_violation ("hoa-sen", 102, 50000, fault);
     }
 }
 
-/* The same with all kinds at intervals that depend on the seed, some injected twice or in pairs. */
+/* Guards against the violations that only a combination of faults causes. All kinds of faults are
+ * injected at intervals that depend on the seed, some twice or in pairs. */
 Test (soak, combined_faults_cause_no_violation)
 {
   static const uint64_t seeds[] = { 1, 2, 3, 5, 6, 7, 9, 10, 11, 15, 35, 45 };
 
   for (size_t i = 0; i < sizeof seeds / sizeof seeds[0]; i++)
     {
-      expect_passed ("kurunegala", seeds[i], 100000, -1);
-      expect_passed ("hoa-sen", seeds[i], 100000, -1);
+      expect_soak_without_violation ("kurunegala", seeds[i], 100000, -1);
+      expect_soak_without_violation ("hoa-sen", seeds[i], 100000, -1);
     }
 }
 
