--- a/packages/sim/include/lx-instance.h
+++ b/packages/sim/include/lx-instance.h
@@ -21,7 +21,7 @@
   uint32_t number;
   uint64_t stream; /* stream number in LxAudit */
   LxEngine *engine;
-  LxText text;  /* tokens received so far */
+  LxText text;  /* tokens that the attempt has received */
   bool is_open; /* the connection to the endpoint is open */
 } LxAttempt;
 
--- a/packages/sim/src/lx-trainer.c
+++ b/packages/sim/src/lx-trainer.c
@@ -12,7 +12,8 @@
 #include <xxhash.h>
 
 #define PULL_WAIT_TIME (5 * LB_SEC)
-#define PULL_TIMEOUT (8 * LB_SEC) /* the trainer then reopens the step and pulls again */
+/* After this time without a reply, the trainer reopens the step and pulls again. */
+#define PULL_TIMEOUT (8 * LB_SEC)
 #define REQUEST_RETRY_DELAY (500 * LB_MSEC)
 #define NO_SAMPLE_TIMEOUT (300 * LB_SEC)
 /* Number of low bits of a pull's id that hold the number of the pull; the high bits hold the
