--- a/packages/core/src/membership/lc-lease.c
+++ b/packages/core/src/membership/lc-lease.c
@@ -425,13 +425,13 @@
  * after one of this instance. So it gets its first order only when orders of the previous holder
  * have expired; the weight version that it then reports is read back. */
 bool
-lc_lease_allows_order (const LcLease *lease, bool unfenced, LbTime now)
+lc_lease_allows_order (const LcLease *lease, bool can_order_unfenced, LbTime now)
 {
   if (!lease->held || lease->needs_confirmation || lease->is_releasing || now >= lease->valid_until)
     return false;
   if (now - lease->last_tick_at > MAX_PAUSE || are_orders_delayed_after_regain (lease, now))
     return false;
-  return !unfenced || now >= lease->gained_at + lease->settings.order_lifetime;
+  return !can_order_unfenced || now >= lease->gained_at + lease->settings.order_lifetime;
 }
 
 int64_t
--- a/packages/sim/src/lx-world.c
+++ b/packages/sim/src/lx-world.c
@@ -7,17 +7,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A 7B model on one accelerator: a token every 12 ms alone, every 16 ms in a batch of 32. */
-static const LxEngineTimes engine_times = { .token_seconds = 0.012,
-                                            .token_seconds_per_other = 0.000125,
-                                            .prefill_token_seconds = 0.0001,
-                                            .max_cached_blocks = 192,
-                                            .load_time = 4 * LB_SEC,
-                                            .pause_time = 500 * LB_MSEC };
+/* Times of a 7B model on one accelerator: 12 ms per token for a single stream, 16 ms per token in a
+ * batch of 32. */
+static const LxEngineTimes model_engine_times = { .token_seconds = 0.012,
+                                                  .token_seconds_per_other = 0.000125,
+                                                  .prefill_token_seconds = 0.0001,
+                                                  .max_cached_blocks = 192,
+                                                  .load_time = 4 * LB_SEC,
+                                                  .pause_time = 500 * LB_MSEC };
 static const LxEngineTimes service_times
     = { .token_seconds = 0.020, .token_seconds_per_other = 0.001 };
 
-#define SERVICE_CONCURRENCY 64
+#define MAX_STREAMS_PER_SERVICE_ENDPOINT 64
 
 LbTime
 lx_world_now (const LxWorld *world)
@@ -28,7 +29,7 @@
 uint64_t
 lx_world_event_number (const LxWorld *world)
 {
-  return lx_queue_count_handled (world->queue);
+  return lx_queue_count_handled_events (world->queue);
 }
 
 LbTime
@@ -46,14 +47,14 @@
                    void *argument,
                    void (*free_argument) (void *argument))
 {
-  lx_queue_add (world->queue, lx_world_now (world) + delay, handler, owner, argument,
-                free_argument);
+  lx_queue_add_event (world->queue, lx_world_now (world) + delay, handler, owner, argument,
+                      free_argument);
 }
 
 void
 lx_world_record_decision (LxWorld *world, const char *format, ...)
 {
-  char *line = world->recent_decisions[world->n_recorded_decisions++ % LX_HISTORY_LENGTH];
+  char *line = world->recent_decisions[world->n_recorded_decisions++ % LX_MAX_HISTORY_LINES];
   int length = snprintf (line, sizeof world->recent_decisions[0], "%.6f ",
                          (double)lx_world_now (world) / LB_SEC);
   va_list arguments;
@@ -66,7 +67,7 @@
 void
 lx_world_record_fault (LxWorld *world, const char *fault, const char *target)
 {
-  snprintf (world->recent_faults[world->n_recorded_faults++ % LX_HISTORY_LENGTH],
+  snprintf (world->recent_faults[world->n_recorded_faults++ % LX_MAX_HISTORY_LINES],
             sizeof world->recent_faults[0], "%.6f %s %s", (double)lx_world_now (world) / LB_SEC,
             fault, target);
 }
@@ -90,7 +91,7 @@
 }
 
 LxInstance *
-lx_world_choose_instance (LxWorld *world, size_t preferred)
+lx_world_choose_serving_instance (LxWorld *world, size_t preferred)
 {
   LbTime now = lx_world_now (world);
 
@@ -104,7 +105,7 @@
 }
 
 static void
-on_piece (void *user, LxEngine *engine, const LxStream *stream, const LcPiece *piece)
+on_engine_piece (void *user, LxEngine *engine, const LxStream *stream, const LcPiece *piece)
 {
   LxWorld *world = user;
   LxInstance *instance = &world->instances[stream->spec.instance];
@@ -113,7 +114,7 @@
 }
 
 static void
-on_end (void *user, LxEngine *engine, const LxStream *stream, LcAttemptEnd end)
+on_stream_end (void *user, LxEngine *engine, const LxStream *stream, LcAttemptEnd end)
 {
   LxWorld *world = user;
 
@@ -121,7 +122,7 @@
 }
 
 static void
-on_silenced (void *user, LxEngine *engine, const LxStream *stream)
+on_stream_silenced (void *user, LxEngine *engine, const LxStream *stream)
 {
   LxWorld *world = user;
 
@@ -130,16 +131,16 @@
 }
 
 static void
-on_generated (void *user, LxEngine *engine, const LxStream *stream, int64_t tokens)
+on_tokens_generated (void *user, LxEngine *engine, const LxStream *stream, int64_t tokens)
 {
   LxWorld *world = user;
-  uint64_t step = lx_audit_job (&world->audit, stream->spec.job)->step;
+  uint64_t step = lx_audit_get_job (&world->audit, stream->spec.job)->step;
 
   if (!engine->is_service)
-    lx_audit_add_tokens (&world->audit, stream->spec.id, stream->next_token - tokens, tokens,
-                         engine->version, lx_world_now (world));
+    lx_audit_add_generated_tokens (&world->audit, stream->spec.id, stream->next_token - tokens,
+                                   tokens, engine->version, lx_world_now (world));
   if (stream->spec.kind == LC_KIND_SAMPLE)
-    lx_audit_step (&world->audit, step)->generated += tokens;
+    lx_audit_ensure_step_tokens (&world->audit, step)->generated += tokens;
 }
 
 static void
@@ -151,16 +152,16 @@
 
   snprintf (name, sizeof name, "%.40s-%zu", is_service ? site->service : site->pool, number + 1);
   LxEngine *engine
-      = lx_engine_new (name, world->queue, is_service ? &service_times : &engine_times);
+      = lx_engine_new (name, world->queue, is_service ? &service_times : &model_engine_times);
   snprintf (engine->address, LB_NAME_MAX, "127.0.0.1:%zu", 10000 + index);
   LB_COPY (engine->pool, is_service ? site->service : site->pool);
   engine->data_centre = number % site->n_data_centres;
   engine->is_service = is_service;
-  engine->concurrency = is_service ? SERVICE_CONCURRENCY : world->options.concurrency;
-  engine->listener = (LxEngineListener){ .on_piece = on_piece,
-                                         .on_end = on_end,
-                                         .on_generated = on_generated,
-                                         .on_silenced = on_silenced,
+  engine->concurrency = is_service ? MAX_STREAMS_PER_SERVICE_ENDPOINT : world->options.concurrency;
+  engine->listener = (LxEngineListener){ .on_piece = on_engine_piece,
+                                         .on_end = on_stream_end,
+                                         .on_generated = on_tokens_generated,
+                                         .on_silenced = on_stream_silenced,
                                          .user = world };
   world->engines[index] = engine;
 }
@@ -178,7 +179,7 @@
 }
 
 static void
-fill_member (const LxWorld *world, const LxEngine *engine, LcEndpointMember *member)
+fill_endpoint_member (const LxWorld *world, const LxEngine *engine, LcEndpointMember *member)
 {
   LB_COPY (member->name, engine->name);
   LB_COPY (member->pool, engine->pool);
@@ -205,9 +206,9 @@
   subscription->hedge_budget = options->hedge_budget;
 }
 
-/* Returns the initial configuration of the site. */
+/* Returns the initial configuration of the simulated site. */
 static LcResourceSet *
-make_resources (const LxWorld *world)
+make_initial_resource_set (const LxWorld *world)
 {
   const LxOptions *options = &world->options;
   LcResourceSet *set = LB_NEW (LcResourceSet);
@@ -234,7 +235,7 @@
   set->endpoints = LB_NEW_ARRAY (LcEndpointMember, world->n_endpoints);
   set->n_endpoints = world->n_endpoints;
   for (size_t i = 0; i < world->n_endpoints; i++)
-    fill_member (world, world->engines[i], &set->endpoints[i]);
+    fill_endpoint_member (world, world->engines[i], &set->endpoints[i]);
   return set;
 }
 
@@ -249,7 +250,7 @@
   gsl_rng_set (world->random, options->seed);
   lx_audit_init (&world->audit);
   add_endpoints (world);
-  lx_registry_init (&world->registry, world, make_resources (world));
+  lx_registry_init (&world->registry, world, make_initial_resource_set (world));
   world->n_instances = options->site->n_instances;
   world->instances = LB_NEW_ARRAY (LxInstance, world->n_instances);
   for (size_t i = 0; i < world->n_instances; i++)
@@ -258,7 +259,7 @@
   for (size_t i = 0; i < options->n_trainers; i++)
     lx_trainer_init (&world->trainers[i], world, i);
   lx_callers_init (&world->callers, world);
-  lx_swaps_init (&world->swaps, world);
+  lx_weight_swaps_init (&world->swaps, world);
   lx_store_init (&world->store);
   lx_faults_init (&world->faults, world);
   return world;
@@ -295,7 +296,7 @@
   for (size_t i = 0; i < world->n_instances; i++)
     lx_instance_start (&world->instances[i]);
   lx_registry_start (&world->registry);
-  lx_swaps_start (&world->swaps);
+  lx_weight_swaps_start (&world->swaps);
   if (world->options.is_scripted)
     return;
   lx_callers_start (&world->callers);
@@ -312,7 +313,7 @@
 
   lx_world_start (world);
   while ((max == 0 || lx_world_event_number (world) < max)
-         && lx_queue_run_next (world->queue, until))
+         && lx_queue_run_next_event (world->queue, until))
     if (world->options.stop_at_violation && world->audit.first_violation[0])
       return;
 }
--- a/standins/si-control-plane.h
+++ b/standins/si-control-plane.h
@@ -30,8 +30,8 @@
   bool is_spot;
 } SiScaleOrder;
 
-/* The shared platform's API for usage reports and endpoint scaling. Calls are fenced: one duty
- * holder at a time may make them. */
+/* The shared platform's API for usage reports and endpoint scaling. Calls are can_order_fenced: one
+ * duty holder at a time may make them. */
 typedef struct
 {
   SiServer server;
