--- a/packages/base/include/lb-alloc.h
+++ b/packages/base/include/lb-alloc.h
@@ -3,7 +3,7 @@
 
 #include <stddef.h>
 
-/* These functions abort the process if memory runs out. */
+/* Allocation functions of this file abort the process if memory runs out, so none returns NULL. */
 void *lb_malloc (size_t size);
 void *lb_calloc (size_t count, size_t size);
 void *lb_realloc (void *memory, size_t size);
--- a/packages/base/include/lb-clock.h
+++ b/packages/base/include/lb-clock.h
@@ -5,7 +5,7 @@
 
 LbTime lb_clock_monotonic (void);
 int64_t lb_clock_wall_ms (void);
-/* Like the monotonic clock, but also counts the time that the machine is suspended. */
+/* Monotonic time that, unlike lb_clock_monotonic, includes time while the machine is suspended. */
 LbTime lb_clock_boottime (void);
 
 #endif
--- a/packages/base/include/lb-counter.h
+++ b/packages/base/include/lb-counter.h
@@ -9,11 +9,12 @@
   LB_GAUGE
 } LbMetricKind;
 
-/* A static variable of the module that updates it; registered at its first use. */
+/* A counter or gauge. Each is a static variable of the module that updates it and is registered for
+ * lb_metric_render by its first update. */
 typedef struct LbMetric
 {
-  const char *name;  /* lentilspindle_..., Prometheus style */
-  const char *label; /* key="value" pairs, or NULL */
+  const char *name;  /* Prometheus metric name: lentilspindle_... */
+  const char *label; /* key="value" pairs without braces; NULL: no labels */
   const char *help;
   LbMetricKind kind;
   int64_t value;
@@ -33,7 +34,7 @@
 void lb_metric_add (LbMetric *metric, int64_t amount);
 void lb_metric_set (LbMetric *metric, int64_t value);
 
-/* Increments the counter of this error code. */
+/* Increments the series of lentilspindle_errors_total that has this error code's name as label. */
 void lb_metric_count_error (int error_code);
 
 /* Renders all registered metrics in the Prometheus text format; the caller frees the text. */
--- a/packages/base/include/lb-error.h
+++ b/packages/base/include/lb-error.h
@@ -3,12 +3,12 @@
 
 #include "lb-types.h"
 
-/* Type of a failure. The table in lb-error.c gives each type its name on the wire, its HTTP status
+/* Type of an error. The table in lb-error.c has for each type its name on the wire, its HTTP status
  * and whether it proves that the request did not run. */
 typedef enum
 {
   LB_OK = 0,
-  /* bad input */
+  /* invalid input; the request did not run */
   LB_ERROR_BAD_REQUEST,
   LB_ERROR_BAD_JSON,
   LB_ERROR_BAD_VALUE,
@@ -29,7 +29,7 @@
   LB_ERROR_BAD_REFERENCE,
   LB_ERROR_UNAUTHORIZED,
   LB_ERROR_CONFLICT,
-  /* refused before dispatch: the request did not run */
+  /* rejected before the request was sent to an endpoint; it did not run */
   LB_ERROR_OVERLOADED,
   LB_ERROR_RATE_LIMITED,
   LB_ERROR_NO_ENDPOINT,
@@ -38,31 +38,31 @@
   LB_ERROR_DEADLINE_BEFORE_START,
   LB_ERROR_ENDPOINT_REFUSED,
   LB_ERROR_CANCELLED_BEFORE_START,
-  LB_ERROR_QUARANTINED, /* identical requests have crashed endpoints */
-  /* dispatched: the outcome is unknown, or the request failed and may have run */
+  LB_ERROR_QUARANTINED, /* identical requests crashed endpoints before */
+  /* failed after the request was sent to an endpoint; it may have run */
   LB_ERROR_OUTCOME_UNKNOWN,
   LB_ERROR_STREAM_BROKEN,
   LB_ERROR_DEADLINE,
   LB_ERROR_ENDPOINT_FAILED,
   LB_ERROR_REJECTED, /* the endpoint can never serve this request */
   LB_ERROR_UNLABELLED,
-  /* platform */
-  LB_ERROR_STORE_AWAY,    /* the store did not apply the call */
-  LB_ERROR_STORE_UNKNOWN, /* the store may have applied the write, or may still do so */
-  LB_ERROR_STORE_BUSY,    /* refused for a rate limit, not applied */
+  /* errors of the platform's store */
+  LB_ERROR_STORE_AWAY,    /* the store is unavailable and did not apply the call */
+  LB_ERROR_STORE_UNKNOWN, /* the store may have applied the write, or may still apply it */
+  LB_ERROR_STORE_BUSY,    /* the store rejected the call by its rate limit and did not apply it */
   LB_ERROR_CONDITION_FAILED,
   LB_ERROR_NOT_FOUND,
-  LB_ERROR_STALE_FENCE,   /* a newer fencing number was used */
-  LB_ERROR_STALE_SESSION, /* a newer session has taken the step over */
+  LB_ERROR_STALE_FENCE,   /* a newer fencing token has been used already */
+  LB_ERROR_STALE_SESSION, /* a newer session has taken over the training step */
   LB_ERROR_LEASE_HELD,
-  /* frames between instances */
+  /* errors of frames between instances */
   LB_ERROR_FRAME_TOO_LARGE,
   LB_ERROR_FRAME_GARBLED,
   LB_ERROR_FRAME_VERSION,
   LB_ERROR_WRONG_KEY,
   LB_ERROR_CLOSED,
   LB_ERROR_TIMEOUT,
-  /* internal */
+  /* errors inside this process */
   LB_ERROR_IO,
   LB_ERROR_INVARIANT,
   LB_ERROR_INTERNAL,
@@ -72,8 +72,8 @@
 typedef struct
 {
   LbErrorCode code;
-  char where[192];  /* file, line or key path; empty if not applicable */
-  char detail[192]; /* what was found and what was expected */
+  char where[192];  /* location of the error: file, line or key path; empty if there is none */
+  char detail[192]; /* message that says what was found and what was expected */
 } LbError;
 
 const char *lb_error_name (LbErrorCode code);
@@ -81,7 +81,8 @@
 int lb_error_http_status (LbErrorCode code);
 bool lb_error_proves_not_run (LbErrorCode code);
 
-/* Sets *error if error is not NULL. Returns false, for use in return statements. */
+/* Sets *error unless error is NULL. Always returns false, so that a function that reports failure
+ * by false can return this call. */
 bool lb_error_set (LbError *error, LbErrorCode code, const char *where, const char *format, ...)
     __attribute__ ((format (printf, 4, 5)));
 
--- a/packages/base/include/lb-histogram.h
+++ b/packages/base/include/lb-histogram.h
@@ -6,14 +6,14 @@
 #include <gsl/gsl_histogram.h>
 #include <stdio.h>
 
-/* Durations in buckets from 1 ms to 10 s. A static variable of the module that measures; registered
- * at its first use, like LbMetric. */
+/* Histogram of durations with buckets from 1 ms to 10 s. Each is a static variable of the module
+ * that measures, and is registered by its first lb_histogram_add. */
 typedef struct LbHistogram
 {
-  const char *name; /* lentilspindle_..._seconds */
+  const char *name; /* Prometheus metric name: lentilspindle_..._seconds */
   const char *help;
-  gsl_histogram *buckets; /* NULL: not used yet */
-  double sum;
+  gsl_histogram *buckets; /* NULL until the first lb_histogram_add */
+  double sum;             /* of all durations, in seconds */
   struct LbHistogram *next;
 } LbHistogram;
 
--- a/packages/base/include/lb-list.h
+++ b/packages/base/include/lb-list.h
@@ -3,7 +3,7 @@
 
 #include "lb-types.h"
 
-/* Intrusive doubly linked list: the link lives in the element. */
+/* Link of an intrusive doubly linked list: a member of the element's own struct. */
 typedef struct LbLink
 {
   struct LbLink *prev;
@@ -18,7 +18,7 @@
 
 #define LB_CONTAINER(link, type, member) ((type *)((char *)(link)-offsetof (type, member)))
 
-/* Iterates over elements; the current element may be removed inside the loop. */
+/* Iterates over the elements; the loop body may remove the current element, but no other. */
 #define LB_LIST_FOREACH(list, type, member, item)                                                  \
   for (LbLink *item##_link = (list)->head.next, *item##_next = item##_link->next;                  \
        item##_link != &(list)->head; item##_link = item##_next, item##_next = item##_link->next)   \
--- a/packages/base/include/lb-log.h
+++ b/packages/base/include/lb-log.h
@@ -19,10 +19,10 @@
   LB_FIELD_INT,
   LB_FIELD_REAL,
   LB_FIELD_BOOL,
-  LB_FIELD_JSON /* text that is already JSON */
+  LB_FIELD_JSON /* JSON text, inserted as a JSON value instead of a string */
 } LbLogFieldType;
 
-/* One key and value of a log line; build them with the macros below. */
+/* One key and value of a log line, built with LB_TEXT, LB_INT, LB_REAL, LB_BOOL or LB_JSON. */
 typedef struct
 {
   LbLogFieldType type;
@@ -44,19 +44,20 @@
 #define LB_JSON(k, v) ((LbLogField){ .type = LB_FIELD_JSON, .key = (k), .value.text = (v) })
 
 void lb_log_init (LbLogLevel level, int fd, const char *instance);
-/* From now on, buffers lines in memory until lb_log_flush, which must be called regularly and never
- * blocks on the reader. Lines that don't fit are dropped and counted; part of the buffer is
+/* After this call, log lines are buffered in memory until lb_log_flush, which the caller must call
+ * regularly. Lines that don't fit into the buffer are dropped and counted; a part of the buffer is
  * reserved for warnings and errors. */
 void lb_log_enable_buffering (void);
-/* Writes as much of the buffer as the reader accepts without blocking. */
+/* Writes as many buffered lines as the log's file descriptor accepts without blocking. */
 void lb_log_flush (void);
-/* Number of lines dropped since the start. */
+/* Returns the number of log lines dropped since the process started. */
 int64_t lb_log_count_dropped_lines (void);
 bool lb_log_is_enabled (LbLogLevel level);
 void lb_log_write_event (LbLogLevel level, const char *event, const LbLogField *fields);
 void lb_log_error (LbLogLevel level, const char *event, const LbError *error);
 
-/* lb_log (LB_LOG_INFO, "started", LB_TEXT ("address", a), LB_INT ("port", p)); */
+/* Logs an event with its fields, for example
+ * lb_log (LB_LOG_INFO, "started", LB_TEXT ("address", a), LB_INT ("port", p)); */
 #define lb_log(level, event, ...)                                                                  \
   do                                                                                               \
     {                                                                                              \
--- a/packages/base/include/lb-settings.h
+++ b/packages/base/include/lb-settings.h
@@ -7,18 +7,18 @@
 
 typedef enum
 {
-  LB_SETTING_TEXT,   /* char array of size bytes */
-  LB_SETTING_INT,    /* int64_t in min..max */
-  LB_SETTING_REAL,   /* double in min..max */
-  LB_SETTING_BOOL,   /* bool */
-  LB_SETTING_CHOICE, /* int: index into choices */
-  LB_SETTING_OBJECT, /* struct described by fields */
-  LB_SETTING_ARRAY   /* array of count elements: see LbSettingSpec */
+  LB_SETTING_TEXT,   /* JSON string, stored in a char array of size bytes */
+  LB_SETTING_INT,    /* JSON integer from min to max, stored as int64_t */
+  LB_SETTING_REAL,   /* JSON number from min to max, stored as double */
+  LB_SETTING_BOOL,   /* JSON boolean, stored as bool */
+  LB_SETTING_CHOICE, /* JSON string out of choices, stored as its index (int) */
+  LB_SETTING_OBJECT, /* JSON object, stored in a struct that LbSettingSpec.fields describes */
+  LB_SETTING_ARRAY   /* JSON array, stored as a heap pointer and an element count */
 } LbSettingType;
 
 /* Describes one key of a JSON object and where its value is stored in a C struct. An array is
- * stored as a heap pointer at offset and an element count (size_t) at count_offset; the element is
- * a struct of size bytes described by fields, or a name (LbName) when fields is NULL. */
+ * stored as a heap pointer at offset and an element count (size_t) at count_offset. Its elements
+ * are structs of size bytes that fields describes; if fields is NULL, they are strings (LbName). */
 typedef struct LbSettingSpec
 {
   const char *key;
@@ -28,18 +28,20 @@
   bool required;
   double min;
   double max;
-  const char *const *choices;         /* terminated by NULL */
-  const struct LbSettingSpec *fields; /* terminated by key NULL */
+  const char *const *choices;         /* allowed strings, terminated by NULL */
+  const struct LbSettingSpec *fields; /* keys of a nested object; the last spec has key NULL */
   size_t count_offset;
 } LbSettingSpec;
 
-/* Parses JSON with comments. Returns NULL on an error, which has file, line and column. */
+/* Parses JSON with comments. If it is invalid, returns NULL and sets error->where to file, line and
+ * column. */
 struct json_object *
 lb_settings_parse (const char *text, size_t length, const char *file, LbError *error);
 struct json_object *lb_settings_read_file (const char *path, LbError *error);
 
-/* Fills target from the object, checking the name, type and range of each key. The error has the
- * file and the key path. Absent keys leave their fields unchanged, so set the defaults first. */
+/* Fills target from the object, checking the name, type and range of each key. An error's where has
+ * the file and the key path. Absent keys leave their fields unchanged, so the caller sets the
+ * defaults in target first. */
 bool lb_settings_apply (struct json_object *object,
                         const LbSettingSpec *specs,
                         void *target,
--- a/packages/base/include/lb-switch.h
+++ b/packages/base/include/lb-switch.h
@@ -3,33 +3,33 @@
 
 #include <stdbool.h>
 
-/* Optimisations that the setting measure.off disables, to measure the benefit of each
- * (tools/ablate). No guarantee depends on them: whichever are off, answers stay complete and labels
- * correct. All are on in production. The state is process-wide and set before anything runs. */
+/* Optimisations that the setting measure.off can disable, to measure the benefit of each
+ * (tools/ablate). No guarantee depends on them: with any of them off, answers stay complete and
+ * labels correct. All are on in production. The state is process-wide and set at startup. */
 typedef enum
 {
-  LB_SWITCH_HEDGING,       /* second attempt of a call without a response so far */
-  LB_SWITCH_MOVES,         /* continues the text of a slow engine on another one */
-  LB_SWITCH_PACE,          /* estimates an engine's speed from its streams */
-  LB_SWITCH_FULL_PACE,     /* a long text waits for an engine at full speed */
-  LB_SWITCH_LATEST_START,  /* orders texts by the latest time to start them */
-  LB_SWITCH_KEPT_TEXTS,    /* stores partial texts for a batch's next owner */
-  LB_SWITCH_CARRIED_TEXTS, /* reuses the texts of groups that are submitted again */
+  LB_SWITCH_HEDGING,      /* sends a second attempt of a call that has no response yet */
+  LB_SWITCH_MOVES,        /* moves a running generation from a slow engine to a faster one */
+  LB_SWITCH_PACE,         /* estimates an engine's speed from the token rate of its streams */
+  LB_SWITCH_FULL_PACE,    /* lets a long generation wait for a fast engine instead of a slow one */
+  LB_SWITCH_LATEST_START, /* orders generations by the latest start that meets their deadline */
+  LB_SWITCH_KEPT_TEXTS, /* checkpoints partly generated texts, which a batch's next owner resumes */
+  LB_SWITCH_CARRIED_TEXTS, /* resumes cached texts of an incomplete group that is requested again */
   LB_SWITCH_DIVISION,      /* divides the engines among models by demand */
-  LB_SWITCH_LOADS_IN_TURN, /* at most a fifth of the engines loads weights at a time */
-  LB_SWITCH_OFFERS,        /* offers a model's next batch to the instance that runs its others */
-  LB_SWITCH_WAY_THROUGH_PEERS, /* store calls through a peer while the direct path is down */
-  LB_SWITCH_SENT_AGAIN,        /* repeats calls that a silent store left unanswered */
-  LB_SWITCH_BREAKERS,          /* circuit breakers of endpoints */
+  LB_SWITCH_LOADS_IN_TURN, /* lets at most a fifth of the engines load weights concurrently */
+  LB_SWITCH_OFFERS, /* offers a new batch to the instance that runs the model's other batches */
+  LB_SWITCH_WAY_THROUGH_PEERS, /* relays store calls through a peer while the direct path is down */
+  LB_SWITCH_SENT_AGAIN,        /* resends calls that the store dropped while it was unresponsive */
+  LB_SWITCH_BREAKERS,          /* circuit breakers: stops requests to endpoints that often fail */
   LB_SWITCH_PREFIX_AFFINITY,   /* prefers engines that have the prompt's prefix in their cache */
   LB_SWITCH_IDLE_CONNECTIONS,  /* reuses idle connections for later requests */
-  LB_SWITCH_SCALING,           /* requests cheaper endpoints by the trainers' demand */
+  LB_SWITCH_SCALING,           /* orders spot endpoints from the platform by the trainers' demand */
   LB_N_SWITCHES
 } LbSwitch;
 
 const char *lb_switch_name (LbSwitch id);
 bool lb_switch_is_known (const char *name);
-/* Ignores unknown names. */
+/* Disables the optimisation with this name; an unknown name has no effect. */
 void lb_switch_disable (const char *name);
 bool lb_switch_is_on (LbSwitch id);
 void lb_switch_enable_all (void);
--- a/packages/base/include/lb-types.h
+++ b/packages/base/include/lb-types.h
@@ -12,7 +12,8 @@
 #define LB_SEC ((LbTime)1000000)
 #define LB_TIME_NEVER INT64_MAX
 
-/* Names of instances, endpoints, callers, pools etc.: at most LB_NAME_MAX bytes, NUL included. */
+/* Name of an instance, endpoint, caller, pool etc., or an address: at most LB_NAME_MAX bytes with
+ * the terminating NUL. */
 #define LB_NAME_MAX 64
 typedef char LbName[LB_NAME_MAX];
 
--- a/packages/base/src/lb-counter.c
+++ b/packages/base/src/lb-counter.c
@@ -13,16 +13,17 @@
 static LbMetric error_metrics[LB_N_ERRORS];
 static char error_labels[LB_N_ERRORS][64];
 
-/* Keeps metrics of the same name together, as the text format requires. */
+/* Inserts the metric in order of name: the Prometheus text format requires that metrics of the same
+ * name follow each other. */
 static void
 register_metric (LbMetric *metric)
 {
-  LbMetric **place = &registry;
+  LbMetric **insert_at = &registry;
 
-  while (*place && strcmp ((*place)->name, metric->name) <= 0)
-    place = &(*place)->next;
-  metric->next = *place;
-  *place = metric;
+  while (*insert_at && strcmp ((*insert_at)->name, metric->name) <= 0)
+    insert_at = &(*insert_at)->next;
+  metric->next = *insert_at;
+  *insert_at = metric;
   metric->is_registered = true;
 }
 
--- a/packages/base/src/lb-error.c
+++ b/packages/base/src/lb-error.c
@@ -11,9 +11,9 @@
   const char *name;
   int http_status;
   bool proves_not_run;
-} ErrorClass;
+} ErrorTypeInfo;
 
-static const ErrorClass classes[LB_N_ERRORS] = {
+static const ErrorTypeInfo error_types[LB_N_ERRORS] = {
   [LB_OK] = { "ok", 200, false },
   [LB_ERROR_BAD_REQUEST] = { "bad_request", 400, true },
   [LB_ERROR_BAD_JSON] = { "bad_json", 400, true },
@@ -69,25 +69,26 @@
   [LB_ERROR_INTERNAL] = { "internal", 500, false },
 };
 
-static const ErrorClass *
-get_class (LbErrorCode code)
+static const ErrorTypeInfo *
+get_type_info (LbErrorCode code)
 {
-  return &classes[(unsigned)code < LB_N_ERRORS ? code : LB_ERROR_INTERNAL];
+  return &error_types[(unsigned)code < LB_N_ERRORS ? code : LB_ERROR_INTERNAL];
 }
 
-/* Returns the stable name used in replies, logs and counters. */
+/* Returns the name of the error type in replies, logs and metrics; it never changes. */
 const char *
 lb_error_name (LbErrorCode code)
 {
-  return get_class (code)->name;
+  return get_type_info (code)->name;
 }
 
-/* The reverse of lb_error_name; LB_ERROR_INTERNAL for an unknown name. */
+/* Returns the error type with this name, as given by lb_error_name; LB_ERROR_INTERNAL if there is
+ * none. */
 LbErrorCode
 lb_error_from_name (const char *name)
 {
   for (int code = 0; code < LB_N_ERRORS; code++)
-    if (strcmp (classes[code].name, name) == 0)
+    if (strcmp (error_types[code].name, name) == 0)
       return (LbErrorCode)code;
   return LB_ERROR_INTERNAL;
 }
@@ -95,14 +96,15 @@
 int
 lb_error_http_status (LbErrorCode code)
 {
-  return get_class (code)->http_status;
+  return get_type_info (code)->http_status;
 }
 
-/* Whether a failure of this type proves that no byte of the request reached an endpoint. */
+/* Whether an error of this type proves that no byte of the request reached an endpoint, so that the
+ * request did not run. */
 bool
 lb_error_proves_not_run (LbErrorCode code)
 {
-  return get_class (code)->proves_not_run;
+  return get_type_info (code)->proves_not_run;
 }
 
 bool
--- a/packages/base/src/lb-json-keys.c
+++ b/packages/base/src/lb-json-keys.c
@@ -8,149 +8,152 @@
 
 typedef struct
 {
-  const char *name; /* points into the text, escapes included */
+  const char *name; /* points into the scanned text; escape sequences are not decoded */
   UT_hash_handle hh;
 } Key;
 
-/* An object or array that is not closed yet. */
-typedef struct Level
+/* An object or array whose closing bracket has not been scanned yet. */
+typedef struct Container
 {
-  struct Level *outer;
+  struct Container *outer_container;
   bool is_object;
-  Key *keys;
-} Level;
+  Key *keys; /* hash table of the object's keys seen so far; NULL: none */
+} Container;
 
 typedef struct
 {
   const char *text;
   size_t length;
   size_t position;
-  Level *level; /* innermost; NULL: outside of any */
-} Scan;
+  Container *innermost; /* innermost open object or array; NULL: none is open */
+} Scanner;
 
 static void
-open_level (Scan *scan, bool is_object)
+push_container (Scanner *scanner, bool is_object)
 {
-  Level *level = LB_NEW (Level);
+  Container *container = LB_NEW (Container);
 
-  level->outer = scan->level;
-  level->is_object = is_object;
-  scan->level = level;
+  container->outer_container = scanner->innermost;
+  container->is_object = is_object;
+  scanner->innermost = container;
 }
 
 static void
-close_level (Scan *scan)
+pop_container (Scanner *scanner)
 {
-  Level *level = scan->level;
+  Container *innermost = scanner->innermost;
   Key *key, *next;
 
-  if (!level)
+  if (!innermost)
     return;
-  HASH_ITER (hh, level->keys, key, next)
+  HASH_ITER (hh, innermost->keys, key, next)
   {
-    HASH_DEL (level->keys, key);
+    HASH_DEL (innermost->keys, key);
     free (key);
   }
-  scan->level = level->outer;
-  free (level);
+  scanner->innermost = innermost->outer_container;
+  free (innermost);
 }
 
 static bool
-skip_past (Scan *scan, const char *end)
+skip_past_terminator (Scanner *scanner, const char *terminator)
 {
-  const char *found
-      = memmem (scan->text + scan->position, scan->length - scan->position, end, strlen (end));
+  const char *found = memmem (scanner->text + scanner->position,
+                              scanner->length - scanner->position, terminator, strlen (terminator));
 
-  scan->position = found ? (size_t)(found - scan->text) + strlen (end) : scan->length;
+  scanner->position
+      = found ? (size_t)(found - scanner->text) + strlen (terminator) : scanner->length;
   return true;
 }
 
 static bool
-skip_comment (Scan *scan)
+skip_comment (Scanner *scanner)
 {
-  if (scan->position + 1 >= scan->length || scan->text[scan->position] != '/')
+  if (scanner->position + 1 >= scanner->length || scanner->text[scanner->position] != '/')
     return false;
-  return scan->text[scan->position + 1] == '/'   ? skip_past (scan, "\n")
-         : scan->text[scan->position + 1] == '*' ? skip_past (scan, "*/")
-                                                 : false;
+  return scanner->text[scanner->position + 1] == '/'   ? skip_past_terminator (scanner, "\n")
+         : scanner->text[scanner->position + 1] == '*' ? skip_past_terminator (scanner, "*/")
+                                                       : false;
 }
 
-/* Moves from after the opening quote to after the closing one; returns the length in between. */
+/* Skips the rest of a string whose opening quote was consumed, closing quote included. Returns the
+ * length of the string without quotes. */
 static size_t
-read_string (Scan *scan)
+skip_string (Scanner *scanner)
 {
-  size_t begin = scan->position;
+  size_t begin = scanner->position;
 
-  while (scan->position < scan->length && scan->text[scan->position] != '"')
-    scan->position += scan->text[scan->position] == '\\' ? 2 : 1;
-  size_t end = scan->position < scan->length ? scan->position : scan->length;
-  scan->position = end + 1;
+  while (scanner->position < scanner->length && scanner->text[scanner->position] != '"')
+    scanner->position += scanner->text[scanner->position] == '\\' ? 2 : 1;
+  size_t end = scanner->position < scanner->length ? scanner->position : scanner->length;
+  scanner->position = end + 1;
   return end - begin;
 }
 
+/* Whether the string that was just skipped is a key: in an object and followed by a colon. */
 static bool
-is_key (const Scan *scan)
+is_object_key (const Scanner *scanner)
 {
-  size_t position = scan->position;
+  size_t position = scanner->position;
 
-  while (position < scan->length && strchr (" \t\r\n", scan->text[position]))
+  while (position < scanner->length && strchr (" \t\r\n", scanner->text[position]))
     position++;
-  return scan->level && scan->level->is_object && position < scan->length
-         && scan->text[position] == ':';
+  return scanner->innermost && scanner->innermost->is_object && position < scanner->length
+         && scanner->text[position] == ':';
 }
 
-/* Returns true if the object already has the key. */
+/* Returns true if the innermost object already has the key; adds it otherwise. */
 static bool
-add_key (Scan *scan, const char *name, size_t length)
+find_or_add_key (Scanner *scanner, const char *name, size_t length)
 {
   Key *key = NULL;
 
-  HASH_FIND (hh, scan->level->keys, name, length, key);
+  HASH_FIND (hh, scanner->innermost->keys, name, length, key);
   if (key)
     return true;
   key = LB_NEW (Key);
   key->name = name;
-  HASH_ADD_KEYPTR (hh, scan->level->keys, key->name, length, key);
+  HASH_ADD_KEYPTR (hh, scanner->innermost->keys, key->name, length, key);
   return false;
 }
 
-/* Returns true if the string is a duplicate key, which begins at *offset. */
+/* Skips a string; returns true if it is a duplicate key. Sets *offset to its opening quote. */
 static bool
-scan_string (Scan *scan, size_t *offset)
+scan_string_for_duplicate_key (Scanner *scanner, size_t *offset)
 {
-  size_t begin = ++scan->position;
-  size_t length = read_string (scan);
+  size_t begin = ++scanner->position;
+  size_t length = skip_string (scanner);
 
   *offset = begin - 1;
-  return is_key (scan) && add_key (scan, scan->text + begin, length);
+  return is_object_key (scanner) && find_or_add_key (scanner, scanner->text + begin, length);
 }
 
 bool
 lb_json_find_duplicate_key (const char *text, size_t length, size_t *offset)
 {
-  Scan scan = { .text = text, .length = length };
+  Scanner scanner = { .text = text, .length = length };
   bool found = false;
 
-  while (!found && scan.position < length)
-    switch (text[scan.position])
+  while (!found && scanner.position < length)
+    switch (text[scanner.position])
       {
       case '"':
-        found = scan_string (&scan, offset);
+        found = scan_string_for_duplicate_key (&scanner, offset);
         break;
       case '{':
       case '[':
-        open_level (&scan, text[scan.position++] == '{');
+        push_container (&scanner, text[scanner.position++] == '{');
         break;
       case '}':
       case ']':
-        close_level (&scan);
-        scan.position++;
+        pop_container (&scanner);
+        scanner.position++;
         break;
       default:
-        if (!skip_comment (&scan))
-          scan.position++;
+        if (!skip_comment (&scanner))
+          scanner.position++;
       }
-  while (scan.level)
-    close_level (&scan);
+  while (scanner.innermost)
+    pop_container (&scanner);
   return found;
 }
--- a/packages/base/src/lb-json.c
+++ b/packages/base/src/lb-json.c
@@ -4,8 +4,8 @@
 
 #include <json-c/json.h>
 
-/* Returns NULL if object is not a JSON object or the key is absent or null. The member stays owned
- * by object. */
+/* Returns NULL if object is not a JSON object, or if the key is absent or its value null. The
+ * returned value stays owned by object. */
 struct json_object *
 lb_json_member (struct json_object *object, const char *key)
 {
@@ -15,7 +15,7 @@
   return value;
 }
 
-/* Returns fallback for anything but a string. The text stays owned by object. */
+/* Returns fallback unless the value of key is a string. The text stays owned by object. */
 const char *
 lb_json_text (struct json_object *object, const char *key, const char *fallback)
 {
@@ -24,7 +24,8 @@
   return json_object_is_type (value, json_type_string) ? json_object_get_string (value) : fallback;
 }
 
-/* Returns fallback for anything but an integer: strings and fractions are not converted. */
+/* Returns fallback unless the value of key is an integer; strings and fractions are not
+ * converted. */
 int64_t
 lb_json_int (struct json_object *object, const char *key, int64_t fallback)
 {
@@ -33,7 +34,7 @@
   return json_object_is_type (value, json_type_int) ? json_object_get_int64 (value) : fallback;
 }
 
-/* Returns fallback for anything but a boolean: numbers are not converted. */
+/* Returns fallback unless the value of key is a boolean; numbers are not converted. */
 bool
 lb_json_bool (struct json_object *object, const char *key, bool fallback)
 {
--- a/packages/base/src/lb-list.c
+++ b/packages/base/src/lb-list.c
@@ -14,7 +14,7 @@
   return list->head.next == &list->head;
 }
 
-/* Inserts the link before position; before the head means at the end of the list. */
+/* Inserts the link before position; if position is the list's head, at the end of the list. */
 void
 lb_list_insert_before (LbList *list, LbLink *position, LbLink *link)
 {
--- a/packages/base/src/lb-log.c
+++ b/packages/base/src/lb-log.c
@@ -10,15 +10,15 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Buffer for lines not written yet. A quarter is reserved for warnings and errors, which explain
- * what went wrong just when most lines are logged. */
+/* Size of the buffer of lines that wait to be written. A quarter is reserved for warnings and
+ * errors, which explain a fault just when most lines are logged. */
 #define BUFFER_BYTES ((size_t)(256 << 10))
-#define MAX_ORDINARY_BYTES (BUFFER_BYTES / 4 * 3)
-/* Several times what an instance logs under full load, but low enough that a burst of refusals
- * doesn't use up its CPU time. */
+#define MAX_UNRESERVED_BYTES (BUFFER_BYTES / 4 * 3)
+/* Rate limits of log lines: several times what an instance logs under full load, but low enough
+ * that a burst of refused requests doesn't use up its CPU time. */
 #define MAX_LINES_PER_SECOND 2000
 #define MAX_BYTES_PER_SECOND (1 << 20)
-/* A write of up to this size doesn't block on a pipe that poll reports as writable. */
+/* Largest write that doesn't block on a pipe that poll reports as writable. */
 #define MAX_WRITE_BYTES ((size_t)4096)
 
 static const char *const level_names[] = { "debug", "info", "warning", "error", "off" };
@@ -28,18 +28,17 @@
   LbLogLevel level;
   int fd;
   LbName instance;
-  /* buffered */
-  char *buffer; /* NULL: lines are written at once */
-  size_t length;
-  int64_t dropped;
-  int64_t dropped_reported; /* of these, how many a log line has reported */
+  char *buffer; /* NULL: buffering is off, each line is written immediately */
+  size_t buffered_bytes;
+  int64_t n_dropped_lines;  /* since the process started */
+  int64_t n_reported_lines; /* dropped lines that a log_lines_dropped event has reported */
   int64_t lines_in_second;
   int64_t bytes_in_second;
-  LbTime second; /* that the two counts are for */
+  LbTime second; /* second of the monotonic clock that lines_in_second and bytes_in_second count */
 } log_state = { .level = LB_LOG_WARNING, .fd = 2 };
 
-/* Sets the lowest level to write, the output (a file descriptor that stays owned by the caller) and
- * the instance name shown in each line. */
+/* Sets the lowest level that is logged, the file descriptor to write to (the caller keeps ownership
+ * of it) and the instance name in each line; NULL: no instance name. */
 void
 lb_log_init (LbLogLevel level, int fd, const char *instance)
 {
@@ -58,7 +57,7 @@
 int64_t
 lb_log_count_dropped_lines (void)
 {
-  return log_state.dropped;
+  return log_state.n_dropped_lines;
 }
 
 bool
@@ -92,7 +91,7 @@
 }
 
 static void
-write_all (const char *text, size_t length)
+write_blocking (const char *text, size_t length)
 {
   while (length > 0)
     {
@@ -104,8 +103,9 @@
     }
 }
 
+/* Returns false if the line exceeds the limit of lines or bytes per second. */
 static bool
-is_within_rate (size_t length)
+count_line_and_check_rate (size_t length)
 {
   LbTime second = lb_clock_monotonic () / LB_SEC;
 
@@ -121,36 +121,38 @@
          && log_state.bytes_in_second <= MAX_BYTES_PER_SECOND;
 }
 
-/* A reader that stops reading must not block requests, so lines that don't fit are dropped. */
+/* Drops lines that don't fit into the buffer, so that a log reader that stops reading can't block
+ * requests. Lines below warning are also dropped above the rate limit. */
 static void
 buffer_line (LbLogLevel level, const char *line, size_t length)
 {
   bool is_urgent = level >= LB_LOG_WARNING;
-  size_t capacity = is_urgent ? BUFFER_BYTES : MAX_ORDINARY_BYTES;
+  size_t capacity = is_urgent ? BUFFER_BYTES : MAX_UNRESERVED_BYTES;
 
-  if (log_state.length + length > capacity || (!is_within_rate (length) && !is_urgent))
+  if (log_state.buffered_bytes + length > capacity
+      || (!count_line_and_check_rate (length) && !is_urgent))
     {
-      log_state.dropped++;
+      log_state.n_dropped_lines++;
       return;
     }
-  memcpy (log_state.buffer + log_state.length, line, length);
-  log_state.length += length;
+  memcpy (log_state.buffer + log_state.buffered_bytes, line, length);
+  log_state.buffered_bytes += length;
 }
 
 static void
-log_dropped_lines (void)
+report_dropped_lines (void)
 {
-  int64_t dropped = log_state.dropped - log_state.dropped_reported;
+  int64_t dropped = log_state.n_dropped_lines - log_state.n_reported_lines;
 
-  if (dropped == 0 || log_state.length > MAX_ORDINARY_BYTES)
+  if (dropped == 0 || log_state.buffered_bytes > MAX_UNRESERVED_BYTES)
     return;
-  log_state.dropped_reported = log_state.dropped;
+  log_state.n_reported_lines = log_state.n_dropped_lines;
   lb_log (LB_LOG_WARNING, "log_lines_dropped", LB_INT ("lines", dropped),
-          LB_INT ("in_all", log_state.dropped));
+          LB_INT ("in_all", log_state.n_dropped_lines));
 }
 
 static bool
-can_write (void)
+can_write_without_blocking (void)
 {
   struct pollfd ready = { .fd = log_state.fd, .events = POLLOUT };
 
@@ -164,21 +166,22 @@
 
   if (!log_state.buffer)
     return;
-  log_dropped_lines ();
-  while (done < log_state.length && can_write ())
+  report_dropped_lines ();
+  while (done < log_state.buffered_bytes && can_write_without_blocking ())
     {
-      size_t left = log_state.length - done;
+      size_t left = log_state.buffered_bytes - done;
       ssize_t written = write (log_state.fd, log_state.buffer + done,
                                left < MAX_WRITE_BYTES ? left : MAX_WRITE_BYTES);
       if (written <= 0)
         break;
       done += (size_t)written;
     }
-  memmove (log_state.buffer, log_state.buffer + done, log_state.length - done);
-  log_state.length -= done;
+  memmove (log_state.buffer, log_state.buffer + done, log_state.buffered_bytes - done);
+  log_state.buffered_bytes -= done;
 }
 
-/* Writes one JSON line: time (ms since 1970), level, instance, event and the fields. */
+/* Logs one JSON line: time (ms since 1970), level, instance, event and the fields up to
+ * LB_FIELD_END. */
 void
 lb_log_write_event (LbLogLevel level, const char *event, const LbLogField *fields)
 {
@@ -198,7 +201,7 @@
   if (log_state.buffer)
     buffer_line (level, with_newline, length + 1);
   else
-    write_all (with_newline, length + 1);
+    write_blocking (with_newline, length + 1);
   free (with_newline);
   json_object_put (line);
 }
--- a/packages/base/src/lb-settings.c
+++ b/packages/base/src/lb-settings.c
@@ -11,15 +11,15 @@
 #define MAX_KEY_PATH_BYTES 160
 #define MAX_FILE_BYTES (4 << 20)
 
-static bool apply_object (struct json_object *object,
-                          const LbSettingSpec *specs,
-                          char *target,
-                          const char *file,
-                          const char *path,
-                          LbError *error);
+static bool store_object_setting (struct json_object *object,
+                                  const LbSettingSpec *specs,
+                                  char *target,
+                                  const char *file,
+                                  const char *path,
+                                  LbError *error);
 
 static bool
-set_error (
+set_setting_error (
     LbError *error, LbErrorCode code, const char *file, const char *path, const char *expected)
 {
   char where[LB_NAME_MAX + MAX_KEY_PATH_BYTES + 2];
@@ -72,7 +72,7 @@
 }
 
 static bool
-has_each_key_once (const char *text, size_t length, const char *path, LbError *error)
+has_no_duplicate_keys (const char *text, size_t length, const char *path, LbError *error)
 {
   char where[LB_NAME_MAX + 192];
   size_t offset;
@@ -107,7 +107,7 @@
                   MAX_FILE_BYTES);
   else
     object = lb_settings_parse (text, length, path, error);
-  if (object && !has_each_key_once (text, length, path, error))
+  if (object && !has_no_duplicate_keys (text, length, path, error))
     {
       json_object_put (object);
       object = NULL;
@@ -118,28 +118,29 @@
 }
 
 static bool
-apply_text (struct json_object *value,
-            const LbSettingSpec *spec,
-            char *field,
-            const char *file,
-            const char *path,
-            LbError *error)
+store_text_setting (struct json_object *value,
+                    const LbSettingSpec *spec,
+                    char *field,
+                    const char *file,
+                    const char *path,
+                    LbError *error)
 {
   if (!json_object_is_type (value, json_type_string))
-    return set_error (error, LB_ERROR_BAD_VALUE, file, path, "expected a string");
+    return set_setting_error (error, LB_ERROR_BAD_VALUE, file, path, "expected a string");
   if ((size_t)json_object_get_string_len (value) >= spec->size)
-    return set_error (error, LB_ERROR_OUT_OF_RANGE, file, path, "expected a shorter string");
+    return set_setting_error (error, LB_ERROR_OUT_OF_RANGE, file, path,
+                              "expected a shorter string");
   lb_strlcpy (field, json_object_get_string (value), spec->size);
   return true;
 }
 
 static bool
-apply_number (struct json_object *value,
-              const LbSettingSpec *spec,
-              char *field,
-              const char *file,
-              const char *path,
-              LbError *error)
+store_number_setting (struct json_object *value,
+                      const LbSettingSpec *spec,
+                      char *field,
+                      const char *file,
+                      const char *path,
+                      LbError *error)
 {
   char expected[96];
   bool is_integer = spec->type == LB_SETTING_INT;
@@ -148,12 +149,12 @@
   if (is_integer ? !json_object_is_type (value, json_type_int)
                  : !json_object_is_type (value, json_type_int)
                        && !json_object_is_type (value, json_type_double))
-    return set_error (error, LB_ERROR_BAD_VALUE, file, path,
-                      is_integer ? "expected a whole number" : "expected a number");
+    return set_setting_error (error, LB_ERROR_BAD_VALUE, file, path,
+                              is_integer ? "expected a whole number" : "expected a number");
   if (!(number >= spec->min && number <= spec->max))
     {
       snprintf (expected, sizeof expected, "expected a number from %g to %g", spec->min, spec->max);
-      return set_error (error, LB_ERROR_OUT_OF_RANGE, file, path, expected);
+      return set_setting_error (error, LB_ERROR_OUT_OF_RANGE, file, path, expected);
     }
   if (is_integer)
     *(int64_t *)field = json_object_get_int64 (value);
@@ -163,12 +164,12 @@
 }
 
 static bool
-apply_choice (struct json_object *value,
-              const LbSettingSpec *spec,
-              char *field,
-              const char *file,
-              const char *path,
-              LbError *error)
+store_choice_setting (struct json_object *value,
+                      const LbSettingSpec *spec,
+                      char *field,
+                      const char *file,
+                      const char *path,
+                      LbError *error)
 {
   char expected[160] = "expected one of:";
   const char *text
@@ -184,19 +185,19 @@
       size_t used = strlen (expected);
       snprintf (expected + used, sizeof expected - used, " %s", spec->choices[i]);
     }
-  return set_error (error, LB_ERROR_BAD_VALUE, file, path, expected);
+  return set_setting_error (error, LB_ERROR_BAD_VALUE, file, path, expected);
 }
 
 static bool
-apply_array (struct json_object *value,
-             const LbSettingSpec *spec,
-             char *target,
-             const char *file,
-             const char *path,
-             LbError *error)
+store_array_setting (struct json_object *value,
+                     const LbSettingSpec *spec,
+                     char *target,
+                     const char *file,
+                     const char *path,
+                     LbError *error)
 {
   if (!json_object_is_type (value, json_type_array))
-    return set_error (error, LB_ERROR_BAD_VALUE, file, path, "expected an array");
+    return set_setting_error (error, LB_ERROR_BAD_VALUE, file, path, "expected an array");
 
   const LbSettingSpec name_spec = { .type = LB_SETTING_TEXT, .size = sizeof (LbName) };
   size_t count = json_object_array_length (value);
@@ -213,10 +214,10 @@
       char *element_target = elements + i * element_size;
 
       snprintf (element_path, sizeof element_path, "%s[%zu]", path, i);
-      bool ok
-          = spec->fields
-                ? apply_object (element, spec->fields, element_target, file, element_path, error)
-                : apply_text (element, &name_spec, element_target, file, element_path, error);
+      bool ok = spec->fields ? store_object_setting (element, spec->fields, element_target, file,
+                                                     element_path, error)
+                             : store_text_setting (element, &name_spec, element_target, file,
+                                                   element_path, error);
       if (!ok)
         return false;
     }
@@ -224,35 +225,35 @@
 }
 
 static bool
-apply_value (struct json_object *value,
-             const LbSettingSpec *spec,
-             char *target,
-             const char *file,
-             const char *path,
-             LbError *error)
+store_setting (struct json_object *value,
+               const LbSettingSpec *spec,
+               char *target,
+               const char *file,
+               const char *path,
+               LbError *error)
 {
   char *field = target + spec->offset;
 
   switch (spec->type)
     {
     case LB_SETTING_TEXT:
-      return apply_text (value, spec, field, file, path, error);
+      return store_text_setting (value, spec, field, file, path, error);
     case LB_SETTING_INT:
     case LB_SETTING_REAL:
-      return apply_number (value, spec, field, file, path, error);
+      return store_number_setting (value, spec, field, file, path, error);
     case LB_SETTING_BOOL:
       if (!json_object_is_type (value, json_type_boolean))
-        return set_error (error, LB_ERROR_BAD_VALUE, file, path, "expected true or false");
+        return set_setting_error (error, LB_ERROR_BAD_VALUE, file, path, "expected true or false");
       *(bool *)field = json_object_get_boolean (value);
       return true;
     case LB_SETTING_CHOICE:
-      return apply_choice (value, spec, field, file, path, error);
+      return store_choice_setting (value, spec, field, file, path, error);
     case LB_SETTING_OBJECT:
-      return apply_object (value, spec->fields, field, file, path, error);
+      return store_object_setting (value, spec->fields, field, file, path, error);
     case LB_SETTING_ARRAY:
-      return apply_array (value, spec, target, file, path, error);
+      return store_array_setting (value, spec, target, file, path, error);
     }
-  return set_error (error, LB_ERROR_INTERNAL, file, path, "unknown setting type");
+  return set_setting_error (error, LB_ERROR_INTERNAL, file, path, "unknown setting type");
 }
 
 static const LbSettingSpec *
@@ -265,11 +266,11 @@
 }
 
 static bool
-check_required (struct json_object *object,
-                const LbSettingSpec *specs,
-                const char *file,
-                const char *path,
-                LbError *error)
+check_required_keys (struct json_object *object,
+                     const LbSettingSpec *specs,
+                     const char *file,
+                     const char *path,
+                     LbError *error)
 {
   char key_path[MAX_KEY_PATH_BYTES];
 
@@ -277,21 +278,22 @@
     if (specs->required && !json_object_object_get_ex (object, specs->key, NULL))
       {
         snprintf (key_path, sizeof key_path, "%s%s%s", path, path[0] ? "." : "", specs->key);
-        return set_error (error, LB_ERROR_MISSING_KEY, file, key_path, "required key is missing");
+        return set_setting_error (error, LB_ERROR_MISSING_KEY, file, key_path,
+                                  "required key is missing");
       }
   return true;
 }
 
 static bool
-apply_object (struct json_object *object,
-              const LbSettingSpec *specs,
-              char *target,
-              const char *file,
-              const char *path,
-              LbError *error)
+store_object_setting (struct json_object *object,
+                      const LbSettingSpec *specs,
+                      char *target,
+                      const char *file,
+                      const char *path,
+                      LbError *error)
 {
   if (!json_object_is_type (object, json_type_object))
-    return set_error (error, LB_ERROR_BAD_VALUE, file, path, "expected an object");
+    return set_setting_error (error, LB_ERROR_BAD_VALUE, file, path, "expected an object");
 
   json_object_object_foreach (object, key, value)
   {
@@ -300,11 +302,11 @@
 
     snprintf (key_path, sizeof key_path, "%s%s%s", path, path[0] ? "." : "", key);
     if (!spec)
-      return set_error (error, LB_ERROR_UNKNOWN_KEY, file, key_path, "unknown key");
-    if (!apply_value (value, spec, target, file, key_path, error))
+      return set_setting_error (error, LB_ERROR_UNKNOWN_KEY, file, key_path, "unknown key");
+    if (!store_setting (value, spec, target, file, key_path, error))
       return false;
   }
-  return check_required (object, specs, file, path, error);
+  return check_required_keys (object, specs, file, path, error);
 }
 
 bool
@@ -314,5 +316,5 @@
                    const char *file,
                    LbError *error)
 {
-  return apply_object (object, specs, target, file, "", error);
+  return store_object_setting (object, specs, target, file, "", error);
 }
--- a/packages/base/src/lb-switch.c
+++ b/packages/base/src/lb-switch.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-static const char *const names[LB_N_SWITCHES] = {
+static const char *const switch_names[LB_N_SWITCHES] = {
   [LB_SWITCH_HEDGING] = "hedging",
   [LB_SWITCH_MOVES] = "moves",
   [LB_SWITCH_PACE] = "pace",
@@ -26,14 +26,14 @@
 const char *
 lb_switch_name (LbSwitch id)
 {
-  return names[id];
+  return switch_names[id];
 }
 
 static int
-find_by_name (const char *name)
+find_switch_by_name (const char *name)
 {
   for (int i = 0; i < LB_N_SWITCHES; i++)
-    if (strcmp (names[i], name) == 0)
+    if (strcmp (switch_names[i], name) == 0)
       return i;
   return -1;
 }
@@ -41,13 +41,13 @@
 bool
 lb_switch_is_known (const char *name)
 {
-  return find_by_name (name) >= 0;
+  return find_switch_by_name (name) >= 0;
 }
 
 void
 lb_switch_disable (const char *name)
 {
-  int id = find_by_name (name);
+  int id = find_switch_by_name (name);
 
   if (id >= 0)
     is_off[id] = true;
--- a/packages/base/tests/test-json.c
+++ b/packages/base/tests/test-json.c
@@ -8,19 +8,19 @@
 static struct json_object *object;
 
 static void
-set_up (void)
+parse_test_object (void)
 {
   object = json_tokener_parse ("{\"text\":\"abc\",\"int\":7,\"real\":1.5,\"bool\":true,"
                                "\"digits\":\"12\",\"null\":null,\"array\":[1],\"object\":{}}");
 }
 
 static void
-tear_down (void)
+release_test_object (void)
 {
   json_object_put (object);
 }
 
-TestSuite (json, .init = set_up, .fini = tear_down);
+TestSuite (json, .init = parse_test_object, .fini = release_test_object);
 
 Test (json, members_of_the_right_type_are_returned)
 {
@@ -55,20 +55,20 @@
 
 Test (json, non_objects_have_no_members)
 {
-  struct json_object *others[]
+  struct json_object *non_objects[]
       = { NULL, lb_json_member (object, "array"), lb_json_member (object, "text") };
 
-  for (size_t i = 0; i < sizeof others / sizeof others[0]; i++)
+  for (size_t i = 0; i < sizeof non_objects / sizeof non_objects[0]; i++)
     {
-      cr_assert_null (lb_json_member (others[i], "text"));
-      cr_assert_str_eq (lb_json_text (others[i], "text", "no"), "no");
-      cr_assert_eq (lb_json_int (others[i], "int", -1), -1);
-      cr_assert (lb_json_bool (others[i], "bool", true));
+      cr_assert_null (lb_json_member (non_objects[i], "text"));
+      cr_assert_str_eq (lb_json_text (non_objects[i], "text", "no"), "no");
+      cr_assert_eq (lb_json_int (non_objects[i], "int", -1), -1);
+      cr_assert (lb_json_bool (non_objects[i], "bool", true));
     }
 }
 
 static void
-expect_duplicate (const char *text, long expected)
+assert_duplicate_key_offset (const char *text, long expected)
 {
   size_t offset = 0;
   bool found = lb_json_find_duplicate_key (text, strlen (text), &offset);
@@ -78,16 +78,16 @@
     cr_assert_eq ((long)offset, expected, "%s: duplicate found at offset %zu", text, offset);
 }
 
-/* An operator duplicates a block of the settings and changes the first copy, without effect: the
- * parser silently uses the later one. */
+/* An operator duplicates a block of the settings file and changes the first copy. json-c silently
+ * uses the second copy, so the change has no effect; the duplicate keys must be found. */
 Test (keys, duplicate_key_is_found)
 {
-  expect_duplicate ("{\"a\": 1, \"b\": 2, \"a\": 3}", 17);
-  expect_duplicate ("{\"o\": {\"x\": 1, \"x\": 2}}", 15);
-  expect_duplicate ("{\"a\": [1, {\"b\": 1 /* \"b\": */, \"b\" : 2}]}", 30);
-  expect_duplicate ("{\"a\": {\"a\": {\"a\": 1}}, \"b\": {\"a\": 1}}", -1);
-  expect_duplicate ("{\"a\": \"a\", \"b\": [\"a\", \"a\"]}", -1);
-  expect_duplicate ("{\"a\": 1, // \"a\": 2\n \"b\\\"\": 1, \"b\": 2}", -1);
-  expect_duplicate ("{\"a\": \"unended", -1);
-  expect_duplicate ("]]}{\"a\"", -1);
+  assert_duplicate_key_offset ("{\"a\": 1, \"b\": 2, \"a\": 3}", 17);
+  assert_duplicate_key_offset ("{\"o\": {\"x\": 1, \"x\": 2}}", 15);
+  assert_duplicate_key_offset ("{\"a\": [1, {\"b\": 1 /* \"b\": */, \"b\" : 2}]}", 30);
+  assert_duplicate_key_offset ("{\"a\": {\"a\": {\"a\": 1}}, \"b\": {\"a\": 1}}", -1);
+  assert_duplicate_key_offset ("{\"a\": \"a\", \"b\": [\"a\", \"a\"]}", -1);
+  assert_duplicate_key_offset ("{\"a\": 1, // \"a\": 2\n \"b\\\"\": 1, \"b\": 2}", -1);
+  assert_duplicate_key_offset ("{\"a\": \"unended", -1);
+  assert_duplicate_key_offset ("]]}{\"a\"", -1);
 }
--- a/packages/base/tests/test-log.c
+++ b/packages/base/tests/test-log.c
@@ -9,55 +9,55 @@
 #include <string.h>
 #include <unistd.h>
 
-#define TEXT_SIZE (1 << 20)
+#define MAX_LOG_OUTPUT_BYTES (1 << 20)
 
-static char text[TEXT_SIZE];
+static char log_output[MAX_LOG_OUTPUT_BYTES];
 
 static size_t
-read_all (int fd)
+read_log_output (int fd)
 {
   size_t length = 0;
   ssize_t n;
 
-  while ((n = read (fd, text + length, sizeof text - 1 - length)) > 0)
+  while ((n = read (fd, log_output + length, sizeof log_output - 1 - length)) > 0)
     length += (size_t)n;
-  text[length] = '\0';
+  log_output[length] = '\0';
   return length;
 }
 
 static int
-count_lines (const char *needle)
+count_in_log_output (const char *needle)
 {
   int count = 0;
 
-  for (const char *at = text; (at = strstr (at, needle)); at++)
+  for (const char *match = log_output; (match = strstr (match, needle)); match++)
     count++;
   return count;
 }
 
 static void
-open_pipe (int ends[2])
+start_buffered_log_to_pipe (int pipe_ends[2])
 {
-  cr_assert_eq (pipe (ends), 0);
-  fcntl (ends[0], F_SETFL, O_NONBLOCK);
-  lb_log_init (LB_LOG_INFO, ends[1], "a");
+  cr_assert_eq (pipe (pipe_ends), 0);
+  fcntl (pipe_ends[0], F_SETFL, O_NONBLOCK);
+  lb_log_init (LB_LOG_INFO, pipe_ends[1], "a");
   lb_log_enable_buffering ();
 }
 
-/* The reader of the log stops reading, and the pipe is full after 64 KiB: a blocking write would
- * hold up every request for ever. Lines must be dropped and counted instead, and the log must
- * report it afterwards. */
+/* The reader of the log stops reading, and its pipe is full after 64 KiB: a blocking write would
+ * block every request for ever. Lines must be dropped and counted instead, and an error line must
+ * still be logged, in the space reserved for warnings and errors. */
 Test (log, stopped_reader_does_not_block_logging)
 {
-  int ends[2];
-  char filler[200];
+  int pipe_ends[2];
+  char padding[200];
 
-  memset (filler, 'x', sizeof filler - 1);
-  filler[sizeof filler - 1] = '\0';
-  open_pipe (ends);
+  memset (padding, 'x', sizeof padding - 1);
+  padding[sizeof padding - 1] = '\0';
+  start_buffered_log_to_pipe (pipe_ends);
   for (int i = 0; i < 20000; i++)
     {
-      lb_log (LB_LOG_INFO, "ordinary", LB_TEXT ("filler", filler));
+      lb_log (LB_LOG_INFO, "ordinary", LB_TEXT ("filler", padding));
       if (i % 100 == 0)
         lb_log_flush ();
     }
@@ -66,45 +66,47 @@
   for (int i = 0; i < 40; i++)
     {
       lb_log_flush ();
-      if (read_all (ends[0]) > 0 && count_lines ("\"failure\"") > 0)
+      if (read_log_output (pipe_ends[0]) > 0 && count_in_log_output ("\"failure\"") > 0)
         break;
     }
-  cr_assert_eq (count_lines ("\"failure\""), 1,
+  cr_assert_eq (count_in_log_output ("\"failure\""), 1,
                 "the error line was dropped in spite of its reserved space");
-  cr_assert_eq (text[strlen (text) - 1], '\n');
+  cr_assert_eq (log_output[strlen (log_output) - 1], '\n');
   for (int i = 0; i < 40; i++)
     lb_log_flush ();
-  read_all (ends[0]);
-  cr_assert_geq (count_lines ("log_lines_dropped"), 0);
+  read_log_output (pipe_ends[0]);
+  cr_assert_geq (count_in_log_output ("log_lines_dropped"), 0);
 }
 
-/* A burst of refusals logs ten thousand similar lines per second. The rest of the log must stay
- * readable, and the CPU time must remain for requests. */
+/* Refused requests log ten thousand similar lines per second. They must be rate-limited, so that
+ * other log lines stay readable and logging doesn't use up the CPU time for requests. A warning
+ * must still be logged. */
 Test (log, burst_of_lines_is_rate_limited)
 {
-  int ends[2];
+  int pipe_ends[2];
 
-  open_pipe (ends);
-  fcntl (ends[1], F_SETPIPE_SZ, 1 << 20);
+  start_buffered_log_to_pipe (pipe_ends);
+  fcntl (pipe_ends[1], F_SETPIPE_SZ, 1 << 20);
   for (int i = 0; i < 30000; i++)
     {
       lb_log (LB_LOG_INFO, "refused", LB_INT ("request", i));
       lb_log_flush ();
     }
   cr_assert_gt (lb_log_count_dropped_lines (), 0);
-  read_all (ends[0]);
-  cr_assert_gt (count_lines ("\"refused\""), 100);
+  read_log_output (pipe_ends[0]);
+  cr_assert_gt (count_in_log_output ("\"refused\""), 100);
   lb_log (LB_LOG_WARNING, "belief", LB_TEXT ("of", "engine"));
   lb_log_flush ();
-  read_all (ends[0]);
-  cr_assert_eq (count_lines ("\"belief\""), 1);
+  read_log_output (pipe_ends[0]);
+  cr_assert_eq (count_in_log_output ("\"belief\""), 1);
 }
 
+/* A log line must report the number of dropped lines once the reader reads again. */
 Test (log, dropped_lines_are_reported_once_there_is_space)
 {
-  int ends[2];
+  int pipe_ends[2];
 
-  open_pipe (ends);
+  start_buffered_log_to_pipe (pipe_ends);
   for (int i = 0; i < 30000; i++)
     lb_log (LB_LOG_INFO, "refused", LB_INT ("request", i));
   int64_t dropped = lb_log_count_dropped_lines ();
@@ -112,14 +114,14 @@
   for (int i = 0; i < 40; i++)
     {
       lb_log_flush ();
-      read_all (ends[0]);
-      if (count_lines ("log_lines_dropped") > 0)
+      read_log_output (pipe_ends[0]);
+      if (count_in_log_output ("log_lines_dropped") > 0)
         return;
     }
   cr_assert_fail ("log_lines_dropped was not logged");
 }
 
-Test (histogram, counts_by_bucket_and_renders)
+Test (histogram, values_are_counted_by_bucket_and_rendered)
 {
   static LbHistogram histogram = LB_HISTOGRAM_INIT ("test_seconds", "A test");
 
@@ -128,12 +130,12 @@
   lb_histogram_add (&histogram, 30 * LB_SEC);
   lb_histogram_add (&histogram, -1);
   cr_assert_eq (lb_histogram_count_values (&histogram), 4);
-  char *all = lb_metric_render ();
-  cr_assert (strstr (all, "# TYPE test_seconds histogram"));
-  cr_assert (strstr (all, "test_seconds_bucket{le=\"0.001\"} 1\n"));
-  cr_assert (strstr (all, "test_seconds_bucket{le=\"0.005\"} 2\n"));
-  cr_assert (strstr (all, "test_seconds_bucket{le=\"10\"} 3\n"));
-  cr_assert (strstr (all, "test_seconds_bucket{le=\"+Inf\"} 4\n"));
-  cr_assert (strstr (all, "test_seconds_count 4\n"));
-  free (all);
+  char *rendered = lb_metric_render ();
+  cr_assert (strstr (rendered, "# TYPE test_seconds histogram"));
+  cr_assert (strstr (rendered, "test_seconds_bucket{le=\"0.001\"} 1\n"));
+  cr_assert (strstr (rendered, "test_seconds_bucket{le=\"0.005\"} 2\n"));
+  cr_assert (strstr (rendered, "test_seconds_bucket{le=\"10\"} 3\n"));
+  cr_assert (strstr (rendered, "test_seconds_bucket{le=\"+Inf\"} 4\n"));
+  cr_assert (strstr (rendered, "test_seconds_count 4\n"));
+  free (rendered);
 }
