--- a/packages/http/include/lh-socket.h
+++ b/packages/http/include/lh-socket.h
@@ -1,7 +1,7 @@
 #ifndef LH_SOCKET_H
 #define LH_SOCKET_H
 
-/* Lets the kernel detect a dead connection within about six seconds. */
+/* Enables TCP keep-alive, so that the kernel detects a dead connection within about 6 s. */
 void lh_socket_enable_keepalive (int fd);
 
 #endif
--- a/packages/http/include/lh-sse.h
+++ b/packages/http/include/lh-sse.h
@@ -14,16 +14,17 @@
 
 typedef void (*LhSseHandler) (const char *data, size_t length, void *user);
 
-/* Receives a line without its line end; an empty line ends an event. */
+/* Handler of one line, passed without its line end. An empty line ends an event. */
 typedef void (*LhSseLineHandler) (const char *line, size_t length, void *user);
 
 void lh_sse_init (LhSse *sse, size_t max_event_bytes);
 void lh_sse_clear (LhSse *sse);
-/* Calls the handler for each complete `data:` line and ignores comments. Returns false with
- * BODY_TOO_LARGE if an event exceeds max_event_bytes. */
+/* Parses the next bytes of the stream. Calls the handler with the value of each complete `data:`
+ * line; other lines are ignored. Returns false with BODY_TOO_LARGE if an incomplete line exceeds
+ * max_event_bytes. */
 bool lh_sse_feed (
     LhSse *sse, const char *bytes, size_t length, LhSseHandler handler, void *user, LbError *error);
-/* The same for callers that need more than the data: calls the handler for each line. */
+/* Like lh_sse_feed, but calls the handler for each complete line, whatever its field. */
 bool lh_sse_feed_lines (LhSse *sse,
                         const char *bytes,
                         size_t length,
--- a/packages/http/src/lh-fetch.c
+++ b/packages/http/src/lh-fetch.c
@@ -19,24 +19,24 @@
 #include <sys/queue.h>
 
 #define DEFAULT_IDLE_TIMEOUT (30 * LB_SEC)
-#define MAX_BODY_BYTES (64 << 20)
+#define MAX_BUFFERED_BODY_BYTES (64 << 20)
 
 struct LhFetch
 {
-  LbLink link; /* in LhPool.fetches, or in LhPool.failed */
+  LbLink link; /* link in LhPool.running_fetches or LhPool.failed_starts */
   LhPool *pool;
   LhConnection *connection;
   struct evhttp_request *request;
   LhHandlers handlers;
   void *user;
-  struct event *connect_timer; /* NULL: none */
-  bool bytes_handed;
-  bool is_starting;
+  struct event *connect_timer; /* NULL: connected, or no connect timeout */
+  bool bytes_handed;           /* at least one byte of the request may have been sent */
+  bool is_starting;            /* true while evhttp_make_request runs */
   LbErrorCode failure;
 };
 
 static bool
-method_from_name (const char *name, enum evhttp_cmd_type *method)
+find_method_by_name (const char *name, enum evhttp_cmd_type *method)
 {
   static const struct
   {
@@ -62,7 +62,7 @@
 {
   enum evhttp_cmd_type method;
 
-  return method_from_name (name, &method);
+  return find_method_by_name (name, &method);
 }
 
 static void
@@ -81,9 +81,8 @@
   fetch->connect_timer = NULL;
 }
 
-/* "Not run" must be proved: it requires that no byte was handed to the socket. evhttp fills the
- * output buffer only once connected, so the first byte added there is the first that may have been
- * sent. */
+/* Reports the first byte that may have been sent: a request counts as not run only if none was.
+ * evhttp adds bytes to the output buffer only after it has connected. */
 static void
 on_output_changed (struct evbuffer *buffer, const struct evbuffer_cb_info *info, void *user)
 {
@@ -97,7 +96,7 @@
 }
 
 static void
-watch_output (LhFetch *fetch, bool enable)
+set_output_callback (LhFetch *fetch, bool enable)
 {
   struct bufferevent *bev = evhttp_connection_get_bufferevent (fetch->connection->evcon);
   struct evbuffer *output = bufferevent_get_output (bev);
@@ -108,12 +107,11 @@
     evbuffer_remove_cb (output, on_output_changed, fetch);
 }
 
-/* Returns how long the connection may be idle before its next request; 0: not reusable.
- *
- * Bytes left unread would be taken for the response to the next request and reach another caller.
- * That happens after HEAD requests, to which some servers send a body all the same. */
+/* Returns the time that the connection may be idle before its next request; 0: it must not be
+ * reused. Unread bytes would be parsed as the response to the next request and reach another
+ * caller. This happens after HEAD requests, to which some servers wrongly send a body. */
 static LbTime
-get_max_idle_time (const LhFetch *fetch, struct evhttp_request *request)
+get_connection_max_idle_time (const LhFetch *fetch, struct evhttp_request *request)
 {
   struct bufferevent *bev = evhttp_connection_get_bufferevent (fetch->connection->evcon);
   struct evkeyvalq *headers;
@@ -131,23 +129,23 @@
   return lh_pool_parse_max_idle_time (evhttp_find_header (headers, "Keep-Alive"));
 }
 
-/* evhttp calls back from inside evhttp_make_request if it can't open a socket, for example because
- * all file descriptors are in use. The caller doesn't have the fetch yet, so the failure is
- * reported from the event loop. */
+/* Reports a failure of evhttp_make_request from the event loop, since the caller of lh_fetch_start
+ * doesn't have the fetch yet. evhttp fails immediately if it can't open a socket, for example
+ * because all file descriptors are in use. */
 static void
 defer_start_failure (LhFetch *fetch)
 {
-  watch_output (fetch, false);
-  lh_pool_close_later (fetch->connection);
+  set_output_callback (fetch, false);
+  lh_pool_schedule_close (fetch->connection);
   fetch->connection = NULL;
   fetch->request = NULL;
-  lb_list_remove (&fetch->pool->fetches, &fetch->link);
-  lb_list_append (&fetch->pool->failed, &fetch->link);
+  lb_list_remove (&fetch->pool->running_fetches, &fetch->link);
+  lb_list_append (&fetch->pool->failed_starts, &fetch->link);
   lh_pool_schedule_cleanup (fetch->pool);
 }
 
-/* A host that lost power doesn't answer the SYN packets, which would use up the caller's whole
- * deadline. No byte was handed over yet, so the request can go to another endpoint. */
+/* Without a connect timeout, a host that lost power and doesn't answer SYN packets would use up the
+ * caller's whole deadline. No byte was sent yet, so the request can go to another endpoint. */
 static void
 on_connect_timeout (evutil_socket_t fd, short what, void *user)
 {
@@ -159,11 +157,11 @@
   void *fetch_user = fetch->user;
 
   free_connect_timer (fetch);
-  watch_output (fetch, false);
-  lb_list_remove (&fetch->pool->fetches, &fetch->link);
+  set_output_callback (fetch, false);
+  lb_list_remove (&fetch->pool->running_fetches, &fetch->link);
   evhttp_request_set_error_cb (fetch->request, NULL);
   evhttp_cancel_request (fetch->request);
-  lh_pool_close_later (fetch->connection);
+  lh_pool_schedule_close (fetch->connection);
   fetch->connection = NULL;
   fetch->request = NULL;
   handlers.on_done (fetch, &result, fetch_user);
@@ -187,9 +185,9 @@
   LhResult result = { .bytes_handed = fetch->bytes_handed };
   LhConnection *connection = fetch->connection;
 
-  watch_output (fetch, false);
+  set_output_callback (fetch, false);
   free_connect_timer (fetch);
-  lb_list_remove (&fetch->pool->fetches, &fetch->link);
+  lb_list_remove (&fetch->pool->running_fetches, &fetch->link);
   if (request && evhttp_request_get_response_code (request) != 0 && fetch->failure == LB_OK)
     {
       struct evbuffer *input = evhttp_request_get_input_buffer (request);
@@ -199,7 +197,8 @@
     }
   else
     result.failure = fetch->failure != LB_OK ? fetch->failure : LB_ERROR_IO;
-  lh_pool_release (connection, result.failure == LB_OK ? get_max_idle_time (fetch, request) : 0);
+  lh_pool_release (connection,
+                   result.failure == LB_OK ? get_connection_max_idle_time (fetch, request) : 0);
   fetch->request = request;
   fetch->handlers.on_done (fetch, &result, fetch->user);
   free (fetch);
@@ -217,7 +216,7 @@
 }
 
 static void
-on_chunk (struct evhttp_request *request, void *user)
+on_chunk_received (struct evhttp_request *request, void *user)
 {
   LhFetch *fetch = user;
   struct evbuffer *input = evhttp_request_get_input_buffer (request);
@@ -225,7 +224,7 @@
 
   if (length == 0)
     return;
-  /* The handler may cancel the fetch, which frees the request and this buffer with it. */
+  /* Copies the chunk, since the handler may cancel the fetch, which frees the input buffer. */
   char *bytes = lb_malloc (length);
   evbuffer_remove (input, bytes, length);
   fetch->handlers.on_body_chunk (fetch, bytes, length, fetch->user);
@@ -267,14 +266,15 @@
     evhttp_add_header (headers, spec->headers[i].name, spec->headers[i].value);
   if (spec->body_length == 0)
     return;
-  /* evhttp adds this header itself only for methods that usually have a body. */
+  /* evhttp adds Content-Length itself only for methods that usually have a body, such as POST. */
   snprintf (length, sizeof length, "%zu", spec->body_length);
   evhttp_add_header (headers, "Content-Length", length);
   evbuffer_add (evhttp_request_get_output_buffer (request), spec->body, spec->body_length);
 }
 
-/* Starts an exchange. Returns NULL with an error only if the request is malformed; any other
- * failure, a refused connection included, is reported by on_done, never from inside this call. */
+/* Starts an HTTP request. Returns NULL and sets *error only if the method or address is malformed.
+ * Any other failure, such as a refused connection, is reported by on_done from the event loop,
+ * never from inside this function. */
 LhFetch *
 lh_fetch_start (
     LhPool *pool, const LhRequest *spec, const LhHandlers *handlers, void *user, LbError *error)
@@ -282,7 +282,7 @@
   enum evhttp_cmd_type method;
   LhFetch *fetch = NULL;
 
-  if (!method_from_name (spec->method, &method))
+  if (!find_method_by_name (spec->method, &method))
     {
       lb_error_set (error, LB_ERROR_BAD_VALUE, spec->method, "expected a known HTTP method");
       return NULL;
@@ -296,16 +296,16 @@
   fetch->connection = connection;
   fetch->handlers = *handlers;
   fetch->user = user;
-  lb_list_append (&pool->fetches, &fetch->link);
+  lb_list_append (&pool->running_fetches, &fetch->link);
   set_idle_timeout (connection, spec->idle_timeout > 0 ? spec->idle_timeout : DEFAULT_IDLE_TIMEOUT);
   fetch->request = evhttp_request_new (on_request_done, fetch);
   evhttp_request_set_error_cb (fetch->request, on_request_error);
   if (handlers->on_body_chunk)
-    evhttp_request_set_chunked_cb (fetch->request, on_chunk);
+    evhttp_request_set_chunked_cb (fetch->request, on_chunk_received);
   add_headers (fetch->request, spec);
-  watch_output (fetch, true);
+  set_output_callback (fetch, true);
   evhttp_connection_set_max_body_size (connection->evcon,
-                                       handlers->on_body_chunk ? -1 : MAX_BODY_BYTES);
+                                       handlers->on_body_chunk ? -1 : MAX_BUFFERED_BODY_BYTES);
   fetch->is_starting = true;
   if (evhttp_make_request (connection->evcon, fetch->request, method, spec->path) != 0)
     fetch->failure = LB_ERROR_IO;
@@ -326,26 +326,27 @@
 {
   if (!fetch->connection)
     {
-      lb_list_remove (&fetch->pool->failed, &fetch->link);
+      lb_list_remove (&fetch->pool->failed_starts, &fetch->link);
       free (fetch);
       return;
     }
-  watch_output (fetch, false);
+  set_output_callback (fetch, false);
   free_connect_timer (fetch);
-  lb_list_remove (&fetch->pool->fetches, &fetch->link);
-  /* Also frees the request. A partly read connection couldn't be reused anyway. */
+  lb_list_remove (&fetch->pool->running_fetches, &fetch->link);
+  /* evhttp_cancel_request also frees the request. The connection is closed, not reused, since its
+   * response may be partly read. */
   evhttp_request_set_error_cb (fetch->request, NULL);
   evhttp_cancel_request (fetch->request);
-  lh_pool_close_later (fetch->connection);
+  lh_pool_schedule_close (fetch->connection);
   free (fetch);
 }
 
 void
-lh_fetch_report_failed (LhPool *pool)
+lh_fetch_report_failed_starts (LhPool *pool)
 {
   LbLink *link;
 
-  while ((link = lb_list_pop (&pool->failed)))
+  while ((link = lb_list_pop (&pool->failed_starts)))
     {
       LhFetch *fetch = LB_CONTAINER (link, LhFetch, link);
       const LhResult result = { .failure = LB_ERROR_IO };
@@ -357,11 +358,11 @@
 void
 lh_fetch_cancel_all (LhPool *pool)
 {
-  LB_LIST_FOREACH (&pool->fetches, LhFetch, link, running)
+  LB_LIST_FOREACH (&pool->running_fetches, LhFetch, link, running)
   {
     lh_fetch_cancel (running);
   }
-  LB_LIST_FOREACH (&pool->failed, LhFetch, link, failed)
+  LB_LIST_FOREACH (&pool->failed_starts, LhFetch, link, failed)
   {
     lh_fetch_cancel (failed);
   }
--- a/packages/http/src/lh-pool.c
+++ b/packages/http/src/lh-pool.c
@@ -10,15 +10,16 @@
 #include <string.h>
 
 #define MAX_HEADER_BYTES (64 << 10)
-#define MAX_IDLE_PER_POOL 512
-#define MAX_IDLE_TIME (20 * LB_SEC)
-/* A Keep-Alive timeout is shortened by this: the next request takes time to arrive, and the server
- * counts from when it wrote its response. Half the shortest timeout that the header can state. */
+#define MAX_IDLE_CONNECTIONS 512
+#define MAX_CONNECTION_IDLE_TIME (20 * LB_SEC)
+/* Connections are closed this long before the timeout in the server's Keep-Alive header. The server
+ * counts from the time it wrote its response, and the next request takes time to arrive. The margin
+ * is half of the shortest timeout that the header can state, 1 s. */
 #define KEEP_ALIVE_MARGIN (500 * LB_MSEC)
-#define EXPIRY_CHECK_SECONDS 5
+#define EXPIRY_CHECK_INTERVAL_SECONDS 5
 
 static bool
-parse_address (const char *address, char *host, size_t size, int *port)
+parse_host_and_port (const char *address, char *host, size_t size, int *port)
 {
   const char *colon = strrchr (address, ':');
   char *end = NULL;
@@ -35,7 +36,7 @@
 }
 
 static void
-connection_free (LhConnection *connection)
+free_connection (LhConnection *connection)
 {
   evhttp_connection_free (connection->evcon);
   free (connection);
@@ -46,35 +47,35 @@
 {
   LbLink *link;
 
-  while ((link = lb_list_pop (&pool->closing)))
-    connection_free (LB_CONTAINER (link, LhConnection, link));
+  while ((link = lb_list_pop (&pool->closing_connections)))
+    free_connection (LB_CONTAINER (link, LhConnection, link));
 }
 
 static void
-on_cleanup (evutil_socket_t fd, short what, void *user)
+on_cleanup_event (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
 
   free_closing_connections (user);
-  lh_fetch_report_failed (user);
+  lh_fetch_report_failed_starts (user);
 }
 
 static void
-remove_from_idle (LhConnection *connection)
+remove_from_idle_list (LhConnection *connection)
 {
   connection->is_idle = false;
-  lb_list_remove (&connection->pool->idle, &connection->link);
+  lb_list_remove (&connection->pool->idle_connections, &connection->link);
 }
 
-/* Whether the server may already be closing the connection. */
+/* Whether the connection was idle for so long that the server may already be closing it. */
 static bool
-is_idle_time_over (const LhConnection *connection, LbTime now)
+has_exceeded_max_idle_time (const LhConnection *connection, LbTime now)
 {
   return now - connection->idle_since >= connection->max_idle_time;
 }
 
-/* Closes the connections that were idle for their max_idle_time. */
+/* Closes the idle connections that have exceeded their max_idle_time. */
 static void
 on_expiry_check (evutil_socket_t fd, short what, void *user)
 {
@@ -83,12 +84,12 @@
   LhPool *pool = user;
   LbTime now = lb_clock_monotonic ();
 
-  LB_LIST_FOREACH (&pool->idle, LhConnection, link, connection)
+  LB_LIST_FOREACH (&pool->idle_connections, LhConnection, link, connection)
   {
-    if (!is_idle_time_over (connection, now))
+    if (!has_exceeded_max_idle_time (connection, now))
       continue;
-    remove_from_idle (connection);
-    lb_list_append (&pool->closing, &connection->link);
+    remove_from_idle_list (connection);
+    lb_list_append (&pool->closing_connections, &connection->link);
   }
   free_closing_connections (pool);
 }
@@ -97,30 +98,30 @@
 lh_pool_new (struct event_base *base)
 {
   LhPool *pool = LB_NEW (LhPool);
-  const struct timeval period = { .tv_sec = EXPIRY_CHECK_SECONDS };
+  const struct timeval period = { .tv_sec = EXPIRY_CHECK_INTERVAL_SECONDS };
 
   pool->base = base;
-  lb_list_init (&pool->idle);
-  lb_list_init (&pool->closing);
-  lb_list_init (&pool->fetches);
-  lb_list_init (&pool->failed);
-  pool->cleanup_event = event_new (base, -1, 0, on_cleanup, pool);
+  lb_list_init (&pool->idle_connections);
+  lb_list_init (&pool->closing_connections);
+  lb_list_init (&pool->running_fetches);
+  lb_list_init (&pool->failed_starts);
+  pool->cleanup_event = event_new (base, -1, 0, on_cleanup_event, pool);
   pool->expiry_timer = event_new (base, -1, EV_PERSIST, on_expiry_check, pool);
   event_add (pool->expiry_timer, &period);
   return pool;
 }
 
-/* Cancels all fetches and closes all connections. */
+/* Cancels all fetches without calling their handlers and closes all connections. */
 void
 lh_pool_free (LhPool *pool)
 {
   if (!pool)
     return;
   lh_fetch_cancel_all (pool);
-  LB_LIST_FOREACH (&pool->idle, LhConnection, link, connection)
+  LB_LIST_FOREACH (&pool->idle_connections, LhConnection, link, connection)
   {
-    remove_from_idle (connection);
-    connection_free (connection);
+    remove_from_idle_list (connection);
+    free_connection (connection);
   }
   free_closing_connections (pool);
   event_free (pool->expiry_timer);
@@ -135,23 +136,23 @@
 }
 
 void
-lh_pool_close_later (LhConnection *connection)
+lh_pool_schedule_close (LhConnection *connection)
 {
   LhPool *pool = connection->pool;
 
-  lb_list_append (&pool->closing, &connection->link);
+  lb_list_append (&pool->closing_connections, &connection->link);
   lh_pool_schedule_cleanup (pool);
 }
 
 void
 lh_pool_close_idle_connections (LhPool *pool, const char *address)
 {
-  LB_LIST_FOREACH (&pool->idle, LhConnection, link, connection)
+  LB_LIST_FOREACH (&pool->idle_connections, LhConnection, link, connection)
   {
     if (address && strcmp (connection->address, address) != 0)
       continue;
-    remove_from_idle (connection);
-    lh_pool_close_later (connection);
+    remove_from_idle_list (connection);
+    lh_pool_schedule_close (connection);
   }
 }
 
@@ -163,45 +164,47 @@
   char *end = NULL;
   long seconds = strtol (digits, &end, 10);
 
-  if (end == digits || seconds < 0 || seconds > MAX_IDLE_TIME / LB_SEC)
-    return MAX_IDLE_TIME;
+  if (end == digits || seconds < 0 || seconds > MAX_CONNECTION_IDLE_TIME / LB_SEC)
+    return MAX_CONNECTION_IDLE_TIME;
   return seconds * LB_SEC - KEEP_ALIVE_MARGIN;
 }
 
-/* Recently used connections are kept, as they are the most likely to be reused. */
+/* Makes room in a full pool by closing the least recently used connection, which is the least
+ * likely to be reused. */
 static void
-close_longest_idle (LhPool *pool)
+close_longest_idle_connection (LhPool *pool)
 {
-  LhConnection *longest_idle = LB_CONTAINER (pool->idle.head.prev, LhConnection, link);
+  LhConnection *longest_idle = LB_CONTAINER (pool->idle_connections.head.prev, LhConnection, link);
 
-  remove_from_idle (longest_idle);
-  lh_pool_close_later (longest_idle);
+  remove_from_idle_list (longest_idle);
+  lh_pool_schedule_close (longest_idle);
 }
 
-/* Reusing a connection that the server is closing would fail the next request, so a connection is
- * kept only if its response allows it, and no longer than the server keeps it. */
+/* Keeps the connection only if its last response allows reuse, and no longer than the server does:
+ * a request on a connection that the server is closing would fail. */
 void
 lh_pool_release (LhConnection *connection, LbTime max_idle_time)
 {
-  static const struct timeval idle_timeout = { .tv_sec = 2 * MAX_IDLE_TIME / LB_SEC };
+  static const struct timeval idle_timeout = { .tv_sec = 2 * MAX_CONNECTION_IDLE_TIME / LB_SEC };
   LhPool *pool = connection->pool;
 
   if (!lb_switch_is_on (LB_SWITCH_IDLE_CONNECTIONS) || max_idle_time <= 0)
     {
-      lh_pool_close_later (connection);
+      lh_pool_schedule_close (connection);
       return;
     }
-  if (pool->idle.length >= MAX_IDLE_PER_POOL)
-    close_longest_idle (pool);
-  /* Otherwise evhttp would close it after the idle timeout of its last exchange. */
+  if (pool->idle_connections.length >= MAX_IDLE_CONNECTIONS)
+    close_longest_idle_connection (pool);
+  /* evhttp would otherwise close the connection after the idle timeout of its last request. */
   evhttp_connection_set_timeout_tv (connection->evcon, &idle_timeout);
   connection->idle_since = lb_clock_monotonic ();
   connection->max_idle_time = max_idle_time;
   connection->is_idle = true;
-  lb_list_prepend (&pool->idle, &connection->link);
+  lb_list_prepend (&pool->idle_connections, &connection->link);
 }
 
-/* The server closed the connection; only of interest while it is idle in the pool. */
+/* Removes an idle connection that the server closed. If a fetch uses the connection, the fetch
+ * reports the close. */
 static void
 on_connection_closed (struct evhttp_connection *evcon, void *user)
 {
@@ -210,17 +213,17 @@
 
   if (!connection->is_idle)
     return;
-  remove_from_idle (connection);
-  lh_pool_close_later (connection);
+  remove_from_idle_list (connection);
+  lh_pool_schedule_close (connection);
 }
 
 static LhConnection *
-connection_new (LhPool *pool, const char *address, LbError *error)
+create_connection (LhPool *pool, const char *address, LbError *error)
 {
   char host[LB_NAME_MAX];
   int port;
 
-  if (!parse_address (address, host, sizeof host, &port))
+  if (!parse_host_and_port (address, host, sizeof host, &port))
     {
       lb_error_set (error, LB_ERROR_BAD_VALUE, address, "expected an address of the form IP:PORT");
       return NULL;
@@ -241,9 +244,10 @@
   LbTime now = lb_clock_monotonic ();
   size_t n = 0;
 
-  LB_LIST_FOREACH (&pool->idle, LhConnection, link, connection)
+  LB_LIST_FOREACH (&pool->idle_connections, LhConnection, link, connection)
   {
-    n += strcmp (connection->address, address) == 0 && !is_idle_time_over (connection, now);
+    n += strcmp (connection->address, address) == 0
+         && !has_exceeded_max_idle_time (connection, now);
   }
   return n;
 }
@@ -254,12 +258,13 @@
   LbTime now = lb_clock_monotonic ();
 
   if (!must_be_new)
-    LB_LIST_FOREACH (&pool->idle, LhConnection, link, connection)
+    LB_LIST_FOREACH (&pool->idle_connections, LhConnection, link, connection)
     {
-      if (strcmp (connection->address, address) != 0 || is_idle_time_over (connection, now))
+      if (strcmp (connection->address, address) != 0
+          || has_exceeded_max_idle_time (connection, now))
         continue;
-      remove_from_idle (connection);
+      remove_from_idle_list (connection);
       return connection;
     }
-  return connection_new (pool, address, error);
+  return create_connection (pool, address, error);
 }
--- a/packages/http/src/lh-pool.h
+++ b/packages/http/src/lh-pool.h
@@ -4,17 +4,16 @@
 #include "lb-list.h"
 #include "lh-fetch.h"
 
-/* Internals of LhPool: idle connections kept for reuse, and the fetches that run on others. */
-
+/* An HTTP connection of a pool: used by a fetch, idle or closing. */
 typedef struct
 {
-  LbLink link; /* in LhPool.idle or LhPool.closing */
+  LbLink link; /* link in LhPool.idle_connections or LhPool.closing_connections */
   LhPool *pool;
   struct evhttp_connection *evcon;
   LbName address;
-  bool is_idle; /* in LhPool.idle */
+  bool is_idle; /* true while in LhPool.idle_connections */
   LbTime idle_since;
-  LbTime max_idle_time; /* a connection that was idle for so long is closed, not reused */
+  LbTime max_idle_time; /* an idle connection is closed, not reused, after this time */
 } LhConnection;
 
 struct LhPool
@@ -22,24 +21,28 @@
   struct event_base *base;
   struct event *expiry_timer;
   struct event *cleanup_event;
-  LbList idle;
-  LbList closing; /* connections to free outside evhttp's callbacks */
-  LbList fetches;
-  LbList failed; /* fetches that failed inside lh_fetch_start */
+  LbList idle_connections;
+  LbList
+      closing_connections; /* freed from the event loop, as evhttp's callbacks must not free them */
+  LbList running_fetches;
+  LbList failed_starts; /* fetches that failed inside lh_fetch_start; on_done not called yet */
 };
 
-/* Returns an idle connection to the address, or a new one; NULL for a malformed address. */
+/* Returns an idle connection to the address, or a new one if none is idle or must_be_new is set.
+ * Returns NULL if the address is malformed. */
 LhConnection *lh_pool_acquire (LhPool *pool, const char *address, bool must_be_new, LbError *error);
-/* Keeps the connection for reuse within max_idle_time; closes it if that is not positive. */
+/* Returns the connection to the pool, which may reuse it within max_idle_time. Closes it if
+ * max_idle_time is not positive. */
 void lh_pool_release (LhConnection *connection, LbTime max_idle_time);
-/* How long a connection may be idle by its response's Keep-Alive header; NULL: no header. */
+/* Returns the time that a connection may be idle by the Keep-Alive header of its last response;
+ * keep_alive NULL: the response had no such header. */
 LbTime lh_pool_parse_max_idle_time (const char *keep_alive);
-void lh_pool_close_later (LhConnection *connection);
+void lh_pool_schedule_close (LhConnection *connection);
 /* Frees closing connections and reports failed fetches in the event loop's next iteration. */
 void lh_pool_schedule_cleanup (LhPool *pool);
 
-/* in lh-fetch.c */
-void lh_fetch_report_failed (LhPool *pool);
+/* Calls on_done of the fetches in LhPool.failed_starts and frees them. Defined in lh-fetch.c. */
+void lh_fetch_report_failed_starts (LhPool *pool);
 void lh_fetch_cancel_all (LhPool *pool);
 
 #endif
--- a/packages/http/src/lh-reach.c
+++ b/packages/http/src/lh-reach.c
@@ -18,39 +18,39 @@
   LbTime hold_time;
   LhConnectProbeDone done;
   void *user;
-  int connect_error; /* errno of a failed connect (); 0: pending or established */
+  int connect_error; /* errno if connect () failed immediately; 0: pending or connected */
 };
 
 static void
-free_reach (LhConnectProbe *reach)
+free_probe (LhConnectProbe *probe)
 {
-  if (reach->event)
-    event_free (reach->event);
-  evutil_closesocket (reach->fd);
-  free (reach);
+  if (probe->event)
+    event_free (probe->event);
+  evutil_closesocket (probe->fd);
+  free (probe);
 }
 
 void
-lh_connect_probe_cancel (LhConnectProbe *reach)
+lh_connect_probe_cancel (LhConnectProbe *probe)
 {
-  free_reach (reach);
+  free_probe (probe);
 }
 
 static int
-get_error (const LhConnectProbe *reach)
+get_connect_error (const LhConnectProbe *probe)
 {
-  int error = reach->connect_error;
+  int error = probe->connect_error;
   socklen_t length = sizeof error;
 
   if (error == 0)
-    getsockopt (reach->fd, SOL_SOCKET, SO_ERROR, &error, &length);
+    getsockopt (probe->fd, SOL_SOCKET, SO_ERROR, &error, &length);
   return error;
 }
 
 static LhConnectProbeOutcome
-get_outcome (const LhConnectProbe *reach, short what)
+get_connect_outcome (const LhConnectProbe *probe, short what)
 {
-  int error = get_error (reach);
+  int error = get_connect_error (probe);
 
   if (error == ECONNREFUSED || error == ECONNRESET)
     return LH_CONNECT_PROBE_REFUSED;
@@ -58,62 +58,64 @@
 }
 
 static void
-finish_check (LhConnectProbe *reach, LhConnectProbeOutcome outcome)
+finish_probe (LhConnectProbe *probe, LhConnectProbeOutcome outcome)
 {
-  LhConnectProbeDone done = reach->done;
-  void *done_user = reach->user;
+  LhConnectProbeDone done = probe->done;
+  void *done_user = probe->user;
 
-  free_reach (reach);
+  free_probe (probe);
   done (outcome, done_user);
 }
 
-/* A listener sends nothing before a request, so only the end of the connection can be read. */
+/* Reports the address as closed if the server ended the connection during hold_time. A server sends
+ * no data before it gets a request, so a readable socket normally means end of file. */
 static void
-on_hold_end (evutil_socket_t fd, short what, void *user)
+on_hold_ended (evutil_socket_t fd, short what, void *user)
 {
   char byte;
   bool has_ended = (what & EV_READ) && recv (fd, &byte, sizeof byte, 0) <= 0;
 
-  finish_check (user, has_ended ? LH_CONNECT_PROBE_CLOSED : LH_CONNECT_PROBE_OPEN);
+  finish_probe (user, has_ended ? LH_CONNECT_PROBE_CLOSED : LH_CONNECT_PROBE_OPEN);
 }
 
 static void
-start_hold (LhConnectProbe *reach)
+start_watching_for_close (LhConnectProbe *probe)
 {
-  const struct timeval wait = lb_time_to_timeval (reach->hold_time);
+  const struct timeval wait = lb_time_to_timeval (probe->hold_time);
 
-  event_free (reach->event);
-  reach->event = event_new (reach->base, reach->fd, EV_READ, on_hold_end, reach);
-  event_add (reach->event, &wait);
+  event_free (probe->event);
+  probe->event = event_new (probe->base, probe->fd, EV_READ, on_hold_ended, probe);
+  event_add (probe->event, &wait);
 }
 
 static void
-on_connect_end (evutil_socket_t fd, short what, void *user)
+on_connect_ended (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
-  LhConnectProbe *reach = user;
-  LhConnectProbeOutcome outcome = get_outcome (reach, what);
+  LhConnectProbe *probe = user;
+  LhConnectProbeOutcome outcome = get_connect_outcome (probe, what);
 
-  if (outcome == LH_CONNECT_PROBE_OPEN && reach->hold_time > 0)
-    start_hold (reach);
+  if (outcome == LH_CONNECT_PROBE_OPEN && probe->hold_time > 0)
+    start_watching_for_close (probe);
   else
-    finish_check (reach, outcome);
+    finish_probe (probe, outcome);
 }
 
-/* Also reports a connect that fails immediately from the event loop. */
+/* Starts a non-blocking connect. An immediate result is also reported from the event loop, so that
+ * done is never called from inside lh_connect_probe_start. */
 static void
-start_connect (LhConnectProbe *reach, const struct sockaddr_in *target, LbTime timeout)
+start_connecting (LhConnectProbe *probe, const struct sockaddr_in *target, LbTime timeout)
 {
   const struct timeval wait = lb_time_to_timeval (timeout);
 
-  if (connect (reach->fd, (const struct sockaddr *)target, sizeof *target) == 0)
-    event_active (reach->event, EV_WRITE, 0);
+  if (connect (probe->fd, (const struct sockaddr *)target, sizeof *target) == 0)
+    event_active (probe->event, EV_WRITE, 0);
   else if (errno == EINPROGRESS)
-    event_add (reach->event, &wait);
+    event_add (probe->event, &wait);
   else
     {
-      reach->connect_error = errno;
-      event_active (reach->event, EV_WRITE, 0);
+      probe->connect_error = errno;
+      event_active (probe->event, EV_WRITE, 0);
     }
 }
 
@@ -126,7 +128,7 @@
 {
   struct sockaddr_in target = { 0 };
   int length = sizeof target;
-  LhConnectProbe *reach = NULL;
+  LhConnectProbe *probe = NULL;
   int fd = -1;
 
   if (evutil_parse_sockaddr_port (address, (struct sockaddr *)&target, &length) != 0
@@ -135,13 +137,13 @@
   fd = socket (AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0)
     return NULL;
-  reach = LB_NEW (LhConnectProbe);
-  reach->base = base;
-  reach->fd = fd;
-  reach->hold_time = times->hold_time;
-  reach->done = done;
-  reach->user = user;
-  reach->event = event_new (base, fd, EV_WRITE, on_connect_end, reach);
-  start_connect (reach, &target, times->connect_timeout);
-  return reach;
+  probe = LB_NEW (LhConnectProbe);
+  probe->base = base;
+  probe->fd = fd;
+  probe->hold_time = times->hold_time;
+  probe->done = done;
+  probe->user = user;
+  probe->event = event_new (base, fd, EV_WRITE, on_connect_ended, probe);
+  start_connecting (probe, &target, times->connect_timeout);
+  return probe;
 }
--- a/packages/http/src/lh-socket.c
+++ b/packages/http/src/lh-socket.c
@@ -4,9 +4,9 @@
 #include <netinet/tcp.h>
 #include <sys/socket.h>
 
-/* A middlebox may lose track of an open connection, which then stays silent for good without either
- * end learning that the other is gone. The kernel detects this by probes on an idle connection and
- * by unacknowledged data on a busy one, and ends the connection with an error. */
+/* A middlebox may drop its state of an open connection, and all later packets of the connection are
+ * lost without an error at either end. The kernel detects this by keep-alive probes if the
+ * connection is idle and by unacknowledged data if it is busy, and then fails the connection. */
 void
 lh_socket_enable_keepalive (int fd)
 {
--- a/packages/http/src/lh-sse.c
+++ b/packages/http/src/lh-sse.c
@@ -20,7 +20,7 @@
 }
 
 static void
-append (LhSse *sse, const char *bytes, size_t length)
+append_to_buffer (LhSse *sse, const char *bytes, size_t length)
 {
   if (sse->length + length > sse->capacity)
     {
@@ -35,15 +35,16 @@
 {
   LhSseHandler handler;
   void *user;
-} DataReader;
+} DataLineHandler;
 
-/* Engines send one data line per event, so each data line is treated as an event. */
+/* Passes the value of a `data:` line to the handler. Engines send one data line per event, so each
+ * data line counts as a whole event. */
 static void
-handle_line (const char *line, size_t length, void *user)
+forward_data_line (const char *line, size_t length, void *user)
 {
   static const char prefix[] = "data:";
   const size_t prefix_length = sizeof prefix - 1;
-  const DataReader *reader = user;
+  const DataLineHandler *data_handler = user;
 
   if (length < prefix_length || memcmp (line, prefix, prefix_length) != 0)
     return;
@@ -54,16 +55,16 @@
       line++;
       length--;
     }
-  reader->handler (line, length, reader->user);
+  data_handler->handler (line, length, data_handler->user);
 }
 
 bool
 lh_sse_feed (
     LhSse *sse, const char *bytes, size_t length, LhSseHandler handler, void *user, LbError *error)
 {
-  DataReader reader = { .handler = handler, .user = user };
+  DataLineHandler data_handler = { .handler = handler, .user = user };
 
-  return lh_sse_feed_lines (sse, bytes, length, handle_line, &reader, error);
+  return lh_sse_feed_lines (sse, bytes, length, forward_data_line, &data_handler, error);
 }
 
 bool
@@ -78,7 +79,7 @@
 
   if (length == 0)
     return true;
-  append (sse, bytes, length);
+  append_to_buffer (sse, bytes, length);
   for (;;)
     {
       const char *newline = memchr (sse->buffer + start, '\n', sse->length - start);
--- a/packages/http/tests/test-fetch.c
+++ b/packages/http/tests/test-fetch.c
@@ -16,24 +16,25 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* The test acts as the server and runs the event loop in between. */
+/* Client, event loop and listening socket of a test. The test plays the server on plain sockets and
+ * runs the client's event loop in between. */
 typedef struct
 {
   struct event_base *base;
   LhPool *pool;
   int listener;
   LbName address;
-  char request[4096]; /* as read by the server */
-  size_t length;
-  bool is_closed;
-  /* as reported to the client */
-  int n_done;
+  char request[4096]; /* bytes that the server has received */
+  size_t request_length;
+  bool is_closed; /* the server has read the end of the connection */
+  /* results passed to the client's on_done */
+  int n_done; /* number of on_done calls */
   LbErrorCode failure;
   bool bytes_handed;
   int status;
   char body[4096];
   char header[64];
-  LhFetch *cancel_at_chunk; /* cancelled by the handler at its first chunk */
+  LhFetch *cancel_at_chunk; /* fetch to cancel from the body chunk handler; NULL: none */
   int n_chunks;
 } Fixture;
 
@@ -69,7 +70,7 @@
   usleep (200);
 }
 
-#define UNTIL(f, condition)                                                                        \
+#define RUN_LOOP_UNTIL(f, condition)                                                               \
   do                                                                                               \
     {                                                                                              \
       LbTime end_ = lb_clock_monotonic () + 20 * LB_SEC;                                           \
@@ -81,7 +82,7 @@
   while (0)
 
 static void
-on_done (LhFetch *fetch, const LhResult *result, void *user)
+record_result (LhFetch *fetch, const LhResult *result, void *user)
 {
   Fixture *f = user;
   const char *header = lh_fetch_get_response_header (fetch, "x-kind");
@@ -95,7 +96,7 @@
 }
 
 static void
-on_body_chunk_received (LhFetch *fetch, const char *bytes, size_t length, void *user)
+append_body_chunk (LhFetch *fetch, const char *bytes, size_t length, void *user)
 {
   Fixture *f = user;
 
@@ -106,7 +107,7 @@
 }
 
 static LhFetch *
-start (Fixture *f, const char *method, const char *body, bool streams, LbTime idle_timeout)
+start_fetch (Fixture *f, const char *method, const char *body, bool streams, LbTime idle_timeout)
 {
   const LhRequest request = { .method = method,
                               .address = f->address,
@@ -115,7 +116,7 @@
                               .body_length = strlen (body),
                               .idle_timeout = idle_timeout };
   const LhHandlers handlers
-      = { .on_body_chunk = streams ? on_body_chunk_received : NULL, .on_done = on_done };
+      = { .on_body_chunk = streams ? append_body_chunk : NULL, .on_done = record_result };
   LbError error = { 0 };
   LhFetch *fetch = lh_fetch_start (f->pool, &request, &handlers, f, &error);
 
@@ -125,26 +126,27 @@
 }
 
 static bool
-server_read (Fixture *f, int fd, const char *needle)
+server_receive_available (Fixture *f, int fd, const char *needle)
 {
-  ssize_t got = recv (fd, f->request + f->length, sizeof f->request - 1 - f->length, MSG_DONTWAIT);
+  ssize_t got = recv (fd, f->request + f->request_length, sizeof f->request - 1 - f->request_length,
+                      MSG_DONTWAIT);
 
   if (got > 0)
-    f->length += (size_t)got;
+    f->request_length += (size_t)got;
   f->is_closed = f->is_closed || got == 0;
-  f->request[f->length] = '\0';
+  f->request[f->request_length] = '\0';
   return needle && strstr (f->request, needle);
 }
 
 static int
-server_accept (Fixture *f, const char *needle)
+server_accept_request (Fixture *f, const char *needle)
 {
   int fd = -1;
 
-  f->length = 0;
+  f->request_length = 0;
   f->request[0] = '\0';
-  UNTIL (f, (fd = accept (f->listener, NULL, NULL)) >= 0);
-  UNTIL (f, server_read (f, fd, needle));
+  RUN_LOOP_UNTIL (f, (fd = accept (f->listener, NULL, NULL)) >= 0);
+  RUN_LOOP_UNTIL (f, server_receive_available (f, fd, needle));
   return fd;
 }
 
@@ -159,12 +161,12 @@
   Fixture f;
 
   fixture_init (&f);
-  start (&f, "DELETE", "bye", false, 0);
-  int fd = server_accept (&f, "\r\n\r\nbye");
+  start_fetch (&f, "DELETE", "bye", false, 0);
+  int fd = server_accept_request (&f, "\r\n\r\nbye");
   cr_assert (strstr (f.request, "DELETE /p?q=1 HTTP/1.1"));
   cr_assert (strstr (f.request, "Content-Length: 3"));
   server_send (fd, "HTTP/1.1 404 No\r\nx-kind: short\r\nContent-Length: 4\r\n\r\nnone");
-  UNTIL (&f, f.n_done);
+  RUN_LOOP_UNTIL (&f, f.n_done);
   cr_assert_eq (f.failure, LB_OK);
   cr_assert_eq (f.status, 404);
   cr_assert_str_eq (f.body, "none");
@@ -178,18 +180,18 @@
   Fixture f;
 
   fixture_init (&f);
-  start (&f, "GET", "", false, 0);
-  int fd = server_accept (&f, "\r\n\r\n");
+  start_fetch (&f, "GET", "", false, 0);
+  int fd = server_accept_request (&f, "\r\n\r\n");
   server_send (fd, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-  UNTIL (&f, f.n_done);
+  RUN_LOOP_UNTIL (&f, f.n_done);
   f.n_done = 0;
-  f.length = 0;
-  start (&f, "GET", "", false, 0);
-  UNTIL (&f, server_read (&f, fd, "\r\n\r\n"));
+  f.request_length = 0;
+  start_fetch (&f, "GET", "", false, 0);
+  RUN_LOOP_UNTIL (&f, server_receive_available (&f, fd, "\r\n\r\n"));
   server_send (fd, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-  UNTIL (&f, f.n_done);
+  RUN_LOOP_UNTIL (&f, f.n_done);
   lh_pool_close_idle_connections (f.pool, f.address);
-  UNTIL (&f, (server_read (&f, fd, NULL), f.is_closed));
+  RUN_LOOP_UNTIL (&f, (server_receive_available (&f, fd, NULL), f.is_closed));
   close (fd);
   fixture_clear (&f);
 }
@@ -201,68 +203,70 @@
   Fixture f;
 
   fixture_init (&f);
-  start (&f, "GET", "", false, 0);
-  int fd = server_accept (&f, "\r\n\r\n");
+  start_fetch (&f, "GET", "", false, 0);
+  int fd = server_accept_request (&f, "\r\n\r\n");
   server_send (fd, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none"
                    "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstolen");
-  UNTIL (&f, f.n_done);
+  RUN_LOOP_UNTIL (&f, f.n_done);
   cr_assert_str_eq (f.body, "one");
   f.n_done = 0;
   f.body[0] = '\0';
-  start (&f, "GET", "", false, 0);
-  int fresh = server_accept (&f, "\r\n\r\n");
-  server_send (fresh, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo");
-  UNTIL (&f, f.n_done);
+  start_fetch (&f, "GET", "", false, 0);
+  int new_fd = server_accept_request (&f, "\r\n\r\n");
+  server_send (new_fd, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo");
+  RUN_LOOP_UNTIL (&f, f.n_done);
   cr_assert_str_eq (f.body, "two");
   close (fd);
-  close (fresh);
+  close (new_fd);
   fixture_clear (&f);
 }
 
-/* Nothing listens at the address, so no byte is handed to a socket, which proves that the request
- * did not run. */
+/* No process listens on the address, so no byte of the request is sent. The result must show it,
+ * since it proves that the request did not run. */
 Test (fetch, refused_connection_hands_over_no_byte)
 {
   Fixture f;
 
   fixture_init (&f);
   close (f.listener);
-  start (&f, "POST", "x", false, 0);
-  UNTIL (&f, f.n_done);
+  start_fetch (&f, "POST", "x", false, 0);
+  RUN_LOOP_UNTIL (&f, f.n_done);
   cr_assert_neq (f.failure, LB_OK);
   cr_assert_not (f.bytes_handed);
   f.listener = -1;
   fixture_clear (&f);
 }
 
-/* The server reads the request and closes the connection: the request may have run. */
+/* The server reads the request and closes the connection without a response: the request may have
+ * run. */
 Test (fetch, close_after_the_request_counts_as_bytes_handed)
 {
   Fixture f;
 
   fixture_init (&f);
-  start (&f, "POST", "x", false, 0);
-  int fd = server_accept (&f, "\r\n\r\nx");
+  start_fetch (&f, "POST", "x", false, 0);
+  int fd = server_accept_request (&f, "\r\n\r\nx");
   close (fd);
-  UNTIL (&f, f.n_done);
+  RUN_LOOP_UNTIL (&f, f.n_done);
   cr_assert_neq (f.failure, LB_OK);
   cr_assert (f.bytes_handed);
   fixture_clear (&f);
 }
 
-/* A body that ends before its stated length is no valid response, however much of it arrived. */
+/* The server closes the connection before the whole Content-Length has arrived. The partial body
+ * must not be reported as a response. */
 Test (fetch, truncated_body_is_a_failure)
 {
   Fixture f;
 
   fixture_init (&f);
-  start (&f, "GET", "", false, 0);
-  int fd = server_accept (&f, "\r\n\r\n");
+  start_fetch (&f, "GET", "", false, 0);
+  int fd = server_accept_request (&f, "\r\n\r\n");
   server_send (fd, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
   for (int i = 0; i < 20; i++)
     run_loop_once (&f);
   close (fd);
-  UNTIL (&f, f.n_done);
+  RUN_LOOP_UNTIL (&f, f.n_done);
   cr_assert_neq (f.failure, LB_OK);
   fixture_clear (&f);
 }
@@ -272,10 +276,10 @@
   Fixture f;
 
   fixture_init (&f);
-  start (&f, "GET", "", true, 50 * LB_MSEC);
-  int fd = server_accept (&f, "\r\n\r\n");
+  start_fetch (&f, "GET", "", true, 50 * LB_MSEC);
+  int fd = server_accept_request (&f, "\r\n\r\n");
   server_send (fd, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n");
-  UNTIL (&f, f.n_done);
+  RUN_LOOP_UNTIL (&f, f.n_done);
   cr_assert_eq (f.failure, LB_ERROR_TIMEOUT);
   cr_assert_eq (f.n_done, 1);
   cr_assert_str_eq (f.body, "one");
@@ -283,51 +287,52 @@
   fixture_clear (&f);
 }
 
-/* The reader of a stream cancels it from inside the chunk handler. */
-Test (fetch, cancel_inside_the_chunk_handler)
+/* The client cancels a streamed fetch from inside its chunk handler: no further handler may be
+ * called, and the connection must be closed. */
+Test (fetch, cancel_inside_the_chunk_handler_ends_the_fetch)
 {
   Fixture f;
 
   fixture_init (&f);
-  f.cancel_at_chunk = start (&f, "GET", "", true, 0);
-  int fd = server_accept (&f, "\r\n\r\n");
+  f.cancel_at_chunk = start_fetch (&f, "GET", "", true, 0);
+  int fd = server_accept_request (&f, "\r\n\r\n");
   server_send (fd, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n3\r\ntwo\r\n");
-  UNTIL (&f, f.n_chunks > 0);
-  UNTIL (&f, (server_read (&f, fd, NULL), f.is_closed));
+  RUN_LOOP_UNTIL (&f, f.n_chunks > 0);
+  RUN_LOOP_UNTIL (&f, (server_receive_available (&f, fd, NULL), f.is_closed));
   cr_assert_eq (f.n_chunks, 1);
   cr_assert_eq (f.n_done, 0);
   close (fd);
   fixture_clear (&f);
 }
 
-Test (fetch, cancel_before_the_connection_is_established)
+Test (fetch, cancel_before_connecting_calls_no_handler)
 {
   Fixture f;
 
   fixture_init (&f);
-  lh_fetch_cancel (start (&f, "GET", "", true, 0));
+  lh_fetch_cancel (start_fetch (&f, "GET", "", true, 0));
   for (int i = 0; i < 20; i++)
     run_loop_once (&f);
   cr_assert_eq (f.n_done, 0);
   fixture_clear (&f);
 }
 
-/* All file descriptors are in use. The failure must be reported from the event loop, after
- * lh_fetch_start has returned the fetch that it belongs to. */
+/* All file descriptors are in use, so no socket can be opened. The failure must be reported from
+ * the event loop: the caller has the fetch only after lh_fetch_start has returned. */
 Test (fetch, exhausted_descriptors_are_reported_from_the_event_loop)
 {
   Fixture f;
-  struct rlimit limit, none;
+  struct rlimit limit, no_free_descriptors;
 
   fixture_init (&f);
   getrlimit (RLIMIT_NOFILE, &limit);
-  none = limit;
-  none.rlim_cur = (rlim_t)dup (0);
-  close ((int)none.rlim_cur);
-  setrlimit (RLIMIT_NOFILE, &none);
-  start (&f, "GET", "", false, 0);
-  lh_fetch_cancel (start (&f, "GET", "", false, 0));
-  UNTIL (&f, f.n_done);
+  no_free_descriptors = limit;
+  no_free_descriptors.rlim_cur = (rlim_t)dup (0);
+  close ((int)no_free_descriptors.rlim_cur);
+  setrlimit (RLIMIT_NOFILE, &no_free_descriptors);
+  start_fetch (&f, "GET", "", false, 0);
+  lh_fetch_cancel (start_fetch (&f, "GET", "", false, 0));
+  RUN_LOOP_UNTIL (&f, f.n_done);
   setrlimit (RLIMIT_NOFILE, &limit);
   cr_assert_eq (f.n_done, 1);
   cr_assert_neq (f.failure, LB_OK);
@@ -335,33 +340,34 @@
   fixture_clear (&f);
 }
 
-/* A service works for a minute without sending anything, and its instance loses power. Nothing
- * closes the connection, so only the kernel's probes can detect it, and they must be enabled. */
+/* A server computes a response for a minute without sending a byte, and its machine loses power.
+ * Nothing closes the connection, so only TCP keep-alive detects the failure and must be enabled. */
 Test (fetch, sockets_detect_dead_connections)
 {
   Fixture f;
   int max_unacked_ms = 0;
-  int found = 0;
+  int n_client_sockets = 0;
   socklen_t size = sizeof max_unacked_ms;
 
   fixture_init (&f);
-  start (&f, "GET", "", false, 0);
-  int server = server_accept (&f, "\r\n\r\n");
+  start_fetch (&f, "GET", "", false, 0);
+  int server = server_accept_request (&f, "\r\n\r\n");
   for (int fd = 3; fd < 64; fd++)
     {
-      struct sockaddr_in peer = { 0 };
-      socklen_t length = sizeof peer;
+      struct sockaddr_in peer_address = { 0 };
+      socklen_t length = sizeof peer_address;
       char address[LB_NAME_MAX];
-      if (getpeername (fd, (struct sockaddr *)&peer, &length) != 0 || peer.sin_family != AF_INET)
+      if (getpeername (fd, (struct sockaddr *)&peer_address, &length) != 0
+          || peer_address.sin_family != AF_INET)
         continue;
-      snprintf (address, sizeof address, "127.0.0.1:%d", ntohs (peer.sin_port));
+      snprintf (address, sizeof address, "127.0.0.1:%d", ntohs (peer_address.sin_port));
       if (strcmp (address, f.address) != 0)
         continue;
-      found++;
+      n_client_sockets++;
       getsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &max_unacked_ms, &size);
       cr_assert_eq (max_unacked_ms, 6000);
     }
-  cr_assert_eq (found, 1);
+  cr_assert_eq (n_client_sockets, 1);
   close (server);
   fixture_clear (&f);
 }
@@ -370,7 +376,7 @@
 {
   Fixture f;
   LbError error = { 0 };
-  const LhHandlers handlers = { .on_done = on_done };
+  const LhHandlers handlers = { .on_done = record_result };
   LhRequest request = { .method = "BREW", .address = "127.0.0.1:1", .path = "/" };
 
   fixture_init (&f);
@@ -383,57 +389,57 @@
   fixture_clear (&f);
 }
 
-/* A connection is idle for longer than the 100 ms allowed in its last exchange. That timeout
- * continued to apply and closed it, so the next request needed a new connection: a thousand of them
- * in half a minute of low load. */
+/* A connection is idle in the pool for longer than the 100 ms idle timeout of its last request. The
+ * timeout still applied and closed the connection, so the next request opened a new one: a thousand
+ * new connections in half a minute of low load. */
 Test (fetch, idle_connection_outlives_the_timeout_of_its_last_exchange)
 {
   Fixture f;
-  LbTime end = 0;
+  LbTime wait_until = 0;
 
   fixture_init (&f);
-  start (&f, "GET", "", false, 100 * LB_MSEC);
-  int fd = server_accept (&f, "\r\n\r\n");
+  start_fetch (&f, "GET", "", false, 100 * LB_MSEC);
+  int fd = server_accept_request (&f, "\r\n\r\n");
   server_send (fd, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-  UNTIL (&f, f.n_done);
-  end = lb_clock_monotonic () + 500 * LB_MSEC;
-  while (lb_clock_monotonic () < end)
+  RUN_LOOP_UNTIL (&f, f.n_done);
+  wait_until = lb_clock_monotonic () + 500 * LB_MSEC;
+  while (lb_clock_monotonic () < wait_until)
     run_loop_once (&f);
-  f.length = 0;
-  server_read (&f, fd, NULL);
+  f.request_length = 0;
+  server_receive_available (&f, fd, NULL);
   cr_assert_not (f.is_closed);
   f.n_done = 0;
-  start (&f, "GET", "", false, 0);
-  UNTIL (&f, server_read (&f, fd, "\r\n\r\n"));
+  start_fetch (&f, "GET", "", false, 0);
+  RUN_LOOP_UNTIL (&f, server_receive_available (&f, fd, "\r\n\r\n"));
   close (fd);
   fixture_clear (&f);
 }
 
-/* An engine closes idle connections after the one second stated in its Keep-Alive header. A request
- * sent at that moment fails, and one that must not run twice is answered 502 although the engine
- * never received it. */
+/* An engine closes idle connections after the 1 s in its Keep-Alive header. A request sent at that
+ * moment fails; if it is not idempotent, the caller gets a 502 although the engine never received
+ * it. The connection must not be reused shortly before that time. */
 Test (fetch, idle_connection_is_not_reused_near_its_keep_alive_timeout)
 {
   Fixture f;
-  LbTime end = 0;
+  LbTime wait_until = 0;
 
   fixture_init (&f);
-  start (&f, "GET", "", false, 0);
-  int fd = server_accept (&f, "\r\n\r\n");
+  start_fetch (&f, "GET", "", false, 0);
+  int fd = server_accept_request (&f, "\r\n\r\n");
   server_send (fd, "HTTP/1.1 200 OK\r\nKeep-Alive: max=9, timeout=1\r\nContent-Length: 0\r\n\r\n");
-  UNTIL (&f, f.n_done);
-  end = lb_clock_monotonic () + 800 * LB_MSEC;
-  while (lb_clock_monotonic () < end)
+  RUN_LOOP_UNTIL (&f, f.n_done);
+  wait_until = lb_clock_monotonic () + 800 * LB_MSEC;
+  while (lb_clock_monotonic () < wait_until)
     run_loop_once (&f);
   f.n_done = 0;
-  start (&f, "GET", "", false, 0);
-  int fresh = server_accept (&f, "\r\n\r\n");
+  start_fetch (&f, "GET", "", false, 0);
+  int new_fd = server_accept_request (&f, "\r\n\r\n");
   close (fd);
-  close (fresh);
+  close (new_fd);
   fixture_clear (&f);
 }
 
-/* The endpoint receives the host of the route, not its own address. */
+/* The Host header must be LhRequest.host if that is set, not the address. */
 Test (fetch, host_header_may_differ_from_the_address)
 {
   Fixture f;
@@ -441,35 +447,35 @@
   fixture_init (&f);
   const LhRequest request
       = { .method = "GET", .address = f.address, .path = "/", .host = "shop.example" };
-  const LhHandlers handlers = { .on_done = on_done };
+  const LhHandlers handlers = { .on_done = record_result };
   lh_fetch_start (f.pool, &request, &handlers, &f, NULL);
-  int fd = server_accept (&f, "\r\n\r\n");
+  int fd = server_accept_request (&f, "\r\n\r\n");
   cr_assert (strstr (f.request, "Host: shop.example\r\n"));
   close (fd);
   fixture_clear (&f);
 }
 
-/* A host that lost power doesn't answer SYN packets. A caller with a deadline of two seconds got no
- * answer although other endpoints were idle. No byte was handed over, so the request can go
- * elsewhere after the connect timeout. */
+/* A host that lost power doesn't answer SYN packets. A caller with a deadline of 2 s got no answer
+ * although other endpoints were idle. The fetch must end after the connect timeout and show that no
+ * byte was sent, so that the request can go to another endpoint. */
 Test (fetch, unanswered_connect_ends_after_the_connect_timeout)
 {
   Fixture f;
-  int fillers[64];
+  int queued_fds[64];
   int n = 0;
   struct sockaddr_in at = { .sin_family = AF_INET, .sin_addr.s_addr = htonl (INADDR_LOOPBACK) };
   socklen_t length = sizeof at;
 
   fixture_init (&f);
   /* A listener with a full accept queue drops further SYN packets. */
-  int full = socket (AF_INET, SOCK_STREAM, 0);
-  cr_assert_eq (bind (full, (struct sockaddr *)&at, sizeof at), 0);
-  cr_assert_eq (listen (full, 0), 0);
-  getsockname (full, (struct sockaddr *)&at, &length);
+  int full_listener = socket (AF_INET, SOCK_STREAM, 0);
+  cr_assert_eq (bind (full_listener, (struct sockaddr *)&at, sizeof at), 0);
+  cr_assert_eq (listen (full_listener, 0), 0);
+  getsockname (full_listener, (struct sockaddr *)&at, &length);
   for (; n < 8; n++)
     {
-      fillers[n] = socket (AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
-      (void)connect (fillers[n], (struct sockaddr *)&at, sizeof at);
+      queued_fds[n] = socket (AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
+      (void)connect (queued_fds[n], (struct sockaddr *)&at, sizeof at);
     }
   usleep (100000);
   snprintf (f.address, sizeof f.address, "127.0.0.1:%d", ntohs (at.sin_port));
@@ -478,13 +484,13 @@
                               .path = "/",
                               .connect_timeout = 200 * LB_MSEC,
                               .idle_timeout = 60 * LB_SEC };
-  const LhHandlers handlers = { .on_done = on_done };
+  const LhHandlers handlers = { .on_done = record_result };
   lh_fetch_start (f.pool, &request, &handlers, &f, NULL);
-  UNTIL (&f, f.n_done);
+  RUN_LOOP_UNTIL (&f, f.n_done);
   cr_assert_eq (f.failure, LB_ERROR_TIMEOUT);
   cr_assert_not (f.bytes_handed);
   while (n > 0)
-    close (fillers[--n]);
-  close (full);
+    close (queued_fds[--n]);
+  close (full_listener);
   fixture_clear (&f);
 }
--- a/packages/http/tests/test-reach.c
+++ b/packages/http/tests/test-reach.c
@@ -16,7 +16,7 @@
   struct event_base *base;
   int listener;
   LbName address;
-  int calls;
+  int n_done_calls;
   LhConnectProbeOutcome outcome;
 } Fixture;
 
@@ -43,29 +43,29 @@
 }
 
 static void
-on_done (LhConnectProbeOutcome outcome, void *user)
+record_outcome (LhConnectProbeOutcome outcome, void *user)
 {
   Fixture *f = user;
 
-  f->calls++;
+  f->n_done_calls++;
   f->outcome = outcome;
 }
 
 static void
-check_with_hold (Fixture *f, LbTime connect_timeout, LbTime hold_time)
+probe_with_hold_time (Fixture *f, LbTime connect_timeout, LbTime hold_time)
 {
   const LhConnectProbeTimes times = { .connect_timeout = connect_timeout, .hold_time = hold_time };
 
-  cr_assert (lh_connect_probe_start (f->base, f->address, &times, on_done, f));
-  cr_assert_eq (f->calls, 0, "done was called from inside lh_reach_start");
+  cr_assert (lh_connect_probe_start (f->base, f->address, &times, record_outcome, f));
+  cr_assert_eq (f->n_done_calls, 0, "done was called from inside lh_connect_probe_start");
   event_base_dispatch (f->base);
-  cr_assert_eq (f->calls, 1);
+  cr_assert_eq (f->n_done_calls, 1);
 }
 
 static void
-check (Fixture *f, LbTime connect_timeout)
+probe_without_hold_time (Fixture *f, LbTime connect_timeout)
 {
-  check_with_hold (f, connect_timeout, 0);
+  probe_with_hold_time (f, connect_timeout, 0);
 }
 
 Test (reach, reports_a_listener_as_open)
@@ -73,7 +73,7 @@
   Fixture f;
 
   fixture_init (&f, 8);
-  check (&f, 10 * LB_SEC);
+  probe_without_hold_time (&f, 10 * LB_SEC);
   cr_assert_eq (f.outcome, LH_CONNECT_PROBE_OPEN);
   fixture_clear (&f);
 }
@@ -85,36 +85,37 @@
   fixture_init (&f, 8);
   close (f.listener);
   f.listener = -1;
-  check (&f, 10 * LB_SEC);
+  probe_without_hold_time (&f, 10 * LB_SEC);
   cr_assert_eq (f.outcome, LH_CONNECT_PROBE_REFUSED);
   fixture_clear (&f);
 }
 
-/* A host that is off or unreachable doesn't answer, and neither does a listener with a full accept
- * queue. That must not count as proof that the process has ended. */
-Test (reach, reports_no_answer_as_silent)
+/* A host that is off or unreachable doesn't answer a connect, nor does a listener with a full
+ * accept queue. The probe must report "no answer", which is no proof that the process has ended. */
+Test (reach, reports_unanswered_connect_as_no_answer)
 {
   Fixture f;
   struct sockaddr_in at = { 0 };
   socklen_t length = sizeof at;
-  int queued[3];
+  int queued_fds[3];
 
   fixture_init (&f, 0);
   getsockname (f.listener, (struct sockaddr *)&at, &length);
   for (int i = 0; i < 3; i++)
     {
-      queued[i] = socket (AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
-      cr_assert (connect (queued[i], (struct sockaddr *)&at, length) == 0 || errno == EINPROGRESS);
+      queued_fds[i] = socket (AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
+      cr_assert (connect (queued_fds[i], (struct sockaddr *)&at, length) == 0
+                 || errno == EINPROGRESS);
     }
-  check (&f, 100 * LB_MSEC);
+  probe_without_hold_time (&f, 100 * LB_MSEC);
   cr_assert_eq (f.outcome, LH_CONNECT_PROBE_NO_ANSWER);
   for (int i = 0; i < 3; i++)
-    close (queued[i]);
+    close (queued_fds[i]);
   fixture_clear (&f);
 }
 
 static void
-close_listener (evutil_socket_t fd, short what, void *user)
+on_close_listener_timer (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -124,17 +125,17 @@
   f->listener = -1;
 }
 
-/* A process that ends on a busy host loses its connections first and stops listening a moment
- * later. A connection opened in between is accepted and then reset. */
+/* On a busy host, the kernel closes an exiting process's connections first and its listening socket
+ * a moment later. A connection opened in between is accepted and then reset. */
 Test (reach, reports_a_listener_about_to_stop_as_closed)
 {
   const struct timeval soon = { .tv_usec = 20000 };
   Fixture f;
 
   fixture_init (&f, 8);
-  struct event *timer = evtimer_new (f.base, close_listener, &f);
+  struct event *timer = evtimer_new (f.base, on_close_listener_timer, &f);
   event_add (timer, &soon);
-  check_with_hold (&f, 10 * LB_SEC, 10 * LB_SEC);
+  probe_with_hold_time (&f, 10 * LB_SEC, 10 * LB_SEC);
   cr_assert_eq (f.outcome, LH_CONNECT_PROBE_CLOSED);
   event_free (timer);
   fixture_clear (&f);
@@ -145,7 +146,7 @@
   Fixture f;
 
   fixture_init (&f, 8);
-  check_with_hold (&f, 10 * LB_SEC, 30 * LB_MSEC);
+  probe_with_hold_time (&f, 10 * LB_SEC, 30 * LB_MSEC);
   cr_assert_eq (f.outcome, LH_CONNECT_PROBE_OPEN);
   fixture_clear (&f);
 }
@@ -156,9 +157,9 @@
   Fixture f;
 
   fixture_init (&f, 8);
-  cr_assert_null (lh_connect_probe_start (f.base, "nonsense", &times, on_done, &f));
-  lh_connect_probe_cancel (lh_connect_probe_start (f.base, f.address, &times, on_done, &f));
+  cr_assert_null (lh_connect_probe_start (f.base, "nonsense", &times, record_outcome, &f));
+  lh_connect_probe_cancel (lh_connect_probe_start (f.base, f.address, &times, record_outcome, &f));
   event_base_dispatch (f.base);
-  cr_assert_eq (f.calls, 0);
+  cr_assert_eq (f.n_done_calls, 0);
   fixture_clear (&f);
 }
