--- a/packages/wire/include/lw-frame.h
+++ b/packages/wire/include/lw-frame.h
@@ -3,27 +3,29 @@
 
 #include "lb-error.h"
 
-/* Version of the frames between instances; a different one closes the connection. */
+/* Version of the frame format between instances. A frame of a different version closes the
+ * connection. */
 #define LW_FRAME_VERSION 1
 
-/* A frame: length of the body (4 bytes, big-endian), version (1 byte), body (msgpack). */
+/* Size of a frame's header: length of the body (4 bytes, big-endian) and version (1 byte). The body
+ * follows as msgpack. */
 #define LW_FRAME_HEADER_BYTES 5
 
-/* Largest body in bytes, before and after the peer has proved the cluster key. */
+/* Largest body of a frame, before and after the peer has proved that it knows the cluster key. */
 #define LW_FRAME_MAX_UNAUTHENTICATED_BODY_BYTES ((size_t)4096)
 #define LW_FRAME_MAX_BODY_BYTES ((size_t)8 << 20)
 
 typedef struct
 {
-  const uint8_t *body; /* points into the bytes read */
-  size_t length;
-  size_t consumed; /* size of the whole frame; after LW_FRAME_PARTIAL: bytes needed at least */
+  const uint8_t *body; /* not owned: points into the input of lw_frame_read */
+  size_t length;       /* size of the body in bytes */
+  size_t consumed; /* size of the whole frame; for LW_FRAME_PARTIAL, the least size known so far */
 } LwFrame;
 
 typedef enum
 {
   LW_FRAME_COMPLETE,
-  LW_FRAME_PARTIAL, /* more bytes are needed */
+  LW_FRAME_PARTIAL, /* the input ends before the frame does: more bytes are needed */
   LW_FRAME_INVALID
 } LwFrameResult;
 
--- a/packages/wire/include/lw-handshake.h
+++ b/packages/wire/include/lw-handshake.h
@@ -3,28 +3,29 @@
 
 #include "lw-message.h"
 
-/* Mutual proof of the cluster key by the messages HELLO, CHALLENGE and PROOF. */
+/* Handshake of a connection: both ends prove that they know the cluster key, by the messages HELLO,
+ * CHALLENGE and PROOF. */
 typedef struct
 {
-  bool is_dialler;     /* this side has opened the connection */
-  bool done;           /* the peer has proved the key */
-  bool has_challenged; /* acceptor: sent the CHALLENGE */
-  char key[128];
-  uint8_t nonce[LW_NONCE_BYTES]; /* of this side */
+  bool is_dialler;     /* this end opened the connection; false: it accepted the connection */
+  bool done;           /* the peer has proved that it knows the cluster key */
+  bool has_challenged; /* this end is the acceptor and has sent its CHALLENGE */
+  char key[128];       /* cluster key, a shared secret */
+  uint8_t nonce[LW_NONCE_BYTES]; /* random bytes that this end chose */
   uint8_t peer_nonce[LW_NONCE_BYTES];
   LcInstance self;
-  LcInstance peer; /* valid once done */
+  LcInstance peer; /* instance at the other end; not to be trusted before done is set */
 } LwHandshake;
 
-/* nonce: random bytes, unique to the connection. */
+/* Starts a handshake. nonce has random bytes that no other connection uses. */
 void lw_handshake_init (LwHandshake *handshake,
                         bool is_dialler,
                         const char *key,
                         const LcInstance *self,
                         const uint8_t nonce[LW_NONCE_BYTES]);
 void lw_handshake_build_hello (const LwHandshake *handshake, LwMessage *out);
-/* Sets out to the message to send next, its type to 0 for none. Errors: WRONG_KEY, FRAME_GARBLED
- * (unexpected message). */
+/* Handles a message of the peer. Sets *out to the reply to send; out->type is 0 if there is none.
+ * Returns false with WRONG_KEY, or with FRAME_GARBLED for an unexpected message. */
 bool lw_handshake_handle_message (LwHandshake *handshake,
                                   const LwMessage *in,
                                   LwMessage *out,
--- a/packages/wire/include/lw-message.h
+++ b/packages/wire/include/lw-message.h
@@ -7,38 +7,39 @@
 #define LW_NONCE_BYTES 16
 #define LW_MAC_BYTES 32
 
-/* Message types with the members that each uses, and in the handshake with its sender. */
+/* Types of messages between instances, each with the LwMessage members that it uses. */
 typedef enum
 {
-  LW_HELLO = 1, /* dialler: nonce, instance */
-  LW_CHALLENGE, /* acceptor: nonce, instance, mac */
-  LW_PROOF,     /* dialler: mac */
-  LW_PING,      /* digest */
-  LW_PONG,      /* digest */
-  LW_INSTANCES, /* instances */
-  LW_COMPARE,   /* instances in short form, is_reply */
-  LW_DATA,      /* origin, origin_epoch, sequence, is_broadcast, topic, payload */
+  LW_HELLO = 1, /* the dialler opens the handshake; uses nonce and instance */
+  LW_CHALLENGE, /* the acceptor answers the HELLO; uses nonce, instance and mac */
+  LW_PROOF,     /* the dialler ends the handshake; uses mac */
+  LW_PING,      /* heartbeat; uses digest */
+  LW_PONG,      /* answer to a PING; uses digest */
+  LW_INSTANCES, /* changed states of instances; uses instances */
+  LW_COMPARE,   /* states of all known instances; uses instances (short form) and is_reply */
+  LW_DATA,      /* payload for a topic; uses the members from origin to payload */
   LW_N_MESSAGES
 } LwMessageType;
 
-/* One message between instances; the type determines which members are used. */
+/* One message between instances. LwMessageType lists the members that each type uses. */
 typedef struct
 {
   LwMessageType type;
   uint8_t nonce[LW_NONCE_BYTES];
   uint8_t mac[LW_MAC_BYTES];
   LcInstance instance;
-  uint64_t digest; /* of the sender's view of all instances */
-  /* Owned. An instance without peer_address is in short form: the name is its only string. */
+  uint64_t digest; /* hash of the sender's view of all instances; equal views need no COMPARE */
+  /* Owned. An instance is sent in short form, with its name as the only string, if its peer_address
+   * is empty. */
   LcInstance *instances;
   size_t n_instances;
-  bool is_reply; /* of a COMPARE: answers another one */
-  LbName origin; /* the instance that sent the DATA first */
+  bool is_reply; /* this COMPARE answers the peer's COMPARE and must not be answered */
+  LbName origin; /* name of the instance that created the DATA message */
   uint64_t origin_epoch;
-  uint64_t sequence; /* number of the frame at its origin */
-  bool is_broadcast; /* broadcast, which each receiver forwards; else for the receiver only */
+  uint64_t sequence; /* number of the broadcast at its origin, to detect duplicates */
+  bool is_broadcast; /* true: each receiver forwards the message; false: for the receiver only */
   LbName topic;
-  char *payload; /* owned */
+  char *payload; /* owned by the message */
   size_t payload_length;
 } LwMessage;
 
@@ -46,7 +47,7 @@
 uint8_t *lw_message_encode (const LwMessage *message, size_t *length);
 bool lw_message_decode (const uint8_t *body, size_t length, LwMessage *message, LbError *error);
 void lw_message_clear (LwMessage *message);
-/* Encodes an instance as the key proof covers it; the caller frees the result. */
+/* Returns the encoding of an instance that the handshake's MAC covers; the caller frees it. */
 uint8_t *lw_message_encode_instance (const LcInstance *instance, size_t *length);
 
 #endif
--- a/packages/wire/src/lw-frame.c
+++ b/packages/wire/src/lw-frame.c
@@ -8,9 +8,9 @@
   header[4] = LW_FRAME_VERSION;
 }
 
-/* Finds the first frame in the bytes, without allocating memory. Errors: FRAME_VERSION,
- * FRAME_TOO_LARGE (body above max_body). The header alone shows both, so that a wrong length never
- * makes the reader wait for or buffer gigabytes. */
+/* Parses the frame at the start of bytes, without allocating memory. Errors: FRAME_VERSION, and
+ * FRAME_TOO_LARGE for a body above max_body. Both are detected from the header alone, so that a
+ * wrong length never makes the reader wait for or buffer gigabytes. */
 LwFrameResult
 lw_frame_read (const uint8_t *bytes, size_t length, size_t max_body, LwFrame *frame, LbError *error)
 {
@@ -21,8 +21,8 @@
     return LW_FRAME_PARTIAL;
   if (bytes[4] != LW_FRAME_VERSION)
     {
-      lb_error_set (error, LB_ERROR_FRAME_VERSION, "frame", "version %d, expected %d", bytes[4],
-                    LW_FRAME_VERSION);
+      lb_error_set (error, LB_ERROR_FRAME_VERSION, "frame", "frame has version %d, expected %d",
+                    bytes[4], LW_FRAME_VERSION);
       return LW_FRAME_INVALID;
     }
   for (int i = 0; i < 4; i++)
@@ -30,7 +30,7 @@
   if (body > max_body)
     {
       lb_error_set (error, LB_ERROR_FRAME_TOO_LARGE, "frame",
-                    "body of %zu bytes, expected at most %zu", body, max_body);
+                    "frame body has %zu bytes, expected at most %zu", body, max_body);
       return LW_FRAME_INVALID;
     }
   frame->consumed += body;
--- a/packages/wire/src/lw-handshake.c
+++ b/packages/wire/src/lw-handshake.c
@@ -31,9 +31,9 @@
   memcpy (out->nonce, handshake->nonce, LW_NONCE_BYTES);
 }
 
-/* Computes the MAC that proves the key. It covers the prover's role, so that a peer without the key
- * can't reflect our own proof; both nonces, so that a recorded proof can't be replayed; and the
- * prover's instance, so that nobody between the ends can change its name or addresses. */
+/* Computes the MAC by which one end, the prover, proves that it knows the cluster key. The MAC
+ * covers the prover's role, against reflection of our own proof; both nonces, against replay of a
+ * recorded proof; and the prover's instance, against changes to its name or addresses. */
 static bool
 compute_mac (const LwHandshake *handshake,
              bool by_dialler,
@@ -70,14 +70,14 @@
 }
 
 static bool
-fail_wrong_key (LbError *error)
+set_wrong_key_error (LbError *error)
 {
   return lb_error_set (error, LB_ERROR_WRONG_KEY, "handshake",
                        "the peer has a different cluster key");
 }
 
 static bool
-receive_hello (LwHandshake *handshake, const LwMessage *in, LwMessage *out, LbError *error)
+handle_hello (LwHandshake *handshake, const LwMessage *in, LwMessage *out, LbError *error)
 {
   handshake->has_challenged = true;
   handshake->peer = in->instance;
@@ -91,12 +91,12 @@
 }
 
 static bool
-receive_challenge (LwHandshake *handshake, const LwMessage *in, LwMessage *out, LbError *error)
+handle_challenge (LwHandshake *handshake, const LwMessage *in, LwMessage *out, LbError *error)
 {
   handshake->peer = in->instance;
   memcpy (handshake->peer_nonce, in->nonce, LW_NONCE_BYTES);
   if (!is_mac_valid (handshake, false, in->mac))
-    return fail_wrong_key (error);
+    return set_wrong_key_error (error);
   out->type = LW_PROOF;
   if (!compute_mac (handshake, true, &handshake->self, out->mac))
     return lb_error_set (error, LB_ERROR_INTERNAL, "handshake", "HMAC computation failed");
@@ -113,18 +113,18 @@
   memset (out, 0, sizeof *out);
   if (handshake->done)
     return lb_error_set (error, LB_ERROR_FRAME_GARBLED, "handshake",
-                         "message after the end of the handshake");
+                         "expected no message after the end of the handshake");
   if (in->instance.peer_address[0] == '\0' && in->type != LW_PROOF)
     return lb_error_set (error, LB_ERROR_FRAME_GARBLED, "handshake",
-                         "instance without a peer address");
+                         "expected an instance with a peer address, got an empty address");
   if (!handshake->is_dialler && !handshake->has_challenged && in->type == LW_HELLO)
-    return receive_hello (handshake, in, out, error);
+    return handle_hello (handshake, in, out, error);
   if (handshake->is_dialler && in->type == LW_CHALLENGE)
-    return receive_challenge (handshake, in, out, error);
+    return handle_challenge (handshake, in, out, error);
   if (handshake->has_challenged && in->type == LW_PROOF)
     {
       handshake->done = is_mac_valid (handshake, true, in->mac);
-      return handshake->done ? true : fail_wrong_key (error);
+      return handshake->done ? true : set_wrong_key_error (error);
     }
   return lb_error_set (error, LB_ERROR_FRAME_GARBLED, "handshake", "unexpected message of type %d",
                        (int)in->type);
--- a/packages/wire/src/lw-message.c
+++ b/packages/wire/src/lw-message.c
@@ -6,10 +6,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FULL_INSTANCE_FIELDS 10
-#define SHORT_INSTANCE_FIELDS 6
-/* An instance takes hundreds of bytes in memory but may be a single byte in a frame: without this
- * limit, eight million such bytes would allocate gigabytes. */
+#define N_FULL_INSTANCE_FIELDS 10
+#define N_SHORT_INSTANCE_FIELDS 6
+/* Largest number of instances in a frame. A single byte in a frame can claim to be an instance,
+ * which takes hundreds of bytes in memory: without a limit, a frame of 8 MiB would allocate
+ * gigabytes. */
 #define MAX_INSTANCES 8192
 
 static void
@@ -38,7 +39,7 @@
 {
   bool full = instance->peer_address[0] != '\0';
 
-  msgpack_pack_array (packer, full ? FULL_INSTANCE_FIELDS : SHORT_INSTANCE_FIELDS);
+  msgpack_pack_array (packer, full ? N_FULL_INSTANCE_FIELDS : N_SHORT_INSTANCE_FIELDS);
   pack_text (packer, instance->name);
   msgpack_pack_uint64 (packer, instance->epoch);
   msgpack_pack_uint64 (packer, instance->version);
@@ -72,8 +73,8 @@
   pack_bytes (packer, message->payload, message->payload_length);
 }
 
-/* Number of fields of each message type, including the type itself. */
-static const size_t n_fields[LW_N_MESSAGES] = {
+/* Number of msgpack array fields of each message type, including the type itself. */
+static const size_t message_field_counts[LW_N_MESSAGES] = {
   [LW_HELLO] = 3, [LW_CHALLENGE] = 4, [LW_PROOF] = 2,   [LW_PING] = 2,
   [LW_PONG] = 2,  [LW_INSTANCES] = 2, [LW_COMPARE] = 3, [LW_DATA] = 7,
 };
@@ -81,7 +82,7 @@
 static void
 pack_message (msgpack_packer *packer, const LwMessage *message)
 {
-  msgpack_pack_array (packer, n_fields[message->type]);
+  msgpack_pack_array (packer, message_field_counts[message->type]);
   msgpack_pack_int (packer, (int)message->type);
   switch (message->type)
     {
@@ -149,56 +150,57 @@
   return bytes;
 }
 
-/* Reads the fields of an array in order; after the first invalid one all further reads fail. */
+/* Reader of a msgpack array that reads its fields in order. After the first invalid field, all
+ * further reads fail. */
 typedef struct
 {
   const msgpack_object *next;
-  size_t n_left;
+  size_t n_unread;
   bool is_invalid;
-} Fields;
+} FieldReader;
 
 static const msgpack_object *
-next_field (Fields *fields, msgpack_object_type type)
+read_typed_field (FieldReader *reader, msgpack_object_type type)
 {
-  if (fields->is_invalid || fields->n_left == 0 || fields->next->type != type)
+  if (reader->is_invalid || reader->n_unread == 0 || reader->next->type != type)
     {
-      fields->is_invalid = true;
+      reader->is_invalid = true;
       return NULL;
     }
-  fields->n_left--;
-  return fields->next++;
+  reader->n_unread--;
+  return reader->next++;
 }
 
 static uint64_t
-read_uint (Fields *fields)
+read_uint (FieldReader *reader)
 {
-  const msgpack_object *object = next_field (fields, MSGPACK_OBJECT_POSITIVE_INTEGER);
+  const msgpack_object *object = read_typed_field (reader, MSGPACK_OBJECT_POSITIVE_INTEGER);
 
   return object ? object->via.u64 : 0;
 }
 
 static uint64_t
-read_uint_below (Fields *fields, uint64_t limit)
+read_uint_below (FieldReader *reader, uint64_t limit)
 {
-  uint64_t value = read_uint (fields);
+  uint64_t value = read_uint (reader);
 
   if (value >= limit)
-    fields->is_invalid = true;
-  return fields->is_invalid ? 0 : value;
+    reader->is_invalid = true;
+  return reader->is_invalid ? 0 : value;
 }
 
 static bool
-read_bool (Fields *fields)
+read_bool (FieldReader *reader)
 {
-  const msgpack_object *object = next_field (fields, MSGPACK_OBJECT_BOOLEAN);
+  const msgpack_object *object = read_typed_field (reader, MSGPACK_OBJECT_BOOLEAN);
 
   return object && object->via.boolean;
 }
 
 static void
-read_name (Fields *fields, LbName name)
+read_name (FieldReader *reader, LbName name)
 {
-  const msgpack_object *object = next_field (fields, MSGPACK_OBJECT_STR);
+  const msgpack_object *object = read_typed_field (reader, MSGPACK_OBJECT_STR);
 
   name[0] = '\0';
   if (!object)
@@ -206,7 +208,7 @@
   size_t length = object->via.str.size;
   if (length >= LB_NAME_MAX || memchr (object->via.str.ptr, '\0', length))
     {
-      fields->is_invalid = true;
+      reader->is_invalid = true;
       return;
     }
   memcpy (name, object->via.str.ptr, length);
@@ -214,20 +216,20 @@
 }
 
 static void
-read_bytes (Fields *fields, uint8_t *bytes, size_t length)
+read_bytes (FieldReader *reader, uint8_t *bytes, size_t length)
 {
-  const msgpack_object *object = next_field (fields, MSGPACK_OBJECT_BIN);
+  const msgpack_object *object = read_typed_field (reader, MSGPACK_OBJECT_BIN);
 
   if (object && object->via.bin.size == length)
     memcpy (bytes, object->via.bin.ptr, length);
   else
-    fields->is_invalid = true;
+    reader->is_invalid = true;
 }
 
 static void
-read_payload (Fields *fields, LwMessage *message)
+read_payload (FieldReader *reader, LwMessage *message)
 {
-  const msgpack_object *object = next_field (fields, MSGPACK_OBJECT_BIN);
+  const msgpack_object *object = read_typed_field (reader, MSGPACK_OBJECT_BIN);
 
   if (!object)
     return;
@@ -237,23 +239,23 @@
   message->payload[message->payload_length] = '\0';
 }
 
-static Fields
-read_array (Fields *fields)
+static FieldReader
+open_array (FieldReader *reader)
 {
-  const msgpack_object *object = next_field (fields, MSGPACK_OBJECT_ARRAY);
+  const msgpack_object *object = read_typed_field (reader, MSGPACK_OBJECT_ARRAY);
 
   if (!object)
-    return (Fields){ .is_invalid = true };
-  return (Fields){ .next = object->via.array.ptr, .n_left = object->via.array.size };
+    return (FieldReader){ .is_invalid = true };
+  return (FieldReader){ .next = object->via.array.ptr, .n_unread = object->via.array.size };
 }
 
 static void
-read_instance (Fields *fields, LcInstance *instance)
+read_instance (FieldReader *reader, LcInstance *instance)
 {
-  Fields inner = read_array (fields);
-  bool full = inner.n_left == FULL_INSTANCE_FIELDS;
+  FieldReader inner = open_array (reader);
+  bool full = inner.n_unread == N_FULL_INSTANCE_FIELDS;
 
-  if (!full && inner.n_left != SHORT_INSTANCE_FIELDS)
+  if (!full && inner.n_unread != N_SHORT_INSTANCE_FIELDS)
     inner.is_invalid = true;
   read_name (&inner, instance->name);
   instance->epoch = read_uint (&inner);
@@ -269,105 +271,106 @@
       read_name (&inner, instance->peer_address);
       inner.is_invalid = inner.is_invalid || instance->peer_address[0] == '\0';
     }
-  fields->is_invalid = fields->is_invalid || inner.is_invalid || instance->name[0] == '\0';
+  reader->is_invalid = reader->is_invalid || inner.is_invalid || instance->name[0] == '\0';
 }
 
 static void
-read_instances (Fields *fields, LwMessage *message)
+read_instances (FieldReader *reader, LwMessage *message)
 {
-  Fields inner = read_array (fields);
+  FieldReader inner = open_array (reader);
 
-  if (inner.n_left > MAX_INSTANCES)
+  if (inner.n_unread > MAX_INSTANCES)
     {
-      fields->is_invalid = true;
+      reader->is_invalid = true;
       return;
     }
-  message->instances = LB_NEW_ARRAY (LcInstance, inner.n_left);
-  message->n_instances = inner.n_left;
+  message->instances = LB_NEW_ARRAY (LcInstance, inner.n_unread);
+  message->n_instances = inner.n_unread;
   for (size_t i = 0; i < message->n_instances && !inner.is_invalid; i++)
     read_instance (&inner, &message->instances[i]);
-  fields->is_invalid = fields->is_invalid || inner.is_invalid;
+  reader->is_invalid = reader->is_invalid || inner.is_invalid;
 }
 
 static void
-read_data (Fields *fields, LwMessage *message)
+read_data (FieldReader *reader, LwMessage *message)
 {
-  read_name (fields, message->origin);
-  message->origin_epoch = read_uint (fields);
-  message->sequence = read_uint (fields);
-  message->is_broadcast = read_bool (fields);
-  read_name (fields, message->topic);
-  read_payload (fields, message);
+  read_name (reader, message->origin);
+  message->origin_epoch = read_uint (reader);
+  message->sequence = read_uint (reader);
+  message->is_broadcast = read_bool (reader);
+  read_name (reader, message->topic);
+  read_payload (reader, message);
 }
 
 static void
-read_message (Fields *fields, LwMessage *message)
+read_message (FieldReader *reader, LwMessage *message)
 {
-  size_t count = fields->n_left;
+  size_t count = reader->n_unread;
 
-  message->type = (LwMessageType)read_uint_below (fields, LW_N_MESSAGES);
-  if (n_fields[message->type] != count)
-    fields->is_invalid = true;
+  message->type = (LwMessageType)read_uint_below (reader, LW_N_MESSAGES);
+  if (message_field_counts[message->type] != count)
+    reader->is_invalid = true;
   switch (message->type)
     {
     case LW_HELLO:
-      read_bytes (fields, message->nonce, sizeof message->nonce);
-      read_instance (fields, &message->instance);
+      read_bytes (reader, message->nonce, sizeof message->nonce);
+      read_instance (reader, &message->instance);
       break;
     case LW_CHALLENGE:
-      read_bytes (fields, message->nonce, sizeof message->nonce);
-      read_instance (fields, &message->instance);
-      read_bytes (fields, message->mac, sizeof message->mac);
+      read_bytes (reader, message->nonce, sizeof message->nonce);
+      read_instance (reader, &message->instance);
+      read_bytes (reader, message->mac, sizeof message->mac);
       break;
     case LW_PROOF:
-      read_bytes (fields, message->mac, sizeof message->mac);
+      read_bytes (reader, message->mac, sizeof message->mac);
       break;
     case LW_PING:
     case LW_PONG:
-      message->digest = read_uint (fields);
+      message->digest = read_uint (reader);
       break;
     case LW_INSTANCES:
-      read_instances (fields, message);
+      read_instances (reader, message);
       break;
     case LW_COMPARE:
-      read_instances (fields, message);
-      message->is_reply = read_bool (fields);
+      read_instances (reader, message);
+      message->is_reply = read_bool (reader);
       break;
     case LW_DATA:
-      read_data (fields, message);
+      read_data (reader, message);
       break;
     case LW_N_MESSAGES:
-      fields->is_invalid = true;
+      reader->is_invalid = true;
       break;
     }
 }
 
 static uint64_t
-read_big_endian (const uint8_t *bytes, size_t width)
+read_big_endian (const uint8_t *bytes, size_t operand_bytes)
 {
   uint64_t value = 0;
 
-  for (size_t i = 0; i < width; i++)
+  for (size_t i = 0; i < operand_bytes; i++)
     value = value << 8 | bytes[i];
   return value;
 }
 
-/* Size in bytes of the length or number after the tag; 0 if the tag itself contains it. */
+/* Returns the size in bytes of the length or number that follows a msgpack tag; 0 if the tag itself
+ * contains the value. */
 static size_t
-tag_width (uint8_t tag)
+msgpack_operand_bytes (uint8_t tag)
 {
   switch (tag)
     {
-    case 0xc4: /* bin */
-    case 0xd9: /* str */
-    case 0xcc: /* uint */
-    case 0xd0: /* int */
+    case 0xc4: /* msgpack bin 8 */
+    case 0xd9: /* msgpack str 8 */
+    case 0xcc: /* msgpack uint 8 */
+    case 0xd0: /* msgpack int 8 */
       return 1;
     case 0xc5:
     case 0xda:
     case 0xcd:
     case 0xd1:
-    case 0xdc: /* array */
+    case 0xdc: /* msgpack array 16 */
       return 2;
     case 0xc6:
     case 0xdb:
@@ -384,52 +387,53 @@
 }
 
 static bool
-is_supported_tag (uint8_t tag)
+is_supported_msgpack_tag (uint8_t tag)
 {
   bool is_map = tag >= 0x80 && tag <= 0x8f;
   bool is_single_byte = tag <= 0xbf || tag >= 0xe0 || tag == 0xc0 || tag == 0xc2 || tag == 0xc3;
 
-  return !is_map && (is_single_byte || tag_width (tag) > 0);
+  return !is_map && (is_single_byte || msgpack_operand_bytes (tag) > 0);
 }
 
-/* Returns the size of the value at bytes without its elements; sets *elements to the number of
- * elements it claims. width: see tag_width. */
+/* Returns the size in bytes of the msgpack value at bytes, array elements excluded. Sets
+ * *n_elements to the number of elements that the value claims to have. operand_bytes is the result
+ * of msgpack_operand_bytes for its tag. */
 static uint64_t
-value_size (const uint8_t *bytes, size_t width, uint64_t *elements)
+msgpack_value_size (const uint8_t *bytes, size_t operand_bytes, uint64_t *n_elements)
 {
   uint8_t tag = bytes[0];
-  uint64_t number = read_big_endian (bytes + 1, width);
+  uint64_t number = read_big_endian (bytes + 1, operand_bytes);
   bool is_array = (tag & 0xf0) == 0x90 || tag == 0xdc || tag == 0xdd;
   bool is_short_string = (tag & 0xe0) == 0xa0;
   bool is_long_string = (tag >= 0xc4 && tag <= 0xc6) || (tag >= 0xd9 && tag <= 0xdb);
 
-  *elements = !is_array ? 0 : width ? number : tag & 0x0fU;
-  return 1 + width + (is_short_string ? tag & 0x1fU : is_long_string ? number : 0);
+  *n_elements = !is_array ? 0 : operand_bytes ? number : tag & 0x0fU;
+  return 1 + operand_bytes + (is_short_string ? tag & 0x1fU : is_long_string ? number : 0);
 }
 
-/* Five bytes that claim an array of many million elements make msgpack-c allocate gigabytes before
- * it reads the first element, and nested arrays more than the machine can commit. Each element
- * takes at least one byte, so claims that exceed the remaining bytes are false. Maps, floats and
+/* Whether the element counts in the body can be true: each element takes at least one byte. An
+ * array header of five bytes that claims many million elements makes msgpack-c allocate gigabytes
+ * before it reads the first element; nested arrays exceed the machine's memory. Maps, floats and
  * extension types occur in no message and are refused. */
 static bool
-has_plausible_sizes (const uint8_t *bytes, size_t length)
+has_plausible_msgpack_sizes (const uint8_t *bytes, size_t length)
 {
   uint64_t n_expected = 1;
-  uint64_t elements;
+  uint64_t n_elements;
   size_t offset = 0;
 
   while (n_expected > 0)
     {
-      if (offset >= length || !is_supported_tag (bytes[offset]))
+      if (offset >= length || !is_supported_msgpack_tag (bytes[offset]))
         return false;
-      size_t width = tag_width (bytes[offset]);
-      if (length - offset < 1 + width)
+      size_t operand_bytes = msgpack_operand_bytes (bytes[offset]);
+      if (length - offset < 1 + operand_bytes)
         return false;
-      uint64_t size = value_size (bytes + offset, width, &elements);
+      uint64_t size = msgpack_value_size (bytes + offset, operand_bytes, &n_elements);
       if (size > length - offset)
         return false;
       offset += size;
-      n_expected += elements - 1;
+      n_expected += n_elements - 1;
       if (n_expected > length - offset)
         return false;
     }
@@ -437,7 +441,7 @@
 }
 
 static bool
-decode_fields (const uint8_t *body, size_t length, LwMessage *message)
+decode_msgpack_body (const uint8_t *body, size_t length, LwMessage *message)
 {
   msgpack_unpacked unpacked;
   size_t offset = 0;
@@ -447,21 +451,22 @@
   if (msgpack_unpack_next (&unpacked, (const char *)body, length, &offset)
       != MSGPACK_UNPACK_SUCCESS)
     goto out;
-  Fields outer = { .next = &unpacked.data, .n_left = 1 };
-  Fields fields = read_array (&outer);
-  read_message (&fields, message);
-  ok = !fields.is_invalid;
+  FieldReader body_reader = { .next = &unpacked.data, .n_unread = 1 };
+  FieldReader reader = open_array (&body_reader);
+  read_message (&reader, message);
+  ok = !reader.is_invalid;
 out:
   msgpack_unpacked_destroy (&unpacked);
   return ok;
 }
 
-/* Decodes the body of one frame. Error: FRAME_GARBLED; the message then owns no memory. */
+/* Decodes the body of one frame. On failure, returns false with FRAME_GARBLED, and the message owns
+ * no memory. */
 bool
 lw_message_decode (const uint8_t *body, size_t length, LwMessage *message, LbError *error)
 {
   memset (message, 0, sizeof *message);
-  if (has_plausible_sizes (body, length) && decode_fields (body, length, message))
+  if (has_plausible_msgpack_sizes (body, length) && decode_msgpack_body (body, length, message))
     return true;
   lw_message_clear (message);
   return lb_error_set (error, LB_ERROR_FRAME_GARBLED, "frame",
--- a/packages/wire/tests/test-frames.c
+++ b/packages/wire/tests/test-frames.c
@@ -11,7 +11,7 @@
 #include <string.h>
 
 static LcInstance
-instance (const char *name)
+make_instance (const char *name)
 {
   LcInstance result = { .epoch = 1700000000000, .version = 3, .load = 250 };
 
@@ -24,7 +24,7 @@
 }
 
 static LwMessage
-example (LwMessageType type, LcInstance *instances)
+make_message (LwMessageType type, LcInstance *instances)
 {
   LwMessage message = { .type = type,
                         .instance = instances[0],
@@ -47,11 +47,11 @@
 
 Test (message, every_type_survives_encoding_and_decoding)
 {
-  LcInstance instances[] = { instance ("i1"), { .name = "i2", .state = LC_INSTANCE_DEAD } };
+  LcInstance instances[] = { make_instance ("i1"), { .name = "i2", .state = LC_INSTANCE_DEAD } };
 
   for (int type = LW_HELLO; type < LW_N_MESSAGES; type++)
     {
-      LwMessage message = example ((LwMessageType)type, instances);
+      LwMessage message = make_message ((LwMessageType)type, instances);
       size_t length, reencoded_length;
       uint8_t *bytes = lw_message_encode (&message, &length);
       LwFrame frame;
@@ -64,8 +64,9 @@
       uint8_t *reencoded = lw_message_encode (&decoded, &reencoded_length);
       cr_assert_eq (length, reencoded_length);
       cr_assert_eq (memcmp (bytes, reencoded, length), 0);
-      for (size_t cut = 0; cut < length; cut++)
-        cr_assert_eq (lw_frame_read (bytes, cut, LW_FRAME_MAX_BODY_BYTES, &frame, NULL),
+      for (size_t truncated_length = 0; truncated_length < length; truncated_length++)
+        cr_assert_eq (lw_frame_read (bytes, truncated_length, LW_FRAME_MAX_BODY_BYTES, &frame,
+                                     NULL),
                       LW_FRAME_PARTIAL);
       lw_message_clear (&decoded);
       free (bytes);
@@ -73,9 +74,9 @@
     }
 }
 
-/* An instance of another version connects, or bytes of another protocol arrive whose first four
- * make a length of gigabytes: the reader would wait for ever and buffer all that comes. The header
- * alone must be enough to refuse both. */
+/* An instance of another version connects, or a client of another protocol whose first four bytes
+ * are a length of gigabytes: the reader would wait for ever and buffer all input. Both must be
+ * refused from the header alone. */
 Test (frame, wrong_version_and_size_are_refused_from_the_header_alone)
 {
   uint8_t bytes[LW_FRAME_HEADER_BYTES];
@@ -95,7 +96,7 @@
 }
 
 static long
-peak_memory_kb (void)
+read_peak_memory_kb (void)
 {
   char line[256];
   long peak = 0;
@@ -109,49 +110,50 @@
 }
 
 static void
-expect_refusal_without_allocation (const uint8_t *body, size_t length)
+assert_refused_without_allocation (const uint8_t *body, size_t length)
 {
-  long before = peak_memory_kb ();
+  long peak_before_kb = read_peak_memory_kb ();
   LwMessage message;
   LbError error;
 
   cr_assert_not (lw_message_decode (body, length, &message, &error));
   cr_assert_eq (error.code, LB_ERROR_FRAME_GARBLED);
-  cr_assert_lt (peak_memory_kb () - before, 1 << 18);
+  cr_assert_lt (read_peak_memory_kb () - peak_before_kb, 1 << 18);
 }
 
-/* A flipped bit, or anyone who connects to the port, may send an array that claims many million
- * elements, or has as many of one byte each. Gigabytes would be allocated for a small frame, and
- * the process killed for lack of memory. */
+/* After a bit error, or from any client that connects to the port, an array may claim many million
+ * elements or have as many of one byte each. Decoding it would allocate gigabytes for a small frame
+ * and get the process killed for lack of memory. */
 Test (message, false_element_counts_are_refused_without_allocation)
 {
   static const uint8_t bodies[][8] = { { 0xdd, 0x0a, 0xaa, 0xaa, 0xaa, 0x05 },
                                        { 0x92, 0x06, 0xdd, 0x0a, 0xaa, 0xaa, 0xaa, 0x90 },
                                        { 0xdf, 0x05, 0xff, 0xff, 0xff, 0x01, 0x01 },
                                        { 0x92, 0x04, 0xc6, 0x7f, 0xff, 0xff, 0xff, 0x01 } };
-  static const uint8_t head[] = { 0x92, 0x06, 0xdd, 0x00, 0x3d, 0x09, 0x00 };
-  const size_t many = 4000000;
-  uint8_t *list = lb_malloc (many + sizeof head);
+  static const uint8_t array_header[] = { 0x92, 0x06, 0xdd, 0x00, 0x3d, 0x09, 0x00 };
+  const size_t n_elements = 4000000;
+  uint8_t *large_body = lb_malloc (n_elements + sizeof array_header);
 
   for (size_t i = 0; i < sizeof bodies / sizeof *bodies; i++)
-    expect_refusal_without_allocation (bodies[i], sizeof bodies[i]);
-  memset (list, 1, many + sizeof head);
-  memcpy (list, head, sizeof head);
-  expect_refusal_without_allocation (list, many + sizeof head);
-  free (list);
+    assert_refused_without_allocation (bodies[i], sizeof bodies[i]);
+  memset (large_body, 1, n_elements + sizeof array_header);
+  memcpy (large_body, array_header, sizeof array_header);
+  assert_refused_without_allocation (large_body, n_elements + sizeof array_header);
+  free (large_body);
 }
 
-/* Valid frames with random damage must be refused with a typed error or decoded as some message,
- * with no leak and no read beyond the end (checked by the sanitizers). */
+/* Valid frames with random byte changes must be refused with FRAME_GARBLED or decoded as a message,
+ * without a leak or a read beyond the end (checked by the sanitizers). */
 Test (message, damaged_frames_are_refused_or_decoded)
 {
-  LcInstance instances[] = { instance ("i1"), { .name = "i2" } };
+  LcInstance instances[] = { make_instance ("i1"), { .name = "i2" } };
   gsl_rng *rng = gsl_rng_alloc (gsl_rng_taus2);
   size_t refused = 0;
 
   for (int round = 0; round < 20000; round++)
     {
-      LwMessage message = example ((LwMessageType)(1 + round % (LW_N_MESSAGES - 1)), instances);
+      LwMessage message
+          = make_message ((LwMessageType)(1 + round % (LW_N_MESSAGES - 1)), instances);
       size_t length;
       uint8_t *bytes = lw_message_encode (&message, &length);
       size_t body = gsl_rng_uniform_int (rng, length - LW_FRAME_HEADER_BYTES) + 1;
@@ -180,98 +182,101 @@
   LwMessage hello;
   LwMessage challenge;
   LwMessage proof;
-  LwMessage none;
+  LwMessage no_message;
   LbError error;
 } HandshakePair;
 
 static void
-pair_init (HandshakePair *pair, const char *dialler_key, const char *acceptor_key)
+handshake_pair_init (HandshakePair *pair, const char *dialler_key, const char *acceptor_key)
 {
   uint8_t nonces[2][LW_NONCE_BYTES] = { { 1 }, { 2 } };
-  LcInstance ends[] = { instance ("i1"), instance ("i2") };
+  LcInstance instances_of_ends[] = { make_instance ("i1"), make_instance ("i2") };
 
   memset (pair, 0, sizeof *pair);
-  lw_handshake_init (&pair->dialler, true, dialler_key, &ends[0], nonces[0]);
-  lw_handshake_init (&pair->acceptor, false, acceptor_key, &ends[1], nonces[1]);
+  lw_handshake_init (&pair->dialler, true, dialler_key, &instances_of_ends[0], nonces[0]);
+  lw_handshake_init (&pair->acceptor, false, acceptor_key, &instances_of_ends[1], nonces[1]);
   lw_handshake_build_hello (&pair->dialler, &pair->hello);
 }
 
 static bool
-answer_hello (HandshakePair *pair)
+deliver_hello_to_acceptor (HandshakePair *pair)
 {
   return lw_handshake_handle_message (&pair->acceptor, &pair->hello, &pair->challenge,
                                       &pair->error);
 }
 
 static bool
-answer_challenge (HandshakePair *pair)
+deliver_challenge_to_dialler (HandshakePair *pair)
 {
   return lw_handshake_handle_message (&pair->dialler, &pair->challenge, &pair->proof, &pair->error);
 }
 
 static bool
-verify_proof (HandshakePair *pair)
+deliver_proof_to_acceptor (HandshakePair *pair)
 {
-  return lw_handshake_handle_message (&pair->acceptor, &pair->proof, &pair->none, &pair->error);
+  return lw_handshake_handle_message (&pair->acceptor, &pair->proof, &pair->no_message,
+                                      &pair->error);
 }
 
-Test (handshake, both_ends_learn_the_peer)
+Test (handshake, both_ends_learn_the_peers_instance)
 {
   HandshakePair pair;
 
-  pair_init (&pair, "key", "key");
-  cr_assert (answer_hello (&pair) && answer_challenge (&pair) && verify_proof (&pair));
+  handshake_pair_init (&pair, "key", "key");
+  cr_assert (deliver_hello_to_acceptor (&pair) && deliver_challenge_to_dialler (&pair)
+             && deliver_proof_to_acceptor (&pair));
   cr_assert (pair.dialler.done && pair.acceptor.done);
   cr_assert_str_eq (pair.dialler.peer.name, "i2");
   cr_assert_str_eq (pair.acceptor.peer.name, "i1");
 }
 
-/* An instance of another cluster, or one with an old key, connects. If either end accepted it, two
- * clusters would mix their members and configurations. The dialler must detect it from the
- * challenge, and the acceptor from the proof, even if the dialler sends one regardless. */
+/* An instance of another cluster, or one with an old cluster key, connects. If either end accepted
+ * the other, two clusters would mix their members and configurations. The dialler must detect the
+ * wrong key from the CHALLENGE; the acceptor from the PROOF, if the dialler sends one anyway. */
 Test (handshake, different_key_is_refused_by_either_end)
 {
   HandshakePair pair;
 
-  pair_init (&pair, "key", "other");
-  cr_assert (answer_hello (&pair));
-  cr_assert_not (answer_challenge (&pair));
+  handshake_pair_init (&pair, "key", "other");
+  cr_assert (deliver_hello_to_acceptor (&pair));
+  cr_assert_not (deliver_challenge_to_dialler (&pair));
   cr_assert_eq (pair.error.code, LB_ERROR_WRONG_KEY);
   cr_assert_not (pair.dialler.done);
   pair.proof.type = LW_PROOF;
-  cr_assert_not (verify_proof (&pair));
+  cr_assert_not (deliver_proof_to_acceptor (&pair));
   cr_assert_eq (pair.error.code, LB_ERROR_WRONG_KEY);
   cr_assert_not (pair.acceptor.done);
 }
 
-/* A peer without the key sends our own proof back to us (reflection), or someone on the path
- * changes the address in an instance's message to have frames sent elsewhere. */
+/* A peer without the key sends our own proof back to us (reflection), or an attacker on the path
+ * changes the address of the instance in a message to redirect frames. */
 Test (handshake, reflected_proof_and_altered_instance_are_refused)
 {
   HandshakePair pair;
 
-  pair_init (&pair, "key", "key");
+  handshake_pair_init (&pair, "key", "key");
   pair.hello.instance = pair.acceptor.self;
-  answer_hello (&pair);
+  deliver_hello_to_acceptor (&pair);
   memcpy (pair.proof.mac, pair.challenge.mac, sizeof pair.proof.mac);
   pair.proof.type = LW_PROOF;
-  cr_assert_not (verify_proof (&pair));
+  cr_assert_not (deliver_proof_to_acceptor (&pair));
 
-  pair_init (&pair, "key", "key");
-  answer_hello (&pair);
+  handshake_pair_init (&pair, "key", "key");
+  deliver_hello_to_acceptor (&pair);
   LB_COPY (pair.challenge.instance.caller_address, "127.0.0.1:6666");
-  cr_assert_not (answer_challenge (&pair));
+  cr_assert_not (deliver_challenge_to_dialler (&pair));
   cr_assert_eq (pair.error.code, LB_ERROR_WRONG_KEY);
 }
 
-Test (handshake, other_messages_are_refused_before_its_end)
+Test (handshake, ping_and_early_proof_are_refused_before_the_challenge)
 {
   HandshakePair pair;
   LwMessage ping = { .type = LW_PING };
 
-  pair_init (&pair, "key", "key");
-  cr_assert_not (lw_handshake_handle_message (&pair.acceptor, &ping, &pair.none, &pair.error));
+  handshake_pair_init (&pair, "key", "key");
+  cr_assert_not (
+      lw_handshake_handle_message (&pair.acceptor, &ping, &pair.no_message, &pair.error));
   cr_assert_eq (pair.error.code, LB_ERROR_FRAME_GARBLED);
   pair.proof.type = LW_PROOF;
-  cr_assert_not (verify_proof (&pair));
+  cr_assert_not (deliver_proof_to_acceptor (&pair));
 }
