--- a/packages/base/src/lb-log.c
+++ b/packages/base/src/lb-log.c
@@ -12,8 +12,8 @@
 
 /* Size of the buffer of lines that wait to be written. A quarter is reserved for warnings and
  * errors, which explain a fault just when most lines are logged. */
-#define BUFFER_BYTES ((size_t)(256 << 10))
-#define MAX_UNRESERVED_BYTES (BUFFER_BYTES / 4 * 3)
+#define LOG_BUFFER_BYTES ((size_t)(256 << 10))
+#define UNRESERVED_BUFFER_BYTES (LOG_BUFFER_BYTES / 4 * 3)
 /* Rate limits of log lines: several times what an instance logs under full load, but low enough
  * that a burst of refused requests doesn't use up its CPU time. */
 #define MAX_LINES_PER_SECOND 2000
@@ -51,7 +51,7 @@
 lb_log_enable_buffering (void)
 {
   if (!log_state.buffer)
-    log_state.buffer = lb_malloc (BUFFER_BYTES);
+    log_state.buffer = lb_malloc (LOG_BUFFER_BYTES);
 }
 
 int64_t
@@ -91,7 +91,7 @@
 }
 
 static void
-write_blocking (const char *text, size_t length)
+write_line_blocking (const char *text, size_t length)
 {
   while (length > 0)
     {
@@ -127,7 +127,7 @@
 buffer_line (LbLogLevel level, const char *line, size_t length)
 {
   bool is_urgent = level >= LB_LOG_WARNING;
-  size_t capacity = is_urgent ? BUFFER_BYTES : MAX_UNRESERVED_BYTES;
+  size_t capacity = is_urgent ? LOG_BUFFER_BYTES : UNRESERVED_BUFFER_BYTES;
 
   if (log_state.buffered_bytes + length > capacity
       || (!count_line_and_check_rate (length) && !is_urgent))
@@ -144,7 +144,7 @@
 {
   int64_t dropped = log_state.n_dropped_lines - log_state.n_reported_lines;
 
-  if (dropped == 0 || log_state.buffered_bytes > MAX_UNRESERVED_BYTES)
+  if (dropped == 0 || log_state.buffered_bytes > UNRESERVED_BUFFER_BYTES)
     return;
   log_state.n_reported_lines = log_state.n_dropped_lines;
   lb_log (LB_LOG_WARNING, "log_lines_dropped", LB_INT ("lines", dropped),
@@ -201,7 +201,7 @@
   if (log_state.buffer)
     buffer_line (level, with_newline, length + 1);
   else
-    write_blocking (with_newline, length + 1);
+    write_line_blocking (with_newline, length + 1);
   free (with_newline);
   json_object_put (line);
 }
--- a/packages/base/src/lb-settings.c
+++ b/packages/base/src/lb-settings.c
@@ -9,7 +9,7 @@
 #include <string.h>
 
 #define MAX_KEY_PATH_BYTES 160
-#define MAX_FILE_BYTES (4 << 20)
+#define MAX_SETTINGS_FILE_BYTES (4 << 20)
 
 static bool store_object_setting (struct json_object *object,
                                   const LbSettingSpec *specs,
@@ -98,13 +98,13 @@
       lb_error_set (error, LB_ERROR_IO, path, "cannot open the file");
       return NULL;
     }
-  text = lb_malloc (MAX_FILE_BYTES + 1);
-  size_t length = fread (text, 1, MAX_FILE_BYTES + 1, in);
+  text = lb_malloc (MAX_SETTINGS_FILE_BYTES + 1);
+  size_t length = fread (text, 1, MAX_SETTINGS_FILE_BYTES + 1, in);
   if (ferror (in))
     lb_error_set (error, LB_ERROR_IO, path, "cannot read the file");
-  else if (length > MAX_FILE_BYTES)
+  else if (length > MAX_SETTINGS_FILE_BYTES)
     lb_error_set (error, LB_ERROR_BODY_TOO_LARGE, path, "expected at most %d bytes",
-                  MAX_FILE_BYTES);
+                  MAX_SETTINGS_FILE_BYTES);
   else
     object = lb_settings_parse (text, length, path, error);
   if (object && !has_no_duplicate_keys (text, length, path, error))
--- a/packages/base/tests/test-json.c
+++ b/packages/base/tests/test-json.c
@@ -42,14 +42,16 @@
       const char *key = keys[i];
       if (strcmp (key, "text") != 0 && strcmp (key, "digits") != 0)
         {
-          cr_assert_str_eq (lb_json_text (object, key, "no"), "no", "%s", key);
-          cr_assert_null (lb_json_text (object, key, NULL), "%s", key);
+          cr_assert_str_eq (lb_json_text (object, key, "no"), "no",
+                            "expected the fallback for key %s", key);
+          cr_assert_null (lb_json_text (object, key, NULL), "expected the NULL fallback for key %s",
+                          key);
         }
       if (strcmp (key, "int") != 0)
-        cr_assert_eq (lb_json_int (object, key, -1), -1, "%s", key);
+        cr_assert_eq (lb_json_int (object, key, -1), -1, "expected the fallback for key %s", key);
       if (strcmp (key, "bool") != 0)
-        cr_assert (lb_json_bool (object, key, true) && !lb_json_bool (object, key, false), "%s",
-                   key);
+        cr_assert (lb_json_bool (object, key, true) && !lb_json_bool (object, key, false),
+                   "expected the fallback for key %s", key);
     }
 }
 
@@ -73,7 +75,7 @@
   size_t offset = 0;
   bool found = lb_json_find_duplicate_key (text, strlen (text), &offset);
 
-  cr_assert_eq (found, expected >= 0, "%s", text);
+  cr_assert_eq (found, expected >= 0, "wrong result of the search for a duplicate key in %s", text);
   if (found)
     cr_assert_eq ((long)offset, expected, "%s: duplicate found at offset %zu", text, offset);
 }
--- a/packages/wire/src/lw-message.c
+++ b/packages/wire/src/lw-message.c
@@ -11,7 +11,7 @@
 /* Largest number of instances in a frame. A single byte in a frame can claim to be an instance,
  * which takes hundreds of bytes in memory: without a limit, a frame of 8 MiB would allocate
  * gigabytes. */
-#define MAX_INSTANCES 8192
+#define MAX_INSTANCES_PER_FRAME 8192
 
 static void
 pack_text (msgpack_packer *packer, const char *text)
@@ -279,7 +279,7 @@
 {
   FieldReader inner = open_array (reader);
 
-  if (inner.n_unread > MAX_INSTANCES)
+  if (inner.n_unread > MAX_INSTANCES_PER_FRAME)
     {
       reader->is_invalid = true;
       return;
--- a/packages/wire/tests/test-frames.c
+++ b/packages/wire/tests/test-frames.c
@@ -60,7 +60,8 @@
       cr_assert_eq (lw_frame_read (bytes, length, LW_FRAME_MAX_BODY_BYTES, &frame, NULL),
                     LW_FRAME_COMPLETE);
       cr_assert_eq (frame.consumed, length);
-      cr_assert (lw_message_decode (frame.body, frame.length, &decoded, NULL), "type %d", type);
+      cr_assert (lw_message_decode (frame.body, frame.length, &decoded, NULL),
+                 "encoded message of type %d was not decoded", type);
       uint8_t *reencoded = lw_message_encode (&decoded, &reencoded_length);
       cr_assert_eq (length, reencoded_length);
       cr_assert_eq (memcmp (bytes, reencoded, length), 0);
