--- a/packages/core/bench/bench-membership.c
+++ b/packages/core/bench/bench-membership.c
@@ -167,15 +167,15 @@
 
   settings.n_rings = rings;
   FakePeers *peers = fake_peers_new (members, &settings, seed);
-  fake_peers_start (peers, 0);
+  fake_peers_start_instance (peers, 0);
   for (size_t i = 1; i < members; i++)
     {
       fake_peers_run_until (peers, fake_peers_now (peers) + 50 * LB_MSEC);
-      fake_peers_start (peers, i);
+      fake_peers_start_instance (peers, i);
     }
   fake_peers_run_until (peers, fake_peers_now (peers) + 60 * LB_SEC);
-  if (fake_peers_count_agreeing (peers) != members)
-    printf ("only %zu of %zu instances agree\n", fake_peers_count_agreeing (peers), members);
+  if (fake_peers_count_converged (peers) != members)
+    printf ("only %zu of %zu instances agree\n", fake_peers_count_converged (peers), members);
   return peers;
 }
 
@@ -185,15 +185,15 @@
   int64_t largest = 0;
 
   for (size_t i = 0; i < members; i++)
-    if (fake_peers_bytes (peers, i) > largest)
-      largest = fake_peers_bytes (peers, i);
+    if (fake_peers_traffic_bytes (peers, i) > largest)
+      largest = fake_peers_traffic_bytes (peers, i);
   return (double)largest / seconds;
 }
 
 static double
 steady_rate (FakePeers *peers, size_t members)
 {
-  fake_peers_reset_bytes (peers);
+  fake_peers_reset_traffic_bytes (peers);
   fake_peers_run_until (peers, fake_peers_now (peers) + 20 * LB_SEC);
   return largest_rate (peers, members, 20);
 }
@@ -204,7 +204,7 @@
   bool *is_unlisted = LB_NEW_ARRAY (bool, members);
   LbTime failed_at = fake_peers_now (peers);
 
-  fake_peers_set_state (peers, subject, FAKE_UNREACHABLE);
+  fake_peers_set_instance_state (peers, subject, FAKE_UNREACHABLE);
   for (int step = 1; step <= 200; step++)
     {
       fake_peers_run_until (peers, failed_at + step * 20 * LB_MSEC);
@@ -235,7 +235,7 @@
       fake_peers_run_until (peers, fake_peers_now (peers)
                                        + (LbTime)gsl_rng_uniform_int (rng, (unsigned long)LB_SEC));
       measure_failure (peers, members, subject, &samples);
-      fake_peers_start (peers, subject);
+      fake_peers_start_instance (peers, subject);
       fake_peers_run_until (peers, fake_peers_now (peers) + 5 * LB_SEC);
     }
   snprintf (method, sizeof method, "%zu successors on rings", rings);
@@ -254,16 +254,16 @@
   for (int phase = 0; phase < 2; phase++)
     {
       for (size_t i = 0; i < members; i += 3)
-        fake_peers_set_group (peers, i, phase == 0);
+        fake_peers_set_partition_group (peers, i, phase == 0);
       LbTime started_at = fake_peers_now (peers);
       LbTime agreed_after = 0;
       for (int second = 1; second <= 60; second++)
         {
-          fake_peers_reset_bytes (peers);
+          fake_peers_reset_traffic_bytes (peers);
           fake_peers_run_until (peers, started_at + second * LB_SEC);
           double rate = largest_rate (peers, members, 1);
           largest[phase] = rate > largest[phase] ? rate : largest[phase];
-          if (phase == 1 && !agreed_after && fake_peers_count_agreeing (peers) == members)
+          if (phase == 1 && !agreed_after && fake_peers_count_converged (peers) == members)
             agreed_after = fake_peers_now (peers) - started_at;
         }
       if (phase == 1)
--- a/packages/core/bench/bench-weights.c
+++ b/packages/core/bench/bench-weights.c
@@ -16,13 +16,13 @@
   pool.load_time = load_time;
   pool.load_jitter = load_time / 4;
   pool.period = 3 * LB_SEC;
-  pool.swap_period = LB_SEC / 2;
-  fake_pool_run (&pool, 10 * LB_SEC);
+  pool.swapping_report_period = LB_SEC / 2;
+  fake_pool_run_for (&pool, 10 * LB_SEC);
   lc_weights_set_newest_version (pool.weights, 41, pool.now);
-  LbTime duration = fake_pool_run_until_done (&pool, 41, MAX_DURATION);
+  LbTime duration = fake_pool_run_until_rolled_out (&pool, 41, MAX_DURATION);
   printf ("%8zu %8lld %9.1f %9.2f %8zu %8zu %8zu\n", engines, (long long)percent,
-          (double)load_time / LB_SEC, (double)duration / LB_SEC, pool.orders, pool.most_swapping,
-          pool.most_out);
+          (double)load_time / LB_SEC, (double)duration / LB_SEC, pool.orders, pool.most_loading,
+          pool.most_unavailable);
   fake_pool_clear (&pool);
 }
 
--- a/packages/core/bench/fake-peers.c
+++ b/packages/core/bench/fake-peers.c
@@ -325,7 +325,7 @@
 }
 
 void
-fake_peers_execute (FakePeers *peers, size_t node, LbList *actions)
+fake_peers_execute_actions (FakePeers *peers, size_t node, LbList *actions)
 {
   LbLink *link;
 
@@ -365,11 +365,11 @@
   count_bytes (peers, dialler, connection->nodes[1], CONNECT_BYTES + 400);
   LcInstance self = *lc_membership_self (dialler_membership);
   connection->links[1] = lc_membership_link_accepted (acceptor, &self, peers->now, actions);
-  fake_peers_execute (peers, peers->connections[index].nodes[1], actions);
+  fake_peers_execute_actions (peers, peers->connections[index].nodes[1], actions);
   self = *lc_membership_self (acceptor);
   lc_membership_link_dialled (dialler_membership, peers->connections[index].links[0], &self,
                               peers->now, actions);
-  fake_peers_execute (peers, dialler, actions);
+  fake_peers_execute_actions (peers, dialler, actions);
 }
 
 static void
@@ -436,7 +436,7 @@
         handle_message (peers, event, &actions);
         break;
       }
-  fake_peers_execute (peers, event->node, &actions);
+  fake_peers_execute_actions (peers, event->node, &actions);
   if (node->state == FAKE_RUNNING)
     schedule_tick (peers, event->node);
   free (event->message.instances);
@@ -473,7 +473,7 @@
 }
 
 void
-fake_peers_start (FakePeers *peers, size_t index)
+fake_peers_start_instance (FakePeers *peers, size_t index)
 {
   LcMembershipSettings settings = peers->settings;
   bool is_restart = peers->nodes[index].membership != NULL;
@@ -508,7 +508,7 @@
 }
 
 void
-fake_peers_set_state (FakePeers *peers, size_t index, FakeState state)
+fake_peers_set_instance_state (FakePeers *peers, size_t index, FakeState state)
 {
   if (state == FAKE_KILLED)
     reset_connections (peers, index);
@@ -516,7 +516,7 @@
 }
 
 void
-fake_peers_set_group (FakePeers *peers, size_t index, int group)
+fake_peers_set_partition_group (FakePeers *peers, size_t index, int group)
 {
   peers->nodes[index].group = group;
 }
@@ -554,7 +554,7 @@
 }
 
 void
-fake_peers_reset_bytes (FakePeers *peers)
+fake_peers_reset_traffic_bytes (FakePeers *peers)
 {
   for (size_t i = 0; i < peers->n_nodes; i++)
     peers->nodes[i].bytes = 0;
@@ -583,7 +583,7 @@
 }
 
 LcInstanceState
-fake_peers_known_state (const FakePeers *peers, size_t observer, size_t subject)
+fake_peers_observed_state (const FakePeers *peers, size_t observer, size_t subject)
 {
   LcMemberView view;
 
@@ -594,7 +594,7 @@
 }
 
 size_t
-fake_peers_count_listing (const FakePeers *peers, size_t subject)
+fake_peers_count_observers_listing (const FakePeers *peers, size_t subject)
 {
   size_t listing = 0;
 
@@ -605,7 +605,7 @@
 }
 
 size_t
-fake_peers_count_agreeing (const FakePeers *peers)
+fake_peers_count_converged (const FakePeers *peers)
 {
   size_t agreeing = 0;
 
@@ -621,7 +621,7 @@
 }
 
 int64_t
-fake_peers_bytes (const FakePeers *peers, size_t index)
+fake_peers_traffic_bytes (const FakePeers *peers, size_t index)
 {
   return peers->nodes[index].bytes;
 }
--- a/packages/core/tests/fake-engines.h
+++ b/packages/core/tests/fake-engines.h
@@ -35,15 +35,15 @@
   size_t n;
   LbTime now;
   LbTime load_time;
-  LbTime load_jitter;  /* largest additional load time; engine i takes i/n of it */
-  LbTime swap_period;  /* between reports of an engine that changes its version */
-  LbTime period;       /* between reports of other engines */
-  LbTime answer_limit; /* of the next lease holder; 0: the default */
-  bool fenced;
-  bool unfenced;
+  LbTime load_jitter;            /* largest additional load time; engine i takes i/n of it */
+  LbTime swapping_report_period; /* between reports of an engine that changes its version */
+  LbTime period;                 /* between reports of other engines */
+  LbTime first_report_limit;     /* of the next lease holder; 0: the default */
+  bool can_order_fenced;
+  bool can_order_unfenced;
   size_t orders;
-  size_t most_out;      /* largest number of engines that were unavailable at the same time */
-  size_t most_swapping; /* largest number of engines that were loading at the same time */
+  size_t most_unavailable; /* largest number of engines that were unavailable at the same time */
+  size_t most_loading;     /* largest number of engines that were loading at the same time */
 } FakePool;
 
 static inline void
@@ -54,10 +54,10 @@
   *pool = (FakePool){ .n = n,
                       .now = 1000 * LB_SEC,
                       .load_time = 2 * LB_SEC,
-                      .swap_period = LB_SEC / 4,
+                      .swapping_report_period = LB_SEC / 4,
                       .period = LB_SEC,
-                      .fenced = true,
-                      .unfenced = true };
+                      .can_order_fenced = true,
+                      .can_order_unfenced = true };
   pool->engines = LB_NEW_ARRAY (FakeEngine, n);
   pool->set = LB_NEW (LcResourceSet);
   pool->set->pools = LB_NEW (LcPool);
@@ -91,13 +91,13 @@
 
 /* Moves the lease to another instance, which knows only what the engines report. */
 static inline void
-fake_pool_new_holder (FakePool *pool, LcVersion newest)
+fake_pool_move_lease (FakePool *pool, LcVersion newest)
 {
   LcWeightsSettings settings;
 
   lc_weights_settings_init (&settings, "reader");
-  if (pool->answer_limit > 0)
-    settings.first_report_timeout = pool->answer_limit;
+  if (pool->first_report_limit > 0)
+    settings.first_report_timeout = pool->first_report_limit;
   lc_weights_free (pool->weights);
   pool->weights = lc_weights_new (&settings);
   lc_weights_configure (pool->weights, pool->set, pool->now);
@@ -106,7 +106,7 @@
 }
 
 static inline void
-fake_engine_load (FakePool *pool, size_t i, LcVersion version)
+fake_engine_start_load (FakePool *pool, size_t i, LcVersion version)
 {
   FakeEngine *engine = &pool->engines[i];
 
@@ -117,7 +117,7 @@
 }
 
 static inline void
-fake_pool_drop_actions (LbList *actions)
+fake_pool_free_actions (LbList *actions)
 {
   LbLink *link;
 
@@ -126,25 +126,26 @@
 }
 
 static inline void
-fake_pool_tick (FakePool *pool)
+fake_pool_execute_orders (FakePool *pool)
 {
   LbList actions;
 
   lb_list_init (&actions);
-  lc_weights_tick (pool->weights, pool->fenced, pool->unfenced, pool->now, &actions);
+  lc_weights_tick (pool->weights, pool->can_order_fenced, pool->can_order_unfenced, pool->now,
+                   &actions);
   LB_LIST_FOREACH (&actions, LcWeightsAction, link, action)
   {
     size_t i = (size_t)atoi (action->endpoint + strlen ("engine-"));
     if (action->type != LC_WEIGHTS_ORDER_LOAD)
       continue;
     pool->orders++;
-    pool->engines[i].next_report = pool->now + pool->swap_period;
+    pool->engines[i].next_report = pool->now + pool->swapping_report_period;
     if (pool->engines[i].dead)
       lc_weights_order_answered (pool->weights, action->endpoint, LB_ERROR_CLOSED, pool->now);
     else if (!pool->engines[i].ignores_orders)
-      fake_engine_load (pool, i, action->version);
+      fake_engine_start_load (pool, i, action->version);
   }
-  fake_pool_drop_actions (&actions);
+  fake_pool_free_actions (&actions);
 }
 
 static inline void
@@ -163,14 +164,14 @@
   if (engine->dead || pool->now < engine->next_report)
     return;
   bool swapping = lc_weights_is_swapping (pool->weights, engine->name);
-  engine->next_report = pool->now + (swapping ? pool->swap_period : pool->period);
+  engine->next_report = pool->now + (swapping ? pool->swapping_report_period : pool->period);
   report.version = engine->version;
   report.loading = engine->loading != 0;
   report.failed_version = engine->failed;
   snprintf (report.incarnation, sizeof report.incarnation, "%d", engine->incarnation);
   lb_list_init (&actions);
   lc_weights_report_received (pool->weights, engine->name, &report, pool->now, &actions);
-  fake_pool_drop_actions (&actions);
+  fake_pool_free_actions (&actions);
 }
 
 static inline void
@@ -183,24 +184,24 @@
       out += pool->engines[i].version == 0 || pool->engines[i].dead;
       swapping += pool->engines[i].loading != 0;
     }
-  pool->most_out = out > pool->most_out ? out : pool->most_out;
-  pool->most_swapping = swapping > pool->most_swapping ? swapping : pool->most_swapping;
+  pool->most_unavailable = out > pool->most_unavailable ? out : pool->most_unavailable;
+  pool->most_loading = swapping > pool->most_loading ? swapping : pool->most_loading;
 }
 
 static inline void
-fake_pool_run (FakePool *pool, LbTime duration)
+fake_pool_run_for (FakePool *pool, LbTime duration)
 {
   for (LbTime until = pool->now + duration; pool->now < until; pool->now += FAKE_TICK_PERIOD)
     {
       for (size_t i = 0; i < pool->n; i++)
         fake_engine_step (pool, &pool->engines[i]);
-      fake_pool_tick (pool);
+      fake_pool_execute_orders (pool);
       fake_pool_measure (pool);
     }
 }
 
 static inline size_t
-fake_pool_count (const FakePool *pool, LcVersion version)
+fake_pool_count_serving (const FakePool *pool, LcVersion version)
 {
   size_t n = 0;
 
@@ -212,15 +213,15 @@
 /* Runs until all engines except dead ones serve the version, at most for limit; returns the time
  * that it took. */
 static inline LbTime
-fake_pool_run_until_done (FakePool *pool, LcVersion version, LbTime limit)
+fake_pool_run_until_rolled_out (FakePool *pool, LcVersion version, LbTime limit)
 {
   LbTime start = pool->now;
   size_t dead = 0;
 
   for (size_t i = 0; i < pool->n; i++)
     dead += pool->engines[i].dead;
-  while (fake_pool_count (pool, version) < pool->n - dead && pool->now - start < limit)
-    fake_pool_run (pool, FAKE_TICK_PERIOD);
+  while (fake_pool_count_serving (pool, version) < pool->n - dead && pool->now - start < limit)
+    fake_pool_run_for (pool, FAKE_TICK_PERIOD);
   return pool->now - start;
 }
 
