--- a/standins/si-arguments.h
+++ b/standins/si-arguments.h
@@ -4,8 +4,9 @@
 #include <argtable2.h>
 #include <stdbool.h>
 
-/* The last two of the table's n_entries must be --help and arg_end. Returns true when the program
- * should run; otherwise help or usage errors have been printed and *exit_code is set. */
+/* Parses argv into an argtable2 table of n_entries entries; the last two must be --help and
+ * arg_end. Returns true if the program should run. Otherwise prints help or usage errors and sets
+ * *exit_code. */
 bool si_arguments_parse (
     int argc, char **argv, void **table, size_t n_entries, const char *program, int *exit_code);
 
--- a/standins/si-cache.c
+++ b/standins/si-cache.c
@@ -27,7 +27,7 @@
 }
 
 static void
-add_event (SiCache *cache, uint64_t prefix_hash, bool is_stored)
+record_cache_event (SiCache *cache, uint64_t prefix_hash, bool is_stored)
 {
   cache->events[cache->next_sequence % SI_CACHE_MAX_EVENTS] = (SiCacheEvent){
     .sequence = cache->next_sequence, .prefix_hash = prefix_hash, .is_stored = is_stored
@@ -36,28 +36,29 @@
 }
 
 static void
-remove_block (SiCache *cache, SiCacheBlock *block)
+evict_block (SiCache *cache, SiCacheBlock *block)
 {
-  add_event (cache, block->prefix_hash, false);
+  record_cache_event (cache, block->prefix_hash, false);
   lb_list_remove (&cache->lru, &block->link);
   HASH_DEL (cache->blocks, block);
   free (block);
 }
 
 void
-si_cache_evict_all (SiCache *cache)
+si_cache_evict_all_blocks (SiCache *cache)
 {
   LB_LIST_FOREACH (&cache->lru, SiCacheBlock, link, block)
-  remove_block (cache, block);
+  evict_block (cache, block);
 }
 
 void
 si_cache_clear (SiCache *cache)
 {
-  si_cache_evict_all (cache);
+  si_cache_evict_all_blocks (cache);
 }
 
-/* Makes the block the most recently used one; returns whether it was already cached. */
+/* Makes the block the most recently used one and inserts it if it is missing. Returns whether it
+ * was already cached. */
 static bool
 touch_or_insert_block (SiCache *cache, uint64_t prefix_hash)
 {
@@ -71,12 +72,12 @@
       return true;
     }
   if (cache->lru.length >= cache->max_blocks)
-    remove_block (cache, LB_CONTAINER (cache->lru.head.next, SiCacheBlock, link));
+    evict_block (cache, LB_CONTAINER (cache->lru.head.next, SiCacheBlock, link));
   block = LB_NEW (SiCacheBlock);
   block->prefix_hash = prefix_hash;
   HASH_ADD (hh, cache->blocks, prefix_hash, sizeof prefix_hash, block);
   lb_list_append (&cache->lru, &block->link);
-  add_event (cache, prefix_hash, true);
+  record_cache_event (cache, prefix_hash, true);
   return false;
 }
 
--- a/standins/si-checked-call.c
+++ b/standins/si-checked-call.c
@@ -8,21 +8,21 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MAX_EVENT_BYTES (1 << 20)
-#define MAX_HEADERS 8
+#define MAX_SSE_EVENT_SIZE (1 << 20)
+#define MAX_REQUEST_HEADERS 8
 
 typedef struct
 {
   SiCheckedCallKind kind;
   bool stream;
-  char *expected; /* the correct complete answer */
-  char *received; /* text of the stream's events so far */
+  char *expected; /* complete correct answer */
+  char *received; /* concatenated text of the events received */
   size_t received_length;
   size_t received_capacity;
-  char *body; /* of a reply that is not an event stream */
+  char *body; /* reply body, unless it is an event stream */
   size_t body_length;
   LhSse sse;
-  bool has_done_marker; /* [DONE] was received */
+  bool has_done_marker; /* set when the event [DONE] was received */
   LbTime start;
   SiCheckedCallResult result;
   SiCheckedCallDone done;
@@ -30,7 +30,7 @@
 } CheckedCall;
 
 static void
-append_bytes (char **text, size_t *length, const char *bytes, size_t n)
+append_to_string (char **text, size_t *length, const char *bytes, size_t n)
 {
   *text = lb_realloc (*text, *length + n + 1);
   memcpy (*text + *length, bytes, n);
@@ -109,11 +109,11 @@
   if (call->stream && lh_fetch_status (fetch) == 200)
     lh_sse_feed (&call->sse, bytes, length, on_sse_event, call, &error);
   else
-    append_bytes (&call->body, &call->body_length, bytes, length);
+    append_to_string (&call->body, &call->body_length, bytes, length);
 }
 
 static SiCallOutcome
-classify_stream (CheckedCall *call, const LhResult *result)
+classify_stream_outcome (CheckedCall *call, const LhResult *result)
 {
   if (call->result.error[0] != '\0')
     return SI_CALL_FAILED;
@@ -123,7 +123,7 @@
 }
 
 static SiCallOutcome
-classify_complete_reply (CheckedCall *call)
+classify_successful_reply (CheckedCall *call)
 {
   struct json_object *object = json_tokener_parse (call->body ? call->body : "");
   const char *text = NULL;
@@ -139,7 +139,7 @@
 }
 
 static SiCallOutcome
-classify_error_status (CheckedCall *call, LhFetch *fetch)
+classify_error_reply (CheckedCall *call, LhFetch *fetch)
 {
   struct json_object *object = json_tokener_parse (call->body ? call->body : "");
 
@@ -150,8 +150,8 @@
   return lh_fetch_header (fetch, "x-not-run") ? SI_CALL_NOT_RUN : SI_CALL_FAILED;
 }
 
-/* Classifies a call that failed without an answer: it did not run if no byte was sent, otherwise it
- * may have run. */
+/* Classifies a call that failed without an HTTP reply. The call has certainly not run if no byte of
+ * the request was sent; otherwise it may have run. */
 static SiCallOutcome
 classify_transport_failure (CheckedCall *call, const LhResult *result)
 {
@@ -160,21 +160,21 @@
 }
 
 static SiCallOutcome
-classify_outcome (CheckedCall *call, LhFetch *fetch, const LhResult *result)
+classify_call_outcome (CheckedCall *call, LhFetch *fetch, const LhResult *result)
 {
   int status = result->status ? result->status : lh_fetch_status (fetch);
 
   if (call->stream && call->received_length + (size_t)call->has_done_marker > 0)
-    return classify_stream (call, result);
+    return classify_stream_outcome (call, result);
   if (result->failure != LB_OK)
     return classify_transport_failure (call, result);
   if (status < 200 || status > 299)
-    return classify_error_status (call, fetch);
-  return call->stream ? classify_stream (call, result) : classify_complete_reply (call);
+    return classify_error_reply (call, fetch);
+  return call->stream ? classify_stream_outcome (call, result) : classify_successful_reply (call);
 }
 
 static void
-call_free (CheckedCall *call)
+checked_call_free (CheckedCall *call)
 {
   lh_sse_clear (&call->sse);
   free (call->expected);
@@ -184,21 +184,21 @@
 }
 
 static void
-on_done (LhFetch *fetch, const LhResult *result, void *user)
+on_call_done (LhFetch *fetch, const LhResult *result, void *user)
 {
   CheckedCall *call = user;
   const char *retry_after_ms = lh_fetch_header (fetch, "x-retry-after-ms");
 
   if (result->body_length > 0)
-    append_bytes (&call->body, &call->body_length, result->body, result->body_length);
+    append_to_string (&call->body, &call->body_length, result->body, result->body_length);
   call->result.duration = lb_clock_monotonic () - call->start;
   if (call->result.time_to_first_byte == 0)
     call->result.time_to_first_byte = call->result.duration;
   call->result.retry_after = retry_after_ms ? strtoll (retry_after_ms, NULL, 10) * LB_MSEC : 0;
   LB_COPY (call->result.body, call->body ? call->body : "");
-  call->result.outcome = classify_outcome (call, fetch, result);
+  call->result.outcome = classify_call_outcome (call, fetch, result);
   call->done (&call->result, call->user);
-  call_free (call);
+  checked_call_free (call);
 }
 
 static struct json_object *
@@ -231,11 +231,11 @@
   if (spec->kind == SI_CHECKED_CALL_SERVICE)
     return lb_strdup (spec->prompt);
   si_text_init_from_body (&text, body, spec->vary_length);
-  return si_text_slice (&text, 0, text.n_tokens);
+  return si_text_join_tokens (&text, 0, text.n_tokens);
 }
 
 static size_t
-add_headers (const SiCheckedCallSpec *spec, LhHeader *headers)
+add_request_headers (const SiCheckedCallSpec *spec, LhHeader *headers)
 {
   const LhHeader optional_headers[] = { { "Content-Type", "application/json" },
                                         { "x-caller", spec->caller },
@@ -265,18 +265,18 @@
                        SiCheckedCallDone done,
                        void *user)
 {
-  static const LhHandlers handlers = { .on_body_chunk = on_body_chunk, .on_done = on_done };
+  static const LhHandlers handlers = { .on_body_chunk = on_body_chunk, .on_done = on_call_done };
   CheckedCall *call = LB_NEW (CheckedCall);
   struct json_object *json = new_request_body (spec);
   const char *body = spec->kind == SI_CHECKED_CALL_SERVICE
                          ? spec->prompt
                          : json_object_to_json_string_ext (json, JSON_C_TO_STRING_PLAIN);
-  LhHeader headers[MAX_HEADERS];
+  LhHeader headers[MAX_REQUEST_HEADERS];
   const LhRequest request = { .method = "POST",
                               .address = spec->address,
                               .path = get_request_path (spec),
                               .headers = headers,
-                              .n_headers = add_headers (spec, headers),
+                              .n_headers = add_request_headers (spec, headers),
                               .body = body,
                               .body_length = strlen (body),
                               .idle_timeout = spec->idle_timeout };
@@ -289,10 +289,10 @@
   call->done = done;
   call->user = user;
   call->start = lb_clock_monotonic ();
-  lh_sse_init (&call->sse, MAX_EVENT_BYTES);
+  lh_sse_init (&call->sse, MAX_SSE_EVENT_SIZE);
   if (!lh_fetch_start (pool, &request, &handlers, call, &error))
     {
-      fprintf (stderr, "%s: %s\n", error.where, error.detail);
+      fprintf (stderr, "invalid call: %s: %s\n", error.where, error.detail);
       abort ();
     }
   json_object_put (json);
--- a/standins/si-checked-call.h
+++ b/standins/si-checked-call.h
@@ -16,25 +16,25 @@
 {
   SiCheckedCallKind kind;
   const char *address;
-  const char *model;  /* service call: the path, such as "/services/lookup/x" */
-  const char *prompt; /* service call: the request body */
+  const char *model;  /* SI_CHECKED_CALL_SERVICE: request path, such as "/services/lookup/x" */
+  const char *prompt; /* SI_CHECKED_CALL_SERVICE: request body */
   int64_t max_tokens;
   bool stream;
-  bool vary_length;            /* the engines run with --vary-length */
-  const char *caller;          /* NULL: none */
-  const char *idempotency_key; /* NULL: none */
-  const char *ticket;          /* NULL: none */
-  const char *order;           /* x-order: key under which the service counts runs; NULL: none */
-  const char *deadline_ms;     /* x-deadline-ms; NULL: none */
+  bool vary_length;            /* set if the engines run with --vary-length */
+  const char *caller;          /* header x-caller; NULL: not sent */
+  const char *idempotency_key; /* header idempotency-key; NULL: not sent */
+  const char *ticket;          /* header x-ticket; NULL: not sent */
+  const char *order;       /* header x-order: execution count key of the service; NULL: not sent */
+  const char *deadline_ms; /* header x-deadline-ms; NULL: not sent */
   LbTime idle_timeout;
 } SiCheckedCallSpec;
 
 typedef enum
 {
   SI_CALL_COMPLETE,
-  SI_CALL_WRONG_ANSWER, /* ended normally, but differs from the engine's answer to the prompt */
-  SI_CALL_TRUNCATED,    /* stream ended without [DONE] and without a typed error */
-  SI_CALL_NOT_RUN,      /* proven not to have reached or started at an endpoint */
+  SI_CALL_WRONG_ANSWER, /* the reply is complete, but its text is not the expected answer */
+  SI_CALL_TRUNCATED,    /* the stream ended without [DONE] and without an error event */
+  SI_CALL_NOT_RUN,      /* no endpoint started the call, so that a retry is safe */
   SI_CALL_FAILED,
   SI_N_CALL_OUTCOMES
 } SiCallOutcome;
@@ -42,18 +42,18 @@
 typedef struct
 {
   SiCallOutcome outcome;
-  LbName error;              /* type of the error; empty when the answer is complete */
-  LbTime time_to_first_byte; /* from the start of the call */
-  LbTime duration;           /* of the whole call */
-  LbTime retry_after;        /* 0: absent */
-  char body[512];            /* start of a reply that is not an event stream */
+  LbName error; /* error type in the reply, or name of the transport error; empty: none */
+  LbTime time_to_first_byte; /* from the start of the call to the first byte of the body */
+  LbTime duration;           /* from the start of the call to the end of the reply */
+  LbTime retry_after;        /* value of header x-retry-after-ms; 0: absent */
+  char body[512];            /* first bytes of a reply that is not an event stream */
 } SiCheckedCallResult;
 
 typedef void (*SiCheckedCallDone) (const SiCheckedCallResult *result, void *user);
 
-/* Sends one call and checks the answer against the stand-in engine's deterministic text. Invokes
- * `done` exactly once unless the pool is freed first. Aborts the program when the spec is invalid.
- */
+/* Sends one call and compares the answer with the stand-in engine's deterministic text; a service
+ * must echo the request body. Invokes `done` exactly once unless the pool is freed first. Aborts
+ * the program if the spec is invalid. */
 void si_checked_call_start (LhPool *pool,
                             const SiCheckedCallSpec *spec,
                             SiCheckedCallDone done,
--- a/standins/si-client.c
+++ b/standins/si-client.c
@@ -29,7 +29,7 @@
 }
 
 static void
-on_done (LhFetch *fetch, const LhResult *result, void *user)
+on_call_done (LhFetch *fetch, const LhResult *result, void *user)
 {
   PendingCall *pending = user;
   SiResponse *response = pending->response;
@@ -47,7 +47,7 @@
 void
 si_client_call (SiClient *client, const SiCall *call, SiResponse *response)
 {
-  const LhHandlers handlers = { .on_done = on_done };
+  const LhHandlers handlers = { .on_done = on_call_done };
   const LhRequest request = { .method = call->method,
                               .address = call->address,
                               .path = call->path,
--- a/standins/si-client.h
+++ b/standins/si-client.h
@@ -4,7 +4,7 @@
 #include "lh-fetch.h"
 #include "si-json.h"
 
-/* A blocking client that makes one call at a time, for tests and programs without other work. */
+/* A blocking HTTP client for tests and programs that make one call at a time. */
 typedef struct
 {
   struct event_base *base;
@@ -13,14 +13,14 @@
 
 typedef struct
 {
-  LbErrorCode failure; /* of the exchange; LB_OK when a complete reply arrived */
+  LbErrorCode failure; /* transport error; LB_OK if a complete reply arrived */
   int status;
-  char *body; /* NUL-terminated */
+  char *body; /* reply body, NUL-terminated */
   size_t length;
-  bool not_run;       /* header x-not-run is present */
-  LbTime retry_after; /* header x-retry-after-ms; 0: absent */
+  bool not_run;       /* set if the reply has header x-not-run: the call did not start */
+  LbTime retry_after; /* value of header x-retry-after-ms; 0: absent */
   LbTime duration;
-  LbName error; /* buffer for si_response_get_error_type */
+  LbName error; /* filled by si_response_get_error_type */
 } SiResponse;
 
 typedef struct
@@ -31,23 +31,23 @@
   const LhHeader *headers;
   size_t n_headers;
   const char *body;
-  LbTime idle_timeout; /* 0: 30 s */
+  LbTime idle_timeout; /* longest time without traffic; 0: 30 s */
 } SiCall;
 
 void si_client_init (SiClient *client);
 void si_client_clear (SiClient *client);
 void si_client_call (SiClient *client, const SiCall *call, SiResponse *response);
-/* Sends a POST with a JSON body, or a GET when body is NULL. Returns NULL unless the reply is 2xx
- * and JSON. */
+/* Sends a POST with a JSON body, or a GET if body is NULL. Returns the reply's JSON, which the
+ * caller owns; NULL if the status is not 2xx or the body is not JSON. */
 struct json_object *
 si_client_call_json (SiClient *client, const char *address, const char *path, const char *body);
-/* Runs the event loop for this long without making a call. */
+/* Runs the event loop for the given time without sending a call. */
 void si_client_pause (SiClient *client, LbTime time);
 
 void si_response_clear (SiResponse *response);
 bool si_response_is_ok (const SiResponse *response);
-/* The error type in the body, or the name of the exchange's failure. Valid until
- * si_response_clear. */
+/* Returns the name of the transport error or, if there is none, the error type in the reply body.
+ * The string is valid until si_response_clear. */
 const char *si_response_get_error_type (SiResponse *response);
 
 #endif
--- a/standins/si-control-plane.c
+++ b/standins/si-control-plane.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 static SiUsageReport *
-find_report (SiControlPlane *control_plane, int64_t window_sequence)
+find_usage_report (SiControlPlane *control_plane, int64_t window_sequence)
 {
   for (size_t i = 0; i < control_plane->n_reports; i++)
     if (control_plane->reports[i].window_sequence == window_sequence)
@@ -15,11 +15,13 @@
 }
 
 static void
-record_report (SiControlPlane *control_plane, const char *duty_holder, struct json_object *body)
+record_usage_report (SiControlPlane *control_plane,
+                     const char *duty_holder,
+                     struct json_object *body)
 {
   int64_t window_sequence = si_json_get_int (body, "windowSeq", -1);
   struct json_object *counts = NULL;
-  SiUsageReport *report = find_report (control_plane, window_sequence);
+  SiUsageReport *report = find_usage_report (control_plane, window_sequence);
 
   json_object_object_get_ex (body, "counts", &counts);
   const char *counts_json = json_object_to_json_string_ext (counts, JSON_C_TO_STRING_PLAIN);
@@ -28,7 +30,7 @@
       control_plane->conflicting_reports += strcmp (report->counts, counts_json) != 0;
       return;
     }
-  if (control_plane->n_reports == SI_MAX_REPORTS)
+  if (control_plane->n_reports == SI_MAX_USAGE_REPORTS)
     return;
   report = &control_plane->reports[control_plane->n_reports++];
   report->window_sequence = window_sequence;
@@ -39,7 +41,7 @@
 static void
 record_scale_order (SiControlPlane *control_plane, struct json_object *body)
 {
-  SiScaleOrder *order = &control_plane->orders[control_plane->n_orders++ % SI_MAX_ORDERS];
+  SiScaleOrder *order = &control_plane->orders[control_plane->n_orders++ % SI_MAX_SCALE_ORDERS];
 
   LB_COPY (order->service, si_json_get_text (body, "service", ""));
   LB_COPY (order->data_centre, si_json_get_text (body, "zone", ""));
@@ -47,9 +49,12 @@
   order->is_spot = si_json_get_bool (body, "spot", false);
 }
 
-/* Returns the HTTP status with which the call is answered. */
+/* Counts the call and returns the HTTP status of its reply: 429 in mode BUSY, 409 if the fencing
+ * token is outdated, otherwise 200. */
 static int
-admit_call (SiControlPlane *control_plane, const char *duty_holder, const char *fence_text)
+check_call_admission (SiControlPlane *control_plane,
+                      const char *duty_holder,
+                      const char *fence_text)
 {
   int64_t fence = fence_text ? atoll (fence_text) : -1;
 
@@ -70,13 +75,14 @@
 on_request (struct evhttp_request *request, void *user)
 {
   SiControlPlane *control_plane = user;
-  const char *duty_holder = si_request_header (request, "Duty-Holder");
-  int status = admit_call (control_plane, duty_holder, si_request_header (request, "Fence-Token"));
-  struct json_object *body = si_request_json (request);
+  const char *duty_holder = si_request_get_header (request, "Duty-Holder");
+  int status = check_call_admission (control_plane, duty_holder,
+                                     si_request_get_header (request, "Fence-Token"));
+  struct json_object *body = si_request_parse_body (request);
 
-  if (status == 200 && si_request_is (request, EVHTTP_REQ_POST, "/usage"))
-    record_report (control_plane, duty_holder ? duty_holder : "", body);
-  else if (status == 200 && si_request_is (request, EVHTTP_REQ_POST, "/scale"))
+  if (status == 200 && si_request_matches (request, EVHTTP_REQ_POST, "/usage"))
+    record_usage_report (control_plane, duty_holder ? duty_holder : "", body);
+  else if (status == 200 && si_request_matches (request, EVHTTP_REQ_POST, "/scale"))
     record_scale_order (control_plane, body);
   json_object_put (body);
   if (control_plane->mode == SI_CONTROL_PLANE_LOSES_REPLY)
--- a/standins/si-endpoint.c
+++ b/standins/si-endpoint.c
@@ -14,10 +14,10 @@
 #include <strings.h>
 #include <sys/queue.h>
 
-#define REGISTER_PERIOD (300 * LB_MSEC)
+#define REGISTER_INTERVAL (300 * LB_MSEC)
 #define CRASH_DELAY (20 * LB_MSEC)
 #define DEFAULT_RESTART_DELAY (400 * LB_MSEC)
-#define FIRST_START_MS 1700000000000 /* an arbitrary Unix time */
+#define INITIAL_START_TIME_MS 1700000000000 /* arbitrary Unix time in milliseconds */
 
 typedef struct
 {
@@ -26,23 +26,23 @@
   struct evhttp_request *request;
   struct event *timer;
   SiStreamRecord *record;
-  int64_t next_event; /* number of the next event */
-  int64_t version;    /* of the weights last reported to the caller */
+  int64_t next_event; /* id of the next event to send; starts at 1 */
+  int64_t version;    /* weight version that was last reported to the caller */
 } Stream;
 
 static void
-add_header (struct evhttp_request *request, const char *name, const char *value)
+add_reply_header (struct evhttp_request *request, const char *name, const char *value)
 {
   evhttp_add_header (evhttp_request_get_output_headers (request), name, value);
 }
 
 static void
-add_int_header (struct evhttp_request *request, const char *name, int64_t number)
+add_reply_int_header (struct evhttp_request *request, const char *name, int64_t number)
 {
   char text[32];
 
   snprintf (text, sizeof text, "%lld", (long long)number);
-  add_header (request, name, text);
+  add_reply_header (request, name, text);
 }
 
 static void
@@ -53,7 +53,7 @@
   evtimer_add (timer, &tv);
 }
 
-/* --- streams --- */
+/* --- event streams --- */
 
 static void
 stream_free (Stream *stream)
@@ -64,18 +64,18 @@
 }
 
 static void
-on_stream_closed (struct evhttp_connection *connection, void *user)
+on_stream_caller_disconnected (struct evhttp_connection *connection, void *user)
 {
   (void)connection;
   Stream *stream = user;
 
   stream->endpoint->cancelled_streams++;
-  si_request_release (stream->request);
+  si_request_free_if_detached (stream->request);
   stream_free (stream);
 }
 
 static void
-send_event (Stream *stream)
+send_stream_event (Stream *stream)
 {
   struct evbuffer *event = evbuffer_new ();
   const SiEndpoint *endpoint = stream->endpoint;
@@ -96,7 +96,7 @@
 }
 
 static void
-on_event_due (evutil_socket_t fd, short what, void *user)
+on_stream_event_due (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -104,7 +104,7 @@
 
   if (stream->next_event <= stream->endpoint->n_events)
     {
-      send_event (stream);
+      send_stream_event (stream);
       start_timer (stream->timer, stream->endpoint->event_interval);
       return;
     }
@@ -117,8 +117,8 @@
 static void
 start_stream (SiEndpoint *endpoint, struct evhttp_request *request)
 {
-  const char *id = si_request_header (request, "Attempt-Id");
-  const char *after = si_request_header (request, "Last-Event-Id");
+  const char *id = si_request_get_header (request, "Attempt-Id");
+  const char *after = si_request_get_header (request, "Last-Event-Id");
   Stream *stream = LB_NEW (Stream);
 
   stream->endpoint = endpoint;
@@ -128,22 +128,23 @@
   LB_COPY (stream->record->attempt_id, id ? id : "");
   stream->next_event = stream->record->resumed_after + 1;
   stream->version = endpoint->version;
-  stream->timer = evtimer_new (endpoint->server.base, on_event_due, stream);
+  stream->timer = evtimer_new (endpoint->server.base, on_stream_event_due, stream);
   lb_list_append (&endpoint->streams, &stream->link);
-  evhttp_connection_set_closecb (evhttp_request_get_connection (request), on_stream_closed, stream);
-  add_header (request, "Attempt-Id", stream->record->attempt_id);
-  add_header (request, "Content-Type", "text/event-stream");
-  add_int_header (request, "Weight-Versions", endpoint->version);
+  evhttp_connection_set_closecb (evhttp_request_get_connection (request),
+                                 on_stream_caller_disconnected, stream);
+  add_reply_header (request, "Attempt-Id", stream->record->attempt_id);
+  add_reply_header (request, "Content-Type", "text/event-stream");
+  add_reply_int_header (request, "Weight-Versions", endpoint->version);
   if (endpoint->listener && endpoint->listener->on_stream)
     endpoint->listener->on_stream (endpoint, stream->record->attempt_id, endpoint->user);
   evhttp_send_reply_start (request, 200, NULL);
   start_timer (stream->timer, endpoint->event_interval);
 }
 
-/* --- orders and reports --- */
+/* --- weight orders and status reports --- */
 
 static void
-on_load_done (evutil_socket_t fd, short what, void *user)
+on_weight_load_done (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -155,9 +156,9 @@
 }
 
 static void
-handle_order (SiEndpoint *endpoint, struct evhttp_request *request)
+handle_weight_order (SiEndpoint *endpoint, struct evhttp_request *request)
 {
-  struct json_object *order = si_request_json (request);
+  struct json_object *order = si_request_parse_body (request);
   int64_t fence = si_json_get_int (order, "fence", 0);
   int64_t version = si_json_get_int (order, "version", 0);
   int status = 202;
@@ -202,7 +203,7 @@
 }
 
 static void
-reply_report (SiEndpoint *endpoint, struct evhttp_request *request)
+reply_status_report (SiEndpoint *endpoint, struct evhttp_request *request)
 {
   struct json_object *object = json_object_new_object ();
 
@@ -213,10 +214,10 @@
   si_reply_json (request, 200, object);
 }
 
-/* --- the server --- */
+/* --- request headers and calls without a model --- */
 
 static void
-record_identity (SiEndpoint *endpoint, struct evhttp_request *request)
+record_tenant_and_api_key_headers (SiEndpoint *endpoint, struct evhttp_request *request)
 {
   const struct evkeyval *header;
   char tenants[LB_NAME_MAX] = "";
@@ -232,24 +233,24 @@
 }
 
 static bool
-is_misdirected (const SiEndpoint *endpoint, struct evhttp_request *request)
+is_request_misdirected (const SiEndpoint *endpoint, struct evhttp_request *request)
 {
-  const char *expected = si_request_header (request, "Expect-Instance");
+  const char *expected = si_request_get_header (request, "Expect-Instance");
 
   return expected && strcmp (expected, endpoint->name) != 0;
 }
 
-/* A call to a plain service that is answered after a delay. */
+/* A call to an endpoint without a model whose reply is delayed. */
 typedef struct
 {
   LbLink link;
   struct evhttp_request *request;
   struct event *timer;
   SiEndpoint *endpoint;
-} Call;
+} PendingCall;
 
 static void
-call_free (Call *call)
+pending_call_free (PendingCall *call)
 {
   lb_list_remove (&call->endpoint->running_calls, &call->link);
   event_free (call->timer);
@@ -257,66 +258,67 @@
 }
 
 static void
-on_call_closed (struct evhttp_connection *connection, void *user)
+on_call_caller_disconnected (struct evhttp_connection *connection, void *user)
 {
   (void)connection;
-  Call *call = user;
+  PendingCall *call = user;
 
-  si_request_release (call->request);
-  call_free (call);
+  si_request_free_if_detached (call->request);
+  pending_call_free (call);
 }
 
 static void
-send_reply (struct evhttp_request *request)
+send_service_reply (struct evhttp_request *request)
 {
-  const char *id = si_request_header (request, "Attempt-Id");
+  const char *id = si_request_get_header (request, "Attempt-Id");
   char stamp[LB_NAME_MAX + 8];
 
   snprintf (stamp, sizeof stamp, "stamp-%s", id ? id : "");
-  add_header (request, "Attempt-Id", id ? id : "");
-  add_header (request, "Server-Stamp", stamp);
-  add_header (request, "Server-Load", "1,0,8");
+  add_reply_header (request, "Attempt-Id", id ? id : "");
+  add_reply_header (request, "Server-Stamp", stamp);
+  add_reply_header (request, "Server-Load", "1,0,8");
   evbuffer_add_printf (evhttp_request_get_output_buffer (request), "answer to %s", id ? id : "");
   evhttp_send_reply (request, 200, NULL, NULL);
 }
 
 static void
-on_call_due (evutil_socket_t fd, short what, void *user)
+on_call_reply_due (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
-  Call *call = user;
+  PendingCall *call = user;
 
   evhttp_connection_set_closecb (evhttp_request_get_connection (call->request), NULL, NULL);
-  send_reply (call->request);
-  call_free (call);
+  send_service_reply (call->request);
+  pending_call_free (call);
 }
 
-static Call *
-call_new (SiEndpoint *endpoint, struct evhttp_request *request)
+static PendingCall *
+pending_call_new (SiEndpoint *endpoint, struct evhttp_request *request)
 {
-  Call *call = LB_NEW (Call);
+  PendingCall *call = LB_NEW (PendingCall);
 
   call->endpoint = endpoint;
   call->request = request;
-  call->timer = evtimer_new (endpoint->server.base, on_call_due, call);
+  call->timer = evtimer_new (endpoint->server.base, on_call_reply_due, call);
   lb_list_append (&endpoint->running_calls, &call->link);
-  evhttp_connection_set_closecb (evhttp_request_get_connection (request), on_call_closed, call);
+  evhttp_connection_set_closecb (evhttp_request_get_connection (request),
+                                 on_call_caller_disconnected, call);
   return call;
 }
 
 static void
-handle_call (SiEndpoint *endpoint, struct evhttp_request *request)
+handle_service_call (SiEndpoint *endpoint, struct evhttp_request *request)
 {
-  const char *id = si_request_header (request, "Attempt-Id");
+  const char *id = si_request_get_header (request, "Attempt-Id");
 
   endpoint->n_calls++;
   if (endpoint->listener && endpoint->listener->on_call)
     endpoint->listener->on_call (endpoint, id ? id : "", endpoint->user);
   if (endpoint->call_duration == 0)
-    send_reply (request);
+    send_service_reply (request);
   else
-    start_timer (call_new (endpoint, request)->timer, endpoint->call_duration);
+    start_timer (pending_call_new (endpoint, request)->timer, endpoint->call_duration);
 }
 
 /* --- crashes and restarts --- */
@@ -324,22 +326,22 @@
 static bool
 is_fatal_request (const SiEndpoint *endpoint, struct evhttp_request *request)
 {
-  char *body = endpoint->fatal_body ? si_request_text (request) : NULL;
+  char *body = endpoint->fatal_body ? si_request_copy_body (request) : NULL;
   bool is_fatal = body && strcmp (body, endpoint->fatal_body) == 0;
 
   free (body);
   return is_fatal;
 }
 
-/* Leaves the request unanswered until the endpoint crashes: by the listener's callback if there is
- * one, otherwise after CRASH_DELAY. */
+/* Leaves the request unanswered until the endpoint crashes. The listener's callback crashes the
+ * endpoint; without a callback a timer does so after CRASH_DELAY. */
 static void
 start_fatal_request (SiEndpoint *endpoint, struct evhttp_request *request)
 {
-  const char *id = si_request_header (request, "Attempt-Id");
+  const char *id = si_request_get_header (request, "Attempt-Id");
 
   endpoint->fatal_requests++;
-  call_new (endpoint, request);
+  pending_call_new (endpoint, request);
   if (endpoint->listener && endpoint->listener->on_fatal_request)
     endpoint->listener->on_fatal_request (endpoint, id ? id : "", endpoint->user);
   else if (!evtimer_pending (endpoint->crash_timer, NULL))
@@ -347,21 +349,21 @@
 }
 
 static void
-free_all_requests (SiEndpoint *endpoint)
+free_streams_and_pending_calls (SiEndpoint *endpoint)
 {
   LB_LIST_FOREACH (&endpoint->streams, Stream, link, stream)
   {
     evhttp_connection_set_closecb (evhttp_request_get_connection (stream->request), NULL, NULL);
     stream_free (stream);
   }
-  LB_LIST_FOREACH (&endpoint->running_calls, Call, link, call)
+  LB_LIST_FOREACH (&endpoint->running_calls, PendingCall, link, call)
   {
     evhttp_connection_set_closecb (evhttp_request_get_connection (call->request), NULL, NULL);
-    call_free (call);
+    pending_call_free (call);
   }
 }
 
-/* The entry stays in the store until the restart, since a crashed process removes nothing. */
+/* The registration stays in the store until the restart, as after the crash of a real process. */
 static void
 on_crash_due (evutil_socket_t fd, short what, void *user)
 {
@@ -370,7 +372,7 @@
   SiEndpoint *endpoint = user;
 
   endpoint->crashes++;
-  free_all_requests (endpoint);
+  free_streams_and_pending_calls (endpoint);
   event_del (endpoint->register_timer);
   si_server_stop (&endpoint->server);
   start_timer (endpoint->restart_timer, endpoint->restart_delay);
@@ -400,17 +402,17 @@
 }
 
 static void
-handle_work (SiEndpoint *endpoint, struct evhttp_request *request)
+handle_stream_or_call_request (SiEndpoint *endpoint, struct evhttp_request *request)
 {
-  record_identity (endpoint, request);
+  record_tenant_and_api_key_headers (endpoint, request);
   if (is_fatal_request (endpoint, request))
     start_fatal_request (endpoint, request);
   else if (!endpoint->model[0])
-    handle_call (endpoint, request);
+    handle_service_call (endpoint, request);
   else if (endpoint->loading_version != 0)
     {
       endpoint->refused_requests++;
-      add_header (request, "Not-Run", "1");
+      add_reply_header (request, "Not-Run", "1");
       evhttp_send_reply (request, 503, NULL, NULL);
     }
   else
@@ -422,23 +424,23 @@
 {
   SiEndpoint *endpoint = user;
 
-  if (is_misdirected (endpoint, request))
+  if (is_request_misdirected (endpoint, request))
     {
       endpoint->misdirected_requests++;
       evhttp_send_reply (request, 421, NULL, NULL);
     }
-  else if (si_request_is (request, EVHTTP_REQ_POST, "/-/order"))
-    handle_order (endpoint, request);
-  else if (si_request_is (request, EVHTTP_REQ_GET, "/-/report"))
-    reply_report (endpoint, request);
+  else if (si_request_matches (request, EVHTTP_REQ_POST, "/-/order"))
+    handle_weight_order (endpoint, request);
+  else if (si_request_matches (request, EVHTTP_REQ_GET, "/-/report"))
+    reply_status_report (endpoint, request);
   else
-    handle_work (endpoint, request);
+    handle_stream_or_call_request (endpoint, request);
 }
 
 void
 si_endpoint_register (SiEndpoint *endpoint)
 {
-  const struct timeval period = { .tv_usec = REGISTER_PERIOD };
+  const struct timeval period = { .tv_usec = REGISTER_INTERVAL };
   struct json_object *object = json_object_new_object ();
 
   si_json_set_text (object, "service", endpoint->service);
@@ -490,7 +492,7 @@
 }
 
 static void
-on_register_due (evutil_socket_t fd, short what, void *user)
+on_registration_due (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -513,17 +515,17 @@
   LB_COPY (endpoint->service, service);
   LB_COPY (endpoint->model, model);
   endpoint->version = 1;
-  endpoint->start_ms = FIRST_START_MS;
+  endpoint->start_ms = INITIAL_START_TIME_MS;
   endpoint->n_events = 10;
   endpoint->event_interval = 10 * LB_MSEC;
   endpoint->load_time = 200 * LB_MSEC;
   lb_list_init (&endpoint->streams);
   lb_list_init (&endpoint->running_calls);
-  endpoint->load_timer = evtimer_new (base, on_load_done, endpoint);
+  endpoint->load_timer = evtimer_new (base, on_weight_load_done, endpoint);
   endpoint->restart_delay = DEFAULT_RESTART_DELAY;
   endpoint->crash_timer = evtimer_new (base, on_crash_due, endpoint);
   endpoint->restart_timer = evtimer_new (base, on_restart_due, endpoint);
-  endpoint->register_timer = event_new (base, -1, EV_PERSIST, on_register_due, endpoint);
+  endpoint->register_timer = event_new (base, -1, EV_PERSIST, on_registration_due, endpoint);
   si_endpoint_register (endpoint);
   return true;
 }
@@ -531,7 +533,7 @@
 void
 si_endpoint_clear (SiEndpoint *endpoint)
 {
-  free_all_requests (endpoint);
+  free_streams_and_pending_calls (endpoint);
   event_free (endpoint->crash_timer);
   event_free (endpoint->restart_timer);
   event_free (endpoint->register_timer);
--- a/standins/si-engine-orders.c
+++ b/standins/si-engine-orders.c
@@ -6,13 +6,13 @@
 #include <string.h>
 
 bool
-si_engine_is_loading (const SiEngine *engine)
+si_engine_is_loading_weights (const SiEngine *engine)
 {
   return engine->loading_version != 0;
 }
 
-/* Weights are loaded in place: until the load is done there is no complete version, and running
- * requests are paused. */
+/* Starts loading weights in place. Until the load ends, no weight version is complete and the batch
+ * is paused. */
 static void
 start_weight_load (SiEngine *engine, int64_t version)
 {
@@ -25,7 +25,7 @@
 }
 
 void
-si_engine_on_load_done (evutil_socket_t fd, short what, void *user)
+si_engine_on_weight_load_done (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -33,19 +33,19 @@
   int64_t version = engine->loading_version;
 
   engine->loading_version = 0;
-  si_cache_evict_all (&engine->cache);
+  si_cache_evict_all_blocks (&engine->cache);
   if (si_faults_consume (&engine->faults, SI_FAULT_FAIL_SWAP))
     {
       engine->failed_version = version;
-      si_engine_drop_all_runs (engine);
+      si_engine_abort_all_completions (engine);
       return;
     }
   engine->version = version;
-  si_engine_schedule_step (engine);
+  si_engine_schedule_batch_step (engine);
 }
 
 static void
-reply_stale_fence (const SiEngine *engine, struct evhttp_request *request)
+reply_stale_fence_error (const SiEngine *engine, struct evhttp_request *request)
 {
   struct json_object *object = json_object_new_object ();
   struct json_object *error = json_object_new_object ();
@@ -57,7 +57,7 @@
 }
 
 static void
-accept_order (SiEngine *engine, struct evhttp_request *request, struct json_object *order)
+accept_control_order (SiEngine *engine, struct evhttp_request *request, struct json_object *order)
 {
   struct json_object *reply = json_object_new_object ();
 
@@ -68,7 +68,7 @@
 }
 
 static bool
-is_valid_order (struct json_object *order)
+is_valid_control_order (struct json_object *order)
 {
   const char *name = si_json_get_text (order, "order", "");
 
@@ -78,11 +78,11 @@
 }
 
 void
-si_engine_handle_order (SiEngine *engine, struct evhttp_request *request)
+si_engine_handle_control_order (SiEngine *engine, struct evhttp_request *request)
 {
-  struct json_object *order = si_request_json (request);
+  struct json_object *order = si_request_parse_body (request);
 
-  if (!order || !is_valid_order (order))
+  if (!order || !is_valid_control_order (order))
     {
       si_reply_error (request, 400, "bad_value");
       goto out;
@@ -90,12 +90,12 @@
   int64_t fence = si_json_get_int (order, "fence", 0);
   if (engine->settings.checks_fence && fence < engine->fence)
     {
-      reply_stale_fence (engine, request);
+      reply_stale_fence_error (engine, request);
       goto out;
     }
   if (fence > engine->fence)
     engine->fence = fence;
-  accept_order (engine, request, order);
+  accept_control_order (engine, request, order);
 
 out:
   json_object_put (order);
--- a/standins/si-engine-run.c
+++ b/standins/si-engine-run.c
@@ -12,117 +12,120 @@
 #include <unistd.h>
 #include <uthash.h>
 
-#define KEEP_ALIVE_PERIOD (500 * LB_MSEC)
+#define KEEP_ALIVE_INTERVAL (500 * LB_MSEC)
 
-/* A waiting or running completion request. */
+/* A completion request that waits to enter the batch or is in the batch. */
 typedef struct
 {
   LbLink link;
-  LbList *list; /* the engine's waiting or running list */
+  LbList *list; /* list that contains it: the engine's waiting or running list */
   SiEngine *engine;
   struct evhttp_request *request;
   char *id;
   SiText text;
-  int64_t first_token; /* index of the first token to generate; above 0 for a resume */
+  int64_t first_token; /* index of the first token to generate; 0 unless resumed */
   int64_t next_token;
   int64_t priority;
   bool stream;
   bool chat;
   bool has_sent_headers;
-  bool is_hung;           /* fault: sends nothing more */
-  int64_t break_after;    /* fault: tokens after which the connection is closed; -1: never */
-  size_t prefill_bytes;   /* prompt bytes still to be processed */
-  int64_t reused_version; /* weight version of an imported KV cache; 0: none */
+  bool is_hung;           /* set by the fault "hang": nothing more is sent */
+  int64_t break_after;    /* token count at which the connection is closed; -1: never */
+  size_t prefill_bytes;   /* prompt bytes that prefill has yet to process */
+  int64_t reused_version; /* weight version of the imported KV cache; 0: no import */
   LbTime last_sent;
-} Run;
+} Completion;
 
 struct SiImport
 {
   UT_hash_handle hh;
   char *request_id;
-  int64_t version; /* of the weights that made the KV cache */
+  int64_t version; /* weight version that computed the KV cache */
 };
 
 static void
-run_free (Run *run)
+completion_free (Completion *completion)
 {
-  lb_list_remove (run->list, &run->link);
-  free (run->id);
-  free (run);
+  lb_list_remove (completion->list, &completion->link);
+  free (completion->id);
+  free (completion);
 }
 
 static void
-clear_close_callback (Run *run)
+clear_close_callback (Completion *completion)
 {
-  evhttp_connection_set_closecb (evhttp_request_get_connection (run->request), NULL, NULL);
+  evhttp_connection_set_closecb (evhttp_request_get_connection (completion->request), NULL, NULL);
 }
 
-/* A closed connection cancels the request. */
+/* Cancels the completion when the caller closes the connection. */
 static void
 on_caller_disconnected (struct evhttp_connection *connection, void *user)
 {
   (void)connection;
-  Run *run = user;
-  SiEngine *engine = run->engine;
+  Completion *completion = user;
+  SiEngine *engine = completion->engine;
 
   engine->log.cancelled++;
-  si_request_release (run->request);
-  run_free (run);
-  si_engine_schedule_step (engine);
+  si_request_free_if_detached (completion->request);
+  completion_free (completion);
+  si_engine_schedule_batch_step (engine);
 }
 
 static void
-abort_run (Run *run)
+abort_completion (Completion *completion)
 {
-  struct evhttp_request *request = run->request;
+  struct evhttp_request *request = completion->request;
 
-  clear_close_callback (run);
-  run_free (run);
+  clear_close_callback (completion);
+  completion_free (completion);
   si_reply_abort (request);
 }
 
 void
-si_engine_drop_all_runs (SiEngine *engine)
+si_engine_abort_all_completions (SiEngine *engine)
 {
-  LB_LIST_FOREACH (&engine->running, Run, link, run)
-  abort_run (run);
-  LB_LIST_FOREACH (&engine->waiting, Run, link, run)
-  abort_run (run);
+  LB_LIST_FOREACH (&engine->running, Completion, link, completion)
+  abort_completion (completion);
+  LB_LIST_FOREACH (&engine->waiting, Completion, link, completion)
+  abort_completion (completion);
 }
 
 static void
-send_chunk (Run *run, const char *prefix, const char *text, const char *end)
+send_stream_chunk (Completion *completion, const char *prefix, const char *text, const char *end)
 {
   struct evbuffer *chunk = evbuffer_new ();
 
-  if (!run->has_sent_headers)
+  if (!completion->has_sent_headers)
     {
-      evhttp_add_header (evhttp_request_get_output_headers (run->request), "Content-Type",
+      evhttp_add_header (evhttp_request_get_output_headers (completion->request), "Content-Type",
                          "text/event-stream");
-      evhttp_send_reply_start (run->request, 200, "OK");
-      run->has_sent_headers = true;
+      evhttp_send_reply_start (completion->request, 200, "OK");
+      completion->has_sent_headers = true;
     }
   evbuffer_add_printf (chunk, "%s%s%s", prefix, text, end);
-  evhttp_send_reply_chunk (run->request, chunk);
+  evhttp_send_reply_chunk (completion->request, chunk);
   evbuffer_free (chunk);
-  run->last_sent = lb_clock_monotonic ();
+  completion->last_sent = lb_clock_monotonic ();
 }
 
 static const char *
-finish_reason (const Run *run, int64_t end)
+get_finish_reason (const Completion *completion, int64_t end)
 {
-  if (end < run->text.n_tokens)
+  if (end < completion->text.n_tokens)
     return NULL;
   return "length";
 }
 
 static struct json_object *
-new_choice (const Run *run, const char *text, const char *reason, const char *chat_key)
+new_choice_json (const Completion *completion,
+                 const char *text,
+                 const char *reason,
+                 const char *chat_key)
 {
   struct json_object *choice = json_object_new_object ();
 
   si_json_set_int (choice, "index", 0);
-  if (run->chat)
+  if (completion->chat)
     {
       struct json_object *content = json_object_new_object ();
       si_json_set_text (content, "content", text);
@@ -135,7 +138,7 @@
 }
 
 static void
-add_choice (struct json_object *object, struct json_object *choice)
+add_choices_array (struct json_object *object, struct json_object *choice)
 {
   struct json_object *choices = json_object_new_array ();
 
@@ -144,69 +147,75 @@
 }
 
 static void
-send_event (Run *run, const char *text, int64_t offset, int64_t tokens, int64_t version)
+send_completion_event (
+    Completion *completion, const char *text, int64_t offset, int64_t tokens, int64_t version)
 {
   struct json_object *event = json_object_new_object ();
 
-  si_json_set_text (event, "id", run->id);
-  add_choice (event, new_choice (run, text, finish_reason (run, offset + tokens), "delta"));
+  si_json_set_text (event, "id", completion->id);
+  add_choices_array (event,
+                     new_choice_json (completion, text,
+                                      get_finish_reason (completion, offset + tokens), "delta"));
   si_json_set_int (event, "offset", offset);
   si_json_set_int (event, "tokens", tokens);
-  if (!si_faults_is_on (&run->engine->faults, SI_FAULT_OMIT_VERSION))
+  if (!si_faults_is_on (&completion->engine->faults, SI_FAULT_OMIT_VERSION))
     si_json_set_int (event, "weight_version", version);
-  if (run->reused_version && run->reused_version != version)
-    si_json_set_int (event, "kv_reused_version", run->reused_version);
-  send_chunk (run, "data: ", json_object_to_json_string_ext (event, JSON_C_TO_STRING_PLAIN),
-              "\n\n");
+  if (completion->reused_version && completion->reused_version != version)
+    si_json_set_int (event, "kv_reused_version", completion->reused_version);
+  send_stream_chunk (completion,
+                     "data: ", json_object_to_json_string_ext (event, JSON_C_TO_STRING_PLAIN),
+                     "\n\n");
   json_object_put (event);
 }
 
 static void
-reply_completion (Run *run)
+send_completion_reply (Completion *completion)
 {
   struct json_object *object = json_object_new_object ();
   struct json_object *usage = json_object_new_object ();
-  char *text = si_text_slice (&run->text, run->first_token, run->next_token - run->first_token);
+  char *text = si_text_join_tokens (&completion->text, completion->first_token,
+                                    completion->next_token - completion->first_token);
 
-  si_json_set_text (object, "id", run->id);
-  add_choice (object, new_choice (run, text, "length", "message"));
-  si_json_set_int (usage, "completion_tokens", run->next_token - run->first_token);
+  si_json_set_text (object, "id", completion->id);
+  add_choices_array (object, new_choice_json (completion, text, "length", "message"));
+  si_json_set_int (usage, "completion_tokens", completion->next_token - completion->first_token);
   json_object_object_add (object, "usage", usage);
-  si_json_set_int (object, "weight_version", run->engine->version);
-  si_reply_json (run->request, 200, object);
+  si_json_set_int (object, "weight_version", completion->engine->version);
+  si_reply_json (completion->request, 200, object);
   free (text);
 }
 
 static void
-finish_run (Run *run)
+finish_completion (Completion *completion)
 {
-  struct evhttp_request *request = run->request;
+  struct evhttp_request *request = completion->request;
 
-  clear_close_callback (run);
-  run->engine->log.finished++;
-  if (run->stream)
+  clear_close_callback (completion);
+  completion->engine->log.finished++;
+  if (completion->stream)
     {
-      send_chunk (run, "data: ", "[DONE]", "\n\n");
+      send_stream_chunk (completion, "data: ", "[DONE]", "\n\n");
       evhttp_send_reply_end (request);
     }
   else
-    reply_completion (run);
-  run_free (run);
+    send_completion_reply (completion);
+  completion_free (completion);
 }
 
 static void
-send_token (Run *run)
+send_token_event (Completion *completion)
 {
   char token[SI_TOKEN_SIZE];
-  int64_t version = run->engine->version;
+  int64_t version = completion->engine->version;
 
-  si_text_token (&run->text, run->next_token, token);
-  send_event (run, token, run->next_token, 1, version);
-  if (si_faults_is_on (&run->engine->faults, SI_FAULT_CONTRADICT))
-    send_event (run, "", run->next_token, 1, version + 1);
+  si_text_write_token (&completion->text, completion->next_token, token);
+  send_completion_event (completion, token, completion->next_token, 1, version);
+  if (si_faults_is_on (&completion->engine->faults, SI_FAULT_CONTRADICT))
+    send_completion_event (completion, "", completion->next_token, 1, version + 1);
 }
 
-/* The crash fault ends the process after a number of tokens of any request. */
+/* Ends the process if the fault "crash" is on and all requests together have generated the fault's
+ * number of tokens. */
 static void
 count_down_to_crash (SiEngine *engine)
 {
@@ -217,31 +226,32 @@
 }
 
 static void
-generate_token (Run *run)
+generate_token (Completion *completion)
 {
-  SiEngine *engine = run->engine;
+  SiEngine *engine = completion->engine;
 
   count_down_to_crash (engine);
-  if (run->is_hung)
+  if (completion->is_hung)
     return;
-  if (run->break_after >= 0 && run->next_token - run->first_token >= run->break_after)
+  if (completion->break_after >= 0
+      && completion->next_token - completion->first_token >= completion->break_after)
     {
-      abort_run (run);
+      abort_completion (completion);
       return;
     }
-  if (run->next_token < run->text.n_tokens)
+  if (completion->next_token < completion->text.n_tokens)
     {
-      if (run->stream)
-        send_token (run);
-      run->next_token++;
+      if (completion->stream)
+        send_token_event (completion);
+      completion->next_token++;
       engine->generated_tokens++;
     }
-  if (run->next_token >= run->text.n_tokens)
-    finish_run (run);
+  if (completion->next_token >= completion->text.n_tokens)
+    finish_completion (completion);
 }
 
 static LbTime
-get_step_duration (const SiEngine *engine)
+get_batch_step_duration (const SiEngine *engine)
 {
   double batch_size = (double)engine->running.length;
   double single_duration = (double)LB_SEC / engine->settings.tokens_per_second;
@@ -254,73 +264,74 @@
 }
 
 static void
-admit_waiting_runs (SiEngine *engine)
+admit_waiting_completions (SiEngine *engine)
 {
   while ((int64_t)engine->running.length < engine->settings.concurrency
          && !lb_list_is_empty (&engine->waiting))
     {
-      Run *run = LB_CONTAINER (lb_list_pop (&engine->waiting), Run, link);
-      run->list = &engine->running;
-      lb_list_append (run->list, &run->link);
+      Completion *completion = LB_CONTAINER (lb_list_pop (&engine->waiting), Completion, link);
+      completion->list = &engine->running;
+      lb_list_append (completion->list, &completion->link);
     }
 }
 
-/* Admits waiting requests to the batch and schedules the next step, unless one is scheduled
- * already, weights are being loaded or no request is running. */
+/* Moves waiting requests to the batch and schedules its next step. No step is scheduled if one is
+ * already scheduled, weights are being loaded or the batch is empty. */
 void
-si_engine_schedule_step (SiEngine *engine)
+si_engine_schedule_batch_step (SiEngine *engine)
 {
-  admit_waiting_runs (engine);
-  if (engine->is_step_scheduled || si_engine_is_loading (engine)
+  admit_waiting_completions (engine);
+  if (engine->is_step_scheduled || si_engine_is_loading_weights (engine)
       || lb_list_is_empty (&engine->running))
     return;
-  LbTime wait = get_step_duration (engine);
+  LbTime wait = get_batch_step_duration (engine);
   const struct timeval at = lb_time_to_timeval (wait);
   event_add (engine->step_timer, &at);
   engine->is_step_scheduled = true;
 }
 
 static void
-advance_run (Run *run, size_t prefill_budget)
+advance_completion (Completion *completion, size_t prefill_budget)
 {
-  if (run->prefill_bytes > prefill_budget)
-    run->prefill_bytes -= prefill_budget;
+  if (completion->prefill_bytes > prefill_budget)
+    completion->prefill_bytes -= prefill_budget;
   else
     {
-      run->prefill_bytes = 0;
-      generate_token (run);
+      completion->prefill_bytes = 0;
+      generate_token (completion);
     }
 }
 
 static void
-on_step (evutil_socket_t fd, short what, void *user)
+on_batch_step_due (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
   SiEngine *engine = user;
-  double seconds = (double)get_step_duration (engine) / (double)LB_SEC;
+  double seconds = (double)get_batch_step_duration (engine) / (double)LB_SEC;
   size_t prefill_budget = (size_t)(engine->settings.prefill_rate * seconds);
 
   engine->is_step_scheduled = false;
-  if (si_engine_is_loading (engine))
+  if (si_engine_is_loading_weights (engine))
     return;
-  LB_LIST_FOREACH (&engine->running, Run, link, run)
-  advance_run (run, prefill_budget);
-  si_engine_schedule_step (engine);
+  LB_LIST_FOREACH (&engine->running, Completion, link, completion)
+  advance_completion (completion, prefill_budget);
+  si_engine_schedule_batch_step (engine);
 }
 
 static void
 send_keep_alives (LbList *list, LbTime now)
 {
-  LB_LIST_FOREACH (list, Run, link, run)
+  LB_LIST_FOREACH (list, Completion, link, completion)
   {
-    if (run->stream && !run->is_hung && now - run->last_sent >= KEEP_ALIVE_PERIOD)
-      send_chunk (run, ": keep-alive", "", "\n\n");
+    if (completion->stream && !completion->is_hung
+        && now - completion->last_sent >= KEEP_ALIVE_INTERVAL)
+      send_stream_chunk (completion, ": keep-alive", "", "\n\n");
   }
 }
 
 static void
-on_keep_alive (evutil_socket_t fd, short what, void *user)
+on_keep_alive_due (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -336,16 +347,17 @@
 void
 si_engine_start_timers (SiEngine *engine)
 {
-  const struct timeval period = { .tv_usec = KEEP_ALIVE_PERIOD / 5 };
+  const struct timeval period = { .tv_usec = KEEP_ALIVE_INTERVAL / 5 };
 
-  engine->step_timer = evtimer_new (engine->server.base, on_step, engine);
-  engine->load_timer = evtimer_new (engine->server.base, si_engine_on_load_done, engine);
-  engine->keep_alive_timer = event_new (engine->server.base, -1, EV_PERSIST, on_keep_alive, engine);
+  engine->step_timer = evtimer_new (engine->server.base, on_batch_step_due, engine);
+  engine->load_timer = evtimer_new (engine->server.base, si_engine_on_weight_load_done, engine);
+  engine->keep_alive_timer
+      = event_new (engine->server.base, -1, EV_PERSIST, on_keep_alive_due, engine);
   event_add (engine->keep_alive_timer, &period);
 }
 
 void
-si_engine_stop_timers (SiEngine *engine)
+si_engine_free_timers_and_imports (SiEngine *engine)
 {
   SiImport *import, *next;
 
@@ -360,13 +372,13 @@
   }
 }
 
-/* The error type with which new requests are refused; NULL when they are accepted. */
+/* Returns the error type with which new requests are refused, NULL if they are accepted. */
 static const char *
-get_refusal (const SiEngine *engine)
+get_refusal_error_type (const SiEngine *engine)
 {
   if (si_faults_is_on (&engine->faults, SI_FAULT_LEAVING))
     return "leaving";
-  if (engine->version == 0 && !si_engine_is_loading (engine))
+  if (engine->version == 0 && !si_engine_is_loading_weights (engine))
     return "not_started";
   if ((int64_t)engine->waiting.length >= engine->settings.max_waiting)
     return "not_started";
@@ -374,64 +386,66 @@
 }
 
 static void
-enqueue_run (SiEngine *engine, Run *run)
+enqueue_by_priority (SiEngine *engine, Completion *completion)
 {
   LbLink *position = engine->waiting.head.next;
 
   while (position != &engine->waiting.head
-         && LB_CONTAINER (position, Run, link)->priority >= run->priority)
+         && LB_CONTAINER (position, Completion, link)->priority >= completion->priority)
     position = position->next;
-  run->list = &engine->waiting;
-  lb_list_insert_before (run->list, position, &run->link);
-  si_engine_schedule_step (engine);
+  completion->list = &engine->waiting;
+  lb_list_insert_before (completion->list, position, &completion->link);
+  si_engine_schedule_batch_step (engine);
 }
 
 static void
-apply_resume (Run *run, struct json_object *body)
+apply_resume_offset (Completion *completion, struct json_object *body)
 {
   struct json_object *resume;
 
   if (!json_object_object_get_ex (body, "resume", &resume))
     return;
-  run->first_token = si_json_get_int (resume, "offset", 0);
-  run->next_token = run->first_token;
-  run->engine->log.resumed++;
-  char *expected = si_text_slice (&run->text, 0, run->first_token);
+  completion->first_token = si_json_get_int (resume, "offset", 0);
+  completion->next_token = completion->first_token;
+  completion->engine->log.resumed++;
+  char *expected = si_text_join_tokens (&completion->text, 0, completion->first_token);
   if (strcmp (expected, si_json_get_text (resume, "text", "")) != 0)
-    run->engine->log.resume_mismatches++;
+    completion->engine->log.resume_mismatches++;
   free (expected);
 }
 
-/* A request whose KV cache was imported skips prefill. */
+/* Skips prefill if the request's KV cache was imported from another engine. */
 static void
-apply_import (Run *run)
+apply_imported_kv_cache (Completion *completion)
 {
   SiImport *import = NULL;
 
-  HASH_FIND_STR (run->engine->imports, run->id, import);
+  HASH_FIND_STR (completion->engine->imports, completion->id, import);
   if (!import)
     return;
-  run->prefill_bytes = 0;
-  run->reused_version = import->version;
-  HASH_DEL (run->engine->imports, import);
+  completion->prefill_bytes = 0;
+  completion->reused_version = import->version;
+  HASH_DEL (completion->engine->imports, import);
   free (import->request_id);
   free (import);
 }
 
 static void
-apply_faults (Run *run)
+apply_completion_faults (Completion *completion)
 {
-  SiFaults *faults = &run->engine->faults;
+  SiFaults *faults = &completion->engine->faults;
 
-  run->break_after = -1;
+  completion->break_after = -1;
   if (si_faults_consume (faults, SI_FAULT_BREAK))
-    run->break_after = faults->faults[SI_FAULT_BREAK].tokens;
-  run->is_hung = si_faults_consume (faults, SI_FAULT_HANG);
+    completion->break_after = faults->faults[SI_FAULT_BREAK].tokens;
+  completion->is_hung = si_faults_consume (faults, SI_FAULT_HANG);
 }
 
-/* Adds the prompt to the prefix cache; returns how many of its bytes were not cached before. */
+/* Adds the prompt to the prefix cache; returns how many prompt bytes were not cached before. */
 static size_t
-count_uncached_bytes (SiEngine *engine, struct json_object *body, const char *prompt)
+cache_prompt_and_count_uncached_bytes (SiEngine *engine,
+                                       struct json_object *body,
+                                       const char *prompt)
 {
   struct json_object *messages;
   const char *text = prompt;
@@ -441,35 +455,38 @@
   return strlen (text) - si_cache_insert_prompt (&engine->cache, text);
 }
 
-static Run *
-run_new (SiEngine *engine, struct evhttp_request *request, struct json_object *body, bool chat)
-{
-  Run *run = LB_NEW (Run);
-  char *prompt = si_text_prompt (body);
-
-  run->engine = engine;
-  run->request = request;
-  run->chat = chat;
-  run->id = lb_strdup (si_json_get_text (body, "request_id", "none"));
-  run->stream = si_json_get_bool (body, "stream", false);
-  run->priority = si_json_get_int (body, "priority", 0);
-  run->last_sent = lb_clock_monotonic ();
-  si_text_init_from_body (&run->text, body, engine->settings.vary_length);
-  run->prefill_bytes = count_uncached_bytes (engine, body, prompt);
-  apply_resume (run, body);
-  apply_import (run);
-  apply_faults (run);
-  si_run_log_count_start (&engine->log, si_json_get_text (body, "key", prompt));
+static Completion *
+completion_new (SiEngine *engine,
+                struct evhttp_request *request,
+                struct json_object *body,
+                bool chat)
+{
+  Completion *completion = LB_NEW (Completion);
+  char *prompt = si_text_copy_prompt (body);
+
+  completion->engine = engine;
+  completion->request = request;
+  completion->chat = chat;
+  completion->id = lb_strdup (si_json_get_text (body, "request_id", "none"));
+  completion->stream = si_json_get_bool (body, "stream", false);
+  completion->priority = si_json_get_int (body, "priority", 0);
+  completion->last_sent = lb_clock_monotonic ();
+  si_text_init_from_body (&completion->text, body, engine->settings.vary_length);
+  completion->prefill_bytes = cache_prompt_and_count_uncached_bytes (engine, body, prompt);
+  apply_resume_offset (completion, body);
+  apply_imported_kv_cache (completion);
+  apply_completion_faults (completion);
+  si_run_log_record_start (&engine->log, si_json_get_text (body, "key", prompt));
   free (prompt);
-  return run;
+  return completion;
 }
 
-/* Queues the completion, or answers 503 when it can't start. */
+/* Queues the completion request, or replies with 503 if the engine refuses new requests. */
 void
 si_engine_handle_completion (SiEngine *engine, struct evhttp_request *request, bool chat)
 {
-  struct json_object *body = si_request_json (request);
-  const char *refusal = get_refusal (engine);
+  struct json_object *body = si_request_parse_body (request);
+  const char *refusal = get_refusal_error_type (engine);
 
   if (!refusal && si_faults_consume (&engine->faults, SI_FAULT_REFUSE))
     refusal = "not_started";
@@ -482,30 +499,30 @@
     }
   else
     {
-      Run *run = run_new (engine, request, body, chat);
+      Completion *completion = completion_new (engine, request, body, chat);
       evhttp_connection_set_closecb (evhttp_request_get_connection (request),
-                                     on_caller_disconnected, run);
-      enqueue_run (engine, run);
+                                     on_caller_disconnected, completion);
+      enqueue_by_priority (engine, completion);
     }
   json_object_put (body);
 }
 
-/* Replies with what another engine needs to import a running request's KV cache: its weight version
- * and its number of tokens. */
+/* Replies with the weight version and the number of tokens of a running request, which another
+ * engine needs to import the request's KV cache. */
 void
 si_engine_handle_kv_export (SiEngine *engine, struct evhttp_request *request)
 {
-  struct json_object *body = si_request_json (request);
+  struct json_object *body = si_request_parse_body (request);
   const char *id = body ? si_json_get_text (body, "request", "") : "";
 
-  LB_LIST_FOREACH (&engine->running, Run, link, run)
+  LB_LIST_FOREACH (&engine->running, Completion, link, completion)
   {
-    if (strcmp (run->id, id) != 0)
+    if (strcmp (completion->id, id) != 0)
       continue;
     struct json_object *export = json_object_new_object ();
     si_json_set_text (export, "request", id);
     si_json_set_int (export, "version", engine->version);
-    si_json_set_int (export, "tokens", run->next_token);
+    si_json_set_int (export, "tokens", completion->next_token);
     si_reply_json (request, 200, export);
     json_object_put (body);
     return;
@@ -514,11 +531,12 @@
   json_object_put (body);
 }
 
-/* Records the KV cache of a request that will be resumed here, so that its prefill is skipped. */
+/* Records the KV cache of a request that this engine will resume, so that the request skips
+ * prefill. */
 void
 si_engine_handle_kv_import (SiEngine *engine, struct evhttp_request *request)
 {
-  struct json_object *body = si_request_json (request);
+  struct json_object *body = si_request_parse_body (request);
   const char *id = body ? si_json_get_text (body, "request", NULL) : NULL;
   SiImport *import = NULL;
 
--- a/standins/si-engine.c
+++ b/standins/si-engine.c
@@ -7,7 +7,7 @@
 #include <unistd.h>
 
 static void
-reply_load (SiEngine *engine, struct evhttp_request *request)
+reply_load_report (SiEngine *engine, struct evhttp_request *request)
 {
   struct json_object *load = json_object_new_object ();
   const SiEngineSettings *settings = &engine->settings;
@@ -19,7 +19,8 @@
   si_json_set_text (load, "incarnation", engine->incarnation);
   si_json_set_text (load, "state", leaving ? "leaving" : "serving");
   si_json_set_int (load, "weight_version", engine->version);
-  json_object_object_add (load, "loading", json_object_new_boolean (si_engine_is_loading (engine)));
+  json_object_object_add (load, "loading",
+                          json_object_new_boolean (si_engine_is_loading_weights (engine)));
   if (engine->failed_version)
     si_json_set_int (load, "failed_version", engine->failed_version);
   si_json_set_int (load, "running", (int64_t)engine->running.length);
@@ -34,7 +35,7 @@
 static void
 reply_cache_events (SiEngine *engine, struct evhttp_request *request)
 {
-  char *since = si_request_query (request, "since");
+  char *since = si_request_copy_query_value (request, "since");
   uint64_t first_sequence = since ? strtoull (since, NULL, 10) : 0;
 
   free (since);
@@ -42,7 +43,7 @@
 }
 
 static void
-reply_log (SiEngine *engine, struct evhttp_request *request)
+reply_run_log (SiEngine *engine, struct evhttp_request *request)
 {
   struct json_object *log = si_run_log_to_json (&engine->log);
 
@@ -52,16 +53,16 @@
 }
 
 static void
-handle_post (SiEngine *engine, struct evhttp_request *request)
+route_post_request (SiEngine *engine, struct evhttp_request *request)
 {
-  const char *path = si_request_path (request);
+  const char *path = si_request_get_path (request);
 
   if (strcmp (path, "/v1/completions") == 0)
     si_engine_handle_completion (engine, request, false);
   else if (strcmp (path, "/v1/chat/completions") == 0)
     si_engine_handle_completion (engine, request, true);
   else if (strcmp (path, "/orders") == 0)
-    si_engine_handle_order (engine, request);
+    si_engine_handle_control_order (engine, request);
   else if (strcmp (path, "/kv/export") == 0)
     si_engine_handle_kv_export (engine, request);
   else if (strcmp (path, "/kv/import") == 0)
@@ -71,27 +72,27 @@
 }
 
 static void
-handle (struct evhttp_request *request, void *user)
+handle_request (struct evhttp_request *request, void *user)
 {
   SiEngine *engine = user;
 
-  if (si_request_is (request, EVHTTP_REQ_POST, "/faults"))
+  if (si_request_matches (request, EVHTTP_REQ_POST, "/faults"))
     {
-      si_faults_handle (&engine->faults, request);
+      si_faults_handle_request (&engine->faults, request);
       if (si_faults_is_on (&engine->faults, SI_FAULT_CRASH)
           && engine->faults.faults[SI_FAULT_CRASH].tokens == 0)
         _exit (1);
     }
-  else if (si_request_is (request, EVHTTP_REQ_GET, "/log"))
-    reply_log (engine, request);
+  else if (si_request_matches (request, EVHTTP_REQ_GET, "/log"))
+    reply_run_log (engine, request);
   else if (si_faults_is_on (&engine->faults, SI_FAULT_DOWN))
     si_reply_abort (request);
-  else if (si_request_is (request, EVHTTP_REQ_GET, "/load"))
-    reply_load (engine, request);
-  else if (si_request_is (request, EVHTTP_REQ_GET, "/cache_events"))
+  else if (si_request_matches (request, EVHTTP_REQ_GET, "/load"))
+    reply_load_report (engine, request);
+  else if (si_request_matches (request, EVHTTP_REQ_GET, "/cache_events"))
     reply_cache_events (engine, request);
   else if (evhttp_request_get_command (request) == EVHTTP_REQ_POST)
-    handle_post (engine, request);
+    route_post_request (engine, request);
   else
     si_reply_error (request, 404, "unknown_path");
 }
@@ -108,7 +109,7 @@
   snprintf (engine->incarnation, sizeof engine->incarnation, "%s-%llx-%x", settings->name,
             (unsigned long long)settings->seed,
             (unsigned)((uint64_t)lb_clock_monotonic () ^ ((uint64_t)getpid () << 20)));
-  if (!si_server_init_program (&engine->server, port, handle, engine))
+  if (!si_server_init_standalone (&engine->server, port, handle_request, engine))
     return false;
   si_engine_start_timers (engine);
   return true;
@@ -117,8 +118,8 @@
 void
 si_engine_clear (SiEngine *engine)
 {
-  si_engine_drop_all_runs (engine);
-  si_engine_stop_timers (engine);
+  si_engine_abort_all_completions (engine);
+  si_engine_free_timers_and_imports (engine);
   si_server_clear (&engine->server);
   si_cache_clear (&engine->cache);
   si_run_log_clear (&engine->log);
--- a/standins/si-engine.h
+++ b/standins/si-engine.h
@@ -10,16 +10,16 @@
 {
   const char *name;
   int64_t version;
-  double tokens_per_second; /* of a request that runs alone */
-  double batch_cost;        /* relative increase of the step time for each further request */
-  double prefill_rate;      /* uncached prompt bytes per second */
-  int64_t concurrency;      /* requests in the batch */
-  int64_t max_waiting;      /* requests waiting to enter the batch */
+  double tokens_per_second; /* token rate of a request that runs alone */
+  double batch_cost;        /* relative increase of the step time per additional request */
+  double prefill_rate;      /* uncached prompt bytes processed per second */
+  int64_t concurrency;      /* maximum number of requests in the batch */
+  int64_t max_waiting;      /* maximum number of requests that wait to enter the batch */
   int64_t cache_blocks;
   LbTime load_time;
-  bool checks_fence; /* refuses orders with an outdated fencing number */
-  bool vary_length;  /* answers end after 1 to max_tokens tokens */
-  uint64_t seed;     /* part of the incarnation's name */
+  bool checks_fence; /* set: orders with an outdated fencing token are refused */
+  bool vary_length;  /* set: answer lengths vary from 1 to max_tokens tokens */
+  uint64_t seed;     /* part of the incarnation id */
 } SiEngineSettings;
 
 typedef struct SiImport SiImport;
@@ -33,36 +33,36 @@
   SiFaults faults;
   SiRunLog log;
   SiCache cache;
-  SiImport *imports; /* KV caches imported for requests to come */
+  SiImport *imports; /* KV caches imported for requests that will be resumed here */
   char incarnation[64];
-  LbList waiting; /* highest priority first */
-  LbList running; /* the batch */
+  LbList waiting; /* requests outside the batch, highest priority first */
+  LbList running; /* requests in the batch */
   struct event *step_timer;
   struct event *keep_alive_timer;
   struct event *load_timer;
   bool is_step_scheduled;
-  int64_t version;         /* 0: no complete weights */
-  int64_t loading_version; /* 0: no load in progress */
-  int64_t failed_version;  /* of the last load, if it failed; else 0 */
-  int64_t fence;           /* highest fencing number seen */
+  int64_t version;         /* weight version in use; 0: no version is completely loaded */
+  int64_t loading_version; /* weight version being loaded; 0: no load in progress */
+  int64_t failed_version;  /* weight version of the last load if it failed, otherwise 0 */
+  int64_t fence;           /* highest fencing token received */
   int64_t generated_tokens;
 } SiEngine;
 
 bool si_engine_init (SiEngine *engine, const SiEngineSettings *settings, int port);
 void si_engine_clear (SiEngine *engine);
 
-/* si-engine-run.c: the batch. */
+/* Defined in si-engine-run.c: batch scheduling, completions and KV cache transfer. */
 void si_engine_handle_completion (SiEngine *engine, struct evhttp_request *request, bool chat);
-void si_engine_schedule_step (SiEngine *engine);
-void si_engine_drop_all_runs (SiEngine *engine);
+void si_engine_schedule_batch_step (SiEngine *engine);
+void si_engine_abort_all_completions (SiEngine *engine);
 void si_engine_start_timers (SiEngine *engine);
-void si_engine_stop_timers (SiEngine *engine);
+void si_engine_free_timers_and_imports (SiEngine *engine);
 void si_engine_handle_kv_export (SiEngine *engine, struct evhttp_request *request);
 void si_engine_handle_kv_import (SiEngine *engine, struct evhttp_request *request);
 
-/* si-engine-orders.c: weight loading. */
-void si_engine_handle_order (SiEngine *engine, struct evhttp_request *request);
-void si_engine_on_load_done (evutil_socket_t fd, short what, void *user);
-bool si_engine_is_loading (const SiEngine *engine);
+/* Defined in si-engine-orders.c: control orders and weight loading. */
+void si_engine_handle_control_order (SiEngine *engine, struct evhttp_request *request);
+void si_engine_on_weight_load_done (evutil_socket_t fd, short what, void *user);
+bool si_engine_is_loading_weights (const SiEngine *engine);
 
 #endif
--- a/standins/si-entry.c
+++ b/standins/si-entry.c
@@ -9,102 +9,104 @@
 #include <stdlib.h>
 #include <string.h>
 
-static void start_refresh (SiEntry *entry);
+static void start_address_refresh (SiEntryAddresses *list);
 
 static void
-schedule_refresh (SiEntry *entry, LbTime wait)
+schedule_address_refresh (SiEntryAddresses *list, LbTime wait)
 {
   const struct timeval at = lb_time_to_timeval (wait);
 
-  event_add (entry->refresh_timer, &at);
+  event_add (list->refresh_timer, &at);
 }
 
 static bool
-parse_addresses (SiEntry *entry, const LhResult *result)
+update_addresses_from_reply (SiEntryAddresses *list, const LhResult *result)
 {
   char *text = lb_strndup (result->body ? result->body : "", result->body_length);
   struct json_object *object = json_tokener_parse (text);
-  struct json_object *list = NULL;
+  struct json_object *reply_list = NULL;
   size_t n = 0;
 
   free (text);
-  if (object && json_object_object_get_ex (object, "addresses", &list))
-    n = json_object_array_length (list);
-  for (size_t i = 0; i < n && i < SI_ENTRY_MAX_ADDRESSES; i++)
-    LB_COPY (entry->addresses[i],
-             si_json_get_text (json_object_array_get_idx (list, i), "address", ""));
+  if (object && json_object_object_get_ex (object, "addresses", &reply_list))
+    n = json_object_array_length (reply_list);
+  for (size_t i = 0; i < n && i < SI_MAX_ENTRY_ADDRESSES; i++)
+    LB_COPY (list->addresses[i],
+             si_json_get_text (json_object_array_get_idx (reply_list, i), "address", ""));
   if (n > 0)
-    entry->n_addresses = n < SI_ENTRY_MAX_ADDRESSES ? n : SI_ENTRY_MAX_ADDRESSES;
+    list->n_addresses = n < SI_MAX_ENTRY_ADDRESSES ? n : SI_MAX_ENTRY_ADDRESSES;
   json_object_put (object);
   return n > 0;
 }
 
-/* After a failure the next address is tried at once: the instance may have stopped. */
+/* After a failure the next refresh calls the next address at once, since the instance at the failed
+ * address may have stopped. */
 static void
-on_refresh_done (LhFetch *fetch, const LhResult *result, void *user)
+on_address_refresh_done (LhFetch *fetch, const LhResult *result, void *user)
 {
   (void)fetch;
-  SiEntry *entry = user;
-  bool is_ok = result->failure == LB_OK && result->status == 200 && parse_addresses (entry, result);
+  SiEntryAddresses *list = user;
+  bool is_ok = result->failure == LB_OK && result->status == 200
+               && update_addresses_from_reply (list, result);
 
-  entry->refresh = NULL;
-  entry->refresh_from = is_ok ? 0 : entry->refresh_from + 1;
-  schedule_refresh (entry, is_ok ? entry->refresh_period : LB_MSEC);
+  list->refresh = NULL;
+  list->refresh_from = is_ok ? 0 : list->refresh_from + 1;
+  schedule_address_refresh (list, is_ok ? list->refresh_period : LB_MSEC);
 }
 
 static void
-start_refresh (SiEntry *entry)
+start_address_refresh (SiEntryAddresses *list)
 {
-  static const LhHandlers handlers = { .on_done = on_refresh_done };
+  static const LhHandlers handlers = { .on_done = on_address_refresh_done };
   const LhRequest request = { .method = "GET",
-                              .address = si_entry_address (entry, entry->refresh_from),
-                              .path = entry->path,
+                              .address = si_entry_addresses_get (list, list->refresh_from),
+                              .path = list->path,
                               .idle_timeout = LB_SEC };
 
-  entry->refresh = lh_fetch_start (entry->pool, &request, &handlers, entry, NULL);
+  list->refresh = lh_fetch_start (list->pool, &request, &handlers, list, NULL);
 }
 
 static void
-on_timer (evutil_socket_t fd, short what, void *user)
+on_address_refresh_due (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
-  start_refresh (user);
+  start_address_refresh (user);
 }
 
 void
-si_entry_init (SiEntry *entry,
-               struct event_base *base,
-               LhPool *pool,
-               const char *const *addresses,
-               size_t n_addresses)
+si_entry_addresses_init (SiEntryAddresses *list,
+                         struct event_base *base,
+                         LhPool *pool,
+                         const char *const *addresses,
+                         size_t n_addresses)
 {
-  memset (entry, 0, sizeof *entry);
-  entry->pool = pool;
-  entry->refresh_timer = evtimer_new (base, on_timer, entry);
-  entry->n_addresses = n_addresses < SI_ENTRY_MAX_ADDRESSES ? n_addresses : SI_ENTRY_MAX_ADDRESSES;
-  for (size_t i = 0; i < entry->n_addresses; i++)
-    LB_COPY (entry->addresses[i], addresses[i]);
+  memset (list, 0, sizeof *list);
+  list->pool = pool;
+  list->refresh_timer = evtimer_new (base, on_address_refresh_due, list);
+  list->n_addresses = n_addresses < SI_MAX_ENTRY_ADDRESSES ? n_addresses : SI_MAX_ENTRY_ADDRESSES;
+  for (size_t i = 0; i < list->n_addresses; i++)
+    LB_COPY (list->addresses[i], addresses[i]);
 }
 
 void
-si_entry_clear (SiEntry *entry)
+si_entry_addresses_clear (SiEntryAddresses *list)
 {
-  if (entry->refresh)
-    lh_fetch_cancel (entry->refresh);
-  event_free (entry->refresh_timer);
+  if (list->refresh)
+    lh_fetch_cancel (list->refresh);
+  event_free (list->refresh_timer);
 }
 
 void
-si_entry_start_refresh (SiEntry *entry, const char *caller, LbTime refresh_period)
+si_entry_addresses_start_refresh (SiEntryAddresses *list, const char *caller, LbTime refresh_period)
 {
-  snprintf (entry->path, sizeof entry->path, "/v1/entry?caller=%s", caller);
-  entry->refresh_period = refresh_period;
-  start_refresh (entry);
+  snprintf (list->path, sizeof list->path, "/v1/entry?caller=%s", caller);
+  list->refresh_period = refresh_period;
+  start_address_refresh (list);
 }
 
 const char *
-si_entry_address (const SiEntry *entry, size_t n)
+si_entry_addresses_get (const SiEntryAddresses *list, size_t index)
 {
-  return entry->addresses[n % entry->n_addresses];
+  return list->addresses[index % list->n_addresses];
 }
--- a/standins/si-entry.h
+++ b/standins/si-entry.h
@@ -3,31 +3,34 @@
 
 #include "lh-fetch.h"
 
-#define SI_ENTRY_MAX_ADDRESSES 16
+#define SI_MAX_ENTRY_ADDRESSES 16
 
 struct event;
 
-/* The entry addresses of a caller, refreshed periodically from any of them. */
+/* The instance addresses that a caller may use, refreshed periodically with GET /v1/entry from one
+ * of them. */
 typedef struct
 {
   LhPool *pool;
   struct event *refresh_timer;
   char path[128];
-  LbName addresses[SI_ENTRY_MAX_ADDRESSES];
+  LbName addresses[SI_MAX_ENTRY_ADDRESSES];
   size_t n_addresses;
-  size_t refresh_from; /* index of the address to refresh from */
-  LhFetch *refresh;    /* in flight; NULL: none */
+  size_t refresh_from; /* index of the address that the next refresh calls */
+  LhFetch *refresh;    /* refresh in flight; NULL: none */
   LbTime refresh_period;
-} SiEntry;
+} SiEntryAddresses;
 
-void si_entry_init (SiEntry *entry,
-                    struct event_base *base,
-                    LhPool *pool,
-                    const char *const *addresses,
-                    size_t n_addresses);
-void si_entry_clear (SiEntry *entry);
-void si_entry_start_refresh (SiEntry *entry, const char *caller, LbTime refresh_period);
-/* Wraps around after the last address. */
-const char *si_entry_address (const SiEntry *entry, size_t n);
+void si_entry_addresses_init (SiEntryAddresses *list,
+                              struct event_base *base,
+                              LhPool *pool,
+                              const char *const *addresses,
+                              size_t n_addresses);
+void si_entry_addresses_clear (SiEntryAddresses *list);
+void si_entry_addresses_start_refresh (SiEntryAddresses *list,
+                                       const char *caller,
+                                       LbTime refresh_period);
+/* Returns the address at index modulo the number of addresses. */
+const char *si_entry_addresses_get (const SiEntryAddresses *list, size_t index);
 
 #endif
--- a/standins/si-faults.c
+++ b/standins/si-faults.c
@@ -5,7 +5,7 @@
 
 #include <string.h>
 
-static const char *const mode_names[SI_N_FAULTS] = {
+static const char *const fault_mode_names[SI_N_FAULTS] = {
   [SI_FAULT_CRASH] = "crash",
   [SI_FAULT_REFUSE] = "refuse",
   [SI_FAULT_BREAK] = "break",
@@ -31,7 +31,7 @@
       return true;
     }
   for (int i = 0; i < SI_N_FAULTS; i++)
-    if (strcmp (mode_names[i], mode) == 0)
+    if (strcmp (fault_mode_names[i], mode) == 0)
       {
         faults->faults[i] = (SiFault){ .remaining = si_json_get_int (settings, "count", -1),
                                        .tokens = si_json_get_int (settings, "tokens", 0),
@@ -43,9 +43,9 @@
 }
 
 void
-si_faults_handle (SiFaults *faults, struct evhttp_request *request)
+si_faults_handle_request (SiFaults *faults, struct evhttp_request *request)
 {
-  struct json_object *settings = si_request_json (request);
+  struct json_object *settings = si_request_parse_body (request);
 
   if (settings && si_faults_set (faults, settings))
     si_reply_json (request, 200, json_object_new_object ());
--- a/standins/si-platform.c
+++ b/standins/si-platform.c
@@ -14,18 +14,18 @@
 /* A reply delayed by the fault "slow". */
 typedef struct
 {
-  struct evhttp_request *request; /* NULL: its connection has closed */
+  struct evhttp_request *request; /* NULL after the caller closed the connection */
   struct json_object *reply;
   int status;
 } DelayedReply;
 
 static void
-on_delayed_reply_closed (struct evhttp_connection *connection, void *user)
+on_delayed_reply_caller_disconnected (struct evhttp_connection *connection, void *user)
 {
   (void)connection;
   DelayedReply *delayed = user;
 
-  si_request_release (delayed->request);
+  si_request_free_if_detached (delayed->request);
   delayed->request = NULL;
 }
 
@@ -46,15 +46,15 @@
   free (delayed);
 }
 
-/* Sends the reply, unless a fault drops or delays it. A write is applied before, so its caller
- * can't know the outcome when the reply is dropped. */
+/* Sends the reply, unless a fault drops or delays it. A dropped reply leaves the caller of a write
+ * in doubt: the write has already been applied. */
 static void
-send_reply (SiPlatform *platform,
-            struct evhttp_request *request,
-            int status,
-            struct json_object *reply)
+send_or_drop_reply (SiPlatform *platform,
+                    struct evhttp_request *request,
+                    int status,
+                    struct json_object *reply)
 {
-  const char *path = si_request_path (request);
+  const char *path = si_request_get_path (request);
 
   if (si_faults_consume_at_path (&platform->faults, SI_FAULT_LOSE_REPLY, path))
     {
@@ -71,15 +71,15 @@
   const struct timeval at = lb_time_to_timeval (wait);
   DelayedReply *delayed = LB_NEW (DelayedReply);
   *delayed = (DelayedReply){ .request = request, .reply = reply, .status = status };
-  evhttp_connection_set_closecb (evhttp_request_get_connection (request), on_delayed_reply_closed,
-                                 delayed);
+  evhttp_connection_set_closecb (evhttp_request_get_connection (request),
+                                 on_delayed_reply_caller_disconnected, delayed);
   event_base_once (platform->server.base, -1, EV_TIMEOUT, on_delayed_reply_due, delayed, &at);
 }
 
 static void
-handle_transact (SiPlatform *platform, struct evhttp_request *request)
+handle_table_transaction (SiPlatform *platform, struct evhttp_request *request)
 {
-  struct json_object *transaction = si_request_json (request);
+  struct json_object *transaction = si_request_parse_body (request);
   struct json_object *reply;
 
   if (!transaction)
@@ -89,32 +89,32 @@
     }
   platform->writes++;
   int status = si_table_transact (platform->store, transaction, &reply);
-  send_reply (platform, request, status, reply);
+  send_or_drop_reply (platform, request, status, reply);
   json_object_put (transaction);
 }
 
 static void
-handle_get_row (SiPlatform *platform, struct evhttp_request *request)
+handle_get_table_row (SiPlatform *platform, struct evhttp_request *request)
 {
-  char *key = si_request_query (request, "key");
+  char *key = si_request_copy_query_value (request, "key");
   struct json_object *reply;
-  int status = si_table_row (platform->store, key ? key : "", &reply);
+  int status = si_table_get_row (platform->store, key ? key : "", &reply);
 
-  send_reply (platform, request, status, reply);
+  send_or_drop_reply (platform, request, status, reply);
   free (key);
 }
 
 static void
-handle_scan (SiPlatform *platform, struct evhttp_request *request)
+handle_table_scan (SiPlatform *platform, struct evhttp_request *request)
 {
-  char *prefix = si_request_query (request, "prefix");
-  char *after = si_request_query (request, "after");
-  char *limit = si_request_query (request, "limit");
+  char *prefix = si_request_copy_query_value (request, "prefix");
+  char *after = si_request_copy_query_value (request, "after");
+  char *limit = si_request_copy_query_value (request, "limit");
   int64_t n = limit ? strtoll (limit, NULL, 10) : DEFAULT_SCAN_LIMIT;
 
-  send_reply (platform, request, 200,
-              si_table_scan (platform->store, prefix ? prefix : "",
-                             after && after[0] != '\0' ? after : NULL, n));
+  send_or_drop_reply (platform, request, 200,
+                      si_table_scan (platform->store, prefix ? prefix : "",
+                                     after && after[0] != '\0' ? after : NULL, n));
   free (prefix);
   free (after);
   free (limit);
@@ -143,11 +143,11 @@
 
   platform->writes++;
   lp_store_put_object (platform->store, key, (const char *)evbuffer_pullup (input, -1), length);
-  send_reply (platform, request, 200, json_object_new_object ());
+  send_or_drop_reply (platform, request, 200, json_object_new_object ());
 }
 
 static void
-handle_object (SiPlatform *platform, struct evhttp_request *request, const char *key)
+route_object_request (SiPlatform *platform, struct evhttp_request *request, const char *key)
 {
   switch (evhttp_request_get_command (request))
     {
@@ -159,14 +159,15 @@
       break;
     case EVHTTP_REQ_DELETE:
       lp_store_delete_object (platform->store, key);
-      send_reply (platform, request, 200, json_object_new_object ());
+      send_or_drop_reply (platform, request, 200, json_object_new_object ());
       break;
     default:
       si_reply_error (request, 404, "unknown_path");
     }
 }
 
-/* A new list of instances becomes visible to callers only after instances_lag. */
+/* Replies with the list of instances. A list set by POST /control becomes visible after
+ * instances_lag. */
 static void
 handle_get_instances (SiPlatform *platform, struct evhttp_request *request)
 {
@@ -176,13 +177,13 @@
       platform->instances = platform->pending_instances;
       platform->pending_instances = NULL;
     }
-  send_reply (platform, request, 200, json_object_get (platform->instances));
+  send_or_drop_reply (platform, request, 200, json_object_get (platform->instances));
 }
 
 static void
 handle_get_weights (SiPlatform *platform, struct evhttp_request *request)
 {
-  char *pool = si_request_query (request, "pool");
+  char *pool = si_request_copy_query_value (request, "pool");
   int64_t version = pool ? lp_store_get_weight_version (platform->store, pool) : 0;
   struct json_object *reply = json_object_new_object ();
 
@@ -192,13 +193,13 @@
       si_json_set_int (reply, "version", version);
       si_json_set_int (reply, "made_ms", lb_clock_wall_ms ());
     }
-  send_reply (platform, request, version > 0 ? 200 : 404, reply);
+  send_or_drop_reply (platform, request, version > 0 ? 200 : 404, reply);
   free (pool);
 }
 
-/* Takes one call from the token bucket; returns true when it is empty. */
+/* Refills the token bucket and takes one token for a call; returns true if the bucket is empty. */
 static bool
-is_over_rate (SiPlatform *platform)
+is_rate_limit_exceeded (SiPlatform *platform)
 {
   LbTime now = lb_clock_monotonic ();
 
@@ -216,7 +217,7 @@
 }
 
 static void
-schedule_instances (SiPlatform *platform, struct json_object *list)
+schedule_instance_list (SiPlatform *platform, struct json_object *list)
 {
   json_object_put (platform->pending_instances);
   platform->pending_instances = json_object_get (list);
@@ -224,18 +225,18 @@
 }
 
 static void
-set_weights (SiPlatform *platform, struct json_object *weights)
+set_weight_version (SiPlatform *platform, struct json_object *weights)
 {
   lp_store_set_weight_version (platform->store, si_json_get_text (weights, "pool", ""),
                                si_json_get_int (weights, "version", 0));
 }
 
-/* POST /control {"instances": {...}, "weights": {"pool", "version"}, "lag_ms": n, "rate": n}; each
- * key is optional. */
+/* Handles POST /control with body {"instances": {...}, "weights": {"pool", "version"}, "lag_ms": n,
+ * "rate": n}; each key is optional. */
 static void
-handle_control (SiPlatform *platform, struct evhttp_request *request)
+handle_control_settings (SiPlatform *platform, struct evhttp_request *request)
 {
-  struct json_object *settings = si_request_json (request);
+  struct json_object *settings = si_request_parse_body (request);
   struct json_object *value;
 
   if (!settings)
@@ -248,15 +249,15 @@
   platform->max_calls_per_second
       = si_json_get_real (settings, "rate", platform->max_calls_per_second);
   if (json_object_object_get_ex (settings, "instances", &value))
-    schedule_instances (platform, value);
+    schedule_instance_list (platform, value);
   if (json_object_object_get_ex (settings, "weights", &value))
-    set_weights (platform, value);
+    set_weight_version (platform, value);
   si_reply_json (request, 200, json_object_new_object ());
   json_object_put (settings);
 }
 
 static void
-reply_log (SiPlatform *platform, struct evhttp_request *request)
+reply_call_counters (SiPlatform *platform, struct evhttp_request *request)
 {
   struct json_object *log = json_object_new_object ();
 
@@ -267,31 +268,31 @@
 }
 
 static void
-route_call (SiPlatform *platform, struct evhttp_request *request)
+route_api_call (SiPlatform *platform, struct evhttp_request *request)
 {
   static const char objects_path[] = "/objects/";
-  const char *path = si_request_path (request);
-
-  if (si_request_is (request, EVHTTP_REQ_POST, "/table/transact"))
-    handle_transact (platform, request);
-  else if (si_request_is (request, EVHTTP_REQ_GET, "/table/row"))
-    handle_get_row (platform, request);
-  else if (si_request_is (request, EVHTTP_REQ_GET, "/table/scan"))
-    handle_scan (platform, request);
-  else if (si_request_is (request, EVHTTP_REQ_GET, "/instances"))
+  const char *path = si_request_get_path (request);
+
+  if (si_request_matches (request, EVHTTP_REQ_POST, "/table/transact"))
+    handle_table_transaction (platform, request);
+  else if (si_request_matches (request, EVHTTP_REQ_GET, "/table/row"))
+    handle_get_table_row (platform, request);
+  else if (si_request_matches (request, EVHTTP_REQ_GET, "/table/scan"))
+    handle_table_scan (platform, request);
+  else if (si_request_matches (request, EVHTTP_REQ_GET, "/instances"))
     handle_get_instances (platform, request);
-  else if (si_request_is (request, EVHTTP_REQ_GET, "/weights"))
+  else if (si_request_matches (request, EVHTTP_REQ_GET, "/weights"))
     handle_get_weights (platform, request);
   else if (strncmp (path, objects_path, sizeof objects_path - 1) == 0)
-    handle_object (platform, request, path + sizeof objects_path - 1);
+    route_object_request (platform, request, path + sizeof objects_path - 1);
   else
     si_reply_error (request, 404, "unknown_path");
 }
 
 static void
-handle_call (SiPlatform *platform, struct evhttp_request *request)
+handle_api_call (SiPlatform *platform, struct evhttp_request *request)
 {
-  const char *path = si_request_path (request);
+  const char *path = si_request_get_path (request);
 
   platform->received++;
   if (si_faults_consume_at_path (&platform->faults, SI_FAULT_DOWN, path))
@@ -299,7 +300,7 @@
   else if (si_faults_consume_at_path (&platform->faults, SI_FAULT_HANG, path))
     return;
   else if (si_faults_consume_at_path (&platform->faults, SI_FAULT_BUSY, path)
-           || is_over_rate (platform))
+           || is_rate_limit_exceeded (platform))
     {
       platform->rejected_busy++;
       si_reply_error (request, 503, "busy");
@@ -307,7 +308,7 @@
   else
     {
       platform->served++;
-      route_call (platform, request);
+      route_api_call (platform, request);
     }
 }
 
@@ -316,18 +317,18 @@
 {
   SiPlatform *platform = user;
 
-  if (si_request_is (request, EVHTTP_REQ_POST, "/faults"))
-    si_faults_handle (&platform->faults, request);
-  else if (si_request_is (request, EVHTTP_REQ_POST, "/control"))
-    handle_control (platform, request);
-  else if (si_request_is (request, EVHTTP_REQ_GET, "/log"))
-    reply_log (platform, request);
+  if (si_request_matches (request, EVHTTP_REQ_POST, "/faults"))
+    si_faults_handle_request (&platform->faults, request);
+  else if (si_request_matches (request, EVHTTP_REQ_POST, "/control"))
+    handle_control_settings (platform, request);
+  else if (si_request_matches (request, EVHTTP_REQ_GET, "/log"))
+    reply_call_counters (platform, request);
   else
-    handle_call (platform, request);
+    handle_api_call (platform, request);
 }
 
 static struct json_object *
-new_empty_instances (void)
+new_empty_instance_list (void)
 {
   struct json_object *list = json_object_new_object ();
 
@@ -337,26 +338,26 @@
 }
 
 static void
-init_state (SiPlatform *platform)
+init_platform_state (SiPlatform *platform)
 {
   memset (platform, 0, sizeof *platform);
   platform->store = lp_store_new ();
-  platform->instances = new_empty_instances ();
+  platform->instances = new_empty_instance_list ();
   platform->rate_tokens_at = lb_clock_monotonic ();
 }
 
 bool
 si_platform_init (SiPlatform *platform, struct event_base *base, int port)
 {
-  init_state (platform);
+  init_platform_state (platform);
   return si_server_init (&platform->server, base, port, handle_request, platform);
 }
 
 bool
-si_platform_init_program (SiPlatform *platform, int port)
+si_platform_init_standalone (SiPlatform *platform, int port)
 {
-  init_state (platform);
-  return si_server_init_program (&platform->server, port, handle_request, platform);
+  init_platform_state (platform);
+  return si_server_init_standalone (&platform->server, port, handle_request, platform);
 }
 
 void
--- a/standins/si-row-store.c
+++ b/standins/si-row-store.c
@@ -12,18 +12,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MAX_ROWS_PER_PAGE 500
-#define MAX_ENCODED_VALUE_LENGTH ((size_t)(64 << 10) / 3 * 4) /* 64 KiB in base64 */
-#define WATCH_CHECK_PERIOD (20 * LB_MSEC)
+#define DEFAULT_LIST_LIMIT 500
+#define MAX_ENCODED_VALUE_LENGTH ((size_t)(64 << 10) / 3 * 4) /* 64 KiB before Base64 encoding */
+#define WATCH_CHECK_INTERVAL (20 * LB_MSEC)
 
-/* A removed row stays in the table, so that watches report its removal. */
+/* A row of a table. A removed row stays as a tombstone, so that watches report the removal. */
 typedef struct
 {
   LbLink link;
   char *table;
-  char *part;
+  char *partition;
   char *key;
-  char *value; /* base64, as received; NULL: removed */
+  char *value; /* Base64-encoded, as received; NULL: the row is removed */
   int64_t version;
 } Row;
 
@@ -41,9 +41,9 @@
   SiRowStore *store;
   struct evhttp_request *request;
   char *table;
-  int64_t after; /* version; reports newer changes */
+  int64_t after; /* the watch reports rows with versions above this one */
   LbTime deadline;
-  bool is_delayed; /* reports changes only at the deadline */
+  bool is_delayed; /* set: changes are reported only at the deadline */
 } Watch;
 
 static void
@@ -51,48 +51,48 @@
 {
   lb_list_remove (&store->rows, &row->link);
   free (row->table);
-  free (row->part);
+  free (row->partition);
   free (row->key);
   free (row->value);
   free (row);
 }
 
 static int
-compare_row (const Row *row, const char *table, const char *part, const char *key)
+compare_row_to_key (const Row *row, const char *table, const char *partition, const char *key)
 {
   int order = strcmp (row->table, table);
 
   if (order == 0)
-    order = strcmp (row->part, part);
+    order = strcmp (row->partition, partition);
   return order != 0 ? order : strcmp (row->key, key);
 }
 
 static Row *
-find_row (const SiRowStore *store, const char *table, const char *part, const char *key)
+find_row (const SiRowStore *store, const char *table, const char *partition, const char *key)
 {
   LB_LIST_FOREACH (&store->rows, Row, link, row)
   {
-    if (compare_row (row, table, part, key) == 0)
+    if (compare_row_to_key (row, table, partition, key) == 0)
       return row;
   }
   return NULL;
 }
 
 static Row *
-find_or_create_row (SiRowStore *store, const char *table, const char *part, const char *key)
+find_or_create_row (SiRowStore *store, const char *table, const char *partition, const char *key)
 {
-  Row *row = find_row (store, table, part, key);
+  Row *row = find_row (store, table, partition, key);
   LbLink *position = &store->rows.head;
 
   if (row)
     return row;
   row = LB_NEW (Row);
   row->table = lb_strdup (table);
-  row->part = lb_strdup (part);
+  row->partition = lb_strdup (partition);
   row->key = lb_strdup (key);
   LB_LIST_FOREACH (&store->rows, Row, link, other)
   {
-    if (position == &store->rows.head && compare_row (other, table, part, key) > 0)
+    if (position == &store->rows.head && compare_row_to_key (other, table, partition, key) > 0)
       position = &other->link;
   }
   lb_list_insert_before (&store->rows, position, &row->link);
@@ -100,17 +100,17 @@
 }
 
 static int64_t
-get_row_version (const SiRowStore *store, const char *table, const char *part, const char *key)
+get_row_version (const SiRowStore *store, const char *table, const char *partition, const char *key)
 {
-  const Row *row = find_row (store, table, part, key);
+  const Row *row = find_row (store, table, partition, key);
 
   return row && row->value ? row->version : 0;
 }
 
-/* --- JSON --- */
+/* --- JSON helpers --- */
 
 static const char *
-get_text (struct json_object *object, const char *key)
+get_text_or_empty (struct json_object *object, const char *key)
 {
   struct json_object *value = NULL;
 
@@ -123,7 +123,7 @@
   struct json_object *object = json_object_new_object ();
 
   si_json_set_text (object, "table", row->table);
-  si_json_set_text (object, "part", row->part);
+  si_json_set_text (object, "part", row->partition);
   si_json_set_text (object, "key", row->key);
   json_object_object_add (object, "ver", json_object_new_int64 (row->version));
   if (row->value)
@@ -134,7 +134,7 @@
 }
 
 static struct json_object *
-new_reply (const SiRowStore *store)
+new_versioned_reply (const SiRowStore *store)
 {
   struct json_object *object = json_object_new_object ();
 
@@ -146,7 +146,7 @@
 /* --- transactions --- */
 
 static struct json_object *
-get_array (struct json_object *object, const char *key)
+get_json_array (struct json_object *object, const char *key)
 {
   struct json_object *array = NULL;
 
@@ -154,17 +154,18 @@
   return json_object_is_type (array, json_type_array) ? array : NULL;
 }
 
-/* Whether every expected row has its expected version. Version 0 expects that no row exists. */
+/* Returns whether each row listed in `expected` has the version stated there; version 0 means that
+ * the row must not exist. */
 static bool
-are_expectations_met (const SiRowStore *store, struct json_object *expected)
+have_expected_versions (const SiRowStore *store, struct json_object *expected)
 {
   for (size_t i = 0; expected && i < json_object_array_length (expected); i++)
     {
       struct json_object *item = json_object_array_get_idx (expected, i);
       struct json_object *version = NULL;
       json_object_object_get_ex (item, "ver", &version);
-      if (get_row_version (store, get_text (item, "table"), get_text (item, "part"),
-                           get_text (item, "key"))
+      if (get_row_version (store, get_text_or_empty (item, "table"),
+                           get_text_or_empty (item, "part"), get_text_or_empty (item, "key"))
           != json_object_get_int64 (version))
         return false;
     }
@@ -172,20 +173,22 @@
 }
 
 static void
-apply_entries (SiRowStore *store, struct json_object *entries, bool is_removal)
+apply_row_changes (SiRowStore *store, struct json_object *entries, bool is_removal)
 {
   for (size_t i = 0; entries && i < json_object_array_length (entries); i++)
     {
       struct json_object *item = json_object_array_get_idx (entries, i);
-      Row *row = find_or_create_row (store, get_text (item, "table"), get_text (item, "part"),
-                                     get_text (item, "key"));
+      Row *row
+          = find_or_create_row (store, get_text_or_empty (item, "table"),
+                                get_text_or_empty (item, "part"), get_text_or_empty (item, "key"));
       free (row->value);
-      row->value = is_removal ? NULL : lb_strdup (get_text (item, "value"));
+      row->value = is_removal ? NULL : lb_strdup (get_text_or_empty (item, "value"));
       row->version = store->version;
     }
 }
 
-/* Adds the current state of the expected rows to the reply, so that the caller can retry. */
+/* Adds the current versions and values of the rows in `expected` to the reply, so that the caller
+ * can retry. */
 static void
 add_current_rows (const SiRowStore *store, struct json_object *reply, struct json_object *expected)
 {
@@ -194,8 +197,8 @@
   for (size_t i = 0; expected && i < json_object_array_length (expected); i++)
     {
       struct json_object *item = json_object_array_get_idx (expected, i);
-      const Row *row = find_row (store, get_text (item, "table"), get_text (item, "part"),
-                                 get_text (item, "key"));
+      const Row *row = find_row (store, get_text_or_empty (item, "table"),
+                                 get_text_or_empty (item, "part"), get_text_or_empty (item, "key"));
       if (row && row->value)
         json_object_array_add (array, row_to_json (row));
     }
@@ -203,20 +206,20 @@
 }
 
 static bool
-has_large_value (struct json_object *entries)
+has_oversized_value (struct json_object *entries)
 {
   for (size_t i = 0; entries && i < json_object_array_length (entries); i++)
-    if (strlen (get_text (json_object_array_get_idx (entries, i), "value"))
+    if (strlen (get_text_or_empty (json_object_array_get_idx (entries, i), "value"))
         > MAX_ENCODED_VALUE_LENGTH)
       return true;
   return false;
 }
 
 static bool
-touches_table (struct json_object *entries, const char *table)
+contains_row_of_table (struct json_object *entries, const char *table)
 {
   for (size_t i = 0; entries && i < json_object_array_length (entries); i++)
-    if (strcmp (get_text (json_object_array_get_idx (entries, i), "table"), table) == 0)
+    if (strcmp (get_text_or_empty (json_object_array_get_idx (entries, i), "table"), table) == 0)
       return true;
   return false;
 }
@@ -224,11 +227,11 @@
 static void
 handle_transaction (SiRowStore *store, struct evhttp_request *request)
 {
-  struct json_object *body = si_request_json (request);
-  struct json_object *expected = get_array (body, "expected");
-  bool is_committed = are_expectations_met (store, expected);
+  struct json_object *body = si_request_parse_body (request);
+  struct json_object *expected = get_json_array (body, "expected");
+  bool is_committed = have_expected_versions (store, expected);
 
-  if (has_large_value (get_array (body, "writes")))
+  if (has_oversized_value (get_json_array (body, "writes")))
     {
       json_object_put (body);
       si_reply_error (request, 400, "value_too_large");
@@ -238,10 +241,11 @@
     {
       store->version++;
       store->writes++;
-      apply_entries (store, get_array (body, "writes"), false);
-      apply_entries (store, get_array (body, "remove"), true);
+      apply_row_changes (store, get_json_array (body, "writes"), false);
+      apply_row_changes (store, get_json_array (body, "remove"), true);
     }
-  if (is_committed && store->lost_replies > 0 && touches_table (get_array (body, "writes"), "head"))
+  if (is_committed && store->lost_replies > 0
+      && contains_row_of_table (get_json_array (body, "writes"), "head"))
     {
       if (--store->lost_replies == 0 && store->unavailable_after_lost_replies)
         store->mode = SI_ROW_STORE_UNAVAILABLE;
@@ -251,7 +255,7 @@
     si_reply_abort (request);
   else
     {
-      struct json_object *reply = new_reply (store);
+      struct json_object *reply = new_versioned_reply (store);
       if (!is_committed)
         add_current_rows (store, reply, expected);
       si_reply_json (request, is_committed ? 200 : 412, reply);
@@ -262,19 +266,19 @@
 /* --- lists and watches --- */
 
 static char *
-get_query (struct evhttp_request *request, const char *key)
+get_query_or_empty (struct evhttp_request *request, const char *key)
 {
-  char *value = si_request_query (request, key);
+  char *value = si_request_copy_query_value (request, key);
 
   return value ? value : lb_strdup ("");
 }
 
-/* Whether the request is for the table whose requests are left unanswered while other tables are
- * served. */
+/* Returns whether the request is for silent_table, whose requests get no reply while other tables
+ * are served. */
 static bool
-is_table_silent (const SiRowStore *store, struct evhttp_request *request)
+is_for_silent_table (const SiRowStore *store, struct evhttp_request *request)
 {
-  char *table = get_query (request, "table");
+  char *table = get_query_or_empty (request, "table");
   bool silent = store->silent_table && strcmp (table, store->silent_table) == 0;
 
   free (table);
@@ -282,22 +286,22 @@
 }
 
 static void
-handle_list (SiRowStore *store, struct evhttp_request *request)
-{
-  char *table = get_query (request, "table");
-  char *part = get_query (request, "part");
-  char *from = get_query (request, "from");
-  char *to = get_query (request, "to");
-  char *limit_text = get_query (request, "limit");
-  size_t limit = limit_text[0] ? (size_t)atoi (limit_text) : MAX_ROWS_PER_PAGE;
+handle_list_rows (SiRowStore *store, struct evhttp_request *request)
+{
+  char *table = get_query_or_empty (request, "table");
+  char *partition = get_query_or_empty (request, "part");
+  char *from = get_query_or_empty (request, "from");
+  char *to = get_query_or_empty (request, "to");
+  char *limit_text = get_query_or_empty (request, "limit");
+  size_t limit = limit_text[0] ? (size_t)atoi (limit_text) : DEFAULT_LIST_LIMIT;
   struct json_object *array = json_object_new_array ();
-  struct json_object *reply = new_reply (store);
+  struct json_object *reply = new_versioned_reply (store);
   bool is_unavailable = store->unavailable_table && strcmp (table, store->unavailable_table) == 0;
   bool has_more = false;
 
   LB_LIST_FOREACH (&store->rows, Row, link, row)
   {
-    if (!row->value || strcmp (row->table, table) != 0 || strcmp (row->part, part) != 0
+    if (!row->value || strcmp (row->table, table) != 0 || strcmp (row->partition, partition) != 0
         || strcmp (row->key, from) < 0 || (to[0] && strcmp (row->key, to) >= 0))
       continue;
     if (json_object_array_length (array) < limit)
@@ -311,12 +315,12 @@
   free (limit_text);
   free (to);
   free (from);
-  free (part);
+  free (partition);
   free (table);
 }
 
 static int
-compare_versions (const void *a, const void *b)
+compare_row_versions (const void *a, const void *b)
 {
   struct json_object *const *first = a;
   struct json_object *const *second = b;
@@ -329,7 +333,7 @@
 }
 
 static struct json_object *
-new_changes_array (const SiRowStore *store, const char *table, int64_t after)
+new_changed_rows_array (const SiRowStore *store, const char *table, int64_t after)
 {
   struct json_object *array = json_object_new_array ();
 
@@ -338,7 +342,7 @@
     if (row->version > after && strcmp (row->table, table) == 0)
       json_object_array_add (array, row_to_json (row));
   }
-  json_object_array_sort (array, compare_versions);
+  json_object_array_sort (array, compare_row_versions);
   return array;
 }
 
@@ -348,16 +352,16 @@
   (void)connection;
   Watch *watch = user;
 
-  si_request_release (watch->request);
+  si_request_free_if_detached (watch->request);
   lb_list_remove (&watch->store->watches, &watch->link);
   free (watch->table);
   free (watch);
 }
 
 static void
-answer_watch (Watch *watch, struct json_object *array)
+send_watch_reply (Watch *watch, struct json_object *array)
 {
-  struct json_object *reply = new_reply (watch->store);
+  struct json_object *reply = new_versioned_reply (watch->store);
 
   evhttp_connection_set_closecb (evhttp_request_get_connection (watch->request), NULL, NULL);
   json_object_object_add (reply, "rows", array);
@@ -368,7 +372,7 @@
 }
 
 static void
-on_watch_check (evutil_socket_t fd, short what, void *user)
+on_watch_check_due (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -378,10 +382,10 @@
     return;
   LB_LIST_FOREACH (&store->watches, Watch, link, watch)
   {
-    struct json_object *array = new_changes_array (store, watch->table, watch->after);
+    struct json_object *array = new_changed_rows_array (store, watch->table, watch->after);
     bool has_changes = json_object_array_length (array) > 0 && !watch->is_delayed;
     if (has_changes || lb_clock_monotonic () >= watch->deadline)
-      answer_watch (watch, array);
+      send_watch_reply (watch, array);
     else
       json_object_put (array);
   }
@@ -390,14 +394,14 @@
 static void
 handle_watch (SiRowStore *store, struct evhttp_request *request, bool is_delayed)
 {
-  char *after = get_query (request, "after");
-  char *wait = get_query (request, "waitMs");
+  char *after = get_query_or_empty (request, "after");
+  char *wait = get_query_or_empty (request, "waitMs");
   Watch *watch = LB_NEW (Watch);
 
   watch->store = store;
   watch->request = request;
   watch->is_delayed = is_delayed;
-  watch->table = get_query (request, "table");
+  watch->table = get_query_or_empty (request, "table");
   watch->after = atoll (after);
   watch->deadline = lb_clock_monotonic () + atoll (wait) * LB_MSEC;
   lb_list_append (&store->watches, &watch->link);
@@ -406,13 +410,13 @@
     {
       evhttp_connection_set_closecb (evhttp_request_get_connection (request), NULL, NULL);
       on_watch_closed (NULL, watch);
-      si_reply_json (request, 410, new_reply (store));
+      si_reply_json (request, 410, new_versioned_reply (store));
     }
   free (wait);
   free (after);
 }
 
-/* --- objects --- */
+/* --- object storage --- */
 
 static void
 object_free (SiRowStore *store, Object *object)
@@ -435,7 +439,7 @@
 }
 
 static void
-put_object (SiRowStore *store, struct evhttp_request *request, const char *name)
+handle_put_object (SiRowStore *store, struct evhttp_request *request, const char *name)
 {
   struct evbuffer *input = evhttp_request_get_input_buffer (request);
   Object *object = find_object (store, name);
@@ -447,13 +451,13 @@
       lb_list_append (&store->objects, &object->link);
     }
   free (object->bytes);
-  object->bytes = si_request_text (request);
+  object->bytes = si_request_copy_body (request);
   object->length = evbuffer_get_length (input);
-  si_reply_json (request, 200, new_reply (store));
+  si_reply_json (request, 200, new_versioned_reply (store));
 }
 
 static void
-get_object (SiRowStore *store, struct evhttp_request *request, const char *name)
+handle_get_object (SiRowStore *store, struct evhttp_request *request, const char *name)
 {
   const Object *object = find_object (store, name);
 
@@ -467,7 +471,7 @@
 }
 
 static void
-remove_object (SiRowStore *store, struct evhttp_request *request, const char *name)
+handle_delete_object (SiRowStore *store, struct evhttp_request *request, const char *name)
 {
   Object *object = find_object (store, name);
 
@@ -477,10 +481,10 @@
       return;
     }
   object_free (store, object);
-  si_reply_json (request, 200, new_reply (store));
+  si_reply_json (request, 200, new_versioned_reply (store));
 }
 
-/* --- server --- */
+/* --- routing, setup and direct access --- */
 
 static bool
 strip_path_prefix (const char *path, const char *prefix, const char **rest)
@@ -494,10 +498,10 @@
 static void
 route_request (SiRowStore *store, struct evhttp_request *request, bool is_delayed)
 {
-  const char *path = si_request_path (request);
+  const char *path = si_request_get_path (request);
   const char *name = NULL;
 
-  if (store->mode == SI_ROW_STORE_SILENT || is_table_silent (store, request))
+  if (store->mode == SI_ROW_STORE_SILENT || is_for_silent_table (store, request))
     return;
   if (store->mode == SI_ROW_STORE_UNAVAILABLE)
     {
@@ -507,21 +511,21 @@
   if (strcmp (path, "/-/rows-tx") == 0)
     handle_transaction (store, request);
   else if (strcmp (path, "/-/rows-get") == 0)
-    handle_list (store, request);
+    handle_list_rows (store, request);
   else if (strcmp (path, "/-/rows-feed") == 0)
     handle_watch (store, request, is_delayed);
   else if (strip_path_prefix (path, "/-/blob-put/", &name))
-    put_object (store, request, name);
+    handle_put_object (store, request, name);
   else if (strip_path_prefix (path, "/-/blob-get/", &name))
-    get_object (store, request, name);
+    handle_get_object (store, request, name);
   else if (strip_path_prefix (path, "/-/blob-drop/", &name))
-    remove_object (store, request, name);
+    handle_delete_object (store, request, name);
   else
     si_reply_error (request, 404, "unknown_path");
 }
 
 static void
-on_request (struct evhttp_request *request, void *user)
+on_first_server_request (struct evhttp_request *request, void *user)
 {
   SiRowStore *store = user;
 
@@ -537,15 +541,15 @@
 }
 
 static void
-init_state (SiRowStore *store)
+init_store_state (SiRowStore *store)
 {
-  const struct timeval period = { .tv_usec = WATCH_CHECK_PERIOD };
+  const struct timeval period = { .tv_usec = WATCH_CHECK_INTERVAL };
 
   lb_list_init (&store->rows);
   lb_list_init (&store->objects);
   lb_list_init (&store->watches);
   store->version = 1;
-  store->watch_timer = event_new (store->server.base, -1, EV_PERSIST, on_watch_check, store);
+  store->watch_timer = event_new (store->server.base, -1, EV_PERSIST, on_watch_check_due, store);
   event_add (store->watch_timer, &period);
 }
 
@@ -553,10 +557,10 @@
 si_row_store_init (SiRowStore *store, struct event_base *base, int port)
 {
   memset (store, 0, sizeof *store);
-  if (!si_server_init (&store->server, base, port, on_request, store)
+  if (!si_server_init (&store->server, base, port, on_first_server_request, store)
       || !si_server_init (&store->second_server, base, 0, on_second_server_request, store))
     return false;
-  init_state (store);
+  init_store_state (store);
   return true;
 }
 
@@ -584,9 +588,9 @@
 
 void
 si_row_store_put (
-    SiRowStore *store, const char *table, const char *part, const char *key, const char *value)
+    SiRowStore *store, const char *table, const char *partition, const char *key, const char *value)
 {
-  Row *row = find_or_create_row (store, table, part, key);
+  Row *row = find_or_create_row (store, table, partition, key);
 
   free (row->value);
   row->value = NULL;
@@ -600,10 +604,10 @@
 const char *
 si_row_store_get_value (const SiRowStore *store,
                         const char *table,
-                        const char *part,
+                        const char *partition,
                         const char *key)
 {
-  const Row *row = find_row (store, table, part, key);
+  const Row *row = find_row (store, table, partition, key);
 
   return row ? row->value : NULL;
 }
--- a/standins/si-row-store.h
+++ b/standins/si-row-store.h
@@ -4,50 +4,59 @@
 #include "lb-list.h"
 #include "si-server.h"
 
-/* In-memory stand-in for the shared platform's store, as used by platform/: rows in tables and
- * parts, conditional transactions, lists, watches, objects. Faults can be injected. */
+/* In-memory stand-in for the shared platform's store, which the adapter in platform/ calls. It
+ * offers rows in tables and partitions, conditional transactions, lists, watches and objects, and
+ * can inject faults. */
 
 typedef enum
 {
   SI_ROW_STORE_NORMAL,
   SI_ROW_STORE_UNAVAILABLE, /* answers every call with 503 */
   SI_ROW_STORE_SILENT,      /* never answers a call */
-  SI_ROW_STORE_LOSES_REPLY  /* applies writes, then closes the connection */
+  SI_ROW_STORE_LOSES_REPLY  /* applies each transaction, then closes the connection without a reply
+                             */
 } SiRowStoreMode;
 
 typedef struct
 {
   SiServer server;
-  SiServer second_server; /* serves the same rows */
-  /* Watches on this server report changes only at the end of their wait; NULL: none. */
+  SiServer second_server; /* second address at which the same rows are served */
+  /* Watches on this server report changes only when their wait time ends; NULL: no such server. */
   const SiServer *delayed_server;
-  LbList rows; /* sorted by table, part and key */
+  LbList rows; /* sorted by table, partition and key */
   LbList objects;
   LbList watches;
   struct event *watch_timer;
-  const char *unavailable_table; /* lists of it are answered with 503; NULL: none */
-  const char *silent_table;      /* requests for it are not answered; NULL: none */
+  const char *unavailable_table; /* list requests for this table get 503; NULL: none */
+  const char *silent_table; /* list and watch requests for this table get no reply; NULL: none */
   int64_t version;
-  int64_t oldest_watchable_version; /* a watch from an older version gets 410 */
+  int64_t oldest_watchable_version; /* a watch that starts at an older version gets 410 */
   SiRowStoreMode mode;
-  int lost_replies; /* number of next writes to table "head" whose replies are lost, in any mode */
-  bool unavailable_after_lost_replies; /* becomes unavailable after the last lost reply */
-  int64_t writes;                      /* committed transactions */
+  /* Number of further writes to table "head" whose reply is dropped, also in mode NORMAL. */
+  int lost_replies;
+  /* Set: mode becomes SI_ROW_STORE_UNAVAILABLE when lost_replies reaches 0. */
+  bool unavailable_after_lost_replies;
+  int64_t writes; /* number of committed transactions */
 } SiRowStore;
 
 bool si_row_store_init (SiRowStore *store, struct event_base *base, int port);
 void si_row_store_clear (SiRowStore *store);
 
-/* Writes outside a transaction, as an operator or an endpoint does; value NULL removes the row. */
-void si_row_store_put (
-    SiRowStore *store, const char *table, const char *part, const char *key, const char *value);
-/* Returns the Base64-encoded value, valid until the next change; NULL when there is no such row. */
+/* Writes a row without a transaction, as an operator or an endpoint would; a NULL value removes the
+ * row. */
+void si_row_store_put (SiRowStore *store,
+                       const char *table,
+                       const char *partition,
+                       const char *key,
+                       const char *value);
+/* Returns the row's Base64-encoded value, valid until the next change; NULL if there is no such
+ * row. */
 const char *si_row_store_get_value (const SiRowStore *store,
                                     const char *table,
-                                    const char *part,
+                                    const char *partition,
                                     const char *key);
 size_t si_row_store_count_objects (const SiRowStore *store);
-/* Counts the rows of the table in all parts, without removed rows. */
+/* Returns the number of rows of the table in all partitions, without removed rows. */
 size_t si_row_store_count_rows (const SiRowStore *store, const char *table);
 
 #endif
--- a/standins/si-server.c
+++ b/standins/si-server.c
@@ -14,7 +14,7 @@
 #include <string.h>
 #include <sys/queue.h>
 
-#define ALL_METHODS                                                                                \
+#define ALLOWED_METHODS                                                                            \
   (EVHTTP_REQ_GET | EVHTTP_REQ_POST | EVHTTP_REQ_HEAD | EVHTTP_REQ_PUT | EVHTTP_REQ_DELETE         \
    | EVHTTP_REQ_OPTIONS | EVHTTP_REQ_PATCH)
 
@@ -26,7 +26,7 @@
   event_base_loopbreak (user);
 }
 
-/* Token times are well under a millisecond, which the default timers would round up. */
+/* libevent's default timers round up to a millisecond, but simulated tokens take much less. */
 struct event_base *
 si_precise_event_base_new (void)
 {
@@ -49,8 +49,8 @@
   snprintf (server->address, sizeof server->address, "127.0.0.1:%d", ntohs (bound.sin_port));
 }
 
-/* With Nagle's algorithm the second small chunk of a stream waits some 40 ms for the peer's delayed
- * acknowledgement. */
+/* Nagle's algorithm holds back the second small chunk of a stream for about 40 ms, until the peer's
+ * delayed acknowledgement arrives. */
 static void
 disable_nagle (struct evhttp_request *request)
 {
@@ -74,7 +74,7 @@
 bind_port (SiServer *server, int port)
 {
   server->http = evhttp_new (server->base);
-  evhttp_set_allowed_methods (server->http, ALL_METHODS);
+  evhttp_set_allowed_methods (server->http, ALLOWED_METHODS);
   evhttp_set_gencb (server->http, on_request, server);
   struct evhttp_bound_socket *socket
       = evhttp_bind_socket_with_handle (server->http, "127.0.0.1", (uint16_t)port);
@@ -111,7 +111,7 @@
 }
 
 bool
-si_server_init_program (SiServer *server, int port, SiHandler handler, void *user)
+si_server_init_standalone (SiServer *server, int port, SiHandler handler, void *user)
 {
   struct event_base *base = si_precise_event_base_new ();
 
@@ -138,21 +138,21 @@
 }
 
 void
-si_server_announce (const SiServer *server, const char *name)
+si_server_print_address (const SiServer *server, const char *name)
 {
   printf ("{\"name\": \"%s\", \"address\": \"%s\"}\n", name, server->address);
   fflush (stdout);
 }
 
 bool
-si_request_is (struct evhttp_request *request, enum evhttp_cmd_type method, const char *path)
+si_request_matches (struct evhttp_request *request, enum evhttp_cmd_type method, const char *path)
 {
   return evhttp_request_get_command (request) == method
-         && strcmp (si_request_path (request), path) == 0;
+         && strcmp (si_request_get_path (request), path) == 0;
 }
 
 const char *
-si_request_path (struct evhttp_request *request)
+si_request_get_path (struct evhttp_request *request)
 {
   const char *path = evhttp_uri_get_path (evhttp_request_get_evhttp_uri (request));
 
@@ -160,13 +160,13 @@
 }
 
 const char *
-si_request_header (struct evhttp_request *request, const char *name)
+si_request_get_header (struct evhttp_request *request, const char *name)
 {
   return evhttp_find_header (evhttp_request_get_input_headers (request), name);
 }
 
 char *
-si_request_query (struct evhttp_request *request, const char *key)
+si_request_copy_query_value (struct evhttp_request *request, const char *key)
 {
   const char *query = evhttp_uri_get_query (evhttp_request_get_evhttp_uri (request));
   struct evkeyvalq values;
@@ -182,7 +182,7 @@
 }
 
 char *
-si_request_text (struct evhttp_request *request)
+si_request_copy_body (struct evhttp_request *request)
 {
   struct evbuffer *input = evhttp_request_get_input_buffer (request);
   size_t length = evbuffer_get_length (input);
@@ -194,9 +194,9 @@
 }
 
 struct json_object *
-si_request_json (struct evhttp_request *request)
+si_request_parse_body (struct evhttp_request *request)
 {
-  char *text = si_request_text (request);
+  char *text = si_request_copy_body (request);
   struct json_object *object = json_tokener_parse (text);
 
   free (text);
@@ -232,9 +232,9 @@
   si_reply_json (request, status, object);
 }
 
-/* When the connection of an unanswered request closes, evhttp leaves the request to its handler. */
+/* evhttp does not free an unanswered request whose connection closed; the handler must free it. */
 void
-si_request_release (struct evhttp_request *request)
+si_request_free_if_detached (struct evhttp_request *request)
 {
   if (!evhttp_request_get_connection (request))
     evhttp_request_free (request);
--- a/standins/si-table.c
+++ b/standins/si-table.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 
 static struct json_object *
-get_array (struct json_object *object, const char *key, size_t *length)
+get_json_array (struct json_object *object, const char *key, size_t *length)
 {
   struct json_object *array = NULL;
 
@@ -19,7 +19,7 @@
 static LpCondition *
 parse_conditions (struct json_object *request, size_t *n)
 {
-  struct json_object *array = get_array (request, "conditions", n);
+  struct json_object *array = get_json_array (request, "conditions", n);
   LpCondition *conditions = LB_NEW_ARRAY (LpCondition, *n);
 
   for (size_t i = 0; i < *n; i++)
@@ -32,11 +32,11 @@
 }
 
 static LpPut *
-parse_puts (struct json_object *request, size_t *n)
+parse_puts_and_deletes (struct json_object *request, size_t *n)
 {
   size_t n_puts, n_deletes;
-  struct json_object *array = get_array (request, "puts", &n_puts);
-  struct json_object *deletes = get_array (request, "deletes", &n_deletes);
+  struct json_object *array = get_json_array (request, "puts", &n_puts);
+  struct json_object *deletes = get_json_array (request, "deletes", &n_deletes);
   LpPut *puts = LB_NEW_ARRAY (LpPut, n_puts + n_deletes);
 
   for (size_t i = 0; i < n_puts; i++)
@@ -52,7 +52,7 @@
 }
 
 static struct json_object *
-new_success_reply (const LpTransaction *transaction, int64_t version)
+new_commit_reply (const LpTransaction *transaction, int64_t version)
 {
   struct json_object *reply = json_object_new_object ();
   struct json_object *versions = json_object_new_object ();
@@ -86,11 +86,11 @@
       return 400;
     }
   LpCondition *conditions = parse_conditions (request, &transaction.n_conditions);
-  LpPut *puts = parse_puts (request, &transaction.n_puts);
+  LpPut *puts = parse_puts_and_deletes (request, &transaction.n_puts);
   transaction.conditions = conditions;
   transaction.puts = puts;
   bool is_committed = lp_store_transact (store, &transaction, &row) == LB_OK;
-  *reply = is_committed ? new_success_reply (&transaction, row.version) : new_conflict_reply (&row);
+  *reply = is_committed ? new_commit_reply (&transaction, row.version) : new_conflict_reply (&row);
   free (conditions);
   free (puts);
   return is_committed ? 200 : 409;
@@ -108,7 +108,7 @@
 }
 
 int
-si_table_row (const LpStore *store, const char *key, struct json_object **reply)
+si_table_get_row (const LpStore *store, const char *key, struct json_object **reply)
 {
   const LpRow *row = lp_store_get_row (store, key);
 
--- a/standins/si-table.h
+++ b/standins/si-table.h
@@ -4,10 +4,10 @@
 #include "lp-store.h"
 #include "si-json.h"
 
-/* JSON requests of the platform's table, applied to an LpStore. An int result is the HTTP
+/* Functions that apply the platform's JSON table requests to an LpStore. An int result is the HTTP
  * status; the caller owns the reply. */
 int si_table_transact (LpStore *store, struct json_object *request, struct json_object **reply);
-int si_table_row (const LpStore *store, const char *key, struct json_object **reply);
+int si_table_get_row (const LpStore *store, const char *key, struct json_object **reply);
 struct json_object *
 si_table_scan (const LpStore *store, const char *prefix, const char *after, int64_t limit);
 
--- a/standins/si-tally.c
+++ b/standins/si-tally.c
@@ -54,7 +54,7 @@
 }
 
 static void
-add_durations (SiTally *tally, const SiCheckedCallResult *result)
+add_call_times (SiTally *tally, const SiCheckedCallResult *result)
 {
   if ((tally->n_durations & (tally->n_durations - 1)) == 0)
     {
@@ -69,12 +69,12 @@
 }
 
 void
-si_tally_add (SiTally *tally, const SiCheckedCallResult *result, const char *key)
+si_tally_add_result (SiTally *tally, const SiCheckedCallResult *result, const char *key)
 {
   tally->n_calls++;
   tally->outcomes[result->outcome]++;
   if (result->outcome == SI_CALL_COMPLETE)
-    add_durations (tally, result);
+    add_call_times (tally, result);
   else
     count_error (tally, result->error[0] != '\0' ? result->error : "none");
   if (result->outcome == SI_CALL_NOT_RUN
@@ -83,7 +83,7 @@
 }
 
 bool
-si_tally_has_no_wrong_answers (const SiTally *tally)
+si_tally_has_no_wrong_or_truncated_answers (const SiTally *tally)
 {
   return tally->outcomes[SI_CALL_WRONG_ANSWER] + tally->outcomes[SI_CALL_TRUNCATED] == 0;
 }
@@ -124,7 +124,8 @@
   struct json_object *errors = json_object_new_object ();
 
   json_object_object_add (object, "ok",
-                          json_object_new_boolean (si_tally_has_no_wrong_answers (tally)));
+                          json_object_new_boolean (
+                              si_tally_has_no_wrong_or_truncated_answers (tally)));
   si_json_set_int (object, "calls", tally->n_calls);
   si_json_set_int (object, "whole", tally->outcomes[SI_CALL_COMPLETE]);
   si_json_set_int (object, "wrong", tally->outcomes[SI_CALL_WRONG_ANSWER]);
--- a/standins/si-tally.h
+++ b/standins/si-tally.h
@@ -12,18 +12,18 @@
   int64_t outcomes[SI_N_CALL_OUTCOMES];
   int64_t retries;
   struct SiErrorCount *errors;
-  LbTime *durations; /* of complete answers */
+  LbTime *durations; /* durations of the calls with complete answers */
   LbTime *times_to_first_byte;
-  size_t n_durations;               /* of both arrays */
-  struct json_object *not_run_keys; /* keys of calls whose last outcome was "not run" */
+  size_t n_durations;               /* length of durations and of times_to_first_byte */
+  struct json_object *not_run_keys; /* JSON array: keys of calls with outcome SI_CALL_NOT_RUN */
 } SiTally;
 
 void si_tally_init (SiTally *tally);
 void si_tally_clear (SiTally *tally);
-/* key: under which the endpoints' run logs count the call. */
-void si_tally_add (SiTally *tally, const SiCheckedCallResult *result, const char *key);
-bool si_tally_has_no_wrong_answers (const SiTally *tally);
-/* Sorts the recorded times. */
+/* Records the final result of a call; endpoints count executions of the call under the same key. */
+void si_tally_add_result (SiTally *tally, const SiCheckedCallResult *result, const char *key);
+bool si_tally_has_no_wrong_or_truncated_answers (const SiTally *tally);
+/* Returns the counts and the latency percentiles; sorts the recorded times. */
 struct json_object *si_tally_to_json (SiTally *tally);
 
 #endif
--- a/standins/si-text.c
+++ b/standins/si-text.c
@@ -20,7 +20,7 @@
 }
 
 char *
-si_text_prompt (struct json_object *body)
+si_text_copy_prompt (struct json_object *body)
 {
   struct json_object *messages;
   char *prompt;
@@ -43,7 +43,7 @@
 void
 si_text_init_from_body (SiText *text, struct json_object *body, bool vary_length)
 {
-  char *prompt = si_text_prompt (body);
+  char *prompt = si_text_copy_prompt (body);
 
   si_text_init (text, prompt, si_json_get_int (body, "seed", 0),
                 si_json_get_int (body, "max_tokens", DEFAULT_MAX_TOKENS), vary_length);
@@ -51,7 +51,7 @@
 }
 
 void
-si_text_token (const SiText *text, int64_t index, char token[SI_TOKEN_SIZE])
+si_text_write_token (const SiText *text, int64_t index, char token[SI_TOKEN_SIZE])
 {
   uint64_t hash = XXH64 (&index, sizeof index, text->hash);
 
@@ -59,7 +59,7 @@
 }
 
 char *
-si_text_slice (const SiText *text, int64_t first, int64_t count)
+si_text_join_tokens (const SiText *text, int64_t first, int64_t count)
 {
   char *slice = lb_malloc ((size_t)(count > 0 ? count : 0) * SI_TOKEN_SIZE + 1);
   size_t length = 0;
@@ -67,7 +67,7 @@
   slice[0] = '\0';
   for (int64_t i = first; i < first + count; i++)
     {
-      si_text_token (text, i, slice + length);
+      si_text_write_token (text, i, slice + length);
       length += strlen (slice + length);
     }
   return slice;
--- a/standins/standin-engine.c
+++ b/standins/standin-engine.c
@@ -24,7 +24,7 @@
 } Options;
 
 static void
-set_defaults (Options *options)
+set_default_options (Options *options)
 {
   options->port->ival[0] = 0;
   options->name->sval[0] = "engine";
@@ -40,7 +40,7 @@
 }
 
 static SiEngineSettings
-get_settings (const Options *options)
+get_engine_settings (const Options *options)
 {
   return (SiEngineSettings){
     .name = options->name->sval[0],
@@ -59,14 +59,14 @@
 }
 
 static int
-serve (const Options *options)
+run_engine (const Options *options)
 {
   static SiEngine engine;
-  const SiEngineSettings settings = get_settings (options);
+  const SiEngineSettings settings = get_engine_settings (options);
 
   if (!si_engine_init (&engine, &settings, options->port->ival[0]))
     return 1;
-  si_server_announce (&engine.server, settings.name);
+  si_server_print_address (&engine.server, settings.name);
   event_base_dispatch (engine.server.base);
   si_engine_clear (&engine);
   return 0;
@@ -77,30 +77,32 @@
 {
   Options options = {
     .port = arg_int0 (NULL, "port", "N", "port on 127.0.0.1; 0: any free port"),
-    .name = arg_str0 (NULL, "name", "NAME", "prefix of the incarnation"),
+    .name = arg_str0 (NULL, "name", "NAME", "prefix of the incarnation id"),
     .version = arg_int0 (NULL, "version", "N", "initial weight version"),
     .tokens_per_second
     = arg_dbl0 (NULL, "tokens-per-second", "N", "token rate of a request that runs alone"),
-    .batch_cost
-    = arg_dbl0 (NULL, "batch-cost", "F", "relative increase of the step time per further request"),
+    .batch_cost = arg_dbl0 (NULL, "batch-cost", "F",
+                            "relative increase of the step time per additional request"),
     .prefill_rate = arg_dbl0 (NULL, "prefill-rate", "N", "prompt bytes processed per second"),
-    .concurrency = arg_int0 (NULL, "concurrency", "N", "most requests in the batch"),
-    .max_waiting = arg_int0 (NULL, "queue", "N", "most waiting requests"),
+    .concurrency = arg_int0 (NULL, "concurrency", "N", "maximum number of requests in the batch"),
+    .max_waiting = arg_int0 (NULL, "queue", "N", "maximum number of waiting requests"),
     .cache_blocks = arg_int0 (NULL, "cache-blocks", "N", "blocks in the prefix cache; 0: no cache"),
-    .load_ms = arg_int0 (NULL, "load-ms", "N", "time to load weights"),
-    .no_fence = arg_lit0 (NULL, "not-checking-fence", "accept orders with any fencing number"),
-    .vary_length = arg_lit0 (NULL, "vary-length", "answers end after 1 to max_tokens tokens"),
-    .seed = arg_int0 (NULL, "seed", "N", "part of the incarnation's name"),
+    .load_ms = arg_int0 (NULL, "load-ms", "N", "duration of a weight load in milliseconds"),
+    .no_fence
+    = arg_lit0 (NULL, "not-checking-fence", "accept orders with an outdated fencing token"),
+    .vary_length
+    = arg_lit0 (NULL, "vary-length", "vary answer lengths from 1 to max_tokens tokens"),
+    .seed = arg_int0 (NULL, "seed", "N", "part of the incarnation id"),
     .help = arg_lit0 (NULL, "help", "show this help"),
     .end = arg_end (4),
   };
   void **table = (void **)&options;
   int exit_code;
 
-  set_defaults (&options);
+  set_default_options (&options);
   if (si_arguments_parse (argc, argv, table, sizeof options / sizeof (void *), "standin-engine",
                           &exit_code))
-    exit_code = serve (&options);
+    exit_code = run_engine (&options);
   arg_freetable (table, sizeof options / sizeof (void *));
   return exit_code;
 }
--- a/standins/standin-load.c
+++ b/standins/standin-load.c
@@ -13,22 +13,22 @@
 #include <string.h>
 
 #define MAX_ADDRESSES 16
-#define RETRY_PAUSE (20 * LB_MSEC)
+#define RETRY_DELAY (20 * LB_MSEC)
 
 typedef struct
 {
-  SiCheckedCallSpec spec; /* of all calls; address, prompt and caller differ */
+  SiCheckedCallSpec spec; /* shared by all calls, except address, prompt and caller */
   const char *addresses[MAX_ADDRESSES];
   size_t n_addresses;
   const char *name;
   int64_t count;
   int64_t concurrency;
-  double calls_per_second; /* 0: limited by the concurrency only */
-  int64_t n_callers;       /* caller names, used in turn */
+  double calls_per_second; /* maximum rate; 0: limited by the concurrency only */
+  int64_t n_callers;       /* number of caller names, used in rotation */
   int64_t max_retries;
-  LbTime start_limit;  /* no call starts after this time */
-  bool sends_keys;     /* each call has its own idempotency key */
-  LbTime entry_period; /* between refreshes of the entry addresses; 0: none */
+  LbTime call_start_period; /* time after the start of the test at which new calls stop */
+  bool sends_keys;          /* set: each call has its own idempotency key */
+  LbTime entry_period;      /* time between refreshes of the address list; 0: no refresh */
 } Settings;
 
 typedef struct
@@ -36,137 +36,140 @@
   Settings settings;
   struct event_base *base;
   LhPool *pool;
-  SiEntry entry;
+  SiEntryAddresses entry;
   struct event *start_timer;
   SiTally tally;
-  int64_t started;
-  int64_t running;
+  int64_t n_started_calls;
+  int64_t n_running_calls;
   LbTime start_time;
-} Load;
+} LoadTest;
 
-/* One call with its retries at further addresses. */
+/* One call; each retry goes to the next address. */
 typedef struct
 {
-  Load *load;
+  LoadTest *test;
   char *prompt;
   LbName name;
-  size_t address; /* index */
+  size_t address_index; /* index of the address for the current attempt */
   int64_t attempts;
 } Call;
 
-static void start_due_calls (Load *load);
+static void start_due_calls (LoadTest *test);
 
 static void
 finish_call (Call *call, const SiCheckedCallResult *result)
 {
-  Load *load = call->load;
+  LoadTest *test = call->test;
 
-  si_tally_add (&load->tally, result, call->prompt);
-  load->running--;
+  si_tally_add_result (&test->tally, result, call->prompt);
+  test->n_running_calls--;
   free (call->prompt);
   free (call);
-  start_due_calls (load);
+  start_due_calls (test);
 }
 
-static void send_call (Call *call);
+static void send_call_attempt (Call *call);
 
 static void
 on_retry_due (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
-  send_call (user);
+  send_call_attempt (user);
 }
 
-/* Retries a call at the next address, after retry_after, only if it provably did not run. */
+/* Retries a call only if it certainly did not run. The retry waits for retry_after and goes to the
+ * next address. */
 static void
-on_result (const SiCheckedCallResult *result, void *user)
+on_call_result (const SiCheckedCallResult *result, void *user)
 {
   Call *call = user;
-  Load *load = call->load;
+  LoadTest *test = call->test;
 
-  if (result->outcome != SI_CALL_NOT_RUN || call->attempts > load->settings.max_retries)
+  if (result->outcome != SI_CALL_NOT_RUN || call->attempts > test->settings.max_retries)
     {
       finish_call (call, result);
       return;
     }
-  LbTime wait = result->retry_after > RETRY_PAUSE ? result->retry_after : RETRY_PAUSE;
+  LbTime wait = result->retry_after > RETRY_DELAY ? result->retry_after : RETRY_DELAY;
   const struct timeval at = lb_time_to_timeval (wait);
-  load->tally.retries++;
-  call->address++;
-  event_base_once (load->base, -1, EV_TIMEOUT, on_retry_due, call, &at);
+  test->tally.retries++;
+  call->address_index++;
+  event_base_once (test->base, -1, EV_TIMEOUT, on_retry_due, call, &at);
 }
 
 static void
-send_call (Call *call)
+send_call_attempt (Call *call)
 {
-  Load *load = call->load;
-  SiCheckedCallSpec spec = load->settings.spec;
+  LoadTest *test = call->test;
+  SiCheckedCallSpec spec = test->settings.spec;
 
-  spec.address = si_entry_address (&load->entry, call->address);
+  spec.address = si_entry_addresses_get (&test->entry, call->address_index);
   spec.prompt = call->prompt;
   spec.caller = call->name;
   if (spec.kind == SI_CHECKED_CALL_SERVICE)
     spec.order = call->prompt;
-  if (load->settings.sends_keys)
+  if (test->settings.sends_keys)
     spec.idempotency_key = call->prompt;
   call->attempts++;
-  si_checked_call_start (load->pool, &spec, on_result, call);
+  si_checked_call_start (test->pool, &spec, on_call_result, call);
 }
 
 static void
-start_call (Load *load)
+start_call (LoadTest *test)
 {
   Call *call = LB_NEW (Call);
 
-  call->load = load;
-  call->prompt
-      = lb_asprintf ("%s asks for the %lldth time", load->settings.name, (long long)load->started);
-  snprintf (call->name, sizeof call->name, "%s-%lld", load->settings.name,
-            (long long)(load->started % load->settings.n_callers));
-  call->address = (size_t)load->started;
-  load->started++;
-  load->running++;
-  send_call (call);
+  call->test = test;
+  call->prompt = lb_asprintf ("%s asks for the %lldth time", test->settings.name,
+                              (long long)test->n_started_calls);
+  snprintf (call->name, sizeof call->name, "%s-%lld", test->settings.name,
+            (long long)(test->n_started_calls % test->settings.n_callers));
+  call->address_index = (size_t)test->n_started_calls;
+  test->n_started_calls++;
+  test->n_running_calls++;
+  send_call_attempt (call);
 }
 
 static bool
-can_start_call (const Load *load, LbTime now)
+may_start_more_calls (const LoadTest *test, LbTime now)
 {
-  return load->started < load->settings.count
-         && now - load->start_time < load->settings.start_limit;
+  return test->n_started_calls < test->settings.count
+         && now - test->start_time < test->settings.call_start_period;
 }
 
-/* Earliest time at which the configured rate allows the next call. */
+/* Returns the earliest time at which the configured rate allows the next call to start. */
 static LbTime
-get_next_start_time (const Load *load)
+get_next_call_start_time (const LoadTest *test)
 {
-  if (load->settings.calls_per_second <= 0)
-    return load->start_time;
-  return load->start_time
-         + (LbTime)((double)load->started / load->settings.calls_per_second * (double)LB_SEC);
+  if (test->settings.calls_per_second <= 0)
+    return test->start_time;
+  return test->start_time
+         + (LbTime)((double)test->n_started_calls / test->settings.calls_per_second
+                    * (double)LB_SEC);
 }
 
 static void
-start_due_calls (Load *load)
+start_due_calls (LoadTest *test)
 {
   LbTime now = lb_clock_monotonic ();
 
-  while (can_start_call (load, now) && load->running < load->settings.concurrency
-         && get_next_start_time (load) <= now)
-    start_call (load);
-  if (!can_start_call (load, now) && load->running == 0)
+  while (may_start_more_calls (test, now) && test->n_running_calls < test->settings.concurrency
+         && get_next_call_start_time (test) <= now)
+    start_call (test);
+  if (!may_start_more_calls (test, now) && test->n_running_calls == 0)
     {
-      event_base_loopbreak (load->base);
+      event_base_loopbreak (test->base);
       return;
     }
-  LbTime wait = get_next_start_time (load) > now ? get_next_start_time (load) - now : 10 * LB_MSEC;
+  LbTime wait = get_next_call_start_time (test) > now ? get_next_call_start_time (test) - now
+                                                      : 10 * LB_MSEC;
   const struct timeval at = lb_time_to_timeval (wait);
-  event_add (load->start_timer, &at);
+  event_add (test->start_timer, &at);
 }
 
 static void
-on_start_timer (evutil_socket_t fd, short what, void *user)
+on_next_call_due (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -174,42 +177,44 @@
 }
 
 static void
-print_summary (Load *load)
+print_load_summary (LoadTest *test)
 {
-  struct json_object *summary = si_tally_to_json (&load->tally);
-  double seconds = (double)(lb_clock_monotonic () - load->start_time) / (double)LB_SEC;
+  struct json_object *summary = si_tally_to_json (&test->tally);
+  double seconds = (double)(lb_clock_monotonic () - test->start_time) / (double)LB_SEC;
 
   json_object_object_add (summary, "seconds", json_object_new_double (seconds));
   json_object_object_add (summary, "rate",
-                          json_object_new_double ((double)load->tally.n_calls / seconds));
+                          json_object_new_double ((double)test->tally.n_calls / seconds));
   puts (json_object_to_json_string_ext (summary, JSON_C_TO_STRING_SPACED));
   json_object_put (summary);
 }
 
 static int
-run_load (const Settings *settings, bool expect_all)
+run_load_test (const Settings *settings, bool expect_all)
 {
-  Load load = { .settings = *settings };
+  LoadTest test = { .settings = *settings };
 
   signal (SIGPIPE, SIG_IGN);
-  load.base = si_precise_event_base_new ();
-  load.pool = lh_pool_new (load.base);
-  si_entry_init (&load.entry, load.base, load.pool, settings->addresses, settings->n_addresses);
+  test.base = si_precise_event_base_new ();
+  test.pool = lh_pool_new (test.base);
+  si_entry_addresses_init (&test.entry, test.base, test.pool, settings->addresses,
+                           settings->n_addresses);
   if (settings->entry_period > 0)
-    si_entry_start_refresh (&load.entry, settings->name, settings->entry_period);
-  load.start_timer = evtimer_new (load.base, on_start_timer, &load);
-  si_tally_init (&load.tally);
-  load.start_time = lb_clock_monotonic ();
-  start_due_calls (&load);
-  event_base_dispatch (load.base);
-  print_summary (&load);
-  bool all_complete = load.tally.outcomes[SI_CALL_COMPLETE] == load.tally.n_calls;
-  bool is_ok = si_tally_has_no_wrong_answers (&load.tally) && (all_complete || !expect_all);
-  si_tally_clear (&load.tally);
-  event_free (load.start_timer);
-  si_entry_clear (&load.entry);
-  lh_pool_free (load.pool);
-  event_base_free (load.base);
+    si_entry_addresses_start_refresh (&test.entry, settings->name, settings->entry_period);
+  test.start_timer = evtimer_new (test.base, on_next_call_due, &test);
+  si_tally_init (&test.tally);
+  test.start_time = lb_clock_monotonic ();
+  start_due_calls (&test);
+  event_base_dispatch (test.base);
+  print_load_summary (&test);
+  bool all_complete = test.tally.outcomes[SI_CALL_COMPLETE] == test.tally.n_calls;
+  bool is_ok
+      = si_tally_has_no_wrong_or_truncated_answers (&test.tally) && (all_complete || !expect_all);
+  si_tally_clear (&test.tally);
+  event_free (test.start_timer);
+  si_entry_addresses_clear (&test.entry);
+  lh_pool_free (test.pool);
+  event_base_free (test.base);
   return is_ok ? 0 : 1;
 }
 
@@ -238,7 +243,7 @@
 } Options;
 
 static void
-set_defaults (Options *options)
+set_default_options (Options *options)
 {
   options->kind->sval[0] = "completion";
   options->model->sval[0] = "reader";
@@ -255,7 +260,7 @@
 }
 
 static bool
-parse_kind (const char *name, SiCheckedCallKind *kind)
+parse_call_kind (const char *name, SiCheckedCallKind *kind)
 {
   static const char *const names[] = { "completion", "chat", "service" };
 
@@ -269,7 +274,7 @@
 }
 
 static Settings
-get_settings (const Options *options)
+get_load_settings (const Options *options)
 {
   Settings settings = {
     .spec = { .model = options->model->sval[0],
@@ -284,7 +289,7 @@
     .calls_per_second = options->rate->dval[0],
     .n_callers = options->callers->ival[0] > 0 ? options->callers->ival[0] : 1,
     .max_retries = options->retries->ival[0],
-    .start_limit = options->seconds->ival[0] * LB_SEC,
+    .call_start_period = options->seconds->ival[0] * LB_SEC,
     .sends_keys = options->keys->count > 0,
     .entry_period = options->entry_ms->ival[0] * LB_MSEC,
   };
@@ -295,12 +300,12 @@
 }
 
 static int
-run_with_options (const Options *options)
+run_load_with_options (const Options *options)
 {
-  Settings settings = get_settings (options);
+  Settings settings = get_load_settings (options);
 
-  if (parse_kind (options->kind->sval[0], &settings.spec.kind))
-    return run_load (&settings, options->expect_all->count > 0);
+  if (parse_call_kind (options->kind->sval[0], &settings.spec.kind))
+    return run_load_test (&settings, options->expect_all->count > 0);
   fprintf (stderr, "standin-load: --kind: expected completion, chat or service\n");
   return 2;
 }
@@ -312,32 +317,36 @@
     .address
     = arg_strn (NULL, "address", "IP:PORT", 1, MAX_ADDRESSES, "address to call; may be repeated"),
     .kind = arg_str0 (NULL, "kind", "KIND", "completion, chat or service"),
-    .model = arg_str0 (NULL, "model", "NAME", "pool, or path of a service"),
+    .model = arg_str0 (NULL, "model", "NAME", "pool of the model, or request path of a service"),
     .name = arg_str0 (NULL, "name", "NAME", "name of the caller and part of each prompt"),
     .count = arg_int0 (NULL, "count", "N", "total number of calls"),
-    .concurrency = arg_int0 (NULL, "concurrency", "N", "most concurrent calls"),
-    .rate = arg_dbl0 (NULL, "rate", "N", "calls per second; 0: no limit"),
-    .seconds = arg_int0 (NULL, "seconds", "N", "start no call after this time"),
-    .max_tokens = arg_int0 (NULL, "max-tokens", "N", "most tokens of an answer"),
-    .callers = arg_int0 (NULL, "callers", "N", "number of caller names, used in turn"),
-    .retries = arg_int0 (NULL, "retries", "N", "most retries of a call that did not run"),
-    .deadline_ms = arg_str0 (NULL, "deadline-ms", "N", "header x-deadline-ms of each call"),
-    .silence_s = arg_int0 (NULL, "silence-s", "N", "idle timeout of a call"),
-    .entry_ms = arg_int0 (NULL, "entry-ms", "N", "refresh entry addresses this often; 0: never"),
+    .concurrency = arg_int0 (NULL, "concurrency", "N", "maximum number of concurrent calls"),
+    .rate = arg_dbl0 (NULL, "rate", "N", "maximum number of calls per second; 0: unlimited"),
+    .seconds = arg_int0 (NULL, "seconds", "N", "start no call after this number of seconds"),
+    .max_tokens = arg_int0 (NULL, "max-tokens", "N", "maximum number of tokens per answer"),
+    .callers = arg_int0 (NULL, "callers", "N", "number of caller names, used in rotation"),
+    .retries
+    = arg_int0 (NULL, "retries", "N", "maximum number of retries of a call that did not run"),
+    .deadline_ms
+    = arg_str0 (NULL, "deadline-ms", "N", "value of header x-deadline-ms in each call"),
+    .silence_s = arg_int0 (NULL, "silence-s", "N", "idle timeout of a call in seconds"),
+    .entry_ms = arg_int0 (NULL, "entry-ms", "N",
+                          "milliseconds between refreshes of the address list; 0: never"),
     .keys = arg_lit0 (NULL, "keys", "send an idempotency key with each call"),
-    .stream = arg_lit0 (NULL, "stream", "request streams"),
-    .vary = arg_lit0 (NULL, "vary-length", "engines run with --vary-length"),
-    .expect_all = arg_lit0 (NULL, "expect-all", "fail unless every answer is complete"),
+    .stream = arg_lit0 (NULL, "stream", "request streamed answers"),
+    .vary = arg_lit0 (NULL, "vary-length", "set if the engines run with --vary-length"),
+    .expect_all
+    = arg_lit0 (NULL, "expect-all", "exit with status 1 unless every answer is complete"),
     .help = arg_lit0 (NULL, "help", "show this help"),
     .end = arg_end (4),
   };
   void **table = (void **)&options;
   int exit_code;
 
-  set_defaults (&options);
+  set_default_options (&options);
   if (si_arguments_parse (argc, argv, table, sizeof options / sizeof (void *), "standin-load",
                           &exit_code))
-    exit_code = run_with_options (&options);
+    exit_code = run_load_with_options (&options);
   arg_freetable (table, sizeof options / sizeof (void *));
   return exit_code;
 }
--- a/standins/standin-platform.c
+++ b/standins/standin-platform.c
@@ -5,15 +5,15 @@
 #include <stdio.h>
 
 static int
-serve (int port, double calls_per_second, int lag_ms)
+run_platform (int port, double calls_per_second, int lag_ms)
 {
   SiPlatform platform;
 
-  if (!si_platform_init_program (&platform, port))
+  if (!si_platform_init_standalone (&platform, port))
     return 1;
   platform.max_calls_per_second = calls_per_second;
   platform.instances_lag = lag_ms * LB_MSEC;
-  si_server_announce (&platform.server, "platform");
+  si_server_print_address (&platform.server, "platform");
   event_base_dispatch (platform.server.base);
   si_platform_clear (&platform);
   return 0;
@@ -23,9 +23,10 @@
 main (int argc, char **argv)
 {
   struct arg_int *port = arg_int0 (NULL, "port", "N", "port on 127.0.0.1; 0: any free port");
-  struct arg_dbl *calls_per_second = arg_dbl0 (NULL, "rate", "N", "calls per second; 0: unlimited");
-  struct arg_int *lag
-      = arg_int0 (NULL, "lag-ms", "N", "delay until a changed list of instances is shown");
+  struct arg_dbl *calls_per_second
+      = arg_dbl0 (NULL, "rate", "N", "maximum number of calls per second; 0: unlimited");
+  struct arg_int *lag = arg_int0 (NULL, "lag-ms", "N",
+                                  "milliseconds until a changed list of instances becomes visible");
   struct arg_lit *help = arg_lit0 (NULL, "help", "show this help");
   struct arg_end *end = arg_end (4);
   void *table[] = { port, calls_per_second, lag, help, end };
@@ -36,7 +37,7 @@
   lag->ival[0] = 0;
   if (si_arguments_parse (argc, argv, table, sizeof table / sizeof table[0], "standin-platform",
                           &exit_code))
-    exit_code = serve (port->ival[0], calls_per_second->dval[0], lag->ival[0]);
+    exit_code = run_platform (port->ival[0], calls_per_second->dval[0], lag->ival[0]);
   arg_freetable (table, sizeof table / sizeof table[0]);
   return exit_code;
 }
--- a/standins/standin-trainer.c
+++ b/standins/standin-trainer.c
@@ -13,7 +13,7 @@
 
 #define MAX_ADDRESSES 16
 #define MAX_VERSIONS 64
-#define RETRY_PAUSE (100 * LB_MSEC)
+#define RETRY_DELAY (100 * LB_MSEC)
 #define PULL_WAIT_MS 1000
 
 typedef struct
@@ -26,34 +26,35 @@
   int64_t groups;
   int64_t samples_per_group;
   int64_t max_tokens;
-  int64_t first_version;     /* of the trainer's own weights at the first step */
-  int64_t steps_per_version; /* steps until its weight version rises by one; 0: never */
-  int64_t max_lag;           /* highest allowed staleness; -1: any */
+  int64_t first_version;     /* weight version of the trainer at the first step */
+  int64_t steps_per_version; /* steps between increments of the weight version; 0: never */
+  int64_t max_lag;           /* maximum staleness of a sample in versions; -1: unlimited */
   int64_t max_pull_samples;
-  LbTime train_time; /* of one sample */
+  LbTime train_time; /* simulated training time per sample */
   LbTime step_timeout;
-  LbTime idle_timeout; /* of one call */
+  LbTime idle_timeout; /* longest time without traffic in a call */
   bool sends_no_cursor;
   bool vary_length;
 } Settings;
 
-/* What the trainer received, and the errors in it. */
+/* Counts of received samples, of errors in them and of retries. */
 typedef struct
 {
   int64_t samples;
   int64_t duplicates;
-  int64_t unknown_samples; /* of a group or index that was not requested */
+  int64_t unknown_samples; /* samples with a group or index that was not requested */
   int64_t wrong_texts;
   int64_t bad_spans;
   int64_t too_stale;
   int64_t wrong_staleness;
-  int64_t missing;
+  int64_t missing_samples;
   int64_t retries;
-  int64_t reposts; /* of a step that was lost with its owner */
+  int64_t reposts; /* steps posted again because the instance that owned them ended */
   int64_t staleness_sum;
   int64_t staleness_max;
-  int64_t versions[MAX_VERSIONS]; /* tokens by version modulo MAX_VERSIONS */
-  LbTime idle_time;               /* waiting for calls */
+  int64_t
+      tokens_by_version[MAX_VERSIONS]; /* number of tokens by weight version modulo MAX_VERSIONS */
+  LbTime idle_time;                    /* total time spent waiting for replies */
   LbTime longest_step;
   LbTime total_time;
 } Tally;
@@ -63,10 +64,10 @@
   const Settings *settings;
   SiClient client;
   Tally tally;
-  size_t address; /* index of the one in use */
+  size_t address_index; /* index of the address in use */
   int64_t step;
   int64_t version;
-  bool *received; /* of the step, by group and index */
+  bool *received; /* samples received in this step, by group and index in the group */
   int64_t n_received;
   char *cursor;
   bool is_step_lost;
@@ -74,7 +75,7 @@
 } Trainer;
 
 static char *
-new_prompt (const Trainer *trainer, int64_t group)
+new_group_prompt (const Trainer *trainer, int64_t group)
 {
   return lb_asprintf ("Read the smudged envelope %lld of round %lld for %s: village of the sender?",
                       (long long)group, (long long)trainer->step, trainer->settings->subscription);
@@ -90,7 +91,7 @@
   for (int64_t i = 0; i < trainer->settings->groups; i++)
     {
       struct json_object *group = json_object_new_object ();
-      char *prompt = new_prompt (trainer, i);
+      char *prompt = new_group_prompt (trainer, i);
       snprintf (id, sizeof id, "g%lld", (long long)i);
       si_json_set_text (group, "id", id);
       si_json_set_text (group, "prompt", prompt);
@@ -119,39 +120,43 @@
 }
 
 static bool
-is_past_deadline (const Trainer *trainer)
+is_past_step_deadline (const Trainer *trainer)
 {
   return lb_clock_monotonic () >= trainer->step_deadline;
 }
 
-/* Reports the failed call and switches to the next address, where the caller repeats it. */
+/* Logs the failed call, switches to the next address and waits, before the caller retries the call.
+ */
 static void
-switch_address (Trainer *trainer, const char *call_name, SiResponse *response)
+switch_to_next_address (Trainer *trainer, const char *call_name, SiResponse *response)
 {
   const Settings *settings = trainer->settings;
 
-  fprintf (stderr, "%s step %lld at %s: %d %s\n", call_name, (long long)trainer->step,
-           settings->addresses[trainer->address], response->status,
+  fprintf (stderr, "%s step %lld at %s failed: HTTP status %d, error %s\n", call_name,
+           (long long)trainer->step, settings->addresses[trainer->address_index], response->status,
            si_response_get_error_type (response));
   trainer->tally.retries++;
-  trainer->address = (trainer->address + 1) % settings->n_addresses;
-  si_client_pause (&trainer->client, RETRY_PAUSE);
+  trainer->address_index = (trainer->address_index + 1) % settings->n_addresses;
+  si_client_pause (&trainer->client, RETRY_DELAY);
 }
 
-/* Repeats the call, at the next address after each failure, until a 2xx reply. Returns NULL when
- * the step's deadline has passed or the step is lost: it was accepted as not durable and the
- * instance that owned it has ended. */
+/* Retries the call at one address after another until a 2xx reply. Returns NULL after the step's
+ * deadline or if the step is lost: the step was accepted as not durable and its owner instance
+ * ended. */
 static struct json_object *
-call_until_success (Trainer *trainer, const char *call_name, const char *path, const char *body)
+repeat_call_until_success (Trainer *trainer,
+                           const char *call_name,
+                           const char *path,
+                           const char *body)
 {
   struct json_object *reply = NULL;
   SiResponse response;
 
   trainer->is_step_lost = false;
-  while (!reply && !trainer->is_step_lost && !is_past_deadline (trainer))
+  while (!reply && !trainer->is_step_lost && !is_past_step_deadline (trainer))
     {
       const SiCall call = { .method = "POST",
-                            .address = trainer->settings->addresses[trainer->address],
+                            .address = trainer->settings->addresses[trainer->address_index],
                             .path = path,
                             .body = body,
                             .idle_timeout = trainer->settings->idle_timeout };
@@ -163,7 +168,7 @@
         {
           trainer->is_step_lost
               = strcmp (si_response_get_error_type (&response), "unknown_step") == 0;
-          switch_address (trainer, call_name, &response);
+          switch_to_next_address (trainer, call_name, &response);
         }
       si_response_clear (&response);
     }
@@ -175,7 +180,7 @@
 {
   char *path = lb_asprintf ("/v1/subscriptions/%s/steps", trainer->settings->subscription);
   char *body = new_step_body (trainer);
-  struct json_object *reply = call_until_success (trainer, "post", path, body);
+  struct json_object *reply = repeat_call_until_success (trainer, "post", path, body);
 
   free (path);
   free (body);
@@ -184,13 +189,14 @@
   return is_posted;
 }
 
-/* The seed of a sample is its index in the group, or 0 if the system sends no seed. */
+/* Compares the sample's text with the expected answer. The seed is the sample's index in the group,
+ * or 0 if the system sends no seed. */
 static bool
-is_text_correct (
+is_sample_text_correct (
     const Trainer *trainer, int64_t group, int64_t index, const char *sample_text, int64_t tokens)
 {
   const int64_t seeds[] = { 0, index };
-  char *prompt = new_prompt (trainer, group);
+  char *prompt = new_group_prompt (trainer, group);
   bool is_correct = false;
 
   for (size_t i = 0; i < 2 && !is_correct; i++)
@@ -198,7 +204,7 @@
       SiText text;
       si_text_init (&text, prompt, seeds[i], trainer->settings->max_tokens,
                     trainer->settings->vary_length);
-      char *expected = si_text_slice (&text, 0, text.n_tokens);
+      char *expected = si_text_join_tokens (&text, 0, text.n_tokens);
       is_correct = tokens == text.n_tokens && strcmp (sample_text, expected) == 0;
       free (expected);
     }
@@ -206,10 +212,10 @@
   return is_correct;
 }
 
-/* A span is a range of tokens made by one weight version. Returns the oldest version of the spans;
- * 0 unless they cover the tokens without gap or overlap. */
+/* A span is a range of tokens generated by one weight version. Returns the oldest weight version of
+ * the sample's spans, or 0 unless the spans cover all tokens without gap or overlap. */
 static int64_t
-check_spans (Tally *tally, struct json_object *sample, int64_t tokens)
+check_version_spans (Tally *tally, struct json_object *sample, int64_t tokens)
 {
   struct json_object *spans = NULL;
   int64_t next = 0;
@@ -226,13 +232,13 @@
         return 0;
       next += count;
       oldest = version < oldest ? version : oldest;
-      tally->versions[version % MAX_VERSIONS] += count;
+      tally->tokens_by_version[version % MAX_VERSIONS] += count;
     }
   return next == tokens && n > 0 ? oldest : 0;
 }
 
 static void
-check_staleness (Trainer *trainer, struct json_object *sample, int64_t oldest)
+check_sample_staleness (Trainer *trainer, struct json_object *sample, int64_t oldest)
 {
   Tally *tally = &trainer->tally;
   int64_t staleness = trainer->version > oldest ? trainer->version - oldest : 0;
@@ -247,7 +253,7 @@
 }
 
 static int64_t
-find_slot (const Trainer *trainer, struct json_object *sample, int64_t *group, int64_t *index)
+get_sample_slot (const Trainer *trainer, struct json_object *sample, int64_t *group, int64_t *index)
 {
   const char *id = si_json_get_text (sample, "group", "");
 
@@ -265,7 +271,7 @@
   Tally *tally = &trainer->tally;
   int64_t tokens = si_json_get_int (sample, "tokens", 0);
   int64_t group, index;
-  int64_t slot = find_slot (trainer, sample, &group, &index);
+  int64_t slot = get_sample_slot (trainer, sample, &group, &index);
 
   if (slot < 0)
     {
@@ -280,13 +286,14 @@
   trainer->received[slot] = true;
   trainer->n_received++;
   tally->samples++;
-  if (!is_text_correct (trainer, group, index, si_json_get_text (sample, "text", ""), tokens))
+  if (!is_sample_text_correct (trainer, group, index, si_json_get_text (sample, "text", ""),
+                               tokens))
     tally->wrong_texts++;
-  int64_t oldest = check_spans (tally, sample, tokens);
+  int64_t oldest = check_version_spans (tally, sample, tokens);
   if (oldest == 0)
     tally->bad_spans++;
   else
-    check_staleness (trainer, sample, oldest);
+    check_sample_staleness (trainer, sample, oldest);
 }
 
 static void
@@ -305,29 +312,30 @@
     si_client_pause (&trainer->client, (LbTime)n * trainer->settings->train_time);
 }
 
-/* Sends one more pull after `done`, whose cursor acknowledges the last samples. */
+/* Sends one more pull after a reply with `done`: the cursor in this pull acknowledges the last
+ * samples. */
 static void
-acknowledge (Trainer *trainer, const char *path)
+acknowledge_last_samples (Trainer *trainer, const char *path)
 {
   char *body;
 
   if (trainer->settings->sends_no_cursor)
     return;
   body = new_pull_body (trainer);
-  json_object_put (call_until_success (trainer, "acknowledge", path, body));
+  json_object_put (repeat_call_until_success (trainer, "acknowledge", path, body));
   free (body);
 }
 
 static void
-pull_step (Trainer *trainer)
+pull_step_samples (Trainer *trainer)
 {
   char *path = lb_asprintf ("/v1/subscriptions/%s/pull", trainer->settings->subscription);
   bool is_done = false;
 
-  while (!is_done && !is_past_deadline (trainer))
+  while (!is_done && !is_past_step_deadline (trainer))
     {
       char *body = new_pull_body (trainer);
-      struct json_object *reply = call_until_success (trainer, "pull", path, body);
+      struct json_object *reply = repeat_call_until_success (trainer, "pull", path, body);
       free (body);
       if (!reply && trainer->is_step_lost)
         {
@@ -342,12 +350,12 @@
       json_object_put (reply);
     }
   if (is_done)
-    acknowledge (trainer, path);
+    acknowledge_last_samples (trainer, path);
   free (path);
 }
 
 static void
-run_step (Trainer *trainer)
+run_training_step (Trainer *trainer)
 {
   int64_t slots = trainer->settings->groups * trainer->settings->samples_per_group;
   LbTime start = lb_clock_monotonic ();
@@ -357,8 +365,8 @@
   trainer->n_received = 0;
   trainer->cursor = lb_strdup ("");
   if (post_step (trainer))
-    pull_step (trainer);
-  trainer->tally.missing += slots - trainer->n_received;
+    pull_step_samples (trainer);
+  trainer->tally.missing_samples += slots - trainer->n_received;
   LbTime took = lb_clock_monotonic () - start;
   if (took > trainer->tally.longest_step)
     trainer->tally.longest_step = took;
@@ -367,40 +375,40 @@
 }
 
 static bool
-has_no_errors (const Tally *tally)
+has_no_sample_errors (const Tally *tally)
 {
   return tally->duplicates + tally->unknown_samples + tally->wrong_texts + tally->bad_spans
-             + tally->too_stale + tally->wrong_staleness + tally->missing
+             + tally->too_stale + tally->wrong_staleness + tally->missing_samples
          == 0;
 }
 
 static struct json_object *
-versions_to_json (const Tally *tally)
+token_counts_by_version_to_json (const Tally *tally)
 {
-  struct json_object *versions = json_object_new_object ();
+  struct json_object *tokens_by_version = json_object_new_object ();
   char key[24];
 
   for (int i = 0; i < MAX_VERSIONS; i++)
     {
-      if (tally->versions[i] == 0)
+      if (tally->tokens_by_version[i] == 0)
         continue;
       snprintf (key, sizeof key, "%d", i);
-      si_json_set_int (versions, key, tally->versions[i]);
+      si_json_set_int (tokens_by_version, key, tally->tokens_by_version[i]);
     }
-  return versions;
+  return tokens_by_version;
 }
 
 static void
-print_summary (const Trainer *trainer)
+print_trainer_summary (const Trainer *trainer)
 {
   const Tally *tally = &trainer->tally;
   struct json_object *summary = json_object_new_object ();
   double mean = tally->samples ? (double)tally->staleness_sum / (double)tally->samples : 0;
 
-  json_object_object_add (summary, "ok", json_object_new_boolean (has_no_errors (tally)));
+  json_object_object_add (summary, "ok", json_object_new_boolean (has_no_sample_errors (tally)));
   si_json_set_int (summary, "steps", trainer->settings->steps);
   si_json_set_int (summary, "samples", tally->samples);
-  si_json_set_int (summary, "missing", tally->missing);
+  si_json_set_int (summary, "missing", tally->missing_samples);
   si_json_set_int (summary, "duplicates", tally->duplicates);
   si_json_set_int (summary, "strangers", tally->unknown_samples);
   si_json_set_int (summary, "wrong_texts", tally->wrong_texts);
@@ -411,7 +419,7 @@
   si_json_set_int (summary, "reposts", tally->reposts);
   si_json_set_int (summary, "staleness_max", tally->staleness_max);
   json_object_object_add (summary, "staleness_mean", json_object_new_double (mean));
-  json_object_object_add (summary, "tokens_by_version", versions_to_json (tally));
+  json_object_object_add (summary, "tokens_by_version", token_counts_by_version_to_json (tally));
   si_json_set_int (summary, "idle_ms", tally->idle_time / LB_MSEC);
   si_json_set_int (summary, "total_ms", tally->total_time / LB_MSEC);
   si_json_set_int (summary, "worst_step_ms", tally->longest_step / LB_MSEC);
@@ -432,12 +440,12 @@
       trainer.step = settings->first_step + i;
       if (settings->steps_per_version > 0 && i > 0 && i % settings->steps_per_version == 0)
         trainer.version++;
-      run_step (&trainer);
+      run_training_step (&trainer);
     }
   trainer.tally.total_time = lb_clock_monotonic () - start;
-  print_summary (&trainer);
+  print_trainer_summary (&trainer);
   si_client_clear (&trainer.client);
-  return has_no_errors (&trainer.tally) ? 0 : 1;
+  return has_no_sample_errors (&trainer.tally) ? 0 : 1;
 }
 
 typedef struct
@@ -463,7 +471,7 @@
 } Options;
 
 static void
-set_defaults (Options *options)
+set_default_options (Options *options)
 {
   options->subscription->sval[0] = "reader-trainer";
   options->first_step->ival[0] = 1;
@@ -481,7 +489,7 @@
 }
 
 static Settings
-get_settings (const Options *options)
+get_trainer_settings (const Options *options)
 {
   Settings settings = {
     .subscription = options->subscription->sval[0],
@@ -512,34 +520,37 @@
   Options options = {
     .address = arg_strn (NULL, "address", "IP:PORT", 1, MAX_ADDRESSES,
                          "address of an instance; may be repeated"),
-    .subscription
-    = arg_str0 (NULL, "subscription", "NAME", "subscription to post steps to and pull from"),
+    .subscription = arg_str0 (NULL, "subscription", "NAME",
+                              "subscription that receives the steps and returns the samples"),
     .first_step = arg_int0 (NULL, "step", "N", "number of the first step"),
     .steps = arg_int0 (NULL, "steps", "N", "number of steps"),
     .groups = arg_int0 (NULL, "groups", "N", "groups per step"),
     .samples = arg_int0 (NULL, "samples", "N", "samples per group"),
-    .max_tokens = arg_int0 (NULL, "max-tokens", "N", "most tokens of a sample"),
+    .max_tokens = arg_int0 (NULL, "max-tokens", "N", "maximum number of tokens per sample"),
     .version = arg_int0 (NULL, "version", "N", "trainer's weight version at the first step"),
     .version_every
-    = arg_int0 (NULL, "version-every", "N", "steps until the next weight version; 0: never"),
-    .max_lag = arg_int0 (NULL, "max-lag", "N", "highest allowed staleness; -1: any"),
-    .chunk = arg_int0 (NULL, "chunk", "N", "most samples of a pull"),
-    .train_us = arg_int0 (NULL, "train-us", "N", "training time of a sample"),
-    .timeout_s = arg_int0 (NULL, "timeout-s", "N", "timeout of a step"),
-    .silence_ms = arg_int0 (NULL, "silence-ms", "N", "idle timeout of a call"),
-    .strict = arg_lit0 (NULL, "strict", "send no cursor"),
-    .vary = arg_lit0 (NULL, "vary-length", "engines run with --vary-length"),
+    = arg_int0 (NULL, "version-every", "N",
+                "number of steps between increments of the weight version; 0: never"),
+    .max_lag
+    = arg_int0 (NULL, "max-lag", "N", "maximum staleness of a sample in versions; -1: unlimited"),
+    .chunk = arg_int0 (NULL, "chunk", "N", "maximum number of samples per pull"),
+    .train_us
+    = arg_int0 (NULL, "train-us", "N", "simulated training time per sample in microseconds"),
+    .timeout_s = arg_int0 (NULL, "timeout-s", "N", "timeout of a step in seconds"),
+    .silence_ms = arg_int0 (NULL, "silence-ms", "N", "idle timeout of a call in milliseconds"),
+    .strict = arg_lit0 (NULL, "strict", "send an empty cursor with each pull"),
+    .vary = arg_lit0 (NULL, "vary-length", "set if the engines run with --vary-length"),
     .help = arg_lit0 (NULL, "help", "show this help"),
     .end = arg_end (4),
   };
   void **table = (void **)&options;
   int exit_code;
 
-  set_defaults (&options);
+  set_default_options (&options);
   if (si_arguments_parse (argc, argv, table, sizeof options / sizeof (void *), "standin-trainer",
                           &exit_code))
     {
-      const Settings settings = get_settings (&options);
+      const Settings settings = get_trainer_settings (&options);
       exit_code = run_trainer (&settings);
     }
   arg_freetable (table, sizeof options / sizeof (void *));
