--- a/standins/si-cache.h
+++ b/standins/si-cache.h
@@ -35,8 +35,8 @@
 /* Must be called when the weights change: KV cache entries are valid only for the weight version
  * that computed them. */
 void si_cache_evict_all_blocks (SiCache *cache);
-/* Caches the prompt's first SI_CACHE_MAX_PROMPT_BLOCKS blocks; returns the length of the prefix
- * that was cached before, in bytes. */
+/* Caches the prompt's first SI_CACHE_MAX_PROMPT_BLOCKS blocks. Returns the number of bytes up to
+ * the end of the last block that was already cached. */
 size_t si_cache_insert_prompt (SiCache *cache, const char *prompt);
 /* Returns the events with sequence numbers from first_sequence on, without overwritten events. */
 struct json_object *si_cache_events_to_json (const SiCache *cache, uint64_t first_sequence);
