--- a/fuzz/fuzz-answer.c
+++ b/fuzz/fuzz-answer.c
@@ -6,8 +6,8 @@
 
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t size);
 
-/* Parses an untrusted answer of the store to a list call. The rows must not be longer than the
- * input allows. */
+/* Parses the input as an untrusted reply of the store to a list request. Aborts if the parsed rows
+ * hold more bytes than the input can encode. */
 int
 LLVMFuzzerTestOneInput (const uint8_t *data, size_t size)
 {
--- a/fuzz/fuzz-entry.c
+++ b/fuzz/fuzz-entry.c
@@ -8,7 +8,8 @@
 
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t size);
 
-/* Parses an untrusted registration row of an endpoint, given as "KEY\nVALUE". */
+/* Parses the input, "KEY\nVALUE", as an endpoint's untrusted registration row in the store. Aborts
+ * if an accepted registration has no name, no slots or too many models. */
 int
 LLVMFuzzerTestOneInput (const uint8_t *data, size_t size)
 {
--- a/fuzz/fuzz-frame.c
+++ b/fuzz/fuzz-frame.c
@@ -5,9 +5,10 @@
 
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t size);
 
-/* A decoded message must encode, decode again, and encode to the same bytes. */
+/* Encodes the message, decodes the result and encodes it again. Aborts if the two encodings differ.
+ * Skips messages that are too long for one frame. */
 static void
-check_round_trip (const LwMessage *message)
+check_encode_decode_round_trip (const LwMessage *message)
 {
   size_t length = 0;
   size_t second_length = 0;
@@ -29,7 +30,7 @@
   free (frame);
 }
 
-/* Parses a sequence of frames as received from another instance. */
+/* Parses the input as a sequence of frames received from another instance. */
 int
 LLVMFuzzerTestOneInput (const uint8_t *data, size_t size)
 {
@@ -41,7 +42,7 @@
       LwMessage message = { 0 };
       if (lw_message_decode (frame.body, frame.length, &message, &error))
         {
-          check_round_trip (&message);
+          check_encode_decode_round_trip (&message);
           lw_message_clear (&message);
         }
       data += frame.consumed;
--- a/fuzz/fuzz-resources.c
+++ b/fuzz/fuzz-resources.c
@@ -7,9 +7,10 @@
 
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t size);
 
-/* An accepted set must serialise to JSON that is accepted again and gives the same JSON. */
+/* Writes the resource set as JSON, parses the JSON and writes it again. Aborts if the JSON is
+ * rejected or the two texts differ. */
 static void
-check_round_trip (const LcResourceSet *set)
+check_json_round_trip (const LcResourceSet *set)
 {
   struct json_object *object = lc_resource_set_to_json (set);
   LbError error = { 0 };
@@ -25,7 +26,7 @@
   lc_resource_set_free (parsed);
 }
 
-/* Parses the input as a whole resource set, and as a change to an empty set. */
+/* Parses the input as a whole resource set, then as a change to an empty resource set. */
 int
 LLVMFuzzerTestOneInput (const uint8_t *data, size_t size)
 {
@@ -37,11 +38,11 @@
     return 0;
   LcResourceSet *set = lc_resource_set_from_json (object, "input", &error);
   if (set)
-    check_round_trip (set);
+    check_json_round_trip (set);
   lc_resource_set_free (set);
   set = lc_change_apply (&empty, object, "input", &error);
   if (set)
-    check_round_trip (set);
+    check_json_round_trip (set);
   lc_resource_set_free (set);
   json_object_put (object);
   return 0;
--- a/fuzz/fuzz-settings.c
+++ b/fuzz/fuzz-settings.c
@@ -6,7 +6,7 @@
 
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t size);
 
-/* Parses a settings file of the daemon. */
+/* Parses the input as the daemon's settings file. */
 int
 LLVMFuzzerTestOneInput (const uint8_t *data, size_t size)
 {
--- a/fuzz/fuzz-trace.c
+++ b/fuzz/fuzz-trace.c
@@ -2,7 +2,7 @@
 
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t size);
 
-/* Parses a trace file. */
+/* Parses the input as a trace file for `lentilspindle replay`. */
 int
 LLVMFuzzerTestOneInput (const uint8_t *data, size_t size)
 {
