--- a/packages/cli/tests/test-story.c
+++ b/packages/cli/tests/test-story.c
@@ -17,7 +17,7 @@
 }
 
 static char *
-print_timeline (const char *id, const char *first, const char *second)
+print_timeline (const char *id, const char *first_log, const char *second_log)
 {
   char paths[2][64];
   char *text = NULL;
@@ -26,8 +26,8 @@
   LtTimeline *timeline = lt_timeline_new (id);
   FILE *out = open_memstream (&text, &size);
 
-  write_temporary_log (paths[0], first);
-  write_temporary_log (paths[1], second);
+  write_temporary_log (paths[0], first_log);
+  write_temporary_log (paths[1], second_log);
   for (int i = 0; i < 2; i++)
     {
       cr_assert (lt_timeline_read_log (timeline, paths[i], &error));
@@ -39,9 +39,9 @@
   return text;
 }
 
-/* The routing and the end of a failed request are logged with its id; the state change that
- * explains the choice of endpoint is not. Request numbers do not identify it: other instances, and
- * the same one after a restart, use the same number for other requests. */
+/* The log lines of a failed request carry its id, but the state change that explains the choice of
+ * endpoint does not. Request numbers are not unique: another instance, or the same instance after a
+ * restart, uses the same number for another request. */
 Test (timeline, prints_a_request_and_earlier_state_changes)
 {
   char *text = print_timeline (
@@ -62,9 +62,12 @@
   char *attempt_ended = strstr (text, "outcome=broken");
   cr_assert (store_lost && route && attempt_ended && store_lost < route && route < attempt_ended,
              "%s", text);
-  cr_assert_null (strstr (text, "started"), "state change too long before the first line");
-  cr_assert_null (strstr (text, " b "), "request of the same number in another instance");
-  cr_assert_null (strstr (text, "c2"), "request of the same number after a restart");
+  cr_assert_null (strstr (text, "started"),
+                  "unexpected state change 8.5 s before the first line that names the id");
+  cr_assert_null (strstr (text, " b "),
+                  "unexpected line of another instance's request with the same number");
+  cr_assert_null (strstr (text, "c2"),
+                  "unexpected line of another request with the same number after a restart");
   cr_assert (strstr (text, "1 lines could not be read"));
   free (text);
 }
@@ -83,8 +86,9 @@
   free (text);
 }
 
-/* Requests of two callers have the same fingerprint and crash their endpoints. The timeline of the
- * fingerprint shows both, the checks of their endpoints and the quarantine. */
+/* Two requests have the same content fingerprint. The timeline of this fingerprint shows both
+ * requests, the check of the endpoint that the first request crashed, and the quarantine of the
+ * content. */
 Test (timeline, finds_all_requests_of_a_fingerprint)
 {
   char *text = print_timeline (
--- a/packages/cli/tests/test-text.c
+++ b/packages/cli/tests/test-text.c
@@ -3,7 +3,7 @@
 #include <criterion/criterion.h>
 #include <json-c/json.h>
 
-/* A null in a reply where text is expected crashed the command. */
+/* Guards against a crash of the command when a reply has null in place of text. */
 Test (text, null_reads_as_empty_text)
 {
   struct json_object *object = json_tokener_parse ("{\"kind\": null, \"n\": 7}");
