--- a/packages/cli/include/lt-command.h
+++ b/packages/cli/include/lt-command.h
@@ -1,11 +1,11 @@
 #ifndef LT_COMMAND_H
 #define LT_COMMAND_H
 
-/* Exit codes of every subcommand. */
+/* Exit codes of all subcommands. */
 enum
 {
   LT_EXIT_OK = 0,
-  LT_EXIT_FAILED = 1, /* reported a difference or a failure, or the service refused */
+  LT_EXIT_FAILED = 1, /* the command found a difference, failed, or an instance refused it */
   LT_EXIT_USAGE = 2   /* invalid options or an invalid input file */
 };
 
@@ -13,7 +13,7 @@
 {
   const char *name;
   const char *summary;
-  int (*run) (int argc, char **argv); /* argv[0] is the subcommand's name */
+  int (*run) (int argc, char **argv); /* argv[0] is the name of the subcommand */
 } LtCommand;
 
 int lt_main (int argc, char **argv);
--- a/packages/cli/src/lt-apply.c
+++ b/packages/cli/src/lt-apply.c
@@ -22,18 +22,22 @@
 init_change_options (Options *options)
 {
   options->dry_run = arg_lit0 ("n", "dry-run", "validate the change without applying it");
-  options->force = arg_lit0 (NULL, "force", "apply whatever revision is accepted");
-  options->revision = arg_int0 ("r", "revision", "N",
-                                "revision that the change is based on (default: the accepted one)");
-  options->wait = arg_int0 ("w", "wait", "SECONDS", "wait until it is in force on all instances");
+  options->force
+      = arg_lit0 (NULL, "force", "apply the change to any accepted revision, without a check");
+  options->revision
+      = arg_int0 ("r", "revision", "N",
+                  "revision that the change is based on (default: the accepted revision)");
+  options->wait = arg_int0 ("w", "wait", "SECONDS",
+                            "maximum wait until all instances use the change (default: no wait)");
 }
 
-/* Validates the change locally first, so that an error names the operator's file, then sends it. */
+/* Validates the change locally before sending it, so that an error names the operator's file.
+ * source_name is the name of the file, or "delete". */
 static int
-send_change (const Options *options,
-             LtClient *client,
-             struct json_object *change,
-             const char *source)
+validate_and_send_change (const Options *options,
+                          LtClient *client,
+                          struct json_object *change,
+                          const char *source_name)
 {
   LbError error = { .code = LB_OK };
   LcResourceSet *new_set = NULL;
@@ -45,7 +49,7 @@
       lt_print_error (&error);
       goto out;
     }
-  new_set = lc_change_apply (set, change, source, &error);
+  new_set = lc_change_apply (set, change, source_name, &error);
   if (!new_set)
     {
       lt_print_error (&error);
@@ -68,12 +72,14 @@
   return code;
 }
 
-/* Takes ownership of change. */
+/* Connects to an instance and sends the change. Takes ownership of change. */
 static int
-connect_and_send (const Options *options, struct json_object *change, const char *source)
+connect_and_send_change (const Options *options,
+                         struct json_object *change,
+                         const char *source_name)
 {
   LtClient *client = lt_arguments_new_client (&options->common);
-  int code = send_change (options, client, change, source);
+  int code = validate_and_send_change (options, client, change, source_name);
 
   lt_client_free (client);
   json_object_put (change);
@@ -81,7 +87,7 @@
 }
 
 static int
-apply_files (const Options *options)
+apply_resource_files (const Options *options)
 {
   LbError error = { .code = LB_OK };
   struct json_object *change
@@ -92,11 +98,11 @@
       lt_print_error (&error);
       return LT_EXIT_USAGE;
     }
-  return connect_and_send (options, change, options->files->filename[0]);
+  return connect_and_send_change (options, change, options->files->filename[0]);
 }
 
 int
-lt_apply_run (int argc, char **argv)
+lt_run_apply_command (int argc, char **argv)
 {
   int code;
   Options options;
@@ -112,7 +118,7 @@
   lt_arguments_init (&options.common, table + 5);
   if (lt_arguments_parse (&options.common, table, 5 + LT_N_COMMON_ARGUMENTS, argc, argv,
                           "Adds resources, or replaces those of the same kind and name.", &code))
-    code = apply_files (&options);
+    code = apply_resource_files (&options);
   arg_freetable (table, 5 + LT_N_COMMON_ARGUMENTS);
   return code;
 }
@@ -128,11 +134,11 @@
   json_object_object_add (resource, "name", json_object_new_string (options->name->sval[0]));
   json_object_array_add (list, resource);
   json_object_object_add (change, "delete", list);
-  return connect_and_send (options, change, "delete");
+  return connect_and_send_change (options, change, "delete");
 }
 
 int
-lt_delete_run (int argc, char **argv)
+lt_run_delete_command (int argc, char **argv)
 {
   int code;
   Options options;
--- a/packages/cli/src/lt-arguments.c
+++ b/packages/cli/src/lt-arguments.c
@@ -16,8 +16,9 @@
 {
   arguments->address
       = arg_str0 ("a", "address", "IP:PORT",
-                  "address of an instance (" ADDRESS_VARIABLE ", else " DEFAULT_ADDRESS ")");
-  arguments->token = arg_str0 (NULL, "token", "TOKEN", "operator token (" TOKEN_VARIABLE ")");
+                  "address of an instance (default: $" ADDRESS_VARIABLE " or " DEFAULT_ADDRESS ")");
+  arguments->token
+      = arg_str0 (NULL, "token", "TOKEN", "operator token (default: $" TOKEN_VARIABLE ")");
   arguments->output = arg_str0 ("o", "output", "json|table", "output format (default: table)");
   arguments->help = arg_lit0 (NULL, "help", "print this help");
   arguments->end = arg_end (MAX_PRINTED_ERRORS);
@@ -80,9 +81,9 @@
 }
 
 static const char *
-option_or_environment (const struct arg_str *option,
-                       const char *variable,
-                       const char *default_value)
+get_option_or_environment (const struct arg_str *option,
+                           const char *variable,
+                           const char *default_value)
 {
   const char *from_environment = getenv (variable);
 
@@ -94,9 +95,9 @@
 LtClient *
 lt_arguments_new_client (const LtArguments *arguments)
 {
-  return lt_client_new (option_or_environment (arguments->address, ADDRESS_VARIABLE,
-                                               DEFAULT_ADDRESS),
-                        option_or_environment (arguments->token, TOKEN_VARIABLE, ""));
+  return lt_client_new (get_option_or_environment (arguments->address, ADDRESS_VARIABLE,
+                                                   DEFAULT_ADDRESS),
+                        get_option_or_environment (arguments->token, TOKEN_VARIABLE, ""));
 }
 
 int
--- a/packages/cli/src/lt-arguments.h
+++ b/packages/cli/src/lt-arguments.h
@@ -5,7 +5,7 @@
 
 #include <argtable2.h>
 
-/* Options common to all operator commands. */
+/* Command-line options common to all subcommands that call an instance. */
 typedef struct
 {
   struct arg_lit *help;
@@ -17,15 +17,16 @@
 
 #define LT_N_COMMON_ARGUMENTS 5
 
-/* Creates the common options and writes them to table, LT_N_COMMON_ARGUMENTS entries with arg_end
- * as the last. */
+/* Creates the common options and writes them to the first LT_N_COMMON_ARGUMENTS entries of table.
+ * The last of these entries is arg_end. */
 void lt_arguments_init (LtArguments *arguments, void **table);
 
-/* Prints usage, summary and options to standard output. The last entry of table is arg_end. */
+/* Prints the usage, the summary and the options to standard output. The last entry of table is
+ * arg_end. */
 void lt_print_help (void **table, const char *command, const char *summary);
 
-/* Returns true if the command should run. Otherwise the help text or the errors were printed and
- * *exit_code is set. table has n_entries entries, the common options included. */
+/* Parses argv into table, which has n_entries entries including the common options. Returns true if
+ * the command should run. Otherwise prints the help text or the errors and sets *exit_code. */
 bool lt_arguments_parse (LtArguments *arguments,
                          void **table,
                          size_t n_entries,
--- a/packages/cli/src/lt-bench.c
+++ b/packages/cli/src/lt-bench.c
@@ -24,24 +24,25 @@
   const LxSite *site;
   uint64_t seed;
   int64_t n_seeds;
-  const char *policy; /* NULL: all */
-  int64_t n_engines;  /* 0: as many as the site has */
+  const char *policy; /* policy to run; NULL: all policies */
+  int64_t n_engines;  /* number of simulated engines; 0: as many as the site has */
   int64_t concurrency;
   double duration_seconds;
-  double idle_weight;  /* negative: the value of the site's preset */
-  double hedge_budget; /* negative: the default of LxOptions */
-  double hard_share;   /* negative: the default of LxOptions */
+  double idle_weight;  /* weight of idle time, 0 to 1; negative: value of the site's preset */
+  double hedge_budget; /* share of tokens for hedges; negative: simulator's default */
+  double hard_share;   /* share of stragglers from hard prompts; negative: simulator's default */
   double train_seconds;
   bool json;
   bool explain;
-  const char *report_dir; /* NULL: no report */
+  const char *report_dir; /* folder of the HTML report; NULL: no report */
 } BenchOptions;
 
-/* A run without trainers: the live latency when no samples compete for the engines. */
+/* Baseline run without trainers. Shows the latency of live calls when no training samples compete
+ * for the engines. */
 #define NO_TRAINERS_POLICY "lentilspindle (no trainers)"
 
 static bool
-run_policy (const BenchOptions *bench, const char *policy, uint64_t seed, LxResult *result)
+simulate_policy (const BenchOptions *bench, const char *policy, uint64_t seed, LxResult *result)
 {
   LxOptions options;
   bool without_trainers = strcmp (policy, NO_TRAINERS_POLICY) == 0;
@@ -73,7 +74,7 @@
 }
 
 static void
-print_header (void)
+print_table_header (void)
 {
   printf ("%-36s %5s %6s %9s %6s %6s %4s %8s %8s %8s %6s %5s %5s %5s %7s %7s %6s %9s\n", "policy",
           "seed", "steps", "idle_s", "floor", "stale~", "max", "p50_ms", "p99_ms", "refused",
@@ -81,7 +82,7 @@
 }
 
 static void
-print_row (const LxResult *r)
+print_result_row (const LxResult *r)
 {
   printf ("%-36s %5" PRIu64 " %6" PRId64 " %9.2f %6.2f %6.3f %4" PRId64 " %8.1f %8.1f %8" PRId64
           " %6" PRId64 " %5" PRId64 " %5" PRId64 " %5" PRId64 " %7.4f %7.3f %6.3f %9.0f\n",
@@ -92,10 +93,10 @@
   fflush (stdout);
 }
 
-/* Lists all routing policies, least-outstanding with each mechanism alone, and the run without
- * trainers. */
+/* Writes the names of all routing policies, of the least-outstanding policy with each single
+ * roll-out mechanism, and of the run without trainers. Returns the number of names. */
 static size_t
-list_policies (char policies[MAX_POLICIES][128])
+list_policy_names (char policies[MAX_POLICIES][128])
 {
   size_t n = 0;
 
@@ -112,7 +113,7 @@
 run_benchmark (const BenchOptions *bench)
 {
   char policies[MAX_POLICIES][128];
-  size_t n_policies = bench->policy ? 1 : list_policies (policies);
+  size_t n_policies = bench->policy ? 1 : list_policy_names (policies);
   LxResult *results = LB_NEW_ARRAY (LxResult, n_policies * (size_t)bench->n_seeds);
   struct json_object *array = json_object_new_array ();
   size_t n = 0;
@@ -121,12 +122,12 @@
   if (bench->policy)
     snprintf (policies[0], 128, "%s", bench->policy);
   if (!bench->json)
-    print_header ();
+    print_table_header ();
   for (size_t i = 0; i < n_policies; i++)
     for (int64_t j = 0; j < bench->n_seeds; j++)
       {
         LxResult *result = &results[n];
-        if (!run_policy (bench, policies[i], bench->seed + (uint64_t)j, result))
+        if (!simulate_policy (bench, policies[i], bench->seed + (uint64_t)j, result))
           {
             fprintf (stderr, "lentilspindle bench: unknown policy '%s'\n", policies[i]);
             goto out;
@@ -134,12 +135,13 @@
         n++;
         json_object_array_add (array, lx_result_to_json (result));
         if (!bench->json)
-          print_row (result);
+          print_result_row (result);
       }
   if (bench->json)
     puts (json_object_to_json_string_ext (array, JSON_C_TO_STRING_PRETTY));
   code = LT_EXIT_OK;
-  if (bench->report_dir && !lt_report_write (bench->report_dir, bench->site->name, results, n))
+  if (bench->report_dir
+      && !lt_bench_report_write (bench->report_dir, bench->site->name, results, n))
     code = LT_EXIT_FAILED;
 out:
   json_object_put (array);
@@ -147,9 +149,10 @@
   return code;
 }
 
-/* Compares policies on the same arrivals, lengths, versions and endpoints. */
+/* Simulates each policy with the same request arrivals, answer lengths, weight versions and
+ * endpoints, and prints a row of results per run. */
 int
-lt_bench_run (int argc, char **argv)
+lt_run_bench_command (int argc, char **argv)
 {
   struct arg_str *site = arg_str1 (NULL, "site", "SITE", "kurunegala or hoa-sen");
   struct arg_int *seed = arg_int0 (NULL, "seed", "N", "first seed (default: 1)");
@@ -161,9 +164,10 @@
       = arg_int0 (NULL, "concurrency", "N", "concurrent requests per engine (default: 32)");
   struct arg_dbl *seconds = arg_dbl0 (NULL, "seconds", "S", "virtual time per run (default: 900)");
   struct arg_dbl *weight
-      = arg_dbl0 (NULL, "idle-weight", "W", "weight of idle time over staleness, 0 to 1");
+      = arg_dbl0 (NULL, "idle-weight", "W",
+                  "weight of idle time against staleness, 0 to 1 (default: the site's preset)");
   struct arg_dbl *budget
-      = arg_dbl0 (NULL, "hedge-budget", "B", "share of tokens for hedges (default: 0.1)");
+      = arg_dbl0 (NULL, "hedge-budget", "B", "share of a step's tokens for hedges (default: 0.1)");
   struct arg_dbl *hard
       = arg_dbl0 (NULL, "hard-share", "H", "share of stragglers from hard prompts (default: 0.5)");
   struct arg_dbl *train
@@ -194,8 +198,9 @@
 
   if (help->count > 0)
     {
-      lt_print_help (table, "bench",
-                     "Compares policies on the same arrivals, lengths, versions and limits.");
+      lt_print_help (
+          table, "bench",
+          "Compares policies in simulations with the same requests, weight versions and limits.");
       code = LT_EXIT_OK;
       goto out;
     }
@@ -208,8 +213,11 @@
   if (!bench.site || bench.n_seeds < 1 || bench.n_engines < 0 || bench.concurrency < 1
       || bench.duration_seconds <= 0)
     {
-      fprintf (stderr, "lentilspindle bench: %s\n",
-               bench.site ? "numbers must be positive" : "unknown site");
+      fprintf (
+          stderr, "lentilspindle bench: %s\n",
+          bench.site
+              ? "--seeds, --concurrency and --seconds must be positive, --samplers not negative"
+              : "unknown site; expected kurunegala or hoa-sen");
       goto out;
     }
   lb_log_init (LB_LOG_OFF, 2, NULL);
--- a/packages/cli/src/lt-client.c
+++ b/packages/cli/src/lt-client.c
@@ -10,7 +10,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MAX_HEADERS 6
+#define MAX_REQUEST_HEADERS 6
 
 struct LtClient
 {
@@ -21,7 +21,7 @@
   char *operator_name;
 };
 
-/* The call that the event loop runs, filled in by its handlers. */
+/* Context of the call in progress; on_call_done stores the result of the call in it. */
 typedef struct
 {
   LtClient *client;
@@ -63,7 +63,7 @@
 }
 
 static struct json_object *
-parse_body (const char *body, size_t length)
+parse_json_body (const char *body, size_t length)
 {
   struct json_tokener *tokener = json_tokener_new ();
   struct json_object *object
@@ -82,14 +82,14 @@
   pending->failure = result->failure;
   pending->reply->status = result->status;
   if (result->failure == LB_OK)
-    pending->reply->body = parse_body (result->body, result->body_length);
+    pending->reply->body = parse_json_body (result->body, result->body_length);
   if (etag)
     pending->reply->revision = strtoll (etag + (*etag == '"'), NULL, 10);
   event_base_loopbreak (pending->client->base);
 }
 
 static size_t
-fill_headers (const LtClient *client, const LtCall *call, LhHeader *headers)
+fill_request_headers (const LtClient *client, const LtCall *call, LhHeader *headers)
 {
   size_t n = 0;
 
@@ -121,14 +121,14 @@
 bool
 lt_client_call (LtClient *client, const LtCall *call, LtReply *reply, LbError *error)
 {
-  LhHeader headers[MAX_HEADERS];
+  LhHeader headers[MAX_REQUEST_HEADERS];
   PendingCall pending = { .client = client, .reply = reply };
   const LhHandlers handlers = { .on_done = on_call_done };
   LhRequest request = { .method = call->method,
                         .address = client->address,
                         .path = call->path,
                         .headers = headers,
-                        .n_headers = fill_headers (client, call, headers),
+                        .n_headers = fill_request_headers (client, call, headers),
                         .idle_timeout = call->idle_timeout };
 
   *reply = (LtReply){ .revision = -1 };
--- a/packages/cli/src/lt-command.c
+++ b/packages/cli/src/lt-command.c
@@ -7,18 +7,18 @@
 #include <string.h>
 
 static const LtCommand commands[] = {
-  { "apply", "add or replace resources from files", lt_apply_run },
-  { "get", "print the accepted resources", lt_get_run },
-  { "delete", "delete a resource", lt_delete_run },
-  { "diff", "print what applying files would change", lt_diff_run },
-  { "watch", "follow the accepted revisions and where they are in force", lt_watch_run },
-  { "history", "print the last changes", lt_history_run },
-  { "status", "print instances, leases and roll-outs", lt_status_run },
-  { "cost", "measure the cost of decisions on this machine", lt_cost_run },
-  { "explain", "print the timeline of a request from logs", lt_explain_run },
-  { "replay", "run traces and check their expectations", lt_replay_run },
-  { "soak", "run random fault simulations and check all invariants", lt_soak_run },
-  { "bench", "compare policies on one workload", lt_bench_run },
+  { "apply", "add or replace resources from files", lt_run_apply_command },
+  { "get", "print the accepted resources", lt_run_get_command },
+  { "delete", "delete a resource", lt_run_delete_command },
+  { "diff", "print what applying files would change", lt_run_diff_command },
+  { "watch", "follow the accepted revisions and where they are in force", lt_run_watch_command },
+  { "history", "print the last changes", lt_run_history_command },
+  { "status", "print instances, leases and roll-outs", lt_run_status_command },
+  { "cost", "measure the cost of decisions on this machine", lt_run_cost_command },
+  { "explain", "print the timeline of a request from logs", lt_run_explain_command },
+  { "replay", "run traces and check their expectations", lt_run_replay_command },
+  { "soak", "run random fault simulations and check all invariants", lt_run_soak_command },
+  { "bench", "compare policies on one workload", lt_run_bench_command },
   { NULL, NULL, NULL },
 };
 
--- a/packages/cli/src/lt-cost.c
+++ b/packages/cli/src/lt-cost.c
@@ -22,22 +22,24 @@
 #include <string.h>
 
 #define N_OPERATIONS 20000
-#define N_REPEATS 200
+#define N_SLOW_OPERATIONS 200
 #define GROUPS_PER_STEP 256
 #define SAMPLES_PER_GROUP 8
 #define TOKENS_PER_SAMPLE 365
 #define TOKENS_PER_PIECE 16
 #define N_WAITING_REQUESTS 2000
 
-/* Collects measurements: time per operation, and bytes per message or per object held. */
+/* Collects measurements: time per operation, and bytes per message or per object in memory. Prints
+ * each measurement immediately unless json is set. */
 typedef struct
 {
   struct json_object *array;
   bool json;
-} Report;
+} Measurements;
 
 static void
-add_measurement (Report *report, const char *what, size_t size, double microseconds, double bytes)
+add_measurement (
+    Measurements *measurements, const char *what, size_t size, double microseconds, double bytes)
 {
   struct json_object *object = json_object_new_object ();
 
@@ -45,21 +47,21 @@
   json_object_object_add (object, "size", json_object_new_int64 ((int64_t)size));
   json_object_object_add (object, "microseconds", json_object_new_double (microseconds));
   json_object_object_add (object, "bytes", json_object_new_double (bytes));
-  json_object_array_add (report->array, object);
-  if (!report->json)
+  json_object_array_add (measurements->array, object);
+  if (!measurements->json)
     printf ("%-34s %6zu %12.3f us %12.1f bytes\n", what, size, microseconds, bytes);
 }
 
 static double
-allocated_bytes (void)
+get_allocated_heap_bytes (void)
 {
   return (double)mallinfo2 ().uordblks;
 }
 
 static double
-microseconds_per_operation (LbTime started_at, size_t n)
+microseconds_per_operation (LbTime started_at, size_t n_operations)
 {
-  return (double)(lb_clock_monotonic () - started_at) / (double)n;
+  return (double)(lb_clock_monotonic () - started_at) / (double)n_operations;
 }
 
 static LcResourceSet *
@@ -96,23 +98,23 @@
 }
 
 static void
-make_load_report (size_t i, LbTime now, LcLoadReport *report)
+make_load_report (size_t engine_index, LbTime now, LcLoadReport *report)
 {
   *report = (LcLoadReport){ .version = 3,
-                            .running = (int64_t)(i * 7 % 20),
-                            .waiting = (int64_t)(i * 5 % 3),
+                            .running = (int64_t)(engine_index * 7 % 20),
+                            .waiting = (int64_t)(engine_index * 5 % 3),
                             .tokens_per_second = 60,
                             .measured_at = now };
-  snprintf (report->incarnation, sizeof report->incarnation, "engine-%zu-1", i);
+  snprintf (report->incarnation, sizeof report->incarnation, "engine-%zu-1", engine_index);
 }
 
-/* Measures a routing decision over n endpoints, with the endpoint's request accounting, and the
- * memory per endpoint. */
+/* Measures the time of a routing decision among n_endpoints endpoints, including the request
+ * accounting of the chosen endpoint, and the memory per endpoint. */
 static void
-measure_routing (Report *report, size_t n)
+measure_routing_decision (Measurements *measurements, size_t n_endpoints)
 {
-  LcResourceSet *set = make_resource_set (n);
-  double before = allocated_bytes ();
+  LcResourceSet *set = make_resource_set (n_endpoints);
+  double before = get_allocated_heap_bytes ();
   LcEndpoints *endpoints = lc_endpoints_new ();
   LcRouter *router = lc_router_new ("lentilspindle", 1);
   LbTime now = LB_SEC;
@@ -125,13 +127,13 @@
                          .live_reserve = 0.25 };
 
   lc_endpoints_configure (endpoints, set, now);
-  for (size_t i = 0; i < n; i++)
+  for (size_t i = 0; i < n_endpoints; i++)
     {
       LcLoadReport load;
       make_load_report (i, now, &load);
       lc_endpoints_record_load (endpoints, lc_endpoints_at (endpoints, i)->member.name, &load, now);
     }
-  double memory = (allocated_bytes () - before) / (double)n;
+  double memory = (get_allocated_heap_bytes () - before) / (double)n_endpoints;
   LbTime started_at = lb_clock_monotonic ();
   for (uint64_t i = 0; i < N_OPERATIONS; i++)
     {
@@ -144,19 +146,19 @@
       lc_endpoint_request_sent (decision.endpoint, LC_KIND_LIVE, hashes[2], now);
       lc_endpoint_request_ended (decision.endpoint, LC_KIND_LIVE, true, 64, LB_SEC, now);
     }
-  add_measurement (report, "routing-decision", n,
+  add_measurement (measurements, "routing-decision", n_endpoints,
                    microseconds_per_operation (started_at, N_OPERATIONS), 0);
-  add_measurement (report, "endpoint-memory", n, 0, memory);
+  add_measurement (measurements, "endpoint-memory", n_endpoints, 0, memory);
   lc_router_free (router);
   lc_endpoints_free (endpoints);
   lc_resource_set_free (set);
 }
 
-/* Measures the handling of load reports from n endpoints in turn. */
+/* Measures the time to process a load report, sent by n_endpoints endpoints in turn. */
 static void
-measure_load_reports (Report *report, size_t n)
+measure_load_reports (Measurements *measurements, size_t n_endpoints)
 {
-  LcResourceSet *set = make_resource_set (n);
+  LcResourceSet *set = make_resource_set (n_endpoints);
   LcDispatchSettings settings = { .policy = "lentilspindle", .queue_limit = 4096 };
   LcDispatch *dispatch = lc_dispatch_new (&settings);
   LbTime now = LB_SEC;
@@ -169,18 +171,20 @@
     {
       LcLoadReport load;
       now += 100;
-      make_load_report (i % n, now, &load);
-      lc_dispatch_record_load (dispatch, set->endpoints[i % n].name, &load, now, &actions);
+      make_load_report (i % n_endpoints, now, &load);
+      lc_dispatch_record_load (dispatch, set->endpoints[i % n_endpoints].name, &load, now,
+                               &actions);
     }
-  add_measurement (report, "load-report", n, microseconds_per_operation (started_at, N_OPERATIONS),
-                   0);
+  add_measurement (measurements, "load-report", n_endpoints,
+                   microseconds_per_operation (started_at, N_OPERATIONS), 0);
   lc_dispatch_free (dispatch);
   lc_resource_set_free (set);
 }
 
-/* Measures the memory of a queued request. No endpoint has min_version, so all requests wait. */
+/* Measures the time to queue a request and the memory of a queued request. All requests stay queued
+ * because no endpoint has loaded min_version of the weights. */
 static void
-measure_waiting_requests (Report *report)
+measure_waiting_requests (Measurements *measurements)
 {
   LcResourceSet *set = make_resource_set (10);
   LcDispatchSettings settings = { .policy = "lentilspindle", .queue_limit = 4096 };
@@ -189,7 +193,7 @@
 
   lb_list_init (&actions);
   lc_dispatch_configure (dispatch, set, LB_SEC, &actions);
-  double before = allocated_bytes ();
+  double before = get_allocated_heap_bytes ();
   LbTime started_at = lb_clock_monotonic ();
   for (uint64_t i = 1; i <= N_WAITING_REQUESTS; i++)
     {
@@ -207,16 +211,17 @@
     }
   size_t waiting = lc_dispatch_count_waiting (dispatch, LC_KIND_LIVE);
   if (waiting > 0)
-    add_measurement (report, "waiting-request", waiting,
+    add_measurement (measurements, "waiting-request", waiting,
                      microseconds_per_operation (started_at, N_WAITING_REQUESTS),
-                     (allocated_bytes () - before) / (double)waiting);
+                     (get_allocated_heap_bytes () - before) / (double)waiting);
   while (!lb_list_is_empty (&actions))
     lc_action_free (LB_CONTAINER (lb_list_pop (&actions), LcAction, link));
   lc_dispatch_free (dispatch);
   lc_resource_set_free (set);
 }
 
-/* A trainer's step run through LcRollouts and LcDispatch with endpoints that answer immediately. */
+/* A training step that passes through LcRollouts and LcDispatch. Its simulated endpoints answer
+ * immediately. */
 typedef struct
 {
   LcDispatch *dispatch;
@@ -225,14 +230,14 @@
   LbList rollout_actions;
   LbTime now;
   size_t n_ledger_writes;
-  size_t ledger_bytes; /* of the last write */
+  size_t ledger_bytes; /* size of the last ledger row written */
   size_t n_samples;
   size_t n_decisions;
   char *cursor;
 } Step;
 
 static void
-answer_attempt (Step *step, const LcAction *send)
+simulate_endpoint_answer (Step *step, const LcAction *send)
 {
   for (int64_t offset = 0; offset < TOKENS_PER_SAMPLE; offset += TOKENS_PER_PIECE)
     {
@@ -259,7 +264,7 @@
   if (action->type == LC_ACTION_SEND)
     {
       step->n_decisions++;
-      answer_attempt (step, action);
+      simulate_endpoint_answer (step, action);
     }
   else if (action->type == LC_ACTION_FINISH)
     {
@@ -300,7 +305,7 @@
 }
 
 static void
-run_actions (Step *step)
+run_pending_actions (Step *step)
 {
   for (;;)
     {
@@ -342,10 +347,10 @@
 }
 
 static void
-pull_samples (Step *step, uint64_t number)
+pull_samples (Step *step, uint64_t pull_id)
 {
   char *cursor = lb_strdup (step->cursor);
-  LcPull request = { .id = number,
+  LcPull request = { .id = pull_id,
                      .subscription = "trainer",
                      .step = 1,
                      .cursor = cursor,
@@ -355,12 +360,12 @@
 
   step->now += 100 * LB_MSEC;
   lc_rollouts_handle_pull (step->rollouts, &request, step->now, &step->rollout_actions);
-  run_actions (step);
+  run_pending_actions (step);
   if (lc_rollouts_next_tick (step->rollouts) <= step->now)
     lc_rollouts_tick (step->rollouts, step->now, &step->rollout_actions);
   if (lc_dispatch_next_tick (step->dispatch) <= step->now)
     lc_dispatch_tick (step->dispatch, step->now, &step->actions);
-  run_actions (step);
+  run_pending_actions (step);
   free (cursor);
 }
 
@@ -389,34 +394,35 @@
 }
 
 static void
-measure_step (Report *report, size_t n)
+measure_training_step (Measurements *measurements, size_t n_endpoints)
 {
   const size_t slots = GROUPS_PER_STEP * SAMPLES_PER_GROUP;
-  LcResourceSet *set = make_resource_set (n);
+  LcResourceSet *set = make_resource_set (n_endpoints);
   LcStepSpec spec = { 0 };
   LbError error = { 0 };
   Step step;
 
   init_step (&step, set);
   fill_step_spec (&spec);
-  double before = allocated_bytes ();
+  double before = get_allocated_heap_bytes ();
   LbTime started_at = lb_clock_monotonic ();
   lc_rollouts_open_step (step.rollouts, &spec, 1, step.now, &step.rollout_actions, &error);
-  double memory = allocated_bytes () - before;
-  run_actions (&step);
+  double memory = get_allocated_heap_bytes () - before;
+  run_pending_actions (&step);
   for (uint64_t i = 1; step.n_samples < slots && i < 10000; i++)
     pull_samples (&step, i);
   if (step.n_samples == slots)
     {
-      add_measurement (report, "sample-life", n, microseconds_per_operation (started_at, slots),
-                       memory / (double)slots);
-      add_measurement (report, "ledger-write", slots, 0, (double)step.ledger_bytes);
-      add_measurement (report, "ledger-writes-of-a-step", slots, 0, (double)step.n_ledger_writes);
+      add_measurement (measurements, "sample-life", n_endpoints,
+                       microseconds_per_operation (started_at, slots), memory / (double)slots);
+      add_measurement (measurements, "ledger-write", slots, 0, (double)step.ledger_bytes);
+      add_measurement (measurements, "ledger-writes-of-a-step", slots, 0,
+                       (double)step.n_ledger_writes);
     }
   else
     {
-      fprintf (stderr, "lentilspindle cost: step delivered %zu of %zu samples\n", step.n_samples,
-               slots);
+      fprintf (stderr, "lentilspindle cost: the step delivered only %zu of %zu samples\n",
+               step.n_samples, slots);
     }
   lc_step_spec_clear (&spec);
   free (step.cursor);
@@ -426,14 +432,16 @@
 }
 
 static void
-make_instance (size_t i, LcInstance *instance)
+make_instance (size_t instance_index, LcInstance *instance)
 {
   *instance = (LcInstance){ .epoch = 1700000000000, .version = 3, .state = LC_INSTANCE_ALIVE };
-  snprintf (instance->name, LB_NAME_MAX, "i%zu", i);
-  snprintf (instance->incarnation, LB_NAME_MAX, "i%zu-5f3a91", i);
-  snprintf (instance->data_centre, LB_NAME_MAX, "dc-%zu", i % 7);
-  snprintf (instance->caller_address, LB_NAME_MAX, "10.1.%zu.%zu:8080", i / 250, i % 250);
-  snprintf (instance->peer_address, LB_NAME_MAX, "10.1.%zu.%zu:8081", i / 250, i % 250);
+  snprintf (instance->name, LB_NAME_MAX, "i%zu", instance_index);
+  snprintf (instance->incarnation, LB_NAME_MAX, "i%zu-5f3a91", instance_index);
+  snprintf (instance->data_centre, LB_NAME_MAX, "dc-%zu", instance_index % 7);
+  snprintf (instance->caller_address, LB_NAME_MAX, "10.1.%zu.%zu:8080", instance_index / 250,
+            instance_index % 250);
+  snprintf (instance->peer_address, LB_NAME_MAX, "10.1.%zu.%zu:8081", instance_index / 250,
+            instance_index % 250);
 }
 
 static void
@@ -444,28 +452,29 @@
         LB_CONTAINER (lb_list_pop (actions), LcMembershipAction, link_in_list));
 }
 
-/* Measures the memory per instance, and the time of a tick with one received heartbeat, among n
- * instances. */
+/* Measures the memory per known instance, and the time of a membership tick after one received
+ * heartbeat. The membership knows n_instances instances. */
 static void
-measure_membership (Report *report, size_t n)
+measure_membership (Measurements *measurements, size_t n_instances)
 {
   LcMembershipSettings settings = lc_membership_settings_default ();
-  LcInstance *instances = LB_NEW_ARRAY (LcInstance, n);
+  LcInstance *instances = LB_NEW_ARRAY (LcInstance, n_instances);
   LbTime now = LB_SEC;
   LbList actions;
 
   lb_list_init (&actions);
-  for (size_t i = 0; i < n; i++)
+  for (size_t i = 0; i < n_instances; i++)
     make_instance (i, &instances[i]);
   settings.self = instances[0];
-  double before = allocated_bytes ();
+  double before = get_allocated_heap_bytes ();
   LcMembership *membership = lc_membership_new (&settings, now);
   LcLinkId link = lc_membership_link_accepted (membership, &instances[1], now, &actions);
-  lc_membership_updates_received (membership, link, instances, n, now, &actions);
+  lc_membership_updates_received (membership, link, instances, n_instances, now, &actions);
   free_membership_actions (&actions);
-  add_measurement (report, "peer-memory", n, 0, (allocated_bytes () - before) / (double)n);
+  add_measurement (measurements, "peer-memory", n_instances, 0,
+                   (get_allocated_heap_bytes () - before) / (double)n_instances);
   LbTime started_at = lb_clock_monotonic ();
-  for (size_t i = 0; i < N_REPEATS; i++)
+  for (size_t i = 0; i < N_SLOW_OPERATIONS; i++)
     {
       now += LB_SEC / 10;
       lc_membership_frame_received (membership, link, now);
@@ -473,14 +482,14 @@
       lc_membership_tick (membership, now, &actions);
       free_membership_actions (&actions);
     }
-  add_measurement (report, "membership-tick", n, microseconds_per_operation (started_at, N_REPEATS),
-                   0);
+  add_measurement (measurements, "membership-tick", n_instances,
+                   microseconds_per_operation (started_at, N_SLOW_OPERATIONS), 0);
   lc_membership_free (membership);
   free (instances);
 }
 
 static void
-measure_frame (Report *report, const char *what, LwMessage *message)
+measure_message_codec (Measurements *measurements, const char *what, LwMessage *message)
 {
   size_t length = 0;
   LbTime started_at = lb_clock_monotonic ();
@@ -495,48 +504,50 @@
       lw_message_clear (&decoded);
       free (frame);
     }
-  add_measurement (report, what, 1, microseconds_per_operation (started_at, N_OPERATIONS),
+  add_measurement (measurements, what, 1, microseconds_per_operation (started_at, N_OPERATIONS),
                    (double)length);
 }
 
 static void
-measure_frames (Report *report)
+measure_membership_messages (Measurements *measurements)
 {
   LcInstance instance;
   LwMessage ping = { .type = LW_PING, .digest = 0x123456789abcdefu };
   LwMessage update = { .type = LW_INSTANCES, .instances = &instance, .n_instances = 1 };
 
   make_instance (1, &instance);
-  measure_frame (report, "heartbeat-frame", &ping);
-  measure_frame (report, "instance-news-frame", &update);
+  measure_message_codec (measurements, "heartbeat-frame", &ping);
+  measure_message_codec (measurements, "instance-news-frame", &update);
 }
 
-/* Measures an operator's change to one of n endpoints, as each instance applies it. */
+/* Measures the time and memory that an instance needs to apply a change of one endpoint to a
+ * resource set with n_endpoints endpoints. */
 static void
-measure_change (Report *report, size_t n)
+measure_configuration_change (Measurements *measurements, size_t n_endpoints)
 {
   static const char text[] = "{\"apply\": [{\"kind\": \"endpoint\", \"name\": \"engine-3\","
                              "\"type\": \"engine\", \"pool\": \"pool\", \"address\":"
                              "\"10.0.0.3:9000\", \"data_centre\": \"dc-1\", \"leaving\": true,"
                              "\"checks_fence\": true, \"concurrency\": 32}]}";
-  LcResourceSet *set = make_resource_set (n);
+  LcResourceSet *set = make_resource_set (n_endpoints);
   struct json_object *change = json_tokener_parse (text);
   struct json_object *set_object = lc_resource_set_to_json (set);
   LbError error = { 0 };
   LbTime started_at = lb_clock_monotonic ();
   double memory = 0;
 
-  for (size_t i = 0; i < N_REPEATS; i++)
+  for (size_t i = 0; i < N_SLOW_OPERATIONS; i++)
     {
-      double before = allocated_bytes ();
+      double before = get_allocated_heap_bytes ();
       LcResourceSet *next = lc_change_apply (set, change, "cost", &error);
-      memory = allocated_bytes () - before;
+      memory = get_allocated_heap_bytes () - before;
       lc_resource_set_free (next);
     }
-  add_measurement (report, "configuration-change", n,
-                   microseconds_per_operation (started_at, N_REPEATS), (double)strlen (text));
-  add_measurement (report, "configuration-memory", n, 0, memory);
-  add_measurement (report, "configuration-whole-set", n, 0,
+  add_measurement (measurements, "configuration-change", n_endpoints,
+                   microseconds_per_operation (started_at, N_SLOW_OPERATIONS),
+                   (double)strlen (text));
+  add_measurement (measurements, "configuration-memory", n_endpoints, 0, memory);
+  add_measurement (measurements, "configuration-whole-set", n_endpoints, 0,
                    (double)strlen (
                        json_object_to_json_string_ext (set_object, JSON_C_TO_STRING_PLAIN)));
   json_object_put (set_object);
@@ -545,28 +556,29 @@
 }
 
 static void
-measure_all (Report *report)
+run_all_measurements (Measurements *measurements)
 {
   static const size_t endpoint_counts[] = { 10, 100, 600 };
   static const size_t instance_counts[] = { 10, 100, 350 };
 
   for (size_t i = 0; i < 3; i++)
-    measure_routing (report, endpoint_counts[i]);
+    measure_routing_decision (measurements, endpoint_counts[i]);
   for (size_t i = 0; i < 3; i++)
-    measure_load_reports (report, endpoint_counts[i]);
-  measure_waiting_requests (report);
+    measure_load_reports (measurements, endpoint_counts[i]);
+  measure_waiting_requests (measurements);
   for (size_t i = 0; i < 3; i++)
-    measure_step (report, endpoint_counts[i]);
+    measure_training_step (measurements, endpoint_counts[i]);
   for (size_t i = 0; i < 3; i++)
-    measure_membership (report, instance_counts[i]);
-  measure_frames (report);
+    measure_membership (measurements, instance_counts[i]);
+  measure_membership_messages (measurements);
   for (size_t i = 0; i < 3; i++)
-    measure_change (report, endpoint_counts[i]);
+    measure_configuration_change (measurements, endpoint_counts[i]);
 }
 
-/* Measures what decisions cost on this machine; docs/CAPACITY.md is generated from the result. */
+/* Measures the CPU time and memory of decisions on this machine. tools/capacity generates a part of
+ * docs/CAPACITY.md from the JSON output. */
 int
-lt_cost_run (int argc, char **argv)
+lt_run_cost_command (int argc, char **argv)
 {
   struct arg_lit *json = arg_lit0 (NULL, "json", "print a JSON array");
   struct arg_lit *help = arg_lit0 (NULL, "help", "print this help");
@@ -574,11 +586,12 @@
   void *table[] = { json, help, end };
   int errors = arg_parse (argc, argv, table);
   int code = LT_EXIT_USAGE;
-  Report report = { .json = json->count > 0 };
+  Measurements measurements = { .json = json->count > 0 };
 
   if (help->count > 0)
     {
-      lt_print_help (table, "cost", "Measures the cost of decisions in microseconds and bytes.");
+      lt_print_help (table, "cost",
+                     "Measures the time and memory of decisions, in microseconds and bytes.");
       code = LT_EXIT_OK;
       goto out;
     }
@@ -588,11 +601,11 @@
       goto out;
     }
   lb_log_init (LB_LOG_OFF, 2, NULL);
-  report.array = json_object_new_array ();
-  measure_all (&report);
-  if (report.json)
-    puts (json_object_to_json_string_ext (report.array, JSON_C_TO_STRING_PRETTY));
-  json_object_put (report.array);
+  measurements.array = json_object_new_array ();
+  run_all_measurements (&measurements);
+  if (measurements.json)
+    puts (json_object_to_json_string_ext (measurements.array, JSON_C_TO_STRING_PRETTY));
+  json_object_put (measurements.array);
   code = LT_EXIT_OK;
 out:
   arg_freetable (table, sizeof table / sizeof table[0]);
--- a/packages/cli/src/lt-explain.c
+++ b/packages/cli/src/lt-explain.c
@@ -8,7 +8,7 @@
 #include <stdio.h>
 
 static int
-explain_id (const char *id, const struct arg_file *files)
+print_timeline_of_id (const char *id, const struct arg_file *files)
 {
   LtTimeline *timeline = lt_timeline_new (id);
   LbError error = { 0 };
@@ -23,7 +23,7 @@
   code = LT_EXIT_OK;
   if (!lt_timeline_print (timeline, stdout))
     {
-      fprintf (stderr, "lentilspindle explain: no line names the id %s\n", id);
+      fprintf (stderr, "lentilspindle explain: no log line names the id %s\n", id);
       code = LT_EXIT_FAILED;
     }
 out:
@@ -31,9 +31,9 @@
   return code;
 }
 
-/* Prints the timeline of one request from the logs of several instances. */
+/* Prints the timeline of one request, batch or item from the logs of several instances. */
 int
-lt_explain_run (int argc, char **argv)
+lt_run_explain_command (int argc, char **argv)
 {
   struct arg_str *id = arg_str1 (NULL, NULL, "ID", "id of a request, a batch or an item");
   struct arg_file *files = arg_filen (NULL, NULL, "FILE", 1, 1000, "log file of an instance");
@@ -54,7 +54,7 @@
   else if (errors > 0)
     arg_print_errors (stderr, end, "lentilspindle explain");
   else
-    code = explain_id (id->sval[0], files);
+    code = print_timeline_of_id (id->sval[0], files);
   arg_freetable (table, sizeof table / sizeof table[0]);
   return code;
 }
--- a/packages/cli/src/lt-get.c
+++ b/packages/cli/src/lt-get.c
@@ -18,7 +18,7 @@
   LtArguments common;
 } Options;
 
-/* Prints kind and name, then the other fields as KEY=VALUE. */
+/* Prints the resource on one line: kind, name, then the other fields as KEY=VALUE. */
 static void
 print_resource (struct json_object *resource)
 {
@@ -46,7 +46,7 @@
 }
 
 static int
-get_resources (const Options *options)
+fetch_and_print_resources (const Options *options)
 {
   char path[256];
   LtReply reply;
@@ -71,7 +71,7 @@
 }
 
 int
-lt_get_run (int argc, char **argv)
+lt_run_get_command (int argc, char **argv)
 {
   int code;
   Options options;
@@ -83,7 +83,7 @@
   lt_arguments_init (&options.common, table + 2);
   if (lt_arguments_parse (&options.common, table, 2 + LT_N_COMMON_ARGUMENTS, argc, argv,
                           "Prints the accepted resources.", &code))
-    code = get_resources (&options);
+    code = fetch_and_print_resources (&options);
   arg_freetable (table, 2 + LT_N_COMMON_ARGUMENTS);
   return code;
 }
@@ -115,7 +115,8 @@
   }
 }
 
-/* Prints added and changed resources and returns their number. Applying files deletes none. */
+/* Prints the resources that were added or changed and returns their number. Ignores deletions
+ * because applying files deletes no resource. */
 static size_t
 print_difference (const LcResourceSet *before, const LcResourceSet *after)
 {
@@ -143,7 +144,7 @@
 }
 
 static int
-diff_resources (const Options *options)
+print_diff_with_accepted_set (const Options *options)
 {
   LbError error = { .code = LB_OK };
   int code = LT_EXIT_USAGE;
@@ -179,7 +180,7 @@
 }
 
 int
-lt_diff_run (int argc, char **argv)
+lt_run_diff_command (int argc, char **argv)
 {
   int code;
   Options options;
@@ -192,7 +193,7 @@
           &options.common, table, 1 + LT_N_COMMON_ARGUMENTS, argc, argv,
           "Prints what applying the files would change; exits with 1 if they change anything.",
           &code))
-    code = diff_resources (&options);
+    code = print_diff_with_accepted_set (&options);
   arg_freetable (table, 1 + LT_N_COMMON_ARGUMENTS);
   return code;
 }
--- a/packages/cli/src/lt-operator-commands.h
+++ b/packages/cli/src/lt-operator-commands.h
@@ -1,13 +1,13 @@
 #ifndef LT_OPERATOR_COMMANDS_H
 #define LT_OPERATOR_COMMANDS_H
 
-/* Subcommands that call an instance; each is the run function of an LtCommand. */
-int lt_apply_run (int argc, char **argv);
-int lt_delete_run (int argc, char **argv);
-int lt_get_run (int argc, char **argv);
-int lt_diff_run (int argc, char **argv);
-int lt_watch_run (int argc, char **argv);
-int lt_history_run (int argc, char **argv);
-int lt_status_run (int argc, char **argv);
+/* Run functions of the subcommands that call an instance over HTTP. */
+int lt_run_apply_command (int argc, char **argv);
+int lt_run_delete_command (int argc, char **argv);
+int lt_run_get_command (int argc, char **argv);
+int lt_run_diff_command (int argc, char **argv);
+int lt_run_watch_command (int argc, char **argv);
+int lt_run_history_command (int argc, char **argv);
+int lt_run_status_command (int argc, char **argv);
 
 #endif
--- a/packages/cli/src/lt-replay.c
+++ b/packages/cli/src/lt-replay.c
@@ -28,9 +28,9 @@
   return passed ? LT_EXIT_OK : LT_EXIT_FAILED;
 }
 
-/* Runs traces and checks their expectations. The exit code is the worst result of all files. */
+/* Runs traces and checks their expected outcomes. Returns the highest exit code of all files. */
 int
-lt_replay_run (int argc, char **argv)
+lt_run_replay_command (int argc, char **argv)
 {
   struct arg_file *files = arg_filen (NULL, NULL, "FILE", 1, 1000, "trace file (docs/TRACES.md)");
   struct arg_lit *help = arg_lit0 (NULL, "help", "print this help");
--- a/packages/cli/src/lt-report.c
+++ b/packages/cli/src/lt-report.c
@@ -50,7 +50,7 @@
 }
 
 static double
-find_max (const LxResult *results, size_t n, Metric metric)
+find_max_metric (const LxResult *results, size_t n, Metric metric)
 {
   double max = 1e-9;
 
@@ -60,10 +60,10 @@
 }
 
 static void
-write_scatter (FILE *out, const LxResult *results, size_t n)
+write_idle_time_scatter (FILE *out, const LxResult *results, size_t n)
 {
-  double x_max = find_max (results, n, get_staleness_mean) * 1.1;
-  double y_max = find_max (results, n, get_idle_seconds) * 1.1;
+  double x_max = find_max_metric (results, n, get_staleness_mean) * 1.1;
+  double y_max = find_max_metric (results, n, get_idle_seconds) * 1.1;
 
   fprintf (out, "<h2>Idle time against staleness</h2>\n<svg width=\"%d\" height=\"%d\">\n",
            CHART_WIDTH_PX, CHART_HEIGHT_PX);
@@ -88,9 +88,9 @@
 }
 
 static void
-write_bars (FILE *out, const char *title, const LxResult *results, size_t n, Metric metric)
+write_bar_chart (FILE *out, const char *title, const LxResult *results, size_t n, Metric metric)
 {
-  double max = find_max (results, n, metric);
+  double max = find_max_metric (results, n, metric);
 
   fprintf (out, "<h2>%s</h2>\n<svg width=\"%d\" height=\"%zu\">\n", title, CHART_WIDTH_PX,
            n * BAR_PITCH_PX + 10);
@@ -109,7 +109,7 @@
 }
 
 bool
-lt_report_write (const char *dir, const char *site, const LxResult *results, size_t n)
+lt_bench_report_write (const char *dir, const char *site, const LxResult *results, size_t n)
 {
   char *path = lb_asprintf ("%s/bench.html", dir);
   bool written = false;
@@ -124,10 +124,11 @@
            "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>bench %s</title>"
            "<style>body{font-family:sans-serif;margin:2em}</style><h1>bench, %s</h1>\n",
            site, site);
-  write_scatter (out, results, n);
-  write_bars (out, "Live latency, median, ms", results, n, get_live_p50_ms);
-  write_bars (out, "Live latency, 99th percentile, ms", results, n, get_live_p99_ms);
-  write_bars (out, "Load of the busiest engine over the mean", results, n, get_imbalance);
+  write_idle_time_scatter (out, results, n);
+  write_bar_chart (out, "Live latency, median, ms", results, n, get_live_p50_ms);
+  write_bar_chart (out, "Live latency, 99th percentile, ms", results, n, get_live_p99_ms);
+  write_bar_chart (out, "Load of the busiest engine relative to the mean", results, n,
+                   get_imbalance);
   fputs ("</html>\n", out);
   written = true;
 out:
--- a/packages/cli/src/lt-report.h
+++ b/packages/cli/src/lt-report.h
@@ -3,7 +3,8 @@
 
 #include "lx-result.h"
 
-/* Writes the self-contained page DIR/bench.html. Prints an error and returns false on failure. */
-bool lt_report_write (const char *dir, const char *site, const LxResult *results, size_t n);
+/* Writes the benchmark results to DIR/bench.html, a self-contained HTML page. On failure prints an
+ * error and returns false. */
+bool lt_bench_report_write (const char *dir, const char *site, const LxResult *results, size_t n);
 
 #endif
--- a/packages/cli/src/lt-resources.c
+++ b/packages/cli/src/lt-resources.c
@@ -137,31 +137,31 @@
         return true;
       if (lb_clock_monotonic () >= deadline)
         return lb_error_set (error, LB_ERROR_TIMEOUT, "",
-                             "revision is not in force on all instances yet");
+                             "timed out before the revision was in force on all instances");
     }
 }
 
 static void
-print_outcome (const LtChangeRequest *request, struct json_object *body)
+print_change_outcome (const LtChangeRequest *request, struct json_object *body)
 {
   struct json_object *in_force = json_object_object_get (body, "in_force");
 
   if (request->json)
     lt_print_json (body);
   else if (request->dry_run)
-    printf ("dry run: would become revision %lld; nothing was changed\n",
+    printf ("dry run: the change would become revision %lld; nothing was changed\n",
             (long long)lt_json_integer (body, "revision"));
   else
-    printf ("accepted as revision %lld, in force on %lld of %lld\n",
+    printf ("accepted as revision %lld, in force on %lld of %lld instances\n",
             (long long)lt_json_integer (body, "revision"),
             (long long)lt_json_integer (in_force, "on"),
             (long long)lt_json_integer (in_force, "of"));
 }
 
-/* Sends the same idempotency key with each attempt, so that a change whose reply was lost is not
- * applied twice. */
+/* Sends the change again if no reply arrives. All attempts carry the same idempotency key, so that
+ * a change whose reply was lost is not applied twice. */
 static bool
-send_with_retries (const LtChangeRequest *request, LtReply *reply, LbError *error)
+send_change_with_retries (const LtChangeRequest *request, LtReply *reply, LbError *error)
 {
   char idempotency_key[64], if_match[32];
   const LtCall call = { .method = "POST",
@@ -191,7 +191,7 @@
   LbError error = { .code = LB_OK };
   int code = LT_EXIT_OK;
 
-  if (!send_with_retries (request, &reply, &error))
+  if (!send_change_with_retries (request, &reply, &error))
     {
       code = lt_print_error (&error);
       if (error.code == LB_ERROR_CONFLICT)
@@ -201,7 +201,7 @@
                  (long long)reply.revision);
       goto out;
     }
-  print_outcome (request, reply.body);
+  print_change_outcome (request, reply.body);
   if (request->active_timeout > 0 && !request->dry_run
       && !lt_resources_wait_until_active (request->client, lt_json_integer (reply.body, "revision"),
                                           request->active_timeout, &error))
--- a/packages/cli/src/lt-soak.c
+++ b/packages/cli/src/lt-soak.c
@@ -12,7 +12,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Returns the LxFault of this name, or -1. */
+/* Returns the LxFault with this name, or -1 if no fault has it. */
 static int
 find_fault (const char *name)
 {
@@ -23,7 +23,7 @@
 }
 
 static int
-run_seeds (LxSoak *soak, int n_seeds, bool shrink)
+run_soak_seeds (LxSoak *soak, int n_seeds, bool shrink)
 {
   int n_failed = 0;
 
@@ -34,17 +34,19 @@
   return n_failed > 0 ? LT_EXIT_FAILED : LT_EXIT_OK;
 }
 
-/* Runs long randomised simulations with faults. The simulator and core's own checks look for
- * violated invariants. */
+/* Runs long randomised simulations with injected faults. The simulator and the simulated code check
+ * their invariants during the run. */
 int
-lt_soak_run (int argc, char **argv)
+lt_run_soak_command (int argc, char **argv)
 {
   struct arg_str *site = arg_str1 (NULL, "site", "SITE", "kurunegala or hoa-sen");
   struct arg_int *seed = arg_int0 (NULL, "seed", "N", "first seed (default: 1)");
   struct arg_int *seeds = arg_int0 (NULL, "seeds", "N", "number of seeds (default: 1)");
   struct arg_int *events = arg_int0 (NULL, "events", "N", "events per run (default: 1000000)");
   struct arg_str *only = arg_str0 (NULL, "only", "FAULT", "inject only this kind of fault");
-  struct arg_lit *shrink = arg_lit0 (NULL, "shrink", "search for a failing run with fewer faults");
+  struct arg_lit *shrink
+      = arg_lit0 (NULL, "shrink",
+                  "after a failed run, search for one that fails with fewer faults");
   struct arg_lit *help = arg_lit0 (NULL, "help", "print this help");
   struct arg_end *end = arg_end (8);
   void *table[] = { site, seed, seeds, events, only, shrink, help, end };
@@ -76,7 +78,7 @@
       goto out;
     }
   lb_log_init (LB_LOG_OFF, 2, NULL);
-  code = run_seeds (&soak, seeds->count ? *seeds->ival : 1, shrink->count > 0);
+  code = run_soak_seeds (&soak, seeds->count ? *seeds->ival : 1, shrink->count > 0);
 out:
   arg_freetable (table, sizeof table / sizeof table[0]);
   return code;
--- a/packages/cli/src/lt-timeline.c
+++ b/packages/cli/src/lt-timeline.c
@@ -7,17 +7,19 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Longer values, such as lists of candidate endpoints, are truncated. */
-#define MAX_VALUE_LENGTH 160
-/* State changes this long before the first matching line can still explain it. */
+/* Longer field values, such as lists of candidate endpoints, are truncated in the output. */
+#define MAX_PRINTED_VALUE_LENGTH 160
+/* State changes are printed from this long before the first line that names the id, because they
+ * can explain that line. */
 #define CONTEXT_BEFORE_MS 5000
-/* Lines that one received message causes are logged within this time. */
-#define SAME_MESSAGE_MS 5
+/* Equal state-change events within this time count as repeats. One received message, such as a list
+ * of endpoints, causes many of these events. */
+#define REPEAT_WINDOW_MS 5
 
 typedef struct
 {
   int64_t time_ms;
-  size_t order; /* position in the input; orders lines of the same time */
+  size_t order; /* position in the input; sorts lines with the same time */
   struct json_object *object;
   bool names_id;
 } Line;
@@ -31,7 +33,8 @@
   size_t n_unreadable;
 };
 
-/* Events that change what an instance knows of endpoints, other instances, the store or leases. */
+/* Log events that record a change of an instance itself, or of its view of endpoints, other
+ * instances, the store or leases. */
 static const char *const state_change_events[]
     = { "endpoint_listed",  "endpoint_lists_leaving", "endpoint_gone",     "endpoint-leaving",
         "instance_alive",   "instance_lost",          "store_lost",        "store_back",
@@ -59,7 +62,7 @@
 }
 
 static void
-add_line (LtTimeline *timeline, struct json_object *object)
+add_log_line (LtTimeline *timeline, struct json_object *object)
 {
   if (timeline->n_lines == timeline->capacity)
     {
@@ -73,14 +76,14 @@
 }
 
 static void
-read_line (LtTimeline *timeline, const char *text)
+parse_log_line (LtTimeline *timeline, const char *text)
 {
   const char *brace = strchr (text, '{');
   struct json_object *object = brace ? json_tokener_parse (brace) : NULL;
 
   if (json_object_is_type (object, json_type_object))
     {
-      add_line (timeline, object);
+      add_log_line (timeline, object);
       return;
     }
   json_object_put (object);
@@ -97,15 +100,16 @@
   if (!in)
     return lb_error_set (error, LB_ERROR_IO, path, "cannot open the log");
   while (getline (&text, &size, in) >= 0)
-    read_line (timeline, text);
+    parse_log_line (timeline, text);
   free (text);
   fclose (in);
   return true;
 }
 
-/* The id of a batch that belongs to an organisation is followed by '~' and a hash in the logs. */
+/* Compares name with the timeline's id. In logs, '~' and a hash follow the id of an organisation's
+ * batch; the comparison ignores them. */
 static bool
-matches_id (const LtTimeline *timeline, const char *name)
+matches_timeline_id (const LtTimeline *timeline, const char *name)
 {
   size_t length = strlen (timeline->id);
 
@@ -113,18 +117,18 @@
 }
 
 static bool
-has_id (const LtTimeline *timeline, struct json_object *object)
+log_line_names_id (const LtTimeline *timeline, struct json_object *object)
 {
   static const char *const keys[] = { "id", "batch", "item", "caller", "content" };
 
   for (size_t i = 0; i < sizeof keys / sizeof keys[0]; i++)
-    if (matches_id (timeline, lb_json_text (object, keys[i], "")))
+    if (matches_timeline_id (timeline, lb_json_text (object, keys[i], "")))
       return true;
   return false;
 }
 
 static bool
-is_state_change (struct json_object *object)
+is_state_change_event (struct json_object *object)
 {
   const char *event = lb_json_text (object, "event", "");
 
@@ -134,8 +138,8 @@
   return false;
 }
 
-/* Whether the line's instance also logged a line that names the id. State changes of other
- * instances affected no decision. */
+/* Returns true if the instance that logged object also logged a line that names the id. State
+ * changes of other instances did not affect the request. */
 static bool
 is_instance_involved (const LtTimeline *timeline, struct json_object *object)
 {
@@ -160,14 +164,14 @@
 }
 
 static bool
-mark_matching_lines (LtTimeline *timeline, int64_t *first_ms, int64_t *last_ms)
+mark_lines_naming_id (LtTimeline *timeline, int64_t *first_ms, int64_t *last_ms)
 {
   bool found = false;
 
   for (size_t i = 0; i < timeline->n_lines; i++)
     {
       Line *line = &timeline->lines[i];
-      line->names_id = has_id (timeline, line->object);
+      line->names_id = log_line_names_id (timeline, line->object);
       if (!line->names_id)
         continue;
       *first_ms = !found || line->time_ms < *first_ms ? line->time_ms : *first_ms;
@@ -178,7 +182,7 @@
 }
 
 static void
-print_line (const Line *line, bool is_match, int64_t first_ms, FILE *out)
+print_log_line (const Line *line, bool is_match, int64_t first_ms, FILE *out)
 {
   static const char *const column_keys[] = { "time", "level", "instance", "event" };
 
@@ -195,29 +199,30 @@
     const char *text = json_object_is_type (value, json_type_string)
                            ? json_object_get_string (value)
                            : json_object_to_json_string_ext (value, JSON_C_TO_STRING_PLAIN);
-    bool is_long = strlen (text) > MAX_VALUE_LENGTH;
-    fprintf (out, " %s=%.*s%s", key, MAX_VALUE_LENGTH, text, is_long ? "..." : "");
+    bool is_long = strlen (text) > MAX_PRINTED_VALUE_LENGTH;
+    fprintf (out, " %s=%.*s%s", key, MAX_PRINTED_VALUE_LENGTH, text, is_long ? "..." : "");
   }
   fputc ('\n', out);
 }
 
-/* Whether line repeats the state change of last in the same instance and at the same time, as when
- * an instance reads the whole list of endpoints. */
+/* Returns true if both lines are the same state-change event of the same instance, at most
+ * REPEAT_WINDOW_MS apart. An instance that reads the list of endpoints logs one event per endpoint.
+ */
 static bool
-is_repeat_of (const Line *line, const Line *last)
+is_repeated_state_change (const Line *line, const Line *previous)
 {
-  return last && !line->names_id && !last->names_id
-         && line->time_ms - last->time_ms <= SAME_MESSAGE_MS
+  return previous && !line->names_id && !previous->names_id
+         && line->time_ms - previous->time_ms <= REPEAT_WINDOW_MS
          && strcmp (lb_json_text (line->object, "event", ""),
-                    lb_json_text (last->object, "event", ""))
+                    lb_json_text (previous->object, "event", ""))
                 == 0
          && strcmp (lb_json_text (line->object, "instance", ""),
-                    lb_json_text (last->object, "instance", ""))
+                    lb_json_text (previous->object, "instance", ""))
                 == 0;
 }
 
 static void
-print_lines (const LtTimeline *timeline, int64_t first_ms, int64_t last_ms, FILE *out)
+print_lines_with_context (const LtTimeline *timeline, int64_t first_ms, int64_t last_ms, FILE *out)
 {
   const Line *last_printed = NULL;
   size_t n_repeats = 0;
@@ -228,10 +233,10 @@
       bool is_in_time_range
           = line->time_ms >= first_ms - CONTEXT_BEFORE_MS && line->time_ms <= last_ms;
       if (!line->names_id
-          && !(is_in_time_range && is_state_change (line->object)
+          && !(is_in_time_range && is_state_change_event (line->object)
                && is_instance_involved (timeline, line->object)))
         continue;
-      if (is_repeat_of (line, last_printed))
+      if (is_repeated_state_change (line, last_printed))
         {
           n_repeats++;
           continue;
@@ -240,7 +245,7 @@
         fprintf (out, "~ and %zu more of these\n", n_repeats);
       n_repeats = 0;
       last_printed = line;
-      print_line (line, line->names_id, first_ms, out);
+      print_log_line (line, line->names_id, first_ms, out);
     }
 }
 
@@ -250,14 +255,14 @@
   int64_t first_ms = 0;
   int64_t last_ms = 0;
 
-  if (!mark_matching_lines (timeline, &first_ms, &last_ms))
+  if (!mark_lines_naming_id (timeline, &first_ms, &last_ms))
     return false;
   if (timeline->n_lines > 0)
     qsort (timeline->lines, timeline->n_lines, sizeof *timeline->lines, compare_lines_by_time);
   fprintf (out,
            "%s: %.3f s; lines that name the id, and marked ~ state changes of the same instances\n",
            timeline->id, (double)(last_ms - first_ms) / 1000);
-  print_lines (timeline, first_ms, last_ms, out);
+  print_lines_with_context (timeline, first_ms, last_ms, out);
   if (timeline->n_unreadable > 0)
     fprintf (out, "%zu lines could not be read\n", timeline->n_unreadable);
   return true;
--- a/packages/cli/src/lt-watch.c
+++ b/packages/cli/src/lt-watch.c
@@ -14,7 +14,7 @@
 
 typedef struct
 {
-  struct arg_int *number; /* --after or --limit */
+  struct arg_int *number; /* argument of `watch --after` or `history --limit` */
   struct arg_lit *once;
   LtArguments common;
 } Options;
@@ -61,7 +61,7 @@
 
   while (keep_watching)
     {
-      /* Without --after the first call returns immediately. */
+      /* Without --after the first call doesn't wait for a new revision. */
       snprintf (path, sizeof path, "/v1/resources/watch?after=%lld&wait_ms=%d",
                 after < 0 ? 0 : after, after < 0 ? 0 : LONG_POLL_MS);
       keep_watching = lt_client_call (client, &call, &reply, &error);
@@ -80,7 +80,7 @@
 }
 
 int
-lt_watch_run (int argc, char **argv)
+lt_run_watch_command (int argc, char **argv)
 {
   int code;
   Options options;
@@ -92,7 +92,8 @@
   lt_arguments_init (&options.common, table + 2);
   if (lt_arguments_parse (
           &options.common, table, 2 + LT_N_COMMON_ARGUMENTS, argc, argv,
-          "Prints the accepted revision and on how many instances each is in force.", &code))
+          "Prints the accepted revision and on how many instances each revision is in force.",
+          &code))
     code = watch_revisions (&options);
   arg_freetable (table, 2 + LT_N_COMMON_ARGUMENTS);
   return code;
@@ -124,7 +125,7 @@
 }
 
 static void
-print_list (struct json_object *body, const char *key)
+print_status_list (struct json_object *body, const char *key)
 {
   struct json_object *list = json_object_object_get (body, key);
 
@@ -151,9 +152,9 @@
     if (!json_object_is_type (value, json_type_array))
       printf ("%-22s %s\n", key, json_object_get_string (value));
   }
-  print_list (body, "instances");
-  print_list (body, "leases");
-  print_list (body, "roll_outs");
+  print_status_list (body, "instances");
+  print_status_list (body, "leases");
+  print_status_list (body, "roll_outs");
 }
 
 static int
@@ -179,7 +180,7 @@
 }
 
 int
-lt_history_run (int argc, char **argv)
+lt_run_history_command (int argc, char **argv)
 {
   int code;
   char path[64];
@@ -200,7 +201,7 @@
 }
 
 int
-lt_status_run (int argc, char **argv)
+lt_run_status_command (int argc, char **argv)
 {
   int code;
   Options options;
