--- a/packages/cli/src/lt-bench.c
+++ b/packages/cli/src/lt-bench.c
@@ -29,7 +29,7 @@
   int64_t concurrency;
   double duration_seconds;
   double idle_weight;  /* weight of idle time, 0 to 1; negative: value of the site's preset */
-  double hedge_budget; /* share of tokens for hedges; negative: simulator's default */
+  double hedge_budget; /* share of a step's tokens for hedges; negative: simulator's default */
   double hard_share;   /* share of stragglers from hard prompts; negative: simulator's default */
   double train_seconds;
   bool json;
@@ -82,14 +82,15 @@
 }
 
 static void
-print_result_row (const LxResult *r)
+print_result_row (const LxResult *result)
 {
   printf ("%-36s %5" PRIu64 " %6" PRId64 " %9.2f %6.2f %6.3f %4" PRId64 " %8.1f %8.1f %8" PRId64
           " %6" PRId64 " %5" PRId64 " %5" PRId64 " %5" PRId64 " %7.4f %7.3f %6.3f %9.0f\n",
-          r->policy, r->seed, r->steps, r->idle_seconds, r->idle_floor_seconds, r->staleness_mean,
-          r->staleness_max, r->live_p50_ms, r->live_p99_ms, r->refused, r->lost, r->doubled,
-          r->stale, r->other_breaches, r->wasted_tokens_ratio, r->imbalance, r->prefix_hits,
-          r->decisions_per_second);
+          result->policy, result->seed, result->steps, result->idle_seconds,
+          result->idle_floor_seconds, result->staleness_mean, result->staleness_max,
+          result->live_p50_ms, result->live_p99_ms, result->refused, result->lost, result->doubled,
+          result->stale, result->other_breaches, result->wasted_tokens_ratio, result->imbalance,
+          result->prefix_hits, result->decisions_per_second);
   fflush (stdout);
 }
 
--- a/packages/cli/src/lt-resources.c
+++ b/packages/cli/src/lt-resources.c
@@ -158,8 +158,8 @@
             (long long)lt_json_integer (in_force, "of"));
 }
 
-/* Sends the change again if no reply arrives. All attempts carry the same idempotency key, so that
- * a change whose reply was lost is not applied twice. */
+/* Sends the change again if no reply arrives, except a forced change. All attempts carry the same
+ * idempotency key, so that a change whose reply was lost is not applied twice. */
 static bool
 send_change_with_retries (const LtChangeRequest *request, LtReply *reply, LbError *error)
 {
--- a/packages/cli/src/lt-soak.c
+++ b/packages/cli/src/lt-soak.c
@@ -14,7 +14,7 @@
 
 /* Returns the LxFault with this name, or -1 if no fault has it. */
 static int
-find_fault (const char *name)
+find_fault_by_name (const char *name)
 {
   for (int i = 0; i < LX_N_FAULTS; i++)
     if (strcmp (lx_fault_name ((LxFault)i), name) == 0)
@@ -71,7 +71,7 @@
     }
   soak.site = lx_site_find (*site->sval);
   if (only->count > 0)
-    soak.only_fault = find_fault (*only->sval);
+    soak.only_fault = find_fault_by_name (*only->sval);
   if (!soak.site || (only->count > 0 && soak.only_fault < 0))
     {
       fprintf (stderr, "lentilspindle soak: unknown %s\n", soak.site ? "fault" : "site");
--- a/packages/cli/src/lt-timeline.c
+++ b/packages/cli/src/lt-timeline.c
@@ -141,7 +141,7 @@
 /* Returns true if the instance that logged object also logged a line that names the id. State
  * changes of other instances did not affect the request. */
 static bool
-is_instance_involved (const LtTimeline *timeline, struct json_object *object)
+has_instance_logged_id (const LtTimeline *timeline, struct json_object *object)
 {
   const char *instance = lb_json_text (object, "instance", "");
 
@@ -234,7 +234,7 @@
           = line->time_ms >= first_ms - CONTEXT_BEFORE_MS && line->time_ms <= last_ms;
       if (!line->names_id
           && !(is_in_time_range && is_state_change_event (line->object)
-               && is_instance_involved (timeline, line->object)))
+               && has_instance_logged_id (timeline, line->object)))
         continue;
       if (is_repeated_state_change (line, last_printed))
         {
--- a/packages/cli/src/lt-watch.c
+++ b/packages/cli/src/lt-watch.c
@@ -158,9 +158,9 @@
 }
 
 static int
-fetch_and_print (const Options *options,
-                 const char *path,
-                 void (*print_body) (struct json_object *body))
+fetch_and_print_body (const Options *options,
+                      const char *path,
+                      void (*print_body) (struct json_object *body))
 {
   LtReply reply;
   LbError error = { .code = LB_OK };
@@ -194,7 +194,7 @@
     {
       snprintf (path, sizeof path, "/v1/history?limit=%d",
                 options.number->count > 0 ? options.number->ival[0] : DEFAULT_HISTORY_LIMIT);
-      code = fetch_and_print (&options, path, print_history);
+      code = fetch_and_print_body (&options, path, print_history);
     }
   arg_freetable (table, 1 + LT_N_COMMON_ARGUMENTS);
   return code;
@@ -211,7 +211,7 @@
   if (lt_arguments_parse (
           &options.common, table, LT_N_COMMON_ARGUMENTS, argc, argv,
           "Prints the instance's state, all instances and revisions, leases and roll-outs.", &code))
-    code = fetch_and_print (&options, "/v1/status", print_status);
+    code = fetch_and_print_body (&options, "/v1/status", print_status);
   arg_freetable (table, LT_N_COMMON_ARGUMENTS);
   return code;
 }
