--- a/tools/local.py
+++ b/tools/local.py
@@ -11,7 +11,7 @@
 
 
 class Processes:
-    """The processes that one run started."""
+    """The processes that one run of a tool started."""
 
     def __init__(self, build, folder):
         self.build, self.folder = os.path.abspath(build), folder
@@ -57,7 +57,7 @@
 
 
 def request(address, method, path, body=None, headers=None, timeout=60):
-    """Makes one call and returns its status and body."""
+    """Makes one HTTP request and returns the status and the body of the reply."""
     connection = http.client.HTTPConnection(address, timeout=timeout)
     try:
         connection.request(method, path, json.dumps(body) if body is not None else None,
