--- a/tests/process/pt-assert.h
+++ b/tests/process/pt-assert.h
@@ -4,8 +4,8 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* Assertions for helpers that also run outside Criterion tests; failures are printed to standard
- * error. */
+/* Assertions for test helpers that also run in programs without Criterion. A failure prints the
+ * condition to standard error and aborts. */
 #define PT_ASSERT(condition) PT_ASSERT_MSG (condition, "%s", "")
 
 #define PT_ASSERT_MSG(condition, ...)                                                              \
--- a/tests/process/pt-cluster.c
+++ b/tests/process/pt-cluster.c
@@ -12,7 +12,7 @@
 #include <string.h>
 #include <unistd.h>
 
-#define POLL_INTERVAL (20 * LB_MSEC)
+#define CONDITION_POLL_INTERVAL (20 * LB_MSEC)
 
 void
 pt_cluster_init (PtCluster *cluster)
@@ -29,7 +29,7 @@
 }
 
 static int
-remove_entry (const char *path, const struct stat *info, int type, struct FTW *where)
+remove_file_or_folder (const char *path, const struct stat *info, int type, struct FTW *where)
 {
   (void)info;
   (void)type;
@@ -37,7 +37,6 @@
   return remove (path);
 }
 
-/* The logs are kept if PT_KEEP is set in the environment. */
 void
 pt_cluster_clear (PtCluster *cluster)
 {
@@ -48,7 +47,7 @@
   pt_process_clear (&cluster->platform.process);
   si_client_clear (&cluster->client);
   if (!getenv ("PT_KEEP"))
-    nftw (cluster->folder, remove_entry, 8, FTW_DEPTH | FTW_PHYS);
+    nftw (cluster->folder, remove_file_or_folder, 8, FTW_DEPTH | FTW_PHYS);
 }
 
 static void
@@ -62,15 +61,15 @@
 }
 
 void
-pt_wait (PtCluster *cluster, const char *what, PtCondition condition, void *user)
+pt_wait_until (PtCluster *cluster, const char *description, PtCondition condition, void *user)
 {
   LbTime deadline = lb_clock_monotonic () + PT_WAIT_TIMEOUT;
 
   while (!condition (cluster, user))
     {
-      PT_ASSERT_MSG (lb_clock_monotonic () < deadline, "timed out: %s (logs in %s)", what,
-                     cluster->folder);
-      si_client_pause (&cluster->client, POLL_INTERVAL);
+      PT_ASSERT_MSG (lb_clock_monotonic () < deadline, "timed out waiting until %s (logs in %s)",
+                     description, cluster->folder);
+      si_client_pause (&cluster->client, CONDITION_POLL_INTERVAL);
       poll_processes (cluster);
     }
 }
@@ -108,14 +107,15 @@
 
   LB_COPY (cluster->platform.name, "platform");
   start_program (cluster, &cluster->platform.process, "platform", argv);
-  pt_wait (cluster, "the platform prints its address", has_printed_address, &cluster->platform);
+  pt_wait_until (cluster, "the platform prints its address", has_printed_address,
+                 &cluster->platform);
 }
 
 static void
-spawn_endpoint (PtCluster *cluster,
-                PtProgram *endpoint,
-                const char *program,
-                const char *const *options)
+spawn_endpoint_and_wait (PtCluster *cluster,
+                         PtProgram *endpoint,
+                         const char *program,
+                         const char *const *options)
 {
   const char *argv[PT_MAX_ARGS] = { program, "--name", endpoint->name };
   size_t n = 3;
@@ -123,7 +123,7 @@
   while (options && *options && n < PT_MAX_ARGS - 1)
     argv[n++] = *options++;
   start_program (cluster, &endpoint->process, endpoint->name, argv);
-  pt_wait (cluster, "an endpoint prints its address", has_printed_address, endpoint);
+  pt_wait_until (cluster, "the endpoint prints its address", has_printed_address, endpoint);
 }
 
 static PtProgram *
@@ -135,7 +135,7 @@
   PtProgram *endpoint = &cluster->endpoints[cluster->n_endpoints++];
 
   LB_COPY (endpoint->name, name);
-  spawn_endpoint (cluster, endpoint, program, options);
+  spawn_endpoint_and_wait (cluster, endpoint, program, options);
   return endpoint;
 }
 
@@ -143,7 +143,7 @@
 pt_restart_engine (PtCluster *cluster, PtProgram *engine, const char *const *options)
 {
   pt_process_clear (&engine->process);
-  spawn_endpoint (cluster, engine, "standin-engine", options);
+  spawn_endpoint_and_wait (cluster, engine, "standin-engine", options);
 }
 
 PtProgram *
@@ -158,21 +158,21 @@
   return start_endpoint (cluster, "standin-service", name, options);
 }
 
-/* --- instances --- */
+/* --- Starting instances --- */
 
 static bool
-is_running (const PtProgram *program)
+is_program_running (const PtProgram *program)
 {
   return program->process.pid > 0 && !program->process.ended;
 }
 
 static struct json_object *
-make_seeds (const PtCluster *cluster, const PtProgram *excluded)
+make_seed_addresses (const PtCluster *cluster, const PtProgram *excluded)
 {
   struct json_object *seeds = json_object_new_array ();
 
   for (size_t i = 0; i < cluster->n_instances; i++)
-    if (&cluster->instances[i] != excluded && is_running (&cluster->instances[i]))
+    if (&cluster->instances[i] != excluded && is_program_running (&cluster->instances[i]))
       json_object_array_add (seeds, json_object_new_string (cluster->instances[i].peer_address));
   return seeds;
 }
@@ -187,7 +187,7 @@
 }
 
 static void
-add_platform (const PtCluster *cluster, struct json_object *settings)
+add_platform_settings (const PtCluster *cluster, struct json_object *settings)
 {
   struct json_object *platform = add_settings_group (settings, "platform");
 
@@ -197,7 +197,9 @@
 }
 
 static struct json_object *
-make_settings (const PtCluster *cluster, const PtProgram *instance, const char *address_file)
+make_instance_settings (const PtCluster *cluster,
+                        const PtProgram *instance,
+                        const char *address_file)
 {
   struct json_object *settings = json_object_new_object ();
   struct json_object *self = add_settings_group (settings, "instance");
@@ -210,9 +212,9 @@
   si_json_set_text (self, "data_centre", instance->data_centre);
   si_json_set_text (self, "caller_address", "127.0.0.1:0");
   si_json_set_text (self, "peer_address", "127.0.0.1:0");
-  add_platform (cluster, settings);
+  add_platform_settings (cluster, settings);
   si_json_set_text (cluster_settings, "key", "test-key");
-  json_object_object_add (cluster_settings, "seeds", make_seeds (cluster, instance));
+  json_object_object_add (cluster_settings, "seeds", make_seed_addresses (cluster, instance));
   si_json_set_text (http, "operator_token", PT_OPERATOR_TOKEN);
   si_json_set_int (http, "request_read_ms", cluster->request_read_ms);
   si_json_set_int (calls, "stream_silence_ms", cluster->stream_silence_ms);
@@ -224,7 +226,7 @@
 }
 
 static bool
-has_address_file (PtCluster *cluster, void *user)
+has_written_address_file (PtCluster *cluster, void *user)
 {
   PtProgram *instance = user;
   char *path = lb_asprintf ("%s/%s.address", cluster->folder, instance->name);
@@ -244,18 +246,18 @@
 }
 
 static void
-spawn_instance (PtCluster *cluster, PtProgram *instance)
+spawn_instance_and_wait (PtCluster *cluster, PtProgram *instance)
 {
   char *file = lb_asprintf ("%s/%s.json", cluster->folder, instance->name);
   char *address_file = lb_asprintf ("%s/%s.address", cluster->folder, instance->name);
   const char *argv[] = { "lentilspindled", "--config", file, NULL };
-  struct json_object *settings = make_settings (cluster, instance, address_file);
+  struct json_object *settings = make_instance_settings (cluster, instance, address_file);
 
   unlink (address_file);
   PT_ASSERT (json_object_to_file (file, settings) == 0);
   json_object_put (settings);
   start_program (cluster, &instance->process, instance->name, argv);
-  pt_wait (cluster, "an instance writes its addresses", has_address_file, instance);
+  pt_wait_until (cluster, "the instance writes its addresses", has_written_address_file, instance);
   free (file);
   free (address_file);
 }
@@ -267,7 +269,7 @@
 
   LB_COPY (instance->name, name);
   LB_COPY (instance->data_centre, data_centre);
-  spawn_instance (cluster, instance);
+  spawn_instance_and_wait (cluster, instance);
   pt_publish_instances (cluster);
   return instance;
 }
@@ -276,7 +278,7 @@
 pt_restart_instance (PtCluster *cluster, PtProgram *instance)
 {
   pt_process_clear (&instance->process);
-  spawn_instance (cluster, instance);
+  spawn_instance_and_wait (cluster, instance);
   pt_publish_instances (cluster);
 }
 
@@ -293,7 +295,7 @@
   for (size_t i = 0; i < cluster->n_instances; i++)
     {
       PtProgram *instance = &cluster->instances[i];
-      if (!is_running (instance))
+      if (!is_program_running (instance))
         continue;
       struct json_object *item = json_object_new_object ();
       si_json_set_text (item, "name", instance->name);
@@ -312,7 +314,7 @@
 }
 
 static bool
-is_ready (PtCluster *cluster, void *user)
+is_instance_ready (PtCluster *cluster, void *user)
 {
   const PtProgram *instance = user;
   const SiCall call = { .method = "GET", .address = instance->address, .path = "/readyz" };
@@ -325,9 +327,9 @@
 }
 
 void
-pt_wait_ready (PtCluster *cluster, PtProgram *instance)
+pt_wait_until_ready (PtCluster *cluster, PtProgram *instance)
 {
-  pt_wait (cluster, "an instance is ready", is_ready, instance);
+  pt_wait_until (cluster, "the instance is ready", is_instance_ready, instance);
 }
 
 typedef struct
@@ -336,7 +338,7 @@
 } ExitWait;
 
 static bool
-has_ended (PtCluster *cluster, void *user)
+has_process_ended (PtCluster *cluster, void *user)
 {
   (void)cluster;
   ExitWait *exit_wait = user;
@@ -346,49 +348,49 @@
 }
 
 void
-pt_wait_exit (PtCluster *cluster, PtProcess *process, int code)
+pt_wait_for_exit (PtCluster *cluster, PtProcess *process, int code)
 {
   ExitWait exit_wait = { process };
 
-  pt_wait (cluster, "a process ends", has_ended, &exit_wait);
+  pt_wait_until (cluster, "the process ends", has_process_ended, &exit_wait);
   PT_ASSERT_MSG (pt_process_has_exited (process, code),
-                 "wait status %x, expected exit code %d (logs in %s)", (unsigned)process->status,
-                 code, cluster->folder);
+                 "process ended with wait status 0x%x instead of exit code %d (logs in %s)",
+                 (unsigned)process->status, code, cluster->folder);
 }
 
 void
-pt_inject_fault (PtCluster *cluster, PtProgram *program, const char *fault)
+pt_inject_fault (PtCluster *cluster, PtProgram *standin, const char *fault_json)
 {
   struct json_object *reply
-      = si_client_call_json (&cluster->client, program->address, "/faults", fault);
+      = si_client_call_json (&cluster->client, standin->address, "/faults", fault_json);
 
-  PT_ASSERT_MSG (reply != NULL, "fault rejected: %s", fault);
+  PT_ASSERT_MSG (reply != NULL, "stand-in rejected the fault %s", fault_json);
   json_object_put (reply);
 }
 
 struct json_object *
-pt_read_log (PtCluster *cluster, PtProgram *program)
+pt_read_log (PtCluster *cluster, PtProgram *standin)
 {
-  struct json_object *log = si_client_call_json (&cluster->client, program->address, "/log", NULL);
+  struct json_object *log = si_client_call_json (&cluster->client, standin->address, "/log", NULL);
 
-  PT_ASSERT_MSG (log != NULL, "%s did not return its log", program->name);
+  PT_ASSERT_MSG (log != NULL, "%s returned no log as JSON", standin->name);
   return log;
 }
 
 int64_t
-pt_read_log_counter (PtCluster *cluster, PtProgram *program, const char *key)
+pt_read_log_counter (PtCluster *cluster, PtProgram *standin, const char *key)
 {
-  struct json_object *log = pt_read_log (cluster, program);
-  int64_t number = si_json_int (log, key, -1);
+  struct json_object *log = pt_read_log (cluster, standin);
+  int64_t value = si_json_int (log, key, -1);
 
   json_object_put (log);
-  return number;
+  return value;
 }
 
 int64_t
-pt_count_runs (PtCluster *cluster, PtProgram *program, const char *key)
+pt_count_call_runs (PtCluster *cluster, PtProgram *endpoint, const char *key)
 {
-  struct json_object *log = pt_read_log (cluster, program);
+  struct json_object *log = pt_read_log (cluster, endpoint);
   struct json_object *runs = NULL;
   int64_t n;
 
@@ -398,18 +400,19 @@
   return n;
 }
 
+/* Starts the program with one --address option for each running instance, then the options. */
 static void
-start_caller (PtCluster *cluster,
-              PtProcess *process,
-              const char *program,
-              const char *const *options)
+start_program_with_addresses (PtCluster *cluster,
+                              PtProcess *process,
+                              const char *program,
+                              const char *const *options)
 {
   const char *argv[PT_MAX_ARGS] = { program };
   size_t n = 1;
 
   for (size_t i = 0; i < cluster->n_instances && n < PT_MAX_ARGS - 2; i++)
     {
-      if (!is_running (&cluster->instances[i]))
+      if (!is_program_running (&cluster->instances[i]))
         continue;
       argv[n++] = "--address";
       argv[n++] = cluster->instances[i].address;
@@ -422,23 +425,24 @@
 void
 pt_start_trainer (PtCluster *cluster, PtProcess *trainer, const char *const *options)
 {
-  start_caller (cluster, trainer, "standin-trainer", options);
+  start_program_with_addresses (cluster, trainer, "standin-trainer", options);
 }
 
 void
-pt_start_load (PtCluster *cluster, PtProcess *load, const char *const *options)
+pt_start_load_generator (PtCluster *cluster, PtProcess *load, const char *const *options)
 {
-  start_caller (cluster, load, "standin-load", options);
+  start_program_with_addresses (cluster, load, "standin-load", options);
 }
 
 struct json_object *
-pt_wait_summary (PtCluster *cluster, PtProcess *process)
+pt_wait_for_summary (PtCluster *cluster, PtProcess *process)
 {
   ExitWait exit_wait = { process };
 
-  pt_wait (cluster, "a stand-in ends", has_ended, &exit_wait);
+  pt_wait_until (cluster, "the stand-in client ends", has_process_ended, &exit_wait);
   struct json_object *summary = json_tokener_parse (process->output);
-  PT_ASSERT_MSG (summary != NULL, "program printed no JSON summary (logs in %s)", cluster->folder);
+  PT_ASSERT_MSG (summary != NULL, "stand-in client printed no JSON summary (logs in %s)",
+                 cluster->folder);
   return summary;
 }
 
@@ -446,41 +450,41 @@
 {
   SiCheckedCallResult result;
   bool done;
-} CallWait;
+} CallCompletion;
 
 static void
 on_call_done (const SiCheckedCallResult *result, void *user)
 {
-  CallWait *wait = user;
+  CallCompletion *completion = user;
 
-  wait->result = *result;
-  wait->done = true;
+  completion->result = *result;
+  completion->done = true;
 }
 
 static bool
 is_call_done (PtCluster *cluster, void *user)
 {
   (void)cluster;
-  return ((CallWait *)user)->done;
+  return ((CallCompletion *)user)->done;
 }
 
 SiCheckedCallResult
-pt_checked_call (PtCluster *cluster, const SiCheckedCallSpec *spec)
+pt_run_checked_call (PtCluster *cluster, const SiCheckedCallSpec *spec)
 {
-  CallWait wait = { .done = false };
+  CallCompletion completion = { .done = false };
 
-  si_checked_call_start (cluster->client.pool, spec, on_call_done, &wait);
-  pt_wait (cluster, "a call ends", is_call_done, &wait);
-  return wait.result;
+  si_checked_call_start (cluster->client.pool, spec, on_call_done, &completion);
+  pt_wait_until (cluster, "the call ends", is_call_done, &completion);
+  return completion.result;
 }
 
 void
-pt_cluster_drain (PtCluster *cluster)
+pt_drain_instances (PtCluster *cluster)
 {
   for (size_t i = 0; i < cluster->n_instances; i++)
-    if (is_running (&cluster->instances[i]))
+    if (is_program_running (&cluster->instances[i]))
       pt_process_signal (&cluster->instances[i].process, SIGTERM);
   for (size_t i = 0; i < cluster->n_instances; i++)
-    if (is_running (&cluster->instances[i]))
-      pt_wait_exit (cluster, &cluster->instances[i].process, 0);
+    if (is_program_running (&cluster->instances[i]))
+      pt_wait_for_exit (cluster, &cluster->instances[i].process, 0);
 }
--- a/tests/process/pt-cluster.h
+++ b/tests/process/pt-cluster.h
@@ -5,92 +5,101 @@
 #include "si-checked-call.h"
 #include "si-client.h"
 
-#define PT_MAX_PROGRAMS 16
+#define PT_MAX_PROGRAMS 16 /* limit of instances, and of endpoints, in one cluster */
 #define PT_OPERATOR_TOKEN "test-token"
-#define PT_WAIT_TIMEOUT (60 * LB_SEC) /* of every wait; long enough for a busy machine */
+#define PT_WAIT_TIMEOUT (60 * LB_SEC) /* limit of one wait; long enough for a busy machine */
 
-/* A stand-in or an instance, and its addresses. */
+/* A child process of the test: an instance, or a stand-in for the platform or an endpoint. */
 typedef struct
 {
   PtProcess process;
   LbName name;
-  LbName address;
-  LbName peer_address; /* set for instances only */
-  LbName data_centre;
+  LbName address;      /* serves callers; IP:PORT */
+  LbName peer_address; /* serves other instances; empty for stand-ins */
+  LbName data_centre;  /* empty for stand-ins */
 } PtProgram;
 
-/* The programs that one test runs. */
+/* The processes that one test runs, and the settings of its instances. */
 typedef struct
 {
-  char folder[64]; /* settings and logs; removed by pt_cluster_clear */
+  char folder[64]; /* temporary; holds settings and logs; removed by pt_cluster_clear */
   SiClient client;
   PtProgram platform;
   PtProgram instances[PT_MAX_PROGRAMS];
   size_t n_instances;
   PtProgram endpoints[PT_MAX_PROGRAMS];
   size_t n_endpoints;
-  int drain_ms;
-  int entry_ttl_ms;
-  int stream_silence_ms;
+  int drain_ms;             /* minimum time to serve callers after SIGTERM */
+  int entry_ttl_ms;         /* how long callers may cache addresses of instances */
+  int stream_silence_ms;    /* a stream that receives no byte for this time has failed */
   int request_read_ms;      /* limit for reading a request; does not cover its response */
-  bool has_memory_platform; /* instances keep platform data in memory; no stand-in runs */
+  bool has_memory_platform; /* instances keep platform data in memory; no platform process runs */
 } PtCluster;
 
+/* Tests a condition that pt_wait_until waits for; user is the pointer given to pt_wait_until. */
 typedef bool (*PtCondition) (PtCluster *cluster, void *user);
 
 void pt_cluster_init (PtCluster *cluster);
+/* Kills all processes. Also deletes the folder, unless PT_KEEP is set in the environment. */
 void pt_cluster_clear (PtCluster *cluster);
-/* Stops every running instance with SIGTERM and asserts that it becomes idle and exits with 0. In
- * a sanitizer build a leak makes the exit code non-zero. */
-void pt_cluster_drain (PtCluster *cluster);
+/* Sends SIGTERM to every running instance, waits until all have exited and asserts exit code 0. In
+ * a sanitizer build a memory leak makes the exit code non-zero. */
+void pt_drain_instances (PtCluster *cluster);
 
+/* Each pt_start_* function below runs a program of the build. `options` holds additional
+ * command-line arguments, NULL-terminated; NULL: none. */
 void pt_start_platform (PtCluster *cluster);
-/* options: more arguments, NULL-terminated; may be NULL. */
 PtProgram *pt_start_engine (PtCluster *cluster, const char *name, const char *const *options);
-/* Kills the engine if it runs and starts it at a new address, which no resource names until
- * pt_apply_resources. */
+/* Kills the engine if it runs and starts it again at a new address. Instances use the new address
+ * only after pt_apply_resources. */
 void pt_restart_engine (PtCluster *cluster, PtProgram *engine, const char *const *options);
 PtProgram *pt_start_service (PtCluster *cluster, const char *name, const char *const *options);
 PtProgram *pt_start_instance (PtCluster *cluster, const char *name, const char *data_centre);
 /* Kills the instance if it runs and starts a replacement with the same name. */
 void pt_restart_instance (PtCluster *cluster, PtProgram *instance);
-/* Sets the platform's list of instances, which lags behind the processes, to those that run now. */
+/* Tells the stand-in platform which instances run now, for the instance list that it serves. */
 void pt_publish_instances (PtCluster *cluster);
 
-/* Waits until the condition holds; fails the test with the message `what` after PT_WAIT_TIMEOUT. */
-void pt_wait (PtCluster *cluster, const char *what, PtCondition condition, void *user);
-void pt_wait_ready (PtCluster *cluster, PtProgram *instance);
-void pt_wait_exit (PtCluster *cluster, PtProcess *process, int code);
+/* Waits until the condition is true. After PT_WAIT_TIMEOUT the test fails, and the message contains
+ * `description`. */
+void pt_wait_until (PtCluster *cluster, const char *description, PtCondition condition, void *user);
+void pt_wait_until_ready (PtCluster *cluster, PtProgram *instance);
+/* Waits until the process ends and asserts this exit code. */
+void pt_wait_for_exit (PtCluster *cluster, PtProcess *process, int code);
 
-/* Applies pool "reader" with every engine, subscription "reader-trainer" with a lag of at most 2
- * versions, and service "lookup" with every service. */
+/* Configures the cluster through this instance: all engines in pool "reader", all services in
+ * service "lookup", and subscription "reader-trainer" to samples at most 2 weight versions old. */
 void pt_apply_resources (PtCluster *cluster, PtProgram *instance);
-/* Like pt_apply_resources, at each running instance in turn until one accepts. */
-void pt_apply_resources_anywhere (PtCluster *cluster);
-/* Sends changes with the header If-Match, unless if_match is NULL ("*" matches any revision). The
- * caller clears the response. */
+/* Like pt_apply_resources, but tries each running instance in turn until one accepts. */
+void pt_apply_resources_at_any_instance (PtCluster *cluster);
+/* Sends resource changes (JSON) to the instance. if_match is the value of the If-Match header: the
+ * expected revision, "*" for any, or NULL for no header. The caller clears the response. */
 void pt_apply_change (PtCluster *cluster,
                       PtProgram *instance,
                       const char *changes,
                       const char *if_match,
                       SiResponse *response);
-/* Waits until the newest accepted revision is in force on every running instance. */
-void pt_wait_revision_in_force (PtCluster *cluster);
+/* Waits until all running instances report the same active revision of the configuration. */
+void pt_wait_until_revision_in_force (PtCluster *cluster);
 
-void pt_inject_fault (PtCluster *cluster, PtProgram *program, const char *fault);
-struct json_object *pt_read_log (PtCluster *cluster, PtProgram *program);
-int64_t pt_read_log_counter (PtCluster *cluster, PtProgram *program, const char *key);
-/* How often the endpoint has run the call with this key. */
-int64_t pt_count_runs (PtCluster *cluster, PtProgram *program, const char *key);
+/* Sends a fault, such as {"mode": "hang"}, to a stand-in; mode "none" ends all faults. */
+void pt_inject_fault (PtCluster *cluster, PtProgram *standin, const char *fault_json);
+/* Returns the stand-in's log (JSON object); the caller releases it. */
+struct json_object *pt_read_log (PtCluster *cluster, PtProgram *standin);
+/* Returns a number of the stand-in's log; -1: the log has no such key. */
+int64_t pt_read_log_counter (PtCluster *cluster, PtProgram *standin, const char *key);
+/* Returns how often the endpoint started the call with this key: its x-order header, or else its
+ * prompt or body. */
+int64_t pt_count_call_runs (PtCluster *cluster, PtProgram *endpoint, const char *key);
 
-/* Starts a trainer or load generator that uses the running instances; options is
- * NULL-terminated. */
+/* Start a stand-in client that sends its calls to the instances running now. */
 void pt_start_trainer (PtCluster *cluster, PtProcess *trainer, const char *const *options);
-void pt_start_load (PtCluster *cluster, PtProcess *load, const char *const *options);
-/* Waits until the program ends and returns its JSON summary; the caller releases it. */
-struct json_object *pt_wait_summary (PtCluster *cluster, PtProcess *process);
+void pt_start_load_generator (PtCluster *cluster, PtProcess *load, const char *const *options);
+/* Waits until the stand-in client ends and returns the JSON summary that it printed; the caller
+ * releases it. */
+struct json_object *pt_wait_for_summary (PtCluster *cluster, PtProcess *process);
 
-/* Sends one call and waits for its result. */
-SiCheckedCallResult pt_checked_call (PtCluster *cluster, const SiCheckedCallSpec *spec);
+/* Sends one call, checks its response against the expected text and returns the result. */
+SiCheckedCallResult pt_run_checked_call (PtCluster *cluster, const SiCheckedCallSpec *spec);
 
 #endif
--- a/tests/process/pt-process.c
+++ b/tests/process/pt-process.c
@@ -19,7 +19,7 @@
   char *program_path = lb_asprintf ("%s/%s", PT_BIN, argv[0]);
   int log_fd = open (log_path, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
 
-  /* Ends the program when the test crashes. */
+  /* The kernel kills this child when the test process ends, even if the test crashes. */
   prctl (PR_SET_PDEATHSIG, SIGKILL);
   signal (SIGPIPE, SIG_DFL);
   dup2 (stdout_fd, STDOUT_FILENO);
--- a/tests/process/pt-process.h
+++ b/tests/process/pt-process.h
@@ -7,25 +7,28 @@
 
 #define PT_MAX_ARGS 32
 
-/* A child process that runs a program of the build. It is killed when the test ends. */
+/* A child process that runs a program of the build. The kernel kills it when the test process
+ * ends. */
 typedef struct
 {
-  pid_t pid;     /* 0: not started */
-  int output_fd; /* read end of the pipe from its standard output; non-blocking */
-  char *output;  /* standard output read so far, NUL-terminated */
+  pid_t pid;     /* 0: not started, or cleared */
+  int output_fd; /* read end of the pipe from the child's standard output; non-blocking */
+  char *output;  /* standard output received until the last poll, NUL-terminated */
   size_t output_length;
-  int status; /* from waitpid; valid once ended is true */
-  bool ended;
+  int status; /* wait status from waitpid; valid if ended is true */
+  bool ended; /* the child has ended and was reaped */
 } PtProcess;
 
-/* Starts the program build/bin/argv[0]; its standard error is appended to log_path. */
+/* Starts the program build/bin/argv[0] and appends its standard error to the file log_path. */
 void pt_process_start (PtProcess *process, const char *const *argv, const char *log_path);
-/* Kills the process if it still runs, and frees its output. */
+/* Kills the process if it is running, reaps it and frees its output. */
 void pt_process_clear (PtProcess *process);
 void pt_process_signal (const PtProcess *process, int signal_number);
-/* Reads pending output and reaps the process if it has ended; does not block. */
+/* Reads available output into process->output and reaps the process if it has ended. Never
+ * blocks. */
 void pt_process_poll (PtProcess *process);
 
+/* Returns whether the process has exited by itself with this exit code. */
 bool pt_process_has_exited (const PtProcess *process, int code);
 
 #endif
--- a/tests/process/pt-relay.c
+++ b/tests/process/pt-relay.c
@@ -17,20 +17,21 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define ORDER_POLL_INTERVAL (2 * LB_MSEC) /* between checks for earlier chunks that still wait */
+/* Interval at which a chunk whose delay is over checks whether all earlier chunks are written. */
+#define CHUNK_ORDER_POLL_INTERVAL (2 * LB_MSEC)
 
-/* A client's connection to the relay and the matching one to the target. */
+/* A client's connection to the relay, and the relay's connection to the target for that client. */
 typedef struct
 {
   LbLink link;
   PtRelay *relay;
   struct bufferevent *client;
   struct bufferevent *server;
-  bool is_blackholed;
-  LbList delayed; /* Chunk */
+  bool is_blackholed;    /* all further data is dropped */
+  LbList delayed_chunks; /* of type Chunk, in the order of arrival */
 } Connection;
 
-/* Data that is held back until its delay is over. */
+/* Data that was received together and is forwarded after the delay. */
 typedef struct
 {
   LbLink link;
@@ -43,7 +44,7 @@
 static void
 chunk_free (Chunk *chunk)
 {
-  lb_list_remove (&chunk->connection->delayed, &chunk->link);
+  lb_list_remove (&chunk->connection->delayed_chunks, &chunk->link);
   event_free (chunk->timer);
   evbuffer_free (chunk->data);
   free (chunk);
@@ -53,7 +54,7 @@
 connection_free (Connection *connection)
 {
   lb_list_remove (&connection->relay->connections, &connection->link);
-  LB_LIST_FOREACH (&connection->delayed, Chunk, link, chunk)
+  LB_LIST_FOREACH (&connection->delayed_chunks, Chunk, link, chunk)
   chunk_free (chunk);
   bufferevent_free (connection->client);
   bufferevent_free (connection->server);
@@ -61,17 +62,17 @@
 }
 
 static void
-on_chunk_due (evutil_socket_t fd, short what, void *user)
+on_chunk_delay_elapsed (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
   Chunk *chunk = user;
-  const struct timeval retry_interval = { .tv_usec = ORDER_POLL_INTERVAL };
+  const struct timeval poll_interval = { .tv_usec = CHUNK_ORDER_POLL_INTERVAL };
 
-  /* A chunk that arrived earlier with a longer delay is written first. */
-  if (chunk->connection->delayed.head.next != &chunk->link)
+  /* An earlier chunk with a longer delay is still in the list and must be written first. */
+  if (chunk->connection->delayed_chunks.head.next != &chunk->link)
     {
-      evtimer_add (chunk->timer, &retry_interval);
+      evtimer_add (chunk->timer, &poll_interval);
       return;
     }
   bufferevent_write_buffer (chunk->destination, chunk->data);
@@ -79,7 +80,9 @@
 }
 
 static void
-forward_delayed (Connection *connection, struct evbuffer *input, struct bufferevent *destination)
+forward_after_delay (Connection *connection,
+                     struct evbuffer *input,
+                     struct bufferevent *destination)
 {
   LbTime delay = connection->relay->fault.delay;
   const struct timeval tv = lb_time_to_timeval (delay);
@@ -89,20 +92,20 @@
   chunk->destination = destination;
   chunk->data = evbuffer_new ();
   evbuffer_add_buffer (chunk->data, input);
-  chunk->timer = evtimer_new (connection->relay->base, on_chunk_due, chunk);
+  chunk->timer = evtimer_new (connection->relay->base, on_chunk_delay_elapsed, chunk);
   evtimer_add (chunk->timer, &tv);
-  lb_list_append (&connection->delayed, &chunk->link);
+  lb_list_append (&connection->delayed_chunks, &chunk->link);
 }
 
 static void
-on_read (struct bufferevent *from, void *user)
+on_data_received (struct bufferevent *from, void *user)
 {
   Connection *connection = user;
   struct evbuffer *input = bufferevent_get_input (from);
   const PtRelayFault *fault = &connection->relay->fault;
   bool to_target = from == connection->client;
 
-  /* After dropped bytes the TCP stream has a gap, so the connection delivers nothing more. */
+  /* Once bytes are dropped, forwarding later bytes would leave a gap in the TCP stream. */
   connection->is_blackholed |= to_target ? fault->drops_to_target : fault->drops_from_target;
   if (connection->is_blackholed)
     {
@@ -110,15 +113,16 @@
       return;
     }
   connection->relay->bytes_forwarded += (int64_t)evbuffer_get_length (input);
-  if (fault->delay > 0 || !lb_list_is_empty (&connection->delayed))
-    forward_delayed (connection, input, to_target ? connection->server : connection->client);
+  if (fault->delay > 0 || !lb_list_is_empty (&connection->delayed_chunks))
+    forward_after_delay (connection, input, to_target ? connection->server : connection->client);
   else
     bufferevent_write_buffer (to_target ? connection->server : connection->client, input);
 }
 
-/* A blackholed connection does not forward a close either: the other side sees it as open. */
+/* Closes both sides when one side has closed or failed. A blackholed connection stays open, as a
+ * firewall without connection state forwards no close. */
 static void
-on_event (struct bufferevent *from, short what, void *user)
+on_connection_event (struct bufferevent *from, short what, void *user)
 {
   Connection *connection = user;
 
@@ -141,17 +145,17 @@
 static void
 enable_callbacks (Connection *connection, struct bufferevent *side)
 {
-  bufferevent_setcb (side, on_read, NULL, on_event, connection);
+  bufferevent_setcb (side, on_data_received, NULL, on_connection_event, connection);
   bufferevent_enable (side, EV_READ | EV_WRITE);
   disable_nagle (side);
 }
 
 static void
-on_accept (struct evconnlistener *listener,
-           evutil_socket_t fd,
-           struct sockaddr *address,
-           int length,
-           void *user)
+on_client_accepted (struct evconnlistener *listener,
+                    evutil_socket_t fd,
+                    struct sockaddr *address,
+                    int length,
+                    void *user)
 {
   (void)listener;
   (void)address;
@@ -162,7 +166,7 @@
   int target_length = sizeof target;
 
   connection->relay = relay;
-  lb_list_init (&connection->delayed);
+  lb_list_init (&connection->delayed_chunks);
   lb_list_append (&relay->connections, &connection->link);
   connection->client = bufferevent_socket_new (relay->base, fd, BEV_OPT_CLOSE_ON_FREE);
   connection->server = bufferevent_socket_new (relay->base, -1, BEV_OPT_CLOSE_ON_FREE);
@@ -174,9 +178,9 @@
   enable_callbacks (connection, connection->server);
 }
 
-/* Binds a socket to a free port. The socket never listens and stays open while the relay refuses
- * connections, so that no other program can bind the port; SO_REUSEPORT lets the relay's own
- * listener share it. Close-on-exec keeps the socket out of programs that the test starts. */
+/* Binds a socket to a free port and never listens on it, so that no other program can take the port
+ * while the relay refuses connections. SO_REUSEPORT lets the relay's listener bind the port too;
+ * close-on-exec keeps child processes from inheriting the socket. */
 static int
 reserve_port (struct sockaddr_in *bound)
 {
@@ -226,7 +230,7 @@
     return;
   PT_ASSERT (evutil_parse_sockaddr_port (relay->address, (struct sockaddr *)&address, &length)
              == 0);
-  relay->listener = evconnlistener_new_bind (relay->base, on_accept, relay, flags, -1,
+  relay->listener = evconnlistener_new_bind (relay->base, on_client_accepted, relay, flags, -1,
                                              (struct sockaddr *)&address, length);
   PT_ASSERT (relay->listener != NULL);
 }
@@ -247,9 +251,9 @@
   connection->is_blackholed = true;
 }
 
-/* With a linger time of zero, close sends a reset. */
+/* Makes close() send a TCP reset, by a linger time of zero. */
 static void
-reset_on_close (struct bufferevent *side)
+set_reset_on_close (struct bufferevent *side)
 {
   const struct linger zero_linger = { .l_onoff = 1 };
 
@@ -261,8 +265,8 @@
 {
   LB_LIST_FOREACH (&relay->connections, Connection, link, connection)
   {
-    reset_on_close (connection->client);
-    reset_on_close (connection->server);
+    set_reset_on_close (connection->client);
+    set_reset_on_close (connection->server);
     connection_free (connection);
   }
 }
--- a/tests/process/pt-relay.h
+++ b/tests/process/pt-relay.h
@@ -6,40 +6,41 @@
 struct event_base;
 struct evconnlistener;
 
-/* Faults that apply to open and new connections until they are reset. */
+/* Faults of open and new connections, in force until the test clears the fields. */
 typedef struct
 {
-  bool drops_to_target;   /* data from clients is dropped */
-  bool drops_from_target; /* data from the target is dropped */
-  LbTime delay;           /* of data in both directions */
+  bool drops_to_target;   /* discard data that clients send */
+  bool drops_from_target; /* discard data that the target sends */
+  LbTime delay;           /* added to data in each direction; 0: none */
 } PtRelayFault;
 
-/* A fault-injecting TCP proxy in the test's event loop. */
+/* A fault-injecting TCP proxy. It runs in the event loop of the test process. */
 typedef struct
 {
   PtRelayFault fault;
   struct event_base *base;
   struct evconnlistener *listener; /* NULL while connections are refused */
-  int reserved_socket;             /* holds the port while the listener is closed */
-  LbName address;                  /* where clients connect */
-  LbName target_address;
+  int reserved_socket;             /* keeps the port bound while the listener is closed */
+  LbName address;                  /* for clients; 127.0.0.1:PORT */
+  LbName target_address;           /* server that the relay connects each client to */
   LbList connections;
-  int64_t bytes_forwarded; /* in both directions */
+  int64_t bytes_forwarded; /* sum of both directions */
 } PtRelay;
 
 void pt_relay_init (PtRelay *relay, struct event_base *base, const char *target_address);
 void pt_relay_clear (PtRelay *relay);
-/* Drops all further data of the connections that are open now but keeps them open, as a firewall
- * does that has lost its connection state. New connections work. */
+/* Drops all further data on the currently open connections but does not close them, like a
+ * firewall that has lost its connection state. New connections work. */
 void pt_relay_blackhole_connections (PtRelay *relay);
-
+/* Closes all open connections with a TCP reset on both sides. */
 void pt_relay_reset_connections (PtRelay *relay);
 
-/* Closes the listening socket, so that new connections are refused as if no process listened, until
- * pt_relay_accept_connections. */
+/* Closes the listening socket: new connections are refused until pt_relay_accept_connections. Open
+ * connections stay. */
 void pt_relay_refuse_connections (PtRelay *relay);
 void pt_relay_accept_connections (PtRelay *relay);
 
+/* Returns the number of open client connections. */
 size_t pt_relay_count_connections (const PtRelay *relay);
 
 #endif
--- a/tests/process/pt-resources.c
+++ b/tests/process/pt-resources.c
@@ -7,8 +7,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Limits the wait for an instance that is stopped and does not answer. */
-#define APPLY_TIMEOUT (3 * LB_SEC)
+/* Time limit of one request: a suspended instance accepts connections but never responds. */
+#define APPLY_REQUEST_TIMEOUT (3 * LB_SEC)
 
 void
 pt_apply_change (PtCluster *cluster,
@@ -25,22 +25,22 @@
                         .headers = headers,
                         .n_headers = if_match ? 2 : 1,
                         .body = changes,
-                        .idle_timeout = APPLY_TIMEOUT };
+                        .idle_timeout = APPLY_REQUEST_TIMEOUT };
 
   si_client_call (&cluster->client, &call, response);
 }
 
 static void
-add_resource (struct json_object *resources, const char *text)
+add_resource (struct json_object *resources, const char *resource_json)
 {
-  struct json_object *resource = json_tokener_parse (text);
+  struct json_object *resource = json_tokener_parse (resource_json);
 
-  PT_ASSERT_MSG (resource != NULL, "%s", text);
+  PT_ASSERT_MSG (resource != NULL, "%s", resource_json);
   json_object_array_add (resources, resource);
 }
 
 static void
-add_endpoint (struct json_object *resources, const PtProgram *endpoint)
+add_endpoint_resource (struct json_object *resources, const PtProgram *endpoint)
 {
   bool is_engine = strncmp (endpoint->name, "engine", 6) == 0;
   char *text = lb_asprintf (
@@ -55,42 +55,43 @@
 
 typedef struct
 {
-  PtProgram *instance;
-  const char *changes;
+  PtProgram *instance; /* instance to send the changes to */
+  const char *changes; /* body for POST /v1/resources */
 } PendingChange;
 
-/* A new instance may not know the other members yet (503); other instances may be unreachable or
- * stopped. */
+/* Sends the change and returns whether the instance accepted it. Two failures are expected and
+ * retried: 503 from a new instance that does not know the other members yet, and no response from a
+ * suspended or killed instance. */
 static bool
-is_accepted (PtCluster *cluster, void *user)
+is_change_accepted (PtCluster *cluster, void *user)
 {
   const PendingChange *pending = user;
   SiResponse response;
 
   pt_apply_change (cluster, pending->instance, pending->changes, "*", &response);
   bool accepted = si_response_is_ok (&response);
-  PT_ASSERT_MSG (accepted || response.status == 503 || response.failure != LB_OK, "%d %s",
-                 response.status, response.body);
+  PT_ASSERT_MSG (accepted || response.status == 503 || response.failure != LB_OK,
+                 "unexpected status %d: %s", response.status, response.body);
   si_response_clear (&response);
   return accepted;
 }
 
 static bool
-is_accepted_anywhere (PtCluster *cluster, void *user)
+is_change_accepted_by_any_instance (PtCluster *cluster, void *user)
 {
   PendingChange *pending = user;
 
   for (size_t i = 0; i < cluster->n_instances; i++)
     {
       pending->instance = &cluster->instances[i];
-      if (!pending->instance->process.ended && is_accepted (cluster, pending))
+      if (!pending->instance->process.ended && is_change_accepted (cluster, pending))
         return true;
     }
   return false;
 }
 
 static struct json_object *
-make_changes (const PtCluster *cluster)
+make_resource_changes (const PtCluster *cluster)
 {
   struct json_object *changes = json_object_new_object ();
   struct json_object *resources = json_object_new_array ();
@@ -101,7 +102,7 @@
   add_resource (resources, "{\"kind\": \"version_bound\", \"name\": \"reader-fresh\","
                            " \"subscription\": \"reader-trainer\", \"max_lag\": 2}");
   for (size_t i = 0; i < cluster->n_endpoints; i++)
-    add_endpoint (resources, &cluster->endpoints[i]);
+    add_endpoint_resource (resources, &cluster->endpoints[i]);
   json_object_object_add (changes, "apply", resources);
   return changes;
 }
@@ -109,25 +110,27 @@
 void
 pt_apply_resources (PtCluster *cluster, PtProgram *instance)
 {
-  struct json_object *changes = make_changes (cluster);
+  struct json_object *changes = make_resource_changes (cluster);
   PendingChange pending = { instance, json_object_to_json_string (changes) };
 
-  pt_wait (cluster, "an instance accepts the resources", is_accepted, &pending);
+  pt_wait_until (cluster, "the instance accepts the resources", is_change_accepted, &pending);
   json_object_put (changes);
 }
 
 void
-pt_apply_resources_anywhere (PtCluster *cluster)
+pt_apply_resources_at_any_instance (PtCluster *cluster)
 {
-  struct json_object *changes = make_changes (cluster);
+  struct json_object *changes = make_resource_changes (cluster);
   PendingChange pending = { NULL, json_object_to_json_string (changes) };
 
-  pt_wait (cluster, "an instance accepts the resources", is_accepted_anywhere, &pending);
+  pt_wait_until (cluster, "any instance accepts the resources", is_change_accepted_by_any_instance,
+                 &pending);
   json_object_put (changes);
 }
 
+/* Returns -1 if the instance does not respond. */
 static int64_t
-read_revision (PtCluster *cluster, const PtProgram *instance)
+read_active_revision (PtCluster *cluster, const PtProgram *instance)
 {
   const LhHeader headers[] = { { "authorization", "Bearer " PT_OPERATOR_TOKEN } };
   const SiCall call = { .method = "GET",
@@ -149,7 +152,7 @@
 }
 
 static bool
-is_newest_revision_in_force (PtCluster *cluster, void *user)
+have_all_instances_same_revision (PtCluster *cluster, void *user)
 {
   (void)user;
   int64_t newest = 0;
@@ -159,7 +162,7 @@
     {
       if (cluster->instances[i].process.ended)
         continue;
-      int64_t revision = read_revision (cluster, &cluster->instances[i]);
+      int64_t revision = read_active_revision (cluster, &cluster->instances[i]);
       newest = revision > newest ? revision : newest;
       oldest = revision < oldest ? revision : oldest;
     }
@@ -167,8 +170,8 @@
 }
 
 void
-pt_wait_revision_in_force (PtCluster *cluster)
+pt_wait_until_revision_in_force (PtCluster *cluster)
 {
-  pt_wait (cluster, "the newest revision is in force everywhere", is_newest_revision_in_force,
-           NULL);
+  pt_wait_until (cluster, "all instances report the same active revision",
+                 have_all_instances_same_revision, NULL);
 }
--- a/tests/process/pt-shared.c
+++ b/tests/process/pt-shared.c
@@ -13,9 +13,9 @@
 #include <string.h>
 #include <unistd.h>
 
-#define MAX_HEADERS 8
+#define MAX_REQUEST_HEADERS 8
 
-static const char config_format[]
+static const char desired_state_format[]
     = "{\"version\": %d, \"routes\": ["
       "{\"name\": \"lookup\", \"host\": \"h.example\", \"prefix\": \"/lookup/\", \"kind\": "
       "\"safe\","
@@ -36,10 +36,10 @@
 }
 
 void
-ps_put_config (PsCluster *cluster, int version, const char *more_routes)
+ps_put_desired_state (PsCluster *cluster, int version, const char *more_routes)
 {
-  char *text = lb_asprintf (config_format, version, more_routes,
-                            cluster->organisations_config ? cluster->organisations_config : "");
+  char *text = lb_asprintf (desired_state_format, version, more_routes,
+                            cluster->organisations_json ? cluster->organisations_json : "");
 
   si_row_store_put (&cluster->store, "op", "", "config", text);
   free (text);
@@ -66,7 +66,7 @@
   PT_ASSERT (si_endpoint_init (&cluster->lookup, cluster->base, &cluster->store, "i-lookup",
                                "lookups", ""));
   PT_ASSERT (si_control_plane_init (&cluster->control_plane, cluster->base));
-  ps_put_config (cluster, 1, "");
+  ps_put_desired_state (cluster, 1, "");
 }
 
 void
@@ -86,7 +86,7 @@
   si_control_plane_clear (&cluster->control_plane);
   si_row_store_clear (&cluster->store);
   event_base_free (cluster->base);
-  free (cluster->body);
+  free (cluster->response_body);
   for (size_t i = 0; i < cluster->n_instances; i++)
     for (int kind = 0; kind < 3; kind++)
       {
@@ -98,26 +98,26 @@
   rmdir (cluster->folder);
 }
 
-/* --- callers --- */
+/* --- Calls to instances --- */
 
 static void
-on_response (LhFetch *fetch, const LhResult *result, void *user)
+store_response (LhFetch *fetch, const LhResult *result, void *user)
 {
   PsCluster *cluster = user;
   const char *retry_after = lh_fetch_get_response_header (fetch, "Retry-After");
   const char *server_stamp = lh_fetch_get_response_header (fetch, "Server-Stamp");
 
   cluster->n_responses++;
-  cluster->failure = result->failure;
-  cluster->status = result->status;
-  free (cluster->body);
-  cluster->body = lb_strndup (result->body ? result->body : "", result->body_length);
+  cluster->response_error = result->failure;
+  cluster->response_status = result->status;
+  free (cluster->response_body);
+  cluster->response_body = lb_strndup (result->body ? result->body : "", result->body_length);
   LB_COPY (cluster->retry_after, retry_after ? retry_after : "");
   LB_COPY (cluster->server_stamp, server_stamp ? server_stamp : "");
 }
 
 static size_t
-add_credentials (const PsCluster *cluster, LhHeader *headers, size_t n)
+add_credential_headers (const PsCluster *cluster, LhHeader *headers, size_t n)
 {
   if (cluster->api_key)
     headers[n++] = (LhHeader){ "Api-Key", cluster->api_key };
@@ -139,15 +139,15 @@
                const char *id,
                const char *body)
 {
-  LhHeader headers[MAX_HEADERS] = { { "Attempt-Id", id }, { "Deadline-Ms", "20000" } };
+  LhHeader headers[MAX_REQUEST_HEADERS] = { { "Attempt-Id", id }, { "Deadline-Ms", "20000" } };
   size_t n_headers = 2;
-  const LhHandlers handlers = { .on_done = on_response };
+  const LhHandlers handlers = { .on_done = store_response };
   const LhRequest request = { .method = method,
                               .address = cluster->instances[instance].address,
                               .path = path,
                               .host = "h.example",
                               .headers = headers,
-                              .n_headers = add_credentials (cluster, headers, n_headers),
+                              .n_headers = add_credential_headers (cluster, headers, n_headers),
                               .body = body,
                               .body_length = strlen (body),
                               .fresh_connection = true };
@@ -169,18 +169,18 @@
   PS_WAIT_UNTIL (cluster, cluster->n_responses > before);
 }
 
-/* --- instances --- */
+/* --- Starting instances --- */
 
 const SiServer *
-ps_store_server (const PsCluster *cluster, size_t instance)
+ps_get_store_server (const PsCluster *cluster, size_t instance)
 {
   return instance == 0 ? &cluster->store.server : &cluster->store.second_server;
 }
 
-/* Settings of the calls to the platform; NULL when there are none. Windows last one second, so that
- * tests need not wait longer. */
+/* Returns the settings of the duties, such as usage reports; NULL if has_duties is not set. Usage
+ * windows last 1 s to keep the tests short. */
 static char *
-make_duties_settings (const PsCluster *cluster)
+make_duties_settings_json (const PsCluster *cluster)
 {
   if (!cluster->has_duties)
     return NULL;
@@ -190,11 +190,11 @@
 }
 
 static void
-write_settings (PsCluster *cluster, PsInstance *instance)
+write_settings_file (PsCluster *cluster, PsInstance *instance)
 {
-  const SiServer *store = ps_store_server (cluster, (size_t)(instance - cluster->instances));
+  const SiServer *store = ps_get_store_server (cluster, (size_t)(instance - cluster->instances));
   char path[128];
-  char *duties = make_duties_settings (cluster);
+  char *duties = make_duties_settings_json (cluster);
 
   pt_relay_init (&instance->store_relay, cluster->base, store->address);
   snprintf (path, sizeof path, "%s/%s.json", cluster->folder, instance->name);
@@ -215,7 +215,7 @@
 }
 
 static bool
-read_address (PsCluster *cluster, PsInstance *instance)
+read_address_file (PsCluster *cluster, PsInstance *instance)
 {
   char path[128];
 
@@ -228,9 +228,9 @@
 }
 
 void
-ps_read_metrics (PsCluster *cluster, size_t instance)
+ps_fetch_metrics (PsCluster *cluster, size_t instance)
 {
-  const LhHandlers handlers = { .on_done = on_response };
+  const LhHandlers handlers = { .on_done = store_response };
   const LhRequest request = { .method = "GET",
                               .address = cluster->instances[instance].metrics_address,
                               .path = "/metrics",
@@ -242,14 +242,14 @@
 }
 
 bool
-ps_is_ready (PsCluster *cluster, size_t instance)
+ps_is_instance_ready (PsCluster *cluster, size_t instance)
 {
   ps_call (cluster, instance, "GET", "/-/readiness", "", "");
-  return cluster->status == 200;
+  return cluster->response_status == 200;
 }
 
 static void
-start_process (PsCluster *cluster, PsInstance *instance)
+start_daemon_process (PsCluster *cluster, PsInstance *instance)
 {
   char settings[128];
   char log[128];
@@ -267,10 +267,10 @@
   PsInstance *instance = &cluster->instances[index];
 
   snprintf (instance->name, sizeof instance->name, "n%zu", index);
-  write_settings (cluster, instance);
-  start_process (cluster, instance);
+  write_settings_file (cluster, instance);
+  start_daemon_process (cluster, instance);
   cluster->n_instances++;
-  PS_WAIT_UNTIL (cluster, read_address (cluster, instance));
+  PS_WAIT_UNTIL (cluster, read_address_file (cluster, instance));
   return index;
 }
 
@@ -279,7 +279,7 @@
 {
   size_t index = ps_spawn_instance (cluster);
 
-  PS_WAIT_UNTIL (cluster, ps_is_ready (cluster, index));
+  PS_WAIT_UNTIL (cluster, ps_is_instance_ready (cluster, index));
   return index;
 }
 
@@ -291,16 +291,16 @@
 
   pt_process_clear (&instance->process);
   unlink (file);
-  start_process (cluster, instance);
-  PS_WAIT_UNTIL (cluster, read_address (cluster, instance));
-  PS_WAIT_UNTIL (cluster, ps_is_ready (cluster, index));
+  start_daemon_process (cluster, instance);
+  PS_WAIT_UNTIL (cluster, read_address_file (cluster, instance));
+  PS_WAIT_UNTIL (cluster, ps_is_instance_ready (cluster, index));
   free (file);
 }
 
-/* --- batches --- */
+/* --- Submitting batches and reading results --- */
 
 char *
-ps_make_batch (int n_items)
+ps_make_batch_json (int n_items)
 {
   struct json_object *object = json_object_new_object ();
   struct json_object *items = json_object_new_array ();
@@ -326,9 +326,9 @@
 }
 
 void
-ps_submit (PsCluster *cluster, size_t instance, const char *id, int n_items)
+ps_submit_batch (PsCluster *cluster, size_t instance, const char *id, int n_items)
 {
-  char *body = ps_make_batch (n_items);
+  char *body = ps_make_batch_json (n_items);
 
   ps_call (cluster, instance, "POST", "/steps/1", id, body);
   free (body);
@@ -341,11 +341,11 @@
 
   ps_call (cluster, instance, "GET", path, "", "");
   free (path);
-  return cluster->status == 200 ? json_tokener_parse (cluster->body) : NULL;
+  return cluster->response_status == 200 ? json_tokener_parse (cluster->response_body) : NULL;
 }
 
 int64_t
-ps_count_listed (PsCluster *cluster, size_t instance, const char *id)
+ps_count_listed_results (PsCluster *cluster, size_t instance, const char *id)
 {
   struct json_object *page = ps_read_results (cluster, instance, id);
   int64_t next = page ? lb_json_int (page, "next", 0) : -1;
@@ -354,8 +354,9 @@
   return next;
 }
 
+/* Tests that the text consists of the lines "ITEM.1" to "ITEM.N" for N events. */
 static bool
-is_expected_text (const char *item, const char *text, int events)
+is_expected_sample_text (const char *item, const char *text, int events)
 {
   char *expected = lb_strdup ("");
 
@@ -371,11 +372,11 @@
 }
 
 void
-ps_assert_all_listed (PsCluster *cluster, size_t instance, const char *id, int n_items)
+ps_assert_all_results_listed (PsCluster *cluster, size_t instance, const char *id, int n_items)
 {
   struct json_object *page = ps_read_results (cluster, instance, id);
   struct json_object *results = lb_json_member (page, "results");
-  int seen[64] = { 0 };
+  int times_listed[64] = { 0 };
   char score[64];
 
   PT_ASSERT (json_object_array_length (results) == (size_t)n_items);
@@ -386,10 +387,10 @@
       int number = atoi (item + strlen ("item"));
       snprintf (score, sizeof score, "stamp-score%d", number);
       PT_ASSERT (strcmp (lb_json_text (result, "state", ""), "completed") == 0);
-      PT_ASSERT (
-          is_expected_text (item, lb_json_text (result, "text", ""), cluster->engines[0].n_events));
+      PT_ASSERT (is_expected_sample_text (item, lb_json_text (result, "text", ""),
+                                          cluster->engines[0].n_events));
       PT_ASSERT (strcmp (lb_json_text (result, "score", ""), score) == 0);
-      PT_ASSERT_MSG (seen[number]++ == 0, "%s is listed twice", item);
+      PT_ASSERT_MSG (times_listed[number]++ == 0, "result of %s is listed more than once", item);
     }
   json_object_put (page);
 }
@@ -405,21 +406,21 @@
 }
 
 size_t
-ps_find_owner (PsCluster *cluster)
+ps_find_batch_owner (PsCluster *cluster)
 {
   size_t owner = cluster->n_instances;
 
   for (size_t i = 0; i < cluster->n_instances; i++)
     {
-      ps_read_metrics (cluster, i);
-      if (strstr (cluster->body, "lentilspindle_batches_owned 1"))
+      ps_fetch_metrics (cluster, i);
+      if (strstr (cluster->response_body, "lentilspindle_batches_owned 1"))
         owner = i;
     }
   return owner;
 }
 
 int
-ps_count_logged (const PsCluster *cluster, size_t instance, const char *text)
+ps_count_in_log (const PsCluster *cluster, size_t instance, const char *text)
 {
   const char *at = cluster->instances[instance].process.output;
   int count = 0;
@@ -437,8 +438,8 @@
 {
   char line[96];
 
-  ps_read_metrics (cluster, instance);
+  ps_fetch_metrics (cluster, instance);
   snprintf (line, sizeof line, "\n%s ", name);
-  const char *at = strstr (cluster->body, line);
+  const char *at = strstr (cluster->response_body, line);
   return at ? strtod (at + strlen (line), NULL) : 0;
 }
--- a/tests/process/pt-shared.h
+++ b/tests/process/pt-shared.h
@@ -11,48 +11,49 @@
 
 #include <criterion/criterion.h>
 
-/* Runs instances on a shared platform as real processes. The test itself acts as the store, the
- * endpoints and the callers, in one event loop. */
+/* Tests of instances on a shared platform. The instances are real processes; the test process runs
+ * stand-ins for the store, the endpoints, the control plane and the callers in one event loop. */
 
 #define PS_MAX_INSTANCES 3
 #define PS_N_ENGINES 3
-#define PS_WAIT_TIMEOUT (60 * LB_SEC) /* of every wait; long enough for a busy machine */
+#define PS_WAIT_TIMEOUT (60 * LB_SEC) /* limit of one wait; long enough for a busy machine */
 
 typedef struct
 {
   PtProcess process;
-  PtRelay store_relay; /* its only path to the store */
+  PtRelay store_relay; /* proxy that carries all traffic of the instance to the store */
   LbName name;
-  LbName address;
-  LbName metrics_address;
+  LbName address;         /* serves callers; IP:PORT */
+  LbName metrics_address; /* serves /metrics; IP:PORT */
 } PsInstance;
 
 typedef struct
 {
   struct event_base *base;
   LhPool *pool;
-  char folder[64];
+  char folder[64]; /* temporary; settings, address files and logs of the instances */
   SiRowStore store;
-  SiEndpoint engines[PS_N_ENGINES];
-  SiEndpoint lookup;
-  SiControlPlane control_plane; /* used by instances when has_duties is set */
-  bool has_duties;
+  SiEndpoint engines[PS_N_ENGINES]; /* endpoints of service "engines" */
+  SiEndpoint lookup;                /* endpoint of service "lookups" */
+  SiControlPlane control_plane;
+  bool has_duties; /* set before instances start: they report usage to the platform */
   PsInstance instances[PS_MAX_INSTANCES];
   size_t n_instances;
-  const char *organisations_config; /* JSON added to the desired state; NULL: none */
-  /* Headers of the calls to come. */
-  const char *api_key;              /* NULL: none */
-  const char *second_api_key;       /* sent in the same call; NULL: none */
-  const char *claimed_organisation; /* in a header of the caller; NULL: none */
-  /* The last response to a caller, and how many there were. */
-  int n_responses;
-  LbErrorCode failure;
-  int status;
-  char *body;
-  char retry_after[32];
-  char server_stamp[64];
+  const char *organisations_json; /* added to the desired state as ", NAME: VALUE"; NULL: none */
+  /* Headers that ps_start_call and ps_call send. */
+  const char *api_key;              /* value of header Api-Key; NULL: not sent */
+  const char *second_api_key;       /* value of a second Api-Key header; NULL: not sent */
+  const char *claimed_organisation; /* value of a forged header Tenant; NULL: not sent */
+  int n_responses;                  /* number of ended calls and metrics requests */
+  /* The latest response to a call or to a metrics request. */
+  LbErrorCode response_error; /* LB_OK: the response is complete */
+  int response_status;
+  char *response_body;
+  char retry_after[32];  /* header Retry-After; empty: absent */
+  char server_stamp[64]; /* header Server-Stamp; empty: absent */
 } PsCluster;
 
+/* Runs the event loop until the condition is true; fails the test after PS_WAIT_TIMEOUT. */
 #define PS_WAIT_UNTIL(cluster, condition)                                                          \
   do                                                                                               \
     {                                                                                              \
@@ -66,50 +67,60 @@
 
 void ps_cluster_init (PsCluster *cluster);
 void ps_cluster_clear (PsCluster *cluster);
-/* Runs one non-blocking iteration of the event loop and polls the processes. */
+/* Handles pending events, polls the instances' processes and sleeps for 0.5 ms. */
 void ps_run_loop_once (PsCluster *cluster);
-/* Stores a desired state with the routes /lookup/ and /steps/ of h.example, and the JSON of
- * more_routes. */
-void ps_put_config (PsCluster *cluster, int version, const char *more_routes);
-/* Starts an instance, waits until it is ready and returns its index. */
+/* Writes the desired state to the store: routes /lookup/ and /steps/ of host h.example, then
+ * more_routes (JSON: ", {...}" for each route, or ""). */
+void ps_put_desired_state (PsCluster *cluster, int version, const char *more_routes);
+/* Starts an instance, waits until it is ready and returns its index in cluster->instances. The
+ * parameter `instance` of the other functions is that index. */
 size_t ps_start_instance (PsCluster *cluster);
-/* Like ps_start_instance, but does not wait until the instance is ready. */
+/* Like ps_start_instance, but returns as soon as the instance has written its addresses. */
 size_t ps_spawn_instance (PsCluster *cluster);
-/* Kills the instance if it runs, starts it with the same settings and waits until it is ready. */
+/* Kills the instance if it runs, starts it again with the same settings and waits until it is
+ * ready. */
 void ps_restart_instance (PsCluster *cluster, size_t index);
-bool ps_is_ready (PsCluster *cluster, size_t instance);
-/* The server of the store that this instance uses. */
-const SiServer *ps_store_server (const PsCluster *cluster, size_t instance);
-/* Sends a call with this id. ps_call also waits for the response, which is then in the cluster. */
+bool ps_is_instance_ready (PsCluster *cluster, size_t instance);
+/* Returns the store's server that the instance connects to: the first server for instance 0, the
+ * second one for all others. */
+const SiServer *ps_get_store_server (const PsCluster *cluster, size_t instance);
+/* Sends a call with this Attempt-Id. The response is copied to the cluster when it arrives. */
 LhFetch *ps_start_call (PsCluster *cluster,
                         size_t instance,
                         const char *method,
                         const char *path,
                         const char *id,
                         const char *body);
+/* Like ps_start_call, but waits for the response. */
 void ps_call (PsCluster *cluster,
               size_t instance,
               const char *method,
               const char *path,
               const char *id,
               const char *body);
-/* A step with one group and a scorer for each item; the caller frees it. */
-char *ps_make_batch (int n_items);
-void ps_submit (PsCluster *cluster, size_t instance, const char *id, int n_items);
-/* The first page; NULL when the request is rejected. */
+/* Returns the JSON of a batch: n_items samples in one group, each with a scorer call. The caller
+ * frees it. */
+char *ps_make_batch_json (int n_items);
+/* Submits a batch of n_items samples with this id and waits for the response. */
+void ps_submit_batch (PsCluster *cluster, size_t instance, const char *id, int n_items);
+/* Returns the first page of the batch's results; NULL if the request was rejected. The caller
+ * releases it. */
 struct json_object *ps_read_results (PsCluster *cluster, size_t instance, const char *id);
-/* Number of results listed; -1 when the request is rejected. */
-int64_t ps_count_listed (PsCluster *cluster, size_t instance, const char *id);
-/* Asserts that each item is listed exactly once, complete, with the score of its own scorer
- * call. */
-void ps_assert_all_listed (PsCluster *cluster, size_t instance, const char *id, int n_items);
-void ps_read_metrics (PsCluster *cluster, size_t instance);
+/* Returns the number of results on the first page; -1 if the request was rejected. */
+int64_t ps_count_listed_results (PsCluster *cluster, size_t instance, const char *id);
+/* Asserts that the batch lists each of its n_items exactly once, with the complete text and with
+ * the score that its own scorer call returned. */
+void
+ps_assert_all_results_listed (PsCluster *cluster, size_t instance, const char *id, int n_items);
+/* Requests /metrics of the instance; the text is then in cluster->response_body. */
+void ps_fetch_metrics (PsCluster *cluster, size_t instance);
+/* Requests /metrics and returns the value of one metric; 0: the metric is absent. */
 double ps_read_metric (PsCluster *cluster, size_t instance, const char *name);
-/* Index of the instance that runs a batch; n_instances when there is none. */
-size_t ps_find_owner (PsCluster *cluster);
-/* Number of samples started on all engines. */
+/* Returns the index of the instance that owns exactly one batch; n_instances: none does. */
+size_t ps_find_batch_owner (PsCluster *cluster);
+/* Returns the number of sample streams, new or resumed, that all engines have started. */
 size_t ps_count_engine_runs (const PsCluster *cluster);
-/* How often the text occurs in the instance's log. */
-int ps_count_logged (const PsCluster *cluster, size_t instance, const char *text);
+/* Returns how often the text occurs in the instance's log, which it prints to standard output. */
+int ps_count_in_log (const PsCluster *cluster, size_t instance, const char *text);
 
 #endif
--- a/tests/process/test-chaos.c
+++ b/tests/process/test-chaos.c
@@ -56,7 +56,7 @@
   pt_start_instance (cluster, "i3", "hall-c");
   pt_apply_resources (cluster, &cluster->instances[0]);
   for (size_t i = 0; i < cluster->n_instances; i++)
-    pt_wait_ready (cluster, &cluster->instances[i]);
+    pt_wait_until_ready (cluster, &cluster->instances[i]);
 }
 
 static void
@@ -95,8 +95,8 @@
           "500",       NULL };
 
   pt_start_trainer (&scene->cluster, &scene->trainer, trainer);
-  pt_start_load (&scene->cluster, &scene->completion_load, completion_load);
-  pt_start_load (&scene->cluster, &scene->order_load, order_load);
+  pt_start_load_generator (&scene->cluster, &scene->completion_load, completion_load);
+  pt_start_load_generator (&scene->cluster, &scene->order_load, order_load);
 }
 
 static size_t
@@ -122,7 +122,7 @@
   pt_process_signal (&engine->process, SIGKILL);
   wait_random (scene, 300, 1200);
   pt_restart_engine (&scene->cluster, engine, engine_options);
-  pt_apply_resources_anywhere (&scene->cluster);
+  pt_apply_resources_at_any_instance (&scene->cluster);
 }
 
 static void
@@ -230,7 +230,7 @@
 static void
 check_trainer (Scene *scene)
 {
-  struct json_object *summary = pt_wait_summary (&scene->cluster, &scene->trainer);
+  struct json_object *summary = pt_wait_for_summary (&scene->cluster, &scene->trainer);
 
   cr_assert (pt_process_has_exited (&scene->trainer, 0), "trainer: %s (logs in %s)",
              json_object_to_json_string (summary), scene->cluster.folder);
@@ -240,7 +240,7 @@
 static void
 check_completions (Scene *scene)
 {
-  struct json_object *summary = pt_wait_summary (&scene->cluster, &scene->completion_load);
+  struct json_object *summary = pt_wait_for_summary (&scene->cluster, &scene->completion_load);
 
   cr_assert_eq (si_json_int (summary, "wrong", -1), 0, "completion load: %s (logs in %s)",
                 json_object_to_json_string (summary), scene->cluster.folder);
@@ -265,7 +265,7 @@
 static void
 check_orders (Scene *scene)
 {
-  struct json_object *summary = pt_wait_summary (&scene->cluster, &scene->order_load);
+  struct json_object *summary = pt_wait_for_summary (&scene->cluster, &scene->order_load);
   struct json_object *logs[] = { pt_read_log (&scene->cluster, scene->services[0]),
                                  pt_read_log (&scene->cluster, scene->services[1]) };
   struct json_object *not_run = NULL;
@@ -312,7 +312,7 @@
   check_completions (&scene);
   check_orders (&scene);
   check_trainer (&scene);
-  pt_cluster_drain (&scene.cluster);
+  pt_drain_instances (&scene.cluster);
   pt_process_clear (&scene.trainer);
   pt_process_clear (&scene.completion_load);
   pt_process_clear (&scene.order_load);
--- a/tests/process/test-config.c
+++ b/tests/process/test-config.c
@@ -110,9 +110,9 @@
     pt_start_instance (&test_cluster, names[i], "hall-a");
   for (size_t i = 0; i < n; i++)
     {
-      pt_wait_ready (&test_cluster, &test_cluster.instances[i]);
-      pt_wait (&test_cluster, "an instance sees all others alive", has_all_members_alive,
-               &test_cluster.instances[i]);
+      pt_wait_until_ready (&test_cluster, &test_cluster.instances[i]);
+      pt_wait_until (&test_cluster, "an instance sees all others alive", has_all_members_alive,
+                     &test_cluster.instances[i]);
     }
 }
 
@@ -159,7 +159,7 @@
   cr_assert_eq (apply_change (second, QUEUE_LIMIT (3), "\"1\"", error), 409);
   cr_assert_str_eq (error, "conflict");
   cr_assert_eq (apply_change (second, QUEUE_LIMIT (3), NULL, error), 400);
-  pt_wait (&test_cluster, "the other instance has revision 2", has_revision_2, second);
+  pt_wait_until (&test_cluster, "the other instance has revision 2", has_revision_2, second);
 
   const SiCall call
       = { .method = "POST", .address = first->address, .path = "/v1/resources", .body = "{}" };
@@ -183,8 +183,8 @@
   pt_inject_fault (&test_cluster, &test_cluster.platform,
                    "{\"mode\": \"lose_reply\", \"path\": \"/table/transact\"}");
   cr_assert_eq (apply_change (first, QUEUE_LIMIT (2), "\"1\"", error), 200, "%s", error);
-  pt_wait (&test_cluster, "the other instance has revision 2", has_revision_2,
-           &test_cluster.instances[1]);
+  pt_wait_until (&test_cluster, "the other instance has revision 2", has_revision_2,
+                 &test_cluster.instances[1]);
   cr_assert_eq (read_revision (first), 2);
 }
 
@@ -209,7 +209,7 @@
                test_cluster.instances[i].name);
 
   pt_restart_instance (&test_cluster, &test_cluster.instances[2]);
-  pt_wait_ready (&test_cluster, &test_cluster.instances[2]);
+  pt_wait_until_ready (&test_cluster, &test_cluster.instances[2]);
   cr_assert_eq (read_revision (&test_cluster.instances[2]), 2);
   pt_inject_fault (&test_cluster, &test_cluster.platform, "{\"mode\": \"none\"}");
 }
@@ -225,16 +225,16 @@
   const SiCheckedCallSpec spec
       = { .address = last->address, .model = "reader", .prompt = "an envelope", .max_tokens = 4 };
   pt_apply_resources (&test_cluster, &test_cluster.instances[0]);
-  pt_wait_revision_in_force (&test_cluster);
+  pt_wait_until_revision_in_force (&test_cluster);
   pt_inject_fault (&test_cluster, &test_cluster.platform, "{\"mode\": \"down\"}");
   pt_process_clear (&test_cluster.instances[0].process);
   pt_process_clear (&test_cluster.instances[1].process);
-  pt_wait (&test_cluster, "the last instance is not ready", is_not_ready, last);
-  cr_assert_eq (pt_checked_call (&test_cluster, &spec).outcome, SI_CALL_NOT_RUN);
-  cr_assert_eq (pt_count_runs (&test_cluster, engine, spec.prompt), 0);
+  pt_wait_until (&test_cluster, "the last instance is not ready", is_not_ready, last);
+  cr_assert_eq (pt_run_checked_call (&test_cluster, &spec).outcome, SI_CALL_NOT_RUN);
+  cr_assert_eq (pt_count_call_runs (&test_cluster, engine, spec.prompt), 0);
   pt_inject_fault (&test_cluster, &test_cluster.platform, "{\"mode\": \"none\"}");
-  pt_wait_ready (&test_cluster, last);
-  cr_assert_eq (pt_checked_call (&test_cluster, &spec).outcome, SI_CALL_COMPLETE);
+  pt_wait_until_ready (&test_cluster, last);
+  cr_assert_eq (pt_run_checked_call (&test_cluster, &spec).outcome, SI_CALL_COMPLETE);
 }
 
 /* --- leases and weights --- */
@@ -332,7 +332,7 @@
   pt_start_engine (&test_cluster, "engine-4", unfenced_options);
   pt_apply_resources (&test_cluster, &test_cluster.instances[0]);
   *search = (HolderSearch){ .excluded = NULL };
-  pt_wait (&test_cluster, "an instance holds the lease", find_holder, search);
+  pt_wait_until (&test_cluster, "an instance holds the lease", find_holder, search);
   return search->found;
 }
 
@@ -347,17 +347,17 @@
   PtProgram *paused = start_engines (&search);
   int64_t fence = search.fence;
   publish_weights (41);
-  pt_wait (&test_cluster, "an engine loads", is_any_engine_loading, NULL);
+  pt_wait_until (&test_cluster, "an engine loads", is_any_engine_loading, NULL);
   int64_t orders = read_metric (paused, "lentilspindle_weight_orders_total ");
   pt_process_signal (&paused->process, SIGSTOP);
   publish_weights (version);
   search.excluded = paused;
-  pt_wait (&test_cluster, "another instance holds the lease", find_holder, &search);
+  pt_wait_until (&test_cluster, "another instance holds the lease", find_holder, &search);
   cr_assert_gt (search.fence, fence);
-  pt_wait (&test_cluster, "all engines have 42", have_all_engines_version, &version);
+  pt_wait_until (&test_cluster, "all engines have 42", have_all_engines_version, &version);
 
   pt_process_signal (&paused->process, SIGCONT);
-  pt_wait_ready (&test_cluster, paused);
+  pt_wait_until_ready (&test_cluster, paused);
   si_client_pause (&test_cluster.client, LB_SEC);
   cr_assert_eq (read_metric (paused, "lentilspindle_weight_orders_total "), orders);
   cr_assert (have_all_engines_version (&test_cluster, &version));
@@ -373,10 +373,10 @@
 
   PtProgram *holder = start_engines (&search);
   publish_weights (version);
-  pt_wait (&test_cluster, "an engine loads", is_any_engine_loading, NULL);
+  pt_wait_until (&test_cluster, "an engine loads", is_any_engine_loading, NULL);
   pt_process_clear (&holder->process);
   holder->process.ended = true;
-  pt_wait (&test_cluster, "all engines have 41", have_all_engines_version, &version);
+  pt_wait_until (&test_cluster, "all engines have 41", have_all_engines_version, &version);
 }
 
 /* A load fails on one engine, and later the operator rolls back with a new revision. No engine may
@@ -391,7 +391,7 @@
   pt_inject_fault (&test_cluster, &test_cluster.endpoints[1],
                    "{\"mode\": \"fail_swap\", \"count\": 1}");
   publish_weights (version);
-  pt_wait (&test_cluster, "all engines have 41", have_all_engines_version, &version);
+  pt_wait_until (&test_cluster, "all engines have 41", have_all_engines_version, &version);
 
   version = 40;
   cr_assert_eq (apply_change (&test_cluster.instances[1],
@@ -399,7 +399,7 @@
                               "\"weight_version\": 40}]}",
                               "\"1\"", error),
                 200, "%s", error);
-  pt_wait (&test_cluster, "all engines have 40", have_all_engines_version, &version);
+  pt_wait_until (&test_cluster, "all engines have 40", have_all_engines_version, &version);
 }
 
 /* A draining holder hands the lease over, instead of letting it expire. */
@@ -410,8 +410,8 @@
   PtProgram *holder = start_engines (&search);
   int64_t fence = search.fence;
   pt_process_signal (&holder->process, SIGTERM);
-  pt_wait_exit (&test_cluster, &holder->process, 0);
+  pt_wait_for_exit (&test_cluster, &holder->process, 0);
   search.excluded = holder;
-  pt_wait (&test_cluster, "another instance holds the lease", find_holder, &search);
+  pt_wait_until (&test_cluster, "another instance holds the lease", find_holder, &search);
   cr_assert_eq (search.fence, fence + 1);
 }
--- a/tests/process/test-crashing-services.c
+++ b/tests/process/test-crashing-services.c
@@ -29,7 +29,7 @@
   pt_start_instance (cluster, "i2", "hall-b");
   pt_apply_resources (cluster, &cluster->instances[0]);
   for (size_t i = 0; i < cluster->n_instances; i++)
-    pt_wait_ready (cluster, &cluster->instances[i]);
+    pt_wait_until_ready (cluster, &cluster->instances[i]);
 }
 
 static SiCheckedCallResult
@@ -42,7 +42,7 @@
                                    /* Separate retry budgets. */
                                    .caller = strcmp (text, FATAL_CALL) == 0 ? "shop" : "clerk" };
 
-  return pt_checked_call (cluster, &spec);
+  return pt_run_checked_call (cluster, &spec);
 }
 
 static size_t
@@ -110,7 +110,7 @@
       cr_assert_gt (result.retry_after, 0);
     }
   assert_others_are_served (&cluster);
-  pt_cluster_drain (&cluster);
+  pt_drain_instances (&cluster);
   pt_cluster_clear (&cluster);
 }
 
@@ -123,17 +123,17 @@
 
   start_cluster (&cluster);
   crash_three (&cluster);
-  pt_wait (&cluster, "all crash reports are stored", are_crashes_stored, NULL);
+  pt_wait_until (&cluster, "all crash reports are stored", are_crashes_stored, NULL);
   for (size_t i = 0; i < cluster.n_instances; i++)
     pt_process_signal (&cluster.instances[i].process, SIGKILL);
   for (size_t i = 0; i < cluster.n_instances; i++)
     {
       pt_restart_instance (&cluster, &cluster.instances[i]);
-      pt_wait_ready (&cluster, &cluster.instances[i]);
+      pt_wait_until_ready (&cluster, &cluster.instances[i]);
     }
   for (size_t i = 0; i < cluster.n_instances; i++)
-    pt_wait (&cluster, "the call is quarantined", is_refused, &i);
+    pt_wait_until (&cluster, "the call is quarantined", is_refused, &i);
   assert_others_are_served (&cluster);
-  pt_cluster_drain (&cluster);
+  pt_drain_instances (&cluster);
   pt_cluster_clear (&cluster);
 }
--- a/tests/process/test-crashing.c
+++ b/tests/process/test-crashing.c
@@ -48,7 +48,7 @@
 
   scene->n_sent = 0;
   ps_cluster_init (&scene->cluster);
-  ps_put_config (&scene->cluster, 1, once_route);
+  ps_put_desired_state (&scene->cluster, 1, once_route);
   scene->lookups[0] = &scene->cluster.lookup;
   for (int i = 0; i < N_LOOKUPS - 1; i++)
     {
@@ -95,7 +95,7 @@
 is_call_served (Scene *scene, size_t instance, const char *path, const char *body)
 {
   send_call (scene, instance, path, body);
-  return scene->cluster.status == 200;
+  return scene->cluster.response_status == 200;
 }
 
 static int
@@ -165,7 +165,8 @@
 static void
 assert_rejected (const Scene *scene)
 {
-  cr_assert_eq (scene->cluster.status, 503, "%d %s", scene->cluster.status, scene->cluster.body);
+  cr_assert_eq (scene->cluster.response_status, 503, "%d %s", scene->cluster.response_status,
+                scene->cluster.response_body);
   cr_assert_neq (scene->cluster.retry_after[0], '\0');
 }
 
@@ -246,7 +247,7 @@
 static void
 submit_fatal_batch (Scene *scene, bool is_scorer_fatal)
 {
-  char *text = ps_make_batch (BATCH_ITEMS);
+  char *text = ps_make_batch_json (BATCH_ITEMS);
   struct json_object *batch = json_tokener_parse (text);
   struct json_object *items = lb_json_member (batch, "requests");
   struct json_object *item = json_object_array_get_idx (items, 2);
@@ -254,7 +255,7 @@
 
   json_object_object_add (fatal, "body", json_object_new_string (FATAL_BODY_BASE64));
   ps_call (&scene->cluster, 0, "POST", "/steps/1", "b1", json_object_to_json_string (batch));
-  cr_assert_eq (scene->cluster.status, 202);
+  cr_assert_eq (scene->cluster.response_status, 202);
   json_object_put (batch);
   free (text);
 }
@@ -271,9 +272,10 @@
   int runs_before = count_engine_runs (&scene);
   run_loop_for (&scene, BATCH_WATCH_TIME);
   cr_assert_leq (count_engine_runs (&scene) - runs_before, MAX_RUNS_AFTER);
-  PS_WAIT_UNTIL (&scene.cluster, ps_count_listed (&scene.cluster, 1, "b1") == BATCH_ITEMS - 1);
-  ps_submit (&scene.cluster, 1, "b2", BATCH_ITEMS);
-  PS_WAIT_UNTIL (&scene.cluster, ps_count_listed (&scene.cluster, 2, "b2") == BATCH_ITEMS);
+  PS_WAIT_UNTIL (&scene.cluster,
+                 ps_count_listed_results (&scene.cluster, 1, "b1") == BATCH_ITEMS - 1);
+  ps_submit_batch (&scene.cluster, 1, "b2", BATCH_ITEMS);
+  PS_WAIT_UNTIL (&scene.cluster, ps_count_listed_results (&scene.cluster, 2, "b2") == BATCH_ITEMS);
   scene_clear (&scene);
 }
 
@@ -289,6 +291,7 @@
   int runs_before = count_lookup_runs (&scene);
   run_loop_for (&scene, BATCH_WATCH_TIME);
   cr_assert_leq (count_lookup_runs (&scene) - runs_before, MAX_RUNS_AFTER);
-  PS_WAIT_UNTIL (&scene.cluster, ps_count_listed (&scene.cluster, 1, "b1") == BATCH_ITEMS - 1);
+  PS_WAIT_UNTIL (&scene.cluster,
+                 ps_count_listed_results (&scene.cluster, 1, "b1") == BATCH_ITEMS - 1);
   scene_clear (&scene);
 }
--- a/tests/process/test-drain.c
+++ b/tests/process/test-drain.c
@@ -35,7 +35,7 @@
 static bool
 has_stream_started (PtCluster *cluster, void *user)
 {
-  return pt_count_runs (cluster, user, "a long envelope") > 0;
+  return pt_count_call_runs (cluster, user, "a long envelope") > 0;
 }
 
 /* An instance is replaced while a caller reads a long response. A process that exits at SIGTERM, or
@@ -52,27 +52,27 @@
   PtProgram *engine = pt_start_engine (&cluster, "engine-1", slow_options);
   PtProgram *instance = pt_start_instance (&cluster, "i1", "hall-a");
   pt_apply_resources (&cluster, instance);
-  pt_wait_ready (&cluster, instance);
+  pt_wait_until_ready (&cluster, instance);
   SiCheckedCallSpec spec = { .address = instance->address,
                              .model = "reader",
                              .prompt = "a long envelope",
                              .max_tokens = 120,
                              .stream = true };
   si_checked_call_start (cluster.client.pool, &spec, on_call_done, &pending_call);
-  pt_wait (&cluster, "the engine has started the call", has_engine_started, engine);
+  pt_wait_until (&cluster, "the engine has started the call", has_engine_started, engine);
 
   pt_process_signal (&instance->process, SIGTERM);
   pt_process_signal (&instance->process, SIGTERM);
   si_client_pause (&cluster.client, 100 * LB_MSEC);
   spec.prompt = "another";
-  SiCheckedCallResult rejected = pt_checked_call (&cluster, &spec);
+  SiCheckedCallResult rejected = pt_run_checked_call (&cluster, &spec);
   cr_assert_eq (rejected.outcome, SI_CALL_NOT_RUN, "%d %s", rejected.outcome, rejected.error);
-  cr_assert_eq (pt_count_runs (&cluster, engine, "another"), 0);
+  cr_assert_eq (pt_count_call_runs (&cluster, engine, "another"), 0);
 
-  pt_wait (&cluster, "the stream ends", is_call_done, &pending_call);
+  pt_wait_until (&cluster, "the stream ends", is_call_done, &pending_call);
   cr_assert_eq (pending_call.result.outcome, SI_CALL_COMPLETE, "%d %s", pending_call.result.outcome,
                 pending_call.result.error);
-  pt_wait_exit (&cluster, &instance->process, 0);
+  pt_wait_for_exit (&cluster, &instance->process, 0);
   pt_cluster_clear (&cluster);
 }
 
@@ -110,27 +110,27 @@
   PtProgram *draining = pt_start_instance (&cluster, "i1", "hall-a");
   PtProgram *owner = pt_start_instance (&cluster, "i2", "hall-b");
   pt_apply_resources (&cluster, draining);
-  pt_wait_ready (&cluster, draining);
-  pt_wait_ready (&cluster, owner);
+  pt_wait_until_ready (&cluster, draining);
+  pt_wait_until_ready (&cluster, owner);
   json_object_put (si_client_call_json (
       &cluster.client, owner->address, "/v1/subscriptions/reader-trainer/steps",
       "{\"step\": 1, \"weight_version\": 1, \"groups\": [{\"id\": \"g0\", \"prompt\": \"p\", "
       "\"samples\": 1, \"max_tokens\": 120}]}"));
-  pt_wait (&cluster, "the engine has started the step", has_engine_started, engine);
+  pt_wait_until (&cluster, "the engine has started the step", has_engine_started, engine);
   const SiCheckedCallSpec spec = { .address = draining->address,
                                    .model = "reader",
                                    .prompt = "a long envelope",
                                    .max_tokens = 120,
                                    .stream = true };
   si_checked_call_start (cluster.client.pool, &spec, on_call_done, &pending_call);
-  pt_wait (&cluster, "the engine has started the stream", has_stream_started, engine);
+  pt_wait_until (&cluster, "the engine has started the stream", has_stream_started, engine);
 
   pt_process_signal (&draining->process, SIGTERM);
-  pt_wait (&cluster, "the pull is rejected", is_pull_rejected, draining);
-  pt_wait (&cluster, "the stream ends", is_call_done, &pending_call);
+  pt_wait_until (&cluster, "the pull is rejected", is_pull_rejected, draining);
+  pt_wait_until (&cluster, "the stream ends", is_call_done, &pending_call);
   cr_assert_eq (pending_call.result.outcome, SI_CALL_COMPLETE);
-  pt_wait_exit (&cluster, &draining->process, 0);
-  pt_cluster_drain (&cluster);
+  pt_wait_for_exit (&cluster, &draining->process, 0);
+  pt_drain_instances (&cluster);
   pt_cluster_clear (&cluster);
 }
 
@@ -148,9 +148,9 @@
   pt_start_instance (&cluster, "i1", "hall-a");
   pt_start_instance (&cluster, "i2", "hall-b");
   pt_apply_resources (&cluster, &cluster.instances[0]);
-  pt_wait_ready (&cluster, &cluster.instances[0]);
-  pt_wait_ready (&cluster, &cluster.instances[1]);
+  pt_wait_until_ready (&cluster, &cluster.instances[0]);
+  pt_wait_until_ready (&cluster, &cluster.instances[1]);
   pt_inject_fault (&cluster, &cluster.platform, "{\"mode\": \"hang\"}");
-  pt_cluster_drain (&cluster);
+  pt_drain_instances (&cluster);
   pt_cluster_clear (&cluster);
 }
--- a/tests/process/test-duties.c
+++ b/tests/process/test-duties.c
@@ -19,9 +19,9 @@
 start_instances (PsCluster *cluster)
 {
   ps_cluster_init (cluster);
-  cluster->organisations_config = ORGANISATIONS;
+  cluster->organisations_json = ORGANISATIONS;
   cluster->has_duties = true;
-  ps_put_config (cluster, 2, "");
+  ps_put_desired_state (cluster, 2, "");
   for (int i = 0; i < N_INSTANCES; i++)
     ps_start_instance (cluster);
   PS_WAIT_UNTIL (cluster, cluster->control_plane.calls > 0);
@@ -38,7 +38,7 @@
     {
       snprintf (id, sizeof id, "c%d", ++n_sent);
       ps_call (cluster, instance, "POST", "/lookup/1", id, "");
-      cr_assert_eq (cluster->status, 200);
+      cr_assert_eq (cluster->response_status, 200);
     }
 }
 
@@ -96,7 +96,7 @@
   PS_WAIT_UNTIL (&cluster, is_usage_reported (&cluster, 1, 0));
   cr_assert_eq (cluster.n_responses, responses_before, "the call was reported only after its end");
   PS_WAIT_UNTIL (&cluster, cluster.n_responses > responses_before);
-  cr_assert_eq (cluster.status, 200);
+  cr_assert_eq (cluster.response_status, 200);
   check_and_clear (&cluster);
 }
 
--- a/tests/process/test-endpoints.c
+++ b/tests/process/test-endpoints.c
@@ -40,14 +40,14 @@
   pt_start_engine (cluster, "engine-2", slow_options);
   PtProgram *instance = pt_start_instance (cluster, "i1", "hall-a");
   pt_apply_resources (cluster, instance);
-  pt_wait_ready (cluster, instance);
-  pt_start_load (cluster, &load, load_options);
-  pt_wait (cluster, "the leaving engine has generated tokens", has_generated_tokens, leaving);
+  pt_wait_until_ready (cluster, instance);
+  pt_start_load_generator (cluster, &load, load_options);
+  pt_wait_until (cluster, "the leaving engine has generated tokens", has_generated_tokens, leaving);
 
   start_leaving (cluster, leaving);
   si_client_pause (&cluster->client, LEAVE_TIMEOUT);
   int64_t calls_after_timeout = count_received_calls (cluster, leaving);
-  struct json_object *summary = pt_wait_summary (cluster, &load);
+  struct json_object *summary = pt_wait_for_summary (cluster, &load);
   cr_assert_eq (count_received_calls (cluster, leaving), calls_after_timeout);
   cr_assert_eq (pt_read_log_counter (cluster, leaving, "cancelled"), 0);
   cr_assert (pt_process_has_exited (&load, 0), "%s", json_object_to_json_string (summary));
@@ -87,7 +87,7 @@
 
   pt_cluster_init (&cluster);
   check_leaving_under_load (&cluster, announce_leaving);
-  pt_cluster_drain (&cluster);
+  pt_drain_instances (&cluster);
   pt_cluster_clear (&cluster);
 }
 
@@ -99,7 +99,7 @@
 
   pt_cluster_init (&cluster);
   check_leaving_under_load (&cluster, apply_leaving_resource);
-  pt_cluster_drain (&cluster);
+  pt_drain_instances (&cluster);
   pt_cluster_clear (&cluster);
 }
 
@@ -116,8 +116,8 @@
   for (size_t i = 0; i < json_object_array_length (not_run); i++)
     {
       const char *key = json_object_get_string (json_object_array_get_idx (not_run, i));
-      cr_assert_eq (pt_count_runs (cluster, first, key), 0, "%s", key);
-      cr_assert (!second || pt_count_runs (cluster, second, key) == 0, "%s", key);
+      cr_assert_eq (pt_count_call_runs (cluster, first, key), 0, "%s", key);
+      cr_assert (!second || pt_count_call_runs (cluster, second, key) == 0, "%s", key);
     }
 }
 
@@ -139,12 +139,13 @@
   PtProgram *healthy = pt_start_engine (&cluster, "engine-2", slow_options);
   PtProgram *instance = pt_start_instance (&cluster, "i1", "hall-a");
   pt_apply_resources (&cluster, instance);
-  pt_wait_ready (&cluster, instance);
-  pt_start_load (&cluster, &load, load_options);
-  pt_wait (&cluster, "the crashing engine has generated tokens", has_generated_tokens, crashing);
+  pt_wait_until_ready (&cluster, instance);
+  pt_start_load_generator (&cluster, &load, load_options);
+  pt_wait_until (&cluster, "the crashing engine has generated tokens", has_generated_tokens,
+                 crashing);
   pt_process_signal (&crashing->process, SIGKILL);
 
-  struct json_object *summary = pt_wait_summary (&cluster, &load);
+  struct json_object *summary = pt_wait_for_summary (&cluster, &load);
   cr_assert (pt_process_has_exited (&load, 0), "%s", json_object_to_json_string (summary));
   cr_assert_gt (si_json_int (summary, "whole", 0), 20);
   check_not_run_keys (&cluster, summary, healthy, NULL);
@@ -152,7 +153,7 @@
   cr_assert_eq (pt_read_log_counter (&cluster, healthy, "resume_mismatches"), 0);
   json_object_put (summary);
   pt_process_clear (&load);
-  pt_cluster_drain (&cluster);
+  pt_drain_instances (&cluster);
   pt_cluster_clear (&cluster);
 }
 
@@ -173,17 +174,17 @@
   PtProgram *refusing = pt_start_engine (&cluster, "engine-2", fast_options);
   PtProgram *instance = pt_start_instance (&cluster, "i1", "hall-a");
   pt_apply_resources (&cluster, instance);
-  pt_wait_ready (&cluster, instance);
+  pt_wait_until_ready (&cluster, instance);
   pt_inject_fault (&cluster, breaking, "{\"mode\": \"break\", \"count\": 6, \"tokens\": 5}");
   pt_inject_fault (&cluster, refusing, "{\"mode\": \"refuse\", \"count\": 4}");
-  pt_start_load (&cluster, &load, load_options);
+  pt_start_load_generator (&cluster, &load, load_options);
 
-  struct json_object *summary = pt_wait_summary (&cluster, &load);
+  struct json_object *summary = pt_wait_for_summary (&cluster, &load);
   cr_assert (pt_process_has_exited (&load, 0), "%s", json_object_to_json_string (summary));
   cr_assert_gt (si_json_int (summary, "whole", 0), 30);
   check_not_run_keys (&cluster, summary, breaking, refusing);
   json_object_put (summary);
   pt_process_clear (&load);
-  pt_cluster_drain (&cluster);
+  pt_drain_instances (&cluster);
   pt_cluster_clear (&cluster);
 }
--- a/tests/process/test-membership.c
+++ b/tests/process/test-membership.c
@@ -78,15 +78,15 @@
     instances[i] = pt_start_instance (cluster, names[i], data_centres[i]);
   for (size_t i = 0; i < 3; i++)
     for (size_t j = 0; j < 3; j++)
-      pt_wait (cluster, "all instances list one another", is_listed,
-               &(EntryQuery){ instances[i], names[j], 0 });
+      pt_wait_until (cluster, "all instances list one another", is_listed,
+                     &(EntryQuery){ instances[i], names[j], 0 });
 }
 
 static void
 wait_for_others (PtCluster *cluster, PtProgram **instances, const char *what, PtCondition condition)
 {
   for (size_t i = 0; i < 3; i += 2)
-    pt_wait (cluster, what, condition, &(EntryQuery){ instances[i], "i2", 0 });
+    pt_wait_until (cluster, what, condition, &(EntryQuery){ instances[i], "i2", 0 });
 }
 
 /* An instance is killed. Callers that another instance still sends to its address wait for a
@@ -124,8 +124,8 @@
   pt_process_signal (&instances[1]->process, SIGCONT);
   wait_for_others (&cluster, instances, "the continued instance is listed", is_listed);
   for (size_t i = 0; i < 3; i += 2)
-    pt_wait (&cluster, "the continued instance lists the others", is_listed,
-             &(EntryQuery){ instances[1], instances[i]->name, 0 });
+    pt_wait_until (&cluster, "the continued instance lists the others", is_listed,
+                   &(EntryQuery){ instances[1], instances[i]->name, 0 });
   cr_assert_geq (read_counter (&cluster, instances[1], "lentilspindle_own_pauses_total"), 1);
   cr_assert_eq (read_counter (&cluster, instances[1], "lentilspindle_members_suspected_total"), 0);
   cr_assert_eq (read_counter (&cluster, instances[1], "lentilspindle_members_condemned_total"), 0);
@@ -144,6 +144,6 @@
   EntryQuery own_query = { instances[1], "i2", 0 };
   if (!instances[1]->process.ended)
     cr_assert_not (run_entry_query (&cluster, &own_query));
-  pt_wait_exit (&cluster, &instances[1]->process, 0);
+  pt_wait_for_exit (&cluster, &instances[1]->process, 0);
   pt_cluster_clear (&cluster);
 }
--- a/tests/process/test-once.c
+++ b/tests/process/test-once.c
@@ -43,14 +43,14 @@
   pt_start_instance (cluster, "i3", "hall-c");
   pt_apply_resources (cluster, &cluster->instances[0]);
   for (size_t i = 0; i < cluster->n_instances; i++)
-    pt_wait_ready (cluster, &cluster->instances[i]);
+    pt_wait_until_ready (cluster, &cluster->instances[i]);
 }
 
 static int64_t
 count_runs (PtCluster *cluster, const char *order)
 {
-  return pt_count_runs (cluster, &cluster->endpoints[0], order)
-         + pt_count_runs (cluster, &cluster->endpoints[1], order);
+  return pt_count_call_runs (cluster, &cluster->endpoints[0], order)
+         + pt_count_call_runs (cluster, &cluster->endpoints[1], order);
 }
 
 static bool
@@ -92,14 +92,14 @@
   PendingCall pending_call = { .is_done = false };
 
   si_checked_call_start (cluster->client.pool, spec, on_call_done, &pending_call);
-  pt_wait (cluster, "the order runs", has_run_anywhere, (void *)spec->order);
+  pt_wait_until (cluster, "the order runs", has_run_anywhere, (void *)spec->order);
   pt_process_signal (&cluster->instances[0].process, SIGKILL);
-  pt_wait (cluster, "the call fails", is_call_done, &pending_call);
+  pt_wait_until (cluster, "the call fails", is_call_done, &pending_call);
   cr_assert_eq (pending_call.result.outcome, SI_CALL_FAILED, "%s", pending_call.result.error);
   for (size_t i = 1; i < cluster->n_instances; i++)
     {
       spec->address = cluster->instances[i].address;
-      SiCheckedCallResult retry = pt_checked_call (cluster, spec);
+      SiCheckedCallResult retry = pt_run_checked_call (cluster, spec);
       cr_assert_eq (retry.outcome, SI_CALL_FAILED, "%d %s", retry.outcome, retry.error);
       cr_assert_str_eq (retry.error, "outcome_unknown");
     }
@@ -119,7 +119,7 @@
   spec.ticket = ticket;
   check_no_rerun_after_kill (&cluster, &spec);
   free (ticket);
-  pt_cluster_drain (&cluster);
+  pt_drain_instances (&cluster);
   pt_cluster_clear (&cluster);
 }
 
@@ -133,7 +133,7 @@
   SiCheckedCallSpec spec = make_order_call (&cluster.instances[0], "order-2");
   spec.idempotency_key = "key-2";
   check_no_rerun_after_kill (&cluster, &spec);
-  pt_cluster_drain (&cluster);
+  pt_drain_instances (&cluster);
   pt_cluster_clear (&cluster);
 }
 
@@ -150,15 +150,15 @@
   spec.ticket = ticket;
   si_checked_call_start (cluster.client.pool, &spec, on_call_done, &first);
   spec.address = cluster.instances[1].address;
-  SiCheckedCallResult second = pt_checked_call (&cluster, &spec);
-  pt_wait (&cluster, "the first call is done", is_call_done, &first);
+  SiCheckedCallResult second = pt_run_checked_call (&cluster, &spec);
+  pt_wait_until (&cluster, "the first call is done", is_call_done, &first);
   cr_assert_eq (first.result.outcome, SI_CALL_COMPLETE, "%s", first.result.error);
   cr_assert_eq (second.outcome, SI_CALL_COMPLETE, "%d %s", second.outcome, second.error);
   spec.address = cluster.instances[2].address;
-  SiCheckedCallResult third = pt_checked_call (&cluster, &spec);
+  SiCheckedCallResult third = pt_run_checked_call (&cluster, &spec);
   cr_assert_eq (third.outcome, SI_CALL_COMPLETE, "%d %s", third.outcome, third.error);
   cr_assert_eq (count_runs (&cluster, "order-3"), 1);
   free (ticket);
-  pt_cluster_drain (&cluster);
+  pt_drain_instances (&cluster);
   pt_cluster_clear (&cluster);
 }
--- a/tests/process/test-operator.c
+++ b/tests/process/test-operator.c
@@ -21,7 +21,7 @@
   pt_cluster_init (&test_cluster);
   test_cluster.has_memory_platform = true;
   instance = pt_start_instance (&test_cluster, "i1", "hall-a");
-  pt_wait_ready (&test_cluster, instance);
+  pt_wait_until_ready (&test_cluster, instance);
 }
 
 static void
@@ -83,7 +83,7 @@
   remove (log_path);
   setenv ("LENTILSPINDLE_ADDRESS", instance->address, 1);
   pt_process_start (&process, argv, log_path);
-  pt_wait (&test_cluster, "the command ends", has_ended, &process);
+  pt_wait_until (&test_cluster, "the command ends", has_ended, &process);
   int exit_code = WIFEXITED (process.status) ? WEXITSTATUS (process.status) : -1;
   free (stdout_text);
   stdout_text = lb_strdup (process.output);
--- a/tests/process/test-organisations.c
+++ b/tests/process/test-organisations.c
@@ -24,8 +24,8 @@
 start_instance (PsCluster *cluster)
 {
   ps_cluster_init (cluster);
-  cluster->organisations_config = TWO_ORGANISATIONS;
-  ps_put_config (cluster, 2, PUBLIC_ROUTE);
+  cluster->organisations_json = TWO_ORGANISATIONS;
+  ps_put_desired_state (cluster, 2, PUBLIC_ROUTE);
   size_t instance = ps_start_instance (cluster);
   cluster->api_key = "post-1";
   return instance;
@@ -34,8 +34,8 @@
 static void
 revoke_api_key_post_1 (PsCluster *cluster)
 {
-  cluster->organisations_config = TWO_ORGANISATIONS_WITHOUT_POST_1;
-  ps_put_config (cluster, 3, PUBLIC_ROUTE);
+  cluster->organisations_json = TWO_ORGANISATIONS_WITHOUT_POST_1;
+  ps_put_desired_state (cluster, 3, PUBLIC_ROUTE);
 }
 
 static int
@@ -43,7 +43,7 @@
     PsCluster *cluster, size_t instance, const char *method, const char *path, const char *id)
 {
   ps_call (cluster, instance, method, path, id, "");
-  return cluster->status;
+  return cluster->response_status;
 }
 
 /* An endpoint gets the name of the key's organisation, whatever the caller claims to be, and never
@@ -65,7 +65,7 @@
                 "a public route needs no key");
   cr_assert_str_eq (cluster.lookup.organisation, "", "a public route names no organisation");
   cr_assert_eq (cluster.lookup.leaked_keys, 0);
-  cr_assert_eq (ps_count_logged (&cluster, instance, "post-1"), 0,
+  cr_assert_eq (ps_count_in_log (&cluster, instance, "post-1"), 0,
                 "the log must not contain a key");
   ps_cluster_clear (&cluster);
 }
@@ -128,7 +128,7 @@
   PS_WAIT_UNTIL (&cluster, cluster.lookup.n_calls >= 8);
   revoke_api_key_post_1 (&cluster);
   PS_WAIT_UNTIL (&cluster, cluster.n_responses > responses_before);
-  cr_assert_eq (cluster.status, 401, "the first response goes to a queued call");
+  cr_assert_eq (cluster.response_status, 401, "the first response goes to a queued call");
   int calls_sent = cluster.lookup.n_calls;
   PS_WAIT_UNTIL (&cluster, cluster.n_responses == responses_before + N_CALLS);
   cr_assert_eq (cluster.lookup.n_calls, calls_sent);
@@ -150,16 +150,16 @@
   PsCluster cluster;
   size_t instance = start_instance (&cluster);
 
-  ps_submit (&cluster, instance, "b1", 4);
-  cr_assert_eq (cluster.status, 202);
+  ps_submit_batch (&cluster, instance, "b1", 4);
+  cr_assert_eq (cluster.response_status, 202);
   cr_assert_eq (read_as (&cluster, instance, "mill-1", "/-/lots/b1?after=0"), 404);
   cr_assert_eq (read_as (&cluster, instance, "mill-1", "/-/items/b1?id=item1"), 404);
   cr_assert_eq (read_as (&cluster, instance, "mill-1", "/-/lots/unknown?after=0"), 404);
   cr_assert_eq (read_as (&cluster, instance, "nobody", "/-/lots/b1?after=0"), 401);
   cr_assert_eq (read_as (&cluster, instance, NULL, "/-/lots/unknown?after=0"), 401);
   cr_assert_eq (read_as (&cluster, instance, "post-2", "/-/items/b1?id=item1"), 200);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, instance, "b1") == 4);
-  ps_assert_all_listed (&cluster, instance, "b1", 4);
+  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, instance, "b1") == 4);
+  ps_assert_all_results_listed (&cluster, instance, "b1", 4);
   cluster.api_key = "mill-1";
   cr_assert_eq (call_for_status (&cluster, instance, "DELETE", "/-/lots/b1", ""), 404);
   cluster.api_key = "post-2";
@@ -182,15 +182,15 @@
   PsCluster cluster;
   size_t instance = start_instance (&cluster);
 
-  ps_submit (&cluster, instance, "same", 2);
-  cr_assert_eq (cluster.status, 202);
+  ps_submit_batch (&cluster, instance, "same", 2);
+  cr_assert_eq (cluster.response_status, 202);
   cluster.api_key = "mill-1";
-  ps_submit (&cluster, instance, "same", 3);
-  cr_assert_eq (cluster.status, 202);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, instance, "same") == 3);
+  ps_submit_batch (&cluster, instance, "same", 3);
+  cr_assert_eq (cluster.response_status, 202);
+  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, instance, "same") == 3);
   cluster.api_key = "post-1";
-  PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, instance, "same") == 2);
-  ps_assert_all_listed (&cluster, instance, "same", 2);
+  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, instance, "same") == 2);
+  ps_assert_all_results_listed (&cluster, instance, "same", 2);
   ps_cluster_clear (&cluster);
 }
 
@@ -207,9 +207,9 @@
   ps_start_instance (&cluster);
   for (int i = 0; i < PS_N_ENGINES; i++)
     cluster.engines[i].event_interval = 60 * LB_MSEC;
-  ps_submit (&cluster, instance, "b1", 6);
-  cr_assert_eq (cluster.status, 202);
-  PS_WAIT_UNTIL (&cluster, (owner = ps_find_owner (&cluster)) < cluster.n_instances);
+  ps_submit_batch (&cluster, instance, "b1", 6);
+  cr_assert_eq (cluster.response_status, 202);
+  PS_WAIT_UNTIL (&cluster, (owner = ps_find_batch_owner (&cluster)) < cluster.n_instances);
   PS_WAIT_UNTIL (&cluster, ps_count_engine_runs (&cluster) > 0);
   revoke_api_key_post_1 (&cluster);
   pt_process_signal (&cluster.instances[owner].process, SIGKILL);
@@ -217,8 +217,8 @@
     LB_COPY (cluster.engines[i].organisation, "");
   size_t survivor = 1 - owner;
   cluster.api_key = "post-2";
-  PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, survivor, "b1") == 6);
-  ps_assert_all_listed (&cluster, survivor, "b1", 6);
+  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, survivor, "b1") == 6);
+  ps_assert_all_results_listed (&cluster, survivor, "b1", 6);
   for (int i = 0; i < PS_N_ENGINES; i++)
     n_identified += strcmp (cluster.engines[i].organisation, "post") == 0;
   cr_assert_gt (n_identified, 0);
--- a/tests/process/test-rolling.c
+++ b/tests/process/test-rolling.c
@@ -52,19 +52,19 @@
   pt_start_instance (&cluster, "i3", "hall-c");
   pt_apply_resources (&cluster, &cluster.instances[0]);
   for (size_t i = 0; i < cluster.n_instances; i++)
-    pt_wait_ready (&cluster, &cluster.instances[i]);
-  pt_start_load (&cluster, &load, load_options);
+    pt_wait_until_ready (&cluster, &cluster.instances[i]);
+  pt_start_load_generator (&cluster, &load, load_options);
   for (size_t i = 0; i < cluster.n_instances; i++)
     {
       int64_t min_finished = 30 * (int64_t)(i + 1);
-      pt_wait (&cluster, "more calls are finished", has_finished_calls, &min_finished);
+      pt_wait_until (&cluster, "more calls are finished", has_finished_calls, &min_finished);
       pt_process_signal (&cluster.instances[i].process, SIGTERM);
-      pt_wait_exit (&cluster, &cluster.instances[i].process, 0);
+      pt_wait_for_exit (&cluster, &cluster.instances[i].process, 0);
       pt_restart_instance (&cluster, &cluster.instances[i]);
-      pt_wait_ready (&cluster, &cluster.instances[i]);
+      pt_wait_until_ready (&cluster, &cluster.instances[i]);
     }
 
-  struct json_object *summary = pt_wait_summary (&cluster, &load);
+  struct json_object *summary = pt_wait_for_summary (&cluster, &load);
   cr_assert (pt_process_has_exited (&load, 0), "%s (logs in %s)",
              json_object_to_json_string (summary), cluster.folder);
   cr_assert_eq (pt_read_log_counter (&cluster, &cluster.endpoints[0], "cancelled")
@@ -72,6 +72,6 @@
                 0);
   json_object_put (summary);
   pt_process_clear (&load);
-  pt_cluster_drain (&cluster);
+  pt_drain_instances (&cluster);
   pt_cluster_clear (&cluster);
 }
--- a/tests/process/test-shared.c
+++ b/tests/process/test-shared.c
@@ -19,26 +19,26 @@
   ps_cluster_init (&cluster);
   size_t instance = ps_start_instance (&cluster);
   ps_call (&cluster, instance, "POST", "/lookup/1?q=2", "c1", "hello");
-  cr_assert_eq (cluster.status, 200);
-  cr_assert_str_eq (cluster.body, "answer to c1");
+  cr_assert_eq (cluster.response_status, 200);
+  cr_assert_str_eq (cluster.response_body, "answer to c1");
   cr_assert_str_eq (cluster.server_stamp, "stamp-c1");
   ps_call (&cluster, instance, "GET", "/nowhere/", "c2", "");
-  cr_assert_eq (cluster.status, 404);
-  ps_submit (&cluster, instance, "b1", 12);
-  cr_assert_eq (cluster.status, 202);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, instance, "b1") == 12);
-  ps_assert_all_listed (&cluster, instance, "b1", 12);
+  cr_assert_eq (cluster.response_status, 404);
+  ps_submit_batch (&cluster, instance, "b1", 12);
+  cr_assert_eq (cluster.response_status, 202);
+  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, instance, "b1") == 12);
+  ps_assert_all_results_listed (&cluster, instance, "b1", 12);
   ps_call (&cluster, instance, "GET", "/-/items/b1?id=item3", "", "");
-  cr_assert_eq (cluster.status, 200);
-  cr_assert_str_eq (cluster.body, "ABC");
+  cr_assert_eq (cluster.response_status, 200);
+  cr_assert_str_eq (cluster.response_body, "ABC");
   ps_call (&cluster, instance, "DELETE", "/-/lots/b1", "", "");
-  cr_assert_eq (cluster.status, 200);
+  cr_assert_eq (cluster.response_status, 200);
   ps_call (&cluster, instance, "DELETE", "/-/lots/b1", "", "");
-  cr_assert_eq (cluster.status, 200, "ending a batch is idempotent");
+  cr_assert_eq (cluster.response_status, 200, "ending a batch is idempotent");
   ps_call (&cluster, instance, "GET", "/-/lots/unknown?after=0", "", "");
-  cr_assert_eq (cluster.status, 404);
+  cr_assert_eq (cluster.response_status, 404);
   ps_call (&cluster, instance, "GET", "/-/resolve?name=h.example", "", "");
-  cr_assert (strstr (cluster.body, cluster.instances[instance].address));
+  cr_assert (strstr (cluster.response_body, cluster.instances[instance].address));
   ps_cluster_clear (&cluster);
 }
 
@@ -55,8 +55,8 @@
                                && cluster.engines[2].version == 2);
   for (int i = 0; i < PS_N_ENGINES; i++)
     cr_assert_eq (cluster.engines[i].accepted_orders, 1);
-  ps_submit (&cluster, instance, "b1", 1);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, instance, "b1") == 1);
+  ps_submit_batch (&cluster, instance, "b1", 1);
+  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, instance, "b1") == 1);
   struct json_object *page = ps_read_results (&cluster, instance, "b1");
   struct json_object *result = json_object_array_get_idx (lb_json_member (page, "results"), 0);
   cr_assert_str_eq (json_object_to_json_string_ext (lb_json_member (result, "versions"),
@@ -162,9 +162,9 @@
   for (size_t i = 0; i < cluster->n_instances; i++)
     {
       ps_call (cluster, i, "POST", "/lookup/1", "c1", "hello");
-      cr_assert_eq (cluster->status, 200);
+      cr_assert_eq (cluster->response_status, 200);
       if (i != publisher)
-        n_found += ps_count_logged (cluster, i, text);
+        n_found += ps_count_in_log (cluster, i, text);
     }
   free (text);
   return n_found > 0;
@@ -187,13 +187,13 @@
   PS_WAIT_UNTIL (&cluster, has_decision_with_lister (&cluster, publisher));
   put_other_endpoint (&cluster, 7, "draining");
   for (size_t i = 0; i < 3; i++)
-    PS_WAIT_UNTIL (&cluster, ps_count_logged (&cluster, i, "endpoint_lists_leaving") == 1);
+    PS_WAIT_UNTIL (&cluster, ps_count_in_log (&cluster, i, "endpoint_lists_leaving") == 1);
   pt_process_signal (&cluster.instances[publisher].process, SIGKILL);
   PS_WAIT_UNTIL (&cluster, find_publisher (&cluster, publisher) < cluster.n_instances);
   put_other_endpoint (&cluster, 8, "draining");
   for (size_t i = 0; i < 3; i++)
     if (i != publisher)
-      PS_WAIT_UNTIL (&cluster, ps_count_logged (&cluster, i, "endpoint_lists_leaving") == 2);
+      PS_WAIT_UNTIL (&cluster, ps_count_in_log (&cluster, i, "endpoint_lists_leaving") == 2);
   ps_cluster_clear (&cluster);
 }
 
@@ -222,12 +222,12 @@
       char id[16];
       snprintf (id, sizeof id, "c%d", i);
       ps_call (&cluster, instance, "GET", "/lookup/x", id, "");
-      cr_assert_eq (cluster.status, 200);
+      cr_assert_eq (cluster.response_status, 200);
     }
   wait_end = lb_clock_monotonic () + 2 * LB_SEC;
   PS_WAIT_UNTIL (&cluster, lb_clock_monotonic () > wait_end);
-  cr_assert_eq (ps_count_logged (&cluster, instance, "endpoint_unreadable"), 3);
-  cr_assert_eq (ps_count_logged (&cluster, instance, "weights_order\",\"endpoint\":\"i-stray"), 0);
+  cr_assert_eq (ps_count_in_log (&cluster, instance, "endpoint_unreadable"), 3);
+  cr_assert_eq (ps_count_in_log (&cluster, instance, "weights_order\",\"endpoint\":\"i-stray"), 0);
   ps_cluster_clear (&cluster);
 }
 
@@ -246,13 +246,13 @@
   while (lb_clock_monotonic () < end)
     {
       ps_call (&cluster, 1, "POST", "/lookup/1", "c1", "hello");
-      cr_assert_eq (cluster.status, 503, "%s", cluster.body);
+      cr_assert_eq (cluster.response_status, 503, "%s", cluster.response_body);
       cr_assert_neq (cluster.retry_after[0], '\0');
     }
   cluster.store.unavailable_table = NULL;
-  PS_WAIT_UNTIL (&cluster, ps_is_ready (&cluster, 1));
+  PS_WAIT_UNTIL (&cluster, ps_is_instance_ready (&cluster, 1));
   ps_call (&cluster, 1, "POST", "/lookup/1", "c2", "hello");
-  cr_assert_eq (cluster.status, 200);
+  cr_assert_eq (cluster.response_status, 200);
   ps_cluster_clear (&cluster);
 }
 
@@ -269,7 +269,8 @@
   ps_cluster_init (&cluster);
   ps_start_instance (&cluster);
   ps_call (&cluster, 0, "GET", "/lookup/1", "c1", body);
-  cr_assert_eq (cluster.status, 200, "%d %s", cluster.status, cluster.body);
+  cr_assert_eq (cluster.response_status, 200, "%d %s", cluster.response_status,
+                cluster.response_body);
   free (body);
   ps_cluster_clear (&cluster);
 }
@@ -281,19 +282,21 @@
   PsCluster cluster;
 
   ps_cluster_init (&cluster);
-  ps_put_config (&cluster, 1,
-                 ", {\"name\": \"counts\", \"host\": \"h.example\", \"prefix\": \"/metrics\","
-                 " \"kind\": \"safe\", \"timeoutMs\": 20000, \"service\": \"lookups\","
-                 " \"attempts\": 3}");
+  ps_put_desired_state (
+      &cluster, 1,
+      ", {\"name\": \"counts\", \"host\": \"h.example\", \"prefix\": \"/metrics\","
+      " \"kind\": \"safe\", \"timeoutMs\": 20000, \"service\": \"lookups\","
+      " \"attempts\": 3}");
   ps_start_instance (&cluster);
   ps_call (&cluster, 0, "GET", "/metrics", "c1", "");
-  cr_assert_eq (cluster.status, 200);
-  cr_assert_null (strstr (cluster.body, "lentilspindle_requests_total"), "%s", cluster.body);
+  cr_assert_eq (cluster.response_status, 200);
+  cr_assert_null (strstr (cluster.response_body, "lentilspindle_requests_total"), "%s",
+                  cluster.response_body);
   cr_assert_eq (cluster.lookup.n_calls, 1);
-  ps_read_metrics (&cluster, 0);
-  cr_assert_eq (cluster.status, 200);
-  cr_assert (strstr (cluster.body, "lentilspindle_requests_total"));
-  cr_assert (strstr (cluster.body, "lentilspindle_request_seconds_bucket"));
+  ps_fetch_metrics (&cluster, 0);
+  cr_assert_eq (cluster.response_status, 200);
+  cr_assert (strstr (cluster.response_body, "lentilspindle_requests_total"));
+  cr_assert (strstr (cluster.response_body, "lentilspindle_request_seconds_bucket"));
   ps_cluster_clear (&cluster);
 }
 
@@ -308,9 +311,9 @@
     cluster.engines[i].event_interval = 40 * LB_MSEC;
   ps_start_instance (&cluster);
   ps_start_instance (&cluster);
-  ps_submit (&cluster, 0, "b1", 40);
-  cr_assert_eq (cluster.status, 202);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, 0, "b1") >= 5);
+  ps_submit_batch (&cluster, 0, "b1", 40);
+  cr_assert_eq (cluster.response_status, 202);
+  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b1") >= 5);
   struct json_object *page_before = ps_read_results (&cluster, 1, "b1");
   /* One of the two instances runs the batch; its row must exist. */
   const char *batch_row = NULL;
@@ -324,13 +327,13 @@
   size_t survivor = 0;
   for (size_t i = 0; i < 2; i++)
     {
-      ps_read_metrics (&cluster, i);
-      if (strstr (cluster.body, "lentilspindle_batches_owned 1"))
+      ps_fetch_metrics (&cluster, i);
+      if (strstr (cluster.response_body, "lentilspindle_batches_owned 1"))
         survivor = 1 - i;
     }
   pt_process_signal (&cluster.instances[1 - survivor].process, SIGKILL);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, survivor, "b1") == 40);
-  ps_assert_all_listed (&cluster, survivor, "b1", 40);
+  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, survivor, "b1") == 40);
+  ps_assert_all_results_listed (&cluster, survivor, "b1", 40);
   struct json_object *page_after = ps_read_results (&cluster, survivor, "b1");
   struct json_object *results_before = lb_json_member (page_before, "results");
   for (size_t i = 0; i < json_object_array_length (results_before); i++)
@@ -347,7 +350,7 @@
 Test (shared, same_batch_at_two_instances_is_accepted_once)
 {
   PsCluster cluster;
-  char *body = ps_make_batch (6);
+  char *body = ps_make_batch_json (6);
 
   ps_cluster_init (&cluster);
   ps_start_instance (&cluster);
@@ -356,10 +359,10 @@
   ps_start_call (&cluster, 0, "POST", "/steps/1", "b1", body);
   ps_start_call (&cluster, 1, "POST", "/steps/1", "b1", body);
   PS_WAIT_UNTIL (&cluster, cluster.n_responses == responses_before + 2);
-  cr_assert_eq (cluster.status, 202);
+  cr_assert_eq (cluster.response_status, 202);
   cr_assert_eq (si_row_store_count (&cluster.store, "head"), 1);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, 0, "b1") == 6);
-  ps_assert_all_listed (&cluster, 1, "b1", 6);
+  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b1") == 6);
+  ps_assert_all_results_listed (&cluster, 1, "b1", 6);
   cr_assert_eq (ps_count_engine_runs (&cluster), 6);
   free (body);
   ps_cluster_clear (&cluster);
@@ -378,17 +381,17 @@
     cluster.engines[i].event_interval = 100 * LB_MSEC;
   ps_start_instance (&cluster);
   ps_start_instance (&cluster);
-  ps_submit (&cluster, 0, "b1", 4);
-  PS_WAIT_UNTIL (&cluster, (owner = ps_find_owner (&cluster)) < 2);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, 0, "b1") == 4);
-  cluster.store.delayed_server = ps_store_server (&cluster, 1 - owner);
+  ps_submit_batch (&cluster, 0, "b1", 4);
+  PS_WAIT_UNTIL (&cluster, (owner = ps_find_batch_owner (&cluster)) < 2);
+  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b1") == 4);
+  cluster.store.delayed_server = ps_get_store_server (&cluster, 1 - owner);
   /* Lets the watches end that began before. */
   LbTime end = lb_clock_monotonic () + LB_SEC;
   PS_WAIT_UNTIL (&cluster, lb_clock_monotonic () >= end);
   size_t runs_before = ps_count_engine_runs (&cluster);
-  ps_submit (&cluster, 1 - owner, "b2", 6);
-  cr_assert_eq (cluster.status, 202);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, owner, "b2") == 6);
+  ps_submit_batch (&cluster, 1 - owner, "b2", 6);
+  cr_assert_eq (cluster.response_status, 202);
+  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, owner, "b2") == 6);
   cr_assert_eq (ps_count_engine_runs (&cluster) - runs_before, 6);
   ps_cluster_clear (&cluster);
 }
@@ -406,18 +409,18 @@
     cluster.engines[i].event_interval = 150 * LB_MSEC;
   ps_start_instance (&cluster);
   ps_start_instance (&cluster);
-  ps_submit (&cluster, 0, "b1", 2);
-  PS_WAIT_UNTIL (&cluster, (preferred = ps_find_owner (&cluster)) < 2);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, 0, "b1") == 2);
-  cluster.store.delayed_server = ps_store_server (&cluster, preferred);
+  ps_submit_batch (&cluster, 0, "b1", 2);
+  PS_WAIT_UNTIL (&cluster, (preferred = ps_find_batch_owner (&cluster)) < 2);
+  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b1") == 2);
+  cluster.store.delayed_server = ps_get_store_server (&cluster, preferred);
   /* Lets the watches end that began before. */
   LbTime end = lb_clock_monotonic () + LB_SEC;
   PS_WAIT_UNTIL (&cluster, lb_clock_monotonic () >= end);
   size_t runs_before = ps_count_engine_runs (&cluster);
-  ps_submit (&cluster, 1 - preferred, "b2", 6);
-  cr_assert_eq (cluster.status, 202);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, 1 - preferred, "b2") == 6);
-  ps_assert_all_listed (&cluster, 1 - preferred, "b2", 6);
+  ps_submit_batch (&cluster, 1 - preferred, "b2", 6);
+  cr_assert_eq (cluster.response_status, 202);
+  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 1 - preferred, "b2") == 6);
+  ps_assert_all_results_listed (&cluster, 1 - preferred, "b2", 6);
   cr_assert_eq (ps_count_engine_runs (&cluster) - runs_before, 6);
   ps_cluster_clear (&cluster);
 }
@@ -451,20 +454,20 @@
   ps_cluster_init (&cluster);
   ps_start_instance (&cluster);
   ps_start_instance (&cluster);
-  ps_submit (&cluster, 0, "b1", 6);
-  ps_submit (&cluster, 1, "b2", 3);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, 0, "b1") == 6);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, 0, "b2") == 3);
+  ps_submit_batch (&cluster, 0, "b1", 6);
+  ps_submit_batch (&cluster, 1, "b2", 3);
+  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b1") == 6);
+  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b2") == 3);
   ps_call (&cluster, 1, "DELETE", "/-/lots/b1", "", "");
-  cr_assert_eq (cluster.status, 200);
+  cr_assert_eq (cluster.response_status, 200);
   PS_WAIT_UNTIL (&cluster, si_row_store_count (&cluster.store, "head") == 1);
   cr_assert_eq (si_row_store_count (&cluster.store, "result"), 3);
   cr_assert_eq (si_row_store_count_objects (&cluster.store), 1);
-  PS_WAIT_UNTIL (&cluster,
-                 (ps_call (&cluster, 0, "GET", "/-/lots/b1", "", ""), cluster.status == 404));
-  PS_WAIT_UNTIL (&cluster,
-                 (ps_call (&cluster, 1, "GET", "/-/lots/b1", "", ""), cluster.status == 404));
-  ps_assert_all_listed (&cluster, 0, "b2", 3);
+  PS_WAIT_UNTIL (&cluster, (ps_call (&cluster, 0, "GET", "/-/lots/b1", "", ""),
+                            cluster.response_status == 404));
+  PS_WAIT_UNTIL (&cluster, (ps_call (&cluster, 1, "GET", "/-/lots/b1", "", ""),
+                            cluster.response_status == 404));
+  ps_assert_all_results_listed (&cluster, 0, "b2", 3);
   ps_cluster_clear (&cluster);
 }
 
@@ -475,7 +478,7 @@
 
   snprintf (path, sizeof path, "/-/lots/b1?after=%d", position);
   ps_call (cluster, instance, "GET", path, "", "");
-  struct json_object *page = json_tokener_parse (cluster->body);
+  struct json_object *page = json_tokener_parse (cluster->response_body);
   struct json_object *results = lb_json_member (page, "results");
   bool is_listed
       = json_object_is_type (results, json_type_array) && json_object_array_length (results) > 0;
@@ -501,7 +504,7 @@
     cluster.engines[i].padding = 40000;
   ps_start_instance (&cluster);
   ps_start_instance (&cluster);
-  ps_submit (&cluster, 0, "b1", 4);
+  ps_submit_batch (&cluster, 0, "b1", 4);
   for (int i = 0; i < 4; i++)
     PS_WAIT_UNTIL (&cluster, is_long_text_listed (&cluster, (size_t)i % 2, i,
                                                   (size_t)cluster.engines[0].n_events * 40000));
@@ -518,7 +521,7 @@
 Test (shared, lost_store_response_is_not_a_rejection)
 {
   PsCluster cluster;
-  char *body = ps_make_batch (3);
+  char *body = ps_make_batch_json (3);
 
   ps_cluster_init (&cluster);
   ps_start_instance (&cluster);
@@ -528,9 +531,9 @@
   PS_WAIT_UNTIL (&cluster, si_row_store_count (&cluster.store, "head") == 1);
   cluster.store.mode = SI_ROW_STORE_NORMAL;
   PS_WAIT_UNTIL (&cluster, cluster.n_responses > responses_before);
-  cr_assert_eq (cluster.status, 202);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, 0, "b1") == 3);
-  ps_assert_all_listed (&cluster, 0, "b1", 3);
+  cr_assert_eq (cluster.response_status, 202);
+  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b1") == 3);
+  ps_assert_all_results_listed (&cluster, 0, "b1", 3);
   free (body);
   ps_cluster_clear (&cluster);
 }
@@ -547,19 +550,19 @@
   ps_cluster_init (&cluster);
   ps_start_instance (&cluster);
   ps_start_instance (&cluster);
-  ps_submit (&cluster, 0, "b1", 2);
-  PS_WAIT_UNTIL (&cluster, (owner = ps_find_owner (&cluster)) < 2);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, 0, "b1") == 2);
+  ps_submit_batch (&cluster, 0, "b1", 2);
+  PS_WAIT_UNTIL (&cluster, (owner = ps_find_batch_owner (&cluster)) < 2);
+  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b1") == 2);
   /* Lets the instances learn of each other. */
   LbTime end = lb_clock_monotonic () + LB_SEC;
   PS_WAIT_UNTIL (&cluster, lb_clock_monotonic () >= end);
   cluster.instances[1 - owner].store_relay.fault = (PtRelayFault){ .delay = 150 * LB_MSEC };
   cluster.store.lost_replies = 1;
-  ps_submit (&cluster, owner, "b2", 3);
-  cr_assert_eq (cluster.status, 202);
+  ps_submit_batch (&cluster, owner, "b2", 3);
+  cr_assert_eq (cluster.response_status, 202);
   cluster.instances[1 - owner].store_relay.fault = (PtRelayFault){ 0 };
-  PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, owner, "b2") == 3);
-  ps_assert_all_listed (&cluster, owner, "b2", 3);
+  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, owner, "b2") == 3);
+  ps_assert_all_results_listed (&cluster, owner, "b2", 3);
   ps_cluster_clear (&cluster);
 }
 
@@ -574,12 +577,12 @@
   ps_start_instance (&cluster);
   cluster.store.lost_replies = 1;
   cluster.store.unavailable_after_lost_replies = true;
-  ps_submit (&cluster, 0, "b1", 3);
-  cr_assert_eq (cluster.status, 502);
+  ps_submit_batch (&cluster, 0, "b1", 3);
+  cr_assert_eq (cluster.response_status, 502);
   cr_assert_eq (si_row_store_count (&cluster.store, "head"), 1);
   cluster.store.mode = SI_ROW_STORE_NORMAL;
-  PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, 0, "b1") == 3);
-  ps_assert_all_listed (&cluster, 0, "b1", 3);
+  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b1") == 3);
+  ps_assert_all_results_listed (&cluster, 0, "b1", 3);
   ps_cluster_clear (&cluster);
 }
 
@@ -592,14 +595,15 @@
   ps_cluster_init (&cluster);
   ps_start_instance (&cluster);
   cluster.store.mode = SI_ROW_STORE_UNAVAILABLE;
-  ps_submit (&cluster, 0, "b1", 3);
-  cr_assert_eq (cluster.status, 503);
+  ps_submit_batch (&cluster, 0, "b1", 3);
+  cr_assert_eq (cluster.response_status, 503);
   cr_assert_neq (cluster.retry_after[0], '\0');
   ps_call (&cluster, 0, "POST", "/lookup/1", "c1", "hello");
-  cr_assert_eq (cluster.status, 200);
+  cr_assert_eq (cluster.response_status, 200);
   cluster.store.mode = SI_ROW_STORE_NORMAL;
-  PS_WAIT_UNTIL (&cluster, (ps_submit (&cluster, 0, "b1", 3), cluster.status == 202));
-  PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, 0, "b1") == 3);
+  PS_WAIT_UNTIL (&cluster,
+                 (ps_submit_batch (&cluster, 0, "b1", 3), cluster.response_status == 202));
+  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b1") == 3);
   ps_cluster_clear (&cluster);
 }
 
@@ -614,21 +618,21 @@
 
   ps_cluster_init (&cluster);
   ps_start_instance (&cluster);
-  ps_put_config (&cluster, 5, added_route);
-  PS_WAIT_UNTIL (&cluster,
-                 (ps_call (&cluster, 0, "GET", "/new/x", "c1", ""), cluster.status == 200));
-  ps_put_config (&cluster, 4, "");
+  ps_put_desired_state (&cluster, 5, added_route);
+  PS_WAIT_UNTIL (&cluster, (ps_call (&cluster, 0, "GET", "/new/x", "c1", ""),
+                            cluster.response_status == 200));
+  ps_put_desired_state (&cluster, 4, "");
   for (int i = 0; i < 20; i++)
     {
       ps_call (&cluster, 0, "GET", "/new/x", "c2", "");
-      cr_assert_eq (cluster.status, 200);
+      cr_assert_eq (cluster.response_status, 200);
       usleep (50000);
     }
   si_row_store_put (&cluster.store, "op", "", "config", "{\"version\": 9, \"routes\": \"none\"}");
   for (int i = 0; i < 20; i++)
     {
       ps_call (&cluster, 0, "GET", "/new/x", "c3", "");
-      cr_assert_eq (cluster.status, 200, "an invalid desired state is ignored");
+      cr_assert_eq (cluster.response_status, 200, "an invalid desired state is ignored");
       usleep (50000);
     }
   ps_cluster_clear (&cluster);
@@ -645,17 +649,17 @@
     cluster.engines[i].event_interval = 40 * LB_MSEC;
   ps_start_instance (&cluster);
   ps_start_instance (&cluster);
-  ps_submit (&cluster, 0, "b1", 30);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, 0, "b1") >= 3);
+  ps_submit_batch (&cluster, 0, "b1", 30);
+  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b1") >= 3);
   pt_process_signal (&cluster.instances[0].process, SIGTERM);
-  PS_WAIT_UNTIL (&cluster, !ps_is_ready (&cluster, 0));
+  PS_WAIT_UNTIL (&cluster, !ps_is_instance_ready (&cluster, 0));
   ps_call (&cluster, 0, "POST", "/lookup/1", "c1", "hello");
-  cr_assert_eq (cluster.status, 200);
+  cr_assert_eq (cluster.response_status, 200);
   PS_WAIT_UNTIL (&cluster, pt_process_has_exited (&cluster.instances[0].process, 0));
-  PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, 1, "b1") == 30);
-  ps_assert_all_listed (&cluster, 1, "b1", 30);
+  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 1, "b1") == 30);
+  ps_assert_all_results_listed (&cluster, 1, "b1", 30);
   ps_call (&cluster, 1, "GET", "/-/resolve?name=h.example", "", "");
-  cr_assert_null (strstr (cluster.body, cluster.instances[0].address));
+  cr_assert_null (strstr (cluster.response_body, cluster.instances[0].address));
   ps_cluster_clear (&cluster);
 }
 
@@ -667,16 +671,16 @@
 
   ps_cluster_init (&cluster);
   ps_start_instance (&cluster);
-  ps_submit (&cluster, 0, "b1", 10);
+  ps_submit_batch (&cluster, 0, "b1", 10);
   pt_process_signal (&cluster.instances[0].process, SIGHUP);
   ps_call (&cluster, 0, "POST", "/lookup/1", "c1", "hello");
-  cr_assert_eq (cluster.status, 200);
+  cr_assert_eq (cluster.response_status, 200);
   snprintf (path, sizeof path, "%s/%s.json", cluster.folder, cluster.instances[0].name);
   FILE *out = fopen (path, "w");
   fputs ("{ nonsense", out);
   fclose (out);
   pt_process_signal (&cluster.instances[0].process, SIGHUP);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, 0, "b1") == 10);
+  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b1") == 10);
   cr_assert_not (cluster.instances[0].process.ended);
   ps_cluster_clear (&cluster);
 }
@@ -694,10 +698,10 @@
       cluster.engines[i].event_interval = 50 * LB_MSEC;
     }
   ps_start_instance (&cluster);
-  ps_submit (&cluster, 0, "b1", 6);
+  ps_submit_batch (&cluster, 0, "b1", 6);
   PS_WAIT_UNTIL (&cluster, ps_count_engine_runs (&cluster) >= 6);
   ps_call (&cluster, 0, "DELETE", "/-/lots/b1", "", "");
-  cr_assert_eq (cluster.status, 200);
+  cr_assert_eq (cluster.response_status, 200);
   PS_WAIT_UNTIL (&cluster, cluster.engines[0].cancelled + cluster.engines[1].cancelled
                                    + cluster.engines[2].cancelled
                                == 6);
@@ -715,16 +719,16 @@
 
   ps_cluster_init (&cluster);
   ps_start_instance (&cluster);
-  ps_submit (&cluster, 0, "b1", 9);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, 0, "b1") == 9);
+  ps_submit_batch (&cluster, 0, "b1", 9);
+  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b1") == 9);
   cluster.engines[0].draining = true;
   si_endpoint_register (&cluster.engines[0]);
   LbTime end = lb_clock_monotonic () + 2 * LB_SEC;
   while (lb_clock_monotonic () < end)
     ps_run_loop_once (&cluster);
   size_t runs = cluster.engines[0].n_stream_records;
-  ps_submit (&cluster, 0, "b2", 12);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed (&cluster, 0, "b2") == 12);
+  ps_submit_batch (&cluster, 0, "b2", 12);
+  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b2") == 12);
   cr_assert_eq (cluster.engines[0].n_stream_records, runs);
   ps_cluster_clear (&cluster);
 }
@@ -742,12 +746,12 @@
   ps_cluster_init (&cluster);
   si_row_store_put (&cluster.store, "instance", "0", "gone", gone_row);
   size_t instance = ps_start_instance (&cluster);
-  PS_WAIT_UNTIL (&cluster, ps_count_logged (&cluster, instance, "instances_listed") > 0);
+  PS_WAIT_UNTIL (&cluster, ps_count_in_log (&cluster, instance, "instances_listed") > 0);
   for (int i = 0; i < 50; i++)
     {
       ps_call (&cluster, instance, "GET", "/-/resolve?name=h.example", "", "");
-      cr_assert (strstr (cluster.body, cluster.instances[instance].address));
-      cr_assert_not (strstr (cluster.body, "127.0.0.9:9"), "a removed machine is listed");
+      cr_assert (strstr (cluster.response_body, cluster.instances[instance].address));
+      cr_assert_not (strstr (cluster.response_body, "127.0.0.9:9"), "a removed machine is listed");
     }
   ps_cluster_clear (&cluster);
 }
--- a/tests/process/test-silence.c
+++ b/tests/process/test-silence.c
@@ -41,7 +41,7 @@
 {
   RunQuery *run_query = user;
 
-  return pt_count_runs (cluster, run_query->endpoint, run_query->key) > 0;
+  return pt_count_call_runs (cluster, run_query->endpoint, run_query->key) > 0;
 }
 
 typedef struct
@@ -69,14 +69,14 @@
   strcpy (scene->endpoint->address, scene->relay.address);
   pt_apply_resources (&scene->cluster, scene->instance);
   strcpy (scene->endpoint->address, direct_address);
-  pt_wait_ready (&scene->cluster, scene->instance);
+  pt_wait_until_ready (&scene->cluster, scene->instance);
 }
 
 static void
 scene_clear (Scene *scene)
 {
   pt_relay_clear (&scene->relay);
-  pt_cluster_drain (&scene->cluster);
+  pt_drain_instances (&scene->cluster);
   pt_cluster_clear (&scene->cluster);
 }
 
@@ -97,20 +97,20 @@
                              .prompt = "a reply",
                              .max_tokens = 90,
                              .stream = true };
-  cr_assert_eq (pt_checked_call (&scene.cluster, &spec).outcome, SI_CALL_COMPLETE);
+  cr_assert_eq (pt_run_checked_call (&scene.cluster, &spec).outcome, SI_CALL_COMPLETE);
   spec.prompt = "another reply";
   RunQuery run_query = { scene.endpoint, spec.prompt };
   si_checked_call_start (scene.cluster.client.pool, &spec, on_call_done, &pending_call);
-  pt_wait (&scene.cluster, "the engine has started the call", has_run, &run_query);
+  pt_wait_until (&scene.cluster, "the engine has started the call", has_run, &run_query);
   si_client_pause (&scene.cluster.client, 300 * LB_MSEC);
   pt_relay_blackhole_connections (&scene.relay);
 
-  pt_wait (&scene.cluster, "the call is done", is_call_done, &pending_call);
+  pt_wait_until (&scene.cluster, "the call is done", is_call_done, &pending_call);
   cr_assert_eq (pending_call.result.outcome, SI_CALL_COMPLETE, "%d %s", pending_call.result.outcome,
                 pending_call.result.error);
   cr_assert_eq (pt_read_log_counter (&scene.cluster, scene.endpoint, "resume_mismatches"), 0);
   spec.prompt = "a third";
-  cr_assert_eq (pt_checked_call (&scene.cluster, &spec).outcome, SI_CALL_COMPLETE);
+  cr_assert_eq (pt_run_checked_call (&scene.cluster, &spec).outcome, SI_CALL_COMPLETE);
   scene_clear (&scene);
 }
 
@@ -133,18 +133,18 @@
                              .idle_timeout = PT_WAIT_TIMEOUT };
   RunQuery run_query = { scene.endpoint, "order-7" };
   si_checked_call_start (scene.cluster.client.pool, &spec, on_call_done, &pending_call);
-  pt_wait (&scene.cluster, "the service has started the call", has_run, &run_query);
+  pt_wait_until (&scene.cluster, "the service has started the call", has_run, &run_query);
   pt_relay_blackhole_connections (&scene.relay);
 
-  pt_wait (&scene.cluster, "the call is done", is_call_done, &pending_call);
+  pt_wait_until (&scene.cluster, "the call is done", is_call_done, &pending_call);
   cr_assert_eq (pending_call.result.outcome, SI_CALL_FAILED, "%d %s", pending_call.result.outcome,
                 pending_call.result.error);
   cr_assert (strcmp (pending_call.result.error, "deadline") == 0
                  || strcmp (pending_call.result.error, "outcome_unknown") == 0,
              "%s", pending_call.result.error);
-  cr_assert_eq (pt_count_runs (&scene.cluster, scene.endpoint, "order-7"), 1);
+  cr_assert_eq (pt_count_call_runs (&scene.cluster, scene.endpoint, "order-7"), 1);
   spec.order = "order-8";
   spec.deadline_ms = NULL;
-  cr_assert_eq (pt_checked_call (&scene.cluster, &spec).outcome, SI_CALL_COMPLETE);
+  cr_assert_eq (pt_run_checked_call (&scene.cluster, &spec).outcome, SI_CALL_COMPLETE);
   scene_clear (&scene);
 }
--- a/tests/process/test-slow.c
+++ b/tests/process/test-slow.c
@@ -19,25 +19,25 @@
   PtProgram *service = pt_start_service (&cluster, "lookup-1", service_options);
   PtProgram *instance = pt_start_instance (&cluster, "i1", "hall-a");
   pt_apply_resources (&cluster, instance);
-  pt_wait_ready (&cluster, instance);
+  pt_wait_until_ready (&cluster, instance);
   SiCheckedCallSpec stream = { .address = instance->address,
                                .model = "reader",
                                .prompt = "slowly",
                                .max_tokens = 60,
                                .stream = true };
-  SiCheckedCallResult result = pt_checked_call (&cluster, &stream);
+  SiCheckedCallResult result = pt_run_checked_call (&cluster, &stream);
   cr_assert_eq (result.outcome, SI_CALL_COMPLETE, "stream: %d %s", result.outcome, result.error);
   stream.stream = false;
-  result = pt_checked_call (&cluster, &stream);
+  result = pt_run_checked_call (&cluster, &stream);
   cr_assert_eq (result.outcome, SI_CALL_COMPLETE, "unary: %d %s", result.outcome, result.error);
   SiCheckedCallSpec service_call = { .kind = SI_CHECKED_CALL_SERVICE,
                                      .address = instance->address,
                                      .model = "/services/lookup/order",
                                      .prompt = "one",
                                      .order = "order-1" };
-  result = pt_checked_call (&cluster, &service_call);
+  result = pt_run_checked_call (&cluster, &service_call);
   cr_assert_eq (result.outcome, SI_CALL_COMPLETE, "service: %d %s", result.outcome, result.error);
-  cr_assert_eq (pt_count_runs (&cluster, service, "order-1"), 1);
-  pt_cluster_drain (&cluster);
+  cr_assert_eq (pt_count_call_runs (&cluster, service, "order-1"), 1);
+  pt_drain_instances (&cluster);
   pt_cluster_clear (&cluster);
 }
--- a/tests/process/test-steps.c
+++ b/tests/process/test-steps.c
@@ -35,7 +35,7 @@
   pt_start_instance (cluster, "i3", "hall-c");
   pt_apply_resources (cluster, &cluster->instances[0]);
   for (size_t i = 0; i < cluster->n_instances; i++)
-    pt_wait_ready (cluster, &cluster->instances[i]);
+    pt_wait_until_ready (cluster, &cluster->instances[i]);
 }
 
 static void
@@ -67,7 +67,7 @@
 scene_clear (Scene *scene)
 {
   pt_process_clear (&scene->trainer);
-  pt_cluster_drain (&scene->cluster);
+  pt_drain_instances (&scene->cluster);
   pt_cluster_clear (&scene->cluster);
 }
 
@@ -113,7 +113,7 @@
 static void
 check_trainer (Scene *scene)
 {
-  struct json_object *summary = pt_wait_summary (&scene->cluster, &scene->trainer);
+  struct json_object *summary = pt_wait_for_summary (&scene->cluster, &scene->trainer);
 
   cr_assert (pt_process_has_exited (&scene->trainer, 0), "%s (logs in %s)",
              json_object_to_json_string (summary), scene->cluster.folder);
@@ -129,7 +129,7 @@
   Scene scene;
 
   scene_init (&scene, "3000");
-  pt_wait (&scene.cluster, "a quarter of the samples is finished", is_quarter_finished, NULL);
+  pt_wait_until (&scene.cluster, "a quarter of the samples is finished", is_quarter_finished, NULL);
   PtProgram *owner = find_owner (&scene.cluster);
   pt_process_signal (&owner->process, SIGKILL);
   check_trainer (&scene);
@@ -150,10 +150,10 @@
   Scene scene;
 
   scene_init (&scene, "1200");
-  pt_wait (&scene.cluster, "a quarter of the samples is finished", is_quarter_finished, NULL);
+  pt_wait_until (&scene.cluster, "a quarter of the samples is finished", is_quarter_finished, NULL);
   PtProgram *owner = find_owner (&scene.cluster);
   pt_process_signal (&owner->process, SIGSTOP);
-  pt_wait (&scene.cluster, "another instance takes the step over", has_other_owner, owner);
+  pt_wait_until (&scene.cluster, "another instance takes the step over", has_other_owner, owner);
   pt_process_signal (&owner->process, SIGCONT);
   check_trainer (&scene);
   scene_clear (&scene);
@@ -170,7 +170,7 @@
                                                    "--vary-length", NULL };
 
   scene_init (&scene, "3000");
-  pt_wait (&scene.cluster, "a quarter of the samples is finished", is_quarter_finished, NULL);
+  pt_wait_until (&scene.cluster, "a quarter of the samples is finished", is_quarter_finished, NULL);
   pt_inject_fault (&scene.cluster, &scene.cluster.platform, "{\"mode\": \"down\"}");
   check_trainer (&scene);
   pt_process_clear (&scene.trainer);
@@ -196,7 +196,7 @@
   Scene scene;
 
   scene_init_without_store (&scene, "3000");
-  pt_wait (&scene.cluster, "half of the samples are finished", is_half_finished, NULL);
+  pt_wait_until (&scene.cluster, "half of the samples are finished", is_half_finished, NULL);
   pt_process_signal (&scene.cluster.instances[0].process, SIGKILL);
   si_client_pause (&scene.cluster.client, LB_SEC);
   pt_inject_fault (&scene.cluster, &scene.cluster.platform, "{\"mode\": \"none\"}");
--- a/tests/process/test-tickets.c
+++ b/tests/process/test-tickets.c
@@ -48,10 +48,10 @@
   scene->first = pt_start_instance (&scene->cluster, "i1", "hall-a");
   scene->second = pt_start_instance (&scene->cluster, "i2", "hall-b");
   pt_apply_resources (&scene->cluster, scene->first);
-  pt_wait_revision_in_force (&scene->cluster);
-  pt_wait_ready (&scene->cluster, scene->first);
-  pt_wait_ready (&scene->cluster, scene->second);
-  pt_wait (&scene->cluster, "both instances list two addresses", are_both_listed, NULL);
+  pt_wait_until_revision_in_force (&scene->cluster);
+  pt_wait_until_ready (&scene->cluster, scene->first);
+  pt_wait_until_ready (&scene->cluster, scene->second);
+  pt_wait_until (&scene->cluster, "both instances list two addresses", are_both_listed, NULL);
 }
 
 static void
@@ -114,14 +114,14 @@
   send_order (&scene, scene.first, "x-ticket", ticket, &response);
   cr_assert (si_response_is_ok (&response), "%s", si_response_error (&response));
   si_response_clear (&response);
-  cr_assert_eq (pt_count_runs (&scene.cluster, scene.service, "tea"), 1);
+  cr_assert_eq (pt_count_call_runs (&scene.cluster, scene.service, "tea"), 1);
 
   pt_process_signal (&scene.first->process, SIGKILL);
   send_order (&scene, scene.second, "x-ticket", ticket, &response);
   cr_assert_str_eq (si_response_error (&response), "outcome_unknown");
   cr_assert_not (response.not_run);
   si_response_clear (&response);
-  cr_assert_eq (pt_count_runs (&scene.cluster, scene.service, "tea"), 1);
+  cr_assert_eq (pt_count_call_runs (&scene.cluster, scene.service, "tea"), 1);
   scene_clear (&scene);
 }
 
@@ -159,15 +159,17 @@
   send_order (&scene, scene.first, "idempotency-key", "k1", &response);
   cr_assert (si_response_is_ok (&response) || response.not_run, "%s",
              si_response_error (&response));
-  cr_assert_eq (pt_count_runs (&scene.cluster, scene.service, "tea"), response.not_run ? 0 : 1);
+  cr_assert_eq (pt_count_call_runs (&scene.cluster, scene.service, "tea"),
+                response.not_run ? 0 : 1);
   si_response_clear (&response);
   pt_inject_fault (&scene.cluster, &scene.cluster.platform, "{\"mode\": \"none\"}");
   OrderRetry second = { .scene = &scene, .instance = scene.second };
   OrderRetry first = { .scene = &scene, .instance = scene.first };
-  pt_wait (&scene.cluster, "the order completes at the second instance", is_order_completed,
-           &second);
-  pt_wait (&scene.cluster, "the order completes at the first instance", is_order_completed, &first);
-  cr_assert_eq (pt_count_runs (&scene.cluster, scene.service, "tea"), 1);
+  pt_wait_until (&scene.cluster, "the order completes at the second instance", is_order_completed,
+                 &second);
+  pt_wait_until (&scene.cluster, "the order completes at the first instance", is_order_completed,
+                 &first);
+  cr_assert_eq (pt_count_call_runs (&scene.cluster, scene.service, "tea"), 1);
   scene_clear (&scene);
 }
 
@@ -184,11 +186,11 @@
   send_order (&scene, scene.first, "idempotency-key", "k1", &response);
   cr_assert (response.not_run, "%s", si_response_error (&response));
   si_response_clear (&response);
-  cr_assert_eq (pt_count_runs (&scene.cluster, scene.service, "tea"), 0);
+  cr_assert_eq (pt_count_call_runs (&scene.cluster, scene.service, "tea"), 0);
   create_ticket (&scene, scene.first, ticket);
   send_order (&scene, scene.first, "x-ticket", ticket, &response);
   cr_assert (si_response_is_ok (&response), "%s", si_response_error (&response));
   si_response_clear (&response);
-  cr_assert_eq (pt_count_runs (&scene.cluster, scene.service, "tea"), 1);
+  cr_assert_eq (pt_count_call_runs (&scene.cluster, scene.service, "tea"), 1);
   scene_clear (&scene);
 }
