--- a/tests/process/test-config.c
+++ b/tests/process/test-config.c
@@ -8,31 +8,31 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Longer than an instance accepts new work without a confirmation by the store or by other
- * instances. */
-#define STORE_OUTAGE (10 * LB_SEC)
-#define QUEUE_LIMIT(n)                                                                             \
+/* Exceeds the 8 s for which an instance accepts new work without a confirmation of its
+ * configuration by the store or by other instances. */
+#define STORE_OUTAGE_DURATION (10 * LB_SEC)
+#define SET_QUEUE_LIMIT_JSON(n)                                                                    \
   "{\"apply\": [{\"kind\": \"pool\", \"name\": \"reader\", \"queue_limit\": " #n "}]}"
 
 static PtCluster test_cluster;
 
 static void
-setup (void)
+start_test_platform (void)
 {
   pt_cluster_init (&test_cluster);
   pt_start_platform (&test_cluster);
 }
 
 static void
-teardown (void)
+clear_test_cluster (void)
 {
   pt_cluster_clear (&test_cluster);
 }
 
-TestSuite (config, .init = setup, .fini = teardown);
+TestSuite (config, .init = start_test_platform, .fini = clear_test_cluster);
 
 static struct json_object *
-read_status (const PtProgram *instance)
+read_instance_status (const PtProgram *instance)
 {
   const LhHeader headers[] = { { "authorization", "Bearer " PT_OPERATOR_TOKEN } };
   const SiCall call = { .method = "GET",
@@ -51,7 +51,7 @@
 }
 
 static int64_t
-read_metric (const PtProgram *instance, const char *name)
+read_instance_metric (const PtProgram *instance, const char *name)
 {
   const SiCall call = { .method = "GET", .address = instance->address, .path = "/metrics" };
   SiResponse response;
@@ -67,7 +67,7 @@
 }
 
 static bool
-is_ready (PtCluster *cluster, void *user)
+is_instance_ready (PtCluster *cluster, void *user)
 {
   const PtProgram *instance = user;
   const SiCall call = { .method = "GET", .address = instance->address, .path = "/readyz" };
@@ -80,15 +80,15 @@
 }
 
 static bool
-is_not_ready (PtCluster *cluster, void *user)
+is_instance_not_ready (PtCluster *cluster, void *user)
 {
-  return !is_ready (cluster, user);
+  return !is_instance_ready (cluster, user);
 }
 
 static bool
-has_all_members_alive (PtCluster *cluster, void *user)
+sees_all_instances_alive (PtCluster *cluster, void *user)
 {
-  struct json_object *status = read_status (user);
+  struct json_object *status = read_instance_status (user);
   struct json_object *instances = json_object_object_get (status, "instances");
   size_t alive = 0;
 
@@ -102,7 +102,7 @@
 }
 
 static void
-start_instances (size_t n)
+start_instances_and_wait (size_t n)
 {
   static const char *const names[] = { "i1", "i2", "i3", "i4" };
 
@@ -111,13 +111,16 @@
   for (size_t i = 0; i < n; i++)
     {
       pt_wait_until_ready (&test_cluster, &test_cluster.instances[i]);
-      pt_wait_until (&test_cluster, "an instance sees all others alive", has_all_members_alive,
-                     &test_cluster.instances[i]);
+      pt_wait_until (&test_cluster, "the instance reports all instances as alive",
+                     sees_all_instances_alive, &test_cluster.instances[i]);
     }
 }
 
 static int
-apply_change (PtProgram *instance, const char *changes, const char *if_match, LbName error)
+apply_change_and_get_status (PtProgram *instance,
+                             const char *changes,
+                             const char *if_match,
+                             LbName error)
 {
   SiResponse response;
 
@@ -129,9 +132,9 @@
 }
 
 static int64_t
-read_revision (const PtProgram *instance)
+read_active_revision (const PtProgram *instance)
 {
-  struct json_object *status = read_status (instance);
+  struct json_object *status = read_instance_status (instance);
   int64_t revision = status ? si_json_int (status, "revision", -1) : -1;
 
   json_object_put (status);
@@ -139,27 +142,31 @@
 }
 
 static bool
-has_revision_2 (PtCluster *cluster, void *user)
+is_revision_2_active (PtCluster *cluster, void *user)
 {
   (void)cluster;
-  return read_revision (user) == 2;
+  return read_active_revision (user) == 2;
 }
 
 /* Two operators read revision 1 and change the same pool at two instances. The second change must
- * be rejected as a conflict with revision 2, instead of silently undoing the first. Requests
- * without a token are rejected. */
+ * be rejected as a conflict, or it would silently undo the first one, which made revision 2. A
+ * request without the operator token is rejected. */
 Test (config, change_on_old_revision_is_a_conflict)
 {
   LbName error;
 
-  start_instances (2);
+  start_instances_and_wait (2);
   PtProgram *first = &test_cluster.instances[0], *second = &test_cluster.instances[1];
-  cr_assert_eq (apply_change (first, QUEUE_LIMIT (1), "\"0\"", error), 200, "%s", error);
-  cr_assert_eq (apply_change (first, QUEUE_LIMIT (2), "\"1\"", error), 200, "%s", error);
-  cr_assert_eq (apply_change (second, QUEUE_LIMIT (3), "\"1\"", error), 409);
+  cr_assert_eq (apply_change_and_get_status (first, SET_QUEUE_LIMIT_JSON (1), "\"0\"", error), 200,
+                "change rejected with error %s", error);
+  cr_assert_eq (apply_change_and_get_status (first, SET_QUEUE_LIMIT_JSON (2), "\"1\"", error), 200,
+                "change rejected with error %s", error);
+  cr_assert_eq (apply_change_and_get_status (second, SET_QUEUE_LIMIT_JSON (3), "\"1\"", error),
+                409);
   cr_assert_str_eq (error, "conflict");
-  cr_assert_eq (apply_change (second, QUEUE_LIMIT (3), NULL, error), 400);
-  pt_wait_until (&test_cluster, "the other instance has revision 2", has_revision_2, second);
+  cr_assert_eq (apply_change_and_get_status (second, SET_QUEUE_LIMIT_JSON (3), NULL, error), 400);
+  pt_wait_until (&test_cluster, "revision 2 is active on the other instance", is_revision_2_active,
+                 second);
 
   const SiCall call
       = { .method = "POST", .address = first->address, .path = "/v1/resources", .body = "{}" };
@@ -167,59 +174,65 @@
   si_client_call (&test_cluster.client, &call, &response);
   cr_assert_eq (response.status, 401);
   si_response_clear (&response);
-  cr_assert_eq (read_metric (first, "lentilspindle_operator_refused_total "), 1);
+  cr_assert_eq (read_instance_metric (first, "lentilspindle_operator_refused_total "), 1);
 }
 
-/* The store commits a change, and the responses to the commit and to each retry are lost. The
- * operator must not get a failure, or a conflict with the own change, for a change that is in
- * force. */
+/* The store commits a change, but the responses to the commit and to each retry are lost. The
+ * instance must find out that the change is committed: the operator must get neither a failure nor
+ * a conflict caused by the retry. */
 Test (config, lost_commit_response_is_not_reported_as_failure)
 {
   LbName error;
 
-  start_instances (2);
+  start_instances_and_wait (2);
   PtProgram *first = &test_cluster.instances[0];
-  cr_assert_eq (apply_change (first, QUEUE_LIMIT (1), "\"0\"", error), 200, "%s", error);
+  cr_assert_eq (apply_change_and_get_status (first, SET_QUEUE_LIMIT_JSON (1), "\"0\"", error), 200,
+                "change rejected with error %s", error);
   pt_inject_fault (&test_cluster, &test_cluster.platform,
                    "{\"mode\": \"lose_reply\", \"path\": \"/table/transact\"}");
-  cr_assert_eq (apply_change (first, QUEUE_LIMIT (2), "\"1\"", error), 200, "%s", error);
-  pt_wait_until (&test_cluster, "the other instance has revision 2", has_revision_2,
+  cr_assert_eq (apply_change_and_get_status (first, SET_QUEUE_LIMIT_JSON (2), "\"1\"", error), 200,
+                "change rejected with error %s", error);
+  pt_wait_until (&test_cluster, "revision 2 is active on the other instance", is_revision_2_active,
                  &test_cluster.instances[1]);
-  cr_assert_eq (read_revision (first), 2);
+  cr_assert_eq (read_active_revision (first), 2);
 }
 
-/* A long store outage, during which an instance is replaced, must not affect callers: the instances
- * stay ready, the replacement serves the configuration of the others, and changes by operators are
- * rejected with 503. */
+/* The store is down for 10 s and an instance is replaced meanwhile. Callers must not notice: the
+ * instances stay ready, and the replacement gets the configuration from its peers. Configuration
+ * changes are rejected with 503. */
 Test (config, long_store_outage_does_not_affect_callers)
 {
   LbName error;
 
-  start_instances (3);
-  cr_assert_eq (apply_change (&test_cluster.instances[0], QUEUE_LIMIT (1), "\"0\"", error), 200,
-                "%s", error);
-  cr_assert_eq (apply_change (&test_cluster.instances[0], QUEUE_LIMIT (2), "\"1\"", error), 200,
-                "%s", error);
+  start_instances_and_wait (3);
+  cr_assert_eq (apply_change_and_get_status (&test_cluster.instances[0], SET_QUEUE_LIMIT_JSON (1),
+                                             "\"0\"", error),
+                200, "change rejected with error %s", error);
+  cr_assert_eq (apply_change_and_get_status (&test_cluster.instances[0], SET_QUEUE_LIMIT_JSON (2),
+                                             "\"1\"", error),
+                200, "change rejected with error %s", error);
   pt_inject_fault (&test_cluster, &test_cluster.platform, "{\"mode\": \"down\"}");
-  cr_assert_eq (apply_change (&test_cluster.instances[0], QUEUE_LIMIT (3), "\"2\"", error), 503);
+  cr_assert_eq (apply_change_and_get_status (&test_cluster.instances[0], SET_QUEUE_LIMIT_JSON (3),
+                                             "\"2\"", error),
+                503);
   cr_assert_str_eq (error, "store_away");
-  si_client_pause (&test_cluster.client, STORE_OUTAGE);
+  si_client_pause (&test_cluster.client, STORE_OUTAGE_DURATION);
   for (size_t i = 0; i < 3; i++)
-    cr_assert (is_ready (&test_cluster, &test_cluster.instances[i]), "%s",
+    cr_assert (is_instance_ready (&test_cluster, &test_cluster.instances[i]), "%s",
                test_cluster.instances[i].name);
 
   pt_restart_instance (&test_cluster, &test_cluster.instances[2]);
   pt_wait_until_ready (&test_cluster, &test_cluster.instances[2]);
-  cr_assert_eq (read_revision (&test_cluster.instances[2]), 2);
+  cr_assert_eq (read_active_revision (&test_cluster.instances[2]), 2);
   pt_inject_fault (&test_cluster, &test_cluster.platform, "{\"mode\": \"none\"}");
 }
 
-/* Two of three instances are killed during a store outage. The last one cannot know whether its
- * configuration is still current: it must reject new work as not run until the store confirms
- * it. */
+/* Two of three instances are killed during a store outage. The last instance has no majority to
+ * confirm that its configuration is current. It must reject new work as not run until the store is
+ * back and confirms the configuration. */
 Test (config, last_instance_without_store_rejects_new_work)
 {
-  start_instances (3);
+  start_instances_and_wait (3);
   PtProgram *engine = pt_start_engine (&test_cluster, "engine-1", NULL);
   PtProgram *last = &test_cluster.instances[2];
   const SiCheckedCallSpec spec
@@ -229,7 +242,7 @@
   pt_inject_fault (&test_cluster, &test_cluster.platform, "{\"mode\": \"down\"}");
   pt_process_clear (&test_cluster.instances[0].process);
   pt_process_clear (&test_cluster.instances[1].process);
-  pt_wait_until (&test_cluster, "the last instance is not ready", is_not_ready, last);
+  pt_wait_until (&test_cluster, "the last instance stops being ready", is_instance_not_ready, last);
   cr_assert_eq (pt_run_checked_call (&test_cluster, &spec).outcome, SI_CALL_NOT_RUN);
   cr_assert_eq (pt_count_call_runs (&test_cluster, engine, spec.prompt), 0);
   pt_inject_fault (&test_cluster, &test_cluster.platform, "{\"mode\": \"none\"}");
@@ -237,19 +250,19 @@
   cr_assert_eq (pt_run_checked_call (&test_cluster, &spec).outcome, SI_CALL_COMPLETE);
 }
 
-/* --- leases and weights --- */
+/* --- Lease for weight rollouts --- */
 
 typedef struct
 {
-  PtProgram *excluded; /* instance to skip; NULL: none */
-  PtProgram *found;
-  int64_t fence;
-} HolderSearch;
+  PtProgram *excluded; /* instance that is not asked; NULL: all are asked */
+  PtProgram *found;    /* lease holder; NULL: no instance reports that it holds the lease */
+  int64_t fence;       /* fencing token of the found holder */
+} LeaseHolderSearch;
 
 static bool
-find_holder (PtCluster *cluster, void *user)
+find_lease_holder (PtCluster *cluster, void *user)
 {
-  HolderSearch *search = user;
+  LeaseHolderSearch *search = user;
 
   search->found = NULL;
   for (size_t i = 0; i < cluster->n_instances && !search->found; i++)
@@ -257,7 +270,7 @@
       PtProgram *instance = &cluster->instances[i];
       if (instance == search->excluded || instance->process.ended)
         continue;
-      struct json_object *status = read_status (instance);
+      struct json_object *status = read_instance_status (instance);
       struct json_object *leases = json_object_object_get (status, "leases");
       struct json_object *lease = leases && json_object_array_length (leases) > 0
                                       ? json_object_array_get_idx (leases, 0)
@@ -273,7 +286,7 @@
 }
 
 static bool
-have_all_engines_version (PtCluster *cluster, void *user)
+have_all_engines_weight_version (PtCluster *cluster, void *user)
 {
   const int64_t *version = user;
 
@@ -290,7 +303,7 @@
 }
 
 static bool
-is_any_engine_loading (PtCluster *cluster, void *user)
+is_any_engine_loading_weights (PtCluster *cluster, void *user)
 {
   (void)user;
   for (size_t i = 0; i < cluster->n_endpoints; i++)
@@ -306,7 +319,7 @@
 }
 
 static void
-publish_weights (int64_t version)
+publish_weight_version (int64_t version)
 {
   char order[96];
 
@@ -316,102 +329,108 @@
       si_client_call_json (&test_cluster.client, test_cluster.platform.address, "/control", order));
 }
 
-/* Starts three instances and four engines at version 40, one of which does not check the fencing
- * number, and finds the holder of the lease. */
+/* Starts three instances and four engines with weight version 40, then returns the instance that
+ * holds the lease for weight rollouts. One engine does not check the fencing token. */
 static PtProgram *
-start_engines (HolderSearch *search)
+start_instances_and_engines (LeaseHolderSearch *search)
 {
   static const char *const fenced_options[] = { "--version", "40", "--load-ms", "300", NULL };
   static const char *const unfenced_options[]
       = { "--version", "40", "--load-ms", "300", "--not-checking-fence", NULL };
 
-  start_instances (3);
+  start_instances_and_wait (3);
   pt_start_engine (&test_cluster, "engine-1", fenced_options);
   pt_start_engine (&test_cluster, "engine-2", fenced_options);
   pt_start_engine (&test_cluster, "engine-3", fenced_options);
   pt_start_engine (&test_cluster, "engine-4", unfenced_options);
   pt_apply_resources (&test_cluster, &test_cluster.instances[0]);
-  *search = (HolderSearch){ .excluded = NULL };
-  pt_wait_until (&test_cluster, "an instance holds the lease", find_holder, search);
+  *search = (LeaseHolderSearch){ .excluded = NULL };
+  pt_wait_until (&test_cluster, "an instance holds the lease", find_lease_holder, search);
   return search->found;
 }
 
-/* The lease holder is suspended beyond its lease during the rollout of 41, and another holder
- * brings all engines to 42. When the first one continues it must not send its remaining orders for
- * 41: the engine that does not check the fencing number would go back. */
+/* The lease holder is suspended during the rollout of weight version 41 until its lease expires.
+ * The next holder brings all engines to 42. When the old holder continues, it must not send its
+ * remaining orders for 41: the engine that does not check the fencing token would load the older
+ * weights. */
 Test (config, suspended_lease_holder_sends_no_stale_orders)
 {
-  HolderSearch search;
+  LeaseHolderSearch search;
   int64_t version = 42;
 
-  PtProgram *paused = start_engines (&search);
+  PtProgram *paused = start_instances_and_engines (&search);
   int64_t fence = search.fence;
-  publish_weights (41);
-  pt_wait_until (&test_cluster, "an engine loads", is_any_engine_loading, NULL);
-  int64_t orders = read_metric (paused, "lentilspindle_weight_orders_total ");
+  publish_weight_version (41);
+  pt_wait_until (&test_cluster, "an engine loads weights", is_any_engine_loading_weights, NULL);
+  int64_t orders = read_instance_metric (paused, "lentilspindle_weight_orders_total ");
   pt_process_signal (&paused->process, SIGSTOP);
-  publish_weights (version);
+  publish_weight_version (version);
   search.excluded = paused;
-  pt_wait_until (&test_cluster, "another instance holds the lease", find_holder, &search);
+  pt_wait_until (&test_cluster, "another instance holds the lease", find_lease_holder, &search);
   cr_assert_gt (search.fence, fence);
-  pt_wait_until (&test_cluster, "all engines have 42", have_all_engines_version, &version);
+  pt_wait_until (&test_cluster, "all engines have weight version 42",
+                 have_all_engines_weight_version, &version);
 
   pt_process_signal (&paused->process, SIGCONT);
   pt_wait_until_ready (&test_cluster, paused);
   si_client_pause (&test_cluster.client, LB_SEC);
-  cr_assert_eq (read_metric (paused, "lentilspindle_weight_orders_total "), orders);
-  cr_assert (have_all_engines_version (&test_cluster, &version));
+  cr_assert_eq (read_instance_metric (paused, "lentilspindle_weight_orders_total "), orders);
+  cr_assert (have_all_engines_weight_version (&test_cluster, &version));
 }
 
-/* The lease holder is killed while an engine loads. The next holder must continue the rollout from
- * the versions that the engines report; otherwise half of them keep the old version until an
- * operator intervenes. */
+/* The lease holder is killed while an engine loads weights. The next holder must continue the
+ * rollout from the versions that the engines report. Otherwise half of the engines keep the old
+ * version until an operator intervenes. */
 Test (config, rollout_continues_after_holder_is_killed)
 {
-  HolderSearch search;
+  LeaseHolderSearch search;
   int64_t version = 41;
 
-  PtProgram *holder = start_engines (&search);
-  publish_weights (version);
-  pt_wait_until (&test_cluster, "an engine loads", is_any_engine_loading, NULL);
+  PtProgram *holder = start_instances_and_engines (&search);
+  publish_weight_version (version);
+  pt_wait_until (&test_cluster, "an engine loads weights", is_any_engine_loading_weights, NULL);
   pt_process_clear (&holder->process);
   holder->process.ended = true;
-  pt_wait_until (&test_cluster, "all engines have 41", have_all_engines_version, &version);
+  pt_wait_until (&test_cluster, "all engines have weight version 41",
+                 have_all_engines_weight_version, &version);
 }
 
-/* A load fails on one engine, and later the operator rolls back with a new revision. No engine may
- * be left without weights or with the version that was rolled back. */
+/* One engine fails to load weight version 41, and later the operator sets the pool back to 40. All
+ * engines must reach 41 and then 40: none may stay without weights or with the wrong version. */
 Test (config, failed_load_is_retried_and_rollback_reaches_all_engines)
 {
-  HolderSearch search;
+  LeaseHolderSearch search;
   int64_t version = 41;
   LbName error;
 
-  start_engines (&search);
+  start_instances_and_engines (&search);
   pt_inject_fault (&test_cluster, &test_cluster.endpoints[1],
                    "{\"mode\": \"fail_swap\", \"count\": 1}");
-  publish_weights (version);
-  pt_wait_until (&test_cluster, "all engines have 41", have_all_engines_version, &version);
+  publish_weight_version (version);
+  pt_wait_until (&test_cluster, "all engines have weight version 41",
+                 have_all_engines_weight_version, &version);
 
   version = 40;
-  cr_assert_eq (apply_change (&test_cluster.instances[1],
-                              "{\"apply\": [{\"kind\": \"pool\", \"name\": \"reader\", "
-                              "\"weight_version\": 40}]}",
-                              "\"1\"", error),
-                200, "%s", error);
-  pt_wait_until (&test_cluster, "all engines have 40", have_all_engines_version, &version);
+  cr_assert_eq (
+      apply_change_and_get_status (&test_cluster.instances[1],
+                                   "{\"apply\": [{\"kind\": \"pool\", \"name\": \"reader\", "
+                                   "\"weight_version\": 40}]}",
+                                   "\"1\"", error),
+      200, "change rejected with error %s", error);
+  pt_wait_until (&test_cluster, "all engines have weight version 40",
+                 have_all_engines_weight_version, &version);
 }
 
-/* A draining holder hands the lease over, instead of letting it expire. */
+/* An instance that drains must release its lease. The next holder gets the next fencing token. */
 Test (config, draining_holder_hands_lease_over)
 {
-  HolderSearch search;
+  LeaseHolderSearch search;
 
-  PtProgram *holder = start_engines (&search);
+  PtProgram *holder = start_instances_and_engines (&search);
   int64_t fence = search.fence;
   pt_process_signal (&holder->process, SIGTERM);
   pt_wait_for_exit (&test_cluster, &holder->process, 0);
   search.excluded = holder;
-  pt_wait_until (&test_cluster, "another instance holds the lease", find_holder, &search);
+  pt_wait_until (&test_cluster, "another instance holds the lease", find_lease_holder, &search);
   cr_assert_eq (search.fence, fence + 1);
 }
--- a/tests/process/test-daemon.c
+++ b/tests/process/test-daemon.c
@@ -8,15 +8,15 @@
 #include <string.h>
 #include <unistd.h>
 
-#define RUN_TIMEOUT (30 * LB_SEC)
+#define PROGRAM_TIMEOUT (30 * LB_SEC)
 
-/* Runs a program until it exits and returns its exit code, or -1 after RUN_TIMEOUT. Copies its
- * standard output to `output` unless that is NULL. */
+/* Runs a program and returns its exit code; -1: it did not exit with a code of 0 to 3 within
+ * PROGRAM_TIMEOUT. Copies its standard output to `output`, unless `output` is NULL. */
 static int
-run_program (const char *const *argv, const char *log_path, char *output, size_t size)
+run_program_until_exit (const char *const *argv, const char *log_path, char *output, size_t size)
 {
   PtProcess process = { 0 };
-  LbTime end = lb_clock_monotonic () + RUN_TIMEOUT;
+  LbTime end = lb_clock_monotonic () + PROGRAM_TIMEOUT;
   int exit_code = -1;
 
   pt_process_start (&process, argv, log_path);
@@ -35,9 +35,9 @@
 }
 
 static int
-run_for_exit_code (const char *const *argv, const char *log_path)
+run_program_for_exit_code (const char *const *argv, const char *log_path)
 {
-  return run_program (argv, log_path, NULL, 0);
+  return run_program_until_exit (argv, log_path, NULL, 0);
 }
 
 static void
@@ -69,33 +69,34 @@
   cr_assert (mkdtemp (folder));
   snprintf (settings_path, sizeof settings_path, "%s/settings.json", folder);
   snprintf (log_path, sizeof log_path, "%s/log", folder);
-  cr_assert_eq (run_for_exit_code ((const char *[]){ "lentilspindled", "--help", NULL }, log_path),
+  cr_assert_eq (run_program_for_exit_code ((const char *[]){ "lentilspindled", "--help", NULL },
+                                           log_path),
                 0);
-  cr_assert_eq (run_for_exit_code ((const char *[]){ "lentilspindled", "--version", NULL },
-                                   log_path),
+  cr_assert_eq (run_program_for_exit_code ((const char *[]){ "lentilspindled", "--version", NULL },
+                                           log_path),
                 0);
-  cr_assert_eq (run_for_exit_code ((const char *[]){ "lentilspindled", "--nonsense", NULL },
-                                   log_path),
+  cr_assert_eq (run_program_for_exit_code ((const char *[]){ "lentilspindled", "--nonsense", NULL },
+                                           log_path),
                 2);
 
   write_file (settings_path, "{ \"seed\": 1 } // good\n");
   const char *const check[] = { "lentilspindled", "--check", "--config", settings_path, NULL };
   const char *const run[] = { "lentilspindled", "--config", settings_path, NULL };
-  cr_assert_eq (run_for_exit_code (check, log_path), 0);
+  cr_assert_eq (run_program_for_exit_code (check, log_path), 0);
   write_file (settings_path, "{\n  \"http\": { \"max_body\": 1 } }\n");
-  cr_assert_eq (run_for_exit_code (check, log_path), 2);
-  cr_assert_eq (run_for_exit_code (run, log_path), 2);
+  cr_assert_eq (run_program_for_exit_code (check, log_path), 2);
+  cr_assert_eq (run_program_for_exit_code (run, log_path), 2);
   read_file (log_path, text, sizeof text);
-  cr_assert (strstr (text, "http.max_body"), "%s", text);
-  cr_assert (strstr (text, settings_path), "%s", text);
+  cr_assert (strstr (text, "http.max_body"), "expected text is missing in: %s", text);
+  cr_assert (strstr (text, settings_path), "expected text is missing in: %s", text);
   unlink (settings_path);
-  cr_assert_eq (run_for_exit_code (run, log_path), 2);
+  cr_assert_eq (run_program_for_exit_code (run, log_path), 2);
   unlink (log_path);
   rmdir (folder);
 }
 
-/* The caller address in the settings is in use by another process. The daemon must log this and
- * exit with 1, instead of running as an instance that no caller can reach. */
+/* Another process listens on the caller address of the settings. The daemon must log an error and
+ * exit with 1. If it kept running, no caller could reach it. */
 Test (daemon, address_in_use_is_a_start_failure)
 {
   char folder[] = "/tmp/lentilspindle-daemon-XXXXXX";
@@ -107,7 +108,7 @@
   snprintf (settings_path, sizeof settings_path, "%s/settings.json", folder);
   snprintf (log_path, sizeof log_path, "%s/log", folder);
   pt_process_start (&port_owner, (const char *[]){ "standin-service", "--port=0", NULL }, log_path);
-  LbTime end = lb_clock_monotonic () + RUN_TIMEOUT;
+  LbTime end = lb_clock_monotonic () + PROGRAM_TIMEOUT;
   while ((!port_owner.output || !strchr (port_owner.output, '\n')) && lb_clock_monotonic () < end)
     {
       pt_process_poll (&port_owner);
@@ -121,8 +122,8 @@
             "{\"instance\": {\"caller_address\": \"127.0.0.1:%d\"}}", port);
   write_file (settings_path, address_settings);
   const char *const daemon_argv[] = { "lentilspindled", "--config", settings_path, NULL };
-  cr_assert_eq (run_program (daemon_argv, log_path, text, sizeof text), 1);
-  cr_assert (strstr (text, "front_cannot_listen"), "%s", text);
+  cr_assert_eq (run_program_until_exit (daemon_argv, log_path, text, sizeof text), 1);
+  cr_assert (strstr (text, "front_cannot_listen"), "expected text is missing in: %s", text);
   pt_process_clear (&port_owner);
   unlink (settings_path);
   unlink (log_path);
