--- a/tests/process/test-drain.c
+++ b/tests/process/test-drain.c
@@ -27,20 +27,20 @@
 }
 
 static bool
-has_engine_started (PtCluster *cluster, void *user)
+has_engine_started_a_call (PtCluster *cluster, void *user)
 {
   return pt_read_log_counter (cluster, user, "started") > 0;
 }
 
 static bool
-has_stream_started (PtCluster *cluster, void *user)
+has_engine_started_long_stream (PtCluster *cluster, void *user)
 {
   return pt_count_call_runs (cluster, user, "a long envelope") > 0;
 }
 
-/* An instance is replaced while a caller reads a long response. A process that exits at SIGTERM, or
- * when its drain time is over, truncates the response. The stream must end complete, new calls must
- * be rejected as not run, and only then may the process exit, with 0. */
+/* An instance gets SIGTERM while a caller reads a long stream. A process that exits at SIGTERM, or
+ * at the end of its drain time, truncates the stream. The instance must complete the stream, reject
+ * new calls as not run, and then exit with 0. */
 Test (drain, stream_in_progress_is_completed_before_exit)
 {
   static const char *const slow_options[] = { "--tokens-per-second", "40", NULL };
@@ -59,19 +59,20 @@
                              .max_tokens = 120,
                              .stream = true };
   si_checked_call_start (cluster.client.pool, &spec, on_call_done, &pending_call);
-  pt_wait_until (&cluster, "the engine has started the call", has_engine_started, engine);
+  pt_wait_until (&cluster, "the engine has started the call", has_engine_started_a_call, engine);
 
   pt_process_signal (&instance->process, SIGTERM);
   pt_process_signal (&instance->process, SIGTERM);
   si_client_pause (&cluster.client, 100 * LB_MSEC);
   spec.prompt = "another";
   SiCheckedCallResult rejected = pt_run_checked_call (&cluster, &spec);
-  cr_assert_eq (rejected.outcome, SI_CALL_NOT_RUN, "%d %s", rejected.outcome, rejected.error);
+  cr_assert_eq (rejected.outcome, SI_CALL_NOT_RUN, "expected SI_CALL_NOT_RUN, got outcome %d: %s",
+                rejected.outcome, rejected.error);
   cr_assert_eq (pt_count_call_runs (&cluster, engine, "another"), 0);
 
   pt_wait_until (&cluster, "the stream ends", is_call_done, &pending_call);
-  cr_assert_eq (pending_call.result.outcome, SI_CALL_COMPLETE, "%d %s", pending_call.result.outcome,
-                pending_call.result.error);
+  cr_assert_eq (pending_call.result.outcome, SI_CALL_COMPLETE, "stream ended with outcome %d: %s",
+                pending_call.result.outcome, pending_call.result.error);
   pt_wait_for_exit (&cluster, &instance->process, 0);
   pt_cluster_clear (&cluster);
 }
@@ -94,10 +95,10 @@
   return is_rejected;
 }
 
-/* An instance is replaced while a trainer pulls a step through it that another instance owns. Every
- * pull is forwarded, so a call is nearly always in progress, and the old process kept running for a
- * quarter of a minute. After its drain time it must reject the pulls. A long stream keeps the
- * process alive here, so that it can respond. */
+/* An instance gets SIGTERM while a trainer pulls samples through it from the owner of the step. A
+ * pull is nearly always in progress and would keep the process running for 15 s, so the instance
+ * must reject pulls after its drain time. In this test a long stream keeps the process alive to
+ * respond. */
 Test (drain, pulls_are_rejected_after_the_drain_time)
 {
   static const char *const slow_options[] = { "--tokens-per-second", "20", NULL };
@@ -116,17 +117,18 @@
       &cluster.client, owner->address, "/v1/subscriptions/reader-trainer/steps",
       "{\"step\": 1, \"weight_version\": 1, \"groups\": [{\"id\": \"g0\", \"prompt\": \"p\", "
       "\"samples\": 1, \"max_tokens\": 120}]}"));
-  pt_wait_until (&cluster, "the engine has started the step", has_engine_started, engine);
+  pt_wait_until (&cluster, "the engine has started the step", has_engine_started_a_call, engine);
   const SiCheckedCallSpec spec = { .address = draining->address,
                                    .model = "reader",
                                    .prompt = "a long envelope",
                                    .max_tokens = 120,
                                    .stream = true };
   si_checked_call_start (cluster.client.pool, &spec, on_call_done, &pending_call);
-  pt_wait_until (&cluster, "the engine has started the stream", has_stream_started, engine);
+  pt_wait_until (&cluster, "the engine has started the long stream", has_engine_started_long_stream,
+                 engine);
 
   pt_process_signal (&draining->process, SIGTERM);
-  pt_wait_until (&cluster, "the pull is rejected", is_pull_rejected, draining);
+  pt_wait_until (&cluster, "the draining instance rejects the pull", is_pull_rejected, draining);
   pt_wait_until (&cluster, "the stream ends", is_call_done, &pending_call);
   cr_assert_eq (pending_call.result.outcome, SI_CALL_COMPLETE);
   pt_wait_for_exit (&cluster, &draining->process, 0);
@@ -134,9 +136,9 @@
   pt_cluster_clear (&cluster);
 }
 
-/* An instance is replaced while the store does not respond. Requests that wait for the store are
- * dropped at exit; in a sanitizer build a leak or a use after the end of their task makes the exit
- * code non-zero. */
+/* Both instances get SIGTERM while the store does not respond, and drop the requests that wait for
+ * the store. In a sanitizer build a leak or a use after free of such a request makes the exit code
+ * non-zero. */
 Test (drain, exit_is_clean_while_the_store_hangs)
 {
   static const char *const engine_options[] = { "--version", "1", NULL };
--- a/tests/process/test-endpoints.c
+++ b/tests/process/test-endpoints.c
@@ -6,15 +6,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LEAVE_TIMEOUT (3 * LB_SEC)
+#define LEAVE_PROPAGATION_TIME (3 * LB_SEC) /* until a leaving engine gets no new work */
 
 static bool
-has_generated_tokens (PtCluster *cluster, void *user)
+has_engine_generated_tokens (PtCluster *cluster, void *user)
 {
   return pt_read_log_counter (cluster, user, "tokens") > 0;
 }
 
-/* Calls that the endpoint received, whether it accepted them or not. */
+/* Returns the number of calls that the endpoint received, accepted or refused. */
 static int64_t
 count_received_calls (PtCluster *cluster, PtProgram *endpoint)
 {
@@ -22,11 +22,11 @@
          + pt_read_log_counter (cluster, endpoint, "refused");
 }
 
-/* Runs load on two engines while one of them leaves, and checks that it gets no new work after
- * LEAVE_TIMEOUT and that no call is lost or cancelled. */
+/* Sends calls to two engines, and start_leaving makes one of them leave. That engine must get no
+ * call later than LEAVE_PROPAGATION_TIME, and no call may be lost or cancelled. */
 static void
-check_leaving_under_load (PtCluster *cluster,
-                          void (*start_leaving) (PtCluster *cluster, PtProgram *engine))
+check_leaving_engine_under_load (PtCluster *cluster,
+                                 void (*start_leaving) (PtCluster *cluster, PtProgram *engine))
 {
   static const char *const load_options[]
       = { "--rate",    "60", "--concurrency", "40", "--count",  "100000",
@@ -42,28 +42,30 @@
   pt_apply_resources (cluster, instance);
   pt_wait_until_ready (cluster, instance);
   pt_start_load_generator (cluster, &load, load_options);
-  pt_wait_until (cluster, "the leaving engine has generated tokens", has_generated_tokens, leaving);
+  pt_wait_until (cluster, "the leaving engine has generated tokens", has_engine_generated_tokens,
+                 leaving);
 
   start_leaving (cluster, leaving);
-  si_client_pause (&cluster->client, LEAVE_TIMEOUT);
+  si_client_pause (&cluster->client, LEAVE_PROPAGATION_TIME);
   int64_t calls_after_timeout = count_received_calls (cluster, leaving);
   struct json_object *summary = pt_wait_for_summary (cluster, &load);
   cr_assert_eq (count_received_calls (cluster, leaving), calls_after_timeout);
   cr_assert_eq (pt_read_log_counter (cluster, leaving, "cancelled"), 0);
-  cr_assert (pt_process_has_exited (&load, 0), "%s", json_object_to_json_string (summary));
+  cr_assert (pt_process_has_exited (&load, 0), "load generator failed: %s",
+             json_object_to_json_string (summary));
   cr_assert_gt (si_json_int (summary, "whole", 0), 100);
   json_object_put (summary);
   pt_process_clear (&load);
 }
 
 static void
-announce_leaving (PtCluster *cluster, PtProgram *engine)
+make_engine_announce_leaving (PtCluster *cluster, PtProgram *engine)
 {
   pt_inject_fault (cluster, engine, "{\"mode\": \"leaving\"}");
 }
 
 static void
-apply_leaving_resource (PtCluster *cluster, PtProgram *engine)
+mark_engine_as_leaving (PtCluster *cluster, PtProgram *engine)
 {
   char changes[512];
   SiResponse response;
@@ -74,41 +76,42 @@
             " \"concurrency\": 32, \"checks_fence\": true, \"leaving\": true}]}",
             engine->name, engine->address);
   pt_apply_change (cluster, &cluster->instances[0], changes, "*", &response);
-  cr_assert (si_response_is_ok (&response), "%s", response.body);
+  cr_assert (si_response_is_ok (&response), "change rejected: %s", response.body);
   si_response_clear (&response);
 }
 
-/* An engine announces that it leaves, and is shut down soon after. New work that a retry, an old
- * load report or the queue still sends there would be lost with it: after 3 s there may be none,
- * and work that it had before must complete. */
+/* An engine announces that it leaves, as it does shortly before it is shut down. Calls that it
+ * still gets from a retry, a stale load report or the queue would be lost. After 3 s it must get no
+ * new calls, and the calls that it has must complete. */
 Test (leaving, engine_that_announces_it_gets_no_new_work_after_3_s)
 {
   PtCluster cluster;
 
   pt_cluster_init (&cluster);
-  check_leaving_under_load (&cluster, announce_leaving);
+  check_leaving_engine_under_load (&cluster, make_engine_announce_leaving);
   pt_drain_instances (&cluster);
   pt_cluster_clear (&cluster);
 }
 
-/* The same when an operator's resource marks the engine as leaving and the engine itself does not
- * know. */
+/* An operator marks the endpoint resource of an engine as leaving, and the engine itself does not
+ * know. After 3 s it must get no new calls, and the calls that it has must complete. */
 Test (leaving, engine_that_the_operator_retires_gets_no_new_work_after_3_s)
 {
   PtCluster cluster;
 
   pt_cluster_init (&cluster);
-  check_leaving_under_load (&cluster, apply_leaving_resource);
+  check_leaving_engine_under_load (&cluster, mark_engine_as_leaving);
   pt_drain_instances (&cluster);
   pt_cluster_clear (&cluster);
 }
 
-/* No call that was reported as not run has run. */
+/* Asserts that no call that the load generator counts as not run was started at either engine.
+ * `second` may be NULL. */
 static void
-check_not_run_keys (PtCluster *cluster,
-                    struct json_object *summary,
-                    PtProgram *first,
-                    PtProgram *second)
+assert_not_run_calls_never_started (PtCluster *cluster,
+                                    struct json_object *summary,
+                                    PtProgram *first,
+                                    PtProgram *second)
 {
   struct json_object *not_run = NULL;
 
@@ -116,14 +119,16 @@
   for (size_t i = 0; i < json_object_array_length (not_run); i++)
     {
       const char *key = json_object_get_string (json_object_array_get_idx (not_run, i));
-      cr_assert_eq (pt_count_call_runs (cluster, first, key), 0, "%s", key);
-      cr_assert (!second || pt_count_call_runs (cluster, second, key) == 0, "%s", key);
+      cr_assert_eq (pt_count_call_runs (cluster, first, key), 0,
+                    "call reported as not run was started: %s", key);
+      cr_assert (!second || pt_count_call_runs (cluster, second, key) == 0,
+                 "call reported as not run was started: %s", key);
     }
 }
 
-/* An engine crashes while callers read streams from it. The streams must resume on another engine
- * after the last token, with no token repeated or missing. A caller whose response is not completed
- * must get a typed error, and "not run" only if no engine started the call. */
+/* An engine is killed while callers read streams from it. The streams must resume at another engine
+ * without repeated or missing tokens. A caller whose stream cannot resume must get a typed error;
+ * the error may be "not run" only if no engine started the call. */
 Test (crash, streams_resume_on_another_engine)
 {
   static const char *const load_options[]
@@ -141,14 +146,15 @@
   pt_apply_resources (&cluster, instance);
   pt_wait_until_ready (&cluster, instance);
   pt_start_load_generator (&cluster, &load, load_options);
-  pt_wait_until (&cluster, "the crashing engine has generated tokens", has_generated_tokens,
+  pt_wait_until (&cluster, "the crashing engine has generated tokens", has_engine_generated_tokens,
                  crashing);
   pt_process_signal (&crashing->process, SIGKILL);
 
   struct json_object *summary = pt_wait_for_summary (&cluster, &load);
-  cr_assert (pt_process_has_exited (&load, 0), "%s", json_object_to_json_string (summary));
+  cr_assert (pt_process_has_exited (&load, 0), "load generator failed: %s",
+             json_object_to_json_string (summary));
   cr_assert_gt (si_json_int (summary, "whole", 0), 20);
-  check_not_run_keys (&cluster, summary, healthy, NULL);
+  assert_not_run_calls_never_started (&cluster, summary, healthy, NULL);
   cr_assert_gt (pt_read_log_counter (&cluster, healthy, "resumed"), 0);
   cr_assert_eq (pt_read_log_counter (&cluster, healthy, "resume_mismatches"), 0);
   json_object_put (summary);
@@ -157,9 +163,9 @@
   pt_cluster_clear (&cluster);
 }
 
-/* Every stream of one engine breaks after some tokens, while the other engine rejects every second
- * call. Callers must get complete responses or a typed error, and calls reported as not run must
- * not have run. */
+/* One engine breaks six streams after five tokens each, and the other one refuses four calls.
+ * Callers must get complete responses or typed errors, and calls reported as not run must not have
+ * run. */
 Test (faults, broken_streams_and_rejections_give_complete_responses_or_typed_errors)
 {
   static const char *const load_options[]
@@ -180,9 +186,10 @@
   pt_start_load_generator (&cluster, &load, load_options);
 
   struct json_object *summary = pt_wait_for_summary (&cluster, &load);
-  cr_assert (pt_process_has_exited (&load, 0), "%s", json_object_to_json_string (summary));
+  cr_assert (pt_process_has_exited (&load, 0), "load generator failed: %s",
+             json_object_to_json_string (summary));
   cr_assert_gt (si_json_int (summary, "whole", 0), 30);
-  check_not_run_keys (&cluster, summary, breaking, refusing);
+  assert_not_run_calls_never_started (&cluster, summary, breaking, refusing);
   json_object_put (summary);
   pt_process_clear (&load);
   pt_drain_instances (&cluster);
--- a/tests/process/test-membership.c
+++ b/tests/process/test-membership.c
@@ -11,15 +11,15 @@
 
 typedef struct
 {
-  PtProgram *queried;
-  const char *name;
-  size_t n_addresses;
+  PtProgram *queried; /* instance that is asked for entry addresses */
+  const char *name;   /* instance to look for in the response */
+  size_t n_addresses; /* number of addresses in the response */
 } EntryQuery;
 
-/* Asks `queried` for entry addresses: stores their number and returns whether the instance `name`
- * is among them. */
+/* Asks instance query->queried for the entry addresses of a caller, stores their number, and
+ * returns whether instance query->name is among them. */
 static bool
-run_entry_query (PtCluster *cluster, EntryQuery *query)
+find_instance_in_entry_addresses (PtCluster *cluster, EntryQuery *query)
 {
   struct json_object *response
       = si_client_call_json (&cluster->client, query->queried->address,
@@ -38,21 +38,22 @@
 }
 
 static bool
-is_listed (PtCluster *cluster, void *user)
+is_instance_listed (PtCluster *cluster, void *user)
 {
-  return run_entry_query (cluster, user);
+  return find_instance_in_entry_addresses (cluster, user);
 }
 
 static bool
-is_not_listed (PtCluster *cluster, void *user)
+is_instance_not_listed (PtCluster *cluster, void *user)
 {
   EntryQuery *query = user;
 
-  return !run_entry_query (cluster, query) && query->n_addresses > 0;
+  return !find_instance_in_entry_addresses (cluster, query) && query->n_addresses > 0;
 }
 
+/* Returns the value of a metric of the instance; -1: the metric is absent. */
 static int64_t
-read_counter (PtCluster *cluster, const PtProgram *instance, const char *name)
+read_metric_counter (PtCluster *cluster, const PtProgram *instance, const char *name)
 {
   const SiCall call = { .method = "GET", .address = instance->address, .path = "/metrics" };
   char *line_prefix = lb_asprintf ("\n%s ", name);
@@ -78,20 +79,23 @@
     instances[i] = pt_start_instance (cluster, names[i], data_centres[i]);
   for (size_t i = 0; i < 3; i++)
     for (size_t j = 0; j < 3; j++)
-      pt_wait_until (cluster, "all instances list one another", is_listed,
+      pt_wait_until (cluster, "all instances list each other", is_instance_listed,
                      &(EntryQuery){ instances[i], names[j], 0 });
 }
 
 static void
-wait_for_others (PtCluster *cluster, PtProgram **instances, const char *what, PtCondition condition)
+wait_at_first_and_third_instance (PtCluster *cluster,
+                                  PtProgram **instances,
+                                  const char *description,
+                                  PtCondition condition)
 {
   for (size_t i = 0; i < 3; i += 2)
-    pt_wait_until (cluster, what, condition, &(EntryQuery){ instances[i], "i2", 0 });
+    pt_wait_until (cluster, description, condition, &(EntryQuery){ instances[i], "i2", 0 });
 }
 
-/* An instance is killed. Callers that another instance still sends to its address wait for a
- * timeout. No instance may list it soon after (3 s on an idle machine; the limit here is generous),
- * and its replacement with the same name must be listed. */
+/* An instance is killed. Callers that still get its address wait for a timeout, so the other
+ * instances must stop listing it (after 3 s on an idle machine; the test allows PT_WAIT_TIMEOUT).
+ * Its replacement with the same name must be listed. */
 Test (membership, killed_instance_is_not_listed_and_its_replacement_is)
 {
   PtCluster cluster;
@@ -100,16 +104,19 @@
   start_three_instances (&cluster, instances);
   LbTime killed_at = lb_clock_monotonic ();
   pt_process_signal (&instances[1]->process, SIGKILL);
-  wait_for_others (&cluster, instances, "the killed instance is not listed", is_not_listed);
-  cr_log_info ("not listed after %.2f s", (double)(lb_clock_monotonic () - killed_at) / LB_SEC);
+  wait_at_first_and_third_instance (&cluster, instances, "the killed instance is not listed",
+                                    is_instance_not_listed);
+  cr_log_info ("the other instances stopped listing i2 after %.2f s",
+               (double)(lb_clock_monotonic () - killed_at) / LB_SEC);
   pt_restart_instance (&cluster, instances[1]);
-  wait_for_others (&cluster, instances, "the replacement is listed", is_listed);
+  wait_at_first_and_third_instance (&cluster, instances, "the replacement is listed",
+                                    is_instance_listed);
   pt_cluster_clear (&cluster);
 }
 
-/* An instance is stopped by a debugger: its sockets stay open and accept data, so no connection
- * ends. It must not be listed meanwhile. When it continues, it has not heard from the other members
- * for seconds; it must not declare them dead, and must be listed again. */
+/* An instance is suspended, as by a debugger: its connections stay open and accept data. The other
+ * instances must stop listing it. When it continues, it has received no heartbeats for seconds: it
+ * must not declare the others dead, and must be listed again. */
 Test (membership, stopped_instance_is_not_listed_until_it_continues)
 {
   PtCluster cluster;
@@ -118,21 +125,28 @@
   start_three_instances (&cluster, instances);
   LbTime stopped_at = lb_clock_monotonic ();
   pt_process_signal (&instances[1]->process, SIGSTOP);
-  wait_for_others (&cluster, instances, "the stopped instance is not listed", is_not_listed);
-  cr_log_info ("not listed after %.2f s", (double)(lb_clock_monotonic () - stopped_at) / LB_SEC);
+  wait_at_first_and_third_instance (&cluster, instances, "the stopped instance is not listed",
+                                    is_instance_not_listed);
+  cr_log_info ("the other instances stopped listing i2 after %.2f s",
+               (double)(lb_clock_monotonic () - stopped_at) / LB_SEC);
   si_client_pause (&cluster.client, 5 * LB_SEC);
   pt_process_signal (&instances[1]->process, SIGCONT);
-  wait_for_others (&cluster, instances, "the continued instance is listed", is_listed);
+  wait_at_first_and_third_instance (&cluster, instances, "the continued instance is listed",
+                                    is_instance_listed);
   for (size_t i = 0; i < 3; i += 2)
-    pt_wait_until (&cluster, "the continued instance lists the others", is_listed,
+    pt_wait_until (&cluster, "the continued instance lists the others", is_instance_listed,
                    &(EntryQuery){ instances[1], instances[i]->name, 0 });
-  cr_assert_geq (read_counter (&cluster, instances[1], "lentilspindle_own_pauses_total"), 1);
-  cr_assert_eq (read_counter (&cluster, instances[1], "lentilspindle_members_suspected_total"), 0);
-  cr_assert_eq (read_counter (&cluster, instances[1], "lentilspindle_members_condemned_total"), 0);
+  cr_assert_geq (read_metric_counter (&cluster, instances[1], "lentilspindle_own_pauses_total"), 1);
+  cr_assert_eq (read_metric_counter (&cluster, instances[1],
+                                     "lentilspindle_members_suspected_total"),
+                0);
+  cr_assert_eq (read_metric_counter (&cluster, instances[1],
+                                     "lentilspindle_members_condemned_total"),
+                0);
   pt_cluster_clear (&cluster);
 }
 
-/* Instances that still list a draining instance send callers to a closed port. */
+/* A draining instance soon closes its port, so no instance may list it for callers any longer. */
 Test (membership, draining_instance_is_not_listed)
 {
   PtCluster cluster;
@@ -140,10 +154,11 @@
 
   start_three_instances (&cluster, instances);
   pt_process_signal (&instances[1]->process, SIGTERM);
-  wait_for_others (&cluster, instances, "the draining instance is not listed", is_not_listed);
+  wait_at_first_and_third_instance (&cluster, instances, "the draining instance is not listed",
+                                    is_instance_not_listed);
   EntryQuery own_query = { instances[1], "i2", 0 };
   if (!instances[1]->process.ended)
-    cr_assert_not (run_entry_query (&cluster, &own_query));
+    cr_assert_not (find_instance_in_entry_addresses (&cluster, &own_query));
   pt_wait_for_exit (&cluster, &instances[1]->process, 0);
   pt_cluster_clear (&cluster);
 }
--- a/tests/process/test-rolling.c
+++ b/tests/process/test-rolling.c
@@ -3,10 +3,10 @@
 #include <criterion/criterion.h>
 #include <signal.h>
 
-#define N_CALLS "450"
+#define N_CALLS "450" /* calls that the load generator makes */
 
 static bool
-has_finished_calls (PtCluster *cluster, void *user)
+have_engines_finished_calls (PtCluster *cluster, void *user)
 {
   const int64_t *min_finished = user;
 
@@ -15,9 +15,9 @@
          >= *min_finished;
 }
 
-/* Each instance is replaced in turn while callers read streamed responses and refresh their entry
- * addresses. No response may be truncated, no caller may get an error that a retry at its next
- * address would not fix, and every old process must exit with 0 by itself. */
+/* Replaces one instance after the other while callers read streams and refresh their entry
+ * addresses. No stream may be truncated, each failed call must succeed when retried at another
+ * address, and each replaced process must exit with 0. */
 Test (rolling, rolling_restart_loses_and_truncates_no_response)
 {
   static const char *const engine_options[] = { "--tokens-per-second", "100", NULL };
@@ -42,7 +42,7 @@
   PtProcess load;
 
   pt_cluster_init (&cluster);
-  /* Shorter than the time that a response takes. */
+  /* Shorter than a response, so that streams are in progress at the end of the drain time. */
   cluster.drain_ms = 500;
   pt_start_platform (&cluster);
   pt_start_engine (&cluster, "engine-1", engine_options);
@@ -57,7 +57,8 @@
   for (size_t i = 0; i < cluster.n_instances; i++)
     {
       int64_t min_finished = 30 * (int64_t)(i + 1);
-      pt_wait_until (&cluster, "more calls are finished", has_finished_calls, &min_finished);
+      pt_wait_until (&cluster, "the engines have finished enough calls for the next restart",
+                     have_engines_finished_calls, &min_finished);
       pt_process_signal (&cluster.instances[i].process, SIGTERM);
       pt_wait_for_exit (&cluster, &cluster.instances[i].process, 0);
       pt_restart_instance (&cluster, &cluster.instances[i]);
@@ -65,7 +66,7 @@
     }
 
   struct json_object *summary = pt_wait_for_summary (&cluster, &load);
-  cr_assert (pt_process_has_exited (&load, 0), "%s (logs in %s)",
+  cr_assert (pt_process_has_exited (&load, 0), "load generator failed: %s (logs in %s)",
              json_object_to_json_string (summary), cluster.folder);
   cr_assert_eq (pt_read_log_counter (&cluster, &cluster.endpoints[0], "cancelled")
                     + pt_read_log_counter (&cluster, &cluster.endpoints[1], "cancelled"),
