--- a/tests/process/test-once.c
+++ b/tests/process/test-once.c
@@ -47,16 +47,16 @@
 }
 
 static int64_t
-count_runs (PtCluster *cluster, const char *order)
+count_order_runs (PtCluster *cluster, const char *order)
 {
   return pt_count_call_runs (cluster, &cluster->endpoints[0], order)
          + pt_count_call_runs (cluster, &cluster->endpoints[1], order);
 }
 
 static bool
-has_run_anywhere (PtCluster *cluster, void *user)
+has_order_run (PtCluster *cluster, void *user)
 {
-  return count_runs (cluster, user) > 0;
+  return count_order_runs (cluster, user) > 0;
 }
 
 static char *
@@ -72,7 +72,7 @@
 }
 
 static SiCheckedCallSpec
-make_order_call (const PtProgram *instance, const char *order)
+make_order_call_spec (const PtProgram *instance, const char *order)
 {
   return (SiCheckedCallSpec){ .kind = SI_CHECKED_CALL_SERVICE,
                               .address = instance->address,
@@ -83,8 +83,8 @@
                               .idle_timeout = PT_WAIT_TIMEOUT };
 }
 
-/* Kills the instance while the call runs. The caller sees a closed connection and sends the same
- * call to the other instances: each must report the outcome as unknown, and the call must have run
+/* Kills instance 0 while it runs the call. The caller sees a closed connection and sends the same
+ * call to the other instances. Each must report the outcome as unknown, and the call must run only
  * once. */
 static void
 check_no_rerun_after_kill (PtCluster *cluster, SiCheckedCallSpec *spec)
@@ -92,30 +92,32 @@
   PendingCall pending_call = { .is_done = false };
 
   si_checked_call_start (cluster->client.pool, spec, on_call_done, &pending_call);
-  pt_wait_until (cluster, "the order runs", has_run_anywhere, (void *)spec->order);
+  pt_wait_until (cluster, "the order has started", has_order_run, (void *)spec->order);
   pt_process_signal (&cluster->instances[0].process, SIGKILL);
-  pt_wait_until (cluster, "the call fails", is_call_done, &pending_call);
-  cr_assert_eq (pending_call.result.outcome, SI_CALL_FAILED, "%s", pending_call.result.error);
+  pt_wait_until (cluster, "the call to the killed instance ends", is_call_done, &pending_call);
+  cr_assert_eq (pending_call.result.outcome, SI_CALL_FAILED,
+                "expected a failed call, got error '%s'", pending_call.result.error);
   for (size_t i = 1; i < cluster->n_instances; i++)
     {
       spec->address = cluster->instances[i].address;
       SiCheckedCallResult retry = pt_run_checked_call (cluster, spec);
-      cr_assert_eq (retry.outcome, SI_CALL_FAILED, "%d %s", retry.outcome, retry.error);
+      cr_assert_eq (retry.outcome, SI_CALL_FAILED, "expected SI_CALL_FAILED, got outcome %d: %s",
+                    retry.outcome, retry.error);
       cr_assert_str_eq (retry.error, "outcome_unknown");
     }
-  cr_assert_eq (count_runs (cluster, spec->order), 1);
+  cr_assert_eq (count_order_runs (cluster, spec->order), 1);
 }
 
-/* A call with a ticket of an instance that is killed while the call runs. Rerun by the next
- * instance, the order would be placed twice; reported as not run, the caller would place it
- * again. */
-Test (once, ticket_of_a_killed_instance_is_not_rerun)
+/* An instance is killed while it runs a call with a ticket that it issued. If another instance ran
+ * the call again, the order would be placed twice. If the call were reported as not run, the caller
+ * would place the order again. */
+Test (once, call_with_ticket_of_killed_instance_is_not_rerun)
 {
   PtCluster cluster;
 
   start_cluster (&cluster);
   char *ticket = create_ticket (&cluster, &cluster.instances[0]);
-  SiCheckedCallSpec spec = make_order_call (&cluster.instances[0], "order-1");
+  SiCheckedCallSpec spec = make_order_call_spec (&cluster.instances[0], "order-1");
   spec.ticket = ticket;
   check_no_rerun_after_kill (&cluster, &spec);
   free (ticket);
@@ -123,41 +125,44 @@
   pt_cluster_clear (&cluster);
 }
 
-/* The same with an idempotency key of the caller: the killed instance leaves only its claim in the
- * platform's table. */
-Test (once, idempotency_key_of_a_killed_instance_is_not_rerun)
+/* An instance is killed while it runs a call with an idempotency key. The other instances know only
+ * its claim of the key in the platform's table, and must not run the call again. */
+Test (once, call_with_key_claimed_by_killed_instance_is_not_rerun)
 {
   PtCluster cluster;
 
   start_cluster (&cluster);
-  SiCheckedCallSpec spec = make_order_call (&cluster.instances[0], "order-2");
+  SiCheckedCallSpec spec = make_order_call_spec (&cluster.instances[0], "order-2");
   spec.idempotency_key = "key-2";
   check_no_rerun_after_kill (&cluster, &spec);
   pt_drain_instances (&cluster);
   pt_cluster_clear (&cluster);
 }
 
-/* A caller sends the same call to two instances at once. The second instance must join the call in
- * progress or return the kept response; the call runs once. */
-Test (once, same_ticket_at_two_instances_runs_once)
+/* A caller sends the same call to two instances at once, and later to a third one. The call must
+ * run once: the others must join the call in progress or return the stored response. */
+Test (once, call_sent_to_two_instances_with_one_ticket_runs_once)
 {
   PtCluster cluster;
   PendingCall first = { .is_done = false };
 
   start_cluster (&cluster);
   char *ticket = create_ticket (&cluster, &cluster.instances[0]);
-  SiCheckedCallSpec spec = make_order_call (&cluster.instances[0], "order-3");
+  SiCheckedCallSpec spec = make_order_call_spec (&cluster.instances[0], "order-3");
   spec.ticket = ticket;
   si_checked_call_start (cluster.client.pool, &spec, on_call_done, &first);
   spec.address = cluster.instances[1].address;
   SiCheckedCallResult second = pt_run_checked_call (&cluster, &spec);
   pt_wait_until (&cluster, "the first call is done", is_call_done, &first);
-  cr_assert_eq (first.result.outcome, SI_CALL_COMPLETE, "%s", first.result.error);
-  cr_assert_eq (second.outcome, SI_CALL_COMPLETE, "%d %s", second.outcome, second.error);
+  cr_assert_eq (first.result.outcome, SI_CALL_COMPLETE, "first call failed: %s",
+                first.result.error);
+  cr_assert_eq (second.outcome, SI_CALL_COMPLETE, "second call: outcome %d: %s", second.outcome,
+                second.error);
   spec.address = cluster.instances[2].address;
   SiCheckedCallResult third = pt_run_checked_call (&cluster, &spec);
-  cr_assert_eq (third.outcome, SI_CALL_COMPLETE, "%d %s", third.outcome, third.error);
-  cr_assert_eq (count_runs (&cluster, "order-3"), 1);
+  cr_assert_eq (third.outcome, SI_CALL_COMPLETE, "third call: outcome %d: %s", third.outcome,
+                third.error);
+  cr_assert_eq (count_order_runs (&cluster, "order-3"), 1);
   free (ticket);
   pt_drain_instances (&cluster);
   pt_cluster_clear (&cluster);
--- a/tests/process/test-slow.c
+++ b/tests/process/test-slow.c
@@ -3,9 +3,9 @@
 #include <criterion/criterion.h>
 #include <string.h>
 
-/* A response takes longer than the limit for reading a request, since the model generates slowly.
- * The limit is meant for callers that send a byte a second: it must end once the request is read.
- * Otherwise the response is truncated, and the caller gets "not run" for a call that ran. */
+/* Responses take longer than the time limit for reading a request, which protects against callers
+ * that send a byte a second. The limit must not apply after the request is read. Otherwise
+ * responses are truncated, and callers get "not run" for calls that ran. */
 Test (slow, response_slower_than_the_request_read_limit_is_complete)
 {
   static const char *const engine_options[] = { "--tokens-per-second", "40", NULL };
@@ -26,17 +26,20 @@
                                .max_tokens = 60,
                                .stream = true };
   SiCheckedCallResult result = pt_run_checked_call (&cluster, &stream);
-  cr_assert_eq (result.outcome, SI_CALL_COMPLETE, "stream: %d %s", result.outcome, result.error);
+  cr_assert_eq (result.outcome, SI_CALL_COMPLETE, "stream: unexpected outcome %d: %s",
+                result.outcome, result.error);
   stream.stream = false;
   result = pt_run_checked_call (&cluster, &stream);
-  cr_assert_eq (result.outcome, SI_CALL_COMPLETE, "unary: %d %s", result.outcome, result.error);
+  cr_assert_eq (result.outcome, SI_CALL_COMPLETE, "unary call: unexpected outcome %d: %s",
+                result.outcome, result.error);
   SiCheckedCallSpec service_call = { .kind = SI_CHECKED_CALL_SERVICE,
                                      .address = instance->address,
                                      .model = "/services/lookup/order",
                                      .prompt = "one",
                                      .order = "order-1" };
   result = pt_run_checked_call (&cluster, &service_call);
-  cr_assert_eq (result.outcome, SI_CALL_COMPLETE, "service: %d %s", result.outcome, result.error);
+  cr_assert_eq (result.outcome, SI_CALL_COMPLETE, "service call: unexpected outcome %d: %s",
+                result.outcome, result.error);
   cr_assert_eq (pt_count_call_runs (&cluster, service, "order-1"), 1);
   pt_drain_instances (&cluster);
   pt_cluster_clear (&cluster);
--- a/tests/process/test-tickets.c
+++ b/tests/process/test-tickets.c
@@ -12,12 +12,12 @@
 {
   PtCluster cluster;
   PtProgram *service;
-  PtProgram *first;
-  PtProgram *second;
-} Scene;
+  PtProgram *first;  /* instance i1 */
+  PtProgram *second; /* instance i2 */
+} Fixture;
 
 static bool
-are_both_listed (PtCluster *cluster, void *user)
+do_instances_list_each_other (PtCluster *cluster, void *user)
 {
   (void)user;
   bool all_listed = true;
@@ -35,33 +35,34 @@
   return all_listed;
 }
 
-/* Two instances that list each other, and one service whose calls must not be retried. */
+/* Starts two instances, which list each other as entry addresses, and one service. */
 static void
-scene_init (Scene *scene)
+fixture_init (Fixture *fixture)
 {
   static const char *const options[] = { "--latency-ms", "50", NULL };
 
-  memset (scene, 0, sizeof *scene);
-  pt_cluster_init (&scene->cluster);
-  pt_start_platform (&scene->cluster);
-  scene->service = pt_start_service (&scene->cluster, "lookup-1", options);
-  scene->first = pt_start_instance (&scene->cluster, "i1", "hall-a");
-  scene->second = pt_start_instance (&scene->cluster, "i2", "hall-b");
-  pt_apply_resources (&scene->cluster, scene->first);
-  pt_wait_until_revision_in_force (&scene->cluster);
-  pt_wait_until_ready (&scene->cluster, scene->first);
-  pt_wait_until_ready (&scene->cluster, scene->second);
-  pt_wait_until (&scene->cluster, "both instances list two addresses", are_both_listed, NULL);
+  memset (fixture, 0, sizeof *fixture);
+  pt_cluster_init (&fixture->cluster);
+  pt_start_platform (&fixture->cluster);
+  fixture->service = pt_start_service (&fixture->cluster, "lookup-1", options);
+  fixture->first = pt_start_instance (&fixture->cluster, "i1", "hall-a");
+  fixture->second = pt_start_instance (&fixture->cluster, "i2", "hall-b");
+  pt_apply_resources (&fixture->cluster, fixture->first);
+  pt_wait_until_revision_in_force (&fixture->cluster);
+  pt_wait_until_ready (&fixture->cluster, fixture->first);
+  pt_wait_until_ready (&fixture->cluster, fixture->second);
+  pt_wait_until (&fixture->cluster, "both instances list two addresses",
+                 do_instances_list_each_other, NULL);
 }
 
 static void
-scene_clear (Scene *scene)
+fixture_clear (Fixture *fixture)
 {
-  pt_cluster_clear (&scene->cluster);
+  pt_cluster_clear (&fixture->cluster);
 }
 
 static void
-create_ticket (Scene *scene, PtProgram *instance, char ticket[256])
+create_ticket (Fixture *fixture, PtProgram *instance, char ticket[256])
 {
   const LhHeader headers[] = { { "x-caller", "shop" } };
   const SiCall call = { .method = "POST",
@@ -72,8 +73,8 @@
                         .body = "" };
   SiResponse response;
 
-  si_client_call (&scene->cluster.client, &call, &response);
-  cr_assert (si_response_is_ok (&response), "%s", si_response_error (&response));
+  si_client_call (&fixture->cluster.client, &call, &response);
+  cr_assert (si_response_is_ok (&response), "unexpected error %s", si_response_error (&response));
   struct json_object *object = json_tokener_parse (response.body);
   struct json_object *text = NULL;
   cr_assert (json_object_object_get_ex (object, "ticket", &text));
@@ -83,8 +84,11 @@
 }
 
 static void
-send_order (
-    Scene *scene, PtProgram *instance, const char *header, const char *value, SiResponse *response)
+send_order (Fixture *fixture,
+            PtProgram *instance,
+            const char *header,
+            const char *value,
+            SiResponse *response)
 {
   const LhHeader headers[] = { { "x-caller", "shop" }, { "x-order", "tea" }, { header, value } };
   const SiCall call = { .method = "POST",
@@ -94,43 +98,44 @@
                         .n_headers = 3,
                         .body = "one tea" };
 
-  si_client_call (&scene->cluster.client, &call, response);
+  si_client_call (&fixture->cluster.client, &call, response);
 }
 
-/* A caller sends an order with a ticket of one instance to another one, which forwards it. The
- * response is lost and the first instance is killed. The caller retries at the second instance: the
- * outcome is no longer known, so the order must neither run again nor be reported as not run. */
+/* The first instance issues a ticket and runs the order, which the caller sends through the second
+ * instance. Then the first instance is killed, and the caller retries the order at the second one.
+ * The outcome is lost, so the order must neither run again nor be reported as not run. */
 Test (tickets, ticket_of_a_killed_instance_has_an_unknown_outcome)
 {
-  Scene scene;
+  Fixture fixture;
   SiResponse response;
   char ticket[256];
 
-  scene_init (&scene);
-  create_ticket (&scene, scene.first, ticket);
-  send_order (&scene, scene.second, "x-ticket", ticket, &response);
-  cr_assert (si_response_is_ok (&response), "%s", si_response_error (&response));
+  fixture_init (&fixture);
+  create_ticket (&fixture, fixture.first, ticket);
+  send_order (&fixture, fixture.second, "x-ticket", ticket, &response);
+  cr_assert (si_response_is_ok (&response), "unexpected error %s", si_response_error (&response));
   si_response_clear (&response);
-  send_order (&scene, scene.first, "x-ticket", ticket, &response);
-  cr_assert (si_response_is_ok (&response), "%s", si_response_error (&response));
+  send_order (&fixture, fixture.first, "x-ticket", ticket, &response);
+  cr_assert (si_response_is_ok (&response), "unexpected error %s", si_response_error (&response));
   si_response_clear (&response);
-  cr_assert_eq (pt_count_call_runs (&scene.cluster, scene.service, "tea"), 1);
+  cr_assert_eq (pt_count_call_runs (&fixture.cluster, fixture.service, "tea"), 1);
 
-  pt_process_signal (&scene.first->process, SIGKILL);
-  send_order (&scene, scene.second, "x-ticket", ticket, &response);
+  pt_process_signal (&fixture.first->process, SIGKILL);
+  send_order (&fixture, fixture.second, "x-ticket", ticket, &response);
   cr_assert_str_eq (si_response_error (&response), "outcome_unknown");
   cr_assert_not (response.not_run);
   si_response_clear (&response);
-  cr_assert_eq (pt_count_call_runs (&scene.cluster, scene.service, "tea"), 1);
-  scene_clear (&scene);
+  cr_assert_eq (pt_count_call_runs (&fixture.cluster, fixture.service, "tea"), 1);
+  fixture_clear (&fixture);
 }
 
 typedef struct
 {
-  Scene *scene;
+  Fixture *fixture;
   PtProgram *instance;
 } OrderRetry;
 
+/* Retries the order with idempotency key "k1" and returns whether it completed. */
 static bool
 is_order_completed (PtCluster *cluster, void *user)
 {
@@ -138,59 +143,59 @@
   const OrderRetry *retry = user;
   SiResponse response;
 
-  send_order (retry->scene, retry->instance, "idempotency-key", "k1", &response);
+  send_order (retry->fixture, retry->instance, "idempotency-key", "k1", &response);
   bool ok = si_response_is_ok (&response);
-  cr_assert (ok || response.not_run, "%s", si_response_error (&response));
+  cr_assert (ok || response.not_run, "unexpected error %s", si_response_error (&response));
   si_response_clear (&response);
   return ok;
 }
 
-/* The instance claims the caller's idempotency key, and every response of the store is lost after
- * the write. The instance must either read the row back and run the order, or reject it as not run
- * without running it. Retries at both instances then find the row, and the order runs once. */
+/* The store writes the claim of an order's idempotency key, but all its responses are lost. The
+ * instance must either read the claim back and run the order, or reject it as not run. Retries at
+ * both instances must succeed, and the order must run once. */
 Test (tickets, lost_store_responses_cause_no_second_run)
 {
-  Scene scene;
+  Fixture fixture;
   SiResponse response;
 
-  scene_init (&scene);
-  pt_inject_fault (&scene.cluster, &scene.cluster.platform,
+  fixture_init (&fixture);
+  pt_inject_fault (&fixture.cluster, &fixture.cluster.platform,
                    "{\"mode\": \"lose_reply\", \"path\": \"/table/transact\"}");
-  send_order (&scene, scene.first, "idempotency-key", "k1", &response);
-  cr_assert (si_response_is_ok (&response) || response.not_run, "%s",
+  send_order (&fixture, fixture.first, "idempotency-key", "k1", &response);
+  cr_assert (si_response_is_ok (&response) || response.not_run, "unexpected error %s",
              si_response_error (&response));
-  cr_assert_eq (pt_count_call_runs (&scene.cluster, scene.service, "tea"),
+  cr_assert_eq (pt_count_call_runs (&fixture.cluster, fixture.service, "tea"),
                 response.not_run ? 0 : 1);
   si_response_clear (&response);
-  pt_inject_fault (&scene.cluster, &scene.cluster.platform, "{\"mode\": \"none\"}");
-  OrderRetry second = { .scene = &scene, .instance = scene.second };
-  OrderRetry first = { .scene = &scene, .instance = scene.first };
-  pt_wait_until (&scene.cluster, "the order completes at the second instance", is_order_completed,
+  pt_inject_fault (&fixture.cluster, &fixture.cluster.platform, "{\"mode\": \"none\"}");
+  OrderRetry second = { .fixture = &fixture, .instance = fixture.second };
+  OrderRetry first = { .fixture = &fixture, .instance = fixture.first };
+  pt_wait_until (&fixture.cluster, "the order completes at the second instance", is_order_completed,
                  &second);
-  pt_wait_until (&scene.cluster, "the order completes at the first instance", is_order_completed,
+  pt_wait_until (&fixture.cluster, "the order completes at the first instance", is_order_completed,
                  &first);
-  cr_assert_eq (pt_count_call_runs (&scene.cluster, scene.service, "tea"), 1);
-  scene_clear (&scene);
+  cr_assert_eq (pt_count_call_runs (&fixture.cluster, fixture.service, "tea"), 1);
+  fixture_clear (&fixture);
 }
 
-/* During a store outage an order with an idempotency key cannot be claimed and must be rejected as
- * not run without running it; an order with a ticket needs no store and runs. */
+/* During a store outage the claim of an idempotency key cannot be stored, so an order with a key
+ * must be rejected as not run. An order with a ticket needs no store and must run. */
 Test (tickets, store_outage_rejects_keys_and_accepts_tickets)
 {
-  Scene scene;
+  Fixture fixture;
   SiResponse response;
   char ticket[256];
 
-  scene_init (&scene);
-  pt_inject_fault (&scene.cluster, &scene.cluster.platform, "{\"mode\": \"down\"}");
-  send_order (&scene, scene.first, "idempotency-key", "k1", &response);
-  cr_assert (response.not_run, "%s", si_response_error (&response));
+  fixture_init (&fixture);
+  pt_inject_fault (&fixture.cluster, &fixture.cluster.platform, "{\"mode\": \"down\"}");
+  send_order (&fixture, fixture.first, "idempotency-key", "k1", &response);
+  cr_assert (response.not_run, "unexpected error %s", si_response_error (&response));
   si_response_clear (&response);
-  cr_assert_eq (pt_count_call_runs (&scene.cluster, scene.service, "tea"), 0);
-  create_ticket (&scene, scene.first, ticket);
-  send_order (&scene, scene.first, "x-ticket", ticket, &response);
-  cr_assert (si_response_is_ok (&response), "%s", si_response_error (&response));
+  cr_assert_eq (pt_count_call_runs (&fixture.cluster, fixture.service, "tea"), 0);
+  create_ticket (&fixture, fixture.first, ticket);
+  send_order (&fixture, fixture.first, "x-ticket", ticket, &response);
+  cr_assert (si_response_is_ok (&response), "unexpected error %s", si_response_error (&response));
   si_response_clear (&response);
-  cr_assert_eq (pt_count_call_runs (&scene.cluster, scene.service, "tea"), 1);
-  scene_clear (&scene);
+  cr_assert_eq (pt_count_call_runs (&fixture.cluster, fixture.service, "tea"), 1);
+  fixture_clear (&fixture);
 }
