--- a/tests/process/test-organisations.c
+++ b/tests/process/test-organisations.c
@@ -9,23 +9,24 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MILL "{\"name\": \"mill\", \"apiKeys\": [\"mill-1\"], \"priority\": 1}"
-#define TWO_ORGANISATIONS                                                                          \
+#define MILL_ORGANISATION_JSON "{\"name\": \"mill\", \"apiKeys\": [\"mill-1\"], \"priority\": 1}"
+#define TWO_ORGANISATIONS_JSON                                                                     \
   ", \"tenants\": [{\"name\": \"post\", \"apiKeys\": [\"post-1\", \"post-2\"], \"priority\": "     \
-  "0}, " MILL "]"
-#define TWO_ORGANISATIONS_WITHOUT_POST_1                                                           \
-  ", \"tenants\": [{\"name\": \"post\", \"apiKeys\": [\"post-2\"], \"priority\": 0}, " MILL "]"
-/* The route of the scorer calls is public: it needs no key. */
-#define PUBLIC_ROUTE                                                                               \
+  "0}, " MILL_ORGANISATION_JSON "]"
+#define TWO_ORGANISATIONS_WITHOUT_KEY_POST_1_JSON                                                  \
+  ", \"tenants\": [{\"name\": \"post\", \"apiKeys\": [\"post-2\"], \"priority\": "                 \
+  "0}, " MILL_ORGANISATION_JSON "]"
+/* Public route for the scorer calls of batches: calls on it need no API key. */
+#define PUBLIC_ROUTE_JSON                                                                          \
   ", {\"name\": \"open\", \"host\": \"h.example\", \"prefix\": \"/lookup/s\", \"kind\": \"safe\"," \
   " \"timeoutMs\": 20000, \"service\": \"lookups\", \"attempts\": 3, \"public\": true}"
 
 static size_t
-start_instance (PsCluster *cluster)
+start_cluster_with_two_organisations (PsCluster *cluster)
 {
   ps_cluster_init (cluster);
-  cluster->organisations_json = TWO_ORGANISATIONS;
-  ps_put_desired_state (cluster, 2, PUBLIC_ROUTE);
+  cluster->organisations_json = TWO_ORGANISATIONS_JSON;
+  ps_put_desired_state (cluster, 2, PUBLIC_ROUTE_JSON);
   size_t instance = ps_start_instance (cluster);
   cluster->api_key = "post-1";
   return instance;
@@ -34,80 +35,80 @@
 static void
 revoke_api_key_post_1 (PsCluster *cluster)
 {
-  cluster->organisations_json = TWO_ORGANISATIONS_WITHOUT_POST_1;
-  ps_put_desired_state (cluster, 3, PUBLIC_ROUTE);
+  cluster->organisations_json = TWO_ORGANISATIONS_WITHOUT_KEY_POST_1_JSON;
+  ps_put_desired_state (cluster, 3, PUBLIC_ROUTE_JSON);
 }
 
 static int
-call_for_status (
+call_and_get_status (
     PsCluster *cluster, size_t instance, const char *method, const char *path, const char *id)
 {
   ps_call (cluster, instance, method, path, id, "");
   return cluster->response_status;
 }
 
-/* An endpoint gets the name of the key's organisation, whatever the caller claims to be, and never
- * the key itself. */
+/* A call must reach its endpoint with the name of the organisation that owns the API key, even if
+ * the caller sends another name in a header. The endpoint and the log must never get the key. */
 Test (organisations, endpoint_gets_the_organisation_and_not_the_key)
 {
   PsCluster cluster;
-  size_t instance = start_instance (&cluster);
+  size_t instance = start_cluster_with_two_organisations (&cluster);
 
   cluster.claimed_organisation = "mill";
-  cr_assert_eq (call_for_status (&cluster, instance, "POST", "/lookup/1", "c1"), 200);
+  cr_assert_eq (call_and_get_status (&cluster, instance, "POST", "/lookup/1", "c1"), 200);
   cr_assert_str_eq (cluster.lookup.organisation, "post");
   cluster.api_key = "mill-1";
   cluster.claimed_organisation = "post";
-  cr_assert_eq (call_for_status (&cluster, instance, "POST", "/lookup/1", "c2"), 200);
+  cr_assert_eq (call_and_get_status (&cluster, instance, "POST", "/lookup/1", "c2"), 200);
   cr_assert_str_eq (cluster.lookup.organisation, "mill");
   cluster.api_key = NULL;
-  cr_assert_eq (call_for_status (&cluster, instance, "POST", "/lookup/s", "c3"), 200,
-                "a public route needs no key");
-  cr_assert_str_eq (cluster.lookup.organisation, "", "a public route names no organisation");
+  cr_assert_eq (call_and_get_status (&cluster, instance, "POST", "/lookup/s", "c3"), 200,
+                "expected status 200 without a key on a public route");
+  cr_assert_str_eq (cluster.lookup.organisation, "", "expected no organisation on a public route");
   cr_assert_eq (cluster.lookup.leaked_keys, 0);
-  cr_assert_eq (ps_count_in_log (&cluster, instance, "post-1"), 0,
-                "the log must not contain a key");
+  cr_assert_eq (ps_count_in_log (&cluster, instance, "post-1"), 0, "the log contains an API key");
   ps_cluster_clear (&cluster);
 }
 
 Test (organisations, calls_without_a_valid_key_are_rejected_and_do_not_run)
 {
   PsCluster cluster;
-  size_t instance = start_instance (&cluster);
+  size_t instance = start_cluster_with_two_organisations (&cluster);
   int calls = cluster.lookup.n_calls;
 
   cluster.api_key = NULL;
-  cr_assert_eq (call_for_status (&cluster, instance, "POST", "/lookup/1", "c1"), 401);
+  cr_assert_eq (call_and_get_status (&cluster, instance, "POST", "/lookup/1", "c1"), 401);
   cluster.api_key = "";
-  cr_assert_eq (call_for_status (&cluster, instance, "POST", "/lookup/1", "c2"), 401);
+  cr_assert_eq (call_and_get_status (&cluster, instance, "POST", "/lookup/1", "c2"), 401);
   cluster.api_key = "post-3";
-  cr_assert_eq (call_for_status (&cluster, instance, "POST", "/lookup/1", "c3"), 401);
-  cr_assert_eq (call_for_status (&cluster, instance, "POST", "/nowhere/", "c4"), 404,
-                "an unknown route is checked before the key");
+  cr_assert_eq (call_and_get_status (&cluster, instance, "POST", "/lookup/1", "c3"), 401);
+  cr_assert_eq (call_and_get_status (&cluster, instance, "POST", "/nowhere/", "c4"), 404,
+                "expected status 404 for an unknown route, also without a valid key");
   cluster.api_key = "post-1";
   cluster.second_api_key = "mill-1";
-  cr_assert_eq (call_for_status (&cluster, instance, "POST", "/lookup/1", "c5"), 400);
+  cr_assert_eq (call_and_get_status (&cluster, instance, "POST", "/lookup/1", "c5"), 400);
   cr_assert_eq (cluster.lookup.n_calls, calls);
   ps_cluster_clear (&cluster);
 }
 
-/* An operator revokes a key. Calls with it must be rejected within seconds; the other key of the
- * organisation stays valid. */
+/* An operator revokes one of two API keys of an organisation. Calls with the revoked key must be
+ * rejected within seconds; calls with the other key must be served. */
 Test (organisations, revoked_key_is_rejected)
 {
   PsCluster cluster;
-  size_t instance = start_instance (&cluster);
+  size_t instance = start_cluster_with_two_organisations (&cluster);
 
-  cr_assert_eq (call_for_status (&cluster, instance, "POST", "/lookup/1", "c1"), 200);
+  cr_assert_eq (call_and_get_status (&cluster, instance, "POST", "/lookup/1", "c1"), 200);
   revoke_api_key_post_1 (&cluster);
-  PS_WAIT_UNTIL (&cluster, call_for_status (&cluster, instance, "POST", "/lookup/1", "c2") == 401);
+  PS_WAIT_UNTIL (&cluster,
+                 call_and_get_status (&cluster, instance, "POST", "/lookup/1", "c2") == 401);
   cluster.api_key = "post-2";
-  cr_assert_eq (call_for_status (&cluster, instance, "POST", "/lookup/1", "c3"), 200);
+  cr_assert_eq (call_and_get_status (&cluster, instance, "POST", "/lookup/1", "c3"), 200);
   ps_cluster_clear (&cluster);
 }
 
-/* Sixty calls are sent to an endpoint that runs eight at a time for three seconds each, and their
- * key is revoked meanwhile. The queued calls must be rejected at once and never run. */
+/* Sixty calls wait for an endpoint that runs eight calls at a time for 3 s each, when their API key
+ * is revoked. The queued calls must be rejected at once and never run. */
 Test (organisations, queued_calls_of_a_revoked_key_do_not_run)
 {
   enum
@@ -115,7 +116,7 @@
     N_CALLS = 60
   };
   PsCluster cluster;
-  size_t instance = start_instance (&cluster);
+  size_t instance = start_cluster_with_two_organisations (&cluster);
   int responses_before = cluster.n_responses;
   char id[16];
 
@@ -128,7 +129,8 @@
   PS_WAIT_UNTIL (&cluster, cluster.lookup.n_calls >= 8);
   revoke_api_key_post_1 (&cluster);
   PS_WAIT_UNTIL (&cluster, cluster.n_responses > responses_before);
-  cr_assert_eq (cluster.response_status, 401, "the first response goes to a queued call");
+  cr_assert_eq (cluster.response_status, 401,
+                "expected status 401 for a queued call as the first response");
   int calls_sent = cluster.lookup.n_calls;
   PS_WAIT_UNTIL (&cluster, cluster.n_responses == responses_before + N_CALLS);
   cr_assert_eq (cluster.lookup.n_calls, calls_sent);
@@ -136,35 +138,44 @@
 }
 
 static int
-read_as (PsCluster *cluster, size_t instance, const char *key, const char *path)
+read_with_key_and_get_status (PsCluster *cluster,
+                              size_t instance,
+                              const char *key,
+                              const char *path)
 {
   cluster->api_key = key;
-  return call_for_status (cluster, instance, "GET", path, "");
+  return call_and_get_status (cluster, instance, "GET", path, "");
 }
 
-/* A batch belongs to the organisation that submitted it. Another organisation gets the response for
- * an unknown id, a caller without a valid key gets 401, and every key of the organisation has full
- * access. */
+/* Only the organisation that submitted a batch can access it, with any of its API keys. For another
+ * organisation the batch does not exist (404); a caller without a valid key gets 401. */
 Test (organisations, batch_is_accessible_to_its_organisation_only)
 {
   PsCluster cluster;
-  size_t instance = start_instance (&cluster);
+  size_t instance = start_cluster_with_two_organisations (&cluster);
 
   ps_submit_batch (&cluster, instance, "b1", 4);
   cr_assert_eq (cluster.response_status, 202);
-  cr_assert_eq (read_as (&cluster, instance, "mill-1", "/-/lots/b1?after=0"), 404);
-  cr_assert_eq (read_as (&cluster, instance, "mill-1", "/-/items/b1?id=item1"), 404);
-  cr_assert_eq (read_as (&cluster, instance, "mill-1", "/-/lots/unknown?after=0"), 404);
-  cr_assert_eq (read_as (&cluster, instance, "nobody", "/-/lots/b1?after=0"), 401);
-  cr_assert_eq (read_as (&cluster, instance, NULL, "/-/lots/unknown?after=0"), 401);
-  cr_assert_eq (read_as (&cluster, instance, "post-2", "/-/items/b1?id=item1"), 200);
+  cr_assert_eq (read_with_key_and_get_status (&cluster, instance, "mill-1", "/-/lots/b1?after=0"),
+                404);
+  cr_assert_eq (read_with_key_and_get_status (&cluster, instance, "mill-1", "/-/items/b1?id=item1"),
+                404);
+  cr_assert_eq (read_with_key_and_get_status (&cluster, instance, "mill-1",
+                                              "/-/lots/unknown?after=0"),
+                404);
+  cr_assert_eq (read_with_key_and_get_status (&cluster, instance, "nobody", "/-/lots/b1?after=0"),
+                401);
+  cr_assert_eq (read_with_key_and_get_status (&cluster, instance, NULL, "/-/lots/unknown?after=0"),
+                401);
+  cr_assert_eq (read_with_key_and_get_status (&cluster, instance, "post-2", "/-/items/b1?id=item1"),
+                200);
   PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, instance, "b1") == 4);
   ps_assert_all_results_listed (&cluster, instance, "b1", 4);
   cluster.api_key = "mill-1";
-  cr_assert_eq (call_for_status (&cluster, instance, "DELETE", "/-/lots/b1", ""), 404);
+  cr_assert_eq (call_and_get_status (&cluster, instance, "DELETE", "/-/lots/b1", ""), 404);
   cluster.api_key = "post-2";
-  cr_assert_eq (call_for_status (&cluster, instance, "DELETE", "/-/lots/b1", ""), 200);
-  cr_assert_eq (call_for_status (&cluster, instance, "DELETE", "/-/lots/b1", ""), 200);
+  cr_assert_eq (call_and_get_status (&cluster, instance, "DELETE", "/-/lots/b1", ""), 200);
+  cr_assert_eq (call_and_get_status (&cluster, instance, "DELETE", "/-/lots/b1", ""), 200);
   for (int i = 0; i < PS_N_ENGINES; i++)
     {
       cr_assert_eq (cluster.engines[i].leaked_keys, 0);
@@ -174,13 +185,12 @@
   ps_cluster_clear (&cluster);
 }
 
-/* Two organisations submit a batch with the same id. Treated as one batch, the second would be
- * reported as accepted, none of it would run, and the second organisation would read the results of
- * the first. */
+/* Two organisations submit batches with the same id. Both batches must run. Treated as one batch,
+ * the second would be accepted but not run, and its owner would read the results of the first. */
 Test (organisations, same_batch_id_of_two_organisations_names_two_batches)
 {
   PsCluster cluster;
-  size_t instance = start_instance (&cluster);
+  size_t instance = start_cluster_with_two_organisations (&cluster);
 
   ps_submit_batch (&cluster, instance, "same", 2);
   cr_assert_eq (cluster.response_status, 202);
@@ -194,13 +204,13 @@
   ps_cluster_clear (&cluster);
 }
 
-/* The key that submitted a batch is revoked, and the instance that runs it is killed. Another
- * instance must continue the batch under the name of the organisation, whose other key can read
- * it. */
+/* The API key that submitted a batch is revoked, and the instance that runs the batch is killed.
+ * The other instance must continue it for the same organisation, whose second key can read the
+ * results. */
 Test (organisations, batch_survives_its_revoked_key_and_its_killed_owner)
 {
   PsCluster cluster;
-  size_t instance = start_instance (&cluster);
+  size_t instance = start_cluster_with_two_organisations (&cluster);
   size_t owner;
   int n_identified = 0;
 
@@ -222,6 +232,7 @@
   for (int i = 0; i < PS_N_ENGINES; i++)
     n_identified += strcmp (cluster.engines[i].organisation, "post") == 0;
   cr_assert_gt (n_identified, 0);
-  cr_assert_eq (read_as (&cluster, survivor, "post-1", "/-/lots/b1?after=0"), 401);
+  cr_assert_eq (read_with_key_and_get_status (&cluster, survivor, "post-1", "/-/lots/b1?after=0"),
+                401);
   ps_cluster_clear (&cluster);
 }
--- a/tests/process/test-shared.c
+++ b/tests/process/test-shared.c
@@ -34,7 +34,8 @@
   ps_call (&cluster, instance, "DELETE", "/-/lots/b1", "", "");
   cr_assert_eq (cluster.response_status, 200);
   ps_call (&cluster, instance, "DELETE", "/-/lots/b1", "", "");
-  cr_assert_eq (cluster.response_status, 200, "ending a batch is idempotent");
+  cr_assert_eq (cluster.response_status, 200,
+                "expected status 200 for the second DELETE of a batch");
   ps_call (&cluster, instance, "GET", "/-/lots/unknown?after=0", "", "");
   cr_assert_eq (cluster.response_status, 404);
   ps_call (&cluster, instance, "GET", "/-/resolve?name=h.example", "", "");
@@ -42,8 +43,8 @@
   ps_cluster_clear (&cluster);
 }
 
-/* A new weight version is published. Every engine gets exactly one order to load it, and samples
- * generated afterwards report that version. */
+/* A new weight version is published. Each engine must accept exactly one order to load it, and a
+ * sample generated after that must report the version. */
 Test (shared, published_weights_reach_every_engine)
 {
   PsCluster cluster;
@@ -66,9 +67,9 @@
   ps_cluster_clear (&cluster);
 }
 
-/* An engine is killed and restarts under the same id between two weight versions, so that its order
- * counter is zero again. With the counter of its previous start it would reject each order, keep
- * its old weights, and its samples would be discarded as stale. */
+/* An engine restarts with the same id between two weight versions, and its order counter starts at
+ * zero again. An order with the counter of the previous start would be rejected: the engine would
+ * keep its old weights, and its samples would be discarded as stale. */
 Test (shared, restarted_engine_accepts_the_next_weights)
 {
   PsCluster cluster;
@@ -90,20 +91,20 @@
 }
 
 static double
-count_endpoint_list_calls (PsCluster *cluster, size_t instance)
+read_endpoint_list_call_count (PsCluster *cluster, size_t instance)
 {
   return ps_read_metric (cluster, instance,
                          "lentilspindle_store_table_calls_total{table=\"servers\"}");
 }
 
 static double
-count_catalog_updates (PsCluster *cluster, size_t instance)
+read_catalog_update_count (PsCluster *cluster, size_t instance)
 {
   return ps_read_metric (cluster, instance, "lentilspindle_catalog_beliefs_total");
 }
 
 static void
-put_other_endpoint (PsCluster *cluster, int index, const char *state)
+put_endpoint_row (PsCluster *cluster, int index, const char *state)
 {
   char key[16];
   char *text = lb_asprintf ("{\"service\": \"others\", \"address\": \"127.0.0.1:%d\", \"zone\": "
@@ -116,33 +117,36 @@
   free (text);
 }
 
-/* Whether the instance makes no endpoint list calls while it gets three lists through the
- * catalog. */
+/* Returns whether the instance receives three endpoint lists through the catalog without a call to
+ * the store that lists endpoints. */
 static bool
-uses_catalog_only (PsCluster *cluster, size_t instance)
+gets_endpoints_from_catalog_only (PsCluster *cluster, size_t instance)
 {
-  double list_calls_before = count_endpoint_list_calls (cluster, instance);
-  double updates_before = count_catalog_updates (cluster, instance);
+  double list_calls_before = read_endpoint_list_call_count (cluster, instance);
+  double updates_before = read_catalog_update_count (cluster, instance);
 
-  PS_WAIT_UNTIL (cluster, count_catalog_updates (cluster, instance) >= updates_before + 3
-                              || count_endpoint_list_calls (cluster, instance) > list_calls_before);
-  return count_endpoint_list_calls (cluster, instance) <= list_calls_before;
+  PS_WAIT_UNTIL (cluster,
+                 read_catalog_update_count (cluster, instance) >= updates_before + 3
+                     || read_endpoint_list_call_count (cluster, instance) > list_calls_before);
+  return read_endpoint_list_call_count (cluster, instance) <= list_calls_before;
 }
 
-/* Asks every instance, since the one that sends the weight orders lists the endpoints itself. */
+/* Checks every instance, because the instance that sends weight orders lists the endpoints itself.
+ */
 static bool
-has_catalog_only_instance (PsCluster *cluster)
+has_instance_using_catalog_only (PsCluster *cluster)
 {
   bool is_found = false;
 
   for (size_t i = 0; i < cluster->n_instances; i++)
-    is_found |= uses_catalog_only (cluster, i);
+    is_found |= gets_endpoints_from_catalog_only (cluster, i);
   return is_found;
 }
 
-/* The instance that publishes the catalog; one instance, which was killed, is skipped. */
+/* Returns the index of the instance that publishes the catalog; n_instances: none. Skips the
+ * instance `excluded`, which was killed. */
 static size_t
-find_publisher (PsCluster *cluster, size_t excluded)
+find_catalog_publisher (PsCluster *cluster, size_t excluded)
 {
   for (size_t i = 0; i < cluster->n_instances; i++)
     if (i != excluded && ps_read_metric (cluster, i, "lentilspindle_catalog_writes_total") > 0)
@@ -150,11 +154,11 @@
   return cluster->n_instances;
 }
 
-/* A dispatch decision's log line contains the instance whose endpoint list it used. An instance
- * with a duty at the engines lists them itself, so all instances except the publisher are
- * searched. */
+/* Sends a call to each instance and returns whether any instance but the publisher has logged a
+ * dispatch decision based on the publisher's endpoint list (log field "lister"). One such instance
+ * is enough, because the instance that sends weight orders lists the endpoints itself. */
 static bool
-has_decision_with_lister (PsCluster *cluster, size_t publisher)
+has_decision_from_published_list (PsCluster *cluster, size_t publisher)
 {
   char *text = lb_asprintf ("\"lister\":\"%s\"", cluster->instances[publisher].name);
   int n_found = 0;
@@ -170,35 +174,36 @@
   return n_found > 0;
 }
 
-/* One of three instances lists many endpoints for all; the other two must still notice an endpoint
- * that drains. After that instance is killed, another one must take over. */
-Test (shared, one_instance_lists_endpoints_for_all)
+/* One of three instances, the publisher, lists 50 endpoints for all. The others must notice when an
+ * endpoint drains. After the publisher is killed, another instance must take over. */
+Test (shared, one_instance_lists_endpoints_for_all_instances)
 {
   PsCluster cluster;
   size_t publisher;
 
   ps_cluster_init (&cluster);
   for (int i = 0; i < 50; i++)
-    put_other_endpoint (&cluster, i, "ready");
+    put_endpoint_row (&cluster, i, "ready");
   for (int i = 0; i < 3; i++)
     ps_start_instance (&cluster);
-  PS_WAIT_UNTIL (&cluster, (publisher = find_publisher (&cluster, 3)) < cluster.n_instances);
-  PS_WAIT_UNTIL (&cluster, has_catalog_only_instance (&cluster));
-  PS_WAIT_UNTIL (&cluster, has_decision_with_lister (&cluster, publisher));
-  put_other_endpoint (&cluster, 7, "draining");
+  PS_WAIT_UNTIL (&cluster,
+                 (publisher = find_catalog_publisher (&cluster, 3)) < cluster.n_instances);
+  PS_WAIT_UNTIL (&cluster, has_instance_using_catalog_only (&cluster));
+  PS_WAIT_UNTIL (&cluster, has_decision_from_published_list (&cluster, publisher));
+  put_endpoint_row (&cluster, 7, "draining");
   for (size_t i = 0; i < 3; i++)
     PS_WAIT_UNTIL (&cluster, ps_count_in_log (&cluster, i, "endpoint_lists_leaving") == 1);
   pt_process_signal (&cluster.instances[publisher].process, SIGKILL);
-  PS_WAIT_UNTIL (&cluster, find_publisher (&cluster, publisher) < cluster.n_instances);
-  put_other_endpoint (&cluster, 8, "draining");
+  PS_WAIT_UNTIL (&cluster, find_catalog_publisher (&cluster, publisher) < cluster.n_instances);
+  put_endpoint_row (&cluster, 8, "draining");
   for (size_t i = 0; i < 3; i++)
     if (i != publisher)
       PS_WAIT_UNTIL (&cluster, ps_count_in_log (&cluster, i, "endpoint_lists_leaving") == 2);
   ps_cluster_clear (&cluster);
 }
 
-/* Rows of other writers in the endpoints' table must not affect calls, must not get weight orders,
- * and are logged once each. */
+/* The endpoints' table contains a row of an unknown service and two invalid rows. They must not
+ * affect calls or get weight orders, and each must be logged once. */
 Test (shared, rows_of_other_writers_are_ignored)
 {
   static const char stray_row[]
@@ -231,9 +236,8 @@
   ps_cluster_clear (&cluster);
 }
 
-/* An instance starts while the store is slow and has the routes but not the endpoints yet. It
- * answered with 404, after which callers did not retry; it must answer with 503 and a retry
- * time. */
+/* An instance starts while the store is slow, and has the routes but not the endpoints yet. It must
+ * respond with 503 and a retry time: callers do not retry after a 404. */
 Test (shared, route_with_unknown_endpoints_is_unavailable_not_missing)
 {
   PsCluster cluster;
@@ -246,7 +250,8 @@
   while (lb_clock_monotonic () < end)
     {
       ps_call (&cluster, 1, "POST", "/lookup/1", "c1", "hello");
-      cr_assert_eq (cluster.response_status, 503, "%s", cluster.response_body);
+      cr_assert_eq (cluster.response_status, 503, "expected status 503, got body: %s",
+                    cluster.response_body);
       cr_assert_neq (cluster.retry_after[0], '\0');
     }
   cluster.store.unavailable_table = NULL;
@@ -256,8 +261,8 @@
   ps_cluster_clear (&cluster);
 }
 
-/* The desired state allows bodies of 12 MiB. A body of 9 MiB was rejected as too large, because the
- * instance applied the limit of its own settings, 8 MiB. */
+/* The desired state allows request bodies of 12 MiB. An instance must accept a body of 9 MiB,
+ * although the limit in its own settings is 8 MiB. */
 Test (shared, body_limit_comes_from_the_desired_state)
 {
   PsCluster cluster;
@@ -269,14 +274,14 @@
   ps_cluster_init (&cluster);
   ps_start_instance (&cluster);
   ps_call (&cluster, 0, "GET", "/lookup/1", "c1", body);
-  cr_assert_eq (cluster.response_status, 200, "%d %s", cluster.response_status,
-                cluster.response_body);
+  cr_assert_eq (cluster.response_status, 200, "expected status 200, got %d: %s",
+                cluster.response_status, cluster.response_body);
   free (body);
   ps_cluster_clear (&cluster);
 }
 
-/* A service has a path /metrics of its own. Its callers got the metrics of the instance, because
- * that path was handled before the routes. */
+/* A service has its own path /metrics. Calls to that path must reach the service. The instance
+ * serves its own metrics on a separate address. */
 Test (shared, metrics_are_served_on_their_own_address)
 {
   PsCluster cluster;
@@ -290,8 +295,8 @@
   ps_start_instance (&cluster);
   ps_call (&cluster, 0, "GET", "/metrics", "c1", "");
   cr_assert_eq (cluster.response_status, 200);
-  cr_assert_null (strstr (cluster.response_body, "lentilspindle_requests_total"), "%s",
-                  cluster.response_body);
+  cr_assert_null (strstr (cluster.response_body, "lentilspindle_requests_total"),
+                  "expected the service's response, got: %s", cluster.response_body);
   cr_assert_eq (cluster.lookup.n_calls, 1);
   ps_fetch_metrics (&cluster, 0);
   cr_assert_eq (cluster.response_status, 200);
@@ -300,8 +305,9 @@
   ps_cluster_clear (&cluster);
 }
 
-/* The instance that runs a batch is killed. The trainer reads on at the other one: every sample
- * must be listed exactly once, and each result that was listed before must keep its position. */
+/* The instance that runs a batch is killed, and the trainer reads on at the other instance. Each
+ * sample must be listed exactly once, and each result that was already listed must keep its
+ * position. */
 Test (shared, batch_survives_its_killed_owner)
 {
   PsCluster cluster;
@@ -315,7 +321,7 @@
   cr_assert_eq (cluster.response_status, 202);
   PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b1") >= 5);
   struct json_object *page_before = ps_read_results (&cluster, 1, "b1");
-  /* One of the two instances runs the batch; its row must exist. */
+  /* The row of the batch must be in one of the 16 partitions of table "head". */
   const char *batch_row = NULL;
   for (int part = 0; part < 16 && !batch_row; part++)
     {
@@ -345,8 +351,8 @@
   ps_cluster_clear (&cluster);
 }
 
-/* A trainer gets no response to its submission and sends the same batch to another instance at
- * once. It must be accepted once, with one row, and each item must run once. */
+/* A trainer sends the same batch to two instances at once. The batch must be accepted once, with
+ * one row in the store, and each item must run once. */
 Test (shared, same_batch_at_two_instances_is_accepted_once)
 {
   PsCluster cluster;
@@ -368,10 +374,10 @@
   ps_cluster_clear (&cluster);
 }
 
-/* Each sample of a step was generated twice, which doubled the load of the engines. The instance
- * that accepted the batch learns late that another one took it; it assumed that its offer was not
- * taken and started a run of its own, whose results cannot be listed. */
-Test (shared, accepted_offer_is_not_run_twice)
+/* An instance accepts a batch and offers it to a peer, which takes it. The instance learns this
+ * late, because its watch on the store is delayed, and must not start a second run: the engines
+ * would generate each sample twice, and the results of the second run cannot be listed. */
+Test (shared, batch_taken_by_another_instance_is_run_once)
 {
   PsCluster cluster;
   size_t owner;
@@ -385,7 +391,7 @@
   PS_WAIT_UNTIL (&cluster, (owner = ps_find_batch_owner (&cluster)) < 2);
   PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b1") == 4);
   cluster.store.delayed_server = ps_get_store_server (&cluster, 1 - owner);
-  /* Lets the watches end that began before. */
+  /* Waits until the watches that started before the delay was set have ended. */
   LbTime end = lb_clock_monotonic () + LB_SEC;
   PS_WAIT_UNTIL (&cluster, lb_clock_monotonic () >= end);
   size_t runs_before = ps_count_engine_runs (&cluster);
@@ -396,10 +402,10 @@
   ps_cluster_clear (&cluster);
 }
 
-/* The instance that a batch is offered to is cut off and gets the offer two seconds late, when the
- * acceptor already runs the batch. It took the batch over nevertheless, and the samples in progress
- * were generated again, on engines that other batches waited for. */
-Test (shared, late_offer_is_not_taken)
+/* An instance offers a batch to a peer, which gets the offer two seconds late because its watch is
+ * delayed. The instance already runs the batch itself, so the peer must ignore the offer. Otherwise
+ * the samples in progress are generated a second time, on engines that other batches wait for. */
+Test (shared, late_batch_offer_is_ignored)
 {
   PsCluster cluster;
   size_t preferred;
@@ -413,7 +419,7 @@
   PS_WAIT_UNTIL (&cluster, (preferred = ps_find_batch_owner (&cluster)) < 2);
   PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b1") == 2);
   cluster.store.delayed_server = ps_get_store_server (&cluster, preferred);
-  /* Lets the watches end that began before. */
+  /* Waits until the watches that started before the delay was set have ended. */
   LbTime end = lb_clock_monotonic () + LB_SEC;
   PS_WAIT_UNTIL (&cluster, lb_clock_monotonic () >= end);
   size_t runs_before = ps_count_engine_runs (&cluster);
@@ -425,9 +431,10 @@
   ps_cluster_clear (&cluster);
 }
 
-/* One partition of the store accepts 200 writes a second. With 84 instances, renewals, lease and
- * plan in the unnamed partition competed with the heartbeats of all endpoints, and instances were
- * declared dead in turn, with their batches. No row of an instance may be in that partition. */
+/* A store partition accepts 200 writes a second, and partition "" has the heartbeats of all
+ * endpoints. If 84 instances write renewals, lease and plan to it too, renewals fail, and one
+ * instance after the other is declared dead with its batches. Instances must write no row to
+ * partition "". */
 Test (shared, instances_do_not_write_to_the_endpoints_partition)
 {
   static const char *const names[] = { "n0", "n1" };
@@ -444,9 +451,9 @@
   ps_cluster_clear (&cluster);
 }
 
-/* After some hours every batch was rejected: nothing in the store expires, and it was full of
- * batches that had ended. The rows and objects of an ended batch must be removed; those of an open
- * one stay. */
+/* No row in the store expires. If the rows of ended batches stay, the store is full after some
+ * hours, and every new batch is rejected. The rows and objects of an ended batch must be removed;
+ * those of an open batch must stay. */
 Test (shared, rows_of_an_ended_batch_are_removed)
 {
   PsCluster cluster;
@@ -471,8 +478,10 @@
   ps_cluster_clear (&cluster);
 }
 
+/* Returns whether the result at this position is listed; then asserts that it is complete and
+ * longer than `length`. */
 static bool
-is_long_text_listed (PsCluster *cluster, size_t instance, int position, size_t length)
+is_long_result_listed (PsCluster *cluster, size_t instance, int position, size_t length)
 {
   char path[64];
 
@@ -493,8 +502,8 @@
   return is_listed;
 }
 
-/* A row of the store holds 64 KiB. For a sample of 120 KB the write of the result was rejected
- * again and again, all results behind it waited, and the trainer never got its step. */
+/* A store row holds at most 64 KiB. If the result of a 120 KB sample is written as one row, the
+ * store rejects it at every retry, all later results wait, and the trainer never gets its step. */
 Test (shared, sample_longer_than_a_row_is_listed)
 {
   PsCluster cluster;
@@ -506,8 +515,8 @@
   ps_start_instance (&cluster);
   ps_submit_batch (&cluster, 0, "b1", 4);
   for (int i = 0; i < 4; i++)
-    PS_WAIT_UNTIL (&cluster, is_long_text_listed (&cluster, (size_t)i % 2, i,
-                                                  (size_t)cluster.engines[0].n_events * 40000));
+    PS_WAIT_UNTIL (&cluster, is_long_result_listed (&cluster, (size_t)i % 2, i,
+                                                    (size_t)cluster.engines[0].n_events * 40000));
   ps_call (&cluster, 0, "DELETE", "/-/lots/b1", "", "");
   PS_WAIT_UNTIL (&cluster, si_row_store_count (&cluster.store, "head") == 0);
   cr_assert_eq (si_row_store_count (&cluster.store, "result")
@@ -516,8 +525,8 @@
   ps_cluster_clear (&cluster);
 }
 
-/* The store writes the row of a batch, and its response is lost. The batch must not be reported as
- * rejected, since it runs: the instance retries and finds the row. */
+/* The store writes the row of a batch, but its response is lost. The batch will run, so it must not
+ * be reported as rejected: the instance must retry the write and find the row. */
 Test (shared, lost_store_response_is_not_a_rejection)
 {
   PsCluster cluster;
@@ -538,10 +547,9 @@
   ps_cluster_clear (&cluster);
 }
 
-/* A step was accepted, and none of its items started. The response to the write of its row was
- * lost, the retry went through another instance, and the watch delivered the row before the retry
- * got its response: the instance saw its own row while it still waited for that response, and did
- * not check again. */
+/* The response to the write of a batch's row is lost, and the retry goes through another instance.
+ * The watch delivers the row before the response to the retry. The instance must check the row
+ * again after that response; otherwise the batch is accepted, but none of its items starts. */
 Test (shared, batch_row_seen_before_the_write_response_is_run)
 {
   PsCluster cluster;
@@ -553,7 +561,7 @@
   ps_submit_batch (&cluster, 0, "b1", 2);
   PS_WAIT_UNTIL (&cluster, (owner = ps_find_batch_owner (&cluster)) < 2);
   PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b1") == 2);
-  /* Lets the instances learn of each other. */
+  /* Gives the instances time to discover each other. */
   LbTime end = lb_clock_monotonic () + LB_SEC;
   PS_WAIT_UNTIL (&cluster, lb_clock_monotonic () >= end);
   cluster.instances[1 - owner].store_relay.fault = (PtRelayFault){ .delay = 150 * LB_MSEC };
@@ -566,9 +574,9 @@
   ps_cluster_clear (&cluster);
 }
 
-/* The store writes the row of a batch, its response is lost, and it rejects all calls after that.
- * Reported as not run, the trainer would submit the step again, and the stored batch would run
- * beside it once the store is back. */
+/* The store writes the row of a batch, loses the response, and then rejects all calls. The instance
+ * must answer with 502. If it reported the batch as not run, the trainer would submit the step
+ * again, and both batches would run once the store is back. */
 Test (shared, batch_with_a_possibly_stored_row_is_not_reported_as_not_run)
 {
   PsCluster cluster;
@@ -586,8 +594,8 @@
   ps_cluster_clear (&cluster);
 }
 
-/* During a store outage no batch can be accepted: the trainer gets a rejection with a retry time at
- * once, and no item runs. Calls of plain services must be served. */
+/* During a store outage batches must be rejected at once with 503 and a retry time. Calls to plain
+ * services must be served. */
 Test (shared, store_outage_rejects_batches_and_serves_calls)
 {
   PsCluster cluster;
@@ -607,8 +615,8 @@
   ps_cluster_clear (&cluster);
 }
 
-/* A delayed response of the store contains an older desired state. Routes that were added since
- * must stay. */
+/* The store returns an older desired state, as in a delayed response, and then an invalid one. The
+ * instance must ignore both and keep the newer routes. */
 Test (shared, older_desired_state_is_ignored)
 {
   static const char added_route[]
@@ -632,14 +640,16 @@
   for (int i = 0; i < 20; i++)
     {
       ps_call (&cluster, 0, "GET", "/new/x", "c3", "");
-      cr_assert_eq (cluster.response_status, 200, "an invalid desired state is ignored");
+      cr_assert_eq (cluster.response_status, 200,
+                    "expected status 200 after an invalid desired state");
       usleep (50000);
     }
   ps_cluster_clear (&cluster);
 }
 
-/* A stopped instance must report that it is not ready, hand its batch over with the results so far,
- * serve callers that still use its address, and exit with 0. */
+/* An instance gets SIGTERM while it runs a batch. It must report that it is not ready, hand the
+ * batch and the results that it has to the other instance, serve callers that still use its
+ * address, and exit with 0. */
 Test (shared, stopped_instance_hands_its_batch_over_and_serves_calls)
 {
   PsCluster cluster;
@@ -663,8 +673,9 @@
   ps_cluster_clear (&cluster);
 }
 
-/* A reload interrupts no call and no batch, and an unreadable file changes nothing. */
-Test (shared, reload_interrupts_nothing)
+/* SIGHUP reloads the settings file. The reload must not interrupt calls or batches, and an invalid
+ * file must be ignored. */
+Test (shared, settings_reload_interrupts_no_call_or_batch)
 {
   PsCluster cluster;
   char path[128];
@@ -685,8 +696,8 @@
   ps_cluster_clear (&cluster);
 }
 
-/* The trainer ends a step while its items run: the engines must stop working on them within about a
- * second. */
+/* The trainer deletes a batch while its items run. The engines must stop working on them within
+ * about a second, and no item may start again. */
 Test (shared, ended_batch_is_cancelled_at_the_engines)
 {
   PsCluster cluster;
@@ -712,7 +723,8 @@
   ps_cluster_clear (&cluster);
 }
 
-/* An engine announces that it leaves: it must get no new work, and running work must complete. */
+/* An engine announces that it drains. Two seconds later it must get no items of a new batch. Items
+ * that it already runs must complete. */
 Test (shared, leaving_engine_gets_no_new_work)
 {
   PsCluster cluster;
@@ -733,8 +745,8 @@
   ps_cluster_clear (&cluster);
 }
 
-/* The row of a removed machine stays in the store. An instance that started afterwards saw that row
- * for the first time and listed the machine to callers until three renewals were missed. */
+/* The row of a removed instance stays in the store. A newly started instance must not list the
+ * removed instance to callers; otherwise it does so until three renewals are missed. */
 Test (shared, started_instance_does_not_list_a_removed_machine)
 {
   static const char gone_row[]
@@ -751,7 +763,8 @@
     {
       ps_call (&cluster, instance, "GET", "/-/resolve?name=h.example", "", "");
       cr_assert (strstr (cluster.response_body, cluster.instances[instance].address));
-      cr_assert_not (strstr (cluster.response_body, "127.0.0.9:9"), "a removed machine is listed");
+      cr_assert_not (strstr (cluster.response_body, "127.0.0.9:9"),
+                     "the address of a removed instance is listed");
     }
   ps_cluster_clear (&cluster);
 }
--- a/tests/process/test-steps.c
+++ b/tests/process/test-steps.c
@@ -7,23 +7,23 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define OWNER_ROW "/table/row?key=step%2Freader-trainer%2F1"
-#define N_SAMPLES 24
+#define STEP_OWNER_ROW_PATH "/table/row?key=step%2Freader-trainer%2F1"
+#define N_SAMPLES 24 /* of a step: 6 groups of 4 */
 
 static const char *const engine_options[]
     = { "--tokens-per-second", "100", "--vary-length", "--version", "40", NULL };
 
-/* Three instances, three engines and a trainer whose step takes several seconds. */
+/* Three instances, three engines and a trainer. A step of the trainer takes several seconds. */
 typedef struct
 {
   PtCluster cluster;
   PtProcess trainer;
-} Scene;
+} Fixture;
 
 static void
-start_cluster (Scene *scene)
+start_cluster (Fixture *fixture)
 {
-  PtCluster *cluster = &scene->cluster;
+  PtCluster *cluster = &fixture->cluster;
 
   pt_cluster_init (cluster);
   pt_start_platform (cluster);
@@ -39,40 +39,40 @@
 }
 
 static void
-start_trainer (Scene *scene, const char *silence_ms)
+start_trainer (Fixture *fixture, const char *silence_ms)
 {
   const char *const options[]
       = { "--groups",  "6", "--samples", "4", "--max-tokens", "250",      "--version",     "41",
           "--max-lag", "2", "--chunk",   "4", "--silence-ms", silence_ms, "--vary-length", NULL };
 
-  pt_start_trainer (&scene->cluster, &scene->trainer, options);
+  pt_start_trainer (&fixture->cluster, &fixture->trainer, options);
 }
 
 static void
-scene_init (Scene *scene, const char *silence_ms)
+fixture_init (Fixture *fixture, const char *silence_ms)
 {
-  start_cluster (scene);
-  start_trainer (scene, silence_ms);
+  start_cluster (fixture);
+  start_trainer (fixture, silence_ms);
 }
 
 static void
-scene_init_without_store (Scene *scene, const char *silence_ms)
+fixture_init_during_store_outage (Fixture *fixture, const char *silence_ms)
 {
-  start_cluster (scene);
-  pt_inject_fault (&scene->cluster, &scene->cluster.platform, "{\"mode\": \"down\"}");
-  start_trainer (scene, silence_ms);
+  start_cluster (fixture);
+  pt_inject_fault (&fixture->cluster, &fixture->cluster.platform, "{\"mode\": \"down\"}");
+  start_trainer (fixture, silence_ms);
 }
 
 static void
-scene_clear (Scene *scene)
+fixture_clear (Fixture *fixture)
 {
-  pt_process_clear (&scene->trainer);
-  pt_drain_instances (&scene->cluster);
-  pt_cluster_clear (&scene->cluster);
+  pt_process_clear (&fixture->trainer);
+  pt_drain_instances (&fixture->cluster);
+  pt_cluster_clear (&fixture->cluster);
 }
 
 static int64_t
-count_finished (PtCluster *cluster)
+count_finished_samples (PtCluster *cluster)
 {
   int64_t n = 0;
 
@@ -82,18 +82,18 @@
 }
 
 static bool
-is_quarter_finished (PtCluster *cluster, void *user)
+is_quarter_of_samples_finished (PtCluster *cluster, void *user)
 {
   (void)user;
-  return count_finished (cluster) >= N_SAMPLES / 4;
+  return count_finished_samples (cluster) >= N_SAMPLES / 4;
 }
 
-/* Returns the owner of step 1 according to the platform's table. */
+/* Returns the instance that owns step 1 according to its row in the platform's table. */
 static PtProgram *
-find_owner (PtCluster *cluster)
+find_step_owner (PtCluster *cluster)
 {
-  struct json_object *row
-      = si_client_call_json (&cluster->client, cluster->platform.address, OWNER_ROW, NULL);
+  struct json_object *row = si_client_call_json (&cluster->client, cluster->platform.address,
+                                                 STEP_OWNER_ROW_PATH, NULL);
   cr_assert_not_null (row, "step 1 has no owner");
   struct json_object *owner = json_tokener_parse (si_json_text (row, "value", ""));
   const char *name = si_json_text (owner, "instance", "");
@@ -108,98 +108,102 @@
   return owner_instance;
 }
 
-/* The trainer itself checks that it gets every sample once, labelled and within its staleness
- * bound; it exits with 0 only then. */
+/* Asserts that the trainer exits with 0: it then got each sample once, labelled with its weight
+ * version and within the staleness bound. */
 static void
-check_trainer (Scene *scene)
+check_trainer_got_all_samples (Fixture *fixture)
 {
-  struct json_object *summary = pt_wait_for_summary (&scene->cluster, &scene->trainer);
+  struct json_object *summary = pt_wait_for_summary (&fixture->cluster, &fixture->trainer);
 
-  cr_assert (pt_process_has_exited (&scene->trainer, 0), "%s (logs in %s)",
-             json_object_to_json_string (summary), scene->cluster.folder);
+  cr_assert (pt_process_has_exited (&fixture->trainer, 0), "trainer failed: %s (logs in %s)",
+             json_object_to_json_string (summary), fixture->cluster.folder);
   cr_assert_eq (si_json_int (summary, "samples", 0), N_SAMPLES);
   json_object_put (summary);
 }
 
-/* The owner of a step is killed after the trainer got some of the samples; it pulls the rest from
- * another instance. Lost samples leave the step incomplete and duplicates skew the training: each
- * sample must be delivered exactly once. */
+/* The owner of a step is killed when a quarter of the samples is finished, and the trainer pulls
+ * the rest from another instance. Each sample must be delivered exactly once: a lost sample leaves
+ * the step incomplete, and a duplicate skews the training. */
 Test (steps, killed_owner_loses_and_duplicates_no_sample)
 {
-  Scene scene;
+  Fixture fixture;
 
-  scene_init (&scene, "3000");
-  pt_wait_until (&scene.cluster, "a quarter of the samples is finished", is_quarter_finished, NULL);
-  PtProgram *owner = find_owner (&scene.cluster);
+  fixture_init (&fixture, "3000");
+  pt_wait_until (&fixture.cluster, "a quarter of the samples is finished",
+                 is_quarter_of_samples_finished, NULL);
+  PtProgram *owner = find_step_owner (&fixture.cluster);
   pt_process_signal (&owner->process, SIGKILL);
-  check_trainer (&scene);
-  scene_clear (&scene);
+  check_trainer_got_all_samples (&fixture);
+  fixture_clear (&fixture);
 }
 
 static bool
-has_other_owner (PtCluster *cluster, void *user)
+is_step_taken_over (PtCluster *cluster, void *user)
 {
-  return find_owner (cluster) != user;
+  return find_step_owner (cluster) != user;
 }
 
-/* The owner of a step is suspended until another instance takes the step over, and then continues
- * with its old session, which still has samples to deliver and rows to write. The trainer must not
- * get a sample from both. */
+/* The owner of a step is suspended until another instance takes the step over. Then it continues
+ * with its old session, which has samples to deliver and rows to write. The trainer must get no
+ * sample twice. */
 Test (steps, suspended_owner_that_continues_duplicates_no_sample)
 {
-  Scene scene;
+  Fixture fixture;
 
-  scene_init (&scene, "1200");
-  pt_wait_until (&scene.cluster, "a quarter of the samples is finished", is_quarter_finished, NULL);
-  PtProgram *owner = find_owner (&scene.cluster);
+  fixture_init (&fixture, "1200");
+  pt_wait_until (&fixture.cluster, "a quarter of the samples is finished",
+                 is_quarter_of_samples_finished, NULL);
+  PtProgram *owner = find_step_owner (&fixture.cluster);
   pt_process_signal (&owner->process, SIGSTOP);
-  pt_wait_until (&scene.cluster, "another instance takes the step over", has_other_owner, owner);
+  pt_wait_until (&fixture.cluster, "another instance takes the step over", is_step_taken_over,
+                 owner);
   pt_process_signal (&owner->process, SIGCONT);
-  check_trainer (&scene);
-  scene_clear (&scene);
+  check_trainer_got_all_samples (&fixture);
+  fixture_clear (&fixture);
 }
 
-/* The store fails in the middle of a step and stays unavailable. A trainer that sends a cursor
- * needs no row for each chunk, so the step must complete, and the next step must work once the
- * store is back. */
+/* The store fails in the middle of a step. The trainer sends a cursor with each pull, so the
+ * instance needs no store row for each chunk, and the step must complete. The next step must work
+ * once the store is back. */
 Test (steps, step_completes_during_store_outage)
 {
-  Scene scene;
+  Fixture fixture;
   static const char *const next_step_options[] = { "--step",        "2", "--groups",  "6",
                                                    "--samples",     "4", "--version", "41",
                                                    "--vary-length", NULL };
 
-  scene_init (&scene, "3000");
-  pt_wait_until (&scene.cluster, "a quarter of the samples is finished", is_quarter_finished, NULL);
-  pt_inject_fault (&scene.cluster, &scene.cluster.platform, "{\"mode\": \"down\"}");
-  check_trainer (&scene);
-  pt_process_clear (&scene.trainer);
-  pt_inject_fault (&scene.cluster, &scene.cluster.platform, "{\"mode\": \"none\"}");
-  pt_start_trainer (&scene.cluster, &scene.trainer, next_step_options);
-  check_trainer (&scene);
-  scene_clear (&scene);
+  fixture_init (&fixture, "3000");
+  pt_wait_until (&fixture.cluster, "a quarter of the samples is finished",
+                 is_quarter_of_samples_finished, NULL);
+  pt_inject_fault (&fixture.cluster, &fixture.cluster.platform, "{\"mode\": \"down\"}");
+  check_trainer_got_all_samples (&fixture);
+  pt_process_clear (&fixture.trainer);
+  pt_inject_fault (&fixture.cluster, &fixture.cluster.platform, "{\"mode\": \"none\"}");
+  pt_start_trainer (&fixture.cluster, &fixture.trainer, next_step_options);
+  check_trainer_got_all_samples (&fixture);
+  fixture_clear (&fixture);
 }
 
 static bool
-is_half_finished (PtCluster *cluster, void *user)
+is_half_of_samples_finished (PtCluster *cluster, void *user)
 {
   (void)user;
-  return count_finished (cluster) >= N_SAMPLES / 2;
+  return count_finished_samples (cluster) >= N_SAMPLES / 2;
 }
 
-/* A step is opened during a store outage, so it is accepted as not durable, and its owner, the only
- * instance that knows it, is killed after the trainer got some of the samples. The trainer gets an
- * error, opens the step again with the same content, continues with its cursor, and must still get
- * each sample once. */
+/* A step opened during a store outage is accepted as not durable, and only its owner knows it. The
+ * owner is killed when half of the samples are finished. The trainer gets an error, opens the same
+ * step again and continues with its cursor. It must get each sample once. */
 Test (steps, non_durable_step_survives_its_killed_owner)
 {
-  Scene scene;
+  Fixture fixture;
 
-  scene_init_without_store (&scene, "3000");
-  pt_wait_until (&scene.cluster, "half of the samples are finished", is_half_finished, NULL);
-  pt_process_signal (&scene.cluster.instances[0].process, SIGKILL);
-  si_client_pause (&scene.cluster.client, LB_SEC);
-  pt_inject_fault (&scene.cluster, &scene.cluster.platform, "{\"mode\": \"none\"}");
-  check_trainer (&scene);
-  scene_clear (&scene);
+  fixture_init_during_store_outage (&fixture, "3000");
+  pt_wait_until (&fixture.cluster, "half of the samples are finished", is_half_of_samples_finished,
+                 NULL);
+  pt_process_signal (&fixture.cluster.instances[0].process, SIGKILL);
+  si_client_pause (&fixture.cluster.client, LB_SEC);
+  pt_inject_fault (&fixture.cluster, &fixture.cluster.platform, "{\"mode\": \"none\"}");
+  check_trainer_got_all_samples (&fixture);
+  fixture_clear (&fixture);
 }
