--- a/tests/process/test-shared.c
+++ b/tests/process/test-shared.c
@@ -280,8 +280,8 @@
   ps_cluster_clear (&cluster);
 }
 
-/* A service has its own path /metrics. Calls to that path must reach the service. The instance
- * serves its own metrics on a separate address. */
+/* A service has its own path /metrics. Calls to that path must reach the service: if the instance
+ * handles the path before its routes, callers get the metrics of the instance instead. */
 Test (shared, metrics_are_served_on_their_own_address)
 {
   PsCluster cluster;
