--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -433,7 +433,7 @@
 }
 
 void
-ln_catalog_drain (LnCatalog *catalog)
+ln_catalog_stop_publishing (LnCatalog *catalog)
 {
   catalog->draining = true;
 }
@@ -446,7 +446,7 @@
   bool is_new = rank >= 0 && catalog->rank < 0;
 
   catalog->rank = rank;
-  lc_catalog_set_rank (catalog->catalog, rank);
+  lc_catalog_set_takeover_rank (catalog->catalog, rank);
   if (is_new && catalog->n_members > 0)
     update_instance_listing (catalog);
 }
