--- a/tests/process/test-shared.c
+++ b/tests/process/test-shared.c
@@ -713,8 +713,9 @@
   PS_WAIT_UNTIL (&cluster, ps_count_engine_runs (&cluster) >= 6);
   ps_call (&cluster, 0, "DELETE", "/-/lots/b1", "", "");
   cr_assert_eq (cluster.response_status, 200);
-  PS_WAIT_UNTIL (&cluster, cluster.engines[0].cancelled + cluster.engines[1].cancelled
-                                   + cluster.engines[2].cancelled
+  PS_WAIT_UNTIL (&cluster, cluster.engines[0].cancelled_streams
+                                   + cluster.engines[1].cancelled_streams
+                                   + cluster.engines[2].cancelled_streams
                                == 6);
   size_t runs = ps_count_engine_runs (&cluster);
   for (int i = 0; i < 100; i++)
