--- a/packages/core/bench/bench-decision.c
+++ b/packages/core/bench/bench-decision.c
@@ -11,10 +11,10 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define N_BLOCKS 8
+#define N_PREFIX_HASHES 8
 
 static void
-report_all_loads (LcEndpoints *endpoints, gsl_rng *rng, LbTime now)
+report_random_loads (LcEndpoints *endpoints, gsl_rng *rng, LbTime now)
 {
   for (size_t i = 0; i < lc_endpoints_count (endpoints); i++)
     {
@@ -29,27 +29,28 @@
     }
 }
 
-/* Prints the microseconds of a decision with 8 prefix hashes, and the bytes per endpoint. */
+/* Prints the microseconds per routing decision for requests with 8 prefix hashes, and the memory of
+ * the endpoint table in bytes per endpoint. */
 static void
 measure_decision (const char *policy, int n_endpoints)
 {
   const int rounds = 20000;
   gsl_rng *rng = gsl_rng_alloc (gsl_rng_taus2);
-  LcResourceSet set = bench_fleet_make (n_endpoints);
+  LcResourceSet set = bench_make_engine_set (n_endpoints);
   size_t used_bytes = mallinfo2 ().uordblks;
   LcEndpoints *endpoints = lc_endpoints_new ();
 
   lc_endpoints_configure (endpoints, &set, 0);
   used_bytes = mallinfo2 ().uordblks - used_bytes;
-  report_all_loads (endpoints, rng, LB_SEC);
+  report_random_loads (endpoints, rng, LB_SEC);
 
   LcRouter *router = lc_router_new (policy, 1);
-  uint64_t hashes[N_BLOCKS];
+  uint64_t hashes[N_PREFIX_HASHES];
   LcRouteQuery query = { .kind = LC_KIND_LIVE,
                          .pool = "reader",
                          .data_centre = "hall-a",
                          .prefix_hashes = hashes,
-                         .n_prefix_hashes = N_BLOCKS,
+                         .n_prefix_hashes = N_PREFIX_HASHES,
                          .prompt_tokens = 600,
                          .expected_tokens = 100 };
   LbTime duration = 0;
@@ -58,17 +59,17 @@
     {
       LbTime now = 2 * LB_SEC + i * LB_MSEC;
 
-      for (int j = 0; j < N_BLOCKS; j++)
-        hashes[j] = bench_hash ((uint64_t)(i % 100), (uint64_t)j);
+      for (int j = 0; j < N_PREFIX_HASHES; j++)
+        hashes[j] = bench_hash_pair ((uint64_t)(i % 100), (uint64_t)j);
 
       LbTime before = lb_clock_monotonic ();
       LcRouteDecision decision = lc_router_choose (router, endpoints, &query, now);
 
       duration += lb_clock_monotonic () - before;
-      lc_endpoint_request_sent (decision.endpoint, LC_KIND_LIVE, hashes[N_BLOCKS - 1], now);
+      lc_endpoint_request_sent (decision.endpoint, LC_KIND_LIVE, hashes[N_PREFIX_HASHES - 1], now);
       lc_endpoint_request_ended (decision.endpoint, LC_KIND_LIVE, true, 100, LB_SEC, now);
       if (i % 100 == 0)
-        report_all_loads (endpoints, rng, now);
+        report_random_loads (endpoints, rng, now);
     }
   printf ("%-18s %9d %9.2f %9.0f\n", policy, n_endpoints, (double)duration / rounds,
           (double)used_bytes / n_endpoints);
@@ -86,33 +87,34 @@
   printf ("%-18s %9d %9.3f\n", name, n_endpoints, duration / rounds);
 }
 
-/* Prints the microseconds of each kind of update of the table. */
+/* Prints the microseconds per load report, per cache event and per request sent and ended. */
 static void
 measure_updates (int n_endpoints)
 {
   const int rounds = 200000;
   gsl_rng *rng = gsl_rng_alloc (gsl_rng_taus2);
-  LcResourceSet set = bench_fleet_make (n_endpoints);
+  LcResourceSet set = bench_make_engine_set (n_endpoints);
   LcEndpoints *endpoints = lc_endpoints_new ();
   LbTime started_at = 0;
 
   lc_endpoints_configure (endpoints, &set, 0);
   started_at = lb_clock_monotonic ();
   for (int i = 0; i < rounds / n_endpoints; i++)
-    report_all_loads (endpoints, rng, i);
+    report_random_loads (endpoints, rng, i);
   print_update_cost ("report", n_endpoints, started_at, rounds / n_endpoints * n_endpoints);
   started_at = lb_clock_monotonic ();
   for (int i = 0; i < rounds; i++)
     lc_endpoints_apply_cache_event (endpoints, set.endpoints[i % n_endpoints].name,
                                     (uint64_t)i / (uint64_t)n_endpoints + 1, true,
-                                    bench_hash ((uint64_t)(i % 100000), 0), i);
+                                    bench_hash_pair ((uint64_t)(i % 100000), 0), i);
   print_update_cost ("cache event", n_endpoints, started_at, rounds);
   started_at = lb_clock_monotonic ();
   for (int i = 0; i < rounds; i++)
     {
       LcEndpoint *endpoint = lc_endpoints_at (endpoints, (size_t)(i % n_endpoints));
 
-      lc_endpoint_request_sent (endpoint, LC_KIND_LIVE, bench_hash ((uint64_t)(i % 100000), 0), i);
+      lc_endpoint_request_sent (endpoint, LC_KIND_LIVE, bench_hash_pair ((uint64_t)(i % 100000), 0),
+                                i);
       lc_endpoint_request_ended (endpoint, LC_KIND_LIVE, true, 100, LB_SEC, i);
     }
   print_update_cost ("sent and ended", n_endpoints, started_at, rounds);
--- a/packages/core/bench/bench-dispatch.c
+++ b/packages/core/bench/bench-dispatch.c
@@ -1,6 +1,6 @@
-/* Measures processor time in microseconds and memory in bytes of admission, queueing, attempt,
- * answer, refusal and ticket of a request, for several numbers of endpoints and waiting requests.
- * Each time is the median of five runs. */
+/* Measures the time in microseconds and the memory in bytes that a request costs: its admission,
+ * queueing, attempt, answer, refusal and ticket. Runs with several numbers of endpoints and of
+ * waiting requests. Each time is the median of five runs. */
 
 #include "lc-dispatch.h"
 #include "lc-ticket.h"
@@ -13,7 +13,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define N_RUNS 5
+#define N_RUNS_PER_COST 5
 #define N_REQUESTS 20000
 #define N_CALLERS 100
 
@@ -28,6 +28,7 @@
   LcRequestId last_id;
 } Bench;
 
+/* Microseconds per request, and bytes per waiting request. */
 typedef struct
 {
   double submit;
@@ -38,7 +39,7 @@
 } QueueCost;
 
 static void
-bench_init (Bench *bench, size_t n_endpoints, int64_t concurrency, int64_t queue_limit)
+dispatch_bench_init (Bench *bench, size_t n_endpoints, int64_t concurrency, int64_t queue_limit)
 {
   LcDispatchSettings settings = {
     .max_report_age = LB_TIME_NEVER, .queue_limit = queue_limit, .retry_budget = 0.1, .seed = 1
@@ -74,7 +75,7 @@
 }
 
 static void
-drop_actions (Bench *bench)
+free_pending_actions (Bench *bench)
 {
   LbLink *link = NULL;
 
@@ -82,9 +83,9 @@
     lc_action_free (LB_CONTAINER (link, LcAction, link));
 }
 
-/* Fails the run if the measured operation did not take place. */
+/* Exits with status 1 if the condition is false: the measured operation did not take place. */
 static void
-require (bool condition, const char *failure)
+exit_unless (bool condition, const char *failure)
 {
   if (condition)
     return;
@@ -93,15 +94,15 @@
 }
 
 static void
-bench_clear (Bench *bench)
+dispatch_bench_clear (Bench *bench)
 {
-  drop_actions (bench);
+  free_pending_actions (bench);
   lc_dispatch_free (bench->dispatch);
   free (bench->members);
 }
 
 static bool
-submit (Bench *bench, LbTime deadline)
+submit_request (Bench *bench, LbTime deadline)
 {
   LcRequestSpec spec = { .id = ++bench->last_id,
                          .kind = LC_KIND_LIVE,
@@ -121,7 +122,7 @@
 }
 
 static void
-answer (Bench *bench, LcRequestId id)
+answer_request (Bench *bench, LcRequestId id)
 {
   LcPiece piece = { .tokens = 100, .version = 1, .last = true };
 
@@ -137,7 +138,7 @@
 }
 
 static double
-measure_expiry (Bench *bench)
+measure_queue_expiry (Bench *bench)
 {
   size_t n_waiting = lc_dispatch_count_waiting (bench->dispatch, LC_KIND_LIVE);
   LbTime started_at = lb_clock_monotonic ();
@@ -147,39 +148,40 @@
   return micros_per_item (started_at, n_waiting);
 }
 
-/* Measures calls that are sent at once and answered in one piece. */
+/* Returns the microseconds per call that an endpoint receives without queueing and answers in one
+ * piece. */
 static double
-measure_call (size_t n_endpoints)
+measure_answered_call (size_t n_endpoints)
 {
   Bench bench;
 
-  bench_init (&bench, n_endpoints, 64, 4096);
+  dispatch_bench_init (&bench, n_endpoints, 64, 4096);
 
   LbTime started_at = lb_clock_monotonic ();
 
   for (int i = 0; i < N_REQUESTS; i++)
     {
       bench.now += LB_MSEC;
-      submit (&bench, LB_TIME_NEVER);
-      answer (&bench, bench.last_id);
-      drop_actions (&bench);
+      submit_request (&bench, LB_TIME_NEVER);
+      answer_request (&bench, bench.last_id);
+      free_pending_actions (&bench);
     }
 
   double cost = micros_per_item (started_at, N_REQUESTS);
 
-  require (lc_dispatch_count_in_progress (bench.dispatch) == 0, "calls were not answered");
-  bench_clear (&bench);
+  exit_unless (lc_dispatch_count_in_progress (bench.dispatch) == 0, "calls were not answered");
+  dispatch_bench_clear (&bench);
   return cost;
 }
 
-/* Measures one piece of a stream. */
+/* Returns the microseconds per received piece of a streamed answer. */
 static double
-measure_piece (void)
+measure_stream_piece (void)
 {
   Bench bench;
 
-  bench_init (&bench, 10, 64, 4096);
-  submit (&bench, LB_TIME_NEVER);
+  dispatch_bench_init (&bench, 10, 64, 4096);
+  submit_request (&bench, LB_TIME_NEVER);
 
   LbTime started_at = lb_clock_monotonic ();
 
@@ -193,54 +195,55 @@
 
   double cost = micros_per_item (started_at, N_REQUESTS);
 
-  bench_clear (&bench);
+  dispatch_bench_clear (&bench);
   return cost;
 }
 
 static QueueCost
-measure_queue (size_t n_endpoints, size_t n_waiting)
+measure_queue_costs (size_t n_endpoints, size_t n_waiting)
 {
   Bench bench;
   QueueCost cost;
 
-  bench_init (&bench, n_endpoints, 1, (int64_t)n_waiting);
+  dispatch_bench_init (&bench, n_endpoints, 1, (int64_t)n_waiting);
   for (size_t i = 0; i < n_endpoints; i++)
-    submit (&bench, LB_TIME_NEVER);
-  drop_actions (&bench);
+    submit_request (&bench, LB_TIME_NEVER);
+  free_pending_actions (&bench);
 
   size_t before = mallinfo2 ().uordblks;
   LbTime started_at = lb_clock_monotonic ();
   LcRequestId running_id = 1;
 
   for (size_t i = 0; i < n_waiting; i++)
-    submit (&bench, bench.now + 100 * LB_SEC);
+    submit_request (&bench, bench.now + 100 * LB_SEC);
   cost.submit = micros_per_item (started_at, n_waiting);
   cost.bytes = (double)(mallinfo2 ().uordblks - before) / (double)n_waiting;
   started_at = lb_clock_monotonic ();
   for (size_t i = 0; i < n_waiting; i++)
-    submit (&bench, LB_TIME_NEVER);
+    submit_request (&bench, LB_TIME_NEVER);
   cost.refuse = micros_per_item (started_at, n_waiting);
   started_at = lb_clock_monotonic ();
   for (size_t i = 0; i < n_waiting / 2; i++)
     {
-      answer (&bench, running_id);
+      answer_request (&bench, running_id);
       LB_LIST_FOREACH (&bench.actions, LcAction, link, action)
       {
         if (action->type == LC_ACTION_SEND)
           running_id = action->request;
       }
-      drop_actions (&bench);
+      free_pending_actions (&bench);
     }
   cost.dequeue = micros_per_item (started_at, n_waiting / 2);
-  require (lc_dispatch_count_waiting (bench.dispatch, LC_KIND_LIVE) == n_waiting - n_waiting / 2,
-           "calls were not dequeued");
-  cost.expire = measure_expiry (&bench);
-  bench_clear (&bench);
+  exit_unless (lc_dispatch_count_waiting (bench.dispatch, LC_KIND_LIVE)
+                   == n_waiting - n_waiting / 2,
+               "calls were not dequeued");
+  cost.expire = measure_queue_expiry (&bench);
+  dispatch_bench_clear (&bench);
   return cost;
 }
 
 static double
-measure_ticket (double *bytes)
+measure_ticket_cost (double *bytes)
 {
   LcTicketLimits limits = { .lifetime = 600 * LB_SEC,
                             .max_tickets = N_REQUESTS,
@@ -267,7 +270,7 @@
 }
 
 static int
-compare (const void *a, const void *b)
+compare_doubles (const void *a, const void *b)
 {
   double difference = *(const double *)a - *(const double *)b;
 
@@ -275,34 +278,34 @@
 }
 
 static double
-median (double *values)
+median_of_runs (double *values)
 {
-  qsort (values, N_RUNS, sizeof *values, compare);
-  return values[N_RUNS / 2];
+  qsort (values, N_RUNS_PER_COST, sizeof *values, compare_doubles);
+  return values[N_RUNS_PER_COST / 2];
 }
 
 static void
-print_call (size_t n_endpoints)
+print_call_cost (size_t n_endpoints)
 {
-  double runs[N_RUNS];
+  double runs[N_RUNS_PER_COST];
 
-  for (int i = 0; i < N_RUNS; i++)
-    runs[i] = measure_call (n_endpoints);
-  printf ("complete call, %4zu endpoints        %8.2f us\n", n_endpoints, median (runs));
+  for (int i = 0; i < N_RUNS_PER_COST; i++)
+    runs[i] = measure_answered_call (n_endpoints);
+  printf ("complete call, %4zu endpoints        %8.2f us\n", n_endpoints, median_of_runs (runs));
 }
 
 static void
-print_queue (size_t n_endpoints, size_t n_waiting)
+print_queue_costs (size_t n_endpoints, size_t n_waiting)
 {
-  double submits[N_RUNS];
-  double dequeues[N_RUNS];
-  double expires[N_RUNS];
-  double refuses[N_RUNS];
+  double submits[N_RUNS_PER_COST];
+  double dequeues[N_RUNS_PER_COST];
+  double expires[N_RUNS_PER_COST];
+  double refuses[N_RUNS_PER_COST];
   double bytes = 0;
 
-  for (int i = 0; i < N_RUNS; i++)
+  for (int i = 0; i < N_RUNS_PER_COST; i++)
     {
-      QueueCost cost = measure_queue (n_endpoints, n_waiting);
+      QueueCost cost = measure_queue_costs (n_endpoints, n_waiting);
 
       submits[i] = cost.submit;
       dequeues[i] = cost.dequeue;
@@ -312,8 +315,8 @@
     }
   printf ("%5zu waiting, %3zu endpoints: submit %6.2f us, refuse %6.2f us, dequeue %6.2f us, "
           "expire %6.2f us, %4.0f bytes each\n",
-          n_waiting, n_endpoints, median (submits), median (refuses), median (dequeues),
-          median (expires), bytes);
+          n_waiting, n_endpoints, median_of_runs (submits), median_of_runs (refuses),
+          median_of_runs (dequeues), median_of_runs (expires), bytes);
 }
 
 int
@@ -321,20 +324,20 @@
 {
   static const size_t endpoints[] = { 10, 100, 600 };
   static const size_t waiting[] = { 100, 1000, 4096, 16384 };
-  double runs[N_RUNS];
+  double runs[N_RUNS_PER_COST];
   double bytes = 0;
 
   for (size_t i = 0; i < sizeof endpoints / sizeof endpoints[0]; i++)
-    print_call (endpoints[i]);
-  for (int i = 0; i < N_RUNS; i++)
-    runs[i] = measure_piece ();
-  printf ("piece of a stream                    %8.2f us\n", median (runs));
+    print_call_cost (endpoints[i]);
+  for (int i = 0; i < N_RUNS_PER_COST; i++)
+    runs[i] = measure_stream_piece ();
+  printf ("piece of a stream                    %8.2f us\n", median_of_runs (runs));
   for (size_t i = 0; i < sizeof waiting / sizeof waiting[0]; i++)
-    print_queue (9, waiting[i]);
-  print_queue (600, 4096);
-  for (int i = 0; i < N_RUNS; i++)
-    runs[i] = measure_ticket (&bytes);
+    print_queue_costs (9, waiting[i]);
+  print_queue_costs (600, 4096);
+  for (int i = 0; i < N_RUNS_PER_COST; i++)
+    runs[i] = measure_ticket_cost (&bytes);
   printf ("ticket: issue, redeem and finish     %8.2f us, %.0f bytes without the answer\n",
-          median (runs), bytes);
+          median_of_runs (runs), bytes);
   return 0;
 }
--- a/packages/core/bench/bench-engine.c
+++ b/packages/core/bench/bench-engine.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MIN_TOKEN_SECONDS 0.02
+#define MIN_SECONDS_PER_TOKEN 0.02
 #define PREFILL_TOKENS_PER_SECOND 8000.0
 
 void
@@ -39,7 +39,7 @@
 }
 
 void
-bench_engine_take (BenchEngine *engine, BenchRequest *request)
+bench_engine_enqueue_request (BenchEngine *engine, BenchRequest *request)
 {
   lb_list_append (&engine->waiting, &request->link);
 }
@@ -48,15 +48,15 @@
 add_cache_event (BenchEngine *engine, uint64_t prefix, bool stored)
 {
   engine->sequence++;
-  if (engine->n_events < ENGINE_MAX_EVENTS)
+  if (engine->n_events < ENGINE_MAX_CACHE_EVENTS)
     engine->events[engine->n_events++]
         = (BenchCacheEvent){ .sequence = engine->sequence, .prefix = prefix, .stored = stored };
 }
 
-/* Moves the prefix to the front of the cache, evicting the oldest one if the cache is full. Returns
- * true if the prefix was cached. */
+/* Moves the prefix to the front of the LRU cache. If the prefix is new and the cache is full,
+ * evicts the least recently used prefix. Returns true if the prefix was cached before the call. */
 static bool
-use_prefix (BenchEngine *engine, uint64_t prefix)
+move_prefix_to_cache_front (BenchEngine *engine, uint64_t prefix)
 {
   size_t position = 0;
 
@@ -65,9 +65,9 @@
 
   bool is_cached = position < engine->n_cached;
 
-  if (!is_cached && engine->n_cached == ENGINE_CACHE_PREFIXES)
+  if (!is_cached && engine->n_cached == ENGINE_MAX_CACHED_PREFIXES)
     {
-      position = ENGINE_CACHE_PREFIXES - 1;
+      position = ENGINE_MAX_CACHED_PREFIXES - 1;
       add_cache_event (engine, engine->cache[position], false);
     }
   else if (!is_cached)
@@ -80,12 +80,12 @@
 }
 
 static void
-start_waiting (BenchEngine *engine)
+start_waiting_requests (BenchEngine *engine)
 {
-  while (engine->running.length < BENCH_CONCURRENCY && !lb_list_is_empty (&engine->waiting))
+  while (engine->running.length < BENCH_ENGINE_CONCURRENCY && !lb_list_is_empty (&engine->waiting))
     {
       BenchRequest *request = LB_CONTAINER (lb_list_pop (&engine->waiting), BenchRequest, link);
-      bool is_cached = use_prefix (engine, request->prefix);
+      bool is_cached = move_prefix_to_cache_front (engine, request->prefix);
       double cached = is_cached ? request->prompt_tokens * request->prefix_share : 0;
 
       request->prefill_left = request->prompt_tokens - cached;
@@ -96,38 +96,38 @@
 }
 
 static double
-token_seconds (const BenchEngine *engine)
+seconds_per_token (const BenchEngine *engine)
 {
-  double occupied = (double)engine->running.length / BENCH_CONCURRENCY;
+  double occupied = (double)engine->running.length / BENCH_ENGINE_CONCURRENCY;
 
-  return MIN_TOKEN_SECONDS * (1 + occupied) / engine->speed;
+  return MIN_SECONDS_PER_TOKEN * (1 + occupied) / engine->speed;
 }
 
 double
 bench_engine_tokens_per_second (const BenchEngine *engine)
 {
-  return 1 / token_seconds (engine);
+  return 1 / seconds_per_token (engine);
 }
 
 void
-bench_engine_run (BenchEngine *engine, LbTime now, LbTime step, LbList *ended)
+bench_engine_advance (BenchEngine *engine, LbTime now, LbTime step, LbList *ended)
 {
   double seconds = (double)step / LB_SEC;
   double prefill = PREFILL_TOKENS_PER_SECOND * engine->speed * seconds;
   double max_prefill = prefill;
 
-  start_waiting (engine);
+  start_waiting_requests (engine);
   engine->occupancy += (double)(engine->running.length + engine->waiting.length) * seconds;
-  LB_LIST_FOREACH (&engine->running, BenchRequest, link, filling)
+  LB_LIST_FOREACH (&engine->running, BenchRequest, link, prefilling)
   {
-    double prefilled = filling->prefill_left < prefill ? filling->prefill_left : prefill;
+    double prefilled = prefilling->prefill_left < prefill ? prefilling->prefill_left : prefill;
 
-    filling->prefill_left -= prefilled;
+    prefilling->prefill_left -= prefilled;
     prefill -= prefilled;
   }
 
   double decoded
-      = seconds / token_seconds (engine) * (1 - 0.5 * (max_prefill - prefill) / max_prefill);
+      = seconds / seconds_per_token (engine) * (1 - 0.5 * (max_prefill - prefill) / max_prefill);
 
   LB_LIST_FOREACH (&engine->running, BenchRequest, link, request)
   {
--- a/packages/core/bench/bench-engine.h
+++ b/packages/core/bench/bench-engine.h
@@ -3,20 +3,20 @@
 
 #include "bench-fleet.h"
 
-/* Simulated inference engine in virtual time: continuous batching, one prefill at a time, which
- * halves the decoding speed, and an LRU cache with a fixed number of prefixes. */
+/* Simulates an inference engine in virtual time: continuous batching, an LRU cache with a fixed
+ * number of prefixes, and prefill of one prompt at a time, which halves the decoding speed. */
 
-#define ENGINE_CACHE_PREFIXES 100
-#define ENGINE_MAX_EVENTS 64
+#define ENGINE_MAX_CACHED_PREFIXES 100
+#define ENGINE_MAX_CACHE_EVENTS 64
 
 typedef struct
 {
   LbLink link;
-  LbTime arrived; /* at its instance */
-  LbTime sent;
-  LbTime first_byte; /* 0: not yet */
+  LbTime arrived;    /* time when the instance received the request */
+  LbTime sent;       /* time when the instance sent the request to the engine */
+  LbTime first_byte; /* time when the engine began to answer; 0: no byte was answered yet */
   uint64_t prefix;
-  double prefix_share; /* of the prompt */
+  double prefix_share; /* share of the prompt that the prefix covers, 0 to 1 */
   double prompt_tokens;
   double prefill_left;
   double tokens;
@@ -37,13 +37,14 @@
 {
   LbList running;
   LbList waiting;
-  uint64_t cache[ENGINE_CACHE_PREFIXES]; /* most recently used first */
+  uint64_t cache[ENGINE_MAX_CACHED_PREFIXES]; /* cached prefixes, most recently used first */
   size_t n_cached;
   uint64_t sequence;
-  BenchCacheEvent events[ENGINE_MAX_EVENTS]; /* since the caller last read them */
+  /* cache events since the caller last set n_events to 0 */
+  BenchCacheEvent events[ENGINE_MAX_CACHE_EVENTS];
   size_t n_events;
-  double speed;
-  /* Totals since the warm-up; occupancy in request seconds. */
+  double speed; /* factor on the speed of prefill and decoding; 1: normal speed */
+  /* Totals since bench_engine_reset_totals; occupancy is in request-seconds. */
   double tokens;
   double occupancy;
   double prompt_tokens;
@@ -52,9 +53,9 @@
 
 void bench_engine_init (BenchEngine *engine, double speed);
 void bench_engine_clear (BenchEngine *engine);
-void bench_engine_take (BenchEngine *engine, BenchRequest *request);
-/* Advances the engine by step; appends requests that ended to the list. */
-void bench_engine_run (BenchEngine *engine, LbTime now, LbTime step, LbList *ended);
+void bench_engine_enqueue_request (BenchEngine *engine, BenchRequest *request);
+/* Simulates the engine for the duration `step`. Moves the requests that end to the list `ended`. */
+void bench_engine_advance (BenchEngine *engine, LbTime now, LbTime step, LbList *ended);
 double bench_engine_tokens_per_second (const BenchEngine *engine);
 void bench_engine_reset_totals (BenchEngine *engine);
 
--- a/packages/core/bench/bench-fleet.c
+++ b/packages/core/bench/bench-fleet.c
@@ -6,16 +6,17 @@
 #include <xxhash.h>
 
 LcResourceSet
-bench_fleet_make (int n)
+bench_make_engine_set (int n_engines)
 {
-  LcResourceSet set = { .endpoints = LB_NEW_ARRAY (LcEndpointMember, n), .n_endpoints = (size_t)n };
+  LcResourceSet set = { .endpoints = LB_NEW_ARRAY (LcEndpointMember, n_engines),
+                        .n_endpoints = (size_t)n_engines };
 
-  for (int i = 0; i < n; i++)
+  for (int i = 0; i < n_engines; i++)
     {
       LcEndpointMember *member = &set.endpoints[i];
 
       member->kind = LC_ENDPOINT_ENGINE;
-      member->concurrency = BENCH_CONCURRENCY;
+      member->concurrency = BENCH_ENGINE_CONCURRENCY;
       snprintf (member->name, sizeof member->name, "engine-%d", i);
       LB_COPY (member->pool, "reader");
       snprintf (member->data_centre, sizeof member->data_centre, "hall-%c", 'a' + i % 3);
@@ -24,7 +25,7 @@
 }
 
 uint64_t
-bench_hash (uint64_t a, uint64_t b)
+bench_hash_pair (uint64_t a, uint64_t b)
 {
   uint64_t pair[2] = { a, b };
 
--- a/packages/core/bench/bench-fleet.h
+++ b/packages/core/bench/bench-fleet.h
@@ -3,11 +3,11 @@
 
 #include "lc-resources.h"
 
-#define BENCH_CONCURRENCY 32
+#define BENCH_ENGINE_CONCURRENCY 32
 
-/* Makes engines engine-0, engine-1, ... of pool "reader" in three data centres; the caller frees
- * set.endpoints. */
-LcResourceSet bench_fleet_make (int n);
-uint64_t bench_hash (uint64_t a, uint64_t b);
+/* Returns a resource set with engines named engine-0, engine-1, ... of the pool "reader", spread
+ * over three data centres. The caller frees the set's array `endpoints`. */
+LcResourceSet bench_make_engine_set (int n_engines);
+uint64_t bench_hash_pair (uint64_t a, uint64_t b);
 
 #endif
--- a/packages/core/bench/bench-routing.c
+++ b/packages/core/bench/bench-routing.c
@@ -1,8 +1,9 @@
-/* Compares the routing policies in virtual time: several instances with separate endpoint tables
- * share the same engines, with delayed load reports, and cache events that are delayed or lost.
- * Options, each with a value: --endpoints --seconds --seeds --rate (requests per second and
- * endpoint) --policy --lag-ms (of load reports) --lost (share of cache events) --slow (speed of the
- * first engine) --hot (share of live requests with the same prefix). */
+/* Compares the routing policies in virtual time. Several instances, each with an endpoint table of
+ * its own, share the same engines. Load reports are delayed; cache events are delayed or lost.
+ * Options, each with a value: --endpoints, --seconds, --seeds, --rate (requests per second and
+ * endpoint), --policy, --lag-ms (delay of load reports), --lost (share of cache events that are
+ * lost), --slow (speed of the first engine; 1: normal), --hot (share of live requests with one
+ * common prefix). */
 
 #include "bench-engine.h"
 #include "bench-fleet.h"
@@ -18,16 +19,16 @@
 #include <string.h>
 
 #define N_INSTANCES 10
-#define STEP (10 * LB_MSEC)
-#define REPORT_PERIOD LB_SEC
-#define EVENTS_PERIOD (500 * LB_MSEC)
-#define EVENTS_LAG (500 * LB_MSEC)
-#define SAMPLE_SHARE 0.6
-#define GROUP_SIZE 8
+#define STEP_DURATION (10 * LB_MSEC)
+#define LOAD_REPORT_PERIOD LB_SEC
+#define CACHE_EVENTS_PERIOD (500 * LB_MSEC)
+#define CACHE_EVENTS_DELAY (500 * LB_MSEC)
+#define SAMPLE_SHARE 0.6 /* share of requests that are samples; the others are live */
+#define SAMPLES_PER_GROUP 8
 #define LIVE_PREFIXES_PER_ENDPOINT 20
-#define N_BLOCKS 8
+#define N_PREFIX_HASHES 8
 #define LIVE_RESERVE 0.25
-#define WARM_UP_SHARE 0.25 /* of the run */
+#define WARM_UP_SHARE 0.25 /* share of the run whose latencies are not recorded */
 
 typedef struct
 {
@@ -49,7 +50,7 @@
   LbList queue;
 } Instance;
 
-/* Load report or cache event in transit to an instance. */
+/* A load report or a cache event of an endpoint, on its way to an instance. */
 typedef struct
 {
   LbLink link;
@@ -81,7 +82,7 @@
   LbList deliveries;
   gsl_rng *rng;
   gsl_ran_discrete_t *live_prefixes;
-  uint64_t groups;
+  uint64_t n_sample_groups;
   LbTime now;
   LbTime end;
   bool is_warmed_up;
@@ -89,32 +90,33 @@
   double *live_latencies;
   size_t n_latencies;
   size_t n_live_latencies;
-  size_t capacity;
-  size_t decisions;
+  size_t latency_capacity;
+  size_t n_decisions;
   double queue_seconds;
   const Options *options;
   LbTime decision_time;
-} World;
+} Simulation;
 
 static size_t
-fill_hashes (const BenchRequest *request, uint64_t *hashes)
+fill_prefix_hashes (const BenchRequest *request, uint64_t *hashes)
 {
-  size_t shared = (size_t)(request->prefix_share * N_BLOCKS + 0.5);
+  size_t shared = (size_t)(request->prefix_share * N_PREFIX_HASHES + 0.5);
 
-  for (size_t i = 0; i < N_BLOCKS; i++)
+  for (size_t i = 0; i < N_PREFIX_HASHES; i++)
     hashes[i]
         = i + 1 == shared
               ? request->prefix
-              : bench_hash (request->prefix,
-                            i < shared ? i : (uint64_t)request->sent + (uint64_t)request->arrived);
-  return N_BLOCKS;
+              : bench_hash_pair (request->prefix,
+                                 i < shared ? i
+                                            : (uint64_t)request->sent + (uint64_t)request->arrived);
+  return N_PREFIX_HASHES;
 }
 
 static bool
-send (World *world, BenchRequest *request)
+try_send_request (Simulation *simulation, BenchRequest *request)
 {
-  Instance *instance = &world->instances[request->instance];
-  uint64_t hashes[N_BLOCKS];
+  Instance *instance = &simulation->instances[request->instance];
+  uint64_t hashes[N_PREFIX_HASHES];
   char data_centre[LB_NAME_MAX];
 
   snprintf (data_centre, sizeof data_centre, "hall-%c", 'a' + request->instance % 3);
@@ -123,225 +125,239 @@
                          .pool = "reader",
                          .data_centre = data_centre,
                          .prefix_hashes = hashes,
-                         .n_prefix_hashes = fill_hashes (request, hashes),
+                         .n_prefix_hashes = fill_prefix_hashes (request, hashes),
                          .prompt_tokens = (int64_t)request->prompt_tokens,
                          .expected_tokens = 100,
                          .live_reserve = LIVE_RESERVE };
   LbTime before = lb_clock_monotonic ();
   LcRouteDecision decision
-      = lc_router_choose (instance->router, instance->endpoints, &query, world->now);
+      = lc_router_choose (instance->router, instance->endpoints, &query, simulation->now);
 
-  world->decision_time += lb_clock_monotonic () - before;
-  world->decisions++;
+  simulation->decision_time += lb_clock_monotonic () - before;
+  simulation->n_decisions++;
   if (!decision.endpoint)
     return false;
-  world->queue_seconds += (double)(world->now - request->arrived) / LB_SEC;
+  simulation->queue_seconds += (double)(simulation->now - request->arrived) / LB_SEC;
   request->endpoint = atoi (decision.endpoint->member.name + strlen ("engine-"));
-  request->sent = world->now;
-  lc_endpoint_request_sent (decision.endpoint, query.kind, hashes[N_BLOCKS - 1], world->now);
-  bench_engine_take (&world->engines[request->endpoint], request);
+  request->sent = simulation->now;
+  lc_endpoint_request_sent (decision.endpoint, query.kind, hashes[N_PREFIX_HASHES - 1],
+                            simulation->now);
+  bench_engine_enqueue_request (&simulation->engines[request->endpoint], request);
   return true;
 }
 
 static void
-submit (World *world, BenchRequest *request)
+send_or_queue_request (Simulation *simulation, BenchRequest *request)
 {
-  if (!send (world, request))
-    lb_list_append (&world->instances[request->instance].queue, &request->link);
+  if (!try_send_request (simulation, request))
+    lb_list_append (&simulation->instances[request->instance].queue, &request->link);
 }
 
 static BenchRequest *
-request_new (World *world, int instance)
+request_new (Simulation *simulation, int instance)
 {
   BenchRequest *request = LB_NEW (BenchRequest);
 
   request->instance = instance;
-  request->arrived = world->now;
-  request->tokens = gsl_ran_lognormal (world->rng, 4.3, 0.8);
+  request->arrived = simulation->now;
+  request->tokens = gsl_ran_lognormal (simulation->rng, 4.3, 0.8);
   request->tokens_left = request->tokens;
   request->prompt_tokens = 600;
   return request;
 }
 
 static void
-add_live_request (World *world)
+submit_live_request (Simulation *simulation)
 {
-  BenchRequest *request = request_new (world, (int)gsl_rng_uniform_int (world->rng, N_INSTANCES));
+  BenchRequest *request
+      = request_new (simulation, (int)gsl_rng_uniform_int (simulation->rng, N_INSTANCES));
 
   request->live = true;
-  request->prefix = bench_hash (1, gsl_rng_uniform (world->rng) < world->options->hot_prefix_share
-                                       ? UINT64_MAX
-                                       : gsl_ran_discrete (world->rng, world->live_prefixes));
+  request->prefix
+      = bench_hash_pair (1,
+                         gsl_rng_uniform (simulation->rng) < simulation->options->hot_prefix_share
+                             ? UINT64_MAX
+                             : gsl_ran_discrete (simulation->rng, simulation->live_prefixes));
   request->prefix_share = 0.75;
-  submit (world, request);
+  send_or_queue_request (simulation, request);
 }
 
 static void
-add_group (World *world)
+submit_sample_group (Simulation *simulation)
 {
-  int instance = (int)gsl_rng_uniform_int (world->rng, N_INSTANCES);
-  uint64_t prefix = bench_hash (2, world->groups++);
+  int instance = (int)gsl_rng_uniform_int (simulation->rng, N_INSTANCES);
+  uint64_t prefix = bench_hash_pair (2, simulation->n_sample_groups++);
 
-  for (int i = 0; i < GROUP_SIZE; i++)
+  for (int i = 0; i < SAMPLES_PER_GROUP; i++)
     {
-      BenchRequest *request = request_new (world, instance);
+      BenchRequest *request = request_new (simulation, instance);
 
       request->prefix = prefix;
       request->prefix_share = 1;
-      submit (world, request);
+      send_or_queue_request (simulation, request);
     }
 }
 
 static void
-add_requests (World *world)
+submit_arriving_requests (Simulation *simulation)
 {
-  double rate = world->options->rate * world->n_engines * STEP / LB_SEC;
-  unsigned live = gsl_ran_poisson (world->rng, rate * (1 - SAMPLE_SHARE));
-  unsigned groups = gsl_ran_poisson (world->rng, rate * SAMPLE_SHARE / GROUP_SIZE);
+  double rate = simulation->options->rate * simulation->n_engines * STEP_DURATION / LB_SEC;
+  unsigned live = gsl_ran_poisson (simulation->rng, rate * (1 - SAMPLE_SHARE));
+  unsigned n_sample_groups
+      = gsl_ran_poisson (simulation->rng, rate * SAMPLE_SHARE / SAMPLES_PER_GROUP);
 
   for (unsigned i = 0; i < live; i++)
-    add_live_request (world);
-  for (unsigned i = 0; i < groups; i++)
-    add_group (world);
+    submit_live_request (simulation);
+  for (unsigned i = 0; i < n_sample_groups; i++)
+    submit_sample_group (simulation);
 }
 
 static void
-schedule (World *world, Delivery delivery)
+schedule_delivery (Simulation *simulation, Delivery delivery)
 {
   Delivery *copy = lb_memdup (&delivery, sizeof delivery);
 
-  lb_list_append (&world->deliveries, &copy->link);
+  lb_list_append (&simulation->deliveries, &copy->link);
 }
 
 static void
-schedule_report (World *world, int instance, int endpoint)
+schedule_load_report (Simulation *simulation, int instance, int endpoint)
 {
-  const BenchEngine *engine = &world->engines[endpoint];
+  const BenchEngine *engine = &simulation->engines[endpoint];
   LcLoadReport report = { .incarnation = "a",
                           .version = 1,
                           .running = (int64_t)engine->running.length,
                           .waiting = (int64_t)engine->waiting.length,
                           .tokens_per_second = bench_engine_tokens_per_second (engine),
-                          .measured_at = world->now };
-
-  schedule (world, (Delivery){ .due_at = world->now + world->options->report_lag,
-                               .instance = instance,
-                               .endpoint = endpoint,
-                               .is_report = true,
-                               .report = report });
+                          .measured_at = simulation->now };
+
+  schedule_delivery (simulation,
+                     (Delivery){ .due_at = simulation->now + simulation->options->report_lag,
+                                 .instance = instance,
+                                 .endpoint = endpoint,
+                                 .is_report = true,
+                                 .report = report });
 }
 
-/* Spreads the polls of all pairs of instance and endpoint over the period. */
+/* Returns true if the instance polls the endpoint at this time. Polls of different endpoints and
+ * instances are spread over the period. */
 static bool
-is_poll_due (const World *world, int instance, int endpoint, LbTime period)
+is_poll_due (const Simulation *simulation, int instance, int endpoint, LbTime period)
 {
-  int64_t n_steps = period / STEP;
+  int64_t n_steps = period / STEP_DURATION;
 
-  return (world->now / STEP + instance * 37 + endpoint * 11) % n_steps == 0;
+  return (simulation->now / STEP_DURATION + instance * 37 + endpoint * 11) % n_steps == 0;
 }
 
 static void
-schedule_reports (World *world)
+schedule_due_load_reports (Simulation *simulation)
 {
   for (int i = 0; i < N_INSTANCES; i++)
-    for (int j = 0; j < world->n_engines; j++)
-      if (is_poll_due (world, i, j, REPORT_PERIOD))
-        schedule_report (world, i, j);
+    for (int j = 0; j < simulation->n_engines; j++)
+      if (is_poll_due (simulation, i, j, LOAD_REPORT_PERIOD))
+        schedule_load_report (simulation, i, j);
 }
 
 static void
-schedule_events (World *world)
+schedule_cache_events (Simulation *simulation)
 {
-  for (int j = 0; j < world->n_engines; j++)
+  for (int j = 0; j < simulation->n_engines; j++)
     {
-      BenchEngine *engine = &world->engines[j];
+      BenchEngine *engine = &simulation->engines[j];
 
-      if (!is_poll_due (world, 0, j, EVENTS_PERIOD))
+      if (!is_poll_due (simulation, 0, j, CACHE_EVENTS_PERIOD))
         continue;
       for (size_t k = 0; k < engine->n_events; k++)
         for (int i = 0; i < N_INSTANCES; i++)
-          if (gsl_rng_uniform (world->rng) >= world->options->lost_event_share)
-            schedule (world, (Delivery){ .due_at = world->now + EVENTS_LAG,
-                                         .instance = i,
-                                         .endpoint = j,
-                                         .event = engine->events[k] });
+          if (gsl_rng_uniform (simulation->rng) >= simulation->options->lost_event_share)
+            schedule_delivery (simulation,
+                               (Delivery){ .due_at = simulation->now + CACHE_EVENTS_DELAY,
+                                           .instance = i,
+                                           .endpoint = j,
+                                           .event = engine->events[k] });
       engine->n_events = 0;
     }
 }
 
 static void
-process_due_deliveries (World *world)
+apply_due_deliveries (Simulation *simulation)
 {
   char name[LB_NAME_MAX];
 
-  LB_LIST_FOREACH (&world->deliveries, Delivery, link, delivery)
+  LB_LIST_FOREACH (&simulation->deliveries, Delivery, link, delivery)
   {
-    LcEndpoints *endpoints = world->instances[delivery->instance].endpoints;
+    LcEndpoints *endpoints = simulation->instances[delivery->instance].endpoints;
 
-    if (delivery->due_at > world->now)
+    if (delivery->due_at > simulation->now)
       return;
     snprintf (name, sizeof name, "engine-%d", delivery->endpoint);
     if (delivery->is_report)
-      lc_endpoints_record_load (endpoints, name, &delivery->report, world->now);
+      lc_endpoints_record_load (endpoints, name, &delivery->report, simulation->now);
     else
       lc_endpoints_apply_cache_event (endpoints, name, delivery->event.sequence,
-                                      delivery->event.stored, delivery->event.prefix, world->now);
-    lb_list_remove (&world->deliveries, &delivery->link);
+                                      delivery->event.stored, delivery->event.prefix,
+                                      simulation->now);
+    lb_list_remove (&simulation->deliveries, &delivery->link);
     free (delivery);
   }
 }
 
 static void
-record_latency (World *world, const BenchRequest *request)
+record_request_latency (Simulation *simulation, const BenchRequest *request)
 {
-  double seconds = (double)(world->now - request->arrived) / LB_SEC;
+  double seconds = (double)(simulation->now - request->arrived) / LB_SEC;
 
-  if (!world->is_warmed_up)
+  if (!simulation->is_warmed_up)
     return;
-  if (world->n_latencies == world->capacity)
+  if (simulation->n_latencies == simulation->latency_capacity)
     {
-      world->capacity = world->capacity ? world->capacity * 2 : 1024;
-      world->latencies = lb_realloc (world->latencies, world->capacity * sizeof (double));
-      world->live_latencies = lb_realloc (world->live_latencies, world->capacity * sizeof (double));
+      simulation->latency_capacity
+          = simulation->latency_capacity ? simulation->latency_capacity * 2 : 1024;
+      simulation->latencies
+          = lb_realloc (simulation->latencies, simulation->latency_capacity * sizeof (double));
+      simulation->live_latencies
+          = lb_realloc (simulation->live_latencies, simulation->latency_capacity * sizeof (double));
     }
-  world->latencies[world->n_latencies++] = seconds;
+  simulation->latencies[simulation->n_latencies++] = seconds;
   if (request->live)
-    world->live_latencies[world->n_live_latencies++] = seconds;
+    simulation->live_latencies[simulation->n_live_latencies++] = seconds;
 }
 
 static void
-end_requests (World *world, LbList *ended)
+finish_ended_requests (Simulation *simulation, LbList *ended)
 {
   char name[LB_NAME_MAX];
 
   LB_LIST_FOREACH (ended, BenchRequest, link, request)
   {
-    LcEndpoints *endpoints = world->instances[request->instance].endpoints;
+    LcEndpoints *endpoints = simulation->instances[request->instance].endpoints;
 
     snprintf (name, sizeof name, "engine-%d", request->endpoint);
 
     LcEndpoint *endpoint = lc_endpoints_find (endpoints, name);
 
-    lc_endpoint_first_byte_received (endpoint, request->first_byte - request->sent, world->now);
+    lc_endpoint_first_byte_received (endpoint, request->first_byte - request->sent,
+                                     simulation->now);
     lc_endpoint_request_ended (endpoint, request->live ? LC_KIND_LIVE : LC_KIND_SAMPLE, true,
-                               (int64_t)request->tokens, world->now - request->sent, world->now);
-    record_latency (world, request);
+                               (int64_t)request->tokens, simulation->now - request->sent,
+                               simulation->now);
+    record_request_latency (simulation, request);
     lb_list_remove (ended, &request->link);
     free (request);
   }
 }
 
 static void
-retry_queues (World *world)
+send_queued_requests (Simulation *simulation)
 {
   for (int i = 0; i < N_INSTANCES; i++)
     {
-      LbList *queue = &world->instances[i].queue;
+      LbList *queue = &simulation->instances[i].queue;
 
       LB_LIST_FOREACH (queue, BenchRequest, link, request)
       {
         lb_list_remove (queue, &request->link);
-        if (send (world, request))
+        if (try_send_request (simulation, request))
           continue;
         lb_list_prepend (queue, &request->link);
         break;
@@ -350,87 +366,89 @@
 }
 
 static void
-run (World *world)
+run_simulation (Simulation *simulation)
 {
   LbList ended;
 
   lb_list_init (&ended);
-  for (world->now = LB_SEC; world->now < world->end; world->now += STEP)
+  for (simulation->now = LB_SEC; simulation->now < simulation->end;
+       simulation->now += STEP_DURATION)
     {
-      if (!world->is_warmed_up && (double)world->now > WARM_UP_SHARE * (double)world->end)
+      if (!simulation->is_warmed_up
+          && (double)simulation->now > WARM_UP_SHARE * (double)simulation->end)
         {
-          world->is_warmed_up = true;
-          for (int i = 0; i < world->n_engines; i++)
-            bench_engine_reset_totals (&world->engines[i]);
+          simulation->is_warmed_up = true;
+          for (int i = 0; i < simulation->n_engines; i++)
+            bench_engine_reset_totals (&simulation->engines[i]);
         }
-      process_due_deliveries (world);
-      retry_queues (world);
-      add_requests (world);
-      for (int i = 0; i < world->n_engines; i++)
-        bench_engine_run (&world->engines[i], world->now, STEP, &ended);
-      end_requests (world, &ended);
-      schedule_reports (world);
-      schedule_events (world);
+      apply_due_deliveries (simulation);
+      send_queued_requests (simulation);
+      submit_arriving_requests (simulation);
+      for (int i = 0; i < simulation->n_engines; i++)
+        bench_engine_advance (&simulation->engines[i], simulation->now, STEP_DURATION, &ended);
+      finish_ended_requests (simulation, &ended);
+      schedule_due_load_reports (simulation);
+      schedule_cache_events (simulation);
     }
 }
 
-static World *
-world_new (const char *policy, const Options *options, uint64_t seed)
+static Simulation *
+simulation_new (const char *policy, const Options *options, uint64_t seed)
 {
   int n_endpoints = options->endpoints;
-  World *world = LB_NEW (World);
-  LcResourceSet set = bench_fleet_make (n_endpoints);
+  Simulation *simulation = LB_NEW (Simulation);
+  LcResourceSet set = bench_make_engine_set (n_endpoints);
   size_t n_prefixes = (size_t)n_endpoints * LIVE_PREFIXES_PER_ENDPOINT;
   double *popularity = LB_NEW_ARRAY (double, n_prefixes);
 
-  world->rng = gsl_rng_alloc (gsl_rng_taus2);
-  gsl_rng_set (world->rng, seed);
+  simulation->rng = gsl_rng_alloc (gsl_rng_taus2);
+  gsl_rng_set (simulation->rng, seed);
   for (size_t i = 0; i < n_prefixes; i++)
     popularity[i] = 1 / ((double)i + 5);
-  world->live_prefixes = gsl_ran_discrete_preproc (n_prefixes, popularity);
+  simulation->live_prefixes = gsl_ran_discrete_preproc (n_prefixes, popularity);
   free (popularity);
-  lb_list_init (&world->deliveries);
-  world->end = (LbTime)(options->seconds * LB_SEC);
-  world->options = options;
-  world->n_engines = n_endpoints;
-  world->engines = LB_NEW_ARRAY (BenchEngine, n_endpoints);
+  lb_list_init (&simulation->deliveries);
+  simulation->end = (LbTime)(options->seconds * LB_SEC);
+  simulation->options = options;
+  simulation->n_engines = n_endpoints;
+  simulation->engines = LB_NEW_ARRAY (BenchEngine, n_endpoints);
   for (int i = 0; i < n_endpoints; i++)
-    bench_engine_init (&world->engines[i], i == 0 ? options->first_engine_speed : 1);
+    bench_engine_init (&simulation->engines[i], i == 0 ? options->first_engine_speed : 1);
   for (int i = 0; i < N_INSTANCES; i++)
     {
-      world->instances[i].endpoints = lc_endpoints_new ();
-      lc_endpoints_configure (world->instances[i].endpoints, &set, 0);
-      world->instances[i].router = lc_router_new (policy, seed * 100 + (uint64_t)i);
-      lb_list_init (&world->instances[i].queue);
+      simulation->instances[i].endpoints = lc_endpoints_new ();
+      lc_endpoints_configure (simulation->instances[i].endpoints, &set, 0);
+      simulation->instances[i].router = lc_router_new (policy, seed * 100 + (uint64_t)i);
+      lb_list_init (&simulation->instances[i].queue);
     }
   free (set.endpoints);
-  return world;
+  return simulation;
 }
 
 static void
-world_free (World *world)
+simulation_free (Simulation *simulation)
 {
   for (int i = 0; i < N_INSTANCES; i++)
     {
-      LB_LIST_FOREACH (&world->instances[i].queue, BenchRequest, link, request)
+      LB_LIST_FOREACH (&simulation->instances[i].queue, BenchRequest, link, request)
       free (request);
-      lc_router_free (world->instances[i].router);
-      lc_endpoints_free (world->instances[i].endpoints);
+      lc_router_free (simulation->instances[i].router);
+      lc_endpoints_free (simulation->instances[i].endpoints);
     }
-  for (int i = 0; i < world->n_engines; i++)
-    bench_engine_clear (&world->engines[i]);
-  LB_LIST_FOREACH (&world->deliveries, Delivery, link, delivery)
+  for (int i = 0; i < simulation->n_engines; i++)
+    bench_engine_clear (&simulation->engines[i]);
+  LB_LIST_FOREACH (&simulation->deliveries, Delivery, link, delivery)
   free (delivery);
-  gsl_ran_discrete_free (world->live_prefixes);
-  gsl_rng_free (world->rng);
-  free (world->engines);
-  free (world->latencies);
-  free (world->live_latencies);
-  free (world);
+  gsl_ran_discrete_free (simulation->live_prefixes);
+  gsl_rng_free (simulation->rng);
+  free (simulation->engines);
+  free (simulation->latencies);
+  free (simulation->live_latencies);
+  free (simulation);
 }
 
 static int
-compare (const void *a, const void *b)
+compare_doubles (const void *a, const void *b)
 {
   double first = *(const double *)a;
   double second = *(const double *)b;
@@ -441,12 +459,12 @@
 static double
 percentile (double *values, size_t n_values, double share)
 {
-  qsort (values, n_values, sizeof *values, compare);
+  qsort (values, n_values, sizeof *values, compare_doubles);
   return n_values > 0 ? values[(size_t)((double)(n_values - 1) * share)] : 0;
 }
 
 static Measures
-measure (World *world)
+compute_measures (Simulation *simulation)
 {
   Measures measures = { 0 };
   double tokens = 0;
@@ -456,9 +474,9 @@
   double max_tokens = 0;
   double max_load = 0;
 
-  for (int i = 0; i < world->n_engines; i++)
+  for (int i = 0; i < simulation->n_engines; i++)
     {
-      const BenchEngine *engine = &world->engines[i];
+      const BenchEngine *engine = &simulation->engines[i];
 
       tokens += engine->tokens;
       load += engine->occupancy;
@@ -467,20 +485,21 @@
       max_tokens = engine->tokens > max_tokens ? engine->tokens : max_tokens;
       max_load = engine->occupancy > max_load ? engine->occupancy : max_load;
     }
-  for (size_t i = 0; i < world->n_latencies; i++)
-    measures.latency += world->latencies[i] / (double)world->n_latencies;
-  measures.live_p99 = percentile (world->live_latencies, world->n_live_latencies, 0.99);
-  measures.all_p99 = percentile (world->latencies, world->n_latencies, 0.99);
-  measures.imbalance_tokens = max_tokens * world->n_engines / tokens;
-  measures.imbalance_load = max_load * world->n_engines / load;
+  for (size_t i = 0; i < simulation->n_latencies; i++)
+    measures.latency += simulation->latencies[i] / (double)simulation->n_latencies;
+  measures.live_p99 = percentile (simulation->live_latencies, simulation->n_live_latencies, 0.99);
+  measures.all_p99 = percentile (simulation->latencies, simulation->n_latencies, 0.99);
+  measures.imbalance_tokens = max_tokens * simulation->n_engines / tokens;
+  measures.imbalance_load = max_load * simulation->n_engines / load;
   measures.hits = cached / prompts;
-  measures.queue_seconds = world->queue_seconds / (double)world->n_latencies * (1 - WARM_UP_SHARE);
-  measures.decision_micros = (double)world->decision_time / (double)world->decisions;
+  measures.queue_seconds
+      = simulation->queue_seconds / (double)simulation->n_latencies * (1 - WARM_UP_SHARE);
+  measures.decision_micros = (double)simulation->decision_time / (double)simulation->n_decisions;
   return measures;
 }
 
 static void
-print_row (const char *policy, const double *sums, int seeds)
+print_policy_row (const char *policy, const double *sums, int seeds)
 {
   printf ("%-18s", policy);
   for (size_t i = 0; i < sizeof (Measures) / sizeof (double); i++)
@@ -508,22 +527,22 @@
         continue;
       for (int seed = 1; seed <= options->seeds; seed++)
         {
-          World *world = world_new (*policy, options, (uint64_t)seed);
+          Simulation *simulation = simulation_new (*policy, options, (uint64_t)seed);
 
-          run (world);
+          run_simulation (simulation);
 
-          Measures measures = measure (world);
+          Measures measures = compute_measures (simulation);
 
           for (size_t i = 0; i < sizeof sums / sizeof sums[0]; i++)
             sums[i] += ((const double *)&measures)[i];
-          world_free (world);
+          simulation_free (simulation);
         }
-      print_row (*policy, sums, options->seeds);
+      print_policy_row (*policy, sums, options->seeds);
     }
 }
 
 static void
-read_options (int argc, char **argv, Options *options)
+parse_options (int argc, char **argv, Options *options)
 {
   static const struct option long_options[] = {
     { "endpoints", required_argument, NULL, 'e' },
@@ -578,7 +597,7 @@
 int
 main (int argc, char **argv)
 {
-  /* With a full batch and no prefill, an engine serves 8 requests per second. */
+  /* An engine with a full batch and no prefill serves 8 requests per second. */
   Options options = { .endpoints = 13,
                       .seconds = 120,
                       .seeds = 5,
@@ -587,7 +606,7 @@
                       .lost_event_share = 0.1,
                       .first_engine_speed = 1 };
 
-  read_options (argc, argv, &options);
+  parse_options (argc, argv, &options);
   compare_policies (&options);
   return 0;
 }
--- a/packages/core/bench/bench-weights.c
+++ b/packages/core/bench/bench-weights.c
@@ -2,25 +2,25 @@
 
 #include <stdio.h>
 
-/* Measures how long the daemon's code takes to roll a version out over simulated engines, in
- * virtual time. The load times are parameters of the simulation, not measurements of engines. */
+/* Measures how long LcWeights takes to roll out a weight version to simulated engines, in virtual
+ * time. The load times are parameters of the simulation, not measurements of real engines. */
 
-#define MAX_DURATION (600 * LB_SEC)
+#define MAX_ROLLOUT_DURATION (600 * LB_SEC)
 
 static void
-run_case (size_t engines, int64_t percent, LbTime load_time)
+measure_rollout (size_t n_engines, int64_t roll_out_percent, LbTime load_time)
 {
   FakePool pool;
 
-  fake_pool_init (&pool, engines, percent, 0.25, 40);
+  fake_pool_init (&pool, n_engines, roll_out_percent, 0.25, 40);
   pool.load_time = load_time;
   pool.load_jitter = load_time / 4;
   pool.period = 3 * LB_SEC;
   pool.swapping_report_period = LB_SEC / 2;
   fake_pool_run_for (&pool, 10 * LB_SEC);
   lc_weights_set_newest_version (pool.weights, 41, pool.now);
-  LbTime duration = fake_pool_run_until_rolled_out (&pool, 41, MAX_DURATION);
-  printf ("%8zu %8lld %9.1f %9.2f %8zu %8zu %8zu\n", engines, (long long)percent,
+  LbTime duration = fake_pool_run_until_rolled_out (&pool, 41, MAX_ROLLOUT_DURATION);
+  printf ("%8zu %8lld %9.1f %9.2f %8zu %8zu %8zu\n", n_engines, (long long)roll_out_percent,
           (double)load_time / LB_SEC, (double)duration / LB_SEC, pool.orders, pool.most_loading,
           pool.most_unavailable);
   fake_pool_clear (&pool);
@@ -38,6 +38,6 @@
   for (size_t i = 0; i < sizeof sizes / sizeof sizes[0]; i++)
     for (size_t j = 0; j < sizeof percents / sizeof percents[0]; j++)
       for (size_t k = 0; k < sizeof loads / sizeof loads[0]; k++)
-        run_case (sizes[i], percents[j], loads[k]);
+        measure_rollout (sizes[i], percents[j], loads[k]);
   return 0;
 }
--- a/packages/core/bench/fake-peers.c
+++ b/packages/core/bench/fake-peers.c
@@ -8,9 +8,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* TCP and IP headers of a segment with timestamps; a SYN has 8 more bytes. */
+/* TCP and IPv4 headers of a segment with TCP timestamps */
 #define HEADER_BYTES 52
-#define CONNECT_BYTES (60 + 60 + HEADER_BYTES + 4 * HEADER_BYTES)
+/* headers of the TCP handshake, whose SYN and SYN-ACK have 8 more bytes, and of four segments */
+#define CONNECT_HEADER_BYTES (60 + 60 + HEADER_BYTES + 4 * HEADER_BYTES)
 
 typedef enum
 {
@@ -24,18 +25,18 @@
 typedef struct
 {
   LbTime at;
-  uint64_t order;
+  uint64_t sequence; /* events at the same time are handled in this order */
   EventType type;
-  size_t node; /* recipient */
+  size_t node; /* index of the instance that handles the event */
   size_t connection;
-  LcLinkId link; /* REFUSED */
+  LcLinkId link; /* set for REFUSED and CLOSED events */
   LwMessage message;
 } Event;
 
 typedef struct
 {
-  size_t nodes[2]; /* dialler, acceptor */
-  LcLinkId links[2];
+  size_t nodes[2];   /* indexes of the dialling and the accepting instance */
+  LcLinkId links[2]; /* ids of the connection at the two instances; 0: not accepted yet */
   bool drops_messages;
   bool closed;
   LbTime closed_at;
@@ -43,9 +44,9 @@
 
 typedef struct
 {
-  LcMembership *membership; /* NULL: not started */
+  LcMembership *membership; /* NULL: the instance was never started */
   FakeState state;
-  int group;
+  int partition_group;
   int64_t bytes;
   LbTime tick_at;
   LbName name;
@@ -59,10 +60,10 @@
   Connection *connections;
   size_t n_connections;
   size_t connection_capacity;
-  Event *heap;
+  Event *event_heap;
   size_t n_events;
   size_t heap_capacity;
-  uint64_t order;
+  uint64_t sequence;
   LbTime now;
   size_t partitioned_pair[2];
   bool has_partitioned_pair;
@@ -70,18 +71,18 @@
 };
 
 static bool
-is_earlier (const Event *a, const Event *b)
+is_event_earlier (const Event *a, const Event *b)
 {
-  return a->at != b->at ? a->at < b->at : a->order < b->order;
+  return a->at != b->at ? a->at < b->at : a->sequence < b->sequence;
 }
 
 static void
 swap_events (FakePeers *peers, size_t a, size_t b)
 {
-  Event kept = peers->heap[a];
+  Event kept = peers->event_heap[a];
 
-  peers->heap[a] = peers->heap[b];
-  peers->heap[b] = kept;
+  peers->event_heap[a] = peers->event_heap[b];
+  peers->event_heap[b] = kept;
 }
 
 static void
@@ -92,26 +93,28 @@
   if (i == peers->heap_capacity)
     {
       peers->heap_capacity = 2 * peers->heap_capacity + 64;
-      peers->heap = lb_realloc (peers->heap, peers->heap_capacity * sizeof *peers->heap);
+      peers->event_heap
+          = lb_realloc (peers->event_heap, peers->heap_capacity * sizeof *peers->event_heap);
     }
-  event.order = peers->order++;
-  peers->heap[i] = event;
-  for (; i > 0 && is_earlier (&peers->heap[i], &peers->heap[(i - 1) / 2]); i = (i - 1) / 2)
+  event.sequence = peers->sequence++;
+  peers->event_heap[i] = event;
+  for (; i > 0 && is_event_earlier (&peers->event_heap[i], &peers->event_heap[(i - 1) / 2]);
+       i = (i - 1) / 2)
     swap_events (peers, i, (i - 1) / 2);
 }
 
 static Event
 pop_event (FakePeers *peers)
 {
-  Event first = peers->heap[0];
+  Event first = peers->event_heap[0];
   size_t i = 0;
 
-  peers->heap[0] = peers->heap[--peers->n_events];
+  peers->event_heap[0] = peers->event_heap[--peers->n_events];
   for (;;)
     {
       size_t least = i;
       for (size_t child = 2 * i + 1; child <= 2 * i + 2 && child < peers->n_events; child++)
-        if (is_earlier (&peers->heap[child], &peers->heap[least]))
+        if (is_event_earlier (&peers->event_heap[child], &peers->event_heap[least]))
           least = child;
       if (least == i)
         return first;
@@ -120,41 +123,42 @@
     }
 }
 
-/* 0.5 to 1.5 ms one way. */
+/* Returns a random network delay of 0.5 to 1.5 ms. */
 static LbTime
-random_delay (FakePeers *peers)
+random_one_way_delay (FakePeers *peers)
 {
   return (LbTime)(500 + gsl_rng_uniform_int (peers->rng, 1000));
 }
 
 static void
-count_bytes (FakePeers *peers, size_t a, size_t b, int64_t bytes)
+count_traffic_bytes (FakePeers *peers, size_t a, size_t b, int64_t bytes)
 {
   peers->nodes[a].bytes += bytes;
   peers->nodes[b].bytes += bytes;
 }
 
 static bool
-is_reachable (const FakePeers *peers, size_t a, size_t b)
+can_communicate (const FakePeers *peers, size_t a, size_t b)
 {
   bool is_partitioned
       = peers->has_partitioned_pair
         && ((peers->partitioned_pair[0] == a && peers->partitioned_pair[1] == b)
             || (peers->partitioned_pair[0] == b && peers->partitioned_pair[1] == a));
 
-  return !is_partitioned && peers->nodes[a].group == peers->nodes[b].group
+  return !is_partitioned && peers->nodes[a].partition_group == peers->nodes[b].partition_group
          && peers->nodes[a].state != FAKE_UNREACHABLE && peers->nodes[b].state != FAKE_UNREACHABLE;
 }
 
 static size_t
-find_node (const FakePeers *peers, const char *address)
+find_node_by_address (const FakePeers *peers, const char *address)
 {
   size_t index = (size_t)strtoul (address, NULL, 10);
 
   return index < peers->n_nodes ? index : 0;
 }
 
-/* No event in transit refers to a connection that was closed over 60 s ago. */
+/* Returns the index of a connection that was closed more than 60 s ago, so that no pending event
+ * refers to it; SIZE_MAX if there is none. */
 static size_t
 find_reusable_connection (const FakePeers *peers)
 {
@@ -197,19 +201,19 @@
 }
 
 static int
-side_of (const Connection *connection, size_t node)
+connection_side_of_node (const Connection *connection, size_t node)
 {
   return connection->nodes[0] == node ? 0 : 1;
 }
 
 static void
-start_dial (FakePeers *peers, size_t node, const LcMembershipAction *action)
+dial_address (FakePeers *peers, size_t node, const LcMembershipAction *action)
 {
-  size_t target = find_node (peers, action->address);
+  size_t target = find_node_by_address (peers, action->address);
   size_t connection = add_connection (peers, node, target, action->link);
-  LbTime at = peers->now + 3 * random_delay (peers);
+  LbTime at = peers->now + 3 * random_one_way_delay (peers);
 
-  if (!is_reachable (peers, node, target))
+  if (!can_communicate (peers, node, target))
     return;
   if (!peers->nodes[target].membership || peers->nodes[target].state == FAKE_KILLED)
     push_event (peers,
@@ -234,18 +238,19 @@
 send_message (FakePeers *peers, size_t node, size_t index, const LwMessage *message)
 {
   const Connection *connection = &peers->connections[index];
-  size_t target = connection->nodes[!side_of (connection, node)];
-  Event event = { .at = peers->now + random_delay (peers),
+  size_t target = connection->nodes[!connection_side_of_node (connection, node)];
+  Event event = { .at = peers->now + random_one_way_delay (peers),
                   .type = EVENT_MESSAGE,
                   .node = target,
                   .connection = index,
                   .message = *message };
 
-  count_bytes (peers, node, target, fake_peers_message_bytes (message));
+  count_traffic_bytes (peers, node, target, fake_peers_message_bytes (message));
   if (message->type != LW_PING && message->type != LW_PONG)
     lc_membership_frame_sent (peers->nodes[node].membership,
-                              connection->links[side_of (connection, node)], peers->now);
-  if (connection->drops_messages || !is_reachable (peers, node, target))
+                              connection->links[connection_side_of_node (connection, node)],
+                              peers->now);
+  if (connection->drops_messages || !can_communicate (peers, node, target))
     return;
   event.message.instances
       = lb_memdup (message->instances, message->n_instances * sizeof *message->instances);
@@ -253,7 +258,7 @@
 }
 
 static void
-broadcast (FakePeers *peers, size_t node, const LwMessage *message, LcLinkId excluded_link)
+broadcast_message (FakePeers *peers, size_t node, const LwMessage *message, LcLinkId excluded_link)
 {
   LcMembership *membership = peers->nodes[node].membership;
   const char *excluded_name = lc_membership_link_peer_name (membership, excluded_link);
@@ -261,7 +266,7 @@
   for (size_t i = 0; i < peers->n_connections; i++)
     {
       const Connection *connection = &peers->connections[i];
-      int side = side_of (connection, node);
+      int side = connection_side_of_node (connection, node);
       if (connection->nodes[side] != node || connection->closed)
         continue;
       const char *name = lc_membership_link_peer_name (membership, connection->links[side]);
@@ -279,20 +284,20 @@
   if (index == SIZE_MAX)
     return;
   Connection *connection = &peers->connections[index];
-  int other = !side_of (connection, node);
+  int other = !connection_side_of_node (connection, node);
   connection->closed = true;
   connection->closed_at = peers->now;
-  count_bytes (peers, node, connection->nodes[other], 4 * HEADER_BYTES);
+  count_traffic_bytes (peers, node, connection->nodes[other], 4 * HEADER_BYTES);
   if (connection->links[other] && !connection->drops_messages
-      && is_reachable (peers, node, connection->nodes[other]))
-    push_event (peers, (Event){ .at = peers->now + random_delay (peers),
+      && can_communicate (peers, node, connection->nodes[other]))
+    push_event (peers, (Event){ .at = peers->now + random_one_way_delay (peers),
                                 .type = EVENT_CLOSED,
                                 .node = connection->nodes[other],
                                 .link = connection->links[other] });
 }
 
 static void
-execute_action (FakePeers *peers, size_t node, const LcMembershipAction *action)
+execute_membership_action (FakePeers *peers, size_t node, const LcMembershipAction *action)
 {
   LwMessage message = { .type = action->type == LC_MEMBERSHIP_COMPARE ? LW_COMPARE : LW_INSTANCES,
                         .digest = action->digest,
@@ -305,13 +310,13 @@
   switch (action->type)
     {
     case LC_MEMBERSHIP_DIAL:
-      start_dial (peers, node, action);
+      dial_address (peers, node, action);
       break;
     case LC_MEMBERSHIP_CLOSE:
       close_connection (peers, node, action->link);
       break;
     case LC_MEMBERSHIP_BROADCAST:
-      broadcast (peers, node, &message, action->link);
+      broadcast_message (peers, node, &message, action->link);
       break;
     case LC_MEMBERSHIP_PING:
     case LC_MEMBERSHIP_SEND:
@@ -332,13 +337,13 @@
   while ((link = lb_list_pop (actions)))
     {
       LcMembershipAction *action = LB_CONTAINER (link, LcMembershipAction, link_in_list);
-      execute_action (peers, node, action);
+      execute_membership_action (peers, node, action);
       lc_membership_action_free (action);
     }
 }
 
 static void
-schedule_tick (FakePeers *peers, size_t node)
+schedule_next_tick (FakePeers *peers, size_t node)
 {
   LbTime at = lc_membership_next_tick (peers->nodes[node].membership);
   LbTime scheduled_at = peers->nodes[node].tick_at;
@@ -360,9 +365,9 @@
   LcMembership *dialler_membership = peers->nodes[dialler].membership;
 
   if (connection->closed || connection->drops_messages
-      || !is_reachable (peers, dialler, connection->nodes[1]))
+      || !can_communicate (peers, dialler, connection->nodes[1]))
     return;
-  count_bytes (peers, dialler, connection->nodes[1], CONNECT_BYTES + 400);
+  count_traffic_bytes (peers, dialler, connection->nodes[1], CONNECT_HEADER_BYTES + 400);
   LcInstance self = *lc_membership_self (dialler_membership);
   connection->links[1] = lc_membership_link_accepted (acceptor, &self, peers->now, actions);
   fake_peers_execute_actions (peers, peers->connections[index].nodes[1], actions);
@@ -373,11 +378,11 @@
 }
 
 static void
-handle_message (FakePeers *peers, const Event *event, LbList *actions)
+handle_message_event (FakePeers *peers, const Event *event, LbList *actions)
 {
   const Connection *connection = &peers->connections[event->connection];
   LcMembership *membership = peers->nodes[event->node].membership;
-  LcLinkId link = connection->links[side_of (connection, event->node)];
+  LcLinkId link = connection->links[connection_side_of_node (connection, event->node)];
   const LwMessage *message = &event->message;
   LwMessage pong = { .type = LW_PONG };
 
@@ -400,7 +405,7 @@
 }
 
 static bool
-defer_if_paused (FakePeers *peers, Event *event)
+defer_event_if_paused (FakePeers *peers, Event *event)
 {
   if (peers->nodes[event->node].state != FAKE_PAUSED)
     return false;
@@ -415,7 +420,7 @@
   Node *node = &peers->nodes[event->node];
   LbList actions;
 
-  if (defer_if_paused (peers, event))
+  if (defer_event_if_paused (peers, event))
     return;
   lb_list_init (&actions);
   if (node->state == FAKE_RUNNING)
@@ -433,12 +438,12 @@
         lc_membership_link_closed (node->membership, event->link, peers->now, &actions);
         break;
       case EVENT_MESSAGE:
-        handle_message (peers, event, &actions);
+        handle_message_event (peers, event, &actions);
         break;
       }
   fake_peers_execute_actions (peers, event->node, &actions);
   if (node->state == FAKE_RUNNING)
-    schedule_tick (peers, event->node);
+    schedule_next_tick (peers, event->node);
   free (event->message.instances);
 }
 
@@ -464,11 +469,11 @@
   for (size_t i = 0; i < peers->n_nodes; i++)
     lc_membership_free (peers->nodes[i].membership);
   for (size_t i = 0; i < peers->n_events; i++)
-    free (peers->heap[i].message.instances);
+    free (peers->event_heap[i].message.instances);
   gsl_rng_free (peers->rng);
   free (peers->nodes);
   free (peers->connections);
-  free (peers->heap);
+  free (peers->event_heap);
   free (peers);
 }
 
@@ -490,18 +495,18 @@
   peers->nodes[index].state = FAKE_RUNNING;
   lc_membership_add_seed (peers->nodes[index].membership, "0.peer.address", peers->now);
   if (!is_restart)
-    push_event (peers, (Event){ .at = peers->now + random_delay (peers),
+    push_event (peers, (Event){ .at = peers->now + random_one_way_delay (peers),
                                 .type = EVENT_TICK,
                                 .node = index });
 }
 
 static void
-reset_connections (FakePeers *peers, size_t index)
+reset_node_connections (FakePeers *peers, size_t index)
 {
   for (size_t i = 0; i < peers->n_connections; i++)
     {
       const Connection *connection = &peers->connections[i];
-      int side = side_of (connection, index);
+      int side = connection_side_of_node (connection, index);
       if (connection->nodes[side] == index && !connection->closed && connection->links[side])
         close_connection (peers, index, connection->links[side]);
     }
@@ -511,14 +516,14 @@
 fake_peers_set_instance_state (FakePeers *peers, size_t index, FakeState state)
 {
   if (state == FAKE_KILLED)
-    reset_connections (peers, index);
+    reset_node_connections (peers, index);
   peers->nodes[index].state = state;
 }
 
 void
-fake_peers_set_partition_group (FakePeers *peers, size_t index, int group)
+fake_peers_set_partition_group (FakePeers *peers, size_t index, int partition_group)
 {
-  peers->nodes[index].group = group;
+  peers->nodes[index].partition_group = partition_group;
 }
 
 void
@@ -544,7 +549,7 @@
 void
 fake_peers_run_until (FakePeers *peers, LbTime until)
 {
-  while (peers->n_events > 0 && peers->heap[0].at <= until)
+  while (peers->n_events > 0 && peers->event_heap[0].at <= until)
     {
       Event event = pop_event (peers);
       peers->now = event.at;
--- a/packages/core/bench/fake-peers.h
+++ b/packages/core/bench/fake-peers.h
@@ -4,50 +4,52 @@
 #include "lc-membership.h"
 #include "lw-message.h"
 
-/* Simulated instances that run the real LcMembership in virtual time over connections with a delay.
- * For tests and benchmarks. */
+/* A simulated cluster for tests and benchmarks. Each instance runs the real LcMembership in virtual
+ * time; messages between instances arrive after a random delay. */
 typedef struct FakePeers FakePeers;
 
 typedef enum
 {
   FAKE_RUNNING,
-  FAKE_PAUSED,     /* SIGSTOP: the kernel still accepts connections and bytes */
-  FAKE_KILLED,     /* SIGKILL: connections are reset, new ones are refused */
-  FAKE_UNREACHABLE /* machine or network failure: no answer of any kind */
+  FAKE_PAUSED,     /* stopped by SIGSTOP; the kernel still accepts connections and data */
+  FAKE_KILLED,     /* killed by SIGKILL; connections are reset and new ones are refused */
+  FAKE_UNREACHABLE /* lost by a machine or network failure; nothing answers */
 } FakeState;
 
 FakePeers *fake_peers_new (size_t count, const LcMembershipSettings *settings, uint64_t seed);
 void fake_peers_free (FakePeers *peers);
 
-/* commands */
-/* Starts or restarts an instance; its only seed is instance 0. */
+/* Commands: functions that change the state. */
+/* Starts or restarts an instance. The only seed address of the instance is that of instance 0. */
 void fake_peers_start_instance (FakePeers *peers, size_t index);
 void fake_peers_set_instance_state (FakePeers *peers, size_t index, FakeState state);
-/* Messages between instances of different groups are lost. */
-void fake_peers_set_partition_group (FakePeers *peers, size_t index, int group);
-/* Drops everything sent on the connections that are now open between the two. */
+/* Assigns the instance to a group. Messages between instances of different groups are lost. */
+void fake_peers_set_partition_group (FakePeers *peers, size_t index, int partition_group);
+/* Drops all messages between two instances on the connections that are open now, and only there. */
 void fake_peers_drop_on_open_links (FakePeers *peers, size_t a, size_t b);
-/* Drops everything between the two, on open and new connections. */
+/* Drops all messages between two instances, on open and on new connections. */
 void fake_peers_partition_pair (FakePeers *peers, size_t a, size_t b);
-/* Carries out and frees the actions of an instance. */
+/* Executes the actions that the membership of an instance has appended, and frees them. */
 void fake_peers_execute_actions (FakePeers *peers, size_t index, LbList *actions);
 void fake_peers_run_until (FakePeers *peers, LbTime until);
 void fake_peers_reset_traffic_bytes (FakePeers *peers);
 
-/* queries */
+/* Queries: functions that only read the state. */
 LbTime fake_peers_now (const FakePeers *peers);
 LcMembership *fake_peers_membership (const FakePeers *peers, size_t index);
-/* Returns true if observer lists subject as available to callers. */
+/* Returns true if the observer lists the subject as available to callers. */
 bool fake_peers_is_listed (const FakePeers *peers, size_t observer, size_t subject);
+/* Returns the subject's state as known to the observer; LC_INSTANCE_DEAD if it is unknown. */
 LcInstanceState fake_peers_observed_state (const FakePeers *peers, size_t observer, size_t subject);
-/* Counts the running instances that list subject as available to callers. */
+/* Counts the other running instances that list the subject as available to callers. */
 size_t fake_peers_count_observers_listing (const FakePeers *peers, size_t subject);
-/* Counts the running instances that list exactly the running ones. */
+/* Counts the running instances that list all running instances and no others. */
 size_t fake_peers_count_converged (const FakePeers *peers);
-/* Returns the bytes of the encoded frame with TCP and IP headers, and of a segment that
- * acknowledges it unless an answer does. */
+/* Returns the bytes that a message takes on the network: the encoded frame with TCP and IP headers,
+ * and a TCP acknowledgement unless a reply acknowledges the frame. */
 int64_t fake_peers_message_bytes (const LwMessage *message);
-/* Bytes that an instance sent and received, with TCP and IP headers. */
+/* Returns the bytes that an instance has sent and received since the last reset, with TCP and IP
+ * headers. */
 int64_t fake_peers_traffic_bytes (const FakePeers *peers, size_t index);
 
 #endif
