--- a/packages/core/tests/dispatch-fixture.h
+++ b/packages/core/tests/dispatch-fixture.h
@@ -8,7 +8,8 @@
 #include <stdio.h>
 #include <string.h>
 
-/* A dispatch over the pool "reader" and the service "lookup", and the actions it has appended. */
+/* An LcDispatch with the pool "reader" and the service "lookup", and the actions that it has
+ * appended. */
 typedef struct
 {
   LcDispatch *dispatch;
@@ -33,8 +34,8 @@
   LB_COPY (member->address, "127.0.0.1:9");
 }
 
-/* Reports the load of each new endpoint once: endpoints that never reported get no work at
- * first. */
+/* Applies the endpoint set to the dispatch. Reports the load of each new endpoint once, because an
+ * endpoint that has never reported gets no work at first. */
 static inline void
 fixture_configure (Fixture *f)
 {
@@ -51,7 +52,8 @@
     }
 }
 
-/* Adds n_engines engines e1.. of the pool, and s1 and s2 of the service. */
+/* Creates a dispatch with the engines e1, e2, ... in the pool, and with the endpoints s1 and s2 of
+ * the service. */
 static inline void
 fixture_init (Fixture *f, const LcDispatchSettings *settings, int n_engines, int64_t concurrency)
 {
@@ -115,8 +117,8 @@
   return lc_dispatch_submit (f->dispatch, spec, f->now, &f->actions, &f->retry_after, &f->error);
 }
 
-/* Removes the next action of this type for the request from the list; drops all actions before
- * it. */
+/* Removes actions from the list until one of this type for the request is found, and copies it to
+ * *action. Returns false if there is none; all actions are then removed. */
 static inline bool
 fixture_take_action (Fixture *f, LcActionType type, LcRequestId request, LcAction *action)
 {
@@ -140,8 +142,9 @@
 {
   LcAction action = { .type = type };
 
-  cr_assert (fixture_take_action (f, type, request, &action), "no action %d for request %lu",
-             (int)type, (unsigned long)request);
+  cr_assert (fixture_take_action (f, type, request, &action),
+             "expected an action of type %d for request %lu, got none", (int)type,
+             (unsigned long)request);
   return action;
 }
 
--- a/packages/core/tests/fake-engines.h
+++ b/packages/core/tests/fake-engines.h
@@ -8,23 +8,23 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Simulates the engines of one pool, and the node that orders version changes from them and reads
- * their reports, in virtual time. */
+/* Simulates, in virtual time, the engines of one pool and the node that orders them to load weight
+ * versions and polls their reports. */
 
 #define FAKE_TICK_PERIOD (50 * LB_MSEC)
 
 typedef struct
 {
   LbName name;
-  LcVersion version;
-  LcVersion loading;
-  LcVersion failed;
-  LbTime loaded_at;
+  LcVersion version; /* weight version that is served; 0: none */
+  LcVersion loading; /* weight version that is being loaded; 0: none */
+  LcVersion failed;  /* weight version whose load failed last; 0: none */
+  LbTime loaded_at;  /* end of the latest load */
   LbTime next_report;
   int incarnation;
-  int fail_loads; /* number of next loads that fail */
+  int fail_loads; /* number of further loads that fail */
   bool dead;
-  bool ignores_orders; /* accepts orders without carrying them out */
+  bool ignores_orders; /* accepts load orders without executing them */
 } FakeEngine;
 
 typedef struct
@@ -35,13 +35,13 @@
   size_t n;
   LbTime now;
   LbTime load_time;
-  LbTime load_jitter;            /* largest additional load time; engine i takes i/n of it */
-  LbTime swapping_report_period; /* between reports of an engine that changes its version */
-  LbTime period;                 /* between reports of other engines */
-  LbTime first_report_limit;     /* of the next lease holder; 0: the default */
+  LbTime load_jitter;            /* engine i of n needs i/n of this time in addition to load_time */
+  LbTime swapping_report_period; /* time between two reports of an engine that swaps its weights */
+  LbTime period;                 /* time between two reports of any other engine */
+  LbTime first_report_limit;     /* first_report_timeout of the next lease holder; 0: the default */
   bool can_order_fenced;
   bool can_order_unfenced;
-  size_t orders;
+  size_t orders;           /* number of load orders sent to engines */
   size_t most_unavailable; /* largest number of engines that were unavailable at the same time */
   size_t most_loading;     /* largest number of engines that were loading at the same time */
 } FakePool;
@@ -89,7 +89,8 @@
   free (pool->engines);
 }
 
-/* Moves the lease to another instance, which knows only what the engines report. */
+/* Moves the lease to another instance. The new holder knows the newest version, but learns the
+ * state of the engines only from their reports. */
 static inline void
 fake_pool_move_lease (FakePool *pool, LcVersion newest)
 {
@@ -125,6 +126,7 @@
     free (LB_CONTAINER (link, LcWeightsAction, link));
 }
 
+/* Ticks the lease holder's LcWeights and executes the load orders that it sends. */
 static inline void
 fake_pool_execute_orders (FakePool *pool)
 {
@@ -149,7 +151,7 @@
 }
 
 static inline void
-fake_engine_step (FakePool *pool, FakeEngine *engine)
+fake_engine_finish_load_and_report (FakePool *pool, FakeEngine *engine)
 {
   LbList actions;
   LcWeightReport report = { .requested_at = pool->now };
@@ -175,7 +177,7 @@
 }
 
 static inline void
-fake_pool_measure (FakePool *pool)
+fake_pool_update_maxima (FakePool *pool)
 {
   size_t out = 0, swapping = 0;
 
@@ -194,9 +196,9 @@
   for (LbTime until = pool->now + duration; pool->now < until; pool->now += FAKE_TICK_PERIOD)
     {
       for (size_t i = 0; i < pool->n; i++)
-        fake_engine_step (pool, &pool->engines[i]);
+        fake_engine_finish_load_and_report (pool, &pool->engines[i]);
       fake_pool_execute_orders (pool);
-      fake_pool_measure (pool);
+      fake_pool_update_maxima (pool);
     }
 }
 
@@ -210,8 +212,8 @@
   return n;
 }
 
-/* Runs until all engines except dead ones serve the version, at most for limit; returns the time
- * that it took. */
+/* Runs until all engines that are not dead serve the version, for at most `limit`. Returns the
+ * elapsed virtual time. */
 static inline LbTime
 fake_pool_run_until_rolled_out (FakePool *pool, LcVersion version, LbTime limit)
 {
--- a/packages/core/tests/test-dispatch-answers.c
+++ b/packages/core/tests/test-dispatch-answers.c
@@ -3,30 +3,31 @@
 static const LcDispatchSettings settings
     = { .max_report_age = LB_TIME_NEVER, .queue_limit = 100, .retry_budget = 0.2, .seed = 1 };
 
-static const LcDispatchSettings hedging = { .max_report_age = LB_TIME_NEVER,
-                                            .queue_limit = 100,
-                                            .retry_budget = 0.2,
-                                            .hedge_after = LB_SEC,
-                                            .seed = 1 };
+static const LcDispatchSettings hedging_settings = { .max_report_age = LB_TIME_NEVER,
+                                                     .queue_limit = 100,
+                                                     .retry_budget = 0.2,
+                                                     .hedge_after = LB_SEC,
+                                                     .seed = 1 };
 
 /* Submits a request and returns its first attempt. */
 static LcAction
-start_call (Fixture *f, LcRequestSpec *spec)
+submit_and_take_first_attempt (Fixture *f, LcRequestSpec *spec)
 {
   cr_assert (fixture_submit (f, spec));
   return fixture_expect_action (f, LC_ACTION_SEND, spec->id);
 }
 
-/* Returns the next attempt after a failure, once the retry delay is over. */
+/* Advances the time past the retry delay and returns the next attempt of the request. */
 static LcAction
-take_next_attempt (Fixture *f, const LcRequestSpec *spec)
+take_retry_attempt (Fixture *f, const LcRequestSpec *spec)
 {
   fixture_tick_at (f, f->now + 3 * LB_SEC);
   return fixture_expect_action (f, LC_ACTION_SEND, spec->id);
 }
 
-/* The connection of the first attempt breaks before the first piece, and a second attempt starts
- * elsewhere. Buffered pieces of the first arrive later; forwarding them would mix two answers. */
+/* The connection of the first attempt breaks before its first piece, and a second attempt starts at
+ * another engine. Buffered pieces of the first attempt arrive later. Forwarding them would mix two
+ * answers. */
 Test (answers, late_pieces_of_an_earlier_attempt_are_dropped)
 {
   Fixture f;
@@ -34,11 +35,11 @@
   fixture_init (&f, &settings, 2, 4);
 
   LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
-  LcAction first = start_call (&f, &spec);
+  LcAction first = submit_and_take_first_attempt (&f, &spec);
 
   fixture_end_attempt (&f, spec.id, 1, LC_END_BROKEN);
 
-  LcAction second = take_next_attempt (&f, &spec);
+  LcAction second = take_retry_attempt (&f, &spec);
 
   cr_assert_eq (second.attempt, 2);
   cr_assert_str_neq (second.endpoint, first.endpoint);
@@ -54,9 +55,9 @@
   fixture_clear (&f);
 }
 
-/* A piece is repeated, and a later one is lost. Forwarded as they come, the answer would repeat or
- * skip tokens unnoticed. The repeat is dropped; at the gap the attempt counts as broken and the
- * answer resumes elsewhere behind the last forwarded token. */
+/* An engine repeats a piece and later skips one. Without a check of the offsets, the answer would
+ * repeat or lack tokens unnoticed. The repeated piece must be dropped. At the gap, the attempt must
+ * count as broken and another engine resume the answer after the last forwarded token. */
 Test (answers, repeated_pieces_are_dropped_and_gaps_break_the_attempt)
 {
   Fixture f;
@@ -65,24 +66,24 @@
 
   LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
 
-  start_call (&f, &spec);
+  submit_and_take_first_attempt (&f, &spec);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 1, 0, 2, false), LC_PIECE_FORWARD);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 1, 0, 2, false), LC_PIECE_DROP);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 1, 2, 1, false), LC_PIECE_FORWARD);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 1, 5, 1, false), LC_PIECE_DROP);
   fixture_expect_action (&f, LC_ACTION_CANCEL, spec.id);
-  cr_assert_eq (take_next_attempt (&f, &spec).resume_at, 3);
+  cr_assert_eq (take_retry_attempt (&f, &spec).resume_at, 3);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 2, 2, 2, false), LC_PIECE_DROP,
                 "a piece that overlaps forwarded tokens was forwarded");
-  cr_assert_eq (take_next_attempt (&f, &spec).resume_at, 3);
+  cr_assert_eq (take_retry_attempt (&f, &spec).resume_at, 3);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 3, 3, 1, true), LC_PIECE_FORWARD);
   fixture_end_attempt (&f, spec.id, 3, LC_END_COMPLETE);
   cr_assert_eq (fixture_expect_action (&f, LC_ACTION_FINISH, spec.id).error, LB_OK);
   fixture_clear (&f);
 }
 
-/* An engine crashes while it streams an answer. Another engine resumes it at the first token not
- * yet forwarded. */
+/* An engine crashes while it streams an answer. Another engine must resume the answer at the first
+ * token that was not forwarded yet. */
 Test (answers, broken_stream_resumes_at_the_last_offset)
 {
   Fixture f;
@@ -90,12 +91,12 @@
   fixture_init (&f, &settings, 2, 4);
 
   LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
-  LcAction first = start_call (&f, &spec);
+  LcAction first = submit_and_take_first_attempt (&f, &spec);
 
   fixture_deliver_piece (&f, spec.id, 1, 0, 5, false);
   fixture_end_attempt (&f, spec.id, 1, LC_END_BROKEN);
 
-  LcAction second = take_next_attempt (&f, &spec);
+  LcAction second = take_retry_attempt (&f, &spec);
 
   cr_assert_eq (second.resume_at, 5);
   cr_assert_str_neq (second.endpoint, first.endpoint);
@@ -105,8 +106,8 @@
   fixture_clear (&f);
 }
 
-/* A broken answer that can't be resumed fails at once as broken: a second generation from the start
- * would not match what the caller has already received. */
+/* A broken stream of a request that can't be resumed must fail at once. A second generation from
+ * the start would not match the tokens that the caller has already received. */
 Test (answers, broken_stream_that_cannot_resume_fails)
 {
   Fixture f;
@@ -116,7 +117,7 @@
   LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
 
   spec.resumable = false;
-  start_call (&f, &spec);
+  submit_and_take_first_attempt (&f, &spec);
   fixture_deliver_piece (&f, spec.id, 1, 0, 5, false);
   fixture_end_attempt (&f, spec.id, 1, LC_END_BROKEN);
 
@@ -127,8 +128,8 @@
   fixture_clear (&f);
 }
 
-/* A connection that closes without the end marker looks like the end of a short answer, but the
- * answer is incomplete. A connection lost after the end marker changes nothing. */
+/* A connection that closes before the end marker must not look like the end of a short answer. The
+ * loss of a connection after the end marker must not fail a complete answer. */
 Test (answers, only_the_end_marker_completes_an_answer)
 {
   Fixture f;
@@ -138,7 +139,7 @@
   LcRequestSpec truncated = fixture_new_spec (&f, LC_KIND_LIVE);
 
   truncated.resumable = false;
-  start_call (&f, &truncated);
+  submit_and_take_first_attempt (&f, &truncated);
   fixture_deliver_piece (&f, truncated.id, 1, 0, 10, false);
   fixture_end_attempt (&f, truncated.id, 1, LC_END_BROKEN);
   cr_assert_eq (fixture_expect_action (&f, LC_ACTION_FINISH, truncated.id).error,
@@ -146,7 +147,7 @@
 
   LcRequestSpec complete = fixture_new_spec (&f, LC_KIND_LIVE);
 
-  start_call (&f, &complete);
+  submit_and_take_first_attempt (&f, &complete);
   fixture_deliver_piece (&f, complete.id, 1, 0, 10, true);
   cr_assert_eq (fixture_deliver_piece (&f, complete.id, 1, 10, 1, false), LC_PIECE_DROP);
   fixture_end_attempt (&f, complete.id, 1, LC_END_BROKEN);
@@ -154,16 +155,16 @@
   fixture_clear (&f);
 }
 
-/* A slow attempt is hedged, then both attempts start to answer. The caller must receive one of the
- * answers, not pieces of both. */
+/* A slow attempt is hedged, then both attempts start to answer. The caller must receive the pieces
+ * of one attempt only. */
 Test (answers, only_the_first_attempt_to_answer_is_forwarded)
 {
   Fixture f;
 
-  fixture_init (&f, &hedging, 2, 4);
+  fixture_init (&f, &hedging_settings, 2, 4);
 
   LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
-  LcAction first = start_call (&f, &spec);
+  LcAction first = submit_and_take_first_attempt (&f, &spec);
 
   fixture_tick_at (&f, f.now + 2 * LB_SEC);
 
@@ -180,18 +181,18 @@
   fixture_clear (&f);
 }
 
-/* Two attempts of a buffered request both collect pieces. The first complete one is the answer and
- * names its attempt; the other is cancelled. */
+/* Pieces of two attempts of a buffered request are collected. The final result must name the
+ * attempt that is complete first, and the other attempt is cancelled. */
 Test (answers, first_complete_buffered_attempt_wins)
 {
   Fixture f;
 
-  fixture_init (&f, &hedging, 2, 4);
+  fixture_init (&f, &hedging_settings, 2, 4);
 
   LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
 
   spec.delivery = LC_DELIVER_BUFFERED;
-  start_call (&f, &spec);
+  submit_and_take_first_attempt (&f, &spec);
   fixture_tick_at (&f, f.now + 2 * LB_SEC);
   fixture_expect_action (&f, LC_ACTION_SEND, spec.id);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 1, 0, 3, false), LC_PIECE_FORWARD);
@@ -208,8 +209,8 @@
   fixture_clear (&f);
 }
 
-/* At the deadline of a running answer its caller gets the failure at once and the engine is
- * freed. */
+/* At the deadline of a running request, the caller gets the failure at once, and the attempt is
+ * cancelled, which frees the engine. */
 Test (answers, deadline_ends_a_running_answer)
 {
   Fixture f;
@@ -219,7 +220,7 @@
   LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
 
   spec.deadline = f.now + 5 * LB_SEC;
-  start_call (&f, &spec);
+  submit_and_take_first_attempt (&f, &spec);
   fixture_deliver_piece (&f, spec.id, 1, 0, 1, false);
   cr_assert_eq (lc_dispatch_next_tick (f.dispatch), spec.deadline);
   fixture_tick_at (&f, spec.deadline);
@@ -229,14 +230,14 @@
   fixture_clear (&f);
 }
 
-/* An engine crashes with fifteen streams that have already forwarded pieces, while another engine
- * is free. If resumes were charged like retries, the budget would be gone after three and twelve
- * callers would keep half an answer. */
+/* An engine crashes during about fifteen streams of which pieces were forwarded, while another
+ * engine has capacity. If resumed streams were charged to the retry budget like retries, the budget
+ * would be exhausted after three, and twelve callers would be left with half an answer. */
 Test (answers, all_streams_of_a_crashed_engine_resume)
 {
   Fixture f;
   LcRequestSpec specs[30];
-  int moved = 0;
+  int n_resumed = 0;
 
   fixture_init (&f, &settings, 2, 30);
   for (int i = 0; i < 30; i++)
@@ -258,27 +259,27 @@
   LB_LIST_FOREACH (&f.actions, LcAction, link, action)
   {
     cr_assert_neq (action->type, LC_ACTION_FINISH);
-    moved += action->type == LC_ACTION_SEND && strcmp (action->endpoint, "e2") == 0
-             && action->resume_at == 5;
+    n_resumed += action->type == LC_ACTION_SEND && strcmp (action->endpoint, "e2") == 0
+                 && action->resume_at == 5;
   }
   int expected = 0;
   for (int i = 0; i < 30; i++)
     expected += on_first[i];
   cr_assert_geq (expected, 10);
-  cr_assert_eq (moved, expected);
+  cr_assert_eq (n_resumed, expected);
   fixture_clear (&f);
 }
 
-/* If a submitter counts endpoint failures itself, each failure must be final. With retries by the
- * dispatch, an item would run more often than its route allows. */
+/* If a submitter counts endpoint failures itself, each failure must be final. If the dispatch
+ * retried too, an item would run more often than its route allows. */
 Test (dispatch_answers, a_failure_is_final_for_a_submitter_that_counts_failures)
 {
   Fixture f;
   LcAction send;
   LcAction finish;
-  const LcDispatchSettings generous = { .retry_budget = 1, .seed = 1 };
+  const LcDispatchSettings large_retry_budget = { .retry_budget = 1, .seed = 1 };
 
-  fixture_init (&f, &generous, 2, 4);
+  fixture_init (&f, &large_retry_budget, 2, 4);
   LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_SAMPLE);
   spec.failure_is_final = true;
   cr_assert (fixture_submit (&f, &spec));
@@ -290,15 +291,15 @@
   fixture_clear (&f);
 }
 
-/* An engine replies that the request can never succeed: no other engine is tried. */
+/* If an engine replies that a request can never succeed, no other engine is tried. */
 Test (dispatch_answers, a_rejection_is_final)
 {
   Fixture f;
   LcAction send;
   LcAction finish;
-  const LcDispatchSettings generous = { .retry_budget = 1, .seed = 1 };
+  const LcDispatchSettings large_retry_budget = { .retry_budget = 1, .seed = 1 };
 
-  fixture_init (&f, &generous, 2, 4);
+  fixture_init (&f, &large_retry_budget, 2, 4);
   LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_SAMPLE);
   cr_assert (fixture_submit (&f, &spec));
   cr_assert (fixture_take_action (&f, LC_ACTION_SEND, spec.id, &send));
@@ -309,15 +310,16 @@
   fixture_clear (&f);
 }
 
-/* The route allows two attempts: there must be no third, however many retries the budgets allow. */
+/* The route allows two attempts. There must be no third attempt, even if the retry budget has room.
+ */
 Test (dispatch_answers, no_more_attempts_than_the_request_allows)
 {
   Fixture f;
   LcAction action;
-  const LcDispatchSettings generous = { .retry_budget = 10, .seed = 1 };
+  const LcDispatchSettings large_retry_budget = { .retry_budget = 10, .seed = 1 };
   int sent = 0;
 
-  fixture_init (&f, &generous, 4, 4);
+  fixture_init (&f, &large_retry_budget, 4, 4);
   LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_SAMPLE);
   spec.max_attempts = 2;
   cr_assert (fixture_submit (&f, &spec));
@@ -336,16 +338,16 @@
   fixture_clear (&f);
 }
 
-/* A service endpoint never answers. Without a hedge the caller waited until its deadline; after
- * hedge_after, the call is sent to a second endpoint too. */
+/* A service endpoint never answers. Without a hedge, the caller waited until its deadline. The call
+ * must be sent to a second endpoint after the hedge_after of the request. */
 Test (dispatch_answers, a_repeatable_service_call_is_hedged_after_its_own_delay)
 {
   Fixture f;
   LcAction first;
   LcAction second;
-  const LcDispatchSettings generous = { .retry_budget = 1, .seed = 1 };
+  const LcDispatchSettings large_retry_budget = { .retry_budget = 1, .seed = 1 };
 
-  fixture_init (&f, &generous, 1, 4);
+  fixture_init (&f, &large_retry_budget, 1, 4);
   LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_SERVICE);
   spec.hedge_after = 100 * LB_MSEC;
   spec.max_attempts = 2;
@@ -364,18 +366,18 @@
   fixture_clear (&f);
 }
 
-/* One service endpoint is unresponsive and one unreachable. The first attempt hangs at the former
- * and the hedge can't connect to the latter. If that used up the hedge, the caller would wait until
- * its deadline although the third endpoint is idle. */
+/* The first attempt hangs at an unresponsive service endpoint, and the hedge can't connect to an
+ * unreachable one. If the failed connection used up the hedge, the caller would wait until its
+ * deadline although a third endpoint is idle. */
 Test (dispatch_answers, a_hedge_that_could_not_connect_is_retried_elsewhere)
 {
   Fixture f;
   LcAction first;
   LcAction second;
   LcAction third;
-  const LcDispatchSettings generous = { .retry_budget = 1, .seed = 1 };
+  const LcDispatchSettings large_retry_budget = { .retry_budget = 1, .seed = 1 };
 
-  fixture_init (&f, &generous, 1, 4);
+  fixture_init (&f, &large_retry_budget, 1, 4);
   fixture_add_endpoint (&f, "s3", LC_ENDPOINT_SERVICE, "lookup", 4);
   fixture_configure (&f);
   LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_SERVICE);
@@ -400,7 +402,7 @@
 }
 
 static LcRequestSpec
-sample_spec (Fixture *f)
+new_hedged_sample_spec (Fixture *f)
 {
   LcRequestSpec spec = fixture_new_spec (f, LC_KIND_SAMPLE);
 
@@ -409,9 +411,10 @@
   return spec;
 }
 
-/* Removes the next SEND of any request; drops all actions before it. */
+/* Removes actions from the list until one is a SEND, and copies the SEND to *action. Returns false
+ * if there is none. */
 static bool
-take_send (Fixture *f, LcAction *action)
+take_next_send_action (Fixture *f, LcAction *action)
 {
   LbLink *link = NULL;
   bool found = false;
@@ -426,15 +429,14 @@
   return found;
 }
 
-/* Advances the time with ticks at the interval of a running instance. */
+/* Advances the time with a tick every 20 ms, as in a running instance. */
 static void
-run_for (Fixture *f, LbTime time)
+advance_time_by (Fixture *f, LbTime time)
 {
   for (LbTime end = f->now + time; f->now < end;)
     fixture_tick_at (f, f->now + 20 * LB_MSEC);
 }
 
-/* Delivers the first piece. */
 static void
 deliver_first_piece (Fixture *f, const LcAction *sent)
 {
@@ -444,13 +446,13 @@
 
 /* Submits n samples and returns how many of them were sent to the engine. */
 static int
-send_samples (Fixture *f, LcAction *sent, int n, const char *engine)
+submit_samples (Fixture *f, LcAction *sent, int n, const char *engine)
 {
   int count = 0;
 
   for (int i = 0; i < n; i++)
     {
-      LcRequestSpec spec = sample_spec (f);
+      LcRequestSpec spec = new_hedged_sample_spec (f);
       cr_assert (fixture_submit (f, &spec));
       cr_assert (fixture_take_action (f, LC_ACTION_SEND, spec.id, &sent[i]));
       count += strcmp (sent[i].endpoint, engine) == 0;
@@ -458,10 +460,10 @@
   return count;
 }
 
-/* An engine becomes unresponsive just before a step's samples are sent: it accepts them and never
- * answers. The trainer waited for 2 of the step's 8 s until these streams counted as broken, and
- * the engine, which then looked the emptiest, got further samples. */
-Test (dispatch_answers, texts_at_an_engine_gone_dark_go_on_elsewhere)
+/* An engine becomes unresponsive just before the samples of a step are sent: it accepts samples and
+ * never answers. The trainer waited 2 s of a step of 8 s until these streams counted as broken. The
+ * engine then looked the least loaded and got further samples. */
+Test (dispatch_answers, samples_at_an_unresponsive_engine_are_hedged_elsewhere)
 {
   LcAction sent[12];
   LcAction second;
@@ -470,15 +472,15 @@
   fixture_init (&f, &settings, 3, 6);
   f.pool.live_reserve = 0;
   fixture_configure (&f);
-  int n_hung = send_samples (&f, sent, 12, "e1");
+  int n_hung = submit_samples (&f, sent, 12, "e1");
   cr_assert_gt (n_hung, 3);
   f.now += 100 * LB_MSEC;
   for (int i = 0; i < 12; i++)
     if (strcmp (sent[i].endpoint, "e1") != 0)
       deliver_first_piece (&f, &sent[i]);
-  run_for (&f, 520 * LB_MSEC);
+  advance_time_by (&f, 520 * LB_MSEC);
   int hedged = 0;
-  while (take_send (&f, &second))
+  while (take_next_send_action (&f, &second))
     {
       cr_assert_str_neq (second.endpoint, "e1");
       deliver_first_piece (&f, &second);
@@ -491,8 +493,9 @@
   fixture_clear (&f);
 }
 
-/* All other engines are full when a sample's hedge is due, and one has capacity a moment later. The
- * sample was not sent there, since its only hedge had been used up without being placed. */
+/* All other engines are full when the hedge of a sample is due; one of them has capacity a moment
+ * later. The sample was not sent to that engine, because its only hedge counted as used although no
+ * engine had been found for it. */
 Test (dispatch_answers, a_hedge_without_an_endpoint_is_tried_again)
 {
   LcAction sent[4];
@@ -500,23 +503,23 @@
   Fixture f;
 
   fixture_init (&f, &settings, 2, 2);
-  send_samples (&f, sent, 4, "e1");
+  submit_samples (&f, sent, 4, "e1");
   f.now += 100 * LB_MSEC;
   for (int i = 1; i < 4; i++)
     deliver_first_piece (&f, &sent[i]);
-  run_for (&f, 520 * LB_MSEC);
-  cr_assert_not (take_send (&f, &second));
+  advance_time_by (&f, 520 * LB_MSEC);
+  cr_assert_not (take_next_send_action (&f, &second));
   for (int i = 1; i < 4; i++)
     if (strcmp (sent[i].endpoint, sent[0].endpoint) != 0)
       lc_dispatch_record_attempt_end (f.dispatch, sent[i].request, sent[i].attempt, LC_END_COMPLETE,
                                       f.now, &f.actions);
-  run_for (&f, 120 * LB_MSEC);
-  cr_assert (take_send (&f, &second));
+  advance_time_by (&f, 120 * LB_MSEC);
+  cr_assert (take_next_send_action (&f, &second));
   fixture_clear (&f);
 }
 
-/* After a one-second pause of this instance all its samples seem to be silent. Each of them was
- * sent twice, although their first pieces were waiting to be read. */
+/* After this instance was paused for 2 s, all its samples seem to be silent. Each sample was
+ * hedged, although its first piece was waiting to be read. */
 Test (dispatch_answers, a_pause_of_this_instance_causes_no_hedges)
 {
   LcAction sent[4];
@@ -524,21 +527,21 @@
   Fixture f;
 
   fixture_init (&f, &settings, 3, 6);
-  send_samples (&f, sent, 4, "e1");
+  submit_samples (&f, sent, 4, "e1");
   f.now += 2 * LB_SEC;
   lc_dispatch_tick (f.dispatch, f.now, &f.actions);
   for (int i = 0; i < 4; i++)
     {
-      cr_assert_not (take_send (&f, &second));
+      cr_assert_not (take_next_send_action (&f, &second));
       deliver_first_piece (&f, &sent[i]);
     }
-  run_for (&f, LB_SEC);
+  advance_time_by (&f, LB_SEC);
   cr_assert (lb_list_is_empty (&f.actions));
   fixture_clear (&f);
 }
 
-/* All engines are slow to start: a sample is hedged only once it takes several times the usual
- * time. */
+/* All engines are slow to send a first piece. A sample is hedged only after several times the usual
+ * time to the first piece. */
 Test (dispatch_answers, samples_of_slow_engines_are_hedged_late)
 {
   LcAction sent[8];
@@ -546,13 +549,13 @@
   Fixture f;
 
   fixture_init (&f, &settings, 3, 6);
-  send_samples (&f, sent, 8, "e1");
+  submit_samples (&f, sent, 8, "e1");
   f.now += 500 * LB_MSEC;
   for (int i = 0; i < 7; i++)
     deliver_first_piece (&f, &sent[i]);
-  run_for (&f, LB_SEC);
-  cr_assert_not (take_send (&f, &second));
-  run_for (&f, LB_SEC);
-  cr_assert (take_send (&f, &second));
+  advance_time_by (&f, LB_SEC);
+  cr_assert_not (take_next_send_action (&f, &second));
+  advance_time_by (&f, LB_SEC);
+  cr_assert (take_next_send_action (&f, &second));
   fixture_clear (&f);
 }
--- a/packages/core/tests/test-dispatch-invariants.c
+++ b/packages/core/tests/test-dispatch-invariants.c
@@ -1,14 +1,14 @@
 #include "dispatch-fixture.h"
 #include "lc-dispatch-private.h"
 
-/* Each invariant is checked right before the action that could violate it. These tests inject a
- * fault ahead of the check: the check must suppress this one action, and all else must continue. */
+/* The dispatch checks each invariant right before the action that could violate it. These tests
+ * inject a fault before the check. The check must suppress the faulty action and nothing else. */
 
 static const LcDispatchSettings settings
     = { .max_report_age = LB_TIME_NEVER, .queue_limit = 100, .retry_budget = 0.2, .seed = 1 };
 
 static LcRequest *
-find_request (Fixture *f, LcRequestId id)
+find_dispatch_request (Fixture *f, LcRequestId id)
 {
   LcRequest *request = NULL;
 
@@ -16,9 +16,10 @@
   return request;
 }
 
-/* Expects exactly one violation and resets the count, since the fixture allows none. */
+/* Expects one counted violation and resets the count, because fixture_clear expects no violation.
+ */
 static void
-expect_one_violation (Fixture *f)
+expect_one_violation_and_reset (Fixture *f)
 {
   cr_assert_eq (lc_dispatch_count_invariant_failures (f->dispatch), 1);
   f->dispatch->invariant_failures = 0;
@@ -40,8 +41,8 @@
 
 static const LcRouterClass faulty_policy = { .name = "faulty", .choose = choose_first_endpoint };
 
-/* A faulty routing policy chooses a leaving engine. The check before sending catches it: this
- * request fails, the violation is counted, and other requests continue. */
+/* A faulty routing policy chooses a leaving engine. The check before the send fails the request and
+ * counts a violation; other requests continue. */
 Test (invariant, leaving_endpoint_of_faulty_policy_is_caught)
 {
   Fixture f;
@@ -58,7 +59,7 @@
   cr_assert (fixture_submit (&f, &spec));
   cr_assert_eq (f.actions.length, 1);
   cr_assert_eq (fixture_expect_action (&f, LC_ACTION_FINISH, spec.id).error, LB_ERROR_INVARIANT);
-  expect_one_violation (&f);
+  expect_one_violation_and_reset (&f);
   cr_assert (fixture_submit (&f, &other));
   fixture_expect_action (&f, LC_ACTION_SEND, other.id);
   f.dispatch->router = working_router;
@@ -80,16 +81,16 @@
   order.repeatable = false;
   cr_assert (fixture_submit (&f, &running));
   cr_assert (fixture_submit (&f, &order));
-  find_request (&f, order.id)->may_have_run = true;
+  find_dispatch_request (&f, order.id)->may_have_run = true;
   fixture_end_attempt (&f, running.id, 1, LC_END_COMPLETE);
   cr_assert_not (fixture_take_action (&f, LC_ACTION_SEND, order.id, &action));
   cr_assert_eq (lc_dispatch_count_in_progress (f.dispatch), 0);
-  expect_one_violation (&f);
+  expect_one_violation_and_reset (&f);
   fixture_clear (&f);
 }
 
-/* Because of a fault, a call that may have run fails with a "not run" error. Its caller would
- * submit it again. */
+/* Because of a fault, a call that may have run is about to fail with a "not run" error, after which
+ * the caller would submit the call again. */
 Test (invariant, false_not_run_error_is_caught)
 {
   Fixture f;
@@ -99,15 +100,15 @@
   LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
 
   cr_assert (fixture_submit (&f, &spec));
-  lc_dispatch_fail_request (f.dispatch, find_request (&f, spec.id), LB_ERROR_OVERLOADED, 0, f.now,
-                            &f.actions);
+  lc_dispatch_fail_request (f.dispatch, find_dispatch_request (&f, spec.id), LB_ERROR_OVERLOADED, 0,
+                            f.now, &f.actions);
   cr_assert_eq (fixture_expect_action (&f, LC_ACTION_FINISH, spec.id).error,
                 LB_ERROR_OUTCOME_UNKNOWN);
-  expect_one_violation (&f);
+  expect_one_violation_and_reset (&f);
   fixture_clear (&f);
 }
 
-/* Because of a fault, the count of forwarded tokens is wrong. The next piece would leave a gap in
+/* Because of a fault, the count of forwarded tokens is too low. The next piece would leave a gap in
  * the answer. */
 Test (invariant, gap_in_an_answer_is_caught)
 {
@@ -119,25 +120,26 @@
 
   cr_assert (fixture_submit (&f, &spec));
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 1, 0, 2, false), LC_PIECE_FORWARD);
-  find_request (&f, spec.id)->next_token = 1;
+  find_dispatch_request (&f, spec.id)->next_token = 1;
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 1, 2, 2, false), LC_PIECE_DROP);
   cr_assert_eq (fixture_expect_action (&f, LC_ACTION_FINISH, spec.id).error,
                 LB_ERROR_STREAM_BROKEN);
-  expect_one_violation (&f);
+  expect_one_violation_and_reset (&f);
 
   LcRequestSpec last = fixture_new_spec (&f, LC_KIND_LIVE);
 
   cr_assert (fixture_submit (&f, &last));
   cr_assert_eq (fixture_deliver_piece (&f, last.id, 1, 0, 2, true), LC_PIECE_FORWARD);
-  find_request (&f, last.id)->next_token = 1;
+  find_dispatch_request (&f, last.id)->next_token = 1;
   fixture_end_attempt (&f, last.id, 1, LC_END_COMPLETE);
   cr_assert_eq (fixture_expect_action (&f, LC_ACTION_FINISH, last.id).error,
                 LB_ERROR_STREAM_BROKEN);
-  expect_one_violation (&f);
+  expect_one_violation_and_reset (&f);
   fixture_clear (&f);
 }
 
-/* Because of a fault, a configuration change fails a running request. */
+/* Because of a fault, a configuration change tries to fail a running request. The request must
+ * continue. */
 Test (invariant, cancel_by_configuration_change_is_caught)
 {
   Fixture f;
@@ -149,11 +151,11 @@
   cr_assert (fixture_submit (&f, &spec));
   fixture_drop_actions (&f);
   f.dispatch->forbid_cancel = true;
-  lc_dispatch_fail_request (f.dispatch, find_request (&f, spec.id), LB_ERROR_DEADLINE, 0, f.now,
-                            &f.actions);
+  lc_dispatch_fail_request (f.dispatch, find_dispatch_request (&f, spec.id), LB_ERROR_DEADLINE, 0,
+                            f.now, &f.actions);
   f.dispatch->forbid_cancel = false;
   cr_assert (lb_list_is_empty (&f.actions));
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 1, 0, 2, true), LC_PIECE_FORWARD);
-  expect_one_violation (&f);
+  expect_one_violation_and_reset (&f);
   fixture_clear (&f);
 }
--- a/packages/core/tests/test-dispatch-leaving.c
+++ b/packages/core/tests/test-dispatch-leaving.c
@@ -7,14 +7,14 @@
                                              .seed = 1 };
 
 static void
-mark_leaving (Fixture *f, const char *endpoint)
+mark_endpoint_leaving (Fixture *f, const char *endpoint)
 {
   lc_dispatch_mark_leaving (f->dispatch, endpoint, "", LC_LEAVING_PLATFORM, f->now, &f->actions);
 }
 
 /* Counts the attempts sent to the endpoint among the pending actions. */
 static int
-count_sends (Fixture *f, const char *endpoint)
+count_sends_to (Fixture *f, const char *endpoint)
 {
   int n_sends = 0;
 
@@ -25,8 +25,8 @@
   return n_sends;
 }
 
-/* After e2 is marked as leaving, queued calls, a retry, a hedge and a resumed stream all look for
- * an endpoint. Each would be new work for e2, which would be shut down under it. */
+/* After engine e2 is marked as leaving, an endpoint is needed for queued calls, a retry, a hedge
+ * and a resumed stream. None of these may go to e2, which would shut down before they end. */
 Test (leaving, leaving_endpoint_gets_no_new_work_of_any_kind)
 {
   Fixture f;
@@ -40,7 +40,7 @@
       specs[i] = fixture_new_spec (&f, LC_KIND_LIVE);
       cr_assert (fixture_submit (&f, &specs[i]));
     }
-  mark_leaving (&f, "e2");
+  mark_endpoint_leaving (&f, "e2");
   fixture_drop_actions (&f);
   fixture_deliver_piece (&f, specs[0].id, 1, 0, 3, false);
   fixture_end_attempt (&f, specs[0].id, 1, LC_END_BROKEN);
@@ -51,14 +51,15 @@
       for (int n = 0; n < 8; n++)
         fixture_end_attempt (&f, specs[n].id, 1 + (n < 2), LC_END_COMPLETE);
     }
-  cr_assert_eq (count_sends (&f, "e2"), 0);
-  cr_assert_eq (count_sends (&f, "e1"), 6);
+  cr_assert_eq (count_sends_to (&f, "e2"), 0);
+  cr_assert_eq (count_sends_to (&f, "e1"), 6);
   cr_assert_eq (lc_dispatch_count_in_progress (f.dispatch), 0);
   fixture_clear (&f);
 }
 
-/* An engine refuses a call because it is leaving, before any other notice. The call goes to another
- * engine at once without a charge to its caller's budget, and nothing else is sent to the first. */
+/* An engine refuses a call because the engine is leaving; no notice came before. The call goes to
+ * another engine at once, without a charge to the caller's retry budget. The leaving engine gets no
+ * further calls. */
 Test (leaving, refusal_as_leaving_marks_the_endpoint)
 {
   Fixture f;
@@ -80,12 +81,12 @@
 
       cr_assert (fixture_submit (&f, &next));
     }
-  cr_assert_eq (count_sends (&f, first.endpoint), 0);
+  cr_assert_eq (count_sends_to (&f, first.endpoint), 0);
   fixture_clear (&f);
 }
 
-/* The last engine of a pool leaves while calls wait for it. They must fail as "not run" at once
- * instead of waiting until their deadlines. */
+/* The last engine of a pool leaves while a call is queued. The call must fail as "not run" at once
+ * instead of waiting until its deadline. */
 Test (leaving, calls_of_a_pool_without_endpoints_fail_at_once)
 {
   Fixture f;
@@ -97,7 +98,7 @@
 
   cr_assert (fixture_submit (&f, &running));
   cr_assert (fixture_submit (&f, &waiting));
-  mark_leaving (&f, "e1");
+  mark_endpoint_leaving (&f, "e1");
 
   LcAction finish = fixture_expect_action (&f, LC_ACTION_FINISH, waiting.id);
 
@@ -170,9 +171,9 @@
   fixture_clear (&f);
 }
 
-/* An engine accepts calls and never answers, with its connections open. Each call ends when
- * this instance cancels it at its deadline, so without special handling no failure would be
- * recorded and every call sent there would be lost. */
+/* An engine accepts calls, keeps the connections open and never answers. Each call ends when this
+ * instance cancels it at its deadline. Unless that counts as a failure of the engine, the circuit
+ * breaker stays closed and every call sent to the engine is lost. */
 Test (leaving, unresponsive_endpoint_opens_its_breaker)
 {
   Fixture f;
@@ -196,7 +197,7 @@
 }
 
 static void
-report_load (Fixture *f, const char *endpoint, bool leaving)
+report_endpoint_load (Fixture *f, const char *endpoint, bool leaving)
 {
   LcLoadReport load
       = { .incarnation = "1", .version = 1, .leaving = leaving, .measured_at = f->now };
@@ -204,19 +205,19 @@
   lc_dispatch_record_load (f->dispatch, endpoint, &load, f->now, &f->actions);
 }
 
-static const LcDispatchSettings default_report_age
+static const LcDispatchSettings settings_with_default_report_age
     = { .queue_limit = 100, .retry_budget = 0.2, .max_report_age = 0, .seed = 1 };
 
-/* An instance is paused for 5 s while e1 begins to leave. On its return a call is waiting, and its
- * outdated reports show e1 as available. */
+/* An instance is paused for 5 s while engine e1 begins to leave. When the instance resumes, its
+ * stale load reports show e1 as available. New calls must wait for new reports. */
 Test (leaving, paused_instance_waits_for_new_reports)
 {
   Fixture f;
   LcAction action;
 
-  fixture_init (&f, &default_report_age, 2, 4);
-  report_load (&f, "e1", false);
-  report_load (&f, "e2", false);
+  fixture_init (&f, &settings_with_default_report_age, 2, 4);
+  report_endpoint_load (&f, "e1", false);
+  report_endpoint_load (&f, "e2", false);
   f.now += 5 * LB_SEC;
 
   LcRequestSpec specs[2];
@@ -227,27 +228,27 @@
       cr_assert (fixture_submit (&f, &specs[i]));
     }
   cr_assert (lb_list_is_empty (&f.actions));
-  report_load (&f, "e1", true);
-  report_load (&f, "e2", false);
-  cr_assert_eq (count_sends (&f, "e1"), 0);
-  cr_assert_eq (count_sends (&f, "e2"), 2);
+  report_endpoint_load (&f, "e1", true);
+  report_endpoint_load (&f, "e2", false);
+  cr_assert_eq (count_sends_to (&f, "e1"), 0);
+  cr_assert_eq (count_sends_to (&f, "e2"), 2);
   cr_assert_not (fixture_take_action (&f, LC_ACTION_FINISH, specs[0].id, &action));
   fixture_clear (&f);
 }
 
-/* Only the path to e1 is lost, so its reports stop: calls go to e2, whose reports are current. When
- * e2 stops reporting too, calls are held briefly and then sent all the same, since endpoints that
+/* The network path to engine e1 is lost, so its reports become stale and calls go to e2. When e2
+ * stops reporting too, a call is held for a short time and then sent anyway, because endpoints that
  * don't report their load must not block a pool. */
 Test (leaving, endpoint_with_outdated_report_is_used_last)
 {
   Fixture f;
 
-  fixture_init (&f, &default_report_age, 2, 10);
-  report_load (&f, "e1", false);
+  fixture_init (&f, &settings_with_default_report_age, 2, 10);
+  report_endpoint_load (&f, "e1", false);
   for (int i = 0; i < 5; i++)
     {
       f.now += LB_SEC;
-      report_load (&f, "e2", false);
+      report_endpoint_load (&f, "e2", false);
     }
   for (int i = 0; i < 4; i++)
     {
@@ -255,7 +256,7 @@
 
       cr_assert (fixture_submit (&f, &spec));
     }
-  cr_assert_eq (count_sends (&f, "e2"), 4);
+  cr_assert_eq (count_sends_to (&f, "e2"), 4);
   fixture_drop_actions (&f);
   f.now += 10 * LB_SEC;
 
@@ -268,17 +269,17 @@
   fixture_clear (&f);
 }
 
-/* The report of e1 is outdated and e2 is full: calls wait for e2 instead of going to e1 on an
- * outdated report, or to e3, which was just added and has not reported yet. */
+/* The load report of engine e1 is stale, e2 is full, and e3 was just added and has not reported
+ * yet. Calls must wait for e2. */
 Test (leaving, no_outdated_report_is_used_while_another_is_current)
 {
   Fixture f;
 
-  fixture_init (&f, &default_report_age, 2, 1);
+  fixture_init (&f, &settings_with_default_report_age, 2, 1);
   for (int i = 0; i < 5; i++)
     {
       f.now += LB_SEC;
-      report_load (&f, "e2", false);
+      report_endpoint_load (&f, "e2", false);
     }
   fixture_add_endpoint (&f, "e3", LC_ENDPOINT_ENGINE, "reader", 1);
   lc_dispatch_configure (f.dispatch, &f.set, f.now, &f.actions);
@@ -291,25 +292,25 @@
   for (int i = 0; i < 5; i++)
     {
       fixture_tick_at (&f, f.now + LB_SEC);
-      report_load (&f, "e2", false);
+      report_endpoint_load (&f, "e2", false);
     }
-  cr_assert_eq (count_sends (&f, "e1"), 0);
-  cr_assert_eq (count_sends (&f, "e2"), 1);
-  cr_assert_eq (count_sends (&f, "e3"), 0);
+  cr_assert_eq (count_sends_to (&f, "e1"), 0);
+  cr_assert_eq (count_sends_to (&f, "e2"), 1);
+  cr_assert_eq (count_sends_to (&f, "e3"), 0);
   fixture_clear (&f);
 }
 
-/* The path to eleven of twelve engines is lost. Their last reports show them idle, so the policy
- * prefers them; calls must still find the twelfth. */
+/* The network path to eleven of twelve engines is lost. Their stale reports show them as idle, so
+ * the routing policy prefers them. Calls must still go to the twelfth engine. */
 Test (leaving, many_outdated_reports_do_not_hide_a_current_one)
 {
   Fixture f;
 
-  fixture_init (&f, &default_report_age, 12, 10);
+  fixture_init (&f, &settings_with_default_report_age, 12, 10);
   for (int i = 0; i < 5; i++)
     {
       f.now += LB_SEC;
-      report_load (&f, "e12", false);
+      report_endpoint_load (&f, "e12", false);
     }
   for (int i = 0; i < 5; i++)
     {
@@ -317,17 +318,17 @@
 
       cr_assert (fixture_submit (&f, &spec));
     }
-  cr_assert_eq (count_sends (&f, "e12"), 5);
+  cr_assert_eq (count_sends_to (&f, "e12"), 5);
   fixture_clear (&f);
 }
 
-/* A plain service has no load page: the poller takes any reply as a report. The first call waits
- * for this reply, and no longer. */
+/* A plain service does not report its load, so the poller records any reply as a report. The first
+ * call is held only until that reply. */
 Test (leaving, service_without_load_reports_is_used)
 {
   Fixture f;
 
-  fixture_init (&f, &default_report_age, 1, 1);
+  fixture_init (&f, &settings_with_default_report_age, 1, 1);
   fixture_add_endpoint (&f, "m1", LC_ENDPOINT_SERVICE, "mute", 4);
   lc_dispatch_configure (f.dispatch, &f.set, f.now, &f.actions);
 
@@ -344,13 +345,13 @@
   fixture_clear (&f);
 }
 
-/* An instance is paused twice, an hour apart. The hold after the first pause must not count as time
- * already waited after the second. */
+/* An instance is paused twice, an hour apart. After each pause, a call is held until a new load
+ * report arrives. The hold after the first pause must not shorten the second one. */
 Test (leaving, each_pause_has_its_own_hold)
 {
   Fixture f;
 
-  fixture_init (&f, &default_report_age, 1, 4);
+  fixture_init (&f, &settings_with_default_report_age, 1, 4);
   for (int i = 0; i < 2; i++)
     {
       LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
@@ -358,7 +359,7 @@
       f.now += 3600 * LB_SEC;
       cr_assert (fixture_submit (&f, &spec));
       cr_assert (lb_list_is_empty (&f.actions), "sent before a new report after pause %d", i);
-      report_load (&f, "e1", false);
+      report_endpoint_load (&f, "e1", false);
       fixture_expect_action (&f, LC_ACTION_SEND, spec.id);
       fixture_end_attempt (&f, spec.id, 1, LC_END_COMPLETE);
       fixture_drop_actions (&f);
--- a/packages/core/tests/test-dispatch-not-run.c
+++ b/packages/core/tests/test-dispatch-not-run.c
@@ -7,9 +7,13 @@
                                              .hedge_after = LB_SEC,
                                              .seed = 1 };
 
-/* Ends every attempt of the request in the same way until its final result; counts the attempts. */
+/* Ends every attempt of the request with `end` until the request finishes. Returns the FINISH
+ * action and counts the attempts. */
 static LcAction
-fail_until_finished (Fixture *f, const LcRequestSpec *spec, LcAttemptEnd end, int *n_attempts)
+end_attempts_until_finished (Fixture *f,
+                             const LcRequestSpec *spec,
+                             LcAttemptEnd end,
+                             int *n_attempts)
 {
   LcAction action = { .type = LC_ACTION_SEND };
 
@@ -30,7 +34,7 @@
       if (action.type == LC_ACTION_SEND)
         fixture_end_attempt (f, spec->id, ++*n_attempts, end);
     }
-  cr_assert_fail ("no final result");
+  cr_assert_fail ("expected a FINISH action within 1000 actions and ticks, got none");
   return action;
 }
 
@@ -48,7 +52,7 @@
 
   cr_assert (fixture_submit (&f, &spec));
 
-  LcAction finish = fail_until_finished (&f, &spec, LC_END_NOT_SENT, &n_attempts);
+  LcAction finish = end_attempts_until_finished (&f, &spec, LC_END_NOT_SENT, &n_attempts);
 
   cr_assert (lb_error_proves_not_run (finish.error));
   cr_assert_gt (finish.retry_after, 0);
@@ -57,9 +61,9 @@
   fixture_clear (&f);
 }
 
-/* The connection to an engine breaks after it may have run the call, then a second engine refuses
- * to start it. Reporting this refusal would read as "not run", and the caller would submit the call
- * again. */
+/* The connection to an engine breaks, so the engine may have run the call. Then a second engine
+ * refuses to start the call. Reporting the refusal would mean "not run", and the caller would
+ * submit the call again. */
 Test (not_run, a_later_refusal_proves_nothing_about_an_earlier_attempt)
 {
   Fixture f;
@@ -89,8 +93,8 @@
   fixture_clear (&f);
 }
 
-/* A non-repeatable call is silent for long, then breaks or fails. Any second attempt, including a
- * hedge, might run it twice. */
+/* The engine of a non-repeatable call is silent for 10 s, then the attempt breaks or fails. A retry
+ * or a hedge could run the call twice. */
 Test (not_run, non_repeatable_call_gets_no_second_attempt)
 {
   static const LcAttemptEnd ends[] = { LC_END_BROKEN, LC_END_FAILED };
@@ -120,8 +124,8 @@
     }
 }
 
-/* An endpoint refused the same call before starting it, or no byte of it was sent. This proves that
- * it did not run, so it may be sent to another engine. */
+/* An engine refuses a non-repeatable call before starting it, or no byte of the call was sent. Both
+ * prove that the call did not run, so it may be sent to another engine. */
 Test (not_run, non_repeatable_call_is_sent_again_if_proven_not_run)
 {
   static const LcAttemptEnd ends[] = { LC_END_REFUSED, LC_END_REFUSED_LEAVING, LC_END_NOT_SENT };
@@ -198,7 +202,7 @@
   fixture_clear (&f);
 }
 
-/* A waiting call whose caller is gone must not be sent. */
+/* A queued call whose caller has disconnected must not be sent. */
 Test (not_run, a_cancelled_call_is_not_sent)
 {
   Fixture f;
@@ -229,14 +233,14 @@
   LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
 
   cr_assert (fixture_submit (&f, &spec));
-  cr_assert_eq (fail_until_finished (&f, &spec, LC_END_BROKEN, &n_attempts).error,
+  cr_assert_eq (end_attempts_until_finished (&f, &spec, LC_END_BROKEN, &n_attempts).error,
                 LB_ERROR_OUTCOME_UNKNOWN);
   cr_assert_leq (n_attempts, 3);
   fixture_clear (&f);
 }
 
-/* One of two engines is down. If retries chose at random, half of them would hit it again and calls
- * would fail although the other engine works. */
+/* One of two engines is down. If retries chose an engine at random, half of them would go to the
+ * failed engine again, and calls would fail although the other engine works. */
 Test (not_run, a_retry_goes_to_another_engine)
 {
   for (uint64_t seed = 1; seed <= 16; seed++)
@@ -263,9 +267,9 @@
     }
 }
 
-/* Half of a service's endpoints restart at once. A call allowed two attempts fails to connect to
- * two of them and failed within milliseconds, although no endpoint had received it and the others
- * were idle. */
+/* Half of the endpoints of a service restart at once. A call with two allowed attempts failed
+ * within milliseconds after two failed connections, although no endpoint had received the call and
+ * the other endpoints were idle. */
 Test (not_run, failed_connections_do_not_count_against_the_route_limit)
 {
   Fixture f;
@@ -278,10 +282,10 @@
   spec.max_attempts = 2;
   cr_assert (fixture_submit (&f, &spec));
 
-  LcAction finish = fail_until_finished (&f, &spec, LC_END_NOT_SENT, &n_attempts);
+  LcAction finish = end_attempts_until_finished (&f, &spec, LC_END_NOT_SENT, &n_attempts);
 
   cr_assert (lb_error_proves_not_run (finish.error));
   cr_assert_gt (n_attempts, 2);
-  cr_assert_leq (n_attempts, 6, "more attempts than the dispatch's own limit");
+  cr_assert_leq (n_attempts, 6, "expected at most 6 attempts, the dispatch's own limit");
   fixture_clear (&f);
 }
--- a/packages/core/tests/test-dispatch-quarantine.c
+++ b/packages/core/tests/test-dispatch-quarantine.c
@@ -3,7 +3,8 @@
 #define CRASHING_CONTENT 7
 #define OTHER_CONTENT 8
 
-/* Adds crash reports of other instances: n endpoints crashed on the content. */
+/* Adds n crash reports of other instances, each about another endpoint that crashed on the content.
+ */
 static void
 add_crash_reports (Fixture *f, LcFingerprint content, int n)
 {
@@ -18,7 +19,7 @@
 }
 
 static LcRequestSpec
-spec_with (Fixture *f, LcRequestKind kind, LcFingerprint content)
+new_spec_with_content (Fixture *f, LcRequestKind kind, LcFingerprint content)
 {
   LcRequestSpec spec = fixture_new_spec (f, kind);
 
@@ -26,9 +27,9 @@
   return spec;
 }
 
-/* After three endpoints crashed on a content sent by other instances, a request with it is refused
- * at once as "not run" with the time until the quarantine ends. Other contents are sent as usual,
- * and so are requests of unknown content. */
+/* Other instances report that three endpoints crashed on a content. A request with this content is
+ * refused at once as "not run", with the time until the quarantine ends. Requests with another or
+ * an unknown content are sent as usual. */
 Test (dispatch_quarantine, quarantined_request_is_refused_at_once)
 {
   static const LcRequestKind kinds[] = { LC_KIND_LIVE, LC_KIND_SAMPLE, LC_KIND_SERVICE };
@@ -38,9 +39,9 @@
   add_crash_reports (&f, CRASHING_CONTENT, 3);
   for (size_t i = 0; i < 3; i++)
     {
-      LcRequestSpec crashing = spec_with (&f, kinds[i], CRASHING_CONTENT);
-      LcRequestSpec other = spec_with (&f, kinds[i], OTHER_CONTENT);
-      LcRequestSpec unknown = spec_with (&f, kinds[i], 0);
+      LcRequestSpec crashing = new_spec_with_content (&f, kinds[i], CRASHING_CONTENT);
+      LcRequestSpec other = new_spec_with_content (&f, kinds[i], OTHER_CONTENT);
+      LcRequestSpec unknown = new_spec_with_content (&f, kinds[i], 0);
       cr_assert_not (fixture_submit (&f, &crashing));
       cr_assert_eq (f.error.code, LB_ERROR_QUARANTINED);
       cr_assert (lb_error_proves_not_run (f.error.code));
@@ -53,15 +54,16 @@
   fixture_clear (&f);
 }
 
-/* The third crash is reported while an admitted request waits: it fails as "not run". */
+/* The third crash on a content is reported while a request with this content is queued. The request
+ * must fail as "not run". */
 Test (dispatch_quarantine, waiting_request_is_not_sent_once_quarantined)
 {
   Fixture f;
 
   fixture_init (&f, &(LcDispatchSettings){ .retry_budget = 0.1 }, 1, 1);
-  LcRequestSpec first = spec_with (&f, LC_KIND_SAMPLE, OTHER_CONTENT);
-  LcRequestSpec crashing = spec_with (&f, LC_KIND_SAMPLE, CRASHING_CONTENT);
-  LcRequestSpec last = spec_with (&f, LC_KIND_SAMPLE, OTHER_CONTENT + 1);
+  LcRequestSpec first = new_spec_with_content (&f, LC_KIND_SAMPLE, OTHER_CONTENT);
+  LcRequestSpec crashing = new_spec_with_content (&f, LC_KIND_SAMPLE, CRASHING_CONTENT);
+  LcRequestSpec last = new_spec_with_content (&f, LC_KIND_SAMPLE, OTHER_CONTENT + 1);
   cr_assert (fixture_submit (&f, &first));
   cr_assert (fixture_submit (&f, &crashing));
   cr_assert (fixture_submit (&f, &last));
@@ -75,14 +77,14 @@
   fixture_clear (&f);
 }
 
-/* The third crash broke the request's own first attempt. It is not retried, but must not be
- * reported as "not run". */
+/* The first attempt of a request causes the third crash on its content. The request is not retried,
+ * but must not be reported as "not run". */
 Test (dispatch_quarantine, broken_request_is_not_retried_once_quarantined)
 {
   Fixture f;
 
   fixture_init (&f, &(LcDispatchSettings){ .retry_budget = 1 }, 2, 8);
-  LcRequestSpec crashing = spec_with (&f, LC_KIND_SERVICE, CRASHING_CONTENT);
+  LcRequestSpec crashing = new_spec_with_content (&f, LC_KIND_SERVICE, CRASHING_CONTENT);
   cr_assert (fixture_submit (&f, &crashing));
   LcAction sent = fixture_expect_action (&f, LC_ACTION_SEND, crashing.id);
   fixture_end_attempt (&f, crashing.id, sent.attempt, LC_END_BROKEN);
@@ -93,15 +95,15 @@
   fixture_clear (&f);
 }
 
-/* A silent call is hedged; not so one whose content is quarantined, which would crash the second
- * endpoint too. */
+/* A silent call is hedged unless its content is quarantined. The hedge would crash a second
+ * endpoint. */
 Test (dispatch_quarantine, quarantined_request_is_not_hedged)
 {
   Fixture f;
 
   fixture_init (&f, &(LcDispatchSettings){ .retry_budget = 1 }, 2, 8);
-  LcRequestSpec crashing = spec_with (&f, LC_KIND_SERVICE, CRASHING_CONTENT);
-  LcRequestSpec other = spec_with (&f, LC_KIND_SERVICE, OTHER_CONTENT);
+  LcRequestSpec crashing = new_spec_with_content (&f, LC_KIND_SERVICE, CRASHING_CONTENT);
+  LcRequestSpec other = new_spec_with_content (&f, LC_KIND_SERVICE, OTHER_CONTENT);
   crashing.hedge_after = 100 * LB_MSEC;
   other.hedge_after = 100 * LB_MSEC;
   cr_assert (fixture_submit (&f, &crashing));
@@ -115,8 +117,8 @@
   fixture_clear (&f);
 }
 
-/* Any reply of an endpoint, or the first piece of a resumable stream, proves that it survived the
- * content: two earlier crash reports no longer count. */
+/* Any reply of an endpoint, or the first piece of a resumable stream, proves that the endpoint
+ * survived the content. Two earlier crash reports for this content then no longer count. */
 Test (dispatch_quarantine, a_reply_clears_the_content)
 {
   static const LcAttemptEnd ends[] = { LC_END_COMPLETE, LC_END_FAILED, LC_END_REJECTED };
@@ -127,7 +129,7 @@
     {
       LcFingerprint cleared = 0;
       LbTime at = 0;
-      LcRequestSpec spec = spec_with (&f, LC_KIND_SAMPLE, content);
+      LcRequestSpec spec = new_spec_with_content (&f, LC_KIND_SAMPLE, content);
       spec.failure_is_final = true;
       add_crash_reports (&f, content, 2);
       cr_assert (fixture_submit (&f, &spec));
@@ -143,7 +145,7 @@
   fixture_clear (&f);
 }
 
-/* A refusal proves nothing: the endpoint did not start the request. */
+/* A refusal does not clear a content, because the endpoint did not start the request. */
 Test (dispatch_quarantine, a_refusal_does_not_clear_the_content)
 {
   Fixture f;
@@ -152,7 +154,7 @@
 
   fixture_init (&f, &(LcDispatchSettings){ .retry_budget = 0.1 }, 2, 8);
   add_crash_reports (&f, CRASHING_CONTENT, 2);
-  LcRequestSpec spec = spec_with (&f, LC_KIND_SERVICE, CRASHING_CONTENT);
+  LcRequestSpec spec = new_spec_with_content (&f, LC_KIND_SERVICE, CRASHING_CONTENT);
   cr_assert (fixture_submit (&f, &spec));
   LcAction sent = fixture_expect_action (&f, LC_ACTION_SEND, spec.id);
   fixture_end_attempt (&f, spec.id, sent.attempt, LC_END_REFUSED);
--- a/packages/core/tests/test-dispatch-random.c
+++ b/packages/core/tests/test-dispatch-random.c
@@ -3,23 +3,24 @@
 #include <gsl/gsl_randist.h>
 #include <stdlib.h>
 
-/* Random requests, faults and commands against a model that knows what really ran. After every
- * event the actions of the dispatch are checked against its invariants. */
+/* Sends random requests, faults and commands to a dispatch. A model of the endpoints records which
+ * attempts ran. After every event, the actions of the dispatch are checked against its invariants.
+ */
 
 #define N_ENDPOINTS 6
-#define STEPS_BETWEEN_REPORTS 100 /* about 0.5 s */
-#define N_STEPS 4000
+#define STEPS_BETWEEN_REPORTS 100 /* about 0.5 s of virtual time */
+#define N_SUBMIT_STEPS 4000
 #define N_SEEDS 200
-#define MAX_ATTEMPTS (8 * N_STEPS)
+#define MAX_ATTEMPTS (8 * N_SUBMIT_STEPS)
 
 typedef struct
 {
   LcRequestSpec spec;
-  bool done;         /* answered, failed, refused or cancelled */
-  int n_runs;        /* attempts that an endpoint started */
-  int64_t length;    /* of the complete answer */
-  int64_t forwarded; /* tokens forwarded to the submitter */
-  uint32_t source;   /* attempt that delivered the last of them */
+  bool done;               /* the request was answered, failed, refused or cancelled */
+  int n_runs;              /* number of attempts that an endpoint started */
+  int64_t length;          /* number of tokens of the complete answer */
+  int64_t forwarded;       /* number of tokens forwarded to the submitter */
+  uint32_t source_attempt; /* attempt that delivered the last forwarded token */
 } Call;
 
 /* An attempt as seen by the endpoint. */
@@ -29,96 +30,99 @@
   uint32_t attempt;
   int endpoint;
   bool started;
-  bool damaged; /* a piece was lost or reordered */
-  int64_t next;
-  int64_t received;
+  bool damaged;     /* a piece was lost or reordered */
+  int64_t next;     /* index of the next token that the endpoint sends */
+  int64_t received; /* number of leading tokens that the dispatch already has */
 } EndpointAttempt;
 
 typedef struct
 {
   Fixture f;
   gsl_rng *random;
-  Call calls[N_STEPS + 1]; /* by request id */
+  Call calls[N_SUBMIT_STEPS + 1]; /* indexed by request id */
   EndpointAttempt attempts[MAX_ATTEMPTS];
   size_t n_attempts;
-  EndpointAttempt *open[MAX_ATTEMPTS];
+  EndpointAttempt *open_attempts[MAX_ATTEMPTS];
   size_t n_open;
   bool leaving[N_ENDPOINTS];
   int incarnation[N_ENDPOINTS];
-  int removed;        /* index of the endpoint missing from the configuration; -1: none */
+  int removed;        /* index of the endpoint that the configuration lacks; -1: none */
   bool forbid_cancel; /* the current command must not cancel attempts */
 } Model;
 
 static bool
-chance (Model *model, double probability)
+draw_with_probability (Model *model, double probability)
 {
   return gsl_rng_uniform (model->random) < probability;
 }
 
 static int
-endpoint_index (const Model *model, const char *name)
+find_endpoint_index (const Model *model, const char *name)
 {
   for (int i = 0; i < N_ENDPOINTS; i++)
     if (strcmp (model->f.members[i].name, name) == 0)
       return i;
-  cr_assert_fail ("unknown endpoint");
+  cr_assert_fail ("the dispatch named an endpoint that is not configured");
   return -1;
 }
 
 static EndpointAttempt *
-find_open (Model *model, LcRequestId request, uint32_t attempt)
+find_open_attempt (Model *model, LcRequestId request, uint32_t attempt)
 {
   for (size_t i = 0; i < model->n_open; i++)
-    if (model->open[i]->call->spec.id == request && model->open[i]->attempt == attempt)
-      return model->open[i];
+    if (model->open_attempts[i]->call->spec.id == request
+        && model->open_attempts[i]->attempt == attempt)
+      return model->open_attempts[i];
   return NULL;
 }
 
 static void
-close_running (Model *model, const EndpointAttempt *running)
+remove_open_attempt (Model *model, const EndpointAttempt *endpoint_attempt)
 {
   for (size_t i = 0; i < model->n_open; i++)
-    if (model->open[i] == running)
-      model->open[i] = model->open[--model->n_open];
+    if (model->open_attempts[i] == endpoint_attempt)
+      model->open_attempts[i] = model->open_attempts[--model->n_open];
 }
 
 static void
-on_send (Model *model, const LcAction *action)
+record_send_action (Model *model, const LcAction *action)
 {
   Call *call = &model->calls[action->request];
-  int endpoint = endpoint_index (model, action->endpoint);
-  EndpointAttempt *running = &model->attempts[model->n_attempts++];
+  int endpoint = find_endpoint_index (model, action->endpoint);
+  EndpointAttempt *endpoint_attempt = &model->attempts[model->n_attempts++];
 
   cr_assert_lt (model->n_attempts, MAX_ATTEMPTS);
-  cr_assert_not (call->done, "sent after its final result");
+  cr_assert_not (call->done, "a request was sent after its final result");
   cr_assert_not (model->leaving[endpoint], "new work was sent to a leaving endpoint");
   cr_assert (action->resume_at == 0 || call->spec.resumable,
-             "resumed a request that is not resumable");
+             "a request that is not resumable was resumed");
   cr_assert_eq (action->resume_at, call->spec.delivery == LC_DELIVER_STREAM ? call->forwarded : 0);
-  *running = (EndpointAttempt){ .call = call,
-                                .attempt = action->attempt,
-                                .endpoint = endpoint,
-                                .next = action->resume_at,
-                                .received = action->resume_at };
-  model->open[model->n_open++] = running;
+  *endpoint_attempt = (EndpointAttempt){ .call = call,
+                                         .attempt = action->attempt,
+                                         .endpoint = endpoint,
+                                         .next = action->resume_at,
+                                         .received = action->resume_at };
+  model->open_attempts[model->n_open++] = endpoint_attempt;
 }
 
 static void
-on_finish (Model *model, const LcAction *action)
+check_finish_action (Model *model, const LcAction *action)
 {
   Call *call = &model->calls[action->request];
 
-  cr_assert_not (call->done, "two final results");
+  cr_assert_not (call->done, "expected one final result of a request, got a second");
   call->done = true;
   if (action->error != LB_OK)
     {
       cr_assert_gt (action->retry_after, 0);
       cr_assert (!lb_error_proves_not_run (action->error) || call->n_runs == 0,
-                 "failed as %s, which means not run, but it ran", lb_error_name (action->error));
+                 "a request that ran failed as %s, which means not run",
+                 lb_error_name (action->error));
       return;
     }
   if (call->spec.delivery == LC_DELIVER_STREAM)
-    cr_assert_eq (call->forwarded, call->length, "a complete answer lacks tokens");
+    cr_assert_eq (call->forwarded, call->length,
+                  "a request finished as complete, but not all its tokens were forwarded");
   for (size_t i = model->n_attempts; i-- > 0;)
     if (model->attempts[i].call == call && model->attempts[i].attempt == action->attempt)
       {
@@ -128,7 +132,7 @@
 }
 
 static void
-handle_actions (Model *model)
+handle_pending_actions (Model *model)
 {
   LbLink *link = NULL;
 
@@ -137,31 +141,31 @@
       LcAction *action = LB_CONTAINER (link, LcAction, link);
 
       if (action->type == LC_ACTION_SEND)
-        on_send (model, action);
+        record_send_action (model, action);
       else if (action->type == LC_ACTION_FINISH)
-        on_finish (model, action);
+        check_finish_action (model, action);
       else
         {
           cr_assert_not (model->forbid_cancel,
-                         "cancelled by a command that must not cancel attempts");
-          close_running (model, find_open (model, action->request, action->attempt));
+                         "an attempt was cancelled by a command that must not cancel attempts");
+          remove_open_attempt (model, find_open_attempt (model, action->request, action->attempt));
         }
       lc_action_free (action);
     }
 }
 
 static void
-submit (Model *model)
+submit_random_request (Model *model)
 {
   LcRequestKind kind = (LcRequestKind)gsl_rng_uniform_int (model->random, LC_N_KINDS);
   LcRequestSpec spec = fixture_new_spec (&model->f, kind);
   Call *call = &model->calls[spec.id];
 
-  spec.repeatable = chance (model, 0.6);
-  spec.resumable = spec.repeatable && chance (model, 0.7);
-  spec.delivery = chance (model, 0.6) ? LC_DELIVER_STREAM : LC_DELIVER_BUFFERED;
+  spec.repeatable = draw_with_probability (model, 0.6);
+  spec.resumable = spec.repeatable && draw_with_probability (model, 0.7);
+  spec.delivery = draw_with_probability (model, 0.6) ? LC_DELIVER_STREAM : LC_DELIVER_BUFFERED;
   spec.priority = (int)gsl_rng_uniform_int (model->random, 5);
-  if (chance (model, 0.5))
+  if (draw_with_probability (model, 0.5))
     spec.deadline = model->f.now + gsl_rng_uniform_int (model->random, 3 * LB_SEC);
   snprintf (spec.caller, sizeof spec.caller, "c%d", (int)gsl_rng_uniform_int (model->random, 5));
   *call = (Call){ .spec = spec, .length = 1 + gsl_rng_uniform_int (model->random, 12) };
@@ -172,109 +176,118 @@
 }
 
 static void
-end_running (Model *model, EndpointAttempt *running, LcAttemptEnd outcome)
+end_attempt (Model *model, EndpointAttempt *endpoint_attempt, LcAttemptEnd outcome)
 {
-  close_running (model, running);
+  remove_open_attempt (model, endpoint_attempt);
   if (outcome == LC_END_REFUSED_LEAVING)
-    model->leaving[running->endpoint] = true;
-  fixture_end_attempt (&model->f, running->call->spec.id, running->attempt, outcome);
+    model->leaving[endpoint_attempt->endpoint] = true;
+  fixture_end_attempt (&model->f, endpoint_attempt->call->spec.id, endpoint_attempt->attempt,
+                       outcome);
 }
 
-/* Delivers a piece and checks the verdict. */
+/* Delivers a piece to the dispatch. If the dispatch forwards it, checks that it was allowed to. */
 static void
-deliver (Model *model, EndpointAttempt *running, int64_t offset, int64_t tokens)
+deliver_and_check_piece (Model *model,
+                         EndpointAttempt *endpoint_attempt,
+                         int64_t offset,
+                         int64_t tokens)
 {
-  Call *call = running->call;
+  Call *call = endpoint_attempt->call;
   bool last = offset + tokens == call->length;
-  bool was_open = find_open (model, call->spec.id, running->attempt);
+  bool was_open = find_open_attempt (model, call->spec.id, endpoint_attempt->attempt);
 
-  if (fixture_deliver_piece (&model->f, call->spec.id, running->attempt, offset, tokens, last)
+  if (fixture_deliver_piece (&model->f, call->spec.id, endpoint_attempt->attempt, offset, tokens,
+                             last)
       == LC_PIECE_DROP)
     return;
   cr_assert (was_open && !call->done, "a late piece was forwarded");
-  cr_assert_eq (offset, running->received);
-  running->received += tokens;
+  cr_assert_eq (offset, endpoint_attempt->received);
+  endpoint_attempt->received += tokens;
   if (call->spec.delivery == LC_DELIVER_BUFFERED)
     return;
   cr_assert_eq (offset, call->forwarded, "pieces of two attempts were mixed");
-  cr_assert (call->source == running->attempt || !find_open (model, call->spec.id, call->source),
+  cr_assert (call->source_attempt == endpoint_attempt->attempt
+                 || !find_open_attempt (model, call->spec.id, call->source_attempt),
              "pieces of two open attempts were forwarded");
-  call->source = running->attempt;
+  call->source_attempt = endpoint_attempt->attempt;
   call->forwarded += tokens;
 }
 
 static void
-start_attempt (Model *model, EndpointAttempt *running)
+start_attempt_or_fail (Model *model, EndpointAttempt *endpoint_attempt)
 {
   double draw = gsl_rng_uniform (model->random);
 
-  if (model->leaving[running->endpoint] && draw < 0.5)
-    end_running (model, running, LC_END_REFUSED_LEAVING);
+  if (model->leaving[endpoint_attempt->endpoint] && draw < 0.5)
+    end_attempt (model, endpoint_attempt, LC_END_REFUSED_LEAVING);
   else if (draw < 0.05)
-    end_running (model, running, LC_END_NOT_SENT);
+    end_attempt (model, endpoint_attempt, LC_END_NOT_SENT);
   else if (draw < 0.1)
-    end_running (model, running, LC_END_REFUSED);
+    end_attempt (model, endpoint_attempt, LC_END_REFUSED);
   else if (draw < 0.11)
-    end_running (model, running, LC_END_REFUSED_LEAVING);
+    end_attempt (model, endpoint_attempt, LC_END_REFUSED_LEAVING);
   else if (draw < 0.13)
-    end_running (model, running, LC_END_BROKEN);
+    end_attempt (model, endpoint_attempt, LC_END_BROKEN);
   else
     {
-      running->started = true;
-      running->call->n_runs++;
-      cr_assert (running->call->spec.repeatable || running->call->n_runs == 1,
+      endpoint_attempt->started = true;
+      endpoint_attempt->call->n_runs++;
+      cr_assert (endpoint_attempt->call->spec.repeatable || endpoint_attempt->call->n_runs == 1,
                  "a non-repeatable call ran twice");
     }
 }
 
 static void
-send_piece (Model *model, EndpointAttempt *running)
+send_next_piece (Model *model, EndpointAttempt *endpoint_attempt)
 {
-  int64_t left = running->call->length - running->next;
+  int64_t left = endpoint_attempt->call->length - endpoint_attempt->next;
   int64_t tokens = left < 2 ? left : 1 + (int64_t)gsl_rng_uniform_int (model->random, 2);
-  int64_t offset = running->next;
+  int64_t offset = endpoint_attempt->next;
 
-  running->next += tokens;
-  if (chance (model, 0.03))
+  endpoint_attempt->next += tokens;
+  if (draw_with_probability (model, 0.03))
     {
-      running->damaged = true;
+      endpoint_attempt->damaged = true;
       return;
     }
-  if (chance (model, 0.03) && running->next < running->call->length)
+  if (draw_with_probability (model, 0.03)
+      && endpoint_attempt->next < endpoint_attempt->call->length)
     {
-      running->damaged = true;
-      deliver (model, running, running->next, 1);
+      endpoint_attempt->damaged = true;
+      deliver_and_check_piece (model, endpoint_attempt, endpoint_attempt->next, 1);
     }
-  deliver (model, running, offset, tokens);
-  if (chance (model, 0.05))
-    deliver (model, running, offset, tokens);
+  deliver_and_check_piece (model, endpoint_attempt, offset, tokens);
+  if (draw_with_probability (model, 0.05))
+    deliver_and_check_piece (model, endpoint_attempt, offset, tokens);
 }
 
 static void
-progress (Model *model, EndpointAttempt *running)
+progress_attempt (Model *model, EndpointAttempt *endpoint_attempt)
 {
-  if (!running->started)
-    start_attempt (model, running);
-  else if (running->next == running->call->length)
-    end_running (model, running, running->damaged ? LC_END_BROKEN : LC_END_COMPLETE);
-  else if (chance (model, 0.02))
-    end_running (model, running, LC_END_BROKEN);
-  else if (chance (model, 0.02))
-    end_running (model, running, LC_END_FAILED);
+  if (!endpoint_attempt->started)
+    start_attempt_or_fail (model, endpoint_attempt);
+  else if (endpoint_attempt->next == endpoint_attempt->call->length)
+    end_attempt (model, endpoint_attempt,
+                 endpoint_attempt->damaged ? LC_END_BROKEN : LC_END_COMPLETE);
+  else if (draw_with_probability (model, 0.02))
+    end_attempt (model, endpoint_attempt, LC_END_BROKEN);
+  else if (draw_with_probability (model, 0.02))
+    end_attempt (model, endpoint_attempt, LC_END_FAILED);
   else
-    send_piece (model, running);
+    send_next_piece (model, endpoint_attempt);
 }
 
-/* Restarts the endpoint's process: its running attempts break, and it is no longer leaving. */
+/* Restarts the process of the endpoint. Its open attempts break, and the endpoint is no longer
+ * leaving. */
 static void
-restart (Model *model, int endpoint)
+restart_endpoint (Model *model, int endpoint)
 {
   LcLoadReport report = { .version = 1, .measured_at = model->f.now };
 
   for (size_t i = model->n_open; i-- > 0;)
-    if (i < model->n_open && model->open[i]->endpoint == endpoint)
-      end_running (model, model->open[i], LC_END_BROKEN);
-  handle_actions (model);
+    if (i < model->n_open && model->open_attempts[i]->endpoint == endpoint)
+      end_attempt (model, model->open_attempts[i], LC_END_BROKEN);
+  handle_pending_actions (model);
   model->leaving[endpoint] = false;
   snprintf (report.incarnation, sizeof report.incarnation, "%d", ++model->incarnation[endpoint]);
   lc_dispatch_record_load (model->f.dispatch, model->f.members[endpoint].name, &report,
@@ -282,26 +295,26 @@
 }
 
 static void
-leave (Model *model, int endpoint)
+mark_endpoint_leaving (Model *model, int endpoint)
 {
   model->leaving[endpoint] = true;
   model->forbid_cancel = true;
   lc_dispatch_mark_leaving (model->f.dispatch, model->f.members[endpoint].name, "",
                             LC_LEAVING_ENDPOINT, model->f.now, &model->f.actions);
-  handle_actions (model);
+  handle_pending_actions (model);
   model->forbid_cancel = false;
 }
 
-/* Removes a random endpoint from the configuration, or configures all again. Never a leaving one:
- * the endpoint table forgets that state along with the endpoint. */
+/* Applies a configuration without one random endpoint, or with all endpoints. Never removes a
+ * leaving endpoint, because the endpoint table would forget that the endpoint is leaving. */
 static void
-configure (Model *model)
+change_configuration (Model *model)
 {
   size_t n_all = model->f.set.n_endpoints;
   int removed = (int)gsl_rng_uniform_int (model->random, N_ENDPOINTS);
   LcEndpointMember kept = model->f.members[removed];
 
-  model->removed = model->leaving[removed] || chance (model, 0.5) ? -1 : removed;
+  model->removed = model->leaving[removed] || draw_with_probability (model, 0.5) ? -1 : removed;
   model->forbid_cancel = true;
   if (model->removed >= 0)
     {
@@ -311,27 +324,27 @@
   fixture_configure (&model->f);
   model->f.members[removed] = kept;
   model->f.set.n_endpoints = n_all;
-  handle_actions (model);
+  handle_pending_actions (model);
   model->forbid_cancel = false;
 }
 
 static void
-change_endpoint (Model *model)
+change_random_endpoint (Model *model)
 {
   int endpoint = (int)gsl_rng_uniform_int (model->random, N_ENDPOINTS);
 
   if (endpoint == model->removed)
-    configure (model);
-  else if (chance (model, 0.3))
-    leave (model, endpoint);
-  else if (chance (model, 0.5))
-    restart (model, endpoint);
+    change_configuration (model);
+  else if (draw_with_probability (model, 0.3))
+    mark_endpoint_leaving (model, endpoint);
+  else if (draw_with_probability (model, 0.5))
+    restart_endpoint (model, endpoint);
   else
-    configure (model);
+    change_configuration (model);
 }
 
 static void
-cancel (Model *model)
+cancel_random_request (Model *model)
 {
   LcRequestId id = 1 + gsl_rng_uniform_int (model->random, model->f.last_id);
 
@@ -340,28 +353,30 @@
 }
 
 static void
-step (Model *model, bool may_submit)
+run_random_step (Model *model, bool may_submit)
 {
   model->f.now += gsl_rng_uniform_int (model->random, 10 * LB_MSEC);
   if (model->f.now >= lc_dispatch_next_tick (model->f.dispatch))
     fixture_tick_at (&model->f, model->f.now);
-  handle_actions (model);
-  if (may_submit && chance (model, 0.5))
-    submit (model);
-  else if (may_submit && chance (model, 0.02) && model->f.last_id)
-    cancel (model);
-  else if (may_submit && chance (model, 0.02))
-    change_endpoint (model);
-  else if (model->n_attempts && chance (model, 0.05))
-    deliver (model, &model->attempts[gsl_rng_uniform_int (model->random, model->n_attempts)], 0, 1);
+  handle_pending_actions (model);
+  if (may_submit && draw_with_probability (model, 0.5))
+    submit_random_request (model);
+  else if (may_submit && draw_with_probability (model, 0.02) && model->f.last_id)
+    cancel_random_request (model);
+  else if (may_submit && draw_with_probability (model, 0.02))
+    change_random_endpoint (model);
+  else if (model->n_attempts && draw_with_probability (model, 0.05))
+    deliver_and_check_piece (
+        model, &model->attempts[gsl_rng_uniform_int (model->random, model->n_attempts)], 0, 1);
   else if (model->n_open)
-    progress (model, model->open[gsl_rng_uniform_int (model->random, model->n_open)]);
-  handle_actions (model);
+    progress_attempt (model,
+                      model->open_attempts[gsl_rng_uniform_int (model->random, model->n_open)]);
+  handle_pending_actions (model);
 }
 
-/* Reports all loads, as the node's poller does several times a second. */
+/* Reports the load of all endpoints, as the node's poller does several times per second. */
 static void
-report_loads (Model *model)
+report_all_loads (Model *model)
 {
   for (int i = 0; i < N_ENDPOINTS; i++)
     {
@@ -377,7 +392,7 @@
 }
 
 static void
-run (uint64_t seed)
+run_model (uint64_t seed)
 {
   LcDispatchSettings settings = { .max_report_age = LB_TIME_NEVER,
                                   .queue_limit = 50,
@@ -391,18 +406,19 @@
   gsl_rng_set (model->random, seed);
   model->removed = -1;
   fixture_init (&model->f, &settings, N_ENDPOINTS - 2, 4);
-  for (int i = 0; i < N_STEPS; i++)
-    step (model, true);
+  for (int i = 0; i < N_SUBMIT_STEPS; i++)
+    run_random_step (model, true);
   lc_dispatch_drain (model->f.dispatch, model->f.now, &model->f.actions);
-  for (int i = 0; i < 100 * N_STEPS && lc_dispatch_count_in_progress (model->f.dispatch); i++)
+  for (int i = 0; i < 100 * N_SUBMIT_STEPS && lc_dispatch_count_in_progress (model->f.dispatch);
+       i++)
     {
       if (i % STEPS_BETWEEN_REPORTS == 0)
-        report_loads (model);
-      step (model, false);
+        report_all_loads (model);
+      run_random_step (model, false);
     }
   cr_assert_eq (lc_dispatch_count_in_progress (model->f.dispatch), 0);
   for (LcRequestId id = 1; id <= model->f.last_id; id++)
-    cr_assert (model->calls[id].done, "no final result");
+    cr_assert (model->calls[id].done, "expected a final result of every request");
   for (size_t i = 0; i < lc_endpoints_count (lc_dispatch_get_endpoints (model->f.dispatch)); i++)
     cr_assert_eq (lc_endpoints_at (lc_dispatch_get_endpoints (model->f.dispatch), i)->in_flight, 0);
   fixture_clear (&model->f);
@@ -413,5 +429,5 @@
 Test (random, invariants_hold_for_all_seeds)
 {
   for (uint64_t seed = 1; seed <= N_SEEDS; seed++)
-    run (seed);
+    run_model (seed);
 }
