--- a/packages/core/bench/bench-decision.c
+++ b/packages/core/bench/bench-decision.c
@@ -32,7 +32,7 @@
 /* Prints the microseconds per routing decision for requests with 8 prefix hashes, and the memory of
  * the endpoint table in bytes per endpoint. */
 static void
-measure_decision (const char *policy, int n_endpoints)
+measure_routing_decision (const char *policy, int n_endpoints)
 {
   const int rounds = 20000;
   gsl_rng *rng = gsl_rng_alloc (gsl_rng_taus2);
@@ -80,16 +80,16 @@
 }
 
 static void
-print_update_cost (const char *name, int n_endpoints, LbTime started_at, int rounds)
+print_update_cost (const char *name, int n_endpoints, LbTime started_at, int n_updates)
 {
   double duration = (double)(lb_clock_monotonic () - started_at);
 
-  printf ("%-18s %9d %9.3f\n", name, n_endpoints, duration / rounds);
+  printf ("%-18s %9d %9.3f\n", name, n_endpoints, duration / n_updates);
 }
 
 /* Prints the microseconds per load report, per cache event and per request sent and ended. */
 static void
-measure_updates (int n_endpoints)
+measure_endpoint_table_updates (int n_endpoints)
 {
   const int rounds = 200000;
   gsl_rng *rng = gsl_rng_alloc (gsl_rng_taus2);
@@ -129,12 +129,12 @@
   printf ("%-18s %9s %9s %9s\n", "decision", "endpoints", "us", "bytes/ep");
   for (const char *const *policy = lc_router_policy_names (); *policy; policy++)
     {
-      measure_decision (*policy, 10);
-      measure_decision (*policy, 100);
-      measure_decision (*policy, 600);
+      measure_routing_decision (*policy, 10);
+      measure_routing_decision (*policy, 100);
+      measure_routing_decision (*policy, 600);
     }
   printf ("\n%-18s %9s %9s\n", "update", "endpoints", "us");
-  measure_updates (10);
-  measure_updates (600);
+  measure_endpoint_table_updates (10);
+  measure_endpoint_table_updates (600);
   return 0;
 }
--- a/packages/core/bench/bench-dispatch.c
+++ b/packages/core/bench/bench-dispatch.c
@@ -132,9 +132,9 @@
 }
 
 static double
-micros_per_item (LbTime started_at, size_t n)
+micros_per_item_since (LbTime started_at, size_t n_items)
 {
-  return (double)(lb_clock_monotonic () - started_at) / (double)n;
+  return (double)(lb_clock_monotonic () - started_at) / (double)n_items;
 }
 
 static double
@@ -145,13 +145,13 @@
 
   bench->now += 200 * LB_SEC;
   lc_dispatch_tick (bench->dispatch, bench->now, &bench->actions);
-  return micros_per_item (started_at, n_waiting);
+  return micros_per_item_since (started_at, n_waiting);
 }
 
 /* Returns the microseconds per call that an endpoint receives without queueing and answers in one
  * piece. */
 static double
-measure_answered_call (size_t n_endpoints)
+measure_answered_call_cost (size_t n_endpoints)
 {
   Bench bench;
 
@@ -167,7 +167,7 @@
       free_pending_actions (&bench);
     }
 
-  double cost = micros_per_item (started_at, N_REQUESTS);
+  double cost = micros_per_item_since (started_at, N_REQUESTS);
 
   exit_unless (lc_dispatch_count_in_progress (bench.dispatch) == 0, "calls were not answered");
   dispatch_bench_clear (&bench);
@@ -176,7 +176,7 @@
 
 /* Returns the microseconds per received piece of a streamed answer. */
 static double
-measure_stream_piece (void)
+measure_stream_piece_cost (void)
 {
   Bench bench;
 
@@ -193,7 +193,7 @@
                                  &bench.actions);
     }
 
-  double cost = micros_per_item (started_at, N_REQUESTS);
+  double cost = micros_per_item_since (started_at, N_REQUESTS);
 
   dispatch_bench_clear (&bench);
   return cost;
@@ -216,12 +216,12 @@
 
   for (size_t i = 0; i < n_waiting; i++)
     submit_request (&bench, bench.now + 100 * LB_SEC);
-  cost.submit = micros_per_item (started_at, n_waiting);
+  cost.submit = micros_per_item_since (started_at, n_waiting);
   cost.bytes = (double)(mallinfo2 ().uordblks - before) / (double)n_waiting;
   started_at = lb_clock_monotonic ();
   for (size_t i = 0; i < n_waiting; i++)
     submit_request (&bench, LB_TIME_NEVER);
-  cost.refuse = micros_per_item (started_at, n_waiting);
+  cost.refuse = micros_per_item_since (started_at, n_waiting);
   started_at = lb_clock_monotonic ();
   for (size_t i = 0; i < n_waiting / 2; i++)
     {
@@ -233,7 +233,7 @@
       }
       free_pending_actions (&bench);
     }
-  cost.dequeue = micros_per_item (started_at, n_waiting / 2);
+  cost.dequeue = micros_per_item_since (started_at, n_waiting / 2);
   exit_unless (lc_dispatch_count_waiting (bench.dispatch, LC_KIND_LIVE)
                    == n_waiting - n_waiting / 2,
                "calls were not dequeued");
@@ -243,7 +243,7 @@
 }
 
 static double
-measure_ticket_cost (double *bytes)
+measure_ticket_cost (double *bytes_per_ticket)
 {
   LcTicketLimits limits = { .lifetime = 600 * LB_SEC,
                             .max_tickets = N_REQUESTS,
@@ -262,9 +262,10 @@
       lc_tickets_finish_call (tickets, id, LB_OK, 200, answer_text, sizeof answer_text, 0);
     }
 
-  double cost = micros_per_item (started_at, N_REQUESTS);
+  double cost = micros_per_item_since (started_at, N_REQUESTS);
 
-  *bytes = (double)(mallinfo2 ().uordblks - before) / N_REQUESTS - (double)sizeof answer_text;
+  *bytes_per_ticket
+      = (double)(mallinfo2 ().uordblks - before) / N_REQUESTS - (double)sizeof answer_text;
   lc_tickets_free (tickets);
   return cost;
 }
@@ -290,7 +291,7 @@
   double runs[N_RUNS_PER_COST];
 
   for (int i = 0; i < N_RUNS_PER_COST; i++)
-    runs[i] = measure_answered_call (n_endpoints);
+    runs[i] = measure_answered_call_cost (n_endpoints);
   printf ("complete call, %4zu endpoints        %8.2f us\n", n_endpoints, median_of_runs (runs));
 }
 
@@ -330,7 +331,7 @@
   for (size_t i = 0; i < sizeof endpoints / sizeof endpoints[0]; i++)
     print_call_cost (endpoints[i]);
   for (int i = 0; i < N_RUNS_PER_COST; i++)
-    runs[i] = measure_stream_piece ();
+    runs[i] = measure_stream_piece_cost ();
   printf ("piece of a stream                    %8.2f us\n", median_of_runs (runs));
   for (size_t i = 0; i < sizeof waiting / sizeof waiting[0]; i++)
     print_queue_costs (9, waiting[i]);
--- a/packages/core/bench/bench-routing.c
+++ b/packages/core/bench/bench-routing.c
@@ -154,7 +154,7 @@
 }
 
 static BenchRequest *
-request_new (Simulation *simulation, int instance)
+new_request (Simulation *simulation, int instance)
 {
   BenchRequest *request = LB_NEW (BenchRequest);
 
@@ -170,7 +170,7 @@
 submit_live_request (Simulation *simulation)
 {
   BenchRequest *request
-      = request_new (simulation, (int)gsl_rng_uniform_int (simulation->rng, N_INSTANCES));
+      = new_request (simulation, (int)gsl_rng_uniform_int (simulation->rng, N_INSTANCES));
 
   request->live = true;
   request->prefix
@@ -190,7 +190,7 @@
 
   for (int i = 0; i < SAMPLES_PER_GROUP; i++)
     {
-      BenchRequest *request = request_new (simulation, instance);
+      BenchRequest *request = new_request (simulation, instance);
 
       request->prefix = prefix;
       request->prefix_share = 1;
@@ -457,10 +457,10 @@
 }
 
 static double
-percentile (double *values, size_t n_values, double share)
+percentile (double *values, size_t n_values, double quantile)
 {
   qsort (values, n_values, sizeof *values, compare_doubles);
-  return n_values > 0 ? values[(size_t)((double)(n_values - 1) * share)] : 0;
+  return n_values > 0 ? values[(size_t)((double)(n_values - 1) * quantile)] : 0;
 }
 
 static Measures
--- a/packages/core/bench/fake-peers.c
+++ b/packages/core/bench/fake-peers.c
@@ -131,7 +131,7 @@
 }
 
 static void
-count_traffic_bytes (FakePeers *peers, size_t a, size_t b, int64_t bytes)
+add_traffic_bytes (FakePeers *peers, size_t a, size_t b, int64_t bytes)
 {
   peers->nodes[a].bytes += bytes;
   peers->nodes[b].bytes += bytes;
@@ -245,7 +245,7 @@
                   .connection = index,
                   .message = *message };
 
-  count_traffic_bytes (peers, node, target, fake_peers_message_bytes (message));
+  add_traffic_bytes (peers, node, target, fake_peers_message_bytes (message));
   if (message->type != LW_PING && message->type != LW_PONG)
     lc_membership_frame_sent (peers->nodes[node].membership,
                               connection->links[connection_side_of_node (connection, node)],
@@ -287,7 +287,7 @@
   int other = !connection_side_of_node (connection, node);
   connection->closed = true;
   connection->closed_at = peers->now;
-  count_traffic_bytes (peers, node, connection->nodes[other], 4 * HEADER_BYTES);
+  add_traffic_bytes (peers, node, connection->nodes[other], 4 * HEADER_BYTES);
   if (connection->links[other] && !connection->drops_messages
       && can_communicate (peers, node, connection->nodes[other]))
     push_event (peers, (Event){ .at = peers->now + random_one_way_delay (peers),
@@ -367,7 +367,7 @@
   if (connection->closed || connection->drops_messages
       || !can_communicate (peers, dialler, connection->nodes[1]))
     return;
-  count_traffic_bytes (peers, dialler, connection->nodes[1], CONNECT_HEADER_BYTES + 400);
+  add_traffic_bytes (peers, dialler, connection->nodes[1], CONNECT_HEADER_BYTES + 400);
   LcInstance self = *lc_membership_self (dialler_membership);
   connection->links[1] = lc_membership_link_accepted (acceptor, &self, peers->now, actions);
   fake_peers_execute_actions (peers, peers->connections[index].nodes[1], actions);
--- a/packages/core/tests/fake-engines.h
+++ b/packages/core/tests/fake-engines.h
@@ -47,26 +47,31 @@
 } FakePool;
 
 static inline void
-fake_pool_init (FakePool *pool, size_t n, int64_t percent, double live_reserve, LcVersion version)
+fake_pool_init (FakePool *pool,
+                size_t n_engines,
+                int64_t roll_out_percent,
+                double live_reserve,
+                LcVersion version)
 {
   LcWeightsSettings settings;
 
-  *pool = (FakePool){ .n = n,
+  *pool = (FakePool){ .n = n_engines,
                       .now = 1000 * LB_SEC,
                       .load_time = 2 * LB_SEC,
                       .swapping_report_period = LB_SEC / 4,
                       .period = LB_SEC,
                       .can_order_fenced = true,
                       .can_order_unfenced = true };
-  pool->engines = LB_NEW_ARRAY (FakeEngine, n);
+  pool->engines = LB_NEW_ARRAY (FakeEngine, n_engines);
   pool->set = LB_NEW (LcResourceSet);
   pool->set->pools = LB_NEW (LcPool);
   pool->set->n_pools = 1;
-  *pool->set->pools
-      = (LcPool){ .name = "reader", .live_reserve = live_reserve, .roll_out_percent = percent };
-  pool->set->endpoints = LB_NEW_ARRAY (LcEndpointMember, n);
-  pool->set->n_endpoints = n;
-  for (size_t i = 0; i < n; i++)
+  *pool->set->pools = (LcPool){ .name = "reader",
+                                .live_reserve = live_reserve,
+                                .roll_out_percent = roll_out_percent };
+  pool->set->endpoints = LB_NEW_ARRAY (LcEndpointMember, n_engines);
+  pool->set->n_endpoints = n_engines;
+  for (size_t i = 0; i < n_engines; i++)
     {
       LcEndpointMember *member = &pool->set->endpoints[i];
       *member = (LcEndpointMember){ .pool = "reader", .checks_fence = true, .concurrency = 32 };
@@ -92,7 +97,7 @@
 /* Moves the lease to another instance. The new holder knows the newest version, but learns the
  * state of the engines only from their reports. */
 static inline void
-fake_pool_move_lease (FakePool *pool, LcVersion newest)
+fake_pool_move_lease (FakePool *pool, LcVersion newest_version)
 {
   LcWeightsSettings settings;
 
@@ -103,18 +108,19 @@
   pool->weights = lc_weights_new (&settings);
   lc_weights_configure (pool->weights, pool->set, pool->now);
   lc_weights_lease_changed (pool->weights, pool->now);
-  lc_weights_set_newest_version (pool->weights, newest, pool->now);
+  lc_weights_set_newest_version (pool->weights, newest_version, pool->now);
 }
 
 static inline void
-fake_engine_start_load (FakePool *pool, size_t i, LcVersion version)
+fake_engine_start_load (FakePool *pool, size_t engine_index, LcVersion version)
 {
-  FakeEngine *engine = &pool->engines[i];
+  FakeEngine *engine = &pool->engines[engine_index];
 
   engine->loading = version;
   engine->version = 0;
   engine->failed = 0;
-  engine->loaded_at = pool->now + pool->load_time + pool->load_jitter * (LbTime)i / (LbTime)pool->n;
+  engine->loaded_at
+      = pool->now + pool->load_time + pool->load_jitter * (LbTime)engine_index / (LbTime)pool->n;
 }
 
 static inline void
@@ -212,17 +218,17 @@
   return n;
 }
 
-/* Runs until all engines that are not dead serve the version, for at most `limit`. Returns the
+/* Runs until all engines that are not dead serve the version, for at most `timeout`. Returns the
  * elapsed virtual time. */
 static inline LbTime
-fake_pool_run_until_rolled_out (FakePool *pool, LcVersion version, LbTime limit)
+fake_pool_run_until_rolled_out (FakePool *pool, LcVersion version, LbTime timeout)
 {
   LbTime start = pool->now;
   size_t dead = 0;
 
   for (size_t i = 0; i < pool->n; i++)
     dead += pool->engines[i].dead;
-  while (fake_pool_count_serving (pool, version) < pool->n - dead && pool->now - start < limit)
+  while (fake_pool_count_serving (pool, version) < pool->n - dead && pool->now - start < timeout)
     fake_pool_run_for (pool, FAKE_TICK_PERIOD);
   return pool->now - start;
 }
--- a/packages/core/tests/test-dispatch-random.c
+++ b/packages/core/tests/test-dispatch-random.c
@@ -214,7 +214,7 @@
 }
 
 static void
-start_attempt_or_fail (Model *model, EndpointAttempt *endpoint_attempt)
+start_or_end_attempt (Model *model, EndpointAttempt *endpoint_attempt)
 {
   double draw = gsl_rng_uniform (model->random);
 
@@ -262,10 +262,10 @@
 }
 
 static void
-progress_attempt (Model *model, EndpointAttempt *endpoint_attempt)
+advance_attempt (Model *model, EndpointAttempt *endpoint_attempt)
 {
   if (!endpoint_attempt->started)
-    start_attempt_or_fail (model, endpoint_attempt);
+    start_or_end_attempt (model, endpoint_attempt);
   else if (endpoint_attempt->next == endpoint_attempt->call->length)
     end_attempt (model, endpoint_attempt,
                  endpoint_attempt->damaged ? LC_END_BROKEN : LC_END_COMPLETE);
@@ -369,8 +369,8 @@
     deliver_and_check_piece (
         model, &model->attempts[gsl_rng_uniform_int (model->random, model->n_attempts)], 0, 1);
   else if (model->n_open)
-    progress_attempt (model,
-                      model->open_attempts[gsl_rng_uniform_int (model->random, model->n_open)]);
+    advance_attempt (model,
+                     model->open_attempts[gsl_rng_uniform_int (model->random, model->n_open)]);
   handle_pending_actions (model);
 }
 
--- a/tests/soak/sk-callers.c
+++ b/tests/soak/sk-callers.c
@@ -8,23 +8,22 @@
 #include <string.h>
 
 #define CALL_INTERVAL (12 * LB_MSEC)
-#define PROBE_INTERVAL (150 * LB_MSEC)
+#define ROUTE_PROBE_INTERVAL (150 * LB_MSEC)
 #define MAX_CONCURRENT_CALLS 200
 #define CALL_DEADLINE (3 * LB_SEC)
-/* A call must be answered by its deadline; the slack is for a busy machine. */
-#define RESPONSE_SLACK LB_SEC
+#define RESPONSE_SLACK LB_SEC /* allowance for a slow test machine after CALL_DEADLINE */
 /* An accepted configuration must be active on all instances within this time. */
 #define CONFIG_PROPAGATION_TIME (2 * LB_SEC)
-#define CONFIG_SLACK (500 * LB_MSEC)
-/* After a fault has ended, dead connections that are not detected yet and outdated state of
- * instances can have effects for this long. */
+#define CONFIG_SLACK (500 * LB_MSEC) /* allowance for a slow test machine */
+/* A fault can have effects for this long after its end, because dead connections are not detected
+ * yet and instances have stale state. */
 #define FAULT_EFFECT_TIME (3 * LB_SEC)
 
 typedef enum
 {
   CALL_LOOKUP,
   CALL_ORDER,
-  CALL_ROUTE_PROBE /* to the newest added route */
+  CALL_ROUTE_PROBE /* call to the newest route that a configuration change added */
 } CallKind;
 
 typedef struct
@@ -32,10 +31,10 @@
   LbLink link;
   SkCallers *callers;
   SkInstance *instance;
-  int instance_start; /* n_starts of the instance when the call started */
+  int called_process_start; /* the instance's n_process_starts when the call started */
   CallKind kind;
   LbName id;
-  int64_t route; /* number of the newest added route when the call started */
+  int64_t route; /* number of the newest added route when the call started; 0: none */
   LbTime started_at;
   LhFetch *fetch;
 } Call;
@@ -78,11 +77,12 @@
   free (callers);
 }
 
-/* Whether the called process still runs, and neither it nor the store was disturbed since then. */
+/* Returns true if the called process still runs, and neither the process nor the store was
+ * disturbed after `since`. */
 static bool
-was_undisturbed (const Call *call, LbTime since)
+was_called_instance_undisturbed (const Call *call, LbTime since)
 {
-  return call->instance->n_starts == call->instance_start
+  return call->instance->n_process_starts == call->called_process_start
          && sk_instance_was_undisturbed (call->instance, since);
 }
 
@@ -100,42 +100,45 @@
 }
 
 static void
-check_refused_request (Call *call)
+check_refused_call_did_not_run (Call *call)
 {
   SkRequest *request = sk_request_find_or_add (call->callers->world, call->id);
 
   request->reported_not_run = true;
   if (request->n_runs > 0 && !request->is_idempotent)
-    sk_fail (call->callers->world, "a request reported as not run did not run",
-             "%s ran %d times and was refused as not run", call->id, request->n_runs);
+    sk_report_violation (call->callers->world, "a request reported as not run did not run",
+                         "%s ran %d times and was refused as not run", call->id, request->n_runs);
 }
 
 static void
-check_route_probe (Call *call, int status, LbTime now)
+check_probed_route_is_served (Call *call, int status, LbTime now)
 {
   SkWorld *world = call->callers->world;
   SkInstance *instance = call->instance;
-  LbTime in_force_by = world->config_put_at + CONFIG_PROPAGATION_TIME + CONFIG_SLACK;
+  LbTime active_by = world->config_put_at + CONFIG_PROPAGATION_TIME + CONFIG_SLACK;
 
-  if (instance->n_starts != call->instance_start)
+  if (instance->n_process_starts != call->called_process_start)
     return;
   if (status == 200 && call->route > instance->newest_served_route)
     instance->newest_served_route = call->route;
   if (status != 404)
     return;
   if (call->route <= instance->newest_served_route)
-    sk_fail (world, "an accepted configuration never reverts", "%s no longer has route r%lld",
-             instance->name, (long long)call->route);
-  else if (call->route == world->n_added_routes && call->started_at > in_force_by
-           && was_undisturbed (call, world->config_put_at - FAULT_EFFECT_TIME) && now > in_force_by)
-    sk_fail (world, "an accepted configuration is active within seconds",
-             "%s has no route r%lld %.3f s after it was accepted", instance->name,
-             (long long)call->route, (double)(call->started_at - world->config_put_at) / LB_SEC);
+    sk_report_violation (world, "an accepted configuration never reverts",
+                         "%s no longer has route r%lld", instance->name, (long long)call->route);
+  else if (call->route == world->n_added_routes && call->started_at > active_by
+           && was_called_instance_undisturbed (call, world->config_put_at - FAULT_EFFECT_TIME)
+           && now > active_by)
+    sk_report_violation (world, "an accepted configuration is active within seconds",
+                         "%s has no route r%lld %.3f s after it was accepted", instance->name,
+                         (long long)call->route,
+                         (double)(call->started_at - world->config_put_at) / LB_SEC);
 }
 
-/* A graceful shutdown must abort no request: a request that ran at a service must be answered
- * unless the process was disturbed. A request that arrives as the instance closes its connection is
- * not forwarded. */
+/* Checks that a graceful shutdown aborts no request. A request that ran at a service must be
+ * answered unless the process was disturbed after the request was sent. A request may be lost
+ * without an answer if it arrives while the instance closes the connection: it is not forwarded
+ * then. */
 static void
 check_connection_loss (const Call *call, const LhResult *result)
 {
@@ -144,16 +147,17 @@
 
   if (result->failure != LB_ERROR_CLOSED && result->failure != LB_ERROR_IO)
     return;
-  if (instance->n_starts != call->instance_start || instance->last_disturbed_at > call->started_at
+  if (instance->n_process_starts != call->called_process_start
+      || instance->last_disturbed_at > call->started_at
       || (instance->stopping && instance->last_disturbed_at > call->started_at))
     return;
   if (request && request->n_runs > 0)
-    sk_fail (call->callers->world, "shutdown aborts no request",
-             "%s ran, but %s closed its connection", call->id, instance->name);
+    sk_report_violation (call->callers->world, "shutdown aborts no request",
+                         "%s ran, but %s closed its connection", call->id, instance->name);
 }
 
 static void
-check_result (Call *call, const LhFetch *fetch, const LhResult *result, LbTime now)
+check_call_result (Call *call, const LhFetch *fetch, const LhResult *result, LbTime now)
 {
   SkWorld *world = call->callers->world;
 
@@ -164,36 +168,40 @@
       return;
     }
   if (result->status == 200 && !is_complete_response (call, fetch, result))
-    sk_fail (world, "complete responses", "%s got %.*s", call->id, (int)result->body_length,
-             result->body);
+    sk_report_violation (world, "complete responses",
+                         "%s: expected the complete response to its request, got %.*s", call->id,
+                         (int)result->body_length, result->body);
   world->n_served += result->status == 200;
   world->n_refused += result->status == 503 || result->status == 429;
   if (result->status == 503 || result->status == 429)
-    check_refused_request (call);
+    check_refused_call_did_not_run (call);
   if (call->kind == CALL_ROUTE_PROBE)
-    check_route_probe (call, result->status, now);
+    check_probed_route_is_served (call, result->status, now);
   else if (result->status == 404)
-    sk_fail (world, "configured routes are served", "%s got 404 from %s", call->id,
-             call->instance->name);
+    sk_report_violation (world, "configured routes are served",
+                         "%s: expected a configured route, got status 404 from %s", call->id,
+                         call->instance->name);
   if (now - call->started_at > CALL_DEADLINE + RESPONSE_SLACK
-      && was_undisturbed (call, call->started_at - FAULT_EFFECT_TIME))
-    sk_fail (world, "a response by the deadline", "%s got status %d after %.3f s from %s", call->id,
-             result->status, (double)(now - call->started_at) / LB_SEC, call->instance->name);
+      && was_called_instance_undisturbed (call, call->started_at - FAULT_EFFECT_TIME))
+    sk_report_violation (
+        world, "a response by the deadline",
+        "%s: expected a response by the deadline, got status %d after %.3f s from %s", call->id,
+        result->status, (double)(now - call->started_at) / LB_SEC, call->instance->name);
 }
 
 static void
-on_done (LhFetch *fetch, const LhResult *result, void *user)
+on_call_done (LhFetch *fetch, const LhResult *result, void *user)
 {
   Call *call = user;
 
-  check_result (call, fetch, result, lb_clock_monotonic ());
+  check_call_result (call, fetch, result, lb_clock_monotonic ());
   call_free (call);
 }
 
-/* Chooses an instance whose address callers may have, also one that is shutting down; NULL: none.
- */
+/* Returns a random instance whose address callers can know, even if the instance is paused or
+ * shutting down; NULL if there is none. */
 static SkInstance *
-choose_instance (SkWorld *world)
+choose_random_reachable_instance (SkWorld *world)
 {
   size_t first = (size_t)sk_random_int (world, 0, (int64_t)world->n_instances - 1);
 
@@ -216,7 +224,7 @@
   const LhHeader headers[] = { { "Attempt-Id", call->id },
                                { "Deadline-Ms", deadline },
                                { "Api-Key", SK_CALLER_API_KEY } };
-  const LhHandlers handlers = { .on_done = on_done };
+  const LhHandlers handlers = { .on_done = on_call_done };
   const LhRequest request = { .method = "POST",
                               .address = instance->address,
                               .path = path,
@@ -230,7 +238,7 @@
 
   *call = (Call){ .callers = callers,
                   .instance = instance,
-                  .instance_start = instance->n_starts,
+                  .called_process_start = instance->n_process_starts,
                   .kind = kind,
                   .route = world->n_added_routes,
                   .started_at = now };
@@ -257,13 +265,14 @@
 }
 
 void
-sk_callers_tick (SkCallers *callers, LbTime now)
+sk_callers_start_due_calls (SkCallers *callers, LbTime now)
 {
   SkInstance *instance = NULL;
 
   if (callers->stopped || callers->calls.length > MAX_CONCURRENT_CALLS)
     return;
-  if (now >= callers->next_call_at && (instance = choose_instance (callers->world)))
+  if (now >= callers->next_call_at
+      && (instance = choose_random_reachable_instance (callers->world)))
     {
       callers->next_call_at = now + CALL_INTERVAL;
       start_call (callers, instance,
@@ -271,7 +280,7 @@
     }
   if (now < callers->next_probe_at)
     return;
-  callers->next_probe_at = now + PROBE_INTERVAL;
+  callers->next_probe_at = now + ROUTE_PROBE_INTERVAL;
   start_route_probes (callers, now);
 }
 
--- a/tests/soak/sk-callers.h
+++ b/tests/soak/sk-callers.h
@@ -3,16 +3,15 @@
 
 #include "sk-world.h"
 
-/* Live callers. They send lookups (idempotent) and orders (not idempotent), and probe the route
- * that the newest configuration added. Open connections are reused until the process behind them
- * ends. */
+/* Simulates callers. They send lookups (idempotent) and orders (not idempotent), and probe the
+ * route that the newest configuration added. Three of four calls reuse an open connection to the
+ * process, if there is one. */
 typedef struct SkCallers SkCallers;
 
 SkCallers *sk_callers_new (SkWorld *world);
 void sk_callers_free (SkCallers *callers);
-/* Starts the calls that are due. */
-void sk_callers_tick (SkCallers *callers, LbTime now);
-/* Starts no more calls from now on. */
+void sk_callers_start_due_calls (SkCallers *callers, LbTime now);
+/* Stops starting new calls; calls in progress continue. */
 void sk_callers_stop (SkCallers *callers);
 
 #endif
--- a/tests/soak/sk-crasher.c
+++ b/tests/soak/sk-crasher.c
@@ -10,13 +10,13 @@
 #define MIN_CALL_INTERVAL_MS 100
 #define MAX_CALL_INTERVAL_MS 500
 #define CRASHES_TO_QUARANTINE 3
-/* If nothing else fails, every instance must quarantine the request within this time after the
- * third crash. */
+/* Without other faults, every instance must quarantine the content of the fatal requests within
+ * this time after the third crash. */
 #define QUARANTINE_TIME (3 * LB_SEC)
-#define QUARANTINE_SLACK (500 * LB_MSEC) /* for a busy machine */
-#define MAX_LATE_RUNS 3
-#define DEADLINE_MS "2000"
-#define IDLE_TIMEOUT (3 * LB_SEC)
+#define QUARANTINE_SLACK (500 * LB_MSEC) /* allowance for a slow test machine */
+#define MAX_RUNS_AFTER_QUARANTINE 3
+#define CALL_DEADLINE_MS "2000"
+#define CALL_IDLE_TIMEOUT (3 * LB_SEC)
 
 typedef struct
 {
@@ -34,8 +34,8 @@
   int64_t n_calls;
   LbTime next_call_at;
   int n_crashes;
-  LbTime quarantined_by; /* 0: fewer services than needed have crashed */
-  int n_late_runs;
+  LbTime quarantined_by; /* end of QUARANTINE_TIME and its slack; 0: not enough crashes yet */
+  int n_runs_after_quarantine;
   bool stopped;
 };
 
@@ -68,14 +68,16 @@
 }
 
 static void
-on_call_done (LhFetch *fetch, const LhResult *result, void *user)
+on_fatal_call_done (LhFetch *fetch, const LhResult *result, void *user)
 {
   (void)fetch;
   Call *call = user;
 
   if (result->failure == LB_OK && result->status == 200)
-    sk_fail (call->crasher->world, "complete responses",
-             "%s got status 200, but no service answered it", call->id);
+    sk_report_violation (
+        call->crasher->world, "complete responses",
+        "%s: expected no success, since every service crashes on the request, got status 200",
+        call->id);
   call_free (call);
 }
 
@@ -84,9 +86,9 @@
 {
   Call *call = LB_NEW (Call);
   const LhHeader headers[] = { { "Attempt-Id", call->id },
-                               { "Deadline-Ms", DEADLINE_MS },
+                               { "Deadline-Ms", CALL_DEADLINE_MS },
                                { "Api-Key", SK_CALLER_API_KEY } };
-  const LhHandlers handlers = { .on_done = on_call_done };
+  const LhHandlers handlers = { .on_done = on_fatal_call_done };
   const LhRequest request = { .method = "POST",
                               .address = instance->address,
                               .path = "/lookup/again",
@@ -95,7 +97,7 @@
                               .n_headers = 3,
                               .body = SK_FATAL_BODY,
                               .body_length = strlen (SK_FATAL_BODY),
-                              .idle_timeout = IDLE_TIMEOUT,
+                              .idle_timeout = CALL_IDLE_TIMEOUT,
                               .fresh_connection = true };
 
   call->crasher = crasher;
@@ -106,7 +108,7 @@
 }
 
 void
-sk_crasher_tick (SkCrasher *crasher, LbTime now)
+sk_crasher_send_if_due (SkCrasher *crasher, LbTime now)
 {
   SkWorld *world = crasher->world;
   SkInstance *instance = NULL;
@@ -127,7 +129,7 @@
 }
 
 static const Call *
-find_call (const SkCrasher *crasher, const char *id)
+find_call_by_id (const SkCrasher *crasher, const char *id)
 {
   LB_LIST_FOREACH (&crasher->calls, Call, link, call)
   {
@@ -138,9 +140,9 @@
 }
 
 void
-sk_crasher_record_run (SkCrasher *crasher, const char *id, const char *service)
+sk_crasher_record_crash (SkCrasher *crasher, const char *id, const char *service)
 {
-  const Call *call = find_call (crasher, id);
+  const Call *call = find_call_by_id (crasher, id);
   LbTime now = lb_clock_monotonic ();
 
   sk_log (crasher->world, "fatal request %s starts at %s", id, service);
@@ -150,9 +152,10 @@
   if (crasher->n_crashes <= CRASHES_TO_QUARANTINE || now < crasher->quarantined_by || !call
       || !sk_instance_was_undisturbed (call->instance, now - QUARANTINE_TIME - QUARANTINE_SLACK))
     return;
-  crasher->n_late_runs++;
-  if (crasher->n_late_runs > MAX_LATE_RUNS)
-    sk_fail (crasher->world, "a fatal request is quarantined",
-             "%s from %s starts at %s: run %d after the quarantine time, %d in all", id,
-             call->instance->name, service, crasher->n_late_runs, crasher->n_crashes);
+  crasher->n_runs_after_quarantine++;
+  if (crasher->n_runs_after_quarantine > MAX_RUNS_AFTER_QUARANTINE)
+    sk_report_violation (
+        crasher->world, "a fatal request is quarantined",
+        "%s from %s starts at %s: run %d after the quarantine time, run %d in total", id,
+        call->instance->name, service, crasher->n_runs_after_quarantine, crasher->n_crashes);
 }
--- a/tests/soak/sk-crasher.h
+++ b/tests/soak/sk-crasher.h
@@ -3,19 +3,19 @@
 
 #include "sk-world.h"
 
-/* A caller of fatal requests: each crashes every service that starts it. The caller sends them
- * again and again, to random instances, which must quarantine them. */
+/* Simulates a caller of fatal requests: a service that starts one of them crashes. The requests
+ * have the same content and go to random instances, which must quarantine the content. */
 typedef struct SkCrasher SkCrasher;
 
 #define SK_FATAL_BODY "a body that ends services"
 
 SkCrasher *sk_crasher_new (SkWorld *world);
 void sk_crasher_free (SkCrasher *crasher);
-/* Sends the next request if it is due. */
-void sk_crasher_tick (SkCrasher *crasher, LbTime now);
-/* Sends no more requests from now on. */
+/* Sends the next fatal request if it is due. */
+void sk_crasher_send_if_due (SkCrasher *crasher, LbTime now);
+/* Stops sending fatal requests. */
 void sk_crasher_stop (SkCrasher *crasher);
-/* Called when a service has started the fatal request `id` and is about to crash. */
-void sk_crasher_record_run (SkCrasher *crasher, const char *id, const char *service);
+/* To be called when a service has started the fatal request `id` and is about to crash. */
+void sk_crasher_record_crash (SkCrasher *crasher, const char *id, const char *service);
 
 #endif
--- a/tests/soak/sk-faults.c
+++ b/tests/soak/sk-faults.c
@@ -6,21 +6,22 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Time between two faults, short enough that most faults overlap the previous one. */
+/* range of the random time between two faults, short enough that most faults overlap */
 #define MIN_FAULT_INTERVAL_MS 50
 #define MAX_FAULT_INTERVAL_MS 900
-#define SLOW_EVENT_INTERVAL (125 * LB_MSEC) /* five times the normal interval */
+/* time between two events of a slow stream, five times the normal interval */
+#define SLOW_EVENT_INTERVAL (125 * LB_MSEC)
 #define MIN_ENGINES 2
 #define MAX_ADDED_ROUTES 60
 
 static SkInstance *
-choose_instance (SkWorld *world)
+choose_random_instance (SkWorld *world)
 {
   return &world->instances[sk_random_int (world, 0, (int64_t)world->n_instances - 1)];
 }
 
 static SkEndpoint *
-choose_endpoint (SkWorld *world)
+choose_random_running_endpoint (SkWorld *world)
 {
   SkEndpoint *endpoint
       = &world->endpoints[sk_random_int (world, 0, (int64_t)world->n_endpoints - 1)];
@@ -29,7 +30,7 @@
 }
 
 static size_t
-count_engines (const SkWorld *world)
+count_available_engines (const SkWorld *world)
 {
   size_t n = 0;
 
@@ -39,23 +40,23 @@
   return n;
 }
 
-/* Returns NULL if the random endpoint is no engine, is down or draining, or too few engines would
- * be left. */
+/* Chooses a random endpoint. Returns NULL if it is not an engine, is down or draining, or if fewer
+ * than MIN_ENGINES other engines would be available. */
 static SkEndpoint *
-choose_spare_engine (SkWorld *world)
+choose_random_spare_engine (SkWorld *world)
 {
-  SkEndpoint *endpoint = choose_endpoint (world);
+  SkEndpoint *endpoint = choose_random_running_endpoint (world);
 
   return endpoint && endpoint->standin.model[0] && endpoint->draining_since == 0
-                 && count_engines (world) > MIN_ENGINES
+                 && count_available_engines (world) > MIN_ENGINES
              ? endpoint
              : NULL;
 }
 
 static LbTime
-random_ms (SkWorld *world, int64_t low, int64_t high)
+random_duration (SkWorld *world, int64_t low_ms, int64_t high_ms)
 {
-  return sk_random_int (world, low, high) * LB_MSEC;
+  return sk_random_int (world, low_ms, high_ms) * LB_MSEC;
 }
 
 static PtRelayFault
@@ -70,83 +71,83 @@
     case 2:
       return (PtRelayFault){ .drops_to_target = true };
     default:
-      return (PtRelayFault){ .delay = random_ms (world, 20, 600) };
+      return (PtRelayFault){ .delay = random_duration (world, 20, 600) };
     }
 }
 
-/* --- instances --- */
+/* --- faults of instances --- */
 
 static void
-kill_instance (SkWorld *world)
+kill_random_instance (SkWorld *world)
 {
-  sk_instance_kill (choose_instance (world), random_ms (world, 100, 2500));
+  sk_instance_kill (choose_random_instance (world), random_duration (world, 100, 2500));
 }
 
-/* Simulates a power loss of all machines. */
+/* Simulates a power failure of the machines of all instances. */
 static void
 kill_all_instances (SkWorld *world)
 {
   for (size_t i = 0; i < world->n_instances; i++)
-    sk_instance_kill (&world->instances[i], random_ms (world, 300, 700));
+    sk_instance_kill (&world->instances[i], random_duration (world, 300, 700));
 }
 
 static void
-pause_instance (SkWorld *world)
+pause_random_instance (SkWorld *world)
 {
-  sk_instance_pause (choose_instance (world), random_ms (world, 100, 4000));
+  sk_instance_pause (choose_random_instance (world), random_duration (world, 100, 4000));
 }
 
-/* The pause is long enough for another instance to take the batch over, which the paused one does
- * not know when it resumes. */
+/* Pauses the instance that runs the trainer's batch, long enough that another instance can take the
+ * batch over. The paused instance does not know of the takeover when it resumes. */
 static void
-pause_owner (SkWorld *world)
+pause_batch_owner (SkWorld *world)
 {
   SkInstance *owner = sk_find_batch_owner (world);
 
   if (owner)
-    sk_instance_pause (owner, random_ms (world, 1500, 4500));
+    sk_instance_pause (owner, random_duration (world, 1500, 4500));
 }
 
 static void
-kill_owner (SkWorld *world)
+kill_batch_owner (SkWorld *world)
 {
   SkInstance *owner = sk_find_batch_owner (world);
 
   if (owner)
-    sk_instance_kill (owner, random_ms (world, 100, 2500));
+    sk_instance_kill (owner, random_duration (world, 100, 2500));
 }
 
 static void
-stop_instance (SkWorld *world)
+stop_random_instance (SkWorld *world)
 {
-  sk_instance_stop (choose_instance (world));
+  sk_instance_stop (choose_random_instance (world));
 }
 
 static void
-reload_instance (SkWorld *world)
+reload_random_instance (SkWorld *world)
 {
-  SkInstance *instance = choose_instance (world);
+  SkInstance *instance = choose_random_instance (world);
 
   if (sk_instance_is_running (instance))
     pt_process_signal (&instance->process, SIGHUP);
 }
 
-/* --- the store --- */
+/* --- faults of the store and of connections to the store --- */
 
 static void
-impair_store_link (SkWorld *world)
+impair_random_store_link (SkWorld *world)
 {
-  SkInstance *instance = choose_instance (world);
+  SkInstance *instance = choose_random_instance (world);
 
   sk_log (world, "%s: store connection is impaired", instance->name);
   instance->last_disturbed_at = lb_clock_monotonic ();
   world->last_disturbed_at = instance->last_disturbed_at;
   instance->store_relay.fault = random_relay_fault (world);
-  instance->heal_at = instance->last_disturbed_at + random_ms (world, 300, 6000);
+  instance->heal_at = instance->last_disturbed_at + random_duration (world, 300, 6000);
 }
 
 static void
-reset_store_connections (SkWorld *world)
+reset_random_store_connections (SkWorld *world)
 {
   for (size_t i = 0; i < world->n_instances; i++)
     if (sk_random_int (world, 0, 1))
@@ -156,10 +157,10 @@
       }
 }
 
-/* Simulates a middlebox that loses its connection table: open connections carry no more data, new
- * ones work. */
+/* Simulates a firewall that loses its connection table: data on open connections to the store is
+ * dropped, and new connections work. */
 static void
-silence_store_connections (SkWorld *world)
+blackhole_store_connections (SkWorld *world)
 {
   for (size_t i = 0; i < world->n_instances; i++)
     {
@@ -169,13 +170,13 @@
 }
 
 static void
-break_store (SkWorld *world)
+inject_random_store_fault (SkWorld *world)
 {
   static const SiRowStoreMode modes[]
       = { SI_ROW_STORE_UNAVAILABLE, SI_ROW_STORE_SILENT, SI_ROW_STORE_LOSES_REPLY };
 
   world->store.mode = modes[sk_random_int (world, 0, 2)];
-  world->store_heal_at = lb_clock_monotonic () + random_ms (world, 200, 4000);
+  world->store_heal_at = lb_clock_monotonic () + random_duration (world, 200, 4000);
   sk_log (world, "store: fault mode %d", world->store.mode);
 }
 
@@ -186,25 +187,25 @@
   world->store_last_disturbed_at = lb_clock_monotonic ();
 }
 
-/* --- endpoints --- */
+/* --- faults of engines and services --- */
 
 static void
-impair_endpoint_link (SkWorld *world)
+impair_random_endpoint_link (SkWorld *world)
 {
-  SkEndpoint *endpoint = choose_endpoint (world);
+  SkEndpoint *endpoint = choose_random_running_endpoint (world);
 
   if (!endpoint)
     return;
   sk_log (world, "%s: connections are impaired", endpoint->standin.name);
   world->last_disturbed_at = lb_clock_monotonic ();
   endpoint->relay.fault = random_relay_fault (world);
-  endpoint->heal_at = world->last_disturbed_at + random_ms (world, 200, 3000);
+  endpoint->heal_at = world->last_disturbed_at + random_duration (world, 200, 3000);
 }
 
 static void
-break_endpoint_connections (SkWorld *world)
+break_random_endpoint_connections (SkWorld *world)
 {
-  SkEndpoint *endpoint = choose_endpoint (world);
+  SkEndpoint *endpoint = choose_random_running_endpoint (world);
 
   if (!endpoint)
     return;
@@ -218,85 +219,84 @@
 static void
 crash_spare_engine (SkWorld *world)
 {
-  SkEndpoint *endpoint = choose_spare_engine (world);
+  SkEndpoint *endpoint = choose_random_spare_engine (world);
 
   if (!endpoint)
     return;
   world->last_disturbed_at = lb_clock_monotonic ();
-  sk_endpoint_crash (endpoint, random_ms (world, 300, 4000));
+  sk_endpoint_crash (endpoint, random_duration (world, 300, 4000));
 }
 
 static void
-slow_spare_engine (SkWorld *world)
+slow_down_spare_engine (SkWorld *world)
 {
-  SkEndpoint *endpoint = choose_spare_engine (world);
+  SkEndpoint *endpoint = choose_random_spare_engine (world);
 
   if (!endpoint)
     return;
   sk_log (world, "%s streams slowly", endpoint->standin.name);
   endpoint->standin.event_interval = SLOW_EVENT_INTERVAL;
-  endpoint->heal_at = lb_clock_monotonic () + random_ms (world, 500, 4000);
+  endpoint->heal_at = lb_clock_monotonic () + random_duration (world, 500, 4000);
 }
 
 static void
 replace_spare_engine (SkWorld *world)
 {
-  SkEndpoint *endpoint = choose_spare_engine (world);
+  SkEndpoint *endpoint = choose_random_spare_engine (world);
 
   if (endpoint && sk_engine_add (world))
     sk_endpoint_drain (endpoint);
 }
 
-/* --- configuration --- */
+/* --- configuration changes --- */
 
 static void
-change_config (SkWorld *world)
+write_config_with_new_route (SkWorld *world)
 {
   if (world->n_added_routes < MAX_ADDED_ROUTES)
     world->n_added_routes++;
-  sk_config_put (world);
+  sk_store_put_config (world);
   sk_log (world, "configuration version %lld", (long long)world->config_version);
 }
 
-const SkFault sk_faults[] = { { "kill", kill_instance },
+const SkFault sk_faults[] = { { "kill", kill_random_instance },
                               { "kill-all", kill_all_instances },
-                              { "pause", pause_instance },
-                              { "pause-owner", pause_owner },
-                              { "kill-owner", kill_owner },
-                              { "stop", stop_instance },
-                              { "reload", reload_instance },
-                              { "cut-store", impair_store_link },
-                              { "reset-store", reset_store_connections },
-                              { "silence-store", silence_store_connections },
-                              { "break-store", break_store },
+                              { "pause", pause_random_instance },
+                              { "pause-owner", pause_batch_owner },
+                              { "kill-owner", kill_batch_owner },
+                              { "stop", stop_random_instance },
+                              { "reload", reload_random_instance },
+                              { "cut-store", impair_random_store_link },
+                              { "reset-store", reset_random_store_connections },
+                              { "silence-store", blackhole_store_connections },
+                              { "break-store", inject_random_store_fault },
                               { "forget-history", discard_watch_history },
-                              { "harm-endpoint", impair_endpoint_link },
-                              { "reset-endpoint", break_endpoint_connections },
+                              { "harm-endpoint", impair_random_endpoint_link },
+                              { "reset-endpoint", break_random_endpoint_connections },
                               { "crash-engine", crash_spare_engine },
-                              { "slow-engine", slow_spare_engine },
+                              { "slow-engine", slow_down_spare_engine },
                               { "replace-engine", replace_spare_engine },
-                              { "config", change_config },
+                              { "config", write_config_with_new_route },
                               { NULL, NULL } };
 
 static const SkFault *
-choose_fault (SkWorld *world, const char *only_fault)
+choose_fault_kind (SkWorld *world, const char *only_fault_kind)
 {
   unsigned long n = 0;
 
   while (sk_faults[n].name)
     n++;
   const SkFault *chosen = &sk_faults[gsl_rng_uniform_int (world->fault_rng, n)];
-  for (const SkFault *fault = sk_faults; only_fault && fault->name; fault++)
-    if (strcmp (fault->name, only_fault) == 0)
+  for (const SkFault *fault = sk_faults; only_fault_kind && fault->name; fault++)
+    if (strcmp (fault->name, only_fault_kind) == 0)
       return fault;
   return chosen;
 }
 
-/* Traffic and the details of a fault share rng, and the amount of traffic depends on the machine's
- * speed. So rng is seeded from fault_rng before each fault, which keeps the details reproducible.
- */
+/* Seeds rng from fault_rng before each fault, so that the details of the fault are reproducible.
+ * Traffic draws from rng too, and the amount of traffic depends on the speed of the machine. */
 void
-sk_faults_tick (SkWorld *world, const char *only_fault, LbTime *next_at, LbTime now)
+sk_faults_inject_if_due (SkWorld *world, const char *only_fault_kind, LbTime *next_at, LbTime now)
 {
   const SkFault *fault = NULL;
 
@@ -306,7 +306,7 @@
                + (LbTime)gsl_rng_uniform_int (world->fault_rng,
                                               MAX_FAULT_INTERVAL_MS - MIN_FAULT_INTERVAL_MS + 1))
               * LB_MSEC;
-  fault = choose_fault (world, only_fault);
+  fault = choose_fault_kind (world, only_fault_kind);
   gsl_rng_set (world->rng, gsl_rng_get (world->fault_rng));
   world->n_faults++;
   fault->inject (world);
--- a/tests/soak/sk-faults.h
+++ b/tests/soak/sk-faults.h
@@ -3,19 +3,22 @@
 
 #include "sk-world.h"
 
-/* A kind of fault. Kinds and times are drawn from the seed; faults overlap. */
+/* A kind of fault. The kinds and times of faults are random and depend on the seed; faults overlap.
+ */
 typedef struct
 {
   const char *name;
   void (*inject) (SkWorld *world);
 } SkFault;
 
-/* The last entry has no name. */
+/* All kinds of faults. The last entry has the name NULL. */
 extern const SkFault sk_faults[];
 
-/* Injects a fault if it is due, of the kind only_fault or, if that is NULL, of any kind. */
-void sk_faults_tick (SkWorld *world, const char *only_fault, LbTime *next_at, LbTime now);
-/* Makes all pending recoveries and restarts due now. */
+/* If *next_at has passed, injects a fault and advances *next_at. only_fault_kind: name of the kind
+ * of fault; NULL: a random kind. */
+void
+sk_faults_inject_if_due (SkWorld *world, const char *only_fault_kind, LbTime *next_at, LbTime now);
+/* Makes all pending restarts, resumes and repairs due at once, so that all faults end. */
 void sk_faults_end_all (SkWorld *world);
 
 #endif
--- a/tests/soak/sk-one-shot.h
+++ b/tests/soak/sk-one-shot.h
@@ -3,17 +3,18 @@
 
 #include "sk-world.h"
 
-/* Trainers that submit a small batch once, without a retry, and delete every second one that is
- * accepted: a refused batch must not run, and a deleted one must stop. */
-typedef struct SkOneShots SkOneShots;
+/* Simulates trainers that submit each small batch once, without a retry, and delete every second
+ * accepted batch. A refused batch must not run, and a deleted batch must stop. */
+typedef struct SkOneShotTrainers SkOneShotTrainers;
 
-SkOneShots *sk_one_shots_new (SkWorld *world);
-void sk_one_shots_free (SkOneShots *one_shots);
+SkOneShotTrainers *sk_one_shot_trainers_new (SkWorld *world);
+void sk_one_shot_trainers_free (SkOneShotTrainers *one_shot_trainers);
 /* Submits the next batch if it is due. */
-void sk_one_shots_tick (SkOneShots *one_shots, LbTime now);
-/* Submits no more batches from now on. */
-void sk_one_shots_stop (SkOneShots *one_shots);
-/* Called when an engine starts an item; items of other batches are ignored. */
-void sk_one_shots_record_run (SkOneShots *one_shots, const char *item);
+void sk_one_shot_trainers_submit_if_due (SkOneShotTrainers *one_shot_trainers, LbTime now);
+/* Stops submitting batches. */
+void sk_one_shot_trainers_stop (SkOneShotTrainers *one_shot_trainers);
+/* To be called when an engine starts an item. Items of batches of other trainers are ignored. */
+void sk_one_shot_trainers_record_item_start (SkOneShotTrainers *one_shot_trainers,
+                                             const char *item);
 
 #endif
--- a/tests/soak/sk-trainer.c
+++ b/tests/soak/sk-trainer.c
@@ -10,12 +10,11 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define N_ITEMS 24
+#define N_BATCH_ITEMS 24
 #define RETRY_DELAY (120 * LB_MSEC)
 #define READ_INTERVAL (150 * LB_MSEC)
-#define VERSION_LIMIT 1000 /* exclusive */
-/* All faults end within seconds, so a step that is still incomplete after this time counts as lost.
- */
+#define WEIGHT_VERSION_LIMIT 1000 /* all weight versions must be below this value */
+/* A step that is incomplete after this time counts as lost, since all faults end within seconds. */
 #define STEP_TIMEOUT (40 * LB_SEC)
 
 typedef enum
@@ -24,26 +23,26 @@
   TRAINER_READING,
   TRAINER_DELETING,
   TRAINER_DONE
-} State;
+} TrainerState;
 
 typedef struct
 {
   LbName item;
-  char *json; /* the result as first read; NULL: not read yet */
+  char *json; /* the result when it was first read; NULL: not read yet */
 } Result;
 
 struct SkTrainer
 {
   SkWorld *world;
-  State state;
+  TrainerState state;
   int64_t step;
   int64_t min_version;
   LbName batch;
-  Result results[N_ITEMS]; /* by position in the batch's results */
+  Result results[N_BATCH_ITEMS]; /* indexed by position in the results of the batch */
   int64_t n_read;
   LhFetch *fetch;
   SkInstance *called_instance;
-  int called_instance_start; /* n_starts of the instance when it was called */
+  int called_process_start; /* the called instance's n_process_starts when the call started */
   bool is_rereading;
   bool stopped;
   LbTime next_call_at;
@@ -54,7 +53,7 @@
 static void
 begin_step (SkTrainer *trainer, LbTime now)
 {
-  for (int i = 0; i < N_ITEMS; i++)
+  for (int i = 0; i < N_BATCH_ITEMS; i++)
     {
       free (trainer->results[i].json);
       trainer->results[i] = (Result){ 0 };
@@ -83,15 +82,16 @@
 {
   if (trainer->fetch)
     lh_fetch_cancel (trainer->fetch);
-  for (int i = 0; i < N_ITEMS; i++)
+  for (int i = 0; i < N_BATCH_ITEMS; i++)
     free (trainer->results[i].json);
   free (trainer);
 }
 
-/* --- results --- */
+/* --- checks of results --- */
 
-/* Describes what is wrong with the text: its events must be complete and in order, and the result's
- * label must list exactly the weight versions in them. NULL: nothing. */
+/* Returns a description of the first fault in the text of a result; NULL if there is none. The
+ * events must be complete and in order, and the result's label must list exactly their weight
+ * versions. */
 static const char *
 find_text_fault (const char *item, struct json_object *result, int64_t min_version, int events)
 {
@@ -99,7 +99,7 @@
   size_t n_versions
       = json_object_is_type (versions, json_type_array) ? json_object_array_length (versions) : 0;
   const char *rest = lb_json_text (result, "text", "");
-  bool is_used_version[VERSION_LIMIT] = { false };
+  bool is_used_version[WEIGHT_VERSION_LIMIT] = { false };
   char expected[LB_NAME_MAX + 16];
   size_t n_used_versions = 0;
 
@@ -110,7 +110,7 @@
       if (strncmp (rest, expected, (size_t)length) != 0)
         return "an event is missing or out of order";
       long version = strtol (rest + length, &end, 10);
-      if (version < min_version || version >= VERSION_LIMIT)
+      if (version < min_version || version >= WEIGHT_VERSION_LIMIT)
         return "its weight version is below the minimum or out of range";
       n_used_versions += !is_used_version[version];
       is_used_version[version] = true;
@@ -121,7 +121,7 @@
   for (size_t i = 0; i < n_versions; i++)
     {
       int64_t version = json_object_get_int64 (json_object_array_get_idx (versions, i));
-      if (version < 0 || version >= VERSION_LIMIT || !is_used_version[version])
+      if (version < 0 || version >= WEIGHT_VERSION_LIMIT || !is_used_version[version])
         return "its label has a weight version that generated none of its events";
     }
   return n_versions == n_used_versions
@@ -130,7 +130,7 @@
 }
 
 static void
-check_completed (SkTrainer *trainer, const char *item, struct json_object *result)
+check_completed_result (SkTrainer *trainer, const char *item, struct json_object *result)
 {
   char score[LB_NAME_MAX + 16];
   const char *fault = find_text_fault (item, result, trainer->min_version,
@@ -138,11 +138,12 @@
 
   snprintf (score, sizeof score, "stamp-score-%s", item);
   if (fault)
-    sk_fail (trainer->world, "complete text with correct labels", "%s of %s: %s: %s", item,
-             trainer->batch, fault, json_object_to_json_string (result));
+    sk_report_violation (trainer->world, "complete text with correct labels", "%s of %s: %s: %s",
+                         item, trainer->batch, fault, json_object_to_json_string (result));
   if (strcmp (lb_json_text (result, "score", ""), score) != 0)
-    sk_fail (trainer->world, "score matches the item", "%s of %s has another score: %s", item,
-             trainer->batch, lb_json_text (result, "score", ""));
+    sk_report_violation (trainer->world, "score matches the item",
+                         "%s of %s: expected the score of the item, got \"%s\"", item,
+                         trainer->batch, lb_json_text (result, "score", ""));
 }
 
 static void
@@ -153,28 +154,29 @@
 {
   Result *first = &trainer->results[position];
 
-  for (int i = 0; i < N_ITEMS; i++)
+  for (int i = 0; i < N_BATCH_ITEMS; i++)
     if (trainer->results[i].json && strcmp (trainer->results[i].item, item) == 0)
-      sk_fail (trainer->world, "each sample is delivered once",
-               "%s of %s is at positions %d and %lld", item, trainer->batch, i,
-               (long long)position);
+      sk_report_violation (trainer->world, "each sample is delivered once",
+                           "%s of %s is at positions %d and %lld", item, trainer->batch, i,
+                           (long long)position);
   LB_COPY (first->item, item);
   first->json = lb_strdup (json_object_to_json_string_ext (result, JSON_C_TO_STRING_PLAIN));
   trainer->world->n_results++;
   if (strcmp (lb_json_text (result, "state", ""), "completed") == 0)
-    check_completed (trainer, item, result);
+    check_completed_result (trainer, item, result);
   else
-    sk_fail (trainer->world, "every sample is delivered", "%s of %s did not complete: %s", item,
-             trainer->batch, first->json);
+    sk_report_violation (trainer->world, "every sample is delivered",
+                         "%s of %s did not complete: %s", item, trainer->batch, first->json);
 }
 
 static void
-check_result (SkTrainer *trainer, int64_t position, struct json_object *result)
+check_result_at_position (SkTrainer *trainer, int64_t position, struct json_object *result)
 {
-  if (position < 0 || position >= N_ITEMS)
+  if (position < 0 || position >= N_BATCH_ITEMS)
     {
-      sk_fail (trainer->world, "each sample is delivered once", "%s has a result at position %lld",
-               trainer->batch, (long long)position);
+      sk_report_violation (trainer->world, "each sample is delivered once",
+                           "%s: expected positions within the batch, got a result at position %lld",
+                           trainer->batch, (long long)position);
       return;
     }
   if (!trainer->results[position].json)
@@ -182,15 +184,15 @@
   else if (strcmp (trainer->results[position].json,
                    json_object_to_json_string_ext (result, JSON_C_TO_STRING_PLAIN))
            != 0)
-    sk_fail (trainer->world, "a position keeps its result",
-             "position %lld of %s: %s became %s at %s", (long long)position, trainer->batch,
-             trainer->results[position].json,
-             json_object_to_json_string_ext (result, JSON_C_TO_STRING_PLAIN),
-             trainer->called_instance->name);
+    sk_report_violation (trainer->world, "a position keeps its result",
+                         "position %lld of %s: %s became %s at %s", (long long)position,
+                         trainer->batch, trainer->results[position].json,
+                         json_object_to_json_string_ext (result, JSON_C_TO_STRING_PLAIN),
+                         trainer->called_instance->name);
 }
 
 static void
-handle_page (SkTrainer *trainer, struct json_object *page)
+handle_results_page (SkTrainer *trainer, struct json_object *page)
 {
   struct json_object *results = lb_json_member (page, "results");
   int64_t next_position = lb_json_int (page, "next", -1);
@@ -198,20 +200,21 @@
                   ? (int64_t)json_object_array_length (results)
                   : 0;
 
-  if (lb_json_int (page, "total", 0) != N_ITEMS)
-    sk_fail (trainer->world, "a batch has all its items",
-             "%s: expected the number of its items as total, got %lld", trainer->batch,
-             (long long)lb_json_int (page, "total", 0));
+  if (lb_json_int (page, "total", 0) != N_BATCH_ITEMS)
+    sk_report_violation (trainer->world, "a batch has all its items",
+                         "%s: expected the number of its items as total, got %lld", trainer->batch,
+                         (long long)lb_json_int (page, "total", 0));
   for (int64_t i = 0; i < n; i++)
-    check_result (trainer, next_position - n + i, json_object_array_get_idx (results, (size_t)i));
+    check_result_at_position (trainer, next_position - n + i,
+                              json_object_array_get_idx (results, (size_t)i));
   if (next_position > trainer->n_read)
     trainer->n_read = next_position;
 }
 
-/* --- calls --- */
+/* --- calls to the batch API --- */
 
 static char *
-format_batch (const SkTrainer *trainer)
+format_batch_json (const SkTrainer *trainer)
 {
   struct json_object *object = json_object_new_object ();
   struct json_object *items = json_object_new_array ();
@@ -220,7 +223,7 @@
   json_object_object_add (object, "model", json_object_new_string (SK_MODEL));
   json_object_object_add (object, "minVersion", json_object_new_int64 (trainer->min_version));
   json_object_object_add (object, "targetGroups", json_object_new_int (2));
-  for (int i = 0; i < N_ITEMS; i++)
+  for (int i = 0; i < N_BATCH_ITEMS; i++)
     {
       char *text = lb_asprintf ("{\"id\": \"%s-%d\", \"path\": \"/steps/1/x\", \"body\": \"QUJD\","
                                 " \"headers\": {\"Token-Counts\": \"5,40\"}, \"group\": \"g%d\","
@@ -237,17 +240,17 @@
 }
 
 static bool
-was_undisturbed (const SkTrainer *trainer, LbTime since)
+was_called_instance_undisturbed (const SkTrainer *trainer, LbTime since)
 {
-  return trainer->called_instance->n_starts == trainer->called_instance_start
+  return trainer->called_instance->n_process_starts == trainer->called_process_start
          && sk_instance_was_undisturbed (trainer->called_instance, since)
          && trainer->world->last_disturbed_at < since;
 }
 
-/* Whether the batch's head row exists in any part. Its key is the batch id and a hash of the
- * organisation. */
+/* Returns true if the store has the head row of the batch in any of its 256 parts. The key of the
+ * row is the batch id and a hash of the organisation. */
 static bool
-is_stored (const SkTrainer *trainer)
+is_batch_stored (const SkTrainer *trainer)
 {
   char part[8];
   char name[LB_NAME_MAX];
@@ -266,54 +269,57 @@
 }
 
 static void
-on_submitted (SkTrainer *trainer, const LhResult *result, LbTime now)
+handle_submit_response (SkTrainer *trainer, const LhResult *result, LbTime now)
 {
   if (result->failure != LB_OK || result->status != 202)
     return;
   sk_log (trainer->world, "%s accepted by %s", trainer->batch, trainer->called_instance->name);
   trainer->world->n_batches++;
-  if (!is_stored (trainer))
-    sk_fail (trainer->world, "an accepted batch is stored",
-             "%s was accepted by %s and has no head row", trainer->batch,
-             trainer->called_instance->name);
+  if (!is_batch_stored (trainer))
+    sk_report_violation (trainer->world, "an accepted batch is stored",
+                         "%s was accepted by %s and has no head row", trainer->batch,
+                         trainer->called_instance->name);
   trainer->accepted_at = now;
   trainer->state = TRAINER_READING;
 }
 
 static void
-on_read (SkTrainer *trainer, const LhResult *result, LbTime now)
+handle_results_response (SkTrainer *trainer, const LhResult *result, LbTime now)
 {
   struct json_object *page = NULL;
   char *text = NULL;
 
   if (result->failure != LB_OK)
     return;
-  if (result->status == 404 && was_undisturbed (trainer, trainer->accepted_at - 3 * LB_SEC)
+  if (result->status == 404
+      && was_called_instance_undisturbed (trainer, trainer->accepted_at - 3 * LB_SEC)
       && now - trainer->accepted_at > LB_SEC)
-    sk_fail (trainer->world, "an accepted batch is found", "%s is unknown to %s", trainer->batch,
-             trainer->called_instance->name);
+    sk_report_violation (trainer->world, "an accepted batch is found",
+                         "%s: expected results from %s, got status 404", trainer->batch,
+                         trainer->called_instance->name);
   if (result->status != 200)
     return;
   text = lb_strndup (result->body, result->body_length);
   page = json_tokener_parse (text);
   if (page)
-    handle_page (trainer, page);
+    handle_results_page (trainer, page);
   else
-    sk_fail (trainer->world, "complete responses", "page of results is not JSON: %s", text);
+    sk_report_violation (trainer->world, "complete responses",
+                         "expected a page of results in JSON, got %s", text);
   free (text);
   json_object_put (page);
   trainer->is_rereading = false;
-  if (trainer->state == TRAINER_READING && trainer->n_read == N_ITEMS)
+  if (trainer->state == TRAINER_READING && trainer->n_read == N_BATCH_ITEMS)
     trainer->state = TRAINER_DELETING;
 }
 
 static void
-on_deleted (SkTrainer *trainer, const LhResult *result, LbTime now)
+handle_delete_response (SkTrainer *trainer, const LhResult *result, LbTime now)
 {
   if (result->failure != LB_OK || result->status != 200)
     return;
   trainer->step++;
-  sk_weight_version_put (trainer->world, trainer->step + 1);
+  sk_store_put_weight_version (trainer->world, trainer->step + 1);
   if (trainer->stopped)
     trainer->state = TRAINER_DONE;
   else
@@ -321,7 +327,7 @@
 }
 
 static void
-on_done (LhFetch *fetch, const LhResult *result, void *user)
+on_call_done (LhFetch *fetch, const LhResult *result, void *user)
 {
   (void)fetch;
   SkTrainer *trainer = user;
@@ -332,14 +338,14 @@
   switch (trainer->state)
     {
     case TRAINER_SUBMITTING:
-      on_submitted (trainer, result, now);
+      handle_submit_response (trainer, result, now);
       break;
     case TRAINER_DELETING:
-      on_deleted (trainer, result, now);
+      handle_delete_response (trainer, result, now);
       break;
     case TRAINER_READING:
     case TRAINER_DONE:
-      on_read (trainer, result, now);
+      handle_results_response (trainer, result, now);
       break;
     }
 }
@@ -352,13 +358,13 @@
             const char *body)
 {
   trainer->called_instance = instance;
-  trainer->called_instance_start = instance->n_starts;
+  trainer->called_process_start = instance->n_process_starts;
   trainer->fetch
-      = sk_call_batch_api (instance, method, path, trainer->batch, body, on_done, trainer);
+      = sk_call_batch_api (instance, method, path, trainer->batch, body, on_call_done, trainer);
 }
 
 static SkInstance *
-choose_instance (SkWorld *world)
+choose_random_instance_in_service (SkWorld *world)
 {
   SkInstance *instance
       = &world->instances[sk_random_int (world, 0, (int64_t)world->n_instances - 1)];
@@ -366,10 +372,10 @@
   return sk_instance_is_running (instance) && !instance->stopping ? instance : NULL;
 }
 
-/* Requests results from the first unread one on. At random, and always if rereading, requests them
- * from the first one on. */
+/* Requests the results from the first unread one on. If rereading, and at random in one of five
+ * calls, requests all results again. */
 static void
-read_results (SkTrainer *trainer, SkInstance *instance)
+request_results (SkTrainer *trainer, SkInstance *instance)
 {
   int64_t from
       = trainer->is_rereading || sk_random_int (trainer->world, 0, 4) == 0 ? 0 : trainer->n_read;
@@ -380,10 +386,10 @@
 }
 
 void
-sk_trainer_reread (SkTrainer *trainer, SkInstance *instance)
+sk_trainer_reread_results (SkTrainer *trainer, SkInstance *instance)
 {
   trainer->is_rereading = true;
-  read_results (trainer, instance);
+  request_results (trainer, instance);
 }
 
 bool
@@ -393,7 +399,7 @@
 }
 
 static void
-make_next_call (SkTrainer *trainer, SkInstance *instance)
+start_next_call (SkTrainer *trainer, SkInstance *instance)
 {
   char path[LB_NAME_MAX + 16];
   char *body = NULL;
@@ -401,12 +407,12 @@
   switch (trainer->state)
     {
     case TRAINER_SUBMITTING:
-      body = format_batch (trainer);
+      body = format_batch_json (trainer);
       start_call (trainer, instance, "POST", "/steps/1", body);
       free (body);
       break;
     case TRAINER_READING:
-      read_results (trainer, instance);
+      request_results (trainer, instance);
       break;
     case TRAINER_DELETING:
       snprintf (path, sizeof path, "/-/lots/%s", trainer->batch);
@@ -418,7 +424,7 @@
 }
 
 void
-sk_trainer_tick (SkTrainer *trainer, LbTime now)
+sk_trainer_start_due_call (SkTrainer *trainer, LbTime now)
 {
   SkInstance *instance = NULL;
 
@@ -426,14 +432,15 @@
     return;
   if (trainer->started_at > 0 && now - trainer->started_at > STEP_TIMEOUT)
     {
-      sk_fail (trainer->world, "every sample is delivered",
-               "%s has %lld of %d results after %.0f s", trainer->batch, (long long)trainer->n_read,
-               N_ITEMS, (double)(now - trainer->started_at) / LB_SEC);
+      sk_report_violation (trainer->world, "every sample is delivered",
+                           "%s has %lld of %d results after %.0f s", trainer->batch,
+                           (long long)trainer->n_read, N_BATCH_ITEMS,
+                           (double)(now - trainer->started_at) / LB_SEC);
       trainer->started_at = 0;
     }
-  instance = choose_instance (trainer->world);
+  instance = choose_random_instance_in_service (trainer->world);
   if (instance)
-    make_next_call (trainer, instance);
+    start_next_call (trainer, instance);
 }
 
 void
--- a/tests/soak/sk-trainer.h
+++ b/tests/soak/sk-trainer.h
@@ -3,19 +3,19 @@
 
 #include "sk-world.h"
 
-/* A trainer. It submits a step until an instance accepts it, reads the results from random
- * instances, deletes the step's batch and announces new weights for the next step. */
+/* Simulates a trainer. For each step, the trainer submits a batch until an instance accepts it,
+ * reads the results from random instances, deletes the batch and announces a new weight version. */
 typedef struct SkTrainer SkTrainer;
 
 SkTrainer *sk_trainer_new (SkWorld *world);
 void sk_trainer_free (SkTrainer *trainer);
-void sk_trainer_tick (SkTrainer *trainer, LbTime now);
-/* Starts no further step; the current one is completed. */
+void sk_trainer_start_due_call (SkTrainer *trainer, LbTime now);
+/* Lets the trainer complete its current step and start no further step. */
 void sk_trainer_stop (SkTrainer *trainer);
-/* Whether the trainer was stopped and has the results of all its steps. */
+/* Returns true if the trainer was stopped and has completed all its steps. */
 bool sk_trainer_is_done (const SkTrainer *trainer);
-/* Reads the last step again from this instance, from the first result. */
-void sk_trainer_reread (SkTrainer *trainer, SkInstance *instance);
+/* Requests all results of the last step again, from this instance. */
+void sk_trainer_reread_results (SkTrainer *trainer, SkInstance *instance);
 bool sk_trainer_has_open_call (const SkTrainer *trainer);
 
 #endif
--- a/tests/soak/sk-world.c
+++ b/tests/soak/sk-world.c
@@ -16,22 +16,22 @@
 #include <string.h>
 #include <unistd.h>
 
-#define LOOP_PAUSE_US 300 /* between two passes of the event loop */
+#define LOOP_PAUSE_US 300 /* pause between two passes of the event loop */
 #define N_SERVICES 2
-#define FATAL_REQUEST_CRASH_DELAY (20 * LB_MSEC) /* after the service starts the request */
-/* Longest delay of an order by a relay fault or in the sockets of a paused instance. */
+/* time from the start of a fatal request to the crash of the service */
+#define FATAL_REQUEST_CRASH_DELAY (20 * LB_MSEC)
+/* longest delay of an order by a relay fault, or in the socket buffers of a paused instance */
 #define MAX_ORDER_DELAY (1500 * LB_MSEC)
 #define BATCH_CALL_IDLE_TIMEOUT (4 * LB_SEC)
-/* A draining endpoint stays up for at least this time. */
-#define MIN_DRAIN_TIME (4 * LB_SEC)
-/* Limit of a graceful shutdown: drain time plus the time for open calls and for batches. */
+#define MIN_DRAIN_TIME (4 * LB_SEC) /* a draining endpoint stays up for at least this time */
+/* limit of a graceful shutdown: the drain time plus the time for open calls and batches */
 #define STOP_TIMEOUT (10 * LB_SEC)
-/* A draining endpoint may get new work for at most this time if nothing else fails. */
+/* Without other faults, a draining endpoint may get new work for at most this time. */
 #define DRAIN_PROPAGATION_TIME (2 * LB_SEC)
-#define DRAIN_SLACK (500 * LB_MSEC) /* for a busy machine */
+#define DRAIN_SLACK (500 * LB_MSEC) /* allowance for a slow test machine */
 
 void
-sk_fail (SkWorld *world, const char *invariant, const char *format, ...)
+sk_report_violation (SkWorld *world, const char *invariant, const char *format, ...)
 {
   char text[512];
   va_list arguments;
@@ -88,10 +88,13 @@
   return request;
 }
 
-/* --- desired state --- */
+/* --- configuration and weight version in the store --- */
 
 static void
-add_route (struct json_object *routes, const char *name, const char *kind, const char *service)
+add_route_object (struct json_object *routes,
+                  const char *name,
+                  const char *kind,
+                  const char *service)
 {
   char *text = lb_asprintf ("{\"name\": \"%s\", \"host\": \"" SK_HOST "\", \"prefix\": \"/%s/\","
                             " \"kind\": \"%s\", \"timeoutMs\": 8000, \"service\": \"%s\","
@@ -102,21 +105,21 @@
   free (text);
 }
 
-/* Writes the fixed routes and r1 to rN for the N routes added so far. */
+/* Writes a configuration with three fixed routes and the added routes r1, r2, ... */
 void
-sk_config_put (SkWorld *world)
+sk_store_put_config (SkWorld *world)
 {
   struct json_object *object = json_object_new_object ();
   struct json_object *routes = json_object_new_array ();
   char name[16];
 
-  add_route (routes, "lookup", "safe", "lookups");
-  add_route (routes, "order", "unsafe", "lookups");
-  add_route (routes, "steps", "weight_rollout", "engines");
+  add_route_object (routes, "lookup", "safe", "lookups");
+  add_route_object (routes, "order", "unsafe", "lookups");
+  add_route_object (routes, "steps", "weight_rollout", "engines");
   for (int64_t i = 1; i <= world->n_added_routes; i++)
     {
       snprintf (name, sizeof name, "r%lld", (long long)i);
-      add_route (routes, name, "safe", "lookups");
+      add_route_object (routes, name, "safe", "lookups");
     }
   json_object_object_add (object, "version", json_object_new_int64 (++world->config_version));
   json_object_object_add (object, "routes", routes);
@@ -136,7 +139,7 @@
 }
 
 void
-sk_weight_version_put (SkWorld *world, int64_t version)
+sk_store_put_weight_version (SkWorld *world, int64_t version)
 {
   char text[96];
 
@@ -146,7 +149,7 @@
   si_row_store_put (&world->store, "op", "", "version/" SK_MODEL, text);
 }
 
-/* --- instances --- */
+/* --- instances: processes of the daemon --- */
 
 bool
 sk_instance_is_running (const SkInstance *instance)
@@ -162,7 +165,8 @@
          && instance->last_disturbed_at < since && instance->world->store_last_disturbed_at < since;
 }
 
-/* Reads the owner from the instances' logs, as an operator would. */
+/* Finds the instance that runs the trainer's batch by the logs of all instances, as an operator
+ * would. */
 SkInstance *
 sk_find_batch_owner (SkWorld *world)
 {
@@ -221,19 +225,19 @@
   instance->stopping = false;
   instance->paused = false;
   instance->newest_served_route = 0;
-  instance->n_starts++;
+  instance->n_process_starts++;
   instance->last_disturbed_at = lb_clock_monotonic ();
   pt_process_start (&instance->process, argv, log);
 }
 
-/* Saves the output of each process beside its settings, one file per start. */
+/* Saves the output of the instance's process in the directory of the run, one file per start. */
 static void
-keep_log (const SkInstance *instance)
+save_process_log (const SkInstance *instance)
 {
   char path[128];
 
   snprintf (path, sizeof path, "%s/%s.%d.log", instance->world->directory, instance->name,
-            instance->n_starts);
+            instance->n_process_starts);
   FILE *out = fopen (path, "w");
   if (!out)
     return;
@@ -256,7 +260,7 @@
   sk_log (instance->world, "kill %s", instance->name);
   record_disturbance (instance);
   pt_process_poll (&instance->process);
-  keep_log (instance);
+  save_process_log (instance);
   pt_process_clear (&instance->process);
   instance->address[0] = '\0';
   instance->paused = false;
@@ -318,13 +322,15 @@
 handle_process_exit (SkInstance *instance, LbTime now)
 {
   if (!instance->stopping)
-    sk_fail (instance->world, "no instance crashes", "%s ended unexpectedly with status %x",
-             instance->name, instance->process.status);
+    sk_report_violation (instance->world, "no instance crashes",
+                         "%s ended unexpectedly with wait status %x", instance->name,
+                         instance->process.status);
   else if (!pt_process_has_exited (&instance->process, 0))
-    sk_fail (instance->world, "graceful shutdown exits with 0", "%s ended with status %x",
-             instance->name, instance->process.status);
+    sk_report_violation (instance->world, "graceful shutdown exits with 0",
+                         "%s: expected exit status 0, got wait status %x", instance->name,
+                         instance->process.status);
   record_disturbance (instance);
-  keep_log (instance);
+  save_process_log (instance);
   pt_process_clear (&instance->process);
   instance->address[0] = '\0';
   instance->stopping = false;
@@ -332,7 +338,7 @@
 }
 
 static void
-update_instance (SkInstance *instance, LbTime now)
+apply_due_instance_events (SkInstance *instance, LbTime now)
 {
   pt_process_poll (&instance->process);
   if (instance->process.pid > 0 && instance->process.ended)
@@ -346,8 +352,9 @@
   if (instance->stopping && !instance->paused && now - instance->sigterm_at > STOP_TIMEOUT
       && instance->last_disturbed_at <= instance->sigterm_at)
     {
-      sk_fail (instance->world, "shutdown completes in time", "%s still runs %.1f s after SIGTERM",
-               instance->name, (double)(now - instance->sigterm_at) / LB_SEC);
+      sk_report_violation (instance->world, "shutdown completes in time",
+                           "%s still runs %.1f s after SIGTERM", instance->name,
+                           (double)(now - instance->sigterm_at) / LB_SEC);
       sk_instance_kill (instance, LB_SEC);
     }
   if (now >= instance->heal_at)
@@ -385,82 +392,89 @@
   return lh_fetch_start (instance->world->pool, &request, &handlers, user, NULL);
 }
 
-/* --- endpoints --- */
+/* --- endpoints: simulated engines and services --- */
 
-/* Requests reach an endpoint with the name of their organisation and without its API key. */
+/* Checks that a request reached the endpoint with the name of its organisation and without its API
+ * key. */
 static void
-check_organisation (const SkEndpoint *endpoint, const char *id, const char *organisation)
+check_request_organisation (const SkEndpoint *endpoint, const char *id, const char *organisation)
 {
   const SiEndpoint *standin = &endpoint->standin;
 
   if (strcmp (standin->organisation, organisation) != 0)
-    sk_fail (endpoint->world, "requests carry their organisation",
-             "%s reached %s with organisation \"%s\", expected \"%s\"", id, standin->name,
-             standin->organisation, organisation);
+    sk_report_violation (endpoint->world, "requests carry their organisation",
+                         "%s reached %s with organisation \"%s\", expected \"%s\"", id,
+                         standin->name, standin->organisation, organisation);
   if (standin->leaked_keys > 0)
-    sk_fail (endpoint->world, "API keys are not forwarded", "%s received an API key",
-             standin->name);
+    sk_report_violation (endpoint->world, "API keys are not forwarded", "%s received an API key",
+                         standin->name);
 }
 
 static void
-on_call (SiEndpoint *standin, const char *id, void *user)
+on_service_call (SiEndpoint *standin, const char *id, void *user)
 {
   (void)standin;
   SkEndpoint *endpoint = user;
   SkRequest *request = sk_request_find (endpoint->world, id);
 
-  check_organisation (endpoint, id, request ? SK_CALLER_ORGANISATION : "");
+  check_request_organisation (endpoint, id, request ? SK_CALLER_ORGANISATION : "");
   if (!request)
-    return; /* a scorer request */
+    return; /* the request of a scorer, which no caller has sent */
   request->n_runs++;
   if (!request->is_idempotent && request->n_runs > 1)
-    sk_fail (endpoint->world, "a non-idempotent request runs at most once", "%s ran %d times", id,
-             request->n_runs);
+    sk_report_violation (endpoint->world, "a non-idempotent request runs at most once",
+                         "%s ran %d times", id, request->n_runs);
   if (request->reported_not_run)
-    sk_fail (endpoint->world, "a request reported as not run did not run",
-             "%s starts after it was refused as not run", id);
+    sk_report_violation (endpoint->world, "a request reported as not run did not run",
+                         "%s starts after it was refused as not run", id);
 }
 
 static void
-on_stream (SiEndpoint *standin, const char *id, void *user)
+on_engine_stream (SiEndpoint *standin, const char *id, void *user)
 {
   SkEndpoint *endpoint = user;
   LbTime now = lb_clock_monotonic ();
   LbTime limit = endpoint->draining_since + DRAIN_PROPAGATION_TIME + DRAIN_SLACK;
 
-  check_organisation (endpoint, id, SK_TRAINER_ORGANISATION);
-  if (endpoint->world->one_shots)
-    sk_one_shots_record_run (endpoint->world->one_shots, id);
+  check_request_organisation (endpoint, id, SK_TRAINER_ORGANISATION);
+  if (endpoint->world->one_shot_trainers)
+    sk_one_shot_trainers_record_item_start (endpoint->world->one_shot_trainers, id);
   if (endpoint->draining_since > 0 && now > limit
       && endpoint->world->last_disturbed_at < endpoint->draining_since
       && endpoint->world->store_last_disturbed_at < endpoint->draining_since)
-    sk_fail (endpoint->world, "no new work for a draining endpoint",
-             "%s got %s %.3f s after it began to drain", standin->name, id,
-             (double)(now - endpoint->draining_since) / LB_SEC);
+    sk_report_violation (endpoint->world, "no new work for a draining endpoint",
+                         "%s got %s %.3f s after it began to drain", standin->name, id,
+                         (double)(now - endpoint->draining_since) / LB_SEC);
 }
 
-/* Engines refuse an old fencing number, but a duty holder that lost its lease longer ago than an
- * order can be delayed must send no orders either. */
+/* Engines refuse an outdated fencing token. In addition, an instance that lost its lease longer ago
+ * than an order can be delayed must not send orders at all. */
 static void
-check_fence_is_current (SkWorld *world, const char *engine, const char *holder, int64_t fence)
+check_fencing_token_is_current (SkWorld *world,
+                                const char *engine,
+                                const char *holder,
+                                int64_t fence)
 {
   LbTime now = lb_clock_monotonic ();
 
-  if (fence > world->highest_fence)
+  if (fence > world->highest_fencing_token)
     {
-      world->highest_fence = fence;
-      world->highest_fence_at = now;
+      world->highest_fencing_token = fence;
+      world->highest_fencing_token_at = now;
     }
-  if (fence < world->highest_fence && now - world->highest_fence_at > MAX_ORDER_DELAY)
-    sk_fail (world, "a duty has one holder",
-             "%s sent an order to %s with fencing number %lld, %.3f s after %lld was first used",
-             holder, engine, (long long)fence, (double)(now - world->highest_fence_at) / LB_SEC,
-             (long long)world->highest_fence);
+  if (fence < world->highest_fencing_token
+      && now - world->highest_fencing_token_at > MAX_ORDER_DELAY)
+    sk_report_violation (
+        world, "a duty has one holder",
+        "%s sent an order to %s with fencing token %lld, %.3f s after token %lld was first used",
+        holder, engine, (long long)fence, (double)(now - world->highest_fencing_token_at) / LB_SEC,
+        (long long)world->highest_fencing_token);
 }
 
-/* Checks that two duty holders never use the same fencing number: engines would accept both. */
+/* Checks that two lease holders never use the same fencing token; engines would accept orders of
+ * both. */
 static void
-on_order (SiEndpoint *standin, const char *holder, int64_t fence, bool accepted, void *user)
+on_load_order (SiEndpoint *standin, const char *holder, int64_t fence, bool accepted, void *user)
 {
   static LbName holder_by_fence[1000];
   static uint64_t holders_seed;
@@ -471,16 +485,17 @@
   holders_seed = endpoint->world->seed;
   if (fence < 1 || fence >= 1000)
     {
-      sk_fail (endpoint->world, "a duty has one holder", "fencing number %lld, expected 1 to 999",
-               (long long)fence);
+      sk_report_violation (endpoint->world, "a duty has one holder",
+                           "expected a fencing token from 1 to 999, got %lld", (long long)fence);
       return;
     }
   if (holder_by_fence[fence][0] && strcmp (holder_by_fence[fence], holder) != 0)
-    sk_fail (endpoint->world, "a duty has one holder",
-             "%s and then %s sent orders, the latter to %s, with fencing number %lld",
-             holder_by_fence[fence], holder, standin->name, (long long)fence);
+    sk_report_violation (
+        endpoint->world, "a duty has one holder",
+        "%s and then %s sent orders, the latter to %s, with the same fencing token %lld",
+        holder_by_fence[fence], holder, standin->name, (long long)fence);
   LB_COPY (holder_by_fence[fence], holder);
-  check_fence_is_current (endpoint->world, standin->name, holder, fence);
+  check_fencing_token_is_current (endpoint->world, standin->name, holder, fence);
   (void)accepted;
 }
 
@@ -492,13 +507,13 @@
   if (endpoint->exit_at == LB_TIME_NEVER)
     endpoint->exit_at = lb_clock_monotonic () + FATAL_REQUEST_CRASH_DELAY;
   if (endpoint->world->crasher)
-    sk_crasher_record_run (endpoint->world->crasher, id, standin->name);
+    sk_crasher_record_crash (endpoint->world->crasher, id, standin->name);
 }
 
-static const SiEndpointListener listener = { .on_call = on_call,
-                                             .on_stream = on_stream,
+static const SiEndpointListener listener = { .on_call = on_service_call,
+                                             .on_stream = on_engine_stream,
                                              .on_fatal_request = on_fatal_request,
-                                             .on_order = on_order };
+                                             .on_order = on_load_order };
 
 static SkEndpoint *
 add_endpoint (SkWorld *world, const char *name, const char *service, const char *model)
@@ -520,7 +535,7 @@
   endpoint->standin.listener = &listener;
   endpoint->standin.fatal_body = SK_FATAL_BODY;
   endpoint->standin.user = endpoint;
-  /* long enough that many calls are running when a connection breaks */
+  /* calls take so long that many of them are running when a connection breaks */
   endpoint->standin.call_duration = 80 * LB_MSEC;
   endpoint->standin.event_interval = 25 * LB_MSEC;
   endpoint->standin.n_events = 24;
@@ -528,7 +543,7 @@
   return endpoint;
 }
 
-/* The new engine starts with the newest weights. */
+/* Adds an engine that has the newest weight version loaded. */
 SkEndpoint *
 sk_engine_add (SkWorld *world)
 {
@@ -545,7 +560,7 @@
 }
 
 static void
-take_down (SkEndpoint *endpoint, LbTime return_after)
+take_endpoint_down (SkEndpoint *endpoint, LbTime return_after)
 {
   endpoint->is_down = true;
   endpoint->exit_at = LB_TIME_NEVER;
@@ -563,7 +578,7 @@
     return;
   sk_log (endpoint->world, "crash %s", endpoint->standin.name);
   endpoint->relay.fault = (PtRelayFault){ .drops_to_target = true };
-  take_down (endpoint, return_after);
+  take_endpoint_down (endpoint, return_after);
 }
 
 void
@@ -573,7 +588,7 @@
     return;
   sk_log (endpoint->world, "exit %s", endpoint->standin.name);
   pt_relay_refuse_connections (&endpoint->relay);
-  take_down (endpoint, return_after);
+  take_endpoint_down (endpoint, return_after);
 }
 
 void
@@ -588,7 +603,7 @@
 }
 
 static void
-update_endpoint (SkEndpoint *endpoint, LbTime now)
+apply_due_endpoint_events (SkEndpoint *endpoint, LbTime now)
 {
   if (now >= endpoint->heal_at)
     {
@@ -615,7 +630,7 @@
     sk_endpoint_crash (endpoint, LB_TIME_NEVER);
 }
 
-/* --- world --- */
+/* --- setup, cleanup and event loop --- */
 
 void
 sk_world_init (SkWorld *world, uint64_t seed, size_t n_instances, size_t n_engines)
@@ -637,7 +652,7 @@
   if (!si_row_store_init (&world->store, world->base, 0)
       || !si_control_plane_init (&world->control_plane, world->base))
     abort ();
-  sk_config_put (world);
+  sk_store_put_config (world);
   for (size_t i = 0; i < n_engines; i++)
     sk_engine_add (world);
   for (int i = 0; i < N_SERVICES; i++)
@@ -658,7 +673,7 @@
 }
 
 static void
-remove_directory (const SkWorld *world)
+remove_run_directory (const SkWorld *world)
 {
   static const char *const kinds[] = { "json", "addr", "err" };
   char path[160];
@@ -671,7 +686,7 @@
           snprintf (path, sizeof path, "%s/%s.%s", world->directory, instance->name, kinds[kind]);
           unlink (path);
         }
-      for (int start = 0; start <= instance->n_starts; start++)
+      for (int start = 0; start <= instance->n_process_starts; start++)
         {
           snprintf (path, sizeof path, "%s/%s.%d.log", world->directory, instance->name, start);
           unlink (path);
@@ -690,7 +705,7 @@
       SkInstance *instance = &world->instances[i];
       pt_process_poll (&instance->process);
       if (instance->process.pid > 0)
-        keep_log (instance);
+        save_process_log (instance);
       pt_process_clear (&instance->process);
       pt_relay_clear (&instance->store_relay);
     }
@@ -711,17 +726,19 @@
   gsl_rng_free (world->rng);
   gsl_rng_free (world->fault_rng);
   if (!keep_logs)
-    remove_directory (world);
+    remove_run_directory (world);
 }
 
-/* A window may be reported twice, also by different holders, but always with the same usage. */
+/* Checks that usage reports of the same time window are equal. A window may be reported more than
+ * once, also by different lease holders. */
 static void
 check_usage_reports (SkWorld *world)
 {
   if (world->control_plane.conflicting_reports > 0)
-    sk_fail (world, "usage reports of a window are equal",
-             "%d reports differ from the first one of their window",
-             world->control_plane.conflicting_reports);
+    sk_report_violation (
+        world, "usage reports of a window are equal",
+        "expected equal reports, got %d that differ from the first one of their window",
+        world->control_plane.conflicting_reports);
   world->control_plane.conflicting_reports = 0;
 }
 
@@ -733,9 +750,9 @@
   event_base_loop (world->base, EVLOOP_NONBLOCK);
   now = lb_clock_monotonic ();
   for (size_t i = 0; i < world->n_instances; i++)
-    update_instance (&world->instances[i], now);
+    apply_due_instance_events (&world->instances[i], now);
   for (size_t i = 0; i < world->n_endpoints; i++)
-    update_endpoint (&world->endpoints[i], now);
+    apply_due_endpoint_events (&world->endpoints[i], now);
   check_usage_reports (world);
   if (world->store_heal_at != LB_TIME_NEVER)
     world->store_last_disturbed_at = now;
--- a/tests/soak/sk-world.h
+++ b/tests/soak/sk-world.h
@@ -10,21 +10,22 @@
 #include <gsl/gsl_rng.h>
 #include <uthash.h>
 
-/* The environment of a fault soak. The instances are real lentilspindled processes on loopback; the
- * shared store, engines, a plain service, callers and a trainer run in this process. Invariants are
- * checked from what callers and endpoints observe while faults are injected from outside. */
+/* The environment of the fault soak test. The instances are real lentilspindled processes on the
+ * loopback interface. The shared store, engines, services, callers and trainers are simulated in
+ * the test process, which injects faults and checks invariants on what callers and endpoints
+ * observe. */
 
 #define SK_MAX_INSTANCES 200
 #define SK_MAX_ENGINES 64
-#define SK_MAX_ENDPOINTS 128 /* engines, services and the replacements of drained engines */
+#define SK_MAX_ENDPOINTS 128 /* includes the replacements of drained engines */
 #define SK_HOST "h.example"
 #define SK_MODEL "m"
 
 typedef struct SkWorld SkWorld;
-struct SkOneShots;
+struct SkOneShotTrainers;
 struct SkCrasher;
 
-/* An instance: its process, and the relay through which it reaches the store. */
+/* An instance, with its process and the relay through which it reaches the store. */
 typedef struct
 {
   SkWorld *world;
@@ -32,17 +33,17 @@
   LbName name;
   PtProcess process;
   PtRelay store_relay;
-  LbName address; /* of its listener for callers; empty until read from its address file */
+  LbName address; /* address for callers; empty until it is read from the address file */
   LbName metrics_address;
-  int n_starts;
-  bool paused;                 /* by SIGSTOP */
+  int n_process_starts;
+  bool paused;                 /* SIGSTOP was sent */
   bool stopping;               /* SIGTERM was sent */
-  LbTime restart_at;           /* LB_TIME_NEVER: no restart is due */
-  LbTime resume_at;            /* LB_TIME_NEVER: not paused */
+  LbTime restart_at;           /* time of the next restart; LB_TIME_NEVER: none */
+  LbTime resume_at;            /* end of the pause; LB_TIME_NEVER: not paused */
   LbTime heal_at;              /* end of the store relay's fault; LB_TIME_NEVER: no fault */
-  LbTime sigterm_at;           /* when SIGTERM was sent */
-  LbTime last_disturbed_at;    /* last start, signal, exit or fault */
-  int64_t newest_served_route; /* newest added route that this process served; 0: none */
+  LbTime sigterm_at;           /* time when SIGTERM was sent */
+  LbTime last_disturbed_at;    /* time of the last start, signal, exit or fault */
+  int64_t newest_served_route; /* number of the newest added route that was served; 0: none */
 } SkInstance;
 
 /* An engine or a plain service, and the relay through which instances reach it. */
@@ -52,24 +53,24 @@
   SiEndpoint standin;
   PtRelay relay;
   bool is_used;
-  bool is_down;          /* its process has ended or its machine has crashed */
+  bool is_down;          /* the process has ended or the machine has crashed */
   LbTime heal_at;        /* end of the relay's fault or of slow streaming; LB_TIME_NEVER: neither */
-  LbTime exit_at;        /* exit caused by a fatal request; LB_TIME_NEVER: no exit is due */
-  LbTime return_at;      /* restart after a crash or exit; LB_TIME_NEVER: up, or down for good */
-  LbTime draining_since; /* 0: not draining */
+  LbTime exit_at;        /* time of the exit caused by a fatal request; LB_TIME_NEVER: none */
+  LbTime return_at;      /* time of the restart after a crash or exit; LB_TIME_NEVER: none */
+  LbTime draining_since; /* time when the endpoint began to drain; 0: not draining */
 } SkEndpoint;
 
 /* A live request as observed by the service and by its caller. */
 typedef struct
 {
-  LbName id;  /* key */
-  int n_runs; /* at the service */
+  LbName id;  /* key of the hash table */
+  int n_runs; /* number of times that a service started the request */
   bool is_idempotent;
   bool reported_not_run;
   UT_hash_handle hh;
 } SkRequest;
 
-/* The two organisations and their API keys. */
+/* The organisations of the callers and of the trainers, with their API keys. */
 #define SK_CALLER_ORGANISATION "post"
 #define SK_CALLER_API_KEY "key-of-post"
 #define SK_TRAINER_ORGANISATION "mill"
@@ -79,65 +80,68 @@
 {
   struct event_base *base;
   LhPool *pool;
-  gsl_rng *fault_rng; /* kinds and times of faults: the same sequence for a seed */
-  gsl_rng *rng;       /* everything else */
-  char directory[64]; /* of settings and logs */
+  gsl_rng *fault_rng; /* draws the kinds and times of faults, which depend only on the seed */
+  gsl_rng *rng;       /* draws all other random values */
+  char directory[64]; /* path of the directory with settings and logs */
   SiRowStore store;
   SiControlPlane control_plane; /* receives usage reports */
   SkInstance instances[SK_MAX_INSTANCES];
   size_t n_instances;
   SkEndpoint endpoints[SK_MAX_ENDPOINTS];
   size_t n_endpoints;
-  int n_engines_added; /* for unique names */
+  int n_engines_added; /* number of engines added in total, for unique names */
   SkRequest *requests;
-  int64_t highest_fence;        /* fencing number of the orders that engines received */
-  LbTime highest_fence_at;      /* when it was first used */
-  struct SkOneShots *one_shots; /* notified of runs at engines; NULL: none */
-  struct SkCrasher *crasher;    /* notified of fatal requests; NULL: none */
-  LbName trainer_batch;         /* id of the trainer's current batch */
+  int64_t highest_fencing_token;   /* highest fencing token of the orders that engines received */
+  LbTime highest_fencing_token_at; /* time when highest_fencing_token was first used */
+  struct SkOneShotTrainers *one_shot_trainers; /* notified when engines start an item; NULL: none */
+  struct SkCrasher *crasher; /* notified when services start a fatal request; NULL: none */
+  LbName trainer_batch;      /* id of the trainer's current batch */
   int64_t config_version;
-  int64_t n_added_routes;         /* routes r1, r2, ... that configuration changes added */
-  LbTime config_put_at;           /* when the newest configuration was written */
-  int64_t weight_version;         /* newest weight version that the trainer announced */
-  LbTime store_heal_at;           /* LB_TIME_NEVER: the store works */
-  LbTime store_last_disturbed_at; /* last time that the store had a fault */
-  LbTime last_disturbed_at;       /* last fault of an instance, a connection or an endpoint */
+  int64_t n_added_routes; /* number of routes r1, r2, ... that configuration changes added */
+  LbTime config_put_at;   /* time when the newest configuration was written to the store */
+  int64_t weight_version; /* newest weight version that the trainer announced */
+  LbTime store_heal_at;   /* end of the store's fault; LB_TIME_NEVER: the store works */
+  LbTime store_last_disturbed_at; /* last time when the store had a fault */
+  LbTime last_disturbed_at; /* time of the last fault of an instance, a connection or an endpoint */
   LbTime started_at;
   bool verbose;
   int n_violations;
   uint64_t seed;
-  /* totals that are printed for each seed */
+  /* totals of the run, which are printed for each seed */
   int64_t n_calls, n_served, n_refused, n_failed, n_batches, n_results, n_faults;
 };
 
 void sk_world_init (SkWorld *world, uint64_t seed, size_t n_instances, size_t n_engines);
-/* keep_logs: keeps the directory with settings and logs. */
+/* keep_logs: the directory with settings and logs is not deleted. */
 void sk_world_clear (SkWorld *world, bool keep_logs);
-/* Runs the event loop once; then restarts, resumes and heals what is due and checks processes. */
+/* Runs one pass of the event loop, then executes the restarts, resumes and repairs that are due and
+ * checks for processes that have ended. */
 void sk_world_run_once (SkWorld *world);
 
 /* Counts and prints a violated invariant. */
-void sk_fail (SkWorld *world, const char *invariant, const char *format, ...)
+void sk_report_violation (SkWorld *world, const char *invariant, const char *format, ...)
     __attribute__ ((format (printf, 3, 4)));
 /* Logs a line to standard error if the run is verbose. */
 void sk_log (const SkWorld *world, const char *format, ...) __attribute__ ((format (printf, 2, 3)));
 
-/* faults and changes */
+/* Commands: functions that inject faults or change the environment. */
 void sk_instance_start (SkInstance *instance);
 void sk_instance_kill (SkInstance *instance, LbTime restart_after);
 void sk_instance_pause (SkInstance *instance, LbTime duration);
 /* Requests a graceful shutdown with SIGTERM. */
 void sk_instance_stop (SkInstance *instance);
-/* NULL: no room for another endpoint. */
+/* Returns NULL if there are SK_MAX_ENDPOINTS endpoints already. */
 SkEndpoint *sk_engine_add (SkWorld *world);
-/* Machine crash: packets to it are lost without an answer. LB_TIME_NEVER: it never returns. */
+/* Simulates a machine crash: packets to the endpoint are lost without an answer. return_after: time
+ * until the restart; LB_TIME_NEVER: no restart. */
 void sk_endpoint_crash (SkEndpoint *endpoint, LbTime return_after);
-/* Process exit: its machine refuses connections. LB_TIME_NEVER: it never returns. */
+/* Simulates the exit of the endpoint's process: connections are refused. return_after: time until
+ * the restart; LB_TIME_NEVER: no restart. */
 void sk_endpoint_exit (SkEndpoint *endpoint, LbTime return_after);
 void sk_endpoint_drain (SkEndpoint *endpoint);
-/* Writes a configuration with the routes added so far to the store. */
-void sk_config_put (SkWorld *world);
-void sk_weight_version_put (SkWorld *world, int64_t version);
+/* Writes a configuration with all added routes to the store. */
+void sk_store_put_config (SkWorld *world);
+void sk_store_put_weight_version (SkWorld *world, int64_t version);
 
 /* Sends a request of the trainer's organisation to the batch API, on a new connection. */
 LhFetch *sk_call_batch_api (SkInstance *instance,
@@ -148,15 +152,17 @@
                             void (*on_done) (LhFetch *fetch, const LhResult *result, void *user),
                             void *user);
 
-/* queries */
+/* Queries of instances, live requests and random numbers. */
 bool sk_instance_is_running (const SkInstance *instance);
-/* The first running instance whose log says that it runs the trainer's batch; NULL: none. */
+/* Returns the first running instance whose log says that it runs the trainer's batch; NULL if there
+ * is none. */
 SkInstance *sk_find_batch_owner (SkWorld *world);
-/* Whether neither the instance nor the store was disturbed since then. */
+/* Returns true if the instance runs, is not shutting down, and neither the instance nor the store
+ * was disturbed after `since`. */
 bool sk_instance_was_undisturbed (const SkInstance *instance, LbTime since);
 SkRequest *sk_request_find (SkWorld *world, const char *id);
 SkRequest *sk_request_find_or_add (SkWorld *world, const char *id);
-/* A random number from low to high, both included. */
+/* Returns a random number from low to high, both included. */
 int64_t sk_random_int (SkWorld *world, int64_t low, int64_t high);
 
 #endif
--- a/tests/soak/soak-processes.c
+++ b/tests/soak/soak-processes.c
@@ -21,7 +21,7 @@
   int seconds;
   int instances;
   int engines;
-  const char *only_fault; /* NULL: any fault */
+  const char *only_fault_kind; /* name of the only kind of fault to inject; NULL: all kinds */
   bool verbose;
   bool keep_logs;
 } Options;
@@ -31,9 +31,9 @@
   SkWorld world;
   SkCallers *callers;
   SkTrainer *trainer;
-  SkOneShots *one_shots;
+  SkOneShotTrainers *one_shot_trainers;
   SkCrasher *crasher;
-} Run;
+} SoakRun;
 
 static bool
 are_all_instances_running (const SkWorld *world)
@@ -45,32 +45,33 @@
 }
 
 static void
-run_once (Run *run)
+advance_run_once (SoakRun *run)
 {
   LbTime now = lb_clock_monotonic ();
 
-  sk_callers_tick (run->callers, now);
-  sk_trainer_tick (run->trainer, now);
-  sk_one_shots_tick (run->one_shots, now);
-  sk_crasher_tick (run->crasher, now);
+  sk_callers_start_due_calls (run->callers, now);
+  sk_trainer_start_due_call (run->trainer, now);
+  sk_one_shot_trainers_submit_if_due (run->one_shot_trainers, now);
+  sk_crasher_send_if_due (run->crasher, now);
   sk_world_run_once (&run->world);
 }
 
 static void
-wait_for_start (Run *run)
+wait_until_instances_run (SoakRun *run)
 {
   LbTime end = lb_clock_monotonic () + START_TIMEOUT;
 
   while (!are_all_instances_running (&run->world) && lb_clock_monotonic () < end)
     sk_world_run_once (&run->world);
   if (!are_all_instances_running (&run->world))
-    sk_fail (&run->world, "instances start in time", "not all instances wrote their address files");
+    sk_report_violation (&run->world, "instances start in time",
+                         "expected an address file of every instance within the timeout");
 }
 
-/* Most seeds mix all kinds of faults. Every fourth uses a single kind: invariants with a time bound
- * are checked only while nothing else is disturbed. Returns NULL for all kinds. */
+/* Returns the only kind of fault for every fourth seed, and NULL (all kinds) for the others. Some
+ * invariants have a time limit that is checked only while no other kind of fault is active. */
 static const char *
-fault_kind_of_seed (uint64_t seed)
+choose_fault_kind_of_seed (uint64_t seed)
 {
   size_t n = 1; /* sk_faults has at least one kind */
 
@@ -80,24 +81,25 @@
 }
 
 static void
-run_faults (Run *run, const Options *options)
+run_with_faults (SoakRun *run, const Options *options)
 {
-  const char *only_fault
-      = options->only_fault ? options->only_fault : fault_kind_of_seed (run->world.seed);
+  const char *only_fault_kind = options->only_fault_kind
+                                    ? options->only_fault_kind
+                                    : choose_fault_kind_of_seed (run->world.seed);
   LbTime end = lb_clock_monotonic () + options->seconds * LB_SEC;
   LbTime next = lb_clock_monotonic () + LB_SEC;
 
   for (LbTime now = 0; (now = lb_clock_monotonic ()) < end;)
     {
-      sk_faults_tick (&run->world, only_fault, &next, now);
-      run_once (run);
+      sk_faults_inject_if_due (&run->world, only_fault_kind, &next, now);
+      advance_run_once (run);
     }
 }
 
-/* Ends all faults, then checks that the trainer gets its whole last step and that every instance
- * returns the same results for it. */
+/* Ends all faults. Then checks that the trainer gets all results of its last step, and that every
+ * instance returns the same results. */
 static void
-settle (Run *run)
+end_faults_and_check_results (SoakRun *run)
 {
   SkWorld *world = &run->world;
   LbTime end = lb_clock_monotonic () + SETTLE_TIMEOUT;
@@ -106,24 +108,25 @@
   sk_trainer_stop (run->trainer);
   while ((!sk_trainer_is_done (run->trainer) || !are_all_instances_running (world))
          && lb_clock_monotonic () < end)
-    run_once (run);
+    advance_run_once (run);
   if (!sk_trainer_is_done (run->trainer))
-    sk_fail (world, "every sample is delivered", "the last step is incomplete after %.0f s",
-             (double)SETTLE_TIMEOUT / LB_SEC);
+    sk_report_violation (world, "every sample is delivered",
+                         "the last step is incomplete after %.0f s",
+                         (double)SETTLE_TIMEOUT / LB_SEC);
   sk_callers_stop (run->callers);
-  sk_one_shots_stop (run->one_shots);
+  sk_one_shot_trainers_stop (run->one_shot_trainers);
   sk_crasher_stop (run->crasher);
   for (size_t i = 0; i < world->n_instances && sk_trainer_is_done (run->trainer); i++)
     {
-      sk_trainer_reread (run->trainer, &world->instances[i]);
+      sk_trainer_reread_results (run->trainer, &world->instances[i]);
       while (sk_trainer_has_open_call (run->trainer))
-        run_once (run);
+        advance_run_once (run);
     }
 }
 
-/* Checks that every instance completes a graceful shutdown. */
+/* Stops all instances and checks that each completes a graceful shutdown. */
 static void
-stop_all (Run *run)
+stop_all_instances (SoakRun *run)
 {
   SkWorld *world = &run->world;
   LbTime end = lb_clock_monotonic () + STOP_TIMEOUT;
@@ -133,7 +136,7 @@
     sk_instance_stop (&world->instances[i]);
   while (n_running > 0 && lb_clock_monotonic () < end)
     {
-      run_once (run);
+      advance_run_once (run);
       n_running = 0;
       for (size_t i = 0; i < world->n_instances; i++)
         {
@@ -142,13 +145,13 @@
         }
     }
   if (n_running > 0)
-    sk_fail (world, "shutdown completes in time", "%zu instances still run", n_running);
+    sk_report_violation (world, "shutdown completes in time", "%zu instances still run", n_running);
 }
 
 static int
-run_seed (const Options *options, uint64_t seed)
+run_soak_with_seed (const Options *options, uint64_t seed)
 {
-  Run run = { 0 };
+  SoakRun run = { 0 };
   SkWorld *world = &run.world;
   int n_violations = 0;
 
@@ -156,14 +159,14 @@
   world->verbose = options->verbose;
   run.callers = sk_callers_new (world);
   run.trainer = sk_trainer_new (world);
-  run.one_shots = sk_one_shots_new (world);
-  world->one_shots = run.one_shots;
+  run.one_shot_trainers = sk_one_shot_trainers_new (world);
+  world->one_shot_trainers = run.one_shot_trainers;
   run.crasher = sk_crasher_new (world);
   world->crasher = run.crasher;
-  wait_for_start (&run);
-  run_faults (&run, options);
-  settle (&run);
-  stop_all (&run);
+  wait_until_instances_run (&run);
+  run_with_faults (&run, options);
+  end_faults_and_check_results (&run);
+  stop_all_instances (&run);
   n_violations = world->n_violations;
   printf ("seed %llu: %s, %lld faults, %lld calls (%lld served, %lld refused, %lld failed),"
           " %lld batches, %lld results, %.1f s\n",
@@ -174,14 +177,14 @@
   fflush (stdout);
   sk_callers_free (run.callers);
   sk_trainer_free (run.trainer);
-  sk_one_shots_free (run.one_shots);
+  sk_one_shot_trainers_free (run.one_shot_trainers);
   sk_crasher_free (run.crasher);
   sk_world_clear (world, n_violations > 0 || options->keep_logs);
   return n_violations;
 }
 
 static bool
-is_known_fault (const char *name)
+is_known_fault_kind (const char *name)
 {
   for (const SkFault *fault = sk_faults; fault->name; fault++)
     if (strcmp (fault->name, name) == 0)
@@ -191,7 +194,7 @@
 }
 
 static bool
-is_in_range (const char *option, int value, int min, int max)
+is_option_in_range (const char *option, int value, int min, int max)
 {
   if (value >= min && value <= max)
     return true;
@@ -202,9 +205,9 @@
 static bool
 are_options_valid (const Options *options)
 {
-  return is_in_range ("instances", options->instances, 1, SK_MAX_INSTANCES)
-         && is_in_range ("engines", options->engines, 2, SK_MAX_ENGINES)
-         && is_in_range ("seconds", options->seconds, 1, MAX_FAULT_SECONDS);
+  return is_option_in_range ("instances", options->instances, 1, SK_MAX_INSTANCES)
+         && is_option_in_range ("engines", options->engines, 2, SK_MAX_ENGINES)
+         && is_option_in_range ("seconds", options->seconds, 1, MAX_FAULT_SECONDS);
 }
 
 int
@@ -214,18 +217,20 @@
   struct arg_int *seeds = arg_int0 (NULL, "seeds", "N", "number of seeds to run; 1 by default");
   struct arg_int *seconds
       = arg_int0 (NULL, "seconds", "N",
-                  "duration of the faults of each seed, 1 to 3600; 12 by default");
+                  "duration of fault injection per seed, 1 to 3600; 12 by default");
   struct arg_int *instances
       = arg_int0 (NULL, "instances", "N", "number of instances, 1 to 200; 4 by default");
   struct arg_int *engines
       = arg_int0 (NULL, "engines", "N", "number of engines, 2 to 64; 5 by default");
-  struct arg_str *only_fault = arg_str0 (NULL, "only", "FAULT", "inject only this kind of fault");
+  struct arg_str *only_fault_kind
+      = arg_str0 (NULL, "only", "FAULT", "inject only this kind of fault");
   struct arg_lit *verbose = arg_lit0 (NULL, "verbose", "log faults and events to standard error");
-  struct arg_lit *keep = arg_lit0 (NULL, "keep-logs", "keep the logs of seeds that held, too");
+  struct arg_lit *keep
+      = arg_lit0 (NULL, "keep-logs", "keep the logs also of seeds without violations");
   struct arg_lit *help = arg_lit0 (NULL, "help", "print this help");
   struct arg_end *end = arg_end (4);
   void *table[]
-      = { seed, seeds, seconds, instances, engines, only_fault, verbose, keep, help, end };
+      = { seed, seeds, seconds, instances, engines, only_fault_kind, verbose, keep, help, end };
   Options options = { 0 };
   int status = 0;
 
@@ -237,18 +242,20 @@
   if (!si_arguments_parse (argc, argv, table, sizeof table / sizeof table[0], "soak-processes",
                            &status))
     goto out;
-  options = (Options){ .seconds = seconds->ival[0],
-                       .instances = instances->ival[0],
-                       .engines = engines->ival[0],
-                       .only_fault = only_fault->count > 0 ? only_fault->sval[0] : NULL,
-                       .verbose = verbose->count > 0,
-                       .keep_logs = keep->count > 0 };
+  options
+      = (Options){ .seconds = seconds->ival[0],
+                   .instances = instances->ival[0],
+                   .engines = engines->ival[0],
+                   .only_fault_kind = only_fault_kind->count > 0 ? only_fault_kind->sval[0] : NULL,
+                   .verbose = verbose->count > 0,
+                   .keep_logs = keep->count > 0 };
   status = 2;
-  if (!are_options_valid (&options) || (options.only_fault && !is_known_fault (options.only_fault)))
+  if (!are_options_valid (&options)
+      || (options.only_fault_kind && !is_known_fault_kind (options.only_fault_kind)))
     goto out;
   status = 0;
   for (int i = 0; i < seeds->ival[0]; i++)
-    status |= run_seed (&options, (uint64_t)seed->ival[0] + (uint64_t)i) > 0;
+    status |= run_soak_with_seed (&options, (uint64_t)seed->ival[0] + (uint64_t)i) > 0;
 
 out:
   arg_freetable (table, sizeof table / sizeof table[0]);
