--- a/packages/core/include/lc-catalog.h
+++ b/packages/core/include/lc-catalog.h
@@ -43,7 +43,7 @@
 void lc_catalog_set_own_period (LcCatalog *catalog, LbTime period);
 /* Sets this instance's position in the order of takeover, not counting the current publisher. 0: it
  * takes over first; negative: it must not publish. */
-void lc_catalog_set_rank (LcCatalog *catalog, int rank);
+void lc_catalog_set_takeover_rank (LcCatalog *catalog, int rank);
 
 /* One listed endpoint or instance. The key is the list's prefix and the item's name,
  * "LIST:NAME". */
--- a/packages/core/include/lc-lease.h
+++ b/packages/core/include/lc-lease.h
@@ -66,7 +66,7 @@
 /* commands, which change the state */
 /* Sets this instance's position among the candidates. 0: it claims the lease first; negative: it
  * does not claim the lease. */
-void lc_lease_set_rank (LcLease *lease, int rank);
+void lc_lease_set_claim_rank (LcLease *lease, int rank);
 /* Does the periodic work: detects pauses, expires the lease and starts reads. wall: wall clock in
  * microseconds; only its jumps relative to now are used. */
 void lc_lease_tick (LcLease *lease, LbTime now, LbTime wall, LbList *actions);
@@ -104,8 +104,8 @@
 bool lc_lease_allows_order (const LcLease *lease, bool can_order_unfenced, LbTime now);
 int64_t lc_lease_fencing_number (const LcLease *lease);
 bool lc_lease_is_held (const LcLease *lease);
-/* The rank set by lc_lease_set_rank; negative: not a candidate. */
-int lc_lease_rank (const LcLease *lease);
+/* The rank set by lc_lease_set_claim_rank; negative: not a candidate. */
+int lc_lease_claim_rank (const LcLease *lease);
 /* Whether this instance no longer holds a lease that it has to release. */
 bool lc_lease_is_released (const LcLease *lease, LbTime now);
 /* Store version of the lease's row as last read; 0: there is no row. */
--- a/packages/core/include/lc-usage-reports.h
+++ b/packages/core/include/lc-usage-reports.h
@@ -20,14 +20,15 @@
   int64_t max_delay_ms;
 } LcUsageReportSettings;
 
-/* The lc_usage_reports_..._completed function named for an action takes its result. */
+/* Actions for the caller. The result of each goes to lc_usage_reports_NAME_completed, where NAME is
+ * the action in lower case, such as read_reports. */
 typedef enum
 {
-  LC_USAGE_READ_REPORTS,  /* read the recorded reports; then call read_completed */
-  LC_USAGE_SUM_ROWS,      /* sum the rows of the window; then call sum_completed */
-  LC_USAGE_RECORD_REPORT, /* record text unless the window has one; then call record_completed */
-  LC_USAGE_SEND_REPORT,   /* send text to the platform; then call send_completed */
-  LC_USAGE_CLOSE_WINDOW   /* delete the rows, mark the report as sent; then call close_completed */
+  LC_USAGE_READ_REPORTS,  /* read all reports that are recorded in the store */
+  LC_USAGE_SUM_ROWS,      /* sum the rows of the window */
+  LC_USAGE_RECORD_REPORT, /* record text in the store unless the window has a report */
+  LC_USAGE_SEND_REPORT,   /* send text to the platform */
+  LC_USAGE_CLOSE_WINDOW   /* delete the rows of the window, mark its report as sent */
 } LcUsageActionType;
 
 typedef struct
@@ -56,29 +57,33 @@
 /* Starts reporting after this instance acquired the duty; drops all earlier state. */
 void lc_usage_reports_begin_duty (LcUsageReports *reports);
 void lc_usage_reports_end_duty (LcUsageReports *reports);
-/* Adds a report that is recorded in the store. Called before lc_usage_reports_read_completed. */
+/* Adds a report that is recorded in the store. Called before
+ * lc_usage_reports_read_reports_completed. */
 void lc_usage_reports_add_recorded (LcUsageReports *reports,
                                     int64_t window,
                                     const char *text,
                                     bool is_sent);
-/* Adds a window that has rows in the store. Called before lc_usage_reports_read_completed. */
+/* Adds a window that has rows in the store. Called before
+ * lc_usage_reports_read_reports_completed. */
 void lc_usage_reports_add_row_window (LcUsageReports *reports, int64_t window);
-void lc_usage_reports_read_completed (LcUsageReports *reports, bool ok, LbTime now);
+void lc_usage_reports_read_reports_completed (LcUsageReports *reports, bool ok, LbTime now);
 /* counts is NULL if the rows could not be read. */
-void lc_usage_reports_sum_completed (LcUsageReports *reports,
-                                     int64_t window,
-                                     LcUsageCounts *counts,
-                                     LbTime now);
+void lc_usage_reports_sum_rows_completed (LcUsageReports *reports,
+                                          int64_t window,
+                                          LcUsageCounts *counts,
+                                          LbTime now);
 /* recorded is the report that the store already had for the window; NULL if there was none or the
  * result of the write is unknown. */
-void lc_usage_reports_record_completed (
+void lc_usage_reports_record_report_completed (
     LcUsageReports *reports, int64_t window, bool ok, const char *recorded, LbTime now);
-void lc_usage_reports_send_completed (LcUsageReports *reports,
-                                      int64_t window,
-                                      LcUsageSendResult result,
-                                      LbTime now);
-void
-lc_usage_reports_close_completed (LcUsageReports *reports, int64_t window, bool ok, LbTime now);
+void lc_usage_reports_send_report_completed (LcUsageReports *reports,
+                                             int64_t window,
+                                             LcUsageSendResult result,
+                                             LbTime now);
+void lc_usage_reports_close_window_completed (LcUsageReports *reports,
+                                              int64_t window,
+                                              bool ok,
+                                              LbTime now);
 /* Records that a store request of this instance failed. Windows are then not summed for a while, so
  * that instances can write the rows that failed. */
 void lc_usage_reports_record_store_failure (LcUsageReports *reports, LbTime now);
--- a/packages/core/src/dispatch/lc-dispatch-private.h
+++ b/packages/core/src/dispatch/lc-dispatch-private.h
@@ -47,7 +47,7 @@
 lc_dispatch_quarantined_until (const LcDispatch *dispatch, LcFingerprint content, LbTime now);
 
 /* Implemented in lc-timers.c. */
-void lc_dispatch_update_timer (LcDispatch *dispatch, LcRequest *request);
+void lc_dispatch_reschedule_request_timer (LcDispatch *dispatch, LcRequest *request);
 LcRequest *lc_dispatch_find_due_request (LcDispatch *dispatch, LbTime now);
 
 /* Implemented in lc-placement.c, which queues requests and sends them to endpoints. */
--- a/packages/core/src/dispatch/lc-outcome.c
+++ b/packages/core/src/dispatch/lc-outcome.c
@@ -340,7 +340,7 @@
   request->n_retries++;
   request->state = LC_STATE_BACKOFF;
   request->retry_at = now + delay;
-  lc_dispatch_update_timer (dispatch, request);
+  lc_dispatch_reschedule_request_timer (dispatch, request);
 }
 
 static AttemptResult
@@ -397,5 +397,5 @@
    * although other endpoints were idle. */
   if (proves_not_run (end))
     request->hedged = false;
-  lc_dispatch_update_timer (dispatch, request);
+  lc_dispatch_reschedule_request_timer (dispatch, request);
 }
--- a/packages/core/src/dispatch/lc-pieces.c
+++ b/packages/core/src/dispatch/lc-pieces.c
@@ -29,7 +29,7 @@
   lc_pool_state_record_first_piece (request->pool, request->kind, now - attempt->sent_at);
   if (endpoint)
     lc_endpoint_first_byte_received (endpoint, now - attempt->sent_at, now);
-  lc_dispatch_update_timer (dispatch, request);
+  lc_dispatch_reschedule_request_timer (dispatch, request);
 }
 
 /* Chooses the attempt whose pieces are forwarded and cancels the request's other attempts. */
--- a/packages/core/src/dispatch/lc-placement.c
+++ b/packages/core/src/dispatch/lc-placement.c
@@ -73,7 +73,7 @@
 
   request->state = LC_STATE_WAITING;
   lc_queue_push (request->pool->queue, &key, &request->queue_entry);
-  lc_dispatch_update_timer (dispatch, request);
+  lc_dispatch_reschedule_request_timer (dispatch, request);
 }
 
 /* Returns the time since which a load report must have been requested to be current. An instance
@@ -185,7 +185,7 @@
   lc_pool_state_record_attempt_start (request->pool, request->kind);
   lc_endpoint_request_sent (endpoint, request->kind,
                             n_hashes ? request->prefix_hashes[n_hashes - 1] : 0, now);
-  lc_dispatch_update_timer (dispatch, request);
+  lc_dispatch_reschedule_request_timer (dispatch, request);
 }
 
 static bool
@@ -339,7 +339,7 @@
 {
   request->hedged = false;
   request->hedge_after = now - attempt->sent_at + HEDGE_RETRY_DELAY;
-  lc_dispatch_update_timer (dispatch, request);
+  lc_dispatch_reschedule_request_timer (dispatch, request);
 }
 
 /* Sends a second attempt of a repeatable request that has not received a piece. Postpones the hedge
@@ -353,7 +353,7 @@
 
   /* The average time to the first piece, and so the due time, may have changed since the timer was
    * set. */
-  lc_dispatch_update_timer (dispatch, request);
+  lc_dispatch_reschedule_request_timer (dispatch, request);
   if (!attempt || request->timer_due > now)
     return;
   if (lc_dispatch_quarantined_until (dispatch, request->content, now) > 0)
@@ -383,5 +383,5 @@
       charge_hedge (dispatch, request, endpoint);
       send_attempt (dispatch, request, &decision, now, actions);
     }
-  lc_dispatch_update_timer (dispatch, request);
+  lc_dispatch_reschedule_request_timer (dispatch, request);
 }
--- a/packages/core/src/dispatch/lc-timers.c
+++ b/packages/core/src/dispatch/lc-timers.c
@@ -50,7 +50,7 @@
  * request's state. The timers are in a heap, so a tick costs nothing for requests that are not
  * due. */
 void
-lc_dispatch_update_timer (LcDispatch *dispatch, LcRequest *request)
+lc_dispatch_reschedule_request_timer (LcDispatch *dispatch, LcRequest *request)
 {
   request->timer_due = next_timer_due (dispatch, request);
   if (request->timer_due == LB_TIME_NEVER)
--- a/packages/core/src/membership/lc-catalog.c
+++ b/packages/core/src/membership/lc-catalog.c
@@ -325,7 +325,7 @@
 }
 
 void
-lc_catalog_set_rank (LcCatalog *catalog, int rank)
+lc_catalog_set_takeover_rank (LcCatalog *catalog, int rank)
 {
   catalog->rank = rank;
 }
--- a/packages/core/src/membership/lc-lease.c
+++ b/packages/core/src/membership/lc-lease.c
@@ -262,7 +262,7 @@
 }
 
 void
-lc_lease_set_rank (LcLease *lease, int rank)
+lc_lease_set_claim_rank (LcLease *lease, int rank)
 {
   if (rank >= 0 && lease->rank < 0)
     lease->next_read_at = 0;
@@ -441,7 +441,7 @@
 }
 
 int
-lc_lease_rank (const LcLease *lease)
+lc_lease_claim_rank (const LcLease *lease)
 {
   return lease->rank;
 }
--- a/packages/core/src/membership/lc-membership-connect.c
+++ b/packages/core/src/membership/lc-membership-connect.c
@@ -47,7 +47,7 @@
     return 0;
   LcPeerLink *link = lc_membership_add_link (membership, false, now);
   activate_opened_link (membership, link, peer, now, actions);
-  lc_membership_finish_command (membership, actions);
+  lc_membership_emit_view_change (membership, actions);
   return link->id;
 }
 
@@ -131,11 +131,11 @@
     }
   else if (was_dead)
     delay_view_comparison (membership, link, now);
-  lc_membership_finish_command (membership, actions);
+  lc_membership_emit_view_change (membership, actions);
 }
 
 void
-lc_membership_handle_link_loss (LcMembership *membership,
+lc_membership_remove_lost_link (LcMembership *membership,
                                 LcPeerLink *link,
                                 LbTime now,
                                 LbList *actions)
@@ -160,6 +160,6 @@
 
   if (!link)
     return;
-  lc_membership_handle_link_loss (membership, link, now, actions);
-  lc_membership_finish_command (membership, actions);
+  lc_membership_remove_lost_link (membership, link, now, actions);
+  lc_membership_emit_view_change (membership, actions);
 }
--- a/packages/core/src/membership/lc-membership-contacts.c
+++ b/packages/core/src/membership/lc-membership-contacts.c
@@ -81,7 +81,7 @@
         membership->view_changed = true;
       member->is_listed_leaving = listed[i].leaving;
     }
-  lc_membership_finish_command (membership, actions);
+  lc_membership_emit_view_change (membership, actions);
 }
 
 static bool
--- a/packages/core/src/membership/lc-membership-heartbeat.c
+++ b/packages/core/src/membership/lc-membership-heartbeat.c
@@ -154,7 +154,7 @@
   action->reason = LB_ERROR_TIMEOUT;
   if (link->is_open)
     membership->totals.connection_timeouts++;
-  lc_membership_handle_link_loss (membership, link, now, actions);
+  lc_membership_remove_lost_link (membership, link, now, actions);
 }
 
 void
--- a/packages/core/src/membership/lc-membership-members.c
+++ b/packages/core/src/membership/lc-membership-members.c
@@ -14,7 +14,7 @@
 }
 
 void
-lc_membership_tick_members (LcMembership *membership, LbTime now)
+lc_membership_expire_members (LcMembership *membership, LbTime now)
 {
   LcMember *member, *next;
 
--- a/packages/core/src/membership/lc-membership-private.h
+++ b/packages/core/src/membership/lc-membership-private.h
@@ -94,7 +94,7 @@
 LcMembershipAction *lc_membership_add_action (LbList *actions, LcMembershipActionType type);
 /* Called at the end of each command: if the view changed, updates the digest and emits CHANGED
  * once. */
-void lc_membership_finish_command (LcMembership *membership, LbList *actions);
+void lc_membership_emit_view_change (LcMembership *membership, LbList *actions);
 uint64_t lc_membership_compute_digest (const LcMembership *membership);
 void lc_membership_send_instance (LcLinkId link, const LcInstance *instance, LbList *actions);
 
@@ -136,7 +136,7 @@
 
 /* lc-membership-connect.c: handles a connection that ended or could not be opened and frees link.
  * Its member may become silent or suspect. */
-void lc_membership_handle_link_loss (LcMembership *membership,
+void lc_membership_remove_lost_link (LcMembership *membership,
                                      LcPeerLink *link,
                                      LbTime now,
                                      LbList *actions);
@@ -150,7 +150,7 @@
 
 /* lc-membership-members.c: declares suspects dead that did not refute within the suspicion timeout,
  * and removes members that have been dead for hours. */
-void lc_membership_tick_members (LcMembership *membership, LbTime now);
+void lc_membership_expire_members (LcMembership *membership, LbTime now);
 
 /* lc-membership-contacts.c: dials the address of a dead or unknown instance when the next attempt
  * is due. */
--- a/packages/core/src/membership/lc-membership-self.c
+++ b/packages/core/src/membership/lc-membership-self.c
@@ -15,7 +15,7 @@
   membership->view_changed = true;
   lc_membership_queue_self_update (membership, now);
   lc_membership_flush_updates (membership, now, actions);
-  lc_membership_finish_command (membership, actions);
+  lc_membership_emit_view_change (membership, actions);
 }
 
 /* Publishes the load in steps, with hysteresis, at most once a minute. Otherwise, with 350
@@ -36,5 +36,5 @@
   membership->self.version++;
   membership->view_changed = true;
   lc_membership_queue_self_update (membership, now);
-  lc_membership_finish_command (membership, actions);
+  lc_membership_emit_view_change (membership, actions);
 }
--- a/packages/core/src/membership/lc-membership-updates.c
+++ b/packages/core/src/membership/lc-membership-updates.c
@@ -230,7 +230,7 @@
 {
   for (size_t i = 0; i < n_instances; i++)
     lc_membership_apply_update (membership, link, &instances[i], now);
-  lc_membership_finish_command (membership, actions);
+  lc_membership_emit_view_change (membership, actions);
 }
 
 static LcInstance
@@ -388,7 +388,7 @@
   send_newer_instances (membership, link, instances, n_instances, actions);
   if (peer_has_newer && !is_reply)
     send_summary (membership, link, true, actions);
-  lc_membership_finish_command (membership, actions);
+  lc_membership_emit_view_change (membership, actions);
 }
 
 void
--- a/packages/core/src/membership/lc-membership.c
+++ b/packages/core/src/membership/lc-membership.c
@@ -83,7 +83,7 @@
 }
 
 void
-lc_membership_finish_command (LcMembership *membership, LbList *actions)
+lc_membership_emit_view_change (LcMembership *membership, LbList *actions)
 {
   if (!membership->view_changed)
     return;
@@ -133,11 +133,11 @@
 {
   discount_own_pause (membership, now);
   lc_membership_tick_links (membership, now, actions);
-  lc_membership_tick_members (membership, now);
+  lc_membership_expire_members (membership, now);
   lc_membership_resolve_name_conflict (membership, now);
   lc_membership_dial_watch_targets (membership, now, actions);
   lc_membership_dial_contact (membership, now, actions);
   if (now >= membership->flush_at)
     lc_membership_flush_updates (membership, now, actions);
-  lc_membership_finish_command (membership, actions);
+  lc_membership_emit_view_change (membership, actions);
 }
--- a/packages/core/src/usage/lc-usage-reports.c
+++ b/packages/core/src/usage/lc-usage-reports.c
@@ -153,7 +153,7 @@
 }
 
 void
-lc_usage_reports_read_completed (LcUsageReports *reports, bool ok, LbTime now)
+lc_usage_reports_read_reports_completed (LcUsageReports *reports, bool ok, LbTime now)
 {
   reports->is_reading = false;
   reports->has_read = ok;
@@ -184,10 +184,10 @@
 }
 
 void
-lc_usage_reports_sum_completed (LcUsageReports *reports,
-                                int64_t window_number,
-                                LcUsageCounts *counts,
-                                LbTime now)
+lc_usage_reports_sum_rows_completed (LcUsageReports *reports,
+                                     int64_t window_number,
+                                     LcUsageCounts *counts,
+                                     LbTime now)
 {
   Window *window = finish_window_action (reports, window_number, counts != NULL, now);
 
@@ -198,7 +198,7 @@
 }
 
 void
-lc_usage_reports_record_completed (
+lc_usage_reports_record_report_completed (
     LcUsageReports *reports, int64_t window_number, bool ok, const char *recorded, LbTime now)
 {
   Window *window = finish_window_action (reports, window_number, ok || recorded, now);
@@ -213,10 +213,10 @@
 }
 
 void
-lc_usage_reports_send_completed (LcUsageReports *reports,
-                                 int64_t window_number,
-                                 LcUsageSendResult result,
-                                 LbTime now)
+lc_usage_reports_send_report_completed (LcUsageReports *reports,
+                                        int64_t window_number,
+                                        LcUsageSendResult result,
+                                        LbTime now)
 {
   Window *window = finish_window_action (reports, window_number, result == LC_USAGE_ACCEPTED, now);
 
@@ -225,10 +225,10 @@
 }
 
 void
-lc_usage_reports_close_completed (LcUsageReports *reports,
-                                  int64_t window_number,
-                                  bool ok,
-                                  LbTime now)
+lc_usage_reports_close_window_completed (LcUsageReports *reports,
+                                         int64_t window_number,
+                                         bool ok,
+                                         LbTime now)
 {
   Window *window = finish_window_action (reports, window_number, ok, now);
 
--- a/packages/core/tests/test-catalog.c
+++ b/packages/core/tests/test-catalog.c
@@ -452,7 +452,8 @@
       snprintf (name, sizeof name, "i-%zu", i);
       rank += is_healthy (w, &w->instances[i]) && strcmp (name, publisher) != 0;
     }
-  lc_catalog_set_rank (instance->catalog, is_healthy (w, instance) && rank < 3 ? rank : -1);
+  lc_catalog_set_takeover_rank (instance->catalog,
+                                is_healthy (w, instance) && rank < 3 ? rank : -1);
 }
 
 static void
@@ -757,7 +758,7 @@
       LB_COPY (list[i].service, "s");
       list[i].slots = 1;
     }
-  lc_catalog_set_rank (catalog, 0);
+  lc_catalog_set_takeover_rank (catalog, 0);
   set_listing (catalog, list, N, 5000);
   while (lc_catalog_prepare_write (catalog, now, &write))
     {
@@ -822,7 +823,7 @@
   cr_assert_eq (lc_catalog_publish_period (catalog), LB_SEC);
   cr_assert (lc_catalog_is_fresh (catalog, LB_SEC + 2 * LB_SEC));
   cr_assert_not (lc_catalog_is_fresh (catalog, LB_SEC + 2300 * LB_MSEC));
-  lc_catalog_set_rank (catalog, 0);
+  lc_catalog_set_takeover_rank (catalog, 0);
   cr_assert_not (lc_catalog_needs_listing (catalog, LB_SEC + 1400 * LB_MSEC));
   cr_assert (lc_catalog_needs_listing (catalog, LB_SEC + 1600 * LB_MSEC));
   lc_catalog_free (catalog);
--- a/packages/core/tests/test-lease-ends.c
+++ b/packages/core/tests/test-lease-ends.c
@@ -25,7 +25,7 @@
   LB_COPY (settings.instance, instance);
   LB_COPY (settings.incarnation, "first");
   LcLease *lease = lc_lease_new (&settings, CLAIMED_AT, CLAIMED_AT);
-  lc_lease_set_rank (lease, 0);
+  lc_lease_set_claim_rank (lease, 0);
   return lease;
 }
 
--- a/packages/core/tests/test-lease.c
+++ b/packages/core/tests/test-lease.c
@@ -80,7 +80,7 @@
       LB_COPY (settings.incarnation, "a");
       holders[i] = (Holder){ .rate = 1.0, .offset = 5 * LB_SEC * i, .tick = TICK_INTERVAL };
       holders[i].lease = lc_lease_new (&settings, read_holder_clock (&holders[i]), now);
-      lc_lease_set_rank (holders[i].lease, i);
+      lc_lease_set_claim_rank (holders[i].lease, i);
     }
 }
 
@@ -349,7 +349,7 @@
       holders[0].rate = 0.995;
       holders[1].rate = 1.005;
       run_simulation (3 * LB_SEC + i * 11 * LB_MSEC);
-      lc_lease_set_rank (holders[1].lease, 0);
+      lc_lease_set_claim_rank (holders[1].lease, 0);
       holders[0].is_cut_off = true;
       holders[0].tick = STEP;
       holders[1].tick = STEP;
@@ -509,7 +509,7 @@
   LB_COPY (settings.instance, "b");
   LB_COPY (settings.incarnation, "b-1");
   LcLease *lease = lc_lease_new (&settings, LB_SEC, 0);
-  lc_lease_set_rank (lease, 0);
+  lc_lease_set_claim_rank (lease, 0);
   return lease;
 }
 
@@ -636,7 +636,7 @@
   LB_COPY (settings.instance, "b");
   LB_COPY (settings.incarnation, "b");
   LcLease *lease = lc_lease_new (&settings, LB_SEC, 0);
-  lc_lease_set_rank (lease, 0);
+  lc_lease_set_claim_rank (lease, 0);
   return lease;
 }
 
--- a/packages/core/tests/test-usage-reports.c
+++ b/packages/core/tests/test-usage-reports.c
@@ -182,7 +182,7 @@
                                      simulation.is_closed[i]);
     else if (simulation.expected_requests[i] > 0)
       lc_usage_reports_add_row_window (reports, i);
-  lc_usage_reports_read_completed (reports, operation->ok, simulation.now);
+  lc_usage_reports_read_reports_completed (reports, operation->ok, simulation.now);
 }
 
 static void
@@ -191,8 +191,8 @@
   LcUsageCounts *counts = lc_usage_counts_new ();
 
   lc_usage_counts_add (counts, "post", simulation.expected_requests[operation->window]);
-  lc_usage_reports_sum_completed (reports, operation->window, operation->ok ? counts : NULL,
-                                  simulation.now);
+  lc_usage_reports_sum_rows_completed (reports, operation->window, operation->ok ? counts : NULL,
+                                       simulation.now);
   lc_usage_counts_free (counts);
 }
 
@@ -213,16 +213,18 @@
       complete_rows_sum (reports, operation);
       break;
     case LC_USAGE_RECORD_REPORT:
-      lc_usage_reports_record_completed (reports, operation->window, ok,
-                                         operation->is_reply_lost ? NULL : operation->recorded,
-                                         simulation.now);
+      lc_usage_reports_record_report_completed (reports, operation->window, ok,
+                                                operation->is_reply_lost ? NULL
+                                                                         : operation->recorded,
+                                                simulation.now);
       break;
     case LC_USAGE_SEND_REPORT:
-      lc_usage_reports_send_completed (reports, operation->window,
-                                       ok ? LC_USAGE_ACCEPTED : LC_USAGE_NO_ANSWER, simulation.now);
+      lc_usage_reports_send_report_completed (reports, operation->window,
+                                              ok ? LC_USAGE_ACCEPTED : LC_USAGE_NO_ANSWER,
+                                              simulation.now);
       break;
     case LC_USAGE_CLOSE_WINDOW:
-      lc_usage_reports_close_completed (reports, operation->window, ok, simulation.now);
+      lc_usage_reports_close_window_completed (reports, operation->window, ok, simulation.now);
       break;
     }
   if (!ok && !is_platform_operation (operation))
@@ -405,11 +407,11 @@
   lc_usage_reports_begin_duty (reports);
   expect_action (reports, LC_USAGE_READ_REPORTS, 0);
   lc_usage_reports_add_row_window (reports, 0);
-  lc_usage_reports_read_completed (reports, true, 0);
+  lc_usage_reports_read_reports_completed (reports, true, 0);
   expect_action (reports, LC_USAGE_SUM_ROWS, 0);
-  lc_usage_reports_sum_completed (reports, 0, counts, 0);
+  lc_usage_reports_sum_rows_completed (reports, 0, counts, 0);
   cr_assert_str_eq (expect_action (reports, LC_USAGE_RECORD_REPORT, 0), "{\"post\":5}");
-  lc_usage_reports_record_completed (reports, 0, false, "{\"post\":3}", 0);
+  lc_usage_reports_record_report_completed (reports, 0, false, "{\"post\":3}", 0);
   cr_assert_str_eq (expect_action (reports, LC_USAGE_SEND_REPORT, 0), "{\"post\":3}");
   lc_usage_counts_free (counts);
   lc_usage_reports_free (reports);
--- a/packages/node/src/duties/ln-duty-lease.c
+++ b/packages/node/src/duties/ln-duty-lease.c
@@ -168,7 +168,7 @@
   size_t n = add_candidates (members, candidates);
   size_t rank = lc_duty_rank (lease->duty, lease->context->instance, candidates, n);
 
-  lc_lease_set_rank (lease->lease, rank < MAX_CANDIDATES ? (int)rank : -1);
+  lc_lease_set_claim_rank (lease->lease, rank < MAX_CANDIDATES ? (int)rank : -1);
   free (candidates);
   free (lease->members);
   lease->members = lb_memdup (members->members, members->n_members * sizeof (LnMember));
@@ -219,7 +219,7 @@
   LbList actions;
 
   lb_list_init (&actions);
-  lc_lease_set_rank (lease->lease, -1);
+  lc_lease_set_claim_rank (lease->lease, -1);
   lc_lease_release (lease->lease, now, &actions);
   execute_lease_actions (lease, &actions);
 }
@@ -233,7 +233,7 @@
 bool
 ln_duty_lease_is_candidate (const LnDutyLease *lease)
 {
-  return lc_lease_rank (lease->lease) >= 0;
+  return lc_lease_claim_rank (lease->lease) >= 0;
 }
 
 bool
--- a/packages/node/src/duties/ln-usage-reporter.c
+++ b/packages/node/src/duties/ln-usage-reporter.c
@@ -159,8 +159,8 @@
   if (--pending->n_pending_lists > 0)
     return;
   if (is_duty_epoch_current (pending))
-    lc_usage_reports_read_completed (pending->reporter->reports, !pending->has_failed,
-                                     lb_clock_monotonic ());
+    lc_usage_reports_read_reports_completed (pending->reporter->reports, !pending->has_failed,
+                                             lb_clock_monotonic ());
   pending_action_free (pending);
 }
 
@@ -263,9 +263,9 @@
   if (--pending->n_pending_lists > 0)
     return;
   if (is_duty_epoch_current (pending))
-    lc_usage_reports_sum_completed (pending->reporter->reports, pending->window,
-                                    pending->has_failed ? NULL : pending->counts,
-                                    lb_clock_monotonic ());
+    lc_usage_reports_sum_rows_completed (pending->reporter->reports, pending->window,
+                                         pending->has_failed ? NULL : pending->counts,
+                                         lb_clock_monotonic ());
   pending_action_free (pending);
 }
 
@@ -314,9 +314,9 @@
 
   handle_store_error (pending, error, "decide");
   if (is_duty_epoch_current (pending))
-    lc_usage_reports_record_completed (pending->reporter->reports, pending->window, false,
-                                       lb_json_text (object, "counts", NULL),
-                                       lb_clock_monotonic ());
+    lc_usage_reports_record_report_completed (pending->reporter->reports, pending->window, false,
+                                              lb_json_text (object, "counts", NULL),
+                                              lb_clock_monotonic ());
   json_object_put (object);
   pending_action_free (pending);
 }
@@ -337,8 +337,8 @@
       return;
     }
   if (is_duty_epoch_current (pending))
-    lc_usage_reports_record_completed (pending->reporter->reports, pending->window, error == LB_OK,
-                                       NULL, lb_clock_monotonic ());
+    lc_usage_reports_record_report_completed (pending->reporter->reports, pending->window,
+                                              error == LB_OK, NULL, lb_clock_monotonic ());
   pending_action_free (pending);
 }
 
@@ -391,8 +391,8 @@
   if (outcome == LN_DUTY_REFUSED)
     ln_duty_lease_request_read (reporter->lease, now);
   if (is_duty_epoch_current (pending))
-    lc_usage_reports_send_completed (reporter->reports, pending->window,
-                                     convert_send_outcome (outcome), now);
+    lc_usage_reports_send_report_completed (reporter->reports, pending->window,
+                                            convert_send_outcome (outcome), now);
   pending_action_free (pending);
 }
 
@@ -473,8 +473,8 @@
 
   handle_store_error (pending, error, "close");
   if (is_duty_epoch_current (pending))
-    lc_usage_reports_close_completed (pending->reporter->reports, pending->window, error == LB_OK,
-                                      lb_clock_monotonic ());
+    lc_usage_reports_close_window_completed (pending->reporter->reports, pending->window,
+                                             error == LB_OK, lb_clock_monotonic ());
   pending_action_free (pending);
 }
 
--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -446,7 +446,7 @@
   bool is_new = rank >= 0 && catalog->rank < 0;
 
   catalog->rank = rank;
-  lc_catalog_set_rank (catalog->catalog, rank);
+  lc_catalog_set_takeover_rank (catalog->catalog, rank);
   if (is_new && catalog->n_members > 0)
     update_instance_listing (catalog);
 }
--- a/packages/node/src/rollout/ln-pool-controllers.c
+++ b/packages/node/src/rollout/ln-pool-controllers.c
@@ -81,7 +81,7 @@
 {
   LB_LIST_FOREACH (&task->pool_controllers, LnPoolController, link, controller)
   {
-    lc_lease_set_rank (controller->lease, compute_lease_rank (task, controller->pool));
+    lc_lease_set_claim_rank (controller->lease, compute_lease_rank (task, controller->pool));
   }
 }
 
