--- a/packages/node/src/batch/ln-batch-calls.c
+++ b/packages/node/src/batch/ln-batch-calls.c
@@ -227,13 +227,13 @@
       ended = (LpRow){ .key = row->key,
                        .value = json_object_to_json_string (object),
                        .version = row->version };
-      ln_batch_heads_apply_row (call->batches, &ended);
+      ln_batch_heads_update_from_row (call->batches, &ended);
       json_object_put (object);
       reply_batch_ended (call);
       return;
     }
   if (error == LB_ERROR_CONDITION_FAILED && row->value)
-    ln_batch_heads_apply_row (call->batches, row);
+    ln_batch_heads_update_from_row (call->batches, row);
   ln_batch_call_retry_or_fail (call);
 }
 
@@ -296,7 +296,7 @@
       retry_without_organisation (call);
       return;
     }
-  if (error == LB_OK && n_rows > 0 && ln_batch_heads_apply_row (call->batches, &rows[0]))
+  if (error == LB_OK && n_rows > 0 && ln_batch_heads_update_from_row (call->batches, &rows[0]))
     {
       dispatch_call_by_kind (call);
       return;
--- a/packages/node/src/batch/ln-batch-heads.c
+++ b/packages/node/src/batch/ln-batch-heads.c
@@ -162,7 +162,7 @@
 }
 
 bool
-ln_batch_heads_apply_row (LnBatches *batches, const LpRow *row)
+ln_batch_heads_update_from_row (LnBatches *batches, const LpRow *row)
 {
   struct json_object *object = row->value ? json_tokener_parse (row->value) : NULL;
   LcBatchHead head;
@@ -330,7 +330,7 @@
   if (error == LB_OK)
     apply_written_row (batch, row->version);
   else if (error == LB_ERROR_CONDITION_FAILED && row->value)
-    ln_batch_heads_apply_row (batch->batches, row);
+    ln_batch_heads_update_from_row (batch->batches, row);
   /* If the claim after an expired offer got no answer, the row still names this process. The batch
    * is then run here, because possibly no other instance was able to claim it. */
   ln_batch_heads_start_if_owned (batch);
@@ -492,7 +492,7 @@
 
   if (row->value)
     {
-      ln_batch_heads_apply_row (batches, row);
+      ln_batch_heads_update_from_row (batches, row);
       return;
     }
   batch = ln_batches_find (batches, row->key + strlen (BATCH_TABLE "/00/"));
--- a/packages/node/src/batch/ln-batch-owner.c
+++ b/packages/node/src/batch/ln-batch-owner.c
@@ -265,7 +265,7 @@
   bool unchanged = error == LB_OK && n_rows > 0 && rows[0].version == batch->version;
 
   if (error == LB_OK && n_rows > 0 && !unchanged)
-    ln_batch_heads_apply_row (batch->batches, &rows[0]);
+    ln_batch_heads_update_from_row (batch->batches, &rows[0]);
   finish_results_write (write, unchanged);
 }
 
--- a/packages/node/src/batch/ln-batch-submit.c
+++ b/packages/node/src/batch/ln-batch-submit.c
@@ -76,7 +76,7 @@
     {
       /* This instance or another one has already accepted the batch. */
       if (row->value)
-        ln_batch_heads_apply_row (call->batches, row);
+        ln_batch_heads_update_from_row (call->batches, row);
       /* Starts the batch if this instance owns it: an earlier attempt of the write may have taken
        * effect, and the watch may have shown the row while the last attempt was in progress. */
       ln_batch_heads_start_if_owned (batch);
--- a/packages/node/src/batch/ln-batches-private.h
+++ b/packages/node/src/batch/ln-batches-private.h
@@ -154,7 +154,7 @@
 void ln_batch_heads_publish_demand (LnBatches *batches, const LcBatchHead *head);
 /* Updates a batch from its row in the store, unless a newer version of the row is known. Returns
  * false if the row cannot be parsed. */
-bool ln_batch_heads_apply_row (LnBatches *batches, const LpRow *row);
+bool ln_batch_heads_update_from_row (LnBatches *batches, const LpRow *row);
 /* Loads and then runs the batch if its row names this process as the owner and the batch does not
  * run yet. */
 void ln_batch_heads_start_if_owned (LnBatch *batch);
--- a/packages/node/src/config/ln-desired.c
+++ b/packages/node/src/config/ln-desired.c
@@ -489,7 +489,7 @@
   DesiredTask *task = (DesiredTask *)base;
 
   task->draining = true;
-  ln_catalog_drain (task->catalog);
+  ln_catalog_stop_publishing (task->catalog);
   ln_weight_orders_release_lease (task->weight_orders, lb_clock_monotonic ());
 }
 
--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -433,7 +433,7 @@
 }
 
 void
-ln_catalog_drain (LnCatalog *catalog)
+ln_catalog_stop_publishing (LnCatalog *catalog)
 {
   catalog->draining = true;
 }
--- a/packages/node/src/membership/ln-catalog.h
+++ b/packages/node/src/membership/ln-catalog.h
@@ -43,7 +43,7 @@
 /* Causes the next snapshot of the endpoints to be delivered in full, even if it has not changed. */
 void ln_catalog_invalidate_endpoint_list (LnCatalog *catalog);
 /* Stops publishing, because this instance is shutting down. */
-void ln_catalog_drain (LnCatalog *catalog);
+void ln_catalog_stop_publishing (LnCatalog *catalog);
 /* Sets the list of endpoints that this instance read itself. requested_at: by the local clock. */
 void ln_catalog_set_endpoint_list (LnCatalog *catalog,
                                    const LcRegistration *endpoints,
--- a/packages/node/src/membership/ln-peers-actions.c
+++ b/packages/node/src/membership/ln-peers-actions.c
@@ -95,7 +95,7 @@
 }
 
 void
-ln_peers_run_actions (LnPeers *peers)
+ln_peers_run_membership_actions (LnPeers *peers)
 {
   LbLink *link;
 
--- a/packages/node/src/membership/ln-peers-frames.c
+++ b/packages/node/src/membership/ln-peers-frames.c
@@ -114,7 +114,7 @@
 /* Broadcast frames are forwarded to all connected instances, since their sender is not connected to
  * each instance. */
 void
-ln_peers_handle_data (LnPeers *peers, LcLinkId from, const LwMessage *message)
+ln_peers_deliver_data (LnPeers *peers, LcLinkId from, const LwMessage *message)
 {
   if (strcmp (message->origin, lc_membership_self (peers->membership)->name) == 0)
     return;
@@ -172,5 +172,5 @@
     deliver_to_task (peers, self->name, message->topic, message->payload, message->length);
   else
     send_to_instance (peers, message->instance, &data, lb_clock_monotonic ());
-  ln_peers_run_actions (peers);
+  ln_peers_run_membership_actions (peers);
 }
--- a/packages/node/src/membership/ln-peers-handlers.c
+++ b/packages/node/src/membership/ln-peers-handlers.c
@@ -18,7 +18,7 @@
     ln_peers_close_connection (peers, connection);
   else
     ln_peers_flush_outbox (peers, connection, peer->name);
-  ln_peers_run_actions (peers);
+  ln_peers_run_membership_actions (peers);
 }
 
 static void
@@ -32,7 +32,7 @@
                 "peer_connection_failed", error);
   ln_peers_close_connection (peers, connection);
   lc_membership_link_closed (peers->membership, id, lb_clock_monotonic (), &peers->actions);
-  ln_peers_run_actions (peers);
+  ln_peers_run_membership_actions (peers);
 }
 
 static void
@@ -79,7 +79,7 @@
                                       &peers->actions);
       break;
     case LW_DATA:
-      ln_peers_handle_data (peers, id, message);
+      ln_peers_deliver_data (peers, id, message);
       break;
     case LW_HELLO:
     case LW_CHALLENGE:
@@ -88,7 +88,7 @@
       reject_handshake_message (peers, connection);
       return;
     }
-  ln_peers_run_actions (peers);
+  ln_peers_run_membership_actions (peers);
 }
 
 const LnPeerHandlers ln_peers_handlers = { .opened = on_connection_opened,
--- a/packages/node/src/membership/ln-peers-list.c
+++ b/packages/node/src/membership/ln-peers-list.c
@@ -68,7 +68,7 @@
                                      lb_clock_monotonic (), &peers->actions);
   free (listed);
   apply_leaving_endpoints (peers, list);
-  ln_peers_run_actions (peers);
+  ln_peers_run_membership_actions (peers);
 }
 
 /* The platform is freed right after the tasks and drops its pending calls, so this callback never
--- a/packages/node/src/membership/ln-peers-private.h
+++ b/packages/node/src/membership/ln-peers-private.h
@@ -52,7 +52,7 @@
 void ln_peers_record_sent_frame (const LnPeers *peers, const LnPeerConnection *connection);
 
 /* ln-peers-frames.c: functions that send may close the connection and add actions of the
- * membership, so the caller has to call ln_peers_run_actions afterwards. */
+ * membership, so the caller has to call ln_peers_run_membership_actions afterwards. */
 
 void ln_peers_send_message (LnPeers *peers, LnPeerConnection *connection, const LwMessage *message);
 /* Sends one frame to each instance to which a connection is open, except to the peer of the link
@@ -63,7 +63,7 @@
 /* Drops the frames that were queued in the outbox for too long. */
 void ln_peers_expire_outbox (LnPeers *peers, LbTime now);
 /* Delivers a frame from another instance to a local task, and forwards it if it is a broadcast. */
-void ln_peers_handle_data (LnPeers *peers, LcLinkId from, const LwMessage *message);
+void ln_peers_deliver_data (LnPeers *peers, LcLinkId from, const LwMessage *message);
 /* Sends a local task's frame to one instance or to all. */
 void ln_peers_send_data (LnPeers *peers, const LnPeerMessage *message);
 
@@ -74,7 +74,7 @@
 
 /* Runs the pending actions of the membership and sets the timer for its next tick. Must be the last
  * step of every handler that changes the membership. */
-void ln_peers_run_actions (LnPeers *peers);
+void ln_peers_run_membership_actions (LnPeers *peers);
 
 /* --- ln-peers-listen.c: accepted connections --- */
 
--- a/packages/node/src/membership/ln-peers.c
+++ b/packages/node/src/membership/ln-peers.c
@@ -65,7 +65,7 @@
   ln_peers_request_platform_list (peers, now);
   ln_peers_measure_load (peers, now);
   lc_membership_tick (peers->membership, now, &peers->actions);
-  ln_peers_run_actions (peers);
+  ln_peers_run_membership_actions (peers);
 }
 
 static void
@@ -84,7 +84,7 @@
   if (!peers->membership)
     return;
   lc_membership_set_draining (peers->membership, lb_clock_monotonic (), &peers->actions);
-  ln_peers_run_actions (peers);
+  ln_peers_run_membership_actions (peers);
 }
 
 static void
