--- a/fuzz/fuzz-entry.c
+++ b/fuzz/fuzz-entry.c
@@ -21,7 +21,7 @@
   if (value)
     {
       *value++ = '\0';
-      if (pf_dialect ()->parse_registration (text, value, &registration, &error)
+      if (pf_get_dialect ()->parse_registration (text, value, &registration, &error)
           && (registration.name[0] == '\0' || registration.slots <= 0
               || registration.n_models > LC_MAX_MODELS))
         abort ();
--- a/packages/base/include/lb-counter.h
+++ b/packages/base/include/lb-counter.h
@@ -10,7 +10,7 @@
 } LbMetricKind;
 
 /* A counter or gauge. Each is a static variable of the module that updates it and is registered for
- * lb_metric_render by its first update. */
+ * lb_metric_render_all by its first update. */
 typedef struct LbMetric
 {
   const char *name;  /* Prometheus metric name: lentilspindle_... */
@@ -38,6 +38,6 @@
 void lb_metric_count_error (int error_code);
 
 /* Renders all registered metrics in the Prometheus text format; the caller frees the text. */
-char *lb_metric_render (void);
+char *lb_metric_render_all (void);
 
 #endif
--- a/packages/base/include/lb-settings.h
+++ b/packages/base/include/lb-settings.h
@@ -42,10 +42,10 @@
 /* Fills target from the object, checking the name, type and range of each key. An error's where has
  * the file and the key path. Absent keys leave their fields unchanged, so the caller sets the
  * defaults in target first. */
-bool lb_settings_apply (struct json_object *object,
-                        const LbSettingSpec *specs,
-                        void *target,
-                        const char *file,
-                        LbError *error);
+bool lb_settings_fill_struct (struct json_object *object,
+                              const LbSettingSpec *specs,
+                              void *target,
+                              const char *file,
+                              LbError *error);
 
 #endif
--- a/packages/base/src/lb-counter.c
+++ b/packages/base/src/lb-counter.c
@@ -72,7 +72,7 @@
 }
 
 char *
-lb_metric_render (void)
+lb_metric_render_all (void)
 {
   char *text = NULL;
   size_t size = 0;
--- a/packages/base/src/lb-settings.c
+++ b/packages/base/src/lb-settings.c
@@ -310,11 +310,11 @@
 }
 
 bool
-lb_settings_apply (struct json_object *object,
-                   const LbSettingSpec *specs,
-                   void *target,
-                   const char *file,
-                   LbError *error)
+lb_settings_fill_struct (struct json_object *object,
+                         const LbSettingSpec *specs,
+                         void *target,
+                         const char *file,
+                         LbError *error)
 {
   return store_object_setting (object, specs, target, file, "", error);
 }
--- a/packages/base/tests/test-base.c
+++ b/packages/base/tests/test-base.c
@@ -49,7 +49,7 @@
 
   memset (settings, 0, sizeof *settings);
   if (object)
-    lb_settings_apply (object, specs, settings, "s.json", &error);
+    lb_settings_fill_struct (object, specs, settings, "s.json", &error);
   json_object_put (object);
   return error;
 }
--- a/packages/base/tests/test-log.c
+++ b/packages/base/tests/test-log.c
@@ -130,7 +130,7 @@
   lb_histogram_add (&histogram, 30 * LB_SEC);
   lb_histogram_add (&histogram, -1);
   cr_assert_eq (lb_histogram_count_values (&histogram), 4);
-  char *rendered = lb_metric_render ();
+  char *rendered = lb_metric_render_all ();
   cr_assert (strstr (rendered, "# TYPE test_seconds histogram"));
   cr_assert (strstr (rendered, "test_seconds_bucket{le=\"0.001\"} 1\n"));
   cr_assert (strstr (rendered, "test_seconds_bucket{le=\"0.005\"} 2\n"));
--- a/packages/core/src/config/lc-resources.c
+++ b/packages/core/src/config/lc-resources.c
@@ -206,7 +206,7 @@
   struct json_object *body = copy_without_kind_key (object);
 
   set_resource_defaults (kind, item);
-  bool ok = lb_settings_apply (body, kind_infos[kind].specs, item, where, error);
+  bool ok = lb_settings_fill_struct (body, kind_infos[kind].specs, item, where, error);
   json_object_put (body);
   if (!ok)
     return false;
--- a/packages/node/main/lentilspindled.c
+++ b/packages/node/main/lentilspindled.c
@@ -291,7 +291,7 @@
   context->hub = ln_hub_new (context->base);
   context->http_pool = lh_pool_new (context->base);
   if (daemon->settings.platform.kind == LN_PLATFORM_SHARED)
-    context->dialect = pf_dialect ();
+    context->dialect = pf_get_dialect ();
   context->platform = create_platform_client (&daemon->settings, context->base);
   daemon->signals[0] = evsignal_new (context->base, SIGTERM, start_drain_on_signal, daemon);
   daemon->signals[1] = evsignal_new (context->base, SIGINT, start_drain_on_signal, daemon);
--- a/packages/node/src/duties/ln-true-time.c
+++ b/packages/node/src/duties/ln-true-time.c
@@ -46,7 +46,7 @@
 int64_t
 ln_true_time_to_unix_ms (const LnTrueTime *time, LbTime at)
 {
-  int64_t store_ms = lp_platform_store_clock_ms_at (time->context->platform, at);
+  int64_t store_ms = lp_platform_get_store_clock_ms_at (time->context->platform, at);
 
   if (store_ms == 0 || time->offset_ms == 0)
     return lb_clock_wall_ms () - (lb_clock_monotonic () - at) / LB_MSEC;
@@ -56,7 +56,7 @@
 int64_t
 ln_true_time_local_clock_offset_ms (const LnContext *context, LbTime now)
 {
-  int64_t store_ms = lp_platform_store_clock_ms_at (context->platform, now);
+  int64_t store_ms = lp_platform_get_store_clock_ms_at (context->platform, now);
 
   return store_ms == 0 ? 0 : lb_clock_wall_ms () - store_ms;
 }
--- a/packages/node/src/front/ln-front.c
+++ b/packages/node/src/front/ln-front.c
@@ -158,7 +158,7 @@
     }
   if (strcmp (path, "/metrics") == 0)
     {
-      char *text = lb_metric_render ();
+      char *text = lb_metric_render_all ();
       ln_exchange_reply_text (exchange, 200, "text/plain; version=0.0.4", text, strlen (text));
       free (text);
       return;
--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -74,7 +74,7 @@
 static int64_t
 get_store_time_ms (const LnCatalog *catalog)
 {
-  return lp_platform_store_clock_ms (catalog->context->platform);
+  return lp_platform_get_store_clock_ms (catalog->context->platform);
 }
 
 static void
--- a/packages/node/src/membership/ln-fleet-lists.c
+++ b/packages/node/src/membership/ln-fleet-lists.c
@@ -254,7 +254,7 @@
   const LpPlatform *platform = listing->lists->platform;
   const LcFleetList list = { .received_at = now,
                              .round_trip = now - listing->requested_at,
-                             .store_ms = lp_platform_store_clock_ms (platform),
+                             .store_ms = lp_platform_get_store_clock_ms (platform),
                              .period = get_list_period (listing) };
 
   listing->n_pending--;
--- a/packages/node/src/membership/ln-fleet-renewal.c
+++ b/packages/node/src/membership/ln-fleet-renewal.c
@@ -100,7 +100,7 @@
     return;
   renewal->n_in_flight++;
   renewal->row->period = period;
-  renewal->row->renewed_ms = lp_platform_store_clock_ms_at (renewal->platform, now);
+  renewal->row->renewed_ms = lp_platform_get_store_clock_ms_at (renewal->platform, now);
   object = lc_fleet_row_to_json (renewal->row);
   write_own_row (renewal, on_duty, json_object_to_json_string (object), on_renewal_answered);
   json_object_put (object);
--- a/packages/node/src/task/ln-settings.c
+++ b/packages/node/src/task/ln-settings.c
@@ -284,7 +284,7 @@
 
   if (!object)
     return false;
-  bool ok = lb_settings_apply (object, specs, settings, path, error)
+  bool ok = lb_settings_fill_struct (object, specs, settings, path, error)
             && validate_settings (settings, path, error);
   json_object_put (object);
   return ok;
--- a/packages/node/tests/test-peers.c
+++ b/packages/node/tests/test-peers.c
@@ -173,7 +173,7 @@
 static int64_t
 read_metric (const char *name)
 {
-  char *text = lb_metric_render ();
+  char *text = lb_metric_render_all ();
   char *start = lb_asprintf ("\n%s ", name);
   const char *at = strstr (text, start);
   int64_t value = at ? strtoll (at + strlen (start), NULL, 10) : 0;
--- a/packages/sim/src/lx-trace.c
+++ b/packages/sim/src/lx-trace.c
@@ -129,7 +129,7 @@
   Header header
       = { .seed = 1, .trainers = 1, .groups = 8, .samples = 4, .shortest = 20, .train_ms = 1000 };
 
-  if (!lb_settings_apply (object, header_specs, &header, where, error))
+  if (!lb_settings_fill_struct (object, header_specs, &header, where, error))
     return false;
   if (header.format != LX_TRACE_FORMAT_VERSION)
     return lb_error_set (error, LB_ERROR_BAD_VALUE, where, "format: expected %d",
@@ -159,7 +159,7 @@
                        .deadline_ms = 60000,
                        .live_reserve = 0.3 };
 
-  if (!lb_settings_apply (object, line_specs, &line, where, error)
+  if (!lb_settings_fill_struct (object, line_specs, &line, where, error)
       || !check_required_keys (&line, where, error))
     return false;
   trace->lines = lb_realloc (trace->lines, (trace->n_lines + 1) * sizeof (LxTraceLine));
--- a/packages/store/include/lp-platform.h
+++ b/packages/store/include/lp-platform.h
@@ -165,8 +165,8 @@
 
 /* Call optional functions of LpPlatformClass. If one is not supported, the clock is 0 and the store
  * counts as reachable. */
-int64_t lp_platform_store_clock_ms (const LpPlatform *platform);
-int64_t lp_platform_store_clock_ms_at (const LpPlatform *platform, LbTime at);
+int64_t lp_platform_get_store_clock_ms (const LpPlatform *platform);
+int64_t lp_platform_get_store_clock_ms_at (const LpPlatform *platform, LbTime at);
 bool lp_platform_is_store_reachable (const LpPlatform *platform);
 
 typedef struct
