--- a/packages/base/include/lb-counter.h
+++ b/packages/base/include/lb-counter.h
@@ -22,19 +22,19 @@
   struct LbMetric *next;
 } LbMetric;
 
-#define LB_COUNTER_INIT(n, l, h)                                                                   \
+#define LB_COUNTER_INIT(metric_name, labels, help_text)                                            \
   {                                                                                                \
-    .name = (n), .label = (l), .help = (h), .kind = LB_COUNTER                                     \
+    .name = (metric_name), .label = (labels), .help = (help_text), .kind = LB_COUNTER              \
   }
-#define LB_GAUGE_INIT(n, l, h)                                                                     \
+#define LB_GAUGE_INIT(metric_name, labels, help_text)                                              \
   {                                                                                                \
-    .name = (n), .label = (l), .help = (h), .kind = LB_GAUGE                                       \
+    .name = (metric_name), .label = (labels), .help = (help_text), .kind = LB_GAUGE                \
   }
 
 void lb_metric_add (LbMetric *metric, int64_t amount);
 void lb_metric_set (LbMetric *metric, int64_t value);
 
-/* Increments the series of lentilspindle_errors_total that has this error code's name as label. */
+/* Increments lentilspindle_errors_total for this error code, whose name is the label "type". */
 void lb_metric_count_error (int error_code);
 
 /* Renders all registered metrics in the Prometheus text format; the caller frees the text. */
--- a/packages/base/include/lb-histogram.h
+++ b/packages/base/include/lb-histogram.h
@@ -7,19 +7,19 @@
 #include <stdio.h>
 
 /* Histogram of durations with buckets from 1 ms to 10 s. Each is a static variable of the module
- * that measures, and is registered by its first lb_histogram_add. */
+ * that measures the durations, and is registered by its first lb_histogram_add. */
 typedef struct LbHistogram
 {
   const char *name; /* Prometheus metric name: lentilspindle_..._seconds */
   const char *help;
   gsl_histogram *buckets; /* NULL until the first lb_histogram_add */
-  double sum;             /* of all durations, in seconds */
+  double sum;             /* sum of all durations, in seconds */
   struct LbHistogram *next;
 } LbHistogram;
 
-#define LB_HISTOGRAM_INIT(n, h)                                                                    \
+#define LB_HISTOGRAM_INIT(metric_name, help_text)                                                  \
   {                                                                                                \
-    .name = (n), .help = (h)                                                                       \
+    .name = (metric_name), .help = (help_text)                                                     \
   }
 
 void lb_histogram_add (LbHistogram *histogram, LbTime duration);
--- a/packages/base/include/lb-settings.h
+++ b/packages/base/include/lb-settings.h
@@ -7,11 +7,11 @@
 
 typedef enum
 {
-  LB_SETTING_TEXT,   /* JSON string, stored in a char array of size bytes */
+  LB_SETTING_TEXT,   /* JSON string, stored in a char array of LbSettingSpec.size bytes */
   LB_SETTING_INT,    /* JSON integer from min to max, stored as int64_t */
   LB_SETTING_REAL,   /* JSON number from min to max, stored as double */
   LB_SETTING_BOOL,   /* JSON boolean, stored as bool */
-  LB_SETTING_CHOICE, /* JSON string out of choices, stored as its index (int) */
+  LB_SETTING_CHOICE, /* JSON string that is one of choices, stored as its index (int) */
   LB_SETTING_OBJECT, /* JSON object, stored in a struct that LbSettingSpec.fields describes */
   LB_SETTING_ARRAY   /* JSON array, stored as a heap pointer and an element count */
 } LbSettingType;
@@ -29,7 +29,7 @@
   double min;
   double max;
   const char *const *choices;         /* allowed strings, terminated by NULL */
-  const struct LbSettingSpec *fields; /* keys of a nested object; the last spec has key NULL */
+  const struct LbSettingSpec *fields; /* specs of a nested object's keys; the last has key NULL */
   size_t count_offset;
 } LbSettingSpec;
 
--- a/packages/base/src/lb-counter.c
+++ b/packages/base/src/lb-counter.c
@@ -13,8 +13,8 @@
 static LbMetric error_metrics[LB_N_ERRORS];
 static char error_labels[LB_N_ERRORS][64];
 
-/* Inserts the metric in order of name: the Prometheus text format requires that metrics of the same
- * name follow each other. */
+/* Inserts the metric into the list sorted by name: the Prometheus text format requires that metrics
+ * of the same name follow each other. */
 static void
 register_metric (LbMetric *metric)
 {
@@ -60,9 +60,9 @@
 }
 
 static void
-render_metric (FILE *out, const LbMetric *metric, bool is_first_of_name)
+render_metric (FILE *out, const LbMetric *metric, bool is_first_with_name)
 {
-  if (is_first_of_name)
+  if (is_first_with_name)
     fprintf (out, "# HELP %s %s\n# TYPE %s %s\n", metric->name, metric->help, metric->name,
              metric->kind == LB_GAUGE ? "gauge" : "counter");
   if (metric->label)
--- a/packages/base/src/lb-log.c
+++ b/packages/base/src/lb-log.c
@@ -103,9 +103,10 @@
     }
 }
 
-/* Returns false if the line exceeds the limit of lines or bytes per second. */
+/* Counts a line of this many bytes. Returns false if the lines of the current second exceed the
+ * limit of lines or bytes. */
 static bool
-count_line_and_check_rate (size_t length)
+count_line_against_rate_limit (size_t length)
 {
   LbTime second = lb_clock_monotonic () / LB_SEC;
 
@@ -130,7 +131,7 @@
   size_t capacity = is_urgent ? LOG_BUFFER_BYTES : UNRESERVED_BUFFER_BYTES;
 
   if (log_state.buffered_bytes + length > capacity
-      || (!count_line_and_check_rate (length) && !is_urgent))
+      || (!count_line_against_rate_limit (length) && !is_urgent))
     {
       log_state.n_dropped_lines++;
       return;
@@ -180,8 +181,8 @@
   log_state.buffered_bytes -= done;
 }
 
-/* Logs one JSON line: time (ms since 1970), level, instance, event and the fields up to
- * LB_FIELD_END. */
+/* Logs one JSON line: time (ms since 1970), level, instance, event and the fields, an array that
+ * ends with LB_FIELD_END. */
 void
 lb_log_write_event (LbLogLevel level, const char *event, const LbLogField *fields)
 {
