--- a/packages/http/include/lh-fetch.h
+++ b/packages/http/include/lh-fetch.h
@@ -49,7 +49,7 @@
   size_t body_length;
   LbTime connect_timeout; /* time limit for the TCP connect; 0: only idle_timeout applies */
   LbTime idle_timeout;    /* longest time without a byte sent or received; 0: 30 s */
-  bool fresh_connection;  /* opens a new connection, since an idle one may be dead unnoticed */
+  bool fresh_connection;  /* true: no idle connection is reused, since it may be dead */
 } LhRequest;
 
 bool lh_method_is_supported (const char *name);
--- a/packages/http/src/lh-fetch.c
+++ b/packages/http/src/lh-fetch.c
@@ -56,7 +56,7 @@
   return false;
 }
 
-/* Whether a request with this method can be sent. */
+/* Whether lh_fetch_start supports this HTTP method, such as "GET". */
 bool
 lh_method_is_supported (const char *name)
 {
@@ -81,8 +81,8 @@
   fetch->connect_timer = NULL;
 }
 
-/* Reports the first byte that may have been sent: a request counts as not run only if none was.
- * evhttp adds bytes to the output buffer only after it has connected. */
+/* Notes that a byte of the request may have been sent, after which the request may have run. evhttp
+ * adds bytes to the output buffer only after it has connected. */
 static void
 on_output_changed (struct evbuffer *buffer, const struct evbuffer_cb_info *info, void *user)
 {
@@ -96,7 +96,7 @@
 }
 
 static void
-set_output_callback (LhFetch *fetch, bool enable)
+enable_output_callback (LhFetch *fetch, bool enable)
 {
   struct bufferevent *bev = evhttp_connection_get_bufferevent (fetch->connection->evcon);
   struct evbuffer *output = bufferevent_get_output (bev);
@@ -108,8 +108,8 @@
 }
 
 /* Returns the time that the connection may be idle before its next request; 0: it must not be
- * reused. Unread bytes would be parsed as the response to the next request and reach another
- * caller. This happens after HEAD requests, to which some servers wrongly send a body. */
+ * reused. Bytes left after a response would be parsed as the response to the next request and reach
+ * another caller. Some servers wrongly send a body after a HEAD request. */
 static LbTime
 get_connection_max_idle_time (const LhFetch *fetch, struct evhttp_request *request)
 {
@@ -129,13 +129,13 @@
   return lh_pool_parse_max_idle_time (evhttp_find_header (headers, "Keep-Alive"));
 }
 
-/* Reports a failure of evhttp_make_request from the event loop, since the caller of lh_fetch_start
- * doesn't have the fetch yet. evhttp fails immediately if it can't open a socket, for example
- * because all file descriptors are in use. */
+/* Defers the report of a failed evhttp_make_request to the event loop, since the caller of
+ * lh_fetch_start doesn't have the fetch yet. evhttp fails immediately if it can't open a socket,
+ * for example because all file descriptors are in use. */
 static void
 defer_start_failure (LhFetch *fetch)
 {
-  set_output_callback (fetch, false);
+  enable_output_callback (fetch, false);
   lh_pool_schedule_close (fetch->connection);
   fetch->connection = NULL;
   fetch->request = NULL;
@@ -157,7 +157,7 @@
   void *fetch_user = fetch->user;
 
   free_connect_timer (fetch);
-  set_output_callback (fetch, false);
+  enable_output_callback (fetch, false);
   lb_list_remove (&fetch->pool->running_fetches, &fetch->link);
   evhttp_request_set_error_cb (fetch->request, NULL);
   evhttp_cancel_request (fetch->request);
@@ -180,12 +180,12 @@
 }
 
 static void
-finish_fetch (LhFetch *fetch, struct evhttp_request *request)
+report_result_and_free_fetch (LhFetch *fetch, struct evhttp_request *request)
 {
   LhResult result = { .bytes_handed = fetch->bytes_handed };
   LhConnection *connection = fetch->connection;
 
-  set_output_callback (fetch, false);
+  enable_output_callback (fetch, false);
   free_connect_timer (fetch);
   lb_list_remove (&fetch->pool->running_fetches, &fetch->link);
   if (request && evhttp_request_get_response_code (request) != 0 && fetch->failure == LB_OK)
@@ -212,7 +212,7 @@
   if (fetch->is_starting)
     fetch->failure = LB_ERROR_IO;
   else
-    finish_fetch (fetch, request);
+    report_result_and_free_fetch (fetch, request);
 }
 
 static void
@@ -303,7 +303,7 @@
   if (handlers->on_body_chunk)
     evhttp_request_set_chunked_cb (fetch->request, on_chunk_received);
   add_headers (fetch->request, spec);
-  set_output_callback (fetch, true);
+  enable_output_callback (fetch, true);
   evhttp_connection_set_max_body_size (connection->evcon,
                                        handlers->on_body_chunk ? -1 : MAX_BUFFERED_BODY_BYTES);
   fetch->is_starting = true;
@@ -330,7 +330,7 @@
       free (fetch);
       return;
     }
-  set_output_callback (fetch, false);
+  enable_output_callback (fetch, false);
   free_connect_timer (fetch);
   lb_list_remove (&fetch->pool->running_fetches, &fetch->link);
   /* evhttp_cancel_request also frees the request. The connection is closed, not reused, since its
--- a/packages/http/src/lh-pool.h
+++ b/packages/http/src/lh-pool.h
@@ -4,7 +4,7 @@
 #include "lb-list.h"
 #include "lh-fetch.h"
 
-/* An HTTP connection of a pool: used by a fetch, idle or closing. */
+/* An HTTP connection of a pool: in use by a fetch, idle or closing. */
 typedef struct
 {
   LbLink link; /* link in LhPool.idle_connections or LhPool.closing_connections */
@@ -34,8 +34,8 @@
 /* Returns the connection to the pool, which may reuse it within max_idle_time. Closes it if
  * max_idle_time is not positive. */
 void lh_pool_release (LhConnection *connection, LbTime max_idle_time);
-/* Returns the time that a connection may be idle by the Keep-Alive header of its last response;
- * keep_alive NULL: the response had no such header. */
+/* Returns the time that a connection may be idle according to the Keep-Alive header of its last
+ * response; keep_alive NULL: the response had no Keep-Alive header. */
 LbTime lh_pool_parse_max_idle_time (const char *keep_alive);
 void lh_pool_schedule_close (LhConnection *connection);
 /* Frees closing connections and reports failed fetches in the event loop's next iteration. */
--- a/packages/http/src/lh-reach.c
+++ b/packages/http/src/lh-reach.c
@@ -70,7 +70,7 @@
 /* Reports the address as closed if the server ended the connection during hold_time. A server sends
  * no data before it gets a request, so a readable socket normally means end of file. */
 static void
-on_hold_ended (evutil_socket_t fd, short what, void *user)
+on_hold_time_ended (evutil_socket_t fd, short what, void *user)
 {
   char byte;
   bool has_ended = (what & EV_READ) && recv (fd, &byte, sizeof byte, 0) <= 0;
@@ -84,7 +84,7 @@
   const struct timeval wait = lb_time_to_timeval (probe->hold_time);
 
   event_free (probe->event);
-  probe->event = event_new (probe->base, probe->fd, EV_READ, on_hold_ended, probe);
+  probe->event = event_new (probe->base, probe->fd, EV_READ, on_hold_time_ended, probe);
   event_add (probe->event, &wait);
 }
 
--- a/packages/http/tests/test-fetch.c
+++ b/packages/http/tests/test-fetch.c
@@ -26,7 +26,7 @@
   LbName address;
   char request[4096]; /* bytes that the server has received */
   size_t request_length;
-  bool is_closed; /* the server has read the end of the connection */
+  bool is_closed; /* the client has closed the connection */
   /* results passed to the client's on_done */
   int n_done; /* number of on_done calls */
   LbErrorCode failure;
@@ -126,7 +126,7 @@
 }
 
 static bool
-server_receive_available (Fixture *f, int fd, const char *needle)
+server_receive_and_find (Fixture *f, int fd, const char *needle)
 {
   ssize_t got = recv (fd, f->request + f->request_length, sizeof f->request - 1 - f->request_length,
                       MSG_DONTWAIT);
@@ -146,7 +146,7 @@
   f->request_length = 0;
   f->request[0] = '\0';
   RUN_LOOP_UNTIL (f, (fd = accept (f->listener, NULL, NULL)) >= 0);
-  RUN_LOOP_UNTIL (f, server_receive_available (f, fd, needle));
+  RUN_LOOP_UNTIL (f, server_receive_and_find (f, fd, needle));
   return fd;
 }
 
@@ -175,7 +175,7 @@
   fixture_clear (&f);
 }
 
-Test (fetch, idle_connection_is_reused_and_dropped)
+Test (fetch, idle_connection_is_reused_and_closed_on_demand)
 {
   Fixture f;
 
@@ -187,11 +187,11 @@
   f.n_done = 0;
   f.request_length = 0;
   start_fetch (&f, "GET", "", false, 0);
-  RUN_LOOP_UNTIL (&f, server_receive_available (&f, fd, "\r\n\r\n"));
+  RUN_LOOP_UNTIL (&f, server_receive_and_find (&f, fd, "\r\n\r\n"));
   server_send (fd, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
   RUN_LOOP_UNTIL (&f, f.n_done);
   lh_pool_close_idle_connections (f.pool, f.address);
-  RUN_LOOP_UNTIL (&f, (server_receive_available (&f, fd, NULL), f.is_closed));
+  RUN_LOOP_UNTIL (&f, (server_receive_and_find (&f, fd, NULL), f.is_closed));
   close (fd);
   fixture_clear (&f);
 }
@@ -221,9 +221,9 @@
   fixture_clear (&f);
 }
 
-/* No process listens on the address, so no byte of the request is sent. The result must show it,
- * since it proves that the request did not run. */
-Test (fetch, refused_connection_hands_over_no_byte)
+/* No process listens on the address, so no byte of the request is sent. The result must
+ * report that, since it proves that the request did not run. */
+Test (fetch, refused_connection_reports_no_byte_sent)
 {
   Fixture f;
 
@@ -237,9 +237,9 @@
   fixture_clear (&f);
 }
 
-/* The server reads the request and closes the connection without a response: the request may have
- * run. */
-Test (fetch, close_after_the_request_counts_as_bytes_handed)
+/* The server reads the request and closes the connection without a response. The request may have
+ * run, so the result must report that bytes were sent. */
+Test (fetch, close_after_the_request_reports_bytes_sent)
 {
   Fixture f;
 
@@ -298,7 +298,7 @@
   int fd = server_accept_request (&f, "\r\n\r\n");
   server_send (fd, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n3\r\ntwo\r\n");
   RUN_LOOP_UNTIL (&f, f.n_chunks > 0);
-  RUN_LOOP_UNTIL (&f, (server_receive_available (&f, fd, NULL), f.is_closed));
+  RUN_LOOP_UNTIL (&f, (server_receive_and_find (&f, fd, NULL), f.is_closed));
   cr_assert_eq (f.n_chunks, 1);
   cr_assert_eq (f.n_done, 0);
   close (fd);
@@ -342,7 +342,7 @@
 
 /* A server computes a response for a minute without sending a byte, and its machine loses power.
  * Nothing closes the connection, so only TCP keep-alive detects the failure and must be enabled. */
-Test (fetch, sockets_detect_dead_connections)
+Test (fetch, sockets_have_a_timeout_for_dead_connections)
 {
   Fixture f;
   int max_unacked_ms = 0;
@@ -389,10 +389,10 @@
   fixture_clear (&f);
 }
 
-/* A connection is idle in the pool for longer than the 100 ms idle timeout of its last request. The
- * timeout still applied and closed the connection, so the next request opened a new one: a thousand
- * new connections in half a minute of low load. */
-Test (fetch, idle_connection_outlives_the_timeout_of_its_last_exchange)
+/* The 100 ms idle timeout of a request must not close its connection while the connection is idle
+ * in the pool. When it did, each later request opened a new connection: a thousand in half a minute
+ * of low load. */
+Test (fetch, idle_connection_outlives_the_timeout_of_its_last_request)
 {
   Fixture f;
   LbTime wait_until = 0;
@@ -406,18 +406,18 @@
   while (lb_clock_monotonic () < wait_until)
     run_loop_once (&f);
   f.request_length = 0;
-  server_receive_available (&f, fd, NULL);
+  server_receive_and_find (&f, fd, NULL);
   cr_assert_not (f.is_closed);
   f.n_done = 0;
   start_fetch (&f, "GET", "", false, 0);
-  RUN_LOOP_UNTIL (&f, server_receive_available (&f, fd, "\r\n\r\n"));
+  RUN_LOOP_UNTIL (&f, server_receive_and_find (&f, fd, "\r\n\r\n"));
   close (fd);
   fixture_clear (&f);
 }
 
 /* An engine closes idle connections after the 1 s in its Keep-Alive header. A request sent at that
  * moment fails; if it is not idempotent, the caller gets a 502 although the engine never received
- * it. The connection must not be reused shortly before that time. */
+ * it. The connection must not be reused shortly before the timeout. */
 Test (fetch, idle_connection_is_not_reused_near_its_keep_alive_timeout)
 {
   Fixture f;
@@ -456,8 +456,8 @@
 }
 
 /* A host that lost power doesn't answer SYN packets. A caller with a deadline of 2 s got no answer
- * although other endpoints were idle. The fetch must end after the connect timeout and show that no
- * byte was sent, so that the request can go to another endpoint. */
+ * although other endpoints were idle. The fetch must end after the connect timeout and report that
+ * no byte was sent, so that the request can go to another endpoint. */
 Test (fetch, unanswered_connect_ends_after_the_connect_timeout)
 {
   Fixture f;
--- a/packages/http/tests/test-reach.c
+++ b/packages/http/tests/test-reach.c
@@ -126,7 +126,8 @@
 }
 
 /* On a busy host, the kernel closes an exiting process's connections first and its listening socket
- * a moment later. A connection opened in between is accepted and then reset. */
+ * a moment later. A connection opened in between is accepted and then reset; the probe must report
+ * it as closed. */
 Test (reach, reports_a_listener_about_to_stop_as_closed)
 {
   const struct timeval soon = { .tv_usec = 20000 };
