--- a/packages/wire/include/lw-message.h
+++ b/packages/wire/include/lw-message.h
@@ -29,14 +29,14 @@
   uint8_t mac[LW_MAC_BYTES];
   LcInstance instance;
   uint64_t digest; /* hash of the sender's view of all instances; equal views need no COMPARE */
-  /* Owned. An instance is sent in short form, with its name as the only string, if its peer_address
-   * is empty. */
+  /* Owned by the message. An instance whose peer_address is empty is sent in short form, with its
+   * name as the only string. */
   LcInstance *instances;
   size_t n_instances;
   bool is_reply; /* this COMPARE answers the peer's COMPARE and must not be answered */
   LbName origin; /* name of the instance that created the DATA message */
   uint64_t origin_epoch;
-  uint64_t sequence; /* number of the broadcast at its origin, to detect duplicates */
+  uint64_t sequence; /* counts the origin's broadcasts, to detect duplicates */
   bool is_broadcast; /* true: each receiver forwards the message; false: for the receiver only */
   LbName topic;
   char *payload; /* owned by the message */
--- a/packages/wire/src/lw-handshake.c
+++ b/packages/wire/src/lw-handshake.c
@@ -77,7 +77,10 @@
 }
 
 static bool
-handle_hello (LwHandshake *handshake, const LwMessage *in, LwMessage *out, LbError *error)
+answer_hello_with_challenge (LwHandshake *handshake,
+                             const LwMessage *in,
+                             LwMessage *out,
+                             LbError *error)
 {
   handshake->has_challenged = true;
   handshake->peer = in->instance;
@@ -91,7 +94,10 @@
 }
 
 static bool
-handle_challenge (LwHandshake *handshake, const LwMessage *in, LwMessage *out, LbError *error)
+answer_challenge_with_proof (LwHandshake *handshake,
+                             const LwMessage *in,
+                             LwMessage *out,
+                             LbError *error)
 {
   handshake->peer = in->instance;
   memcpy (handshake->peer_nonce, in->nonce, LW_NONCE_BYTES);
@@ -118,14 +124,14 @@
     return lb_error_set (error, LB_ERROR_FRAME_GARBLED, "handshake",
                          "expected an instance with a peer address, got an empty address");
   if (!handshake->is_dialler && !handshake->has_challenged && in->type == LW_HELLO)
-    return handle_hello (handshake, in, out, error);
+    return answer_hello_with_challenge (handshake, in, out, error);
   if (handshake->is_dialler && in->type == LW_CHALLENGE)
-    return handle_challenge (handshake, in, out, error);
+    return answer_challenge_with_proof (handshake, in, out, error);
   if (handshake->has_challenged && in->type == LW_PROOF)
     {
       handshake->done = is_mac_valid (handshake, true, in->mac);
       return handshake->done ? true : set_wrong_key_error (error);
     }
-  return lb_error_set (error, LB_ERROR_FRAME_GARBLED, "handshake", "unexpected message of type %d",
-                       (int)in->type);
+  return lb_error_set (error, LB_ERROR_FRAME_GARBLED, "handshake",
+                       "expected the next handshake message, got type %d", (int)in->type);
 }
--- a/packages/wire/src/lw-message.c
+++ b/packages/wire/src/lw-message.c
@@ -63,7 +63,7 @@
 }
 
 static void
-pack_data (msgpack_packer *packer, const LwMessage *message)
+pack_data_message_fields (msgpack_packer *packer, const LwMessage *message)
 {
   pack_text (packer, message->origin);
   msgpack_pack_uint64 (packer, message->origin_epoch);
@@ -110,7 +110,7 @@
       pack_bool (packer, message->is_reply);
       break;
     case LW_DATA:
-      pack_data (packer, message);
+      pack_data_message_fields (packer, message);
       break;
     case LW_N_MESSAGES:
       break;
@@ -240,7 +240,7 @@
 }
 
 static FieldReader
-open_array (FieldReader *reader)
+open_nested_array (FieldReader *reader)
 {
   const msgpack_object *object = read_typed_field (reader, MSGPACK_OBJECT_ARRAY);
 
@@ -252,7 +252,7 @@
 static void
 read_instance (FieldReader *reader, LcInstance *instance)
 {
-  FieldReader inner = open_array (reader);
+  FieldReader inner = open_nested_array (reader);
   bool full = inner.n_unread == N_FULL_INSTANCE_FIELDS;
 
   if (!full && inner.n_unread != N_SHORT_INSTANCE_FIELDS)
@@ -277,7 +277,7 @@
 static void
 read_instances (FieldReader *reader, LwMessage *message)
 {
-  FieldReader inner = open_array (reader);
+  FieldReader inner = open_nested_array (reader);
 
   if (inner.n_unread > MAX_INSTANCES_PER_FRAME)
     {
@@ -292,7 +292,7 @@
 }
 
 static void
-read_data (FieldReader *reader, LwMessage *message)
+read_data_message_fields (FieldReader *reader, LwMessage *message)
 {
   read_name (reader, message->origin);
   message->origin_epoch = read_uint (reader);
@@ -303,7 +303,7 @@
 }
 
 static void
-read_message (FieldReader *reader, LwMessage *message)
+read_message_fields (FieldReader *reader, LwMessage *message)
 {
   size_t count = reader->n_unread;
 
@@ -336,7 +336,7 @@
       message->is_reply = read_bool (reader);
       break;
     case LW_DATA:
-      read_data (reader, message);
+      read_data_message_fields (reader, message);
       break;
     case LW_N_MESSAGES:
       reader->is_invalid = true;
@@ -452,8 +452,8 @@
       != MSGPACK_UNPACK_SUCCESS)
     goto out;
   FieldReader body_reader = { .next = &unpacked.data, .n_unread = 1 };
-  FieldReader reader = open_array (&body_reader);
-  read_message (&reader, message);
+  FieldReader reader = open_nested_array (&body_reader);
+  read_message_fields (&reader, message);
   ok = !reader.is_invalid;
 out:
   msgpack_unpacked_destroy (&unpacked);
