--- a/packages/store/include/lp-follow.h
+++ b/packages/store/include/lp-follow.h
@@ -9,12 +9,12 @@
 
 typedef struct
 {
-  const char *table;           /* name; a watch covers the whole table, whatever the prefixes */
-  const char *const *prefixes; /* key prefixes to list; must cover all rows of interest */
+  const char *table;           /* table name; a watch covers the whole table, not only prefixes */
+  const char *const *prefixes; /* key prefixes to list; must cover all rows that are needed */
   size_t n_prefixes;
   LbTime watch_timeout; /* longest watch call; a dead connection is noticed after this time */
-  /* Requests all changes since the table was created before listing any prefix. On a new table this
-   * one call replaces a list for each prefix. */
+  /* true: first requests all changes since the table was created. On a new table this one call
+   * replaces a list call for each prefix. */
   bool tries_history;
   LbTime retry_delay; /* delay between a failed call and the next call */
   /* Called before each complete list of the rows is delivered; NULL: not called. Requires a single
--- a/packages/store/include/lp-platform.h
+++ b/packages/store/include/lp-platform.h
@@ -5,8 +5,9 @@
 
 struct event_base;
 
-/* Interface to the platform's store and lists, implemented over HTTP, in memory, and for a shared
- * platform. Each call invokes its callback exactly once, never from inside the call. */
+/* Interface to the platform's store and its lists of instances and weight versions, implemented
+ * over HTTP, in memory, and for a shared platform. Each call invokes its callback exactly once,
+ * never from inside the call. */
 typedef struct LpPlatform LpPlatform;
 
 typedef struct
@@ -60,14 +61,14 @@
   const char *caller_address; /* address that callers connect to */
   const char *peer_address;   /* address that other instances connect to */
   const char *data_centre;
-  bool leaving; /* the platform has asked it to shut down */
+  bool leaving; /* the platform has asked the instance to shut down */
 } LpInstance;
 
 typedef struct
 {
   const LpInstance *instances;
   size_t n_instances;
-  const char *const *leaving_endpoints; /* names; the platform asked them to shut down */
+  const char *const *leaving_endpoints; /* names of endpoints asked to shut down */
   size_t n_leaving_endpoints;
 } LpInstanceList;
 
@@ -115,7 +116,8 @@
                       LpObjectDone done,
                       void *user);
   void (*get_object) (LpPlatform *platform, const char *key, LpObjectDone done, void *user);
-  /* Callback errors: LB_OK, NOT_FOUND, STORE_AWAY, STORE_BUSY. NULL if not supported. */
+  /* Deletes an object; callback errors: LB_OK, NOT_FOUND, STORE_AWAY, STORE_BUSY. NULL if not
+   * supported. */
   void (*remove_object) (LpPlatform *platform, const char *key, LpObjectDone done, void *user);
   /* Lists up to `limit` rows (0: all) whose keys start with `prefix`, from key `prefix` + `from`
    * on. Keys are "TABLE/PART/REST", or "TABLE/REST" in the table's unnamed part; a prefix names the
@@ -139,14 +141,14 @@
   void (*set_peers) (LpPlatform *platform, const LbName *addresses, size_t n_addresses);
   /* Whether this instance reaches the store directly, not through peers. NULL if not supported. */
   bool (*is_store_reachable) (const LpPlatform *platform);
-  /* The store's monotonic clock in ms, from the last answer that had it, such as the one being
-   * delivered; 0: none yet. NULL if not supported. */
+  /* The store's monotonic clock in ms, from the last answer that reported it; in a callback, this
+   * may be the answer being delivered. 0: not reported yet. NULL if not supported. */
   int64_t (*store_clock_ms) (const LpPlatform *platform);
   /* The store's clock in ms at time `now` of this process, estimated from answers; 0: unknown. */
   int64_t (*store_clock_ms_at) (const LpPlatform *platform, LbTime now);
   /* Executes a peer's store call over the direct path, never through another peer. If the
-   * callback's status is 0 there was no answer, and its error says whether the call may have been
-   * applied. */
+   * callback's status is 0, the store did not answer, and the callback's error says whether the
+   * call may have been applied. */
   void (*execute_peer_call) (LpPlatform *platform,
                              const char *method,
                              const char *path,
--- a/packages/store/src/lp-client.c
+++ b/packages/store/src/lp-client.c
@@ -16,7 +16,7 @@
 #include <string.h>
 
 #define N_PRIORITIES (LP_PRIORITY_STATUS + 1)
-#define ATTEMPTS_PER_DEADLINE 3 /* deadline divided by the timeout of one attempt */
+#define ATTEMPTS_PER_DEADLINE 3 /* a call's deadline divided by the timeout of one attempt */
 #define BASE_BACKOFF (20 * LB_MSEC)
 #define MAX_BACKOFF (500 * LB_MSEC)
 #define MAX_CALLS_IN_FLIGHT 128
@@ -39,7 +39,7 @@
 typedef struct
 {
   LbLink link;
-  LbList *list; /* list of the client that holds the call; NULL: none */
+  LbList *list; /* the LpClient list that has the call; NULL: none */
   LpClient *client;
   char *method;
   char *path;
@@ -48,7 +48,7 @@
   LpPriority priority;
   bool is_write;
   bool may_be_applied;   /* the call is a write, and an attempt has an unknown outcome */
-  bool was_rate_limited; /* refused by a busy store, or not sent before its deadline */
+  bool was_rate_limited; /* refused by a busy store, or not sent by the deadline */
   bool needs_new_connection;
   int attempts;
   LbTime deadline;
--- a/packages/store/src/lp-follow.c
+++ b/packages/store/src/lp-follow.c
@@ -7,10 +7,10 @@
 #include <event2/util.h>
 #include <stdlib.h>
 
-#define MAX_BACKOFF_DOUBLINGS 4 /* how often the retry delay doubles after STORE_BUSY */
+#define MAX_BACKOFF_DOUBLINGS 4 /* doublings of the retry delay after STORE_BUSY answers */
 
-/* State of following one table. Either a watch is in progress, or a list of each prefix, or nothing
- * until next_call_at. */
+/* Follower of one table. At any time either one watch is in progress, or one list call for each
+ * prefix, or no call until next_call_at. */
 struct LpFollow
 {
   LpPlatform *platform;
@@ -20,10 +20,10 @@
   int64_t version;        /* table version of the last answer; 0: the rows must be listed */
   size_t n_pending;       /* number of calls without an answer yet */
   LbErrorCode list_error; /* error of the lists in progress; LB_OK: no list has failed */
-  int64_t list_version;   /* lowest table version in answers to these lists; 0: no answer */
+  int64_t list_version;   /* lowest table version in the answers to the lists; 0: none yet */
   LbTime next_call_at;
   LbTime last_answer_at;
-  LbTime list_interval; /* time between lists; 0: the table is watched instead */
+  LbTime list_interval; /* time between lists of the rows; 0: the table is watched instead */
   LbTime watch_delay;   /* minimum time between an answer and the next watch */
   bool has_listed;
   bool has_no_history; /* the store has dropped some of the table's changes */
@@ -79,11 +79,10 @@
   return delay + draw_random_delay (delay);
 }
 
-/* Schedules a retry. NOT_FOUND means that the store has dropped changes after follow->version, so
- * the rows must be listed. Before the first list it answers the request for all changes, so the
- * lists start without delay. */
+/* Schedules the next call. NOT_FOUND means that the store has dropped changes after
+ * follow->version, so the rows must be listed: without delay if none were delivered yet. */
 static void
-handle_call_error (LpFollow *follow, LbErrorCode error)
+schedule_retry_after_error (LpFollow *follow, LbErrorCode error)
 {
   lb_log (LB_LOG_DEBUG, "table_not_read", LB_TEXT ("table", follow->settings.table),
           LB_TEXT ("error", lb_error_name (error)), LB_INT ("after", follow->version));
@@ -116,7 +115,7 @@
     return;
   if (follow->list_error != LB_OK)
     {
-      handle_call_error (follow, follow->list_error);
+      schedule_retry_after_error (follow, follow->list_error);
       return;
     }
   follow->version = follow->list_version;
@@ -148,7 +147,7 @@
   follow->n_pending = 0;
   if (error != LB_OK)
     {
-      handle_call_error (follow, error);
+      schedule_retry_after_error (follow, error);
       return;
     }
   follow->version = version;
--- a/packages/store/src/lp-http.c
+++ b/packages/store/src/lp-http.c
@@ -61,7 +61,8 @@
   return object;
 }
 
-/* Appends the URI-escaped value to a prefix such as "/table/row?key=". */
+/* Returns a prefix such as "/table/row?key=" followed by the URI-escaped value; the caller frees
+ * it. */
 static char *
 build_path (const char *prefix, const char *value)
 {
@@ -85,13 +86,13 @@
   lp_client_call (get_http_client (platform), &call, done, user);
 }
 
-/* calls that apply a transaction */
+/* --- calls that apply a transaction --- */
 
 typedef struct
 {
   LpPlatform *platform;
   char *key;   /* key of the transaction's first put */
-  char *value; /* value of the first put; NULL: an unknown outcome is not read back */
+  char *value; /* value of the first put; NULL: the row is not read after an unknown outcome */
   LpTransactDone done;
   void *user;
 } TransactCall;
@@ -128,7 +129,8 @@
   json_object_put (reply);
 }
 
-/* Reads the row of the first put, if requested, to find out whether the transaction was applied. */
+/* Reads the row of the first put, if the caller requested it, to find out whether the transaction
+ * was applied. */
 static void
 resolve_unknown_outcome (TransactCall *transact)
 {
@@ -258,7 +260,7 @@
   json_object_put (object);
 }
 
-/* calls that read rows */
+/* --- calls that read rows --- */
 
 typedef struct
 {
@@ -317,7 +319,7 @@
 }
 
 static void
-http_get (LpPlatform *platform, const char *key, LpRowsDone done, void *user)
+http_get_row (LpPlatform *platform, const char *key, LpRowsDone done, void *user)
 {
   RowsCall *rows = LB_NEW (RowsCall);
   char *path = build_path ("/table/row?key=", key);
@@ -368,7 +370,7 @@
 }
 
 static void
-http_scan (LpPlatform *platform, const char *prefix, LpRowsDone done, void *user)
+http_scan_rows (LpPlatform *platform, const char *prefix, LpRowsDone done, void *user)
 {
   RowsCall *rows = LB_NEW (RowsCall);
 
@@ -378,7 +380,7 @@
   request_next_page (rows);
 }
 
-/* calls that write or read an object */
+/* --- calls that write or read an object --- */
 
 typedef struct
 {
@@ -439,7 +441,7 @@
   free (path);
 }
 
-/* calls that list the instances */
+/* --- calls that list the instances --- */
 
 typedef struct
 {
@@ -518,7 +520,7 @@
   start_get_request (platform, "/instances", on_instances_answer, free, call);
 }
 
-/* calls that read a weight version */
+/* --- calls that read a weight version --- */
 
 typedef struct
 {
@@ -552,7 +554,7 @@
 }
 
 static void
-http_free (LpPlatform *platform)
+http_platform_free (LpPlatform *platform)
 {
   lp_client_free (get_http_client (platform));
   free (platform);
@@ -560,10 +562,10 @@
 
 static const LpPlatformClass http_class = {
   .name = "http",
-  .free = http_free,
+  .free = http_platform_free,
   .transact = http_transact,
-  .get = http_get,
-  .scan = http_scan,
+  .get = http_get_row,
+  .scan = http_scan_rows,
   .put_object = http_put_object,
   .get_object = http_get_object,
   .list_instances = http_list_instances,
--- a/packages/store/src/lp-memory.c
+++ b/packages/store/src/lp-memory.c
@@ -131,7 +131,7 @@
 }
 
 static void
-memory_free (LpPlatform *platform)
+memory_platform_free (LpPlatform *platform)
 {
   LpMemory *memory = get_memory_platform (platform);
   LbLink *link;
@@ -161,7 +161,7 @@
 }
 
 static void
-memory_get (LpPlatform *platform, const char *key, LpRowsDone done, void *user)
+memory_get_row (LpPlatform *platform, const char *key, LpRowsDone done, void *user)
 {
   LpMemory *memory = get_memory_platform (platform);
   Reply *reply = reply_new (memory, REPLY_ROWS, user);
@@ -175,7 +175,7 @@
 }
 
 static void
-memory_scan (LpPlatform *platform, const char *prefix, LpRowsDone done, void *user)
+memory_scan_rows (LpPlatform *platform, const char *prefix, LpRowsDone done, void *user)
 {
   LpMemory *memory = get_memory_platform (platform);
   Reply *reply = reply_new (memory, REPLY_ROWS, user);
@@ -237,10 +237,10 @@
 
 static const LpPlatformClass memory_class = {
   .name = "memory",
-  .free = memory_free,
+  .free = memory_platform_free,
   .transact = memory_transact,
-  .get = memory_get,
-  .scan = memory_scan,
+  .get = memory_get_row,
+  .scan = memory_scan_rows,
   .put_object = memory_put_object,
   .get_object = memory_get_object,
   .list_instances = memory_list_instances,
--- a/packages/store/src/lp-pacer.c
+++ b/packages/store/src/lp-pacer.c
@@ -43,6 +43,6 @@
   if (pacer->rate <= 0)
     return 0;
   missing = 1 - count_tokens_at (pacer, now);
-  /* Adds a microsecond: the conversion rounds down, and the call would be sent too early. */
+  /* Adds a microsecond because the conversion rounds down: the call would be sent too early. */
   return missing > 0 ? (LbTime)(missing / pacer->rate * (double)LB_SEC) + 1 : 0;
 }
--- a/packages/store/src/lp-pacer.h
+++ b/packages/store/src/lp-pacer.h
@@ -3,7 +3,7 @@
 
 #include "lb-types.h"
 
-/* Token bucket: limits the calls per second. It holds the tokens of a quarter of a second. */
+/* Token bucket that limits calls per second. The bucket holds at most the tokens of 0.25 s. */
 typedef struct
 {
   double rate;     /* calls per second; 0: no limit */
--- a/packages/store/src/lp-path.c
+++ b/packages/store/src/lp-path.c
@@ -8,11 +8,11 @@
 /* A single call without an answer does not prove that the direct path is down; after two in a row,
  * calls go through a peer. */
 #define FAILURES_UNTIL_DOWN 2
-/* Time between probes of the direct path; each probe costs the store one read. A recovered path is
- * used again within this time, while the results of a step wait to be written. */
+/* Minimum time between probes of a direct path that is down. Results of a step wait to be written
+ * until a probe finds the path recovered, but each probe costs the store one read. */
 #define PROBE_PERIOD (150 * LB_MSEC)
-/* Lengthens the period with the number of peers, of which an instance knows at most 64. When none
- * of 350 instances reaches the store, their probes stay at about 1,400 reads per second. */
+/* Minimum time between probes for each known peer (at most 64). If none of 350 instances reaches
+ * the store, their probes then stay at about 1,400 reads per second. */
 #define PROBE_PERIOD_PER_PEER (4 * LB_MSEC)
 
 static size_t
--- a/packages/store/src/lp-store.c
+++ b/packages/store/src/lp-store.c
@@ -16,7 +16,7 @@
   LpRow row;
   char *key;
   char *value;
-} Entry;
+} RowEntry;
 
 /* Answer to a transaction, kept to be returned again if its token is repeated. */
 typedef struct
@@ -42,18 +42,18 @@
   UT_hash_handle hh;
   char *pool;
   int64_t version;
-} Weights;
+} PoolWeights;
 
 struct LpStore
 {
-  Entry **entries; /* sorted by key */
+  RowEntry **entries; /* sorted by key */
   size_t n_entries;
   size_t capacity;
   int64_t last_version; /* version of the newest applied transaction; 0: none yet */
   Answer *answers;      /* hash table, by transaction token */
-  LbList token_order;   /* the entries of answers, oldest first */
+  LbList token_order;   /* the elements of the hash table answers, oldest first */
   Object *objects;
-  Weights *weights;
+  PoolWeights *weights;
 };
 
 LpStore *
@@ -66,7 +66,7 @@
 }
 
 static void
-entry_free (Entry *entry)
+row_entry_free (RowEntry *entry)
 {
   free (entry->key);
   free (entry->value);
@@ -93,7 +93,7 @@
 }
 
 static void
-weights_free (LpStore *store, Weights *weights)
+pool_weights_free (LpStore *store, PoolWeights *weights)
 {
   HASH_DEL (store->weights, weights);
   free (weights->pool);
@@ -105,19 +105,19 @@
 {
   Answer *answer, *next_answer;
   Object *object, *next_object;
-  Weights *weights, *next_weights;
+  PoolWeights *weights, *next_weights;
 
   if (!store)
     return;
   for (size_t i = 0; i < store->n_entries; i++)
-    entry_free (store->entries[i]);
+    row_entry_free (store->entries[i]);
   free (store->entries);
   HASH_ITER (hh, store->answers, answer, next_answer)
   answer_free (store, answer);
   HASH_ITER (hh, store->objects, object, next_object)
   object_free (store, object);
   HASH_ITER (hh, store->weights, weights, next_weights)
-  weights_free (store, weights);
+  pool_weights_free (store, weights);
   free (store);
 }
 
@@ -139,8 +139,8 @@
   return low;
 }
 
-static Entry *
-find_entry (const LpStore *store, const char *key)
+static RowEntry *
+find_row_entry (const LpStore *store, const char *key)
 {
   size_t i = find_lower_bound_index (store, key);
 
@@ -149,18 +149,19 @@
   return NULL;
 }
 
-static Entry *
-insert_entry (LpStore *store, const char *key)
+static RowEntry *
+insert_row_entry (LpStore *store, const char *key)
 {
   size_t i = find_lower_bound_index (store, key);
-  Entry *entry = LB_NEW (Entry);
+  RowEntry *entry = LB_NEW (RowEntry);
 
   if (store->n_entries == store->capacity)
     {
       store->capacity = store->capacity ? store->capacity * 2 : 64;
-      store->entries = lb_realloc (store->entries, store->capacity * sizeof (Entry *));
+      store->entries = lb_realloc (store->entries, store->capacity * sizeof (RowEntry *));
     }
-  memmove (store->entries + i + 1, store->entries + i, (store->n_entries - i) * sizeof (Entry *));
+  memmove (store->entries + i + 1, store->entries + i,
+           (store->n_entries - i) * sizeof (RowEntry *));
   store->entries[i] = entry;
   store->n_entries++;
   entry->key = lb_strdup (key);
@@ -169,15 +170,16 @@
 }
 
 static void
-delete_entry (LpStore *store, const char *key)
+delete_row_entry (LpStore *store, const char *key)
 {
   size_t i = find_lower_bound_index (store, key);
 
   if (i == store->n_entries || strcmp (store->entries[i]->key, key) != 0)
     return;
-  entry_free (store->entries[i]);
+  row_entry_free (store->entries[i]);
   store->n_entries--;
-  memmove (store->entries + i, store->entries + i + 1, (store->n_entries - i) * sizeof (Entry *));
+  memmove (store->entries + i, store->entries + i + 1,
+           (store->n_entries - i) * sizeof (RowEntry *));
 }
 
 static void
@@ -185,12 +187,12 @@
 {
   if (!put->value)
     {
-      delete_entry (store, put->key);
+      delete_row_entry (store, put->key);
       return;
     }
-  Entry *entry = find_entry (store, put->key);
+  RowEntry *entry = find_row_entry (store, put->key);
   if (!entry)
-    entry = insert_entry (store, put->key);
+    entry = insert_row_entry (store, put->key);
   free (entry->value);
   entry->value = lb_strdup (put->value);
   entry->row.value = entry->value;
@@ -205,7 +207,7 @@
   for (size_t i = 0; i < transaction->n_conditions; i++)
     {
       const LpCondition *condition = &transaction->conditions[i];
-      const Entry *entry = find_entry (store, condition->key);
+      const RowEntry *entry = find_row_entry (store, condition->key);
       *current_version = entry ? entry->row.version : 0;
       if (*current_version != condition->version)
         return condition;
@@ -291,12 +293,12 @@
 void
 lp_store_set_weight_version (LpStore *store, const char *pool, int64_t version)
 {
-  Weights *weights = NULL;
+  PoolWeights *weights = NULL;
 
   HASH_FIND_STR (store->weights, pool, weights);
   if (!weights)
     {
-      weights = LB_NEW (Weights);
+      weights = LB_NEW (PoolWeights);
       weights->pool = lb_strdup (pool);
       HASH_ADD_KEYPTR (hh, store->weights, weights->pool, strlen (weights->pool), weights);
     }
@@ -307,7 +309,7 @@
 const LpRow *
 lp_store_get_row (const LpStore *store, const char *key)
 {
-  const Entry *entry = find_entry (store, key);
+  const RowEntry *entry = find_row_entry (store, key);
 
   return entry ? &entry->row : NULL;
 }
@@ -345,7 +347,7 @@
 int64_t
 lp_store_get_weight_version (const LpStore *store, const char *pool)
 {
-  Weights *weights = NULL;
+  PoolWeights *weights = NULL;
 
   HASH_FIND_STR (store->weights, pool, weights);
   return weights ? weights->version : 0;
--- a/packages/store/tests/test-follow.c
+++ b/packages/store/tests/test-follow.c
@@ -11,7 +11,7 @@
 {
   LpPlatform platform;
   LpListDone done[4]; /* callbacks of the pending calls, oldest first */
-  void *user[4];      /* arguments of these callbacks */
+  void *user[4];      /* user arguments of the callbacks in done */
   size_t n_pending;
   int n_lists;
   int n_watches;
@@ -113,8 +113,8 @@
   lp_follow_free (follow);
 }
 
-/* If the list of one prefix fails and the lists of the other prefixes count as the whole table, the
- * rows of the failed prefix are never delivered. */
+/* If the list of one prefix fails, all prefixes must be listed again. Otherwise the watch would
+ * continue from the other lists, and the rows of the failed prefix would never be delivered. */
 Test (follow, all_prefixes_are_listed_again_when_one_list_failed)
 {
   FakeStore fake = { .platform.klass = &fake_class };
--- a/packages/store/tests/test-http.c
+++ b/packages/store/tests/test-http.c
@@ -6,7 +6,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#define DEADLINE (600 * LB_MSEC)
+#define CALL_DEADLINE (600 * LB_MSEC)
 
 /* The HTTP platform and a fake server for it, in one event loop. */
 typedef struct
@@ -34,7 +34,7 @@
 {
   fixture->base = event_base_new ();
   cr_assert (si_platform_init (&fixture->store, fixture->base, 0));
-  LpHttpSettings settings = { .deadline = DEADLINE, .rate = rate, .seed = 1 };
+  LpHttpSettings settings = { .deadline = CALL_DEADLINE, .rate = rate, .seed = 1 };
   strcpy (settings.address, fixture->store.server.address);
   fixture->platform = lp_http_new (fixture->base, &settings);
   n_answered = 0;
@@ -270,7 +270,7 @@
 
   fixture_init (&fixture, 0);
   LpPlatform *reachable = fixture.platform;
-  LpHttpSettings settings = { .deadline = DEADLINE, .seed = 1 };
+  LpHttpSettings settings = { .deadline = CALL_DEADLINE, .seed = 1 };
   SiPlatform gone;
   cr_assert (si_platform_init (&gone, fixture.base, 0));
   strcpy (settings.address, gone.server.address);
--- a/packages/store/tests/test-path.c
+++ b/packages/store/tests/test-path.c
@@ -5,7 +5,7 @@
 static const LbName peers[] = { "10.0.0.2:7660", "10.0.0.3:7660", "10.0.0.4:7660" };
 
 static void
-mark_direct_down (LpPath *path, LbTime now)
+mark_direct_path_down (LpPath *path, LbTime now)
 {
   lp_path_record_direct_result (path, false, now);
   lp_path_record_direct_result (path, false, now);
@@ -35,7 +35,7 @@
   LpPath path = { 0 };
 
   lp_path_set_peers (&path, peers, 3);
-  mark_direct_down (&path, LB_SEC);
+  mark_direct_path_down (&path, LB_SEC);
   const char *first = lp_path_choose_peer (&path);
   cr_assert_str_eq (first, lp_path_choose_peer (&path));
   lp_path_record_peer_failure (&path, first);
@@ -53,7 +53,7 @@
   LpPath path = { .seed = 1 };
 
   lp_path_set_peers (&path, peers, 3);
-  mark_direct_down (&path, LB_SEC);
+  mark_direct_path_down (&path, LB_SEC);
   cr_assert_str_eq (lp_path_choose_peer (&path), peers[1]);
   lp_path_set_peers (&path, fewer, 2);
   cr_assert_str_eq (lp_path_choose_peer (&path), peers[1]);
@@ -80,7 +80,7 @@
   lp_path_set_peers (&path, peers, 3);
   cr_assert_not (lp_path_start_probe_if_due (&path, now),
                  "expected no probe while the direct path is up");
-  mark_direct_down (&path, now);
+  mark_direct_path_down (&path, now);
   cr_assert_not (lp_path_start_probe_if_due (&path, now));
   now += LB_SEC;
   cr_assert (lp_path_start_probe_if_due (&path, now));
@@ -97,7 +97,7 @@
 {
   LpPath path = { 0 };
 
-  mark_direct_down (&path, LB_SEC);
+  mark_direct_path_down (&path, LB_SEC);
   cr_assert_null (lp_path_choose_peer (&path));
   cr_assert_null (lp_path_current_peer (&path));
   cr_assert_not (lp_path_start_probe_if_due (&path, 9 * LB_SEC),
