--- a/packages/base/src/lb-error.c
+++ b/packages/base/src/lb-error.c
@@ -75,7 +75,7 @@
   return &error_types[(unsigned)code < LB_N_ERRORS ? code : LB_ERROR_INTERNAL];
 }
 
-/* Returns the name of the error type in replies, logs and metrics; it never changes. */
+/* Returns the name of the error type in replies, logs and metrics; the name never changes. */
 const char *
 lb_error_name (LbErrorCode code)
 {
--- a/packages/base/src/lb-settings.c
+++ b/packages/base/src/lb-settings.c
@@ -257,7 +257,7 @@
 }
 
 static const LbSettingSpec *
-find_spec (const LbSettingSpec *specs, const char *key)
+find_setting_spec (const LbSettingSpec *specs, const char *key)
 {
   for (; specs->key; specs++)
     if (strcmp (specs->key, key) == 0)
@@ -266,11 +266,11 @@
 }
 
 static bool
-check_required_keys (struct json_object *object,
-                     const LbSettingSpec *specs,
-                     const char *file,
-                     const char *path,
-                     LbError *error)
+has_all_required_keys (struct json_object *object,
+                       const LbSettingSpec *specs,
+                       const char *file,
+                       const char *path,
+                       LbError *error)
 {
   char key_path[MAX_KEY_PATH_BYTES];
 
@@ -298,7 +298,7 @@
   json_object_object_foreach (object, key, value)
   {
     char key_path[MAX_KEY_PATH_BYTES];
-    const LbSettingSpec *spec = find_spec (specs, key);
+    const LbSettingSpec *spec = find_setting_spec (specs, key);
 
     snprintf (key_path, sizeof key_path, "%s%s%s", path, path[0] ? "." : "", key);
     if (!spec)
@@ -306,7 +306,7 @@
     if (!store_setting (value, spec, target, file, key_path, error))
       return false;
   }
-  return check_required_keys (object, specs, file, path, error);
+  return has_all_required_keys (object, specs, file, path, error);
 }
 
 bool
--- a/packages/http/src/lh-fetch.c
+++ b/packages/http/src/lh-fetch.c
@@ -256,7 +256,7 @@
 }
 
 static void
-add_headers (struct evhttp_request *request, const LhRequest *spec)
+add_headers_and_body (struct evhttp_request *request, const LhRequest *spec)
 {
   struct evkeyvalq *headers = evhttp_request_get_output_headers (request);
   char length[32];
@@ -302,7 +302,7 @@
   evhttp_request_set_error_cb (fetch->request, on_request_error);
   if (handlers->on_body_chunk)
     evhttp_request_set_chunked_cb (fetch->request, on_chunk_received);
-  add_headers (fetch->request, spec);
+  add_headers_and_body (fetch->request, spec);
   enable_output_callback (fetch, true);
   evhttp_connection_set_max_body_size (connection->evcon,
                                        handlers->on_body_chunk ? -1 : MAX_BUFFERED_BODY_BYTES);
--- a/packages/http/tests/test-reach.c
+++ b/packages/http/tests/test-reach.c
@@ -142,7 +142,7 @@
   fixture_clear (&f);
 }
 
-Test (reach, reports_a_lasting_listener_as_open)
+Test (reach, reports_a_listener_open_until_the_hold_time_ends_as_open)
 {
   Fixture f;
 
@@ -152,7 +152,7 @@
   fixture_clear (&f);
 }
 
-Test (reach, refuses_a_malformed_address_and_can_be_cancelled)
+Test (reach, malformed_address_is_refused_and_cancel_calls_no_handler)
 {
   const LhConnectProbeTimes times = { .connect_timeout = LB_SEC };
   Fixture f;
--- a/packages/wire/tests/test-frames.c
+++ b/packages/wire/tests/test-frames.c
@@ -122,9 +122,9 @@
   cr_assert_lt (read_peak_memory_kb () - peak_before_kb, 1 << 18);
 }
 
-/* After a bit error, or from any client that connects to the port, an array may claim many million
- * elements or have as many of one byte each. Decoding it would allocate gigabytes for a small frame
- * and get the process killed for lack of memory. */
+/* An array that a bit error damaged or that any client sent may claim many million elements, or
+ * have as many elements of one byte each. Decoding the array would allocate gigabytes for a small
+ * frame, and the process would be killed for lack of memory. */
 Test (message, false_element_counts_are_refused_without_allocation)
 {
   static const uint8_t bodies[][8] = { { 0xdd, 0x0a, 0xaa, 0xaa, 0xaa, 0x05 },
