--- a/packages/store/src/lp-client.c
+++ b/packages/store/src/lp-client.c
@@ -161,7 +161,7 @@
 /* Retries after an exponential backoff. Full jitter spreads the retries of instances that failed at
  * the same time. If the backoff would end after the deadline, the call fails immediately. */
 static void
-retry_or_fail (Call *call)
+retry_or_fail_call (Call *call)
 {
   LpClient *client = call->client;
   LbTime max_backoff = BASE_BACKOFF << (call->attempts < 6 ? call->attempts : 6);
@@ -199,7 +199,7 @@
 }
 
 static void
-handle_attempt_response (Call *call, const LhResult *result)
+finish_or_retry_by_status (Call *call, const LhResult *result)
 {
   if (result->status < 500)
     {
@@ -217,14 +217,14 @@
       record_store_failure (call->client, call, "status");
       call->may_be_applied = call->may_be_applied || call->is_write;
     }
-  retry_or_fail (call);
+  retry_or_fail_call (call);
 }
 
 /* A timeout may mean that the connection is dead although new connections work. The next attempt
  * therefore uses a new connection. Idle connections to this address may be dead too, so they are
  * closed. */
 static void
-handle_failed_attempt (Call *call, const LhResult *result)
+retry_after_failed_attempt (Call *call, const LhResult *result)
 {
   LpClient *client = call->client;
 
@@ -234,7 +234,7 @@
   call->needs_new_connection = true;
   if (result->failure == LB_ERROR_TIMEOUT)
     lh_pool_close_idle_connections (client->pool, client->settings.address);
-  retry_or_fail (call);
+  retry_or_fail_call (call);
 }
 
 static void
@@ -246,9 +246,9 @@
 
   call->fetch = NULL;
   if (result->failure == LB_OK)
-    handle_attempt_response (call, result);
+    finish_or_retry_by_status (call, result);
   else
-    handle_failed_attempt (call, result);
+    retry_after_failed_attempt (call, result);
   schedule_sending (client, 0);
 }
 
--- a/packages/store/src/lp-http.c
+++ b/packages/store/src/lp-http.c
@@ -64,7 +64,7 @@
 /* Returns a prefix such as "/table/row?key=" followed by the URI-escaped value; the caller frees
  * it. */
 static char *
-build_path (const char *prefix, const char *value)
+build_path_with_escaped_value (const char *prefix, const char *value)
 {
   char *escaped = evhttp_uriencode (value, -1, 0);
   char *path = lb_asprintf ("%s%s", prefix, escaped);
@@ -141,7 +141,7 @@
       finish_transact_call (transact, LB_ERROR_STORE_UNKNOWN, &row);
       return;
     }
-  char *path = build_path ("/table/row?key=", transact->key);
+  char *path = build_path_with_escaped_value ("/table/row?key=", transact->key);
   start_get_request (transact->platform, path, on_read_back_answer, free_transact_call, transact);
   free (path);
 }
@@ -322,7 +322,7 @@
 http_get_row (LpPlatform *platform, const char *key, LpRowsDone done, void *user)
 {
   RowsCall *rows = LB_NEW (RowsCall);
-  char *path = build_path ("/table/row?key=", key);
+  char *path = build_path_with_escaped_value ("/table/row?key=", key);
 
   *rows = (RowsCall){ .platform = platform, .done = done, .user = user };
   start_get_request (platform, path, on_row_answer, free_rows_call, rows);
@@ -417,7 +417,7 @@
                  LpObjectDone done,
                  void *user)
 {
-  char *path = build_path ("/objects/", key);
+  char *path = build_path_with_escaped_value ("/objects/", key);
   const LpClientCall call = { .method = "PUT",
                               .path = path,
                               .body = bytes,
@@ -433,7 +433,7 @@
 static void
 http_get_object (LpPlatform *platform, const char *key, LpObjectDone done, void *user)
 {
-  char *path = build_path ("/objects/", key);
+  char *path = build_path_with_escaped_value ("/objects/", key);
   const LpClientCall call
       = { .method = "GET", .path = path, .priority = LP_PRIORITY_LEDGER, .free_user = free };
 
@@ -543,10 +543,10 @@
 }
 
 static void
-http_get_weights (LpPlatform *platform, const char *pool, LpWeightsDone done, void *user)
+http_get_weight_version (LpPlatform *platform, const char *pool, LpWeightsDone done, void *user)
 {
   WeightsCall *call = LB_NEW (WeightsCall);
-  char *path = build_path ("/weights?pool=", pool);
+  char *path = build_path_with_escaped_value ("/weights?pool=", pool);
 
   *call = (WeightsCall){ .done = done, .user = user };
   start_get_request (platform, path, on_weights_answer, free, call);
@@ -569,7 +569,7 @@
   .put_object = http_put_object,
   .get_object = http_get_object,
   .list_instances = http_list_instances,
-  .get_weights = http_get_weights,
+  .get_weights = http_get_weight_version,
 };
 
 /* Creates a platform over HTTP. Freeing it drops pending calls without invoking their callbacks. */
--- a/packages/store/src/lp-memory.c
+++ b/packages/store/src/lp-memory.c
@@ -224,7 +224,7 @@
 }
 
 static void
-memory_get_weights (LpPlatform *platform, const char *pool, LpWeightsDone done, void *user)
+memory_get_weight_version (LpPlatform *platform, const char *pool, LpWeightsDone done, void *user)
 {
   LpMemory *memory = get_memory_platform (platform);
   Reply *reply = reply_new (memory, REPLY_WEIGHTS, user);
@@ -244,7 +244,7 @@
   .put_object = memory_put_object,
   .get_object = memory_get_object,
   .list_instances = memory_list_instances,
-  .get_weights = memory_get_weights,
+  .get_weights = memory_get_weight_version,
 };
 
 /* Creates a platform in this process's memory, for a single instance and for tests. Its data is
--- a/packages/store/tests/test-follow.c
+++ b/packages/store/tests/test-follow.c
@@ -69,7 +69,7 @@
                                            .retry_delay = 100 * LB_MSEC };
 
 static void
-on_rows (const LpRow *rows, size_t n_rows, void *user)
+count_delivered_rows (const LpRow *rows, size_t n_rows, void *user)
 {
   (void)rows;
   ((FakeStore *)user)->n_rows_delivered += (int)n_rows;
@@ -93,7 +93,7 @@
 Test (follow, watch_continues_from_the_lowest_list_version)
 {
   FakeStore fake = { .platform.klass = &fake_class };
-  LpFollow *follow = lp_follow_new (&fake.platform, &settings, on_rows, &fake);
+  LpFollow *follow = lp_follow_new (&fake.platform, &settings, count_delivered_rows, &fake);
 
   lp_follow_tick (follow, LB_SEC);
   lp_follow_tick (follow, LB_SEC);
@@ -118,7 +118,7 @@
 Test (follow, all_prefixes_are_listed_again_when_one_list_failed)
 {
   FakeStore fake = { .platform.klass = &fake_class };
-  LpFollow *follow = lp_follow_new (&fake.platform, &settings, on_rows, &fake);
+  LpFollow *follow = lp_follow_new (&fake.platform, &settings, count_delivered_rows, &fake);
 
   lp_follow_tick (follow, LB_SEC);
   answer_oldest_call (&fake, LB_ERROR_STORE_AWAY, 0, 0);
@@ -138,7 +138,7 @@
 Test (follow, lists_periodically_until_the_interval_is_cleared)
 {
   FakeStore fake = { .platform.klass = &fake_class };
-  LpFollow *follow = lp_follow_new (&fake.platform, &settings, on_rows, &fake);
+  LpFollow *follow = lp_follow_new (&fake.platform, &settings, count_delivered_rows, &fake);
   LbTime now = lb_clock_monotonic ();
 
   lp_follow_set_list_interval (follow, 5 * LB_SEC, now);
@@ -164,7 +164,7 @@
 Test (follow, lists_again_when_the_store_has_dropped_changes)
 {
   FakeStore fake = { .platform.klass = &fake_class };
-  LpFollow *follow = lp_follow_new (&fake.platform, &settings, on_rows, &fake);
+  LpFollow *follow = lp_follow_new (&fake.platform, &settings, count_delivered_rows, &fake);
   LbTime later = lb_clock_monotonic () + LB_SEC;
 
   lp_follow_tick (follow, later);
@@ -189,7 +189,7 @@
   FakeStore fake = { .platform.klass = &fake_class };
 
   history.tries_history = true;
-  LpFollow *follow = lp_follow_new (&fake.platform, &history, on_rows, &fake);
+  LpFollow *follow = lp_follow_new (&fake.platform, &history, count_delivered_rows, &fake);
   lp_follow_tick (follow, LB_SEC);
   cr_assert_eq (fake.n_watches, 1);
   cr_assert_eq (fake.watched_after, 0);
@@ -209,7 +209,7 @@
   FakeStore fake = { .platform.klass = &fake_class };
 
   history.tries_history = true;
-  LpFollow *follow = lp_follow_new (&fake.platform, &history, on_rows, &fake);
+  LpFollow *follow = lp_follow_new (&fake.platform, &history, count_delivered_rows, &fake);
   LbTime now = lb_clock_monotonic ();
   lp_follow_tick (follow, now);
   answer_oldest_call (&fake, LB_ERROR_NOT_FOUND, 0, 0);
@@ -224,7 +224,7 @@
 Test (follow, busy_store_is_retried_with_growing_delays)
 {
   FakeStore fake = { .platform.klass = &fake_class };
-  LpFollow *follow = lp_follow_new (&fake.platform, &settings, on_rows, &fake);
+  LpFollow *follow = lp_follow_new (&fake.platform, &settings, count_delivered_rows, &fake);
   LbTime now = lb_clock_monotonic ();
 
   for (int refused = 1; refused <= 4; refused++)
@@ -246,7 +246,7 @@
 Test (follow, changes_within_the_watch_delay_share_one_answer)
 {
   FakeStore fake = { .platform.klass = &fake_class };
-  LpFollow *follow = lp_follow_new (&fake.platform, &settings, on_rows, &fake);
+  LpFollow *follow = lp_follow_new (&fake.platform, &settings, count_delivered_rows, &fake);
 
   lp_follow_set_watch_delay (follow, 2 * LB_SEC);
   lp_follow_tick (follow, LB_SEC);
--- a/packages/store/tests/test-http.c
+++ b/packages/store/tests/test-http.c
@@ -58,7 +58,7 @@
 }
 
 static void
-on_transact (LbErrorCode error, const LpRow *row, void *user)
+record_transact_result (LbErrorCode error, const LpRow *row, void *user)
 {
   CallResult *result = user;
 
@@ -70,7 +70,7 @@
 }
 
 static void
-on_rows (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
+record_rows_result (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
   CallResult *result = user;
 
@@ -82,7 +82,7 @@
 }
 
 static void
-on_object (LbErrorCode error, const char *bytes, size_t length, void *user)
+record_object_result (LbErrorCode error, const char *bytes, size_t length, void *user)
 {
   CallResult *result = user;
 
@@ -92,7 +92,7 @@
 }
 
 static void
-on_weights (LbErrorCode error, int64_t version, void *user)
+record_weight_version (LbErrorCode error, int64_t version, void *user)
 {
   CallResult *result = user;
 
@@ -120,8 +120,8 @@
       = { .token = value, .puts = &put, .n_puts = 1, .read_back = strchr (value, '!') != NULL };
 
   memset (result, 0, sizeof *result);
-  fixture->platform->klass->transact (fixture->platform, &transaction, priority, on_transact,
-                                      result);
+  fixture->platform->klass->transact (fixture->platform, &transaction, priority,
+                                      record_transact_result, result);
 }
 
 static CallResult
@@ -139,7 +139,7 @@
 {
   CallResult result = { 0 };
 
-  fixture->platform->klass->get (fixture->platform, key, on_rows, &result);
+  fixture->platform->klass->get (fixture->platform, key, record_rows_result, &result);
   wait_for_answer (fixture, &result);
   return result;
 }
@@ -160,8 +160,8 @@
   const LpCondition condition = { .key = "a/b c&d", .version = 0 };
   const LpTransaction refused = { .token = "t", .conditions = &condition, .n_conditions = 1 };
   CallResult conflict = { 0 };
-  fixture.platform->klass->transact (fixture.platform, &refused, LP_PRIORITY_CONFIG, on_transact,
-                                     &conflict);
+  fixture.platform->klass->transact (fixture.platform, &refused, LP_PRIORITY_CONFIG,
+                                     record_transact_result, &conflict);
   wait_for_answer (&fixture, &conflict);
   cr_assert_eq (conflict.error, LB_ERROR_CONDITION_FAILED);
   cr_assert_str_eq (conflict.key, "a/b c&d");
@@ -184,7 +184,7 @@
       const LpTransaction transaction = { .token = key, .puts = &put, .n_puts = 1 };
       lp_store_transact (fixture.store.store, &transaction, &row);
     }
-  fixture.platform->klass->scan (fixture.platform, "p/", on_rows, &result);
+  fixture.platform->klass->scan (fixture.platform, "p/", record_rows_result, &result);
   wait_for_answer (&fixture, &result);
   cr_assert_eq (result.n_rows, 1200);
   fixture_clear (&fixture);
@@ -196,19 +196,20 @@
   CallResult written = { 0 }, read = { 0 }, absent = { 0 }, none = { 0 }, newest = { 0 };
 
   fixture_init (&fixture, 0);
-  fixture.platform->klass->put_object (fixture.platform, "s/1", "bytes", 5, on_object, &written);
+  fixture.platform->klass->put_object (fixture.platform, "s/1", "bytes", 5, record_object_result,
+                                       &written);
   wait_for_answer (&fixture, &written);
-  fixture.platform->klass->get_object (fixture.platform, "s/1", on_object, &read);
+  fixture.platform->klass->get_object (fixture.platform, "s/1", record_object_result, &read);
   wait_for_answer (&fixture, &read);
   cr_assert_str_eq (read.value, "bytes");
-  fixture.platform->klass->get_object (fixture.platform, "s/2", on_object, &absent);
+  fixture.platform->klass->get_object (fixture.platform, "s/2", record_object_result, &absent);
   wait_for_answer (&fixture, &absent);
   cr_assert_eq (absent.error, LB_ERROR_NOT_FOUND);
-  fixture.platform->klass->get_weights (fixture.platform, "reader", on_weights, &none);
+  fixture.platform->klass->get_weights (fixture.platform, "reader", record_weight_version, &none);
   wait_for_answer (&fixture, &none);
   cr_assert_eq (none.error, LB_ERROR_NOT_FOUND);
   lp_store_set_weight_version (fixture.store.store, "reader", 41);
-  fixture.platform->klass->get_weights (fixture.platform, "reader", on_weights, &newest);
+  fixture.platform->klass->get_weights (fixture.platform, "reader", record_weight_version, &newest);
   wait_for_answer (&fixture, &newest);
   cr_assert_eq (newest.version, 41);
   fixture_clear (&fixture);
--- a/packages/store/tests/test-store.c
+++ b/packages/store/tests/test-store.c
@@ -100,7 +100,7 @@
 } CallResult;
 
 static void
-on_rows (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
+record_rows_result (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
   CallResult *result = user;
 
@@ -111,7 +111,7 @@
 }
 
 static void
-on_transact (LbErrorCode error, const LpRow *row, void *user)
+record_transact_result (LbErrorCode error, const LpRow *row, void *user)
 {
   CallResult *result = user;
 
@@ -130,9 +130,10 @@
   CallResult read = { 0 };
   CallResult absent = { 0 };
 
-  platform->klass->transact (platform, &transaction, LP_PRIORITY_CONFIG, on_transact, &written);
-  platform->klass->get (platform, "k", on_rows, &read);
-  platform->klass->get (platform, "none", on_rows, &absent);
+  platform->klass->transact (platform, &transaction, LP_PRIORITY_CONFIG, record_transact_result,
+                             &written);
+  platform->klass->get (platform, "k", record_rows_result, &read);
+  platform->klass->get (platform, "none", record_rows_result, &absent);
   cr_assert_eq (written.n_callbacks + read.n_callbacks + absent.n_callbacks, 0);
   event_base_loop (base, EVLOOP_NONBLOCK);
   cr_assert_eq (written.n_callbacks, 1);
