--- a/packages/store/src/lp-http.c
+++ b/packages/store/src/lp-http.c
@@ -61,9 +61,10 @@
   return object;
 }
 
-/* Appends the URI-escaped value to a prefix such as "/table/row?key=". */
+/* Returns a prefix such as "/table/row?key=" followed by the URI-escaped value; the caller frees
+ * it. */
 static char *
-build_path (const char *prefix, const char *value)
+build_path_with_escaped_value (const char *prefix, const char *value)
 {
   char *escaped = evhttp_uriencode (value, -1, 0);
   char *path = lb_asprintf ("%s%s", prefix, escaped);
@@ -85,13 +86,13 @@
   lp_client_call (get_http_client (platform), &call, done, user);
 }
 
-/* calls that apply a transaction */
+/* --- calls that apply a transaction --- */
 
 typedef struct
 {
   LpPlatform *platform;
   char *key;   /* key of the transaction's first put */
-  char *value; /* value of the first put; NULL: an unknown outcome is not read back */
+  char *value; /* value of the first put; NULL: the row is not read after an unknown outcome */
   LpTransactDone done;
   void *user;
 } TransactCall;
@@ -128,7 +129,8 @@
   json_object_put (reply);
 }
 
-/* Reads the row of the first put, if requested, to find out whether the transaction was applied. */
+/* Reads the row of the first put, if the caller requested it, to find out whether the transaction
+ * was applied. */
 static void
 resolve_unknown_outcome (TransactCall *transact)
 {
@@ -139,7 +141,7 @@
       finish_transact_call (transact, LB_ERROR_STORE_UNKNOWN, &row);
       return;
     }
-  char *path = build_path ("/table/row?key=", transact->key);
+  char *path = build_path_with_escaped_value ("/table/row?key=", transact->key);
   start_get_request (transact->platform, path, on_read_back_answer, free_transact_call, transact);
   free (path);
 }
@@ -258,7 +260,7 @@
   json_object_put (object);
 }
 
-/* calls that read rows */
+/* --- calls that read rows --- */
 
 typedef struct
 {
@@ -317,10 +319,10 @@
 }
 
 static void
-http_get (LpPlatform *platform, const char *key, LpRowsDone done, void *user)
+http_get_row (LpPlatform *platform, const char *key, LpRowsDone done, void *user)
 {
   RowsCall *rows = LB_NEW (RowsCall);
-  char *path = build_path ("/table/row?key=", key);
+  char *path = build_path_with_escaped_value ("/table/row?key=", key);
 
   *rows = (RowsCall){ .platform = platform, .done = done, .user = user };
   start_get_request (platform, path, on_row_answer, free_rows_call, rows);
@@ -368,7 +370,7 @@
 }
 
 static void
-http_scan (LpPlatform *platform, const char *prefix, LpRowsDone done, void *user)
+http_scan_rows (LpPlatform *platform, const char *prefix, LpRowsDone done, void *user)
 {
   RowsCall *rows = LB_NEW (RowsCall);
 
@@ -378,7 +380,7 @@
   request_next_page (rows);
 }
 
-/* calls that write or read an object */
+/* --- calls that write or read an object --- */
 
 typedef struct
 {
@@ -415,7 +417,7 @@
                  LpObjectDone done,
                  void *user)
 {
-  char *path = build_path ("/objects/", key);
+  char *path = build_path_with_escaped_value ("/objects/", key);
   const LpClientCall call = { .method = "PUT",
                               .path = path,
                               .body = bytes,
@@ -431,7 +433,7 @@
 static void
 http_get_object (LpPlatform *platform, const char *key, LpObjectDone done, void *user)
 {
-  char *path = build_path ("/objects/", key);
+  char *path = build_path_with_escaped_value ("/objects/", key);
   const LpClientCall call
       = { .method = "GET", .path = path, .priority = LP_PRIORITY_LEDGER, .free_user = free };
 
@@ -439,7 +441,7 @@
   free (path);
 }
 
-/* calls that list the instances */
+/* --- calls that list the instances --- */
 
 typedef struct
 {
@@ -518,7 +520,7 @@
   start_get_request (platform, "/instances", on_instances_answer, free, call);
 }
 
-/* calls that read a weight version */
+/* --- calls that read a weight version --- */
 
 typedef struct
 {
@@ -541,10 +543,10 @@
 }
 
 static void
-http_get_weights (LpPlatform *platform, const char *pool, LpWeightsDone done, void *user)
+http_get_weight_version (LpPlatform *platform, const char *pool, LpWeightsDone done, void *user)
 {
   WeightsCall *call = LB_NEW (WeightsCall);
-  char *path = build_path ("/weights?pool=", pool);
+  char *path = build_path_with_escaped_value ("/weights?pool=", pool);
 
   *call = (WeightsCall){ .done = done, .user = user };
   start_get_request (platform, path, on_weights_answer, free, call);
@@ -552,7 +554,7 @@
 }
 
 static void
-http_free (LpPlatform *platform)
+http_platform_free (LpPlatform *platform)
 {
   lp_client_free (get_http_client (platform));
   free (platform);
@@ -560,14 +562,14 @@
 
 static const LpPlatformClass http_class = {
   .name = "http",
-  .free = http_free,
+  .free = http_platform_free,
   .transact = http_transact,
-  .get = http_get,
-  .scan = http_scan,
+  .get = http_get_row,
+  .scan = http_scan_rows,
   .put_object = http_put_object,
   .get_object = http_get_object,
   .list_instances = http_list_instances,
-  .get_weights = http_get_weights,
+  .get_weights = http_get_weight_version,
 };
 
 /* Creates a platform over HTTP. Freeing it drops pending calls without invoking their callbacks. */
