--- a/packages/sim/include/lx-registry.h
+++ b/packages/sim/include/lx-registry.h
@@ -38,6 +38,6 @@
 /* queries */
 /* Returns the newest revision that every instance with access to the store must have activated by
  * `now`. */
-int64_t lx_registry_due_revision (const LxRegistry *registry, LbTime now);
+int64_t lx_registry_get_required_revision (const LxRegistry *registry, LbTime now);
 
 #endif
--- a/packages/sim/include/lx-trainer.h
+++ b/packages/sim/include/lx-trainer.h
@@ -83,7 +83,7 @@
 /* Takes ownership of the chunk. */
 void lx_trainer_receive_chunk (LxTrainer *trainer, LxChunk *chunk);
 /* Records that the instance has opened the step. */
-void lx_trainer_handle_step_opened (LxTrainer *trainer, size_t instance, int64_t step);
+void lx_trainer_record_step_opened (LxTrainer *trainer, size_t instance, int64_t step);
 /* Ends the pull in progress after its connection broke; the trainer retries. */
 void lx_trainer_abort_pull (LxTrainer *trainer);
 /* Makes the trainer continue its step at another instance, which takes over the step. */
--- a/packages/sim/src/lx-instance.c
+++ b/packages/sim/src/lx-instance.c
@@ -750,7 +750,7 @@
                             lb_error_name (error.code));
   execute_pending_actions (instance);
   if (opened)
-    lx_trainer_handle_step_opened (&instance->world->trainers[opening->trainer], instance->index,
+    lx_trainer_record_step_opened (&instance->world->trainers[opening->trainer], instance->index,
                                    step);
 }
 
@@ -768,7 +768,7 @@
     }
   if (lc_rollouts_get_step_status (instance->rollouts, spec->subscription, spec->step, &status))
     {
-      lx_trainer_handle_step_opened (&world->trainers[trainer], instance->index, spec->step);
+      lx_trainer_record_step_opened (&world->trainers[trainer], instance->index, spec->step);
       lc_step_spec_clear (spec);
       return;
     }
--- a/packages/sim/src/lx-registry.c
+++ b/packages/sim/src/lx-registry.c
@@ -55,7 +55,7 @@
 }
 
 int64_t
-lx_registry_due_revision (const LxRegistry *registry, LbTime now)
+lx_registry_get_required_revision (const LxRegistry *registry, LbTime now)
 {
   int64_t revision = registry->accepted->revision;
 
@@ -70,7 +70,7 @@
 static int64_t
 get_newest_long_active_revision (const LxRegistry *registry, LbTime now)
 {
-  int64_t revision = lx_registry_due_revision (registry, now);
+  int64_t revision = lx_registry_get_required_revision (registry, now);
 
   while (revision > 0
          && (registry->first_active_at[revision] == 0
@@ -92,7 +92,7 @@
 {
   LxWorld *world = registry->world;
   int64_t revision = lc_config_active_revision (instance->config);
-  int64_t due = lx_registry_due_revision (registry, now);
+  int64_t due = lx_registry_get_required_revision (registry, now);
 
   if (revision < instance->checked_revision)
     lx_audit_report_violation (&world->audit, LX_VIOLATION_REVERTED, now,
--- a/packages/sim/src/lx-trainer.c
+++ b/packages/sim/src/lx-trainer.c
@@ -161,7 +161,7 @@
 }
 
 void
-lx_trainer_handle_step_opened (LxTrainer *trainer, size_t instance, int64_t step)
+lx_trainer_record_step_opened (LxTrainer *trainer, size_t instance, int64_t step)
 {
   if (trainer->owner != instance || trainer->step != step)
     return;
