--- a/packages/node/src/batch/ln-batch-heads.c
+++ b/packages/node/src/batch/ln-batch-heads.c
@@ -274,7 +274,9 @@
 /* Whether no earlier batch in the hash table has the same model and is assigned to the instance. So
  * a model with several batches is counted once. */
 static bool
-is_first_assigned_of_model (const LnBatches *batches, const LnBatch *batch, const char *instance)
+is_first_batch_of_model_on_instance (const LnBatches *batches,
+                                     const LnBatch *batch,
+                                     const char *instance)
 {
   for (const LnBatch *other = batches->by_id; other != batch; other = other->hh.next)
     if (is_open_and_assigned_to (other, instance)
@@ -290,7 +292,7 @@
 
   for (const LnBatch *batch = batches->by_id; batch; batch = batch->hh.next)
     n += is_open_and_assigned_to (batch, instance)
-         && is_first_assigned_of_model (batches, batch, instance);
+         && is_first_batch_of_model_on_instance (batches, batch, instance);
   return n;
 }
 
--- a/packages/node/src/batch/ln-batches.c
+++ b/packages/node/src/batch/ln-batches.c
@@ -105,7 +105,7 @@
 }
 
 static void
-handle_message (LnTask *base, const LnMessage *message)
+receive_batches_message (LnTask *base, const LnMessage *message)
 {
   LnBatches *batches = (LnBatches *)base;
 
@@ -230,7 +230,7 @@
 }
 
 static const LnTaskClass batches_class = { .name = "rollouts",
-                                           .receive = handle_message,
+                                           .receive = receive_batches_message,
                                            .drain = drain_batches,
                                            .is_idle = is_batches_task_idle,
                                            .free = free_batches_task };
--- a/packages/node/src/calls/ln-calls.c
+++ b/packages/node/src/calls/ln-calls.c
@@ -84,7 +84,7 @@
 }
 
 static void
-apply_endpoint_leaving (LnCalls *calls, const LnEndpointLeavingMessage *message)
+record_endpoint_leaving (LnCalls *calls, const LnEndpointLeavingMessage *message)
 {
   LbList actions;
 
@@ -144,7 +144,7 @@
   if (ln_crashes_receive_frame (calls->crashes, frame))
     return;
   if (ln_leaving_receive_frame (calls->leaving, frame, &leaving))
-    apply_endpoint_leaving (calls, &leaving);
+    record_endpoint_leaving (calls, &leaving);
 }
 
 static void
@@ -227,7 +227,7 @@
       cancel_sample (calls, (const LnSampleCancelMessage *)message);
       break;
     case LN_ENDPOINT_LEAVING:
-      apply_endpoint_leaving (calls, (const LnEndpointLeavingMessage *)message);
+      record_endpoint_leaving (calls, (const LnEndpointLeavingMessage *)message);
       break;
     case LN_PEER_FRAME:
       handle_peer_frame (calls, (const LnPeerMessage *)message);
@@ -358,7 +358,7 @@
 /* Updates gauges and usage, and sends keep-alives, by which callers tell a slow answer from a dead
  * connection. */
 static void
-on_periodic_timer (void *user)
+on_calls_periodic_timer (void *user)
 {
   LnCalls *calls = user;
   LbTime now = lb_clock_monotonic ();
@@ -401,7 +401,7 @@
         = ln_poller_new (context->base, context->http_pool,
                          context->settings->calls.load_poll_ms * LB_MSEC, &handlers, calls);
   calls->periodic_call = (LnPeriodicCall){ .period = KEEP_ALIVE_PERIOD / 2,
-                                           .callback = on_periodic_timer,
+                                           .callback = on_calls_periodic_timer,
                                            .user = calls };
   ln_ticker_add (ln_context_ticker (context), &calls->periodic_call);
   return &calls->task;
--- a/packages/node/src/calls/ln-upstream.c
+++ b/packages/node/src/calls/ln-upstream.c
@@ -98,7 +98,7 @@
 }
 
 static bool
-handle_engine_event (LnUpstream *upstream, struct json_object *event)
+report_engine_event (LnUpstream *upstream, struct json_object *event)
 {
   struct json_object *finish_reason = NULL;
   struct json_object *choice = get_first_choice (event);
@@ -132,7 +132,7 @@
       return;
     }
   event = lb_settings_parse (data, length, "event", &error);
-  if (!event || !handle_engine_event (upstream, event))
+  if (!event || !report_engine_event (upstream, event))
     {
       upstream->is_invalid = true;
       lb_metric_add (&streams_aborted, 1);
--- a/packages/node/src/config/ln-config-store.c
+++ b/packages/node/src/config/ln-config-store.c
@@ -295,7 +295,7 @@
 }
 
 static void
-on_retry_timer (evutil_socket_t fd, short what, void *user)
+on_commit_retry_timer (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -369,7 +369,7 @@
   commit->set_text
       = lb_json_serialize_and_release (lc_resource_set_to_json (set), JSON_C_TO_STRING_PLAIN);
   commit->history_text = lb_strdup (history);
-  commit->retry_timer = event_new (store->base, -1, 0, on_retry_timer, commit);
+  commit->retry_timer = event_new (store->base, -1, 0, on_commit_retry_timer, commit);
   commit->started_at = lb_clock_monotonic ();
   commit->retry_delay = FIRST_RETRY_DELAY;
   commit->done = done;
--- a/packages/node/src/config/ln-config.c
+++ b/packages/node/src/config/ln-config.c
@@ -199,7 +199,7 @@
 }
 
 static void
-on_tick (evutil_socket_t fd, short what, void *user)
+on_config_tick (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -262,7 +262,7 @@
 }
 
 static void
-receive_message (LnTask *base, const LnMessage *message)
+receive_config_message (LnTask *base, const LnMessage *message)
 {
   LnConfigTask *task = config_task_from_base (base);
 
@@ -286,7 +286,7 @@
 }
 
 static void
-start_drain (LnTask *base)
+drain_config_task (LnTask *base)
 {
   LnConfigTask *task = config_task_from_base (base);
 
@@ -296,7 +296,7 @@
 }
 
 static bool
-is_idle (const LnTask *base)
+is_config_task_idle (const LnTask *base)
 {
   const LnConfigTask *task = (const LnConfigTask *)base;
 
@@ -305,7 +305,7 @@
 }
 
 static void
-free_task (LnTask *base)
+free_config_task (LnTask *base)
 {
   LnConfigTask *task = config_task_from_base (base);
 
@@ -318,10 +318,10 @@
 }
 
 static const LnTaskClass config_class = { .name = "config",
-                                          .receive = receive_message,
-                                          .drain = start_drain,
-                                          .is_idle = is_idle,
-                                          .free = free_task };
+                                          .receive = receive_config_message,
+                                          .drain = drain_config_task,
+                                          .is_idle = is_config_task_idle,
+                                          .free = free_config_task };
 
 LnTask *
 ln_config_task_new (LnContext *context)
@@ -342,7 +342,7 @@
   lb_list_init (&task->watches);
   lb_list_init (&task->pool_controllers);
   lb_list_init (&task->pool_operations);
-  task->timer = event_new (context->base, -1, EV_PERSIST, on_tick, task);
+  task->timer = event_new (context->base, -1, EV_PERSIST, on_config_tick, task);
   event_add (task->timer, &tick);
   return &task->task;
 }
--- a/packages/node/src/config/ln-desired.c
+++ b/packages/node/src/config/ln-desired.c
@@ -407,7 +407,7 @@
 }
 
 static void
-on_tick (void *user)
+on_desired_tick (void *user)
 {
   DesiredTask *task = user;
   LbTime now = lb_clock_monotonic ();
@@ -465,7 +465,7 @@
 }
 
 static void
-receive_message (LnTask *base, const LnMessage *message)
+receive_desired_message (LnTask *base, const LnMessage *message)
 {
   DesiredTask *task = (DesiredTask *)base;
 
@@ -484,7 +484,7 @@
 }
 
 static void
-start_drain (LnTask *base)
+drain_desired_task (LnTask *base)
 {
   DesiredTask *task = (DesiredTask *)base;
 
@@ -494,7 +494,7 @@
 }
 
 static bool
-is_idle (const LnTask *base)
+is_desired_task_idle (const LnTask *base)
 {
   const DesiredTask *task = (const DesiredTask *)base;
 
@@ -503,7 +503,7 @@
 }
 
 static void
-free_task (LnTask *base)
+free_desired_task (LnTask *base)
 {
   DesiredTask *task = (DesiredTask *)base;
 
@@ -519,10 +519,10 @@
 }
 
 static const LnTaskClass desired_class = { .name = "config",
-                                           .receive = receive_message,
-                                           .drain = start_drain,
-                                           .is_idle = is_idle,
-                                           .free = free_task };
+                                           .receive = receive_desired_message,
+                                           .drain = drain_desired_task,
+                                           .is_idle = is_desired_task_idle,
+                                           .free = free_desired_task };
 
 LnTask *
 ln_desired_task_new (LnContext *context)
@@ -551,7 +551,7 @@
   task->operator_rows
       = lp_follow_new (context->platform, &follow_settings, on_operator_rows_changed, task);
   task->last_tick_at = lb_clock_monotonic ();
-  task->tick = (LnPeriodicCall){ .period = TICK_PERIOD, .callback = on_tick, .user = task };
+  task->tick = (LnPeriodicCall){ .period = TICK_PERIOD, .callback = on_desired_tick, .user = task };
   ln_ticker_add (ln_context_ticker (context), &task->tick);
   return &task->task;
 }
--- a/packages/node/src/duties/ln-duties.c
+++ b/packages/node/src/duties/ln-duties.c
@@ -67,7 +67,7 @@
 }
 
 static void
-on_tick (evutil_socket_t fd, short what, void *user)
+on_duties_tick (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -106,7 +106,7 @@
 }
 
 static void
-receive_message (LnTask *task, const LnMessage *message)
+receive_duties_message (LnTask *task, const LnMessage *message)
 {
   Duties *duties = (Duties *)task;
   const LnRequestStartedMessage *started = (const LnRequestStartedMessage *)message;
@@ -121,7 +121,7 @@
 }
 
 static void
-start_drain (LnTask *task)
+drain_duties_task (LnTask *task)
 {
   Duties *duties = (Duties *)task;
 
@@ -130,7 +130,7 @@
 }
 
 static bool
-is_idle (const LnTask *task)
+is_duties_task_idle (const LnTask *task)
 {
   const Duties *duties = (const Duties *)task;
   LbTime now = lb_clock_monotonic ();
@@ -142,7 +142,7 @@
 }
 
 static void
-free_task (LnTask *task)
+free_duties_task (LnTask *task)
 {
   Duties *duties = (Duties *)task;
 
@@ -160,10 +160,10 @@
 }
 
 static const LnTaskClass duties_class = { .name = "duties",
-                                          .receive = receive_message,
-                                          .drain = start_drain,
-                                          .is_idle = is_idle,
-                                          .free = free_task };
+                                          .receive = receive_duties_message,
+                                          .drain = drain_duties_task,
+                                          .is_idle = is_duties_task_idle,
+                                          .free = free_duties_task };
 
 static bool
 is_duty_configured (const LnContext *context, LnPlatformDuty duty)
@@ -202,7 +202,7 @@
     }
   if (scales)
     duties->scaler = ln_scaler_new (context, duties->lease);
-  duties->timer = event_new (context->base, -1, EV_PERSIST, on_tick, duties);
+  duties->timer = event_new (context->base, -1, EV_PERSIST, on_duties_tick, duties);
   if (reports_usage || scales)
     event_add (duties->timer, &tick);
   return &duties->task;
--- a/packages/node/src/duties/ln-usage-reporter.c
+++ b/packages/node/src/duties/ln-usage-reporter.c
@@ -126,7 +126,7 @@
  * count: it does not imply that other instances' rows are late. If the store is unreachable, list
  * calls fail as well, and their errors count. */
 static void
-handle_store_error (const PendingAction *pending, LbErrorCode error, const char *step_name)
+record_store_error (const PendingAction *pending, LbErrorCode error, const char *step_name)
 {
   if (error == LB_OK)
     return;
@@ -170,7 +170,7 @@
   (void)version;
   PendingAction *pending = user;
 
-  handle_store_error (pending, error, "read");
+  record_store_error (pending, error, "read");
   pending->has_failed |= error != LB_OK;
   for (size_t i = 0; i < n_rows && is_duty_epoch_current (pending); i++)
     add_recorded_report (pending, &rows[i]);
@@ -184,7 +184,7 @@
   (void)version;
   PendingAction *pending = user;
 
-  handle_store_error (pending, error, "read");
+  record_store_error (pending, error, "read");
   pending->has_failed |= error != LB_OK;
   if (n_rows > 0 && is_duty_epoch_current (pending) && ln_usage_window_from_key (rows[0].key) >= 0)
     lc_usage_reports_add_row_window (pending->reporter->reports,
@@ -252,7 +252,7 @@
   (void)version;
   PendingAction *pending = user;
 
-  handle_store_error (pending, error, "count");
+  record_store_error (pending, error, "count");
   pending->has_failed |= error != LB_OK;
   for (size_t i = 0; i < n_rows;)
     {
@@ -312,7 +312,7 @@
   struct json_object *object
       = error == LB_OK && n_rows > 0 && rows[0].value ? json_tokener_parse (rows[0].value) : NULL;
 
-  handle_store_error (pending, error, "decide");
+  record_store_error (pending, error, "decide");
   if (is_duty_epoch_current (pending))
     lc_usage_reports_record_completed (pending->reporter->reports, pending->window, false,
                                        lb_json_text (object, "counts", NULL),
@@ -329,7 +329,7 @@
   LpPlatform *platform = pending->reporter->context->platform;
   char key[LN_USAGE_KEY_SIZE];
 
-  handle_store_error (pending, error, "decide");
+  record_store_error (pending, error, "decide");
   if (error == LB_ERROR_CONDITION_FAILED)
     {
       format_report_key (pending->window, key);
@@ -471,7 +471,7 @@
   (void)row;
   PendingAction *pending = user;
 
-  handle_store_error (pending, error, "close");
+  record_store_error (pending, error, "close");
   if (is_duty_epoch_current (pending))
     lc_usage_reports_close_completed (pending->reporter->reports, pending->window, error == LB_OK,
                                       lb_clock_monotonic ());
--- a/packages/node/src/endpoints/ln-crashes.c
+++ b/packages/node/src/endpoints/ln-crashes.c
@@ -217,7 +217,7 @@
 }
 
 static void
-on_snapshot_begin (void *user)
+on_crash_snapshot_begin (void *user)
 {
   LnCrashes *crashes = user;
 
@@ -365,7 +365,7 @@
                                       .n_prefixes = 1,
                                       .watch_timeout = WATCH_TIMEOUT,
                                       .retry_delay = WATCH_RETRY_DELAY,
-                                      .on_snapshot_begin = on_snapshot_begin };
+                                      .on_snapshot_begin = on_crash_snapshot_begin };
   LnCrashes *crashes = LB_NEW (LnCrashes);
 
   crashes->context = context;
--- a/packages/node/src/front/ln-caller.c
+++ b/packages/node/src/front/ln-caller.c
@@ -47,7 +47,7 @@
 }
 
 static void
-start_timer (LnCaller *caller, LbTime delay)
+start_connection_timer (LnCaller *caller, LbTime delay)
 {
   const struct timeval interval = lb_time_to_timeval (delay);
 
@@ -78,7 +78,7 @@
   evhtp_request_t *held_request = caller->held_request;
 
   caller->held_request = NULL;
-  start_timer (caller, caller->callers->read_timeout);
+  start_connection_timer (caller, caller->callers->read_timeout);
   evhtp_request_resume (held_request);
 }
 
@@ -194,9 +194,9 @@
   caller->header_bytes = 0;
   caller->body_bytes = 0;
   if (caller->scanner.is_malformed)
-    start_timer (caller, 0);
+    start_connection_timer (caller, 0);
   else if (!caller->is_read_timer_started)
-    start_timer (caller, caller->callers->read_timeout);
+    start_connection_timer (caller, caller->callers->read_timeout);
   caller->is_read_timer_started = false;
   return EVHTP_RES_OK;
 }
@@ -294,7 +294,7 @@
   if (caller->held_request)
     {
       if (partial == 0)
-        start_timer (caller, 0);
+        start_connection_timer (caller, 0);
       return;
     }
   if (caller->exchange)
@@ -303,7 +303,7 @@
                       partial > 0 && partial == evbuffer_get_length (input) ? partial + 1 : 0);
   if (partial == 0 || partial > n_added)
     return;
-  start_timer (caller, caller->callers->read_timeout);
+  start_connection_timer (caller, caller->callers->read_timeout);
   caller->is_read_timer_started = true;
 }
 
@@ -333,7 +333,7 @@
     }
   withhold_partial_request_line (caller, input, info->n_added);
   if (caller->scanner.is_malformed && !caller->exchange)
-    start_timer (caller, 0);
+    start_connection_timer (caller, 0);
 }
 
 static void
@@ -386,7 +386,7 @@
   read_caller_ip (caller);
   lh_socket_enable_keepalive (connection->sock);
   set_connection_hooks (connection, caller);
-  start_timer (caller, callers->read_timeout);
+  start_connection_timer (caller, callers->read_timeout);
   caller->input_callback
       = evbuffer_add_cb (bufferevent_get_input (connection->bev), on_input_received, caller);
   set_read_watermark (caller, 0);
@@ -414,7 +414,7 @@
 void
 ln_caller_watch_disconnect (LnCaller *caller)
 {
-  start_timer (caller, 0);
+  start_connection_timer (caller, 0);
 }
 
 void
@@ -429,11 +429,11 @@
   if (get_partial_request_line_length (caller) > 0)
     {
       caller->held_request = request;
-      start_timer (caller, caller->callers->read_timeout);
+      start_connection_timer (caller, caller->callers->read_timeout);
       bufferevent_enable (caller->connection->bev, EV_READ);
       return;
     }
-  start_timer (caller, caller->scanner.is_malformed ? 0 : caller->callers->idle_timeout);
+  start_connection_timer (caller, caller->scanner.is_malformed ? 0 : caller->callers->idle_timeout);
   evhtp_request_resume (request);
 }
 
--- a/packages/node/src/front/ln-framing.c
+++ b/packages/node/src/front/ln-framing.c
@@ -50,7 +50,7 @@
 
 /* Marks the request as ambiguous when the header was already present or is invalid. */
 static void
-check_unique_header (bool *is_present, bool is_valid, LnFraming *framing)
+require_unique_valid_header (bool *is_present, bool is_valid, LnFraming *framing)
 {
   framing->is_ambiguous |= *is_present || !is_valid;
   *is_present = true;
@@ -62,12 +62,13 @@
 {
   framing->is_ambiguous |= !is_token (name, name_length) || !is_single_line (value, length);
   if (equals_ignoring_case (name, name_length, "Content-Length"))
-    check_unique_header (&framing->has_content_length, is_decimal_number (value, length), framing);
+    require_unique_valid_header (&framing->has_content_length, is_decimal_number (value, length),
+                                 framing);
   else if (equals_ignoring_case (name, name_length, "Transfer-Encoding"))
-    check_unique_header (&framing->has_transfer_encoding, is_chunked_coding (value, length),
-                         framing);
+    require_unique_valid_header (&framing->has_transfer_encoding, is_chunked_coding (value, length),
+                                 framing);
   else if (equals_ignoring_case (name, name_length, "Host"))
-    check_unique_header (&framing->has_host, true, framing);
+    require_unique_valid_header (&framing->has_host, true, framing);
 }
 
 bool
--- a/packages/node/src/front/ln-front.c
+++ b/packages/node/src/front/ln-front.c
@@ -201,7 +201,7 @@
 }
 
 static void
-receive_message (LnTask *task, const LnMessage *message)
+receive_front_message (LnTask *task, const LnMessage *message)
 {
   LnFront *front = (LnFront *)task;
 
@@ -222,7 +222,7 @@
 }
 
 static void
-start_drain (LnTask *task)
+drain_front_task (LnTask *task)
 {
   LnFront *front = (LnFront *)task;
 
@@ -231,7 +231,7 @@
 }
 
 static bool
-is_idle (const LnTask *task)
+is_front_task_idle (const LnTask *task)
 {
   const LnFront *front = (const LnFront *)task;
 
@@ -258,7 +258,7 @@
 }
 
 static void
-front_free (LnTask *task)
+free_front_task (LnTask *task)
 {
   LnFront *front = (LnFront *)task;
 
@@ -269,10 +269,10 @@
 }
 
 static const LnTaskClass front_class = { .name = "front",
-                                         .receive = receive_message,
-                                         .drain = start_drain,
-                                         .is_idle = is_idle,
-                                         .free = front_free };
+                                         .receive = receive_front_message,
+                                         .drain = drain_front_task,
+                                         .is_idle = is_front_task_idle,
+                                         .free = free_front_task };
 
 static evhtp_t *
 add_http_server (LnFront *front)
--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -78,7 +78,7 @@
 }
 
 static void
-on_snapshot_begin (void *user)
+on_catalog_snapshot_begin (void *user)
 {
   lc_catalog_begin_snapshot (((LnCatalog *)user)->catalog);
 }
@@ -231,7 +231,7 @@
                                       .n_prefixes = 1,
                                       .watch_timeout = WATCH_TIMEOUT,
                                       .retry_delay = WATCH_RETRY_DELAY,
-                                      .on_snapshot_begin = on_snapshot_begin };
+                                      .on_snapshot_begin = on_catalog_snapshot_begin };
   LnCatalog *catalog = LB_NEW (LnCatalog);
 
   catalog->context = context;
--- a/packages/node/src/membership/ln-fleet.c
+++ b/packages/node/src/membership/ln-fleet.c
@@ -95,7 +95,7 @@
 /* Returns a member by its index in an order that starts at a random member on each instance, so
  * that not all instances choose the same few members. */
 static const LcFleetMember *
-get_rotated_member (const Fleet *task, size_t index)
+get_member_from_random_start (const Fleet *task, size_t index)
 {
   size_t n = ln_fleet_lists_count_members (task->lists);
 
@@ -106,7 +106,7 @@
 /* Sets the instances through which the store can be reached while this one is cut off from the
  * store. */
 static void
-set_platform_peers (Fleet *task)
+set_store_relay_peers (Fleet *task)
 {
   LpPlatform *platform = task->context->platform;
   LbName addresses[LP_MAX_PEERS];
@@ -114,7 +114,7 @@
 
   for (size_t i = 0; i < ln_fleet_lists_count_members (task->lists) && n < LP_MAX_PEERS; i++)
     {
-      const LcFleetMember *member = get_rotated_member (task, i);
+      const LcFleetMember *member = get_member_from_random_start (task, i);
       if (member->alive && member->row.peer_address[0]
           && strcmp (member->row.name, task->own_row.name) != 0)
         lb_strlcpy (addresses[n++], member->row.peer_address, LB_NAME_MAX);
@@ -128,7 +128,7 @@
 {
   post_members (user);
   post_fleet_to_config (user);
-  set_platform_peers (user);
+  set_store_relay_peers (user);
 }
 
 static bool
@@ -143,7 +143,7 @@
 /* Writes a change of reachability to the row at once, since other instances must not assign batches
  * to this instance while it is cut off from the store. */
 static void
-update_reachability (Fleet *task, LbTime now)
+update_store_reachability (Fleet *task, LbTime now)
 {
   const LpPlatform *platform = task->context->platform;
   bool is_cut_off = !lp_platform_is_store_reachable (platform);
@@ -174,7 +174,7 @@
   Fleet *task = user;
   LbTime now = lb_clock_monotonic ();
 
-  update_reachability (task, now);
+  update_store_reachability (task, now);
   update_clock_lead (task, now);
   const LnFleetListSummary summary
       = { .n_instances = ln_fleet_lists_count_members (task->lists),
@@ -213,7 +213,7 @@
 {
   for (size_t i = 0; i < ln_fleet_lists_count_members (task->lists); i++)
     {
-      const LcFleetMember *member = get_rotated_member (task, i);
+      const LcFleetMember *member = get_member_from_random_start (task, i);
       bool is_in_data_centre = strcmp (member->row.data_centre, task->own_row.data_centre) == 0;
       if (is_available_to_callers (member) && member->fresh >= must_be_fresh
           && is_in_data_centre == same_data_centre
--- a/packages/node/src/membership/ln-peer-connection.c
+++ b/packages/node/src/membership/ln-peer-connection.c
@@ -95,7 +95,7 @@
 }
 
 static void
-on_read (struct bufferevent *stream, void *user)
+on_stream_readable (struct bufferevent *stream, void *user)
 {
   LnPeerConnection *connection = user;
   LwFrameResult result = LW_FRAME_COMPLETE;
@@ -118,7 +118,7 @@
 }
 
 static void
-on_event (struct bufferevent *stream, short what, void *user)
+on_stream_event (struct bufferevent *stream, short what, void *user)
 {
   LnPeerConnection *connection = user;
   LbError error;
@@ -161,7 +161,7 @@
   connection->user = user;
   connection->stream = stream;
   lw_handshake_init (&connection->handshake, is_dialler, key, self, nonce);
-  bufferevent_setcb (stream, on_read, NULL, on_event, connection);
+  bufferevent_setcb (stream, on_stream_readable, NULL, on_stream_event, connection);
   bufferevent_enable (stream, EV_READ | EV_WRITE);
   return connection;
 }
@@ -187,7 +187,7 @@
    * has returned the connection to its owner. */
   bufferevent_setcb (stream, NULL, NULL, NULL, NULL);
   int failed = bufferevent_socket_connect (stream, (struct sockaddr *)&target, length);
-  bufferevent_setcb (stream, on_read, NULL, on_event, connection);
+  bufferevent_setcb (stream, on_stream_readable, NULL, on_stream_event, connection);
   if (failed == 0)
     return connection;
   ln_peer_connection_close (connection);
--- a/packages/node/src/membership/ln-peers-actions.c
+++ b/packages/node/src/membership/ln-peers-actions.c
@@ -61,7 +61,7 @@
 }
 
 static void
-run_action (LnPeers *peers, const LcMembershipAction *action)
+execute_membership_action (LnPeers *peers, const LcMembershipAction *action)
 {
   switch (action->type)
     {
@@ -102,7 +102,7 @@
   while ((link = lb_list_pop (&peers->actions)))
     {
       LcMembershipAction *action = LB_CONTAINER (link, LcMembershipAction, link_in_list);
-      run_action (peers, action);
+      execute_membership_action (peers, action);
       lc_membership_action_free (action);
     }
   ln_members_update_counters (peers->membership, &peers->counted_totals);
--- a/packages/node/src/membership/ln-peers-list.c
+++ b/packages/node/src/membership/ln-peers-list.c
@@ -54,7 +54,7 @@
 }
 
 static void
-apply_platform_list (LnPeers *peers, const LpInstanceList *list)
+apply_platform_instance_list (LnPeers *peers, const LpInstanceList *list)
 {
   LcListedInstance *listed = LB_NEW_ARRAY (LcListedInstance, list->n_instances);
 
@@ -74,13 +74,13 @@
 /* The platform is freed right after the tasks and drops its pending calls, so this callback never
  * runs after its task was freed, and a pending call leaks nothing. */
 static void
-on_platform_list (LbErrorCode error, const LpInstanceList *list, void *user)
+on_platform_instances_listed (LbErrorCode error, const LpInstanceList *list, void *user)
 {
   LnPeers *peers = user;
 
   peers->is_list_pending = false;
   if (error == LB_OK)
-    apply_platform_list (peers, list);
+    apply_platform_instance_list (peers, list);
 }
 
 /* Each instance reads the list, which grows with the number of instances, so the period grows with
@@ -110,5 +110,5 @@
     return;
   peers->next_list_at = now + choose_list_period (peers, now);
   peers->is_list_pending = true;
-  platform->klass->list_instances (platform, on_platform_list, peers);
+  platform->klass->list_instances (platform, on_platform_instances_listed, peers);
 }
--- a/packages/node/src/membership/ln-peers.c
+++ b/packages/node/src/membership/ln-peers.c
@@ -50,7 +50,7 @@
 }
 
 static void
-on_timer (evutil_socket_t fd, short what, void *user)
+on_membership_timer (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -88,7 +88,7 @@
 }
 
 static void
-peers_receive (LnTask *task, const LnMessage *message)
+peers_receive_message (LnTask *task, const LnMessage *message)
 {
   LnPeers *peers = (LnPeers *)task;
 
@@ -130,8 +130,9 @@
   free (peers);
 }
 
-static const LnTaskClass peers_class
-    = { .name = "peers", .receive = peers_receive, .drain = peers_drain, .free = peers_free };
+static const LnTaskClass peers_class = {
+  .name = "peers", .receive = peers_receive_message, .drain = peers_drain, .free = peers_free
+};
 
 /* Creates the task, binds the configured peer address and stores the bound address in the context.
  * Returns NULL if the address can't be bound. */
@@ -143,7 +144,7 @@
 
   peers->base.klass = &peers_class;
   peers->context = context;
-  peers->timer = event_new (context->base, -1, 0, on_timer, peers);
+  peers->timer = event_new (context->base, -1, 0, on_membership_timer, peers);
   peers->seen_frames = ln_frame_window_new ();
   lb_list_init (&peers->connections);
   lb_list_init (&peers->closed_connections);
--- a/packages/node/src/rollout/ln-rollouts-run.c
+++ b/packages/node/src/rollout/ln-rollouts-run.c
@@ -163,7 +163,7 @@
 }
 
 static void
-execute_action (LnRollouts *rollouts, LcRolloutAction *action, LbList *actions)
+execute_rollout_action (LnRollouts *rollouts, LcRolloutAction *action, LbList *actions)
 {
   switch (action->type)
     {
@@ -211,7 +211,7 @@
   while ((link = lb_list_pop (actions)))
     {
       LcRolloutAction *action = LB_CONTAINER (link, LcRolloutAction, link);
-      execute_action (rollouts, action, actions);
+      execute_rollout_action (rollouts, action, actions);
       lc_rollout_action_free (action);
     }
   schedule_next_tick (rollouts);
--- a/packages/node/src/rollout/ln-rollouts.c
+++ b/packages/node/src/rollout/ln-rollouts.c
@@ -11,7 +11,7 @@
 #include <string.h>
 
 static void
-on_tick_timer (evutil_socket_t fd, short what, void *user)
+on_rollouts_tick_timer (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -189,7 +189,7 @@
 }
 
 static void
-receive_message (LnTask *task, const LnMessage *message)
+receive_rollouts_message (LnTask *task, const LnMessage *message)
 {
   LnRollouts *rollouts = (LnRollouts *)task;
 
@@ -280,7 +280,7 @@
 }
 
 static const LnTaskClass rollouts_class = { .name = "rollouts",
-                                            .receive = receive_message,
+                                            .receive = receive_rollouts_message,
                                             .drain = drain_rollouts,
                                             .is_idle = is_rollouts_task_idle,
                                             .free = free_rollouts_task };
@@ -305,7 +305,7 @@
   rollouts->core = lc_rollouts_new (&settings);
   lc_rollouts_set_id_source (rollouts->core, new_request_id, context);
   rollouts->store = ln_step_store_new (context);
-  rollouts->timer = evtimer_new (context->base, on_tick_timer, rollouts);
+  rollouts->timer = evtimer_new (context->base, on_rollouts_tick_timer, rollouts);
   lb_list_init (&rollouts->steps);
   lb_list_init (&rollouts->calls);
   return &rollouts->task;
--- a/packages/node/src/store/ln-unwritten-rows.c
+++ b/packages/node/src/store/ln-unwritten-rows.c
@@ -77,7 +77,7 @@
 }
 
 static void
-send_row (Row *row)
+send_row_write (Row *row)
 {
   LpPlatform *platform = row->owner->platform;
   const LpPut put = { .key = row->key, .value = row->text };
@@ -114,7 +114,7 @@
   row->token
       = lb_asprintf ("%s#%s-%llu", key, rows->incarnation, (unsigned long long)++rows->n_writes);
   lb_list_append (&rows->rows, &row->link);
-  send_row (row);
+  send_row_write (row);
 }
 
 void
@@ -123,6 +123,6 @@
   LB_LIST_FOREACH (&rows->rows, Row, link, row)
   {
     if (!row->is_in_flight)
-      send_row (row);
+      send_row_write (row);
   }
 }
--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -251,7 +251,7 @@
  * progress until the engine has the ordered version, or until LOAD_TIMEOUT, after which it must
  * have failed. */
 static void
-apply_engine_version (Engine *engine, LcVersion version, LbTime requested_at, LbTime now)
+record_engine_version (Engine *engine, LcVersion version, LbTime requested_at, LbTime now)
 {
   Model *model = find_model (engine->orders, engine->model);
   LcWeightReport report = { .version = version, .requested_at = requested_at };
@@ -286,8 +286,8 @@
       LcVersion version = lc_roster_registered_weight_version (roster, i);
       /* The endpoint list lags behind the version that the engine itself reported. */
       if (engine && engine->orders_accepted >= 0)
-        apply_engine_version (engine, version > engine->version ? version : engine->version,
-                              requested_at, now);
+        record_engine_version (engine, version > engine->version ? version : engine->version,
+                               requested_at, now);
     }
 }
 
@@ -296,12 +296,12 @@
 /* Applies the version read from the engine. When a load has ended, orders the next load at once:
  * the next tick may be 25 ms away. */
 static void
-handle_queried_version (Engine *engine, LcVersion version, LbTime now)
+record_queried_version (Engine *engine, LcVersion version, LbTime now)
 {
   LnWeightOrders *orders = engine->orders;
   LcVersion ordered_version = engine->ordered_version;
 
-  apply_engine_version (engine, version, engine->query_sent_at, now);
+  record_engine_version (engine, version, engine->query_sent_at, now);
   if (engine->ordered_version != 0)
     {
       engine->next_query_at = now + lc_load_time_poll_interval (&orders->load_time);
@@ -340,7 +340,7 @@
       return;
     }
   engine->orders_accepted = state.orders_accepted;
-  handle_queried_version (engine, state.version, now);
+  record_queried_version (engine, state.version, now);
 }
 
 static void
