--- a/packages/node/include/ln-context.h
+++ b/packages/node/include/ln-context.h
@@ -23,9 +23,9 @@
   const struct LnDialect *dialect; /* codec for a shared platform; NULL: the node's own API */
   LbName instance;                 /* name of this instance */
   char incarnation[40];            /* identifies this start of the process */
-  LbName caller_address;           /* bound address for callers, with the actual port */
-  LbName metrics_address;          /* bound address for metrics; empty: none */
-  LbName peer_address;             /* bound address for other instances */
+  LbName caller_address;           /* listening address for callers, with the port that was bound */
+  LbName metrics_address;          /* listening address for metrics; empty: no separate one */
+  LbName peer_address;             /* listening address for other instances */
   LcRequestId last_request_id;     /* highest id that was assigned to a request */
   gsl_rng *rng;                    /* random number generator; NULL until its first use */
   struct LnTicker *ticker; /* timer for all tasks' periodic work; NULL until its first use */
--- a/packages/node/include/ln-dialect.h
+++ b/packages/node/include/ln-dialect.h
@@ -19,8 +19,8 @@
   LN_INBOUND_READINESS,    /* asks whether this instance accepts callers */
   LN_INBOUND_RESULTS,      /* reads results of a batch */
   LN_INBOUND_ITEM,         /* reads the request body of a batch item */
-  LN_INBOUND_DELETE_BATCH, /* ends a batch */
-  LN_INBOUND_ROUTED        /* other requests; the route selects the service */
+  LN_INBOUND_DELETE_BATCH, /* ends a batch that its caller no longer needs */
+  LN_INBOUND_ROUTED        /* any other request; the platform's route selects the service */
 } LnInboundKind;
 
 /* A parsed request of a caller. The pointers are valid until the exchange is freed. */
@@ -49,7 +49,7 @@
   const char *endpoint;     /* name of the only endpoint that may run the request */
   int64_t resume_at;        /* number of stream events already received; 0: not resumed */
   const char *organisation; /* the caller's organisation; NULL or "": unknown */
-  bool is_sample;           /* the request generates or scores text; then its id is sent */
+  bool is_sample;           /* the request generates or scores text; if so, its id is sent */
 } LnAttemptHeaders;
 
 /* What an endpoint's reply says about the request. */
--- a/packages/node/include/ln-messages.h
+++ b/packages/node/include/ln-messages.h
@@ -22,26 +22,26 @@
   LN_SAMPLE_CANCEL,         /* rollouts -> calls: cancel the sample */
   LN_SAMPLE_PIECE,          /* calls -> rollouts: a piece of a sample was generated */
   LN_SAMPLE_DONE,           /* calls -> rollouts: a sample or a scorer's call has ended */
-  LN_POOL_VERSION,          /* config -> rollouts: newest weight version and cadence of a pool */
+  LN_POOL_VERSION,          /* config -> rollouts: a pool's newest version and update interval */
   LN_ENDPOINT_REPORT,       /* calls -> config: load report of an endpoint */
   LN_ENDPOINT_LEAVING,      /* any -> calls: an endpoint is about to stop */
   LN_ENDPOINT_SWAP,         /* config -> calls: a weight change at an endpoint is due or over */
   LN_MEMBERS,               /* peers -> all: the set or state of live instances changed */
   LN_FLEET,                 /* peers -> config: complete rows of the instances in LN_MEMBERS */
-  LN_CATALOG_MEMBERS,       /* config -> peers: the instances that the catalog lists */
-  LN_CATALOG_FOLLOWED,      /* config -> peers: started or stopped following the catalog */
+  LN_CATALOG_MEMBERS,       /* config -> peers: the instances that the catalog contains */
+  LN_CATALOG_FOLLOWED,      /* config -> peers: whether the members come from the catalog */
   LN_PEER_SEND,             /* any -> peers: send a frame to one or all other instances */
   LN_PEER_FRAME,            /* peers -> task named in the frame: an instance sent a frame */
   LN_DRAINING,              /* main -> all: the process is shutting down */
   LN_DESIRED,               /* config -> all: new routes and services of the shared platform */
   LN_DESIRED_CONFIRMED,     /* config -> all: the last LN_DESIRED is still the newest */
-  LN_ENDPOINT_LIST_APPLIED, /* config -> calls: age and requester of the endpoint list in use */
-  LN_ENDPOINT_LISTED,       /* config -> calls: an endpoint is listed, with its weight version */
+  LN_ENDPOINT_LIST_APPLIED, /* config -> calls: when and by whom the endpoint list was requested */
+  LN_ENDPOINT_LISTED,       /* config -> calls: a listed endpoint and its weight version */
   LN_DEMAND,                /* rollouts -> config, duties: a trainer submitted a batch */
   LN_DUTY,                  /* rollouts, config -> all: this instance took or lost a duty */
   LN_REQUEST_STARTED,       /* calls -> duties: an organisation's request started running */
-  LN_SERVICE_OVERLOADED, /* calls -> peers: the service whose endpoints are nearly full changed */
-  LN_READY               /* config -> all: this instance now accepts or refuses new work */
+  LN_SERVICE_OVERLOADED,    /* calls -> peers: which service is overloaded has changed */
+  LN_READY                  /* config -> all: this instance now accepts or refuses new work */
 } LnMessageType;
 
 typedef struct
@@ -107,7 +107,8 @@
   LcLoadReport report;
 } LnEndpointReportMessage;
 
-/* Several sources may report the same endpoint; the first report is enough. */
+/* An endpoint that is leaving: it is about to stop and gets no new work. Several sources may report
+ * the same endpoint; the first report is enough. */
 typedef struct
 {
   LnMessage base;
@@ -201,7 +202,7 @@
 typedef struct
 {
   LnMessage base;
-  bool followed; /* this instance follows the catalog and need not list the instances itself */
+  bool followed; /* the catalog is watched, so this instance need not list the instances */
 } LnCatalogFollowedMessage;
 
 /* A frame between two instances. */
@@ -218,7 +219,7 @@
 {
   LnMessage base;
   LbName organisation;
-  LbTime at; /* when the request's first attempt that was not refused was sent */
+  LbTime at; /* send time of the request's first attempt that was not refused */
 } LnRequestStartedMessage;
 
 typedef struct
--- a/packages/node/include/ln-settings.h
+++ b/packages/node/include/ln-settings.h
@@ -72,7 +72,7 @@
   {
     int64_t drain_ms;     /* minimum time to serve callers with cached addresses after SIGTERM */
     int64_t entry_ttl_ms; /* how long callers may cache addresses of instances */
-    int64_t endpoint_ms;  /* maximum time until a leaving endpoint gets no new work */
+    int64_t endpoint_ms;  /* a leaving endpoint gets no new work after this time */
   } drain;
   struct
   {
