--- a/packages/node/src/batch/ln-batch-calls.c
+++ b/packages/node/src/batch/ln-batch-calls.c
@@ -104,8 +104,8 @@
                                               on_text_chunks_read, call);
 }
 
-/* Replies with the results before the first result whose text is stored in chunks. If that is the
- * first row, reads its chunks instead. */
+/* Replies with the results before the first one whose text is stored in chunks. If that is the
+ * first result of the list, reads its chunks instead. */
 static void
 reply_result_rows (LnBatchCall *call, const LpRow *rows, size_t n_rows)
 {
--- a/packages/node/src/batch/ln-batch-heads.c
+++ b/packages/node/src/batch/ln-batch-heads.c
@@ -22,7 +22,7 @@
  * batch must learn of the batch's end within 3 s even over such a connection. */
 #define WATCH_TIMEOUT (800 * LB_MSEC)
 #define WATCH_RETRY_DELAY (150 * LB_MSEC)
-#define OFFER_TIMEOUT (300 * LB_MSEC) /* longer than several round trips to the store */
+#define OFFER_TIMEOUT (300 * LB_MSEC) /* time to accept; longer than several store round trips */
 /* An owner that is missing from the member list is presumed alive this long: it may just have got
  * its first duty, and its member row is written, listed and published within this time. */
 #define UNKNOWN_OWNER_GRACE (2500 * LB_MSEC)
@@ -392,11 +392,11 @@
   write_batch_row (batch, &head, NULL, 0, on_claim_written);
 }
 
-/* Claims a batch that the preferred instance did not accept in time, rather than running it in the
- * old epoch. If the watch shows an accepted offer late, the claim fails; a run would generate each
- * text twice and could record no result. If the preferred instance is cut off from the store and
- * sees the offer late, the new epoch has ended the offer; a takeover during the run would lose all
- * texts since the last checkpoint. */
+/* Claims a batch that the preferred instance did not accept in time, instead of running it in the
+ * old epoch. If that instance did accept and the watch shows this late, the claim fails, whereas a
+ * run would generate each text twice and could record no result. If that instance is cut off from
+ * the store and sees the offer late, the new epoch has ended the offer; otherwise its takeover
+ * during the run would lose all texts since the last checkpoint. */
 static void
 claim_after_offer_expired (LnBatch *batch)
 {
--- a/packages/node/src/batch/ln-batch-load.c
+++ b/packages/node/src/batch/ln-batch-load.c
@@ -8,7 +8,7 @@
 
 #include <stdlib.h>
 
-#define LOAD_RETRY_DELAY (200 * LB_MSEC) /* similar to the retry delay of other reads */
+#define LOAD_RETRY_DELAY (200 * LB_MSEC) /* after a failed read; similar to other reads */
 
 /* A load in progress of a batch that this instance has taken over. Reads first the batch's content,
  * then the recorded results, then the checkpoints of incomplete texts. */
--- a/packages/node/src/batch/ln-batch-owner.c
+++ b/packages/node/src/batch/ln-batch-owner.c
@@ -18,9 +18,9 @@
  * is considered broken, which takes 2 s of a step's 8 s. */
 #define TEXT_HEDGE_DELAY (600 * LB_MSEC)
 #define DEFAULT_SCORE_TIMEOUT (2 * LB_SEC) /* used if the scorer's route has no timeout */
-/* Limit of the store on the entries of one transaction. LcBatch writes at most 40 results at once,
- * with at most 400 KiB of text unless it writes a single result. That makes 81 rows and conditions
- * and up to 13 chunks. */
+/* Maximum number of entries that the store accepts in one transaction. LcBatch writes at most 40
+ * results at once, with at most 400 KiB of text unless it writes a single result: 81 rows and
+ * conditions, and up to 13 chunks of text. */
 #define MAX_TRANSACTION_ENTRIES 100
 /* Maximum size of a text that is stored in chunks. The store accepts 1 MB per transaction, of which
  * the encoding takes a quarter. */
--- a/packages/node/src/batch/ln-batches-private.h
+++ b/packages/node/src/batch/ln-batches-private.h
@@ -66,7 +66,7 @@
   LnBatchState state;
   LcBatch *run; /* state machine of the batch while RUNNING; else NULL */
   LbTime first_seen_at;
-  /* Cached state of the batch's owner, computed from the member list and the row version that the
+  /* Cached state of the batch's owner. It is valid for the member list and the row version that the
    * next two members identify. */
   LnOwnerState owner_state;
   int64_t owner_members_change; /* value of LnBatches.members_change_count for owner_state */
@@ -101,7 +101,7 @@
 
 struct LnBatches
 {
-  LnTask task; /* must be first */
+  LnTask task; /* must be the first member */
   LnContext *context;
   LnPeriodicCall tick;
   LnAdmissionState admission_state; /* routes and organisations for the admission of callers */
@@ -114,11 +114,11 @@
   LnBatchRequest *requests;               /* hash table of the requests in flight */
   LbList calls;                           /* list of the LnBatchCall in progress */
   LpFollow *row_watch;                    /* watch of the rows of all batches */
-  bool owns_any;                          /* last published value: this instance owns a batch */
+  bool owns_any;                          /* last value posted: this instance owns a batch */
   bool draining;                          /* set while this instance shuts down */
 };
 
-/* Defined in ln-batches.c. */
+/* Defined in ln-batches.c, which holds the batches that this instance knows. */
 /* Tells the other tasks whether this instance owns any batch, if the value has changed. */
 void ln_batches_publish_ownership (LnBatches *batches, bool owns_any);
 LnBatch *ln_batches_find (LnBatches *batches, const char *id);
--- a/packages/node/src/calls/ln-answer.h
+++ b/packages/node/src/calls/ln-answer.h
@@ -10,7 +10,7 @@
 {
   int status;
   char content_type[128];
-  char *body; /* owned */
+  char *body; /* owned by this struct */
   size_t length;
 } LnAnswer;
 
--- a/packages/node/src/calls/ln-calls-requests.c
+++ b/packages/node/src/calls/ln-calls-requests.c
@@ -14,7 +14,8 @@
 #define TICKET_LIFETIME_MS 600000
 #define MAX_IDEMPOTENCY_KEY_BYTES 256
 
-/* Refers a caller to other instances if this one refuses because of its state, not its load. */
+/* Refers a caller to other instances if this instance refuses a call because of its state, not
+ * because of load. */
 void
 ln_calls_set_other_instance_headers (LnCalls *calls, LnExchange *exchange, LbErrorCode code)
 {
--- a/packages/node/src/calls/ln-claims.c
+++ b/packages/node/src/calls/ln-claims.c
@@ -73,7 +73,7 @@
  * a row deletes it, so the transaction has no condition. If the transaction fails, its rows stay in
  * the store. */
 static void
-on_sweep_timer (evutil_socket_t fd, short what, void *user)
+on_expired_rows_timer (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -109,7 +109,7 @@
   const struct timeval period = { .tv_sec = SWEEP_PERIOD_SECONDS };
   LnClaims *claims = LB_NEW (LnClaims);
 
-  claims->sweep_timer = event_new (base, -1, EV_PERSIST, on_sweep_timer, claims);
+  claims->sweep_timer = event_new (base, -1, EV_PERSIST, on_expired_rows_timer, claims);
   event_add (claims->sweep_timer, &period);
   lb_list_init (&claims->written_rows);
 
--- a/packages/node/src/calls/ln-claims.h
+++ b/packages/node/src/calls/ln-claims.h
@@ -13,7 +13,7 @@
 typedef struct LnClaims LnClaims;
 
 /* Called once per claim, never from inside ln_claims_claim_key. ticket: the ticket bound to the
- * key, which may differ from the one claimed for; NULL if error is set. */
+ * key, which may differ from the ticket passed to ln_claims_claim_key; NULL if error is set. */
 typedef void (*LnClaimHandler) (const char *ticket, const LbError *error, void *user);
 
 LnClaims *
--- a/packages/node/src/calls/ln-upstream.c
+++ b/packages/node/src/calls/ln-upstream.c
@@ -24,7 +24,7 @@
   uint32_t attempt;
   LbName endpoint;
   LbName address;
-  char *stream_id; /* NULL: plain service, or with a dialect */
+  char *stream_id; /* id of an engine's stream; NULL: plain service, or with a dialect */
   LhPool *pool;
   LhFetch *fetch;
   LnUpstreamHandlers handlers;
@@ -39,7 +39,7 @@
   LnStreamReader *reader;   /* with a dialect: parses the engine's stream; NULL: no stream */
   LcVersion version;        /* weight version of the stream's last event; 0: unknown */
   bool is_head;             /* the method is HEAD, whose reply has no body */
-  bool has_end_marker;      /* [DONE] was received */
+  bool has_end_marker;      /* the event [DONE], the end of an engine's stream, was received */
   bool is_invalid; /* invalid data or another request's answer was received; the rest is ignored */
   bool is_parsing; /* the parser is running, so a cancel only sets is_cancelled and frees nothing */
   bool is_cancelled;
--- a/packages/node/src/calls/ln-upstream.h
+++ b/packages/node/src/calls/ln-upstream.h
@@ -64,8 +64,8 @@
 const char *ln_upstream_address (const LnUpstream *upstream);
 /* Whether the connection was lost before the reply was complete; false for a timeout. */
 bool ln_upstream_has_lost_connection (const LnUpstream *upstream);
-/* Returns the HTTP request to the endpoint, from which a plain service's reply headers are read and
- * forwarded; an engine's are not forwarded. Valid in on_end. */
+/* Returns the HTTP request to the endpoint, from which the reply headers of a plain service are
+ * read and forwarded. Reply headers of an engine are not forwarded. Valid in on_end. */
 const LhFetch *ln_upstream_get_fetch (const LnUpstream *upstream);
 int ln_upstream_status (const LnUpstream *upstream);
 const char *ln_upstream_body (LnUpstream *upstream, size_t *length);
--- a/packages/node/src/config/ln-config-store.c
+++ b/packages/node/src/config/ln-config-store.c
@@ -56,7 +56,7 @@
   struct event *retry_timer;
   LbTime started_at;
   LbTime retry_delay;
-  bool may_be_applied;      /* an attempt had an unknown outcome */
+  bool may_be_applied;      /* the outcome of a write attempt is unknown */
   bool retry_reads_history; /* the next retry reads the history row instead of writing */
   LbErrorCode last_error;   /* error of the last write attempt */
   LnConfigCommitDone done;
--- a/packages/node/src/duties/ln-duty-lease.c
+++ b/packages/node/src/duties/ln-duty-lease.c
@@ -21,7 +21,7 @@
  * orders of two alternating holders within 3 s. */
 #define UNFENCED_LEASE_DURATION (3200 * LB_MSEC)
 #define RENEWAL_PERIOD (500 * LB_MSEC)     /* allows three renewals within LEASE_DURATION */
-#define OBSERVER_POLL_PERIOD (10 * LB_SEC) /* for instances that are no candidates */
+#define OBSERVER_POLL_PERIOD (10 * LB_SEC) /* time between reads by a non-candidate */
 #define MAX_CANDIDATES 3
 /* A holder that loses and regains the lease makes no calls for this long after the loss. Receivers
  * that get calls from holder A, holder B and A again within 3 s can't tell which one is current. */
--- a/packages/node/src/duties/ln-usage-reporter.c
+++ b/packages/node/src/duties/ln-usage-reporter.c
@@ -43,7 +43,7 @@
 typedef struct
 {
   LnUsageReporter *reporter;
-  int64_t duty_epoch; /* epoch in which the action started; its result is ignored in a later one */
+  int64_t duty_epoch; /* epoch in which the action started; results in a later epoch are ignored */
   int64_t window;     /* number of the window */
   size_t n_pending_lists; /* number of list calls in progress */
   bool has_failed;        /* a list call failed */
@@ -122,9 +122,9 @@
   return pending->duty_epoch == lc_usage_reports_duty_epoch (pending->reporter->reports);
 }
 
-/* Logs the error and records a store failure. A failed condition or a single lost answer does not
- * count: it does not imply that other instances' rows are late. If the store is unreachable, list
- * calls fail as well, and their errors count. */
+/* Logs the error, and records a store failure unless the write's condition failed or its answer was
+ * lost: neither implies that other instances' rows are late. If the store is unreachable, list
+ * calls fail as well, and their errors are recorded. */
 static void
 record_store_error (const PendingAction *pending, LbErrorCode error, const char *step_name)
 {
--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -22,8 +22,10 @@
 #define PUBLISHER_DUTY TABLE
 #define ENDPOINT_PREFIX "e:"
 #define INSTANCE_PREFIX "i:"
-#define BOUND_PREFIX "b:"             /* followed by a service; value: last endpoint key to list */
-#define WATCH_TIMEOUT (700 * LB_MSEC) /* also bounds how long a dead connection goes unnoticed */
+/* Key prefix of a service's row; the row contains the last endpoint key that instances list. */
+#define BOUND_PREFIX "b:"
+/* Duration of one watch request, which also bounds how long a dead connection goes unnoticed. */
+#define WATCH_TIMEOUT (700 * LB_MSEC)
 #define WATCH_RETRY_DELAY (100 * LB_MSEC)
 /* A write that takes longer than this is superseded by the next listing. */
 #define WRITE_TIMEOUT (500 * LB_MSEC)
@@ -319,7 +321,7 @@
 typedef struct
 {
   LnCatalog *catalog;
-  int64_t expected_version; /* of the publisher's row, on which the write is conditional */
+  int64_t expected_version; /* version of the publisher's row that the write requires */
 } PendingWrite;
 
 static void
@@ -438,8 +440,8 @@
   catalog->draining = true;
 }
 
-/* Sets the list of the instances when this instance becomes a candidate, since changes of the
- * members set it only on candidates. */
+/* A new candidate also sets the list of instances to publish: while it was no candidate, changes of
+ * the members did not update that list. */
 static void
 set_takeover_rank (LnCatalog *catalog, int rank)
 {
--- a/packages/node/src/membership/ln-fleet-lists.c
+++ b/packages/node/src/membership/ln-fleet-lists.c
@@ -71,8 +71,9 @@
   LcFleetMember *members; /* merged from both lists, or as set from the catalog */
   size_t n_members;
   bool is_followed; /* the members come from the catalog, and no rows are listed */
-  bool must_report; /* call on_change for the next list even if it is unchanged, since following has
-                       ended */
+  /* The next list is reported by on_change even if it is unchanged, since the catalog is no longer
+   * watched. */
+  bool must_report;
   void (*on_change) (void *user);
   void *user;
 };
@@ -314,9 +315,9 @@
   listing->has_failed = listing->n_pending > 0;
 }
 
-/* Drops the old lists when following begins. Otherwise the time without lists would look like an
- * outage of the store in which no instance could renew its row, and an instance that stopped during
- * that time would count as alive. */
+/* Drops the old lists when this instance begins to follow the catalog. Otherwise the time without
+ * lists would look like an outage of the store in which no instance could renew its row, and an
+ * instance that stopped during that time would count as alive. */
 void
 ln_fleet_lists_set_catalog_followed (LnFleetLists *lists, bool is_followed)
 {
@@ -329,7 +330,7 @@
   lists->is_followed = is_followed;
 }
 
-/* Ignores members from the catalog after following has ended. */
+/* Ignores members from the catalog if this instance no longer follows it. */
 void
 ln_fleet_lists_set_members (LnFleetLists *lists, const LcFleetMember *members, size_t n_members)
 {
--- a/packages/node/src/membership/ln-fleet-renewal.c
+++ b/packages/node/src/membership/ln-fleet-renewal.c
@@ -33,8 +33,8 @@
   LpPlatform *platform;
   LcFleetRow *row;
   int n_in_flight;             /* number of renewals without an answer yet */
-  LbTime next_renewal_at;      /* when the directory row is due */
-  LbTime next_duty_renewal_at; /* when the duty row is due */
+  LbTime next_renewal_at;      /* when the directory row is renewed next */
+  LbTime next_duty_renewal_at; /* when the duty row is renewed next */
   LbTime period;               /* time between two renewals of the directory row */
   bool has_duty;
   LbTime duty_until;         /* without a duty, the instance counts as on duty until this time */
--- a/packages/node/src/membership/ln-fleet.c
+++ b/packages/node/src/membership/ln-fleet.c
@@ -103,8 +103,7 @@
                                    (ln_context_random_seed (task->context) % n + index) % n);
 }
 
-/* Sets the instances through which the store can be reached while this one is cut off from the
- * store. */
+/* Sets the instances that relay store calls of this instance while it is cut off from the store. */
 static void
 set_store_relay_peers (Fleet *task)
 {
--- a/packages/node/src/membership/ln-peers-private.h
+++ b/packages/node/src/membership/ln-peers-private.h
@@ -29,7 +29,7 @@
   LnFrameWindow *seen_frames;
   LnOutbox outbox;
   uint64_t sequence;    /* sequence number of the last broadcast frame sent */
-  bool is_list_pending; /* a request for the platform's list is in progress */
+  bool is_list_pending; /* a request for the platform's list of instances is in progress */
   LbTime next_list_at;
   LbTime next_load_at;
   LbTime cpu_time_used;              /* CPU time of the process at the last load measurement */
--- a/packages/node/src/store/ln-row-cache.h
+++ b/packages/node/src/store/ln-row-cache.h
@@ -23,7 +23,7 @@
 LnRowCache *ln_row_cache_new (const LnRowCacheClass *klass, void *user);
 void ln_row_cache_free (LnRowCache *cache);
 
-/* Call before getting the content of a list's rows; call end_list after the last row. */
+/* Call before reading the rows of a new list; call ln_row_cache_end_list after its last row. */
 void ln_row_cache_begin_list (LnRowCache *cache);
 /* Returns the row's parsed content, valid until the next list, or NULL and an error when the row is
  * malformed. Parses the row only when more than the write counter has changed, so the write counter
--- a/packages/node/src/store/ln-unreadable-rows.c
+++ b/packages/node/src/store/ln-unreadable-rows.c
@@ -9,7 +9,7 @@
 typedef struct
 {
   char *key;
-  bool is_reported; /* reported for the current list */
+  bool is_reported; /* the row was reported as malformed in the current list */
   UT_hash_handle hh;
 } Row;
 
--- a/packages/node/src/store/ln-unreadable-rows.h
+++ b/packages/node/src/store/ln-unreadable-rows.h
@@ -12,11 +12,12 @@
 LnUnreadableRows *ln_unreadable_rows_new (void);
 void ln_unreadable_rows_free (LnUnreadableRows *rows);
 
-/* Call before reporting the malformed rows of a list; call end_list after the last row. */
+/* Call before reporting the malformed rows of a list; call ln_unreadable_rows_end_list after the
+ * last row. */
 void ln_unreadable_rows_begin_list (LnUnreadableRows *rows);
 /* Logs the malformed row, unless the row was also reported for the previous list. */
 void ln_unreadable_rows_report (LnUnreadableRows *rows, const char *key, const LbError *reason);
-/* Forgets rows that were not reported since begin_list. */
+/* Forgets rows that were not reported since ln_unreadable_rows_begin_list. */
 void ln_unreadable_rows_end_list (LnUnreadableRows *rows);
 
 #endif
--- a/packages/node/src/store/ln-unwritten-rows.c
+++ b/packages/node/src/store/ln-unwritten-rows.c
@@ -16,8 +16,10 @@
   LbLink link;
   LnUnwrittenRows *owner;
   char *key;
-  char *text;  /* text to write; NULL: deletes the row */
-  char *token; /* idempotency token; contains the key, as other writers use the same numbers */
+  char *text; /* text to write; NULL: deletes the row */
+  /* Idempotency token of the write. Contains the key, since each LnUnwrittenRows numbers its writes
+   * from 1. */
+  char *token;
   bool is_in_flight;
 } Row;
 
--- a/packages/node/src/weights/ln-engine-plans.c
+++ b/packages/node/src/weights/ln-engine-plans.c
@@ -17,7 +17,8 @@
  * endpoints and operators write. */
 #define KEY_PREFIX TABLE "/weights/"
 #define KEY_SIZE 32
-#define WATCH_TIMEOUT (900 * LB_MSEC) /* also bounds how long a dead connection goes unnoticed */
+/* Duration of one watch request, which also bounds how long a dead connection goes unnoticed. */
+#define WATCH_TIMEOUT (900 * LB_MSEC)
 #define WATCH_RETRY_DELAY (200 * LB_MSEC)
 /* Time between two reads by an instance that sends nothing to engines. A watch would report changes
  * several times per second, since weight loads change the rows that often. */
@@ -28,8 +29,8 @@
 /* Time between two divisions of the engines among the models; batches arrive every few seconds, and
  * each updates the demand. */
 #define DIVISION_PERIOD (2 * LB_SEC)
-/* Time for which a new writer without known demand divides no engines, since it may not have read
- * the rows of batches yet. */
+/* A new writer of the plan that knows no demand does not divide the engines for this time, since it
+ * may not have read the rows of batches yet. */
 #define DEMAND_WARM_UP_TIME (3 * LB_SEC)
 
 struct LnEnginePlans
@@ -37,9 +38,9 @@
   LnContext *context;
   void (*on_plan) (const LcEnginePlan *plan, void *user);
   void *user;
-  LcEnginePlan parts[LC_ENGINE_PLAN_PARTS]; /* as stored, one row each */
+  LcEnginePlan parts[LC_ENGINE_PLAN_PARTS]; /* parts of the plan as stored, one row per part */
   int64_t versions[LC_ENGINE_PLAN_PARTS];   /* row version of each part; 0: no row known */
-  LcEnginePlan plan;                        /* all parts together */
+  LcEnginePlan plan;                        /* the whole plan: all parts together */
   LcEnginePlan desired;                     /* the plan to be stored, kept by the writer only */
   bool is_writer; /* this instance orders weights and so writes the plan */
   LbTime writer_since;
@@ -47,8 +48,7 @@
   LcDemand *demand;
   bool is_write_pending;
   bool must_retry_write;
-  bool is_in_write[LC_ENGINE_PLAN_PARTS]; /* the part is in the write in progress, or in the last
-                                             write */
+  bool is_in_write[LC_ENGINE_PLAN_PARTS]; /* parts of the write in progress or of the last one */
   LbTime next_write_at;
   LbTime next_division_at; /* when the engines are next divided among the models */
 };
--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -28,7 +28,7 @@
 
 typedef struct Engine Engine;
 
-/* The roll-out of one model. */
+/* State of the roll-out of one model's weights. */
 typedef struct
 {
   LbLink link;
@@ -44,8 +44,10 @@
   LnWeightOrders *orders;
   LbName address;
   LbName model;
-  int64_t orders_accepted; /* since the engine's start; -1: unknown, query before the next order */
-  LcVersion version;       /* of the loaded weights, as last reported; 0: unknown */
+  /* Number of orders that the engine accepted since its start; -1: unknown, must be queried before
+   * the next order. */
+  int64_t orders_accepted;
+  LcVersion version;         /* of the loaded weights, as last reported; 0: unknown */
   LcVersion ordered_version; /* in the order in progress; 0: no order */
   LbTime ordered_at;
   LbTime next_query_at;
@@ -247,7 +249,7 @@
   engine->orders->on_engine (&entry, engine->orders->user);
 }
 
-/* Applies the version that the engine reported when asked at requested_at. An order counts as in
+/* Records the version that the engine reported when asked at requested_at. An order counts as in
  * progress until the engine has the ordered version, or until LOAD_TIMEOUT, after which it must
  * have failed. */
 static void
@@ -293,7 +295,7 @@
 
 static void order_loads (LnWeightOrders *orders, LbTime now);
 
-/* Applies the version read from the engine. When a load has ended, orders the next load at once:
+/* Records the version read from the engine. When a load has ended, orders the next load at once:
  * the next tick may be 25 ms away. */
 static void
 record_queried_version (Engine *engine, LcVersion version, LbTime now)
@@ -495,8 +497,8 @@
   free (candidates);
 }
 
-/* Returns true if the engine itself is queried. The endpoint list lags by a second or more, so an
- * engine in a swap (one that loads other weights) is queried. An engine whose count of accepted
+/* Returns true if the engine itself must be queried. The endpoint list lags by a second or more, so
+ * an engine in a swap (one that loads other weights) is queried. An engine whose count of accepted
  * orders is not known is queried too, since each order states the count before it. */
 static bool
 needs_state_query (const Engine *engine)
--- a/packages/node/src/weights/ln-weight-orders.h
+++ b/packages/node/src/weights/ln-weight-orders.h
@@ -17,7 +17,7 @@
 void ln_weight_orders_free (LnWeightOrders *orders);
 
 void ln_weight_orders_configure (LnWeightOrders *orders, const LcResourceSet *set);
-/* Applies the weight versions in the store's list of endpoints, which was requested at
+/* Records the weight versions in the store's list of endpoints, which was requested at
  * requested_at. */
 void ln_weight_orders_apply_endpoint_list (LnWeightOrders *orders,
                                            const LcRoster *roster,
