--- a/packages/node/src/front/ln-request-scanner.h
+++ b/packages/node/src/front/ln-request-scanner.h
@@ -12,7 +12,7 @@
 typedef struct
 {
   int state;         /* part of the request being scanned: enum value of ln-request-scanner.c */
-  char line[96];     /* start of the current line; longer than any text searched for */
+  char line[96];     /* first bytes of the current line; longer than any text searched for */
   size_t length;     /* length of the whole current line, without the line end */
   size_t line_bytes; /* bytes received of the current line, including the line end */
   bool has_host;
--- a/packages/node/src/rollout/ln-pool-controller.h
+++ b/packages/node/src/rollout/ln-pool-controller.h
@@ -40,7 +40,7 @@
 void ln_pool_controller_tick (LnPoolController *controller, LbTime now);
 void ln_pool_controller_release_lease (LnPoolController *controller, LbTime now);
 
-/* Defined in ln-pool-controllers.c. */
+/* Defined in ln-pool-controllers.c, which holds the controllers of all pools. */
 /* Returns NULL if the controller with this serial number no longer exists. */
 LnPoolController *ln_pool_controllers_find_by_serial (LnConfigTask *task, uint64_t serial);
 void ln_pool_controllers_announce_weight_swap (LnConfigTask *task,
--- a/packages/node/src/rollout/ln-pool-controllers.c
+++ b/packages/node/src/rollout/ln-pool-controllers.c
@@ -187,9 +187,9 @@
 
 /* --- announcements to other tasks and instances --- */
 
-/* Tells the task "calls" whether a swap of weights is pending on an endpoint. While it is, the
- * task's router adds the time left until the swap's expected end, `until`, to the estimated finish
- * time of calls on the endpoint. */
+/* Tells the task "calls" whether a swap of weights is pending on an endpoint. During a pending
+ * swap, the router adds the time left until the swap's expected end, `until`, to the estimated
+ * finish time of calls on the endpoint. */
 static void
 post_weight_swap_to_calls (LnConfigTask *task, const char *endpoint, bool is_pending, LbTime until)
 {
--- a/packages/node/src/rollout/ln-rollouts-private.h
+++ b/packages/node/src/rollout/ln-rollouts-private.h
@@ -16,7 +16,7 @@
   bool is_claiming;  /* a lookup of the owner or a claim of the step is in progress */
   bool is_releasing; /* a write that releases the step for another instance is in progress */
   int release_attempts; /* number of failed releases */
-  char *content;        /* body of the request that opens the step; NULL if none or durable */
+  char *content;        /* body of the request that opens the step; NULL if none, or once stored */
   LbTime retry_at;      /* time of the next attempt to claim or release the step */
   LbList waiting_calls; /* list of the LnStepCall that wait for the owner to be known */
 } LnTrackedStep;
--- a/packages/node/src/rollout/ln-rollouts.c
+++ b/packages/node/src/rollout/ln-rollouts.c
@@ -89,7 +89,7 @@
 }
 
 static void
-handle_disconnect (LnRollouts *rollouts, LnExchange *exchange)
+end_call_of_disconnected_trainer (LnRollouts *rollouts, LnExchange *exchange)
 {
   LnStepCall *call = find_call_in_progress (rollouts, ln_exchange_id (exchange));
 
@@ -199,7 +199,7 @@
       receive_exchange (rollouts, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_CALLER_DISCONNECTED:
-      handle_disconnect (rollouts, ((const LnExchangeMessage *)message)->exchange);
+      end_call_of_disconnected_trainer (rollouts, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_CONFIG:
       apply_config (rollouts, ((const LnConfigMessage *)message)->set);
--- a/packages/node/src/rollout/ln-step-claim.h
+++ b/packages/node/src/rollout/ln-step-claim.h
@@ -8,10 +8,10 @@
 typedef enum
 {
   LN_STEP_OWNED_HERE,      /* this process owns the step */
-  LN_STEP_OWNED_ELSEWHERE, /* another live process owns the step; set in `owner` */
+  LN_STEP_OWNED_ELSEWHERE, /* another live process, named in `owner`, owns the step */
   LN_STEP_NOT_FOUND,       /* the step was never opened */
   LN_STEP_UNOWNED,         /* the step has no live owner, and may_claim is false */
-  LN_STEP_CLAIM_FAILED     /* the lookup or claim failed; set in `error` */
+  LN_STEP_CLAIM_FAILED     /* the lookup or claim failed with the error in `error` */
 } LnStepClaimOutcome;
 
 typedef struct
--- a/packages/node/src/task/ln-settings.c
+++ b/packages/node/src/task/ln-settings.c
@@ -12,37 +12,37 @@
 
 #define MAX_DURATION_MS ((double)(24 * 3600 * 1000))
 
-#define TEXT(k, member)                                                                            \
+#define TEXT_SETTING(k, member)                                                                    \
   {                                                                                                \
     .key = (k), .type = LB_SETTING_TEXT, .offset = offsetof (LnSettings, member),                  \
     .size = sizeof (((LnSettings *)0)->member)                                                     \
   }
-#define INTEGER(k, member, low, high)                                                              \
+#define INTEGER_SETTING(k, member, low, high)                                                      \
   {                                                                                                \
     .key = (k), .type = LB_SETTING_INT, .offset = offsetof (LnSettings, member), .min = (low),     \
     .max = (high)                                                                                  \
   }
-#define REAL(k, member, low, high)                                                                 \
+#define REAL_SETTING(k, member, low, high)                                                         \
   {                                                                                                \
     .key = (k), .type = LB_SETTING_REAL, .offset = offsetof (LnSettings, member), .min = (low),    \
     .max = (high)                                                                                  \
   }
-#define FLAG(k, member)                                                                            \
+#define FLAG_SETTING(k, member)                                                                    \
   {                                                                                                \
     .key = (k), .type = LB_SETTING_BOOL, .offset = offsetof (LnSettings, member)                   \
   }
-#define CHOICE(k, member, names)                                                                   \
+#define CHOICE_SETTING(k, member, names)                                                           \
   {                                                                                                \
     .key = (k), .type = LB_SETTING_CHOICE, .offset = offsetof (LnSettings, member),                \
     .choices = (names)                                                                             \
   }
 /* A group of keys only structures the settings file. The offsets of the keys are relative to
  * LnSettings, so the group's offset is 0. */
-#define GROUP(k, specs)                                                                            \
+#define SETTING_GROUP(k, specs)                                                                    \
   {                                                                                                \
     .key = (k), .type = LB_SETTING_OBJECT, .offset = 0, .fields = (specs)                          \
   }
-#define END                                                                                        \
+#define END_OF_SETTINGS                                                                            \
   {                                                                                                \
     .key = NULL                                                                                    \
   }
@@ -51,100 +51,103 @@
 static const char *const log_levels[] = { "debug", "info", "warning", "error", "off", NULL };
 
 static const LbSettingSpec instance_specs[]
-    = { TEXT ("name", instance.name),
-        TEXT ("data_centre", instance.data_centre),
-        TEXT ("caller_address", instance.caller_address),
-        TEXT ("peer_address", instance.peer_address),
-        TEXT ("entry_address", instance.entry_address),
-        TEXT ("ready_address", instance.ready_address),
-        TEXT ("metrics_address", instance.metrics_address),
-        REAL ("processor_share", instance.processor_share, 0.001, 1024),
-        REAL ("link_mbps", instance.link_mbps, 0.001, 1e6),
-        END };
+    = { TEXT_SETTING ("name", instance.name),
+        TEXT_SETTING ("data_centre", instance.data_centre),
+        TEXT_SETTING ("caller_address", instance.caller_address),
+        TEXT_SETTING ("peer_address", instance.peer_address),
+        TEXT_SETTING ("entry_address", instance.entry_address),
+        TEXT_SETTING ("ready_address", instance.ready_address),
+        TEXT_SETTING ("metrics_address", instance.metrics_address),
+        REAL_SETTING ("processor_share", instance.processor_share, 0.001, 1024),
+        REAL_SETTING ("link_mbps", instance.link_mbps, 0.001, 1e6),
+        END_OF_SETTINGS };
 
 static const LbSettingSpec platform_specs[]
-    = { CHOICE ("kind", platform.kind, platform_kinds), TEXT ("address", platform.address),
-        INTEGER ("deadline_ms", platform.deadline_ms, 10, 60000),
-        REAL ("rate", platform.rate, 0.1, 100000), END };
+    = { CHOICE_SETTING ("kind", platform.kind, platform_kinds),
+        TEXT_SETTING ("address", platform.address),
+        INTEGER_SETTING ("deadline_ms", platform.deadline_ms, 10, 60000),
+        REAL_SETTING ("rate", platform.rate, 0.1, 100000), END_OF_SETTINGS };
 
 static const LbSettingSpec cluster_specs[]
-    = { TEXT ("key", cluster.key),
+    = { TEXT_SETTING ("key", cluster.key),
         { .key = "seeds",
           .type = LB_SETTING_ARRAY,
           .offset = offsetof (LnSettings, cluster.seeds),
           .count_offset = offsetof (LnSettings, cluster.n_seeds) },
-        END };
+        END_OF_SETTINGS };
 
 static const LbSettingSpec measure_specs[]
     = { { .key = "off",
           .type = LB_SETTING_ARRAY,
           .offset = offsetof (LnSettings, measure.off),
           .count_offset = offsetof (LnSettings, measure.n_off) },
-        END };
+        END_OF_SETTINGS };
 
-static const LbSettingSpec log_specs[] = { CHOICE ("level", log.level, log_levels), END };
+static const LbSettingSpec log_specs[]
+    = { CHOICE_SETTING ("level", log.level, log_levels), END_OF_SETTINGS };
 
 static const LbSettingSpec http_specs[]
-    = { TEXT ("operator_token", http.operator_token),
-        INTEGER ("max_body_bytes", http.max_body_bytes, 1024, 1 << 30),
-        INTEGER ("max_header_bytes", http.max_header_bytes, 1024, 1 << 20),
-        INTEGER ("request_read_ms", http.request_read_ms, 50, MAX_DURATION_MS),
-        INTEGER ("max_connections", http.max_connections, 1, 1000000),
-        END };
+    = { TEXT_SETTING ("operator_token", http.operator_token),
+        INTEGER_SETTING ("max_body_bytes", http.max_body_bytes, 1024, 1 << 30),
+        INTEGER_SETTING ("max_header_bytes", http.max_header_bytes, 1024, 1 << 20),
+        INTEGER_SETTING ("request_read_ms", http.request_read_ms, 50, MAX_DURATION_MS),
+        INTEGER_SETTING ("max_connections", http.max_connections, 1, 1000000),
+        END_OF_SETTINGS };
 
 static const LbSettingSpec calls_specs[]
-    = { TEXT ("policy", calls.policy),
-        INTEGER ("queue_limit", calls.queue_limit, 0, 10000000),
-        INTEGER ("default_deadline_ms", calls.default_deadline_ms, 1, MAX_DURATION_MS),
-        REAL ("retry_budget", calls.retry_budget, 0, 10),
-        INTEGER ("hedge_after_ms", calls.hedge_after_ms, 0, MAX_DURATION_MS),
-        INTEGER ("stream_silence_ms", calls.stream_silence_ms, 50, MAX_DURATION_MS),
-        INTEGER ("load_poll_ms", calls.load_poll_ms, 10, 60000),
-        END };
+    = { TEXT_SETTING ("policy", calls.policy),
+        INTEGER_SETTING ("queue_limit", calls.queue_limit, 0, 10000000),
+        INTEGER_SETTING ("default_deadline_ms", calls.default_deadline_ms, 1, MAX_DURATION_MS),
+        REAL_SETTING ("retry_budget", calls.retry_budget, 0, 10),
+        INTEGER_SETTING ("hedge_after_ms", calls.hedge_after_ms, 0, MAX_DURATION_MS),
+        INTEGER_SETTING ("stream_silence_ms", calls.stream_silence_ms, 50, MAX_DURATION_MS),
+        INTEGER_SETTING ("load_poll_ms", calls.load_poll_ms, 10, 60000),
+        END_OF_SETTINGS };
 
 static const LbSettingSpec drain_specs[]
-    = { INTEGER ("drain_ms", drain.drain_ms, 0, MAX_DURATION_MS),
-        INTEGER ("entry_ttl_ms", drain.entry_ttl_ms, 100, MAX_DURATION_MS),
-        INTEGER ("endpoint_ms", drain.endpoint_ms, 100, MAX_DURATION_MS), END };
+    = { INTEGER_SETTING ("drain_ms", drain.drain_ms, 0, MAX_DURATION_MS),
+        INTEGER_SETTING ("entry_ttl_ms", drain.entry_ttl_ms, 100, MAX_DURATION_MS),
+        INTEGER_SETTING ("endpoint_ms", drain.endpoint_ms, 100, MAX_DURATION_MS), END_OF_SETTINGS };
 
 static const LbSettingSpec batches_specs[]
-    = { INTEGER ("keep_ended_s", batches.keep_ended_s, 5, 86400 * 30), END };
+    = { INTEGER_SETTING ("keep_ended_s", batches.keep_ended_s, 5, 86400 * 30), END_OF_SETTINGS };
 
 static const LbSettingSpec weights_specs[]
-    = { FLAG ("endpoints_check_fence", weights.endpoints_check_fence), END };
+    = { FLAG_SETTING ("endpoints_check_fence", weights.endpoints_check_fence), END_OF_SETTINGS };
 
-static const LbSettingSpec keys_specs[]
-    = { FLAG ("refuse_unconfirmed", keys.refuse_unconfirmed),
-        INTEGER ("longest_unconfirmed_ms", keys.longest_unconfirmed_ms, 500, MAX_DURATION_MS),
-        END };
+static const LbSettingSpec keys_specs[] = {
+  FLAG_SETTING ("refuse_unconfirmed", keys.refuse_unconfirmed),
+  INTEGER_SETTING ("longest_unconfirmed_ms", keys.longest_unconfirmed_ms, 500, MAX_DURATION_MS),
+  END_OF_SETTINGS
+};
 
 static const LbSettingSpec duties_specs[]
-    = { TEXT ("address", duties.address),
+    = { TEXT_SETTING ("address", duties.address),
         { .key = "kinds",
           .type = LB_SETTING_ARRAY,
           .offset = offsetof (LnSettings, duties.kinds),
           .count_offset = offsetof (LnSettings, duties.n_kinds) },
-        FLAG ("platform_checks_fence", duties.platform_checks_fence),
-        INTEGER ("usage_window_s", duties.usage_window_s, 1, 86400),
-        INTEGER ("usage_due_s", duties.usage_due_s, 1, 86400),
-        END };
+        FLAG_SETTING ("platform_checks_fence", duties.platform_checks_fence),
+        INTEGER_SETTING ("usage_window_s", duties.usage_window_s, 1, 86400),
+        INTEGER_SETTING ("usage_due_s", duties.usage_due_s, 1, 86400),
+        END_OF_SETTINGS };
 
-static const LbSettingSpec specs[] = { GROUP ("instance", instance_specs),
-                                       GROUP ("platform", platform_specs),
-                                       GROUP ("cluster", cluster_specs),
-                                       GROUP ("measure", measure_specs),
-                                       GROUP ("log", log_specs),
-                                       GROUP ("http", http_specs),
-                                       GROUP ("calls", calls_specs),
-                                       GROUP ("drain", drain_specs),
-                                       GROUP ("batches", batches_specs),
-                                       GROUP ("weights", weights_specs),
-                                       GROUP ("keys", keys_specs),
-                                       GROUP ("duties", duties_specs),
-                                       TEXT ("address_file", address_file),
-                                       TEXT ("record", record),
-                                       INTEGER ("seed", seed, 0, 9007199254740992.0),
-                                       END };
+static const LbSettingSpec specs[] = { SETTING_GROUP ("instance", instance_specs),
+                                       SETTING_GROUP ("platform", platform_specs),
+                                       SETTING_GROUP ("cluster", cluster_specs),
+                                       SETTING_GROUP ("measure", measure_specs),
+                                       SETTING_GROUP ("log", log_specs),
+                                       SETTING_GROUP ("http", http_specs),
+                                       SETTING_GROUP ("calls", calls_specs),
+                                       SETTING_GROUP ("drain", drain_specs),
+                                       SETTING_GROUP ("batches", batches_specs),
+                                       SETTING_GROUP ("weights", weights_specs),
+                                       SETTING_GROUP ("keys", keys_specs),
+                                       SETTING_GROUP ("duties", duties_specs),
+                                       TEXT_SETTING ("address_file", address_file),
+                                       TEXT_SETTING ("record", record),
+                                       INTEGER_SETTING ("seed", seed, 0, 9007199254740992.0),
+                                       END_OF_SETTINGS };
 
 void
 ln_settings_init (LnSettings *settings)
