--- a/packages/node/include/ln-dialect.h
+++ b/packages/node/include/ln-dialect.h
@@ -90,7 +90,7 @@
 {
   LN_ORDER_ACCEPTED,
   LN_ORDER_ALREADY_DONE, /* the engine already has the weight version */
-  LN_ORDER_BUSY,         /* another order is in progress, or orders_before is outdated */
+  LN_ORDER_BUSY,         /* another order is in progress, or orders_before differs */
   LN_ORDER_STALE_FENCE,  /* the engine has seen a higher fencing number */
   LN_ORDER_REFUSED       /* the engine refused the order for another reason */
 } LnOrderOutcome;
@@ -116,7 +116,7 @@
   int64_t orders_before;
 } LnWeightsOrder;
 
-/* Selects the state to read: of which engine process, and of which model. */
+/* Selects the engine process and the model whose state is read. */
 typedef struct
 {
   const char *endpoint;
@@ -178,8 +178,8 @@
   void (*read_inbound) (const LnExchange *exchange, LnInbound *inbound);
   bool (*read_batch) (
       const char *body, size_t length, const char *id, LcBatchSpec *spec, LbError *error);
-  /* Returns a page with as many results as fit. total: number of items in the batch; position:
-   * index of results[0] in the batch. */
+  /* Returns a page with as many of the results as fit into its size limit, at least one. total:
+   * number of items in the batch; position: index of results[0] in the batch. */
   char *(*write_results) (int64_t total,
                           int64_t position,
                           const LcBatchResult *results,
--- a/packages/node/include/ln-messages.h
+++ b/packages/node/include/ln-messages.h
@@ -89,7 +89,7 @@
   LnMessage base;
   LcRequestId request;
   LbErrorCode error;
-  char *text; /* owned generated text or scorer's reply; NULL: none, after an error */
+  char *text; /* generated text or scorer's reply, owned; NULL: none, after an error */
 } LnSampleDoneMessage;
 
 typedef struct
--- a/packages/node/src/batch/ln-batches-private.h
+++ b/packages/node/src/batch/ln-batches-private.h
@@ -31,11 +31,11 @@
 typedef enum
 {
   LN_BATCH_NOT_OWNED, /* another instance or no instance owns the batch */
-  LN_BATCH_CLAIMING,  /* a write of the row with this instance as the owner is in progress */
+  LN_BATCH_CLAIMING,  /* this instance is writing the row with itself as the owner */
   LN_BATCH_OFFERED,   /* this instance owns the batch until the preferred instance claims it */
   LN_BATCH_LOADING,   /* this instance owns the batch and reads its content and saved progress */
   LN_BATCH_RUNNING,   /* this instance owns the batch and generates its texts */
-  LN_BATCH_RELEASING  /* a write of the row without an owner is in progress */
+  LN_BATCH_RELEASING  /* this instance is writing the row without an owner */
 } LnBatchState;
 
 typedef enum
@@ -69,8 +69,8 @@
   /* Cached state of the batch's owner. It is valid for the member list and the row version that the
    * next two members identify. */
   LnOwnerState owner_state;
-  int64_t owner_members_change; /* value of LnBatches.members_change_count for owner_state */
-  int64_t owner_row_version;    /* version of the batch's row for owner_state */
+  int64_t owner_members_change; /* members_change_count when owner_state was computed */
+  int64_t owner_row_version;    /* version of the batch's row when owner_state was computed */
   LbTime version_seen_at;       /* when this instance first saw the current version of the row */
   LbTime owner_gone_since;      /* when the owner was first found not alive; 0 if it is alive */
   LbTime load_retry_at;         /* while LOADING: when to retry a failed load */
--- a/packages/node/src/calls/ln-call.h
+++ b/packages/node/src/calls/ln-call.h
@@ -50,14 +50,15 @@
   LcRequestSpec spec;
   LnExchange *exchange; /* NULL: sample or score, caller disconnected, or already replied to */
   LbTime submitted_at;
-  bool is_submitted; /* passed to the dispatch, which ends the call with a FINISH action */
+  bool is_submitted; /* the call was passed to the dispatch, which ends it by a FINISH action */
   bool has_ticket;   /* the call continues if the caller disconnects, for a retry with the ticket */
   bool wants_stream; /* the caller requested a stream of events */
   bool is_stream_started;
   LbTime last_sent_at;      /* when bytes were last sent on the caller's stream */
   char stream_id[96];       /* id in the events and replies sent to the caller */
   struct json_object *body; /* request to an engine; NULL: plain service, or with a dialect */
-  char *method;             /* method to raw_length: request to a plain service, all owned */
+  /* The members from method to raw_length are the request to a plain service, all owned. */
+  char *method;
   char *path;
   LhHeader *headers;
   size_t n_headers;
--- a/packages/node/src/config/ln-config-api.c
+++ b/packages/node/src/config/ln-config-api.c
@@ -94,8 +94,8 @@
 
 typedef struct
 {
-  char kind[32]; /* "": all kinds */
-  LbName name;   /* "": all names */
+  char kind[32]; /* kind of the resources to return; "": all kinds */
+  LbName name;   /* name of the resource to return; "": all names */
 } ResourceFilter;
 
 /* Parses what follows RESOURCES_PATH: "", "/KIND" or "/KIND/NAME". */
--- a/packages/node/src/config/ln-config-change.c
+++ b/packages/node/src/config/ln-config-change.c
@@ -34,7 +34,7 @@
   ChangeState state;
   struct json_object *body;  /* JSON body of the request */
   bool accepts_any_revision; /* the request has If-Match: *, or is a dry run without If-Match */
-  int64_t expected_revision; /* from If-Match; 0: the configuration has no revision yet */
+  int64_t expected_revision; /* revision in If-Match; 0: the configuration has no revision yet */
   bool is_dry_run;
   char token[80];                  /* idempotency key of the change */
   char submitter[LB_NAME_MAX * 2]; /* who submitted the change, as NAME@IP */
--- a/packages/node/src/config/ln-desired.c
+++ b/packages/node/src/config/ln-desired.c
@@ -362,7 +362,7 @@
 }
 
 static void
-grow_service_subset (const char *service, void *user)
+grow_endpoint_subset_of_service (const char *service, void *user)
 {
   DesiredTask *task = user;
 
@@ -374,7 +374,7 @@
 {
   task->next_list_at = now + get_endpoint_list_period (task);
   if (ln_catalog_is_publisher (task->catalog))
-    ln_catalog_foreach_overloaded_service (task->catalog, grow_service_subset, task);
+    ln_catalog_foreach_overloaded_service (task->catalog, grow_endpoint_subset_of_service, task);
   else
     ln_catalog_apply_subset_bounds (task->catalog, ln_endpoint_list_subset (task->endpoint_list));
   ln_endpoint_list_request (task->endpoint_list, now);
--- a/packages/node/src/duties/ln-usage-reporter.c
+++ b/packages/node/src/duties/ln-usage-reporter.c
@@ -44,7 +44,7 @@
 {
   LnUsageReporter *reporter;
   int64_t duty_epoch; /* epoch in which the action started; results in a later epoch are ignored */
-  int64_t window;     /* number of the window */
+  int64_t window;     /* number of the time window of the action */
   size_t n_pending_lists; /* number of list calls in progress */
   bool has_failed;        /* a list call failed */
   LcUsageCounts *counts;  /* sum of the listed rows; NULL unless the action is LC_USAGE_SUM_ROWS */
--- a/packages/node/src/endpoints/ln-endpoint-list.c
+++ b/packages/node/src/endpoints/ln-endpoint-list.c
@@ -20,13 +20,13 @@
   LnRowCache *row_cache;
   LnUnreadableRows *unreadable_rows;
   LcSubset *subset;
-  LcDesired *desired; /* NULL: not known yet */
+  LcDesired *desired; /* desired state of the services; NULL: not known yet */
   bool is_in_progress;
   LbTime requested_at;
   int64_t page_size;
   size_t n_pages;
-  size_t logged_pages;           /* n_pages in the last log line */
-  LcRegistration *registrations; /* parsed from the pages read since the last request */
+  size_t logged_pages;           /* number of pages in the last log line */
+  LcRegistration *registrations; /* endpoints parsed from the pages of the current list */
   size_t n_registrations;
   size_t capacity;
 };
--- a/packages/node/src/endpoints/ln-leaving.c
+++ b/packages/node/src/endpoints/ln-leaving.c
@@ -23,7 +23,7 @@
 struct LnLeaving
 {
   LnTask *task;
-  AnnouncedEndpoint *announced; /* hash table by endpoint name */
+  AnnouncedEndpoint *announced; /* incarnations already announced, keyed by endpoint name */
 };
 
 LnLeaving *
--- a/packages/node/src/front/ln-caller.h
+++ b/packages/node/src/front/ln-caller.h
@@ -42,7 +42,7 @@
   size_t header_bytes;
   size_t body_bytes;
   LbErrorCode refusal;        /* error to reply with before closing the connection; LB_OK: none */
-  bool is_closed_after_reply; /* closed after the reply to the current request */
+  bool is_closed_after_reply; /* the connection is closed after the reply to the current request */
   bool is_flushed_at_close;   /* the connection is closed only after sending pending output */
   char ip[64];
   char *raw_query;           /* query string of the request being read; NULL: none */
--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -125,7 +125,7 @@
 typedef struct
 {
   LnRowCache *cache;
-  char *items; /* array of n_items items */
+  char *items; /* array of the n_items parsed rows */
   size_t item_size;
   size_t n_items;
   size_t capacity;
--- a/packages/node/src/membership/ln-fleet.c
+++ b/packages/node/src/membership/ln-fleet.c
@@ -33,7 +33,7 @@
   LcFleetRow own_row;
   LnFleetRenewal *renewal; /* renews own_row */
   LnFleetLists *lists;
-  bool has_duty[LN_N_DUTIES]; /* indexed by LnDuty */
+  bool has_duty[LN_N_DUTIES]; /* duties that this instance has, indexed by LnDuty */
 } Fleet;
 
 static void
@@ -123,7 +123,7 @@
 }
 
 static void
-on_lists_changed (void *user)
+on_instance_lists_changed (void *user)
 {
   post_members (user);
   post_fleet_to_config (user);
@@ -336,7 +336,7 @@
 }
 
 static void
-update_duty (Fleet *task, const LnDutyMessage *message, LbTime now)
+record_duty_change (Fleet *task, const LnDutyMessage *message, LbTime now)
 {
   task->has_duty[message->duty] = message->held;
   ln_fleet_renewal_set_duty (task->renewal, has_any_duty (task), now);
@@ -353,7 +353,7 @@
       handle_http_exchange (task, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_DUTY:
-      update_duty (task, (const LnDutyMessage *)message, lb_clock_monotonic ());
+      record_duty_change (task, (const LnDutyMessage *)message, lb_clock_monotonic ());
       break;
     case LN_CATALOG_FOLLOWED:
       ln_fleet_lists_set_catalog_followed (task->lists,
@@ -419,7 +419,8 @@
   task->own_row.strength = lc_duty_machine_strength (context->settings->instance.processor_share,
                                                      context->settings->instance.link_mbps);
   task->renewal = ln_fleet_renewal_new (context->platform, &task->own_row);
-  task->lists = ln_fleet_lists_new (context->platform, context->instance, on_lists_changed, task);
+  task->lists
+      = ln_fleet_lists_new (context->platform, context->instance, on_instance_lists_changed, task);
   task->tick = (LnPeriodicCall){ .period = TICK_PERIOD, .callback = on_fleet_tick, .user = task };
   ln_ticker_add (ln_context_ticker (context), &task->tick);
   return &task->task;
--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -47,8 +47,8 @@
   /* Number of orders that the engine accepted since its start; -1: unknown, must be queried before
    * the next order. */
   int64_t orders_accepted;
-  LcVersion version;         /* of the loaded weights, as last reported; 0: unknown */
-  LcVersion ordered_version; /* in the order in progress; 0: no order */
+  LcVersion version;         /* version of the loaded weights, as last reported; 0: unknown */
+  LcVersion ordered_version; /* version in the order in progress; 0: no order */
   LbTime ordered_at;
   LbTime next_query_at;
   LbTime query_sent_at; /* when the query in progress was sent */
