--- a/packages/node/src/calls/ln-calls-attempts.c
+++ b/packages/node/src/calls/ln-calls-attempts.c
@@ -48,7 +48,7 @@
   LN_POST (calls->task.hub, ln_hub_find_task (calls->task.hub, "rollouts"), message);
 }
 
-/* Records the weight version that an engine reports in its events, which is more reliable than the
+/* Records the weight version that an engine reports in its events. It is more reliable than the
  * endpoint list, which lags behind, and the weight plan, which may be wrong. */
 static void
 record_reported_version (LnCalls *calls,
--- a/packages/node/src/membership/ln-peers-frames.c
+++ b/packages/node/src/membership/ln-peers-frames.c
@@ -15,7 +15,8 @@
                                                   NULL,
                                                   "Frames dropped before they were sent");
 
-/* Closes the connection if the frame can't be sent: a peer that does not read counts as silent. */
+/* Closes the connection if the frame can't be sent: a peer that does not read is treated like one
+ * that sends nothing. */
 static void
 send_frame (LnPeers *peers, LnPeerConnection *connection, const uint8_t *frame, size_t length)
 {
--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -189,8 +189,9 @@
     }
   engine->is_configured = true;
   LB_COPY (engine->address, member->address);
-  /* The version of the previous model's weights says nothing about the new model: requests would be
-   * sent to weights that the engine does not have, and the generated texts discarded as stale. */
+  /* The version belongs to the previous model's weights. If it were kept, requests would be sent to
+   * weights of the new model that the engine does not have, and the generated texts discarded as
+   * stale. */
   if (strcmp (engine->model, member->pool) != 0)
     {
       engine->ordered_version = 0;
