--- a/packages/node/include/ln-dialect.h
+++ b/packages/node/include/ln-dialect.h
@@ -19,8 +19,8 @@
   LN_INBOUND_READINESS,    /* asks whether this instance accepts callers */
   LN_INBOUND_RESULTS,      /* reads results of a batch */
   LN_INBOUND_ITEM,         /* reads the request body of a batch item */
-  LN_INBOUND_DELETE_BATCH, /* ends a batch */
-  LN_INBOUND_ROUTED        /* other requests; the route selects the service */
+  LN_INBOUND_DELETE_BATCH, /* ends a batch that its caller no longer needs */
+  LN_INBOUND_ROUTED        /* any other request; the platform's route selects the service */
 } LnInboundKind;
 
 /* A parsed request of a caller. The pointers are valid until the exchange is freed. */
@@ -49,7 +49,7 @@
   const char *endpoint;     /* name of the only endpoint that may run the request */
   int64_t resume_at;        /* number of stream events already received; 0: not resumed */
   const char *organisation; /* the caller's organisation; NULL or "": unknown */
-  bool is_sample;           /* the request generates or scores text; then its id is sent */
+  bool is_sample;           /* the request generates or scores text; if so, its id is sent */
 } LnAttemptHeaders;
 
 /* What an endpoint's reply says about the request. */
@@ -90,7 +90,7 @@
 {
   LN_ORDER_ACCEPTED,
   LN_ORDER_ALREADY_DONE, /* the engine already has the weight version */
-  LN_ORDER_BUSY,         /* another order is in progress, or orders_before is outdated */
+  LN_ORDER_BUSY,         /* another order is in progress, or orders_before differs */
   LN_ORDER_STALE_FENCE,  /* the engine has seen a higher fencing number */
   LN_ORDER_REFUSED       /* the engine refused the order for another reason */
 } LnOrderOutcome;
@@ -116,7 +116,7 @@
   int64_t orders_before;
 } LnWeightsOrder;
 
-/* Selects the state to read: of which engine process, and of which model. */
+/* Selects the engine process and the model whose state is read. */
 typedef struct
 {
   const char *endpoint;
@@ -178,8 +178,8 @@
   void (*read_inbound) (const LnExchange *exchange, LnInbound *inbound);
   bool (*read_batch) (
       const char *body, size_t length, const char *id, LcBatchSpec *spec, LbError *error);
-  /* Returns a page with as many results as fit. total: number of items in the batch; position:
-   * index of results[0] in the batch. */
+  /* Returns a page with as many of the results as fit into its size limit, at least one. total:
+   * number of items in the batch; position: index of results[0] in the batch. */
   char *(*write_results) (int64_t total,
                           int64_t position,
                           const LcBatchResult *results,
--- a/packages/node/src/batch/ln-batch-heads.c
+++ b/packages/node/src/batch/ln-batch-heads.c
@@ -22,7 +22,7 @@
  * batch must learn of the batch's end within 3 s even over such a connection. */
 #define WATCH_TIMEOUT (800 * LB_MSEC)
 #define WATCH_RETRY_DELAY (150 * LB_MSEC)
-#define OFFER_TIMEOUT (300 * LB_MSEC) /* longer than several round trips to the store */
+#define OFFER_TIMEOUT (300 * LB_MSEC) /* time to accept; longer than several store round trips */
 /* An owner that is missing from the member list is presumed alive this long: it may just have got
  * its first duty, and its member row is written, listed and published within this time. */
 #define UNKNOWN_OWNER_GRACE (2500 * LB_MSEC)
@@ -274,7 +274,9 @@
 /* Whether no earlier batch in the hash table has the same model and is assigned to the instance. So
  * a model with several batches is counted once. */
 static bool
-is_first_assigned_of_model (const LnBatches *batches, const LnBatch *batch, const char *instance)
+is_first_batch_of_model_on_instance (const LnBatches *batches,
+                                     const LnBatch *batch,
+                                     const char *instance)
 {
   for (const LnBatch *other = batches->by_id; other != batch; other = other->hh.next)
     if (is_open_and_assigned_to (other, instance)
@@ -290,7 +292,7 @@
 
   for (const LnBatch *batch = batches->by_id; batch; batch = batch->hh.next)
     n += is_open_and_assigned_to (batch, instance)
-         && is_first_assigned_of_model (batches, batch, instance);
+         && is_first_batch_of_model_on_instance (batches, batch, instance);
   return n;
 }
 
@@ -390,11 +392,11 @@
   write_batch_row (batch, &head, NULL, 0, on_claim_written);
 }
 
-/* Claims a batch that the preferred instance did not accept in time, rather than running it in the
- * old epoch. If the watch shows an accepted offer late, the claim fails; a run would generate each
- * text twice and could record no result. If the preferred instance is cut off from the store and
- * sees the offer late, the new epoch has ended the offer; a takeover during the run would lose all
- * texts since the last checkpoint. */
+/* Claims a batch that the preferred instance did not accept in time, instead of running it in the
+ * old epoch. If that instance did accept and the watch shows this late, the claim fails, whereas a
+ * run would generate each text twice and could record no result. If that instance is cut off from
+ * the store and sees the offer late, the new epoch has ended the offer; otherwise its takeover
+ * during the run would lose all texts since the last checkpoint. */
 static void
 claim_after_offer_expired (LnBatch *batch)
 {
--- a/packages/node/src/batch/ln-batches-private.h
+++ b/packages/node/src/batch/ln-batches-private.h
@@ -31,11 +31,11 @@
 typedef enum
 {
   LN_BATCH_NOT_OWNED, /* another instance or no instance owns the batch */
-  LN_BATCH_CLAIMING,  /* a write of the row with this instance as the owner is in progress */
+  LN_BATCH_CLAIMING,  /* this instance is writing the row with itself as the owner */
   LN_BATCH_OFFERED,   /* this instance owns the batch until the preferred instance claims it */
   LN_BATCH_LOADING,   /* this instance owns the batch and reads its content and saved progress */
   LN_BATCH_RUNNING,   /* this instance owns the batch and generates its texts */
-  LN_BATCH_RELEASING  /* a write of the row without an owner is in progress */
+  LN_BATCH_RELEASING  /* this instance is writing the row without an owner */
 } LnBatchState;
 
 typedef enum
@@ -66,11 +66,11 @@
   LnBatchState state;
   LcBatch *run; /* state machine of the batch while RUNNING; else NULL */
   LbTime first_seen_at;
-  /* Cached state of the batch's owner, computed from the member list and the row version that the
+  /* Cached state of the batch's owner. It is valid for the member list and the row version that the
    * next two members identify. */
   LnOwnerState owner_state;
-  int64_t owner_members_change; /* value of LnBatches.members_change_count for owner_state */
-  int64_t owner_row_version;    /* version of the batch's row for owner_state */
+  int64_t owner_members_change; /* members_change_count when owner_state was computed */
+  int64_t owner_row_version;    /* version of the batch's row when owner_state was computed */
   LbTime version_seen_at;       /* when this instance first saw the current version of the row */
   LbTime owner_gone_since;      /* when the owner was first found not alive; 0 if it is alive */
   LbTime load_retry_at;         /* while LOADING: when to retry a failed load */
@@ -101,7 +101,7 @@
 
 struct LnBatches
 {
-  LnTask task; /* must be first */
+  LnTask task; /* must be the first member */
   LnContext *context;
   LnPeriodicCall tick;
   LnAdmissionState admission_state; /* routes and organisations for the admission of callers */
@@ -114,11 +114,11 @@
   LnBatchRequest *requests;               /* hash table of the requests in flight */
   LbList calls;                           /* list of the LnBatchCall in progress */
   LpFollow *row_watch;                    /* watch of the rows of all batches */
-  bool owns_any;                          /* last published value: this instance owns a batch */
+  bool owns_any;                          /* last value posted: this instance owns a batch */
   bool draining;                          /* set while this instance shuts down */
 };
 
-/* Defined in ln-batches.c. */
+/* Defined in ln-batches.c, which holds the batches that this instance knows. */
 /* Tells the other tasks whether this instance owns any batch, if the value has changed. */
 void ln_batches_publish_ownership (LnBatches *batches, bool owns_any);
 LnBatch *ln_batches_find (LnBatches *batches, const char *id);
--- a/packages/node/src/calls/ln-upstream.c
+++ b/packages/node/src/calls/ln-upstream.c
@@ -24,7 +24,7 @@
   uint32_t attempt;
   LbName endpoint;
   LbName address;
-  char *stream_id; /* NULL: plain service, or with a dialect */
+  char *stream_id; /* id of an engine's stream; NULL: plain service, or with a dialect */
   LhPool *pool;
   LhFetch *fetch;
   LnUpstreamHandlers handlers;
@@ -39,7 +39,7 @@
   LnStreamReader *reader;   /* with a dialect: parses the engine's stream; NULL: no stream */
   LcVersion version;        /* weight version of the stream's last event; 0: unknown */
   bool is_head;             /* the method is HEAD, whose reply has no body */
-  bool has_end_marker;      /* [DONE] was received */
+  bool has_end_marker;      /* the event [DONE], the end of an engine's stream, was received */
   bool is_invalid; /* invalid data or another request's answer was received; the rest is ignored */
   bool is_parsing; /* the parser is running, so a cancel only sets is_cancelled and frees nothing */
   bool is_cancelled;
@@ -98,7 +98,7 @@
 }
 
 static bool
-handle_engine_event (LnUpstream *upstream, struct json_object *event)
+report_engine_event (LnUpstream *upstream, struct json_object *event)
 {
   struct json_object *finish_reason = NULL;
   struct json_object *choice = get_first_choice (event);
@@ -132,7 +132,7 @@
       return;
     }
   event = lb_settings_parse (data, length, "event", &error);
-  if (!event || !handle_engine_event (upstream, event))
+  if (!event || !report_engine_event (upstream, event))
     {
       upstream->is_invalid = true;
       lb_metric_add (&streams_aborted, 1);
--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -22,8 +22,10 @@
 #define PUBLISHER_DUTY TABLE
 #define ENDPOINT_PREFIX "e:"
 #define INSTANCE_PREFIX "i:"
-#define BOUND_PREFIX "b:"             /* followed by a service; value: last endpoint key to list */
-#define WATCH_TIMEOUT (700 * LB_MSEC) /* also bounds how long a dead connection goes unnoticed */
+/* Key prefix of a service's row; the row contains the last endpoint key that instances list. */
+#define BOUND_PREFIX "b:"
+/* Duration of one watch request, which also bounds how long a dead connection goes unnoticed. */
+#define WATCH_TIMEOUT (700 * LB_MSEC)
 #define WATCH_RETRY_DELAY (100 * LB_MSEC)
 /* A write that takes longer than this is superseded by the next listing. */
 #define WRITE_TIMEOUT (500 * LB_MSEC)
@@ -78,7 +80,7 @@
 }
 
 static void
-on_snapshot_begin (void *user)
+on_catalog_snapshot_begin (void *user)
 {
   lc_catalog_begin_snapshot (((LnCatalog *)user)->catalog);
 }
@@ -123,7 +125,7 @@
 typedef struct
 {
   LnRowCache *cache;
-  char *items; /* array of n_items items */
+  char *items; /* array of the n_items parsed rows */
   size_t item_size;
   size_t n_items;
   size_t capacity;
@@ -231,7 +233,7 @@
                                       .n_prefixes = 1,
                                       .watch_timeout = WATCH_TIMEOUT,
                                       .retry_delay = WATCH_RETRY_DELAY,
-                                      .on_snapshot_begin = on_snapshot_begin };
+                                      .on_snapshot_begin = on_catalog_snapshot_begin };
   LnCatalog *catalog = LB_NEW (LnCatalog);
 
   catalog->context = context;
@@ -319,7 +321,7 @@
 typedef struct
 {
   LnCatalog *catalog;
-  int64_t expected_version; /* of the publisher's row, on which the write is conditional */
+  int64_t expected_version; /* version of the publisher's row that the write requires */
 } PendingWrite;
 
 static void
@@ -438,8 +440,8 @@
   catalog->draining = true;
 }
 
-/* Sets the list of the instances when this instance becomes a candidate, since changes of the
- * members set it only on candidates. */
+/* A new candidate also sets the list of instances to publish: while it was no candidate, changes of
+ * the members did not update that list. */
 static void
 set_takeover_rank (LnCatalog *catalog, int rank)
 {
--- a/packages/node/src/store/ln-unwritten-rows.c
+++ b/packages/node/src/store/ln-unwritten-rows.c
@@ -16,8 +16,10 @@
   LbLink link;
   LnUnwrittenRows *owner;
   char *key;
-  char *text;  /* text to write; NULL: deletes the row */
-  char *token; /* idempotency token; contains the key, as other writers use the same numbers */
+  char *text; /* text to write; NULL: deletes the row */
+  /* Idempotency token of the write. Contains the key, since each LnUnwrittenRows numbers its writes
+   * from 1. */
+  char *token;
   bool is_in_flight;
 } Row;
 
@@ -77,7 +79,7 @@
 }
 
 static void
-send_row (Row *row)
+send_row_write (Row *row)
 {
   LpPlatform *platform = row->owner->platform;
   const LpPut put = { .key = row->key, .value = row->text };
@@ -114,7 +116,7 @@
   row->token
       = lb_asprintf ("%s#%s-%llu", key, rows->incarnation, (unsigned long long)++rows->n_writes);
   lb_list_append (&rows->rows, &row->link);
-  send_row (row);
+  send_row_write (row);
 }
 
 void
@@ -123,6 +125,6 @@
   LB_LIST_FOREACH (&rows->rows, Row, link, row)
   {
     if (!row->is_in_flight)
-      send_row (row);
+      send_row_write (row);
   }
 }
--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -28,7 +28,7 @@
 
 typedef struct Engine Engine;
 
-/* The roll-out of one model. */
+/* State of the roll-out of one model's weights. */
 typedef struct
 {
   LbLink link;
@@ -44,9 +44,11 @@
   LnWeightOrders *orders;
   LbName address;
   LbName model;
-  int64_t orders_accepted; /* since the engine's start; -1: unknown, query before the next order */
-  LcVersion version;       /* of the loaded weights, as last reported; 0: unknown */
-  LcVersion ordered_version; /* in the order in progress; 0: no order */
+  /* Number of orders that the engine accepted since its start; -1: unknown, must be queried before
+   * the next order. */
+  int64_t orders_accepted;
+  LcVersion version;         /* version of the loaded weights, as last reported; 0: unknown */
+  LcVersion ordered_version; /* version in the order in progress; 0: no order */
   LbTime ordered_at;
   LbTime next_query_at;
   LbTime query_sent_at; /* when the query in progress was sent */
@@ -187,8 +189,9 @@
     }
   engine->is_configured = true;
   LB_COPY (engine->address, member->address);
-  /* The version of the previous model's weights says nothing about the new model: requests would be
-   * sent to weights that the engine does not have, and the generated texts discarded as stale. */
+  /* The version belongs to the previous model's weights. If it were kept, requests would be sent to
+   * weights of the new model that the engine does not have, and the generated texts discarded as
+   * stale. */
   if (strcmp (engine->model, member->pool) != 0)
     {
       engine->ordered_version = 0;
@@ -247,11 +250,11 @@
   engine->orders->on_engine (&entry, engine->orders->user);
 }
 
-/* Applies the version that the engine reported when asked at requested_at. An order counts as in
+/* Records the version that the engine reported when asked at requested_at. An order counts as in
  * progress until the engine has the ordered version, or until LOAD_TIMEOUT, after which it must
  * have failed. */
 static void
-apply_engine_version (Engine *engine, LcVersion version, LbTime requested_at, LbTime now)
+record_engine_version (Engine *engine, LcVersion version, LbTime requested_at, LbTime now)
 {
   Model *model = find_model (engine->orders, engine->model);
   LcWeightReport report = { .version = version, .requested_at = requested_at };
@@ -286,22 +289,22 @@
       LcVersion version = lc_roster_registered_weight_version (roster, i);
       /* The endpoint list lags behind the version that the engine itself reported. */
       if (engine && engine->orders_accepted >= 0)
-        apply_engine_version (engine, version > engine->version ? version : engine->version,
-                              requested_at, now);
+        record_engine_version (engine, version > engine->version ? version : engine->version,
+                               requested_at, now);
     }
 }
 
 static void order_loads (LnWeightOrders *orders, LbTime now);
 
-/* Applies the version read from the engine. When a load has ended, orders the next load at once:
+/* Records the version read from the engine. When a load has ended, orders the next load at once:
  * the next tick may be 25 ms away. */
 static void
-handle_queried_version (Engine *engine, LcVersion version, LbTime now)
+record_queried_version (Engine *engine, LcVersion version, LbTime now)
 {
   LnWeightOrders *orders = engine->orders;
   LcVersion ordered_version = engine->ordered_version;
 
-  apply_engine_version (engine, version, engine->query_sent_at, now);
+  record_engine_version (engine, version, engine->query_sent_at, now);
   if (engine->ordered_version != 0)
     {
       engine->next_query_at = now + lc_load_time_poll_interval (&orders->load_time);
@@ -340,7 +343,7 @@
       return;
     }
   engine->orders_accepted = state.orders_accepted;
-  handle_queried_version (engine, state.version, now);
+  record_queried_version (engine, state.version, now);
 }
 
 static void
@@ -495,8 +498,8 @@
   free (candidates);
 }
 
-/* Returns true if the engine itself is queried. The endpoint list lags by a second or more, so an
- * engine in a swap (one that loads other weights) is queried. An engine whose count of accepted
+/* Returns true if the engine itself must be queried. The endpoint list lags by a second or more, so
+ * an engine in a swap (one that loads other weights) is queried. An engine whose count of accepted
  * orders is not known is queried too, since each order states the count before it. */
 static bool
 needs_state_query (const Engine *engine)
