--- a/packages/sim/include/lx-audit.h
+++ b/packages/sim/include/lx-audit.h
@@ -12,7 +12,7 @@
 {
   LX_VIOLATION_LOST,              /* a step was reported complete although samples are missing */
   LX_VIOLATION_DOUBLED,           /* a trainer received the same sample twice */
-  LX_VIOLATION_STALE,             /* by the engines' record, a sample was too stale at delivery */
+  LX_VIOLATION_STALE,             /* a delivered sample was too stale by the engines' record */
   LX_VIOLATION_MISLABELLED,       /* a sample's version label differs from the engines' record */
   LX_VIOLATION_NOT_WHOLE,         /* a complete answer has missing, duplicate or surplus tokens */
   LX_VIOLATION_RAN_AFTER_NOT_RUN, /* an endpoint started a request reported as "not run" */
@@ -73,7 +73,7 @@
 void lx_audit_init (LxAudit *audit);
 void lx_audit_clear (LxAudit *audit);
 
-/* Commands. Functions that add a job or a stream return the number of the new entry, from 1. */
+/* Functions that add a job or a stream return the number of the new entry, counted from 1. */
 void lx_audit_report_violation (
     LxAudit *audit, LxViolation violation, LbTime now, uint64_t event, const char *format, ...)
     __attribute__ ((format (printf, 5, 6)));
@@ -85,7 +85,7 @@
 /* Returns the entry of LxAudit.steps at index `step`; adds missing entries. */
 LxStepTokens *lx_audit_ensure_step_tokens (LxAudit *audit, uint64_t step);
 
-/* queries */
+/* --- functions that only read the audit --- */
 LxJob *lx_audit_get_job (LxAudit *audit, uint64_t job);
 int64_t lx_audit_count_violations (const LxAudit *audit);
 /* Computes the correct version label of a text from the engines' record. */
--- a/packages/sim/include/lx-callers.h
+++ b/packages/sim/include/lx-callers.h
@@ -63,7 +63,7 @@
 void lx_callers_init (LxCallers *callers, struct LxWorld *world);
 void lx_callers_clear (LxCallers *callers);
 
-/* commands */
+/* --- functions that send calls and answers --- */
 void lx_callers_start (LxCallers *callers);
 /* Sends a call that a trace requests. */
 void lx_callers_submit_call (LxCallers *callers, const LxCallSpec *spec);
@@ -71,7 +71,7 @@
 lx_callers_send_piece (LxCallers *callers, LxCall *call, uint64_t stream, const LcPiece *piece);
 void lx_callers_send_result (LxCallers *callers, LxCall *call, LbErrorCode error);
 
-/* queries */
+/* --- functions that evaluate the answers --- */
 /* Returns the latency of answered model calls at this quantile, 0..1; 0 if there are none. Sorts
  * latencies_ms. */
 double lx_callers_latency_percentile_ms (LxCallers *callers, double quantile);
--- a/packages/sim/include/lx-engine.h
+++ b/packages/sim/include/lx-engine.h
@@ -47,7 +47,7 @@
   void (*on_end) (void *user, LxEngine *engine, const LxStream *stream, LcAttemptEnd end);
   /* reports all generated tokens, including tokens that are never sent */
   void (*on_generated) (void *user, LxEngine *engine, const LxStream *stream, int64_t tokens);
-  /* from now on the open connection of the stream carries nothing */
+  /* the endpoint sends nothing more on the stream, but keeps its connection open */
   void (*on_silenced) (void *user, LxEngine *engine, const LxStream *stream);
   void *user;
 } LxEngineListener;
@@ -60,7 +60,7 @@
   double prefill_token_seconds;   /* time per prompt token that is not in the prefix cache */
   size_t max_cached_blocks;       /* capacity of the prefix cache in blocks */
   LbTime load_time;  /* time to load a weight version while the previous version serves */
-  LbTime pause_time; /* time without generation, to switch to the loaded version */
+  LbTime pause_time; /* time to switch to the loaded version, without generation */
 } LxEngineTimes;
 
 typedef struct
@@ -90,7 +90,7 @@
   LxEngineTimes times;
   LxQueue *queue;
   LxEngineListener listener;
-  /* state */
+  /* state that changes during the run */
   uint32_t incarnation;
   bool alive;
   bool leaving;
@@ -104,9 +104,9 @@
   int64_t fence;
   LbList running;
   LbList waiting;
-  double token_clock;    /* tokens that a stream would have generated if it had always run */
+  double token_clock;    /* tokens that a stream running since the start would have generated */
   LbTime token_clock_at; /* time of the last update of token_clock */
-  uint64_t timer_number; /* timer events with any other number are ignored */
+  uint64_t timer_number; /* number of the current piece timer; older timers are ignored */
   /* prefix cache */
   LxCachedBlock cached_blocks[LX_MAX_CACHED_BLOCKS];
   size_t n_cached_blocks;
@@ -122,7 +122,7 @@
 LxEngine *lx_engine_new (const char *name, LxQueue *queue, const LxEngineTimes *times);
 void lx_engine_free (LxEngine *engine);
 
-/* commands */
+/* --- functions that change the endpoint --- */
 /* Returns false if the endpoint refuses the stream because it is leaving or has no weights. */
 bool lx_engine_submit_stream (LxEngine *engine, const LxStreamSpec *spec);
 /* Ends a stream whose connection the client has closed. */
@@ -137,7 +137,7 @@
  * sends nothing more on them. */
 void lx_engine_break_streams (LxEngine *engine, bool silent);
 
-/* queries */
+/* --- functions that only read the endpoint --- */
 void lx_engine_get_load_report (const LxEngine *engine, LcLoadReport *report);
 size_t lx_engine_count_streams (const LxEngine *engine);
 
--- a/packages/sim/include/lx-faults.h
+++ b/packages/sim/include/lx-faults.h
@@ -9,8 +9,8 @@
 {
   LX_FAULT_ENGINE_CRASH,
   LX_FAULT_STREAMS_BREAK,   /* all connections of an endpoint are closed */
-  LX_FAULT_STREAMS_SILENT,  /* all connections of an endpoint stay open, but carry nothing */
-  LX_FAULT_PIECES_GARBLED,  /* pieces are duplicated or late, messages also lost, for a while */
+  LX_FAULT_STREAMS_SILENT,  /* an endpoint sends nothing on its open connections */
+  LX_FAULT_PIECES_GARBLED,  /* for a while, pieces are late or doubled; messages may get lost */
   LX_FAULT_VERSION_MISSING, /* some pieces lack their weight version for a while */
   LX_FAULT_SWAP_FAILS,      /* the next weight switch leaves an engine without weights */
   LX_FAULT_ENDPOINT_LEAVES, /* an endpoint refuses work, completes its streams, restarts */
@@ -31,7 +31,7 @@
   uint32_t enabled_kinds; /* bit i: LxFault i is injected; 0: no faults */
   LbTime mean_interval;   /* mean time between injections */
   uint64_t n_injections;
-  const uint8_t *skipped; /* nonzero at i: injection number i is skipped; NULL: none is */
+  const uint8_t *skipped; /* nonzero at i: injection number i is skipped; NULL: no injection */
   size_t n_skipped;
   LbTime garbled_until;
   LbTime versions_missing_until;
@@ -39,7 +39,7 @@
 
 void lx_faults_init (LxFaults *faults, struct LxWorld *world);
 
-/* commands */
+/* --- functions that inject faults --- */
 void lx_faults_start (LxFaults *faults);
 /* Injects a fault into the named endpoint or instance. `duration` applies only to faults that end
  * by themselves. Returns false if the name is unknown. */
@@ -50,7 +50,7 @@
                        size_t trainer,
                        LbTime duration);
 
-/* queries */
+/* --- functions without side effects --- */
 const char *lx_fault_name (LxFault fault);
 /* Returns true for this share, 0..1, of the simulation events. The result depends only on the seed
  * and the number of the current event. */
--- a/packages/sim/include/lx-instance.h
+++ b/packages/sim/include/lx-instance.h
@@ -87,7 +87,7 @@
 void lx_instance_init (LxInstance *instance, struct LxWorld *world, size_t index);
 void lx_instance_clear (LxInstance *instance);
 
-/* commands */
+/* --- functions that change the instance or send it messages --- */
 void lx_instance_start (LxInstance *instance);
 /* Ends the process without a drain; all connections of the process break. */
 void lx_instance_kill (LxInstance *instance);
--- a/packages/sim/include/lx-options.h
+++ b/packages/sim/include/lx-options.h
@@ -19,7 +19,7 @@
   size_t n_trainers;
   int64_t groups_per_step;
   int64_t samples_per_group;
-  int64_t min_sample_tokens; /* other samples: up to 3 times as long; stragglers: 10 to 30 times */
+  int64_t min_sample_tokens; /* most samples: 1 to 3 times as long; stragglers: 10 to 30 times */
   LbTime train_time;         /* time that a trainer trains on one step */
   LbTime version_interval;   /* time between new weight versions */
   double calls_per_second;
@@ -28,9 +28,9 @@
    * prompt, every second sample is a straggler. */
   double hard_share;
   double hedge_budget; /* share of a step's tokens that hedges may waste */
-  double idle_weight;  /* 0 (only staleness counts) to 1 (only idle time); < 0: from preset */
-  LbTime hedge_after;  /* a repeatable live call without a piece is hedged after this; 0: never */
-  bool is_scripted;    /* no random events: a trace causes all but polls and weight swaps */
+  double idle_weight;  /* weight of idle time against staleness, 0..1; negative: site's preset */
+  LbTime hedge_after;  /* hedge repeatable live calls without a piece after this time; 0: never */
+  bool is_scripted;    /* a trace causes all events but polls and weight swaps; none is random */
   bool explain;        /* print one line per step on standard error */
   /* options of soak runs, which inject faults */
   uint32_t fault_kinds; /* bit i: LxFault i is injected */
@@ -46,7 +46,7 @@
  * mechanisms, such as "random+hedging". Returns false if a name is unknown. */
 bool lx_options_set_policy (LxOptions *options, const char *policy);
 
-/* Returns a NULL-terminated array. */
+/* Returns the mechanism names that lx_options_set_policy accepts, as a NULL-terminated array. */
 const char *const *lx_rollout_mechanism_names (void);
 
 #endif
--- a/packages/sim/include/lx-registry.h
+++ b/packages/sim/include/lx-registry.h
@@ -18,14 +18,14 @@
   LbTime accepted_at[LX_MAX_REVISIONS];     /* by revision: time of the commit */
   LbTime first_active_at[LX_MAX_REVISIONS]; /* by revision; 0: not active on any instance yet */
   int64_t n_accepted;
-  int64_t n_conflicts; /* number of changes refused because another was accepted first */
+  int64_t n_conflicts; /* number of changes refused because another change came first */
 } LxRegistry;
 
 /* Takes ownership of the initial set. */
 void lx_registry_init (LxRegistry *registry, struct LxWorld *world, LcResourceSet *set);
 void lx_registry_clear (LxRegistry *registry);
 
-/* commands */
+/* --- functions that start checks and change the configuration --- */
 void lx_registry_start (LxRegistry *registry);
 /* Submits a change of the pool's live reserve at this instance. */
 void
@@ -35,7 +35,7 @@
 LcResourceSet *
 lx_registry_commit_change (LxRegistry *registry, int64_t revision, struct json_object *change);
 
-/* queries */
+/* --- functions that only read the registry --- */
 /* Returns the newest revision that every instance with access to the store must have activated by
  * `now`. */
 int64_t lx_registry_get_required_revision (const LxRegistry *registry, LbTime now);
--- a/packages/sim/include/lx-store.h
+++ b/packages/sim/include/lx-store.h
@@ -37,7 +37,7 @@
 void lx_store_init (LxStore *store);
 void lx_store_clear (LxStore *store);
 
-/* commands */
+/* --- functions that change rows --- */
 /* Writes the value if `session` is the current session of the row; otherwise returns
  * LB_ERROR_STALE_SESSION. Only LX_WRITE_APPLIED and LX_WRITE_REPLY_LOST change the row. */
 LbErrorCode lx_store_write_row (
@@ -45,7 +45,7 @@
 /* Starts a new session of the row and returns the session's number. */
 uint64_t lx_store_begin_session (LxStore *store, const char *key);
 
-/* queries */
+/* --- functions that only read rows --- */
 /* Returns the value; "" if the row does not exist. */
 const char *lx_store_get_value (const LxStore *store, const char *key);
 
--- a/packages/sim/include/lx-trace.h
+++ b/packages/sim/include/lx-trace.h
@@ -8,7 +8,7 @@
 typedef enum
 {
   LX_EVENT_NONE,
-  LX_EVENT_STEPS,   /* a trainer runs `count` steps, requesting each one step ahead */
+  LX_EVENT_STEPS,   /* a trainer runs `count` steps and requests each during the previous one */
   LX_EVENT_CALL,    /* a live call of the pool's model */
   LX_EVENT_SERVICE, /* a call of the service */
   LX_EVENT_VERSION, /* a new weight version is published */
--- a/packages/sim/include/lx-trainer.h
+++ b/packages/sim/include/lx-trainer.h
@@ -33,12 +33,12 @@
   int64_t n_received;
   LbTime step_requested_at;
   LbTime last_sample_at;
-  uint64_t last_stream; /* of the received samples' streams, the last one to end */
+  uint64_t last_stream; /* stream that ended last among those of the received samples */
   LbTime last_stream_ended_at;
   /* measurements that exclude the first step */
   int64_t steps;
   LbTime idle_time;
-  LbTime idle_floor; /* idle time if the longest samples had run alone from the start */
+  LbTime idle_floor; /* lower bound of idle_time for any policy */
   int64_t samples;
   int64_t staleness_sum;
   int64_t staleness_max;
@@ -77,7 +77,7 @@
 LxChunk *lx_chunk_new (const LcRolloutAction *action);
 void lx_chunk_free (void *chunk);
 
-/* commands */
+/* --- functions that change the trainer --- */
 /* Starts the first step; the trainer stops after max_steps steps; 0: no limit. */
 void lx_trainer_start (LxTrainer *trainer, int64_t max_steps);
 /* Takes ownership of the chunk. */
@@ -89,7 +89,7 @@
 /* Makes the trainer continue its step at another instance, which takes over the step. */
 void lx_trainer_change_owner (LxTrainer *trainer, size_t owner);
 
-/* queries */
+/* --- functions that only read the state --- */
 /* Returns the time when the trainer received the last sample of the step; 0: not yet. */
 LbTime lx_trainer_step_finished_at (const LxTrainer *trainer, int64_t step);
 /* Returns the length of a sample in tokens. */
--- a/packages/sim/include/lx-world.h
+++ b/packages/sim/include/lx-world.h
@@ -21,7 +21,7 @@
 {
   LxOptions options;
   LxQueue *queue;
-  gsl_rng *random; /* random numbers of the simulation; core uses its own */
+  gsl_rng *random; /* random generator of the simulation; core has its own */
   LxAudit audit;
   LxRegistry registry;
   LxEngine **engines; /* all endpoints: model engines first, then services */
@@ -45,7 +45,7 @@
 LxWorld *lx_world_new (const LxOptions *options);
 void lx_world_free (LxWorld *world);
 
-/* commands */
+/* --- functions that run the simulation or record events --- */
 /* Starts all parts of the simulation; called by lx_world_run. */
 void lx_world_start (LxWorld *world);
 /* Starts the simulation and runs it until the duration, the number of events or, with
@@ -62,7 +62,7 @@
                         void *argument,
                         void (*free_argument) (void *argument));
 
-/* queries */
+/* --- functions that only read the world --- */
 LbTime lx_world_now (const LxWorld *world);
 uint64_t lx_world_event_number (const LxWorld *world);
 /* Returns the one-way network latency between two data centres, which may be the same. */
--- a/packages/sim/src/lx-callers.c
+++ b/packages/sim/src/lx-callers.c
@@ -140,8 +140,8 @@
 static void
 fill_model_request_spec (LxCallers *callers, LcRequestSpec *spec)
 {
-  /* Squaring favours families with a low number, because on real sites a few callers (shops,
-   * sorting offices) send most calls. */
+  /* Squaring makes prefix families with a low number more frequent, because on real sites a few
+   * callers (shops, sorting offices) send most calls. */
   double draw = gsl_rng_uniform (callers->random);
   uint64_t family = (uint64_t)(N_PREFIX_FAMILIES * draw * draw);
 
--- a/packages/sim/src/lx-engine.c
+++ b/packages/sim/src/lx-engine.c
@@ -6,8 +6,8 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* Live calls have short pieces, for a low latency of each token. Samples have long pieces, for
- * fewer simulation events. */
+/* Numbers of tokens that are sent as one piece. Small pieces deliver the tokens of live calls with
+ * low latency; large pieces reduce the number of simulation events for samples. */
 enum
 {
   FIRST_PIECE_TOKENS = 1,
@@ -15,7 +15,7 @@
   SAMPLE_PIECE_TOKENS = 32
 };
 
-/* Tolerance for rounding errors of the token clock, in tokens. */
+/* Tolerance for rounding errors of LxEngine.token_clock, in tokens. */
 #define TOKEN_CLOCK_TOLERANCE 1e-6
 /* Added to the priority of a call, so that calls are queued before all samples. */
 #define CALL_PRIORITY_OFFSET 1000
--- a/packages/sim/src/lx-faults.c
+++ b/packages/sim/src/lx-faults.c
@@ -12,7 +12,8 @@
 #define MIN_TIME_BETWEEN_STORE_OUTAGES (30 * LB_SEC)
 #define LEAVING_ENDPOINT_RESTART_TIME (2 * LB_SEC)
 #define FIRST_ENDPOINT_LEAVE_CHECK_DELAY (5 * LB_SEC)
-#define MIN_SERVING_INSTANCES 3 /* faults stop an instance only while this many serve */
+/* An instance is killed or drained only while at least this many instances serve. */
+#define MIN_SERVING_INSTANCES 3
 
 static const char *const fault_names[LX_N_FAULTS]
     = { "engine-crash",    "streams-break",   "streams-silent",  "pieces-garbled",
@@ -275,14 +276,15 @@
   size_t trainer = draw_index (injection, world->options.n_trainers);
   LbTime duration = draw_duration (injection, 500 * LB_MSEC, 12 * LB_SEC);
 
-  /* Step owners have the most state to lose, so half of the injections hit a step owner. */
+  /* Half of the injections hit the owner of a step, because the owner has the most state to
+   * lose. */
   if (draw_fraction (injection) < 0.5)
     instance = &world->instances[world->trainers[trainer].owner];
   inject_instance_fault (world, fault, instance, trainer, duration);
 }
 
-/* Keeps a minimum time between store outages. No step can be taken over during an outage, so a run
- * with one outage after another would test nothing else. */
+/* Returns true if the fault is a store outage and the previous outage ended too recently. During an
+ * outage no step can be taken over, so a run of back-to-back outages would test nothing else. */
 static bool
 is_too_soon_after_store_outage (const LxWorld *world, LxFault fault)
 {
@@ -336,8 +338,8 @@
   if (injection.number < faults->n_skipped && faults->skipped[injection.number])
     return;
   inject_fault_at_random_target (&injection, fault);
-  /* Combines faults: with a probability of 0.2 injects the same fault again at a random target,
-   * with a probability of 0.2 injects a second random fault. */
+  /* With a probability of 0.2 injects the same fault again at a random target, with a further
+   * probability of 0.2 a second random fault, so that faults occur together. */
   if (second_fault_draw < 0.2)
     inject_fault_at_random_target (&injection, fault);
   else if (second_fault_draw < 0.4)
--- a/packages/sim/src/lx-instance-config.c
+++ b/packages/sim/src/lx-instance-config.c
@@ -87,7 +87,8 @@
     }
 }
 
-/* The result of reading the configuration's head row, in transit from the store. */
+/* The result of reading the head row, which holds the newest accepted configuration, in transit
+ * from the store to an instance. */
 typedef struct
 {
   bool failed;
@@ -133,8 +134,7 @@
   if (!head_read->failed && head_read->revision > lc_config_active_revision (instance->config))
     head_read->set = lc_resource_set_copy (world->registry.accepted);
   LbTime delay = head_read->failed ? STORE_TIMEOUT : STORE_ROUND_TRIP_TIME;
-  /* While LX_FAULT_REPLIES_LOST is active, the store is slow and its answer may be outdated on
-   * arrival. */
+  /* While LX_FAULT_REPLIES_LOST is active, the reply arrives late and may then be outdated. */
   if (current_time (instance) < world->store.replies_lost_until)
     delay += (LbTime)(gsl_rng_uniform (world->random)
                       * (double)(STORE_TIMEOUT - STORE_ROUND_TRIP_TIME));
--- a/packages/sim/src/lx-instance.c
+++ b/packages/sim/src/lx-instance.c
@@ -18,10 +18,11 @@
 #define DRAIN_CHECK_INTERVAL (200 * LB_MSEC)
 #define DRAIN_TIMEOUT (150 * LB_SEC)
 #define ENDPOINT_POLL_INTERVAL (500 * LB_MSEC)
-/* Time between the first endpoint polls of two successive instances. */
+/* Instance i polls the endpoints for the first time i times this delay after its start, so that the
+ * instances poll at different times. */
 #define FIRST_POLL_OFFSET_MS 37
-/* One in this many lost writes is lost before the store applies the write; the others lose only the
- * reply. */
+/* Of this many writes that get no reply, one is lost on the way to the store; the store applies the
+ * others, and only the reply is lost. */
 #define LOST_WRITES_PER_LOST_REQUEST 3
 #define DEFAULT_PROMPT_TOKENS 512
 #define N_PROMPT_BLOCKS 4
@@ -312,7 +313,7 @@
  * piece and the end are never late, because an answer without an end marker is not reported as
  * complete. */
 static void
-apply_delivery_faults (LxInstance *instance, LxDelivery *delivery, LbTime *delay)
+duplicate_delay_or_unlabel_piece (LxInstance *instance, LxDelivery *delivery, LbTime *delay)
 {
   LxWorld *world = instance->world;
   LbTime now = lx_world_now (world);
@@ -332,11 +333,11 @@
 }
 
 static void
-post_delivery (LxInstance *instance,
-               const LxEngine *engine,
-               const LxStreamSpec *stream,
-               const LxDelivery *delivery,
-               LbTime delay)
+post_piece_or_end (LxInstance *instance,
+                   const LxEngine *engine,
+                   const LxStreamSpec *stream,
+                   const LxDelivery *delivery,
+                   LbTime delay)
 {
   LxDelivery *copy;
   LbTime latency = lx_world_latency (instance->world, instance->data_centre, engine->data_centre);
@@ -346,7 +347,7 @@
   copy = lb_memdup (delivery, sizeof *delivery);
   copy->request = stream->request;
   copy->attempt = stream->attempt;
-  apply_delivery_faults (instance, copy, &delay);
+  duplicate_delay_or_unlabel_piece (instance, copy, &delay);
   lx_instance_post_message (instance, latency + delay, on_delivery_arrived, copy, free);
 }
 
@@ -356,7 +357,7 @@
                         const LxStreamSpec *stream,
                         const LcPiece *piece)
 {
-  post_delivery (instance, engine, stream, &(LxDelivery){ .piece = *piece }, 0);
+  post_piece_or_end (instance, engine, stream, &(LxDelivery){ .piece = *piece }, 0);
 }
 
 void
@@ -366,7 +367,7 @@
                       LcAttemptEnd end,
                       LbTime delay)
 {
-  post_delivery (instance, engine, stream, &(LxDelivery){ .is_end = true, .end = end }, delay);
+  post_piece_or_end (instance, engine, stream, &(LxDelivery){ .is_end = true, .end = end }, delay);
 }
 
 static void
@@ -500,8 +501,8 @@
                      on_attempt_arrived, NULL, transit, free);
 }
 
-/* Records a "not run" error of a job, which no endpoint may start afterwards. Reports a violation
- * if an endpoint has already started the job. */
+/* If the error is a "not run" error, records it in the job: from now on no endpoint may start the
+ * job. Reports a violation if an endpoint has already started the job. */
 static void
 record_not_run_error (LxInstance *instance, uint64_t job_number, LbErrorCode error)
 {
@@ -535,8 +536,8 @@
     }
   else
     {
-      /* On a failure, LcRollouts needs the text of the forwarded pieces. A later attempt may have
-       * ended before it forwarded a piece. */
+      /* On a failure, LcRollouts needs the forwarded text. The last attempt may have no such text,
+       * because it ended before it forwarded a piece. */
       LxAttempt *last_forwarded = find_attempt (request, request->last_forwarded_attempt);
       if (action->error != LB_OK && last_forwarded)
         lx_text_copy (&request->text, &last_forwarded->text);
@@ -947,7 +948,7 @@
   lc_rollouts_configure (instance->rollouts, set, current_time (instance),
                          &instance->rollout_actions);
   execute_pending_actions (instance);
-  /* Polls without delay, because the daemon also polls new endpoints at once. */
+  /* Polls the endpoints of the first configuration without delay, as the daemon does. */
   if (!instance->is_configured)
     poll_endpoints (instance);
   instance->is_configured = true;
@@ -968,10 +969,10 @@
 }
 
 static void
-handle_arrived_piece (LxInstance *instance,
-                      LxRequest *request,
-                      LxAttempt *attempt,
-                      const LcPiece *piece)
+receive_and_forward_piece (LxInstance *instance,
+                           LxRequest *request,
+                           LxAttempt *attempt,
+                           const LcPiece *piece)
 {
   LcPieceVerdict verdict
       = lc_dispatch_receive_piece (instance->dispatch, request->id, attempt->number, piece,
@@ -1015,13 +1016,13 @@
     }
   else
     {
-      handle_arrived_piece (instance, request, attempt, &delivery->piece);
+      receive_and_forward_piece (instance, request, attempt, &delivery->piece);
     }
   execute_pending_actions (instance);
 }
 
 static void
-apply_cache_events (LxInstance *instance, size_t index)
+pass_new_cache_events_to_dispatch (LxInstance *instance, size_t index)
 {
   const LxEngine *engine = instance->world->engines[index];
   uint64_t *cursor = &instance->cache_cursors[index];
@@ -1041,7 +1042,7 @@
 void
 lx_instance_record_load_report (LxInstance *instance, size_t engine, const LcLoadReport *report)
 {
-  apply_cache_events (instance, engine);
+  pass_new_cache_events_to_dispatch (instance, engine);
   lc_dispatch_record_load (instance->dispatch, instance->world->engines[engine]->name, report,
                            current_time (instance), &instance->dispatch_actions);
   execute_pending_actions (instance);
--- a/packages/sim/src/lx-registry.c
+++ b/packages/sim/src/lx-registry.c
@@ -64,11 +64,11 @@
   return revision;
 }
 
-/* Returns the newest revision that has been active on an instance for longer than
- * MAX_ACTIVATION_TIME. If the commit reply was lost, the operator does not know the outcome; the
- * revision then counts only once an instance has read the revision. */
+/* Returns the newest revision that an instance has used for longer than MAX_ACTIVATION_TIME. The
+ * commit time alone does not count: if the commit reply was lost, no instance knows the revision
+ * until it reads the head row. */
 static int64_t
-get_newest_long_active_revision (const LxRegistry *registry, LbTime now)
+get_newest_revision_in_use_for_long (const LxRegistry *registry, LbTime now)
 {
   int64_t revision = lx_registry_get_required_revision (registry, now);
 
@@ -80,7 +80,7 @@
 }
 
 static bool
-must_have_due_revision (const LxInstance *instance, LbTime now)
+must_have_required_revision (const LxInstance *instance, LbTime now)
 {
   return instance->alive && instance->started_at + CATCH_UP_TIME < now
          && instance->paused_until + CATCH_UP_TIME < now
@@ -102,7 +102,7 @@
   instance->checked_revision = revision;
   if (registry->first_active_at[revision] == 0)
     registry->first_active_at[revision] = now;
-  if (must_have_due_revision (instance, now) && revision < due)
+  if (must_have_required_revision (instance, now) && revision < due)
     lx_audit_report_violation (&world->audit, LX_VIOLATION_NOT_IN_FORCE, now,
                                lx_world_event_number (world),
                                "%s has revision %" PRId64 " active, %" PRId64
@@ -112,12 +112,12 @@
   /* An instance that becomes ready must not use an older revision than one that has long been
    * active on another instance. */
   if (!instance->was_ready && lc_config_is_ready (instance->config)
-      && revision < get_newest_long_active_revision (registry, now))
+      && revision < get_newest_revision_in_use_for_long (registry, now))
     lx_audit_report_violation (&world->audit, LX_VIOLATION_REVERTED, now,
                                lx_world_event_number (world),
                                "%s is ready with revision %" PRId64 " after %" PRId64 " was active",
                                instance->name, revision,
-                               get_newest_long_active_revision (registry, now));
+                               get_newest_revision_in_use_for_long (registry, now));
   instance->was_ready = lc_config_is_ready (instance->config);
 }
 
--- a/packages/sim/src/lx-replay.c
+++ b/packages/sim/src/lx-replay.c
@@ -26,13 +26,15 @@
   LxWorld *world;
   LbTime started_at;
   NamedCall *calls; /* indexed by trace line; name is empty if no call was sent */
-  bool *was_active; /* indexed by trace line: result of an in-force expectation */
+  /* Indexed by trace line: whether the revision of an in-force expectation was active on all
+   * running instances at by_ms. */
+  bool *was_active;
   const char *name;
   FILE *out;
   size_t n_failures;
 } Replay;
 
-/* Argument of the simulation event that handles a line of the trace. */
+/* A trace line and its replay: argument of the simulation event at the time of the line. */
 typedef struct
 {
   Replay *replay;
@@ -75,7 +77,7 @@
            lx_world_event_number (replay->world));
 }
 
-/* Execution of the events of a trace */
+/* --- execution of the events of a trace --- */
 
 static void
 submit_named_call (Replay *replay, size_t index)
@@ -181,7 +183,7 @@
   free (scheduled);
 }
 
-/* Checks of the expectations of a trace at the end of the run */
+/* --- checks of the expectations of a trace at the end of the run --- */
 
 static bool
 is_within_time_limit (const Replay *replay, const LxTraceLine *line, LbTime at)
--- a/packages/sim/src/lx-soak.c
+++ b/packages/sim/src/lx-soak.c
@@ -18,7 +18,8 @@
   bool failed;
 } RunOutcome;
 
-/* Every fourth seed injects a single kind of fault, all others inject all kinds. */
+/* Returns only_fault if set; otherwise a single kind of fault for every fourth seed and all kinds
+ * for the other seeds. */
 static uint32_t
 choose_fault_kinds (const LxSoak *soak)
 {
@@ -44,8 +45,8 @@
   options->hedge_after = 500 * LB_MSEC;
   options->fault_kinds = choose_fault_kinds (soak);
   options->mean_fault_interval = (1 + (LbTime)(soak->seed % 5)) * LB_SEC;
-  /* A single kind of fault hits the same targets more often. With shorter intervals, the owner of a
-   * step would not run for as long as the longest sample takes, and no step would complete. */
+  /* A single kind of fault hits the same targets more often. Without the longer interval, no owner
+   * of a step would run for as long as the longest sample takes, and no step would complete. */
   if (options->fault_kinds != ALL_FAULT_KINDS)
     options->mean_fault_interval += 3 * LB_SEC;
   options->stop_at_violation = true;
--- a/packages/sim/src/lx-trainer.c
+++ b/packages/sim/src/lx-trainer.c
@@ -33,11 +33,10 @@
   return (double)(XXH64 (numbers, n * sizeof (int64_t), seed) >> 11) / 9007199254740992.0;
 }
 
-/* Returns one to three times min_sample_tokens, and ten times as much for one sample in twenty, the
- * stragglers. The share hard_share of the stragglers is in groups with a hard prompt, where every
- * second sample is a straggler. The length depends only on the slot: a hedged or repeated sample
- * has the same length, so that no policy gains by repeating a sample until a short length is
- * drawn. */
+/* Returns one to three times min_sample_tokens or, for stragglers (one sample in twenty), ten times
+ * as much. A share hard_share of the stragglers is in groups with a hard prompt, where every second
+ * sample is a straggler. The length depends only on the slot: a hedged or repeated sample has the
+ * same length, so that no policy gains by repeating a sample until a short length is drawn. */
 int64_t
 lx_sample_length (
     const LxOptions *options, size_t trainer, int64_t step, int64_t group, int64_t index)
@@ -340,7 +339,7 @@
   return generation_time > options->train_time ? generation_time - options->train_time : 0;
 }
 
-/* Prints the times of the step and of its last sample, whose stream ended after all others. */
+/* Prints the times of the step and of its last sample, the one whose stream ended last. */
 static void
 print_step_times (const LxTrainer *trainer)
 {
@@ -443,7 +442,7 @@
 }
 
 static void
-update_last_stream (LxTrainer *trainer, const LxText *text)
+record_stream_if_ended_last (LxTrainer *trainer, const LxText *text)
 {
   if (text->n_segments == 0)
     return;
@@ -481,7 +480,7 @@
                                lx_world_event_number (world),
                                "%s %s/%" PRId64 ": expected tokens without gap or overlap, got %s",
                                trainer->name, sample->group, sample->index, sample->text);
-  update_last_stream (trainer, &text);
+  record_stream_if_ended_last (trainer, &text);
   lx_audit_compute_label (&world->audit, &text, &expected_label);
   check_and_count_sample (trainer, sample, &expected_label,
                           lx_sample_length (&world->options, trainer->index, trainer->step, group,
--- a/packages/sim/tests/test-replay.c
+++ b/packages/sim/tests/test-replay.c
@@ -33,7 +33,8 @@
   free (output);
 }
 
-/* A check that can never fail would make traces pass without testing anything. */
+/* Guards against an expectation that never fails: traces with it would pass without testing
+ * anything. */
 Test (replay, failed_expectation_is_reported_with_its_line)
 {
   const char *call = TRACE_HEADER "{ \"at_ms\": 2000, \"event\": \"call\", \"call\": \"a\" }\n";
@@ -60,7 +61,7 @@
       "samples of the step are missing");
 }
 
-Test (replay, met_expectations_pass)
+Test (replay, trace_with_met_expectations_passes)
 {
   char *output;
 
