--- a/standins/si-checked-call.h
+++ b/standins/si-checked-call.h
@@ -16,15 +16,15 @@
 {
   SiCheckedCallKind kind;
   const char *address;
-  const char *model;  /* SI_CHECKED_CALL_SERVICE: request path, such as "/services/lookup/x" */
-  const char *prompt; /* SI_CHECKED_CALL_SERVICE: request body */
+  const char *model;  /* model; for a service the request path, such as "/services/lookup/x" */
+  const char *prompt; /* prompt; for a service the request body */
   int64_t max_tokens;
   bool stream;
-  bool vary_length;            /* set if the engines run with --vary-length */
+  bool vary_length;            /* must be set if the engines run with --vary-length */
   const char *caller;          /* header x-caller; NULL: not sent */
   const char *idempotency_key; /* header idempotency-key; NULL: not sent */
   const char *ticket;          /* header x-ticket; NULL: not sent */
-  const char *order;       /* header x-order: execution count key of the service; NULL: not sent */
+  const char *order; /* header x-order: key under which a service counts runs; NULL: not sent */
   const char *deadline_ms; /* header x-deadline-ms; NULL: not sent */
   LbTime idle_timeout;
 } SiCheckedCallSpec;
--- a/standins/si-control-plane.c
+++ b/standins/si-control-plane.c
@@ -72,7 +72,7 @@
 }
 
 static void
-on_request (struct evhttp_request *request, void *user)
+on_control_plane_request (struct evhttp_request *request, void *user)
 {
   SiControlPlane *control_plane = user;
   const char *duty_holder = si_request_get_header (request, "Duty-Holder");
@@ -95,7 +95,7 @@
 si_control_plane_init (SiControlPlane *control_plane, struct event_base *base)
 {
   memset (control_plane, 0, sizeof *control_plane);
-  return si_server_init (&control_plane->server, base, 0, on_request, control_plane);
+  return si_server_init (&control_plane->server, base, 0, on_control_plane_request, control_plane);
 }
 
 void
--- a/standins/si-endpoint.c
+++ b/standins/si-endpoint.c
@@ -420,7 +420,7 @@
 }
 
 static void
-on_request (struct evhttp_request *request, void *user)
+on_endpoint_request (struct evhttp_request *request, void *user)
 {
   SiEndpoint *endpoint = user;
 
@@ -508,7 +508,7 @@
                   const char *model)
 {
   memset (endpoint, 0, sizeof *endpoint);
-  if (!si_server_init (&endpoint->server, base, 0, on_request, endpoint))
+  if (!si_server_init (&endpoint->server, base, 0, on_endpoint_request, endpoint))
     return false;
   endpoint->store = store;
   LB_COPY (endpoint->name, name);
--- a/standins/si-engine-run.c
+++ b/standins/si-engine-run.c
@@ -18,7 +18,7 @@
 typedef struct
 {
   LbLink link;
-  LbList *list; /* list that contains it: the engine's waiting or running list */
+  LbList *list; /* list that contains the request: engine->waiting or engine->running */
   SiEngine *engine;
   struct evhttp_request *request;
   char *id;
@@ -29,7 +29,7 @@
   bool stream;
   bool chat;
   bool has_sent_headers;
-  bool is_hung;           /* set by the fault "hang": nothing more is sent */
+  bool is_hung;           /* set by the fault "hang": the engine sends no reply */
   int64_t break_after;    /* token count at which the connection is closed; -1: never */
   size_t prefill_bytes;   /* prompt bytes that prefill has yet to process */
   int64_t reused_version; /* weight version of the imported KV cache; 0: no import */
@@ -431,7 +431,7 @@
 }
 
 static void
-apply_completion_faults (Completion *completion)
+apply_break_and_hang_faults (Completion *completion)
 {
   SiFaults *faults = &completion->engine->faults;
 
@@ -475,7 +475,7 @@
   completion->prefill_bytes = cache_prompt_and_count_uncached_bytes (engine, body, prompt);
   apply_resume_offset (completion, body);
   apply_imported_kv_cache (completion);
-  apply_completion_faults (completion);
+  apply_break_and_hang_faults (completion);
   si_run_log_record_start (&engine->log, si_json_get_text (body, "key", prompt));
   free (prompt);
   return completion;
--- a/standins/si-engine.c
+++ b/standins/si-engine.c
@@ -72,7 +72,7 @@
 }
 
 static void
-handle_request (struct evhttp_request *request, void *user)
+on_engine_request (struct evhttp_request *request, void *user)
 {
   SiEngine *engine = user;
 
@@ -109,7 +109,7 @@
   snprintf (engine->incarnation, sizeof engine->incarnation, "%s-%llx-%x", settings->name,
             (unsigned long long)settings->seed,
             (unsigned)((uint64_t)lb_clock_monotonic () ^ ((uint64_t)getpid () << 20)));
-  if (!si_server_init_standalone (&engine->server, port, handle_request, engine))
+  if (!si_server_init_standalone (&engine->server, port, on_engine_request, engine))
     return false;
   si_engine_start_timers (engine);
   return true;
--- a/standins/si-platform.c
+++ b/standins/si-platform.c
@@ -290,7 +290,7 @@
 }
 
 static void
-handle_api_call (SiPlatform *platform, struct evhttp_request *request)
+reject_or_route_api_call (SiPlatform *platform, struct evhttp_request *request)
 {
   const char *path = si_request_get_path (request);
 
@@ -313,7 +313,7 @@
 }
 
 static void
-handle_request (struct evhttp_request *request, void *user)
+on_platform_request (struct evhttp_request *request, void *user)
 {
   SiPlatform *platform = user;
 
@@ -324,7 +324,7 @@
   else if (si_request_matches (request, EVHTTP_REQ_GET, "/log"))
     reply_call_counters (platform, request);
   else
-    handle_api_call (platform, request);
+    reject_or_route_api_call (platform, request);
 }
 
 static struct json_object *
@@ -350,14 +350,14 @@
 si_platform_init (SiPlatform *platform, struct event_base *base, int port)
 {
   init_platform_state (platform);
-  return si_server_init (&platform->server, base, port, handle_request, platform);
+  return si_server_init (&platform->server, base, port, on_platform_request, platform);
 }
 
 bool
 si_platform_init_standalone (SiPlatform *platform, int port)
 {
   init_platform_state (platform);
-  return si_server_init_standalone (&platform->server, port, handle_request, platform);
+  return si_server_init_standalone (&platform->server, port, on_platform_request, platform);
 }
 
 void
--- a/standins/si-row-store.h
+++ b/standins/si-row-store.h
@@ -4,10 +4,7 @@
 #include "lb-list.h"
 #include "si-server.h"
 
-/* In-memory stand-in for the shared platform's store, which the adapter in platform/ calls. It
- * offers rows in tables and partitions, conditional transactions, lists, watches and objects, and
- * can inject faults. */
-
+/* How the store answers calls; all modes but SI_ROW_STORE_NORMAL are injected faults. */
 typedef enum
 {
   SI_ROW_STORE_NORMAL,
@@ -17,6 +14,9 @@
                              */
 } SiRowStoreMode;
 
+/* In-memory stand-in for the shared platform's store, which the adapter in platform/ calls. It
+ * offers rows in tables and partitions, conditional transactions, lists, watches and objects, and
+ * can inject faults. */
 typedef struct
 {
   SiServer server;
--- a/standins/si-run-log.h
+++ b/standins/si-run-log.h
@@ -17,8 +17,8 @@
   int64_t cancelled;
   int64_t refused;
   int64_t resumed;
-  int64_t resume_mismatches; /* number of resumed requests whose earlier text the engine would not
-                                generate */
+  int64_t resume_mismatches; /* number of resumed requests whose earlier text differs from the text
+                                that this engine generates */
 } SiRunLog;
 
 void si_run_log_clear (SiRunLog *log);
--- a/standins/si-server.c
+++ b/standins/si-server.c
@@ -62,7 +62,7 @@
 }
 
 static void
-on_request (struct evhttp_request *request, void *user)
+pass_request_to_handler (struct evhttp_request *request, void *user)
 {
   SiServer *server = user;
 
@@ -75,7 +75,7 @@
 {
   server->http = evhttp_new (server->base);
   evhttp_set_allowed_methods (server->http, ALLOWED_METHODS);
-  evhttp_set_gencb (server->http, on_request, server);
+  evhttp_set_gencb (server->http, pass_request_to_handler, server);
   struct evhttp_bound_socket *socket
       = evhttp_bind_socket_with_handle (server->http, "127.0.0.1", (uint16_t)port);
   if (!socket)
--- a/standins/standin-load.c
+++ b/standins/standin-load.c
@@ -17,7 +17,7 @@
 
 typedef struct
 {
-  SiCheckedCallSpec spec; /* shared by all calls, except address, prompt and caller */
+  SiCheckedCallSpec spec; /* copied for each call, which sets its own address, prompt and caller */
   const char *addresses[MAX_ADDRESSES];
   size_t n_addresses;
   const char *name;
@@ -300,7 +300,7 @@
 }
 
 static int
-run_load_with_options (const Options *options)
+parse_settings_and_run_load_test (const Options *options)
 {
   Settings settings = get_load_settings (options);
 
@@ -346,7 +346,7 @@
   set_default_options (&options);
   if (si_arguments_parse (argc, argv, table, sizeof options / sizeof (void *), "standin-load",
                           &exit_code))
-    exit_code = run_load_with_options (&options);
+    exit_code = parse_settings_and_run_load_test (&options);
   arg_freetable (table, sizeof options / sizeof (void *));
   return exit_code;
 }
--- a/standins/standin-service.c
+++ b/standins/standin-service.c
@@ -163,7 +163,7 @@
 }
 
 static void
-handle_request (struct evhttp_request *request, void *user)
+on_service_request (struct evhttp_request *request, void *user)
 {
   Service *service = user;
   const char *refusal;
@@ -193,7 +193,7 @@
 
   snprintf (service.incarnation, sizeof service.incarnation, "%s-%x", name,
             (unsigned)((uint64_t)lb_clock_monotonic () ^ ((uint64_t)getpid () << 20)));
-  if (!si_server_init_standalone (&service.server, port, handle_request, &service))
+  if (!si_server_init_standalone (&service.server, port, on_service_request, &service))
     return 1;
   si_server_print_address (&service.server, name);
   event_base_dispatch (service.server.base);
--- a/standins/standin-trainer.c
+++ b/standins/standin-trainer.c
@@ -189,8 +189,8 @@
   return is_posted;
 }
 
-/* Compares the sample's text with the expected answer. The seed is the sample's index in the group,
- * or 0 if the system sends no seed. */
+/* Compares the sample's text with the answer of the stand-in engine. The engine's seed is the
+ * sample's index in the group, or 0 if the engine received no seed. */
 static bool
 is_sample_text_correct (
     const Trainer *trainer, int64_t group, int64_t index, const char *sample_text, int64_t tokens)
@@ -297,7 +297,7 @@
 }
 
 static void
-process_pull_reply (Trainer *trainer, struct json_object *reply)
+check_samples_and_advance_cursor (Trainer *trainer, struct json_object *reply)
 {
   struct json_object *samples = NULL;
 
@@ -345,7 +345,7 @@
         }
       if (!reply)
         break;
-      process_pull_reply (trainer, reply);
+      check_samples_and_advance_cursor (trainer, reply);
       is_done = si_json_get_bool (reply, "done", false);
       json_object_put (reply);
     }
