--- a/packages/cli/include/lt-command.h
+++ b/packages/cli/include/lt-command.h
@@ -5,7 +5,7 @@
 enum
 {
   LT_EXIT_OK = 0,
-  LT_EXIT_FAILED = 1, /* found a difference or a failure, or an instance refused the request */
+  LT_EXIT_FAILED = 1, /* a check or a request failed, or a difference was found */
   LT_EXIT_USAGE = 2   /* invalid options or an invalid input file */
 };
 
--- a/packages/cli/src/lt-cost.c
+++ b/packages/cli/src/lt-cost.c
@@ -21,8 +21,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define N_OPERATIONS 20000
-#define N_SLOW_OPERATIONS 200
+#define OPERATIONS_PER_MEASUREMENT 20000
+#define OPERATIONS_PER_SLOW_MEASUREMENT 200
 #define GROUPS_PER_STEP 256
 #define SAMPLES_PER_GROUP 8
 #define TOKENS_PER_SAMPLE 365
@@ -59,7 +59,7 @@
 }
 
 static double
-microseconds_per_operation (LbTime started_at, size_t n_operations)
+get_microseconds_per_operation (LbTime started_at, size_t n_operations)
 {
   return (double)(lb_clock_monotonic () - started_at) / (double)n_operations;
 }
@@ -135,7 +135,7 @@
     }
   double memory = (get_allocated_heap_bytes () - before) / (double)n_endpoints;
   LbTime started_at = lb_clock_monotonic ();
-  for (uint64_t i = 0; i < N_OPERATIONS; i++)
+  for (uint64_t i = 0; i < OPERATIONS_PER_MEASUREMENT; i++)
     {
       const uint64_t hashes[] = { i % 40 + 1, i % 40 + 1001, i % 40 + 2001, i + 100000 };
       query.prefix_hashes = hashes;
@@ -147,7 +147,7 @@
       lc_endpoint_request_ended (decision.endpoint, LC_KIND_LIVE, true, 64, LB_SEC, now);
     }
   add_measurement (measurements, "routing-decision", n_endpoints,
-                   microseconds_per_operation (started_at, N_OPERATIONS), 0);
+                   get_microseconds_per_operation (started_at, OPERATIONS_PER_MEASUREMENT), 0);
   add_measurement (measurements, "endpoint-memory", n_endpoints, 0, memory);
   lc_router_free (router);
   lc_endpoints_free (endpoints);
@@ -167,7 +167,7 @@
   lb_list_init (&actions);
   lc_dispatch_configure (dispatch, set, now, &actions);
   LbTime started_at = lb_clock_monotonic ();
-  for (size_t i = 0; i < N_OPERATIONS; i++)
+  for (size_t i = 0; i < OPERATIONS_PER_MEASUREMENT; i++)
     {
       LcLoadReport load;
       now += 100;
@@ -176,7 +176,7 @@
                                &actions);
     }
   add_measurement (measurements, "load-report", n_endpoints,
-                   microseconds_per_operation (started_at, N_OPERATIONS), 0);
+                   get_microseconds_per_operation (started_at, OPERATIONS_PER_MEASUREMENT), 0);
   lc_dispatch_free (dispatch);
   lc_resource_set_free (set);
 }
@@ -212,7 +212,7 @@
   size_t waiting = lc_dispatch_count_waiting (dispatch, LC_KIND_LIVE);
   if (waiting > 0)
     add_measurement (measurements, "waiting-request", waiting,
-                     microseconds_per_operation (started_at, N_WAITING_REQUESTS),
+                     get_microseconds_per_operation (started_at, N_WAITING_REQUESTS),
                      (get_allocated_heap_bytes () - before) / (double)waiting);
   while (!lb_list_is_empty (&actions))
     lc_action_free (LB_CONTAINER (lb_list_pop (&actions), LcAction, link));
@@ -259,7 +259,7 @@
 }
 
 static void
-run_dispatch_action (Step *step, const LcAction *action)
+execute_dispatch_action (Step *step, const LcAction *action)
 {
   if (action->type == LC_ACTION_SEND)
     {
@@ -274,7 +274,7 @@
 }
 
 static void
-run_rollout_action (Step *step, const LcRolloutAction *action)
+execute_rollout_action (Step *step, const LcRolloutAction *action)
 {
   LbTime retry_after;
   LbError error;
@@ -305,7 +305,7 @@
 }
 
 static void
-run_pending_actions (Step *step)
+execute_pending_actions (Step *step)
 {
   for (;;)
     {
@@ -313,13 +313,13 @@
         {
           LcRolloutAction *action
               = LB_CONTAINER (lb_list_pop (&step->rollout_actions), LcRolloutAction, link);
-          run_rollout_action (step, action);
+          execute_rollout_action (step, action);
           lc_rollout_action_free (action);
         }
       else if (!lb_list_is_empty (&step->actions))
         {
           LcAction *action = LB_CONTAINER (lb_list_pop (&step->actions), LcAction, link);
-          run_dispatch_action (step, action);
+          execute_dispatch_action (step, action);
           lc_action_free (action);
         }
       else
@@ -360,12 +360,12 @@
 
   step->now += 100 * LB_MSEC;
   lc_rollouts_handle_pull (step->rollouts, &request, step->now, &step->rollout_actions);
-  run_pending_actions (step);
+  execute_pending_actions (step);
   if (lc_rollouts_next_tick (step->rollouts) <= step->now)
     lc_rollouts_tick (step->rollouts, step->now, &step->rollout_actions);
   if (lc_dispatch_next_tick (step->dispatch) <= step->now)
     lc_dispatch_tick (step->dispatch, step->now, &step->actions);
-  run_pending_actions (step);
+  execute_pending_actions (step);
   free (cursor);
 }
 
@@ -408,13 +408,13 @@
   LbTime started_at = lb_clock_monotonic ();
   lc_rollouts_open_step (step.rollouts, &spec, 1, step.now, &step.rollout_actions, &error);
   double memory = get_allocated_heap_bytes () - before;
-  run_pending_actions (&step);
+  execute_pending_actions (&step);
   for (uint64_t i = 1; step.n_samples < slots && i < 10000; i++)
     pull_samples (&step, i);
   if (step.n_samples == slots)
     {
       add_measurement (measurements, "sample-life", n_endpoints,
-                       microseconds_per_operation (started_at, slots), memory / (double)slots);
+                       get_microseconds_per_operation (started_at, slots), memory / (double)slots);
       add_measurement (measurements, "ledger-write", slots, 0, (double)step.ledger_bytes);
       add_measurement (measurements, "ledger-writes-of-a-step", slots, 0,
                        (double)step.n_ledger_writes);
@@ -474,7 +474,7 @@
   add_measurement (measurements, "peer-memory", n_instances, 0,
                    (get_allocated_heap_bytes () - before) / (double)n_instances);
   LbTime started_at = lb_clock_monotonic ();
-  for (size_t i = 0; i < N_SLOW_OPERATIONS; i++)
+  for (size_t i = 0; i < OPERATIONS_PER_SLOW_MEASUREMENT; i++)
     {
       now += LB_SEC / 10;
       lc_membership_frame_received (membership, link, now);
@@ -483,7 +483,7 @@
       free_membership_actions (&actions);
     }
   add_measurement (measurements, "membership-tick", n_instances,
-                   microseconds_per_operation (started_at, N_SLOW_OPERATIONS), 0);
+                   get_microseconds_per_operation (started_at, OPERATIONS_PER_SLOW_MEASUREMENT), 0);
   lc_membership_free (membership);
   free (instances);
 }
@@ -494,7 +494,7 @@
   size_t length = 0;
   LbTime started_at = lb_clock_monotonic ();
 
-  for (size_t i = 0; i < N_OPERATIONS; i++)
+  for (size_t i = 0; i < OPERATIONS_PER_MEASUREMENT; i++)
     {
       LwMessage decoded = { 0 };
       LbError error;
@@ -504,7 +504,8 @@
       lw_message_clear (&decoded);
       free (frame);
     }
-  add_measurement (measurements, what, 1, microseconds_per_operation (started_at, N_OPERATIONS),
+  add_measurement (measurements, what, 1,
+                   get_microseconds_per_operation (started_at, OPERATIONS_PER_MEASUREMENT),
                    (double)length);
 }
 
@@ -536,7 +537,7 @@
   LbTime started_at = lb_clock_monotonic ();
   double memory = 0;
 
-  for (size_t i = 0; i < N_SLOW_OPERATIONS; i++)
+  for (size_t i = 0; i < OPERATIONS_PER_SLOW_MEASUREMENT; i++)
     {
       double before = get_allocated_heap_bytes ();
       LcResourceSet *next = lc_change_apply (set, change, "cost", &error);
@@ -544,7 +545,7 @@
       lc_resource_set_free (next);
     }
   add_measurement (measurements, "configuration-change", n_endpoints,
-                   microseconds_per_operation (started_at, N_SLOW_OPERATIONS),
+                   get_microseconds_per_operation (started_at, OPERATIONS_PER_SLOW_MEASUREMENT),
                    (double)strlen (text));
   add_measurement (measurements, "configuration-memory", n_endpoints, 0, memory);
   add_measurement (measurements, "configuration-whole-set", n_endpoints, 0,
--- a/packages/cli/src/lt-get.c
+++ b/packages/cli/src/lt-get.c
@@ -118,7 +118,7 @@
 /* Prints the resources that were added or changed and returns their number. Ignores deletions
  * because applying files deletes no resource. */
 static size_t
-print_difference (const LcResourceSet *before, const LcResourceSet *after)
+print_added_and_changed_resources (const LcResourceSet *before, const LcResourceSet *after)
 {
   size_t n_different = 0;
   struct json_object *old_set = lc_resource_set_to_json (before);
@@ -170,7 +170,7 @@
       lt_print_error (&error);
       goto out;
     }
-  code = print_difference (set, new_set) > 0 ? LT_EXIT_FAILED : LT_EXIT_OK;
+  code = print_added_and_changed_resources (set, new_set) > 0 ? LT_EXIT_FAILED : LT_EXIT_OK;
 out:
   lc_resource_set_free (new_set);
   lc_resource_set_free (set);
