--- a/packages/cli/src/lt-replay.c
+++ b/packages/cli/src/lt-replay.c
@@ -11,7 +11,7 @@
 #include <stdio.h>
 
 static int
-replay_file (const char *path)
+replay_trace_file (const char *path)
 {
   LbError error = { 0 };
   LxTrace trace;
@@ -55,7 +55,7 @@
   code = LT_EXIT_OK;
   for (int i = 0; i < files->count; i++)
     {
-      int result = replay_file (files->filename[i]);
+      int result = replay_trace_file (files->filename[i]);
       code = result > code ? result : code;
     }
 out:
--- a/packages/sim/src/lx-instance-config.c
+++ b/packages/sim/src/lx-instance-config.c
@@ -193,7 +193,7 @@
 }
 
 static bool
-is_reported_alive (const LxInstance *instance, LbTime now)
+is_alive_for_membership (const LxInstance *instance, LbTime now)
 {
   bool paused = instance->paused_until > now && instance->paused_at + FAILURE_DETECTION_TIME < now;
 
@@ -215,10 +215,11 @@
     {
       const LxInstance *other = &world->instances[i];
       snprintf (incarnations[i], LB_NAME_MAX, "%u", other->incarnation);
-      members[i] = (LcConfigMember){ .name = other->name,
-                                     .incarnation = incarnations[i],
-                                     .alive = is_reported_alive (other, current_time (instance)),
-                                     .draining = other->draining };
+      members[i]
+          = (LcConfigMember){ .name = other->name,
+                              .incarnation = incarnations[i],
+                              .alive = is_alive_for_membership (other, current_time (instance)),
+                              .draining = other->draining };
     }
   lc_config_update_members (instance->config, members, n, current_time (instance),
                             &instance->config_actions);
--- a/packages/sim/src/lx-registry.c
+++ b/packages/sim/src/lx-registry.c
@@ -80,7 +80,7 @@
 }
 
 static bool
-must_have_required_revision (const LxInstance *instance, LbTime now)
+is_past_catch_up_time (const LxInstance *instance, LbTime now)
 {
   return instance->alive && instance->started_at + CATCH_UP_TIME < now
          && instance->paused_until + CATCH_UP_TIME < now
@@ -102,7 +102,7 @@
   instance->checked_revision = revision;
   if (registry->first_active_at[revision] == 0)
     registry->first_active_at[revision] = now;
-  if (must_have_required_revision (instance, now) && revision < due)
+  if (is_past_catch_up_time (instance, now) && revision < due)
     lx_audit_report_violation (&world->audit, LX_VIOLATION_NOT_IN_FORCE, now,
                                lx_world_event_number (world),
                                "%s has revision %" PRId64 " active, %" PRId64
--- a/packages/sim/src/lx-trainer.c
+++ b/packages/sim/src/lx-trainer.c
@@ -321,7 +321,7 @@
 /* Returns a lower bound of the idle time for any policy: the step's longest sample runs alone on an
  * engine from the time when the step was requested. */
 static LbTime
-compute_idle_floor (const LxTrainer *trainer)
+compute_minimum_idle_time (const LxTrainer *trainer)
 {
   const LxOptions *options = &trainer->world->options;
   const LxEngineTimes *times = &trainer->world->engines[0]->times;
@@ -378,7 +378,7 @@
     {
       trainer->steps++;
       trainer->idle_time += lx_world_now (world) - trainer->train_until;
-      trainer->idle_floor += compute_idle_floor (trainer);
+      trainer->idle_floor += compute_minimum_idle_time (trainer);
     }
   trainer->step_finished_at
       = lb_realloc (trainer->step_finished_at, (size_t)(trainer->step + 1) * sizeof (LbTime));
--- a/standins/standin-trainer.c
+++ b/standins/standin-trainer.c
@@ -266,7 +266,7 @@
 }
 
 static void
-check_sample (Trainer *trainer, struct json_object *sample)
+check_and_count_sample (Trainer *trainer, struct json_object *sample)
 {
   Tally *tally = &trainer->tally;
   int64_t tokens = si_json_get_int (sample, "tokens", 0);
@@ -305,7 +305,7 @@
   size_t n
       = json_object_is_type (samples, json_type_array) ? json_object_array_length (samples) : 0;
   for (size_t i = 0; i < n; i++)
-    check_sample (trainer, json_object_array_get_idx (samples, i));
+    check_and_count_sample (trainer, json_object_array_get_idx (samples, i));
   free (trainer->cursor);
   trainer->cursor = lb_strdup (si_json_get_text (reply, "cursor", ""));
   if (n > 0 && trainer->settings->train_time > 0)
