--- a/packages/sim/src/lx-instance-config.c
+++ b/packages/sim/src/lx-instance-config.c
@@ -87,7 +87,8 @@
     }
 }
 
-/* The result of reading the configuration's head row, in transit from the store. */
+/* The result of reading the head row, which holds the newest accepted configuration, in transit
+ * from the store to an instance. */
 typedef struct
 {
   bool failed;
@@ -133,8 +134,7 @@
   if (!head_read->failed && head_read->revision > lc_config_active_revision (instance->config))
     head_read->set = lc_resource_set_copy (world->registry.accepted);
   LbTime delay = head_read->failed ? STORE_TIMEOUT : STORE_ROUND_TRIP_TIME;
-  /* While LX_FAULT_REPLIES_LOST is active, the store is slow and its answer may be outdated on
-   * arrival. */
+  /* While LX_FAULT_REPLIES_LOST is active, the reply arrives late and may then be outdated. */
   if (current_time (instance) < world->store.replies_lost_until)
     delay += (LbTime)(gsl_rng_uniform (world->random)
                       * (double)(STORE_TIMEOUT - STORE_ROUND_TRIP_TIME));
@@ -193,7 +193,7 @@
 }
 
 static bool
-is_reported_alive (const LxInstance *instance, LbTime now)
+is_alive_for_membership (const LxInstance *instance, LbTime now)
 {
   bool paused = instance->paused_until > now && instance->paused_at + FAILURE_DETECTION_TIME < now;
 
@@ -215,10 +215,11 @@
     {
       const LxInstance *other = &world->instances[i];
       snprintf (incarnations[i], LB_NAME_MAX, "%u", other->incarnation);
-      members[i] = (LcConfigMember){ .name = other->name,
-                                     .incarnation = incarnations[i],
-                                     .alive = is_reported_alive (other, current_time (instance)),
-                                     .draining = other->draining };
+      members[i]
+          = (LcConfigMember){ .name = other->name,
+                              .incarnation = incarnations[i],
+                              .alive = is_alive_for_membership (other, current_time (instance)),
+                              .draining = other->draining };
     }
   lc_config_update_members (instance->config, members, n, current_time (instance),
                             &instance->config_actions);
--- a/standins/standin-trainer.c
+++ b/standins/standin-trainer.c
@@ -189,8 +189,8 @@
   return is_posted;
 }
 
-/* Compares the sample's text with the expected answer. The seed is the sample's index in the group,
- * or 0 if the system sends no seed. */
+/* Compares the sample's text with the answer of the stand-in engine. The engine's seed is the
+ * sample's index in the group, or 0 if the engine received no seed. */
 static bool
 is_sample_text_correct (
     const Trainer *trainer, int64_t group, int64_t index, const char *sample_text, int64_t tokens)
@@ -266,7 +266,7 @@
 }
 
 static void
-check_sample (Trainer *trainer, struct json_object *sample)
+check_and_count_sample (Trainer *trainer, struct json_object *sample)
 {
   Tally *tally = &trainer->tally;
   int64_t tokens = si_json_get_int (sample, "tokens", 0);
@@ -297,7 +297,7 @@
 }
 
 static void
-process_pull_reply (Trainer *trainer, struct json_object *reply)
+check_samples_and_advance_cursor (Trainer *trainer, struct json_object *reply)
 {
   struct json_object *samples = NULL;
 
@@ -305,7 +305,7 @@
   size_t n
       = json_object_is_type (samples, json_type_array) ? json_object_array_length (samples) : 0;
   for (size_t i = 0; i < n; i++)
-    check_sample (trainer, json_object_array_get_idx (samples, i));
+    check_and_count_sample (trainer, json_object_array_get_idx (samples, i));
   free (trainer->cursor);
   trainer->cursor = lb_strdup (si_json_get_text (reply, "cursor", ""));
   if (n > 0 && trainer->settings->train_time > 0)
@@ -345,7 +345,7 @@
         }
       if (!reply)
         break;
-      process_pull_reply (trainer, reply);
+      check_samples_and_advance_cursor (trainer, reply);
       is_done = si_json_get_bool (reply, "done", false);
       json_object_put (reply);
     }
