--- a/packages/core/bench/bench-dispatch.c
+++ b/packages/core/bench/bench-dispatch.c
@@ -28,7 +28,8 @@
   LcRequestId last_id;
 } Bench;
 
-/* Microseconds per request, and bytes per waiting request. */
+/* Costs of a queued request: microseconds for each operation, and the bytes that it takes in the
+ * queue. */
 typedef struct
 {
   double submit;
--- a/packages/core/bench/bench-engine.h
+++ b/packages/core/bench/bench-engine.h
@@ -44,7 +44,8 @@
   BenchCacheEvent events[ENGINE_MAX_CACHE_EVENTS];
   size_t n_events;
   double speed; /* factor on the speed of prefill and decoding; 1: normal speed */
-  /* Totals since bench_engine_reset_totals; occupancy is in request-seconds. */
+  /* Totals since the last bench_engine_reset_totals: decoded tokens of ended requests, running and
+   * waiting requests in request-seconds, prompt tokens, and how many of these were cached. */
   double tokens;
   double occupancy;
   double prompt_tokens;
--- a/packages/core/bench/bench-membership.c
+++ b/packages/core/bench/bench-membership.c
@@ -16,8 +16,8 @@
 #define TICK_INTERVAL (100 * LB_MSEC)
 /* limit for all control traffic of one instance, sent and received */
 #define BUDGET_BYTES_PER_SECOND 14000.0
-#define N_TRIALS 20
-#define HISTORY_SECONDS 60
+#define N_FAILURE_TRIALS 20
+#define MIN_SECONDS_BEFORE_FAILURE 60
 #define MIN_HEARTBEAT_PERIOD (500 * LB_MSEC)
 #define MAX_HEARTBEAT_PERIOD (30 * LB_SEC)
 
@@ -81,7 +81,7 @@
 {
   LcDetector detector;
   LbTime phase = (LbTime)gsl_rng_uniform_int (rng, (unsigned long)period);
-  LbTime fails_at = HISTORY_SECONDS * LB_SEC + 10 * period
+  LbTime fails_at = MIN_SECONDS_BEFORE_FAILURE * LB_SEC + 10 * period
                     + (LbTime)gsl_rng_uniform_int (rng, (unsigned long)period);
 
   lc_detector_init (&detector, period, phase);
@@ -98,7 +98,7 @@
   Samples samples = { 0 };
   char method[64];
 
-  for (size_t i = 0; i < N_TRIALS * (n_members - 1); i++)
+  for (size_t i = 0; i < N_FAILURE_TRIALS * (n_members - 1); i++)
     add_sample (&samples, simulate_detection_seconds (period, rng));
   snprintf (method, sizeof method, "all pairs, %.1f s", (double)period / LB_SEC);
   print_method_row (method, n_members,
@@ -107,8 +107,9 @@
                     &samples);
 }
 
-/* Returns a heartbeat period in proportion to the number of members, 0.5 to 30 s. Every instance
- * monitors all others and is monitored by them; each of the two gets half of the traffic budget. */
+/* Returns the heartbeat period for this number of members: 0.5 to 30 s, in proportion to it. Every
+ * instance monitors all others and is monitored by them: the heartbeats that it sends and those
+ * that it answers may each use half of the traffic budget. */
 static LbTime
 self_regulating_heartbeat_period (size_t n_members)
 {
@@ -126,7 +127,7 @@
   LbTime period = self_regulating_heartbeat_period (n_members);
   Samples samples = { 0 };
 
-  for (size_t i = 0; i < N_TRIALS * (n_members - 1); i++)
+  for (size_t i = 0; i < N_FAILURE_TRIALS * (n_members - 1); i++)
     add_sample (&samples, simulate_detection_seconds (period, rng));
   print_method_row ("self-regulating period", n_members,
                     2 * (double)(n_members - 1) * heartbeat_round_trip_bytes () * LB_SEC
@@ -237,7 +238,7 @@
   Samples samples = { 0 };
   char method[64];
 
-  for (int trial = 0; trial < N_TRIALS; trial++)
+  for (int trial = 0; trial < N_FAILURE_TRIALS; trial++)
     {
       size_t subject = 1 + gsl_rng_uniform_int (rng, n_members - 1);
       fake_peers_run_until (peers, fake_peers_now (peers)
@@ -302,8 +303,8 @@
   bench_self_regulating_period_growth (50);
 }
 
-/* Usage: bench-membership [SEED [ways|region]]. ways: only the comparison of the methods; region:
- * only the loss of a data centre. */
+/* Arguments: random seed, 1 by default; "ways" to run only the comparison of the methods, or
+ * "region" to run only the loss of a data centre. */
 int
 main (int argc, char **argv)
 {
--- a/packages/core/bench/bench-routing.c
+++ b/packages/core/bench/bench-routing.c
@@ -27,7 +27,7 @@
 #define SAMPLES_PER_GROUP 8
 #define LIVE_PREFIXES_PER_ENDPOINT 20
 #define N_PREFIX_HASHES 8
-#define LIVE_RESERVE 0.25
+#define LIVE_RESERVE_SHARE 0.25
 #define WARM_UP_SHARE 0.25 /* share of the run whose latencies are not recorded */
 
 typedef struct
@@ -128,7 +128,7 @@
                          .n_prefix_hashes = fill_prefix_hashes (request, hashes),
                          .prompt_tokens = (int64_t)request->prompt_tokens,
                          .expected_tokens = 100,
-                         .live_reserve = LIVE_RESERVE };
+                         .live_reserve = LIVE_RESERVE_SHARE };
   LbTime before = lb_clock_monotonic ();
   LcRouteDecision decision
       = lc_router_choose (instance->router, instance->endpoints, &query, simulation->now);
@@ -464,7 +464,7 @@
 }
 
 static Measures
-compute_measures (Simulation *simulation)
+compute_routing_measures (Simulation *simulation)
 {
   Measures measures = { 0 };
   double tokens = 0;
@@ -509,7 +509,7 @@
 }
 
 static void
-compare_policies (const Options *options)
+compare_routing_policies (const Options *options)
 {
   printf ("%d instances, %d endpoints, %.0f s, %d seeds, %.1f requests/s each, reports lag %d ms, "
           "%.0f%% of cache events lost, first engine at speed %.1f, %.0f%% of live calls with the "
@@ -531,7 +531,7 @@
 
           run_simulation (simulation);
 
-          Measures measures = compute_measures (simulation);
+          Measures measures = compute_routing_measures (simulation);
 
           for (size_t i = 0; i < sizeof sums / sizeof sums[0]; i++)
             sums[i] += ((const double *)&measures)[i];
@@ -597,7 +597,8 @@
 int
 main (int argc, char **argv)
 {
-  /* An engine with a full batch and no prefill serves 8 requests per second. */
+  /* By default, each endpoint gets 4 requests per second, half of what an engine with a full batch
+   * and no prefill serves. */
   Options options = { .endpoints = 13,
                       .seconds = 120,
                       .seeds = 5,
@@ -607,6 +608,6 @@
                       .first_engine_speed = 1 };
 
   parse_options (argc, argv, &options);
-  compare_policies (&options);
+  compare_routing_policies (&options);
   return 0;
 }
--- a/packages/core/bench/fake-peers.c
+++ b/packages/core/bench/fake-peers.c
@@ -10,7 +10,8 @@
 
 /* TCP and IPv4 headers of a segment with TCP timestamps */
 #define HEADER_BYTES 52
-/* headers of the TCP handshake, whose SYN and SYN-ACK have 8 more bytes, and of four segments */
+/* Headers of a new connection: SYN and SYN-ACK of 60 bytes each (8 more than other segments), ACK,
+ * and the four segments that follow the handshake. */
 #define CONNECT_HEADER_BYTES (60 + 60 + HEADER_BYTES + 4 * HEADER_BYTES)
 
 typedef enum
@@ -378,7 +379,7 @@
 }
 
 static void
-handle_message_event (FakePeers *peers, const Event *event, LbList *actions)
+deliver_message_event (FakePeers *peers, const Event *event, LbList *actions)
 {
   const Connection *connection = &peers->connections[event->connection];
   LcMembership *membership = peers->nodes[event->node].membership;
@@ -415,7 +416,7 @@
 }
 
 static void
-handle_event (FakePeers *peers, Event *event)
+execute_event (FakePeers *peers, Event *event)
 {
   Node *node = &peers->nodes[event->node];
   LbList actions;
@@ -438,7 +439,7 @@
         lc_membership_link_closed (node->membership, event->link, peers->now, &actions);
         break;
       case EVENT_MESSAGE:
-        handle_message_event (peers, event, &actions);
+        deliver_message_event (peers, event, &actions);
         break;
       }
   fake_peers_execute_actions (peers, event->node, &actions);
@@ -553,7 +554,7 @@
     {
       Event event = pop_event (peers);
       peers->now = event.at;
-      handle_event (peers, &event);
+      execute_event (peers, &event);
     }
   peers->now = until;
 }
