--- a/packages/core/tests/fake-engines.h
+++ b/packages/core/tests/fake-engines.h
@@ -22,7 +22,7 @@
   LbTime loaded_at;  /* end of the latest load */
   LbTime next_report;
   int incarnation;
-  int fail_loads; /* number of further loads that fail */
+  int fail_loads; /* number of next loads that fail */
   bool dead;
   bool ignores_orders; /* accepts load orders without executing them */
 } FakeEngine;
@@ -183,7 +183,7 @@
 }
 
 static inline void
-fake_pool_update_maxima (FakePool *pool)
+fake_pool_record_peak_engine_counts (FakePool *pool)
 {
   size_t out = 0, swapping = 0;
 
@@ -204,7 +204,7 @@
       for (size_t i = 0; i < pool->n; i++)
         fake_engine_finish_load_and_report (pool, &pool->engines[i]);
       fake_pool_execute_orders (pool);
-      fake_pool_update_maxima (pool);
+      fake_pool_record_peak_engine_counts (pool);
     }
 }
 
--- a/packages/core/tests/rollouts-fixture.h
+++ b/packages/core/tests/rollouts-fixture.h
@@ -24,25 +24,25 @@
   LcRequestId last_cancelled;
   LcRequestId last_preempted;
   size_t n_cancelled;
-  LbErrorCode ledger_error;    /* result of ledger writes; LB_OK: written */
+  LbErrorCode ledger_error;    /* error of the next ledger writes; LB_OK: they succeed */
   bool ledger_is_unresponsive; /* true: ledger writes get no result */
   char *ledger_row;
   int n_ledger_writes;
   uint64_t last_write_id;
-  LcReadySample *handed_over; /* samples that a previous owner hands over */
+  LcReadySample *handed_over; /* completed samples that a previous owner hands over */
   size_t n_handed_over;
-  /* Totals of all replies, followed by the content of the last reply. */
+  /* Totals over all replies: replies and samples. The fields after them are from the last reply. */
   size_t n_replies;
-  int64_t n_delivered; /* number of samples in all replies */
+  int64_t n_delivered;
   LbErrorCode reply_error;
   char *cursor;
   int64_t remaining;
   size_t n_samples;
-  char samples[MAX_REQUESTS][64]; /* each as "group/index text" */
+  char samples[MAX_REQUESTS][64]; /* samples of the last reply, each as "group/index text" */
   LcLabel labels[MAX_REQUESTS];
 } Owner;
 
-static inline void owner_run_actions (Owner *owner, LbList *actions);
+static inline void owner_execute_actions (Owner *owner, LbList *actions);
 
 static inline void
 owner_record_reply (Owner *owner, const LcRolloutAction *action)
@@ -64,7 +64,7 @@
 }
 
 static inline void
-owner_run_ledger_write (Owner *owner, const LcRolloutAction *action)
+owner_execute_ledger_write (Owner *owner, const LcRolloutAction *action)
 {
   LbList next_actions;
 
@@ -80,7 +80,7 @@
   lb_list_init (&next_actions);
   lc_rollouts_finish_ledger_write (owner->rollouts, action->write_id, owner->ledger_error,
                                    owner->now, &next_actions);
-  owner_run_actions (owner, &next_actions);
+  owner_execute_actions (owner, &next_actions);
 }
 
 static inline void
@@ -94,7 +94,7 @@
 }
 
 static inline void
-owner_run_actions (Owner *owner, LbList *actions)
+owner_execute_actions (Owner *owner, LbList *actions)
 {
   LbLink *link;
 
@@ -113,20 +113,21 @@
       else if (action->type == LC_ROLLOUT_PREEMPT)
         owner->last_preempted = action->spec.id;
       else if (action->type == LC_ROLLOUT_WRITE_LEDGER)
-        owner_run_ledger_write (owner, action);
+        owner_execute_ledger_write (owner, action);
       else
         owner_record_reply (owner, action);
       lc_rollout_action_free (action);
     }
 }
 
+/* Executes `call`, which appends actions to the list `actions`, and then these actions. */
 #define OWNER_CALL(owner, call)                                                                    \
   do                                                                                               \
     {                                                                                              \
       LbList actions;                                                                              \
       lb_list_init (&actions);                                                                     \
       call;                                                                                        \
-      owner_run_actions ((owner), &actions);                                                       \
+      owner_execute_actions ((owner), &actions);                                                   \
     }                                                                                              \
   while (0)
 
@@ -277,7 +278,8 @@
   owner_start_pull (owner, 1, cursor, version, 0);
 }
 
-/* Advances time in steps of 100 ms with a tick at each, as a process without pauses does. */
+/* Advances the time in steps of 100 ms and ticks the owner after each, as in a process that is
+ * never paused. */
 static inline void
 owner_advance_time (Owner *owner, LbTime duration)
 {
--- a/packages/core/tests/test-rollouts-fresh.c
+++ b/packages/core/tests/test-rollouts-fresh.c
@@ -2,8 +2,8 @@
 
 static const LcSubscription plain = { .share = 1, .idle_weight = 1 };
 
-/* Samples are within the bound when they are dispatched and when they end, but the trainer advances
- * before it pulls. It must not get samples beyond its staleness bound. */
+/* Samples are within the staleness bound when they are dispatched and when they end, but the
+ * trainer's version advances before it pulls. It must not get samples beyond the bound. */
 Test (rollouts_fresh, sample_that_became_stale_before_the_pull_is_regenerated)
 {
   Owner *owner = owner_new (&plain, 1);
@@ -22,7 +22,8 @@
   owner_free (owner);
 }
 
-/* A sample starts with old weights and ends with new ones; its oldest version decides. */
+/* A sample starts with old weights and ends with new ones: its staleness is that of the oldest
+ * version. */
 Test (rollouts_fresh, oldest_span_decides_staleness)
 {
   Owner *owner = owner_new (&plain, 1);
@@ -37,8 +38,8 @@
 }
 
 /* The reply with a chunk is lost and the trainer repeats its pull a version later, when one sample
- * of the chunk exceeds the bound. The other sample is delivered, and the stale one is generated
- * again. */
+ * of the chunk exceeds the staleness bound. The other sample must be delivered, and the stale one
+ * generated again. */
 Test (rollouts_fresh, repeated_pull_at_newer_version_gets_no_stale_sample)
 {
   Owner *owner = owner_new (&plain, 1);
@@ -55,7 +56,8 @@
   cr_assert_eq (owner->n_samples, 1);
   cr_assert_str_eq (owner->samples[0], "g1/0 young");
   cr_assert_eq (lc_rollouts_count_invariant_failures (owner->rollouts), 0);
-  /* The trainer got the first reply after all: its cursor is accepted, no sample is repeated. */
+  /* The trainer got the first reply after all. The cursor of that reply must be accepted, and no
+   * sample be repeated. */
   owner_pull_without_waiting (owner, first, 42);
   cr_assert_eq (owner->reply_error, LB_OK);
   cr_assert_eq (owner->n_samples, 0);
@@ -65,8 +67,8 @@
   owner_free (owner);
 }
 
-/* A running sample that is already beyond the bound is stopped at once; finishing it would waste
- * tokens. */
+/* A running sample that already exceeds the staleness bound must be stopped at once; finishing it
+ * would waste tokens. */
 Test (rollouts_fresh, running_stale_sample_is_restarted)
 {
   Owner *owner = owner_new (&plain, 1);
--- a/packages/core/tests/test-rollouts-labels.c
+++ b/packages/core/tests/test-rollouts-labels.c
@@ -11,7 +11,7 @@
   return owner->requests[0].id;
 }
 
-/* Expects that the slot's sample is generated again and returns the new request. */
+/* Expects that the sample of the request `old` is generated again, and returns the new request. */
 static LcRequestId
 expect_regenerated_sample (Owner *owner, LcRequestId old)
 {
--- a/packages/core/tests/test-rollouts-once.c
+++ b/packages/core/tests/test-rollouts-once.c
@@ -232,8 +232,8 @@
 }
 
 /* The owner's process is paused, another instance takes over the step, and the old owner then gets
- * a pull. A delivery could repeat samples of the new owner's chunks. The old owner delivers only
- * after a ledger write, which fails because of its older session. */
+ * a pull. A delivery could repeat samples of the new owner's chunks, so the old owner must deliver
+ * only after a ledger write, which fails because its session is older. */
 Test (rollouts_once, replaced_owner_does_not_deliver_after_a_pause)
 {
   Owner *owner = owner_new (&plain, 5);
--- a/packages/core/tests/test-rollouts.c
+++ b/packages/core/tests/test-rollouts.c
@@ -45,7 +45,7 @@
   owner_free (owner);
 }
 
-/* The scorer fails once. The sample waits for its score and is not generated again. */
+/* The scorer fails once. The sample must wait for its score and not be generated again. */
 Test (rollouts, failed_scoring_is_retried)
 {
   LcSubscription scored = plain;
@@ -71,7 +71,8 @@
   owner_free (owner);
 }
 
-/* Two trainers use one pool. A burst of the first one must leave the second its share. */
+/* Two trainers use one pool. A burst of samples of the first trainer must leave the second its
+ * share. */
 Test (rollouts, second_trainer_gets_its_share)
 {
   Owner *owner = owner_new (&plain, 2);
@@ -110,7 +111,7 @@
   owner_free (owner);
 }
 
-/* A drain that waited for generations without an engine would never end. These generations are
+/* A drain that waited for generations without an engine would never end. These generations must be
  * cancelled and left to the next owner; those with a first piece are finished. */
 Test (rollouts, drain_waits_only_for_started_generations)
 {
@@ -124,9 +125,9 @@
   owner_free (owner);
 }
 
-/* idle_weight 0 asks for the newest weights. While the engines' versions are unknown, a stricter
- * minimum version than the bound could leave the step without any engine. */
-Test (rollouts, min_version_with_unknown_versions_is_the_bound)
+/* idle_weight 0 asks for the newest weights. While the versions of the engines are unknown, a
+ * minimum version above the trainer's staleness bound could leave the step without any engine. */
+Test (rollouts, min_version_is_the_staleness_bound_while_versions_are_unknown)
 {
   LcSubscription fresh = plain;
 
--- a/packages/core/tests/test-weights.c
+++ b/packages/core/tests/test-weights.c
@@ -6,18 +6,18 @@
 static FakePool pool;
 
 static void
-create_pool (void)
+create_fake_pool (void)
 {
   fake_pool_init (&pool, 12, 25, 0.25, 40);
 }
 
 static void
-free_pool (void)
+free_fake_pool (void)
 {
   fake_pool_clear (&pool);
 }
 
-TestSuite (weights, .init = create_pool, .fini = free_pool);
+TestSuite (weights, .init = create_fake_pool, .fini = free_fake_pool);
 
 static LcWeightsStatus
 get_weights_status (void)
@@ -41,8 +41,8 @@
   cr_assert_eq (get_weights_status ().wait_reason, LC_WEIGHTS_IDLE);
 }
 
-/* Routing needs the expected end of a swap. It must be estimated from the load times seen
- * before. */
+/* Routing needs the expected end of a swap. It must be estimated from the measured times of earlier
+ * loads. */
 Test (weights, expected_end_of_a_swap_follows_measured_load_times)
 {
   LbList actions;
@@ -223,7 +223,8 @@
     }
   for (size_t i = 0; i < pool.n; i++)
     if (pool.engines[i].version > 0)
-      cr_assert_geq (pool.engines[i].version, version - 6, "engine %zu has %lld", i,
+      cr_assert_geq (pool.engines[i].version, version - 6,
+                     "engine %zu has version %lld, expected at least 55", i,
                      (long long)pool.engines[i].version);
 }
 
@@ -274,7 +275,7 @@
 }
 
 /* Two of three engines are lost permanently. The third must keep serving 40 for a while, since the
- * lost ones may return. Then it must be swapped, or trainers would only get stale samples. */
+ * lost engines may return. Then it must be swapped, or trainers would only get stale samples. */
 Test (weights, lost_engines_block_the_others_only_until_the_timeout)
 {
   fake_pool_clear (&pool);
