--- a/packages/core/tests/test-duty.c
+++ b/packages/core/tests/test-duty.c
@@ -40,7 +40,7 @@
 }
 
 /* Guards against duties given to one of 235 weak machines although there are 60 strong ones:
- * batches there started a quarter of a second later, and again after each power loss. */
+ * batches on weak machines started a quarter of a second later, and again after each power loss. */
 Test (duty, strong_machines_get_nearly_all_duties)
 {
   enum
--- a/packages/core/tests/test-fleet.c
+++ b/packages/core/tests/test-fleet.c
@@ -6,12 +6,12 @@
 #include <json-c/json.h>
 #include <string.h>
 
-#define PERIOD (500 * LB_MSEC)
+#define RENEWAL_PERIOD (500 * LB_MSEC)
 
 static LcFleetRow
 make_fleet_row (const char *name, const char *incarnation)
 {
-  LcFleetRow row = { .ready = true, .period = PERIOD };
+  LcFleetRow row = { .ready = true, .period = RENEWAL_PERIOD };
 
   LB_COPY (row.name, name);
   LB_COPY (row.incarnation, incarnation);
@@ -27,8 +27,9 @@
   LcFleetRow a = make_fleet_row ("a", "1");
   LcFleetRow b = make_fleet_row ("b", "1");
 
-  lc_fleet_begin_list (fleet, &(LcFleetList){
-                                  .received_at = now, .round_trip = round_trip, .period = PERIOD });
+  lc_fleet_begin_list (fleet, &(LcFleetList){ .received_at = now,
+                                              .round_trip = round_trip,
+                                              .period = RENEWAL_PERIOD });
   lc_fleet_add_row (fleet, &a, version_a, now);
   lc_fleet_add_row (fleet, &b, version_b, now);
   return lc_fleet_finish_list (fleet, now);
@@ -54,13 +55,13 @@
 
   list_two_rows (fleet, version, 5, now);
   cr_assert (is_member_alive (fleet, "b"));
-  for (LbTime silence = 0; silence < 3 * PERIOD; silence += PERIOD)
+  for (LbTime silence = 0; silence < 3 * RENEWAL_PERIOD; silence += RENEWAL_PERIOD)
     {
-      now += PERIOD;
+      now += RENEWAL_PERIOD;
       list_two_rows (fleet, ++version, 5, now);
       cr_assert (is_member_alive (fleet, "b"));
     }
-  now += PERIOD;
+  now += RENEWAL_PERIOD;
   cr_assert (list_two_rows (fleet, ++version, 5, now));
   cr_assert_not (is_member_alive (fleet, "b"));
   cr_assert (is_member_alive (fleet, "a"));
@@ -78,11 +79,11 @@
   list_two_rows (fleet, 1, 5, now);
   for (int i = 0; i < 4; i++)
     {
-      now += PERIOD;
+      now += RENEWAL_PERIOD;
       list_two_rows (fleet, 2 + i, 5, now);
       cr_assert (is_member_alive (fleet, "b"));
     }
-  now += PERIOD;
+  now += RENEWAL_PERIOD;
   list_two_rows (fleet, 8, 5, now);
   cr_assert_not (is_member_alive (fleet, "b"), "a slow store must not hide a dead instance");
   round_trip = 0;
@@ -113,14 +114,16 @@
 
   list_two_rows (fleet, 1, 2, now);
   now += 4 * LB_SEC;
-  for (int i = 0; i < 5; i++, now += PERIOD)
+  for (int i = 0; i < 5; i++, now += RENEWAL_PERIOD)
     {
       list_two_rows (fleet, 1, 2, now);
-      cr_assert (is_member_alive (fleet, "b"), "dead %d periods after the outage", i);
+      cr_assert (is_member_alive (fleet, "b"),
+                 "expected b to be alive, but it is dead %d periods after the outage", i);
     }
-  now += PERIOD;
+  now += RENEWAL_PERIOD;
   list_two_rows (fleet, 1, 2, now);
-  cr_assert_not (is_member_alive (fleet, "b"), "an instance that does not renew again is dead");
+  cr_assert_not (is_member_alive (fleet, "b"),
+                 "expected b to be dead, since it did not renew again");
   lc_fleet_free (fleet);
 }
 
@@ -134,8 +137,9 @@
 }
 
 /* A site of 295 instances renews and lists all rows only every few seconds. When the owner of a
- * step lost power, that was detected only after 2.5 s, and all texts of the step were late. The
- * owner's row on duty is listed every 0.3 s and must reveal the loss sooner. */
+ * step lost power, that was detected only after 2.5 s, and all texts of the step were late. An
+ * owner renews a second row, its row on duty, which is listed every 0.3 s and must reveal the loss
+ * sooner. */
 Test (fleet, a_row_on_duty_shows_a_dead_owner_sooner)
 {
   enum
@@ -176,8 +180,9 @@
   lc_fleet_free (on_duty);
 }
 
-/* The owner of a step was killed and restarted without a duty. Its row on duty is from the previous
- * incarnation and no longer changes: the newer general row must show the instance as alive. */
+/* The owner of a step was killed and restarted without a duty. Its second row, the row on duty, is
+ * from the previous incarnation and no longer changes. The newer general row must show the instance
+ * as alive. */
 Test (fleet, a_row_on_duty_of_an_earlier_incarnation_is_ignored)
 {
   LcFleet *all = lc_fleet_new ("a");
@@ -187,12 +192,12 @@
   LcFleetRow newcomer = make_fleet_row ("c", "1");
   LcFleetMember members[4];
 
-  for (LbTime now = LB_SEC; now < 6 * LB_SEC; now += PERIOD)
+  for (LbTime now = LB_SEC; now < 6 * LB_SEC; now += RENEWAL_PERIOD)
     {
-      lc_fleet_begin_list (all, &(LcFleetList){ .received_at = now, .period = PERIOD });
+      lc_fleet_begin_list (all, &(LcFleetList){ .received_at = now, .period = RENEWAL_PERIOD });
       lc_fleet_add_row (all, &current_row, 10 + now, now);
       lc_fleet_finish_list (all, now);
-      lc_fleet_begin_list (on_duty, &(LcFleetList){ .received_at = now, .period = PERIOD });
+      lc_fleet_begin_list (on_duty, &(LcFleetList){ .received_at = now, .period = RENEWAL_PERIOD });
       lc_fleet_add_row (on_duty, &old_duty_row, 4, now);
       lc_fleet_add_row (on_duty, &newcomer, 11 + now, now);
       lc_fleet_finish_list (on_duty, now);
@@ -201,13 +206,14 @@
   cr_assert_eq (n, 2);
   cr_assert (find_member (members, n, "b")->alive);
   cr_assert_str_eq (find_member (members, n, "b")->row.incarnation, "2");
-  cr_assert (find_member (members, n, "c")->alive, "a row on duty alone is enough");
+  cr_assert (find_member (members, n, "c")->alive,
+             "expected c to be alive: a row on duty alone is enough");
   lc_fleet_free (all);
   lc_fleet_free (on_duty);
 }
 
-/* Callers are given an instance's address until it is declared dead, and would wait for a dead one.
- * So an instance must lose `fresh` after one missed renewal: its address is then given last. */
+/* Callers get the address of an instance until it is declared dead, and would wait for a dead one.
+ * So after one missed renewal an instance must not be fresh: its address is then given last. */
 Test (fleet, an_instance_that_missed_a_renewal_is_not_fresh)
 {
   LcFleet *fleet = lc_fleet_new ("a");
@@ -215,7 +221,7 @@
 
   list_two_rows (fleet, 1, 5, now);
   cr_assert (lc_fleet_member_at (fleet, 1)->fresh);
-  now += 2 * PERIOD;
+  now += 2 * RENEWAL_PERIOD;
   list_two_rows (fleet, 2, 5, now);
   cr_assert (lc_fleet_member_at (fleet, 1)->alive);
   cr_assert_not (lc_fleet_member_at (fleet, 1)->fresh);
@@ -240,8 +246,9 @@
   LcFleetRow b = make_fleet_row ("b", "1");
 
   b.renewed_ms = renewed_ms_of_b;
-  lc_fleet_begin_list (fleet, &(LcFleetList){
-                                  .received_at = LB_SEC, .store_ms = 100000, .period = PERIOD });
+  lc_fleet_begin_list (fleet, &(LcFleetList){ .received_at = LB_SEC,
+                                              .store_ms = 100000,
+                                              .period = RENEWAL_PERIOD });
   lc_fleet_add_row (fleet, &b, 5, LB_SEC);
   lc_fleet_finish_list (fleet, LB_SEC);
   return fleet;
@@ -256,7 +263,7 @@
 
   cr_assert_not (is_member_confirmed (fleet, "b"));
   cr_assert (is_member_alive (fleet, "b"),
-             "its batches must not be taken over after a single listing");
+             "expected b to be alive: its batches must not be taken over after a single listing");
   lc_fleet_free (fleet);
 }
 
@@ -278,9 +285,11 @@
   LcFleetRow b = make_fleet_row ("b", "1");
 
   cr_assert_not (is_member_confirmed (fleet, "b"));
-  lc_fleet_begin_list (fleet, &(LcFleetList){ .received_at = 2 * LB_SEC, .period = PERIOD });
+  lc_fleet_begin_list (fleet,
+                       &(LcFleetList){ .received_at = 2 * LB_SEC, .period = RENEWAL_PERIOD });
   lc_fleet_add_row (fleet, &b, 6, 2 * LB_SEC);
-  cr_assert (lc_fleet_finish_list (fleet, 2 * LB_SEC), "the confirmation counts as a change");
+  cr_assert (lc_fleet_finish_list (fleet, 2 * LB_SEC),
+             "expected a change: the confirmation counts as one");
   cr_assert (is_member_confirmed (fleet, "b"));
   lc_fleet_free (fleet);
 }
@@ -297,7 +306,7 @@
   cr_assert_str_eq (second.incarnation, "17");
   cr_assert (second.draining);
   cr_assert_eq (second.renewed_ms, 9);
-  cr_assert_eq (second.period, PERIOD);
+  cr_assert_eq (second.period, RENEWAL_PERIOD);
   json_object_put (object);
   object = json_tokener_parse ("{\"name\": 3}");
   cr_assert_not (lc_fleet_row_from_json (object, &second));
--- a/packages/core/tests/test-lease-ends.c
+++ b/packages/core/tests/test-lease-ends.c
@@ -5,10 +5,10 @@
 #include <stdlib.h>
 
 /* Tests of a lease's expiry, as computed by the holder and by candidates. Both allow for clock
- * drift over the duration and for an order in transit from its check to the engine. */
+ * drift during the lease, and for the time that the last order takes to reach the engine. */
 
 #define CLAIMED_AT (10 * LB_SEC)
-#define DURATION (4 * LB_SEC)
+#define LEASE_DURATION (4 * LB_SEC)
 #define MAX_CLOCK_DRIFT 0.01 /* default of max_clock_drift in the settings, as a fraction */
 /* Time from the check of an order until it reaches the engine: slightly less than the safety margin
  * of 100 ms that holder and candidates each allow. */
@@ -21,7 +21,7 @@
   LcLeaseSettings settings;
 
   lc_lease_settings_init (&settings);
-  cr_assert_eq (settings.duration, DURATION);
+  cr_assert_eq (settings.duration, LEASE_DURATION);
   LB_COPY (settings.instance, instance);
   LB_COPY (settings.incarnation, "first");
   LcLease *lease = lc_lease_new (&settings, CLAIMED_AT, CLAIMED_AT);
@@ -29,7 +29,8 @@
   return lease;
 }
 
-/* Frees all actions and returns the row of the last WRITE action; false when there is none. */
+/* Frees all actions. Copies the row of the last WRITE action to *row; returns false if there is
+ * none. */
 static bool
 take_last_write (LbList *actions, LcLeaseRow *row)
 {
@@ -87,7 +88,7 @@
 Test (lease_ends, holder_with_a_slow_clock_stops_before_others_can_claim)
 {
   LcLease *lease = make_held_lease ();
-  LbTime expiry_for_others = CLAIMED_AT + (LbTime)(DURATION / (1 + MAX_CLOCK_DRIFT));
+  LbTime expiry_for_others = CLAIMED_AT + (LbTime)(LEASE_DURATION / (1 + MAX_CLOCK_DRIFT));
 
   cr_assert (allows_order_after_ticks_until (lease, CLAIMED_AT + 3800 * LB_MSEC),
              "the holder stops earlier than it has to");
@@ -95,7 +96,7 @@
   lc_lease_free (lease);
 }
 
-/* Whether the candidate claims the lease after a read that started at now. */
+/* Returns true if the candidate claims the lease after a read that started at `now`. */
 static bool
 claims_lease_at (LcLease *lease, LbTime now)
 {
@@ -116,7 +117,7 @@
 Test (lease_ends, candidate_with_a_fast_clock_waits_for_the_holders_last_order)
 {
   LcLease *lease = make_candidate_lease ("b");
-  LbTime expiry_for_holder = CLAIMED_AT + (LbTime)(DURATION * (1 + MAX_CLOCK_DRIFT));
+  LbTime expiry_for_holder = CLAIMED_AT + (LbTime)(LEASE_DURATION * (1 + MAX_CLOCK_DRIFT));
 
   cr_assert_not (claims_lease_at (lease, CLAIMED_AT));
   cr_assert_not (claims_lease_at (lease, expiry_for_holder + ORDER_TRANSIT_TIME));
--- a/packages/core/tests/test-lease.c
+++ b/packages/core/tests/test-lease.c
@@ -8,8 +8,8 @@
 #include <string.h>
 
 #define N_HOLDERS 3
-#define MAX_OPERATIONS 256
-#define STEP (10 * LB_MSEC)
+#define MAX_TABLE_OPERATIONS 256
+#define TIME_STEP (10 * LB_MSEC)
 #define TICK_INTERVAL (50 * LB_MSEC)
 
 /* A read or write of the table in progress. */
@@ -38,7 +38,7 @@
 } Holder;
 
 static Holder holders[N_HOLDERS];
-static Operation operations[MAX_OPERATIONS];
+static Operation operations[MAX_TABLE_OPERATIONS];
 static LcLeaseRow table_row;
 static LcLeaseRow
     previous_row; /* last row of the previous holder, which a lagging replica still returns */
@@ -71,7 +71,7 @@
   stale_read_ratio = 0;
   max_delay = 20 * LB_MSEC;
   rng = gsl_rng_alloc (gsl_rng_taus2);
-  for (int i = 0; i < MAX_OPERATIONS; i++)
+  for (int i = 0; i < MAX_TABLE_OPERATIONS; i++)
     operations[i].holder = -1;
   for (int i = 0; i < N_HOLDERS; i++)
     {
@@ -95,13 +95,13 @@
 TestSuite (lease, .init = start_holders, .fini = free_holders);
 
 static LbTime
-random_delay (void)
+random_table_delay (void)
 {
   return 1 + (LbTime)(gsl_rng_uniform (rng) * max_delay);
 }
 
 static void
-start_operation (int holder, const LcLeaseAction *action)
+start_table_operation (int holder, const LcLeaseAction *action)
 {
   int i = 0;
 
@@ -111,12 +111,12 @@
                                .is_write = action->type == LC_LEASE_WRITE,
                                .row = action->row,
                                .version = action->expected_version,
-                               .apply_at = now + random_delay () };
-  operations[i].reply_at = operations[i].apply_at + random_delay ();
+                               .apply_at = now + random_table_delay () };
+  operations[i].reply_at = operations[i].apply_at + random_table_delay ();
 }
 
 static void
-carry_out_actions (int holder, LbList *actions)
+carry_out_lease_actions (int holder, LbList *actions)
 {
   LbLink *link;
 
@@ -124,7 +124,7 @@
     {
       LcLeaseAction *action = LB_CONTAINER (link, LcLeaseAction, link);
       if (action->type == LC_LEASE_READ || action->type == LC_LEASE_WRITE)
-        start_operation (holder, action);
+        start_table_operation (holder, action);
       free (action);
     }
 }
@@ -159,7 +159,7 @@
 }
 
 static void
-deliver_reply (Operation *operation)
+deliver_table_reply (Operation *operation)
 {
   LbList actions;
   int i = operation->holder;
@@ -173,13 +173,13 @@
   else
     lc_lease_read_completed (holder->lease, operation->result, &operation->row, operation->version,
                              read_holder_clock (holder), &actions);
-  carry_out_actions (i, &actions);
+  carry_out_lease_actions (i, &actions);
 }
 
 static void
-advance_operations (void)
+advance_table_operations (void)
 {
-  for (int i = 0; i < MAX_OPERATIONS; i++)
+  for (int i = 0; i < MAX_TABLE_OPERATIONS; i++)
     {
       Operation *operation = &operations[i];
       if (operation->holder < 0)
@@ -188,7 +188,7 @@
         apply_operation_to_table (operation);
       if (operation->is_applied && now >= operation->reply_at
           && now >= holders[operation->holder].paused_until)
-        deliver_reply (operation);
+        deliver_table_reply (operation);
     }
 }
 
@@ -203,13 +203,13 @@
   lb_list_init (&actions);
   holder->next_tick = now + holder->tick;
   lc_lease_tick (holder->lease, read_holder_clock (holder), now, &actions);
-  carry_out_actions (i, &actions);
+  carry_out_lease_actions (i, &actions);
 }
 
 static bool
 has_write_in_progress (int holder)
 {
-  for (int i = 0; i < MAX_OPERATIONS; i++)
+  for (int i = 0; i < MAX_TABLE_OPERATIONS; i++)
     if (operations[i].holder == holder && operations[i].is_write)
       return true;
   return false;
@@ -236,23 +236,24 @@
 static void
 run_simulation (LbTime duration)
 {
-  for (LbTime until = now + duration; now < until; now += STEP)
+  for (LbTime until = now + duration; now < until; now += TIME_STEP)
     {
       find_active_holder ();
-      advance_operations ();
+      advance_table_operations ();
       for (int i = 0; i < N_HOLDERS; i++)
         tick_holder (i);
     }
 }
 
-/* Runs until a holder other than `before` may give orders; returns the simulated time taken. */
+/* Runs the simulation for at most `limit`, until a holder other than `before` may give orders.
+ * Returns the simulated time taken. */
 static LbTime
 run_until_other_holder_can_order (int before, LbTime limit)
 {
   LbTime start = now;
 
   while (now - start < limit && (find_active_holder () == before || find_active_holder () == -1))
-    run_simulation (STEP);
+    run_simulation (TIME_STEP);
   return now - start;
 }
 
@@ -299,9 +300,9 @@
 {
   run_simulation (3 * LB_SEC);
   holders[0].paused_until = now + 9 * LB_SEC;
-  run_simulation (9 * LB_SEC - STEP);
+  run_simulation (9 * LB_SEC - TIME_STEP);
   cr_assert_eq (find_active_holder (), 1);
-  now += STEP;
+  now += TIME_STEP;
   cr_assert_not (lc_lease_allows_order (holders[0].lease, false, read_holder_clock (&holders[0])));
   run_simulation (5 * LB_SEC);
   cr_assert_eq (find_active_holder (), 1);
@@ -328,12 +329,12 @@
   max_delay = LB_SEC;
   run_simulation (3 * LB_SEC);
   while (!has_write_in_progress (0))
-    run_simulation (STEP);
+    run_simulation (TIME_STEP);
   holders[0].paused_until = now + 9 * LB_SEC;
   holders[0].offset -= 9 * LB_SEC;
   run_simulation (9 * LB_SEC);
   tick_holder (0);
-  advance_operations ();
+  advance_table_operations ();
   cr_assert_not (lc_lease_allows_order (holders[0].lease, false, read_holder_clock (&holders[0])));
 }
 
@@ -351,25 +352,26 @@
       run_simulation (3 * LB_SEC + i * 11 * LB_MSEC);
       lc_lease_set_claim_rank (holders[1].lease, 0);
       holders[0].is_cut_off = true;
-      holders[0].tick = STEP;
-      holders[1].tick = STEP;
+      holders[0].tick = TIME_STEP;
+      holders[1].tick = TIME_STEP;
       for (int step = 0; step < 600; step++)
         {
           lc_lease_request_read (holders[1].lease, read_holder_clock (&holders[1]));
-          run_simulation (STEP);
+          run_simulation (TIME_STEP);
         }
       cr_assert_eq (find_active_holder (), 1);
     }
 }
 
-/* The holder's loop is slow but not paused, and its lease expires between two ticks. */
+/* The holder is cut off from the store, and its lease expires between two ticks of its slow loop.
+ * Orders must be refused from the expiry on, not only after the next tick. */
 Test (lease, order_is_checked_against_the_expiry_itself)
 {
   run_simulation (3 * LB_SEC);
   holders[0].is_cut_off = true;
   holders[0].tick = 9 * LB_SEC / 10;
   while (find_active_holder () == 0)
-    run_simulation (STEP);
+    run_simulation (TIME_STEP);
   cr_assert (lc_lease_is_held (holders[0].lease),
              "the lease was lost by a tick, so the check itself was not tested");
 }
@@ -398,7 +400,7 @@
   lb_list_init (&actions);
   run_simulation (3 * LB_SEC);
   lc_lease_release (holders[0].lease, read_holder_clock (&holders[0]), &actions);
-  carry_out_actions (0, &actions);
+  carry_out_lease_actions (0, &actions);
   cr_assert_eq (find_active_holder (), -1);
   LbTime gap = run_until_other_holder_can_order (0, 10 * LB_SEC);
   cr_assert_leq (gap, 3 * LB_SEC);
@@ -441,7 +443,7 @@
   lb_list_init (&actions);
   run_simulation (3 * LB_SEC);
   lc_lease_release (holders[0].lease, read_holder_clock (&holders[0]), &actions);
-  carry_out_actions (0, &actions);
+  carry_out_lease_actions (0, &actions);
   run_until_other_holder_can_order (0, 10 * LB_SEC);
   int next = find_active_holder ();
   cr_assert_gt (next, 0);
@@ -513,8 +515,8 @@
   return lease;
 }
 
-/* Whether the candidate claims the lease after it has read, at this time, the row of holder "a"
- * with this version. */
+/* Lets the candidate read, at time `at`, a row of holder "a" with this version. Returns true if the
+ * candidate then claims the lease. */
 static bool
 claims_lease_at (LcLease *lease, int64_t version, LbTime at)
 {
@@ -547,7 +549,7 @@
   cr_assert_not (claims_lease_at (lease, 7, 2 * LB_SEC));
   lc_lease_mark_holder_ended (lease, 6, 2 * LB_SEC);
   cr_assert_not (claims_lease_at (lease, 7, 2100 * LB_MSEC),
-                 "only an older version was marked as ended");
+                 "must not claim the lease: only an older version was marked as ended");
   lc_lease_mark_holder_ended (lease, 7, 2200 * LB_MSEC);
   cr_assert (claims_lease_at (lease, 7, 2300 * LB_MSEC));
   lc_lease_free (lease);
@@ -599,8 +601,8 @@
   lc_lease_free (lease);
 }
 
-/* Simulates the table for one instance: answers a read with a row of this holder and fencing
- * number, and confirms the claim that the instance may write next. */
+/* Simulates the table for one instance: answers a read with a row of `holder` and `fence`, and
+ * confirms the claim that the instance may write next. */
 static void
 answer_read_and_claim (LcLease *lease, const char *holder, int64_t fence, LbTime at)
 {
