--- a/packages/core/tests/test-batch-head.c
+++ b/packages/core/tests/test-batch-head.c
@@ -22,7 +22,7 @@
   json_object_put (object);
 }
 
-/* A foreign or truncated row must not be read as a batch without items. */
+/* A truncated row or a row of another kind must not be read as a batch without items. */
 Test (batch_head, row_without_required_fields_is_rejected)
 {
   static const char *const texts[]
@@ -37,7 +37,7 @@
     }
 }
 
-/* A new batch must run on its preferred instance; after a change of owner, on the new owner. */
+/* A new batch must run on its preferred instance; after a change of its owner, on the new owner. */
 Test (batch_head, batch_is_assigned_to_its_preferred_instance_until_the_owner_changes)
 {
   LcBatchHead head = { .epoch = 1, .owner = "a", .preferred_instance = "b" };
@@ -48,9 +48,9 @@
 }
 
 /* After an owner died, two steps of a model run on two instances. The end of the first step updates
- * its row. The third step must join the running second step. By row version alone, it went to the
- * instance of the first, and the fourth to that of the second, so both instances kept connections
- * to all engines. */
+ * its row. If the row with the highest version decided, the third step would join the first step's
+ * instance and the fourth the second's, and both instances would keep connections to all engines.
+ * So the third step must join the running second step. */
 Test (batch_head, next_batch_joins_a_running_batch_rather_than_an_ended_one)
 {
   const LcBatchHead ended = { .ended = true };
--- a/packages/core/tests/test-batch-keep.c
+++ b/packages/core/tests/test-batch-keep.c
@@ -120,7 +120,7 @@
 
 /* Stores a row; replaces the row with the same key, if there is one. */
 static void
-put_row (Owner *owner, SavedPart *saved)
+store_row (Owner *owner, SavedPart *saved)
 {
   for (size_t i = 0; i < owner->n_rows; i++)
     {
@@ -142,7 +142,7 @@
 complete_checkpoint (Owner *owner, bool is_acknowledged)
 {
   for (size_t i = 0; i < owner->n_pending; i++)
-    put_row (owner, &owner->pending[i]);
+    store_row (owner, &owner->pending[i]);
   owner->saved_bytes += (int64_t)owner->pending_bytes;
   owner->n_pending = 0;
   lc_batch_finish_checkpoint (owner->batch, is_acknowledged);
@@ -278,7 +278,7 @@
   tick_batch (&second, 5 * LB_SEC);
   cr_assert_eq (second.pending[0].first_event, 7);
   for (size_t i = 0; i < second.n_pending; i++)
-    put_row (&first, &second.pending[i]);
+    store_row (&first, &second.pending[i]);
   second.n_pending = 0;
   start_next_owner (&first, &third, 2, 6 * LB_SEC);
   cr_assert_eq (third.resume_at[0], 10);
@@ -308,7 +308,7 @@
   add_pieces (&first, 0, 3, "c", 3 * LB_SEC);
   tick_batch (&first, 4 * LB_SEC);
   complete_checkpoint (&first, true);
-  put_row (&first, &late_row);
+  store_row (&first, &late_row);
   start_next_owner (&first, &second, 1, 5 * LB_SEC);
   cr_assert_eq (second.resume_at[0], 3);
   add_pieces (&second, 0, 3, "d", 5 * LB_SEC);
@@ -317,7 +317,7 @@
                 "the text must be saved again from its first event");
   cr_assert_str_eq (second.pending[0].text, "a\na\na\nd\nd\nd");
   for (size_t i = 0; i < second.n_pending; i++)
-    put_row (&first, &second.pending[i]);
+    store_row (&first, &second.pending[i]);
   second.n_pending = 0;
   start_next_owner (&first, &third, 1, 7 * LB_SEC);
   cr_assert_eq (third.resume_at[0], 6, "parts after the gap must be ignored");
@@ -337,7 +337,7 @@
     EVENT_INTERVAL_MS = 76,
     WRITE_DURATION_MS = 40,
     GENERATION_MS = 6000,
-    MAX_LOST_EVENTS = 7 /* 0.53 s of generation */
+    MAX_LOST_EVENTS = 7 /* generated in 0.53 s */
   };
   char event[401];
   Owner owner;
@@ -369,9 +369,10 @@
       Owner next;
       start_next_owner (&owner, &next, N_TEXTS, now);
       for (int i = 0; i < N_TEXTS; i++)
-        cr_assert_geq (next.resume_at[i], n_generated - MAX_LOST_EVENTS,
-                       "item %d resumes at event %lld of %lld after %d ms", i,
-                       (long long)next.resume_at[i], (long long)n_generated, ms);
+        cr_assert_geq (
+            next.resume_at[i], n_generated - MAX_LOST_EVENTS,
+            "item %d resumes at event %lld of %lld after %d ms, expected at most 7 lost events", i,
+            (long long)next.resume_at[i], (long long)n_generated, ms);
       owner_clear (&next);
     }
   cr_assert_lt (owner.saved_bytes, 2 * N_TEXTS * n_generated * (int64_t)sizeof event,
--- a/packages/core/tests/test-batch.c
+++ b/packages/core/tests/test-batch.c
@@ -144,7 +144,7 @@
 }
 
 static void
-finish_write (Fixture *f, bool ok)
+finish_store_write (Fixture *f, bool ok)
 {
   lc_batch_finish_write (f->batch, ok, f->now, &f->actions);
   record_actions (f);
@@ -180,7 +180,7 @@
   record_actions (&f);
   cr_assert_eq (f.n_writes, 1);
   cr_assert (f.completed[0]);
-  finish_write (&f, true);
+  finish_store_write (&f, true);
   cr_assert (lc_batch_is_done (f.batch));
   fixture_clear (&f);
 }
@@ -268,13 +268,13 @@
   add_piece (&f, 0, 4, "y");
   finish_generation (&f, 0, LB_OK);
   cr_assert_eq (f.n_writes, 1, "only one write may be in progress");
-  finish_write (&f, false);
+  finish_store_write (&f, false);
   advance_and_tick (&f, 200 * LB_MSEC);
   cr_assert_eq (f.n_writes, 2);
   cr_assert_eq (f.first_position, 0);
   cr_assert_eq (f.n_written, 1);
   cr_assert_str_eq (f.written_items[0], "item-1");
-  finish_write (&f, true);
+  finish_store_write (&f, true);
   cr_assert_eq (f.first_position, 1);
   cr_assert_str_eq (f.written_items[0], "item-0");
   fixture_clear (&f);
@@ -323,9 +323,9 @@
   advance_and_tick (&f, 5 * LB_SEC);
   cr_assert_eq (f.n_cancelled, 2);
   cr_assert_eq (f.n_written, 1,
-                "the first write holds the results that were ready when it started");
-  finish_write (&f, true);
-  finish_write (&f, true);
+                "the first write must hold only the results that were ready when it started");
+  finish_store_write (&f, true);
+  finish_store_write (&f, true);
   cr_assert (lc_batch_is_done (f.batch));
   fixture_clear (&f);
 }
@@ -377,7 +377,7 @@
 
 /* Starts a batch of two items; the first is expected to be ten times as long as the second. */
 static void
-start_step (Fixture *f, LbTime due_at)
+start_batch_of_long_and_short_item (Fixture *f, LbTime due_at)
 {
   LcBatchSpec spec = make_batch_spec (2, false);
   LcBatchSettings settings = { .due_at = due_at,
@@ -402,8 +402,8 @@
   Fixture first_step;
   Fixture second_step;
 
-  start_step (&first_step, 7 * LB_SEC);
-  start_step (&second_step, 8 * LB_SEC);
+  start_batch_of_long_and_short_item (&first_step, 7 * LB_SEC);
+  start_batch_of_long_and_short_item (&second_step, 8 * LB_SEC);
   cr_assert_lt (first_step.latest_start[0], first_step.latest_start[1],
                 "the longest text of a step must start first");
   cr_assert_lt (second_step.latest_start[0], first_step.latest_start[1]);
--- a/packages/core/tests/test-carried.c
+++ b/packages/core/tests/test-carried.c
@@ -47,7 +47,7 @@
   cr_assert_not (lc_text_cache_find (cache, "i", 8, 4, &found));
   cr_assert_eq (lc_text_cache_count_events (cache, "i", 8, &is_complete), 0);
   cr_assert_not (lc_text_cache_find (cache, "i", 7, 5, &found),
-                 "version 4 generated part of the text");
+                 "expected no text, since version 4 generated a part of it");
   cr_assert_eq (lc_text_cache_count_events (cache, "i", 7, &is_complete), 9);
   lc_text_cache_free (cache);
 }
--- a/packages/core/tests/test-engine-plan.c
+++ b/packages/core/tests/test-engine-plan.c
@@ -169,7 +169,7 @@
 
 #define MAX_MODELS 10
 #define MAX_ENGINES 100
-#define N_CASES 4000
+#define N_RANDOM_CASES 4000
 
 typedef struct
 {
@@ -182,7 +182,7 @@
 } RandomCase;
 
 static void
-random_case_init (RandomCase *random_case, gsl_rng *random)
+random_plan_case_init (RandomCase *random_case, gsl_rng *random)
 {
   memset (random_case, 0, sizeof *random_case);
   random_case->demand = lc_demand_new ();
@@ -231,13 +231,13 @@
 {
   gsl_rng *random = gsl_rng_alloc (gsl_rng_taus2);
 
-  for (unsigned long seed = 1; seed <= N_CASES; seed++)
+  for (unsigned long seed = 1; seed <= N_RANDOM_CASES; seed++)
     {
       RandomCase random_case;
       LcEnginePlan before = { 0 };
       LcEnginePlan after = { 0 };
       gsl_rng_set (random, seed);
-      random_case_init (&random_case, random);
+      random_plan_case_init (&random_case, random);
       for (size_t i = 0; i < random_case.n_engines; i++)
         lc_engine_plan_put (&before, &random_case.engines[i]);
       lc_engine_plan_rebalance (&after, random_case.engines, random_case.n_engines,
@@ -300,8 +300,9 @@
   lc_demand_free (demand);
 }
 
-/* Engines that register one after the other are assigned as they are listed, here 5, 3 and 1.
- * Without rebalancing, the first steps of one trainer would wait for its only engine. */
+/* Engines that register one after the other are assigned as they are listed: here 5, 3 and 1 to the
+ * three models. Without rebalancing, the first steps of a trainer would wait for its only engine.
+ */
 Test (engine_plan, engines_are_assigned_evenly_without_demand)
 {
   static const LbName three_models[] = { "a", "b", "c" };
--- a/packages/core/tests/test-load-time.c
+++ b/packages/core/tests/test-load-time.c
@@ -5,13 +5,13 @@
 
 typedef struct
 {
-  LbTime delay; /* mean time from when the end of a load is visible to the poll that detects it */
+  LbTime delay; /* mean time from when the end of a load is visible until a poll detects it */
   double polls; /* mean number of polls per load */
 } PollResult;
 
-/* Simulates consecutive loads and returns the mean delay of detection and number of polls. The end
- * of a load becomes visible after a random time of visible_after plus or minus half of jitter.
- * fixed_delay, fixed_interval: times of the polls; 0: as computed by lc-load-time. */
+/* Simulates consecutive loads. The end of a load becomes visible after a random time, visible_after
+ * plus or minus up to half of jitter. fixed_delay: time from the start of a load to its first poll;
+ * fixed_interval: time between polls; 0 for both: as computed by lc-load-time. */
 static PollResult
 simulate_loads (LbTime visible_after, LbTime jitter, LbTime fixed_delay, LbTime fixed_interval)
 {
@@ -42,15 +42,17 @@
 }
 
 /* Six models get a version every four seconds on 77 engines, 16 of which load at once. Late
- * detection of the end of a load delays the next load, and the weights are late for the steps. */
+ * detection of the end of a load delays the next load, and steps wait for new weights. */
 Test (load_time, end_of_a_load_is_detected_soon)
 {
   PollResult fixed = simulate_loads (1120 * LB_MSEC, 60 * LB_MSEC, 1010 * LB_MSEC, 120 * LB_MSEC);
   PollResult learned = simulate_loads (1120 * LB_MSEC, 60 * LB_MSEC, 0, 0);
 
-  cr_assert_geq (fixed.delay, 45 * LB_MSEC, "%lld us", (long long)fixed.delay);
-  cr_assert_leq (learned.delay, 30 * LB_MSEC, "%lld us", (long long)learned.delay);
-  cr_assert_leq (learned.polls, 2.1, "%f", learned.polls);
+  cr_assert_geq (fixed.delay, 45 * LB_MSEC, "the mean delay is %lld us, expected at least 45000",
+                 (long long)fixed.delay);
+  cr_assert_leq (learned.delay, 30 * LB_MSEC, "the mean delay is %lld us, expected at most 30000",
+                 (long long)learned.delay);
+  cr_assert_leq (learned.polls, 2.1, "%f polls per load, expected at most 2.1", learned.polls);
 }
 
 /* Loads take three times as long or a third as long, as on another site or with another number of
@@ -60,7 +62,9 @@
   PollResult slow = simulate_loads (3400 * LB_MSEC, 200 * LB_MSEC, 0, 0);
   PollResult quick = simulate_loads (400 * LB_MSEC, 40 * LB_MSEC, 0, 0);
 
-  cr_assert_leq (slow.delay, 150 * LB_MSEC, "%lld us", (long long)slow.delay);
+  cr_assert_leq (slow.delay, 150 * LB_MSEC, "the mean delay is %lld us, expected at most 150000",
+                 (long long)slow.delay);
   cr_assert_leq (slow.polls, 3);
-  cr_assert_leq (quick.delay, 40 * LB_MSEC, "%lld us", (long long)quick.delay);
+  cr_assert_leq (quick.delay, 40 * LB_MSEC, "the mean delay is %lld us, expected at most 40000",
+                 (long long)quick.delay);
 }
--- a/packages/core/tests/test-swap-turns.c
+++ b/packages/core/tests/test-swap-turns.c
@@ -3,7 +3,7 @@
 #include <criterion/criterion.h>
 
 static LcSwapCandidate
-make_candidate (size_t engines, size_t usable, size_t on_target, size_t swapping)
+make_swap_candidate (size_t engines, size_t usable, size_t on_target, size_t swapping)
 {
   return (LcSwapCandidate){ .status = { .target = 5,
                                         .engines = engines,
@@ -17,14 +17,16 @@
  * find no usable engine, while the engines of the other trainer are all up to date. */
 Test (swap_turns, model_with_fewest_usable_engines_is_chosen)
 {
-  const LcSwapCandidate candidates[] = { make_candidate (5, 5, 3, 0), make_candidate (5, 1, 0, 0) };
+  const LcSwapCandidate candidates[]
+      = { make_swap_candidate (5, 5, 3, 0), make_swap_candidate (5, 1, 0, 0) };
 
   cr_assert_eq (lc_swap_turns_choose_model (candidates, 2), 1);
 }
 
 Test (swap_turns, tie_is_broken_by_fewest_engines_on_target)
 {
-  const LcSwapCandidate candidates[] = { make_candidate (5, 5, 3, 0), make_candidate (5, 5, 1, 0) };
+  const LcSwapCandidate candidates[]
+      = { make_swap_candidate (5, 5, 3, 0), make_swap_candidate (5, 5, 1, 0) };
 
   cr_assert_eq (lc_swap_turns_choose_model (candidates, 2), 1);
 }
@@ -34,14 +36,16 @@
  * load. */
 Test (swap_turns, loads_in_progress_count_as_usable_engines)
 {
-  const LcSwapCandidate candidates[] = { make_candidate (8, 6, 0, 2), make_candidate (8, 8, 0, 0) };
+  const LcSwapCandidate candidates[]
+      = { make_swap_candidate (8, 6, 0, 2), make_swap_candidate (8, 8, 0, 0) };
 
   cr_assert_eq (lc_swap_turns_choose_model (candidates, 2), 1);
 }
 
 Test (swap_turns, no_model_is_chosen_if_none_needs_a_load)
 {
-  LcSwapCandidate candidates[] = { make_candidate (5, 5, 4, 1), make_candidate (5, 2, 1, 0) };
+  LcSwapCandidate candidates[]
+      = { make_swap_candidate (5, 5, 4, 1), make_swap_candidate (5, 2, 1, 0) };
 
   candidates[1].blocked = true;
   cr_assert_eq (lc_swap_turns_choose_model (candidates, 2), 2);
