--- a/packages/core/tests/test-catalog.c
+++ b/packages/core/tests/test-catalog.c
@@ -9,14 +9,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Simulation of instances, the store and its endpoints in virtual time, with faults drawn from a
- * seed. */
+/* Simulates instances, endpoints and the store in virtual time, with faults drawn from a seed. */
 
-#define STEP (10 * LB_MSEC)
-#define TICK_STEPS 5
-#define RANK_UPDATE_STEPS 200 /* steps between rank updates: the delay of health checks */
+#define TIME_STEP (10 * LB_MSEC)
+#define STEPS_PER_TICK 5
+#define STEPS_PER_RANK_UPDATE 200 /* delay until health checks change the takeover ranks */
 #define LISTING_PERIOD (400 * LB_MSEC)
-#define FEED_WAIT (700 * LB_MSEC)
+#define MAX_FEED_WAIT (700 * LB_MSEC)
 #define CALL_TIMEOUT LB_SEC /* time after which a call without an answer is abandoned */
 #define MAX_ENDPOINTS 250
 #define MAX_ROWS (MAX_ENDPOINTS + 2)
@@ -91,7 +90,7 @@
 } World;
 
 static double
-random_unit (World *w)
+draw_uniform_fraction (World *w)
 {
   return gsl_rng_uniform (w->rng);
 }
@@ -99,7 +98,7 @@
 static LbTime
 draw_latency (World *w)
 {
-  return 2 * LB_MSEC + (LbTime)(random_unit (w) * 8 * LB_MSEC);
+  return 2 * LB_MSEC + (LbTime)(draw_uniform_fraction (w) * 8 * LB_MSEC);
 }
 
 static bool
@@ -115,7 +114,7 @@
 }
 
 static void
-clear_call (Call *call)
+clear_store_call (Call *call)
 {
   free (call->list);
   lc_catalog_write_clear (&call->write);
@@ -123,7 +122,7 @@
 }
 
 static void
-start_call (World *w, Call *call)
+start_store_call (World *w, Call *call)
 {
   call->arrives_at = w->now + draw_latency (w);
   call->answers_at = LB_TIME_NEVER;
@@ -137,9 +136,9 @@
   char name[16], incarnation[16];
 
   lc_catalog_free (instance->catalog);
-  clear_call (&instance->list);
-  clear_call (&instance->write);
-  clear_call (&instance->feed);
+  clear_store_call (&instance->list);
+  clear_store_call (&instance->write);
+  clear_store_call (&instance->feed);
   snprintf (name, sizeof name, "i-%zu", index);
   snprintf (incarnation, sizeof incarnation, "%d", ++instance->start);
   instance->catalog = lc_catalog_new (name, incarnation, (uint64_t)gsl_rng_get (w->rng), w->now);
@@ -180,9 +179,9 @@
     {
       Instance *instance = &w->instances[i];
       lc_catalog_free (instance->catalog);
-      clear_call (&instance->list);
-      clear_call (&instance->write);
-      clear_call (&instance->feed);
+      clear_store_call (&instance->list);
+      clear_store_call (&instance->write);
+      clear_store_call (&instance->feed);
     }
   for (size_t i = 0; i < w->n_rows; i++)
     free (w->rows[i].value);
@@ -257,7 +256,7 @@
 }
 
 static void
-set_listing (LcCatalog *catalog, const LcRegistration *list, size_t n, int64_t store_ms)
+set_catalog_listing (LcCatalog *catalog, const LcRegistration *list, size_t n, int64_t store_ms)
 {
   LcCatalogItem *items = LB_NEW_ARRAY (LcCatalogItem, n + 1);
 
@@ -297,7 +296,7 @@
 {
   Call *call = &instance->list;
 
-  set_listing (instance->catalog, call->list, call->n_list, call->store_ms);
+  set_catalog_listing (instance->catalog, call->list, call->n_list, call->store_ms);
   replace_snapshot (w, instance, call->list, call->n_list, call->store_ms * LB_MSEC);
   instance->n_listings++;
 }
@@ -328,9 +327,9 @@
                     lc_catalog_snapshot_valid_at (instance->catalog));
 }
 
-/* Whether the table was written after the answer left the store. Such an answer must be requested
- * again: it should hold the earlier rows, but the simulation reads the table when the answer
- * arrives. */
+/* Returns true if the table was written after the answer left the store. The simulation reads the
+ * table only when an answer arrives, so such an answer would hold later rows and must be requested
+ * again. */
 static bool
 is_answer_outdated (const World *w, const Call *call)
 {
@@ -346,7 +345,7 @@
     return;
   if (call->answers_at == LB_TIME_NEVER && w->now >= call->arrives_at
       && (call->from_version == 0 || w->version > call->from_version
-          || w->now >= call->arrives_at + FEED_WAIT))
+          || w->now >= call->arrives_at + MAX_FEED_WAIT))
     {
       call->to_version = w->version;
       call->store_ms = w->now / LB_MSEC;
@@ -356,7 +355,7 @@
     return;
   if (!is_answer_outdated (w, call))
     finish_feed_call (w, instance);
-  clear_call (call);
+  clear_store_call (call);
 }
 
 static void
@@ -378,7 +377,7 @@
     finish_list_call (w, instance);
   else if (w->now < call->abandoned_at)
     return;
-  clear_call (call);
+  clear_store_call (call);
 }
 
 /* Advances a write call. The store may carry out a write after the caller abandoned it, and the
@@ -394,7 +393,8 @@
     {
       apply_write_to_table (w, call);
       call->is_carried_out = true;
-      call->answers_at = random_unit (w) < 0.02 ? LB_TIME_NEVER : w->now + draw_latency (w);
+      call->answers_at
+          = draw_uniform_fraction (w) < 0.02 ? LB_TIME_NEVER : w->now + draw_latency (w);
     }
   if (is_paused (w, instance))
     return;
@@ -402,7 +402,7 @@
     return;
   if (!call->is_carried_out || w->now < call->answers_at || !call->ok)
     lc_catalog_write_failed (instance->catalog, call->write.expected_version);
-  clear_call (call);
+  clear_store_call (call);
 }
 
 static void
@@ -413,20 +413,20 @@
   if (instance->feed.arrives_at == 0)
     {
       instance->feed.from_version = instance->followed_version;
-      start_call (w, &instance->feed);
+      start_store_call (w, &instance->feed);
     }
   if (instance->list.arrives_at == 0 && w->now >= instance->next_listing_at
       && lc_catalog_needs_listing (instance->catalog, w->now))
     {
       instance->next_listing_at = w->now + LISTING_PERIOD;
-      start_call (w, &instance->list);
+      start_store_call (w, &instance->list);
     }
   if (instance->write.arrives_at != 0 && !instance->write.is_carried_out)
     return;
   if (lc_catalog_prepare_write (instance->catalog, w->now, &write))
     {
-      clear_call (&instance->write);
-      start_call (w, &instance->write);
+      clear_store_call (&instance->write);
+      start_store_call (w, &instance->write);
       instance->write.write = write;
     }
 }
@@ -437,10 +437,10 @@
   return w->now >= instance->cut_off_until + LB_SEC && !is_paused (w, instance);
 }
 
-/* Gives the first three healthy instances other than the publisher the ranks 0 to 2, ordered by
- * index. */
+/* Numbers the healthy instances other than the publisher by index. The first three get takeover
+ * ranks 0 to 2; later and unhealthy ones get -1. */
 static void
-update_rank (World *w, size_t index)
+update_takeover_rank (World *w, size_t index)
 {
   Instance *instance = &w->instances[index];
   const char *publisher = lc_catalog_publisher_name (instance->catalog);
@@ -457,14 +457,14 @@
 }
 
 static void
-update_all_ranks (World *w)
+update_all_takeover_ranks (World *w)
 {
   for (size_t i = 0; i < w->n_instances; i++)
-    update_rank (w, i);
+    update_takeover_rank (w, i);
 }
 
 static void
-update_in_contact_since (World *w, Instance *instance)
+reset_contact_start_if_out_of_contact (World *w, Instance *instance)
 {
   if (is_cut_off (w, instance) || is_paused (w, instance))
     instance->in_contact_since = w->now;
@@ -482,7 +482,7 @@
 /* Asserts that an instance in contact with the store sends no new work to an endpoint that has been
  * leaving for longer than MAX_LEAVING_DELAY. */
 static void
-check_leaving_endpoints (World *w, const Instance *instance, unsigned long seed)
+assert_leaving_endpoints_are_seen (World *w, const Instance *instance, unsigned long seed)
 {
   for (size_t i = 0; i < w->n_endpoints; i++)
     {
@@ -499,30 +499,30 @@
 }
 
 static void
-advance_world (World *w, unsigned long seed)
+advance_world_one_step (World *w, unsigned long seed)
 {
-  w->now += STEP;
-  if ((w->now / STEP) % RANK_UPDATE_STEPS == 0)
-    update_all_ranks (w);
+  w->now += TIME_STEP;
+  if ((w->now / TIME_STEP) % STEPS_PER_RANK_UPDATE == 0)
+    update_all_takeover_ranks (w);
   for (size_t i = 0; i < w->n_instances; i++)
     {
       Instance *instance = &w->instances[i];
-      update_in_contact_since (w, instance);
+      reset_contact_start_if_out_of_contact (w, instance);
       advance_write_call (w, instance);
       advance_list_call (w, instance);
       advance_feed_call (w, instance);
-      if ((w->now / STEP + (LbTime)i) % TICK_STEPS == 0 && !is_paused (w, instance))
+      if ((w->now / TIME_STEP + (LbTime)i) % STEPS_PER_TICK == 0 && !is_paused (w, instance))
         tick_instance (w, instance);
-      if ((w->now / STEP + (LbTime)i) % 10 == 0 && !is_paused (w, instance))
-        check_leaving_endpoints (w, instance, seed);
+      if ((w->now / TIME_STEP + (LbTime)i) % 10 == 0 && !is_paused (w, instance))
+        assert_leaving_endpoints_are_seen (w, instance, seed);
     }
 }
 
 static void
-run_world (World *w, LbTime time, unsigned long seed)
+run_world_for (World *w, LbTime time, unsigned long seed)
 {
   for (LbTime end = w->now + time; w->now < end;)
-    advance_world (w, seed);
+    advance_world_one_step (w, seed);
 }
 
 static void
@@ -530,7 +530,7 @@
 {
   Endpoint *endpoint = &w->endpoints[gsl_rng_uniform_int (w->rng, w->n_endpoints)];
 
-  if (random_unit (w) < 0.5)
+  if (draw_uniform_fraction (w) < 0.5)
     endpoint->registration.leaving = !endpoint->registration.leaving;
   else
     endpoint->exists = !endpoint->exists;
@@ -541,17 +541,17 @@
 inject_random_fault (World *w)
 {
   size_t index = gsl_rng_uniform_int (w->rng, w->n_instances);
-  Instance *instance = &w->instances[random_unit (w) < 0.5 ? index % 4 : index];
-  double kind = random_unit (w);
+  Instance *instance = &w->instances[draw_uniform_fraction (w) < 0.5 ? index % 4 : index];
+  double kind = draw_uniform_fraction (w);
 
   if (kind < 0.3)
-    instance->cut_off_until = w->now + (LbTime)(random_unit (w) * 4 * LB_SEC);
+    instance->cut_off_until = w->now + (LbTime)(draw_uniform_fraction (w) * 4 * LB_SEC);
   else if (kind < 0.6)
-    instance->paused_until = w->now + (LbTime)(random_unit (w) * 3 * LB_SEC);
+    instance->paused_until = w->now + (LbTime)(draw_uniform_fraction (w) * 3 * LB_SEC);
   else if (kind < 0.9)
     restart_instance (w, (size_t)(instance - w->instances));
   else if (kind < 0.95)
-    w->outage_until = w->now + (LbTime)(random_unit (w) * 3 * LB_SEC);
+    w->outage_until = w->now + (LbTime)(draw_uniform_fraction (w) * 3 * LB_SEC);
   else
     for (size_t i = 0; i < w->n_instances; i++)
       restart_instance (w, i);
@@ -585,15 +585,15 @@
   world_init (w, n_instances, n_endpoints, seed);
   for (LbTime end = w->now + time; w->now < end;)
     {
-      run_world (w, (LbTime)(random_unit (w) * LB_SEC), seed);
-      if (random_unit (w) < 0.5)
+      run_world_for (w, (LbTime)(draw_uniform_fraction (w) * LB_SEC), seed);
+      if (draw_uniform_fraction (w) < 0.5)
         inject_random_fault (w);
       change_random_endpoint (w);
     }
   for (size_t i = 0; i < w->n_instances; i++)
     w->instances[i].cut_off_until = w->instances[i].paused_until = 0;
   w->outage_until = 0;
-  run_world (w, 2 * LB_SEC, seed);
+  run_world_for (w, 2 * LB_SEC, seed);
   check_snapshots_match_store (w, seed);
   world_clear (w);
   free (w);
@@ -625,10 +625,10 @@
   World *w = LB_NEW (World);
 
   world_init (w, 300, 60, 1);
-  run_world (w, 5 * LB_SEC, 1);
+  run_world_for (w, 5 * LB_SEC, 1);
   w->n_listed_rows = 0;
   w->n_feed_rows = 0;
-  run_world (w, 10 * LB_SEC, 1);
+  run_world_for (w, 10 * LB_SEC, 1);
   cr_assert_leq (w->n_listed_rows, 30 * 60, "%lld rows listed in 10 s, at most 1800 expected",
                  (long long)w->n_listed_rows);
   cr_assert_leq (w->n_feed_rows, 300 * 30,
@@ -646,15 +646,16 @@
   int64_t before = 0;
 
   world_init (w, 100, 40, 3);
-  run_world (w, 5 * LB_SEC, 3);
+  run_world_for (w, 5 * LB_SEC, 3);
   cr_assert (lc_catalog_is_publisher (w->instances[0].catalog));
   w->instances[0].paused_until = w->now + 10 * LB_SEC;
   for (size_t i = 4; i < w->n_instances; i++)
     before += w->instances[i].n_listings;
-  run_world (w, 3 * LB_SEC, 3);
+  run_world_for (w, 3 * LB_SEC, 3);
   for (size_t i = 4; i < w->n_instances; i++)
     before -= w->instances[i].n_listings;
-  cr_assert_eq (before, 0, "followers listed the rows %lld times", (long long)-before);
+  cr_assert_eq (before, 0, "followers listed the rows %lld times, expected none",
+                (long long)-before);
   world_clear (w);
   free (w);
 }
@@ -759,7 +760,7 @@
       list[i].slots = 1;
     }
   lc_catalog_set_takeover_rank (catalog, 0);
-  set_listing (catalog, list, N, 5000);
+  set_catalog_listing (catalog, list, N, 5000);
   while (lc_catalog_prepare_write (catalog, now, &write))
     {
       cr_assert_leq (write.n_puts, 99);
--- a/packages/core/tests/test-roster.c
+++ b/packages/core/tests/test-roster.c
@@ -42,9 +42,9 @@
   return count;
 }
 
-/* The store is unavailable for four seconds, no registration can be renewed, and all expire. If
- * the empty list after the store's recovery were applied, all engines would be removed although
- * they are alive. */
+/* The store is unavailable for four seconds, no registration can be renewed, and all expire. If the
+ * empty list after the store's recovery were applied, all engines would be removed although they
+ * are alive. */
 Test (roster, registrations_expired_in_a_store_outage_are_kept_for_a_grace_period)
 {
   LcRoster *roster = lc_roster_new ();
@@ -65,7 +65,7 @@
       lc_roster_apply_list (roster, list, 4, now, now);
     }
   cr_assert_eq (lc_roster_count (roster), 4,
-                "endpoints not listed again are removed after the grace period");
+                "expected unlisted endpoints to be removed after the grace period");
   lc_roster_free (roster);
 }
 
@@ -128,7 +128,7 @@
   cr_assert (lc_roster_set_engine_plan (roster, &plan));
   cr_assert_eq (count_engines_of_model (roster, "writer"), N_ENGINES);
   cr_assert_eq (lc_roster_latest_weight_version (roster, 0), 7);
-  cr_assert_not (lc_roster_set_engine_plan (roster, &plan), "the same plan again changes nothing");
+  cr_assert_not (lc_roster_set_engine_plan (roster, &plan), "expected no change by the same plan");
   lc_engine_plan_clear (&plan);
   lc_roster_free (roster);
 }
@@ -232,7 +232,7 @@
   LB_COPY (list[3].name, "i-3@2");
   cr_assert (lc_roster_apply_list (roster, list, 4, now, now));
   cr_assert_eq (lc_roster_count (roster), N_ENGINES,
-                "expired registrations are kept for the grace period");
+                "expected expired registrations to be kept for the grace period");
   for (size_t i = 0; i < lc_roster_count (roster); i++)
     cr_assert_str_neq (lc_roster_registration (roster, i)->name, "i-3");
   lc_roster_free (roster);
@@ -290,7 +290,7 @@
   lc_roster_free (roster);
 }
 
-#define N_MANY_ENGINES 20000
+#define N_LARGE_SITE_ENGINES 20000
 #define MAX_PROCESSOR_SECONDS 1.0 /* a quadratic algorithm takes 20 s */
 
 static double
@@ -302,27 +302,27 @@
   return (double)time.tv_sec + (double)time.tv_nsec / 1e9;
 }
 
-/* All machines of a large site start after a power failure. With quadratic time for the first list
- * and for each change, an endpoint that announced meanwhile that it is leaving still got requests
- * after the time limit. */
+/* All machines of a large site start after a power failure. When the time to process the first list
+ * and each change was quadratic, an endpoint that announced meanwhile that it is leaving got
+ * requests for longer than allowed. */
 Test (roster, processing_time_is_not_quadratic)
 {
   LcRoster *roster = lc_roster_new ();
-  LcRegistration *list = LB_NEW_ARRAY (LcRegistration, N_MANY_ENGINES);
+  LcRegistration *list = LB_NEW_ARRAY (LcRegistration, N_LARGE_SITE_ENGINES);
   double started_at;
 
-  for (int i = 0; i < N_MANY_ENGINES; i++)
+  for (int i = 0; i < N_LARGE_SITE_ENGINES; i++)
     {
       list[i] = make_engine_registration (i);
-      snprintf (list[i].name, sizeof list[i].name, "i-%07d", i * 7919 % N_MANY_ENGINES);
+      snprintf (list[i].name, sizeof list[i].name, "i-%07d", i * 7919 % N_LARGE_SITE_ENGINES);
     }
   started_at = read_processor_seconds ();
-  cr_assert (lc_roster_apply_list (roster, list, N_MANY_ENGINES, 1, 1));
+  cr_assert (lc_roster_apply_list (roster, list, N_LARGE_SITE_ENGINES, 1, 1));
   list[0].leaving = true;
-  cr_assert (lc_roster_apply_list (roster, list, N_MANY_ENGINES, 2, 2));
+  cr_assert (lc_roster_apply_list (roster, list, N_LARGE_SITE_ENGINES, 2, 2));
   cr_assert_lt (read_processor_seconds () - started_at, MAX_PROCESSOR_SECONDS);
-  cr_assert_eq (lc_roster_count (roster), N_MANY_ENGINES);
-  cr_assert_eq (count_engines_of_model (roster, "reader"), N_MANY_ENGINES / 2);
+  cr_assert_eq (lc_roster_count (roster), N_LARGE_SITE_ENGINES);
+  cr_assert_eq (count_engines_of_model (roster, "reader"), N_LARGE_SITE_ENGINES / 2);
   free (list);
   lc_roster_free (roster);
 }
--- a/packages/core/tests/test-subset.c
+++ b/packages/core/tests/test-subset.c
@@ -211,7 +211,8 @@
   free (table.rows);
 }
 
-/* All instances must use the same endpoints: those up to the published bound of their service. */
+/* All instances must use the same endpoints of a service: those whose keys do not exceed the bound
+ * that is published for it. */
 Test (subset, follows_published_bounds)
 {
   LcSubset *subset = new_subset_with_expected_services ();
@@ -226,7 +227,7 @@
     {
       bool is_engine = table.rows[i].columns.n_models > 0;
       cr_assert_eq (table.rows[i].is_in_subset, i <= (is_engine ? 499 : 399),
-                    "row %zu: wrong choice for the subset", i);
+                    "row %zu: expected the rows up to the bound, and no others, in the subset", i);
     }
   lc_subset_free (subset);
   free (table.rows);
@@ -257,8 +258,8 @@
   free (table.rows);
 }
 
-/* A subset that is chosen before all endpoints have registered must not include all that register
- * later. */
+/* A subset that is chosen before most endpoints have registered must not include all endpoints that
+ * register later with keys within its bounds. */
 Test (subset, is_cut_when_many_endpoints_register_within_its_bounds)
 {
   LcSubset *subset = new_subset_with_expected_services ();
@@ -304,8 +305,8 @@
   free (table.rows);
 }
 
-/* The wanted number of endpoints must not overflow while a service stays overloaded with all of its
- * endpoints known. */
+/* The number of endpoints that the subset should have must not overflow while a service stays
+ * overloaded although all of its endpoints are in the subset. */
 Test (subset, does_not_grow_beyond_the_existing_endpoints)
 {
   LcSubset *subset = new_subset_with_expected_services ();
