--- a/packages/core/tests/test-concurrency.c
+++ b/packages/core/tests/test-concurrency.c
@@ -14,8 +14,8 @@
   return concurrency;
 }
 
-/* An engine is declared for 32 requests but queues beyond ten: first bytes take seconds and live
- * calls wait behind samples. The limit must decrease until first bytes are fast again. */
+/* An engine declares a concurrency of 32, but queues requests beyond ten: first bytes take seconds
+ * and live calls wait behind samples. The limit must decrease until first bytes are fast again. */
 Test (concurrency, limit_decreases_while_first_bytes_are_slow)
 {
   LcConcurrency concurrency = new_concurrency (0.05);
@@ -58,8 +58,7 @@
   cr_assert_float_eq (concurrency.limit, MAX_CONCURRENCY, 1e-9);
 }
 
-/* Fast first bytes at an idle endpoint do not show that the endpoint could handle a higher
- * limit. */
+/* Fast first bytes at an idle endpoint do not show that it can process more requests at once. */
 Test (concurrency, limit_does_not_increase_while_unused)
 {
   LcConcurrency concurrency = new_concurrency (0.05);
--- a/packages/core/tests/test-endpoints.c
+++ b/packages/core/tests/test-endpoints.c
@@ -1,8 +1,8 @@
 #include "endpoints-fixture.h"
 
 /* A reply states that the endpoint is leaving; then a load report that was measured earlier arrives
- * late and states that it serves. The outdated report must not make the endpoint eligible again,
- * but a report of its next process must. */
+ * late and states that the endpoint is not leaving. The outdated report must not make the endpoint
+ * eligible again, but a report of the next process at its address must. */
 Test (leaving, outdated_report_does_not_clear_leaving)
 {
   Fixture f;
@@ -108,10 +108,10 @@
   fixture_clear (&f);
 }
 
-/* The platform's list lags and still marks the endpoint for seconds after its next process
- * started. A permanent mark would exclude the new process until it restarts; no mark would send
- * requests to a process that is leaving. So the new process is excluded only while the list
- * marks the endpoint. */
+/* The platform's list lags: it marks the endpoint as leaving until seconds after its next process
+ * started. A permanent mark would exclude the new process until it restarts; without a mark,
+ * requests would be sent to a process that is leaving. So the new process must be excluded only
+ * while the list marks the endpoint. */
 Test (leaving, lagging_list_excludes_a_new_process_only_while_listed)
 {
   Fixture f;
@@ -121,7 +121,7 @@
   cr_assert (lc_endpoints_mark_leaving (f.endpoints, "e0", "", LC_LEAVING_PLATFORM, 11));
   lc_endpoints_clear_platform_leaving (f.endpoints, "e0", 12);
   cr_assert_not (fixture_can_accept_live_call (&f, "e0", 13),
-                 "a mark of the current incarnation is not cleared by the list");
+                 "e0 accepts calls, but the list must not clear a mark of the current incarnation");
   lc_endpoints_mark_leaving (f.endpoints, "e0", "", LC_LEAVING_PLATFORM, 14);
   fixture_record_report (&f, "e0", "b", 1, 20);
   lc_endpoints_mark_leaving (f.endpoints, "e0", "", LC_LEAVING_PLATFORM, 21);
@@ -174,9 +174,9 @@
   fixture_clear (&f);
 }
 
-/* An instance is stopped for ten seconds, and meanwhile an endpoint announces that it is leaving.
- * When the instance resumes, it first handles a broken stream; based on a report from before the
- * stop, the retry would go to that endpoint, before the announcement is read. */
+/* This instance is stopped for ten seconds, and meanwhile an endpoint announces that it is leaving.
+ * When the instance resumes, it first handles a broken stream, before it reads the announcement.
+ * The retry must not go to the endpoint because of a report from before the stop. */
 Test (leaving, reports_from_before_a_process_stop_are_ignored)
 {
   Fixture f;
@@ -194,7 +194,7 @@
                  "outdated reports must be ignored before the first event after the stop");
   lc_endpoint_request_sent (fixture_find_endpoint (&f, "e1"), LC_KIND_LIVE, 0, now);
   cr_assert_not (fixture_can_accept_live_call (&f, "e0", now),
-                 "an event does not make outdated reports valid");
+                 "an event must not make outdated reports valid");
   fixture_record_report (&f, "e0", "a", 1, now + LB_MSEC);
   cr_assert (fixture_can_accept_live_call (&f, "e0", now + LB_MSEC));
   cr_assert_not (fixture_can_accept_live_call (&f, "e1", now + LB_MSEC));
@@ -219,9 +219,8 @@
   fixture_clear (&f);
 }
 
-/* A weight swap fails halfway and the engine reports version 0: its samples would come
- * from unknown weights. The engine must get requests again after the first report that states a
- * version. */
+/* A weight swap fails halfway and the engine reports version 0. Its samples would come from unknown
+ * weights, so it must get no requests until a report states a version. */
 Test (swap, engine_without_a_known_version_gets_no_requests)
 {
   Fixture f;
@@ -229,9 +228,10 @@
   fixture_init (&f, 2);
   fixture_record_report (&f, "e0", "a", 4, 10);
   lc_endpoints_set_weight_swap (f.endpoints, "e0", true, 100, 20);
-  cr_assert (fixture_can_accept_live_call (&f, "e0", 30), "the old weights are still served");
+  cr_assert (fixture_can_accept_live_call (&f, "e0", 30),
+             "e0 must accept calls while it serves the old weights");
   cr_assert_not (fixture_can_accept_live_call (&f, "e0", 100),
-                 "the swap is due and no version is stated");
+                 "e0 must not accept calls: the swap is due and no version is stated");
   fixture_record_report (&f, "e0", "a", 0, 110);
   cr_assert_not (fixture_can_accept_live_call (&f, "e0", 111));
   fixture_record_report (&f, "e0", "a", 5, 120);
@@ -325,7 +325,7 @@
   strcpy (f.members[0].address, "127.0.0.1:2");
   fixture_configure (&f, 12);
   cr_assert_not (fixture_can_accept_live_call (&f, "e0", 13),
-                 "the new process has sent no report yet");
+                 "e0 must not accept calls before a report of the new process");
   fixture_record_report (&f, "e0", "b", 1, 14);
   cr_assert (fixture_can_accept_live_call (&f, "e0", 15));
   fixture_clear (&f);
@@ -383,8 +383,9 @@
 }
 
 /* An engine rejects new requests while it loads weights, which takes a second. If these rejections
- * opened its breaker, the breaker would admit one request, two, three, long after the load. With
- * new weights every few seconds, half of the engines were idle while samples waited for seconds. */
+ * opened its breaker, it would get only one, two or three requests at a time long after the load.
+ * With new weights every few seconds, half of the engines were idle while samples waited for
+ * seconds. */
 Test (endpoints, rejections_by_an_endpoint_that_reports_its_concurrency_open_no_breaker)
 {
   Fixture f;
--- a/packages/core/tests/test-router.c
+++ b/packages/core/tests/test-router.c
@@ -22,7 +22,7 @@
 }
 
 static void
-check_endpoint_filters (LcRouter *router, const char *policy)
+check_unusable_endpoints_are_filtered (LcRouter *router, const char *policy)
 {
   LcRouteQuery query = fixture_make_route_query ();
   Fixture f;
@@ -53,7 +53,7 @@
  * Policies can be compared only if all of them use the same filters. */
 Test (router, all_policies_filter_the_same_endpoints)
 {
-  run_check_for_each_policy (check_endpoint_filters);
+  run_check_for_each_policy (check_unusable_endpoints_are_filtered);
 }
 
 static void
--- a/packages/core/tests/test-stream-pace.c
+++ b/packages/core/tests/test-stream-pace.c
@@ -89,7 +89,7 @@
   fixture_clear (&f);
 }
 
-/* --- generations that would miss their deadline on a slow engine --- */
+/* --- choice of an endpoint for generations that would miss their deadline on a slow engine --- */
 
 static const char *
 choose_endpoint (Fixture *f, const LcRouteQuery *query, LbTime now)
@@ -119,16 +119,16 @@
   LcRouteQuery query = fixture_make_route_query ();
 
   query.kind = LC_KIND_SAMPLE;
-  query.expected_tokens = 100; /* take 4.8 s on a normal engine, 19 s on a slow engine */
+  query.expected_tokens = 100; /* 100 tokens take 4.8 s on a normal engine, 19 s on a slow one */
   query.soft_deadline = now + 7 * LB_SEC;
   query.submitted = now;
   return query;
 }
 
 /* Two of a model's three engines are slow and have capacity. The longest generation of a step was
- * sent to one of them, found too slow, and moved to the other slow engine and back; the step was
- * 3 s late although the third engine had capacity a moment later. The generation must wait for the
- * third engine; a short generation, which meets its deadline on any engine, must not wait. */
+ * sent to one of them, found too slow, and moved to the other slow engine and back. The step was
+ * late by 3 s although the third engine had capacity a moment later. The generation must wait for
+ * the third engine; a short generation, which meets its deadline on any engine, must not wait. */
 Test (pace, long_generation_waits_for_an_engine_at_full_pace)
 {
   LbTime now = 3 * LB_SEC;
@@ -142,7 +142,7 @@
   fixture_clear (&f);
 }
 
-/* A generation that waits for ever for a fast engine is worse than one on a slow engine. */
+/* A generation must not wait for ever for a fast engine: a slow engine is better than none. */
 Test (pace, long_generation_waits_for_a_limited_time)
 {
   LbTime now = 3 * LB_SEC;
