--- a/packages/core/tests/test-config.c
+++ b/packages/core/tests/test-config.c
@@ -26,7 +26,7 @@
 }
 
 static void
-free_actions (void)
+free_pending_actions (void)
 {
   LbLink *link;
 
@@ -37,7 +37,7 @@
 static void
 free_config (void)
 {
-  free_actions ();
+  free_pending_actions ();
   lc_config_free (config);
 }
 
@@ -52,7 +52,8 @@
   return set;
 }
 
-/* Reports n peers i2, i3, ... as members; those with an index below first_dead are alive. */
+/* Reports n peers i2, i3, ... as members. Peers with an index below first_dead are alive, the
+ * others dead. */
 static void
 update_members (int n, int first_dead)
 {
@@ -308,9 +309,10 @@
     }
 }
 
-/* i4 announces a change, a majority answers, and a partition separates i4 and the store from the
- * others as i4 commits it. The others would use revision 4 for as long as the partition lasts,
- * while the operator at i4 sees 5 accepted: without the store they must stop. */
+/* i4 announces a change and a majority answers. While i4 commits the change, a partition separates
+ * i4 and the store from the other instances. These would use revision 4 for as long as the
+ * partition lasts, while the operator at i4 sees 5 accepted: without the store they must stop
+ * accepting work. */
 Test (config, partition_during_a_commit_stops_new_work)
 {
   update_members (3, 3);
@@ -320,7 +322,7 @@
   cr_assert (lc_config_is_ready (config));
   run_without_store (20, false);
   cr_assert_not (lc_config_is_ready (config));
-  free_actions ();
+  free_pending_actions ();
   receive_announced_change ("i2", 0);
   LcConfigAction *answer = LB_LIST_FIRST (&actions, LcConfigAction, link);
   cr_assert_not (answer->message.confirmed,
@@ -361,8 +363,8 @@
   cr_assert (lc_config_is_ready (config));
 }
 
-/* i4 announces a change and crashes. A newer revision settles the outcome, and so does a store read
- * from a time when the change can no longer take effect. */
+/* i4 announces a change and crashes. The outcome is settled by a newer revision, or by a store read
+ * that starts when the change can no longer take effect. */
 Test (config, newer_revision_or_store_read_settles_an_announced_change)
 {
   update_members (3, 3);
@@ -383,8 +385,9 @@
              "must be ready: the store read settles the announced change");
 }
 
-/* While an instance is paused for a minute, a peer's answer with a recent confirmation waits in its
- * socket. Measured from the arrival of the answer, the old confirmation would look recent. */
+/* While an instance is paused for a minute, a peer's answer that confirms its revision waits in its
+ * socket. The age of the confirmation must be counted from the query: counted from the arrival of
+ * the answer, the confirmation would look recent. */
 Test (config, confirmation_age_counts_from_the_query)
 {
   update_members (1, 1);
--- a/packages/core/tests/test-membership.c
+++ b/packages/core/tests/test-membership.c
@@ -8,7 +8,7 @@
 #define N_INSTANCES 40
 
 static FakePeers *
-start_cluster (size_t count)
+start_converged_cluster (size_t count)
 {
   LcMembershipSettings settings = lc_membership_settings_default ();
   FakePeers *peers = fake_peers_new (count, &settings, 7);
@@ -27,7 +27,7 @@
 }
 
 static LcMembershipTotals
-sum_totals (const FakePeers *peers, size_t count)
+sum_membership_totals (const FakePeers *peers, size_t count)
 {
   LcMembershipTotals sum = { 0 };
 
@@ -46,7 +46,7 @@
  * Within 3 s no other instance may give their addresses to callers. */
 Test (membership, a_dead_instance_is_not_given_to_callers_after_three_seconds)
 {
-  FakePeers *peers = start_cluster (N_INSTANCES);
+  FakePeers *peers = start_converged_cluster (N_INSTANCES);
 
   fake_peers_set_instance_state (peers, 5, FAKE_KILLED);
   fake_peers_set_instance_state (peers, 9, FAKE_UNREACHABLE);
@@ -60,23 +60,24 @@
 }
 
 /* A middlebox drops the state of connections: frames on them are lost, but new connections work.
- * Callers of a healthy instance would be sent elsewhere and its tickets reported as lost. The
- * silent connections must be detected within 3 s and replaced, and no instance may be suspected. */
+ * The silent connections must be detected within 3 s and replaced. No instance may be suspected:
+ * callers are sent away from a suspected instance, and its tickets are reported as lost. */
 Test (membership, a_silent_connection_is_replaced_without_suspicion)
 {
-  FakePeers *peers = start_cluster (N_INSTANCES);
+  FakePeers *peers = start_converged_cluster (N_INSTANCES);
 
   for (size_t i = 1; i < N_INSTANCES; i++)
     fake_peers_drop_on_open_links (peers, 0, i);
   run_peers_for (peers, 3 * LB_SEC);
-  LcMembershipTotals totals = sum_totals (peers, N_INSTANCES);
+  LcMembershipTotals totals = sum_membership_totals (peers, N_INSTANCES);
   cr_assert_geq (totals.connection_timeouts, 3);
   cr_assert_eq (totals.suspected, 0);
   cr_assert_eq (fake_peers_count_converged (peers), N_INSTANCES);
   run_peers_for (peers, 60 * LB_SEC);
-  totals = sum_totals (peers, N_INSTANCES);
+  totals = sum_membership_totals (peers, N_INSTANCES);
   run_peers_for (peers, 120 * LB_SEC);
-  cr_assert_eq (sum_totals (peers, N_INSTANCES).connection_timeouts, totals.connection_timeouts);
+  cr_assert_eq (sum_membership_totals (peers, N_INSTANCES).connection_timeouts,
+                totals.connection_timeouts);
   cr_assert_eq (totals.suspected, 0);
   fake_peers_free (peers);
 }
@@ -86,7 +87,7 @@
  * heartbeats, and 350 instances would use up the budget for control traffic. */
 Test (membership, connections_for_single_frames_carry_no_heartbeats)
 {
-  FakePeers *peers = start_cluster (N_INSTANCES);
+  FakePeers *peers = start_converged_cluster (N_INSTANCES);
   LcMembership *first = fake_peers_membership (peers, 0);
   LbList actions;
 
@@ -114,7 +115,7 @@
  * of that frame the loss must be detected and a new connection be open. */
 Test (membership, an_unanswered_frame_reveals_a_silent_connection)
 {
-  FakePeers *peers = start_cluster (N_INSTANCES);
+  FakePeers *peers = start_converged_cluster (N_INSTANCES);
   LcMembership *first = fake_peers_membership (peers, 0);
   LbList actions;
 
@@ -146,12 +147,12 @@
 }
 
 /* An instance dies, and another member is watched in its place, on a connection that was idle
- * without fault. If the connection were judged by its last frame, it would be closed as silent, and
- * callers would not be sent to a healthy instance. */
+ * without fault. If the silence were counted from the last frame on the connection, it would be
+ * closed as silent, and callers would not be sent to a healthy instance. */
 Test (membership, an_idle_connection_is_not_silent_when_it_becomes_watched)
 {
   const size_t count = 6;
-  FakePeers *peers = start_cluster (count);
+  FakePeers *peers = start_converged_cluster (count);
   LcMembership *first = fake_peers_membership (peers, 0);
   LbTime until = fake_peers_now (peers) + 100 * LB_SEC;
   LbList actions;
@@ -177,7 +178,7 @@
  * peer, and within 3 s callers must be sent to it again. */
 Test (membership, a_paused_instance_declares_no_one_dead_on_resume)
 {
-  FakePeers *peers = start_cluster (N_INSTANCES);
+  FakePeers *peers = start_converged_cluster (N_INSTANCES);
 
   fake_peers_set_instance_state (peers, 3, FAKE_PAUSED);
   run_peers_for (peers, 10 * LB_SEC);
@@ -196,12 +197,12 @@
 /* Two data centres are partitioned for an hour, and each side declares the other dead. Afterwards
  * nobody has a connection to the other side, and the cluster would stay split. Both sides must
  * rejoin within 10 s. */
-Test (membership, regions_rejoin_after_an_hour_apart)
+Test (membership, data_centres_rejoin_after_an_hour_of_partition)
 {
   const size_t count = 13;
-  FakePeers *peers = start_cluster (count);
+  FakePeers *peers = start_converged_cluster (count);
 
-  fake_peers_set_instance_state (peers, 0, FAKE_KILLED); /* the only seed */
+  fake_peers_set_instance_state (peers, 0, FAKE_KILLED); /* instance 0 is the only seed */
   run_peers_for (peers, 10 * LB_SEC);
   for (size_t i = 1; i < count; i += 3)
     fake_peers_set_partition_group (peers, i, 1);
@@ -216,11 +217,12 @@
 }
 
 /* Only the path between two instances is cut; all others reach both. Guards against a cycle in
- * which one of them suspects the other, which refutes through others: a broadcast each second, and
- * callers do not get the address of a healthy instance half of the time. */
+ * which one of the two suspects the other, which refutes the suspicion through other instances:
+ * updates are broadcast each second, and half of the time callers do not get the address of a
+ * healthy instance. */
 Test (membership, a_cut_between_two_instances_does_not_flap_the_view)
 {
-  FakePeers *peers = start_cluster (N_INSTANCES);
+  FakePeers *peers = start_converged_cluster (N_INSTANCES);
   size_t n_disagreements = 0;
 
   for (size_t i = 1; i < N_INSTANCES; i++)
@@ -237,8 +239,8 @@
       n_disagreements += fake_peers_count_converged (peers) < N_INSTANCES - 2;
     }
   cr_assert_leq (n_disagreements, 1);
-  cr_assert_leq (sum_totals (peers, N_INSTANCES).suspected, 16);
-  cr_assert_eq (sum_totals (peers, N_INSTANCES).declared_dead, 0);
+  cr_assert_leq (sum_membership_totals (peers, N_INSTANCES).suspected, 16);
+  cr_assert_eq (sum_membership_totals (peers, N_INSTANCES).declared_dead, 0);
   fake_peers_free (peers);
 }
 
@@ -246,7 +248,7 @@
  * send callers to it. All must know within a second. */
 Test (membership, a_draining_instance_is_not_given_to_callers)
 {
-  FakePeers *peers = start_cluster (N_INSTANCES);
+  FakePeers *peers = start_converged_cluster (N_INSTANCES);
   LbList actions;
 
   lb_list_init (&actions);
@@ -263,7 +265,7 @@
  * view. */
 Test (membership, updates_of_an_earlier_incarnation_are_ignored)
 {
-  FakePeers *peers = start_cluster (N_INSTANCES);
+  FakePeers *peers = start_converged_cluster (N_INSTANCES);
   LcMemberView before, after;
   LbList actions;
 
@@ -286,13 +288,13 @@
   fake_peers_free (peers);
 }
 
-/* Two live processes get the same name by mistake. Each would outbid the other's epoch on every
- * update, with broadcasts by all instances each time. The first answer must be immediate, since a
- * regular replacement may have a slow clock. Later answers must be rare, and conflicts must be
- * counted. */
+/* Two live processes get the same name by mistake. Each would answer every update of the other with
+ * a higher epoch, and all instances would broadcast each answer. The first answer must be
+ * immediate, since a regular replacement with a slow clock starts with too low an epoch. Later
+ * answers must be rare, and conflicts must be counted. */
 Test (membership, a_name_conflict_is_answered_at_a_limited_rate)
 {
-  FakePeers *peers = start_cluster (6);
+  FakePeers *peers = start_converged_cluster (6);
   LcMembership *first = fake_peers_membership (peers, 0);
   LbList actions;
 
@@ -349,7 +351,7 @@
  * compare their views. */
 Test (membership, a_lost_update_is_found_by_the_digest)
 {
-  FakePeers *peers = start_cluster (N_INSTANCES);
+  FakePeers *peers = start_converged_cluster (N_INSTANCES);
   LbList actions;
 
   lb_list_init (&actions);
@@ -365,9 +367,9 @@
 }
 
 /* A busy or distant peer sometimes answers late. With a fixed timeout of two heartbeat periods its
- * connection would be closed again and again. The timeout must follow the measured gaps between
- * arrivals, but never exceed three periods. */
-Test (detector, the_timeout_follows_the_gaps_between_its_bounds)
+ * connection would be closed again and again. The timeout must follow the measured times between
+ * frames, but never exceed three periods. */
+Test (detector, the_timeout_follows_frame_intervals_within_bounds)
 {
   LcDetector steady, jittery, irregular;
   LbTime now = 0;
--- a/packages/core/tests/test-organisations.c
+++ b/packages/core/tests/test-organisations.c
@@ -38,7 +38,7 @@
 }
 
 static LcOrganisations *
-new_organisations_post_and_mill (void)
+new_organisations_named_post_and_mill (void)
 {
   LcOrganisations *organisations = lc_organisations_new ();
 
@@ -49,7 +49,7 @@
 
 Test (organisations, key_identifies_its_organisation)
 {
-  LcOrganisations *organisations = new_organisations_post_and_mill ();
+  LcOrganisations *organisations = new_organisations_named_post_and_mill ();
   LcAdmission admission = decide_admission (organisations, 0, false,
                                             (LcAdmissionCall){ .key = "key-of-mill", .n_keys = 1 });
 
@@ -66,7 +66,7 @@
  * space: each must be rejected as unauthorized and must not match an organisation. */
 Test (organisations, malformed_and_unknown_keys_are_rejected)
 {
-  LcOrganisations *organisations = new_organisations_post_and_mill ();
+  LcOrganisations *organisations = new_organisations_named_post_and_mill ();
   char long_key[8193];
   const char *const keys[]
       = { NULL, "", long_key, "\xff\x01\x80", "key-of-mil", "key-of-mill ", "KEY-OF-MILL" };
@@ -88,7 +88,7 @@
  * attribute it to different callers. */
 Test (organisations, call_with_two_keys_is_a_bad_request)
 {
-  LcOrganisations *organisations = new_organisations_post_and_mill ();
+  LcOrganisations *organisations = new_organisations_named_post_and_mill ();
   LcAdmission admission = decide_admission (organisations, 0, false,
                                             (LcAdmissionCall){ .key = "key-of-mill", .n_keys = 2 });
 
@@ -98,7 +98,7 @@
 
 Test (organisations, no_key_is_needed_without_organisations_or_on_a_public_route)
 {
-  LcOrganisations *organisations = new_organisations_post_and_mill ();
+  LcOrganisations *organisations = new_organisations_named_post_and_mill ();
 
   cr_assert_eq (decide_admission (NULL, 0, true, (LcAdmissionCall){ 0 }).error, LB_OK);
   cr_assert_eq (decide_admission (organisations, 60 * LB_SEC, true,
@@ -117,7 +117,7 @@
  * with it must be told to retry instead of being rejected for good. */
 Test (organisations, unknown_key_is_rejected_temporarily_while_the_view_is_stale)
 {
-  LcOrganisations *organisations = new_organisations_post_and_mill ();
+  LcOrganisations *organisations = new_organisations_named_post_and_mill ();
   LcAdmission admission = decide_admission (organisations, 2 * LB_SEC, false,
                                             (LcAdmissionCall){ .key = "key-of-new", .n_keys = 1 });
 
@@ -131,7 +131,7 @@
  * Otherwise it continues with the last view. */
 Test (organisations, keys_are_rejected_with_a_stale_view_in_strict_mode)
 {
-  LcOrganisations *organisations = new_organisations_post_and_mill ();
+  LcOrganisations *organisations = new_organisations_named_post_and_mill ();
   const LcAdmissionCall call = { .key = "key-of-post", .n_keys = 1 };
 
   cr_assert_eq (decide_admission (organisations, 4 * LB_SEC, true, call).error, LB_OK);
@@ -142,7 +142,7 @@
 
 Test (organisations, duplicate_names_and_keys_are_rejected)
 {
-  LcOrganisations *organisations = new_organisations_post_and_mill ();
+  LcOrganisations *organisations = new_organisations_named_post_and_mill ();
   LcOrganisation again = { .name = "post" };
   LcOrganisation third = { .name = "third" };
   LcKeyDigest digest;
--- a/packages/core/tests/test-usage-reports.c
+++ b/packages/core/tests/test-usage-reports.c
@@ -10,11 +10,11 @@
 
 #define WINDOW_MS 5000
 #define SETTLE_DELAY_MS 2500
-#define MAX_DELAY_MS 7000
+#define MAX_REPORT_DELAY_MS 7000
 #define REPORT_DUE_MS 10000
 #define N_WINDOWS 16
 #define N_HOLDERS 4
-#define MAX_OPERATIONS 512
+#define MAX_PENDING_OPERATIONS 512
 #define TIME_STEP (50 * LB_MSEC)
 #define DEFAULT_N_SEEDS 300
 
@@ -39,7 +39,7 @@
 typedef struct
 {
   LcUsageReports *holders[N_HOLDERS];
-  Operation operations[MAX_OPERATIONS];
+  Operation operations[MAX_PENDING_OPERATIONS];
   char *recorded_text[N_WINDOWS];
   bool is_closed[N_WINDOWS];
   char *accepted_text[N_WINDOWS]; /* report that the platform accepted; NULL: none */
@@ -59,7 +59,7 @@
 {
   const LcUsageReportSettings settings = { .window_ms = WINDOW_MS,
                                            .settle_delay_ms = SETTLE_DELAY_MS,
-                                           .max_delay_ms = MAX_DELAY_MS };
+                                           .max_delay_ms = MAX_REPORT_DELAY_MS };
 
   memset (&simulation, 0, sizeof simulation);
   simulation.injects_faults = injects_faults;
@@ -82,7 +82,7 @@
 {
   for (int i = 0; i < N_HOLDERS; i++)
     lc_usage_reports_free (simulation.holders[i]);
-  for (int i = 0; i < MAX_OPERATIONS; i++)
+  for (int i = 0; i < MAX_PENDING_OPERATIONS; i++)
     operation_clear (&simulation.operations[i]);
   for (int i = 0; i < N_WINDOWS; i++)
     {
@@ -93,25 +93,25 @@
 }
 
 static bool
-happens_with_probability (double probability)
+draw_with_probability (double probability)
 {
   return gsl_rng_uniform (simulation.random) < probability;
 }
 
 static LbTime
-random_delay (void)
+random_operation_delay (void)
 {
   LbTime typical = 5 * LB_MSEC + (LbTime)(gsl_rng_uniform (simulation.random) * 40 * LB_MSEC);
 
-  return simulation.injects_faults && happens_with_probability (0.03)
+  return simulation.injects_faults && draw_with_probability (0.03)
              ? typical + (LbTime)(gsl_rng_uniform (simulation.random) * 4 * LB_SEC)
              : typical;
 }
 
 static void
-start_operation (int holder, const LcUsageAction *action)
+start_holder_operation (int holder, const LcUsageAction *action)
 {
-  for (int i = 0; i < MAX_OPERATIONS; i++)
+  for (int i = 0; i < MAX_PENDING_OPERATIONS; i++)
     if (!simulation.operations[i].is_pending)
       {
         simulation.operations[i]
@@ -121,10 +121,11 @@
                            .type = action->type,
                            .window = action->window,
                            .text = action->text ? lb_strdup (action->text) : NULL,
-                           .apply_at = simulation.now + random_delay (),
+                           .apply_at = simulation.now + random_operation_delay (),
                            .is_reply_lost
-                           = simulation.injects_faults && happens_with_probability (0.05) };
-        simulation.operations[i].reply_at = simulation.operations[i].apply_at + random_delay ();
+                           = simulation.injects_faults && draw_with_probability (0.05) };
+        simulation.operations[i].reply_at
+            = simulation.operations[i].apply_at + random_operation_delay ();
         return;
       }
   cr_assert_fail ("too many operations in transit");
@@ -150,7 +151,7 @@
 }
 
 static void
-apply_operation (Operation *operation)
+apply_holder_operation (Operation *operation)
 {
   LbTime down_until = is_platform_operation (operation) ? simulation.platform_down_until
                                                         : simulation.store_down_until;
@@ -186,7 +187,7 @@
 }
 
 static void
-complete_rows_sum (LcUsageReports *reports, const Operation *operation)
+complete_row_sum (LcUsageReports *reports, const Operation *operation)
 {
   LcUsageCounts *counts = lc_usage_counts_new ();
 
@@ -197,7 +198,7 @@
 }
 
 static void
-complete_operation (Operation *operation)
+deliver_operation_result (Operation *operation)
 {
   LcUsageReports *reports = simulation.holders[operation->holder];
   bool ok = operation->ok && !operation->is_reply_lost;
@@ -210,7 +211,7 @@
       complete_reports_read (reports, operation);
       break;
     case LC_USAGE_SUM_ROWS:
-      complete_rows_sum (reports, operation);
+      complete_row_sum (reports, operation);
       break;
     case LC_USAGE_RECORD_REPORT:
       lc_usage_reports_record_report_completed (reports, operation->window, ok,
@@ -246,36 +247,36 @@
   simulation.now += TIME_STEP;
   if (true_time_ms () / WINDOW_MS < N_WINDOWS)
     simulation.expected_requests[true_time_ms () / WINDOW_MS]++;
-  for (int i = 0; i < MAX_OPERATIONS; i++)
+  for (int i = 0; i < MAX_PENDING_OPERATIONS; i++)
     {
       Operation *operation = &simulation.operations[i];
       if (operation->is_pending && !operation->is_applied && simulation.now >= operation->apply_at)
-        apply_operation (operation);
+        apply_holder_operation (operation);
       if (!operation->is_pending || !operation->is_applied || simulation.now < operation->reply_at)
         continue;
-      complete_operation (operation);
+      deliver_operation_result (operation);
       operation_clear (operation);
     }
   for (int i = 0; i < N_HOLDERS; i++)
     while (lc_usage_reports_next_action (simulation.holders[i], true_time_ms (), simulation.now,
                                          &action))
       if (action.type == LC_USAGE_READ_REPORTS || action.window < N_WINDOWS)
-        start_operation (i, &action);
+        start_holder_operation (i, &action);
 }
 
 static void
-inject_faults (void)
+inject_random_faults (void)
 {
   int holder = (int)gsl_rng_uniform_int (simulation.random, N_HOLDERS);
 
-  if (happens_with_probability (0.005))
+  if (draw_with_probability (0.005))
     lc_usage_reports_begin_duty (simulation.holders[holder]);
-  else if (happens_with_probability (0.005))
+  else if (draw_with_probability (0.005))
     lc_usage_reports_end_duty (simulation.holders[holder]);
-  if (happens_with_probability (0.003))
+  if (draw_with_probability (0.003))
     simulation.store_down_until
         = simulation.now + (LbTime)(gsl_rng_uniform (simulation.random) * 6 * LB_SEC);
-  if (happens_with_probability (0.003))
+  if (draw_with_probability (0.003))
     simulation.platform_down_until
         = simulation.now + (LbTime)(gsl_rng_uniform (simulation.random) * 6 * LB_SEC);
 }
@@ -319,7 +320,7 @@
     run_time_step ();
   lc_usage_reports_end_duty (simulation.holders[0]);
   simulation.expected_requests[1]
-      += 7; /* requests whose rows arrive after the report was recorded */
+      += 7; /* requests of rows that arrive after the report was recorded */
   while (true_time_ms () < 25000)
     run_time_step ();
   cr_assert_null (simulation.accepted_text[2]);
@@ -366,7 +367,7 @@
       while (true_time_ms () < (N_WINDOWS - 4) * WINDOW_MS)
         {
           run_time_step ();
-          inject_faults ();
+          inject_random_faults ();
         }
       simulation.injects_faults = false;
       simulation.store_down_until = simulation.platform_down_until = 0;
@@ -399,7 +400,7 @@
 {
   const LcUsageReportSettings settings = { .window_ms = WINDOW_MS,
                                            .settle_delay_ms = SETTLE_DELAY_MS,
-                                           .max_delay_ms = MAX_DELAY_MS };
+                                           .max_delay_ms = MAX_REPORT_DELAY_MS };
   LcUsageReports *reports = lc_usage_reports_new (&settings);
   LcUsageCounts *counts = lc_usage_counts_new ();
 
--- a/packages/core/tests/test-usage.c
+++ b/packages/core/tests/test-usage.c
@@ -8,7 +8,7 @@
 #define ROW_PERIOD (200 * LB_MSEC)
 
 static void
-assert_next_row (LcUsage *usage, LbTime now, int64_t window, const char *text)
+assert_next_usage_row (LcUsage *usage, LbTime now, int64_t window, const char *text)
 {
   LcUsageRow row;
 
@@ -25,8 +25,8 @@
   lc_usage_count_request (usage, "post", 4999);
   lc_usage_count_request (usage, "mill", 5000);
   lc_usage_count_request (usage, "mill", 9999);
-  assert_next_row (usage, 0, 0, "{\"post\":1}");
-  assert_next_row (usage, 0, 1, "{\"mill\":2}");
+  assert_next_usage_row (usage, 0, 0, "{\"post\":1}");
+  assert_next_usage_row (usage, 0, 1, "{\"mill\":2}");
   cr_assert_not (lc_usage_is_fully_written (usage));
   lc_usage_write_completed (usage, 0, true);
   lc_usage_write_completed (usage, 1, true);
@@ -34,21 +34,21 @@
   lc_usage_free (usage);
 }
 
-/* Each row has all requests counted in its window, and rows of one window are at least ROW_PERIOD
- * apart. A row per request would cause thousands of writes per second. */
+/* Each row includes all requests counted in its window so far, and rows of one window are at least
+ * ROW_PERIOD apart: a row per request would cause thousands of writes per second. */
 Test (usage, rows_have_all_counts_and_are_a_period_apart)
 {
   LcUsage *usage = lc_usage_new (WINDOW_MS);
   LcUsageRow row;
 
   lc_usage_count_request (usage, "post", 1);
-  assert_next_row (usage, 0, 0, "{\"post\":1}");
+  assert_next_usage_row (usage, 0, 0, "{\"post\":1}");
   lc_usage_count_request (usage, "post", 2);
   cr_assert_not (lc_usage_next_row (usage, ROW_PERIOD, 10 * ROW_PERIOD, &row),
                  "expected no row while a write is in progress");
   lc_usage_write_completed (usage, 0, true);
   cr_assert_not (lc_usage_next_row (usage, ROW_PERIOD, ROW_PERIOD - 1, &row));
-  assert_next_row (usage, ROW_PERIOD, 0, "{\"post\":2}");
+  assert_next_usage_row (usage, ROW_PERIOD, 0, "{\"post\":2}");
   lc_usage_free (usage);
 }
 
@@ -58,10 +58,10 @@
   LcUsage *usage = lc_usage_new (WINDOW_MS);
 
   lc_usage_count_request (usage, "post", 1);
-  assert_next_row (usage, 0, 0, "{\"post\":1}");
+  assert_next_usage_row (usage, 0, 0, "{\"post\":1}");
   lc_usage_write_completed (usage, 0, false);
   cr_assert_not (lc_usage_is_fully_written (usage));
-  assert_next_row (usage, ROW_PERIOD, 0, "{\"post\":1}");
+  assert_next_usage_row (usage, ROW_PERIOD, 0, "{\"post\":1}");
   lc_usage_write_completed (usage, 0, true);
   lc_usage_remove_windows_before (usage, 1);
   cr_assert (lc_usage_is_fully_written (usage));
@@ -69,7 +69,7 @@
 }
 
 /* A write whose reply was lost is applied after the next write, which has another key. The smaller
- * counts of the earlier row must not replace the later counts. */
+ * counts of that write must not replace the later counts. */
 Test (usage, earlier_row_of_an_incarnation_does_not_lower_counts)
 {
   LcUsageCounts *later = lc_usage_counts_new ();
