--- a/packages/core/tests/test-carried.c
+++ b/packages/core/tests/test-carried.c
@@ -16,7 +16,7 @@
   return text;
 }
 
-Test (carried, keeps_the_most_complete_text)
+Test (text_cache, keeps_the_most_complete_text)
 {
   LcTextCache *cache = lc_text_cache_new (1 << 20);
   LcCachedText text = make_cached_text ("i", 9);
@@ -36,7 +36,7 @@
 
 /* Another trainer may use the same id for a different item and must not get the cached text of this
  * one. */
-Test (carried, does_not_find_another_fingerprint_or_an_older_version)
+Test (text_cache, does_not_find_another_fingerprint_or_an_older_version)
 {
   LcTextCache *cache = lc_text_cache_new (1 << 20);
   LcCachedText text = make_cached_text ("i", 9);
@@ -52,7 +52,7 @@
   lc_text_cache_free (cache);
 }
 
-Test (carried, is_bounded_in_bytes_and_age)
+Test (text_cache, is_bounded_in_bytes_and_age)
 {
   LcTextCache *cache = lc_text_cache_new (1000);
   LcCachedText found;
--- a/packages/core/tests/test-catalog.c
+++ b/packages/core/tests/test-catalog.c
@@ -102,7 +102,7 @@
 }
 
 static bool
-is_cut_off (const World *w, const Instance *instance)
+is_cut_off_from_store (const World *w, const Instance *instance)
 {
   return w->now < instance->cut_off_until || w->now < w->outage_until;
 }
@@ -341,7 +341,7 @@
 {
   Call *call = &instance->feed;
 
-  if (call->arrives_at == 0 || is_cut_off (w, instance))
+  if (call->arrives_at == 0 || is_cut_off_from_store (w, instance))
     return;
   if (call->answers_at == LB_TIME_NEVER && w->now >= call->arrives_at
       && (call->from_version == 0 || w->version > call->from_version
@@ -365,7 +365,7 @@
 
   if (call->arrives_at == 0)
     return;
-  if (!call->is_carried_out && w->now >= call->arrives_at && !is_cut_off (w, instance))
+  if (!call->is_carried_out && w->now >= call->arrives_at && !is_cut_off_from_store (w, instance))
     {
       read_endpoints_for_list (w, call);
       call->is_carried_out = true;
@@ -373,7 +373,7 @@
     }
   if (is_paused (w, instance))
     return;
-  if (call->is_carried_out && w->now >= call->answers_at && !is_cut_off (w, instance))
+  if (call->is_carried_out && w->now >= call->answers_at && !is_cut_off_from_store (w, instance))
     finish_list_call (w, instance);
   else if (w->now < call->abandoned_at)
     return;
@@ -389,7 +389,7 @@
 
   if (call->arrives_at == 0)
     return;
-  if (!call->is_carried_out && w->now >= call->arrives_at && !is_cut_off (w, instance))
+  if (!call->is_carried_out && w->now >= call->arrives_at && !is_cut_off_from_store (w, instance))
     {
       apply_write_to_table (w, call);
       call->is_carried_out = true;
@@ -466,7 +466,7 @@
 static void
 reset_contact_start_if_out_of_contact (World *w, Instance *instance)
 {
-  if (is_cut_off (w, instance) || is_paused (w, instance))
+  if (is_cut_off_from_store (w, instance) || is_paused (w, instance))
     instance->in_contact_since = w->now;
 }
 
--- a/packages/core/tests/test-retry.c
+++ b/packages/core/tests/test-retry.c
@@ -233,7 +233,7 @@
 }
 
 static void
-submit_calls (StormSimulation *storm)
+submit_random_calls (StormSimulation *storm)
 {
   unsigned n = gsl_ran_poisson (storm->random, CALLS_PER_SECOND / 1000.0);
 
@@ -264,7 +264,7 @@
     {
       storm->f.now = now;
       end_due_attempts (storm);
-      submit_calls (storm);
+      submit_random_calls (storm);
       if (now >= lc_dispatch_next_tick (storm->f.dispatch))
         fixture_tick_at (&storm->f, now);
       schedule_attempt_ends_and_count_answers (storm);
