--- a/packages/core/tests/test-carried.c
+++ b/packages/core/tests/test-carried.c
@@ -16,7 +16,7 @@
   return text;
 }
 
-Test (carried, keeps_the_most_complete_text)
+Test (text_cache, keeps_the_most_complete_text)
 {
   LcTextCache *cache = lc_text_cache_new (1 << 20);
   LcCachedText text = make_cached_text ("i", 9);
@@ -36,7 +36,7 @@
 
 /* Another trainer may use the same id for a different item and must not get the cached text of this
  * one. */
-Test (carried, does_not_find_another_fingerprint_or_an_older_version)
+Test (text_cache, does_not_find_another_fingerprint_or_an_older_version)
 {
   LcTextCache *cache = lc_text_cache_new (1 << 20);
   LcCachedText text = make_cached_text ("i", 9);
@@ -47,12 +47,12 @@
   cr_assert_not (lc_text_cache_find (cache, "i", 8, 4, &found));
   cr_assert_eq (lc_text_cache_count_events (cache, "i", 8, &is_complete), 0);
   cr_assert_not (lc_text_cache_find (cache, "i", 7, 5, &found),
-                 "version 4 generated part of the text");
+                 "expected no text, since version 4 generated a part of it");
   cr_assert_eq (lc_text_cache_count_events (cache, "i", 7, &is_complete), 9);
   lc_text_cache_free (cache);
 }
 
-Test (carried, is_bounded_in_bytes_and_age)
+Test (text_cache, is_bounded_in_bytes_and_age)
 {
   LcTextCache *cache = lc_text_cache_new (1000);
   LcCachedText found;
