--- a/packages/core/src/config/lc-config.c
+++ b/packages/core/src/config/lc-config.c
@@ -115,7 +115,7 @@
 }
 
 static void
-update_readiness (LcConfig *config, LbTime now, LbList *actions)
+emit_readiness_if_changed (LcConfig *config, LbTime now, LbList *actions)
 {
   bool ready = lc_config_can_accept_work (config, now);
 
@@ -239,7 +239,7 @@
   }
   if (!config->confirmed)
     query_all_peers (config, now, actions);
-  update_readiness (config, now, actions);
+  emit_readiness_if_changed (config, now, actions);
 }
 
 /* Removes an instance that the platform reports as permanently removed. */
@@ -275,14 +275,14 @@
   if (read_at >= config->announced_at + LC_CONFIG_MAX_COMMIT_DURATION)
     config->settled_change = config->announced_change;
   config->next_poll_at = now + compute_jittered_poll_period (config);
-  update_readiness (config, now, actions);
+  emit_readiness_if_changed (config, now, actions);
 }
 
 void
 lc_config_store_read_failed (LcConfig *config, LbTime now, LbList *actions)
 {
   config->next_poll_at = now + compute_jittered_poll_period (config);
-  update_readiness (config, now, actions);
+  emit_readiness_if_changed (config, now, actions);
 }
 
 /* Activates and broadcasts the result of a change that this instance committed. Takes ownership of
@@ -303,7 +303,7 @@
     config->store_confirmed_at = committed_at;
   config->settled_change = config->announced_change;
   send_message (actions, "", LC_CONFIG_MESSAGE_CHANGE, revision)->body = json_object_get (change);
-  update_readiness (config, now, actions);
+  emit_readiness_if_changed (config, now, actions);
 }
 
 /* Requests the whole set of a peer with a newer revision, at most once per peer and
@@ -318,11 +318,11 @@
 }
 
 static void
-handle_change_message (LcConfig *config,
-                       LcConfigPeer *peer,
-                       const LcConfigMessage *message,
-                       LbTime now,
-                       LbList *actions)
+activate_or_fetch_peer_change (LcConfig *config,
+                               LcConfigPeer *peer,
+                               const LcConfigMessage *message,
+                               LbTime now,
+                               LbList *actions)
 {
   LbError error;
   LcResourceSet *next = NULL;
@@ -343,11 +343,11 @@
  * time of the query. Otherwise a reply that waited in the socket of a paused process would make an
  * old confirmation look recent. */
 static void
-handle_status_message (LcConfig *config,
-                       LcConfigPeer *peer,
-                       const LcConfigMessage *status,
-                       LbTime now,
-                       LbList *actions)
+record_peer_status (LcConfig *config,
+                    LcConfigPeer *peer,
+                    const LcConfigMessage *status,
+                    LbTime now,
+                    LbList *actions)
 {
   if (status->asked_at > 0 && status->asked_at <= now && status->asked_at > peer->answered_query_at)
     {
@@ -365,11 +365,11 @@
 }
 
 static void
-handle_snapshot_message (LcConfig *config,
-                         LcConfigPeer *peer,
-                         const LcConfigMessage *message,
-                         LbTime now,
-                         LbList *actions)
+activate_peer_snapshot (LcConfig *config,
+                        LcConfigPeer *peer,
+                        const LcConfigMessage *message,
+                        LbTime now,
+                        LbList *actions)
 {
   LbError error;
   LcResourceSet *set
@@ -405,7 +405,7 @@
   switch (message->type)
     {
     case LC_CONFIG_MESSAGE_CHANGE:
-      handle_change_message (config, peer, message, now, actions);
+      activate_or_fetch_peer_change (config, peer, message, now, actions);
       break;
     case LC_CONFIG_MESSAGE_QUERY:
       if (message->announced_change > 0)
@@ -413,7 +413,7 @@
       send_status (config, from, message->asked_at, now, actions);
       break;
     case LC_CONFIG_MESSAGE_STATUS:
-      handle_status_message (config, peer, message, now, actions);
+      record_peer_status (config, peer, message, now, actions);
       break;
     case LC_CONFIG_MESSAGE_FETCH:
       if (message->revision < config->set->revision)
@@ -421,10 +421,10 @@
             = lc_resource_set_to_json (config->set);
       break;
     case LC_CONFIG_MESSAGE_SNAPSHOT:
-      handle_snapshot_message (config, peer, message, now, actions);
+      activate_peer_snapshot (config, peer, message, now, actions);
       break;
     }
-  update_readiness (config, now, actions);
+  emit_readiness_if_changed (config, now, actions);
 }
 
 void
@@ -487,5 +487,5 @@
       if (needs_confirmation)
         query_least_recently_queried_peers (config, now, actions);
     }
-  update_readiness (config, now, actions);
+  emit_readiness_if_changed (config, now, actions);
 }
--- a/packages/core/src/config/lc-resources-check.c
+++ b/packages/core/src/config/lc-resources-check.c
@@ -99,7 +99,7 @@
 }
 
 static bool
-check_endpoints (const LcResourceSet *set, const char *file, LbError *error)
+check_endpoint_pools_and_addresses (const LcResourceSet *set, const char *file, LbError *error)
 {
   for (size_t i = 0; i < set->n_endpoints; i++)
     {
@@ -115,5 +115,6 @@
 bool
 lc_resource_set_validate (const LcResourceSet *set, const char *file, LbError *error)
 {
-  return check_subscription_references (set, file, error) && check_endpoints (set, file, error);
+  return check_subscription_references (set, file, error)
+         && check_endpoint_pools_and_addresses (set, file, error);
 }
