--- a/packages/core/src/membership/lc-catalog.c
+++ b/packages/core/src/membership/lc-catalog.c
@@ -346,7 +346,7 @@
 /* Whether the publisher's row has been absent or unchanged for so long that this instance may take
  * over. */
 static bool
-can_take_over (const LcCatalog *catalog, LbTime now)
+can_take_over_publishing (const LcCatalog *catalog, LbTime now)
 {
   return catalog->rank >= 0
          && now - catalog->publisher_changed_at
@@ -359,7 +359,8 @@
 {
   bool publishes = catalog->rank >= 0 && lc_catalog_is_publisher (catalog);
 
-  return publishes || can_take_over (catalog, now) || !lc_catalog_is_fresh (catalog, now);
+  return publishes || can_take_over_publishing (catalog, now)
+         || !lc_catalog_is_fresh (catalog, now);
 }
 
 void
@@ -402,7 +403,7 @@
 }
 
 static void
-add_put (LcCatalogWrite *write, LcCatalogPut put)
+append_put_to_write (LcCatalogWrite *write, LcCatalogPut put)
 {
   write->puts = lb_realloc (write->puts, (write->n_puts + 1) * sizeof *write->puts);
   write->puts[write->n_puts++] = put;
@@ -451,8 +452,8 @@
         continue;
       if (write->n_puts > MAX_CHANGES_PER_WRITE)
         return false;
-      add_put (write,
-               (LcCatalogPut){ .key = lb_strdup (item->key), .value = lb_strdup (item->value) });
+      append_put_to_write (write, (LcCatalogPut){ .key = lb_strdup (item->key),
+                                                  .value = lb_strdup (item->value) });
     }
   return true;
 }
@@ -485,7 +486,7 @@
       HASH_FIND_STR (listed_keys, row->key, key);
       fits = key || write->n_puts <= MAX_CHANGES_PER_WRITE;
       if (!key && fits)
-        add_put (write, (LcCatalogPut){ .key = lb_strdup (row->key), .value = NULL });
+        append_put_to_write (write, (LcCatalogPut){ .key = lb_strdup (row->key), .value = NULL });
     }
   HASH_CLEAR (hh, listed_keys);
   free (keys);
@@ -513,7 +514,7 @@
     return false;
   if (!is_last_write_visible && now - catalog->last_write_at < WRITE_TIMEOUT)
     return false;
-  return lc_catalog_is_publisher (catalog) || can_take_over (catalog, now);
+  return lc_catalog_is_publisher (catalog) || can_take_over_publishing (catalog, now);
 }
 
 bool
@@ -522,7 +523,7 @@
   memset (write, 0, sizeof *write);
   if (!can_write_changes (catalog, now))
     return false;
-  add_put (write, (LcCatalogPut){ .key = lb_strdup (PUBLISHER_KEY), .value = NULL });
+  append_put_to_write (write, (LcCatalogPut){ .key = lb_strdup (PUBLISHER_KEY), .value = NULL });
   bool is_complete = add_all_changes (catalog, write);
   write->puts[0].value = format_publisher_row (catalog, is_complete);
   write->expected_version = catalog->publisher_version;
--- a/packages/core/src/membership/lc-fleet.c
+++ b/packages/core/src/membership/lc-fleet.c
@@ -182,7 +182,7 @@
 
 /* Whether a row that is seen for the first time was renewed recently, by the store's clock. */
 static bool
-is_row_recent (const LcFleet *fleet, const LcFleetRow *row)
+was_row_renewed_recently (const LcFleet *fleet, const LcFleetRow *row)
 {
   LbTime age = (fleet->store_ms - row->renewed_ms) * LB_MSEC;
   LbTime period = row->period < MAX_RECENT_PERIOD ? row->period : MAX_RECENT_PERIOD;
@@ -207,7 +207,7 @@
       *member = (LcFleetMember){ .row = *row,
                                  .version = version,
                                  .version_seen_at = now,
-                                 .confirmed = is_row_recent (fleet, row),
+                                 .confirmed = was_row_renewed_recently (fleet, row),
                                  .is_new = true };
       fleet->changed = true;
     }
--- a/packages/core/src/membership/lc-membership-connect.c
+++ b/packages/core/src/membership/lc-membership-connect.c
@@ -61,7 +61,7 @@
  * declared dead. So after the loss of a connection this instance only stops giving the member's
  * address to callers and dials the member at once. Only a failed dial makes the member suspect. */
 static void
-handle_lost_connection (LcMembership *membership, LcMember *member, LbTime now, LbList *actions)
+silence_and_redial_member (LcMembership *membership, LcMember *member, LbTime now, LbList *actions)
 {
   if (member->instance.state == LC_INSTANCE_DEAD)
     return;
@@ -78,7 +78,7 @@
 /* Makes the member suspect after a failed dial, unless another connection to it works or it refuted
  * a suspicion recently. */
 static void
-handle_failed_dial (LcMembership *membership, LcMember *member, LbTime now)
+suspect_member_after_failed_dial (LcMembership *membership, LcMember *member, LbTime now)
 {
   bool is_suspicion_ignored = now < member->suspicion_ignored_until;
 
@@ -123,7 +123,7 @@
   activate_opened_link (membership, link, peer, now, actions);
   /* The dialled address now belongs to another instance: the intended one was not reached. */
   if (intended && strcmp (intended->instance.name, peer->name) != 0)
-    handle_failed_dial (membership, intended, now);
+    suspect_member_after_failed_dial (membership, intended, now);
   if (!known && now >= membership->next_compare_at)
     {
       membership->next_compare_at = now + LC_COMPARE_INTERVAL;
@@ -148,9 +148,9 @@
   if (!member)
     return;
   if (!was_open)
-    handle_failed_dial (membership, member, now);
+    suspect_member_after_failed_dial (membership, member, now);
   else if (was_outgoing)
-    handle_lost_connection (membership, member, now, actions);
+    silence_and_redial_member (membership, member, now, actions);
 }
 
 void
--- a/packages/core/src/membership/lc-membership-contacts.c
+++ b/packages/core/src/membership/lc-membership-contacts.c
@@ -106,7 +106,7 @@
 /* Reservoir sampling: whether the next candidate replaces the choice so far, for the n-th with
  * probability 1/n. So each of an unknown number of candidates is chosen with equal probability. */
 static bool
-should_pick_candidate (LcMembership *membership, unsigned long *n_candidates)
+should_replace_random_choice (LcMembership *membership, unsigned long *n_candidates)
 {
   return gsl_rng_uniform_int (membership->rng, ++*n_candidates) == 0;
 }
@@ -129,12 +129,12 @@
   LB_LIST_FOREACH (&membership->contacts, LcContact, link, contact)
   {
     if (!has_live_member_at (membership, contact->address)
-        && should_pick_candidate (membership, &n_candidates))
+        && should_replace_random_choice (membership, &n_candidates))
       address = contact->address;
   }
   for (const LcMember *member = membership->members; member; member = member->hh.next)
     if (member->instance.state == LC_INSTANCE_DEAD
-        && should_pick_candidate (membership, &n_candidates))
+        && should_replace_random_choice (membership, &n_candidates))
       {
         name = member->instance.name;
         address = member->instance.peer_address;
--- a/packages/core/src/membership/lc-membership-heartbeat.c
+++ b/packages/core/src/membership/lc-membership-heartbeat.c
@@ -123,7 +123,7 @@
 }
 
 static bool
-is_unneeded_for_too_long (const LcMembership *membership, LcPeerLink *link, LbTime now)
+is_link_unneeded_for_too_long (const LcMembership *membership, LcPeerLink *link, LbTime now)
 {
   if (!link->is_outgoing || is_link_needed (membership, link, now))
     link->unneeded_since = 0;
@@ -133,9 +133,9 @@
 }
 
 static void
-maintain_link (LcMembership *membership, LcPeerLink *link, LbTime now, LbList *actions)
+close_compare_or_ping_link (LcMembership *membership, LcPeerLink *link, LbTime now, LbList *actions)
 {
-  if (is_unneeded_for_too_long (membership, link, now))
+  if (is_link_unneeded_for_too_long (membership, link, now))
     {
       lc_membership_close_link (membership, link, LB_OK, actions);
       return;
@@ -170,6 +170,6 @@
     if (timed_out)
       time_out_link (membership, link, now, actions);
     else if (link->is_open)
-      maintain_link (membership, link, now, actions);
+      close_compare_or_ping_link (membership, link, now, actions);
   }
 }
--- a/packages/core/src/membership/lc-membership-members.c
+++ b/packages/core/src/membership/lc-membership-members.c
@@ -4,7 +4,7 @@
 #define REMOVE_DEAD_AFTER_WITHOUT_LIST (24 * 3600 * LB_SEC)
 
 static bool
-is_removable (const LcMembership *membership, const LcMember *member, LbTime now)
+is_dead_member_removable (const LcMembership *membership, const LcMember *member, LbTime now)
 {
   LbTime retention
       = membership->has_platform_list ? REMOVE_DEAD_AFTER : REMOVE_DEAD_AFTER_WITHOUT_LIST;
@@ -25,7 +25,7 @@
         membership->totals.declared_dead++;
         lc_membership_set_state (membership, member, LC_INSTANCE_DEAD, now);
       }
-    if (is_removable (membership, member, now))
+    if (is_dead_member_removable (membership, member, now))
       lc_membership_remove_member (membership, member);
   }
 }
--- a/packages/core/src/membership/lc-membership-updates.c
+++ b/packages/core/src/membership/lc-membership-updates.c
@@ -41,7 +41,7 @@
 }
 
 static void
-handle_state_change (LcMembership *membership, LcMember *member, LbTime now)
+record_member_state_change (LcMembership *membership, LcMember *member, LbTime now)
 {
   member->changed_at = now;
   membership->view_changed = true;
@@ -58,7 +58,7 @@
                          LbTime now)
 {
   member->instance.state = state;
-  handle_state_change (membership, member, now);
+  record_member_state_change (membership, member, now);
   /* DEAD is not broadcast: all instances received the suspicion and declare the member dead by
    * their own clocks. */
   if (state != LC_INSTANCE_DEAD)
@@ -70,7 +70,7 @@
  * callers do not get the member's address half of the time. So after each refutation this instance
  * does not suspect the member for a time that doubles; other watchers still can. */
 static void
-handle_refutation (LcMembership *membership, LcMember *member, LbTime now)
+ignore_suspicion_after_refutation (LcMembership *membership, LcMember *member, LbTime now)
 {
   membership->totals.refuted++;
   member->is_silent = false;
@@ -100,7 +100,7 @@
   member->instance = *update;
   HASH_ADD_STR (membership->members, instance.name, member);
   reset_for_new_epoch (member, now);
-  handle_state_change (membership, member, now);
+  record_member_state_change (membership, member, now);
   return member;
 }
 
@@ -121,9 +121,9 @@
   if (update->epoch != before.epoch || strcmp (update->incarnation, before.incarnation) != 0)
     reset_for_new_epoch (member, now);
   else if (before.state != LC_INSTANCE_ALIVE && update->state == LC_INSTANCE_ALIVE)
-    handle_refutation (membership, member, now);
+    ignore_suspicion_after_refutation (membership, member, now);
   if (before.state != update->state)
-    handle_state_change (membership, member, now);
+    record_member_state_change (membership, member, now);
   if (before.draining != update->draining)
     member->changed_at = now;
   membership->view_changed = true;
