--- a/packages/core/src/rollout/lc-generate.c
+++ b/packages/core/src/rollout/lc-generate.c
@@ -16,7 +16,7 @@
 
 /* Returns the expected total length of a running sample in tokens, given those it already has. */
 static double
-expect_total_tokens (const LcLengthHistogram *lengths, const LcJob *job, int64_t max_tokens)
+estimate_total_tokens (const LcLengthHistogram *lengths, const LcJob *job, int64_t max_tokens)
 {
   return (double)job->label.tokens
          + lc_length_histogram_estimate_remaining (lengths, job->label.tokens, max_tokens);
@@ -37,7 +37,7 @@
       if (slot->state >= LC_SLOT_SCORING && slot->label)
         group_lengths.sum += (double)slot->label->tokens;
       else if (slot->state == LC_SLOT_RUNNING && job)
-        group_lengths.sum += expect_total_tokens (lengths, job, max_tokens);
+        group_lengths.sum += estimate_total_tokens (lengths, job, max_tokens);
       else
         continue;
       group_lengths.count++;
