--- a/packages/core/src/dispatch/lc-candidates.c
+++ b/packages/core/src/dispatch/lc-candidates.c
@@ -93,10 +93,10 @@
 }
 
 static void
-classify_endpoint (LcCandidates *candidates,
-                   const LcEndpointSummary *summary,
-                   const DecisionInputs *inputs,
-                   FilterCounts *counts)
+filter_endpoint (LcCandidates *candidates,
+                 const LcEndpointSummary *summary,
+                 const DecisionInputs *inputs,
+                 FilterCounts *counts)
 {
   const LcRouteQuery *query = inputs->query;
 
@@ -138,15 +138,15 @@
 }
 
 static void
-classify_endpoints (LcCandidates *candidates,
-                    const LcEndpoints *endpoints,
-                    const LcEndpointGroup *group,
-                    const DecisionInputs *inputs,
-                    FilterCounts *counts)
+filter_group_endpoints (LcCandidates *candidates,
+                        const LcEndpoints *endpoints,
+                        const LcEndpointGroup *group,
+                        const DecisionInputs *inputs,
+                        FilterCounts *counts)
 {
   candidates->n_items = 0;
   for (size_t i = 0; group && i < group->n_slots; i++)
-    classify_endpoint (candidates, &endpoints->summaries[group->slots[i]], inputs, counts);
+    filter_endpoint (candidates, &endpoints->summaries[group->slots[i]], inputs, counts);
 }
 
 void
@@ -166,13 +166,13 @@
   FilterCounts counts = { 0 };
 
   ensure_capacity (candidates, group ? group->n_slots : 0);
-  classify_endpoints (candidates, endpoints, group, &inputs, &counts);
+  filter_group_endpoints (candidates, endpoints, group, &inputs, &counts);
   candidates->reason = candidates->n_items > 0 ? NULL : reason_without_candidates (&counts);
   if (query->kind != LC_KIND_SAMPLE || counts.eligible > 0 || counts.avoided + counts.too_slow == 0)
     return;
   /* If only avoided or slow engines remain, a sample gains nothing by waiting: it may use them. */
   inputs.strict = false;
-  classify_endpoints (candidates, endpoints, group, &inputs, &counts);
+  filter_group_endpoints (candidates, endpoints, group, &inputs, &counts);
   candidates->reason = candidates->n_items > 0 ? NULL : "no-capacity";
 }
 
--- a/packages/core/src/dispatch/lc-dispatch.c
+++ b/packages/core/src/dispatch/lc-dispatch.c
@@ -199,7 +199,7 @@
 /* Returns the latest start of the first attempt. A call without a deadline must start within the
  * default deadline, since a client waits for it; its stream may then run without limit. */
 static LbTime
-start_deadline_of (const LcDispatch *dispatch, const LcRequestSpec *spec, LbTime now)
+compute_start_deadline (const LcDispatch *dispatch, const LcRequestSpec *spec, LbTime now)
 {
   LbTime max_wait = dispatch->settings.default_deadline;
 
@@ -218,7 +218,7 @@
                  LbTime now,
                  LbList *actions)
 {
-  LbTime latest = start_deadline_of (dispatch, spec, now);
+  LbTime latest = compute_start_deadline (dispatch, spec, now);
 
   if (latest <= now)
     return LB_ERROR_DEADLINE_BEFORE_START;
@@ -249,7 +249,7 @@
   LcRequest *request = lc_request_new (spec, pool, now);
 
   request->queue_entry.sequence = ++dispatch->last_sequence;
-  request->start_deadline = start_deadline_of (dispatch, spec, now);
+  request->start_deadline = compute_start_deadline (dispatch, spec, now);
   HASH_ADD (hh, dispatch->requests, id, sizeof request->id, request);
   pool->n_requests++;
   return request;
@@ -392,7 +392,10 @@
 }
 
 static void
-handle_request_timer (LcDispatch *dispatch, LcRequest *request, LbTime now, LbList *actions)
+fail_requeue_or_hedge_due_request (LcDispatch *dispatch,
+                                   LcRequest *request,
+                                   LbTime now,
+                                   LbList *actions)
 {
   bool is_waiting = request->state == LC_STATE_WAITING;
 
@@ -415,6 +418,6 @@
   LcRequest *request = NULL;
 
   while ((request = lc_dispatch_find_due_request (dispatch, now)))
-    handle_request_timer (dispatch, request, now, actions);
+    fail_requeue_or_hedge_due_request (dispatch, request, now, actions);
   lc_dispatch_send_waiting_of_all_pools (dispatch, now, actions);
 }
--- a/packages/core/src/dispatch/lc-outcome.c
+++ b/packages/core/src/dispatch/lc-outcome.c
@@ -141,7 +141,7 @@
 /* Cancels the attempts of the request and removes it from the queue, the timers and the request
  * table. The caller still has to append the final action and free the request. */
 static void
-detach_request (LcDispatch *dispatch, LcRequest *request, LbTime now, LbList *actions)
+cancel_and_unlink_request (LcDispatch *dispatch, LcRequest *request, LbTime now, LbList *actions)
 {
   cancel_attempts (dispatch, request, now, actions);
   lc_queue_remove (request->pool->queue, &request->queue_entry);
@@ -153,7 +153,7 @@
 void
 lc_dispatch_drop_request (LcDispatch *dispatch, LcRequest *request, LbTime now, LbList *actions)
 {
-  detach_request (dispatch, request, now, actions);
+  cancel_and_unlink_request (dispatch, request, now, actions);
   lc_request_free (request);
 }
 
@@ -198,7 +198,7 @@
     return;
   if (retry_after == 0)
     retry_after = lc_dispatch_compute_retry_after (dispatch, request->pool, &key, now);
-  detach_request (dispatch, request, now, actions);
+  cancel_and_unlink_request (dispatch, request, now, actions);
   if (!lc_dispatch_check_invariant (dispatch,
                                     !lb_error_proves_not_run (error) || !request->may_have_run,
                                     "not-run-is-a-proof", request->id))
@@ -233,7 +233,7 @@
   lc_retry_budgets_credit_success (dispatch->budgets, endpoint);
   attempt->is_complete = true;
   close_attempt (dispatch, request, attempt, RESULT_SUCCEEDED, now);
-  detach_request (dispatch, request, now, actions);
+  cancel_and_unlink_request (dispatch, request, now, actions);
 
   LcAction *action = lc_action_new (LC_ACTION_FINISH, request->id, actions);
 
@@ -289,7 +289,7 @@
 
 /* Whether the endpoint's reply rules out a retry. */
 static bool
-is_end_final (const LcRequest *request, LcAttemptEnd end)
+rules_out_retry (const LcRequest *request, LcAttemptEnd end)
 {
   return end == LC_END_REJECTED || (end == LC_END_FAILED && request->failure_is_final);
 }
@@ -320,7 +320,7 @@
   bool immediately = is_retried_immediately (request, end);
   bool charged_to_budget = !immediately && !resumed;
 
-  if (is_end_final (request, end) || !may_retry (request)
+  if (rules_out_retry (request, end) || !may_retry (request)
       || (!immediately && now + delay >= request->deadline)
       || (charged_to_budget && !lc_retry_budgets_allow_retry (dispatch->budgets, request->caller)))
     {
@@ -353,7 +353,7 @@
 
 /* Whether the endpoint replied, even with a failure, so the request did not crash it. */
 static bool
-endpoint_survived (LcAttemptEnd end)
+proves_endpoint_alive (LcAttemptEnd end)
 {
   return end == LC_END_COMPLETE || end == LC_END_REJECTED || end == LC_END_FAILED;
 }
@@ -368,7 +368,7 @@
                                 LbTime now,
                                 LbList *actions)
 {
-  if (endpoint_survived (end))
+  if (proves_endpoint_alive (end))
     lc_quarantine_record_answer (dispatch->quarantine, request->content, now);
   if (end == LC_END_COMPLETE || attempt->is_complete)
     {
--- a/packages/core/src/dispatch/lc-pieces.c
+++ b/packages/core/src/dispatch/lc-pieces.c
@@ -9,7 +9,7 @@
                        "Pieces of answers that were late, foreign, repeated or out of order");
 
 static LcPieceVerdict
-drop_piece (void)
+count_dropped_piece (void)
 {
   lb_metric_add (&dropped_pieces, 1);
   return LC_PIECE_DROP;
@@ -34,7 +34,7 @@
 
 /* Chooses the attempt whose pieces are forwarded and cancels the request's other attempts. */
 static void
-commit_to_attempt (
+choose_forwarded_attempt (
     LcDispatch *dispatch, LcRequest *request, const LcAttempt *chosen, LbTime now, LbList *actions)
 {
   request->forwarded_attempt = chosen->number;
@@ -58,7 +58,7 @@
   LB_COPY (action->endpoint, attempt->endpoint);
   lc_dispatch_handle_attempt_end (dispatch, request, attempt, LC_END_BROKEN, now, actions);
   lc_dispatch_send_waiting_requests (dispatch, pool, now, actions);
-  return drop_piece ();
+  return count_dropped_piece ();
 }
 
 static bool
@@ -106,19 +106,19 @@
   LcAttempt *attempt = request ? lc_request_find_attempt (request, number) : NULL;
 
   if (!attempt || attempt->is_complete || piece->tokens < 0)
-    return drop_piece ();
+    return count_dropped_piece ();
   if (!attempt->has_piece)
     record_first_piece (dispatch, request, attempt, now);
   if (is_gap_or_partial_overlap (attempt, piece))
     return end_attempt_at_gap (dispatch, request, attempt, now, actions);
   if (piece->offset < attempt->next_offset)
-    return drop_piece ();
+    return count_dropped_piece ();
   if (request->delivery == LC_DELIVER_STREAM && request->forwarded_attempt == 0)
-    commit_to_attempt (dispatch, request, attempt, now, actions);
+    choose_forwarded_attempt (dispatch, request, attempt, now, actions);
   if (!check_is_next_piece (dispatch, request, attempt, piece))
     {
       lc_dispatch_fail_request (dispatch, request, LB_ERROR_STREAM_BROKEN, 0, now, actions);
-      return drop_piece ();
+      return count_dropped_piece ();
     }
   if (request->delivery == LC_DELIVER_STREAM)
     record_token_pace (dispatch, attempt, piece, now);
--- a/packages/core/src/dispatch/lc-placement.c
+++ b/packages/core/src/dispatch/lc-placement.c
@@ -108,7 +108,7 @@
  * without one, the decision on outdated reports is used. An endpoint that never reported is used at
  * once: the endpoint table has already excluded it for as long. */
 static LcRouteDecision
-hold_pool_or_use_decision (LcPoolState *pool, const LcRouteDecision *outdated, LbTime now)
+wait_for_report_or_use_decision (LcPoolState *pool, const LcRouteDecision *outdated, LbTime now)
 {
   if (!lc_endpoint_to_entry (outdated->endpoint)->is_reported)
     return *outdated;
@@ -137,7 +137,8 @@
     return decision;
   query.reported_since = 0;
   decision = lc_router_choose (dispatch->router, dispatch->endpoints, &query, now);
-  return decision.endpoint ? hold_pool_or_use_decision (request->pool, &decision, now) : decision;
+  return decision.endpoint ? wait_for_report_or_use_decision (request->pool, &decision, now)
+                           : decision;
 }
 
 static LcRouteDecision
--- a/packages/core/src/dispatch/lc-queue.c
+++ b/packages/core/src/dispatch/lc-queue.c
@@ -107,7 +107,7 @@
 }
 
 static int
-priority_level (int priority)
+clamp_and_invert_priority (int priority)
 {
   if (priority > MAX_PRIORITY)
     priority = MAX_PRIORITY;
@@ -124,8 +124,10 @@
   static const int kinds[] = { [LC_KIND_LIVE] = 0, [LC_KIND_SERVICE] = 1, [LC_KIND_SAMPLE] = 2 };
 
   return (BandRank){ .kind = kinds[key->kind],
-                     .organisation = priority_level (key->organisation_priority),
-                     .level = key->kind == LC_KIND_SAMPLE ? 0 : priority_level (key->priority) };
+                     .organisation = clamp_and_invert_priority (key->organisation_priority),
+                     .level = key->kind == LC_KIND_SAMPLE
+                                  ? 0
+                                  : clamp_and_invert_priority (key->priority) };
 }
 
 static bool
--- a/packages/core/src/dispatch/lc-retry.c
+++ b/packages/core/src/dispatch/lc-retry.c
@@ -64,7 +64,7 @@
 /* Returns the bucket of the name, new if there is none, as the most recently used. Callers choose
  * their names, so the table is bounded: the least recently used bucket is evicted. */
 static Bucket *
-touch_bucket (LcRetryBudgets *budgets, const char *name)
+find_or_add_recent_bucket (LcRetryBudgets *budgets, const char *name)
 {
   Bucket *bucket = find_bucket (budgets, name);
 
@@ -85,7 +85,7 @@
 void
 lc_retry_budgets_credit_success (LcRetryBudgets *budgets, const char *name)
 {
-  Bucket *bucket = touch_bucket (budgets, name);
+  Bucket *bucket = find_or_add_recent_bucket (budgets, name);
 
   bucket->tokens += budgets->earned_per_success;
   if (bucket->tokens > MAX_BUCKET_TOKENS)
@@ -95,7 +95,7 @@
 void
 lc_retry_budgets_charge_retry (LcRetryBudgets *budgets, const char *name)
 {
-  touch_bucket (budgets, name)->tokens -= 1;
+  find_or_add_recent_bucket (budgets, name)->tokens -= 1;
 }
 
 bool
--- a/packages/core/src/dispatch/lc-router-finish-time.c
+++ b/packages/core/src/dispatch/lc-router-finish-time.c
@@ -253,7 +253,7 @@
 /* Returns the level of load cost that is reached if the arrivals are spread over the candidates
  * below the given level; HUGE_VAL if no candidate is below. */
 static double
-level_if_filled_below (const LcPolicy *policy, double arrivals, double level)
+compute_level_filling_below (const LcPolicy *policy, double arrivals, double level)
 {
   double weight = 0;
   double sum = arrivals;
@@ -276,13 +276,13 @@
 static double
 find_fill_level (LcPolicy *policy, double arrivals, double all_filled)
 {
-  double level = level_if_filled_below (policy, arrivals, all_filled * policy->level_ratio);
-  double next = level_if_filled_below (policy, arrivals, level);
+  double level = compute_level_filling_below (policy, arrivals, all_filled * policy->level_ratio);
+  double next = compute_level_filling_below (policy, arrivals, level);
 
   while (next < level)
     {
       level = next;
-      next = level_if_filled_below (policy, arrivals, level);
+      next = compute_level_filling_below (policy, arrivals, level);
     }
   policy->level_ratio = level / all_filled;
   return level;
