--- a/packages/core/src/quarantine/lc-quarantine.c
+++ b/packages/core/src/quarantine/lc-quarantine.c
@@ -278,7 +278,7 @@
 /* Clears those fingerprints of the report whose requests were answered on this instance shortly
  * before the crash or after it. */
 static void
-apply_recent_answers (LcQuarantine *quarantine, const LcCrashReport *report)
+clear_recently_answered_requests (LcQuarantine *quarantine, const LcCrashReport *report)
 {
   for (size_t i = 0; i < MAX_RECENT_ANSWERS; i++)
     {
@@ -312,7 +312,7 @@
 {
   if (report->at + REPORT_LIFETIME <= now || !lc_crash_log_add_report (&quarantine->log, report))
     return;
-  apply_recent_answers (quarantine, report);
+  clear_recently_answered_requests (quarantine, report);
   recompute_quarantine (quarantine);
   log_quarantined_requests (quarantine, report, now);
 }
