--- a/packages/core/src/batch/lc-batch.c
+++ b/packages/core/src/batch/lc-batch.c
@@ -324,7 +324,7 @@
 }
 
 static void
-handle_complete_text (LcBatch *batch, LcBatchItem *item, LbTime now, LbList *actions)
+score_or_restart_complete_text (LcBatch *batch, LcBatchItem *item, LbTime now, LbList *actions)
 {
   if (item->is_unusable || item->n_events == 0)
     {
@@ -347,7 +347,7 @@
     return;
   if (error == LB_OK)
     {
-      handle_complete_text (batch, item, now, actions);
+      score_or_restart_complete_text (batch, item, now, actions);
       return;
     }
   if (error == LB_ERROR_CLOSED && item->is_preempted)
