--- a/packages/core/src/endpoints/lc-endpoints.c
+++ b/packages/core/src/endpoints/lc-endpoints.c
@@ -274,7 +274,7 @@
 /* Discards outdated stream paces of the group. A slow engine gets no requests while other engines
  * have capacity, so with its old pace kept its recovery would never be noticed. */
 static void
-refresh_group_paces (LcEndpointEntry *entry, LcEndpointGroup *group, LbTime now)
+discard_outdated_group_paces (LcEndpointEntry *entry, LcEndpointGroup *group, LbTime now)
 {
   double fastest = 0;
 
@@ -308,7 +308,7 @@
   lc_stream_pace_add_tokens (&entry->stream_pace, tokens, interval);
   entry->stream_pace_at = now;
   seconds = lc_stream_pace_token_seconds (&entry->stream_pace);
-  refresh_group_paces (entry, find_group_of_entry (entry), now);
+  discard_outdated_group_paces (entry, find_group_of_entry (entry), now);
   if (seconds == 0 || endpoint->report.tokens_per_second > 0)
     return;
   entry->single_stream_token_seconds = seconds;
