--- a/packages/core/src/weights/lc-weights.c
+++ b/packages/core/src/weights/lc-weights.c
@@ -297,7 +297,7 @@
 /* Handles a report of a load in progress. A load that hangs must not count against the limit of
  * concurrent swaps forever. */
 static void
-handle_loading_report (const LcWeights *weights, Engine *engine, LbTime now)
+record_load_in_progress (const LcWeights *weights, Engine *engine, LbTime now)
 {
   if (engine->loading_since == 0)
     engine->loading_since = now;
@@ -337,7 +337,7 @@
   engine->report = *report;
   if (report->loading)
     {
-      handle_loading_report (weights, engine, now);
+      record_load_in_progress (weights, engine, now);
       return;
     }
   engine->loading_since = 0;
