--- a/packages/core/include/lc-admission.h
+++ b/packages/core/include/lc-admission.h
@@ -9,7 +9,8 @@
 /* Whether known keys stay valid while this instance can't confirm its list of organisations. */
 typedef struct
 {
-  /* Refuse known keys once the last confirmation is max_unconfirmed_age old. */
+  /* Refuse known keys when the last confirmation of the list of organisations is
+   * max_unconfirmed_age old. */
   bool refuse_unconfirmed;
   LbTime max_unconfirmed_age;
 } LcAdmissionRules;
@@ -34,7 +35,7 @@
   LbErrorCode error;  /* LB_OK: the call is admitted */
   const char *reason; /* why the call is refused, for the log and the caller; NULL if admitted */
   LbTime retry_after; /* delay after which the caller may retry; 0: a retry would fail too */
-  LcOrganisation organisation; /* holder of the key; empty name: no known key */
+  LcOrganisation organisation; /* organisation of the API key; empty name: the key is not known */
   bool has_digest;
   LcKeyDigest digest; /* digest of the call's API key, if has_digest */
 } LcAdmission;
--- a/packages/core/include/lc-batch-head.h
+++ b/packages/core/include/lc-batch-head.h
@@ -22,7 +22,7 @@
    * all batches of a model, so that its connections to the engines are reused. */
   LbName preferred_instance;
   LbName organisation;           /* organisation that the batch belongs to; empty: none */
-  int64_t organisation_priority; /* at acceptance of the batch; higher priorities go first */
+  int64_t organisation_priority; /* priority when the batch was accepted; larger values run first */
   LbName host;                   /* host name of the batch's route */
   char path[128];
 } LcBatchHead;
--- a/packages/core/include/lc-batch.h
+++ b/packages/core/include/lc-batch.h
@@ -84,16 +84,17 @@
   LcBatchActionType type;
   LcRequestId request;
   size_t item_index; /* index into LcBatchSpec.items */
-  /* set for LC_BATCH_GENERATE */
-  int64_t resume_at;          /* number of events that the text already has */
-  const char *avoid_endpoint; /* endpoint that was too slow, or ""; valid until the next command */
-  int64_t remaining_events;   /* estimated number of events still to be generated */
-  LbTime due_at;              /* time at which the trainer wants the batch */
-  LbTime latest_start;        /* latest start that completes the text by due_at */
-  /* set for LC_BATCH_CHECKPOINT; valid until the next command */
+  /* Members set for LC_BATCH_GENERATE. */
+  int64_t resume_at; /* number of events that the text already has */
+  /* endpoint that was too slow for the item, or ""; valid until the batch is next changed */
+  const char *avoid_endpoint;
+  int64_t remaining_events; /* estimated number of events still to be generated */
+  LbTime due_at;            /* time by which the trainer needs the whole batch */
+  LbTime latest_start;      /* latest start that completes the text by due_at */
+  /* Members set for LC_BATCH_CHECKPOINT; valid until the batch is next changed. */
   LcBatchTextPart *parts;
   size_t n_parts;
-  /* set for LC_BATCH_WRITE_RESULTS; valid until lc_batch_finish_write */
+  /* Members set for LC_BATCH_WRITE_RESULTS; valid until lc_batch_finish_write. */
   int64_t first_position; /* position of results[0] */
   const LcBatchResult *const *results;
   size_t n_results;
@@ -111,12 +112,12 @@
 {
   LcBatchHistory *history;    /* not owned; NULL: no history */
   LcTextCache *text_cache;    /* not owned; NULL: texts of earlier batches are not reused */
-  int64_t tokens_per_event;   /* 0: not known, 1 is assumed */
+  int64_t tokens_per_event;   /* tokens in one stream event; 0: not known, 1 is assumed */
   int64_t max_failures;       /* number of failed generations after which an item is abandoned */
   int64_t max_score_failures; /* number of failed scorings after which an item is abandoned */
   bool resumable;             /* another endpoint can continue a partial text */
   bool single_version;        /* one weight version must generate the whole text */
-  LbTime due_at;              /* time at which the trainer wants the batch */
+  LbTime due_at;              /* time by which the trainer needs the whole batch */
   LbTime deadline;            /* time to abandon unfinished items; LB_TIME_NEVER: never */
   LcRequestId (*next_request_id) (void *user);
   void *user;
@@ -128,7 +129,7 @@
 LcBatch *lc_batch_new (LcBatchSpec *spec, const LcBatchSettings *settings);
 void lc_batch_free (LcBatch *batch);
 
-/* Commands append the actions that the caller must carry out. */
+/* Functions that change an LcBatch. They append the actions that the caller must carry out. */
 
 /* Marks an item whose result an earlier owner has already listed. Call before lc_batch_start. */
 void lc_batch_mark_item_listed (LcBatch *batch, const char *item_id);
@@ -163,7 +164,7 @@
  * the text cache for a later batch that requests the groups again. */
 void lc_batch_stop (LcBatch *batch, LbTime now, LbList *actions);
 
-/* Queries leave the batch unchanged. */
+/* Functions that only read an LcBatch. */
 
 const LcBatchSpec *lc_batch_get_spec (const LcBatch *batch);
 int64_t lc_batch_count_listed_results (const LcBatch *batch);
--- a/packages/core/include/lc-catalog.h
+++ b/packages/core/include/lc-catalog.h
@@ -27,7 +27,7 @@
 lc_catalog_new (const char *instance, const char *incarnation, uint64_t draw, LbTime now);
 void lc_catalog_free (LcCatalog *catalog);
 
-/* Commands that follow the shared table. */
+/* Functions that copy the shared table into an LcCatalog. */
 /* Starts a complete copy of the table: drops all rows held. Each row is then added by
  * lc_catalog_apply_row. */
 void lc_catalog_begin_snapshot (LcCatalog *catalog);
@@ -37,7 +37,7 @@
  * response. Returns true when a new complete snapshot is available. */
 bool lc_catalog_finish_update (LcCatalog *catalog, int64_t store_ms, LbTime now);
 
-/* Commands that publish to the shared table. */
+/* Functions that write this instance's listings to the shared table. */
 /* Sets the time between two listings by this instance while it publishes. It is written to the
  * publisher's row. */
 void lc_catalog_set_own_period (LcCatalog *catalog, LbTime period);
@@ -55,7 +55,7 @@
 
 /* Replaces this instance's own listing of one list and takes ownership of the items. prefix: start
  * of all item keys, "LIST:". store_ms: the store's clock at the listing; 0: the listing does not
- * age. */
+ * count in the age of the snapshot. */
 void lc_catalog_set_listing (
     LcCatalog *catalog, const char *prefix, LcCatalogItem *items, size_t n_items, int64_t store_ms);
 
@@ -83,7 +83,7 @@
 /* Call when the write with this expected version was refused or its outcome is unknown. */
 void lc_catalog_write_failed (LcCatalog *catalog, int64_t expected_version);
 
-/* queries, which change no state */
+/* Functions that only read an LcCatalog. */
 /* Whether the snapshot is recent enough to use. */
 bool lc_catalog_is_fresh (const LcCatalog *catalog, LbTime now);
 /* Whether this instance must list the rows itself: it publishes, is about to take over, or sees no
--- a/packages/core/include/lc-change.h
+++ b/packages/core/include/lc-change.h
@@ -6,7 +6,7 @@
 /* Change request of an operator to the configuration: {"apply": [RESOURCE...], "delete": [{"kind",
  * "name"}]}. */
 
-#define LC_CHANGE_MAX_ITEMS 2000 /* in each of the two lists */
+#define LC_CHANGE_MAX_ITEMS 2000 /* maximum length of the list "apply" and of the list "delete" */
 
 /* Returns a validated copy of set with the change applied and the next revision number; NULL, with
  * an error, if the change is invalid. A resource in "apply" replaces the existing one of its kind
--- a/packages/core/include/lc-config.h
+++ b/packages/core/include/lc-config.h
@@ -31,9 +31,9 @@
   LbTime asked_at;
   /* STATUS: time since the latest known confirmation by the store; -1: none known */
   LbTime age;
-  /* STATUS: the store or a majority has confirmed a revision since the sender started. Also
-   * requires a recent confirmation by the store, or that no unreachable instance has an announced
-   * change with an unknown outcome. */
+  /* STATUS: the sender's revision is confirmed: the store or a majority has confirmed one since the
+   * sender started, and either the store did so recently or no unreachable instance has announced a
+   * change whose outcome is unknown. */
   bool confirmed;
   /* QUERY: number of the change that the sender is about to commit; 0: none. STATUS: number of the
    * sender's last announced change with a known outcome. */
@@ -62,8 +62,9 @@
   LcConfigActionType type;
   LbName to;
   LcConfigMessage message;
-  const LcResourceSet *set; /* ACTIVATED: new configuration, valid until the next command */
-  bool ready;               /* READINESS_CHANGED: whether new work may be accepted */
+  /* ACTIVATED: new configuration, valid until the LcConfig is next changed */
+  const LcResourceSet *set;
+  bool ready; /* READINESS_CHANGED: whether new work may be accepted */
 } LcConfigAction;
 
 void lc_config_action_free (LcConfigAction *action);
@@ -92,7 +93,7 @@
 LcConfig *lc_config_new (const LcConfigSettings *settings, LbTime now);
 void lc_config_free (LcConfig *config);
 
-/* Commands: functions that change the state. */
+/* Functions that change an LcConfig. */
 void lc_config_update_members (
     LcConfig *config, const LcConfigMember *members, size_t n_members, LbTime now, LbList *actions);
 /* Removes an instance that the platform reports as permanently removed, so that it no longer counts
@@ -130,7 +131,7 @@
 void lc_config_query_outdated_peers (LcConfig *config, LbTime now, LbList *actions);
 void lc_config_tick (LcConfig *config, LbTime now, LbList *actions);
 
-/* Queries: functions that only read the state. */
+/* Functions that only read an LcConfig. */
 const LcResourceSet *lc_config_active_set (const LcConfig *config);
 int64_t lc_config_active_revision (const LcConfig *config);
 /* Returns true if this instance may accept new work with its active revision. */
--- a/packages/core/include/lc-dispatch.h
+++ b/packages/core/include/lc-dispatch.h
@@ -23,14 +23,17 @@
   LcFingerprint content; /* hash of the request's content, by which the quarantine refuses it */
   LcRequestKind kind;
   LcDelivery delivery;
-  LbName pool;           /* pool or service name */
-  LbName caller;         /* client or subscription; each has its own retry budget */
-  LbName flow;           /* unit of fair queueing, may join several callers; empty: the caller */
-  double share;          /* weight in fair queueing among requests of the kind; 0 means 1 */
-  bool repeatable;       /* the request may be executed more than once */
-  bool resumable;        /* another endpoint may continue a broken stream at its last offset */
-  bool failure_is_final; /* no retry after LC_END_FAILED, which the submitter counts itself */
-  int64_t max_attempts;  /* limit of the route; 0: only MAX_ATTEMPTS of lc-request.c applies */
+  LbName pool;   /* pool or service name */
+  LbName caller; /* client or subscription; each has its own retry budget */
+  /* flow in fair queueing, which may combine several callers; empty: the caller */
+  LbName flow;
+  double share;    /* weight in fair queueing among requests of the kind; 0 means 1 */
+  bool repeatable; /* the request may be executed more than once */
+  bool resumable;  /* another endpoint may continue a broken stream at its last offset */
+  /* LC_END_FAILED is not retried: the submitter counts such failures itself */
+  bool failure_is_final;
+  /* maximum number of attempts of the route; 0: only MAX_ATTEMPTS of lc-request.c applies */
+  int64_t max_attempts;
   /* Time without a piece until a repeatable request is hedged. 0: LcDispatchSettings.hedge_after
    * for live calls, no hedge for others. */
   LbTime hedge_after;
@@ -68,7 +71,7 @@
   LC_PIECE_DROP /* discard and count the piece: repeated, out of order or of a superseded attempt */
 } LcPieceVerdict;
 
-/* How an attempt ended, as the node saw it. */
+/* How an attempt ended, as observed by this instance. */
 typedef enum
 {
   LC_END_COMPLETE,        /* the end marker was received */
@@ -98,8 +101,9 @@
   int64_t resume_at;  /* SEND: index of the first token to generate */
   LbErrorCode error;  /* FINISH: LB_OK or the failure */
   LbTime retry_after; /* FINISH: delay after which the caller should retry a failure; 0: no hint */
-  LcRouteDecision decision; /* SEND: why the endpoint was chosen, for the log; its pointers are
-                               valid until the next command */
+  /* SEND: why the endpoint was chosen, for the log; its pointers are valid until the LcDispatch is
+   * next changed */
+  LcRouteDecision decision;
 } LcAction;
 
 typedef struct
@@ -119,7 +123,8 @@
 LcDispatch *lc_dispatch_new (const LcDispatchSettings *settings);
 void lc_dispatch_free (LcDispatch *dispatch);
 
-/* Commands append to actions, which the caller owns and frees with lc_action_free. */
+/* Functions that change an LcDispatch. They append to actions, which the caller owns and frees with
+ * lc_action_free. */
 void
 lc_dispatch_configure (LcDispatch *dispatch, const LcResourceSet *set, LbTime now, LbList *actions);
 /* Returns false with a "not run" error and *retry_after if the request is not admitted. */
@@ -160,7 +165,7 @@
 void lc_dispatch_tick (LcDispatch *dispatch, LbTime now, LbList *actions);
 void lc_action_free (LcAction *action);
 
-/* Functions that append no actions. */
+/* Functions that give access to the state of an LcDispatch and append no actions. */
 /* Whether the current configuration contains the plain service. */
 bool lc_dispatch_has_service (const LcDispatch *dispatch, const char *service);
 LbTime lc_dispatch_next_tick (const LcDispatch *dispatch);
--- a/packages/core/include/lc-endpoints.h
+++ b/packages/core/include/lc-endpoints.h
@@ -63,7 +63,7 @@
 LcEndpoints *lc_endpoints_new (void);
 void lc_endpoints_free (LcEndpoints *endpoints);
 
-/* commands */
+/* Functions that change an LcEndpoints table. */
 void lc_endpoints_configure (LcEndpoints *endpoints, const LcResourceSet *set, LbTime now);
 /* A report with a new incarnation clears the leaving mark, the breaker and the cached prefixes. */
 void lc_endpoints_record_load (LcEndpoints *endpoints,
@@ -108,7 +108,7 @@
  * failure of the endpoint. */
 void lc_endpoint_request_cancelled (LcEndpoint *endpoint, LcRequestKind kind, LbTime now);
 
-/* queries */
+/* Functions that only read an LcEndpoints table. */
 LcEndpoint *lc_endpoints_find (LcEndpoints *endpoints, const char *name);
 size_t lc_endpoints_count (const LcEndpoints *endpoints);
 LcEndpoint *lc_endpoints_at (LcEndpoints *endpoints, size_t index);
--- a/packages/core/include/lc-fleet.h
+++ b/packages/core/include/lc-fleet.h
@@ -14,13 +14,14 @@
   LbName incarnation;
   LbName data_centre;
   LbName caller_address;
-  LbName peer_address; /* address at which it relays store calls of other instances; empty: it
-                          relays none */
+  /* address at which the instance relays store calls of other instances; empty: it relays none */
+  LbName peer_address;
   bool ready;
   bool draining;
-  bool cut;              /* can reach the store only through other instances */
-  int64_t strength;      /* capacity of its machine, see lc-duty.h; 0: not reported */
-  int64_t clock_lead_ms; /* offset of its wall clock from the store's clock; 0: not reported */
+  bool cut;         /* the instance can reach the store only through other instances */
+  int64_t strength; /* capacity of the instance's machine, see lc-duty.h; 0: not reported */
+  /* offset of the instance's wall clock from the store's clock; 0: not reported */
+  int64_t clock_lead_ms;
   int64_t renewed_ms; /* store's clock at the renewal, as the instance estimated it; 0: unknown */
   LbTime period;      /* time between two renewals of the row */
   /* service whose endpoints known to the instance are nearly full; "": none */
@@ -36,11 +37,12 @@
   int64_t version;        /* the store's version of the row */
   LbTime version_seen_at; /* local time at which this version was first listed; 0: not listed yet */
   bool alive;
-  bool fresh; /* had missed no renewal at the last listing */
-  /* Whether it is known to have renewed its row recently; see lc_fleet_add_row. */
+  bool fresh; /* the instance had missed no renewal at the last listing */
+  /* The instance is known to have renewed its row recently; see lc_fleet_add_row. */
   bool confirmed;
-  bool is_in_list; /* its row is in the listing that is being read */
-  bool is_new;     /* its row is seen for the first time in the listing that is being read */
+  bool is_in_list; /* the instance's row is in the listing that is being read */
+  /* the instance's row is seen for the first time, in the listing that is being read */
+  bool is_new;
 } LcFleetMember;
 
 /* Text form of a member, by which one instance passes the member's state on to others. Renewal
@@ -62,14 +64,14 @@
 LcFleet *lc_fleet_new (const char *self);
 void lc_fleet_free (LcFleet *fleet);
 
-/* commands, which change the state */
+/* Functions that change an LcFleet. */
 /* Reads one complete listing: begin, add each row, finish. lc_fleet_finish_list returns true when
  * liveness or the state of any instance changed. */
 void lc_fleet_begin_list (LcFleet *fleet, const LcFleetList *list);
 void lc_fleet_add_row (LcFleet *fleet, const LcFleetRow *row, int64_t version, LbTime now);
 bool lc_fleet_finish_list (LcFleet *fleet, LbTime now);
 
-/* queries, which change no state */
+/* Functions that only read an LcFleet. */
 /* Merges the listing of all rows with the listing of rows on duty. Instances that run batches or
  * give weight orders have a second row, the row on duty, which is listed more often. `members` must
  * have room for the members of both listings; returns the number of merged members. */
--- a/packages/core/include/lc-instance.h
+++ b/packages/core/include/lc-instance.h
@@ -6,8 +6,8 @@
 typedef enum
 {
   LC_INSTANCE_ALIVE,
-  LC_INSTANCE_SUSPECT, /* a peer got no answer from it, neither on the open connection nor on a new
-                          one */
+  /* a peer got no answer from the instance, neither on the open connection nor on a new one */
+  LC_INSTANCE_SUSPECT,
   LC_INSTANCE_DEAD,
   LC_N_INSTANCE_STATES
 } LcInstanceState;
--- a/packages/core/include/lc-lease.h
+++ b/packages/core/include/lc-lease.h
@@ -5,10 +5,10 @@
 
 struct json_object;
 
-/* Exclusive lease over one row of a table with conditional writes, for work that only one
- * instance may do at a time, for example giving the engines of a pool their orders, which are
- * commands such as loading a weight version. No I/O: commands append actions that the caller
- * carries out; every READ and WRITE is answered exactly once by lc_lease_read_completed or
+/* Exclusive lease over one row of a table with conditional writes, for work that only one instance
+ * may do at a time, for example sending orders to the engines of a pool, such as the order to load
+ * a weight version. No I/O: functions that change the lease append actions that the caller carries
+ * out; every READ and WRITE is answered exactly once by lc_lease_read_completed or
  * lc_lease_write_completed. */
 
 /* Value of the lease's row. */
@@ -63,7 +63,7 @@
 LcLease *lc_lease_new (const LcLeaseSettings *settings, LbTime now, LbTime wall);
 void lc_lease_free (LcLease *lease);
 
-/* commands, which change the state */
+/* Functions that change an LcLease. */
 /* Sets this instance's position among the candidates. 0: it claims the lease first; negative: it
  * does not claim the lease. */
 void lc_lease_set_claim_rank (LcLease *lease, int rank);
@@ -98,15 +98,16 @@
 /* Makes the next tick read the row, since another instance reported that it released the lease. */
 void lc_lease_request_read (LcLease *lease, LbTime now);
 
-/* queries, which change no state */
+/* Functions that only read an LcLease. */
 /* Whether this instance may give an order now; check before each order. can_order_unfenced: the
  * endpoint accepts orders with any fencing number. */
 bool lc_lease_allows_order (const LcLease *lease, bool can_order_unfenced, LbTime now);
 int64_t lc_lease_fencing_number (const LcLease *lease);
 bool lc_lease_is_held (const LcLease *lease);
-/* The rank set by lc_lease_set_claim_rank; negative: not a candidate. */
+/* The rank set by lc_lease_set_claim_rank; negative: this instance does not claim the lease. */
 int lc_lease_claim_rank (const LcLease *lease);
-/* Whether this instance no longer holds a lease that it has to release. */
+/* Whether nothing is left to release: this instance does not hold the lease, and the lease's row is
+ * released, has expired or names another holder. */
 bool lc_lease_is_released (const LcLease *lease, LbTime now);
 /* Store version of the lease's row as last read; 0: there is no row. */
 int64_t lc_lease_row_version (const LcLease *lease);
--- a/packages/core/include/lc-load-time.h
+++ b/packages/core/include/lc-load-time.h
@@ -15,11 +15,11 @@
   LbTime mean;
 } LcLoadTime;
 
-/* Commands: functions that change the state. */
+/* Functions that change an LcLoadTime. */
 /* Adds the time of one load: from the order to the poll that detected the end of the load. */
 void lc_load_time_add_sample (LcLoadTime *load, LbTime time);
 
-/* Queries: functions that only read the state. */
+/* Functions that only read an LcLoadTime. */
 /* Returns the time from a load order to the first poll of the engine. */
 LbTime lc_load_time_first_poll_delay (const LcLoadTime *load);
 /* Returns the time between the first poll of an engine and each further one. */
--- a/packages/core/include/lc-membership.h
+++ b/packages/core/include/lc-membership.h
@@ -15,7 +15,8 @@
 
 typedef struct
 {
-  LcInstance self; /* must be ALIVE; its epoch is the wall clock at the start of the process */
+  /* this instance: state ALIVE, epoch from the wall clock at the start of the process */
+  LcInstance self;
   LbTime heartbeat_period; /* time between two heartbeats on a connection */
   size_t n_rings;          /* number of peers that each instance watches */
   LbTime dial_timeout;
@@ -54,7 +55,8 @@
 {
   LcInstance instance;
   bool is_self;
-  bool alive;    /* no instance suspects it, and its connection to this instance is not silent */
+  /* no instance suspects the member, and its connection to this instance is not silent */
+  bool alive;
   bool draining; /* reported by the instance itself or by the platform's list */
   LbTime changed_at;
 } LcMemberView;
@@ -82,8 +84,8 @@
 LcMembership *lc_membership_new (const LcMembershipSettings *settings, LbTime now);
 void lc_membership_free (LcMembership *membership);
 
-/* Commands. Each appends the actions that the caller must carry out (LcMembershipAction) to
- * actions. */
+/* Functions that change an LcMembership. Each appends the actions that the caller must carry out
+ * (LcMembershipAction) to actions. */
 void lc_membership_add_seed (LcMembership *membership, const char *address, LbTime now);
 void lc_membership_apply_platform_list (LcMembership *membership,
                                         const LcListedInstance *listed,
@@ -114,7 +116,8 @@
                                     uint64_t digest,
                                     LbTime now);
 /* Applies instance states sent by a peer. An entry without peer_address is in short form: it also
- * lacks incarnation, data centre and caller address. It updates an epoch that is already known. */
+ * lacks incarnation, data centre and caller address, and only updates an instance whose epoch is
+ * already known. */
 void lc_membership_updates_received (LcMembership *membership,
                                      LcLinkId link,
                                      const LcInstance *instances,
@@ -140,7 +143,7 @@
 void lc_membership_tick (LcMembership *membership, LbTime now, LbList *actions);
 void lc_membership_action_free (LcMembershipAction *action);
 
-/* queries, which change no state */
+/* Functions that only read an LcMembership. */
 LbTime lc_membership_next_tick (const LcMembership *membership);
 uint64_t lc_membership_digest (const LcMembership *membership);
 const LcInstance *lc_membership_self (const LcMembership *membership);
--- a/packages/core/include/lc-organisations.h
+++ b/packages/core/include/lc-organisations.h
@@ -36,7 +36,7 @@
 LcOrganisations *lc_organisations_new (void);
 void lc_organisations_free (LcOrganisations *organisations);
 
-/* Commands, which change the state. */
+/* Functions that change an LcOrganisations table. */
 /* Returns false with an error if the name is empty or already in use. */
 bool lc_organisations_add (LcOrganisations *organisations,
                            const LcOrganisation *organisation,
@@ -47,7 +47,7 @@
                                const LcKeyDigest *digest,
                                LbError *error);
 
-/* Queries, which do not change the state. */
+/* Functions that only read an LcOrganisations table. */
 size_t lc_organisations_count (const LcOrganisations *organisations);
 /* Returns the organisation that has the key; NULL if there is none. */
 const LcOrganisation *lc_organisations_find_by_key (const LcOrganisations *organisations,
--- a/packages/core/include/lc-quarantine.h
+++ b/packages/core/include/lc-quarantine.h
@@ -26,7 +26,7 @@
 LcQuarantine *lc_quarantine_new (void);
 void lc_quarantine_free (LcQuarantine *quarantine);
 
-/* commands, which change the state */
+/* Functions that change an LcQuarantine. */
 /* Adds a crash report; has no effect if its id is already known. */
 void lc_quarantine_add_report (LcQuarantine *quarantine, const LcCrashReport *report, LbTime now);
 void lc_quarantine_withdraw_report (LcQuarantine *quarantine, const char *id);
@@ -43,7 +43,7 @@
                                   LcFingerprint *fingerprint,
                                   LbTime *answered_at);
 
-/* queries, which change no state */
+/* Functions that only read an LcQuarantine. */
 /* Time at which the fingerprint's quarantine ends; 0: it is not in quarantine. */
 LbTime lc_quarantine_ends_at (const LcQuarantine *quarantine, LcFingerprint fingerprint);
 /* Number of fingerprints in quarantine. */
--- a/packages/core/include/lc-rollouts.h
+++ b/packages/core/include/lc-rollouts.h
@@ -7,8 +7,8 @@
  * the place of one sample in a step, and a ledger is the row in the store that records which slots
  * of a step were delivered. The owner schedules generations, labels samples with weight versions,
  * has them scored, enforces the staleness bound, delivers chunks with cursors, and migrates or
- * hedges stragglers. No I/O: commands add actions for the node, which submits requests to
- * LcDispatch and replies to trainers. */
+ * hedges stragglers. No I/O: functions that change the state add actions that the caller carries
+ * out; it submits requests to LcDispatch and replies to trainers. */
 
 typedef struct
 {
@@ -29,7 +29,8 @@
 
 void lc_step_spec_clear (LcStepSpec *spec);
 
-/* A generated sample for delivery to a trainer. Its pointers are valid until the next command. */
+/* A generated sample for delivery to a trainer. Its pointers are valid until the LcRollouts is next
+ * changed. */
 typedef struct
 {
   const char *group;
@@ -52,7 +53,7 @@
 /* A trainer's request for the next chunk of a step. */
 typedef struct
 {
-  uint64_t id; /* chosen by the node; the reply has it as pull_id */
+  uint64_t id; /* id of the pull, chosen by the caller; the reply has it as pull_id */
   LbName subscription;
   int64_t step;
   const char *cursor;        /* cursor of the last reply; "" at the start of a step */
@@ -78,21 +79,21 @@
 {
   LbLink link;
   LcRolloutActionType type;
-  /* Set for GENERATE and SCORE; CANCEL and PREEMPT set only spec.id. */
+  /* Members set for GENERATE and SCORE; CANCEL and PREEMPT set only spec.id. */
   LcRequestSpec spec; /* request to submit; spec.id is its id */
-  const char *group;  /* id of the sample's group; valid until the next command */
+  const char *group;  /* id of the sample's group; valid until the LcRollouts is next changed */
   int64_t index;      /* index of the sample in its group, from 0 */
-  const char *prompt; /* owned by the step; valid until the next command */
+  const char *prompt; /* owned by the step; valid until the LcRollouts is next changed */
   int64_t max_tokens;
   char *resume_text; /* GENERATE: text to resume after, owned by the action; NULL: none */
   LbName scorer;
   const char *text; /* SCORE: text of the sample to score */
-  /* Set for WRITE_LEDGER. */
+  /* Members set for WRITE_LEDGER. */
   uint64_t write_id; /* argument for lc_rollouts_finish_ledger_write */
   char *row_key;     /* owned by the action */
   char *row_value;   /* owned by the action */
   uint64_t session;
-  /* Set for REPLY. */
+  /* Members set for REPLY. */
   uint64_t pull_id;
   LbError error; /* if its code is LB_OK, the reply is a chunk of 0 or more samples */
   LbTime retry_after;
@@ -133,7 +134,7 @@
   bool group_release;
   bool fair_shares;
   bool migrate; /* stop samples on slow endpoints and resume them on others */
-  /* After a pause between two commands of more than this, another instance may have taken over the
+  /* After a pause of more than this between two calls, another instance may have taken over the
    * steps. The owner then confirms its session by a ledger write before it delivers again. 0: no
    * limit. */
   LbTime pause_limit;
@@ -145,10 +146,10 @@
 LcRollouts *lc_rollouts_new (const LcRolloutSettings *settings);
 void lc_rollouts_free (LcRollouts *rollouts);
 
-/* Commands, which change the state. */
+/* Functions that change an LcRollouts. */
 
-/* Sets the function that returns ids for new requests. The node sets one that shares its ids with
- * LcDispatch. */
+/* Sets the function that returns ids for new requests. It should also supply the ids of other
+ * LcDispatch requests, so that all ids are unique. */
 void
 lc_rollouts_set_id_source (LcRollouts *rollouts, LcRequestId (*next_id) (void *user), void *user);
 void
@@ -223,7 +224,7 @@
 void lc_rollouts_tick (LcRollouts *rollouts, LbTime now, LbList *actions);
 void lc_rollout_action_free (LcRolloutAction *action);
 
-/* Queries, which do not change the state. */
+/* Functions that only read an LcRollouts. */
 /* Whether the current configuration has a subscription of this name. */
 bool lc_rollouts_has_subscription (const LcRollouts *rollouts, const char *subscription);
 /* Whether the step is valid, its subscription is configured and this instance isn't draining. */
@@ -234,7 +235,7 @@
                                   int64_t step_number,
                                   LcStepStatus *status);
 /* Lists the step's samples that the trainer has not acknowledged, for handover to the next owner.
- * The caller frees the array; the pointers in it are valid until the next command. */
+ * The caller frees the array; the pointers in it are valid until the LcRollouts is next changed. */
 size_t lc_rollouts_list_unacknowledged (const LcRollouts *rollouts,
                                         const char *subscription,
                                         int64_t step_number,
--- a/packages/core/include/lc-roster.h
+++ b/packages/core/include/lc-roster.h
@@ -38,7 +38,7 @@
 LcRoster *lc_roster_new (void);
 void lc_roster_free (LcRoster *roster);
 
-/* commands */
+/* Functions that change an LcRoster. */
 /* Applies a complete list of registrations, which was requested from the store at asked_at. Returns
  * true if the resource set changed. */
 bool lc_roster_apply_list (
@@ -50,7 +50,7 @@
  * are divided evenly among the models. Returns true if the resource set changed. */
 bool lc_roster_set_engine_plan (LcRoster *roster, const LcEnginePlan *plan);
 
-/* queries */
+/* Functions that only read an LcRoster. */
 /* Time between two requests for the list of endpoints. */
 LbTime lc_roster_list_period (const LcRoster *roster);
 size_t lc_roster_count (const LcRoster *roster);
--- a/packages/core/include/lc-subset.h
+++ b/packages/core/include/lc-subset.h
@@ -30,7 +30,7 @@
 LcSubset *lc_subset_new (void);
 void lc_subset_free (LcSubset *subset);
 
-/* commands: read the endpoint table page by page */
+/* Functions that read the endpoint table page by page and choose the subset. */
 void lc_subset_begin_list (LcSubset *subset, LbTime now);
 /* Adds the next row in key order. Returns true if the endpoint belongs to the subset. */
 bool lc_subset_add_row (LcSubset *subset, const char *key, const LcSubsetRow *row);
@@ -38,7 +38,7 @@
  * the next page must be read. */
 bool lc_subset_end_page (LcSubset *subset, const char *last_key, bool is_last);
 
-/* commands: configure the subset */
+/* Functions that configure the choice of the subset. */
 /* Clears the set of expected services. Pages are read until the subset has enough endpoints of each
  * expected service. */
 void lc_subset_clear_expected_services (LcSubset *subset);
@@ -53,7 +53,7 @@
  * seconds. */
 void lc_subset_grow (LcSubset *subset, const char *service, LbTime now);
 
-/* queries */
+/* Functions that only read an LcSubset. */
 /* Number of rows to request per page: as many as the previous list needed. */
 int64_t lc_subset_page_size (const LcSubset *subset);
 void lc_subset_foreach_bound (const LcSubset *subset,
--- a/packages/core/include/lc-swap-turns.h
+++ b/packages/core/include/lc-swap-turns.h
@@ -8,7 +8,7 @@
 typedef struct
 {
   LcWeightsStatus status;
-  bool blocked; /* the model could order no load when it was last chosen */
+  bool blocked; /* no load could be ordered for the model when it was last chosen */
 } LcSwapCandidate;
 
 /* Returns the index of the model with the smallest share of engines whose weights are usable or
--- a/packages/core/include/lc-ticket.h
+++ b/packages/core/include/lc-ticket.h
@@ -12,7 +12,8 @@
 
 typedef struct
 {
-  LbTime lifetime;         /* of a ticket, from its issue, and again from the end of its call */
+  /* time until a ticket expires, from its issue and again from the end of its call */
+  LbTime lifetime;
   size_t max_tickets;      /* limit for the number of tickets in all states together */
   size_t max_answer_bytes; /* limit for the total size of stored answers; the oldest are evicted */
   uint64_t seed;
@@ -20,7 +21,8 @@
 
 typedef enum
 {
-  LC_TICKET_RUN,    /* run the call now; repeated only after proof that the call did not run */
+  /* run the call now; decided again for a ticket only if the call is known not to have run */
+  LC_TICKET_RUN,
   LC_TICKET_JOIN,   /* the call is running as `request`: wait for its answer */
   LC_TICKET_REPLAY, /* send the stored `answer` */
   LC_TICKET_RELAY,  /* relay the call to `instance`, the only one that may run it */
@@ -32,7 +34,7 @@
   LcTicketAction action;
   LcRequestId request;
   int status;         /* HTTP status of the stored answer */
-  const char *answer; /* stored answer; valid until the next command */
+  const char *answer; /* stored answer; valid until the LcTickets is next changed */
   size_t answer_length;
   LbName instance;
   LbName incarnation;
@@ -45,7 +47,7 @@
 lc_tickets_new (const char *instance, const char *incarnation, const LcTicketLimits *limits);
 void lc_tickets_free (LcTickets *tickets);
 
-/* Commands, which change the state. */
+/* Functions that change an LcTickets table. */
 bool lc_tickets_issue (
     LcTickets *tickets, const char *caller, LbTime now, char text[LC_TICKET_SIZE], LbError *error);
 LcTicketDecision lc_tickets_redeem (LcTickets *tickets,
@@ -63,7 +65,7 @@
                              LbTime now);
 void lc_tickets_remove_expired (LcTickets *tickets, LbTime now);
 
-/* Queries, which do not change the state. */
+/* Functions that only read an LcTickets table. */
 LbTime lc_tickets_next_expiry (const LcTickets *tickets);
 size_t lc_tickets_count (const LcTickets *tickets);
 size_t lc_tickets_answer_bytes (const LcTickets *tickets);
--- a/packages/core/include/lc-types.h
+++ b/packages/core/include/lc-types.h
@@ -38,7 +38,8 @@
   LcSpan spans[LC_MAX_SPANS];
   size_t n_spans;
   int64_t tokens;
-  bool unlabelled; /* some token's version is missing or contradictory; kept until a retry starts */
+  /* versions of tokens are missing or contradictory; reset when a retry starts */
+  bool unlabelled;
 } LcLabel;
 
 #endif
--- a/packages/core/include/lc-usage-reports.h
+++ b/packages/core/include/lc-usage-reports.h
@@ -7,7 +7,7 @@
  * sends the result to the platform. Before a report is first sent, its text is recorded in the
  * store, on condition that the window has no recorded report. Every later holder sends the recorded
  * text, so no two reports of one window ever differ. No I/O: the caller runs each action and then
- * calls the command for its result exactly once. */
+ * calls the function for its result exactly once. */
 
 typedef struct
 {
@@ -35,8 +35,8 @@
 {
   LcUsageActionType type;
   int64_t window; /* number of the window: Unix milliseconds / window_ms */
-  const char
-      *text; /* the report, for RECORD_REPORT and SEND_REPORT; valid until the next command */
+  /* RECORD_REPORT, SEND_REPORT: the report; valid until the LcUsageReports is next changed */
+  const char *text;
 } LcUsageAction;
 
 /* Result of sending a report. */
@@ -53,7 +53,7 @@
 LcUsageReports *lc_usage_reports_new (const LcUsageReportSettings *settings);
 void lc_usage_reports_free (LcUsageReports *reports);
 
-/* Commands, which change the state. */
+/* Functions that change an LcUsageReports. */
 /* Starts reporting after this instance acquired the duty; drops all earlier state. */
 void lc_usage_reports_begin_duty (LcUsageReports *reports);
 void lc_usage_reports_end_duty (LcUsageReports *reports);
@@ -93,7 +93,7 @@
                                    LbTime now,
                                    LcUsageAction *action);
 
-/* Queries, which do not change the state. */
+/* Functions that only read an LcUsageReports. */
 /* Returns a number that increases each time this instance acquires the duty; 0 while another
  * instance or none holds it. Results of actions of an earlier epoch must be dropped, since they
  * look like results of the current epoch's actions. */
--- a/packages/core/include/lc-usage.h
+++ b/packages/core/include/lc-usage.h
@@ -26,7 +26,8 @@
  * frees the text. */
 char *lc_usage_counts_to_text (LcUsageCounts *counts);
 
-/* The windows of one instance that may still grow or are not yet written to the store. */
+/* The request counts of one instance, for the windows that may still grow or are not yet written to
+ * the store. */
 typedef struct LcUsage LcUsage;
 
 LcUsage *lc_usage_new (int64_t window_ms);
@@ -39,7 +40,7 @@
   char *text;
 } LcUsageRow;
 
-/* Commands, which change the state. */
+/* Functions that change an LcUsage. */
 /* Counts a request that started at true_ms, in Unix milliseconds. */
 void lc_usage_count_request (LcUsage *usage, const char *organisation, int64_t true_ms);
 /* Sets *row to the next row to write; returns false if none is due. After the write, the caller
@@ -51,7 +52,7 @@
 /* Removes windows with a number below first_kept, except those with a write in progress. */
 void lc_usage_remove_windows_before (LcUsage *usage, int64_t first_kept);
 
-/* Queries, which do not change the state. */
+/* Functions that only read an LcUsage. */
 bool lc_usage_is_fully_written (const LcUsage *usage);
 
 #endif
--- a/packages/core/include/lc-utilisation.h
+++ b/packages/core/include/lc-utilisation.h
@@ -13,7 +13,7 @@
 LcUtilisation *lc_utilisation_new (void);
 void lc_utilisation_free (LcUtilisation *utilisation);
 
-/* commands */
+/* Functions that change an LcUtilisation. */
 /* Adds the load stated by one reply. requests: number running or waiting at the endpoint; slots:
  * number of requests that the endpoint can process concurrently. */
 void lc_utilisation_add_report (LcUtilisation *utilisation,
@@ -21,7 +21,7 @@
                                 int64_t requests,
                                 int64_t slots);
 
-/* queries */
+/* Functions that only read an LcUtilisation. */
 /* Name of the service with the highest mean utilisation if it is overloaded; "": no service is
  * overloaded. */
 const char *lc_utilisation_find_overloaded_service (const LcUtilisation *utilisation);
--- a/packages/core/include/lc-weights.h
+++ b/packages/core/include/lc-weights.h
@@ -61,7 +61,7 @@
 LcWeights *lc_weights_new (const LcWeightsSettings *settings);
 void lc_weights_free (LcWeights *weights);
 
-/* Commands: functions that change the state. */
+/* Functions that change an LcWeights. */
 void lc_weights_configure (LcWeights *weights, const LcResourceSet *set, LbTime now);
 /* Records the newest version in the weight store. It is the target unless the pool's weight_version
  * names another. */
@@ -90,7 +90,7 @@
  * -1: the percentage applies. */
 void lc_weights_set_swap_limit (LcWeights *weights, int64_t limit);
 
-/* Queries: functions that only read the state. */
+/* Functions that only read an LcWeights. */
 typedef enum
 {
   LC_WEIGHTS_IDLE,          /* no engine needs a load */
