--- a/packages/core/src/config/lc-config-private.h
+++ b/packages/core/src/config/lc-config-private.h
@@ -16,12 +16,13 @@
 /* Known state of another instance. */
 typedef struct
 {
-  LbName name; /* key of the hash table */
+  LbName name; /* key in LcConfig.peers */
   LbName incarnation;
   bool alive;
   bool draining;
-  bool is_listed;           /* the latest list of members contains the peer */
-  bool confirmed;           /* `confirmed` of the peer's latest STATUS */
+  bool is_listed; /* the latest list of members contains the peer */
+  /* the peer's latest STATUS message states that its revision is confirmed */
+  bool confirmed;
   int64_t revision;         /* newest revision known to be active on the peer */
   LbTime queried_at;        /* send time of the latest query */
   LbTime answered_query_at; /* send time of the latest query that the peer answered; 0: none */
@@ -42,7 +43,7 @@
   bool confirmed; /* the store or a majority has confirmed a revision since this process started */
   bool ready;
   LbTime started_at;
-  /* time of the latest known confirmation by the store, own clock; -1: none */
+  /* time of the store's latest known confirmation, on this instance's clock; -1: none */
   LbTime store_confirmed_at;
   LbTime next_poll_at; /* time of the next read of the store's head row */
   LbTime next_query_at;
--- a/packages/core/src/config/lc-config.c
+++ b/packages/core/src/config/lc-config.c
@@ -255,8 +255,8 @@
 }
 
 /* Handles the result of a read of the store that began at read_at. revision: number in the head
- * row. set: taken over; given if the revision was newer than the active one at the time of the
- * read. */
+ * row. set: the resources if this revision was newer than the active one at the time of the read,
+ * otherwise NULL; takes ownership of set. */
 void
 lc_config_store_read_completed (LcConfig *config,
                                 int64_t revision,
@@ -306,8 +306,8 @@
   emit_readiness_if_changed (config, now, actions);
 }
 
-/* Requests the whole set of a peer with a newer revision, at most once per peer and
- * LC_CONFIG_QUERY_PERIOD. */
+/* Requests the whole set from a peer with a newer revision, at most once per LC_CONFIG_QUERY_PERIOD
+ * for each peer. */
 static void
 send_fetch (LcConfig *config, LcConfigPeer *peer, LbTime now, LbList *actions)
 {
--- a/packages/core/src/config/lc-resources.c
+++ b/packages/core/src/config/lc-resources.c
@@ -395,7 +395,7 @@
   return lc_resource_set_validate (set, file, error);
 }
 
-/* Reads revision and resources, the keys of the outermost object. */
+/* Reads the keys "revision" and "resources" of the outermost object. */
 static bool
 parse_resource_document (struct json_object *object,
                          int64_t *revision,
