--- a/packages/core/src/membership/lc-catalog.c
+++ b/packages/core/src/membership/lc-catalog.c
@@ -31,16 +31,16 @@
 /* One row of the shared table. */
 typedef struct
 {
-  char *key; /* hash key */
+  char *key; /* key of the hash table */
   char *value;
   int64_t version;
   UT_hash_handle hh;
 } TableRow;
 
-/* This instance's own last listing of one list. */
+/* The latest listing by this instance of one list, that is, of all items with one key prefix. */
 typedef struct Listing
 {
-  char *prefix; /* hash key */
+  char *prefix; /* key of the hash table */
   LcCatalogItem *items;
   size_t n_items;
   int64_t store_ms;
@@ -54,7 +54,7 @@
   LbTime fallback_delay;
   int rank;
   TableRow *rows;
-  /* contents of the publisher's row, as last read */
+  /* Contents of the publisher's row, as last read. */
   int64_t publisher_version; /* 0: there is none */
   LbName publisher;
   LbName publisher_incarnation;
@@ -68,12 +68,12 @@
   int64_t change_count;        /* number of row changes applied so far */
   LbTime publisher_changed_at; /* when the publisher's row last changed; initially the time of
                                   lc_catalog_new */
-  /* times of the snapshot (the rows as of the last complete listing) */
+  /* Times of the snapshot, which is the rows as of the last complete listing. */
   LbTime snapshot_valid_at;
   LbTime snapshot_received_at; /* 0: there is none */
-  /* state for publishing */
+  /* State that is used only while this instance publishes. */
   Listing *listings;             /* hash table with one listing for each list */
-  bool all_changes_written;      /* every change of the listings was put into a write */
+  bool all_changes_written;      /* all changes of the listings are in writes that were prepared */
   int64_t last_expected_version; /* expected version of the last write; -1: there was none */
   LbTime last_write_at;
 };
@@ -150,7 +150,7 @@
   return PUBLISHER_KEY;
 }
 
-/* --- following the shared table --- */
+/* --- copying the shared table --- */
 
 void
 lc_catalog_begin_snapshot (LcCatalog *catalog)
@@ -310,7 +310,7 @@
       visit (row->key + length, row->value, row->version, user);
 }
 
-/* --- publishing to the shared table --- */
+/* --- writing listings to the shared table --- */
 
 void
 lc_catalog_set_own_period (LcCatalog *catalog, LbTime period)
@@ -395,7 +395,7 @@
   return oldest;
 }
 
-/* Whether a listing has a known age; nothing is published before. */
+/* Whether the age of at least one listing is known; before that, nothing is published. */
 static bool
 has_listing_of_known_age (const LcCatalog *catalog)
 {
--- a/packages/core/src/membership/lc-fleet.c
+++ b/packages/core/src/membership/lc-fleet.c
@@ -35,9 +35,10 @@
   size_t n_members;
   size_t next_index; /* probable index of the next row's member, since listings keep their order */
   LbTime last_list_at;
-  LbTime delay_allowance; /* added to the time of the missed renewals for the store's current
-                             response time */
-  int64_t store_ms;       /* store's clock at the current listing; 0: unknown */
+  /* added to the silence after which an instance counts as dead, for the store's current response
+   * time */
+  LbTime delay_allowance;
+  int64_t store_ms; /* store's clock at the current listing; 0: unknown */
   bool changed;
 };
 
--- a/packages/core/src/membership/lc-lease.c
+++ b/packages/core/src/membership/lc-lease.c
@@ -8,8 +8,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Added to the expiry by candidates and subtracted by the holder, for an order in transit from its
- * check to the engine. */
+/* Time that candidates add to the expiry of the lease and the holder subtracts from it. It covers
+ * the time that an order needs from the holder's check to the engine. */
 #define SAFETY_MARGIN (100 * LB_MSEC)
 #define CLAIM_DELAY_PER_RANK (500 * LB_MSEC)
 #define MAX_PAUSE LB_SEC
@@ -29,14 +29,15 @@
   LbTime read_started_at; /* start of the read in progress or of the last one */
   LbTime next_read_at;
   bool is_writing;
-  LcLeaseRow last_written; /* the write in progress or the last one */
+  LcLeaseRow last_written; /* row of the write in progress or of the last write */
   /* Start times of the last writes, indexed by renewal number modulo N_REMEMBERED_WRITES. */
   LbTime write_started_at[N_REMEMBERED_WRITES];
   int64_t last_renewal; /* renewal number of the last write */
   bool held;
-  LbTime valid_until; /* end of the lease on this instance's clock; no orders from this time on */
-  LbTime lost_at;     /* when the lease was last lost; 0: never */
-  LbTime gained_at;   /* when the lease was gained with the fencing number gained_fence */
+  /* end of the lease on this instance's clock; no orders are given from this time on */
+  LbTime valid_until;
+  LbTime lost_at;   /* when the lease was last lost; 0: never */
+  LbTime gained_at; /* when the lease was gained with the fencing number gained_fence */
   int64_t gained_fence;
   bool gained_from_another; /* another instance held the lease between this instance's last two
                                claims, as a gap in the fencing numbers shows */
--- a/packages/core/src/membership/lc-membership-heartbeat.c
+++ b/packages/core/src/membership/lc-membership-heartbeat.c
@@ -87,8 +87,9 @@
 }
 
 /* Heartbeats are sent only on connections to the members that this instance watches. Connections
- * for single frames add up to all pairs of instances: heartbeats on them would cost 131 KB/s at 350
- * instances. They get a heartbeat only after an unanswered frame or a long silence. */
+ * that are opened to send single frames may exist between all pairs of instances: heartbeats on
+ * them would cost 131 KB/s at 350 instances. They get a heartbeat only after an unanswered frame or
+ * a long silence. */
 static void
 update_link_watched (const LcMembership *membership, LcPeerLink *link, LbTime now)
 {
--- a/packages/core/src/membership/lc-membership-private.h
+++ b/packages/core/src/membership/lc-membership-private.h
@@ -16,21 +16,23 @@
 typedef struct
 {
   LcInstance instance;
-  LbTime changed_at;       /* when state or draining last changed */
-  LbTime epoch_learned_at; /* when its epoch became known; for a while afterwards, its updates
-                              include its addresses */
-  LbTime last_heard_at;    /* time of the last frame from it on any connection */
-  LbTime declare_dead_at;  /* when it is declared dead; valid in state SUSPECT */
-  LbTime suspicion_ignored_until; /* after a refutation, this instance does not suspect it before
-                                     this time */
-  LbTime suspicion_ignore_time; /* time for which a refutation prevents suspicion; doubles with each
-                                   one */
+  LbTime changed_at; /* when the member's state or draining mark last changed */
+  /* when the member's epoch became known; for a while afterwards, updates about the member include
+   * its addresses */
+  LbTime epoch_learned_at;
+  LbTime last_heard_at;   /* time of the last frame from the member on any connection */
+  LbTime declare_dead_at; /* when the member is declared dead; valid in state SUSPECT */
+  /* after a refutation, this instance does not suspect the member before this time */
+  LbTime suspicion_ignored_until;
+  /* time for which a refutation prevents suspicion; doubles with each refutation */
+  LbTime suspicion_ignore_time;
   LbTime keep_connected_until;
   LbTime next_dial_at;
-  bool is_silent;         /* its connection timed out or closed, and no new one is open yet */
+  /* the connection to the member timed out or closed, and no new one is open yet */
+  bool is_silent;
   bool is_listed;         /* the member is in the platform's list */
-  bool is_listed_leaving; /* marked as leaving in the platform's list */
-  bool is_pending;        /* an update about it is to be sent on all connections */
+  bool is_listed_leaving; /* the platform's list marks the member as leaving */
+  bool is_pending;        /* an update about the member is to be sent on all connections */
   LcLinkId source_link;   /* connection on which the pending update arrived; 0: none */
   UT_hash_handle hh;
 } LcMember;
@@ -43,7 +45,7 @@
   LbName address;
   bool is_outgoing;
   bool is_open;
-  bool is_watched; /* heartbeats are sent on it and answers expected */
+  bool is_watched; /* heartbeats are sent on the connection, and answers are expected */
   LbTime started_at;
   LbTime next_ping_at;
   LbTime unneeded_since;   /* when the connection became unneeded; 0: it is needed */
@@ -62,7 +64,7 @@
   LbLink link;
 } LcContact;
 
-/* The state shared by the files lc-membership-*.c. */
+/* State of a membership; shared by the files lc-membership-*.c. */
 struct LcMembership
 {
   LcMembershipSettings settings;
@@ -78,7 +80,7 @@
   bool view_changed;
   bool is_self_pending;
   bool has_platform_list;
-  uint64_t digest; /* digest of the view at the end of the last command */
+  uint64_t digest; /* digest of the view when it last changed */
   LbTime flush_at; /* when to broadcast pending updates; LB_TIME_NEVER: none are pending */
   LbTime next_contact_at;
   LbTime next_compare_at;
@@ -92,13 +94,13 @@
 LcMember *lc_membership_lookup_member (const LcMembership *membership, const char *name);
 LcPeerLink *lc_membership_lookup_link (const LcMembership *membership, LcLinkId id);
 LcMembershipAction *lc_membership_add_action (LbList *actions, LcMembershipActionType type);
-/* Called at the end of each command: if the view changed, updates the digest and emits CHANGED
- * once. */
+/* Called at the end of each call that may change the view: if it did, updates the digest and emits
+ * CHANGED once. */
 void lc_membership_emit_view_change (LcMembership *membership, LbList *actions);
 uint64_t lc_membership_compute_digest (const LcMembership *membership);
 void lc_membership_send_instance (LcLinkId link, const LcInstance *instance, LbList *actions);
 
-/* functions of lc-membership-updates.c */
+/* Implemented in lc-membership-updates.c. */
 
 /* Removes and frees the member; peers may still report it again. */
 void lc_membership_remove_member (LcMembership *membership, LcMember *member);
@@ -115,7 +117,7 @@
 void lc_membership_send_summary (LcMembership *membership, LcLinkId link, LbList *actions);
 void lc_membership_flush_updates (LcMembership *membership, LbTime now, LbList *actions);
 
-/* functions of lc-membership-links.c */
+/* Implemented in lc-membership-links.c. */
 
 LcPeerLink *lc_membership_add_link (LcMembership *membership, bool is_outgoing, LbTime now);
 /* Removes and frees the state of a connection that is closed already. */
@@ -134,29 +136,29 @@
 void
 lc_membership_dial_member (LcMembership *membership, LcMember *member, LbTime now, LbList *actions);
 
-/* lc-membership-connect.c: handles a connection that ended or could not be opened and frees link.
- * Its member may become silent or suspect. */
+/* Implemented in lc-membership-connect.c. Frees the state of a connection that ended or could not
+ * be opened; the member at its other end may become silent or suspect. */
 void lc_membership_remove_lost_link (LcMembership *membership,
                                      LcPeerLink *link,
                                      LbTime now,
                                      LbList *actions);
 
-/* functions of lc-membership-heartbeat.c */
+/* Implemented in lc-membership-heartbeat.c. */
 
 /* Records a frame from the peer; the member no longer counts as silent. */
 void lc_membership_record_arrival (LcMembership *membership, LcPeerLink *link, LbTime now);
 /* Sends due heartbeats and closes connections that timed out or are no longer needed. */
 void lc_membership_tick_links (LcMembership *membership, LbTime now, LbList *actions);
 
-/* lc-membership-members.c: declares suspects dead that did not refute within the suspicion timeout,
- * and removes members that have been dead for hours. */
+/* Implemented in lc-membership-members.c. Declares suspects dead that did not refute within the
+ * suspicion timeout, and removes members that have been dead for hours. */
 void lc_membership_expire_members (LcMembership *membership, LbTime now);
 
-/* lc-membership-contacts.c: dials the address of a dead or unknown instance when the next attempt
- * is due. */
+/* Implemented in lc-membership-contacts.c. Dials the address of a dead or unknown instance when the
+ * next attempt is due. */
 void lc_membership_dial_contact (LcMembership *membership, LbTime now, LbList *actions);
 
-/* functions of lc-membership-watch.c */
+/* Implemented in lc-membership-watch.c. */
 
 void lc_membership_choose_watch_targets (LcMembership *membership);
 /* Dials watched members without a connection; chooses them anew first if members have changed. */
