--- a/packages/core/src/rollout/lc-cursor.h
+++ b/packages/core/src/rollout/lc-cursor.h
@@ -9,8 +9,9 @@
 typedef struct
 {
   uint64_t session; /* session number of the owner that issued the cursor */
-  int64_t
-      chunk_number; /* number of chunks delivered when the cursor was issued, its own included */
+  /* number of chunks of the step delivered so far, including the one that the cursor was issued
+   * with */
+  int64_t chunk_number;
   size_t n_slots;
   uint8_t *bitmap; /* bit i is set if the trainer has received slot i */
 } LcCursor;
--- a/packages/core/src/rollout/lc-deliver.c
+++ b/packages/core/src/rollout/lc-deliver.c
@@ -47,7 +47,7 @@
   return find_trainer_of_step (rollouts, step)->subscription.strict;
 }
 
-/* Actions that reply to pulls. */
+/* Functions that reply to pulls. */
 
 static LcRolloutAction *
 reply_with_error (
@@ -404,8 +404,9 @@
   lc_ledger_add_change (&step->ledger, step->closed_at != 0);
 }
 
-/* A cursor of a later session means that another instance took over the step while this one was
- * paused or partitioned. This one could repeat samples that the new owner has delivered. */
+/* A cursor of a later session means that another instance took over the step while this instance
+ * was paused or partitioned. This instance could repeat samples that the new owner has
+ * delivered. */
 static bool
 is_from_later_owner (const LcStep *step, const LcCursor *cursor)
 {
--- a/packages/core/src/rollout/lc-generate.c
+++ b/packages/core/src/rollout/lc-generate.c
@@ -8,13 +8,15 @@
 
 /* A scoring request without an answer after this time is repeated. */
 #define SCORING_TIMEOUT (30 * LB_SEC)
-#define BYTES_PER_TOKEN 4 /* estimate, for the token count of a prompt */
+#define BYTES_PER_TOKEN 4 /* estimated length of a token, to count the tokens of a prompt */
 #define MAX_PRIORITY 10
-#define EXPLORATION_WEIGHT 2.0 /* in mean sample lengths, see compute_group_score */
+/* weight of the exploration bonus in mean sample lengths, see compute_group_score */
+#define EXPLORATION_WEIGHT 2.0
 
 /* Prediction of sample lengths. */
 
-/* Returns the expected total length of a running sample in tokens, given those it already has. */
+/* Returns the expected total length of a running sample in tokens, given the tokens that it already
+ * has. */
 static double
 estimate_total_tokens (const LcLengthHistogram *lengths, const LcJob *job, int64_t max_tokens)
 {
--- a/packages/core/src/rollout/lc-ledger.h
+++ b/packages/core/src/rollout/lc-ledger.h
@@ -17,7 +17,7 @@
   LbTime retry_at;
 } LcLedger;
 
-/* Commands, which change the state. */
+/* Functions that change an LcLedger. */
 /* Records that the row must be written; returns a change number for lc_ledger_has_stored. */
 uint64_t lc_ledger_add_change (LcLedger *ledger, bool urgent);
 void lc_ledger_begin_write (LcLedger *ledger, uint64_t write_id, LbTime now);
@@ -25,7 +25,7 @@
  * delay after a failure. */
 void lc_ledger_end_write (LcLedger *ledger, LbErrorCode error, double jitter, LbTime now);
 
-/* Queries, which do not change the state. */
+/* Functions that only read an LcLedger. */
 bool lc_ledger_has_stored (const LcLedger *ledger, uint64_t change);
 /* Returns when the next write should start; LB_TIME_NEVER while a write is in progress. */
 LbTime lc_ledger_next_write_at (const LcLedger *ledger);
--- a/packages/core/src/rollout/lc-rollouts-state.h
+++ b/packages/core/src/rollout/lc-rollouts-state.h
@@ -15,7 +15,7 @@
   int64_t max_running; /* limit for concurrent generations */
   int64_t n_running;   /* number of running generations in this pool */
   LcVersion newest_version;
-  LbTime version_interval; /* time between new versions; 0: unknown */
+  LbTime version_interval; /* time between new weight versions; 0: unknown */
   LcPace pace;
 } LcRolloutPool;
 
--- a/packages/core/src/rollout/lc-rollouts.c
+++ b/packages/core/src/rollout/lc-rollouts.c
@@ -164,8 +164,8 @@
   return NULL;
 }
 
-/* Called first by every command. Frees the memory that actions of the last command pointed to. If
- * the process was paused, makes all steps confirm their session. */
+/* Called first by every function that changes the state. Frees the memory that actions of the
+ * previous call pointed to. If the process was paused, makes all steps confirm their session. */
 static void
 free_deferred_and_detect_pause (LcRollouts *rollouts, LbTime now)
 {
@@ -183,7 +183,7 @@
   rollouts->last_command_at = now;
 }
 
-/* Called last by each command that may make a sample deliverable or a slot ready to start. */
+/* Called last by each function that may make a sample deliverable or a slot ready to start. */
 static void
 answer_pulls_and_start_requests (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
 {
@@ -192,7 +192,7 @@
   lc_generate_start_requests (rollouts, now, actions);
 }
 
-/* Commands that configure the owner. */
+/* Configuration of the owner. */
 
 void
 lc_rollouts_set_id_source (LcRollouts *rollouts, LcRequestId (*next_id) (void *user), void *user)
@@ -636,7 +636,7 @@
   return next;
 }
 
-/* Queries, which do not change the state. */
+/* Functions that only read an LcRollouts. */
 
 bool
 lc_rollouts_get_step_status (const LcRollouts *rollouts,
--- a/packages/core/src/rollout/lc-staleness.c
+++ b/packages/core/src/rollout/lc-staleness.c
@@ -24,7 +24,8 @@
 {
   if (policy->max_lag == INT64_MAX || policy->trainer_version == 0)
     return 0;
-  /* The engines' versions are unknown, and none may serve a stricter minimum than the bound. */
+  /* The versions of the engines are unknown, so only the staleness bound is required: perhaps no
+   * engine serves a newer version. */
   if (policy->newest_version == 0)
     return policy->trainer_version > policy->max_lag ? policy->trainer_version - policy->max_lag
                                                      : 0;
--- a/packages/core/src/rollout/lc-staleness.h
+++ b/packages/core/src/rollout/lc-staleness.h
@@ -10,7 +10,7 @@
   double idle_weight;        /* from 0 (avoid staleness) to 1 (avoid idle time) */
   LcVersion trainer_version; /* latest version that the trainer reported; 0: none */
   LcVersion newest_version;  /* newest version that an engine of the pool may serve; 0: unknown */
-  LbTime version_interval;   /* time between new versions; 0: unknown */
+  LbTime version_interval;   /* time between new weight versions; 0: unknown */
 } LcStalenessPolicy;
 
 bool lc_staleness_is_too_old (const LcLabel *label, LcVersion trainer_version, int64_t max_lag);
--- a/packages/core/src/rollout/lc-step.h
+++ b/packages/core/src/rollout/lc-step.h
@@ -75,10 +75,12 @@
   size_t n_slots;
   LcCursor cursor;           /* acknowledges the chunk when the trainer sends it back */
   LcVersion trainer_version; /* trainer version that the staleness check used */
-  uint64_t ledger_change;    /* ledger change that records the chunk; 0 unless strict */
+  /* ledger change that records the chunk; 0 unless the subscription is strict */
+  uint64_t ledger_change;
 } LcChunk;
 
-/* Memory blocks that actions of the current command may point to. The next command frees them. */
+/* Memory blocks that actions of the current call may point to. The next call that changes the
+ * owner's state frees them. */
 typedef struct
 {
   void **items;
@@ -98,7 +100,7 @@
   uint64_t session;
   LcSlot *slots;
   size_t n_slots;
-  LcGroup *groups; /* same indices as spec.groups */
+  LcGroup *groups; /* state of each group, with the same index as in spec.groups */
   size_t n_in_state[LC_N_SLOT_STATES];
   LcVersion trainer_version; /* latest version that the trainer reported */
 
@@ -120,7 +122,7 @@
 /* All jobs of the step must have been freed. */
 void lc_step_free (LcStep *step);
 
-/* Commands, which change the state. */
+/* Functions that change an LcStep. */
 void lc_step_set_slot_state (LcStep *step, LcSlot *slot, LcSlotState state);
 /* Discards the slot's sample and sets its state to WAITING. */
 void lc_step_reset_slot (LcStep *step, LcSlot *slot);
@@ -128,7 +130,7 @@
 void lc_step_clear_sample (LcStep *step, LcSlot *slot);
 void lc_chunk_clear (LcChunk *chunk);
 
-/* Queries, which do not change the state. */
+/* Functions that only read an LcStep. */
 /* Returns the number of slots that are neither in the current chunk nor acknowledged. */
 size_t lc_step_count_unsent (const LcStep *step);
 LcReadySample lc_step_make_ready_sample (const LcStep *step, const LcSlot *slot);
