--- a/packages/core/src/usage/lc-usage-reports.c
+++ b/packages/core/src/usage/lc-usage-reports.c
@@ -260,8 +260,8 @@
   }
 }
 
-/* Until max_delay_ms, rows count as incomplete while the store is unavailable and shortly after:
- * an instance may not have been able to write its row. */
+/* Until max_delay_ms after the end of a window, its rows count as incomplete while the store is
+ * unavailable and shortly after: an instance may not have been able to write its row. */
 static bool
 are_window_rows_complete (const LcUsageReports *reports,
                           const Window *window,
--- a/packages/core/src/usage/lc-usage.c
+++ b/packages/core/src/usage/lc-usage.c
@@ -149,7 +149,7 @@
   return lb_json_serialize_and_release (object, JSON_C_TO_STRING_PLAIN);
 }
 
-/* Windows in which one instance counts requests. */
+/* --- windows of the requests that one instance counts --- */
 
 LcUsage *
 lc_usage_new (int64_t window_ms)
