--- a/packages/core/src/weights/lc-engine-plan.c
+++ b/packages/core/src/weights/lc-engine-plan.c
@@ -16,9 +16,9 @@
 #define DEMAND_HALF_LIFE (20 * LB_SEC)
 /* Minimum imbalance that moves the first engine: MIN_IMBALANCE_ENGINES plus
  * MIN_IMBALANCE_SHARE_FACTOR of an even share of engines. The imbalance is the number of engines
- * that one model lacks plus the number that another has in excess. Less is noise of the text
- * lengths, which over five steps of 40 texts is a tenth of the share. Each move costs a load of
- * weights and the engine's cache. */
+ * that one model lacks plus the number that another has in excess. A smaller imbalance is noise:
+ * over five steps of 40 texts, random text lengths shift a tenth of the share. Each move costs a
+ * load of weights and the engine's cache. */
 #define MIN_IMBALANCE_ENGINES 1.4
 #define MIN_IMBALANCE_SHARE_FACTOR 0.1
 /* Minimum imbalance for the moves after the first one, which make the assignment as even as whole
