--- a/packages/core/src/dispatch/lc-admission.c
+++ b/packages/core/src/dispatch/lc-admission.c
@@ -2,10 +2,11 @@
 
 #include <string.h>
 
-/* Once the last confirmation is this old, an unknown key may be a new one. A refresh of the
- * organisations completes every 0.7 s or sooner, so one reply may be lost or late. */
+/* When the last confirmation of the list of organisations is this old, an unknown key may be a new
+ * one. A refresh of the list completes every 0.7 s or sooner, so one reply may be lost or late. */
 #define MAX_CONFIRMATION_AGE (1500 * LB_MSEC)
-/* Long enough for the store to reply. A call refused again should go to another instance. */
+/* Delay after which a call whose key could not be checked may be retried: long enough for the store
+ * to reply. A call refused again should go to another instance. */
 #define UNCONFIRMED_RETRY_AFTER (300 * LB_MSEC)
 
 static void
--- a/packages/core/src/dispatch/lc-dispatch-private.h
+++ b/packages/core/src/dispatch/lc-dispatch-private.h
@@ -23,7 +23,7 @@
   uint64_t last_sequence; /* LcQueueEntry.sequence of the last admitted request */
   uint64_t invariant_failures;
   bool draining;
-  bool forbid_cancel; /* set while a command runs that must not cancel attempts */
+  bool forbid_cancel; /* set while a function runs that must not cancel attempts */
 };
 
 static inline LcPoolKind
--- a/packages/core/src/dispatch/lc-outcome.c
+++ b/packages/core/src/dispatch/lc-outcome.c
@@ -48,7 +48,8 @@
   RESULT_SUCCEEDED,
   RESULT_FAILED, /* the endpoint failed */
   RESULT_REFUSED,
-  RESULT_CANCELLED /* neither: cancelled by this instance, or refused by a leaving endpoint */
+  /* counts neither as success nor as failure: cancelled, or refused by a leaving endpoint */
+  RESULT_CANCELLED
 } AttemptResult;
 
 static void
--- a/packages/core/src/dispatch/lc-placement.c
+++ b/packages/core/src/dispatch/lc-placement.c
@@ -6,8 +6,8 @@
 
 #include <string.h>
 
-/* Number of waiting requests without an endpoint that one round may skip; bounds the cost of a
- * round while the pool is full. */
+/* Maximum number of waiting requests that one round of sending may skip because no endpoint can
+ * take them; bounds the cost of a round while the pool is full. */
 #define MAX_SKIPPED_REQUESTS_PER_ROUND 16
 /* Longest wait of a call for a pool whose circuit breakers are all open. */
 #define MAX_BLOCKED_WAIT (200 * LB_MSEC)
--- a/packages/core/src/dispatch/lc-queue.c
+++ b/packages/core/src/dispatch/lc-queue.c
@@ -50,7 +50,7 @@
 {
   Band **bands; /* sorted by rank; empty bands are kept */
   size_t n_bands;
-  LbList deferred; /* requests (LcQueueEntry) that lc_queue_defer skips */
+  LbList deferred; /* requests (LcQueueEntry) that lc_queue_defer hides from lc_queue_peek */
   size_t length;
   size_t kind_length[LC_N_KINDS];
 };
--- a/packages/core/src/dispatch/lc-request.h
+++ b/packages/core/src/dispatch/lc-request.h
@@ -64,9 +64,10 @@
   int64_t next_token;         /* STREAM: index of the next token to forward to the submitter */
   uint32_t forwarded_attempt; /* STREAM: attempt whose pieces are forwarded; 0: none */
   uint32_t n_attempts;        /* number of attempts sent; also LcAttempt.number of the last one */
-  LbTime hedge_after;         /* as LcRequestSpec.hedge_after, raised when a hedge is postponed */
-  uint32_t max_attempts;      /* limit of the route; 0: only MAX_ATTEMPTS applies */
-  uint32_t n_not_sent;        /* number of attempts that ended before a byte was sent */
+  LbTime hedge_after;         /* LcRequestSpec.hedge_after; raised when a hedge is postponed */
+  /* maximum number of attempts of the route; 0: only MAX_ATTEMPTS applies */
+  uint32_t max_attempts;
+  uint32_t n_not_sent; /* number of attempts that ended before a byte was sent */
   uint32_t n_retries;
   uint32_t n_consecutive_lost; /* consecutive attempts that may have run and returned no token */
   LbErrorCode last_error;      /* error reported if the request is not retried */
--- a/packages/core/src/dispatch/lc-router-finish-time.c
+++ b/packages/core/src/dispatch/lc-router-finish-time.c
@@ -218,7 +218,9 @@
       total += others + summary->in_flight;
       age += report_age_seconds (inputs, summary);
       sent += summary->live_sent_since_report + PRIOR_SENT_REQUESTS;
-      policy->load_costs[i].seconds = remaining; /* holds the load until compute_all_load_costs */
+      /* seconds holds the candidate's load until compute_all_load_costs replaces it by the load
+       * cost */
+      policy->load_costs[i].seconds = remaining;
     }
   inputs->unreported = unreported * (1 - inputs->group->prefix_bound_share);
   inputs->prefix_bound_per_sent = unreported * inputs->group->prefix_bound_share / sent;
