--- a/packages/core/src/quarantine/lc-crash-log.c
+++ b/packages/core/src/quarantine/lc-crash-log.c
@@ -9,7 +9,8 @@
 /* Reports about one endpoint within this time count as one crash: each instance notices its broken
  * connection at a different time. */
 #define SAME_CRASH_WINDOW (2 * LB_SEC)
-/* Reports of about fifty crashes of endpoints that ten instances were using; half a megabyte. */
+/* Maximum number of stored reports: enough for ten instances to report about fifty crashes each;
+ * half a megabyte. */
 #define MAX_REPORTS 512
 
 void
--- a/packages/core/src/quarantine/lc-fingerprint.c
+++ b/packages/core/src/quarantine/lc-fingerprint.c
@@ -14,9 +14,9 @@
 }
 
 /* The caller is not part of the fingerprint, since the content of a request makes an endpoint
- * crash, whoever sends it. The organisation is, so that requests of one organisation cannot cause
- * those of another to be refused. Headers are not, since their ids and times differ with each
- * attempt. */
+ * crash, whoever sends it. The organisation is part of it, so that requests of one organisation
+ * cannot cause those of another to be refused. Headers are left out, since their ids and times
+ * differ with each attempt. */
 LcFingerprint
 lc_fingerprint_of_request (const char *organisation,
                            const char *method,
--- a/packages/core/src/quarantine/lc-quarantine.c
+++ b/packages/core/src/quarantine/lc-quarantine.c
@@ -19,7 +19,7 @@
 /* An answer to a request also clears it of crashes up to this long after the answer: many callers
  * may send the same request, and all endpoints may crash at once for another reason. */
 #define CLEARANCE_WINDOW (2 * LB_SEC)
-/* Enough for the answers of five seconds at two hundred a second on one instance. */
+/* Number of recorded answers: five seconds of answers at two hundred a second on one instance. */
 #define MAX_RECENT_ANSWERS 1024
 
 /* A fingerprint that occurs in crash reports, with the number of its crashes. */
@@ -117,7 +117,7 @@
   free (quarantine);
 }
 
-/* --- suspects --- */
+/* --- fingerprints suspected of crashes --- */
 
 static Suspect *
 find_suspect (const LcQuarantine *quarantine, LcFingerprint fingerprint)
@@ -269,7 +269,7 @@
   lb_metric_set (&quarantined_requests, (int64_t)lc_quarantine_count_fingerprints (quarantine));
 }
 
-/* --- reports --- */
+/* --- crash reports --- */
 
 static void clear_and_announce_fingerprint (LcQuarantine *quarantine,
                                             LcFingerprint fingerprint,
@@ -324,7 +324,7 @@
     recompute_quarantine (quarantine);
 }
 
-/* --- answers --- */
+/* --- answers, which clear fingerprints --- */
 
 void
 lc_quarantine_add_clearance (LcQuarantine *quarantine,
@@ -389,7 +389,7 @@
   return true;
 }
 
-/* --- expiry --- */
+/* --- expiry of reports and clearances --- */
 
 void
 lc_quarantine_expire (LcQuarantine *quarantine, LbTime now)
