--- a/packages/core/src/batch/lc-batch-item.h
+++ b/packages/core/src/batch/lc-batch-item.h
@@ -47,7 +47,8 @@
   LbName avoid_endpoint;  /* endpoint that the item was last moved away from; empty: none */
   int n_moves;
   bool is_preempted; /* the current request is being cancelled to move the item */
-  bool is_unusable; /* the text must restart: a version is unknown or too old, or it has too many */
+  /* the text must restart: one of its weight versions is unknown or too old, or it has too many */
+  bool is_unusable;
   LcBatchResult result;
 } LcBatchItem;
 
--- a/packages/core/src/batch/lc-batch-private.h
+++ b/packages/core/src/batch/lc-batch-private.h
@@ -31,7 +31,8 @@
   int64_t n_listed;
   size_t retained_bytes; /* total size of the listed items' texts that stay in memory */
   const LcBatchResult **results_in_write;
-  size_t n_results_in_write; /* length of results_in_write; the first of ready_items */
+  /* number of results in results_in_write, which belong to the first ready_items */
+  size_t n_results_in_write;
   bool is_writing;
   LbTime next_review_at;
   LbTime last_tick_at;
--- a/packages/core/src/batch/lc-batch-reuse.c
+++ b/packages/core/src/batch/lc-batch-reuse.c
@@ -13,7 +13,7 @@
 
 typedef struct
 {
-  LbName name; /* key of the hash table */
+  LbName name; /* name of the group; key of the hash table */
   bool is_complete;
   UT_hash_handle hh;
 } Group;
