--- a/packages/core/src/endpoints/lc-breaker.h
+++ b/packages/core/src/endpoints/lc-breaker.h
@@ -16,13 +16,13 @@
   int64_t max_trials;           /* HALF_OPEN: maximum number of concurrent requests */
 } LcBreaker;
 
-/* commands */
+/* Functions that change an LcBreaker. */
 void lc_breaker_request_sent (LcBreaker *breaker, LbTime now);
 /* sent_at: when the request that succeeded or failed was sent. */
 void lc_breaker_request_succeeded (LcBreaker *breaker, LbTime sent_at);
 void lc_breaker_request_failed (LcBreaker *breaker, LbTime sent_at, LbTime now);
 
-/* queries */
+/* Functions that only read an LcBreaker. */
 /* Maximum number of concurrent requests; INT64_MAX if the breaker is closed. */
 int64_t lc_breaker_max_in_flight (const LcBreaker *breaker, LbTime now);
 
--- a/packages/core/src/endpoints/lc-concurrency.c
+++ b/packages/core/src/endpoints/lc-concurrency.c
@@ -12,7 +12,8 @@
 /* Weight of each longer time to first byte in the minimum, so that the minimum rises when the
  * hardware gets slower. */
 #define MIN_FIRST_BYTE_RISE_WEIGHT 0.002
-/* The requests in flight are delayed by the same cause, which must decrease the limit only once. */
+/* Minimum time between two decreases of the limit: requests in flight together are delayed by the
+ * same cause, which must decrease the limit only once. */
 #define MIN_DECREASE_INTERVAL LB_SEC
 
 void
--- a/packages/core/src/endpoints/lc-endpoint-table.h
+++ b/packages/core/src/endpoints/lc-endpoint-table.h
@@ -24,10 +24,12 @@
   LcVersion version;
   float capacity;          /* number of concurrent requests that the endpoint is sized for */
   float concurrency_limit; /* limit of this instance's concurrent requests */
-  float requests;          /* number of requests: last report, corrected by later changes */
-  float other_requests;    /* number of requests of other instances in the last report */
+  /* number of requests at the endpoint: those of the last report, corrected by later changes */
+  float requests;
+  float other_requests; /* number of requests of other instances in the last report */
   uint32_t slot;
-  int32_t live_sent_since_report;    /* number of requests other than samples */
+  /* number of requests other than samples that this instance sent since the last report */
+  int32_t live_sent_since_report;
   int32_t in_flight;                 /* number of this instance's requests at the endpoint */
   int16_t data_centre;               /* index into LcEndpoints.data_centres */
   bool is_excluded;                  /* the endpoint is leaving or no longer in the configuration */
@@ -36,16 +38,17 @@
   float inverse_capacity;            /* 1 / capacity */
 } LcEndpointSummary;
 
-/* One endpoint in the table: the public part, which policies and the node read, and private
- * state. */
+/* One endpoint in the table: the public part, which routing policies and other packages read, and
+ * private state. */
 typedef struct LcEndpointEntry
 {
   LcEndpoint endpoint; /* must be first: lc_endpoint_to_entry casts it to the entry */
   uint64_t name_hash;
   int data_centre;      /* index into LcEndpoints.data_centres */
   LbTime refused_until; /* end of the backoff after a rejected request; 0: none was rejected */
-  bool is_retired;      /* not configured any more; kept until this instance's requests end */
-  bool is_reported;     /* the endpoint has sent a load report */
+  /* no longer in the configuration; kept until this instance's requests end */
+  bool is_retired;
+  bool is_reported;            /* the endpoint has sent a load report */
   int64_t in_flight_at_report; /* this instance's requests that the last report includes */
   int64_t live_sent_since_report;
   double single_stream_token_seconds;
--- a/packages/core/src/endpoints/lc-in-flight-history.h
+++ b/packages/core/src/endpoints/lc-in-flight-history.h
@@ -21,11 +21,11 @@
   size_t n_changes; /* number of changes added, including overwritten ones */
 } LcInFlightHistory;
 
-/* commands */
+/* Functions that change an LcInFlightHistory. */
 void lc_in_flight_history_add_change (
     LcInFlightHistory *history, int64_t in_flight, bool is_sent, bool is_live, LbTime now);
 
-/* queries */
+/* Functions that only read an LcInFlightHistory. */
 int64_t lc_in_flight_history_count_at (const LcInFlightHistory *history, LbTime at);
 int64_t lc_in_flight_history_count_sent_after (const LcInFlightHistory *history, LbTime at);
 int64_t lc_in_flight_history_count_live_sent_after (const LcInFlightHistory *history, LbTime at);
--- a/packages/core/src/endpoints/lc-leaving.h
+++ b/packages/core/src/endpoints/lc-leaving.h
@@ -19,12 +19,12 @@
   bool is_platform_mark_ambiguous;
 } LcLeaving;
 
-/* commands */
+/* Functions that change an LcLeaving. */
 void lc_leaving_set_current_incarnation (LcLeaving *leaving, const char *incarnation);
 void lc_leaving_mark_incarnation (LcLeaving *leaving, const char *incarnation);
 void lc_leaving_set_marked_by_platform (LcLeaving *leaving, bool is_marked_by_platform);
 
-/* queries */
+/* Functions that only read an LcLeaving. */
 bool lc_leaving_is_current_incarnation_leaving (const LcLeaving *leaving);
 
 #endif
--- a/packages/core/src/endpoints/lc-prefix-index.h
+++ b/packages/core/src/endpoints/lc-prefix-index.h
@@ -27,7 +27,7 @@
 LcPrefixIndex *lc_prefix_index_new (void);
 void lc_prefix_index_free (LcPrefixIndex *index);
 
-/* commands */
+/* Functions that change an LcPrefixIndex. */
 void lc_prefix_index_apply_event (LcPrefixIndex *index,
                                   LcEndpointCache *cache,
                                   uint64_t sequence,
@@ -39,7 +39,7 @@
                                       uint64_t prefix,
                                       LbTime now);
 
-/* queries */
+/* Functions that only read an LcPrefixIndex. */
 /* prefixes: hashes of the prompt's prefixes, shortest first; caches: indexed by slot of the
  * endpoint, NULL for a free slot. Fills in at most max shares, one for each prefix and
  * endpoint that holds it, and returns their number. */
--- a/packages/core/src/endpoints/lc-scaling.c
+++ b/packages/core/src/endpoints/lc-scaling.c
@@ -225,7 +225,8 @@
       = service->scaling.max
         - count_service_endpoints (set, location->service, location->data_centre, false);
 
-  /* After a refused order no more endpoints are ordered, but the existing ones are kept. */
+  /* After a refused order no more endpoints are ordered for the location, but the existing ones are
+   * kept. */
   if (now < location->refused_until)
     max_endpoints = count_service_endpoints (set, location->service, location->data_centre, true);
   return max_endpoints > 0 ? max_endpoints : 0;
--- a/packages/core/src/endpoints/lc-subset.c
+++ b/packages/core/src/endpoints/lc-subset.c
@@ -301,8 +301,8 @@
 {
   Service *service = find_or_add_service (subset, name);
 
-  /* Skipped if the subset already contains all endpoints of the service, or if the endpoints of the
-   * last extension are not listed yet. */
+  /* Does nothing if the subset already contains all endpoints of the service, or if the endpoints
+   * of the last extension are not listed yet. */
   if (service->bound[0] == '\0' || service->n_ready < count_wanted_endpoints (subset, service))
     return;
   if (service->grown_at > 0 && now - service->grown_at < MIN_GROWTH_INTERVAL)
