--- a/packages/core/src/membership/lc-membership-updates.c
+++ b/packages/core/src/membership/lc-membership-updates.c
@@ -19,25 +19,25 @@
 #define MAX_SUSPICION_IGNORE_TIME (60 * LB_SEC)
 
 static void
-schedule_flush (LcMembership *membership, LbTime now)
+schedule_update_broadcast (LcMembership *membership, LbTime now)
 {
   if (membership->flush_at == LB_TIME_NEVER)
     membership->flush_at = now + FLUSH_DELAY;
 }
 
 static void
-queue_update (LcMembership *membership, LcMember *member, LcLinkId source_link, LbTime now)
+queue_member_update (LcMembership *membership, LcMember *member, LcLinkId source_link, LbTime now)
 {
   member->is_pending = true;
   member->source_link = source_link;
-  schedule_flush (membership, now);
+  schedule_update_broadcast (membership, now);
 }
 
 void
 lc_membership_queue_self_update (LcMembership *membership, LbTime now)
 {
   membership->is_self_pending = true;
-  schedule_flush (membership, now);
+  schedule_update_broadcast (membership, now);
 }
 
 static void
@@ -62,7 +62,7 @@
   /* DEAD is not broadcast: all instances received the suspicion and declare the member dead by
    * their own clocks. */
   if (state != LC_INSTANCE_DEAD)
-    queue_update (membership, member, 0, now);
+    queue_member_update (membership, member, 0, now);
 }
 
 /* If only the path between this instance and the member is cut, this instance suspects the member,
@@ -176,7 +176,7 @@
  * never change within an epoch and are copied from the known instance. Returns false when the
  * update's epoch is not known. */
 static bool
-complete_short_form (LcInstance *update, const LcInstance *known)
+fill_missing_fields_of_update (LcInstance *update, const LcInstance *known)
 {
   if (update->peer_address[0])
     return true;
@@ -202,12 +202,12 @@
 
   if (strcmp (update.name, membership->self.name) == 0)
     {
-      if (complete_short_form (&update, &membership->self))
+      if (fill_missing_fields_of_update (&update, &membership->self))
         apply_update_about_self (membership, &update, now);
       return;
     }
   LcMember *member = lc_membership_lookup_member (membership, update.name);
-  if (!complete_short_form (&update, member ? &member->instance : NULL))
+  if (!fill_missing_fields_of_update (&update, member ? &member->instance : NULL))
     return;
   if (!member && update.state == LC_INSTANCE_DEAD)
     return;
@@ -217,7 +217,7 @@
     replace_instance (membership, member, &update, now);
   else
     return;
-  queue_update (membership, member, link, now);
+  queue_member_update (membership, member, link, now);
 }
 
 void
@@ -234,7 +234,7 @@
 }
 
 static LcInstance
-to_short_form (const LcInstance *instance)
+copy_instance_without_addresses (const LcInstance *instance)
 {
   LcInstance result = *instance;
 
@@ -270,7 +270,8 @@
         }
       member->is_pending = false;
       source = count == 0 || source == member->source_link ? member->source_link : 0;
-      updates[count++] = use_full_form ? member->instance : to_short_form (&member->instance);
+      updates[count++]
+          = use_full_form ? member->instance : copy_instance_without_addresses (&member->instance);
     }
   if (count == 0)
     return;
@@ -301,8 +302,8 @@
     known = &membership->self;
   if (!known)
     return summary->state != LC_INSTANCE_DEAD;
-  return !complete_short_form (&update, known) ? update.epoch > known->epoch
-                                               : lc_instance_supersedes (&update, known);
+  return !fill_missing_fields_of_update (&update, known) ? update.epoch > known->epoch
+                                                         : lc_instance_supersedes (&update, known);
 }
 
 static bool
@@ -313,7 +314,7 @@
   if (!summary)
     return known->state != LC_INSTANCE_DEAD;
   known_to_peer = *summary;
-  return !complete_short_form (&known_to_peer, known)
+  return !fill_missing_fields_of_update (&known_to_peer, known)
              ? known->epoch > known_to_peer.epoch
              : lc_instance_supersedes (known, &known_to_peer);
 }
@@ -331,7 +332,9 @@
 
   if (!is_newer_than_summary (known, known_to_peer))
     return 0;
-  *update = known_to_peer && known_to_peer->epoch == known->epoch ? to_short_form (known) : *known;
+  *update = known_to_peer && known_to_peer->epoch == known->epoch
+                ? copy_instance_without_addresses (known)
+                : *known;
   return 1;
 }
 
@@ -364,9 +367,9 @@
   action->link = link;
   action->is_reply = is_reply;
   action->instances = LB_NEW_ARRAY (LcInstance, HASH_COUNT (membership->members) + 1);
-  action->instances[action->n_instances++] = to_short_form (&membership->self);
+  action->instances[action->n_instances++] = copy_instance_without_addresses (&membership->self);
   for (LcMember *member = membership->members; member; member = member->hh.next)
-    action->instances[action->n_instances++] = to_short_form (&member->instance);
+    action->instances[action->n_instances++] = copy_instance_without_addresses (&member->instance);
 }
 
 void
--- a/packages/core/src/rollout/lc-rollouts.c
+++ b/packages/core/src/rollout/lc-rollouts.c
@@ -167,7 +167,7 @@
 /* Called first by every function that changes the state. Frees the memory that actions of the
  * previous call pointed to. If the process was paused, makes all steps confirm their session. */
 static void
-free_deferred_and_detect_pause (LcRollouts *rollouts, LbTime now)
+free_deferred_memory_and_detect_pause (LcRollouts *rollouts, LbTime now)
 {
   LbTime elapsed = now - rollouts->last_command_at;
 
@@ -192,7 +192,7 @@
   lc_generate_start_requests (rollouts, now, actions);
 }
 
-/* Configuration of the owner. */
+/* Configuration of this owner of steps. */
 
 void
 lc_rollouts_set_id_source (LcRollouts *rollouts, LcRequestId (*next_id) (void *user), void *user)
@@ -246,7 +246,7 @@
 void
 lc_rollouts_configure (LcRollouts *rollouts, const LcResourceSet *set, LbTime now, LbList *actions)
 {
-  free_deferred_and_detect_pause (rollouts, now);
+  free_deferred_memory_and_detect_pause (rollouts, now);
   LB_LIST_FOREACH (&rollouts->trainers, LcTrainer, link, trainer)
   {
     trainer->is_configured = false;
@@ -269,7 +269,7 @@
 {
   LcRolloutPool *pool = lc_rollouts_ensure_pool (rollouts, pool_name);
 
-  free_deferred_and_detect_pause (rollouts, now);
+  free_deferred_memory_and_detect_pause (rollouts, now);
   pool->newest_version = newest_version;
   pool->version_interval = version_interval;
   lc_generate_start_requests (rollouts, now, actions);
@@ -355,7 +355,7 @@
   LcStep *step = find_step (rollouts, spec->subscription, spec->step);
   LcCursor cursor = { 0 };
 
-  free_deferred_and_detect_pause (rollouts, now);
+  free_deferred_memory_and_detect_pause (rollouts, now);
   if (step)
     return has_same_spec (step, spec, error);
   if (!lc_rollouts_can_open_step (rollouts, spec, error))
@@ -415,7 +415,7 @@
 {
   LcStep *step = find_step (rollouts, subscription, step_number);
 
-  free_deferred_and_detect_pause (rollouts, now);
+  free_deferred_memory_and_detect_pause (rollouts, now);
   if (!step)
     return;
   lb_log (LB_LOG_WARNING, "step-lost", LB_TEXT ("subscription", subscription),
@@ -431,7 +431,7 @@
 {
   LcStep *step = find_step (rollouts, pull->subscription, pull->step);
 
-  free_deferred_and_detect_pause (rollouts, now);
+  free_deferred_memory_and_detect_pause (rollouts, now);
   if (!step)
     {
       LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_REPLY);
@@ -484,7 +484,7 @@
 {
   LcJob *job = find_job_of_request (rollouts, request);
 
-  free_deferred_and_detect_pause (rollouts, now);
+  free_deferred_memory_and_detect_pause (rollouts, now);
   if (!job || job->is_scoring)
     return;
   lc_result_add_piece (rollouts, job, piece, endpoint, now, actions);
@@ -502,7 +502,7 @@
 {
   LcJob *job = find_job_of_request (rollouts, request);
 
-  free_deferred_and_detect_pause (rollouts, now);
+  free_deferred_memory_and_detect_pause (rollouts, now);
   if (!job || job->is_scoring)
     {
       free (text);
@@ -524,7 +524,7 @@
 {
   LcJob *job = find_job_of_request (rollouts, request);
 
-  free_deferred_and_detect_pause (rollouts, now);
+  free_deferred_memory_and_detect_pause (rollouts, now);
   if (!job || !job->is_scoring)
     return;
   LcStep *step = job->step;
@@ -549,7 +549,7 @@
 {
   LcStep *step = find_step_of_ledger_write (rollouts, write_id);
 
-  free_deferred_and_detect_pause (rollouts, now);
+  free_deferred_memory_and_detect_pause (rollouts, now);
   if (!step)
     return;
   /* Another instance has taken over the step, and may deliver the samples that this instance still
@@ -570,7 +570,7 @@
 {
   LcJob *job, *next;
 
-  free_deferred_and_detect_pause (rollouts, now);
+  free_deferred_memory_and_detect_pause (rollouts, now);
   rollouts->draining = true;
   /* Generations without a first piece might never get an engine, so the drain doesn't wait for
    * them. The step's next owner starts them again. */
@@ -596,7 +596,7 @@
 void
 lc_rollouts_tick (LcRollouts *rollouts, LbTime now, LbList *actions)
 {
-  free_deferred_and_detect_pause (rollouts, now);
+  free_deferred_memory_and_detect_pause (rollouts, now);
   LB_LIST_FOREACH (&rollouts->steps, LcStep, link, step)
   {
     if (is_closed_step_expired (step, now))
--- a/packages/core/src/usage/lc-usage-reports.c
+++ b/packages/core/src/usage/lc-usage-reports.c
@@ -123,7 +123,7 @@
 }
 
 static void
-lower_first_window (LcUsageReports *reports, int64_t window_number)
+set_first_window_if_earlier (LcUsageReports *reports, int64_t window_number)
 {
   if (reports->first_window < 0 || window_number < reports->first_window)
     reports->first_window = window_number;
@@ -133,7 +133,7 @@
 lc_usage_reports_add_row_window (LcUsageReports *reports, int64_t window_number)
 {
   if (reports->has_duty && !reports->has_read)
-    lower_first_window (reports, window_number);
+    set_first_window_if_earlier (reports, window_number);
 }
 
 void
@@ -146,7 +146,7 @@
 
   if (!reports->has_duty || reports->has_read || find_window (reports, window_number))
     return;
-  lower_first_window (reports, window_number);
+  set_first_window_if_earlier (reports, window_number);
   window = add_window (reports, window_number);
   window->state = is_sent ? WINDOW_CLOSED : WINDOW_RECORDED;
   window->text = lb_strdup (text);
