--- a/packages/core/include/lc-admission.h
+++ b/packages/core/include/lc-admission.h
@@ -26,8 +26,9 @@
 /* This instance's copy of the organisations, read from the store. */
 typedef struct
 {
-  const LcOrganisations *organisations; /* NULL: none configured, calls need no key */
-  LbTime confirmed_at;                  /* when the copy was last confirmed to be current */
+  /* the organisations; NULL: none are configured, so calls need no key */
+  const LcOrganisations *organisations;
+  LbTime confirmed_at; /* when the copy was last confirmed to be current */
 } LcAdmissionView;
 
 typedef struct
--- a/packages/core/include/lc-catalog.h
+++ b/packages/core/include/lc-catalog.h
@@ -13,9 +13,9 @@
  * instance takes over, and an instance that has seen no change for about a second lists the rows
  * itself. The table holds nothing beyond what the rows themselves say. No I/O. */
 
-/* Time between two listings by the publisher. A snapshot that is not renewed is used for at
- * most 2.25 periods. With the listing before it and the instance's own listing afterwards, an
- * instance learns of a leaving endpoint within about four periods. */
+/* Time between two listings by the publisher. A snapshot that is not renewed is used for at most
+ * 2.25 periods. Including the listing before the snapshot and the instance's own listing after it,
+ * an instance learns of a leaving endpoint within about four periods. */
 #define LC_CATALOG_LISTING_PERIOD (400 * LB_MSEC)
 #define LC_CATALOG_SNAPSHOT_TIMEOUT (LC_CATALOG_LISTING_PERIOD * 9 / 4)
 
@@ -38,8 +38,8 @@
 bool lc_catalog_finish_update (LcCatalog *catalog, int64_t store_ms, LbTime now);
 
 /* Functions that write this instance's listings to the shared table. */
-/* Sets the time between two listings by this instance while it publishes. It is written to the
- * publisher's row. */
+/* Sets the time between two listings by this instance while it publishes. The time is written to
+ * the publisher's row. */
 void lc_catalog_set_own_period (LcCatalog *catalog, LbTime period);
 /* Sets this instance's position in the order of takeover, not counting the current publisher. 0: it
  * takes over first; negative: it must not publish. */
@@ -91,7 +91,7 @@
 bool lc_catalog_needs_listing (const LcCatalog *catalog, LbTime now);
 /* Whether this instance is the publisher according to the publisher's row. */
 bool lc_catalog_is_publisher (const LcCatalog *catalog);
-/* Time between two listings of the publisher, according to its row. */
+/* Time between two listings by the publisher, as stated in the publisher's row. */
 LbTime lc_catalog_publish_period (const LcCatalog *catalog);
 /* Name of the instance that published last; "" when none has. */
 const char *lc_catalog_publisher_name (const LcCatalog *catalog);
--- a/packages/core/include/lc-config.h
+++ b/packages/core/include/lc-config.h
@@ -14,7 +14,7 @@
 {
   /* broadcast of an accepted revision; body: the change that led to this revision */
   LC_CONFIG_MESSAGE_CHANGE,
-  /* asks a peer for its active revision and the age of its confirmation */
+  /* asks a peer for its active revision and the age of that revision's confirmation */
   LC_CONFIG_MESSAGE_QUERY,
   /* reply to QUERY; also sent after a CHANGE, SNAPSHOT or abandoned change */
   LC_CONFIG_MESSAGE_STATUS,
@@ -38,7 +38,7 @@
   /* QUERY: number of the change that the sender is about to commit; 0: none. STATUS: number of the
    * sender's last announced change with a known outcome. */
   int64_t announced_change;
-  /* JSON of the change (CHANGE) or of the whole configuration (SNAPSHOT); owned */
+  /* JSON of the change (CHANGE) or of the whole configuration (SNAPSHOT); owned by the message */
   struct json_object *body;
 } LcConfigMessage;
 
--- a/packages/core/include/lc-dispatch.h
+++ b/packages/core/include/lc-dispatch.h
@@ -20,7 +20,7 @@
 typedef struct
 {
   LcRequestId id;        /* chosen by the submitter; never reused in this process */
-  LcFingerprint content; /* hash of the request's content, by which the quarantine refuses it */
+  LcFingerprint content; /* hash of the request's content, by which a quarantine can refuse it */
   LcRequestKind kind;
   LcDelivery delivery;
   LbName pool;   /* pool or service name */
--- a/packages/core/include/lc-duty.h
+++ b/packages/core/include/lc-duty.h
@@ -10,7 +10,7 @@
 typedef struct
 {
   LbName name;
-  int64_t strength; /* capacity of its machine, see lc_duty_machine_strength */
+  int64_t strength; /* capacity of the candidate's machine, see lc_duty_machine_strength */
 } LcDutyCandidate;
 
 /* Capacity of a machine: its processor share times its link bandwidth, in thousandths of a core x
--- a/packages/core/include/lc-fleet.h
+++ b/packages/core/include/lc-fleet.h
@@ -46,7 +46,7 @@
 } LcFleetMember;
 
 /* Text form of a member, by which one instance passes the member's state on to others. Renewal
- * times are left out, so that the text changes only with the state. The caller frees it. */
+ * times are left out, so that the text changes only with the state. The caller frees the text. */
 char *lc_fleet_member_to_text (const LcFleetMember *member);
 bool lc_fleet_member_from_text (const char *text, LcFleetMember *member);
 
--- a/packages/core/include/lc-lease.h
+++ b/packages/core/include/lc-lease.h
@@ -113,7 +113,8 @@
 int64_t lc_lease_row_version (const LcLease *lease);
 /* The lease's row as last read; its holder is empty when there is no row. */
 const LcLeaseRow *lc_lease_row (const LcLease *lease);
-/* Whether the lease may be claimed before it expires, judging by its holder's instance row. */
+/* Whether the lease may be claimed before it expires, judging by the instance row of the lease's
+ * holder. */
 bool lc_lease_holder_has_ended (const LcLease *lease, const LcLeaseHolderView *view);
 
 #endif
--- a/packages/core/include/lc-load-time.h
+++ b/packages/core/include/lc-load-time.h
@@ -22,7 +22,7 @@
 /* Functions that only read an LcLoadTime. */
 /* Returns the time from a load order to the first poll of the engine. */
 LbTime lc_load_time_first_poll_delay (const LcLoadTime *load);
-/* Returns the time between the first poll of an engine and each further one. */
+/* Returns the time from one poll of an engine to the next. */
 LbTime lc_load_time_poll_interval (const LcLoadTime *load);
 
 #endif
--- a/packages/core/include/lc-membership.h
+++ b/packages/core/include/lc-membership.h
@@ -152,8 +152,7 @@
 void lc_membership_copy_views (const LcMembership *membership, LcMemberView *views);
 bool
 lc_membership_find_instance (const LcMembership *membership, const char *name, LcMemberView *view);
-/* Of the open connections to the instance, the one that received a frame last; 0 when there is
- * none. */
+/* Returns the open connection to the instance that received a frame last; 0 when none is open. */
 LcLinkId lc_membership_find_link (const LcMembership *membership, const char *name);
 const char *lc_membership_link_peer_name (const LcMembership *membership, LcLinkId link);
 LcMembershipTotals lc_membership_totals (const LcMembership *membership);
--- a/packages/core/include/lc-resources.h
+++ b/packages/core/include/lc-resources.h
@@ -81,9 +81,9 @@
   bool is_spot;
   bool checks_fence;   /* the endpoint rejects orders with an outdated fencing token */
   int64_t concurrency; /* maximum number of requests that the endpoint runs at once */
-  /* The endpoint itself reported its concurrency. If it refuses a request while it runs fewer
-   * requests than that, it is busy with other work, such as an order to load weights. The refusal
-   * then does not lower the estimate of its capacity. */
+  /* The endpoint itself reported its concurrency. If such an endpoint refuses a request while it
+   * runs fewer requests than its concurrency, it is busy with other work, such as an order to load
+   * weights. The refusal then does not lower the estimate of its capacity. */
   bool reports_concurrency;
 } LcEndpointMember;
 
--- a/packages/core/include/lc-rollouts.h
+++ b/packages/core/include/lc-rollouts.h
@@ -95,7 +95,7 @@
   uint64_t session;
   /* Members set for REPLY. */
   uint64_t pull_id;
-  LbError error; /* if its code is LB_OK, the reply is a chunk of 0 or more samples */
+  LbError error; /* error of the pull; with code LB_OK, the reply is a chunk of 0 or more samples */
   LbTime retry_after;
   LcReadySample *samples; /* array owned by the action */
   size_t n_samples;
@@ -115,7 +115,7 @@
   int64_t hedges;
   int64_t tokens;        /* number of generated tokens, including wasted_tokens */
   int64_t wasted_tokens; /* number of tokens of samples that were discarded or cancelled */
-  double staleness_sum;  /* sum over all delivered samples, in versions */
+  double staleness_sum;  /* sum of the staleness of all delivered samples, in versions */
   int64_t staleness_max; /* largest staleness of a delivered sample, in versions */
   LbTime opened_at;
   LbTime completed_at; /* when no undelivered slot was left; 0 before */
@@ -133,7 +133,7 @@
   bool predict_staleness;
   bool group_release;
   bool fair_shares;
-  bool migrate; /* stop samples on slow endpoints and resume them on others */
+  bool migrate; /* stop samples on slow endpoints and resume them on other endpoints */
   /* After a pause of more than this between two calls, another instance may have taken over the
    * steps. The owner then confirms its session by a ledger write before it delivers again. 0: no
    * limit. */
--- a/packages/core/include/lc-weights.h
+++ b/packages/core/include/lc-weights.h
@@ -45,7 +45,8 @@
   double orders_per_second; /* maximum rate of load orders, as the weight store allows */
   int64_t burst;            /* maximum number of orders given at once after a pause */
   LbTime load_timeout;      /* a load that takes longer counts as failed */
-  LbTime report_timeout;    /* the state of an engine is unknown if its latest report is older */
+  /* the state of an engine is unknown if its latest report is older than this */
+  LbTime report_timeout;
   /* Time after the lease was gained during which an engine without a report counts as loading,
    * since an earlier holder may have ordered a load. */
   LbTime first_report_timeout;
@@ -109,7 +110,8 @@
   LbTime version_interval; /* mean time between new versions; 0: not known */
   size_t engines;          /* number of engines in the pool */
   size_t on_target;        /* number of engines that serve the target version */
-  size_t usable;           /* number of engines that serve the target version or the one before */
+  /* number of engines that serve the target version or the version before it */
+  size_t usable;
   /* number of engines that load, or may load by an order of an earlier lease holder */
   size_t swapping;
   size_t unknown; /* number of engines whose state is not known at present */
