--- a/packages/core/src/config/lc-config.c
+++ b/packages/core/src/config/lc-config.c
@@ -208,8 +208,8 @@
 }
 
 /* A peer that is missing from members stays known until lc_config_remove_instance, unless it was
- * draining. The loss of instances by a partition must not lower the majority that the rest
- * needs. */
+ * draining. The loss of instances by a partition must not lower the majority that the remaining
+ * instances need. */
 void
 lc_config_update_members (
     LcConfig *config, const LcConfigMember *members, size_t n_members, LbTime now, LbList *actions)
