--- a/packages/core/src/membership/lc-lease.c
+++ b/packages/core/src/membership/lc-lease.c
@@ -26,7 +26,7 @@
   int64_t ended_holder_version; /* row version whose holder is known to have ended; 0: none */
   LbTime version_seen_at;       /* when row_version was first read */
   bool is_reading;
-  LbTime read_started_at; /* start of the read in progress or of the last one */
+  LbTime read_started_at; /* start of the read in progress or of the last read */
   LbTime next_read_at;
   bool is_writing;
   LcLeaseRow last_written; /* row of the write in progress or of the last write */
--- a/packages/core/src/membership/lc-membership-private.h
+++ b/packages/core/src/membership/lc-membership-private.h
@@ -122,7 +122,8 @@
 LcPeerLink *lc_membership_add_link (LcMembership *membership, bool is_outgoing, LbTime now);
 /* Removes and frees the state of a connection that is closed already. */
 void lc_membership_remove_link (LcMembership *membership, LcPeerLink *link);
-/* Closes a connection that is no longer needed, without marking its member silent; frees link. */
+/* Closes a connection that is no longer needed, without marking the member at its other end as
+ * silent; frees link. */
 void lc_membership_close_link (LcMembership *membership,
                                LcPeerLink *link,
                                LbErrorCode reason,
--- a/packages/core/src/membership/lc-membership-query.c
+++ b/packages/core/src/membership/lc-membership-query.c
@@ -129,7 +129,8 @@
   return best ? best->id : 0;
 }
 
-/* Name of the instance at the other end of the connection; NULL while it is not open. */
+/* Name of the instance at the other end of the connection; NULL while the connection is not
+ * open. */
 const char *
 lc_membership_link_peer_name (const LcMembership *membership, LcLinkId id)
 {
--- a/packages/core/src/membership/lc-membership-self.c
+++ b/packages/core/src/membership/lc-membership-self.c
@@ -3,8 +3,8 @@
 #define LOAD_UPDATE_INTERVAL (60 * LB_SEC)
 #define LOAD_HYSTERESIS 75
 
-/* Marks this instance as draining and broadcasts it at once: no caller must be sent to a draining
- * instance. */
+/* Marks this instance as draining and broadcasts the mark at once: no caller must be sent to a
+ * draining instance. */
 void
 lc_membership_set_draining (LcMembership *membership, LbTime now, LbList *actions)
 {
--- a/packages/core/src/membership/lc-membership-updates.c
+++ b/packages/core/src/membership/lc-membership-updates.c
@@ -5,10 +5,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Delay of a broadcast, so that several updates go into one frame. */
+/* Delay before pending updates are broadcast, so that several go into one frame. */
 #define FLUSH_DELAY (10 * LB_MSEC)
-/* Updates in one broadcast frame, and the pause before the rest is sent. When a region is lost or
- * returns, hundreds of updates would otherwise go to all connections at once. */
+/* Maximum number of updates in one broadcast frame, and the pause before the next frame. When a
+ * region is lost or returns, hundreds of updates would otherwise go to all connections at once. */
 #define MAX_UPDATES_PER_FLUSH 32
 #define FLUSH_PAUSE (100 * LB_MSEC)
 /* For this long after an incarnation became known, its updates are sent in full form, with
