--- a/packages/core/src/rollout/lc-deliver.c
+++ b/packages/core/src/rollout/lc-deliver.c
@@ -117,9 +117,10 @@
 
 /* Building and revoking chunks of samples. */
 
-/* Checks independently of the code that chose the sample that its label is complete, it is within
- * the staleness bound, and it was not delivered before. Logs and counts a violation; the caller
- * must not deliver the sample then. An unlabelled or stale sample is generated again. */
+/* Checks a sample independently of the code that chose it: its label must be complete, it must be
+ * within the staleness bound, and it must not have been delivered before. Logs and counts a
+ * violation; the caller must not deliver the sample then. An unlabelled or stale sample is
+ * generated again. */
 static bool
 check_delivery_invariants (LcRollouts *rollouts,
                            LcStep *step,
--- a/packages/core/src/rollout/lc-ledger.h
+++ b/packages/core/src/rollout/lc-ledger.h
@@ -11,7 +11,8 @@
   uint64_t writing_change; /* latest change included in the write in progress; 0: no write */
   uint64_t stored_change;  /* latest change that this owner has successfully written */
   uint64_t write_id;       /* id of the write in progress; 0: no write */
-  bool urgent;             /* write without a batching delay, since a delivery waits for it */
+  /* write without a batching delay, since a delivery waits for the write */
+  bool urgent;
   int consecutive_failures;
   LbTime last_write_at; /* when the last write started */
   LbTime retry_at;
--- a/packages/core/src/rollout/lc-rollouts-state.h
+++ b/packages/core/src/rollout/lc-rollouts-state.h
@@ -62,7 +62,7 @@
 /* Returns the pool of this name; creates it if there is none. */
 LcRolloutPool *lc_rollouts_ensure_pool (LcRollouts *rollouts, const char *name);
 LcRequestId lc_rollouts_new_request_id (LcRollouts *rollouts);
-/* Answers the step's pulls with the error, cancels its requests and frees it. */
+/* Answers the step's pulls with the error, cancels the step's requests and frees the step. */
 void
 lc_rollouts_remove_step (LcRollouts *rollouts, LcStep *step, LbErrorCode error, LbList *actions);
 
--- a/packages/core/src/rollout/lc-rollouts.c
+++ b/packages/core/src/rollout/lc-rollouts.c
@@ -232,7 +232,8 @@
       trainer = LB_NEW (LcTrainer);
       lb_list_append (&rollouts->trainers, &trainer->link);
     }
-  /* Running generations are counted per pool, so a trainer keeps its pool while it has any. */
+  /* Running generations are counted per pool, so a trainer keeps its pool while it has running
+   * generations. */
   LbName pool;
   LB_COPY (pool, trainer->n_running > 0 ? trainer->subscription.pool : subscription->pool);
   trainer->subscription = *subscription;
