--- a/packages/core/src/dispatch/lc-candidates.c
+++ b/packages/core/src/dispatch/lc-candidates.c
@@ -69,11 +69,11 @@
   return false;
 }
 
-/* Whether a sample should wait for a fast engine rather than start on this one, which would miss
- * the soft deadline. Without this check, long samples were moved from one slow engine to the next,
- * though a fast engine had capacity a few tenths of a second later: with two of a model's three
- * engines four times slower, steps took 10.5 s instead of 8 s. The wait is bounded by the time that
- * the fast engine saves. */
+/* Whether a sample should wait for a fast engine rather than start on the given engine, which would
+ * miss the soft deadline. Without this check, long samples were moved from one slow engine to the
+ * next, though a fast engine had capacity a few tenths of a second later: with two of a model's
+ * three engines four times slower, steps took 10.5 s instead of 8 s. The wait is bounded by the
+ * time that the fast engine saves. */
 static bool
 is_too_slow (const DecisionInputs *inputs, const LcEndpointSummary *summary)
 {
--- a/packages/core/src/dispatch/lc-dispatch.c
+++ b/packages/core/src/dispatch/lc-dispatch.c
@@ -178,7 +178,7 @@
 }
 
 /* Drops the waiting request of the lowest rank to admit a new one. Returns false if the new request
- * itself has the lowest rank, or if the one to drop has already been attempted. */
+ * itself has the lowest rank, or if the request to drop has already been attempted. */
 static bool
 drop_lower_ranked_request (
     LcDispatch *dispatch, LcPoolState *pool, const LcQueueKey *key, LbTime now, LbList *actions)
--- a/packages/core/src/dispatch/lc-router-finish-time.c
+++ b/packages/core/src/dispatch/lc-router-finish-time.c
@@ -153,9 +153,9 @@
                        .capacity_per_second = 1 / (slope * per_slot) };
 }
 
-/* Returns the cost of processing the part of the prompt that is not cached. It includes the delay
- * of concurrent requests, for which estimate_arrivals takes the average number over all endpoints:
- * the number at one endpoint is as old as its report. */
+/* Returns the cost of processing the part of the prompt that is not cached, including the delay of
+ * concurrent requests. Their number is the average over all endpoints (see estimate_arrivals),
+ * since the number at one endpoint is as old as the endpoint's report. */
 static double
 prefill_cost_seconds (const DecisionInputs *inputs, const LcEndpointSummary *summary)
 {
