--- a/packages/core/src/quarantine/lc-crash-log.c
+++ b/packages/core/src/quarantine/lc-crash-log.c
@@ -63,7 +63,8 @@
   return false;
 }
 
-/* Drops the oldest crash that no quarantine is based on, or else the oldest one. */
+/* Drops the oldest crash that no quarantine is based on; if there is none, drops the oldest
+ * crash. */
 static void
 evict_crash (LcCrashLog *log)
 {
--- a/packages/core/src/quarantine/lc-quarantine.c
+++ b/packages/core/src/quarantine/lc-quarantine.c
@@ -275,7 +275,7 @@
                                             LcFingerprint fingerprint,
                                             LbTime answered_at);
 
-/* Clears those fingerprints of the report whose requests were answered on this instance shortly
+/* Clears the fingerprints in the report whose requests were answered on this instance shortly
  * before the crash or after it. */
 static void
 clear_recently_answered_requests (LcQuarantine *quarantine, const LcCrashReport *report)
