--- a/packages/core/src/batch/lc-batch-item.h
+++ b/packages/core/src/batch/lc-batch-item.h
@@ -33,8 +33,9 @@
   bool has_gap;                  /* the restored checkpoint parts are not contiguous */
   int64_t saved_events;          /* number of events in the stored checkpoint */
   size_t saved_length;           /* bytes of text in the stored checkpoint */
-  int64_t saving_events;         /* saved_events after the pending checkpoint; 0: none is pending */
-  size_t saving_length;          /* saved_length after the pending checkpoint */
+  /* saved_events once the pending checkpoint is stored; 0: no checkpoint is pending */
+  int64_t saving_events;
+  size_t saving_length;    /* saved_length once the pending checkpoint is stored */
   int64_t cached_events;   /* number of events of the text in an earlier batch; 0: not known */
   bool cached_is_complete; /* an earlier batch completed the text */
   LbTime started_at;       /* start time of the current request */
