--- a/packages/core/src/endpoints/lc-roster.c
+++ b/packages/core/src/endpoints/lc-roster.c
@@ -21,7 +21,7 @@
  * second up to MAX_LIST_PERIOD. */
 #define LIST_PERIOD_PER_ENDPOINT (LB_SEC / 400)
 /* A leaving endpoint must get no new requests later than 2 s after its announcement. This period,
- * the store's reply and its processing take half a second less. */
+ * the store's reply and the processing of the reply add up to half a second less. */
 #define MAX_LIST_PERIOD (900 * LB_MSEC)
 #define INITIAL_CAPACITY 16
 /* Maximum number of endpoints added or removed by one list that are logged individually; further
@@ -180,7 +180,8 @@
         index++;
       size_t position = index;
       if (index == n_sorted || strcmp (roster->entries[index].registration.name, name) != 0)
-        position = roster->n_entries - 1; /* just appended if the list names it twice */
+        /* the entry appended last, for a list that names an endpoint twice */
+        position = roster->n_entries - 1;
       bool is_known = position < roster->n_entries
                       && strcmp (roster->entries[position].registration.name, name) == 0;
       changed |= apply_registration (roster, is_known ? &roster->entries[position] : NULL,
--- a/packages/core/src/endpoints/lc-subset.c
+++ b/packages/core/src/endpoints/lc-subset.c
@@ -60,7 +60,7 @@
   int64_t page_size;
   LbTime list_started_at;
   LbTime full_list_at; /* time when the last list of the whole table started */
-  bool fits_one_page;  /* the table fits one page, so there are no bounds */
+  bool fits_one_page;  /* the table fits one page, so the subset of each service has no bound */
 };
 
 LcSubset *
