--- a/packages/core/include/lc-catalog.h
+++ b/packages/core/include/lc-catalog.h
@@ -13,9 +13,9 @@
  * instance takes over, and an instance that has seen no change for about a second lists the rows
  * itself. The table holds nothing beyond what the rows themselves say. No I/O. */
 
-/* Time between two listings by the publisher. A snapshot that is not renewed is used for at
- * most 2.25 periods. With the listing before it and the instance's own listing afterwards, an
- * instance learns of a leaving endpoint within about four periods. */
+/* Time between two listings by the publisher. A snapshot that is not renewed is used for at most
+ * 2.25 periods. Including the listing before the snapshot and the instance's own listing after it,
+ * an instance learns of a leaving endpoint within about four periods. */
 #define LC_CATALOG_LISTING_PERIOD (400 * LB_MSEC)
 #define LC_CATALOG_SNAPSHOT_TIMEOUT (LC_CATALOG_LISTING_PERIOD * 9 / 4)
 
@@ -27,7 +27,7 @@
 lc_catalog_new (const char *instance, const char *incarnation, uint64_t draw, LbTime now);
 void lc_catalog_free (LcCatalog *catalog);
 
-/* Commands that follow the shared table. */
+/* Functions that copy the shared table into an LcCatalog. */
 /* Starts a complete copy of the table: drops all rows held. Each row is then added by
  * lc_catalog_apply_row. */
 void lc_catalog_begin_snapshot (LcCatalog *catalog);
@@ -37,9 +37,9 @@
  * response. Returns true when a new complete snapshot is available. */
 bool lc_catalog_finish_update (LcCatalog *catalog, int64_t store_ms, LbTime now);
 
-/* Commands that publish to the shared table. */
-/* Sets the time between two listings by this instance while it publishes. It is written to the
- * publisher's row. */
+/* Functions that write this instance's listings to the shared table. */
+/* Sets the time between two listings by this instance while it publishes. The time is written to
+ * the publisher's row. */
 void lc_catalog_set_own_period (LcCatalog *catalog, LbTime period);
 /* Sets this instance's position in the order of takeover, not counting the current publisher. 0: it
  * takes over first; negative: it must not publish. */
@@ -55,7 +55,7 @@
 
 /* Replaces this instance's own listing of one list and takes ownership of the items. prefix: start
  * of all item keys, "LIST:". store_ms: the store's clock at the listing; 0: the listing does not
- * age. */
+ * count in the age of the snapshot. */
 void lc_catalog_set_listing (
     LcCatalog *catalog, const char *prefix, LcCatalogItem *items, size_t n_items, int64_t store_ms);
 
@@ -83,7 +83,7 @@
 /* Call when the write with this expected version was refused or its outcome is unknown. */
 void lc_catalog_write_failed (LcCatalog *catalog, int64_t expected_version);
 
-/* queries, which change no state */
+/* Functions that only read an LcCatalog. */
 /* Whether the snapshot is recent enough to use. */
 bool lc_catalog_is_fresh (const LcCatalog *catalog, LbTime now);
 /* Whether this instance must list the rows itself: it publishes, is about to take over, or sees no
@@ -91,7 +91,7 @@
 bool lc_catalog_needs_listing (const LcCatalog *catalog, LbTime now);
 /* Whether this instance is the publisher according to the publisher's row. */
 bool lc_catalog_is_publisher (const LcCatalog *catalog);
-/* Time between two listings of the publisher, according to its row. */
+/* Time between two listings by the publisher, as stated in the publisher's row. */
 LbTime lc_catalog_publish_period (const LcCatalog *catalog);
 /* Name of the instance that published last; "" when none has. */
 const char *lc_catalog_publisher_name (const LcCatalog *catalog);
--- a/packages/core/src/dispatch/lc-router-finish-time.c
+++ b/packages/core/src/dispatch/lc-router-finish-time.c
@@ -153,9 +153,9 @@
                        .capacity_per_second = 1 / (slope * per_slot) };
 }
 
-/* Returns the cost of processing the part of the prompt that is not cached. It includes the delay
- * of concurrent requests, for which estimate_arrivals takes the average number over all endpoints:
- * the number at one endpoint is as old as its report. */
+/* Returns the cost of processing the part of the prompt that is not cached, including the delay of
+ * concurrent requests. Their number is the average over all endpoints (see estimate_arrivals),
+ * since the number at one endpoint is as old as the endpoint's report. */
 static double
 prefill_cost_seconds (const DecisionInputs *inputs, const LcEndpointSummary *summary)
 {
@@ -218,7 +218,9 @@
       total += others + summary->in_flight;
       age += report_age_seconds (inputs, summary);
       sent += summary->live_sent_since_report + PRIOR_SENT_REQUESTS;
-      policy->load_costs[i].seconds = remaining; /* holds the load until compute_all_load_costs */
+      /* seconds holds the candidate's load until compute_all_load_costs replaces it by the load
+       * cost */
+      policy->load_costs[i].seconds = remaining;
     }
   inputs->unreported = unreported * (1 - inputs->group->prefix_bound_share);
   inputs->prefix_bound_per_sent = unreported * inputs->group->prefix_bound_share / sent;
@@ -253,7 +255,7 @@
 /* Returns the level of load cost that is reached if the arrivals are spread over the candidates
  * below the given level; HUGE_VAL if no candidate is below. */
 static double
-level_if_filled_below (const LcPolicy *policy, double arrivals, double level)
+compute_level_filling_below (const LcPolicy *policy, double arrivals, double level)
 {
   double weight = 0;
   double sum = arrivals;
@@ -276,13 +278,13 @@
 static double
 find_fill_level (LcPolicy *policy, double arrivals, double all_filled)
 {
-  double level = level_if_filled_below (policy, arrivals, all_filled * policy->level_ratio);
-  double next = level_if_filled_below (policy, arrivals, level);
+  double level = compute_level_filling_below (policy, arrivals, all_filled * policy->level_ratio);
+  double next = compute_level_filling_below (policy, arrivals, level);
 
   while (next < level)
     {
       level = next;
-      next = level_if_filled_below (policy, arrivals, level);
+      next = compute_level_filling_below (policy, arrivals, level);
     }
   policy->level_ratio = level / all_filled;
   return level;
--- a/packages/core/src/endpoints/lc-subset.c
+++ b/packages/core/src/endpoints/lc-subset.c
@@ -60,7 +60,7 @@
   int64_t page_size;
   LbTime list_started_at;
   LbTime full_list_at; /* time when the last list of the whole table started */
-  bool fits_one_page;  /* the table fits one page, so there are no bounds */
+  bool fits_one_page;  /* the table fits one page, so the subset of each service has no bound */
 };
 
 LcSubset *
@@ -301,8 +301,8 @@
 {
   Service *service = find_or_add_service (subset, name);
 
-  /* Skipped if the subset already contains all endpoints of the service, or if the endpoints of the
-   * last extension are not listed yet. */
+  /* Does nothing if the subset already contains all endpoints of the service, or if the endpoints
+   * of the last extension are not listed yet. */
   if (service->bound[0] == '\0' || service->n_ready < count_wanted_endpoints (subset, service))
     return;
   if (service->grown_at > 0 && now - service->grown_at < MIN_GROWTH_INTERVAL)
--- a/packages/core/src/membership/lc-catalog.c
+++ b/packages/core/src/membership/lc-catalog.c
@@ -31,16 +31,16 @@
 /* One row of the shared table. */
 typedef struct
 {
-  char *key; /* hash key */
+  char *key; /* key of the hash table */
   char *value;
   int64_t version;
   UT_hash_handle hh;
 } TableRow;
 
-/* This instance's own last listing of one list. */
+/* The latest listing by this instance of one list, that is, of all items with one key prefix. */
 typedef struct Listing
 {
-  char *prefix; /* hash key */
+  char *prefix; /* key of the hash table */
   LcCatalogItem *items;
   size_t n_items;
   int64_t store_ms;
@@ -54,7 +54,7 @@
   LbTime fallback_delay;
   int rank;
   TableRow *rows;
-  /* contents of the publisher's row, as last read */
+  /* Contents of the publisher's row, as last read. */
   int64_t publisher_version; /* 0: there is none */
   LbName publisher;
   LbName publisher_incarnation;
@@ -68,12 +68,12 @@
   int64_t change_count;        /* number of row changes applied so far */
   LbTime publisher_changed_at; /* when the publisher's row last changed; initially the time of
                                   lc_catalog_new */
-  /* times of the snapshot (the rows as of the last complete listing) */
+  /* Times of the snapshot, which is the rows as of the last complete listing. */
   LbTime snapshot_valid_at;
   LbTime snapshot_received_at; /* 0: there is none */
-  /* state for publishing */
+  /* State that is used only while this instance publishes. */
   Listing *listings;             /* hash table with one listing for each list */
-  bool all_changes_written;      /* every change of the listings was put into a write */
+  bool all_changes_written;      /* all changes of the listings are in writes that were prepared */
   int64_t last_expected_version; /* expected version of the last write; -1: there was none */
   LbTime last_write_at;
 };
@@ -150,7 +150,7 @@
   return PUBLISHER_KEY;
 }
 
-/* --- following the shared table --- */
+/* --- copying the shared table --- */
 
 void
 lc_catalog_begin_snapshot (LcCatalog *catalog)
@@ -310,7 +310,7 @@
       visit (row->key + length, row->value, row->version, user);
 }
 
-/* --- publishing to the shared table --- */
+/* --- writing listings to the shared table --- */
 
 void
 lc_catalog_set_own_period (LcCatalog *catalog, LbTime period)
@@ -346,7 +346,7 @@
 /* Whether the publisher's row has been absent or unchanged for so long that this instance may take
  * over. */
 static bool
-can_take_over (const LcCatalog *catalog, LbTime now)
+can_take_over_publishing (const LcCatalog *catalog, LbTime now)
 {
   return catalog->rank >= 0
          && now - catalog->publisher_changed_at
@@ -359,7 +359,8 @@
 {
   bool publishes = catalog->rank >= 0 && lc_catalog_is_publisher (catalog);
 
-  return publishes || can_take_over (catalog, now) || !lc_catalog_is_fresh (catalog, now);
+  return publishes || can_take_over_publishing (catalog, now)
+         || !lc_catalog_is_fresh (catalog, now);
 }
 
 void
@@ -394,7 +395,7 @@
   return oldest;
 }
 
-/* Whether a listing has a known age; nothing is published before. */
+/* Whether the age of at least one listing is known; before that, nothing is published. */
 static bool
 has_listing_of_known_age (const LcCatalog *catalog)
 {
@@ -402,7 +403,7 @@
 }
 
 static void
-add_put (LcCatalogWrite *write, LcCatalogPut put)
+append_put_to_write (LcCatalogWrite *write, LcCatalogPut put)
 {
   write->puts = lb_realloc (write->puts, (write->n_puts + 1) * sizeof *write->puts);
   write->puts[write->n_puts++] = put;
@@ -451,8 +452,8 @@
         continue;
       if (write->n_puts > MAX_CHANGES_PER_WRITE)
         return false;
-      add_put (write,
-               (LcCatalogPut){ .key = lb_strdup (item->key), .value = lb_strdup (item->value) });
+      append_put_to_write (write, (LcCatalogPut){ .key = lb_strdup (item->key),
+                                                  .value = lb_strdup (item->value) });
     }
   return true;
 }
@@ -485,7 +486,7 @@
       HASH_FIND_STR (listed_keys, row->key, key);
       fits = key || write->n_puts <= MAX_CHANGES_PER_WRITE;
       if (!key && fits)
-        add_put (write, (LcCatalogPut){ .key = lb_strdup (row->key), .value = NULL });
+        append_put_to_write (write, (LcCatalogPut){ .key = lb_strdup (row->key), .value = NULL });
     }
   HASH_CLEAR (hh, listed_keys);
   free (keys);
@@ -513,7 +514,7 @@
     return false;
   if (!is_last_write_visible && now - catalog->last_write_at < WRITE_TIMEOUT)
     return false;
-  return lc_catalog_is_publisher (catalog) || can_take_over (catalog, now);
+  return lc_catalog_is_publisher (catalog) || can_take_over_publishing (catalog, now);
 }
 
 bool
@@ -522,7 +523,7 @@
   memset (write, 0, sizeof *write);
   if (!can_write_changes (catalog, now))
     return false;
-  add_put (write, (LcCatalogPut){ .key = lb_strdup (PUBLISHER_KEY), .value = NULL });
+  append_put_to_write (write, (LcCatalogPut){ .key = lb_strdup (PUBLISHER_KEY), .value = NULL });
   bool is_complete = add_all_changes (catalog, write);
   write->puts[0].value = format_publisher_row (catalog, is_complete);
   write->expected_version = catalog->publisher_version;
--- a/packages/core/src/membership/lc-fleet.c
+++ b/packages/core/src/membership/lc-fleet.c
@@ -35,9 +35,10 @@
   size_t n_members;
   size_t next_index; /* probable index of the next row's member, since listings keep their order */
   LbTime last_list_at;
-  LbTime delay_allowance; /* added to the time of the missed renewals for the store's current
-                             response time */
-  int64_t store_ms;       /* store's clock at the current listing; 0: unknown */
+  /* added to the silence after which an instance counts as dead, for the store's current response
+   * time */
+  LbTime delay_allowance;
+  int64_t store_ms; /* store's clock at the current listing; 0: unknown */
   bool changed;
 };
 
@@ -182,7 +183,7 @@
 
 /* Whether a row that is seen for the first time was renewed recently, by the store's clock. */
 static bool
-is_row_recent (const LcFleet *fleet, const LcFleetRow *row)
+was_row_renewed_recently (const LcFleet *fleet, const LcFleetRow *row)
 {
   LbTime age = (fleet->store_ms - row->renewed_ms) * LB_MSEC;
   LbTime period = row->period < MAX_RECENT_PERIOD ? row->period : MAX_RECENT_PERIOD;
@@ -207,7 +208,7 @@
       *member = (LcFleetMember){ .row = *row,
                                  .version = version,
                                  .version_seen_at = now,
-                                 .confirmed = is_row_recent (fleet, row),
+                                 .confirmed = was_row_renewed_recently (fleet, row),
                                  .is_new = true };
       fleet->changed = true;
     }
--- a/packages/core/src/rollout/lc-deliver.c
+++ b/packages/core/src/rollout/lc-deliver.c
@@ -47,7 +47,7 @@
   return find_trainer_of_step (rollouts, step)->subscription.strict;
 }
 
-/* Actions that reply to pulls. */
+/* Functions that reply to pulls. */
 
 static LcRolloutAction *
 reply_with_error (
@@ -117,9 +117,10 @@
 
 /* Building and revoking chunks of samples. */
 
-/* Checks independently of the code that chose the sample that its label is complete, it is within
- * the staleness bound, and it was not delivered before. Logs and counts a violation; the caller
- * must not deliver the sample then. An unlabelled or stale sample is generated again. */
+/* Checks a sample independently of the code that chose it: its label must be complete, it must be
+ * within the staleness bound, and it must not have been delivered before. Logs and counts a
+ * violation; the caller must not deliver the sample then. An unlabelled or stale sample is
+ * generated again. */
 static bool
 check_delivery_invariants (LcRollouts *rollouts,
                            LcStep *step,
@@ -404,8 +405,9 @@
   lc_ledger_add_change (&step->ledger, step->closed_at != 0);
 }
 
-/* A cursor of a later session means that another instance took over the step while this one was
- * paused or partitioned. This one could repeat samples that the new owner has delivered. */
+/* A cursor of a later session means that another instance took over the step while this instance
+ * was paused or partitioned. This instance could repeat samples that the new owner has
+ * delivered. */
 static bool
 is_from_later_owner (const LcStep *step, const LcCursor *cursor)
 {
--- a/packages/core/src/rollout/lc-rollouts-state.h
+++ b/packages/core/src/rollout/lc-rollouts-state.h
@@ -15,7 +15,7 @@
   int64_t max_running; /* limit for concurrent generations */
   int64_t n_running;   /* number of running generations in this pool */
   LcVersion newest_version;
-  LbTime version_interval; /* time between new versions; 0: unknown */
+  LbTime version_interval; /* time between new weight versions; 0: unknown */
   LcPace pace;
 } LcRolloutPool;
 
@@ -62,7 +62,7 @@
 /* Returns the pool of this name; creates it if there is none. */
 LcRolloutPool *lc_rollouts_ensure_pool (LcRollouts *rollouts, const char *name);
 LcRequestId lc_rollouts_new_request_id (LcRollouts *rollouts);
-/* Answers the step's pulls with the error, cancels its requests and frees it. */
+/* Answers the step's pulls with the error, cancels the step's requests and frees the step. */
 void
 lc_rollouts_remove_step (LcRollouts *rollouts, LcStep *step, LbErrorCode error, LbList *actions);
 
--- a/packages/core/src/usage/lc-usage-reports.c
+++ b/packages/core/src/usage/lc-usage-reports.c
@@ -123,7 +123,7 @@
 }
 
 static void
-lower_first_window (LcUsageReports *reports, int64_t window_number)
+set_first_window_if_earlier (LcUsageReports *reports, int64_t window_number)
 {
   if (reports->first_window < 0 || window_number < reports->first_window)
     reports->first_window = window_number;
@@ -133,7 +133,7 @@
 lc_usage_reports_add_row_window (LcUsageReports *reports, int64_t window_number)
 {
   if (reports->has_duty && !reports->has_read)
-    lower_first_window (reports, window_number);
+    set_first_window_if_earlier (reports, window_number);
 }
 
 void
@@ -146,7 +146,7 @@
 
   if (!reports->has_duty || reports->has_read || find_window (reports, window_number))
     return;
-  lower_first_window (reports, window_number);
+  set_first_window_if_earlier (reports, window_number);
   window = add_window (reports, window_number);
   window->state = is_sent ? WINDOW_CLOSED : WINDOW_RECORDED;
   window->text = lb_strdup (text);
@@ -260,8 +260,8 @@
   }
 }
 
-/* Until max_delay_ms, rows count as incomplete while the store is unavailable and shortly after:
- * an instance may not have been able to write its row. */
+/* Until max_delay_ms after the end of a window, its rows count as incomplete while the store is
+ * unavailable and shortly after: an instance may not have been able to write its row. */
 static bool
 are_window_rows_complete (const LcUsageReports *reports,
                           const Window *window,
