--- a/packages/core/include/lc-lease.h
+++ b/packages/core/include/lc-lease.h
@@ -102,7 +102,7 @@
 /* Whether this instance may give an order now; check before each order. can_order_unfenced: the
  * endpoint accepts orders with any fencing number. */
 bool lc_lease_allows_order (const LcLease *lease, bool can_order_unfenced, LbTime now);
-int64_t lc_lease_fencing_number (const LcLease *lease);
+int64_t lc_lease_fencing_token (const LcLease *lease);
 bool lc_lease_is_held (const LcLease *lease);
 /* The rank set by lc_lease_set_claim_rank; negative: this instance does not claim the lease. */
 int lc_lease_claim_rank (const LcLease *lease);
--- a/packages/core/src/membership/lc-lease.c
+++ b/packages/core/src/membership/lc-lease.c
@@ -436,7 +436,7 @@
 }
 
 int64_t
-lc_lease_fencing_number (const LcLease *lease)
+lc_lease_fencing_token (const LcLease *lease)
 {
   return lease->row.fence;
 }
--- a/packages/core/tests/test-lease.c
+++ b/packages/core/tests/test-lease.c
@@ -261,13 +261,13 @@
 {
   run_simulation (3 * LB_SEC);
   cr_assert_eq (find_active_holder (), 0);
-  int64_t fence = lc_lease_fencing_number (holders[0].lease);
+  int64_t fence = lc_lease_fencing_token (holders[0].lease);
   for (int i = 0; i < 60; i++)
     {
       run_simulation (LB_SEC);
       cr_assert_eq (find_active_holder (), 0);
     }
-  cr_assert_eq (lc_lease_fencing_number (holders[0].lease), fence);
+  cr_assert_eq (lc_lease_fencing_token (holders[0].lease), fence);
 }
 
 /* The holder's process dies. Another instance must hold the lease, with a higher fencing number,
@@ -281,12 +281,12 @@
       start_holders ();
       gsl_rng_set (rng, (unsigned long)i + 1);
       run_simulation (3 * LB_SEC + i * 50 * LB_MSEC);
-      int64_t fence = lc_lease_fencing_number (holders[0].lease);
+      int64_t fence = lc_lease_fencing_token (holders[0].lease);
       holders[0].paused_until = INT64_MAX;
       holders[1].paused_until = INT64_MAX;
       LbTime gap = run_until_other_holder_can_order (0, 20 * LB_SEC);
       cr_assert_leq (gap, 8 * LB_SEC);
-      cr_assert_gt (lc_lease_fencing_number (holders[2].lease), fence);
+      cr_assert_gt (lc_lease_fencing_token (holders[2].lease), fence);
       cr_assert_not (
           lc_lease_allows_order (holders[2].lease, true, read_holder_clock (&holders[2])));
       run_simulation (10 * LB_SEC - gap);
@@ -431,7 +431,7 @@
   lost_reply_ratio = 1.0;
   run_simulation (LB_SEC / 2);
   cr_assert_eq (find_active_holder (), 0);
-  cr_assert_eq (lc_lease_fencing_number (holders[0].lease), 1);
+  cr_assert_eq (lc_lease_fencing_token (holders[0].lease), 1);
 }
 
 /* Most reads are answered by a lagging replica. After a handover the new holder must not drop and
@@ -447,7 +447,7 @@
   run_until_other_holder_can_order (0, 10 * LB_SEC);
   int next = find_active_holder ();
   cr_assert_gt (next, 0);
-  int64_t fence = lc_lease_fencing_number (holders[next].lease);
+  int64_t fence = lc_lease_fencing_token (holders[next].lease);
   stale_read_ratio = 0.7;
   for (int i = 0; i < 100; i++)
     {
--- a/packages/node/src/duties/ln-duty-lease.c
+++ b/packages/node/src/duties/ln-duty-lease.c
@@ -249,7 +249,7 @@
 }
 
 int64_t
-ln_duty_lease_fencing_number (const LnDutyLease *lease)
+ln_duty_lease_fencing_token (const LnDutyLease *lease)
 {
-  return lc_lease_fencing_number (lease->lease);
+  return lc_lease_fencing_token (lease->lease);
 }
--- a/packages/node/src/duties/ln-duty-lease.h
+++ b/packages/node/src/duties/ln-duty-lease.h
@@ -38,6 +38,6 @@
 /* Whether this instance may make a call of the duty now; check before each call.
  * fence_is_unchecked: the receiver accepts calls with any fencing number. */
 bool ln_duty_lease_allows_call (const LnDutyLease *lease, bool fence_is_unchecked, LbTime now);
-int64_t ln_duty_lease_fencing_number (const LnDutyLease *lease);
+int64_t ln_duty_lease_fencing_token (const LnDutyLease *lease);
 
 #endif
--- a/packages/node/src/duties/ln-scaler.c
+++ b/packages/node/src/duties/ln-scaler.c
@@ -117,7 +117,7 @@
 {
   const LnContext *context = scaler->context;
   const LnDutyHolder holder
-      = { .holder = context->instance, .fence = ln_duty_lease_fencing_number (scaler->lease) };
+      = { .holder = context->instance, .fence = ln_duty_lease_fencing_token (scaler->lease) };
   const LnScaleOrder scale = { .service = order->service,
                                .data_centre = order->data_centre,
                                .endpoints = order->endpoints,
--- a/packages/node/src/duties/ln-usage-reporter.c
+++ b/packages/node/src/duties/ln-usage-reporter.c
@@ -401,7 +401,7 @@
 {
   const LnContext *context = reporter->context;
   const LnDutyHolder holder
-      = { .holder = context->instance, .fence = ln_duty_lease_fencing_number (reporter->lease) };
+      = { .holder = context->instance, .fence = ln_duty_lease_fencing_token (reporter->lease) };
   LcOutgoingRequest outgoing;
 
   context->dialect->write_usage (&holder, action->window, action->text, &outgoing);
--- a/packages/node/src/rollout/ln-pool-controller.c
+++ b/packages/node/src/rollout/ln-pool-controller.c
@@ -379,11 +379,11 @@
   char *body = lb_asprintf ("{\"order\": \"load_weights\", \"pool\": \"%s\", \"version\": %lld, "
                             "\"fence\": %lld}",
                             controller->pool, (long long)action->version,
-                            (long long)lc_lease_fencing_number (controller->lease));
+                            (long long)lc_lease_fencing_token (controller->lease));
 
   lb_log (LB_LOG_INFO, "weights_order", LB_TEXT ("pool", controller->pool),
           LB_TEXT ("endpoint", action->endpoint), LB_INT ("version", action->version),
-          LB_INT ("fence", lc_lease_fencing_number (controller->lease)));
+          LB_INT ("fence", lc_lease_fencing_token (controller->lease)));
   request.body = body;
   request.body_length = strlen (body);
   if (engine->order_request)
--- a/packages/node/src/rollout/ln-pool-controllers.c
+++ b/packages/node/src/rollout/ln-pool-controllers.c
@@ -243,7 +243,7 @@
 {
   struct json_object *message = json_object_new_object ();
 
-  controller->highest_fence = lc_lease_fencing_number (controller->lease);
+  controller->highest_fence = lc_lease_fencing_token (controller->lease);
   post_newest_version_to_rollouts (controller->task, controller->pool, status->target,
                                    status->version_interval);
   json_object_object_add (message, "type", json_object_new_string ("newest"));
--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -422,7 +422,7 @@
   LnWeightsOrder order = { .endpoint = action->endpoint,
                            .version = action->version,
                            .holder = orders->context->instance,
-                           .fence = ln_duty_lease_fencing_number (orders->lease),
+                           .fence = ln_duty_lease_fencing_token (orders->lease),
                            .mode = LN_SWAP_KEEP_STREAMS };
 
   if (!engine)
