--- a/packages/core/include/lc-lease.h
+++ b/packages/core/include/lc-lease.h
@@ -16,7 +16,7 @@
 {
   LbName holder;
   char incarnation[40];
-  int64_t fence;   /* fencing number; incremented by each claim */
+  int64_t fence;   /* fencing token; incremented by each claim */
   int64_t renewal; /* counter of the holder's writes; identifies a write whose reply was lost */
   bool released;
 } LcLeaseRow;
@@ -83,7 +83,7 @@
 void lc_lease_release (LcLease *lease, LbTime now, LbList *actions);
 /* Notes that the process that wrote this version of the row has ended (see
  * lc_lease_holder_has_ended): candidates need not wait for the lease to expire. Orders of that
- * process still in transit are refused because of the next holder's higher fencing number, or
+ * process still in transit are refused because of the next holder's higher fencing token, or
  * expire before its first order (see lc_lease_allows_order). */
 void lc_lease_mark_holder_ended (LcLease *lease, int64_t version, LbTime now);
 /* Liveness of the lease's holder, from its instance row. */
@@ -92,7 +92,7 @@
   const char *incarnation;
   int64_t row_version;        /* store version of the holder's instance row */
   bool alive;                 /* the holder still renews its instance row */
-  bool endpoints_check_fence; /* every endpoint refuses orders with an old fencing number */
+  bool endpoints_check_fence; /* every endpoint refuses orders with an old fencing token */
 } LcLeaseHolderView;
 
 /* Makes the next tick read the row, since another instance reported that it released the lease. */
@@ -100,7 +100,7 @@
 
 /* Functions that only read an LcLease. */
 /* Whether this instance may give an order now; check before each order. can_order_unfenced: the
- * endpoint accepts orders with any fencing number. */
+ * endpoint accepts orders with any fencing token. */
 bool lc_lease_allows_order (const LcLease *lease, bool can_order_unfenced, LbTime now);
 int64_t lc_lease_fencing_token (const LcLease *lease);
 bool lc_lease_is_held (const LcLease *lease);
--- a/packages/core/src/membership/lc-lease.c
+++ b/packages/core/src/membership/lc-lease.c
@@ -37,10 +37,10 @@
   /* end of the lease on this instance's clock; no orders are given from this time on */
   LbTime valid_until;
   LbTime lost_at;   /* when the lease was last lost; 0: never */
-  LbTime gained_at; /* when the lease was gained with the fencing number gained_fence */
+  LbTime gained_at; /* when the lease was gained with the fencing token gained_fence */
   int64_t gained_fence;
   bool gained_from_another; /* another instance held the lease between this instance's last two
-                               claims, as a gap in the fencing numbers shows */
+                               claims, as a gap in the fencing tokens shows */
   bool needs_confirmation;  /* after a pause: no orders until a renewal started since paused_at has
                                succeeded */
   LbTime paused_at;
@@ -105,7 +105,7 @@
 
 /* With these durations another instance takes over less than 10 s after the holder crashes: a poll
  * (1 s) until the last renewal is seen, the lease's duration (4 s), another poll (1 s), the claim
- * delay of two ranks (1 s) and, for endpoints that do not check fencing numbers, the lifetime of an
+ * delay of two ranks (1 s) and, for endpoints that do not check fencing tokens, the lifetime of an
  * order (2 s). */
 void
 lc_lease_settings_init (LcLeaseSettings *settings)
@@ -390,7 +390,7 @@
 
 /* A newer incarnation under the holder's name shows that the holder was restarted. A holder that no
  * longer renews its instance row may merely be cut off from the store. But endpoints that have seen
- * the next holder's fencing number refuse its orders, and it stops by itself when its lease
+ * the next holder's fencing token refuse its orders, and it stops by itself when its lease
  * expires. */
 bool
 lc_lease_holder_has_ended (const LcLease *lease, const LcLeaseHolderView *view)
@@ -422,7 +422,7 @@
          && now < lease->lost_at + lease->settings.reacquire_delay;
 }
 
-/* An endpoint that does not check fencing numbers could carry out an order of the previous holder
+/* An endpoint that does not check fencing tokens could carry out an order of the previous holder
  * after one of this instance. So it gets its first order only when orders of the previous holder
  * have expired; the weight version that it then reports is read back. */
 bool
--- a/packages/core/tests/test-lease.c
+++ b/packages/core/tests/test-lease.c
@@ -270,9 +270,9 @@
   cr_assert_eq (lc_lease_fencing_token (holders[0].lease), fence);
 }
 
-/* The holder's process dies. Another instance must hold the lease, with a higher fencing number,
+/* The holder's process dies. Another instance must hold the lease, with a higher fencing token,
  * and be able to give all orders within 10 s, including the wait for endpoints that do not check
- * fencing numbers. */
+ * fencing tokens. */
 Test (lease, crash_leaves_no_gap_over_ten_seconds)
 {
   for (int i = 0; i < 20; i++)
@@ -458,7 +458,7 @@
 }
 
 /* Long randomised run: clocks 1 % apart, lost replies, stale reads, store outages, slow writes and
- * pauses. run_simulation asserts that there are never two holders; the fencing number must never
+ * pauses. run_simulation asserts that there are never two holders; the fencing token must never
  * decrease. */
 Test (lease, never_two_holders_in_a_long_run)
 {
--- a/packages/node/include/ln-dialect.h
+++ b/packages/node/include/ln-dialect.h
@@ -91,7 +91,7 @@
   LN_ORDER_ACCEPTED,
   LN_ORDER_ALREADY_DONE, /* the engine already has the weight version */
   LN_ORDER_BUSY,         /* another order is in progress, or orders_before differs */
-  LN_ORDER_STALE_FENCE,  /* the engine has seen a higher fencing number */
+  LN_ORDER_STALE_FENCE,  /* the engine has seen a higher fencing token */
   LN_ORDER_REFUSED       /* the engine refused the order for another reason */
 } LnOrderOutcome;
 
@@ -110,7 +110,7 @@
   const char *model;
   LcVersion version;
   const char *holder; /* instance that holds the lease for weight orders */
-  int64_t fence;      /* fencing number of the holder's lease */
+  int64_t fence;      /* fencing token of the holder's lease */
   LnSwapMode mode;
   /* Number of orders accepted by the engine. The engine refuses this order if its count differs. */
   int64_t orders_before;
@@ -143,7 +143,7 @@
 typedef struct
 {
   const char *holder; /* name of the instance */
-  int64_t fence;      /* fencing number of the lease */
+  int64_t fence;      /* fencing token of the lease */
 } LnDutyHolder;
 
 /* Target number of endpoints of a service in one data centre. */
@@ -161,7 +161,7 @@
   LN_DUTY_DONE,
   LN_DUTY_NO_ANSWER, /* the call may have taken effect, or may still do so */
   LN_DUTY_BUSY,      /* rejected by a rate limit, or the platform failed */
-  LN_DUTY_REFUSED    /* the fencing number is outdated, or the call is not available */
+  LN_DUTY_REFUSED    /* the fencing token is outdated, or the call is not available */
 } LnDutyOutcome;
 
 /* What a row of the operators' table contains. */
--- a/packages/node/include/ln-settings.h
+++ b/packages/node/include/ln-settings.h
@@ -90,13 +90,13 @@
     LbName address; /* address of the platform's duty API; empty: the platform has none */
     LbName *kinds;  /* names of the duties that the platform wants performed */
     size_t n_kinds;
-    bool platform_checks_fence; /* the platform rejects calls with an outdated fencing number */
+    bool platform_checks_fence; /* the platform rejects calls with an outdated fencing token */
     int64_t usage_window_s;     /* length of the time window of one usage report */
     int64_t usage_due_s; /* time limit for reporting the usage of a window after the window's end */
   } duties;
   struct
   {
-    bool endpoints_check_fence; /* endpoints reject weight orders with an outdated fencing number */
+    bool endpoints_check_fence; /* endpoints reject weight orders with an outdated fencing token */
   } weights;
   char address_file[256]; /* path of a file to which the bound addresses are written; empty: none */
   char record[256];       /* path of the trace file to record; empty: none */
--- a/packages/node/src/duties/ln-duty-lease.c
+++ b/packages/node/src/duties/ln-duty-lease.c
@@ -17,7 +17,7 @@
  * trainers continue. Even if the store is 60 times slower than usual, a renewal (a read and a
  * write) takes only half a second. */
 #define LEASE_DURATION (2 * LB_SEC)
-/* Lease duration if engines accept orders with any fencing number: such an engine must not get
+/* Lease duration if engines accept orders with any fencing token: such an engine must not get
  * orders of two alternating holders within 3 s. */
 #define UNFENCED_LEASE_DURATION (3200 * LB_MSEC)
 #define RENEWAL_PERIOD (500 * LB_MSEC)     /* allows three renewals within LEASE_DURATION */
--- a/packages/node/src/duties/ln-duty-lease.h
+++ b/packages/node/src/duties/ln-duty-lease.h
@@ -11,7 +11,7 @@
 typedef struct LnDutyLease LnDutyLease;
 
 /* duty: name of the duty, not copied. receivers_check_fence: receivers of the holder's calls refuse
- * an old fencing number. on_change: called when this instance gained or lost the lease, after which
+ * an old fencing token. on_change: called when this instance gained or lost the lease, after which
  * state from before the change is outdated. */
 LnDutyLease *ln_duty_lease_new (LnContext *context,
                                 const char *duty,
@@ -24,10 +24,10 @@
 /* Sets the instances from which the candidates are chosen. */
 void ln_duty_lease_set_members (LnDutyLease *lease, const LnMembersMessage *members);
 /* Renews or claims the lease if due. all_check_fences: every current receiver of the holder's calls
- * refuses an old fencing number. */
+ * refuses an old fencing token. */
 void ln_duty_lease_tick (LnDutyLease *lease, bool all_check_fences, LbTime now);
 /* Reads the lease's row at the next tick. Call it when a receiver refused a call because of the
- * call's fencing number. */
+ * call's fencing token. */
 void ln_duty_lease_request_read (LnDutyLease *lease, LbTime now);
 void ln_duty_lease_release (LnDutyLease *lease, LbTime now);
 
@@ -36,7 +36,7 @@
 bool ln_duty_lease_is_candidate (const LnDutyLease *lease);
 bool ln_duty_lease_is_released (const LnDutyLease *lease, LbTime now);
 /* Whether this instance may make a call of the duty now; check before each call.
- * fence_is_unchecked: the receiver accepts calls with any fencing number. */
+ * fence_is_unchecked: the receiver accepts calls with any fencing token. */
 bool ln_duty_lease_allows_call (const LnDutyLease *lease, bool fence_is_unchecked, LbTime now);
 int64_t ln_duty_lease_fencing_token (const LnDutyLease *lease);
 
--- a/packages/node/src/duties/ln-scaler.c
+++ b/packages/node/src/duties/ln-scaler.c
@@ -96,7 +96,7 @@
 }
 
 /* Requests a read of the lease after a refusal, which may mean that another instance holds the
- * lease now and has a higher fencing number. */
+ * lease now and has a higher fencing token. */
 static void
 on_scaling_order_answered (LnDutyOutcome outcome, void *user)
 {
--- a/packages/node/src/duties/ln-usage-reporter.c
+++ b/packages/node/src/duties/ln-usage-reporter.c
@@ -522,7 +522,7 @@
 void
 ln_usage_reporter_tick (LnUsageReporter *reporter, int64_t true_ms, LbTime now)
 {
-  /* true: the platform accepts calls with an outdated fencing number */
+  /* true: the platform accepts calls with an outdated fencing token */
   bool fence_is_unchecked = !reporter->context->settings->duties.platform_checks_fence;
   LcUsageAction action;
 
--- a/packages/node/src/rollout/ln-pool-controller.h
+++ b/packages/node/src/rollout/ln-pool-controller.h
@@ -21,7 +21,7 @@
   LbTime next_newest_query_at;
   LbTime next_announcement_at;
   LcVersion announced_version; /* version last announced to the other tasks and instances */
-  int64_t highest_fence;       /* highest fencing number in an announcement of the newest version */
+  int64_t highest_fence;       /* highest fencing token in an announcement of the newest version */
 } LnPoolController;
 
 /* An operation of the platform in progress: a read or write of the lease row, or a query of the
--- a/packages/node/src/rollout/ln-pool-controllers.c
+++ b/packages/node/src/rollout/ln-pool-controllers.c
@@ -283,7 +283,7 @@
 }
 
 /* Handles a newest version that the lease holder announced. Ignores an announcement with an old
- * fencing number: an earlier lease holder may have been paused while sending it. */
+ * fencing token: an earlier lease holder may have been paused while sending it. */
 static void
 receive_newest_version (LnConfigTask *task, struct json_object *message)
 {
--- a/packages/node/src/rollout/ln-step-store.h
+++ b/packages/node/src/rollout/ln-step-store.h
@@ -21,7 +21,7 @@
   char incarnation[40];
   LbName address;        /* address at which the owner accepts callers */
   char content_hash[24]; /* part of the key of the object with the trainer's request */
-  uint64_t session;      /* fencing number, incremented by each claim */
+  uint64_t session;      /* fencing token, incremented by each claim */
   int64_t row_version;   /* version of the row in the store; 0 if the row is absent */
 } LnStepOwner;
 
