--- a/packages/http/include/lh-reach.h
+++ b/packages/http/include/lh-connect-probe.h
@@ -1,5 +1,5 @@
-#ifndef LH_REACH_H
-#define LH_REACH_H
+#ifndef LH_CONNECT_PROBE_H
+#define LH_CONNECT_PROBE_H
 
 #include "lb-error.h"
 
--- a/packages/http/src/lh-reach.c
+++ b/packages/http/src/lh-connect-probe.c
@@ -1,4 +1,4 @@
-#include "lh-reach.h"
+#include "lh-connect-probe.h"
 
 #include "lb-alloc.h"
 #include "lb-time.h"
--- a/packages/http/tests/test-reach.c
+++ b/packages/http/tests/test-connect-probe.c
@@ -1,4 +1,4 @@
-#include "lh-reach.h"
+#include "lh-connect-probe.h"
 
 #include "lb-clock.h"
 
@@ -68,7 +68,7 @@
   probe_with_hold_time (f, connect_timeout, 0);
 }
 
-Test (reach, reports_a_listener_as_open)
+Test (connect_probe, reports_a_listener_as_open)
 {
   Fixture f;
 
@@ -78,7 +78,7 @@
   fixture_clear (&f);
 }
 
-Test (reach, reports_a_port_without_listener_as_refused)
+Test (connect_probe, reports_a_port_without_listener_as_refused)
 {
   Fixture f;
 
@@ -92,7 +92,7 @@
 
 /* A host that is off or unreachable doesn't answer a connect, nor does a listener with a full
  * accept queue. The probe must report "no answer", which is no proof that the process has ended. */
-Test (reach, reports_unanswered_connect_as_no_answer)
+Test (connect_probe, reports_unanswered_connect_as_no_answer)
 {
   Fixture f;
   struct sockaddr_in at = { 0 };
@@ -128,7 +128,7 @@
 /* On a busy host, the kernel closes an exiting process's connections first and its listening socket
  * a moment later. A connection opened in between is accepted and then reset; the probe must report
  * it as closed. */
-Test (reach, reports_a_listener_about_to_stop_as_closed)
+Test (connect_probe, reports_a_listener_about_to_stop_as_closed)
 {
   const struct timeval soon = { .tv_usec = 20000 };
   Fixture f;
@@ -142,7 +142,7 @@
   fixture_clear (&f);
 }
 
-Test (reach, reports_a_listener_open_until_the_hold_time_ends_as_open)
+Test (connect_probe, reports_a_listener_open_until_the_hold_time_ends_as_open)
 {
   Fixture f;
 
@@ -152,7 +152,7 @@
   fixture_clear (&f);
 }
 
-Test (reach, malformed_address_is_refused_and_cancel_calls_no_handler)
+Test (connect_probe, malformed_address_is_refused_and_cancel_calls_no_handler)
 {
   const LhConnectProbeTimes times = { .connect_timeout = LB_SEC };
   Fixture f;
--- a/packages/node/src/endpoints/ln-endpoint-checks.c
+++ b/packages/node/src/endpoints/ln-endpoint-checks.c
@@ -7,7 +7,7 @@
 #include "lb-counter.h"
 #include "lb-list.h"
 #include "lb-log.h"
-#include "lh-reach.h"
+#include "lh-connect-probe.h"
 
 #include <json-c/json.h>
 #include <stdlib.h>
