--- a/packages/node/src/duties/ln-duty-lease.c
+++ b/packages/node/src/duties/ln-duty-lease.c
@@ -17,7 +17,7 @@
  * trainers continue. Even if the store is 60 times slower than usual, a renewal (a read and a
  * write) takes only half a second. */
 #define LEASE_DURATION (2 * LB_SEC)
-/* Lease duration if engines accept orders with any fencing number: such an engine must not get
+/* Lease duration if engines accept orders with any fencing token: such an engine must not get
  * orders of two alternating holders within 3 s. */
 #define UNFENCED_LEASE_DURATION (3200 * LB_MSEC)
 #define RENEWAL_PERIOD (500 * LB_MSEC)     /* allows three renewals within LEASE_DURATION */
@@ -249,7 +249,7 @@
 }
 
 int64_t
-ln_duty_lease_fencing_number (const LnDutyLease *lease)
+ln_duty_lease_fencing_token (const LnDutyLease *lease)
 {
-  return lc_lease_fencing_number (lease->lease);
+  return lc_lease_fencing_token (lease->lease);
 }
--- a/packages/node/src/duties/ln-scaler.c
+++ b/packages/node/src/duties/ln-scaler.c
@@ -96,7 +96,7 @@
 }
 
 /* Requests a read of the lease after a refusal, which may mean that another instance holds the
- * lease now and has a higher fencing number. */
+ * lease now and has a higher fencing token. */
 static void
 on_scaling_order_answered (LnDutyOutcome outcome, void *user)
 {
@@ -107,8 +107,8 @@
   if (outcome == LN_DUTY_REFUSED)
     ln_duty_lease_request_read (scaler->lease, now);
   if (call->duty_epoch == scaler->duty_epoch)
-    lc_scaling_finish_order (scaler->scaling, &call->order, convert_to_scaling_outcome (outcome),
-                             now);
+    lc_scaling_record_order_outcome (scaler->scaling, &call->order,
+                                     convert_to_scaling_outcome (outcome), now);
   free (call);
 }
 
@@ -117,7 +117,7 @@
 {
   const LnContext *context = scaler->context;
   const LnDutyHolder holder
-      = { .holder = context->instance, .fence = ln_duty_lease_fencing_number (scaler->lease) };
+      = { .holder = context->instance, .fence = ln_duty_lease_fencing_token (scaler->lease) };
   const LnScaleOrder scale = { .service = order->service,
                                .data_centre = order->data_centre,
                                .endpoints = order->endpoints,
--- a/packages/node/src/rollout/ln-pool-controllers.c
+++ b/packages/node/src/rollout/ln-pool-controllers.c
@@ -86,7 +86,7 @@
 }
 
 void
-ln_pool_controllers_update_ranks (LnConfigTask *task)
+ln_pool_controllers_update_lease_ranks (LnConfigTask *task)
 {
   update_lease_ranks (task);
 }
@@ -243,7 +243,7 @@
 {
   struct json_object *message = json_object_new_object ();
 
-  controller->highest_fence = lc_lease_fencing_number (controller->lease);
+  controller->highest_fence = lc_lease_fencing_token (controller->lease);
   post_newest_version_to_rollouts (controller->task, controller->pool, status->target,
                                    status->version_interval);
   json_object_object_add (message, "type", json_object_new_string ("newest"));
@@ -283,7 +283,7 @@
 }
 
 /* Handles a newest version that the lease holder announced. Ignores an announcement with an old
- * fencing number: an earlier lease holder may have been paused while sending it. */
+ * fencing token: an earlier lease holder may have been paused while sending it. */
 static void
 receive_newest_version (LnConfigTask *task, struct json_object *message)
 {
@@ -300,7 +300,7 @@
 /* Handles a message from another instance. Returns false if its type is not one of the pool
  * controllers. */
 bool
-ln_pool_controllers_handle_peer_message (LnConfigTask *task, struct json_object *message)
+ln_pool_controllers_receive_announcement (LnConfigTask *task, struct json_object *message)
 {
   const char *type = lb_json_text (message, "type", "");
   LbTime now = lb_clock_monotonic ();
@@ -344,7 +344,7 @@
   LcWeightsStatus status;
   struct json_object *object = json_object_new_object ();
 
-  lc_weights_status (controller->weights, lb_clock_monotonic (), &status);
+  lc_weights_get_status (controller->weights, lb_clock_monotonic (), &status);
   json_object_object_add (object, "pool", json_object_new_string (controller->pool));
   json_object_object_add (object, "version", json_object_new_int64 (status.target));
   json_object_object_add (object, "engines", json_object_new_int64 ((int64_t)status.engines));
@@ -363,7 +363,7 @@
 /* Adds "leases", the leases of all pools, and "roll_outs", the weight roll-outs of the pools whose
  * lease this instance holds. */
 void
-ln_pool_controllers_add_status (LnConfigTask *task, struct json_object *status)
+ln_pool_controllers_add_status_to_json (LnConfigTask *task, struct json_object *status)
 {
   struct json_object *leases = json_object_new_array ();
   struct json_object *roll_outs = json_object_new_array ();
