--- a/fuzz/fuzz-resources.c
+++ b/fuzz/fuzz-resources.c
@@ -40,7 +40,7 @@
   if (set)
     check_json_round_trip (set);
   lc_resource_set_free (set);
-  set = lc_change_apply (&empty, object, "input", &error);
+  set = lc_change_apply_to_resource_set (&empty, object, "input", &error);
   if (set)
     check_json_round_trip (set);
   lc_resource_set_free (set);
--- a/packages/cli/src/lt-apply.c
+++ b/packages/cli/src/lt-apply.c
@@ -49,7 +49,7 @@
       lt_print_error (&error);
       goto out;
     }
-  new_set = lc_change_apply (set, change, source_name, &error);
+  new_set = lc_change_apply_to_resource_set (set, change, source_name, &error);
   if (!new_set)
     {
       lt_print_error (&error);
--- a/packages/cli/src/lt-cost.c
+++ b/packages/cli/src/lt-cost.c
@@ -251,8 +251,8 @@
       if (lc_dispatch_receive_piece (step->dispatch, send->request, send->attempt, &piece,
                                      step->now, &step->actions)
           == LC_PIECE_FORWARD)
-        lc_rollouts_add_piece (step->rollouts, send->request, &piece, send->endpoint, step->now,
-                               &step->rollout_actions);
+        lc_rollouts_add_generated_piece (step->rollouts, send->request, &piece, send->endpoint,
+                                         step->now, &step->rollout_actions);
     }
   lc_dispatch_record_attempt_end (step->dispatch, send->request, send->attempt, LC_END_COMPLETE,
                                   step->now, &step->actions);
@@ -359,9 +359,9 @@
                      .wait_until = step->now + LB_SEC };
 
   step->now += 100 * LB_MSEC;
-  lc_rollouts_handle_pull (step->rollouts, &request, step->now, &step->rollout_actions);
+  lc_rollouts_accept_pull (step->rollouts, &request, step->now, &step->rollout_actions);
   execute_pending_actions (step);
-  if (lc_rollouts_next_tick (step->rollouts) <= step->now)
+  if (lc_rollouts_next_tick_at (step->rollouts) <= step->now)
     lc_rollouts_tick (step->rollouts, step->now, &step->rollout_actions);
   if (lc_dispatch_next_tick (step->dispatch) <= step->now)
     lc_dispatch_tick (step->dispatch, step->now, &step->actions);
@@ -540,7 +540,7 @@
   for (size_t i = 0; i < OPERATIONS_PER_SLOW_MEASUREMENT; i++)
     {
       double before = get_allocated_heap_bytes ();
-      LcResourceSet *next = lc_change_apply (set, change, "cost", &error);
+      LcResourceSet *next = lc_change_apply_to_resource_set (set, change, "cost", &error);
       memory = get_allocated_heap_bytes () - before;
       lc_resource_set_free (next);
     }
--- a/packages/cli/src/lt-get.c
+++ b/packages/cli/src/lt-get.c
@@ -164,7 +164,7 @@
       code = lt_print_error (&error);
       goto out;
     }
-  new_set = lc_change_apply (set, change, options->files->filename[0], &error);
+  new_set = lc_change_apply_to_resource_set (set, change, options->files->filename[0], &error);
   if (!new_set)
     {
       lt_print_error (&error);
--- a/packages/core/include/lc-batch-head.h
+++ b/packages/core/include/lc-batch-head.h
@@ -35,9 +35,9 @@
 const char *lc_batch_head_assigned_instance (const LcBatchHead *head);
 /* Whether the next batch of a model is assigned to the instance of batch a rather than to that of
  * batch b. The versions are those of the batches' rows in the store. */
-bool lc_batch_head_is_preferred_over (const LcBatchHead *a,
-                                      int64_t row_version_a,
-                                      const LcBatchHead *b,
-                                      int64_t row_version_b);
+bool lc_batch_head_has_next_batch_priority_over (const LcBatchHead *a,
+                                                 int64_t row_version_a,
+                                                 const LcBatchHead *b,
+                                                 int64_t row_version_b);
 
 #endif
--- a/packages/core/include/lc-batch.h
+++ b/packages/core/include/lc-batch.h
@@ -72,7 +72,7 @@
   /* Cancel `request`, then call lc_batch_finish_generation with LB_ERROR_CLOSED. Add no piece of
    * the request after that call: another endpoint continues the text after the last added piece. */
   LC_BATCH_PREEMPT,
-  LC_BATCH_WRITE_RESULTS, /* write `results`, then call lc_batch_finish_write */
+  LC_BATCH_WRITE_RESULTS, /* write `results`, then call lc_batch_finish_result_write */
   /* Save `parts`, the events added since the last checkpoint, for the next owner of the batch; then
    * call lc_batch_finish_checkpoint. */
   LC_BATCH_CHECKPOINT
@@ -94,7 +94,7 @@
   /* Members set for LC_BATCH_CHECKPOINT; valid until the batch is next changed. */
   LcBatchTextPart *parts;
   size_t n_parts;
-  /* Members set for LC_BATCH_WRITE_RESULTS; valid until lc_batch_finish_write. */
+  /* Members set for LC_BATCH_WRITE_RESULTS; valid until lc_batch_finish_result_write. */
   int64_t first_position; /* position of results[0] */
   const LcBatchResult *const *results;
   size_t n_results;
@@ -132,18 +132,18 @@
 /* Functions that change an LcBatch. They append the actions that the caller must carry out. */
 
 /* Marks an item whose result an earlier owner has already listed. Call before lc_batch_start. */
-void lc_batch_mark_item_listed (LcBatch *batch, const char *item_id);
+void lc_batch_mark_item_result_stored (LcBatch *batch, const char *item_id);
 void lc_batch_start (LcBatch *batch, LbTime now, LbList *actions);
 /* Restores part of a text from the checkpoint of an earlier owner. Call before lc_batch_start, with
  * the parts of an item ordered by `restarts`, then `first_event`. */
-void lc_batch_restore_text_part (LcBatch *batch, const LcBatchTextPart *part);
+void lc_batch_restore_checkpointed_text (LcBatch *batch, const LcBatchTextPart *part);
 /* Adds one event to the text that the request generates. */
-void lc_batch_add_piece (LcBatch *batch,
-                         LcRequestId request,
-                         LcVersion version,
-                         const char *endpoint,
-                         const char *text,
-                         LbTime now);
+void lc_batch_add_streamed_event (LcBatch *batch,
+                                  LcRequestId request,
+                                  LcVersion version,
+                                  const char *endpoint,
+                                  const char *text,
+                                  LbTime now);
 /* Handles the end of a generation request; LB_OK: the text is complete. */
 void lc_batch_finish_generation (
     LcBatch *batch, LcRequestId request, LbErrorCode error, LbTime now, LbList *actions);
@@ -155,10 +155,10 @@
                               LbList *actions);
 /* Handles the outcome of the write in progress. A failed write is retried with the same results at
  * the same positions. */
-void lc_batch_finish_write (LcBatch *batch, bool ok, LbTime now, LbList *actions);
+void lc_batch_finish_result_write (LcBatch *batch, bool ok, LbTime now, LbList *actions);
 void lc_batch_tick (LcBatch *batch, LbTime now, LbList *actions);
 /* Appends LC_BATCH_CHECKPOINT if any text has enough new events to be worth saving. */
-void lc_batch_checkpoint (LcBatch *batch, LbTime now, LbList *actions);
+void lc_batch_begin_checkpoint (LcBatch *batch, LbTime now, LbList *actions);
 void lc_batch_finish_checkpoint (LcBatch *batch, bool ok);
 /* Cancels all requests; afterwards no results are written. Stores the texts of incomplete groups in
  * the text cache for a later batch that requests the groups again. */
@@ -167,8 +167,8 @@
 /* Functions that only read an LcBatch. */
 
 const LcBatchSpec *lc_batch_get_spec (const LcBatch *batch);
-int64_t lc_batch_count_listed_results (const LcBatch *batch);
-bool lc_batch_is_done (const LcBatch *batch);
+int64_t lc_batch_count_items_with_stored_result (const LcBatch *batch);
+bool lc_batch_has_stored_all_results (const LcBatch *batch);
 LbTime lc_batch_next_tick_at (const LcBatch *batch);
 
 #endif
--- a/packages/core/include/lc-change.h
+++ b/packages/core/include/lc-change.h
@@ -12,9 +12,9 @@
  * an error, if the change is invalid. A resource in "apply" replaces the existing one of its kind
  * and name as a whole. Deterministic: the same set and change give the same result on every
  * instance. */
-LcResourceSet *lc_change_apply (const LcResourceSet *set,
-                                struct json_object *change,
-                                const char *file,
-                                LbError *error);
+LcResourceSet *lc_change_apply_to_resource_set (const LcResourceSet *set,
+                                                struct json_object *change,
+                                                const char *file,
+                                                LbError *error);
 
 #endif
--- a/packages/core/include/lc-config.h
+++ b/packages/core/include/lc-config.h
@@ -135,13 +135,13 @@
 const LcResourceSet *lc_config_active_set (const LcConfig *config);
 int64_t lc_config_active_revision (const LcConfig *config);
 /* Returns true if this instance may accept new work with its active revision. */
-bool lc_config_is_ready (const LcConfig *config);
+bool lc_config_is_ready_for_new_work (const LcConfig *config);
 /* Returns the time since the latest confirmation by the store that this instance or a peer
  * received; -1 if none is known. */
 LbTime lc_config_confirmation_age (const LcConfig *config, LbTime now);
 /* Returns true if this instance and the peers that answered a query sent at queried_since or later
  * form a majority of the known instances. Only then may this instance accept a change. */
-bool lc_config_has_majority (const LcConfig *config, LbTime queried_since);
+bool lc_config_has_answers_of_majority (const LcConfig *config, LbTime queried_since);
 /* Returns true if the membership does not list some known instance as alive. */
 bool lc_config_has_unreachable_members (const LcConfig *config);
 
--- a/packages/core/include/lc-rollouts.h
+++ b/packages/core/include/lc-rollouts.h
@@ -71,7 +71,7 @@
   LC_ROLLOUT_REPLY,        /* reply to a trainer's pull */
   /* Stop the request of an earlier GENERATE action. Then pass LB_ERROR_CLOSED to
    * lc_rollouts_finish_generation, with the text of exactly the pieces that were passed to
-   * lc_rollouts_add_piece, so that another request can resume after them. */
+   * lc_rollouts_add_generated_piece, so that another request can resume after them. */
   LC_ROLLOUT_PREEMPT
 } LcRolloutActionType;
 
@@ -150,8 +150,9 @@
 
 /* Sets the function that returns ids for new requests. It should also supply the ids of other
  * LcDispatch requests, so that all ids are unique. */
-void
-lc_rollouts_set_id_source (LcRollouts *rollouts, LcRequestId (*next_id) (void *user), void *user);
+void lc_rollouts_set_request_id_source (LcRollouts *rollouts,
+                                        LcRequestId (*next_id) (void *user),
+                                        void *user);
 void
 lc_rollouts_configure (LcRollouts *rollouts, const LcResourceSet *set, LbTime now, LbList *actions);
 /* Opens a step and takes ownership of the spec's content. For a step that is already open, the call
@@ -172,13 +173,13 @@
                                  LbList *actions,
                                  LbError *error);
 /* Like lc_rollouts_take_over_step, but without samples of the previous owner. */
-bool lc_rollouts_recover_step (LcRollouts *rollouts,
-                               LcStepSpec *spec,
-                               uint64_t session,
-                               const char *ledger_cursor,
-                               LbTime now,
-                               LbList *actions,
-                               LbError *error);
+bool lc_rollouts_recover_step_from_ledger (LcRollouts *rollouts,
+                                           LcStepSpec *spec,
+                                           uint64_t session,
+                                           const char *ledger_cursor,
+                                           LbTime now,
+                                           LbList *actions,
+                                           LbError *error);
 /* Removes a step that another instance has taken over: cancels the step's requests and answers its
  * pulls with LB_ERROR_STALE_SESSION. */
 void lc_rollouts_abort_step (LcRollouts *rollouts,
@@ -187,16 +188,16 @@
                              LbTime now,
                              LbList *actions);
 void
-lc_rollouts_handle_pull (LcRollouts *rollouts, const LcPull *pull, LbTime now, LbList *actions);
+lc_rollouts_accept_pull (LcRollouts *rollouts, const LcPull *pull, LbTime now, LbList *actions);
 /* Removes the pull of a closed connection. A trainer that repeats the pull gets the same chunk. */
 void lc_rollouts_cancel_pull (LcRollouts *rollouts, uint64_t pull_id);
 /* Processes the next piece of a generation's stream, which the endpoint sent. */
-void lc_rollouts_add_piece (LcRollouts *rollouts,
-                            LcRequestId request,
-                            const LcPiece *piece,
-                            const char *endpoint,
-                            LbTime now,
-                            LbList *actions);
+void lc_rollouts_add_generated_piece (LcRollouts *rollouts,
+                                      LcRequestId request,
+                                      const LcPiece *piece,
+                                      const char *endpoint,
+                                      LbTime now,
+                                      LbList *actions);
 /* Processes the end of a generation. Takes ownership of text, which excludes any resume_text. */
 void lc_rollouts_finish_generation (LcRollouts *rollouts,
                                     LcRequestId request,
@@ -214,12 +215,12 @@
     LcRollouts *rollouts, uint64_t write_id, LbErrorCode error, LbTime now, LbList *actions);
 /* Sets the newest version that the pool serves and the time between versions, which predict the
  * staleness of samples. 0 means that a value is unknown. */
-void lc_rollouts_set_versions (LcRollouts *rollouts,
-                               const char *pool_name,
-                               LcVersion newest_version,
-                               LbTime version_interval,
-                               LbTime now,
-                               LbList *actions);
+void lc_rollouts_set_newest_pool_version (LcRollouts *rollouts,
+                                          const char *pool_name,
+                                          LcVersion newest_version,
+                                          LbTime version_interval,
+                                          LbTime now,
+                                          LbList *actions);
 void lc_rollouts_drain (LcRollouts *rollouts, LbTime now, LbList *actions);
 void lc_rollouts_tick (LcRollouts *rollouts, LbTime now, LbList *actions);
 void lc_rollout_action_free (LcRolloutAction *action);
@@ -229,21 +230,21 @@
 bool lc_rollouts_has_subscription (const LcRollouts *rollouts, const char *subscription);
 /* Whether the step is valid, its subscription is configured and this instance isn't draining. */
 bool lc_rollouts_can_open_step (const LcRollouts *rollouts, const LcStepSpec *spec, LbError *error);
-LbTime lc_rollouts_next_tick (const LcRollouts *rollouts);
+LbTime lc_rollouts_next_tick_at (const LcRollouts *rollouts);
 bool lc_rollouts_get_step_status (const LcRollouts *rollouts,
                                   const char *subscription,
                                   int64_t step_number,
                                   LcStepStatus *status);
 /* Lists the step's samples that the trainer has not acknowledged, for handover to the next owner.
  * The caller frees the array; the pointers in it are valid until the LcRollouts is next changed. */
-size_t lc_rollouts_list_unacknowledged (const LcRollouts *rollouts,
-                                        const char *subscription,
-                                        int64_t step_number,
-                                        LcReadySample **samples);
+size_t lc_rollouts_list_unacknowledged_samples (const LcRollouts *rollouts,
+                                                const char *subscription,
+                                                int64_t step_number,
+                                                LcReadySample **samples);
 /* Whether the id is that of a running request to a scorer. */
 bool lc_rollouts_is_scoring_request (const LcRollouts *rollouts, LcRequestId request);
 /* Returns the number of running requests plus the number of waiting pulls. */
-size_t lc_rollouts_count_in_progress (const LcRollouts *rollouts);
+size_t lc_rollouts_count_requests_and_waiting_pulls (const LcRollouts *rollouts);
 /* Returns how many deliveries the invariant checks prevented; a number above 0 means a bug. */
 int64_t lc_rollouts_count_invariant_failures (const LcRollouts *rollouts);
 /* Returns a hash of the step's content that is the same on every instance. */
--- a/packages/core/include/lc-swap-turns.h
+++ b/packages/core/include/lc-swap-turns.h
@@ -20,6 +20,6 @@
 #define LC_SWAP_TURNS_MAX_LOADING_PERCENT 20
 
 /* Returns how many engines of all models together may load weights at once. */
-size_t lc_swap_turns_max_loads (size_t n_engines);
+size_t lc_swap_turns_max_concurrent_loads (size_t n_engines);
 
 #endif
--- a/packages/core/include/lc-text-cache.h
+++ b/packages/core/include/lc-text-cache.h
@@ -30,7 +30,7 @@
  * text is complete and the cached one is not, or equally complete and at least as long. */
 void lc_text_cache_put (LcTextCache *cache, const LcCachedText *text, LbTime now);
 /* Evicts texts that are too old for a trainer to request their groups again. */
-void lc_text_cache_expire (LcTextCache *cache, LbTime now);
+void lc_text_cache_evict_old_texts (LcTextCache *cache, LbTime now);
 
 /* Returns false if no text is cached for the item and fingerprint, or if weights older than
  * min_version generated part of the cached text. The strings in *found are valid until the cache
--- a/packages/core/include/lc-ticket.h
+++ b/packages/core/include/lc-ticket.h
@@ -68,6 +68,6 @@
 /* Functions that only read an LcTickets table. */
 LbTime lc_tickets_next_expiry (const LcTickets *tickets);
 size_t lc_tickets_count (const LcTickets *tickets);
-size_t lc_tickets_answer_bytes (const LcTickets *tickets);
+size_t lc_tickets_count_answer_bytes (const LcTickets *tickets);
 
 #endif
--- a/packages/core/include/lc-usage-reports.h
+++ b/packages/core/include/lc-usage-reports.h
@@ -58,13 +58,13 @@
 void lc_usage_reports_end_duty (LcUsageReports *reports);
 /* Adds a report that is recorded in the store. Called before
  * lc_usage_reports_read_reports_completed. */
-void lc_usage_reports_add_recorded (LcUsageReports *reports,
-                                    int64_t window,
-                                    const char *text,
-                                    bool is_sent);
+void lc_usage_reports_add_recorded_report (LcUsageReports *reports,
+                                           int64_t window,
+                                           const char *text,
+                                           bool is_sent);
 /* Adds a window that has rows in the store. Called before lc_usage_reports_read_reports_completed.
  */
-void lc_usage_reports_add_row_window (LcUsageReports *reports, int64_t window);
+void lc_usage_reports_add_window_with_rows (LcUsageReports *reports, int64_t window);
 void lc_usage_reports_read_reports_completed (LcUsageReports *reports, bool ok, LbTime now);
 /* counts is NULL if the rows could not be read. */
 void lc_usage_reports_sum_rows_completed (LcUsageReports *reports,
--- a/packages/core/include/lc-usage.h
+++ b/packages/core/include/lc-usage.h
@@ -14,14 +14,15 @@
 
 LcUsageCounts *lc_usage_counts_new (void);
 void lc_usage_counts_free (LcUsageCounts *counts);
-void lc_usage_counts_add (LcUsageCounts *counts, const char *organisation, int64_t requests);
+void
+lc_usage_counts_add_requests (LcUsageCounts *counts, const char *organisation, int64_t requests);
 /* Adds the counts in a row's JSON text; returns false with an error if the text is malformed. */
 bool lc_usage_counts_add_text (LcUsageCounts *counts, const char *text, LbError *error);
 /* Raises each count to the organisation's count in others if that is larger. Merges rows of one
  * incarnation of an instance, where each later row includes the counts of the earlier ones. */
 void lc_usage_counts_merge_maximum (LcUsageCounts *counts, const LcUsageCounts *others);
 void lc_usage_counts_add_counts (LcUsageCounts *counts, const LcUsageCounts *others);
-int64_t lc_usage_counts_get (const LcUsageCounts *counts, const char *organisation);
+int64_t lc_usage_counts_get_requests (const LcUsageCounts *counts, const char *organisation);
 /* Returns the counts as JSON text, sorted by name so that equal counts give equal text. The caller
  * frees the text. */
 char *lc_usage_counts_to_text (LcUsageCounts *counts);
@@ -44,11 +45,11 @@
 /* Counts a request that started at true_ms, in Unix milliseconds. */
 void lc_usage_count_request (LcUsage *usage, const char *organisation, int64_t true_ms);
 /* Sets *row to the next row to write; returns false if none is due. After the write, the caller
- * calls lc_usage_write_completed and frees the text. Rows of one window are `period` or
+ * calls lc_usage_row_write_completed and frees the text. Rows of one window are `period` or
  * more apart. */
 bool lc_usage_next_row (LcUsage *usage, LbTime period, LbTime now, LcUsageRow *row);
 /* Ends the write of the window's row; the row is written again if ok is false. */
-void lc_usage_write_completed (LcUsage *usage, int64_t window, bool ok);
+void lc_usage_row_write_completed (LcUsage *usage, int64_t window, bool ok);
 /* Removes windows with a number below first_kept, except those with a write in progress. */
 void lc_usage_remove_windows_before (LcUsage *usage, int64_t first_kept);
 
--- a/packages/core/include/lc-weights.h
+++ b/packages/core/include/lc-weights.h
@@ -119,9 +119,9 @@
   LcWeightsWaitReason wait_reason;
 } LcWeightsStatus;
 
-void lc_weights_status (const LcWeights *weights, LbTime now, LcWeightsStatus *status);
+void lc_weights_get_status (const LcWeights *weights, LbTime now, LcWeightsStatus *status);
 const char *lc_weights_wait_reason_name (LcWeightsWaitReason reason);
 /* Returns true if the engine is loading weights, so that its state should be polled soon. */
-bool lc_weights_is_swapping (const LcWeights *weights, const char *endpoint);
+bool lc_weights_is_engine_swapping (const LcWeights *weights, const char *endpoint);
 
 #endif
--- a/packages/core/src/batch/lc-batch-head.c
+++ b/packages/core/src/batch/lc-batch-head.c
@@ -62,10 +62,10 @@
  * had just ended. Two instances then ran the batches of one model in turn, and each held a
  * connection for every slot of every engine. */
 bool
-lc_batch_head_is_preferred_over (const LcBatchHead *a,
-                                 int64_t row_version_a,
-                                 const LcBatchHead *b,
-                                 int64_t row_version_b)
+lc_batch_head_has_next_batch_priority_over (const LcBatchHead *a,
+                                            int64_t row_version_a,
+                                            const LcBatchHead *b,
+                                            int64_t row_version_b)
 {
   return a->ended != b->ended ? b->ended : row_version_a > row_version_b;
 }
--- a/packages/core/src/batch/lc-batch-item.c
+++ b/packages/core/src/batch/lc-batch-item.c
@@ -39,11 +39,11 @@
 }
 
 void
-lc_batch_item_set_text (LcBatchItem *item,
-                        const char *text,
-                        int64_t n_events,
-                        const LcVersion *versions,
-                        size_t n_versions)
+lc_batch_item_set_reused_text (LcBatchItem *item,
+                               const char *text,
+                               int64_t n_events,
+                               const LcVersion *versions,
+                               size_t n_versions)
 {
   item->result.text = lb_strdup (text);
   item->text_length = strlen (text);
@@ -60,7 +60,7 @@
 }
 
 void
-lc_batch_item_restore_part (LcBatchItem *item, const LcBatchTextPart *part)
+lc_batch_item_restore_checkpointed_text (LcBatchItem *item, const LcBatchTextPart *part)
 {
   if (part->restarts > item->max_restored_restarts)
     item->max_restored_restarts = part->restarts;
@@ -84,10 +84,10 @@
 }
 
 void
-lc_batch_item_record_version (LcBatchItem *item,
-                              LcVersion version,
-                              LcVersion min_version,
-                              bool single_version)
+lc_batch_item_record_weight_version (LcBatchItem *item,
+                                     LcVersion version,
+                                     LcVersion min_version,
+                                     bool single_version)
 {
   LcBatchResult *result = &item->result;
 
@@ -126,7 +126,7 @@
  * after the gap are ignored. The text continues with a new restart number, which invalidates all
  * older parts. */
 void
-lc_batch_item_finish_restore (LcBatchItem *item)
+lc_batch_item_finish_text_restore (LcBatchItem *item)
 {
   if (!item->has_gap)
     return;
--- a/packages/core/src/batch/lc-batch-item.h
+++ b/packages/core/src/batch/lc-batch-item.h
@@ -55,22 +55,22 @@
 
 void lc_batch_item_append_event (LcBatchItem *item, const char *text);
 /* Sets the text of an item that has none to a text from an earlier batch. */
-void lc_batch_item_set_text (LcBatchItem *item,
-                             const char *text,
-                             int64_t n_events,
-                             const LcVersion *versions,
-                             size_t n_versions);
+void lc_batch_item_set_reused_text (LcBatchItem *item,
+                                    const char *text,
+                                    int64_t n_events,
+                                    const LcVersion *versions,
+                                    size_t n_versions);
 /* Adds the weight version of an event to the versions of the text. Marks the text as unusable if
  * the version is not allowed. */
-void lc_batch_item_record_version (LcBatchItem *item,
-                                   LcVersion version,
-                                   LcVersion min_version,
-                                   bool single_version);
+void lc_batch_item_record_weight_version (LcBatchItem *item,
+                                          LcVersion version,
+                                          LcVersion min_version,
+                                          bool single_version);
 /* Appends a part of an earlier owner's checkpoint to the text; the first part of a later restart
  * replaces the text. Sets has_gap if the part does not continue the text. */
-void lc_batch_item_restore_part (LcBatchItem *item, const LcBatchTextPart *part);
-/* Call after the last lc_batch_item_restore_part. */
-void lc_batch_item_finish_restore (LcBatchItem *item);
+void lc_batch_item_restore_checkpointed_text (LcBatchItem *item, const LcBatchTextPart *part);
+/* Call after the last lc_batch_item_restore_checkpointed_text. */
+void lc_batch_item_finish_text_restore (LcBatchItem *item);
 /* Discards the text; the next request generates it from its first event. */
 void lc_batch_item_restart_text (LcBatchItem *item);
 /* Returns the events that are not in the stored checkpoint. */
--- a/packages/core/src/batch/lc-batch-private.h
+++ b/packages/core/src/batch/lc-batch-private.h
@@ -49,18 +49,21 @@
 /* Converts a number of events to tokens with the tokens per event of the settings. */
 int64_t lc_batch_events_to_tokens (const LcBatch *batch, int64_t events);
 /* Cancels the item's generation or scoring request, if there is one. */
-void lc_batch_cancel_request (LcBatchItem *item, LbList *actions);
+void lc_batch_cancel_item_request (LcBatchItem *item, LbList *actions);
 
 /* Defined in lc-batch-write.c. */
 /* Queues the result of a finished item for the next write. */
-void lc_batch_queue_result (LcBatch *batch, LcBatchItem *item, bool completed, LbList *actions);
+void lc_batch_queue_result_for_write (LcBatch *batch,
+                                      LcBatchItem *item,
+                                      bool completed,
+                                      LbList *actions);
 /* Starts a write of the queued results, unless one is in progress. */
-void lc_batch_start_write (LcBatch *batch, LbList *actions);
+void lc_batch_start_result_write (LcBatch *batch, LbList *actions);
 
 /* Defined in lc-batch-review.c. */
-void lc_batch_review_items (LcBatch *batch, LbTime now, LbList *actions);
+void lc_batch_restart_or_move_items (LcBatch *batch, LbTime now, LbList *actions);
 /* Postpones the next review if this instance was paused since the last tick. Call at the start of
  * each tick. */
-void lc_batch_postpone_review_after_pause (LcBatch *batch, LbTime now);
+void lc_batch_postpone_item_review_after_pause (LcBatch *batch, LbTime now);
 
 #endif
--- a/packages/core/src/batch/lc-batch-reuse.c
+++ b/packages/core/src/batch/lc-batch-reuse.c
@@ -97,10 +97,10 @@
 }
 
 void
-lc_batch_cache_texts (const LcBatchSpec *spec,
-                      const LcBatchItem *items,
-                      LcTextCache *cache,
-                      LbTime now)
+lc_batch_cache_texts_of_incomplete_groups (const LcBatchSpec *spec,
+                                           const LcBatchItem *items,
+                                           LcTextCache *cache,
+                                           LbTime now)
 {
   Group *groups = collect_groups (spec, items, now);
   Group *group, *next;
@@ -126,10 +126,10 @@
 }
 
 bool
-lc_batch_reuse_text (const LcBatchSpec *spec,
-                     size_t index,
-                     LcBatchItem *item,
-                     const LcBatchSettings *settings)
+lc_batch_reuse_cached_item_text (const LcBatchSpec *spec,
+                                 size_t index,
+                                 LcBatchItem *item,
+                                 const LcBatchSettings *settings)
 {
   const LcBatchItemSpec *item_spec = &spec->items[index];
   uint64_t fingerprint = compute_item_fingerprint (spec, item_spec);
@@ -144,7 +144,7 @@
                               spec->min_version, &text)
       || !can_reuse_text (&text, settings))
     return false;
-  lc_batch_item_set_text (item, text.text, text.n_events, text.versions, text.n_versions);
+  lc_batch_item_set_reused_text (item, text.text, text.n_events, text.versions, text.n_versions);
   if (!text.is_complete)
     return true;
   item->state = ITEM_GENERATED;
--- a/packages/core/src/batch/lc-batch-review.c
+++ b/packages/core/src/batch/lc-batch-review.c
@@ -44,7 +44,7 @@
               LB_TEXT ("item", item->result.item), LB_TEXT ("endpoint", item->last_endpoint),
               LB_INT ("version", item->result.n_versions > 0 ? item->result.versions[0] : 0),
               LB_INT ("min_version", batch->spec.min_version));
-      lc_batch_cancel_request (item, actions);
+      lc_batch_cancel_item_request (item, actions);
       lc_batch_item_restart_text (item);
       lc_batch_item_schedule_retry (item, ITEM_WAITING, now);
     }
@@ -77,7 +77,7 @@
 /* After a pause of this instance, all streams look silent until the events that arrived during the
  * pause are read. A review before that would move every item. */
 void
-lc_batch_postpone_review_after_pause (LcBatch *batch, LbTime now)
+lc_batch_postpone_item_review_after_pause (LcBatch *batch, LbTime now)
 {
   if (batch->last_tick_at > 0 && now - batch->last_tick_at > REVIEW_PERIOD + MIN_INSTANCE_PAUSE)
     batch->next_review_at = now + MIN_INSTANCE_PAUSE;
@@ -85,7 +85,7 @@
 }
 
 void
-lc_batch_review_items (LcBatch *batch, LbTime now, LbList *actions)
+lc_batch_restart_or_move_items (LcBatch *batch, LbTime now, LbList *actions)
 {
   batch->next_review_at = now + REVIEW_PERIOD;
   restart_unusable_texts (batch, now, actions);
--- a/packages/core/src/batch/lc-batch-write.c
+++ b/packages/core/src/batch/lc-batch-write.c
@@ -16,7 +16,7 @@
  * answer was lost is retried with the same results, since the store may still apply the first
  * attempt. */
 void
-lc_batch_start_write (LcBatch *batch, LbList *actions)
+lc_batch_start_result_write (LcBatch *batch, LbList *actions)
 {
   size_t bytes = 0;
 
@@ -57,7 +57,7 @@
 }
 
 void
-lc_batch_finish_write (LcBatch *batch, bool ok, LbTime now, LbList *actions)
+lc_batch_finish_result_write (LcBatch *batch, bool ok, LbTime now, LbList *actions)
 {
   batch->is_writing = false;
   if (!ok)
@@ -73,11 +73,11 @@
       retain_listed_text (batch, item);
       batch->n_listed++;
     }
-  lc_batch_start_write (batch, actions);
+  lc_batch_start_result_write (batch, actions);
 }
 
 void
-lc_batch_queue_result (LcBatch *batch, LcBatchItem *item, bool completed, LbList *actions)
+lc_batch_queue_result_for_write (LcBatch *batch, LcBatchItem *item, bool completed, LbList *actions)
 {
   item->state = ITEM_READY;
   item->request = 0;
@@ -89,5 +89,5 @@
       item->result.n_versions = 0;
     }
   lb_list_append (&batch->ready_items, &item->ready_link);
-  lc_batch_start_write (batch, actions);
+  lc_batch_start_result_write (batch, actions);
 }
--- a/packages/core/src/batch/lc-batch.c
+++ b/packages/core/src/batch/lc-batch.c
@@ -115,7 +115,7 @@
 }
 
 void
-lc_batch_mark_item_listed (LcBatch *batch, const char *item_id)
+lc_batch_mark_item_result_stored (LcBatch *batch, const char *item_id)
 {
   batch->n_listed++;
   for (size_t i = 0; i < batch->spec.n_items; i++)
@@ -190,18 +190,18 @@
   if (batch->spec.items[lc_batch_find_item_index (batch, item)].has_scorer && !item->result.score)
     start_scoring (batch, item, actions);
   else
-    lc_batch_queue_result (batch, item, true, actions);
+    lc_batch_queue_result_for_write (batch, item, true, actions);
 }
 
 void
-lc_batch_restore_text_part (LcBatch *batch, const LcBatchTextPart *part)
+lc_batch_restore_checkpointed_text (LcBatch *batch, const LcBatchTextPart *part)
 {
   for (size_t i = 0; i < batch->spec.n_items; i++)
     {
       LcBatchItem *item = &batch->items[i];
       if (item->state == ITEM_WAITING && strcmp (batch->spec.items[i].request.id, part->item) == 0
           && part->n_versions <= LC_MAX_RESULT_VERSIONS)
-        lc_batch_item_restore_part (item, part);
+        lc_batch_item_restore_checkpointed_text (item, part);
     }
 }
 
@@ -210,7 +210,7 @@
  * Only new events are saved: many long texts did not fit into one transaction as a whole, and the
  * texts of the last items were never saved. */
 void
-lc_batch_checkpoint (LcBatch *batch, LbTime now, LbList *actions)
+lc_batch_begin_checkpoint (LcBatch *batch, LbTime now, LbList *actions)
 {
   LcBatchTextPart *parts = NULL;
   size_t bytes = 0;
@@ -258,7 +258,7 @@
   for (size_t i = 0; batch->settings.text_cache && i < batch->spec.n_items; i++)
     {
       LcBatchItem *item = &batch->items[i];
-      if (!lc_batch_reuse_text (&batch->spec, i, item, &batch->settings))
+      if (!lc_batch_reuse_cached_item_text (&batch->spec, i, item, &batch->settings))
         continue;
       n_complete += item->state == ITEM_GENERATED;
       n_partial += item->state == ITEM_WAITING;
@@ -276,7 +276,7 @@
   batch->is_started = true;
   batch->next_checkpoint_at = now + CHECKPOINT_PERIOD;
   for (size_t i = 0; i < batch->spec.n_items; i++)
-    lc_batch_item_finish_restore (&batch->items[i]);
+    lc_batch_item_finish_text_restore (&batch->items[i]);
   reuse_cached_texts (batch, actions);
   for (size_t i = 0; i < batch->spec.n_items; i++)
     if (batch->items[i].state == ITEM_WAITING && batch->items[i].retry_at <= now)
@@ -284,12 +284,12 @@
 }
 
 void
-lc_batch_add_piece (LcBatch *batch,
-                    LcRequestId request,
-                    LcVersion version,
-                    const char *endpoint,
-                    const char *text,
-                    LbTime now)
+lc_batch_add_streamed_event (LcBatch *batch,
+                             LcRequestId request,
+                             LcVersion version,
+                             const char *endpoint,
+                             const char *text,
+                             LbTime now)
 {
   LcBatchItem *item = find_item_by_request (batch, request);
 
@@ -305,8 +305,8 @@
                                now - item->last_piece_at);
   item->last_piece_at = now;
   LB_COPY (item->last_endpoint, endpoint);
-  lc_batch_item_record_version (item, version, batch->spec.min_version,
-                                batch->settings.single_version);
+  lc_batch_item_record_weight_version (item, version, batch->spec.min_version,
+                                       batch->settings.single_version);
 }
 
 static void
@@ -316,7 +316,8 @@
 
   if (!history || item->first_piece_at == 0)
     return;
-  lc_length_histogram_add (&history->lengths, lc_batch_events_to_tokens (batch, item->n_events));
+  lc_length_histogram_add_sample_length (&history->lengths,
+                                         lc_batch_events_to_tokens (batch, item->n_events));
   /* The measured time begins with the first event, so the first event is not counted. */
   if (item->request_events > LC_BATCH_MIN_PACE_INTERVALS)
     lc_pace_add_sample (&history->pace, lc_batch_events_to_tokens (batch, item->request_events - 1),
@@ -361,7 +362,7 @@
       lb_log (LB_LOG_INFO, "item_given_up", LB_TEXT ("batch", batch->spec.id),
               LB_TEXT ("item", item->result.item), LB_TEXT ("error", lb_error_name (error)),
               LB_INT ("failures", item->failures));
-      lc_batch_queue_result (batch, item, false, actions);
+      lc_batch_queue_result_for_write (batch, item, false, actions);
       return;
     }
   if (item->is_unusable || !batch->settings.resumable)
@@ -384,7 +385,7 @@
   if (error == LB_OK)
     {
       item->result.score = lb_strdup (score);
-      lc_batch_queue_result (batch, item, true, actions);
+      lc_batch_queue_result_for_write (batch, item, true, actions);
       return;
     }
   item->score_failures += error == LB_ERROR_ENDPOINT_FAILED;
@@ -392,7 +393,7 @@
     {
       lb_log (LB_LOG_INFO, "item_not_scored", LB_TEXT ("batch", batch->spec.id),
               LB_TEXT ("item", item->result.item), LB_INT ("failures", item->score_failures));
-      lc_batch_queue_result (batch, item, false, actions);
+      lc_batch_queue_result_for_write (batch, item, false, actions);
       return;
     }
   lc_batch_item_schedule_retry (item, ITEM_GENERATED, now);
@@ -405,7 +406,7 @@
 }
 
 void
-lc_batch_cancel_request (LcBatchItem *item, LbList *actions)
+lc_batch_cancel_item_request (LcBatchItem *item, LbList *actions)
 {
   if (item->request == 0)
     return;
@@ -423,15 +424,15 @@
       LcBatchItem *item = &batch->items[i];
       if (!is_item_unfinished (item))
         continue;
-      lc_batch_cancel_request (item, actions);
-      lc_batch_queue_result (batch, item, false, actions);
+      lc_batch_cancel_item_request (item, actions);
+      lc_batch_queue_result_for_write (batch, item, false, actions);
     }
 }
 
 void
 lc_batch_tick (LcBatch *batch, LbTime now, LbList *actions)
 {
-  lc_batch_postpone_review_after_pause (batch, now);
+  lc_batch_postpone_item_review_after_pause (batch, now);
   if (batch->is_stopped || !batch->is_started)
     return;
   if (now >= batch->settings.deadline)
@@ -447,11 +448,11 @@
         start_scoring (batch, item, actions);
     }
   if (now >= batch->next_review_at)
-    lc_batch_review_items (batch, now, actions);
+    lc_batch_restart_or_move_items (batch, now, actions);
   if (now >= batch->next_checkpoint_at && !batch->is_checkpointing)
-    lc_batch_checkpoint (batch, now, actions);
+    lc_batch_begin_checkpoint (batch, now, actions);
   if (now >= batch->retry_write_at)
-    lc_batch_start_write (batch, actions);
+    lc_batch_start_result_write (batch, actions);
 }
 
 void
@@ -459,9 +460,10 @@
 {
   batch->is_stopped = true;
   if (batch->settings.text_cache)
-    lc_batch_cache_texts (&batch->spec, batch->items, batch->settings.text_cache, now);
+    lc_batch_cache_texts_of_incomplete_groups (&batch->spec, batch->items,
+                                               batch->settings.text_cache, now);
   for (size_t i = 0; i < batch->spec.n_items; i++)
-    lc_batch_cancel_request (&batch->items[i], actions);
+    lc_batch_cancel_item_request (&batch->items[i], actions);
 }
 
 const LcBatchSpec *
@@ -471,13 +473,13 @@
 }
 
 int64_t
-lc_batch_count_listed_results (const LcBatch *batch)
+lc_batch_count_items_with_stored_result (const LcBatch *batch)
 {
   return batch->n_listed;
 }
 
 bool
-lc_batch_is_done (const LcBatch *batch)
+lc_batch_has_stored_all_results (const LcBatch *batch)
 {
   return batch->n_listed >= (int64_t)batch->spec.n_items;
 }
--- a/packages/core/src/batch/lc-straggler.c
+++ b/packages/core/src/batch/lc-straggler.c
@@ -47,7 +47,7 @@
 }
 
 void
-lc_length_histogram_add (LcLengthHistogram *lengths, int64_t tokens)
+lc_length_histogram_add_sample_length (LcLengthHistogram *lengths, int64_t tokens)
 {
   if (lengths->count >= MAX_HISTORY_SAMPLES)
     halve_sample_weights (lengths);
@@ -57,7 +57,7 @@
 }
 
 double
-lc_length_histogram_mean (const LcLengthHistogram *lengths, int64_t max_tokens)
+lc_length_histogram_mean_sample_length (const LcLengthHistogram *lengths, int64_t max_tokens)
 {
   if (lengths->count < 1)
     return (double)max_tokens / 2;
@@ -68,9 +68,9 @@
  * is expected to double its length, or to grow by the mean length if that is more, up to
  * max_tokens. */
 double
-lc_length_histogram_estimate_remaining (const LcLengthHistogram *lengths,
-                                        int64_t tokens,
-                                        int64_t max_tokens)
+lc_length_histogram_estimate_remaining_tokens (const LcLengthHistogram *lengths,
+                                               int64_t tokens,
+                                               int64_t max_tokens)
 {
   double sum = 0;
   double count = 0;
@@ -83,16 +83,16 @@
     }
   if (count > 0)
     return fmin (sum / count - (double)tokens, max_remaining);
-  return fmin (fmax ((double)tokens, lc_length_histogram_mean (lengths, max_tokens)),
+  return fmin (fmax ((double)tokens, lc_length_histogram_mean_sample_length (lengths, max_tokens)),
                max_remaining);
 }
 
 double
-lc_length_histogram_predict_for_group (const LcLengthHistogram *lengths,
-                                       const LcGroupLengths *group,
-                                       int64_t max_tokens)
+lc_length_histogram_predict_group_sample_length (const LcLengthHistogram *lengths,
+                                                 const LcGroupLengths *group,
+                                                 int64_t max_tokens)
 {
-  double mean = lc_length_histogram_mean (lengths, max_tokens);
+  double mean = lc_length_histogram_mean_sample_length (lengths, max_tokens);
 
   return (group->sum + PRIOR_SAMPLES * mean) / ((double)group->count + PRIOR_SAMPLES);
 }
@@ -113,7 +113,7 @@
 }
 
 double
-lc_pace_expected_seconds (const LcPace *pace, double tokens)
+lc_pace_expected_generation_seconds (const LcPace *pace, double tokens)
 {
   if (pace->tokens_per_second <= 0)
     return 0;
@@ -138,10 +138,10 @@
                                const LcPace *pace,
                                const LcSampleProgress *progress)
 {
-  double remaining
-      = lc_length_histogram_estimate_remaining (lengths, progress->tokens, progress->max_tokens);
+  double remaining = lc_length_histogram_estimate_remaining_tokens (lengths, progress->tokens,
+                                                                    progress->max_tokens);
 
-  return lc_pace_expected_seconds (pace, (double)progress->tokens + remaining);
+  return lc_pace_expected_generation_seconds (pace, (double)progress->tokens + remaining);
 }
 
 static double
@@ -156,7 +156,8 @@
   if (progress->first_piece_at == 0)
     return estimate_regeneration_seconds (lengths, pace, progress)
            * (overdue > 0 ? 2 + overdue : 1);
-  return lc_length_histogram_estimate_remaining (lengths, progress->tokens, progress->max_tokens)
+  return lc_length_histogram_estimate_remaining_tokens (lengths, progress->tokens,
+                                                        progress->max_tokens)
          / estimate_tokens_per_second (pace, progress, now);
 }
 
@@ -206,8 +207,8 @@
   if (!has_enough_history (lengths, pace) || progress->tokens == 0)
     return 0;
 
-  double remaining
-      = lc_length_histogram_estimate_remaining (lengths, progress->tokens, progress->max_tokens);
+  double remaining = lc_length_histogram_estimate_remaining_tokens (lengths, progress->tokens,
+                                                                    progress->max_tokens);
   return estimate_remaining_seconds (lengths, pace, progress, now)
          - estimate_move_wait_seconds (pace, progress)
          - get_safety_factor (idle_weight) * remaining / pace->tokens_per_second;
--- a/packages/core/src/batch/lc-straggler.h
+++ b/packages/core/src/batch/lc-straggler.h
@@ -41,21 +41,22 @@
   double recent_seconds_per_token; /* 0: not known, the mean of the whole stream is used */
 } LcSampleProgress;
 
-void lc_length_histogram_add (LcLengthHistogram *lengths, int64_t tokens);
+void lc_length_histogram_add_sample_length (LcLengthHistogram *lengths, int64_t tokens);
 /* Mean sample length, capped at max_tokens; half of max_tokens if no sample has ended yet. */
-double lc_length_histogram_mean (const LcLengthHistogram *lengths, int64_t max_tokens);
-/* Expected number of further tokens of a sample that has `tokens` tokens. */
-double lc_length_histogram_estimate_remaining (const LcLengthHistogram *lengths,
-                                               int64_t tokens,
+double lc_length_histogram_mean_sample_length (const LcLengthHistogram *lengths,
                                                int64_t max_tokens);
+/* Expected number of further tokens of a sample that has `tokens` tokens. */
+double lc_length_histogram_estimate_remaining_tokens (const LcLengthHistogram *lengths,
+                                                      int64_t tokens,
+                                                      int64_t max_tokens);
 /* Expected length of the next sample of a group, in tokens. */
-double lc_length_histogram_predict_for_group (const LcLengthHistogram *lengths,
-                                              const LcGroupLengths *group,
-                                              int64_t max_tokens);
+double lc_length_histogram_predict_group_sample_length (const LcLengthHistogram *lengths,
+                                                        const LcGroupLengths *group,
+                                                        int64_t max_tokens);
 
 void lc_pace_add_sample (LcPace *pace, int64_t tokens, LbTime wait_time, LbTime stream_time);
 /* Expected time to generate a new sample of `tokens` tokens; 0: the speed is not known. */
-double lc_pace_expected_seconds (const LcPace *pace, double tokens);
+double lc_pace_expected_generation_seconds (const LcPace *pace, double tokens);
 
 /* Expected seconds saved by a second generation from the start; 0 or less: do not hedge. The time
  * of the second generation is multiplied by a safety factor, which falls with idle_weight (0..1),
--- a/packages/core/src/batch/lc-text-cache.c
+++ b/packages/core/src/batch/lc-text-cache.c
@@ -118,7 +118,7 @@
 }
 
 void
-lc_text_cache_expire (LcTextCache *cache, LbTime now)
+lc_text_cache_evict_old_texts (LcTextCache *cache, LbTime now)
 {
   Entry *entry;
 
--- a/packages/core/src/config/lc-change.c
+++ b/packages/core/src/config/lc-change.c
@@ -119,10 +119,10 @@
 }
 
 LcResourceSet *
-lc_change_apply (const LcResourceSet *set,
-                 struct json_object *change,
-                 const char *file,
-                 LbError *error)
+lc_change_apply_to_resource_set (const LcResourceSet *set,
+                                 struct json_object *change,
+                                 const char *file,
+                                 LbError *error)
 {
   ChangeLists lists = { NULL, NULL };
 
@@ -133,7 +133,7 @@
   next->revision++;
   bool ok = delete_resources (next, lists.delete, seen_items, file, error)
             && put_resources (next, lists.apply, seen_items, file, error)
-            && lc_resource_set_validate (next, file, error);
+            && lc_resource_set_check_references (next, file, error);
   json_object_put (seen_items);
   if (ok)
     return next;
--- a/packages/core/src/config/lc-config-confirm.c
+++ b/packages/core/src/config/lc-config-confirm.c
@@ -44,7 +44,7 @@
  * Only an instance that reaches a majority may accept a change, and any two majorities share a
  * member. */
 bool
-lc_config_has_majority (const LcConfig *config, LbTime queried_since)
+lc_config_has_answers_of_majority (const LcConfig *config, LbTime queried_since)
 {
   size_t all = HASH_COUNT (config->peers) + 1;
 
@@ -65,7 +65,7 @@
  * the previous revision for as long as the partition lasts, although the operator saw the new one
  * accepted. Until the outcome is known, only the store can confirm a revision. */
 bool
-lc_config_has_change_in_doubt (const LcConfig *config, LbTime now)
+lc_config_has_change_of_unknown_outcome (const LcConfig *config, LbTime now)
 {
   for (const LcConfigPeer *peer = config->peers; peer; peer = peer->hh.next)
     if (!is_announced_change_settled (config, peer)
@@ -105,8 +105,8 @@
 {
   if (config->confirmed)
     return lc_config_is_confirmed_by_store (config, now)
-           || (lc_config_has_majority (config, now - max_peer_answer_age (config))
-               && !lc_config_has_change_in_doubt (config, now));
+           || (lc_config_has_answers_of_majority (config, now - max_peer_answer_age (config))
+               && !lc_config_has_change_of_unknown_outcome (config, now));
   /* Guards against a stale store read by a new process: callers would see the revision go back when
    * an instance is replaced. So a new process also waits for its peers before it serves the first
    * call. */
--- a/packages/core/src/config/lc-config-private.h
+++ b/packages/core/src/config/lc-config-private.h
@@ -56,7 +56,7 @@
 bool lc_config_is_confirmed_by_store (const LcConfig *config, LbTime now);
 /* Returns true if an instance announced a change, its outcome is unknown and the instance no longer
  * answers. Then only the store can confirm a revision. */
-bool lc_config_has_change_in_doubt (const LcConfig *config, LbTime now);
+bool lc_config_has_change_of_unknown_outcome (const LcConfig *config, LbTime now);
 /* Returns true if the active revision is confirmed well enough to accept new work. */
 bool lc_config_can_accept_work (const LcConfig *config, LbTime now);
 
--- a/packages/core/src/config/lc-config-query.c
+++ b/packages/core/src/config/lc-config-query.c
@@ -14,7 +14,7 @@
 
 /* Returns true if this instance may accept new work with its active revision. */
 bool
-lc_config_is_ready (const LcConfig *config)
+lc_config_is_ready_for_new_work (const LcConfig *config)
 {
   return config->ready;
 }
--- a/packages/core/src/config/lc-config.c
+++ b/packages/core/src/config/lc-config.c
@@ -148,7 +148,7 @@
   status->asked_at = asked_at;
   status->confirmed = config->confirmed
                       && (lc_config_is_confirmed_by_store (config, now)
-                          || !lc_config_has_change_in_doubt (config, now));
+                          || !lc_config_has_change_of_unknown_outcome (config, now));
   status->announced_change = config->settled_change;
   status->age = lc_config_confirmation_age (config, now);
 }
@@ -328,7 +328,7 @@
   LcResourceSet *next = NULL;
 
   if (message->body && message->revision == config->set->revision + 1)
-    next = lc_change_apply (config->set, message->body, peer->name, &error);
+    next = lc_change_apply_to_resource_set (config->set, message->body, peer->name, &error);
   if (next)
     activate_if_newer (config, next, actions);
   else if (message->revision > config->set->revision)
--- a/packages/core/src/config/lc-resources-check.c
+++ b/packages/core/src/config/lc-resources-check.c
@@ -113,7 +113,7 @@
 }
 
 bool
-lc_resource_set_validate (const LcResourceSet *set, const char *file, LbError *error)
+lc_resource_set_check_references (const LcResourceSet *set, const char *file, LbError *error)
 {
   return check_subscription_references (set, file, error)
          && check_endpoint_pools_and_addresses (set, file, error);
--- a/packages/core/src/config/lc-resources-private.h
+++ b/packages/core/src/config/lc-resources-private.h
@@ -16,7 +16,7 @@
 bool lc_resource_set_remove_resource (LcResourceSet *set, LcResourceKind kind, const char *name);
 /* Checks that all referenced resources exist and that no two endpoints have the same address.
  * Defined in lc-resources-check.c. */
-bool lc_resource_set_validate (const LcResourceSet *set, const char *file, LbError *error);
+bool lc_resource_set_check_references (const LcResourceSet *set, const char *file, LbError *error);
 
 /* Writes the location of a resource for errors: "FILE: KIND/NAME", or "FILE: resources[INDEX]" if
  * kind or name is NULL. */
--- a/packages/core/src/config/lc-resources.c
+++ b/packages/core/src/config/lc-resources.c
@@ -392,7 +392,7 @@
       if (!check_resource_names_are_unique (set, kind, file, error))
         return false;
     }
-  return lc_resource_set_validate (set, file, error);
+  return lc_resource_set_check_references (set, file, error);
 }
 
 /* Reads the keys "revision" and "resources" of the outermost object. */
--- a/packages/core/src/rollout/lc-deliver.c
+++ b/packages/core/src/rollout/lc-deliver.c
@@ -95,7 +95,7 @@
   action->cursor = has_strict_subscription (rollouts, step)
                        ? lb_strdup ("")
                        : lc_cursor_encode (&chunk->cursor, step->spec_hash);
-  action->remaining = (int64_t)lc_step_count_unsent (step);
+  action->remaining = (int64_t)lc_step_count_unsent_slots (step);
 }
 
 static void
@@ -112,7 +112,7 @@
   action->cursor = has_strict_subscription (rollouts, step)
                        ? lb_strdup ("")
                        : lc_cursor_encode (cursor, step->spec_hash);
-  action->remaining = (int64_t)lc_step_count_unsent (step);
+  action->remaining = (int64_t)lc_step_count_unsent_slots (step);
 }
 
 /* Building and revoking chunks of samples. */
@@ -132,8 +132,8 @@
 
   if (!slot->text || !slot->label || !lc_label_is_complete (slot->label, slot->label->tokens))
     violated = INVARIANT_LABEL;
-  else if (lc_staleness_is_too_old (slot->label, trainer_version,
-                                    find_trainer_of_step (rollouts, step)->max_lag))
+  else if (lc_staleness_is_label_too_old (slot->label, trainer_version,
+                                          find_trainer_of_step (rollouts, step)->max_lag))
     violated = INVARIANT_STALENESS;
   else if (slot->state != LC_SLOT_READY || lc_cursor_has_slot (&step->acked, slot_index))
     violated = INVARIANT_ONCE;
@@ -206,7 +206,7 @@
           LB_INT ("step", step->spec.step), LB_INT ("session", step->session),
           LB_INT ("chunk", step->chunk.cursor.chunk_number),
           LB_INT ("samples", step->chunk.n_slots),
-          LB_INT ("remaining", lc_step_count_unsent (step)),
+          LB_INT ("remaining", lc_step_count_unsent_slots (step)),
           LB_INT ("after_ms", (now - step->status.opened_at) / LB_MSEC));
 }
 
@@ -236,7 +236,7 @@
       lc_chunk_clear (&step->chunk);
       return false;
     }
-  if (lc_step_count_unsent (step) == 0 && step->status.completed_at == 0)
+  if (lc_step_count_unsent_slots (step) == 0 && step->status.completed_at == 0)
     step->status.completed_at = now;
   if (has_strict_subscription (rollouts, step))
     step->chunk.ledger_change = lc_ledger_add_change (&step->ledger, true);
@@ -295,21 +295,22 @@
   if (!step->chunk.slots || pull->trainer_version <= step->chunk.trainer_version)
     return;
   for (size_t i = 0; i < step->chunk.n_slots && !stale; i++)
-    stale = lc_staleness_is_too_old (step->slots[step->chunk.slots[i]].label, pull->trainer_version,
-                                     trainer->max_lag);
+    stale = lc_staleness_is_label_too_old (step->slots[step->chunk.slots[i]].label,
+                                           pull->trainer_version, trainer->max_lag);
   if (!stale)
     return;
   revoke_chunk (step);
-  lc_result_discard_stale (rollouts, step, pull->trainer_version, trainer->max_lag, actions);
+  lc_result_discard_stale_samples (rollouts, step, pull->trainer_version, trainer->max_lag,
+                                   actions);
 }
 
 static bool
 has_stored_required_ledger_changes (const LcRollouts *rollouts, const LcStep *step)
 {
-  if (!lc_ledger_has_stored (&step->ledger, step->required_ledger_change))
+  if (!lc_ledger_has_stored_change (&step->ledger, step->required_ledger_change))
     return false;
   return !has_strict_subscription (rollouts, step)
-         || lc_ledger_has_stored (&step->ledger, step->chunk.ledger_change);
+         || lc_ledger_has_stored_change (&step->ledger, step->chunk.ledger_change);
 }
 
 /* Returns whether the pull was answered; if not, the pull keeps waiting. */
@@ -317,15 +318,15 @@
 try_answer_pull (
     LcRollouts *rollouts, LcStep *step, LcWaitingPull *pull, LbTime now, LbList *actions)
 {
-  bool all_delivered = lc_step_count_unsent (step) == 0 && !step->chunk.slots;
+  bool all_delivered = lc_step_count_unsent_slots (step) == 0 && !step->chunk.slots;
 
   revoke_stale_chunk (rollouts, step, pull, actions);
   if (!step->chunk.slots && !all_delivered)
     {
       /* The staleness checks at dispatch and at the end of a generation are not enough: the trainer
        * may have advanced since, and the pull states the trainer's current version. */
-      lc_result_discard_stale (rollouts, step, pull->trainer_version,
-                               find_trainer_of_step (rollouts, step)->max_lag, actions);
+      lc_result_discard_stale_samples (rollouts, step, pull->trainer_version,
+                                       find_trainer_of_step (rollouts, step)->max_lag, actions);
       build_chunk (rollouts, step, pull, now);
     }
   if (!has_stored_required_ledger_changes (rollouts, step))
@@ -398,9 +399,9 @@
   revoke_chunk (step);
   lc_cursor_copy (&step->acked, cursor);
   step->acked.session = step->session;
-  if (lc_step_count_unsent (step) == 0)
+  if (lc_step_count_unsent_slots (step) == 0)
     step->closed_at = now;
-  if (lc_step_count_unsent (step) == 0 && step->status.completed_at == 0)
+  if (lc_step_count_unsent_slots (step) == 0 && step->status.completed_at == 0)
     step->status.completed_at = now;
   lc_ledger_add_change (&step->ledger, step->closed_at != 0);
 }
@@ -491,7 +492,7 @@
 }
 
 void
-lc_deliver_restore_acknowledged (LcStep *step, const LcCursor *ledger_cursor)
+lc_deliver_restore_acknowledged_slots (LcStep *step, const LcCursor *ledger_cursor)
 {
   for (size_t i = 0; i < step->n_slots; i++)
     if (lc_cursor_has_slot (ledger_cursor, i))
--- a/packages/core/src/rollout/lc-deliver.h
+++ b/packages/core/src/rollout/lc-deliver.h
@@ -19,7 +19,7 @@
 /* Stops deliveries of the step until a new ledger write has confirmed its session. */
 void lc_deliver_require_session_check (LcStep *step);
 /* Marks the slots in the cursor of the step's ledger row as acknowledged. */
-void lc_deliver_restore_acknowledged (LcStep *step, const LcCursor *ledger_cursor);
+void lc_deliver_restore_acknowledged_slots (LcStep *step, const LcCursor *ledger_cursor);
 void lc_deliver_fail_pulls (LcStep *step, LbErrorCode error, LbTime retry_after, LbList *actions);
 
 #endif
--- a/packages/core/src/rollout/lc-generate.c
+++ b/packages/core/src/rollout/lc-generate.c
@@ -21,7 +21,7 @@
 estimate_total_tokens (const LcLengthHistogram *lengths, const LcJob *job, int64_t max_tokens)
 {
   return (double)job->label.tokens
-         + lc_length_histogram_estimate_remaining (lengths, job->label.tokens, max_tokens);
+         + lc_length_histogram_estimate_remaining_tokens (lengths, job->label.tokens, max_tokens);
 }
 
 static LcGroupLengths
@@ -54,8 +54,8 @@
   const LcLengthHistogram *lengths = lc_step_length_histogram (rollouts, step);
   LcGroupLengths group_lengths = sum_group_lengths (lengths, step, group_index);
 
-  return lc_length_histogram_predict_for_group (lengths, &group_lengths,
-                                                step->spec.groups[group_index].max_tokens);
+  return lc_length_histogram_predict_group_sample_length (
+      lengths, &group_lengths, step->spec.groups[group_index].max_tokens);
 }
 
 static size_t
@@ -75,8 +75,8 @@
 static double
 compute_group_score (const LcRollouts *rollouts, const LcStep *step, size_t group_index)
 {
-  double mean = lc_length_histogram_mean (lc_step_length_histogram (rollouts, step),
-                                          step->spec.groups[group_index].max_tokens);
+  double mean = lc_length_histogram_mean_sample_length (lc_step_length_histogram (rollouts, step),
+                                                        step->spec.groups[group_index].max_tokens);
 
   return predict_next_sample_tokens (rollouts, step, group_index)
          + EXPLORATION_WEIGHT * mean / (1.0 + (double)count_started_samples (step, group_index));
@@ -143,7 +143,9 @@
 
   if (!rollouts->settings.predict_staleness)
     return 0;
-  return lc_staleness_min_version (&policy, lc_pace_expected_seconds (&pool->pace, tokens));
+  return lc_staleness_min_version_for_duration (&policy,
+                                                lc_pace_expected_generation_seconds (&pool->pace,
+                                                                                     tokens));
 }
 
 /* Returns the request's priority: its expected length in multiples of the trainer's mean length. */
@@ -151,7 +153,9 @@
 compute_request_priority (const LcRollouts *rollouts, const LcStep *step, double tokens)
 {
   double relative_length
-      = tokens / lc_length_histogram_mean (lc_step_length_histogram (rollouts, step), INT64_MAX);
+      = tokens
+        / lc_length_histogram_mean_sample_length (lc_step_length_histogram (rollouts, step),
+                                                  INT64_MAX);
 
   return (int)fmin (relative_length, MAX_PRIORITY);
 }
@@ -208,12 +212,12 @@
 }
 
 LcJob *
-lc_generate_start_sample (LcRollouts *rollouts,
-                          LcStep *step,
-                          LcSlot *slot,
-                          const LcJob *original,
-                          LbTime now,
-                          LbList *actions)
+lc_generate_start_generation (LcRollouts *rollouts,
+                              LcStep *step,
+                              LcSlot *slot,
+                              const LcJob *original,
+                              LbTime now,
+                              LbList *actions)
 {
   const LcGroupSpec *group = lc_step_group_spec (step, slot);
   LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_GENERATE);
@@ -319,7 +323,7 @@
 }
 
 void
-lc_generate_start_requests (LcRollouts *rollouts, LbTime now, LbList *actions)
+lc_generate_start_scorings_and_generations (LcRollouts *rollouts, LbTime now, LbList *actions)
 {
   LB_LIST_FOREACH (&rollouts->steps, LcStep, link, step)
   {
@@ -335,7 +339,7 @@
         LcSlot *slot = pick_waiting_slot_of_pool (rollouts, pool, &step, now);
         if (!slot)
           break;
-        lc_generate_start_sample (rollouts, step, slot, NULL, now, actions);
+        lc_generate_start_generation (rollouts, step, slot, NULL, now, actions);
       }
   }
 }
--- a/packages/core/src/rollout/lc-generate.h
+++ b/packages/core/src/rollout/lc-generate.h
@@ -6,14 +6,14 @@
 /* Schedules generations and scorings: chooses the next slot to run and builds its request. */
 
 /* Starts all scorings that are due, and generations up to each pool's concurrency limit. */
-void lc_generate_start_requests (LcRollouts *rollouts, LbTime now, LbList *actions);
+void lc_generate_start_scorings_and_generations (LcRollouts *rollouts, LbTime now, LbList *actions);
 /* Starts a generation for the slot. For a hedge, original is the running job of the same slot;
  * otherwise NULL. */
-LcJob *lc_generate_start_sample (LcRollouts *rollouts,
-                                 LcStep *step,
-                                 LcSlot *slot,
-                                 const LcJob *original,
-                                 LbTime now,
-                                 LbList *actions);
+LcJob *lc_generate_start_generation (LcRollouts *rollouts,
+                                     LcStep *step,
+                                     LcSlot *slot,
+                                     const LcJob *original,
+                                     LbTime now,
+                                     LbList *actions);
 
 #endif
--- a/packages/core/src/rollout/lc-job.c
+++ b/packages/core/src/rollout/lc-job.c
@@ -49,7 +49,7 @@
 }
 
 int64_t
-lc_job_generated_tokens (const LcJob *job)
+lc_job_count_generated_tokens (const LcJob *job)
 {
   return job->label.tokens - job->resume_offset;
 }
@@ -60,7 +60,7 @@
   LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_CANCEL);
 
   action->spec.id = job->request;
-  job->step->status.wasted_tokens += lc_job_generated_tokens (job);
+  job->step->status.wasted_tokens += lc_job_count_generated_tokens (job);
   lc_job_free (rollouts, job);
 }
 
--- a/packages/core/src/rollout/lc-ledger.c
+++ b/packages/core/src/rollout/lc-ledger.c
@@ -48,7 +48,7 @@
 }
 
 bool
-lc_ledger_has_stored (const LcLedger *ledger, uint64_t change)
+lc_ledger_has_stored_change (const LcLedger *ledger, uint64_t change)
 {
   return ledger->stored_change >= change;
 }
--- a/packages/core/src/rollout/lc-ledger.h
+++ b/packages/core/src/rollout/lc-ledger.h
@@ -19,7 +19,7 @@
 } LcLedger;
 
 /* Functions that change an LcLedger. */
-/* Records that the row must be written; returns a change number for lc_ledger_has_stored. */
+/* Records that the row must be written; returns a change number for lc_ledger_has_stored_change. */
 uint64_t lc_ledger_add_change (LcLedger *ledger, bool urgent);
 void lc_ledger_begin_write (LcLedger *ledger, uint64_t write_id, LbTime now);
 /* Processes the result of a write; jitter is a random number in 0..1 that randomizes the retry
@@ -27,7 +27,7 @@
 void lc_ledger_end_write (LcLedger *ledger, LbErrorCode error, double jitter, LbTime now);
 
 /* Functions that only read an LcLedger. */
-bool lc_ledger_has_stored (const LcLedger *ledger, uint64_t change);
+bool lc_ledger_has_stored_change (const LcLedger *ledger, uint64_t change);
 /* Returns when the next write should start; LB_TIME_NEVER while a write is in progress. */
 LbTime lc_ledger_next_write_at (const LcLedger *ledger);
 
--- a/packages/core/src/rollout/lc-result.c
+++ b/packages/core/src/rollout/lc-result.c
@@ -57,7 +57,7 @@
   LcStep *step = job->step;
   LcSlot *slot = lc_job_slot (job);
 
-  step->status.wasted_tokens += lc_job_generated_tokens (job);
+  step->status.wasted_tokens += lc_job_count_generated_tokens (job);
   lc_job_free (rollouts, job);
   if (!lb_list_is_empty (&slot->jobs))
     return;
@@ -87,7 +87,7 @@
 {
   LcLabel *label = &job->label;
 
-  job->step->status.wasted_tokens += lc_job_generated_tokens (job);
+  job->step->status.wasted_tokens += lc_job_count_generated_tokens (job);
   label->unlabelled = false;
   while (label->n_spans > 0 && label->spans[label->n_spans - 1].first >= job->resume_offset)
     label->n_spans--;
@@ -100,12 +100,12 @@
 }
 
 void
-lc_result_add_piece (LcRollouts *rollouts,
-                     LcJob *job,
-                     const LcPiece *piece,
-                     const char *endpoint,
-                     LbTime now,
-                     LbList *actions)
+lc_result_add_generated_piece (LcRollouts *rollouts,
+                               LcJob *job,
+                               const LcPiece *piece,
+                               const char *endpoint,
+                               LbTime now,
+                               LbList *actions)
 {
   bool has_new_endpoint = strcmp (job->endpoint, endpoint) != 0;
 
@@ -113,7 +113,7 @@
   if (job->first_piece_at == 0)
     job->first_piece_at = now;
   if (has_new_endpoint && piece->tokens > 0 && piece->offset == job->resume_offset
-      && lc_job_generated_tokens (job) > 0)
+      && lc_job_count_generated_tokens (job) > 0)
     reset_label_to_resume_offset (job);
   lc_label_add_tokens_kv_reused (&job->label, piece->offset, piece->tokens, piece->version,
                                  piece->kv_reused_version);
@@ -162,7 +162,7 @@
   bool is_only_job = slot->jobs.length == 1;
 
   if (is_only_job && job->label.tokens > 0 && text
-      && (text[0] || lc_job_generated_tokens (job) == 0))
+      && (text[0] || lc_job_count_generated_tokens (job) == 0))
     {
       store_partial_sample (rollouts, job, text, now);
       return;
@@ -183,12 +183,12 @@
           LB_TEXT ("subscription", job->step->spec.subscription),
           LB_INT ("step", job->step->spec.step), LB_INT ("slot", (int64_t)job->slot_index),
           LB_TEXT ("endpoint", job->endpoint), LB_INT ("tokens", job->label.tokens));
-  if (can_resume && lc_job_generated_tokens (job) > 0 && text && text[0])
+  if (can_resume && lc_job_count_generated_tokens (job) > 0 && text && text[0])
     {
       store_partial_sample (rollouts, job, text, now);
       return;
     }
-  if (can_resume && lc_job_generated_tokens (job) == 0 && job->resume_offset > 0)
+  if (can_resume && lc_job_count_generated_tokens (job) == 0 && job->resume_offset > 0)
     {
       free (text);
       store_partial_sample (rollouts, job, lb_strdup (""), now);
@@ -205,9 +205,9 @@
   LcRolloutPool *pool = lc_step_find_pool (rollouts, job->step);
   LbTime first_piece_at = job->first_piece_at ? job->first_piece_at : now;
 
-  lc_length_histogram_add (&trainer->lengths, job->label.tokens);
-  lc_pace_add_sample (&pool->pace, lc_job_generated_tokens (job), first_piece_at - job->started_at,
-                      now - first_piece_at);
+  lc_length_histogram_add_sample_length (&trainer->lengths, job->label.tokens);
+  lc_pace_add_sample (&pool->pace, lc_job_count_generated_tokens (job),
+                      first_piece_at - job->started_at, now - first_piece_at);
 }
 
 /* Stores a complete sample in its slot. The first complete sample of a hedged pair wins: the other
@@ -228,7 +228,7 @@
   lc_slot_cancel_jobs (rollouts, slot, actions);
   lc_step_set_slot_state (step, slot,
                           trainer->subscription.scorer[0] ? LC_SLOT_SCORING : LC_SLOT_READY);
-  if (lc_staleness_is_too_old (slot->label, step->trainer_version, trainer->max_lag))
+  if (lc_staleness_is_label_too_old (slot->label, step->trainer_version, trainer->max_lag))
     {
       lb_metric_add (&stale_metric, 1);
       discard_sample (step, slot, &step->status.discarded_stale, "stale");
@@ -308,7 +308,8 @@
 {
   LB_LIST_FOREACH (&slot->jobs, LcJob, link, job)
   {
-    if (job->label.n_spans > 0 && lc_staleness_is_too_old (&job->label, trainer_version, max_lag))
+    if (job->label.n_spans > 0
+        && lc_staleness_is_label_too_old (&job->label, trainer_version, max_lag))
       lc_job_cancel (rollouts, job, actions);
   }
   if (!lb_list_is_empty (&slot->jobs))
@@ -318,7 +319,7 @@
 }
 
 void
-lc_result_discard_stale (
+lc_result_discard_stale_samples (
     LcRollouts *rollouts, LcStep *step, LcVersion trainer_version, int64_t max_lag, LbList *actions)
 {
   for (size_t i = 0; i < step->n_slots; i++)
@@ -330,7 +331,7 @@
           continue;
         }
       if (slot->state > LC_SLOT_READY || !slot->label
-          || !lc_staleness_is_too_old (slot->label, trainer_version, max_lag))
+          || !lc_staleness_is_label_too_old (slot->label, trainer_version, max_lag))
         continue;
       lc_slot_cancel_jobs (rollouts, slot, actions);
       lb_metric_add (&stale_metric, 1);
--- a/packages/core/src/rollout/lc-result.h
+++ b/packages/core/src/rollout/lc-result.h
@@ -5,12 +5,12 @@
 
 /* Processes results of engines and scorers. */
 
-void lc_result_add_piece (LcRollouts *rollouts,
-                          LcJob *job,
-                          const LcPiece *piece,
-                          const char *endpoint,
-                          LbTime now,
-                          LbList *actions);
+void lc_result_add_generated_piece (LcRollouts *rollouts,
+                                    LcJob *job,
+                                    const LcPiece *piece,
+                                    const char *endpoint,
+                                    LbTime now,
+                                    LbList *actions);
 /* Processes the end of a generation: frees the job and takes ownership of text. */
 void lc_result_finish_generation (
     LcRollouts *rollouts, LcJob *job, LbErrorCode error, char *text, LbTime now, LbList *actions);
@@ -20,10 +20,10 @@
 void lc_result_restore_sample (LcRollouts *rollouts, LcStep *step, const LcReadySample *sample);
 /* Discards unsent samples, running ones included, that are more than max_lag versions behind
  * trainer_version. */
-void lc_result_discard_stale (LcRollouts *rollouts,
-                              LcStep *step,
-                              LcVersion trainer_version,
-                              int64_t max_lag,
-                              LbList *actions);
+void lc_result_discard_stale_samples (LcRollouts *rollouts,
+                                      LcStep *step,
+                                      LcVersion trainer_version,
+                                      int64_t max_lag,
+                                      LbList *actions);
 
 #endif
--- a/packages/core/src/rollout/lc-review.c
+++ b/packages/core/src/rollout/lc-review.c
@@ -126,7 +126,7 @@
         return;
       log_straggler (job, "sample-hedged");
       LcJob *hedge_job
-          = lc_generate_start_sample (rollouts, step, lc_job_slot (job), job, now, actions);
+          = lc_generate_start_generation (rollouts, step, lc_job_slot (job), job, now, actions);
       hedge_job->reserved_tokens = cost_tokens;
       step->reserved_tokens += cost_tokens;
       step->status.hedges++;
@@ -137,7 +137,10 @@
 /* Hedges only once no slot waits for a generation, since a waiting slot makes better use of the
  * pool's free capacity than a hedge. */
 void
-lc_review_stragglers (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
+lc_review_migrate_or_hedge_stragglers (LcRollouts *rollouts,
+                                       LcStep *step,
+                                       LbTime now,
+                                       LbList *actions)
 {
   if (rollouts->draining || now < step->next_review_at || step->n_in_state[LC_SLOT_RUNNING] == 0)
     return;
--- a/packages/core/src/rollout/lc-review.h
+++ b/packages/core/src/rollout/lc-review.h
@@ -5,6 +5,9 @@
 
 /* Detects stragglers among the step's running samples: migrates those on slow endpoints, and hedges
  * remaining ones once no slot of the step waits for a generation. */
-void lc_review_stragglers (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions);
+void lc_review_migrate_or_hedge_stragglers (LcRollouts *rollouts,
+                                            LcStep *step,
+                                            LbTime now,
+                                            LbList *actions);
 
 #endif
--- a/packages/core/src/rollout/lc-rollouts.c
+++ b/packages/core/src/rollout/lc-rollouts.c
@@ -189,13 +189,15 @@
 {
   lc_deliver_answer_pulls (rollouts, step, now, actions);
   lc_deliver_write_ledger (rollouts, step, now, actions);
-  lc_generate_start_requests (rollouts, now, actions);
+  lc_generate_start_scorings_and_generations (rollouts, now, actions);
 }
 
 /* Configuration of this owner of steps. */
 
 void
-lc_rollouts_set_id_source (LcRollouts *rollouts, LcRequestId (*next_id) (void *user), void *user)
+lc_rollouts_set_request_id_source (LcRollouts *rollouts,
+                                   LcRequestId (*next_id) (void *user),
+                                   void *user)
 {
   rollouts->next_id = next_id;
   rollouts->next_id_user = user;
@@ -257,23 +259,23 @@
   for (size_t i = 0; i < set->n_pools; i++)
     lc_rollouts_ensure_pool (rollouts, set->pools[i].name)->max_running
         = compute_max_running_generations (set, &set->pools[i]);
-  lc_generate_start_requests (rollouts, now, actions);
+  lc_generate_start_scorings_and_generations (rollouts, now, actions);
 }
 
 void
-lc_rollouts_set_versions (LcRollouts *rollouts,
-                          const char *pool_name,
-                          LcVersion newest_version,
-                          LbTime version_interval,
-                          LbTime now,
-                          LbList *actions)
+lc_rollouts_set_newest_pool_version (LcRollouts *rollouts,
+                                     const char *pool_name,
+                                     LcVersion newest_version,
+                                     LbTime version_interval,
+                                     LbTime now,
+                                     LbList *actions)
 {
   LcRolloutPool *pool = lc_rollouts_ensure_pool (rollouts, pool_name);
 
   free_deferred_memory_and_detect_pause (rollouts, now);
   pool->newest_version = newest_version;
   pool->version_interval = version_interval;
-  lc_generate_start_requests (rollouts, now, actions);
+  lc_generate_start_scorings_and_generations (rollouts, now, actions);
 }
 
 /* Opening and closing steps. */
@@ -366,7 +368,7 @@
       = lc_cursor_decode (&cursor, handover->ledger_cursor, step->n_slots, step->spec_hash, error);
   if (ok)
     {
-      lc_deliver_restore_acknowledged (step, &cursor);
+      lc_deliver_restore_acknowledged_slots (step, &cursor);
       for (size_t i = 0; i < handover->n_samples; i++)
         lc_result_restore_sample (rollouts, step, &handover->samples[i]);
       lb_list_append (&rollouts->steps, &step->link);
@@ -374,7 +376,7 @@
               LB_INT ("step", step->spec.step), LB_INT ("session", handover->session),
               LB_INT ("slots", step->n_slots),
               LB_INT ("acknowledged", step->n_in_state[LC_SLOT_ACKED]));
-      lc_generate_start_requests (rollouts, now, actions);
+      lc_generate_start_scorings_and_generations (rollouts, now, actions);
     }
   else
     lc_step_free (step);
@@ -383,13 +385,13 @@
 }
 
 bool
-lc_rollouts_recover_step (LcRollouts *rollouts,
-                          LcStepSpec *spec,
-                          uint64_t session,
-                          const char *ledger_cursor,
-                          LbTime now,
-                          LbList *actions,
-                          LbError *error)
+lc_rollouts_recover_step_from_ledger (LcRollouts *rollouts,
+                                      LcStepSpec *spec,
+                                      uint64_t session,
+                                      const char *ledger_cursor,
+                                      LbTime now,
+                                      LbList *actions,
+                                      LbError *error)
 {
   const LcStepHandover handover = { .session = session, .ledger_cursor = ledger_cursor };
 
@@ -404,7 +406,7 @@
                        LbList *actions,
                        LbError *error)
 {
-  return lc_rollouts_recover_step (rollouts, spec, session, "", now, actions, error);
+  return lc_rollouts_recover_step_from_ledger (rollouts, spec, session, "", now, actions, error);
 }
 
 void
@@ -422,13 +424,13 @@
   lb_log (LB_LOG_WARNING, "step-lost", LB_TEXT ("subscription", subscription),
           LB_INT ("step", step_number), LB_INT ("session", step->session));
   lc_rollouts_remove_step (rollouts, step, LB_ERROR_STALE_SESSION, actions);
-  lc_generate_start_requests (rollouts, now, actions);
+  lc_generate_start_scorings_and_generations (rollouts, now, actions);
 }
 
 /* Receiving and cancelling pulls. */
 
 void
-lc_rollouts_handle_pull (LcRollouts *rollouts, const LcPull *pull, LbTime now, LbList *actions)
+lc_rollouts_accept_pull (LcRollouts *rollouts, const LcPull *pull, LbTime now, LbList *actions)
 {
   LcStep *step = find_step (rollouts, pull->subscription, pull->step);
 
@@ -444,7 +446,7 @@
   if (lc_deliver_accept_pull (rollouts, step, pull, now, actions))
     answer_pulls_and_start_requests (rollouts, step, now, actions);
   else
-    lc_generate_start_requests (rollouts, now, actions);
+    lc_generate_start_scorings_and_generations (rollouts, now, actions);
 }
 
 void
@@ -476,21 +478,21 @@
 }
 
 void
-lc_rollouts_add_piece (LcRollouts *rollouts,
-                       LcRequestId request,
-                       const LcPiece *piece,
-                       const char *endpoint,
-                       LbTime now,
-                       LbList *actions)
+lc_rollouts_add_generated_piece (LcRollouts *rollouts,
+                                 LcRequestId request,
+                                 const LcPiece *piece,
+                                 const char *endpoint,
+                                 LbTime now,
+                                 LbList *actions)
 {
   LcJob *job = find_job_of_request (rollouts, request);
 
   free_deferred_memory_and_detect_pause (rollouts, now);
   if (!job || job->is_scoring)
     return;
-  lc_result_add_piece (rollouts, job, piece, endpoint, now, actions);
+  lc_result_add_generated_piece (rollouts, job, piece, endpoint, now, actions);
   if (!lb_list_is_empty (actions))
-    lc_generate_start_requests (rollouts, now, actions);
+    lc_generate_start_scorings_and_generations (rollouts, now, actions);
 }
 
 void
@@ -512,7 +514,7 @@
   LcStep *step = job->step;
   lc_result_finish_generation (rollouts, job, error, text, now, actions);
   answer_pulls_and_start_requests (rollouts, step, now, actions);
-  lc_review_stragglers (rollouts, step, now, actions);
+  lc_review_migrate_or_hedge_stragglers (rollouts, step, now, actions);
 }
 
 void
@@ -610,15 +612,15 @@
     lc_deliver_answer_pulls (rollouts, step, now, actions);
     lc_deliver_write_ledger (rollouts, step, now, actions);
   }
-  lc_generate_start_requests (rollouts, now, actions);
+  lc_generate_start_scorings_and_generations (rollouts, now, actions);
   LB_LIST_FOREACH (&rollouts->steps, LcStep, link, open_step)
   {
-    lc_review_stragglers (rollouts, open_step, now, actions);
+    lc_review_migrate_or_hedge_stragglers (rollouts, open_step, now, actions);
   }
 }
 
 LbTime
-lc_rollouts_next_tick (const LcRollouts *rollouts)
+lc_rollouts_next_tick_at (const LcRollouts *rollouts)
 {
   LbTime next = LB_TIME_NEVER;
 
@@ -658,10 +660,10 @@
 }
 
 size_t
-lc_rollouts_list_unacknowledged (const LcRollouts *rollouts,
-                                 const char *subscription,
-                                 int64_t step_number,
-                                 LcReadySample **samples)
+lc_rollouts_list_unacknowledged_samples (const LcRollouts *rollouts,
+                                         const char *subscription,
+                                         int64_t step_number,
+                                         LcReadySample **samples)
 {
   const LcStep *step = find_step (rollouts, subscription, step_number);
   size_t n_samples = 0;
@@ -686,7 +688,7 @@
 }
 
 size_t
-lc_rollouts_count_in_progress (const LcRollouts *rollouts)
+lc_rollouts_count_requests_and_waiting_pulls (const LcRollouts *rollouts)
 {
   size_t count = HASH_COUNT (rollouts->jobs);
 
--- a/packages/core/src/rollout/lc-staleness.c
+++ b/packages/core/src/rollout/lc-staleness.c
@@ -3,7 +3,7 @@
 #include "lc-label.h"
 
 bool
-lc_staleness_is_too_old (const LcLabel *label, LcVersion trainer_version, int64_t max_lag)
+lc_staleness_is_label_too_old (const LcLabel *label, LcVersion trainer_version, int64_t max_lag)
 {
   return lc_label_staleness (label, trainer_version) > max_lag;
 }
@@ -20,7 +20,7 @@
  * versions expected until the end. A smaller idle_weight reduces this lag, for fresher samples at
  * the cost of idle time. The result never exceeds the newest version, which some engine serves. */
 LcVersion
-lc_staleness_min_version (const LcStalenessPolicy *policy, double seconds)
+lc_staleness_min_version_for_duration (const LcStalenessPolicy *policy, double seconds)
 {
   if (policy->max_lag == INT64_MAX || policy->trainer_version == 0)
     return 0;
--- a/packages/core/src/rollout/lc-staleness.h
+++ b/packages/core/src/rollout/lc-staleness.h
@@ -13,8 +13,9 @@
   LbTime version_interval;   /* time between new weight versions; 0: unknown */
 } LcStalenessPolicy;
 
-bool lc_staleness_is_too_old (const LcLabel *label, LcVersion trainer_version, int64_t max_lag);
+bool
+lc_staleness_is_label_too_old (const LcLabel *label, LcVersion trainer_version, int64_t max_lag);
 /* Returns the oldest version that may start a sample of this expected duration; 0: any. */
-LcVersion lc_staleness_min_version (const LcStalenessPolicy *policy, double seconds);
+LcVersion lc_staleness_min_version_for_duration (const LcStalenessPolicy *policy, double seconds);
 
 #endif
--- a/packages/core/src/rollout/lc-step.c
+++ b/packages/core/src/rollout/lc-step.c
@@ -172,7 +172,7 @@
 }
 
 size_t
-lc_step_count_unsent (const LcStep *step)
+lc_step_count_unsent_slots (const LcStep *step)
 {
   return step->n_slots - step->n_in_state[LC_SLOT_ACKED] - step->n_in_state[LC_SLOT_SENT];
 }
--- a/packages/core/src/rollout/lc-step.h
+++ b/packages/core/src/rollout/lc-step.h
@@ -132,7 +132,7 @@
 
 /* Functions that only read an LcStep. */
 /* Returns the number of slots that are neither in the current chunk nor acknowledged. */
-size_t lc_step_count_unsent (const LcStep *step);
+size_t lc_step_count_unsent_slots (const LcStep *step);
 LcReadySample lc_step_make_ready_sample (const LcStep *step, const LcSlot *slot);
 /* Returns the slot of the group's sample; NULL if the step has no such slot. */
 LcSlot *lc_step_find_slot (LcStep *step, const char *group, int64_t index);
--- a/packages/core/src/rollout/lc-ticket.c
+++ b/packages/core/src/rollout/lc-ticket.c
@@ -348,7 +348,7 @@
 }
 
 size_t
-lc_tickets_answer_bytes (const LcTickets *tickets)
+lc_tickets_count_answer_bytes (const LcTickets *tickets)
 {
   return tickets->answer_bytes;
 }
--- a/packages/core/src/usage/lc-usage-reports.c
+++ b/packages/core/src/usage/lc-usage-reports.c
@@ -130,17 +130,17 @@
 }
 
 void
-lc_usage_reports_add_row_window (LcUsageReports *reports, int64_t window_number)
+lc_usage_reports_add_window_with_rows (LcUsageReports *reports, int64_t window_number)
 {
   if (reports->has_duty && !reports->has_read)
     set_first_window_if_earlier (reports, window_number);
 }
 
 void
-lc_usage_reports_add_recorded (LcUsageReports *reports,
-                               int64_t window_number,
-                               const char *text,
-                               bool is_sent)
+lc_usage_reports_add_recorded_report (LcUsageReports *reports,
+                                      int64_t window_number,
+                                      const char *text,
+                                      bool is_sent)
 {
   Window *window = NULL;
 
--- a/packages/core/src/usage/lc-usage.c
+++ b/packages/core/src/usage/lc-usage.c
@@ -81,7 +81,7 @@
 }
 
 void
-lc_usage_counts_add (LcUsageCounts *counts, const char *organisation, int64_t requests)
+lc_usage_counts_add_requests (LcUsageCounts *counts, const char *organisation, int64_t requests)
 {
   get_or_add_count (counts, organisation)->requests += requests;
 }
@@ -101,11 +101,11 @@
 lc_usage_counts_add_counts (LcUsageCounts *counts, const LcUsageCounts *others)
 {
   for (const Count *other = others->by_organisation; other; other = other->hh.next)
-    lc_usage_counts_add (counts, other->organisation, other->requests);
+    lc_usage_counts_add_requests (counts, other->organisation, other->requests);
 }
 
 int64_t
-lc_usage_counts_get (const LcUsageCounts *counts, const char *organisation)
+lc_usage_counts_get_requests (const LcUsageCounts *counts, const char *organisation)
 {
   const Count *count = find_count (counts, organisation);
 
@@ -125,7 +125,7 @@
     {
       json_object_object_foreach (object, name, value)
       {
-        lc_usage_counts_add (counts, name, json_object_get_int64 (value));
+        lc_usage_counts_add_requests (counts, name, json_object_get_int64 (value));
       }
     }
   json_object_put (object);
@@ -205,7 +205,7 @@
       window->counts = lc_usage_counts_new ();
       lb_list_append (&usage->windows, &window->link);
     }
-  lc_usage_counts_add (window->counts, organisation, 1);
+  lc_usage_counts_add_requests (window->counts, organisation, 1);
   window->changed = true;
 }
 
@@ -227,7 +227,7 @@
 }
 
 void
-lc_usage_write_completed (LcUsage *usage, int64_t window_number, bool ok)
+lc_usage_row_write_completed (LcUsage *usage, int64_t window_number, bool ok)
 {
   Window *window = find_window (usage, window_number);
 
--- a/packages/core/src/weights/lc-swap-turns.c
+++ b/packages/core/src/weights/lc-swap-turns.c
@@ -40,7 +40,7 @@
 }
 
 size_t
-lc_swap_turns_max_loads (size_t n_engines)
+lc_swap_turns_max_concurrent_loads (size_t n_engines)
 {
   if (!lb_switch_is_on (LB_SWITCH_LOADS_IN_TURN))
     return n_engines;
--- a/packages/core/src/weights/lc-weights.c
+++ b/packages/core/src/weights/lc-weights.c
@@ -597,7 +597,7 @@
 }
 
 void
-lc_weights_status (const LcWeights *weights, LbTime now, LcWeightsStatus *status)
+lc_weights_get_status (const LcWeights *weights, LbTime now, LcWeightsStatus *status)
 {
   PoolState pool;
 
@@ -620,7 +620,7 @@
 }
 
 bool
-lc_weights_is_swapping (const LcWeights *weights, const char *endpoint)
+lc_weights_is_engine_swapping (const LcWeights *weights, const char *endpoint)
 {
   const Engine *engine = find_engine (weights, endpoint);
 
--- a/packages/core/tests/fake-engines.h
+++ b/packages/core/tests/fake-engines.h
@@ -171,7 +171,7 @@
     }
   if (engine->dead || pool->now < engine->next_report)
     return;
-  bool swapping = lc_weights_is_swapping (pool->weights, engine->name);
+  bool swapping = lc_weights_is_engine_swapping (pool->weights, engine->name);
   engine->next_report = pool->now + (swapping ? pool->swapping_report_period : pool->period);
   report.version = engine->version;
   report.loading = engine->loading != 0;
--- a/packages/core/tests/rollouts-fixture.h
+++ b/packages/core/tests/rollouts-fixture.h
@@ -222,8 +222,8 @@
 {
   LcPiece piece = { .offset = offset, .tokens = tokens, .version = version };
 
-  OWNER_CALL (owner,
-              lc_rollouts_add_piece (owner->rollouts, request, &piece, "e1", owner->now, &actions));
+  OWNER_CALL (owner, lc_rollouts_add_generated_piece (owner->rollouts, request, &piece, "e1",
+                                                      owner->now, &actions));
 }
 
 static inline void
@@ -268,7 +268,7 @@
                   .wait_until = owner->now + wait_time };
 
   LB_COPY (pull.subscription, "t");
-  OWNER_CALL (owner, lc_rollouts_handle_pull (owner->rollouts, &pull, owner->now, &actions));
+  OWNER_CALL (owner, lc_rollouts_accept_pull (owner->rollouts, &pull, owner->now, &actions));
   free (copy);
 }
 
--- a/packages/core/tests/test-batch-head.c
+++ b/packages/core/tests/test-batch-head.c
@@ -56,8 +56,8 @@
   const LcBatchHead ended = { .ended = true };
   const LcBatchHead running = { .ended = false };
 
-  cr_assert (lc_batch_head_is_preferred_over (&running, 5, &ended, 9));
-  cr_assert_not (lc_batch_head_is_preferred_over (&ended, 9, &running, 5));
-  cr_assert (lc_batch_head_is_preferred_over (&running, 9, &running, 5));
-  cr_assert (lc_batch_head_is_preferred_over (&ended, 9, &ended, 5));
+  cr_assert (lc_batch_head_has_next_batch_priority_over (&running, 5, &ended, 9));
+  cr_assert_not (lc_batch_head_has_next_batch_priority_over (&ended, 9, &running, 5));
+  cr_assert (lc_batch_head_has_next_batch_priority_over (&running, 9, &running, 5));
+  cr_assert (lc_batch_head_has_next_batch_priority_over (&ended, 9, &ended, 5));
 }
--- a/packages/core/tests/test-batch-keep.c
+++ b/packages/core/tests/test-batch-keep.c
@@ -181,7 +181,7 @@
 add_pieces (Owner *owner, int item, int n, const char *text, LbTime now)
 {
   for (int i = 0; i < n; i++)
-    lc_batch_add_piece (owner->batch, owner->requests[item], 4, "engine-1", text, now);
+    lc_batch_add_streamed_event (owner->batch, owner->requests[item], 4, "engine-1", text, now);
 }
 
 static int
@@ -212,7 +212,7 @@
                                      .text = row->text,
                                      .versions = row->versions,
                                      .n_versions = row->n_versions };
-      lc_batch_restore_text_part (next->batch, &part);
+      lc_batch_restore_checkpointed_text (next->batch, &part);
     }
   start_batch (next, now);
 }
--- a/packages/core/tests/test-batch.c
+++ b/packages/core/tests/test-batch.c
@@ -133,7 +133,7 @@
 static void
 add_piece (Fixture *f, int item, LcVersion version, const char *text)
 {
-  lc_batch_add_piece (f->batch, f->generating[item], version, "engine-1", text, f->now);
+  lc_batch_add_streamed_event (f->batch, f->generating[item], version, "engine-1", text, f->now);
 }
 
 static void
@@ -146,7 +146,7 @@
 static void
 finish_store_write (Fixture *f, bool ok)
 {
-  lc_batch_finish_write (f->batch, ok, f->now, &f->actions);
+  lc_batch_finish_result_write (f->batch, ok, f->now, &f->actions);
   record_actions (f);
 }
 
@@ -181,7 +181,7 @@
   cr_assert_eq (f.n_writes, 1);
   cr_assert (f.completed[0]);
   finish_store_write (&f, true);
-  cr_assert (lc_batch_is_done (f.batch));
+  cr_assert (lc_batch_has_stored_all_results (f.batch));
   fixture_clear (&f);
 }
 
@@ -326,7 +326,7 @@
                 "the first write must hold only the results that were ready when it started");
   finish_store_write (&f, true);
   finish_store_write (&f, true);
-  cr_assert (lc_batch_is_done (f.batch));
+  cr_assert (lc_batch_has_stored_all_results (f.batch));
   fixture_clear (&f);
 }
 
@@ -342,9 +342,9 @@
   Fixture f;
 
   fixture_init (&f, 4, false, (LcBatchSettings){ .resumable = true });
-  lc_batch_mark_item_listed (f.batch, "item-0");
-  lc_batch_mark_item_listed (f.batch, "item-3");
-  lc_batch_restore_text_part (f.batch, &part);
+  lc_batch_mark_item_result_stored (f.batch, "item-0");
+  lc_batch_mark_item_result_stored (f.batch, "item-3");
+  lc_batch_restore_checkpointed_text (f.batch, &part);
   start_batch (&f);
   cr_assert_eq (f.generating[0], 0);
   cr_assert_eq (f.generating[3], 0);
@@ -578,7 +578,7 @@
 add_pieces (Fixture *f, size_t item, int n, LcVersion version)
 {
   for (int i = 0; i < n; i++)
-    lc_batch_add_piece (f->batch, f->generating[item], version, "engine-1", "x", f->now);
+    lc_batch_add_streamed_event (f->batch, f->generating[item], version, "engine-1", "x", f->now);
 }
 
 /* A trainer ends its step when most groups are complete and requests the incomplete groups again,
@@ -597,7 +597,7 @@
   record_actions (&f);
   lc_batch_finish_scoring (f.batch, f.scoring[1], LB_OK, "stamp", f.now, &f.actions);
   record_actions (&f);
-  lc_batch_finish_write (f.batch, true, f.now, &f.actions);
+  lc_batch_finish_result_write (f.batch, true, f.now, &f.actions);
   start_next_batch (&f, cache, 5, 3);
   cr_assert_eq (f.resume_at[0], 5);
   cr_assert_neq (f.generating[0], 0);
@@ -643,7 +643,7 @@
   add_pieces (&f, 0, 3, 6);
   lc_batch_finish_generation (f.batch, f.generating[0], LB_OK, f.now, &f.actions);
   record_actions (&f);
-  lc_batch_finish_write (f.batch, true, f.now, &f.actions);
+  lc_batch_finish_result_write (f.batch, true, f.now, &f.actions);
   f.now += 5 * LB_SEC;
   lc_batch_stop (f.batch, f.now, &f.actions);
   record_actions (&f);
--- a/packages/core/tests/test-carried.c
+++ b/packages/core/tests/test-carried.c
@@ -67,7 +67,7 @@
     }
   cr_assert (lc_text_cache_find (cache, "i99", 7, 4, &found), "the newest entry must stay");
   cr_assert_not (lc_text_cache_find (cache, "i0", 7, 4, &found));
-  lc_text_cache_expire (cache, 120 * LB_SEC);
+  lc_text_cache_evict_old_texts (cache, 120 * LB_SEC);
   cr_assert_eq (lc_text_cache_count_bytes (cache), 0);
   lc_text_cache_free (cache);
 }
--- a/packages/core/tests/test-config.c
+++ b/packages/core/tests/test-config.c
@@ -127,7 +127,7 @@
   complete_store_read (revision);
   now += LB_SEC;
   complete_store_read (revision);
-  cr_assert (lc_config_is_ready (config));
+  cr_assert (lc_config_is_ready_for_new_work (config));
 }
 
 Test (config, pushed_change_is_applied_and_acknowledged)
@@ -170,7 +170,7 @@
     }
 
   cr_assert_eq (lc_config_active_revision (config), 6);
-  cr_assert_not (lc_config_is_ready (config));
+  cr_assert_not (lc_config_is_ready_for_new_work (config));
 }
 
 /* A push is lost, so the next change can't be applied: the instance fetches the whole set from the
@@ -196,20 +196,20 @@
 {
   lc_config_store_read_failed (config, now, &actions);
   advance_and_tick (LB_SEC);
-  cr_assert_not (lc_config_is_ready (config));
+  cr_assert_not (lc_config_is_ready_for_new_work (config));
   update_members (3, 3);
   cr_assert_eq (count_sent_messages ("i2", LC_CONFIG_MESSAGE_QUERY), 1);
   LbTime asked_at = now;
   now += LB_MSEC;
   receive_status ("i2", 4, asked_at);
   receive_snapshot ("i2", 4);
-  cr_assert_not (lc_config_is_ready (config));
+  cr_assert_not (lc_config_is_ready_for_new_work (config));
   receive_status ("i3", 5, asked_at);
-  cr_assert_not (lc_config_is_ready (config),
+  cr_assert_not (lc_config_is_ready_for_new_work (config),
                  "must not be ready before the newer revision 5 of i3 is active");
   receive_snapshot ("i3", 5);
 
-  cr_assert (lc_config_is_ready (config));
+  cr_assert (lc_config_is_ready_for_new_work (config));
   cr_assert_eq (lc_config_active_revision (config), 5);
 }
 
@@ -223,11 +223,11 @@
   receive_status ("i2", 5, now);
   now += LB_SEC;
   complete_store_read (4);
-  cr_assert_not (lc_config_is_ready (config));
+  cr_assert_not (lc_config_is_ready_for_new_work (config));
   receive_snapshot ("i2", 5);
   complete_store_read (5);
 
-  cr_assert (lc_config_is_ready (config));
+  cr_assert (lc_config_is_ready_for_new_work (config));
 }
 
 /* An instance is partitioned from the store and all others while a change is accepted elsewhere. It
@@ -239,10 +239,10 @@
   update_members (0, 0);
   for (int i = 0; i < 18; i++)
     advance_and_tick (LB_SEC / 2);
-  cr_assert_not (lc_config_is_ready (config));
+  cr_assert_not (lc_config_is_ready_for_new_work (config));
   complete_store_read (5);
 
-  cr_assert (lc_config_is_ready (config));
+  cr_assert (lc_config_is_ready_for_new_work (config));
 }
 
 /* The store is down for longer than max_confirmation_age, so no change can be accepted. Instances
@@ -258,7 +258,7 @@
       now += LB_MSEC;
       receive_status ("i2", 4, asked_at);
       receive_status ("i3", 4, asked_at);
-      cr_assert (lc_config_is_ready (config),
+      cr_assert (lc_config_is_ready_for_new_work (config),
                  "must stay ready with a majority, but was not after %d s", i / 2);
     }
 }
@@ -275,12 +275,12 @@
       advance_and_tick (LB_SEC / 2);
       receive_status ("i2", 4, now);
     }
-  cr_assert_not (lc_config_is_ready (config));
+  cr_assert_not (lc_config_is_ready_for_new_work (config));
   lc_config_remove_instance (config, "i4");
   lc_config_remove_instance (config, "i5");
   advance_and_tick (LB_SEC / 2);
 
-  cr_assert (lc_config_is_ready (config),
+  cr_assert (lc_config_is_ready_for_new_work (config),
              "must be ready as a majority of the three instances that remain");
 }
 
@@ -319,9 +319,9 @@
   make_config_ready (4);
   receive_announced_change ("i4", 1);
   run_without_store (5, false);
-  cr_assert (lc_config_is_ready (config));
+  cr_assert (lc_config_is_ready_for_new_work (config));
   run_without_store (20, false);
-  cr_assert_not (lc_config_is_ready (config));
+  cr_assert_not (lc_config_is_ready_for_new_work (config));
   free_pending_actions ();
   receive_announced_change ("i2", 0);
   LcConfigAction *answer = LB_LIST_FIRST (&actions, LcConfigAction, link);
@@ -330,7 +330,7 @@
   complete_store_read (5);
   run_without_store (60, false);
 
-  cr_assert (lc_config_is_ready (config),
+  cr_assert (lc_config_is_ready_for_new_work (config),
              "must be ready, since the store read settles the outcome");
 }
 
@@ -343,7 +343,7 @@
   receive_announced_change ("i4", 1);
   run_without_store (60, true);
 
-  cr_assert (lc_config_is_ready (config));
+  cr_assert (lc_config_is_ready_for_new_work (config));
 }
 
 /* The store rejected the announced change of i4, and i4 reported this. New work must continue when
@@ -360,7 +360,7 @@
                                             .announced_change = 1 });
   run_without_store (60, false);
 
-  cr_assert (lc_config_is_ready (config));
+  cr_assert (lc_config_is_ready_for_new_work (config));
 }
 
 /* i4 announces a change and crashes. The outcome is settled by a newer revision, or by a store read
@@ -372,7 +372,8 @@
   receive_announced_change ("i4", 1);
   receive_snapshot ("i2", 5);
   run_without_store (60, false);
-  cr_assert (lc_config_is_ready (config), "must be ready: revision 5 settles the announced change");
+  cr_assert (lc_config_is_ready_for_new_work (config),
+             "must be ready: revision 5 settles the announced change");
 
   receive_message ("i4", (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_QUERY,
                                             .revision = 5,
@@ -381,7 +382,7 @@
   now += 12 * LB_SEC;
   complete_store_read (5);
   run_without_store (60, false);
-  cr_assert (lc_config_is_ready (config),
+  cr_assert (lc_config_is_ready_for_new_work (config),
              "must be ready: the store read settles the announced change");
 }
 
@@ -401,7 +402,7 @@
                                             .age = 0,
                                             .confirmed = true });
 
-  cr_assert_not (lc_config_is_ready (config));
+  cr_assert_not (lc_config_is_ready_for_new_work (config));
   cr_assert_geq (lc_config_confirmation_age (config, now), 60 * LB_SEC);
 }
 
--- a/packages/core/tests/test-resources.c
+++ b/packages/core/tests/test-resources.c
@@ -28,7 +28,7 @@
 apply_change_text (const LcResourceSet *set, const char *text, LbError *error)
 {
   struct json_object *object = json_tokener_parse (text);
-  LcResourceSet *next = lc_change_apply (set, object, "c.json", error);
+  LcResourceSet *next = lc_change_apply_to_resource_set (set, object, "c.json", error);
 
   json_object_put (object);
   return next;
--- a/packages/core/tests/test-rollouts-fresh.c
+++ b/packages/core/tests/test-rollouts-fresh.c
@@ -88,8 +88,8 @@
 {
   Owner *owner = owner_new (&plain, 1);
 
-  OWNER_CALL (owner, lc_rollouts_set_versions (owner->rollouts, "reader", 42, 90 * LB_SEC,
-                                               owner->now, &actions));
+  OWNER_CALL (owner, lc_rollouts_set_newest_pool_version (owner->rollouts, "reader", 42,
+                                                          90 * LB_SEC, owner->now, &actions));
   owner_open_step (owner, 1, 1, 1);
   cr_assert_eq (owner->requests[0].min_version, 39);
   owner_add_piece (owner, owner->requests[0].id, 0, 10, 40);
--- a/packages/core/tests/test-rollouts-once.c
+++ b/packages/core/tests/test-rollouts-once.c
@@ -216,7 +216,7 @@
   owner_pull_without_waiting (first, "", 40);
   cr_assert_eq (first->n_samples, 2);
   second->n_handed_over
-      = lc_rollouts_list_unacknowledged (first->rollouts, "t", 1, &second->handed_over);
+      = lc_rollouts_list_unacknowledged_samples (first->rollouts, "t", 1, &second->handed_over);
   cr_assert_eq (second->n_handed_over, 5);
   owner_open_step (second, 4, 2, 2);
   cr_assert_eq (owner_count_running_requests (second), 3);
--- a/packages/core/tests/test-rollouts.c
+++ b/packages/core/tests/test-rollouts.c
@@ -20,7 +20,7 @@
   cr_assert_eq (owner->reply_error, LB_OK);
   cr_assert_eq (owner->n_samples, 0);
   cr_assert_eq (owner_get_step_status (owner).delivered, 8);
-  cr_assert_eq (lc_rollouts_count_in_progress (owner->rollouts), 0);
+  cr_assert_eq (lc_rollouts_count_requests_and_waiting_pulls (owner->rollouts), 0);
   owner_free (owner);
 }
 
@@ -121,7 +121,7 @@
   owner_add_piece (owner, owner->requests[0].id, 0, 10, 40);
   OWNER_CALL (owner, lc_rollouts_drain (owner->rollouts, owner->now, &actions));
   cr_assert_eq (owner_count_running_requests (owner), 1);
-  cr_assert_eq (lc_rollouts_count_in_progress (owner->rollouts), 1);
+  cr_assert_eq (lc_rollouts_count_requests_and_waiting_pulls (owner->rollouts), 1);
   owner_free (owner);
 }
 
--- a/packages/core/tests/test-swap-turns.c
+++ b/packages/core/tests/test-swap-turns.c
@@ -56,11 +56,11 @@
  * weights. */
 Test (swap_turns, one_fifth_of_the_engines_may_load_rounded_up)
 {
-  cr_assert_eq (lc_swap_turns_max_loads (9), 2);
-  cr_assert_eq (lc_swap_turns_max_loads (8), 2);
-  cr_assert_eq (lc_swap_turns_max_loads (38), 8);
-  cr_assert_eq (lc_swap_turns_max_loads (44), 9);
-  cr_assert_eq (lc_swap_turns_max_loads (5), 1);
-  cr_assert_eq (lc_swap_turns_max_loads (1), 1);
-  cr_assert_eq (lc_swap_turns_max_loads (0), 0);
+  cr_assert_eq (lc_swap_turns_max_concurrent_loads (9), 2);
+  cr_assert_eq (lc_swap_turns_max_concurrent_loads (8), 2);
+  cr_assert_eq (lc_swap_turns_max_concurrent_loads (38), 8);
+  cr_assert_eq (lc_swap_turns_max_concurrent_loads (44), 9);
+  cr_assert_eq (lc_swap_turns_max_concurrent_loads (5), 1);
+  cr_assert_eq (lc_swap_turns_max_concurrent_loads (1), 1);
+  cr_assert_eq (lc_swap_turns_max_concurrent_loads (0), 0);
 }
--- a/packages/core/tests/test-ticket.c
+++ b/packages/core/tests/test-ticket.c
@@ -164,7 +164,7 @@
       cr_assert (lc_tickets_issue (tickets, "shop", 0, text, NULL));
       redeem_ticket_of_caller_shop (tickets, text, id, 0);
       lc_tickets_finish_call (tickets, id, LB_OK, 200, answer, sizeof answer, 1);
-      cr_assert_leq (lc_tickets_answer_bytes (tickets), limits.max_answer_bytes);
+      cr_assert_leq (lc_tickets_count_answer_bytes (tickets), limits.max_answer_bytes);
     }
   cr_assert_eq (redeem_ticket_of_caller_shop (tickets, first, 101, 2).error,
                 LB_ERROR_OUTCOME_UNKNOWN);
--- a/packages/core/tests/test-usage-reports.c
+++ b/packages/core/tests/test-usage-reports.c
@@ -179,10 +179,10 @@
 {
   for (int i = 0; operation->ok && i < N_WINDOWS; i++)
     if (simulation.recorded_text[i])
-      lc_usage_reports_add_recorded (reports, i, simulation.recorded_text[i],
-                                     simulation.is_closed[i]);
+      lc_usage_reports_add_recorded_report (reports, i, simulation.recorded_text[i],
+                                            simulation.is_closed[i]);
     else if (simulation.expected_requests[i] > 0)
-      lc_usage_reports_add_row_window (reports, i);
+      lc_usage_reports_add_window_with_rows (reports, i);
   lc_usage_reports_read_reports_completed (reports, operation->ok, simulation.now);
 }
 
@@ -191,7 +191,7 @@
 {
   LcUsageCounts *counts = lc_usage_counts_new ();
 
-  lc_usage_counts_add (counts, "post", simulation.expected_requests[operation->window]);
+  lc_usage_counts_add_requests (counts, "post", simulation.expected_requests[operation->window]);
   lc_usage_reports_sum_rows_completed (reports, operation->window, operation->ok ? counts : NULL,
                                        simulation.now);
   lc_usage_counts_free (counts);
@@ -404,10 +404,10 @@
   LcUsageReports *reports = lc_usage_reports_new (&settings);
   LcUsageCounts *counts = lc_usage_counts_new ();
 
-  lc_usage_counts_add (counts, "post", 5);
+  lc_usage_counts_add_requests (counts, "post", 5);
   lc_usage_reports_begin_duty (reports);
   expect_action (reports, LC_USAGE_READ_REPORTS, 0);
-  lc_usage_reports_add_row_window (reports, 0);
+  lc_usage_reports_add_window_with_rows (reports, 0);
   lc_usage_reports_read_reports_completed (reports, true, 0);
   expect_action (reports, LC_USAGE_SUM_ROWS, 0);
   lc_usage_reports_sum_rows_completed (reports, 0, counts, 0);
--- a/packages/core/tests/test-usage.c
+++ b/packages/core/tests/test-usage.c
@@ -28,8 +28,8 @@
   assert_next_usage_row (usage, 0, 0, "{\"post\":1}");
   assert_next_usage_row (usage, 0, 1, "{\"mill\":2}");
   cr_assert_not (lc_usage_is_fully_written (usage));
-  lc_usage_write_completed (usage, 0, true);
-  lc_usage_write_completed (usage, 1, true);
+  lc_usage_row_write_completed (usage, 0, true);
+  lc_usage_row_write_completed (usage, 1, true);
   cr_assert (lc_usage_is_fully_written (usage));
   lc_usage_free (usage);
 }
@@ -46,7 +46,7 @@
   lc_usage_count_request (usage, "post", 2);
   cr_assert_not (lc_usage_next_row (usage, ROW_PERIOD, 10 * ROW_PERIOD, &row),
                  "expected no row while a write is in progress");
-  lc_usage_write_completed (usage, 0, true);
+  lc_usage_row_write_completed (usage, 0, true);
   cr_assert_not (lc_usage_next_row (usage, ROW_PERIOD, ROW_PERIOD - 1, &row));
   assert_next_usage_row (usage, ROW_PERIOD, 0, "{\"post\":2}");
   lc_usage_free (usage);
@@ -59,10 +59,10 @@
 
   lc_usage_count_request (usage, "post", 1);
   assert_next_usage_row (usage, 0, 0, "{\"post\":1}");
-  lc_usage_write_completed (usage, 0, false);
+  lc_usage_row_write_completed (usage, 0, false);
   cr_assert_not (lc_usage_is_fully_written (usage));
   assert_next_usage_row (usage, ROW_PERIOD, 0, "{\"post\":1}");
-  lc_usage_write_completed (usage, 0, true);
+  lc_usage_row_write_completed (usage, 0, true);
   lc_usage_remove_windows_before (usage, 1);
   cr_assert (lc_usage_is_fully_written (usage));
   lc_usage_free (usage);
@@ -80,11 +80,11 @@
   cr_assert (lc_usage_counts_add_text (later, "{\"post\":5,\"mill\":1}", &error));
   cr_assert (lc_usage_counts_add_text (earlier, "{\"post\":3}", &error));
   lc_usage_counts_merge_maximum (later, earlier);
-  lc_usage_counts_add (total, "post", 2);
+  lc_usage_counts_add_requests (total, "post", 2);
   lc_usage_counts_add_counts (total, later);
-  cr_assert_eq (lc_usage_counts_get (total, "post"), 7);
-  cr_assert_eq (lc_usage_counts_get (total, "mill"), 1);
-  cr_assert_eq (lc_usage_counts_get (total, "none"), 0);
+  cr_assert_eq (lc_usage_counts_get_requests (total, "post"), 7);
+  cr_assert_eq (lc_usage_counts_get_requests (total, "mill"), 1);
+  cr_assert_eq (lc_usage_counts_get_requests (total, "none"), 0);
   cr_assert_not (lc_usage_counts_add_text (total, "[1]", &error));
   cr_assert_eq (error.code, LB_ERROR_BAD_JSON);
   lc_usage_counts_free (later);
--- a/packages/core/tests/test-weights.c
+++ b/packages/core/tests/test-weights.c
@@ -24,7 +24,7 @@
 {
   LcWeightsStatus result;
 
-  lc_weights_status (pool.weights, pool.now, &result);
+  lc_weights_get_status (pool.weights, pool.now, &result);
   return result;
 }
 
--- a/packages/node/src/batch/ln-batch-heads.c
+++ b/packages/node/src/batch/ln-batch-heads.c
@@ -454,7 +454,7 @@
     return;
   lb_list_init (&actions);
   if (batch->run)
-    lc_batch_checkpoint (batch->run, lb_clock_monotonic (), &actions);
+    lc_batch_begin_checkpoint (batch->run, lb_clock_monotonic (), &actions);
   while ((link = lb_list_pop (&actions)))
     {
       LcBatchAction *action = LB_CONTAINER (link, LcBatchAction, link);
--- a/packages/node/src/batch/ln-batch-owner.c
+++ b/packages/node/src/batch/ln-batch-owner.c
@@ -248,7 +248,7 @@
   if (is_write_of_current_run (write))
     {
       lb_list_init (&actions);
-      lc_batch_finish_write (batch->run, ok, lb_clock_monotonic (), &actions);
+      lc_batch_finish_result_write (batch->run, ok, lb_clock_monotonic (), &actions);
       execute_batch_actions (batch, &actions);
     }
   free (write);
@@ -524,9 +524,9 @@
   ln_batches_publish_ownership (batch->batches, true);
   batch->run = lc_batch_new (spec, &settings);
   for (size_t i = 0; i < saved->n_finished_items; i++)
-    lc_batch_mark_item_listed (batch->run, saved->finished_items[i]);
+    lc_batch_mark_item_result_stored (batch->run, saved->finished_items[i]);
   for (size_t i = 0; i < saved->n_parts; i++)
-    lc_batch_restore_text_part (batch->run, &saved->parts[i]);
+    lc_batch_restore_checkpointed_text (batch->run, &saved->parts[i]);
   lb_list_init (&actions);
   lc_batch_start (batch->run, lb_clock_monotonic (), &actions);
   execute_batch_actions (batch, &actions);
@@ -542,7 +542,7 @@
   if (!batch->run)
     return;
   lb_log (LB_LOG_INFO, "batch_stopped", LB_TEXT ("batch", batch->id),
-          LB_INT ("listed", lc_batch_count_listed_results (batch->run)),
+          LB_INT ("listed", lc_batch_count_items_with_stored_result (batch->run)),
           LB_BOOL ("ended", batch->head.ended));
   lb_list_init (&actions);
   lc_batch_stop (batch->run, lb_clock_monotonic (), &actions);
@@ -576,9 +576,9 @@
   const LnBatchRequest *request = find_batch_request (batches, message->request);
 
   if (request && request->batch->run)
-    lc_batch_add_piece (request->batch->run, message->request, message->piece.version,
-                        message->endpoint, message->text ? message->text : "",
-                        lb_clock_monotonic ());
+    lc_batch_add_streamed_event (request->batch->run, message->request, message->piece.version,
+                                 message->endpoint, message->text ? message->text : "",
+                                 lb_clock_monotonic ());
 }
 
 void
--- a/packages/node/src/batch/ln-batch-submit.c
+++ b/packages/node/src/batch/ln-batch-submit.c
@@ -177,8 +177,8 @@
       if (strcmp (batch->head.model, model) != 0)
         continue;
       if (!last
-          || lc_batch_head_is_preferred_over (&batch->head, batch->version, &last->head,
-                                              last->version))
+          || lc_batch_head_has_next_batch_priority_over (&batch->head, batch->version, &last->head,
+                                                         last->version))
         last = batch;
     }
   return last ? lc_batch_head_assigned_instance (&last->head) : "";
--- a/packages/node/src/batch/ln-batches.c
+++ b/packages/node/src/batch/ln-batches.c
@@ -169,7 +169,7 @@
   ln_batch_calls_tick (batches, now);
   ln_batch_cleanup_tick (batches, now);
   for (LnModelHistory *model = batches->model_histories; model; model = model->hh.next)
-    lc_text_cache_expire (model->text_cache, now);
+    lc_text_cache_evict_old_texts (model->text_cache, now);
   lb_metric_set (&batches_owned, n_owned);
   ln_batches_publish_ownership (batches, owns_any);
 }
--- a/packages/node/src/config/ln-config-api.c
+++ b/packages/node/src/config/ln-config-api.c
@@ -363,7 +363,7 @@
   json_object_object_add (object, "revision",
                           json_object_new_int64 (lc_config_active_revision (task->config)));
   json_object_object_add (object, "ready",
-                          json_object_new_boolean (lc_config_is_ready (task->config)));
+                          json_object_new_boolean (lc_config_is_ready_for_new_work (task->config)));
   json_object_object_add (object, "confirmation_age_ms",
                           json_object_new_int64 (age < 0 ? -1 : age / LB_MSEC));
   json_object_object_add (object, "changes_waiting",
--- a/packages/node/src/config/ln-config-change.c
+++ b/packages/node/src/config/ln-config-change.c
@@ -194,7 +194,7 @@
   const LcResourceSet *set = lc_config_active_set (change->task->config);
 
   lc_resource_set_free (change->new_set);
-  change->new_set = lc_change_apply (set, change->body, "change", &error);
+  change->new_set = lc_change_apply_to_resource_set (set, change->body, "change", &error);
   change->head_version = head_version;
   if (!change->new_set)
     reject_change (change, &error, 0);
@@ -393,8 +393,9 @@
 }
 
 /* Commits the announced change only after a majority of the known instances has answered the
- * announcement (lc_config_has_majority). An instance in a minority partition would otherwise report
- * a change as accepted while most instances continue with the previous revision. */
+ * announcement (lc_config_has_answers_of_majority). An instance in a minority partition would
+ * otherwise report a change as accepted while most instances continue with the previous revision.
+ */
 void
 ln_config_change_commit_on_majority (LnConfigTask *task, LbTime now)
 {
@@ -402,7 +403,7 @@
 
   if (!change || change->state != CHANGE_AWAITING_MAJORITY)
     return;
-  if (lc_config_has_majority (task->config, change->announced_at))
+  if (lc_config_has_answers_of_majority (task->config, change->announced_at))
     commit_change (change);
   else if (now - change->announced_at > MAJORITY_TIMEOUT)
     {
--- a/packages/node/src/duties/ln-usage-reporter.c
+++ b/packages/node/src/duties/ln-usage-reporter.c
@@ -145,9 +145,9 @@
   const char *counts = lb_json_text (object, "counts", NULL);
 
   if (counts)
-    lc_usage_reports_add_recorded (pending->reporter->reports,
-                                   strtoll (row->key + strlen (REPORT_PREFIX), NULL, 10), counts,
-                                   lb_json_bool (object, "sent", false));
+    lc_usage_reports_add_recorded_report (pending->reporter->reports,
+                                          strtoll (row->key + strlen (REPORT_PREFIX), NULL, 10),
+                                          counts, lb_json_bool (object, "sent", false));
   else
     lb_log (LB_LOG_ERROR, "usage_report_unreadable", LB_TEXT ("key", row->key));
   json_object_put (object);
@@ -187,8 +187,8 @@
   record_store_error (pending, error, "read");
   pending->has_failed |= error != LB_OK;
   if (n_rows > 0 && is_duty_epoch_current (pending) && ln_usage_window_from_key (rows[0].key) >= 0)
-    lc_usage_reports_add_row_window (pending->reporter->reports,
-                                     ln_usage_window_from_key (rows[0].key));
+    lc_usage_reports_add_window_with_rows (pending->reporter->reports,
+                                           ln_usage_window_from_key (rows[0].key));
   finish_report_list (pending);
 }
 
--- a/packages/node/src/duties/ln-usage-rows.c
+++ b/packages/node/src/duties/ln-usage-rows.c
@@ -104,7 +104,7 @@
   if (error != LB_OK)
     lb_log (LB_LOG_INFO, "usage_row_not_written", LB_INT ("window", write->window),
             LB_TEXT ("error", lb_error_name (error)));
-  lc_usage_write_completed (write->rows->usage, write->window, error == LB_OK);
+  lc_usage_row_write_completed (write->rows->usage, write->window, error == LB_OK);
   free (write);
 }
 
--- a/packages/node/src/rollout/ln-pool-controller.c
+++ b/packages/node/src/rollout/ln-pool-controller.c
@@ -320,7 +320,7 @@
 
   if (period < LOAD_REPORT_INTERVAL)
     period = LOAD_REPORT_INTERVAL;
-  if (lc_weights_is_swapping (engine->controller->weights, engine->name))
+  if (lc_weights_is_engine_swapping (engine->controller->weights, engine->name))
     period = LOAD_REPORT_INTERVAL_DURING_SWAP;
   engine->next_load_request_at = now + period;
   engine->load_requested_at = now;
@@ -398,7 +398,7 @@
 {
   LbLink *link;
   LbList actions;
-  bool ready = lc_config_is_ready (controller->task->config);
+  bool ready = lc_config_is_ready_for_new_work (controller->task->config);
 
   lb_list_init (&actions);
   lc_weights_tick (controller->weights,
@@ -449,7 +449,7 @@
 {
   LcWeightsStatus status;
 
-  lc_weights_status (controller->weights, now, &status);
+  lc_weights_get_status (controller->weights, now, &status);
   if (status.target == 0
       || (status.target == controller->announced_version && now < controller->next_announcement_at))
     return;
--- a/packages/node/src/rollout/ln-pool-controllers.c
+++ b/packages/node/src/rollout/ln-pool-controllers.c
@@ -344,7 +344,7 @@
   LcWeightsStatus status;
   struct json_object *object = json_object_new_object ();
 
-  lc_weights_status (controller->weights, lb_clock_monotonic (), &status);
+  lc_weights_get_status (controller->weights, lb_clock_monotonic (), &status);
   json_object_object_add (object, "pool", json_object_new_string (controller->pool));
   json_object_object_add (object, "version", json_object_new_int64 (status.target));
   json_object_object_add (object, "engines", json_object_new_int64 ((int64_t)status.engines));
--- a/packages/node/src/rollout/ln-rollouts-owners.c
+++ b/packages/node/src/rollout/ln-rollouts-owners.c
@@ -150,7 +150,7 @@
 
   lb_list_init (&actions);
   lb_list_append (&rollouts->calls, &call->link);
-  lc_rollouts_handle_pull (rollouts->core, &call->pull, lb_clock_monotonic (), &actions);
+  lc_rollouts_accept_pull (rollouts->core, &call->pull, lb_clock_monotonic (), &actions);
   ln_rollouts_execute_actions (rollouts, &actions);
 }
 
@@ -523,8 +523,9 @@
 {
   OwnershipOperation *operation = LB_NEW (OwnershipOperation);
   LcReadySample *samples = NULL;
-  size_t n_samples = lc_rollouts_list_unacknowledged (rollouts->core, step->key.subscription,
-                                                      step->key.step, &samples);
+  size_t n_samples
+      = lc_rollouts_list_unacknowledged_samples (rollouts->core, step->key.subscription,
+                                                 step->key.step, &samples);
   struct json_object *json = ln_step_samples_to_json (samples, n_samples, 0);
 
   *operation = (OwnershipOperation){ .rollouts = rollouts, .key = step->key };
--- a/packages/node/src/rollout/ln-rollouts-run.c
+++ b/packages/node/src/rollout/ln-rollouts-run.c
@@ -187,7 +187,7 @@
 static void
 schedule_next_tick (LnRollouts *rollouts)
 {
-  LbTime next = lc_rollouts_next_tick (rollouts->core);
+  LbTime next = lc_rollouts_next_tick_at (rollouts->core);
 
   if (rollouts->is_draining && !lb_list_is_empty (&rollouts->steps))
     next = lb_clock_monotonic () + DRAIN_TICK_INTERVAL;
--- a/packages/node/src/rollout/ln-rollouts.c
+++ b/packages/node/src/rollout/ln-rollouts.c
@@ -130,8 +130,8 @@
   LbList actions;
 
   lb_list_init (&actions);
-  lc_rollouts_set_versions (rollouts->core, message->pool, message->newest, message->cadence,
-                            lb_clock_monotonic (), &actions);
+  lc_rollouts_set_newest_pool_version (rollouts->core, message->pool, message->newest,
+                                       message->cadence, lb_clock_monotonic (), &actions);
   ln_rollouts_execute_actions (rollouts, &actions);
 }
 
@@ -141,8 +141,8 @@
   LbList actions;
 
   lb_list_init (&actions);
-  lc_rollouts_add_piece (rollouts->core, message->request, &message->piece, message->endpoint,
-                         lb_clock_monotonic (), &actions);
+  lc_rollouts_add_generated_piece (rollouts->core, message->request, &message->piece,
+                                   message->endpoint, lb_clock_monotonic (), &actions);
   ln_rollouts_execute_actions (rollouts, &actions);
 }
 
@@ -244,7 +244,7 @@
 
   return rollouts->n_operations == 0 && lb_list_is_empty (&rollouts->steps)
          && lb_list_is_empty (&rollouts->calls)
-         && lc_rollouts_count_in_progress (rollouts->core) == 0;
+         && lc_rollouts_count_requests_and_waiting_pulls (rollouts->core) == 0;
 }
 
 static void
@@ -303,7 +303,7 @@
   rollouts->task.hub = context->hub;
   rollouts->context = context;
   rollouts->core = lc_rollouts_new (&settings);
-  lc_rollouts_set_id_source (rollouts->core, new_request_id, context);
+  lc_rollouts_set_request_id_source (rollouts->core, new_request_id, context);
   rollouts->store = ln_step_store_new (context);
   rollouts->timer = evtimer_new (context->base, on_rollouts_tick_timer, rollouts);
   lb_list_init (&rollouts->steps);
--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -476,14 +476,14 @@
   size_t n = orders->models.length;
   LcSwapCandidate *candidates = LB_NEW_ARRAY (LcSwapCandidate, n + 1);
   Model **models = LB_NEW_ARRAY (Model *, n + 1);
-  size_t max_swapping = lc_swap_turns_max_loads (HASH_COUNT (orders->engines));
+  size_t max_swapping = lc_swap_turns_max_concurrent_loads (HASH_COUNT (orders->engines));
   size_t swapping = 0;
   size_t next = 0;
 
   LB_LIST_FOREACH (&orders->models, Model, link, model)
   {
     models[next] = model;
-    lc_weights_status (model->weights, now, &candidates[next].status);
+    lc_weights_get_status (model->weights, now, &candidates[next].status);
     swapping += candidates[next++].status.swapping;
   }
   while (swapping < max_swapping && (next = lc_swap_turns_choose_model (candidates, n)) < n)
@@ -492,7 +492,7 @@
       lc_weights_set_swap_limit (models[next]->weights, (int64_t)status->swapping + 1);
       candidates[next].blocked = !order_model_loads (models[next], now);
       swapping += !candidates[next].blocked;
-      lc_weights_status (models[next]->weights, now, status);
+      lc_weights_get_status (models[next]->weights, now, status);
     }
   free (models);
   free (candidates);
--- a/packages/sim/src/lx-instance-config.c
+++ b/packages/sim/src/lx-instance-config.c
@@ -295,7 +295,7 @@
 
   LcResourceSet *next = NULL;
   if (now >= world->store.unavailable_until
-      && lc_config_has_majority (instance->config, change->requested_at))
+      && lc_config_has_answers_of_majority (instance->config, change->requested_at))
     next = lx_registry_commit_change (&world->registry, change->revision, change->change);
   if (!next)
     {
--- a/packages/sim/src/lx-instance.c
+++ b/packages/sim/src/lx-instance.c
@@ -233,7 +233,7 @@
   rollouts.seed = dispatch.seed;
   instance->dispatch = lc_dispatch_new (&dispatch);
   instance->rollouts = lc_rollouts_new (&rollouts);
-  lc_rollouts_set_id_source (instance->rollouts, next_request_id, instance);
+  lc_rollouts_set_request_id_source (instance->rollouts, next_request_id, instance);
   memset (instance->cache_cursors, 0, instance->world->n_endpoints * sizeof (uint64_t));
   lx_instance_start_config (instance);
   lx_instance_post_message (instance, (LbTime)instance->index * FIRST_POLL_OFFSET_MS * LB_MSEC,
@@ -741,9 +741,10 @@
   StepOpening *opening = argument;
   LbError error = { 0 };
   int64_t step = opening->spec.step;
-  bool opened = lc_rollouts_recover_step (instance->rollouts, &opening->spec, opening->session,
-                                          opening->ledger_row, current_time (instance),
-                                          &instance->rollout_actions, &error);
+  bool opened
+      = lc_rollouts_recover_step_from_ledger (instance->rollouts, &opening->spec, opening->session,
+                                              opening->ledger_row, current_time (instance),
+                                              &instance->rollout_actions, &error);
 
   lx_world_record_decision (instance->world,
                             "%s opens trainer %zu step %" PRId64 " session %" PRIu64 ": %s",
@@ -762,7 +763,7 @@
   LcStepStatus status;
   char key[3 * LB_NAME_MAX];
 
-  if (!lc_config_is_ready (instance->config))
+  if (!lc_config_is_ready_for_new_work (instance->config))
     {
       lc_step_spec_clear (spec);
       return;
@@ -840,7 +841,7 @@
   instance->next_tick_at = LB_TIME_NEVER;
   if (lc_dispatch_next_tick (instance->dispatch) <= now)
     lc_dispatch_tick (instance->dispatch, now, &instance->dispatch_actions);
-  if (lc_rollouts_next_tick (instance->rollouts) <= now)
+  if (lc_rollouts_next_tick_at (instance->rollouts) <= now)
     lc_rollouts_tick (instance->rollouts, now, &instance->rollout_actions);
   execute_pending_actions (instance);
 }
@@ -849,7 +850,7 @@
 schedule_core_tick (LxInstance *instance)
 {
   LbTime due = lc_dispatch_next_tick (instance->dispatch);
-  LbTime rollouts_due = lc_rollouts_next_tick (instance->rollouts);
+  LbTime rollouts_due = lc_rollouts_next_tick_at (instance->rollouts);
 
   due = rollouts_due < due ? rollouts_due : due;
   if (due >= instance->next_tick_at)
@@ -897,7 +898,7 @@
   LxWorld *world = instance->world;
   bool is_idle = lc_dispatch_count_in_progress (instance->dispatch) == 0
                  && lc_dispatch_count_waiting (instance->dispatch, LC_KIND_LIVE) == 0
-                 && lc_rollouts_count_in_progress (instance->rollouts) == 0;
+                 && lc_rollouts_count_requests_and_waiting_pulls (instance->rollouts) == 0;
 
   (void)argument;
   if (!is_idle && current_time (instance) - instance->drain_started_at < DRAIN_TIMEOUT)
@@ -960,7 +961,7 @@
 {
   LbTime retry_after = 0;
 
-  if (!lc_config_is_ready (instance->config))
+  if (!lc_config_is_ready_for_new_work (instance->config))
     return lb_error_set (error, LB_ERROR_NOT_READY, instance->name, "no confirmed configuration");
   spec->id = next_request_id (instance);
   bool is_accepted = submit_request (instance, spec, job, call, &retry_after, error);
@@ -989,8 +990,8 @@
     }
   if (piece->last)
     lx_text_copy (&request->text, &attempt->text);
-  lc_rollouts_add_piece (instance->rollouts, request->id, piece, attempt->engine->name,
-                         current_time (instance), &instance->rollout_actions);
+  lc_rollouts_add_generated_piece (instance->rollouts, request->id, piece, attempt->engine->name,
+                                   current_time (instance), &instance->rollout_actions);
 }
 
 static void
@@ -1104,15 +1105,16 @@
 void
 lx_instance_set_versions (LxInstance *instance, LcVersion newest, LbTime version_interval)
 {
-  lc_rollouts_set_versions (instance->rollouts, instance->world->options.site->pool, newest,
-                            version_interval, current_time (instance), &instance->rollout_actions);
+  lc_rollouts_set_newest_pool_version (instance->rollouts, instance->world->options.site->pool,
+                                       newest, version_interval, current_time (instance),
+                                       &instance->rollout_actions);
   execute_pending_actions (instance);
 }
 
 void
 lx_instance_handle_pull (LxInstance *instance, const LcPull *pull)
 {
-  lc_rollouts_handle_pull (instance->rollouts, pull, current_time (instance),
+  lc_rollouts_accept_pull (instance->rollouts, pull, current_time (instance),
                            &instance->rollout_actions);
   execute_pending_actions (instance);
 }
--- a/packages/sim/src/lx-registry.c
+++ b/packages/sim/src/lx-registry.c
@@ -43,7 +43,8 @@
       return NULL;
     }
 
-  LcResourceSet *next = lc_change_apply (registry->accepted, change, "operator", &error);
+  LcResourceSet *next
+      = lc_change_apply_to_resource_set (registry->accepted, change, "operator", &error);
   if (!next)
     return NULL;
   lc_resource_set_free (registry->accepted);
@@ -111,14 +112,14 @@
                                (double)(now - registry->accepted_at[due]) / LB_SEC);
   /* An instance that becomes ready must not use an older revision than one that has long been
    * active on another instance. */
-  if (!instance->was_ready && lc_config_is_ready (instance->config)
+  if (!instance->was_ready && lc_config_is_ready_for_new_work (instance->config)
       && revision < get_newest_revision_in_use_for_long (registry, now))
     lx_audit_report_violation (&world->audit, LX_VIOLATION_REVERTED, now,
                                lx_world_event_number (world),
                                "%s is ready with revision %" PRId64 " after %" PRId64 " was active",
                                instance->name, revision,
                                get_newest_revision_in_use_for_long (registry, now));
-  instance->was_ready = lc_config_is_ready (instance->config);
+  instance->was_ready = lc_config_is_ready_for_new_work (instance->config);
 }
 
 static void
