--- a/packages/core/include/lc-ticket.h
+++ b/packages/core/include/lc-ticket.h
@@ -12,7 +12,7 @@
 
 typedef struct
 {
-  /* time until a ticket expires, from its issue and again from the end of its call */
+  /* time until a ticket expires, counted from its issue, and anew from the end of its call */
   LbTime lifetime;
   size_t max_tickets;      /* limit for the number of tickets in all states together */
   size_t max_answer_bytes; /* limit for the total size of stored answers; the oldest are evicted */
@@ -21,7 +21,7 @@
 
 typedef enum
 {
-  /* run the call now; decided again for a ticket only if the call is known not to have run */
+  /* run the call now; returned again for a ticket only if its call is known not to have run */
   LC_TICKET_RUN,
   LC_TICKET_JOIN,   /* the call is running as `request`: wait for its answer */
   LC_TICKET_REPLAY, /* send the stored `answer` */
--- a/packages/core/src/rollout/lc-cursor.c
+++ b/packages/core/src/rollout/lc-cursor.c
@@ -14,7 +14,7 @@
     = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
 
 static size_t
-bitmap_size (size_t n_slots)
+bitmap_size_in_bytes (size_t n_slots)
 {
   return (n_slots + 7) / 8;
 }
@@ -24,7 +24,7 @@
 {
   memset (cursor, 0, sizeof *cursor);
   cursor->n_slots = n_slots;
-  cursor->bitmap = lb_calloc (bitmap_size (n_slots), 1);
+  cursor->bitmap = lb_calloc (bitmap_size_in_bytes (n_slots), 1);
 }
 
 void
@@ -37,7 +37,7 @@
 void
 lc_cursor_copy (LcCursor *target, const LcCursor *source)
 {
-  uint8_t *bitmap_copy = lb_memdup (source->bitmap, bitmap_size (source->n_slots));
+  uint8_t *bitmap_copy = lb_memdup (source->bitmap, bitmap_size_in_bytes (source->n_slots));
 
   free (target->bitmap);
   *target = *source;
@@ -61,7 +61,7 @@
 {
   size_t count = 0;
 
-  for (size_t i = 0; i < bitmap_size (cursor->n_slots); i++)
+  for (size_t i = 0; i < bitmap_size_in_bytes (cursor->n_slots); i++)
     count += (size_t)__builtin_popcount (cursor->bitmap[i]);
   return count;
 }
@@ -69,7 +69,7 @@
 bool
 lc_cursor_contains (const LcCursor *cursor, const LcCursor *subset)
 {
-  for (size_t i = 0; i < bitmap_size (subset->n_slots); i++)
+  for (size_t i = 0; i < bitmap_size_in_bytes (subset->n_slots); i++)
     if (subset->bitmap[i] & ~cursor->bitmap[i])
       return false;
   return true;
@@ -141,7 +141,7 @@
 char *
 lc_cursor_encode (const LcCursor *cursor, uint64_t step_hash)
 {
-  size_t body_size = CURSOR_HEADER_BYTES + bitmap_size (cursor->n_slots);
+  size_t body_size = CURSOR_HEADER_BYTES + bitmap_size_in_bytes (cursor->n_slots);
   uint8_t *bytes = lb_malloc (body_size + CURSOR_CHECKSUM_BYTES);
   uint8_t *position = bytes;
 
@@ -149,7 +149,7 @@
   write_big_endian (&position, cursor->session, 8);
   write_big_endian (&position, (uint64_t)cursor->chunk_number, 4);
   write_big_endian (&position, cursor->n_slots, 4);
-  memcpy (position, cursor->bitmap, bitmap_size (cursor->n_slots));
+  memcpy (position, cursor->bitmap, bitmap_size_in_bytes (cursor->n_slots));
   position = bytes + body_size;
   write_big_endian (&position, XXH64 (bytes, body_size, step_hash), CURSOR_CHECKSUM_BYTES);
 
@@ -162,7 +162,7 @@
 lc_cursor_decode (
     LcCursor *cursor, const char *text, size_t n_slots, uint64_t step_hash, LbError *error)
 {
-  size_t body_size = CURSOR_HEADER_BYTES + bitmap_size (n_slots);
+  size_t body_size = CURSOR_HEADER_BYTES + bitmap_size_in_bytes (n_slots);
   uint8_t *bytes = NULL;
   bool ok = false;
 
@@ -183,7 +183,7 @@
   cursor->chunk_number = (int64_t)read_big_endian (&position, 4);
   if (read_big_endian (&position, 4) != n_slots)
     goto out;
-  memcpy (cursor->bitmap, position, bitmap_size (n_slots));
+  memcpy (cursor->bitmap, position, bitmap_size_in_bytes (n_slots));
   ok = true;
 out:
   free (bytes);
--- a/packages/core/src/rollout/lc-cursor.h
+++ b/packages/core/src/rollout/lc-cursor.h
@@ -13,7 +13,7 @@
    * with */
   int64_t chunk_number;
   size_t n_slots;
-  uint8_t *bitmap; /* bit i is set if the trainer has received slot i */
+  uint8_t *bitmap; /* bit i is set if the trainer has received the sample of slot i */
 } LcCursor;
 
 void lc_cursor_init (LcCursor *cursor, size_t n_slots);
--- a/packages/core/src/rollout/lc-deliver.c
+++ b/packages/core/src/rollout/lc-deliver.c
@@ -69,7 +69,7 @@
 }
 
 void
-lc_deliver_fail_pulls (LcStep *step, LbErrorCode error, LbTime retry_after, LbList *actions)
+lc_deliver_fail_waiting_pulls (LcStep *step, LbErrorCode error, LbTime retry_after, LbList *actions)
 {
   LB_LIST_FOREACH (&step->waiting_pulls, LcWaitingPull, link, pull)
   {
@@ -163,7 +163,7 @@
 }
 
 static void
-update_delivery_statistics (LcStep *step, const LcSlot *slot, LcVersion trainer_version)
+record_staleness_of_delivered_sample (LcStep *step, const LcSlot *slot, LcVersion trainer_version)
 {
   int64_t staleness = lc_label_staleness (slot->label, trainer_version);
 
@@ -182,7 +182,7 @@
 
   chunk->slots[chunk->n_slots++] = slot_index;
   lc_cursor_add_slot (&chunk->cursor, slot_index);
-  update_delivery_statistics (step, slot, trainer_version);
+  record_staleness_of_delivered_sample (step, slot, trainer_version);
   slot->was_sent = true;
   lc_step_set_slot_state (step, slot, LC_SLOT_SENT);
 }
@@ -270,8 +270,8 @@
   lc_step_set_slot_state (step, slot, LC_SLOT_ACKED);
 }
 
-/* Acknowledges the chunk of a strict subscription when it is sent, without a cursor of the trainer:
- * the ledger already records the chunk as delivered. */
+/* Acknowledges the chunk of a strict subscription as soon as the chunk is sent: the ledger already
+ * records the chunk as delivered, and the trainer sends no cursor. */
 static void
 acknowledge_strict_chunk (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
 {
@@ -285,7 +285,7 @@
 
 /* Revokes the current chunk if the trainer repeats its pull at a newer version, for which a sample
  * of the chunk exceeds the staleness bound. The caller then builds a new chunk. If the trainer did
- * receive the first chunk, the cursor of that chunk still acknowledges its samples. */
+ * receive the revoked chunk, the cursor of that chunk still acknowledges its samples. */
 static void
 revoke_stale_chunk (LcRollouts *rollouts, LcStep *step, const LcWaitingPull *pull, LbList *actions)
 {
@@ -351,7 +351,7 @@
 }
 
 void
-lc_deliver_answer_pulls (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
+lc_deliver_answer_waiting_pulls (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
 {
   LB_LIST_FOREACH (&step->waiting_pulls, LcWaitingPull, link, pull)
   {
@@ -362,9 +362,10 @@
 
 /* Acknowledging samples by the cursors of pulls. */
 
-/* Each session after this one is claimed in the store by one owner. The first session may have had
- * another owner, which opened the step while the store was unavailable and then died or lost the
- * step. Rejecting that owner's cursors would block the trainer on this step for ever. */
+/* Number of a step's first session. Later sessions are claimed in the store by one owner each. In
+ * the first session, another instance may have opened the step while the store was unavailable,
+ * delivered samples, and then died or lost the step. Rejecting its cursors would block the trainer
+ * on this step forever. */
 #define FIRST_SESSION 1
 
 static bool
@@ -392,7 +393,7 @@
 {
   if (lc_cursor_count_slots (cursor) == step->n_in_state[LC_SLOT_ACKED])
     return;
-  lc_deliver_fail_pulls (step, LB_ERROR_BAD_CURSOR, 0, actions);
+  lc_deliver_fail_waiting_pulls (step, LB_ERROR_BAD_CURSOR, 0, actions);
   for (size_t i = 0; i < step->n_slots; i++)
     if (lc_cursor_has_slot (cursor, i) && step->slots[i].state != LC_SLOT_ACKED)
       acknowledge_slot (rollouts, step, i, actions);
@@ -410,7 +411,7 @@
  * was paused or partitioned. This instance could repeat samples that the new owner has
  * delivered. */
 static bool
-is_from_later_owner (const LcStep *step, const LcCursor *cursor)
+is_cursor_from_later_owner (const LcStep *step, const LcCursor *cursor)
 {
   return cursor->session > step->session;
 }
@@ -435,7 +436,7 @@
   LbError error = { .code = LB_OK };
   bool strict = has_strict_subscription (rollouts, step);
   bool ok = lc_cursor_decode (&cursor, pull->cursor, step->n_slots, step->spec_hash, &error);
-  bool has_later_owner = ok && is_from_later_owner (step, &cursor);
+  bool has_later_owner = ok && is_cursor_from_later_owner (step, &cursor);
 
   if (ok && strict && pull->cursor[0])
     ok = lb_error_set (&error, LB_ERROR_BAD_CURSOR, "cursor",
@@ -465,7 +466,7 @@
 /* Writing and restoring the ledger row. */
 
 void
-lc_deliver_write_ledger (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
+lc_deliver_add_due_ledger_write (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
 {
   if (lc_ledger_next_write_at (&step->ledger) > now
       || (step->closed_at && step->ledger.stored_change == step->ledger.latest_change))
@@ -482,8 +483,8 @@
   lc_ledger_begin_write (&step->ledger, action->write_id, now);
 }
 
-/* Another instance may have taken over the step and delivered samples while this process was
- * paused. In that case the ledger write fails, since it is conditional on the session. */
+/* Requires a ledger write before the next delivery. If another instance took over the step while
+ * this process was paused, that write fails, since it is conditional on the session number. */
 void
 lc_deliver_require_session_check (LcStep *step)
 {
--- a/packages/core/src/rollout/lc-deliver.h
+++ b/packages/core/src/rollout/lc-deliver.h
@@ -13,13 +13,18 @@
     LcRollouts *rollouts, LcStep *step, const LcPull *pull, LbTime now, LbList *actions);
 /* Answers each waiting pull if a chunk is ready, all samples are delivered or the pull has timed
  * out. */
-void lc_deliver_answer_pulls (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions);
+void
+lc_deliver_answer_waiting_pulls (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions);
 /* Adds an action that writes the step's ledger row, if a write is due. */
-void lc_deliver_write_ledger (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions);
+void
+lc_deliver_add_due_ledger_write (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions);
 /* Stops deliveries of the step until a new ledger write has confirmed its session. */
 void lc_deliver_require_session_check (LcStep *step);
 /* Marks the slots in the cursor of the step's ledger row as acknowledged. */
 void lc_deliver_restore_acknowledged_slots (LcStep *step, const LcCursor *ledger_cursor);
-void lc_deliver_fail_pulls (LcStep *step, LbErrorCode error, LbTime retry_after, LbList *actions);
+void lc_deliver_fail_waiting_pulls (LcStep *step,
+                                    LbErrorCode error,
+                                    LbTime retry_after,
+                                    LbList *actions);
 
 #endif
--- a/packages/core/src/rollout/lc-generate.c
+++ b/packages/core/src/rollout/lc-generate.c
@@ -10,7 +10,7 @@
 #define SCORING_TIMEOUT (30 * LB_SEC)
 #define BYTES_PER_TOKEN 4 /* estimated length of a token, to count the tokens of a prompt */
 #define MAX_PRIORITY 10
-/* weight of the exploration bonus in mean sample lengths, see compute_group_score */
+/* bonus that lets one sample of each group start early, in multiples of the mean sample length */
 #define EXPLORATION_WEIGHT 2.0
 
 /* Prediction of sample lengths. */
@@ -18,7 +18,9 @@
 /* Returns the expected total length of a running sample in tokens, given the tokens that it already
  * has. */
 static double
-estimate_total_tokens (const LcLengthHistogram *lengths, const LcJob *job, int64_t max_tokens)
+estimate_total_sample_tokens (const LcLengthHistogram *lengths,
+                              const LcJob *job,
+                              int64_t max_tokens)
 {
   return (double)job->label.tokens
          + lc_length_histogram_estimate_remaining_tokens (lengths, job->label.tokens, max_tokens);
@@ -39,7 +41,7 @@
       if (slot->state >= LC_SLOT_SCORING && slot->label)
         group_lengths.sum += (double)slot->label->tokens;
       else if (slot->state == LC_SLOT_RUNNING && job)
-        group_lengths.sum += estimate_total_tokens (lengths, job, max_tokens);
+        group_lengths.sum += estimate_total_sample_tokens (lengths, job, max_tokens);
       else
         continue;
       group_lengths.count++;
@@ -51,7 +53,7 @@
 static double
 predict_next_sample_tokens (const LcRollouts *rollouts, const LcStep *step, size_t group_index)
 {
-  const LcLengthHistogram *lengths = lc_step_length_histogram (rollouts, step);
+  const LcLengthHistogram *lengths = lc_step_find_trainer_length_histogram (rollouts, step);
   LcGroupLengths group_lengths = sum_group_lengths (lengths, step, group_index);
 
   return lc_length_histogram_predict_group_sample_length (
@@ -59,7 +61,7 @@
 }
 
 static size_t
-count_started_samples (const LcStep *step, size_t group_index)
+count_started_samples_of_group (const LcStep *step, size_t group_index)
 {
   const LcGroup *group = &step->groups[group_index];
   size_t n_started = 0;
@@ -73,13 +75,16 @@
  * with the number of the group's started samples. The bonus makes a sample of each group start
  * early, which shows whether the whole group is long. */
 static double
-compute_group_score (const LcRollouts *rollouts, const LcStep *step, size_t group_index)
+compute_group_scheduling_score (const LcRollouts *rollouts, const LcStep *step, size_t group_index)
 {
-  double mean = lc_length_histogram_mean_sample_length (lc_step_length_histogram (rollouts, step),
-                                                        step->spec.groups[group_index].max_tokens);
+  double mean
+      = lc_length_histogram_mean_sample_length (lc_step_find_trainer_length_histogram (rollouts,
+                                                                                       step),
+                                                step->spec.groups[group_index].max_tokens);
 
   return predict_next_sample_tokens (rollouts, step, group_index)
-         + EXPLORATION_WEIGHT * mean / (1.0 + (double)count_started_samples (step, group_index));
+         + EXPLORATION_WEIGHT * mean
+               / (1.0 + (double)count_started_samples_of_group (step, group_index));
 }
 
 static bool
@@ -94,11 +99,11 @@
   return false;
 }
 
-/* Picks the waiting slot with the highest score; returns NULL if no slot can start now. Long
- * samples start first, so that the step does not end with a long sample that started last. Slots
- * with a partial sample go before all others. */
+/* Picks the waiting slot with the largest expected sample length; returns NULL if no slot can start
+ * now. Long samples start first, so that the step does not end with a long sample that started
+ * last. Slots with a partial sample go before all others. */
 static LcSlot *
-pick_waiting_slot (const LcRollouts *rollouts, LcStep *step, LbTime now)
+pick_waiting_slot_of_step (const LcRollouts *rollouts, LcStep *step, LbTime now)
 {
   LcSlot *best = NULL;
   double best_score = -1;
@@ -116,7 +121,7 @@
           if (!rollouts->settings.longest_first)
             return slot;
           if (group_score < 0)
-            group_score = compute_group_score (rollouts, step, g);
+            group_score = compute_group_scheduling_score (rollouts, step, g);
           double score = slot->label ? INFINITY : group_score;
           if (score > best_score)
             {
@@ -131,7 +136,7 @@
 /* Starting generations and scorings. */
 
 static LcVersion
-choose_min_version (LcRollouts *rollouts, const LcStep *step, double tokens)
+choose_min_weight_version (LcRollouts *rollouts, const LcStep *step, double tokens)
 {
   const LcTrainer *trainer = lc_rollouts_find_trainer (rollouts, step->spec.subscription);
   const LcRolloutPool *pool = lc_step_find_pool (rollouts, step);
@@ -152,19 +157,18 @@
 static int
 compute_request_priority (const LcRollouts *rollouts, const LcStep *step, double tokens)
 {
-  double relative_length
-      = tokens
-        / lc_length_histogram_mean_sample_length (lc_step_length_histogram (rollouts, step),
-                                                  INT64_MAX);
+  double relative_length = tokens
+                           / lc_length_histogram_mean_sample_length (
+                               lc_step_find_trainer_length_histogram (rollouts, step), INT64_MAX);
 
   return (int)fmin (relative_length, MAX_PRIORITY);
 }
 
 static void
-fill_generation_spec (LcRollouts *rollouts, LcRequestSpec *spec, const LcJob *job)
+fill_generation_request_spec (LcRollouts *rollouts, LcRequestSpec *spec, const LcJob *job)
 {
   const LcStep *step = job->step;
-  const LcSlot *slot = lc_job_slot (job);
+  const LcSlot *slot = lc_job_find_slot (job);
   const LcTrainer *trainer = lc_rollouts_find_trainer (rollouts, step->spec.subscription);
   double tokens = predict_next_sample_tokens (rollouts, step, slot->group_index);
 
@@ -181,7 +185,7 @@
   spec->prompt_tokens
       = (int64_t)strlen (lc_step_group_spec (step, slot)->prompt) / BYTES_PER_TOKEN + 1;
   spec->expected_tokens = (int64_t)tokens;
-  spec->min_version = choose_min_version (rollouts, step, tokens);
+  spec->min_version = choose_min_weight_version (rollouts, step, tokens);
   spec->deadline = LB_TIME_NEVER;
   spec->resume_at = job->resume_offset;
 }
@@ -233,7 +237,7 @@
     }
   lc_step_find_pool (rollouts, step)->n_running++;
   lc_rollouts_find_trainer (rollouts, step->spec.subscription)->n_running++;
-  fill_generation_spec (rollouts, &action->spec, job);
+  fill_generation_request_spec (rollouts, &action->spec, job);
   action->group = group->id;
   action->index = slot->index;
   action->prompt = group->prompt;
@@ -268,7 +272,7 @@
 }
 
 static void
-start_due_scorings (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
+start_scorings_past_retry_time (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
 {
   if (step->n_in_state[LC_SLOT_SCORING] == 0)
     return;
@@ -284,10 +288,13 @@
     }
 }
 
-/* Whether trainer a goes before b, as it has fewer running generations relative to its share. The
- * number of waiting samples does not count, so that a burst of one trainer can't starve another. */
+/* Returns true if trainer a has fewer running generations than trainer b, relative to their shares.
+ * The number of waiting samples does not count, so that a burst of one trainer can't starve
+ * another. */
 static bool
-has_fewer_running_per_share (const LcRollouts *rollouts, const LcTrainer *a, const LcTrainer *b)
+has_fewer_running_generations_per_share (const LcRollouts *rollouts,
+                                         const LcTrainer *a,
+                                         const LcTrainer *b)
 {
   if (!rollouts->settings.fair_shares)
     return false;
@@ -310,9 +317,9 @@
     if (step->n_in_state[LC_SLOT_WAITING] == 0
         || strcmp (trainer->subscription.pool, pool->name) != 0)
       continue;
-    if (chosen && !has_fewer_running_per_share (rollouts, trainer, chosen_trainer))
+    if (chosen && !has_fewer_running_generations_per_share (rollouts, trainer, chosen_trainer))
       continue;
-    LcSlot *slot = pick_waiting_slot (rollouts, step, now);
+    LcSlot *slot = pick_waiting_slot_of_step (rollouts, step, now);
     if (!slot)
       continue;
     chosen = slot;
@@ -327,7 +334,7 @@
 {
   LB_LIST_FOREACH (&rollouts->steps, LcStep, link, step)
   {
-    start_due_scorings (rollouts, step, now, actions);
+    start_scorings_past_retry_time (rollouts, step, now, actions);
   }
   if (rollouts->draining)
     return;
--- a/packages/core/src/rollout/lc-job.c
+++ b/packages/core/src/rollout/lc-job.c
@@ -21,7 +21,7 @@
 }
 
 LcSlot *
-lc_job_slot (const LcJob *job)
+lc_job_find_slot (const LcJob *job)
 {
   return &job->step->slots[job->slot_index];
 }
@@ -43,7 +43,7 @@
     }
   job->step->reserved_tokens -= job->reserved_tokens;
   HASH_DELETE (hh, rollouts->jobs, job);
-  lb_list_remove (&lc_job_slot (job)->jobs, &job->link);
+  lb_list_remove (&lc_job_find_slot (job)->jobs, &job->link);
   lc_deferred_free_add (&rollouts->deferred_free, job->resume_text);
   free (job);
 }
@@ -74,7 +74,7 @@
 }
 
 const LcLengthHistogram *
-lc_step_length_histogram (const LcRollouts *rollouts, const LcStep *step)
+lc_step_find_trainer_length_histogram (const LcRollouts *rollouts, const LcStep *step)
 {
   return &lc_rollouts_find_trainer (rollouts, step->spec.subscription)->lengths;
 }
--- a/packages/core/src/rollout/lc-job.h
+++ b/packages/core/src/rollout/lc-job.h
@@ -12,11 +12,12 @@
 /* Cancels all running requests of the slot. */
 void lc_slot_cancel_jobs (LcRollouts *rollouts, LcSlot *slot, LbList *actions);
 
-LcSlot *lc_job_slot (const LcJob *job);
+LcSlot *lc_job_find_slot (const LcJob *job);
 /* Returns the number of tokens that the job's request generated, not counting the earlier tokens
  * after which it resumed. */
 int64_t lc_job_count_generated_tokens (const LcJob *job);
 LcRolloutPool *lc_step_find_pool (LcRollouts *rollouts, const LcStep *step);
-const LcLengthHistogram *lc_step_length_histogram (const LcRollouts *rollouts, const LcStep *step);
+const LcLengthHistogram *lc_step_find_trainer_length_histogram (const LcRollouts *rollouts,
+                                                                const LcStep *step);
 
 #endif
--- a/packages/core/src/rollout/lc-ledger.c
+++ b/packages/core/src/rollout/lc-ledger.c
@@ -1,10 +1,11 @@
 #include "lc-ledger.h"
 
-/* Time between writes, which lets one write combine the acknowledgements of several chunks. */
-#define BATCH_INTERVAL (2 * LB_SEC)
-/* Time between writes of an unchanged row. If the store rejects the write, an owner that gets no
- * more pulls detects that another instance has replaced it. */
-#define REFRESH_INTERVAL (10 * LB_SEC)
+/* Time between writes of a step's ledger row, so that one write combines the acknowledgements of
+ * several chunks. */
+#define LEDGER_BATCH_INTERVAL (2 * LB_SEC)
+/* Time between writes of an unchanged ledger row. A write that the store rejects tells an owner
+ * without pulls that another instance has taken over the step. */
+#define LEDGER_REFRESH_INTERVAL (10 * LB_SEC)
 #define RETRY_DELAY_MIN (100 * LB_MSEC)
 #define RETRY_DELAY_MAX (5 * LB_SEC)
 
@@ -61,6 +62,6 @@
   if (ledger->consecutive_failures > 0)
     return ledger->retry_at;
   if (ledger->stored_change == ledger->latest_change)
-    return ledger->last_write_at + REFRESH_INTERVAL;
-  return ledger->urgent ? ledger->last_write_at : ledger->last_write_at + BATCH_INTERVAL;
+    return ledger->last_write_at + LEDGER_REFRESH_INTERVAL;
+  return ledger->urgent ? ledger->last_write_at : ledger->last_write_at + LEDGER_BATCH_INTERVAL;
 }
--- a/packages/core/src/rollout/lc-ledger.h
+++ b/packages/core/src/rollout/lc-ledger.h
@@ -22,7 +22,7 @@
 /* Records that the row must be written; returns a change number for lc_ledger_has_stored_change. */
 uint64_t lc_ledger_add_change (LcLedger *ledger, bool urgent);
 void lc_ledger_begin_write (LcLedger *ledger, uint64_t write_id, LbTime now);
-/* Processes the result of a write; jitter is a random number in 0..1 that randomizes the retry
+/* Records the result of the write in progress. jitter: random number from 0 to 1 for the retry
  * delay after a failure. */
 void lc_ledger_end_write (LcLedger *ledger, LbErrorCode error, double jitter, LbTime now);
 
--- a/packages/core/src/rollout/lc-result.c
+++ b/packages/core/src/rollout/lc-result.c
@@ -10,8 +10,8 @@
 
 #define RETRY_DELAY_MIN (100 * LB_MSEC)
 #define RETRY_DELAY_MAX (5 * LB_SEC)
-/* After this many consecutive failures the partial sample itself may be the cause, so the next
- * attempt starts from the beginning. */
+/* After this many consecutive failures of a slot, the partial sample itself may be the cause, so
+ * the next attempt generates the sample from the start. */
 #define MAX_RESUME_FAILURES 3
 
 static LbMetric stale_metric = LB_COUNTER_INIT ("lentilspindle_rollout_discarded_total",
@@ -55,7 +55,7 @@
 end_unsuccessful_job (LcRollouts *rollouts, LcJob *job, LbTime now, bool should_back_off)
 {
   LcStep *step = job->step;
-  LcSlot *slot = lc_job_slot (job);
+  LcSlot *slot = lc_job_find_slot (job);
 
   step->status.wasted_tokens += lc_job_count_generated_tokens (job);
   lc_job_free (rollouts, job);
@@ -79,9 +79,9 @@
   end_unsuccessful_job (rollouts, job, now, true);
 }
 
-/* Drops the spans of the first attempt when a retry on another endpoint starts at the resume offset
- * again. Must not be called for the same endpoint: a stream that returns to the resume offset may
- * repeat its tokens, and the label must record the overlap. */
+/* Removes the spans of a failed attempt from the label when another endpoint generates again from
+ * the resume offset. Not for the same endpoint: if its stream returns to the resume offset, tokens
+ * may be repeated, and the label must record the overlap. */
 static void
 reset_label_to_resume_offset (LcJob *job)
 {
@@ -127,7 +127,7 @@
 }
 
 static char *
-join_resume_text (char *resume_text, char *text)
+join_resumed_text_parts (char *resume_text, char *text)
 {
   if (!resume_text)
     return text;
@@ -142,10 +142,10 @@
 store_partial_sample (LcRollouts *rollouts, LcJob *job, char *text, LbTime now)
 {
   LcStep *step = job->step;
-  LcSlot *slot = lc_job_slot (job);
+  LcSlot *slot = lc_job_find_slot (job);
   bool was_preempted = job->is_preempted;
 
-  slot->text = join_resume_text (job->resume_text, text);
+  slot->text = join_resumed_text_parts (job->resume_text, text);
   slot->label = lb_memdup (&job->label, sizeof job->label);
   lc_step_set_slot_state (step, slot, LC_SLOT_WAITING);
   lc_job_free (rollouts, job);
@@ -158,7 +158,7 @@
 static void
 finish_preempted_job (LcRollouts *rollouts, LcJob *job, char *text, LbTime now)
 {
-  LcSlot *slot = lc_job_slot (job);
+  LcSlot *slot = lc_job_find_slot (job);
   bool is_only_job = slot->jobs.length == 1;
 
   if (is_only_job && job->label.tokens > 0 && text
@@ -174,7 +174,7 @@
 static void
 finish_failed_job (LcRollouts *rollouts, LcJob *job, LbErrorCode error, char *text, LbTime now)
 {
-  LcSlot *slot = lc_job_slot (job);
+  LcSlot *slot = lc_job_find_slot (job);
   bool can_resume = rollouts->settings.resume && slot->jobs.length == 1
                     && slot->consecutive_failures < MAX_RESUME_FAILURES;
 
@@ -216,11 +216,11 @@
 complete_sample (LcRollouts *rollouts, LcJob *job, char *text, LbTime now, LbList *actions)
 {
   LcStep *step = job->step;
-  LcSlot *slot = lc_job_slot (job);
+  LcSlot *slot = lc_job_find_slot (job);
   const LcTrainer *trainer = lc_rollouts_find_trainer (rollouts, step->spec.subscription);
 
   record_sample_length_and_pace (rollouts, job, now);
-  slot->text = join_resume_text (job->resume_text, text);
+  slot->text = join_resumed_text_parts (job->resume_text, text);
   slot->label = lb_memdup (&job->label, sizeof job->label);
   slot->consecutive_failures = 0;
   slot->not_before = 0;
@@ -263,7 +263,7 @@
     LcRollouts *rollouts, LcJob *job, LbErrorCode error, double score, LbTime now)
 {
   LcStep *step = job->step;
-  LcSlot *slot = lc_job_slot (job);
+  LcSlot *slot = lc_job_find_slot (job);
 
   lc_job_free (rollouts, job);
   if (error != LB_OK)
--- a/packages/core/src/rollout/lc-review.c
+++ b/packages/core/src/rollout/lc-review.c
@@ -5,7 +5,7 @@
 #include "lb-log.h"
 #include "lc-generate.h"
 
-#define REVIEW_INTERVAL (100 * LB_MSEC)
+#define STRAGGLER_REVIEW_INTERVAL (100 * LB_MSEC)
 #define MAX_MIGRATIONS_PER_SAMPLE 4
 
 static LbMetric hedges_metric = LB_COUNTER_INIT ("lentilspindle_rollout_hedges_total",
@@ -17,7 +17,7 @@
 {
   return (LcSampleProgress){ .tokens = job->label.tokens,
                              .max_tokens
-                             = lc_step_group_spec (job->step, lc_job_slot (job))->max_tokens,
+                             = lc_step_group_spec (job->step, lc_job_find_slot (job))->max_tokens,
                              .started_at = job->started_at,
                              .first_piece_at = job->first_piece_at };
 }
@@ -80,8 +80,8 @@
 {
   lb_log (LB_LOG_INFO, event, LB_TEXT ("subscription", job->step->spec.subscription),
           LB_INT ("step", job->step->spec.step),
-          LB_TEXT ("group", lc_step_group_spec (job->step, lc_job_slot (job))->id),
-          LB_INT ("index", lc_job_slot (job)->index), LB_TEXT ("endpoint", job->endpoint),
+          LB_TEXT ("group", lc_step_group_spec (job->step, lc_job_find_slot (job))->id),
+          LB_INT ("index", lc_job_find_slot (job)->index), LB_TEXT ("endpoint", job->endpoint),
           LB_INT ("tokens", job->label.tokens));
 }
 
@@ -92,7 +92,7 @@
 
   action->spec.id = job->request;
   job->is_preempted = true;
-  lc_job_slot (job)->n_migrations++;
+  lc_job_find_slot (job)->n_migrations++;
 }
 
 static void
@@ -103,7 +103,7 @@
   while (rollouts->settings.migrate
          && (job = pick_straggler (rollouts, step, lc_straggler_move_gain_seconds, now)))
     {
-      LB_COPY (lc_job_slot (job)->avoid_endpoint, job->endpoint);
+      LB_COPY (lc_job_find_slot (job)->avoid_endpoint, job->endpoint);
       preempt_job (job, actions);
       log_straggler (job, "sample-migrated");
     }
@@ -120,13 +120,13 @@
     {
       LcSampleProgress progress = get_job_progress (job);
       int64_t cost_tokens
-          = lc_straggler_hedge_cost_tokens (lc_step_length_histogram (rollouts, step), &pool->pace,
-                                            &progress, now);
+          = lc_straggler_hedge_cost_tokens (lc_step_find_trainer_length_histogram (rollouts, step),
+                                            &pool->pace, &progress, now);
       if (!is_within_hedge_budget (rollouts, step, cost_tokens))
         return;
       log_straggler (job, "sample-hedged");
-      LcJob *hedge_job
-          = lc_generate_start_generation (rollouts, step, lc_job_slot (job), job, now, actions);
+      LcJob *hedge_job = lc_generate_start_generation (rollouts, step, lc_job_find_slot (job), job,
+                                                       now, actions);
       hedge_job->reserved_tokens = cost_tokens;
       step->reserved_tokens += cost_tokens;
       step->status.hedges++;
@@ -144,7 +144,7 @@
 {
   if (rollouts->draining || now < step->next_review_at || step->n_in_state[LC_SLOT_RUNNING] == 0)
     return;
-  step->next_review_at = now + REVIEW_INTERVAL;
+  step->next_review_at = now + STRAGGLER_REVIEW_INTERVAL;
   migrate_stragglers (rollouts, step, now, actions);
   if (step->n_in_state[LC_SLOT_WAITING] == 0)
     hedge_stragglers (rollouts, step, now, actions);
--- a/packages/core/src/rollout/lc-rollouts.c
+++ b/packages/core/src/rollout/lc-rollouts.c
@@ -20,7 +20,8 @@
 /* Time for which a fully acknowledged step is kept, to answer a late repeat of its last pull. */
 #define CLOSED_STEP_RETENTION (300 * LB_SEC)
 #define DEFAULT_PAUSE_LIMIT LB_SEC
-/* Well below the pause limit, so that an idle owner does not look like a paused process. */
+/* Maximum time between ticks while a step is open. Well below the pause limit, so that an idle
+ * owner does not look like a paused process. */
 #define TICK_INTERVAL (250 * LB_MSEC)
 
 static LbMetric late_metric
@@ -146,7 +147,7 @@
 void
 lc_rollouts_remove_step (LcRollouts *rollouts, LcStep *step, LbErrorCode error, LbList *actions)
 {
-  lc_deliver_fail_pulls (step, error, 0, actions);
+  lc_deliver_fail_waiting_pulls (step, error, 0, actions);
   for (size_t i = 0; i < step->n_slots; i++)
     lc_slot_cancel_jobs (rollouts, &step->slots[i], actions);
   lb_list_remove (&rollouts->steps, &step->link);
@@ -165,7 +166,8 @@
 }
 
 /* Called first by every function that changes the state. Frees the memory that actions of the
- * previous call pointed to. If the process was paused, makes all steps confirm their session. */
+ * previous call pointed to. If the process was paused, requires a ledger write of each step, which
+ * confirms that this instance still owns the step. */
 static void
 free_deferred_memory_and_detect_pause (LcRollouts *rollouts, LbTime now)
 {
@@ -187,8 +189,8 @@
 static void
 answer_pulls_and_start_requests (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
 {
-  lc_deliver_answer_pulls (rollouts, step, now, actions);
-  lc_deliver_write_ledger (rollouts, step, now, actions);
+  lc_deliver_answer_waiting_pulls (rollouts, step, now, actions);
+  lc_deliver_add_due_ledger_write (rollouts, step, now, actions);
   lc_generate_start_scorings_and_generations (rollouts, now, actions);
 }
 
@@ -223,9 +225,9 @@
 }
 
 static void
-configure_trainer (LcRollouts *rollouts,
-                   const LcResourceSet *set,
-                   const LcSubscription *subscription)
+set_trainer_subscription (LcRollouts *rollouts,
+                          const LcResourceSet *set,
+                          const LcSubscription *subscription)
 {
   LcTrainer *trainer = lc_rollouts_find_trainer (rollouts, subscription->name);
 
@@ -255,7 +257,7 @@
     trainer->is_configured = false;
   }
   for (size_t i = 0; i < set->n_subscriptions; i++)
-    configure_trainer (rollouts, set, &set->subscriptions[i]);
+    set_trainer_subscription (rollouts, set, &set->subscriptions[i]);
   for (size_t i = 0; i < set->n_pools; i++)
     lc_rollouts_ensure_pool (rollouts, set->pools[i].name)->max_running
         = compute_max_running_generations (set, &set->pools[i]);
@@ -339,7 +341,7 @@
 }
 
 static bool
-has_same_spec (const LcStep *step, const LcStepSpec *spec, LbError *error)
+check_spec_matches_open_step (const LcStep *step, const LcStepSpec *spec, LbError *error)
 {
   if (step->spec_hash == lc_step_spec_hash (spec))
     return true;
@@ -360,7 +362,7 @@
 
   free_deferred_memory_and_detect_pause (rollouts, now);
   if (step)
-    return has_same_spec (step, spec, error);
+    return check_spec_matches_open_step (step, spec, error);
   if (!lc_rollouts_can_open_step (rollouts, spec, error))
     return false;
   step = lc_step_new (spec, handover->session, &rollouts->deferred_free, now);
@@ -579,7 +581,7 @@
    * them. The step's next owner starts them again. */
   HASH_ITER (hh, rollouts->jobs, job, next)
   {
-    LcSlot *slot = lc_job_slot (job);
+    LcSlot *slot = lc_job_find_slot (job);
     if (job->is_scoring || job->first_piece_at != 0)
       continue;
     LcStep *step = job->step;
@@ -609,8 +611,8 @@
       }
     if (step->retry_at <= now)
       step->retry_at = LB_TIME_NEVER;
-    lc_deliver_answer_pulls (rollouts, step, now, actions);
-    lc_deliver_write_ledger (rollouts, step, now, actions);
+    lc_deliver_answer_waiting_pulls (rollouts, step, now, actions);
+    lc_deliver_add_due_ledger_write (rollouts, step, now, actions);
   }
   lc_generate_start_scorings_and_generations (rollouts, now, actions);
   LB_LIST_FOREACH (&rollouts->steps, LcStep, link, open_step)
--- a/packages/core/src/rollout/lc-staleness.c
+++ b/packages/core/src/rollout/lc-staleness.c
@@ -9,28 +9,29 @@
 }
 
 static int64_t
-versions_published_within (const LcStalenessPolicy *policy, double seconds)
+count_versions_expected_within (const LcStalenessPolicy *policy, double seconds)
 {
   if (policy->version_interval <= 0)
     return 0;
   return (int64_t)(seconds * LB_SEC / (double)policy->version_interval);
 }
 
-/* The trainer advances while the sample runs, so the lag allowed at the start is max_lag minus the
- * versions expected until the end. A smaller idle_weight reduces this lag, for fresher samples at
- * the cost of idle time. The result never exceeds the newest version, which some engine serves. */
+/* The trainer advances while a sample is generated, so the lag allowed at the start is max_lag
+ * minus the number of versions expected until the end. A smaller idle_weight reduces this lag, for
+ * fresher samples at the cost of idle time. The result never exceeds the newest version, which some
+ * engine serves. */
 LcVersion
 lc_staleness_min_version_for_duration (const LcStalenessPolicy *policy, double seconds)
 {
   if (policy->max_lag == INT64_MAX || policy->trainer_version == 0)
     return 0;
-  /* The versions of the engines are unknown, so only the staleness bound is required: perhaps no
-   * engine serves a newer version. */
+  /* The newest version on the engines is unknown, so the whole max_lag is allowed: a stricter
+   * minimum may be a version that no engine serves. */
   if (policy->newest_version == 0)
     return policy->trainer_version > policy->max_lag ? policy->trainer_version - policy->max_lag
                                                      : 0;
 
-  int64_t allowed_lag = policy->max_lag - versions_published_within (policy, seconds);
+  int64_t allowed_lag = policy->max_lag - count_versions_expected_within (policy, seconds);
   allowed_lag = allowed_lag > 0 ? (int64_t)((double)allowed_lag * policy->idle_weight + 0.5) : 0;
   LcVersion min_version = policy->trainer_version - allowed_lag;
   if (policy->newest_version > 0 && min_version > policy->newest_version)
--- a/packages/core/src/rollout/lc-staleness.h
+++ b/packages/core/src/rollout/lc-staleness.h
@@ -15,7 +15,8 @@
 
 bool
 lc_staleness_is_label_too_old (const LcLabel *label, LcVersion trainer_version, int64_t max_lag);
-/* Returns the oldest version that may start a sample of this expected duration; 0: any. */
+/* Returns the oldest weight version that may start a sample whose generation is expected to take
+ * this many seconds; 0: any version. */
 LcVersion lc_staleness_min_version_for_duration (const LcStalenessPolicy *policy, double seconds);
 
 #endif
--- a/packages/core/src/rollout/lc-step.c
+++ b/packages/core/src/rollout/lc-step.c
@@ -16,13 +16,13 @@
 }
 
 static void
-hash_text (XXH64_state_t *state, const char *text)
+add_text_to_hash (XXH64_state_t *state, const char *text)
 {
   XXH64_update (state, text, strlen (text) + 1);
 }
 
 static void
-hash_number (XXH64_state_t *state, int64_t number)
+add_number_to_hash (XXH64_state_t *state, int64_t number)
 {
   XXH64_update (state, &number, sizeof number);
 }
@@ -33,14 +33,14 @@
   XXH64_state_t *state = XXH64_createState ();
 
   XXH64_reset (state, 0);
-  hash_text (state, spec->subscription);
-  hash_number (state, spec->step);
+  add_text_to_hash (state, spec->subscription);
+  add_number_to_hash (state, spec->step);
   for (size_t i = 0; i < spec->n_groups; i++)
     {
-      hash_text (state, spec->groups[i].id);
-      hash_text (state, spec->groups[i].prompt);
-      hash_number (state, spec->groups[i].samples);
-      hash_number (state, spec->groups[i].max_tokens);
+      add_text_to_hash (state, spec->groups[i].id);
+      add_text_to_hash (state, spec->groups[i].prompt);
+      add_number_to_hash (state, spec->groups[i].samples);
+      add_number_to_hash (state, spec->groups[i].max_tokens);
     }
   uint64_t hash = XXH64_digest (state);
   XXH64_freeState (state);
--- a/packages/core/src/rollout/lc-ticket.c
+++ b/packages/core/src/rollout/lc-ticket.c
@@ -18,7 +18,7 @@
 {
   TICKET_UNUSED,
   TICKET_RUNNING,
-  TICKET_ANSWERED, /* the answer is stored */
+  TICKET_ANSWERED, /* the call has ended, and its answer is stored */
   TICKET_SPENT     /* the call may have run, and no answer is stored */
 } TicketState;
 
@@ -69,7 +69,7 @@
 }
 
 static void
-free_answer (LcTickets *tickets, Ticket *ticket)
+free_stored_answer (LcTickets *tickets, Ticket *ticket)
 {
   if (lb_link_is_in_list (&ticket->answered_link))
     lb_list_remove (&tickets->answered, &ticket->answered_link);
@@ -82,7 +82,7 @@
 static void
 remove_ticket (LcTickets *tickets, Ticket *ticket)
 {
-  free_answer (tickets, ticket);
+  free_stored_answer (tickets, ticket);
   if (lb_link_is_in_list (&ticket->expiry_link))
     lb_list_remove (&tickets->by_expiry, &ticket->expiry_link);
   /* The analyzer assumes that the tables may be empty although they hold the ticket.
@@ -190,7 +190,7 @@
 /* A ticket that was never issued can't have run its call. A ticket that was issued but is not found
  * has expired; reporting its call as "not run" could make the caller run the call twice. */
 static LbErrorCode
-missing_ticket_error (const LcTickets *tickets, uint64_t number)
+error_code_of_missing_ticket (const LcTickets *tickets, uint64_t number)
 {
   uint64_t sequence = number >> TICKET_RANDOM_BITS;
 
@@ -259,7 +259,7 @@
     return reject_call (LB_ERROR_OUTCOME_UNKNOWN);
   HASH_FIND (hh, tickets->tickets, &number, sizeof number, ticket);
   if (!ticket)
-    return reject_call (missing_ticket_error (tickets, number));
+    return reject_call (error_code_of_missing_ticket (tickets, number));
   if (ticket->caller_hash != hash_caller (caller))
     return reject_call (LB_ERROR_UNKNOWN_TICKET);
   return redeem_known_ticket (tickets, ticket, content_hash, request);
@@ -275,7 +275,7 @@
   while (tickets->answer_bytes + answer_length > tickets->limits.max_answer_bytes
          && (ticket = LB_LIST_FIRST (&tickets->answered, Ticket, answered_link)))
     {
-      free_answer (tickets, ticket);
+      free_stored_answer (tickets, ticket);
       ticket->state = TICKET_SPENT;
     }
 }
