--- a/packages/core/include/lc-batch.h
+++ b/packages/core/include/lc-batch.h
@@ -38,7 +38,7 @@
 
 #define LC_MAX_RESULT_VERSIONS 16
 
-/* Result of an item, listed at a fixed position among the batch's results. Owns its strings. */
+/* Result of an item, stored at a fixed position among the batch's results. Owns its strings. */
 typedef struct
 {
   LbName item;
@@ -131,7 +131,7 @@
 
 /* Functions that change an LcBatch. They append the actions that the caller must carry out. */
 
-/* Marks an item whose result an earlier owner has already listed. Call before lc_batch_start. */
+/* Marks an item whose result an earlier owner has already stored. Call before lc_batch_start. */
 void lc_batch_mark_item_result_stored (LcBatch *batch, const char *item_id);
 void lc_batch_start (LcBatch *batch, LbTime now, LbList *actions);
 /* Restores part of a text from the checkpoint of an earlier owner. Call before lc_batch_start, with
--- a/packages/core/src/batch/lc-batch-head.c
+++ b/packages/core/src/batch/lc-batch-head.c
@@ -57,8 +57,8 @@
   return head->epoch == 1 && head->preferred_instance[0] ? head->preferred_instance : head->owner;
 }
 
-/* A running batch takes precedence over an ended one, whatever their row versions, since the end of
- * a batch updates its row. By row version alone, the next batch went to the instance whose batch
+/* A running batch takes precedence over an ended one even with an older row version, since the end
+ * of a batch updates its row. By row version alone, the next batch went to the instance whose batch
  * had just ended. Two instances then ran the batches of one model in turn, and each held a
  * connection for every slot of every engine. */
 bool
--- a/packages/core/src/batch/lc-batch-item.c
+++ b/packages/core/src/batch/lc-batch-item.c
@@ -54,7 +54,7 @@
 }
 
 static bool
-is_next_part (const LcBatchItem *item, const LcBatchTextPart *part)
+continues_item_text (const LcBatchItem *item, const LcBatchTextPart *part)
 {
   return part->restarts == item->restarts && part->first_event == item->n_events;
 }
@@ -70,7 +70,7 @@
       item->restarts = part->restarts;
       item->has_gap = false;
     }
-  if (!is_next_part (item, part))
+  if (!continues_item_text (item, part))
     {
       item->has_gap = true;
       return;
@@ -156,8 +156,8 @@
                                                     : events / MIN_REMAINING_DIVISOR + 1;
 }
 
-/* Counts the time since the last event of a stalled stream as an interval, so that the measured
- * pace falls before the next event. */
+/* Counts the time since the last event of a stalled stream as an interval, so that the estimate
+ * rises without waiting for the next event. */
 double
 lc_batch_item_estimate_seconds_per_token (const LcBatchItem *item, LbTime now)
 {
@@ -177,7 +177,7 @@
 
 /* Returns the offset of the first unsaved event, after the line feed that precedes the event. */
 static size_t
-get_unsaved_text_offset (const LcBatchItem *item)
+get_offset_of_unsaved_text (const LcBatchItem *item)
 {
   return item->saved_events > 0 ? item->saved_length + 1 : 0;
 }
@@ -185,7 +185,7 @@
 size_t
 lc_batch_item_count_unsaved_bytes (const LcBatchItem *item)
 {
-  return item->text_length - get_unsaved_text_offset (item);
+  return item->text_length - get_offset_of_unsaved_text (item);
 }
 
 LcBatchTextPart
@@ -197,7 +197,7 @@
                             .restarts = item->restarts,
                             .first_event = item->saved_events,
                             .n_events = item->n_events - item->saved_events,
-                            .text = item->result.text + get_unsaved_text_offset (item),
+                            .text = item->result.text + get_offset_of_unsaved_text (item),
                             .versions = item->result.versions,
                             .n_versions = item->result.n_versions };
 }
--- a/packages/core/src/batch/lc-batch-private.h
+++ b/packages/core/src/batch/lc-batch-private.h
@@ -8,7 +8,7 @@
  * results, lc-batch-review.c moves items whose streams are slow and restarts those whose text is
  * unusable. */
 
-/* A store transaction takes at most 100 entries; a result takes a row and a condition. */
+/* A store transaction takes at most 100 entries; each result needs two, a row and a condition. */
 #define LC_BATCH_MAX_RESULTS_PER_WRITE 40
 /* Maximum text size of one write; a store transaction takes 1 MB of encoded data. */
 #define LC_BATCH_MAX_WRITE_BYTES (400 << 10)
@@ -29,9 +29,10 @@
   LcBatchItem *items;
   LbList ready_items; /* items whose results wait to be written, linked by ready_link */
   int64_t n_listed;
-  size_t retained_bytes; /* total size of the listed items' texts that stay in memory */
+  size_t retained_bytes; /* total size of the texts that stay in memory after their results were
+                            stored */
   const LcBatchResult **results_in_write;
-  /* number of results in results_in_write, which belong to the first ready_items */
+  /* number of results in results_in_write: those of the first items in ready_items */
   size_t n_results_in_write;
   bool is_writing;
   LbTime next_review_at;
@@ -62,8 +63,8 @@
 
 /* Defined in lc-batch-review.c. */
 void lc_batch_restart_or_move_items (LcBatch *batch, LbTime now, LbList *actions);
-/* Postpones the next review if this instance was paused since the last tick. Call at the start of
- * each tick. */
+/* Postpones the next check for slow items if this instance was paused since the last tick. Call at
+ * the start of each tick. */
 void lc_batch_postpone_item_review_after_pause (LcBatch *batch, LbTime now);
 
 #endif
--- a/packages/core/src/batch/lc-batch-reuse.c
+++ b/packages/core/src/batch/lc-batch-reuse.c
@@ -7,13 +7,13 @@
 #include <uthash.h>
 #include <xxhash.h>
 
-/* Time within which a trainer, which polls about twice a second, reads a listed result. If the step
+/* Time within which a trainer, which polls about twice a second, reads a stored result. If the step
  * ends earlier, the trainer may request the group of the result again. */
 #define MAX_READ_DELAY (1500 * LB_MSEC)
 
 typedef struct
 {
-  LbName name; /* name of the group; key of the hash table */
+  LbName name; /* name of the group; key in the hash table of groups */
   bool is_complete;
   UT_hash_handle hh;
 } Group;
@@ -57,28 +57,28 @@
 }
 
 static bool
-has_trainer_read_result (const LcBatchItem *item, LbTime now)
+has_trainer_probably_read_result (const LcBatchItem *item, LbTime now)
 {
   return item->state == ITEM_LISTED && now - item->listed_at > MAX_READ_DELAY;
 }
 
 static Group *
-collect_groups (const LcBatchSpec *spec, const LcBatchItem *items, LbTime now)
+collect_groups_and_completion (const LcBatchSpec *spec, const LcBatchItem *items, LbTime now)
 {
   Group *groups = NULL;
 
   for (size_t i = 0; i < spec->n_items; i++)
     find_or_add_group (&groups, spec->items[i].group)->is_complete
-        &= has_trainer_read_result (&items[i], now);
+        &= has_trainer_probably_read_result (&items[i], now);
   return groups;
 }
 
 static void
-cache_text (const LcBatchSpec *spec,
-            const LcBatchItemSpec *item_spec,
-            const LcBatchItem *item,
-            LcTextCache *cache,
-            LbTime now)
+cache_item_text (const LcBatchSpec *spec,
+                 const LcBatchItemSpec *item_spec,
+                 const LcBatchItem *item,
+                 LcTextCache *cache,
+                 LbTime now)
 {
   LcCachedText text = { .fingerprint = compute_item_fingerprint (spec, item_spec),
                         .is_complete = item->state >= ITEM_GENERATED,
@@ -102,12 +102,12 @@
                                            LcTextCache *cache,
                                            LbTime now)
 {
-  Group *groups = collect_groups (spec, items, now);
+  Group *groups = collect_groups_and_completion (spec, items, now);
   Group *group, *next;
 
   for (size_t i = 0; i < spec->n_items; i++)
     if (!find_or_add_group (&groups, spec->items[i].group)->is_complete)
-      cache_text (spec, &spec->items[i], &items[i], cache, now);
+      cache_item_text (spec, &spec->items[i], &items[i], cache, now);
   HASH_ITER (hh, groups, group, next)
   {
     HASH_DEL (groups, group);
@@ -118,7 +118,7 @@
 /* With single_version a partial text cannot be continued, since the endpoint that continues it may
  * have another weight version. */
 static bool
-can_reuse_text (const LcCachedText *text, const LcBatchSettings *settings)
+can_reuse_cached_text (const LcCachedText *text, const LcBatchSettings *settings)
 {
   if (settings->single_version && (!text->is_complete || text->n_versions > 1))
     return false;
@@ -142,7 +142,7 @@
   if (item->cached_events == 0 || item->n_events > 0
       || !lc_text_cache_find (settings->text_cache, item_spec->request.id, fingerprint,
                               spec->min_version, &text)
-      || !can_reuse_text (&text, settings))
+      || !can_reuse_cached_text (&text, settings))
     return false;
   lc_batch_item_set_reused_text (item, text.text, text.n_events, text.versions, text.n_versions);
   if (!text.is_complete)
--- a/packages/core/src/batch/lc-batch-review.c
+++ b/packages/core/src/batch/lc-batch-review.c
@@ -4,10 +4,10 @@
 #include "lb-log.h"
 #include "lb-switch.h"
 
-#define REVIEW_PERIOD (100 * LB_MSEC)
+#define ITEM_REVIEW_PERIOD (100 * LB_MSEC)
 #define MAX_MOVES_PER_ITEM 3
 /* A tick that is late by more than this time means that this instance itself was paused. The next
- * review is postponed by the same time. */
+ * check for slow items is then postponed by the same time. */
 #define MIN_INSTANCE_PAUSE (300 * LB_MSEC)
 /* Weight of the trainer's idle time against the extra work of a move; 1: only idle time counts. */
 #define TRAINER_IDLE_WEIGHT 1.0
@@ -74,12 +74,13 @@
     }
 }
 
-/* After a pause of this instance, all streams look silent until the events that arrived during the
- * pause are read. A review before that would move every item. */
+/* After a pause of this instance, all streams look stalled until the events that arrived during the
+ * pause are read. A check for slow items before that would move every item. */
 void
 lc_batch_postpone_item_review_after_pause (LcBatch *batch, LbTime now)
 {
-  if (batch->last_tick_at > 0 && now - batch->last_tick_at > REVIEW_PERIOD + MIN_INSTANCE_PAUSE)
+  if (batch->last_tick_at > 0
+      && now - batch->last_tick_at > ITEM_REVIEW_PERIOD + MIN_INSTANCE_PAUSE)
     batch->next_review_at = now + MIN_INSTANCE_PAUSE;
   batch->last_tick_at = now;
 }
@@ -87,7 +88,7 @@
 void
 lc_batch_restart_or_move_items (LcBatch *batch, LbTime now, LbList *actions)
 {
-  batch->next_review_at = now + REVIEW_PERIOD;
+  batch->next_review_at = now + ITEM_REVIEW_PERIOD;
   restart_unusable_texts (batch, now, actions);
   move_slow_items (batch, now, actions);
 }
--- a/packages/core/src/batch/lc-batch-write.c
+++ b/packages/core/src/batch/lc-batch-write.c
@@ -7,8 +7,8 @@
 #include <string.h>
 
 #define WRITE_RETRY_DELAY (100 * LB_MSEC)
-/* Maximum size of listed texts that stay in memory for a later batch that requests their groups
- * again: four times the texts of a step of 2,048 samples of 2 KB. */
+/* Maximum total size of the texts that stay in memory after their results were stored, for a later
+ * batch that requests their groups again: the texts of four steps of 2,048 samples of 2 KB. */
 #define MAX_RETAINED_BYTES ((size_t)(16 << 20))
 
 /* Only one write is in progress at a time; results that become ready during a write go into the
@@ -44,10 +44,10 @@
   action->n_results = batch->n_results_in_write;
 }
 
-/* Keeps the item's text in memory, up to MAX_RETAINED_BYTES in all: a later batch requests the text
- * again if its group stays incomplete. */
+/* Keeps the item's text in memory unless the kept texts then exceed MAX_RETAINED_BYTES: a later
+ * batch requests the text again if its group stays incomplete. */
 static void
-retain_listed_text (LcBatch *batch, LcBatchItem *item)
+retain_text_of_stored_result (LcBatch *batch, LcBatchItem *item)
 {
   batch->retained_bytes += item->text_length;
   if (batch->retained_bytes <= MAX_RETAINED_BYTES)
@@ -70,7 +70,7 @@
       LcBatchItem *item = LB_CONTAINER (lb_list_pop (&batch->ready_items), LcBatchItem, ready_link);
       item->state = ITEM_LISTED;
       item->listed_at = now;
-      retain_listed_text (batch, item);
+      retain_text_of_stored_result (batch, item);
       batch->n_listed++;
     }
   lc_batch_start_result_write (batch, actions);
--- a/packages/core/src/batch/lc-batch.c
+++ b/packages/core/src/batch/lc-batch.c
@@ -13,7 +13,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Speed of a usual engine, assumed until the speed for the model is known. */
+/* Time that an engine takes for one event, assumed until the model's speed has been measured. */
 #define DEFAULT_SECONDS_PER_EVENT 0.05
 /* Time between checkpoints. A takeover loses at most the events of one period and of a checkpoint
  * write in progress. Each running step costs four writes a second. */
@@ -138,7 +138,7 @@
  * trainer has two open steps, the long texts of the second start before the short texts of the
  * first, which have time left. */
 static LbTime
-compute_latest_start (const LcBatch *batch, int64_t events)
+compute_latest_generation_start (const LcBatch *batch, int64_t events)
 {
   const LcBatchHistory *history = batch->settings.history;
   double rate = history ? history->pace.tokens_per_second : 0;
@@ -170,7 +170,7 @@
       item, &batch->spec.items[lc_batch_find_item_index (batch, item)],
       lc_batch_events_to_tokens (batch, 1));
   action->due_at = batch->settings.due_at;
-  action->latest_start = compute_latest_start (batch, action->remaining_events);
+  action->latest_start = compute_latest_generation_start (batch, action->remaining_events);
 }
 
 static void
@@ -185,7 +185,7 @@
 }
 
 static void
-score_or_queue_result (LcBatch *batch, LcBatchItem *item, LbList *actions)
+score_text_or_queue_result (LcBatch *batch, LcBatchItem *item, LbList *actions)
 {
   if (batch->spec.items[lc_batch_find_item_index (batch, item)].has_scorer && !item->result.score)
     start_scoring (batch, item, actions);
@@ -263,7 +263,7 @@
       n_complete += item->state == ITEM_GENERATED;
       n_partial += item->state == ITEM_WAITING;
       if (item->state == ITEM_GENERATED)
-        score_or_queue_result (batch, item, actions);
+        score_text_or_queue_result (batch, item, actions);
     }
   if (n_complete + n_partial > 0)
     lb_log (LB_LOG_INFO, "texts_carried_on", LB_TEXT ("batch", batch->spec.id),
@@ -310,7 +310,7 @@
 }
 
 static void
-record_length_and_pace (LcBatch *batch, const LcBatchItem *item, LbTime now)
+record_text_length_and_pace (LcBatch *batch, const LcBatchItem *item, LbTime now)
 {
   LcBatchHistory *history = batch->settings.history;
 
@@ -334,8 +334,8 @@
       return;
     }
   item->retries = 0;
-  record_length_and_pace (batch, item, now);
-  score_or_queue_result (batch, item, actions);
+  record_text_length_and_pace (batch, item, now);
+  score_text_or_queue_result (batch, item, actions);
 }
 
 void
@@ -414,8 +414,8 @@
   item->request = 0;
 }
 
-/* Lists all unfinished items as not completed after the batch's deadline, which the operator sets,
- * so that the trainer does not wait for them forever. */
+/* Stores a result "not completed" for each unfinished item after the batch's deadline, which the
+ * operator sets, so that the trainer does not wait for the items forever. */
 static void
 abandon_unfinished_items (LcBatch *batch, LbList *actions)
 {
--- a/packages/core/src/batch/lc-straggler.c
+++ b/packages/core/src/batch/lc-straggler.c
@@ -3,15 +3,16 @@
 #include <math.h>
 
 #define BUCKETS_PER_DOUBLING 8
-/* Sum of weights at which all weights are halved; about four steps of 2,048 samples. */
+/* Sum of the sample weights in a histogram at which all weights are halved; about four steps of
+ * 2,048 samples. */
 #define MAX_HISTORY_SAMPLES 8192
 /* The mean length over all groups counts as this many samples in the prediction for one group. */
 #define PRIOR_SAMPLES 1.0
 #define PACE_SMOOTHING_FACTOR 0.1
 /* Minimum number of ended samples to decide on hedges and moves. */
 #define MIN_HISTORY_SAMPLES 8
-/* A sample without a first piece counts as stuck after STUCK_SECONDS plus STUCK_WAIT_FACTOR mean
- * waits. Until then the sample may only be waiting for a slot. */
+/* A sample without a first piece counts as stuck after STUCK_SECONDS plus STUCK_WAIT_FACTOR times
+ * the mean wait for a first piece. Until then it may only be queued for an engine. */
 #define STUCK_SECONDS 2.0
 #define STUCK_WAIT_FACTOR 4.0
 /* Minimum number of tokens in a sample to measure a token rate. */
@@ -121,7 +122,7 @@
 }
 
 static double
-estimate_tokens_per_second (const LcPace *pace, const LcSampleProgress *progress, LbTime now)
+estimate_sample_tokens_per_second (const LcPace *pace, const LcSampleProgress *progress, LbTime now)
 {
   LbTime streamed = now - progress->first_piece_at;
 
@@ -134,9 +135,9 @@
 }
 
 static double
-estimate_regeneration_seconds (const LcLengthHistogram *lengths,
-                               const LcPace *pace,
-                               const LcSampleProgress *progress)
+estimate_seconds_to_regenerate_sample (const LcLengthHistogram *lengths,
+                                       const LcPace *pace,
+                                       const LcSampleProgress *progress)
 {
   double remaining = lc_length_histogram_estimate_remaining_tokens (lengths, progress->tokens,
                                                                     progress->max_tokens);
@@ -145,30 +146,30 @@
 }
 
 static double
-estimate_remaining_seconds (const LcLengthHistogram *lengths,
-                            const LcPace *pace,
-                            const LcSampleProgress *progress,
-                            LbTime now)
+estimate_seconds_to_finish_sample (const LcLengthHistogram *lengths,
+                                   const LcPace *pace,
+                                   const LcSampleProgress *progress,
+                                   LbTime now)
 {
   double waited = (double)(now - progress->started_at) / LB_SEC;
   double overdue = waited - STUCK_SECONDS - STUCK_WAIT_FACTOR * pace->wait_seconds;
 
   if (progress->first_piece_at == 0)
-    return estimate_regeneration_seconds (lengths, pace, progress)
+    return estimate_seconds_to_regenerate_sample (lengths, pace, progress)
            * (overdue > 0 ? 2 + overdue : 1);
   return lc_length_histogram_estimate_remaining_tokens (lengths, progress->tokens,
                                                         progress->max_tokens)
-         / estimate_tokens_per_second (pace, progress, now);
+         / estimate_sample_tokens_per_second (pace, progress, now);
 }
 
 static double
-get_safety_factor (double idle_weight)
+get_hedge_or_move_safety_factor (double idle_weight)
 {
   return MIN_SAFETY_FACTOR + (1.0 - idle_weight);
 }
 
 static bool
-has_enough_history (const LcLengthHistogram *lengths, const LcPace *pace)
+has_enough_history_for_estimates (const LcLengthHistogram *lengths, const LcPace *pace)
 {
   return lengths->count >= MIN_HISTORY_SAMPLES && pace->tokens_per_second > 0;
 }
@@ -180,17 +181,17 @@
                                  double idle_weight,
                                  LbTime now)
 {
-  if (!has_enough_history (lengths, pace))
+  if (!has_enough_history_for_estimates (lengths, pace))
     return 0;
-  return estimate_remaining_seconds (lengths, pace, progress, now)
-         - get_safety_factor (idle_weight)
-               * estimate_regeneration_seconds (lengths, pace, progress);
+  return estimate_seconds_to_finish_sample (lengths, pace, progress, now)
+         - get_hedge_or_move_safety_factor (idle_weight)
+               * estimate_seconds_to_regenerate_sample (lengths, pace, progress);
 }
 
-/* A moved sample keeps its urgency, so it should not wait longer for a slot than it did before. The
- * mean wait alone would be too long: it is mostly that of short samples, which are served last. */
+/* A moved sample keeps its priority, so it should not wait longer for its first piece than it did
+ * before. The mean wait alone would be too long: most samples are short and are served last. */
 static double
-estimate_move_wait_seconds (const LcPace *pace, const LcSampleProgress *progress)
+estimate_wait_seconds_after_move (const LcPace *pace, const LcSampleProgress *progress)
 {
   double waited = (double)(progress->first_piece_at - progress->started_at) / LB_SEC;
 
@@ -204,14 +205,14 @@
                                 double idle_weight,
                                 LbTime now)
 {
-  if (!has_enough_history (lengths, pace) || progress->tokens == 0)
+  if (!has_enough_history_for_estimates (lengths, pace) || progress->tokens == 0)
     return 0;
 
   double remaining = lc_length_histogram_estimate_remaining_tokens (lengths, progress->tokens,
                                                                     progress->max_tokens);
-  return estimate_remaining_seconds (lengths, pace, progress, now)
-         - estimate_move_wait_seconds (pace, progress)
-         - get_safety_factor (idle_weight) * remaining / pace->tokens_per_second;
+  return estimate_seconds_to_finish_sample (lengths, pace, progress, now)
+         - estimate_wait_seconds_after_move (pace, progress)
+         - get_hedge_or_move_safety_factor (idle_weight) * remaining / pace->tokens_per_second;
 }
 
 /* The original request runs until the hedge is complete; then its tokens are discarded. */
@@ -221,8 +222,8 @@
                                 const LcSampleProgress *progress,
                                 LbTime now)
 {
-  double tokens_meanwhile = estimate_tokens_per_second (pace, progress, now)
-                            * estimate_regeneration_seconds (lengths, pace, progress);
+  double tokens_meanwhile = estimate_sample_tokens_per_second (pace, progress, now)
+                            * estimate_seconds_to_regenerate_sample (lengths, pace, progress);
 
   return progress->tokens + (int64_t)(progress->first_piece_at ? tokens_meanwhile : 0);
 }
--- a/packages/core/src/batch/lc-straggler.h
+++ b/packages/core/src/batch/lc-straggler.h
@@ -38,7 +38,7 @@
   int64_t max_tokens;
   LbTime started_at;
   LbTime first_piece_at;           /* time of the first piece; 0: none yet */
-  double recent_seconds_per_token; /* 0: not known, the mean of the whole stream is used */
+  double recent_seconds_per_token; /* 0: not known; the mean of the whole stream is used instead */
 } LcSampleProgress;
 
 void lc_length_histogram_add_sample_length (LcLengthHistogram *lengths, int64_t tokens);
--- a/packages/core/src/batch/lc-text-cache.c
+++ b/packages/core/src/batch/lc-text-cache.c
@@ -87,7 +87,7 @@
 }
 
 static LcCachedText
-copy_text (const LcCachedText *text)
+copy_cached_text (const LcCachedText *text)
 {
   LcCachedText copy = *text;
 
@@ -107,7 +107,7 @@
   if (entry)
     remove_entry (cache, entry);
   entry = LB_NEW (Entry);
-  entry->text = copy_text (text);
+  entry->text = copy_cached_text (text);
   entry->stored_at = now;
   entry->bytes = strlen (text->text) + sizeof *entry;
   HASH_ADD_STR (cache->by_item, text.item, entry);
