--- a/packages/core/include/lc-config.h
+++ b/packages/core/include/lc-config.h
@@ -142,7 +142,7 @@
 /* Returns true if this instance and the peers that answered a query sent at queried_since or later
  * form a majority of the known instances. Only then may this instance accept a change. */
 bool lc_config_has_answers_of_majority (const LcConfig *config, LbTime queried_since);
-/* Returns true if the membership does not list some known instance as alive. */
+/* Returns true if at least one known instance is not listed as alive by the membership. */
 bool lc_config_has_unreachable_members (const LcConfig *config);
 
 /* Number of instances on which one revision is active, and of all instances. */
--- a/packages/core/include/lc-desired.h
+++ b/packages/core/include/lc-desired.h
@@ -30,7 +30,7 @@
   char prefix[128]; /* prefix of the paths that the route serves */
   LcRouteKind kind;
   LbTime timeout;       /* maximum time of a call; 0: only the call's own deadline applies */
-  LbTime latency_goal;  /* answers within this time have the highest value */
+  LbTime latency_goal;  /* time within which an answer is worth most to the caller */
   LbTime item_expiry;   /* BATCH: items may be dropped this long after submission; 0: never */
   LbTime due_after;     /* BATCH: all results are due this long after submission */
   int64_t max_attempts; /* maximum number of endpoints that one request is sent to */
--- a/packages/core/src/config/lc-change.c
+++ b/packages/core/src/config/lc-change.c
@@ -28,7 +28,10 @@
 }
 
 static bool
-parse_change (struct json_object *object, ChangeLists *change, const char *file, LbError *error)
+parse_change_lists (struct json_object *object,
+                    ChangeLists *change,
+                    const char *file,
+                    LbError *error)
 {
   if (!json_object_is_type (object, json_type_object))
     return lb_error_set (error, LB_ERROR_BAD_VALUE, file,
@@ -126,7 +129,7 @@
 {
   ChangeLists lists = { NULL, NULL };
 
-  if (!parse_change (change, &lists, file, error))
+  if (!parse_change_lists (change, &lists, file, error))
     return NULL;
   struct json_object *seen_items = json_object_new_object ();
   LcResourceSet *next = lc_resource_set_copy_with_room (set, array_length_or_zero (lists.apply));
--- a/packages/core/src/config/lc-config-confirm.c
+++ b/packages/core/src/config/lc-config-confirm.c
@@ -52,7 +52,7 @@
 }
 
 static bool
-is_announced_change_settled (const LcConfig *config, const LcConfigPeer *peer)
+is_announced_change_outcome_known (const LcConfig *config, const LcConfigPeer *peer)
 {
   return peer->announced_change == 0 || config->set->revision > peer->announced_base_revision
          || config->store_confirmed_at >= peer->announced_at + LC_CONFIG_MAX_COMMIT_DURATION;
@@ -68,7 +68,7 @@
 lc_config_has_change_of_unknown_outcome (const LcConfig *config, LbTime now)
 {
   for (const LcConfigPeer *peer = config->peers; peer; peer = peer->hh.next)
-    if (!is_announced_change_settled (config, peer)
+    if (!is_announced_change_outcome_known (config, peer)
         && peer->answered_query_at < now - max_peer_answer_age (config)
         && peer->announced_at < now - config->settings.max_confirmation_age)
       return true;
--- a/packages/core/src/config/lc-config-query.c
+++ b/packages/core/src/config/lc-config-query.c
@@ -27,7 +27,7 @@
   return config->store_confirmed_at < 0 ? -1 : now - config->store_confirmed_at;
 }
 
-/* Returns true if the membership does not list some known instance as alive. */
+/* Returns true if at least one known instance is not listed as alive by the membership. */
 bool
 lc_config_has_unreachable_members (const LcConfig *config)
 {
--- a/packages/core/src/config/lc-config.c
+++ b/packages/core/src/config/lc-config.c
@@ -44,7 +44,7 @@
 }
 
 static LcResourceSet *
-new_empty_set (void)
+new_empty_resource_set (void)
 {
   return LB_NEW (LcResourceSet);
 }
@@ -57,7 +57,7 @@
   config->settings = *settings;
   config->rng = gsl_rng_alloc (gsl_rng_taus2);
   gsl_rng_set (config->rng, settings->seed);
-  config->set = new_empty_set ();
+  config->set = new_empty_resource_set ();
   config->started_at = now;
   config->store_confirmed_at = -1;
   config->next_poll_at = now;
@@ -159,7 +159,7 @@
  * of the store would undo a change that operators saw accepted. Every set passes through this
  * function, and the store assigns each revision number once, by a conditional write. */
 static bool
-activate_if_newer (LcConfig *config, LcResourceSet *set, LbList *actions)
+activate_set_if_newer (LcConfig *config, LcResourceSet *set, LbList *actions)
 {
   if (set->revision <= config->set->revision)
     {
@@ -266,7 +266,7 @@
                                 LbList *actions)
 {
   if (set)
-    activate_if_newer (config, set, actions);
+    activate_set_if_newer (config, set, actions);
   if (revision < config->set->revision)
     /* The replica of the store that answered lags behind, so its answer confirms nothing. */
     lb_metric_add (&metric_outdated, 1);
@@ -297,7 +297,7 @@
 {
   int64_t revision = set->revision;
 
-  if (!activate_if_newer (config, set, actions))
+  if (!activate_set_if_newer (config, set, actions))
     return;
   if (committed_at > config->store_confirmed_at)
     config->store_confirmed_at = committed_at;
@@ -309,7 +309,7 @@
 /* Requests the whole set from a peer with a newer revision, at most once per LC_CONFIG_QUERY_PERIOD
  * for each peer. */
 static void
-send_fetch (LcConfig *config, LcConfigPeer *peer, LbTime now, LbList *actions)
+request_whole_set_from_peer (LcConfig *config, LcConfigPeer *peer, LbTime now, LbList *actions)
 {
   if (peer->fetched_at > 0 && now - peer->fetched_at < LC_CONFIG_QUERY_PERIOD)
     return;
@@ -330,9 +330,9 @@
   if (message->body && message->revision == config->set->revision + 1)
     next = lc_change_apply_to_resource_set (config->set, message->body, peer->name, &error);
   if (next)
-    activate_if_newer (config, next, actions);
+    activate_set_if_newer (config, next, actions);
   else if (message->revision > config->set->revision)
-    send_fetch (config, peer, now, actions);
+    request_whole_set_from_peer (config, peer, now, actions);
   else if (message->revision < config->set->revision)
     lb_metric_add (&metric_outdated, 1);
   if (message->revision <= config->set->revision)
@@ -361,7 +361,7 @@
   if (status->announced_change >= peer->announced_change)
     peer->announced_change = 0;
   if (status->revision > config->set->revision && status->confirmed)
-    send_fetch (config, peer, now, actions);
+    request_whole_set_from_peer (config, peer, now, actions);
 }
 
 static void
@@ -380,12 +380,12 @@
       lb_metric_count_error (LB_ERROR_FRAME_GARBLED);
       return;
     }
-  if (activate_if_newer (config, set, actions))
+  if (activate_set_if_newer (config, set, actions))
     send_status (config, peer->name, 0, now, actions);
 }
 
 static void
-record_announced_change (LcConfigPeer *peer, const LcConfigMessage *message, LbTime now)
+record_change_announced_by_peer (LcConfigPeer *peer, const LcConfigMessage *message, LbTime now)
 {
   peer->announced_change = message->announced_change;
   peer->announced_base_revision = message->revision;
@@ -409,7 +409,7 @@
       break;
     case LC_CONFIG_MESSAGE_QUERY:
       if (message->announced_change > 0)
-        record_announced_change (peer, message, now);
+        record_change_announced_by_peer (peer, message, now);
       send_status (config, from, message->asked_at, now, actions);
       break;
     case LC_CONFIG_MESSAGE_STATUS:
--- a/packages/core/src/config/lc-resources-check.c
+++ b/packages/core/src/config/lc-resources-check.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 static bool
-set_reference_error (
+set_resource_reference_error (
     const char *file, LcResourceKind kind, const char *name, const char *text, LbError *error)
 {
   char where[192];
@@ -32,18 +32,18 @@
     {
       const LcSubscription *subscription = &set->subscriptions[i];
       if (!lc_resource_set_find_pool (set, subscription->pool))
-        return set_reference_error (file, LC_RESOURCE_SUBSCRIPTION, subscription->name,
-                                    "pool: expected the name of an existing pool", error);
+        return set_resource_reference_error (file, LC_RESOURCE_SUBSCRIPTION, subscription->name,
+                                             "pool: expected the name of an existing pool", error);
       if (subscription->scorer[0] && !has_service_endpoint (set, subscription->scorer))
-        return set_reference_error (file, LC_RESOURCE_SUBSCRIPTION, subscription->name,
-                                    "scorer: no endpoint of type service has this name as its pool",
-                                    error);
+        return set_resource_reference_error (
+            file, LC_RESOURCE_SUBSCRIPTION, subscription->name,
+            "scorer: no endpoint of type service has this name as its pool", error);
     }
   for (size_t i = 0; i < set->n_bounds; i++)
     if (!lc_resource_set_find_subscription (set, set->bounds[i].subscription))
-      return set_reference_error (file, LC_RESOURCE_VERSION_BOUND, set->bounds[i].name,
-                                  "subscription: expected the name of an existing subscription",
-                                  error);
+      return set_resource_reference_error (
+          file, LC_RESOURCE_VERSION_BOUND, set->bounds[i].name,
+          "subscription: expected the name of an existing subscription", error);
   return true;
 }
 
@@ -68,8 +68,8 @@
   qsort (sorted, set->n_endpoints, sizeof *sorted, compare_endpoint_addresses);
   for (size_t i = 1; ok && i < set->n_endpoints; i++)
     if (strcmp (sorted[i - 1]->address, sorted[i]->address) == 0)
-      ok = set_reference_error (file, LC_RESOURCE_ENDPOINT, sorted[i]->name,
-                                "address: already used by another endpoint", error);
+      ok = set_resource_reference_error (file, LC_RESOURCE_ENDPOINT, sorted[i]->name,
+                                         "address: already used by another endpoint", error);
   free (sorted);
   return ok;
 }
@@ -90,9 +90,9 @@
       const LcEndpointMember *endpoint = &set->endpoints[i];
       const LcPool *pool = lc_resource_set_find_pool (set, endpoint->pool);
       if (endpoint->kind == LC_ENDPOINT_SERVICE && pool && has_engine[pool - set->pools])
-        ok = set_reference_error (file, LC_RESOURCE_ENDPOINT, endpoint->name,
-                                  "pool: has engines, so it can't have endpoints of type service",
-                                  error);
+        ok = set_resource_reference_error (
+            file, LC_RESOURCE_ENDPOINT, endpoint->name,
+            "pool: has engines, so it can't have endpoints of type service", error);
     }
   free (has_engine);
   return ok;
@@ -105,8 +105,8 @@
     {
       const LcEndpointMember *endpoint = &set->endpoints[i];
       if (endpoint->kind == LC_ENDPOINT_ENGINE && !lc_resource_set_find_pool (set, endpoint->pool))
-        return set_reference_error (file, LC_RESOURCE_ENDPOINT, endpoint->name,
-                                    "pool: expected the name of an existing pool", error);
+        return set_resource_reference_error (file, LC_RESOURCE_ENDPOINT, endpoint->name,
+                                             "pool: expected the name of an existing pool", error);
     }
   return check_pools_have_one_endpoint_kind (set, file, error)
          && check_addresses_are_unique (set, file, error);
--- a/packages/core/src/config/lc-resources.c
+++ b/packages/core/src/config/lc-resources.c
@@ -187,7 +187,7 @@
 }
 
 static struct json_object *
-copy_without_kind_key (struct json_object *object)
+copy_resource_without_kind_key (struct json_object *object)
 {
   struct json_object *copy = json_object_new_object ();
 
@@ -203,7 +203,7 @@
 parse_resource (
     struct json_object *object, LcResourceKind kind, void *item, const char *where, LbError *error)
 {
-  struct json_object *body = copy_without_kind_key (object);
+  struct json_object *body = copy_resource_without_kind_key (object);
 
   set_resource_defaults (kind, item);
   bool ok = lb_settings_fill_struct (body, kind_infos[kind].specs, item, where, error);
@@ -250,10 +250,10 @@
 }
 
 static bool
-check_resource_limit (const LcResourceSet *set,
-                      LcResourceKind kind,
-                      const char *where,
-                      LbError *error)
+check_resource_count_limit (const LcResourceSet *set,
+                            LcResourceKind kind,
+                            const char *where,
+                            LbError *error)
 {
   if (*resource_count_field (set, kind) < kind_infos[kind].max_count)
     return true;
@@ -269,7 +269,7 @@
   LcResourceKind kind = LC_RESOURCE_POOL;
 
   if (!parse_resource_kind (object, index, file, where, sizeof where, &kind, error)
-      || !check_resource_limit (set, kind, where, error))
+      || !check_resource_count_limit (set, kind, where, error))
     return false;
   size_t *count = resource_count_field (set, kind);
   if (!parse_resource (object, kind,
@@ -325,7 +325,7 @@
   char *slot = *resource_array_field (set, kind) + position * size;
   if (!has_resource_at (set, kind, position, item))
     {
-      if (!check_resource_limit (set, kind, where, error))
+      if (!check_resource_count_limit (set, kind, where, error))
         goto out;
       memmove (slot + size, slot, (*count - position) * size);
       (*count)++;
